--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/umberdeal/umberdeal/internal/pipe"
+	"github.com/umberdeal/umberdeal/internal/memnet"
 )
 
 // Half a fleet comes back in one second: whose lease is nearest its end goes
@@ -73,7 +73,7 @@
 // Beyond its limit a door closes what comes, and it counts whose connections
 // are open whatever order they are told apart and closed in.
 func TestTheDoorCountsAndCloses(t *testing.T) {
-	p := pipe.Listen(20)
+	p := memnet.Listen(20)
 	d := NewDoor(p, 8)
 	var far []net.Conn
 	for range 10 {
--- a/cluster/ahead_test.go
+++ b/cluster/ahead_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -12,7 +12,7 @@
 // leads: not before a new leader knows its machines, not again while they boot or
 // their reports are late, and anew once they are lost.
 func TestPlacesAreRentedAheadOnce(t *testing.T) {
-	l := &leaders{t: t, notes: map[string]wire.Raw{}, over: map[string]ledger.JobRecord{}}
+	l := &leaders{t: t, notes: map[string]wire.Raw{}, over: map[string]jobstore.JobRecord{}}
 	layer := nightJob("wk-000001", "tiles", 6000, 10, 600) // 3.6 million seconds, seven hours
 	type rental struct {
 		name string
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/umberdeal/umberdeal/calendar"
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/order"
 	"github.com/umberdeal/umberdeal/plan"
-	"github.com/umberdeal/umberdeal/pools"
+	"github.com/umberdeal/umberdeal/priority"
+	"github.com/umberdeal/umberdeal/warmpool"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -76,10 +76,10 @@
 		night.Calendar.Regions = append(night.Calendar.Regions, calendar.RegionSettings{Name: r.name, Zone: "UTC", Evening: "18:00", MarginS: 1800,
 			Open: map[string]string{"wed": "07:00", "thu": "07:00", "fri": "07:00"}, Work: []calendar.Work{{Class: r.class}}})
 	}
-	tiers.Order.Tiers = []order.Tier{{Name: "first", Classes: []string{"gangs"}}, {Name: "second", Classes: []string{"arrays"}, Share: 0.2, LongestWaitS: 60}}
+	tiers.Order.Tiers = []priority.Tier{{Name: "first", Classes: []string{"gangs"}}, {Name: "second", Classes: []string{"arrays"}, Share: 0.2, LongestWaitS: 60}}
 	for i := range 3 {
-		held.Pools = append(held.Pools, pools.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), GB: 20, Types: []string{m.Types[0].Name}, Zones: m.Zones,
-			Least: machines / 15, Most: machines / 15, Burst: pools.Burst{Replicas: 8, WithinS: 10}, PerHour: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
+		held.Pools = append(held.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), GB: 20, Types: []string{m.Types[0].Name}, Zones: m.Zones,
+			Least: machines / 15, Most: machines / 15, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, PerHour: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
 	}
 	return map[string]*plan.Plan{"none": nil, "calendar": night, "order": tiers, "pools": held,
 		"all": {Calendar: night.Calendar, Order: tiers.Order, Pools: held.Pools}}
--- a/cluster/bound_test.go
+++ b/cluster/bound_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -191,16 +191,16 @@
 		old := s.m
 		s.m = newModel(6)
 		s.m.Takeover, s.m.BeginWithin, s.m.cfg.Cluster.Objectives = at(100), bound, aims
-		var page ledger.PageRecord
+		var page jobstore.PageRecord
 		for _, j := range old.Jobs {
 			if j == nil || j.Finished || j.Done == len(j.Tasks) {
 				continue
 			}
-			s.m.PutJob(j.ID, ledger.JobRecord{AtMs: j.At.UnixMilli(), Job: j.Spec}, 1, at(100))
-			c := ledger.ChunkRecord{Job: j.ID, Attempt: j.Attempt}
+			s.m.PutJob(j.ID, jobstore.JobRecord{AtMs: j.At.UnixMilli(), Job: j.Spec}, 1, at(100))
+			c := jobstore.ChunkRecord{Job: j.ID, Attempt: j.Attempt}
 			for i := range j.Tasks {
 				if p := j.Tasks[i].Place; p != nil {
-					c.Placed = append(c.Placed, ledger.Placement{Task: i, Attempt: p.Attempt, Machine: p.name})
+					c.Placed = append(c.Placed, jobstore.Placement{Task: i, Attempt: p.Attempt, Machine: p.name})
 				}
 			}
 			page.Chunks = append(page.Chunks, c)
--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -28,8 +28,8 @@
 	return &wire.Report{Machine: "host-1", Addr: "h:1", Type: "m", Zone: "a", Session: 1, Seq: seq, Token: token, Tasks: tasks}
 }
 
-func arrayJob(id string, n int) ledger.JobRecord {
-	return ledger.JobRecord{AtMs: t0.UnixMilli(), Job: wire.Job{ID: id, Class: "c", Team: "core", Kind: wire.KindArray,
+func arrayJob(id string, n int) jobstore.JobRecord {
+	return jobstore.JobRecord{AtMs: t0.UnixMilli(), Job: wire.Job{ID: id, Class: "c", Team: "core", Kind: wire.KindArray,
 		Priority: wire.PriorityNormal, Tasks: n, CPUs: 2, Image: "i", ImageGB: 1, EstimateS: 60, CheckpointS: 10, SaveS: 2}}
 }
 
@@ -103,8 +103,8 @@
 func TestAbsenceProvesNothingWithoutThisLeadersToken(t *testing.T) {
 	m := newModel(9)
 	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	m.LoadPage(0, ledger.PageRecord{Chunks: []ledger.ChunkRecord{{Job: "wk-000001", Attempt: 3,
-		Placed: []ledger.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
+	m.LoadPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
+		Placed: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
 	m.Loaded(at(0))
 	task := &m.Job("wk-000001").Tasks[0]
 	// An answer of the earlier leader may still be on its way to this worker.
@@ -202,7 +202,7 @@
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	b := m.NextBatch(12)
-	key := ledger.PageKey(0)
+	key := jobstore.PageKey(0)
 	m.Failed(b)
 	m.Reread(b, key, 77) // it had been applied after all
 	b = m.NextBatch(12)
@@ -216,9 +216,9 @@
 func TestMovesSurviveAChangeOfLeader(t *testing.T) {
 	m := newModel(9)
 	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	m.LoadPage(0, ledger.PageRecord{Chunks: []ledger.ChunkRecord{{Job: "wk-000001", Attempt: 3,
-		Placed: []ledger.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
-	m.LoadCycle("a/m", ledger.CycleRecord{Moves: []ledger.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
+	m.LoadPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
+		Placed: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
+	m.LoadCycle("a/m", jobstore.CycleRecord{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
 		CoolUntil: at(60).UnixMilli()}, at(0))
 	running := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
 	if _, s, _ := ops(answer(t, m, rep(1, 9, running), at(1))); s != 1 {
@@ -258,9 +258,9 @@
 	}{{at(1), 1}, {at(0), 0}, {at(-60), 0}} {
 		m := newModel(9)
 		m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-		m.LoadPage(0, ledger.PageRecord{Chunks: []ledger.ChunkRecord{{Job: "wk-000001", Attempt: 3,
-			Placed: []ledger.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
-		m.LoadCycle("a/m", ledger.CycleRecord{Moves: []ledger.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
+		m.LoadPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
+			Placed: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
+		m.LoadCycle("a/m", jobstore.CycleRecord{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
 			CoolUntil: c.coolUntil.UnixMilli(), Rest: map[string]int64{"wk-000001/0": at(90).UnixMilli()}}, at(0))
 		running := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
 		if _, s, _ := ops(answer(t, m, rep(1, 9, running), at(1))); s != c.stops {
--- a/cluster/cycle.go
+++ b/cluster/cycle.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/placement"
 	"github.com/umberdeal/umberdeal/rebalance"
 	"github.com/umberdeal/umberdeal/wire"
@@ -14,7 +14,7 @@
 
 // Cycle is what the rebalancer remembers of a group.
 type Cycle struct {
-	Record ledger.CycleRecord
+	Record jobstore.CycleRecord
 }
 
 // LoadCycle takes an earlier leader's cycle record in. Moves whose task is
@@ -24,7 +24,7 @@
 // The record may be of a transaction that had no answer and was carried out late, so that
 // its moves were never begun. Once the group's cooldown is over nobody wants them any
 // more, and they are not begun then.
-func (m *Model) LoadCycle(group string, rec ledger.CycleRecord, now time.Time) {
+func (m *Model) LoadCycle(group string, rec jobstore.CycleRecord, now time.Time) {
 	m.Cycles[group] = &Cycle{Record: rec}
 	if now.UnixMilli() >= rec.CoolUntil {
 		return
@@ -40,7 +40,7 @@
 	}
 }
 
-func (m *Model) moved(mv ledger.Move) (Ref, *Place) {
+func (m *Model) moved(mv jobstore.Move) (Ref, *Place) {
 	id, n, ok := wire.SplitTask(mv.Task)
 	if !ok {
 		return Ref{}, nil
@@ -115,7 +115,7 @@
 
 // PlanMoves looks at every group and returns the cycle records to commit
 // before their moves begin, by group.
-func (m *Model) PlanMoves(wanted []placement.Request, now time.Time) map[string]ledger.CycleRecord {
+func (m *Model) PlanMoves(wanted []placement.Request, now time.Time) map[string]jobstore.CycleRecord {
 	if !m.Tuning.Enabled || len(wanted) == 0 || now.Sub(m.Takeover) < config.Seconds(m.cfg.Cluster.Workers.ReportS*3) {
 		return nil
 	}
@@ -131,10 +131,10 @@
 		}
 	}
 	sort.Strings(names)
-	out := map[string]ledger.CycleRecord{}
+	out := map[string]jobstore.CycleRecord{}
 	ms := now.UnixMilli()
 	for _, g := range names {
-		var old ledger.CycleRecord
+		var old jobstore.CycleRecord
 		if c := m.Cycles[g]; c != nil {
 			old = c.Record
 		}
@@ -152,7 +152,7 @@
 		if len(want) == 0 {
 			continue
 		}
-		rec := ledger.CycleRecord{Rest: prune(old.Rest, ms), Quarantine: prune(old.Quarantine, ms)}
+		rec := jobstore.CycleRecord{Rest: prune(old.Rest, ms), Quarantine: prune(old.Quarantine, ms)}
 		in := rebalance.Group{Budget: m.Tuning.Budget, Wanted: want}
 		for _, p := range m.Tuning.Policies {
 			in.Policies = append(in.Policies, rebalance.Policy(p))
@@ -167,7 +167,7 @@
 		for _, mv := range moves {
 			j := m.Jobs[mv.Task.Job]
 			name := wire.TaskName(j.ID, int(mv.Task.Task))
-			rec.Moves = append(rec.Moves, ledger.Move{
+			rec.Moves = append(rec.Moves, jobstore.Move{
 				Task: name, Attempt: j.Tasks[mv.Task.Task].Place.Attempt,
 				From: mcs[mv.From].Name, To: mcs[mv.To].Name,
 			})
@@ -179,7 +179,7 @@
 	return out
 }
 
-func (m *Model) host(mc *Machine, rec ledger.CycleRecord, now time.Time) rebalance.Host {
+func (m *Model) host(mc *Machine, rec jobstore.CycleRecord, now time.Time) rebalance.Host {
 	h := rebalance.Host{Cap: m.Types[mc.Type].Cap, Used: mc.Used.Add(mc.orphans, 1)}
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
@@ -205,7 +205,7 @@
 }
 
 // BeginMoves starts a cycle whose record is committed.
-func (m *Model) BeginMoves(group string, rec ledger.CycleRecord, now time.Time) {
+func (m *Model) BeginMoves(group string, rec jobstore.CycleRecord, now time.Time) {
 	m.Cycles[group] = &Cycle{Record: rec}
 	for _, mv := range rec.Moves {
 		if ref, p := m.moved(mv); p != nil && p.Attempt == mv.Attempt && p.Stop == nil {
--- a/cluster/damaged.go
+++ b/cluster/damaged.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -13,7 +13,7 @@
 
 // keptSize is what a chunk that is kept as it was takes, at most about, in the form
 // in which the service counts.
-func (m *Model) keptSize(c *ledger.ChunkRecord) int {
+func (m *Model) keptSize(c *jobstore.ChunkRecord) int {
 	return 80 + len(c.Job) + (22+max(m.longest, 18))*len(c.Placed) + 8*len(c.Done)
 }
 
@@ -46,18 +46,18 @@
 
 // Intake is what this leader knows of a page of users' jobs in that version; false
 // where it does not.
-func (m *Model) Intake(key string, version uint64) ([]ledger.IntakeEntry, bool) {
+func (m *Model) Intake(key string, version uint64) ([]jobstore.IntakeEntry, bool) {
 	p := m.intakes[key]
 	if p == nil || p.version != version {
 		return nil, false
 	}
-	return append([]ledger.IntakeEntry{}, p.rec.Jobs...), true
+	return append([]jobstore.IntakeEntry{}, p.rec.Jobs...), true
 }
 
 // DamagedPage names a page of placement records that can't be read, and keeps it as
 // it is. Whatever it may speak of is set aside when all has been read.
 func (m *Model) DamagedPage(n int, version uint64, err error) {
-	key := ledger.PageKey(n)
+	key := jobstore.PageKey(n)
 	m.log.Error("unreadable page of placements: jobs that it may speak of are set aside", "key", key, "err", err)
 	p := m.pageAt(n)
 	p.version, p.size = version, 1<<30 // nothing is put there
@@ -80,7 +80,7 @@
 // while placements of it are left: what its tasks need is not known.
 func (m *Model) DamagedEnd(key, id string, err error) {
 	m.log.Error("unreadable record of a job that is over: its tasks are stopped", "key", key, "id", id, "err", err)
-	m.LoadCancelled(id, ledger.JobRecord{Job: wire.Job{ID: id, Tasks: wire.MaxTasks, Kind: wire.KindArray}})
+	m.LoadCancelled(id, jobstore.JobRecord{Job: wire.Job{ID: id, Tasks: wire.MaxTasks, Kind: wire.KindArray}})
 	m.wait()
 }
 
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 )
 
 // Reference says against what a digest gives numbers that only ever grow.
@@ -74,7 +74,7 @@
 			t := &j.Tasks[i]
 			fmt.Fprintf(w, "T%d,%d,%t", t.Phase, t.End, now.UnixMilli() < t.NotBefore)
 			if p := t.Place; p != nil {
-				fmt.Fprintf(w, "g%tP%s,%d,%t,%t,%d,%t,%s", j.Chunks[i/ledger.ChunkSize].Committed >= p.gen, p.name, p.Attempt, p.Inherited, p.Sent, p.Seen, now.Sub(p.Summoned) < summonAgain,
+				fmt.Fprintf(w, "g%tP%s,%d,%t,%t,%d,%t,%s", j.Chunks[i/jobstore.ChunkSize].Committed >= p.gen, p.name, p.Attempt, p.Inherited, p.Sent, p.Seen, now.Sub(p.Summoned) < summonAgain,
 					behind(p.name, p.Session, p.Seq))
 				if p.Seq > 0 && (number{p.Session, p.Seq}) == m.Machines[p.Machine].hearing.twice {
 					fmt.Fprint(w, "2")
@@ -94,7 +94,7 @@
 	}
 	for _, p := range m.pages {
 		// A page that was never written may be, once what is in the store is deleted.
-		fmt.Fprintf(w, "|p%d,%t,%t,%t", p.n, p.version == ref.Version(ledger.PageKey(p.n)), p.version == 0, p.gen == p.committed)
+		fmt.Fprintf(w, "|p%d,%t,%t,%t", p.n, p.version == ref.Version(jobstore.PageKey(p.n)), p.version == 0, p.gen == p.committed)
 	}
 	fmt.Fprintf(w, "|%d,%d", len(m.stops), len(m.fresh))
 }
--- a/cluster/flush.go
+++ b/cluster/flush.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -34,8 +34,8 @@
 	gen       uint64 // counts changes
 	committed uint64 // the last change that is in the store
 	chunks    []chunkRef
-	kept      []ledger.ChunkRecord // of jobs whose records can't be read
-	size      int                  // the most bytes that its records take
+	kept      []jobstore.ChunkRecord // of jobs whose records can't be read
+	size      int                    // the most bytes that its records take
 }
 
 type chunkRef struct {
@@ -91,7 +91,7 @@
 // chunkSize is the most bytes that a chunk's record takes, in the form in
 // which the service counts them.
 func (m *Model) chunkSize(j *Job, n int) int {
-	tasks := min(ledger.ChunkSize, len(j.Tasks)-n*ledger.ChunkSize)
+	tasks := min(jobstore.ChunkSize, len(j.Tasks)-n*jobstore.ChunkSize)
 	return 80 + len(j.ID) + tasks*(22+max(m.longest, 12))
 }
 
@@ -212,7 +212,7 @@
 
 // batchDone ends a job, if its page fits in beside what is there already.
 func (m *Model) batchDone(b *Batch, j *Job) bool {
-	rec := ledger.JobRecord{Job: j.Spec, AtMs: j.At.UnixMilli(), State: wire.JobDone, Ended: j.ends(0, len(j.Tasks)), EndMs: m.endMs(j)}
+	rec := jobstore.JobRecord{Job: j.Spec, AtMs: j.At.UnixMilli(), State: wire.JobDone, Ended: j.ends(0, len(j.Tasks)), EndMs: m.endMs(j)}
 	if j.res != nil {
 		rec.Reserve = &j.res.Reserve
 	}
@@ -221,12 +221,12 @@
 			return false
 		}
 	} else {
-		b.Guards = append(b.Guards, wire.Guard{Key: ledger.JobKey(j.ID), Version: j.Version})
-		b.Ops = append(b.Ops, wire.Op{Delete: ledger.JobKey(j.ID)})
+		b.Guards = append(b.Guards, wire.Guard{Key: jobstore.JobKey(j.ID), Version: j.Version})
+		b.Ops = append(b.Ops, wire.Op{Delete: jobstore.JobKey(j.ID)})
 	}
-	b.Guards = append(b.Guards, wire.Guard{Key: ledger.FinalKey(j.ID)})
-	b.Ops = append(b.Ops, wire.Op{Put: ledger.FinalKey(j.ID), Value: rec})
-	b.jobs[ledger.JobKey(j.ID)] = j
+	b.Guards = append(b.Guards, wire.Guard{Key: jobstore.FinalKey(j.ID)})
+	b.Ops = append(b.Ops, wire.Op{Put: jobstore.FinalKey(j.ID), Value: rec})
+	b.jobs[jobstore.JobKey(j.ID)] = j
 	b.bytes += 1000
 	b.after = append(b.after, func(_ uint64, now time.Time) {
 		j.Finished = true
@@ -243,7 +243,7 @@
 		gen uint64
 	}
 	var (
-		rec    ledger.PageRecord
+		rec    jobstore.PageRecord
 		chunks []written
 		guards []wire.Guard
 		bytes  = 200
@@ -259,13 +259,13 @@
 		rec.Chunks = append(rec.Chunks, cr)
 		chunks = append(chunks, written{c, c.Gen})
 		bytes += 60 + len(r.j.ID) + (20+m.longest)*len(cr.Placed) + 5*len(cr.Done)
-		key := ledger.JobKey(r.j.ID)
+		key := jobstore.JobKey(r.j.ID)
 		places = places || c.PlaceGen > c.Committed
 		if c.PlaceGen > c.Committed && !r.j.Cancelled && b.jobs[key] == nil && jobs[key] == nil {
 			// A placement is only good for a job that is still wanted. A page that
 			// the job shares changes with others, too: there it must not be over.
 			if r.j.home != nil {
-				guards = append(guards, wire.Guard{Key: ledger.FinalKey(r.j.ID)})
+				guards = append(guards, wire.Guard{Key: jobstore.FinalKey(r.j.ID)})
 			} else {
 				guards = append(guards, wire.Guard{Key: key, Version: r.j.Version})
 			}
@@ -276,7 +276,7 @@
 	if len(b.Ops) > 0 && (b.bytes+bytes > maxBytes || len(b.Guards)+len(guards)+1 > m.maxGuards()) {
 		return
 	}
-	key := ledger.PageKey(p.n)
+	key := jobstore.PageKey(p.n)
 	op := wire.Op{Put: key, Value: rec}
 	if len(rec.Chunks) == 0 {
 		op = wire.Op{Delete: key}
@@ -329,8 +329,8 @@
 
 // IsJob says whether a key of the batch is that of active jobs.
 func (b *Batch) IsJob(key string) bool {
-	_, ok := ledger.ParseJobKey(key)
-	return ok || ledger.IsIntake(key)
+	_, ok := jobstore.ParseJobKey(key)
+	return ok || jobstore.IsIntake(key)
 }
 
 // forget drops a job that is over. Its records leave their pages with the
@@ -349,10 +349,10 @@
 	delete(m.jobIdx, j.ID)
 }
 
-func (j *Job) chunkRecord(n int) ledger.ChunkRecord {
-	rec := ledger.ChunkRecord{Job: j.ID, Chunk: n, Attempt: j.Attempt}
-	lo := n * ledger.ChunkSize
-	hi := min(lo+ledger.ChunkSize, len(j.Tasks))
+func (j *Job) chunkRecord(n int) jobstore.ChunkRecord {
+	rec := jobstore.ChunkRecord{Job: j.ID, Chunk: n, Attempt: j.Attempt}
+	lo := n * jobstore.ChunkSize
+	hi := min(lo+jobstore.ChunkSize, len(j.Tasks))
 	rec.Reserved, rec.Ended, rec.Leaving = j.res != nil, j.ends(lo, hi), j.leaving(lo, hi)
 	for i := lo; i < hi; i++ {
 		switch t := &j.Tasks[i]; t.Phase {
@@ -369,8 +369,8 @@
 	return rec
 }
 
-func (j *Job) placement(i int) ledger.Placement {
-	return ledger.Placement{Task: i, Attempt: j.Tasks[i].Place.Attempt, Machine: j.Tasks[i].Place.name}
+func (j *Job) placement(i int) jobstore.Placement {
+	return jobstore.Placement{Task: i, Attempt: j.Tasks[i].Place.Attempt, Machine: j.Tasks[i].Place.name}
 }
 
 // sortedRefs lists refs in an order that does not depend on the map's.
--- a/cluster/intake.go
+++ b/cluster/intake.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -13,7 +13,7 @@
 type intake struct {
 	key     string
 	version uint64
-	rec     ledger.IntakeRecord
+	rec     jobstore.IntakeRecord
 	size    int // in the form in which the service counts
 }
 
@@ -22,7 +22,7 @@
 type IntakePage struct {
 	Key     string
 	Version uint64
-	Record  ledger.IntakeRecord
+	Record  jobstore.IntakeRecord
 }
 
 // PutIntake takes pages of users' jobs in, all of one moment: a job may have
@@ -41,7 +41,7 @@
 			m.intakes[pg.Key] = p
 		}
 		if pg.Version <= p.version {
-			if pg.Version == p.version && len(p.rec.Jobs) == 0 && !ledger.IsHead(p.key) {
+			if pg.Version == p.version && len(p.rec.Jobs) == 0 && !jobstore.IsHead(p.key) {
 				delete(m.intakes, p.key) // as this leader has written it
 			}
 			continue
@@ -53,7 +53,7 @@
 		for _, e := range p.rec.Jobs {
 			m.putOnPage(p, e, now)
 		}
-		if len(p.rec.Jobs) == 0 && !ledger.IsHead(p.key) {
+		if len(p.rec.Jobs) == 0 && !jobstore.IsHead(p.key) {
 			delete(m.intakes, p.key) // it never comes back
 		}
 	}
@@ -80,7 +80,7 @@
 }
 
 // putOnPage takes in that a job stands on a page.
-func (m *Model) putOnPage(p *intake, e ledger.IntakeEntry, now time.Time) {
+func (m *Model) putOnPage(p *intake, e jobstore.IntakeEntry, now time.Time) {
 	j := m.Job(e.ID)
 	if j == nil {
 		rec, err := e.Decode()
@@ -127,7 +127,7 @@
 	for p, l := range b.leaves {
 		rec := p.rec.Without(l.ids)
 		op := wire.Op{Put: p.key, Value: rec}
-		if len(rec.Jobs) == 0 && !ledger.IsHead(p.key) {
+		if len(rec.Jobs) == 0 && !jobstore.IsHead(p.key) {
 			op = wire.Op{Delete: p.key}
 		}
 		b.Ops[l.op] = op
@@ -145,5 +145,5 @@
 	if j.home != nil {
 		return j.home.version == ref.Version(j.home.key)
 	}
-	return j.Version == ref.Version(ledger.JobKey(j.ID))
+	return j.Version == ref.Version(jobstore.JobKey(j.ID))
 }
--- a/cluster/jobs.go
+++ b/cluster/jobs.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/placement"
 	"github.com/umberdeal/umberdeal/wire"
 )
@@ -24,7 +24,7 @@
 }
 
 // PutJob takes a job's active record in.
-func (m *Model) PutJob(id string, rec ledger.JobRecord, version uint64, now time.Time) {
+func (m *Model) PutJob(id string, rec jobstore.JobRecord, version uint64, now time.Time) {
 	if j := m.Job(id); j != nil {
 		if version > j.Version {
 			j.Version = version
@@ -46,13 +46,13 @@
 		"spot", s.Spot, "at", j.At, "estimate", s.EstimateS, "deadline", deadline)
 }
 
-func (m *Model) addJob(id string, rec ledger.JobRecord) *Job {
+func (m *Model) addJob(id string, rec jobstore.JobRecord) *Job {
 	s := rec.Job
 	j := &Job{
 		Idx: int32(len(m.Jobs)), ID: id, Spec: s, At: time.UnixMilli(rec.AtMs), Team: -1,
 		Priority: priorities[s.Priority], Need: placement.Res{CPU: s.CPUs, GPU: s.GPUs, Mem: s.MemoryGB},
 		Types: m.allowedTypes(&s), Zone: -1, Image: m.image(s.Image, s.ImageGB),
-		Tasks: make([]Task, s.Tasks), Chunks: make([]Chunk, (s.Tasks+ledger.ChunkSize-1)/ledger.ChunkSize),
+		Tasks: make([]Task, s.Tasks), Chunks: make([]Chunk, (s.Tasks+jobstore.ChunkSize-1)/jobstore.ChunkSize),
 		ZoneUsed: make([]int, len(m.Zones)), record: &record{},
 		res: newReserve(rec.Reserve, s.Tasks),
 	}
@@ -99,7 +99,7 @@
 }
 
 // LoadCancelled takes in a job that is over while placements of it are left.
-func (m *Model) LoadCancelled(id string, rec ledger.JobRecord) {
+func (m *Model) LoadCancelled(id string, rec jobstore.JobRecord) {
 	if m.Job(id) != nil {
 		return
 	}
--- a/cluster/load.go
+++ b/cluster/load.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 )
 
 // This file takes in what an earlier leader recorded.
@@ -18,7 +18,7 @@
 
 // LoadPage takes a page of placement records of an earlier leader in. The jobs
 // must be there already, those that are over for their placements only.
-func (m *Model) LoadPage(n int, rec ledger.PageRecord, version uint64, now time.Time) {
+func (m *Model) LoadPage(n int, rec jobstore.PageRecord, version uint64, now time.Time) {
 	p := m.pageAt(n)
 	p.version = version
 	for i := range rec.Chunks {
@@ -26,7 +26,7 @@
 	}
 }
 
-func (m *Model) loadChunk(p *page, c *ledger.ChunkRecord, now time.Time) {
+func (m *Model) loadChunk(p *page, c *jobstore.ChunkRecord, now time.Time) {
 	j := m.Job(c.Job)
 	if j == nil && (m.unreadable[c.Job] || m.lostIntake) {
 		p.kept = append(p.kept, *c)
--- a/cluster/load_test.go
+++ b/cluster/load_test.go
@@ -5,25 +5,25 @@
 	"fmt"
 	"testing"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
 // Whatever a page of placements holds, taking it in and going on ends, and what
 // is written afterwards can be read.
 func FuzzLoadPage(f *testing.F) {
-	add := func(rec ledger.PageRecord) {
+	add := func(rec jobstore.PageRecord) {
 		b, err := wire.Marshal(rec)
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(b)
 	}
-	add(ledger.PageRecord{Chunks: []ledger.ChunkRecord{{Job: "wk-000001", Attempt: 3, Done: []int{1, 2}, Placed: []ledger.Placement{{Task: 0, Attempt: 3, Machine: "host-000001"}}}}})
-	add(ledger.PageRecord{Chunks: []ledger.ChunkRecord{{Job: "wk-000001", Chunk: -1}, {Job: "wk-000001", Done: []int{-5, 1 << 40, 3}}, {Job: "wk-000001", Placed: []ledger.Placement{{Task: -1}, {Task: 4}}}}})
-	add(ledger.PageRecord{Chunks: []ledger.ChunkRecord{{Job: "wk-000001"}, {Job: "wk-000001"}, {Job: "nobody", Placed: []ledger.Placement{{}}}}})
+	add(jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3, Done: []int{1, 2}, Placed: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-000001"}}}}})
+	add(jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Chunk: -1}, {Job: "wk-000001", Done: []int{-5, 1 << 40, 3}}, {Job: "wk-000001", Placed: []jobstore.Placement{{Task: -1}, {Task: 4}}}}})
+	add(jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001"}, {Job: "wk-000001"}, {Job: "nobody", Placed: []jobstore.Placement{{}}}}})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var rec ledger.PageRecord
+		var rec jobstore.PageRecord
 		if wire.Unmarshal(b, &rec) != nil {
 			return
 		}
@@ -53,17 +53,17 @@
 func BenchmarkTakeover(b *testing.B) {
 	for _, tasks := range []int{1_000, 10_000, 100_000} {
 		const each = 20
-		var pages []ledger.PageRecord
-		var jobs []ledger.JobRecord
+		var pages []jobstore.PageRecord
+		var jobs []jobstore.JobRecord
 		for n := range tasks / each {
 			id := fmt.Sprintf("wk-%06d", n)
 			jobs = append(jobs, arrayJob(id, each))
-			c := ledger.ChunkRecord{Job: id, Attempt: each}
+			c := jobstore.ChunkRecord{Job: id, Attempt: each}
 			for t := range each {
-				c.Placed = append(c.Placed, ledger.Placement{Task: t, Attempt: uint64(t + 1), Machine: fmt.Sprintf("host-%06d", (n*each+t)/4)})
+				c.Placed = append(c.Placed, jobstore.Placement{Task: t, Attempt: uint64(t + 1), Machine: fmt.Sprintf("host-%06d", (n*each+t)/4)})
 			}
 			if n%16 == 0 {
-				pages = append(pages, ledger.PageRecord{})
+				pages = append(pages, jobstore.PageRecord{})
 			}
 			last := &pages[len(pages)-1]
 			last.Chunks = append(last.Chunks, c)
@@ -90,14 +90,14 @@
 			for b.Loop() {
 				m := newModel(5)
 				for i, v := range rawJobs {
-					var rec ledger.JobRecord
+					var rec jobstore.JobRecord
 					if err := wire.Unmarshal(v, &rec); err != nil {
 						b.Fatal(err)
 					}
 					m.PutJob(jobs[i].Job.ID, rec, 1, at(0))
 				}
 				for i, v := range rawPages {
-					var rec ledger.PageRecord
+					var rec jobstore.PageRecord
 					if err := wire.Unmarshal(v, &rec); err != nil {
 						b.Fatal(err)
 					}
@@ -116,7 +116,7 @@
 func TestOnlyWhatCameAfterADamagedPageIsNotSetAside(t *testing.T) {
 	m := newModel(5)
 	marked := arrayJob("wk-000003", 4)
-	marked.Reserve = &ledger.Reserve{Owner: "w/y/a"}
+	marked.Reserve = &jobstore.Reserve{Owner: "w/y/a"}
 	m.PutJob("wk-000001", arrayJob("wk-000001", 4), 4, at(0))
 	m.PutJob("wk-000002", arrayJob("wk-000002", 4), 9, at(0))
 	m.PutJob("wk-000003", marked, 9, at(0))
--- a/cluster/mistake_test.go
+++ b/cluster/mistake_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -80,7 +80,7 @@
 		m.Observe(&wire.Report{Machine: "h-" + name, Addr: "x", Type: name, Zone: "a", Session: 1, Seq: 1, Token: 5}, at(1))
 	}
 	put := func(id string, gpus float64, tasks int) {
-		m.PutJob(id, ledger.JobRecord{Job: wire.Job{ID: id, Class: id, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: tasks,
+		m.PutJob(id, jobstore.JobRecord{Job: wire.Job{ID: id, Class: id, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: tasks,
 			CPUs: 4, GPUs: gpus, Image: "i", EstimateS: 100}}, 1, at(1))
 	}
 	put("wk-000001", 0, 8)
--- a/cluster/nights.go
+++ b/cluster/nights.go
@@ -8,7 +8,7 @@
 
 	"github.com/umberdeal/umberdeal/calendar"
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/placement"
 	"github.com/umberdeal/umberdeal/wire"
 )
@@ -443,7 +443,7 @@
 
 // ToldEnd takes in the final record of a job that UnknownEnds named; nil: there is
 // none.
-func (m *Model) ToldEnd(id string, rec *ledger.JobRecord, now time.Time) {
+func (m *Model) ToldEnd(id string, rec *jobstore.JobRecord, now time.Time) {
 	for _, b := range m.nights.books {
 		if !slices.Contains(b.Unknown(), id) {
 			continue
--- a/cluster/nights_test.go
+++ b/cluster/nights_test.go
@@ -10,7 +10,7 @@
 	"github.com/umberdeal/umberdeal/calendar"
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/plans"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/plan"
 	"github.com/umberdeal/umberdeal/wire"
 )
@@ -33,7 +33,7 @@
 }
 
 // nightJob is of a class, accepted so many seconds after midnight.
-func nightJob(id, class string, tasks int, came, estimate float64) ledger.JobRecord {
+func nightJob(id, class string, tasks int, came, estimate float64) jobstore.JobRecord {
 	rec := arrayJob(id, tasks)
 	rec.AtMs, rec.Job.Class, rec.Job.EstimateS, rec.Job.CPUs = at(came).UnixMilli(), class, estimate, 4
 	return rec
@@ -77,13 +77,13 @@
 type leaders struct {
 	t     *testing.T
 	notes map[string]wire.Raw
-	over  map[string]ledger.JobRecord
+	over  map[string]jobstore.JobRecord
 	m     *Model
 }
 
 // next is a new leader, who reads what was committed and learns of the jobs that
 // are not over.
-func (l *leaders) next(token uint64, now time.Time, text string, open ...ledger.JobRecord) {
+func (l *leaders) next(token uint64, now time.Time, text string, open ...jobstore.JobRecord) {
 	l.t.Helper()
 	m := newModel(token)
 	m.Takeover, m.cfg.Cluster.SkewMs = now, 1000
@@ -107,8 +107,8 @@
 			break
 		}
 		for _, op := range b.Ops {
-			if id, ok := ledger.ParseFinalKey(op.Put); ok {
-				l.over[id] = op.Value.(ledger.JobRecord)
+			if id, ok := jobstore.ParseFinalKey(op.Put); ok {
+				l.over[id] = op.Value.(jobstore.JobRecord)
 			}
 		}
 		b.Committed(uint64(now.Unix()), now)
@@ -127,7 +127,7 @@
 
 func (l *leaders) record(region string) (rec calendar.Record) {
 	l.t.Helper()
-	if raw, ok := l.notes[ledger.Notes+calendar.NoteOf(region)]; ok {
+	if raw, ok := l.notes[jobstore.Notes+calendar.NoteOf(region)]; ok {
 		if err := wire.Unmarshal(raw, &rec); err != nil {
 			l.t.Fatal(err)
 		}
@@ -185,7 +185,7 @@
 		{"after the opening, not noted", opens + 1, opens + 2, false, calendar.Incomplete, 0, 1, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := &leaders{t: t, notes: map[string]wire.Raw{}, over: map[string]ledger.JobRecord{}}
+			l := &leaders{t: t, notes: map[string]wire.Raw{}, over: map[string]jobstore.JobRecord{}}
 			l.next(5, at(0), twoRegions, a, b)
 			l.m.Tick(at(100))
 			l.finish("wk-000001", at(3600))
@@ -201,8 +201,8 @@
 					l.write(at(s))
 				} else if j := l.m.NextBatch(12); j != nil { // the end is committed, the note is not
 					for _, op := range j.Ops {
-						if id, ok := ledger.ParseFinalKey(op.Put); ok {
-							l.over[id] = op.Value.(ledger.JobRecord)
+						if id, ok := jobstore.ParseFinalKey(op.Put); ok {
+							l.over[id] = op.Value.(jobstore.JobRecord)
 						}
 					}
 					j.Committed(9, at(s))
@@ -231,7 +231,7 @@
 }
 
 func TestForecastsAreMadeAgainWithTheirCause(t *testing.T) {
-	l := &leaders{t: t, notes: map[string]wire.Raw{}, over: map[string]ledger.JobRecord{}}
+	l := &leaders{t: t, notes: map[string]wire.Raw{}, over: map[string]jobstore.JobRecord{}}
 	l.next(5, at(0), twoRegions, nightJob("wk-000001", "tiles", 100, 10, 600))
 	up := func(n int, from float64) {
 		for s := from; s < from+40; s += 2 {
@@ -290,7 +290,7 @@
 // from the jobs that are not over, and comes out.
 func TestADamagedRecordOfNights(t *testing.T) {
 	job := nightJob("wk-000001", "tiles", 1, 10, 60)
-	l := &leaders{t: t, notes: map[string]wire.Raw{ledger.Notes + calendar.NoteOf("brussels"): {0x81, 0xa1, 'n', 0x91, 0x81}}, over: map[string]ledger.JobRecord{}}
+	l := &leaders{t: t, notes: map[string]wire.Raw{jobstore.Notes + calendar.NoteOf("brussels"): {0x81, 0xa1, 'n', 0x91, 0x81}}, over: map[string]jobstore.JobRecord{}}
 	l.next(6, at(3600), twoRegions, job)
 	l.m.Tick(at(3601))
 	l.finish("wk-000001", at(3700))
@@ -303,13 +303,13 @@
 
 // Nothing is written for regions to which nothing belongs.
 func TestARegionNothingBelongsToWritesNothing(t *testing.T) {
-	l := &leaders{t: t, notes: map[string]wire.Raw{}, over: map[string]ledger.JobRecord{}}
+	l := &leaders{t: t, notes: map[string]wire.Raw{}, over: map[string]jobstore.JobRecord{}}
 	l.next(5, at(0), twoRegions, nightJob("wk-000001", "tiles", 1, 10, 60), nightJob("wk-000002", "day", 1, 10, 60))
 	for s := 0.0; s < opens+600; s += 30 {
 		l.m.Tick(at(s))
 		l.note(at(s))
 	}
-	if _, ok := l.notes[ledger.Notes+calendar.NoteOf("tunis")]; ok || len(l.notes) != 1 {
+	if _, ok := l.notes[jobstore.Notes+calendar.NoteOf("tunis")]; ok || len(l.notes) != 1 {
 		t.Errorf("%d records", len(l.notes))
 	}
 	v := l.m.Nights(at(opens + 600))
--- a/cluster/page_test.go
+++ b/cluster/page_test.go
@@ -7,12 +7,12 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
 // grown is a model with many jobs placed on many machines, all of it written.
-func grown(t *testing.T, jobs, tasks int) (*Model, map[string]ledger.PageRecord) {
+func grown(t *testing.T, jobs, tasks int) (*Model, map[string]jobstore.PageRecord) {
 	t.Helper()
 	m := newModel(5)
 	for i := range jobs * tasks / 4 {
@@ -25,7 +25,7 @@
 		m.PutJob(id, arrayJob(id, tasks), 1, at(0))
 	}
 	m.Schedule(at(1), 1000)
-	stored := map[string]ledger.PageRecord{}
+	stored := map[string]jobstore.PageRecord{}
 	write(t, m, stored)
 	return m, stored
 }
@@ -33,7 +33,7 @@
 // write commits all that is to be written, and checks the limits that hold for
 // it: 12 changes and 48 conditions a transaction, 64 KiB of text in all and 16
 // a value.
-func write(t *testing.T, m *Model, stored map[string]ledger.PageRecord) (changes int) {
+func write(t *testing.T, m *Model, stored map[string]jobstore.PageRecord) (changes int) {
 	t.Helper()
 	for rev := uint64(100); m.Pending() > 0; rev++ {
 		if rev > 300 {
@@ -53,7 +53,7 @@
 			if n > 16<<10 {
 				t.Errorf("%s takes %d bytes", op.Put, n)
 			}
-			if rec, ok := op.Value.(ledger.PageRecord); ok {
+			if rec, ok := op.Value.(jobstore.PageRecord); ok {
 				stored[op.Put] = rec
 			}
 			delete(stored, op.Delete)
@@ -117,10 +117,10 @@
 	write(t, m, stored)
 	next := newModel(9)
 	for _, j := range m.Jobs {
-		next.PutJob(j.ID, ledger.JobRecord{Job: j.Spec, AtMs: t0.UnixMilli()}, 1, at(5))
+		next.PutJob(j.ID, jobstore.JobRecord{Job: j.Spec, AtMs: t0.UnixMilli()}, 1, at(5))
 	}
 	for key, rec := range stored {
-		n, ok := ledger.ParsePageKey(key)
+		n, ok := jobstore.ParsePageKey(key)
 		if !ok {
 			t.Fatal(key)
 		}
--- a/cluster/place.go
+++ b/cluster/place.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/placement"
 )
 
@@ -17,7 +17,7 @@
 }
 
 func (m *Model) touch(j *Job, task int32) *Chunk {
-	n := int(task) / ledger.ChunkSize
+	n := int(task) / jobstore.ChunkSize
 	c := &j.Chunks[n]
 	c.Gen++
 	if c.page == nil {
@@ -38,7 +38,7 @@
 	mc.Used = mc.Used.Add(j.Need, 1)
 	mc.worked = true
 	j.Placed++
-	j.Chunks[int(task)/ledger.ChunkSize].Placed++
+	j.Chunks[int(task)/jobstore.ChunkSize].Placed++
 	if mc.Zone >= 0 {
 		j.ZoneUsed[mc.Zone]++
 	}
@@ -65,7 +65,7 @@
 	if j.Placed == 0 {
 		j.Started, j.Ending = false, false
 	}
-	j.Chunks[int(task)/ledger.ChunkSize].Placed--
+	j.Chunks[int(task)/jobstore.ChunkSize].Placed--
 	if mc.Zone >= 0 {
 		j.ZoneUsed[mc.Zone]--
 	}
--- a/cluster/plan.go
+++ b/cluster/plan.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/plan"
 	"github.com/umberdeal/umberdeal/wire"
 )
@@ -56,7 +56,7 @@
 		}
 		for i := range j.Tasks {
 			p := j.Tasks[i].Place
-			if p != nil && !p.Sent && !p.Inherited && p.gen > j.Chunks[i/ledger.ChunkSize].Committed {
+			if p != nil && !p.Sent && !p.Inherited && p.gen > j.Chunks[i/jobstore.ChunkSize].Committed {
 				m.unplace(j, int32(i), now)
 				n++
 			}
@@ -69,7 +69,7 @@
 // has not heard of a newer one, or a transaction that comes late, changes nothing
 // by an older. Where there is no plan, the condition is that there is none still.
 func (m *Model) PlanGuard() wire.Guard {
-	return wire.Guard{Key: ledger.PlanHeadKey, Version: m.plan.Head}
+	return wire.Guard{Key: jobstore.PlanHeadKey, Version: m.plan.Head}
 }
 
 // notes are what the plan's parts record for the next leader and the operators:
@@ -128,7 +128,7 @@
 // LoadNote takes in what an earlier leader recorded. It comes before the plan and
 // the jobs.
 func (m *Model) LoadNote(key string, value wire.Raw, version uint64) {
-	x := m.notes.at(key[len(ledger.Notes):])
+	x := m.notes.at(key[len(jobstore.Notes):])
 	x.raw, x.version = value, version
 }
 
@@ -169,7 +169,7 @@
 		}
 		// Those that are left out go first the next time.
 		m.notes.names = append(slices.DeleteFunc(m.notes.names, func(n string) bool { return n == name }), name)
-		key, gen := ledger.Notes+name, x.gen
+		key, gen := jobstore.Notes+name, x.gen
 		b.Guards = append(b.Guards, wire.Guard{Key: key, Version: x.version})
 		b.Ops = append(b.Ops, wire.Op{Put: key, Value: wire.Raw(raw)})
 		b.notes[key] = x
--- a/cluster/poolfetch.go
+++ b/cluster/poolfetch.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/pools"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/warmpool"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -16,7 +16,7 @@
 // fetchOwner marks the jobs that fetch a pool's weights.
 func fetchOwner(pool string) string { return fetchOwners + pool }
 
-const fetchOwners = ledger.Notes + "pools/"
+const fetchOwners = jobstore.Notes + "pools/"
 
 // fetches says whether a job is one that fetches weights.
 func (m *Model) fetches(j *Job) bool {
@@ -34,14 +34,14 @@
 			continue
 		}
 		i, known := m.machineIdx[j.res.Only[0]]
-		var e *pools.Member
+		var e *warmpool.Member
 		if known && !m.Machines[i].Gone {
 			e = p.member(m.Machines[i])
 		}
 		vain := e == nil || e.Leaving || j.Image != im
 		switch t := &j.Tasks[0]; {
 		case t.Phase == Idle && (vain || m.Machines[i].has(im)):
-			m.spend(j, 0, ledger.EndReleased, now)
+			m.spend(j, 0, jobstore.EndReleased, now)
 			continue
 		case vain && t.Place != nil && t.Place.Stop == nil:
 			m.stopByPlan(Ref{Job: j.Idx}, whyReleased, now)
@@ -56,7 +56,7 @@
 // for which the worker fetches the weights.
 type Fetch struct {
 	ID     string
-	Record ledger.JobRecord
+	Record jobstore.JobRecord
 }
 
 // Fetches lists the fetches that are to begin, at most n of them.
@@ -72,11 +72,11 @@
 			p.asked[mc.Idx] = now
 			m.fetchNo++
 			id := fetchID(m.Token, m.fetchNo)
-			out = append(out, Fetch{ID: id, Record: ledger.JobRecord{
+			out = append(out, Fetch{ID: id, Record: jobstore.JobRecord{
 				Job: wire.Job{ID: id, Class: "weights", Team: p.Payer, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 1,
 					CPUs: fetchCPUs, Image: p.note.Image, ImageGB: p.note.GB, Spot: true},
 				AtMs:    now.UnixMilli(),
-				Reserve: &ledger.Reserve{Owner: fetchOwner(p.Name), Go: []int{0, 0}, Only: []string{mc.Name}},
+				Reserve: &jobstore.Reserve{Owner: fetchOwner(p.Name), Go: []int{0, 0}, Only: []string{mc.Name}},
 			}})
 		}
 	}
@@ -91,7 +91,7 @@
 // fetchEnded takes in that a fetch has ended without having run: where workers
 // know no such job, weights are not fetched ahead for a while.
 func (m *Model) fetchEnded(j *Job, how uint8, now time.Time) {
-	if how != ledger.EndRefused && how != ledger.EndError || !m.fetches(j) {
+	if how != jobstore.EndRefused && how != jobstore.EndError || !m.fetches(j) {
 		return
 	}
 	for _, p := range m.pools {
--- a/cluster/pools.go
+++ b/cluster/pools.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"github.com/umberdeal/umberdeal/pools"
+	"github.com/umberdeal/umberdeal/warmpool"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -14,14 +14,14 @@
 
 // pool is a pool of the plan, with what is known of it.
 type pool struct {
-	pools.Pool
-	note    pools.Note
-	week    pools.Week
-	shards  []*pools.Shard
+	warmpool.Pool
+	note    warmpool.Note
+	week    warmpool.Week
+	shards  []*warmpool.Shard
 	changed []bool         // shards to be recorded
 	of      map[int32]int  // the shard of each machine
 	rent    map[string]int // wanted, by zone, until the next step
-	noted   pools.Note     // as last recorded
+	noted   warmpool.Note  // as last recorded
 	fills   []int32        // machines that are to fetch the weights
 	asked   map[int32]time.Time
 	off     time.Time // no fetches before: workers refuse them
@@ -49,7 +49,7 @@
 	if m.plan.Lost {
 		return // what was known holds
 	}
-	var settings []pools.Pool
+	var settings []warmpool.Pool
 	if m.plan.Plan != nil {
 		settings = m.plan.Pools
 	}
@@ -96,9 +96,9 @@
 }
 
 // loadPool makes a pool from what earlier leaders recorded.
-func (m *Model) loadPool(s pools.Pool, now time.Time) *pool {
+func (m *Model) loadPool(s warmpool.Pool, now time.Time) *pool {
 	p := &pool{Pool: s, of: map[int32]int{}, asked: map[int32]time.Time{}}
-	p.note = pools.Note{Per: 1, Rank: priorities[wire.PriorityNormal], Image: s.Model, GB: s.GB, Number: 1}
+	p.note = warmpool.Note{Per: 1, Rank: priorities[wire.PriorityNormal], Image: s.Model, GB: s.GB, Number: 1}
 	read := func(name string, to any) bool {
 		raw, ok := m.kept(name)
 		if !ok {
@@ -111,23 +111,23 @@
 		return true
 	}
 	note := p.note
-	if read(pools.NoteName(s.Name), &note) {
+	if read(warmpool.NoteName(s.Name), &note) {
 		p.note = note
 		p.week.Resume(note.Hour, note.Peak)
 	}
 	for d := range 7 {
 		var day []string
-		if read(pools.DayName(s.Name, d), &day) {
+		if read(warmpool.DayName(s.Name, d), &day) {
 			if err := p.week.LoadDay(d, day); err != nil {
 				m.log.Error("a record of a pool can't be read", "pool", s.Name, "err", err)
 			}
 		}
 	}
-	for n := range pools.MaxShards {
-		var sh pools.Shard
-		if !read(pools.ShardName(s.Name, n), &sh) {
+	for n := range warmpool.MaxShards {
+		var sh warmpool.Shard
+		if !read(warmpool.ShardName(s.Name, n), &sh) {
 			// What can't be read, or is not there, begins anew.
-			sh = pools.Shard{AtMs: now.UnixMilli()}
+			sh = warmpool.Shard{AtMs: now.UnixMilli()}
 		}
 		p.shards, p.changed = append(p.shards, &sh), append(p.changed, false)
 		for k := range sh.Members {
@@ -156,7 +156,7 @@
 }
 
 // member is a machine's entry in its pool; it is good until the pool changes.
-func (p *pool) member(mc *Machine) *pools.Member {
+func (p *pool) member(mc *Machine) *warmpool.Member {
 	n, ok := p.of[mc.Idx]
 	if !ok {
 		return nil
@@ -175,7 +175,7 @@
 // for this: its boot is paid for as well. What was headroom before was nobody's.
 func (m *Model) joinPool(i int, mc *Machine, now time.Time) {
 	p := m.pools[i]
-	n := slices.IndexFunc(p.shards, func(s *pools.Shard) bool { return len(s.Members) < pools.ShardSize })
+	n := slices.IndexFunc(p.shards, func(s *warmpool.Shard) bool { return len(s.Members) < warmpool.ShardSize })
 	if n < 0 || mc.pool != 0 {
 		return
 	}
@@ -183,7 +183,7 @@
 	if mc.Ordered && !mc.worked && mc.Created.Before(now) && now.Sub(mc.IdleSince) < justUp {
 		since = mc.Created
 	}
-	p.shards[n].Join(pools.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), Rate: m.rate(mc)})
+	p.shards[n].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), Rate: m.rate(mc)})
 	p.of[mc.Idx], p.changed[n], mc.pool = n, true, i+1
 	m.log.Info("pool takes machine", "pool", p.Name, "machine", mc.Name, "warm", mc.has(m.image(p.note.Image, p.note.GB)), "paidSince", since)
 }
@@ -205,9 +205,9 @@
 		return 0
 	}
 	if mc.Spot {
-		return pools.Micro(m.Types[mc.Type].Spot)
+		return warmpool.Micro(m.Types[mc.Type].Spot)
 	}
-	return pools.Micro(m.Types[mc.Type].Price)
+	return warmpool.Micro(m.Types[mc.Type].Price)
 }
 
 // recordPool keeps what has changed of a pool, and its accounts now and then.
@@ -220,7 +220,7 @@
 		if p.changed[n] {
 			s.Settle(ms, p.Payer)
 			p.changed[n] = false
-			m.keep(pools.ShardName(p.Name, n), s.Copy())
+			m.keep(warmpool.ShardName(p.Name, n), s.Copy())
 		}
 	}
 	last := p.noted
@@ -228,7 +228,7 @@
 	if last != p.note || ms-p.note.AtMs > 5*settleEvery.Milliseconds() {
 		p.note.AtMs = ms
 		p.noted = p.note
-		m.keep(pools.NoteName(p.Name), p.note)
+		m.keep(warmpool.NoteName(p.Name), p.note)
 	}
 }
 
--- a/cluster/pools_test.go
+++ b/cluster/pools_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/plan"
-	"github.com/umberdeal/umberdeal/pools"
+	"github.com/umberdeal/umberdeal/warmpool"
 )
 
 // pooled is a crowded model with pools that hold half of its machines.
@@ -14,8 +14,8 @@
 	m := crowded(machines, jobs)
 	p := &plan.Plan{}
 	for i := range 3 {
-		p.Pools = append(p.Pools, pools.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), GB: 20, Types: []string{m.Types[0].Name}, Zones: m.Zones,
-			Least: machines / 6, Most: machines / 6, Burst: pools.Burst{Replicas: 8, WithinS: 10}, PerHour: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
+		p.Pools = append(p.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), GB: 20, Types: []string{m.Types[0].Name}, Zones: m.Zones,
+			Least: machines / 6, Most: machines / 6, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, PerHour: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
 	}
 	m.SetPlan(Plan{Plan: p, Number: 1, Head: 1}, at(0))
 	return m
--- a/cluster/poolsteps.go
+++ b/cluster/poolsteps.go
@@ -7,7 +7,7 @@
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/placement"
-	"github.com/umberdeal/umberdeal/pools"
+	"github.com/umberdeal/umberdeal/warmpool"
 )
 
 // This file is a pool's step: what its model's replicas want, what its machines are
@@ -23,7 +23,7 @@
 	for i, p := range m.pools {
 		m.followImage(p, wanted[i])
 		for _, d := range p.week.Want(wanted[i].open, now) {
-			m.keep(pools.DayName(p.Name, d), p.week.Day(d))
+			m.keep(warmpool.DayName(p.Name, d), p.week.Day(d))
 		}
 		p.note.Hour, p.note.Peak = p.week.Now()
 		m.bookPool(p, now)
@@ -158,7 +158,7 @@
 }
 
 // parts is who books how much of a machine.
-func (m *Model) parts(mc *Machine) []pools.Part {
+func (m *Model) parts(mc *Machine) []warmpool.Part {
 	if len(mc.Tasks) == 0 {
 		return nil
 	}
@@ -169,7 +169,7 @@
 		}
 	}
 	c := m.Types[mc.Type].Cap
-	var out []pools.Part
+	var out []warmpool.Part
 	for t, u := range used {
 		share := 0.0
 		for _, r := range [][2]float64{{u.CPU, c.CPU}, {u.GPU, c.GPU}, {u.Mem, c.Mem}} {
@@ -178,15 +178,15 @@
 			}
 		}
 		if s := int(math.Round(min(share, 1) * 1000)); s > 0 {
-			out = append(out, pools.Part{Team: m.cfg.Cluster.Teams[t].Name, Share: s})
+			out = append(out, warmpool.Part{Team: m.cfg.Cluster.Teams[t].Name, Share: s})
 		}
 	}
 	return out
 }
 
 // seenBy is a machine as its pool, or one that may take it, sees it.
-func (m *Model) seenBy(p *pool, mc *Machine, im int32, now time.Time) pools.Seen {
-	s := pools.Seen{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.has(im), Used: len(mc.Tasks) > 0 || mc.orphans != (placement.Res{})}
+func (m *Model) seenBy(p *pool, mc *Machine, im int32, now time.Time) warmpool.Seen {
+	s := warmpool.Seen{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.has(im), Used: len(mc.Tasks) > 0 || mc.orphans != (placement.Res{})}
 	// A machine that has been silent for a moment is not replaced yet: reports of
 	// a whole fleet pause when a leader does.
 	s.Ready = mc.Up && !mc.Gone && !mc.Returning && mc.Notice.IsZero() &&
@@ -221,7 +221,7 @@
 }
 
 // freeFor lists the machines that a pool may take.
-func (m *Model) freeFor(p *pool, im int32, types, zones []bool, now time.Time) (free []pools.Seen) {
+func (m *Model) freeFor(p *pool, im int32, types, zones []bool, now time.Time) (free []warmpool.Seen) {
 	for _, mc := range m.Machines {
 		if mc.Gone || mc.Type < 0 || mc.Zone < 0 {
 			continue
@@ -266,7 +266,7 @@
 	p.note.Aim = p.Aim(&p.week, now, lead, p.note.Per, price)
 	p.note.Limited = p.note.Aim == p.Affords(price) && p.note.Aim < p.Most
 	waiting := m.fetchesWaiting(p, now)
-	var own, free []pools.Seen
+	var own, free []warmpool.Seen
 	for _, mc := range m.Machines {
 		if mc.Gone || mc.Type < 0 || mc.Zone < 0 {
 			continue
@@ -284,7 +284,7 @@
 			own = append(own, s)
 		}
 	}
-	if pools.Held(own) < p.note.Aim {
+	if warmpool.Held(own) < p.note.Aim {
 		free = m.freeFor(p, im, types, zones, now)
 	}
 	c := p.Choose(own, free, p.note.Aim, p.Affords(price))
--- a/cluster/poolview.go
+++ b/cluster/poolview.go
@@ -4,7 +4,7 @@
 	"fmt"
 
 	"github.com/umberdeal/umberdeal/placement"
-	"github.com/umberdeal/umberdeal/pools"
+	"github.com/umberdeal/umberdeal/warmpool"
 )
 
 // This file says what pools mean for everybody else: placement, returns, and those
@@ -20,7 +20,7 @@
 		return false
 	}
 	e := p.member(mc)
-	return e != nil && e.Leaving && !m.keeping(pools.ShardName(p.Name, p.of[mc.Idx]))
+	return e != nil && e.Leaving && !m.keeping(warmpool.ShardName(p.Name, p.of[mc.Idx]))
 }
 
 // poolView tells the planner whose a machine is, and which images fit beside the
@@ -53,7 +53,7 @@
 		return nil
 	}
 	out := make([]placement.Use, len(m.pools))
-	w := pools.Work{Image: j.Spec.Image, Team: j.Spec.Team, Rank: j.Priority, Gang: j.Gang() && len(j.Tasks) > 1,
+	w := warmpool.Work{Image: j.Spec.Image, Team: j.Spec.Team, Rank: j.Priority, Gang: j.Gang() && len(j.Tasks) > 1,
 		Tier: j.tier, SavesS: j.Spec.SaveS, CanSave: j.Spec.CheckpointS > 0}
 	for i, p := range m.pools {
 		if m.fetches(j) {
@@ -108,7 +108,7 @@
 	Ceded   int64 // tasks of higher tiers that took room
 	Limited bool  // by what it may cost
 	Refused string
-	Teams   map[string]pools.Charge // what each owes, as recorded last
+	Teams   map[string]warmpool.Charge // what each owes, as recorded last
 }
 
 func (m *Model) poolSummaries() []PoolSummary {
@@ -116,12 +116,12 @@
 	for _, p := range m.pools {
 		s := PoolSummary{Name: p.Name, Aim: p.note.Aim, Held: p.note.Held, Warm: p.note.Warm, Filling: p.note.Filling,
 			Limited: p.note.Limited, Refused: p.note.Refused}
-		var shards []pools.Shard
+		var shards []warmpool.Shard
 		for _, sh := range p.shards {
 			s.Hits, s.Misses, s.Ceded = s.Hits+sh.Hits, s.Misses+sh.Misses, s.Ceded+sh.Ceded
 			shards = append(shards, *sh)
 		}
-		s.Teams, _ = pools.Totals(shards)
+		s.Teams, _ = warmpool.Totals(shards)
 		out = append(out, s)
 	}
 	return out
--- a/cluster/report.go
+++ b/cluster/report.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/placement"
 	"github.com/umberdeal/umberdeal/wire"
 )
@@ -200,7 +200,7 @@
 }
 
 func (m *Model) rememberExit(j *Job, task int32, mc *Machine, t *wire.TaskReport) {
-	n := int(task) / ledger.ChunkSize
+	n := int(task) / jobstore.ChunkSize
 	mc.exits[exitKey{t.Task, t.Attempt}] = &exit{job: j.Idx, chunk: n, gen: j.Chunks[n].Gen}
 }
 
@@ -231,10 +231,10 @@
 	}
 	wait := time.Duration(0)
 	failed := ""
-	how := uint8(ledger.EndRefused)
+	how := uint8(jobstore.EndRefused)
 	switch t.Why {
 	case wire.WhyError:
-		how = ledger.EndError
+		how = jobstore.EndError
 		if j.res == nil { // what such a job runs differs from task to task
 			wait = m.failed(j, task, mc, now)
 		}
@@ -281,7 +281,7 @@
 		j.progressed(task, p, false, now)
 	}
 	m.unplace(j, task, now)
-	m.spend(j, task, ledger.EndLost, now)
+	m.spend(j, task, jobstore.EndLost, now)
 	m.moveEnded(Ref{Job: j.Idx, Task: task}, "", now)
 	m.gangLost(j, task, now)
 }
@@ -327,7 +327,7 @@
 	if !j.Gang() {
 		// Its own record, not its neighbours': where tasks of one chunk were
 		// placed again and again, none of them was launched for seconds.
-		return j.Chunks[int(task)/ledger.ChunkSize].Committed >= j.Tasks[task].Place.gen
+		return j.Chunks[int(task)/jobstore.ChunkSize].Committed >= j.Tasks[task].Place.gen
 	}
 	for i := range j.Chunks {
 		if c := &j.Chunks[i]; c.Committed < c.PlaceGen {
--- a/cluster/reserve.go
+++ b/cluster/reserve.go
@@ -6,7 +6,7 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/placement"
 )
 
@@ -16,22 +16,22 @@
 // job's record, so that the next leader, too, knows that it is nowhere.
 
 type reserve struct {
-	ledger.Reserve
+	jobstore.Reserve
 	goes, drops *bitset.BitSet
 }
 
-func newReserve(r *ledger.Reserve, tasks int) *reserve {
+func newReserve(r *jobstore.Reserve, tasks int) *reserve {
 	if r == nil {
 		return nil
 	}
-	return &reserve{Reserve: *r, goes: ledger.Set(r.Go, tasks), drops: ledger.Set(r.Drop, tasks)}
+	return &reserve{Reserve: *r, goes: jobstore.Set(r.Go, tasks), drops: jobstore.Set(r.Drop, tasks)}
 }
 
 // waitsForGo says whether a task must not be launched yet.
 func (j *Job) waitsForGo(task int) bool { return j.res != nil && !j.res.goes.Test(uint(task)) }
 
 // mark takes a reserved job's marks in.
-func (m *Model) mark(j *Job, r *ledger.Reserve, now time.Time) {
+func (m *Model) mark(j *Job, r *jobstore.Reserve, now time.Time) {
 	if j.res == nil || r == nil {
 		return
 	}
@@ -49,7 +49,7 @@
 		case Placed:
 			m.stop(j, int32(i), 0, whyReleased, now)
 		case Idle:
-			m.spend(j, int32(i), ledger.EndReleased, now)
+			m.spend(j, int32(i), jobstore.EndReleased, now)
 		}
 	}
 }
@@ -59,9 +59,9 @@
 // endOf is how a task that was stopped for that reason ended.
 func endOf(why string) uint8 {
 	if why == whyReleased {
-		return ledger.EndReleased
+		return jobstore.EndReleased
 	}
-	return ledger.EndPreempted
+	return jobstore.EndPreempted
 }
 
 // spend takes in that a task's only attempt has ended. For other jobs, whose
@@ -79,7 +79,7 @@
 // stopReason is how a task that its machine reports as stopped ended.
 func stopReason(p *Place) uint8 {
 	if p.Stop == nil {
-		return ledger.EndPreempted
+		return jobstore.EndPreempted
 	}
 	return endOf(p.Stop.Why)
 }
--- a/cluster/tiers.go
+++ b/cluster/tiers.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/order"
 	"github.com/umberdeal/umberdeal/placement"
+	"github.com/umberdeal/umberdeal/priority"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -17,8 +17,8 @@
 
 // tiers is the order in force, and what came of it.
 type tiers struct {
-	order   *order.Order // nil: none
-	record  order.Record
+	order   *priority.Order // nil: none
+	record  priority.Record
 	loaded  bool      // what an earlier leader recorded
 	changed bool      // since the record was last handed out
 	keptAt  time.Time // when that was
@@ -37,7 +37,7 @@
 	if !m.tiers.loaded {
 		m.tiers.loaded = true
 		if raw, ok := m.kept(orderNote); ok {
-			var rec order.Record
+			var rec priority.Record
 			if err := wire.Unmarshal(raw, &rec); err != nil {
 				m.log.Error("the record of departures can't be read: they are counted anew", "err", err)
 			} else {
@@ -49,7 +49,7 @@
 		m.setOrder(nil)
 		return
 	}
-	m.setOrder(order.New(&m.plan.Order))
+	m.setOrder(priority.New(&m.plan.Order))
 }
 
 // keepOrder has the departures recorded, and what shares are counted of.
@@ -65,7 +65,7 @@
 }
 
 // setOrder takes an order in; nil is none.
-func (m *Model) setOrder(o *order.Order) {
+func (m *Model) setOrder(o *priority.Order) {
 	m.tiers.order = o
 	for _, idx := range m.live {
 		if j := m.Jobs[idx]; j != nil {
@@ -135,9 +135,9 @@
 	if fleet == (placement.Res{}) {
 		return line
 	}
-	waiting := make([]order.Waiting, len(line))
+	waiting := make([]priority.Waiting, len(line))
 	for i, k := range line {
-		waiting[i] = order.Waiting{Tier: k.req.Tier, Tasks: len(k.req.Tasks), Whole: k.req.All, Size: partOf(k.req.Need, fleet),
+		waiting[i] = priority.Waiting{Tier: k.req.Tier, Tasks: len(k.req.Tasks), Whole: k.req.All, Size: partOf(k.req.Need, fleet),
 			Waited: now.Sub(k.j.At).Seconds(), Placed: k.j.Placed, Begun: k.j.Done > 0 || !k.j.FirstRun.IsZero()}
 	}
 	ahead := o.Promote(waiting, m.booked(fleet))
@@ -161,8 +161,8 @@
 			}
 			head, tail := k.cut(a.Tasks)
 			head.req.Cause = uint8(a.Cause)
-			head.req.Hold = head.req.Hold || a.Cause != order.ByShare
-			if a.Cause == order.ByTurn {
+			head.req.Hold = head.req.Hold || a.Cause != priority.ByShare
+			if a.Cause == priority.ByTurn {
 				rest = append(rest, head)
 			} else {
 				first = append(first, head)
@@ -172,7 +172,7 @@
 			}
 		}
 		sort.SliceStable(first, func(a, b int) bool { return first[a].req.Tier < first[b].req.Tier })
-		turn := uint8(order.ByTurn)
+		turn := uint8(priority.ByTurn)
 		sort.SliceStable(rest, func(a, b int) bool {
 			x, y := &rest[a].req, &rest[b].req
 			return x.Tier < y.Tier || x.Tier == y.Tier && x.Cause == turn && y.Cause != turn
@@ -190,7 +190,7 @@
 func (m *Model) besideOwed(out, promoted []*ranked) []*ranked {
 	var first []*ranked
 	for _, k := range promoted {
-		if order.Cause(k.req.Cause) != order.ByWait {
+		if priority.Cause(k.req.Cause) != priority.ByWait {
 			first = append(first, k)
 			continue
 		}
@@ -199,7 +199,7 @@
 		for at > 0 {
 			o := out[at-1]
 			if !o.req.Owed || o.within != k.within || o.j.Priority != k.j.Priority || o.j.floored ||
-				!o.j.hopeless && !o.j.latest.After(over) || order.Cause(o.req.Cause) == order.ByWait {
+				!o.j.hopeless && !o.j.latest.After(over) || priority.Cause(o.req.Cause) == priority.ByWait {
 				break
 			}
 			at--
@@ -270,12 +270,12 @@
 	if o == nil {
 		return
 	}
-	for _, d := range order.Departures(in.Requests, m.teams, plan.Starts, in.Machines) {
+	for _, d := range priority.Departures(in.Requests, m.teams, plan.Starts, in.Machines) {
 		low, high := job[d.Start.Request], job[d.Over]
 		m.tiers.changed = true
 		m.Timings.Departed(o.Name(high.tier), d.Reason.String())
-		m.tiers.record.Note(order.Passed{AtMs: now.UnixMilli(), Job: low.ID, Tier: o.Name(low.tier), Over: high.ID, OverTier: o.Name(high.tier), Reason: d.Reason.String()})
-		if d.Reason == order.None {
+		m.tiers.record.Note(priority.Passed{AtMs: now.UnixMilli(), Job: low.ID, Tier: o.Name(low.tier), Over: high.ID, OverTier: o.Name(high.tier), Reason: d.Reason.String()})
+		if d.Reason == priority.None {
 			m.log.Error("a lower tier was served first without a reason", "job", low.ID, "over", high.ID, "need", high.Need, "room", d.Start.Room)
 			continue
 		}
--- a/cluster/why.go
+++ b/cluster/why.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"time"
 
-	"github.com/umberdeal/umberdeal/order"
 	"github.com/umberdeal/umberdeal/placement"
+	"github.com/umberdeal/umberdeal/priority"
 )
 
 // This file says what a job waits for, from records alone: it is asked of a model
@@ -19,10 +19,10 @@
 	Tasks   int // of the job
 	Done    int
 	Placed  int
-	Waiting []string       // for what, the most telling first; empty: for nothing
-	Ahead   map[string]int // jobs ahead of it in the line, by why
-	Nearest []Ahead        // of them, nearest first
-	Passed  []order.Passed // lower tiers' tasks that got room it could have had
+	Waiting []string          // for what, the most telling first; empty: for nothing
+	Ahead   map[string]int    // jobs ahead of it in the line, by why
+	Nearest []Ahead           // of them, nearest first
+	Passed  []priority.Passed // lower tiers' tasks that got room it could have had
 }
 
 // Ahead is a job that is served before another.
@@ -73,19 +73,19 @@
 	case k.req.Spare:
 		return "fault"
 	case k.within != o.within:
-		return order.Guarantee.String()
+		return priority.Guarantee.String()
 	case k.j.Priority != o.j.Priority:
-		return order.Priority.String()
+		return priority.Priority.String()
 	case o.req.Owed:
-		return order.Bound.String()
-	case o.req.Cause == uint8(order.ByWait):
-		return order.Wait.String()
-	case o.req.Cause == uint8(order.ByShare):
-		return order.Share.String()
+		return priority.Bound.String()
+	case o.req.Cause == uint8(priority.ByWait):
+		return priority.Wait.String()
+	case o.req.Cause == uint8(priority.ByShare):
+		return priority.Share.String()
 	case k.req.Tier != o.req.Tier:
 		return "tier"
-	case o.req.Cause == uint8(order.ByTurn):
-		return order.Wait.String()
+	case o.req.Cause == uint8(priority.ByTurn):
+		return priority.Wait.String()
 	case k.night != o.night:
 		return "a night's work"
 	case k.missed != o.missed && !k.night:
--- a/cmd/umberdeal/nights.go
+++ b/cmd/umberdeal/nights.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/calendar"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/plan"
 	"github.com/umberdeal/umberdeal/wire"
 )
@@ -25,7 +25,7 @@
 	}
 	defer stop()
 	var p *plan.Plan
-	state, err := ledger.LoadPlan(ctx, st, func(text string) error {
+	state, err := jobstore.LoadPlan(ctx, st, func(text string) error {
 		p, err = plan.Parse(text)
 		return err
 	})
@@ -33,7 +33,7 @@
 		return err
 	}
 	if state.Number == 0 || p == nil {
-		return ledger.ErrNoPlan
+		return jobstore.ErrNoPlan
 	}
 	cal, err := calendar.New(&p.Calendar)
 	if err != nil {
@@ -42,7 +42,7 @@
 	now := time.Now()
 	var views []calendar.View
 	for _, r := range cal.Regions {
-		e, err := st.Get(ctx, ledger.Notes+calendar.NoteOf(r.Name))
+		e, err := st.Get(ctx, jobstore.Notes+calendar.NoteOf(r.Name))
 		if err != nil {
 			return err
 		}
--- a/cmd/umberdeal/plan.go
+++ b/cmd/umberdeal/plan.go
@@ -13,9 +13,9 @@
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/plan"
-	"github.com/umberdeal/umberdeal/state"
 )
 
 type planCmd struct {
@@ -33,13 +33,13 @@
 }
 
 // open reads the settings and makes a client; stop ends the context.
-func (f *stateFlags) open() (ctx context.Context, stop func(), s *config.Settings, c *state.Client, err error) {
+func (f *stateFlags) open() (ctx context.Context, stop func(), s *config.Settings, c *kvstore.Client, err error) {
 	s, err = config.Load(f.Config)
 	if err != nil {
 		return nil, nil, nil, nil, err
 	}
 	sl := s.Cluster.State
-	c = state.New(call.Dialer(), s.Services.State, sl.RPS*0.1, sl.WriteRPS)
+	c = kvstore.New(call.Dialer(), s.Services.State, sl.RPS*0.1, sl.WriteRPS)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	ctx, release := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	return ctx, func() { release(); cancel() }, s, c, nil
@@ -115,8 +115,8 @@
 		}
 	}
 	sl := s.Cluster.State
-	v, err := ledger.ApplyPlan(ctx, st, ledger.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB},
-		ledger.PlanChange{Base: c.Base, Text: text, By: by, Note: p.Note, At: time.Now()})
+	v, err := jobstore.ApplyPlan(ctx, st, jobstore.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB},
+		jobstore.PlanChange{Base: c.Base, Text: text, By: by, Note: p.Note, At: time.Now()})
 	if err != nil {
 		return err
 	}
@@ -126,12 +126,12 @@
 
 // readHead opens the state service and reads which versions there are, and says so
 // if that can't be read as it was written.
-func (f *stateFlags) readHead() (ctx context.Context, stop func(), st *state.Client, h ledger.PlanHead, err error) {
+func (f *stateFlags) readHead() (ctx context.Context, stop func(), st *kvstore.Client, h jobstore.PlanHead, err error) {
 	ctx, stop, _, st, err = f.open()
 	if err != nil {
 		return nil, nil, nil, h, err
 	}
-	h, _, trouble, err := ledger.ReadPlanHead(ctx, st)
+	h, _, trouble, err := jobstore.ReadPlanHead(ctx, st)
 	if trouble != nil {
 		fmt.Fprintln(os.Stderr, trouble)
 	}
@@ -155,12 +155,12 @@
 	defer stop()
 	v, ok := h.Find(c.Version)
 	if !ok && c.Version == 0 {
-		return ledger.ErrNoPlan
+		return jobstore.ErrNoPlan
 	}
 	if !ok {
 		return fmt.Errorf("version %d is not kept any more: the oldest is %d", c.Version, h.Versions[len(h.Versions)-1].Number)
 	}
-	text, err := ledger.ReadPlanText(ctx, st, v)
+	text, err := jobstore.ReadPlanText(ctx, st, v)
 	if err != nil {
 		return err
 	}
@@ -177,12 +177,12 @@
 	}
 	defer stop()
 	if len(h.Versions) == 0 {
-		return ledger.ErrNoPlan
+		return jobstore.ErrNoPlan
 	}
 	before, known := "", false
 	for i := len(h.Versions) - 1; i >= 0; i-- {
 		v := h.Versions[i]
-		text, err := ledger.ReadPlanText(ctx, st, v)
+		text, err := jobstore.ReadPlanText(ctx, st, v)
 		by := v.By
 		if by == "" {
 			by = "not known"
--- a/cmd/umberdeal/pools.go
+++ b/cmd/umberdeal/pools.go
@@ -11,8 +11,8 @@
 	"text/tabwriter"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/pools"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/warmpool"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -27,15 +27,15 @@
 		return err
 	}
 	defer stop()
-	items, _, err := st.List(ctx, ledger.Notes)
+	items, _, err := st.List(ctx, jobstore.Notes)
 	if err != nil {
 		return err
 	}
 	notes := map[string]wire.Raw{}
 	for _, it := range items {
-		notes[strings.TrimPrefix(it.Key, ledger.Notes)] = it.Value
+		notes[strings.TrimPrefix(it.Key, jobstore.Notes)] = it.Value
 	}
-	all, bad := pools.ReadStates(notes)
+	all, bad := warmpool.ReadStates(notes)
 	for _, name := range bad {
 		fmt.Fprintf(os.Stderr, "%s can't be read\n", name)
 	}
@@ -50,7 +50,7 @@
 const staleAfter = 7 * time.Minute
 
 // printPools writes pools as a table.
-func printPools(to io.Writer, all []pools.State, machines bool, now time.Time) error {
+func printPools(to io.Writer, all []warmpool.State, machines bool, now time.Time) error {
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
 	for i := range all {
 		s := &all[i]
@@ -80,7 +80,7 @@
 		}
 		fmt.Fprintf(w, "  replicas\t%d found their weights, %d did not\n", hits, misses)
 		fmt.Fprintf(w, "  ceded\t%d tasks of higher tiers took room%s\n", ceded, why)
-		teams, all := pools.Totals(s.Shards)
+		teams, all := warmpool.Totals(s.Shards)
 		for _, t := range slices.Sorted(maps.Keys(teams)) {
 			role := "borrowed"
 			if t == n.Payer {
--- a/cmd/umberdeal/state.go
+++ b/cmd/umberdeal/state.go
@@ -12,8 +12,8 @@
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/call"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/snapshot"
-	"github.com/umberdeal/umberdeal/state"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -46,7 +46,7 @@
 	}
 	defer func() { err = errors.Join(err, part.Close(), os.Remove(part.Name())) }()
 	per := s.Cluster.State.RPS * c.Share
-	src := state.New(call.Dialer(), s.Services.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
+	src := kvstore.New(call.Dialer(), s.Services.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
 	begun := time.Now()
 	h, keys, err := snapshot.Take(ctx, src, per, part, version)
 	if err != nil {
@@ -121,7 +121,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	sl := s.Cluster.State
-	to := state.New(call.Dialer(), s.Services.State, sl.RPS, sl.WriteRPS)
+	to := kvstore.New(call.Dialer(), s.Services.State, sl.RPS, sl.WriteRPS)
 	n, err := snapshot.Restore(ctx, to, h, all, max(1, sl.TxnOps))
 	if err != nil {
 		return err
--- a/cmd/umberdeal/why.go
+++ b/cmd/umberdeal/why.go
@@ -13,7 +13,7 @@
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/controller"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/kvstore"
 )
 
 type whyCmd struct {
@@ -28,7 +28,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	st := state.New(call.Dialer(), s.Services.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
+	st := kvstore.New(call.Dialer(), s.Services.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
 	why, over, err := controller.WhyWaiting(ctx, s, st, c.ID, time.Now())
 	switch {
 	case err != nil:
--- a/controller/answers.go
+++ b/controller/answers.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/mesh"
+	"github.com/umberdeal/umberdeal/peerrpc"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -15,7 +15,7 @@
 // report answers a worker. agoS is how long ago the node that passes the report
 // on last had an answer for it, negative if that is not known; via is the node that
 // it came to.
-func (l *leadership) report(ctx context.Context, body []byte, agoS float64, via string) mesh.Answer {
+func (l *leadership) report(ctx context.Context, body []byte, agoS float64, via string) peerrpc.Answer {
 	unsure := answer(http.StatusServiceUnavailable, wire.Error{Error: "not sure of leading"}, 1)
 	if !l.term.Valid() {
 		return unsure
@@ -74,7 +74,7 @@
 }
 
 // commands is the answer of a leader that was sure of its lease when it made them.
-func (l *leadership) commands(cmds []wire.Command) mesh.Answer {
+func (l *leadership) commands(cmds []wire.Command) peerrpc.Answer {
 	if cmds == nil {
 		cmds = []wire.Command{}
 	}
--- a/controller/damage_test.go
+++ b/controller/damage_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -24,20 +24,20 @@
 	stuck  bool // of the jobs before no more is asked than that they are answered
 	rare   bool // there may be no such key
 }{
-	{name: "heads", is: ledger.IsHead},
-	{name: "sealed pages", is: func(k string) bool { return ledger.IsIntake(k) && !ledger.IsHead(k) }, sealed: true},
-	{name: "all pages of jobs", is: ledger.IsIntake, sealed: true},
-	{name: "jobs", is: func(k string) bool { _, ok := ledger.ParseJobKey(k); return ok }},
-	{name: "the form", is: begins(ledger.FormKey)},
-	{name: "the form and its copy", is: func(k string) bool { return k == ledger.FormKey || k == ledger.FormCopyKey }},
-	{name: "the form, heads and pages", is: func(k string) bool { return k == ledger.FormKey || ledger.IsIntake(k) }},
+	{name: "heads", is: jobstore.IsHead},
+	{name: "sealed pages", is: func(k string) bool { return jobstore.IsIntake(k) && !jobstore.IsHead(k) }, sealed: true},
+	{name: "all pages of jobs", is: jobstore.IsIntake, sealed: true},
+	{name: "jobs", is: func(k string) bool { _, ok := jobstore.ParseJobKey(k); return ok }},
+	{name: "the form", is: begins(jobstore.FormKey)},
+	{name: "the form and its copy", is: func(k string) bool { return k == jobstore.FormKey || k == jobstore.FormCopyKey }},
+	{name: "the form, heads and pages", is: func(k string) bool { return k == jobstore.FormKey || jobstore.IsIntake(k) }},
 	{name: "placements", is: begins("w/p/"), stuck: true},
 	{name: "ends", is: begins("f/")},
 	{name: "the leader", is: begins("ctl/")},
 	{name: "the plan", is: begins("plan/")},
-	{name: "notes", is: begins(ledger.Notes)},
-	{name: "types", is: begins(ledger.TypesKey)},
-	{name: "rentals, returns and moves", is: begins(ledger.Rentals, ledger.ReturnsKey, ledger.Cycles), rare: true},
+	{name: "notes", is: begins(jobstore.Notes)},
+	{name: "types", is: begins(jobstore.TypesKey)},
+	{name: "rentals, returns and moves", is: begins(jobstore.Rentals, jobstore.ReturnsKey, jobstore.Cycles), rare: true},
 }
 
 func begins(with ...string) func(string) bool {
@@ -98,7 +98,7 @@
 // read. Jobs before and after are accepted, answered and run; what is over stays so.
 func TestWhateverRecordIsDamagedTheServiceGoesOn(t *testing.T) {
 	for i, c := range damaged {
-		if tell.UnderRace && i%3 > 0 {
+		if scenario.UnderRace && i%3 > 0 {
 			continue
 		}
 		value := [][]byte{nil, {0xc0}}[i%2]
@@ -205,7 +205,7 @@
 // the end what is submitted runs.
 func TestPagesAreDamagedAmidItAll(t *testing.T) {
 	seeds := uint64(4)
-	if tell.UnderRace {
+	if scenario.UnderRace {
 		seeds = 1
 	}
 	for seed := range seeds {
@@ -240,7 +240,7 @@
 					})
 				}
 				time.Sleep(time.Duration(rnd.IntN(7000)) * time.Millisecond)
-				keys := slices.DeleteFunc(w.State.Keys(ledger.Jobs), func(k string) bool { return !ledger.IsIntake(k) })
+				keys := slices.DeleteFunc(w.State.Keys(jobstore.Jobs), func(k string) bool { return !jobstore.IsIntake(k) })
 				rnd.Shuffle(len(keys), func(a, b int) { keys[a], keys[b] = keys[b], keys[a] })
 				for _, k := range keys[:min(len(keys), 1+rnd.IntN(5))] {
 					if rnd.IntN(2) == 0 {
@@ -273,9 +273,9 @@
 			for _, j := range all {
 				at, raw := 0, w.State.Keys("")
 				for _, k := range raw {
-					page, err := ledger.DecodeIntake(w.State.Value(k))
-					if k == ledger.JobKey(j.ID) || k == ledger.FinalKey(j.ID) || ledger.IsIntake(k) && err == nil &&
-						slices.ContainsFunc(page.Jobs, func(e ledger.IntakeEntry) bool { return e.ID == j.ID }) {
+					page, err := jobstore.DecodeIntake(w.State.Value(k))
+					if k == jobstore.JobKey(j.ID) || k == jobstore.FinalKey(j.ID) || jobstore.IsIntake(k) && err == nil &&
+						slices.ContainsFunc(page.Jobs, func(e jobstore.IntakeEntry) bool { return e.ID == j.ID }) {
 						at++
 					}
 				}
--- a/controller/detector.go
+++ b/controller/detector.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/mesh"
+	"github.com/umberdeal/umberdeal/peerrpc"
 )
 
 const (
@@ -163,7 +163,7 @@
 	return there[int(h.Sum32())%len(there)]
 }
 
-func (n *Node) peer(name string) *mesh.Peer {
+func (n *Node) peer(name string) *peerrpc.Peer {
 	for _, p := range n.peers {
 		if p.Name == name {
 			return p
--- a/controller/form.go
+++ b/controller/form.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/mesh"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
+	"github.com/umberdeal/umberdeal/peerrpc"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -21,16 +21,16 @@
 // form is the newest form of records that this node is to have written.
 func (n *Node) form() int {
 	if !n.tuning.Ledger.Intake {
-		return ledger.FormKeys
+		return jobstore.FormKeys
 	}
-	return ledger.Form
+	return jobstore.Form
 }
 
 // raiseForm has records written in the newest form once every node says that it
 // reads that. While one is of an earlier version, or can't be asked, the form
 // stays as it is, so that that version can be gone back to.
 func (l *leadership) raiseForm(ctx context.Context) {
-	if l.n.form() < ledger.FormIntake {
+	if l.n.form() < jobstore.FormIntake {
 		return
 	}
 	wait := 300 * time.Millisecond
@@ -59,14 +59,14 @@
 // wantedForm is the form that records are to be written in. As long as nobody
 // wants a plan, it is one that the version before reads as well.
 func (l *leadership) wantedForm(ctx context.Context) (int, error) {
-	asked, err := l.n.state.Get(ctx, ledger.PlanAskedKey)
+	asked, err := l.n.state.Get(ctx, jobstore.PlanAskedKey)
 	if err != nil {
 		return 0, err
 	}
 	if asked.Version != 0 {
-		return ledger.FormPlan, nil
+		return jobstore.FormPlan, nil
 	}
-	return ledger.FormIntake, nil
+	return jobstore.FormIntake, nil
 }
 
 func (l *leadership) tryRaise(ctx context.Context) (done bool, err error) {
@@ -83,28 +83,28 @@
 			return false, fmt.Errorf("%s reads form %d", p.Name, s.Form)
 		}
 	}
-	e, err := l.n.state.Get(ctx, ledger.FormKey)
+	e, err := l.n.state.Get(ctx, jobstore.FormKey)
 	if err != nil {
 		return false, err
 	}
-	var now ledger.FormRecord
+	var now jobstore.FormRecord
 	if e.Version != 0 {
-		if now, err = ledger.DecodeForm(e.Value); err != nil {
+		if now, err = jobstore.DecodeForm(e.Value); err != nil {
 			return false, err
 		}
 	}
-	if max(now.Form, form) >= ledger.FormPlan {
+	if max(now.Form, form) >= jobstore.FormPlan {
 		l.planWanted() // also where this one's commit is applied and its answer lost
 	}
 	if now.Form >= form {
 		return true, l.copyForm(ctx, now, e.Version)
 	}
-	next := ledger.FormRecord{Form: form, Buckets: max(1, len(l.n.peers)+1)}
+	next := jobstore.FormRecord{Form: form, Buckets: max(1, len(l.n.peers)+1)}
 	if now.Buckets > 0 {
 		next.Buckets = now.Buckets
 	}
-	_, err = l.n.state.Commit(ctx, []wire.Guard{l.guard(), {Key: ledger.FormKey, Version: e.Version}},
-		[]wire.Op{{Put: ledger.FormKey, Value: next}, {Put: ledger.FormCopyKey, Value: next}})
+	_, err = l.n.state.Commit(ctx, []wire.Guard{l.guard(), {Key: jobstore.FormKey, Version: e.Version}},
+		[]wire.Op{{Put: jobstore.FormKey, Value: next}, {Put: jobstore.FormCopyKey, Value: next}})
 	if err != nil {
 		return false, err
 	}
@@ -114,19 +114,19 @@
 
 // copyForm sees to it that the form's copy is there: a version before has written
 // none.
-func (l *leadership) copyForm(ctx context.Context, form ledger.FormRecord, version uint64) error {
+func (l *leadership) copyForm(ctx context.Context, form jobstore.FormRecord, version uint64) error {
 	if version == 0 {
 		return nil
 	}
-	e, err := l.n.state.Get(ctx, ledger.FormCopyKey)
+	e, err := l.n.state.Get(ctx, jobstore.FormCopyKey)
 	if err != nil {
 		return err
 	}
-	if was, err := ledger.DecodeForm(e.Value); err == nil && was == form {
+	if was, err := jobstore.DecodeForm(e.Value); err == nil && was == form {
 		return nil
 	}
-	_, err = l.n.state.Commit(ctx, []wire.Guard{l.guard(), {Key: ledger.FormKey, Version: version}},
-		[]wire.Op{{Put: ledger.FormCopyKey, Value: form}})
+	_, err = l.n.state.Commit(ctx, []wire.Guard{l.guard(), {Key: jobstore.FormKey, Version: version}},
+		[]wire.Op{{Put: jobstore.FormCopyKey, Value: form}})
 	return err
 }
 
@@ -143,18 +143,18 @@
 // its bucket, where several nodes would be in one another's way. It is a matter of
 // speed only: any node may change any bucket, and the head's version tells who was
 // first.
-func (n *Node) toBucketsNode(ctx context.Context, id string, r mesh.Request) (mesh.Answer, bool) {
+func (n *Node) toBucketsNode(ctx context.Context, id string, r peerrpc.Request) (peerrpc.Answer, bool) {
 	form := n.reader.Form()
-	if form.Form < ledger.FormIntake {
-		return mesh.Answer{}, false
+	if form.Form < jobstore.FormIntake {
+		return peerrpc.Answer{}, false
 	}
 	bucket := form.Bucket(id)
 	if !n.reader.Crowded(bucket) {
-		return mesh.Answer{}, false
+		return peerrpc.Answer{}, false
 	}
 	p := n.bucketsNode(bucket)
 	if p == nil {
-		return mesh.Answer{}, false
+		return peerrpc.Answer{}, false
 	}
 	pctx, cancel := context.WithTimeout(ctx, bucketFor)
 	defer cancel()
@@ -163,16 +163,16 @@
 	switch {
 	case err != nil:
 		n.log.Debug("not passed on", "op", r.Op, "to", p.Name, "err", err)
-		return mesh.Answer{}, false
+		return peerrpc.Answer{}, false
 	case a.Status == http.StatusServiceUnavailable && a.RetryAfter != busyFor:
-		return mesh.Answer{}, false // it is that node's trouble
+		return peerrpc.Answer{}, false // it is that node's trouble
 	}
 	return a, true
 }
 
 // bucketsNode is the node that adds jobs to a bucket: the first, counted from the
 // bucket's own, that has answered lately; nil is this one.
-func (n *Node) bucketsNode(bucket int) *mesh.Peer {
+func (n *Node) bucketsNode(bucket int) *peerrpc.Peer {
 	names := []string{n.cfg.Node}
 	for _, p := range n.peers {
 		names = append(names, p.Name)
@@ -192,14 +192,14 @@
 
 // relayed serves a submission that another node has passed on because it belongs
 // to this node's bucket.
-func (n *Node) relayed(ctx context.Context, r mesh.Request) mesh.Answer {
+func (n *Node) relayed(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	ctx, cancel := context.WithTimeout(ctx, bucketWithin)
 	defer cancel()
 	a, err := n.localUser(ctx, r)
 	switch {
 	case err == nil:
 		return a
-	case errors.Is(err, state.ErrBusy) || ctx.Err() != nil:
+	case errors.Is(err, kvstore.ErrBusy) || ctx.Err() != nil:
 		return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is busy"}, busyFor)
 	}
 	return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is not reached"}, 1)
--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -84,7 +84,7 @@
 		mustSubmit(t, w, jobs[0], jobs[1],
 			job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = gapOthers, 3, 3600 }))
 		running := jobs[0].Tasks + jobs[1].Tasks + gapOthers
-		if !tell.Until(40*time.Second, 500*time.Millisecond, func() bool { return w.Running() == running }) {
+		if !scenario.Until(40*time.Second, 500*time.Millisecond, func() bool { return w.Running() == running }) {
 			t.Fatalf("%d of %d tasks run", w.Running(), running)
 		}
 		time.Sleep(3 * time.Second)
@@ -164,7 +164,7 @@
 			if c.IsZero() {
 				t.Fatalf("no other node cancels %s", j.ID)
 			}
-			committed := w.State.Born(ledger.FinalKey(j.ID))
+			committed := w.State.Born(jobstore.FinalKey(j.ID))
 			if committed.IsZero() || committed.After(c) {
 				t.Fatalf("%s was confirmed at %v and committed at %v", j.ID, c, committed)
 			}
@@ -179,7 +179,7 @@
 		if !bytes.Equal(w.State.Value("ctl/leader"), key) {
 			t.Error("no meeting: the leader was another one when the jobs were cancelled")
 		}
-		if g.next && !tell.Until(15*time.Second, 5*time.Millisecond, func() bool { return !bytes.Equal(w.State.Value("ctl/leader"), key) }) {
+		if g.next && !scenario.Until(15*time.Second, 5*time.Millisecond, func() bool { return !bytes.Equal(w.State.Value("ctl/leader"), key) }) {
 			t.Fatal("no meeting: the refused leader's key stays")
 		}
 		whole := time.Since(latest) + g.outage // from the confirmations until the outage
@@ -263,7 +263,7 @@
 		}
 		mustSubmit(t, w, job(5, nil))
 		mustReach(t, w, "wk-000005", wire.JobDone, 2*time.Minute)
-		if !tell.Until(time.Minute, time.Second, func() bool { return w.Running() == gapOthers }) {
+		if !scenario.Until(time.Minute, time.Second, func() bool { return w.Running() == gapOthers }) {
 			t.Errorf("%d of the %d tasks run that nobody cancelled", w.Running(), gapOthers)
 		}
 		for _, j := range jobs {
--- a/controller/handover_test.go
+++ b/controller/handover_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/umberdeal/umberdeal/election"
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -43,14 +43,14 @@
 // mustLead waits until a node of that kind holds the leader key, and says which.
 func mustLead(t *testing.T, w *fake.World, most time.Duration, ok func(i int) bool) int {
 	t.Helper()
-	if !tell.Until(most, 20*time.Millisecond, func() bool { l := w.Leader(); return l >= 0 && ok(l) }) {
+	if !scenario.Until(most, 20*time.Millisecond, func() bool { l := w.Leader(); return l >= 0 && ok(l) }) {
 		t.Fatalf("no such leader within %v", most)
 	}
 	return w.Leader()
 }
 
 // pageKeys is what the keys of placement records begin with.
-var pageKeys = strings.TrimSuffix(ledger.PageKey(0), "0")
+var pageKeys = strings.TrimSuffix(jobstore.PageKey(0), "0")
 
 func anyNode(int) bool { return true }
 
@@ -84,7 +84,7 @@
 		t.Logf("%d without an answer, overtaken: %+v", sent, over)
 		mustSubmit(t, w, job(900, nil))
 		mustFinish(t, w, 2*time.Minute, 900)
-		if !tell.Until(4*time.Minute, time.Second, func() bool { return len(w.State.JobKeys()) == 0 }) {
+		if !scenario.Until(4*time.Minute, time.Second, func() bool { return len(w.State.JobKeys()) == 0 }) {
 			t.Errorf("never over: %v", w.State.JobKeys())
 		}
 	})
@@ -102,18 +102,18 @@
 			job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 6, 21.2 }))
 		mustReach(t, w, "wk-000002", wire.JobRunning, 10*time.Second)
 		late := within(rnd, 4*time.Second, 7*time.Second)
-		w.State.LateNextOf(ledger.ReturnsKey, late)
+		w.State.LateNextOf(jobstore.ReturnsKey, late)
 		w.Cloud.LateDeletes(within(rnd, 35*time.Second, 45*time.Second))
 		both := func(names []string) bool { return slices.Contains(names, all[0]) && slices.Contains(names, all[1]) }
-		returns := func() (rec ledger.ReturnRecord) {
-			_ = wire.Unmarshal(w.State.Value(ledger.ReturnsKey), &rec)
+		returns := func() (rec jobstore.ReturnRecord) {
+			_ = wire.Unmarshal(w.State.Value(jobstore.ReturnsKey), &rec)
 			return rec
 		}
-		if !tell.Until(2*time.Minute, 50*time.Millisecond, func() bool { return both(returns().Machines) }) {
+		if !scenario.Until(2*time.Minute, 50*time.Millisecond, func() bool { return both(returns().Machines) }) {
 			t.Fatalf("returned: %v", returns().Machines)
 		}
 		// Until the first record has come, and the deletion has not.
-		if !tell.Until(10*time.Second, 50*time.Millisecond, func() bool { return w.State.Overtaken().Older > 0 }) {
+		if !scenario.Until(10*time.Second, 50*time.Millisecond, func() bool { return w.State.Overtaken().Older > 0 }) {
 			t.Fatal("the older record of returns has not come after the newer one")
 		}
 		if got := w.Cloud.Machines(); !both(got) || w.Cloud.Late > 0 {
@@ -156,14 +156,14 @@
 		mustSubmit(t, w, long(1, 2, 8, "b"), long(2, 1, 5, "a"), long(3, 1, 6, "a"))
 		time.Sleep(5 * time.Second)
 		mustSubmit(t, w, long(4, 1, 2, "a"))
-		if !tell.Until(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 5 }) {
+		if !scenario.Until(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 5 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
 		w.Cancel("wk-000003")
 		time.Sleep(5 * time.Second)
-		w.State.LateNextOf(ledger.Cycles, within(rnd, 6*time.Second, 12*time.Second))
+		w.State.LateNextOf(jobstore.Cycles, within(rnd, 6*time.Second, 12*time.Second))
 		mustSubmit(t, w, job(5, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 7, 10 }))
-		if !tell.Until(30*time.Second, 50*time.Millisecond, func() bool { return w.State.Overtaken().Older > 0 }) {
+		if !scenario.Until(30*time.Second, 50*time.Millisecond, func() bool { return w.State.Overtaken().Older > 0 }) {
 			t.Fatalf("the older record of moves has not come after the newer one: %+v", w.State.Overtaken())
 		}
 		w.KillNode(w.Leader())
@@ -198,8 +198,8 @@
 			for m := range w.Load() {
 				busy = append(busy, m)
 			}
-			for _, k := range w.State.Keys(ledger.Rentals) {
-				var rec ledger.RentalRecord
+			for _, k := range w.State.Keys(jobstore.Rentals) {
+				var rec jobstore.RentalRecord
 				_ = wire.Unmarshal(w.State.Value(k), &rec)
 				busy = slices.DeleteFunc(busy, func(m string) bool { return slices.Contains(rec.Machines, m) })
 			}
@@ -216,7 +216,7 @@
 			// committed again before anything is launched.
 			w.State.LateNextOf(pageKeys, within(rnd, 20*time.Second, 30*time.Second))
 			mustSubmit(t, w, job(jobs, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = more, 6, 60, 0.1 }))
-			met = tell.Until(6*time.Second, 20*time.Millisecond, func() bool { return len(unnamed()) > 0 && w.State.Waiting() > 0 })
+			met = scenario.Until(6*time.Second, 20*time.Millisecond, func() bool { return len(unnamed()) > 0 && w.State.Waiting() > 0 })
 		}
 		if !met {
 			t.Fatal("no machine has work before its name is recorded")
@@ -241,7 +241,7 @@
 			t.Logf("%d leases ended", w.Expired())
 		}
 		w.Cloud.SetSlow(0)
-		if !tell.Until(3*time.Minute, time.Second, func() bool { return len(w.Cloud.Machines()) == 0 }) {
+		if !scenario.Until(3*time.Minute, time.Second, func() bool { return len(w.Cloud.Machines()) == 0 }) {
 			t.Errorf("neither used nor returned: %v", w.Cloud.Machines())
 		}
 	})
@@ -357,11 +357,11 @@
 			term := func() uint64 { return w.State.Versions(election.Key)[election.Key] }
 			from, come := term(), w.State.KeepNextOf(pageKeys)
 			late.Go(func() {
-				tell.Until(time.Minute, 2*time.Millisecond, func() bool { v := term(); return v != 0 && v != from })
+				scenario.Until(time.Minute, 2*time.Millisecond, func() bool { v := term(); return v != 0 && v != from })
 				come()
 			})
 			mustSubmit(t, w, job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 1, 10 }))
-			if !tell.Until(15*time.Second, 5*time.Millisecond, func() bool { return w.State.Lagged() > before }) {
+			if !scenario.Until(15*time.Second, 5*time.Millisecond, func() bool { return w.State.Lagged() > before }) {
 				t.Fatal("no placement is on its way")
 			}
 			time.Sleep(within(rnd, 0, 400*time.Millisecond))
@@ -424,19 +424,19 @@
 		node := fmt.Sprintf("n-%d", l)
 		w.State.LateNextOf(election.Key, within(rnd, 3*time.Second, 6*time.Second))
 		w.Bounce(l, 100*time.Millisecond)
-		if !tell.Until(15*time.Second, 10*time.Millisecond, func() bool { return w.State.Waiting() > 0 }) {
+		if !scenario.Until(15*time.Second, 10*time.Millisecond, func() bool { return w.State.Waiting() > 0 }) {
 			t.Fatal("no election is on its way")
 		}
 		time.Sleep(1900 * time.Millisecond)
 		w.State.Refuse(node, true)
-		came := tell.Until(6*time.Second, 10*time.Millisecond, func() bool { return w.State.Waiting() == 0 })
+		came := scenario.Until(6*time.Second, 10*time.Millisecond, func() bool { return w.State.Waiting() == 0 })
 		found := w.Leader()
 		w.State.Refuse(node, false)
 		if !came || found != l {
 			t.Fatalf("the late election came: %v, leader %d", came, found)
 		}
 		stale := w.State.Versions(election.Key)[election.Key]
-		if !tell.Until(3*time.Second, 10*time.Millisecond, func() bool {
+		if !scenario.Until(3*time.Second, 10*time.Millisecond, func() bool {
 			v := w.State.Versions(election.Key)[election.Key]
 			return v != 0 && v != stale
 		}) {
@@ -456,14 +456,14 @@
 		lease := time.Duration(w.Settings.Cluster.Workers.LeaseS * float64(time.Second))
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 4, 40 }),
 			job(2, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.EstimateS = 3, 3, 40 }))
-		if !tell.Until(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 7 }) {
+		if !scenario.Until(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 7 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
 		before := w.State.Versions(election.Key)[election.Key]
 		away := lease + within(rnd, time.Second, 10*time.Second)
 		w.State.LateNextOf(pageKeys, away+within(rnd, 0, 5*time.Second))
 		mustSubmit(t, w, job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 1, 10 }))
-		if !tell.Until(5*time.Second, 5*time.Millisecond, func() bool { return w.State.Waiting() > 0 }) {
+		if !scenario.Until(5*time.Second, 5*time.Millisecond, func() bool { return w.State.Waiting() > 0 }) {
 			t.Fatal("no placement is on its way")
 		}
 		w.KillAll()
@@ -477,7 +477,7 @@
 			w.StartNode(rnd.IntN(3))
 		}
 		mustLead(t, w, 10*time.Second, anyNode)
-		if !tell.Until(6*time.Second, 10*time.Millisecond, func() bool { return w.State.Waiting() == 0 }) {
+		if !scenario.Until(6*time.Second, 10*time.Millisecond, func() bool { return w.State.Waiting() == 0 }) {
 			t.Error("the placement has not come")
 		}
 		if v := w.State.Versions(election.Key)[election.Key]; v <= before || w.State.Overtaken().Stale != 1 {
@@ -497,7 +497,7 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
 			j.Tasks, j.CPUs, j.EstimateS, j.Priority, j.CheckpointS, j.SaveS = 12, 4, 40, wire.PriorityLow, 5, 1
 		}))
-		if !tell.Until(30*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 8 }) {
+		if !scenario.Until(30*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 8 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
 		w.State.Slow(within(rnd, 300*time.Millisecond, 1200*time.Millisecond))
--- a/controller/known_test.go
+++ b/controller/known_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -61,7 +61,7 @@
 // are told to come later.
 func TestEveryJobIsAnsweredHoweverManyPoll(t *testing.T) {
 	many := 1000
-	if tell.UnderRace {
+	if scenario.UnderRace {
 		many = 120
 	}
 	story(t, fake.Options{Machines: 2, Capacity: 2, StateRPS: 20, Sockets: 260}, func(t *testing.T, w *fake.World) {
@@ -101,7 +101,7 @@
 		if a.unanswered > 50*time.Second {
 			t.Errorf("%s was without an answer for %v", a.last, a.unanswered)
 		}
-		if !tell.UnderRace && a.refused < a.polls/50 {
+		if !scenario.UnderRace && a.refused < a.polls/50 {
 			t.Errorf("%d of %d polls were refused: that is no crowd", a.refused, a.polls)
 		}
 		if got, _ := w.Refusal(0, jobs[0]); got != http.StatusOK {
@@ -144,10 +144,10 @@
 						w.KillNode(n)
 					}
 				}
-				for _, key := range w.State.Keys(ledger.Jobs) {
-					if ledger.IsIntake(key) && c.scratch {
+				for _, key := range w.State.Keys(jobstore.Jobs) {
+					if jobstore.IsIntake(key) && c.scratch {
 						w.State.Scratch(key)
-					} else if ledger.IsIntake(key) {
+					} else if jobstore.IsIntake(key) {
 						w.State.Damage(key)
 					}
 				}
@@ -196,7 +196,7 @@
 			w.StartNode(n)
 		}
 		time.Sleep(10 * time.Second)
-		if len(w.State.Keys(ledger.FormKey)) == 0 {
+		if len(w.State.Keys(jobstore.FormKey)) == 0 {
 			t.Error("the form has not changed")
 		}
 		wg.Wait()
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
+	"github.com/umberdeal/umberdeal/internal/scenario"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -56,7 +56,7 @@
 		for round := 0; round < lateCommandRounds; round++ {
 			ids := append(submitSavingJobs(t, w, next, "core"), submitSavingJobs(t, w, next+10, "edge")...)
 			next += 100
-			if !tell.Until(40*time.Second, 200*time.Millisecond, func() bool { return atLimit(w) }) {
+			if !scenario.Until(40*time.Second, 200*time.Millisecond, func() bool { return atLimit(w) }) {
 				t.Fatalf("round %d: the teams use %g and %g CPUs", round, w.CPUs("core"), w.CPUs("edge"))
 			}
 			cancelAcrossLeaders(t, w, rnd, ids)
@@ -124,14 +124,14 @@
 		met := fake.LateCommands{}
 		for round := 0; round < lateCommandRounds && met.EndedSaving == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
-			if !tell.Until(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUs("core") == teamMax }) {
+			if !scenario.Until(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUs("core") == teamMax }) {
 				t.Fatalf("the team uses %g CPUs", w.CPUs("core"))
 			}
 			running := runningOf(w, ids)
 			at := tasksOn(w, wire.Job{ID: running[rnd.IntN(len(running))], Tasks: 2})[0]
 			saved := w.Direct(at)
 			w.Notice(at, 30*time.Second) // what is there is told to save
-			if !tell.Until(5*time.Second, 20*time.Millisecond, func() bool { return w.Direct(at) > saved }) {
+			if !scenario.Until(5*time.Second, 20*time.Millisecond, func() bool { return w.Direct(at) > saved }) {
 				t.Fatal("nothing on the machine was told to save")
 			}
 			// It saves for 8 s, counts all the while, and starts nowhere else.
@@ -163,7 +163,7 @@
 		met := fake.LateCommands{}
 		for round := 0; round < lateCommandRounds && met.RefusedSession == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
-			if !tell.Until(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUs("core") == teamMax }) {
+			if !scenario.Until(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUs("core") == teamMax }) {
 				t.Fatalf("the team uses %g CPUs", w.CPUs("core"))
 			}
 			running := runningOf(w, ids)
--- a/controller/late_test.go
+++ b/controller/late_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -31,7 +31,7 @@
 		t.Fatal("nobody leads")
 	}
 	w.KillNode(was)
-	if !tell.Until(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
+	if !scenario.Until(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
 		t.Fatal("nobody leads next")
 	}
 	time.Sleep(time.Second)
@@ -89,12 +89,12 @@
 		w.Hang(at, true)
 		was := w.Leader()
 		w.KillNode(was)
-		if !tell.Until(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
+		if !scenario.Until(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
 			t.Fatal("nobody leads next")
 		}
-		pages := fmt.Sprint(w.State.Versions(ledger.PageKey(0)))
+		pages := fmt.Sprint(w.State.Versions(jobstore.PageKey(0)))
 		numbers = append(numbers, several(t, w, 11, rnd)...)
-		if !tell.Until(20*time.Second, 50*time.Millisecond, func() bool { return fmt.Sprint(w.State.Versions(ledger.PageKey(0))) != pages }) {
+		if !scenario.Until(20*time.Second, 50*time.Millisecond, func() bool { return fmt.Sprint(w.State.Versions(jobstore.PageKey(0))) != pages }) {
 			t.Fatal("the next leader has placed nothing")
 		}
 		if status := w.LateReport(at, w.Leader()); status != 200 {
@@ -111,7 +111,7 @@
 			t.Error("the same report was answered 200 after newer ones")
 		}
 		mustFinish(t, w, 3*time.Minute, numbers...)
-		if !tell.Until(100*time.Second, time.Second, func() bool { return w.Running() == 4 }) {
+		if !scenario.Until(100*time.Second, time.Second, func() bool { return w.Running() == 4 }) {
 			t.Errorf("%d of the 4 long tasks run", w.Running())
 		}
 	})
@@ -201,7 +201,7 @@
 func TestCopiesOfADeadMachinesLastReport(t *testing.T) {
 	seeded(t, 19, fake.Options{Machines: 3, Capacity: 3, Lease: 12}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 2, 3600 }))
-		if !tell.Until(40*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
+		if !scenario.Until(40*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
 		time.Sleep(millis(rnd, 0, 3000))
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -14,8 +14,8 @@
 	"github.com/umberdeal/umberdeal/cluster"
 	"github.com/umberdeal/umberdeal/election"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -72,7 +72,7 @@
 		if err == nil {
 			break
 		}
-		if errors.Is(err, ledger.ErrNewer) {
+		if errors.Is(err, jobstore.ErrNewer) {
 			l.log.Error("this node can't lead", "err", err)
 			n.elector.Abstain(20 * time.Second)
 			t.Resign()
@@ -125,7 +125,7 @@
 		if e.Version <= l.rev {
 			continue
 		}
-		if ledger.IsIntake(e.Put + e.Delete) {
+		if jobstore.IsIntake(e.Put + e.Delete) {
 			if !l.intake(pages, e) {
 				l.term.Resign()
 				return false
@@ -133,7 +133,7 @@
 			continue
 		}
 		if e.Delete != "" {
-			if id, ok := ledger.ParseJobKey(e.Delete); ok {
+			if id, ok := jobstore.ParseJobKey(e.Delete); ok {
 				if j := l.m.Job(id); j != nil && !j.Finished && j.Done < len(j.Tasks) {
 					l.userOps = append(l.userOps, now, now)
 				}
@@ -141,8 +141,8 @@
 			}
 			continue
 		}
-		if id, ok := ledger.ParseJobKey(e.Put); ok {
-			rec, err := ledger.DecodeJob(id, e.Value)
+		if id, ok := jobstore.ParseJobKey(e.Put); ok {
+			rec, err := jobstore.DecodeJob(id, e.Value)
 			if err != nil {
 				l.log.Error("unreadable job record", "key", e.Put, "err", err)
 				continue
@@ -164,7 +164,7 @@
 	key := e.Put + e.Delete
 	pg := cluster.IntakePage{Key: key, Version: e.Version}
 	if e.Put != "" {
-		rec, err := ledger.DecodeIntake(e.Value)
+		rec, err := jobstore.DecodeIntake(e.Value)
 		if err != nil {
 			l.log.Error("unreadable page of jobs: the next leader mends it", "key", key, "err", err)
 			return false
@@ -194,12 +194,12 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	ev, err := l.n.state.Follow(ctx, ledger.Jobs, l.revision(), 0)
+	ev, err := l.n.state.Follow(ctx, jobstore.Jobs, l.revision(), 0)
 	if err != nil {
 		return err
 	}
 	if !l.apply(ev) {
-		return ledger.ErrDamaged
+		return jobstore.ErrDamaged
 	}
 	l.pushStops(ctx)
 	return nil
@@ -214,7 +214,7 @@
 		return errors.New("not leading yet")
 	}
 	err := l.barrier(ctx)
-	if errors.Is(err, state.ErrTooOld) {
+	if errors.Is(err, kvstore.ErrTooOld) {
 		t.Resign()
 	}
 	return err
@@ -223,9 +223,9 @@
 // follow learns of submissions and cancellations as they are committed.
 func (l *leadership) follow(ctx context.Context) {
 	for ctx.Err() == nil {
-		ev, err := l.n.state.Follow(ctx, ledger.Jobs, l.revision(), 8*time.Second)
+		ev, err := l.n.state.Follow(ctx, jobstore.Jobs, l.revision(), 8*time.Second)
 		switch {
-		case errors.Is(err, state.ErrTooOld):
+		case errors.Is(err, kvstore.ErrTooOld):
 			l.log.Info("the watch fell behind; beginning anew")
 			l.term.Resign()
 			return
--- a/controller/ledger_test.go
+++ b/controller/ledger_test.go
@@ -12,18 +12,18 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/snapshot"
-	"github.com/umberdeal/umberdeal/state"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
 // own counts the jobs that have a key of their own, and those that share one.
 func own(w *fake.World) (own, shared int) {
-	for _, k := range w.State.Keys(ledger.Jobs) {
-		var page ledger.IntakeRecord
-		if !ledger.IsIntake(k) {
+	for _, k := range w.State.Keys(jobstore.Jobs) {
+		var page jobstore.IntakeRecord
+		if !jobstore.IsIntake(k) {
 			own++
 		} else if wire.Unmarshal(w.State.Value(k), &page) == nil {
 			shared += len(page.Jobs)
@@ -49,7 +49,7 @@
 				time.Sleep(3 * time.Second)
 				mustSubmit(t, w, job(10+n, long))
 			}
-			if alone, shared := own(w); alone < 3 || shared != 0 || len(w.State.Keys(ledger.FormKey)) != 0 {
+			if alone, shared := own(w); alone < 3 || shared != 0 || len(w.State.Keys(jobstore.FormKey)) != 0 {
 				t.Errorf("before: %d jobs with keys of their own, %d share", alone, shared)
 			}
 			w.KillNode(older)
@@ -100,15 +100,15 @@
 		w.KillAll()
 		time.Sleep(20 * time.Second)
 		w.State.Wipe()
-		to := state.New(w.Net.Dial("ops"), "state:1", 200, 200)
+		to := kvstore.New(w.Net.Dial("ops"), "state:1", 200, 200)
 		if _, err := snapshot.Restore(t.Context(), to, r.Header, all, 12); err != nil {
 			t.Fatal(err)
 		}
-		jobs := map[string]ledger.JobRecord{}
+		jobs := map[string]jobstore.JobRecord{}
 		for k, v := range all {
-			var rec ledger.JobRecord
-			_, active := ledger.ParseJobKey(k)
-			_, over := ledger.ParseFinalKey(k)
+			var rec jobstore.JobRecord
+			_, active := jobstore.ParseJobKey(k)
+			_, over := jobstore.ParseFinalKey(k)
 			if (active || over) && wire.Unmarshal(v, &rec) == nil {
 				jobs[rec.Job.ID] = rec
 				w.Know(rec.Job)
@@ -148,7 +148,7 @@
 // are accepted within their users' minute, by few changes, and none is forgotten.
 func TestABurstWhileAllNodesAreRestarted(t *testing.T) {
 	burst := 2000
-	if tell.UnderRace {
+	if scenario.UnderRace {
 		burst = 150
 	}
 	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.World) {
@@ -192,7 +192,7 @@
 // the form of records before and with this one. -v prints the figures.
 func TestSubmissionsASecond(t *testing.T) {
 	rates := []int{1, 20, 300, 500}
-	if tell.UnderRace {
+	if scenario.UnderRace {
 		rates = rates[:2]
 	}
 	for _, older := range [][]int{{0, 1, 2}, nil} {
@@ -240,7 +240,7 @@
 // go on under the next leader.
 func TestDamagedRecordsAreSetAsideAndTheOthersGoOn(t *testing.T) {
 	for _, c := range []struct{ name, key string }{
-		{"a job", ledger.JobKey("wk-000001")}, {"a page of placements", ledger.PageKey(0)},
+		{"a job", jobstore.JobKey("wk-000001")}, {"a page of placements", jobstore.PageKey(0)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var log logged
--- a/controller/load.go
+++ b/controller/load.go
@@ -6,8 +6,8 @@
 
 	"github.com/umberdeal/umberdeal/cluster"
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -20,19 +20,19 @@
 	if err != nil {
 		return err
 	}
-	cycles, _, err := st.List(ctx, ledger.Cycles)
+	cycles, _, err := st.List(ctx, jobstore.Cycles)
 	if err != nil {
 		return err
 	}
-	rentals, _, err := st.List(ctx, ledger.Rentals)
+	rentals, _, err := st.List(ctx, jobstore.Rentals)
 	if err != nil {
 		return err
 	}
-	returns, err := st.Get(ctx, ledger.ReturnsKey)
+	returns, err := st.Get(ctx, jobstore.ReturnsKey)
 	if err != nil {
 		return err
 	}
-	notes, _, err := st.List(ctx, ledger.Notes)
+	notes, _, err := st.List(ctx, jobstore.Notes)
 	if err != nil {
 		return err
 	}
@@ -61,22 +61,22 @@
 		return err
 	}
 	for _, it := range cycles {
-		var rec ledger.CycleRecord
+		var rec jobstore.CycleRecord
 		if err := wire.Unmarshal(it.Value, &rec); err != nil {
 			l.log.Error("unreadable record of moves: passed over", "key", it.Key, "err", err)
 		} else {
-			m.LoadCycle(it.Key[len(ledger.Cycles):], rec, now)
+			m.LoadCycle(it.Key[len(jobstore.Cycles):], rec, now)
 		}
 	}
 	for _, it := range rentals {
-		var rec ledger.RentalRecord
+		var rec jobstore.RentalRecord
 		if err := wire.Unmarshal(it.Value, &rec); err != nil {
 			l.log.Error("unreadable record of a rental: passed over", "key", it.Key, "err", err)
 		} else if now.Sub(time.UnixMilli(rec.AtMs)) < 2*time.Minute {
 			m.Rented(cluster.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, time.UnixMilli(rec.AtMs))
 		}
 	}
-	var going ledger.ReturnRecord
+	var going jobstore.ReturnRecord
 	if returns.Version != 0 {
 		if err := wire.Unmarshal(returns.Value, &going); err != nil {
 			l.log.Error("unreadable record of returns: machines that go may be given tasks", "key", returns.Key, "err", err)
@@ -94,20 +94,20 @@
 func loadJobs(m *cluster.Model, items []wire.Entry, now time.Time) error {
 	var pages []cluster.IntakePage
 	for _, it := range items {
-		if it.Key == ledger.FormKey {
-			form, err := ledger.DecodeForm(it.Value)
-			if err != nil || form.Form > ledger.Form {
-				return ledger.ErrNewer
+		if it.Key == jobstore.FormKey {
+			form, err := jobstore.DecodeForm(it.Value)
+			if err != nil || form.Form > jobstore.Form {
+				return jobstore.ErrNewer
 			}
-			if form.Form >= ledger.FormPlan {
+			if form.Form >= jobstore.FormPlan {
 				m.PlanWanted()
 			}
 		}
-		if ledger.IsIntake(it.Key) {
-			rec, err := ledger.DecodeIntake(it.Value)
+		if jobstore.IsIntake(it.Key) {
+			rec, err := jobstore.DecodeIntake(it.Value)
 			if err != nil {
 				since := now
-				if a, ok := ledger.DecodeAside(it.Value); ok {
+				if a, ok := jobstore.DecodeAside(it.Value); ok {
 					since = time.UnixMilli(a.AtMs)
 				}
 				m.DamagedIntake(it.Key, since, err)
@@ -115,8 +115,8 @@
 			}
 			pages = append(pages, cluster.IntakePage{Key: it.Key, Version: it.Version, Record: rec})
 		}
-		if id, ok := ledger.ParseJobKey(it.Key); ok {
-			rec, err := ledger.DecodeJob(id, it.Value)
+		if id, ok := jobstore.ParseJobKey(it.Key); ok {
+			rec, err := jobstore.DecodeJob(id, it.Value)
 			if err != nil {
 				m.DamagedJob(it.Key, id, err)
 				continue
@@ -129,13 +129,13 @@
 }
 
 // loadPages reads where tasks may be, also those of jobs that are over.
-func loadPages(ctx context.Context, st *state.Client, m *cluster.Model, items []wire.Entry, now time.Time) error {
+func loadPages(ctx context.Context, st *kvstore.Client, m *cluster.Model, items []wire.Entry, now time.Time) error {
 	for _, it := range items {
-		n, ok := ledger.ParsePageKey(it.Key)
+		n, ok := jobstore.ParsePageKey(it.Key)
 		if !ok {
 			continue
 		}
-		rec, err := ledger.DecodePage(it.Value)
+		rec, err := jobstore.DecodePage(it.Value)
 		if err != nil {
 			m.DamagedPage(n, it.Version, err)
 			continue
@@ -145,12 +145,12 @@
 				continue
 			}
 			// The job is over, but its tasks may still be somewhere.
-			e, err := st.Get(ctx, ledger.FinalKey(c.Job))
+			e, err := st.Get(ctx, jobstore.FinalKey(c.Job))
 			if err != nil {
 				return err
 			}
 			if e.Version != 0 {
-				if over, err := ledger.DecodeEnd(e.Value); err != nil {
+				if over, err := jobstore.DecodeEnd(e.Value); err != nil {
 					m.DamagedEnd(e.Key, c.Job, err)
 				} else {
 					m.LoadCancelled(c.Job, over)
--- a/controller/look.go
+++ b/controller/look.go
@@ -9,8 +9,8 @@
 
 	"github.com/umberdeal/umberdeal/cluster"
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -21,7 +21,7 @@
 
 // WhyWaiting says what a job waits for, from what is committed. over is the state
 // of a job that is done or cancelled, and then there is nothing more to say.
-func WhyWaiting(ctx context.Context, cfg *config.Settings, st *state.Client, id string, now time.Time) (why cluster.Why, over string, err error) {
+func WhyWaiting(ctx context.Context, cfg *config.Settings, st *kvstore.Client, id string, now time.Time) (why cluster.Why, over string, err error) {
 	m, err := look(ctx, cfg, st, now)
 	if err != nil {
 		return why, "", err
@@ -29,11 +29,11 @@
 	if why, found := m.Why(id, now); found {
 		return why, "", nil
 	}
-	e, err := st.Get(ctx, ledger.FinalKey(id))
+	e, err := st.Get(ctx, jobstore.FinalKey(id))
 	if err != nil {
 		return why, "", err
 	}
-	var rec ledger.JobRecord
+	var rec jobstore.JobRecord
 	switch {
 	case e.Version == 0:
 		return why, "", fmt.Errorf("%s: %w", id, ErrNoJob)
@@ -45,13 +45,13 @@
 
 // look makes a model of what is committed, as a leader that takes over does, but
 // for machines: none has reported to it.
-func look(ctx context.Context, cfg *config.Settings, st *state.Client, now time.Time) (*cluster.Model, error) {
-	items, _, err := st.List(ctx, ledger.Active)
+func look(ctx context.Context, cfg *config.Settings, st *kvstore.Client, now time.Time) (*cluster.Model, error) {
+	items, _, err := st.List(ctx, jobstore.Active)
 	if err != nil {
 		return nil, err
 	}
 	m := cluster.New(cfg, 0, now, slog.New(slog.DiscardHandler))
-	e, err := st.Get(ctx, ledger.TypesKey)
+	e, err := st.Get(ctx, jobstore.TypesKey)
 	if err != nil {
 		return nil, err
 	}
@@ -73,8 +73,8 @@
 }
 
 // lookAtPlan reads the plan that holds, and what its parts have recorded.
-func lookAtPlan(ctx context.Context, m *cluster.Model, st *state.Client, now time.Time) error {
-	notes, _, err := st.List(ctx, ledger.Notes)
+func lookAtPlan(ctx context.Context, m *cluster.Model, st *kvstore.Client, now time.Time) error {
+	notes, _, err := st.List(ctx, jobstore.Notes)
 	if err != nil {
 		return err
 	}
--- a/controller/meetings_test.go
+++ b/controller/meetings_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
+	"github.com/umberdeal/umberdeal/internal/scenario"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -37,7 +37,7 @@
 			mustSubmit(t, w, job(base+i, func(j *wire.Job) { j.Team, j.CPUs, j.EstimateS = team, 2, 3600 }))
 		}
 	}
-	if !tell.Until(40*time.Second, 200*time.Millisecond, func() bool { return atLimit(w) }) {
+	if !scenario.Until(40*time.Second, 200*time.Millisecond, func() bool { return atLimit(w) }) {
 		t.Fatalf("the teams use %g and %g CPUs", w.CPUs("core"), w.CPUs("edge"))
 	}
 	for base, team := range map[int]string{110: "core", 210: "edge"} {
@@ -62,7 +62,7 @@
 // is there; before is the token until then.
 func changes(t *testing.T, w *fake.World, before uint64) {
 	t.Helper()
-	if !tell.Until(25*time.Second, 50*time.Millisecond, func() bool { k := w.Token(); return k != 0 && k != before }) {
+	if !scenario.Until(25*time.Second, 50*time.Millisecond, func() bool { k := w.Token(); return k != 0 && k != before }) {
 		t.Fatal("the leader did not change")
 	}
 }
@@ -397,7 +397,7 @@
 		// The first that the next leader hears of them is what was reported long ago.
 		// (From those whose reports arrive it has heard since.)
 		for _, m := range names {
-			if way < 3 && !tell.Until(10*time.Second, 500*time.Millisecond, func() bool { return w.LateReport(m, max(0, w.Leader())) == 200 }) {
+			if way < 3 && !scenario.Until(10*time.Second, 500*time.Millisecond, func() bool { return w.LateReport(m, max(0, w.Leader())) == 200 }) {
 				t.Errorf("the next leader takes no late copy of a report of %s", m)
 			}
 		}
@@ -413,7 +413,7 @@
 			trouble(m, false)
 		}
 		well(t, w)
-		if !tell.Until(time.Minute, time.Second, func() bool { return atLimit(w) }) {
+		if !scenario.Until(time.Minute, time.Second, func() bool { return atLimit(w) }) {
 			t.Errorf("the teams use %g and %g CPUs in the end", w.CPUs("core"), w.CPUs("edge"))
 		}
 		if n := w.Started() - started; short && lasted < 15*time.Second && n > 0 {
@@ -498,7 +498,7 @@
 		// be room for them in the other.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 5, 5, 90 }))
 		mustSubmit(t, w, job(2, func(j *wire.Job) { gang(j); j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 3, 3, 90 }))
-		if !tell.Until(40*time.Second, 200*time.Millisecond, func() bool { return w.Running() == 6 }) {
+		if !scenario.Until(40*time.Second, 200*time.Millisecond, func() bool { return w.Running() == 6 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
 		time.Sleep(within(rnd, time.Second, 10*time.Second))
@@ -552,14 +552,14 @@
 		j := job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = tasks, 5, float64(20+rnd.IntN(30)) })
 		mustSubmit(t, w, j)
 		for done := 1; done < tasks; done++ {
-			if !tell.Until(time.Minute, 100*time.Millisecond, func() bool { return w.Running() == 1 }) {
+			if !scenario.Until(time.Minute, 100*time.Millisecond, func() bool { return w.Running() == 1 }) {
 				t.Fatalf("%d tasks run", w.Running())
 			}
 			before := w.Token()
 			// At some seeds the outcome is reported, and can't be committed.
 			time.Sleep(time.Duration(j.EstimateS-1) * time.Second)
 			w.State.SetOutage(rnd.IntN(2) == 0)
-			if !tell.Until(20*time.Second, 50*time.Millisecond, func() bool { return w.Finished(j.ID) == done }) {
+			if !scenario.Until(20*time.Second, 50*time.Millisecond, func() bool { return w.Finished(j.ID) == done }) {
 				t.Fatalf("%d tasks are done", w.Finished(j.ID))
 			}
 			time.Sleep(within(rnd, 0, 1500*time.Millisecond))
--- a/controller/mend.go
+++ b/controller/mend.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/mesh"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
+	"github.com/umberdeal/umberdeal/peerrpc"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -40,10 +40,10 @@
 // mending is what a node knows of records that can't be read; guarded by the
 // node's lock.
 type mending struct {
-	told  map[at]bool           // other nodes can't read them
-	tried map[at]bool           // for which this node has resigned once
-	kept  map[at]*ledger.Memory // as a leader of this node knew them
-	left  []left                // of this leader's own: what could not be mended
+	told  map[at]bool             // other nodes can't read them
+	tried map[at]bool             // for which this node has resigned once
+	kept  map[at]*jobstore.Memory // as a leader of this node knew them
+	left  []left                  // of this leader's own: what could not be mended
 }
 
 // left is a record that could not be mended when a leader took over.
@@ -66,7 +66,7 @@
 }
 
 // recalled is what this node remembers of a record.
-func (n *Node) recalled(ctx context.Context, rec, was at) *ledger.Memory {
+func (n *Node) recalled(ctx context.Context, rec, was at) *jobstore.Memory {
 	n.mu.Lock()
 	m := n.mending.kept[rec]
 	if m == nil {
@@ -80,28 +80,28 @@
 }
 
 // Recall implements mesh.Handler.
-func (n *Node) Recall(ctx context.Context, r mesh.Request) mesh.Answer {
+func (n *Node) Recall(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	m := n.recalled(ctx, at{r.ID, r.At}, at{r.Lost, r.LostAt})
 	if m == nil {
-		return mesh.Answer{Status: http.StatusNotFound}
+		return peerrpc.Answer{Status: http.StatusNotFound}
 	}
 	return answer(http.StatusOK, m, 0)
 }
 
 // recall asks all nodes for what they remember of a record in a version of it, this
 // one first.
-func (n *Node) recall(ctx context.Context, rec, was at) *ledger.Memory {
+func (n *Node) recall(ctx context.Context, rec, was at) *jobstore.Memory {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	if m := n.recalled(ctx, rec, was); m != nil {
 		return m
 	}
 	var wg sync.WaitGroup
-	found := make(chan *ledger.Memory, len(n.peers))
+	found := make(chan *jobstore.Memory, len(n.peers))
 	for _, p := range n.peers {
 		wg.Go(func() {
-			a, err := p.Recall(ctx, mesh.Request{ID: rec.key, At: rec.version, Lost: was.key, LostAt: was.version})
-			m := &ledger.Memory{}
+			a, err := p.Recall(ctx, peerrpc.Request{ID: rec.key, At: rec.version, Lost: was.key, LostAt: was.version})
+			m := &jobstore.Memory{}
 			if err == nil && a.Status == http.StatusOK && wire.Unmarshal(a.Body, m) == nil {
 				found <- m
 			}
@@ -120,7 +120,7 @@
 type mender struct {
 	l       *leadership
 	items   map[string]wire.Entry
-	pages   map[string]ledger.IntakeRecord // that can be read
+	pages   map[string]jobstore.IntakeRecord // that can be read
 	left    []left
 	changed bool
 }
@@ -128,55 +128,55 @@
 // mended lists all active records, mended as far as can be.
 func (l *leadership) mended(ctx context.Context) (items []wire.Entry, rev uint64, err error) {
 	for range mendRounds {
-		if items, rev, err = l.n.state.List(ctx, ledger.Active); err != nil {
+		if items, rev, err = l.n.state.List(ctx, jobstore.Active); err != nil {
 			return nil, 0, err
 		}
-		m := &mender{l: l, items: map[string]wire.Entry{}, pages: map[string]ledger.IntakeRecord{}}
+		m := &mender{l: l, items: map[string]wire.Entry{}, pages: map[string]jobstore.IntakeRecord{}}
 		err = m.mend(ctx, items)
 		l.n.mu.Lock()
 		l.n.mending.left = m.left
 		l.n.mu.Unlock()
-		var c *state.Conflict
+		var c *kvstore.Conflict
 		switch {
 		case err == nil && !m.changed:
 			return items, rev, nil
-		case errors.Is(err, ledger.ErrNewer):
+		case errors.Is(err, jobstore.ErrNewer):
 			return nil, 0, err
 		case errors.As(err, &c) || err == nil:
 		default:
 			return nil, 0, err
 		}
 	}
-	return nil, 0, fmt.Errorf("%w: too many conflicts", state.ErrRefused)
+	return nil, 0, fmt.Errorf("%w: too many conflicts", kvstore.ErrRefused)
 }
 
 func (m *mender) mend(ctx context.Context, items []wire.Entry) error {
 	for _, it := range items {
 		m.items[it.Key] = it
-		if rec, err := ledger.DecodeIntake(it.Value); err == nil && ledger.IsIntake(it.Key) {
+		if rec, err := jobstore.DecodeIntake(it.Value); err == nil && jobstore.IsIntake(it.Key) {
 			m.pages[it.Key] = rec
 		}
 	}
 	for _, it := range items {
 		var err error
-		id, alone := ledger.ParseJobKey(it.Key)
+		id, alone := jobstore.ParseJobKey(it.Key)
 		switch {
-		case it.Key == ledger.FormKey:
+		case it.Key == jobstore.FormKey:
 			err = m.form(ctx, it)
 		case alone:
-			if _, bad := ledger.DecodeJob(id, it.Value); bad != nil {
+			if _, bad := jobstore.DecodeJob(id, it.Value); bad != nil {
 				err = m.job(ctx, id, it)
 			}
-		case strings.HasPrefix(it.Key, ledger.Apps):
-			if !ledger.IsApp(it.Value) {
+		case strings.HasPrefix(it.Key, jobstore.Apps):
+			if !jobstore.IsApp(it.Value) {
 				err = m.app(ctx, it)
 			}
-		case ledger.IsIntake(it.Key):
+		case jobstore.IsIntake(it.Key):
 			if _, ok := m.pages[it.Key]; !ok {
 				err = m.intake(ctx, it)
 			}
 		}
-		if errors.Is(err, state.ErrInvalid) {
+		if errors.Is(err, kvstore.ErrInvalid) {
 			m.l.log.Error("an unreadable record can't be mended", "key", it.Key, "err", err)
 			continue
 		}
@@ -200,7 +200,7 @@
 			continue
 		}
 		m.items[op.Put] = wire.Entry{Key: op.Put, Version: rev}
-		if rec, ok := op.Value.(ledger.IntakeRecord); ok {
+		if rec, ok := op.Value.(jobstore.IntakeRecord); ok {
 			m.pages[op.Put] = rec
 		}
 	}
@@ -214,7 +214,7 @@
 		m.left = append(m.left, left{at: at{it.Key, it.Version}})
 		return nil
 	}
-	if _, err := ledger.DecodeJob(id, mem.Raw); err != nil {
+	if _, err := jobstore.DecodeJob(id, mem.Raw); err != nil {
 		return nil
 	}
 	m.l.log.Error("unreadable job record: written again as a node remembers it", "key", it.Key)
@@ -224,7 +224,7 @@
 // app writes a door's record that some node remembers as it was.
 func (m *mender) app(ctx context.Context, it wire.Entry) error {
 	mem := m.l.n.recall(ctx, at{it.Key, it.Version}, at{})
-	if mem == nil || !ledger.IsApp(mem.Raw) {
+	if mem == nil || !jobstore.IsApp(mem.Raw) {
 		m.left = append(m.left, left{at: at{it.Key, it.Version}})
 		return nil
 	}
@@ -235,20 +235,20 @@
 // form writes the form of the records again: as some node remembers it, as its copy
 // says, or else as the records themselves show.
 func (m *mender) form(ctx context.Context, it wire.Entry) error {
-	if _, err := ledger.DecodeForm(it.Value); err == nil {
+	if _, err := jobstore.DecodeForm(it.Value); err == nil {
 		return nil
 	}
-	var form ledger.FormRecord
-	err := ledger.ErrDamaged
+	var form jobstore.FormRecord
+	err := jobstore.ErrDamaged
 	if mem := m.l.n.recall(ctx, at{it.Key, it.Version}, at{}); mem != nil {
-		form, err = ledger.DecodeForm(mem.Raw)
+		form, err = jobstore.DecodeForm(mem.Raw)
 	}
 	if err != nil {
-		e, gerr := m.l.n.state.Get(ctx, ledger.FormCopyKey)
+		e, gerr := m.l.n.state.Get(ctx, jobstore.FormCopyKey)
 		if gerr != nil {
 			return gerr
 		}
-		form, err = ledger.DecodeForm(e.Value)
+		form, err = jobstore.DecodeForm(e.Value)
 	}
 	if err != nil {
 		// A version that writes a newer form has written the copy as well.
@@ -256,21 +256,21 @@
 		if werr != nil {
 			return werr
 		}
-		form = ledger.FormRecord{Form: wanted, Buckets: ledger.BucketsBy(m.pages, len(m.l.n.peers)+1)}
+		form = jobstore.FormRecord{Form: wanted, Buckets: jobstore.BucketsBy(m.pages, len(m.l.n.peers)+1)}
 	}
-	if form.Form > ledger.Form {
-		return ledger.ErrNewer
+	if form.Form > jobstore.Form {
+		return jobstore.ErrNewer
 	}
 	m.l.log.Error("the form of the records can't be read: written again", "key", it.Key, "form", form.Form, "buckets", form.Buckets)
 	return m.put(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}},
-		wire.Op{Put: ledger.FormKey, Value: form}, wire.Op{Put: ledger.FormCopyKey, Value: form})
+		wire.Op{Put: jobstore.FormKey, Value: form}, wire.Op{Put: jobstore.FormCopyKey, Value: form})
 }
 
 // intake sets a page of users' jobs aside that can't be read, puts an empty head in
 // its place if it was one, and brings back what some node remembers of it.
 func (m *mender) intake(ctx context.Context, it wire.Entry) error {
 	n := m.l.n
-	a, aside := ledger.DecodeAside(it.Value)
+	a, aside := jobstore.DecodeAside(it.Value)
 	was := at{a.From, a.Version}
 	if !aside {
 		was = at{it.Key, it.Version}
@@ -278,11 +278,11 @@
 	mem := n.recall(ctx, at{it.Key, it.Version}, was)
 	key := it.Key
 	if !aside {
-		bucket, seq, ok := ledger.ParseIntakeKey(it.Key)
+		bucket, seq, ok := jobstore.ParseIntakeKey(it.Key)
 		if !ok {
 			return nil // no page of this program's
 		}
-		a = ledger.NewAside(it.Key, it.Version, time.Now().UnixMilli(), it.Value, n.reader.Limits)
+		a = jobstore.NewAside(it.Key, it.Version, time.Now().UnixMilli(), it.Value, n.reader.Limits)
 		guards := []wire.Guard{{Key: it.Key, Version: it.Version}}
 		m.l.log.Error("unreadable page of jobs: set aside", "key", it.Key, "version", it.Version, "remembered", mem != nil)
 		var err error
@@ -292,9 +292,9 @@
 			// Above all pages that there are, so that none is written over; the
 			// page goes before the head, so that readers meet it first.
 			seq = max(m.lastSeq(bucket), it.Version) + 1
-			key = ledger.SealedKey(bucket, seq)
+			key = jobstore.SealedKey(bucket, seq)
 			err = m.put(ctx, guards, wire.Op{Put: key, Value: a},
-				wire.Op{Put: it.Key, Value: ledger.IntakeRecord{Seq: seq, Closed: true}})
+				wire.Op{Put: it.Key, Value: jobstore.IntakeRecord{Seq: seq, Closed: true}})
 		}
 		if err != nil {
 			return err
@@ -310,7 +310,7 @@
 // lastSeq is the highest number of a bucket's pages.
 func (m *mender) lastSeq(bucket int) (last uint64) {
 	for key := range m.items {
-		if b, seq, ok := ledger.ParseIntakeKey(key); ok && b == bucket {
+		if b, seq, ok := jobstore.ParseIntakeKey(key); ok && b == bucket {
 			last = max(last, seq, m.pages[key].Seq)
 		}
 	}
@@ -319,7 +319,7 @@
 
 // stands says whether a job has a record elsewhere.
 func (m *mender) stands(id string) bool {
-	if _, ok := m.items[ledger.JobKey(id)]; ok {
+	if _, ok := m.items[jobstore.JobKey(id)]; ok {
 		return true
 	}
 	for _, rec := range m.pages {
@@ -336,11 +336,11 @@
 // many at a time that each has its conditions: it is not over, and it has not been
 // accepted again meanwhile. The page changes each time, since whoever cancels
 // one of its jobs has its version as the condition.
-func (m *mender) bringBack(ctx context.Context, key string, a ledger.Aside, jobs []ledger.IntakeEntry) error {
-	bucket, _, _ := ledger.ParseIntakeKey(key)
-	head := ledger.HeadKey(bucket)
+func (m *mender) bringBack(ctx context.Context, key string, a jobstore.Aside, jobs []jobstore.IntakeEntry) error {
+	bucket, _, _ := jobstore.ParseIntakeKey(key)
+	head := jobstore.HeadKey(bucket)
 	most := (4*m.l.n.cfg.Cluster.State.TxnOps - 3) / 2
-	var rest []ledger.IntakeEntry
+	var rest []jobstore.IntakeEntry
 	for _, e := range jobs {
 		if !m.stands(e.ID) {
 			rest = append(rest, e)
@@ -353,12 +353,12 @@
 		var ops []wire.Op
 		if len(batch) > 0 {
 			for _, e := range batch {
-				guards = append(guards, wire.Guard{Key: ledger.JobKey(e.ID)}, wire.Guard{Key: ledger.FinalKey(e.ID)})
+				guards = append(guards, wire.Guard{Key: jobstore.JobKey(e.ID)}, wire.Guard{Key: jobstore.FinalKey(e.ID)})
 			}
 			h := m.pages[head]
 			h.Closed = h.Closed || m.items[head].Version == 0
 			h.Seq = m.lastSeq(bucket) + 1
-			ops = append(ops, wire.Op{Put: ledger.SealedKey(bucket, h.Seq), Value: ledger.IntakeRecord{Jobs: batch}}, wire.Op{Put: head, Value: h})
+			ops = append(ops, wire.Op{Put: jobstore.SealedKey(bucket, h.Seq), Value: jobstore.IntakeRecord{Jobs: batch}}, wire.Op{Put: head, Value: h})
 		}
 		if len(batch) == len(rest) {
 			ops = append(ops, wire.Op{Delete: key})
@@ -366,11 +366,11 @@
 			ops = append(ops, wire.Op{Put: key, Value: a})
 		}
 		err := m.put(ctx, guards, ops...)
-		var c *state.Conflict
+		var c *kvstore.Conflict
 		if errors.As(err, &c) {
-			var still []ledger.IntakeEntry
+			var still []jobstore.IntakeEntry
 			for _, e := range rest {
-				if !slices.Contains(c.Failed, ledger.JobKey(e.ID)) && !slices.Contains(c.Failed, ledger.FinalKey(e.ID)) {
+				if !slices.Contains(c.Failed, jobstore.JobKey(e.ID)) && !slices.Contains(c.Failed, jobstore.FinalKey(e.ID)) {
 					still = append(still, e)
 				}
 			}
@@ -409,7 +409,7 @@
 			jobs, ok := l.m.Intake(t.key, t.version)
 			l.mu.Unlock()
 			if ok {
-				l.n.keep(t, &ledger.Memory{Jobs: jobs})
+				l.n.keep(t, &jobstore.Memory{Jobs: jobs})
 			}
 			if l.giveWay(t) {
 				return
@@ -425,20 +425,20 @@
 
 func readable(e wire.Entry) bool {
 	var err error
-	if e.Key == ledger.FormKey {
-		_, err = ledger.DecodeForm(e.Value)
+	if e.Key == jobstore.FormKey {
+		_, err = jobstore.DecodeForm(e.Value)
 	} else {
-		_, err = ledger.DecodeIntake(e.Value)
+		_, err = jobstore.DecodeIntake(e.Value)
 	}
 	return err == nil
 }
 
 // keep remembers what a leader of this node knew of a page for the next one.
-func (n *Node) keep(t at, m *ledger.Memory) {
+func (n *Node) keep(t at, m *jobstore.Memory) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.mending.kept == nil || len(n.mending.kept) >= keptMost {
-		n.mending.kept = map[at]*ledger.Memory{}
+		n.mending.kept = map[at]*jobstore.Memory{}
 	}
 	n.mending.kept[t] = m
 }
--- a/controller/nights.go
+++ b/controller/nights.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -21,13 +21,13 @@
 		ids := l.m.UnknownEnds(endsAtOnce)
 		l.mu.Unlock()
 		for _, id := range ids {
-			e, err := l.n.state.Get(ctx, ledger.FinalKey(id))
+			e, err := l.n.state.Get(ctx, jobstore.FinalKey(id))
 			if err != nil {
 				break // asked again
 			}
-			var rec *ledger.JobRecord
+			var rec *jobstore.JobRecord
 			if e.Version != 0 {
-				rec = &ledger.JobRecord{}
+				rec = &jobstore.JobRecord{}
 				if err := wire.Unmarshal(e.Value, rec); err != nil {
 					l.log.Error("unreadable job record", "key", e.Key, "err", err)
 					rec = nil
--- a/controller/nights_test.go
+++ b/controller/nights_test.go
@@ -15,8 +15,8 @@
 	"github.com/umberdeal/umberdeal/controller"
 	"github.com/umberdeal/umberdeal/internal/fake"
 	"github.com/umberdeal/umberdeal/internal/plans"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -31,7 +31,7 @@
 // nights is what is committed of a region.
 func nights(t *testing.T, w *fake.World, region string) (rec calendar.Record) {
 	t.Helper()
-	if raw := w.State.Value(ledger.Notes + calendar.NoteOf(region)); raw != nil {
+	if raw := w.State.Value(jobstore.Notes + calendar.NoteOf(region)); raw != nil {
 		if err := wire.Unmarshal(raw, &rec); err != nil {
 			t.Fatal(err)
 		}
@@ -492,7 +492,7 @@
 		if o.Capacity == 1 {
 			clock("00:01:00")
 			// The cloud is asked again and again: a forecast made just then says that room is rented.
-			if !tell.Until(4*time.Minute, time.Second, func() bool {
+			if !scenario.Until(4*time.Minute, time.Second, func() bool {
 				n := nights(t, w, "here").Nights
 				return len(n) == 1 && strings.Contains(n[0].Forecast.Why, "no machines are to be had")
 			}) {
--- a/controller/node.go
+++ b/controller/node.go
@@ -21,10 +21,10 @@
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/election"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/mesh"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/metrics"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/peerrpc"
 	"github.com/umberdeal/umberdeal/wire"
 	"github.com/umberdeal/umberdeal/worker"
 	"github.com/umberdeal/umberdeal/yarn"
@@ -47,13 +47,13 @@
 	log    *slog.Logger
 	net    Network
 
-	state    *state.Client
+	state    *kvstore.Client
 	cloud    *cloud.Client
 	workers  *worker.Client
-	reader   *ledger.Reader
+	reader   *jobstore.Reader
 	elector  *election.Elector
-	peers    []*mesh.Peer
-	lanes    []*mesh.Lane
+	peers    []*peerrpc.Peer
+	lanes    []*peerrpc.Lane
 	users    chan struct{}    // bounds the users' submissions and cancellations under way
 	polls    *admission.Gate  // and their polls
 	turns    admission.Turns  // whose polls come first
@@ -71,7 +71,7 @@
 	metrics  *metrics.Set                 // nil unless the operators watch
 	troubles *metrics.Troubles
 
-	forUsers     *state.Client
+	forUsers     *kvstore.Client
 	yarn         *yarn.Door // nil unless YARN's clients are served
 	yarnSettings *yarn.Settings
 
@@ -106,7 +106,7 @@
 	sl := cfg.Cluster.State
 	n := &Node{
 		cfg: cfg, tuning: tuning, log: log, net: nw,
-		state:    state.New(nw.Dial, cfg.Services.State, sl.RPS*0.6, sl.WriteRPS),
+		state:    kvstore.New(nw.Dial, cfg.Services.State, sl.RPS*0.6, sl.WriteRPS),
 		cloud:    cloud.New(nw.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.9),
 		workers:  worker.New(nw.Dial, min(64, cfg.Cluster.Limits.Sockets/20)),
 		users:    make(chan struct{}, max(32, cfg.Cluster.Limits.Sockets/8)),
@@ -129,16 +129,16 @@
 	}
 	forUsers := n.state.Sharing(sl.RPS*0.7, sl.WriteRPS, usersShare/float64(max(1, cfg.Cluster.Size)))
 	n.forUsers = forUsers
-	n.reader = ledger.NewReader(forUsers)
-	n.reader.Limits = ledger.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB}
+	n.reader = jobstore.NewReader(forUsers)
+	n.reader.Limits = jobstore.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB}
 	n.reader.Log = log
 	n.reader.Tier = func(team, class string) int { return n.order().Tier(team, class) }
 	n.reader.Order = func(id string) float64 { return admission.Turns{Round: pollRound}.Key(id, time.Now()) }
 	n.turns.Tier = n.tierOf
 	n.reader.Gap = func() time.Duration { return config.Seconds(min(barrierShare/max(forUsers.Rate(), 1), 0.6)) }
 	for _, s := range cfg.Siblings {
-		n.peers = append(n.peers, mesh.NewPeer(s.Name, s.Addr, nw.Dial))
-		n.lanes = append(n.lanes, mesh.NewLane(s.Name, s.Addr, nw.Dial, max(64, cfg.Cluster.Limits.Sockets/2)))
+		n.peers = append(n.peers, peerrpc.NewPeer(s.Name, s.Addr, nw.Dial))
+		n.lanes = append(n.lanes, peerrpc.NewLane(s.Name, s.Addr, nw.Dial, max(64, cfg.Cluster.Limits.Sockets/2)))
 	}
 	w := cfg.Cluster.Workers
 	n.elector = &election.Elector{
@@ -207,7 +207,7 @@
 		}
 	})
 	duty(func(ctx context.Context) {
-		if err := mesh.Serve(ctx, ml, n, max(64, n.cfg.Cluster.Limits.Sockets/2)); err != nil {
+		if err := peerrpc.Serve(ctx, ml, n, max(64, n.cfg.Cluster.Limits.Sockets/2)); err != nil {
 			errs <- err
 		}
 	})
@@ -253,7 +253,7 @@
 		pctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
 		_, err := n.state.Get(pctx, election.Key)
 		cancel()
-		if errors.Is(err, state.ErrBusy) {
+		if errors.Is(err, kvstore.ErrBusy) {
 			err = nil // it is there, and busy
 		}
 		if ctx.Err() == nil && served != (err == nil) {
@@ -315,7 +315,7 @@
 		if err != nil || len(types) == 0 {
 			wait = 3 * time.Second
 			if n.knownTypes() == nil {
-				e, gerr := n.state.Get(ctx, ledger.TypesKey)
+				e, gerr := n.state.Get(ctx, jobstore.TypesKey)
 				var t wire.Types
 				if gerr == nil && e.Version != 0 && wire.Unmarshal(e.Value, &t) == nil {
 					types = t.Types
--- a/controller/order.go
+++ b/controller/order.go
@@ -1,8 +1,8 @@
 package controller
 
 import (
-	"github.com/umberdeal/umberdeal/order"
 	"github.com/umberdeal/umberdeal/plan"
+	"github.com/umberdeal/umberdeal/priority"
 )
 
 // This file is what a node does by the operators' order besides leading: whose
@@ -11,20 +11,20 @@
 // inOrder is the order of a plan.
 type inOrder struct {
 	of *plan.Plan
-	o  *order.Order
+	o  *priority.Order
 }
 
 // order is the one in force as far as this node knows, nil if there is none. One
 // that is a moment behind serves a request sooner or later than it might have, and
 // that is all.
-func (n *Node) order() *order.Order {
+func (n *Node) order() *priority.Order {
 	p := n.orders().Plan
 	if p == nil {
 		return nil
 	}
 	cur := n.inOrder.Load()
 	if cur == nil || cur.of != p {
-		cur = &inOrder{p, order.New(&p.Order)}
+		cur = &inOrder{p, priority.New(&p.Order)}
 		n.inOrder.Store(cur)
 	}
 	return cur.o
--- a/controller/order_test.go
+++ b/controller/order_test.go
@@ -11,12 +11,14 @@
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/controller"
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-func stateOf(w *fake.World) *state.Client { return state.New(w.Net.Dial("user"), "state:1", 200, 100) }
+func stateOf(w *fake.World) *kvstore.Client {
+	return kvstore.New(w.Net.Dial("user"), "state:1", 200, 100)
+}
 
 func why(t *testing.T, w *fake.World, id string) (cluster.Why, string) {
 	t.Helper()
@@ -314,22 +316,22 @@
 		mustSubmit(t, w, whole(2, "craft", 20), whole(3, "clinic", 20))
 		w.KillAll()
 		form := func(change int) {
-			var rec ledger.FormRecord
-			if err := wire.Unmarshal(w.State.Value(ledger.FormKey), &rec); err != nil || rec.Form < ledger.FormPlan {
+			var rec jobstore.FormRecord
+			if err := wire.Unmarshal(w.State.Value(jobstore.FormKey), &rec); err != nil || rec.Form < jobstore.FormPlan {
 				t.Fatalf("with an order in force the records have form %d, which versions without orders read: %v", rec.Form, err)
 			}
 			rec.Form += change
-			if _, err := stateOf(w).Commit(t.Context(), nil, []wire.Op{{Put: ledger.FormKey, Value: rec}}); err != nil {
+			if _, err := stateOf(w).Commit(t.Context(), nil, []wire.Op{{Put: jobstore.FormKey, Value: rec}}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		form(ledger.Form + 1 - ledger.FormPlan)
+		form(jobstore.Form + 1 - jobstore.FormPlan)
 		w.StartAll()
 		time.Sleep(40 * time.Second)
 		if on := append(w.On("wk-000002/0"), w.On("wk-000003/0")...); len(on) > 0 {
 			t.Error("a version that can't read the order has placed work")
 		}
-		form(ledger.FormPlan - ledger.Form - 1)
+		form(jobstore.FormPlan - jobstore.Form - 1)
 		if got := first(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
 			t.Errorf("%s was placed first", got)
 		}
--- a/controller/passes.go
+++ b/controller/passes.go
@@ -7,7 +7,7 @@
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 )
 
 // This file runs the scheduling passes.
@@ -49,7 +49,7 @@
 			if !l.renting {
 				l.wants = d.Rent
 			}
-			var moves map[string]ledger.CycleRecord
+			var moves map[string]jobstore.CycleRecord
 			if now.Sub(cycle) >= config.Seconds(l.n.tuning.Rebalance.EveryS) {
 				cycle = now
 				moves = l.m.PlanMoves(d.Wanted, now)
@@ -106,11 +106,11 @@
 
 // beginMoves commits a cycle's record, so that a new leader knows of the
 // moves, and then begins them.
-func (l *leadership) beginMoves(ctx context.Context, group string, rec ledger.CycleRecord) {
+func (l *leadership) beginMoves(ctx context.Context, group string, rec jobstore.CycleRecord) {
 	l.mu.Lock()
 	guards := l.m.MoveGuards()
 	l.mu.Unlock()
-	if err := l.put(ctx, ledger.Cycles+group, rec, guards...); err != nil {
+	if err := l.put(ctx, jobstore.Cycles+group, rec, guards...); err != nil {
 		l.movesRefused(ctx, group, err)
 		return
 	}
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -10,9 +10,9 @@
 
 	"github.com/umberdeal/umberdeal/cluster"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/plan"
-	"github.com/umberdeal/umberdeal/state"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -42,7 +42,7 @@
 	rev, known := uint64(0), false
 	for ctx.Err() == nil {
 		if !known {
-			_, at, err := n.state.List(ctx, ledger.PlanHeadKey)
+			_, at, err := n.state.List(ctx, jobstore.PlanHeadKey)
 			if err == nil {
 				_, err = n.readOrders(ctx)
 			}
@@ -53,9 +53,9 @@
 			rev, known = at, true
 			n.planAsked() // maybe before this watch
 		}
-		ev, err := n.state.Follow(ctx, ledger.Plans, rev, planBlock)
+		ev, err := n.state.Follow(ctx, jobstore.Plans, rev, planBlock)
 		switch {
-		case errors.Is(err, state.ErrTooOld):
+		case errors.Is(err, kvstore.ErrTooOld):
 			known = false
 		case err != nil:
 			call.Pause(ctx, time.Second+rand.N(time.Second))
@@ -66,7 +66,7 @@
 					continue // the same changes are told again
 				}
 				for _, e := range ev.Log {
-					if e.Put == ledger.PlanAskedKey {
+					if e.Put == jobstore.PlanAskedKey {
 						n.planAsked()
 					}
 				}
@@ -78,14 +78,14 @@
 
 // planIn reads the plan that holds. Where no version of it can be read, it is lost,
 // which is no error.
-func planIn(ctx context.Context, s ledger.Store) (cluster.Plan, ledger.PlanState, error) {
+func planIn(ctx context.Context, s jobstore.Store) (cluster.Plan, jobstore.PlanState, error) {
 	var got *plan.Plan
-	st, err := ledger.LoadPlan(ctx, s, func(text string) error {
+	st, err := jobstore.LoadPlan(ctx, s, func(text string) error {
 		p, err := plan.Parse(text)
 		got = p
 		return err
 	})
-	lost := errors.Is(err, ledger.ErrPlanDamaged)
+	lost := errors.Is(err, jobstore.ErrPlanDamaged)
 	if err != nil && !lost {
 		return cluster.Plan{}, st, err
 	}
@@ -121,7 +121,7 @@
 			n.log.Error("a record of the plan can't be read", "holds", p.Number, "err", t)
 		}
 		if lost {
-			n.log.Error("a record of the plan can't be read", "holds", p.Number, "err", ledger.ErrPlanDamaged)
+			n.log.Error("a record of the plan can't be read", "holds", p.Number, "err", jobstore.ErrPlanDamaged)
 		}
 		n.log.Info("plan read", "version", p.Number, "by", st.By, "note", st.Note)
 	}
--- a/controller/plan_test.go
+++ b/controller/plan_test.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -17,7 +17,7 @@
 	t.Helper()
 	for _, i := range nodes {
 		o := overview(t, w, i)
-		if !tell.Until(30*time.Second, 500*time.Millisecond, func() bool {
+		if !scenario.Until(30*time.Second, 500*time.Millisecond, func() bool {
 			o = overview(t, w, i)
 			return o.Orders != nil && o.Orders.Version == version && !o.Orders.Lost
 		}) {
@@ -119,7 +119,7 @@
 func TestNoPlanIsAppliedBeforeEveryNodeReadsPlans(t *testing.T) {
 	story(t, fake.Options{Machines: 4, Metrics: true, Older: []int{2}}, func(t *testing.T, w *fake.World) {
 		time.Sleep(5 * time.Second)
-		if _, err := tell.TryPlan(w, 0, `note = "one"`, time.Minute); !errors.Is(err, ledger.ErrPlanForm) {
+		if _, err := scenario.TryPlan(w, 0, `note = "one"`, time.Minute); !errors.Is(err, jobstore.ErrPlanForm) {
 			t.Fatalf("with a node that reads no plans: %v", err)
 		}
 		if o := overview(t, w, 0); o.Orders != nil {
@@ -130,8 +130,8 @@
 		w.StartNode(2)
 		time.Sleep(10 * time.Second)
 		applyPlan(t, w, 0, `note = "one"`)
-		var form ledger.FormRecord
-		if err := wire.Unmarshal(w.State.Value(ledger.FormKey), &form); err != nil || form.Form != ledger.FormPlan {
+		var form jobstore.FormRecord
+		if err := wire.Unmarshal(w.State.Value(jobstore.FormKey), &form); err != nil || form.Form != jobstore.FormPlan {
 			t.Fatalf("form %+v, %v", form, err)
 		}
 	})
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -7,9 +7,9 @@
 
 	"github.com/umberdeal/umberdeal/cluster"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/metrics"
-	"github.com/umberdeal/umberdeal/state"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -32,8 +32,8 @@
 		guards := []wire.Guard{l.guard(), byPlan}
 		var ops []wire.Op
 		for _, j := range jobs {
-			guards = append(guards, wire.Guard{Key: ledger.JobKey(j.ID)}, wire.Guard{Key: ledger.FinalKey(j.ID)})
-			ops = append(ops, wire.Op{Put: ledger.JobKey(j.ID), Value: j.Record})
+			guards = append(guards, wire.Guard{Key: jobstore.JobKey(j.ID)}, wire.Guard{Key: jobstore.FinalKey(j.ID)})
+			ops = append(ops, wire.Op{Put: jobstore.JobKey(j.ID), Value: j.Record})
 		}
 		_, err := l.n.state.Commit(ctx, guards, ops)
 		if err == nil {
@@ -41,7 +41,7 @@
 		}
 		// Those that were not recorded are asked for again under other names.
 		l.log.Debug("fetches of weights", "count", len(jobs), "err", err)
-		var c *state.Conflict
+		var c *kvstore.Conflict
 		if errors.As(err, &c) {
 			l.otherPlan(ctx)
 		}
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -11,9 +11,9 @@
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/fake"
 	"github.com/umberdeal/umberdeal/internal/plans"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/pools"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/warmpool"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -31,29 +31,29 @@
 }
 
 // poolState reads what is recorded of the pool.
-func poolState(t *testing.T, w *fake.World) pools.State {
+func poolState(t *testing.T, w *fake.World) warmpool.State {
 	t.Helper()
 	notes := map[string]wire.Raw{}
-	for _, k := range w.State.Keys(ledger.Notes) {
-		notes[strings.TrimPrefix(k, ledger.Notes)] = w.State.Value(k)
+	for _, k := range w.State.Keys(jobstore.Notes) {
+		notes[strings.TrimPrefix(k, jobstore.Notes)] = w.State.Value(k)
 	}
-	all, bad := pools.ReadStates(notes)
+	all, bad := warmpool.ReadStates(notes)
 	if len(all) > 1 || len(bad) > 0 {
 		t.Fatalf("%d pools recorded, unreadable: %v", len(all), bad)
 	}
 	if len(all) == 0 {
-		return pools.State{Shards: make([]pools.Shard, 1)} // not yet
+		return warmpool.State{Shards: make([]warmpool.Shard, 1)} // not yet
 	}
 	return all[0]
 }
 
 // mustBePaid checks that what the teams owe is what the machines cost.
-func mustBePaid(t *testing.T, s pools.State) {
+func mustBePaid(t *testing.T, s warmpool.State) {
 	t.Helper()
 	for _, why := range s.Audit() {
 		t.Error(why)
 	}
-	if _, machines := pools.Totals(s.Shards); machines.Ms == 0 {
+	if _, machines := warmpool.Totals(s.Shards); machines.Ms == 0 {
 		t.Error("nothing is charged")
 	}
 }
@@ -114,7 +114,7 @@
 }
 
 // awaitPool waits until what is recorded of the pool is as wanted.
-func awaitPool(t *testing.T, w *fake.World, what string, within time.Duration, ok func(s pools.State) bool) pools.State {
+func awaitPool(t *testing.T, w *fake.World, what string, within time.Duration, ok func(s warmpool.State) bool) warmpool.State {
 	t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(500 * time.Millisecond) {
 		s := poolState(t, w)
@@ -127,8 +127,8 @@
 	}
 }
 
-func full(n int) func(pools.State) bool {
-	return func(s pools.State) bool { return s.Note.Held == n && s.Note.Warm == n }
+func full(n int) func(warmpool.State) bool {
+	return func(s warmpool.State) bool { return s.Note.Held == n && s.Note.Warm == n }
 }
 
 // loseLeader ends the leader, and starts its node again a while later.
@@ -146,7 +146,7 @@
 	}{
 		{"between record and rental", func(t *testing.T, w *fake.World) {
 			w.Cloud.SetOutage(true)
-			for len(w.State.Keys(ledger.Rentals)) == 0 {
+			for len(w.State.Keys(jobstore.Rentals)) == 0 {
 				time.Sleep(100 * time.Millisecond)
 			}
 			w.KillNode(w.Leader())
@@ -201,7 +201,7 @@
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
 		applyPlan(t, w, 1, poolPlan(1, 4, ""))
-		awaitPool(t, w, "letting go", time.Minute, func(s pools.State) bool {
+		awaitPool(t, w, "letting go", time.Minute, func(s warmpool.State) bool {
 			for _, m := range s.Shards[0].Members {
 				if m.Leaving {
 					return true
@@ -210,7 +210,7 @@
 			return false
 		})
 		loseLeader(w)
-		s := awaitPool(t, w, "small", 3*time.Minute, func(s pools.State) bool { return len(s.Shards[0].Members) == 1 })
+		s := awaitPool(t, w, "small", 3*time.Minute, func(s warmpool.State) bool { return len(s.Shards[0].Members) == 1 })
 		mustBePaid(t, s)
 		if n := len(w.Cloud.Machines()); n != 1 || len(w.Cached("llm:v1")) != 1 {
 			t.Errorf("%d machines, %d with weights", n, len(w.Cached("llm:v1")))
@@ -444,7 +444,7 @@
 	story(t, poolWorld(2, 4), func(t *testing.T, w *fake.World) {
 		mustSubmit(t, w, replicas(1, 2))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 2*time.Minute)
-		if keys := w.State.Keys(ledger.Notes); len(keys) > 0 {
+		if keys := w.State.Keys(jobstore.Notes); len(keys) > 0 {
 			t.Errorf("%v", keys)
 		}
 	})
@@ -454,7 +454,7 @@
 	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.World) {
 		w.KnowNoOthers()
 		applyPlan(t, w, 0, poolPlan(2, 4, ""))
-		awaitPool(t, w, "told", 5*time.Minute, func(s pools.State) bool { return s.Note.Refused != "" })
+		awaitPool(t, w, "told", 5*time.Minute, func(s warmpool.State) bool { return s.Note.Refused != "" })
 		mustSubmit(t, w, replicas(1, 4))
 		awaitWarm(t, w, "llm:v1", 4, 5*time.Minute)
 		loseLeader(w)
@@ -512,7 +512,7 @@
 			story(t, o, func(t *testing.T, w *fake.World) {
 				rnd := rand.New(rand.NewPCG(seed, 11))
 				applyPlan(t, w, 0, poolPlan(3, 6, ""))
-				plan, next, running := tell.Plans{World: w, Version: 1}, 1, []string{}
+				plan, next, running := scenario.Plans{World: w, Version: 1}, 1, []string{}
 				for range 60 {
 					time.Sleep(time.Duration(5+rnd.IntN(15)) * time.Second)
 					machines := w.Cloud.Machines()
@@ -586,7 +586,7 @@
 		w.StartAll()
 		// An account is committed once a minute, so that how much of the time
 		// since is in it hangs on when the next leader began.
-		s := awaitPool(t, w, "charged", 3*time.Minute, func(s pools.State) bool {
+		s := awaitPool(t, w, "charged", 3*time.Minute, func(s warmpool.State) bool {
 			return s.Note.Payer == "clinic" && s.Shards[0].AtMs >= back.Add(50*time.Second).UnixMilli()
 		})
 		mustBePaid(t, s)
--- a/controller/poolsmeasure_test.go
+++ b/controller/poolsmeasure_test.go
@@ -13,9 +13,9 @@
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/fake"
 	"github.com/umberdeal/umberdeal/internal/plans"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/pools"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
+	"github.com/umberdeal/umberdeal/warmpool"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -36,8 +36,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		hour := time.Now().UTC().Truncate(24 * time.Hour).Add(25 * time.Hour)
 		typ := wire.MachineType{Name: "g8", CPUs: 8, GPUs: 8, MemoryGB: 64, CacheGB: 200, FetchGBPS: 1, Price: machineRate, SpotPrice: 5, BootS: 45, ZonesNamed: fake.Zones}
-		p := pools.Pool{Name: "llm", Model: "llm:v1", GB: b.gb, Types: []string{"g8"}, Zones: fake.Zones, Most: b.replicas,
-			Burst: pools.Burst{Replicas: b.replicas, WithinS: 10}, PerHour: 1e6, Payer: "speech"}
+		p := warmpool.Pool{Name: "llm", Model: "llm:v1", GB: b.gb, Types: []string{"g8"}, Zones: fake.Zones, Most: b.replicas,
+			Burst: warmpool.Burst{Replicas: b.replicas, WithinS: 10}, PerHour: 1e6, Payer: "speech"}
 		after := 5 * time.Minute
 		if b.fleet >= 1000 {
 			after, p.FetchAt = time.Minute, b.replicas/2 // less time to play
@@ -108,7 +108,7 @@
 			time.Sleep(70 * time.Second) // until the account is recorded
 			s := poolState(t, w)
 			mustBePaid(t, s)
-			_, machines := pools.Totals(s.Shards)
+			_, machines := warmpool.Totals(s.Shards)
 			cost = float64(machines.Micro) / 1e6
 		}
 	})
@@ -119,14 +119,14 @@
 // remember records two weeks in which the hour brought what it is to bring.
 func (b burst) remember(t *testing.T, w *fake.World, hour time.Time) {
 	t.Helper()
-	week := &pools.Week{}
+	week := &warmpool.Week{}
 	for k := 2; k > 0; k-- {
 		week.Want(b.replicas, hour.AddDate(0, 0, -7*k))
 		week.Want(0, hour.AddDate(0, 0, -7*k).Add(time.Hour))
 	}
-	st := state.New(w.Net.Dial("operator"), "state:1", 20, 20)
-	d := pools.Slot(hour) / 24
-	if _, err := st.Commit(context.Background(), nil, []wire.Op{{Put: ledger.Notes + pools.DayName("llm", d), Value: week.Day(d)}}); err != nil {
+	st := kvstore.New(w.Net.Dial("operator"), "state:1", 20, 20)
+	d := warmpool.Slot(hour) / 24
+	if _, err := st.Commit(context.Background(), nil, []wire.Op{{Put: jobstore.Notes + warmpool.DayName("llm", d), Value: week.Day(d)}}); err != nil {
 		t.Fatal(err)
 	}
 	loseLeader(w) // the next one reads it
@@ -205,9 +205,9 @@
 			}
 			for range 4 { // a key is written every half a second at most
 				time.Sleep(250 * time.Millisecond)
-				for key, v := range w.State.Versions(ledger.Notes) {
+				for key, v := range w.State.Versions(jobstore.Notes) {
 					if versions[key] != v {
-						part, _, _ := strings.Cut(strings.TrimPrefix(key, ledger.Notes), "/")
+						part, _, _ := strings.Cut(strings.TrimPrefix(key, jobstore.Notes), "/")
 						part, _, _ = strings.Cut(part, ".")
 						by[part]++
 						versions[key] = v
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -12,7 +12,7 @@
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/fake"
 	"github.com/umberdeal/umberdeal/internal/plans"
-	"github.com/umberdeal/umberdeal/internal/tell"
+	"github.com/umberdeal/umberdeal/internal/scenario"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -76,7 +76,7 @@
 	var ids, asked []string
 	cancelled, broken := map[string]bool{}, map[string]bool{}
 	faults := rand.New(rand.NewPCG(seed, 27))
-	plan := tell.Plans{World: w}
+	plan := scenario.Plans{World: w}
 	next := "" // the plan that is to be applied
 	if planned {
 		plan.Apply(randomPlan(rnd), time.Minute)
--- a/controller/renting.go
+++ b/controller/renting.go
@@ -10,7 +10,7 @@
 	"github.com/umberdeal/umberdeal/cluster"
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -61,14 +61,14 @@
 	if types == nil {
 		return false
 	}
-	return l.put(ctx, ledger.TypesKey, wire.Types{Types: types}) == nil
+	return l.put(ctx, jobstore.TypesKey, wire.Types{Types: types}) == nil
 }
 
 // giveBack returns machines. Their names are committed first: between the look
 // at the lease and the cloud's act may lie a minute, in which another leader has
 // begun and placed tasks on them, unless it reads here that they go.
 func (l *leadership) giveBack(ctx context.Context, names []string) {
-	if err := l.put(ctx, ledger.ReturnsKey, ledger.ReturnRecord{Machines: names}); err != nil {
+	if err := l.put(ctx, jobstore.ReturnsKey, jobstore.ReturnRecord{Machines: names}); err != nil {
 		l.log.Debug("return record", "err", err)
 		return
 	}
@@ -113,8 +113,8 @@
 func (l *leadership) rentOne(ctx context.Context, o cluster.Offer, count int) {
 	l.bons++
 	bon := fmt.Sprintf("r-%d-%d", l.term.Token, l.bons)
-	rec := ledger.RentalRecord{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count, AtMs: time.Now().UnixMilli()}
-	key := ledger.Rentals + bon
+	rec := jobstore.RentalRecord{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count, AtMs: time.Now().UnixMilli()}
+	key := jobstore.Rentals + bon
 	l.mu.Lock()
 	byPlan := l.m.PlanGuard()
 	l.mu.Unlock()
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -8,7 +8,7 @@
 
 	"github.com/umberdeal/umberdeal/admission"
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/mesh"
+	"github.com/umberdeal/umberdeal/peerrpc"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -74,13 +74,13 @@
 	return n.cfg.Cluster.Workers.LeaseS - agoS
 }
 
-func redirect(leader string) mesh.Answer {
+func redirect(leader string) peerrpc.Answer {
 	return answer(http.StatusMisdirectedRequest, wire.Redirect{Leader: leader}, 0)
 }
 
 // report serves a worker's report: here if this node leads, and otherwise by
 // passing it on to the leader, or by naming the node where the worker belongs.
-func (n *Node) report(ctx context.Context, who sender, body []byte) mesh.Answer {
+func (n *Node) report(ctx context.Context, who sender, body []byte) peerrpc.Answer {
 	machine := who.Machine
 	if l := n.leadership(); l != nil && l.term.Valid() {
 		if l.news(who) { // nobody is moved by a late copy
@@ -116,12 +116,12 @@
 // passOn passes a report on to the leader. What comes back is the leader's own
 // answer with its token: a 200 is the leader's, given while it was sure of its
 // lease, and everything else is a 503 here.
-func (n *Node) passOn(ctx context.Context, machine, leader string, body []byte) mesh.Answer {
+func (n *Node) passOn(ctx context.Context, machine, leader string, body []byte) peerrpc.Answer {
 	lane := n.lane(leader)
 	if lane == nil {
 		return answer(http.StatusServiceUnavailable, wire.Error{Error: "no such leader"}, 1)
 	}
-	r := mesh.Request{From: n.cfg.Node, Body: body, AgoS: -1}
+	r := peerrpc.Request{From: n.cfg.Node, Body: body, AgoS: -1}
 	if ago, ok := n.answered.Ago(machine, time.Now()); ok {
 		r.AgoS = ago.Seconds()
 	}
@@ -150,7 +150,7 @@
 }
 
 // Report implements mesh.Handler: a report that another node received.
-func (n *Node) Report(ctx context.Context, r mesh.Request) mesh.Answer {
+func (n *Node) Report(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	if !n.leads() {
 		// Sent away, the worker would come back in a second, by way of another
 		// node, and so would all others.
--- a/controller/route.go
+++ b/controller/route.go
@@ -10,7 +10,7 @@
 	"github.com/umberdeal/umberdeal/admission"
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/mesh"
+	"github.com/umberdeal/umberdeal/peerrpc"
 	"github.com/umberdeal/umberdeal/routing"
 )
 
@@ -198,7 +198,7 @@
 	}
 }
 
-func (n *Node) lane(name string) *mesh.Lane {
+func (n *Node) lane(name string) *peerrpc.Lane {
 	for _, l := range n.lanes {
 		if l.Name == name {
 			return l
@@ -208,13 +208,13 @@
 }
 
 // ask is what this node says of itself when it asks another.
-func (n *Node) ask() mesh.Request {
+func (n *Node) ask() peerrpc.Request {
 	lost, at := n.reader.Lost()
-	return mesh.Request{From: n.cfg.Node, Room: routing.Keep(n.cfg.Cluster.Limits.Sockets), Lost: lost, LostAt: at}
+	return peerrpc.Request{From: n.cfg.Node, Room: routing.Keep(n.cfg.Cluster.Limits.Sockets), Lost: lost, LostAt: at}
 }
 
 // Status implements mesh.Handler.
-func (n *Node) Status(asks mesh.Request) mesh.Status {
+func (n *Node) Status(asks peerrpc.Request) peerrpc.Status {
 	if asks.From != "" && n.lane(asks.From) != nil {
 		n.mu.Lock()
 		n.askers[asks.From] = asker{room: asks.Room, at: time.Now()}
@@ -223,7 +223,7 @@
 	if asks.Lost != "" {
 		n.told(asks.Lost, asks.LostAt)
 	}
-	s := mesh.Status{Node: n.cfg.Node, Leader: n.elector.Leader(), StateOK: n.stateOK(), Form: n.form()}
+	s := peerrpc.Status{Node: n.cfg.Node, Leader: n.elector.Leader(), StateOK: n.stateOK(), Form: n.form()}
 	if p := n.currentPlan(n.cfg.Node); p != nil && n.leads() {
 		s.Plan = &p.Plan
 	}
--- a/controller/stops.go
+++ b/controller/stops.go
@@ -10,8 +10,8 @@
 	"golang.org/x/time/rate"
 
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -84,14 +84,14 @@
 
 // failedFor says whether a transaction failed for a key.
 func failedFor(err error, key string) bool {
-	var c *state.Conflict
+	var c *kvstore.Conflict
 	return errors.As(err, &c) && slices.Contains(c.Failed, key)
 }
 
 // movesRefused is for a record of moves that was not committed.
 func (l *leadership) movesRefused(ctx context.Context, group string, err error) {
 	l.log.Debug("cycle record", "group", group, "err", err)
-	if failedFor(err, ledger.PlanHeadKey) {
+	if failedFor(err, jobstore.PlanHeadKey) {
 		l.otherPlan(ctx)
 	}
 }
--- a/controller/story_test.go
+++ b/controller/story_test.go
@@ -8,19 +8,19 @@
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
+	"github.com/umberdeal/umberdeal/internal/scenario"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
 // Stories are told in other packages as well.
 var (
-	story      = tell.Story
-	job        = tell.Job
-	gang       = tell.Gang
-	mustSubmit = tell.MustSubmit
-	mustReach  = tell.MustReach
-	mustFinish = tell.MustFinish
-	applyPlan  = tell.ApplyPlan
+	story      = scenario.Story
+	job        = scenario.Job
+	gang       = scenario.Gang
+	mustSubmit = scenario.MustSubmit
+	mustReach  = scenario.MustReach
+	mustFinish = scenario.MustFinish
+	applyPlan  = scenario.ApplyPlan
 )
 
 func TestArrayGangAndServiceLive(t *testing.T) {
--- a/controller/troubles_test.go
+++ b/controller/troubles_test.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -17,7 +17,7 @@
 func busy(t *testing.T, w *fake.World, machines int) {
 	t.Helper()
 	mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = machines, 5, 3600 }))
-	if !tell.Until(40*time.Second, time.Second, func() bool { return w.Running() == machines }) {
+	if !scenario.Until(40*time.Second, time.Second, func() bool { return w.Running() == machines }) {
 		t.Fatalf("%d tasks run", w.Running())
 	}
 }
@@ -43,7 +43,7 @@
 			t.Errorf("%d tasks on the mute machine", n)
 		}
 		w.Mute(at, false)
-		if !tell.Until(10*time.Second, 100*time.Millisecond, func() bool { return w.Load()[at] > 0 }) {
+		if !scenario.Until(10*time.Second, 100*time.Millisecond, func() bool { return w.Load()[at] > 0 }) {
 			t.Error("10 s after it hears again it has no task")
 		}
 		mustReach(t, w, "wk-000002", wire.JobDone, time.Minute)
@@ -106,12 +106,12 @@
 			id := job(1+i, nil).ID
 			mustSubmit(t, w, job(1+i, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 3, 2 }))
 			// By what is committed: a user who asks the dead node again and again learns it late.
-			if !tell.Until(20*time.Second, 500*time.Millisecond, func() bool { return len(w.State.Keys(ledger.FinalKey(id))) > 0 }) {
+			if !scenario.Until(20*time.Second, 500*time.Millisecond, func() bool { return len(w.State.Keys(jobstore.FinalKey(id))) > 0 }) {
 				t.Errorf("%s is not done within 20 s: it waits for the machine that is gone", id)
 			}
 			mustReach(t, w, id, wire.JobDone, time.Minute)
 		}
-		if !tell.Until(100*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
+		if !scenario.Until(100*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
 			t.Errorf("%d of the 3 long tasks run: the one that was on the machine waits for it", w.Running())
 		}
 	})
--- a/controller/users.go
+++ b/controller/users.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/mesh"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/metrics"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/peerrpc"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -42,7 +42,7 @@
 	return mux
 }
 
-func write(w http.ResponseWriter, a mesh.Answer) {
+func write(w http.ResponseWriter, a peerrpc.Answer) {
 	h := w.Header()
 	h.Set("Content-Type", wire.ContentType)
 	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
@@ -53,12 +53,12 @@
 	_, _ = w.Write(a.Body) // a client that went away needs no answer
 }
 
-func answer(status int, v any, retryAfter int) mesh.Answer {
+func answer(status int, v any, retryAfter int) peerrpc.Answer {
 	b, err := wire.Marshal(v)
 	if err != nil {
-		return mesh.Answer{Status: http.StatusInternalServerError}
+		return peerrpc.Answer{Status: http.StatusInternalServerError}
 	}
-	return mesh.Answer{Status: status, Body: b, RetryAfter: retryAfter}
+	return peerrpc.Answer{Status: status, Body: b, RetryAfter: retryAfter}
 }
 
 func writeError(w http.ResponseWriter, status int, text string, retryAfter int) {
@@ -75,7 +75,7 @@
 		writeError(w, http.StatusTooManyRequests, "too many requests under way", 1)
 		return
 	}
-	req := mesh.Request{Op: op, ID: r.PathValue("id")}
+	req := peerrpc.Request{Op: op, ID: r.PathValue("id")}
 	if op == opSubmit {
 		// One byte over the limit shows what is too large, and may have a known id.
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody+1))
@@ -97,7 +97,7 @@
 	write(w, a)
 }
 
-func (n *Node) refusals(op string, a mesh.Answer) {
+func (n *Node) refusals(op string, a peerrpc.Answer) {
 	if a.Status >= http.StatusBadRequest && a.Status != http.StatusNotFound {
 		n.metrics.Refused(op + " " + strconv.Itoa(a.Status))
 	}
@@ -133,7 +133,7 @@
 		return
 	}
 	defer n.polls.Leave()
-	a := n.user(ctx, mesh.Request{Op: opShow, ID: id})
+	a := n.user(ctx, peerrpc.Request{Op: opShow, ID: id})
 	if a.Status == http.StatusServiceUnavailable {
 		a.RetryAfter = n.turns.RetryIn(id, now)
 	}
@@ -143,7 +143,7 @@
 
 // user serves a user's request here, or asks another node where the state
 // service does not serve this one.
-func (n *Node) user(ctx context.Context, r mesh.Request) mesh.Answer {
+func (n *Node) user(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	local := n.stateOK()
 	if local {
 		a, err := n.localUser(ctx, r)
@@ -151,7 +151,7 @@
 			return a
 		}
 		n.log.Debug("user request", "op", r.Op, "id", r.ID, "err", err)
-		if errors.Is(err, state.ErrBusy) {
+		if errors.Is(err, kvstore.ErrBusy) {
 			// The others are as busy, and asking them would make it worse.
 			return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is busy"}, busyFor)
 		}
@@ -179,9 +179,9 @@
 
 // askOthers passes a user's request to the other nodes, those that answered last
 // time first. A submission that is passed on twice is one all the same.
-func (n *Node) askOthers(ctx context.Context, r mesh.Request) (mesh.Answer, bool) {
+func (n *Node) askOthers(ctx context.Context, r peerrpc.Request) (peerrpc.Answer, bool) {
 	peers := slices.Clone(n.peers)
-	slices.SortStableFunc(peers, func(a, b *mesh.Peer) int { return a.Missed().Compare(b.Missed()) })
+	slices.SortStableFunc(peers, func(a, b *peerrpc.Peer) int { return a.Missed().Compare(b.Missed()) })
 	for _, p := range peers {
 		if ctx.Err() != nil {
 			break
@@ -193,11 +193,11 @@
 			return a, true
 		}
 	}
-	return mesh.Answer{}, false
+	return peerrpc.Answer{}, false
 }
 
 // User implements mesh.Handler: it serves a request another node received.
-func (n *Node) User(ctx context.Context, r mesh.Request) mesh.Answer {
+func (n *Node) User(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	if n.stateOK() {
 		if r.From != "" {
 			return n.relayed(ctx, r)
@@ -209,7 +209,7 @@
 	return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is not reached"}, 1)
 }
 
-func (n *Node) localUser(ctx context.Context, r mesh.Request) (mesh.Answer, error) {
+func (n *Node) localUser(ctx context.Context, r peerrpc.Request) (peerrpc.Answer, error) {
 	switch r.Op {
 	case opSubmit:
 		return n.submit(ctx, r.Body, r.From)
@@ -225,13 +225,13 @@
 func retryRefused(ctx context.Context, f func() error) error {
 	for try := 0; ; try++ {
 		err := f()
-		if !errors.Is(err, state.ErrRefused) || try >= 3 || try >= 1 && errors.Is(err, state.ErrBusy) || !call.Pause(ctx, time.Duration(80+60*try)*time.Millisecond) {
+		if !errors.Is(err, kvstore.ErrRefused) || try >= 3 || try >= 1 && errors.Is(err, kvstore.ErrBusy) || !call.Pause(ctx, time.Duration(80+60*try)*time.Millisecond) {
 			return err
 		}
 	}
 }
 
-func (n *Node) status(v ledger.View) wire.JobStatus {
+func (n *Node) status(v jobstore.View) wire.JobStatus {
 	s := wire.JobStatus{ID: v.Record.Job.ID, State: v.Record.State, Done: v.Done, Running: v.Placed}
 	if v.Version == 0 {
 		s.Running = 0
@@ -247,7 +247,7 @@
 	return s
 }
 
-func (n *Node) lookup(ctx context.Context, id string) (v ledger.View, found bool, err error) {
+func (n *Node) lookup(ctx context.Context, id string) (v jobstore.View, found bool, err error) {
 	err = retryRefused(ctx, func() error {
 		v, found, err = n.reader.Lookup(ctx, id)
 		return err
@@ -255,13 +255,13 @@
 	return v, found, err
 }
 
-func (n *Node) show(ctx context.Context, id string) (mesh.Answer, error) {
+func (n *Node) show(ctx context.Context, id string) (peerrpc.Answer, error) {
 	if !wire.ValidUserID(id) {
 		return answer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
 	}
 	v, found, err := n.lookup(ctx, id)
 	if err != nil {
-		return mesh.Answer{}, err
+		return peerrpc.Answer{}, err
 	}
 	if !found {
 		return answer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
@@ -271,12 +271,12 @@
 
 // cancel takes a cancellation that users have sent here, or that another node, from,
 // has passed on.
-func (n *Node) cancel(ctx context.Context, id, from string) (mesh.Answer, error) {
+func (n *Node) cancel(ctx context.Context, id, from string) (peerrpc.Answer, error) {
 	if !wire.ValidUserID(id) {
 		return answer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
 	}
 	if _, over := n.reader.Remembered(id); from == "" && !over {
-		if a, ok := n.toBucketsNode(ctx, id, mesh.Request{Op: opCancel, ID: id}); ok {
+		if a, ok := n.toBucketsNode(ctx, id, peerrpc.Request{Op: opCancel, ID: id}); ok {
 			return a, nil
 		}
 	}
@@ -287,7 +287,7 @@
 		return err
 	})
 	if err != nil {
-		return mesh.Answer{}, err
+		return peerrpc.Answer{}, err
 	}
 	if !found {
 		return answer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
@@ -298,7 +298,7 @@
 
 // submit takes a submission that users have sent here, or that another node, from,
 // has passed on.
-func (n *Node) submit(ctx context.Context, body []byte, from string) (mesh.Answer, error) {
+func (n *Node) submit(ctx context.Context, body []byte, from string) (peerrpc.Answer, error) {
 	job, jerr := wire.DecodeJob(body)
 	leave, ok := n.enterTier(job.Team, job.Class)
 	if !ok {
@@ -314,7 +314,7 @@
 		if job.ID != "" {
 			v, found, err := n.lookup(ctx, job.ID)
 			if err != nil {
-				return mesh.Answer{}, err
+				return peerrpc.Answer{}, err
 			}
 			if found {
 				return answer(http.StatusOK, n.status(v), 0), nil
@@ -328,7 +328,7 @@
 		return answer(status, wire.Error{Error: jerr.Error()}, retry), nil
 	}
 	if from == "" {
-		if a, ok := n.toBucketsNode(ctx, job.ID, mesh.Request{Op: opSubmit, Body: body}); ok {
+		if a, ok := n.toBucketsNode(ctx, job.ID, peerrpc.Request{Op: opSubmit, Body: body}); ok {
 			return a, nil
 		}
 	}
@@ -336,24 +336,24 @@
 	at := time.Now()
 	err := retryRefused(ctx, func() (err error) {
 		known, err = n.reader.Accept(ctx, job, at)
-		if errors.Is(err, state.ErrUnknown) && ctx.Err() == nil {
+		if errors.Is(err, kvstore.ErrUnknown) && ctx.Err() == nil {
 			// It may have been committed: the guards tell.
 			known, err = n.reader.Accept(ctx, job, at)
 		}
 		return err
 	})
 	if err != nil {
-		return mesh.Answer{}, err
+		return peerrpc.Answer{}, err
 	}
 	if known {
 		v, found, err := n.lookup(ctx, job.ID)
 		if err != nil {
-			return mesh.Answer{}, err
+			return peerrpc.Answer{}, err
 		}
 		if found {
 			return answer(http.StatusOK, n.status(v), 0), nil
 		}
-		return mesh.Answer{}, fmt.Errorf("job %s: known, but not found", job.ID)
+		return peerrpc.Answer{}, fmt.Errorf("job %s: known, but not found", job.ID)
 	}
 	return answer(http.StatusCreated, wire.JobStatus{ID: job.ID, State: wire.JobPending}, 0), nil
 }
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -29,7 +29,7 @@
 	t.Helper()
 	if n, many := manySeeds(); many {
 		seeds = n
-	} else if tell.UnderRace {
+	} else if scenario.UnderRace {
 		seeds = 1
 	}
 	const moreSeeds = 8
@@ -61,7 +61,7 @@
 
 // when waits for what will be so at any moment, and says whether it was.
 func when(within time.Duration, ok func() bool) bool {
-	return tell.Until(within, time.Millisecond, ok)
+	return scenario.Until(within, time.Millisecond, ok)
 }
 
 func exists(w *fake.World, key string) bool {
@@ -118,7 +118,7 @@
 							break
 						}
 					}
-				} else if !tell.Until(time.Minute, 50*time.Millisecond, func() bool { return w.Poll(w.Bind(at), j.ID) == wire.JobDone }) {
+				} else if !scenario.Until(time.Minute, 50*time.Millisecond, func() bool { return w.Poll(w.Bind(at), j.ID) == wire.JobDone }) {
 					t.Errorf("%s is not done", j.ID)
 				}
 				look(j.ID)
@@ -155,7 +155,7 @@
 				var status int
 				var state string
 				wg.Go(func() { status, state = w.SubmitAt(a, j); knows.Store(true) })
-				if !lose(w, rnd, ledger.JobKey(j.ID)) {
+				if !lose(w, rnd, jobstore.JobKey(j.ID)) {
 					t.Errorf("%s is not in the store", j.ID)
 				}
 				read := w.Poll(w.Bind(b), j.ID) != "" && !knows.Load()
@@ -188,7 +188,7 @@
 				var wg sync.WaitGroup
 				var state string
 				wg.Go(func() { state = w.CancelAt(w.Bind(a), j.ID); knows.Store(true) })
-				if !lose(w, rnd, ledger.FinalKey(j.ID)) {
+				if !lose(w, rnd, jobstore.FinalKey(j.ID)) {
 					t.Errorf("%s is not cancelled in the store", j.ID)
 				}
 				if w.Poll(w.Bind((a+1)%3), j.ID) == wire.JobCancelled && !knows.Load() {
@@ -213,7 +213,7 @@
 					t.Fatalf("%s does not run", j.ID)
 				}
 				started := w.Started()
-				if !lose(w, rnd, ledger.FinalKey(j.ID)) {
+				if !lose(w, rnd, jobstore.FinalKey(j.ID)) {
 					t.Errorf("%s is not over in the store", j.ID)
 				}
 				if sent, _ := w.State.Unanswered(); sent > met {
@@ -246,7 +246,7 @@
 					t.Errorf("cancelling %s is answered %q", j.ID, got)
 				}
 				// The placement is in the store, and the leader does not know it.
-				if sent, done := w.State.Unanswered(); sent > had && done == sent && len(w.State.Keys(strings.TrimSuffix(ledger.PageKey(0), "0"))) > 0 {
+				if sent, done := w.State.Unanswered(); sent > had && done == sent && len(w.State.Keys(strings.TrimSuffix(jobstore.PageKey(0), "0"))) > 0 {
 					met++
 				}
 				w.CloseLooks(j.ID, 1)
@@ -276,7 +276,7 @@
 					t.Fatalf("%s does not run", j.ID)
 				}
 				time.Sleep(within(rnd, 500*time.Millisecond, 1500*time.Millisecond))
-				come := w.State.KeepNextOf(ledger.FinalKey(j.ID))
+				come := w.State.KeepNextOf(jobstore.FinalKey(j.ID))
 				defer come()
 				var knows atomic.Bool
 				var wg sync.WaitGroup
@@ -284,7 +284,7 @@
 				wg.Go(func() { state = w.CancelAt(w.Bind(a), j.ID); knows.Store(true) })
 				onItsWay := when(time.Second, func() bool { return w.State.Waiting() > 0 })
 				// Its sender asks the store again after 2 s: by then the job may have ended.
-				ended := when(10*time.Second, func() bool { return knows.Load() || exists(w, ledger.FinalKey(j.ID)) })
+				ended := when(10*time.Second, func() bool { return knows.Load() || exists(w, jobstore.FinalKey(j.ID)) })
 				if onItsWay && ended && !knows.Load() {
 					met++
 				}
@@ -309,13 +309,13 @@
 		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
 			for n := range 6 {
 				j, cancels := quick(n+1), rnd.IntN(2) == 0
-				come := w.State.KeepNextOf(ledger.FinalKey(j.ID))
+				come := w.State.KeepNextOf(jobstore.FinalKey(j.ID))
 				defer come()
 				mustSubmit(t, w, j)
 				if !when(time.Minute, func() bool { return w.State.Waiting() > 0 }) {
 					t.Fatalf("no end of %s is on its way", j.ID)
 				}
-				if w.Finished(j.ID) == 1 && !exists(w, ledger.FinalKey(j.ID)) {
+				if w.Finished(j.ID) == 1 && !exists(w, jobstore.FinalKey(j.ID)) {
 					met++
 				}
 				want := wire.JobDone
@@ -323,7 +323,7 @@
 					time.Sleep(within(rnd, 0, 3*time.Second))
 					want = w.Cancel(j.ID)
 				}
-				if !when(10*time.Second, func() bool { return exists(w, ledger.FinalKey(j.ID)) }) {
+				if !when(10*time.Second, func() bool { return exists(w, jobstore.FinalKey(j.ID)) }) {
 					t.Errorf("%s, which is done, is not recorded as such", j.ID)
 				}
 				w.CloseLooks(j.ID, 1)
@@ -333,7 +333,7 @@
 					t.Errorf("%s is %q, and was %q", j.ID, got, want)
 				}
 			}
-			if !tell.Until(10*time.Second, 100*time.Millisecond, func() bool { return len(w.State.JobKeys()) == 0 }) {
+			if !scenario.Until(10*time.Second, 100*time.Millisecond, func() bool { return len(w.State.JobKeys()) == 0 }) {
 				t.Errorf("left of jobs that are over: %v", w.State.JobKeys())
 			}
 			return met
@@ -416,7 +416,7 @@
 				t.Fatalf("%s does not run", j.ID)
 			}
 			time.Sleep(time.Duration(rnd.IntN(300)) * time.Millisecond)
-			between := w.Finished(j.ID) == 1 && !exists(w, ledger.FinalKey(j.ID))
+			between := w.Finished(j.ID) == 1 && !exists(w, jobstore.FinalKey(j.ID))
 			var looks sync.WaitGroup
 			looks.Go(func() { w.CloseLooks(j.ID, 3) })
 			got := ""
@@ -447,12 +447,12 @@
 
 // pageOf is the key of the intake page on which a job stands; empty: it is on none.
 func pageOf(w *fake.World, id string) string {
-	for _, key := range w.State.Keys(ledger.Jobs) {
-		if !ledger.IsIntake(key) {
+	for _, key := range w.State.Keys(jobstore.Jobs) {
+		if !jobstore.IsIntake(key) {
 			continue
 		}
-		page, err := ledger.DecodeIntake(w.State.Value(key))
-		if err == nil && slices.ContainsFunc(page.Jobs, func(e ledger.IntakeEntry) bool { return e.ID == id }) {
+		page, err := jobstore.DecodeIntake(w.State.Value(key))
+		if err == nil && slices.ContainsFunc(page.Jobs, func(e jobstore.IntakeEntry) bool { return e.ID == id }) {
 			return key
 		}
 	}
@@ -461,8 +461,8 @@
 
 // headOpen says whether the head of a page's bucket is open.
 func headOpen(w *fake.World, page string) bool {
-	bucket, _, ok := ledger.ParseIntakeKey(page)
-	head, err := ledger.DecodeIntake(w.State.Value(ledger.HeadKey(bucket)))
+	bucket, _, ok := jobstore.ParseIntakeKey(page)
+	head, err := jobstore.DecodeIntake(w.State.Value(jobstore.HeadKey(bucket)))
 	return ok && err == nil && !head.Closed
 }
 
@@ -506,13 +506,13 @@
 			for _, j := range jobs {
 				at, after := rnd.IntN(3), time.Duration(rnd.IntN(900))*time.Millisecond
 				wg.Go(func() {
-					if !tell.Until(time.Minute, 5*time.Millisecond, func() bool { return w.Finished(j.ID) == 1 }) {
+					if !scenario.Until(time.Minute, 5*time.Millisecond, func() bool { return w.Finished(j.ID) == 1 }) {
 						t.Errorf("%s does not run", j.ID)
 						return
 					}
 					time.Sleep(after)
 					page := pageOf(w, j.ID)
-					between := page != "" && !exists(w, ledger.FinalKey(j.ID))
+					between := page != "" && !exists(w, jobstore.FinalKey(j.ID))
 					var looks sync.WaitGroup
 					looks.Go(func() { w.CloseLooks(j.ID, 2) })
 					got := ""
@@ -584,9 +584,9 @@
 			}
 		})
 		time.Sleep(300 * time.Millisecond)
-		if !slices.ContainsFunc(w.State.Keys(ledger.HeadKey(0)[:len(ledger.HeadKey(0))-1]), func(key string) bool {
-			head, err := ledger.DecodeIntake(w.State.Value(key))
-			return ledger.IsHead(key) && err == nil && !head.Closed
+		if !slices.ContainsFunc(w.State.Keys(jobstore.HeadKey(0)[:len(jobstore.HeadKey(0))-1]), func(key string) bool {
+			head, err := jobstore.DecodeIntake(w.State.Value(key))
+			return jobstore.IsHead(key) && err == nil && !head.Closed
 		}) {
 			t.Error("no head is open: there is no crowd")
 		}
@@ -628,7 +628,7 @@
 			wg.Go(func() { status, _ = w.SubmitAt(a, j) })
 			time.Sleep(time.Duration(20+rnd.IntN(1500)) * time.Millisecond)
 			for b := range 3 {
-				if w.Look(b, j.ID) == http.StatusNotFound && !exists(w, ledger.JobKey(j.ID)) {
+				if w.Look(b, j.ID) == http.StatusNotFound && !exists(w, jobstore.JobKey(j.ID)) {
 					met++
 				} else {
 					t.Errorf("%s is known, or not told to be unknown, at node %d", j.ID, b)
@@ -784,7 +784,7 @@
 			w.KeepOnlyWorkers(leader, true)
 		}
 		wg.Wait()
-		changed := tell.Until(30*time.Second, 100*time.Millisecond, func() bool {
+		changed := scenario.Until(30*time.Second, 100*time.Millisecond, func() bool {
 			v := w.State.Versions("ctl/leader")["ctl/leader"]
 			return v != 0 && v != before
 		})
@@ -844,7 +844,7 @@
 // manySmallJobs lets jobs come while the state service takes so many changes a second.
 // No more keys of unfinished jobs than that are there at once, and nothing takes longer.
 func manySmallJobs(t *testing.T, during time.Duration, changes float64, keys int, accept, cancel, end time.Duration) {
-	if tell.UnderRace {
+	if scenario.UnderRace {
 		during = 30 * time.Second
 	}
 	meetings(t, 2, fake.Options{Machines: 10, Capacity: 10, StateRPS: 120, StateWPS: changes}, func(t *testing.T, w *fake.World, rnd *rand.Rand) int {
@@ -884,7 +884,7 @@
 					return
 				}
 				at = time.Now()
-				if !tell.Until(time.Minute, 100*time.Millisecond, func() bool { return exists(w, ledger.FinalKey(j.ID)) }) {
+				if !scenario.Until(time.Minute, 100*time.Millisecond, func() bool { return exists(w, jobstore.FinalKey(j.ID)) }) {
 					t.Errorf("%s is not recorded as done", j.ID)
 				}
 				note(&slowestEnd, at)
@@ -905,7 +905,7 @@
 		if left := w.State.JobKeys(); len(left) > 0 {
 			t.Errorf("left of jobs that are over: %v", left)
 		}
-		if got := len(w.State.Keys(ledger.FinalKey(""))); got != n {
+		if got := len(w.State.Keys(jobstore.FinalKey(""))); got != n {
 			t.Errorf("%d ends of %d jobs", got, n)
 		}
 		return cancelled
@@ -929,7 +929,7 @@
 					return
 				}
 				time.Sleep(after)
-				alone := exists(w, ledger.JobKey(j.ID))
+				alone := exists(w, jobstore.JobKey(j.ID))
 				at := time.Now()
 				got := w.Cancel(j.ID)
 				mu.Lock()
--- a/controller/writing.go
+++ b/controller/writing.go
@@ -11,8 +11,8 @@
 	"github.com/umberdeal/umberdeal/cluster"
 	"github.com/umberdeal/umberdeal/election"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -128,7 +128,7 @@
 // settle finds out why a batch was not committed.
 func (l *leadership) settle(ctx context.Context, b *cluster.Batch, err error) {
 	l.log.Debug("commit", "err", err, "ops", len(b.Ops))
-	var c *state.Conflict
+	var c *kvstore.Conflict
 	if errors.As(err, &c) {
 		for _, key := range c.Failed {
 			if key == election.Key {
@@ -138,7 +138,7 @@
 			if b.IsJob(key) {
 				continue // the watch tells what happened to it
 			}
-			if key == ledger.PlanHeadKey {
+			if key == jobstore.PlanHeadKey {
 				l.otherPlan(ctx)
 				continue
 			}
@@ -151,7 +151,7 @@
 		if berr := l.barrier(ctx); berr != nil {
 			l.log.Debug("barrier", "err", berr)
 		}
-	} else if errors.Is(err, state.ErrInvalid) {
+	} else if errors.Is(err, kvstore.ErrInvalid) {
 		l.log.Error("the state service refuses a transaction as malformed", "err", err, "ops", len(b.Ops))
 	}
 	l.mu.Lock()
--- a/election/election.go
+++ b/election/election.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -151,7 +151,7 @@
 			// letting everybody wait for it.
 			e.Log.Info("ending the lease of this node's earlier process", "token", entry.Version)
 			e.setLeader("")
-			if err := e.Store.Release(ctx, rec.Lease); err != nil && !errors.Is(err, state.ErrNoLease) {
+			if err := e.Store.Release(ctx, rec.Lease); err != nil && !errors.Is(err, kvstore.ErrNoLease) {
 				return err
 			}
 			return nil
@@ -178,7 +178,7 @@
 		return err
 	}
 	token, err := e.Store.Commit(ctx, []wire.Guard{{Key: Key}}, []wire.Op{{Put: Key, Value: record{e.Self, lease}, Lease: lease}})
-	if errors.Is(err, state.ErrUnknown) {
+	if errors.Is(err, kvstore.ErrUnknown) {
 		// The commit may have been applied, or may yet be: only the key tells.
 		entry, gerr := e.Store.Get(ctx, Key)
 		if gerr != nil {
@@ -237,7 +237,7 @@
 		asked := time.Now()
 		err := e.renew(ctx, t, isReady, sure)
 		switch {
-		case errors.Is(err, state.ErrNoLease):
+		case errors.Is(err, kvstore.ErrNoLease):
 			t.Resign()
 			continue
 		case err == nil && isReady:
@@ -283,7 +283,7 @@
 			return err
 		}
 		if entry.Version != t.Token {
-			return state.ErrNoLease
+			return kvstore.ErrNoLease
 		}
 	}
 	return e.ReadBarrier(ctx, t)
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -39,7 +39,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.entry.Version != 0 || !h.released.IsZero() {
-		return 0, &state.Conflict{Failed: []string{Key}}
+		return 0, &kvstore.Conflict{Failed: []string{Key}}
 	}
 	raw, err := wire.Marshal(ops[0].Value)
 	h.entry = wire.Entry{Key: Key, Value: raw, Version: 5, Lease: ops[0].Lease}
@@ -50,7 +50,7 @@
 
 func (h *held) Touch(context.Context, uint64) error {
 	if !h.ended().IsZero() {
-		return state.ErrNoLease
+		return kvstore.ErrNoLease
 	}
 	time.Sleep(h.renewal)
 	return nil
@@ -64,7 +64,7 @@
 	}
 	h.mu.Unlock()
 	<-ctx.Done()
-	return state.ErrUnknown
+	return kvstore.ErrUnknown
 }
 
 func (h *held) Follow(ctx context.Context, _ string, _ uint64, _ time.Duration) (wire.Events, error) {
--- a/internal/fake/answers.go
+++ b/internal/fake/answers.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -396,7 +396,7 @@
 // checkEnds sees to it that how a job ended is written once; the state's lock is held.
 func (s *State) checkEnds(t *txn) {
 	for _, op := range t.Then {
-		id, ok := ledger.ParseFinalKey(op.Put + op.Delete)
+		id, ok := jobstore.ParseFinalKey(op.Put + op.Delete)
 		if _, again := s.keys[op.Put+op.Delete]; ok && again && s.breaks != nil {
 			s.breaks("how %s ended is written again", id)
 		}
--- a/internal/fake/lagging.go
+++ b/internal/fake/lagging.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/election"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -136,8 +136,8 @@
 
 // leadersAlone says whether a key is written by leaders alone.
 func leadersAlone(key string) bool {
-	_, page := ledger.ParsePageKey(key)
-	return page || strings.HasPrefix(key, ledger.Cycles) || strings.HasPrefix(key, ledger.Rentals) || key == ledger.ReturnsKey
+	_, page := jobstore.ParsePageKey(key)
+	return page || strings.HasPrefix(key, jobstore.Cycles) || strings.HasPrefix(key, jobstore.Rentals) || key == jobstore.ReturnsKey
 }
 
 // changes says whether a transaction changes a key that begins so.
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -68,9 +68,9 @@
 // until ctx ends.
 func (w *World) LearnJobs(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, key := range w.State.Keys(ledger.JobKey("")) {
-			var page ledger.IntakeRecord
-			if ledger.IsIntake(key) && wire.Unmarshal(w.State.Value(key), &page) == nil {
+		for _, key := range w.State.Keys(jobstore.JobKey("")) {
+			var page jobstore.IntakeRecord
+			if jobstore.IsIntake(key) && wire.Unmarshal(w.State.Value(key), &page) == nil {
 				for _, e := range page.Jobs {
 					if rec, err := e.Decode(); err == nil {
 						w.Know(rec.Job)
@@ -78,7 +78,7 @@
 				}
 				continue
 			}
-			var rec ledger.JobRecord
+			var rec jobstore.JobRecord
 			if wire.Unmarshal(w.State.Value(key), &rec) == nil && strings.HasPrefix(rec.Job.ID, wire.JobPrefix) {
 				w.Know(rec.Job)
 			}
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -17,7 +17,7 @@
 	"golang.org/x/time/rate"
 
 	"github.com/umberdeal/umberdeal/election"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -253,9 +253,9 @@
 // JobKeys lists the keys that say something of unfinished jobs: heads of buckets
 // stay when they are empty.
 func (s *State) JobKeys() []string {
-	return slices.DeleteFunc(s.Keys(ledger.Active), func(k string) bool {
-		var page ledger.IntakeRecord
-		return k == ledger.FormKey || ledger.IsHead(k) && wire.Unmarshal(s.Value(k), &page) == nil && len(page.Jobs) == 0
+	return slices.DeleteFunc(s.Keys(jobstore.Active), func(k string) bool {
+		var page jobstore.IntakeRecord
+		return k == jobstore.FormKey || jobstore.IsHead(k) && wire.Unmarshal(s.Value(k), &page) == nil && len(page.Jobs) == 0
 	})
 }
 
@@ -568,14 +568,14 @@
 	on := func(key string) bool {
 		return slices.ContainsFunc(t.If, func(g wire.Guard) bool { return g.Key == key })
 	}
-	if s.breaks == nil || !on(election.Key) || on(ledger.PlanHeadKey) {
+	if s.breaks == nil || !on(election.Key) || on(jobstore.PlanHeadKey) {
 		return
 	}
 	for _, op := range t.Then {
-		if _, ok := ledger.ParsePageKey(op.Put); !ok {
+		if _, ok := jobstore.ParsePageKey(op.Put); !ok {
 			continue
 		}
-		var was, is ledger.PageRecord
+		var was, is jobstore.PageRecord
 		if wire.Unmarshal(op.Value, &is) != nil {
 			s.breaks("unreadable page %s", op.Put)
 			continue
@@ -584,7 +584,7 @@
 			continue // a story has damaged it
 		}
 		there := map[string]bool{}
-		name := func(job string, p ledger.Placement) string { return fmt.Sprint(job, p.Task, p.Attempt, p.Machine) }
+		name := func(job string, p jobstore.Placement) string { return fmt.Sprint(job, p.Task, p.Attempt, p.Machine) }
 		for _, c := range was.Chunks {
 			for _, p := range c.Placed {
 				there[name(c.Job, p)] = true
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -14,7 +14,7 @@
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -219,8 +219,8 @@
 	if j := w.jobs[id]; j != nil || wire.ValidUserID(id) || w.strict {
 		return j
 	}
-	var rec ledger.JobRecord
-	if wire.Unmarshal(w.State.Value(ledger.JobKey(id)), &rec) != nil {
+	var rec jobstore.JobRecord
+	if wire.Unmarshal(w.State.Value(jobstore.JobKey(id)), &rec) != nil {
 		return nil
 	}
 	w.jobs[id] = &job{spec: rec.Job, accepted: true, done: map[int]bool{}}
--- a/internal/pipe/pipe.go
+++ b/internal/memnet/pipe.go
@@ -1,6 +1,6 @@
 // Package pipe is a listener and its dialler in memory, for tests that need no
 // more of a network than that.
-package pipe
+package memnet
 
 import (
 	"context"
--- a/internal/tell/apart.go
+++ b/internal/scenario/apart.go
@@ -1,4 +1,4 @@
-package tell
+package scenario
 
 import (
 	"bytes"
--- a/internal/tell/plans.go
+++ b/internal/scenario/plans.go
@@ -1,4 +1,4 @@
-package tell
+package scenario
 
 import (
 	"context"
@@ -7,8 +7,8 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 )
 
 // TryPlan applies a plan on a version as the operators' command does, and returns
@@ -16,8 +16,8 @@
 func TryPlan(w *fake.World, base int, text string, within time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	st := state.New(w.Net.Dial("operator"), "state:1", 20, 20)
-	v, err := ledger.ApplyPlan(ctx, st, ledger.Limits{TxnOps: 12, ValueKB: 16}, ledger.PlanChange{Base: base, Text: text, By: "ops", At: time.Now()})
+	st := kvstore.New(w.Net.Dial("operator"), "state:1", 20, 20)
+	v, err := jobstore.ApplyPlan(ctx, st, jobstore.Limits{TxnOps: 12, ValueKB: 16}, jobstore.PlanChange{Base: base, Text: text, By: "ops", At: time.Now()})
 	return v.Number, err
 }
 
@@ -39,7 +39,7 @@
 // to have worked. Where another version is in force, that one is known from now on.
 func (p *Plans) Apply(text string, within time.Duration) bool {
 	n, err := TryPlan(p.World, p.Version, text, within)
-	var moved *ledger.PlanMoved
+	var moved *jobstore.PlanMoved
 	if err == nil {
 		p.Version = n
 	} else if errors.As(err, &moved) {
--- a/internal/tell/tell.go
+++ b/internal/scenario/tell.go
@@ -1,7 +1,7 @@
 // Package tell is how stories are told: a world in simulated time, jobs, and
 // what must come of them. Each package that tells stories has a test process of
 // its own, since the race detector's runtime bears only so many goroutines in one.
-package tell
+package scenario
 
 import (
 	"fmt"
--- a/ledger/accept.go
+++ b/jobstore/accept.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -312,7 +312,7 @@
 			q.alone--
 			r.mu.Unlock()
 		}
-		var c *state.Conflict
+		var c *kvstore.Conflict
 		switch {
 		case err == nil:
 			r.wrote(ops, rev)
@@ -327,7 +327,7 @@
 			return false, err
 		}
 	}
-	return false, fmt.Errorf("%w: too many conflicts", state.ErrRefused)
+	return false, fmt.Errorf("%w: too many conflicts", kvstore.ErrRefused)
 }
 
 func (r *Reader) headVersion(key string) uint64 {
@@ -368,7 +368,7 @@
 // under way share the next.
 func (r *Reader) enqueue(bucket int, q *queue, e IntakeEntry, tier int) (*submission, error) {
 	if r.ctx == nil || r.ended {
-		return nil, fmt.Errorf("%w: shutting down", state.ErrRefused)
+		return nil, fmt.Errorf("%w: shutting down", kvstore.ErrRefused)
 	}
 	s := &submission{entry: e, tier: tier, done: make(chan accepted, 1)}
 	q.waiting = append(q.waiting, s)
@@ -394,7 +394,7 @@
 		r.mu.Lock()
 		q.waiting = slices.DeleteFunc(q.waiting, func(o *submission) bool { return o == s })
 		r.mu.Unlock()
-		return false, fmt.Errorf("%w: %v", state.ErrUnknown, ctx.Err())
+		return false, fmt.Errorf("%w: %v", kvstore.ErrUnknown, ctx.Err())
 	}
 }
 
@@ -535,7 +535,7 @@
 			}
 			return
 		}
-		var c *state.Conflict
+		var c *kvstore.Conflict
 		switch {
 		case errors.As(err, &c):
 			answer(func(s *submission) bool {
@@ -544,7 +544,7 @@
 			if !slices.Contains(c.Failed, HeadKey(bucket)) && !slices.Contains(c.Failed, FormKey) {
 				continue
 			}
-		case errors.Is(err, state.ErrUnknown):
+		case errors.Is(err, kvstore.ErrUnknown):
 			// It may have been committed: then the head has them.
 		default:
 			answer(all, accepted{err: err})
@@ -555,8 +555,8 @@
 			break
 		}
 	}
-	if err == nil || errors.As(err, new(*state.Conflict)) {
-		err = fmt.Errorf("%w: too many conflicts", state.ErrRefused)
+	if err == nil || errors.As(err, new(*kvstore.Conflict)) {
+		err = fmt.Errorf("%w: too many conflicts", kvstore.ErrRefused)
 	}
 	answer(all, accepted{err: err})
 }
--- a/ledger/ending.go
+++ b/jobstore/ending.go
@@ -1,11 +1,11 @@
-package ledger
+package jobstore
 
 import (
 	"context"
 	"fmt"
 	"slices"
 
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -28,7 +28,7 @@
 	r.mu.Lock()
 	if r.ctx == nil || r.ended {
 		r.mu.Unlock()
-		return fmt.Errorf("%w: shutting down", state.ErrRefused)
+		return fmt.Errorf("%w: shutting down", kvstore.ErrRefused)
 	}
 	bucket := r.form.Bucket(id)
 	q := r.queue(bucket)
@@ -42,7 +42,7 @@
 		r.mu.Lock()
 		q.ending = slices.DeleteFunc(q.ending, func(o *ending) bool { return o == e })
 		r.mu.Unlock()
-		return fmt.Errorf("%w: %v", state.ErrUnknown, ctx.Err()) // it may be under way
+		return fmt.Errorf("%w: %v", kvstore.ErrUnknown, ctx.Err()) // it may be under way
 	}
 }
 
@@ -82,7 +82,7 @@
 	p := r.intake[home]
 	for _, e := range ends {
 		if p == nil || !slices.ContainsFunc(p.rec.Jobs, func(o IntakeEntry) bool { return o.ID == e.id }) || ids[e.id] {
-			e.done <- fmt.Errorf("%w: the job has moved", state.ErrUnknown)
+			e.done <- fmt.Errorf("%w: the job has moved", kvstore.ErrUnknown)
 			continue
 		}
 		ids[e.id] = true
--- a/ledger/ends.go
+++ b/jobstore/ends.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"cmp"
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -215,4 +215,4 @@
 	return key[:last] + string(key[last]-1) + "~"
 }
 
-func refused(ctx context.Context) error { return fmt.Errorf("%w: %v", state.ErrRefused, ctx.Err()) }
+func refused(ctx context.Context) error { return fmt.Errorf("%w: %v", kvstore.ErrRefused, ctx.Err()) }
--- a/ledger/export_test.go
+++ b/jobstore/export_test.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import "github.com/umberdeal/umberdeal/wire"
 
