--- a/ledger/intake_test.go
+++ b/jobstore/intake_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package jobstore_test
 
 import (
 	"bytes"
@@ -16,16 +16,16 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
 // calm is for how long heads stay open after a crowd.
 const calm = 5 * time.Second
 
-var limits = ledger.Limits{TxnOps: 12, ValueKB: 16}
+var limits = jobstore.Limits{TxnOps: 12, ValueKB: 16}
 
 func job(n int) wire.Job {
 	return wire.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "tile-rebuild", Team: "core", Kind: wire.KindArray, Priority: wire.PriorityNormal,
@@ -33,13 +33,13 @@
 }
 
 // nodes plays a story with that many readers of one store.
-func nodes(t *testing.T, n int, s *store, play func(rs []*ledger.Reader)) {
+func nodes(t *testing.T, n int, s *store, play func(rs []*jobstore.Reader)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
-	var rs []*ledger.Reader
+	var rs []*jobstore.Reader
 	for range n {
-		r := ledger.NewReader(s)
+		r := jobstore.NewReader(s)
 		r.Limits = limits
 		rs = append(rs, r)
 		wg.Go(func() { r.Run(ctx) })
@@ -51,7 +51,7 @@
 }
 
 // accept submits as a user does: again after a second, for a minute.
-func accept(ctx context.Context, r *ledger.Reader, j wire.Job) (known, ok bool) {
+func accept(ctx context.Context, r *jobstore.Reader, j wire.Job) (known, ok bool) {
 	for range 60 {
 		actx, cancel := context.WithTimeout(ctx, 3500*time.Millisecond)
 		known, err := r.Accept(actx, j, time.Now())
@@ -70,7 +70,7 @@
 // final stays.
 func TestAnIDIsAcceptedOnceWhicheverNodesItReaches(t *testing.T) {
 	seeds := uint64(10)
-	if tell.UnderRace {
+	if scenario.UnderRace {
 		seeds = 2
 	}
 	for seed := range seeds {
@@ -90,7 +90,7 @@
 					if accepted[id] && len(at) == 0 {
 						t.Errorf("seed %d: %s was accepted, and stands nowhere", seed, id)
 					}
-					if told[id] != "" && (len(at) != 1 || at[0] != ledger.FinalKey(id)) {
+					if told[id] != "" && (len(at) != 1 || at[0] != jobstore.FinalKey(id)) {
 						t.Errorf("seed %d: %s was called %s, and stands at %v", seed, id, told[id], at)
 					}
 				}
@@ -103,7 +103,7 @@
 				}
 				told[id] = what
 			}
-			nodes(t, 7, s, func(rs []*ledger.Reader) {
+			nodes(t, 7, s, func(rs []*jobstore.Reader) {
 				rnd := rand.New(rand.NewPCG(seed, 9))
 				var wg sync.WaitGroup
 				for n := range jobs {
@@ -177,7 +177,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
 		s.raise(1)
-		nodes(t, 3, s, func(rs []*ledger.Reader) {
+		nodes(t, 3, s, func(rs []*jobstore.Reader) {
 			var wg sync.WaitGroup
 			for k := range 2 {
 				for n := range 150 {
@@ -201,7 +201,7 @@
 		})
 		sealed := 0
 		for k := range s.keys {
-			if ledger.IsIntake(k) && !ledger.IsHead(k) {
+			if jobstore.IsIntake(k) && !jobstore.IsHead(k) {
 				sealed++
 			}
 		}
@@ -217,7 +217,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
 		s.raise(1)
-		nodes(t, 1, s, func(rs []*ledger.Reader) {
+		nodes(t, 1, s, func(rs []*jobstore.Reader) {
 			if known, ok := accept(t.Context(), rs[0], job(9999)); known || !ok {
 				t.Fatal("the first one")
 			}
@@ -242,7 +242,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
 		s.raise(3)
-		nodes(t, 3, s, func(rs []*ledger.Reader) {
+		nodes(t, 3, s, func(rs []*jobstore.Reader) {
 			var wg sync.WaitGroup
 			for n := range 90 {
 				wg.Go(func() { accept(t.Context(), rs[n%3], job(1000+n)) })
@@ -279,11 +279,11 @@
 func TestTheFormIsRaisedUnderANodeThatHasNotHeard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
-		nodes(t, 2, s, func(rs []*ledger.Reader) {
+		nodes(t, 2, s, func(rs []*jobstore.Reader) {
 			accept(t.Context(), rs[0], job(1))
 			accept(t.Context(), rs[1], job(2))
 			for _, n := range []int{1, 2} {
-				if at := s.where(job(n).ID); len(at) != 1 || at[0] != ledger.JobKey(job(n).ID) {
+				if at := s.where(job(n).ID); len(at) != 1 || at[0] != jobstore.JobKey(job(n).ID) {
 					t.Errorf("before: %v", at)
 				}
 			}
@@ -295,7 +295,7 @@
 					at := s.where(job(100*i + 100 + n).ID)
 					if len(at) != 1 {
 						t.Errorf("after: %v", at)
-					} else if ledger.IsIntake(at[0]) {
+					} else if jobstore.IsIntake(at[0]) {
 						shared++
 					}
 				}
@@ -314,7 +314,7 @@
 			if known, ok := accept(t.Context(), rs[1], large); !known || !ok {
 				t.Error("the large one was accepted twice")
 			}
-			if at := s.where(large.ID); len(at) != 1 || at[0] != ledger.JobKey(large.ID) {
+			if at := s.where(large.ID); len(at) != 1 || at[0] != jobstore.JobKey(large.ID) {
 				t.Errorf("the large one stands at %v", at)
 			}
 		})
@@ -322,7 +322,7 @@
 }
 
 // crowded opens a bucket's head.
-func crowded(t *testing.T, r *ledger.Reader, from int) {
+func crowded(t *testing.T, r *jobstore.Reader, from int) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for n := range 40 {
@@ -337,7 +337,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
 		s.raise(1)
-		nodes(t, 1, s, func(rs []*ledger.Reader) {
+		nodes(t, 1, s, func(rs []*jobstore.Reader) {
 			crowded(t, rs[0], 100)
 			large := job(1)
 			large.Types = []string{strings.Repeat("x", 5000)}
@@ -361,13 +361,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
 		s.raise(1)
-		nodes(t, 1, s, func(rs []*ledger.Reader) {
+		nodes(t, 1, s, func(rs []*jobstore.Reader) {
 			crowded(t, rs[0], 100)
 			over := map[string]bool{}
 			s.answering = func(ops []wire.Op) {
 				for _, op := range ops {
-					page, ok := op.Value.(ledger.IntakeRecord)
-					if !ok || ledger.IsHead(op.Put) {
+					page, ok := op.Value.(jobstore.IntakeRecord)
+					if !ok || jobstore.IsHead(op.Put) {
 						continue
 					}
 					for _, e := range page.Jobs {
@@ -398,12 +398,12 @@
 func TestANewerFormIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
-		_, _ = s.apply(nil, []wire.Op{{Put: ledger.FormKey, Value: ledger.FormRecord{Form: ledger.Form + 1, Buckets: 3}}})
-		nodes(t, 1, s, func(rs []*ledger.Reader) {
-			if _, _, err := rs[0].Lookup(t.Context(), "wk-000001"); !errors.Is(err, ledger.ErrNewer) {
+		_, _ = s.apply(nil, []wire.Op{{Put: jobstore.FormKey, Value: jobstore.FormRecord{Form: jobstore.Form + 1, Buckets: 3}}})
+		nodes(t, 1, s, func(rs []*jobstore.Reader) {
+			if _, _, err := rs[0].Lookup(t.Context(), "wk-000001"); !errors.Is(err, jobstore.ErrNewer) {
 				t.Errorf("lookup: %v", err)
 			}
-			if _, err := rs[0].Accept(t.Context(), job(1), time.Now()); err == nil || errors.Is(err, state.ErrUnknown) {
+			if _, err := rs[0].Accept(t.Context(), job(1), time.Now()); err == nil || errors.Is(err, kvstore.ErrUnknown) {
 				t.Errorf("accept: %v", err)
 			}
 			if len(s.where("wk-000001")) != 0 {
@@ -417,15 +417,15 @@
 func TestADamagedRecordIsNamedAndTheOthersGoOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
-		good, err := wire.Marshal(ledger.JobRecord{Job: job(1)})
+		good, err := wire.Marshal(jobstore.JobRecord{Job: job(1)})
 		if err != nil {
 			t.Fatal(err)
 		}
 		s.raise(1)
-		_, _ = s.apply(nil, []wire.Op{{Put: ledger.HeadKey(0), Value: ledger.IntakeRecord{Jobs: []ledger.IntakeEntry{
+		_, _ = s.apply(nil, []wire.Op{{Put: jobstore.HeadKey(0), Value: jobstore.IntakeRecord{Jobs: []jobstore.IntakeEntry{
 			{ID: job(1).ID, Record: good}, {ID: job(2).ID, Record: good}, {ID: job(3).ID, Record: wire.Raw{0xc0}}}}}})
 		var log bytes.Buffer
-		nodes(t, 1, s, func(rs []*ledger.Reader) {
+		nodes(t, 1, s, func(rs []*jobstore.Reader) {
 			rs[0].Log = slog.New(slog.NewTextHandler(&log, nil))
 			if v, found, err := rs[0].Lookup(t.Context(), job(1).ID); err != nil || !found || v.Record.Job.CPUs != 2.5 {
 				t.Errorf("the good one: %v, %v, %v", v, found, err)
@@ -457,17 +457,17 @@
 		j := job(rnd.IntN(1e6))
 		j.CPUs, j.EstimateS = rnd.ExpFloat64()*1e3, rnd.Float64()*1e-7
 		j.Class = strings.Repeat(`"é<`, rnd.IntN(20))
-		checkSize(t, ledger.JobRecord{Job: j, AtMs: rnd.Int64()})
+		checkSize(t, jobstore.JobRecord{Job: j, AtMs: rnd.Int64()})
 	}
 }
 
-func checkSize(t *testing.T, rec ledger.JobRecord) {
+func checkSize(t *testing.T, rec jobstore.JobRecord) {
 	t.Helper()
 	raw, err := wire.Marshal(rec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	page := ledger.IntakeRecord{Seq: 1 << 40, Jobs: []ledger.IntakeEntry{{ID: rec.Job.ID, Record: raw}, {ID: rec.Job.ID, Record: raw}}}
+	page := jobstore.IntakeRecord{Seq: 1 << 40, Jobs: []jobstore.IntakeEntry{{ID: rec.Job.ID, Record: raw}, {ID: rec.Job.ID, Record: raw}}}
 	whole, err := wire.Marshal(page)
 	if err != nil {
 		t.Fatal(err)
@@ -488,11 +488,11 @@
 // Whatever stands in a page's value, reading it ends, and what can be read is
 // what was written.
 func FuzzIntakeRecord(f *testing.F) {
-	raw, err := wire.Marshal(ledger.JobRecord{Job: job(1)})
+	raw, err := wire.Marshal(jobstore.JobRecord{Job: job(1)})
 	if err != nil {
 		f.Fatal(err)
 	}
-	whole, err := wire.Marshal(ledger.IntakeRecord{Seq: 3, Jobs: []ledger.IntakeEntry{{ID: job(1).ID, Record: raw}}})
+	whole, err := wire.Marshal(jobstore.IntakeRecord{Seq: 3, Jobs: []jobstore.IntakeEntry{{ID: job(1).ID, Record: raw}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -500,7 +500,7 @@
 	f.Add([]byte{0x82, 0xa1, 's', 0xcf, 0xff})
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var rec ledger.IntakeRecord
+		var rec jobstore.IntakeRecord
 		if wire.Unmarshal(b, &rec) != nil {
 			return
 		}
@@ -522,7 +522,7 @@
 		s := newStore(1)
 		s.raise(1)
 		s.slow = 200 * time.Millisecond
-		nodes(t, 1, s, func(rs []*ledger.Reader) {
+		nodes(t, 1, s, func(rs []*jobstore.Reader) {
 			rs[0].Tier = func(_, class string) int {
 				if class == "clinic" {
 					return 0
--- a/ledger/kept_test.go
+++ b/jobstore/kept_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package jobstore_test
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 )
 
 // Jobs come four a second for minutes, and now and then many at once; some are
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(3)
 		s.raise(3)
-		nodes(t, 3, s, func(rs []*ledger.Reader) {
+		nodes(t, 3, s, func(rs []*jobstore.Reader) {
 			rnd := rand.New(rand.NewPCG(3, 31))
 			var wg sync.WaitGroup
 			n, most := 0, 0
@@ -77,10 +77,10 @@
 						t.Errorf("node %d keeps %d of %s after %d jobs, not %d at most", i, kept[kind], kind, n, bound)
 					}
 				}
-				for k := range ledger.FinalMax + 100 {
+				for k := range jobstore.FinalMax + 100 {
 					r.KeepFinal(fmt.Sprintf("wk-7%06d", k))
 				}
-				if kept := r.Kept(); kept["finals"] != ledger.FinalMax || kept["order"] != ledger.FinalMax {
+				if kept := r.Kept(); kept["finals"] != jobstore.FinalMax || kept["order"] != jobstore.FinalMax {
 					t.Errorf("node %d keeps %d ends, in an order of %d", i, kept["finals"], kept["order"])
 				}
 			}
--- a/ledger/known_test.go
+++ b/jobstore/known_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package jobstore_test
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -23,8 +23,8 @@
 	return raw
 }
 
-func over(j wire.Job, how string) ledger.JobRecord {
-	return ledger.JobRecord{Job: j, AtMs: 1, State: how}
+func over(j wire.Job, how string) jobstore.JobRecord {
+	return jobstore.JobRecord{Job: j, AtMs: 1, State: how}
 }
 
 // After a restart thousands of users ask for jobs that are over, and for some that
@@ -43,10 +43,10 @@
 				ends := []string{wire.JobDone, wire.JobCancelled}
 				for n := range c.over {
 					if n%5 > 0 {
-						s.set(ledger.FinalKey(job(n).ID), mustMarshal(t, over(job(n), ends[n%2])))
+						s.set(jobstore.FinalKey(job(n).ID), mustMarshal(t, over(job(n), ends[n%2])))
 					}
 				}
-				nodes(t, 1, s, func(rs []*ledger.Reader) {
+				nodes(t, 1, s, func(rs []*jobstore.Reader) {
 					rs[0].Order = func(id string) float64 { return float64(id[len(id)-1]) }
 					var wg sync.WaitGroup
 					for i := range c.asked {
@@ -77,14 +77,14 @@
 		s.listing = 600 * time.Millisecond
 		const jobs = 6000
 		for n := range jobs {
-			s.set(ledger.JobKey(job(n).ID), mustMarshal(t, over(job(n), "")))
+			s.set(jobstore.JobKey(job(n).ID), mustMarshal(t, over(job(n), "")))
 		}
-		nodes(t, 3, s, func(rs []*ledger.Reader) {
+		nodes(t, 3, s, func(rs []*jobstore.Reader) {
 			time.AfterFunc(5*time.Second, func() { s.finish(job(0).ID) })
 			for i, r := range rs {
 				at := time.Now()
 				var err error
-				var v ledger.View
+				var v jobstore.View
 				found := false
 				for time.Since(at) < time.Minute && (!found || v.Version != 0) {
 					ctx, cancel := context.WithTimeout(t.Context(), 1700*time.Millisecond)
@@ -109,14 +109,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := newStore(seed)
 			s.raise(1)
-			page := ledger.IntakeRecord{Seq: 1}
+			page := jobstore.IntakeRecord{Seq: 1}
 			for n := range jobs {
-				page.Jobs = append(page.Jobs, ledger.IntakeEntry{ID: job(n).ID, Record: mustMarshal(t, over(job(n), ""))})
+				page.Jobs = append(page.Jobs, jobstore.IntakeEntry{ID: job(n).ID, Record: mustMarshal(t, over(job(n), ""))})
 			}
-			key, whole := ledger.HeadKey(0), mustMarshal(t, page)
+			key, whole := jobstore.HeadKey(0), mustMarshal(t, page)
 			placed := job(jobs - 1).ID
-			s.set(ledger.PageKey(0), mustMarshal(t, ledger.PageRecord{Chunks: []ledger.ChunkRecord{{Job: placed,
-				Placed: []ledger.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}}}))
+			s.set(jobstore.PageKey(0), mustMarshal(t, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: placed,
+				Placed: []jobstore.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}}}))
 			rnd := rand.New(rand.NewPCG(seed, 4))
 			bad := slices.Clone(whole)
 			from := rnd.IntN(len(bad))
@@ -128,14 +128,14 @@
 			}
 			bad[0] = 0xc1 // which nothing begins with
 			s.set(key, bad)
-			nodes(t, 1, s, func(rs []*ledger.Reader) {
+			nodes(t, 1, s, func(rs []*jobstore.Reader) {
 				r, cancelled := rs[0], ""
 				for n := range jobs + strangers {
 					v, found, err := r.Lookup(t.Context(), job(n).ID)
 					switch {
 					case n >= jobs && found:
 						t.Errorf("seed %d: %d, which nobody has submitted, is known", seed, n)
-					case n < jobs && !found && !errors.Is(err, ledger.ErrDamaged):
+					case n < jobs && !found && !errors.Is(err, jobstore.ErrDamaged):
 						t.Errorf("seed %d: %d is forgotten: %v", seed, n, err)
 					case found && (v.Version == 0 || v.Record.State != ""):
 						t.Errorf("seed %d: %d is called over", seed, n)
@@ -147,10 +147,10 @@
 						t.Errorf("seed %d: of the job that is placed %d tasks are, found %v", seed, v.Placed, found)
 					}
 				}
-				if _, _, err := r.Cancel(t.Context(), cancelled); !errors.Is(err, ledger.ErrDamaged) {
+				if _, _, err := r.Cancel(t.Context(), cancelled); !errors.Is(err, jobstore.ErrDamaged) {
 					t.Errorf("seed %d: cancelled while a node may remember the page: %v", seed, err)
 				}
-				s.set(key, mustMarshal(t, ledger.NewAside(key, s.keys[key].Version, 0, bad, limits)))
+				s.set(key, mustMarshal(t, jobstore.NewAside(key, s.keys[key].Version, 0, bad, limits)))
 				if final, found, err := r.Cancel(t.Context(), cancelled); final != wire.JobCancelled || !found || err != nil {
 					t.Errorf("seed %d: cancel of %s: %q, %v, %v", seed, cancelled, final, found, err)
 				}
@@ -186,13 +186,13 @@
 				raw[from+i] = byte(rnd.Uint32())
 			}
 			raw[0] = 0xc1
-			s.set(ledger.FinalKey(job(1).ID), raw)
-			nodes(t, 1, s, func(rs []*ledger.Reader) {
+			s.set(jobstore.FinalKey(job(1).ID), raw)
+			nodes(t, 1, s, func(rs []*jobstore.Reader) {
 				v, found, err := rs[0].Lookup(t.Context(), job(1).ID)
 				switch {
 				case found && v.Record.State == how && v.Version == 0:
 					read++
-				case found || !errors.Is(err, ledger.ErrDamaged):
+				case found || !errors.Is(err, jobstore.ErrDamaged):
 					t.Errorf("seed %d: it was %s, and is %q, found %v, %v", seed, how, v.Record.State, found, err)
 				}
 			})
--- a/ledger/ledger.go
+++ b/jobstore/ledger.go
@@ -1,7 +1,7 @@
 // Package ledger holds the schema of the keys that the controllers keep, and
 // the transactions of users' requests. The leader's own transactions are built
 // by package cluster from these records.
-package ledger
+package jobstore
 
 import (
 	"strconv"
--- a/ledger/plan.go
+++ b/jobstore/plan.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"github.com/zeebo/xxh3"
 
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -261,7 +261,7 @@
 		got, ok := h.Find(v.Number)
 		return err == nil && ok && got.Draft == v.Draft
 	})
-	var conflict *state.Conflict
+	var conflict *kvstore.Conflict
 	if errors.As(err, &conflict) {
 		now, _, _, rerr := ReadPlanHead(ctx, s)
 		if rerr == nil && now.Current() != c.Base {
@@ -305,7 +305,7 @@
 	var err error
 	for wait := 200 * time.Millisecond; ; wait = min(2*wait, 2*time.Second) {
 		_, err = s.Commit(ctx, guards, ops)
-		var c *state.Conflict
+		var c *kvstore.Conflict
 		switch {
 		case err == nil:
 			return nil
@@ -314,7 +314,7 @@
 				return nil
 			}
 			return err
-		case errors.Is(err, state.ErrInvalid):
+		case errors.Is(err, kvstore.ErrInvalid):
 			return err
 		}
 		if !call.Pause(ctx, wait/2+rand.N(wait)) {
@@ -346,7 +346,7 @@
 		}
 		if try == 0 {
 			_, err := s.Commit(ctx, []wire.Guard{{Key: PlanAskedKey}}, []wire.Op{{Put: PlanAskedKey, Value: true}})
-			var c *state.Conflict
+			var c *kvstore.Conflict
 			if err != nil && !errors.As(err, &c) {
 				return 0, err
 			}
--- a/ledger/plan_test.go
+++ b/jobstore/plan_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package jobstore_test
 
 import (
 	"context"
@@ -12,20 +12,20 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-func applyPlan(s *store, base int, text string) (ledger.PlanVersion, error) {
+func applyPlan(s *store, base int, text string) (jobstore.PlanVersion, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	return ledger.ApplyPlan(ctx, s, limits, ledger.PlanChange{Base: base, Text: text, By: "somebody", At: time.Now()})
+	return jobstore.ApplyPlan(ctx, s, limits, jobstore.PlanChange{Base: base, Text: text, By: "somebody", At: time.Now()})
 }
 
-func loadPlan(t *testing.T, s *store) ledger.PlanState {
+func loadPlan(t *testing.T, s *store) jobstore.PlanState {
 	t.Helper()
-	st, err := ledger.LoadPlan(context.Background(), s, func(text string) error {
+	st, err := jobstore.LoadPlan(context.Background(), s, func(text string) error {
 		if strings.HasPrefix(text, "unknown") {
 			return errors.New("a field that is not known")
 		}
@@ -66,7 +66,7 @@
 					for k := range 4 {
 						text := fmt.Sprintf("note = \"%d-%d %s\"", who, k, strings.Repeat("x", 9000*(k%3)))
 						v, err := applyPlan(s, loadPlan(t, s).Number, text)
-						var m *ledger.PlanMoved
+						var m *jobstore.PlanMoved
 						mu.Lock()
 						switch {
 						case err == nil:
@@ -87,12 +87,12 @@
 			if won == 0 || moved == 0 {
 				t.Fatalf("seed %d: %d won, %d were told that another came between", seed, won, moved)
 			}
-			h, _, trouble, err := ledger.ReadPlanHead(context.Background(), s)
+			h, _, trouble, err := jobstore.ReadPlanHead(context.Background(), s)
 			if err != nil || trouble != nil || h.Current() < won {
 				t.Fatalf("seed %d: version %d after %d that won, %v, %v", seed, h.Current(), won, trouble, err)
 			}
 			for _, v := range h.Versions {
-				text, err := ledger.ReadPlanText(context.Background(), s, v)
+				text, err := jobstore.ReadPlanText(context.Background(), s, v)
 				if err != nil || texts[v.Number] != "" && texts[v.Number] != text {
 					t.Errorf("seed %d: version %d has another text, %v", seed, v.Number, err)
 				}
@@ -128,7 +128,7 @@
 			s.mu.Lock()
 			before := maps.Clone(s.keys)
 			s.mu.Unlock()
-			_, err := ledger.ApplyPlan(ctx, dying{s, ctx}, limits, ledger.PlanChange{Base: base, Text: large, At: time.Now()})
+			_, err := jobstore.ApplyPlan(ctx, dying{s, ctx}, limits, jobstore.PlanChange{Base: base, Text: large, At: time.Now()})
 			s.answering = nil
 			s.mu.Lock()
 			s.late = 0
@@ -189,7 +189,7 @@
 
 func (d dying) Commit(ctx context.Context, g []wire.Guard, o []wire.Op) (uint64, error) {
 	if d.Err() != nil {
-		return 0, state.ErrUnknown
+		return 0, kvstore.ErrUnknown
 	}
 	return d.store.Commit(ctx, g, o)
 }
@@ -246,8 +246,8 @@
 			t.Fatal(err)
 		}
 		s.damage("plan/t/")
-		st, err := ledger.LoadPlan(context.Background(), s, func(string) error { return nil })
-		if !errors.Is(err, ledger.ErrPlanDamaged) || st.Head == 0 {
+		st, err := jobstore.LoadPlan(context.Background(), s, func(string) error { return nil })
+		if !errors.Is(err, jobstore.ErrPlanDamaged) || st.Head == 0 {
 			t.Errorf("head %d, %v", st.Head, err)
 		}
 	})
--- a/ledger/reader.go
+++ b/jobstore/reader.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -172,13 +172,13 @@
 	select {
 	case r.asks <- done:
 	case <-ctx.Done():
-		return fmt.Errorf("%w: %v", state.ErrRefused, ctx.Err())
+		return fmt.Errorf("%w: %v", kvstore.ErrRefused, ctx.Err())
 	}
 	select {
 	case err := <-done:
 		return err
 	case <-ctx.Done():
-		return fmt.Errorf("%w: %v", state.ErrRefused, ctx.Err())
+		return fmt.Errorf("%w: %v", kvstore.ErrRefused, ctx.Err())
 	}
 }
 
@@ -193,7 +193,7 @@
 		if err == nil {
 			return r.apply(ev)
 		}
-		if !errors.Is(err, state.ErrTooOld) {
+		if !errors.Is(err, kvstore.ErrTooOld) {
 			return err
 		}
 	}
@@ -204,7 +204,7 @@
 	// them whole.
 	ev, err := r.store.Follow(ctx, Active, r.part.rev, 0)
 	if err != nil {
-		if errors.Is(err, state.ErrTooOld) {
+		if errors.Is(err, kvstore.ErrTooOld) {
 			r.part = listing{}
 		}
 		return err
@@ -511,10 +511,10 @@
 			r.keepFinal(id, rec)
 			return rec.State, true, nil
 		}
-		var c *state.Conflict
-		if !errors.As(err, &c) && !errors.Is(err, state.ErrUnknown) {
+		var c *kvstore.Conflict
+		if !errors.As(err, &c) && !errors.Is(err, kvstore.ErrUnknown) {
 			return "", true, err
 		}
 	}
-	return "", true, fmt.Errorf("%w: too many conflicts", state.ErrRefused)
+	return "", true, fmt.Errorf("%w: too many conflicts", kvstore.ErrRefused)
 }
--- a/ledger/reserve.go
+++ b/jobstore/reserve.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 
 	"github.com/bits-and-blooms/bitset"
 
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -284,7 +284,7 @@
 	guards := []wire.Guard{{Key: JobKey(j.ID)}, {Key: FinalKey(j.ID)}, {Key: owner.Key, Version: owner.Version}}
 	ops := []wire.Op{{Put: JobKey(j.ID), Value: JobRecord{Job: j, AtMs: atMs, Reserve: &res}}, {Put: owner.Key, Value: value}}
 	rev, err = r.store.Commit(ctx, guards, ops)
-	var c *state.Conflict
+	var c *kvstore.Conflict
 	if errors.As(err, &c) && !slices.Contains(c.Failed, owner.Key) {
 		return 0, true, nil
 	}
@@ -295,7 +295,7 @@
 // Conflict where the job has changed since it was read.
 func (r *Reader) Mark(ctx context.Context, v *Reserved, change func(*Reserve), more ...wire.Op) error {
 	if v.Version == 0 || v.Record.Reserve == nil {
-		return fmt.Errorf("%w: job %s is over", state.ErrInvalid, v.ID)
+		return fmt.Errorf("%w: job %s is over", kvstore.ErrInvalid, v.ID)
 	}
 	rec := v.Record
 	res := *rec.Reserve
--- a/ledger/salvage.go
+++ b/jobstore/salvage.go
@@ -1,4 +1,4 @@
-package ledger
+package jobstore
 
 import (
 	"bytes"
--- a/ledger/store_test.go
+++ b/jobstore/store_test.go
@@ -1,4 +1,4 @@
-package ledger_test
+package jobstore_test
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -61,11 +61,11 @@
 
 func (s *store) Span(ctx context.Context, prefix, after string, most int) ([]wire.Entry, bool, uint64, error) {
 	s.pause()
-	if prefix == ledger.Active {
+	if prefix == jobstore.Active {
 		time.Sleep(s.listing)
 	}
 	if ctx.Err() != nil {
-		return nil, false, 0, state.ErrUnknown
+		return nil, false, 0, kvstore.ErrUnknown
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,10 +122,10 @@
 			defer s.mu.Unlock()
 			_, _ = s.apply(guards, ops)
 		})
-		return 0, state.ErrUnknown
+		return 0, kvstore.ErrUnknown
 	case p < s.late+s.lost:
 		_, _ = s.apply(guards, ops)
-		return 0, state.ErrUnknown
+		return 0, kvstore.ErrUnknown
 	}
 	return s.apply(guards, ops)
 }
@@ -141,7 +141,7 @@
 		}
 	}
 	if failed != nil {
-		return 0, &state.Conflict{Failed: failed, Revision: s.rev}
+		return 0, &kvstore.Conflict{Failed: failed, Revision: s.rev}
 	}
 	s.rev++
 	for _, op := range ops {
@@ -167,11 +167,11 @@
 func (s *store) where(id string) []string {
 	var out []string
 	for k, e := range s.keys {
-		if k == ledger.JobKey(id) || k == ledger.FinalKey(id) {
+		if k == jobstore.JobKey(id) || k == jobstore.FinalKey(id) {
 			out = append(out, k)
 		}
-		var page ledger.IntakeRecord
-		if ledger.IsIntake(k) && wire.Unmarshal(e.Value, &page) == nil {
+		var page jobstore.IntakeRecord
+		if jobstore.IsIntake(k) && wire.Unmarshal(e.Value, &page) == nil {
 			for _, j := range page.Jobs {
 				if j.ID == id {
 					out = append(out, k)
@@ -189,26 +189,26 @@
 		time.Sleep(2 * time.Millisecond)
 		s.mu.Lock()
 		at := s.where(id)
-		if len(at) != 1 || at[0] == ledger.FinalKey(id) {
+		if len(at) != 1 || at[0] == jobstore.FinalKey(id) {
 			s.mu.Unlock()
 			return false
 		}
 		e := s.keys[at[0]]
 		s.mu.Unlock()
-		rec := ledger.JobRecord{Job: wire.Job{ID: id}, State: wire.JobDone}
+		rec := jobstore.JobRecord{Job: wire.Job{ID: id}, State: wire.JobDone}
 		op := wire.Op{Delete: at[0]}
-		if ledger.IsIntake(at[0]) {
-			var page ledger.IntakeRecord
+		if jobstore.IsIntake(at[0]) {
+			var page jobstore.IntakeRecord
 			_ = wire.Unmarshal(e.Value, &page) // as this store wrote it
 			left := page.Without(map[string]bool{id: true})
 			op = wire.Op{Put: at[0], Value: left}
-			if len(left.Jobs) == 0 && !ledger.IsHead(at[0]) {
+			if len(left.Jobs) == 0 && !jobstore.IsHead(at[0]) {
 				op = wire.Op{Delete: at[0]} // as a leader does
 			}
 		}
 		time.Sleep(2 * time.Millisecond)
 		s.mu.Lock()
-		_, err := s.apply([]wire.Guard{{Key: at[0], Version: e.Version}, {Key: ledger.FinalKey(id)}}, []wire.Op{op, {Put: ledger.FinalKey(id), Value: rec}})
+		_, err := s.apply([]wire.Guard{{Key: at[0], Version: e.Version}, {Key: jobstore.FinalKey(id)}}, []wire.Op{op, {Put: jobstore.FinalKey(id), Value: rec}})
 		s.mu.Unlock()
 		if err == nil {
 			return true
@@ -229,5 +229,5 @@
 func (s *store) raise(buckets int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, _ = s.apply([]wire.Guard{{Key: ledger.FormKey}}, []wire.Op{{Put: ledger.FormKey, Value: ledger.FormRecord{Form: ledger.Form, Buckets: buckets}}})
+	_, _ = s.apply([]wire.Guard{{Key: jobstore.FormKey}}, []wire.Op{{Put: jobstore.FormKey, Value: jobstore.FormRecord{Form: jobstore.Form, Buckets: buckets}}})
 }
--- a/state/state.go
+++ b/kvstore/state.go
@@ -1,7 +1,7 @@
 // Package state is the client of the state service. It decides nothing: it
 // keeps to the rate limits and tells apart what was refused, what was executed
 // and what is unknown.
-package state
+package kvstore
 
 import (
 	"context"
--- a/state/yielding.go
+++ b/kvstore/yielding.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"context"
--- a/modelcheck/late.go
+++ b/modelcheck/late.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"github.com/umberdeal/umberdeal/cluster"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -126,9 +126,9 @@
 	id := w.sc.Jobs[i].ID
 	rec, _ := w.active(id)
 	rec.State = wire.JobCancelled
-	key := ledger.JobKey(id)
-	t := txn{guards: []wire.Guard{{Key: key, Version: w.store[key].version}, {Key: ledger.FinalKey(id)}},
-		ops: []wire.Op{{Delete: key}, {Put: ledger.FinalKey(id), Value: rec}}}
+	key := jobstore.JobKey(id)
+	t := txn{guards: []wire.Guard{{Key: key, Version: w.store[key].version}, {Key: jobstore.FinalKey(id)}},
+		ops: []wire.Op{{Delete: key}, {Put: jobstore.FinalKey(id), Value: rec}}}
 	if w.breach == CancelUnguards {
 		t.guards = nil
 	}
@@ -140,7 +140,7 @@
 
 // tell answers a user what is final, which a node has read or written.
 func (w *World) tell(id string) {
-	rec, ok := w.store[ledger.FinalKey(id)].v.(ledger.JobRecord)
+	rec, ok := w.store[jobstore.FinalKey(id)].v.(jobstore.JobRecord)
 	if _, told := w.cancelled[id]; ok && !told && rec.State == wire.JobCancelled {
 		w.cancelled[id] = w.step
 	}
@@ -170,8 +170,8 @@
 	for i := range w.sc.Jobs {
 		id := w.sc.Jobs[i].ID
 		_, active := w.active(id)
-		is, final := w.store[ledger.FinalKey(id)].v.(ledger.JobRecord)
-		before, had := was[id].v.(ledger.JobRecord)
+		is, final := w.store[jobstore.FinalKey(id)].v.(jobstore.JobRecord)
+		before, had := was[id].v.(jobstore.JobRecord)
 		switch {
 		case i >= len(w.sc.Jobs)-w.sc.Later && !w.arrived:
 		case active == final:
@@ -193,7 +193,7 @@
 	out := map[string]value{}
 	for i := range w.sc.Jobs {
 		id := w.sc.Jobs[i].ID
-		out[id] = w.store[ledger.FinalKey(id)]
+		out[id] = w.store[jobstore.FinalKey(id)]
 	}
 	return out
 }
@@ -204,7 +204,7 @@
 		return guards
 	}
 	return slices.DeleteFunc(slices.Clone(guards), func(g wire.Guard) bool {
-		_, page := ledger.ParsePageKey(g.Key)
+		_, page := jobstore.ParsePageKey(g.Key)
 		return page == (w.breach == PageUnguarded)
 	})
 }
@@ -329,13 +329,13 @@
 // writeRecord writes what of a record bears on what may follow.
 func writeRecord(out io.Writer, v any) {
 	switch v := v.(type) {
-	case ledger.JobRecord:
+	case jobstore.JobRecord:
 		fmt.Fprint(out, v.State)
-	case ledger.IntakeRecord:
+	case jobstore.IntakeRecord:
 		for _, e := range v.Jobs {
 			fmt.Fprint(out, ",", e.ID)
 		}
-	case ledger.PageRecord:
+	case jobstore.PageRecord:
 		for _, c := range v.Chunks {
 			fmt.Fprintf(out, ",%s%d%v%v", c.Job, c.Attempt, c.Placed, c.Done)
 		}
--- a/modelcheck/orders.go
+++ b/modelcheck/orders.go
@@ -8,9 +8,9 @@
 	"strings"
 
 	"github.com/umberdeal/umberdeal/cluster"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/order"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/plan"
+	"github.com/umberdeal/umberdeal/priority"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -64,12 +64,12 @@
 func (w *World) apply() {
 	w.applied++
 	w.rev++
-	w.store[ledger.PlanHeadKey] = value{ledger.PlanHead{Versions: []ledger.PlanVersion{{Number: w.applied}}}, w.rev}
+	w.store[jobstore.PlanHeadKey] = value{jobstore.PlanHead{Versions: []jobstore.PlanVersion{{Number: w.applied}}}, w.rev}
 }
 
 // hear lets a leader read the plan in force.
 func (w *World) hear(m *cluster.Model) {
-	v, ok := w.store[ledger.PlanHeadKey]
+	v, ok := w.store[jobstore.PlanHeadKey]
 	if !ok {
 		return
 	}
@@ -78,7 +78,7 @@
 	if w.applied%2 == 0 {
 		classes = []string{"craft", "clinic"}
 	}
-	p := &plan.Plan{Order: order.Settings{Tiers: []order.Tier{{Name: classes[0], Classes: classes[:1]}, {Name: classes[1], Classes: classes[1:], LongestWaitS: order.BoundS}}}}
+	p := &plan.Plan{Order: priority.Settings{Tiers: []priority.Tier{{Name: classes[0], Classes: classes[:1]}, {Name: classes[1], Classes: classes[1:], LongestWaitS: priority.BoundS}}}}
 	m.SetPlan(cluster.Plan{Plan: p, Number: w.applied, Head: v.version}, w.now())
 }
 
@@ -127,7 +127,7 @@
 			}
 			if p.Stop != nil && p.Stop.Why == "preempted" && !w.stopped[k] {
 				w.stopped[k] = true
-				if by != w.store[ledger.PlanHeadKey].version {
+				if by != w.store[jobstore.PlanHeadKey].version {
 					w.broke("old order", fmt.Sprintf("%s is stopped by an order that is no longer in force", k.name))
 				}
 			}
@@ -156,7 +156,7 @@
 
 // refusedFor has the leader take in that a transaction failed for these keys.
 func (w *World) refusedFor(keys []string) {
-	if slices.Contains(keys, ledger.PlanHeadKey) {
+	if slices.Contains(keys, jobstore.PlanHeadKey) {
 		w.model.DropStops()
 		w.hear(w.model)
 		w.seeStops()
@@ -171,7 +171,7 @@
 		}
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Place; p != nil && !p.Inherited {
-				see(taskKey{wire.TaskName(j.ID, i), p.Attempt}, j.Chunks[i/ledger.ChunkSize].Committed >= j.Chunks[i/ledger.ChunkSize].PlaceGen)
+				see(taskKey{wire.TaskName(j.ID, i), p.Attempt}, j.Chunks[i/jobstore.ChunkSize].Committed >= j.Chunks[i/jobstore.ChunkSize].PlaceGen)
 			}
 		}
 	}
@@ -184,7 +184,7 @@
 	}
 	var out []wire.Guard
 	for _, g := range guards {
-		if g.Key != ledger.PlanHeadKey {
+		if g.Key != jobstore.PlanHeadKey {
 			out = append(out, g)
 		}
 	}
@@ -194,12 +194,12 @@
 // checkOrder holds what a transaction places against the order in force. It is
 // asked as the transaction is applied.
 func (w *World) checkOrder(op wire.Op) {
-	is, ok := op.Value.(ledger.PageRecord)
+	is, ok := op.Value.(jobstore.PageRecord)
 	if !ok {
 		return
 	}
 	there := map[taskKey]bool{}
-	if was, ok := w.store[op.Put].v.(ledger.PageRecord); ok {
+	if was, ok := w.store[op.Put].v.(jobstore.PageRecord); ok {
 		for _, c := range was.Chunks {
 			for _, p := range c.Placed {
 				there[taskKey{wire.TaskName(c.Job, p.Task), p.Attempt}] = true
@@ -209,7 +209,7 @@
 	for _, c := range is.Chunks {
 		for _, p := range c.Placed {
 			k := taskKey{wire.TaskName(c.Job, p.Task), p.Attempt}
-			if by, ok := w.decided[k]; ok && !there[k] && by != w.store[ledger.PlanHeadKey].version {
+			if by, ok := w.decided[k]; ok && !there[k] && by != w.store[jobstore.PlanHeadKey].version {
 				w.broke("old order", fmt.Sprintf("%s is placed by an order that is no longer in force", k.name))
 			}
 		}
@@ -228,7 +228,7 @@
 	if w.sc.Later > 0 && !w.arrived {
 		out = append(out, Action{Kind: Arrive})
 	}
-	if w.model.PlanGuard().Version != w.store[ledger.PlanHeadKey].version {
+	if w.model.PlanGuard().Version != w.store[jobstore.PlanHeadKey].version {
 		out = append(out, Action{Kind: Hear})
 	}
 	return out
@@ -247,8 +247,8 @@
 	case Arrive:
 		w.arrived = true
 		w.rev++
-		rec := ledger.JobRecord{Job: w.last(), AtMs: w.now().UnixMilli()}
-		w.store[ledger.JobKey(rec.Job.ID)] = value{rec, w.rev}
+		rec := jobstore.JobRecord{Job: w.last(), AtMs: w.now().UnixMilli()}
+		w.store[jobstore.JobKey(rec.Job.ID)] = value{rec, w.rev}
 		w.model.PutJob(rec.Job.ID, rec, w.rev, w.now())
 		w.seen = max(w.seen, w.rev)
 	}
@@ -261,7 +261,7 @@
 	if w.sc.Plans == 0 {
 		return
 	}
-	head := w.store[ledger.PlanHeadKey].version
+	head := w.store[jobstore.PlanHeadKey].version
 	fmt.Fprintf(out, "|O%d,%d,%t", w.applied, w.known, w.model.PlanGuard().Version == head)
 	w.placements(func(k taskKey, committed bool) {
 		fmt.Fprintf(out, ";%s%t%t", k.name, committed, w.decided[k] == head)
--- a/modelcheck/world.go
+++ b/modelcheck/world.go
@@ -18,7 +18,7 @@
 
 	"github.com/umberdeal/umberdeal/cluster"
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -200,22 +200,22 @@
 	}
 	if sc.Shared {
 		w.rev++
-		var page ledger.IntakeRecord
+		var page jobstore.IntakeRecord
 		for i := range sc.Jobs {
-			raw, err := wire.Marshal(ledger.JobRecord{Job: sc.Jobs[i], AtMs: began.UnixMilli()})
+			raw, err := wire.Marshal(jobstore.JobRecord{Job: sc.Jobs[i], AtMs: began.UnixMilli()})
 			if err != nil {
 				panic(err) // a job of ours
 			}
-			page.Jobs = append(page.Jobs, ledger.IntakeEntry{ID: sc.Jobs[i].ID, Record: raw})
+			page.Jobs = append(page.Jobs, jobstore.IntakeEntry{ID: sc.Jobs[i].ID, Record: raw})
 		}
-		w.store[ledger.SealedKey(0, 1)] = value{page, w.rev}
+		w.store[jobstore.SealedKey(0, 1)] = value{page, w.rev}
 	}
 	for i := range sc.Jobs {
 		if sc.Shared || i >= len(sc.Jobs)-sc.Later {
 			break
 		}
 		w.rev++
-		w.store[ledger.JobKey(sc.Jobs[i].ID)] = value{ledger.JobRecord{Job: sc.Jobs[i], AtMs: began.UnixMilli()}, w.rev}
+		w.store[jobstore.JobKey(sc.Jobs[i].ID)] = value{jobstore.JobRecord{Job: sc.Jobs[i], AtMs: began.UnixMilli()}, w.rev}
 	}
 	w.lead()
 	for i := range w.workers {
@@ -251,25 +251,25 @@
 	w.hear(m)
 	keys := slices.Sorted(maps.Keys(w.store))
 	for _, k := range keys {
-		if id, ok := ledger.ParseJobKey(k); ok {
-			m.PutJob(id, w.store[k].v.(ledger.JobRecord), w.store[k].version, w.now())
+		if id, ok := jobstore.ParseJobKey(k); ok {
+			m.PutJob(id, w.store[k].v.(jobstore.JobRecord), w.store[k].version, w.now())
 		}
-		if ledger.IsIntake(k) {
-			m.PutIntake([]cluster.IntakePage{{Key: k, Version: w.store[k].version, Record: w.store[k].v.(ledger.IntakeRecord)}}, w.now())
+		if jobstore.IsIntake(k) {
+			m.PutIntake([]cluster.IntakePage{{Key: k, Version: w.store[k].version, Record: w.store[k].v.(jobstore.IntakeRecord)}}, w.now())
 		}
 	}
 	for _, k := range keys {
-		n, ok := ledger.ParsePageKey(k)
+		n, ok := jobstore.ParsePageKey(k)
 		if !ok {
 			continue
 		}
-		rec := w.store[k].v.(ledger.PageRecord)
+		rec := w.store[k].v.(jobstore.PageRecord)
 		for _, c := range rec.Chunks {
 			if m.Job(c.Job) != nil || len(c.Placed) == 0 {
 				continue
 			}
-			if over, ok := w.store[ledger.FinalKey(c.Job)]; ok {
-				m.LoadCancelled(c.Job, over.v.(ledger.JobRecord))
+			if over, ok := w.store[jobstore.FinalKey(c.Job)]; ok {
+				m.LoadCancelled(c.Job, over.v.(jobstore.JobRecord))
 			}
 		}
 		m.LoadPage(n, rec, w.store[k].version, w.now())
@@ -283,18 +283,18 @@
 // learn is the leader's watch: it sees which active records are gone.
 func (w *World) learn() {
 	if w.sc.Shared {
-		key := ledger.SealedKey(0, 1)
+		key := jobstore.SealedKey(0, 1)
 		page, ok := w.store[key]
 		if !ok {
-			page = value{ledger.IntakeRecord{}, w.rev} // removed, at the latest by now
+			page = value{jobstore.IntakeRecord{}, w.rev} // removed, at the latest by now
 		}
-		w.model.PutIntake([]cluster.IntakePage{{Key: key, Version: page.version, Record: page.v.(ledger.IntakeRecord)}}, w.now())
+		w.model.PutIntake([]cluster.IntakePage{{Key: key, Version: page.version, Record: page.v.(jobstore.IntakeRecord)}}, w.now())
 		w.seen = w.rev
 		return
 	}
 	for i := range w.sc.Jobs {
 		id := w.sc.Jobs[i].ID
-		if _, ok := w.store[ledger.JobKey(id)]; !ok {
+		if _, ok := w.store[jobstore.JobKey(id)]; !ok {
 			w.model.RemoveJob(id, w.now())
 		}
 	}
@@ -323,7 +323,7 @@
 			continue
 		}
 		w.store[o.Put] = value{o.Value, w.rev}
-		if rec, ok := o.Value.(ledger.JobRecord); ok && rec.State == wire.JobDone {
+		if rec, ok := o.Value.(jobstore.JobRecord); ok && rec.State == wire.JobDone {
 			for n := range rec.Job.Tasks {
 				if name := wire.TaskName(rec.Job.ID, n); !w.completed[name] {
 					w.broke("not_done", name+" has not completed")
@@ -578,14 +578,14 @@
 // nobody wants to know.
 func (w *World) recorded(t *task) bool {
 	id, n, _ := wire.SplitTask(t.name)
-	if _, ok := w.store[ledger.FinalKey(id)]; ok {
+	if _, ok := w.store[jobstore.FinalKey(id)]; ok {
 		return true
 	}
 	for key, v := range w.store {
-		if _, ok := ledger.ParsePageKey(key); !ok {
+		if _, ok := jobstore.ParsePageKey(key); !ok {
 			continue
 		}
-		for _, c := range v.v.(ledger.PageRecord).Chunks {
+		for _, c := range v.v.(jobstore.PageRecord).Chunks {
 			for i := 0; c.Job == id && i+1 < len(c.Done); i += 2 {
 				if c.Done[i] <= n && n <= c.Done[i+1] {
 					return true
@@ -731,8 +731,8 @@
 }
 
 // active is a job's record, while it is not over.
-func (w *World) active(id string) (ledger.JobRecord, bool) {
-	if page, ok := w.store[ledger.SealedKey(0, 1)].v.(ledger.IntakeRecord); ok {
+func (w *World) active(id string) (jobstore.JobRecord, bool) {
+	if page, ok := w.store[jobstore.SealedKey(0, 1)].v.(jobstore.IntakeRecord); ok {
 		for _, e := range page.Jobs {
 			if e.ID == id {
 				rec, err := e.Decode()
@@ -740,7 +740,7 @@
 			}
 		}
 	}
-	rec, ok := w.store[ledger.JobKey(id)].v.(ledger.JobRecord)
+	rec, ok := w.store[jobstore.JobKey(id)].v.(jobstore.JobRecord)
 	return rec, ok
 }
 
@@ -749,22 +749,22 @@
 	rec, _ := w.active(j.ID)
 	rec.State = wire.JobCancelled
 	w.rev++
-	if key := ledger.SealedKey(0, 1); w.sc.Shared {
-		if page := w.store[key].v.(ledger.IntakeRecord).Without(map[string]bool{j.ID: true}); len(page.Jobs) > 0 {
+	if key := jobstore.SealedKey(0, 1); w.sc.Shared {
+		if page := w.store[key].v.(jobstore.IntakeRecord).Without(map[string]bool{j.ID: true}); len(page.Jobs) > 0 {
 			w.store[key] = value{page, w.rev}
 		} else {
 			delete(w.store, key)
 		}
 	}
-	delete(w.store, ledger.JobKey(j.ID))
-	w.store[ledger.FinalKey(j.ID)] = value{rec, w.rev}
+	delete(w.store, jobstore.JobKey(j.ID))
+	w.store[jobstore.FinalKey(j.ID)] = value{rec, w.rev}
 	w.cancelled[j.ID] = w.step
 	if w.breach == DropsOnCancel {
 		// As if the task were on no machine from here on.
 		for key := range w.store {
-			if _, ok := ledger.ParsePageKey(key); ok {
+			if _, ok := jobstore.ParsePageKey(key); ok {
 				w.rev++
-				w.store[key] = value{ledger.PageRecord{}, w.rev}
+				w.store[key] = value{jobstore.PageRecord{}, w.rev}
 			}
 		}
 		w.lead()
--- a/mesh/lane.go
+++ b/peerrpc/lane.go
@@ -1,4 +1,4 @@
-package mesh
+package peerrpc
 
 import (
 	"context"
--- a/mesh/lane_test.go
+++ b/peerrpc/lane_test.go
@@ -1,4 +1,4 @@
-package mesh
+package peerrpc
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 	"testing/synctest"
 	"time"
 
-	"github.com/umberdeal/umberdeal/internal/pipe"
+	"github.com/umberdeal/umberdeal/internal/memnet"
 )
 
 // far is a node that answers reports as a test says.
 type far struct {
 	answer func(r Request) Answer
-	*pipe.Listener
+	*memnet.Listener
 	dials  atomic.Int32
 	writes atomic.Int32 // of the lane's
 	down   atomic.Bool
@@ -52,7 +52,7 @@
 func lane(t *testing.T, tell func(t *testing.T, l *Lane, f *far)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := &far{Listener: pipe.Listen(0)}
+		f := &far{Listener: memnet.Listen(0)}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = Serve(ctx, f, f, 1000) }()
--- a/mesh/mesh.go
+++ b/peerrpc/mesh.go
@@ -1,5 +1,5 @@
 // Package mesh is what the controller nodes say to one another, over net/rpc.
-package mesh
+package peerrpc
 
 import (
 	"context"
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -12,8 +12,8 @@
 	"github.com/BurntSushi/toml"
 
 	"github.com/umberdeal/umberdeal/calendar"
-	"github.com/umberdeal/umberdeal/order"
-	"github.com/umberdeal/umberdeal/pools"
+	"github.com/umberdeal/umberdeal/priority"
+	"github.com/umberdeal/umberdeal/warmpool"
 )
 
 // MaxBytes bounds a plan's text.
@@ -25,8 +25,8 @@
 	Note string `toml:"note"` // for people: what this version is for
 
 	Calendar calendar.Settings `toml:"calendar"`
-	Order    order.Settings    `toml:"order"`
-	Pools    []pools.Pool      `toml:"pools"`
+	Order    priority.Settings `toml:"order"`
+	Pools    []warmpool.Pool   `toml:"pools"`
 }
 
 // part is what a plan is made of.
@@ -40,9 +40,9 @@
 	return []part{&p.Calendar, &p.Order, poolList(p.Pools)}
 }
 
-type poolList []pools.Pool
+type poolList []warmpool.Pool
 
-func (l poolList) Check(zones, teams []string) []error { return pools.Check(l, zones, teams) }
+func (l poolList) Check(zones, teams []string) []error { return warmpool.Check(l, zones, teams) }
 
 // Parse reads a plan's text. A field that it does not know is an error: a leader
 // that passed over it would decide by half a plan.
--- a/order/order.go
+++ b/priority/order.go
@@ -1,7 +1,7 @@
 // Package order decides who is served first where the operators have given the
 // work an order: tiers by team and class, clinics before schools before crafts.
 // It is pure: the same input gives the same decision, and the time is passed in.
-package order
+package priority
 
 import (
 	"math"
--- a/order/record.go
+++ b/priority/record.go
@@ -1,4 +1,4 @@
-package order
+package priority
 
 import (
 	"maps"
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
+	"github.com/umberdeal/umberdeal/internal/scenario"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -31,9 +31,9 @@
 		o.Sockets = fleetSockets
 	}
 	o.Gap, o.Lease = 4, 22
-	tell.Story(t, o, func(t *testing.T, w *fake.World) {
-		tell.MustSubmit(t, w, tell.Job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = o.Machines, 8, 400 }))
-		tell.Until(time.Minute, time.Second, func() bool { return w.Started() == o.Machines })
+	scenario.Story(t, o, func(t *testing.T, w *fake.World) {
+		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = o.Machines, 8, 400 }))
+		scenario.Until(time.Minute, time.Second, func() bool { return w.Started() == o.Machines })
 		if n := w.Started(); n != o.Machines || w.Expired() != 0 {
 			t.Fatalf("%d of %d tasks run, %d leases have ended", n, o.Machines, w.Expired())
 		}
@@ -91,7 +91,7 @@
 		w.StartAll()
 		allAnswered(t, w, at, 13*time.Second)
 		noneLost(t, w, fleetMachines)
-		tell.MustSubmit(t, w, tell.Job(2, nil))
+		scenario.MustSubmit(t, w, scenario.Job(2, nil))
 	})
 }
 
@@ -124,7 +124,7 @@
 		w.CutZone("b", false)
 		at := time.Now()
 		allAnswered(t, w, at, 12*time.Second)
-		tell.Until(40*time.Second, time.Second, func() bool { return w.Started() >= fleetMachines*3/2 })
+		scenario.Until(40*time.Second, time.Second, func() bool { return w.Started() >= fleetMachines*3/2 })
 		if n := w.Started(); n != fleetMachines*3/2 {
 			t.Errorf("%d starts, wanted each task of the zone once more: %d", n, fleetMachines*3/2)
 		}
@@ -174,7 +174,7 @@
 		allAnswered(t, w, at, 15*time.Second)
 		// The node's own calls find a socket all the same.
 		for i := range 5 {
-			tell.MustSubmit(t, w, tell.Job(10+i, func(j *wire.Job) { j.CPUs = 8 }))
+			scenario.MustSubmit(t, w, scenario.Job(10+i, func(j *wire.Job) { j.CPUs = 8 }))
 		}
 		w.KillNode(w.Leader())
 		at = time.Now()
@@ -219,8 +219,8 @@
 // again. No worker is left without an answer, and nothing starts twice.
 func TestAnswersAreHeldForAWholeFleetWhileAllNodesAreSlow(t *testing.T) {
 	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.World) {
-		tell.MustSubmit(t, w, tell.Job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = fleetMachines, 8, 60 }))
-		tell.Until(10*time.Minute, time.Second, func() bool { return w.Finished("wk-000001") > 0 }) // the first job's tasks run 400 s
+		scenario.MustSubmit(t, w, scenario.Job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = fleetMachines, 8, 60 }))
+		scenario.Until(10*time.Minute, time.Second, func() bool { return w.Finished("wk-000001") > 0 }) // the first job's tasks run 400 s
 		began := time.Now()
 		for range 10 {
 			for i := range w.Nodes() {
@@ -233,7 +233,7 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		allAnswered(t, w, time.Now(), 10*time.Second)
-		tell.Until(90*time.Second, time.Second, func() bool { return w.Started() >= 2*fleetMachines })
+		scenario.Until(90*time.Second, time.Second, func() bool { return w.Started() >= 2*fleetMachines })
 		t.Logf("all of the second job's tasks on their machines %v after the first's end", time.Since(began))
 		noneLost(t, w, 2*fleetMachines)
 	})
@@ -299,8 +299,8 @@
 	time.Sleep(10 * time.Second)
 	all := w.Cloud.Machines()
 	// A task on each machine leaves room for another.
-	tell.MustSubmit(t, w, tell.Job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = len(all), 5, 900 }))
-	tell.Until(time.Minute, time.Second, func() bool { return w.Running() == len(all) })
+	scenario.MustSubmit(t, w, scenario.Job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = len(all), 5, 900 }))
+	scenario.Until(time.Minute, time.Second, func() bool { return w.Running() == len(all) })
 	w.CopyReports(20)
 	for i := range n {
 		w.Mute(all[i*len(all)/n], true)
@@ -311,8 +311,8 @@
 	before := w.Started()
 	began := time.Now()
 	hear := len(all) - n
-	tell.MustSubmit(t, w, tell.Job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = hear, 3, 900 }))
-	tell.Until(40*time.Second, 100*time.Millisecond, func() bool { return w.Started()-before >= hear })
+	scenario.MustSubmit(t, w, scenario.Job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = hear, 3, 900 }))
+	scenario.Until(40*time.Second, 100*time.Millisecond, func() bool { return w.Started()-before >= hear })
 	started, took := w.Started()-before, time.Since(began)
 	if started < hear {
 		t.Errorf("%d of %d tasks that fit on machines that hear have started after %v", started, hear, took)
@@ -327,7 +327,7 @@
 		w.Mute(all[i*len(all)/n], false)
 	}
 	began = time.Now()
-	tell.Until(time.Minute, 100*time.Millisecond, func() bool { return w.Running() == len(all)+hear })
+	scenario.Until(time.Minute, 100*time.Millisecond, func() bool { return w.Running() == len(all)+hear })
 	if r := w.Running(); r != len(all)+hear {
 		t.Errorf("a minute after they hear again %d of %d tasks run", r, len(all)+hear)
 	}
--- a/routing/main_test.go
+++ b/routing/main_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"github.com/umberdeal/umberdeal/internal/tell"
+	"github.com/umberdeal/umberdeal/internal/scenario"
 )
 
-func TestMain(m *testing.M) { tell.Main(m) }
+func TestMain(m *testing.M) { scenario.Main(m) }
--- a/routing/plan_test.go
+++ b/routing/plan_test.go
@@ -12,8 +12,8 @@
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/fake"
 	"github.com/umberdeal/umberdeal/internal/plans"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -64,17 +64,17 @@
 	minutes := fleetMinutes()
 	o := fake.Options{Nodes: 7, Machines: fleetMachines, Capacity: fleetMachines + 100, Sockets: fleetSockets, Gap: 4, Lease: 22, Seed: 3,
 		Teams: []config.Team{{Name: "core", CPUs: 400, CPUsMax: 5000}, {Name: "edge"}}}
-	tell.Story(t, o, func(t *testing.T, w *fake.World) {
+	scenario.Story(t, o, func(t *testing.T, w *fake.World) {
 		rnd := rand.New(rand.NewPCG(3, 17))
 		time.Sleep(15 * time.Second)
-		plan := tell.Plans{World: w}
+		plan := scenario.Plans{World: w}
 		apply := func() bool { return plan.Apply(fleetPlan(plan.Version+1, minutes+3), 10*time.Second) }
 		for plan.Version == 0 {
 			apply()
 		}
 		next, accepted := 1, []string{}
 		submit := func(class, team string, tasks int, cpus, est float64) {
-			j := tell.Job(next, func(j *wire.Job) {
+			j := scenario.Job(next, func(j *wire.Job) {
 				j.Class, j.Team, j.Tasks, j.CPUs, j.EstimateS = class, team, tasks, cpus, est
 				j.CheckpointS, j.SaveS = 5, 1
 			})
@@ -86,10 +86,10 @@
 		submit("tiles", "core", 500, 4, 40)
 		submit("tiles", "core", 300, 4, 30)
 		submit("long", "edge", 300, 4, 90)
-		service := tell.Job(900, func(j *wire.Job) {
+		service := scenario.Job(900, func(j *wire.Job) {
 			j.Class, j.Team, j.Kind, j.Image, j.ImageGB, j.Tasks, j.CPUs, j.EstimateS = "chat", "core", wire.KindService, "llm:v1", 20, 10, 2, 0
 		})
-		tell.MustSubmit(t, w, service)
+		scenario.MustSubmit(t, w, service)
 		w.CopyReports(50)
 		end := time.Now().Add(time.Duration(minutes) * time.Minute)
 		for time.Now().Before(end) {
@@ -140,7 +140,7 @@
 			w.StartNode(i)
 		}
 		for _, id := range accepted {
-			tell.MustReach(t, w, id, wire.JobDone, 10*time.Minute)
+			scenario.MustReach(t, w, id, wire.JobDone, 10*time.Minute)
 		}
 		if w.Cancel(service.ID) != wire.JobCancelled {
 			t.Error("the service is not cancelled")
@@ -154,7 +154,7 @@
 		opening := time.Date(2000, time.January, 1, 0, minutes+3, 0, 0, time.UTC)
 		time.Sleep(time.Until(opening.Add(time.Minute)))
 		var rec calendar.Record
-		if err := wire.Unmarshal(w.State.Value(ledger.Notes+calendar.NoteOf("here")), &rec); err != nil {
+		if err := wire.Unmarshal(w.State.Value(jobstore.Notes+calendar.NoteOf("here")), &rec); err != nil {
 			t.Fatal(err)
 		}
 		outcomes := 0
--- a/snapshot/plan.go
+++ b/snapshot/plan.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -14,19 +14,19 @@
 // read as a node reads them.
 func (v *verifier) plan() {
 	ctx := context.Background()
-	h, version, trouble, err := ledger.ReadPlanHead(ctx, held(v.all))
+	h, version, trouble, err := jobstore.ReadPlanHead(ctx, held(v.all))
 	if err != nil || version == 0 {
 		return // there is no plan: a snapshot's reads do not fail
 	}
 	if trouble != nil {
-		v.say(ledger.PlanHeadKey, "%v", trouble)
+		v.say(jobstore.PlanHeadKey, "%v", trouble)
 	}
-	if v.form.Form < ledger.FormPlan {
-		v.say(ledger.PlanHeadKey, "there is a plan, and the form is %d", v.form.Form)
+	if v.form.Form < jobstore.FormPlan {
+		v.say(jobstore.PlanHeadKey, "there is a plan, and the form is %d", v.form.Form)
 	}
 	for _, ver := range h.Versions {
-		if _, err := ledger.ReadPlanText(ctx, held(v.all), ver); err != nil {
-			v.say(ledger.PlanHeadKey, "%v", err)
+		if _, err := jobstore.ReadPlanText(ctx, held(v.all), ver); err != nil {
+			v.say(jobstore.PlanHeadKey, "%v", err)
 		}
 	}
 }
--- a/snapshot/plan_test.go
+++ b/snapshot/plan_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/snapshot"
 	"github.com/umberdeal/umberdeal/wire"
 )
@@ -18,12 +18,12 @@
 // service that was filled from it the same version holds.
 func TestAPlanIsExportedVerifiedAndImported(t *testing.T) {
 	var file bytes.Buffer
-	limits := ledger.Limits{TxnOps: 12, ValueKB: 16}
+	limits := jobstore.Limits{TxnOps: 12, ValueKB: 16}
 	text := "note = \"" + strings.Repeat("two ", 9000) + "\""
-	tell.Story(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.World) {
+	scenario.Story(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.World) {
 		time.Sleep(5 * time.Second)
 		for n, text := range []string{"note = \"one\"", text} {
-			if _, err := ledger.ApplyPlan(t.Context(), client(w), limits, ledger.PlanChange{Base: n, Text: text, At: time.Now()}); err != nil {
+			if _, err := jobstore.ApplyPlan(t.Context(), client(w), limits, jobstore.PlanChange{Base: n, Text: text, At: time.Now()}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -49,11 +49,11 @@
 		if _, err := snapshot.Restore(t.Context(), client(w), r.Header, all, 12); err != nil {
 			t.Fatal(err)
 		}
-		st, err := ledger.LoadPlan(t.Context(), client(w), func(string) error { return nil })
+		st, err := jobstore.LoadPlan(t.Context(), client(w), func(string) error { return nil })
 		if err != nil || st.Number != 2 || st.Text != text || len(st.Troubles) > 0 {
 			t.Errorf("version %d of %d bytes, %v, %v", st.Number, len(st.Text), st.Troubles, err)
 		}
-		if v, err := ledger.ApplyPlan(t.Context(), client(w), limits, ledger.PlanChange{Base: 2, Text: "note = \"three\"", At: time.Now()}); err != nil || v.Number != 3 {
+		if v, err := jobstore.ApplyPlan(t.Context(), client(w), limits, jobstore.PlanChange{Base: 2, Text: "note = \"three\"", At: time.Now()}); err != nil || v.Number != 3 {
 			t.Errorf("applied after it: %+v, %v", v, err)
 		}
 	})
--- a/snapshot/pools.go
+++ b/snapshot/pools.go
@@ -3,8 +3,8 @@
 import (
 	"strings"
 
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/pools"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/warmpool"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -13,17 +13,17 @@
 func (v *verifier) pools() {
 	notes := map[string]wire.Raw{}
 	for k, raw := range v.all {
-		if name, ok := strings.CutPrefix(k, ledger.Notes); ok {
+		if name, ok := strings.CutPrefix(k, jobstore.Notes); ok {
 			notes[name] = raw
 		}
 	}
-	all, bad := pools.ReadStates(notes)
+	all, bad := warmpool.ReadStates(notes)
 	for _, name := range bad {
-		v.say(ledger.Notes+name, "can't be read")
+		v.say(jobstore.Notes+name, "can't be read")
 	}
 	for i := range all {
 		for _, why := range all[i].Audit() {
-			v.say(ledger.Notes+pools.NoteName(all[i].Name), "%s", why)
+			v.say(jobstore.Notes+warmpool.NoteName(all[i].Name), "%s", why)
 		}
 	}
 }
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/snapshot"
-	"github.com/umberdeal/umberdeal/state"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -98,15 +98,15 @@
 	})
 }
 
-func client(w *fake.World) *state.Client {
-	return state.New(w.Net.Dial("ops"), "state:1", 200, 200)
+func client(w *fake.World) *kvstore.Client {
+	return kvstore.New(w.Net.Dial("ops"), "state:1", 200, 200)
 }
 
 var errCut = errors.New("cut off")
 
 // few is a state service that takes so many transactions.
 type few struct {
-	*state.Client
+	*kvstore.Client
 	left int
 }
 
@@ -122,11 +122,11 @@
 func TestASnapshotOfARunningServiceFillsAnEmptyOne(t *testing.T) {
 	var file bytes.Buffer
 	var known map[string]string
-	tell.Story(t, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.World) {
+	scenario.Story(t, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.World) {
 		known = map[string]string{}
 		for n := range 60 {
-			j := tell.Job(n, func(j *wire.Job) { j.EstimateS = float64(2 + n%9) })
-			tell.MustSubmit(t, w, j)
+			j := scenario.Job(n, func(j *wire.Job) { j.EstimateS = float64(2 + n%9) })
+			scenario.MustSubmit(t, w, j)
 			if n == 40 {
 				h, keys, err := snapshot.Take(t.Context(), client(w), 20, &file, "test")
 				if err != nil || keys < 20 || h.Revision == 0 {
@@ -173,7 +173,7 @@
 		if n := len(w.State.Keys("")); n != len(all) {
 			t.Errorf("%d keys of %d", n, len(all))
 		}
-		rd := ledger.NewReader(client(w))
+		rd := jobstore.NewReader(client(w))
 		rctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); rd.Run(rctx) }()
@@ -196,19 +196,19 @@
 		}
 		return b
 	}
-	rec := func(n int, st string) ledger.JobRecord {
-		return ledger.JobRecord{Job: tell.Job(n, nil), State: st}
+	rec := func(n int, st string) jobstore.JobRecord {
+		return jobstore.JobRecord{Job: scenario.Job(n, nil), State: st}
 	}
 	all := map[string]wire.Raw{
-		ledger.JobKey("wk-000001"):   raw(rec(1, "")),
-		ledger.FinalKey("wk-000001"): raw(rec(1, wire.JobDone)),
-		ledger.FinalKey("wk-000002"): raw(rec(2, "lost")),
-		ledger.FinalKey("wk-000003"): raw(rec(4, wire.JobDone)),
-		ledger.HeadKey(0):            raw(ledger.IntakeRecord{Jobs: []ledger.IntakeEntry{{ID: "wk-000005", Record: wire.Raw{0xc0}}}}),
-		ledger.JobKey("wk-000006"):   {0xc1},
-		ledger.JobKey("wk-000007"):   raw(rec(7, "")),
-		ledger.PageKey(0): raw(ledger.PageRecord{Chunks: []ledger.ChunkRecord{
-			{Job: "wk-000007", Attempt: 3, Done: []int{0, 0}, Placed: []ledger.Placement{{Task: 0, Attempt: 2, Machine: "a"}, {Task: 1, Attempt: 9, Machine: "b"}, {Task: 5, Attempt: 1, Machine: "c"}}},
+		jobstore.JobKey("wk-000001"):   raw(rec(1, "")),
+		jobstore.FinalKey("wk-000001"): raw(rec(1, wire.JobDone)),
+		jobstore.FinalKey("wk-000002"): raw(rec(2, "lost")),
+		jobstore.FinalKey("wk-000003"): raw(rec(4, wire.JobDone)),
+		jobstore.HeadKey(0):            raw(jobstore.IntakeRecord{Jobs: []jobstore.IntakeEntry{{ID: "wk-000005", Record: wire.Raw{0xc0}}}}),
+		jobstore.JobKey("wk-000006"):   {0xc1},
+		jobstore.JobKey("wk-000007"):   raw(rec(7, "")),
+		jobstore.PageKey(0): raw(jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{
+			{Job: "wk-000007", Attempt: 3, Done: []int{0, 0}, Placed: []jobstore.Placement{{Task: 0, Attempt: 2, Machine: "a"}, {Task: 1, Attempt: 9, Machine: "b"}, {Task: 5, Attempt: 1, Machine: "c"}}},
 			{Job: "wk-000099"}, {Job: "wk-000007"}}}),
 	}
 	_, found := snapshot.Verify(all)
--- a/snapshot/take.go
+++ b/snapshot/take.go
@@ -13,7 +13,7 @@
 
 	"github.com/umberdeal/umberdeal/election"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/kvstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -37,7 +37,7 @@
 func again(ctx context.Context, f func() error) error {
 	for try := 1; ; try++ {
 		err := f()
-		if err == nil || try == tries || !errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrUnknown) {
+		if err == nil || try == tries || !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrUnknown) {
 			return err
 		}
 		if !call.Pause(ctx, time.Duration(try)*100*time.Millisecond) {
@@ -167,7 +167,7 @@
 			bytes += 2 * len(all[keys[n]])
 			n++
 		}
-		var c *state.Conflict
+		var c *kvstore.Conflict
 		err := again(ctx, func() error {
 			_, err := to.Commit(ctx, guards, puts)
 			return err
--- a/snapshot/verify.go
+++ b/snapshot/verify.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -34,7 +34,7 @@
 		v.job(key)
 	}
 	for _, key := range keys {
-		if _, ok := ledger.ParsePageKey(key); ok {
+		if _, ok := jobstore.ParsePageKey(key); ok {
 			v.page(key)
 		}
 	}
@@ -46,7 +46,7 @@
 
 type at struct {
 	key string
-	rec ledger.JobRecord
+	rec jobstore.JobRecord
 }
 
 type chunk struct {
@@ -56,7 +56,7 @@
 
 type verifier struct {
 	all    map[string]wire.Raw
-	form   ledger.FormRecord
+	form   jobstore.FormRecord
 	jobs   map[string]at
 	chunks map[chunk]string
 	totals Totals
@@ -77,20 +77,20 @@
 }
 
 func (v *verifier) readForm() {
-	raw, ok := v.all[ledger.FormKey]
+	raw, ok := v.all[jobstore.FormKey]
 	if !ok {
 		return
 	}
-	if len(raw) > 0 && v.read(ledger.FormKey, &v.form) && v.form.Form > ledger.Form {
-		v.say(ledger.FormKey, "form %d is newer than this program reads (%d)", v.form.Form, ledger.Form)
+	if len(raw) > 0 && v.read(jobstore.FormKey, &v.form) && v.form.Form > jobstore.Form {
+		v.say(jobstore.FormKey, "form %d is newer than this program reads (%d)", v.form.Form, jobstore.Form)
 	}
 }
 
 // job takes in the jobs that stand on a key.
 func (v *verifier) job(key string) {
-	if ledger.IsIntake(key) {
-		page, err := ledger.DecodeIntake(v.all[key])
-		if a, ok := ledger.DecodeAside(v.all[key]); ok {
+	if jobstore.IsIntake(key) {
+		page, err := jobstore.DecodeIntake(v.all[key])
+		if a, ok := jobstore.DecodeAside(v.all[key]); ok {
 			v.say(key, "what stood at %s can't be read, and was set aside", a.From)
 			return
 		}
@@ -98,7 +98,7 @@
 			v.say(key, "can't be read: %v", err)
 			return
 		}
-		if v.form.Form < ledger.FormIntake {
+		if v.form.Form < jobstore.FormIntake {
 			v.say(key, "jobs share a page, and the form is %d", v.form.Form)
 		}
 		for _, e := range page.Jobs {
@@ -107,24 +107,24 @@
 				v.say(key, "%v", err)
 				continue
 			}
-			if v.form.Buckets > 0 && key != ledger.HeadKey(v.form.Bucket(e.ID)) && !strings.HasPrefix(key, ledger.HeadKey(v.form.Bucket(e.ID))+".") {
+			if v.form.Buckets > 0 && key != jobstore.HeadKey(v.form.Bucket(e.ID)) && !strings.HasPrefix(key, jobstore.HeadKey(v.form.Bucket(e.ID))+".") {
 				v.say(key, "job %s belongs to bucket %d", e.ID, v.form.Bucket(e.ID))
 			}
 			v.put(key, e.ID, rec)
 		}
 		return
 	}
-	id, ok := ledger.ParseJobKey(key)
+	id, ok := jobstore.ParseJobKey(key)
 	over := false
 	if !ok {
-		if id, over = ledger.ParseFinalKey(key); !over {
-			if _, page := ledger.ParsePageKey(key); !page {
+		if id, over = jobstore.ParseFinalKey(key); !over {
+			if _, page := jobstore.ParsePageKey(key); !page {
 				v.totals.Other++
 			}
 			return
 		}
 	}
-	var rec ledger.JobRecord
+	var rec jobstore.JobRecord
 	if !v.read(key, &rec) {
 		return
 	}
@@ -137,7 +137,7 @@
 	v.put(key, id, rec)
 }
 
-func (v *verifier) put(key, id string, rec ledger.JobRecord) {
+func (v *verifier) put(key, id string, rec jobstore.JobRecord) {
 	if was, ok := v.jobs[id]; ok {
 		v.say(key, "job %s stands at %s as well", id, was.key)
 		return
@@ -152,7 +152,7 @@
 
 // page takes in a page of placement records.
 func (v *verifier) page(key string) {
-	var page ledger.PageRecord
+	var page jobstore.PageRecord
 	if !v.read(key, &page) {
 		return
 	}
@@ -169,7 +169,7 @@
 			v.say(key, "chunk %d of job %s, which is not there", c.Chunk, c.Job)
 			continue
 		}
-		lo, hi := c.Chunk*ledger.ChunkSize, min((c.Chunk+1)*ledger.ChunkSize, j.rec.Job.Tasks)
+		lo, hi := c.Chunk*jobstore.ChunkSize, min((c.Chunk+1)*jobstore.ChunkSize, j.rec.Job.Tasks)
 		done := map[int]bool{}
 		for k := 0; k+1 < len(c.Done); k += 2 {
 			if c.Done[k] < lo || c.Done[k+1] >= hi || c.Done[k] > c.Done[k+1] {
--- a/pools/choose.go
+++ b/warmpool/choose.go
@@ -1,4 +1,4 @@
-package pools
+package warmpool
 
 import (
 	"cmp"
--- a/pools/pools.go
+++ b/warmpool/pools.go
@@ -1,7 +1,7 @@
 // Package pools decides on warm pools: machines that hold a model's weights ahead
 // of a burst, how many, which, and who pays. It is pure: the time is passed in,
 // and the same input gives the same decision.
-package pools
+package warmpool
 
 import (
 	"fmt"
--- a/yarn/client.go
+++ b/yarn/client.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	nwire "github.com/umberdeal/umberdeal/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
@@ -162,7 +162,7 @@
 	return yarnStates[a.State]
 }
 
-func (d *Door) report(a *app, jobs []ledger.Reserved) *pb.ApplicationReportProto {
+func (d *Door) report(a *app, jobs []jobstore.Reserved) *pb.ApplicationReportProto {
 	final := pb.FinalApplicationStatusProto(a.Final)
 	st := a.stateOf()
 	r := &pb.ApplicationReportProto{ApplicationId: a.id(), User: &a.User, Queue: proto.String(leaf(a.Queue)), Name: &a.Name, Host: &a.Host, RpcPort: &a.Port,
@@ -175,7 +175,7 @@
 }
 
 // used adds up what the placed containers of jobs take.
-func (d *Door) used(jobs []ledger.Reserved) (*pb.ResourceProto, int) {
+func (d *Door) used(jobs []jobstore.Reserved) (*pb.ResourceProto, int) {
 	var mem, cpus, gpus float64
 	n := 0
 	for _, j := range jobs {
--- a/yarn/door.go
+++ b/yarn/door.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	nwire "github.com/umberdeal/umberdeal/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
@@ -28,12 +28,12 @@
 
 // Ledger is what it needs of the jobs' records.
 type Ledger interface {
-	Owned(ctx context.Context, owner string) (ledger.Entry, []ledger.Reserved, error)
-	Over(ctx context.Context, id string) (ledger.Reserved, bool, error)
-	Apps(ctx context.Context) ([]ledger.Entry, error)
-	Known(key string) ledger.Entry
-	Reserve(ctx context.Context, j nwire.Job, atMs int64, res ledger.Reserve, owner ledger.Entry, value any) (uint64, bool, error)
-	Mark(ctx context.Context, v *ledger.Reserved, change func(*ledger.Reserve), more ...nwire.Op) error
+	Owned(ctx context.Context, owner string) (jobstore.Entry, []jobstore.Reserved, error)
+	Over(ctx context.Context, id string) (jobstore.Reserved, bool, error)
+	Apps(ctx context.Context) ([]jobstore.Entry, error)
+	Known(key string) jobstore.Entry
+	Reserve(ctx context.Context, j nwire.Job, atMs int64, res jobstore.Reserve, owner jobstore.Entry, value any) (uint64, bool, error)
+	Mark(ctx context.Context, v *jobstore.Reserved, change func(*jobstore.Reserve), more ...nwire.Op) error
 	Cancel(ctx context.Context, id string) (string, bool, error)
 }
 
@@ -127,8 +127,8 @@
 func retry(ctx context.Context, f func() error) error {
 	var err error
 	for try := range 6 {
-		var c *state.Conflict
-		if err = f(); !errors.As(err, &c) && !errors.Is(err, state.ErrUnknown) {
+		var c *kvstore.Conflict
+		if err = f(); !errors.As(err, &c) && !errors.Is(err, kvstore.ErrUnknown) {
 			return err
 		}
 		if !call.Pause(ctx, time.Duration(20+rand.IntN(40<<try))*time.Millisecond) {
@@ -163,8 +163,8 @@
 			k.Keys = []secret{first}
 		}
 		_, err = d.store.Commit(ctx, []nwire.Guard{{Key: keysKey, Version: e.Version}}, []nwire.Op{{Put: keysKey, Value: k}})
-		var c *state.Conflict
-		if err != nil && !errors.As(err, &c) && !errors.Is(err, state.ErrUnknown) {
+		var c *kvstore.Conflict
+		if err != nil && !errors.As(err, &c) && !errors.Is(err, kvstore.ErrUnknown) {
 			return keyring{}, 0, err
 		}
 	}
@@ -285,7 +285,7 @@
 
 // read reads an application's record and its jobs, as of a moment after the
 // call; over is true for one whose record is final.
-func (d *Door) read(ctx context.Context, id *pb.ApplicationIdProto) (a *app, e ledger.Entry, jobs []ledger.Reserved, over bool, err error) {
+func (d *Door) read(ctx context.Context, id *pb.ApplicationIdProto) (a *app, e jobstore.Entry, jobs []jobstore.Reserved, over bool, err error) {
 	key := appKey(id.GetClusterTimestamp(), id.GetId())
 	e, jobs, err = d.led.Owned(ctx, key)
 	if err != nil {
@@ -308,7 +308,7 @@
 
 // write replaces an application's record, and fails with a Conflict if it has
 // changed since it was read.
-func (d *Door) write(ctx context.Context, a *app, e *ledger.Entry) error {
+func (d *Door) write(ctx context.Context, a *app, e *jobstore.Entry) error {
 	rev, err := d.store.Commit(ctx, []nwire.Guard{{Key: e.Key, Version: e.Version}}, []nwire.Op{{Put: e.Key, Value: *a}})
 	if err == nil {
 		e.Version = rev
@@ -321,7 +321,7 @@
 func (d *Door) end(ctx context.Context, id *pb.ApplicationIdProto, how string, change func(a *app)) error {
 	var a *app
 	err := retry(ctx, func() error {
-		var e ledger.Entry
+		var e jobstore.Entry
 		var over bool
 		var err error
 		if a, e, _, over, err = d.read(ctx, id); err != nil || over || a.Ending != "" {
@@ -425,7 +425,7 @@
 
 // reserve commits one more job of an application, together with the record that
 // counts it.
-func (d *Door) reserve(ctx context.Context, a *app, e *ledger.Entry, k ask, tasks int, res ledger.Reserve) (string, error) {
+func (d *Door) reserve(ctx context.Context, a *app, e *jobstore.Entry, k ask, tasks int, res jobstore.Reserve) (string, error) {
 	j, only, err := d.native(a, k, tasks)
 	if err != nil {
 		return "", err
--- a/yarn/door_test.go
+++ b/yarn/door_test.go
@@ -20,7 +20,7 @@
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
+	"github.com/umberdeal/umberdeal/internal/scenario"
 	"github.com/umberdeal/umberdeal/wire"
 	"github.com/umberdeal/umberdeal/yarn"
 	"github.com/umberdeal/umberdeal/yarn/client"
@@ -48,7 +48,7 @@
 func yarnWorld(t *testing.T, o fake.Options, play func(t *testing.T, w *fake.World, y *yarnUser)) {
 	t.Helper()
 	o.YARN = yarnSettings
-	tell.Story(t, o, func(t *testing.T, w *fake.World) {
+	scenario.Story(t, o, func(t *testing.T, w *fake.World) {
 		var addrs []string
 		for _, n := range w.Nodes() {
 			addrs = append(addrs, n+":8032")
@@ -207,7 +207,7 @@
 			mem  int64
 		}{{9, 4}, {25, 4}, {2, 900}} {
 			_, m := y.app()
-			native := tell.Job(100, func(j *wire.Job) { j.CPUs, j.MemoryGB, j.Tasks = float64(c.cpus), float64(c.mem), 1 })
+			native := scenario.Job(100, func(j *wire.Job) { j.CPUs, j.MemoryGB, j.Tasks = float64(c.cpus), float64(c.mem), 1 })
 			status, words := w.Refusal(0, native)
 			m.Want(client.Ask{Priority: 1, Name: "*", Relax: true, MemoryMB: c.mem * 1024, VCores: c.cpus}, 1)
 			_, err := m.Beat(t.Context())
@@ -218,7 +218,7 @@
 		}
 		id, m := y.app()
 		defer m.Close()
-		tell.MustSubmit(t, w, tell.Job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 4, 30 }))
+		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 4, 30 }))
 		for n := range 10 {
 			m.Want(small(int32(n)), 4) // 80 CPUs in pieces, beside 8 of the job's
 			y.run(m, 2*time.Second)
@@ -226,7 +226,7 @@
 		if got := len(m.Has()); got != 6 && got != 10 {
 			t.Errorf("%d containers beside a job, 20 CPUs being the limit", got)
 		}
-		tell.MustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
+		scenario.MustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
 		y.run(m, 15*time.Second)
 		if got := len(m.Has()); got != 10 {
 			t.Errorf("%d containers, 20 CPUs being the limit", got)
@@ -288,8 +288,8 @@
 		if ends[yarn.ExitByMaster] != 4 || w.Started() != 0 {
 			t.Errorf("ended %v, %d started", ends, w.Started())
 		}
-		tell.MustSubmit(t, w, tell.Job(1, func(j *wire.Job) { j.Tasks = 4 }))
-		tell.MustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
+		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks = 4 }))
+		scenario.MustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
 	})
 }
 
@@ -463,12 +463,12 @@
 			t.Fatalf("%d started", w.Started())
 		}
 		m.Want(small(1), 0)
-		tell.MustSubmit(t, w, tell.Job(1, func(j *wire.Job) { j.Priority, j.Tasks, j.CPUs, j.EstimateS = wire.PriorityHigh, 1, 8, 10 }))
+		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Priority, j.Tasks, j.CPUs, j.EstimateS = wire.PriorityHigh, 1, 8, 10 }))
 		ends, warned := y.run(m, 20*time.Second)
 		if ends[yarn.ExitPreempted] != 4 || warned == 0 {
 			t.Errorf("ended %v, warned of %d", ends, warned)
 		}
-		tell.MustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
+		scenario.MustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
 		m.Want(small(2), 2)
 		y.run(m, 8*time.Second)
 		busy := m.Has()[0].GetNodeId().GetHost()
@@ -622,7 +622,7 @@
 						}
 					}()
 				}
-				tell.MustSubmit(t, w, tell.Job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 12, 20 }))
+				scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 12, 20 }))
 				for time.Until(over) > 25*time.Second {
 					n := rnd.IntN(3)
 					switch rnd.IntN(4) {
@@ -649,7 +649,7 @@
 				if n := ended.Load(); n < 8 {
 					t.Errorf("only %d containers completed", n)
 				}
-				tell.MustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
+				scenario.MustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
 				time.Sleep(80 * time.Second)
 				if n := w.Running(); n != 0 {
 					t.Errorf("%d containers are left", n)
@@ -677,9 +677,9 @@
 		{1, 9, 0, 4, wire.PriorityNormal}, {6, 3, 0, 6, wire.PriorityNormal}, {1, 1, 3, 1, wire.PriorityNormal}}
 	o := fake.Options{Machines: 6, Capacity: 6}
 	var native, asked []string
-	tell.Story(t, o, func(t *testing.T, w *fake.World) {
+	scenario.Story(t, o, func(t *testing.T, w *fake.World) {
 		for i, s := range steps {
-			j := tell.Job(i+1, func(j *wire.Job) {
+			j := scenario.Job(i+1, func(j *wire.Job) {
 				j.Tasks, j.CPUs, j.GPUs, j.MemoryGB, j.EstimateS = s.n, s.cpus, s.gpu, s.memGB, 60
 				j.Class, j.Image, j.ImageGB, j.CheckpointS, j.SaveS = "yarn", "yarn", 0, 1e6, 3
 			})
--- a/yarn/duty.go
+++ b/yarn/duty.go
@@ -9,7 +9,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	nwire "github.com/umberdeal/umberdeal/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
@@ -110,12 +110,12 @@
 }
 
 // reclaim takes back containers that nobody starts: they hold room.
-func (d *Door) reclaim(ctx context.Context, a *app, jobs []ledger.Reserved, w *watch) error {
+func (d *Door) reclaim(ctx context.Context, a *app, jobs []jobstore.Reserved, w *watch) error {
 	now := time.Now()
 	idle := map[string]time.Time{}
 	for i := range jobs {
 		j := &jobs[i]
-		goes := ledger.Set(j.Record.Reserve.Go, j.Record.Job.Tasks)
+		goes := jobstore.Set(j.Record.Reserve.Go, j.Record.Job.Tasks)
 		var late []int
 		for t := range j.Placed {
 			if goes.Test(uint(t)) {
@@ -144,7 +144,7 @@
 
 // keepMaster launches a managed application's master, and a next attempt where
 // one has ended by itself.
-func (d *Door) keepMaster(ctx context.Context, a *app, jobs []ledger.Reserved) error {
+func (d *Door) keepMaster(ctx context.Context, a *app, jobs []jobstore.Reserved) error {
 	if a.MasterJob == "" {
 		return d.launchMaster(ctx, a.id())
 	}
@@ -159,7 +159,7 @@
 	}
 	status, why := exitStatus(over.Ended[0])
 	why = fmt.Sprintf("attempt %d: its master ended with status %d %s", a.Attempt, status, why)
-	if a.Attempt >= a.Attempts && over.Ended[0] != ledger.EndPreempted && over.Ended[0] != ledger.EndLost {
+	if a.Attempt >= a.Attempts && over.Ended[0] != jobstore.EndPreempted && over.Ended[0] != jobstore.EndLost {
 		return d.end(ctx, a.id(), stateFailed, func(a *app) {
 			a.Diag, a.Final = why, int32(pb.FinalApplicationStatusProto_APP_FAILED)
 		})
@@ -196,7 +196,7 @@
 		a.MasterJob = jobID(a.Num, a.Seq)
 		k := a.Master
 		k.Name = "master"
-		_, err = d.reserve(ctx, a, &e, k, 1, ledger.Reserve{Tag: k.tag(), Go: []int{0, 0}})
+		_, err = d.reserve(ctx, a, &e, k, 1, jobstore.Reserve{Tag: k.tag(), Go: []int{0, 0}})
 		return err
 	})
 }
--- a/yarn/known_test.go
+++ b/yarn/known_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/fake"
-	"github.com/umberdeal/umberdeal/internal/tell"
+	"github.com/umberdeal/umberdeal/internal/scenario"
 	"github.com/umberdeal/umberdeal/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
@@ -16,7 +16,7 @@
 // all nodes are restarted: each is answered soon, and none is forgotten.
 func TestApplicationsAreAnsweredAmidACrowdOfPolls(t *testing.T) {
 	many := 500
-	if tell.UnderRace {
+	if scenario.UnderRace {
 		many = 90
 	}
 	yarnWorld(t, fake.Options{Machines: 2, Capacity: 2, StateRPS: 30, Sockets: 260}, func(t *testing.T, w *fake.World, y *yarnUser) {
@@ -29,7 +29,7 @@
 		for n := range many {
 			wg.Go(func() {
 				time.Sleep(time.Duration(n) * 20 * time.Millisecond)
-				if !w.Submit(tell.Job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, 900 })) {
+				if !w.Submit(scenario.Job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, 900 })) {
 					t.Errorf("%d was not accepted", n)
 				}
 			})
@@ -42,7 +42,7 @@
 		for n := range many {
 			wg.Go(func() {
 				for time.Sleep(time.Duration(n) * 4 * time.Second / time.Duration(many)); time.Now().Before(end); time.Sleep(4 * time.Second) {
-					w.Poll(w.Any(), tell.Job(n, nil).ID)
+					w.Poll(w.Any(), scenario.Job(n, nil).ID)
 				}
 			})
 		}
--- a/yarn/manager.go
+++ b/yarn/manager.go
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	nwire "github.com/umberdeal/umberdeal/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
@@ -55,7 +55,7 @@
 // share puts contexts that several containers have in common under one key: a
 // start then costs two changes for a whole job, not one for each container. It
 // returns the changes, and the references that are new.
-func (a *app) share(list []start, refs []ledger.Ref, tasks int) ([]nwire.Op, []ledger.Ref) {
+func (a *app) share(list []start, refs []jobstore.Ref, tasks int) ([]nwire.Op, []jobstore.Ref) {
 	byKey := map[string][]int{}
 	var order []string
 	content := map[string]nwire.Op{}
@@ -69,7 +69,7 @@
 	}
 	var ops []nwire.Op
 	for _, key := range order {
-		at := slices.IndexFunc(refs, func(r ledger.Ref) bool { return r.Key == key })
+		at := slices.IndexFunc(refs, func(r jobstore.Ref) bool { return r.Key == key })
 		if at < 0 && (len(byKey[key]) == 1 || len(refs) >= sharedMost) {
 			for _, i := range byKey[key] {
 				ops = append(ops, list[i].op)
@@ -77,15 +77,15 @@
 			continue
 		}
 		if at < 0 {
-			refs = append(refs, ledger.Ref{Key: key})
+			refs = append(refs, jobstore.Ref{Key: key})
 			at = len(refs) - 1
 			ops = append(ops, content[key])
 		}
-		set := ledger.Set(refs[at].Tasks, tasks)
+		set := jobstore.Set(refs[at].Tasks, tasks)
 		for _, i := range byKey[key] {
 			set.Set(uint(list[i].task))
 		}
-		refs[at].Tasks = ledger.Ranges(set)
+		refs[at].Tasks = jobstore.Ranges(set)
 	}
 	return ops, refs
 }
@@ -185,12 +185,12 @@
 			return err
 		}
 		good = good[:0]
-		i := slices.IndexFunc(jobs, func(j ledger.Reserved) bool { return j.ID == id })
+		i := slices.IndexFunc(jobs, func(j jobstore.Reserved) bool { return j.ID == id })
 		if i < 0 {
 			return nil
 		}
 		j := &jobs[i]
-		goes, drops := ledger.Set(j.Record.Reserve.Go, j.Record.Job.Tasks), ledger.Set(j.Record.Reserve.Drop, j.Record.Job.Tasks)
+		goes, drops := jobstore.Set(j.Record.Reserve.Go, j.Record.Job.Tasks), jobstore.Set(j.Record.Reserve.Drop, j.Record.Job.Tasks)
 		var fresh []start
 		for _, s := range list {
 			if _, placed := j.Placed[s.task]; !placed || drops.Test(uint(s.task)) {
@@ -206,7 +206,7 @@
 			return nil
 		}
 		ops, refs := a.share(fresh, slices.Clone(j.Record.Reserve.Refs), j.Record.Job.Tasks)
-		return d.led.Mark(ctx, j, func(r *ledger.Reserve) { r.Go, r.Refs = ledger.Ranges(goes), refs }, ops...)
+		return d.led.Mark(ctx, j, func(r *jobstore.Reserve) { r.Go, r.Refs = jobstore.Ranges(goes), refs }, ops...)
 	})
 	for _, s := range list {
 		switch {
@@ -256,8 +256,8 @@
 }
 
 func (d *Door) statusOf(ctx context.Context, v *view, job string, task int) (*pb.ContainerStatusProto, error) {
-	i := slices.IndexFunc(v.jobs, func(j ledger.Reserved) bool { return j.ID == job })
-	var j ledger.Reserved
+	i := slices.IndexFunc(v.jobs, func(j jobstore.Reserved) bool { return j.ID == job })
+	var j jobstore.Reserved
 	if i >= 0 {
 		j = v.jobs[i]
 	} else {
@@ -278,7 +278,7 @@
 		return nil, wire.Errorf(wire.ClassNoContainer, "there is no such container")
 	}
 	st := pb.ContainerStateProto_C_NEW
-	if ledger.Set(j.Record.Reserve.Go, j.Record.Job.Tasks).Test(uint(task)) {
+	if jobstore.Set(j.Record.Reserve.Go, j.Record.Job.Tasks).Test(uint(task)) {
 		st = pb.ContainerStateProto_C_RUNNING
 	}
 	return &pb.ContainerStatusProto{State: &st, Diagnostics: proto.String("")}, nil
--- a/yarn/master.go
+++ b/yarn/master.go
@@ -12,8 +12,8 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/umberdeal/umberdeal/ledger"
-	"github.com/umberdeal/umberdeal/state"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
 	nwire "github.com/umberdeal/umberdeal/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
@@ -78,8 +78,8 @@
 
 // view is an application's record as it was read, with its jobs.
 type view struct {
-	ledger.Entry
-	jobs []ledger.Reserved
+	jobstore.Entry
+	jobs []jobstore.Reserved
 }
 
 func (d *Door) caller(ctx context.Context, c *wire.Caller, kind string) (*app, *view, error) {
@@ -166,7 +166,7 @@
 
 // container describes a placed task as a container, with the token that starts
 // it.
-func (d *Door) container(a *app, k *keyring, j *ledger.Reserved, task int) (*pb.ContainerProto, error) {
+func (d *Door) container(a *app, k *keyring, j *jobstore.Reserved, task int) (*pb.ContainerProto, error) {
 	id := a.container(jobSeq(j.ID), task)
 	tok, err := k.issue(token{kind: tokContainer, stamp: a.Stamp, num: a.Num, attempt: a.Attempt, c: id.GetId()}, kindContainer, d.s.Advertise)
 	if err != nil {
@@ -308,7 +308,7 @@
 			continue
 		}
 		s.jobs[j.ID] = true
-		drops := ledger.Set(j.Record.Reserve.Drop, j.Record.Job.Tasks)
+		drops := jobstore.Set(j.Record.Reserve.Drop, j.Record.Job.Tasks)
 		for _, t := range slices.Sorted(maps.Keys(j.Placed)) {
 			id := a.container(jobSeq(j.ID), t)
 			if _, ok := s.told[id.GetId()]; !ok && !drops.Test(uint(t)) {
@@ -355,12 +355,12 @@
 
 // tellEnds adds what has ended of a job. What was given back before it was ever
 // allocated is no container.
-func (d *Door) tellEnds(a *app, s *session, j *ledger.Reserved, out *pb.AllocateResponseProto) {
+func (d *Door) tellEnds(a *app, s *session, j *jobstore.Reserved, out *pb.AllocateResponseProto) {
 	for _, t := range slices.Sorted(maps.Keys(j.Ended)) {
 		id := a.container(jobSeq(j.ID), t)
 		n, how := id.GetId(), j.Ended[t]
 		_, told := s.told[n]
-		if s.ended[n] || how == ledger.EndReleased && !told {
+		if s.ended[n] || how == jobstore.EndReleased && !told {
 			continue
 		}
 		s.ended[n] = true
@@ -402,14 +402,14 @@
 		first = false
 		for i := range jobs {
 			if j := &jobs[i]; j.ID == id {
-				return d.led.Mark(ctx, j, func(r *ledger.Reserve) {
-					set := ledger.Set(r.Drop, j.Record.Job.Tasks)
+				return d.led.Mark(ctx, j, func(r *jobstore.Reserve) {
+					set := jobstore.Set(r.Drop, j.Record.Job.Tasks)
 					for _, t := range tasks {
 						if t >= 0 && t < j.Record.Job.Tasks {
 							set.Set(uint(t))
 						}
 					}
-					r.Drop = ledger.Ranges(set)
+					r.Drop = jobstore.Ranges(set)
 				})
 			}
 		}
@@ -430,7 +430,7 @@
 			if j.ID == a.MasterJob || slices.Equal(j.Record.Reserve.Avoid, names) || len(waiting(j)) == 0 {
 				continue
 			}
-			if err := d.led.Mark(ctx, j, func(r *ledger.Reserve) { r.Avoid = names }); err != nil {
+			if err := d.led.Mark(ctx, j, func(r *jobstore.Reserve) { r.Avoid = names }); err != nil {
 				return err
 			}
 		}
@@ -439,8 +439,8 @@
 }
 
 // waiting lists the tasks of a job that have no place yet and are wanted.
-func waiting(j *ledger.Reserved) []int {
-	drops := ledger.Set(j.Record.Reserve.Drop, j.Record.Job.Tasks)
+func waiting(j *jobstore.Reserved) []int {
+	drops := jobstore.Set(j.Record.Reserve.Drop, j.Record.Job.Tasks)
 	var out []int
 	for t := range j.Record.Job.Tasks {
 		_, placed := j.Placed[t]
@@ -585,7 +585,7 @@
 func (d *Door) adjust(ctx context.Context, a *app, v *view, s *session, w wants) error {
 	tag := w.ask.tag()
 	have := 0
-	var mine []*ledger.Reserved
+	var mine []*jobstore.Reserved
 	for i := range v.jobs {
 		if j := &v.jobs[i]; j.ID != a.MasterJob && j.Record.Reserve.Tag == tag {
 			mine = append(mine, j)
@@ -594,10 +594,10 @@
 	}
 	for have < w.n {
 		n := min(w.n-have, jobTasks)
-		res := ledger.Reserve{Tag: tag, Avoid: slices.Sorted(maps.Keys(s.shun))}
+		res := jobstore.Reserve{Tag: tag, Avoid: slices.Sorted(maps.Keys(s.shun))}
 		id, err := d.reserve(ctx, a, &v.Entry, w.ask, n, res)
 		if err != nil {
-			var c *state.Conflict
+			var c *kvstore.Conflict
 			if errors.As(err, &c) {
 				a.Seq-- // read again before it is tried again
 			}
@@ -620,7 +620,7 @@
 // untold is how many containers of a job have a place that their master has not
 // been told of. They are part of what it still asks for: an ask that came again,
 // because its answer could not be made, was served twice.
-func (s *session) untold(j *ledger.Reserved) int {
+func (s *session) untold(j *jobstore.Reserved) int {
 	n := 0
 	for t := range j.Placed {
 		if _, ok := s.told[containerNum(jobSeq(j.ID), t)]; !ok {
--- a/yarn/records.go
+++ b/yarn/records.go
@@ -12,7 +12,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
@@ -83,7 +83,7 @@
 
 const (
 	keysKept = 8 // older ones sign nothing any more and are refused
-	keysKey  = ledger.Apps + "keys"
+	keysKey  = jobstore.Apps + "keys"
 	finalKey = "yf/"
 	ctxKey   = "yx/"
 	idBlock  = 50 // ids that a node takes at once
@@ -124,7 +124,7 @@
 	return nil, errors.New("signed with a key that is no longer kept")
 }
 
-func appKey(stamp int64, num int32) string { return ledger.Apps + appName(stamp, num) }
+func appKey(stamp int64, num int32) string { return jobstore.Apps + appName(stamp, num) }
 
 func appName(stamp int64, num int32) string { return fmt.Sprintf("application_%d_%04d", stamp, num) }
 
@@ -197,15 +197,15 @@
 // exitStatus is what a master is told of how a container ended.
 func exitStatus(how int) (int32, string) {
 	switch how {
-	case ledger.EndDone:
+	case jobstore.EndDone:
 		return ExitSuccess, ""
-	case ledger.EndError:
+	case jobstore.EndError:
 		return ExitError, "the container failed"
-	case ledger.EndPreempted:
+	case jobstore.EndPreempted:
 		return ExitPreempted, "stopped for other work, a notice or a drain"
-	case ledger.EndReleased:
+	case jobstore.EndReleased:
 		return ExitByMaster, "given back"
-	case ledger.EndRefused:
+	case jobstore.EndRefused:
 		return ExitAborted, "its machine did not take it"
 	}
 	return ExitAborted, "its machine is lost"
--- a/yarn/rest.go
+++ b/yarn/rest.go
@@ -13,7 +13,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/umberdeal/umberdeal/ledger"
+	"github.com/umberdeal/umberdeal/jobstore"
 	nwire "github.com/umberdeal/umberdeal/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
@@ -276,7 +276,7 @@
 	out := []object{}
 	for i := range jobs {
 		j := &jobs[i]
-		goes := ledger.Set(j.Record.Reserve.Go, j.Record.Job.Tasks)
+		goes := jobstore.Set(j.Record.Reserve.Go, j.Record.Job.Tasks)
 		for t := range j.Record.Job.Tasks {
 			o := object{"id": ContainerName(a.container(jobSeq(j.ID), t)), "task": nwire.TaskName(j.ID, t),
 				"priority": parseTag(j.Record.Reserve.Tag).Priority, "node": "", "exitStatus": "", "state": "WAITING"}
--- a/yarn/wire/wire_test.go
+++ b/yarn/wire/wire_test.go
@@ -16,7 +16,7 @@
 	"google.golang.org/protobuf/encoding/protowire"
 	"google.golang.org/protobuf/proto"
 
-	"github.com/umberdeal/umberdeal/internal/pipe"
+	"github.com/umberdeal/umberdeal/internal/memnet"
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
@@ -24,7 +24,7 @@
 
 // serve begins a story with a server that echoes an application's name after as
 // many seconds as its id says.
-func serve(t *testing.T, change func(s *Server), tell func(t *testing.T, p *pipe.Listener)) {
+func serve(t *testing.T, change func(s *Server), tell func(t *testing.T, p *memnet.Listener)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		echo := Handle(func(ctx context.Context, c *Caller, in *pb.KillApplicationRequestProto) (*pb.KillApplicationResponseProto, error) {
@@ -53,7 +53,7 @@
 		if change != nil {
 			change(s)
 		}
-		p := pipe.Listen(0)
+		p := memnet.Listen(0)
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = s.Serve(ctx, p) }()
@@ -72,7 +72,7 @@
 }
 
 func TestCallsAreAnsweredInAnyOrder(t *testing.T) {
-	serve(t, nil, func(t *testing.T, p *pipe.Listener) {
+	serve(t, nil, func(t *testing.T, p *memnet.Listener) {
 		c, err := Dial(t.Context(), p.Dial, "", testProtocol, "ann", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -107,7 +107,7 @@
 }
 
 func TestTokens(t *testing.T) {
-	serve(t, nil, func(t *testing.T, p *pipe.Listener) {
+	serve(t, nil, func(t *testing.T, p *memnet.Listener) {
 		token := func(id, pw string) *pb.TokenProto {
 			return &pb.TokenProto{Identifier: []byte(id), Password: []byte(pw), Kind: proto.String("k"), Service: proto.String("")}
 		}
@@ -156,7 +156,7 @@
 // ends its own connection within its deadline, costs little, and others are
 // served meanwhile.
 func TestBadClientsHarmNobodyElse(t *testing.T) {
-	serve(t, nil, func(t *testing.T, p *pipe.Listener) {
+	serve(t, nil, func(t *testing.T, p *memnet.Listener) {
 		good, err := Dial(t.Context(), p.Dial, "", testProtocol, "ann", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -220,7 +220,7 @@
 // Too many calls are told to come again with the published class, and too many
 // connections are closed at once.
 func TestOverloadSheds(t *testing.T) {
-	serve(t, func(s *Server) { s.MaxAll, s.MaxConns = 4, 2 }, func(t *testing.T, p *pipe.Listener) {
+	serve(t, func(s *Server) { s.MaxAll, s.MaxConns = 4, 2 }, func(t *testing.T, p *memnet.Listener) {
 		c, err := Dial(t.Context(), p.Dial, "", testProtocol, "ann", nil)
 		if err != nil {
 			t.Fatal(err)
