--- a/controller/answers_test.go
+++ b/controller/answers_test.go
@@ -15,15 +15,15 @@
 func TestTheCheckerSeesAnswersThatGrowOlder(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
-		tell       func(w *fake.World)
+		tell       func(w *fake.Cluster)
 	}{
-		{"accepted, then not known", "forgotten: wk-000001 answered 404", func(w *fake.World) { w.Submit(job(1, nil)); lose(w); w.Poll(w.Bind(2), "wk-000001") }},
-		{"accepted twice", "accepted twice: wk-000001", func(w *fake.World) { w.Submit(job(1, nil)); lose(w); w.CloseLooks("wk-000001", 1) }},
-		{"cancelled, then pending", "went_back: wk-000001 called pending after aborted", func(w *fake.World) {
+		{"accepted, then not known", "forgotten: wk-000001 answered 404", func(w *fake.Cluster) { w.Submit(job(1, nil)); lose(w); w.PollState(w.NodeAddr(2), "wk-000001") }},
+		{"accepted twice", "accepted twice: wk-000001", func(w *fake.Cluster) { w.Submit(job(1, nil)); lose(w); w.QueryConcurrently("wk-000001", 1) }},
+		{"cancelled, then pending", "went_back: wk-000001 called pending after aborted", func(w *fake.Cluster) {
 			w.Submit(job(1, nil))
 			w.Cancel("wk-000001")
 			lose(w)
-			w.CloseLooks("wk-000001", 1)
+			w.QueryConcurrently("wk-000001", 1)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -32,7 +32,7 @@
 				defer w.Close()
 				time.Sleep(5 * time.Second)
 				c.tell(w)
-				if b := w.Broken(); !slices.ContainsFunc(b, func(s string) bool { return strings.HasPrefix(s, c.want) }) {
+				if b := w.Violations(); !slices.ContainsFunc(b, func(s string) bool { return strings.HasPrefix(s, c.want) }) {
 					t.Errorf("the checker said %q", b)
 				}
 			})
@@ -41,9 +41,9 @@
 }
 
 // lose has all nodes forget all jobs.
-func lose(w *fake.World) {
+func lose(w *fake.Cluster) {
 	w.KillAll()
-	w.State.Wipe()
+	w.Store.Clear()
 	w.StartAll()
 	time.Sleep(8 * time.Second)
 }
--- a/controller/boot_test.go
+++ b/controller/boot_test.go
@@ -11,9 +11,9 @@
 // A machine may report before its rental is answered and long before the list
 // shows it: it is the one that was ordered.
 func TestMachinesUpAtOnceAreTakenAsOrdered(t *testing.T) {
-	story(t, fake.Options{Machines: 0, Capacity: 6}, func(t *testing.T, w *fake.World) {
-		w.Cloud.SetBoots(func(int) time.Duration { return 200 * time.Millisecond })
-		w.Cloud.SetSlow(3 * time.Second)
+	story(t, fake.Options{Machines: 0, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
+		w.Cloud.SetBootTimes(func(int) time.Duration { return 200 * time.Millisecond })
+		w.Cloud.SetReplyDelay(3 * time.Second)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 6, 90 }))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 20*time.Second)
 		time.Sleep(40 * time.Second)
@@ -30,8 +30,8 @@
 // One that never comes up ends in a deletion and another order; what waits is
 // not held for it until then.
 func TestAMachineThatNeverComesIsReplaced(t *testing.T) {
-	story(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.World) {
-		w.Cloud.SetBoots(func(n int) time.Duration {
+	story(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
+		w.Cloud.SetBootTimes(func(n int) time.Duration {
 			if n < 3 {
 				return -1
 			}
--- a/controller/damage_test.go
+++ b/controller/damage_test.go
@@ -64,7 +64,7 @@
 	return jobs
 }
 
-func submitAll(t *testing.T, w *fake.World, jobs []wire.Job) {
+func submitAll(t *testing.T, w *fake.Cluster, jobs []wire.Job) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for _, j := range jobs {
@@ -79,7 +79,7 @@
 
 // open submits jobs at once, so that they share open heads, and has these sealed, if
 // wanted, by a few more that come one by one.
-func open(t *testing.T, w *fake.World, jobs []wire.Job, sealed bool) {
+func open(t *testing.T, w *fake.Cluster, jobs []wire.Job, sealed bool) {
 	t.Helper()
 	submitAll(t, w, jobs)
 	if _, shared := own(w); shared < 5 {
@@ -104,7 +104,7 @@
 		value := [][]byte{nil, {0xc0}}[i%2]
 		t.Run(c.name, func(t *testing.T) {
 			var log logged
-			story(t, fake.Options{Machines: 6, Capacity: 7, Log: slog.New(slog.NewTextHandler(&log, nil))}, func(t *testing.T, w *fake.World) {
+			story(t, fake.Options{Machines: 6, Capacity: 7, Log: slog.New(slog.NewTextHandler(&log, nil))}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
 				applyPlan(t, w, 0, orderOf("clinic", "craft")+nightPlan)
 				mustSubmit(t, w, job(1, nil), job(2, func(j *wire.Job) { j.EstimateS = 600 }))
@@ -114,18 +114,18 @@
 				open(t, w, before, c.sealed)
 				for _, j := range append(before, job(1, nil), job(2, nil)) {
 					for n := range w.Nodes() {
-						w.Poll(w.Bind(n), j.ID)
+						w.PollState(w.NodeAddr(n), j.ID)
 					}
 				}
 				leader, hit := w.Leader(), 0
-				for _, key := range w.State.Keys("") {
+				for _, key := range w.Store.Keys("") {
 					if c.is(key) {
-						w.State.Damage(key, value...)
+						w.Store.Corrupt(key, value...)
 						hit++
 					}
 				}
 				if hit == 0 && !c.rare {
-					t.Fatalf("no such key in %v", w.State.Keys(""))
+					t.Fatalf("no such key in %v", w.Store.Keys(""))
 				}
 				w.KillNode(leader)
 				time.Sleep(12 * time.Second)
@@ -135,7 +135,7 @@
 				submitAll(t, w, after)
 				for n := range w.Nodes() {
 					for _, j := range slices.Concat(before, after) {
-						if w.Poll(w.Bind(n), j.ID) == "" {
+						if w.PollState(w.NodeAddr(n), j.ID) == "" {
 							t.Errorf("node %d does not answer for %s", n, j.ID)
 						}
 					}
@@ -163,15 +163,15 @@
 func TestWhatNobodyRemembersIsSetAside(t *testing.T) {
 	for _, c := range damaged[:3] {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 6, Capacity: 7}, func(t *testing.T, w *fake.World) {
+			story(t, fake.Options{Machines: 6, Capacity: 7}, func(t *testing.T, w *fake.Cluster) {
 				before := manyKinds(100, 40)
 				open(t, w, before, c.sealed)
 				for n := range w.Nodes() {
 					w.KillNode(n)
 				}
-				for _, key := range w.State.Keys("") {
+				for _, key := range w.Store.Keys("") {
 					if c.is(key) {
-						w.State.Damage(key)
+						w.Store.Corrupt(key)
 					}
 				}
 				for n := range w.Nodes() {
@@ -188,7 +188,7 @@
 				submitAll(t, w, before[10:]) // again, as they were
 				for _, j := range slices.Concat(after, before) {
 					for n := range w.Nodes() {
-						w.Poll(w.Bind(n), j.ID) // no 404
+						w.PollState(w.NodeAddr(n), j.ID) // no 404
 					}
 				}
 				for _, j := range after {
@@ -209,9 +209,9 @@
 		seeds = 1
 	}
 	for seed := range seeds {
-		story(t, fake.Options{Machines: 6, Capacity: 7, Seed: seed}, func(t *testing.T, w *fake.World) {
+		story(t, fake.Options{Machines: 6, Capacity: 7, Seed: seed}, func(t *testing.T, w *fake.Cluster) {
 			rnd := rand.New(rand.NewPCG(seed, 6))
-			w.State.LimitWrites(25)
+			w.Store.LimitWrites(25)
 			var wg sync.WaitGroup
 			var all []wire.Job
 			for round := range 6 {
@@ -240,13 +240,13 @@
 					})
 				}
 				time.Sleep(time.Duration(rnd.IntN(7000)) * time.Millisecond)
-				keys := slices.DeleteFunc(w.State.Keys(jobstore.Jobs), func(k string) bool { return !jobstore.IsIntake(k) })
+				keys := slices.DeleteFunc(w.Store.Keys(jobstore.Jobs), func(k string) bool { return !jobstore.IsIntake(k) })
 				rnd.Shuffle(len(keys), func(a, b int) { keys[a], keys[b] = keys[b], keys[a] })
 				for _, k := range keys[:min(len(keys), 1+rnd.IntN(5))] {
 					if rnd.IntN(2) == 0 {
-						w.State.Spoil(k)
+						w.Store.OverwriteUnreadable(k)
 					} else {
-						w.State.Damage(k)
+						w.Store.Corrupt(k)
 					}
 				}
 				var fall []int
@@ -271,9 +271,9 @@
 			time.Sleep(30 * time.Second)
 			answered := 0
 			for _, j := range all {
-				at, raw := 0, w.State.Keys("")
+				at, raw := 0, w.Store.Keys("")
 				for _, k := range raw {
-					page, err := jobstore.DecodeIntake(w.State.Value(k))
+					page, err := jobstore.DecodeIntake(w.Store.Value(k))
 					if k == jobstore.JobKey(j.ID) || k == jobstore.FinalKey(j.ID) || jobstore.IsIntake(k) && err == nil &&
 						slices.ContainsFunc(page.Jobs, func(e jobstore.IntakeEntry) bool { return e.ID == j.ID }) {
 						at++
@@ -283,7 +283,7 @@
 					t.Errorf("seed %d: %s stands in %d places", seed, j.ID, at)
 				}
 				for n := range w.Nodes() {
-					if w.Poll(w.Bind(n), j.ID) != "" {
+					if w.PollState(w.NodeAddr(n), j.ID) != "" {
 						answered++
 					}
 				}
@@ -294,8 +294,8 @@
 				mustReach(t, w, j.ID, wire.JobDone, 4*time.Minute)
 			}
 			t.Logf("seed %d: %d of %d answered", seed, answered, 3*len(all))
-			if w.Repeated() > 0 {
-				t.Errorf("seed %d: %d tasks were done twice", seed, w.Repeated())
+			if w.RanMoreThanOnce() > 0 {
+				t.Errorf("seed %d: %d tasks were done twice", seed, w.RanMoreThanOnce())
 			}
 		})
 	}
--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -64,10 +64,10 @@
 }
 
 // lastOn notes when each of the jobs was last seen with a task on a machine.
-func lastOn(w *fake.World, jobs []wire.Job, last map[string]time.Time) {
+func lastOn(w *fake.Cluster, jobs []wire.Job, last map[string]time.Time) {
 	for _, j := range jobs {
 		for i := range j.Tasks {
-			if len(w.On(wire.TaskName(j.ID, i))) > 0 {
+			if len(w.MachinesRunning(wire.TaskName(j.ID, i))) > 0 {
 				last[j.ID] = time.Now()
 			}
 		}
@@ -77,42 +77,42 @@
 // tell tells the story; others is how many tasks ended that nobody had cancelled.
 func (g gap) tell(t *testing.T, seed uint64) (others int) {
 	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, Gap: g.report, Lease: g.lease}
-	story(t, o, func(t *testing.T, w *fake.World) {
+	story(t, o, func(t *testing.T, w *fake.Cluster) {
 		times := w.Settings.Cluster.Workers
 		cancelS := time.Duration(times.CancelS * float64(time.Second))
 		jobs := gapJobs(g)
 		mustSubmit(t, w, jobs[0], jobs[1],
 			job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = gapOthers, 3, 3600 }))
 		running := jobs[0].Tasks + jobs[1].Tasks + gapOthers
-		if !scenario.Until(40*time.Second, 500*time.Millisecond, func() bool { return w.Running() == running }) {
+		if !scenario.Eventually(40*time.Second, 500*time.Millisecond, func() bool { return w.Running() == running }) {
 			t.Fatalf("%d of %d tasks run", w.Running(), running)
 		}
 		time.Sleep(3 * time.Second)
 		l := w.Leader()
 		other, name := (l+1)%3, fmt.Sprintf("n-%d", l)
-		key := bytes.Clone(w.State.Value("ctl/leader"))
-		if _, kept := w.Reported(l, time.Now().Add(-2*time.Duration(times.ReportS*float64(time.Second)))); kept != 4 {
+		key := bytes.Clone(w.Store.Value("ctl/leader"))
+		if _, kept := w.ReportsAnswered(l, time.Now().Add(-2*time.Duration(times.ReportS*float64(time.Second)))); kept != 4 {
 			t.Fatalf("%d of 4 machines report to the leader", kept)
 		}
 		started := w.Started()
-		w.State.Slow(g.slow)
-		w.State.SlowAnswers(g.slowAnswers)
-		w.State.SlowAnswersTo(name, g.slowToLeader)
-		w.State.HushWatches(name, g.hush)
+		w.Store.SetLatency(g.slow)
+		w.Store.DelayReplies(g.slowAnswers)
+		w.Store.DelayRepliesTo(name, g.slowToLeader)
+		w.Store.SilenceWatches(name, g.hush)
 		if g.slow+g.slowAnswers+g.slowToLeader > 0 {
 			time.Sleep(5 * time.Second)
 		}
-		hung := w.On(wire.TaskName(jobs[0].ID, 0))[0]
+		hung := w.MachinesRunning(wire.TaskName(jobs[0].ID, 0))[0]
 		if g.hold {
 			for _, m := range w.Cloud.Machines() {
-				w.HoldDirect(m)
+				w.HoldDirectCommands(m)
 			}
 		}
 		refuse := func(on bool) {
 			if g.cut {
-				w.KeepOnlyWorkers(l, on)
+				w.IsolateToWorkers(l, on)
 			} else {
-				w.State.Refuse(name, on)
+				w.Store.Refuse(name, on)
 			}
 		}
 		var wg sync.WaitGroup
@@ -138,8 +138,8 @@
 			at(g.refuse+g.again+300*time.Millisecond, func() { refuse(true) })
 		}
 		if g.hangFor > 0 {
-			at(g.hangAt, func() { w.Hang(hung, true) })
-			at(g.hangAt+g.hangFor, func() { w.Hang(hung, false) })
+			at(g.hangAt, func() { w.HangMachine(hung, true) })
+			at(g.hangAt+g.hangFor, func() { w.HangMachine(hung, false) })
 		}
 		time.Sleep(time.Until(asked))
 		var confirming sync.WaitGroup
@@ -147,8 +147,8 @@
 			confirming.Add(1)
 			go func() {
 				defer confirming.Done()
-				for end := time.Now().Add(20 * time.Second); w.Cancelled(j.ID).IsZero() && time.Now().Before(end); {
-					if w.CancelAt(w.Bind(other), j.ID) == "" {
+				for end := time.Now().Add(20 * time.Second); w.CancelConfirmedAt(j.ID).IsZero() && time.Now().Before(end); {
+					if w.CancelAt(w.NodeAddr(other), j.ID) == "" {
 						time.Sleep(50 * time.Millisecond)
 					}
 				}
@@ -160,11 +160,11 @@
 		confirmed, last := map[string]time.Time{}, map[string]time.Time{}
 		var latest time.Time
 		for _, j := range jobs {
-			c := w.Cancelled(j.ID)
+			c := w.CancelConfirmedAt(j.ID)
 			if c.IsZero() {
 				t.Fatalf("no other node cancels %s", j.ID)
 			}
-			committed := w.State.Born(jobstore.FinalKey(j.ID))
+			committed := w.Store.CreatedAt(jobstore.FinalKey(j.ID))
 			if committed.IsZero() || committed.After(c) {
 				t.Fatalf("%s was confirmed at %v and committed at %v", j.ID, c, committed)
 			}
@@ -176,10 +176,10 @@
 				latest = c
 			}
 		}
-		if !bytes.Equal(w.State.Value("ctl/leader"), key) {
+		if !bytes.Equal(w.Store.Value("ctl/leader"), key) {
 			t.Error("no meeting: the leader was another one when the jobs were cancelled")
 		}
-		if g.next && !scenario.Until(15*time.Second, 5*time.Millisecond, func() bool { return !bytes.Equal(w.State.Value("ctl/leader"), key) }) {
+		if g.next && !scenario.Eventually(15*time.Second, 5*time.Millisecond, func() bool { return !bytes.Equal(w.Store.Value("ctl/leader"), key) }) {
 			t.Fatal("no meeting: the refused leader's key stays")
 		}
 		whole := time.Since(latest) + g.outage // from the confirmations until the outage
@@ -193,28 +193,28 @@
 			go func() {
 				defer wg.Done()
 				for time.Now().Before(end) {
-					w.Poll(w.Bind(i), jobs[0].ID)
+					w.PollState(w.NodeAddr(i), jobs[0].ID)
 					time.Sleep(700 * time.Millisecond)
 				}
 			}()
 		}
 		if g.stopFor > 0 {
-			at(latest.Add(g.stopAt).Sub(asked), func() { w.Stop(l, true) })
-			at(latest.Add(g.stopAt+g.stopFor).Sub(asked), func() { w.Stop(l, false) })
+			at(latest.Add(g.stopAt).Sub(asked), func() { w.PauseNode(l, true) })
+			at(latest.Add(g.stopAt+g.stopFor).Sub(asked), func() { w.PauseNode(l, false) })
 		}
 		var out, back time.Time
 		var led []byte
 		at(latest.Add(whole).Sub(asked), func() {
-			w.State.SetOutage(true)
-			out, led = time.Now(), bytes.Clone(w.State.Value("ctl/leader"))
+			w.Store.SetOutage(true)
+			out, led = time.Now(), bytes.Clone(w.Store.Value("ctl/leader"))
 		})
 		at(end.Sub(asked), func() {
 			back = time.Now()
-			w.State.Slow(0)
-			w.State.SlowAnswers(0)
-			w.State.SlowAnswersTo(name, 0)
-			w.State.HushWatches(name, false)
-			w.State.SetOutage(false)
+			w.Store.SetLatency(0)
+			w.Store.DelayReplies(0)
+			w.Store.DelayRepliesTo(name, 0)
+			w.Store.SilenceWatches(name, false)
+			w.Store.SetOutage(false)
 		})
 		at(end.Add(g.stays).Sub(asked), func() { refuse(false) })
 		for time.Now().Before(end) || time.Since(latest) < cancelS {
@@ -228,7 +228,7 @@
 		if g.beyond >= 0 && back.Sub(out) < cancelS {
 			t.Errorf("no meeting: the outage lasted %v", back.Sub(out))
 		}
-		answered, kept := w.Reported(l, latest)
+		answered, kept := w.ReportsAnswered(l, latest)
 		if answered == 0 {
 			t.Error("no meeting: no worker reported to the old leader after the confirmations")
 		}
@@ -257,13 +257,13 @@
 			}
 		}
 		t.Logf("the last cancelled task was there for %.2f s of %.2f s (cancel_s %g); the old leader answered %d machines, %d of them with 200; %d leases ended",
-			most.Seconds(), times.GoneWithinS(), times.CancelS, answered, kept, w.Expired())
+			most.Seconds(), times.GoneWithinS(), times.CancelS, answered, kept, w.ExpiredLeases())
 		for _, m := range w.Cloud.Machines() {
-			w.DeliverDirect(m)
+			w.DeliverHeldCommands(m)
 		}
 		mustSubmit(t, w, job(5, nil))
 		mustReach(t, w, "wk-000005", wire.JobDone, 2*time.Minute)
-		if !scenario.Until(time.Minute, time.Second, func() bool { return w.Running() == gapOthers }) {
+		if !scenario.Eventually(time.Minute, time.Second, func() bool { return w.Running() == gapOthers }) {
 			t.Errorf("%d of the %d tasks run that nobody cancelled", w.Running(), gapOthers)
 		}
 		for _, j := range jobs {
--- a/controller/grown_test.go
+++ b/controller/grown_test.go
@@ -20,8 +20,8 @@
 // and transactions over their limits.
 func TestAGrownClusterOutlivesACrashOfAllNodes(t *testing.T) {
 	const machines, jobs = grownMachines, grownJobs
-	story(t, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.World) {
-		w.State.LimitWrites(25)
+	story(t, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster) {
+		w.Store.LimitWrites(25)
 		tasks := 0
 		for i := range jobs {
 			j := job(i, func(j *wire.Job) {
@@ -40,7 +40,7 @@
 		if before < 3*machines {
 			t.Fatalf("only %d tasks run on %d machines", before, machines)
 		}
-		if n := len(w.State.Keys("w/p/")); n == 0 || n > 1+jobs/3 {
+		if n := len(w.Store.Keys("w/p/")); n == 0 || n > 1+jobs/3 {
 			t.Errorf("%d keys hold the placements of %d jobs", n, jobs)
 		}
 		w.KillAll()
--- a/controller/handover_test.go
+++ b/controller/handover_test.go
@@ -21,13 +21,13 @@
 // which the troubles miss one another fails.
 
 // tokens notes each version of the leader key until it is stopped.
-func tokens(w *fake.World) (stop func() []uint64) {
+func tokens(w *fake.Cluster) (stop func() []uint64) {
 	end, done := make(chan struct{}), make(chan struct{})
 	var seen []uint64
 	go func() {
 		defer close(done)
 		for {
-			if v := w.State.Versions(election.Key)[election.Key]; v != 0 && !slices.Contains(seen, v) {
+			if v := w.Store.Versions(election.Key)[election.Key]; v != 0 && !slices.Contains(seen, v) {
 				seen = append(seen, v)
 			}
 			select {
@@ -41,9 +41,9 @@
 }
 
 // mustLead waits until a node of that kind holds the leader key, and says which.
-func mustLead(t *testing.T, w *fake.World, most time.Duration, ok func(i int) bool) int {
+func mustLead(t *testing.T, w *fake.Cluster, most time.Duration, ok func(i int) bool) int {
 	t.Helper()
-	if !scenario.Until(most, 20*time.Millisecond, func() bool { l := w.Leader(); return l >= 0 && ok(l) }) {
+	if !scenario.Eventually(most, 20*time.Millisecond, func() bool { l := w.Leader(); return l >= 0 && ok(l) }) {
 		t.Fatalf("no such leader within %v", most)
 	}
 	return w.Leader()
@@ -57,8 +57,8 @@
 // A leader's transactions have no answer and are carried out after its newer ones,
 // while it places, stops, ends and cancels. Then another reads what they have left.
 func TestOwnTransactionsComeAfterNewerOnes(t *testing.T) {
-	seeded(t, 31, fake.Options{Machines: 5, Capacity: 7}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
-		w.State.LoseAnswers(0.3, 0.15, rnd.Uint64())
+	seeded(t, 31, fake.Options{Machines: 5, Capacity: 7}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		w.Store.DropReplies(0.3, 0.15, rnd.Uint64())
 		end := time.Now().Add(time.Minute)
 		for n := 1; time.Now().Before(end); n++ {
 			j := job(n, func(j *wire.Job) {
@@ -74,18 +74,18 @@
 			}
 		}
 		w.KillNode(w.Leader()) // with some still on their way
-		w.State.LoseAnswers(0, 0, 0)
+		w.Store.DropReplies(0, 0, 0)
 		time.Sleep(15 * time.Second)
-		sent, carriedOut := w.State.Unanswered()
-		over := w.State.Overtaken()
+		sent, carriedOut := w.Store.UnansweredTransactions()
+		over := w.Store.OvertakenTransactions()
 		if sent != carriedOut || over.InTerm < 4 || over.Older < 3 {
 			t.Errorf("%d without an answer, %d carried out, overtaken: %+v", sent, carriedOut, over)
 		}
 		t.Logf("%d without an answer, overtaken: %+v", sent, over)
 		mustSubmit(t, w, job(900, nil))
 		mustFinish(t, w, 2*time.Minute, 900)
-		if !scenario.Until(4*time.Minute, time.Second, func() bool { return len(w.State.JobKeys()) == 0 }) {
-			t.Errorf("never over: %v", w.State.JobKeys())
+		if !scenario.Eventually(4*time.Minute, time.Second, func() bool { return len(w.Store.JobKeys()) == 0 }) {
+			t.Errorf("never over: %v", w.Store.JobKeys())
 		}
 	})
 }
@@ -94,7 +94,7 @@
 // and the deletion itself later still. The next leader must know of all that goes:
 // what it places there is taken away with its machine.
 func TestAnOlderRecordOfReturnsComesLate(t *testing.T) {
-	seeded(t, 31, fake.Options{Machines: 2, Capacity: 6}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 31, fake.Options{Machines: 2, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		all := w.Cloud.Machines()
 		// Each fills its machine, and the second ends within the 2 s for which the
 		// first one's return waits for its answer.
@@ -102,30 +102,30 @@
 			job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 6, 21.2 }))
 		mustReach(t, w, "wk-000002", wire.JobRunning, 10*time.Second)
 		late := within(rnd, 4*time.Second, 7*time.Second)
-		w.State.LateNextOf(jobstore.ReturnsKey, late)
-		w.Cloud.LateDeletes(within(rnd, 35*time.Second, 45*time.Second))
+		w.Store.DelayNextTransactionOn(jobstore.ReturnsKey, late)
+		w.Cloud.DelayDeletes(within(rnd, 35*time.Second, 45*time.Second))
 		both := func(names []string) bool { return slices.Contains(names, all[0]) && slices.Contains(names, all[1]) }
 		returns := func() (rec jobstore.ReturnRecord) {
-			_ = wire.Unmarshal(w.State.Value(jobstore.ReturnsKey), &rec)
+			_ = wire.Unmarshal(w.Store.Value(jobstore.ReturnsKey), &rec)
 			return rec
 		}
-		if !scenario.Until(2*time.Minute, 50*time.Millisecond, func() bool { return both(returns().Machines) }) {
+		if !scenario.Eventually(2*time.Minute, 50*time.Millisecond, func() bool { return both(returns().Machines) }) {
 			t.Fatalf("returned: %v", returns().Machines)
 		}
 		// Until the first record has come, and the deletion has not.
-		if !scenario.Until(10*time.Second, 50*time.Millisecond, func() bool { return w.State.Overtaken().Older > 0 }) {
+		if !scenario.Eventually(10*time.Second, 50*time.Millisecond, func() bool { return w.Store.OvertakenTransactions().Older > 0 }) {
 			t.Fatal("the older record of returns has not come after the newer one")
 		}
 		if got := w.Cloud.Machines(); !both(got) || w.Cloud.Late > 0 {
 			t.Fatalf("%v are left, %d deletions carried out", got, w.Cloud.Late)
 		}
 		w.KillNode(w.Leader())
-		w.Cloud.LateDeletes(0)
+		w.Cloud.DelayDeletes(0)
 		w.Cloud.SetOutage(true) // else the next leader returns them at once
 		mustSubmit(t, w, job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 6, 60 }))
 		for range 150 {
 			time.Sleep(100 * time.Millisecond)
-			for m, n := range w.Load() {
+			for m, n := range w.TasksPerMachine() {
 				if slices.Contains(all, m) {
 					t.Fatalf("%d tasks on %s, whose deletion is under way", n, m)
 				}
@@ -145,7 +145,7 @@
 // The record of moves has no answer and comes after the one that was written in its
 // place, whose moves have begun.
 func TestAnOlderRecordOfMovesComesLate(t *testing.T) {
-	seeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		// One machine of a zone has 5 CPUs taken, the other 2: nothing has 7 left, unless
 		// that task moves.
 		long := func(n, tasks int, cpus float64, zone string) wire.Job {
@@ -156,15 +156,15 @@
 		mustSubmit(t, w, long(1, 2, 8, "b"), long(2, 1, 5, "a"), long(3, 1, 6, "a"))
 		time.Sleep(5 * time.Second)
 		mustSubmit(t, w, long(4, 1, 2, "a"))
-		if !scenario.Until(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 5 }) {
+		if !scenario.Eventually(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 5 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
 		w.Cancel("wk-000003")
 		time.Sleep(5 * time.Second)
-		w.State.LateNextOf(jobstore.Cycles, within(rnd, 6*time.Second, 12*time.Second))
+		w.Store.DelayNextTransactionOn(jobstore.Cycles, within(rnd, 6*time.Second, 12*time.Second))
 		mustSubmit(t, w, job(5, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 7, 10 }))
-		if !scenario.Until(30*time.Second, 50*time.Millisecond, func() bool { return w.State.Overtaken().Older > 0 }) {
-			t.Fatalf("the older record of moves has not come after the newer one: %+v", w.State.Overtaken())
+		if !scenario.Eventually(30*time.Second, 50*time.Millisecond, func() bool { return w.Store.OvertakenTransactions().Older > 0 }) {
+			t.Fatalf("the older record of moves has not come after the newer one: %+v", w.Store.OvertakenTransactions())
 		}
 		w.KillNode(w.Leader())
 		mustFinish(t, w, 2*time.Minute, 5)
@@ -186,21 +186,21 @@
 // endsAfterMachinesCameUp has machines come up within a window, and rentals answered
 // so long after they were asked for at least: what comes up later has work later.
 func endsAfterMachinesCameUp(t *testing.T, least, most, answered time.Duration) {
-	seeded(t, 31, fake.Options{Machines: 0, Capacity: 60}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 31, fake.Options{Machines: 0, Capacity: 60}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		drawn := rnd.Uint64()
 		boots := func(n int) time.Duration {
 			return least + time.Duration((drawn+uint64(n)*397)%uint64((most-least)/time.Millisecond))*time.Millisecond
 		}
-		w.Cloud.SetBoots(boots)
-		w.Cloud.SetSlow(within(rnd, answered, 4800*time.Millisecond))
-		w.State.LoseAnswers(0, 0.2, rnd.Uint64())
+		w.Cloud.SetBootTimes(boots)
+		w.Cloud.SetReplyDelay(within(rnd, answered, 4800*time.Millisecond))
+		w.Store.DropReplies(0, 0.2, rnd.Uint64())
 		unnamed := func() (busy []string) {
-			for m := range w.Load() {
+			for m := range w.TasksPerMachine() {
 				busy = append(busy, m)
 			}
-			for _, k := range w.State.Keys(jobstore.Rentals) {
+			for _, k := range w.Store.Keys(jobstore.Rentals) {
 				var rec jobstore.RentalRecord
-				_ = wire.Unmarshal(w.State.Value(k), &rec)
+				_ = wire.Unmarshal(w.Store.Value(k), &rec)
 				busy = slices.DeleteFunc(busy, func(m string) bool { return slices.Contains(rec.Machines, m) })
 			}
 			return busy
@@ -214,9 +214,9 @@
 			tasks += more
 			// The placement has no answer, and comes in the next leader's time. It is
 			// committed again before anything is launched.
-			w.State.LateNextOf(pageKeys, within(rnd, 20*time.Second, 30*time.Second))
+			w.Store.DelayNextTransactionOn(pageKeys, within(rnd, 20*time.Second, 30*time.Second))
 			mustSubmit(t, w, job(jobs, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = more, 6, 60, 0.1 }))
-			met = scenario.Until(6*time.Second, 20*time.Millisecond, func() bool { return len(unnamed()) > 0 && w.State.Waiting() > 0 })
+			met = scenario.Eventually(6*time.Second, 20*time.Millisecond, func() bool { return len(unnamed()) > 0 && w.Store.PendingTransactions() > 0 })
 		}
 		if !met {
 			t.Fatal("no machine has work before its name is recorded")
@@ -226,8 +226,8 @@
 		next := mustLead(t, w, 20*time.Second, func(i int) bool { return i != before })
 		t.Logf("%v had work; leader %d, then %d", unnamed(), before, next)
 		time.Sleep(80 * time.Second)
-		w.State.LoseAnswers(0, 0, 0)
-		if w.State.Overtaken().Stale == 0 {
+		w.Store.DropReplies(0, 0, 0)
+		if w.Store.OvertakenTransactions().Stale == 0 {
 			t.Error("no placement came in the next leader's time")
 		}
 		for n := range jobs {
@@ -235,13 +235,13 @@
 		}
 		// Each machine has one task. Where the next leader's own answers are lost, it
 		// may be late for a lease or two: those tasks start again, and no other.
-		if n := w.Started(); n != tasks+w.Expired() || most <= time.Second && w.Expired() > 0 {
-			t.Errorf("%d starts for %d tasks, %d leases ended", n, tasks, w.Expired())
-		} else if w.Expired() > 0 {
-			t.Logf("%d leases ended", w.Expired())
+		if n := w.Started(); n != tasks+w.ExpiredLeases() || most <= time.Second && w.ExpiredLeases() > 0 {
+			t.Errorf("%d starts for %d tasks, %d leases ended", n, tasks, w.ExpiredLeases())
+		} else if w.ExpiredLeases() > 0 {
+			t.Logf("%d leases ended", w.ExpiredLeases())
 		}
-		w.Cloud.SetSlow(0)
-		if !scenario.Until(3*time.Minute, time.Second, func() bool { return len(w.Cloud.Machines()) == 0 }) {
+		w.Cloud.SetReplyDelay(0)
+		if !scenario.Eventually(3*time.Minute, time.Second, func() bool { return len(w.Cloud.Machines()) == 0 }) {
 			t.Errorf("neither used nor returned: %v", w.Cloud.Machines())
 		}
 	})
@@ -250,8 +250,8 @@
 // Leaders change ten times in two minutes, each time in another way, one of them
 // inside an outage of the state service, while some of their writes lag.
 func TestLeadersChangeTenTimesInTwoMinutes(t *testing.T) {
-	seeded(t, 31, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
-		w.State.LoseAnswers(0.15, 0.05, rnd.Uint64())
+	seeded(t, 31, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		w.Store.DropReplies(0.15, 0.05, rnd.Uint64())
 		stop, begun := tokens(w), time.Now()
 		defer stop()
 		outages := 0
@@ -268,38 +268,38 @@
 			node := fmt.Sprintf("n-%d", l)
 			switch n {
 			case 1, 7:
-				w.State.Refuse(node, true)
+				w.Store.Refuse(node, true)
 				mustLead(t, w, 15*time.Second, func(i int) bool { return i != l })
 				// For longer than leases last that the next one counts from its takeover.
 				time.Sleep(within(rnd, 14*time.Second, 18*time.Second))
-				w.State.Refuse(node, false)
+				w.Store.Refuse(node, false)
 			case 4: // inside an outage
-				w.State.SetOutage(true)
+				w.Store.SetOutage(true)
 				time.Sleep(within(rnd, 200*time.Millisecond, 2*time.Second))
-				w.Bounce(l, within(rnd, 0, time.Second))
+				w.PowerCycleNode(l, within(rnd, 0, time.Second))
 				time.Sleep(within(rnd, 200*time.Millisecond, 2*time.Second))
-				w.State.SetOutage(false)
+				w.Store.SetOutage(false)
 				outages++
 			case 6: // it stands still, and goes on beside the next one
-				w.Stop(l, true)
+				w.PauseNode(l, true)
 				mustLead(t, w, 15*time.Second, func(i int) bool { return i != l })
-				w.Stop(l, false)
+				w.PauseNode(l, false)
 			case 9: // cut off alone, and back
-				w.CutNode(l, true, everything...)
+				w.PartitionNode(l, true, everything...)
 				mustLead(t, w, 15*time.Second, func(i int) bool { return i != l })
-				w.CutNode(l, false, everything...)
+				w.PartitionNode(l, false, everything...)
 			default:
-				w.Bounce(l, within(rnd, 0, 900*time.Millisecond))
+				w.PowerCycleNode(l, within(rnd, 0, 900*time.Millisecond))
 			}
 		}
 		took := time.Since(begun)
 		time.Sleep(15 * time.Second) // what is on its way comes
 		led := stop()
-		w.State.LoseAnswers(0, 0, 0)
+		w.Store.DropReplies(0, 0, 0)
 		if len(led) < 11 || took > 2*time.Minute || outages == 0 {
 			t.Errorf("led under tokens %v within %v", led, took)
 		}
-		if over := w.State.Overtaken(); over.ByNode+over.Stale < 4 {
+		if over := w.Store.OvertakenTransactions(); over.ByNode+over.Stale < 4 {
 			t.Errorf("overtaken: %+v", over)
 		} else {
 			t.Logf("tokens %v within %v, overtaken: %+v", led, took, over)
@@ -311,28 +311,28 @@
 // Requests that take, renew and end leases come late, while leaders change: a lease
 // that was given up is renewed or ended in the time of the next one.
 func TestLeasesAreRenewedAndEndedLate(t *testing.T) {
-	seeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		stop := tokens(w)
 		defer stop()
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 6, 4, 70 }))
 		time.Sleep(5 * time.Second)
-		w.State.LateLeases(0.25, rnd.Uint64())
+		w.Store.DelayLeaseRequests(0.25, rnd.Uint64())
 		for n := range 6 {
 			l := mustLead(t, w, 60*time.Second, anyNode)
 			mustSubmit(t, w, job(n+2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 1, 10 }))
 			time.Sleep(within(rnd, 0, 8*time.Second))
 			if n%2 == 0 {
-				w.Bounce(l, within(rnd, 0, 900*time.Millisecond))
+				w.PowerCycleNode(l, within(rnd, 0, 900*time.Millisecond))
 			} else {
-				w.State.Refuse(fmt.Sprintf("n-%d", l), true)
+				w.Store.Refuse(fmt.Sprintf("n-%d", l), true)
 				time.Sleep(within(rnd, 2*time.Second, 20*time.Second))
-				w.State.Refuse(fmt.Sprintf("n-%d", l), false)
+				w.Store.Refuse(fmt.Sprintf("n-%d", l), false)
 			}
 		}
-		w.State.LateLeases(0, 0)
+		w.Store.DelayLeaseRequests(0, 0)
 		time.Sleep(13 * time.Second)
 		led := stop()
-		if late, past := w.State.LeasesLate(); len(led) < 4 || late < 5 || past == 0 {
+		if late, past := w.Store.DelayedLeaseRequests(); len(led) < 4 || late < 5 || past == 0 {
 			t.Errorf("led under tokens %v, %d requests late, %d of them in another's time", led, late, past)
 		} else {
 			t.Logf("led under tokens %v, %d requests late, %d of them in another's time", led, late, past)
@@ -345,7 +345,7 @@
 // second or after some; each leader leaves a change of placements that comes as soon as
 // the next term has begun, before its leader has changed anything.
 func TestNodesHandOverAndBackAndOneReturns(t *testing.T) {
-	seeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		stop := tokens(w)
 		defer stop()
 		busy(t, w, 4)
@@ -353,15 +353,15 @@
 		var late sync.WaitGroup
 		defer late.Wait()
 		leave := func(n int) { // a placement under way as the leader ends
-			before := w.State.Lagged() // an earlier one may come meanwhile
-			term := func() uint64 { return w.State.Versions(election.Key)[election.Key] }
-			from, come := term(), w.State.KeepNextOf(pageKeys)
+			before := w.Store.DelayedTransactions() // an earlier one may come meanwhile
+			term := func() uint64 { return w.Store.Versions(election.Key)[election.Key] }
+			from, come := term(), w.Store.HoldNextTransactionOn(pageKeys)
 			late.Go(func() {
-				scenario.Until(time.Minute, 2*time.Millisecond, func() bool { v := term(); return v != 0 && v != from })
+				scenario.Eventually(time.Minute, 2*time.Millisecond, func() bool { v := term(); return v != 0 && v != from })
 				come()
 			})
 			mustSubmit(t, w, job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 1, 10 }))
-			if !scenario.Until(15*time.Second, 5*time.Millisecond, func() bool { return w.State.Lagged() > before }) {
+			if !scenario.Eventually(15*time.Second, 5*time.Millisecond, func() bool { return w.Store.DelayedTransactions() > before }) {
 				t.Fatal("no placement is on its way")
 			}
 			time.Sleep(within(rnd, 0, 400*time.Millisecond))
@@ -371,7 +371,7 @@
 		// stands beside the others.
 		over := func(from int) int {
 			for range 20 {
-				w.Bounce(from, within(rnd, 0, 900*time.Millisecond))
+				w.PowerCycleNode(from, within(rnd, 0, 900*time.Millisecond))
 				time.Sleep(within(rnd, 100*time.Millisecond, 2*time.Second))
 				if l := mustLead(t, w, 15*time.Second, anyNode); l != from {
 					return l
@@ -393,7 +393,7 @@
 		w.StartNode(last)
 		mustLead(t, w, 15*time.Second, func(i int) bool { return i == last })
 		time.Sleep(25 * time.Second)
-		if n := w.State.Overtaken().Stale; n != 3 {
+		if n := w.Store.OvertakenTransactions().Stale; n != 3 {
 			t.Errorf("%d of 3 placements came in another leader's time", n)
 		}
 		if led := stop(); len(led) < 4 {
@@ -412,7 +412,7 @@
 // An election's own transaction has no answer, the release of its lease is refused,
 // and it comes when its node has given it up: a key under a lease that nobody renews.
 func TestAnElectionComesLate(t *testing.T) {
-	seeded(t, 31, fake.Options{Machines: 2}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 31, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 10*time.Second)
 		for i := range 3 {
@@ -422,29 +422,29 @@
 		}
 		l := w.Leader()
 		node := fmt.Sprintf("n-%d", l)
-		w.State.LateNextOf(election.Key, within(rnd, 3*time.Second, 6*time.Second))
-		w.Bounce(l, 100*time.Millisecond)
-		if !scenario.Until(15*time.Second, 10*time.Millisecond, func() bool { return w.State.Waiting() > 0 }) {
+		w.Store.DelayNextTransactionOn(election.Key, within(rnd, 3*time.Second, 6*time.Second))
+		w.PowerCycleNode(l, 100*time.Millisecond)
+		if !scenario.Eventually(15*time.Second, 10*time.Millisecond, func() bool { return w.Store.PendingTransactions() > 0 }) {
 			t.Fatal("no election is on its way")
 		}
 		time.Sleep(1900 * time.Millisecond)
-		w.State.Refuse(node, true)
-		came := scenario.Until(6*time.Second, 10*time.Millisecond, func() bool { return w.State.Waiting() == 0 })
+		w.Store.Refuse(node, true)
+		came := scenario.Eventually(6*time.Second, 10*time.Millisecond, func() bool { return w.Store.PendingTransactions() == 0 })
 		found := w.Leader()
-		w.State.Refuse(node, false)
+		w.Store.Refuse(node, false)
 		if !came || found != l {
 			t.Fatalf("the late election came: %v, leader %d", came, found)
 		}
-		stale := w.State.Versions(election.Key)[election.Key]
-		if !scenario.Until(3*time.Second, 10*time.Millisecond, func() bool {
-			v := w.State.Versions(election.Key)[election.Key]
+		stale := w.Store.Versions(election.Key)[election.Key]
+		if !scenario.Eventually(3*time.Second, 10*time.Millisecond, func() bool {
+			v := w.Store.Versions(election.Key)[election.Key]
 			return v != 0 && v != stale
 		}) {
 			t.Error("the node waits for a lease of its own that it does not renew")
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
-		if n := w.Started(); n != 2 || w.Expired() > 0 {
-			t.Errorf("%d starts for 2 tasks, %d leases ended", n, w.Expired())
+		if n := w.Started(); n != 2 || w.ExpiredLeases() > 0 {
+			t.Errorf("%d starts for 2 tasks, %d leases ended", n, w.ExpiredLeases())
 		}
 	})
 }
@@ -452,24 +452,24 @@
 // All controllers are away for longer than workers' leases last, a placement of
 // theirs comes when they are back, and the workers' later sessions have nothing.
 func TestAllNodesAreAwayForLongerThanALease(t *testing.T) {
-	seeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		lease := time.Duration(w.Settings.Cluster.Workers.LeaseS * float64(time.Second))
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 4, 40 }),
 			job(2, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.EstimateS = 3, 3, 40 }))
-		if !scenario.Until(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 7 }) {
+		if !scenario.Eventually(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 7 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
-		before := w.State.Versions(election.Key)[election.Key]
+		before := w.Store.Versions(election.Key)[election.Key]
 		away := lease + within(rnd, time.Second, 10*time.Second)
-		w.State.LateNextOf(pageKeys, away+within(rnd, 0, 5*time.Second))
+		w.Store.DelayNextTransactionOn(pageKeys, away+within(rnd, 0, 5*time.Second))
 		mustSubmit(t, w, job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 1, 10 }))
-		if !scenario.Until(5*time.Second, 5*time.Millisecond, func() bool { return w.State.Waiting() > 0 }) {
+		if !scenario.Eventually(5*time.Second, 5*time.Millisecond, func() bool { return w.Store.PendingTransactions() > 0 }) {
 			t.Fatal("no placement is on its way")
 		}
 		w.KillAll()
 		time.Sleep(away)
-		if n := w.Running(); n > 0 || w.Expired() != 4 {
-			t.Errorf("%d tasks run, %d leases ended", n, w.Expired())
+		if n := w.Running(); n > 0 || w.ExpiredLeases() != 4 {
+			t.Errorf("%d tasks run, %d leases ended", n, w.ExpiredLeases())
 		}
 		if rnd.IntN(2) == 0 {
 			w.StartAll()
@@ -477,11 +477,11 @@
 			w.StartNode(rnd.IntN(3))
 		}
 		mustLead(t, w, 10*time.Second, anyNode)
-		if !scenario.Until(6*time.Second, 10*time.Millisecond, func() bool { return w.State.Waiting() == 0 }) {
+		if !scenario.Eventually(6*time.Second, 10*time.Millisecond, func() bool { return w.Store.PendingTransactions() == 0 }) {
 			t.Error("the placement has not come")
 		}
-		if v := w.State.Versions(election.Key)[election.Key]; v <= before || w.State.Overtaken().Stale != 1 {
-			t.Errorf("token %d after %d, overtaken: %+v", v, before, w.State.Overtaken())
+		if v := w.Store.Versions(election.Key)[election.Key]; v <= before || w.Store.OvertakenTransactions().Stale != 1 {
+			t.Errorf("token %d after %d, overtaken: %+v", v, before, w.Store.OvertakenTransactions())
 		}
 		mustFinish(t, w, 3*time.Minute, 1, 2, 3)
 		w.StartAll()
@@ -491,17 +491,17 @@
 // There is more work than room, urgent and not, over a slow link to the state
 // service; room is made by stops while the leader changes.
 func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
-	seeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		stop := tokens(w)
 		defer stop()
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
 			j.Tasks, j.CPUs, j.EstimateS, j.Priority, j.CheckpointS, j.SaveS = 12, 4, 40, wire.PriorityLow, 5, 1
 		}))
-		if !scenario.Until(30*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 8 }) {
+		if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 8 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
-		w.State.Slow(within(rnd, 300*time.Millisecond, 1200*time.Millisecond))
-		w.State.LoseAnswers(0.1, 0.1, rnd.Uint64())
+		w.Store.SetLatency(within(rnd, 300*time.Millisecond, 1200*time.Millisecond))
+		w.Store.DropReplies(0.1, 0.1, rnd.Uint64())
 		for n := 2; n <= 7; n++ {
 			mustSubmit(t, w, job(n, func(j *wire.Job) {
 				j.Tasks, j.CPUs, j.EstimateS = 2+rnd.IntN(2), 4, float64(10+rnd.IntN(10))
@@ -512,16 +512,16 @@
 			}))
 			time.Sleep(within(rnd, 200*time.Millisecond, 2*time.Second))
 			if n == 3 || n == 5 {
-				w.Bounce(mustLead(t, w, 20*time.Second, anyNode), within(rnd, 0, 900*time.Millisecond))
+				w.PowerCycleNode(mustLead(t, w, 20*time.Second, anyNode), within(rnd, 0, 900*time.Millisecond))
 			}
 		}
 		time.Sleep(20 * time.Second)
-		w.State.LoseAnswers(0, 0, 0)
-		w.State.Slow(0)
+		w.Store.DropReplies(0, 0, 0)
+		w.Store.SetLatency(0)
 		for n := 2; n <= 6; n += 2 {
 			mustFinish(t, w, 2*time.Minute, n)
 		}
-		if w.Finished("wk-000001") == 12 {
+		if w.FinishedTasks("wk-000001") == 12 {
 			t.Error("what is not urgent was over before what is")
 		}
 		mustFinish(t, w, 6*time.Minute, 1, 3, 5, 7)
@@ -530,13 +530,13 @@
 		}
 		saved := 0
 		for i := range 12 {
-			if w.Saved(fmt.Sprintf("wk-000001/%d", i)) > 0 {
+			if w.CheckpointedProgress(fmt.Sprintf("wk-000001/%d", i)) > 0 {
 				saved++
 			}
 		}
 		if saved == 0 {
 			t.Error("nothing was stopped for what is urgent")
 		}
-		t.Logf("%d stopped, overtaken: %+v", saved, w.State.Overtaken())
+		t.Logf("%d stopped, overtaken: %+v", saved, w.Store.OvertakenTransactions())
 	})
 }
--- a/controller/known_test.go
+++ b/controller/known_test.go
@@ -23,7 +23,7 @@
 }
 
 // poll asks for each job about every 5 s, for a while, at whichever node.
-func (a *asked) poll(w *fake.World, jobs []wire.Job, during time.Duration) {
+func (a *asked) poll(w *fake.Cluster, jobs []wire.Job, during time.Duration) {
 	var wg sync.WaitGroup
 	end := time.Now().Add(during)
 	for i, j := range jobs {
@@ -32,7 +32,7 @@
 			answered := time.Now()
 			time.Sleep(time.Duration(rnd.IntN(5000)) * time.Millisecond)
 			for {
-				ok := w.Poll(w.Any(), j.ID) != ""
+				ok := w.PollState(w.AnyNodeAddr(), j.ID) != ""
 				a.mu.Lock()
 				a.polls++
 				if !ok {
@@ -64,7 +64,7 @@
 	if scenario.UnderRace {
 		many = 120
 	}
-	story(t, fake.Options{Machines: 2, Capacity: 2, StateRPS: 20, Sockets: 260}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 2, Capacity: 2, StateRPS: 20, Sockets: 260}, func(t *testing.T, w *fake.Cluster) {
 		var jobs []wire.Job
 		var wg sync.WaitGroup
 		for n := range many {
@@ -90,11 +90,11 @@
 		}
 		wg.Wait()
 		w.KillAll()
-		w.State.SetOutage(true)
+		w.Store.SetOutage(true)
 		time.Sleep(10 * time.Second)
 		w.StartAll()
 		time.Sleep(5 * time.Second)
-		w.State.SetOutage(false)
+		w.Store.SetOutage(false)
 		var a asked
 		a.poll(w, jobs, 85*time.Second)
 		t.Logf("%d polls, %d not answered; no job was without an answer for more than %v (%s)", a.polls, a.refused, a.unanswered, a.last)
@@ -104,7 +104,7 @@
 		if !scenario.UnderRace && a.refused < a.polls/50 {
 			t.Errorf("%d of %d polls were refused: that is no crowd", a.refused, a.polls)
 		}
-		if got, _ := w.Refusal(0, jobs[0]); got != http.StatusOK {
+		if got, _ := w.SubmitRefused(0, jobs[0]); got != http.StatusOK {
 			t.Errorf("%s again: %d", jobs[0].ID, got)
 		}
 	})
@@ -120,7 +120,7 @@
 		stays   bool // one node goes on
 	}{{"in part", true, false}, {"wholly", false, false}, {"wholly, but a node remembers", false, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 3, Capacity: 3}, func(t *testing.T, w *fake.World) {
+			story(t, fake.Options{Machines: 3, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
 				var wg sync.WaitGroup
 				jobs := make([]wire.Job, 40)
 				for n := range jobs {
@@ -144,11 +144,11 @@
 						w.KillNode(n)
 					}
 				}
-				for _, key := range w.State.Keys(jobstore.Jobs) {
+				for _, key := range w.Store.Keys(jobstore.Jobs) {
 					if jobstore.IsIntake(key) && c.scratch {
-						w.State.Scratch(key)
+						w.Store.CorruptNested(key)
 					} else if jobstore.IsIntake(key) {
-						w.State.Damage(key)
+						w.Store.Corrupt(key)
 					}
 				}
 				time.Sleep(time.Second)
@@ -158,7 +158,7 @@
 				for i := range w.Nodes() {
 					answered := 0
 					for n := range jobs {
-						switch w.Poll(w.Bind(i), jobs[n].ID) {
+						switch w.PollState(w.NodeAddr(i), jobs[n].ID) {
 						case wire.JobPending, wire.JobRunning:
 							answered++
 						case "":
@@ -179,7 +179,7 @@
 // All nodes are restarted one after the other while the form of the records changes:
 // whichever of them a user reaches, each job is answered before, amid and after.
 func TestEveryJobIsAnsweredWhileTheFormChanges(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 3, Older: []int{0, 1, 2}}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 3, Capacity: 3, Older: []int{0, 1, 2}}, func(t *testing.T, w *fake.Cluster) {
 		var jobs []wire.Job
 		for n := range 30 {
 			jobs = append(jobs, job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, 15 }))
@@ -196,7 +196,7 @@
 			w.StartNode(n)
 		}
 		time.Sleep(10 * time.Second)
-		if len(w.State.Keys(jobstore.FormKey)) == 0 {
+		if len(w.Store.Keys(jobstore.FormKey)) == 0 {
 			t.Error("the form has not changed")
 		}
 		wg.Wait()
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -28,7 +28,7 @@
 
 // submitSavingJobs submits jobs that fill a team's limit, and as many again that wait.
 // Their tasks save when they are stopped, which takes 8 s.
-func submitSavingJobs(t *testing.T, w *fake.World, first int, team string) (ids []string) {
+func submitSavingJobs(t *testing.T, w *fake.Cluster, first int, team string) (ids []string) {
 	t.Helper()
 	for i := range 8 {
 		j := job(first+i, func(j *wire.Job) {
@@ -41,7 +41,7 @@
 }
 
 // runningOf lists the jobs that have tasks on machines.
-func runningOf(w *fake.World, ids []string) []string {
+func runningOf(w *fake.Cluster, ids []string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), func(id string) bool {
 		return len(tasksOn(w, wire.Job{ID: id, Tasks: 2})) == 0
 	})
@@ -50,26 +50,26 @@
 // Commands of a leader that has ended arrive after the next leader's, while every team is
 // at its limit, jobs are cancelled, one machine hangs and another reaches no controller.
 func TestLateCommandsArriveAfterTheNextLeaders(t *testing.T) {
-	seeded(t, 51, delayedLimited(), func(t *testing.T, w *fake.World, rnd *rand.Rand) {
-		w.DelayCommands(0.6, rnd.Uint64())
+	seeded(t, 51, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		w.DelayDirectCommands(0.6, rnd.Uint64())
 		next := 100
 		for round := 0; round < lateCommandRounds; round++ {
 			ids := append(submitSavingJobs(t, w, next, "core"), submitSavingJobs(t, w, next+10, "edge")...)
 			next += 100
-			if !scenario.Until(40*time.Second, 200*time.Millisecond, func() bool { return atLimit(w) }) {
-				t.Fatalf("round %d: the teams use %g and %g CPUs", round, w.CPUs("core"), w.CPUs("edge"))
+			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return atLimit(w) }) {
+				t.Fatalf("round %d: the teams use %g and %g CPUs", round, w.CPUsInUse("core"), w.CPUsInUse("edge"))
 			}
 			cancelAcrossLeaders(t, w, rnd, ids)
 			for _, id := range ids {
 				w.Cancel(id)
 			}
 			time.Sleep(16 * time.Second) // the last of the late commands has arrived
-			if met := w.LateCommands(); met.FormerLeader > 0 && met.RefusedToken > 0 && met.Overtaken > 0 && met.AfterHang > 0 {
+			if met := w.DelayedCommands(); met.FormerLeader > 0 && met.RefusedToken > 0 && met.Overtaken > 0 && met.AfterHang > 0 {
 				break
 			}
 		}
-		w.DelayCommands(0, 0)
-		met := w.LateCommands()
+		w.DelayDirectCommands(0, 0)
+		met := w.DelayedCommands()
 		if met.FormerLeader == 0 || met.RefusedToken == 0 || met.Overtaken == 0 || met.AfterHang == 0 {
 			t.Errorf("late commands met %+v", met)
 		}
@@ -79,7 +79,7 @@
 
 // cancelAcrossLeaders cancels jobs before and after a change of leader, while one of
 // their machines hangs and another opens no connection to any controller.
-func cancelAcrossLeaders(t *testing.T, w *fake.World, rnd *rand.Rand, ids []string) {
+func cancelAcrossLeaders(t *testing.T, w *fake.Cluster, rnd *rand.Rand, ids []string) {
 	t.Helper()
 	running := runningOf(w, ids)
 	rnd.Shuffle(len(running), func(a, b int) { running[a], running[b] = running[b], running[a] })
@@ -92,15 +92,15 @@
 	slices.Sort(hung)
 	hung = slices.Compact(hung)
 	hung = hung[:min(2, len(hung))]
-	w.Silence(silent, true)
+	w.BlockHeartbeats(silent, true)
 	time.Sleep(within(rnd, 0, 2*time.Second))
-	before := w.Token()
-	w.Met()
+	before := w.FencingToken()
+	w.MarkInteraction()
 	for _, id := range running[:len(running)/2] {
 		w.Cancel(id)
 	}
 	for _, m := range hung {
-		w.Hang(m, true)
+		w.HangMachine(m, true)
 	}
 	time.Sleep(within(rnd, 0, time.Second))
 	dead := endLeader(w, rnd)
@@ -110,43 +110,43 @@
 	}
 	time.Sleep(within(rnd, 0, 4*time.Second))
 	for _, m := range hung {
-		w.Hang(m, false)
+		w.HangMachine(m, false)
 	}
 	time.Sleep(within(rnd, 0, 9*time.Second))
-	w.Silence(silent, false)
+	w.BlockHeartbeats(silent, false)
 	w.StartNode(dead)
 }
 
 // A task is told to save, and cancelled while it saves, on a machine that only direct
 // commands reach: the second stop arrives late, and what it ends was cancelled.
 func TestALateStopEndsATaskThatIsSaving(t *testing.T) {
-	seeded(t, 52, delayedLimited(), func(t *testing.T, w *fake.World, rnd *rand.Rand) {
-		met := fake.LateCommands{}
+	seeded(t, 52, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		met := fake.DelayedCommands{}
 		for round := 0; round < lateCommandRounds && met.EndedSaving == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
-			if !scenario.Until(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUs("core") == teamMax }) {
-				t.Fatalf("the team uses %g CPUs", w.CPUs("core"))
+			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUsInUse("core") == teamMax }) {
+				t.Fatalf("the team uses %g CPUs", w.CPUsInUse("core"))
 			}
 			running := runningOf(w, ids)
 			at := tasksOn(w, wire.Job{ID: running[rnd.IntN(len(running))], Tasks: 2})[0]
-			saved := w.Direct(at)
-			w.Notice(at, 30*time.Second) // what is there is told to save
-			if !scenario.Until(5*time.Second, 20*time.Millisecond, func() bool { return w.Direct(at) > saved }) {
+			saved := w.DirectCommandsExecuted(at)
+			w.InterruptMachine(at, 30*time.Second) // what is there is told to save
+			if !scenario.Eventually(5*time.Second, 20*time.Millisecond, func() bool { return w.DirectCommandsExecuted(at) > saved }) {
 				t.Fatal("nothing on the machine was told to save")
 			}
 			// It saves for 8 s, counts all the while, and starts nowhere else.
 			time.Sleep(within(rnd, 1500*time.Millisecond, 3*time.Second))
-			w.Silence(at, true)
-			w.DelayCommands(1, rnd.Uint64())
-			w.Met()
+			w.BlockHeartbeats(at, true)
+			w.DelayDirectCommands(1, rnd.Uint64())
+			w.MarkInteraction()
 			for _, id := range ids {
 				w.Cancel(id)
 			}
 			time.Sleep(16 * time.Second)
-			w.DelayCommands(0, 0)
-			w.Silence(at, false)
+			w.DelayDirectCommands(0, 0)
+			w.BlockHeartbeats(at, false)
 			time.Sleep(15 * time.Second) // the machine is gone
-			met = w.LateCommands()
+			met = w.DelayedCommands()
 		}
 		if met.EndedSaving == 0 {
 			t.Errorf("late commands met %+v: none ended a task that was saving", met)
@@ -158,31 +158,31 @@
 // Commands arrive after the session has ended for which they were sent: the worker
 // refuses them, and what runs there in its next session goes on.
 func TestLateCommandsOfAnEndedSession(t *testing.T) {
-	seeded(t, 53, delayedLimited(), func(t *testing.T, w *fake.World, rnd *rand.Rand) {
-		w.DelayCommands(1, rnd.Uint64())
-		met := fake.LateCommands{}
+	seeded(t, 53, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		w.DelayDirectCommands(1, rnd.Uint64())
+		met := fake.DelayedCommands{}
 		for round := 0; round < lateCommandRounds && met.RefusedSession == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
-			if !scenario.Until(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUs("core") == teamMax }) {
-				t.Fatalf("the team uses %g CPUs", w.CPUs("core"))
+			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUsInUse("core") == teamMax }) {
+				t.Fatalf("the team uses %g CPUs", w.CPUsInUse("core"))
 			}
 			running := runningOf(w, ids)
 			at := tasksOn(w, wire.Job{ID: running[0], Tasks: 2})[0]
-			w.Silence(at, true)
+			w.BlockHeartbeats(at, true)
 			time.Sleep(within(rnd, 7*time.Second, 10*time.Second)) // most of its lease
-			w.Met()
+			w.MarkInteraction()
 			for _, id := range running {
 				w.Cancel(id)
 			}
 			time.Sleep(within(rnd, 6*time.Second, 12*time.Second))
-			w.Silence(at, false)
+			w.BlockHeartbeats(at, false)
 			for _, id := range ids {
 				w.Cancel(id)
 			}
 			time.Sleep(16 * time.Second)
-			met = w.LateCommands()
+			met = w.DelayedCommands()
 		}
-		w.DelayCommands(0, 0)
+		w.DelayDirectCommands(0, 0)
 		if met.RefusedSession == 0 {
 			t.Errorf("late commands met %+v: none came after its session had ended", met)
 		}
@@ -194,8 +194,8 @@
 // returns under its own name within a second. A gang of which not all tasks were told to
 // save in time falls back to its last checkpoint, and is done in the end.
 func TestLateStopsOfPreemptedGangsAndALeaderThatReturns(t *testing.T) {
-	seeded(t, 54, fake.Options{Machines: 4, Capacity: 4, Lease: 12}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
-		w.DelayCommands(0.8, rnd.Uint64())
+	seeded(t, 54, fake.Options{Machines: 4, Capacity: 4, Lease: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		w.DelayDirectCommands(0.8, rnd.Uint64())
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
 			gang(j)
 			j.Tasks, j.CPUs, j.EstimateS, j.Priority = 3, 5, 40, wire.PriorityLow
@@ -204,23 +204,23 @@
 		}))
 		time.Sleep(8 * time.Second)
 		rounds := 0
-		for met := (fake.LateCommands{}); rounds < lateCommandRounds && (met.Executed == 0 || met.RefusedToken == 0 || rounds < 3); rounds++ {
+		for met := (fake.DelayedCommands{}); rounds < lateCommandRounds && (met.Executed == 0 || met.RefusedToken == 0 || rounds < 3); rounds++ {
 			n := 10 + rounds
 			mustSubmit(t, w, job(n, func(j *wire.Job) {
 				j.Tasks, j.CPUs, j.EstimateS, j.Priority = 2, 6, float64(2+rnd.IntN(6)), wire.PriorityHigh
 			}))
 			time.Sleep(within(rnd, 0, 1500*time.Millisecond))
-			w.Met()
-			w.Bounce(max(0, w.Leader()), within(rnd, 0, 900*time.Millisecond))
+			w.MarkInteraction()
+			w.PowerCycleNode(max(0, w.Leader()), within(rnd, 0, 900*time.Millisecond))
 			mustFinish(t, w, time.Minute, n)
 			time.Sleep(within(rnd, 4*time.Second, 12*time.Second))
-			met = w.LateCommands()
+			met = w.DelayedCommands()
 		}
-		met := w.LateCommands()
+		met := w.DelayedCommands()
 		if met.Executed == 0 || met.RefusedToken == 0 {
 			t.Errorf("late commands met %+v in %d rounds", met, rounds)
 		}
-		w.DelayCommands(0, 0)
+		w.DelayDirectCommands(0, 0)
 		mustFinish(t, w, 5*time.Minute, 1, 2)
 	})
 }
--- a/controller/late_test.go
+++ b/controller/late_test.go
@@ -24,14 +24,14 @@
 }
 
 // changeLeader takes the leader's power, waits for the next one, and gives it back.
-func changeLeader(t *testing.T, w *fake.World) {
+func changeLeader(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	was := w.Leader()
 	if was < 0 {
 		t.Fatal("nobody leads")
 	}
 	w.KillNode(was)
-	if !scenario.Until(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
+	if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
 		t.Fatal("nobody leads next")
 	}
 	time.Sleep(time.Second)
@@ -40,7 +40,7 @@
 
 // several submits a gang in one zone, an array, and an array of a team that is at its
 // limit; all of it takes machines that have room beside what is there.
-func several(t *testing.T, w *fake.World, from int, rnd *rand.Rand) []int {
+func several(t *testing.T, w *fake.Cluster, from int, rnd *rand.Rand) []int {
 	t.Helper()
 	mustSubmit(t, w,
 		job(from, func(j *wire.Job) {
@@ -57,21 +57,21 @@
 // Copies of reports come to every node as a leader begins: they are the first that it
 // hears of their machines.
 func TestOldReportsReachEveryNodeAsALeaderBegins(t *testing.T) {
-	seeded(t, 16, fake.Options{Machines: 6, Capacity: 8, Teams: smallTeams}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
-		w.CopyForNext(2)
+	seeded(t, 16, fake.Options{Machines: 6, Capacity: 8, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		w.DelayCopiesUntilFailover(2)
 		for round := range 3 {
 			numbers := several(t, w, 10*round+1, rnd)
 			time.Sleep(millis(rnd, 500, 9000))
-			met := w.CopiesMet()
+			met := w.CopyStats()
 			changeLeader(t, w)
 			time.Sleep(4 * time.Second)
-			if now := w.CopiesMet(); now.First == met.First {
+			if now := w.CopyStats(); now.First == met.First {
 				t.Errorf("round %d: no copy came to the new leader before its worker's next report", round)
 			}
 			mustFinish(t, w, 2*time.Minute, numbers...)
 		}
-		if met := w.CopiesMet(); met.Older == 0 || w.Expired() > 0 {
-			t.Errorf("copies met %+v: none came after newer reports, or %d leases ended", met, w.Expired())
+		if met := w.CopyStats(); met.Older == 0 || w.ExpiredLeases() > 0 {
+			t.Errorf("copies met %+v: none came after newer reports, or %d leases ended", met, w.ExpiredLeases())
 		}
 	})
 }
@@ -79,39 +79,39 @@
 // A machine's report is held back until another leader has placed work, and comes to
 // it then; the machine itself is back later, within its lease or beyond it.
 func TestAReportIsHeldBackUntilTheNextLeaderHasActed(t *testing.T) {
-	seeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, Lease: 30}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, Lease: 30}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		busy(t, w, 4)
 		numbers := several(t, w, 1, rnd)
 		time.Sleep(millis(rnd, 500, 4000))
 		at := w.Cloud.Machines()[rnd.IntN(4)]
-		w.KeepReport(at)
+		w.CaptureReport(at)
 		time.Sleep(millis(rnd, 0, 2000))
-		w.Hang(at, true)
+		w.HangMachine(at, true)
 		was := w.Leader()
 		w.KillNode(was)
-		if !scenario.Until(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
+		if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
 			t.Fatal("nobody leads next")
 		}
-		pages := fmt.Sprint(w.State.Versions(jobstore.PageKey(0)))
+		pages := fmt.Sprint(w.Store.Versions(jobstore.PageKey(0)))
 		numbers = append(numbers, several(t, w, 11, rnd)...)
-		if !scenario.Until(20*time.Second, 50*time.Millisecond, func() bool { return fmt.Sprint(w.State.Versions(jobstore.PageKey(0))) != pages }) {
+		if !scenario.Eventually(20*time.Second, 50*time.Millisecond, func() bool { return fmt.Sprint(w.Store.Versions(jobstore.PageKey(0))) != pages }) {
 			t.Fatal("the next leader has placed nothing")
 		}
-		if status := w.LateReport(at, w.Leader()); status != 200 {
+		if status := w.ReplayReport(at, w.Leader()); status != 200 {
 			t.Errorf("the report held back was answered %d: it is not the first that the leader hears of its machine", status)
 		}
-		if status := w.LateReport(at, w.Leader()); status != 200 {
+		if status := w.ReplayReport(at, w.Leader()); status != 200 {
 			t.Errorf("it was answered %d as it came again, while it is the newest", status)
 		}
 		time.Sleep(millis(rnd, 1000, 40_000))
-		w.Hang(at, false)
+		w.HangMachine(at, false)
 		w.StartNode(was)
 		time.Sleep(4 * time.Second) // it has reported itself, or nothing of it counts any more
-		if status := w.LateReport(at, w.Leader()); status == 200 {
+		if status := w.ReplayReport(at, w.Leader()); status == 200 {
 			t.Error("the same report was answered 200 after newer ones")
 		}
 		mustFinish(t, w, 3*time.Minute, numbers...)
-		if !scenario.Until(100*time.Second, time.Second, func() bool { return w.Running() == 4 }) {
+		if !scenario.Eventually(100*time.Second, time.Second, func() bool { return w.Running() == 4 }) {
 			t.Errorf("%d of the 4 long tasks run", w.Running())
 		}
 	})
@@ -120,29 +120,29 @@
 // Reports of a session that has ended come to the next leader before any of the new
 // session, and again after these; what they list has another attempt elsewhere by then.
 func TestOldReportsOfEarlierSessionsAndAttempts(t *testing.T) {
-	seeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
-		w.CopyForNext(1)
+	seeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		w.DelayCopiesUntilFailover(1)
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 3, 90 }))
 		numbers := several(t, w, 1, rnd)
 		time.Sleep(millis(rnd, 3000, 8000))
-		w.CopyForNext(0) // what is kept is of the sessions that end now
+		w.DelayCopiesUntilFailover(0) // what is kept is of the sessions that end now
 		zone := fake.Zones[rnd.IntN(2)]
-		w.CutZone(zone, true)
+		w.PartitionZone(zone, true)
 		time.Sleep(millis(rnd, 13_000, 25_000)) // their leases end, and what was there goes on elsewhere
 		changeLeader(t, w)
 		time.Sleep(4 * time.Second)
-		met := w.CopiesMet()
+		met := w.CopyStats()
 		if met.First == 0 || met.EarlierSession == 0 || met.EarlierAttempt == 0 {
 			t.Errorf("copies met %+v", met)
 		}
-		w.CutZone(zone, false)
+		w.PartitionZone(zone, false)
 		numbers = append(numbers, several(t, w, 11, rnd)...)
 		for range 8 {
 			time.Sleep(millis(rnd, 500, 4000))
-			w.DeliverCopies()
+			w.DeliverDelayedCopies()
 		}
 		time.Sleep(time.Second)
-		if now := w.CopiesMet(); now.Older <= met.Older {
+		if now := w.CopyStats(); now.Older <= met.Older {
 			t.Errorf("copies met %+v, and before %+v: none came after newer reports", now, met)
 		}
 		mustFinish(t, w, 3*time.Minute, append(numbers, 900)...)
@@ -153,21 +153,21 @@
 // that pass reports on, before these. Refused, each worker went on to the next node, a
 // second of its lease later, and where that met it again and again its lease ended.
 func TestCopiesOvertakeTheirReportsAsALeaderBegins(t *testing.T) {
-	seeded(t, 17, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 17, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		busy(t, w, 6)
 		time.Sleep(millis(rnd, 0, 2000))
 		started, was := w.Started(), w.Leader()
 		w.KillNode(was)
-		w.CopyAhead(1)
+		w.OvertakeReports(1)
 		time.Sleep(45 * time.Second) // more than three leases
-		w.CopyAhead(0)
+		w.OvertakeReports(0)
 		w.StartNode(was)
-		met := w.Outrun()
+		met := w.OvertakenReports()
 		if met.Next < 6 || met.Ahead < 60 {
 			t.Errorf("reports overtaken %+v", met)
 		}
-		if met.Refused > 0 || w.Expired() > 0 {
-			t.Errorf("reports overtaken %+v: their workers leave their nodes; %d leases ended", met, w.Expired())
+		if met.Refused > 0 || w.ExpiredLeases() > 0 {
+			t.Errorf("reports overtaken %+v: their workers leave their nodes; %d leases ended", met, w.ExpiredLeases())
 		}
 		if n := w.Started() - started; n > 0 {
 			t.Errorf("%d tasks started again", n)
@@ -180,8 +180,8 @@
 // the launches along: they are launched with a later answer, once, and no machine is
 // taken for one that does not hear for long.
 func TestWorkIsGivenOutWhileCopiesOvertakeReports(t *testing.T) {
-	seeded(t, 18, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
-		w.CopyAhead(2)
+	seeded(t, 18, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		w.OvertakeReports(2)
 		for round := range 3 {
 			numbers := several(t, w, 10*round+1, rnd)
 			time.Sleep(millis(rnd, 500, 9000))
@@ -190,8 +190,8 @@
 			}
 			mustFinish(t, w, time.Minute, numbers...)
 		}
-		if met := w.Outrun(); met.Ahead < 20 || w.Expired() > 0 {
-			t.Errorf("reports overtaken %+v, %d leases ended", met, w.Expired())
+		if met := w.OvertakenReports(); met.Ahead < 20 || w.ExpiredLeases() > 0 {
+			t.Errorf("reports overtaken %+v, %d leases ended", met, w.ExpiredLeases())
 		}
 	})
 }
@@ -199,19 +199,19 @@
 // A machine dies just after a report, and copies of that come every second. What ran
 // there goes on elsewhere once its lease is over, and no later than without them.
 func TestCopiesOfADeadMachinesLastReport(t *testing.T) {
-	seeded(t, 19, fake.Options{Machines: 3, Capacity: 3, Lease: 12}, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 19, fake.Options{Machines: 3, Capacity: 3, Lease: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 2, 3600 }))
-		if !scenario.Until(40*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
+		if !scenario.Eventually(40*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
 		time.Sleep(millis(rnd, 0, 3000))
-		load := w.Load()
+		load := w.TasksPerMachine()
 		dead := slices.MaxFunc(w.Cloud.Machines(), func(a, b string) int { return load[a] - load[b] })
-		w.KeepReport(dead)
+		w.CaptureReport(dead)
 		w.KillMachine(dead)
 		at, answered, back := time.Now(), 0, time.Duration(0)
 		for time.Since(at) < 40*time.Second && back == 0 {
-			if w.LateReport(dead, max(0, w.Leader())) == 200 {
+			if w.ReplayReport(dead, max(0, w.Leader())) == 200 {
 				answered++
 			}
 			time.Sleep(time.Second)
@@ -231,7 +231,7 @@
 // A copy of the newest report comes to another node than its worker's. It is answered, and
 // its worker does not count as answered there.
 func TestACopyDoesNotMakeItsWorkerCountAsAnswered(t *testing.T) {
-	story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 1)
 		at, other := -1, -1
 		for i := range w.Nodes() {
@@ -245,9 +245,9 @@
 			t.Fatalf("node %d has answered the worker, and node %d has not", at, other)
 		}
 		name := w.Cloud.Machines()[0]
-		w.KeepReport(name)
+		w.CaptureReport(name)
 		for i, node := range []int{at, other, other} {
-			if status := w.LateReport(name, node); status != 200 {
+			if status := w.ReplayReport(name, node); status != 200 {
 				t.Fatalf("copy %d was answered %d", i, status)
 			}
 		}
--- a/controller/ledger_test.go
+++ b/controller/ledger_test.go
@@ -20,12 +20,12 @@
 )
 
 // own counts the jobs that have a key of their own, and those that share one.
-func own(w *fake.World) (own, shared int) {
-	for _, k := range w.State.Keys(jobstore.Jobs) {
+func own(w *fake.Cluster) (own, shared int) {
+	for _, k := range w.Store.Keys(jobstore.Jobs) {
 		var page jobstore.IntakeRecord
 		if !jobstore.IsIntake(k) {
 			own++
-		} else if wire.Unmarshal(w.State.Value(k), &page) == nil {
+		} else if wire.Unmarshal(w.Store.Value(k), &page) == nil {
 			shared += len(page.Jobs)
 		}
 	}
@@ -37,7 +37,7 @@
 // pages, and those that have keys of their own go on.
 func TestARollingRestartRaisesTheFormAtItsEnd(t *testing.T) {
 	for older := range 3 {
-		story(t, fake.Options{Machines: 4, Older: []int{older}}, func(t *testing.T, w *fake.World) {
+		story(t, fake.Options{Machines: 4, Older: []int{older}}, func(t *testing.T, w *fake.Cluster) {
 			long := func(j *wire.Job) { j.EstimateS = 90 }
 			mustSubmit(t, w, job(1, long), job(2, nil))
 			// A change of leader in each direction.
@@ -49,7 +49,7 @@
 				time.Sleep(3 * time.Second)
 				mustSubmit(t, w, job(10+n, long))
 			}
-			if alone, shared := own(w); alone < 3 || shared != 0 || len(w.State.Keys(jobstore.FormKey)) != 0 {
+			if alone, shared := own(w); alone < 3 || shared != 0 || len(w.Store.Keys(jobstore.FormKey)) != 0 {
 				t.Errorf("before: %d jobs with keys of their own, %d share", alone, shared)
 			}
 			w.KillNode(older)
@@ -58,7 +58,7 @@
 			w.StartNode(older)
 			time.Sleep(20 * time.Second)
 			var wg sync.WaitGroup
-			w.State.LimitWrites(25)
+			w.Store.LimitWrites(25)
 			for n := range 90 {
 				wg.Go(func() {
 					if !w.Submit(job(100+n, func(j *wire.Job) { j.EstimateS, j.Tasks = 3, 1 })) {
@@ -99,8 +99,8 @@
 		defer w.Close()
 		w.KillAll()
 		time.Sleep(20 * time.Second)
-		w.State.Wipe()
-		to := kvstore.New(w.Net.Dial("ops"), "state:1", 200, 200)
+		w.Store.Clear()
+		to := kvstore.New(w.Network.Dial("ops"), "state:1", 200, 200)
 		if _, err := snapshot.Restore(t.Context(), to, r.Header, all, 12); err != nil {
 			t.Fatal(err)
 		}
@@ -111,7 +111,7 @@
 			_, over := jobstore.ParseFinalKey(k)
 			if (active || over) && wire.Unmarshal(v, &rec) == nil {
 				jobs[rec.Job.ID] = rec
-				w.Know(rec.Job)
+				w.RegisterJob(rec.Job)
 			}
 		}
 		if len(jobs) != 6 {
@@ -124,18 +124,18 @@
 		w.Cancel("wk-000505")
 		mustReach(t, w, "wk-000505", wire.JobCancelled, 5*time.Second)
 		for id, rec := range jobs {
-			if got := w.Post(1, rec.Job); got != 200 {
+			if got := w.PostSubmission(1, rec.Job); got != 200 {
 				t.Errorf("%s again: %d", id, got)
 			}
 		}
 		mustReach(t, w, "wk-000506", wire.JobCancelled, 5*time.Second)
 		mustReach(t, w, "wk-000501", wire.JobDone, 5*time.Second)
 		time.Sleep(30 * time.Second)
-		if keys := w.State.JobKeys(); len(keys) > 0 {
+		if keys := w.Store.JobKeys(); len(keys) > 0 {
 			t.Errorf("records left: %v", keys)
 		}
 		// What was done before is done, though no machine of this world has run it.
-		broken := slices.DeleteFunc(w.Broken(), func(b string) bool {
+		broken := slices.DeleteFunc(w.Violations(), func(b string) bool {
 			return strings.Contains(b, "wk-000501") || strings.Contains(b, "wk-000502") || strings.Contains(b, "wk-000506")
 		})
 		if len(broken) > 0 {
@@ -151,10 +151,10 @@
 	if scenario.UnderRace {
 		burst = 150
 	}
-	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.World) {
-		w.State.LimitWrites(25)
+	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
+		w.Store.LimitWrites(25)
 		time.Sleep(5 * time.Second)
-		before := w.State.Changes()
+		before := w.Store.Changes()
 		var wg sync.WaitGroup
 		var accepted atomic.Int64
 		for n := range burst {
@@ -172,7 +172,7 @@
 			w.StartAll()
 		})
 		wg.Wait()
-		changes := w.State.Changes() - before
+		changes := w.Store.Changes() - before
 		t.Logf("%d of %d accepted, %d changes for all", accepted.Load(), burst, changes)
 		if accepted.Load() != int64(burst) {
 			t.Errorf("%d of %d accepted", accepted.Load(), burst)
@@ -181,7 +181,7 @@
 			t.Errorf("%d changes for %d jobs", changes, burst)
 		}
 		for n := 0; n < burst; n += 1 + burst/60 {
-			if got := w.Poll(w.Any(), job(1000+n, nil).ID); got == "" {
+			if got := w.PollState(w.AnyNodeAddr(), job(1000+n, nil).ID); got == "" {
 				t.Errorf("no answer for %d", n)
 			}
 		}
@@ -200,10 +200,10 @@
 			if older != nil && rate > 100 {
 				continue // they come for longer than their users wait
 			}
-			story(t, fake.Options{Machines: 4, Older: older}, func(t *testing.T, w *fake.World) {
-				w.State.LimitWrites(25)
+			story(t, fake.Options{Machines: 4, Older: older}, func(t *testing.T, w *fake.Cluster) {
+				w.Store.LimitWrites(25)
 				time.Sleep(5 * time.Second)
-				before := w.State.Changes()
+				before := w.Store.Changes()
 				n := max(10, 8*rate)
 				waits := make([]time.Duration, n)
 				var wg sync.WaitGroup
@@ -223,11 +223,11 @@
 				took := time.Since(begun)
 				slices.Sort(waits)
 				p50, p99 := waits[n/2], waits[n*99/100]
-				t.Logf("old form %v, %d a second: p50 %v, p99 %v, all within %v, %.2f changes a job", older != nil, rate, p50, p99, took.Round(time.Second), float64(w.State.Changes()-before)/float64(n))
+				t.Logf("old form %v, %d a second: p50 %v, p99 %v, all within %v, %.2f changes a job", older != nil, rate, p50, p99, took.Round(time.Second), float64(w.Store.Changes()-before)/float64(n))
 				if lost.Load() > 0 || rate <= 20 && p99 > 100*time.Millisecond || rate > 20 && p50 > 5*time.Second {
 					t.Errorf("%d a second: %d lost, p50 %v, p99 %v", rate, lost.Load(), p50, p99)
 				}
-				if per := float64(w.State.Changes()-before) / float64(n); rate > 20 && per > 0.4 {
+				if per := float64(w.Store.Changes()-before) / float64(n); rate > 20 && per > 0.4 {
 					t.Errorf("%d a second: %.2f changes a job", rate, per)
 				}
 			})
@@ -252,7 +252,7 @@
 				mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 				time.Sleep(8 * time.Second)
 				w.KillAll()
-				w.State.Damage(c.key)
+				w.Store.Corrupt(c.key)
 				mark := w.Started()
 				time.Sleep(2 * time.Second)
 				w.StartAll()
@@ -268,7 +268,7 @@
 				time.Sleep(time.Minute)
 				w.StartNode(last) // users may come to any node
 				time.Sleep(5 * time.Second)
-				if got := w.Poll(w.Any(), "wk-000001"); got != wire.JobPending && got != wire.JobRunning {
+				if got := w.PollState(w.AnyNodeAddr(), "wk-000001"); got != wire.JobPending && got != wire.JobRunning {
 					t.Errorf("the job that is set aside is %q", got)
 				}
 				if !strings.Contains(log.String(), "set aside") || !strings.Contains(log.String(), c.key) || !strings.Contains(log.String(), "wk-000001") {
@@ -277,7 +277,7 @@
 				w.Cancel("wk-000001")
 				mustReach(t, w, "wk-000001", wire.JobCancelled, 5*time.Second)
 				time.Sleep(45 * time.Second)
-				for _, b := range w.Broken() {
+				for _, b := range w.Violations() {
 					t.Errorf("rule broken: %s", b)
 				}
 			})
--- a/controller/meetings_test.go
+++ b/controller/meetings_test.go
@@ -30,15 +30,15 @@
 // fillTeams brings both teams to their limits with long jobs of two tasks, 101 and on of
 // one team and 201 and on of the other, and has as much again of each wait, 111 and
 // 211 and on, that takes 15 s.
-func fillTeams(t *testing.T, w *fake.World) {
+func fillTeams(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	for base, team := range map[int]string{100: "core", 200: "edge"} {
 		for i := 1; i <= 4; i++ {
 			mustSubmit(t, w, job(base+i, func(j *wire.Job) { j.Team, j.CPUs, j.EstimateS = team, 2, 3600 }))
 		}
 	}
-	if !scenario.Until(40*time.Second, 200*time.Millisecond, func() bool { return atLimit(w) }) {
-		t.Fatalf("the teams use %g and %g CPUs", w.CPUs("core"), w.CPUs("edge"))
+	if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return atLimit(w) }) {
+		t.Fatalf("the teams use %g and %g CPUs", w.CPUsInUse("core"), w.CPUsInUse("edge"))
 	}
 	for base, team := range map[int]string{110: "core", 210: "edge"} {
 		for i := 1; i <= 4; i++ {
@@ -47,12 +47,14 @@
 	}
 }
 
-func atLimit(w *fake.World) bool { return w.CPUs("core") == teamMax && w.CPUs("edge") == teamMax }
+func atLimit(w *fake.Cluster) bool {
+	return w.CPUsInUse("core") == teamMax && w.CPUsInUse("edge") == teamMax
+}
 
 // tasksOn lists the machines that have tasks of a job.
-func tasksOn(w *fake.World, j wire.Job) (out []string) {
+func tasksOn(w *fake.Cluster, j wire.Job) (out []string) {
 	for i := range j.Tasks {
-		out = append(out, w.On(wire.TaskName(j.ID, i))...)
+		out = append(out, w.MachinesRunning(wire.TaskName(j.ID, i))...)
 	}
 	slices.Sort(out)
 	return slices.Compact(out)
@@ -60,18 +62,18 @@
 
 // changes has another leader come, in one way or another, and returns when its key
 // is there; before is the token until then.
-func changes(t *testing.T, w *fake.World, before uint64) {
+func changes(t *testing.T, w *fake.Cluster, before uint64) {
 	t.Helper()
-	if !scenario.Until(25*time.Second, 50*time.Millisecond, func() bool { k := w.Token(); return k != 0 && k != before }) {
+	if !scenario.Eventually(25*time.Second, 50*time.Millisecond, func() bool { k := w.FencingToken(); return k != 0 && k != before }) {
 		t.Fatal("the leader did not change")
 	}
 }
 
 // endLeader ends the leader: for good, or for a fraction of a second.
-func endLeader(w *fake.World, rnd *rand.Rand) (dead int) {
+func endLeader(w *fake.Cluster, rnd *rand.Rand) (dead int) {
 	dead = max(0, w.Leader())
 	if rnd.IntN(2) == 0 {
-		w.Bounce(dead, within(rnd, 0, 900*time.Millisecond))
+		w.PowerCycleNode(dead, within(rnd, 0, 900*time.Millisecond))
 	} else {
 		w.KillNode(dead)
 	}
@@ -79,17 +81,17 @@
 }
 
 // healMachines ends what has been done to machines.
-func healMachines(w *fake.World) {
+func healMachines(w *fake.Cluster) {
 	for _, m := range w.Cloud.Machines() {
-		w.Hang(m, false)
-		w.Mute(m, false)
-		w.Silence(m, false)
-		w.CutMachine(m, false)
+		w.HangMachine(m, false)
+		w.BlockRepliesTo(m, false)
+		w.BlockHeartbeats(m, false)
+		w.PartitionMachine(m, false)
 	}
 }
 
 // well sees to it that what waits runs, now that all is over.
-func well(t *testing.T, w *fake.World) {
+func well(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	w.StartAll()
 	healMachines(w)
@@ -102,12 +104,12 @@
 // hang, and the leader changes. What is cancelled counts for its team until it is
 // gone, at the next leader as well, which has not heard of those machines.
 func TestMeetingOfTeamsAtTheirLimitsCancellationsAndAChangeOfLeader(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		hang := rnd.IntN(2) == 0
-		trouble := w.CutMachine
+		trouble := w.PartitionMachine
 		if hang {
-			trouble = w.Hang
+			trouble = w.HangMachine
 		}
 		var ids, names []string
 		for _, n := range []int{101, 102 + rnd.IntN(3), 201, 202 + rnd.IntN(3)} {
@@ -121,7 +123,7 @@
 			trouble(m, true)
 		}
 		time.Sleep(within(rnd, 0, 3*time.Second))
-		before := w.Token()
+		before := w.FencingToken()
 		early := rnd.IntN(2) == 0
 		if early {
 			endLeader(w, rnd)
@@ -138,7 +140,7 @@
 		if met == 0 {
 			t.Error("nothing cancelled was on a machine in trouble")
 		}
-		w.Met()
+		w.MarkInteraction()
 		if !early {
 			endLeader(w, rnd)
 		}
@@ -164,7 +166,7 @@
 func TestMeetingOfAChangeOfLeaderAndACancellation(t *testing.T) {
 	o := limited()
 	o.Lease = 22 // the leader's is 10 s then, and so is the spell without one
-	seeded(t, 1234, o, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		var names []string
 		ids := []string{job(101+rnd.IntN(2), nil).ID, job(201+rnd.IntN(2), nil).ID}
@@ -173,9 +175,9 @@
 		}
 		slices.Sort(names)
 		names = slices.Compact(names)
-		ways := []func(string, bool){w.CutMachine, w.Hang, w.Mute, w.Silence}
+		ways := []func(string, bool){w.PartitionMachine, w.HangMachine, w.BlockRepliesTo, w.BlockHeartbeats}
 		trouble := ways[rnd.IntN(len(ways))]
-		before, dead := w.Token(), w.Leader()
+		before, dead := w.FencingToken(), w.Leader()
 		w.KillNode(dead)
 		time.Sleep(within(rnd, 3*time.Second, 4500*time.Millisecond)) // users go to other nodes
 		for _, m := range names {
@@ -190,10 +192,10 @@
 				t.Errorf("%s is cancelled, and its tasks are gone or the teams not at their limits", id)
 			}
 		}
-		if k := w.Token(); k != before && k != 0 {
+		if k := w.FencingToken(); k != before && k != 0 {
 			t.Error("the next leader was there before the cancellations")
 		}
-		w.Met()
+		w.MarkInteraction()
 		if rnd.IntN(2) == 0 {
 			w.StartNode(dead)
 		}
@@ -214,20 +216,20 @@
 // known to be gone. At some seeds the leader changes, and the next one has never
 // heard of these machines.
 func TestMeetingOfSilentMachinesAndCancellations(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		id := job(101+rnd.IntN(4), nil).ID
 		names := tasksOn(w, wire.Job{ID: id, Tasks: 2})
 		for _, m := range names {
-			w.Silence(m, true)
+			w.BlockHeartbeats(m, true)
 		}
 		silent := time.Now()
 		time.Sleep(within(rnd, 0, 8*time.Second))
 		at := names[rnd.IntN(len(names))]
-		direct, started, before := w.Direct(at), w.Started(), w.Token()
+		direct, started, before := w.DirectCommandsExecuted(at), w.Started(), w.FencingToken()
 		late := rnd.IntN(2) == 0
 		if late {
-			w.HoldDirect(at) // the stop comes when the task's room may be another's
+			w.HoldDirectCommands(at) // the stop comes when the task's room may be another's
 		}
 		if s := w.Cancel(id); s != wire.JobCancelled {
 			t.Fatalf("cancel answered %q", s)
@@ -235,12 +237,12 @@
 		if len(names) == 0 {
 			t.Error("the job had no tasks")
 		}
-		w.Met()
+		w.MarkInteraction()
 		time.Sleep(2 * time.Second)
 		if w.Unanswered(silent.Add(2*time.Second)) < len(names) {
 			t.Error("a silent machine was answered")
 		}
-		if !late && w.Direct(at) == direct {
+		if !late && w.DirectCommandsExecuted(at) == direct {
 			t.Error("no direct command reached the silent machine")
 		}
 		if n := w.Started() - started; n > 0 {
@@ -255,11 +257,11 @@
 		}
 		time.Sleep(within(rnd, 0, 35*time.Second))
 		for _, m := range names {
-			w.Silence(m, false)
+			w.BlockHeartbeats(m, false)
 		}
 		if late {
 			time.Sleep(within(rnd, 0, 5*time.Second))
-			if done, refused := w.DeliverDirect(at); done+refused == 0 {
+			if done, refused := w.DeliverHeldCommands(at); done+refused == 0 {
 				t.Error("no direct command was held back")
 			}
 		}
@@ -271,50 +273,50 @@
 // and the machine then goes on: the launches are executed, count for the team, and
 // are gone in time.
 func TestMeetingOfHeldUpAnswersAndCancellations(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		id := job(101+rnd.IntN(4), nil).ID
 		// Its room is what the next job fits into best: launches go to its machines, and
 		// later ones, of which the others hear, to all.
 		names, late := tasksOn(w, wire.Job{ID: id, Tasks: 2}), 0
 		for _, m := range names {
-			late -= w.LateAnswers(m)
-			w.HoldDirect(m)
+			late -= w.LateReplies(m)
+			w.HoldDirectCommands(m)
 		}
-		before := w.Token()
+		before := w.FencingToken()
 		if s := w.Cancel(id); s != wire.JobCancelled { // so that there is room under the limit
 			t.Fatalf("cancel answered %q", s)
 		}
 		time.Sleep(50 * time.Millisecond)
 		for _, m := range names {
-			w.Mute(m, true)
+			w.BlockRepliesTo(m, true)
 		}
 		// Stopped now, its tasks are reported as gone at once, and launches are in
 		// the answer.
 		for _, m := range names {
-			w.DeliverDirect(m)
-			w.HoldDirect(m)
+			w.DeliverHeldCommands(m)
+			w.HoldDirectCommands(m)
 		}
 		time.Sleep(within(rnd, 1200*time.Millisecond, 1600*time.Millisecond))
-		w.Met()
+		w.MarkInteraction()
 		started := w.Started()
 		for i := 1; i <= 1+rnd.IntN(2); i++ { // the others want the room
 			w.Cancel(job(110+i, nil).ID)
 		}
 		hang := rnd.IntN(2) == 0
 		for _, m := range names { // what was held up arrives at machines that hang
-			w.Hang(m, hang)
+			w.HangMachine(m, hang)
 			if hang {
-				w.Mute(m, false)
+				w.BlockRepliesTo(m, false)
 			}
 		}
 		time.Sleep(within(rnd, 400*time.Millisecond, 1700*time.Millisecond))
 		for _, m := range names {
 			for _, n := range w.Nodes() {
-				w.Net.SetMute(m, n, true) // nobody hears that they go on
+				w.Network.SetOneWayBlock(m, n, true) // nobody hears that they go on
 			}
-			w.Hang(m, false)
-			w.Mute(m, false)
+			w.HangMachine(m, false)
+			w.BlockRepliesTo(m, false)
 		}
 		time.Sleep(within(rnd, 0, time.Second))
 		change := rnd.IntN(2) == 0
@@ -323,9 +325,9 @@
 		}
 		time.Sleep(within(rnd, time.Second, 15*time.Second))
 		for _, m := range names {
-			late += w.LateAnswers(m)
+			late += w.LateReplies(m)
 			for _, n := range w.Nodes() {
-				w.Net.SetMute(m, n, false)
+				w.Network.SetOneWayBlock(m, n, false)
 			}
 		}
 		if late == 0 {
@@ -340,7 +342,7 @@
 		time.Sleep(within(rnd, 0, 20*time.Second))
 		commands := 0
 		for _, m := range names {
-			executed, refused := w.DeliverDirect(m)
+			executed, refused := w.DeliverHeldCommands(m)
 			commands += executed + refused
 		}
 		if commands == 0 {
@@ -355,15 +357,15 @@
 // next one's answers: a task is on one machine only, and goes on there if its
 // machine is back within its lease. Copies of old reports show nothing.
 func TestMeetingOfLongTasksAndAChangeOfLeader(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		for _, m := range w.Cloud.Machines() {
-			w.KeepReport(m) // lists no task
+			w.CaptureReport(m) // lists no task
 		}
 		fillTeams(t, w)
-		ways := []func(string, bool){w.CutMachine, w.Hang, w.Silence, w.Mute}
+		ways := []func(string, bool){w.PartitionMachine, w.HangMachine, w.BlockHeartbeats, w.BlockRepliesTo}
 		way := rnd.IntN(len(ways))
 		trouble := ways[way]
-		before, started, on := w.Token(), w.Started(), w.Load()
+		before, started, on := w.FencingToken(), w.Started(), w.TasksPerMachine()
 		names := slices.Sorted(maps.Keys(on))
 		rnd.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
 		names = names[:1+rnd.IntN(len(names))]
@@ -386,18 +388,18 @@
 			w.StartNode(dead)
 		}
 		changes(t, w, before)
-		w.Met()
+		w.MarkInteraction()
 		tasks := 0
 		for _, m := range names {
-			tasks += w.Load()[m]
+			tasks += w.TasksPerMachine()[m]
 		}
-		if tasks == 0 || w.Expired() > 0 {
-			t.Errorf("%d tasks on machines in trouble as the leader changes, of %v, %d leases over", tasks, on, w.Expired())
+		if tasks == 0 || w.ExpiredLeases() > 0 {
+			t.Errorf("%d tasks on machines in trouble as the leader changes, of %v, %d leases over", tasks, on, w.ExpiredLeases())
 		}
 		// The first that the next leader hears of them is what was reported long ago.
 		// (From those whose reports arrive it has heard since.)
 		for _, m := range names {
-			if way < 3 && !scenario.Until(10*time.Second, 500*time.Millisecond, func() bool { return w.LateReport(m, max(0, w.Leader())) == 200 }) {
+			if way < 3 && !scenario.Eventually(10*time.Second, 500*time.Millisecond, func() bool { return w.ReplayReport(m, max(0, w.Leader())) == 200 }) {
 				t.Errorf("the next leader takes no late copy of a report of %s", m)
 			}
 		}
@@ -413,12 +415,12 @@
 			trouble(m, false)
 		}
 		well(t, w)
-		if !scenario.Until(time.Minute, time.Second, func() bool { return atLimit(w) }) {
-			t.Errorf("the teams use %g and %g CPUs in the end", w.CPUs("core"), w.CPUs("edge"))
+		if !scenario.Eventually(time.Minute, time.Second, func() bool { return atLimit(w) }) {
+			t.Errorf("the teams use %g and %g CPUs in the end", w.CPUsInUse("core"), w.CPUsInUse("edge"))
 		}
 		if n := w.Started() - started; short && lasted < 15*time.Second && n > 0 {
 			t.Errorf("%d starts after %v", n, lasted)
-		} else if !short && w.Expired() == 0 {
+		} else if !short && w.ExpiredLeases() == 0 {
 			t.Error("no lease ended")
 		}
 	})
@@ -428,15 +430,15 @@
 // worker's lease. Its workers go on for as long as a controller there answers them
 // with a valid token; then what they had starts elsewhere, and once only.
 func TestMeetingOfACutZoneAndLimits(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
-		zone, before := fake.Zones[w.Leader()%2], w.Token()
+		zone, before := fake.Zones[w.Leader()%2], w.FencingToken()
 		inside := rnd.IntN(3) > 0 // the leader is in that zone
 		if !inside {
 			zone = fake.Zones[1-w.Leader()%2]
 		}
 		there := 0
-		for m, n := range w.Load() {
+		for m, n := range w.TasksPerMachine() {
 			if w.ZoneOf(m) == zone {
 				there += n
 			}
@@ -455,7 +457,7 @@
 		if len(those) == 0 {
 			t.Fatal("no job has a task in the zone that is cut off")
 		}
-		w.CutOff(zone, true)
+		w.IsolateZone(zone, true)
 		time.Sleep(within(rnd, 0, 20*time.Second))
 		if there == 0 || !atLimit(w) {
 			t.Errorf("%d tasks in the zone that is cut off, teams at their limits: %v", there, atLimit(w))
@@ -465,7 +467,7 @@
 		said := ""
 		for i := range w.Nodes() {
 			if fake.Zones[i%2] != zone && said == "" {
-				said = w.CancelAt(w.Bind(i), j.ID)
+				said = w.CancelAt(w.NodeAddr(i), j.ID)
 			}
 		}
 		if said != wire.JobCancelled {
@@ -474,16 +476,16 @@
 		if !inZone(j) {
 			t.Errorf("%s is cancelled, and has no task in the zone that is cut off", j.ID)
 		}
-		w.Met()
+		w.MarkInteraction()
 		// A leader in the zone answers for as long as its own lease lasts.
 		time.Sleep(within(rnd, 42*time.Second, time.Minute))
-		if w.Expired() == 0 {
+		if w.ExpiredLeases() == 0 {
 			t.Error("no lease ended in the zone")
 		}
-		if k := w.Token(); inside == (k == before) {
+		if k := w.FencingToken(); inside == (k == before) {
 			t.Errorf("the leader was cut off: %v; it has changed: %v", inside, k != before)
 		}
-		w.CutOff(zone, false)
+		w.IsolateZone(zone, false)
 		well(t, w)
 	})
 }
@@ -493,16 +495,16 @@
 func TestMeetingOfJobsOfOneZoneAndLostMachines(t *testing.T) {
 	o := limited()
 	o.Teams = nil
-	seeded(t, 1234, o, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		// Three of the array's tasks run, in the one zone, and two wait. There would
 		// be room for them in the other.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 5, 5, 90 }))
 		mustSubmit(t, w, job(2, func(j *wire.Job) { gang(j); j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 3, 3, 90 }))
-		if !scenario.Until(40*time.Second, 200*time.Millisecond, func() bool { return w.Running() == 6 }) {
+		if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.Running() == 6 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
 		time.Sleep(within(rnd, time.Second, 10*time.Second))
-		before := w.Token()
+		before := w.FencingToken()
 		var lost, rest []string // one machine of each job, and those of their other tasks
 		for n := 1; n <= 2; n++ {
 			on := tasksOn(w, wire.Job{ID: job(n, nil).ID, Tasks: 5})
@@ -513,7 +515,7 @@
 		// it does not know in which zone they are. At some seeds nor does the cloud say.
 		if rnd.IntN(3) > 0 {
 			for _, m := range rest {
-				w.CutMachine(m, true)
+				w.PartitionMachine(m, true)
 			}
 			w.Cloud.SetOutage(rnd.IntN(3) > 0)
 		}
@@ -523,7 +525,7 @@
 		}
 		time.Sleep(within(rnd, 0, 2*time.Second))
 		endLeader(w, rnd)
-		w.Met()
+		w.MarkInteraction()
 		changes(t, w, before)
 		if n := w.Running(); n == 0 || n > 5 || w.Started() != started {
 			t.Errorf("%d tasks run as the leader changes, %d starts", n, w.Started()-started)
@@ -531,7 +533,7 @@
 		time.Sleep(within(rnd, 0, 40*time.Second))
 		w.Cloud.SetOutage(false)
 		for _, m := range rest {
-			w.CutMachine(m, false)
+			w.PartitionMachine(m, false)
 		}
 		well(t, w)
 		mustFinish(t, w, 20*time.Minute, 1, 2)
@@ -546,38 +548,38 @@
 func TestMeetingOfTasksThatEndFarApartAndAChangeOfLeader(t *testing.T) {
 	o := limited()
 	o.Teams = []config.Team{{Name: "core", CPUsMax: 5}}
-	seeded(t, 1234, o, func(t *testing.T, w *fake.World, rnd *rand.Rand) {
+	seeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		tasks := 2 + rnd.IntN(2)
 		// One after another, as the team's limit lets them.
 		j := job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = tasks, 5, float64(20+rnd.IntN(30)) })
 		mustSubmit(t, w, j)
 		for done := 1; done < tasks; done++ {
-			if !scenario.Until(time.Minute, 100*time.Millisecond, func() bool { return w.Running() == 1 }) {
+			if !scenario.Eventually(time.Minute, 100*time.Millisecond, func() bool { return w.Running() == 1 }) {
 				t.Fatalf("%d tasks run", w.Running())
 			}
-			before := w.Token()
+			before := w.FencingToken()
 			// At some seeds the outcome is reported, and can't be committed.
 			time.Sleep(time.Duration(j.EstimateS-1) * time.Second)
-			w.State.SetOutage(rnd.IntN(2) == 0)
-			if !scenario.Until(20*time.Second, 50*time.Millisecond, func() bool { return w.Finished(j.ID) == done }) {
-				t.Fatalf("%d tasks are done", w.Finished(j.ID))
+			w.Store.SetOutage(rnd.IntN(2) == 0)
+			if !scenario.Eventually(20*time.Second, 50*time.Millisecond, func() bool { return w.FinishedTasks(j.ID) == done }) {
+				t.Fatalf("%d tasks are done", w.FinishedTasks(j.ID))
 			}
 			time.Sleep(within(rnd, 0, 1500*time.Millisecond))
 			w.KillNode(w.Leader())
-			w.Met()
-			w.State.SetOutage(false)
+			w.MarkInteraction()
+			w.Store.SetOutage(false)
 			changes(t, w, before)
-			if n := w.Finished(j.ID); n != done {
+			if n := w.FinishedTasks(j.ID); n != done {
 				t.Errorf("%d of %d tasks are done as the leader changes", n, tasks)
 			}
-			if s := w.Poll(w.Any(), j.ID); s == wire.JobDone {
+			if s := w.PollState(w.AnyNodeAddr(), j.ID); s == wire.JobDone {
 				t.Errorf("called done with %d of %d tasks", done, tasks)
 			}
 			w.StartAll()
 		}
 		mustReach(t, w, j.ID, wire.JobDone, 5*time.Minute)
-		if n := w.Started(); n != tasks || w.Expired() > 0 {
-			t.Errorf("%d starts of %d tasks, %d leases over", n, tasks, w.Expired())
+		if n := w.Started(); n != tasks || w.ExpiredLeases() > 0 {
+			t.Errorf("%d starts of %d tasks, %d leases over", n, tasks, w.ExpiredLeases())
 		}
 		well(t, w)
 	})
@@ -586,8 +588,8 @@
 // Everything meets: teams are kept at their limits by jobs of all kinds, while some
 // are cancelled, machines can't be asked in one way or another, and leaders change.
 func TestMeetingsAtRandom(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.World, rnd *rand.Rand) {
-		ways := []func(string, bool){w.CutMachine, w.Hang, w.Mute, w.Silence}
+	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		ways := []func(string, bool){w.PartitionMachine, w.HangMachine, w.BlockRepliesTo, w.BlockHeartbeats}
 		var ids, asked, troubled []string
 		submitted := 0
 		more := func() {
@@ -613,8 +615,8 @@
 			more()
 		}
 		time.Sleep(10 * time.Second)
-		w.Met()
-		met, token, changed := 0, w.Token(), 0
+		w.MarkInteraction()
+		met, token, changed := 0, w.FencingToken(), 0
 		for step := 0; step < 30 || step < 90 && (met == 0 || changed == 0); step++ {
 			more()
 			names := w.Cloud.Machines()
@@ -631,18 +633,18 @@
 				ways[rnd.IntN(len(ways))](at, true)
 				troubled = append(troubled, at)
 			case 5:
-				w.HoldDirect(at)
+				w.HoldDirectCommands(at)
 			case 6:
-				w.DeliverDirect(at)
+				w.DeliverHeldCommands(at)
 			case 7:
 				endLeader(w, rnd)
 			case 8:
 				w.StartAll()
 			}
 			if rnd.IntN(2) == 0 {
-				now, hung := w.CancelNow(1+rnd.IntN(2), within(rnd, 0, 25*time.Second)*time.Duration(rnd.IntN(2)))
+				now, hung := w.CancelRunning(1+rnd.IntN(2), within(rnd, 0, 25*time.Second)*time.Duration(rnd.IntN(2)))
 				asked = append(asked, now...)
-				full := w.CPUs("core") > teamMax-4 || w.CPUs("edge") > teamMax-4 // no room for one of the largest tasks
+				full := w.CPUsInUse("core") > teamMax-4 || w.CPUsInUse("edge") > teamMax-4 // no room for one of the largest tasks
 				for _, id := range now {
 					for _, m := range tasksOn(w, wire.Job{ID: id, Tasks: 4}) {
 						if full && (slices.Contains(troubled, m) || slices.Contains(hung, m)) {
@@ -652,7 +654,7 @@
 				}
 			}
 			time.Sleep(within(rnd, 0, 6*time.Second))
-			if k := w.Token(); k != 0 && k != token {
+			if k := w.FencingToken(); k != 0 && k != token {
 				token, changed = k, changed+1
 			}
 		}
@@ -660,7 +662,7 @@
 			t.Errorf("%d cancelled tasks on machines in trouble with a team at its limit, %d changes of leader", met, changed)
 		}
 		for _, m := range w.Cloud.Machines() {
-			w.DeliverDirect(m)
+			w.DeliverHeldCommands(m)
 		}
 		well(t, w)
 		for _, id := range ids {
@@ -688,30 +690,30 @@
 		time.Sleep(5 * time.Second)
 		w.Cancel("wk-000001")
 		time.Sleep(31 * time.Second) // of the 32 s that a cancelled job's tasks have
-		if n := w.StartedAfterCancel(); n > 0 || len(w.Broken()) > 0 {
-			t.Fatalf("before anything went wrong: %d starts after the cancellation, broken: %v", n, w.Broken())
+		if n := w.StartedAfterCancel(); n > 0 || len(w.Violations()) > 0 {
+			t.Fatalf("before anything went wrong: %d starts after the cancellation, broken: %v", n, w.Violations())
 		}
 		at := w.Cloud.Machines()[0]
-		w.Rogue(at, "wk-000001/0")
-		w.Hang(at, true)
+		w.LaunchWithoutLeader(at, "wk-000001/0")
+		w.HangMachine(at, true)
 		if n := w.StartedAfterCancel(); n != 1 {
 			t.Errorf("%d starts after the cancellation", n)
 		}
 		time.Sleep(3 * time.Second)
-		if got := w.Broken(); len(got) != 1 || !strings.Contains(got[0], "which hangs") {
+		if got := w.Violations(); len(got) != 1 || !strings.Contains(got[0], "which hangs") {
 			t.Errorf("a cancelled task is on a machine that hangs, and the checker said %v", got)
 		}
-		w.Hang(at, false)
+		w.HangMachine(at, false)
 		time.Sleep(10 * time.Second) // what the machine had is gone
 		if ids := w.Starved(90 * time.Second); len(ids) > 0 {
 			t.Errorf("%v are said to wait, and nothing does", ids)
 		}
 		// Nobody has told the controllers of these. There is room for all but the
 		// last, which is beyond its team's limit, and the gang, of which one does not fit.
-		w.Know(job(2, one))
-		w.Know(job(3, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs = 2, 3 }))
-		w.Know(job(4, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs = 3, 3 }))
-		w.Know(job(5, func(j *wire.Job) { j.Team, j.CPUs = "edge", 3 }))
+		w.RegisterJob(job(2, one))
+		w.RegisterJob(job(3, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs = 2, 3 }))
+		w.RegisterJob(job(4, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs = 3, 3 }))
+		w.RegisterJob(job(5, func(j *wire.Job) { j.Team, j.CPUs = "edge", 3 }))
 		if ids := w.Starved(90 * time.Second); !slices.Equal(ids, []string{"wk-000002", "wk-000003"}) {
 			t.Errorf("said to wait: %v", ids)
 		}
@@ -720,7 +722,7 @@
 
 // The steps of random stories do what they say.
 func TestCancellationsAtOnceAndASilentMachine(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 4)
 		for i := range 4 {
 			mustSubmit(t, w, job(1+i, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 3, 300 }))
@@ -728,26 +730,26 @@
 		mustReach(t, w, "wk-000004", wire.JobRunning, 20*time.Second)
 		time.Sleep(3 * time.Second)
 		mustSubmit(t, w, job(9, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 1, 5 }))
-		ids, hung := w.CancelNow(3, 5*time.Second)
+		ids, hung := w.CancelRunning(3, 5*time.Second)
 		if len(ids) != 3 || len(hung) == 0 {
 			t.Fatalf("cancelled %v, hung %v", ids, hung)
 		}
 		time.Sleep(time.Second)
 		for _, id := range ids {
-			if s := w.Poll(w.Bind(0), id); s != wire.JobCancelled {
+			if s := w.PollState(w.NodeAddr(0), id); s != wire.JobCancelled {
 				t.Errorf("%s is %q a second later", id, s)
 			}
 		}
 		time.Sleep(8 * time.Second)
 		// Which three were cancelled is drawn. Of those left one is on a machine for long:
 		// the short one ends by itself, and its machine then has nothing to stop.
-		left := slices.DeleteFunc([]string{"wk-000001/0", "wk-000002/0", "wk-000003/0", "wk-000004/0"}, func(task string) bool { return len(w.On(task)) != 1 })
+		left := slices.DeleteFunc([]string{"wk-000001/0", "wk-000002/0", "wk-000003/0", "wk-000004/0"}, func(task string) bool { return len(w.MachinesRunning(task)) != 1 })
 		if len(left) == 0 {
 			t.Fatalf("%v were cancelled, and no other long task is on a machine", ids)
 		}
-		at := w.On(left[0])[0]
-		w.Silence(at, true)
-		from, direct := time.Now(), w.Direct(at)
+		at := w.MachinesRunning(left[0])[0]
+		w.BlockHeartbeats(at, true)
+		from, direct := time.Now(), w.DirectCommandsExecuted(at)
 		time.Sleep(5 * time.Second)
 		if n := w.Unanswered(from.Add(time.Second)); n != 1 {
 			t.Errorf("%d machines had no answer", n)
@@ -756,8 +758,8 @@
 			w.Cancel(id)
 		}
 		time.Sleep(time.Second)
-		if w.Direct(at) == direct || w.Load()[at] > 0 {
-			t.Errorf("%d direct commands reached the silent machine, which has %d tasks", w.Direct(at)-direct, w.Load()[at])
+		if w.DirectCommandsExecuted(at) == direct || w.TasksPerMachine()[at] > 0 {
+			t.Errorf("%d direct commands reached the silent machine, which has %d tasks", w.DirectCommandsExecuted(at)-direct, w.TasksPerMachine()[at])
 		}
 	})
 }
--- a/controller/nights_test.go
+++ b/controller/nights_test.go
@@ -29,9 +29,9 @@
 	plans.Region("empty", nightHours, "00:00", 120, `class = "nobody's"`)
 
 // nights is what is committed of a region.
-func nights(t *testing.T, w *fake.World, region string) (rec calendar.Record) {
+func nights(t *testing.T, w *fake.Cluster, region string) (rec calendar.Record) {
 	t.Helper()
-	if raw := w.State.Value(jobstore.Notes + calendar.NoteOf(region)); raw != nil {
+	if raw := w.Store.Value(jobstore.Notes + calendar.NoteOf(region)); raw != nil {
 		if err := wire.Unmarshal(raw, &rec); err != nil {
 			t.Fatal(err)
 		}
@@ -50,7 +50,7 @@
 
 // outcome waits until a night's outcome is committed, and looks whether it stays
 // the only one.
-func outcome(t *testing.T, w *fake.World, region string) calendar.Outcome {
+func outcome(t *testing.T, w *fake.Cluster, region string) calendar.Outcome {
 	t.Helper()
 	for end := time.Now().Add(15 * time.Minute); len(nights(t, w, region).Past) == 0; {
 		if time.Now().After(end) {
@@ -74,7 +74,7 @@
 }
 
 // finishOf is when the last of some jobs is done.
-func finishOf(t *testing.T, w *fake.World, ids ...string) time.Time {
+func finishOf(t *testing.T, w *fake.Cluster, ids ...string) time.Time {
 	t.Helper()
 	for _, id := range ids {
 		mustReach(t, w, id, wire.JobDone, 20*time.Minute)
@@ -84,9 +84,9 @@
 
 // nightOf plays a night of 24 layers on four machines, with as much day work of
 // the same priority that was there before, and says when it was finished.
-func nightOf(t *testing.T, trouble func(w *fake.World)) (finish time.Duration) {
+func nightOf(t *testing.T, trouble func(w *fake.Cluster)) (finish time.Duration) {
 	t.Helper()
-	story(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
 		for i := range 4 {
 			mustSubmit(t, w, job(100+i, func(j *wire.Job) { j.Class, j.Tasks, j.CPUs, j.EstimateS = "day", 8, 4, 45 }))
@@ -106,7 +106,7 @@
 		}
 		unfinished := 0
 		for i := range 4 {
-			if w.Finished(fmt.Sprintf("wk-%06d", 100+i)) < 8 {
+			if w.FinishedTasks(fmt.Sprintf("wk-%06d", 100+i)) < 8 {
 				unfinished++
 			}
 		}
@@ -134,8 +134,8 @@
 // same promises, no work repeated, and the finish that of a night untroubled but
 // for the time in which there was no leader.
 func TestAllControllersAreReplacedInTheNight(t *testing.T) {
-	calm := nightOf(t, func(*fake.World) {})
-	replaced := nightOf(t, func(w *fake.World) {
+	calm := nightOf(t, func(*fake.Cluster) {})
+	replaced := nightOf(t, func(w *fake.Cluster) {
 		for range 3 {
 			loseLeader(w)
 			time.Sleep(12 * time.Second)
@@ -156,7 +156,7 @@
 	for _, c := range []struct {
 		name   string
 		ends   string // about when the last layer's tasks end
-		begin  func(w *fake.World) (end func())
+		begin  func(w *fake.Cluster) (end func())
 		how    string
 		done   int
 		within time.Duration // it is late by that at most
@@ -171,7 +171,7 @@
 		{"the state service is out, not all is done", "00:14:00", outage, calendar.Incomplete, 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 4, Lease: 200}, func(t *testing.T, w *fake.World) {
+			story(t, fake.Options{Machines: 4, Lease: 200}, func(t *testing.T, w *fake.Cluster) {
 				applyPlan(t, w, 0, nightPlan)
 				at, err := time.Parse("15:04:05", c.ends)
 				if err != nil {
@@ -193,33 +193,33 @@
 	}
 }
 
-func standStill(w *fake.World) func() {
+func standStill(w *fake.Cluster) func() {
 	i := w.Leader()
-	w.Stop(i, true)
-	return func() { w.Stop(i, false) }
+	w.PauseNode(i, true)
+	return func() { w.PauseNode(i, false) }
 }
 
-func crash(w *fake.World) func() {
+func crash(w *fake.Cluster) func() {
 	i := w.Leader()
 	w.KillNode(i)
 	return func() { w.StartNode(i) }
 }
 
-func cutOff(w *fake.World) func() {
+func cutOff(w *fake.Cluster) func() {
 	i := w.Leader()
-	w.CutNode(i, true, "state")
-	return func() { w.CutNode(i, false, "state") }
+	w.PartitionNode(i, true, "state")
+	return func() { w.PartitionNode(i, false, "state") }
 }
 
-func outage(w *fake.World) func() {
-	w.State.SetOutage(true)
-	return func() { w.State.SetOutage(false) }
+func outage(w *fake.Cluster) func() {
+	w.Store.SetOutage(true)
+	return func() { w.Store.SetOutage(false) }
 }
 
 // A plan is applied in the night that makes the opening earlier, and the leader
 // crashes: what counts is the new promise.
 func TestAPlanMakesAnOpeningEarlier(t *testing.T) {
-	story(t, fake.Options{Machines: 2, Capacity: 2, Metrics: true}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 2, Capacity: 2, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
 		mustSubmit(t, w, tiles(1, 2, 60), tiles(2, 1, 420))
 		clock("00:03:00")
@@ -263,7 +263,7 @@
 // Half of the machines are gone at once, and with them the leader: the forecast is
 // made again and says so, and the night's work is done first on what is left.
 func TestHalfOfTheMachinesAreGone(t *testing.T) {
-	story(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
 		var ids []string
 		for i := range 6 {
@@ -276,7 +276,7 @@
 		for _, m := range w.Cloud.Machines()[:3] {
 			w.KillMachine(m)
 		}
-		w.Cloud.SetBoots(func(int) time.Duration { return -1 })
+		w.Cloud.SetBootTimes(func(int) time.Duration { return -1 })
 		clock("00:01:50")
 		said := ""
 		for _, r := range nights(t, w, "here").Nights[0].Replans {
@@ -287,8 +287,8 @@
 		}
 		w.KillNode(w.Leader())
 		finishOf(t, w, ids...)
-		if w.Finished("wk-000100") >= 12 {
-			t.Errorf("%d tasks of the day's work were done first", w.Finished("wk-000100"))
+		if w.FinishedTasks("wk-000100") >= 12 {
+			t.Errorf("%d tasks of the day's work were done first", w.FinishedTasks("wk-000100"))
 		}
 		if o := outcome(t, w, "here"); o.How != calendar.Met || o.Done != 6 {
 			t.Errorf("%+v", o)
@@ -343,7 +343,7 @@
 				} else if o := outcome(t, w, "here"); o.How != calendar.Met || o.Done != 1 || time.UnixMilli(o.OpeningMs).Format(time.RFC3339) != parse(t, c.want).Local().Format(time.RFC3339) {
 					t.Errorf("%+v, opens %v", o, time.UnixMilli(o.OpeningMs))
 				}
-				for _, b := range w.Broken() {
+				for _, b := range w.Violations() {
 					t.Errorf("rule broken: %s", b)
 				}
 			})
@@ -393,7 +393,7 @@
 // mixedNight plays a night in which two leaders crash.
 func mixedNight(t *testing.T, seed uint64, text string) (got mixed) {
 	t.Helper()
-	story(t, fake.Options{Machines: 4, Capacity: 4, Seed: seed}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4, Capacity: 4, Seed: seed}, func(t *testing.T, w *fake.Cluster) {
 		if text != "" {
 			applyPlan(t, w, 0, text)
 		}
@@ -421,7 +421,7 @@
 			}
 			for until := time.Now().Add(14 * time.Second); time.Now().Before(until); time.Sleep(time.Second) {
 				got.watch(w, came)
-				if finish.IsZero() && len(layers) == 14 && !slices.ContainsFunc(layers, func(id string) bool { return w.Poll(w.Any(), id) != wire.JobDone }) {
+				if finish.IsZero() && len(layers) == 14 && !slices.ContainsFunc(layers, func(id string) bool { return w.PollState(w.AnyNodeAddr(), id) != wire.JobDone }) {
 					finish = time.Now()
 				}
 			}
@@ -432,11 +432,11 @@
 			}
 			time.Sleep(2 * time.Second)
 			got.watch(w, came)
-			if finish.IsZero() && !slices.ContainsFunc(layers, func(id string) bool { return w.Poll(w.Any(), id) != wire.JobDone }) {
+			if finish.IsZero() && !slices.ContainsFunc(layers, func(id string) bool { return w.PollState(w.AnyNodeAddr(), id) != wire.JobDone }) {
 				finish = time.Now()
 			}
 		}
-		got.finish, got.changes = finish.Sub(began), w.State.Changes()
+		got.finish, got.changes = finish.Sub(began), w.Store.Changes()
 		if finish.Before(end) {
 			got.met = 1
 		}
@@ -445,11 +445,11 @@
 }
 
 // watch takes note of which of the day's jobs have begun.
-func (x *mixed) watch(w *fake.World, came map[string]time.Time) {
+func (x *mixed) watch(w *fake.Cluster, came map[string]time.Time) {
 	for id, at := range came {
-		began := w.Finished(id) > 0
+		began := w.FinishedTasks(id) > 0
 		for k := range 3 {
-			began = began || len(w.On(wire.TaskName(id, k))) > 0
+			began = began || len(w.MachinesRunning(wire.TaskName(id, k))) > 0
 		}
 		if !began {
 			continue
@@ -467,12 +467,12 @@
 // aheadNight plays a night of a layer of so many tasks of a minute, on machines for
 // eight of them that take a minute to boot, of which one is there. It says how it
 // came out, how many machines were rented, and for how many seconds machines were paid.
-func aheadNight(t *testing.T, o fake.Options, tasks int, opens string, trouble func(w *fake.World)) (out calendar.Outcome, rented, paid int) {
+func aheadNight(t *testing.T, o fake.Options, tasks int, opens string, trouble func(w *fake.Cluster)) (out calendar.Outcome, rented, paid int) {
 	t.Helper()
 	big := fake.DefaultType
 	big.CPUs, big.MemoryGB, big.BootS = 32, 256, 60
 	o.Types, o.Machines = []wire.MachineType{big}, 1
-	story(t, o, func(t *testing.T, w *fake.World) {
+	story(t, o, func(t *testing.T, w *fake.Cluster) {
 		clock("00:00:40") // the leader knows its machines
 		applyPlan(t, w, 0, strings.ReplaceAll(nightPlan, "00:12", opens))
 		mustSubmit(t, w, tiles(1, tasks, 60))
@@ -492,7 +492,7 @@
 		if o.Capacity == 1 {
 			clock("00:01:00")
 			// The cloud is asked again and again: a forecast made just then says that room is rented.
-			if !scenario.Until(4*time.Minute, time.Second, func() bool {
+			if !scenario.Eventually(4*time.Minute, time.Second, func() bool {
 				n := nights(t, w, "here").Nights
 				return len(n) == 1 && strings.Contains(n[0].Forecast.Why, "no machines are to be had")
 			}) {
@@ -522,27 +522,27 @@
 		name    string
 		room    int
 		how     string
-		trouble func(w *fake.World)
+		trouble func(w *fake.Cluster)
 		extra   int // machines rented beyond those of the night untroubled
 	}{
-		{"untroubled", 200, calendar.Met, func(*fake.World) {}, 0},
-		{"the leader dies between record and rental", 200, calendar.Met, func(w *fake.World) {
-			w.Cloud.SetSilent(true)
+		{"untroubled", 200, calendar.Met, func(*fake.Cluster) {}, 0},
+		{"the leader dies between record and rental", 200, calendar.Met, func(w *fake.Cluster) {
+			w.Cloud.SetDropReplies(true)
 			for len(w.Cloud.Machines()) < 12 {
 				time.Sleep(100 * time.Millisecond)
 			}
 			crash(w)
-			w.Cloud.SetSilent(false)
+			w.Cloud.SetDropReplies(false)
 		}, 30},
-		{"the cloud answers late, and half of the machines are lost", 200, calendar.Met, func(w *fake.World) {
-			w.Cloud.SetSlow(15 * time.Second)
+		{"the cloud answers late, and half of the machines are lost", 200, calendar.Met, func(w *fake.Cluster) {
+			w.Cloud.SetReplyDelay(15 * time.Second)
 			clock("00:04:00")
 			all := w.Cloud.Machines()
 			for _, name := range all[:len(all)/2] {
 				w.KillMachine(name)
 			}
 		}, 60},
-		{"there are no machines", 1, calendar.Incomplete, func(w *fake.World) {}, 0},
+		{"there are no machines", 1, calendar.Incomplete, func(w *fake.Cluster) {}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o, rented, paid := aheadNight(t, fake.Options{Capacity: c.room}, 1500, "00:08", c.trouble)
--- a/controller/order_test.go
+++ b/controller/order_test.go
@@ -16,11 +16,11 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-func stateOf(w *fake.World) *kvstore.Client {
-	return kvstore.New(w.Net.Dial("user"), "state:1", 200, 100)
+func stateOf(w *fake.Cluster) *kvstore.Client {
+	return kvstore.New(w.Network.Dial("user"), "state:1", 200, 100)
 }
 
-func why(t *testing.T, w *fake.World, id string) (cluster.Why, string) {
+func why(t *testing.T, w *fake.Cluster, id string) (cluster.Why, string) {
 	t.Helper()
 	got, over, err := controller.WhyWaiting(t.Context(), w.Settings, stateOf(w), id, time.Now())
 	if err != nil {
@@ -32,7 +32,7 @@
 // What a job waits for is told from the records, also while no node is up.
 func TestWhyAJobWaitsIsToldWithoutALeader(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 8}, {Name: "edge"}}
-	story(t, fake.Options{Machines: 3, Capacity: 3, Teams: teams}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 3, Capacity: 3, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
 		long := func(j *wire.Job) { j.CPUs, j.EstimateS = 4, 500 }
 		mustSubmit(t, w, job(1, long))
 		time.Sleep(5 * time.Second)
@@ -83,11 +83,11 @@
 }
 
 // first is the job of which task 0 is on a machine first.
-func first(t *testing.T, w *fake.World, within time.Duration, ids ...string) string {
+func first(t *testing.T, w *fake.Cluster, within time.Duration, ids ...string) string {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		for _, id := range ids {
-			if len(w.On(id+"/0")) > 0 {
+			if len(w.MachinesRunning(id+"/0")) > 0 {
 				return id
 			}
 		}
@@ -102,28 +102,28 @@
 func TestNothingIsPlacedByAnOlderOrder(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(w *fake.World) (end func())
+		do   func(w *fake.Cluster) (end func())
 	}{
 		{"crashes", crash},
 		{"stands still", standStill},
-		{"stands still for a moment", func(w *fake.World) func() {
+		{"stands still for a moment", func(w *fake.Cluster) func() {
 			time.AfterFunc(3*time.Second, standStill(w))
 			return func() {}
 		}},
 		{"is cut off from the state service", cutOff},
-		{"is refused by it", func(w *fake.World) func() {
+		{"is refused by it", func(w *fake.Cluster) func() {
 			l := w.Leader()
-			w.State.Refuse(fmt.Sprintf("n-%d", l), true)
-			return func() { w.State.Refuse(fmt.Sprintf("n-%d", l), false) }
+			w.Store.Refuse(fmt.Sprintf("n-%d", l), true)
+			return func() { w.Store.Refuse(fmt.Sprintf("n-%d", l), false) }
 		}},
-		{"is cut off from all", func(w *fake.World) func() {
+		{"is cut off from all", func(w *fake.Cluster) func() {
 			l := w.Leader()
-			w.CutNode(l, true, everything...)
-			return func() { w.CutNode(l, false, everything...) }
+			w.PartitionNode(l, true, everything...)
+			return func() { w.PartitionNode(l, false, everything...) }
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.World) {
+			story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
 				applyPlan(t, w, 0, orderOf("craft", "clinic"))
 				mustSubmit(t, w, whole(1, "other", 30))
@@ -143,11 +143,11 @@
 }
 
 // runs waits until task 0 of each job is on a machine, and says on which.
-func runs(t *testing.T, w *fake.World, ids ...string) (on []string) {
+func runs(t *testing.T, w *fake.Cluster, ids ...string) (on []string) {
 	t.Helper()
 	for _, id := range ids {
 		first(t, w, time.Minute, id)
-		on = append(on, w.On(id + "/0")[0])
+		on = append(on, w.MachinesRunning(id + "/0")[0])
 	}
 	return on
 }
@@ -160,29 +160,29 @@
 	typ := func(name string) wire.MachineType { v := fake.DefaultType; v.Name = name; return v }
 	for _, c := range []struct {
 		name string
-		do   func(w *fake.World, l int) (end func())
+		do   func(w *fake.Cluster, l int) (end func())
 	}{
-		{"is cut off from the state service", func(w *fake.World, l int) func() {
-			w.CutNode(l, true, "state")
-			return func() { w.CutNode(l, false, "state") }
+		{"is cut off from the state service", func(w *fake.Cluster, l int) func() {
+			w.PartitionNode(l, true, "state")
+			return func() { w.PartitionNode(l, false, "state") }
 		}},
-		{"is refused by it", func(w *fake.World, l int) func() {
-			w.State.Refuse(fmt.Sprintf("n-%d", l), true)
-			return func() { w.State.Refuse(fmt.Sprintf("n-%d", l), false) }
+		{"is refused by it", func(w *fake.Cluster, l int) func() {
+			w.Store.Refuse(fmt.Sprintf("n-%d", l), true)
+			return func() { w.Store.Refuse(fmt.Sprintf("n-%d", l), false) }
 		}},
-		{"stands still for a moment", func(w *fake.World, l int) func() {
-			w.Stop(l, true)
-			time.AfterFunc(4*time.Second, func() { w.Stop(l, false) })
+		{"stands still for a moment", func(w *fake.Cluster, l int) func() {
+			w.PauseNode(l, true)
+			time.AfterFunc(4*time.Second, func() { w.PauseNode(l, false) })
 			return func() {}
 		}},
-		{"finds the state service slow", func(w *fake.World, l int) func() {
-			w.State.Slow(300 * time.Millisecond)
-			return func() { w.State.Slow(0) }
+		{"finds the state service slow", func(w *fake.Cluster, l int) func() {
+			w.Store.SetLatency(300 * time.Millisecond)
+			return func() { w.Store.SetLatency(0) }
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			teams := []config.Team{{Name: "core"}, {Name: "edge", CPUsMax: 8}}
-			story(t, fake.Options{Machines: 3, Capacity: 3, Types: []wire.MachineType{typ("m8"), typ("m9"), typ("m8")}, Teams: teams, Metrics: true}, func(t *testing.T, w *fake.World) {
+			story(t, fake.Options{Machines: 3, Capacity: 3, Types: []wire.MachineType{typ("m8"), typ("m9"), typ("m8")}, Teams: teams, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				urgent := func(n int, seconds float64, change func(*wire.Job)) wire.Job {
 					j := whole(n, "other", seconds)
 					j.Team, j.Priority = "edge", wire.PriorityHigh
@@ -197,16 +197,16 @@
 				l := w.Leader()
 				end := c.do(w, l)
 				applyPlan(t, w, 1, orderOf("clinic", "craft"))
-				for began := time.Now(); len(w.On("wk-000004/0")) == 0; time.Sleep(100 * time.Millisecond) {
+				for began := time.Now(); len(w.MachinesRunning("wk-000004/0")) == 0; time.Sleep(100 * time.Millisecond) {
 					if time.Since(began) > 2*time.Minute {
 						t.Fatal("nobody is stopped for urgent work")
 					}
-					if len(w.On("wk-000003/0")) == 0 && w.Leader() == l {
+					if len(w.MachinesRunning("wk-000003/0")) == 0 && w.Leader() == l {
 						t.Fatal("clinic work is stopped, by the order before")
 					}
 				}
 				// The next leader may have heard of one machine only by then.
-				if got := w.On("wk-000004/0")[0]; got != on[0] && w.Leader() == l {
+				if got := w.MachinesRunning("wk-000004/0")[0]; got != on[0] && w.Leader() == l {
 					t.Errorf("urgent work is on %s, not in the place of crafts' on %s", got, on[0])
 				}
 				end()
@@ -220,7 +220,7 @@
 func TestALateTransactionPlacesByNoOlderOrder(t *testing.T) {
 	for _, dies := range []bool{false, true} {
 		t.Run(fmt.Sprint("the leader dies: ", dies), func(t *testing.T) {
-			story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.World) {
+			story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
 				applyPlan(t, w, 0, orderOf("craft", "clinic"))
 				mustSubmit(t, w, whole(1, "other", 30))
@@ -228,10 +228,10 @@
 				// Jobs that come as the machine is free: the next transaction after
 				// theirs places.
 				mustSubmit(t, w, whole(2, "craft", 20), whole(3, "clinic", 20))
-				for len(w.On("wk-000001/0")) > 0 {
+				for len(w.MachinesRunning("wk-000001/0")) > 0 {
 					time.Sleep(20 * time.Millisecond)
 				}
-				w.State.LateNext(time.Minute)
+				w.Store.DelayNextTransaction(time.Minute)
 				time.Sleep(time.Second)
 				applyPlan(t, w, 1, orderOf("clinic", "craft"))
 				if dies {
@@ -252,14 +252,14 @@
 func TestNodesWithDifferentOlderOrdersPlaceByTheNewest(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		t.Run(fmt.Sprint("restarted: ", restart), func(t *testing.T) {
-			story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.World) {
+			story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
 				applyPlan(t, w, 0, orderOf("craft", "clinic", "school"))
 				mustSubmit(t, w, whole(1, "other", 30))
 				time.Sleep(10 * time.Second)
 				mustSubmit(t, w, whole(2, "craft", 20), whole(3, "school", 20), whole(4, "clinic", 20))
 				for i, next := range []string{orderOf("school", "clinic", "craft"), orderOf("craft", "school", "clinic"), orderOf("clinic", "school", "craft")} {
-					w.CutNode(i, true, "state", "nodes")
+					w.PartitionNode(i, true, "state", "nodes")
 					applyPlan(t, w, i+1, next)
 					time.Sleep(3 * time.Second)
 				}
@@ -269,7 +269,7 @@
 					}
 				}
 				for i := range 3 {
-					w.CutNode(i, false, "state", "nodes")
+					w.PartitionNode(i, false, "state", "nodes")
 					w.StartNode(i)
 				}
 				if got := first(t, w, 2*time.Minute, "wk-000002", "wk-000003", "wk-000004"); got != "wk-000004" {
@@ -283,15 +283,15 @@
 
 // The newest order can't be read: the one before holds, never none.
 func TestADamagedOrderLeavesTheOneBefore(t *testing.T) {
-	story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, orderOf("clinic", "craft"))
 		applyPlan(t, w, 1, orderOf("craft", "clinic"))
 		mustSubmit(t, w, whole(1, "other", 30))
 		time.Sleep(8 * time.Second)
 		w.KillAll()
-		for _, k := range w.State.Keys("plan/t/2-") {
-			w.State.Damage(k)
+		for _, k := range w.Store.Keys("plan/t/2-") {
+			w.Store.Corrupt(k)
 		}
 		w.StartAll()
 		mustSubmit(t, w, whole(2, "craft", 20), whole(3, "clinic", 20))
@@ -308,7 +308,7 @@
 // written. Nodes of this one that are started again don't lead by what they know
 // of it: nothing is placed until the later version is back.
 func TestAVersionThatCannotReadTheOrderDoesNotLead(t *testing.T) {
-	story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, orderOf("clinic", "craft"))
 		mustSubmit(t, w, whole(1, "other", 15))
@@ -317,7 +317,7 @@
 		w.KillAll()
 		form := func(change int) {
 			var rec jobstore.FormRecord
-			if err := wire.Unmarshal(w.State.Value(jobstore.FormKey), &rec); err != nil || rec.Form < jobstore.FormPlan {
+			if err := wire.Unmarshal(w.Store.Value(jobstore.FormKey), &rec); err != nil || rec.Form < jobstore.FormPlan {
 				t.Fatalf("with an order in force the records have form %d, which versions without orders read: %v", rec.Form, err)
 			}
 			rec.Form += change
@@ -328,7 +328,7 @@
 		form(jobstore.Form + 1 - jobstore.FormPlan)
 		w.StartAll()
 		time.Sleep(40 * time.Second)
-		if on := append(w.On("wk-000002/0"), w.On("wk-000003/0")...); len(on) > 0 {
+		if on := append(w.MachinesRunning("wk-000002/0"), w.MachinesRunning("wk-000003/0")...); len(on) > 0 {
 			t.Error("a version that can't read the order has placed work")
 		}
 		form(jobstore.FormPlan - jobstore.Form - 1)
@@ -342,7 +342,7 @@
 // begins within the bound, and the departures that takes are counted by whoever
 // leads.
 func TestClinicWorkWithoutEndStarvesNobodyWhileLeadersFail(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Capacity: 4, Metrics: true}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4, Capacity: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, strings.ReplaceAll(orderOf("clinic", "school", "craft"), "240", "60"))
 		began := map[string]time.Duration{}
@@ -369,7 +369,7 @@
 			for range 10 {
 				time.Sleep(500 * time.Millisecond)
 				for id, at := range came {
-					if _, ok := began[id]; !ok && len(w.On(id+"/0")) > 0 {
+					if _, ok := began[id]; !ok && len(w.MachinesRunning(id+"/0")) > 0 {
 						began[id] = time.Since(at)
 					}
 				}
--- a/controller/plan_test.go
+++ b/controller/plan_test.go
@@ -13,11 +13,11 @@
 )
 
 // knows waits until every node that is up knows a version of the plan.
-func knows(t *testing.T, w *fake.World, version int, nodes ...int) {
+func knows(t *testing.T, w *fake.Cluster, version int, nodes ...int) {
 	t.Helper()
 	for _, i := range nodes {
 		o := overview(t, w, i)
-		if !scenario.Until(30*time.Second, 500*time.Millisecond, func() bool {
+		if !scenario.Eventually(30*time.Second, 500*time.Millisecond, func() bool {
 			o = overview(t, w, i)
 			return o.Orders != nil && o.Orders.Version == version && !o.Orders.Lost
 		}) {
@@ -30,7 +30,7 @@
 // transaction of one comes a minute late. The store's checker sees that nothing is
 // placed but on condition of the plan in force; every job is done, once.
 func TestPlansAreAppliedWhileLeadersFail(t *testing.T) {
-	story(t, fake.Options{Machines: 6, Metrics: true, Nodes: 5}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 6, Metrics: true, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		next := 1
 		submit := func(n int) {
 			for range n {
@@ -42,8 +42,8 @@
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, `note = "before"`) // the first one takes every node to be up
 		version := 1
-		for round, trouble := range []func(w *fake.World) func(){crash, standStill, cutOff, func(w *fake.World) func() {
-			w.State.LateNext(time.Minute)
+		for round, trouble := range []func(w *fake.Cluster) func(){crash, standStill, cutOff, func(w *fake.Cluster) func() {
+			w.Store.DelayNextTransaction(time.Minute)
 			submit(2)
 			return crash(w)
 		}} {
@@ -63,8 +63,8 @@
 		for n := 1; n < next; n++ {
 			mustFinish(t, w, 3*time.Minute, n)
 		}
-		if w.Repeated() > 0 {
-			t.Errorf("%d tasks were done twice", w.Repeated())
+		if w.RanMoreThanOnce() > 0 {
+			t.Errorf("%d tasks were done twice", w.RanMoreThanOnce())
 		}
 	})
 }
@@ -72,13 +72,13 @@
 // All nodes are killed at once just after a plan is applied: whoever leads next
 // reads it before it places anything, also where its newest record is damaged.
 func TestANewLeaderReadsThePlanBeforeItPlaces(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, `note = "one"`)
 		applyPlan(t, w, 1, `note = "two"`)
 		w.KillAll()
-		for _, k := range w.State.Keys("plan/t/2-") {
-			w.State.Damage(k)
+		for _, k := range w.Store.Keys("plan/t/2-") {
+			w.Store.Corrupt(k)
 		}
 		w.StartAll()
 		mustSubmit(t, w, job(1, nil))
@@ -92,18 +92,18 @@
 // Where no version can be read any more, what runs goes on and submissions are
 // taken, but nothing is placed as if there were no plan, until one is applied.
 func TestNothingIsPlacedByALostPlan(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, `note = "one"`)
 		w.KillAll()
-		for _, k := range w.State.Keys("plan/t/") {
-			w.State.Damage(k)
+		for _, k := range w.Store.Keys("plan/t/") {
+			w.Store.Corrupt(k)
 		}
 		w.StartAll()
 		mustSubmit(t, w, job(2, nil))
 		mustFinish(t, w, 2*time.Minute, 1)
-		if len(w.On("wk-000002/0"))+len(w.On("wk-000002/1")) > 0 || w.Started() > 2 {
+		if len(w.MachinesRunning("wk-000002/0"))+len(w.MachinesRunning("wk-000002/1")) > 0 || w.Started() > 2 {
 			t.Errorf("%d tasks were started by a plan that nobody can read", w.Started())
 		}
 		if o := overview(t, w, 0); o.Orders == nil || !o.Orders.Lost {
@@ -117,7 +117,7 @@
 // As long as one node reads no plans none is applied. Once one is, the records have
 // a form by which that version does not lead: it would place by no order at all.
 func TestNoPlanIsAppliedBeforeEveryNodeReadsPlans(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Metrics: true, Older: []int{2}}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4, Metrics: true, Older: []int{2}}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		if _, err := scenario.TryPlan(w, 0, `note = "one"`, time.Minute); !errors.Is(err, jobstore.ErrPlanForm) {
 			t.Fatalf("with a node that reads no plans: %v", err)
@@ -131,7 +131,7 @@
 		time.Sleep(10 * time.Second)
 		applyPlan(t, w, 0, `note = "one"`)
 		var form jobstore.FormRecord
-		if err := wire.Unmarshal(w.State.Value(jobstore.FormKey), &form); err != nil || form.Form != jobstore.FormPlan {
+		if err := wire.Unmarshal(w.Store.Value(jobstore.FormKey), &form); err != nil || form.Form != jobstore.FormPlan {
 			t.Fatalf("form %+v, %v", form, err)
 		}
 	})
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -31,11 +31,11 @@
 }
 
 // poolState reads what is recorded of the pool.
-func poolState(t *testing.T, w *fake.World) warmpool.State {
+func poolState(t *testing.T, w *fake.Cluster) warmpool.State {
 	t.Helper()
 	notes := map[string]wire.Raw{}
-	for _, k := range w.State.Keys(jobstore.Notes) {
-		notes[strings.TrimPrefix(k, jobstore.Notes)] = w.State.Value(k)
+	for _, k := range w.Store.Keys(jobstore.Notes) {
+		notes[strings.TrimPrefix(k, jobstore.Notes)] = w.Store.Value(k)
 	}
 	all, bad := warmpool.ReadStates(notes)
 	if len(all) > 1 || len(bad) > 0 {
@@ -59,11 +59,11 @@
 }
 
 // awaitWarm waits until so many machines have an image.
-func awaitWarm(t *testing.T, w *fake.World, image string, n int, within time.Duration) {
+func awaitWarm(t *testing.T, w *fake.Cluster, image string, n int, within time.Duration) {
 	t.Helper()
-	for end := time.Now().Add(within); len(w.Cached(image)) < n; time.Sleep(time.Second) {
+	for end := time.Now().Add(within); len(w.MachinesWithImage(image)) < n; time.Sleep(time.Second) {
 		if time.Now().After(end) {
-			t.Fatalf("%d machines have %s, not %d, after %v", len(w.Cached(image)), image, n, within)
+			t.Fatalf("%d machines have %s, not %d, after %v", len(w.MachinesWithImage(image)), image, n, within)
 		}
 	}
 }
@@ -76,14 +76,14 @@
 }
 
 func TestAPoolHoldsWeightsAheadOfABurst(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitWarm(t, w, "llm:v1", 4, 5*time.Minute)
-		if n := w.FetchedMost(); n > 2 {
+		if n := w.PeakImageFetches(); n > 2 {
 			t.Errorf("%d machines fetched at the same time", n)
 		}
 		time.Sleep(10 * time.Minute)
-		if n := len(w.Cached("llm:v1")); n != 4 {
+		if n := len(w.MachinesWithImage("llm:v1")); n != 4 {
 			t.Errorf("%d machines hold the weights after a while of nothing", n)
 		}
 		began := w.Started()
@@ -94,7 +94,7 @@
 		}
 		at := time.Now()
 		mustSubmit(t, w, replicas(1, 4))
-		for len(w.On("wk-000001/0"))+len(w.On("wk-000001/1"))+len(w.On("wk-000001/2"))+len(w.On("wk-000001/3")) < 4 {
+		for len(w.MachinesRunning("wk-000001/0"))+len(w.MachinesRunning("wk-000001/1"))+len(w.MachinesRunning("wk-000001/2"))+len(w.MachinesRunning("wk-000001/3")) < 4 {
 			time.Sleep(100 * time.Millisecond)
 			if time.Since(at) > 15*time.Second {
 				t.Fatal("the replicas do not run within 15 s: their weights were to be there")
@@ -114,7 +114,7 @@
 }
 
 // awaitPool waits until what is recorded of the pool is as wanted.
-func awaitPool(t *testing.T, w *fake.World, what string, within time.Duration, ok func(s warmpool.State) bool) warmpool.State {
+func awaitPool(t *testing.T, w *fake.Cluster, what string, within time.Duration, ok func(s warmpool.State) bool) warmpool.State {
 	t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(500 * time.Millisecond) {
 		s := poolState(t, w)
@@ -132,7 +132,7 @@
 }
 
 // loseLeader ends the leader, and starts its node again a while later.
-func loseLeader(w *fake.World) {
+func loseLeader(w *fake.Cluster) {
 	i := w.Leader()
 	w.KillNode(i)
 	time.Sleep(12 * time.Second)
@@ -142,33 +142,33 @@
 func TestALeaderDiesWhileAPoolGrows(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		tell func(t *testing.T, w *fake.World)
+		tell func(t *testing.T, w *fake.Cluster)
 	}{
-		{"between record and rental", func(t *testing.T, w *fake.World) {
+		{"between record and rental", func(t *testing.T, w *fake.Cluster) {
 			w.Cloud.SetOutage(true)
-			for len(w.State.Keys(jobstore.Rentals)) == 0 {
+			for len(w.Store.Keys(jobstore.Rentals)) == 0 {
 				time.Sleep(100 * time.Millisecond)
 			}
 			w.KillNode(w.Leader())
 			w.Cloud.SetOutage(false)
 		}},
-		{"while the rental is not answered", func(t *testing.T, w *fake.World) {
-			w.Cloud.SetSilent(true)
+		{"while the rental is not answered", func(t *testing.T, w *fake.Cluster) {
+			w.Cloud.SetDropReplies(true)
 			for len(w.Cloud.Machines()) == 0 {
 				time.Sleep(100 * time.Millisecond)
 			}
 			w.KillNode(w.Leader())
-			w.Cloud.SetSilent(false)
+			w.Cloud.SetDropReplies(false)
 		}},
-		{"between rental and fetch", func(t *testing.T, w *fake.World) {
+		{"between rental and fetch", func(t *testing.T, w *fake.Cluster) {
 			for len(w.Cloud.Machines()) < 4 {
 				time.Sleep(100 * time.Millisecond)
 			}
 			time.Sleep(5 * time.Second)
 			w.KillNode(w.Leader())
 		}},
-		{"while weights are fetched, and all others too", func(t *testing.T, w *fake.World) {
-			for w.FetchedMost() == 0 {
+		{"while weights are fetched, and all others too", func(t *testing.T, w *fake.Cluster) {
+			for w.PeakImageFetches() == 0 {
 				time.Sleep(100 * time.Millisecond)
 			}
 			w.KillAll()
@@ -177,14 +177,14 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, poolWorld(0, 12), func(t *testing.T, w *fake.World) {
+			story(t, poolWorld(0, 12), func(t *testing.T, w *fake.Cluster) {
 				applyPlan(t, w, 0, poolPlan(4, 4, ""))
 				c.tell(t, w)
 				awaitWarm(t, w, "llm:v1", 4, 8*time.Minute)
 				s := awaitPool(t, w, "full", 3*time.Minute, full(4))
 				mustBePaid(t, s)
-				if w.FetchedMost() > 2 {
-					t.Errorf("%d machines fetched at the same time", w.FetchedMost())
+				if w.PeakImageFetches() > 2 {
+					t.Errorf("%d machines fetched at the same time", w.PeakImageFetches())
 				}
 				time.Sleep(8 * time.Minute) // what was rented twice is returned
 				if n := len(w.Cloud.Machines()); n != 4 {
@@ -197,7 +197,7 @@
 }
 
 func TestALeaderDiesBetweenHoldAndReturn(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
 		applyPlan(t, w, 1, poolPlan(1, 4, ""))
@@ -212,8 +212,8 @@
 		loseLeader(w)
 		s := awaitPool(t, w, "small", 3*time.Minute, func(s warmpool.State) bool { return len(s.Shards[0].Members) == 1 })
 		mustBePaid(t, s)
-		if n := len(w.Cloud.Machines()); n != 1 || len(w.Cached("llm:v1")) != 1 {
-			t.Errorf("%d machines, %d with weights", n, len(w.Cached("llm:v1")))
+		if n := len(w.Cloud.Machines()); n != 1 || len(w.MachinesWithImage("llm:v1")) != 1 {
+			t.Errorf("%d machines, %d with weights", n, len(w.MachinesWithImage("llm:v1")))
 		}
 		if s.Shards[0].Closed.Ms < 3*60_000 {
 			t.Errorf("three machines are charged for %d ms", s.Shards[0].Closed.Ms)
@@ -224,24 +224,24 @@
 func TestTheCloudRentsLateNeverOrTwice(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		tell func(w *fake.World)
+		tell func(w *fake.Cluster)
 	}{
-		{"late", func(w *fake.World) { w.Cloud.SetSlow(40 * time.Second) }},
-		{"some never", func(w *fake.World) {
-			w.Cloud.SetBoots(func(n int) time.Duration {
+		{"late", func(w *fake.Cluster) { w.Cloud.SetReplyDelay(40 * time.Second) }},
+		{"some never", func(w *fake.Cluster) {
+			w.Cloud.SetBootTimes(func(n int) time.Duration {
 				if n%2 == 0 && n < 4 {
 					return -1
 				}
 				return 10 * time.Second
 			})
 		}},
-		{"twice", func(w *fake.World) {
-			w.Cloud.SetSilent(true)
-			time.AfterFunc(25*time.Second, func() { w.Cloud.SetSilent(false) })
+		{"twice", func(w *fake.Cluster) {
+			w.Cloud.SetDropReplies(true)
+			time.AfterFunc(25*time.Second, func() { w.Cloud.SetDropReplies(false) })
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, poolWorld(0, 12), func(t *testing.T, w *fake.World) {
+			story(t, poolWorld(0, 12), func(t *testing.T, w *fake.Cluster) {
 				c.tell(w)
 				applyPlan(t, w, 0, poolPlan(4, 4, ""))
 				time.Sleep(30 * time.Second)
@@ -260,13 +260,13 @@
 func TestAPoolMachineIsLostAsABurstBegins(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		lose func(w *fake.World, name string)
+		lose func(w *fake.Cluster, name string)
 	}{
-		{"dies", func(w *fake.World, n string) { w.KillMachine(n) }},
-		{"hangs", func(w *fake.World, n string) { w.Hang(n, true) }},
-		{"is mute", func(w *fake.World, n string) { w.Mute(n, true) }},
-		{"is taken back", func(w *fake.World, n string) {
-			w.Notice(n, 8*time.Second)
+		{"dies", func(w *fake.Cluster, n string) { w.KillMachine(n) }},
+		{"hangs", func(w *fake.Cluster, n string) { w.HangMachine(n, true) }},
+		{"is mute", func(w *fake.Cluster, n string) { w.BlockRepliesTo(n, true) }},
+		{"is taken back", func(w *fake.Cluster, n string) {
+			w.InterruptMachine(n, 8*time.Second)
 			time.AfterFunc(8*time.Second, func() {
 				if slices.Contains(w.Cloud.Machines(), n) { // not returned by then
 					w.KillMachine(n)
@@ -275,15 +275,15 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, poolWorld(0, 8), func(t *testing.T, w *fake.World) {
+			story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
 				applyPlan(t, w, 0, poolPlan(4, 4, ""))
 				awaitPool(t, w, "full", 10*time.Minute, full(4))
-				c.lose(w, w.Cached("llm:v1")[0])
+				c.lose(w, w.MachinesWithImage("llm:v1")[0])
 				mustSubmit(t, w, replicas(1, 4))
 				loseLeader(w)
 				run := func() (n int) {
 					for i := range 4 {
-						n += len(w.On(fmt.Sprintf("wk-000001/%d", i)))
+						n += len(w.MachinesRunning(fmt.Sprintf("wk-000001/%d", i)))
 					}
 					return n
 				}
@@ -305,14 +305,14 @@
 }
 
 func TestAMachineThatDoesNotComeByItsWeightsIsReplaced(t *testing.T) {
-	story(t, poolWorld(2, 4), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(2, 4), func(t *testing.T, w *fake.Cluster) {
 		slow := w.Cloud.Machines()[0]
-		w.SlowFetch(slow)
+		w.SlowImageFetch(slow)
 		applyPlan(t, w, 0, poolPlan(2, 2, ""))
 		time.Sleep(time.Minute)
 		loseLeader(w)
 		s := awaitPool(t, w, "full", 6*time.Minute, full(2))
-		if slices.Contains(w.Cached("llm:v1"), slow) || s.Shards[0].Member(slow) != nil {
+		if slices.Contains(w.MachinesWithImage("llm:v1"), slow) || s.Shards[0].Member(slow) != nil {
 			t.Errorf("%s is held", slow)
 		}
 		mustBePaid(t, s)
@@ -324,7 +324,7 @@
 }
 
 func TestAModelsImageChangesOvernight(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
 		// The plan names v1; what comes is v2.
@@ -332,15 +332,15 @@
 		loseLeader(w)
 		awaitWarm(t, w, "llm:v2", 4, 8*time.Minute)
 		s := awaitPool(t, w, "full of the new version", 2*time.Minute, full(4))
-		if s.Note.Image != "llm:v2" || w.FetchedMost() > 2 {
-			t.Errorf("%+v, %d fetched at the same time", s.Note, w.FetchedMost())
+		if s.Note.Image != "llm:v2" || w.PeakImageFetches() > 2 {
+			t.Errorf("%+v, %d fetched at the same time", s.Note, w.PeakImageFetches())
 		}
 		mustBePaid(t, s)
 	})
 }
 
 func TestTwoPoolsWhoseWeightsDoNotFitTogether(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
 		second := strings.Replace(strings.Replace(poolPlan(2, 2, ""), `name = "llm"`, `name = "asr"`, 1), `model = "llm:v1"`, `model = "asr:v1"`, 1)
 		text := strings.ReplaceAll(poolPlan(2, 2, "")+second, "gb = 40", "gb = 60")
 		applyPlan(t, w, 0, text)
@@ -348,7 +348,7 @@
 		awaitWarm(t, w, "asr:v1", 2, 5*time.Minute)
 		loseLeader(w)
 		time.Sleep(5 * time.Minute)
-		a, b := w.Cached("llm:v1"), w.Cached("asr:v1")
+		a, b := w.MachinesWithImage("llm:v1"), w.MachinesWithImage("asr:v1")
 		if len(a) != 2 || len(b) != 2 || len(w.Cloud.Machines()) != 4 {
 			t.Errorf("%v hold the one, %v the other, of %v", a, b, w.Cloud.Machines())
 		}
@@ -367,7 +367,7 @@
 }
 
 func clinicStory(t *testing.T, order, rank, not string) {
-	story(t, poolWorld(0, 4), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(0, 4), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, order))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
 		other := func(n int, class, rank string) wire.Job {
@@ -379,7 +379,7 @@
 		long.EstimateS = 3000
 		mustSubmit(t, w, long, other(2, "slicing", rank))
 		mustReach(t, w, "wk-000002", wire.JobDone, 4*time.Minute)
-		if s := w.On("wk-000001/0"); len(s) > 0 {
+		if s := w.MachinesRunning("wk-000001/0"); len(s) > 0 {
 			t.Errorf("work of no higher tier took a pool's machine: %v", s)
 		}
 		loseLeader(w)
@@ -395,7 +395,7 @@
 }
 
 func TestThePoolIsLentToWorkThatStopsInTime(t *testing.T) {
-	story(t, poolWorld(0, 4), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(0, 4), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
@@ -406,7 +406,7 @@
 		at := time.Now()
 		mustSubmit(t, w, replicas(2, 4))
 		loseLeader(w)
-		for len(w.On("wk-000002/0"))*len(w.On("wk-000002/1"))*len(w.On("wk-000002/2"))*len(w.On("wk-000002/3")) == 0 {
+		for len(w.MachinesRunning("wk-000002/0"))*len(w.MachinesRunning("wk-000002/1"))*len(w.MachinesRunning("wk-000002/2"))*len(w.MachinesRunning("wk-000002/3")) == 0 {
 			time.Sleep(100 * time.Millisecond)
 			if time.Since(at) > 35*time.Second {
 				t.Fatal("a fetch takes 40 s: the weights were to be there")
@@ -422,14 +422,14 @@
 }
 
 func TestTheStateServiceIsOutInABurst(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		before := awaitPool(t, w, "full", 10*time.Minute, full(4))
 		mustSubmit(t, w, replicas(1, 4))
 		time.Sleep(500 * time.Millisecond)
-		w.State.SetOutage(true)
+		w.Store.SetOutage(true)
 		time.Sleep(time.Minute)
-		w.State.SetOutage(false)
+		w.Store.SetOutage(false)
 		mustReach(t, w, "wk-000001", wire.JobRunning, time.Minute)
 		time.Sleep(2 * time.Minute)
 		s := awaitPool(t, w, "full", time.Minute, full(4))
@@ -441,18 +441,18 @@
 }
 
 func TestWithoutAPlanNothingIsRecorded(t *testing.T) {
-	story(t, poolWorld(2, 4), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(2, 4), func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, replicas(1, 2))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 2*time.Minute)
-		if keys := w.State.Keys(jobstore.Notes); len(keys) > 0 {
+		if keys := w.Store.Keys(jobstore.Notes); len(keys) > 0 {
 			t.Errorf("%v", keys)
 		}
 	})
 }
 
 func TestWorkersThatKnowNoFetchesAreFilledByReplicas(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.World) {
-		w.KnowNoOthers()
+	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
+		w.RejectUnknownJobs()
 		applyPlan(t, w, 0, poolPlan(2, 4, ""))
 		awaitPool(t, w, "told", 5*time.Minute, func(s warmpool.State) bool { return s.Note.Refused != "" })
 		mustSubmit(t, w, replicas(1, 4))
@@ -464,7 +464,7 @@
 		// The hour's peak was four, and four are kept for the rest of it.
 		time.Sleep(10 * time.Minute)
 		s := poolState(t, w)
-		if n := len(w.Cached("llm:v1")); n < 2 || s.Note.Warm != n {
+		if n := len(w.MachinesWithImage("llm:v1")); n < 2 || s.Note.Warm != n {
 			t.Errorf("%d machines hold the weights: %+v", n, s.Note)
 		}
 		mustBePaid(t, s)
@@ -472,7 +472,7 @@
 }
 
 func TestAPoolIsThereForTheHourAndReturnedAfterIt(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
 		hour := time.Now().Truncate(time.Hour).Add(time.Hour)
 		burst{replicas: 4}.remember(t, w, hour)
 		applyPlan(t, w, 0, poolPlan(0, 4, ""))
@@ -483,11 +483,11 @@
 		time.Sleep(time.Until(hour.Add(-150 * time.Second)))
 		loseLeader(w)
 		time.Sleep(time.Until(hour))
-		if n := len(w.Cached("llm:v1")); n != 4 {
+		if n := len(w.MachinesWithImage("llm:v1")); n != 4 {
 			t.Errorf("%d machines have the weights as the hour begins", n)
 		}
 		time.Sleep(time.Until(hour.Add(time.Hour)))
-		if n := len(w.Cached("llm:v1")); n != 4 {
+		if n := len(w.MachinesWithImage("llm:v1")); n != 4 {
 			t.Errorf("%d machines have the weights as the hour ends", n)
 		}
 		time.Sleep(3 * time.Minute)
@@ -509,7 +509,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			o := poolWorld(3, 14)
 			o.Seed, o.Nodes = seed, 5
-			story(t, o, func(t *testing.T, w *fake.World) {
+			story(t, o, func(t *testing.T, w *fake.Cluster) {
 				rnd := rand.New(rand.NewPCG(seed, 11))
 				applyPlan(t, w, 0, poolPlan(3, 6, ""))
 				plan, next, running := scenario.Plans{World: w, Version: 1}, 1, []string{}
@@ -521,21 +521,21 @@
 						loseLeader(w)
 					case 1:
 						i := rnd.IntN(5)
-						w.CutNode(i, true, "state", "workers")
-						time.AfterFunc(15*time.Second, func() { w.CutNode(i, false, "state", "workers") })
+						w.PartitionNode(i, true, "state", "workers")
+						time.AfterFunc(15*time.Second, func() { w.PartitionNode(i, false, "state", "workers") })
 					case 2:
-						w.State.SetOutage(true)
+						w.Store.SetOutage(true)
 						time.Sleep(8 * time.Second)
-						w.State.SetOutage(false)
+						w.Store.SetOutage(false)
 					case 3:
-						w.State.LateNext(20 * time.Second)
+						w.Store.DelayNextTransaction(20 * time.Second)
 					case 4:
 						if len(machines) > 0 {
 							w.KillMachine(machines[rnd.IntN(len(machines))])
 						}
 					case 5:
-						w.Cloud.SetSilent(true)
-						time.AfterFunc(12*time.Second, func() { w.Cloud.SetSilent(false) })
+						w.Cloud.SetDropReplies(true)
+						time.AfterFunc(12*time.Second, func() { w.Cloud.SetDropReplies(false) })
 					case 6:
 						plan.Apply(poolPlan(rnd.IntN(5), 6, ""), time.Minute)
 					case 7:
@@ -576,7 +576,7 @@
 }
 
 func TestWhatNobodyLedIsChargedToWhoPaidThen(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		before := awaitPool(t, w, "full", 10*time.Minute, full(4))
 		w.KillAll()
@@ -598,19 +598,19 @@
 }
 
 func TestAPoolOutlivesALostPlan(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.World) {
+	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(2, 2, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(2))
-		held := w.Cached("llm:v1")
+		held := w.MachinesWithImage("llm:v1")
 		w.KillAll()
-		for _, k := range w.State.Keys("plan/t/") {
-			w.State.Damage(k)
+		for _, k := range w.Store.Keys("plan/t/") {
+			w.Store.Corrupt(k)
 		}
 		w.StartAll()
 		time.Sleep(10 * time.Minute)
 		applyPlan(t, w, 1, poolPlan(2, 2, ""))
 		time.Sleep(time.Minute)
-		if now := w.Cached("llm:v1"); !slices.Equal(now, held) || len(w.Cloud.Machines()) != 2 {
+		if now := w.MachinesWithImage("llm:v1"); !slices.Equal(now, held) || len(w.Cloud.Machines()) != 2 {
 			t.Errorf("%v held the weights, and then %v of %v", held, now, w.Cloud.Machines())
 		}
 		mustBePaid(t, awaitPool(t, w, "full", time.Minute, full(2)))
--- a/controller/poolsmeasure_test.go
+++ b/controller/poolsmeasure_test.go
@@ -95,7 +95,7 @@
 		for len(waiting) > 0 && time.Since(at) < 30*time.Minute {
 			time.Sleep(100 * time.Millisecond)
 			for task := range waiting {
-				if len(w.On(task)) > 0 {
+				if len(w.MachinesRunning(task)) > 0 {
 					ran = append(ran, time.Since(at))
 					delete(waiting, task)
 				}
@@ -117,14 +117,14 @@
 }
 
 // remember records two weeks in which the hour brought what it is to bring.
-func (b burst) remember(t *testing.T, w *fake.World, hour time.Time) {
+func (b burst) remember(t *testing.T, w *fake.Cluster, hour time.Time) {
 	t.Helper()
 	week := &warmpool.Week{}
 	for k := 2; k > 0; k-- {
 		week.Want(b.replicas, hour.AddDate(0, 0, -7*k))
 		week.Want(0, hour.AddDate(0, 0, -7*k).Add(time.Hour))
 	}
-	st := kvstore.New(w.Net.Dial("operator"), "state:1", 20, 20)
+	st := kvstore.New(w.Network.Dial("operator"), "state:1", 20, 20)
 	d := warmpool.Slot(hour) / 24
 	if _, err := st.Commit(context.Background(), nil, []wire.Op{{Put: jobstore.Notes + warmpool.DayName("llm", d), Value: week.Day(d)}}); err != nil {
 		t.Fatal(err)
@@ -205,7 +205,7 @@
 			}
 			for range 4 { // a key is written every half a second at most
 				time.Sleep(250 * time.Millisecond)
-				for key, v := range w.State.Versions(jobstore.Notes) {
+				for key, v := range w.Store.Versions(jobstore.Notes) {
 					if versions[key] != v {
 						part, _, _ := strings.Cut(strings.TrimPrefix(key, jobstore.Notes), "/")
 						part, _, _ = strings.Cut(part, ".")
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -114,7 +114,7 @@
 		randomDelays(faults, w)
 		for range 2 {
 			if len(ids) > 0 {
-				w.Poll(w.Any(), ids[rnd.IntN(len(ids))])
+				w.PollState(w.AnyNodeAddr(), ids[rnd.IntN(len(ids))])
 			}
 		}
 		time.Sleep(time.Duration(rnd.IntN(9000)) * time.Millisecond)
@@ -126,7 +126,7 @@
 	if planned && !plan.Apply("", time.Minute) { // what a plan keeps machines for may leave others waiting
 		t.Error("the plan can't be withdrawn though nothing is wrong any more")
 	}
-	asked = append(asked, w.CancelledAtEnd()...)
+	asked = append(asked, w.CancelledOnCompletion()...)
 	for _, id := range asked {
 		// Asked again, it is answered as it was.
 		cancelled[id] = w.Cancel(id) == wire.JobCancelled
@@ -149,7 +149,7 @@
 			t.Errorf("%s is not %s in the end", id, want)
 		}
 	}
-	for _, b := range w.Broken() {
+	for _, b := range w.Violations() {
 		t.Errorf("rule broken: %s", b)
 	}
 	if planned && plan.Version < 2 {
@@ -163,23 +163,23 @@
 }
 
 // endFaults undoes everything that random failures do.
-func endFaults(w *fake.World) {
-	w.State.SetOutage(false)
-	w.State.LoseAnswers(0, 0, 0)
-	w.State.SlowAnswers(0)
-	w.Cloud.LateDeletes(0)
+func endFaults(w *fake.Cluster) {
+	w.Store.SetOutage(false)
+	w.Store.DropReplies(0, 0, 0)
+	w.Store.DelayReplies(0)
+	w.Cloud.DelayDeletes(0)
 	w.Cloud.SetOutage(false)
-	w.Cloud.SetBoots(nil)
-	w.Cloud.SetSlow(0)
+	w.Cloud.SetBootTimes(nil)
+	w.Cloud.SetReplyDelay(0)
 	for i := range 3 {
-		w.Stop(i, false)
-		w.State.Refuse(fmt.Sprintf("n-%d", i), false)
-		w.CutNode(i, false, everything...)
+		w.PauseNode(i, false)
+		w.Store.Refuse(fmt.Sprintf("n-%d", i), false)
+		w.PartitionNode(i, false, everything...)
 		w.StartNode(i)
 	}
-	w.CopyReports(0)
-	w.DelayCommands(0, 0)
-	w.CancelAtEnd(0, 0)
+	w.DuplicateReports(0)
+	w.DelayDirectCommands(0, 0)
+	w.CancelOnCompletion(0, 0)
 	healMachines(w)
 }
 
@@ -204,14 +204,14 @@
 
 // randomCopies keeps copies of reports for the next leaders from now on, or none any
 // more.
-func randomCopies(rnd *rand.Rand, w *fake.World) {
+func randomCopies(rnd *rand.Rand, w *fake.Cluster) {
 	if rnd.IntN(10) == 0 {
-		w.CopyForNext(rnd.IntN(4))
+		w.DelayCopiesUntilFailover(rnd.IntN(4))
 	}
 }
 
 // randomFailure does one thing that goes wrong, or undoes one.
-func randomFailure(rnd *rand.Rand, w *fake.World) {
+func randomFailure(rnd *rand.Rand, w *fake.Cluster) {
 	n := rnd.IntN(3)
 	machine := ""
 	if ms := w.Cloud.Machines(); len(ms) > 0 {
@@ -223,81 +223,81 @@
 	case 1, 2, 3:
 		w.StartNode(n)
 	case 4:
-		w.State.SetOutage(true)
+		w.Store.SetOutage(true)
 	case 5, 6:
-		w.State.SetOutage(false)
+		w.Store.SetOutage(false)
 	case 7:
-		w.CutNode(n, true, everything[rnd.IntN(len(everything))])
+		w.PartitionNode(n, true, everything[rnd.IntN(len(everything))])
 	case 8:
-		w.CutNode(n, false, everything...)
+		w.PartitionNode(n, false, everything...)
 	case 9:
-		w.State.LateNext(time.Duration(1+rnd.IntN(40)) * time.Second)
+		w.Store.DelayNextTransaction(time.Duration(1+rnd.IntN(40)) * time.Second)
 	case 10:
-		w.State.Refuse(fmt.Sprintf("n-%d", n), rnd.IntN(2) == 0)
+		w.Store.Refuse(fmt.Sprintf("n-%d", n), rnd.IntN(2) == 0)
 	case 11:
 		if machine != "" && rnd.IntN(2) == 0 {
 			w.KillMachine(machine)
 		}
 	case 12:
 		if machine != "" {
-			w.Hang(machine, rnd.IntN(2) == 0)
+			w.HangMachine(machine, rnd.IntN(2) == 0)
 		}
 	case 13:
 		if machine != "" && rnd.IntN(2) == 0 {
-			w.Notice(machine, time.Duration(2+rnd.IntN(10))*time.Second)
+			w.InterruptMachine(machine, time.Duration(2+rnd.IntN(10))*time.Second)
 		}
 	case 14:
 		if machine != "" {
-			w.KeepReport(machine)
-			w.LateReport(machine, n)
+			w.CaptureReport(machine)
+			w.ReplayReport(machine, n)
 		}
 	case 15:
 		w.Cloud.SetOutage(rnd.IntN(2) == 0)
 	case 16, 17:
-		w.Stop(n, true)
+		w.PauseNode(n, true)
 	case 18:
 		for i := range 3 {
-			w.Stop(i, false)
+			w.PauseNode(i, false)
 		}
 	case 19:
 		boots := []time.Duration{-1, 100 * time.Millisecond, 25 * time.Second, 10 * time.Second}
 		shift := rnd.IntN(4)
-		w.Cloud.SetBoots(func(n int) time.Duration { return boots[(n+shift)%4] })
-		w.Cloud.SetSlow(time.Duration(rnd.IntN(4)) * time.Second)
+		w.Cloud.SetBootTimes(func(n int) time.Duration { return boots[(n+shift)%4] })
+		w.Cloud.SetReplyDelay(time.Duration(rnd.IntN(4)) * time.Second)
 	case 20, 21:
 		if machine != "" {
-			w.Mute(machine, rnd.IntN(3) > 0)
+			w.BlockRepliesTo(machine, rnd.IntN(3) > 0)
 		}
 	case 22:
-		w.CopyReports(rnd.IntN(4))
+		w.DuplicateReports(rnd.IntN(4))
 	case 23:
-		w.KeepOnlyWorkers(n, rnd.IntN(2) == 0)
+		w.IsolateToWorkers(n, rnd.IntN(2) == 0)
 	case 24:
-		w.Bounce(n, time.Duration(rnd.IntN(900))*time.Millisecond)
+		w.PowerCycleNode(n, time.Duration(rnd.IntN(900))*time.Millisecond)
 	}
 }
 
 // randomUsers has users ask what the nodes find hard to answer alike.
-func randomUsers(rnd *rand.Rand, w *fake.World, ids []string) {
+func randomUsers(rnd *rand.Rand, w *fake.Cluster, ids []string) {
 	switch rnd.IntN(6) {
 	case 0, 1:
 		if len(ids) > 0 {
-			w.CloseLooks(ids[len(ids)-1-rnd.IntN(min(3, len(ids)))], 2)
+			w.QueryConcurrently(ids[len(ids)-1-rnd.IntN(min(3, len(ids)))], 2)
 		}
 	case 2:
-		w.OddRequests(2)
+		w.SendUnusualRequests(2)
 	}
 }
 
 // randomMachines does at times one thing to machines that have something to lose.
 // It returns the jobs that it has cancelled, without waiting for the answers.
-func randomMachines(rnd *rand.Rand, w *fake.World) (cancelled []string) {
+func randomMachines(rnd *rand.Rand, w *fake.Cluster) (cancelled []string) {
 	switch rnd.IntN(16) {
 	case 0:
-		cancelled, _ = w.CancelNow(1+rnd.IntN(3), time.Duration(rnd.IntN(3)*rnd.IntN(8000))*time.Millisecond)
+		cancelled, _ = w.CancelRunning(1+rnd.IntN(3), time.Duration(rnd.IntN(3)*rnd.IntN(8000))*time.Millisecond)
 	case 1, 2:
 		if ms := w.Cloud.Machines(); len(ms) > 0 {
-			w.Silence(ms[rnd.IntN(len(ms))], rnd.IntN(3) > 0)
+			w.BlockHeartbeats(ms[rnd.IntN(len(ms))], rnd.IntN(3) > 0)
 		}
 	}
 	return cancelled
@@ -305,25 +305,25 @@
 
 // randomDelays holds direct commands or the state service's answers up, has jobs cancelled
 // as they end, cuts a zone's machines off, or ends all nodes for a while; or it ends that.
-func randomDelays(rnd *rand.Rand, w *fake.World) {
+func randomDelays(rnd *rand.Rand, w *fake.Cluster) {
 	switch rnd.IntN(20) {
 	case 0, 1:
-		w.DelayCommands(0.2+0.6*rnd.Float64(), rnd.Uint64())
+		w.DelayDirectCommands(0.2+0.6*rnd.Float64(), rnd.Uint64())
 	case 2:
-		w.DelayCommands(0, 0)
+		w.DelayDirectCommands(0, 0)
 	case 3:
-		w.State.SlowAnswers(time.Duration(300+rnd.IntN(900)) * time.Millisecond)
+		w.Store.DelayReplies(time.Duration(300+rnd.IntN(900)) * time.Millisecond)
 	case 4, 5:
-		w.State.SlowAnswers(0)
+		w.Store.DelayReplies(0)
 	case 6:
-		w.CancelAtEnd(0.5, rnd.Uint64())
+		w.CancelOnCompletion(0.5, rnd.Uint64())
 	case 7:
-		w.CancelAtEnd(0, 0)
+		w.CancelOnCompletion(0, 0)
 	case 8:
-		w.CutZone(fake.Zones[rnd.IntN(len(fake.Zones))], true)
+		w.PartitionZone(fake.Zones[rnd.IntN(len(fake.Zones))], true)
 	case 9, 10:
 		for _, zone := range fake.Zones {
-			w.CutZone(zone, false)
+			w.PartitionZone(zone, false)
 		}
 	case 11:
 		if rnd.IntN(2) == 0 {
@@ -336,22 +336,22 @@
 
 // randomStorage makes transactions late or their answers lost, machines come up at
 // once, and deletions late, or ends that; mostly it leaves things as they are.
-func randomStorage(rnd *rand.Rand, w *fake.World) {
+func randomStorage(rnd *rand.Rand, w *fake.Cluster) {
 	switch rnd.IntN(12) {
 	case 0:
-		w.State.LoseAnswers(0.05+0.25*rnd.Float64(), 0, rnd.Uint64())
+		w.Store.DropReplies(0.05+0.25*rnd.Float64(), 0, rnd.Uint64())
 	case 1:
-		w.State.LoseAnswers(0, 0.05+0.25*rnd.Float64(), rnd.Uint64())
+		w.Store.DropReplies(0, 0.05+0.25*rnd.Float64(), rnd.Uint64())
 	case 2:
-		w.State.LoseAnswers(0.15, 0.1, rnd.Uint64())
+		w.Store.DropReplies(0.15, 0.1, rnd.Uint64())
 	case 3:
-		w.Cloud.SetBoots(func(n int) time.Duration { return time.Duration(100+n*397%1800) * time.Millisecond })
-		w.Cloud.SetSlow(time.Duration(rnd.IntN(4)) * time.Second)
+		w.Cloud.SetBootTimes(func(n int) time.Duration { return time.Duration(100+n*397%1800) * time.Millisecond })
+		w.Cloud.SetReplyDelay(time.Duration(rnd.IntN(4)) * time.Second)
 	case 4:
-		w.Cloud.LateDeletes(time.Duration(6+rnd.IntN(40)) * time.Second)
+		w.Cloud.DelayDeletes(time.Duration(6+rnd.IntN(40)) * time.Second)
 	case 5, 6:
-		w.State.LoseAnswers(0, 0, 0)
+		w.Store.DropReplies(0, 0, 0)
 	case 7:
-		w.Cloud.LateDeletes(0)
+		w.Cloud.DelayDeletes(0)
 	}
 }
--- a/controller/seeds_test.go
+++ b/controller/seeds_test.go
@@ -19,7 +19,7 @@
 
 // seeded plays a story a few times, or as often as STORY_SEEDS says, with other times
 // within the same window: they are drawn from the seed and the story's own number.
-func seeded(t *testing.T, number uint64, o fake.Options, tell func(t *testing.T, w *fake.World, rnd *rand.Rand)) {
+func seeded(t *testing.T, number uint64, o fake.Options, tell func(t *testing.T, w *fake.Cluster, rnd *rand.Rand)) {
 	t.Helper()
 	seeds, many := manySeeds()
 	if !many {
@@ -28,7 +28,7 @@
 	for seed := uint64(1); seed <= seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			o.Seed = seed
-			story(t, o, func(t *testing.T, w *fake.World) { tell(t, w, rand.New(rand.NewPCG(seed, number))) })
+			story(t, o, func(t *testing.T, w *fake.Cluster) { tell(t, w, rand.New(rand.NewPCG(seed, number))) })
 		})
 	}
 }
--- a/controller/status_test.go
+++ b/controller/status_test.go
@@ -14,9 +14,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-func watchNode(t *testing.T, w *fake.World, node int, path string) string {
+func watchNode(t *testing.T, w *fake.Cluster, node int, path string) string {
 	t.Helper()
-	hc := &http.Client{Transport: &http.Transport{DialContext: w.Net.Dial("operator"), DisableKeepAlives: true}}
+	hc := &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("operator"), DisableKeepAlives: true}}
 	resp, err := hc.Get("http://" + w.Nodes()[node] + ":9464" + path)
 	if err != nil {
 		t.Fatal(err)
@@ -29,7 +29,7 @@
 	return string(b)
 }
 
-func overview(t *testing.T, w *fake.World, node int) (o metrics.Overview) {
+func overview(t *testing.T, w *fake.Cluster, node int) (o metrics.Overview) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(watchNode(t, w, node, controller.PathStatus)), &o); err != nil {
 		t.Fatal(err)
@@ -40,7 +40,7 @@
 // Every node shows the leader's view, of that moment; without a leader it shows
 // none, rather than what was.
 func TestStatusIsOfTheMoment(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 6, 90 }), job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 20, 8, 90 }))
 		time.Sleep(15 * time.Second)
 		leader := w.Leader()
@@ -60,7 +60,7 @@
 				t.Errorf("no %s in the metrics", want)
 			}
 		}
-		w.State.SetOutage(true)
+		w.Store.SetOutage(true)
 		w.KillNode(leader)
 		time.Sleep(15 * time.Second)
 		o := overview(t, w, (leader+1)%3)
@@ -78,6 +78,6 @@
 		if err := o.Print(&b); err != nil || !strings.Contains(b.String(), "no leader has answered") {
 			t.Errorf("printed as %s (%v)", b.String(), err)
 		}
-		w.State.SetOutage(false)
+		w.Store.SetOutage(false)
 	})
 }
--- a/controller/still_test.go
+++ b/controller/still_test.go
@@ -29,14 +29,14 @@
 	} {
 		for _, d := range stops {
 			t.Run(fmt.Sprint(c.name, " for ", d), func(t *testing.T) {
-				story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.World) {
+				story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 					mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 90 }),
 						job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.EstimateS = 80 }))
 					mustReach(t, w, "wk-000002", wire.JobRunning, 20*time.Second)
 					time.Sleep(4 * time.Second)
 					which := c.which(w.Leader())
 					for _, i := range which {
-						w.Stop(i, true)
+						w.PauseNode(i, true)
 					}
 					begun := time.Now()
 					if len(which) == 1 && d > 5*time.Second {
@@ -47,7 +47,7 @@
 					}
 					time.Sleep(d - time.Since(begun))
 					for _, i := range which {
-						w.Stop(i, false)
+						w.PauseNode(i, false)
 					}
 					mustSubmit(t, w, job(4, nil))
 					mustReach(t, w, "wk-000004", wire.JobDone, 2*time.Minute)
@@ -67,14 +67,14 @@
 // answers nothing: each follower that sent a worker there cost it 4 s of a lease
 // of 12 s, and with another node down as well most tasks were killed.
 func TestWorkersWaitForTheNextLeaderWhereTheyAreAnswered(t *testing.T) {
-	story(t, fake.Options{Machines: 8, Nodes: 5}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 8, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 16, 90 }))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 20*time.Second)
 		time.Sleep(5 * time.Second)
 		l := w.Leader()
-		w.Stop((l+2)%5, true)
+		w.PauseNode((l+2)%5, true)
 		time.Sleep(8 * time.Second)
-		w.Stop(l, true)
+		w.PauseNode(l, true)
 		mustReach(t, w, "wk-000001", wire.JobDone, 3*time.Minute)
 		if n := w.Started(); n != 16 {
 			t.Errorf("%d starts of 16 tasks", n)
@@ -85,14 +85,14 @@
 // The state service refuses one node while another stands still: a user's
 // request goes past both within its time.
 func TestARequestGoesPastANodeThatStandsStill(t *testing.T) {
-	story(t, fake.Options{Machines: 2, Nodes: 4}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 2, Nodes: 4}, func(t *testing.T, w *fake.Cluster) {
 		a := (w.Leader() + 1) % 4
-		w.State.Refuse(fmt.Sprintf("n-%d", a), true)
+		w.Store.Refuse(fmt.Sprintf("n-%d", a), true)
 		for i := range 2 {
-			w.Stop((a+1+i)%4, true)
+			w.PauseNode((a+1+i)%4, true)
 		}
 		time.Sleep(2 * time.Second)
-		if status := w.Post(a, job(1, nil)); status != 201 {
+		if status := w.PostSubmission(a, job(1, nil)); status != 201 {
 			t.Errorf("answered %d", status)
 		}
 	})
@@ -102,27 +102,27 @@
 // it could; together that was several times what the service takes, and the
 // leader's renewals were refused along with the rest, for good.
 func TestACrowdOfPollsDoesNotEndLeadership(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Nodes: 5, StateRPS: 40}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4, Nodes: 5, StateRPS: 40}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
-		before := w.State.Value("ctl/leader")
+		before := w.Store.Value("ctl/leader")
 		end := time.Now().Add(40 * time.Second)
 		for i := range 100 {
 			go func() {
 				for time.Now().Before(end) {
-					w.Poll(w.Bind(i%5), "wk-000001")
+					w.PollState(w.NodeAddr(i%5), "wk-000001")
 					time.Sleep(200 * time.Millisecond)
 				}
 			}()
 		}
 		time.Sleep(8 * time.Second)
-		busy := w.State.Busied()
+		busy := w.Store.RateLimited()
 		mustSubmit(t, w, job(2, nil))
 		mustReach(t, w, "wk-000002", wire.JobDone, time.Minute)
-		if n := w.State.Busied() - busy; n > 40*30/10 {
+		if n := w.Store.RateLimited() - busy; n > 40*30/10 {
 			t.Errorf("%d requests were refused in half a minute", n)
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
-		if string(w.State.Value("ctl/leader")) != string(before) {
+		if string(w.Store.Value("ctl/leader")) != string(before) {
 			t.Error("the leader has changed")
 		}
 		if n := w.Started(); n != 4 {
--- a/controller/story_test.go
+++ b/controller/story_test.go
@@ -14,9 +14,9 @@
 
 // Stories are told in other packages as well.
 var (
-	story      = scenario.Story
+	story      = scenario.Run
 	job        = scenario.Job
-	gang       = scenario.Gang
+	gang       = scenario.AsGang
 	mustSubmit = scenario.MustSubmit
 	mustReach  = scenario.MustReach
 	mustFinish = scenario.MustFinish
@@ -24,7 +24,7 @@
 )
 
 func TestArrayGangAndServiceLive(t *testing.T) {
-	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, nil), job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.OneZone = true }),
 			job(3, func(j *wire.Job) { j.Kind = wire.KindService; j.Spread = true; j.EstimateS = 0; j.Tasks = 3 }))
 		mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
@@ -34,14 +34,14 @@
 			t.Fatalf("cancel answered %q", s)
 		}
 		time.Sleep(10 * time.Second)
-		if on := w.On("wk-000003/0"); len(on) > 0 {
+		if on := w.MachinesRunning("wk-000003/0"); len(on) > 0 {
 			t.Errorf("still on %v", on)
 		}
 	})
 }
 
 func TestEveryControllerCrashesJustAfterACancel(t *testing.T) {
-	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Kind = wire.KindService; j.EstimateS = 0 }), job(2, nil))
 		time.Sleep(8 * time.Second)
 		w.Cancel("wk-000001")
@@ -51,19 +51,19 @@
 		mustReach(t, w, "wk-000002", wire.JobDone, 2*time.Minute)
 		mustReach(t, w, "wk-000001", wire.JobCancelled, 5*time.Second)
 		time.Sleep(40 * time.Second) // the checker watches for tasks past cancel_s
-		if keys := w.State.JobKeys(); len(keys) > 0 {
+		if keys := w.Store.JobKeys(); len(keys) > 0 {
 			t.Errorf("records left of jobs that are over: %v", keys)
 		}
 	})
 }
 
 func TestLateTransactionOfADeadLeaderChangesNothing(t *testing.T) {
-	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
 		// The placement's commit hangs and is applied long after its leader
 		// has died: the guard on the leader key must refuse it.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		time.Sleep(3 * time.Second)
-		w.State.LateNext(40 * time.Second)
+		w.Store.DelayNextTransaction(40 * time.Second)
 		mustSubmit(t, w, job(2, func(j *wire.Job) { j.EstimateS = 60 }))
 		w.KillNode(w.Leader())
 		mustReach(t, w, "wk-000001", wire.JobDone, 3*time.Minute)
@@ -72,15 +72,15 @@
 }
 
 func TestLateReportIsNotBelieved(t *testing.T) {
-	story(t, fake.Options{Machines: 1, Capacity: 1, Nodes: 1}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 1, Capacity: 1, Nodes: 1}, func(t *testing.T, w *fake.Cluster) {
 		name := w.Cloud.Machines()[0]
-		w.KeepReport(name) // lists no task
+		w.CaptureReport(name) // lists no task
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		time.Sleep(8 * time.Second)
-		if len(w.On("wk-000001/0")) != 1 {
+		if len(w.MachinesRunning("wk-000001/0")) != 1 {
 			t.Fatal("task 0 does not run")
 		}
-		if status := w.LateReport(name, 0); status == 200 {
+		if status := w.ReplayReport(name, 0); status == 200 {
 			t.Error("a report older than the last one was answered 200")
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
@@ -91,26 +91,26 @@
 }
 
 func TestHungMachineExecutesLateStopsHarmlessly(t *testing.T) {
-	story(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Kind = wire.KindService; j.EstimateS = 0; j.Tasks = 4; j.CPUs = 4 }))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 30*time.Second)
 		time.Sleep(3 * time.Second)
-		name := w.On("wk-000001/0")[0]
-		w.Hang(name, true)
+		name := w.MachinesRunning("wk-000001/0")[0]
+		w.HangMachine(name, true)
 		w.Cancel("wk-000001")
 		time.Sleep(9 * time.Second)
 		mustSubmit(t, w, job(2, func(j *wire.Job) { j.Tasks = 4; j.CPUs = 4 }))
-		w.Hang(name, false) // the stops it was sent are executed now
+		w.HangMachine(name, false) // the stops it was sent are executed now
 		mustReach(t, w, "wk-000002", wire.JobDone, 2*time.Minute)
 	})
 }
 
 func TestUnansweredRentalIsNotRentedTwice(t *testing.T) {
-	story(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.World) {
-		w.Cloud.SetSilent(true)
+	story(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
+		w.Cloud.SetDropReplies(true)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks = 4; j.CPUs = 6 }))
 		time.Sleep(12 * time.Second)
-		w.Cloud.SetSilent(false)
+		w.Cloud.SetDropReplies(false)
 		mustReach(t, w, "wk-000001", wire.JobDone, 4*time.Minute)
 		if len(w.Cloud.Reused) == 0 {
 			t.Error("the unanswered request was not repeated under its name")
@@ -125,16 +125,18 @@
 func TestLeaderCutFromTheState(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(w *fake.World, leader int, on bool)
+		do   func(w *fake.Cluster, leader int, on bool)
 	}{
-		{"cut from the state service", func(w *fake.World, l int, on bool) { w.CutNode(l, on, "state") }},
-		{"refused by it alone", func(w *fake.World, l int, on bool) { w.State.Refuse(fmt.Sprintf("n-%d", l), on) }},
-		{"cut from the workers", func(w *fake.World, l int, on bool) { w.CutNode(l, on, "workers") }},
-		{"cut from everything", func(w *fake.World, l int, on bool) { w.CutNode(l, on, "state", "workers", "nodes", "cloud", "user") }},
-		{"outage for all", func(w *fake.World, _ int, on bool) { w.State.SetOutage(on) }},
+		{"cut from the state service", func(w *fake.Cluster, l int, on bool) { w.PartitionNode(l, on, "state") }},
+		{"refused by it alone", func(w *fake.Cluster, l int, on bool) { w.Store.Refuse(fmt.Sprintf("n-%d", l), on) }},
+		{"cut from the workers", func(w *fake.Cluster, l int, on bool) { w.PartitionNode(l, on, "workers") }},
+		{"cut from everything", func(w *fake.Cluster, l int, on bool) {
+			w.PartitionNode(l, on, "state", "workers", "nodes", "cloud", "user")
+		}},
+		{"outage for all", func(w *fake.Cluster, _ int, on bool) { w.Store.SetOutage(on) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.World) {
+			story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 				mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 70 }),
 					job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.EstimateS = 50 }))
 				time.Sleep(8 * time.Second)
@@ -152,39 +154,39 @@
 }
 
 func TestNodeRefusedByTheStateServiceStillServesUsers(t *testing.T) {
-	story(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster) {
 		f := (w.Leader() + 1) % 3
-		w.State.Refuse(fmt.Sprintf("n-%d", f), true)
+		w.Store.Refuse(fmt.Sprintf("n-%d", f), true)
 		time.Sleep(2 * time.Second)
-		if status := w.Post(f, job(1, nil)); status != 201 {
+		if status := w.PostSubmission(f, job(1, nil)); status != 201 {
 			t.Errorf("submission through the refused node answered %d", status)
 		}
 	})
 }
 
 func TestMachineDiesWithoutNotice(t *testing.T) {
-	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks = 3; j.EstimateS = 40 }),
 			job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.CPUs = 4; j.EstimateS = 40 }))
 		time.Sleep(10 * time.Second)
-		w.KillMachine(w.On("wk-000002/1")[0])
+		w.KillMachine(w.MachinesRunning("wk-000002/1")[0])
 		mustReach(t, w, "wk-000001", wire.JobDone, 3*time.Minute)
 		mustReach(t, w, "wk-000002", wire.JobDone, 3*time.Minute)
 	})
 }
 
 func TestNoticeLetsAGangSaveTogether(t *testing.T) {
-	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
 			gang(j)
 			j.Tasks, j.CPUs, j.EstimateS, j.CheckpointS = 2, 6, 60, 50
 		}))
 		time.Sleep(25 * time.Second)
-		w.Notice(w.On("wk-000001/0")[0], 8*time.Second)
+		w.InterruptMachine(w.MachinesRunning("wk-000001/0")[0], 8*time.Second)
 		time.Sleep(8 * time.Second)
 		// The first checkpoint would be at 50 s: without an orderly stop there
 		// would be nothing.
-		if got := w.Saved("wk-000001"); got < 10 {
+		if got := w.CheckpointedProgress("wk-000001"); got < 10 {
 			t.Errorf("saved progress %g s", got)
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
@@ -192,8 +194,8 @@
 }
 
 func TestFaultyMachineIsAvoidedAndBrokenJobBacksOff(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 3}, func(t *testing.T, w *fake.World) {
-		w.Fault(w.Cloud.Machines()[0])
+	story(t, fake.Options{Machines: 3, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
+		w.MakeMachineFaulty(w.Cloud.Machines()[0])
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Class, j.Tasks = fake.BrokenClass, 1 }),
 			job(2, func(j *wire.Job) { j.Tasks = 6 }), job(3, func(j *wire.Job) { j.Tasks = 6 }))
 		mustReach(t, w, "wk-000002", wire.JobDone, 3*time.Minute)
@@ -210,7 +212,7 @@
 }
 
 func TestPriorityPreemptsAndEqualsDoNot(t *testing.T) {
-	story(t, fake.Options{Machines: 1, Capacity: 1}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 1, Capacity: 1}, func(t *testing.T, w *fake.Cluster) {
 		low := func(j *wire.Job) {
 			j.Priority, j.Tasks, j.CPUs, j.EstimateS, j.CheckpointS, j.SaveS = wire.PriorityLow, 2, 4, 100, 10, 2
 		}
@@ -218,12 +220,12 @@
 		time.Sleep(15 * time.Second)
 		mustSubmit(t, w, job(2, func(j *wire.Job) { low(j); j.EstimateS = 10 }))
 		time.Sleep(10 * time.Second)
-		if len(w.On("wk-000002/0"))+len(w.On("wk-000002/1")) > 0 {
+		if len(w.MachinesRunning("wk-000002/0"))+len(w.MachinesRunning("wk-000002/1")) > 0 {
 			t.Error("a job stopped another of its own priority")
 		}
 		mustSubmit(t, w, job(3, func(j *wire.Job) { j.Tasks, j.CPUs = 1, 4 }))
 		mustReach(t, w, "wk-000003", wire.JobDone, 40*time.Second)
-		if w.Saved("wk-000001/0")+w.Saved("wk-000001/1") < 10 {
+		if w.CheckpointedProgress("wk-000001/0")+w.CheckpointedProgress("wk-000001/1") < 10 {
 			t.Error("the stopped task was not let to save")
 		}
 	})
@@ -231,25 +233,25 @@
 
 func TestTeamsKeepToTheirLimitsAndGetTheirGuarantees(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUs: 8, CPUsMax: 12}, {Name: "edge", CPUs: 8}}
-	story(t, fake.Options{Machines: 2, Capacity: 2, Teams: teams}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 2, Capacity: 2, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
 		long := func(j *wire.Job) { j.CPUs, j.EstimateS, j.CheckpointS, j.SaveS = 4, 200, 5, 1 }
 		mustSubmit(t, w, job(1, func(j *wire.Job) { long(j); j.Tasks = 4 }))
 		time.Sleep(15 * time.Second)
 		mustSubmit(t, w, job(2, func(j *wire.Job) { long(j); j.Team, j.EstimateS = "edge", 10 }))
 		mustReach(t, w, "wk-000002", wire.JobDone, time.Minute)
-		if w.Post(0, job(3, func(j *wire.Job) { j.Kind, j.Tasks, j.CPUs = wire.KindService, 4, 4 })) != 422 {
+		if w.PostSubmission(0, job(3, func(j *wire.Job) { j.Kind, j.Tasks, j.CPUs = wire.KindService, 4, 4 })) != 422 {
 			t.Error("a service beyond its team's limit was not answered 422")
 		}
 	})
 }
 
 func TestRollingRestart(t *testing.T) {
-	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 8, 60 }))
 		for i := range 3 {
 			time.Sleep(12 * time.Second)
 			w.KillNode(i)
-			if status := w.Post((i+1)%3, job(10+i, nil)); status != 201 {
+			if status := w.PostSubmission((i+1)%3, job(10+i, nil)); status != 201 {
 				t.Errorf("a node that is up answered %d", status)
 			}
 			time.Sleep(5 * time.Second)
@@ -268,10 +270,10 @@
 }
 
 func TestHugeArrayIsAcceptedRunAndCancelled(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = wire.MaxTasks, 1, 5 }))
 		time.Sleep(time.Minute)
-		if n := w.Finished("wk-000001"); n < 100 {
+		if n := w.FinishedTasks("wk-000001"); n < 100 {
 			t.Errorf("%d tasks done after a minute", n)
 		}
 		w.KillNode(w.Leader())
@@ -284,7 +286,7 @@
 }
 
 func TestWhatCannotBeTakenIsAnsweredAtOnce(t *testing.T) {
-	story(t, fake.Options{Machines: 1}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 1}, func(t *testing.T, w *fake.Cluster) {
 		field := func(name string, v any) map[string]any {
 			m := map[string]any{"nameId": "wk-000009", "filiere": "c", "atelier": "core", "facon": "sweep", "rang": "normal",
 				"pieces": 2, "cpus": 1.0, "gpus": 0.0, "memoryGb": 1.0, "gabarit": "i", "pullGb": 1.0, "gammes": nil,
@@ -308,11 +310,11 @@
 			{field("atelier", "nobody"), 422}, {field("cpus", 9.0), 422}, {field("halle", "z"), 422}, {field("gammes", []any{"x"}), 422},
 			{field("novelty", 1), 201}, {field("novelty", 1), 200}, {field("cpus", 9.0), 200}, {field("pieces", "?"), 200},
 		} {
-			if got := w.Post(0, c.body); got != c.want {
+			if got := w.PostSubmission(0, c.body); got != c.want {
 				t.Errorf("%.60v answered %d, want %d", c.body, got, c.want)
 			}
 		}
-		if got := w.Poll(w.Bind(1), "wk-777777"); got != "" {
+		if got := w.PollState(w.NodeAddr(1), "wk-777777"); got != "" {
 			t.Errorf("unknown job is %q", got)
 		}
 	})
@@ -326,10 +328,10 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS, j.OneZone = 2, 60, true }))
 		time.Sleep(10 * time.Second)
 		for _, m := range w.Cloud.Machines() {
-			w.Rogue(m, "wk-000001/0")
+			w.LaunchWithoutLeader(m, "wk-000001/0")
 		}
 		time.Sleep(3 * time.Second)
-		if len(w.Broken()) == 0 {
+		if len(w.Violations()) == 0 {
 			t.Error("a task started twice and the checker said nothing")
 		}
 	})
--- a/controller/summon_test.go
+++ b/controller/summon_test.go
@@ -25,7 +25,7 @@
 // Machines reported every 4 s, and a launch waited for the next report: 2 s on
 // average, and a gang for the last of its machines.
 func TestALaunchDoesNotWaitForTheNextReport(t *testing.T) {
-	story(t, slowly(8), func(t *testing.T, w *fake.World) {
+	story(t, slowly(8), func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(20 * time.Second)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.ImageGB = 8, 8, 1 }))
 		time.Sleep(2500 * time.Millisecond) // of which the image takes 1 s
@@ -41,10 +41,10 @@
 func TestWithoutSummonsLaunchesGoWithTheNextReports(t *testing.T) {
 	o := slowly(8)
 	o.NoSummons = true
-	story(t, o, func(t *testing.T, w *fake.World) {
+	story(t, o, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(20 * time.Second)
 		for _, m := range w.Cloud.Machines() {
-			w.HoldDirect(m)
+			w.HoldDirectCommands(m)
 		}
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs = 8, 8 }))
 		time.Sleep(2 * time.Second)
@@ -53,7 +53,7 @@
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
 		for _, m := range w.Cloud.Machines() {
-			if n, refused := w.DeliverDirect(m); n+refused > 0 {
+			if n, refused := w.DeliverHeldCommands(m); n+refused > 0 {
 				t.Errorf("%d direct batches", n+refused)
 			}
 		}
@@ -61,11 +61,11 @@
 }
 
 // nothingListed fails where a worker still lists what a summons left.
-func nothingListed(t *testing.T, w *fake.World) {
+func nothingListed(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	time.Sleep(12 * time.Second)
 	for _, id := range []string{"wk-000001", "wk-000002", "wk-000003"} {
-		if on := w.On(wire.TaskName(id, cluster.NoTask)); len(on) > 0 {
+		if on := w.MachinesRunning(wire.TaskName(id, cluster.NoTask)); len(on) > 0 {
 			t.Errorf("the summons for %s is still listed on %v", id, on)
 		}
 	}
@@ -75,35 +75,35 @@
 // token and session still match. By then its job is over, or elsewhere; it is
 // delivered twice, as after a forget, and starts nothing.
 func TestASummonsThatArrivesMinutesLateStartsNothing(t *testing.T) {
-	for name, meanwhile := range map[string]func(t *testing.T, w *fake.World, at string){
-		"its job was cancelled": func(t *testing.T, w *fake.World, _ string) {
+	for name, meanwhile := range map[string]func(t *testing.T, w *fake.Cluster, at string){
+		"its job was cancelled": func(t *testing.T, w *fake.Cluster, _ string) {
 			if w.Cancel("wk-000001") != wire.JobCancelled {
 				t.Error("not cancelled")
 			}
 		},
-		"its job is done": func(t *testing.T, w *fake.World, _ string) {
+		"its job is done": func(t *testing.T, w *fake.Cluster, _ string) {
 			mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
 		},
-		"its task is elsewhere": func(t *testing.T, w *fake.World, at string) {
-			w.Hang(at, true)
+		"its task is elsewhere": func(t *testing.T, w *fake.Cluster, at string) {
+			w.HangMachine(at, true)
 			mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
-			w.Hang(at, false)
+			w.HangMachine(at, false)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			story(t, slowly(3), func(t *testing.T, w *fake.World) {
+			story(t, slowly(3), func(t *testing.T, w *fake.Cluster) {
 				// So that no machine is idle, and returned.
 				mustSubmit(t, w, job(9, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 5, 900 }))
 				time.Sleep(20 * time.Second)
 				all := w.Cloud.Machines()
 				for _, m := range all {
-					w.HoldDirect(m)
+					w.HoldDirectCommands(m)
 				}
 				mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 3, 20 }))
 				time.Sleep(300 * time.Millisecond)
 				at := all[0]
 				for range 60 {
-					if on := w.On("wk-000001/0"); len(on) > 0 {
+					if on := w.MachinesRunning("wk-000001/0"); len(on) > 0 {
 						at = on[0]
 						break
 					}
@@ -113,7 +113,7 @@
 				time.Sleep(2 * time.Minute)
 				started, executed := w.Started(), 0
 				for _, m := range all {
-					n, _ := w.DeliverDirect(m)
+					n, _ := w.DeliverHeldCommands(m)
 					executed += n
 				}
 				if executed == 0 {
@@ -121,7 +121,7 @@
 				}
 				nothingListed(t, w)
 				for _, m := range all {
-					w.DeliverDirect(m)
+					w.DeliverHeldCommands(m)
 				}
 				nothingListed(t, w)
 				if n := w.Started(); n != started {
@@ -137,16 +137,16 @@
 // The worker's session ends while its summons is under way: it is refused, and
 // the task runs once.
 func TestASessionThatEndsUnderASummonsRefusesIt(t *testing.T) {
-	story(t, slowly(1), func(t *testing.T, w *fake.World) {
+	story(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(10 * time.Second)
 		m := w.Cloud.Machines()[0]
-		w.HoldDirect(m)
+		w.HoldDirectCommands(m)
 		mustSubmit(t, w, one(1, 30))
-		w.Hang(m, true)
+		w.HangMachine(m, true)
 		time.Sleep(40 * time.Second)
-		w.Hang(m, false)
+		w.HangMachine(m, false)
 		time.Sleep(time.Second)
-		if _, refused := w.DeliverDirect(m); refused == 0 {
+		if _, refused := w.DeliverHeldCommands(m); refused == 0 {
 			t.Error("the summons of the ended session was not refused")
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
@@ -162,7 +162,7 @@
 func TestALeaderThatStopsBeforeItsSummonsStartsNothingTwice(t *testing.T) {
 	for _, stop := range []time.Duration{3 * time.Second, 25 * time.Second} {
 		t.Run(stop.String(), func(t *testing.T) {
-			story(t, slowly(6), func(t *testing.T, w *fake.World) {
+			story(t, slowly(6), func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(10 * time.Second)
 				for n := 1; n <= 6; n++ {
 					mustSubmit(t, w, one(n, 8))
@@ -171,9 +171,9 @@
 					if at < 0 {
 						t.Fatal("no leader")
 					}
-					w.Stop(at, true)
+					w.PauseNode(at, true)
 					time.Sleep(stop)
-					w.Stop(at, false)
+					w.PauseNode(at, false)
 					mustReach(t, w, job(n, nil).ID, wire.JobDone, 2*time.Minute)
 					time.Sleep(10 * time.Second)
 				}
@@ -190,18 +190,18 @@
 func TestAMachineHangsWhileItsAnswerIsHeld(t *testing.T) {
 	for _, hang := range []time.Duration{2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		t.Run(hang.String(), func(t *testing.T) {
-			story(t, slowly(1), func(t *testing.T, w *fake.World) {
+			story(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
 				mustSubmit(t, w, one(1, 10), one(2, 10), one(3, 10))
 				for range 600 {
-					if time.Sleep(100 * time.Millisecond); w.Finished("wk-000001")+w.Finished("wk-000002")+w.Finished("wk-000003") > 0 {
+					if time.Sleep(100 * time.Millisecond); w.FinishedTasks("wk-000001")+w.FinishedTasks("wk-000002")+w.FinishedTasks("wk-000003") > 0 {
 						break
 					}
 				}
 				time.Sleep(150 * time.Millisecond) // its report is there, its answer not yet
 				m := w.Cloud.Machines()[0]
-				w.Hang(m, true)
+				w.HangMachine(m, true)
 				time.Sleep(hang)
-				w.Hang(m, false)
+				w.HangMachine(m, false)
 				mustFinish(t, w, 3*time.Minute, 1, 2, 3)
 			})
 		})
--- a/controller/troubles_test.go
+++ b/controller/troubles_test.go
@@ -14,10 +14,10 @@
 // keep only their workers, and of what is back within a fraction of a second.
 
 // busy fills every machine but for 3 of its 8 CPUs, so that none is returned.
-func busy(t *testing.T, w *fake.World, machines int) {
+func busy(t *testing.T, w *fake.Cluster, machines int) {
 	t.Helper()
 	mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = machines, 5, 3600 }))
-	if !scenario.Until(40*time.Second, time.Second, func() bool { return w.Running() == machines }) {
+	if !scenario.Eventually(40*time.Second, time.Second, func() bool { return w.Running() == machines }) {
 		t.Fatalf("%d tasks run", w.Running())
 	}
 }
@@ -25,10 +25,10 @@
 // Launches went to a mute machine with every answer, and waited there for as long
 // as it was mute.
 func TestNothingWaitsForAMachineThatDoesNotHear(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 3, Lease: 30}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 3, Capacity: 3, Lease: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		at := w.Cloud.Machines()[0]
-		w.Mute(at, true)
+		w.BlockRepliesTo(at, true)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 3, 10 }))
 		// Two rounds of 10 s, and at worst one wait of 4 s for an answer.
 		mustReach(t, w, "wk-000001", wire.JobDone, 35*time.Second)
@@ -39,11 +39,11 @@
 		if n := w.Started() - before; n == 0 {
 			t.Error("nothing starts on the machines that hear")
 		}
-		if n := w.Load()[at]; n > 0 {
+		if n := w.TasksPerMachine()[at]; n > 0 {
 			t.Errorf("%d tasks on the mute machine", n)
 		}
-		w.Mute(at, false)
-		if !scenario.Until(10*time.Second, 100*time.Millisecond, func() bool { return w.Load()[at] > 0 }) {
+		w.BlockRepliesTo(at, false)
+		if !scenario.Eventually(10*time.Second, 100*time.Millisecond, func() bool { return w.TasksPerMachine()[at] > 0 }) {
 			t.Error("10 s after it hears again it has no task")
 		}
 		mustReach(t, w, "wk-000002", wire.JobDone, time.Minute)
@@ -54,10 +54,10 @@
 // elsewhere once that machine's lease is over. It never shows the next one's
 // token, and each of its reports was answered: tasks waited without end.
 func TestAMachineIsMuteWhileTheLeaderChanges(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 4, Lease: 30}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 3, Capacity: 4, Lease: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		at := w.Cloud.Machines()[0]
-		w.Mute(at, true)
+		w.BlockRepliesTo(at, true)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 3, 5 }))
 		time.Sleep(time.Second)
 		w.KillNode(w.Leader())
@@ -66,7 +66,7 @@
 		if n := w.Running(); n != 3 {
 			t.Errorf("%d of 3 long tasks run", n)
 		}
-		if n := w.Load()[at]; n > 0 {
+		if n := w.TasksPerMachine()[at]; n > 0 {
 			t.Errorf("%d tasks on the mute machine", n)
 		}
 	})
@@ -74,10 +74,10 @@
 
 // A machine that stays mute is returned, and another rented.
 func TestAMachineThatStaysMuteIsReplaced(t *testing.T) {
-	story(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 2)
 		at := w.Cloud.Machines()[0]
-		w.Mute(at, true)
+		w.BlockRepliesTo(at, true)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 3, 600 }))
 		time.Sleep(2*time.Minute + 30*time.Second)
 		if all := w.Cloud.Machines(); len(all) != 2 || all[0] == at {
@@ -92,12 +92,12 @@
 // Copies of reports of a machine that is gone come to a leader that has never
 // heard of it. It looked alive, and tasks were launched there.
 func TestCopiesOfReportsOfAMachineThatIsGone(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 3, Lease: 30}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 3, Capacity: 3, Lease: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		gone := w.Cloud.Machines()[0]
-		w.CopyReports(1)
+		w.DuplicateReports(1)
 		time.Sleep(20 * time.Second)
-		w.CopyReports(0)
+		w.DuplicateReports(0)
 		w.Cloud.Remove(gone)
 		w.KillNode(w.Leader())
 		time.Sleep(8 * time.Second)
@@ -106,12 +106,12 @@
 			id := job(1+i, nil).ID
 			mustSubmit(t, w, job(1+i, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 3, 2 }))
 			// By what is committed: a user who asks the dead node again and again learns it late.
-			if !scenario.Until(20*time.Second, 500*time.Millisecond, func() bool { return len(w.State.Keys(jobstore.FinalKey(id))) > 0 }) {
+			if !scenario.Eventually(20*time.Second, 500*time.Millisecond, func() bool { return len(w.Store.Keys(jobstore.FinalKey(id))) > 0 }) {
 				t.Errorf("%s is not done within 20 s: it waits for the machine that is gone", id)
 			}
 			mustReach(t, w, id, wire.JobDone, time.Minute)
 		}
-		if !scenario.Until(100*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
+		if !scenario.Eventually(100*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
 			t.Errorf("%d of the 3 long tasks run: the one that was on the machine waits for it", w.Running())
 		}
 	})
@@ -119,8 +119,8 @@
 
 // Copies of all machines' reports come all the time, up to five leases late.
 func TestCopiesOfReportsChangeNothing(t *testing.T) {
-	story(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.World) {
-		w.CopyReports(2)
+	story(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
+		w.DuplicateReports(2)
 		busy(t, w, 6)
 		before := w.Started()
 		for i := range 6 {
@@ -128,8 +128,8 @@
 		}
 		w.KillNode(w.Leader())
 		mustFinish(t, w, 2*time.Minute, 1, 2, 3, 4, 5, 6)
-		if n := w.Started() - before; n > 12 || w.Expired() > 0 {
-			t.Errorf("%d starts of 12 tasks, %d leases ended", n, w.Expired())
+		if n := w.Started() - before; n > 12 || w.ExpiredLeases() > 0 {
+			t.Errorf("%d starts of 12 tasks, %d leases ended", n, w.ExpiredLeases())
 		}
 	})
 }
@@ -138,36 +138,36 @@
 // for longer than its lease of the leadership lasts, and sends them on at once:
 // the next leader answers them all before their leases end.
 func TestANodeKeepsOnlyItsWorkers(t *testing.T) {
-	for name, which := range map[string]func(w *fake.World) int{
-		"the leader":     func(w *fake.World) int { return w.Leader() },
-		"another":        func(w *fake.World) int { return (w.Leader() + 1) % 3 },
+	for name, which := range map[string]func(w *fake.Cluster) int{
+		"the leader":     func(w *fake.Cluster) int { return w.Leader() },
+		"another":        func(w *fake.Cluster) int { return (w.Leader() + 1) % 3 },
 		"all but one":    nil,
 		"one by another": nil,
 	} {
 		t.Run(name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 12, Capacity: 12}, func(t *testing.T, w *fake.World) {
+			story(t, fake.Options{Machines: 12, Capacity: 12}, func(t *testing.T, w *fake.Cluster) {
 				busy(t, w, 12)
 				switch name {
 				case "all but one":
 					l := w.Leader()
-					w.KeepOnlyWorkers(l, true)
-					w.KeepOnlyWorkers((l+1)%3, true)
+					w.IsolateToWorkers(l, true)
+					w.IsolateToWorkers((l+1)%3, true)
 				case "one by another":
 					for i := range 3 {
-						w.KeepOnlyWorkers(i, true)
+						w.IsolateToWorkers(i, true)
 						time.Sleep(15 * time.Second)
-						w.KeepOnlyWorkers(i, false)
+						w.IsolateToWorkers(i, false)
 					}
 				default:
-					w.KeepOnlyWorkers(which(w), true)
+					w.IsolateToWorkers(which(w), true)
 				}
 				at := time.Now()
 				time.Sleep(20 * time.Second)
-				if n := w.Unanswered(at); n > 0 || w.Expired() > 0 {
-					t.Errorf("%d workers have no answer, %d leases ended", n, w.Expired())
+				if n := w.Unanswered(at); n > 0 || w.ExpiredLeases() > 0 {
+					t.Errorf("%d workers have no answer, %d leases ended", n, w.ExpiredLeases())
 				}
 				for i := range 3 {
-					w.KeepOnlyWorkers(i, false)
+					w.IsolateToWorkers(i, false)
 				}
 				mustSubmit(t, w, job(1, nil))
 				mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
@@ -179,28 +179,28 @@
 // Nodes are back within a fraction of a second, one after another and at once,
 // and so in the middle of the elections that this brings about.
 func TestNodesAreBackWithinAFractionOfASecond(t *testing.T) {
-	story(t, fake.Options{Machines: 8, Capacity: 8}, func(t *testing.T, w *fake.World) {
+	story(t, fake.Options{Machines: 8, Capacity: 8}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 8)
 		for round, after := range []time.Duration{0, 50, 150, 300, 600, 900} {
 			if l := w.Leader(); l >= 0 {
-				w.Bounce(l, after*time.Millisecond)
+				w.PowerCycleNode(l, after*time.Millisecond)
 			}
 			time.Sleep(after * time.Millisecond)
 			for i := range 3 {
-				w.Bounce((round+i)%3, after*time.Millisecond/2)
+				w.PowerCycleNode((round+i)%3, after*time.Millisecond/2)
 			}
 			for _, m := range w.Cloud.Machines() {
-				w.Hang(m, true)
+				w.HangMachine(m, true)
 			}
 			time.Sleep(300 * time.Millisecond)
 			for _, m := range w.Cloud.Machines() {
-				w.Hang(m, false)
+				w.HangMachine(m, false)
 			}
 			id := job(1+round, nil).ID
 			mustSubmit(t, w, job(1+round, nil))
 			mustReach(t, w, id, wire.JobDone, time.Minute)
 		}
-		if n := w.Expired(); n > 0 {
+		if n := w.ExpiredLeases(); n > 0 {
 			t.Errorf("%d leases ended", n)
 		}
 	})
