--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -25,7 +25,7 @@
 // meetings plays a story for a few seeds, or for as many as STORY_SEEDS says, and says
 // how often its troubles met. Where both sides of a race must win now and then, it goes
 // on until they have: in a single seed chance alone leaves one of them out.
-func meetings(t *testing.T, seeds uint64, o fake.Options, play func(t *testing.T, w *fake.World, rnd *rand.Rand) int, both ...func() bool) {
+func meetings(t *testing.T, seeds uint64, o fake.Options, play func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int, both ...func() bool) {
 	t.Helper()
 	if n, many := manySeeds(); many {
 		seeds = n
@@ -38,7 +38,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			o := o
 			o.Seed = seed
-			story(t, o, func(t *testing.T, w *fake.World) {
+			story(t, o, func(t *testing.T, w *fake.Cluster) {
 				met := play(t, w, rand.New(rand.NewPCG(seed, 29)))
 				if met == 0 {
 					t.Error("the troubles missed one another")
@@ -61,11 +61,11 @@
 
 // when waits for what will be so at any moment, and says whether it was.
 func when(within time.Duration, ok func() bool) bool {
-	return scenario.Until(within, time.Millisecond, ok)
+	return scenario.Eventually(within, time.Millisecond, ok)
 }
 
-func exists(w *fake.World, key string) bool {
-	return w.State.Value(key) != nil
+func exists(w *fake.Cluster, key string) bool {
+	return w.Store.Value(key) != nil
 }
 
 // Users look at all nodes within milliseconds, and submit once more, just after
@@ -73,10 +73,10 @@
 // service and asks the others, and nodes stand still for a moment again and again. No
 // answer is older than one that the user had before asking.
 func TestAllNodesAreAskedAtOnce(t *testing.T) {
-	meetings(t, 3, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) int {
-		w.State.Slow(time.Duration(rnd.IntN(40)) * time.Millisecond)
+	meetings(t, 3, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
+		w.Store.SetLatency(time.Duration(rnd.IntN(40)) * time.Millisecond)
 		refused := rnd.IntN(3)
-		w.State.Refuse(w.Nodes()[refused], true)
+		w.Store.Refuse(w.Nodes()[refused], true)
 		time.Sleep(6 * time.Second) // it may have led
 		over := make(chan struct{})
 		var stands, wg sync.WaitGroup
@@ -87,14 +87,14 @@
 					return
 				case <-time.After(300 * time.Millisecond):
 				}
-				w.Stop((refused+1+i%2)%3, true)
+				w.PauseNode((refused+1+i%2)%3, true)
 				time.Sleep(time.Duration(100+100*(i%4)) * time.Millisecond)
-				w.Stop((refused+1+i%2)%3, false)
+				w.PauseNode((refused+1+i%2)%3, false)
 			}
 		})
 		var byWay, looks atomic.Int64
 		look := func(id string) {
-			told := w.CloseLooks(id, 2)
+			told := w.QueryConcurrently(id, 2)
 			byWay.Add(int64(told[refused]))
 			for _, n := range told {
 				looks.Add(int64(n))
@@ -114,11 +114,11 @@
 				if cancels <= 1 {
 					time.Sleep(time.Duration(cancels) * wait)
 					for range 30 {
-						if w.CancelAt(w.Bind(at), j.ID) != "" {
+						if w.CancelAt(w.NodeAddr(at), j.ID) != "" {
 							break
 						}
 					}
-				} else if !scenario.Until(time.Minute, 50*time.Millisecond, func() bool { return w.Poll(w.Bind(at), j.ID) == wire.JobDone }) {
+				} else if !scenario.Eventually(time.Minute, 50*time.Millisecond, func() bool { return w.PollState(w.NodeAddr(at), j.ID) == wire.JobDone }) {
 					t.Errorf("%s is not done", j.ID)
 				}
 				look(j.ID)
@@ -127,7 +127,7 @@
 		wg.Wait()
 		close(over)
 		stands.Wait()
-		w.State.Refuse(w.Nodes()[refused], false)
+		w.Store.Refuse(w.Nodes()[refused], false)
 		if looks.Load() < 100 {
 			t.Errorf("%d answers in all", looks.Load())
 		}
@@ -139,14 +139,14 @@
 // read it, and act on it, before its sender knows. Whatever the sender says then is
 // not older than what they have said.
 func TestOthersReadWhatItsSenderDoesNotKnow(t *testing.T) {
-	lose := func(w *fake.World, rnd *rand.Rand, key string) bool {
-		w.State.LoseAnswers(0, 1, rnd.Uint64())
+	lose := func(w *fake.Cluster, rnd *rand.Rand, key string) bool {
+		w.Store.DropReplies(0, 1, rnd.Uint64())
 		met := when(5*time.Second, func() bool { return exists(w, key) })
-		w.State.LoseAnswers(0, 0, 0)
+		w.Store.DropReplies(0, 0, 0)
 		return met
 	}
 	t.Run("a submission", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
+		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
 				j, a := quick(n+1), rnd.IntN(3)
 				b := (a + 1 + rnd.IntN(2)) % 3
@@ -154,18 +154,18 @@
 				var wg sync.WaitGroup
 				var status int
 				var state string
-				wg.Go(func() { status, state = w.SubmitAt(a, j); knows.Store(true) })
+				wg.Go(func() { status, state = w.SubmitTo(a, j); knows.Store(true) })
 				if !lose(w, rnd, jobstore.JobKey(j.ID)) {
 					t.Errorf("%s is not in the store", j.ID)
 				}
-				read := w.Poll(w.Bind(b), j.ID) != "" && !knows.Load()
+				read := w.PollState(w.NodeAddr(b), j.ID) != "" && !knows.Load()
 				want := ""
 				if rnd.IntN(2) == 0 {
 					time.Sleep(time.Duration(rnd.IntN(1500)) * time.Millisecond)
-					want = w.CancelAt(w.Bind(b), j.ID)
+					want = w.CancelAt(w.NodeAddr(b), j.ID)
 					read = read && want != "" && !knows.Load()
 				}
-				w.CloseLooks(j.ID, 1)
+				w.QueryConcurrently(j.ID, 1)
 				wg.Wait()
 				if read {
 					met++
@@ -173,13 +173,13 @@
 				if status != http.StatusOK || read && want != "" && state != want {
 					t.Errorf("%s: the sender says %d, %q, others %q", j.ID, status, state, want)
 				}
-				w.CloseLooks(j.ID, 1)
+				w.QueryConcurrently(j.ID, 1)
 			}
 			return met
 		})
 	})
 	t.Run("a cancellation", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
+		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
 				j, a := job(n+1, func(j *wire.Job) { j.Tasks, j.EstimateS = 1, 60 }), rnd.IntN(3)
 				mustSubmit(t, w, j)
@@ -187,43 +187,43 @@
 				var knows atomic.Bool
 				var wg sync.WaitGroup
 				var state string
-				wg.Go(func() { state = w.CancelAt(w.Bind(a), j.ID); knows.Store(true) })
+				wg.Go(func() { state = w.CancelAt(w.NodeAddr(a), j.ID); knows.Store(true) })
 				if !lose(w, rnd, jobstore.FinalKey(j.ID)) {
 					t.Errorf("%s is not cancelled in the store", j.ID)
 				}
-				if w.Poll(w.Bind((a+1)%3), j.ID) == wire.JobCancelled && !knows.Load() {
+				if w.PollState(w.NodeAddr((a+1)%3), j.ID) == wire.JobCancelled && !knows.Load() {
 					met++
 				}
-				w.CloseLooks(j.ID, 1)
+				w.QueryConcurrently(j.ID, 1)
 				wg.Wait()
 				if state != wire.JobCancelled {
 					t.Errorf("%s: the sender says %q", j.ID, state)
 				}
-				w.CloseLooks(j.ID, 1)
+				w.QueryConcurrently(j.ID, 1)
 			}
 			return met
 		})
 	})
 	t.Run("an end", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
+		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
 				j := quick(n + 1)
 				mustSubmit(t, w, j)
-				if !when(time.Minute, func() bool { return w.Finished(j.ID) == 1 }) {
+				if !when(time.Minute, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
 					t.Fatalf("%s does not run", j.ID)
 				}
 				started := w.Started()
 				if !lose(w, rnd, jobstore.FinalKey(j.ID)) {
 					t.Errorf("%s is not over in the store", j.ID)
 				}
-				if sent, _ := w.State.Unanswered(); sent > met {
+				if sent, _ := w.Store.UnansweredTransactions(); sent > met {
 					met++
 				}
 				// Its leader has no answer for 2 s.
-				if got := w.CancelAt(w.Bind(rnd.IntN(3)), j.ID); got != wire.JobDone {
+				if got := w.CancelAt(w.NodeAddr(rnd.IntN(3)), j.ID); got != wire.JobDone {
 					t.Errorf("cancelling %s, which is done, is answered %q", j.ID, got)
 				}
-				w.CloseLooks(j.ID, 2)
+				w.QueryConcurrently(j.ID, 2)
 				time.Sleep(10 * time.Second)
 				if n := w.Started() - started; n > 0 {
 					t.Errorf("%d tasks of %s started again", n, j.ID)
@@ -233,25 +233,25 @@
 		})
 	})
 	t.Run("a placement", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
+		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
 				j := job(n+1, func(j *wire.Job) { j.Tasks, j.EstimateS = 1, 60 })
-				had, _ := w.State.Unanswered()
+				had, _ := w.Store.UnansweredTransactions()
 				mustSubmit(t, w, j)
-				w.State.LoseAnswers(0, 1, rnd.Uint64())
-				when(5*time.Second, func() bool { sent, _ := w.State.Unanswered(); return sent > had })
-				w.State.LoseAnswers(0, 0, 0)
+				w.Store.DropReplies(0, 1, rnd.Uint64())
+				when(5*time.Second, func() bool { sent, _ := w.Store.UnansweredTransactions(); return sent > had })
+				w.Store.DropReplies(0, 0, 0)
 				started := w.Started()
-				if got := w.CancelAt(w.Bind(rnd.IntN(3)), j.ID); got != wire.JobCancelled {
+				if got := w.CancelAt(w.NodeAddr(rnd.IntN(3)), j.ID); got != wire.JobCancelled {
 					t.Errorf("cancelling %s is answered %q", j.ID, got)
 				}
 				// The placement is in the store, and the leader does not know it.
-				if sent, done := w.State.Unanswered(); sent > had && done == sent && len(w.State.Keys(strings.TrimSuffix(jobstore.PageKey(0), "0"))) > 0 {
+				if sent, done := w.Store.UnansweredTransactions(); sent > had && done == sent && len(w.Store.Keys(strings.TrimSuffix(jobstore.PageKey(0), "0"))) > 0 {
 					met++
 				}
-				w.CloseLooks(j.ID, 1)
+				w.QueryConcurrently(j.ID, 1)
 				time.Sleep(8 * time.Second)
-				if n := w.Started() - started; n > 0 || len(w.On(j.ID+"/0")) > 0 {
+				if n := w.Started() - started; n > 0 || len(w.MachinesRunning(j.ID+"/0")) > 0 {
 					t.Errorf("%s, which is cancelled, was started %d times", j.ID, n)
 				}
 			}
@@ -265,38 +265,38 @@
 func TestWhatHasNoAnswerWasNotCarriedOut(t *testing.T) {
 	t.Run("a cancellation", func(t *testing.T) {
 		ends := map[string]int{}
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
+		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
 				j, a := quick(n+1), rnd.IntN(3)
 				if n%3 == 2 {
 					j.EstimateS = 60
 				}
 				mustSubmit(t, w, j)
-				if !when(time.Minute, func() bool { return len(w.On(j.ID+"/0")) > 0 }) {
+				if !when(time.Minute, func() bool { return len(w.MachinesRunning(j.ID+"/0")) > 0 }) {
 					t.Fatalf("%s does not run", j.ID)
 				}
 				time.Sleep(within(rnd, 500*time.Millisecond, 1500*time.Millisecond))
-				come := w.State.KeepNextOf(jobstore.FinalKey(j.ID))
+				come := w.Store.HoldNextTransactionOn(jobstore.FinalKey(j.ID))
 				defer come()
 				var knows atomic.Bool
 				var wg sync.WaitGroup
 				var state string
-				wg.Go(func() { state = w.CancelAt(w.Bind(a), j.ID); knows.Store(true) })
-				onItsWay := when(time.Second, func() bool { return w.State.Waiting() > 0 })
+				wg.Go(func() { state = w.CancelAt(w.NodeAddr(a), j.ID); knows.Store(true) })
+				onItsWay := when(time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
 				// Its sender asks the store again after 2 s: by then the job may have ended.
 				ended := when(10*time.Second, func() bool { return knows.Load() || exists(w, jobstore.FinalKey(j.ID)) })
 				if onItsWay && ended && !knows.Load() {
 					met++
 				}
 				wg.Wait()
-				if want := w.Poll(w.Any(), j.ID); state != want {
+				if want := w.PollState(w.AnyNodeAddr(), j.ID); state != want {
 					t.Errorf("%s: the sender says %q, and it is %q", j.ID, state, want)
 				}
 				ends[state]++
-				w.CloseLooks(j.ID, 1)
+				w.QueryConcurrently(j.ID, 1)
 				come()
 				time.Sleep(time.Second)
-				w.CloseLooks(j.ID, 1)
+				w.QueryConcurrently(j.ID, 1)
 			}
 			return met
 		}, bothWon(ends))
@@ -306,16 +306,16 @@
 		t.Log("ends:", ends)
 	})
 	t.Run("an end", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
+		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
 				j, cancels := quick(n+1), rnd.IntN(2) == 0
-				come := w.State.KeepNextOf(jobstore.FinalKey(j.ID))
+				come := w.Store.HoldNextTransactionOn(jobstore.FinalKey(j.ID))
 				defer come()
 				mustSubmit(t, w, j)
-				if !when(time.Minute, func() bool { return w.State.Waiting() > 0 }) {
+				if !when(time.Minute, func() bool { return w.Store.PendingTransactions() > 0 }) {
 					t.Fatalf("no end of %s is on its way", j.ID)
 				}
-				if w.Finished(j.ID) == 1 && !exists(w, jobstore.FinalKey(j.ID)) {
+				if w.FinishedTasks(j.ID) == 1 && !exists(w, jobstore.FinalKey(j.ID)) {
 					met++
 				}
 				want := wire.JobDone
@@ -326,31 +326,31 @@
 				if !when(10*time.Second, func() bool { return exists(w, jobstore.FinalKey(j.ID)) }) {
 					t.Errorf("%s, which is done, is not recorded as such", j.ID)
 				}
-				w.CloseLooks(j.ID, 1)
+				w.QueryConcurrently(j.ID, 1)
 				come()
 				time.Sleep(within(rnd, 0, time.Second))
-				if got := w.Poll(w.Any(), j.ID); got != want {
+				if got := w.PollState(w.AnyNodeAddr(), j.ID); got != want {
 					t.Errorf("%s is %q, and was %q", j.ID, got, want)
 				}
 			}
-			if !scenario.Until(10*time.Second, 100*time.Millisecond, func() bool { return len(w.State.JobKeys()) == 0 }) {
-				t.Errorf("left of jobs that are over: %v", w.State.JobKeys())
+			if !scenario.Eventually(10*time.Second, 100*time.Millisecond, func() bool { return len(w.Store.JobKeys()) == 0 }) {
+				t.Errorf("left of jobs that are over: %v", w.Store.JobKeys())
 			}
 			return met
 		})
 	})
 	t.Run("a placement", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
+		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 4 {
 				j := job(n+1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 20, 0.1 })
-				come := w.State.KeepNextOf(pageKeys)
+				come := w.Store.HoldNextTransactionOn(pageKeys)
 				defer come()
 				started := w.Started()
 				mustSubmit(t, w, j)
-				if !when(20*time.Second, func() bool { return len(w.On(j.ID+"/0")) > 0 }) {
+				if !when(20*time.Second, func() bool { return len(w.MachinesRunning(j.ID+"/0")) > 0 }) {
 					t.Fatalf("%s does not run", j.ID)
 				}
-				if w.State.Waiting() > 0 {
+				if w.Store.PendingTransactions() > 0 {
 					met++
 				}
 				// Whoever leads next knows of it what the store says.
@@ -369,26 +369,26 @@
 		})
 	})
 	t.Run("a placement of a job that is cancelled meanwhile", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
+		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			time.Sleep(3 * time.Second)
 			for n := range 8 {
 				j := job(n+1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 60, 0.1 })
-				come := w.State.KeepNextOf(pageKeys)
+				come := w.Store.HoldNextTransactionOn(pageKeys)
 				defer come()
 				mustSubmit(t, w, j)
 				// Its leader hears of nothing but by the barriers of its renewals.
 				node := w.Nodes()[mustLead(t, w, 10*time.Second, anyNode)]
-				w.State.HushWatches(node, true)
-				onItsWay := when(10*time.Second, func() bool { return w.State.Waiting() > 0 })
+				w.Store.SilenceWatches(node, true)
+				onItsWay := when(10*time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
 				started := w.Started()
-				got := w.CancelAt(w.Any(), j.ID)
-				if onItsWay && got == wire.JobCancelled && w.State.Waiting() > 0 {
+				got := w.CancelAt(w.AnyNodeAddr(), j.ID)
+				if onItsWay && got == wire.JobCancelled && w.Store.PendingTransactions() > 0 {
 					met++
 				}
 				come()
 				time.Sleep(within(rnd, 4*time.Second, 6*time.Second))
-				w.State.HushWatches(node, false)
-				if n := w.Started() - started; n > 0 || len(w.On(j.ID+"/0")) > 0 {
+				w.Store.SilenceWatches(node, false)
+				if n := w.Started() - started; n > 0 || len(w.MachinesRunning(j.ID+"/0")) > 0 {
 					t.Errorf("%s, which is cancelled, was started %d times", j.ID, n)
 				}
 			}
@@ -407,34 +407,34 @@
 
 func endOfTheLastTaskOfOneJob(t *testing.T) {
 	ends := map[string]int{}
-	meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
-		w.State.Slow(time.Duration(rnd.IntN(40)) * time.Millisecond)
+	meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		w.Store.SetLatency(time.Duration(rnd.IntN(40)) * time.Millisecond)
 		for n := range 24 {
 			j := quick(n + 1)
 			mustSubmit(t, w, j)
-			if !when(time.Minute, func() bool { return w.Finished(j.ID) == 1 }) {
+			if !when(time.Minute, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
 				t.Fatalf("%s does not run", j.ID)
 			}
 			time.Sleep(time.Duration(rnd.IntN(300)) * time.Millisecond)
-			between := w.Finished(j.ID) == 1 && !exists(w, jobstore.FinalKey(j.ID))
+			between := w.FinishedTasks(j.ID) == 1 && !exists(w, jobstore.FinalKey(j.ID))
 			var looks sync.WaitGroup
-			looks.Go(func() { w.CloseLooks(j.ID, 3) })
+			looks.Go(func() { w.QueryConcurrently(j.ID, 3) })
 			got := ""
 			for try := 0; got == "" && try < 20; try++ {
-				got = w.CancelAt(w.Bind(rnd.IntN(3)), j.ID)
+				got = w.CancelAt(w.NodeAddr(rnd.IntN(3)), j.ID)
 			}
 			if between {
 				met++
 				ends[got]++
 			}
 			looks.Wait()
-			w.CloseLooks(j.ID, 1)
+			w.QueryConcurrently(j.ID, 1)
 		}
 		time.Sleep(3 * time.Second)
 		for n := range 24 {
-			w.CloseLooks(quick(n+1).ID, 1)
+			w.QueryConcurrently(quick(n+1).ID, 1)
 		}
-		if keys := w.State.JobKeys(); len(keys) > 0 {
+		if keys := w.Store.JobKeys(); len(keys) > 0 {
 			t.Errorf("left of jobs that are over: %v", keys)
 		}
 		return met
@@ -446,12 +446,12 @@
 }
 
 // pageOf is the key of the intake page on which a job stands; empty: it is on none.
-func pageOf(w *fake.World, id string) string {
-	for _, key := range w.State.Keys(jobstore.Jobs) {
+func pageOf(w *fake.Cluster, id string) string {
+	for _, key := range w.Store.Keys(jobstore.Jobs) {
 		if !jobstore.IsIntake(key) {
 			continue
 		}
-		page, err := jobstore.DecodeIntake(w.State.Value(key))
+		page, err := jobstore.DecodeIntake(w.Store.Value(key))
 		if err == nil && slices.ContainsFunc(page.Jobs, func(e jobstore.IntakeEntry) bool { return e.ID == id }) {
 			return key
 		}
@@ -460,21 +460,21 @@
 }
 
 // headOpen says whether the head of a page's bucket is open.
-func headOpen(w *fake.World, page string) bool {
+func headOpen(w *fake.Cluster, page string) bool {
 	bucket, _, ok := jobstore.ParseIntakeKey(page)
-	head, err := jobstore.DecodeIntake(w.State.Value(jobstore.HeadKey(bucket)))
+	head, err := jobstore.DecodeIntake(w.Store.Value(jobstore.HeadKey(bucket)))
 	return ok && err == nil && !head.Closed
 }
 
 // crowd submits so many jobs at once at one node that the heads of the intake open,
 // and those that come once they are share their pages.
-func crowd(t *testing.T, w *fake.World, node int, jobs []wire.Job) {
+func crowd(t *testing.T, w *fake.Cluster, node int, jobs []wire.Job) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for _, j := range jobs {
 		wg.Go(func() {
 			for try := 0; try < 20; try++ {
-				if status, _ := w.SubmitAt(node, j); status == http.StatusOK || status == http.StatusCreated {
+				if status, _ := w.SubmitTo(node, j); status == http.StatusOK || status == http.StatusCreated {
 					return
 				}
 				time.Sleep(200 * time.Millisecond)
@@ -489,8 +489,8 @@
 // submissions change all the time, each on condition that nobody else has.
 func endsOfLastTasksOnPages(t *testing.T) {
 	ends := map[string]int{}
-	meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
-		w.State.Slow(time.Duration(5+rnd.IntN(40)) * time.Millisecond)
+	meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		w.Store.SetLatency(time.Duration(5+rnd.IntN(40)) * time.Millisecond)
 		const first, round, rounds = 30, 16, 4
 		n, alone := 0, 0
 		var mu sync.Mutex
@@ -506,7 +506,7 @@
 			for _, j := range jobs {
 				at, after := rnd.IntN(3), time.Duration(rnd.IntN(900))*time.Millisecond
 				wg.Go(func() {
-					if !scenario.Until(time.Minute, 5*time.Millisecond, func() bool { return w.Finished(j.ID) == 1 }) {
+					if !scenario.Eventually(time.Minute, 5*time.Millisecond, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
 						t.Errorf("%s does not run", j.ID)
 						return
 					}
@@ -514,13 +514,13 @@
 					page := pageOf(w, j.ID)
 					between := page != "" && !exists(w, jobstore.FinalKey(j.ID))
 					var looks sync.WaitGroup
-					looks.Go(func() { w.CloseLooks(j.ID, 2) })
+					looks.Go(func() { w.QueryConcurrently(j.ID, 2) })
 					got := ""
 					for try := 0; got == "" && try < 20; try++ {
-						got = w.CancelAt(w.Bind(at), j.ID)
+						got = w.CancelAt(w.NodeAddr(at), j.ID)
 					}
 					looks.Wait()
-					w.CloseLooks(j.ID, 1)
+					w.QueryConcurrently(j.ID, 1)
 					mu.Lock()
 					defer mu.Unlock()
 					if between {
@@ -535,9 +535,9 @@
 		}
 		time.Sleep(3 * time.Second)
 		for i := range n {
-			w.CloseLooks(quick(i+1).ID, 1)
+			w.QueryConcurrently(quick(i+1).ID, 1)
 		}
-		if keys := w.State.JobKeys(); len(keys) > 0 {
+		if keys := w.Store.JobKeys(); len(keys) > 0 {
 			t.Errorf("left of jobs that are over: %v", keys)
 		}
 		t.Logf("%d of %d met on a page, %d were on none or over", met, n, alone)
@@ -554,13 +554,13 @@
 // after all nodes have begun anew: each is answered as it must be, or not for good.
 func TestOddRequestsMeetTroubles(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 20}, {Name: "edge"}}
-	meetings(t, 3, fake.Options{Machines: 4, Capacity: 4, Teams: teams}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
+	meetings(t, 3, fake.Options{Machines: 4, Capacity: 4, Teams: teams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 		for n := range 6 {
 			mustSubmit(t, w, quick(n+1), job(100+n, func(j *wire.Job) { j.Team, j.Kind, j.EstimateS = "edge", wire.KindService, 0 }))
 		}
 		mustFinish(t, w, time.Minute, 1, 2, 3, 4, 5, 6)
 		odd := func(when string, least int) {
-			all := w.OddRequests(20)
+			all := w.SendUnusualRequests(20)
 			t.Log(when, all)
 			if all.Known < least || all.Refused < least || all.Unknown < least {
 				t.Errorf("%s: only %+v were answered", when, all)
@@ -584,8 +584,8 @@
 			}
 		})
 		time.Sleep(300 * time.Millisecond)
-		if !slices.ContainsFunc(w.State.Keys(jobstore.HeadKey(0)[:len(jobstore.HeadKey(0))-1]), func(key string) bool {
-			head, err := jobstore.DecodeIntake(w.State.Value(key))
+		if !slices.ContainsFunc(w.Store.Keys(jobstore.HeadKey(0)[:len(jobstore.HeadKey(0))-1]), func(key string) bool {
+			head, err := jobstore.DecodeIntake(w.Store.Value(key))
 			return jobstore.IsHead(key) && err == nil && !head.Closed
 		}) {
 			t.Error("no head is open: there is no crowd")
@@ -594,15 +594,15 @@
 		close(over)
 		calm.Wait()
 		refused := rnd.IntN(3)
-		w.State.Refuse(w.Nodes()[refused], true)
+		w.Store.Refuse(w.Nodes()[refused], true)
 		time.Sleep(time.Duration(rnd.IntN(2000)) * time.Millisecond)
 		odd("one node is refused", 3)
-		w.State.Refuse(w.Nodes()[refused], false)
-		w.State.SetOutage(true)
+		w.Store.Refuse(w.Nodes()[refused], false)
+		w.Store.SetOutage(true)
 		time.Sleep(time.Duration(rnd.IntN(2000)) * time.Millisecond)
 		odd("an outage", 0)
 		w.KillAll()
-		w.State.SetOutage(false)
+		w.Store.SetOutage(false)
 		w.Cloud.SetOutage(true)
 		w.StartAll()
 		time.Sleep(time.Duration(300+rnd.IntN(3000)) * time.Millisecond)
@@ -618,17 +618,17 @@
 // nodes know nothing of the job and say so at once. It is carried out late, beside its
 // user's next submission or instead of it, and once.
 func TestAnAcceptanceIsNeverConfirmed(t *testing.T) {
-	meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.World, rnd *rand.Rand) (met int) {
+	meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 		for n := range 6 {
 			j, a := quick(n+1), rnd.IntN(3)
-			w.State.LateNext(time.Duration(3000+rnd.IntN(9000)) * time.Millisecond)
+			w.Store.DelayNextTransaction(time.Duration(3000+rnd.IntN(9000)) * time.Millisecond)
 			var wg sync.WaitGroup
 			var status int
 			kills := rnd.IntN(2) == 0
-			wg.Go(func() { status, _ = w.SubmitAt(a, j) })
+			wg.Go(func() { status, _ = w.SubmitTo(a, j) })
 			time.Sleep(time.Duration(20+rnd.IntN(1500)) * time.Millisecond)
 			for b := range 3 {
-				if w.Look(b, j.ID) == http.StatusNotFound && !exists(w, jobstore.JobKey(j.ID)) {
+				if w.QueryStatus(b, j.ID) == http.StatusNotFound && !exists(w, jobstore.JobKey(j.ID)) {
 					met++
 				} else {
 					t.Errorf("%s is known, or not told to be unknown, at node %d", j.ID, b)
@@ -647,7 +647,7 @@
 			if again {
 				mustReach(t, w, j.ID, wire.JobDone, time.Minute)
 			}
-			w.CloseLooks(j.ID, 1)
+			w.QueryConcurrently(j.ID, 1)
 		}
 		return met
 	})
@@ -672,12 +672,12 @@
 	if heads {
 		machines = 12 // so that the crowds have room as well
 	}
-	meetings(t, 2, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.World, rnd *rand.Rand) int {
+	meetings(t, 2, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		rnd = rand.New(rand.NewPCG(rnd.Uint64(), uint64(way)))
 		jobs := 16
 		if heads {
 			jobs = 32
-			w.State.Slow(20 * time.Millisecond)
+			w.Store.SetLatency(20 * time.Millisecond)
 			var opens []wire.Job
 			for n := range 48 {
 				opens = append(opens, quick(200+n))
@@ -735,7 +735,7 @@
 		if leader < 0 {
 			t.Fatal("nobody leads")
 		}
-		before := w.State.Versions("ctl/leader")["ctl/leader"]
+		before := w.Store.Versions("ctl/leader")["ctl/leader"]
 		var mu sync.Mutex
 		var between, late, onPages int
 		var began atomic.Bool
@@ -751,11 +751,11 @@
 			}
 			wg.Go(func() {
 				time.Sleep(after)
-				sent := w.State.Versions("ctl/leader")["ctl/leader"]
+				sent := w.Store.Versions("ctl/leader")["ctl/leader"]
 				page := pageOf(w, id)
 				open := page != "" && headOpen(w, page)
 				got := w.Cancel(id)
-				now := w.State.Versions("ctl/leader")["ctl/leader"]
+				now := w.Store.Versions("ctl/leader")["ctl/leader"]
 				mu.Lock()
 				defer mu.Unlock()
 				final[id] = got
@@ -777,15 +777,15 @@
 		case 0:
 			w.KillNode(leader)
 		case 1:
-			w.Stop(leader, true)
+			w.PauseNode(leader, true)
 		case 2:
-			w.State.Refuse(w.Nodes()[leader], true)
+			w.Store.Refuse(w.Nodes()[leader], true)
 		case 3:
-			w.KeepOnlyWorkers(leader, true)
+			w.IsolateToWorkers(leader, true)
 		}
 		wg.Wait()
-		changed := scenario.Until(30*time.Second, 100*time.Millisecond, func() bool {
-			v := w.State.Versions("ctl/leader")["ctl/leader"]
+		changed := scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool {
+			v := w.Store.Versions("ctl/leader")["ctl/leader"]
 			return v != 0 && v != before
 		})
 		close(over)
@@ -793,11 +793,11 @@
 		case 0:
 			w.StartNode(leader)
 		case 1:
-			w.Stop(leader, false)
+			w.PauseNode(leader, false)
 		case 2:
-			w.State.Refuse(w.Nodes()[leader], false)
+			w.Store.Refuse(w.Nodes()[leader], false)
 		case 3:
-			w.KeepOnlyWorkers(leader, false)
+			w.IsolateToWorkers(leader, false)
 		}
 		coming.Wait()
 		time.Sleep(45 * time.Second) // the world watches for tasks past cancel_s
@@ -808,14 +808,14 @@
 			j := spec(n + 1)
 			if got := final[j.ID]; got != "" {
 				for i := range j.Tasks {
-					if on := w.On(wire.TaskName(j.ID, i)); len(on) > 0 {
+					if on := w.MachinesRunning(wire.TaskName(j.ID, i)); len(on) > 0 {
 						t.Errorf("%s/%d, of a job that is %s, is on %v", j.ID, i, got, on)
 					}
 				}
 			} else if j.Kind == wire.KindArray {
 				mustReach(t, w, j.ID, wire.JobDone, 2*time.Minute)
 			}
-			w.CloseLooks(j.ID, 1)
+			w.QueryConcurrently(j.ID, 1)
 		}
 		t.Log("between", between, "of them on pages with open heads", onPages, "after", late, "of", len(final), "while", come, "came")
 		switch {
@@ -847,7 +847,7 @@
 	if scenario.UnderRace {
 		during = 30 * time.Second
 	}
-	meetings(t, 2, fake.Options{Machines: 10, Capacity: 10, StateRPS: 120, StateWPS: changes}, func(t *testing.T, w *fake.World, rnd *rand.Rand) int {
+	meetings(t, 2, fake.Options{Machines: 10, Capacity: 10, StateRPS: 120, StateWPS: changes}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		var slowestAccept, slowestCancel, slowestEnd time.Duration
@@ -879,19 +879,19 @@
 					mu.Unlock()
 					return
 				}
-				if !when(time.Minute, func() bool { return w.Finished(j.ID) == 1 }) {
+				if !when(time.Minute, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
 					t.Errorf("%s does not run", j.ID)
 					return
 				}
 				at = time.Now()
-				if !scenario.Until(time.Minute, 100*time.Millisecond, func() bool { return exists(w, jobstore.FinalKey(j.ID)) }) {
+				if !scenario.Eventually(time.Minute, 100*time.Millisecond, func() bool { return exists(w, jobstore.FinalKey(j.ID)) }) {
 					t.Errorf("%s is not recorded as done", j.ID)
 				}
 				note(&slowestEnd, at)
-				w.Poll(w.Any(), j.ID)
+				w.PollState(w.AnyNodeAddr(), j.ID)
 			})
 			time.Sleep(250 * time.Millisecond)
-			most = max(most, len(w.State.JobKeys()))
+			most = max(most, len(w.Store.JobKeys()))
 		}
 		wg.Wait()
 		t.Logf("%d jobs, %d cancelled, slowest: accepted %v, cancelled %v, done %v; at most %d keys of unfinished jobs", n, cancelled, slowestAccept, slowestCancel, slowestEnd, most)
@@ -902,10 +902,10 @@
 			t.Errorf("%d keys of unfinished jobs at once", most)
 		}
 		time.Sleep(10 * time.Second)
-		if left := w.State.JobKeys(); len(left) > 0 {
+		if left := w.Store.JobKeys(); len(left) > 0 {
 			t.Errorf("left of jobs that are over: %v", left)
 		}
-		if got := len(w.State.Keys(jobstore.FinalKey(""))); got != n {
+		if got := len(w.Store.Keys(jobstore.FinalKey(""))); got != n {
 			t.Errorf("%d ends of %d jobs", got, n)
 		}
 		return cancelled
@@ -916,7 +916,7 @@
 // state service takes of changes: cancellations, each of which changes a page under
 // the condition that nobody else has, come through all the same.
 func TestACrowdStarvesNoCancellation(t *testing.T) {
-	meetings(t, 2, fake.Options{Machines: 6, Capacity: 6, StateRPS: 200, StateWPS: 25}, func(t *testing.T, w *fake.World, rnd *rand.Rand) int {
+	meetings(t, 2, fake.Options{Machines: 6, Capacity: 6, StateRPS: 200, StateWPS: 25}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		var slowest time.Duration
@@ -946,7 +946,7 @@
 		}
 		wg.Wait()
 		for k := range n { // each is what it was, or has gone on
-			if status := w.Look(k%3, quick(k+1).ID); status == http.StatusNotFound {
+			if status := w.QueryStatus(k%3, quick(k+1).ID); status == http.StatusNotFound {
 				t.Errorf("%s, which was accepted, is not known", quick(k+1).ID)
 			}
 		}
--- a/internal/cmd/standin/main.go
+++ b/internal/cmd/standin/main.go
@@ -56,7 +56,7 @@
 	if err := f.Close(); err != nil {
 		return err
 	}
-	if err := w.Outside(ctx, "n-0", bind, stateAddr, cloudAddr); err != nil {
+	if err := w.AttachProcess(ctx, "n-0", bind, stateAddr, cloudAddr); err != nil {
 		return err
 	}
 	go w.LearnJobs(ctx)
--- a/internal/cmd/yarntrial/main.go
+++ b/internal/cmd/yarntrial/main.go
@@ -59,7 +59,7 @@
 // trial is what runs.
 type trial struct {
 	cli
-	w     *fake.World
+	w     *fake.Cluster
 	procs [nodes]*exec.Cmd
 	cfg   client.Config
 	ids   sync.Map // of applications
@@ -110,7 +110,7 @@
 		if i == 0 {
 			s, cl = state, cloud
 		}
-		if err := t.w.Outside(ctx, fmt.Sprintf("n-%d", i), t.addr(i, 0), s, cl); err != nil {
+		if err := t.w.AttachProcess(ctx, fmt.Sprintf("n-%d", i), t.addr(i, 0), s, cl); err != nil {
 			return err
 		}
 		t.cfg.Addrs = append(t.cfg.Addrs, t.addr(i, 2))
@@ -286,7 +286,7 @@
 	wg.Wait()
 	time.Sleep(75 * time.Second) // two expiries and a worker's lease
 	var left []string
-	for _, k := range t.w.State.Keys("") {
+	for _, k := range t.w.Store.Keys("") {
 		if strings.HasPrefix(k, "w/j/") || strings.HasPrefix(k, "w/y/application") || strings.HasPrefix(k, "yx/") {
 			left = append(left, k)
 		}
@@ -296,8 +296,8 @@
 	apps := 0
 	t.ids.Range(func(_, _ any) bool { apps++; return true })
 	fmt.Printf("kills %d, masters gone without a word %d, applications %d, containers started %d, run more than once %d, still on machines %d, records left %d, rules broken %d, masters failed %d, heartbeats %v\n",
-		t.Kills, t.gone.Load(), apps, t.w.Started(), t.w.Repeated(), t.w.Running(), len(left), len(t.w.Broken()), failed, &t.beats)
-	if t.w.Repeated()+t.w.Running()+len(left)+len(t.w.Broken())+failed > 0 {
+		t.Kills, t.gone.Load(), apps, t.w.Started(), t.w.RanMoreThanOnce(), t.w.Running(), len(left), len(t.w.Violations()), failed, &t.beats)
+	if t.w.RanMoreThanOnce()+t.w.Running()+len(left)+len(t.w.Violations())+failed > 0 {
 		return errors.New("something is left, ran twice or failed")
 	}
 	return nil
@@ -337,7 +337,7 @@
 	took := time.Since(began).Seconds()
 	running := t.w.Running()
 	fmt.Printf("all running after %.1f s (0: not yet)\n", full.Seconds())
-	fmt.Printf("machines %d, applications %d, containers running %d, allocated %.1f/s, heartbeats %v; native polls %v; workers' leases that ended %d\n", t.Machines, t.Apps, running, float64(t.w.Started()-before)/took, &t.beats, &polls, t.w.Expired())
+	fmt.Printf("machines %d, applications %d, containers running %d, allocated %.1f/s, heartbeats %v; native polls %v; workers' leases that ended %d\n", t.Machines, t.Apps, running, float64(t.w.Started()-before)/took, &t.beats, &polls, t.w.ExpiredLeases())
 	for i, u := range t.used() {
 		fmt.Printf("n-%d: %.3f of a core, %d MB\n", i, (u.cpu-cpu[i].cpu)/took, u.kb/1024)
 	}
--- a/internal/fake/answers.go
+++ b/internal/fake/answers.go
@@ -56,7 +56,7 @@
 
 // ask sends a user's request to a node once, and checks the answer. A body that is
 // a wire.Raw is sent as it is.
-func (w *World) ask(what int, id, addr string, body any, limit time.Duration) (r heard) {
+func (w *Cluster) ask(what int, id, addr string, body any, limit time.Duration) (r heard) {
 	ctx, cancel := context.WithTimeout(w.ctx, limit)
 	defer cancel()
 	method := http.MethodPost
@@ -116,7 +116,7 @@
 
 // hear checks a node's answer against the rules and what the user was told before;
 // the lock is held.
-func (w *World) hear(what int, id string, r heard) {
+func (w *Cluster) hear(what int, id string, r heard) {
 	w.clock++
 	j := w.jobs[id]
 	known := j != nil && j.accepted && j.answers.accepted <= r.sent
@@ -151,7 +151,7 @@
 	if r.status == http.StatusCreated {
 		j.answers.created++
 		again := j.answers.created > 1 || known && j.answers.accepted > 0
-		if again && !w.State.harmed.Load() {
+		if again && !w.Store.harmed.Load() {
 			w.breaksLocked("accepted twice: %s", id)
 		}
 	}
@@ -183,7 +183,7 @@
 }
 
 // misfit says why a job can never run; "" if it can. The lock is held.
-func (w *World) misfit(j *wire.Job) string {
+func (w *Cluster) misfit(j *wire.Job) string {
 	tasks := 1.0
 	if j.Kind != wire.KindArray {
 		tasks = float64(j.Tasks)
@@ -204,20 +204,20 @@
 	return ""
 }
 
-// SubmitAt sends a job to a node once, and returns the status and the state it is told.
-func (w *World) SubmitAt(node int, j wire.Job) (status int, state string) {
+// SubmitTo sends a job to a node once, and returns the status and the state it is told.
+func (w *Cluster) SubmitTo(node int, j wire.Job) (status int, state string) {
 	r := w.submit(w.nodes[node].bind, j)
 	return r.status, r.state
 }
 
-// Look asks a node for a job once, and returns the status.
-func (w *World) Look(node int, id string) int {
+// QueryStatus asks a node for a job once, and returns the status.
+func (w *Cluster) QueryStatus(node int, id string) int {
 	return w.ask(question, id, w.nodes[node].bind, nil, 2*time.Second).status
 }
 
-// CloseLooks asks for a job at all nodes within milliseconds, that often, and
+// QueryConcurrently asks for a job at all nodes within milliseconds, that often, and
 // repeats its submission. It returns how many answers came by way of each node.
-func (w *World) CloseLooks(id string, often int) []int {
+func (w *Cluster) QueryConcurrently(id string, often int) []int {
 	w.mu.Lock()
 	spec := w.jobs[id].spec
 	waits := make([]time.Duration, 2*often*len(w.nodes))
@@ -246,8 +246,8 @@
 	return told
 }
 
-// Odd is how many requests of a kind that users seldom send were answered for good.
-type Odd struct {
+// UnusualRequests is how many requests of a kind that users seldom send were answered for good.
+type UnusualRequests struct {
 	Known   int // repeated submissions, with whatever body, and cancellations of done jobs
 	Refused int // submissions that can't be accepted
 	Unknown int // questions and cancellations of jobs that nobody submitted
@@ -256,10 +256,10 @@
 // oddKinds are what OddRequests draws from.
 const oddKinds = 10
 
-// OddRequests sends each node so many requests that users seldom send: submissions
+// SendUnusualRequests sends each node so many requests that users seldom send: submissions
 // of known jobs again, as they were or damaged, cancellations of jobs that are
 // done, jobs that can't be accepted, and ids that nobody has used.
-func (w *World) OddRequests(each int) (odd Odd) {
+func (w *Cluster) SendUnusualRequests(each int) (odd UnusualRequests) {
 	var known, over []string
 	w.mu.Lock()
 	for id, j := range w.jobs {
@@ -394,7 +394,7 @@
 }
 
 // checkEnds sees to it that how a job ended is written once; the state's lock is held.
-func (s *State) checkEnds(t *txn) {
+func (s *KVStore) checkEnds(t *txn) {
 	for _, op := range t.Then {
 		id, ok := jobstore.ParseFinalKey(op.Put + op.Delete)
 		if _, again := s.keys[op.Put+op.Delete]; ok && again && s.breaks != nil {
--- a/internal/fake/answers_test.go
+++ b/internal/fake/answers_test.go
@@ -42,8 +42,8 @@
 		{"no team", "nobody", []step{accepted}, "accepted"},
 		{"a redirect", "core", []step{accepted, {question, 307, "", false}}, "wk-000001 answered 307"},
 	} {
-		w := &World{Settings: &config.Settings{Cluster: config.Cluster{Teams: []config.Team{{Name: "core"}}}},
-			State: NewState(12), Cloud: &Cloud{types: []wire.MachineType{DefaultType}},
+		w := &Cluster{Settings: &config.Settings{Cluster: config.Cluster{Teams: []config.Team{{Name: "core"}}}},
+			Store: NewKVStore(12), Cloud: &Cloud{types: []wire.MachineType{DefaultType}},
 			jobs: map[string]*job{id: {spec: wire.Job{ID: id, Team: c.team, Kind: wire.KindArray, Tasks: 1, CPUs: 1}, asked: true, done: map[int]bool{0: true}, cancelled: time.Time{}}}}
 		for _, s := range c.steps {
 			r := heard{sent: w.clock, status: s.status, state: s.state}
--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -98,24 +98,24 @@
 	return true
 }
 
-// SlowFetch makes a machine fetch images at a tenth of its type's rate.
-func (w *World) SlowFetch(name string) {
+// SlowImageFetch makes a machine fetch images at a tenth of its type's rate.
+func (w *Cluster) SlowImageFetch(name string) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m.typ.FetchGBPS /= 10
 }
 
-// FetchedMost is on how many machines images were fetched at the same time, at
+// PeakImageFetches is on how many machines images were fetched at the same time, at
 // most so far.
-func (w *World) FetchedMost() int {
+func (w *Cluster) PeakImageFetches() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.fetchedMost
 }
 
-// Cached lists the machines that have an image.
-func (w *World) Cached(image string) []string {
+// MachinesWithImage lists the machines that have an image.
+func (w *Cluster) MachinesWithImage(image string) []string {
 	var out []string
 	for _, name := range w.Cloud.Machines() {
 		m := w.Cloud.machine(name)
--- a/internal/fake/cancellations.go
+++ b/internal/fake/cancellations.go
@@ -19,10 +19,10 @@
 	hangsMost = 8                      // machines
 )
 
-// CancelNow cancels so many jobs, within a fifth of a second, that run and have
+// CancelRunning cancels so many jobs, within a fifth of a second, that run and have
 // long to go. With hang some of their machines hang for so long, from before the
 // first is asked for. It does not wait for the answers.
-func (w *World) CancelNow(n int, hang time.Duration) (ids, hung []string) {
+func (w *Cluster) CancelRunning(n int, hang time.Duration) (ids, hung []string) {
 	w.mu.Lock()
 	now := time.Now()
 	on := map[string][]*machine{}
@@ -81,16 +81,16 @@
 	asked []string
 }
 
-// CancelAtEnd has the users of a share of the jobs that end cancel them at that moment; 0
+// CancelOnCompletion has the users of a share of the jobs that end cancel them at that moment; 0
 // ends that.
-func (w *World) CancelAtEnd(share float64, seed uint64) {
+func (w *Cluster) CancelOnCompletion(share float64, seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.atEnd.share, w.atEnd.rnd = share, rand.New(rand.NewPCG(seed, 43))
 }
 
-// CancelledAtEnd lists the jobs whose users have asked so.
-func (w *World) CancelledAtEnd() []string {
+// CancelledOnCompletion lists the jobs whose users have asked so.
+func (w *Cluster) CancelledOnCompletion() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.atEnd.asked)
@@ -98,7 +98,7 @@
 
 // taskDone takes in that a task has completed, as the last of its job or not; the lock is
 // held.
-func (w *World) taskDone(j *job, task int) {
+func (w *Cluster) taskDone(j *job, task int) {
 	if j.done[task] {
 		return
 	}
@@ -115,7 +115,7 @@
 // StartedAfterCancel is how many tasks got on a machine after their job's user was
 // told that it is cancelled. Those whose launch was on its way then are allowed to
 // for as long as cancel_s, after which the checker calls the rule broken.
-func (w *World) StartedAfterCancel() int {
+func (w *Cluster) StartedAfterCancel() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.afterCancel
@@ -123,7 +123,7 @@
 
 // checkCancelled sees to it that what is on a machine is not of a job cancelled
 // more than cancel_s ago. The lock is held.
-func (w *World) checkCancelled(t *task, now time.Time) {
+func (w *Cluster) checkCancelled(t *task, now time.Time) {
 	j := w.jobs[t.job.ID]
 	if j.cancelled.IsZero() || now.Sub(j.cancelled) <= secs(w.Settings.Cluster.Workers.CancelS) {
 		return
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -14,7 +14,7 @@
 
 // Cloud rents machines of the world.
 type Cloud struct {
-	w        *World
+	w        *Cluster
 	mu       sync.Mutex
 	types    []wire.MachineType
 	capacity int
@@ -33,33 +33,33 @@
 	upFirst  int                     // machines whose worker had an answer before their rental had one
 }
 
-// LateDeletes leaves deletions unanswered and carries them out only so much later;
+// DelayDeletes leaves deletions unanswered and carries them out only so much later;
 // 0 ends that.
-func (c *Cloud) LateDeletes(by time.Duration) {
+func (c *Cloud) DelayDeletes(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.later = by
 }
 
-// UpFirst is how many machines' workers were answered before the rental was that
+// ReadyBeforeRentalReply is how many machines' workers were answered before the rental was that
 // made them.
-func (c *Cloud) UpFirst() int {
+func (c *Cloud) ReadyBeforeRentalReply() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.upFirst
 }
 
-// SetBoots says how long machines take to come up, by their number since the
+// SetBootTimes says how long machines take to come up, by their number since the
 // beginning; below 0 means never. nil: as the catalogue says.
-func (c *Cloud) SetBoots(f func(n int) time.Duration) {
+func (c *Cloud) SetBootTimes(f func(n int) time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.boots = f
 }
 
-// SetSlow makes rentals take so long to be answered, after the machines have
+// SetReplyDelay makes rentals take so long to be answered, after the machines have
 // been made.
-func (c *Cloud) SetSlow(d time.Duration) {
+func (c *Cloud) SetReplyDelay(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.slow = d
@@ -72,8 +72,8 @@
 	c.outage = on
 }
 
-// SetSilent makes the cloud carry requests out without answering.
-func (c *Cloud) SetSilent(on bool) {
+// SetDropReplies makes the cloud carry requests out without answering.
+func (c *Cloud) SetDropReplies(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silent = on
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -23,11 +23,11 @@
 type commandFault struct {
 	share float64
 	rnd   *rand.Rand
-	seen  LateCommands
+	seen  DelayedCommands
 }
 
-// LateCommands counts what became of direct commands that were held up.
-type LateCommands struct {
+// DelayedCommands counts what became of direct commands that were held up.
+type DelayedCommands struct {
 	Held           int // batches on their way or arrived
 	Executed       int // batches that were carried out
 	RefusedToken   int // batches refused because the worker had seen a higher token
@@ -40,18 +40,18 @@
 	NewerStart   int // stops that met their own attempt, launched only after they were sent
 }
 
-// DelayCommands holds up a share of the direct commands: they get no answer and are
+// DelayDirectCommands holds up a share of the direct commands: they get no answer and are
 // carried out once, 2 s to 16 s later, if token and session still match. 0 ends that for
 // commands that are sent from now on.
-func (w *World) DelayCommands(share float64, seed uint64) {
+func (w *Cluster) DelayDirectCommands(share float64, seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.commands.share = share
 	w.commands.rnd = rand.New(rand.NewPCG(seed, 41))
 }
 
-// LateCommands returns what became of the commands that were held up so far.
-func (w *World) LateCommands() LateCommands {
+// DelayedCommands returns what became of the commands that were held up so far.
+func (w *Cluster) DelayedCommands() DelayedCommands {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.commands.seen
@@ -120,7 +120,7 @@
 			return
 		}
 	}
-	leader := m.w.Token() // before the world's lock, as everywhere
+	leader := m.w.FencingToken() // before the world's lock, as everywhere
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	if m.dead {
@@ -177,7 +177,7 @@
 // later: stops, which name an attempt, and launches of tasks that their jobs do not have,
 // which only wake the worker. A launch could start a task that runs elsewhere by then, and
 // a forget could remove an outcome that is not recorded. The lock is held.
-func (w *World) checkDirect(commands []wire.Command) {
+func (w *Cluster) checkDirect(commands []wire.Command) {
 	for _, c := range commands {
 		id, n, ok := wire.SplitTask(c.Task)
 		switch {
@@ -189,19 +189,19 @@
 	}
 }
 
-// HoldDirect holds back direct commands to a machine until they are delivered.
-func (w *World) HoldDirect(name string) {
+// HoldDirectCommands holds back direct commands to a machine until they are delivered.
+func (w *Cluster) HoldDirectCommands(name string) {
 	m := w.Cloud.machine(name) // before the world's lock, as everywhere
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m.holding = true
 }
 
-// DeliverDirect delivers what was held back, whether its sender still waits or
+// DeliverHeldCommands delivers what was held back, whether its sender still waits or
 // not, and whether it was delivered before; what comes from now on is not held.
 // It returns how many batches were executed and how many refused; a machine that
 // has been returned does neither.
-func (w *World) DeliverDirect(name string) (executed, refused int) {
+func (w *Cluster) DeliverHeldCommands(name string) (executed, refused int) {
 	m := w.Cloud.machine(name)
 	if m == nil {
 		return 0, 0
--- a/internal/fake/copies.go
+++ b/internal/fake/copies.go
@@ -24,10 +24,10 @@
 	watching bool
 	copies   map[string][]wire.Report
 	first    map[firstOf]bool
-	met      Meetings
+	met      CopyStats
 
 	ahead  int // one in so many reports is overtaken by its copies
-	outrun Outrun
+	outrun OvertakenReports
 }
 
 // firstOf is a report and the token of a leader that has answered it.
@@ -36,20 +36,20 @@
 	session, seq, token uint64
 }
 
-// Meetings is what copies have met so far. One that is answered 200 was the newest
+// CopyStats is what copies have met so far. One that is answered 200 was the newest
 // that its leader had heard of the machine, and its worker's own report was not
 // answered by that leader before.
-type Meetings struct {
+type CopyStats struct {
 	First          int // answered by a leader that began after the copy was made, the first time
 	EarlierSession int // of these, of a session that has ended since
 	EarlierAttempt int // and of these, with an attempt that is not on the machine any more
 	Older          int // came after newer reports, and were not answered 200
 }
 
-// CopyForNext keeps a copy of one in so many reports, to be delivered to all nodes
+// DelayCopiesUntilFailover keeps a copy of one in so many reports, to be delivered to all nodes
 // when a leader's key is committed, as it begins, and again a moment later; 0 ends
 // the keeping, and what is kept goes to the next leaders all the same.
-func (w *World) CopyForNext(oneIn int) {
+func (w *Cluster) DelayCopiesUntilFailover(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.next.oneIn = oneIn
@@ -57,12 +57,12 @@
 		return
 	}
 	w.next.watching, w.next.copies = true, map[string][]wire.Report{}
-	last := w.State.Versions(election.Key)[election.Key]
+	last := w.Store.Versions(election.Key)[election.Key]
 	w.wg.Add(1)
 	go func() {
 		defer w.wg.Done()
 		for call.Pause(w.ctx, 10*time.Millisecond) {
-			if v := w.State.Versions(election.Key)[election.Key]; v != 0 && v != last {
+			if v := w.Store.Versions(election.Key)[election.Key]; v != 0 && v != last {
 				last = v
 				w.wg.Add(1)
 				go func() {
@@ -71,7 +71,7 @@
 						if !call.Pause(w.ctx, after*time.Millisecond) {
 							return
 						}
-						w.DeliverCopies()
+						w.DeliverDelayedCopies()
 					}
 				}()
 			}
@@ -80,7 +80,7 @@
 }
 
 // keepForNext keeps a report's copy if it is its turn; the lock is held.
-func (w *World) keepForNext(r wire.Report) {
+func (w *Cluster) keepForNext(r wire.Report) {
 	if w.next.oneIn == 0 || w.pick(w.next.oneIn) > 0 {
 		return
 	}
@@ -92,8 +92,8 @@
 	kept[w.pick(copiesEach)] = r
 }
 
-// DeliverCopies sends every copy that is kept to every node, and goes on at once.
-func (w *World) DeliverCopies() {
+// DeliverDelayedCopies sends every copy that is kept to every node, and goes on at once.
+func (w *Cluster) DeliverDelayedCopies() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(w.next.copies)) {
@@ -114,7 +114,7 @@
 }
 
 // meet takes in how a copy was answered.
-func (w *World) meet(r wire.Report, status int, body []byte) {
+func (w *Cluster) meet(r wire.Report, status int, body []byte) {
 	m := w.Cloud.machine(r.Machine)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -150,15 +150,15 @@
 	}
 }
 
-// CopiesMet is what the copies have met.
-func (w *World) CopiesMet() Meetings {
+// CopyStats is what the copies have met.
+func (w *Cluster) CopyStats() CopyStats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.next.met
 }
 
-// Outrun is what became of reports that their own copies have overtaken.
-type Outrun struct {
+// OvertakenReports is what became of reports that their own copies have overtaken.
+type OvertakenReports struct {
 	Ahead   int // a leader answered the copy 200, and the report was sent after that
 	Next    int // of these, the report does not show this leader's token: it has begun since
 	Kept    int // of all, the report itself was answered 200 by the node that it came to
@@ -169,16 +169,16 @@
 // reports for 2.5 s while nobody leads, and the worker gives its own up after 4 s.
 const overtakeMost = 3 * time.Second
 
-// CopyAhead has one in so many reports overtaken by its own copies: every node has
+// OvertakeReports has one in so many reports overtaken by its own copies: every node has
 // one, and a leader has answered it, before the report itself is sent; 0 ends that.
-func (w *World) CopyAhead(oneIn int) {
+func (w *Cluster) OvertakeReports(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.next.ahead = oneIn
 }
 
-// Outrun is what has become of such reports.
-func (w *World) Outrun() Outrun {
+// OvertakenReports is what has become of such reports.
+func (w *Cluster) OvertakenReports() OvertakenReports {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.next.outrun
@@ -186,7 +186,7 @@
 
 // overtake sends a report's copies ahead of it, and returns the token by which one of
 // them was answered 200, or 0.
-func (w *World) overtake(r wire.Report) uint64 {
+func (w *Cluster) overtake(r wire.Report) uint64 {
 	heard := make(chan uint64, len(w.nodes))
 	for _, n := range w.nodes {
 		w.wg.Add(1)
@@ -216,7 +216,7 @@
 
 // overtook takes in how a report was answered that its copies have overtaken; the lock
 // is held.
-func (w *World) overtook(r wire.Report, token uint64, status int) {
+func (w *Cluster) overtook(r wire.Report, token uint64, status int) {
 	if token == 0 {
 		return
 	}
--- a/internal/fake/lagging.go
+++ b/internal/fake/lagging.go
@@ -30,7 +30,7 @@
 	begun   int                // late ones so far, come or not
 	arrived int                // transactions that have come, ever
 	applied map[string]arrival // the newest of each node that has changed something
-	passed  Overtaken
+	passed  OvertakenTransactions
 }
 
 // arrival is when a transaction came, among all, and whose it is.
@@ -40,9 +40,9 @@
 	token uint64 // of the term that it is of: 0 if it is no leader's
 }
 
-// Overtaken counts transactions that were carried out after newer ones of the same
+// OvertakenTransactions counts transactions that were carried out after newer ones of the same
 // node.
-type Overtaken struct {
+type OvertakenTransactions struct {
 	ByNode  int // by any of the node's
 	InTerm  int // by one of the same term, while that lasted: the token does not stop them
 	Refused int // so many of these failed, by another condition
@@ -78,8 +78,8 @@
 	}
 }
 
-// Overtaken counts the transactions that were overtaken so far.
-func (s *State) Overtaken() Overtaken {
+// OvertakenTransactions counts the transactions that were overtaken so far.
+func (s *KVStore) OvertakenTransactions() OvertakenTransactions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lagging.passed
@@ -87,7 +87,7 @@
 
 // holdUp keeps a transaction while wait lasts; the lock is held before and after, not
 // meanwhile.
-func (s *State) holdUp(wait func()) {
+func (s *KVStore) holdUp(wait func()) {
 	s.lagging.waiting++
 	s.lagging.begun++
 	s.mu.Unlock()
@@ -97,15 +97,15 @@
 	s.expire()
 }
 
-// Lagged is how many transactions have been held up so far, come or not.
-func (s *State) Lagged() int {
+// DelayedTransactions is how many transactions have been held up so far, come or not.
+func (s *KVStore) DelayedTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lagging.begun
 }
 
-// Waiting is how many late transactions are still to be carried out.
-func (s *State) Waiting() int {
+// PendingTransactions is how many late transactions are still to be carried out.
+func (s *KVStore) PendingTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lagging.waiting
@@ -114,7 +114,7 @@
 // termOf is the term that a transaction is of, which has just come: that of its
 // condition, or, where it changes what leaders alone write and has none, that which
 // lasts. 0: it is no leader's.
-func (s *State) termOf(t *txn, node string) uint64 {
+func (s *KVStore) termOf(t *txn, node string) uint64 {
 	for _, g := range t.If {
 		if g.Key == election.Key {
 			return g.Version
@@ -147,7 +147,7 @@
 
 // older names a key that a late transaction would change back: it was changed since
 // that came, to something else. What a lease keeps goes with that.
-func (s *State) older(t *txn, seen uint64) string {
+func (s *KVStore) older(t *txn, seen uint64) string {
 	for _, op := range t.Then {
 		key := op.Put + op.Delete
 		if s.last[key] > seen && op.Lease == 0 && (op.Delete != "" || !bytes.Equal(op.Value, s.keys[key].Value)) {
@@ -159,7 +159,7 @@
 
 // checkLeader sees to it that what leaders alone write is changed in the term that the
 // change is of, by the node that leads, and by no other, however late it comes.
-func (s *State) checkLeader(t *txn, came arrival) {
+func (s *KVStore) checkLeader(t *txn, came arrival) {
 	if s.breaks == nil || !strings.HasPrefix(came.node, "n-") {
 		return // a story's own, or a snapshot's
 	}
@@ -203,9 +203,9 @@
 	return 2*time.Second + time.Duration(l.rnd.Int64N(int64(10*time.Second))), true
 }
 
-// LateLeases leaves a share of the requests that take, renew or end leases without an
+// DelayLeaseRequests leaves a share of the requests that take, renew or end leases without an
 // answer, and carries them out 2 s to 12 s later; 0 ends that.
-func (s *State) LateLeases(share float64, seed uint64) {
+func (s *KVStore) DelayLeaseRequests(share float64, seed uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lagging.leases = share
@@ -214,7 +214,7 @@
 
 // leaseCame counts a late request about a lease that is being carried out, and sees to
 // it that the lease is not that of a term which began after the request had come.
-func (s *State) leaseCame(path string, seen uint64) {
+func (s *KVStore) leaseCame(path string, seen uint64) {
 	s.lagging.leasesLate++
 	id := strings.TrimSuffix(strings.TrimPrefix(path, "/holds/"), "/touch")
 	n, err := strconv.ParseUint(id, 10, 64)
@@ -229,9 +229,9 @@
 	}
 }
 
-// LeasesLate is how many requests about leases were carried out late, and how many of
+// DelayedLeaseRequests is how many requests about leases were carried out late, and how many of
 // them, to renew or to end one, while the leader held another.
-func (s *State) LeasesLate() (all, past int) {
+func (s *KVStore) DelayedLeaseRequests() (all, past int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lagging.leasesLate, s.lagging.leasesPast
@@ -243,19 +243,19 @@
 func (unheard) Write(b []byte) (int, error) { return len(b), nil }
 func (unheard) WriteHeader(int)             {}
 
-// LoseAnswers leaves shares of the transactions that change something without an
+// DropReplies leaves shares of the transactions that change something without an
 // answer: those late are carried out 2 s to 12 s later, after newer ones of the same
 // node, and the others at once, so that all but their sender know of them. Zeros end it.
-func (s *State) LoseAnswers(late, atOnce float64, seed uint64) {
+func (s *KVStore) DropReplies(late, atOnce float64, seed uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lagging.late, s.lagging.lost = late, atOnce
 	s.lagging.rnd = rand.New(rand.NewPCG(seed, 17))
 }
 
-// Unanswered is how many transactions were left without an answer, and how many of
+// UnansweredTransactions is how many transactions were left without an answer, and how many of
 // them have been gone through by now.
-func (s *State) Unanswered() (sent, carriedOut int) {
+func (s *KVStore) UnansweredTransactions() (sent, carriedOut int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lagging.unanswered, s.lagging.carriedOut
--- a/internal/fake/latereports.go
+++ b/internal/fake/latereports.go
@@ -12,16 +12,16 @@
 // maxCopies bounds the copies of reports on their way.
 const maxCopies = 100
 
-// CopyReports makes the network copy one in so many reports, to arrive at any
+// DuplicateReports makes the network copy one in so many reports, to arrive at any
 // node 1 s to 5 leases later, whatever becomes of the machine; 0 ends that.
-func (w *World) CopyReports(oneIn int) {
+func (w *Cluster) DuplicateReports(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.copying = oneIn
 }
 
 // mayCopy copies a report if it is its turn; the lock is held.
-func (w *World) mayCopy(r wire.Report) {
+func (w *Cluster) mayCopy(r wire.Report) {
 	if w.copying == 0 || w.copies >= maxCopies || w.pick(w.copying) > 0 {
 		return
 	}
@@ -40,17 +40,17 @@
 	}()
 }
 
-// KeepReport remembers a worker's report of this moment; LateReport sends it
+// CaptureReport remembers a worker's report of this moment; ReplayReport sends it
 // to a node as if a cut had held it back.
-func (w *World) KeepReport(name string) {
+func (w *Cluster) CaptureReport(name string) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.kept[name], _ = wire.Marshal(m.report())
 }
 
-// LateReport sends what KeepReport kept.
-func (w *World) LateReport(name string, node int) (status int) {
+// ReplayReport sends what CaptureReport kept.
+func (w *Cluster) ReplayReport(name string, node int) (status int) {
 	w.mu.Lock()
 	var r wire.Report
 	_ = wire.Unmarshal(w.kept[name], &r)
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -25,14 +25,14 @@
 )
 
 // watchFaults notes when a fault was last seen to be injected.
-func (w *World) watchFaults() {
+func (w *Cluster) watchFaults() {
 	for call.Pause(w.ctx, faultCheckEvery) {
 		w.noteFaults()
 	}
 }
 
-func (w *World) noteFaults() {
-	if !w.Faulty() {
+func (w *Cluster) noteFaults() {
+	if !w.FaultActive() {
 		return
 	}
 	w.mu.Lock()
@@ -40,18 +40,18 @@
 	w.faultSeen = time.Now()
 }
 
-// Faulty says whether any fault is injected at the moment.
-func (w *World) Faulty() bool {
+// FaultActive says whether any fault is injected at the moment.
+func (w *Cluster) FaultActive() bool {
 	hosts := map[string]bool{"state": true, "cloud": true, "user": true}
 	for _, name := range w.Cloud.Machines() {
 		hosts[name] = true
 	}
-	return w.nodesFaulty(hosts) || w.Net.faulty(hosts) || w.State.faulty() || w.Cloud.faulty()
+	return w.nodesFaulty(hosts) || w.Network.faulty(hosts) || w.Store.faulty() || w.Cloud.faulty()
 }
 
 // nodesFaulty says whether a node is down, a machine hangs, or messages of workers are
 // copied or held up. It adds the nodes to the hosts that are there.
-func (w *World) nodesFaulty(hosts map[string]bool) bool {
+func (w *Cluster) nodesFaulty(hosts map[string]bool) bool {
 	hung := false
 	for name := range hosts {
 		if m := w.Cloud.machine(name); m != nil {
@@ -70,7 +70,7 @@
 
 // faulty says whether messages between hosts that are there are lost or held up, or one
 // of them stands still.
-func (n *Net) faulty(hosts map[string]bool) bool {
+func (n *Network) faulty(hosts map[string]bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	between := func(ends [2]string) bool { return hosts[ends[0]] && hosts[ends[1]] }
@@ -98,7 +98,7 @@
 }
 
 // faulty says whether the state service refuses, delays or does not answer requests.
-func (s *State) faulty() bool {
+func (s *KVStore) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, on := range s.refuse {
@@ -130,7 +130,7 @@
 
 // checkAnswered takes in whether a question about a job was answered. Without faults, one
 // about which no question is answered for a while counts as forgotten. The lock is held.
-func (w *World) checkAnswered(id string, answered bool) {
+func (w *Cluster) checkAnswered(id string, answered bool) {
 	j := w.jobs[id]
 	if j == nil || !j.accepted {
 		return
@@ -154,7 +154,7 @@
 // for no longer than its lease from then, and a worker drops later answers. Without
 // faults leaders learn of it at once. Starts that last for an instant count. The lock is
 // held.
-func (w *World) checkLaunch(task string, now time.Time) {
+func (w *Cluster) checkLaunch(task string, now time.Time) {
 	id, n, _ := wire.SplitTask(task)
 	j := w.jobs[id]
 	if j == nil || n >= j.spec.Tasks || j.cancelled.IsZero() {
--- a/internal/fake/liveness_test.go
+++ b/internal/fake/liveness_test.go
@@ -12,22 +12,22 @@
 
 // checkedWorld is a world with a machine and a job that the checks know of, and no nodes:
 // what they would answer and command is played by the tests.
-func checkedWorld(t *testing.T, test func(w *World, m *machine, j *job)) {
+func checkedWorld(t *testing.T, test func(w *Cluster, m *machine, j *job)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w := New(Options{Nodes: 3, Machines: 1, Capacity: 1, Outside: true})
 		defer w.Close()
 		time.Sleep(5 * time.Second)
 		j := wire.Job{ID: "wk-000001", Class: "c", Team: "core", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, EstimateS: 3600}
-		w.Know(j)
+		w.RegisterJob(j)
 		test(w, w.Cloud.machine(w.Cloud.Machines()[0]), w.jobs[j.ID])
 	})
 }
 
 // wantBroken fails unless the checker names just what is wanted; "" is nothing.
-func wantBroken(t *testing.T, w *World, want string) {
+func wantBroken(t *testing.T, w *Cluster, want string) {
 	t.Helper()
-	got := w.Broken()
+	got := w.Violations()
 	if want == "" && len(got) > 0 || want != "" && (len(got) != 1 || !strings.Contains(got[0], want)) {
 		t.Errorf("the checker says %q, want %q", got, want)
 	}
@@ -43,7 +43,7 @@
 		{wire.Command{Op: wire.OpStart, Task: "wk-000001/0", Attempt: 1}, "a launch of wk-000001/0 is sent directly"},
 		{wire.Command{Op: wire.OpForget, Task: "wk-000001/0", Attempt: 1}, "a forget of wk-000001/0 is sent directly"},
 	} {
-		checkedWorld(t, func(w *World, m *machine, _ *job) {
+		checkedWorld(t, func(w *Cluster, m *machine, _ *job) {
 			body, err := wire.Marshal(wire.DirectCommands{Token: 1, Session: 1, Commands: []wire.Command{c.command}})
 			if err != nil {
 				t.Fatal(err)
@@ -62,13 +62,13 @@
 func TestLateCommandsAreCarriedOutOnceIfTokenAndSessionMatch(t *testing.T) {
 	for _, c := range []struct {
 		token, session uint64
-		want           LateCommands
+		want           DelayedCommands
 	}{
-		{5, 1, LateCommands{Held: 1, Executed: 1, FormerLeader: 1}},
-		{4, 1, LateCommands{Held: 1, RefusedToken: 1}},
-		{5, 2, LateCommands{Held: 1, RefusedSession: 1}},
+		{5, 1, DelayedCommands{Held: 1, Executed: 1, FormerLeader: 1}},
+		{4, 1, DelayedCommands{Held: 1, RefusedToken: 1}},
+		{5, 2, DelayedCommands{Held: 1, RefusedSession: 1}},
 	} {
-		checkedWorld(t, func(w *World, m *machine, _ *job) {
+		checkedWorld(t, func(w *Cluster, m *machine, _ *job) {
 			w.mu.Lock()
 			m.token, m.session, m.renewed = 5, 1, time.Now()
 			m.execute([]wire.Command{{Op: wire.OpStart, Task: "wk-000001/0", Attempt: 1}}, time.Now())
@@ -79,7 +79,7 @@
 			}
 			w.commands.share = 1
 			w.mu.Unlock()
-			w.DelayCommands(1, 7)
+			w.DelayDirectCommands(1, 7)
 			w.mu.Lock()
 			_, held := m.serveCommands(body)
 			w.mu.Unlock()
@@ -87,7 +87,7 @@
 				t.Fatal("the command is not held up")
 			}
 			time.Sleep(leastCommandDelay - 100*time.Millisecond)
-			if met := w.LateCommands(); met != (LateCommands{Held: 1}) {
+			if met := w.DelayedCommands(); met != (DelayedCommands{Held: 1}) {
 				t.Errorf("too early: %+v", met)
 			}
 			for range int(mostCommandDelay / time.Second) { // within its lease all the while
@@ -96,7 +96,7 @@
 				m.renewed = time.Now()
 				w.mu.Unlock()
 			}
-			if met := w.LateCommands(); met != c.want {
+			if met := w.DelayedCommands(); met != c.want {
 				t.Errorf("token %d, session %d: %+v, want %+v", c.token, c.session, met, c.want)
 			}
 			if n, want := w.Running(), 1-c.want.Executed; n != want {
@@ -119,9 +119,9 @@
 		{"later than any leader may go on", true, func(lease time.Duration) time.Duration { return lease + 5*time.Second }, "launched after its cancellation: wk-000001/0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			checkedWorld(t, func(w *World, m *machine, j *job) {
+			checkedWorld(t, func(w *Cluster, m *machine, j *job) {
 				time.Sleep(30 * time.Second)
-				w.State.SetOutage(c.fault)
+				w.Store.SetOutage(c.fault)
 				time.Sleep(time.Second)
 				w.mu.Lock()
 				j.cancelled = time.Now()
@@ -141,14 +141,14 @@
 func TestQuestionsThatGoUnansweredAreFound(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		change func(w *World, second int)
+		change func(w *Cluster, second int)
 		broken string
 	}{
-		{"without faults", func(*World, int) {}, "forgotten: no question about wk-000001"},
-		{"in an outage", func(w *World, _ int) { w.State.SetOutage(true) }, ""},
-		{"soon after an outage", func(w *World, second int) { w.State.SetOutage(second < 20) }, ""},
-		{"long after an outage", func(w *World, second int) { w.State.SetOutage(second < 4) }, "forgotten: no question about wk-000001"},
-		{"but for one", func(w *World, second int) {
+		{"without faults", func(*Cluster, int) {}, "forgotten: no question about wk-000001"},
+		{"in an outage", func(w *Cluster, _ int) { w.Store.SetOutage(true) }, ""},
+		{"soon after an outage", func(w *Cluster, second int) { w.Store.SetOutage(second < 20) }, ""},
+		{"long after an outage", func(w *Cluster, second int) { w.Store.SetOutage(second < 4) }, "forgotten: no question about wk-000001"},
+		{"but for one", func(w *Cluster, second int) {
 			if second == 40 {
 				w.mu.Lock()
 				w.checkAnswered("wk-000001", true)
@@ -157,7 +157,7 @@
 		}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			checkedWorld(t, func(w *World, _ *machine, _ *job) {
+			checkedWorld(t, func(w *Cluster, _ *machine, _ *job) {
 				for second := range 90 { // nobody is there to answer
 					c.change(w, second)
 					w.noteFaults()
@@ -175,39 +175,39 @@
 }
 
 func TestEachFaultIsSeen(t *testing.T) {
-	for name, set := range map[string]func(w *World, machine string, on bool){
-		"outage of the state service": func(w *World, _ string, on bool) { w.State.SetOutage(on) },
-		"refused node":                func(w *World, _ string, on bool) { w.State.Refuse("n-1", on) },
-		"cut node":                    func(w *World, _ string, on bool) { w.CutNode(1, on, "state") },
-		"cut machine":                 func(w *World, m string, on bool) { w.CutMachine(m, on) },
-		"mute machine":                func(w *World, m string, on bool) { w.Mute(m, on) },
-		"silent machine":              func(w *World, m string, on bool) { w.Silence(m, on) },
-		"hung machine":                func(w *World, m string, on bool) { w.Hang(m, on) },
-		"node that stands still":      func(w *World, _ string, on bool) { w.Stop(1, on) },
-		"outage of the cloud":         func(w *World, _ string, on bool) { w.Cloud.SetOutage(on) },
-		"silent cloud":                func(w *World, _ string, on bool) { w.Cloud.SetSilent(on) },
-		"late commands": func(w *World, _ string, on bool) {
-			w.DelayCommands(map[bool]float64{true: 0.1}[on], 1)
+	for name, set := range map[string]func(w *Cluster, machine string, on bool){
+		"outage of the state service": func(w *Cluster, _ string, on bool) { w.Store.SetOutage(on) },
+		"refused node":                func(w *Cluster, _ string, on bool) { w.Store.Refuse("n-1", on) },
+		"cut node":                    func(w *Cluster, _ string, on bool) { w.PartitionNode(1, on, "state") },
+		"cut machine":                 func(w *Cluster, m string, on bool) { w.PartitionMachine(m, on) },
+		"mute machine":                func(w *Cluster, m string, on bool) { w.BlockRepliesTo(m, on) },
+		"silent machine":              func(w *Cluster, m string, on bool) { w.BlockHeartbeats(m, on) },
+		"hung machine":                func(w *Cluster, m string, on bool) { w.HangMachine(m, on) },
+		"node that stands still":      func(w *Cluster, _ string, on bool) { w.PauseNode(1, on) },
+		"outage of the cloud":         func(w *Cluster, _ string, on bool) { w.Cloud.SetOutage(on) },
+		"silent cloud":                func(w *Cluster, _ string, on bool) { w.Cloud.SetDropReplies(on) },
+		"late commands": func(w *Cluster, _ string, on bool) {
+			w.DelayDirectCommands(map[bool]float64{true: 0.1}[on], 1)
 		},
-		"copied reports": func(w *World, _ string, on bool) { w.CopyReports(map[bool]int{true: 2}[on]) },
-		"lost answers": func(w *World, _ string, on bool) {
-			w.State.LoseAnswers(0, map[bool]float64{true: 0.1}[on], 1)
+		"copied reports": func(w *Cluster, _ string, on bool) { w.DuplicateReports(map[bool]int{true: 2}[on]) },
+		"lost answers": func(w *Cluster, _ string, on bool) {
+			w.Store.DropReplies(0, map[bool]float64{true: 0.1}[on], 1)
 		},
-		"slow answers": func(w *World, _ string, on bool) {
-			w.State.SlowAnswers(map[bool]time.Duration{true: time.Second}[on])
+		"slow answers": func(w *Cluster, _ string, on bool) {
+			w.Store.DelayReplies(map[bool]time.Duration{true: time.Second}[on])
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			checkedWorld(t, func(w *World, m *machine, _ *job) {
-				if w.Faulty() {
+			checkedWorld(t, func(w *Cluster, m *machine, _ *job) {
+				if w.FaultActive() {
 					t.Error("a fault is seen before there is one")
 				}
 				set(w, m.name, true)
-				if !w.Faulty() {
+				if !w.FaultActive() {
 					t.Error("the fault is not seen")
 				}
 				set(w, m.name, false)
-				if w.Faulty() {
+				if w.FaultActive() {
 					t.Error("a fault is seen after it has ended")
 				}
 			})
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -42,10 +42,10 @@
 	}
 }
 
-// Outside lets a real process at addr stand for a node, and real processes reach
+// AttachProcess lets a real process at addr stand for a node, and real processes reach
 // the world's service at state and cloud, if those are not empty.
-func (w *World) Outside(ctx context.Context, node, addr, state, cloud string) error {
-	inner := w.Net.Dial(node)
+func (w *Cluster) AttachProcess(ctx context.Context, node, addr, state, cloud string) error {
+	inner := w.Network.Dial(node)
 	for outside, inside := range map[string]string{state: "state:1", cloud: "cloud:1"} {
 		if outside == "" {
 			continue
@@ -56,7 +56,7 @@
 		}
 		go Bridge(ctx, l, func() (net.Conn, error) { return inner(ctx, "tcp", inside) })
 	}
-	l, err := w.Net.Listen("tcp", node+":80")
+	l, err := w.Network.Listen("tcp", node+":80")
 	if err != nil {
 		return err
 	}
@@ -66,21 +66,21 @@
 
 // LearnJobs hands the workers the descriptions of the jobs that were accepted,
 // until ctx ends.
-func (w *World) LearnJobs(ctx context.Context) {
+func (w *Cluster) LearnJobs(ctx context.Context) {
 	for ctx.Err() == nil {
-		for _, key := range w.State.Keys(jobstore.JobKey("")) {
+		for _, key := range w.Store.Keys(jobstore.JobKey("")) {
 			var page jobstore.IntakeRecord
-			if jobstore.IsIntake(key) && wire.Unmarshal(w.State.Value(key), &page) == nil {
+			if jobstore.IsIntake(key) && wire.Unmarshal(w.Store.Value(key), &page) == nil {
 				for _, e := range page.Jobs {
 					if rec, err := e.Decode(); err == nil {
-						w.Know(rec.Job)
+						w.RegisterJob(rec.Job)
 					}
 				}
 				continue
 			}
 			var rec jobstore.JobRecord
-			if wire.Unmarshal(w.State.Value(key), &rec) == nil && strings.HasPrefix(rec.Job.ID, wire.JobPrefix) {
-				w.Know(rec.Job)
+			if wire.Unmarshal(w.Store.Value(key), &rec) == nil && strings.HasPrefix(rec.Job.ID, wire.JobPrefix) {
+				w.RegisterJob(rec.Job)
 			}
 		}
 		time.Sleep(200 * time.Millisecond)
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -43,7 +43,7 @@
 
 // machine is a machine with its worker.
 type machine struct {
-	w    *World
+	w    *Cluster
 	name string
 	addr string
 	typ  wire.MachineType
@@ -80,11 +80,11 @@
 	took        firstOf // the last report of its own that was answered 200, and by whom
 }
 
-func newMachine(w *World, name string, typ wire.MachineType, zone string, spot bool, boot time.Duration) *machine {
+func newMachine(w *Cluster, name string, typ wire.MachineType, zone string, spot bool, boot time.Duration) *machine {
 	ctx, end := context.WithCancel(w.ctx)
 	m := &machine{w: w, name: name, addr: name + ":9000", typ: typ, zone: zone, spot: spot, born: time.Now(),
 		boot: boot, ctx: ctx, end: end, session: 1, tasks: map[taskKey]*task{}}
-	m.hc = call.NewClient(w.Net.Dial(name), 2, 2)
+	m.hc = call.NewClient(w.Network.Dial(name), 2, 2)
 	w.wg.Add(1)
 	go func() { defer w.wg.Done(); m.run() }()
 	return m
@@ -105,7 +105,7 @@
 		delete(m.w.fetching, m.name)
 	}
 	m.w.mu.Unlock()
-	m.w.Net.SetDown(m.name, true)
+	m.w.Network.SetDown(m.name, true)
 	m.end()
 }
 
@@ -121,7 +121,7 @@
 	if !call.Pause(m.ctx, m.boot) {
 		return
 	}
-	l, err := m.w.Net.Listen("tcp", m.addr)
+	l, err := m.w.Network.Listen("tcp", m.addr)
 	if err != nil {
 		return
 	}
--- a/internal/fake/machinecuts.go
+++ b/internal/fake/machinecuts.go
@@ -9,32 +9,32 @@
 
 // This file cuts machines off one way or another, and reads what happened to them.
 
-// Met notes that a story's troubles have met: rules broken from now on are said with
+// MarkInteraction notes that a story's troubles have met: rules broken from now on are said with
 // how long after.
-func (w *World) Met() {
+func (w *Cluster) MarkInteraction() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.met = time.Now()
 }
 
-// Silence lets a machine open no connection to any controller, while direct
+// BlockHeartbeats lets a machine open no connection to any controller, while direct
 // commands reach it and are answered, or ends that.
-func (w *World) Silence(name string, on bool) {
+func (w *Cluster) BlockHeartbeats(name string, on bool) {
 	for _, n := range w.nodes {
-		w.Net.SetClosed(name, n.name, on)
+		w.Network.SetOutgoingBlocked(name, n.name, on)
 	}
 }
 
-// CutMachine cuts a machine off from every controller, or ends that.
-func (w *World) CutMachine(name string, on bool) {
+// PartitionMachine cuts a machine off from every controller, or ends that.
+func (w *Cluster) PartitionMachine(name string, on bool) {
 	for _, n := range w.nodes {
-		w.Net.setCut(n.name, name, on)
+		w.Network.setCut(n.name, name, on)
 	}
 }
 
-// CutOff cuts the controllers and the machines of a zone off from all that is not
+// IsolateZone cuts the controllers and the machines of a zone off from all that is not
 // in it, or ends that. Users, cloud and state service belong to no zone.
-func (w *World) CutOff(zone string, on bool) {
+func (w *Cluster) IsolateZone(zone string, on bool) {
 	var in []string
 	out := []string{"state", "cloud", "user"}
 	place := func(name, z string) {
@@ -52,39 +52,39 @@
 	}
 	for _, a := range in {
 		for _, b := range out {
-			w.Net.setCut(a, b, on)
+			w.Network.setCut(a, b, on)
 		}
 	}
 }
 
-// Token is the token of the leader whose key is in the state service; 0: there is
+// FencingToken is the token of the leader whose key is in the state service; 0: there is
 // none.
-func (w *World) Token() uint64 {
-	w.State.mu.Lock()
-	defer w.State.mu.Unlock()
-	return w.State.keys[election.Key].Version
+func (w *Cluster) FencingToken() uint64 {
+	w.Store.mu.Lock()
+	defer w.Store.mu.Unlock()
+	return w.Store.keys[election.Key].Version
 }
 
-// Direct is how many direct commands a machine has carried out, those that
-// DeliverDirect delivered left out.
-func (w *World) Direct(name string) int {
+// DirectCommandsExecuted is how many direct commands a machine has carried out, those that
+// DeliverHeldCommands delivered left out.
+func (w *Cluster) DirectCommandsExecuted(name string) int {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return m.direct
 }
 
-// LateAnswers is how many answers a machine has taken more than a second after it
+// LateReplies is how many answers a machine has taken more than a second after it
 // sent its report.
-func (w *World) LateAnswers(name string) int {
+func (w *Cluster) LateReplies(name string) int {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return m.late
 }
 
-// CPUs is what a team's tasks use.
-func (w *World) CPUs(team string) (cpus float64) {
+// CPUsInUse is what a team's tasks use.
+func (w *Cluster) CPUsInUse(team string) (cpus float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for name, ms := range w.here {
--- a/internal/fake/net.go
+++ b/internal/fake/net.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Net is a network of hosts, named by the part of an address before the colon.
-type Net struct {
+// Network is a network of hosts, named by the part of an address before the colon.
+type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*listener
 	conns     map[*conn]bool
@@ -28,9 +28,9 @@
 	peak      map[string]int           // and had at once
 }
 
-// NewNet makes an empty network.
-func NewNet() *Net {
-	return &Net{listeners: map[string]*listener{}, conns: map[*conn]bool{},
+// NewNetwork makes an empty network.
+func NewNetwork() *Network {
+	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{},
 		cuts: map[[2]string]bool{}, mute: map[[2]string]chan struct{}{}, closed: map[[2]string]bool{}, down: map[string]bool{}, still: map[string]chan struct{}{},
 		most: map[string]int{}, open: map[string]int{}, peak: map[string]int{}}
 }
@@ -45,12 +45,12 @@
 }
 
 // Cut breaks what connects two hosts; new connections hang.
-func (n *Net) Cut(a, b string) { n.setCut(a, b, true) }
+func (n *Network) Cut(a, b string) { n.setCut(a, b, true) }
 
 // Heal ends a cut.
-func (n *Net) Heal(a, b string) { n.setCut(a, b, false) }
+func (n *Network) Heal(a, b string) { n.setCut(a, b, false) }
 
-func (n *Net) setCut(a, b string, cut bool) {
+func (n *Network) setCut(a, b string, cut bool) {
 	n.mu.Lock()
 	n.cuts[pair(a, b)] = cut
 	var hit []*conn
@@ -65,10 +65,10 @@
 	}
 }
 
-// SetMute holds back what a host sends to another, or delivers it: on connections
+// SetOneWayBlock holds back what a host sends to another, or delivers it: on connections
 // that are open it waits, also after they have been given up, and connections that
 // the first opens do not come about.
-func (n *Net) SetMute(from, to string, on bool) {
+func (n *Network) SetOneWayBlock(from, to string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	way := [2]string{from, to}
@@ -81,9 +81,9 @@
 	}
 }
 
-// SetClosed breaks the connections that a host has opened to another, and lets it
+// SetOutgoingBlocked breaks the connections that a host has opened to another, and lets it
 // open none, or ends that. What the other opens to it works all the while.
-func (n *Net) SetClosed(from, to string, on bool) {
+func (n *Network) SetOutgoingBlocked(from, to string, on bool) {
 	n.mu.Lock()
 	n.closed[[2]string{from, to}] = on
 	var hit []*conn
@@ -99,7 +99,7 @@
 }
 
 // deliverAll ends every one-way cut.
-func (n *Net) deliverAll() {
+func (n *Network) deliverAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for way, c := range n.mute {
@@ -109,7 +109,7 @@
 }
 
 // pass waits while what is sent that way is held back, or until stop.
-func (n *Net) pass(from, to string, stop <-chan struct{}) {
+func (n *Network) pass(from, to string, stop <-chan struct{}) {
 	for {
 		n.mu.Lock()
 		c := n.mute[[2]string{from, to}]
@@ -126,7 +126,7 @@
 }
 
 // SetDown takes a host's power away, or gives it back.
-func (n *Net) SetDown(h string, down bool) {
+func (n *Network) SetDown(h string, down bool) {
 	n.mu.Lock()
 	n.down[h] = down
 	var hit []*conn
@@ -150,9 +150,9 @@
 	}
 }
 
-// SetStill makes a host's process stand still, or go on: it takes connections
+// SetPaused makes a host's process stand still, or go on: it takes connections
 // and neither reads nor writes, nor sees what it has read.
-func (n *Net) SetStill(h string, on bool) {
+func (n *Network) SetPaused(h string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if c := n.still[h]; c != nil {
@@ -165,7 +165,7 @@
 }
 
 // await waits while a host's process stands still, or until stop.
-func (n *Net) await(h string, stop <-chan struct{}) {
+func (n *Network) await(h string, stop <-chan struct{}) {
 	for {
 		n.mu.Lock()
 		c := n.still[h]
@@ -181,7 +181,7 @@
 	}
 }
 
-func (n *Net) blocked(a, b string) bool {
+func (n *Network) blocked(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.cuts[pair(a, b)] || n.mute[[2]string{a, b}] != nil || n.closed[[2]string{a, b}] || n.down[a] || n.down[b]
@@ -190,7 +190,7 @@
 var errRefused = errors.New("connection refused")
 
 // Dial opens a connection from a host.
-func (n *Net) Dial(from string) func(ctx context.Context, network, addr string) (net.Conn, error) {
+func (n *Network) Dial(from string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		n.await(from, ctx.Done())
 		if n.blocked(from, host(addr)) {
@@ -225,28 +225,28 @@
 }
 
 // LimitSockets gives a host so many sockets.
-func (n *Net) LimitSockets(h string, most int) {
+func (n *Network) LimitSockets(h string, most int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.most[h] = most
 }
 
 // Open is how many sockets a host has open.
-func (n *Net) Open(h string) int {
+func (n *Network) Open(h string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.open[h]
 }
 
 // Peak is how many sockets a limited host has had open at once.
-func (n *Net) Peak(h string) int {
+func (n *Network) Peak(h string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.peak[h]
 }
 
 // take gives a connection's ends their sockets, if both hosts have one left.
-func (n *Net) take(from, to string, a, b *conn) bool {
+func (n *Network) take(from, to string, a, b *conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, h := range []string{from, to} {
@@ -265,7 +265,7 @@
 }
 
 // Listen opens a listener on an address.
-func (n *Net) Listen(_, addr string) (net.Listener, error) {
+func (n *Network) Listen(_, addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.listeners[addr] != nil {
@@ -277,7 +277,7 @@
 }
 
 type listener struct {
-	n      *Net
+	n      *Network
 	addr   string
 	accept chan net.Conn
 	closed chan struct{}
@@ -314,7 +314,7 @@
 
 type conn struct {
 	net.Conn
-	n        *Net
+	n        *Network
 	from, to string
 	side     string // whose end it is
 	closed   chan struct{}
@@ -329,7 +329,7 @@
 
 // end makes an end of a connection. As with sockets, what is written waits in
 // the connection, and is there for a process that has stood still.
-func (n *Net) end(c net.Conn, from, to, side string) *conn {
+func (n *Network) end(c net.Conn, from, to, side string) *conn {
 	e := &conn{Conn: c, n: n, from: from, to: to, side: side, closed: make(chan struct{}), broken: make(chan struct{}), out: make(chan []byte, socketBuffer)}
 	go e.pump()
 	return e
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -16,19 +16,19 @@
 // This file starts and stops the controllers, and cuts them off.
 
 // Upgrade makes a node's next process read the newest form of records.
-func (w *World) Upgrade(i int) { w.nodes[i].older = false }
+func (w *Cluster) Upgrade(i int) { w.nodes[i].older = false }
 
 // StartNode starts a controller.
-func (w *World) StartNode(i int) {
+func (w *Cluster) StartNode(i int) {
 	n := w.nodes[i]
 	if n.end != nil {
 		return
 	}
-	w.Net.SetDown(n.name, false)
+	w.Network.SetDown(n.name, false)
 	w.mu.Lock()
 	n.down = time.Time{}
 	w.mu.Unlock()
-	gated := call.WithGate(w.ctx, func(ctx context.Context) { w.Net.await(n.name, ctx.Done()) })
+	gated := call.WithGate(w.ctx, func(ctx context.Context) { w.Network.await(n.name, ctx.Done()) })
 	ctx, end := context.WithCancel(gated)
 	n.end, n.done = end, make(chan struct{})
 	tuning := config.DefaultTuning()
@@ -38,7 +38,7 @@
 		tuning.Metrics.Listen = n.name + ":9464"
 	}
 	c := controller.New(n.cfg, tuning, w.log.With("node", n.name),
-		controller.Network{Dial: w.Net.Dial(n.name), Listen: w.Net.Listen})
+		controller.Network{Dial: w.Network.Dial(n.name), Listen: w.Network.Listen})
 	if w.yarn != "" {
 		s, err := yarn.ParseSettings(fmt.Sprintf("listen = %q\nrest = %q\n%s", n.name+":8032", n.name+":8088", w.yarn), n.cfg)
 		if err != nil {
@@ -59,7 +59,7 @@
 }
 
 // KillNode ends a controller as if its power were cut.
-func (w *World) KillNode(i int) {
+func (w *Cluster) KillNode(i int) {
 	n := w.nodes[i]
 	if n.end == nil {
 		return
@@ -68,33 +68,33 @@
 	w.mu.Lock()
 	n.down = time.Now()
 	w.mu.Unlock()
-	w.Net.SetDown(n.name, true)
-	w.Net.SetStill(n.name, false)
+	w.Network.SetDown(n.name, true)
+	w.Network.SetPaused(n.name, false)
 	n.end()
 	<-n.done
 	n.end = nil
 }
 
 // KillAll ends every controller.
-func (w *World) KillAll() {
+func (w *Cluster) KillAll() {
 	for i := range w.nodes {
 		w.KillNode(i)
 	}
 }
 
 // StartAll starts every controller that is not up.
-func (w *World) StartAll() {
+func (w *Cluster) StartAll() {
 	for i := range w.nodes {
 		w.StartNode(i)
 	}
 }
 
-// Stop makes a controller's process stand still while its clocks run on, or lets
+// PauseNode makes a controller's process stand still while its clocks run on, or lets
 // it go on.
-func (w *World) Stop(i int, on bool) { w.Net.SetStill(w.nodes[i].name, on) }
+func (w *Cluster) PauseNode(i int, on bool) { w.Network.SetPaused(w.nodes[i].name, on) }
 
 // Nodes are the controllers' names.
-func (w *World) Nodes() []string {
+func (w *Cluster) Nodes() []string {
 	var out []string
 	for _, n := range w.nodes {
 		out = append(out, n.name)
@@ -103,10 +103,10 @@
 }
 
 // Leader is the index of the node whose key is in the state service, or -1.
-func (w *World) Leader() int {
-	w.State.mu.Lock()
-	e, ok := w.State.keys["ctl/leader"]
-	w.State.mu.Unlock()
+func (w *Cluster) Leader() int {
+	w.Store.mu.Lock()
+	e, ok := w.Store.keys["ctl/leader"]
+	w.Store.mu.Unlock()
 	var rec struct {
 		Node string `msgpack:"node"`
 	}
@@ -121,34 +121,34 @@
 	return -1
 }
 
-// CutNode cuts a node off from hosts: "state", "cloud", "user", "workers",
+// PartitionNode cuts a node off from hosts: "state", "cloud", "user", "workers",
 // "nodes".
-func (w *World) CutNode(i int, on bool, what ...string) {
+func (w *Cluster) PartitionNode(i int, on bool, what ...string) {
 	name := w.nodes[i].name
 	for _, h := range what {
 		switch h {
 		case "workers":
 			for _, m := range w.Cloud.Machines() {
-				w.Net.setCut(name, m, on)
+				w.Network.setCut(name, m, on)
 			}
 		case "nodes":
 			for k, o := range w.nodes {
 				if k != i {
-					w.Net.setCut(name, o.name, on)
+					w.Network.setCut(name, o.name, on)
 				}
 			}
 		default:
-			w.Net.setCut(name, h, on)
+			w.Network.setCut(name, h, on)
 		}
 	}
 }
 
-// KeepOnlyWorkers cuts a node off from the state service and the other nodes, but
+// IsolateToWorkers cuts a node off from the state service and the other nodes, but
 // not from workers, or ends that.
-func (w *World) KeepOnlyWorkers(i int, on bool) { w.CutNode(i, on, "state", "nodes") }
+func (w *Cluster) IsolateToWorkers(i int, on bool) { w.PartitionNode(i, on, "state", "nodes") }
 
-// Bounce takes a node's power away and gives it back so soon after.
-func (w *World) Bounce(i int, after time.Duration) {
+// PowerCycleNode takes a node's power away and gives it back so soon after.
+func (w *Cluster) PowerCycleNode(i int, after time.Duration) {
 	w.KillNode(i)
 	time.Sleep(after)
 	w.StartNode(i)
--- a/internal/fake/placement.go
+++ b/internal/fake/placement.go
@@ -10,7 +10,7 @@
 
 // arrive takes in that a task has its image: from now on it is on its machine,
 // and the rules are checked. The lock is held.
-func (w *World) arrive(t *task, now time.Time) {
+func (w *Cluster) arrive(t *task, now time.Time) {
 	w.started++
 	if !wire.ValidUserID(t.job.ID) {
 		w.ran[t.name]++
@@ -49,7 +49,7 @@
 	}
 }
 
-func (w *World) checkPlace(t *task) {
+func (w *Cluster) checkPlace(t *task) {
 	j := t.job
 	ok := len(j.Types) == 0
 	for _, n := range j.Types {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (w *World) checkQuota(t *task) {
+func (w *Cluster) checkQuota(t *task) {
 	for _, team := range w.Settings.Cluster.Teams {
 		if team.Name != t.job.Team || team.CPUsMax+team.GPUsMax == 0 {
 			continue
@@ -92,7 +92,7 @@
 	}
 }
 
-func (w *World) gangOf(t *task) *gang {
+func (w *Cluster) gangOf(t *task) *gang {
 	k := taskKey{t.job.ID, t.attempt}
 	g := w.gangs[k]
 	if g == nil {
@@ -103,7 +103,7 @@
 }
 
 // leave takes in that a task is on its machine no more. The lock is held.
-func (w *World) leave(t *task, done bool) {
+func (w *Cluster) leave(t *task, done bool) {
 	if t == nil {
 		return
 	}
--- a/internal/fake/progress.go
+++ b/internal/fake/progress.go
@@ -11,7 +11,7 @@
 // tasks of a gang depend on one another.
 
 // advance lets a task that is on its machine go on. The lock is held.
-func (w *World) advance(t *task, now time.Time) {
+func (w *Cluster) advance(t *task, now time.Time) {
 	if !t.here {
 		if !t.stopAt.IsZero() {
 			t.m.exit(t, wire.WhyStopped, false)
@@ -34,7 +34,7 @@
 	}
 }
 
-func (w *World) advanceGang(t *task, now time.Time) {
+func (w *Cluster) advanceGang(t *task, now time.Time) {
 	g := w.gangOf(t)
 	peer := secs(w.Settings.Cluster.Workers.GangPeerS)
 	switch {
@@ -71,7 +71,7 @@
 	}
 }
 
-func j2done(w *World, t *task) bool { return w.jobs[t.job.ID].done[t.idx] }
+func j2done(w *Cluster, t *task) bool { return w.jobs[t.job.ID].done[t.idx] }
 
 func sortedTasks(g *gang) []*task {
 	var out []*task
@@ -83,7 +83,7 @@
 }
 
 // halt takes a stop in. The lock is held.
-func (w *World) halt(t *task, grace float64, now time.Time) {
+func (w *Cluster) halt(t *task, grace float64, now time.Time) {
 	t.m.dirty = true
 	saves := t.here && t.job.CheckpointS > 0 && grace >= t.job.SaveS
 	if t.job != nil && t.job.Kind == wire.KindGang {
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -14,7 +14,7 @@
 // Starved watches, once troubles are over, for as long as it takes until no job
 // waits that could run, a while at most, and names the jobs that waited all that
 // time though a machine that fits had room and the team was under its limit.
-func (w *World) Starved(within time.Duration) []string {
+func (w *Cluster) Starved(within time.Duration) []string {
 	since := map[string]time.Time{}
 	for {
 		now := time.Now()
@@ -40,7 +40,7 @@
 }
 
 // couldStart lists the jobs with a task that could start now, a gang if all could.
-func (w *World) couldStart() (out []string) {
+func (w *Cluster) couldStart() (out []string) {
 	var all []*machine
 	for _, name := range w.Cloud.Machines() {
 		if m := w.Cloud.machine(name); m != nil {
@@ -79,7 +79,7 @@
 
 // under says whether a team's limit leaves room for so many more tasks; the lock
 // is held. What fetches its image counts.
-func (w *World) under(j *wire.Job, n int, all []*machine) bool {
+func (w *Cluster) under(j *wire.Job, n int, all []*machine) bool {
 	cpus, gpus := j.CPUs*float64(n), j.GPUs*float64(n)
 	for _, m := range all {
 		for _, t := range m.tasks {
@@ -98,7 +98,7 @@
 
 // roomFor is how many tasks of a job fit on the machines that work; zones is where
 // others of its tasks are. The lock is held.
-func (w *World) roomFor(j *wire.Job, all []*machine, zones map[string]int) int {
+func (w *Cluster) roomFor(j *wire.Job, all []*machine, zones map[string]int) int {
 	fits := map[string]int{}
 	for _, m := range all {
 		if m.dead || m.hung || m.faulty || m.notice != nil || m.spot && !j.Spot || j.Zone != "" && j.Zone != m.zone ||
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -21,9 +21,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// State is a state service in memory, with the limits of sizes and counts, and
+// KVStore is a state service in memory, with the limits of sizes and counts, and
 // that of changes a second where a story sets it.
-type State struct {
+type KVStore struct {
 	mu      sync.Mutex
 	rev     uint64
 	keys    map[string]wire.Entry
@@ -55,7 +55,7 @@
 
 // LimitRequests makes the service refuse what is more than so many requests a
 // second, of all nodes together.
-func (s *State) LimitRequests(rps float64) {
+func (s *KVStore) LimitRequests(rps float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reqs = rate.NewLimiter(rate.Limit(rps), int(rps))
@@ -66,16 +66,16 @@
 	expires time.Time
 }
 
-// NewState makes an empty state service.
-func NewState(txnOps int) *State {
-	return &State{keys: map[string]wire.Entry{}, leases: map[uint64]*stateLease{}, next: 1,
+// NewKVStore makes an empty state service.
+func NewKVStore(txnOps int) *KVStore {
+	return &KVStore{keys: map[string]wire.Entry{}, leases: map[uint64]*stateLease{}, next: 1,
 		changed: make(chan struct{}), refuse: map[string]bool{}, ops: txnOps, born: map[string]time.Time{},
 		heldTo: map[string]time.Duration{}, hushed: map[string]bool{}, last: map[string]uint64{},
 		lagging: lagging{applied: map[string]arrival{}}}
 }
 
 // SetOutage begins or ends an outage; at its end leases have their full time.
-func (s *State) SetOutage(on bool) {
+func (s *KVStore) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -86,33 +86,33 @@
 	s.wake()
 }
 
-// Busied is how many requests were refused for being too many.
-func (s *State) Busied() int {
+// RateLimited is how many requests were refused for being too many.
+func (s *KVStore) RateLimited() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.busy
 }
 
 // Refuse makes one node get 503, or ends that.
-func (s *State) Refuse(node string, on bool) {
+func (s *KVStore) Refuse(node string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refuse[node] = on
 }
 
-// LateNext leaves the next transaction unanswered and applies it only later.
-func (s *State) LateNext(by time.Duration) { s.LateNextOf("", by) }
+// DelayNextTransaction leaves the next transaction unanswered and applies it only later.
+func (s *KVStore) DelayNextTransaction(by time.Duration) { s.DelayNextTransactionOn("", by) }
 
-// LateNextOf does that to the next transaction that changes a key that begins so.
-func (s *State) LateNextOf(prefix string, by time.Duration) {
+// DelayNextTransactionOn does that to the next transaction that changes a key that begins so.
+func (s *KVStore) DelayNextTransactionOn(prefix string, by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.late, s.lateOf = by, prefix
 }
 
-// KeepNextOf keeps the next transaction that changes a key that begins so on its way
+// HoldNextTransactionOn keeps the next transaction that changes a key that begins so on its way
 // until it is let come, which a story must do at the latest as it ends.
-func (s *State) KeepNextOf(prefix string) (come func()) {
+func (s *KVStore) HoldNextTransactionOn(prefix string) (come func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	kept := make(chan struct{})
@@ -127,24 +127,24 @@
 	})
 }
 
-// SlowAnswers makes every answer take that much longer than usual after its request
+// DelayReplies makes every answer take that much longer than usual after its request
 // was carried out: what it says is as old when it comes.
-func (s *State) SlowAnswers(by time.Duration) {
+func (s *KVStore) DelayReplies(by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.held = by
 }
 
-// SlowAnswersTo does the same for one node alone.
-func (s *State) SlowAnswersTo(node string, by time.Duration) {
+// DelayRepliesTo does the same for one node alone.
+func (s *KVStore) DelayRepliesTo(node string, by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.heldTo[node] = by
 }
 
-// HushWatches makes watches of a node bring nothing while all else is answered, as
+// SilenceWatches makes watches of a node bring nothing while all else is answered, as
 // where their connection hangs, or ends that.
-func (s *State) HushWatches(node string, on bool) {
+func (s *KVStore) SilenceWatches(node string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hushed[node] = on
@@ -163,15 +163,15 @@
 }
 func (a *answerLater) WriteHeader(status int) { a.status = status }
 
-// Slow makes every answer take that much longer than the usual 4 ms.
-func (s *State) Slow(by time.Duration) {
+// SetLatency makes every answer take that much longer than the usual 4 ms.
+func (s *KVStore) SetLatency(by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow = by
 }
 
 // Keys lists the keys with a prefix.
-func (s *State) Keys(prefix string) []string {
+func (s *KVStore) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expire()
@@ -186,7 +186,7 @@
 }
 
 // Versions gives the keys that begin so, each with the version of its last change.
-func (s *State) Versions(prefix string) map[string]uint64 {
+func (s *KVStore) Versions(prefix string) map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := map[string]uint64{}
@@ -199,14 +199,14 @@
 }
 
 // Changes counts the puts and deletes that were asked for and not refused.
-func (s *State) Changes() int {
+func (s *KVStore) Changes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.asked
 }
 
-// Damage makes a key's value something that nobody has written: that, or a text.
-func (s *State) Damage(key string, value ...byte) {
+// Corrupt makes a key's value something that nobody has written: that, or a text.
+func (s *KVStore) Corrupt(key string, value ...byte) {
 	s.harmed.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,9 +218,9 @@
 	s.keys[key] = e
 }
 
-// Spoil writes a key as nobody should: what can't be read has a version of its own,
+// OverwriteUnreadable writes a key as nobody should: what can't be read has a version of its own,
 // which nobody knows.
-func (s *State) Spoil(key string) {
+func (s *KVStore) OverwriteUnreadable(key string) {
 	s.harmed.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,9 +232,9 @@
 	s.wake()
 }
 
-// Scratch makes a key's value one that can't be read, though all of it still stands
+// CorruptNested makes a key's value one that can't be read, though all of it still stands
 // there: within a list.
-func (s *State) Scratch(key string) {
+func (s *KVStore) CorruptNested(key string) {
 	s.harmed.Store(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,8 +243,8 @@
 	s.keys[key] = e
 }
 
-// Wipe empties the service.
-func (s *State) Wipe() {
+// Clear empties the service.
+func (s *KVStore) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.keys)
@@ -252,33 +252,33 @@
 
 // JobKeys lists the keys that say something of unfinished jobs: heads of buckets
 // stay when they are empty.
-func (s *State) JobKeys() []string {
+func (s *KVStore) JobKeys() []string {
 	return slices.DeleteFunc(s.Keys(jobstore.Active), func(k string) bool {
 		var page jobstore.IntakeRecord
 		return k == jobstore.FormKey || jobstore.IsHead(k) && wire.Unmarshal(s.Value(k), &page) == nil && len(page.Jobs) == 0
 	})
 }
 
-// Born is when a key that was not there was last put; zero: never.
-func (s *State) Born(key string) time.Time {
+// CreatedAt is when a key that was not there was last put; zero: never.
+func (s *KVStore) CreatedAt(key string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.born[key]
 }
 
 // Value is what a key holds.
-func (s *State) Value(key string) []byte {
+func (s *KVStore) Value(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.keys[key].Value
 }
 
-func (s *State) wake() {
+func (s *KVStore) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-func (s *State) expire() {
+func (s *KVStore) expire() {
 	if s.outage {
 		return
 	}
@@ -295,7 +295,7 @@
 	}
 }
 
-func (s *State) endLease(id uint64) {
+func (s *KVStore) endLease(id uint64) {
 	delete(s.leases, id)
 	var gone []string
 	for k, e := range s.keys {
@@ -325,7 +325,7 @@
 }
 
 // ServeHTTP implements the interface.
-func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.mu.Lock()
 	slow, held := s.slow, s.held+s.heldTo[nodeOf(r)]
@@ -344,7 +344,7 @@
 	_, _ = w.Write(a.body)
 }
 
-func (s *State) serve(w http.ResponseWriter, r *http.Request, body []byte) {
+func (s *KVStore) serve(w http.ResponseWriter, r *http.Request, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.outage || s.refuse[nodeOf(r)] {
@@ -409,7 +409,7 @@
 	}
 }
 
-func (s *State) list(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) list(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	page, _ := strconv.Atoi(q.Get("page"))
 	var keys []string
@@ -454,7 +454,7 @@
 }
 
 // LimitWrites makes the service refuse more puts and deletes a second.
-func (s *State) LimitWrites(rps float64) {
+func (s *KVStore) LimitWrites(rps float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writes = rate.NewLimiter(rate.Limit(rps), int(rps))
@@ -470,7 +470,7 @@
 	} `msgpack:"apply"`
 }
 
-func (s *State) commit(w http.ResponseWriter, r *http.Request, body []byte) {
+func (s *KVStore) commit(w http.ResponseWriter, r *http.Request, body []byte) {
 	var t txn
 	if msgpack.Unmarshal(body, &t) != nil || len(t.Then) > s.ops || len(t.If) > 4*s.ops || jsonSize(body) > wire.MaxBody {
 		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
@@ -564,7 +564,7 @@
 // checkOrders sees to it that no leader places a task but on condition of the plan
 // in force: the condition held, since the transaction is being applied. What is no
 // leader's is a snapshot being imported.
-func (s *State) checkOrders(t *txn) {
+func (s *KVStore) checkOrders(t *txn) {
 	on := func(key string) bool {
 		return slices.ContainsFunc(t.If, func(g wire.Guard) bool { return g.Key == key })
 	}
@@ -600,7 +600,7 @@
 	}
 }
 
-func (s *State) follow(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) follow(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
 	block, _ := strconv.Atoi(q.Get("blockMs"))
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -9,11 +9,11 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-func (w *World) post(addr, path string, v any) (int, []byte) {
+func (w *Cluster) post(addr, path string, v any) (int, []byte) {
 	return w.request(http.MethodPost, addr, path, v, 5*time.Second)
 }
 
-func (w *World) request(method, addr, path string, v any, limit time.Duration) (int, []byte) {
+func (w *Cluster) request(method, addr, path string, v any, limit time.Duration) (int, []byte) {
 	ctx, cancel := context.WithTimeout(w.ctx, limit)
 	defer cancel()
 	status, body, err := call.Do(ctx, w.hc, method, "http://"+addr+path, v, 1<<20)
@@ -28,8 +28,8 @@
 // told to nobody for 20 s.
 const missedFor = 3 * time.Second
 
-// Any draws a node's address, as a load balancer would.
-func (w *World) Any() string {
+// AnyNodeAddr draws a node's address, as a load balancer would.
+func (w *Cluster) AnyNodeAddr() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var up []*node
@@ -44,17 +44,17 @@
 	return up[w.pick(len(up))].bind
 }
 
-// Bind is a node's address.
-func (w *World) Bind(i int) string { return w.nodes[i].bind }
+// NodeAddr is a node's address.
+func (w *Cluster) NodeAddr(i int) string { return w.nodes[i].bind }
 
-// Post sends any body as a submission and returns the status.
-func (w *World) Post(node int, v any) int {
+// PostSubmission sends any body as a submission and returns the status.
+func (w *Cluster) PostSubmission(node int, v any) int {
 	status, _ := w.post(w.nodes[node].bind, wire.PathJobs, v)
 	return status
 }
 
-// Refusal sends a submission and returns the status and the words of the answer.
-func (w *World) Refusal(node int, j wire.Job) (int, string) {
+// SubmitRefused sends a submission and returns the status and the words of the answer.
+func (w *Cluster) SubmitRefused(node int, j wire.Job) (int, string) {
 	status, body := w.post(w.nodes[node].bind, wire.PathJobs, j)
 	var e wire.Error
 	if wire.Unmarshal(body, &e) != nil {
@@ -65,9 +65,9 @@
 
 // Submit submits a job until it is accepted, for a minute, and says whether it
 // was.
-func (w *World) Submit(j wire.Job) bool {
+func (w *Cluster) Submit(j wire.Job) bool {
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); {
-		switch w.submit(w.Any(), j).status {
+		switch w.submit(w.AnyNodeAddr(), j).status {
 		case http.StatusOK, http.StatusCreated:
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
@@ -81,7 +81,7 @@
 }
 
 // submit sends a job to a node once.
-func (w *World) submit(addr string, j wire.Job) heard {
+func (w *Cluster) submit(addr string, j wire.Job) heard {
 	w.mu.Lock()
 	if w.jobs[j.ID] == nil {
 		w.jobs[j.ID] = &job{spec: j, done: map[int]bool{}}
@@ -90,15 +90,15 @@
 	return w.ask(submission, j.ID, addr, j, 5*time.Second)
 }
 
-// Poll asks a node for a job's state; "" where there was no answer.
-func (w *World) Poll(addr, id string) string {
+// PollState asks a node for a job's state; "" where there was no answer.
+func (w *Cluster) PollState(addr, id string) string {
 	return w.ask(question, id, addr, nil, 2*time.Second).state
 }
 
 // Cancel cancels a job, for a minute, and returns the final state.
-func (w *World) Cancel(id string) string {
+func (w *Cluster) Cancel(id string) string {
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); {
-		if s := w.CancelAt(w.Any(), id); s != "" {
+		if s := w.CancelAt(w.AnyNodeAddr(), id); s != "" {
 			return s
 		}
 		if !call.Pause(w.ctx, time.Second) {
@@ -110,7 +110,7 @@
 
 // CancelAt asks a node once to cancel a job, and returns the final state; "" where
 // there was no such answer.
-func (w *World) CancelAt(addr, id string) string {
+func (w *Cluster) CancelAt(addr, id string) string {
 	w.mu.Lock()
 	if j := w.jobs[id]; j != nil {
 		j.asked = true
@@ -119,8 +119,8 @@
 	return w.ask(cancellation, id, addr, nil, 5*time.Second).state
 }
 
-// Cancelled is when a job's user was told that it is cancelled; zero: not yet.
-func (w *World) Cancelled(id string) time.Time {
+// CancelConfirmedAt is when a job's user was told that it is cancelled; zero: not yet.
+func (w *Cluster) CancelConfirmedAt(id string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if j := w.jobs[id]; j != nil {
@@ -130,9 +130,9 @@
 }
 
 // Await polls until a job is in a state, at most for a while.
-func (w *World) Await(id, state string, within time.Duration) bool {
+func (w *Cluster) Await(id, state string, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); {
-		if w.Poll(w.Any(), id) == state {
+		if w.PollState(w.AnyNodeAddr(), id) == state {
 			return true
 		}
 		if !call.Pause(w.ctx, 500*time.Millisecond) {
@@ -142,8 +142,8 @@
 	return false
 }
 
-// On lists the machines that a task is on.
-func (w *World) On(task string) []string {
+// MachinesRunning lists the machines that a task is on.
+func (w *Cluster) MachinesRunning(task string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
--- a/internal/fake/world.go
+++ b/internal/fake/world.go
@@ -18,10 +18,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// World is everything around the controllers, and the controllers.
-type World struct {
-	Net      *Net
-	State    *State
+// Cluster is everything around the controllers, and the controllers.
+type Cluster struct {
+	Network  *Network
+	Store    *KVStore
 	Cloud    *Cloud
 	Settings *config.Settings // of the first node
 
@@ -129,7 +129,7 @@
 	Price: 1, SpotPrice: 0.4, BootS: 10, ZonesNamed: Zones}
 
 // New makes a world whose controllers are running.
-func New(o Options) *World {
+func New(o Options) *Cluster {
 	if o.Nodes == 0 {
 		o.Nodes = 3
 	}
@@ -146,15 +146,15 @@
 		o.Teams = []config.Team{{Name: "core"}}
 	}
 	ctx, end := context.WithCancel(context.Background())
-	w := &World{Net: NewNet(), State: NewState(12), ctx: ctx, end: end, log: o.Log, yarn: o.YARN, watch: o.Metrics, noSummons: o.NoSummons,
+	w := &Cluster{Network: NewNetwork(), Store: NewKVStore(12), ctx: ctx, end: end, log: o.Log, yarn: o.YARN, watch: o.Metrics, noSummons: o.NoSummons,
 		rnd: rand.New(rand.NewPCG(o.Seed, 7)), jobs: map[string]*job{}, here: map[string]map[*machine]bool{},
 		gangs: map[taskKey]*gang{}, progress: map[string]float64{}, ran: map[string]int{}, kept: map[string][]byte{}, reached: map[reach]time.Time{}, kept200: map[reach]time.Time{}, fetching: map[string]bool{}}
-	w.State.breaks = w.breaks
+	w.Store.breaks = w.breaks
 	w.Cloud = &Cloud{w: w, types: o.Types, capacity: o.Capacity, lag: 5 * time.Second,
 		answers: map[string][]string{}, machines: map[string]*machine{}}
-	w.serve("state:1", w.State)
+	w.serve("state:1", w.Store)
 	w.serve("cloud:1", w.Cloud)
-	w.hc = &http.Client{Transport: &http.Transport{DialContext: w.Net.Dial("user"), DisableKeepAlives: true}}
+	w.hc = &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("user"), DisableKeepAlives: true}}
 	for i := range o.Nodes {
 		name := fmt.Sprintf("n-%d", i)
 		cfg := &config.Settings{Node: name, Zone: Zones[i%2], Bind: name + ":80", MeshListen: name + ":81",
@@ -176,7 +176,7 @@
 		c := &n.cfg.Cluster
 		if o.Sockets > 0 {
 			c.Limits.Sockets = o.Sockets
-			w.Net.LimitSockets(n.name, o.Sockets)
+			w.Network.LimitSockets(n.name, o.Sockets)
 		}
 		if o.Gap > 0 {
 			c.Workers.ReportS = o.Gap
@@ -186,13 +186,13 @@
 		}
 	}
 	if o.StateRPS > 0 {
-		w.State.LimitRequests(o.StateRPS)
+		w.Store.LimitRequests(o.StateRPS)
 		for _, n := range w.nodes {
 			n.cfg.Cluster.State.RPS = o.StateRPS
 		}
 	}
 	if o.StateWPS > 0 {
-		w.State.LimitWrites(o.StateWPS)
+		w.Store.LimitWrites(o.StateWPS)
 		for _, n := range w.nodes {
 			n.cfg.Cluster.State.WriteRPS = o.StateWPS
 		}
@@ -215,28 +215,28 @@
 
 // reserved is a job of another door, whose description workers find in its record;
 // the lock is held.
-func (w *World) reserved(id string) *job {
+func (w *Cluster) reserved(id string) *job {
 	if j := w.jobs[id]; j != nil || wire.ValidUserID(id) || w.strict {
 		return j
 	}
 	var rec jobstore.JobRecord
-	if wire.Unmarshal(w.State.Value(jobstore.JobKey(id)), &rec) != nil {
+	if wire.Unmarshal(w.Store.Value(jobstore.JobKey(id)), &rec) != nil {
 		return nil
 	}
 	w.jobs[id] = &job{spec: rec.Job, accepted: true, done: map[int]bool{}}
 	return w.jobs[id]
 }
 
-// KnowNoOthers makes workers know users' jobs only, not those of other doors.
-func (w *World) KnowNoOthers() {
+// RejectUnknownJobs makes workers know users' jobs only, not those of other doors.
+func (w *Cluster) RejectUnknownJobs() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.strict = true
 }
 
-// Know tells the workers of a job that was not submitted through the world, as
+// RegisterJob tells the workers of a job that was not submitted through the world, as
 // users of real processes upload descriptions themselves.
-func (w *World) Know(j wire.Job) {
+func (w *Cluster) RegisterJob(j wire.Job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.jobs[j.ID] == nil {
@@ -245,7 +245,7 @@
 }
 
 // Close ends the world; nothing of it runs afterwards.
-func (w *World) Close() {
+func (w *Cluster) Close() {
 	for i := range w.nodes {
 		w.KillNode(i)
 	}
@@ -254,7 +254,7 @@
 		w.Cloud.machine(n).kill()
 	}
 	w.end()
-	w.Net.deliverAll()
+	w.Network.deliverAll()
 	w.hc.CloseIdleConnections()
 	w.wg.Wait()
 	// Requests that hang are given up in their own time, which is simulated.
@@ -268,8 +268,8 @@
 	return s
 }
 
-func (w *World) serve(at string, h http.Handler) {
-	l, err := w.Net.Listen("tcp", at)
+func (w *Cluster) serve(at string, h http.Handler) {
+	l, err := w.Network.Listen("tcp", at)
 	if err != nil {
 		panic(err) // a world is made wrong
 	}
@@ -282,11 +282,11 @@
 }
 
 // KillMachine ends a machine without notice; it stays listed for a while.
-func (w *World) KillMachine(name string) { w.Cloud.machine(name).kill() }
+func (w *Cluster) KillMachine(name string) { w.Cloud.machine(name).kill() }
 
-// Hang makes a machine do nothing, or lets it go on. One that has been returned
+// HangMachine makes a machine do nothing, or lets it go on. One that has been returned
 // meanwhile stays gone.
-func (w *World) Hang(name string, on bool) {
+func (w *Cluster) HangMachine(name string, on bool) {
 	m := w.Cloud.machine(name)
 	if m == nil {
 		return
@@ -296,17 +296,17 @@
 	m.hung = on
 }
 
-// Fault makes tasks fail on a machine.
-func (w *World) Fault(name string) {
+// MakeMachineFaulty makes tasks fail on a machine.
+func (w *Cluster) MakeMachineFaulty(name string) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m.faulty = true
 }
 
-// Rogue makes a worker launch a task behind the controllers' backs, for
+// LaunchWithoutLeader makes a worker launch a task behind the controllers' backs, for
 // stories that show that the checker sees it.
-func (w *World) Rogue(name, task string) {
+func (w *Cluster) LaunchWithoutLeader(name, task string) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -323,8 +323,8 @@
 	}
 }
 
-// Finished is how many tasks of a job have really completed.
-func (w *World) Finished(id string) int {
+// FinishedTasks is how many tasks of a job have really completed.
+func (w *Cluster) FinishedTasks(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if j := w.jobs[id]; j != nil {
@@ -333,15 +333,15 @@
 	return 0
 }
 
-// Saved is the progress of a task, or of a gang's job, that outlives a stop.
-func (w *World) Saved(name string) float64 {
+// CheckpointedProgress is the progress of a task, or of a gang's job, that outlives a stop.
+func (w *Cluster) CheckpointedProgress(name string) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.progress[name]
 }
 
-// Notice tells a worker that its machine will be taken.
-func (w *World) Notice(name string, in time.Duration) {
+// InterruptMachine tells a worker that its machine will be taken.
+func (w *Cluster) InterruptMachine(name string, in time.Duration) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	s := in.Seconds()
@@ -359,24 +359,24 @@
 	}()
 }
 
-// Mute lets a machine's reports arrive while nothing reaches it from the nodes,
+// BlockRepliesTo lets a machine's reports arrive while nothing reaches it from the nodes,
 // or ends that. What was sent meanwhile arrives then, where it is still awaited.
-func (w *World) Mute(name string, on bool) {
+func (w *Cluster) BlockRepliesTo(name string, on bool) {
 	for _, n := range w.nodes {
-		w.Net.SetMute(n.name, name, on)
+		w.Network.SetOneWayBlock(n.name, name, on)
 	}
 }
 
 // pick draws a number below n; the lock is held.
-func (w *World) pick(n int) int { return w.rnd.IntN(n) }
+func (w *Cluster) pick(n int) int { return w.rnd.IntN(n) }
 
-func (w *World) breaks(format string, args ...any) {
+func (w *Cluster) breaks(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.breaksLocked(format, args...)
 }
 
-func (w *World) breaksLocked(format string, args ...any) {
+func (w *Cluster) breaksLocked(format string, args ...any) {
 	if len(w.broken) < 20 {
 		said := fmt.Sprintf(format, args...)
 		if !w.met.IsZero() {
@@ -386,22 +386,22 @@
 	}
 }
 
-// Broken lists the rules that were broken.
-func (w *World) Broken() []string {
+// Violations lists the rules that were broken.
+func (w *Cluster) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]string(nil), w.broken...)
 }
 
 // Started is how many tasks have got on a machine.
-func (w *World) Started() int {
+func (w *Cluster) Started() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.started
 }
 
-// Repeated is how many tasks of other doors' jobs ran more than once.
-func (w *World) Repeated() int {
+// RanMoreThanOnce is how many tasks of other doors' jobs ran more than once.
+func (w *Cluster) RanMoreThanOnce() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -413,8 +413,8 @@
 	return n
 }
 
-// Load is how many tasks are on each machine that has any.
-func (w *World) Load() map[string]int {
+// TasksPerMachine is how many tasks are on each machine that has any.
+func (w *Cluster) TasksPerMachine() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]int{}
@@ -427,10 +427,10 @@
 }
 
 // ZoneOf is a machine's zone.
-func (w *World) ZoneOf(name string) string { return w.Cloud.machine(name).zone }
+func (w *Cluster) ZoneOf(name string) string { return w.Cloud.machine(name).zone }
 
 // Running is how many tasks are on machines.
-func (w *World) Running() int {
+func (w *Cluster) Running() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
@@ -440,15 +440,15 @@
 	return n
 }
 
-// Expired is how many workers' leases have ended so far while they had tasks.
-func (w *World) Expired() int {
+// ExpiredLeases is how many workers' leases have ended so far while they had tasks.
+func (w *Cluster) ExpiredLeases() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.expired
 }
 
-// Unanswered is how many living machines have had no answer since then.
-func (w *World) Unanswered(since time.Time) int {
+// UnansweredTransactions is how many living machines have had no answer since then.
+func (w *Cluster) Unanswered(since time.Time) int {
 	var all []*machine
 	for _, name := range w.Cloud.Machines() {
 		all = append(all, w.Cloud.machine(name))
@@ -467,9 +467,9 @@
 // reach is a node and a machine that reports to it.
 type reach struct{ node, machine string }
 
-// Reported is how many machines a node has answered since then, and how many of them
+// ReportsAnswered is how many machines a node has answered since then, and how many of them
 // have taken a 200 of it: reports that were sent since.
-func (w *World) Reported(i int, since time.Time) (answered, kept int) {
+func (w *Cluster) ReportsAnswered(i int, since time.Time) (answered, kept int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for r, at := range w.reached {
@@ -485,14 +485,14 @@
 	return answered, kept
 }
 
-// CutZone cuts the machines of a zone off from every node, or heals that.
-func (w *World) CutZone(zone string, on bool) {
+// PartitionZone cuts the machines of a zone off from every node, or heals that.
+func (w *Cluster) PartitionZone(zone string, on bool) {
 	for _, name := range w.Cloud.Machines() {
 		if w.Cloud.machine(name).zone != zone {
 			continue
 		}
 		for _, n := range w.nodes {
-			w.Net.setCut(n.name, name, on)
+			w.Network.setCut(n.name, name, on)
 		}
 	}
 }
--- a/internal/scenario/plans.go
+++ b/internal/scenario/plans.go
@@ -13,16 +13,16 @@
 
 // TryPlan applies a plan on a version as the operators' command does, and returns
 // the number of the new one.
-func TryPlan(w *fake.World, base int, text string, within time.Duration) (int, error) {
+func TryPlan(w *fake.Cluster, base int, text string, within time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	st := kvstore.New(w.Net.Dial("operator"), "state:1", 20, 20)
+	st := kvstore.New(w.Network.Dial("operator"), "state:1", 20, 20)
 	v, err := jobstore.ApplyPlan(ctx, st, jobstore.Limits{TxnOps: 12, ValueKB: 16}, jobstore.PlanChange{Base: base, Text: text, By: "ops", At: time.Now()})
 	return v.Number, err
 }
 
 // ApplyPlan applies a plan, which must become the next version.
-func ApplyPlan(t *testing.T, w *fake.World, base int, text string) {
+func ApplyPlan(t *testing.T, w *fake.Cluster, base int, text string) {
 	t.Helper()
 	if n, err := TryPlan(w, base, text, time.Minute); err != nil || n != base+1 {
 		t.Fatalf("version %d on %d: %v", n, base, err)
@@ -31,7 +31,7 @@
 
 // Plans applies one plan after another, also where answers are lost.
 type Plans struct {
-	World   *fake.World
+	World   *fake.Cluster
 	Version int // the one in force as far as is known
 }
 
--- a/internal/scenario/tell.go
+++ b/internal/scenario/tell.go
@@ -19,8 +19,8 @@
 // room and its team is under its limit.
 const starvedAfter = 90 * time.Second
 
-// Story runs a world in simulated time and checks the rules at its end.
-func Story(t *testing.T, o fake.Options, tell func(t *testing.T, w *fake.World)) {
+// Run runs a world in simulated time and checks the rules at its end.
+func Run(t *testing.T, o fake.Options, tell func(t *testing.T, w *fake.Cluster)) {
 	t.Helper()
 	if os.Getenv("STORY_LOG") != "" {
 		o.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -30,12 +30,12 @@
 		defer w.Close()
 		time.Sleep(5 * time.Second)
 		tell(t, w)
-		if !t.Failed() && !w.Faulty() {
+		if !t.Failed() && !w.FaultActive() {
 			if ids := w.Starved(starvedAfter); len(ids) > 0 {
 				t.Errorf("%v waited for %v without faults, though there is room and their teams are under their limits", ids, starvedAfter)
 			}
 		}
-		for _, b := range w.Broken() {
+		for _, b := range w.Violations() {
 			t.Errorf("rule broken: %s", b)
 		}
 	})
@@ -51,13 +51,13 @@
 	return j
 }
 
-// Gang makes a gang of a job.
-func Gang(j *wire.Job) {
+// AsGang makes a gang of a job.
+func AsGang(j *wire.Job) {
 	j.Kind, j.CheckpointS, j.SaveS = wire.KindGang, 10, 2
 }
 
 // MustSubmit submits jobs, each of which must be accepted.
-func MustSubmit(t *testing.T, w *fake.World, jobs ...wire.Job) {
+func MustSubmit(t *testing.T, w *fake.Cluster, jobs ...wire.Job) {
 	t.Helper()
 	for _, j := range jobs {
 		if !w.Submit(j) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// Until waits, looking every so often, until something holds, and says whether it does.
-func Until(within, every time.Duration, ok func() bool) bool {
+// Eventually waits, looking every so often, until something holds, and says whether it does.
+func Eventually(within, every time.Duration, ok func() bool) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); {
 		if time.Sleep(every); ok() {
 			return true
@@ -77,7 +77,7 @@
 }
 
 // MustFinish waits until the jobs of some numbers are done, for each so long at most.
-func MustFinish(t *testing.T, w *fake.World, within time.Duration, numbers ...int) {
+func MustFinish(t *testing.T, w *fake.Cluster, within time.Duration, numbers ...int) {
 	t.Helper()
 	for _, n := range numbers {
 		MustReach(t, w, Job(n, nil).ID, wire.JobDone, within)
@@ -85,7 +85,7 @@
 }
 
 // MustReach waits until a job is in a state.
-func MustReach(t *testing.T, w *fake.World, id, state string, within time.Duration) {
+func MustReach(t *testing.T, w *fake.Cluster, id, state string, within time.Duration) {
 	t.Helper()
 	if !w.Await(id, state, within) {
 		t.Fatalf("%s was not %s within %v", id, state, within)
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -21,7 +21,7 @@
 // costs all that runs on its machine.
 
 // fleet begins a story in which every machine runs one long task.
-func fleet(t *testing.T, o fake.Options, play func(t *testing.T, w *fake.World)) {
+func fleet(t *testing.T, o fake.Options, play func(t *testing.T, w *fake.Cluster)) {
 	t.Helper()
 	if underRace {
 		t.Skip("played without the race detector by .ci/run")
@@ -31,16 +31,16 @@
 		o.Sockets = fleetSockets
 	}
 	o.Gap, o.Lease = 4, 22
-	scenario.Story(t, o, func(t *testing.T, w *fake.World) {
+	scenario.Run(t, o, func(t *testing.T, w *fake.Cluster) {
 		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = o.Machines, 8, 400 }))
-		scenario.Until(time.Minute, time.Second, func() bool { return w.Started() == o.Machines })
-		if n := w.Started(); n != o.Machines || w.Expired() != 0 {
-			t.Fatalf("%d of %d tasks run, %d leases have ended", n, o.Machines, w.Expired())
+		scenario.Eventually(time.Minute, time.Second, func() bool { return w.Started() == o.Machines })
+		if n := w.Started(); n != o.Machines || w.ExpiredLeases() != 0 {
+			t.Fatalf("%d of %d tasks run, %d leases have ended", n, o.Machines, w.ExpiredLeases())
 		}
 		time.Sleep(20 * time.Second) // moved to where they belong
 		play(t, w)
 		for i := range len(w.Nodes()) {
-			if n := w.Net.Peak(w.Nodes()[i]); n > o.Sockets {
+			if n := w.Network.Peak(w.Nodes()[i]); n > o.Sockets {
 				t.Errorf("node %d had %d sockets of %d", i, n, o.Sockets)
 			}
 		}
@@ -48,7 +48,7 @@
 }
 
 // allAnswered fails unless every living worker has an answer by then.
-func allAnswered(t *testing.T, w *fake.World, since time.Time, within time.Duration) {
+func allAnswered(t *testing.T, w *fake.Cluster, since time.Time, within time.Duration) {
 	t.Helper()
 	time.Sleep(within - time.Since(since))
 	if n := w.Unanswered(since); n > 0 {
@@ -56,27 +56,27 @@
 	}
 }
 
-func noneLost(t *testing.T, w *fake.World, tasks int) {
+func noneLost(t *testing.T, w *fake.Cluster, tasks int) {
 	t.Helper()
-	if n := w.Started(); w.Expired() != 0 || n != tasks {
-		t.Errorf("%d leases ended, %d starts of %d tasks", w.Expired(), n, tasks)
+	if n := w.Started(); w.ExpiredLeases() != 0 || n != tasks {
+		t.Errorf("%d leases ended, %d starts of %d tasks", w.ExpiredLeases(), n, tasks)
 	}
 }
 
 // The leader keeps its part of the workers, and the rest are answered by way of
 // the other nodes.
 func TestTheLeaderDoesNotHoldTheWholeFleet(t *testing.T) {
-	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.World) {
+	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		at := time.Now()
 		allAnswered(t, w, at, 10*time.Second)
-		if n := w.Net.Open(w.Nodes()[w.Leader()]); n > fleetSockets*6/10 {
+		if n := w.Network.Open(w.Nodes()[w.Leader()]); n > fleetSockets*6/10 {
 			t.Errorf("the leader holds %d of its %d sockets", n, fleetSockets)
 		}
 		if w.Cancel("wk-000001") != wire.JobCancelled {
 			t.Error("not cancelled")
 		}
 		time.Sleep(15 * time.Second)
-		if on := w.On("wk-000001/0"); len(on) > 0 {
+		if on := w.MachinesRunning("wk-000001/0"); len(on) > 0 {
 			t.Errorf("still on %v", on)
 		}
 		noneLost(t, w, fleetMachines)
@@ -84,7 +84,7 @@
 }
 
 func TestAllNodesRestartWhileTheFleetReports(t *testing.T) {
-	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.World) {
+	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		w.KillAll()
 		time.Sleep(6 * time.Second)
 		at := time.Now()
@@ -96,15 +96,15 @@
 }
 
 func TestHalfTheFleetReturnsWithinASecond(t *testing.T) {
-	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.World) {
+	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		half := w.Cloud.Machines()[:fleetMachines/2]
 		for _, m := range half {
-			w.Hang(m, true)
+			w.HangMachine(m, true)
 		}
 		time.Sleep(14 * time.Second)
 		at := time.Now()
 		for _, m := range half {
-			w.Hang(m, false)
+			w.HangMachine(m, false)
 		}
 		allAnswered(t, w, at, 9*time.Second)
 		noneLost(t, w, fleetMachines)
@@ -114,23 +114,23 @@
 // A zone that comes back after its leases have ended starts anew, at once and
 // nothing twice, while the cloud gives nothing.
 func TestAZoneReturnsAfterItsLeasesWhileTheCloudGivesNothing(t *testing.T) {
-	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.World) {
+	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		w.Cloud.SetOutage(true)
-		w.CutZone("b", true)
+		w.PartitionZone("b", true)
 		time.Sleep(40 * time.Second)
-		if n := w.Expired(); n != fleetMachines/2 {
+		if n := w.ExpiredLeases(); n != fleetMachines/2 {
 			t.Errorf("%d leases ended of the zone's %d", n, fleetMachines/2)
 		}
-		w.CutZone("b", false)
+		w.PartitionZone("b", false)
 		at := time.Now()
 		allAnswered(t, w, at, 12*time.Second)
-		scenario.Until(40*time.Second, time.Second, func() bool { return w.Started() >= fleetMachines*3/2 })
+		scenario.Eventually(40*time.Second, time.Second, func() bool { return w.Started() >= fleetMachines*3/2 })
 		if n := w.Started(); n != fleetMachines*3/2 {
 			t.Errorf("%d starts, wanted each task of the zone once more: %d", n, fleetMachines*3/2)
 		}
 		time.Sleep(2 * time.Minute)
 		w.Cloud.SetOutage(false)
-		if n := w.Expired(); n != fleetMachines/2 {
+		if n := w.ExpiredLeases(); n != fleetMachines/2 {
 			t.Errorf("%d leases ended in all", n)
 		}
 	})
@@ -141,18 +141,18 @@
 func TestANodeThatPassesReportsOnIsGone(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		begin, end func(w *fake.World, relay int)
+		begin, end func(w *fake.Cluster, relay int)
 	}{
-		{"stands still", func(w *fake.World, r int) { w.Stop(r, true) }, func(w *fake.World, r int) { w.Stop(r, false) }},
-		{"is cut from the others", func(w *fake.World, r int) { w.CutNode(r, true, "nodes") }, func(w *fake.World, r int) { w.CutNode(r, false, "nodes") }},
-		{"dies", func(w *fake.World, r int) { w.KillNode(r) }, func(w *fake.World, r int) { w.StartNode(r) }},
-		{"keeps only its workers", func(w *fake.World, r int) { w.KeepOnlyWorkers(r, true) }, func(w *fake.World, r int) { w.KeepOnlyWorkers(r, false) }},
-		{"is back at once", func(w *fake.World, r int) { w.Bounce(r, 200*time.Millisecond) }, func(w *fake.World, r int) { w.Bounce(r, 900*time.Millisecond) }},
-		{"and the leader with it", func(w *fake.World, r int) { w.KillNode(w.Leader()); w.Stop(r, true) },
-			func(w *fake.World, r int) { w.Stop(r, false) }},
+		{"stands still", func(w *fake.Cluster, r int) { w.PauseNode(r, true) }, func(w *fake.Cluster, r int) { w.PauseNode(r, false) }},
+		{"is cut from the others", func(w *fake.Cluster, r int) { w.PartitionNode(r, true, "nodes") }, func(w *fake.Cluster, r int) { w.PartitionNode(r, false, "nodes") }},
+		{"dies", func(w *fake.Cluster, r int) { w.KillNode(r) }, func(w *fake.Cluster, r int) { w.StartNode(r) }},
+		{"keeps only its workers", func(w *fake.Cluster, r int) { w.IsolateToWorkers(r, true) }, func(w *fake.Cluster, r int) { w.IsolateToWorkers(r, false) }},
+		{"is back at once", func(w *fake.Cluster, r int) { w.PowerCycleNode(r, 200*time.Millisecond) }, func(w *fake.Cluster, r int) { w.PowerCycleNode(r, 900*time.Millisecond) }},
+		{"and the leader with it", func(w *fake.Cluster, r int) { w.KillNode(w.Leader()); w.PauseNode(r, true) },
+			func(w *fake.Cluster, r int) { w.PauseNode(r, false) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.World) {
+			fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 				relay := (w.Leader() + 1) % len(w.Nodes())
 				at := time.Now()
 				c.begin(w, relay)
@@ -169,7 +169,7 @@
 // More workers than all nodes have sockets: each needs one only while it
 // reports.
 func TestMoreWorkersThanSockets(t *testing.T) {
-	fleet(t, fake.Options{Machines: fleetMachines, Sockets: fleetMachines / 4}, func(t *testing.T, w *fake.World) {
+	fleet(t, fake.Options{Machines: fleetMachines, Sockets: fleetMachines / 4}, func(t *testing.T, w *fake.Cluster) {
 		at := time.Now()
 		allAnswered(t, w, at, 15*time.Second)
 		// The node's own calls find a socket all the same.
@@ -188,21 +188,21 @@
 func TestAFleetGoesOnUnderTheNextLeader(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		end  func(w *fake.World, l int)
+		end  func(w *fake.Cluster, l int)
 	}{
-		{"dies", func(w *fake.World, l int) { w.KillNode(l) }},
-		{"stands still", func(w *fake.World, l int) { w.Stop(l, true) }},
-		{"is cut from the workers", func(w *fake.World, l int) { w.CutNode(l, true, "workers") }},
-		{"keeps only its workers", func(w *fake.World, l int) { w.KeepOnlyWorkers(l, true) }},
-		{"is back at once, and the next in the election", func(w *fake.World, l int) {
-			w.Bounce(l, 100*time.Millisecond)
-			w.Bounce((l+1)%4, 300*time.Millisecond)
-			w.Bounce((l+2)%4, 700*time.Millisecond)
+		{"dies", func(w *fake.Cluster, l int) { w.KillNode(l) }},
+		{"stands still", func(w *fake.Cluster, l int) { w.PauseNode(l, true) }},
+		{"is cut from the workers", func(w *fake.Cluster, l int) { w.PartitionNode(l, true, "workers") }},
+		{"keeps only its workers", func(w *fake.Cluster, l int) { w.IsolateToWorkers(l, true) }},
+		{"is back at once, and the next in the election", func(w *fake.Cluster, l int) {
+			w.PowerCycleNode(l, 100*time.Millisecond)
+			w.PowerCycleNode((l+1)%4, 300*time.Millisecond)
+			w.PowerCycleNode((l+2)%4, 700*time.Millisecond)
 		}},
-		{"is refused by the state service", func(w *fake.World, l int) { w.State.Refuse(fmt.Sprintf("n-%d", l), true) }},
+		{"is refused by the state service", func(w *fake.Cluster, l int) { w.Store.Refuse(fmt.Sprintf("n-%d", l), true) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			fleet(t, fake.Options{Machines: fleetMachines, Nodes: 4}, func(t *testing.T, w *fake.World) {
+			fleet(t, fake.Options{Machines: fleetMachines, Nodes: 4}, func(t *testing.T, w *fake.Cluster) {
 				at := time.Now()
 				c.end(w, w.Leader())
 				allAnswered(t, w, at.Add(6*time.Second), 20*time.Second)
@@ -218,22 +218,22 @@
 // recorded. The nodes are slow meanwhile, and stand still for a second again and
 // again. No worker is left without an answer, and nothing starts twice.
 func TestAnswersAreHeldForAWholeFleetWhileAllNodesAreSlow(t *testing.T) {
-	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.World) {
+	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		scenario.MustSubmit(t, w, scenario.Job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = fleetMachines, 8, 60 }))
-		scenario.Until(10*time.Minute, time.Second, func() bool { return w.Finished("wk-000001") > 0 }) // the first job's tasks run 400 s
+		scenario.Eventually(10*time.Minute, time.Second, func() bool { return w.FinishedTasks("wk-000001") > 0 }) // the first job's tasks run 400 s
 		began := time.Now()
 		for range 10 {
 			for i := range w.Nodes() {
-				w.Stop(i, true)
+				w.PauseNode(i, true)
 			}
 			time.Sleep(time.Second)
 			for i := range w.Nodes() {
-				w.Stop(i, false)
+				w.PauseNode(i, false)
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
 		allAnswered(t, w, time.Now(), 10*time.Second)
-		scenario.Until(90*time.Second, time.Second, func() bool { return w.Started() >= 2*fleetMachines })
+		scenario.Eventually(90*time.Second, time.Second, func() bool { return w.Started() >= 2*fleetMachines })
 		t.Logf("all of the second job's tasks on their machines %v after the first's end", time.Since(began))
 		noneLost(t, w, 2*fleetMachines)
 	})
@@ -284,7 +284,7 @@
 			t.Run(fmt.Sprintf("%d, change of leader %t", n, change), func(t *testing.T) {
 				machines := max(fleetMachines, n*13/10)
 				said := &tally{said: map[string]int{}}
-				fleet(t, fake.Options{Machines: machines, Log: slog.New(said)}, func(t *testing.T, w *fake.World) {
+				fleet(t, fake.Options{Machines: machines, Log: slog.New(said)}, func(t *testing.T, w *fake.Cluster) {
 					muteAtOnce(t, w, said, n, change)
 				})
 			})
@@ -292,7 +292,7 @@
 	}
 }
 
-func muteAtOnce(t *testing.T, w *fake.World, said *tally, n int, change bool) {
+func muteAtOnce(t *testing.T, w *fake.Cluster, said *tally, n int, change bool) {
 	if w.Cancel("wk-000001") != wire.JobCancelled {
 		t.Fatal("not cancelled")
 	}
@@ -300,10 +300,10 @@
 	all := w.Cloud.Machines()
 	// A task on each machine leaves room for another.
 	scenario.MustSubmit(t, w, scenario.Job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = len(all), 5, 900 }))
-	scenario.Until(time.Minute, time.Second, func() bool { return w.Running() == len(all) })
-	w.CopyReports(20)
+	scenario.Eventually(time.Minute, time.Second, func() bool { return w.Running() == len(all) })
+	w.DuplicateReports(20)
 	for i := range n {
-		w.Mute(all[i*len(all)/n], true)
+		w.BlockRepliesTo(all[i*len(all)/n], true)
 	}
 	if change {
 		w.KillNode(w.Leader())
@@ -312,22 +312,22 @@
 	began := time.Now()
 	hear := len(all) - n
 	scenario.MustSubmit(t, w, scenario.Job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = hear, 3, 900 }))
-	scenario.Until(40*time.Second, 100*time.Millisecond, func() bool { return w.Started()-before >= hear })
+	scenario.Eventually(40*time.Second, 100*time.Millisecond, func() bool { return w.Started()-before >= hear })
 	started, took := w.Started()-before, time.Since(began)
 	if started < hear {
 		t.Errorf("%d of %d tasks that fit on machines that hear have started after %v", started, hear, took)
 	}
 	time.Sleep(time.Minute - time.Since(began))
 	vain := said.count("recalled")
-	lost, deaf := w.Expired(), said.count("machine does not hear")
+	lost, deaf := w.ExpiredLeases(), said.count("machine does not hear")
 	if lost != n {
 		t.Errorf("%d leases ended of %d", lost, n)
 	}
 	for i := range n {
-		w.Mute(all[i*len(all)/n], false)
+		w.BlockRepliesTo(all[i*len(all)/n], false)
 	}
 	began = time.Now()
-	scenario.Until(time.Minute, 100*time.Millisecond, func() bool { return w.Running() == len(all)+hear })
+	scenario.Eventually(time.Minute, 100*time.Millisecond, func() bool { return w.Running() == len(all)+hear })
 	if r := w.Running(); r != len(all)+hear {
 		t.Errorf("a minute after they hear again %d of %d tasks run", r, len(all)+hear)
 	}
--- a/routing/plan_test.go
+++ b/routing/plan_test.go
@@ -64,7 +64,7 @@
 	minutes := fleetMinutes()
 	o := fake.Options{Nodes: 7, Machines: fleetMachines, Capacity: fleetMachines + 100, Sockets: fleetSockets, Gap: 4, Lease: 22, Seed: 3,
 		Teams: []config.Team{{Name: "core", CPUs: 400, CPUsMax: 5000}, {Name: "edge"}}}
-	scenario.Story(t, o, func(t *testing.T, w *fake.World) {
+	scenario.Run(t, o, func(t *testing.T, w *fake.Cluster) {
 		rnd := rand.New(rand.NewPCG(3, 17))
 		time.Sleep(15 * time.Second)
 		plan := scenario.Plans{World: w}
@@ -90,7 +90,7 @@
 			j.Class, j.Team, j.Kind, j.Image, j.ImageGB, j.Tasks, j.CPUs, j.EstimateS = "chat", "core", wire.KindService, "llm:v1", 20, 10, 2, 0
 		})
 		scenario.MustSubmit(t, w, service)
-		w.CopyReports(50)
+		w.DuplicateReports(50)
 		end := time.Now().Add(time.Duration(minutes) * time.Minute)
 		for time.Now().Before(end) {
 			n := rnd.IntN(7)
@@ -99,44 +99,44 @@
 			case 0:
 				w.KillNode(w.Leader())
 			case 1:
-				w.Stop(w.Leader(), true)
+				w.PauseNode(w.Leader(), true)
 				time.Sleep(9 * time.Second)
 			case 2:
 				l := w.Leader()
-				w.KeepOnlyWorkers(l, true)
-				time.AfterFunc(30*time.Second, func() { w.KeepOnlyWorkers(l, false) })
+				w.IsolateToWorkers(l, true)
+				time.AfterFunc(30*time.Second, func() { w.IsolateToWorkers(l, false) })
 			case 3:
-				w.State.SetOutage(true)
+				w.Store.SetOutage(true)
 				time.Sleep(8 * time.Second)
-				w.State.SetOutage(false)
+				w.Store.SetOutage(false)
 			case 4:
 				for i := range 100 {
 					m := all[(n*97+i*3)%len(all)]
-					w.Mute(m, true)
-					time.AfterFunc(40*time.Second, func() { w.Mute(m, false) })
+					w.BlockRepliesTo(m, true)
+					time.AfterFunc(40*time.Second, func() { w.BlockRepliesTo(m, false) })
 				}
 			case 5:
 				for range 10 {
 					w.KillMachine(all[rnd.IntN(len(all))])
 				}
 			case 6:
-				w.Bounce(n, 200*time.Millisecond)
+				w.PowerCycleNode(n, 200*time.Millisecond)
 			case 7:
-				w.State.LateNext(30 * time.Second)
+				w.Store.DelayNextTransaction(30 * time.Second)
 			}
 			apply()
 			submit([]string{"clinic", "school", "print"}[rnd.IntN(3)], []string{"core", "edge"}[rnd.IntN(2)], 1+rnd.IntN(60), 3, float64(10+rnd.IntN(30)))
 			time.Sleep(time.Duration(2+rnd.IntN(8)) * time.Second)
 			for i := range 7 {
 				if rnd.IntN(2) == 0 {
-					w.Stop(i, false)
+					w.PauseNode(i, false)
 					w.StartNode(i)
 				}
 			}
 		}
-		w.CopyReports(0)
+		w.DuplicateReports(0)
 		for i := range 7 {
-			w.Stop(i, false)
+			w.PauseNode(i, false)
 			w.StartNode(i)
 		}
 		for _, id := range accepted {
@@ -154,7 +154,7 @@
 		opening := time.Date(2000, time.January, 1, 0, minutes+3, 0, 0, time.UTC)
 		time.Sleep(time.Until(opening.Add(time.Minute)))
 		var rec calendar.Record
-		if err := wire.Unmarshal(w.State.Value(jobstore.Notes+calendar.NoteOf("here")), &rec); err != nil {
+		if err := wire.Unmarshal(w.Store.Value(jobstore.Notes+calendar.NoteOf("here")), &rec); err != nil {
 			t.Fatal(err)
 		}
 		outcomes := 0
@@ -166,6 +166,6 @@
 		if outcomes != 1 {
 			t.Errorf("the night has %d outcomes: %+v", outcomes, rec.Past)
 		}
-		t.Logf("%d jobs, version %d of the plan, %d leases ended, nights %+v", len(accepted), plan.Version, w.Expired(), rec.Past)
+		t.Logf("%d jobs, version %d of the plan, %d leases ended, nights %+v", len(accepted), plan.Version, w.ExpiredLeases(), rec.Past)
 	})
 }
--- a/snapshot/plan_test.go
+++ b/snapshot/plan_test.go
@@ -20,7 +20,7 @@
 	var file bytes.Buffer
 	limits := jobstore.Limits{TxnOps: 12, ValueKB: 16}
 	text := "note = \"" + strings.Repeat("two ", 9000) + "\""
-	scenario.Story(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.World) {
+	scenario.Run(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		for n, text := range []string{"note = \"one\"", text} {
 			if _, err := jobstore.ApplyPlan(t.Context(), client(w), limits, jobstore.PlanChange{Base: n, Text: text, At: time.Now()}); err != nil {
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := fake.New(fake.Options{Machines: 1, Outside: true})
 		defer w.Close()
-		w.State.Wipe()
+		w.Store.Clear()
 		if _, err := snapshot.Restore(t.Context(), client(w), r.Header, all, 12); err != nil {
 			t.Fatal(err)
 		}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -98,8 +98,8 @@
 	})
 }
 
-func client(w *fake.World) *kvstore.Client {
-	return kvstore.New(w.Net.Dial("ops"), "state:1", 200, 200)
+func client(w *fake.Cluster) *kvstore.Client {
+	return kvstore.New(w.Network.Dial("ops"), "state:1", 200, 200)
 }
 
 var errCut = errors.New("cut off")
@@ -122,7 +122,7 @@
 func TestASnapshotOfARunningServiceFillsAnEmptyOne(t *testing.T) {
 	var file bytes.Buffer
 	var known map[string]string
-	scenario.Story(t, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.World) {
+	scenario.Run(t, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.Cluster) {
 		known = map[string]string{}
 		for n := range 60 {
 			j := scenario.Job(n, func(j *wire.Job) { j.EstimateS = float64(2 + n%9) })
@@ -160,7 +160,7 @@
 		if _, err := snapshot.Restore(t.Context(), client(w), r.Header, all, 12); !errors.Is(err, snapshot.ErrNotEmpty) {
 			t.Errorf("into one that is not empty: %v", err)
 		}
-		w.State.Wipe()
+		w.Store.Clear()
 		// Cut off in the middle, it goes on where it stopped.
 		first, err := snapshot.Restore(t.Context(), &few{client(w), 4}, r.Header, all, 5)
 		if !errors.Is(err, errCut) || first == 0 {
@@ -170,7 +170,7 @@
 		if err != nil || second == 0 {
 			t.Errorf("%d and then %d keys: %v", first, second, err)
 		}
-		if n := len(w.State.Keys("")); n != len(all) {
+		if n := len(w.Store.Keys("")); n != len(all) {
 			t.Errorf("%d keys of %d", n, len(all))
 		}
 		rd := jobstore.NewReader(client(w))
--- a/yarn/door_test.go
+++ b/yarn/door_test.go
@@ -45,19 +45,19 @@
 `
 
 // yarnWorld plays a story with YARN's door open at every node.
-func yarnWorld(t *testing.T, o fake.Options, play func(t *testing.T, w *fake.World, y *yarnUser)) {
+func yarnWorld(t *testing.T, o fake.Options, play func(t *testing.T, w *fake.Cluster, y *yarnUser)) {
 	t.Helper()
 	o.YARN = yarnSettings
-	scenario.Story(t, o, func(t *testing.T, w *fake.World) {
+	scenario.Run(t, o, func(t *testing.T, w *fake.Cluster) {
 		var addrs []string
 		for _, n := range w.Nodes() {
 			addrs = append(addrs, n+":8032")
 		}
-		y := &yarnUser{t: t, cfg: client.Config{Addrs: addrs, Dial: w.Net.Dial("am"), User: "ann", Each: 3 * time.Second}}
+		y := &yarnUser{t: t, cfg: client.Config{Addrs: addrs, Dial: w.Network.Dial("am"), User: "ann", Each: 3 * time.Second}}
 		y.c = client.New(y.cfg)
 		defer y.c.Close()
 		play(t, w, y)
-		if n := w.Repeated(); n != 0 {
+		if n := w.RanMoreThanOnce(); n != 0 {
 			t.Errorf("%d containers ran more than once", n)
 		}
 	})
@@ -141,9 +141,9 @@
 	return ends, warned
 }
 
-func noRecords(t *testing.T, w *fake.World) {
+func noRecords(t *testing.T, w *fake.Cluster) {
 	t.Helper()
-	for _, k := range append(w.State.JobKeys(), w.State.Keys("yx/")...) {
+	for _, k := range append(w.Store.JobKeys(), w.Store.Keys("yx/")...) {
 		if strings.HasPrefix(k, "w/j/") || strings.HasPrefix(k, "yx/") || strings.HasPrefix(k, "w/y/application") {
 			t.Errorf("record left: %s", k)
 		}
@@ -151,7 +151,7 @@
 }
 
 func TestContainersRunAsTasksDo(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		id, m := y.app()
 		defer m.Close()
 		m.Want(small(1), 6)
@@ -163,13 +163,13 @@
 			t.Errorf("statuses %v, %v", sts, err)
 		}
 		shared := 0
-		for _, k := range w.State.Keys("yx/") {
+		for _, k := range w.Store.Keys("yx/") {
 			shared++
 			if !strings.Contains(k, "/s/") {
 				t.Errorf("a context of its own, %s, though all are alike", k)
 			}
 		}
-		for _, k := range w.State.Keys("w/j/") {
+		for _, k := range w.Store.Keys("w/j/") {
 			if c := mustLaunch(t, w, strings.TrimPrefix(k, "w/j/")+"/5"); shared != 1 || c.Argv[0] != launch.Command[0] {
 				t.Errorf("%d contexts, one is %+v", shared, c)
 			}
@@ -201,14 +201,14 @@
 // refused in the words of a native job; and all that runs counts together.
 func TestRefusalsAndLimitsAreThoseOfNativeJobs(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 20}}
-	yarnWorld(t, fake.Options{Machines: 6, Teams: teams}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 6, Teams: teams}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		for _, c := range []struct {
 			cpus int32
 			mem  int64
 		}{{9, 4}, {25, 4}, {2, 900}} {
 			_, m := y.app()
 			native := scenario.Job(100, func(j *wire.Job) { j.CPUs, j.MemoryGB, j.Tasks = float64(c.cpus), float64(c.mem), 1 })
-			status, words := w.Refusal(0, native)
+			status, words := w.SubmitRefused(0, native)
 			m.Want(client.Ask{Priority: 1, Name: "*", Relax: true, MemoryMB: c.mem * 1024, VCores: c.cpus}, 1)
 			_, err := m.Beat(t.Context())
 			if status != http.StatusUnprocessableEntity || !ywire.IsClass(err, ywire.ClassBadRequest) || !strings.HasSuffix(err.Error(), words) {
@@ -242,7 +242,7 @@
 // A client that is gone leaves nothing behind: containers end when its time is
 // over, those that it never started as well, and none runs twice.
 func TestAMasterThatIsGoneLeavesNoOrphan(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		id, m := y.app()
 		m.Want(small(1), 4)
 		y.run(m, 12*time.Second)
@@ -270,7 +270,7 @@
 
 // Room that is allocated and not used is taken back in time.
 func TestContainersThatNobodyStartsAreTakenBack(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 1, Capacity: 1}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 1, Capacity: 1}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		_, m := y.app()
 		defer m.Close()
 		m.Want(small(1), 4)
@@ -298,19 +298,24 @@
 func TestMastersOutliveWhatFalls(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		fall func(w *fake.World)
+		fall func(w *fake.Cluster)
 	}{
-		{"the leader dies", func(w *fake.World) { l := w.Leader(); w.KillNode(l); time.Sleep(8 * time.Second); w.StartNode(l) }},
-		{"all nodes die", func(w *fake.World) {
+		{"the leader dies", func(w *fake.Cluster) { l := w.Leader(); w.KillNode(l); time.Sleep(8 * time.Second); w.StartNode(l) }},
+		{"all nodes die", func(w *fake.Cluster) {
 			w.KillAll()
 			time.Sleep(5 * time.Second)
 			w.StartAll()
 		}},
-		{"the state service is out", func(w *fake.World) { w.State.SetOutage(true); time.Sleep(30 * time.Second); w.State.SetOutage(false) }},
-		{"a node stands still", func(w *fake.World) { l := w.Leader(); w.Stop(l, true); time.Sleep(20 * time.Second); w.Stop(l, false) }},
+		{"the state service is out", func(w *fake.Cluster) { w.Store.SetOutage(true); time.Sleep(30 * time.Second); w.Store.SetOutage(false) }},
+		{"a node stands still", func(w *fake.Cluster) {
+			l := w.Leader()
+			w.PauseNode(l, true)
+			time.Sleep(20 * time.Second)
+			w.PauseNode(l, false)
+		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			yarnWorld(t, fake.Options{Machines: 4, Gap: 5, Lease: 27}, func(t *testing.T, w *fake.World, y *yarnUser) {
+			yarnWorld(t, fake.Options{Machines: 4, Gap: 5, Lease: 27}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 				id, m := y.app()
 				defer m.Close()
 				m.Want(small(1), 5)
@@ -353,13 +358,13 @@
 // leader takes over. Where nobody does they are made anew: masters of before are
 // refused, and applications that come get ids that nobody had.
 func TestKeysThatCannotBeReadAreMended(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		id, m := y.app()
 		y.run(m, 5*time.Second)
 		for i := range w.Nodes() {
-			w.Poll(w.Bind(i), "wk-000001") // by which each node reads what there is
+			w.PollState(w.NodeAddr(i), "wk-000001") // by which each node reads what there is
 		}
-		w.State.Damage("w/y/keys")
+		w.Store.Corrupt("w/y/keys")
 		l := w.Leader()
 		w.KillNode(l)
 		time.Sleep(12 * time.Second)
@@ -369,7 +374,7 @@
 		for i := range w.Nodes() {
 			w.KillNode(i)
 		}
-		w.State.Damage("w/y/keys")
+		w.Store.Corrupt("w/y/keys")
 		for i := range w.Nodes() {
 			w.StartNode(i)
 		}
@@ -393,7 +398,7 @@
 // A response that was lost is repeated for the same id, by whatever connection
 // it is asked for; an older id gets the answer to begin anew.
 func TestAResponseIsRepeatedAndAnOldIdResyncs(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		id, m := y.app()
 		m.Close()
 		r, err := y.c.Report(t.Context(), id)
@@ -441,7 +446,7 @@
 		if out := beat(a, 2); len(out.GetAllocatedContainers()) != 0 || out.AMCommand != nil {
 			t.Errorf("the next: %v", out)
 		}
-		if len(w.State.Keys("w/j/")) != 1 {
+		if len(w.Store.Keys("w/j/")) != 1 {
 			t.Error("a repeated ask was reserved twice")
 		}
 		var o pb.FinishApplicationMasterResponseProto
@@ -454,7 +459,7 @@
 // Native work of higher priority, a notice and a lost machine take containers as
 // they take tasks, and the exit status says which.
 func TestContainersGiveWayAsTasksDo(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		_, m := y.app()
 		defer m.Close()
 		m.Want(small(1), 8)
@@ -482,7 +487,7 @@
 		if len(m.Has()) == 0 {
 			t.Fatal("no container")
 		}
-		w.Notice(m.Has()[0].GetNodeId().GetHost(), 15*time.Second)
+		w.InterruptMachine(m.Has()[0].GetNodeId().GetHost(), 15*time.Second)
 		if ends, warned = y.run(m, 12*time.Second); ends[yarn.ExitPreempted] == 0 || warned == 0 {
 			t.Errorf("ended %v, warned of %d, at a notice", ends, warned)
 		}
@@ -492,7 +497,7 @@
 // A managed application's master runs as a task. When it ends, another attempt
 // is begun and the token of the one before is worth nothing; killed, all goes.
 func TestAManagedMasterIsLaunchedAgain(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		id, _, err := y.c.NewApplication(t.Context())
 		if err != nil {
 			t.Fatal(err)
@@ -509,7 +514,7 @@
 			t.Fatalf("%d masters", w.Started())
 		}
 		var task string
-		for _, k := range w.State.Keys("w/j/") {
+		for _, k := range w.Store.Keys("w/j/") {
 			task = strings.TrimPrefix(k, "w/j/") + "/0"
 		}
 		first := mustLaunch(t, w, task)
@@ -528,7 +533,7 @@
 	})
 }
 
-func mustLaunch(t *testing.T, w *fake.World, task string) yarn.Context {
+func mustLaunch(t *testing.T, w *fake.Cluster, task string) yarn.Context {
 	t.Helper()
 	var c yarn.Context
 	status, body := restCall(t, w, http.MethodGet, yarn.PathContext+task, "")
@@ -538,9 +543,9 @@
 	return c
 }
 
-func restCall(t *testing.T, w *fake.World, method, path, body string) (int, []byte) {
+func restCall(t *testing.T, w *fake.Cluster, method, path, body string) (int, []byte) {
 	t.Helper()
-	hc := &http.Client{Transport: &http.Transport{DialContext: w.Net.Dial("am"), DisableKeepAlives: true}}
+	hc := &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("am"), DisableKeepAlives: true}}
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+w.Nodes()[0]+":8088"+path, strings.NewReader(body))
 	if err != nil {
 		t.Fatal(err)
@@ -558,7 +563,7 @@
 }
 
 func TestRESTAnswersAsPublished(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		status, body := restCall(t, w, http.MethodPost, yarn.PathREST+"/apps/new-application", "")
 		var fresh struct {
 			ID string `json:"application-id"`
@@ -589,7 +594,7 @@
 			t.Errorf("an id that was not given out: %d", status)
 		}
 		// Native users know nothing of other doors' jobs.
-		if got := w.Poll(w.Bind(0), "wk-80000000001000000000"); got != "" {
+		if got := w.PollState(w.NodeAddr(0), "wk-80000000001000000000"); got != "" {
 			t.Errorf("a native poll of a container's job is answered %q", got)
 		}
 	})
@@ -601,7 +606,7 @@
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			teams := []config.Team{{Name: "core", CPUsMax: 40}}
-			yarnWorld(t, fake.Options{Machines: 6, Capacity: 8, Teams: teams, Seed: seed}, func(t *testing.T, w *fake.World, y *yarnUser) {
+			yarnWorld(t, fake.Options{Machines: 6, Capacity: 8, Teams: teams, Seed: seed}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 				rnd := rand.New(rand.NewPCG(seed, 14))
 				var wg sync.WaitGroup
 				var ended atomic.Int64
@@ -631,17 +636,17 @@
 						time.Sleep(time.Duration(1+rnd.IntN(6)) * time.Second)
 						w.StartNode(n)
 					case 1:
-						w.Stop(n, true)
+						w.PauseNode(n, true)
 						time.Sleep(time.Duration(1+rnd.IntN(9)) * time.Second)
-						w.Stop(n, false)
+						w.PauseNode(n, false)
 					case 2:
-						w.CutNode(n, true, "state", "am")
+						w.PartitionNode(n, true, "state", "am")
 						time.Sleep(time.Duration(1+rnd.IntN(9)) * time.Second)
-						w.CutNode(n, false, "state", "am")
+						w.PartitionNode(n, false, "state", "am")
 					case 3:
-						w.State.SetOutage(true)
+						w.Store.SetOutage(true)
 						time.Sleep(time.Duration(1+rnd.IntN(5)) * time.Second)
-						w.State.SetOutage(false)
+						w.Store.SetOutage(false)
 					}
 					time.Sleep(time.Duration(1+rnd.IntN(8)) * time.Second)
 				}
@@ -662,7 +667,7 @@
 
 // loads lists how many tasks machines have. Which of two alike machines comes
 // first hangs on which has reported first.
-func loads(w *fake.World) []int { return slices.Sorted(maps.Values(w.Load())) }
+func loads(w *fake.Cluster) []int { return slices.Sorted(maps.Values(w.TasksPerMachine())) }
 
 // The same work through either door is placed alike, and what either refuses it
 // refuses in the same words.
@@ -677,14 +682,14 @@
 		{1, 9, 0, 4, wire.PriorityNormal}, {6, 3, 0, 6, wire.PriorityNormal}, {1, 1, 3, 1, wire.PriorityNormal}}
 	o := fake.Options{Machines: 6, Capacity: 6}
 	var native, asked []string
-	scenario.Story(t, o, func(t *testing.T, w *fake.World) {
+	scenario.Run(t, o, func(t *testing.T, w *fake.Cluster) {
 		for i, s := range steps {
 			j := scenario.Job(i+1, func(j *wire.Job) {
 				j.Tasks, j.CPUs, j.GPUs, j.MemoryGB, j.EstimateS = s.n, s.cpus, s.gpu, s.memGB, 60
 				j.Class, j.Image, j.ImageGB, j.CheckpointS, j.SaveS = "yarn", "yarn", 0, 1e6, 3
 			})
-			w.Know(j)
-			status, words := w.Refusal(0, j)
+			w.RegisterJob(j)
+			status, words := w.SubmitRefused(0, j)
 			time.Sleep(5 * time.Second)
 			if status != http.StatusUnprocessableEntity {
 				words = ""
@@ -692,7 +697,7 @@
 			native = append(native, fmt.Sprint(words, loads(w)))
 		}
 	})
-	yarnWorld(t, o, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, o, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		_, m := y.app()
 		defer m.Close()
 		for i, s := range steps {
@@ -726,7 +731,7 @@
 // Names that are asked for strictly are the only ones, labels lead to zones, and
 // a node on the blacklist is given nothing.
 func TestLocalityAndBlacklists(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		_, m := y.app()
 		defer m.Close()
 		node := w.Cloud.Machines()[3]
@@ -776,7 +781,7 @@
 // A heartbeat whose ask was taken and whose answer could not be made comes again:
 // it is served once, and what was placed meanwhile is told.
 func TestAnAskThatComesAgainIsServedOnce(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		_, m := y.app()
 		defer m.Close()
 		for i := range 6 {
@@ -784,11 +789,11 @@
 			go func() {
 				time.Sleep(time.Duration(i) * 9 * time.Millisecond)
 				for k := range w.Nodes() {
-					w.State.Refuse(w.Nodes()[k], true)
+					w.Store.Refuse(w.Nodes()[k], true)
 				}
 				time.Sleep(1500 * time.Millisecond)
 				for k := range w.Nodes() {
-					w.State.Refuse(w.Nodes()[k], false)
+					w.Store.Refuse(w.Nodes()[k], false)
 				}
 			}()
 			y.run(m, 8*time.Second)
--- a/yarn/known_test.go
+++ b/yarn/known_test.go
@@ -19,7 +19,7 @@
 	if scenario.UnderRace {
 		many = 90
 	}
-	yarnWorld(t, fake.Options{Machines: 2, Capacity: 2, StateRPS: 30, Sockets: 260}, func(t *testing.T, w *fake.World, y *yarnUser) {
+	yarnWorld(t, fake.Options{Machines: 2, Capacity: 2, StateRPS: 30, Sockets: 260}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		var apps []*pb.ApplicationIdProto
 		for range 4 {
 			id, _ := y.app()
@@ -42,7 +42,7 @@
 		for n := range many {
 			wg.Go(func() {
 				for time.Sleep(time.Duration(n) * 4 * time.Second / time.Duration(many)); time.Now().Before(end); time.Sleep(4 * time.Second) {
-					w.Poll(w.Any(), scenario.Job(n, nil).ID)
+					w.PollState(w.AnyNodeAddr(), scenario.Job(n, nil).ID)
 				}
 			})
 		}
