--- a/controller/form.go
+++ b/controller/form.go
@@ -16,7 +16,7 @@
 )
 
 // This file is about the form of the records, and about which node adds jobs to
-// a bucket (docs/ledger.md).
+// a bucket (docs/jobstore.md).
 
 // form is the newest form of records that this node is to have written.
 func (n *Node) form() int {
--- a/controller/mend.go
+++ b/controller/mend.go
@@ -17,7 +17,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file mends records that can't be read, before a leader leads. docs/ledger.md
+// This file mends records that can't be read, before a leader leads. docs/jobstore.md
 // ("Mending") argues why no interleaving loses a job or accepts one twice.
 
 const (
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -19,7 +19,7 @@
 )
 
 // Stories in which troubles meet at the users' door. Each sees to it that they do
-// meet: one in which they miss one another fails. docs/meetings.md lists them with
+// meet: one in which they miss one another fails. docs/fault-interactions.md lists them with
 // the guards that keep the rules.
 
 // meetings plays a story for a few seeds, or for as many as STORY_SEEDS says, and says
--- a/jobstore/damage.go
+++ b/jobstore/damage.go
@@ -12,7 +12,7 @@
 )
 
 // This file tells records that are what was written from those that are not, and
-// has what a leader needs to mend pages of users' jobs. docs/ledger.md ("Records
+// has what a leader needs to mend pages of users' jobs. docs/jobstore.md ("Records
 // that can't be read") argues why that is safe.
 
 var errNotWritten = errors.New("it is not what was written")
--- a/jobstore/intake.go
+++ b/jobstore/intake.go
@@ -14,7 +14,7 @@
 // under the condition that it has not changed. What the head has no room for
 // moves to a sealed page of the bucket, from which jobs only leave. While few
 // come the head is closed, and each has a key of its own under the condition that
-// it still is. docs/ledger.md says why no id is accepted twice.
+// it still is. docs/jobstore.md says why no id is accepted twice.
 
 // Forms of the records. A form is written once every node reads it.
 const (
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -1,6 +1,6 @@
 // Package snapshot writes the whole ledger to a file, as of one revision and while
 // the service runs, says whether what such a file holds is sound, and fills an
-// empty state service from it. docs/ledger.md has the format.
+// empty state service from it. docs/jobstore.md has the format.
 package snapshot
 
 import (
