--- a/controller/detector.go
+++ b/controller/detector.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	askLeaderEvery = 700 * time.Millisecond
-	askLeaderFor   = 900 * time.Millisecond
-	suspectAfter   = 2 // questions without an answer
+	leaderProbeInterval = 700 * time.Millisecond
+	leaderProbeTimeout  = 900 * time.Millisecond
+	suspectAfterMisses  = 2 // questions without an answer
 )
 
 // failureDetector is what a follower holds of the leader: one that stands still or has
@@ -24,97 +24,97 @@
 type failureDetector struct {
 	mu     sync.Mutex
 	leader string
-	missed int
+	misses int
 }
 
-func (d *failureDetector) note(leader string, err error) (began, ended bool) {
+func (d *failureDetector) Record(leader string, err error) (began, ended bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	before := d.missed >= suspectAfter
+	before := d.misses >= suspectAfterMisses
 	if d.leader != leader {
-		d.leader, d.missed = leader, 0
+		d.leader, d.misses = leader, 0
 		before = false
 	}
 	var refused *net.OpError
 	switch {
 	case err == nil:
-		d.missed = 0
+		d.misses = 0
 	case errors.As(err, &refused) && !refused.Timeout():
 		// A refused connection shows nothing: a packet filter may stand
 		// between the nodes, and workers may well reach the leader.
 	default:
-		d.missed++
+		d.misses++
 	}
-	after := d.missed >= suspectAfter
+	after := d.misses >= suspectAfterMisses
 	return after && !before, before && !after
 }
 
-// suspects says whether the leader is suspected to be down.
-func (d *failureDetector) suspects(leader string) bool {
+// Suspected says whether the leader is suspected to be down.
+func (d *failureDetector) Suspected(leader string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.leader == leader && d.missed >= suspectAfter
+	return d.leader == leader && d.misses >= suspectAfterMisses
 }
 
-// watchLeader asks the leader again and again whether it is there.
-func (n *Node) watchLeader(ctx context.Context) {
-	for call.Pause(ctx, askLeaderEvery) {
+// monitorLeader asks the leader again and again whether it is there.
+func (n *Node) monitorLeader(ctx context.Context) {
+	for call.Pause(ctx, leaderProbeInterval) {
 		name := n.elector.Leader()
-		p := n.peer(name)
+		p := n.peerNamed(name)
 		if p == nil {
 			continue
 		}
-		actx, cancel := context.WithTimeout(ctx, askLeaderFor)
-		said, err := p.Status(actx, n.ask())
+		actx, cancel := context.WithTimeout(ctx, leaderProbeTimeout)
+		said, err := p.Status(actx, n.statusRequest())
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil && said.Plan != nil && said.Plan.Leader == name {
-			n.learn(*said.Plan, time.Now())
+			n.adoptRoutingPlan(*said.Plan, time.Now())
 		}
-		switch began, ended := n.detector.note(name, err); {
+		switch began, ended := n.leaderDetector.Record(name, err); {
 		case began:
 			n.log.Info("the leader does not answer this node", "leader", name, "err", err)
 		case ended:
 			n.log.Info("the leader answers this node again", "leader", name)
-			n.tell()
+			n.broadcastLeaderChange()
 		}
-		if n.detector.suspects(name) {
-			n.askPeers(ctx) // to know where workers may be sent meanwhile
+		if n.leaderDetector.Suspected(name) {
+			n.probePeers(ctx) // to know where workers may be sent meanwhile
 		}
 	}
 }
 
-// tell wakes the reports that wait for a leader.
-func (n *Node) tell() {
+// broadcastLeaderChange wakes the reports that wait for a leader.
+func (n *Node) broadcastLeaderChange() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	close(n.news)
-	n.news = make(chan struct{})
+	close(n.leaderChanged)
+	n.leaderChanged = make(chan struct{})
 }
 
-// awaitFor is how long a worker's report waits for a leader to be known. The
+// leaderWaitTimeout is how long a worker's report waits for a leader to be known. The
 // worker gives up after 4 s; sent away, it would go on to whichever node is
 // next, and wait for one that stands still as long as for an answer.
-const awaitFor = 2500 * time.Millisecond
+const leaderWaitTimeout = 2500 * time.Millisecond
 
 // awaitLeader waits until a leader is known that is not suspected; "" where there
 // is none in time.
 func (n *Node) awaitLeader(ctx context.Context) string {
-	ctx, cancel := context.WithTimeout(ctx, awaitFor)
+	ctx, cancel := context.WithTimeout(ctx, leaderWaitTimeout)
 	defer cancel()
 	for {
 		n.mu.Lock()
-		news := n.news
+		news := n.leaderChanged
 		n.mu.Unlock()
 		// This node, once elected, still has to read the records and to be sure
 		// of its lease; sent on from here, a worker may well come upon a node
 		// that stands still.
-		if name := n.elector.Leader(); name != "" && !n.detector.suspects(name) && (name != n.cfg.Node || n.leads()) {
+		if name := n.elector.Leader(); name != "" && !n.leaderDetector.Suspected(name) && (name != n.cfg.Node || n.isLeader()) {
 			return name
 		}
-		if n.crowded() || n.alone() {
+		if n.connsCrowded() || n.isolated() {
 			return ""
 		}
 		select {
@@ -125,11 +125,11 @@
 	}
 }
 
-// alone says whether this node reaches neither the state service nor any other
+// isolated says whether this node reaches neither the state service nor any other
 // node: of a leader it will learn nothing, and who waits here loses that much of
 // its lease. Workers that still reach it had better ask another.
-func (n *Node) alone() bool {
-	if len(n.peers) == 0 || n.stateOK() {
+func (n *Node) isolated() bool {
+	if len(n.peers) == 0 || n.kvReachable() {
 		return false
 	}
 	for _, p := range n.peers {
@@ -140,14 +140,14 @@
 	return true
 }
 
-// leads says whether this node leads and is sure of it.
-func (n *Node) leads() bool {
-	l := n.leadership()
-	return l != nil && l.term.Valid()
+// isLeader says whether this node leads and is sure of it.
+func (n *Node) isLeader() bool {
+	l := n.activeLeadership()
+	return l != nil && l.lease.Valid()
 }
 
-// elsewhere names a node that is there, for a worker to wait at.
-func (n *Node) elsewhere(machine string) string {
+// fallbackNode names a node that is there, for a worker to wait at.
+func (n *Node) fallbackNode(machine string) string {
 	var there []string
 	leader := n.elector.Leader()
 	for _, p := range n.peers {
@@ -163,7 +163,7 @@
 	return there[int(h.Sum32())%len(there)]
 }
 
-func (n *Node) peer(name string) *peerrpc.Peer {
+func (n *Node) peerNamed(name string) *peerrpc.Peer {
 	for _, p := range n.peers {
 		if p.Name == name {
 			return p
--- a/controller/form.go
+++ b/controller/form.go
@@ -30,7 +30,7 @@
 // reads that. While one is of an earlier version, or can't be asked, the form
 // stays as it is, so that that version can be gone back to.
 func (l *leadership) raiseForm(ctx context.Context) {
-	if l.n.form() < jobstore.FormIntake {
+	if l.node.form() < jobstore.FormIntake {
 		return
 	}
 	wait := 300 * time.Millisecond
@@ -41,7 +41,7 @@
 			select {
 			case <-ctx.Done():
 				return
-			case <-l.formKick:
+			case <-l.schemaWake:
 			}
 			wait = 300 * time.Millisecond
 			continue
@@ -57,9 +57,9 @@
 }
 
 // wantedForm is the form that records are to be written in. As long as nobody
-// wants a plan, it is one that the version before reads as well.
+// wantedMachines a plan, it is one that the version before reads as well.
 func (l *leadership) wantedForm(ctx context.Context) (int, error) {
-	asked, err := l.n.state.Get(ctx, jobstore.PlanAskedKey)
+	asked, err := l.node.kv.Get(ctx, jobstore.PlanAskedKey)
 	if err != nil {
 		return 0, err
 	}
@@ -74,8 +74,8 @@
 	if err != nil {
 		return false, err
 	}
-	for _, p := range l.n.peers {
-		s, err := p.Status(ctx, l.n.ask())
+	for _, p := range l.node.peers {
+		s, err := p.Status(ctx, l.node.statusRequest())
 		if err != nil {
 			return false, err
 		}
@@ -83,7 +83,7 @@
 			return false, fmt.Errorf("%s reads form %d", p.Name, s.Form)
 		}
 	}
-	e, err := l.n.state.Get(ctx, jobstore.FormKey)
+	e, err := l.node.kv.Get(ctx, jobstore.FormKey)
 	if err != nil {
 		return false, err
 	}
@@ -99,11 +99,11 @@
 	if now.Form >= form {
 		return true, l.copyForm(ctx, now, e.Version)
 	}
-	next := jobstore.FormRecord{Form: form, Buckets: max(1, len(l.n.peers)+1)}
+	next := jobstore.FormRecord{Form: form, Buckets: max(1, len(l.node.peers)+1)}
 	if now.Buckets > 0 {
 		next.Buckets = now.Buckets
 	}
-	_, err = l.n.state.Commit(ctx, []wire.Guard{l.guard(), {Key: jobstore.FormKey, Version: e.Version}},
+	_, err = l.node.kv.Commit(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.FormKey, Version: e.Version}},
 		[]wire.Op{{Put: jobstore.FormKey, Value: next}, {Put: jobstore.FormCopyKey, Value: next}})
 	if err != nil {
 		return false, err
@@ -118,14 +118,14 @@
 	if version == 0 {
 		return nil
 	}
-	e, err := l.n.state.Get(ctx, jobstore.FormCopyKey)
+	e, err := l.node.kv.Get(ctx, jobstore.FormCopyKey)
 	if err != nil {
 		return err
 	}
 	if was, err := jobstore.DecodeForm(e.Value); err == nil && was == form {
 		return nil
 	}
-	_, err = l.n.state.Commit(ctx, []wire.Guard{l.guard(), {Key: jobstore.FormKey, Version: version}},
+	_, err = l.node.kv.Commit(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.FormKey, Version: version}},
 		[]wire.Op{{Put: jobstore.FormCopyKey, Value: form}})
 	return err
 }
@@ -144,12 +144,12 @@
 // speed only: any node may change any bucket, and the head's version tells who was
 // first.
 func (n *Node) toBucketsNode(ctx context.Context, id string, r peerrpc.Request) (peerrpc.Answer, bool) {
-	form := n.reader.Form()
+	form := n.jobs.Form()
 	if form.Form < jobstore.FormIntake {
 		return peerrpc.Answer{}, false
 	}
 	bucket := form.Bucket(id)
-	if !n.reader.Crowded(bucket) {
+	if !n.jobs.Crowded(bucket) {
 		return peerrpc.Answer{}, false
 	}
 	p := n.bucketsNode(bucket)
@@ -183,7 +183,7 @@
 		if name == n.cfg.Node {
 			return nil
 		}
-		if p := n.peer(name); p != nil && time.Since(p.Missed()) > missedFor {
+		if p := n.peerNamed(name); p != nil && time.Since(p.Missed()) > missedFor {
 			return p
 		}
 	}
@@ -191,7 +191,7 @@
 }
 
 // relayed serves a submission that another node has passed on because it belongs
-// to this node's bucket.
+// node this node's bucket.
 func (n *Node) relayed(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	ctx, cancel := context.WithTimeout(ctx, bucketWithin)
 	defer cancel()
--- a/controller/leader.go
+++ b/controller/leader.go
@@ -19,41 +19,41 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// leadership is a node's time as the leader.
+// activeLeadership is a node's time as the leader.
 type leadership struct {
-	n    *Node
-	term *election.Term
-	log  *slog.Logger
-
-	schedKick chan struct{}
-	flushKick chan struct{}
-	formKick  chan struct{}
-	stopKick  chan struct{}
-	direct    chan struct{} // bounds direct stops under way
-	summoning chan struct{} // bounds summonses under way
-	gate      *admission.Gate
-
-	syncing chan struct{} // held by the one barrier under way
-
-	mu      sync.Mutex
-	m       *cluster.Model
-	rev     uint64 // everything up to it is in the model
-	wants   map[cluster.Offer]int
-	passes  uint64        // scheduling passes so far
-	writing bool          // a batch is being committed
-	turned  chan struct{} // closed and replaced when a pass or a batch ends
-	renting bool
-	bons    int
-	own     map[string]uint64 // versions of the records that put writes
-	userOps []time.Time       // users' changes of the last seconds
-	lastAny time.Time         // when a worker last reported here itself
+	node  *Node
+	lease *election.Term
+	log   *slog.Logger
+
+	schedulerWake    chan struct{}
+	committerWake    chan struct{}
+	schemaWake       chan struct{}
+	planCheckWake    chan struct{}
+	stopSlots        chan struct{} // bounds direct stops under way
+	wakeUpSlots      chan struct{} // bounds summonses under way
+	heartbeatLimiter *admission.Gate
+
+	barrierSlot chan struct{} // held by the one barrier under way
+
+	mu                  sync.Mutex
+	model               *cluster.Model
+	appliedRevision     uint64 // everything up to it is in the model
+	wantedMachines      map[cluster.Offer]int
+	passCount           uint64        // scheduling passes so far
+	committing          bool          // a batch is being committed
+	progress            chan struct{} // closed and replaced when a pass or a batch ends
+	scalingOut          bool
+	rentalRequests      int
+	ownVersions         map[string]uint64 // versions of the records that put writes
+	recentUserChanges   []time.Time       // users' changes of the last seconds
+	lastDirectHeartbeat time.Time         // when a worker last reported here itself
 }
 
-// reportsAtOnce is how many reports a leader works on at once: they take turns
-// at the model anyway, and those beyond wait in the order of their leases.
-const reportsAtOnce = 4
+// concurrentHeartbeats is how many reports a leader works on at once: they take turns
+// receivedAt the model anyway, and those beyond wait in the order of their leases.
+const concurrentHeartbeats = 4
 
-func kick(c chan struct{}) {
+func wake(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
@@ -63,12 +63,12 @@
 // runLeader leads until ctx ends. It implements election.Elector.Lead.
 func (n *Node) runLeader(ctx context.Context, t *election.Term, ready func()) error {
 	l := &leadership{
-		n: n, term: t, log: n.log, schedKick: make(chan struct{}, 1), flushKick: make(chan struct{}, 1), formKick: make(chan struct{}, 1), stopKick: make(chan struct{}, 1),
-		direct: make(chan struct{}, 16), summoning: make(chan struct{}, min(64, n.cfg.Cluster.Limits.Sockets/20)), syncing: make(chan struct{}, 1), turned: make(chan struct{}), own: map[string]uint64{},
-		gate: admission.NewGate(reportsAtOnce, 2*n.cfg.Cluster.Limits.Sockets),
+		node: n, lease: t, log: n.log, schedulerWake: make(chan struct{}, 1), committerWake: make(chan struct{}, 1), schemaWake: make(chan struct{}, 1), planCheckWake: make(chan struct{}, 1),
+		stopSlots: make(chan struct{}, 16), wakeUpSlots: make(chan struct{}, min(64, n.cfg.Cluster.Limits.Sockets/20)), barrierSlot: make(chan struct{}, 1), progress: make(chan struct{}), ownVersions: map[string]uint64{},
+		heartbeatLimiter: admission.NewGate(concurrentHeartbeats, 2*n.cfg.Cluster.Limits.Sockets),
 	}
 	for {
-		err := l.load(ctx)
+		err := l.loadModel(ctx)
 		if err == nil {
 			break
 		}
@@ -84,7 +84,7 @@
 		}
 	}
 	n.mu.Lock()
-	n.lead = l
+	n.active = l
 	types := n.types
 	n.mu.Unlock()
 	if types != nil {
@@ -93,12 +93,12 @@
 	l.setPlan(n.orders()) // what was learnt since the records were read
 	defer func() {
 		n.mu.Lock()
-		n.lead = nil
+		n.active = nil
 		n.mu.Unlock()
 	}()
 	ready()
 	var wg sync.WaitGroup
-	for _, duty := range []func(context.Context){l.follow, l.flush, l.compareStops, l.schedule, l.runCloud, l.raiseForm, l.writeNotes, l.tellEnds, l.fillPools, l.mendLater} {
+	for _, duty := range []func(context.Context){l.followJobs, l.runCommitter, l.runPlanCheck, l.runScheduler, l.runScaler, l.raiseForm, l.writeNotes, l.tellEnds, l.fillPools, l.mendLater} {
 		wg.Add(1)
 		go func() { defer wg.Done(); duty(ctx) }()
 	}
@@ -109,35 +109,35 @@
 func (l *leadership) setTypes(types []wire.MachineType) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.m.SetTypes(types)
+	l.model.SetTypes(types)
 }
 
-// apply takes changes of the active records in. Each once: a watch and a
+// applyEvents takes changes of the active records in. Each once: a watch and a
 // barrier may bring the same. Where a page of jobs can't be read, ok is false and
 // nothing is taken in: its jobs would seem to be cancelled. The next leader mends
 // it before it leads.
-func (l *leadership) apply(ev wire.Events) (ok bool) {
+func (l *leadership) applyEvents(ev wire.Events) (ok bool) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	pages := map[string]cluster.IntakePage{} // as the last change left them
 	for _, e := range ev.Log {
-		if e.Version <= l.rev {
+		if e.Version <= l.appliedRevision {
 			continue
 		}
 		if jobstore.IsIntake(e.Put + e.Delete) {
-			if !l.intake(pages, e) {
-				l.term.Resign()
+			if !l.applyIntakePage(pages, e) {
+				l.lease.Resign()
 				return false
 			}
 			continue
 		}
 		if e.Delete != "" {
 			if id, ok := jobstore.ParseJobKey(e.Delete); ok {
-				if j := l.m.Job(id); j != nil && !j.Finished && j.Done < len(j.Tasks) {
-					l.userOps = append(l.userOps, now, now)
+				if j := l.model.Job(id); j != nil && !j.Finished && j.Done < len(j.Tasks) {
+					l.recentUserChanges = append(l.recentUserChanges, now, now)
 				}
-				l.m.RemoveJob(id, now)
+				l.model.RemoveJob(id, now)
 			}
 			continue
 		}
@@ -147,20 +147,20 @@
 				l.log.Error("unreadable job record", "key", e.Put, "err", err)
 				continue
 			}
-			l.m.PutJob(id, rec, e.Version, now)
-			l.userOps = append(l.userOps, now)
+			l.model.PutJob(id, rec, e.Version, now)
+			l.recentUserChanges = append(l.recentUserChanges, now)
 		}
 	}
 	// Together, since a job may have moved from one to another.
-	l.m.PutIntake(slices.Collect(maps.Values(pages)), now)
-	l.rev = max(l.rev, ev.Revision)
-	kick(l.schedKick)
-	kick(l.flushKick)
+	l.model.PutIntake(slices.Collect(maps.Values(pages)), now)
+	l.appliedRevision = max(l.appliedRevision, ev.Revision)
+	wake(l.schedulerWake)
+	wake(l.committerWake)
 	return true
 }
 
-// intake takes a change of a page of users' jobs in; false where it can't be read.
-func (l *leadership) intake(pages map[string]cluster.IntakePage, e wire.Event) bool {
+// applyIntakePage takes a change of a page of users' jobs in; false where it can't be read.
+func (l *leadership) applyIntakePage(pages map[string]cluster.IntakePage, e wire.Event) bool {
 	key := e.Put + e.Delete
 	pg := cluster.IntakePage{Key: key, Version: e.Version}
 	if e.Put != "" {
@@ -174,8 +174,8 @@
 	if pages[key].Version <= e.Version {
 		pages[key] = pg
 	}
-	if !l.m.Wrote(key, e.Version) {
-		l.userOps = append(l.userOps, time.Now())
+	if !l.model.Wrote(key, e.Version) {
+		l.recentUserChanges = append(l.recentUserChanges, time.Now())
 	}
 	return true
 }
@@ -183,25 +183,25 @@
 func (l *leadership) revision() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.rev
+	return l.appliedRevision
 }
 
 // barrier brings the model up to date.
 func (l *leadership) barrier(ctx context.Context) error {
 	select {
-	case l.syncing <- struct{}{}:
-		defer func() { <-l.syncing }()
+	case l.barrierSlot <- struct{}{}:
+		defer func() { <-l.barrierSlot }()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	ev, err := l.n.state.Follow(ctx, jobstore.Jobs, l.revision(), 0)
+	ev, err := l.node.kv.Follow(ctx, jobstore.Jobs, l.revision(), 0)
 	if err != nil {
 		return err
 	}
-	if !l.apply(ev) {
+	if !l.applyEvents(ev) {
 		return jobstore.ErrDamaged
 	}
-	l.pushStops(ctx)
+	l.sendDirectStops(ctx)
 	return nil
 }
 
@@ -209,8 +209,8 @@
 // lease only with knowledge as fresh as the renewal, so that it tells no
 // worker to go on with a job that was cancelled long ago.
 func (n *Node) readBarrier(ctx context.Context, t *election.Term) error {
-	l := n.leadership()
-	if l == nil || l.term != t {
+	l := n.activeLeadership()
+	if l == nil || l.lease != t {
 		return errors.New("not leading yet")
 	}
 	err := l.barrier(ctx)
@@ -220,22 +220,22 @@
 	return err
 }
 
-// follow learns of submissions and cancellations as they are committed.
-func (l *leadership) follow(ctx context.Context) {
+// followJobs learns of submissions and cancellations as they are committed.
+func (l *leadership) followJobs(ctx context.Context) {
 	for ctx.Err() == nil {
-		ev, err := l.n.state.Follow(ctx, jobstore.Jobs, l.revision(), 8*time.Second)
+		ev, err := l.node.kv.Follow(ctx, jobstore.Jobs, l.revision(), 8*time.Second)
 		switch {
 		case errors.Is(err, kvstore.ErrTooOld):
 			l.log.Info("the watch fell behind; beginning anew")
-			l.term.Resign()
+			l.lease.Resign()
 			return
 		case err != nil:
 			call.Pause(ctx, time.Duration(200+rand.IntN(300))*time.Millisecond)
 		default:
-			if !l.apply(ev) {
+			if !l.applyEvents(ev) {
 				return
 			}
-			l.pushStops(ctx)
+			l.sendDirectStops(ctx)
 		}
 	}
 }
--- a/controller/load.go
+++ b/controller/load.go
@@ -13,9 +13,9 @@
 
 // This file reads what earlier leaders left.
 
-// load reads what earlier leaders left.
-func (l *leadership) load(ctx context.Context) error {
-	st := l.n.state
+// loadModel reads what earlier leaders left.
+func (l *leadership) loadModel(ctx context.Context) error {
+	st := l.node.kv
 	items, rev, err := l.mended(ctx)
 	if err != nil {
 		return err
@@ -36,18 +36,18 @@
 	if err != nil {
 		return err
 	}
-	orders, err := l.n.readOrders(ctx)
+	orders, err := l.node.readOrders(ctx)
 	if err != nil {
 		return err
 	}
 	now := time.Now()
-	m := cluster.New(l.n.cfg, l.term.Token, now, l.log)
-	m.Tuning, m.Headroom = l.n.tuning.Rebalance, l.n.tuning.Renting.Headroom
-	m.BeginWithin = config.Seconds(l.n.tuning.Serving.BeginWithinS)
-	if l.n.metrics != nil {
-		m.Timings = timings{l.n.metrics}
+	m := cluster.New(l.node.cfg, l.lease.Token, now, l.log)
+	m.Tuning, m.Headroom = l.node.tuning.Rebalance, l.node.tuning.Renting.Headroom
+	m.BeginWithin = config.Seconds(l.node.tuning.Serving.BeginWithinS)
+	if l.node.metrics != nil {
+		m.Timings = timings{l.node.metrics}
 	}
-	if types := l.n.knownTypes(); types != nil {
+	if types := l.node.machineTypes(); types != nil {
 		m.SetTypes(types)
 	}
 	for _, it := range notes {
@@ -57,7 +57,7 @@
 	if err := loadJobs(m, items, now); err != nil {
 		return err
 	}
-	if err := loadPages(ctx, st, m, items, now); err != nil {
+	if err := loadPlacements(ctx, st, m, items, now); err != nil {
 		return err
 	}
 	for _, it := range cycles {
@@ -85,9 +85,9 @@
 	}
 	m.Loaded(now)
 	l.mu.Lock()
-	l.m, l.rev = m, rev
+	l.model, l.appliedRevision = m, rev
 	l.mu.Unlock()
-	l.log.Info("records loaded", "token", l.term.Token, "keys", len(items))
+	l.log.Info("records loaded", "token", l.lease.Token, "keys", len(items))
 	return l.barrier(ctx)
 }
 
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// loadPages reads where tasks may be, also those of jobs that are over.
-func loadPages(ctx context.Context, st *kvstore.Client, m *cluster.Model, items []wire.Entry, now time.Time) error {
+// loadPlacements reads where tasks may be, also those of jobs that are over.
+func loadPlacements(ctx context.Context, st *kvstore.Client, m *cluster.Model, items []wire.Entry, now time.Time) error {
 	for _, it := range items {
 		n, ok := jobstore.ParsePageKey(it.Key)
 		if !ok {
--- a/controller/look.go
+++ b/controller/look.go
@@ -65,7 +65,7 @@
 	if err := loadJobs(m, items, now); err != nil {
 		return nil, err
 	}
-	if err := loadPages(ctx, st, m, items, now); err != nil {
+	if err := loadPlacements(ctx, st, m, items, now); err != nil {
 		return nil, err
 	}
 	m.Loaded(now)
--- a/controller/mend.go
+++ b/controller/mend.go
@@ -31,7 +31,7 @@
 	keptMost = 16
 )
 
-// at names a record in one version of it.
+// receivedAt names a record in one version of it.
 type at struct {
 	key     string
 	version uint64
@@ -56,7 +56,7 @@
 func (n *Node) told(key string, version uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.lead == nil || len(n.mending.told) >= keptMost {
+	if n.active == nil || len(n.mending.told) >= keptMost {
 		return
 	}
 	if n.mending.told == nil {
@@ -76,7 +76,7 @@
 	if m != nil {
 		return m
 	}
-	return n.reader.Recall(ctx, rec.key, rec.version)
+	return n.jobs.Recall(ctx, rec.key, rec.version)
 }
 
 // Recall implements mesh.Handler.
@@ -128,14 +128,14 @@
 // mended lists all active records, mended as far as can be.
 func (l *leadership) mended(ctx context.Context) (items []wire.Entry, rev uint64, err error) {
 	for range mendRounds {
-		if items, rev, err = l.n.state.List(ctx, jobstore.Active); err != nil {
+		if items, rev, err = l.node.kv.List(ctx, jobstore.Active); err != nil {
 			return nil, 0, err
 		}
 		m := &mender{l: l, items: map[string]wire.Entry{}, pages: map[string]jobstore.IntakeRecord{}}
 		err = m.mend(ctx, items)
-		l.n.mu.Lock()
-		l.n.mending.left = m.left
-		l.n.mu.Unlock()
+		l.node.mu.Lock()
+		l.node.mending.left = m.left
+		l.node.mu.Unlock()
 		var c *kvstore.Conflict
 		switch {
 		case err == nil && !m.changed:
@@ -187,9 +187,9 @@
 	return nil
 }
 
-// put commits under this leadership, and keeps what it has written.
+// putOwnRecord commits under this leadership, and keeps what it has written.
 func (m *mender) put(ctx context.Context, guards []wire.Guard, ops ...wire.Op) error {
-	rev, err := m.l.n.state.Commit(ctx, append([]wire.Guard{m.l.guard()}, guards...), ops)
+	rev, err := m.l.node.kv.Commit(ctx, append([]wire.Guard{m.l.leaderGuard()}, guards...), ops)
 	if err != nil {
 		return err
 	}
@@ -209,7 +209,7 @@
 
 // job writes the record of a job that some node remembers as it was.
 func (m *mender) job(ctx context.Context, id string, it wire.Entry) error {
-	mem := m.l.n.recall(ctx, at{it.Key, it.Version}, at{})
+	mem := m.l.node.recall(ctx, at{it.Key, it.Version}, at{})
 	if mem == nil {
 		m.left = append(m.left, left{at: at{it.Key, it.Version}})
 		return nil
@@ -223,7 +223,7 @@
 
 // app writes a door's record that some node remembers as it was.
 func (m *mender) app(ctx context.Context, it wire.Entry) error {
-	mem := m.l.n.recall(ctx, at{it.Key, it.Version}, at{})
+	mem := m.l.node.recall(ctx, at{it.Key, it.Version}, at{})
 	if mem == nil || !jobstore.IsApp(mem.Raw) {
 		m.left = append(m.left, left{at: at{it.Key, it.Version}})
 		return nil
@@ -240,11 +240,11 @@
 	}
 	var form jobstore.FormRecord
 	err := jobstore.ErrDamaged
-	if mem := m.l.n.recall(ctx, at{it.Key, it.Version}, at{}); mem != nil {
+	if mem := m.l.node.recall(ctx, at{it.Key, it.Version}, at{}); mem != nil {
 		form, err = jobstore.DecodeForm(mem.Raw)
 	}
 	if err != nil {
-		e, gerr := m.l.n.state.Get(ctx, jobstore.FormCopyKey)
+		e, gerr := m.l.node.kv.Get(ctx, jobstore.FormCopyKey)
 		if gerr != nil {
 			return gerr
 		}
@@ -256,7 +256,7 @@
 		if werr != nil {
 			return werr
 		}
-		form = jobstore.FormRecord{Form: wanted, Buckets: jobstore.BucketsBy(m.pages, len(m.l.n.peers)+1)}
+		form = jobstore.FormRecord{Form: wanted, Buckets: jobstore.BucketsBy(m.pages, len(m.l.node.peers)+1)}
 	}
 	if form.Form > jobstore.Form {
 		return jobstore.ErrNewer
@@ -266,10 +266,10 @@
 		wire.Op{Put: jobstore.FormKey, Value: form}, wire.Op{Put: jobstore.FormCopyKey, Value: form})
 }
 
-// intake sets a page of users' jobs aside that can't be read, puts an empty head in
+// applyIntakePage sets a page of users' jobs aside that can't be read, puts an empty head in
 // its place if it was one, and brings back what some node remembers of it.
 func (m *mender) intake(ctx context.Context, it wire.Entry) error {
-	n := m.l.n
+	n := m.l.node
 	a, aside := jobstore.DecodeAside(it.Value)
 	was := at{a.From, a.Version}
 	if !aside {
@@ -282,7 +282,7 @@
 		if !ok {
 			return nil // no page of this program's
 		}
-		a = jobstore.NewAside(it.Key, it.Version, time.Now().UnixMilli(), it.Value, n.reader.Limits)
+		a = jobstore.NewAside(it.Key, it.Version, time.Now().UnixMilli(), it.Value, n.jobs.Limits)
 		guards := []wire.Guard{{Key: it.Key, Version: it.Version}}
 		m.l.log.Error("unreadable page of jobs: set aside", "key", it.Key, "version", it.Version, "remembered", mem != nil)
 		var err error
@@ -339,7 +339,7 @@
 func (m *mender) bringBack(ctx context.Context, key string, a jobstore.Aside, jobs []jobstore.IntakeEntry) error {
 	bucket, _, _ := jobstore.ParseIntakeKey(key)
 	head := jobstore.HeadKey(bucket)
-	most := (4*m.l.n.cfg.Cluster.State.TxnOps - 3) / 2
+	most := (4*m.l.node.cfg.Cluster.State.TxnOps - 3) / 2
 	var rest []jobstore.IntakeEntry
 	for _, e := range jobs {
 		if !m.stands(e.ID) {
@@ -396,27 +396,27 @@
 // mending: what jobs there are must not change under a leader's hands.
 func (l *leadership) mendLater(ctx context.Context) {
 	for call.Pause(ctx, mendEvery) {
-		l.n.mu.Lock()
-		told := l.n.mending.told
-		l.n.mending.told = nil
-		rest := l.n.mending.left
-		l.n.mu.Unlock()
+		l.node.mu.Lock()
+		told := l.node.mending.told
+		l.node.mending.told = nil
+		rest := l.node.mending.left
+		l.node.mu.Unlock()
 		for t := range told {
-			if e, err := l.n.state.Get(ctx, t.key); err != nil || e.Version != t.version || readable(e) {
+			if e, err := l.node.kv.Get(ctx, t.key); err != nil || e.Version != t.version || readable(e) {
 				continue
 			}
 			l.mu.Lock()
-			jobs, ok := l.m.Intake(t.key, t.version)
+			jobs, ok := l.model.Intake(t.key, t.version)
 			l.mu.Unlock()
 			if ok {
-				l.n.keep(t, &jobstore.Memory{Jobs: jobs})
+				l.node.keep(t, &jobstore.Memory{Jobs: jobs})
 			}
 			if l.giveWay(t) {
 				return
 			}
 		}
 		for _, r := range rest {
-			if l.n.recall(ctx, r.at, r.was) != nil && l.giveWay(r.at) {
+			if l.node.recall(ctx, r.at, r.was) != nil && l.giveWay(r.at) {
 				return
 			}
 		}
@@ -446,17 +446,17 @@
 // giveWay ends this leadership so that the next one mends a record, unless that was
 // in vain before.
 func (l *leadership) giveWay(t at) bool {
-	l.n.mu.Lock()
-	if l.n.mending.tried == nil || len(l.n.mending.tried) >= 64*keptMost {
-		l.n.mending.tried = map[at]bool{}
+	l.node.mu.Lock()
+	if l.node.mending.tried == nil || len(l.node.mending.tried) >= 64*keptMost {
+		l.node.mending.tried = map[at]bool{}
 	}
-	tried := l.n.mending.tried[t]
-	l.n.mending.tried[t] = true
-	l.n.mu.Unlock()
+	tried := l.node.mending.tried[t]
+	l.node.mending.tried[t] = true
+	l.node.mu.Unlock()
 	if tried {
 		return false
 	}
 	l.log.Error("a record that can't be read can be mended: the next leader does", "key", t.key, "version", t.version)
-	l.term.Resign()
+	l.lease.Resign()
 	return true
 }
--- a/controller/nights.go
+++ b/controller/nights.go
@@ -18,10 +18,10 @@
 func (l *leadership) tellEnds(ctx context.Context) {
 	for call.Pause(ctx, time.Second) {
 		l.mu.Lock()
-		ids := l.m.UnknownEnds(endsAtOnce)
+		ids := l.model.UnknownEnds(endsAtOnce)
 		l.mu.Unlock()
 		for _, id := range ids {
-			e, err := l.n.state.Get(ctx, jobstore.FinalKey(id))
+			e, err := l.node.kv.Get(ctx, jobstore.FinalKey(id))
 			if err != nil {
 				break // asked again
 			}
@@ -34,7 +34,7 @@
 				}
 			}
 			l.mu.Lock()
-			l.m.ToldEnd(id, rec, time.Now())
+			l.model.ToldEnd(id, rec, time.Now())
 			l.mu.Unlock()
 		}
 	}
--- a/controller/node.go
+++ b/controller/node.go
@@ -42,59 +42,59 @@
 
 // Node is one controller node.
 type Node struct {
-	cfg    *config.Settings
-	tuning config.Tuning
-	log    *slog.Logger
-	net    Network
+	cfg     *config.Settings
+	tuning  config.Tuning
+	log     *slog.Logger
+	network Network
 
-	state    *kvstore.Client
-	cloud    *cloud.Client
-	workers  *worker.Client
-	reader   *jobstore.Reader
-	elector  *election.Elector
-	peers    []*peerrpc.Peer
-	lanes    []*peerrpc.Lane
-	users    chan struct{}    // bounds the users' submissions and cancellations under way
-	polls    *admission.Gate  // and their polls
-	turns    admission.Turns  // whose polls come first
-	tiers    *admission.Tiers // how many each tier of submissions has of users
-	reports  *admission.Gate  // bounds the workers' reports
-	door     *admission.Door  // of users and workers; set before anybody is served
-	pulse    pulse
-	detector failureDetector
+	kv               *kvstore.Client
+	cloud            *cloud.Client
+	workerClient     *worker.Client
+	jobs             *jobstore.Reader
+	elector          *election.Elector
+	peers            []*peerrpc.Peer
+	peerStreams      []*peerrpc.Lane
+	userSlots        chan struct{}    // bounds the users' submissions and cancellations under way
+	pollLimiter      *admission.Gate  // and their polls
+	turns            admission.Turns  // whose polls come first
+	tiers            *admission.Tiers // how many each tier of submissions has of users
+	heartbeatLimiter *admission.Gate  // bounds the workers' reports
+	connLimiter      *admission.Door  // of users and workers; set before anybody is served
+	stalls           stallDetector
+	leaderDetector   failureDetector
 
-	answered *admission.Answered          // when workers were last answered here
-	plan     atomic.Pointer[published]    // where workers report
-	ordered  atomic.Pointer[cluster.Plan] // what the operators decided; nil before it is read
-	inOrder  atomic.Pointer[inOrder]      // of that, the order of service
-	moves    *rate.Limiter                // paces workers' moves to other nodes
-	metrics  *metrics.Set                 // nil unless the operators watch
-	troubles *metrics.Troubles
+	lastAnswered *admission.Answered          // when workers were last answered here
+	routingPlan  atomic.Pointer[adoptedPlan]  // where workers report
+	ordered      atomic.Pointer[cluster.Plan] // what the operators decided; nil before it is read
+	inOrder      atomic.Pointer[inOrder]      // of that, the order of service
+	moveLimiter  *rate.Limiter                // paces workers' moves to other nodes
+	metrics      *metrics.Set                 // nil unless the operators watch
+	recentErrors *metrics.Troubles
 
-	forUsers     *kvstore.Client
+	userKV       *kvstore.Client
 	yarn         *yarn.Door // nil unless YARN's clients are served
 	yarnSettings *yarn.Settings
 
-	mu         sync.Mutex
-	lead       *leadership // nil unless this node leads
-	types      []wire.MachineType
-	sent       map[string]guest // workers told to go elsewhere
-	askers     map[string]asker // nodes that have asked this one
-	counts     counts
-	lastLeader string
-	meshOK     time.Time     // when another node was last reached
-	begun      bool          // the state service or another node has answered once
-	news       chan struct{} // closed and replaced when there is news of the leader
-	mending    mending
+	mu              sync.Mutex
+	active          *leadership // nil unless this node leads
+	types           []wire.MachineType
+	redirects       map[string]redirectRecord // workers told to go elsewhere
+	relayCandidates map[string]relayCandidate // nodes that have asked this one
+	forwarding      forwardingCounts
+	lastSeenLeader  string
+	lastPeerContact time.Time     // when another node was last reached
+	everConnected   bool          // the state service or another node has answered once
+	leaderChanged   chan struct{} // closed and replaced when there is news of the leader
+	mending         mending
 }
 
 const (
-	// usersShare is the part of what the state service takes that is left to
+	// userRateShare is the part of what the state service takes that is left to
 	// users' requests of all nodes when there are too many, beside the leader's.
-	usersShare = 0.5
-	// barrierShare is how many requests of a node's there may be for each
+	userRateShare = 0.5
+	// barrierRateShare is how many requests of a node's there may be for each
 	// barrier: submissions and final states need theirs.
-	barrierShare = 2.0
+	barrierRateShare = 2.0
 	// pollRound is within what time each job's polls have their turn. A user asks
 	// every 5 s, so that up to four times as many polls as can be answered leave
 	// none out for longer than a round and a poll.
@@ -105,17 +105,17 @@
 func New(cfg *config.Settings, tuning config.Tuning, log *slog.Logger, nw Network) *Node {
 	sl := cfg.Cluster.State
 	n := &Node{
-		cfg: cfg, tuning: tuning, log: log, net: nw,
-		state:    kvstore.New(nw.Dial, cfg.Services.State, sl.RPS*0.6, sl.WriteRPS),
-		cloud:    cloud.New(nw.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.9),
-		workers:  worker.New(nw.Dial, min(64, cfg.Cluster.Limits.Sockets/20)),
-		users:    make(chan struct{}, max(32, cfg.Cluster.Limits.Sockets/8)),
-		tiers:    admission.NewTiers(max(32, cfg.Cluster.Limits.Sockets/8)),
-		polls:    admission.NewGate(max(32, cfg.Cluster.Limits.Sockets/8), max(32, cfg.Cluster.Limits.Sockets/8)),
-		turns:    admission.Turns{Round: pollRound},
-		reports:  admission.NewGate(max(64, cfg.Cluster.Limits.Sockets/2), cfg.Cluster.Limits.Sockets/8),
-		answered: admission.NewAnswered(guestsMost), moves: newMoves(),
-		sent: map[string]guest{}, askers: map[string]asker{}, news: make(chan struct{}),
+		cfg: cfg, tuning: tuning, log: log, network: nw,
+		kv:               kvstore.New(nw.Dial, cfg.Services.State, sl.RPS*0.6, sl.WriteRPS),
+		cloud:            cloud.New(nw.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.9),
+		workerClient:     worker.New(nw.Dial, min(64, cfg.Cluster.Limits.Sockets/20)),
+		userSlots:        make(chan struct{}, max(32, cfg.Cluster.Limits.Sockets/8)),
+		tiers:            admission.NewTiers(max(32, cfg.Cluster.Limits.Sockets/8)),
+		pollLimiter:      admission.NewGate(max(32, cfg.Cluster.Limits.Sockets/8), max(32, cfg.Cluster.Limits.Sockets/8)),
+		turns:            admission.Turns{Round: pollRound},
+		heartbeatLimiter: admission.NewGate(max(64, cfg.Cluster.Limits.Sockets/2), cfg.Cluster.Limits.Sockets/8),
+		lastAnswered:     admission.NewAnswered(maxTrackedWorkers), moveLimiter: newMoveLimiter(),
+		redirects: map[string]redirectRecord{}, relayCandidates: map[string]relayCandidate{}, leaderChanged: make(chan struct{}),
 	}
 	n.watched()
 	log = n.log
@@ -127,22 +127,22 @@
 			log.Info("an aim of a kind that this program does not know", "kind", o.Kind, "class", o.Class)
 		}
 	}
-	forUsers := n.state.Sharing(sl.RPS*0.7, sl.WriteRPS, usersShare/float64(max(1, cfg.Cluster.Size)))
-	n.forUsers = forUsers
-	n.reader = jobstore.NewReader(forUsers)
-	n.reader.Limits = jobstore.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB}
-	n.reader.Log = log
-	n.reader.Tier = func(team, class string) int { return n.order().Tier(team, class) }
-	n.reader.Order = func(id string) float64 { return admission.Turns{Round: pollRound}.Key(id, time.Now()) }
+	forUsers := n.kv.Sharing(sl.RPS*0.7, sl.WriteRPS, userRateShare/float64(max(1, cfg.Cluster.Size)))
+	n.userKV = forUsers
+	n.jobs = jobstore.NewReader(forUsers)
+	n.jobs.Limits = jobstore.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB}
+	n.jobs.Log = log
+	n.jobs.Tier = func(team, class string) int { return n.order().Tier(team, class) }
+	n.jobs.Order = func(id string) float64 { return admission.Turns{Round: pollRound}.Key(id, time.Now()) }
 	n.turns.Tier = n.tierOf
-	n.reader.Gap = func() time.Duration { return config.Seconds(min(barrierShare/max(forUsers.Rate(), 1), 0.6)) }
+	n.jobs.Gap = func() time.Duration { return config.Seconds(min(barrierRateShare/max(forUsers.Rate(), 1), 0.6)) }
 	for _, s := range cfg.Siblings {
 		n.peers = append(n.peers, peerrpc.NewPeer(s.Name, s.Addr, nw.Dial))
-		n.lanes = append(n.lanes, peerrpc.NewLane(s.Name, s.Addr, nw.Dial, max(64, cfg.Cluster.Limits.Sockets/2)))
+		n.peerStreams = append(n.peerStreams, peerrpc.NewLane(s.Name, s.Addr, nw.Dial, max(64, cfg.Cluster.Limits.Sockets/2)))
 	}
 	w := cfg.Cluster.Workers
 	n.elector = &election.Elector{
-		Store: n.state, Self: cfg.Node, TTL: config.Seconds(w.LeaderLeaseS()), Drift: config.Drift, Log: log,
+		Store: n.kv, Self: cfg.Node, TTL: config.Seconds(w.LeaderLeaseS()), Drift: config.Drift, Log: log,
 		Lead: n.runLeader, ReadBarrier: n.readBarrier, Seen: n.seen,
 	}
 	return n
@@ -152,11 +152,11 @@
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l, err := n.net.Listen("tcp", n.cfg.Bind)
+	l, err := n.network.Listen("tcp", n.cfg.Bind)
 	if err != nil {
 		return fmt.Errorf("bind: %w", err)
 	}
-	ml, err := n.net.Listen("tcp", n.cfg.MeshListen)
+	ml, err := n.network.Listen("tcp", n.cfg.MeshListen)
 	if err != nil {
 		l.Close()
 		return fmt.Errorf("mesh_addr: %w", err)
@@ -172,7 +172,7 @@
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 		ConnContext:       admission.With,
 	}
-	n.door = admission.NewDoor(l, max(16, int(doorShare*float64(n.cfg.Cluster.Limits.Sockets))))
+	n.connLimiter = admission.NewDoor(l, max(16, int(connShare*float64(n.cfg.Cluster.Limits.Sockets))))
 	var wg sync.WaitGroup
 	duty := func(f func(context.Context)) {
 		wg.Add(1)
@@ -202,7 +202,7 @@
 		})
 	}
 	duty(func(context.Context) {
-		if err := srv.Serve(n.door); !errors.Is(err, http.ErrServerClosed) {
+		if err := srv.Serve(n.connLimiter); !errors.Is(err, http.ErrServerClosed) {
 			errs <- fmt.Errorf("bind: %w", err)
 		}
 	})
@@ -211,12 +211,12 @@
 			errs <- err
 		}
 	})
-	duty(n.reader.Run)
-	duty(n.watchHealth)
-	duty(n.watchPulse)
-	duty(n.watchLeader)
-	duty(n.keepPlan)
-	duty(n.keepTypes)
+	duty(n.jobs.Run)
+	duty(n.monitorKV)
+	duty(n.monitorStalls)
+	duty(n.monitorLeader)
+	duty(n.publishRoutingPlan)
+	duty(n.refreshMachineTypes)
 	duty(n.followOrders)
 	duty(n.elector.Run)
 	n.log.Info("serving", "node", n.cfg.Node, "zone", n.cfg.Zone, "bind", n.cfg.Bind)
@@ -231,27 +231,27 @@
 	_ = srv.Shutdown(sctx) // what is still open is closed next
 	_ = srv.Close()
 	wg.Wait()
-	for _, lane := range n.lanes {
+	for _, lane := range n.peerStreams {
 		lane.Close()
 	}
 	return err
 }
 
-// stateOK says whether the state service serves this node.
-func (n *Node) stateOK() bool {
-	ok, bad := n.state.Served()
+// kvReachable says whether the state service serves this node.
+func (n *Node) kvReachable() bool {
+	ok, bad := n.kv.Served()
 	return ok.After(bad) && time.Since(ok) < 5*time.Second
 }
 
-// watchHealth probes the state service, and the other nodes while it fails. An
+// monitorKV probes the state service, and the other nodes while it fails. An
 // operator who gave a wrong address, or whose service is out, is told so once.
-func (n *Node) watchHealth(ctx context.Context) {
+func (n *Node) monitorKV(ctx context.Context) {
 	served := true
 	// All nodes' probes together are a twentieth of what the service takes.
 	every := config.Seconds(max(1, float64(n.cfg.Cluster.Size)/(0.05*n.cfg.Cluster.State.RPS)))
 	for {
 		pctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
-		_, err := n.state.Get(pctx, election.Key)
+		_, err := n.kv.Get(pctx, election.Key)
 		cancel()
 		if errors.Is(err, kvstore.ErrBusy) {
 			err = nil // it is there, and busy
@@ -266,10 +266,10 @@
 		}
 		if err == nil {
 			n.mu.Lock()
-			n.begun = true
+			n.everConnected = true
 			n.mu.Unlock()
 		} else {
-			n.askPeers(ctx)
+			n.probePeers(ctx)
 		}
 		wait := time.Second
 		if err == nil {
@@ -281,15 +281,15 @@
 	}
 }
 
-func (n *Node) askPeers(ctx context.Context) {
+func (n *Node) probePeers(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, p := range n.peers {
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if _, err := p.Status(ctx, n.ask()); err == nil {
+			if _, err := p.Status(ctx, n.statusRequest()); err == nil {
 				n.mu.Lock()
-				n.meshOK, n.begun = time.Now(), true
+				n.lastPeerContact, n.everConnected = time.Now(), true
 				n.mu.Unlock()
 			}
 		}()
@@ -303,19 +303,19 @@
 func (n *Node) ready() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.begun && (n.stateOK() || time.Since(n.meshOK) < 4*time.Second)
+	return n.everConnected && (n.kvReachable() || time.Since(n.lastPeerContact) < 4*time.Second)
 }
 
-// keepTypes keeps the catalogue, from the cloud or else from the copy that the
+// refreshMachineTypes keeps the catalogue, from the cloud or else from the copy that the
 // leader leaves in the state service.
-func (n *Node) keepTypes(ctx context.Context) {
+func (n *Node) refreshMachineTypes(ctx context.Context) {
 	for {
 		wait := 60 * time.Second
 		types, err := n.cloud.Types(ctx)
 		if err != nil || len(types) == 0 {
 			wait = 3 * time.Second
-			if n.knownTypes() == nil {
-				e, gerr := n.state.Get(ctx, jobstore.TypesKey)
+			if n.machineTypes() == nil {
+				e, gerr := n.kv.Get(ctx, jobstore.TypesKey)
 				var t wire.Types
 				if gerr == nil && e.Version != 0 && wire.Unmarshal(e.Value, &t) == nil {
 					types = t.Types
@@ -328,7 +328,7 @@
 		if len(types) > 0 {
 			n.mu.Lock()
 			n.types = types
-			l := n.lead
+			l := n.active
 			n.mu.Unlock()
 			if l != nil {
 				l.setTypes(types)
@@ -340,14 +340,14 @@
 	}
 }
 
-func (n *Node) knownTypes() []wire.MachineType {
+func (n *Node) machineTypes() []wire.MachineType {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.types
 }
 
-func (n *Node) leadership() *leadership {
+func (n *Node) activeLeadership() *leadership {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.lead
+	return n.active
 }
--- a/controller/order.go
+++ b/controller/order.go
@@ -51,7 +51,7 @@
 	if o == nil {
 		return 0
 	}
-	if team, class, ok := n.reader.Whose(id); ok {
+	if team, class, ok := n.jobs.Whose(id); ok {
 		return o.Tier(team, class)
 	}
 	return o.Tiers() - 1
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -42,7 +42,7 @@
 	rev, known := uint64(0), false
 	for ctx.Err() == nil {
 		if !known {
-			_, at, err := n.state.List(ctx, jobstore.PlanHeadKey)
+			_, at, err := n.kv.List(ctx, jobstore.PlanHeadKey)
 			if err == nil {
 				_, err = n.readOrders(ctx)
 			}
@@ -53,7 +53,7 @@
 			rev, known = at, true
 			n.planAsked() // maybe before this watch
 		}
-		ev, err := n.state.Follow(ctx, jobstore.Plans, rev, planBlock)
+		ev, err := n.kv.Follow(ctx, jobstore.Plans, rev, planBlock)
 		switch {
 		case errors.Is(err, kvstore.ErrTooOld):
 			known = false
@@ -98,7 +98,7 @@
 
 // readOrders reads the plan and hands it to the leader, if this node leads.
 func (n *Node) readOrders(ctx context.Context) (cluster.Plan, error) {
-	p, st, err := planIn(ctx, n.state)
+	p, st, err := planIn(ctx, n.kv)
 	if err != nil {
 		return cluster.Plan{}, err
 	}
@@ -114,7 +114,7 @@
 		p = was // another read has been faster
 	}
 	n.ordered.Store(&p)
-	l := n.lead
+	l := n.active
 	n.mu.Unlock()
 	if p.Head != was.Head {
 		for _, t := range st.Troubles {
@@ -133,15 +133,15 @@
 
 func (l *leadership) setPlan(p cluster.Plan) {
 	l.mu.Lock()
-	l.m.SetPlan(p, time.Now())
+	l.model.SetPlan(p, time.Now())
 	l.mu.Unlock()
-	kick(l.schedKick)
-	kick(l.flushKick)
+	wake(l.schedulerWake)
+	wake(l.committerWake)
 }
 
 // rereadPlan is for a leader whose transaction failed for the plan's version.
 func (l *leadership) rereadPlan(ctx context.Context) {
-	if _, err := l.n.readOrders(ctx); err != nil {
+	if _, err := l.node.readOrders(ctx); err != nil {
 		l.log.Debug("plan", "err", err)
 	}
 }
@@ -150,40 +150,40 @@
 func (l *leadership) planWanted() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.m.PlanWanted()
+	l.model.PlanWanted()
 }
 
 // planAsked has a leader look again whether the records may be written in the form
 // that says that there may be a plan.
 func (n *Node) planAsked() {
-	if l := n.leadership(); l != nil {
-		kick(l.formKick)
+	if l := n.activeLeadership(); l != nil {
+		wake(l.schemaWake)
 	}
 }
 
 // writeNotes writes what the plan's parts record, few changes a second.
 func (l *leadership) writeNotes(ctx context.Context) {
-	sl := l.n.cfg.Cluster.State
+	sl := l.node.cfg.Cluster.State
 	share := rate.NewLimiter(rate.Limit(notesShare*sl.WriteRPS), max(1, min(sl.TxnOps, int(2*notesShare*sl.WriteRPS))))
 	for call.Pause(ctx, 500*time.Millisecond) {
 		l.mu.Lock()
-		want := min(l.m.NotesPending(), share.Burst())
+		want := min(l.model.NotesPending(), share.Burst())
 		l.mu.Unlock()
-		if want == 0 || !l.term.Valid() {
+		if want == 0 || !l.lease.Valid() {
 			continue
 		}
 		if err := share.WaitN(ctx, want); err != nil {
 			return
 		}
 		l.mu.Lock()
-		b := l.m.NoteBatch(want)
+		b := l.model.NoteBatch(want)
 		l.mu.Unlock()
 		if b == nil {
 			continue
 		}
-		rev, err := l.n.state.Commit(ctx, append([]wire.Guard{l.guard()}, b.Guards...), b.Ops)
+		rev, err := l.node.kv.Commit(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), b.Ops)
 		if err != nil {
-			l.settle(ctx, b, err)
+			l.handleCommitFailure(ctx, b, err)
 			continue
 		}
 		l.mu.Lock()
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -18,24 +18,24 @@
 // nothing, on a machine of its own: from its record on it is a job like any other,
 // and whoever leads next finds it under way.
 func (l *leadership) fillPools(ctx context.Context) {
-	most := max(1, l.n.cfg.Cluster.State.TxnOps/2)
+	most := max(1, l.node.cfg.Cluster.State.TxnOps/2)
 	for call.Pause(ctx, time.Second) {
-		if !l.term.Valid() {
+		if !l.lease.Valid() {
 			continue
 		}
 		l.mu.Lock()
-		jobs, byPlan := l.m.Fetches(most, time.Now()), l.m.PlanGuard()
+		jobs, byPlan := l.model.Fetches(most, time.Now()), l.model.PlanGuard()
 		l.mu.Unlock()
 		if len(jobs) == 0 {
 			continue
 		}
-		guards := []wire.Guard{l.guard(), byPlan}
+		guards := []wire.Guard{l.leaderGuard(), byPlan}
 		var ops []wire.Op
 		for _, j := range jobs {
 			guards = append(guards, wire.Guard{Key: jobstore.JobKey(j.ID)}, wire.Guard{Key: jobstore.FinalKey(j.ID)})
 			ops = append(ops, wire.Op{Put: jobstore.JobKey(j.ID), Value: j.Record})
 		}
-		_, err := l.n.state.Commit(ctx, guards, ops)
+		_, err := l.node.kv.Commit(ctx, guards, ops)
 		if err == nil {
 			continue
 		}
@@ -43,7 +43,7 @@
 		l.log.Debug("fetches of weights", "count", len(jobs), "err", err)
 		var c *kvstore.Conflict
 		if errors.As(err, &c) {
-			l.otherPlan(ctx)
+			l.dropSupersededPlan(ctx)
 		}
 	}
 }
--- a/controller/pulse_test.go
+++ b/controller/pulse_test.go
@@ -11,22 +11,22 @@
 // After a stop, what has come of age says nothing of others: a leader that took
 // its workers' silence for a cut resigned, although their reports were waiting.
 func TestAStopIsNoticedOnceAndOnlyIfThereWasOne(t *testing.T) {
-	var p pulse
+	var p stallDetector
 	at := time.Unix(1000, 0)
 	for range 20 {
-		if d := p.beat(at); d != 0 {
+		if d := p.Observe(at); d != 0 {
 			t.Fatalf("a stop of %v was noticed where there was none", d)
 		}
-		at = at.Add(pulseEvery)
+		at = at.Add(stallCheckInterval)
 	}
 	at = at.Add(6 * time.Second)
-	if d := p.beat(at); d < 6*time.Second {
+	if d := p.Observe(at); d < 6*time.Second {
 		t.Errorf("a stop of 6 s was noticed as %v", d)
 	}
-	if d := p.beat(at); d != 0 {
+	if d := p.Observe(at); d != 0 {
 		t.Errorf("noticed twice")
 	}
-	if resumed, stood := p.lastStop(); !resumed.Equal(at) || stood < 6*time.Second {
+	if resumed, stood := p.LastStall(); !resumed.Equal(at) || stood < 6*time.Second {
 		t.Errorf("last stop at %v for %v", resumed, stood)
 	}
 }
@@ -37,19 +37,19 @@
 	var d failureDetector
 	refused := &net.OpError{Op: "dial", Err: errors.New("connection refused")}
 	for range 5 {
-		d.note("n-1", refused)
+		d.Record("n-1", refused)
 	}
-	if d.suspects("n-1") {
+	if d.Suspected("n-1") {
 		t.Error("suspected although it was refused only")
 	}
-	for range suspectAfter {
-		d.note("n-1", context.DeadlineExceeded)
+	for range suspectAfterMisses {
+		d.Record("n-1", context.DeadlineExceeded)
 	}
-	if !d.suspects("n-1") || d.suspects("n-2") {
+	if !d.Suspected("n-1") || d.Suspected("n-2") {
 		t.Error("a silent leader is not suspected, or another one is")
 	}
-	d.note("n-1", nil)
-	if d.suspects("n-1") {
+	d.Record("n-1", nil)
+	if d.Suspected("n-1") {
 		t.Error("suspected although it has answered")
 	}
 }
--- a/controller/renting.go
+++ b/controller/renting.go
@@ -16,31 +16,31 @@
 
 // This file rents and returns machines.
 
-// runCloud rents, returns and lists machines.
-func (l *leadership) runCloud(ctx context.Context) {
-	every := max(4*time.Second, time.Duration(4/l.n.cfg.Cluster.Cloud.RPS*float64(time.Second)))
+// runScaler rents, returns and lists machines.
+func (l *leadership) runScaler(ctx context.Context) {
+	every := max(4*time.Second, time.Duration(4/l.node.cfg.Cluster.Cloud.RPS*float64(time.Second)))
 	var listed time.Time
 	typesKept := false
 	for call.Pause(ctx, 300*time.Millisecond) {
-		if !l.term.Valid() {
+		if !l.lease.Valid() {
 			continue
 		}
 		if !typesKept {
-			typesKept = l.keepTypes(ctx)
+			typesKept = l.saveMachineTypes(ctx)
 		}
-		l.rent(ctx)
+		l.scaleOut(ctx)
 		l.mu.Lock()
-		l.n.pulse.beat(time.Now())
-		l.m.StoodStill(l.n.pulse.lastStop())
-		back := l.m.Returnable(time.Now(), config.Seconds(l.n.tuning.Renting.IdleS))
+		l.node.stalls.Observe(time.Now())
+		l.model.StoodStill(l.node.stalls.LastStall())
+		back := l.model.Returnable(time.Now(), config.Seconds(l.node.tuning.Renting.IdleS))
 		l.mu.Unlock()
 		if len(back) > 0 {
-			l.giveBack(ctx, back[:min(len(back), cloud.DeleteMax)])
+			l.scaleIn(ctx, back[:min(len(back), cloud.DeleteMax)])
 		}
 		if time.Since(listed) < every {
 			continue
 		}
-		list, err := l.n.cloud.List(ctx)
+		list, err := l.node.cloud.List(ctx)
 		if err != nil {
 			l.log.Debug("machine list", "err", err)
 			call.Pause(ctx, time.Second)
@@ -48,31 +48,31 @@
 		}
 		listed = time.Now()
 		l.mu.Lock()
-		l.m.SetList(list, listed)
+		l.model.SetList(list, listed)
 		l.mu.Unlock()
-		kick(l.schedKick)
+		wake(l.schedulerWake)
 	}
 }
 
-// keepTypes leaves the catalogue where nodes find it during an outage of the
+// refreshMachineTypes leaves the catalogue where nodes find it during an outage of the
 // cloud.
-func (l *leadership) keepTypes(ctx context.Context) bool {
-	types := l.n.knownTypes()
+func (l *leadership) saveMachineTypes(ctx context.Context) bool {
+	types := l.node.machineTypes()
 	if types == nil {
 		return false
 	}
-	return l.put(ctx, jobstore.TypesKey, wire.Types{Types: types}) == nil
+	return l.putOwnRecord(ctx, jobstore.TypesKey, wire.Types{Types: types}) == nil
 }
 
-// giveBack returns machines. Their names are committed first: between the look
-// at the lease and the cloud's act may lie a minute, in which another leader has
-// begun and placed tasks on them, unless it reads here that they go.
-func (l *leadership) giveBack(ctx context.Context, names []string) {
-	if err := l.put(ctx, jobstore.ReturnsKey, jobstore.ReturnRecord{Machines: names}); err != nil {
+// scaleIn returns machines. Their names are committed first: between the look
+// receivedAt the lease and the cloud's act may lie a minute, in which another leader has
+// everConnected and placed tasks on them, unless it reads here that they go.
+func (l *leadership) scaleIn(ctx context.Context, names []string) {
+	if err := l.putOwnRecord(ctx, jobstore.ReturnsKey, jobstore.ReturnRecord{Machines: names}); err != nil {
 		l.log.Debug("return record", "err", err)
 		return
 	}
-	if err := l.n.cloud.Delete(ctx, names); err != nil {
+	if err := l.node.cloud.Delete(ctx, names); err != nil {
 		l.log.Info("machines not returned, retrying", "count", len(names), "err", err)
 		call.Pause(ctx, time.Second)
 		return
@@ -80,60 +80,60 @@
 	now := time.Now()
 	l.mu.Lock()
 	for _, name := range names {
-		l.m.MachineGone(name, now)
+		l.model.MachineGone(name, now)
 	}
 	l.mu.Unlock()
-	kick(l.schedKick)
-	kick(l.flushKick)
+	wake(l.schedulerWake)
+	wake(l.committerWake)
 }
 
-// rent asks for what the last pass wanted. The request's name is recorded
+// scaleOut asks for what the last pass wanted. The request's name is recorded
 // before the call and never used again.
-func (l *leadership) rent(ctx context.Context) {
+func (l *leadership) scaleOut(ctx context.Context) {
 	l.mu.Lock()
-	wants := l.wants
-	l.wants = nil
-	l.renting = len(wants) > 0
+	wants := l.wantedMachines
+	l.wantedMachines = nil
+	l.scalingOut = len(wants) > 0
 	l.mu.Unlock()
 	if len(wants) == 0 {
 		return
 	}
 	for o, count := range wants {
-		if ctx.Err() != nil || !l.term.Valid() {
+		if ctx.Err() != nil || !l.lease.Valid() {
 			break
 		}
-		l.rentOne(ctx, o, min(count, cloud.RentMax))
+		l.rentMachines(ctx, o, min(count, cloud.RentMax))
 	}
 	l.mu.Lock()
-	l.renting, l.wants = false, nil
+	l.scalingOut, l.wantedMachines = false, nil
 	l.mu.Unlock()
-	kick(l.schedKick)
+	wake(l.schedulerWake)
 }
 
-func (l *leadership) rentOne(ctx context.Context, o cluster.Offer, count int) {
-	l.bons++
-	bon := fmt.Sprintf("r-%d-%d", l.term.Token, l.bons)
+func (l *leadership) rentMachines(ctx context.Context, o cluster.Offer, count int) {
+	l.rentalRequests++
+	bon := fmt.Sprintf("r-%d-%d", l.lease.Token, l.rentalRequests)
 	rec := jobstore.RentalRecord{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count, AtMs: time.Now().UnixMilli()}
 	key := jobstore.Rentals + bon
 	l.mu.Lock()
-	byPlan := l.m.PlanGuard()
+	byPlan := l.model.PlanGuard()
 	l.mu.Unlock()
-	made, err := l.n.state.Commit(ctx, []wire.Guard{l.guard(), byPlan, {Key: key}}, []wire.Op{{Put: key, Value: rec}})
+	made, err := l.node.kv.Commit(ctx, []wire.Guard{l.leaderGuard(), byPlan, {Key: key}}, []wire.Op{{Put: key, Value: rec}})
 	if err != nil {
 		l.log.Debug("rental record", "err", err)
 		return
 	}
-	names, err := l.n.cloud.Rent(ctx, wire.Rental{Request: bon, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count})
+	names, err := l.node.cloud.Rent(ctx, wire.Rental{Request: bon, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count})
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 		// The same request either rents now or names what it rented before.
-		names, err = l.n.cloud.Rent(ctx, wire.Rental{Request: bon, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count})
+		names, err = l.node.cloud.Rent(ctx, wire.Rental{Request: bon, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count})
 	}
 	now := time.Now()
 	l.mu.Lock()
 	if err != nil || len(names) < count {
-		l.m.Refused(o, now)
+		l.model.Refused(o, now)
 	}
-	l.m.Rented(o, names, now)
+	l.model.Rented(o, names, now)
 	l.mu.Unlock()
 	if err != nil {
 		l.log.Info("rental refused", "request", bon, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", count, "err", err)
@@ -143,7 +143,7 @@
 		rec.Machines = names
 		op = wire.Op{Put: key, Value: rec}
 	}
-	if _, err := l.n.state.Commit(ctx, []wire.Guard{l.guard(), {Key: key, Version: made}}, []wire.Op{op}); err != nil {
+	if _, err := l.node.kv.Commit(ctx, []wire.Guard{l.leaderGuard(), {Key: key, Version: made}}, []wire.Op{op}); err != nil {
 		l.log.Debug("rental record", "err", err)
 	}
 }
--- a/controller/reports.go
+++ b/controller/reports.go
@@ -15,14 +15,14 @@
 // This file is the workers' door; where each of them belongs is decided in
 // package routing, and what a leader answers in answers.go.
 
-// sender is what a report says of whose it is, and how new.
-type sender struct {
+// heartbeatHeader is what a report says of whose it is, and how new.
+type heartbeatHeader struct {
 	Machine string `msgpack:"poste"`
 	Session uint64 `msgpack:"quart"`
 	Seq     uint64 `msgpack:"numero"`
 }
 
-func (n *Node) serveReport(w http.ResponseWriter, r *http.Request) {
+func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	conn := admission.Of(r.Context())
 	if conn != nil {
 		conn.Is(admission.Worker)
@@ -32,28 +32,28 @@
 		writeError(w, http.StatusBadRequest, "unreadable", 0)
 		return
 	}
-	var who sender
+	var who heartbeatHeader
 	if err := wire.Unmarshal(body, &who); err != nil || who.Machine == "" {
 		writeError(w, http.StatusBadRequest, "malformed report", 0)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), 3500*time.Millisecond)
 	defer cancel()
-	if err := n.reports.Enter(ctx, n.leaseLeft(who.Machine, -1)); err != nil {
+	if err := n.heartbeatLimiter.Enter(ctx, n.workerLeaseLeft(who.Machine, -1)); err != nil {
 		n.metrics.Refused("too many reports")
 		w.Header().Set("Connection", "close")
 		writeError(w, http.StatusServiceUnavailable, "too many reports under way", 1)
 		return
 	}
-	defer n.reports.Leave()
-	a := n.report(ctx, who, body)
+	defer n.heartbeatLimiter.Leave()
+	a := n.handleHeartbeat(ctx, who, body)
 	if a.Status == http.StatusOK && !a.Repeated {
 		// A copy that came to this node shows nothing of whether the worker is answered
 		// here. Where it was the copy that came first, its worker counts as longer
 		// unanswered than it is, and waits the shorter.
-		n.answered.Note(who.Machine, time.Now())
+		n.lastAnswered.Note(who.Machine, time.Now())
 	}
-	if n.workersFull() {
+	if n.workerConnsFull() {
 		// It needs a connection for its report only. Sockets that workers keep
 		// are missed by this node's own calls.
 		w.Header().Set("Connection", "close")
@@ -61,11 +61,11 @@
 	write(w, a)
 }
 
-// leaseLeft is how many seconds a worker's lease has left, as far as is known
+// workerLeaseLeft is how many seconds a worker's lease has left, as far as is known
 // here; agoS is what another node knows of its last answer, negative for
 // nothing. Of one that nobody knows the worst is assumed.
-func (n *Node) leaseLeft(machine string, agoS float64) float64 {
-	if ago, ok := n.answered.Ago(machine, time.Now()); ok && (agoS < 0 || ago.Seconds() < agoS) {
+func (n *Node) workerLeaseLeft(machine string, agoS float64) float64 {
+	if ago, ok := n.lastAnswered.Ago(machine, time.Now()); ok && (agoS < 0 || ago.Seconds() < agoS) {
 		agoS = ago.Seconds()
 	}
 	if agoS < 0 {
@@ -74,99 +74,99 @@
 	return n.cfg.Cluster.Workers.LeaseS - agoS
 }
 
-func redirect(leader string) peerrpc.Answer {
+func redirectTo(leader string) peerrpc.Answer {
 	return answer(http.StatusMisdirectedRequest, wire.Redirect{Leader: leader}, 0)
 }
 
-// report serves a worker's report: here if this node leads, and otherwise by
+// answerHeartbeat serves a worker's report: here if this node leads, and otherwise by
 // passing it on to the leader, or by naming the node where the worker belongs.
-func (n *Node) report(ctx context.Context, who sender, body []byte) peerrpc.Answer {
+func (n *Node) handleHeartbeat(ctx context.Context, who heartbeatHeader, body []byte) peerrpc.Answer {
 	machine := who.Machine
-	if l := n.leadership(); l != nil && l.term.Valid() {
-		if l.news(who) { // nobody is moved by a late copy
-			if to := n.moveAway(machine); to != "" {
-				n.noteSent(machine, to)
-				return redirect(to)
+	if l := n.activeLeadership(); l != nil && l.lease.Valid() {
+		if l.isCurrent(who) { // nobody is moved by a late copy
+			if to := n.routeAsLeader(machine); to != "" {
+				n.recordRedirect(machine, to)
+				return redirectTo(to)
 			}
 		}
-		return l.report(ctx, body, -1, n.cfg.Node)
+		return l.answerHeartbeat(ctx, body, -1, n.cfg.Node)
 	}
 	leader := n.awaitLeader(ctx)
-	if l := n.leadership(); l != nil {
-		return l.report(ctx, body, -1, n.cfg.Node)
+	if l := n.activeLeadership(); l != nil {
+		return l.answerHeartbeat(ctx, body, -1, n.cfg.Node)
 	}
 	if leader == "" || leader == n.cfg.Node {
-		return redirect(n.elsewhere(machine))
+		return redirectTo(n.fallbackNode(machine))
 	}
-	to, pass := n.route(machine, leader)
+	to, pass := n.routeAsFollower(machine, leader)
 	if !pass {
-		n.noteSent(machine, to)
-		return redirect(to)
+		n.recordRedirect(machine, to)
+		return redirectTo(to)
 	}
-	return n.passOn(ctx, machine, leader, body)
+	return n.forwardHeartbeat(ctx, machine, leader, body)
 }
 
-// news says whether a report is not older than what is known of its worker.
-func (l *leadership) news(who sender) bool {
+// leaderChanged says whether a report is not older than what is known of its worker.
+func (l *leadership) isCurrent(who heartbeatHeader) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.m.News(who.Machine, who.Session, who.Seq)
+	return l.model.News(who.Machine, who.Session, who.Seq)
 }
 
-// passOn passes a report on to the leader. What comes back is the leader's own
+// forwardHeartbeat passes a report on to the leader. What comes back is the leader's own
 // answer with its token: a 200 is the leader's, given while it was sure of its
 // lease, and everything else is a 503 here.
-func (n *Node) passOn(ctx context.Context, machine, leader string, body []byte) peerrpc.Answer {
-	lane := n.lane(leader)
+func (n *Node) forwardHeartbeat(ctx context.Context, machine, leader string, body []byte) peerrpc.Answer {
+	lane := n.peerStream(leader)
 	if lane == nil {
 		return answer(http.StatusServiceUnavailable, wire.Error{Error: "no such leader"}, 1)
 	}
 	r := peerrpc.Request{From: n.cfg.Node, Body: body, AgoS: -1}
-	if ago, ok := n.answered.Ago(machine, time.Now()); ok {
+	if ago, ok := n.lastAnswered.Ago(machine, time.Now()); ok {
 		r.AgoS = ago.Seconds()
 	}
 	a, err := lane.Report(ctx, r)
 	if err != nil {
 		n.log.Debug("report not passed on", "machine", machine, "leader", leader, "err", err)
-		n.count(func(c *counts) { c.passFailed++ })
-		if !lane.Reach() && ctx.Err() == nil && !n.guest(machine).CameBack(leader) {
-			n.noteSent(machine, leader)
-			return redirect(leader)
+		n.countForwarding(func(c *forwardingCounts) { c.failed++ })
+		if !lane.Reach() && ctx.Err() == nil && !n.workerHistory(machine).CameBack(leader) {
+			n.recordRedirect(machine, leader)
+			return redirectTo(leader)
 		}
 		return answer(http.StatusServiceUnavailable, wire.Error{Error: "the leader is not reached"}, 1)
 	}
-	if a.Status == http.StatusMisdirectedRequest && !n.guest(machine).CameBack(leader) {
+	if a.Status == http.StatusMisdirectedRequest && !n.workerHistory(machine).CameBack(leader) {
 		// It was elected and has not read the records yet. Refused here, the worker would
 		// go on to the next node, which may be the one that has ended, and lose seconds of
 		// its lease to that; at the leader its report waits until that is ready.
-		n.noteSent(machine, leader)
-		return redirect(leader)
+		n.recordRedirect(machine, leader)
+		return redirectTo(leader)
 	}
 	if a.Status != http.StatusOK {
 		return answer(http.StatusServiceUnavailable, wire.Error{Error: "the leader does not answer"}, 1)
 	}
-	n.count(func(c *counts) { c.passed++ })
+	n.countForwarding(func(c *forwardingCounts) { c.forwarded++ })
 	return a
 }
 
 // Report implements mesh.Handler: a report that another node received.
 func (n *Node) Report(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
-	if !n.leads() {
+	if !n.isLeader() {
 		// Sent away, the worker would come back in a second, by way of another
 		// node, and so would all others.
 		n.awaitLeader(ctx)
 	}
-	l := n.leadership()
+	l := n.activeLeadership()
 	if l == nil {
-		return redirect("") // it has not read the records yet, or leads no more
+		return redirectTo("") // it has not read the records yet, or leads no more
 	}
-	return l.report(ctx, r.Body, r.AgoS, r.From)
+	return l.answerHeartbeat(ctx, r.Body, r.AgoS, r.From)
 }
 
-// fresh says whether a worker was answered here so lately that a move which
+// answeredRecently says whether a worker was answered here so lately that a move which
 // fails does not bring its lease near its end.
-func (n *Node) fresh(machine string) bool {
+func (n *Node) answeredRecently(machine string) bool {
 	w := n.cfg.Cluster.Workers
-	ago, ok := n.answered.Ago(machine, time.Now())
+	ago, ok := n.lastAnswered.Ago(machine, time.Now())
 	return ok && ago < config.Seconds(min(2*w.ReportS+0.5, w.LeaseS/2))
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -35,30 +35,30 @@
 	if n.tuning.Metrics.Listen == "" {
 		return
 	}
-	n.troubles = metrics.NewTroubles(n.log.Handler())
-	n.log = slog.New(n.troubles)
+	n.recentErrors = metrics.NewTroubles(n.log.Handler())
+	n.log = slog.New(n.recentErrors)
 	n.metrics = metrics.New(n.cfg.Node)
 	m := n.metrics
 	for name, k := range map[string]admission.Kind{"connections_users": admission.User,
 		"connections_workers": admission.Worker, "connections_other": admission.Unknown} {
-		m.Gauge(name, "Open connections.", func() float64 { return float64(n.door.Open(k)) })
+		m.Gauge(name, "Open connections.", func() float64 { return float64(n.connLimiter.Open(k)) })
 	}
-	m.Counter("connections_closed_total", "Connections closed for want of room.", func() float64 { return float64(n.door.Shed()) })
-	m.Counter("reports_shed_total", "Reports turned away for want of room.", func() float64 { return float64(n.reports.Shed()) })
-	m.Gauge("reports_waiting", "Reports that wait for their turn.", func() float64 { return float64(n.reports.Waiting()) })
-	for name, read := range map[string]func(counts) uint64{
-		"reports_passed_total":      func(c counts) uint64 { return c.passed },
-		"reports_pass_failed_total": func(c counts) uint64 { return c.passFailed },
-		"workers_moved_total":       func(c counts) uint64 { return c.moved },
+	m.Counter("connections_closed_total", "Connections closed for want of room.", func() float64 { return float64(n.connLimiter.Shed()) })
+	m.Counter("reports_shed_total", "Reports turned away for want of room.", func() float64 { return float64(n.heartbeatLimiter.Shed()) })
+	m.Gauge("reports_waiting", "Reports that wait for their turn.", func() float64 { return float64(n.heartbeatLimiter.Waiting()) })
+	for name, read := range map[string]func(forwardingCounts) uint64{
+		"reports_passed_total":      func(c forwardingCounts) uint64 { return c.forwarded },
+		"reports_pass_failed_total": func(c forwardingCounts) uint64 { return c.failed },
+		"workers_moved_total":       func(c forwardingCounts) uint64 { return c.redirected },
 	} {
 		m.Counter(name, "Of workers that report here while another node leads.", func() float64 {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			return float64(read(n.counts))
+			return float64(read(n.forwarding))
 		})
 	}
 	m.Gauge("leading", "1 while this node leads and is sure of it.", func() float64 {
-		if n.leads() {
+		if n.isLeader() {
 			return 1
 		}
 		return 0
@@ -76,13 +76,13 @@
 // nights is what the leader knows of the calendar's nights; nothing unless this node
 // leads.
 func (n *Node) nights(now time.Time) []calendar.View {
-	l := n.leadership()
+	l := n.activeLeadership()
 	if l == nil {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.m.Nights(now)
+	return l.model.Nights(now)
 }
 
 // watchNights adds what is known of the calendar's nights while this node leads.
@@ -142,7 +142,7 @@
 // serveHTTP serves one of the node's other HTTP doors, on an address of its own,
 // until ctx ends; name is its setting's.
 func (n *Node) serveHTTP(ctx context.Context, srv *http.Server, name, addr string, most int) error {
-	l, err := n.net.Listen("tcp", addr)
+	l, err := n.network.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
@@ -164,7 +164,7 @@
 	if o.Fleet != nil {
 		return o
 	}
-	p := n.peer(n.elector.Leader())
+	p := n.peerNamed(n.elector.Leader())
 	if p == nil {
 		return o
 	}
@@ -177,24 +177,24 @@
 }
 
 func (n *Node) ownOverview(now time.Time) metrics.Overview {
-	o := metrics.Overview{At: now, Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.ready(), StateServed: n.stateOK(),
-		Leader: n.elector.Leader(), Troubles: n.troubles.Last(), Fleet: n.fleet(now)}
-	if d := n.door; d != nil {
+	o := metrics.Overview{At: now, Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.ready(), StateServed: n.kvReachable(),
+		Leader: n.elector.Leader(), Troubles: n.recentErrors.Last(), Fleet: n.fleet(now)}
+	if d := n.connLimiter; d != nil {
 		o.Connections = metrics.Connections{Users: d.Open(admission.User), Workers: d.Open(admission.Worker),
 			Other: d.Open(admission.Unknown), Most: n.cfg.Cluster.Limits.Sockets, Closed: d.Shed()}
 	}
 	n.mu.Lock()
-	c := n.counts
+	c := n.forwarding
 	n.mu.Unlock()
-	o.Reports = metrics.Reports{Passed: c.passed, Failed: c.passFailed, Moved: c.moved, Waiting: n.reports.Waiting(),
-		Refused: n.reports.Shed(), Served: n.answered.Recent(now, config.Seconds(n.cfg.Cluster.Workers.LeaseS))}
+	o.Reports = metrics.Reports{Passed: c.forwarded, Failed: c.failed, Moved: c.redirected, Waiting: n.heartbeatLimiter.Waiting(),
+		Refused: n.heartbeatLimiter.Shed(), Served: n.lastAnswered.Recent(now, config.Seconds(n.cfg.Cluster.Workers.LeaseS))}
 	if p := n.orders(); p.Head > 0 {
 		o.Orders = &metrics.Orders{Version: p.Number, Lost: p.Lost}
 	}
 	if o.Fleet != nil {
 		o.Fleet.Nights = n.nights(now)
 	}
-	if p := n.currentPlan(o.Leader); p != nil {
+	if p := n.currentRoutingPlan(o.Leader); p != nil {
 		o.Plan = planOf(&p.Plan)
 	}
 	return o
@@ -210,18 +210,18 @@
 
 // fleet is the leader's view, nil unless this node leads.
 func (n *Node) fleet(now time.Time) *metrics.Fleet {
-	l := n.leadership()
+	l := n.activeLeadership()
 	if l == nil {
 		return nil
 	}
 	l.mu.Lock()
-	s := l.m.Summary(now)
+	s := l.model.Summary(now)
 	l.mu.Unlock()
 	var unbegun []metrics.Unbegun
 	for _, u := range s.Unbegun {
 		unbegun = append(unbegun, metrics.Unbegun(u))
 	}
-	return &metrics.Fleet{Unbegun: unbegun, UnbegunAll: s.UnbegunN, Node: n.cfg.Node, Token: l.term.Token, Since: l.term.Since, Sure: l.term.Valid(),
+	return &metrics.Fleet{Unbegun: unbegun, UnbegunAll: s.UnbegunN, Node: n.cfg.Node, Token: l.lease.Token, Since: l.lease.Since, Sure: l.lease.Valid(),
 		Machines: s.Machines, Tasks: s.Tasks, Jobs: s.Jobs, Late: s.Late, LongestS: s.Longest, LeaseLeftS: s.LeaseLeft, Departures: s.Departures, Pools: poolsOf(s.Pools)}
 }
 
@@ -246,11 +246,11 @@
 func (n *Node) seen() {
 	leader := n.elector.Leader()
 	n.mu.Lock()
-	changed := leader != n.lastLeader
-	n.lastLeader = leader
+	changed := leader != n.lastSeenLeader
+	n.lastSeenLeader = leader
 	n.mu.Unlock()
 	if changed {
 		n.metrics.LeaderChanged()
 	}
-	n.tell()
+	n.broadcastLeaderChange()
 }
--- a/controller/users.go
+++ b/controller/users.go
@@ -38,7 +38,7 @@
 	mux.HandleFunc("POST "+wire.PathJobs, func(w http.ResponseWriter, r *http.Request) { n.serveUser(w, r, opSubmit) })
 	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", n.servePoll)
 	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/cancel", func(w http.ResponseWriter, r *http.Request) { n.serveUser(w, r, opCancel) })
-	mux.HandleFunc("POST "+wire.PathReport, n.serveReport)
+	mux.HandleFunc("POST "+wire.PathReport, n.serveHeartbeat)
 	return mux
 }
 
@@ -68,8 +68,8 @@
 func (n *Node) serveUser(w http.ResponseWriter, r *http.Request, op string) {
 	n.asUser(w, r)
 	select {
-	case n.users <- struct{}{}:
-		defer func() { <-n.users }()
+	case n.userSlots <- struct{}{}:
+		defer func() { <-n.userSlots }()
 	default:
 		n.metrics.Refused("too many users' requests")
 		writeError(w, http.StatusTooManyRequests, "too many requests under way", 1)
@@ -117,7 +117,7 @@
 func (n *Node) servePoll(w http.ResponseWriter, r *http.Request) {
 	n.asUser(w, r)
 	id := r.PathValue("id")
-	if v, ok := n.reader.Remembered(id); ok {
+	if v, ok := n.jobs.Remembered(id); ok {
 		write(w, answer(http.StatusOK, n.status(v), 0))
 		return
 	}
@@ -125,14 +125,14 @@
 	defer cancel()
 	now := time.Now()
 	waits, done := context.WithTimeout(ctx, pollWaits)
-	err := n.polls.Enter(waits, n.turns.Key(id, now))
+	err := n.pollLimiter.Enter(waits, n.turns.Key(id, now))
 	done()
 	if err != nil {
 		n.metrics.Refused("too many users' polls")
 		writeError(w, http.StatusTooManyRequests, "too many polls under way", n.turns.RetryIn(id, now))
 		return
 	}
-	defer n.polls.Leave()
+	defer n.pollLimiter.Leave()
 	a := n.user(ctx, peerrpc.Request{Op: opShow, ID: id})
 	if a.Status == http.StatusServiceUnavailable {
 		a.RetryAfter = n.turns.RetryIn(id, now)
@@ -144,7 +144,7 @@
 // user serves a user's request here, or asks another node where the state
 // service does not serve this one.
 func (n *Node) user(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
-	local := n.stateOK()
+	local := n.kvReachable()
 	if local {
 		a, err := n.localUser(ctx, r)
 		if err == nil {
@@ -198,7 +198,7 @@
 
 // User implements mesh.Handler: it serves a request another node received.
 func (n *Node) User(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
-	if n.stateOK() {
+	if n.kvReachable() {
 		if r.From != "" {
 			return n.relayed(ctx, r)
 		}
@@ -249,7 +249,7 @@
 
 func (n *Node) lookup(ctx context.Context, id string) (v jobstore.View, found bool, err error) {
 	err = retryRefused(ctx, func() error {
-		v, found, err = n.reader.Lookup(ctx, id)
+		v, found, err = n.jobs.Lookup(ctx, id)
 		return err
 	})
 	return v, found, err
@@ -275,7 +275,7 @@
 	if !wire.ValidUserID(id) {
 		return answer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
 	}
-	if _, over := n.reader.Remembered(id); from == "" && !over {
+	if _, over := n.jobs.Remembered(id); from == "" && !over {
 		if a, ok := n.toBucketsNode(ctx, id, peerrpc.Request{Op: opCancel, ID: id}); ok {
 			return a, nil
 		}
@@ -283,7 +283,7 @@
 	var final string
 	var found bool
 	err := retryRefused(ctx, func() (err error) {
-		final, found, err = n.reader.Cancel(ctx, id)
+		final, found, err = n.jobs.Cancel(ctx, id)
 		return err
 	})
 	if err != nil {
@@ -335,10 +335,10 @@
 	var known bool
 	at := time.Now()
 	err := retryRefused(ctx, func() (err error) {
-		known, err = n.reader.Accept(ctx, job, at)
+		known, err = n.jobs.Accept(ctx, job, at)
 		if errors.Is(err, kvstore.ErrUnknown) && ctx.Err() == nil {
 			// It may have been committed: the guards tell.
-			known, err = n.reader.Accept(ctx, job, at)
+			known, err = n.jobs.Accept(ctx, job, at)
 		}
 		return err
 	})
@@ -378,7 +378,7 @@
 	if !teamKnown {
 		return http.StatusUnprocessableEntity, fmt.Errorf("unknown team %s", j.Team)
 	}
-	types := n.knownTypes()
+	types := n.machineTypes()
 	if types == nil {
 		return http.StatusServiceUnavailable, errors.New("the machine types are not known yet")
 	}
--- a/controller/yarn.go
+++ b/controller/yarn.go
@@ -17,15 +17,15 @@
 // OpenYARN makes the node serve YARN's clients as well. It is to be called before
 // Run; without it no port is opened and nothing is kept for them.
 func (n *Node) OpenYARN(s *yarn.Settings) {
-	n.reader.KeepDetail()
+	n.jobs.KeepDetail()
 	n.yarnSettings = s
 	sl := n.cfg.Cluster.State
-	n.yarn = yarn.New(s, n.forUsers, n.reader, yarnCore{n}, n.log, sl.TxnOps, int(sl.ValueKB*1024)-512)
+	n.yarn = yarn.New(s, n.userKV, n.jobs, yarnCore{n}, n.log, sl.TxnOps, int(sl.ValueKB*1024)-512)
 }
 
 // serveYARN serves the door until ctx ends.
 func (n *Node) serveYARN(ctx context.Context) error {
-	l, err := n.net.Listen("tcp", n.yarnSettings.Listen)
+	l, err := n.network.Listen("tcp", n.yarnSettings.Listen)
 	if err != nil {
 		return fmt.Errorf("yarn: listen: %w", err)
 	}
@@ -42,15 +42,15 @@
 type yarnCore struct{ n *Node }
 
 func (c yarnCore) Judge(j *wire.Job) (int, error) { return c.n.judge(j) }
-func (c yarnCore) Types() []wire.MachineType      { return c.n.knownTypes() }
-func (c yarnCore) Leads() bool                    { return c.n.leads() }
+func (c yarnCore) Types() []wire.MachineType      { return c.n.machineTypes() }
+func (c yarnCore) Leads() bool                    { return c.n.isLeader() }
 
 // Machines are the leader's.
 func (c yarnCore) Machines(ctx context.Context) ([]yarn.Machine, error) {
 	if b := c.n.Machines(); b != nil {
 		return readMachines(b)
 	}
-	p := c.n.peer(c.n.elector.Leader())
+	p := c.n.peerNamed(c.n.elector.Leader())
 	if p == nil {
 		return nil, errors.New("no leader is known")
 	}
@@ -73,18 +73,18 @@
 // Machines implements mesh.Handler: the machines as this node sees them if it
 // leads, as JSON; nil otherwise.
 func (n *Node) Machines() []byte {
-	l := n.leadership()
-	if l == nil || !l.term.Valid() {
+	l := n.activeLeadership()
+	if l == nil || !l.lease.Valid() {
 		return nil
 	}
 	now := time.Now()
 	out := []yarn.Machine{}
 	l.mu.Lock()
-	for _, m := range l.m.Machines {
+	for _, m := range l.model.Machines {
 		if m.Gone || m.Session == 0 || m.Zone < 0 {
 			continue
 		}
-		out = append(out, yarn.Machine{Name: m.Name, Type: m.TypeName, Zone: l.m.Zones[m.Zone], Spot: m.Spot, Up: l.m.Ready(m, now),
+		out = append(out, yarn.Machine{Name: m.Name, Type: m.TypeName, Zone: l.model.Zones[m.Zone], Spot: m.Spot, Up: l.model.Ready(m, now),
 			Tasks: len(m.Tasks), CPUs: m.Used.CPU, GPUs: m.Used.GPU, MemGB: m.Used.Mem})
 	}
 	l.mu.Unlock()
