--- /dev/null
+++ b/docs/names_test.go
@@ -0,0 +1,422 @@
+// Package docs_test holds the pages against the sources: Go names, log messages, metric
+// names, test names and paths that a page mentions must exist.
+package docs_test
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"io/fs"
+	"os"
+	"path"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+)
+
+const (
+	root   = ".."
+	module = "github.com/umberdeal/umberdeal/"
+)
+
+// sources is what the pages are held against, read from all Go files of the module.
+type sources struct {
+	packages map[string]bool            // directories that have Go files outside tests
+	imports  map[string]map[string]bool // by package, of this module, outside tests
+	names    map[string]bool            // "package.Name" and "package.Type.Member", tests included
+	tests    map[string][]string        // test functions, with the packages that have them
+	literals map[string]bool            // string literals outside tests
+	testText map[string]bool            // string literals in tests
+}
+
+// readSources parses every Go file of the module once.
+func readSources(t *testing.T) *sources {
+	t.Helper()
+	s := &sources{
+		packages: map[string]bool{}, imports: map[string]map[string]bool{}, names: map[string]bool{},
+		tests: map[string][]string{}, literals: map[string]bool{}, testText: map[string]bool{},
+	}
+	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() {
+			if name != root && (strings.HasPrefix(entry.Name(), ".") || slices.Contains([]string{"testdata", "target", "journal", "docs"}, entry.Name())) {
+				return filepath.SkipDir
+			}
+			return nil
+		}
+		if !strings.HasSuffix(name, ".go") {
+			return nil
+		}
+		file, err := parser.ParseFile(token.NewFileSet(), name, nil, parser.SkipObjectResolution)
+		if err != nil {
+			return err
+		}
+		dir, err := filepath.Rel(root, filepath.Dir(name))
+		if err != nil {
+			return err
+		}
+		s.add(filepath.ToSlash(dir), file, strings.HasSuffix(name, "_test.go"))
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// add takes one file in.
+func (s *sources) add(dir string, file *ast.File, test bool) {
+	if !test {
+		s.packages[dir] = true
+		if s.imports[dir] == nil {
+			s.imports[dir] = map[string]bool{}
+		}
+		for _, spec := range file.Imports {
+			if of, ok := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module); ok {
+				s.imports[dir][of] = true
+			}
+		}
+	}
+	for _, declaration := range file.Decls {
+		switch d := declaration.(type) {
+		case *ast.FuncDecl:
+			s.addFunc(dir, d, test)
+		case *ast.GenDecl:
+			for _, spec := range d.Specs {
+				s.addSpec(dir, spec)
+			}
+		}
+	}
+	ast.Inspect(file, func(n ast.Node) bool {
+		if literal, ok := n.(*ast.BasicLit); ok && literal.Kind == token.STRING {
+			if text, err := strconv.Unquote(literal.Value); err == nil {
+				if test {
+					s.testText[text] = true
+				} else {
+					s.literals[text] = true
+				}
+			}
+		}
+		return true
+	})
+}
+
+func (s *sources) addFunc(dir string, d *ast.FuncDecl, test bool) {
+	if d.Recv == nil {
+		s.names[dir+"."+d.Name.Name] = true
+		if test && strings.HasPrefix(d.Name.Name, "Test") {
+			s.tests[d.Name.Name] = append(s.tests[d.Name.Name], dir)
+		}
+		return
+	}
+	if receiver := typeName(d.Recv.List[0].Type); receiver != "" {
+		s.names[dir+"."+receiver+"."+d.Name.Name] = true
+	}
+}
+
+func (s *sources) addSpec(dir string, spec ast.Spec) {
+	switch spec := spec.(type) {
+	case *ast.ValueSpec:
+		for _, name := range spec.Names {
+			s.names[dir+"."+name.Name] = true
+		}
+	case *ast.TypeSpec:
+		s.names[dir+"."+spec.Name.Name] = true
+		var members *ast.FieldList
+		switch of := spec.Type.(type) {
+		case *ast.StructType:
+			members = of.Fields
+		case *ast.InterfaceType:
+			members = of.Methods
+		default:
+			return
+		}
+		for _, member := range members.List {
+			for _, name := range member.Names {
+				s.names[dir+"."+spec.Name.Name+"."+name.Name] = true
+			}
+		}
+	}
+}
+
+// typeName is the name of a receiver's type.
+func typeName(receiver ast.Expr) string {
+	switch e := receiver.(type) {
+	case *ast.StarExpr:
+		return typeName(e.X)
+	case *ast.IndexExpr:
+		return typeName(e.X)
+	case *ast.Ident:
+		return e.Name
+	}
+	return ""
+}
+
+// readPage reads a page of the repository, by its path from the root.
+func readPage(t *testing.T, name string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join(root, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+var codeSpan = regexp.MustCompile("`([^`\n]+)`")
+
+// codeSpans are what a page has in backticks, outside of code blocks.
+func codeSpans(page string) (spans []string) {
+	fenced := false
+	for line := range strings.Lines(page) {
+		if strings.HasPrefix(line, "```") {
+			fenced = !fenced
+			continue
+		}
+		if fenced {
+			continue
+		}
+		for _, match := range codeSpan.FindAllStringSubmatch(line, -1) {
+			spans = append(spans, match[1])
+		}
+	}
+	return spans
+}
+
+var (
+	qualified = regexp.MustCompile(`^[a-z][a-z0-9]*(/[a-z0-9]+)*(\.[A-Za-z_][A-Za-z0-9_]*){1,2}$`)
+	// A file, a setting or an address is no Go name.
+	otherName = regexp.MustCompile(`\.(go|md|toml|py|json|sh|txt|run)$|^(rebalance|renting|ledger|metrics|serving|launching|state|node)\.[a-z_]+$|^package\.`)
+)
+
+// goNames are the Go names among the code spans of a page.
+func goNames(page string) (names []string) {
+	for _, span := range codeSpans(page) {
+		name := strings.TrimSuffix(span, "()")
+		if qualified.MatchString(name) && !otherName.MatchString(name) {
+			names = append(names, name)
+		}
+	}
+	return names
+}
+
+// The pages that name Go functions, and how many names they must at least have: with
+// fewer, the test would hold nothing.
+var pagesWithNames = map[string]int{
+	"docs/architecture.md":       60,
+	"docs/oncall.md":             5,
+	"docs/fault-interactions.md": 20,
+	"docs/glossary.md":           20,
+}
+
+func TestGoNamesInPagesExist(t *testing.T) {
+	s := readSources(t)
+	for page, least := range pagesWithNames {
+		names := goNames(readPage(t, page))
+		if len(names) < least {
+			t.Errorf("%s: %d Go names, want %d at least", page, len(names), least)
+		}
+		for _, name := range names {
+			if !s.names[name] {
+				t.Errorf("%s: %s does not exist", page, name)
+			}
+		}
+	}
+}
+
+// A name that is gone must be found out, or the test above holds nothing.
+func TestGoNamesAreRecognized(t *testing.T) {
+	s := readSources(t)
+	for name, exists := range map[string]bool{
+		"config.Load":           true,
+		"config.Loads":          false,
+		"election.Term.Valid":   true,
+		"election.Term.Invalid": false,
+		"elections.Term.Valid":  false,
+	} {
+		if s.names[name] != exists {
+			t.Errorf("%s: exists %v, want %v", name, s.names[name], exists)
+		}
+		if got := goNames("see `" + name + "`, `" + name + "()`"); len(got) != 2 {
+			t.Errorf("%s: recognized as %v", name, got)
+		}
+	}
+	if got := goNames("`docs/design.md`, `rebalance.enabled`, `plan apply`, `w/p/N`"); len(got) != 0 {
+		t.Errorf("taken for Go names: %v", got)
+	}
+}
+
+// layers are the packages of the table in docs/architecture.md, a row each; the last row
+// is for tests only.
+func layers(t *testing.T) (rows [][]string) {
+	t.Helper()
+	page := readPage(t, "docs/architecture.md")
+	_, table, found := strings.Cut(page, "| layer | packages | rule |")
+	if !found {
+		t.Fatal("docs/architecture.md has no table of layers")
+	}
+	for line := range strings.Lines(table) {
+		cells := strings.Split(line, "|")
+		if len(cells) < 4 {
+			if len(rows) > 0 {
+				break
+			}
+			continue
+		}
+		if spans := codeSpans(cells[2]); len(spans) > 0 {
+			rows = append(rows, spans)
+		}
+	}
+	return rows
+}
+
+func TestPackagesImportDownwards(t *testing.T) {
+	s := readSources(t)
+	rowOf := map[string]int{}
+	rows := layers(t)
+	for i, row := range rows {
+		for _, name := range row {
+			if !s.packages[name] {
+				t.Errorf("docs/architecture.md: there is no package %s", name)
+			}
+			rowOf[name] = i
+		}
+	}
+	testsOnly := len(rows) - 1
+	for name := range s.packages {
+		row, listed := rowOf[name]
+		if !listed {
+			t.Errorf("docs/architecture.md: package %s is in no layer", name)
+			continue
+		}
+		for imported := range s.imports[name] {
+			switch of, known := rowOf[imported]; {
+			case !known || row == testsOnly:
+			case of < row:
+				t.Errorf("package %s imports %s of a higher layer", name, imported)
+			case of == testsOnly:
+				t.Errorf("package %s imports %s, which is for tests only", name, imported)
+			}
+		}
+	}
+}
+
+var testName = regexp.MustCompile(`^(?:([a-z][a-z0-9/]*)\.)?(Test[A-Za-z0-9_]*)(…?)(/.*)?$`)
+
+// The rows of docs/fault-interactions.md name the tests that bring each interaction about.
+func TestFaultInteractionsNameTestsThatExist(t *testing.T) {
+	s := readSources(t)
+	count := 0
+	for _, span := range codeSpans(readPage(t, "docs/fault-interactions.md")) {
+		parts := testName.FindStringSubmatch(span)
+		if parts == nil {
+			continue
+		}
+		count++
+		of, name, cut := parts[1], parts[2], parts[3] != ""
+		if cut {
+			if !slices.ContainsFunc(allTests(s), func(test string) bool { return strings.HasPrefix(test, name) }) {
+				t.Errorf("no test begins with %s", name)
+			}
+			continue
+		}
+		in := s.tests[name]
+		if len(in) == 0 || of != "" && !slices.Contains(in, of) {
+			t.Errorf("test %s does not exist", span)
+		}
+	}
+	if count < 60 {
+		t.Errorf("%d tests named, want 60 at least", count)
+	}
+}
+
+func allTests(s *sources) (names []string) {
+	for name := range s.tests {
+		names = append(names, name)
+	}
+	return names
+}
+
+// tableCells are the code spans in the first cell of each row of the tables below a heading.
+func tableCells(t *testing.T, page, heading string) (cells []string) {
+	t.Helper()
+	_, section, found := strings.Cut(page, "\n## "+heading+"\n")
+	if !found {
+		t.Fatalf("no section %q", heading)
+	}
+	section, _, _ = strings.Cut(section, "\n## ")
+	for line := range strings.Lines(section) {
+		if strings.HasPrefix(line, "| `") {
+			cells = append(cells, codeSpans(strings.Split(line, " | ")[0])...)
+		}
+	}
+	return cells
+}
+
+func TestOncallNamesLogMessagesThatExist(t *testing.T) {
+	s := readSources(t)
+	messages := tableCells(t, readPage(t, "docs/oncall.md"), "Log messages")
+	if len(messages) < 20 {
+		t.Errorf("%d messages, want 20 at least", len(messages))
+	}
+	for _, message := range messages {
+		if !s.literals[message] {
+			t.Errorf("docs/oncall.md: nothing logs %q", message)
+		}
+	}
+}
+
+func TestOncallNamesMetricsThatExist(t *testing.T) {
+	s := readSources(t)
+	metrics := tableCells(t, readPage(t, "docs/oncall.md"), "Metrics")
+	if len(metrics) < 12 {
+		t.Errorf("%d metrics, want 12 at least", len(metrics))
+	}
+	for _, metric := range metrics {
+		name, ok := strings.CutPrefix(metric, "umberdeal_")
+		if !ok {
+			t.Errorf("docs/oncall.md: %s does not begin with umberdeal_", metric)
+		}
+		step := strings.TrimSuffix(name, "_seconds") // the histograms of a job's steps have their names composed
+		if !s.literals[name] && !s.literals[metric] && !s.literals[step] {
+			t.Errorf("docs/oncall.md: there is no metric %s", metric)
+		}
+	}
+}
+
+var pagePath = regexp.MustCompile(`\bdocs/[a-z/-]+\.(?:md|toml|json)\b`)
+
+// Pages that are renamed are followed everywhere: in other pages and in comments.
+func TestPagesMentionedExist(t *testing.T) {
+	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
+		if err != nil {
+			return err
+		}
+		if entry.IsDir() {
+			if name != root && (strings.HasPrefix(entry.Name(), ".") || slices.Contains([]string{"testdata", "target", "journal"}, entry.Name())) {
+				return filepath.SkipDir
+			}
+			return nil
+		}
+		if !slices.Contains([]string{".go", ".md", ".toml"}, path.Ext(name)) {
+			return nil
+		}
+		text, err := os.ReadFile(name)
+		if err != nil {
+			return err
+		}
+		for _, mentioned := range pagePath.FindAllString(string(text), -1) {
+			if _, err := os.Stat(filepath.Join(root, mentioned)); err != nil {
+				t.Errorf("%s: %s does not exist", name, mentioned)
+			}
+		}
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
