--- a/internal/cmd/standin/main.go
+++ b/internal/cmd/devcluster/main.go
@@ -1,5 +1,6 @@
-// Command standin plays a state service, a cloud and workers on this machine's
-// loopback, for trying umberdeal out. It is made of the tests' fakes.
+// Command devcluster emulates the key-value store, the cloud and the workers on this
+// machine's loopback, so that a node can be tried without any of them. It is made of
+// the tests' fakes, and writes the settings file that the node needs.
 package main
 
 import (
@@ -30,7 +31,7 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(&c, kong.Description("Stand-ins for umberdeal's surroundings."))
+	k := kong.Parse(&c, kong.Description("A local emulator of the services that umberdeal needs."))
 	k.FatalIfErrorf(run(c))
 }
 
--- a/internal/memnet/pipe.go
+++ b/internal/memnet/memnet.go
@@ -1,4 +1,4 @@
-// Package pipe is a listener and its dialler in memory, for tests that need no
+// Package memnet is a listener and its dialler in memory, for tests that need no
 // more of a network than that.
 package memnet
 
@@ -26,7 +26,7 @@
 func (l *Listener) Close() error { return nil }
 
 // Addr is no address.
-func (l *Listener) Addr() net.Addr { return &net.UnixAddr{Name: "pipe", Net: "pipe"} }
+func (l *Listener) Addr() net.Addr { return &net.UnixAddr{Name: "memnet", Net: "memnet"} }
 
 // Dial opens a connection, and waits for its place.
 func (l *Listener) Dial(context.Context, string, string) (net.Conn, error) {
--- a/internal/scenario/race.go
+++ b/internal/scenario/race.go
@@ -1,6 +1,6 @@
 //go:build race
 
-package tell
+package scenario
 
 // UnderRace says whether the race detector looks on.
 const UnderRace = true
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,6 +1,8 @@
-// Package tell is how stories are told: a world in simulated time, jobs, and
-// what must come of them. Each package that tells stories has a test process of
-// its own, since the race detector's runtime bears only so many goroutines in one.
+// Package scenario is the library of the tests that run a whole cluster in simulated
+// time: it starts a fake.Cluster within testing/synctest, submits jobs, awaits their
+// states and checks the protocol's rules at the end. A package of such tests calls
+// Main from its TestMain, because the race detector's runtime bears only so many
+// goroutines in one process.
 package scenario
 
 import (
@@ -19,24 +21,25 @@
 // room and its team is under its limit.
 const starvedAfter = 90 * time.Second
 
-// Run runs a world in simulated time and checks the rules at its end.
-func Run(t *testing.T, o fake.Options, tell func(t *testing.T, w *fake.Cluster)) {
+// Run starts a cluster in simulated time, lets play act on it, and then fails the test
+// for each rule of the protocol that was broken, and for each job that starved.
+func Run(t *testing.T, options fake.Options, play func(t *testing.T, cluster *fake.Cluster)) {
 	t.Helper()
 	if os.Getenv("STORY_LOG") != "" {
-		o.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
+		options.Log = slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	}
 	synctest.Test(t, func(t *testing.T) {
-		w := fake.New(o)
-		defer w.Close()
+		cluster := fake.New(options)
+		defer cluster.Close()
 		time.Sleep(5 * time.Second)
-		tell(t, w)
-		if !t.Failed() && !w.FaultActive() {
-			if ids := w.Starved(starvedAfter); len(ids) > 0 {
+		play(t, cluster)
+		if !t.Failed() && !cluster.FaultActive() {
+			if ids := cluster.Starved(starvedAfter); len(ids) > 0 {
 				t.Errorf("%v waited for %v without faults, though there is room and their teams are under their limits", ids, starvedAfter)
 			}
 		}
-		for _, b := range w.Violations() {
-			t.Errorf("rule broken: %s", b)
+		for _, violation := range cluster.Violations() {
+			t.Errorf("rule broken: %s", violation)
 		}
 	})
 }
--- a/internal/scenario/subprocess.go
+++ b/internal/scenario/subprocess.go
@@ -29,7 +29,7 @@
 // Main runs a package's tests, under the race detector each in a process of its
 // own. Each four million or so synchronisations the detector resets itself, and
 // at times its own code ends the process there (SlotLock) once there are more
-// goroutines than its 256 slots: stories of a package in one process went through
+// goroutines than its 256 slots: the scenarios of a package in one process went through
 // 9 to 65 resets, alone they go through none to a few. A test whose process the
 // detector's code ended, which is told by the address of the fault, is begun
 // again; nothing else is.
@@ -45,12 +45,12 @@
 	}
 	exe, err := os.Executable()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "tell:", err)
+		fmt.Fprintln(os.Stderr, "scenario:", err)
 		os.Exit(1)
 	}
 	list, err := exec.Command(exe, "-test.list", cmp.Or(run, ".")).Output()
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "tell: the tests could not be listed:", err)
+		fmt.Fprintln(os.Stderr, "scenario: the tests could not be listed:", err)
 		os.Exit(1)
 	}
 	os.Exit(apart(exe, tests(list), os.Stdout))
