--- a/controller/form.go
+++ b/controller/form.go
@@ -57,7 +57,7 @@
 }
 
 // wantedForm is the form that records are to be written in. As long as nobody
-// wantedMachines a plan, it is one that the version before reads as well.
+// wants a plan, it is one that the version before reads as well.
 func (l *leadership) wantedForm(ctx context.Context) (int, error) {
 	asked, err := l.node.kv.Get(ctx, jobstore.PlanAskedKey)
 	if err != nil {
@@ -191,7 +191,7 @@
 }
 
 // relayed serves a submission that another node has passed on because it belongs
-// node this node's bucket.
+// to this node's bucket.
 func (n *Node) relayed(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	ctx, cancel := context.WithTimeout(ctx, bucketWithin)
 	defer cancel()
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -78,7 +78,7 @@
 	return answer(http.StatusMisdirectedRequest, wire.Redirect{Leader: leader}, 0)
 }
 
-// answerHeartbeat serves a worker's report: here if this node leads, and otherwise by
+// handleHeartbeat serves a worker's report: here if this node leads, and otherwise by
 // passing it on to the leader, or by naming the node where the worker belongs.
 func (n *Node) handleHeartbeat(ctx context.Context, who heartbeatHeader, body []byte) peerrpc.Answer {
 	machine := who.Machine
@@ -106,7 +106,7 @@
 	return n.forwardHeartbeat(ctx, machine, leader, body)
 }
 
-// leaderChanged says whether a report is not older than what is known of its worker.
+// isCurrent says whether a report is not older than what is known of its worker.
 func (l *leadership) isCurrent(who heartbeatHeader) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -90,7 +90,7 @@
 
 // awaitSchedulingPass holds an answer back until room that the report has freed is given
 // out and recorded, so that the launch goes with this answer and not with that
-// node the next report. The lock is held before and after, not meanwhile.
+// to the next report. The lock is held before and after, not meanwhile.
 func (l *leadership) awaitSchedulingPass() {
 	target := l.passCount + 1
 	timer := time.NewTimer(l.maxResponseDelay())
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -19,7 +19,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// activeLeadership is a node's time as the leader.
+// leadership is a node's time as the leader.
 type leadership struct {
 	node  *Node
 	lease *election.Term
@@ -50,7 +50,7 @@
 }
 
 // concurrentHeartbeats is how many reports a leader works on at once: they take turns
-// receivedAt the model anyway, and those beyond wait in the order of their leases.
+// at the model anyway, and those beyond wait in the order of their leases.
 const concurrentHeartbeats = 4
 
 func wake(c chan struct{}) {
--- a/controller/mend.go
+++ b/controller/mend.go
@@ -31,7 +31,7 @@
 	keptMost = 16
 )
 
-// receivedAt names a record in one version of it.
+// at names a record in one version of it.
 type at struct {
 	key     string
 	version uint64
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// putOwnRecord commits under this leadership, and keeps what it has written.
+// put commits under this leadership, and keeps what it has written.
 func (m *mender) put(ctx context.Context, guards []wire.Guard, ops ...wire.Op) error {
 	rev, err := m.l.node.kv.Commit(ctx, append([]wire.Guard{m.l.leaderGuard()}, guards...), ops)
 	if err != nil {
@@ -266,7 +266,7 @@
 		wire.Op{Put: jobstore.FormKey, Value: form}, wire.Op{Put: jobstore.FormCopyKey, Value: form})
 }
 
-// applyIntakePage sets a page of users' jobs aside that can't be read, puts an empty head in
+// intake sets a page of users' jobs aside that can't be read, puts an empty head in
 // its place if it was one, and brings back what some node remembers of it.
 func (m *mender) intake(ctx context.Context, it wire.Entry) error {
 	n := m.l.node
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// refreshMachineTypes leaves the catalogue where nodes find it during an outage of the
+// saveMachineTypes leaves the catalogue where nodes find it during an outage of the
 // cloud.
 func (l *leadership) saveMachineTypes(ctx context.Context) bool {
 	types := l.node.machineTypes()
@@ -65,8 +65,8 @@
 }
 
 // scaleIn returns machines. Their names are committed first: between the look
-// receivedAt the lease and the cloud's act may lie a minute, in which another leader has
-// everConnected and placed tasks on them, unless it reads here that they go.
+// at the lease and the cloud's act may lie a minute, in which another leader has
+// begun and placed tasks on them, unless it reads here that they go.
 func (l *leadership) scaleIn(ctx context.Context, names []string) {
 	if err := l.putOwnRecord(ctx, jobstore.ReturnsKey, jobstore.ReturnRecord{Machines: names}); err != nil {
 		l.log.Debug("return record", "err", err)
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -85,7 +85,7 @@
 )
 
 // abstainAfterIsolation is for how long a leader that workers did not reach leaves the
-// activeLeadership to others.
+// leadership to others.
 const abstainAfterIsolation = 20 * time.Second
 
 // workersUnreachable says whether workers that should report here do not, so that
--- a/controller/stall.go
+++ b/controller/stall.go
@@ -16,7 +16,7 @@
 	stallThreshold = 2 * time.Second
 )
 
-// stalls notices that the process has stood still while its clocks ran on: a
+// stallDetector notices that the process has stood still while its clocks ran on: a
 // paused virtual machine, a stopped process. Whatever has come of age meanwhile
 // says nothing of others: what they have sent waits in the sockets.
 type stallDetector struct {
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -48,7 +48,7 @@
 	at       time.Time
 }
 
-// forwarding are what a node has done with reports so far.
+// forwardingCounts are what a node has done with reports so far.
 type forwardingCounts struct {
 	forwarded, failed, redirected uint64
 }
@@ -159,7 +159,7 @@
 }
 
 // routeAsLeader says where this node, which leads, sends a worker that has reported
-// node it; "" to keep it.
+// to it; "" to keep it.
 func (n *Node) routeAsLeader(machine string) string {
 	p := n.currentRoutingPlan(n.cfg.Node)
 	if p == nil || n.connLimiter == nil || time.Since(p.leaderSince) < quietAfterElection {
