--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -16,8 +16,8 @@
 // first, and where too many wait, whoever has most time is turned away.
 func TestTheGateLetsTheMostUrgentThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewGate(1, 3)
-		if err := g.Enter(t.Context(), 0); err != nil {
+		g := NewPriorityLimiter(1, 3)
+		if err := g.Acquire(t.Context(), 0); err != nil {
 			t.Fatal(err)
 		}
 		var mu sync.Mutex
@@ -25,22 +25,22 @@
 		refused := 0
 		for _, left := range []float64{20, 3, 11, 7, 25} {
 			go func() {
-				err := g.Enter(t.Context(), left)
+				err := g.Acquire(t.Context(), left)
 				mu.Lock()
 				defer mu.Unlock()
-				if errors.Is(err, ErrFull) {
+				if errors.Is(err, ErrQueueFull) {
 					refused++
 					return
 				}
 				order = append(order, left)
-				g.Leave()
+				g.Release()
 			}()
 			synctest.Wait()
 		}
-		if g.Waiting() != 3 || g.Shed() != 2 || refused != 2 {
-			t.Errorf("%d wait, %d were shed", g.Waiting(), g.Shed())
+		if g.Waiting() != 3 || g.Rejected() != 2 || refused != 2 {
+			t.Errorf("%d wait, %d were shed", g.Waiting(), g.Rejected())
 		}
-		g.Leave()
+		g.Release()
 		synctest.Wait()
 		if len(order) != 3 || order[0] != 3 || order[1] != 7 || order[2] != 11 {
 			t.Errorf("let through in the order %v", order)
@@ -52,20 +52,20 @@
 // to it at that very moment goes on to the next.
 func TestWhoGivesUpTakesNoPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewGate(2, 100)
+		g := NewPriorityLimiter(2, 100)
 		for i := range 200 {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Duration(1+i%7)*time.Millisecond)
 			defer cancel()
 			go func() {
-				if g.Enter(ctx, float64(i%13)) == nil {
+				if g.Acquire(ctx, float64(i%13)) == nil {
 					time.Sleep(time.Duration(1+i%3) * time.Millisecond)
-					g.Leave()
+					g.Release()
 				}
 			}()
 		}
 		time.Sleep(time.Second)
-		if g.Waiting() != 0 || g.free != 2 {
-			t.Errorf("%d wait, %d of 2 places are free", g.Waiting(), g.free)
+		if g.Waiting() != 0 || g.available != 2 {
+			t.Errorf("%d wait, %d of 2 places are free", g.Waiting(), g.available)
 		}
 	})
 }
@@ -74,7 +74,7 @@
 // are open whatever order they are told apart and closed in.
 func TestTheDoorCountsAndCloses(t *testing.T) {
 	p := memnet.Listen(20)
-	d := NewDoor(p, 8)
+	d := NewConnLimiter(p, 8)
 	var far []net.Conn
 	for range 10 {
 		a, err := p.Dial(t.Context(), "", "")
@@ -92,40 +92,40 @@
 		}
 		got = append(got, c.(*Conn))
 	}
-	if len(got) != 8 || d.All() != 8 || d.Shed() != 2 {
-		t.Fatalf("%d accepted, %d open, %d closed", len(got), d.All(), d.Shed())
+	if len(got) != 8 || d.Total() != 8 || d.Rejected() != 2 {
+		t.Fatalf("%d accepted, %d open, %d closed", len(got), d.Total(), d.Rejected())
 	}
 	if _, err := far[9].Read(make([]byte, 1)); err == nil {
 		t.Error("the tenth was not closed")
 	}
 	for i, c := range got {
-		c.Is(Kind(1 + i%2))
+		c.SetKind(Kind(1 + i%2))
 	}
-	if d.Open(User) != 4 || d.Open(Worker) != 4 || d.Open(Unknown) != 0 {
-		t.Errorf("%d users, %d workers, %d unknown", d.Open(User), d.Open(Worker), d.Open(Unknown))
+	if d.Count(KindUser) != 4 || d.Count(KindWorker) != 4 || d.Count(KindUnknown) != 0 {
+		t.Errorf("%d users, %d workers, %d unknown", d.Count(KindUser), d.Count(KindWorker), d.Count(KindUnknown))
 	}
 	for _, c := range got {
 		_ = c.Close()
 		_ = c.Close()
-		c.Is(User) // a request that was under way
+		c.SetKind(KindUser) // a request that was under way
 	}
-	if d.All() != 0 || d.Open(User) != 0 || d.Open(Worker) != 0 {
-		t.Errorf("%d open after all were closed: %d users, %d workers", d.All(), d.Open(User), d.Open(Worker))
+	if d.Total() != 0 || d.Count(KindUser) != 0 || d.Count(KindWorker) != 0 {
+		t.Errorf("%d open after all were closed: %d users, %d workers", d.Total(), d.Count(KindUser), d.Count(KindWorker))
 	}
 }
 
 // What is remembered of workers is bounded, and what goes is the oldest.
 func TestAnsweredForgetsTheOldest(t *testing.T) {
-	a := NewAnswered(100)
+	a := NewReplyTimes(100)
 	at := time.Unix(1000, 0)
 	for i := range 1000 {
-		a.Note(string(rune('a'+i%26))+string(rune('0'+i/26)), at.Add(time.Duration(i)*time.Second))
+		a.Record(string(rune('a'+i%26))+string(rune('0'+i/26)), at.Add(time.Duration(i)*time.Second))
 	}
 	now := at.Add(1000 * time.Second)
-	if n := a.Recent(now, time.Hour); n > 100 || n < 30 {
+	if n := a.CountWithin(now, time.Hour); n > 100 || n < 30 {
 		t.Errorf("%d are remembered, of at most 100", n)
 	}
-	if ago, ok := a.Ago(string(rune('a'+999%26))+string(rune('0'+999/26)), now); !ok || ago != time.Second {
+	if ago, ok := a.Since(string(rune('a'+999%26))+string(rune('0'+999/26)), now); !ok || ago != time.Second {
 		t.Errorf("the last was answered %v ago, known %v", ago, ok)
 	}
 }
--- a/admission/turn_test.go
+++ b/admission/pollschedule_test.go
@@ -22,9 +22,9 @@
 		defer mu.Unlock()
 		return rnd.IntN(n)
 	}
-	var gates []*Gate
+	var gates []*PriorityLimiter
 	for range nodes {
-		gates = append(gates, NewGate(atOnce, 2*atOnce))
+		gates = append(gates, NewPriorityLimiter(atOnce, 2*atOnce))
 	}
 	var wg sync.WaitGroup
 	end := time.Now().Add(110 * time.Second)
@@ -41,14 +41,14 @@
 			for time.Now().Before(end) {
 				g, at := gates[draw(nodes)], time.Now()
 				ctx, cancel := context.WithTimeout(t.Context(), patience)
-				err := g.Enter(ctx, key(id))
+				err := g.Acquire(ctx, key(id))
 				cancel()
 				mu.Lock()
 				waited = max(waited, time.Since(at))
 				mu.Unlock()
 				if err == nil {
 					time.Sleep(work)
-					g.Leave()
+					g.Release()
 					note()
 					last = time.Now()
 				}
@@ -62,15 +62,15 @@
 }
 
 // However many poll, and at whichever nodes, no job is left without an answer for
-// more than a round and a poll; left to chance, some are.
+// pending than a round and a poll; left to chance, some are.
 func TestEveryJobHasItsTurn(t *testing.T) {
-	turns := Turns{Round: 45 * time.Second}
+	turns := PollSchedule{Period: 45 * time.Second}
 	for _, times := range []int{2, 4} {
 		synctest.Test(t, func(t *testing.T) {
-			longest, waited := crowd(t, times, uint64(times), func(id string) float64 { return turns.Key(id, time.Now()) })
+			longest, waited := crowd(t, times, uint64(times), func(id string) float64 { return turns.Priority(id, time.Now()) })
 			chance, _ := crowd(t, times, uint64(times), func(string) float64 { return 0 })
 			t.Logf("%d times as many as can be answered: %v at most, by chance %v", times, longest, chance)
-			if longest > turns.Round+8*time.Second {
+			if longest > turns.Period+8*time.Second {
 				t.Errorf("%d times as many: a job was without an answer for %v", times, longest)
 			}
 			if times == 4 && chance < 75*time.Second {
@@ -87,20 +87,20 @@
 // just before it is told to come in time.
 func TestATurnComesOnceARound(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	turns := Turns{Round: 45 * time.Second}
+	turns := PollSchedule{Period: 45 * time.Second}
 	for range 2000 {
 		id, now := fmt.Sprintf("wk-%06d", rnd.IntN(1e6)), time.Unix(rnd.Int64N(1<<32), rnd.Int64N(1e9))
-		left := turns.Until(id, now)
-		if left < 0 || left >= turns.Round {
+		left := turns.UntilTurn(id, now)
+		if left < 0 || left >= turns.Period {
 			t.Fatalf("%s at %v: its turn is in %v", id, now, left)
 		}
-		if at := turns.Until(id, now.Add(left)); at != 0 {
+		if at := turns.UntilTurn(id, now.Add(left)); at != 0 {
 			t.Errorf("%s: %v after its turn was %v ahead it is %v ahead", id, left, left, at)
 		}
-		if again := turns.Until(id, now.Add(turns.Round)); again != left {
+		if again := turns.UntilTurn(id, now.Add(turns.Period)); again != left {
 			t.Errorf("%s: %v ahead, a round later %v", id, left, again)
 		}
-		in := turns.RetryIn(id, now)
+		in := turns.RetryAfterS(id, now)
 		if in < 1 || in > 6 || left < 4*time.Second && left > time.Second && time.Duration(in)*time.Second > left {
 			t.Errorf("%s, whose turn is in %v, is to come in %d s", id, left, in)
 		}
@@ -110,19 +110,19 @@
 // Jobs of earlier tiers are answered sooner, and nobody is left out for it: a later
 // tier's turn comes once a round all the same.
 func TestLaterTiersHaveTheirTurnsToo(t *testing.T) {
-	turns := Turns{Round: 45 * time.Second, Tier: func(id string) int { return int(id[len(id)-1]-'0') % 4 }}
-	plain := Turns{Round: turns.Round}
+	turns := PollSchedule{Period: 45 * time.Second, Tier: func(id string) int { return int(id[len(id)-1]-'0') % 4 }}
+	plain := PollSchedule{Period: turns.Period}
 	now := time.Unix(1000, 0)
 	for n := range 100 {
 		id := fmt.Sprintf("wk-%06d", n)
-		was, is := plain.Key(id, now), turns.Key(id, now)
+		was, is := plain.Priority(id, now), turns.Priority(id, now)
 		if tier := turns.Tier(id); tier == 0 && is != was || tier > 0 && (is <= was || is > 2*was) {
 			t.Errorf("%s of tier %d: %g without tiers, %g with", id, tier, was, is)
 		}
 	}
 	for _, times := range []int{2, 3} {
 		synctest.Test(t, func(t *testing.T) {
-			longest, _ := crowd(t, times, uint64(times), func(id string) float64 { return turns.Key(id, time.Now()) })
+			longest, _ := crowd(t, times, uint64(times), func(id string) float64 { return turns.Priority(id, time.Now()) })
 			t.Logf("%d times as many as can be answered: %v at most", times, longest)
 			if longest > 70*time.Second {
 				t.Errorf("%d times as many: a job was without an answer for %v", times, longest)
--- a/admission/tiers_test.go
+++ b/admission/tierlimiter_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// With places for 80, a crowd of one tier leaves room for each of the others,
+// ConnContext places for 80, a crowd of one tier leaves room for each of the others,
 // whichever comes first, and what it was given comes back.
 func TestNoTierTakesAllPlaces(t *testing.T) {
 	for first := range 3 {
-		p := NewTiers(80)
+		p := NewTierLimiter(80)
 		var got [3]int
 		for _, tier := range []int{first, (first + 1) % 3, (first + 2) % 3} {
-			for p.Enter(tier, 3) {
+			for p.TryAcquire(tier, 3) {
 				got[tier]++
 			}
 		}
@@ -19,17 +19,17 @@
 		}
 		for tier, n := range got {
 			for range n {
-				p.Leave(tier, 3)
+				p.Release(tier, 3)
 			}
 		}
-		if p.n != 0 || !p.Enter(first, 3) {
-			t.Errorf("%d places are not given back", p.n)
+		if p.total != 0 || !p.TryAcquire(first, 3) {
+			t.Errorf("%d places are not given back", p.total)
 		}
 	}
 	// An order with fewer tiers than the one before, while requests are under way.
-	p := NewTiers(8)
-	p.Enter(3, 4)
-	if !p.Enter(1, 2) {
+	p := NewTierLimiter(8)
+	p.TryAcquire(3, 4)
+	if !p.TryAcquire(1, 2) {
 		t.Error("refused with seven places free")
 	}
 }
--- a/controller/committer.go
+++ b/controller/committer.go
@@ -20,7 +20,7 @@
 
 // leaderGuard is the condition of every write: this leadership still stands.
 func (l *leadership) leaderGuard() wire.Guard {
-	return wire.Guard{Key: election.Key, Version: l.lease.Token}
+	return wire.Guard{Key: election.LeaderKey, Version: l.lease.FencingToken}
 }
 
 // putOwnRecord writes a record that leaders alone write, and each in one place, on condition
@@ -39,7 +39,7 @@
 		}
 		version = e.Version
 	}
-	rev, err := l.node.kv.Commit(ctx, append([]wire.Guard{l.leaderGuard(), {Key: key, Version: version}}, guards...), []wire.Op{{Put: key, Value: rec}})
+	rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard(), {Key: key, Version: version}}, guards...), []wire.Op{{Put: key, Value: rec}})
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err == nil {
@@ -88,7 +88,7 @@
 		if b == nil {
 			continue
 		}
-		rev, err := l.node.kv.Commit(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), b.Ops)
+		rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), b.Ops)
 		if err == nil {
 			l.mu.Lock()
 			b.Committed(rev, time.Now())
@@ -128,10 +128,10 @@
 // handleCommitFailure finds out why a batch was not committed.
 func (l *leadership) handleCommitFailure(ctx context.Context, b *cluster.Batch, err error) {
 	l.log.Debug("commit", "err", err, "ops", len(b.Ops))
-	var c *kvstore.Conflict
+	var c *kvstore.ConflictError
 	if errors.As(err, &c) {
-		for _, key := range c.Failed {
-			if key == election.Key {
+		for _, key := range c.FailedKeys {
+			if key == election.LeaderKey {
 				l.lease.Resign()
 				break
 			}
@@ -151,7 +151,7 @@
 		if berr := l.barrier(ctx); berr != nil {
 			l.log.Debug("barrier", "err", berr)
 		}
-	} else if errors.Is(err, kvstore.ErrInvalid) {
+	} else if errors.Is(err, kvstore.ErrInvalidRequest) {
 		l.log.Error("the state service refuses a transaction as malformed", "err", err, "ops", len(b.Ops))
 	}
 	l.mu.Lock()
--- a/controller/form.go
+++ b/controller/form.go
@@ -103,7 +103,7 @@
 	if now.Buckets > 0 {
 		next.Buckets = now.Buckets
 	}
-	_, err = l.node.kv.Commit(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.FormKey, Version: e.Version}},
+	_, err = l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.FormKey, Version: e.Version}},
 		[]wire.Op{{Put: jobstore.FormKey, Value: next}, {Put: jobstore.FormCopyKey, Value: next}})
 	if err != nil {
 		return false, err
@@ -125,7 +125,7 @@
 	if was, err := jobstore.DecodeForm(e.Value); err == nil && was == form {
 		return nil
 	}
-	_, err = l.node.kv.Commit(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.FormKey, Version: version}},
+	_, err = l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.FormKey, Version: version}},
 		[]wire.Op{{Put: jobstore.FormCopyKey, Value: form}})
 	return err
 }
@@ -159,7 +159,7 @@
 	pctx, cancel := context.WithTimeout(ctx, bucketFor)
 	defer cancel()
 	r.From = n.cfg.Node
-	a, err := p.User(pctx, r)
+	a, err := p.ForwardUserRequest(pctx, r)
 	switch {
 	case err != nil:
 		n.log.Debug("not passed on", "op", r.Op, "to", p.Name, "err", err)
@@ -183,7 +183,7 @@
 		if name == n.cfg.Node {
 			return nil
 		}
-		if p := n.peerNamed(name); p != nil && time.Since(p.Missed()) > missedFor {
+		if p := n.peerNamed(name); p != nil && time.Since(p.FailedAt()) > missedFor {
 			return p
 		}
 	}
@@ -199,7 +199,7 @@
 	switch {
 	case err == nil:
 		return a
-	case errors.Is(err, kvstore.ErrBusy) || ctx.Err() != nil:
+	case errors.Is(err, kvstore.ErrRateLimited) || ctx.Err() != nil:
 		return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is busy"}, busyFor)
 	}
 	return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is not reached"}, 1)
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -23,9 +23,9 @@
 }
 
 func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
-	conn := admission.Of(r.Context())
+	conn := admission.ConnFromContext(r.Context())
 	if conn != nil {
-		conn.Is(admission.Worker)
+		conn.SetKind(admission.KindWorker)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
@@ -39,19 +39,19 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), 3500*time.Millisecond)
 	defer cancel()
-	if err := n.heartbeatLimiter.Enter(ctx, n.workerLeaseLeft(who.Machine, -1)); err != nil {
+	if err := n.heartbeatLimiter.Acquire(ctx, n.workerLeaseLeft(who.Machine, -1)); err != nil {
 		n.metrics.Refused("too many reports")
 		w.Header().Set("Connection", "close")
 		writeError(w, http.StatusServiceUnavailable, "too many reports under way", 1)
 		return
 	}
-	defer n.heartbeatLimiter.Leave()
+	defer n.heartbeatLimiter.Release()
 	a := n.handleHeartbeat(ctx, who, body)
 	if a.Status == http.StatusOK && !a.Repeated {
 		// A copy that came to this node shows nothing of whether the worker is answered
 		// here. Where it was the copy that came first, its worker counts as longer
 		// unanswered than it is, and waits the shorter.
-		n.lastAnswered.Note(who.Machine, time.Now())
+		n.lastAnswered.Record(who.Machine, time.Now())
 	}
 	if n.workerConnsFull() {
 		// It needs a connection for its report only. Sockets that workers keep
@@ -65,7 +65,7 @@
 // here; agoS is what another node knows of its last answer, negative for
 // nothing. Of one that nobody knows the worst is assumed.
 func (n *Node) workerLeaseLeft(machine string, agoS float64) float64 {
-	if ago, ok := n.lastAnswered.Ago(machine, time.Now()); ok && (agoS < 0 || ago.Seconds() < agoS) {
+	if ago, ok := n.lastAnswered.Since(machine, time.Now()); ok && (agoS < 0 || ago.Seconds() < agoS) {
 		agoS = ago.Seconds()
 	}
 	if agoS < 0 {
@@ -122,20 +122,20 @@
 		return answer(http.StatusServiceUnavailable, wire.Error{Error: "no such leader"}, 1)
 	}
 	r := peerrpc.Request{From: n.cfg.Node, Body: body, AgoS: -1}
-	if ago, ok := n.lastAnswered.Ago(machine, time.Now()); ok {
+	if ago, ok := n.lastAnswered.Since(machine, time.Now()); ok {
 		r.AgoS = ago.Seconds()
 	}
-	a, err := lane.Report(ctx, r)
+	a, err := lane.Forward(ctx, r)
 	if err != nil {
 		n.log.Debug("report not passed on", "machine", machine, "leader", leader, "err", err)
 		n.countForwarding(func(c *forwardingCounts) { c.failed++ })
-		if !lane.Reach() && ctx.Err() == nil && !n.workerHistory(machine).CameBack(leader) {
+		if !lane.Reachable() && ctx.Err() == nil && !n.workerHistory(machine).ReturnedFrom(leader) {
 			n.recordRedirect(machine, leader)
 			return redirectTo(leader)
 		}
 		return answer(http.StatusServiceUnavailable, wire.Error{Error: "the leader is not reached"}, 1)
 	}
-	if a.Status == http.StatusMisdirectedRequest && !n.workerHistory(machine).CameBack(leader) {
+	if a.Status == http.StatusMisdirectedRequest && !n.workerHistory(machine).ReturnedFrom(leader) {
 		// It was elected and has not read the records yet. Refused here, the worker would
 		// go on to the next node, which may be the one that has ended, and lose seconds of
 		// its lease to that; at the leader its report waits until that is ready.
@@ -149,8 +149,8 @@
 	return a
 }
 
-// Report implements mesh.Handler: a report that another node received.
-func (n *Node) Report(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
+// Forward implements mesh.Handler: a report that another node received.
+func (n *Node) HandleHeartbeat(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	if !n.isLeader() {
 		// Sent away, the worker would come back in a second, by way of another
 		// node, and so would all others.
@@ -167,6 +167,6 @@
 // fails does not bring its lease near its end.
 func (n *Node) answeredRecently(machine string) bool {
 	w := n.cfg.Cluster.Workers
-	ago, ok := n.lastAnswered.Ago(machine, time.Now())
+	ago, ok := n.lastAnswered.Since(machine, time.Now())
 	return ok && ago < config.Seconds(min(2*w.ReportS+0.5, w.LeaseS/2))
 }
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -25,14 +25,14 @@
 		l.log.Info("malformed report", "err", err)
 		return answer(http.StatusBadRequest, wire.Error{Error: "malformed report"}, 0)
 	}
-	if err := l.heartbeatLimiter.Enter(ctx, l.node.workerLeaseLeft(r.Machine, agoS)); err != nil {
+	if err := l.heartbeatLimiter.Acquire(ctx, l.node.workerLeaseLeft(r.Machine, agoS)); err != nil {
 		return answer(http.StatusServiceUnavailable, wire.Error{Error: "too many reports under way"}, 1)
 	}
 	l.mu.Lock()
 	now := time.Now()
 	if r.Token > l.model.Token {
 		l.mu.Unlock()
-		l.heartbeatLimiter.Leave()
+		l.heartbeatLimiter.Release()
 		l.log.Info("a worker has seen a higher token", "machine", r.Machine, "token", r.Token)
 		l.lease.Resign()
 		return redirectTo("")
@@ -42,7 +42,7 @@
 	if mc == nil && l.lease.Valid() {
 		if cmds, ok := l.model.Repeated(&r, via); ok {
 			l.mu.Unlock()
-			l.heartbeatLimiter.Leave()
+			l.heartbeatLimiter.Release()
 			a := l.commandResponse(cmds)
 			a.Repeated = true
 			return a
@@ -54,7 +54,7 @@
 			l.lastDirectHeartbeat = now // a late copy shows nothing of whether workers reach this node
 		}
 	}
-	l.heartbeatLimiter.Leave()
+	l.heartbeatLimiter.Release()
 	if mc != nil && l.model.Freed != freed {
 		mc.Held++
 		l.awaitSchedulingPass()
@@ -78,7 +78,7 @@
 	if cmds == nil {
 		cmds = []wire.Command{}
 	}
-	return answer(http.StatusOK, wire.ReportAnswer{Token: l.lease.Token, Commands: cmds}, 0)
+	return answer(http.StatusOK, wire.ReportAnswer{Token: l.lease.FencingToken, Commands: cmds}, 0)
 }
 
 // maxResponseDelay is how long an answer waits for what is to follow from its report.
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -27,7 +27,7 @@
 	go func() {
 		defer close(done)
 		for {
-			if v := w.Store.Versions(election.Key)[election.Key]; v != 0 && !slices.Contains(seen, v) {
+			if v := w.Store.Versions(election.LeaderKey)[election.LeaderKey]; v != 0 && !slices.Contains(seen, v) {
 				seen = append(seen, v)
 			}
 			select {
@@ -354,7 +354,7 @@
 		defer late.Wait()
 		leave := func(n int) { // a placement under way as the leader ends
 			before := w.Store.DelayedTransactions() // an earlier one may come meanwhile
-			term := func() uint64 { return w.Store.Versions(election.Key)[election.Key] }
+			term := func() uint64 { return w.Store.Versions(election.LeaderKey)[election.LeaderKey] }
 			from, come := term(), w.Store.HoldNextTransactionOn(pageKeys)
 			late.Go(func() {
 				scenario.Eventually(time.Minute, 2*time.Millisecond, func() bool { v := term(); return v != 0 && v != from })
@@ -422,7 +422,7 @@
 		}
 		l := w.Leader()
 		node := fmt.Sprintf("n-%d", l)
-		w.Store.DelayNextTransactionOn(election.Key, within(rnd, 3*time.Second, 6*time.Second))
+		w.Store.DelayNextTransactionOn(election.LeaderKey, within(rnd, 3*time.Second, 6*time.Second))
 		w.PowerCycleNode(l, 100*time.Millisecond)
 		if !scenario.Eventually(15*time.Second, 10*time.Millisecond, func() bool { return w.Store.PendingTransactions() > 0 }) {
 			t.Fatal("no election is on its way")
@@ -435,9 +435,9 @@
 		if !came || found != l {
 			t.Fatalf("the late election came: %v, leader %d", came, found)
 		}
-		stale := w.Store.Versions(election.Key)[election.Key]
+		stale := w.Store.Versions(election.LeaderKey)[election.LeaderKey]
 		if !scenario.Eventually(3*time.Second, 10*time.Millisecond, func() bool {
-			v := w.Store.Versions(election.Key)[election.Key]
+			v := w.Store.Versions(election.LeaderKey)[election.LeaderKey]
 			return v != 0 && v != stale
 		}) {
 			t.Error("the node waits for a lease of its own that it does not renew")
@@ -449,7 +449,7 @@
 	})
 }
 
-// All controllers are away for longer than workers' leases last, a placement of
+// Total controllers are away for longer than workers' leases last, a placement of
 // theirs comes when they are back, and the workers' later sessions have nothing.
 func TestAllNodesAreAwayForLongerThanALease(t *testing.T) {
 	seeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
@@ -459,7 +459,7 @@
 		if !scenario.Eventually(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 7 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
-		before := w.Store.Versions(election.Key)[election.Key]
+		before := w.Store.Versions(election.LeaderKey)[election.LeaderKey]
 		away := lease + within(rnd, time.Second, 10*time.Second)
 		w.Store.DelayNextTransactionOn(pageKeys, away+within(rnd, 0, 5*time.Second))
 		mustSubmit(t, w, job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 1, 10 }))
@@ -480,7 +480,7 @@
 		if !scenario.Eventually(6*time.Second, 10*time.Millisecond, func() bool { return w.Store.PendingTransactions() == 0 }) {
 			t.Error("the placement has not come")
 		}
-		if v := w.Store.Versions(election.Key)[election.Key]; v <= before || w.Store.OvertakenTransactions().Stale != 1 {
+		if v := w.Store.Versions(election.LeaderKey)[election.LeaderKey]; v <= before || w.Store.OvertakenTransactions().Stale != 1 {
 			t.Errorf("token %d after %d, overtaken: %+v", v, before, w.Store.OvertakenTransactions())
 		}
 		mustFinish(t, w, 3*time.Minute, 1, 2, 3)
--- a/controller/leader_monitor.go
+++ b/controller/leader_monitor.go
@@ -133,7 +133,7 @@
 		return false
 	}
 	for _, p := range n.peers {
-		if p.Missed().IsZero() {
+		if p.FailedAt().IsZero() {
 			return false
 		}
 	}
@@ -151,7 +151,7 @@
 	var there []string
 	leader := n.elector.Leader()
 	for _, p := range n.peers {
-		if p.Name != leader && p.Missed().IsZero() {
+		if p.Name != leader && p.FailedAt().IsZero() {
 			there = append(there, p.Name)
 		}
 	}
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -22,7 +22,7 @@
 // leadership is a node's time as the leader.
 type leadership struct {
 	node  *Node
-	lease *election.Term
+	lease *election.Lease
 	log   *slog.Logger
 
 	schedulerWake    chan struct{}
@@ -31,7 +31,7 @@
 	planCheckWake    chan struct{}
 	stopSlots        chan struct{} // bounds direct stops under way
 	wakeUpSlots      chan struct{} // bounds summonses under way
-	heartbeatLimiter *admission.Gate
+	heartbeatLimiter *admission.PriorityLimiter
 
 	barrierSlot chan struct{} // held by the one barrier under way
 
@@ -50,7 +50,7 @@
 }
 
 // concurrentHeartbeats is how many reports a leader works on at once: they take turns
-// at the model anyway, and those beyond wait in the order of their leases.
+// last the model anyway, and those beyond wait in the order of their leases.
 const concurrentHeartbeats = 4
 
 func wake(c chan struct{}) {
@@ -61,11 +61,11 @@
 }
 
 // runLeader leads until ctx ends. It implements election.Elector.Lead.
-func (n *Node) runLeader(ctx context.Context, t *election.Term, ready func()) error {
+func (n *Node) runLeader(ctx context.Context, t *election.Lease, ready func()) error {
 	l := &leadership{
 		node: n, lease: t, log: n.log, schedulerWake: make(chan struct{}, 1), committerWake: make(chan struct{}, 1), schemaWake: make(chan struct{}, 1), planCheckWake: make(chan struct{}, 1),
 		stopSlots: make(chan struct{}, 16), wakeUpSlots: make(chan struct{}, min(64, n.cfg.Cluster.Limits.Sockets/20)), barrierSlot: make(chan struct{}, 1), progress: make(chan struct{}), ownVersions: map[string]uint64{},
-		heartbeatLimiter: admission.NewGate(concurrentHeartbeats, 2*n.cfg.Cluster.Limits.Sockets),
+		heartbeatLimiter: admission.NewPriorityLimiter(concurrentHeartbeats, 2*n.cfg.Cluster.Limits.Sockets),
 	}
 	for {
 		err := l.loadModel(ctx)
@@ -194,7 +194,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	ev, err := l.node.kv.Follow(ctx, jobstore.Jobs, l.revision(), 0)
+	ev, err := l.node.kv.Watch(ctx, jobstore.Jobs, l.revision(), 0)
 	if err != nil {
 		return err
 	}
@@ -206,15 +206,15 @@
 }
 
 // readBarrier implements election.Elector.ReadBarrier: a leader counts as sure of its
-// lease only with knowledge as fresh as the renewal, so that it tells no
+// id only with knowledge as fresh as the renewal, so that it tells no
 // worker to go on with a job that was cancelled long ago.
-func (n *Node) readBarrier(ctx context.Context, t *election.Term) error {
+func (n *Node) readBarrier(ctx context.Context, t *election.Lease) error {
 	l := n.activeLeadership()
 	if l == nil || l.lease != t {
 		return errors.New("not leading yet")
 	}
 	err := l.barrier(ctx)
-	if errors.Is(err, kvstore.ErrTooOld) {
+	if errors.Is(err, kvstore.ErrCompacted) {
 		t.Resign()
 	}
 	return err
@@ -223,9 +223,9 @@
 // followJobs learns of submissions and cancellations as they are committed.
 func (l *leadership) followJobs(ctx context.Context) {
 	for ctx.Err() == nil {
-		ev, err := l.node.kv.Follow(ctx, jobstore.Jobs, l.revision(), 8*time.Second)
+		ev, err := l.node.kv.Watch(ctx, jobstore.Jobs, l.revision(), 8*time.Second)
 		switch {
-		case errors.Is(err, kvstore.ErrTooOld):
+		case errors.Is(err, kvstore.ErrCompacted):
 			l.log.Info("the watch fell behind; beginning anew")
 			l.lease.Resign()
 			return
--- a/controller/load.go
+++ b/controller/load.go
@@ -41,7 +41,7 @@
 		return err
 	}
 	now := time.Now()
-	m := cluster.New(l.node.cfg, l.lease.Token, now, l.log)
+	m := cluster.New(l.node.cfg, l.lease.FencingToken, now, l.log)
 	m.Tuning, m.Headroom = l.node.tuning.Rebalance, l.node.tuning.Renting.Headroom
 	m.BeginWithin = config.Seconds(l.node.tuning.Serving.BeginWithinS)
 	if l.node.metrics != nil {
@@ -87,7 +87,7 @@
 	l.mu.Lock()
 	l.model, l.appliedRevision = m, rev
 	l.mu.Unlock()
-	l.log.Info("records loaded", "token", l.lease.Token, "keys", len(items))
+	l.log.Info("records loaded", "token", l.lease.FencingToken, "keys", len(items))
 	return l.barrier(ctx)
 }
 
--- a/controller/mend.go
+++ b/controller/mend.go
@@ -31,7 +31,7 @@
 	keptMost = 16
 )
 
-// at names a record in one version of it.
+// last names a record in one version of it.
 type at struct {
 	key     string
 	version uint64
@@ -79,8 +79,8 @@
 	return n.jobs.Recall(ctx, rec.key, rec.version)
 }
 
-// Recall implements mesh.Handler.
-func (n *Node) Recall(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
+// FetchRecoveredRecord implements mesh.Handler.
+func (n *Node) RecoverRecord(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	m := n.recalled(ctx, at{r.ID, r.At}, at{r.Lost, r.LostAt})
 	if m == nil {
 		return peerrpc.Answer{Status: http.StatusNotFound}
@@ -100,7 +100,7 @@
 	found := make(chan *jobstore.Memory, len(n.peers))
 	for _, p := range n.peers {
 		wg.Go(func() {
-			a, err := p.Recall(ctx, peerrpc.Request{ID: rec.key, At: rec.version, Lost: was.key, LostAt: was.version})
+			a, err := p.FetchRecoveredRecord(ctx, peerrpc.Request{ID: rec.key, At: rec.version, Lost: was.key, LostAt: was.version})
 			m := &jobstore.Memory{}
 			if err == nil && a.Status == http.StatusOK && wire.Unmarshal(a.Body, m) == nil {
 				found <- m
@@ -136,7 +136,7 @@
 		l.node.mu.Lock()
 		l.node.mending.left = m.left
 		l.node.mu.Unlock()
-		var c *kvstore.Conflict
+		var c *kvstore.ConflictError
 		switch {
 		case err == nil && !m.changed:
 			return items, rev, nil
@@ -176,7 +176,7 @@
 				err = m.intake(ctx, it)
 			}
 		}
-		if errors.Is(err, kvstore.ErrInvalid) {
+		if errors.Is(err, kvstore.ErrInvalidRequest) {
 			m.l.log.Error("an unreadable record can't be mended", "key", it.Key, "err", err)
 			continue
 		}
@@ -189,7 +189,7 @@
 
 // put commits under this leadership, and keeps what it has written.
 func (m *mender) put(ctx context.Context, guards []wire.Guard, ops ...wire.Op) error {
-	rev, err := m.l.node.kv.Commit(ctx, append([]wire.Guard{m.l.leaderGuard()}, guards...), ops)
+	rev, err := m.l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{m.l.leaderGuard()}, guards...), ops)
 	if err != nil {
 		return err
 	}
@@ -366,11 +366,11 @@
 			ops = append(ops, wire.Op{Put: key, Value: a})
 		}
 		err := m.put(ctx, guards, ops...)
-		var c *kvstore.Conflict
+		var c *kvstore.ConflictError
 		if errors.As(err, &c) {
 			var still []jobstore.IntakeEntry
 			for _, e := range rest {
-				if !slices.Contains(c.Failed, jobstore.JobKey(e.ID)) && !slices.Contains(c.Failed, jobstore.FinalKey(e.ID)) {
+				if !slices.Contains(c.FailedKeys, jobstore.JobKey(e.ID)) && !slices.Contains(c.FailedKeys, jobstore.FinalKey(e.ID)) {
 					still = append(still, e)
 				}
 			}
@@ -444,7 +444,7 @@
 }
 
 // giveWay ends this leadership so that the next one mends a record, unless that was
-// in vain before.
+// held vain before.
 func (l *leadership) giveWay(t at) bool {
 	l.node.mu.Lock()
 	if l.node.mending.tried == nil || len(l.node.mending.tried) >= 64*keptMost {
--- a/controller/node.go
+++ b/controller/node.go
@@ -53,17 +53,17 @@
 	jobs             *jobstore.Reader
 	elector          *election.Elector
 	peers            []*peerrpc.Peer
-	peerStreams      []*peerrpc.Lane
-	userSlots        chan struct{}    // bounds the users' submissions and cancellations under way
-	pollLimiter      *admission.Gate  // and their polls
-	turns            admission.Turns  // whose polls come first
-	tiers            *admission.Tiers // how many each tier of submissions has of users
-	heartbeatLimiter *admission.Gate  // bounds the workers' reports
-	connLimiter      *admission.Door  // of users and workers; set before anybody is served
+	peerStreams      []*peerrpc.HeartbeatStream
+	userSlots        chan struct{}              // bounds the users' submissions and cancellations under way
+	pollLimiter      *admission.PriorityLimiter // and their polls
+	turns            admission.PollSchedule     // whose polls come first
+	tiers            *admission.TierLimiter     // how many each tier of submissions has of users
+	heartbeatLimiter *admission.PriorityLimiter // bounds the workers' reports
+	connLimiter      *admission.ConnLimiter     // of users and workers; set before anybody is served
 	stalls           stallDetector
 	leaderDetector   failureDetector
 
-	lastAnswered *admission.Answered          // when workers were last answered here
+	lastAnswered *admission.ReplyTimes        // when workers were last answered here
 	routingPlan  atomic.Pointer[adoptedPlan]  // where workers report
 	ordered      atomic.Pointer[cluster.Plan] // what the operators decided; nil before it is read
 	inOrder      atomic.Pointer[inOrder]      // of that, the order of service
@@ -101,7 +101,7 @@
 	pollRound = 45 * time.Second
 )
 
-// New makes a node.
+// NewPlan makes a node.
 func New(cfg *config.Settings, tuning config.Tuning, log *slog.Logger, nw Network) *Node {
 	sl := cfg.Cluster.State
 	n := &Node{
@@ -110,11 +110,11 @@
 		cloud:            cloud.New(nw.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.9),
 		workerClient:     worker.New(nw.Dial, min(64, cfg.Cluster.Limits.Sockets/20)),
 		userSlots:        make(chan struct{}, max(32, cfg.Cluster.Limits.Sockets/8)),
-		tiers:            admission.NewTiers(max(32, cfg.Cluster.Limits.Sockets/8)),
-		pollLimiter:      admission.NewGate(max(32, cfg.Cluster.Limits.Sockets/8), max(32, cfg.Cluster.Limits.Sockets/8)),
-		turns:            admission.Turns{Round: pollRound},
-		heartbeatLimiter: admission.NewGate(max(64, cfg.Cluster.Limits.Sockets/2), cfg.Cluster.Limits.Sockets/8),
-		lastAnswered:     admission.NewAnswered(maxTrackedWorkers), moveLimiter: newMoveLimiter(),
+		tiers:            admission.NewTierLimiter(max(32, cfg.Cluster.Limits.Sockets/8)),
+		pollLimiter:      admission.NewPriorityLimiter(max(32, cfg.Cluster.Limits.Sockets/8), max(32, cfg.Cluster.Limits.Sockets/8)),
+		turns:            admission.PollSchedule{Period: pollRound},
+		heartbeatLimiter: admission.NewPriorityLimiter(max(64, cfg.Cluster.Limits.Sockets/2), cfg.Cluster.Limits.Sockets/8),
+		lastAnswered:     admission.NewReplyTimes(maxTrackedWorkers), moveLimiter: newMoveLimiter(),
 		redirects: map[string]redirectRecord{}, relayCandidates: map[string]relayCandidate{}, leaderChanged: make(chan struct{}),
 	}
 	n.watched()
@@ -127,23 +127,23 @@
 			log.Info("an aim of a kind that this program does not know", "kind", o.Kind, "class", o.Class)
 		}
 	}
-	forUsers := n.kv.Sharing(sl.RPS*0.7, sl.WriteRPS, userRateShare/float64(max(1, cfg.Cluster.Size)))
+	forUsers := n.kv.WithAdaptiveLimits(sl.RPS*0.7, sl.WriteRPS, userRateShare/float64(max(1, cfg.Cluster.Size)))
 	n.userKV = forUsers
 	n.jobs = jobstore.NewReader(forUsers)
 	n.jobs.Limits = jobstore.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB}
 	n.jobs.Log = log
 	n.jobs.Tier = func(team, class string) int { return n.order().Tier(team, class) }
-	n.jobs.Order = func(id string) float64 { return admission.Turns{Round: pollRound}.Key(id, time.Now()) }
+	n.jobs.Order = func(id string) float64 { return admission.PollSchedule{Period: pollRound}.Priority(id, time.Now()) }
 	n.turns.Tier = n.tierOf
-	n.jobs.Gap = func() time.Duration { return config.Seconds(min(barrierRateShare/max(forUsers.Rate(), 1), 0.6)) }
+	n.jobs.Gap = func() time.Duration { return config.Seconds(min(barrierRateShare/max(forUsers.RequestRate(), 1), 0.6)) }
 	for _, s := range cfg.Siblings {
 		n.peers = append(n.peers, peerrpc.NewPeer(s.Name, s.Addr, nw.Dial))
-		n.peerStreams = append(n.peerStreams, peerrpc.NewLane(s.Name, s.Addr, nw.Dial, max(64, cfg.Cluster.Limits.Sockets/2)))
+		n.peerStreams = append(n.peerStreams, peerrpc.NewHeartbeatStream(s.Name, s.Addr, nw.Dial, max(64, cfg.Cluster.Limits.Sockets/2)))
 	}
 	w := cfg.Cluster.Workers
 	n.elector = &election.Elector{
-		Store: n.kv, Self: cfg.Node, TTL: config.Seconds(w.LeaderLeaseS()), Drift: config.Drift, Log: log,
-		Lead: n.runLeader, ReadBarrier: n.readBarrier, Seen: n.seen,
+		Store: n.kv, Node: cfg.Node, LeaseTTL: config.Seconds(w.LeaderLeaseS()), ClockDrift: config.Drift, Log: log,
+		Lead: n.runLeader, ReadBarrier: n.readBarrier, OnChange: n.seen,
 	}
 	return n
 }
@@ -170,9 +170,9 @@
 		MaxHeaderBytes:    16 << 10,
 		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 		BaseContext:       func(net.Listener) context.Context { return ctx },
-		ConnContext:       admission.With,
+		ConnContext:       admission.ConnContext,
 	}
-	n.connLimiter = admission.NewDoor(l, max(16, int(connShare*float64(n.cfg.Cluster.Limits.Sockets))))
+	n.connLimiter = admission.NewConnLimiter(l, max(16, int(connShare*float64(n.cfg.Cluster.Limits.Sockets))))
 	var wg sync.WaitGroup
 	duty := func(f func(context.Context)) {
 		wg.Add(1)
@@ -239,7 +239,7 @@
 
 // kvReachable says whether the state service serves this node.
 func (n *Node) kvReachable() bool {
-	ok, bad := n.kv.Served()
+	ok, bad := n.kv.LastOutcomes()
 	return ok.After(bad) && time.Since(ok) < 5*time.Second
 }
 
@@ -247,13 +247,13 @@
 // operator who gave a wrong address, or whose service is out, is told so once.
 func (n *Node) monitorKV(ctx context.Context) {
 	served := true
-	// All nodes' probes together are a twentieth of what the service takes.
+	// Total nodes' probes together are a twentieth of what the service takes.
 	every := config.Seconds(max(1, float64(n.cfg.Cluster.Size)/(0.05*n.cfg.Cluster.State.RPS)))
 	for {
 		pctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
-		_, err := n.kv.Get(pctx, election.Key)
+		_, err := n.kv.Get(pctx, election.LeaderKey)
 		cancel()
-		if errors.Is(err, kvstore.ErrBusy) {
+		if errors.Is(err, kvstore.ErrRateLimited) {
 			err = nil // it is there, and busy
 		}
 		if ctx.Err() == nil && served != (err == nil) {
--- a/controller/order.go
+++ b/controller/order.go
@@ -39,10 +39,10 @@
 		return func() {}, true
 	}
 	tier, of := o.Tier(team, class), o.Tiers()
-	if !n.tiers.Enter(tier, of) {
+	if !n.tiers.TryAcquire(tier, of) {
 		return nil, false
 	}
-	return func() { n.tiers.Leave(tier, of) }, true
+	return func() { n.tiers.Release(tier, of) }, true
 }
 
 // tierOf is a job's tier, the last for one that is not known to be unfinished.
--- a/controller/order_test.go
+++ b/controller/order_test.go
@@ -321,7 +321,7 @@
 				t.Fatalf("with an order in force the records have form %d, which versions without orders read: %v", rec.Form, err)
 			}
 			rec.Form += change
-			if _, err := stateOf(w).Commit(t.Context(), nil, []wire.Op{{Put: jobstore.FormKey, Value: rec}}); err != nil {
+			if _, err := stateOf(w).CompareAndSwap(t.Context(), nil, []wire.Op{{Put: jobstore.FormKey, Value: rec}}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -53,9 +53,9 @@
 			rev, known = at, true
 			n.planAsked() // maybe before this watch
 		}
-		ev, err := n.kv.Follow(ctx, jobstore.Plans, rev, planBlock)
+		ev, err := n.kv.Watch(ctx, jobstore.Plans, rev, planBlock)
 		switch {
-		case errors.Is(err, kvstore.ErrTooOld):
+		case errors.Is(err, kvstore.ErrCompacted):
 			known = false
 		case err != nil:
 			call.Pause(ctx, time.Second+rand.N(time.Second))
@@ -181,7 +181,7 @@
 		if b == nil {
 			continue
 		}
-		rev, err := l.node.kv.Commit(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), b.Ops)
+		rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), b.Ops)
 		if err != nil {
 			l.handleCommitFailure(ctx, b, err)
 			continue
--- a/controller/plan_check.go
+++ b/controller/plan_check.go
@@ -58,7 +58,7 @@
 		if b == nil {
 			continue // a transaction took them along
 		}
-		rev, err := l.node.kv.Commit(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), nil)
+		rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), nil)
 		if err == nil {
 			l.mu.Lock()
 			b.Committed(rev, time.Now())
@@ -84,8 +84,8 @@
 
 // conflictsOn says whether a transaction failed for a key.
 func conflictsOn(err error, key string) bool {
-	var c *kvstore.Conflict
-	return errors.As(err, &c) && slices.Contains(c.Failed, key)
+	var c *kvstore.ConflictError
+	return errors.As(err, &c) && slices.Contains(c.FailedKeys, key)
 }
 
 // rebalancingRejected is for a record of moves that was not committed.
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -35,13 +35,13 @@
 			guards = append(guards, wire.Guard{Key: jobstore.JobKey(j.ID)}, wire.Guard{Key: jobstore.FinalKey(j.ID)})
 			ops = append(ops, wire.Op{Put: jobstore.JobKey(j.ID), Value: j.Record})
 		}
-		_, err := l.node.kv.Commit(ctx, guards, ops)
+		_, err := l.node.kv.CompareAndSwap(ctx, guards, ops)
 		if err == nil {
 			continue
 		}
 		// Those that were not recorded are asked for again under other names.
 		l.log.Debug("fetches of weights", "count", len(jobs), "err", err)
-		var c *kvstore.Conflict
+		var c *kvstore.ConflictError
 		if errors.As(err, &c) {
 			l.dropSupersededPlan(ctx)
 		}
--- a/controller/poolsmeasure_test.go
+++ b/controller/poolsmeasure_test.go
@@ -126,7 +126,7 @@
 	}
 	st := kvstore.New(w.Network.Dial("operator"), "state:1", 20, 20)
 	d := warmpool.Slot(hour) / 24
-	if _, err := st.Commit(context.Background(), nil, []wire.Op{{Put: jobstore.Notes + warmpool.DayName("llm", d), Value: week.Day(d)}}); err != nil {
+	if _, err := st.CompareAndSwap(context.Background(), nil, []wire.Op{{Put: jobstore.Notes + warmpool.DayName("llm", d), Value: week.Day(d)}}); err != nil {
 		t.Fatal(err)
 	}
 	loseLeader(w) // the next one reads it
@@ -174,7 +174,7 @@
 }
 
 // notesWritten counts the changes of the parts' records, by part, while a plan of
-// all of them holds on that many machines, half of them in pools.
+// total of them holds on that many machines, half of them in pools.
 func notesWritten(t *testing.T, machines int, during time.Duration) (by map[string]int) {
 	synctest.Test(t, func(t *testing.T) {
 		typ := fake.DefaultType
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -65,7 +65,7 @@
 }
 
 // scaleIn returns machines. Their names are committed first: between the look
-// at the lease and the cloud's act may lie a minute, in which another leader has
+// last the lease and the cloud's act may lie a minute, in which another leader has
 // begun and placed tasks on them, unless it reads here that they go.
 func (l *leadership) scaleIn(ctx context.Context, names []string) {
 	if err := l.putOwnRecord(ctx, jobstore.ReturnsKey, jobstore.ReturnRecord{Machines: names}); err != nil {
@@ -112,13 +112,13 @@
 
 func (l *leadership) rentMachines(ctx context.Context, o cluster.Offer, count int) {
 	l.rentalRequests++
-	bon := fmt.Sprintf("r-%d-%d", l.lease.Token, l.rentalRequests)
+	bon := fmt.Sprintf("r-%d-%d", l.lease.FencingToken, l.rentalRequests)
 	rec := jobstore.RentalRecord{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count, AtMs: time.Now().UnixMilli()}
 	key := jobstore.Rentals + bon
 	l.mu.Lock()
 	byPlan := l.model.PlanGuard()
 	l.mu.Unlock()
-	made, err := l.node.kv.Commit(ctx, []wire.Guard{l.leaderGuard(), byPlan, {Key: key}}, []wire.Op{{Put: key, Value: rec}})
+	made, err := l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), byPlan, {Key: key}}, []wire.Op{{Put: key, Value: rec}})
 	if err != nil {
 		l.log.Debug("rental record", "err", err)
 		return
@@ -143,7 +143,7 @@
 		rec.Machines = names
 		op = wire.Op{Put: key, Value: rec}
 	}
-	if _, err := l.node.kv.Commit(ctx, []wire.Guard{l.leaderGuard(), {Key: key, Version: made}}, []wire.Op{op}); err != nil {
+	if _, err := l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: key, Version: made}}, []wire.Op{op}); err != nil {
 		l.log.Debug("rental record", "err", err)
 	}
 }
--- a/controller/status.go
+++ b/controller/status.go
@@ -39,12 +39,12 @@
 	n.log = slog.New(n.recentErrors)
 	n.metrics = metrics.New(n.cfg.Node)
 	m := n.metrics
-	for name, k := range map[string]admission.Kind{"connections_users": admission.User,
-		"connections_workers": admission.Worker, "connections_other": admission.Unknown} {
-		m.Gauge(name, "Open connections.", func() float64 { return float64(n.connLimiter.Open(k)) })
+	for name, k := range map[string]admission.Kind{"connections_users": admission.KindUser,
+		"connections_workers": admission.KindWorker, "connections_other": admission.KindUnknown} {
+		m.Gauge(name, "Open connections.", func() float64 { return float64(n.connLimiter.Count(k)) })
 	}
-	m.Counter("connections_closed_total", "Connections closed for want of room.", func() float64 { return float64(n.connLimiter.Shed()) })
-	m.Counter("reports_shed_total", "Reports turned away for want of room.", func() float64 { return float64(n.heartbeatLimiter.Shed()) })
+	m.Counter("connections_closed_total", "Connections closed for want of room.", func() float64 { return float64(n.connLimiter.Rejected()) })
+	m.Counter("reports_shed_total", "Reports turned away for want of room.", func() float64 { return float64(n.heartbeatLimiter.Rejected()) })
 	m.Gauge("reports_waiting", "Reports that wait for their turn.", func() float64 { return float64(n.heartbeatLimiter.Waiting()) })
 	for name, read := range map[string]func(forwardingCounts) uint64{
 		"reports_passed_total":      func(c forwardingCounts) uint64 { return c.forwarded },
@@ -140,7 +140,7 @@
 }
 
 // serveHTTP serves one of the node's other HTTP doors, on an address of its own,
-// until ctx ends; name is its setting's.
+// abstainUntil ctx ends; name is its setting's.
 func (n *Node) serveHTTP(ctx context.Context, srv *http.Server, name, addr string, most int) error {
 	l, err := n.network.Listen("tcp", addr)
 	if err != nil {
@@ -180,14 +180,14 @@
 	o := metrics.Overview{At: now, Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.ready(), StateServed: n.kvReachable(),
 		Leader: n.elector.Leader(), Troubles: n.recentErrors.Last(), Fleet: n.fleet(now)}
 	if d := n.connLimiter; d != nil {
-		o.Connections = metrics.Connections{Users: d.Open(admission.User), Workers: d.Open(admission.Worker),
-			Other: d.Open(admission.Unknown), Most: n.cfg.Cluster.Limits.Sockets, Closed: d.Shed()}
+		o.Connections = metrics.Connections{Users: d.Count(admission.KindUser), Workers: d.Count(admission.KindWorker),
+			Other: d.Count(admission.KindUnknown), Most: n.cfg.Cluster.Limits.Sockets, Closed: d.Rejected()}
 	}
 	n.mu.Lock()
 	c := n.forwarding
 	n.mu.Unlock()
 	o.Reports = metrics.Reports{Passed: c.forwarded, Failed: c.failed, Moved: c.redirected, Waiting: n.heartbeatLimiter.Waiting(),
-		Refused: n.heartbeatLimiter.Shed(), Served: n.lastAnswered.Recent(now, config.Seconds(n.cfg.Cluster.Workers.LeaseS))}
+		Refused: n.heartbeatLimiter.Rejected(), Served: n.lastAnswered.CountWithin(now, config.Seconds(n.cfg.Cluster.Workers.LeaseS))}
 	if p := n.orders(); p.Head > 0 {
 		o.Orders = &metrics.Orders{Version: p.Number, Lost: p.Lost}
 	}
@@ -221,7 +221,7 @@
 	for _, u := range s.Unbegun {
 		unbegun = append(unbegun, metrics.Unbegun(u))
 	}
-	return &metrics.Fleet{Unbegun: unbegun, UnbegunAll: s.UnbegunN, Node: n.cfg.Node, Token: l.lease.Token, Since: l.lease.Since, Sure: l.lease.Valid(),
+	return &metrics.Fleet{Unbegun: unbegun, UnbegunAll: s.UnbegunN, Node: n.cfg.Node, Token: l.lease.FencingToken, Since: l.lease.ElectedAt, Sure: l.lease.Valid(),
 		Machines: s.Machines, Tasks: s.Tasks, Jobs: s.Jobs, Late: s.Late, LongestS: s.Longest, LeaseLeftS: s.LeaseLeft, Departures: s.Departures, Pools: poolsOf(s.Pools)}
 }
 
--- a/controller/users.go
+++ b/controller/users.go
@@ -125,17 +125,17 @@
 	defer cancel()
 	now := time.Now()
 	waits, done := context.WithTimeout(ctx, pollWaits)
-	err := n.pollLimiter.Enter(waits, n.turns.Key(id, now))
+	err := n.pollLimiter.Acquire(waits, n.turns.Priority(id, now))
 	done()
 	if err != nil {
 		n.metrics.Refused("too many users' polls")
-		writeError(w, http.StatusTooManyRequests, "too many polls under way", n.turns.RetryIn(id, now))
+		writeError(w, http.StatusTooManyRequests, "too many polls under way", n.turns.RetryAfterS(id, now))
 		return
 	}
-	defer n.pollLimiter.Leave()
+	defer n.pollLimiter.Release()
 	a := n.user(ctx, peerrpc.Request{Op: opShow, ID: id})
 	if a.Status == http.StatusServiceUnavailable {
-		a.RetryAfter = n.turns.RetryIn(id, now)
+		a.RetryAfter = n.turns.RetryAfterS(id, now)
 	}
 	n.refusals(opShow, a)
 	write(w, a)
@@ -151,7 +151,7 @@
 			return a
 		}
 		n.log.Debug("user request", "op", r.Op, "id", r.ID, "err", err)
-		if errors.Is(err, kvstore.ErrBusy) {
+		if errors.Is(err, kvstore.ErrRateLimited) {
 			// The others are as busy, and asking them would make it worse.
 			return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is busy"}, busyFor)
 		}
@@ -181,13 +181,13 @@
 // time first. A submission that is passed on twice is one all the same.
 func (n *Node) askOthers(ctx context.Context, r peerrpc.Request) (peerrpc.Answer, bool) {
 	peers := slices.Clone(n.peers)
-	slices.SortStableFunc(peers, func(a, b *peerrpc.Peer) int { return a.Missed().Compare(b.Missed()) })
+	slices.SortStableFunc(peers, func(a, b *peerrpc.Peer) int { return a.FailedAt().Compare(b.FailedAt()) })
 	for _, p := range peers {
 		if ctx.Err() != nil {
 			break
 		}
 		pctx, cancel := context.WithTimeout(ctx, askEach)
-		a, err := p.User(pctx, r)
+		a, err := p.ForwardUserRequest(pctx, r)
 		cancel()
 		if err == nil && a.Status != http.StatusServiceUnavailable {
 			return a, true
@@ -196,8 +196,8 @@
 	return peerrpc.Answer{}, false
 }
 
-// User implements mesh.Handler: it serves a request another node received.
-func (n *Node) User(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
+// ForwardUserRequest implements mesh.Handler: it serves a request another node received.
+func (n *Node) HandleUserRequest(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	if n.kvReachable() {
 		if r.From != "" {
 			return n.relayed(ctx, r)
@@ -225,7 +225,7 @@
 func retryRefused(ctx context.Context, f func() error) error {
 	for try := 0; ; try++ {
 		err := f()
-		if !errors.Is(err, kvstore.ErrRefused) || try >= 3 || try >= 1 && errors.Is(err, kvstore.ErrBusy) || !call.Pause(ctx, time.Duration(80+60*try)*time.Millisecond) {
+		if !errors.Is(err, kvstore.ErrRefused) || try >= 3 || try >= 1 && errors.Is(err, kvstore.ErrRateLimited) || !call.Pause(ctx, time.Duration(80+60*try)*time.Millisecond) {
 			return err
 		}
 	}
@@ -336,7 +336,7 @@
 	at := time.Now()
 	err := retryRefused(ctx, func() (err error) {
 		known, err = n.jobs.Accept(ctx, job, at)
-		if errors.Is(err, kvstore.ErrUnknown) && ctx.Err() == nil {
+		if errors.Is(err, kvstore.ErrOutcomeUnknown) && ctx.Err() == nil {
 			// It may have been committed: the guards tell.
 			known, err = n.jobs.Accept(ctx, job, at)
 		}
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -28,7 +28,7 @@
 	maxTrackedWorkers = 20000
 )
 
-// Of a node's sockets: users' requests beyond a quarter are answered and
+// ConnFromContext a node's sockets: users' requests beyond a quarter are answered and
 // closed, and a fifth is kept for the node's own calls.
 const (
 	userConnShare = 0.25
@@ -90,7 +90,7 @@
 			}
 		}
 		n.mu.Unlock()
-		n.adoptRoutingPlan(routing.New(n.cfg.Node, l.lease.Token, workers, n.cfg.Cluster.Limits.Sockets, relays), now)
+		n.adoptRoutingPlan(routing.NewPlan(n.cfg.Node, l.lease.FencingToken, workers, n.cfg.Cluster.Limits.Sockets, relays), now)
 	}
 }
 
@@ -114,16 +114,16 @@
 	return p
 }
 
-func (n *Node) workerHistory(machine string) routing.Guest {
-	var g routing.Guest
+func (n *Node) workerHistory(machine string) routing.WorkerHistory {
+	var g routing.WorkerHistory
 	now := time.Now()
 	n.mu.Lock()
 	if sent, ok := n.redirects[machine]; ok {
-		g.SentTo, g.SentAgo = sent.node, now.Sub(sent.at)
+		g.RedirectedTo, g.SinceRedirect = sent.node, now.Sub(sent.at)
 	}
 	n.mu.Unlock()
-	ago, ok := n.lastAnswered.Ago(machine, now)
-	g.Kept = ok && ago < config.Seconds(n.cfg.Cluster.Workers.LeaseS)
+	ago, ok := n.lastAnswered.Since(machine, now)
+	g.ServedHere = ok && ago < config.Seconds(n.cfg.Cluster.Workers.LeaseS)
 	return g
 }
 
@@ -146,8 +146,8 @@
 		plan = &p.Plan
 	}
 	g := n.workerHistory(machine)
-	to, pass = routing.Follower(n.cfg.Node, leader, machine, plan, g, n.workerConnsFull(), lane != nil && lane.Reach())
-	if pass || !g.Kept || plan == nil || !plan.Spread() {
+	to, pass = routing.RouteAtFollower(n.cfg.Node, leader, machine, plan, g, n.workerConnsFull(), lane != nil && lane.Reachable())
+	if pass || !g.ServedHere || plan == nil || !plan.UsesRelays() {
 		return to, pass
 	}
 	// One that is served here goes when nothing else is going on.
@@ -165,7 +165,7 @@
 	if p == nil || n.connLimiter == nil || time.Since(p.leaderSince) < quietAfterElection {
 		return ""
 	}
-	to := routing.Leader(machine, &p.Plan, n.workerHistory(machine), n.connLimiter.Open(admission.Worker), n.answeredRecently(machine))
+	to := routing.RedirectFromLeader(machine, &p.Plan, n.workerHistory(machine), n.connLimiter.Count(admission.KindWorker), n.answeredRecently(machine))
 	if to == "" || !n.moveLimiter.Allow() {
 		return ""
 	}
@@ -175,30 +175,30 @@
 
 // workerConnsFull says whether as many workers' connections are open as are kept.
 func (n *Node) workerConnsFull() bool {
-	return n.connLimiter != nil && n.connLimiter.Open(admission.Worker) > routing.Keep(n.cfg.Cluster.Limits.Sockets)
+	return n.connLimiter != nil && n.connLimiter.Count(admission.KindWorker) > routing.MaxWorkerConns(n.cfg.Cluster.Limits.Sockets)
 }
 
 // userConnsFull says the same of users'.
 func (n *Node) userConnsFull() bool {
-	return n.connLimiter != nil && n.connLimiter.Open(admission.User) > max(8, int(userConnShare*float64(n.cfg.Cluster.Limits.Sockets)))
+	return n.connLimiter != nil && n.connLimiter.Count(admission.KindUser) > max(8, int(userConnShare*float64(n.cfg.Cluster.Limits.Sockets)))
 }
 
 // connsCrowded says whether connections are so many that none should wait.
 func (n *Node) connsCrowded() bool {
-	return n.connLimiter != nil && n.connLimiter.All() > int(waitingConnShare*float64(n.cfg.Cluster.Limits.Sockets))
+	return n.connLimiter != nil && n.connLimiter.Total() > int(waitingConnShare*float64(n.cfg.Cluster.Limits.Sockets))
 }
 
 // asUser notes that a request is a user's.
 func (n *Node) asUser(w http.ResponseWriter, r *http.Request) {
-	if c := admission.Of(r.Context()); c != nil {
-		c.Is(admission.User)
+	if c := admission.ConnFromContext(r.Context()); c != nil {
+		c.SetKind(admission.KindUser)
 	}
 	if n.userConnsFull() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-func (n *Node) peerStream(name string) *peerrpc.Lane {
+func (n *Node) peerStream(name string) *peerrpc.HeartbeatStream {
 	for _, l := range n.peerStreams {
 		if l.Name == name {
 			return l
@@ -210,7 +210,7 @@
 // statusRequest is what this node says of itself when it asks another.
 func (n *Node) statusRequest() peerrpc.Request {
 	lost, at := n.jobs.Lost()
-	return peerrpc.Request{From: n.cfg.Node, Room: routing.Keep(n.cfg.Cluster.Limits.Sockets), Lost: lost, LostAt: at}
+	return peerrpc.Request{From: n.cfg.Node, Room: routing.MaxWorkerConns(n.cfg.Cluster.Limits.Sockets), Lost: lost, LostAt: at}
 }
 
 // Status implements mesh.Handler.
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -35,57 +35,57 @@
 	return h.released
 }
 
-func (h *held) Commit(_ context.Context, _ []wire.Guard, ops []wire.Op) (uint64, error) {
+func (h *held) CompareAndSwap(_ context.Context, _ []wire.Guard, ops []wire.Op) (uint64, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.entry.Version != 0 || !h.released.IsZero() {
-		return 0, &kvstore.Conflict{Failed: []string{Key}}
+		return 0, &kvstore.ConflictError{FailedKeys: []string{LeaderKey}}
 	}
 	raw, err := wire.Marshal(ops[0].Value)
-	h.entry = wire.Entry{Key: Key, Value: raw, Version: 5, Lease: ops[0].Lease}
+	h.entry = wire.Entry{Key: LeaderKey, Value: raw, Version: 5, Lease: ops[0].Lease}
 	return 5, err
 }
 
-func (h *held) Hold(context.Context, time.Duration) (uint64, error) { return 7, nil }
+func (h *held) GrantLease(context.Context, time.Duration) (uint64, error) { return 7, nil }
 
-func (h *held) Touch(context.Context, uint64) error {
+func (h *held) RenewLease(context.Context, uint64) error {
 	if !h.ended().IsZero() {
-		return kvstore.ErrNoLease
+		return kvstore.ErrLeaseNotFound
 	}
 	time.Sleep(h.renewal)
 	return nil
 }
 
-// Release ends the lease at once, and its answer is lost.
-func (h *held) Release(ctx context.Context, _ uint64) error {
+// RevokeLease ends the lease at once, and its answer is lost.
+func (h *held) RevokeLease(ctx context.Context, _ uint64) error {
 	h.mu.Lock()
 	if h.released.IsZero() {
 		h.released, h.entry = time.Now(), wire.Entry{}
 	}
 	h.mu.Unlock()
 	<-ctx.Done()
-	return kvstore.ErrUnknown
+	return kvstore.ErrOutcomeUnknown
 }
 
-func (h *held) Follow(ctx context.Context, _ string, _ uint64, _ time.Duration) (wire.Events, error) {
+func (h *held) Watch(ctx context.Context, _ string, _ uint64, _ time.Duration) (wire.Events, error) {
 	<-ctx.Done()
 	return wire.Events{}, ctx.Err()
 }
 
 // A leader that gives up while a renewal is on its way stays what it is then: its
-// lease is released, and another may lead at once.
+// id is released, and another may lead at once.
 func TestARenewalOnItsWayRevivesNoTermThatWasGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := &held{renewal: 100 * time.Millisecond}
-		leads := make(chan *Term, 1)
-		e := &Elector{Store: h, Self: "n-0", TTL: 7 * time.Second, Drift: 0.0005, Log: slog.New(slog.DiscardHandler),
-			Lead: func(ctx context.Context, term *Term, ready func()) error {
+		leads := make(chan *Lease, 1)
+		e := &Elector{Store: h, Node: "n-0", LeaseTTL: 7 * time.Second, ClockDrift: 0.0005, Log: slog.New(slog.DiscardHandler),
+			Lead: func(ctx context.Context, term *Lease, ready func()) error {
 				ready()
 				leads <- term
 				<-ctx.Done()
 				return errors.New("over")
 			},
-			ReadBarrier: func(context.Context, *Term) error { return nil }}
+			ReadBarrier: func(context.Context, *Lease) error { return nil }}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); e.Run(ctx) }()
@@ -94,7 +94,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		// A fifth of the lease after the first renewal the next one is sent.
-		time.Sleep(e.TTL/5 + h.renewal/2)
+		time.Sleep(e.LeaseTTL/5 + h.renewal/2)
 		synctest.Wait()
 		term.Resign()
 		for range 100 {
@@ -117,7 +117,7 @@
 // which may take 2 s, workers were answered beside the next leader.
 func TestATermThatWasGivenUpStaysSo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		term := NewTerm(7, 1, time.Now())
+		term := NewLease(7, 1, time.Now())
 		if term.Valid() {
 			t.Error("valid before any renewal")
 		}
--- a/internal/fake/delayed_transactions.go
+++ b/internal/fake/delayed_transactions.go
@@ -116,12 +116,12 @@
 // lasts. 0: it is no leader's.
 func (s *KVStore) termOf(t *txn, node string) uint64 {
 	for _, g := range t.If {
-		if g.Key == election.Key {
+		if g.Key == election.LeaderKey {
 			return g.Version
 		}
 	}
 	if strings.HasPrefix(node, "n-") && slices.ContainsFunc(t.keys(), leadersAlone) {
-		return s.keys[election.Key].Version
+		return s.keys[election.LeaderKey].Version
 	}
 	return 0
 }
@@ -166,7 +166,7 @@
 	var rec struct {
 		Node string `msgpack:"node"`
 	}
-	e, ok := s.keys[election.Key]
+	e, ok := s.keys[election.LeaderKey]
 	if ok && wire.Unmarshal(e.Value, &rec) == nil && rec.Node == came.node && e.Version == came.token {
 		return
 	}
@@ -177,7 +177,7 @@
 	}
 }
 
-// draw says whether a transaction with so many changes is left without an answer, and
+// rendezvousWeight says whether a transaction with so many changes is left without an answer, and
 // how long after its request it is carried out.
 func (l *lagging) draw(changes int) (by time.Duration, unanswered bool) {
 	if changes == 0 || l.late+l.lost == 0 {
@@ -218,7 +218,7 @@
 	s.lagging.leasesLate++
 	id := strings.TrimSuffix(strings.TrimPrefix(path, "/holds/"), "/touch")
 	n, err := strconv.ParseUint(id, 10, 64)
-	e := s.keys[election.Key]
+	e := s.keys[election.LeaderKey]
 	if err != nil || e.Lease == 0 {
 		return
 	}
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -111,7 +111,7 @@
 }
 
 // HoldNextTransactionOn keeps the next transaction that changes a key that begins so on its way
-// until it is let come, which a story must do at the latest as it ends.
+// abstainUntil it is let come, which a story must do at the latest as it ends.
 func (s *KVStore) HoldNextTransactionOn(prefix string) (come func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -529,7 +529,7 @@
 		if older != "" && len(failed) == 0 && s.breaks != nil {
 			s.breaks("a late transaction of %s changes %s back", came.node, older)
 		}
-		s.lagging.overtaken(came, s.keys[election.Key].Version, len(failed) > 0, older != "")
+		s.lagging.overtaken(came, s.keys[election.LeaderKey].Version, len(failed) > 0, older != "")
 	}
 	if len(failed) > 0 {
 		reply(w, http.StatusConflict, wire.TxnAnswer{Failed: failed, Revision: s.rev})
@@ -562,13 +562,13 @@
 }
 
 // checkOrders sees to it that no leader places a task but on condition of the plan
-// in force: the condition held, since the transaction is being applied. What is no
+// held force: the condition held, since the transaction is being applied. What is no
 // leader's is a snapshot being imported.
 func (s *KVStore) checkOrders(t *txn) {
 	on := func(key string) bool {
 		return slices.ContainsFunc(t.If, func(g wire.Guard) bool { return g.Key == key })
 	}
-	if s.breaks == nil || !on(election.Key) || on(jobstore.PlanHeadKey) {
+	if s.breaks == nil || !on(election.LeaderKey) || on(jobstore.PlanHeadKey) {
 		return
 	}
 	for _, op := range t.Then {
--- a/internal/fake/partitions.go
+++ b/internal/fake/partitions.go
@@ -33,7 +33,7 @@
 }
 
 // IsolateZone cuts the controllers and the machines of a zone off from all that is not
-// in it, or ends that. Users, cloud and state service belong to no zone.
+// held it, or ends that. Users, cloud and state service belong to no zone.
 func (w *Cluster) IsolateZone(zone string, on bool) {
 	var in []string
 	out := []string{"state", "cloud", "user"}
@@ -62,7 +62,7 @@
 func (w *Cluster) FencingToken() uint64 {
 	w.Store.mu.Lock()
 	defer w.Store.mu.Unlock()
-	return w.Store.keys[election.Key].Version
+	return w.Store.keys[election.LeaderKey].Version
 }
 
 // DirectCommandsExecuted is how many direct commands a machine has carried out, those that
--- a/internal/fake/report_copies.go
+++ b/internal/fake/report_copies.go
@@ -57,12 +57,12 @@
 		return
 	}
 	w.next.watching, w.next.copies = true, map[string][]wire.Report{}
-	last := w.Store.Versions(election.Key)[election.Key]
+	last := w.Store.Versions(election.LeaderKey)[election.LeaderKey]
 	w.wg.Add(1)
 	go func() {
 		defer w.wg.Done()
 		for call.Pause(w.ctx, 10*time.Millisecond) {
-			if v := w.Store.Versions(election.Key)[election.Key]; v != 0 && v != last {
+			if v := w.Store.Versions(election.LeaderKey)[election.LeaderKey]; v != 0 && v != last {
 				last = v
 				w.wg.Add(1)
 				go func() {
--- a/jobstore/accept.go
+++ b/jobstore/accept.go
@@ -285,7 +285,7 @@
 			head := r.intake[key]
 			// One that waits for its turn would have those behind it wait as well,
 			// who could all share one transaction.
-			many := q.alone >= crowd || !r.store.Spare(1)
+			many := q.alone >= crowd || !r.store.HasWriteCapacity(1)
 			if !large && (!head.closed() || q.busy || many) {
 				if many {
 					q.crowded = time.Now()
@@ -306,13 +306,13 @@
 			q.alone++
 		}
 		r.mu.Unlock()
-		rev, err := r.store.Commit(ctx, guards, ops)
+		rev, err := r.store.CompareAndSwap(ctx, guards, ops)
 		if q != nil {
 			r.mu.Lock()
 			q.alone--
 			r.mu.Unlock()
 		}
-		var c *kvstore.Conflict
+		var c *kvstore.ConflictError
 		switch {
 		case err == nil:
 			r.wrote(ops, rev)
@@ -320,7 +320,7 @@
 			return false, nil
 		case !errors.As(err, &c):
 			return false, err
-		case slices.Contains(c.Failed, JobKey(j.ID)) || slices.Contains(c.Failed, FinalKey(j.ID)):
+		case slices.Contains(c.FailedKeys, JobKey(j.ID)) || slices.Contains(c.FailedKeys, FinalKey(j.ID)):
 			return true, nil
 		}
 		if err := r.readBarrier(ctx); err != nil {
@@ -365,7 +365,7 @@
 
 // enqueue has a job committed together with those that wait as well; the lock is
 // held. The first one waits for nobody; those that come while a transaction is
-// under way share the next.
+// inFlight way share the next.
 func (r *Reader) enqueue(bucket int, q *queue, e IntakeEntry, tier int) (*submission, error) {
 	if r.ctx == nil || r.ended {
 		return nil, fmt.Errorf("%w: shutting down", kvstore.ErrRefused)
@@ -394,7 +394,7 @@
 		r.mu.Lock()
 		q.waiting = slices.DeleteFunc(q.waiting, func(o *submission) bool { return o == s })
 		r.mu.Unlock()
-		return false, fmt.Errorf("%w: %v", kvstore.ErrUnknown, ctx.Err())
+		return false, fmt.Errorf("%w: %v", kvstore.ErrOutcomeUnknown, ctx.Err())
 	}
 }
 
@@ -437,7 +437,7 @@
 	return 1
 }
 
-// gather takes what fits into a transaction off a queue, each id once: a repeat
+// newBatchingConn takes what fits into a transaction off a queue, each id once: a repeat
 // of a submission waits for the next, and is told that it is known.
 func (r *Reader) gather(bucket int, q *queue) []*submission {
 	var batch []*submission
@@ -523,7 +523,7 @@
 			return
 		}
 		var rev uint64
-		rev, err = r.store.Commit(ctx, guards, ops)
+		rev, err = r.store.CompareAndSwap(ctx, guards, ops)
 		if err == nil {
 			r.wrote(ops, rev)
 			answer(all, accepted{})
@@ -535,16 +535,16 @@
 			}
 			return
 		}
-		var c *kvstore.Conflict
+		var c *kvstore.ConflictError
 		switch {
 		case errors.As(err, &c):
 			answer(func(s *submission) bool {
-				return slices.Contains(c.Failed, JobKey(s.entry.ID)) || slices.Contains(c.Failed, FinalKey(s.entry.ID))
+				return slices.Contains(c.FailedKeys, JobKey(s.entry.ID)) || slices.Contains(c.FailedKeys, FinalKey(s.entry.ID))
 			}, accepted{known: true})
-			if !slices.Contains(c.Failed, HeadKey(bucket)) && !slices.Contains(c.Failed, FormKey) {
+			if !slices.Contains(c.FailedKeys, HeadKey(bucket)) && !slices.Contains(c.FailedKeys, FormKey) {
 				continue
 			}
-		case errors.Is(err, kvstore.ErrUnknown):
+		case errors.Is(err, kvstore.ErrOutcomeUnknown):
 			// It may have been committed: then the head has them.
 		default:
 			answer(all, accepted{err: err})
@@ -555,7 +555,7 @@
 			break
 		}
 	}
-	if err == nil || errors.As(err, new(*kvstore.Conflict)) {
+	if err == nil || errors.As(err, new(*kvstore.ConflictError)) {
 		err = fmt.Errorf("%w: too many conflicts", kvstore.ErrRefused)
 	}
 	answer(all, accepted{err: err})
--- a/jobstore/ending.go
+++ b/jobstore/ending.go
@@ -12,7 +12,7 @@
 // This file cancels jobs whose records share pages with others. Each cancellation
 // changes a page on condition that nobody else has: with one transaction for each,
 // beside submissions that change the same page all the time, some were refused for
-// most of a minute. So those that wait for a page share a transaction, and a
+// limiter of a minute. So those that wait for a page share a transaction, and a
 // bucket's writer commits them and the submissions in turn.
 
 // ending waits for its job to be ended.
@@ -42,7 +42,7 @@
 		r.mu.Lock()
 		q.ending = slices.DeleteFunc(q.ending, func(o *ending) bool { return o == e })
 		r.mu.Unlock()
-		return fmt.Errorf("%w: %v", kvstore.ErrUnknown, ctx.Err()) // it may be under way
+		return fmt.Errorf("%w: %v", kvstore.ErrOutcomeUnknown, ctx.Err()) // it may be under way
 	}
 }
 
@@ -82,7 +82,7 @@
 	p := r.intake[home]
 	for _, e := range ends {
 		if p == nil || !slices.ContainsFunc(p.rec.Jobs, func(o IntakeEntry) bool { return o.ID == e.id }) || ids[e.id] {
-			e.done <- fmt.Errorf("%w: the job has moved", kvstore.ErrUnknown)
+			e.done <- fmt.Errorf("%w: the job has moved", kvstore.ErrOutcomeUnknown)
 			continue
 		}
 		ids[e.id] = true
@@ -102,7 +102,7 @@
 		guards = append(guards, wire.Guard{Key: FinalKey(e.id)})
 		ops = append(ops, wire.Op{Put: FinalKey(e.id), Value: e.over})
 	}
-	rev, err := r.store.Commit(ctx, guards, ops)
+	rev, err := r.store.CompareAndSwap(ctx, guards, ops)
 	if err == nil {
 		r.wrote(ops, rev)
 	}
--- a/jobstore/ends.go
+++ b/jobstore/ends.go
@@ -53,7 +53,7 @@
 	kick    chan struct{}
 }
 
-// end reads a job's final record as of a moment after the call; found is false
+// closed reads a job's final record as of a moment after the call; found is false
 // where there is none.
 func (r *Reader) end(ctx context.Context, id string) (rec JobRecord, found bool, err error) {
 	a := &endAsk{ctx: ctx, id: id, done: make(chan endAnswer, 1)}
@@ -149,13 +149,13 @@
 }
 
 // readSpan reads so many keys from the first one's on, and answers everyone whose
-// key is among them or would be.
+// priority is among them or would be.
 func (r *Reader) readSpan(ctx context.Context, asks []*endAsk, n int) {
 	rctx, cancel := context.WithTimeout(ctx, endWait)
 	defer cancel()
 	first := FinalKey(asks[0].id)
 	after := before(first)
-	entries, more, _, err := r.store.Span(rctx, final, after, n)
+	entries, more, _, err := r.store.ListPage(rctx, final, after, n)
 	if err != nil {
 		for _, a := range asks {
 			r.tell(a, wire.Entry{}, err)
--- a/jobstore/intake_test.go
+++ b/jobstore/intake_test.go
@@ -273,7 +273,7 @@
 	})
 }
 
-// Until the form is raised every job has a key of its own, which the version
+// UntilTurn the form is raised every job has a key of its own, which the version
 // before reads; a node that has not heard of the new form does not write the old
 // one any more.
 func TestTheFormIsRaisedUnderANodeThatHasNotHeard(t *testing.T) {
@@ -403,7 +403,7 @@
 			if _, _, err := rs[0].Lookup(t.Context(), "wk-000001"); !errors.Is(err, jobstore.ErrNewer) {
 				t.Errorf("lookup: %v", err)
 			}
-			if _, err := rs[0].Accept(t.Context(), job(1), time.Now()); err == nil || errors.Is(err, kvstore.ErrUnknown) {
+			if _, err := rs[0].Accept(t.Context(), job(1), time.Now()); err == nil || errors.Is(err, kvstore.ErrOutcomeUnknown) {
 				t.Errorf("accept: %v", err)
 			}
 			if len(s.where("wk-000001")) != 0 {
--- a/jobstore/plan.go
+++ b/jobstore/plan.go
@@ -261,7 +261,7 @@
 		got, ok := h.Find(v.Number)
 		return err == nil && ok && got.Draft == v.Draft
 	})
-	var conflict *kvstore.Conflict
+	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
 		now, _, _, rerr := ReadPlanHead(ctx, s)
 		if rerr == nil && now.Current() != c.Base {
@@ -304,8 +304,8 @@
 func surely(ctx context.Context, s Store, guards []wire.Guard, ops []wire.Op, done func() bool) error {
 	var err error
 	for wait := 200 * time.Millisecond; ; wait = min(2*wait, 2*time.Second) {
-		_, err = s.Commit(ctx, guards, ops)
-		var c *kvstore.Conflict
+		_, err = s.CompareAndSwap(ctx, guards, ops)
+		var c *kvstore.ConflictError
 		switch {
 		case err == nil:
 			return nil
@@ -314,7 +314,7 @@
 				return nil
 			}
 			return err
-		case errors.Is(err, kvstore.ErrInvalid):
+		case errors.Is(err, kvstore.ErrInvalidRequest):
 			return err
 		}
 		if !call.Pause(ctx, wait/2+rand.N(wait)) {
@@ -345,8 +345,8 @@
 			return e.Version, nil
 		}
 		if try == 0 {
-			_, err := s.Commit(ctx, []wire.Guard{{Key: PlanAskedKey}}, []wire.Op{{Put: PlanAskedKey, Value: true}})
-			var c *kvstore.Conflict
+			_, err := s.CompareAndSwap(ctx, []wire.Guard{{Key: PlanAskedKey}}, []wire.Op{{Put: PlanAskedKey, Value: true}})
+			var c *kvstore.ConflictError
 			if err != nil && !errors.As(err, &c) {
 				return 0, err
 			}
@@ -455,7 +455,7 @@
 		if !ok || n > h.Current() || slices.ContainsFunc(h.Versions, func(v PlanVersion) bool { return v.Draft == draft }) {
 			continue
 		}
-		if _, err := s.Commit(ctx, []wire.Guard{{Key: e.Key, Version: e.Version}}, []wire.Op{{Delete: e.Key}}); err != nil {
+		if _, err := s.CompareAndSwap(ctx, []wire.Guard{{Key: e.Key, Version: e.Version}}, []wire.Op{{Delete: e.Key}}); err != nil {
 			return
 		}
 	}
--- a/jobstore/plan_test.go
+++ b/jobstore/plan_test.go
@@ -187,11 +187,11 @@
 	context.Context
 }
 
-func (d dying) Commit(ctx context.Context, g []wire.Guard, o []wire.Op) (uint64, error) {
+func (d dying) CompareAndSwap(ctx context.Context, g []wire.Guard, o []wire.Op) (uint64, error) {
 	if d.Err() != nil {
-		return 0, kvstore.ErrUnknown
+		return 0, kvstore.ErrOutcomeUnknown
 	}
-	return d.store.Commit(ctx, g, o)
+	return d.store.CompareAndSwap(ctx, g, o)
 }
 
 // Whatever of the records is damaged, the newest version that can be read holds,
@@ -236,7 +236,7 @@
 	}
 }
 
-// With nothing readable left there is no plan to decide by, and that is said: it is
+// ConnContext nothing readable left there is no plan to decide by, and that is said: it is
 // not as if there had never been one.
 func TestAPlanOfWhichNothingIsLeftIsNotNoPlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/jobstore/reader.go
+++ b/jobstore/reader.go
@@ -18,11 +18,11 @@
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Entry, error)
 	List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error)
-	// Span reads at most so many keys with a prefix that come after a key.
-	Span(ctx context.Context, prefix, after string, most int) (entries []wire.Entry, more bool, rev uint64, err error)
-	Commit(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
-	Spare(n int) bool // whether so many changes can be made without waiting
-	Follow(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error)
+	// ListPage reads at most so many keys with a prefix that come after a key.
+	ListPage(ctx context.Context, prefix, after string, most int) (entries []wire.Entry, more bool, rev uint64, err error)
+	CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
+	HasWriteCapacity(n int) bool // whether so many changes can be made without waiting
+	Watch(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error)
 }
 
 // ErrNewer says that the records are in a form that a later version has written,
@@ -189,11 +189,11 @@
 	loaded, rev := r.loaded, r.rev
 	r.mu.Unlock()
 	if loaded {
-		ev, err := r.store.Follow(ctx, Active, rev, 0)
+		ev, err := r.store.Watch(ctx, Active, rev, 0)
 		if err == nil {
 			return r.apply(ev)
 		}
-		if !errors.Is(err, kvstore.ErrTooOld) {
+		if !errors.Is(err, kvstore.ErrCompacted) {
 			return err
 		}
 	}
@@ -202,9 +202,9 @@
 	}
 	// The pages are of different moments: the changes since the first one make
 	// them whole.
-	ev, err := r.store.Follow(ctx, Active, r.part.rev, 0)
+	ev, err := r.store.Watch(ctx, Active, r.part.rev, 0)
 	if err != nil {
-		if errors.Is(err, kvstore.ErrTooOld) {
+		if errors.Is(err, kvstore.ErrCompacted) {
 			r.part = listing{}
 		}
 		return err
@@ -239,7 +239,7 @@
 // little of each, none would ever have read all.
 func (r *Reader) list(ctx context.Context) error {
 	for !r.part.whole {
-		items, more, rev, err := r.store.Span(ctx, Active, r.part.after, loadPage)
+		items, more, rev, err := r.store.ListPage(ctx, Active, r.part.after, loadPage)
 		if err != nil {
 			return err
 		}
@@ -399,7 +399,7 @@
 
 // view is what the active records say of a job. unsure says that it may be over
 // for all that, or not found and yet accepted: a page that it stands on, or may
-// stand on, can't be read.
+// campaign on, can't be read.
 func (r *Reader) view(id string) (v View, found, unsure bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -497,13 +497,13 @@
 				return "", true, fmt.Errorf("%w: %s", ErrDamaged, v.home)
 			}
 			// Its page stays as it is, and what is final goes before it.
-			_, err = r.store.Commit(ctx,
+			_, err = r.store.CompareAndSwap(ctx,
 				[]wire.Guard{{Key: v.home, Version: lost}, {Key: JobKey(id)}, {Key: FinalKey(id)}},
 				[]wire.Op{{Put: FinalKey(id), Value: rec}})
 		} else if v.home != "" {
 			err = r.cancelOnPage(ctx, id, v.home, rec)
 		} else {
-			_, err = r.store.Commit(ctx,
+			_, err = r.store.CompareAndSwap(ctx,
 				[]wire.Guard{{Key: JobKey(id), Version: v.Version}, {Key: FinalKey(id)}},
 				[]wire.Op{{Delete: JobKey(id)}, {Put: FinalKey(id), Value: rec}})
 		}
@@ -511,8 +511,8 @@
 			r.keepFinal(id, rec)
 			return rec.State, true, nil
 		}
-		var c *kvstore.Conflict
-		if !errors.As(err, &c) && !errors.Is(err, kvstore.ErrUnknown) {
+		var c *kvstore.ConflictError
+		if !errors.As(err, &c) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 			return "", true, err
 		}
 	}
--- a/jobstore/reserve.go
+++ b/jobstore/reserve.go
@@ -283,25 +283,25 @@
 func (r *Reader) Reserve(ctx context.Context, j wire.Job, atMs int64, res Reserve, owner Entry, value any) (rev uint64, known bool, err error) {
 	guards := []wire.Guard{{Key: JobKey(j.ID)}, {Key: FinalKey(j.ID)}, {Key: owner.Key, Version: owner.Version}}
 	ops := []wire.Op{{Put: JobKey(j.ID), Value: JobRecord{Job: j, AtMs: atMs, Reserve: &res}}, {Put: owner.Key, Value: value}}
-	rev, err = r.store.Commit(ctx, guards, ops)
-	var c *kvstore.Conflict
-	if errors.As(err, &c) && !slices.Contains(c.Failed, owner.Key) {
+	rev, err = r.store.CompareAndSwap(ctx, guards, ops)
+	var c *kvstore.ConflictError
+	if errors.As(err, &c) && !slices.Contains(c.FailedKeys, owner.Key) {
 		return 0, true, nil
 	}
 	return rev, false, err
 }
 
 // Mark changes a reserved job's marks, together with more puts; it fails with a
-// Conflict where the job has changed since it was read.
+// ConflictError where the job has changed since it was read.
 func (r *Reader) Mark(ctx context.Context, v *Reserved, change func(*Reserve), more ...wire.Op) error {
 	if v.Version == 0 || v.Record.Reserve == nil {
-		return fmt.Errorf("%w: job %s is over", kvstore.ErrInvalid, v.ID)
+		return fmt.Errorf("%w: job %s is over", kvstore.ErrInvalidRequest, v.ID)
 	}
 	rec := v.Record
 	res := *rec.Reserve
 	change(&res)
 	rec.Reserve = &res
-	rev, err := r.store.Commit(ctx, []wire.Guard{{Key: JobKey(v.ID), Version: v.Version}},
+	rev, err := r.store.CompareAndSwap(ctx, []wire.Guard{{Key: JobKey(v.ID), Version: v.Version}},
 		append([]wire.Op{{Put: JobKey(v.ID), Value: rec}}, more...))
 	if err != nil {
 		return err
--- a/jobstore/store_test.go
+++ b/jobstore/store_test.go
@@ -59,13 +59,13 @@
 	return e, nil
 }
 
-func (s *store) Span(ctx context.Context, prefix, after string, most int) ([]wire.Entry, bool, uint64, error) {
+func (s *store) ListPage(ctx context.Context, prefix, after string, most int) ([]wire.Entry, bool, uint64, error) {
 	s.pause()
 	if prefix == jobstore.Active {
 		time.Sleep(s.listing)
 	}
 	if ctx.Err() != nil {
-		return nil, false, 0, kvstore.ErrUnknown
+		return nil, false, 0, kvstore.ErrOutcomeUnknown
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,11 +81,11 @@
 }
 
 func (s *store) List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error) {
-	entries, _, rev, err := s.Span(ctx, prefix, "", 1<<20)
+	entries, _, rev, err := s.ListPage(ctx, prefix, "", 1<<20)
 	return entries, rev, err
 }
 
-func (s *store) Follow(_ context.Context, prefix string, after uint64, _ time.Duration) (wire.Events, error) {
+func (s *store) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (wire.Events, error) {
 	s.pause()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +99,7 @@
 	return ev, nil
 }
 
-func (s *store) Commit(_ context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error) {
+func (s *store) CompareAndSwap(_ context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error) {
 	s.pause()
 	rev, err := s.commit(guards, ops)
 	if f := s.answering; f != nil && err == nil {
@@ -122,15 +122,15 @@
 			defer s.mu.Unlock()
 			_, _ = s.apply(guards, ops)
 		})
-		return 0, kvstore.ErrUnknown
+		return 0, kvstore.ErrOutcomeUnknown
 	case p < s.late+s.lost:
 		_, _ = s.apply(guards, ops)
-		return 0, kvstore.ErrUnknown
+		return 0, kvstore.ErrOutcomeUnknown
 	}
 	return s.apply(guards, ops)
 }
 
-func (s *store) Spare(int) bool { return true }
+func (s *store) HasWriteCapacity(int) bool { return true }
 
 // apply is the transaction itself; the lock is held.
 func (s *store) apply(guards []wire.Guard, ops []wire.Op) (uint64, error) {
@@ -141,7 +141,7 @@
 		}
 	}
 	if failed != nil {
-		return 0, &kvstore.Conflict{Failed: failed, Revision: s.rev}
+		return 0, &kvstore.ConflictError{FailedKeys: failed, Revision: s.rev}
 	}
 	s.rev++
 	for _, op := range ops {
@@ -216,7 +216,7 @@
 	}
 }
 
-// set writes a key as nobody else would.
+// setRate writes a key as nobody else would.
 func (s *store) set(key string, v wire.Raw) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/peerrpc/mesh.go
+++ b/peerrpc/mesh.go
@@ -50,10 +50,10 @@
 
 // Handler serves the other nodes.
 type Handler interface {
-	Report(ctx context.Context, r Request) Answer
-	User(ctx context.Context, r Request) Answer
+	HandleHeartbeat(ctx context.Context, r Request) Answer
+	HandleUserRequest(ctx context.Context, r Request) Answer
 	Status(asks Request) Status
-	Recall(ctx context.Context, r Request) Answer
+	RecoverRecord(ctx context.Context, r Request) Answer
 	Overview() []byte
 	Machines() []byte
 }
@@ -66,8 +66,8 @@
 	rep chan struct{} // reports under way
 }
 
-// ErrBusy says that too much is under way already.
-var ErrBusy = errors.New("busy")
+// ErrRateLimited says that too much is under way already.
+var ErrOverloaded = errors.New("busy")
 
 // serve runs a request of another node, as long as not too many are under way.
 func (m *Mesh) serve(sem chan struct{}, f func(ctx context.Context)) error {
@@ -75,7 +75,7 @@
 	case sem <- struct{}{}:
 		defer func() { <-sem }()
 	default:
-		return ErrBusy
+		return ErrOverloaded
 	}
 	ctx, cancel := context.WithTimeout(m.ctx, 3*time.Second)
 	defer cancel()
@@ -83,20 +83,20 @@
 	return nil
 }
 
-// Report handles a worker's report that another node received.
+// Forward handles a worker's report that another node received.
 func (m *Mesh) Report(r Request, a *Answer) error {
-	return m.serve(m.rep, func(ctx context.Context) { *a = m.h.Report(ctx, r) })
+	return m.serve(m.rep, func(ctx context.Context) { *a = m.h.HandleHeartbeat(ctx, r) })
 }
 
-// User handles a user's request that another node could not serve.
+// ForwardUserRequest handles a user's request that another node could not serve.
 func (m *Mesh) User(r Request, a *Answer) error {
-	return m.serve(m.sem, func(ctx context.Context) { *a = m.h.User(ctx, r) })
+	return m.serve(m.sem, func(ctx context.Context) { *a = m.h.HandleUserRequest(ctx, r) })
 }
 
-// Recall says what this node remembers of a record that can't be read any more: 200
+// FetchRecoveredRecord says what this node remembers of a record that can't be read any more: 200
 // with a ledger.Memory, or 404.
 func (m *Mesh) Recall(r Request, a *Answer) error {
-	return m.serve(m.sem, func(ctx context.Context) { *a = m.h.Recall(ctx, r) })
+	return m.serve(m.sem, func(ctx context.Context) { *a = m.h.RecoverRecord(ctx, r) })
 }
 
 // Status says how this node is.
@@ -117,14 +117,14 @@
 	return nil
 }
 
-// usersAtOnce is how many users' requests of other nodes are under way at most.
-const usersAtOnce = 256
+// maxUserRequests is how many users' requests of other nodes are under way at most.
+const maxUserRequests = 256
 
 // Serve answers other nodes until ctx ends, with at most so many workers'
 // reports under way.
 func Serve(ctx context.Context, l net.Listener, h Handler, reports int) error {
 	srv := rpc.NewServer()
-	m := &Mesh{h: h, ctx: ctx, sem: make(chan struct{}, usersAtOnce), rep: make(chan struct{}, max(64, reports))}
+	m := &Mesh{h: h, ctx: ctx, sem: make(chan struct{}, maxUserRequests), rep: make(chan struct{}, max(64, reports))}
 	if err := srv.Register(m); err != nil {
 		return fmt.Errorf("mesh: %w", err)
 	}
@@ -148,7 +148,7 @@
 			continue
 		}
 		go func() {
-			g := gather(conn)
+			g := newBatchingConn(conn)
 			end := context.AfterFunc(ctx, func() { g.Close() })
 			defer end()
 			defer g.Close()
@@ -166,25 +166,25 @@
 	dialing chan struct{} // held by the one caller that dials
 	sending chan struct{} // and by the one that writes a request
 
-	mu     sync.Mutex
-	c      *rpc.Client
-	bad    time.Time // no dialling before this
-	missed time.Time // when it last did not answer, unless it has since
+	mu        sync.Mutex
+	rpcClient *rpc.Client
+	redialAt  time.Time // no dialling before this
+	failedAt  time.Time // when it last did not answer, unless it has since
 }
 
-// Missed says when the node last did not answer; zero if it has since.
-func (p *Peer) Missed() time.Time {
+// FailedAt says when the node last did not answer; zero if it has since.
+func (p *Peer) FailedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.missed
+	return p.failedAt
 }
 
-func (p *Peer) note(err error) {
+func (p *Peer) recordOutcome(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.missed = time.Time{}
+	p.failedAt = time.Time{}
 	if err != nil {
-		p.missed = time.Now()
+		p.failedAt = time.Now()
 	}
 }
 
@@ -193,19 +193,19 @@
 	return &Peer{Name: name, addr: addr, dial: dial, dialing: make(chan struct{}, 1), sending: make(chan struct{}, 1)}
 }
 
-// open returns the connection there is, if any, and whether one may be dialled.
-func (p *Peer) open() (*rpc.Client, bool) {
+// counts returns the connection there is, if any, and whether one may be dialled.
+func (p *Peer) existing() (*rpc.Client, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.c, !time.Now().Before(p.bad)
+	return p.rpcClient, !time.Now().Before(p.redialAt)
 }
 
-// client connects if need be. Nobody waits for another's dialling longer than
+// connect connects if need be. Nobody waits for another's dialling longer than
 // for an answer.
-func (p *Peer) client(ctx context.Context) (*rpc.Client, error) {
+func (p *Peer) connect(ctx context.Context) (*rpc.Client, error) {
 	ctx, cancel := context.WithTimeout(ctx, 600*time.Millisecond)
 	defer cancel()
-	if c, _ := p.open(); c != nil {
+	if c, _ := p.existing(); c != nil {
 		return c, nil
 	}
 	select {
@@ -214,7 +214,7 @@
 	case <-ctx.Done():
 		return nil, fmt.Errorf("mesh: %s: %w", p.Name, ctx.Err())
 	}
-	c, may := p.open()
+	c, may := p.existing()
 	if c != nil {
 		return c, nil
 	}
@@ -225,17 +225,17 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err != nil {
-		p.bad = time.Now().Add(700 * time.Millisecond)
+		p.redialAt = time.Now().Add(700 * time.Millisecond)
 		return nil, fmt.Errorf("mesh: %w", err)
 	}
-	p.c = rpc.NewClient(conn)
-	return p.c, nil
+	p.rpcClient = rpc.NewClient(conn)
+	return p.rpcClient, nil
 }
 
 func (p *Peer) call(ctx context.Context, method string, in, out any) error {
-	c, err := p.client(ctx)
+	c, err := p.connect(ctx)
 	if err != nil {
-		p.note(err)
+		p.recordOutcome(err)
 		return err
 	}
 	// net/rpc writes the request before Go returns, and lets one caller write at
@@ -258,16 +258,16 @@
 	}
 	var said rpc.ServerError
 	if errors.As(err, &said) {
-		p.note(nil)
+		p.recordOutcome(nil)
 	} else {
-		p.note(err)
+		p.recordOutcome(err)
 	}
 	if err != nil && !errors.As(err, &said) {
 		// The connection may be dead without an error: begin anew.
 		p.mu.Lock()
-		if p.c == c {
-			p.c = nil
-			p.bad = time.Now().Add(300 * time.Millisecond)
+		if p.rpcClient == c {
+			p.rpcClient = nil
+			p.redialAt = time.Now().Add(300 * time.Millisecond)
 		}
 		p.mu.Unlock()
 		c.Close()
@@ -278,16 +278,16 @@
 	return nil
 }
 
-// User passes a user's request on.
-func (p *Peer) User(ctx context.Context, r Request) (a Answer, err error) {
+// ForwardUserRequest passes a user's request on.
+func (p *Peer) ForwardUserRequest(ctx context.Context, r Request) (a Answer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 2500*time.Millisecond)
 	defer cancel()
 	err = p.call(ctx, "User", r, &a)
 	return a, err
 }
 
-// Recall asks what the node remembers of a record.
-func (p *Peer) Recall(ctx context.Context, r Request) (a Answer, err error) {
+// FetchRecoveredRecord asks what the node remembers of a record.
+func (p *Peer) FetchRecoveredRecord(ctx context.Context, r Request) (a Answer, err error) {
 	ctx, cancel := context.WithTimeout(ctx, 1500*time.Millisecond)
 	defer cancel()
 	err = p.call(ctx, "Recall", r, &a)
--- a/peerrpc/lane_test.go
+++ b/peerrpc/stream_test.go
@@ -23,12 +23,12 @@
 	down   atomic.Bool
 }
 
-func (f *far) Report(_ context.Context, r Request) Answer { return f.answer(r) }
-func (f *far) User(context.Context, Request) Answer       { return Answer{} }
-func (f *far) Status(Request) Status                      { return Status{} }
-func (f *far) Recall(context.Context, Request) Answer     { return Answer{} }
-func (f *far) Overview() []byte                           { return nil }
-func (f *far) Machines() []byte                           { return nil }
+func (f *far) HandleHeartbeat(_ context.Context, r Request) Answer { return f.answer(r) }
+func (f *far) HandleUserRequest(context.Context, Request) Answer   { return Answer{} }
+func (f *far) Status(Request) Status                               { return Status{} }
+func (f *far) RecoverRecord(context.Context, Request) Answer       { return Answer{} }
+func (f *far) Overview() []byte                                    { return nil }
+func (f *far) Machines() []byte                                    { return nil }
 
 type counted struct {
 	net.Conn
@@ -49,14 +49,14 @@
 	return counted{a, &f.writes}, err
 }
 
-func lane(t *testing.T, tell func(t *testing.T, l *Lane, f *far)) {
+func lane(t *testing.T, tell func(t *testing.T, l *HeartbeatStream, f *far)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &far{Listener: memnet.Listen(0)}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = Serve(ctx, f, f, 1000) }()
-		l := NewLane("n-1", "n-1:81", f.dial, 500)
+		l := NewHeartbeatStream("n-1", "n-1:81", f.dial, 500)
 		tell(t, l, f)
 		l.Close()
 		cancel()
@@ -68,7 +68,7 @@
 // Hundreds of reports go over one connection in few packets; one whose answer
 // is held back holds up no other, and each gets the answer to its own.
 func TestReportsGoTogetherAndComeBackAlone(t *testing.T) {
-	lane(t, func(t *testing.T, l *Lane, f *far) {
+	lane(t, func(t *testing.T, l *HeartbeatStream, f *far) {
 		f.answer = func(r Request) Answer {
 			if string(r.Body) == "host-7" {
 				time.Sleep(time.Second)
@@ -80,7 +80,7 @@
 		for i := range 300 {
 			go func() {
 				name := fmt.Sprintf("host-%d", i)
-				a, err := l.Report(t.Context(), Request{Body: []byte(name)})
+				a, err := l.Forward(t.Context(), Request{Body: []byte(name)})
 				if err != nil || string(a.Body) != "for "+name {
 					wrong.Add(1)
 				}
@@ -102,7 +102,7 @@
 // A late answer says nothing of the connection while others come; a connection
 // that brings nothing at all is given up, and the next report opens another.
 func TestALaneIsGivenUpWhenItBringsNothing(t *testing.T) {
-	lane(t, func(t *testing.T, l *Lane, f *far) {
+	lane(t, func(t *testing.T, l *HeartbeatStream, f *far) {
 		var still atomic.Bool
 		wait := make(chan struct{})
 		f.answer = func(r Request) Answer {
@@ -112,57 +112,57 @@
 			return Answer{Status: 200}
 		}
 		late := make(chan error, 1)
-		go func() { _, err := l.Report(t.Context(), Request{Body: []byte("late")}); late <- err }()
+		go func() { _, err := l.Forward(t.Context(), Request{Body: []byte("late")}); late <- err }()
 		for range 8 {
-			if _, err := l.Report(t.Context(), Request{}); err != nil {
+			if _, err := l.Forward(t.Context(), Request{}); err != nil {
 				t.Errorf("held up by another's answer: %v", err)
 			}
 			time.Sleep(400 * time.Millisecond)
 		}
-		if err := <-late; err == nil || f.dials.Load() != 1 || !l.Reach() {
+		if err := <-late; err == nil || f.dials.Load() != 1 || !l.Reachable() {
 			t.Errorf("late: %v; %d connections", err, f.dials.Load())
 		}
 		still.Store(true)
-		if _, err := l.Report(t.Context(), Request{}); err == nil || l.Reach() {
+		if _, err := l.Forward(t.Context(), Request{}); err == nil || l.Reachable() {
 			t.Errorf("nothing came, and the connection is kept (%v)", err)
 		}
 		still.Store(false)
 		close(wait)
 		time.Sleep(2 * time.Second)
-		if _, err := l.Report(t.Context(), Request{}); err != nil || f.dials.Load() != 2 {
+		if _, err := l.Forward(t.Context(), Request{}); err != nil || f.dials.Load() != 2 {
 			t.Errorf("not opened again: %v, %d connections", err, f.dials.Load())
 		}
 	})
 }
 
 // What is not reached is not tried by each of a thousand workers, and what is
-// under way is bounded.
+// inFlight way is bounded.
 func TestALaneIsBounded(t *testing.T) {
-	lane(t, func(t *testing.T, l *Lane, f *far) {
+	lane(t, func(t *testing.T, l *HeartbeatStream, f *far) {
 		wait := make(chan struct{})
 		f.answer = func(Request) Answer { <-wait; return Answer{Status: 200} }
 		var busy atomic.Int32
 		for range 700 {
 			go func() {
-				if _, err := l.Report(t.Context(), Request{}); errors.Is(err, ErrBusy) {
+				if _, err := l.Forward(t.Context(), Request{}); errors.Is(err, ErrOverloaded) {
 					busy.Add(1)
 				}
 			}()
 		}
 		time.Sleep(100 * time.Millisecond)
-		if busy.Load() != 200 || l.Under() != 500 {
-			t.Errorf("%d turned away, %d under way, of 700 with room for 500", busy.Load(), l.Under())
+		if busy.Load() != 200 || l.InFlight() != 500 {
+			t.Errorf("%d turned away, %d under way, of 700 with room for 500", busy.Load(), l.InFlight())
 		}
 		close(wait)
 		time.Sleep(5 * time.Second)
 		l.Close()
 		f.down.Store(true)
 		time.Sleep(2 * time.Second)
-		if _, err := l.Report(t.Context(), Request{}); err == nil || l.Reach() {
+		if _, err := l.Forward(t.Context(), Request{}); err == nil || l.Reachable() {
 			t.Error("a node that is not reached counts as reached")
 		}
 		begun := time.Now()
-		if _, err := l.Report(t.Context(), Request{}); err == nil || time.Since(begun) > 0 {
+		if _, err := l.Forward(t.Context(), Request{}); err == nil || time.Since(begun) > 0 {
 			t.Errorf("%v after %v", err, time.Since(begun))
 		}
 	})
@@ -173,7 +173,7 @@
 func TestWhatIsGatheredArrivesAsItWasWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
-		g := gather(a)
+		g := newBatchingConn(a)
 		var want, got []byte
 		done := make(chan struct{})
 		go func() {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -9,9 +9,9 @@
 func plan(workers int, relays ...string) Plan {
 	var nodes []Node
 	for _, r := range relays {
-		nodes = append(nodes, Node{Name: r, Room: Keep(2600)})
+		nodes = append(nodes, Node{Name: r, Room: MaxWorkerConns(2600)})
 	}
-	return New("a", 7, workers, 2600, nodes)
+	return NewPlan("a", 7, workers, 2600, nodes)
 }
 
 func worker(i int) string { return fmt.Sprintf("host-%06d", i) }
@@ -23,17 +23,17 @@
 	p := plan(2600, "c", "b")
 	got := map[string]int{}
 	for i := range p.Workers {
-		got[p.Home(worker(i))]++
+		got[p.NodeFor(worker(i))]++
 	}
 	if got["a"] < 560 || got["a"] > 740 || got["b"] < 850 || got["c"] < 850 {
 		t.Errorf("spread %v, wanted about 650 of 2,600 at the leader", got)
 	}
 	for _, small := range []Plan{plan(400, "b", "c"), plan(9000)} {
-		if small.Spread() || small.Home(worker(1)) != "a" {
+		if small.UsesRelays() || small.NodeFor(worker(1)) != "a" {
 			t.Errorf("%+v sends workers away", small)
 		}
 	}
-	if crowd := plan(9000, "b", "c"); crowd.Direct < 9000-2*Keep(2600) {
+	if crowd := plan(9000, "b", "c"); crowd.Direct < 9000-2*MaxWorkerConns(2600) {
 		t.Errorf("the leader keeps %d of 9,000, more than the others have room for are lost", crowd.Direct)
 	}
 }
@@ -44,11 +44,11 @@
 	p, more, less := plan(2600, "b", "c"), plan(2650, "b", "c"), plan(2600, "b")
 	moved, orphans, strays := 0, 0, 0
 	for i := range 2600 {
-		home := p.Home(worker(i))
-		if more.Home(worker(i)) != home {
+		home := p.NodeFor(worker(i))
+		if more.NodeFor(worker(i)) != home {
 			moved++
 		}
-		switch now := less.Home(worker(i)); {
+		switch now := less.NodeFor(worker(i)); {
 		case home == "c":
 			orphans++
 		case now != home:
@@ -68,15 +68,15 @@
 	p := plan(2600, "b", "c")
 	homes := map[string]string{}
 	for i := 0; len(homes) < 3; i++ {
-		homes[p.Home(worker(i))] = worker(i)
+		homes[p.NodeFor(worker(i))] = worker(i)
 	}
 	small := plan(300, "b", "c")
-	away := Guest{SentTo: "a", SentAgo: 3 * time.Second}
+	away := WorkerHistory{RedirectedTo: "a", SinceRedirect: 3 * time.Second}
 	for _, c := range []struct {
 		name      string
 		worker    string
 		p         *Plan
-		g         Guest
+		g         WorkerHistory
 		full, cut bool
 		to        string
 		pass      bool
@@ -85,18 +85,18 @@
 		{name: "the leader's, and new here", worker: homes["a"], p: &p, pass: true},
 		{name: "the leader's, and no room", worker: homes["a"], p: &p, full: true, to: "a"},
 		{name: "the leader's, but it has come back from there", worker: homes["a"], p: &p, g: away, pass: true},
-		{name: "the leader's, but served here for a while", worker: homes["a"], p: &p, g: Guest{Kept: true}, pass: true},
+		{name: "the leader's, but served here for a while", worker: homes["a"], p: &p, g: WorkerHistory{ServedHere: true}, pass: true},
 		{name: "another's: passed on all the same", worker: homes["c"], p: &p, pass: true},
 		{name: "another's, and no room", worker: homes["c"], p: &p, full: true, to: "c"},
-		{name: "another's, no room, but it has come back", worker: homes["c"], p: &p, full: true, g: Guest{SentTo: "c"}, pass: true},
+		{name: "another's, no room, but it has come back", worker: homes["c"], p: &p, full: true, g: WorkerHistory{RedirectedTo: "c"}, pass: true},
 		{name: "the leader can't be reached from here", worker: homes["b"], p: &p, cut: true, to: "a"},
 		{name: "a small fleet, and new here", worker: homes["b"], p: &small, pass: true},
-		{name: "a small fleet, kept while it had come back", worker: homes["b"], p: &small, g: Guest{Kept: true}, to: "a"},
+		{name: "a small fleet, kept while it had come back", worker: homes["b"], p: &small, g: WorkerHistory{ServedHere: true}, to: "a"},
 		{name: "a new leader: everybody is answered where they are", worker: homes["b"], pass: true},
 		{name: "a new leader that can't be reached from here", worker: homes["b"], cut: true, to: "a"},
-		{name: "sent there long ago", worker: homes["a"], p: &p, g: Guest{SentTo: "a", SentAgo: time.Minute}, full: true, to: "a"},
+		{name: "sent there long ago", worker: homes["a"], p: &p, g: WorkerHistory{RedirectedTo: "a", SinceRedirect: time.Minute}, full: true, to: "a"},
 	} {
-		to, pass := Follower("b", "a", c.worker, c.p, c.g, c.full, !c.cut)
+		to, pass := RouteAtFollower("b", "a", c.worker, c.p, c.g, c.full, !c.cut)
 		if pass != c.pass || !pass && to != c.to {
 			t.Errorf("%s: passed on %v, sent to %q", c.name, pass, to)
 		}
@@ -108,19 +108,19 @@
 func TestWhoTheLeaderMoves(t *testing.T) {
 	p := plan(2600, "b", "c")
 	w := worker(0)
-	for i := 0; p.Home(w) == "a"; i++ {
+	for i := 0; p.NodeFor(w) == "a"; i++ {
 		w = worker(i)
 	}
-	home := p.Home(w)
-	if to := Leader(w, &p, Guest{}, 2000, true); to != home {
+	home := p.NodeFor(w)
+	if to := RedirectFromLeader(w, &p, WorkerHistory{}, 2000, true); to != home {
 		t.Errorf("sent to %q, not to %q", to, home)
 	}
 	for name, to := range map[string]string{
-		"few are here":       Leader(w, &p, Guest{}, 600, true),
-		"its lease is old":   Leader(w, &p, Guest{}, 2000, false),
-		"it has come back":   Leader(w, &p, Guest{SentTo: home, SentAgo: time.Second}, 2000, true),
-		"no other is there":  Leader(w, &Plan{Leader: "a", Workers: 2600, Direct: 2600}, Guest{}, 2500, true),
-		"it is at home here": Leader(mine(&p), &p, Guest{}, 2000, true),
+		"few are here":       RedirectFromLeader(w, &p, WorkerHistory{}, 600, true),
+		"its lease is old":   RedirectFromLeader(w, &p, WorkerHistory{}, 2000, false),
+		"it has come back":   RedirectFromLeader(w, &p, WorkerHistory{RedirectedTo: home, SinceRedirect: time.Second}, 2000, true),
+		"no other is there":  RedirectFromLeader(w, &Plan{Leader: "a", Workers: 2600, Direct: 2600}, WorkerHistory{}, 2500, true),
+		"it is at home here": RedirectFromLeader(mine(&p), &p, WorkerHistory{}, 2000, true),
 	} {
 		if to != "" {
 			t.Errorf("%s: sent to %q", name, to)
@@ -130,7 +130,7 @@
 
 func mine(p *Plan) string {
 	for i := 0; ; i++ {
-		if p.Home(worker(i)) == p.Leader {
+		if p.NodeFor(worker(i)) == p.Leader {
 			return worker(i)
 		}
 	}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -110,11 +110,11 @@
 	left int
 }
 
-func (f *few) Commit(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error) {
+func (f *few) CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error) {
 	if f.left--; f.left < 0 {
 		return 0, errCut
 	}
-	return f.Client.Commit(ctx, guards, ops)
+	return f.Client.CompareAndSwap(ctx, guards, ops)
 }
 
 // A snapshot taken while jobs come and go is of one moment and sound, and a world
--- a/snapshot/take.go
+++ b/snapshot/take.go
@@ -20,14 +20,14 @@
 // Source is what taking a snapshot needs of the state service.
 type Source interface {
 	Page(ctx context.Context, prefix, after string) ([]wire.Entry, bool, uint64, error)
-	Follow(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error)
+	Watch(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error)
 }
 
 // Target is what filling a state service needs of it.
 type Target interface {
 	Page(ctx context.Context, prefix, after string) ([]wire.Entry, bool, uint64, error)
 	Get(ctx context.Context, key string) (wire.Entry, error)
-	Commit(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
+	CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
 }
 
 // tries is how often a request is repeated that the state service refuses.
@@ -37,7 +37,7 @@
 func again(ctx context.Context, f func() error) error {
 	for try := 1; ; try++ {
 		err := f()
-		if err == nil || try == tries || !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrUnknown) {
+		if err == nil || try == tries || !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 			return err
 		}
 		if !call.Pause(ctx, time.Duration(try)*100*time.Millisecond) {
@@ -82,7 +82,7 @@
 			if err := pace.Wait(ctx); err != nil {
 				return err
 			}
-			ev, err := src.Follow(ctx, "", rev, 0)
+			ev, err := src.Watch(ctx, "", rev, 0)
 			if err != nil {
 				return err
 			}
@@ -105,7 +105,7 @@
 			return Header{}, 0, fmt.Errorf("snapshot: changes after revision %d: %w", rev, err)
 		}
 	}
-	delete(all, election.Key) // whoever leads now
+	delete(all, election.LeaderKey) // whoever leads now
 	h := Header{Revision: rev, AtMs: time.Now().UnixMilli(), By: by}
 	s, err := NewWriter(w, h)
 	if err != nil {
@@ -149,7 +149,7 @@
 		if len(items) > 0 {
 			return 0, fmt.Errorf("%w: it has %q", ErrNotEmpty, items[0].Key)
 		}
-		rev, err := to.Commit(ctx, []wire.Guard{{Key: importKey}}, []wire.Op{{Put: importKey, Value: mark}})
+		rev, err := to.CompareAndSwap(ctx, []wire.Guard{{Key: importKey}}, []wire.Op{{Put: importKey, Value: mark}})
 		if err != nil {
 			return 0, fmt.Errorf("import: %w", err)
 		}
@@ -167,23 +167,23 @@
 			bytes += 2 * len(all[keys[n]])
 			n++
 		}
-		var c *kvstore.Conflict
+		var c *kvstore.ConflictError
 		err := again(ctx, func() error {
-			_, err := to.Commit(ctx, guards, puts)
+			_, err := to.CompareAndSwap(ctx, guards, puts)
 			return err
 		})
 		switch {
-		case errors.As(err, &c) && !slices.Contains(c.Failed, importKey):
+		case errors.As(err, &c) && !slices.Contains(c.FailedKeys, importKey):
 			// Written before, by this import: its answer was lost, or it was cut off.
 			// With other limits it may have been written in other pieces.
 			for i := range puts {
 				err := again(ctx, func() error {
-					_, err := to.Commit(ctx, []wire.Guard{guards[0], guards[i+1]}, puts[i:i+1])
+					_, err := to.CompareAndSwap(ctx, []wire.Guard{guards[0], guards[i+1]}, puts[i:i+1])
 					return err
 				})
 				if err == nil {
 					written++
-				} else if !errors.As(err, &c) || slices.Contains(c.Failed, importKey) {
+				} else if !errors.As(err, &c) || slices.Contains(c.FailedKeys, importKey) {
 					return written, fmt.Errorf("import: at %q: %w", keys[i], err)
 				}
 			}
@@ -195,7 +195,7 @@
 		keys = keys[n:]
 	}
 	err = again(ctx, func() error {
-		_, err := to.Commit(ctx, []wire.Guard{{Key: importKey, Version: entry.Version}}, []wire.Op{{Delete: importKey}})
+		_, err := to.CompareAndSwap(ctx, []wire.Guard{{Key: importKey, Version: entry.Version}}, []wire.Op{{Delete: importKey}})
 		return err
 	})
 	if err != nil {
--- a/yarn/client.go
+++ b/yarn/client.go
@@ -70,7 +70,7 @@
 		ops = append(ops, op)
 	}
 	if err := retry(ctx, func() error {
-		if _, err := d.store.Commit(ctx, guards, ops); err != nil {
+		if _, err := d.store.CompareAndSwap(ctx, guards, ops); err != nil {
 			if _, _, _, _, rerr := d.read(ctx, id); rerr == nil {
 				return nil // another submission of the same, or this one's lost answer
 			}
--- a/yarn/door.go
+++ b/yarn/door.go
@@ -23,7 +23,7 @@
 type Store interface {
 	Get(ctx context.Context, key string) (nwire.Entry, error)
 	List(ctx context.Context, prefix string) ([]nwire.Entry, uint64, error)
-	Commit(ctx context.Context, guards []nwire.Guard, ops []nwire.Op) (uint64, error)
+	CompareAndSwap(ctx context.Context, guards []nwire.Guard, ops []nwire.Op) (uint64, error)
 }
 
 // Ledger is what it needs of the jobs' records.
@@ -60,7 +60,7 @@
 	MemGB float64 `json:"mem_gb"`
 }
 
-// Door serves YARN's protocols at one node.
+// ConnLimiter serves YARN's protocols at one node.
 type Door struct {
 	s     *Settings
 	store Store
@@ -80,7 +80,7 @@
 	badSince time.Time
 }
 
-// New makes a door. ops and valueBytes are the state service's limits.
+// NewPlan makes a door. ops and valueBytes are the state service's limits.
 func New(s *Settings, store Store, led Ledger, core Core, log *slog.Logger, ops, valueBytes int) *Door {
 	return &Door{s: s, store: store, led: led, core: core, log: log, ops: max(ops, 3), value: valueBytes, sessions: map[string]*session{}}
 }
@@ -127,8 +127,8 @@
 func retry(ctx context.Context, f func() error) error {
 	var err error
 	for try := range 6 {
-		var c *kvstore.Conflict
-		if err = f(); !errors.As(err, &c) && !errors.Is(err, kvstore.ErrUnknown) {
+		var c *kvstore.ConflictError
+		if err = f(); !errors.As(err, &c) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 			return err
 		}
 		if !call.Pause(ctx, time.Duration(20+rand.IntN(40<<try))*time.Millisecond) {
@@ -162,9 +162,9 @@
 			}
 			k.Keys = []secret{first}
 		}
-		_, err = d.store.Commit(ctx, []nwire.Guard{{Key: keysKey, Version: e.Version}}, []nwire.Op{{Put: keysKey, Value: k}})
-		var c *kvstore.Conflict
-		if err != nil && !errors.As(err, &c) && !errors.Is(err, kvstore.ErrUnknown) {
+		_, err = d.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: e.Version}}, []nwire.Op{{Put: keysKey, Value: k}})
+		var c *kvstore.ConflictError
+		if err != nil && !errors.As(err, &c) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 			return keyring{}, 0, err
 		}
 	}
@@ -268,7 +268,7 @@
 		}
 		from, stamp = k.Next, k.Stamp
 		k.Next += idBlock
-		_, err = d.store.Commit(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
+		_, err = d.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
 		return err
 	})
 	if err != nil {
@@ -309,14 +309,14 @@
 // write replaces an application's record, and fails with a Conflict if it has
 // changed since it was read.
 func (d *Door) write(ctx context.Context, a *app, e *jobstore.Entry) error {
-	rev, err := d.store.Commit(ctx, []nwire.Guard{{Key: e.Key, Version: e.Version}}, []nwire.Op{{Put: e.Key, Value: *a}})
+	rev, err := d.store.CompareAndSwap(ctx, []nwire.Guard{{Key: e.Key, Version: e.Version}}, []nwire.Op{{Put: e.Key, Value: *a}})
 	if err == nil {
 		e.Version = rev
 	}
 	return err
 }
 
-// end marks an application as ending, and then ends it as far as can be done
+// closed marks an application as ending, and then ends it as far as can be done
 // now; the leader's duty does the rest. It returns once the mark is committed.
 func (d *Door) end(ctx context.Context, id *pb.ApplicationIdProto, how string, change func(a *app)) error {
 	var a *app
@@ -358,7 +358,7 @@
 	// A job that was reserved at the same moment was reserved under the record's
 	// version before the mark, so it was among those that were read.
 	a.State = a.Ending
-	_, err = d.store.Commit(ctx, []nwire.Guard{{Key: e.Key, Version: e.Version}},
+	_, err = d.store.CompareAndSwap(ctx, []nwire.Guard{{Key: e.Key, Version: e.Version}},
 		[]nwire.Op{{Delete: e.Key}, {Put: finalKey + a.name(), Value: *a}})
 	if err != nil {
 		return err
@@ -382,7 +382,7 @@
 		for _, it := range items[:n] {
 			ops = append(ops, nwire.Op{Delete: it.Key})
 		}
-		if _, err := d.store.Commit(ctx, nil, ops); err != nil {
+		if _, err := d.store.CompareAndSwap(ctx, nil, ops); err != nil {
 			return err
 		}
 		items = items[n:]
--- a/yarn/duty.go
+++ b/yarn/duty.go
@@ -215,7 +215,7 @@
 		}
 		k.Keys = append(k.Keys, s)
 		k.Keys = k.Keys[max(0, len(k.Keys)-keysKept):]
-		_, err = d.store.Commit(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
+		_, err = d.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
 		return err
 	})
 }
--- a/yarn/master.go
+++ b/yarn/master.go
@@ -346,7 +346,7 @@
 		return nil, err
 	}
 	// A master that heartbeats has the newest key's token well before its own
-	// key is dropped.
+	// priority is dropped.
 	if s.response == 0 || s.response%64 == 0 {
 		out.AmRmToken, err = k.issue(token{kind: tokMaster, stamp: a.Stamp, num: a.Num, attempt: a.Attempt}, kindMaster, d.s.Advertise)
 	}
@@ -597,7 +597,7 @@
 		res := jobstore.Reserve{Tag: tag, Avoid: slices.Sorted(maps.Keys(s.shun))}
 		id, err := d.reserve(ctx, a, &v.Entry, w.ask, n, res)
 		if err != nil {
-			var c *kvstore.Conflict
+			var c *kvstore.ConflictError
 			if errors.As(err, &c) {
 				a.Seq-- // read again before it is tried again
 			}
