--- a/controller/form.go
+++ b/controller/form.go
@@ -18,24 +18,24 @@
 // This file is about the form of the records, and about which node adds jobs to
 // a bucket (docs/jobstore.md).
 
-// form is the newest form of records that this node is to have written.
-func (n *Node) form() int {
+// schemaVersion is the newest form of records that this node is to have written.
+func (n *Node) schemaVersion() int {
 	if !n.tuning.Ledger.Intake {
 		return jobstore.FormKeys
 	}
 	return jobstore.Form
 }
 
-// raiseForm has records written in the newest form once every node says that it
+// migrateSchema has records written in the newest form once every node says that it
 // reads that. While one is of an earlier version, or can't be asked, the form
 // stays as it is, so that that version can be gone back to.
-func (l *leadership) raiseForm(ctx context.Context) {
-	if l.node.form() < jobstore.FormIntake {
+func (l *leadership) migrateSchema(ctx context.Context) {
+	if l.node.schemaVersion() < jobstore.FormIntake {
 		return
 	}
 	wait := 300 * time.Millisecond
 	for ctx.Err() == nil {
-		done, err := l.tryRaise(ctx)
+		done, err := l.tryMigrateSchema(ctx)
 		if done {
 			// Higher once somebody wants a plan.
 			select {
@@ -56,9 +56,9 @@
 	}
 }
 
-// wantedForm is the form that records are to be written in. As long as nobody
+// targetSchemaVersion is the form that records are to be written in. As long as nobody
 // wants a plan, it is one that the version before reads as well.
-func (l *leadership) wantedForm(ctx context.Context) (int, error) {
+func (l *leadership) targetSchemaVersion(ctx context.Context) (int, error) {
 	asked, err := l.node.kv.Get(ctx, jobstore.PlanAskedKey)
 	if err != nil {
 		return 0, err
@@ -69,8 +69,8 @@
 	return jobstore.FormIntake, nil
 }
 
-func (l *leadership) tryRaise(ctx context.Context) (done bool, err error) {
-	form, err := l.wantedForm(ctx)
+func (l *leadership) tryMigrateSchema(ctx context.Context) (done bool, err error) {
+	form, err := l.targetSchemaVersion(ctx)
 	if err != nil {
 		return false, err
 	}
@@ -94,10 +94,10 @@
 		}
 	}
 	if max(now.Form, form) >= jobstore.FormPlan {
-		l.planWanted() // also where this one's commit is applied and its answer lost
+		l.markPlanRequested() // also where this one's commit is applied and its answer lost
 	}
 	if now.Form >= form {
-		return true, l.copyForm(ctx, now, e.Version)
+		return true, l.ensureSchemaCopy(ctx, now, e.Version)
 	}
 	next := jobstore.FormRecord{Form: form, Buckets: max(1, len(l.node.peers)+1)}
 	if now.Buckets > 0 {
@@ -112,9 +112,9 @@
 	return true, nil
 }
 
-// copyForm sees to it that the form's copy is there: a version before has written
+// ensureSchemaCopy sees to it that the form's copy is there: a version before has written
 // none.
-func (l *leadership) copyForm(ctx context.Context, form jobstore.FormRecord, version uint64) error {
+func (l *leadership) ensureSchemaCopy(ctx context.Context, form jobstore.FormRecord, version uint64) error {
 	if version == 0 {
 		return nil
 	}
@@ -131,19 +131,19 @@
 }
 
 const (
-	// bucketFor is how long the node that adds jobs to a bucket is waited for, and
+	// bucketOwnerTimeout is how long the node that adds jobs to a bucket is waited for, and
 	// bucketWithin how long that one takes at most: then it says that it is busy.
-	bucketFor    = 1600 * time.Millisecond
-	bucketWithin = 1200 * time.Millisecond
-	// missedFor is for how long a node that did not answer is passed over.
-	missedFor = 3 * time.Second
+	bucketOwnerTimeout    = 1600 * time.Millisecond
+	forwardedWriteTimeout = 1200 * time.Millisecond
+	// unresponsivePeerBackoff is for how long a node that did not answer is passed over.
+	unresponsivePeerBackoff = 3 * time.Second
 )
 
-// toBucketsNode hands a submission or a cancellation to the node that adds jobs to
+// forwardToBucketOwner hands a submission or a cancellation to the node that adds jobs to
 // its bucket, where several nodes would be in one another's way. It is a matter of
 // speed only: any node may change any bucket, and the head's version tells who was
 // first.
-func (n *Node) toBucketsNode(ctx context.Context, id string, r peerrpc.Request) (peerrpc.Answer, bool) {
+func (n *Node) forwardToBucketOwner(ctx context.Context, id string, r peerrpc.Request) (peerrpc.Answer, bool) {
 	form := n.jobs.Form()
 	if form.Form < jobstore.FormIntake {
 		return peerrpc.Answer{}, false
@@ -152,11 +152,11 @@
 	if !n.jobs.Crowded(bucket) {
 		return peerrpc.Answer{}, false
 	}
-	p := n.bucketsNode(bucket)
+	p := n.bucketOwner(bucket)
 	if p == nil {
 		return peerrpc.Answer{}, false
 	}
-	pctx, cancel := context.WithTimeout(ctx, bucketFor)
+	pctx, cancel := context.WithTimeout(ctx, bucketOwnerTimeout)
 	defer cancel()
 	r.From = n.cfg.Node
 	a, err := p.ForwardUserRequest(pctx, r)
@@ -164,15 +164,15 @@
 	case err != nil:
 		n.log.Debug("not passed on", "op", r.Op, "to", p.Name, "err", err)
 		return peerrpc.Answer{}, false
-	case a.Status == http.StatusServiceUnavailable && a.RetryAfter != busyFor:
+	case a.Status == http.StatusServiceUnavailable && a.RetryAfter != busyRetryAfterS:
 		return peerrpc.Answer{}, false // it is that node's trouble
 	}
 	return a, true
 }
 
-// bucketsNode is the node that adds jobs to a bucket: the first, counted from the
+// bucketOwner is the node that adds jobs to a bucket: the first, counted from the
 // bucket's own, that has answered lately; nil is this one.
-func (n *Node) bucketsNode(bucket int) *peerrpc.Peer {
+func (n *Node) bucketOwner(bucket int) *peerrpc.Peer {
 	names := []string{n.cfg.Node}
 	for _, p := range n.peers {
 		names = append(names, p.Name)
@@ -183,24 +183,24 @@
 		if name == n.cfg.Node {
 			return nil
 		}
-		if p := n.peerNamed(name); p != nil && time.Since(p.FailedAt()) > missedFor {
+		if p := n.peerNamed(name); p != nil && time.Since(p.FailedAt()) > unresponsivePeerBackoff {
 			return p
 		}
 	}
 	return nil
 }
 
-// relayed serves a submission that another node has passed on because it belongs
+// serveForwardedWrite serves a submission that another node has passed on because it belongs
 // to this node's bucket.
-func (n *Node) relayed(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
-	ctx, cancel := context.WithTimeout(ctx, bucketWithin)
+func (n *Node) serveForwardedWrite(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
+	ctx, cancel := context.WithTimeout(ctx, forwardedWriteTimeout)
 	defer cancel()
-	a, err := n.localUser(ctx, r)
+	a, err := n.serveLocally(ctx, r)
 	switch {
 	case err == nil:
 		return a
 	case errors.Is(err, kvstore.ErrRateLimited) || ctx.Err() != nil:
-		return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is busy"}, busyFor)
+		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is busy"}, busyRetryAfterS)
 	}
-	return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is not reached"}, 1)
+	return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is not reached"}, 1)
 }
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -58,7 +58,7 @@
 		// are missed by this node's own calls.
 		w.Header().Set("Connection", "close")
 	}
-	write(w, a)
+	writeAnswer(w, a)
 }
 
 // workerLeaseLeft is how many seconds a worker's lease has left, as far as is known
@@ -75,7 +75,7 @@
 }
 
 func redirectTo(leader string) peerrpc.Answer {
-	return answer(http.StatusMisdirectedRequest, wire.Redirect{Leader: leader}, 0)
+	return newAnswer(http.StatusMisdirectedRequest, wire.Redirect{Leader: leader}, 0)
 }
 
 // handleHeartbeat serves a worker's report: here if this node leads, and otherwise by
@@ -119,7 +119,7 @@
 func (n *Node) forwardHeartbeat(ctx context.Context, machine, leader string, body []byte) peerrpc.Answer {
 	lane := n.peerStream(leader)
 	if lane == nil {
-		return answer(http.StatusServiceUnavailable, wire.Error{Error: "no such leader"}, 1)
+		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "no such leader"}, 1)
 	}
 	r := peerrpc.Request{From: n.cfg.Node, Body: body, AgoS: -1}
 	if ago, ok := n.lastAnswered.Since(machine, time.Now()); ok {
@@ -133,7 +133,7 @@
 			n.recordRedirect(machine, leader)
 			return redirectTo(leader)
 		}
-		return answer(http.StatusServiceUnavailable, wire.Error{Error: "the leader is not reached"}, 1)
+		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "the leader is not reached"}, 1)
 	}
 	if a.Status == http.StatusMisdirectedRequest && !n.workerHistory(machine).ReturnedFrom(leader) {
 		// It was elected and has not read the records yet. Refused here, the worker would
@@ -143,7 +143,7 @@
 		return redirectTo(leader)
 	}
 	if a.Status != http.StatusOK {
-		return answer(http.StatusServiceUnavailable, wire.Error{Error: "the leader does not answer"}, 1)
+		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "the leader does not answer"}, 1)
 	}
 	n.countForwarding(func(c *forwardingCounts) { c.forwarded++ })
 	return a
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -16,17 +16,17 @@
 // on last had an answer for it, negative if that is not known; via is the node that
 // it came to.
 func (l *leadership) answerHeartbeat(ctx context.Context, body []byte, agoS float64, via string) peerrpc.Answer {
-	unsure := answer(http.StatusServiceUnavailable, wire.Error{Error: "not sure of leading"}, 1)
+	unsure := newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "not sure of leading"}, 1)
 	if !l.lease.Valid() {
 		return unsure
 	}
 	var r wire.Report
 	if err := wire.Unmarshal(body, &r); err != nil || r.Machine == "" || r.Session == 0 {
 		l.log.Info("malformed report", "err", err)
-		return answer(http.StatusBadRequest, wire.Error{Error: "malformed report"}, 0)
+		return newAnswer(http.StatusBadRequest, wire.Error{Error: "malformed report"}, 0)
 	}
 	if err := l.heartbeatLimiter.Acquire(ctx, l.node.workerLeaseLeft(r.Machine, agoS)); err != nil {
-		return answer(http.StatusServiceUnavailable, wire.Error{Error: "too many reports under way"}, 1)
+		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "too many reports under way"}, 1)
 	}
 	l.mu.Lock()
 	now := time.Now()
@@ -78,7 +78,7 @@
 	if cmds == nil {
 		cmds = []wire.Command{}
 	}
-	return answer(http.StatusOK, wire.ReportAnswer{Token: l.lease.FencingToken, Commands: cmds}, 0)
+	return newAnswer(http.StatusOK, wire.ReportAnswer{Token: l.lease.FencingToken, Commands: cmds}, 0)
 }
 
 // maxResponseDelay is how long an answer waits for what is to follow from its report.
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -90,7 +90,7 @@
 	if types != nil {
 		l.setTypes(types)
 	}
-	l.setPlan(n.orders()) // what was learnt since the records were read
+	l.setPlan(n.operatorPlan()) // what was learnt since the records were read
 	defer func() {
 		n.mu.Lock()
 		n.active = nil
@@ -98,7 +98,7 @@
 	}()
 	ready()
 	var wg sync.WaitGroup
-	for _, duty := range []func(context.Context){l.followJobs, l.runCommitter, l.runPlanCheck, l.runScheduler, l.runScaler, l.raiseForm, l.writeNotes, l.tellEnds, l.fillPools, l.mendLater} {
+	for _, duty := range []func(context.Context){l.followJobs, l.runCommitter, l.runPlanCheck, l.runScheduler, l.runScaler, l.migrateSchema, l.writePlanRecords, l.resolveUnknownOutcomes, l.recordWeightFetches, l.retryRepairs} {
 		wg.Add(1)
 		go func() { defer wg.Done(); duty(ctx) }()
 	}
--- a/controller/load.go
+++ b/controller/load.go
@@ -16,7 +16,7 @@
 // loadModel reads what earlier leaders left.
 func (l *leadership) loadModel(ctx context.Context) error {
 	st := l.node.kv
-	items, rev, err := l.mended(ctx)
+	items, rev, err := l.listRepaired(ctx)
 	if err != nil {
 		return err
 	}
@@ -36,7 +36,7 @@
 	if err != nil {
 		return err
 	}
-	orders, err := l.node.readOrders(ctx)
+	orders, err := l.node.loadOperatorPlan(ctx)
 	if err != nil {
 		return err
 	}
@@ -45,7 +45,7 @@
 	m.Tuning, m.Headroom = l.node.tuning.Rebalance, l.node.tuning.Renting.Headroom
 	m.BeginWithin = config.Seconds(l.node.tuning.Serving.BeginWithinS)
 	if l.node.metrics != nil {
-		m.Timings = timings{l.node.metrics}
+		m.Timings = latencyMetrics{l.node.metrics}
 	}
 	if types := l.node.machineTypes(); types != nil {
 		m.SetTypes(types)
--- a/controller/look.go
+++ b/controller/look.go
@@ -22,7 +22,7 @@
 // WhyWaiting says what a job waits for, from what is committed. over is the state
 // of a job that is done or cancelled, and then there is nothing more to say.
 func WhyWaiting(ctx context.Context, cfg *config.Settings, st *kvstore.Client, id string, now time.Time) (why cluster.Why, over string, err error) {
-	m, err := look(ctx, cfg, st, now)
+	m, err := inspect(ctx, cfg, st, now)
 	if err != nil {
 		return why, "", err
 	}
@@ -43,9 +43,9 @@
 	return why, rec.State, nil
 }
 
-// look makes a model of what is committed, as a leader that takes over does, but
+// inspect makes a model of what is committed, as a leader that takes over does, but
 // for machines: none has reported to it.
-func look(ctx context.Context, cfg *config.Settings, st *kvstore.Client, now time.Time) (*cluster.Model, error) {
+func inspect(ctx context.Context, cfg *config.Settings, st *kvstore.Client, now time.Time) (*cluster.Model, error) {
 	items, _, err := st.List(ctx, jobstore.Active)
 	if err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 	if e.Version != 0 && wire.Unmarshal(e.Value, &types) == nil {
 		m.SetTypes(types.Types)
 	}
-	if err := lookAtPlan(ctx, m, st, now); err != nil {
+	if err := loadOperatorPlanRecords(ctx, m, st, now); err != nil {
 		return nil, err
 	}
 	if err := loadJobs(m, items, now); err != nil {
@@ -72,8 +72,8 @@
 	return m, nil
 }
 
-// lookAtPlan reads the plan that holds, and what its parts have recorded.
-func lookAtPlan(ctx context.Context, m *cluster.Model, st *kvstore.Client, now time.Time) error {
+// loadOperatorPlanRecords reads the plan that holds, and what its parts have recorded.
+func loadOperatorPlanRecords(ctx context.Context, m *cluster.Model, st *kvstore.Client, now time.Time) error {
 	notes, _, err := st.List(ctx, jobstore.Notes)
 	if err != nil {
 		return err
@@ -81,7 +81,7 @@
 	for _, it := range notes {
 		m.LoadNote(it.Key, it.Value, it.Version)
 	}
-	p, _, err := planIn(ctx, st)
+	p, _, err := readOperatorPlan(ctx, st)
 	if err != nil {
 		return err
 	}
--- a/controller/mend.go
+++ b/controller/mend.go
@@ -21,56 +21,56 @@
 // ("Mending") argues why no interleaving loses a job or accepts one twice.
 
 const (
-	// mendRounds is how often a leader that takes over looks again what there is to
+	// repairAttempts is how often a leader that takes over looks again what there is to
 	// mend, since others have changed the same.
-	mendRounds = 4
-	// mendEvery is how often a leader looks whether a node remembers what could not
+	repairAttempts = 4
+	// repairRetryInterval is how often a leader looks whether a node remembers what could not
 	// be mended.
-	mendEvery = 5 * time.Second
-	// keptMost bounds what a node that led remembers of pages for the next leader.
-	keptMost = 16
+	repairRetryInterval = 5 * time.Second
+	// maxRecoveredCopies bounds what a node that led remembers of pages for the next leader.
+	maxRecoveredCopies = 16
 )
 
 // last names a record in one version of it.
-type at struct {
+type recordVersion struct {
 	key     string
 	version uint64
 }
 
-// mending is what a node knows of records that can't be read; guarded by the
+// repairMemory is what a node knows of records that can't be read; guarded by the
 // node's lock.
-type mending struct {
-	told  map[at]bool             // other nodes can't read them
-	tried map[at]bool             // for which this node has resigned once
-	kept  map[at]*jobstore.Memory // as a leader of this node knew them
-	left  []left                  // of this leader's own: what could not be mended
+type repairMemory struct {
+	reported   map[recordVersion]bool             // other nodes can't read them
+	attempted  map[recordVersion]bool             // for which this node has resigned once
+	copies     map[recordVersion]*jobstore.Memory // as a leader of this node knew them
+	unrepaired []unrepairedRecord                 // of this leader's own: what could not be mended
 }
 
-// left is a record that could not be mended when a leader took over.
-type left struct {
-	at
-	was at // as it was before it was set aside
+// unrepairedRecord is a record that could not be mended when a leader took over.
+type unrepairedRecord struct {
+	recordVersion
+	original recordVersion // as it was before it was set aside
 }
 
-// told notes that another node can't read a record. The leader may know it still.
-func (n *Node) told(key string, version uint64) {
+// noteUnreadable notes that another node can't read a record. The leader may know it still.
+func (n *Node) noteUnreadable(key string, version uint64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.active == nil || len(n.mending.told) >= keptMost {
+	if n.active == nil || len(n.repairs.reported) >= maxRecoveredCopies {
 		return
 	}
-	if n.mending.told == nil {
-		n.mending.told = map[at]bool{}
+	if n.repairs.reported == nil {
+		n.repairs.reported = map[recordVersion]bool{}
 	}
-	n.mending.told[at{key, version}] = true
+	n.repairs.reported[recordVersion{key, version}] = true
 }
 
-// recalled is what this node remembers of a record.
-func (n *Node) recalled(ctx context.Context, rec, was at) *jobstore.Memory {
+// recoverLocally is what this node remembers of a record.
+func (n *Node) recoverLocally(ctx context.Context, rec, was recordVersion) *jobstore.Memory {
 	n.mu.Lock()
-	m := n.mending.kept[rec]
+	m := n.repairs.copies[rec]
 	if m == nil {
-		m = n.mending.kept[was]
+		m = n.repairs.copies[was]
 	}
 	n.mu.Unlock()
 	if m != nil {
@@ -81,19 +81,19 @@
 
 // FetchRecoveredRecord implements mesh.Handler.
 func (n *Node) RecoverRecord(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
-	m := n.recalled(ctx, at{r.ID, r.At}, at{r.Lost, r.LostAt})
+	m := n.recoverLocally(ctx, recordVersion{r.ID, r.At}, recordVersion{r.Lost, r.LostAt})
 	if m == nil {
 		return peerrpc.Answer{Status: http.StatusNotFound}
 	}
-	return answer(http.StatusOK, m, 0)
+	return newAnswer(http.StatusOK, m, 0)
 }
 
-// recall asks all nodes for what they remember of a record in a version of it, this
+// recoverCopy asks all nodes for what they remember of a record in a version of it, this
 // one first.
-func (n *Node) recall(ctx context.Context, rec, was at) *jobstore.Memory {
+func (n *Node) recoverCopy(ctx context.Context, rec, was recordVersion) *jobstore.Memory {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	if m := n.recalled(ctx, rec, was); m != nil {
+	if m := n.recoverLocally(ctx, rec, was); m != nil {
 		return m
 	}
 	var wg sync.WaitGroup
@@ -116,25 +116,25 @@
 	}
 }
 
-// mender mends what a listing has.
-type mender struct {
-	l       *leadership
-	items   map[string]wire.Entry
-	pages   map[string]jobstore.IntakeRecord // that can be read
-	left    []left
-	changed bool
+// repairer mends what a listing has.
+type repairer struct {
+	leadership *leadership
+	entries    map[string]wire.Entry
+	pages      map[string]jobstore.IntakeRecord // that can be read
+	unrepaired []unrepairedRecord
+	changed    bool
 }
 
-// mended lists all active records, mended as far as can be.
-func (l *leadership) mended(ctx context.Context) (items []wire.Entry, rev uint64, err error) {
-	for range mendRounds {
+// listRepaired lists all active records, mended as far as can be.
+func (l *leadership) listRepaired(ctx context.Context) (items []wire.Entry, rev uint64, err error) {
+	for range repairAttempts {
 		if items, rev, err = l.node.kv.List(ctx, jobstore.Active); err != nil {
 			return nil, 0, err
 		}
-		m := &mender{l: l, items: map[string]wire.Entry{}, pages: map[string]jobstore.IntakeRecord{}}
-		err = m.mend(ctx, items)
+		m := &repairer{leadership: l, entries: map[string]wire.Entry{}, pages: map[string]jobstore.IntakeRecord{}}
+		err = m.repairAll(ctx, items)
 		l.node.mu.Lock()
-		l.node.mending.left = m.left
+		l.node.repairs.unrepaired = m.unrepaired
 		l.node.mu.Unlock()
 		var c *kvstore.ConflictError
 		switch {
@@ -150,9 +150,9 @@
 	return nil, 0, fmt.Errorf("%w: too many conflicts", kvstore.ErrRefused)
 }
 
-func (m *mender) mend(ctx context.Context, items []wire.Entry) error {
+func (m *repairer) repairAll(ctx context.Context, items []wire.Entry) error {
 	for _, it := range items {
-		m.items[it.Key] = it
+		m.entries[it.Key] = it
 		if rec, err := jobstore.DecodeIntake(it.Value); err == nil && jobstore.IsIntake(it.Key) {
 			m.pages[it.Key] = rec
 		}
@@ -162,22 +162,22 @@
 		id, alone := jobstore.ParseJobKey(it.Key)
 		switch {
 		case it.Key == jobstore.FormKey:
-			err = m.form(ctx, it)
+			err = m.repairSchemaRecord(ctx, it)
 		case alone:
 			if _, bad := jobstore.DecodeJob(id, it.Value); bad != nil {
-				err = m.job(ctx, id, it)
+				err = m.repairJob(ctx, id, it)
 			}
 		case strings.HasPrefix(it.Key, jobstore.Apps):
 			if !jobstore.IsApp(it.Value) {
-				err = m.app(ctx, it)
+				err = m.repairYARNApp(ctx, it)
 			}
 		case jobstore.IsIntake(it.Key):
 			if _, ok := m.pages[it.Key]; !ok {
-				err = m.intake(ctx, it)
+				err = m.repairJobPage(ctx, it)
 			}
 		}
 		if errors.Is(err, kvstore.ErrInvalidRequest) {
-			m.l.log.Error("an unreadable record can't be mended", "key", it.Key, "err", err)
+			m.leadership.log.Error("an unreadable record can't be mended", "key", it.Key, "err", err)
 			continue
 		}
 		if err != nil {
@@ -187,19 +187,19 @@
 	return nil
 }
 
-// put commits under this leadership, and keeps what it has written.
-func (m *mender) put(ctx context.Context, guards []wire.Guard, ops ...wire.Op) error {
-	rev, err := m.l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{m.l.leaderGuard()}, guards...), ops)
+// commit commits under this leadership, and keeps what it has written.
+func (m *repairer) commit(ctx context.Context, guards []wire.Guard, ops ...wire.Op) error {
+	rev, err := m.leadership.node.kv.CompareAndSwap(ctx, append([]wire.Guard{m.leadership.leaderGuard()}, guards...), ops)
 	if err != nil {
 		return err
 	}
 	m.changed = true
 	for _, op := range ops {
 		if op.Delete != "" {
-			delete(m.items, op.Delete)
+			delete(m.entries, op.Delete)
 			continue
 		}
-		m.items[op.Put] = wire.Entry{Key: op.Put, Version: rev}
+		m.entries[op.Put] = wire.Entry{Key: op.Put, Version: rev}
 		if rec, ok := op.Value.(jobstore.IntakeRecord); ok {
 			m.pages[op.Put] = rec
 		}
@@ -207,44 +207,44 @@
 	return nil
 }
 
-// job writes the record of a job that some node remembers as it was.
-func (m *mender) job(ctx context.Context, id string, it wire.Entry) error {
-	mem := m.l.node.recall(ctx, at{it.Key, it.Version}, at{})
+// repairJob writes the record of a job that some node remembers as it was.
+func (m *repairer) repairJob(ctx context.Context, id string, it wire.Entry) error {
+	mem := m.leadership.node.recoverCopy(ctx, recordVersion{it.Key, it.Version}, recordVersion{})
 	if mem == nil {
-		m.left = append(m.left, left{at: at{it.Key, it.Version}})
+		m.unrepaired = append(m.unrepaired, unrepairedRecord{recordVersion: recordVersion{it.Key, it.Version}})
 		return nil
 	}
 	if _, err := jobstore.DecodeJob(id, mem.Raw); err != nil {
 		return nil
 	}
-	m.l.log.Error("unreadable job record: written again as a node remembers it", "key", it.Key)
-	return m.put(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}}, wire.Op{Put: it.Key, Value: mem.Raw})
+	m.leadership.log.Error("unreadable job record: written again as a node remembers it", "key", it.Key)
+	return m.commit(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}}, wire.Op{Put: it.Key, Value: mem.Raw})
 }
 
-// app writes a door's record that some node remembers as it was.
-func (m *mender) app(ctx context.Context, it wire.Entry) error {
-	mem := m.l.node.recall(ctx, at{it.Key, it.Version}, at{})
+// repairYARNApp writes a door's record that some node remembers as it was.
+func (m *repairer) repairYARNApp(ctx context.Context, it wire.Entry) error {
+	mem := m.leadership.node.recoverCopy(ctx, recordVersion{it.Key, it.Version}, recordVersion{})
 	if mem == nil || !jobstore.IsApp(mem.Raw) {
-		m.left = append(m.left, left{at: at{it.Key, it.Version}})
+		m.unrepaired = append(m.unrepaired, unrepairedRecord{recordVersion: recordVersion{it.Key, it.Version}})
 		return nil
 	}
-	m.l.log.Error("unreadable record of a door: written again as a node remembers it", "key", it.Key)
-	return m.put(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}}, wire.Op{Put: it.Key, Value: mem.Raw})
+	m.leadership.log.Error("unreadable record of a door: written again as a node remembers it", "key", it.Key)
+	return m.commit(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}}, wire.Op{Put: it.Key, Value: mem.Raw})
 }
 
-// form writes the form of the records again: as some node remembers it, as its copy
+// repairSchemaRecord writes the form of the records again: as some node remembers it, as its copy
 // says, or else as the records themselves show.
-func (m *mender) form(ctx context.Context, it wire.Entry) error {
+func (m *repairer) repairSchemaRecord(ctx context.Context, it wire.Entry) error {
 	if _, err := jobstore.DecodeForm(it.Value); err == nil {
 		return nil
 	}
 	var form jobstore.FormRecord
 	err := jobstore.ErrDamaged
-	if mem := m.l.node.recall(ctx, at{it.Key, it.Version}, at{}); mem != nil {
+	if mem := m.leadership.node.recoverCopy(ctx, recordVersion{it.Key, it.Version}, recordVersion{}); mem != nil {
 		form, err = jobstore.DecodeForm(mem.Raw)
 	}
 	if err != nil {
-		e, gerr := m.l.node.kv.Get(ctx, jobstore.FormCopyKey)
+		e, gerr := m.leadership.node.kv.Get(ctx, jobstore.FormCopyKey)
 		if gerr != nil {
 			return gerr
 		}
@@ -252,30 +252,30 @@
 	}
 	if err != nil {
 		// A version that writes a newer form has written the copy as well.
-		wanted, werr := m.l.wantedForm(ctx)
+		wanted, werr := m.leadership.targetSchemaVersion(ctx)
 		if werr != nil {
 			return werr
 		}
-		form = jobstore.FormRecord{Form: wanted, Buckets: jobstore.BucketsBy(m.pages, len(m.l.node.peers)+1)}
+		form = jobstore.FormRecord{Form: wanted, Buckets: jobstore.BucketsBy(m.pages, len(m.leadership.node.peers)+1)}
 	}
 	if form.Form > jobstore.Form {
 		return jobstore.ErrNewer
 	}
-	m.l.log.Error("the form of the records can't be read: written again", "key", it.Key, "form", form.Form, "buckets", form.Buckets)
-	return m.put(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}},
+	m.leadership.log.Error("the form of the records can't be read: written again", "key", it.Key, "form", form.Form, "buckets", form.Buckets)
+	return m.commit(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}},
 		wire.Op{Put: jobstore.FormKey, Value: form}, wire.Op{Put: jobstore.FormCopyKey, Value: form})
 }
 
-// intake sets a page of users' jobs aside that can't be read, puts an empty head in
+// repairJobPage sets a page of users' jobs aside that can't be read, puts an empty head in
 // its place if it was one, and brings back what some node remembers of it.
-func (m *mender) intake(ctx context.Context, it wire.Entry) error {
-	n := m.l.node
+func (m *repairer) repairJobPage(ctx context.Context, it wire.Entry) error {
+	n := m.leadership.node
 	a, aside := jobstore.DecodeAside(it.Value)
-	was := at{a.From, a.Version}
+	was := recordVersion{a.From, a.Version}
 	if !aside {
-		was = at{it.Key, it.Version}
+		was = recordVersion{it.Key, it.Version}
 	}
-	mem := n.recall(ctx, at{it.Key, it.Version}, was)
+	mem := n.recoverCopy(ctx, recordVersion{it.Key, it.Version}, was)
 	key := it.Key
 	if !aside {
 		bucket, seq, ok := jobstore.ParseIntakeKey(it.Key)
@@ -284,16 +284,16 @@
 		}
 		a = jobstore.NewAside(it.Key, it.Version, time.Now().UnixMilli(), it.Value, n.jobs.Limits)
 		guards := []wire.Guard{{Key: it.Key, Version: it.Version}}
-		m.l.log.Error("unreadable page of jobs: set aside", "key", it.Key, "version", it.Version, "remembered", mem != nil)
+		m.leadership.log.Error("unreadable page of jobs: set aside", "key", it.Key, "version", it.Version, "remembered", mem != nil)
 		var err error
 		if seq > 0 {
-			err = m.put(ctx, guards, wire.Op{Put: it.Key, Value: a})
+			err = m.commit(ctx, guards, wire.Op{Put: it.Key, Value: a})
 		} else {
 			// Above all pages that there are, so that none is written over; the
 			// page goes before the head, so that readers meet it first.
-			seq = max(m.lastSeq(bucket), it.Version) + 1
+			seq = max(m.highestSequence(bucket), it.Version) + 1
 			key = jobstore.SealedKey(bucket, seq)
-			err = m.put(ctx, guards, wire.Op{Put: key, Value: a},
+			err = m.commit(ctx, guards, wire.Op{Put: key, Value: a},
 				wire.Op{Put: it.Key, Value: jobstore.IntakeRecord{Seq: seq, Closed: true}})
 		}
 		if err != nil {
@@ -301,15 +301,15 @@
 		}
 	}
 	if mem == nil {
-		m.left = append(m.left, left{at{key, m.items[key].Version}, was})
+		m.unrepaired = append(m.unrepaired, unrepairedRecord{recordVersion{key, m.entries[key].Version}, was})
 		return nil
 	}
-	return m.bringBack(ctx, key, a, mem.Jobs)
+	return m.restoreJobs(ctx, key, a, mem.Jobs)
 }
 
-// lastSeq is the highest number of a bucket's pages.
-func (m *mender) lastSeq(bucket int) (last uint64) {
-	for key := range m.items {
+// highestSequence is the highest number of a bucket's pages.
+func (m *repairer) highestSequence(bucket int) (last uint64) {
+	for key := range m.entries {
 		if b, seq, ok := jobstore.ParseIntakeKey(key); ok && b == bucket {
 			last = max(last, seq, m.pages[key].Seq)
 		}
@@ -317,9 +317,9 @@
 	return last
 }
 
-// stands says whether a job has a record elsewhere.
-func (m *mender) stands(id string) bool {
-	if _, ok := m.items[jobstore.JobKey(id)]; ok {
+// hasReadableRecord says whether a job has a record elsewhere.
+func (m *repairer) hasReadableRecord(id string) bool {
+	if _, ok := m.entries[jobstore.JobKey(id)]; ok {
 		return true
 	}
 	for _, rec := range m.pages {
@@ -332,32 +332,32 @@
 	return false
 }
 
-// bringBack moves the jobs of a page that was set aside to pages that can be read, so
+// restoreJobs moves the jobs of a page that was set aside to pages that can be read, so
 // many at a time that each has its conditions: it is not over, and it has not been
 // accepted again meanwhile. The page changes each time, since whoever cancels
 // one of its jobs has its version as the condition.
-func (m *mender) bringBack(ctx context.Context, key string, a jobstore.Aside, jobs []jobstore.IntakeEntry) error {
+func (m *repairer) restoreJobs(ctx context.Context, key string, a jobstore.Aside, jobs []jobstore.IntakeEntry) error {
 	bucket, _, _ := jobstore.ParseIntakeKey(key)
 	head := jobstore.HeadKey(bucket)
-	most := (4*m.l.node.cfg.Cluster.State.TxnOps - 3) / 2
+	most := (4*m.leadership.node.cfg.Cluster.State.TxnOps - 3) / 2
 	var rest []jobstore.IntakeEntry
 	for _, e := range jobs {
-		if !m.stands(e.ID) {
+		if !m.hasReadableRecord(e.ID) {
 			rest = append(rest, e)
 		}
 	}
 	back := 0
 	for {
 		batch := rest[:min(most, len(rest))]
-		guards := []wire.Guard{{Key: key, Version: m.items[key].Version}, {Key: head, Version: m.items[head].Version}}
+		guards := []wire.Guard{{Key: key, Version: m.entries[key].Version}, {Key: head, Version: m.entries[head].Version}}
 		var ops []wire.Op
 		if len(batch) > 0 {
 			for _, e := range batch {
 				guards = append(guards, wire.Guard{Key: jobstore.JobKey(e.ID)}, wire.Guard{Key: jobstore.FinalKey(e.ID)})
 			}
 			h := m.pages[head]
-			h.Closed = h.Closed || m.items[head].Version == 0
-			h.Seq = m.lastSeq(bucket) + 1
+			h.Closed = h.Closed || m.entries[head].Version == 0
+			h.Seq = m.highestSequence(bucket) + 1
 			ops = append(ops, wire.Op{Put: jobstore.SealedKey(bucket, h.Seq), Value: jobstore.IntakeRecord{Jobs: batch}}, wire.Op{Put: head, Value: h})
 		}
 		if len(batch) == len(rest) {
@@ -365,7 +365,7 @@
 		} else {
 			ops = append(ops, wire.Op{Put: key, Value: a})
 		}
-		err := m.put(ctx, guards, ops...)
+		err := m.commit(ctx, guards, ops...)
 		var c *kvstore.ConflictError
 		if errors.As(err, &c) {
 			var still []jobstore.IntakeEntry
@@ -384,46 +384,46 @@
 		}
 		back += len(batch)
 		if rest = rest[len(batch):]; len(rest) == 0 {
-			m.l.log.Error("jobs of an unreadable page are back, as a node remembers them", "key", key, "was", a.From, "jobs", back)
+			m.leadership.log.Error("jobs of an unreadable page are back, as a node remembers them", "key", key, "was", a.From, "jobs", back)
 			return nil
 		}
 	}
 }
 
-// mendLater looks for what could not be mended when this leader took over: a node
+// retryRepairs looks for what could not be mended when this leader took over: a node
 // that remembers it may have been away then. And what other nodes can't read, this
 // leader may know. It then gives way, once for each, to a leadership that begins by
 // mending: what jobs there are must not change under a leader's hands.
-func (l *leadership) mendLater(ctx context.Context) {
-	for call.Pause(ctx, mendEvery) {
+func (l *leadership) retryRepairs(ctx context.Context) {
+	for call.Pause(ctx, repairRetryInterval) {
 		l.node.mu.Lock()
-		told := l.node.mending.told
-		l.node.mending.told = nil
-		rest := l.node.mending.left
+		told := l.node.repairs.reported
+		l.node.repairs.reported = nil
+		rest := l.node.repairs.unrepaired
 		l.node.mu.Unlock()
 		for t := range told {
-			if e, err := l.node.kv.Get(ctx, t.key); err != nil || e.Version != t.version || readable(e) {
+			if e, err := l.node.kv.Get(ctx, t.key); err != nil || e.Version != t.version || isReadable(e) {
 				continue
 			}
 			l.mu.Lock()
 			jobs, ok := l.model.Intake(t.key, t.version)
 			l.mu.Unlock()
 			if ok {
-				l.node.keep(t, &jobstore.Memory{Jobs: jobs})
+				l.node.keepCopy(t, &jobstore.Memory{Jobs: jobs})
 			}
-			if l.giveWay(t) {
+			if l.resignForRepair(t) {
 				return
 			}
 		}
 		for _, r := range rest {
-			if l.node.recall(ctx, r.at, r.was) != nil && l.giveWay(r.at) {
+			if l.node.recoverCopy(ctx, r.recordVersion, r.original) != nil && l.resignForRepair(r.recordVersion) {
 				return
 			}
 		}
 	}
 }
 
-func readable(e wire.Entry) bool {
+func isReadable(e wire.Entry) bool {
 	var err error
 	if e.Key == jobstore.FormKey {
 		_, err = jobstore.DecodeForm(e.Value)
@@ -433,25 +433,25 @@
 	return err == nil
 }
 
-// keep remembers what a leader of this node knew of a page for the next one.
-func (n *Node) keep(t at, m *jobstore.Memory) {
+// keepCopy remembers what a leader of this node knew of a page for the next one.
+func (n *Node) keepCopy(t recordVersion, m *jobstore.Memory) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.mending.kept == nil || len(n.mending.kept) >= keptMost {
-		n.mending.kept = map[at]*jobstore.Memory{}
+	if n.repairs.copies == nil || len(n.repairs.copies) >= maxRecoveredCopies {
+		n.repairs.copies = map[recordVersion]*jobstore.Memory{}
 	}
-	n.mending.kept[t] = m
+	n.repairs.copies[t] = m
 }
 
-// giveWay ends this leadership so that the next one mends a record, unless that was
+// resignForRepair ends this leadership so that the next one mends a record, unless that was
 // held vain before.
-func (l *leadership) giveWay(t at) bool {
+func (l *leadership) resignForRepair(t recordVersion) bool {
 	l.node.mu.Lock()
-	if l.node.mending.tried == nil || len(l.node.mending.tried) >= 64*keptMost {
-		l.node.mending.tried = map[at]bool{}
+	if l.node.repairs.attempted == nil || len(l.node.repairs.attempted) >= 64*maxRecoveredCopies {
+		l.node.repairs.attempted = map[recordVersion]bool{}
 	}
-	tried := l.node.mending.tried[t]
-	l.node.mending.tried[t] = true
+	tried := l.node.repairs.attempted[t]
+	l.node.repairs.attempted[t] = true
 	l.node.mu.Unlock()
 	if tried {
 		return false
--- a/controller/nights.go
+++ b/controller/nights.go
@@ -9,16 +9,16 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// endsAtOnce is how many jobs' ends a new leader reads a second, of those that
+// finalStatesPerRound is how many jobs' ends a new leader reads a second, of those that
 // the one before left open in its record of a night.
-const endsAtOnce = 5
+const finalStatesPerRound = 5
 
-// tellEnds reads how jobs of the calendar's nights ended that an earlier leader
+// resolveUnknownOutcomes reads how jobs of the calendar's nights ended that an earlier leader
 // did not come to count.
-func (l *leadership) tellEnds(ctx context.Context) {
+func (l *leadership) resolveUnknownOutcomes(ctx context.Context) {
 	for call.Pause(ctx, time.Second) {
 		l.mu.Lock()
-		ids := l.model.UnknownEnds(endsAtOnce)
+		ids := l.model.UnknownEnds(finalStatesPerRound)
 		l.mu.Unlock()
 		for _, id := range ids {
 			e, err := l.node.kv.Get(ctx, jobstore.FinalKey(id))
--- a/controller/node.go
+++ b/controller/node.go
@@ -56,20 +56,20 @@
 	peerStreams      []*peerrpc.HeartbeatStream
 	userSlots        chan struct{}              // bounds the users' submissions and cancellations under way
 	pollLimiter      *admission.PriorityLimiter // and their polls
-	turns            admission.PollSchedule     // whose polls come first
-	tiers            *admission.TierLimiter     // how many each tier of submissions has of users
+	pollTurns        admission.PollSchedule     // whose polls come first
+	submissionTiers  *admission.TierLimiter     // how many each tier of submissions has of users
 	heartbeatLimiter *admission.PriorityLimiter // bounds the workers' reports
 	connLimiter      *admission.ConnLimiter     // of users and workers; set before anybody is served
 	stalls           stallDetector
 	leaderDetector   failureDetector
 
-	lastAnswered *admission.ReplyTimes        // when workers were last answered here
-	routingPlan  atomic.Pointer[adoptedPlan]  // where workers report
-	ordered      atomic.Pointer[cluster.Plan] // what the operators decided; nil before it is read
-	inOrder      atomic.Pointer[inOrder]      // of that, the order of service
-	moveLimiter  *rate.Limiter                // paces workers' moves to other nodes
-	metrics      *metrics.Set                 // nil unless the operators watch
-	recentErrors *metrics.Troubles
+	lastAnswered     *admission.ReplyTimes          // when workers were last answered here
+	routingPlan      atomic.Pointer[adoptedPlan]    // where workers report
+	loadedPlan       atomic.Pointer[cluster.Plan]   // what the operators decided; nil before it is read
+	cachedPriorities atomic.Pointer[planPriorities] // of that, the order of service
+	moveLimiter      *rate.Limiter                  // paces workers' moves to other nodes
+	metrics          *metrics.Set                   // nil unless the operators watch
+	recentErrors     *metrics.Troubles
 
 	userKV       *kvstore.Client
 	yarn         *yarn.Door // nil unless YARN's clients are served
@@ -85,7 +85,7 @@
 	lastPeerContact time.Time     // when another node was last reached
 	everConnected   bool          // the state service or another node has answered once
 	leaderChanged   chan struct{} // closed and replaced when there is news of the leader
-	mending         mending
+	repairs         repairMemory
 }
 
 const (
@@ -110,14 +110,14 @@
 		cloud:            cloud.New(nw.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.9),
 		workerClient:     worker.New(nw.Dial, min(64, cfg.Cluster.Limits.Sockets/20)),
 		userSlots:        make(chan struct{}, max(32, cfg.Cluster.Limits.Sockets/8)),
-		tiers:            admission.NewTierLimiter(max(32, cfg.Cluster.Limits.Sockets/8)),
+		submissionTiers:  admission.NewTierLimiter(max(32, cfg.Cluster.Limits.Sockets/8)),
 		pollLimiter:      admission.NewPriorityLimiter(max(32, cfg.Cluster.Limits.Sockets/8), max(32, cfg.Cluster.Limits.Sockets/8)),
-		turns:            admission.PollSchedule{Period: pollRound},
+		pollTurns:        admission.PollSchedule{Period: pollRound},
 		heartbeatLimiter: admission.NewPriorityLimiter(max(64, cfg.Cluster.Limits.Sockets/2), cfg.Cluster.Limits.Sockets/8),
 		lastAnswered:     admission.NewReplyTimes(maxTrackedWorkers), moveLimiter: newMoveLimiter(),
 		redirects: map[string]redirectRecord{}, relayCandidates: map[string]relayCandidate{}, leaderChanged: make(chan struct{}),
 	}
-	n.watched()
+	n.setUpMetrics()
 	log = n.log
 	for _, o := range cfg.Cluster.Objectives {
 		switch o.Kind {
@@ -132,9 +132,9 @@
 	n.jobs = jobstore.NewReader(forUsers)
 	n.jobs.Limits = jobstore.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB}
 	n.jobs.Log = log
-	n.jobs.Tier = func(team, class string) int { return n.order().Tier(team, class) }
+	n.jobs.Tier = func(team, class string) int { return n.priorities().Tier(team, class) }
 	n.jobs.Order = func(id string) float64 { return admission.PollSchedule{Period: pollRound}.Priority(id, time.Now()) }
-	n.turns.Tier = n.tierOf
+	n.pollTurns.Tier = n.pollTier
 	n.jobs.Gap = func() time.Duration { return config.Seconds(min(barrierRateShare/max(forUsers.RequestRate(), 1), 0.6)) }
 	for _, s := range cfg.Siblings {
 		n.peers = append(n.peers, peerrpc.NewPeer(s.Name, s.Addr, nw.Dial))
@@ -143,7 +143,7 @@
 	w := cfg.Cluster.Workers
 	n.elector = &election.Elector{
 		Store: n.kv, Node: cfg.Node, LeaseTTL: config.Seconds(w.LeaderLeaseS()), ClockDrift: config.Drift, Log: log,
-		Lead: n.runLeader, ReadBarrier: n.readBarrier, OnChange: n.seen,
+		Lead: n.runLeader, ReadBarrier: n.readBarrier, OnChange: n.onLeaderChange,
 	}
 	return n
 }
@@ -217,7 +217,7 @@
 	duty(n.monitorLeader)
 	duty(n.publishRoutingPlan)
 	duty(n.refreshMachineTypes)
-	duty(n.followOrders)
+	duty(n.watchOperatorPlan)
 	duty(n.elector.Run)
 	n.log.Info("serving", "node", n.cfg.Node, "zone", n.cfg.Zone, "bind", n.cfg.Bind)
 	select {
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -22,38 +22,38 @@
 // so that the watch is a matter of speed only.
 
 const (
-	// planBlock is for how long a watch of the plan is open.
-	planBlock = 50 * time.Second
-	// notesShare is the share of the state service's changes that all records of
+	// planWatchTimeout is for how long a watch of the plan is open.
+	planWatchTimeout = 50 * time.Second
+	// planRecordWriteShare is the share of the state service's changes that all records of
 	// the plan's parts may take.
-	notesShare = 0.02
+	planRecordWriteShare = 0.02
 )
 
-// orders is the operators' plan as this node knows it.
-func (n *Node) orders() cluster.Plan {
-	if p := n.ordered.Load(); p != nil {
+// operatorPlan is the operators' plan as this node knows it.
+func (n *Node) operatorPlan() cluster.Plan {
+	if p := n.loadedPlan.Load(); p != nil {
 		return *p
 	}
 	return cluster.Plan{}
 }
 
-// followOrders learns of new versions of the plan as they are applied.
-func (n *Node) followOrders(ctx context.Context) {
+// watchOperatorPlan learns of new versions of the plan as they are applied.
+func (n *Node) watchOperatorPlan(ctx context.Context) {
 	rev, known := uint64(0), false
 	for ctx.Err() == nil {
 		if !known {
 			_, at, err := n.kv.List(ctx, jobstore.PlanHeadKey)
 			if err == nil {
-				_, err = n.readOrders(ctx)
+				_, err = n.loadOperatorPlan(ctx)
 			}
 			if err != nil {
 				call.Pause(ctx, time.Second+rand.N(time.Second))
 				continue
 			}
 			rev, known = at, true
-			n.planAsked() // maybe before this watch
+			n.requestSchemaMigration() // maybe before this watch
 		}
-		ev, err := n.kv.Watch(ctx, jobstore.Plans, rev, planBlock)
+		ev, err := n.kv.Watch(ctx, jobstore.Plans, rev, planWatchTimeout)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
 			known = false
@@ -61,13 +61,13 @@
 			call.Pause(ctx, time.Second+rand.N(time.Second))
 		default:
 			if len(ev.Log) > 0 {
-				if _, err := n.readOrders(ctx); err != nil {
+				if _, err := n.loadOperatorPlan(ctx); err != nil {
 					call.Pause(ctx, time.Second+rand.N(time.Second))
 					continue // the same changes are told again
 				}
 				for _, e := range ev.Log {
 					if e.Put == jobstore.PlanAskedKey {
-						n.planAsked()
+						n.requestSchemaMigration()
 					}
 				}
 			}
@@ -76,9 +76,9 @@
 	}
 }
 
-// planIn reads the plan that holds. Where no version of it can be read, it is lost,
+// readOperatorPlan reads the plan that holds. Where no version of it can be read, it is lost,
 // which is no error.
-func planIn(ctx context.Context, s jobstore.Store) (cluster.Plan, jobstore.PlanState, error) {
+func readOperatorPlan(ctx context.Context, s jobstore.Store) (cluster.Plan, jobstore.PlanState, error) {
 	var got *plan.Plan
 	st, err := jobstore.LoadPlan(ctx, s, func(text string) error {
 		p, err := plan.Parse(text)
@@ -96,15 +96,15 @@
 	return p, st, nil
 }
 
-// readOrders reads the plan and hands it to the leader, if this node leads.
-func (n *Node) readOrders(ctx context.Context) (cluster.Plan, error) {
-	p, st, err := planIn(ctx, n.kv)
+// loadOperatorPlan reads the plan and hands it to the leader, if this node leads.
+func (n *Node) loadOperatorPlan(ctx context.Context) (cluster.Plan, error) {
+	p, st, err := readOperatorPlan(ctx, n.kv)
 	if err != nil {
 		return cluster.Plan{}, err
 	}
 	lost := p.Lost
 	n.mu.Lock()
-	was := n.orders()
+	was := n.operatorPlan()
 	if p.Lost && was.Plan != nil {
 		// What this node read before still holds: the record is damaged, not
 		// the decision.
@@ -113,7 +113,7 @@
 	if p.Head < was.Head {
 		p = was // another read has been faster
 	}
-	n.ordered.Store(&p)
+	n.loadedPlan.Store(&p)
 	l := n.active
 	n.mu.Unlock()
 	if p.Head != was.Head {
@@ -139,32 +139,32 @@
 	wake(l.committerWake)
 }
 
-// rereadPlan is for a leader whose transaction failed for the plan's version.
-func (l *leadership) rereadPlan(ctx context.Context) {
-	if _, err := l.node.readOrders(ctx); err != nil {
+// reloadPlan is for a leader whose transaction failed for the plan's version.
+func (l *leadership) reloadPlan(ctx context.Context) {
+	if _, err := l.node.loadOperatorPlan(ctx); err != nil {
 		l.log.Debug("plan", "err", err)
 	}
 }
 
-// planWanted tells the model that there may be a plan.
-func (l *leadership) planWanted() {
+// markPlanRequested tells the model that there may be a plan.
+func (l *leadership) markPlanRequested() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.model.PlanWanted()
 }
 
-// planAsked has a leader look again whether the records may be written in the form
+// requestSchemaMigration has a leader look again whether the records may be written in the form
 // that says that there may be a plan.
-func (n *Node) planAsked() {
+func (n *Node) requestSchemaMigration() {
 	if l := n.activeLeadership(); l != nil {
 		wake(l.schemaWake)
 	}
 }
 
-// writeNotes writes what the plan's parts record, few changes a second.
-func (l *leadership) writeNotes(ctx context.Context) {
+// writePlanRecords writes what the plan's parts record, few changes a second.
+func (l *leadership) writePlanRecords(ctx context.Context) {
 	sl := l.node.cfg.Cluster.State
-	share := rate.NewLimiter(rate.Limit(notesShare*sl.WriteRPS), max(1, min(sl.TxnOps, int(2*notesShare*sl.WriteRPS))))
+	share := rate.NewLimiter(rate.Limit(planRecordWriteShare*sl.WriteRPS), max(1, min(sl.TxnOps, int(2*planRecordWriteShare*sl.WriteRPS))))
 	for call.Pause(ctx, 500*time.Millisecond) {
 		l.mu.Lock()
 		want := min(l.model.NotesPending(), share.Burst())
--- a/controller/plan_check.go
+++ b/controller/plan_check.go
@@ -79,7 +79,7 @@
 	l.mu.Lock()
 	l.model.DropStops()
 	l.mu.Unlock()
-	l.rereadPlan(ctx)
+	l.reloadPlan(ctx)
 }
 
 // conflictsOn says whether a transaction failed for a key.
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -13,11 +13,11 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// fillPools records the jobs that fetch weights onto the machines of warm pools,
+// recordWeightFetches records the jobs that fetch weights onto the machines of warm pools,
 // as the model asks for them. Each is a reserved job of one task that does
 // nothing, on a machine of its own: from its record on it is a job like any other,
 // and whoever leads next finds it under way.
-func (l *leadership) fillPools(ctx context.Context) {
+func (l *leadership) recordWeightFetches(ctx context.Context) {
 	most := max(1, l.node.cfg.Cluster.State.TxnOps/2)
 	for call.Pause(ctx, time.Second) {
 		if !l.lease.Valid() {
@@ -48,9 +48,9 @@
 	}
 }
 
-// watchPools adds what operators watch of all warm pools together; each by itself
+// registerWarmPoolMetrics adds what operators watch of all warm pools together; each by itself
 // is in the overview.
-func (n *Node) watchPools(m *metrics.Set) {
+func (n *Node) registerWarmPoolMetrics(m *metrics.Set) {
 	for name, read := range map[string]func(metrics.Pool) float64{
 		"pool_machines_wanted":  func(p metrics.Pool) float64 { return float64(p.Aim) },
 		"pool_machines_held":    func(p metrics.Pool) float64 { return float64(p.Held) },
@@ -62,7 +62,7 @@
 	} {
 		m.Gauge(name, "Of all warm pools together; the leader's.", func() float64 {
 			sum := 0.0
-			if f := n.fleet(time.Now()); f != nil {
+			if f := n.fleetView(time.Now()); f != nil {
 				for _, p := range f.Pools {
 					sum += read(p)
 				}
@@ -72,7 +72,7 @@
 	}
 }
 
-func poolsOf(from []cluster.PoolSummary) []metrics.Pool {
+func warmPoolViews(from []cluster.PoolSummary) []metrics.Pool {
 	var out []metrics.Pool
 	for _, p := range from {
 		cost := map[string]float64{}
--- a/controller/status.go
+++ b/controller/status.go
@@ -27,11 +27,11 @@
 	PathStatus  = "/status"
 )
 
-// operatorsMost bounds the operators' connections.
-const operatorsMost = 8
+// maxOperatorConns bounds the operators' connections.
+const maxOperatorConns = 8
 
-// watched sets up what the operators watch, if they do.
-func (n *Node) watched() {
+// setUpMetrics sets up what the operators watch, if they do.
+func (n *Node) setUpMetrics() {
 	if n.tuning.Metrics.Listen == "" {
 		return
 	}
@@ -63,19 +63,19 @@
 		}
 		return 0
 	})
-	n.watchPools(m)
+	n.registerWarmPoolMetrics(m)
 	m.Gauge("least_lease_left_seconds", "Of the worker whose lease is nearest its end; the leader's.", func() float64 {
-		if f := n.fleet(time.Now()); f != nil {
+		if f := n.fleetView(time.Now()); f != nil {
 			return f.LeaseLeftS
 		}
 		return 0
 	})
-	n.watchNights()
+	n.registerBatchWindowMetrics()
 }
 
-// nights is what the leader knows of the calendar's nights; nothing unless this node
+// batchWindows is what the leader knows of the calendar's nights; nothing unless this node
 // leads.
-func (n *Node) nights(now time.Time) []calendar.View {
+func (n *Node) batchWindows(now time.Time) []calendar.View {
 	l := n.activeLeadership()
 	if l == nil {
 		return nil
@@ -85,8 +85,8 @@
 	return l.model.Nights(now)
 }
 
-// watchNights adds what is known of the calendar's nights while this node leads.
-func (n *Node) watchNights() {
+// registerBatchWindowMetrics adds what is known of the calendar's nights while this node leads.
+func (n *Node) registerBatchWindowMetrics() {
 	for name, read := range map[string]func(v *calendar.View) float64{
 		"night_jobs_open": func(v *calendar.View) (k float64) {
 			for i := range v.Nights {
@@ -118,7 +118,7 @@
 		},
 	} {
 		n.metrics.Gauge(name, "Of the calendar's regions together; the leader's. Of past nights, the last of each region are counted.", func() (sum float64) {
-			views := n.nights(time.Now())
+			views := n.batchWindows(time.Now())
 			for i := range views {
 				sum += read(&views[i])
 			}
@@ -136,7 +136,7 @@
 		_ = json.NewEncoder(w).Encode(n.overview(r.Context())) // whoever asked may be gone
 	})
 	srv := &http.Server{Handler: mux, WriteTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second}
-	return n.serveHTTP(ctx, srv, "metrics.listen", n.tuning.Metrics.Listen, operatorsMost)
+	return n.serveHTTP(ctx, srv, "metrics.listen", n.tuning.Metrics.Listen, maxOperatorConns)
 }
 
 // serveHTTP serves one of the node's other HTTP doors, on an address of its own,
@@ -160,7 +160,7 @@
 // answers.
 func (n *Node) overview(ctx context.Context) metrics.Overview {
 	now := time.Now()
-	o := n.ownOverview(now)
+	o := n.localOverview(now)
 	if o.Fleet != nil {
 		return o
 	}
@@ -176,9 +176,9 @@
 	return o
 }
 
-func (n *Node) ownOverview(now time.Time) metrics.Overview {
+func (n *Node) localOverview(now time.Time) metrics.Overview {
 	o := metrics.Overview{At: now, Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.ready(), StateServed: n.kvReachable(),
-		Leader: n.elector.Leader(), Troubles: n.recentErrors.Last(), Fleet: n.fleet(now)}
+		Leader: n.elector.Leader(), Troubles: n.recentErrors.Last(), Fleet: n.fleetView(now)}
 	if d := n.connLimiter; d != nil {
 		o.Connections = metrics.Connections{Users: d.Count(admission.KindUser), Workers: d.Count(admission.KindWorker),
 			Other: d.Count(admission.KindUnknown), Most: n.cfg.Cluster.Limits.Sockets, Closed: d.Rejected()}
@@ -188,19 +188,19 @@
 	n.mu.Unlock()
 	o.Reports = metrics.Reports{Passed: c.forwarded, Failed: c.failed, Moved: c.redirected, Waiting: n.heartbeatLimiter.Waiting(),
 		Refused: n.heartbeatLimiter.Rejected(), Served: n.lastAnswered.CountWithin(now, config.Seconds(n.cfg.Cluster.Workers.LeaseS))}
-	if p := n.orders(); p.Head > 0 {
+	if p := n.operatorPlan(); p.Head > 0 {
 		o.Orders = &metrics.Orders{Version: p.Number, Lost: p.Lost}
 	}
 	if o.Fleet != nil {
-		o.Fleet.Nights = n.nights(now)
+		o.Fleet.Nights = n.batchWindows(now)
 	}
 	if p := n.currentRoutingPlan(o.Leader); p != nil {
-		o.Plan = planOf(&p.Plan)
+		o.Plan = routingPlanView(&p.Plan)
 	}
 	return o
 }
 
-func planOf(p *routing.Plan) *metrics.Plan {
+func routingPlanView(p *routing.Plan) *metrics.Plan {
 	out := &metrics.Plan{Workers: p.Workers, Direct: p.Direct}
 	for _, r := range p.Relays {
 		out.Relays = append(out.Relays, r.Name)
@@ -208,8 +208,8 @@
 	return out
 }
 
-// fleet is the leader's view, nil unless this node leads.
-func (n *Node) fleet(now time.Time) *metrics.Fleet {
+// fleetView is the leader's view, nil unless this node leads.
+func (n *Node) fleetView(now time.Time) *metrics.Fleet {
 	l := n.activeLeadership()
 	if l == nil {
 		return nil
@@ -222,28 +222,28 @@
 		unbegun = append(unbegun, metrics.Unbegun(u))
 	}
 	return &metrics.Fleet{Unbegun: unbegun, UnbegunAll: s.UnbegunN, Node: n.cfg.Node, Token: l.lease.FencingToken, Since: l.lease.ElectedAt, Sure: l.lease.Valid(),
-		Machines: s.Machines, Tasks: s.Tasks, Jobs: s.Jobs, Late: s.Late, LongestS: s.Longest, LeaseLeftS: s.LeaseLeft, Departures: s.Departures, Pools: poolsOf(s.Pools)}
+		Machines: s.Machines, Tasks: s.Tasks, Jobs: s.Jobs, Late: s.Late, LongestS: s.Longest, LeaseLeftS: s.LeaseLeft, Departures: s.Departures, Pools: warmPoolViews(s.Pools)}
 }
 
 // Overview implements mesh.Handler.
 func (n *Node) Overview() []byte {
-	b, err := json.Marshal(n.ownOverview(time.Now()))
+	b, err := json.Marshal(n.localOverview(time.Now()))
 	if err != nil {
 		return nil // whoever asked shows no fleet
 	}
 	return b
 }
 
-// timings hands the model's times to the instruments.
-type timings struct{ *metrics.Set }
+// latencyMetrics hands the model's times to the instruments.
+type latencyMetrics struct{ *metrics.Set }
 
-func (t timings) Placed(s float64)   { t.Took(metrics.Placed, s) }
-func (t timings) Launched(s float64) { t.Took(metrics.Launched, s) }
-func (t timings) Running(s float64)  { t.Took(metrics.Running, s) }
+func (t latencyMetrics) Placed(s float64)   { t.Took(metrics.Placed, s) }
+func (t latencyMetrics) Launched(s float64) { t.Took(metrics.Launched, s) }
+func (t latencyMetrics) Running(s float64)  { t.Took(metrics.Running, s) }
 
-// seen takes in that another leader is seen, or none, or that this node has
+// onLeaderChange takes in that another leader is seen, or none, or that this node has
 // become sure of leading.
-func (n *Node) seen() {
+func (n *Node) onLeaderChange() {
 	leader := n.elector.Leader()
 	n.mu.Lock()
 	changed := leader != n.lastSeenLeader
--- a/controller/users.go
+++ b/controller/users.go
@@ -22,7 +22,7 @@
 // Operations of users.
 const (
 	opSubmit = "submit"
-	opShow   = "show"
+	opStatus = "show"
 	opCancel = "cancel"
 )
 
@@ -35,14 +35,14 @@
 		}
 		w.WriteHeader(http.StatusOK)
 	})
-	mux.HandleFunc("POST "+wire.PathJobs, func(w http.ResponseWriter, r *http.Request) { n.serveUser(w, r, opSubmit) })
-	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", n.servePoll)
-	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/cancel", func(w http.ResponseWriter, r *http.Request) { n.serveUser(w, r, opCancel) })
+	mux.HandleFunc("POST "+wire.PathJobs, func(w http.ResponseWriter, r *http.Request) { n.handleUserWrite(w, r, opSubmit) })
+	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", n.handlePoll)
+	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/cancel", func(w http.ResponseWriter, r *http.Request) { n.handleUserWrite(w, r, opCancel) })
 	mux.HandleFunc("POST "+wire.PathReport, n.serveHeartbeat)
 	return mux
 }
 
-func write(w http.ResponseWriter, a peerrpc.Answer) {
+func writeAnswer(w http.ResponseWriter, a peerrpc.Answer) {
 	h := w.Header()
 	h.Set("Content-Type", wire.ContentType)
 	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
@@ -53,7 +53,7 @@
 	_, _ = w.Write(a.Body) // a client that went away needs no answer
 }
 
-func answer(status int, v any, retryAfter int) peerrpc.Answer {
+func newAnswer(status int, v any, retryAfter int) peerrpc.Answer {
 	b, err := wire.Marshal(v)
 	if err != nil {
 		return peerrpc.Answer{Status: http.StatusInternalServerError}
@@ -62,11 +62,11 @@
 }
 
 func writeError(w http.ResponseWriter, status int, text string, retryAfter int) {
-	write(w, answer(status, wire.Error{Error: text}, retryAfter))
+	writeAnswer(w, newAnswer(status, wire.Error{Error: text}, retryAfter))
 }
 
-func (n *Node) serveUser(w http.ResponseWriter, r *http.Request, op string) {
-	n.asUser(w, r)
+func (n *Node) handleUserWrite(w http.ResponseWriter, r *http.Request, op string) {
+	n.markUserConnection(w, r)
 	select {
 	case n.userSlots <- struct{}{}:
 		defer func() { <-n.userSlots }()
@@ -89,104 +89,104 @@
 	ctx, cancel := context.WithTimeout(r.Context(), 3500*time.Millisecond)
 	defer cancel()
 	at := time.Now()
-	a := n.user(ctx, req)
+	a := n.serveUserRequest(ctx, req)
 	if op == opSubmit && a.Status == http.StatusCreated {
 		n.metrics.Took(metrics.Accepted, time.Since(at).Seconds())
 	}
-	n.refusals(op, a)
-	write(w, a)
+	n.countRefusal(op, a)
+	writeAnswer(w, a)
 }
 
-func (n *Node) refusals(op string, a peerrpc.Answer) {
+func (n *Node) countRefusal(op string, a peerrpc.Answer) {
 	if a.Status >= http.StatusBadRequest && a.Status != http.StatusNotFound {
 		n.metrics.Refused(op + " " + strconv.Itoa(a.Status))
 	}
 }
 
 const (
-	// pollWithin is how long a poll may take: users wait 2 s.
-	pollWithin = 1700 * time.Millisecond
-	// pollWaits is for how much of that it waits for those before it. One that
+	// pollTimeout is how long a poll may take: users wait 2 s.
+	pollTimeout = 1700 * time.Millisecond
+	// pollQueueTimeout is for how much of that it waits for those before it. One that
 	// waits in vain is told to come again while there is time to ask elsewhere.
-	pollWaits = 800 * time.Millisecond
+	pollQueueTimeout = 800 * time.Millisecond
 )
 
-// servePoll answers a user's poll. Submissions don't take polls' places, and where
+// handlePoll answers a user's poll. Submissions don't take polls' places, and where
 // there are too many polls, those whose turn is far are told at once to come
 // again: no job is the one that is turned away every time.
-func (n *Node) servePoll(w http.ResponseWriter, r *http.Request) {
-	n.asUser(w, r)
+func (n *Node) handlePoll(w http.ResponseWriter, r *http.Request) {
+	n.markUserConnection(w, r)
 	id := r.PathValue("id")
 	if v, ok := n.jobs.Remembered(id); ok {
-		write(w, answer(http.StatusOK, n.status(v), 0))
+		writeAnswer(w, newAnswer(http.StatusOK, n.statusOf(v), 0))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), pollWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), pollTimeout)
 	defer cancel()
 	now := time.Now()
-	waits, done := context.WithTimeout(ctx, pollWaits)
-	err := n.pollLimiter.Acquire(waits, n.turns.Priority(id, now))
+	waits, done := context.WithTimeout(ctx, pollQueueTimeout)
+	err := n.pollLimiter.Acquire(waits, n.pollTurns.Priority(id, now))
 	done()
 	if err != nil {
 		n.metrics.Refused("too many users' polls")
-		writeError(w, http.StatusTooManyRequests, "too many polls under way", n.turns.RetryAfterS(id, now))
+		writeError(w, http.StatusTooManyRequests, "too many polls under way", n.pollTurns.RetryAfterS(id, now))
 		return
 	}
 	defer n.pollLimiter.Release()
-	a := n.user(ctx, peerrpc.Request{Op: opShow, ID: id})
+	a := n.serveUserRequest(ctx, peerrpc.Request{Op: opStatus, ID: id})
 	if a.Status == http.StatusServiceUnavailable {
-		a.RetryAfter = n.turns.RetryAfterS(id, now)
+		a.RetryAfter = n.pollTurns.RetryAfterS(id, now)
 	}
-	n.refusals(opShow, a)
-	write(w, a)
+	n.countRefusal(opStatus, a)
+	writeAnswer(w, a)
 }
 
-// user serves a user's request here, or asks another node where the state
+// serveUserRequest serves a user's request here, or asks another node where the state
 // service does not serve this one.
-func (n *Node) user(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
+func (n *Node) serveUserRequest(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	local := n.kvReachable()
 	if local {
-		a, err := n.localUser(ctx, r)
+		a, err := n.serveLocally(ctx, r)
 		if err == nil {
 			return a
 		}
 		n.log.Debug("user request", "op", r.Op, "id", r.ID, "err", err)
 		if errors.Is(err, kvstore.ErrRateLimited) {
 			// The others are as busy, and asking them would make it worse.
-			return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is busy"}, busyFor)
+			return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is busy"}, busyRetryAfterS)
 		}
 	}
-	if a, ok := n.askOthers(ctx, r); ok {
+	if a, ok := n.forwardToPeers(ctx, r); ok {
 		return a
 	}
 	if !local {
-		if a, err := n.localUser(ctx, r); err == nil {
+		if a, err := n.serveLocally(ctx, r); err == nil {
 			return a
 		}
 	}
-	return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is not reached"}, 1)
+	return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is not reached"}, 1)
 }
 
 const (
-	// busyFor is after how many seconds a user is to come back to a service
+	// busyRetryAfterS is after how many seconds a user is to come back to a service
 	// that is asked for too much.
-	busyFor = 2
-	// askEach is how long one other node is waited for: one that stands still
+	busyRetryAfterS = 2
+	// peerRequestTimeout is how long one other node is waited for: one that stands still
 	// takes connections and answers nothing, and there are others to be asked
 	// within the user's time.
-	askEach = 700 * time.Millisecond
+	peerRequestTimeout = 700 * time.Millisecond
 )
 
-// askOthers passes a user's request to the other nodes, those that answered last
+// forwardToPeers passes a user's request to the other nodes, those that answered last
 // time first. A submission that is passed on twice is one all the same.
-func (n *Node) askOthers(ctx context.Context, r peerrpc.Request) (peerrpc.Answer, bool) {
+func (n *Node) forwardToPeers(ctx context.Context, r peerrpc.Request) (peerrpc.Answer, bool) {
 	peers := slices.Clone(n.peers)
 	slices.SortStableFunc(peers, func(a, b *peerrpc.Peer) int { return a.FailedAt().Compare(b.FailedAt()) })
 	for _, p := range peers {
 		if ctx.Err() != nil {
 			break
 		}
-		pctx, cancel := context.WithTimeout(ctx, askEach)
+		pctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
 		a, err := p.ForwardUserRequest(pctx, r)
 		cancel()
 		if err == nil && a.Status != http.StatusServiceUnavailable {
@@ -200,25 +200,25 @@
 func (n *Node) HandleUserRequest(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	if n.kvReachable() {
 		if r.From != "" {
-			return n.relayed(ctx, r)
+			return n.serveForwardedWrite(ctx, r)
 		}
-		if a, err := n.localUser(ctx, r); err == nil {
+		if a, err := n.serveLocally(ctx, r); err == nil {
 			return a
 		}
 	}
-	return answer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is not reached"}, 1)
+	return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is not reached"}, 1)
 }
 
-func (n *Node) localUser(ctx context.Context, r peerrpc.Request) (peerrpc.Answer, error) {
+func (n *Node) serveLocally(ctx context.Context, r peerrpc.Request) (peerrpc.Answer, error) {
 	switch r.Op {
 	case opSubmit:
 		return n.submit(ctx, r.Body, r.From)
-	case opShow:
-		return n.show(ctx, r.ID)
+	case opStatus:
+		return n.jobStatus(ctx, r.ID)
 	case opCancel:
 		return n.cancel(ctx, r.ID, r.From)
 	}
-	return answer(http.StatusNotFound, wire.Error{Error: "no such operation"}, 0), nil
+	return newAnswer(http.StatusNotFound, wire.Error{Error: "no such operation"}, 0), nil
 }
 
 // retryRefused repeats what the state service refused, while there is time.
@@ -231,7 +231,7 @@
 	}
 }
 
-func (n *Node) status(v jobstore.View) wire.JobStatus {
+func (n *Node) statusOf(v jobstore.View) wire.JobStatus {
 	s := wire.JobStatus{ID: v.Record.Job.ID, State: v.Record.State, Done: v.Done, Running: v.Placed}
 	if v.Version == 0 {
 		s.Running = 0
@@ -255,28 +255,28 @@
 	return v, found, err
 }
 
-func (n *Node) show(ctx context.Context, id string) (peerrpc.Answer, error) {
+func (n *Node) jobStatus(ctx context.Context, id string) (peerrpc.Answer, error) {
 	if !wire.ValidUserID(id) {
-		return answer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
+		return newAnswer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
 	}
 	v, found, err := n.lookup(ctx, id)
 	if err != nil {
 		return peerrpc.Answer{}, err
 	}
 	if !found {
-		return answer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
+		return newAnswer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
 	}
-	return answer(http.StatusOK, n.status(v), 0), nil
+	return newAnswer(http.StatusOK, n.statusOf(v), 0), nil
 }
 
 // cancel takes a cancellation that users have sent here, or that another node, from,
 // has passed on.
 func (n *Node) cancel(ctx context.Context, id, from string) (peerrpc.Answer, error) {
 	if !wire.ValidUserID(id) {
-		return answer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
+		return newAnswer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
 	}
 	if _, over := n.jobs.Remembered(id); from == "" && !over {
-		if a, ok := n.toBucketsNode(ctx, id, peerrpc.Request{Op: opCancel, ID: id}); ok {
+		if a, ok := n.forwardToBucketOwner(ctx, id, peerrpc.Request{Op: opCancel, ID: id}); ok {
 			return a, nil
 		}
 	}
@@ -290,24 +290,24 @@
 		return peerrpc.Answer{}, err
 	}
 	if !found {
-		return answer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
+		return newAnswer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
 	}
 	n.log.Info("cancel answered", "id", id, "state", final)
-	return answer(http.StatusOK, wire.JobStatus{ID: id, State: final}, 0), nil
+	return newAnswer(http.StatusOK, wire.JobStatus{ID: id, State: final}, 0), nil
 }
 
 // submit takes a submission that users have sent here, or that another node, from,
 // has passed on.
 func (n *Node) submit(ctx context.Context, body []byte, from string) (peerrpc.Answer, error) {
 	job, jerr := wire.DecodeJob(body)
-	leave, ok := n.enterTier(job.Team, job.Class)
+	leave, ok := n.admitSubmission(job.Team, job.Class)
 	if !ok {
-		return answer(http.StatusTooManyRequests, wire.Error{Error: "too many submissions under way"}, busyFor), nil
+		return newAnswer(http.StatusTooManyRequests, wire.Error{Error: "too many submissions under way"}, busyRetryAfterS), nil
 	}
 	defer leave()
 	status := http.StatusBadRequest
 	if jerr == nil {
-		status, jerr = n.judge(&job)
+		status, jerr = n.checkFeasible(&job)
 	}
 	if jerr != nil {
 		// A known id is never refused, whatever a repeated submission says.
@@ -317,7 +317,7 @@
 				return peerrpc.Answer{}, err
 			}
 			if found {
-				return answer(http.StatusOK, n.status(v), 0), nil
+				return newAnswer(http.StatusOK, n.statusOf(v), 0), nil
 			}
 		}
 		n.log.Info("submission refused", "status", status, "id", job.ID, "why", jerr)
@@ -325,10 +325,10 @@
 		if status == http.StatusServiceUnavailable {
 			retry = 2
 		}
-		return answer(status, wire.Error{Error: jerr.Error()}, retry), nil
+		return newAnswer(status, wire.Error{Error: jerr.Error()}, retry), nil
 	}
 	if from == "" {
-		if a, ok := n.toBucketsNode(ctx, job.ID, peerrpc.Request{Op: opSubmit, Body: body}); ok {
+		if a, ok := n.forwardToBucketOwner(ctx, job.ID, peerrpc.Request{Op: opSubmit, Body: body}); ok {
 			return a, nil
 		}
 	}
@@ -351,16 +351,16 @@
 			return peerrpc.Answer{}, err
 		}
 		if found {
-			return answer(http.StatusOK, n.status(v), 0), nil
+			return newAnswer(http.StatusOK, n.statusOf(v), 0), nil
 		}
 		return peerrpc.Answer{}, fmt.Errorf("job %s: known, but not found", job.ID)
 	}
-	return answer(http.StatusCreated, wire.JobStatus{ID: job.ID, State: wire.JobPending}, 0), nil
+	return newAnswer(http.StatusCreated, wire.JobStatus{ID: job.ID, State: wire.JobPending}, 0), nil
 }
 
-// judge says whether a job can ever run: 422 if not, 503 if that is not known
+// checkFeasible says whether a job can ever run: 422 if not, 503 if that is not known
 // yet.
-func (n *Node) judge(j *wire.Job) (int, error) {
+func (n *Node) checkFeasible(j *wire.Job) (int, error) {
 	teamKnown := false
 	for _, t := range n.cfg.Cluster.Teams {
 		if t.Name != j.Team {
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -188,8 +188,8 @@
 	return n.connLimiter != nil && n.connLimiter.Total() > int(waitingConnShare*float64(n.cfg.Cluster.Limits.Sockets))
 }
 
-// asUser notes that a request is a user's.
-func (n *Node) asUser(w http.ResponseWriter, r *http.Request) {
+// markUserConnection notes that a request is a user's.
+func (n *Node) markUserConnection(w http.ResponseWriter, r *http.Request) {
 	if c := admission.ConnFromContext(r.Context()); c != nil {
 		c.SetKind(admission.KindUser)
 	}
@@ -221,9 +221,9 @@
 		n.mu.Unlock()
 	}
 	if asks.Lost != "" {
-		n.told(asks.Lost, asks.LostAt)
+		n.noteUnreadable(asks.Lost, asks.LostAt)
 	}
-	s := peerrpc.Status{Node: n.cfg.Node, Leader: n.elector.Leader(), StateOK: n.kvReachable(), Form: n.form()}
+	s := peerrpc.Status{Node: n.cfg.Node, Leader: n.elector.Leader(), StateOK: n.kvReachable(), Form: n.schemaVersion()}
 	if p := n.currentRoutingPlan(n.cfg.Node); p != nil && n.isLeader() {
 		s.Plan = &p.Plan
 	}
--- a/controller/yarn.go
+++ b/controller/yarn.go
@@ -41,7 +41,7 @@
 // yarnCore is the node as the door sees it.
 type yarnCore struct{ n *Node }
 
-func (c yarnCore) Judge(j *wire.Job) (int, error) { return c.n.judge(j) }
+func (c yarnCore) Judge(j *wire.Job) (int, error) { return c.n.checkFeasible(j) }
 func (c yarnCore) Types() []wire.MachineType      { return c.n.machineTypes() }
 func (c yarnCore) Leads() bool                    { return c.n.isLeader() }
 
