--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -262,11 +262,11 @@
 func TestGoNamesAreRecognized(t *testing.T) {
 	s := readSources(t)
 	for name, exists := range map[string]bool{
-		"config.Load":           true,
-		"config.Loads":          false,
-		"election.Term.Valid":   true,
-		"election.Term.Invalid": false,
-		"elections.Term.Valid":  false,
+		"config.Load":          true,
+		"config.Loads":         false,
+		"wire.Report.Session":  true,
+		"wire.Report.Sessions": false,
+		"wires.Report.Session": false,
 	} {
 		if s.names[name] != exists {
 			t.Errorf("%s: exists %v, want %v", name, s.names[name], exists)
