--- a/cluster/ahead.go
+++ b/cluster/ahead.go
@@ -33,7 +33,7 @@
 func (m *Model) wantAhead(loads []calendar.Load, usual *Job, free []float64, now time.Time) string {
 	was := m.nights.ahead.want
 	m.nights.ahead = ahead{}
-	if usual == nil || now.Sub(m.Takeover) < m.aheadQuiet() {
+	if usual == nil || now.Sub(m.ElectedAt) < m.aheadQuiet() {
 		return ""
 	}
 	boot, per := m.bootFor(usual)
@@ -75,18 +75,18 @@
 // what has been learnt, and how many of its tasks it takes; 0: there is none.
 func (m *Model) bootFor(j *Job) (boot time.Duration, per int) {
 	least := 0.0
-	for ti := range m.Types {
-		t := &m.Types[ti]
-		if !j.Types[ti] || !j.Need.Fits(t.Cap) {
+	for ti := range m.MachineTypes {
+		t := &m.MachineTypes[ti]
+		if !j.AllowedTypes[ti] || !j.Need.Fits(t.Capacity) {
 			continue
 		}
-		c := t.Boot.Seconds() + 2*t.Price
-		if t.Cap.GPU > 0 && j.Need.GPU == 0 {
+		c := t.BootTime.Seconds() + 2*t.Price
+		if t.Capacity.GPU > 0 && j.Need.GPU == 0 {
 			c += 10
 		}
 		if per == 0 || c < least {
-			least, per = c, fit(j.Need, t.Cap)
-			boot = time.Duration(float64(t.Boot)*t.boots.expect()) + config.Seconds(m.cfg.Cluster.Workers.ReportS)
+			least, per = c, fit(j.Need, t.Capacity)
+			boot = time.Duration(float64(t.BootTime)*t.boots.expect()) + config.Seconds(m.cfg.Cluster.Workers.ReportS)
 		}
 	}
 	return boot, per
@@ -110,7 +110,7 @@
 func (m *Model) offered(j *Job, offers []placement.Offer) bool {
 	for i := range offers {
 		o := &offers[i]
-		if j.Types[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Cap) {
+		if j.AllowedTypes[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Cap) {
 			return true
 		}
 	}
@@ -136,5 +136,5 @@
 // placesToCome is as emptyPlaces, with the machines whose reports are late: they are
 // replaced once their leases are over, not before.
 func (m *Model) placesToCome(j *Job, now time.Time) int {
-	return m.placesOn(j, now, func(mc *Machine) bool { return mc.Up && !mc.Gone && !mc.Returning && mc.Notice.IsZero() })
+	return m.placesOn(j, now, func(mc *Machine) bool { return mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() })
 }
--- a/cluster/ahead_test.go
+++ b/cluster/ahead_test.go
@@ -21,7 +21,7 @@
 	var rented []rental
 	report := func(n int, s float64) {
 		for k := range n {
-			r := rep(uint64(s), l.m.Token)
+			r := rep(uint64(s), l.m.FencingToken)
 			r.Machine, r.Addr = fmt.Sprintf("host-%d", k), fmt.Sprintf("h-%d:1", k)
 			answer(t, l.m, r, at(s))
 		}
@@ -51,14 +51,14 @@
 	for k := range n {
 		name := fmt.Sprintf("host-%d", 8+k)
 		rented = append(rented, rental{name, 1100})
-		l.m.Rented(Offer{Type: "m", Zone: "a"}, []string{name}, at(1100))
+		l.m.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{name}, at(1100))
 	}
 	if more := wants(1101, 1111, 8); more > 0 {
 		t.Errorf("%d more are wanted while they boot", more)
 	}
 	l.next(6, at(1112), twoRegions, layer)
 	for _, r := range rented {
-		l.m.Rented(Offer{Type: "m", Zone: "a"}, []string{r.name}, at(r.at))
+		l.m.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{r.name}, at(r.at))
 	}
 	if more := wants(1113, 1120, 8); more > 0 {
 		t.Errorf("the next leader wants %d more while they boot", more)
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -50,7 +50,7 @@
 	for i := range machines {
 		r := rep(1, 5)
 		r.Machine, r.Zone = fmt.Sprintf("host-%06d", i), []string{"a", "b"}[i%2]
-		m.Observe(r, at(0))
+		m.ApplyHeartbeat(r, at(0))
 	}
 	for i := range 2 * jobs {
 		id := fmt.Sprintf("wk-%06d", i)
@@ -78,7 +78,7 @@
 	}
 	tiers.Order.Tiers = []priority.Tier{{Name: "first", Classes: []string{"gangs"}}, {Name: "second", Classes: []string{"arrays"}, Share: 0.2, LongestWaitS: 60}}
 	for i := range 3 {
-		held.Pools = append(held.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), GB: 20, Types: []string{m.Types[0].Name}, Zones: m.Zones,
+		held.Pools = append(held.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), GB: 20, Types: []string{m.MachineTypes[0].Name}, Zones: m.Zones,
 			Least: machines / 15, Most: machines / 15, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, PerHour: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
 	}
 	return map[string]*plan.Plan{"none": nil, "calendar": night, "order": tiers, "pools": held,
@@ -102,14 +102,14 @@
 	m.Tick(now)
 	m.Schedule(now, 1000)
 	for b := m.NextBatch(12); b != nil; b = m.NextBatch(12) {
-		b.Committed(uint64(s*100), now)
+		b.OnCommit(uint64(s*100), now)
 	}
 	for b := m.NoteBatch(12); b != nil; b = m.NoteBatch(12) {
-		b.Committed(uint64(s*100), now)
+		b.OnCommit(uint64(s*100), now)
 	}
 	for _, ref := range m.fresh {
-		if p := m.Jobs[ref.Job].Tasks[ref.Task].Place; p != nil {
-			p.Sent, p.Seen, p.Since = true, seenRunning, now
+		if p := m.Jobs[ref.Job].Tasks[ref.Task].Placement; p != nil {
+			p.LaunchSent, p.ReportedState, p.RunningSince = true, seenRunning, now
 		}
 	}
 	m.fresh = m.fresh[:0]
@@ -163,7 +163,7 @@
 				r.Machine, r.Zone = mc.Name, m.Zones[mc.Zone]
 				for _, ref := range sortedRefs(mc.Tasks) {
 					j := m.Jobs[ref.Job]
-					r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName(j.ID, int(ref.Task)), Attempt: j.Tasks[ref.Task].Place.Attempt, State: wire.TaskRunning})
+					r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName(j.ID, int(ref.Task)), Attempt: j.Tasks[ref.Task].Placement.Attempt, State: wire.TaskRunning})
 				}
 				reps = append(reps, r)
 			}
@@ -173,7 +173,7 @@
 			for s := 40.0; b.Loop(); s += 1.5 {
 				for _, r := range reps {
 					r.Seq++
-					m.Answer(m.Observe(r, at(s)), r, at(s))
+					m.AnswerHeartbeat(m.ApplyHeartbeat(r, at(s)), r, at(s))
 				}
 			}
 			b.ReportMetric((threadTime()-began).Seconds()*1e6/float64(b.N*len(reps)), "cpu-us/report")
--- a/cluster/bound.go
+++ b/cluster/bound.go
@@ -49,7 +49,7 @@
 
 // begun says whether a task of the job has run. A task that is done may have
 // run in an earlier leader's time.
-func (j *Job) begun() bool { return !j.FirstRun.IsZero() || j.Done > 0 }
+func (j *Job) begun() bool { return !j.FirstRunAt.IsZero() || j.DoneTasks > 0 }
 
 // toBegin is how many places the job needs to begin: a gang all at once, others
 // one. 0: it has begun, or has its room already.
@@ -59,7 +59,7 @@
 		return 0
 	case j.Gang():
 		return len(j.Tasks)
-	case j.Placed > 0:
+	case j.PlacedTasks > 0:
 		return 0
 	}
 	return 1
@@ -68,7 +68,7 @@
 // beginning says whether the job's only task must be left alone: it was begun by
 // the bound, and a start that is stopped at once is none.
 func (m *Model) beginning(j *Job, now time.Time) bool {
-	return m.BeginWithin > 0 && j.owed && !j.Gang() && j.Placed == 1 && (j.FirstRun.IsZero() || now.Sub(j.FirstRun) < settledFor)
+	return m.BeginWithin > 0 && j.owed && !j.Gang() && j.PlacedTasks == 1 && (j.FirstRunAt.IsZero() || now.Sub(j.FirstRunAt) < settledFor)
 }
 
 // sized takes in how many tasks a job of the class has.
@@ -128,15 +128,15 @@
 // and the start come after that, and when it should have it.
 func (m *Model) latestBegin(j *Job) (should, must time.Time) {
 	fetch := math.Inf(1)
-	for i := range m.Types {
-		if t := &m.Types[i]; j.Types[i] && t.Fetch > 0 {
-			fetch = min(fetch, j.Spec.ImageGB/t.Fetch)
+	for i := range m.MachineTypes {
+		if t := &m.MachineTypes[i]; j.AllowedTypes[i] && t.FetchRate > 0 {
+			fetch = min(fetch, j.Spec.ImageGB/t.FetchRate)
 		}
 	}
 	if math.IsInf(fetch, 1) {
 		fetch = 0
 	}
-	must = j.At.Add(m.BeginWithin - config.Seconds(fetch+m.spreadOf(j).delay()))
+	must = j.AcceptedAt.Add(m.BeginWithin - config.Seconds(fetch+m.spreadOf(j).delay()))
 	should = must.Add(-boundGuard)
 	if m.amongLargest(j) {
 		should = should.Add(-time.Duration(largestEarlier * float64(m.BeginWithin)))
@@ -343,7 +343,7 @@
 			}
 			return x.latest.Before(y.latest)
 		})
-		sort.SliceStable(floored, func(a, b int) bool { return floored[a].j.At.Before(floored[b].j.At) })
+		sort.SliceStable(floored, func(a, b int) bool { return floored[a].j.AcceptedAt.Before(floored[b].j.AcceptedAt) })
 		list = append(append(append(list, floored...), first...), rest...)
 		lo = hi
 	}
--- a/cluster/bound_test.go
+++ b/cluster/bound_test.go
@@ -72,7 +72,7 @@
 
 func (s *shop) report(h *host, now float64) {
 	h.rep.Seq++
-	h.rep.Token = s.m.Token
+	h.rep.Token = s.m.FencingToken
 	h.rep.Tasks = nil
 	for _, name := range slices.Sorted(maps.Keys(h.runs)) {
 		r := h.runs[name]
@@ -170,8 +170,8 @@
 				}
 			}
 			// A start that is stopped within 30 s is none.
-			if j := s.m.Job("wk-000001"); j != nil && (j.Placed+j.Done > c.served || j.FirstRun.IsZero()) {
-				t.Errorf("%d of its tasks were served, first at %v", j.Placed+j.Done, j.FirstRun)
+			if j := s.m.Job("wk-000001"); j != nil && (j.PlacedTasks+j.DoneTasks > c.served || j.FirstRunAt.IsZero()) {
+				t.Errorf("%d of its tasks were served, first at %v", j.PlacedTasks+j.DoneTasks, j.FirstRunAt)
 			}
 		})
 	}
@@ -190,26 +190,26 @@
 		s.run(1, 100)
 		old := s.m
 		s.m = newModel(6)
-		s.m.Takeover, s.m.BeginWithin, s.m.cfg.Cluster.Objectives = at(100), bound, aims
+		s.m.ElectedAt, s.m.BeginWithin, s.m.cfg.Cluster.Objectives = at(100), bound, aims
 		var page jobstore.PageRecord
 		for _, j := range old.Jobs {
-			if j == nil || j.Finished || j.Done == len(j.Tasks) {
+			if j == nil || j.Finished || j.DoneTasks == len(j.Tasks) {
 				continue
 			}
-			s.m.PutJob(j.ID, jobstore.JobRecord{AtMs: j.At.UnixMilli(), Job: j.Spec}, 1, at(100))
-			c := jobstore.ChunkRecord{Job: j.ID, Attempt: j.Attempt}
+			s.m.PutJob(j.ID, jobstore.JobRecord{AtMs: j.AcceptedAt.UnixMilli(), Job: j.Spec}, 1, at(100))
+			c := jobstore.ChunkRecord{Job: j.ID, Attempt: j.LastAttempt}
 			for i := range j.Tasks {
-				if p := j.Tasks[i].Place; p != nil {
+				if p := j.Tasks[i].Placement; p != nil {
 					c.Placed = append(c.Placed, jobstore.Placement{Task: i, Attempt: p.Attempt, Machine: p.name})
 				}
 			}
 			page.Chunks = append(page.Chunks, c)
 		}
-		s.m.LoadPage(0, page, 2, at(100))
-		s.m.Loaded(at(100))
+		s.m.LoadPlacementPage(0, page, 2, at(100))
+		s.m.FinishLoading(at(100))
 		s.run(100, 103)
 		for _, j := range s.m.Jobs {
-			if j.Placed > 0 && !j.begun() {
+			if j.PlacedTasks > 0 && !j.begun() {
 				t.Errorf("%s runs, and the next leader takes it for one that has not begun", j.ID)
 			}
 		}
@@ -224,7 +224,7 @@
 	s := newShop(t, 1, bound) // of zone a
 	s.m.teams[0].Max.CPU = 8
 	offer := func() {
-		for ti := range s.m.Types {
+		for ti := range s.m.MachineTypes {
 			for z := range s.m.Zones {
 				for _, spot := range []bool{false, true} {
 					s.m.refused[offerKey{ti, z, spot}] = at(1000)
@@ -279,10 +279,10 @@
 					continue
 				}
 				var b strings.Builder
-				fmt.Fprint(&b, j.ID, j.Attempt, j.Done, j.FirstRun)
+				fmt.Fprint(&b, j.ID, j.LastAttempt, j.DoneTasks, j.FirstRunAt)
 				for i := range j.Tasks {
-					if p := j.Tasks[i].Place; p != nil {
-						fmt.Fprint(&b, " ", i, p.name, p.At)
+					if p := j.Tasks[i].Placement; p != nil {
+						fmt.Fprint(&b, " ", i, p.name, p.PlacedAt)
 					}
 				}
 				out = append(out, b.String())
@@ -311,7 +311,7 @@
 		s.run(0, 1000)
 		for now := 30; now < 600; now += 60 {
 			all++
-			if j := s.m.Job(fmt.Sprintf("wk-99%04d", now)); j == nil || j.Done == 12 {
+			if j := s.m.Job(fmt.Sprintf("wk-99%04d", now)); j == nil || j.DoneTasks == 12 {
 				done++
 			}
 		}
--- a/cluster/classes.go
+++ b/cluster/classes.go
@@ -58,8 +58,8 @@
 	c.spec, c.seen = j, now
 	c.runs.came(j.Spec.EstimateS)
 	c.sized(len(j.Tasks))
-	if now.Sub(j.At) < recentFor && len(c.recent) < 1000 {
-		c.recent = append(c.recent, j.At)
+	if now.Sub(j.AcceptedAt) < recentFor && len(c.recent) < 1000 {
+		c.recent = append(c.recent, j.AcceptedAt)
 	}
 	c.biggest = max(c.biggest, min(len(j.Tasks), 16))
 }
@@ -112,7 +112,7 @@
 	j := c.spec
 	r := placement.Request{
 		Job: -1, Need: j.Need, Priority: 9, Team: -1, Image: j.Image, Zone: -1,
-		ZoneUsed: make([]int, len(m.Zones)), Types: j.Types, Spot: j.Spec.Spot, Phantom: true,
+		ZoneUsed: make([]int, len(m.Zones)), Types: j.AllowedTypes, Spot: j.Spec.Spot, Phantom: true,
 	}
 	for i := range n {
 		r.Tasks = append(r.Tasks, int32(i))
--- a/cluster/cloudlist.go
+++ b/cluster/cloudlist.go
@@ -13,20 +13,20 @@
 // returnAtOnce is how many machines one request returns at most.
 const returnAtOnce = 50
 
-// Returned takes in the names of a deletion that an earlier leader asked for:
+// ResumeScaleIn takes in the names of a deletion that an earlier leader asked for:
 // it may yet be carried out.
-func (m *Model) Returned(names []string, now time.Time) {
+func (m *Model) ResumeScaleIn(names []string, now time.Time) {
 	for _, n := range names {
-		m.machine(n, now).Returning = true
+		m.machine(n, now).ScalingIn = true
 	}
 }
 
 const failedState = wire.MachineFailed
 
-// SetList takes the cloud's machine list in. It lags and may be older than the
+// ApplyCloudList takes the cloud's machine list in. It lags and may be older than the
 // one before, so that it proves nothing about tasks; it tells of machines that
 // no worker has reported from yet.
-func (m *Model) SetList(list []wire.ListedMachine, now time.Time) {
+func (m *Model) ApplyCloudList(list []wire.ListedMachine, now time.Time) {
 	for i := range list {
 		l := &list[i]
 		_, known := m.machineIdx[l.Name]
@@ -44,14 +44,14 @@
 		if mc.Type < 0 || mc.Zone < 0 {
 			m.describe(mc, l.Type, l.Zone, l.Spot)
 		}
-		mc.Listed, mc.ListedAt = l.State, now
+		mc.CloudState, mc.CloudStateAt = l.State, now
 	}
 }
 
-// Returnable lists machines to be deleted: failed ones, those that never came
+// SelectScaleIn lists machines to be deleted: failed ones, those that never came
 // up, those that have been silent for long, and empty ones that nobody needs.
 // A machine is marked, so that nothing is placed on it any more.
-func (m *Model) Returnable(now time.Time, idle time.Duration) []string {
+func (m *Model) SelectScaleIn(now time.Time, idle time.Duration) []string {
 	if len(m.openJobs()) == 0 {
 		// Nothing to do at all: no reason to keep machines for what may come.
 		idle = min(idle, 20*time.Second)
@@ -60,7 +60,7 @@
 	// Those that were asked for before and not confirmed come first: the record
 	// of what goes holds one request's names.
 	for _, mc := range m.Machines {
-		if mc.Returning && !mc.Gone && len(out) < returnAtOnce {
+		if mc.ScalingIn && !mc.Gone && len(out) < returnAtOnce {
 			out = append(out, mc.Name)
 		}
 	}
@@ -71,28 +71,28 @@
 		if len(out) >= returnAtOnce {
 			break
 		}
-		if mc.Gone || mc.Returning {
+		if mc.Gone || mc.ScalingIn {
 			continue
 		}
 		why := ""
-		listed := !mc.ListedAt.IsZero() && now.Sub(mc.ListedAt) < time.Minute
+		listed := !mc.CloudStateAt.IsZero() && now.Sub(mc.CloudStateAt) < time.Minute
 		switch {
 		case len(mc.Tasks) > 0 || mc.orphans != (placement.Res{}):
-		case mc.Listed == failedState && listed && !mc.Up:
+		case mc.CloudState == failedState && listed && !mc.Up:
 			why = "failed"
-		case !mc.Up && mc.Session == 0 && mc.Type >= 0 && now.Sub(mc.Created) > m.bootLimit(mc) && (listed || mc.Ours) && now.Sub(m.Takeover) > 20*time.Second:
+		case !mc.Up && mc.AgentEpoch == 0 && mc.Type >= 0 && now.Sub(mc.Created) > m.bootLimit(mc) && (listed || mc.RequestedHere) && now.Sub(m.ElectedAt) > 20*time.Second:
 			why = neverUp
-		case !mc.Up && mc.Session > 0 && listed && now.Sub(m.leaseOver(mc)) > 40*time.Second:
+		case !mc.Up && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseOver(mc)) > 40*time.Second:
 			why = "silent"
-		case mc.Up && mc.Shown && m.letGo(mc):
+		case mc.Up && mc.TokenShown && m.letGo(mc):
 			why = "pool"
-		case mc.Up && mc.Shown && now.Sub(mc.IdleSince) > idle && now.Sub(mc.keptAt) > idle && now.Sub(m.Takeover) > 30*time.Second && !m.keptByPool(mc):
+		case mc.Up && mc.TokenShown && now.Sub(mc.IdleSince) > idle && now.Sub(mc.keptAt) > idle && now.Sub(m.ElectedAt) > 30*time.Second && !m.keptByPool(mc):
 			why = "idle"
-		case m.mute(mc, now) && now.Sub(m.Takeover) > 30*time.Second:
+		case m.mute(mc, now) && now.Sub(m.ElectedAt) > 30*time.Second:
 			why = "mute"
 		}
 		if why != "" {
-			mc.Returning = true
+			mc.ScalingIn = true
 			m.log.Info("returning", "machine", mc.Name, "why", why)
 			if why == neverUp {
 				m.givenUp(mc, now)
--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -19,8 +19,8 @@
 		Workers: config.Workers{ReportS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
 		Cloud:   config.CloudLimits{RPS: 4, ListLagS: 5}}}
 	m := New(cfg, token, t0, slog.New(slog.DiscardHandler))
-	m.Tuning = config.DefaultTuning().Rebalance
-	m.SetTypes([]wire.MachineType{{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
+	m.RebalanceSettings = config.DefaultTuning().Rebalance
+	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
 	return m
 }
 
@@ -41,7 +41,7 @@
 		if b == nil {
 			return
 		}
-		b.Committed(rev, now)
+		b.OnCommit(rev, now)
 	}
 }
 
@@ -75,11 +75,11 @@
 // answer observes a report and answers it.
 func answer(t *testing.T, m *Model, r *wire.Report, now time.Time) []wire.Command {
 	t.Helper()
-	mc := m.Observe(r, now)
+	mc := m.ApplyHeartbeat(r, now)
 	if mc == nil {
 		t.Fatal("report not accepted")
 	}
-	return m.Answer(mc, r, now)
+	return m.AnswerHeartbeat(mc, r, now)
 }
 
 func TestNothingIsLaunchedBeforeItsRecordIsCommitted(t *testing.T) {
@@ -103,21 +103,21 @@
 func TestAbsenceProvesNothingWithoutThisLeadersToken(t *testing.T) {
 	m := newModel(9)
 	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	m.LoadPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
+	m.LoadPlacementPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
 		Placed: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
-	m.Loaded(at(0))
+	m.FinishLoading(at(0))
 	task := &m.Job("wk-000001").Tasks[0]
 	// An answer of the earlier leader may still be on its way to this worker.
 	answer(t, m, rep(1, 4), at(1))
-	if task.Phase != Placed {
+	if task.Phase != TaskPlaced {
 		t.Fatal("believed a report that had not shown the token")
 	}
 	answer(t, m, rep(2, 9), at(2))
-	if task.Phase != Idle {
+	if task.Phase != TaskIdle {
 		t.Fatal("did not believe one that had")
 	}
 	m.Schedule(at(3), 0)
-	if task.Place == nil || task.Place.Attempt <= 3 {
+	if task.Placement == nil || task.Placement.Attempt <= 3 {
 		t.Fatal("the next attempt does not grow")
 	}
 }
@@ -126,19 +126,19 @@
 	m := placed(t, 1)
 	task := &m.Job("wk-000001").Tasks[0]
 	m.Tick(at(13.9))
-	if task.Phase != Placed {
+	if task.Phase != TaskPlaced {
 		t.Fatal("given up within the lease")
 	}
 	// A list that no longer names the machine is no proof either.
-	m.SetList(nil, at(13.9))
-	if task.Phase != Placed {
+	m.ApplyCloudList(nil, at(13.9))
+	if task.Phase != TaskPlaced {
 		t.Fatal("a lagging list was believed")
 	}
 	m.Tick(at(14.5))
-	if task.Phase != Idle {
+	if task.Phase != TaskIdle {
 		t.Fatal("not given up after the lease")
 	}
-	if m.Observe(rep(3, 5), at(15)) != nil {
+	if m.ApplyHeartbeat(rep(3, 5), at(15)) != nil {
 		t.Fatal("a late report of the ended session was accepted")
 	}
 }
@@ -167,7 +167,7 @@
 		answer(t, m, rep(3, 5, wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: why}), at(3))
 		m.Schedule(at(3.1), 0)
 		task := &m.Job("wk-000001").Tasks[0]
-		if task.Phase != Idle {
+		if task.Phase != TaskIdle {
 			t.Errorf("%s: started again at once", why)
 		}
 		second := rep(1, 5)
@@ -177,9 +177,9 @@
 		second.Seq = 2
 		answer(t, m, second, at(7))
 		m.Schedule(at(7.1), 0)
-		if task.Place == nil || task.Place.Attempt != 2 {
+		if task.Placement == nil || task.Placement.Attempt != 2 {
 			t.Errorf("%s: not started again later under a higher attempt", why)
-		} else if why == wire.WhyError && m.Machines[task.Place.Machine].Name != "host-2" {
+		} else if why == wire.WhyError && m.Machines[task.Placement.Machine].Name != "host-2" {
 			t.Errorf("%s: back on the same machine", why)
 		}
 	}
@@ -191,7 +191,7 @@
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	m.Tick(at(9)) // silent, but within its lease
-	if m.Job("wk-000001").Tasks[0].Phase != Idle {
+	if m.Job("wk-000001").Tasks[0].Phase != TaskIdle {
 		t.Fatal("a task that was never launched waits for the lease")
 	}
 }
@@ -203,8 +203,8 @@
 	m.Schedule(at(1), 0)
 	b := m.NextBatch(12)
 	key := jobstore.PageKey(0)
-	m.Failed(b)
-	m.Reread(b, key, 77) // it had been applied after all
+	m.RequeueBatch(b)
+	m.ResolveConflict(b, key, 77) // it had been applied after all
 	b = m.NextBatch(12)
 	for _, g := range b.Guards {
 		if g.Key == key && g.Version != 77 {
@@ -216,9 +216,9 @@
 func TestMovesSurviveAChangeOfLeader(t *testing.T) {
 	m := newModel(9)
 	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	m.LoadPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
+	m.LoadPlacementPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
 		Placed: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
-	m.LoadCycle("a/m", jobstore.CycleRecord{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
+	m.LoadRebalanceCycle("a/m", jobstore.CycleRecord{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
 		CoolUntil: at(60).UnixMilli()}, at(0))
 	running := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
 	if _, s, _ := ops(answer(t, m, rep(1, 9, running), at(1))); s != 1 {
@@ -230,11 +230,11 @@
 	exited := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskExited, Why: wire.WhyStopped, Saved: true}
 	answer(t, m, rep(2, 9, exited), at(4))
 	m.Schedule(at(4.1), 0)
-	p := m.Job("wk-000001").Tasks[0].Place
+	p := m.Job("wk-000001").Tasks[0].Placement
 	if p == nil || m.Machines[p.Machine].Name != "host-2" || p.Attempt != 4 {
 		t.Fatal("the task did not start on its target under a higher attempt")
 	}
-	if rec := m.Cycles["a/m"].Record; rec.CoolUntil != at(60).UnixMilli() {
+	if rec := m.RebalanceCycles["a/m"].Record; rec.CoolUntil != at(60).UnixMilli() {
 		t.Error("the cooldown was lost")
 	}
 	// A start that fails there for reasons of the task quarantines it.
@@ -244,7 +244,7 @@
 	second.Seq = 3
 	second.Tasks = []wire.TaskReport{{Task: "wk-000001/0", Attempt: 4, State: wire.TaskExited, Why: wire.WhyError}}
 	answer(t, m, second, at(6))
-	if m.Cycles["a/m"].Record.Quarantine["wk-000001/0"] == 0 {
+	if m.RebalanceCycles["a/m"].Record.Quarantine["wk-000001/0"] == 0 {
 		t.Error("not quarantined")
 	}
 }
@@ -258,15 +258,15 @@
 	}{{at(1), 1}, {at(0), 0}, {at(-60), 0}} {
 		m := newModel(9)
 		m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-		m.LoadPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
+		m.LoadPlacementPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
 			Placed: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
-		m.LoadCycle("a/m", jobstore.CycleRecord{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
+		m.LoadRebalanceCycle("a/m", jobstore.CycleRecord{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
 			CoolUntil: c.coolUntil.UnixMilli(), Rest: map[string]int64{"wk-000001/0": at(90).UnixMilli()}}, at(0))
 		running := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
 		if _, s, _ := ops(answer(t, m, rep(1, 9, running), at(1))); s != c.stops {
 			t.Errorf("cooling until %v: %d stops, want %d", c.coolUntil, s, c.stops)
 		}
-		if m.Cycles["a/m"].Record.Rest["wk-000001/0"] == 0 {
+		if m.RebalanceCycles["a/m"].Record.Rest["wk-000001/0"] == 0 {
 			t.Error("the task's rest was lost")
 		}
 	}
--- a/cluster/cycle.go
+++ b/cluster/cycle.go
@@ -12,20 +12,20 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Cycle is what the rebalancer remembers of a group.
-type Cycle struct {
+// RebalanceCycle is what the rebalancer remembers of a group.
+type RebalanceCycle struct {
 	Record jobstore.CycleRecord
 }
 
-// LoadCycle takes an earlier leader's cycle record in. Moves whose task is
+// LoadRebalanceCycle takes an earlier leader's cycle record in. Moves whose task is
 // still where it was are stopped again, since the stop may have been sent;
 // those whose stop was confirmed are simply waiting and start on their target.
 //
 // The record may be of a transaction that had no answer and was carried out late, so that
 // its moves were never begun. Once the group's cooldown is over nobody wants them any
 // more, and they are not begun then.
-func (m *Model) LoadCycle(group string, rec jobstore.CycleRecord, now time.Time) {
-	m.Cycles[group] = &Cycle{Record: rec}
+func (m *Model) LoadRebalanceCycle(group string, rec jobstore.CycleRecord, now time.Time) {
+	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
 	if now.UnixMilli() >= rec.CoolUntil {
 		return
 	}
@@ -40,16 +40,16 @@
 	}
 }
 
-func (m *Model) moved(mv jobstore.Move) (Ref, *Place) {
+func (m *Model) moved(mv jobstore.Move) (TaskRef, *Placement) {
 	id, n, ok := wire.SplitTask(mv.Task)
 	if !ok {
-		return Ref{}, nil
+		return TaskRef{}, nil
 	}
 	j := m.Job(id)
 	if j == nil || n >= len(j.Tasks) {
-		return Ref{}, nil
+		return TaskRef{}, nil
 	}
-	return Ref{Job: j.Idx, Task: int32(n)}, j.Tasks[n].Place
+	return TaskRef{Job: j.Index, Task: int32(n)}, j.Tasks[n].Placement
 }
 
 // Groups never cross zones or machine types.
@@ -61,10 +61,10 @@
 		return nil
 	}
 	var out map[int32]int
-	for _, c := range m.Cycles {
+	for _, c := range m.RebalanceCycles {
 		for _, mv := range c.Record.Moves {
 			ref, p := m.moved(mv)
-			if p != nil || ref.Job != j.Idx || m.Jobs[ref.Job] != j || !ownTask(j, mv.Task) {
+			if p != nil || ref.Job != j.Index || m.Jobs[ref.Job] != j || !ownTask(j, mv.Task) {
 				continue
 			}
 			to, ok := m.machineIdx[mv.To]
@@ -89,7 +89,7 @@
 
 // moveEnded takes in how a moved task's attempt ended. A start on the target
 // that fails for reasons of the task quarantines it.
-func (m *Model) moveEnded(ref Ref, failed string, now time.Time) {
+func (m *Model) moveEnded(ref TaskRef, failed string, now time.Time) {
 	if failed == "" {
 		return
 	}
@@ -98,13 +98,13 @@
 		return
 	}
 	name := wire.TaskName(j.ID, int(ref.Task))
-	for _, c := range m.Cycles {
+	for _, c := range m.RebalanceCycles {
 		for i, mv := range c.Record.Moves {
 			if mv.Task == name {
 				if c.Record.Quarantine == nil {
 					c.Record.Quarantine = map[string]int64{}
 				}
-				c.Record.Quarantine[name] = now.Add(config.Seconds(m.Tuning.QuarantineS)).UnixMilli()
+				c.Record.Quarantine[name] = now.Add(config.Seconds(m.RebalanceSettings.QuarantineS)).UnixMilli()
 				c.Record.Moves = append(c.Record.Moves[:i:i], c.Record.Moves[i+1:]...)
 				m.log.Info("move failed, task quarantined", "task", name, "why", failed)
 				break
@@ -116,14 +116,14 @@
 // PlanMoves looks at every group and returns the cycle records to commit
 // before their moves begin, by group.
 func (m *Model) PlanMoves(wanted []placement.Request, now time.Time) map[string]jobstore.CycleRecord {
-	if !m.Tuning.Enabled || len(wanted) == 0 || now.Sub(m.Takeover) < config.Seconds(m.cfg.Cluster.Workers.ReportS*3) {
+	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(m.cfg.Cluster.Workers.ReportS*3) {
 		return nil
 	}
 	groups := map[string][]*Machine{}
 	var names []string
 	for _, mc := range m.Machines {
 		if m.ready(mc, now) && !m.keptByPool(mc) {
-			g := groupName(m.Types[mc.Type].Name, m.Zones[mc.Zone])
+			g := groupName(m.MachineTypes[mc.Type].Name, m.Zones[mc.Zone])
 			if groups[g] == nil {
 				names = append(names, g)
 			}
@@ -135,7 +135,7 @@
 	ms := now.UnixMilli()
 	for _, g := range names {
 		var old jobstore.CycleRecord
-		if c := m.Cycles[g]; c != nil {
+		if c := m.RebalanceCycles[g]; c != nil {
 			old = c.Record
 		}
 		if ms < old.CoolUntil {
@@ -153,8 +153,8 @@
 			continue
 		}
 		rec := jobstore.CycleRecord{Rest: prune(old.Rest, ms), Quarantine: prune(old.Quarantine, ms)}
-		in := rebalance.Group{Budget: m.Tuning.Budget, Wanted: want}
-		for _, p := range m.Tuning.Policies {
+		in := rebalance.Group{Budget: m.RebalanceSettings.Budget, Wanted: want}
+		for _, p := range m.RebalanceSettings.Policies {
 			in.Policies = append(in.Policies, rebalance.Policy(p))
 		}
 		for _, mc := range mcs {
@@ -168,25 +168,25 @@
 			j := m.Jobs[mv.Task.Job]
 			name := wire.TaskName(j.ID, int(mv.Task.Task))
 			rec.Moves = append(rec.Moves, jobstore.Move{
-				Task: name, Attempt: j.Tasks[mv.Task.Task].Place.Attempt,
+				Task: name, Attempt: j.Tasks[mv.Task.Task].Placement.Attempt,
 				From: mcs[mv.From].Name, To: mcs[mv.To].Name,
 			})
-			rec.Rest[name] = now.Add(config.Seconds(m.Tuning.RestS)).UnixMilli()
+			rec.Rest[name] = now.Add(config.Seconds(m.RebalanceSettings.RestS)).UnixMilli()
 		}
-		rec.CoolUntil = now.Add(config.Seconds(m.Tuning.CooldownS)).UnixMilli()
+		rec.CoolUntil = now.Add(config.Seconds(m.RebalanceSettings.CooldownS)).UnixMilli()
 		out[g] = rec
 	}
 	return out
 }
 
 func (m *Model) host(mc *Machine, rec jobstore.CycleRecord, now time.Time) rebalance.Host {
-	h := rebalance.Host{Cap: m.Types[mc.Type].Cap, Used: mc.Used.Add(mc.orphans, 1)}
+	h := rebalance.Host{Cap: m.MachineTypes[mc.Type].Capacity, Used: mc.Used.Add(mc.orphans, 1)}
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
-		p := j.Tasks[ref.Task].Place
+		p := j.Tasks[ref.Task].Placement
 		name := j.ID + "/" + strconv.Itoa(int(ref.Task))
-		movable := !j.Gang() && p.Stop == nil && !p.Held && p.Seen == seenRunning && j.Spec.CheckpointS > 0 &&
-			now.Sub(p.Since).Seconds() < m.Tuning.LongS &&
+		movable := !j.Gang() && p.Stop == nil && !p.StopHeld && p.ReportedState == seenRunning && j.Spec.CheckpointS > 0 &&
+			now.Sub(p.RunningSince).Seconds() < m.RebalanceSettings.LongS &&
 			rec.Rest[name] == 0 && rec.Quarantine[name] == 0 && !j.Spec.Spread
 		h.Tasks = append(h.Tasks, rebalance.Task{Ref: ref, Need: j.Need, Movable: movable, Spot: j.Spec.Spot})
 	}
@@ -206,7 +206,7 @@
 
 // BeginMoves starts a cycle whose record is committed.
 func (m *Model) BeginMoves(group string, rec jobstore.CycleRecord, now time.Time) {
-	m.Cycles[group] = &Cycle{Record: rec}
+	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
 	for _, mv := range rec.Moves {
 		if ref, p := m.moved(mv); p != nil && p.Attempt == mv.Attempt && p.Stop == nil {
 			m.StopTask(ref, "move", now)
@@ -216,11 +216,11 @@
 
 // measureSpeed compares how long a task ran with what its owner expected and
 // keeps the ratio's average for the machine.
-func (m *Model) measureSpeed(j *Job, mc *Machine, p *Place, now time.Time) {
-	if j.Spec.EstimateS <= 0 || p.Since.IsZero() || p.Inherited {
+func (m *Model) measureSpeed(j *Job, mc *Machine, p *Placement, now time.Time) {
+	if j.Spec.EstimateS <= 0 || p.RunningSince.IsZero() || p.Inherited {
 		return
 	}
-	ratio := now.Sub(p.Since).Seconds() / j.Spec.EstimateS
+	ratio := now.Sub(p.RunningSince).Seconds() / j.Spec.EstimateS
 	if mc.speed == 0 {
 		mc.speed = 1
 	}
--- a/cluster/damaged.go
+++ b/cluster/damaged.go
@@ -17,10 +17,10 @@
 	return 80 + len(c.Job) + (22+max(m.longest, 18))*len(c.Placed) + 8*len(c.Done)
 }
 
-// DamagedJob names a job whose record can't be read. It stands still until its
+// QuarantineJob names a job whose record can't be read. It stands still until its
 // user cancels it; its placements are kept as they are, since attempts must
 // not repeat should it be read again.
-func (m *Model) DamagedJob(key, id string, err error) {
+func (m *Model) QuarantineJob(key, id string, err error) {
 	m.log.Error("unreadable job record: the job is set aside", "key", key, "id", id, "err", err)
 	if m.unreadable == nil {
 		m.unreadable = map[string]bool{}
@@ -29,24 +29,24 @@
 	m.wait()
 }
 
-// DamagedIntake names a page of jobs that can't be read: which jobs stand on it is
+// QuarantineAdmissionPage names a page of jobs that can't be read: which jobs stand on it is
 // not known. Chunks of jobs that are not known otherwise are kept. since is from
 // when on no leader has known its jobs, by the clock of whoever says so: as with
 // jobs that were cancelled then, their tasks are gone cancel_s later.
-func (m *Model) DamagedIntake(key string, since time.Time, err error) {
+func (m *Model) QuarantineAdmissionPage(key string, since time.Time, err error) {
 	m.log.Error("unreadable page of jobs: they are set aside", "key", key, "since", since, "err", err)
 	m.lostIntake = true
 	apart := time.Duration(2 * m.cfg.Cluster.SkewMs * float64(time.Millisecond))
-	if since = since.Add(apart); since.Before(m.Takeover) {
+	if since = since.Add(apart); since.Before(m.ElectedAt) {
 		m.waitFrom(since)
 		return
 	}
 	m.wait()
 }
 
-// Intake is what this leader knows of a page of users' jobs in that version; false
+// AdmissionEntries is what this leader knows of a page of users' jobs in that version; false
 // where it does not.
-func (m *Model) Intake(key string, version uint64) ([]jobstore.IntakeEntry, bool) {
+func (m *Model) AdmissionEntries(key string, version uint64) ([]jobstore.IntakeEntry, bool) {
 	p := m.intakes[key]
 	if p == nil || p.version != version {
 		return nil, false
@@ -54,9 +54,9 @@
 	return append([]jobstore.IntakeEntry{}, p.rec.Jobs...), true
 }
 
-// DamagedPage names a page of placement records that can't be read, and keeps it as
+// QuarantinePlacementPage names a page of placement records that can't be read, and keeps it as
 // it is. Whatever it may speak of is set aside when all has been read.
-func (m *Model) DamagedPage(n int, version uint64, err error) {
+func (m *Model) QuarantinePlacementPage(n int, version uint64, err error) {
 	key := jobstore.PageKey(n)
 	m.log.Error("unreadable page of placements: jobs that it may speak of are set aside", "key", key, "err", err)
 	p := m.pageAt(n)
@@ -68,7 +68,7 @@
 // wait holds all placing back until the tasks that can't be accounted for are gone
 // by all means: they may use a team's limit. A worker that is answered is told
 // to stop what nobody knows; one that is not loses its lease.
-func (m *Model) wait() { m.waitFrom(m.Takeover) }
+func (m *Model) wait() { m.waitFrom(m.ElectedAt) }
 
 func (m *Model) waitFrom(t time.Time) {
 	if until := t.Add(config.Seconds(m.cfg.Cluster.Workers.CancelS)); until.After(m.quiet) {
@@ -76,11 +76,11 @@
 	}
 }
 
-// DamagedEnd takes in a job that is over and whose final record can't be read,
+// QuarantineFinishedJob takes in a job that is over and whose final record can't be read,
 // while placements of it are left: what its tasks need is not known.
-func (m *Model) DamagedEnd(key, id string, err error) {
+func (m *Model) QuarantineFinishedJob(key, id string, err error) {
 	m.log.Error("unreadable record of a job that is over: its tasks are stopped", "key", key, "id", id, "err", err)
-	m.LoadCancelled(id, jobstore.JobRecord{Job: wire.Job{ID: id, Tasks: wire.MaxTasks, Kind: wire.KindArray}})
+	m.LoadCancelledJob(id, jobstore.JobRecord{Job: wire.Job{ID: id, Tasks: wire.MaxTasks, Kind: wire.KindArray}})
 	m.wait()
 }
 
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -9,12 +9,12 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// Reference says against what a digest gives numbers that only ever grow.
-type Reference interface {
+// DigestBase says against what a digest gives numbers that only ever grow.
+type DigestBase interface {
 	// Version is that of a key in the state service; 0 where there is none.
 	Version(key string) uint64
-	// Message is the worker's current session and the number of its last message.
-	Message(machine string) (session, seq uint64)
+	// LastMessage is the worker's current session and the number of its last message.
+	LastMessage(machine string) (session, seq uint64)
 }
 
 // longAgo is an age, in seconds, beyond which the exact one bears on nothing:
@@ -26,7 +26,7 @@
 // as ages in whole seconds, versions as up to date or not, messages by how far
 // they lie back. What only bears on which of several machines is chosen is left
 // out (estimates, speeds, images, boots). The model check merges states by it.
-func (m *Model) Digest(w io.Writer, ref Reference, now time.Time) {
+func (m *Model) Digest(w io.Writer, ref DigestBase, now time.Time) {
 	age := func(t time.Time) int {
 		if t.IsZero() {
 			return -1
@@ -34,21 +34,21 @@
 		return int(min(now.Sub(t).Seconds(), longAgo))
 	}
 	behind := func(name string, session, seq uint64) string {
-		s, q := ref.Message(name)
+		s, q := ref.LastMessage(name)
 		if session != s {
 			return fmt.Sprintf("s%d", int64(s-session))
 		}
 		return fmt.Sprintf("q%d", int64(q-seq))
 	}
-	fmt.Fprintf(w, "t%d;%d|", m.Token, age(m.Takeover))
+	fmt.Fprintf(w, "t%d;%d|", m.FencingToken, age(m.ElectedAt))
 	for _, mc := range m.Machines {
-		fmt.Fprintf(w, "M%s,%t,%t,%t,%t,%s,%d,%d,%d,%g", mc.Name, mc.Up, mc.Shown, mc.Gone, mc.Returning,
-			behind(mc.Name, mc.Session, mc.Seq), age(mc.LastAnswer), age(mc.LastSeen), age(mc.Notice), mc.orphans.CPU)
+		fmt.Fprintf(w, "M%s,%t,%t,%t,%t,%s,%d,%d,%d,%g", mc.Name, mc.Up, mc.TokenShown, mc.Gone, mc.ScalingIn,
+			behind(mc.Name, mc.AgentEpoch, mc.Seq), age(mc.LastAnswered), age(mc.LastSeen), age(mc.InterruptionAt), mc.orphans.CPU)
 		names := make([]string, 0, len(mc.exits))
 		for k, e := range mc.exits {
 			committed := true
 			if j := m.Jobs[e.job]; j != nil {
-				committed = j.Chunks[e.chunk].Committed >= e.gen
+				committed = j.Chunks[e.chunk].CommittedGen >= e.gen
 			}
 			names = append(names, fmt.Sprintf("e%s.%d,%t", k.name, k.attempt, committed))
 		}
@@ -57,39 +57,39 @@
 			names = append(names, fmt.Sprintf("f%s.%d", k.name, k.attempt))
 		}
 		slices.Sort(names)
-		fmt.Fprint(w, names, h.told, (number{mc.Session, mc.Seq}) == h.twice, h.shown, mc.deaf(), m.showing(mc, now), m.mute(mc, now), "|")
+		fmt.Fprint(w, names, h.told, (number{mc.AgentEpoch, mc.Seq}) == h.twice, h.shown, mc.deaf(), m.showing(mc, now), m.mute(mc, now), "|")
 	}
 	for _, j := range m.Jobs {
 		if j == nil {
 			continue
 		}
-		fmt.Fprintf(w, "J%s,%d,%t,%t,%t,%t,%t,%t,%t", j.ID, j.Attempt, j.Cancelled, j.Finished, j.Started, j.Ending, j.dirty,
+		fmt.Fprintf(w, "J%s,%d,%t,%t,%t,%t,%t,%t,%t", j.ID, j.LastAttempt, j.Cancelled, j.Finished, j.GangStarted, j.GangEnding, j.dirty,
 			now.Before(j.NotBefore), j.current(ref))
 		for _, mc := range m.Machines {
-			if until, ok := j.avoid[mc.Idx]; ok && now.Before(until) {
+			if until, ok := j.avoid[mc.Index]; ok && now.Before(until) {
 				fmt.Fprintf(w, "a%s%d", mc.Name, age(until))
 			}
 		}
 		for i := range j.Tasks {
 			t := &j.Tasks[i]
-			fmt.Fprintf(w, "T%d,%d,%t", t.Phase, t.End, now.UnixMilli() < t.NotBefore)
-			if p := t.Place; p != nil {
-				fmt.Fprintf(w, "g%tP%s,%d,%t,%t,%d,%t,%s", j.Chunks[i/jobstore.ChunkSize].Committed >= p.gen, p.name, p.Attempt, p.Inherited, p.Sent, p.Seen, now.Sub(p.Summoned) < summonAgain,
-					behind(p.name, p.Session, p.Seq))
-				if p.Seq > 0 && (number{p.Session, p.Seq}) == m.Machines[p.Machine].hearing.twice {
+			fmt.Fprintf(w, "T%d,%d,%t", t.Phase, t.Outcome, now.UnixMilli() < t.NotBefore)
+			if p := t.Placement; p != nil {
+				fmt.Fprintf(w, "g%tP%s,%d,%t,%t,%d,%t,%s", j.Chunks[i/jobstore.ChunkSize].CommittedGen >= p.gen, p.name, p.Attempt, p.Inherited, p.LaunchSent, p.ReportedState, now.Sub(p.WokenAt) < summonAgain,
+					behind(p.name, p.LaunchEpoch, p.LaunchSeq))
+				if p.LaunchSeq > 0 && (number{p.LaunchEpoch, p.LaunchSeq}) == m.Machines[p.Machine].hearing.twice {
 					fmt.Fprint(w, "2")
 				}
-				if p.Held {
+				if p.StopHeld {
 					fmt.Fprint(w, "H")
 				}
 				if p.Stop != nil {
-					fmt.Fprintf(w, "S%g,%t", p.Stop.Grace, p.Stop.Direct.IsZero())
+					fmt.Fprintf(w, "S%g,%t", p.Stop.Grace, p.Stop.PushedAt.IsZero())
 				}
 			}
 		}
 		for i := range j.Chunks {
 			c := &j.Chunks[i]
-			fmt.Fprintf(w, "C%t,%t", c.Committed >= c.PlaceGen, c.Committed >= c.Gen)
+			fmt.Fprintf(w, "C%t,%t", c.CommittedGen >= c.PlacedGen, c.CommittedGen >= c.Generation)
 		}
 	}
 	for _, p := range m.pages {
--- a/cluster/estimate.go
+++ b/cluster/estimate.go
@@ -110,16 +110,16 @@
 
 // progressed takes in how far an attempt that did not complete has brought its
 // task. It leads to no decision but in which order things are served.
-func (j *Job) progressed(task int32, p *Place, saved bool, now time.Time) {
-	if j.Spec.CheckpointS <= 0 || p.Since.IsZero() {
+func (j *Job) progressed(task int32, p *Placement, saved bool, now time.Time) {
+	if j.Spec.CheckpointS <= 0 || p.RunningSince.IsZero() {
 		return
 	}
 	t := &j.Tasks[task]
 	end := now
 	if p.Stop != nil {
-		end = p.Stop.At
+		end = p.Stop.OrderedAt
 	}
-	ran := float32(max(0, end.Sub(p.Since).Seconds()))
+	ran := float32(max(0, end.Sub(p.RunningSince).Seconds()))
 	if !saved {
 		// Checkpoints are at multiples of the job's progress.
 		every := float32(j.Spec.CheckpointS)
@@ -131,12 +131,12 @@
 }
 
 // completed takes in how long a task ran that completed in one go.
-func (m *Model) completed(j *Job, task int32, p *Place, now time.Time) {
-	if j.Tasks[task].Resumed || p.Inherited || p.Since.IsZero() || j.Spec.EstimateS <= 0 {
+func (m *Model) completed(j *Job, task int32, p *Placement, now time.Time) {
+	if j.Tasks[task].Resumed || p.Inherited || p.RunningSince.IsZero() || j.Spec.EstimateS <= 0 {
 		return
 	}
 	j.ranN++
-	ran := now.Sub(p.Since).Seconds()
+	ran := now.Sub(p.RunningSince).Seconds()
 	j.ranSum += ran
 	j.ranMax = max(j.ranMax, ran)
 }
--- a/cluster/floor.go
+++ b/cluster/floor.go
@@ -48,7 +48,7 @@
 	old := map[string][]*ranked{}
 	for _, k := range out {
 		k.j.floored = false
-		if now.Sub(k.j.At) <= long {
+		if now.Sub(k.j.AcceptedAt) <= long {
 			continue
 		}
 		for _, g := range m.groups(k.j) {
@@ -60,7 +60,7 @@
 		if missing <= 0 {
 			continue
 		}
-		slices.SortStableFunc(jobs, func(a, b *ranked) int { return a.j.At.Compare(b.j.At) })
+		slices.SortStableFunc(jobs, func(a, b *ranked) int { return a.j.AcceptedAt.Compare(b.j.AcceptedAt) })
 		for _, k := range jobs[:min(missing, len(jobs))] {
 			k.j.floored = true
 		}
--- a/cluster/flush.go
+++ b/cluster/flush.go
@@ -8,14 +8,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Batch is a transaction of the leader. The controller adds the guard on the
+// WriteBatch is a transaction of the leader. The controller adds the guard on the
 // leader key.
-type Batch struct {
+type WriteBatch struct {
 	Guards []wire.Guard
 	Ops    []wire.Op
-	// Committed takes the revision in after a success.
-	Committed func(rev uint64, now time.Time)
-	Stops     int // that go out once it is committed
+	// OnCommit takes the revision in after a success.
+	OnCommit  func(rev uint64, now time.Time)
+	HeldStops int // that go out once it is committed
 
 	pages  map[string]*page
 	jobs   map[string]*Job
@@ -114,8 +114,8 @@
 	c.page = nil
 }
 
-// Pending is how many puts and deletes the next batch would like to have.
-func (m *Model) Pending() int {
+// PendingWrites is how many puts and deletes the next batch would like to have.
+func (m *Model) PendingWrites() int {
 	n := 0
 	for _, idx := range m.dirty {
 		if j := m.Jobs[idx]; j != nil && j.over() {
@@ -133,16 +133,16 @@
 	return n
 }
 
-// Clean says whether all changes have been handed out to be written.
-func (m *Model) Clean() bool { return m.Pending() == 0 }
+// AllWritesIssued says whether all changes have been handed out to be written.
+func (m *Model) AllWritesIssued() bool { return m.PendingWrites() == 0 }
 
 // over says whether a job is done and its end is to be committed.
-func (j *Job) over() bool { return j.Done == len(j.Tasks) && !j.Cancelled && !j.Finished }
+func (j *Job) over() bool { return j.DoneTasks == len(j.Tasks) && !j.Cancelled && !j.Finished }
 
 // NextBatch collects changed records, at most maxOps of them. Users wait for
 // the ends of jobs, and machines for placements: these come first.
-func (m *Model) NextBatch(maxOps int) *Batch {
-	b := &Batch{pages: map[string]*page{}, jobs: map[string]*Job{}}
+func (m *Model) NextBatch(maxOps int) *WriteBatch {
+	b := &WriteBatch{pages: map[string]*page{}, jobs: map[string]*Job{}}
 	fresh, other := m.changedPages()
 	dones := maxOps
 	if len(fresh) > 0 {
@@ -154,7 +154,7 @@
 		switch {
 		case j == nil:
 			continue
-		case j.Finished || j.Cancelled && j.Placed == 0:
+		case j.Finished || j.Cancelled && j.PlacedTasks == 0:
 			m.forget(j)
 			continue
 		case j.over():
@@ -182,12 +182,12 @@
 		b.Guards = append(b.Guards, m.PlanGuard())
 	}
 	m.compare(b)
-	b.Committed = b.committed
+	b.OnCommit = b.committed
 	return b
 }
 
 // committed takes in that a batch is in the store.
-func (b *Batch) committed(rev uint64, now time.Time) {
+func (b *WriteBatch) committed(rev uint64, now time.Time) {
 	for _, f := range b.after {
 		f(rev, now)
 	}
@@ -201,7 +201,7 @@
 		p := m.pages[(i+m.nextPage)%len(m.pages)]
 		switch {
 		case p.gen == p.committed:
-		case slices.ContainsFunc(p.chunks, func(r chunkRef) bool { c := &r.j.Chunks[r.n]; return c.PlaceGen > c.Committed }):
+		case slices.ContainsFunc(p.chunks, func(r chunkRef) bool { c := &r.j.Chunks[r.n]; return c.PlacedGen > c.CommittedGen }):
 			fresh = append(fresh, p)
 		default:
 			other = append(other, p)
@@ -211,8 +211,8 @@
 }
 
 // batchDone ends a job, if its page fits in beside what is there already.
-func (m *Model) batchDone(b *Batch, j *Job) bool {
-	rec := jobstore.JobRecord{Job: j.Spec, AtMs: j.At.UnixMilli(), State: wire.JobDone, Ended: j.ends(0, len(j.Tasks)), EndMs: m.endMs(j)}
+func (m *Model) batchDone(b *WriteBatch, j *Job) bool {
+	rec := jobstore.JobRecord{Job: j.Spec, AtMs: j.AcceptedAt.UnixMilli(), State: wire.JobDone, Ended: j.ends(0, len(j.Tasks)), EndMs: m.endMs(j)}
 	if j.res != nil {
 		rec.Reserve = &j.res.Reserve
 	}
@@ -230,14 +230,14 @@
 	b.bytes += 1000
 	b.after = append(b.after, func(_ uint64, now time.Time) {
 		j.Finished = true
-		m.log.Info("job done", "id", j.ID, "sinceAccept", now.Sub(j.At).Round(time.Millisecond).Seconds())
+		m.log.Info("job done", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		m.forget(j)
 	})
 	return true
 }
 
 // batchPage adds a page, if it fits in beside what is there already.
-func (m *Model) batchPage(b *Batch, p *page) {
+func (m *Model) batchPage(b *WriteBatch, p *page) {
 	type written struct {
 		c   *Chunk
 		gen uint64
@@ -257,11 +257,11 @@
 		c := &r.j.Chunks[r.n]
 		cr := r.j.chunkRecord(r.n)
 		rec.Chunks = append(rec.Chunks, cr)
-		chunks = append(chunks, written{c, c.Gen})
+		chunks = append(chunks, written{c, c.Generation})
 		bytes += 60 + len(r.j.ID) + (20+m.longest)*len(cr.Placed) + 5*len(cr.Done)
 		key := jobstore.JobKey(r.j.ID)
-		places = places || c.PlaceGen > c.Committed
-		if c.PlaceGen > c.Committed && !r.j.Cancelled && b.jobs[key] == nil && jobs[key] == nil {
+		places = places || c.PlacedGen > c.CommittedGen
+		if c.PlacedGen > c.CommittedGen && !r.j.Cancelled && b.jobs[key] == nil && jobs[key] == nil {
 			// A placement is only good for a job that is still wanted. A page that
 			// the job shares changes with others, too: there it must not be over.
 			if r.j.home != nil {
@@ -300,24 +300,24 @@
 			p.version = 0
 		}
 		for _, w := range chunks {
-			w.c.Committed = max(w.c.Committed, w.gen)
+			w.c.CommittedGen = max(w.c.CommittedGen, w.gen)
 		}
 	})
 }
 
-// Failed puts a batch's jobs back among those to be written; its pages still
+// RequeueBatch puts a batch's jobs back among those to be written; its pages still
 // are.
-func (m *Model) Failed(b *Batch) {
+func (m *Model) RequeueBatch(b *WriteBatch) {
 	for _, j := range b.jobs {
 		m.markDirty(j)
 	}
 }
 
-// Reread takes in what a key's version turned out to be after a conflict. The
+// ResolveConflict takes in what a key's version turned out to be after a conflict. The
 // leader is the only writer of its placement records, so an unexpected version
 // is that of a transaction of its own whose answer was lost; what is in the
 // model is newer.
-func (m *Model) Reread(b *Batch, key string, version uint64) {
+func (m *Model) ResolveConflict(b *WriteBatch, key string, version uint64) {
 	if p := b.pages[key]; p != nil {
 		p.version = version
 		p.gen++ // also where it was to be deleted
@@ -327,8 +327,8 @@
 	}
 }
 
-// IsJob says whether a key of the batch is that of active jobs.
-func (b *Batch) IsJob(key string) bool {
+// IsJobKey says whether a key of the batch is that of active jobs.
+func (b *WriteBatch) IsJobKey(key string) bool {
 	_, ok := jobstore.ParseJobKey(key)
 	return ok || jobstore.IsIntake(key)
 }
@@ -336,7 +336,7 @@
 // forget drops a job that is over. Its records leave their pages with the
 // pages' next change; a leader that finds them sees that the job is over.
 func (m *Model) forget(j *Job) {
-	if m.Jobs[j.Idx] == nil || j.Placed > 0 {
+	if m.Jobs[j.Index] == nil || j.PlacedTasks > 0 {
 		return
 	}
 	if j.Finished {
@@ -345,24 +345,24 @@
 	for n := range j.Chunks {
 		m.takeOff(&j.Chunks[n])
 	}
-	m.Jobs[j.Idx] = nil
+	m.Jobs[j.Index] = nil
 	delete(m.jobIdx, j.ID)
 }
 
 func (j *Job) chunkRecord(n int) jobstore.ChunkRecord {
-	rec := jobstore.ChunkRecord{Job: j.ID, Chunk: n, Attempt: j.Attempt}
+	rec := jobstore.ChunkRecord{Job: j.ID, Chunk: n, Attempt: j.LastAttempt}
 	lo := n * jobstore.ChunkSize
 	hi := min(lo+jobstore.ChunkSize, len(j.Tasks))
 	rec.Reserved, rec.Ended, rec.Leaving = j.res != nil, j.ends(lo, hi), j.leaving(lo, hi)
 	for i := lo; i < hi; i++ {
 		switch t := &j.Tasks[i]; t.Phase {
-		case Done:
+		case TaskDone:
 			if k := len(rec.Done); k > 0 && rec.Done[k-1] == i-1 {
 				rec.Done[k-1] = i
 			} else {
 				rec.Done = append(rec.Done, i, i)
 			}
-		case Placed:
+		case TaskPlaced:
 			rec.Placed = append(rec.Placed, j.placement(i))
 		}
 	}
@@ -370,17 +370,17 @@
 }
 
 func (j *Job) placement(i int) jobstore.Placement {
-	return jobstore.Placement{Task: i, Attempt: j.Tasks[i].Place.Attempt, Machine: j.Tasks[i].Place.name}
+	return jobstore.Placement{Task: i, Attempt: j.Tasks[i].Placement.Attempt, Machine: j.Tasks[i].Placement.name}
 }
 
 // sortedRefs lists refs in an order that does not depend on the map's.
-func sortedRefs(set map[Ref]bool) []Ref { return sortRefs(set, make([]Ref, 0, len(set))) }
+func sortedRefs(set map[TaskRef]bool) []TaskRef { return sortRefs(set, make([]TaskRef, 0, len(set))) }
 
-func sortRefs(set map[Ref]bool, out []Ref) []Ref {
+func sortRefs(set map[TaskRef]bool, out []TaskRef) []TaskRef {
 	for r := range set {
 		out = append(out, r)
 	}
-	slices.SortFunc(out, func(a, b Ref) int {
+	slices.SortFunc(out, func(a, b TaskRef) int {
 		if a.Job != b.Job {
 			return int(a.Job - b.Job)
 		}
--- a/cluster/hearing.go
+++ b/cluster/hearing.go
@@ -49,7 +49,7 @@
 
 func (m *Model) missed(mc *Machine, what string, now time.Time) {
 	if !mc.deaf() {
-		m.log.Info("machine does not hear", "machine", mc.Name, "session", mc.Session, "sign", what)
+		m.log.Info("machine does not hear", "machine", mc.Name, "session", mc.AgentEpoch, "sign", what)
 		mc.hearing.since = now
 	}
 	mc.hearing.upAt = time.Time{}
@@ -74,11 +74,11 @@
 			h.since = now // it was silent for its lease: what it has shown is old
 		}
 	}
-	if r.Token < m.Token {
+	if r.Token < m.FencingToken {
 		// No answer of this leader was heard, and none before this report can be
 		// any more: they have renewed nothing. A late copy of a report of a machine
 		// that is gone was answered, too; others would wait for it from then on.
-		mc.LastAnswer = time.Time{}
+		mc.LastAnswered = time.Time{}
 		if told {
 			m.missed(mc, "token", now)
 		}
@@ -91,9 +91,9 @@
 		h.shown = true
 		m.heard(mc, now)
 	}
-	if r.Session != mc.Session {
+	if r.Session != mc.AgentEpoch {
 		// Its lease has ended, though it was answered.
-		if told && now.Sub(mc.LastAnswer) < config.Seconds(m.cfg.Cluster.Workers.LeaseS/2) {
+		if told && now.Sub(mc.LastAnswered) < config.Seconds(m.cfg.Cluster.Workers.LeaseS/2) {
 			m.missed(mc, "session", now)
 			m.breakPromises(mc, now)
 		}
@@ -110,7 +110,7 @@
 	for _, k := range forget {
 		if !listed[k] {
 			m.heard(mc, now)
-		} else if (number{mc.Session, mc.Seq}) != h.twice {
+		} else if (number{mc.AgentEpoch, mc.Seq}) != h.twice {
 			m.missed(mc, "forget", now)
 		}
 	}
@@ -122,16 +122,16 @@
 // That it shows the token still is: both answers bear that.
 func (mc *Machine) answeredTwice(via string) {
 	h := &mc.hearing
-	h.twice = number{mc.Session, mc.Seq}
+	h.twice = number{mc.AgentEpoch, mc.Seq}
 	if h.via != via {
 		h.via = ""
 	}
 }
 
-// Came takes in by way of which node a report came that has just been observed. A
+// ObserveReceivingNode takes in by way of which node a report came that has just been observed. A
 // worker stays with the node that has answered it: where its very next report
 // comes to another one, it has not heard the answer.
-func (m *Model) Came(mc *Machine, via string, now time.Time) {
+func (m *Model) ObserveReceivingNode(mc *Machine, via string, now time.Time) {
 	h := &mc.hearing
 	if h.via != "" && h.via != via && mc.Seq == h.at+1 {
 		m.missed(mc, "node", now)
@@ -144,7 +144,7 @@
 func (m *Model) breakPromises(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
-		if p := j.Tasks[ref.Task].Place; p != nil && !p.Sent && !p.Inherited && j.res != nil {
+		if p := j.Tasks[ref.Task].Placement; p != nil && !p.LaunchSent && !p.Inherited && j.res != nil {
 			m.lost(j, ref.Task, "its machine does not hear", now)
 		}
 	}
@@ -160,7 +160,7 @@
 	}
 	for i := len(m.Jobs) - 1; i >= max(0, len(m.Jobs)-probeSearch); i-- {
 		if j := m.Jobs[i]; j != nil {
-			mc.hearing.probe = exitKey{wire.TaskName(j.ID, NoTask), probeAttempt}
+			mc.hearing.probe = exitKey{wire.TaskName(j.ID, NoSuchTask), probeAttempt}
 			return wire.Command{Op: wire.OpStart, Task: mc.hearing.probe.name, Attempt: mc.hearing.probe.attempt}, true
 		}
 	}
@@ -171,7 +171,7 @@
 // with its next report that it hears.
 func (m *Model) showing(mc *Machine, now time.Time) bool {
 	within := config.Seconds(1.25*m.cfg.Cluster.Workers.ReportS + 1)
-	return mc.Up && !mc.Gone && !mc.Returning && mc.Notice.IsZero() &&
+	return mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() &&
 		mc.Type >= 0 && mc.Zone >= 0 && now.Sub(mc.hearing.upAt) < within
 }
 
--- a/cluster/hearing_test.go
+++ b/cluster/hearing_test.go
@@ -13,7 +13,7 @@
 	m := placed(t, 2)
 	mc := m.Machines[0]
 	cmds := answer(t, m, rep(3, 5), at(7)) // as after 4 s without an answer
-	if m.ready(mc, at(7)) || len(cmds) != 1 || cmds[0].Task != wire.TaskName("wk-000001", NoTask) {
+	if m.ready(mc, at(7)) || len(cmds) != 1 || cmds[0].Task != wire.TaskName("wk-000001", NoSuchTask) {
 		t.Fatalf("ready, or told %v", cmds)
 	}
 	m.Tick(at(7.2))
@@ -53,13 +53,13 @@
 	}
 	task := &m.Job("wk-000001").Tasks[0]
 	answer(t, m, rep(3, 5), at(7))
-	if m.Tick(at(8)); task.Place == nil {
+	if m.Tick(at(8)); task.Placement == nil {
 		t.Fatal("not kept")
 	}
 	r := rep(4, 5)
 	r.Session = 2
-	if answer(t, m, r, at(11)); task.Place != nil || task.End != jobstore.EndLost {
-		t.Errorf("kept, or ended as %d", task.End)
+	if answer(t, m, r, at(11)); task.Placement != nil || task.Outcome != jobstore.EndLost {
+		t.Errorf("kept, or ended as %d", task.Outcome)
 	}
 }
 
@@ -71,9 +71,9 @@
 		seq  uint64
 		hear bool
 	}{{"a", 1, true}, {"a", 2, true}, {"b", 4, true}, {"b", 5, true}, {"a", 6, false}} {
-		mc := m.Observe(rep(c.seq, 5), at(float64(i)))
-		m.Came(mc, c.via, at(float64(i)))
-		m.Answer(mc, rep(c.seq, 5), at(float64(i)))
+		mc := m.ApplyHeartbeat(rep(c.seq, 5), at(float64(i)))
+		m.ObserveReceivingNode(mc, c.via, at(float64(i)))
+		m.AnswerHeartbeat(mc, rep(c.seq, 5), at(float64(i)))
 		if mc.deaf() == c.hear {
 			t.Errorf("report %d by way of %s: hears %t", c.seq, c.via, !mc.deaf())
 		}
@@ -84,9 +84,9 @@
 func takenOver() *Model {
 	m := newModel(9)
 	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	m.LoadPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 1,
+	m.LoadPlacementPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 1,
 		Placed: []jobstore.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}}}, 2, at(0))
-	m.Loaded(at(0))
+	m.FinishLoading(at(0))
 	return m
 }
 
@@ -97,16 +97,16 @@
 	for seq, s := uint64(3), 1.0; s < 12; seq, s = seq+1, s+5 {
 		answer(t, next, rep(seq, 5), at(s))
 		next.Tick(at(s + 0.1))
-		if next.Job("wk-000001").Tasks[0].Place == nil {
+		if next.Job("wk-000001").Tasks[0].Placement == nil {
 			t.Fatalf("given up at %v s, the lease is not over", s)
 		}
 	}
 	answer(t, next, rep(9, 5), at(13))
-	if next.Job("wk-000001").Tasks[0].Place != nil {
+	if next.Job("wk-000001").Tasks[0].Placement != nil {
 		t.Error("still waited for")
 	}
 	next.Schedule(at(14), 0)
-	if next.Job("wk-000001").Tasks[0].Place != nil {
+	if next.Job("wk-000001").Tasks[0].Placement != nil {
 		t.Error("placed there again")
 	}
 }
@@ -117,11 +117,11 @@
 	next := takenOver()
 	exit := wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.WhyNoRoom}
 	cmds := answer(t, next, rep(3, 5, exit), at(1))
-	if _, _, forgets := ops(cmds); forgets > 0 || next.Job("wk-000001").Tasks[0].Place == nil {
+	if _, _, forgets := ops(cmds); forgets > 0 || next.Job("wk-000001").Tasks[0].Placement == nil {
 		t.Errorf("freed, or told %v", cmds)
 	}
 	answer(t, next, rep(4, 9, exit), at(2))
-	if next.Job("wk-000001").Tasks[0].Place != nil {
+	if next.Job("wk-000001").Tasks[0].Placement != nil {
 		t.Error("this report shows the token: the task is not there")
 	}
 }
--- a/cluster/intake.go
+++ b/cluster/intake.go
@@ -17,17 +17,17 @@
 	size    int // in the form in which the service counts
 }
 
-// IntakePage is a page of users' jobs, as the store has it. The record of one
+// AdmissionPage is a page of users' jobs, as the store has it. The record of one
 // that is gone is empty.
-type IntakePage struct {
+type AdmissionPage struct {
 	Key     string
 	Version uint64
 	Record  jobstore.IntakeRecord
 }
 
-// PutIntake takes pages of users' jobs in, all of one moment: a job may have
+// PutAdmissionPages takes pages of users' jobs in, all of one moment: a job may have
 // moved from one to another, and is over where none has it any more.
-func (m *Model) PutIntake(pages []IntakePage, now time.Time) {
+func (m *Model) PutAdmissionPages(pages []AdmissionPage, now time.Time) {
 	type gone struct {
 		id   string
 		from *intake
@@ -64,8 +64,8 @@
 	}
 }
 
-// Wrote says whether that change of a page is one of this leader's own.
-func (m *Model) Wrote(key string, version uint64) bool {
+// WroteAdmissionPage says whether that change of a page is one of this leader's own.
+func (m *Model) WroteAdmissionPage(key string, version uint64) bool {
 	p := m.intakes[key]
 	return p != nil && p.version == version
 }
@@ -85,7 +85,7 @@
 	if j == nil {
 		rec, err := e.Decode()
 		if err != nil {
-			m.DamagedJob(p.key, e.ID, err)
+			m.QuarantineJob(p.key, e.ID, err)
 			return
 		}
 		m.PutJob(e.ID, rec, p.version, now)
@@ -102,7 +102,7 @@
 }
 
 // leave takes a job from its page, if the page fits into the batch.
-func (b *Batch) leave(j *Job) bool {
+func (b *WriteBatch) leave(j *Job) bool {
 	p := j.home
 	l := b.leaves[p]
 	if l == nil {
@@ -123,7 +123,7 @@
 }
 
 // emptied fills in what is left of the pages that the batch takes jobs from.
-func (b *Batch) emptied() {
+func (b *WriteBatch) emptied() {
 	for p, l := range b.leaves {
 		rec := p.rec.Without(l.ids)
 		op := wire.Op{Put: p.key, Value: rec}
@@ -141,7 +141,7 @@
 
 // current says whether what the model has of a job's record is what the store
 // has.
-func (j *Job) current(ref Reference) bool {
+func (j *Job) current(ref DigestBase) bool {
 	if j.home != nil {
 		return j.home.version == ref.Version(j.home.key)
 	}
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -11,9 +11,9 @@
 
 // Task phases.
 const (
-	Idle = iota
-	Placed
-	Done
+	TaskIdle = iota
+	TaskPlaced
+	TaskDone
 )
 
 // What the last report said of a task.
@@ -25,52 +25,52 @@
 	seenSaving
 )
 
-// Place is where a task may be.
-type Place struct {
-	Machine   int32
-	Attempt   uint64
-	At        time.Time
-	Inherited bool // recorded by an earlier leader, which may have sent it
-	Sent      bool // this leader has sent the launch
-	SentAt    time.Time
-	Session   uint64
-	Seq       uint64 // the report that the launch answered
-	Seen      uint8
-	Since     time.Time // when it was first seen running
-	Stop      *Stop
-	Held      bool      // a stop waits for the plan to be compared
-	Summoned  time.Time // when its machine was last told to report
+// Placement is where a task may be.
+type Placement struct {
+	Machine       int32
+	Attempt       uint64
+	PlacedAt      time.Time
+	Inherited     bool // recorded by an earlier leader, which may have sent it
+	LaunchSent    bool // this leader has sent the launch
+	LaunchSentAt  time.Time
+	LaunchEpoch   uint64
+	LaunchSeq     uint64 // the report that the launch answered
+	ReportedState uint8
+	RunningSince  time.Time // when it was first seen running
+	Stop          *StopOrder
+	StopHeld      bool      // a stop waits for the plan to be compared
+	WokenAt       time.Time // when its machine was last told to report
 
 	name string // of the machine
 	gen  uint64 // the chunk's change that placed it
 }
 
-// Stop is an order to stop a task.
-type Stop struct {
-	Grace  float64
-	Why    string
-	At     time.Time
-	Direct time.Time // when it was last sent directly
+// StopOrder is an order to stop a task.
+type StopOrder struct {
+	Grace     float64
+	Reason    string
+	OrderedAt time.Time
+	PushedAt  time.Time // when it was last sent directly
 }
 
 // Task is one task of a job.
 type Task struct {
 	Phase     uint8
-	Fails     uint8
+	Failures  uint8
 	Resumed   bool    // an earlier attempt has run
 	Progress  float32 // seconds of work that earlier attempts have saved
-	End       uint8   // of a reserved task that is over: how it ended
+	Outcome   uint8   // of a reserved task that is over: how it ended
 	NotBefore int64   // Unix milliseconds
-	Place     *Place
+	Placement *Placement
 }
 
 // Chunk is one placement record. It stands on a page from when its first task
 // is placed until its job is over and none of its tasks can be anywhere.
 type Chunk struct {
-	Gen       uint64 // counts changes
-	Committed uint64 // the last change that is in the store
-	PlaceGen  uint64 // the last change that placed a task
-	Placed    int
+	Generation   uint64 // counts changes
+	CommittedGen uint64 // the last change that is in the store
+	PlacedGen    uint64 // the last change that placed a task
+	PlacedTasks  int
 
 	page *page
 	size int // the most bytes that it takes on its page
@@ -78,46 +78,46 @@
 
 // Job is a job that is not over, or whose tasks may still be somewhere.
 type Job struct {
-	Idx       int32
-	ID        string
-	Spec      wire.Job
-	Version   uint64
-	At        time.Time
-	Team      int
-	Priority  int
-	Need      placement.Res
-	Types     []bool
-	Zone      int
-	Image     int32
-	Attempt   uint64 // highest attempt ever used
-	Tasks     []Task
-	Chunks    []Chunk
-	Done      int
-	Placed    int
-	ZoneUsed  []int
-	Cancelled bool
-	Finished  bool // committed as done
-	ranN      int  // tasks that completed in one go, and
-	ranSum    float64
-	ranMax    float64
-	basis     basis // of guess, which is how long a task should run
-	guess     float64
-	off       bool // given up by the last triage
-	putOff    bool
-	due       time.Time // by the last triage
-	owed      bool      // by the bound's last verdict it must hold room, and
-	hopeless  bool      // can't begin in time; latest is when it should have its room
-	latest    time.Time
-	alone     time.Duration // until it would have its room if it were served first
-	roomless  bool          // there are not as many places as it needs to begin
-	floored   bool          // must be done for its group's sake
-	inWay     string        // why it can't begin in time, and when that was last logged
-	named     time.Time
-	Started   bool      // gang: the current attempt was seen running
-	Ending    bool      // gang: the current attempt is coming to its end
-	NotBefore time.Time // a job that fails everywhere is not tried before
-	FirstRun  time.Time
-	tier      int // by the operators' order, 0 first
+	Index        int32
+	ID           string
+	Spec         wire.Job
+	Version      uint64
+	AcceptedAt   time.Time
+	Team         int
+	Priority     int
+	Need         placement.Res
+	AllowedTypes []bool
+	Zone         int
+	Image        int32
+	LastAttempt  uint64 // highest attempt ever used
+	Tasks        []Task
+	Chunks       []Chunk
+	DoneTasks    int
+	PlacedTasks  int
+	PlacedByZone []int
+	Cancelled    bool
+	Finished     bool // committed as done
+	ranN         int  // tasks that completed in one go, and
+	ranSum       float64
+	ranMax       float64
+	basis        basis // of guess, which is how long a task should run
+	guess        float64
+	off          bool // given up by the last triage
+	putOff       bool
+	due          time.Time // by the last triage
+	owed         bool      // by the bound's last verdict it must hold room, and
+	hopeless     bool      // can't begin in time; latest is when it should have its room
+	latest       time.Time
+	alone        time.Duration // until it would have its room if it were served first
+	roomless     bool          // there are not as many places as it needs to begin
+	floored      bool          // must be done for its group's sake
+	inWay        string        // why it can't begin in time, and when that was last logged
+	named        time.Time
+	GangStarted  bool      // gang: the current attempt was seen running
+	GangEnding   bool      // gang: the current attempt is coming to its end
+	NotBefore    time.Time // a job that fails everywhere is not tried before
+	FirstRunAt   time.Time
+	tier         int // by the operators' order, 0 first
 
 	aside  bool    // its placements can't be read
 	home   *intake // the page that its record shares with others, if it does
--- a/cluster/jobs.go
+++ b/cluster/jobs.go
@@ -43,17 +43,17 @@
 		deadline = *s.DeadlineS
 	}
 	m.log.Info("job", "id", id, "class", s.Class, "team", s.Team, "kind", s.Kind, "tasks", s.Tasks, "cpus", s.CPUs, "gpus", s.GPUs,
-		"spot", s.Spot, "at", j.At, "estimate", s.EstimateS, "deadline", deadline)
+		"spot", s.Spot, "at", j.AcceptedAt, "estimate", s.EstimateS, "deadline", deadline)
 }
 
 func (m *Model) addJob(id string, rec jobstore.JobRecord) *Job {
 	s := rec.Job
 	j := &Job{
-		Idx: int32(len(m.Jobs)), ID: id, Spec: s, At: time.UnixMilli(rec.AtMs), Team: -1,
+		Index: int32(len(m.Jobs)), ID: id, Spec: s, AcceptedAt: time.UnixMilli(rec.AtMs), Team: -1,
 		Priority: priorities[s.Priority], Need: placement.Res{CPU: s.CPUs, GPU: s.GPUs, Mem: s.MemoryGB},
-		Types: m.allowedTypes(&s), Zone: -1, Image: m.image(s.Image, s.ImageGB),
+		AllowedTypes: m.allowedTypes(&s), Zone: -1, Image: m.image(s.Image, s.ImageGB),
 		Tasks: make([]Task, s.Tasks), Chunks: make([]Chunk, (s.Tasks+jobstore.ChunkSize-1)/jobstore.ChunkSize),
-		ZoneUsed: make([]int, len(m.Zones)), record: &record{},
+		PlacedByZone: make([]int, len(m.Zones)), record: &record{},
 		res: newReserve(rec.Reserve, s.Tasks),
 	}
 	if t, ok := m.teamIdx[s.Team]; ok {
@@ -67,8 +67,8 @@
 	}
 	m.setTier(j)
 	m.Jobs = append(m.Jobs, j)
-	m.live = append(m.live, j.Idx)
-	m.jobIdx[id] = j.Idx
+	m.live = append(m.live, j.Index)
+	m.jobIdx[id] = j.Index
 	return j
 }
 
@@ -79,27 +79,27 @@
 	if j == nil || j.Finished || j.Cancelled {
 		return
 	}
-	if j.Done == len(j.Tasks) {
+	if j.DoneTasks == len(j.Tasks) {
 		j.Finished = true
 		m.markDirty(j)
 		return
 	}
-	m.log.Info("job cancelled", "id", id, "placed", j.Placed)
+	m.log.Info("job cancelled", "id", id, "placed", j.PlacedTasks)
 	m.cancel(j, now)
 }
 
 func (m *Model) cancel(j *Job, now time.Time) {
 	j.Cancelled = true
 	for i := range j.Tasks {
-		if j.Tasks[i].Place != nil {
+		if j.Tasks[i].Placement != nil {
 			m.stop(j, int32(i), 0, "cancelled", now)
 		}
 	}
 	m.markDirty(j)
 }
 
-// LoadCancelled takes in a job that is over while placements of it are left.
-func (m *Model) LoadCancelled(id string, rec jobstore.JobRecord) {
+// LoadCancelledJob takes in a job that is over while placements of it are left.
+func (m *Model) LoadCancelledJob(id string, rec jobstore.JobRecord) {
 	if m.Job(id) != nil {
 		return
 	}
--- a/cluster/load.go
+++ b/cluster/load.go
@@ -16,9 +16,9 @@
 	return m.pages[n]
 }
 
-// LoadPage takes a page of placement records of an earlier leader in. The jobs
+// LoadPlacementPage takes a page of placement records of an earlier leader in. The jobs
 // must be there already, those that are over for their placements only.
-func (m *Model) LoadPage(n int, rec jobstore.PageRecord, version uint64, now time.Time) {
+func (m *Model) LoadPlacementPage(n int, rec jobstore.PageRecord, version uint64, now time.Time) {
 	p := m.pageAt(n)
 	p.version = version
 	for i := range rec.Chunks {
@@ -39,33 +39,33 @@
 	}
 	ch := &j.Chunks[c.Chunk]
 	m.putOn(p, j, c.Chunk)
-	ch.Committed = ch.Gen
-	j.Attempt = max(j.Attempt, c.Attempt)
+	ch.CommittedGen = ch.Generation
+	j.LastAttempt = max(j.LastAttempt, c.Attempt)
 	for i := 0; i+1 < len(c.Done); i += 2 {
 		for t := max(c.Done[i], 0); t <= c.Done[i+1] && t < len(j.Tasks); t++ {
-			if j.Tasks[t].Phase != Done {
-				j.Tasks[t].Phase = Done
-				j.Done++
+			if j.Tasks[t].Phase != TaskDone {
+				j.Tasks[t].Phase = TaskDone
+				j.DoneTasks++
 			}
 		}
 	}
 	j.loadEnds(c.Ended)
 	for _, p := range c.Placed {
-		if p.Task < 0 || p.Task >= len(j.Tasks) || j.Tasks[p.Task].Phase != Idle {
+		if p.Task < 0 || p.Task >= len(j.Tasks) || j.Tasks[p.Task].Phase != TaskIdle {
 			continue
 		}
 		mc := m.machine(p.Machine, now)
-		j.Attempt = max(j.Attempt, p.Attempt)
+		j.LastAttempt = max(j.LastAttempt, p.Attempt)
 		m.place(j, int32(p.Task), mc, p.Attempt, now)
 		// What waits to be asked for has not been launched by anybody: only what
 		// stands in the job's record may be, and that was read after this
 		// leader was elected.
-		j.Tasks[p.Task].Place.Inherited = !j.waitsForGo(p.Task)
+		j.Tasks[p.Task].Placement.Inherited = !j.waitsForGo(p.Task)
 	}
 }
 
-// Loaded ends the taking in of an earlier leader's records.
-func (m *Model) Loaded(now time.Time) {
+// FinishLoading ends the taking in of an earlier leader's records.
+func (m *Model) FinishLoading(now time.Time) {
 	m.loaded = true
 	m.setAside()
 	for _, j := range m.Jobs {
@@ -73,7 +73,7 @@
 		if j.Cancelled {
 			m.cancel(j, now)
 		}
-		if j.Done == len(j.Tasks) {
+		if j.DoneTasks == len(j.Tasks) {
 			m.markDirty(j)
 		}
 	}
--- a/cluster/load_test.go
+++ b/cluster/load_test.go
@@ -29,21 +29,21 @@
 		}
 		m := newModel(5)
 		m.PutJob("wk-000001", arrayJob("wk-000001", 4), 1, at(0))
-		m.LoadPage(0, rec, 2, at(0))
-		m.Loaded(at(0))
+		m.LoadPlacementPage(0, rec, 2, at(0))
+		m.FinishLoading(at(0))
 		r := rep(1, 5)
-		m.Observe(r, at(1))
+		m.ApplyHeartbeat(r, at(1))
 		m.Schedule(at(2), 1000)
 		for range 20 {
 			if b := m.NextBatch(12); b != nil {
-				b.Committed(9, at(2))
+				b.OnCommit(9, at(2))
 			}
 		}
-		if m.Pending() > 0 {
+		if m.PendingWrites() > 0 {
 			t.Error("writing does not end")
 		}
-		if j := m.Job("wk-000001"); j != nil && (j.Done < 0 || j.Done > 4 || j.Placed < 0 || j.Placed > 4) {
-			t.Errorf("%d done, %d placed of 4", j.Done, j.Placed)
+		if j := m.Job("wk-000001"); j != nil && (j.DoneTasks < 0 || j.DoneTasks > 4 || j.PlacedTasks < 0 || j.PlacedTasks > 4) {
+			t.Errorf("%d done, %d placed of 4", j.DoneTasks, j.PlacedTasks)
 		}
 	})
 }
@@ -101,9 +101,9 @@
 					if err := wire.Unmarshal(v, &rec); err != nil {
 						b.Fatal(err)
 					}
-					m.LoadPage(i, rec, 2, at(0))
+					m.LoadPlacementPage(i, rec, 2, at(0))
 				}
-				m.Loaded(at(0))
+				m.FinishLoading(at(0))
 			}
 			b.ReportMetric(float64(len(rawJobs)+len(rawPages)), "keys")
 			b.ReportMetric(float64(bytes)/1024, "KiB-read")
@@ -120,8 +120,8 @@
 	m.PutJob("wk-000001", arrayJob("wk-000001", 4), 4, at(0))
 	m.PutJob("wk-000002", arrayJob("wk-000002", 4), 9, at(0))
 	m.PutJob("wk-000003", marked, 9, at(0))
-	m.DamagedPage(0, 5, errors.New("damaged"))
-	m.Loaded(at(0))
+	m.QuarantinePlacementPage(0, 5, errors.New("damaged"))
+	m.FinishLoading(at(0))
 	for id, want := range map[string]bool{"wk-000001": true, "wk-000002": false, "wk-000003": true} {
 		if got := m.Job(id).aside; got != want {
 			t.Errorf("%s set aside: %v", id, got)
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -10,50 +10,50 @@
 
 // This file is a machine, and the catalogue of types.
 
-// Type is a machine type.
-type Type struct {
-	Name  string
-	Cap   placement.Res
-	Cache float64
-	Fetch float64
-	Price float64
-	Spot  float64
-	Boot  time.Duration
-	Zones []bool
+// MachineType is a machine type.
+type MachineType struct {
+	Name      string
+	Capacity  placement.Res
+	CacheGB   float64
+	FetchRate float64
+	Price     float64
+	SpotPrice float64
+	BootTime  time.Duration
+	Zones     []bool
 
 	boots boots
 }
 
 // Machine is a machine that is, was or may soon be there.
 type Machine struct {
-	Idx        int32
-	Name       string
-	Addr       string
-	Type       int
-	TypeName   string
-	Zone       int
-	Spot       bool
-	Up         bool // has reported to this leader and may be alive
-	Shown      bool // has shown this leader's token
-	Gone       bool // deleted, or no longer listed for good
-	Session    uint64
-	Seq        uint64
-	LastAnswer time.Time
-	LastSeen   time.Time
-	Notice     time.Time // when the cloud takes it away, if it said so
-	Created    time.Time // when it was rented, as far as known
-	Ordered    bool      // Created is known, and from then on the machine boots
-	Listed     string
-	ListedAt   time.Time
-	Ours       bool // rented by a request of ours whose answer named it
-	Returning  bool
-	late       bool // the operator has been told
-	Tasks      map[Ref]bool
-	Used       placement.Res
-	IdleSince  time.Time // without work
-	keptAt     time.Time // last kept, empty, as headroom
-	Held       int       // answers to its reports that are being held back
-	hearing    hearing
+	Index          int32
+	Name           string
+	Addr           string
+	Type           int
+	TypeName       string
+	Zone           int
+	Spot           bool
+	Up             bool // has reported to this leader and may be alive
+	TokenShown     bool // has shown this leader's token
+	Gone           bool // deleted, or no longer listed for good
+	AgentEpoch     uint64
+	Seq            uint64
+	LastAnswered   time.Time
+	LastSeen       time.Time
+	InterruptionAt time.Time // when the cloud takes it away, if it said so
+	Created        time.Time // when it was rented, as far as known
+	CreationKnown  bool      // Created is known, and from then on the machine boots
+	CloudState     string
+	CloudStateAt   time.Time
+	RequestedHere  bool // rented by a request of ours whose answer named it
+	ScalingIn      bool
+	late           bool // the operator has been told
+	Tasks          map[TaskRef]bool
+	Used           placement.Res
+	IdleSince      time.Time // without work
+	keptAt         time.Time // last kept, empty, as headroom
+	HeldAnswers    int       // answers to its reports that are being held back
+	hearing        hearing
 
 	orphans placement.Res // what tasks not in the model take
 	images  []int32       // most recently used last
@@ -83,14 +83,14 @@
 	at  time.Time
 }
 
-// SetTypes takes the catalogue in. Types keep their indices.
-func (m *Model) SetTypes(types []wire.MachineType) {
+// SetMachineTypes takes the catalogue in. Types keep their indices.
+func (m *Model) SetMachineTypes(types []wire.MachineType) {
 	for _, t := range types {
 		idx, ok := m.typeIdx[t.Name]
 		if !ok {
-			idx = len(m.Types)
+			idx = len(m.MachineTypes)
 			m.typeIdx[t.Name] = idx
-			m.Types = append(m.Types, Type{})
+			m.MachineTypes = append(m.MachineTypes, MachineType{})
 		}
 		zones := make([]bool, len(m.Zones))
 		for _, z := range t.ZonesNamed {
@@ -98,10 +98,10 @@
 				zones[i] = true
 			}
 		}
-		m.Types[idx] = Type{
-			Name: t.Name, Cap: placement.Res{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemoryGB}, Cache: t.CacheGB,
-			Fetch: t.FetchGBPS, Price: t.Price, Spot: t.SpotPrice, Boot: config.Seconds(t.BootS), Zones: zones,
-			boots: m.Types[idx].boots,
+		m.MachineTypes[idx] = MachineType{
+			Name: t.Name, Capacity: placement.Res{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemoryGB}, CacheGB: t.CacheGB,
+			FetchRate: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootTime: config.Seconds(t.BootS), Zones: zones,
+			boots: m.MachineTypes[idx].boots,
 		}
 	}
 	m.nights.ahead = ahead{} // its job may be out of the model, and know none of the new types
@@ -112,13 +112,13 @@
 	}
 	for _, j := range m.Jobs {
 		if j != nil {
-			j.Types = m.allowedTypes(&j.Spec)
+			j.AllowedTypes = m.allowedTypes(&j.Spec)
 		}
 	}
 	// The last job of a class may be out of the model already: with none of the
 	// types allowed that it knew, the next pass ended the process.
 	for _, c := range m.classes {
-		c.spec.Types = m.allowedTypes(&c.spec.Spec)
+		c.spec.AllowedTypes = m.allowedTypes(&c.spec.Spec)
 	}
 }
 
@@ -130,11 +130,11 @@
 }
 
 func (m *Model) allowedTypes(s *wire.Job) []bool {
-	out := make([]bool, len(m.Types))
-	for i := range m.Types {
+	out := make([]bool, len(m.MachineTypes))
+	for i := range m.MachineTypes {
 		ok := len(s.Types) == 0
 		for _, n := range s.Types {
-			ok = ok || n == m.Types[i].Name
+			ok = ok || n == m.MachineTypes[i].Name
 		}
 		out[i] = ok
 	}
@@ -147,12 +147,12 @@
 		return m.Machines[i]
 	}
 	mc := &Machine{
-		Idx: int32(len(m.Machines)), Name: name, Type: -1, Zone: -1, Tasks: map[Ref]bool{},
+		Index: int32(len(m.Machines)), Name: name, Type: -1, Zone: -1, Tasks: map[TaskRef]bool{},
 		exits: map[exitKey]*exit{}, IdleSince: now, Created: now, LastSeen: now,
 	}
 	m.longest = max(m.longest, len(name))
 	m.Machines = append(m.Machines, mc)
-	m.machineIdx[name] = mc.Idx
+	m.machineIdx[name] = mc.Index
 	return mc
 }
 
@@ -172,9 +172,9 @@
 	mc.Zone = z
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
-		j.ZoneUsed[z]++
+		j.PlacedByZone[z]++
 		if old >= 0 {
-			j.ZoneUsed[old]--
+			j.PlacedByZone[old]--
 		}
 	}
 }
--- a/cluster/mistake.go
+++ b/cluster/mistake.go
@@ -47,10 +47,10 @@
 	if r.hosts == nil {
 		r.hosts = map[int32]bool{}
 	}
-	r.hosts[mc.Idx] = true
+	r.hosts[mc.Index] = true
 	tk := &j.Tasks[task]
-	tk.Fails = min(tk.Fails+1, 10)
-	wait := min(500*time.Millisecond<<tk.Fails, 60*time.Second)
+	tk.Failures = min(tk.Failures+1, 10)
+	wait := min(500*time.Millisecond<<tk.Failures, 60*time.Second)
 	m.suspect(j, mc, now)
 	if !r.atFault() {
 		m.avoid(j, mc, now.Add(10*time.Minute))
@@ -94,7 +94,7 @@
 	case j.Gang():
 		return limit // all or none
 	}
-	return max(0, probes-j.Placed)
+	return max(0, probes-j.PlacedTasks)
 }
 
 // suspect remembers an error on a machine.
--- a/cluster/mistake_test.go
+++ b/cluster/mistake_test.go
@@ -73,11 +73,11 @@
 // else's went to those with GPUs, while thousands of tasks waited for GPUs.
 func TestWorkThatNoAimSpeaksOfKeepsOffGPUsThatOthersWaitFor(t *testing.T) {
 	m := newModel(5)
-	m.SetTypes([]wire.MachineType{
+	m.SetMachineTypes([]wire.MachineType{
 		{Name: "plain", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}},
 		{Name: "gpu", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
 	for _, name := range []string{"plain", "gpu"} {
-		m.Observe(&wire.Report{Machine: "h-" + name, Addr: "x", Type: name, Zone: "a", Session: 1, Seq: 1, Token: 5}, at(1))
+		m.ApplyHeartbeat(&wire.Report{Machine: "h-" + name, Addr: "x", Type: name, Zone: "a", Session: 1, Seq: 1, Token: 5}, at(1))
 	}
 	put := func(id string, gpus float64, tasks int) {
 		m.PutJob(id, jobstore.JobRecord{Job: wire.Job{ID: id, Class: id, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: tasks,
@@ -101,14 +101,14 @@
 func TestMachinesThatAnEarlierLeaderReturnsGetNoTasks(t *testing.T) {
 	m := newModel(6)
 	name := rep(1, 6).Machine
-	m.Returned([]string{name}, at(0))
+	m.ResumeScaleIn([]string{name}, at(0))
 	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	m.Observe(rep(1, 6), at(1))
+	m.ApplyHeartbeat(rep(1, 6), at(1))
 	m.Schedule(at(2), 0)
-	if n := m.Job("wk-000001").Placed; n != 0 {
+	if n := m.Job("wk-000001").PlacedTasks; n != 0 {
 		t.Error("a task was placed on a machine that is being returned")
 	}
-	if got := m.Returnable(at(3), time.Hour); len(got) != 1 || got[0] != name {
+	if got := m.SelectScaleIn(at(3), time.Hour); len(got) != 1 || got[0] != name {
 		t.Errorf("to be returned: %v", got)
 	}
 }
@@ -128,7 +128,7 @@
 	other := arrayJob("wk-000002", 1)
 	other.Job.Class = "other"
 	m.PutJob("wk-000002", other, 1, at(2))
-	m.SetTypes([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
+	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
 	if d := m.Schedule(at(3), 0); len(d.Rent) == 0 {
 		t.Error("nothing is rented for a job that waits")
 	}
@@ -138,12 +138,12 @@
 // time only.
 func TestBootTimesAreLearnt(t *testing.T) {
 	m := newModel(5)
-	m.SetTypes([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
+	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
 	order := func(name string, s float64) {
-		m.Rented(Offer{Type: "m", Zone: "a"}, []string{name}, at(s))
+		m.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{name}, at(s))
 	}
 	up := func(name string, s float64) {
-		m.Observe(&wire.Report{Machine: name, Addr: "x", Type: "m", Zone: "a", Session: 1, Seq: 1}, at(s))
+		m.ApplyHeartbeat(&wire.Report{Machine: name, Addr: "x", Type: "m", Zone: "a", Session: 1, Seq: 1}, at(s))
 	}
 	order("a", 10)
 	before := m.bootLate(m.machine("a", at(10)))
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -11,24 +11,24 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// Ref names a task by indices.
-type Ref = placement.Task
+// TaskRef names a task by indices.
+type TaskRef = placement.Task
 
 // Model is the leader's knowledge.
 type Model struct {
-	Token    uint64
-	Takeover time.Time
-	Machines []*Machine
-	Jobs     []*Job // nil once a job is out of the model
-	Types    []Type
-	Zones    []string
-	Cycles   map[string]*Cycle
-	Tuning   config.Rebalance
-	Headroom float64
+	FencingToken      uint64
+	ElectedAt         time.Time
+	Machines          []*Machine
+	Jobs              []*Job // nil once a job is out of the model
+	MachineTypes      []MachineType
+	Zones             []string
+	RebalanceCycles   map[string]*RebalanceCycle
+	RebalanceSettings config.Rebalance
+	Headroom          float64
 	// BeginWithin is how soon after its acceptance a job begins at the latest; 0:
 	// there is no such bound.
 	BeginWithin time.Duration
-	Freed       uint64 // counts the places that have become free
+	PlacesFreed uint64 // counts the places that have become free
 	Timings     Timings
 
 	loaded bool // an earlier leader's records
@@ -58,8 +58,8 @@
 	quiet      time.Time       // nothing is placed before
 	nextPage   int             // where writing goes on
 	longest    int             // of the machines' names
-	stops      []Ref           // tasks to be told directly
-	fresh      []Ref           // tasks placed, whose machines have not been summoned
+	stops      []TaskRef       // tasks to be told directly
+	fresh      []TaskRef       // tasks placed, whose machines have not been summoned
 	refused    map[offerKey]time.Time
 	plan       Plan
 	planned    bool       // there may be a plan
@@ -76,7 +76,7 @@
 	viewBuf  []placement.Machine
 	taskBuf  []placement.Occupant
 	imageBuf []placement.ImageAt
-	refBuf   []Ref
+	refBuf   []TaskRef
 	playBuf  times
 	triageAt time.Time // not before then again
 	boundAt  time.Time
@@ -92,10 +92,10 @@
 // New makes an empty model.
 func New(cfg *config.Settings, token uint64, now time.Time, log *slog.Logger) *Model {
 	m := &Model{
-		Token: token, Takeover: now, Zones: cfg.Cluster.Zones, cfg: cfg, log: log, drift: config.Drift,
+		FencingToken: token, ElectedAt: now, Zones: cfg.Cluster.Zones, cfg: cfg, log: log, drift: config.Drift,
 		zoneIdx: map[string]int{}, teamIdx: map[string]int{}, typeIdx: map[string]int{},
 		machineIdx: map[string]int32{}, jobIdx: map[string]int32{}, imageIdx: map[string]int32{},
-		refused: map[offerKey]time.Time{}, Cycles: map[string]*Cycle{}, classes: map[string]*class{}, done: map[string]int{}, intakes: map[string]*intake{},
+		refused: map[offerKey]time.Time{}, RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*class{}, done: map[string]int{}, intakes: map[string]*intake{},
 		Timings: untimed{},
 	}
 	for i, z := range cfg.Cluster.Zones {
--- a/cluster/nights.go
+++ b/cluster/nights.go
@@ -103,7 +103,7 @@
 				}
 			}
 			settle := time.Duration(m.cfg.Cluster.SkewMs*float64(time.Millisecond)) + lateNews
-			b = &nightBook{Book: calendar.NewBook(r.Name, left, m.Token, settle)}
+			b = &nightBook{Book: calendar.NewBook(r.Name, left, m.FencingToken, settle)}
 			if b.UnderWay() {
 				b.cause = "another leader leads"
 			}
@@ -124,7 +124,7 @@
 	}
 	if j.night.gen != n.gen {
 		j.night = jobNight{gen: n.gen}
-		if r, night, ok := n.cal.Of(j.At, j.Spec.Class, j.Spec.Team, j.Spec.Zone, j.Spec.Image); ok {
+		if r, night, ok := n.cal.Of(j.AcceptedAt, j.Spec.Class, j.Spec.Team, j.Spec.Zone, j.Spec.Image); ok {
 			j.night.book, j.night.night = n.books[slices.Index(n.cal.Regions, r)], night
 		}
 	}
@@ -140,7 +140,7 @@
 	}
 	k.night, k.promise = true, night.Promise
 	if d := k.j.Spec.DeadlineS; d != nil {
-		if own := k.j.At.Add(config.Seconds(*d)); own.Before(k.promise) {
+		if own := k.j.AcceptedAt.Add(config.Seconds(*d)); own.Before(k.promise) {
 			k.promise = own
 		}
 	}
@@ -262,7 +262,7 @@
 func (m *Model) expectNights(jobs []*Job, now time.Time) {
 	n := &m.nights
 	w := m.cfg.Cluster.Workers
-	if now.Sub(n.guessed) < expectEvery || now.Sub(m.Takeover) < config.Seconds(firstReports*w.ReportS) || m.settling(now) {
+	if now.Sub(n.guessed) < expectEvery || now.Sub(m.ElectedAt) < config.Seconds(firstReports*w.ReportS) || m.settling(now) {
 		return
 	}
 	n.guessed = now
@@ -336,7 +336,7 @@
 	}
 	room := map[shape]float64{} // places of a kind, with all machines empty
 	places := func(j *Job) float64 {
-		s := shape{j.Need, fmt.Sprint(j.Types), j.Zone, j.Spec.Spot}
+		s := shape{j.Need, fmt.Sprint(j.AllowedTypes), j.Zone, j.Spec.Spot}
 		k, ok := room[s]
 		if !ok && len(room) < nightShapes {
 			k = m.emptyPlaces(j, now)
@@ -362,10 +362,10 @@
 		est := m.expected(j)
 		for t := range j.Tasks {
 			switch j.Tasks[t].Phase {
-			case Idle:
+			case TaskIdle:
 				sum += rest(est, &j.Tasks[t])
 				idle++
-			case Placed:
+			case TaskPlaced:
 				loads[i].Running = max(loads[i].Running, m.left(j, int32(t), now))
 			}
 		}
@@ -420,11 +420,11 @@
 func (m *Model) placesOn(j *Job, now time.Time, counts func(*Machine) bool) int {
 	n := 0
 	for _, mc := range m.Machines {
-		if mc.Type < 0 || !j.Types[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone {
+		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone {
 			continue
 		}
 		if _, boots := m.booting(mc, now); boots || counts(mc) {
-			n += fit(j.Need, m.Types[mc.Type].Cap)
+			n += fit(j.Need, m.MachineTypes[mc.Type].Capacity)
 		}
 	}
 	return n
--- a/cluster/nights_test.go
+++ b/cluster/nights_test.go
@@ -86,7 +86,7 @@
 func (l *leaders) next(token uint64, now time.Time, text string, open ...jobstore.JobRecord) {
 	l.t.Helper()
 	m := newModel(token)
-	m.Takeover, m.cfg.Cluster.SkewMs = now, 1000
+	m.ElectedAt, m.cfg.Cluster.SkewMs = now, 1000
 	for key, raw := range l.notes {
 		m.LoadNote(key, raw, 1)
 	}
@@ -94,7 +94,7 @@
 	for i := range open {
 		m.PutJob(open[i].Job.ID, open[i], 1, now)
 	}
-	m.Loaded(now)
+	m.FinishLoading(now)
 	l.m = m
 }
 
@@ -111,7 +111,7 @@
 				l.over[id] = op.Value.(jobstore.JobRecord)
 			}
 		}
-		b.Committed(uint64(now.Unix()), now)
+		b.OnCommit(uint64(now.Unix()), now)
 	}
 	l.note(now)
 }
@@ -121,7 +121,7 @@
 		for _, op := range b.Ops {
 			l.notes[op.Put] = op.Value.(wire.Raw)
 		}
-		b.Committed(uint64(now.Unix()), now)
+		b.OnCommit(uint64(now.Unix()), now)
 	}
 }
 
@@ -139,9 +139,9 @@
 func (l *leaders) finish(id string, now time.Time) {
 	j := l.m.Job(id)
 	for i := range j.Tasks {
-		j.Tasks[i].Phase = Done
+		j.Tasks[i].Phase = TaskDone
 	}
-	j.Done = len(j.Tasks)
+	j.DoneTasks = len(j.Tasks)
 	l.m.markDirty(j)
 	l.m.Tick(now)
 }
@@ -205,7 +205,7 @@
 							l.over[id] = op.Value.(jobstore.JobRecord)
 						}
 					}
-					j.Committed(9, at(s))
+					j.OnCommit(9, at(s))
 				}
 			}
 			if tc.noted {
@@ -336,7 +336,7 @@
 			for i := range 1300 {
 				r := rep(1, 5)
 				r.Machine, r.Addr = fmt.Sprintf("host-%d", i), fmt.Sprintf("h-%d:1", i)
-				m.Observe(r, at(1))
+				m.ApplyHeartbeat(r, at(1))
 			}
 			s := 5.0
 			for b.Loop() {
--- a/cluster/offers.go
+++ b/cluster/offers.go
@@ -26,8 +26,8 @@
 func (m *Model) offers(now time.Time) ([]placement.Offer, []Offer) {
 	var out []placement.Offer
 	var names []Offer
-	for ti := range m.Types {
-		t := &m.Types[ti]
+	for ti := range m.MachineTypes {
+		t := &m.MachineTypes[ti]
 		for z := range m.Zones {
 			if !t.Zones[z] {
 				continue
@@ -39,10 +39,10 @@
 				}
 				price := t.Price
 				if spot {
-					price = t.Spot
+					price = t.SpotPrice
 				}
 				out = append(out, placement.Offer{Type: ti, Zone: z, Spot: spot, Machine: placement.Machine{
-					Type: ti, Zone: z, Spot: spot, ETA: t.Boot.Seconds(), Cap: t.Cap, Price: price, FetchRate: t.Fetch,
+					Type: ti, Zone: z, Spot: spot, ETA: t.BootTime.Seconds(), Cap: t.Capacity, Price: price, FetchRate: t.FetchRate,
 				}})
 				names = append(names, Offer{Type: t.Name, Zone: m.Zones[z], Spot: spot, key: key})
 			}
@@ -51,16 +51,16 @@
 	return out, names
 }
 
-// Refused takes in that the cloud had nothing to rent.
-func (m *Model) Refused(o Offer, now time.Time) { m.refused[o.key] = now.Add(refusedFor) }
+// OfferRefused takes in that the cloud had nothing to rent.
+func (m *Model) OfferRefused(o Offer, now time.Time) { m.refused[o.key] = now.Add(refusedFor) }
 
-// Rented takes in machines that a rental named.
-func (m *Model) Rented(o Offer, names []string, now time.Time) {
+// ScaledOut takes in machines that a rental named.
+func (m *Model) ScaledOut(o Offer, names []string, now time.Time) {
 	for _, n := range names {
 		mc := m.machine(n, now)
-		mc.Ours = true
-		if !mc.Up && mc.Session == 0 {
-			mc.Ordered = true
+		mc.RequestedHere = true
+		if !mc.Up && mc.AgentEpoch == 0 {
+			mc.CreationKnown = true
 		}
 		m.describe(mc, o.Type, o.Zone, o.Spot)
 		m.log.Info("rented", "machine", n, "type", o.Type, "zone", o.Zone, "spot", o.Spot)
--- a/cluster/order.go
+++ b/cluster/order.go
@@ -33,8 +33,8 @@
 		}
 	}
 	soon := func(o config.Objective) {
-		if j.FirstRun.IsZero() {
-			t := j.At.Add(config.Seconds(o.WithinS) - delay)
+		if j.FirstRunAt.IsZero() {
+			t := j.AcceptedAt.Add(config.Seconds(o.WithinS) - delay)
 			take(t)
 			if !t.Before(now) && (wait.IsZero() || t.Before(wait)) {
 				wait = t
@@ -56,14 +56,14 @@
 				soon(o)
 			}
 		case "finished":
-			take(j.At.Add(config.Seconds(o.WithinS) - est))
+			take(j.AcceptedAt.Add(config.Seconds(o.WithinS) - est))
 		case "deadline":
 			if j.Spec.DeadlineS != nil {
 				times := o.Times
 				if times <= 0 {
 					times = 1
 				}
-				take(j.At.Add(config.Seconds(*j.Spec.DeadlineS*times) - est))
+				take(j.AcceptedAt.Add(config.Seconds(*j.Spec.DeadlineS*times) - est))
 			}
 		}
 	}
@@ -105,9 +105,9 @@
 		if j.Team < 0 {
 			continue
 		}
-		use[j.Team] = use[j.Team].Add(j.Need, float64(len(j.Tasks)-j.Done))
+		use[j.Team] = use[j.Team].Add(j.Need, float64(len(j.Tasks)-j.DoneTasks))
 		if g := m.guarantee[j.Team]; guaranteed(j.Need, g) && within(use[j.Team], g) {
-			out[j.Idx] = true
+			out[j.Index] = true
 		}
 	}
 	return out
@@ -139,11 +139,11 @@
 	m.live = live
 	var jobs []*Job
 	for _, idx := range m.live {
-		if j := m.Jobs[idx]; !j.Cancelled && !j.Finished && !j.aside && j.Done < len(j.Tasks) {
+		if j := m.Jobs[idx]; !j.Cancelled && !j.Finished && !j.aside && j.DoneTasks < len(j.Tasks) {
 			jobs = append(jobs, j)
 		}
 	}
-	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].At.Before(jobs[b].At) })
+	sort.SliceStable(jobs, func(a, b int) bool { return jobs[a].AcceptedAt.Before(jobs[b].AcceptedAt) })
 	return jobs
 }
 
@@ -155,13 +155,13 @@
 	var out, last []*ranked
 	for _, j := range jobs {
 		if c := m.classes[j.Spec.Class]; c != nil && !j.record.atFault() {
-			c.open += len(j.Tasks) - j.Done
+			c.open += len(j.Tasks) - j.DoneTasks
 		}
 		r, ok := m.request(j, now)
 		if !ok {
 			continue
 		}
-		k := &ranked{j: j, within: in[j.Idx], req: r}
+		k := &ranked{j: j, within: in[j.Index], req: r}
 		if j.record.atFault() {
 			// Free room and nothing else: no place is kept, made or rented for
 			// it, and no image fetched before those of healthy work.
@@ -212,14 +212,14 @@
 // beside the GPUs one by one, so that a task which needs both never finds them.
 func (m *Model) keepOffGPUs(out []*ranked, jobs []*Job) {
 	gpus := slices.ContainsFunc(out, func(k *ranked) bool { return k.j.Need.GPU > 0 })
-	plain := make([]bool, len(m.Types))
-	for i := range m.Types {
-		plain[i] = m.Types[i].Cap.GPU == 0
+	plain := make([]bool, len(m.MachineTypes))
+	for i := range m.MachineTypes {
+		plain[i] = m.MachineTypes[i].Capacity.GPU == 0
 	}
 	if !gpus || !slices.Contains(plain, true) {
 		return
 	}
-	aimless := slices.ContainsFunc(jobs, func(j *Job) bool { return j.Placed > 0 && j.Need.GPU == 0 && !m.aimed(j) })
+	aimless := slices.ContainsFunc(jobs, func(j *Job) bool { return j.PlacedTasks > 0 && j.Need.GPU == 0 && !m.aimed(j) })
 	first := m.firstForGPUs(out)
 	for _, k := range out {
 		if k.j.Need.GPU > 0 || !slices.ContainsFunc(m.typesFor(k.j), func(ti int) bool { return plain[ti] }) {
@@ -254,8 +254,8 @@
 
 // typesFor lists the types on which a task of the job fits.
 func (m *Model) typesFor(j *Job) (out []int) {
-	for i := range m.Types {
-		if j.Types[i] && j.Need.Fits(m.Types[i].Cap) {
+	for i := range m.MachineTypes {
+		if j.AllowedTypes[i] && j.Need.Fits(m.MachineTypes[i].Capacity) {
 			out = append(out, i)
 		}
 	}
@@ -285,11 +285,11 @@
 
 func (m *Model) request(j *Job, now time.Time) (placement.Request, bool) {
 	r := placement.Request{
-		Job: j.Idx, All: j.Gang(), Need: j.Need, Priority: j.Priority, Team: j.Team,
+		Job: j.Index, All: j.Gang(), Need: j.Need, Priority: j.Priority, Team: j.Team,
 		Image: j.Image, ImageGB: j.Spec.ImageGB, Zone: j.Zone, OneZone: j.Spec.OneZone,
-		ZoneUsed: append([]int(nil), j.ZoneUsed...), Types: j.Types, Spot: j.Spec.Spot, Standing: placement.Standing{Tier: j.tier},
+		ZoneUsed: append([]int(nil), j.PlacedByZone...), Types: j.AllowedTypes, Spot: j.Spec.Spot, Standing: placement.Standing{Tier: j.tier},
 	}
-	if j.Gang() && j.Placed > 0 && (j.Started || j.Ending) {
+	if j.Gang() && j.PlacedTasks > 0 && (j.GangStarted || j.GangEnding) {
 		return r, false
 	}
 	limit := maxRequestTasks
@@ -300,12 +300,12 @@
 		return r, false
 	}
 	ms := now.UnixMilli()
-	for j.cursor < len(j.Tasks) && j.Tasks[j.cursor].Phase != Idle {
+	for j.cursor < len(j.Tasks) && j.Tasks[j.cursor].Phase != TaskIdle {
 		j.cursor++
 	}
 	for i := j.cursor; i < len(j.Tasks) && len(r.Tasks) < limit; i++ {
 		t := &j.Tasks[i]
-		if t.Phase != Idle {
+		if t.Phase != TaskIdle {
 			continue
 		}
 		if t.NotBefore > ms {
@@ -330,27 +330,27 @@
 // pin says in which zones the request may be placed, given where the job's other
 // tasks may still be; false where that is not known yet.
 func (m *Model) pin(j *Job, r *placement.Request) bool {
-	if j.Spec.OneZone && r.Zone < 0 && j.Placed > 0 {
+	if j.Spec.OneZone && r.Zone < 0 && j.PlacedTasks > 0 {
 		// Whatever may still be on a machine pins the others to its zone. A
 		// task recorded on a machine whose zone is not known yet pins them all.
 		known := 0
-		for z, n := range j.ZoneUsed {
+		for z, n := range j.PlacedByZone {
 			known += n
 			if n > 0 {
 				r.Zone = z
 			}
 		}
-		if known < j.Placed {
+		if known < j.PlacedTasks {
 			return false
 		}
 	}
 	if j.Spec.Spread {
 		r.SpreadMax = (len(j.Tasks) + 1) / 2
 		known := 0
-		for _, n := range j.ZoneUsed {
+		for _, n := range j.PlacedByZone {
 			known += n
 		}
-		if known < j.Placed {
+		if known < j.PlacedTasks {
 			return false
 		}
 	}
--- a/cluster/page_test.go
+++ b/cluster/page_test.go
@@ -18,7 +18,7 @@
 	for i := range jobs * tasks / 4 {
 		r := rep(1, 5)
 		r.Machine = fmt.Sprintf("host-%06d", i)
-		m.Observe(r, at(0))
+		m.ApplyHeartbeat(r, at(0))
 	}
 	for i := range jobs {
 		id := fmt.Sprintf("wk-%06d", i)
@@ -35,7 +35,7 @@
 // a value.
 func write(t *testing.T, m *Model, stored map[string]jobstore.PageRecord) (changes int) {
 	t.Helper()
-	for rev := uint64(100); m.Pending() > 0; rev++ {
+	for rev := uint64(100); m.PendingWrites() > 0; rev++ {
 		if rev > 300 {
 			t.Fatal("writing does not end")
 		}
@@ -62,7 +62,7 @@
 			t.Errorf("a transaction takes %d bytes", total)
 		}
 		changes += len(b.Ops)
-		b.Committed(rev, at(2))
+		b.OnCommit(rev, at(2))
 	}
 	return changes
 }
@@ -124,16 +124,16 @@
 		if !ok {
 			t.Fatal(key)
 		}
-		next.LoadPage(n, rec, 200, at(5))
+		next.LoadPlacementPage(n, rec, 200, at(5))
 	}
 	for _, j := range m.Jobs {
 		got := next.Job(j.ID)
-		if got.Placed != j.Placed || got.Done != j.Done || got.Attempt != j.Attempt {
+		if got.PlacedTasks != j.PlacedTasks || got.DoneTasks != j.DoneTasks || got.LastAttempt != j.LastAttempt {
 			t.Errorf("%s: %d placed, %d done, attempt %d; was %d, %d, %d", j.ID,
-				got.Placed, got.Done, got.Attempt, j.Placed, j.Done, j.Attempt)
+				got.PlacedTasks, got.DoneTasks, got.LastAttempt, j.PlacedTasks, j.DoneTasks, j.LastAttempt)
 		}
 	}
-	if n := next.Pending(); n != 0 {
+	if n := next.PendingWrites(); n != 0 {
 		t.Errorf("%d changes to be written though nothing has changed", n)
 	}
 }
--- a/cluster/place.go
+++ b/cluster/place.go
@@ -12,14 +12,14 @@
 func (m *Model) markDirty(j *Job) {
 	if !j.dirty {
 		j.dirty = true
-		m.dirty = append(m.dirty, j.Idx)
+		m.dirty = append(m.dirty, j.Index)
 	}
 }
 
 func (m *Model) touch(j *Job, task int32) *Chunk {
 	n := int(task) / jobstore.ChunkSize
 	c := &j.Chunks[n]
-	c.Gen++
+	c.Generation++
 	if c.page == nil {
 		m.findPage(j, n)
 	}
@@ -31,16 +31,16 @@
 // place books a task on a machine; it is launched once that is committed.
 func (m *Model) place(j *Job, task int32, mc *Machine, attempt uint64, now time.Time) {
 	t := &j.Tasks[task]
-	t.Phase = Placed
-	t.Place = &Place{Machine: mc.Idx, Attempt: attempt, At: now, name: mc.Name}
-	mc.Tasks[Ref{Job: j.Idx, Task: task}] = true
-	m.fresh = append(m.fresh, Ref{Job: j.Idx, Task: task})
+	t.Phase = TaskPlaced
+	t.Placement = &Placement{Machine: mc.Index, Attempt: attempt, PlacedAt: now, name: mc.Name}
+	mc.Tasks[TaskRef{Job: j.Index, Task: task}] = true
+	m.fresh = append(m.fresh, TaskRef{Job: j.Index, Task: task})
 	mc.Used = mc.Used.Add(j.Need, 1)
 	mc.worked = true
-	j.Placed++
-	j.Chunks[int(task)/jobstore.ChunkSize].Placed++
+	j.PlacedTasks++
+	j.Chunks[int(task)/jobstore.ChunkSize].PlacedTasks++
 	if mc.Zone >= 0 {
-		j.ZoneUsed[mc.Zone]++
+		j.PlacedByZone[mc.Zone]++
 	}
 	if j.Team >= 0 {
 		m.teams[j.Team].Used = m.teams[j.Team].Used.Add(j.Need, 1)
@@ -48,26 +48,26 @@
 }
 
 // unplace takes in that a task is certainly on no machine.
-func (m *Model) unplace(j *Job, task int32, now time.Time) *Place {
+func (m *Model) unplace(j *Job, task int32, now time.Time) *Placement {
 	t := &j.Tasks[task]
-	p := t.Place
+	p := t.Placement
 	mc := m.Machines[p.Machine]
-	ref := Ref{Job: j.Idx, Task: task}
-	t.Place, t.Phase = nil, Idle
-	m.Freed++
+	ref := TaskRef{Job: j.Index, Task: task}
+	t.Placement, t.Phase = nil, TaskIdle
+	m.PlacesFreed++
 	delete(mc.Tasks, ref)
 	mc.Used = mc.Used.Add(j.Need, -1)
 	if len(mc.Tasks) == 0 {
 		mc.Used = placement.Res{}
 		mc.IdleSince = now
 	}
-	j.Placed--
-	if j.Placed == 0 {
-		j.Started, j.Ending = false, false
+	j.PlacedTasks--
+	if j.PlacedTasks == 0 {
+		j.GangStarted, j.GangEnding = false, false
 	}
-	j.Chunks[int(task)/jobstore.ChunkSize].Placed--
+	j.Chunks[int(task)/jobstore.ChunkSize].PlacedTasks--
 	if mc.Zone >= 0 {
-		j.ZoneUsed[mc.Zone]--
+		j.PlacedByZone[mc.Zone]--
 	}
 	if j.Team >= 0 {
 		m.teams[j.Team].Used = m.teams[j.Team].Used.Add(j.Need, -1)
@@ -81,30 +81,30 @@
 
 func (m *Model) markDone(j *Job, task int32, now time.Time) {
 	t := &j.Tasks[task]
-	if t.Phase == Done {
+	if t.Phase == TaskDone {
 		return
 	}
-	if t.Place != nil {
+	if t.Placement != nil {
 		m.unplace(j, task, now)
 	}
-	t.Phase = Done
-	j.Done++
+	t.Phase = TaskDone
+	j.DoneTasks++
 	m.touch(j, task)
-	if j.Done == len(j.Tasks) {
+	if j.DoneTasks == len(j.Tasks) {
 		m.learn(j)
 		m.served(j)
-		m.log.Info("job's tasks done", "id", j.ID, "sinceAccept", now.Sub(j.At).Round(time.Millisecond).Seconds())
+		m.log.Info("job's tasks done", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 	}
 }
 
 // stop orders a task to stop, or takes it back if its launch never left.
 func (m *Model) stop(j *Job, task int32, grace float64, why string, now time.Time) {
 	t := &j.Tasks[task]
-	p := t.Place
+	p := t.Placement
 	if p == nil {
 		return
 	}
-	if !p.Sent && !p.Inherited {
+	if !p.LaunchSent && !p.Inherited {
 		m.unplace(j, task, now)
 		m.spend(j, task, endOf(why), now)
 		return
@@ -112,18 +112,18 @@
 	if p.Stop != nil && p.Stop.Grace <= grace {
 		return
 	}
-	p.Stop = &Stop{Grace: grace, Why: why, At: now}
+	p.Stop = &StopOrder{Grace: grace, Reason: why, OrderedAt: now}
 	if j.res != nil {
 		m.touch(j, task) // its door tells that it is leaving
 	}
-	m.stops = append(m.stops, Ref{Job: j.Idx, Task: task})
+	m.stops = append(m.stops, TaskRef{Job: j.Index, Task: task})
 }
 
 // stopAll orders all placed tasks of a job to stop.
 func (m *Model) stopAll(j *Job, grace float64, why string, now time.Time) {
-	j.Ending = j.Gang()
+	j.GangEnding = j.Gang()
 	for i := range j.Tasks {
-		if j.Tasks[i].Place != nil {
+		if j.Tasks[i].Placement != nil {
 			m.stop(j, int32(i), grace, why, now)
 		}
 	}
@@ -131,16 +131,16 @@
 
 // StopTask stops a task so that it can save; a gang is stopped as a whole,
 // since its tasks save together or not at all.
-func (m *Model) StopTask(ref Ref, why string, now time.Time) {
+func (m *Model) StopTask(ref TaskRef, why string, now time.Time) {
 	j := m.Jobs[ref.Job]
-	if j == nil || j.Tasks[ref.Task].Place == nil {
+	if j == nil || j.Tasks[ref.Task].Placement == nil {
 		return
 	}
 	grace := 0.0
 	if j.Spec.CheckpointS > 0 {
 		grace = j.Spec.SaveS + 1
 	}
-	m.log.Info("stopping", "job", j.ID, "task", ref.Task, "why", why, "machine", m.Machines[j.Tasks[ref.Task].Place.Machine].Name)
+	m.log.Info("stopping", "job", j.ID, "task", ref.Task, "why", why, "machine", m.Machines[j.Tasks[ref.Task].Placement.Machine].Name)
 	if j.Gang() {
 		m.stopAll(j, grace, why, now)
 		return
--- a/cluster/plan.go
+++ b/cluster/plan.go
@@ -32,7 +32,7 @@
 		return
 	}
 	m.plan = p
-	m.DropStops()
+	m.DropHeldStops()
 	if m.loaded {
 		m.log.Info("plan taken in", "version", p.Number, "lost", p.Lost, "takenBack", m.takeBack(now))
 	}
@@ -51,12 +51,12 @@
 func (m *Model) takeBack(now time.Time) int {
 	n := 0
 	for _, j := range m.Jobs {
-		if j == nil || j.Placed == 0 {
+		if j == nil || j.PlacedTasks == 0 {
 			continue
 		}
 		for i := range j.Tasks {
-			p := j.Tasks[i].Place
-			if p != nil && !p.Sent && !p.Inherited && p.gen > j.Chunks[i/jobstore.ChunkSize].Committed {
+			p := j.Tasks[i].Placement
+			if p != nil && !p.LaunchSent && !p.Inherited && p.gen > j.Chunks[i/jobstore.ChunkSize].CommittedGen {
 				m.unplace(j, int32(i), now)
 				n++
 			}
@@ -147,8 +147,8 @@
 
 // NoteBatch collects records of the plan's parts, at most maxOps of them; nil if
 // there are none. Its conditions are the plan's version and the records' own.
-func (m *Model) NoteBatch(maxOps int) *Batch {
-	b := &Batch{Guards: []wire.Guard{m.PlanGuard()}, notes: map[string]*noted{}}
+func (m *Model) NoteBatch(maxOps int) *WriteBatch {
+	b := &WriteBatch{Guards: []wire.Guard{m.PlanGuard()}, notes: map[string]*noted{}}
 	for _, name := range slices.Clone(m.notes.names) {
 		x := m.notes.byName[name]
 		if x.gen == x.committed || len(b.Ops) >= maxOps {
@@ -181,6 +181,6 @@
 	if len(b.Ops) == 0 {
 		return nil
 	}
-	b.Committed = b.committed
+	b.OnCommit = b.committed
 	return b
 }
--- a/cluster/poolfetch.go
+++ b/cluster/poolfetch.go
@@ -30,7 +30,7 @@
 	owner, im := fetchOwner(p.Name), m.image(p.note.Image, p.note.GB)
 	for _, idx := range m.live {
 		j := m.Jobs[idx]
-		if j == nil || j.Cancelled || j.Finished || j.Done > 0 || j.res == nil || j.res.Owner != owner || len(j.res.Only) == 0 {
+		if j == nil || j.Cancelled || j.Finished || j.DoneTasks > 0 || j.res == nil || j.res.Owner != owner || len(j.res.Only) == 0 {
 			continue
 		}
 		i, known := m.machineIdx[j.res.Only[0]]
@@ -40,11 +40,11 @@
 		}
 		vain := e == nil || e.Leaving || j.Image != im
 		switch t := &j.Tasks[0]; {
-		case t.Phase == Idle && (vain || m.Machines[i].has(im)):
+		case t.Phase == TaskIdle && (vain || m.Machines[i].has(im)):
 			m.spend(j, 0, jobstore.EndReleased, now)
 			continue
-		case vain && t.Place != nil && t.Place.Stop == nil:
-			m.stopByPlan(Ref{Job: j.Idx}, whyReleased, now)
+		case vain && t.Placement != nil && t.Placement.Stop == nil:
+			m.stopByPlan(TaskRef{Job: j.Index}, whyReleased, now)
 			continue
 		}
 		out[j.res.Only[0]] = true
@@ -69,9 +69,9 @@
 			if m.poolOf(mc) != p {
 				continue
 			}
-			p.asked[mc.Idx] = now
+			p.asked[mc.Index] = now
 			m.fetchNo++
-			id := fetchID(m.Token, m.fetchNo)
+			id := fetchID(m.FencingToken, m.fetchNo)
 			out = append(out, Fetch{ID: id, Record: jobstore.JobRecord{
 				Job: wire.Job{ID: id, Class: "weights", Team: p.Payer, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 1,
 					CPUs: fetchCPUs, Image: p.note.Image, ImageGB: p.note.GB, Spot: true},
--- a/cluster/pools.go
+++ b/cluster/pools.go
@@ -132,7 +132,7 @@
 		p.shards, p.changed = append(p.shards, &sh), append(p.changed, false)
 		for k := range sh.Members {
 			mc := m.machine(sh.Members[k].Machine, now)
-			p.of[mc.Idx] = n
+			p.of[mc.Index] = n
 		}
 	}
 	return p
@@ -157,7 +157,7 @@
 
 // member is a machine's entry in its pool; it is good until the pool changes.
 func (p *pool) member(mc *Machine) *warmpool.Member {
-	n, ok := p.of[mc.Idx]
+	n, ok := p.of[mc.Index]
 	if !ok {
 		return nil
 	}
@@ -180,21 +180,21 @@
 		return
 	}
 	since := now
-	if mc.Ordered && !mc.worked && mc.Created.Before(now) && now.Sub(mc.IdleSince) < justUp {
+	if mc.CreationKnown && !mc.worked && mc.Created.Before(now) && now.Sub(mc.IdleSince) < justUp {
 		since = mc.Created
 	}
 	p.shards[n].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), Rate: m.rate(mc)})
-	p.of[mc.Idx], p.changed[n], mc.pool = n, true, i+1
+	p.of[mc.Index], p.changed[n], mc.pool = n, true, i+1
 	m.log.Info("pool takes machine", "pool", p.Name, "machine", mc.Name, "warm", mc.has(m.image(p.note.Image, p.note.GB)), "paidSince", since)
 }
 
 // leavePool ends a machine's time in its pool.
 func (m *Model) leavePool(p *pool, mc *Machine, now time.Time) {
-	n := p.of[mc.Idx]
+	n := p.of[mc.Index]
 	p.shards[n].Leave(mc.Name, now.UnixMilli(), p.Payer)
 	p.changed[n] = true
-	delete(p.of, mc.Idx)
-	delete(p.asked, mc.Idx)
+	delete(p.of, mc.Index)
+	delete(p.asked, mc.Index)
 	mc.pool = 0
 	m.log.Info("machine leaves pool", "pool", p.Name, "machine", mc.Name, "gone", mc.Gone)
 }
@@ -205,9 +205,9 @@
 		return 0
 	}
 	if mc.Spot {
-		return warmpool.Micro(m.Types[mc.Type].Spot)
+		return warmpool.Micro(m.MachineTypes[mc.Type].SpotPrice)
 	}
-	return warmpool.Micro(m.Types[mc.Type].Price)
+	return warmpool.Micro(m.MachineTypes[mc.Type].Price)
 }
 
 // recordPool keeps what has changed of a pool, and its accounts now and then.
--- a/cluster/pools_test.go
+++ b/cluster/pools_test.go
@@ -14,7 +14,7 @@
 	m := crowded(machines, jobs)
 	p := &plan.Plan{}
 	for i := range 3 {
-		p.Pools = append(p.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), GB: 20, Types: []string{m.Types[0].Name}, Zones: m.Zones,
+		p.Pools = append(p.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), GB: 20, Types: []string{m.MachineTypes[0].Name}, Zones: m.Zones,
 			Least: machines / 6, Most: machines / 6, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, PerHour: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
 	}
 	m.SetPlan(Plan{Plan: p, Number: 1, Head: 1}, at(0))
@@ -24,7 +24,7 @@
 // heard is a moment at which all machines have just reported.
 func heard(m *Model, now time.Time) {
 	for _, mc := range m.Machines {
-		mc.LastSeen, mc.LastAnswer, mc.Shown = now, now, true
+		mc.LastSeen, mc.LastAnswered, mc.TokenShown = now, now, true
 	}
 }
 
@@ -58,7 +58,7 @@
 			kept++
 		}
 	}
-	if back := m.Returnable(at(1000), time.Minute); kept != 6 || len(back) != 6 {
+	if back := m.SelectScaleIn(at(1000), time.Minute); kept != 6 || len(back) != 6 {
 		t.Errorf("%d machines are the pools', %v are returned", kept, back)
 	}
 }
@@ -71,7 +71,7 @@
 	m.Headroom = 0.35
 	m.PutJob("wk-000001", arrayJob("wk-000001", 16), 1, at(0)) // four machines, and headroom of six
 	for _, mc := range m.Machines {
-		mc.Ordered = true
+		mc.CreationKnown = true
 	}
 	held := 0
 	for s := 90.0; s < 100; s++ {
@@ -95,7 +95,7 @@
 	}
 	heard(m, at(300))
 	m.Schedule(at(300), 0)
-	for _, name := range m.Returnable(at(301), time.Minute) {
+	for _, name := range m.SelectScaleIn(at(301), time.Minute) {
 		if mc := m.Machines[m.machineIdx[name]]; !mc.keptAt.IsZero() {
 			t.Errorf("%s is headroom, and returned", name)
 		}
--- a/cluster/poolsteps.go
+++ b/cluster/poolsteps.go
@@ -15,7 +15,7 @@
 
 // stepPools lets the pools follow what has happened. It is called with each tick.
 func (m *Model) stepPools(now time.Time) {
-	if len(m.pools) == 0 || now.Before(m.poolsAt) || len(m.Types) == 0 {
+	if len(m.pools) == 0 || now.Before(m.poolsAt) || len(m.MachineTypes) == 0 {
 		return
 	}
 	m.poolsAt = now.Add(poolsEvery)
@@ -28,7 +28,7 @@
 		p.note.Hour, p.note.Peak = p.week.Now()
 		m.bookPool(p, now)
 		p.rent, p.fills = nil, nil
-		if now.Sub(m.Takeover) > poolsQuiet && !m.settling(now) && !m.plan.Lost {
+		if now.Sub(m.ElectedAt) > poolsQuiet && !m.settling(now) && !m.plan.Lost {
 			m.steer(i, p, now)
 		}
 		m.recordPool(p, now)
@@ -58,7 +58,7 @@
 			if !p.Serves(j.Spec.Image) || !p.Lends(j.Spec.Team) {
 				continue
 			}
-			d, n := &out[i], len(j.Tasks)-j.Done
+			d, n := &out[i], len(j.Tasks)-j.DoneTasks
 			if d.images == nil {
 				*d = demand{rank: j.Priority, class: j.Spec.Class, images: map[string]int{}, gb: map[string]float64{}, newest: map[string]time.Time{}}
 			}
@@ -66,8 +66,8 @@
 			d.rank = min(d.rank, j.Priority)
 			d.images[j.Spec.Image] += n
 			d.gb[j.Spec.Image] = j.Spec.ImageGB
-			if j.At.After(d.newest[j.Spec.Image]) {
-				d.newest[j.Spec.Image] = j.At
+			if j.AcceptedAt.After(d.newest[j.Spec.Image]) {
+				d.newest[j.Spec.Image] = j.AcceptedAt
 			}
 			if per := m.perMachine(p, j.Need); per > 0 && (d.per == 0 || per < d.per) {
 				d.per = per
@@ -80,13 +80,13 @@
 // perMachine is how many replicas the smallest machine of a pool takes.
 func (m *Model) perMachine(p *pool, need placement.Res) int {
 	least := 0
-	for i := range m.Types {
-		t := &m.Types[i]
-		if !slices.Contains(p.Types, t.Name) || !need.Fits(t.Cap) {
+	for i := range m.MachineTypes {
+		t := &m.MachineTypes[i]
+		if !slices.Contains(p.Types, t.Name) || !need.Fits(t.Capacity) {
 			continue
 		}
 		n := math.MaxInt32
-		for _, r := range [][2]float64{{need.CPU, t.Cap.CPU}, {need.GPU, t.Cap.GPU}, {need.Mem, t.Cap.Mem}} {
+		for _, r := range [][2]float64{{need.CPU, t.Capacity.CPU}, {need.GPU, t.Capacity.GPU}, {need.Mem, t.Capacity.Mem}} {
 			if r[0] > 0 {
 				n = min(n, int(r[1]/r[0]+1e-6))
 			}
@@ -126,15 +126,15 @@
 		n := p.of[idx]
 		e := p.shards[n].Member(mc.Name)
 		_, boots := m.booting(mc, now)
-		unheard := !mc.Up && !boots && mc.Session == 0 && now.Sub(m.Takeover) > unheardFor && now.Sub(mc.ListedAt) > unheardFor
+		unheard := !mc.Up && !boots && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > unheardFor && now.Sub(mc.CloudStateAt) > unheardFor
 		if mc.Gone || unheard || e.Leaving && len(mc.Tasks) > 0 {
 			m.leavePool(p, mc, now)
 			continue
 		}
-		if e.Warm == p.note.Number && e.Session == mc.Session && mc.Session > 0 && mc.learnt < mc.Session && !mc.has(im) {
+		if e.Warm == p.note.Number && e.Session == mc.AgentEpoch && mc.AgentEpoch > 0 && mc.learnt < mc.AgentEpoch && !mc.has(im) {
 			m.addImage(mc, im) // an earlier leader saw it there
 		}
-		mc.learnt = mc.Session
+		mc.learnt = mc.AgentEpoch
 		if m.ready(mc, now) {
 			mc.unready = time.Time{}
 		} else if mc.unready.IsZero() {
@@ -144,8 +144,8 @@
 		if mc.has(im) {
 			warm = p.note.Number
 		}
-		if mc.Session > 0 && (e.Warm != warm || e.Session != mc.Session) {
-			e.Warm, e.Session = warm, mc.Session
+		if mc.AgentEpoch > 0 && (e.Warm != warm || e.Session != mc.AgentEpoch) {
+			e.Warm, e.Session = warm, mc.AgentEpoch
 			p.changed[n] = true
 		}
 		if mc.Type < 0 || mc.Zone < 0 {
@@ -168,7 +168,7 @@
 			used[j.Team] = used[j.Team].Add(j.Need, 1)
 		}
 	}
-	c := m.Types[mc.Type].Cap
+	c := m.MachineTypes[mc.Type].Capacity
 	var out []warmpool.Part
 	for t, u := range used {
 		share := 0.0
@@ -189,14 +189,14 @@
 	s := warmpool.Seen{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.has(im), Used: len(mc.Tasks) > 0 || mc.orphans != (placement.Res{})}
 	// A machine that has been silent for a moment is not replaced yet: reports of
 	// a whole fleet pause when a leader does.
-	s.Ready = mc.Up && !mc.Gone && !mc.Returning && mc.Notice.IsZero() &&
+	s.Ready = mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() &&
 		(mc.unready.IsZero() || now.Sub(mc.unready) < config.Seconds(m.cfg.Cluster.Workers.LeaseS))
 	_, s.Booting = m.booting(mc, now)
 	s.Serving = len(mc.Tasks) > 0
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
-		place := j.Tasks[ref.Task].Place
-		if j.Image == im && place.Seen < seenWaiting {
+		place := j.Tasks[ref.Task].Placement
+		if j.Image == im && place.ReportedState < seenWaiting {
 			s.Filling = true
 		}
 		s.Serving = s.Serving && j.Image == im && p.Lends(j.Spec.Team)
@@ -207,13 +207,13 @@
 // stuck says whether a machine has been fetching the weights for much longer than
 // that takes: it does not hear, or its fetches fail.
 func (m *Model) stuck(mc *Machine, im int32, gb float64, now time.Time) bool {
-	if mc.has(im) || m.Types[mc.Type].Fetch <= 0 {
+	if mc.has(im) || m.MachineTypes[mc.Type].FetchRate <= 0 {
 		return false
 	}
-	limit := config.Seconds(stuckFetch*gb/m.Types[mc.Type].Fetch) + time.Minute
+	limit := config.Seconds(stuckFetch*gb/m.MachineTypes[mc.Type].FetchRate) + time.Minute
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
-		if p := j.Tasks[ref.Task].Place; j.Image == im && p.Seen < seenWaiting && now.Sub(p.At) > limit {
+		if p := j.Tasks[ref.Task].Placement; j.Image == im && p.ReportedState < seenWaiting && now.Sub(p.PlacedAt) > limit {
 			return true
 		}
 	}
@@ -226,7 +226,7 @@
 		if mc.Gone || mc.Type < 0 || mc.Zone < 0 {
 			continue
 		}
-		if mc.pool != 0 || mc.Returning || !types[mc.Type] || !zones[mc.Zone] || mc.Spot && !p.Spot || now.Before(mc.unfit) {
+		if mc.pool != 0 || mc.ScalingIn || !types[mc.Type] || !zones[mc.Zone] || mc.Spot && !p.Spot || now.Before(mc.unfit) {
 			continue
 		}
 		s := m.seenBy(p, mc, im, now)
@@ -241,19 +241,19 @@
 // steer takes machines in and lets others go, and says which fetch the weights.
 func (m *Model) steer(i int, p *pool, now time.Time) {
 	im := m.image(p.note.Image, p.note.GB)
-	types := make([]bool, len(m.Types))
+	types := make([]bool, len(m.MachineTypes))
 	price, boot, fetch := 0.0, time.Duration(0), math.Inf(1)
-	for k := range m.Types {
-		t := &m.Types[k]
+	for k := range m.MachineTypes {
+		t := &m.MachineTypes[k]
 		if !slices.Contains(p.Types, t.Name) {
 			continue
 		}
 		types[k] = true
 		c := t.Price
 		if p.Spot {
-			c = min(c, t.Spot)
+			c = min(c, t.SpotPrice)
 		}
-		price, boot, fetch = max(price, c), max(boot, t.Boot), min(fetch, t.Fetch)
+		price, boot, fetch = max(price, c), max(boot, t.BootTime), min(fetch, t.FetchRate)
 	}
 	if !slices.Contains(types, true) {
 		return // none of them is in the catalogue
@@ -280,7 +280,7 @@
 			}
 			s := m.seenBy(p, mc, im, now)
 			s.Leaving = e.Leaving
-			s.Filling = !s.Warm && (s.Filling || waiting[mc.Name] || now.Sub(p.asked[mc.Idx]) < fetchAsked)
+			s.Filling = !s.Warm && (s.Filling || waiting[mc.Name] || now.Sub(p.asked[mc.Index]) < fetchAsked)
 			own = append(own, s)
 		}
 	}
@@ -330,7 +330,7 @@
 	mc := m.Machines[m.machineIdx[name]]
 	if e := p.member(mc); e != nil {
 		e.Leaving = leaving
-		p.changed[p.of[mc.Idx]] = true
+		p.changed[p.of[mc.Index]] = true
 		m.log.Info("pool lets machine go", "pool", p.Name, "machine", name, "leaving", leaving)
 	}
 }
@@ -351,9 +351,9 @@
 				if o.Spot && !p.Spot || !slices.Contains(p.Types, o.Type) || !slices.Contains(p.Zones, o.Zone) {
 					continue
 				}
-				c := m.Types[o.key.typ].Price
+				c := m.MachineTypes[o.key.typ].Price
 				if o.Spot {
-					c = m.Types[o.key.typ].Spot
+					c = m.MachineTypes[o.key.typ].SpotPrice
 				}
 				if o.key.zone != z {
 					c += otherZone // where this one has refused lately
--- a/cluster/poolview.go
+++ b/cluster/poolview.go
@@ -20,7 +20,7 @@
 		return false
 	}
 	e := p.member(mc)
-	return e != nil && e.Leaving && !m.keeping(warmpool.ShardName(p.Name, p.of[mc.Idx]))
+	return e != nil && e.Leaving && !m.keeping(warmpool.ShardName(p.Name, p.of[mc.Index]))
 }
 
 // poolView tells the planner whose a machine is, and which images fit beside the
@@ -35,7 +35,7 @@
 	}
 	v.Pool = mc.pool
 	im := m.image(p.note.Image, p.note.GB)
-	v.PoolGB = m.Types[mc.Type].Cache - p.note.GB
+	v.PoolGB = m.MachineTypes[mc.Type].CacheGB - p.note.GB
 	for k := len(mc.images) - 1; k >= 0 && mc.images[k] != im; k-- {
 		v.PoolGB -= m.imageSize[mc.images[k]]
 	}
@@ -78,7 +78,7 @@
 	for i, p := range m.pools {
 		if !p.Serves(j.Spec.Image) || !p.Lends(j.Spec.Team) {
 			if p == on && m.poolUses(j)[i] == placement.Last {
-				n := p.of[mc.Idx]
+				n := p.of[mc.Index]
 				p.shards[n].Ceded++
 				p.shards[n].Why = fmt.Sprintf("%s/%d of %s, tier %q, %s, took room on %s", j.ID, task, j.Spec.Team, m.tiers.order.Name(j.tier), j.Spec.Priority, mc.Name)
 				p.changed[n] = true
@@ -86,7 +86,7 @@
 			}
 			continue
 		}
-		n := p.of[mc.Idx] // 0 for machines of no pool
+		n := p.of[mc.Index] // 0 for machines of no pool
 		if mc.has(j.Image) {
 			p.shards[n].Hits++
 		} else {
--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -22,7 +22,7 @@
 			Priority: wire.PriorityNormal, Tasks: 1, CPUs: 4, Image: "i", EstimateS: 500, CheckpointS: 10, SaveS: 2}}
 		m.PutJob(id, rec, 1, at(atS))
 	}
-	m.SetTypes([]wire.MachineType{{Name: "m", CPUs: 12, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
+	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 12, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
 	put("wk-000002", "one", 1) // beyond, once the first is there
 	put("wk-000004", "two", 3) // beyond, once the third is there
 	stops := 0
--- a/cluster/repeated_test.go
+++ b/cluster/repeated_test.go
@@ -10,10 +10,10 @@
 // again answers a report that has been taken in already.
 func again(t *testing.T, m *Model, r *wire.Report, via string, now time.Time) []wire.Command {
 	t.Helper()
-	if m.Observe(r, now) != nil {
+	if m.ApplyHeartbeat(r, now) != nil {
 		t.Fatal("taken in a second time")
 	}
-	cmds, ok := m.Repeated(r, via)
+	cmds, ok := m.AnswerRetry(r, via)
 	if !ok {
 		t.Fatal("the newest report is refused as it comes again")
 	}
@@ -26,26 +26,26 @@
 func TestTheNewestReportIsAnsweredAgain(t *testing.T) {
 	m := newModel(5)
 	m.PutJob("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
-	exit := wire.TaskReport{Task: wire.TaskName("wk-000001", NoTask), Attempt: 1, State: wire.TaskExited, Why: wire.WhyUnknown}
+	exit := wire.TaskReport{Task: wire.TaskName("wk-000001", NoSuchTask), Attempt: 1, State: wire.TaskExited, Why: wire.WhyUnknown}
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	commit(t, m, at(1))
 	copied := rep(2, 5, exit)
-	mc := m.Observe(copied, at(2))
-	m.Came(mc, "a", at(2))
-	if launches, _, forgets := ops(m.Answer(mc, copied, at(2))); launches != 2 || forgets != 1 {
+	mc := m.ApplyHeartbeat(copied, at(2))
+	m.ObserveReceivingNode(mc, "a", at(2))
+	if launches, _, forgets := ops(m.AnswerHeartbeat(mc, copied, at(2))); launches != 2 || forgets != 1 {
 		t.Fatalf("%d launches and %d outcomes forgotten", launches, forgets)
 	}
 	if cmds := again(t, m, rep(2, 5, exit), "b", at(2.1)); len(cmds) > 0 {
 		t.Errorf("told once more: %v", cmds)
 	}
-	if _, ok := m.Repeated(rep(1, 5), "a"); ok {
+	if _, ok := m.AnswerRetry(rep(1, 5), "a"); ok {
 		t.Error("an older one is answered")
 	}
 	next := rep(3, 5, exit)
-	mc = m.Observe(next, at(4))
-	m.Came(mc, "b", at(4))
-	if launches, _, forgets := ops(m.Answer(mc, next, at(4))); mc.deaf() || launches != 2 || forgets != 1 {
+	mc = m.ApplyHeartbeat(next, at(4))
+	m.ObserveReceivingNode(mc, "b", at(4))
+	if launches, _, forgets := ops(m.AnswerHeartbeat(mc, next, at(4))); mc.deaf() || launches != 2 || forgets != 1 {
 		t.Errorf("deaf %t, %d launches and %d outcomes forgotten", mc.deaf(), launches, forgets)
 	}
 	// This one was answered once: what it does not show it has not heard.
@@ -82,7 +82,7 @@
 	for _, unanswered := range []bool{false, true} {
 		m := placed(t, 1)
 		if unanswered { // the leader was not sure of its lease just then
-			m.Observe(last, at(4))
+			m.ApplyHeartbeat(last, at(4))
 		} else {
 			answer(t, m, last, at(4))
 		}
@@ -90,14 +90,14 @@
 			again(t, m, last, "", at(s))
 			m.Tick(at(s))
 		}
-		place := &m.Job("wk-000001").Tasks[0].Place
+		place := &m.Job("wk-000001").Tasks[0].Placement
 		if *place == nil {
 			t.Errorf("unanswered %t: given up before its lease is over", unanswered)
 		}
 		if m.Tick(at(16.4)); *place != nil {
 			t.Errorf("unanswered %t: still waited for", unanswered)
 		}
-		if _, ok := m.Repeated(last, ""); ok {
+		if _, ok := m.AnswerRetry(last, ""); ok {
 			t.Errorf("unanswered %t: answered past its lease", unanswered)
 		}
 	}
@@ -108,9 +108,9 @@
 func TestAReportThatWasAnsweredLateCounts(t *testing.T) {
 	m := placed(t, 1)
 	last := rep(3, 5, wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
-	m.Observe(last, at(10))
+	m.ApplyHeartbeat(last, at(10))
 	again(t, m, last, "", at(11))
-	if m.Tick(at(21.9)); m.Job("wk-000001").Tasks[0].Place == nil {
+	if m.Tick(at(21.9)); m.Job("wk-000001").Tasks[0].Placement == nil {
 		t.Error("given up while the worker's lease lasts")
 	}
 }
--- a/cluster/report.go
+++ b/cluster/report.go
@@ -17,9 +17,9 @@
 	maxStops = 800
 )
 
-// Observe takes a worker's message in. It returns nil for one that is older
+// ApplyHeartbeat takes a worker's message in. It returns nil for one that is older
 // than what is known, or of a machine that is gone.
-func (m *Model) Observe(r *wire.Report, now time.Time) *Machine {
+func (m *Model) ApplyHeartbeat(r *wire.Report, now time.Time) *Machine {
 	mc := m.machine(r.Machine, now)
 	if mc.Gone {
 		return nil
@@ -28,7 +28,7 @@
 	if !mc.newer(r.Session, r.Seq) {
 		return nil
 	}
-	if mc.Session == 0 {
+	if mc.AgentEpoch == 0 {
 		m.cameUp(mc, now)
 	}
 	m.listen(mc, r, now)
@@ -36,16 +36,16 @@
 		m.log.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Session)
 		mc.IdleSince = now
 	}
-	if mc.Session != r.Session {
+	if mc.AgentEpoch != r.Session {
 		mc.images = nil
 	}
-	mc.Up, mc.Session, mc.Seq, mc.Addr, mc.LastSeen = true, r.Session, r.Seq, r.Addr, now
-	mc.Shown = r.Token == m.Token
+	mc.Up, mc.AgentEpoch, mc.Seq, mc.Addr, mc.LastSeen = true, r.Session, r.Seq, r.Addr, now
+	mc.TokenShown = r.Token == m.FencingToken
 	m.describe(mc, r.Type, r.Zone, r.Spot)
 	if r.NoticeS == nil {
-		mc.Notice = time.Time{} // what was known came with an older message
-	} else if mc.Notice.IsZero() {
-		mc.Notice = now.Add(config.Seconds(*r.NoticeS))
+		mc.InterruptionAt = time.Time{} // what was known came with an older message
+	} else if mc.InterruptionAt.IsZero() {
+		mc.InterruptionAt = now.Add(config.Seconds(*r.NoticeS))
 		m.log.Info("notice", "machine", mc.Name, "seconds", *r.NoticeS)
 	}
 	m.reconcile(mc, r, now)
@@ -53,18 +53,18 @@
 }
 
 func (mc *Machine) newer(session, seq uint64) bool {
-	return session > mc.Session || session == mc.Session && seq > mc.Seq
+	return session > mc.AgentEpoch || session == mc.AgentEpoch && seq > mc.Seq
 }
 
-// News says whether a worker's message would be taken in.
-func (m *Model) News(machine string, session, seq uint64) bool {
+// IsNewerHeartbeat says whether a worker's message would be taken in.
+func (m *Model) IsNewerHeartbeat(machine string, session, seq uint64) bool {
 	i, known := m.machineIdx[machine]
 	return !known || !m.Machines[i].Gone && m.Machines[i].newer(session, seq)
 }
 
 // reconcile compares a newer report with what the model has on the machine.
 func (m *Model) reconcile(mc *Machine, r *wire.Report, now time.Time) {
-	listed := make(map[Ref]bool, len(r.Tasks))
+	listed := make(map[TaskRef]bool, len(r.Tasks))
 	named := make(map[exitKey]bool, len(r.Tasks))
 	mc.orphans = placement.Res{}
 	for i := range r.Tasks {
@@ -78,9 +78,9 @@
 		if j == nil || n >= len(j.Tasks) {
 			continue
 		}
-		ref := Ref{Job: j.Idx, Task: int32(n)}
-		p := j.Tasks[n].Place
-		if p == nil || p.Machine != mc.Idx || p.Attempt != t.Attempt {
+		ref := TaskRef{Job: j.Index, Task: int32(n)}
+		p := j.Tasks[n].Placement
+		if p == nil || p.Machine != mc.Index || p.Attempt != t.Attempt {
 			if t.State == wire.TaskExited {
 				m.strayExit(j, int32(n), mc, t, now)
 			} else {
@@ -89,12 +89,12 @@
 			continue
 		}
 		listed[ref] = true
-		if t.State == wire.TaskExited && t.Why != wire.WhyDone && p.Inherited && !mc.Shown {
+		if t.State == wire.TaskExited && t.Why != wire.WhyDone && p.Inherited && !mc.TokenShown {
 			// The report may be a late copy: a gang's task that was refused is tried
 			// again with the same attempt, and may be on the machine since.
 			continue
 		}
-		if p.Sent && p.Seen == seenNot && p.Session == r.Session {
+		if p.LaunchSent && p.ReportedState == seenNot && p.LaunchEpoch == r.Session {
 			m.heard(mc, now)
 		}
 		m.seen(j, int32(n), mc, p, t, now)
@@ -104,7 +104,7 @@
 			delete(mc.exits, k)
 		}
 	}
-	if !mc.Shown {
+	if !mc.TokenShown {
 		// An answer of an earlier leader may still be on its way to a worker
 		// that has not shown this leader's token: absence proves nothing.
 		return
@@ -114,23 +114,23 @@
 			continue
 		}
 		j := m.Jobs[ref.Job]
-		p := j.Tasks[ref.Task].Place
+		p := j.Tasks[ref.Task].Placement
 		switch {
 		case p.Inherited && p.Stop == nil && j.res != nil && r.Session == 1:
 			// No lease of this worker has ever ended, and what it once had it
 			// lists until its outcome is committed: the launch never reached it.
-			p.Inherited, p.Sent = false, false
+			p.Inherited, p.LaunchSent = false, false
 			continue
 		case p.Inherited:
-		case !p.Sent:
+		case !p.LaunchSent:
 			continue // not launched yet
-		case p.Session == r.Session && p.Seq >= r.Seq:
+		case p.LaunchEpoch == r.Session && p.LaunchSeq >= r.Seq:
 			continue
-		case p.Session == r.Session && p.Seen == seenNot && p.Stop == nil:
+		case p.LaunchEpoch == r.Session && p.ReportedState == seenNot && p.Stop == nil:
 			// The answer with the launch was lost, and cannot be executed any
 			// more, since the worker has sent another report.
-			p.Sent = false
-			if (number{p.Session, p.Seq}) != mc.hearing.twice {
+			p.LaunchSent = false
+			if (number{p.LaunchEpoch, p.LaunchSeq}) != mc.hearing.twice {
 				m.missed(mc, "launch", now)
 			}
 			continue
@@ -140,36 +140,36 @@
 }
 
 // seen takes in what a report says of a task that is placed there.
-func (m *Model) seen(j *Job, task int32, mc *Machine, p *Place, t *wire.TaskReport, now time.Time) {
-	p.Sent = true
+func (m *Model) seen(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
+	p.LaunchSent = true
 	switch t.State {
 	case wire.TaskFetching:
-		p.Seen = seenFetching
+		p.ReportedState = seenFetching
 	case wire.TaskWaiting:
-		p.Seen = seenWaiting
+		p.ReportedState = seenWaiting
 		m.hasImage(mc, j)
 	case wire.TaskRunning:
-		if p.Seen != seenRunning {
-			p.Seen, p.Since = seenRunning, now
-			if !p.SentAt.IsZero() {
-				m.Timings.Running(now.Sub(p.SentAt).Seconds())
+		if p.ReportedState != seenRunning {
+			p.ReportedState, p.RunningSince = seenRunning, now
+			if !p.LaunchSentAt.IsZero() {
+				m.Timings.Running(now.Sub(p.LaunchSentAt).Seconds())
 			}
 			if !p.Inherited && !j.record.atFault() {
-				m.spreadOf(j).began(now.Sub(p.At).Seconds())
+				m.spreadOf(j).began(now.Sub(p.PlacedAt).Seconds())
 			}
-			m.log.Debug("running", "task", t.Task, "attempt", t.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.At).Seconds())
+			m.log.Debug("running", "task", t.Task, "attempt", t.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
 		}
-		if now.Sub(p.Since).Seconds() >= lasts {
+		if now.Sub(p.RunningSince).Seconds() >= lasts {
 			m.lasted(j)
 		}
-		if j.FirstRun.IsZero() {
-			j.FirstRun = now
-			m.log.Info("job runs", "id", j.ID, "sinceAccept", now.Sub(j.At).Round(time.Millisecond).Seconds())
+		if j.FirstRunAt.IsZero() {
+			j.FirstRunAt = now
+			m.log.Info("job runs", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		}
-		j.Started = true
+		j.GangStarted = true
 		m.hasImage(mc, j)
 	case wire.TaskSaving:
-		p.Seen = seenSaving
+		p.ReportedState = seenSaving
 	case wire.TaskExited:
 		m.exited(j, task, mc, p, t, now)
 	}
@@ -193,7 +193,7 @@
 	for _, im := range mc.images {
 		total += m.imageSize[im]
 	}
-	for len(mc.images) > 1 && total > m.Types[mc.Type].Cache {
+	for len(mc.images) > 1 && total > m.MachineTypes[mc.Type].CacheGB {
 		total -= m.imageSize[mc.images[0]]
 		mc.images = mc.images[1:]
 	}
@@ -201,17 +201,17 @@
 
 func (m *Model) rememberExit(j *Job, task int32, mc *Machine, t *wire.TaskReport) {
 	n := int(task) / jobstore.ChunkSize
-	mc.exits[exitKey{t.Task, t.Attempt}] = &exit{job: j.Idx, chunk: n, gen: j.Chunks[n].Gen}
+	mc.exits[exitKey{t.Task, t.Attempt}] = &exit{job: j.Index, chunk: n, gen: j.Chunks[n].Generation}
 }
 
 // exited takes in the end of a task's attempt.
-func (m *Model) exited(j *Job, task int32, mc *Machine, p *Place, t *wire.TaskReport, now time.Time) {
+func (m *Model) exited(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
 	ran := 0.0
-	if !p.Since.IsZero() {
-		ran = now.Sub(p.Since).Seconds()
+	if !p.RunningSince.IsZero() {
+		ran = now.Sub(p.RunningSince).Seconds()
 	}
 	m.log.Debug("exited", "task", t.Task, "attempt", t.Attempt, "why", t.Why, "saved", t.Saved, "ran", ran, "machine", mc.Name)
-	ref := Ref{Job: j.Idx, Task: task}
+	ref := TaskRef{Job: j.Index, Task: task}
 	if t.Why == wire.WhyDone {
 		m.hasImage(mc, j)
 		m.lasted(j)
@@ -247,10 +247,10 @@
 		wait = 3 * time.Second
 		failed = t.Why
 	case wire.WhyAlone:
-		j.Ending = true
+		j.GangEnding = true
 		wait = time.Second
 	case wire.WhyPeers, wire.WhyStopped:
-		j.Ending = true
+		j.GangEnding = true
 		how = stopReason(p)
 	}
 	j.progressed(task, p, t.Saved, now)
@@ -268,7 +268,7 @@
 	if mc.exits[exitKey{t.Task, t.Attempt}] != nil {
 		return
 	}
-	if t.Why == wire.WhyDone && !j.Cancelled && j.Tasks[task].Phase == Idle {
+	if t.Why == wire.WhyDone && !j.Cancelled && j.Tasks[task].Phase == TaskIdle {
 		m.markDone(j, task, now)
 	}
 	m.rememberExit(j, task, mc, t)
@@ -277,12 +277,12 @@
 // lost takes in that a task is gone without having said how.
 func (m *Model) lost(j *Job, task int32, why string, now time.Time) {
 	m.log.Info("task lost", "job", j.ID, "task", task, "why", why)
-	if p := j.Tasks[task].Place; p != nil {
+	if p := j.Tasks[task].Placement; p != nil {
 		j.progressed(task, p, false, now)
 	}
 	m.unplace(j, task, now)
 	m.spend(j, task, jobstore.EndLost, now)
-	m.moveEnded(Ref{Job: j.Idx, Task: task}, "", now)
+	m.moveEnded(TaskRef{Job: j.Index, Task: task}, "", now)
 	m.gangLost(j, task, now)
 }
 
@@ -293,19 +293,19 @@
 	if !j.Gang() {
 		return
 	}
-	if j.Placed == 0 {
-		j.Started, j.Ending = false, false
+	if j.PlacedTasks == 0 {
+		j.GangStarted, j.GangEnding = false, false
 		return
 	}
 	stopping := false
 	for i := range j.Tasks {
-		if p := j.Tasks[i].Place; p != nil && p.Stop != nil {
+		if p := j.Tasks[i].Placement; p != nil && p.Stop != nil {
 			stopping = true
 		}
 	}
 	// What is left of a gang that fails everywhere would hold its places until
 	// it has waited for the others in vain.
-	if stopping || !j.Started && !j.Ending && !j.record.atFault() {
+	if stopping || !j.GangStarted && !j.GangEnding && !j.record.atFault() {
 		return
 	}
 	m.stopAll(j, 0, "its gang lost a task", now)
@@ -315,7 +315,7 @@
 	if j.avoid == nil {
 		j.avoid = map[int32]time.Time{}
 	}
-	j.avoid[mc.Idx] = until
+	j.avoid[mc.Index] = until
 }
 
 // launchable says whether every record that a launch of this task rests on is
@@ -327,17 +327,17 @@
 	if !j.Gang() {
 		// Its own record, not its neighbours': where tasks of one chunk were
 		// placed again and again, none of them was launched for seconds.
-		return j.Chunks[int(task)/jobstore.ChunkSize].Committed >= j.Tasks[task].Place.gen
+		return j.Chunks[int(task)/jobstore.ChunkSize].CommittedGen >= j.Tasks[task].Placement.gen
 	}
 	for i := range j.Chunks {
-		if c := &j.Chunks[i]; c.Committed < c.PlaceGen {
+		if c := &j.Chunks[i]; c.CommittedGen < c.PlacedGen {
 			return false
 		}
 	}
 	return true
 }
 
-// Repeated is for a report that Observe has not taken in. If it is the newest that is
+// AnswerRetry is for a report that Observe has not taken in. If it is the newest that is
 // known of its machine, it is an idempotent retry: this one and the one before are the
 // same message, of which one is a copy, and the worker waits for the answer to one of
 // them. Refused, it would go on to the next node, a second of its lease later, because
@@ -351,27 +351,27 @@
 // forgotten are the other answer's. A worker takes one of the two at most, and none
 // once it has sent its next report, so that a launch which that one does not list was
 // not executed, and never will be.
-func (m *Model) Repeated(r *wire.Report, via string) (cmds []wire.Command, ok bool) {
+func (m *Model) AnswerRetry(r *wire.Report, via string) (cmds []wire.Command, ok bool) {
 	i, known := m.machineIdx[r.Machine]
 	if !known {
 		return nil, false
 	}
 	mc := m.Machines[i]
-	if mc.Gone || !mc.Up || mc.Session != r.Session || mc.Seq != r.Seq {
+	if mc.Gone || !mc.Up || mc.AgentEpoch != r.Session || mc.Seq != r.Seq {
 		return nil, false
 	}
-	if mc.LastAnswer.Before(mc.LastSeen) {
-		mc.LastAnswer = mc.LastSeen // the other has had no answer, or not yet
+	if mc.LastAnswered.Before(mc.LastSeen) {
+		mc.LastAnswered = mc.LastSeen // the other has had no answer, or not yet
 	}
 	mc.answeredTwice(via)
 	return m.stopsFor(mc, r), true
 }
 
-// Answer makes the commands that answer a report just observed. Launches are
+// AnswerHeartbeat makes the commands that answer a report just observed. Launches are
 // noted as sent with it.
-func (m *Model) Answer(mc *Machine, r *wire.Report, now time.Time) []wire.Command {
+func (m *Model) AnswerHeartbeat(mc *Machine, r *wire.Report, now time.Time) []wire.Command {
 	m.Timings.LeaseLeft(m.leaseOver(mc).Sub(now).Seconds())
-	mc.LastAnswer, mc.hearing.told, mc.hearing.at = now, true, r.Seq
+	mc.LastAnswered, mc.hearing.told, mc.hearing.at = now, true, r.Seq
 	// Stops come first: an answer renews the worker's lease, so that a task which it
 	// should have stopped and did not may stay for another lease.
 	out := m.stopsFor(mc, r)
@@ -386,7 +386,7 @@
 		e := mc.exits[exitKey{t.Task, t.Attempt}]
 		if e != nil {
 			o := m.Jobs[e.job]
-			if o != nil && !o.Finished && !o.Cancelled && o.Chunks[e.chunk].Committed < e.gen {
+			if o != nil && !o.Finished && !o.Cancelled && o.Chunks[e.chunk].CommittedGen < e.gen {
 				continue // the outcome is not committed yet
 			}
 		}
@@ -403,16 +403,16 @@
 			return out
 		}
 		j := m.Jobs[ref.Job]
-		p := j.Tasks[ref.Task].Place
-		if p.Stop == nil && !p.Sent && !p.Inherited && launchable(j, ref.Task) && mc.Notice.IsZero() && !mc.deaf() {
+		p := j.Tasks[ref.Task].Placement
+		if p.Stop == nil && !p.LaunchSent && !p.Inherited && launchable(j, ref.Task) && mc.InterruptionAt.IsZero() && !mc.deaf() {
 			name := wire.TaskName(j.ID, int(ref.Task))
-			p.Sent, p.SentAt, p.Session, p.Seq = true, now, r.Session, r.Seq
-			m.Timings.Launched(now.Sub(p.At).Seconds())
+			p.LaunchSent, p.LaunchSentAt, p.LaunchEpoch, p.LaunchSeq = true, now, r.Session, r.Seq
+			m.Timings.Launched(now.Sub(p.PlacedAt).Seconds())
 			out = append(out, wire.Command{Op: wire.OpStart, Task: name, Attempt: p.Attempt})
-			m.log.Debug("launch", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.At).Seconds())
+			m.log.Debug("launch", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
 		}
 	}
-	if mc.deaf() && mc.Shown {
+	if mc.deaf() && mc.TokenShown {
 		if c, ok := m.ask(mc); ok {
 			out = append(out, c)
 		}
@@ -422,7 +422,7 @@
 
 // placeOf is the place of a task that a report lists, nil where that attempt has none
 // on this machine.
-func (m *Model) placeOf(mc *Machine, t *wire.TaskReport) *Place {
+func (m *Model) placeOf(mc *Machine, t *wire.TaskReport) *Placement {
 	id, n, ok := wire.SplitTask(t.Task)
 	if !ok {
 		return nil
@@ -431,7 +431,7 @@
 	if j == nil || n >= len(j.Tasks) {
 		return nil
 	}
-	if p := j.Tasks[n].Place; p != nil && p.Machine == mc.Idx && p.Attempt == t.Attempt {
+	if p := j.Tasks[n].Placement; p != nil && p.Machine == mc.Index && p.Attempt == t.Attempt {
 		return p
 	}
 	return nil
@@ -453,57 +453,57 @@
 		}
 		if p := m.placeOf(mc, t); p == nil {
 			stop(t.Task, t.Attempt, 0)
-		} else if p.Stop != nil && (p.Seen != seenSaving || p.Stop.Grace == 0) {
+		} else if p.Stop != nil && (p.ReportedState != seenSaving || p.Stop.Grace == 0) {
 			stop(t.Task, t.Attempt, p.Stop.Grace)
 		}
 	}
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
-		if p := j.Tasks[ref.Task].Place; p.Stop != nil && p.Seen == seenNot {
+		if p := j.Tasks[ref.Task].Placement; p.Stop != nil && p.ReportedState == seenNot {
 			stop(wire.TaskName(j.ID, int(ref.Task)), p.Attempt, p.Stop.Grace)
 		}
 	}
 	return out
 }
 
-// Direct is a stop to be sent to a worker's own address.
-type Direct struct {
-	Machine string
-	Addr    string
-	Batch   wire.DirectCommands
+// Push is a stop to be sent to a worker's own address.
+type Push struct {
+	Machine  string
+	Addr     string
+	Commands wire.DirectCommands
 }
 
-// DirectStops returns the stops that have not been sent directly yet. They
+// StopPushes returns the stops that have not been sent directly yet. They
 // are repeated in answers to reports until the tasks are gone.
-func (m *Model) DirectStops(now time.Time) []Direct {
-	byMachine := map[int32]*Direct{}
+func (m *Model) StopPushes(now time.Time) []Push {
+	byMachine := map[int32]*Push{}
 	var order []int32
 	for _, ref := range m.stops {
 		j := m.Jobs[ref.Job]
 		if j == nil {
 			continue
 		}
-		p := j.Tasks[ref.Task].Place
-		if p == nil || p.Stop == nil || !p.Stop.Direct.IsZero() {
+		p := j.Tasks[ref.Task].Placement
+		if p == nil || p.Stop == nil || !p.Stop.PushedAt.IsZero() {
 			continue
 		}
 		mc := m.Machines[p.Machine]
 		if mc.Addr == "" || !mc.Up {
 			continue
 		}
-		p.Stop.Direct = now
-		d := byMachine[mc.Idx]
+		p.Stop.PushedAt = now
+		d := byMachine[mc.Index]
 		if d == nil {
-			d = &Direct{Machine: mc.Name, Addr: mc.Addr, Batch: wire.DirectCommands{Token: m.Token, Session: mc.Session}}
-			byMachine[mc.Idx] = d
-			order = append(order, mc.Idx)
+			d = &Push{Machine: mc.Name, Addr: mc.Addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch}}
+			byMachine[mc.Index] = d
+			order = append(order, mc.Index)
 		}
 		g := p.Stop.Grace
-		d.Batch.Commands = append(d.Batch.Commands,
+		d.Commands.Commands = append(d.Commands.Commands,
 			wire.Command{Op: wire.OpStop, Task: wire.TaskName(j.ID, int(ref.Task)), Attempt: p.Attempt, GraceS: &g})
 	}
 	m.stops = m.stops[:0]
-	out := make([]Direct, 0, len(order))
+	out := make([]Push, 0, len(order))
 	for _, i := range order {
 		out = append(out, *byMachine[i])
 	}
@@ -512,17 +512,17 @@
 
 // leaseOver says since when a machine that does not report can have no tasks.
 func (m *Model) leaseOver(mc *Machine) time.Time {
-	last := mc.LastAnswer
-	if last.Before(m.Takeover) {
-		last = m.Takeover
+	last := mc.LastAnswered
+	if last.Before(m.ElectedAt) {
+		last = m.ElectedAt
 	}
 	lease := m.cfg.Cluster.Workers.LeaseS
 	return last.Add(config.Seconds(lease*(1+4*m.drift)) + 300*time.Millisecond)
 }
 
-// StoodStill takes in that the leader's process stood still for so long, until
+// ResumeAfterStall takes in that the leader's process stood still for so long, until
 // then, while its clocks ran on.
-func (m *Model) StoodStill(resumed time.Time, stood time.Duration) {
+func (m *Model) ResumeAfterStall(resumed time.Time, stood time.Duration) {
 	m.resumed, m.stood = resumed, stood
 }
 
@@ -553,8 +553,8 @@
 			if mc.Up {
 				m.log.Info("machine silent past its lease", "machine", mc.Name, "tasks", len(mc.Tasks))
 			}
-			mc.Up, mc.Shown = false, false
-			mc.Session++ // whatever the ended session still sends is old
+			mc.Up, mc.TokenShown = false, false
+			mc.AgentEpoch++ // whatever the ended session still sends is old
 			mc.Seq = 0
 			mc.orphans = placement.Res{}
 			m.dropTasks(mc, "its machine's lease is over", now)
@@ -562,7 +562,7 @@
 		if len(mc.Tasks) > 0 && !m.ready(mc, now) {
 			m.recall(mc, now)
 		}
-		if !mc.Notice.IsZero() && mc.Up {
+		if !mc.InterruptionAt.IsZero() && mc.Up {
 			m.evacuate(mc, now)
 		}
 	}
@@ -576,7 +576,7 @@
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
 		// A reserved place is promised: it is kept while its machine may return.
-		if p := j.Tasks[ref.Task].Place; p != nil && !p.Sent && !p.Inherited && j.res == nil {
+		if p := j.Tasks[ref.Task].Placement; p != nil && !p.LaunchSent && !p.Inherited && j.res == nil {
 			m.log.Debug("recalled", "job", j.ID, "task", ref.Task, "machine", mc.Name)
 			m.unplace(j, ref.Task, now)
 		}
@@ -585,7 +585,7 @@
 
 func (m *Model) dropTasks(mc *Machine, why string, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
-		if j := m.Jobs[ref.Job]; j.Tasks[ref.Task].Place != nil {
+		if j := m.Jobs[ref.Job]; j.Tasks[ref.Task].Placement != nil {
 			m.lost(j, ref.Task, why, now)
 		}
 	}
@@ -595,11 +595,11 @@
 func (m *Model) evacuate(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
-		p := j.Tasks[ref.Task].Place
+		p := j.Tasks[ref.Task].Placement
 		if p == nil || p.Stop != nil {
 			continue
 		}
-		if p.Seen >= seenRunning && j.Spec.CheckpointS <= 0 {
+		if p.ReportedState >= seenRunning && j.Spec.CheckpointS <= 0 {
 			continue // nothing to save: it may just finish in time
 		}
 		m.StopTask(ref, "notice", now)
--- a/cluster/reserve.go
+++ b/cluster/reserve.go
@@ -46,9 +46,9 @@
 	}
 	for i, ok := j.res.drops.NextSet(0); ok && int(i) < len(j.Tasks); i, ok = j.res.drops.NextSet(i + 1) {
 		switch t := &j.Tasks[i]; t.Phase {
-		case Placed:
+		case TaskPlaced:
 			m.stop(j, int32(i), 0, whyReleased, now)
-		case Idle:
+		case TaskIdle:
 			m.spend(j, int32(i), jobstore.EndReleased, now)
 		}
 	}
@@ -68,20 +68,20 @@
 // tasks start again, it does nothing.
 func (m *Model) spend(j *Job, task int32, how uint8, now time.Time) {
 	t := &j.Tasks[task]
-	if j.res == nil || t.Phase != Idle || j.Cancelled {
+	if j.res == nil || t.Phase != TaskIdle || j.Cancelled {
 		return
 	}
-	t.End = how
+	t.Outcome = how
 	m.fetchEnded(j, how, now)
 	m.markDone(j, task, now)
 }
 
 // stopReason is how a task that its machine reports as stopped ended.
-func stopReason(p *Place) uint8 {
+func stopReason(p *Placement) uint8 {
 	if p.Stop == nil {
 		return jobstore.EndPreempted
 	}
-	return endOf(p.Stop.Why)
+	return endOf(p.Stop.Reason)
 }
 
 // restrict keeps a request to the machines that its job names, and away from
@@ -101,7 +101,7 @@
 		}
 		for _, mc := range m.Machines {
 			if !mc.Gone && !only[mc.Name] {
-				avoid[int(mc.Idx)] = true
+				avoid[int(mc.Index)] = true
 			}
 		}
 		r.Spare = true // no other machine would do, rented or not
@@ -121,8 +121,8 @@
 	}
 	var out []int
 	for i := lo; i < hi; i++ {
-		if j.Tasks[i].Phase == Done {
-			out = append(out, i, int(j.Tasks[i].End))
+		if j.Tasks[i].Phase == TaskDone {
+			out = append(out, i, int(j.Tasks[i].Outcome))
 		}
 	}
 	return out
@@ -135,7 +135,7 @@
 	}
 	var out []int
 	for i := lo; i < hi; i++ {
-		if p := j.Tasks[i].Place; p != nil && p.Stop != nil {
+		if p := j.Tasks[i].Placement; p != nil && p.Stop != nil {
 			out = append(out, i)
 		}
 	}
@@ -146,7 +146,7 @@
 func (j *Job) loadEnds(pairs []int) {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if t := pairs[i]; t >= 0 && t < len(j.Tasks) && pairs[i+1] >= 0 && pairs[i+1] <= math.MaxUint8 {
-			j.Tasks[t].End = uint8(pairs[i+1])
+			j.Tasks[t].Outcome = uint8(pairs[i+1])
 		}
 	}
 }
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -33,9 +33,9 @@
 	fwd := make(map[int]int, len(m.Machines))
 	for _, mc := range m.Machines {
 		if v, ok := m.machineView(mc, over, now); ok {
-			fwd[int(mc.Idx)] = len(in.Machines)
+			fwd[int(mc.Index)] = len(in.Machines)
 			in.Machines = append(in.Machines, v)
-			back = append(back, mc.Idx)
+			back = append(back, mc.Index)
 		}
 	}
 	reserved := map[string]bool{}
@@ -94,22 +94,22 @@
 			continue
 		}
 		mc := m.Machines[back[s.Machine]]
-		a, ok := attempts[j.Idx]
+		a, ok := attempts[j.Index]
 		if !ok {
-			if !j.Gang() || j.Placed == 0 {
-				j.Attempt++
+			if !j.Gang() || j.PlacedTasks == 0 {
+				j.LastAttempt++
 			}
-			a = j.Attempt
-			attempts[j.Idx] = a
+			a = j.LastAttempt
+			attempts[j.Index] = a
 		}
 		m.poolPlaced(j, s.Task, mc)
 		m.place(j, s.Task, mc, a, now)
 		c := m.touch(j, s.Task)
-		c.PlaceGen = c.Gen
-		j.Tasks[s.Task].Place.gen = c.Gen
+		c.PlacedGen = c.Generation
+		j.Tasks[s.Task].Placement.gen = c.Generation
 		d.Started++
-		m.Timings.Placed(now.Sub(j.At).Seconds())
-		m.log.Debug("placed", "job", j.ID, "task", s.Task, "attempt", a, "machine", mc.Name, "waited", now.Sub(j.At).Seconds())
+		m.Timings.Placed(now.Sub(j.AcceptedAt).Seconds())
+		m.log.Debug("placed", "job", j.ID, "task", s.Task, "attempt", a, "machine", mc.Name, "waited", now.Sub(j.AcceptedAt).Seconds())
 	}
 	for _, ref := range plan.Stops {
 		m.stopByPlan(ref, "preempted", now)
@@ -147,7 +147,7 @@
 	for i := range wanted {
 		waiting += len(wanted[i].Tasks)
 	}
-	for ti := range m.Types {
+	for ti := range m.MachineTypes {
 		var ready, booting, without int // machines
 		var cap, used, unsent placement.Res
 		for _, mc := range m.Machines {
@@ -161,13 +161,13 @@
 				continue
 			}
 			ready++
-			cap = cap.Add(m.Types[ti].Cap, 1)
+			cap = cap.Add(m.MachineTypes[ti].Capacity, 1)
 			used = used.Add(mc.Used, 1)
 			no := true
 			for ref := range mc.Tasks {
 				j := m.Jobs[ref.Job]
 				no = no && j.Need.GPU == 0
-				if j.Tasks[ref.Task].Place.Seen < seenRunning {
+				if j.Tasks[ref.Task].Placement.ReportedState < seenRunning {
 					unsent = unsent.Add(j.Need, 1)
 				}
 			}
@@ -175,7 +175,7 @@
 				without++
 			}
 		}
-		m.log.Debug("room", "type", m.Types[ti].Name, "ready", ready, "booting", booting, "cpus", cap.CPU, "cpusUsed", used.CPU,
+		m.log.Debug("room", "type", m.MachineTypes[ti].Name, "ready", ready, "booting", booting, "cpus", cap.CPU, "cpusUsed", used.CPU,
 			"gpus", cap.GPU, "gpusUsed", used.GPU, "cpusNotRunning", unsent.CPU, "gpusNotRunning", unsent.GPU, "withoutGPUTasks", without, "waiting", waiting)
 	}
 }
--- a/cluster/summary.go
+++ b/cluster/summary.go
@@ -28,9 +28,9 @@
 		switch {
 		case mc.Gone:
 			continue
-		case mc.Returning:
+		case mc.ScalingIn:
 			s.Machines["returning"]++
-		case mc.Up && !mc.Notice.IsZero():
+		case mc.Up && !mc.InterruptionAt.IsZero():
 			s.Machines["noticed"]++
 		case mc.Up && m.ready(mc, now):
 			s.Machines["up"]++
@@ -38,7 +38,7 @@
 			s.Machines["mute"]++
 		case mc.Up || len(mc.Tasks) > 0:
 			s.Machines["silent"]++
-		case mc.Ordered:
+		case mc.CreationKnown:
 			s.Machines["booting"]++
 		default:
 			s.Machines["not heard of"]++
@@ -55,25 +55,25 @@
 		}
 		if !j.Cancelled {
 			s.Jobs++
-			if d := j.Spec.DeadlineS; d != nil && now.Sub(j.At).Seconds() > *d {
+			if d := j.Spec.DeadlineS; d != nil && now.Sub(j.AcceptedAt).Seconds() > *d {
 				s.Late++
 			}
 		}
 		for i := range j.Tasks {
 			t := &j.Tasks[i]
-			switch p := t.Place; {
-			case t.Phase == Done:
+			switch p := t.Placement; {
+			case t.Phase == TaskDone:
 			case p == nil && j.Cancelled:
 			case p == nil:
 				s.Tasks["waiting"]++
-				if wait := now.Sub(j.At).Seconds(); wait > s.Longest[j.Spec.Class] {
+				if wait := now.Sub(j.AcceptedAt).Seconds(); wait > s.Longest[j.Spec.Class] {
 					s.Longest[j.Spec.Class] = wait
 				}
 			case p.Stop != nil:
 				s.Tasks["stopping"]++
-			case p.Seen >= seenRunning:
+			case p.ReportedState >= seenRunning:
 				s.Tasks["running"]++
-			case p.Sent || p.Inherited:
+			case p.LaunchSent || p.Inherited:
 				s.Tasks["starting"]++
 			default:
 				s.Tasks["placed"]++
--- a/cluster/summon.go
+++ b/cluster/summon.go
@@ -17,16 +17,16 @@
 // summonAgain is after how long a summons of which nothing came is repeated.
 const summonAgain = 1500 * time.Millisecond
 
-// NoTask is the number of a task that no job has: jobs have 100,000 at most,
+// NoSuchTask is the number of a task that no job has: jobs have 100,000 at most,
 // counted from 0.
-const NoTask = 100_000
+const NoSuchTask = 100_000
 
-// Summons returns what makes the workers report for which a launch is ready, at
+// WakeUps returns what makes the workers report for which a launch is ready, at
 // most so many at once. A machine whose report is being answered is left for the
 // next time: the launch goes with that answer. Where nothing has come of one, it
 // is repeated.
-func (m *Model) Summons(most int, now time.Time) []Direct {
-	var out []Direct
+func (m *Model) WakeUps(most int, now time.Time) []Push {
+	var out []Push
 	called := map[int32]bool{}
 	left := m.fresh[:0]
 	for _, ref := range m.fresh {
@@ -34,23 +34,23 @@
 		if j == nil {
 			continue
 		}
-		p := j.Tasks[ref.Task].Place
-		if p == nil || p.Sent || p.Inherited || p.Stop != nil {
+		p := j.Tasks[ref.Task].Placement
+		if p == nil || p.LaunchSent || p.Inherited || p.Stop != nil {
 			continue
 		}
 		mc := m.Machines[p.Machine]
 		left = append(left, ref)
-		if called[mc.Idx] {
-			p.Summoned = now
+		if called[mc.Index] {
+			p.WokenAt = now
 		}
-		if len(out) >= most || called[mc.Idx] || mc.Held > 0 || mc.Addr == "" || !mc.Up || mc.deaf() || !mc.Notice.IsZero() ||
-			now.Sub(p.Summoned) < summonAgain || !launchable(j, ref.Task) {
+		if len(out) >= most || called[mc.Index] || mc.HeldAnswers > 0 || mc.Addr == "" || !mc.Up || mc.deaf() || !mc.InterruptionAt.IsZero() ||
+			now.Sub(p.WokenAt) < summonAgain || !launchable(j, ref.Task) {
 			continue
 		}
-		p.Summoned = now
-		called[mc.Idx] = true
-		out = append(out, Direct{Machine: mc.Name, Addr: mc.Addr, Batch: wire.DirectCommands{Token: m.Token, Session: mc.Session,
-			Commands: []wire.Command{{Op: wire.OpStart, Task: wire.TaskName(j.ID, NoTask), Attempt: p.Attempt}}}})
+		p.WokenAt = now
+		called[mc.Index] = true
+		out = append(out, Push{Machine: mc.Name, Addr: mc.Addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch,
+			Commands: []wire.Command{{Op: wire.OpStart, Task: wire.TaskName(j.ID, NoSuchTask), Attempt: p.Attempt}}}})
 	}
 	m.fresh = left
 	return out
--- a/cluster/summon_test.go
+++ b/cluster/summon_test.go
@@ -21,8 +21,8 @@
 	other.Machine, other.Addr = "host-2", "h2:1"
 	answer(t, m, other, at(1))
 	m.Schedule(at(1.2), 0)
-	if j := m.Job("wk-000001"); j.Placed != 2 {
-		t.Fatalf("%d tasks placed", j.Placed)
+	if j := m.Job("wk-000001"); j.PlacedTasks != 2 {
+		t.Fatalf("%d tasks placed", j.PlacedTasks)
 	}
 	return m
 }
@@ -31,58 +31,58 @@
 // launched until all were committed: 5 s of waiting for a committed place.
 func TestAPlaceIsLaunchedOnceItsOwnRecordIsCommitted(t *testing.T) {
 	m := twoHosts(t)
-	mc := m.Observe(rep(2, 5), at(1.5))
-	if cmds := m.Answer(mc, rep(2, 5), at(1.5)); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
+	mc := m.ApplyHeartbeat(rep(2, 5), at(1.5))
+	if cmds := m.AnswerHeartbeat(mc, rep(2, 5), at(1.5)); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
 		t.Errorf("commands %v, wanted the launch of what is committed", cmds)
 	}
 	other := rep(2, 5)
 	other.Machine, other.Addr = "host-2", "h2:1"
-	if cmds := m.Answer(m.Observe(other, at(1.5)), other, at(1.5)); len(cmds) != 0 {
+	if cmds := m.AnswerHeartbeat(m.ApplyHeartbeat(other, at(1.5)), other, at(1.5)); len(cmds) != 0 {
 		t.Errorf("commands %v for a place that is not committed", cmds)
 	}
 }
 
 func TestASummonsNamesATaskThatNoJobHas(t *testing.T) {
 	m := twoHosts(t)
-	got := m.Summons(10, at(1.3))
-	if len(got) != 1 || got[0].Machine != "host-1" || got[0].Batch.Token != 5 || got[0].Batch.Session != 1 {
+	got := m.WakeUps(10, at(1.3))
+	if len(got) != 1 || got[0].Machine != "host-1" || got[0].Commands.Token != 5 || got[0].Commands.Session != 1 {
 		t.Fatalf("summonses %+v, wanted one to the machine with a committed place", got)
 	}
-	c := got[0].Batch.Commands
+	c := got[0].Commands.Commands
 	if len(c) != 1 || c[0].Op != wire.OpStart || c[0].Task != "wk-000001/100000" {
 		t.Fatalf("commands %+v", c)
 	}
-	if again := m.Summons(10, at(2)); len(again) != 0 {
+	if again := m.WakeUps(10, at(2)); len(again) != 0 {
 		t.Errorf("repeated after 0.7 s: %+v", again)
 	}
-	if again := m.Summons(10, at(3)); len(again) != 1 {
+	if again := m.WakeUps(10, at(3)); len(again) != 1 {
 		t.Errorf("%d summonses after one of which nothing came", len(again))
 	}
 	// What the worker lists of it is forgotten, and nothing else follows.
 	r := rep(2, 5, wire.TaskReport{Task: "wk-000001/100000", Attempt: 1, State: wire.TaskExited, Why: wire.WhyUnknown})
-	cmds := m.Answer(m.Observe(r, at(3.1)), r, at(3.1))
+	cmds := m.AnswerHeartbeat(m.ApplyHeartbeat(r, at(3.1)), r, at(3.1))
 	if len(cmds) != 2 || cmds[0].Op != wire.OpForget || cmds[1].Op != wire.OpStart || cmds[1].Task != "wk-000001/0" {
 		t.Errorf("commands %+v, wanted a forget and the launch", cmds)
 	}
-	if again := m.Summons(10, at(10)); len(again) != 0 {
+	if again := m.WakeUps(10, at(10)); len(again) != 0 {
 		t.Errorf("summoned for what was launched: %+v", again)
 	}
 }
 
 func TestNoSummonsBeyondTheSocketsNorForAHeldAnswer(t *testing.T) {
 	m := twoHosts(t)
-	if got := m.Summons(0, at(1.3)); len(got) != 0 {
+	if got := m.WakeUps(0, at(1.3)); len(got) != 0 {
 		t.Errorf("%d summonses without a socket", len(got))
 	}
 	if len(m.fresh) != 2 {
 		t.Errorf("%d places wait for a summons, wanted both", len(m.fresh))
 	}
-	m.Machines[0].Held++
-	if got := m.Summons(10, at(1.3)); len(got) != 0 {
+	m.Machines[0].HeldAnswers++
+	if got := m.WakeUps(10, at(1.3)); len(got) != 0 {
 		t.Error("summoned while its answer is held: the launch goes with that")
 	}
-	m.Machines[0].Held--
-	if got := m.Summons(10, at(1.3)); len(got) != 1 {
+	m.Machines[0].HeldAnswers--
+	if got := m.WakeUps(10, at(1.3)); len(got) != 1 {
 		t.Errorf("%d summonses, wanted the one that was put off", len(got))
 	}
 }
@@ -90,8 +90,8 @@
 // With summonses switched off, what has been launched was kept for ever.
 func TestWhatWasLaunchedIsForgottenWithoutSummonses(t *testing.T) {
 	m := twoHosts(t)
-	m.Answer(m.Observe(rep(2, 5), at(1.5)), rep(2, 5), at(1.5))
-	if m.Summons(0, at(2)); len(m.fresh) != 1 {
+	m.AnswerHeartbeat(m.ApplyHeartbeat(rep(2, 5), at(1.5)), rep(2, 5), at(1.5))
+	if m.WakeUps(0, at(2)); len(m.fresh) != 1 {
 		t.Errorf("%d places are kept, wanted the one that is not launched", len(m.fresh))
 	}
 }
--- a/cluster/tiers.go
+++ b/cluster/tiers.go
@@ -83,7 +83,7 @@
 func (m *Model) fleetNow(now time.Time) (cap placement.Res) {
 	for _, mc := range m.Machines {
 		if m.ready(mc, now) {
-			cap = cap.Add(m.Types[mc.Type].Cap, 1)
+			cap = cap.Add(m.MachineTypes[mc.Type].Capacity, 1)
 		}
 	}
 	if f := m.tiers.record.Fleet; cap == (placement.Res{}) {
@@ -109,9 +109,9 @@
 func (m *Model) booked(fleet placement.Res) []float64 {
 	use := make([]placement.Res, m.tiers.order.Tiers())
 	for _, idx := range m.live {
-		if j := m.Jobs[idx]; j != nil && j.Placed > 0 {
+		if j := m.Jobs[idx]; j != nil && j.PlacedTasks > 0 {
 			t := j.tier
-			use[t] = use[t].Add(j.Need, float64(j.Placed))
+			use[t] = use[t].Add(j.Need, float64(j.PlacedTasks))
 		}
 	}
 	out := make([]float64, len(use))
@@ -138,7 +138,7 @@
 	waiting := make([]priority.Waiting, len(line))
 	for i, k := range line {
 		waiting[i] = priority.Waiting{Tier: k.req.Tier, Tasks: len(k.req.Tasks), Whole: k.req.All, Size: partOf(k.req.Need, fleet),
-			Waited: now.Sub(k.j.At).Seconds(), Placed: k.j.Placed, Begun: k.j.Done > 0 || !k.j.FirstRun.IsZero()}
+			Waited: now.Sub(k.j.AcceptedAt).Seconds(), Placed: k.j.PlacedTasks, Begun: k.j.DoneTasks > 0 || !k.j.FirstRunAt.IsZero()}
 	}
 	ahead := o.Promote(waiting, m.booked(fleet))
 	out := make([]*ranked, 0, len(line))
@@ -194,7 +194,7 @@
 			first = append(first, k)
 			continue
 		}
-		over := k.j.At.Add(config.Seconds(m.tiers.order.LongestWait(k.req.Tier)))
+		over := k.j.AcceptedAt.Add(config.Seconds(m.tiers.order.LongestWait(k.req.Tier)))
 		at := len(out)
 		for at > 0 {
 			o := out[at-1]
--- a/cluster/tiers_test.go
+++ b/cluster/tiers_test.go
@@ -83,8 +83,8 @@
 			}
 			r.Tasks = append(r.Tasks, on[name].TaskReport)
 		}
-		mc := p.m.Observe(r, now)
-		cmds := p.m.Answer(mc, r, now)
+		mc := p.m.ApplyHeartbeat(r, now)
+		cmds := p.m.AnswerHeartbeat(mc, r, now)
 		sortCommands(cmds)
 		for _, c := range cmds {
 			t := on[c.Task]
@@ -107,10 +107,10 @@
 	p.m.Schedule(now, 0)
 	for b := p.m.NextBatch(12); b != nil; b = p.m.NextBatch(12) {
 		p.rev++
-		b.Committed(p.rev, now)
+		b.OnCommit(p.rev, now)
 	}
-	if b := p.m.CompareBatch(); b != nil {
-		b.Committed(p.rev, now)
+	if b := p.m.PlanCheckBatch(); b != nil {
+		b.OnCommit(p.rev, now)
 	}
 }
 
@@ -149,7 +149,7 @@
 		for i, o := range []*priority.Order{nil, one, one} {
 			p := newFleetPlay(6, o)
 			if i == 2 {
-				p.m.PlanWanted()
+				p.m.ExpectPlan()
 			}
 			p.m.cfg.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "slicing", WithinS: 30}, {Kind: "finished", Class: "lesson", WithinS: 200}}
 			p.day(seed, 300, func(r *rand.Rand) string { return []string{"slicing", "lesson", "print"}[r.IntN(3)] })
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -246,10 +246,10 @@
 		need placement.Res
 	}
 	for _, mc := range m.Machines {
-		if mc.Type < 0 || !j.Types[mc.Type] || mc.Spot && !j.Spec.Spot || zone >= 0 && zone != mc.Zone {
+		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || zone >= 0 && zone != mc.Zone {
 			continue
 		}
-		room := m.Types[mc.Type].Cap
+		room := m.MachineTypes[mc.Type].Capacity
 		if !m.ready(mc, now) {
 			if eta, ok := m.booting(mc, now); ok {
 				for range fit(j.Need, room) {
@@ -299,9 +299,9 @@
 	sum, est := 0.0, m.expected(j)
 	for i := range j.Tasks {
 		switch t := &j.Tasks[i]; t.Phase {
-		case Idle:
+		case TaskIdle:
 			sum += rest(est, t)
-		case Placed:
+		case TaskPlaced:
 			sum += m.left(j, int32(i), now)
 		}
 	}
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -64,13 +64,13 @@
 func TestWorkThatWasSavedIsNotExpectedAgain(t *testing.T) {
 	m := placed(t, 1)
 	j := m.Job("wk-000001")
-	p := j.Tasks[0].Place
-	p.Seen, p.Since, p.Stop = seenRunning, at(5), &Stop{At: at(45)}
+	p := j.Tasks[0].Placement
+	p.ReportedState, p.RunningSince, p.Stop = seenRunning, at(5), &StopOrder{OrderedAt: at(45)}
 	j.progressed(0, p, true, at(48))
 	if left := m.remaining(j, 0); left < 10 || left > 30 {
 		t.Errorf("%v s left of 60 after 40 s were saved", left)
 	}
-	j.progressed(0, &Place{Since: at(50)}, false, at(58))
+	j.progressed(0, &Placement{RunningSince: at(50)}, false, at(58))
 	if j.Tasks[0].Progress != 40 {
 		t.Errorf("progress %v after 8 s of work without a checkpoint", j.Tasks[0].Progress)
 	}
@@ -142,8 +142,8 @@
 			jobs := m.openJobs()
 			in := m.within(jobs)
 			for i, j := range jobs {
-				if in[j.Idx] != c.want[i] {
-					t.Errorf("%s is within the guarantee: %t", j.ID, in[j.Idx])
+				if in[j.Index] != c.want[i] {
+					t.Errorf("%s is within the guarantee: %t", j.ID, in[j.Index])
 				}
 			}
 		})
@@ -172,7 +172,7 @@
 			m := newModel(5)
 			m.teams[0].Max.GPU = c.limit
 			m.cfg.Cluster.Objectives = []config.Objective{{Kind: c.aim, Class: "small", WithinS: 40, Share: 0.9}, {Kind: "finished", Class: "c", WithinS: 150, Share: 0.9}}
-			m.SetTypes([]wire.MachineType{
+			m.SetMachineTypes([]wire.MachineType{
 				{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}},
 				{Name: "plain", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}}})
 			small, deadline := arrayJob("wk-000001", 4), 100.0
--- a/cluster/unbegun.go
+++ b/cluster/unbegun.go
@@ -60,7 +60,7 @@
 		if why != "" && why != j.inWay && now.Sub(j.named) >= namedAgain {
 			j.named = now
 			m.log.Info("job can't begin in time", "id", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", len(j.Tasks),
-				"inTheWay", why, "sinceAccept", now.Sub(j.At).Round(time.Millisecond).Seconds())
+				"inTheWay", why, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		}
 		j.inWay = why
 	}
@@ -70,11 +70,11 @@
 // be foreseen: the places it needs are not there at all, or it is past the time
 // at which it should have had them.
 func (m *Model) tooLate(j *Job, now time.Time) bool {
-	if j.Placed > 0 && !j.Gang() || j.Placed == len(j.Tasks) {
-		return now.Sub(j.At) > m.BeginWithin
+	if j.PlacedTasks > 0 && !j.Gang() || j.PlacedTasks == len(j.Tasks) {
+		return now.Sub(j.AcceptedAt) > m.BeginWithin
 	}
 	if should, _ := m.latestBegin(j); now.Before(should) {
-		return j.roomless && now.Sub(j.At) > m.BeginWithin/4
+		return j.roomless && now.Sub(j.AcceptedAt) > m.BeginWithin/4
 	}
 	return true
 }
@@ -86,7 +86,7 @@
 		return inWayRecords
 	case j.record.atFault():
 		return inWayMistake
-	case j.Placed == len(j.Tasks) || j.Placed > 0 && !j.Gang():
+	case j.PlacedTasks == len(j.Tasks) || j.PlacedTasks > 0 && !j.Gang():
 		return inWayStart
 	case !m.limitAllows(j):
 		return inWayTeam
@@ -131,7 +131,7 @@
 // says whether others are on their way or may be rented.
 func (m *Model) usableBy(j *Job, now time.Time) (up int, coming bool) {
 	for _, mc := range m.Machines {
-		if mc.Type < 0 || !j.Types[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone || !j.Need.Fits(m.Types[mc.Type].Cap) {
+		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone || !j.Need.Fits(m.MachineTypes[mc.Type].Capacity) {
 			continue
 		}
 		if m.ready(mc, now) {
@@ -143,7 +143,7 @@
 	if !coming && up == 0 {
 		offers, _ := m.offers(now)
 		coming = slices.ContainsFunc(offers, func(o placement.Offer) bool {
-			return j.Types[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Cap)
+			return j.AllowedTypes[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Cap)
 		})
 	}
 	return up, coming
@@ -154,7 +154,7 @@
 func (m *Model) heldByHigher(j *Job, now time.Time) bool {
 	higher := false
 	for _, mc := range m.Machines {
-		if mc.Type < 0 || !j.Types[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone || !m.ready(mc, now) {
+		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone || !m.ready(mc, now) {
 			continue
 		}
 		for ref := range mc.Tasks {
@@ -176,7 +176,7 @@
 			continue
 		}
 		all++
-		out = append(out, Unbegun{ID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), InWay: j.inWay, WaitsS: now.Sub(j.At).Seconds()})
+		out = append(out, Unbegun{ID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), InWay: j.inWay, WaitsS: now.Sub(j.AcceptedAt).Seconds()})
 	}
 	slices.SortStableFunc(out, func(a, b Unbegun) int { return int(1000 * (b.WaitsS - a.WaitsS)) })
 	return out[:min(len(out), namedMost)], all
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -16,7 +16,7 @@
 	quiet := config.Seconds(min(w.ReportS*2.5+2, w.LeaseS/2))
 	// One that has not shown this leader's token may not hear, or be gone: what
 	// was heard of it may be a late copy of a report.
-	return mc.Up && mc.Shown && !mc.deaf() && !mc.Gone && !mc.Returning && mc.Notice.IsZero() && mc.Type >= 0 && mc.Zone >= 0 &&
+	return mc.Up && mc.TokenShown && !mc.deaf() && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() && mc.Type >= 0 && mc.Zone >= 0 &&
 		m.silentFor(mc, now) < quiet
 }
 
@@ -31,8 +31,8 @@
 	n := 0
 	lag := config.Seconds(2*m.cfg.Cluster.Cloud.ListLagS + 10)
 	for _, mc := range m.Machines {
-		listed := mc.Listed == wire.MachineRunning && now.Sub(m.Takeover) > lag && now.Sub(mc.ListedAt) < lag
-		if !mc.Gone && !mc.Returning && (mc.Up && mc.Shown || len(mc.Tasks) > 0 || listed) {
+		listed := mc.CloudState == wire.MachineRunning && now.Sub(m.ElectedAt) > lag && now.Sub(mc.CloudStateAt) < lag
+		if !mc.Gone && !mc.ScalingIn && (mc.Up && mc.TokenShown || len(mc.Tasks) > 0 || listed) {
 			n++
 		}
 	}
@@ -43,21 +43,21 @@
 // started first. Tasks of jobs that are within the guarantee are never among
 // them: two teams that each have work within and beyond theirs would otherwise
 // stop each other's in turn, over and over.
-func (m *Model) over(within map[int32]bool) map[Ref]bool {
-	out := map[Ref]bool{}
+func (m *Model) over(within map[int32]bool) map[TaskRef]bool {
+	out := map[TaskRef]bool{}
 	if !slices.ContainsFunc(m.guarantee, func(g placement.Res) bool { return g != placement.Res{} }) {
 		return out // nobody may claim anything
 	}
 	type cand struct {
-		ref Ref
+		ref TaskRef
 		at  time.Time
 	}
 	byTeam := make([][]cand, len(m.teams))
 	for _, mc := range m.Machines {
 		for ref := range mc.Tasks {
 			j := m.Jobs[ref.Job]
-			if j.Team >= 0 && !within[j.Idx] {
-				byTeam[j.Team] = append(byTeam[j.Team], cand{ref, j.Tasks[ref.Task].Place.At})
+			if j.Team >= 0 && !within[j.Index] {
+				byTeam[j.Team] = append(byTeam[j.Team], cand{ref, j.Tasks[ref.Task].Placement.PlacedAt})
 			}
 		}
 	}
@@ -85,14 +85,14 @@
 }
 
 // loss estimates the seconds of work that stopping a task throws away.
-func (m *Model) loss(j *Job, p *Place, now time.Time) float64 {
+func (m *Model) loss(j *Job, p *Placement, now time.Time) float64 {
 	switch {
-	case p.Seen < seenRunning:
+	case p.ReportedState < seenRunning:
 		return 2
 	case j.Spec.CheckpointS > 0:
 		return j.Spec.SaveS
 	}
-	return now.Sub(p.Since).Seconds()
+	return now.Sub(p.RunningSince).Seconds()
 }
 
 // left estimates the seconds until a task ends by itself.
@@ -100,16 +100,16 @@
 	if j.Spec.Kind == wire.KindService {
 		return 1e9
 	}
-	p, more := j.Tasks[task].Place, m.remaining(j, task)
-	if p.Seen < seenRunning || p.Since.IsZero() {
+	p, more := j.Tasks[task].Placement, m.remaining(j, task)
+	if p.ReportedState < seenRunning || p.RunningSince.IsZero() {
 		return 5 + more
 	}
-	ran := now.Sub(p.Since).Seconds()
+	ran := now.Sub(p.RunningSince).Seconds()
 	// One that has run past what was expected is likely to run on for a while.
 	return max(5, ran/5, more-ran)
 }
 
-func (m *Model) machineView(mc *Machine, over map[Ref]bool, now time.Time) (placement.Machine, bool) {
+func (m *Model) machineView(mc *Machine, over map[TaskRef]bool, now time.Time) (placement.Machine, bool) {
 	v := placement.Machine{Name: mc.Name, Type: mc.Type, Zone: mc.Zone, Spot: mc.Spot}
 	if m.ready(mc, now) {
 		v.Ready = true
@@ -120,12 +120,12 @@
 	} else {
 		return v, false
 	}
-	t := &m.Types[mc.Type]
-	v.Cap, v.Price, v.FetchRate = t.Cap, t.Price, t.Fetch
+	t := &m.MachineTypes[mc.Type]
+	v.Cap, v.Price, v.FetchRate = t.Capacity, t.Price, t.FetchRate
 	if mc.Spot {
-		v.Price = t.Spot
+		v.Price = t.SpotPrice
 	}
-	v.Free = t.Cap.Add(mc.Used, -1).Add(mc.orphans, -1)
+	v.Free = t.Capacity.Add(mc.Used, -1).Add(mc.orphans, -1)
 	images := len(m.imageBuf)
 	if mc.suspected(now) {
 		v.Slow = 300
@@ -137,15 +137,15 @@
 	m.refBuf = sortRefs(mc.Tasks, m.refBuf[:0])
 	for _, ref := range m.refBuf {
 		j := m.Jobs[ref.Job]
-		p := j.Tasks[ref.Task].Place
-		if p.Seen < seenWaiting && t.Fetch > 0 && !mc.has(j.Image) {
-			left := max(0.5, j.Spec.ImageGB/t.Fetch-now.Sub(p.At).Seconds())
+		p := j.Tasks[ref.Task].Placement
+		if p.ReportedState < seenWaiting && t.FetchRate > 0 && !mc.has(j.Image) {
+			left := max(0.5, j.Spec.ImageGB/t.FetchRate-now.Sub(p.PlacedAt).Seconds())
 			if !slices.ContainsFunc(m.imageBuf[images:], func(im placement.ImageAt) bool { return im.Image == j.Image }) {
 				m.imageBuf = append(m.imageBuf, placement.ImageAt{Image: j.Image, In: left})
 				v.Backlog += left
 			}
 		}
-		stopping := p.Stop != nil || p.Held
+		stopping := p.Stop != nil || p.StopHeld
 		if stopping {
 			v.Coming = v.Coming.Add(j.Need, 1)
 		}
--- a/cluster/why.go
+++ b/cluster/why.go
@@ -41,7 +41,7 @@
 	if j == nil {
 		return Why{}, false
 	}
-	w := Why{ID: id, Tier: m.tiers.order.Name(j.tier), WaitedS: now.Sub(j.At).Seconds(), Tasks: len(j.Tasks), Done: j.Done, Placed: j.Placed,
+	w := Why{ID: id, Tier: m.tiers.order.Name(j.tier), WaitedS: now.Sub(j.AcceptedAt).Seconds(), Tasks: len(j.Tasks), Done: j.DoneTasks, Placed: j.PlacedTasks,
 		Ahead: map[string]int{}, Passed: m.tiers.record.Over(id)}
 	jobs := m.openJobs()
 	line := m.requests(jobs, m.within(jobs), now)
@@ -101,7 +101,7 @@
 		t := m.teams[r.Team]
 		out = append(out, fmt.Sprintf("its team's limit: %g of %g CPUs and %g of %g GPUs are in use (0: no limit)", t.Used.CPU, t.Max.CPU, t.Used.GPU, t.Max.GPU))
 	}
-	if len(m.Types) > 0 && len(m.typesFor(j)) == 0 {
+	if len(m.MachineTypes) > 0 && len(m.typesFor(j)) == 0 {
 		out = append(out, "a machine type that it fits; none in the catalogue is allowed and large enough")
 	}
 	switch {
@@ -125,11 +125,11 @@
 		return []string{"the end of its last tasks: it is cancelled"}
 	case j.aside:
 		return []string{"a repair: its records can't be read"}
-	case j.Done+j.Placed == len(j.Tasks):
+	case j.DoneTasks+j.PlacedTasks == len(j.Tasks):
 		return nil
 	case j.record.atFault():
 		return []string{"its next try: it fails wherever it is tried"}
-	case j.Gang() && j.Placed > 0:
+	case j.Gang() && j.PlacedTasks > 0:
 		return []string{"the end of what is left of its last attempt"}
 	}
 	return []string{fmt.Sprintf("its turn: %d requests are before it", maxRequests)}
--- a/controller/committer.go
+++ b/controller/committer.go
@@ -61,7 +61,7 @@
 	share := rate.NewLimiter(rate.Limit(sl.WriteRPS*0.7), burst)
 	for {
 		l.mu.Lock()
-		want := min(l.model.Pending(), burst)
+		want := min(l.model.PendingWrites(), burst)
 		if want == 0 {
 			l.committing = false
 			l.broadcastProgress()
@@ -91,9 +91,9 @@
 		rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), b.Ops)
 		if err == nil {
 			l.mu.Lock()
-			b.Committed(rev, time.Now())
+			b.OnCommit(rev, time.Now())
 			l.mu.Unlock()
-			if b.Stops > 0 {
+			if b.HeldStops > 0 {
 				l.sendDirectStops(ctx)
 			}
 			l.wakeWorkers(ctx)
@@ -126,7 +126,7 @@
 }
 
 // handleCommitFailure finds out why a batch was not committed.
-func (l *leadership) handleCommitFailure(ctx context.Context, b *cluster.Batch, err error) {
+func (l *leadership) handleCommitFailure(ctx context.Context, b *cluster.WriteBatch, err error) {
 	l.log.Debug("commit", "err", err, "ops", len(b.Ops))
 	var c *kvstore.ConflictError
 	if errors.As(err, &c) {
@@ -135,7 +135,7 @@
 				l.lease.Resign()
 				break
 			}
-			if b.IsJob(key) {
+			if b.IsJobKey(key) {
 				continue // the watch tells what happened to it
 			}
 			if key == jobstore.PlanHeadKey {
@@ -144,7 +144,7 @@
 			}
 			if e, gerr := l.node.kv.Get(ctx, key); gerr == nil {
 				l.mu.Lock()
-				l.model.Reread(b, key, e.Version)
+				l.model.ResolveConflict(b, key, e.Version)
 				l.mu.Unlock()
 			}
 		}
@@ -155,6 +155,6 @@
 		l.log.Error("the state service refuses a transaction as malformed", "err", err, "ops", len(b.Ops))
 	}
 	l.mu.Lock()
-	l.model.Failed(b)
+	l.model.RequeueBatch(b)
 	l.mu.Unlock()
 }
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -110,7 +110,7 @@
 func (l *leadership) isCurrent(who heartbeatHeader) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.model.News(who.Machine, who.Session, who.Seq)
+	return l.model.IsNewerHeartbeat(who.Machine, who.Session, who.Seq)
 }
 
 // forwardHeartbeat passes a report on to the leader. What comes back is the leader's own
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -30,17 +30,17 @@
 	}
 	l.mu.Lock()
 	now := time.Now()
-	if r.Token > l.model.Token {
+	if r.Token > l.model.FencingToken {
 		l.mu.Unlock()
 		l.heartbeatLimiter.Release()
 		l.log.Info("a worker has seen a higher token", "machine", r.Machine, "token", r.Token)
 		l.lease.Resign()
 		return redirectTo("")
 	}
-	freed := l.model.Freed
-	mc := l.model.Observe(&r, now)
+	freed := l.model.PlacesFreed
+	mc := l.model.ApplyHeartbeat(&r, now)
 	if mc == nil && l.lease.Valid() {
-		if cmds, ok := l.model.Repeated(&r, via); ok {
+		if cmds, ok := l.model.AnswerRetry(&r, via); ok {
 			l.mu.Unlock()
 			l.heartbeatLimiter.Release()
 			a := l.commandResponse(cmds)
@@ -49,24 +49,24 @@
 		}
 	}
 	if mc != nil {
-		l.model.Came(mc, via, now)
+		l.model.ObserveReceivingNode(mc, via, now)
 		if via == l.node.cfg.Node {
 			l.lastDirectHeartbeat = now // a late copy shows nothing of whether workers reach this node
 		}
 	}
 	l.heartbeatLimiter.Release()
-	if mc != nil && l.model.Freed != freed {
-		mc.Held++
+	if mc != nil && l.model.PlacesFreed != freed {
+		mc.HeldAnswers++
 		l.awaitSchedulingPass()
-		mc.Held--
+		mc.HeldAnswers--
 	}
 	// The lease is looked at last: the answer counts from here. A worker that
 	// has sent another report meanwhile waits for this answer no more.
-	if mc == nil || mc.Seq != r.Seq || mc.Session != r.Session || !l.lease.Valid() {
+	if mc == nil || mc.Seq != r.Seq || mc.AgentEpoch != r.Session || !l.lease.Valid() {
 		l.mu.Unlock()
 		return unsure
 	}
-	cmds := l.model.Answer(mc, &r, time.Now())
+	cmds := l.model.AnswerHeartbeat(mc, &r, time.Now())
 	l.mu.Unlock()
 	wake(l.schedulerWake)
 	wake(l.committerWake)
@@ -96,7 +96,7 @@
 	timer := time.NewTimer(l.maxResponseDelay())
 	defer timer.Stop()
 	wake(l.schedulerWake)
-	for l.passCount < target || l.committing || !l.model.Clean() {
+	for l.passCount < target || l.committing || !l.model.AllWritesIssued() {
 		turned := l.progress
 		l.mu.Unlock()
 		late := false
@@ -125,7 +125,7 @@
 		return
 	}
 	l.mu.Lock()
-	batch := l.model.DirectStops(time.Now())
+	batch := l.model.StopPushes(time.Now())
 	l.mu.Unlock()
 	for _, d := range batch {
 		select {
@@ -135,7 +135,7 @@
 		}
 		go func() {
 			defer func() { <-l.stopSlots }()
-			r, done, err := l.node.workerClient.Command(ctx, d.Addr, d.Batch)
+			r, done, err := l.node.workerClient.Command(ctx, d.Addr, d.Commands)
 			if err != nil {
 				l.log.Debug("direct stop", "machine", d.Machine, "err", err)
 				return
@@ -161,7 +161,7 @@
 	if l.node.tuning.Launching.Summon {
 		most = cap(l.wakeUpSlots) - len(l.wakeUpSlots)
 	}
-	batch := l.model.Summons(most, time.Now())
+	batch := l.model.WakeUps(most, time.Now())
 	for range batch {
 		// Taken under the lock, the places are there. In a burst, summonses that
 		// two had asked for at the same time were given up for want of a place,
@@ -173,7 +173,7 @@
 		go func() {
 			within, cancel := context.WithTimeout(ctx, wakeUpTimeout)
 			defer cancel()
-			if _, done, err := l.node.workerClient.Command(within, d.Addr, d.Batch); err != nil || !done {
+			if _, done, err := l.node.workerClient.Command(within, d.Addr, d.Commands); err != nil || !done {
 				l.log.Debug("summons", "machine", d.Machine, "executed", done, "err", err)
 			}
 			<-l.wakeUpSlots
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -109,7 +109,7 @@
 func (l *leadership) setTypes(types []wire.MachineType) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.model.SetTypes(types)
+	l.model.SetMachineTypes(types)
 }
 
 // applyEvents takes changes of the active records in. Each once: a watch and a
@@ -120,7 +120,7 @@
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	pages := map[string]cluster.IntakePage{} // as the last change left them
+	pages := map[string]cluster.AdmissionPage{} // as the last change left them
 	for _, e := range ev.Log {
 		if e.Version <= l.appliedRevision {
 			continue
@@ -134,7 +134,7 @@
 		}
 		if e.Delete != "" {
 			if id, ok := jobstore.ParseJobKey(e.Delete); ok {
-				if j := l.model.Job(id); j != nil && !j.Finished && j.Done < len(j.Tasks) {
+				if j := l.model.Job(id); j != nil && !j.Finished && j.DoneTasks < len(j.Tasks) {
 					l.recentUserChanges = append(l.recentUserChanges, now, now)
 				}
 				l.model.RemoveJob(id, now)
@@ -152,7 +152,7 @@
 		}
 	}
 	// Together, since a job may have moved from one to another.
-	l.model.PutIntake(slices.Collect(maps.Values(pages)), now)
+	l.model.PutAdmissionPages(slices.Collect(maps.Values(pages)), now)
 	l.appliedRevision = max(l.appliedRevision, ev.Revision)
 	wake(l.schedulerWake)
 	wake(l.committerWake)
@@ -160,9 +160,9 @@
 }
 
 // applyIntakePage takes a change of a page of users' jobs in; false where it can't be read.
-func (l *leadership) applyIntakePage(pages map[string]cluster.IntakePage, e wire.Event) bool {
+func (l *leadership) applyIntakePage(pages map[string]cluster.AdmissionPage, e wire.Event) bool {
 	key := e.Put + e.Delete
-	pg := cluster.IntakePage{Key: key, Version: e.Version}
+	pg := cluster.AdmissionPage{Key: key, Version: e.Version}
 	if e.Put != "" {
 		rec, err := jobstore.DecodeIntake(e.Value)
 		if err != nil {
@@ -174,7 +174,7 @@
 	if pages[key].Version <= e.Version {
 		pages[key] = pg
 	}
-	if !l.model.Wrote(key, e.Version) {
+	if !l.model.WroteAdmissionPage(key, e.Version) {
 		l.recentUserChanges = append(l.recentUserChanges, time.Now())
 	}
 	return true
--- a/controller/load.go
+++ b/controller/load.go
@@ -42,13 +42,13 @@
 	}
 	now := time.Now()
 	m := cluster.New(l.node.cfg, l.lease.FencingToken, now, l.log)
-	m.Tuning, m.Headroom = l.node.tuning.Rebalance, l.node.tuning.Renting.Headroom
+	m.RebalanceSettings, m.Headroom = l.node.tuning.Rebalance, l.node.tuning.Renting.Headroom
 	m.BeginWithin = config.Seconds(l.node.tuning.Serving.BeginWithinS)
 	if l.node.metrics != nil {
 		m.Timings = latencyMetrics{l.node.metrics}
 	}
 	if types := l.node.machineTypes(); types != nil {
-		m.SetTypes(types)
+		m.SetMachineTypes(types)
 	}
 	for _, it := range notes {
 		m.LoadNote(it.Key, it.Value, it.Version)
@@ -65,7 +65,7 @@
 		if err := wire.Unmarshal(it.Value, &rec); err != nil {
 			l.log.Error("unreadable record of moves: passed over", "key", it.Key, "err", err)
 		} else {
-			m.LoadCycle(it.Key[len(jobstore.Cycles):], rec, now)
+			m.LoadRebalanceCycle(it.Key[len(jobstore.Cycles):], rec, now)
 		}
 	}
 	for _, it := range rentals {
@@ -73,7 +73,7 @@
 		if err := wire.Unmarshal(it.Value, &rec); err != nil {
 			l.log.Error("unreadable record of a rental: passed over", "key", it.Key, "err", err)
 		} else if now.Sub(time.UnixMilli(rec.AtMs)) < 2*time.Minute {
-			m.Rented(cluster.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, time.UnixMilli(rec.AtMs))
+			m.ScaledOut(cluster.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, time.UnixMilli(rec.AtMs))
 		}
 	}
 	var going jobstore.ReturnRecord
@@ -81,9 +81,9 @@
 		if err := wire.Unmarshal(returns.Value, &going); err != nil {
 			l.log.Error("unreadable record of returns: machines that go may be given tasks", "key", returns.Key, "err", err)
 		}
-		m.Returned(going.Machines, now)
+		m.ResumeScaleIn(going.Machines, now)
 	}
-	m.Loaded(now)
+	m.FinishLoading(now)
 	l.mu.Lock()
 	l.model, l.appliedRevision = m, rev
 	l.mu.Unlock()
@@ -92,7 +92,7 @@
 }
 
 func loadJobs(m *cluster.Model, items []wire.Entry, now time.Time) error {
-	var pages []cluster.IntakePage
+	var pages []cluster.AdmissionPage
 	for _, it := range items {
 		if it.Key == jobstore.FormKey {
 			form, err := jobstore.DecodeForm(it.Value)
@@ -100,7 +100,7 @@
 				return jobstore.ErrNewer
 			}
 			if form.Form >= jobstore.FormPlan {
-				m.PlanWanted()
+				m.ExpectPlan()
 			}
 		}
 		if jobstore.IsIntake(it.Key) {
@@ -110,21 +110,21 @@
 				if a, ok := jobstore.DecodeAside(it.Value); ok {
 					since = time.UnixMilli(a.AtMs)
 				}
-				m.DamagedIntake(it.Key, since, err)
+				m.QuarantineAdmissionPage(it.Key, since, err)
 				continue
 			}
-			pages = append(pages, cluster.IntakePage{Key: it.Key, Version: it.Version, Record: rec})
+			pages = append(pages, cluster.AdmissionPage{Key: it.Key, Version: it.Version, Record: rec})
 		}
 		if id, ok := jobstore.ParseJobKey(it.Key); ok {
 			rec, err := jobstore.DecodeJob(id, it.Value)
 			if err != nil {
-				m.DamagedJob(it.Key, id, err)
+				m.QuarantineJob(it.Key, id, err)
 				continue
 			}
 			m.PutJob(id, rec, it.Version, now)
 		}
 	}
-	m.PutIntake(pages, now)
+	m.PutAdmissionPages(pages, now)
 	return nil
 }
 
@@ -137,7 +137,7 @@
 		}
 		rec, err := jobstore.DecodePage(it.Value)
 		if err != nil {
-			m.DamagedPage(n, it.Version, err)
+			m.QuarantinePlacementPage(n, it.Version, err)
 			continue
 		}
 		for _, c := range rec.Chunks {
@@ -151,13 +151,13 @@
 			}
 			if e.Version != 0 {
 				if over, err := jobstore.DecodeEnd(e.Value); err != nil {
-					m.DamagedEnd(e.Key, c.Job, err)
+					m.QuarantineFinishedJob(e.Key, c.Job, err)
 				} else {
-					m.LoadCancelled(c.Job, over)
+					m.LoadCancelledJob(c.Job, over)
 				}
 			}
 		}
-		m.LoadPage(n, rec, it.Version, now)
+		m.LoadPlacementPage(n, rec, it.Version, now)
 	}
 	return nil
 }
--- a/controller/look.go
+++ b/controller/look.go
@@ -57,7 +57,7 @@
 	}
 	var types wire.Types
 	if e.Version != 0 && wire.Unmarshal(e.Value, &types) == nil {
-		m.SetTypes(types.Types)
+		m.SetMachineTypes(types.Types)
 	}
 	if err := loadOperatorPlanRecords(ctx, m, st, now); err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 	if err := loadPlacements(ctx, st, m, items, now); err != nil {
 		return nil, err
 	}
-	m.Loaded(now)
+	m.FinishLoading(now)
 	return m, nil
 }
 
--- a/controller/mend.go
+++ b/controller/mend.go
@@ -406,7 +406,7 @@
 				continue
 			}
 			l.mu.Lock()
-			jobs, ok := l.model.Intake(t.key, t.version)
+			jobs, ok := l.model.AdmissionEntries(t.key, t.version)
 			l.mu.Unlock()
 			if ok {
 				l.node.keepCopy(t, &jobstore.Memory{Jobs: jobs})
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -150,7 +150,7 @@
 func (l *leadership) markPlanRequested() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.model.PlanWanted()
+	l.model.ExpectPlan()
 }
 
 // requestSchemaMigration has a leader look again whether the records may be written in the form
@@ -187,7 +187,7 @@
 			continue
 		}
 		l.mu.Lock()
-		b.Committed(rev, time.Now())
+		b.OnCommit(rev, time.Now())
 		l.mu.Unlock()
 	}
 }
--- a/controller/plan_check.go
+++ b/controller/plan_check.go
@@ -33,7 +33,7 @@
 	share := rate.NewLimiter(rate.Limit(min(max(2, planCheckRateShare*l.node.cfg.Cluster.State.RPS), 10)), 2)
 	for {
 		l.mu.Lock()
-		wait, anyhow := l.model.Holding(), l.committing || l.model.Pending() > 0
+		wait, anyhow := l.model.HasHeldStops(), l.committing || l.model.PendingWrites() > 0
 		l.mu.Unlock()
 		if !wait {
 			select {
@@ -53,7 +53,7 @@
 			continue
 		}
 		l.mu.Lock()
-		b := l.model.CompareBatch()
+		b := l.model.PlanCheckBatch()
 		l.mu.Unlock()
 		if b == nil {
 			continue // a transaction took them along
@@ -61,7 +61,7 @@
 		rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), nil)
 		if err == nil {
 			l.mu.Lock()
-			b.Committed(rev, time.Now())
+			b.OnCommit(rev, time.Now())
 			l.mu.Unlock()
 			l.sendDirectStops(ctx)
 			continue
@@ -77,7 +77,7 @@
 // one it decides by: nobody is stopped by that one, and the newer is read.
 func (l *leadership) dropSupersededPlan(ctx context.Context) {
 	l.mu.Lock()
-	l.model.DropStops()
+	l.model.DropHeldStops()
 	l.mu.Unlock()
 	l.reloadPlan(ctx)
 }
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -31,8 +31,8 @@
 		l.scaleOut(ctx)
 		l.mu.Lock()
 		l.node.stalls.Observe(time.Now())
-		l.model.StoodStill(l.node.stalls.LastStall())
-		back := l.model.Returnable(time.Now(), config.Seconds(l.node.tuning.Renting.IdleS))
+		l.model.ResumeAfterStall(l.node.stalls.LastStall())
+		back := l.model.SelectScaleIn(time.Now(), config.Seconds(l.node.tuning.Renting.IdleS))
 		l.mu.Unlock()
 		if len(back) > 0 {
 			l.scaleIn(ctx, back[:min(len(back), cloud.DeleteMax)])
@@ -48,7 +48,7 @@
 		}
 		listed = time.Now()
 		l.mu.Lock()
-		l.model.SetList(list, listed)
+		l.model.ApplyCloudList(list, listed)
 		l.mu.Unlock()
 		wake(l.schedulerWake)
 	}
@@ -131,9 +131,9 @@
 	now := time.Now()
 	l.mu.Lock()
 	if err != nil || len(names) < count {
-		l.model.Refused(o, now)
+		l.model.OfferRefused(o, now)
 	}
-	l.model.Rented(o, names, now)
+	l.model.ScaledOut(o, names, now)
 	l.mu.Unlock()
 	if err != nil {
 		l.log.Info("rental refused", "request", bon, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", count, "err", err)
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -30,7 +30,7 @@
 			l.mu.Lock()
 			now := time.Now()
 			l.node.stalls.Observe(now)
-			l.model.StoodStill(l.node.stalls.LastStall())
+			l.model.ResumeAfterStall(l.node.stalls.LastStall())
 			if l.workersUnreachable(now) {
 				l.mu.Unlock()
 				l.log.Info("no worker reaches this leader: giving leadership up")
@@ -94,8 +94,8 @@
 	w := l.node.cfg.Cluster.Workers
 	quiet := config.Seconds(max(3*w.ReportS, w.LeaseS/4) + 2)
 	since := l.lastDirectHeartbeat
-	if since.Before(l.model.Takeover) {
-		since = l.model.Takeover
+	if since.Before(l.model.ElectedAt) {
+		since = l.model.ElectedAt
 	}
 	// After a stop, the workers' reports are there and have not been read yet.
 	if resumed, _ := l.node.stalls.LastStall(); since.Before(resumed) {
@@ -108,7 +108,7 @@
 // moves, and then begins them.
 func (l *leadership) startRebalancing(ctx context.Context, group string, rec jobstore.CycleRecord) {
 	l.mu.Lock()
-	guards := l.model.MoveGuards()
+	guards := l.model.RebalanceGuards()
 	l.mu.Unlock()
 	if err := l.putOwnRecord(ctx, jobstore.Cycles+group, rec, guards...); err != nil {
 		l.rebalancingRejected(ctx, group, err)
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -65,7 +65,7 @@
 	t.Helper()
 	time.Sleep(12 * time.Second)
 	for _, id := range []string{"wk-000001", "wk-000002", "wk-000003"} {
-		if on := w.MachinesRunning(wire.TaskName(id, cluster.NoTask)); len(on) > 0 {
+		if on := w.MachinesRunning(wire.TaskName(id, cluster.NoSuchTask)); len(on) > 0 {
 			t.Errorf("the summons for %s is still listed on %v", id, on)
 		}
 	}
--- a/controller/yarn.go
+++ b/controller/yarn.go
@@ -81,7 +81,7 @@
 	out := []yarn.Machine{}
 	l.mu.Lock()
 	for _, m := range l.model.Machines {
-		if m.Gone || m.Session == 0 || m.Zone < 0 {
+		if m.Gone || m.AgentEpoch == 0 || m.Zone < 0 {
 			continue
 		}
 		out = append(out, yarn.Machine{Name: m.Name, Type: m.TypeName, Zone: l.model.Zones[m.Zone], Spot: m.Spot, Up: l.model.Ready(m, now),
--- a/modelcheck/late.go
+++ b/modelcheck/late.go
@@ -102,14 +102,14 @@
 }
 
 // hold leaves a leader's transaction without an answer, to be carried out later.
-func (w *World) hold(b *cluster.Batch) {
+func (w *World) hold(b *cluster.WriteBatch) {
 	w.lates++
 	w.txns = append(w.txns, txn{w.token, b.Guards, b.Ops})
 	if w.breach == UnknownCounts {
-		b.Committed(w.rev, w.now())
+		b.OnCommit(w.rev, w.now())
 		return
 	}
-	w.model.Failed(b)
+	w.model.RequeueBatch(b)
 }
 
 // carryOut has the state service come to a transaction: a leader's has the leader
@@ -212,7 +212,7 @@
 // meets notes what a copy meets that arrives now.
 func (w *World) meets(f *flight) {
 	k := w.workers[f.w]
-	if w.takeover == 0 || f.rep.Token >= w.model.Token || k.heardBy == w.token {
+	if w.takeover == 0 || f.rep.Token >= w.model.FencingToken || k.heardBy == w.token {
 		return
 	}
 	w.Met = append(w.Met, "first at the next leader")
--- a/modelcheck/orders.go
+++ b/modelcheck/orders.go
@@ -113,7 +113,7 @@
 			continue
 		}
 		for i := range j.Tasks {
-			p := j.Tasks[i].Place
+			p := j.Tasks[i].Placement
 			if p == nil {
 				continue
 			}
@@ -122,10 +122,10 @@
 			if !held {
 				by = w.model.PlanGuard().Version
 			}
-			if p.Held {
+			if p.StopHeld {
 				w.victims[k] = by
 			}
-			if p.Stop != nil && p.Stop.Why == "preempted" && !w.stopped[k] {
+			if p.Stop != nil && p.Stop.Reason == "preempted" && !w.stopped[k] {
 				w.stopped[k] = true
 				if by != w.store[jobstore.PlanHeadKey].version {
 					w.broke("old order", fmt.Sprintf("%s is stopped by an order that is no longer in force", k.name))
@@ -137,7 +137,7 @@
 
 // compare has the leader compare the plan, if somebody is to be stopped by it.
 func (w *World) compare(answerLost bool) {
-	b := w.model.CompareBatch()
+	b := w.model.PlanCheckBatch()
 	if b == nil {
 		return
 	}
@@ -149,7 +149,7 @@
 	case failed != nil:
 		w.refusedFor(failed)
 	case !answerLost:
-		b.Committed(w.rev, w.now())
+		b.OnCommit(w.rev, w.now())
 		w.seeStops()
 	}
 }
@@ -157,7 +157,7 @@
 // refusedFor has the leader take in that a transaction failed for these keys.
 func (w *World) refusedFor(keys []string) {
 	if slices.Contains(keys, jobstore.PlanHeadKey) {
-		w.model.DropStops()
+		w.model.DropHeldStops()
 		w.hear(w.model)
 		w.seeStops()
 	}
@@ -170,8 +170,8 @@
 			continue
 		}
 		for i := range j.Tasks {
-			if p := j.Tasks[i].Place; p != nil && !p.Inherited {
-				see(taskKey{wire.TaskName(j.ID, i), p.Attempt}, j.Chunks[i/jobstore.ChunkSize].Committed >= j.Chunks[i/jobstore.ChunkSize].PlaceGen)
+			if p := j.Tasks[i].Placement; p != nil && !p.Inherited {
+				see(taskKey{wire.TaskName(j.ID, i), p.Attempt}, j.Chunks[i/jobstore.ChunkSize].CommittedGen >= j.Chunks[i/jobstore.ChunkSize].PlacedGen)
 			}
 		}
 	}
--- a/modelcheck/world.go
+++ b/modelcheck/world.go
@@ -243,10 +243,10 @@
 		at = at.Add(-config.Seconds(2 * leaseS))
 	}
 	m := cluster.New(&cfg, w.token, at, slog.New(slog.DiscardHandler))
-	m.Tuning = config.DefaultTuning().Rebalance
-	m.SetTypes([]wire.MachineType{{Name: "m", CPUs: w.sc.Capacity, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: w.cfg.Cluster.Zones}})
+	m.RebalanceSettings = config.DefaultTuning().Rebalance
+	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: w.sc.Capacity, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: w.cfg.Cluster.Zones}})
 	if w.sc.Plans > 0 {
-		m.PlanWanted()
+		m.ExpectPlan()
 	}
 	w.hear(m)
 	keys := slices.Sorted(maps.Keys(w.store))
@@ -255,7 +255,7 @@
 			m.PutJob(id, w.store[k].v.(jobstore.JobRecord), w.store[k].version, w.now())
 		}
 		if jobstore.IsIntake(k) {
-			m.PutIntake([]cluster.IntakePage{{Key: k, Version: w.store[k].version, Record: w.store[k].v.(jobstore.IntakeRecord)}}, w.now())
+			m.PutAdmissionPages([]cluster.AdmissionPage{{Key: k, Version: w.store[k].version, Record: w.store[k].v.(jobstore.IntakeRecord)}}, w.now())
 		}
 	}
 	for _, k := range keys {
@@ -269,12 +269,12 @@
 				continue
 			}
 			if over, ok := w.store[jobstore.FinalKey(c.Job)]; ok {
-				m.LoadCancelled(c.Job, over.v.(jobstore.JobRecord))
+				m.LoadCancelledJob(c.Job, over.v.(jobstore.JobRecord))
 			}
 		}
-		m.LoadPage(n, rec, w.store[k].version, w.now())
+		m.LoadPlacementPage(n, rec, w.store[k].version, w.now())
 	}
-	m.Loaded(w.now())
+	m.FinishLoading(w.now())
 	w.model, w.seen = m, w.rev
 	w.victims, w.stopped = nil, nil // the leader before's
 	w.refused, w.renewing, w.termFrom = false, false, w.step
@@ -288,7 +288,7 @@
 		if !ok {
 			page = value{jobstore.IntakeRecord{}, w.rev} // removed, at the latest by now
 		}
-		w.model.PutIntake([]cluster.IntakePage{{Key: key, Version: page.version, Record: page.v.(jobstore.IntakeRecord)}}, w.now())
+		w.model.PutAdmissionPages([]cluster.AdmissionPage{{Key: key, Version: page.version, Record: page.v.(jobstore.IntakeRecord)}}, w.now())
 		w.seen = w.rev
 		return
 	}
@@ -345,7 +345,7 @@
 	if w.breach == UncommittedLaunch {
 		w.sendDirects()
 		if b := w.model.NextBatch(12); b != nil {
-			b.Committed(1, now) // no: it only thinks so
+			b.OnCommit(1, now) // no: it only thinks so
 		}
 		return
 	}
@@ -355,7 +355,7 @@
 			break
 		}
 		if w.refused {
-			w.model.Failed(b) // 503: it was not executed
+			w.model.RequeueBatch(b) // 503: it was not executed
 			break
 		}
 		if how == PassLate {
@@ -364,20 +364,20 @@
 		}
 		failed := w.commit(b.Guards, b.Ops)
 		if failed == nil && !answerLost {
-			b.Committed(w.rev, now)
+			b.OnCommit(w.rev, now)
 			w.seeStops()
 			continue
 		}
 		w.refusedFor(failed)
 		for _, key := range failed {
-			if !b.IsJob(key) {
-				w.model.Reread(b, key, w.store[key].version)
+			if !b.IsJobKey(key) {
+				w.model.ResolveConflict(b, key, w.store[key].version)
 			}
 		}
 		if failed != nil {
 			w.learn()
 		}
-		w.model.Failed(b)
+		w.model.RequeueBatch(b)
 		if answerLost {
 			break
 		}
@@ -390,10 +390,10 @@
 
 func (w *World) sendDirects() {
 	now := w.now()
-	for _, d := range append(w.model.DirectStops(now), w.model.Summons(maxDirects, now)...) {
+	for _, d := range append(w.model.StopPushes(now), w.model.WakeUps(maxDirects, now)...) {
 		if w.breach == DirectLaunch {
-			for i := range d.Batch.Commands {
-				c := &d.Batch.Commands[i]
+			for i := range d.Commands.Commands {
+				c := &d.Commands.Commands[i]
 				if id, _, _ := wire.SplitTask(c.Task); c.Op == wire.OpStart {
 					c.Task = wire.TaskName(id, 0)
 				}
@@ -401,7 +401,7 @@
 		}
 		if len(w.directs) < maxDirects {
 			i := slices.IndexFunc(w.workers, func(o *worker) bool { return o.name == d.Machine })
-			w.directs = append(w.directs, direct{i, d.Batch, w.workers[i].launched})
+			w.directs = append(w.directs, direct{i, d.Commands, w.workers[i].launched})
 		}
 	}
 }
@@ -434,7 +434,7 @@
 	if !w.sure() {
 		return // a 503
 	}
-	if r.Token > m.Token {
+	if r.Token > m.FencingToken {
 		return // it resigns
 	}
 	now := w.now()
@@ -443,29 +443,29 @@
 		w.rev++
 	}
 	if w.breach == TokenNotShown || w.breach == CopyShows && copied {
-		r.Token = m.Token
+		r.Token = m.FencingToken
 	}
-	mc := m.Observe(&r, now)
+	mc := m.ApplyHeartbeat(&r, now)
 	if mc == nil {
-		if cmds, ok := m.Repeated(&r, ""); ok {
-			f.token, f.commands = m.Token, cmds
+		if cmds, ok := m.AnswerRetry(&r, ""); ok {
+			f.token, f.commands = m.FencingToken, cmds
 			sortRuns(f.commands)
 			if !copied && w.workers[f.w].out == f {
 				w.Met = append(w.Met, repeated)
-				if r.Token < m.Token {
+				if r.Token < m.FencingToken {
 					w.Met = append(w.Met, repeatedAtNext)
 				}
 			}
 		}
 		return // refused
 	}
-	f.token, f.commands = m.Token, m.Answer(mc, &r, now) // though nobody may wait for the answer any more
+	f.token, f.commands = m.FencingToken, m.AnswerHeartbeat(mc, &r, now) // though nobody may wait for the answer any more
 	if w.breach == UnheardAnswers && len(mc.Tasks) > 0 {
-		mc.LastAnswer = time.Time{}
+		mc.LastAnswered = time.Time{}
 	}
 	sortRuns(f.commands)
 	if w.breach == DirectForget {
-		w.forgetDirectly(f, m.Token)
+		w.forgetDirectly(f, m.FencingToken)
 	}
 	if w.breach == ForgetAtOnce {
 		for _, t := range r.Tasks {
@@ -806,8 +806,8 @@
 // Version and Message make World a cluster.Reference.
 func (w *World) Version(key string) uint64 { return w.store[key].version }
 
-// Message implements cluster.Reference.
-func (w *World) Message(machine string) (session, seq uint64) {
+// LastMessage implements cluster.Reference.
+func (w *World) LastMessage(machine string) (session, seq uint64) {
 	for _, k := range w.workers {
 		if k.name == machine {
 			return k.session, k.seq
