--- a/cluster/ahead_test.go
+++ b/cluster/ahead_test.go
@@ -32,7 +32,7 @@
 			report(reporting, s)
 			l.m.Tick(at(s))
 		}
-		for _, k := range l.m.Schedule(at(to), 0).Rent {
+		for _, k := range l.m.Schedule(at(to), 0).ScaleOut {
 			n += k
 		}
 		return n
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -78,8 +78,8 @@
 	}
 	tiers.Order.Tiers = []priority.Tier{{Name: "first", Classes: []string{"gangs"}}, {Name: "second", Classes: []string{"arrays"}, Share: 0.2, LongestWaitS: 60}}
 	for i := range 3 {
-		held.Pools = append(held.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), GB: 20, Types: []string{m.MachineTypes[0].Name}, Zones: m.Zones,
-			Least: machines / 15, Most: machines / 15, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, PerHour: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
+		held.Pools = append(held.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), WeightsGB: 20, Types: []string{m.MachineTypes[0].Name}, Zones: m.Zones,
+			MinMachines: machines / 15, MaxMachines: machines / 15, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
 	}
 	return map[string]*plan.Plan{"none": nil, "calendar": night, "order": tiers, "pools": held,
 		"all": {Calendar: night.Calendar, Order: tiers.Order, Pools: held.Pools}}
@@ -88,7 +88,7 @@
 // full is a crowded model with a plan, whose machines run what they were given.
 func full(machines, jobs int, name string) *Model {
 	m := crowded(machines, jobs)
-	m.SetPlan(Plan{Plan: planned(m, machines)[name], Number: 1, Head: 1}, at(0))
+	m.SetPlan(Plan{Plan: planned(m, machines)[name], Number: 1, HeadVersion: 1}, at(0))
 	for s := 1.0; s < 36; s++ { // until pools have joined machines
 		run(m, s)
 	}
@@ -104,7 +104,7 @@
 	for b := m.NextBatch(12); b != nil; b = m.NextBatch(12) {
 		b.OnCommit(uint64(s*100), now)
 	}
-	for b := m.NoteBatch(12); b != nil; b = m.NoteBatch(12) {
+	for b := m.PlanRecordBatch(12); b != nil; b = m.PlanRecordBatch(12) {
 		b.OnCommit(uint64(s*100), now)
 	}
 	for _, ref := range m.fresh {
--- a/cluster/bound.go
+++ b/cluster/bound.go
@@ -68,7 +68,7 @@
 // beginning says whether the job's only task must be left alone: it was begun by
 // the bound, and a start that is stopped at once is none.
 func (m *Model) beginning(j *Job, now time.Time) bool {
-	return m.BeginWithin > 0 && j.owed && !j.Gang() && j.PlacedTasks == 1 && (j.FirstRunAt.IsZero() || now.Sub(j.FirstRunAt) < settledFor)
+	return m.StarvationBound > 0 && j.owed && !j.Gang() && j.PlacedTasks == 1 && (j.FirstRunAt.IsZero() || now.Sub(j.FirstRunAt) < settledFor)
 }
 
 // sized takes in how many tasks a job of the class has.
@@ -101,7 +101,7 @@
 // bound marks the waiting jobs that must hold room now in order to begin in
 // time. The verdicts stand for a while; a job that came since waits for the next.
 func (m *Model) bound(out []*ranked, now time.Time) {
-	if m.BeginWithin <= 0 || now.Before(m.boundAt) {
+	if m.StarvationBound <= 0 || now.Before(m.boundAt) {
 		return
 	}
 	m.boundAt = now.Add(boundAgain)
@@ -136,10 +136,10 @@
 	if math.IsInf(fetch, 1) {
 		fetch = 0
 	}
-	must = j.AcceptedAt.Add(m.BeginWithin - config.Seconds(fetch+m.spreadOf(j).delay()))
+	must = j.AcceptedAt.Add(m.StarvationBound - config.Seconds(fetch+m.spreadOf(j).delay()))
 	should = must.Add(-boundGuard)
 	if m.amongLargest(j) {
-		should = should.Add(-time.Duration(largestEarlier * float64(m.BeginWithin)))
+		should = should.Add(-time.Duration(largestEarlier * float64(m.StarvationBound)))
 	}
 	return should, must
 }
@@ -187,7 +187,7 @@
 		slack := v.latest.Sub(now) - v.wait
 		switch {
 		case !j.Gang() && len(j.Tasks) >= manyTasks:
-			j.owed = slack <= time.Duration(arrayEarlier*float64(m.BeginWithin))
+			j.owed = slack <= time.Duration(arrayEarlier*float64(m.StarvationBound))
 		case !v.dropped:
 			least = min(least, slack)
 			j.owed = least <= enough(v.wait)
@@ -196,7 +196,7 @@
 		default:
 			// Served first, it would make others late in its turn: it has twice
 			// the time.
-			j.owed = v.latest.Add(m.BeginWithin).Sub(now)-v.alone <= enough(v.alone)
+			j.owed = v.latest.Add(m.StarvationBound).Sub(now)-v.alone <= enough(v.alone)
 		}
 		j.latest, j.alone, j.hopeless, j.roomless = v.latest, v.alone, v.dropped, v.alone > never
 	}
@@ -298,7 +298,7 @@
 // byBound brings what must begin before the aims of its priority. Of an array
 // that is its first task; the others keep their turn.
 func (m *Model) byBound(out []*ranked, now time.Time) []*ranked {
-	if m.BeginWithin <= 0 {
+	if m.StarvationBound <= 0 {
 		return out
 	}
 	heads := 0
--- a/cluster/bound_test.go
+++ b/cluster/bound_test.go
@@ -35,7 +35,7 @@
 // newShop is a shop with machines of 8 CPUs in zones a and b, in turn.
 func newShop(t *testing.T, machines int, bound time.Duration) *shop {
 	s := &shop{t: t, m: newModel(5), began: map[string]float64{}}
-	s.m.BeginWithin = bound
+	s.m.StarvationBound = bound
 	for i := range machines {
 		r := rep(0, 5)
 		r.Machine, r.Addr, r.Zone = fmt.Sprintf("host-%d", i), fmt.Sprintf("h:%d", i), []string{"a", "b"}[i%2]
@@ -190,7 +190,7 @@
 		s.run(1, 100)
 		old := s.m
 		s.m = newModel(6)
-		s.m.ElectedAt, s.m.BeginWithin, s.m.cfg.Cluster.Objectives = at(100), bound, aims
+		s.m.ElectedAt, s.m.StarvationBound, s.m.cfg.Cluster.Objectives = at(100), bound, aims
 		var page jobstore.PageRecord
 		for _, j := range old.Jobs {
 			if j == nil || j.Finished || j.DoneTasks == len(j.Tasks) {
@@ -242,12 +242,12 @@
 	s.put("wk-000006", 50, 1, nil)
 	s.run(50, 300)
 	got := map[string]string{}
-	sum := s.m.Summary(at(300))
-	for _, u := range sum.Unbegun {
-		got[u.ID] = u.InWay
+	sum := s.m.Snapshot(at(300))
+	for _, u := range sum.Starved {
+		got[u.ID] = u.BlockedBy
 	}
 	want := map[string]string{"wk-000001": inWayZone, "wk-000002": inWayGang, "wk-000005": inWayMachines, "wk-000006": inWayTeam}
-	if !maps.Equal(got, want) || sum.UnbegunN != len(want) {
+	if !maps.Equal(got, want) || sum.StarvedTotal != len(want) {
 		t.Errorf("named: %v", got)
 	}
 }
--- a/cluster/floor.go
+++ b/cluster/floor.go
@@ -30,7 +30,7 @@
 
 // served takes in that a job is done.
 func (m *Model) served(j *Job) {
-	if m.BeginWithin <= 0 {
+	if m.StarvationBound <= 0 {
 		return
 	}
 	for _, g := range m.groups(j) {
@@ -44,7 +44,7 @@
 // which less than half is done, of what came long ago, the oldest that are
 // missing to that.
 func (m *Model) floor(out []*ranked, now time.Time) {
-	long := floorAfter * m.BeginWithin
+	long := floorAfter * m.StarvationBound
 	old := map[string][]*ranked{}
 	for _, k := range out {
 		k.j.floored = false
--- a/cluster/held.go
+++ b/cluster/held.go
@@ -35,7 +35,7 @@
 	p := j.Tasks[ref.Task].Placement
 	switch {
 	case p == nil || p.StopHeld:
-	case !m.planned && m.plan.Head == 0, !p.LaunchSent && !p.Inherited, p.Stop != nil:
+	case !m.planned && m.plan.HeadVersion == 0, !p.LaunchSent && !p.Inherited, p.Stop != nil:
 		m.StopTask(ref, why, now)
 	default:
 		p.StopHeld = true
@@ -80,7 +80,7 @@
 		for _, h := range held {
 			if m.isHeld(h) {
 				h.place.StopHeld = false
-				m.Timings.StopHeld(now.Sub(h.at).Seconds())
+				m.Observer.PreemptionHeld(now.Sub(h.at).Seconds())
 				m.StopTask(h.ref, h.why, now)
 			}
 		}
@@ -100,7 +100,7 @@
 // RebalanceGuards are the conditions of a record of moves besides the leader's: whom
 // moves make room for follows from the order.
 func (m *Model) RebalanceGuards() []wire.Guard {
-	if !m.planned && m.plan.Head == 0 {
+	if !m.planned && m.plan.HeadVersion == 0 {
 		return nil
 	}
 	return []wire.Guard{m.PlanGuard()}
--- a/cluster/mistake_test.go
+++ b/cluster/mistake_test.go
@@ -129,7 +129,7 @@
 	other.Job.Class = "other"
 	m.PutJob("wk-000002", other, 1, at(2))
 	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
-	if d := m.Schedule(at(3), 0); len(d.Rent) == 0 {
+	if d := m.Schedule(at(3), 0); len(d.ScaleOut) == 0 {
 		t.Error("nothing is rented for a job that waits")
 	}
 }
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -25,11 +25,11 @@
 	RebalanceCycles   map[string]*RebalanceCycle
 	RebalanceSettings config.Rebalance
 	Headroom          float64
-	// BeginWithin is how soon after its acceptance a job begins at the latest; 0:
+	// StarvationBound is how soon after its acceptance a job begins at the latest; 0:
 	// there is no such bound.
-	BeginWithin time.Duration
-	PlacesFreed uint64 // counts the places that have become free
-	Timings     Timings
+	StarvationBound time.Duration
+	PlacesFreed     uint64 // counts the places that have become free
+	Observer        Observer
 
 	loaded bool // an earlier leader's records
 
@@ -96,7 +96,7 @@
 		zoneIdx: map[string]int{}, teamIdx: map[string]int{}, typeIdx: map[string]int{},
 		machineIdx: map[string]int32{}, jobIdx: map[string]int32{}, imageIdx: map[string]int32{},
 		refused: map[offerKey]time.Time{}, RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*class{}, done: map[string]int{}, intakes: map[string]*intake{},
-		Timings: untimed{},
+		Observer: noObserver{},
 	}
 	for i, z := range cfg.Cluster.Zones {
 		m.zoneIdx[z] = i
--- a/cluster/nights.go
+++ b/cluster/nights.go
@@ -173,9 +173,9 @@
 	return j.endMs
 }
 
-// EndsAt takes in what time it is, for the ends that the next batch writes. The
+// SetCompletionTime takes in what time it is, for the ends that the next batch writes. The
 // last look is older than an outage or a stop that has just ended.
-func (m *Model) EndsAt(now time.Time) { m.nights.now = now }
+func (m *Model) SetCompletionTime(now time.Time) { m.nights.now = now }
 
 // nightEnded takes in that a job's end is committed.
 func (m *Model) nightEnded(j *Job) {
@@ -430,9 +430,9 @@
 	return n
 }
 
-// UnknownEnds lists jobs of nights that an earlier leader left open and that are
+// UnresolvedWindowJobs lists jobs of nights that an earlier leader left open and that are
 // over since, at most so many: ToldEnd is to be told how they ended.
-func (m *Model) UnknownEnds(most int) []string {
+func (m *Model) UnresolvedWindowJobs(most int) []string {
 	var out []string
 	for _, b := range m.nights.books {
 		out = append(out, b.Unknown()...)
@@ -441,9 +441,9 @@
 	return out[:min(most, len(out))]
 }
 
-// ToldEnd takes in the final record of a job that UnknownEnds named; nil: there is
+// ResolveWindowJob takes in the final record of a job that UnknownEnds named; nil: there is
 // none.
-func (m *Model) ToldEnd(id string, rec *jobstore.JobRecord, now time.Time) {
+func (m *Model) ResolveWindowJob(id string, rec *jobstore.JobRecord, now time.Time) {
 	for _, b := range m.nights.books {
 		if !slices.Contains(b.Unknown(), id) {
 			continue
@@ -465,8 +465,8 @@
 	}
 }
 
-// Nights shows each region's nights, in the order of the calendar.
-func (m *Model) Nights(now time.Time) []calendar.View {
+// BatchWindows shows each region's nights, in the order of the calendar.
+func (m *Model) BatchWindows(now time.Time) []calendar.View {
 	var out []calendar.View
 	for _, b := range m.nights.books {
 		out = append(out, b.region.View(b.Record(now, m.pageBytes()/3), now))
--- a/cluster/nights_test.go
+++ b/cluster/nights_test.go
@@ -29,7 +29,7 @@
 	if err := p.Check(m.Zones, []string{"core"}); err != nil {
 		t.Fatal(err)
 	}
-	m.SetPlan(Plan{Plan: p, Number: int(head), Head: head}, now)
+	m.SetPlan(Plan{Plan: p, Number: int(head), HeadVersion: head}, now)
 }
 
 // nightJob is of a class, accepted so many seconds after midnight.
@@ -63,11 +63,11 @@
 	if !slices.Equal(ids, want) {
 		t.Errorf("in order %v, want %v", ids, want)
 	}
-	if w, ok := m.Why("wk-000001", at(100)); !ok || w.Ahead["a night's work"] != 4 || w.Ahead["priority"] != 1 {
+	if w, ok := m.Explain("wk-000001", at(100)); !ok || w.AheadByReason["a night's work"] != 4 || w.AheadByReason["priority"] != 1 {
 		t.Errorf("it waits for %+v", w)
 	}
 	// Without a calendar, as before.
-	m.SetPlan(Plan{Plan: &plan.Plan{}, Number: 2, Head: 2}, at(100))
+	m.SetPlan(Plan{Plan: &plan.Plan{}, Number: 2, HeadVersion: 2}, at(100))
 	if ids, _ := inOrder(m, 100); ids[1] != "wk-000001" {
 		t.Errorf("without a calendar in order %v", ids)
 	}
@@ -88,7 +88,7 @@
 	m := newModel(token)
 	m.ElectedAt, m.cfg.Cluster.SkewMs = now, 1000
 	for key, raw := range l.notes {
-		m.LoadNote(key, raw, 1)
+		m.LoadPlanRecord(key, raw, 1)
 	}
 	setPlan(l.t, m, 1, text, now)
 	for i := range open {
@@ -101,7 +101,7 @@
 // write commits what the leader wants to be written.
 func (l *leaders) write(now time.Time) {
 	for range 20 {
-		l.m.EndsAt(now)
+		l.m.SetCompletionTime(now)
 		b := l.m.NextBatch(12)
 		if b == nil {
 			break
@@ -117,7 +117,7 @@
 }
 
 func (l *leaders) note(now time.Time) {
-	for b := l.m.NoteBatch(12); b != nil; b = l.m.NoteBatch(12) {
+	for b := l.m.PlanRecordBatch(12); b != nil; b = l.m.PlanRecordBatch(12) {
 		for _, op := range b.Ops {
 			l.notes[op.Put] = op.Value.(wire.Raw)
 		}
@@ -147,11 +147,11 @@
 }
 
 func (l *leaders) tell(now time.Time) {
-	for _, id := range l.m.UnknownEnds(100) {
+	for _, id := range l.m.UnresolvedWindowJobs(100) {
 		if rec, ok := l.over[id]; ok {
-			l.m.ToldEnd(id, &rec, now)
+			l.m.ResolveWindowJob(id, &rec, now)
 		} else {
-			l.m.ToldEnd(id, nil, now)
+			l.m.ResolveWindowJob(id, nil, now)
 		}
 	}
 	l.m.Tick(now)
@@ -245,7 +245,7 @@
 	}
 	has := func(cause string, atRisk bool) {
 		t.Helper()
-		v := l.m.Nights(at(400))[0]
+		v := l.m.BatchWindows(at(400))[0]
 		if len(v.Nights) != 1 {
 			t.Fatalf("%+v", v)
 		}
@@ -256,7 +256,7 @@
 		}
 	}
 	up(8, 20) // 16 places for 100 tasks of ten minutes
-	v := l.m.Nights(at(60))[0].Nights[0]
+	v := l.m.BatchWindows(at(60))[0].Nights[0]
 	if finish := time.UnixMilli(v.Forecast.FinishMs).Sub(t0).Hours(); finish < 1 || finish > 1.5 || v.Forecast.AtRisk {
 		t.Errorf("finished after %v h, %+v", finish, v)
 	}
@@ -264,13 +264,13 @@
 		t.Errorf("latest start after %v h", latest)
 	}
 	up(4, 100)
-	if c := l.m.Nights(at(140))[0].Nights[0].Replans; !strings.Contains(c[len(c)-1].Cause, "machines lost: 4 of 8") {
+	if c := l.m.BatchWindows(at(140))[0].Nights[0].Replans; !strings.Contains(c[len(c)-1].Cause, "machines lost: 4 of 8") {
 		t.Errorf("%+v", c)
 	}
 	more := nightJob("wk-000002", "tiles", 400, 200, 600)
 	l.m.PutJob("wk-000002", more, 1, at(200))
 	up(4, 200)
-	if f := l.m.Nights(at(240))[0].Nights[0]; !strings.Contains(f.Replans[len(f.Replans)-1].Cause, "more came") || !f.Forecast.AtRisk || f.Forecast.Why == "" {
+	if f := l.m.BatchWindows(at(240))[0].Nights[0]; !strings.Contains(f.Replans[len(f.Replans)-1].Cause, "more came") || !f.Forecast.AtRisk || f.Forecast.Why == "" {
 		t.Errorf("%+v", f)
 	}
 	setPlan(t, l.m, 2, strings.Replace(twoRegions, `thu = "08:00"`, `thu = "23:00"`, 1), at(250))
@@ -312,7 +312,7 @@
 	if _, ok := l.notes[jobstore.Notes+calendar.NoteOf("tunis")]; ok || len(l.notes) != 1 {
 		t.Errorf("%d records", len(l.notes))
 	}
-	v := l.m.Nights(at(opens + 600))
+	v := l.m.BatchWindows(at(opens + 600))
 	if v[1].Region != "tunis" || len(v[1].Nights)+len(v[1].Past) > 0 || v[1].NextMs != at(31*3600).UnixMilli() {
 		t.Errorf("%+v", v[1])
 	}
@@ -328,7 +328,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			m.SetPlan(Plan{Plan: p, Number: 1, Head: 1}, at(0))
+			m.SetPlan(Plan{Plan: p, Number: 1, HeadVersion: 1}, at(0))
 			for i := range 2000 {
 				id := fmt.Sprintf("wk-%06d", i)
 				m.PutJob(id, nightJob(id, []string{"tiles", "halls", "day"}[i%3], 20, 0, 300), 1, at(0))
--- a/cluster/plan.go
+++ b/cluster/plan.go
@@ -18,9 +18,9 @@
 type Plan struct {
 	*plan.Plan // nil: there is none
 
-	Number int
-	Head   uint64 // the version of the plan's head: 0 where there is no plan
-	Lost   bool   // there is a plan, and no version of it can be read
+	Number      int
+	HeadVersion uint64 // the version of the plan's head: 0 where there is no plan
+	Unreadable  bool   // there is a plan, and no version of it can be read
 }
 
 // SetPlan takes a version of the plan in. What was placed by another one and is
@@ -28,13 +28,13 @@
 // decided anew. Its transaction, if it is under way, fails for the head's version,
 // or was committed while that version held.
 func (m *Model) SetPlan(p Plan, now time.Time) {
-	if p.Head < m.plan.Head || p.Head == m.plan.Head && p.Number == m.plan.Number && p.Lost == m.plan.Lost {
+	if p.HeadVersion < m.plan.HeadVersion || p.HeadVersion == m.plan.HeadVersion && p.Number == m.plan.Number && p.Unreadable == m.plan.Unreadable {
 		return
 	}
 	m.plan = p
 	m.DropHeldStops()
 	if m.loaded {
-		m.log.Info("plan taken in", "version", p.Number, "lost", p.Lost, "takenBack", m.takeBack(now))
+		m.log.Info("plan taken in", "version", p.Number, "lost", p.Unreadable, "takenBack", m.takeBack(now))
 	}
 	m.planChanged(now)
 }
@@ -69,7 +69,7 @@
 // has not heard of a newer one, or a transaction that comes late, changes nothing
 // by an older. Where there is no plan, the condition is that there is none still.
 func (m *Model) PlanGuard() wire.Guard {
-	return wire.Guard{Key: jobstore.PlanHeadKey, Version: m.plan.Head}
+	return wire.Guard{Key: jobstore.PlanHeadKey, Version: m.plan.HeadVersion}
 }
 
 // notes are what the plan's parts record for the next leader and the operators:
@@ -125,15 +125,15 @@
 	return x != nil && x.gen != x.committed
 }
 
-// LoadNote takes in what an earlier leader recorded. It comes before the plan and
+// LoadPlanRecord takes in what an earlier leader recorded. It comes before the plan and
 // the jobs.
-func (m *Model) LoadNote(key string, value wire.Raw, version uint64) {
+func (m *Model) LoadPlanRecord(key string, value wire.Raw, version uint64) {
 	x := m.notes.at(key[len(jobstore.Notes):])
 	x.raw, x.version = value, version
 }
 
-// NotesPending is how many records wait to be written.
-func (m *Model) NotesPending() int {
+// PendingPlanRecords is how many records wait to be written.
+func (m *Model) PendingPlanRecords() int {
 	n := 0
 	for _, x := range m.notes.byName {
 		if x.gen != x.committed {
@@ -145,9 +145,9 @@
 
 var errNoteSize = errors.New("larger than a value may be")
 
-// NoteBatch collects records of the plan's parts, at most maxOps of them; nil if
+// PlanRecordBatch collects records of the plan's parts, at most maxOps of them; nil if
 // there are none. Its conditions are the plan's version and the records' own.
-func (m *Model) NoteBatch(maxOps int) *WriteBatch {
+func (m *Model) PlanRecordBatch(maxOps int) *WriteBatch {
 	b := &WriteBatch{Guards: []wire.Guard{m.PlanGuard()}, notes: map[string]*noted{}}
 	for _, name := range slices.Clone(m.notes.names) {
 		x := m.notes.byName[name]
--- a/cluster/poolfetch.go
+++ b/cluster/poolfetch.go
@@ -27,7 +27,7 @@
 // that are for nothing any more.
 func (m *Model) fetchesWaiting(p *pool, now time.Time) map[string]bool {
 	out := map[string]bool{}
-	owner, im := fetchOwner(p.Name), m.image(p.note.Image, p.note.GB)
+	owner, im := fetchOwner(p.Name), m.image(p.note.Image, p.note.WeightsGB)
 	for _, idx := range m.live {
 		j := m.Jobs[idx]
 		if j == nil || j.Cancelled || j.Finished || j.DoneTasks > 0 || j.res == nil || j.res.Owner != owner || len(j.res.Only) == 0 {
@@ -52,16 +52,16 @@
 	return out
 }
 
-// Fetch is a job to be recorded: a task that does nothing on a machine of a pool,
+// Prefetch is a job to be recorded: a task that does nothing on a machine of a pool,
 // for which the worker fetches the weights.
-type Fetch struct {
+type Prefetch struct {
 	ID     string
 	Record jobstore.JobRecord
 }
 
-// Fetches lists the fetches that are to begin, at most n of them.
-func (m *Model) Fetches(n int, now time.Time) []Fetch {
-	var out []Fetch
+// NextPrefetches lists the fetches that are to begin, at most n of them.
+func (m *Model) NextPrefetches(n int, now time.Time) []Prefetch {
+	var out []Prefetch
 	for _, p := range m.pools {
 		for len(p.fills) > 0 && len(out) < n {
 			mc := m.Machines[p.fills[0]]
@@ -72,9 +72,9 @@
 			p.asked[mc.Index] = now
 			m.fetchNo++
 			id := fetchID(m.FencingToken, m.fetchNo)
-			out = append(out, Fetch{ID: id, Record: jobstore.JobRecord{
+			out = append(out, Prefetch{ID: id, Record: jobstore.JobRecord{
 				Job: wire.Job{ID: id, Class: "weights", Team: p.Payer, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 1,
-					CPUs: fetchCPUs, Image: p.note.Image, ImageGB: p.note.GB, Spot: true},
+					CPUs: fetchCPUs, Image: p.note.Image, ImageGB: p.note.WeightsGB, Spot: true},
 				AtMs:    now.UnixMilli(),
 				Reserve: &jobstore.Reserve{Owner: fetchOwner(p.Name), Go: []int{0, 0}, Only: []string{mc.Name}},
 			}})
@@ -98,7 +98,7 @@
 		if j.res.Owner == fetchOwner(p.Name) && !now.Before(p.off) {
 			p.offFor = min(max(time.Minute, 2*p.offFor), 32*time.Minute)
 			p.off = now.Add(p.offFor)
-			p.note.Refused = "workers refuse to run " + j.ID + ", which only fetches"
+			p.note.FetchRefused = "workers refuse to run " + j.ID + ", which only fetches"
 			m.log.Warn("workers refuse a pool's fetch", "pool", p.Name, "job", j.ID, "againInS", p.offFor.Seconds())
 		}
 	}
--- a/cluster/pools.go
+++ b/cluster/pools.go
@@ -15,14 +15,14 @@
 // pool is a pool of the plan, with what is known of it.
 type pool struct {
 	warmpool.Pool
-	note    warmpool.Note
-	week    warmpool.Week
+	note    warmpool.Record
+	week    warmpool.WeeklyDemand
 	shards  []*warmpool.Shard
-	changed []bool         // shards to be recorded
-	of      map[int32]int  // the shard of each machine
-	rent    map[string]int // wanted, by zone, until the next step
-	noted   warmpool.Note  // as last recorded
-	fills   []int32        // machines that are to fetch the weights
+	changed []bool          // shards to be recorded
+	of      map[int32]int   // the shard of each machine
+	rent    map[string]int  // wanted, by zone, until the next step
+	noted   warmpool.Record // as last recorded
+	fills   []int32         // machines that are to fetch the weights
 	asked   map[int32]time.Time
 	off     time.Time // no fetches before: workers refuse them
 	offFor  time.Duration
@@ -46,7 +46,7 @@
 // poolsChanged takes the plan's pools in. It may be called before any job or
 // machine is known.
 func (m *Model) poolsChanged(now time.Time) {
-	if m.plan.Lost {
+	if m.plan.Unreadable {
 		return // what was known holds
 	}
 	var settings []warmpool.Pool
@@ -75,7 +75,7 @@
 		}
 		p.note.Payer = s.Payer
 		if !p.Serves(p.note.Image) {
-			p.image(s.Model, s.GB)
+			p.image(s.Model, s.WeightsGB)
 		}
 		m.pools = append(m.pools, p)
 	}
@@ -84,7 +84,7 @@
 		for idx := range p.of {
 			m.leavePool(p, m.Machines[idx], now)
 		}
-		p.note.Aim, p.note.Held, p.note.Warm, p.note.Filling = 0, 0, 0, 0
+		p.note.Target, p.note.Held, p.note.Warm, p.note.Fetching = 0, 0, 0, 0
 		m.recordPool(p, now)
 	}
 	for i, p := range m.pools {
@@ -98,7 +98,7 @@
 // loadPool makes a pool from what earlier leaders recorded.
 func (m *Model) loadPool(s warmpool.Pool, now time.Time) *pool {
 	p := &pool{Pool: s, of: map[int32]int{}, asked: map[int32]time.Time{}}
-	p.note = warmpool.Note{Per: 1, Rank: priorities[wire.PriorityNormal], Image: s.Model, GB: s.GB, Number: 1}
+	p.note = warmpool.Record{ReplicasPerMachine: 1, Priority: priorities[wire.PriorityNormal], Image: s.Model, WeightsGB: s.WeightsGB, ImageVersion: 1}
 	read := func(name string, to any) bool {
 		raw, ok := m.kept(name)
 		if !ok {
@@ -111,9 +111,9 @@
 		return true
 	}
 	note := p.note
-	if read(warmpool.NoteName(s.Name), &note) {
+	if read(warmpool.RecordName(s.Name), &note) {
 		p.note = note
-		p.week.Resume(note.Hour, note.Peak)
+		p.week.Resume(note.CurrentHour, note.CurrentPeak)
 	}
 	for d := range 7 {
 		var day []string
@@ -141,9 +141,9 @@
 // image makes an image the one whose weights the pool holds.
 func (p *pool) image(name string, gb float64) {
 	if p.note.Image != name {
-		p.note.Number++
+		p.note.ImageVersion++
 	}
-	p.note.Image, p.note.GB = name, gb
+	p.note.Image, p.note.WeightsGB = name, gb
 }
 
 func (p *pool) settle(now time.Time) {
@@ -183,9 +183,9 @@
 	if mc.CreationKnown && !mc.worked && mc.Created.Before(now) && now.Sub(mc.IdleSince) < justUp {
 		since = mc.Created
 	}
-	p.shards[n].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), Rate: m.rate(mc)})
+	p.shards[n].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), HourlyRate: m.rate(mc)})
 	p.of[mc.Index], p.changed[n], mc.pool = n, true, i+1
-	m.log.Info("pool takes machine", "pool", p.Name, "machine", mc.Name, "warm", mc.has(m.image(p.note.Image, p.note.GB)), "paidSince", since)
+	m.log.Info("pool takes machine", "pool", p.Name, "machine", mc.Name, "warm", mc.has(m.image(p.note.Image, p.note.WeightsGB)), "paidSince", since)
 }
 
 // leavePool ends a machine's time in its pool.
@@ -205,9 +205,9 @@
 		return 0
 	}
 	if mc.Spot {
-		return warmpool.Micro(m.MachineTypes[mc.Type].SpotPrice)
+		return warmpool.ToMicros(m.MachineTypes[mc.Type].SpotPrice)
 	}
-	return warmpool.Micro(m.MachineTypes[mc.Type].Price)
+	return warmpool.ToMicros(m.MachineTypes[mc.Type].Price)
 }
 
 // recordPool keeps what has changed of a pool, and its accounts now and then.
@@ -220,7 +220,7 @@
 		if p.changed[n] {
 			s.Settle(ms, p.Payer)
 			p.changed[n] = false
-			m.keep(warmpool.ShardName(p.Name, n), s.Copy())
+			m.keep(warmpool.ShardName(p.Name, n), s.Clone())
 		}
 	}
 	last := p.noted
@@ -228,7 +228,7 @@
 	if last != p.note || ms-p.note.AtMs > 5*settleEvery.Milliseconds() {
 		p.note.AtMs = ms
 		p.noted = p.note
-		m.keep(warmpool.NoteName(p.Name), p.note)
+		m.keep(warmpool.RecordName(p.Name), p.note)
 	}
 }
 
--- a/cluster/pools_test.go
+++ b/cluster/pools_test.go
@@ -14,10 +14,10 @@
 	m := crowded(machines, jobs)
 	p := &plan.Plan{}
 	for i := range 3 {
-		p.Pools = append(p.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), GB: 20, Types: []string{m.MachineTypes[0].Name}, Zones: m.Zones,
-			Least: machines / 6, Most: machines / 6, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, PerHour: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
+		p.Pools = append(p.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), WeightsGB: 20, Types: []string{m.MachineTypes[0].Name}, Zones: m.Zones,
+			MinMachines: machines / 6, MaxMachines: machines / 6, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
 	}
-	m.SetPlan(Plan{Plan: p, Number: 1, Head: 1}, at(0))
+	m.SetPlan(Plan{Plan: p, Number: 1, HeadVersion: 1}, at(0))
 	return m
 }
 
--- a/cluster/poolsteps.go
+++ b/cluster/poolsteps.go
@@ -22,13 +22,13 @@
 	wanted := m.replicas()
 	for i, p := range m.pools {
 		m.followImage(p, wanted[i])
-		for _, d := range p.week.Want(wanted[i].open, now) {
-			m.keep(warmpool.DayName(p.Name, d), p.week.Day(d))
+		for _, d := range p.week.Observe(wanted[i].open, now) {
+			m.keep(warmpool.DayName(p.Name, d), p.week.EncodeDay(d))
 		}
-		p.note.Hour, p.note.Peak = p.week.Now()
+		p.note.CurrentHour, p.note.CurrentPeak = p.week.Current()
 		m.bookPool(p, now)
 		p.rent, p.fills = nil, nil
-		if now.Sub(m.ElectedAt) > poolsQuiet && !m.settling(now) && !m.plan.Lost {
+		if now.Sub(m.ElectedAt) > poolsQuiet && !m.settling(now) && !m.plan.Unreadable {
 			m.steer(i, p, now)
 		}
 		m.recordPool(p, now)
@@ -55,7 +55,7 @@
 			continue
 		}
 		for i, p := range m.pools {
-			if !p.Serves(j.Spec.Image) || !p.Lends(j.Spec.Team) {
+			if !p.Serves(j.Spec.Image) || !p.AllowsTeam(j.Spec.Team) {
 				continue
 			}
 			d, n := &out[i], len(j.Tasks)-j.DoneTasks
@@ -104,14 +104,14 @@
 	if d.open == 0 {
 		return
 	}
-	p.note.Rank, p.note.Per, p.note.Class = d.rank, max(d.per, 1), d.class
+	p.note.Priority, p.note.ReplicasPerMachine, p.note.Class = d.rank, max(d.per, 1), d.class
 	best := p.note.Image
 	for im, n := range d.images {
 		if n > d.images[best] || n == d.images[best] && d.newest[im].After(d.newest[best]) {
 			best = im
 		}
 	}
-	if best != p.note.Image || d.gb[best] != p.note.GB {
+	if best != p.note.Image || d.gb[best] != p.note.WeightsGB {
 		m.log.Info("pool's model has another version", "pool", p.Name, "was", p.note.Image, "is", best)
 		p.image(best, d.gb[best])
 	}
@@ -120,7 +120,7 @@
 // bookPool brings a pool's members up to date: those that are gone, what is booked
 // on the others and by whom, and which have the weights.
 func (m *Model) bookPool(p *pool, now time.Time) {
-	im, ms := m.image(p.note.Image, p.note.GB), now.UnixMilli()
+	im, ms := m.image(p.note.Image, p.note.WeightsGB), now.UnixMilli()
 	for _, idx := range sortedKeys(p.of) {
 		mc := m.Machines[idx]
 		n := p.of[idx]
@@ -131,7 +131,7 @@
 			m.leavePool(p, mc, now)
 			continue
 		}
-		if e.Warm == p.note.Number && e.Session == mc.AgentEpoch && mc.AgentEpoch > 0 && mc.learnt < mc.AgentEpoch && !mc.has(im) {
+		if e.WarmVersion == p.note.ImageVersion && e.Session == mc.AgentEpoch && mc.AgentEpoch > 0 && mc.learnt < mc.AgentEpoch && !mc.has(im) {
 			m.addImage(mc, im) // an earlier leader saw it there
 		}
 		mc.learnt = mc.AgentEpoch
@@ -142,23 +142,23 @@
 		}
 		warm := 0
 		if mc.has(im) {
-			warm = p.note.Number
+			warm = p.note.ImageVersion
 		}
-		if mc.AgentEpoch > 0 && (e.Warm != warm || e.Session != mc.AgentEpoch) {
-			e.Warm, e.Session = warm, mc.AgentEpoch
+		if mc.AgentEpoch > 0 && (e.WarmVersion != warm || e.Session != mc.AgentEpoch) {
+			e.WarmVersion, e.Session = warm, mc.AgentEpoch
 			p.changed[n] = true
 		}
 		if mc.Type < 0 || mc.Zone < 0 {
 			continue // what it costs and who books it is as recorded
 		}
-		if p.shards[n].Book(e, m.parts(mc), m.rate(mc), ms, p.Payer) {
+		if p.shards[n].SetShares(e, m.parts(mc), m.rate(mc), ms, p.Payer) {
 			p.changed[n] = true
 		}
 	}
 }
 
 // parts is who books how much of a machine.
-func (m *Model) parts(mc *Machine) []warmpool.Part {
+func (m *Model) parts(mc *Machine) []warmpool.TeamShare {
 	if len(mc.Tasks) == 0 {
 		return nil
 	}
@@ -169,7 +169,7 @@
 		}
 	}
 	c := m.MachineTypes[mc.Type].Capacity
-	var out []warmpool.Part
+	var out []warmpool.TeamShare
 	for t, u := range used {
 		share := 0.0
 		for _, r := range [][2]float64{{u.CPU, c.CPU}, {u.GPU, c.GPU}, {u.Mem, c.Mem}} {
@@ -178,15 +178,15 @@
 			}
 		}
 		if s := int(math.Round(min(share, 1) * 1000)); s > 0 {
-			out = append(out, warmpool.Part{Team: m.cfg.Cluster.Teams[t].Name, Share: s})
+			out = append(out, warmpool.TeamShare{Team: m.cfg.Cluster.Teams[t].Name, PerMille: s})
 		}
 	}
 	return out
 }
 
 // seenBy is a machine as its pool, or one that may take it, sees it.
-func (m *Model) seenBy(p *pool, mc *Machine, im int32, now time.Time) warmpool.Seen {
-	s := warmpool.Seen{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.has(im), Used: len(mc.Tasks) > 0 || mc.orphans != (placement.Res{})}
+func (m *Model) seenBy(p *pool, mc *Machine, im int32, now time.Time) warmpool.Observation {
+	s := warmpool.Observation{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.has(im), Busy: len(mc.Tasks) > 0 || mc.orphans != (placement.Res{})}
 	// A machine that has been silent for a moment is not replaced yet: reports of
 	// a whole fleet pause when a leader does.
 	s.Ready = mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() &&
@@ -197,9 +197,9 @@
 		j := m.Jobs[ref.Job]
 		place := j.Tasks[ref.Task].Placement
 		if j.Image == im && place.ReportedState < seenWaiting {
-			s.Filling = true
+			s.Fetching = true
 		}
-		s.Serving = s.Serving && j.Image == im && p.Lends(j.Spec.Team)
+		s.Serving = s.Serving && j.Image == im && p.AllowsTeam(j.Spec.Team)
 	}
 	return s
 }
@@ -221,7 +221,7 @@
 }
 
 // freeFor lists the machines that a pool may take.
-func (m *Model) freeFor(p *pool, im int32, types, zones []bool, now time.Time) (free []warmpool.Seen) {
+func (m *Model) freeFor(p *pool, im int32, types, zones []bool, now time.Time) (free []warmpool.Observation) {
 	for _, mc := range m.Machines {
 		if mc.Gone || mc.Type < 0 || mc.Zone < 0 {
 			continue
@@ -230,7 +230,7 @@
 			continue
 		}
 		s := m.seenBy(p, mc, im, now)
-		if !s.Used && now.Sub(mc.IdleSince) < idleToJoin || s.Ready && !m.ready(mc, now) {
+		if !s.Busy && now.Sub(mc.IdleSince) < idleToJoin || s.Ready && !m.ready(mc, now) {
 			s.Ready, s.Booting = false, true // soon, perhaps
 		}
 		free = append(free, s)
@@ -240,7 +240,7 @@
 
 // steer takes machines in and lets others go, and says which fetch the weights.
 func (m *Model) steer(i int, p *pool, now time.Time) {
-	im := m.image(p.note.Image, p.note.GB)
+	im := m.image(p.note.Image, p.note.WeightsGB)
 	types := make([]bool, len(m.MachineTypes))
 	price, boot, fetch := 0.0, time.Duration(0), math.Inf(1)
 	for k := range m.MachineTypes {
@@ -262,17 +262,17 @@
 	for z, name := range m.Zones {
 		zones[z] = slices.Contains(p.Zones, name)
 	}
-	lead := p.Lead(p.Coming(&p.week, now, p.note.Per), boot, fetch)
-	p.note.Aim = p.Aim(&p.week, now, lead, p.note.Per, price)
-	p.note.Limited = p.note.Aim == p.Affords(price) && p.note.Aim < p.Most
+	lead := p.LeadTime(p.PeakMachines(&p.week, now, p.note.ReplicasPerMachine), boot, fetch)
+	p.note.Target = p.TargetSize(&p.week, now, lead, p.note.ReplicasPerMachine, price)
+	p.note.CostLimited = p.note.Target == p.Affordable(price) && p.note.Target < p.MaxMachines
 	waiting := m.fetchesWaiting(p, now)
-	var own, free []warmpool.Seen
+	var own, free []warmpool.Observation
 	for _, mc := range m.Machines {
 		if mc.Gone || mc.Type < 0 || mc.Zone < 0 {
 			continue
 		}
 		if e := p.member(mc); e != nil {
-			if m.stuck(mc, im, p.note.GB, now) {
+			if m.stuck(mc, im, p.note.WeightsGB, now) {
 				m.log.Warn("a machine does not come by its weights", "pool", p.Name, "machine", mc.Name)
 				m.leavePool(p, mc, now)
 				mc.unfit = now.Add(unfitFor)
@@ -280,28 +280,28 @@
 			}
 			s := m.seenBy(p, mc, im, now)
 			s.Leaving = e.Leaving
-			s.Filling = !s.Warm && (s.Filling || waiting[mc.Name] || now.Sub(p.asked[mc.Index]) < fetchAsked)
+			s.Fetching = !s.Warm && (s.Fetching || waiting[mc.Name] || now.Sub(p.asked[mc.Index]) < fetchAsked)
 			own = append(own, s)
 		}
 	}
-	if warmpool.Held(own) < p.note.Aim {
+	if warmpool.CountHeld(own) < p.note.Target {
 		free = m.freeFor(p, im, types, zones, now)
 	}
-	c := p.Choose(own, free, p.note.Aim, p.Affords(price))
+	c := p.PlanScaling(own, free, p.note.Target, p.Affordable(price))
 	for _, name := range c.Join {
 		m.joinPool(i, m.Machines[m.machineIdx[name]], now)
 	}
-	for _, name := range c.Stay {
+	for _, name := range c.Retain {
 		m.setLeaving(p, name, false)
 	}
 	for _, name := range c.Release {
 		m.setLeaving(p, name, true)
 	}
-	for _, name := range c.Drop {
+	for _, name := range c.Evict {
 		m.leavePool(p, m.Machines[m.machineIdx[name]], now)
 	}
-	p.rent = c.Rent
-	p.note.Held, p.note.Warm, p.note.Filling = 0, 0, 0
+	p.rent = c.ScaleOut
+	p.note.Held, p.note.Warm, p.note.Fetching = 0, 0, 0
 	for k := range own {
 		if e := p.member(m.Machines[m.machineIdx[own[k].Machine]]); e == nil || e.Leaving {
 			continue
@@ -309,16 +309,16 @@
 		p.note.Held++
 		if own[k].Warm {
 			p.note.Warm++
-		} else if own[k].Filling {
-			p.note.Filling++
+		} else if own[k].Fetching {
+			p.note.Fetching++
 		}
 	}
 	p.note.Held += len(c.Join)
 	if now.Before(p.off) {
 		return
 	}
-	p.note.Refused = ""
-	for _, name := range p.Fill(own) {
+	p.note.FetchRefused = ""
+	for _, name := range p.NextFetches(own) {
 		idx := m.machineIdx[name]
 		if e := p.member(m.Machines[idx]); e != nil && !e.Leaving {
 			p.fills = append(p.fills, idx)
--- a/cluster/poolview.go
+++ b/cluster/poolview.go
@@ -12,7 +12,7 @@
 
 // keptByPool says whether a machine is not to be returned though it is idle, and
 // letGo whether it is to be returned at once: no longer wanted, as is recorded.
-func (m *Model) keptByPool(mc *Machine) bool { return m.plan.Lost || m.poolOf(mc) != nil }
+func (m *Model) keptByPool(mc *Machine) bool { return m.plan.Unreadable || m.poolOf(mc) != nil }
 
 func (m *Model) letGo(mc *Machine) bool {
 	p := m.poolOf(mc)
@@ -34,8 +34,8 @@
 		return
 	}
 	v.Pool = mc.pool
-	im := m.image(p.note.Image, p.note.GB)
-	v.PoolGB = m.MachineTypes[mc.Type].CacheGB - p.note.GB
+	im := m.image(p.note.Image, p.note.WeightsGB)
+	v.PoolGB = m.MachineTypes[mc.Type].CacheGB - p.note.WeightsGB
 	for k := len(mc.images) - 1; k >= 0 && mc.images[k] != im; k-- {
 		v.PoolGB -= m.imageSize[mc.images[k]]
 	}
@@ -53,8 +53,8 @@
 		return nil
 	}
 	out := make([]placement.Use, len(m.pools))
-	w := warmpool.Work{Image: j.Spec.Image, Team: j.Spec.Team, Rank: j.Priority, Gang: j.Gang() && len(j.Tasks) > 1,
-		Tier: j.tier, SavesS: j.Spec.SaveS, CanSave: j.Spec.CheckpointS > 0}
+	w := warmpool.Workload{Image: j.Spec.Image, Team: j.Spec.Team, Priority: j.Priority, Gang: j.Gang() && len(j.Tasks) > 1,
+		Tier: j.tier, CheckpointSeconds: j.Spec.SaveS, Checkpoints: j.Spec.CheckpointS > 0}
 	for i, p := range m.pools {
 		if m.fetches(j) {
 			if j.res.Owner == fetchOwner(p.Name) {
@@ -62,8 +62,8 @@
 			}
 			continue
 		}
-		w.ModelOf, w.ModelIn = p.note.Rank, m.tiers.order.Tier(p.Payer, p.note.Class)
-		out[i] = p.May(&w)
+		w.ModelPriority, w.ModelTier = p.note.Priority, m.tiers.order.TierOf(p.Payer, p.note.Class)
+		out[i] = p.Access(&w)
 	}
 	return out
 }
@@ -76,11 +76,11 @@
 	}
 	on := m.poolOf(mc)
 	for i, p := range m.pools {
-		if !p.Serves(j.Spec.Image) || !p.Lends(j.Spec.Team) {
+		if !p.Serves(j.Spec.Image) || !p.AllowsTeam(j.Spec.Team) {
 			if p == on && m.poolUses(j)[i] == placement.Last {
 				n := p.of[mc.Index]
-				p.shards[n].Ceded++
-				p.shards[n].Why = fmt.Sprintf("%s/%d of %s, tier %q, %s, took room on %s", j.ID, task, j.Spec.Team, m.tiers.order.Name(j.tier), j.Spec.Priority, mc.Name)
+				p.shards[n].Preemptions++
+				p.shards[n].LastPreemption = fmt.Sprintf("%s/%d of %s, tier %q, %s, took room on %s", j.ID, task, j.Spec.Team, m.tiers.order.TierName(j.tier), j.Spec.Priority, mc.Name)
 				p.changed[n] = true
 				m.log.Info("pool cedes room", "pool", p.Name, "machine", mc.Name, "job", j.ID, "task", task, "team", j.Spec.Team, "priority", j.Spec.Priority)
 			}
@@ -96,29 +96,29 @@
 	}
 }
 
-// PoolSummary is a pool in numbers.
-type PoolSummary struct {
-	Name    string
-	Aim     int // machines
-	Held    int
-	Warm    int // of those
-	Filling int
-	Hits    int64 // replicas that were placed where their weights were
-	Misses  int64
-	Ceded   int64 // tasks of higher tiers that took room
-	Limited bool  // by what it may cost
-	Refused string
-	Teams   map[string]warmpool.Charge // what each owes, as recorded last
+// PoolSnapshot is a pool in numbers.
+type PoolSnapshot struct {
+	Name         string
+	Target       int // machines
+	Held         int
+	Warm         int // of those
+	Fetching     int
+	Hits         int64 // replicas that were placed where their weights were
+	Misses       int64
+	Preemptions  int64 // tasks of higher tiers that took room
+	CostLimited  bool  // by what it may cost
+	FetchRefused string
+	Teams        map[string]warmpool.Charge // what each owes, as recorded last
 }
 
-func (m *Model) poolSummaries() []PoolSummary {
-	var out []PoolSummary
+func (m *Model) poolSummaries() []PoolSnapshot {
+	var out []PoolSnapshot
 	for _, p := range m.pools {
-		s := PoolSummary{Name: p.Name, Aim: p.note.Aim, Held: p.note.Held, Warm: p.note.Warm, Filling: p.note.Filling,
-			Limited: p.note.Limited, Refused: p.note.Refused}
+		s := PoolSnapshot{Name: p.Name, Target: p.note.Target, Held: p.note.Held, Warm: p.note.Warm, Fetching: p.note.Fetching,
+			CostLimited: p.note.CostLimited, FetchRefused: p.note.FetchRefused}
 		var shards []warmpool.Shard
 		for _, sh := range p.shards {
-			s.Hits, s.Misses, s.Ceded = s.Hits+sh.Hits, s.Misses+sh.Misses, s.Ceded+sh.Ceded
+			s.Hits, s.Misses, s.Preemptions = s.Hits+sh.Hits, s.Misses+sh.Misses, s.Preemptions+sh.Preemptions
 			shards = append(shards, *sh)
 		}
 		s.Teams, _ = warmpool.Totals(shards)
--- a/cluster/report.go
+++ b/cluster/report.go
@@ -152,7 +152,7 @@
 		if p.ReportedState != seenRunning {
 			p.ReportedState, p.RunningSince = seenRunning, now
 			if !p.LaunchSentAt.IsZero() {
-				m.Timings.Running(now.Sub(p.LaunchSentAt).Seconds())
+				m.Observer.Running(now.Sub(p.LaunchSentAt).Seconds())
 			}
 			if !p.Inherited && !j.record.atFault() {
 				m.spreadOf(j).began(now.Sub(p.PlacedAt).Seconds())
@@ -370,7 +370,7 @@
 // AnswerHeartbeat makes the commands that answer a report just observed. Launches are
 // noted as sent with it.
 func (m *Model) AnswerHeartbeat(mc *Machine, r *wire.Report, now time.Time) []wire.Command {
-	m.Timings.LeaseLeft(m.leaseOver(mc).Sub(now).Seconds())
+	m.Observer.LeaseLeft(m.leaseOver(mc).Sub(now).Seconds())
 	mc.LastAnswered, mc.hearing.told, mc.hearing.at = now, true, r.Seq
 	// Stops come first: an answer renews the worker's lease, so that a task which it
 	// should have stopped and did not may stay for another lease.
@@ -407,7 +407,7 @@
 		if p.Stop == nil && !p.LaunchSent && !p.Inherited && launchable(j, ref.Task) && mc.InterruptionAt.IsZero() && !mc.deaf() {
 			name := wire.TaskName(j.ID, int(ref.Task))
 			p.LaunchSent, p.LaunchSentAt, p.LaunchEpoch, p.LaunchSeq = true, now, r.Session, r.Seq
-			m.Timings.Launched(now.Sub(p.PlacedAt).Seconds())
+			m.Observer.Launched(now.Sub(p.PlacedAt).Seconds())
 			out = append(out, wire.Command{Op: wire.OpStart, Task: name, Attempt: p.Attempt})
 			m.log.Debug("launch", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
 		}
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -13,14 +13,14 @@
 
 // Decisions is what a pass decided; starts and stops are in the model already.
 type Decisions struct {
-	Started int
-	Rent    map[Offer]int
-	Wanted  []placement.Request // requests that fit nowhere for want of room
+	Started  int
+	ScaleOut map[Offer]int
+	Unplaced []placement.Request // requests that fit nowhere for want of room
 }
 
 // Schedule places what waits, stops what must make room and says what to rent.
 func (m *Model) Schedule(now time.Time, renting int) Decisions {
-	if now.Before(m.quiet) || m.plan.Lost {
+	if now.Before(m.quiet) || m.plan.Unreadable {
 		return Decisions{}
 	}
 	jobs := m.openJobs()
@@ -79,14 +79,14 @@
 	m.departures(&plan, &in, job, now)
 
 	d := m.carryOut(plan, in.Requests, job, back, offers, now)
-	m.poolRent(d.Rent, offers, in.RentMax)
+	m.poolRent(d.ScaleOut, offers, in.RentMax)
 	return d
 }
 
 // carryOut takes a plan into the model. job is whose each request is, nil for
 // room that is kept; back leads from the planner's machines to the model's.
 func (m *Model) carryOut(plan placement.Plan, reqs []placement.Request, job []*Job, back []int32, offers []Offer, now time.Time) Decisions {
-	d := Decisions{Rent: map[Offer]int{}}
+	d := Decisions{ScaleOut: map[Offer]int{}}
 	attempts := map[int32]uint64{}
 	for _, s := range plan.Starts {
 		j := job[s.Request]
@@ -108,18 +108,18 @@
 		c.PlacedGen = c.Generation
 		j.Tasks[s.Task].Placement.gen = c.Generation
 		d.Started++
-		m.Timings.Placed(now.Sub(j.AcceptedAt).Seconds())
+		m.Observer.Placed(now.Sub(j.AcceptedAt).Seconds())
 		m.log.Debug("placed", "job", j.ID, "task", s.Task, "attempt", a, "machine", mc.Name, "waited", now.Sub(j.AcceptedAt).Seconds())
 	}
 	for _, ref := range plan.Stops {
 		m.stopByPlan(ref, "preempted", now)
 	}
 	for i, n := range plan.Rent {
-		d.Rent[offers[i]] += n
+		d.ScaleOut[offers[i]] += n
 	}
 	for _, i := range plan.Waiting {
 		if job[i] != nil {
-			d.Wanted = append(d.Wanted, reqs[i])
+			d.Unplaced = append(d.Unplaced, reqs[i])
 		}
 	}
 	used := map[int]bool{}
@@ -138,8 +138,8 @@
 	return d
 }
 
-// LogRoom says how the machines of each type are booked and what waits.
-func (m *Model) LogRoom(wanted []placement.Request, now time.Time) {
+// LogUtilization says how the machines of each type are booked and what waits.
+func (m *Model) LogUtilization(wanted []placement.Request, now time.Time) {
 	if !m.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
 	}
--- a/cluster/summary.go
+++ b/cluster/summary.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// Summary is the model in numbers, for those who watch it.
-type Summary struct {
-	Machines  map[string]int // by state
-	Tasks     map[string]int // by state
-	Jobs      int            // that are not over
-	Late      int            // of those, past their deadline
-	Longest   map[string]float64
-	Unbegun   []Unbegun // can't begin within the bound: those that wait for longest, and how
-	UnbegunN  int       // many there are
-	LeaseLeft float64   // seconds, of the machine whose lease is nearest its end
+// Snapshot is the model in numbers, for those who watch it.
+type Snapshot struct {
+	Machines     map[string]int // by state
+	Tasks        map[string]int // by state
+	Jobs         int            // that are not over
+	PastDeadline int            // of those, past their deadline
+	LongestWait  map[string]float64
+	Starved      []StarvedJob // can't begin within the bound: those that wait for longest, and how
+	StarvedTotal int          // many there are
+	LeaseLeft    float64      // seconds, of the machine whose lease is nearest its end
 
-	Departures map[string]uint64 // from the order, by whose cost and why, of all leaders' time
-	Pools      []PoolSummary
+	PriorityInversions map[string]uint64 // from the order, by whose cost and why, of all leaders' time
+	Pools              []PoolSnapshot
 }
 
-// Summary counts what is there; its cost grows with machines and open tasks.
-func (m *Model) Summary(now time.Time) Summary {
-	s := Summary{Pools: m.poolSummaries(), Machines: map[string]int{}, Tasks: map[string]int{}, Longest: map[string]float64{}, Departures: maps.Clone(m.tiers.record.Counts)}
+// Snapshot counts what is there; its cost grows with machines and open tasks.
+func (m *Model) Snapshot(now time.Time) Snapshot {
+	s := Snapshot{Pools: m.poolSummaries(), Machines: map[string]int{}, Tasks: map[string]int{}, LongestWait: map[string]float64{}, PriorityInversions: maps.Clone(m.tiers.record.Counts)}
 	least := -1.0
 	for _, mc := range m.Machines {
 		switch {
@@ -48,7 +48,7 @@
 		}
 	}
 	s.LeaseLeft = max(least, 0)
-	s.Unbegun, s.UnbegunN = m.unbegun(now)
+	s.Starved, s.StarvedTotal = m.unbegun(now)
 	for _, j := range m.Jobs {
 		if j == nil || j.Finished {
 			continue
@@ -56,7 +56,7 @@
 		if !j.Cancelled {
 			s.Jobs++
 			if d := j.Spec.DeadlineS; d != nil && now.Sub(j.AcceptedAt).Seconds() > *d {
-				s.Late++
+				s.PastDeadline++
 			}
 		}
 		for i := range j.Tasks {
@@ -66,8 +66,8 @@
 			case p == nil && j.Cancelled:
 			case p == nil:
 				s.Tasks["waiting"]++
-				if wait := now.Sub(j.AcceptedAt).Seconds(); wait > s.Longest[j.Spec.Class] {
-					s.Longest[j.Spec.Class] = wait
+				if wait := now.Sub(j.AcceptedAt).Seconds(); wait > s.LongestWait[j.Spec.Class] {
+					s.LongestWait[j.Spec.Class] = wait
 				}
 			case p.Stop != nil:
 				s.Tasks["stopping"]++
@@ -83,23 +83,23 @@
 	return s
 }
 
-// Timings takes in how long the steps of tasks take, in seconds, and what departs
+// Observer takes in how long the steps of tasks take, in seconds, and what departs
 // from the order.
-type Timings interface {
-	Placed(seconds float64)    // since the job was accepted
-	Launched(seconds float64)  // since the placement
-	Running(seconds float64)   // since the launch
-	LeaseLeft(seconds float64) // of the machine that is answered
-	Departed(tier, why string) // from the order, at that tier's cost
-	StopHeld(seconds float64)  // until the plan was compared
+type Observer interface {
+	Placed(seconds float64)             // since the job was accepted
+	Launched(seconds float64)           // since the placement
+	Running(seconds float64)            // since the launch
+	LeaseLeft(seconds float64)          // of the machine that is answered
+	PriorityInversion(tier, why string) // from the order, at that tier's cost
+	PreemptionHeld(seconds float64)     // until the plan was compared
 }
 
-// untimed is what a model has that nobody watches.
-type untimed struct{}
+// noObserver is what a model has that nobody watches.
+type noObserver struct{}
 
-func (untimed) Placed(float64)       {}
-func (untimed) Launched(float64)     {}
-func (untimed) Running(float64)      {}
-func (untimed) LeaseLeft(float64)    {}
-func (untimed) Departed(_, _ string) {}
-func (untimed) StopHeld(float64)     {}
+func (noObserver) Placed(float64)                {}
+func (noObserver) Launched(float64)              {}
+func (noObserver) Running(float64)               {}
+func (noObserver) LeaseLeft(float64)             {}
+func (noObserver) PriorityInversion(_, _ string) {}
+func (noObserver) PreemptionHeld(float64)        {}
--- a/cluster/tiers.go
+++ b/cluster/tiers.go
@@ -17,8 +17,8 @@
 
 // tiers is the order in force, and what came of it.
 type tiers struct {
-	order   *priority.Order // nil: none
-	record  priority.Record
+	order   *priority.Policy // nil: none
+	record  priority.InversionLog
 	loaded  bool      // what an earlier leader recorded
 	changed bool      // since the record was last handed out
 	keptAt  time.Time // when that was
@@ -37,7 +37,7 @@
 	if !m.tiers.loaded {
 		m.tiers.loaded = true
 		if raw, ok := m.kept(orderNote); ok {
-			var rec priority.Record
+			var rec priority.InversionLog
 			if err := wire.Unmarshal(raw, &rec); err != nil {
 				m.log.Error("the record of departures can't be read: they are counted anew", "err", err)
 			} else {
@@ -60,12 +60,12 @@
 	}
 	fleet := m.fleetNow(now)
 	t.changed, t.keptAt = false, now
-	t.record.Plan, t.record.Fleet = m.plan.Number, [3]float64{fleet.CPU, fleet.GPU, fleet.Mem}
+	t.record.PlanVersion, t.record.Capacity = m.plan.Number, [3]float64{fleet.CPU, fleet.GPU, fleet.Mem}
 	m.keep(orderNote, t.record.Clone())
 }
 
 // setOrder takes an order in; nil is none.
-func (m *Model) setOrder(o *priority.Order) {
+func (m *Model) setOrder(o *priority.Policy) {
 	m.tiers.order = o
 	for _, idx := range m.live {
 		if j := m.Jobs[idx]; j != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-func (m *Model) setTier(j *Job) { j.tier = m.tiers.order.Tier(j.Spec.Team, j.Spec.Class) }
+func (m *Model) setTier(j *Job) { j.tier = m.tiers.order.TierOf(j.Spec.Team, j.Spec.Class) }
 
 // fleetNow is the capacity of the machines that can be given tasks.
 func (m *Model) fleetNow(now time.Time) (cap placement.Res) {
@@ -86,7 +86,7 @@
 			cap = cap.Add(m.MachineTypes[mc.Type].Capacity, 1)
 		}
 	}
-	if f := m.tiers.record.Fleet; cap == (placement.Res{}) {
+	if f := m.tiers.record.Capacity; cap == (placement.Res{}) {
 		// None has reported yet, or this model leads nothing and is only asked.
 		cap = placement.Res{CPU: f[0], GPU: f[1], Mem: f[2]}
 	}
@@ -107,7 +107,7 @@
 
 // booked is what each tier has of the fleet.
 func (m *Model) booked(fleet placement.Res) []float64 {
-	use := make([]placement.Res, m.tiers.order.Tiers())
+	use := make([]placement.Res, m.tiers.order.NumTiers())
 	for _, idx := range m.live {
 		if j := m.Jobs[idx]; j != nil && j.PlacedTasks > 0 {
 			t := j.tier
@@ -135,10 +135,10 @@
 	if fleet == (placement.Res{}) {
 		return line
 	}
-	waiting := make([]priority.Waiting, len(line))
+	waiting := make([]priority.PendingJob, len(line))
 	for i, k := range line {
-		waiting[i] = priority.Waiting{Tier: k.req.Tier, Tasks: len(k.req.Tasks), Whole: k.req.All, Size: partOf(k.req.Need, fleet),
-			Waited: now.Sub(k.j.AcceptedAt).Seconds(), Placed: k.j.PlacedTasks, Begun: k.j.DoneTasks > 0 || !k.j.FirstRunAt.IsZero()}
+		waiting[i] = priority.PendingJob{Tier: k.req.Tier, Tasks: len(k.req.Tasks), Gang: k.req.All, TaskShare: partOf(k.req.Need, fleet),
+			WaitedSeconds: now.Sub(k.j.AcceptedAt).Seconds(), Placed: k.j.PlacedTasks, Started: k.j.DoneTasks > 0 || !k.j.FirstRunAt.IsZero()}
 	}
 	ahead := o.Promote(waiting, m.booked(fleet))
 	out := make([]*ranked, 0, len(line))
@@ -161,8 +161,8 @@
 			}
 			head, tail := k.cut(a.Tasks)
 			head.req.Cause = uint8(a.Cause)
-			head.req.Hold = head.req.Hold || a.Cause != priority.ByShare
-			if a.Cause == priority.ByTurn {
+			head.req.Hold = head.req.Hold || a.Cause != priority.PromotedByShare
+			if a.Cause == priority.PromotedInTier {
 				rest = append(rest, head)
 			} else {
 				first = append(first, head)
@@ -172,7 +172,7 @@
 			}
 		}
 		sort.SliceStable(first, func(a, b int) bool { return first[a].req.Tier < first[b].req.Tier })
-		turn := uint8(priority.ByTurn)
+		turn := uint8(priority.PromotedInTier)
 		sort.SliceStable(rest, func(a, b int) bool {
 			x, y := &rest[a].req, &rest[b].req
 			return x.Tier < y.Tier || x.Tier == y.Tier && x.Cause == turn && y.Cause != turn
@@ -190,16 +190,16 @@
 func (m *Model) besideOwed(out, promoted []*ranked) []*ranked {
 	var first []*ranked
 	for _, k := range promoted {
-		if priority.Cause(k.req.Cause) != priority.ByWait {
+		if priority.PromotionCause(k.req.Cause) != priority.PromotedByWait {
 			first = append(first, k)
 			continue
 		}
-		over := k.j.AcceptedAt.Add(config.Seconds(m.tiers.order.LongestWait(k.req.Tier)))
+		over := k.j.AcceptedAt.Add(config.Seconds(m.tiers.order.MaxWaitSeconds(k.req.Tier)))
 		at := len(out)
 		for at > 0 {
 			o := out[at-1]
 			if !o.req.Owed || o.within != k.within || o.j.Priority != k.j.Priority || o.j.floored ||
-				!o.j.hopeless && !o.j.latest.After(over) || priority.Cause(o.req.Cause) == priority.ByWait {
+				!o.j.hopeless && !o.j.latest.After(over) || priority.PromotionCause(o.req.Cause) == priority.PromotedByWait {
 				break
 			}
 			at--
@@ -270,12 +270,12 @@
 	if o == nil {
 		return
 	}
-	for _, d := range priority.Departures(in.Requests, m.teams, plan.Starts, in.Machines) {
-		low, high := job[d.Start.Request], job[d.Over]
+	for _, d := range priority.FindInversions(in.Requests, m.teams, plan.Starts, in.Machines) {
+		low, high := job[d.Start.Request], job[d.PassedOver]
 		m.tiers.changed = true
-		m.Timings.Departed(o.Name(high.tier), d.Reason.String())
-		m.tiers.record.Note(priority.Passed{AtMs: now.UnixMilli(), Job: low.ID, Tier: o.Name(low.tier), Over: high.ID, OverTier: o.Name(high.tier), Reason: d.Reason.String()})
-		if d.Reason == priority.None {
+		m.Observer.PriorityInversion(o.TierName(high.tier), d.Reason.String())
+		m.tiers.record.Add(priority.InversionEvent{AtMs: now.UnixMilli(), Job: low.ID, Tier: o.TierName(low.tier), PassedOver: high.ID, PassedOverTier: o.TierName(high.tier), Reason: d.Reason.String()})
+		if d.Reason == priority.Unexplained {
 			m.log.Error("a lower tier was served first without a reason", "job", low.ID, "over", high.ID, "need", high.Need, "room", d.Start.Room)
 			continue
 		}
--- a/cluster/tiers_test.go
+++ b/cluster/tiers_test.go
@@ -16,7 +16,7 @@
 )
 
 // clinicFirst is clinics before schools before crafts before the rest.
-func clinicFirst() *priority.Order {
+func clinicFirst() *priority.Policy {
 	return priority.New(&priority.Settings{Tiers: []priority.Tier{
 		{Name: "clinic", Classes: []string{"slicing"}}, {Name: "school", Classes: []string{"lesson"}, Share: 0.1, LongestWaitS: 100},
 		{Name: "craft", Classes: []string{"print"}, LongestWaitS: 150},
@@ -41,7 +41,7 @@
 	until float64
 }
 
-func newFleetPlay(machines int, o *priority.Order) *fleetPlay {
+func newFleetPlay(machines int, o *priority.Policy) *fleetPlay {
 	p := &fleetPlay{m: newModel(5), rev: 100, took: map[string]float64{}, began: map[string]float64{}, came: map[string]float64{}}
 	p.m.setOrder(o)
 	for range machines {
@@ -146,7 +146,7 @@
 	one := priority.New(&priority.Settings{Tiers: []priority.Tier{{Name: "all", Classes: []string{"slicing", "lesson", "print"}}}})
 	for seed := range uint64(3) {
 		var logs [3][]string
-		for i, o := range []*priority.Order{nil, one, one} {
+		for i, o := range []*priority.Policy{nil, one, one} {
 			p := newFleetPlay(6, o)
 			if i == 2 {
 				p.m.ExpectPlan()
@@ -171,8 +171,8 @@
 		p.m.teams[0].Max = placement.Res{CPU: 25}
 		p.day(rapid.Uint64().Draw(t, "day"), 120, func(r *rand.Rand) string { return []string{"slicing", "lesson", "print", "else"}[r.IntN(4)] })
 		for k, n := range p.m.tiers.record.Counts {
-			if all[k] += n; strings.HasSuffix(k, priority.None.String()) {
-				t.Fatalf("%d times %s: %v", n, k, p.m.tiers.record.Last)
+			if all[k] += n; strings.HasSuffix(k, priority.Unexplained.String()) {
+				t.Fatalf("%d times %s: %v", n, k, p.m.tiers.record.Recent)
 			}
 		}
 	})
@@ -209,7 +209,7 @@
 		if j := p.m.Job(id); j != nil {
 			class = j.Spec.Class
 		}
-		if _, ok := p.began[id]; !ok && class != "slicing" && p.now-came > priority.BoundS {
+		if _, ok := p.began[id]; !ok && class != "slicing" && p.now-came > priority.StarvationBoundSeconds {
 			late[class]++
 		}
 	}
@@ -242,7 +242,7 @@
 // A day at 1.3 times what the fleet can do: clinic work begins sooner by far, and
 // the others no later than their longest wait and what the start takes.
 func TestClinicWorkBeginsFirstOnACrowdedDay(t *testing.T) {
-	waits := func(o *priority.Order) map[string][]float64 {
+	waits := func(o *priority.Policy) map[string][]float64 {
 		p := newFleetPlay(20, o)
 		rnd := rand.New(rand.NewPCG(3, 3))
 		class := map[string]string{}
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -145,7 +145,7 @@
 // returns the others: they get what is left. Counted on twice, a place makes
 // two jobs late.
 func (m *Model) afterOwed(jobs []*ranked, places times) []*ranked {
-	if m.BeginWithin <= 0 {
+	if m.StarvationBound <= 0 {
 		return jobs
 	}
 	var out []*ranked
--- a/cluster/unbegun.go
+++ b/cluster/unbegun.go
@@ -31,14 +31,14 @@
 	inWayOthers   = "others that are due have the room"
 )
 
-// Unbegun is a job that has not begun in time, or won't.
-type Unbegun struct {
-	ID     string
-	Class  string
-	Team   string
-	Tasks  int
-	InWay  string  // what stands in its way
-	WaitsS float64 // since it was accepted
+// StarvedJob is a job that has not begun in time, or won't.
+type StarvedJob struct {
+	ID            string
+	Class         string
+	Team          string
+	Tasks         int
+	BlockedBy     string  // what stands in its way
+	WaitedSeconds float64 // since it was accepted
 }
 
 // nameUnbegun works out what stands in the way of each open job that can't begin
@@ -71,10 +71,10 @@
 // at which it should have had them.
 func (m *Model) tooLate(j *Job, now time.Time) bool {
 	if j.PlacedTasks > 0 && !j.Gang() || j.PlacedTasks == len(j.Tasks) {
-		return now.Sub(j.AcceptedAt) > m.BeginWithin
+		return now.Sub(j.AcceptedAt) > m.StarvationBound
 	}
 	if should, _ := m.latestBegin(j); now.Before(should) {
-		return j.roomless && now.Sub(j.AcceptedAt) > m.BeginWithin/4
+		return j.roomless && now.Sub(j.AcceptedAt) > m.StarvationBound/4
 	}
 	return true
 }
@@ -169,15 +169,15 @@
 
 // unbegun lists the jobs that can't begin in time, those that wait for longest
 // first, and how many there are.
-func (m *Model) unbegun(now time.Time) (out []Unbegun, all int) {
+func (m *Model) unbegun(now time.Time) (out []StarvedJob, all int) {
 	for _, idx := range m.live {
 		j := m.Jobs[idx]
 		if j == nil || j.inWay == "" || j.Cancelled || j.Finished || j.begun() {
 			continue
 		}
 		all++
-		out = append(out, Unbegun{ID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), InWay: j.inWay, WaitsS: now.Sub(j.AcceptedAt).Seconds()})
+		out = append(out, StarvedJob{ID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), BlockedBy: j.inWay, WaitedSeconds: now.Sub(j.AcceptedAt).Seconds()})
 	}
-	slices.SortStableFunc(out, func(a, b Unbegun) int { return int(1000 * (b.WaitsS - a.WaitsS)) })
+	slices.SortStableFunc(out, func(a, b StarvedJob) int { return int(1000 * (b.WaitedSeconds - a.WaitedSeconds)) })
 	return out[:min(len(out), namedMost)], all
 }
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -23,11 +23,11 @@
 // Ready says whether a machine can be given tasks now.
 func (m *Model) Ready(mc *Machine, now time.Time) bool { return m.ready(mc, now) }
 
-// Expecting is how many machines should be reporting. The list lags: of machines
+// ExpectedMachines is how many machines should be reporting. The list lags: of machines
 // that were returned a while ago it shows nothing. Leaders that expected those
 // gave leadership up in turn, every few seconds, when a day's work was over. One
 // that has not shown the token may be known from a late copy of a report only.
-func (m *Model) Expecting(now time.Time) int {
+func (m *Model) ExpectedMachines(now time.Time) int {
 	n := 0
 	lag := config.Seconds(2*m.cfg.Cluster.Cloud.ListLagS + 10)
 	for _, mc := range m.Machines {
--- a/cluster/why.go
+++ b/cluster/why.go
@@ -11,59 +11,59 @@
 // This file says what a job waits for, from records alone: it is asked of a model
 // that has been loaded and leads nothing.
 
-// Why is what a job waits for.
-type Why struct {
-	ID      string
-	Tier    string // "" without an order
-	WaitedS float64
-	Tasks   int // of the job
-	Done    int
-	Placed  int
-	Waiting []string          // for what, the most telling first; empty: for nothing
-	Ahead   map[string]int    // jobs ahead of it in the line, by why
-	Nearest []Ahead           // of them, nearest first
-	Passed  []priority.Passed // lower tiers' tasks that got room it could have had
+// Explanation is what a job waits for.
+type Explanation struct {
+	ID             string
+	Tier           string // "" without an order
+	WaitedSeconds  float64
+	Tasks          int // of the job
+	Done           int
+	Placed         int
+	PendingReasons []string                  // for what, the most telling first; empty: for nothing
+	AheadByReason  map[string]int            // jobs ahead of it in the line, by why
+	Nearest        []JobAhead                // of them, nearest first
+	Inversions     []priority.InversionEvent // lower tiers' tasks that got room it could have had
 }
 
-// Ahead is a job that is served before another.
-type Ahead struct {
-	ID   string
-	Tier string
-	Why  string
+// JobAhead is a job that is served before another.
+type JobAhead struct {
+	ID     string
+	Tier   string
+	Reason string
 }
 
 // nearestShown is how many of those ahead are named.
 const nearestShown = 20
 
-// Why says what a job waits for; false if it is not among the unfinished.
-func (m *Model) Why(id string, now time.Time) (Why, bool) {
+// Explain says what a job waits for; false if it is not among the unfinished.
+func (m *Model) Explain(id string, now time.Time) (Explanation, bool) {
 	j := m.Job(id)
 	if j == nil {
-		return Why{}, false
+		return Explanation{}, false
 	}
-	w := Why{ID: id, Tier: m.tiers.order.Name(j.tier), WaitedS: now.Sub(j.AcceptedAt).Seconds(), Tasks: len(j.Tasks), Done: j.DoneTasks, Placed: j.PlacedTasks,
-		Ahead: map[string]int{}, Passed: m.tiers.record.Over(id)}
+	w := Explanation{ID: id, Tier: m.tiers.order.TierName(j.tier), WaitedSeconds: now.Sub(j.AcceptedAt).Seconds(), Tasks: len(j.Tasks), Done: j.DoneTasks, Placed: j.PlacedTasks,
+		AheadByReason: map[string]int{}, Inversions: m.tiers.record.PassingOver(id)}
 	jobs := m.openJobs()
 	line := m.requests(jobs, m.within(jobs), now)
 	for i, k := range line {
 		if k.j != j {
 			continue
 		}
-		w.Waiting = m.lacks(k)
+		w.PendingReasons = m.lacks(k)
 		for b := i - 1; b >= 0; b-- {
 			o := line[b]
 			if o.j == j {
 				continue
 			}
 			why := k.behind(o)
-			w.Ahead[why]++
+			w.AheadByReason[why]++
 			if len(w.Nearest) < nearestShown {
-				w.Nearest = append(w.Nearest, Ahead{o.j.ID, m.tiers.order.Name(o.j.tier), why})
+				w.Nearest = append(w.Nearest, JobAhead{o.j.ID, m.tiers.order.TierName(o.j.tier), why})
 			}
 		}
 		return w, true // its part that is served first
 	}
-	w.Waiting = m.outOfLine(j, now)
+	w.PendingReasons = m.outOfLine(j, now)
 	return w, true
 }
 
@@ -73,19 +73,19 @@
 	case k.req.Spare:
 		return "fault"
 	case k.within != o.within:
-		return priority.Guarantee.String()
+		return priority.WithinQuota.String()
 	case k.j.Priority != o.j.Priority:
-		return priority.Priority.String()
+		return priority.HigherPriority.String()
 	case o.req.Owed:
-		return priority.Bound.String()
-	case o.req.Cause == uint8(priority.ByWait):
-		return priority.Wait.String()
-	case o.req.Cause == uint8(priority.ByShare):
-		return priority.Share.String()
+		return priority.StarvationBound.String()
+	case o.req.Cause == uint8(priority.PromotedByWait):
+		return priority.MaxWait.String()
+	case o.req.Cause == uint8(priority.PromotedByShare):
+		return priority.FairShare.String()
 	case k.req.Tier != o.req.Tier:
 		return "tier"
-	case o.req.Cause == uint8(priority.ByTurn):
-		return priority.Wait.String()
+	case o.req.Cause == uint8(priority.PromotedInTier):
+		return priority.MaxWait.String()
 	case k.night != o.night:
 		return "a night's work"
 	case k.missed != o.missed && !k.night:
--- a/cmd/umberdeal/pools.go
+++ b/cmd/umberdeal/pools.go
@@ -54,28 +54,28 @@
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
 	for i := range all {
 		s := &all[i]
-		n := &s.Note
+		n := &s.Record
 		at := time.UnixMilli(n.AtMs)
 		stale := ""
 		if now.Sub(at) > staleAfter {
 			stale = ", STALE: no leader has written it since"
 		}
 		fmt.Fprintf(w, "pool %s\tas of %s%s\n", s.Name, at.UTC().Format(time.RFC3339), stale)
-		fmt.Fprintf(w, "  weights\t%s, %g GB\n", n.Image, n.GB)
-		fmt.Fprintf(w, "  machines\t%d of %d held, %d with weights, %d fetch\n", n.Held, n.Aim, n.Warm, n.Filling)
-		if n.Limited {
+		fmt.Fprintf(w, "  weights\t%s, %g GB\n", n.Image, n.WeightsGB)
+		fmt.Fprintf(w, "  machines\t%d of %d held, %d with weights, %d fetch\n", n.Held, n.Target, n.Warm, n.Fetching)
+		if n.CostLimited {
 			fmt.Fprintf(w, "  limit\tno more may be paid for\n")
 		}
-		if n.Refused != "" {
-			fmt.Fprintf(w, "  fetches\t%s\n", n.Refused)
+		if n.FetchRefused != "" {
+			fmt.Fprintf(w, "  fetches\t%s\n", n.FetchRefused)
 		}
-		fmt.Fprintf(w, "  this hour\t%d replicas wanted at once so far\n", n.Peak)
+		fmt.Fprintf(w, "  this hour\t%d replicas wanted at once so far\n", n.CurrentPeak)
 		var hits, misses, ceded int64
 		why := ""
 		for _, sh := range s.Shards {
-			hits, misses, ceded = hits+sh.Hits, misses+sh.Misses, ceded+sh.Ceded
-			if sh.Why != "" {
-				why = "; lately: " + sh.Why
+			hits, misses, ceded = hits+sh.Hits, misses+sh.Misses, ceded+sh.Preemptions
+			if sh.LastPreemption != "" {
+				why = "; lately: " + sh.LastPreemption
 			}
 		}
 		fmt.Fprintf(w, "  replicas\t%d found their weights, %d did not\n", hits, misses)
@@ -86,24 +86,24 @@
 			if t == n.Payer {
 				role = "pays"
 			}
-			fmt.Fprintf(w, "  cost\t%s (%s) %.2f for %.1f machine hours\n", t, role, float64(teams[t].Micro)/1e6, float64(teams[t].Ms)/3.6e6)
+			fmt.Fprintf(w, "  cost\t%s (%s) %.2f for %.1f machine hours\n", t, role, float64(teams[t].Micros)/1e6, float64(teams[t].Ms)/3.6e6)
 		}
-		fmt.Fprintf(w, "  cost\tall machines %.2f for %.1f machine hours\n", float64(all.Micro)/1e6, float64(all.Ms)/3.6e6)
+		fmt.Fprintf(w, "  cost\tall machines %.2f for %.1f machine hours\n", float64(all.Micros)/1e6, float64(all.Ms)/3.6e6)
 		if !machines {
 			continue
 		}
 		for _, sh := range s.Shards {
 			for _, m := range sh.Members {
 				state := "no weights"
-				if m.Warm == n.Number {
+				if m.WarmVersion == n.ImageVersion {
 					state = "weights"
 				}
 				if m.Leaving {
 					state = "let go"
 				}
 				var by []string
-				for _, p := range m.Parts {
-					by = append(by, fmt.Sprintf("%s %.1f%%", p.Team, float64(p.Share)/10))
+				for _, p := range m.Shares {
+					by = append(by, fmt.Sprintf("%s %.1f%%", p.Team, float64(p.PerMille)/10))
 				}
 				fmt.Fprintf(w, "  %s\t%s, %s, since %s %s\n", m.Machine, m.Zone, state, time.UnixMilli(m.SinceMs).UTC().Format(time.RFC3339), strings.Join(by, ", "))
 			}
--- a/cmd/umberdeal/why.go
+++ b/cmd/umberdeal/why.go
@@ -41,24 +41,24 @@
 	return nil
 }
 
-func printWhy(w *cluster.Why) {
-	fmt.Printf("%s: accepted %.0f s ago, %d of %d tasks done, %d on machines\n", w.ID, w.WaitedS, w.Done, w.Tasks, w.Placed)
+func printWhy(w *cluster.Explanation) {
+	fmt.Printf("%s: accepted %.0f s ago, %d of %d tasks done, %d on machines\n", w.ID, w.WaitedSeconds, w.Done, w.Tasks, w.Placed)
 	if w.Tier != "" {
 		fmt.Printf("tier: %s\n", w.Tier)
 	}
-	for _, s := range w.Waiting {
+	for _, s := range w.PendingReasons {
 		fmt.Printf("waits for %s\n", s)
 	}
-	if len(w.Waiting) == 0 {
+	if len(w.PendingReasons) == 0 {
 		fmt.Println("waits for nothing")
 	}
-	for _, why := range slices.Sorted(maps.Keys(w.Ahead)) {
-		fmt.Printf("%d jobs ahead of it: %s\n", w.Ahead[why], why)
+	for _, why := range slices.Sorted(maps.Keys(w.AheadByReason)) {
+		fmt.Printf("%d jobs ahead of it: %s\n", w.AheadByReason[why], why)
 	}
 	for _, a := range w.Nearest {
-		fmt.Printf("  %s %s (%s)\n", a.ID, a.Tier, a.Why)
+		fmt.Printf("  %s %s (%s)\n", a.ID, a.Tier, a.Reason)
 	}
-	for _, p := range w.Passed {
+	for _, p := range w.Inversions {
 		fmt.Printf("passed over by %s (%s) at %s: %s\n", p.Job, p.Tier, time.UnixMilli(p.AtMs).UTC().Format(time.RFC3339), p.Reason)
 	}
 }
--- a/controller/committer.go
+++ b/controller/committer.go
@@ -80,7 +80,7 @@
 			return
 		}
 		l.mu.Lock()
-		l.model.EndsAt(time.Now())
+		l.model.SetCompletionTime(time.Now())
 		b := l.model.NextBatch(want)
 		l.committing = b != nil
 		l.broadcastProgress()
--- a/controller/load.go
+++ b/controller/load.go
@@ -43,15 +43,15 @@
 	now := time.Now()
 	m := cluster.New(l.node.cfg, l.lease.FencingToken, now, l.log)
 	m.RebalanceSettings, m.Headroom = l.node.tuning.Rebalance, l.node.tuning.Renting.Headroom
-	m.BeginWithin = config.Seconds(l.node.tuning.Serving.BeginWithinS)
+	m.StarvationBound = config.Seconds(l.node.tuning.Serving.BeginWithinS)
 	if l.node.metrics != nil {
-		m.Timings = latencyMetrics{l.node.metrics}
+		m.Observer = latencyMetrics{l.node.metrics}
 	}
 	if types := l.node.machineTypes(); types != nil {
 		m.SetMachineTypes(types)
 	}
 	for _, it := range notes {
-		m.LoadNote(it.Key, it.Value, it.Version)
+		m.LoadPlanRecord(it.Key, it.Value, it.Version)
 	}
 	m.SetPlan(orders, now)
 	if err := loadJobs(m, items, now); err != nil {
--- a/controller/look.go
+++ b/controller/look.go
@@ -21,12 +21,12 @@
 
 // WhyWaiting says what a job waits for, from what is committed. over is the state
 // of a job that is done or cancelled, and then there is nothing more to say.
-func WhyWaiting(ctx context.Context, cfg *config.Settings, st *kvstore.Client, id string, now time.Time) (why cluster.Why, over string, err error) {
+func WhyWaiting(ctx context.Context, cfg *config.Settings, st *kvstore.Client, id string, now time.Time) (why cluster.Explanation, over string, err error) {
 	m, err := inspect(ctx, cfg, st, now)
 	if err != nil {
 		return why, "", err
 	}
-	if why, found := m.Why(id, now); found {
+	if why, found := m.Explain(id, now); found {
 		return why, "", nil
 	}
 	e, err := st.Get(ctx, jobstore.FinalKey(id))
@@ -79,7 +79,7 @@
 		return err
 	}
 	for _, it := range notes {
-		m.LoadNote(it.Key, it.Value, it.Version)
+		m.LoadPlanRecord(it.Key, it.Value, it.Version)
 	}
 	p, _, err := readOperatorPlan(ctx, st)
 	if err != nil {
--- a/controller/nights.go
+++ b/controller/nights.go
@@ -18,7 +18,7 @@
 func (l *leadership) resolveUnknownOutcomes(ctx context.Context) {
 	for call.Pause(ctx, time.Second) {
 		l.mu.Lock()
-		ids := l.model.UnknownEnds(finalStatesPerRound)
+		ids := l.model.UnresolvedWindowJobs(finalStatesPerRound)
 		l.mu.Unlock()
 		for _, id := range ids {
 			e, err := l.node.kv.Get(ctx, jobstore.FinalKey(id))
@@ -34,7 +34,7 @@
 				}
 			}
 			l.mu.Lock()
-			l.model.ToldEnd(id, rec, time.Now())
+			l.model.ResolveWindowJob(id, rec, time.Now())
 			l.mu.Unlock()
 		}
 	}
--- a/controller/node.go
+++ b/controller/node.go
@@ -132,7 +132,7 @@
 	n.jobs = jobstore.NewReader(forUsers)
 	n.jobs.Limits = jobstore.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB}
 	n.jobs.Log = log
-	n.jobs.Tier = func(team, class string) int { return n.priorities().Tier(team, class) }
+	n.jobs.Tier = func(team, class string) int { return n.priorities().TierOf(team, class) }
 	n.jobs.Order = func(id string) float64 { return admission.PollSchedule{Period: pollRound}.Priority(id, time.Now()) }
 	n.pollTurns.Tier = n.pollTier
 	n.jobs.Gap = func() time.Duration { return config.Seconds(min(barrierRateShare/max(forUsers.RequestRate(), 1), 0.6)) }
--- a/controller/order.go
+++ b/controller/order.go
@@ -11,13 +11,13 @@
 // planPriorities is the order of a plan.
 type planPriorities struct {
 	plan       *plan.Plan
-	priorities *priority.Order
+	priorities *priority.Policy
 }
 
 // priorities is the one in force as far as this node knows, nil if there is none. One
 // that is a moment behind serves a request sooner or later than it might have, and
 // that is all.
-func (n *Node) priorities() *priority.Order {
+func (n *Node) priorities() *priority.Policy {
 	p := n.operatorPlan().Plan
 	if p == nil {
 		return nil
@@ -38,7 +38,7 @@
 	if o == nil {
 		return func() {}, true
 	}
-	tier, of := o.Tier(team, class), o.Tiers()
+	tier, of := o.TierOf(team, class), o.NumTiers()
 	if !n.submissionTiers.TryAcquire(tier, of) {
 		return nil, false
 	}
@@ -52,7 +52,7 @@
 		return 0
 	}
 	if team, class, ok := n.jobs.Whose(id); ok {
-		return o.Tier(team, class)
+		return o.TierOf(team, class)
 	}
-	return o.Tiers() - 1
+	return o.NumTiers() - 1
 }
--- a/controller/order_test.go
+++ b/controller/order_test.go
@@ -20,7 +20,7 @@
 	return kvstore.New(w.Network.Dial("user"), "state:1", 200, 100)
 }
 
-func why(t *testing.T, w *fake.Cluster, id string) (cluster.Why, string) {
+func why(t *testing.T, w *fake.Cluster, id string) (cluster.Explanation, string) {
 	t.Helper()
 	got, over, err := controller.WhyWaiting(t.Context(), w.Settings, stateOf(w), id, time.Now())
 	if err != nil {
@@ -47,13 +47,13 @@
 		time.Sleep(10 * time.Second)
 		w.KillAll()
 		got, _ := why(t, w, "wk-000002")
-		if len(got.Waiting) == 0 || !strings.HasPrefix(got.Waiting[0], "its team's limit: 8 of 8 CPUs") {
+		if len(got.PendingReasons) == 0 || !strings.HasPrefix(got.PendingReasons[0], "its team's limit: 8 of 8 CPUs") {
 			t.Errorf("%+v", got)
 		}
-		if got, _ = why(t, w, "wk-000003"); got.Ahead["priority"] != 1 || !slices.ContainsFunc(got.Nearest, func(a cluster.Ahead) bool { return a.ID == "wk-000005" }) {
+		if got, _ = why(t, w, "wk-000003"); got.AheadByReason["priority"] != 1 || !slices.ContainsFunc(got.Nearest, func(a cluster.JobAhead) bool { return a.ID == "wk-000005" }) {
 			t.Errorf("%+v", got)
 		}
-		if got, _ = why(t, w, "wk-000001"); len(got.Waiting) != 0 || got.Placed != 2 {
+		if got, _ = why(t, w, "wk-000001"); len(got.PendingReasons) != 0 || got.Placed != 2 {
 			t.Errorf("%+v", got)
 		}
 		if _, over := why(t, w, "wk-000004"); over != wire.JobCancelled {
@@ -295,7 +295,7 @@
 		}
 		w.StartAll()
 		mustSubmit(t, w, whole(2, "craft", 20), whole(3, "clinic", 20))
-		if got, _ := why(t, w, "wk-000002"); got.Tier != "craft" || got.Ahead["tier"] != 1 {
+		if got, _ := why(t, w, "wk-000002"); got.Tier != "craft" || got.AheadByReason["tier"] != 1 {
 			t.Errorf("%+v", got)
 		}
 		if got := first(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -89,7 +89,7 @@
 	if err != nil && !lost {
 		return cluster.Plan{}, st, err
 	}
-	p := cluster.Plan{Number: st.Number, Head: st.Head, Lost: lost}
+	p := cluster.Plan{Number: st.Number, HeadVersion: st.Head, Unreadable: lost}
 	if st.Number > 0 {
 		p.Plan = got
 	}
@@ -102,21 +102,21 @@
 	if err != nil {
 		return cluster.Plan{}, err
 	}
-	lost := p.Lost
+	lost := p.Unreadable
 	n.mu.Lock()
 	was := n.operatorPlan()
-	if p.Lost && was.Plan != nil {
+	if p.Unreadable && was.Plan != nil {
 		// What this node read before still holds: the record is damaged, not
 		// the decision.
-		p.Plan, p.Number, p.Lost = was.Plan, was.Number, false
+		p.Plan, p.Number, p.Unreadable = was.Plan, was.Number, false
 	}
-	if p.Head < was.Head {
+	if p.HeadVersion < was.HeadVersion {
 		p = was // another read has been faster
 	}
 	n.loadedPlan.Store(&p)
 	l := n.active
 	n.mu.Unlock()
-	if p.Head != was.Head {
+	if p.HeadVersion != was.HeadVersion {
 		for _, t := range st.Troubles {
 			n.log.Error("a record of the plan can't be read", "holds", p.Number, "err", t)
 		}
@@ -167,7 +167,7 @@
 	share := rate.NewLimiter(rate.Limit(planRecordWriteShare*sl.WriteRPS), max(1, min(sl.TxnOps, int(2*planRecordWriteShare*sl.WriteRPS))))
 	for call.Pause(ctx, 500*time.Millisecond) {
 		l.mu.Lock()
-		want := min(l.model.NotesPending(), share.Burst())
+		want := min(l.model.PendingPlanRecords(), share.Burst())
 		l.mu.Unlock()
 		if want == 0 || !l.lease.Valid() {
 			continue
@@ -176,7 +176,7 @@
 			return
 		}
 		l.mu.Lock()
-		b := l.model.NoteBatch(want)
+		b := l.model.PlanRecordBatch(want)
 		l.mu.Unlock()
 		if b == nil {
 			continue
--- a/controller/pools.go
+++ b/controller/pools.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		l.mu.Lock()
-		jobs, byPlan := l.model.Fetches(most, time.Now()), l.model.PlanGuard()
+		jobs, byPlan := l.model.NextPrefetches(most, time.Now()), l.model.PlanGuard()
 		l.mu.Unlock()
 		if len(jobs) == 0 {
 			continue
@@ -72,15 +72,15 @@
 	}
 }
 
-func warmPoolViews(from []cluster.PoolSummary) []metrics.Pool {
+func warmPoolViews(from []cluster.PoolSnapshot) []metrics.Pool {
 	var out []metrics.Pool
 	for _, p := range from {
 		cost := map[string]float64{}
 		for t, c := range p.Teams {
-			cost[t] = float64(c.Micro) / 1e6
+			cost[t] = float64(c.Micros) / 1e6
 		}
-		out = append(out, metrics.Pool{Name: p.Name, Aim: p.Aim, Held: p.Held, Warm: p.Warm, Filling: p.Filling, Hits: p.Hits,
-			Misses: p.Misses, Ceded: p.Ceded, Limited: p.Limited, Refused: p.Refused, Cost: cost})
+		out = append(out, metrics.Pool{Name: p.Name, Aim: p.Target, Held: p.Held, Warm: p.Warm, Filling: p.Fetching, Hits: p.Hits,
+			Misses: p.Misses, Ceded: p.Preemptions, Limited: p.CostLimited, Refused: p.FetchRefused, Cost: cost})
 	}
 	return out
 }
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -107,8 +107,8 @@
 		for _, sh := range s.Shards {
 			hits += sh.Hits
 		}
-		if hits != 4 || s.Note.Held != 4 {
-			t.Errorf("%d hits, %+v", hits, s.Note)
+		if hits != 4 || s.Record.Held != 4 {
+			t.Errorf("%d hits, %+v", hits, s.Record)
 		}
 	})
 }
@@ -128,7 +128,7 @@
 }
 
 func full(n int) func(warmpool.State) bool {
-	return func(s warmpool.State) bool { return s.Note.Held == n && s.Note.Warm == n }
+	return func(s warmpool.State) bool { return s.Record.Held == n && s.Record.Warm == n }
 }
 
 // loseLeader ends the leader, and starts its node again a while later.
@@ -215,8 +215,8 @@
 		if n := len(w.Cloud.Machines()); n != 1 || len(w.MachinesWithImage("llm:v1")) != 1 {
 			t.Errorf("%d machines, %d with weights", n, len(w.MachinesWithImage("llm:v1")))
 		}
-		if s.Shards[0].Closed.Ms < 3*60_000 {
-			t.Errorf("three machines are charged for %d ms", s.Shards[0].Closed.Ms)
+		if s.Shards[0].ClosedCost.Ms < 3*60_000 {
+			t.Errorf("three machines are charged for %d ms", s.Shards[0].ClosedCost.Ms)
 		}
 	})
 }
@@ -332,8 +332,8 @@
 		loseLeader(w)
 		awaitWarm(t, w, "llm:v2", 4, 8*time.Minute)
 		s := awaitPool(t, w, "full of the new version", 2*time.Minute, full(4))
-		if s.Note.Image != "llm:v2" || w.PeakImageFetches() > 2 {
-			t.Errorf("%+v, %d fetched at the same time", s.Note, w.PeakImageFetches())
+		if s.Record.Image != "llm:v2" || w.PeakImageFetches() > 2 {
+			t.Errorf("%+v, %d fetched at the same time", s.Record, w.PeakImageFetches())
 		}
 		mustBePaid(t, s)
 	})
@@ -384,7 +384,7 @@
 		}
 		loseLeader(w)
 		s := awaitPool(t, w, "full again", 5*time.Minute, full(4))
-		if s.Shards[0].Ceded != 1 || !strings.Contains(s.Shards[0].Why, "wk-000002/0 of clinic") || s.Shards[0].Teams["clinic"].Ms < 50_000 {
+		if s.Shards[0].Preemptions != 1 || !strings.Contains(s.Shards[0].LastPreemption, "wk-000002/0 of clinic") || s.Shards[0].Teams["clinic"].Ms < 50_000 {
 			t.Errorf("recorded: %+v", s.Shards[0])
 		}
 		mustBePaid(t, s)
@@ -454,7 +454,7 @@
 	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
 		w.RejectUnknownJobs()
 		applyPlan(t, w, 0, poolPlan(2, 4, ""))
-		awaitPool(t, w, "told", 5*time.Minute, func(s warmpool.State) bool { return s.Note.Refused != "" })
+		awaitPool(t, w, "told", 5*time.Minute, func(s warmpool.State) bool { return s.Record.FetchRefused != "" })
 		mustSubmit(t, w, replicas(1, 4))
 		awaitWarm(t, w, "llm:v1", 4, 5*time.Minute)
 		loseLeader(w)
@@ -464,8 +464,8 @@
 		// The hour's peak was four, and four are kept for the rest of it.
 		time.Sleep(10 * time.Minute)
 		s := poolState(t, w)
-		if n := len(w.MachinesWithImage("llm:v1")); n < 2 || s.Note.Warm != n {
-			t.Errorf("%d machines hold the weights: %+v", n, s.Note)
+		if n := len(w.MachinesWithImage("llm:v1")); n < 2 || s.Record.Warm != n {
+			t.Errorf("%d machines hold the weights: %+v", n, s.Record)
 		}
 		mustBePaid(t, s)
 	})
@@ -496,7 +496,7 @@
 		if n := len(w.Cloud.Machines()); n != 0 || len(s.Shards[0].Members) != 0 {
 			t.Errorf("%d machines, %d in the pool after the hour", n, len(s.Shards[0].Members))
 		}
-		if h := float64(s.Shards[0].Closed.Ms) / 3.6e6; h < 4 || h > 4.5 {
+		if h := float64(s.Shards[0].ClosedCost.Ms) / 3.6e6; h < 4 || h > 4.5 {
 			t.Errorf("%.2f machine hours are charged", h)
 		}
 	})
@@ -587,11 +587,11 @@
 		// An account is committed once a minute, so that how much of the time
 		// since is in it hangs on when the next leader began.
 		s := awaitPool(t, w, "charged", 3*time.Minute, func(s warmpool.State) bool {
-			return s.Note.Payer == "clinic" && s.Shards[0].AtMs >= back.Add(50*time.Second).UnixMilli()
+			return s.Record.Payer == "clinic" && s.Shards[0].AtMs >= back.Add(50*time.Second).UnixMilli()
 		})
 		mustBePaid(t, s)
 		was, is, next := before.Shards[0], s.Shards[0].Teams["speech"].Ms, s.Shards[0].Teams["clinic"].Ms
-		if gap := is - was.Teams["speech"].Ms; gap < 4*9_000 || gap > 4*90_000 || next < 4*30_000 || s.Note.Payer != "clinic" {
+		if gap := is - was.Teams["speech"].Ms; gap < 4*9_000 || gap > 4*90_000 || next < 4*30_000 || s.Record.Payer != "clinic" {
 			t.Errorf("from then on the first payer owes %d ms more, the second %d", gap, next)
 		}
 	})
--- a/controller/poolsmeasure_test.go
+++ b/controller/poolsmeasure_test.go
@@ -36,13 +36,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		hour := time.Now().UTC().Truncate(24 * time.Hour).Add(25 * time.Hour)
 		typ := wire.MachineType{Name: "g8", CPUs: 8, GPUs: 8, MemoryGB: 64, CacheGB: 200, FetchGBPS: 1, Price: machineRate, SpotPrice: 5, BootS: 45, ZonesNamed: fake.Zones}
-		p := warmpool.Pool{Name: "llm", Model: "llm:v1", GB: b.gb, Types: []string{"g8"}, Zones: fake.Zones, Most: b.replicas,
-			Burst: warmpool.Burst{Replicas: b.replicas, WithinS: 10}, PerHour: 1e6, Payer: "speech"}
+		p := warmpool.Pool{Name: "llm", Model: "llm:v1", WeightsGB: b.gb, Types: []string{"g8"}, Zones: fake.Zones, MaxMachines: b.replicas,
+			Burst: warmpool.Burst{Replicas: b.replicas, WithinS: 10}, MaxHourlyCost: 1e6, Payer: "speech"}
 		after := 5 * time.Minute
 		if b.fleet >= 1000 {
-			after, p.FetchAt = time.Minute, b.replicas/2 // less time to play
+			after, p.ConcurrentFetches = time.Minute, b.replicas/2 // less time to play
 		}
-		lead := p.Lead(b.replicas, 45*time.Second, 1)
+		lead := p.LeadTime(b.replicas, 45*time.Second, 1)
 		begin := hour.Add(-lead - 3*time.Minute)
 		if b.mode == "bare" {
 			begin = hour.Add(after - 3*time.Minute) // idle machines are returned after four
@@ -70,12 +70,12 @@
 			b.remember(t, w, hour)
 		}
 		if b.mode == "fixed" || b.mode == "hours" {
-			applyPlan(t, w, 0, plans.Pool("llm", "llm:v1", b.gb, "g8", least, b.replicas, b.replicas, "speech", fmt.Sprint("fetch_at_once = ", p.FetchAt)))
+			applyPlan(t, w, 0, plans.Pool("llm", "llm:v1", b.gb, "g8", least, b.replicas, b.replicas, "speech", fmt.Sprint("fetch_at_once = ", p.ConcurrentFetches)))
 		}
 		time.Sleep(time.Until(hour.Add(after)))
 		if b.mode == "fixed" || b.mode == "hours" {
-			if s := poolState(t, w); s.Note.Warm < b.replicas*9/10 {
-				t.Errorf("%+v before the burst: %+v", b, s.Note)
+			if s := poolState(t, w); s.Record.Warm < b.replicas*9/10 {
+				t.Errorf("%+v before the burst: %+v", b, s.Record)
 			}
 		}
 		at, waiting := time.Now(), map[string]bool{}
@@ -109,7 +109,7 @@
 			s := poolState(t, w)
 			mustBePaid(t, s)
 			_, machines := warmpool.Totals(s.Shards)
-			cost = float64(machines.Micro) / 1e6
+			cost = float64(machines.Micros) / 1e6
 		}
 	})
 	slices.Sort(ran)
@@ -119,14 +119,14 @@
 // remember records two weeks in which the hour brought what it is to bring.
 func (b burst) remember(t *testing.T, w *fake.Cluster, hour time.Time) {
 	t.Helper()
-	week := &warmpool.Week{}
+	week := &warmpool.WeeklyDemand{}
 	for k := 2; k > 0; k-- {
-		week.Want(b.replicas, hour.AddDate(0, 0, -7*k))
-		week.Want(0, hour.AddDate(0, 0, -7*k).Add(time.Hour))
+		week.Observe(b.replicas, hour.AddDate(0, 0, -7*k))
+		week.Observe(0, hour.AddDate(0, 0, -7*k).Add(time.Hour))
 	}
 	st := kvstore.New(w.Network.Dial("operator"), "state:1", 20, 20)
-	d := warmpool.Slot(hour) / 24
-	if _, err := st.CompareAndSwap(context.Background(), nil, []wire.Op{{Put: jobstore.Notes + warmpool.DayName("llm", d), Value: week.Day(d)}}); err != nil {
+	d := warmpool.HourOfWeek(hour) / 24
+	if _, err := st.CompareAndSwap(context.Background(), nil, []wire.Op{{Put: jobstore.Notes + warmpool.DayName("llm", d), Value: week.EncodeDay(d)}}); err != nil {
 		t.Fatal(err)
 	}
 	loseLeader(w) // the next one reads it
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -47,13 +47,13 @@
 			l.passCount++
 			l.broadcastProgress()
 			if !l.scalingOut {
-				l.wantedMachines = d.Rent
+				l.wantedMachines = d.ScaleOut
 			}
 			var moves map[string]jobstore.CycleRecord
 			if now.Sub(cycle) >= config.Seconds(l.node.tuning.Rebalance.EveryS) {
 				cycle = now
-				moves = l.model.PlanMoves(d.Wanted, now)
-				l.model.LogRoom(d.Wanted, now)
+				moves = l.model.PlanMoves(d.Unplaced, now)
+				l.model.LogUtilization(d.Unplaced, now)
 			}
 			// The larger the cluster, the longer a pass: reports, renewals and
 			// users get most of the processor even so.
@@ -101,7 +101,7 @@
 	if resumed, _ := l.node.stalls.LastStall(); since.Before(resumed) {
 		since = resumed
 	}
-	return len(l.node.peers) > 0 && l.model.Expecting(now) >= 2 && now.Sub(since) > quiet
+	return len(l.node.peers) > 0 && l.model.ExpectedMachines(now) >= 2 && now.Sub(since) > quiet
 }
 
 // startRebalancing commits a cycle's record, so that a new leader knows of the
--- a/controller/status.go
+++ b/controller/status.go
@@ -82,7 +82,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.model.Nights(now)
+	return l.model.BatchWindows(now)
 }
 
 // registerBatchWindowMetrics adds what is known of the calendar's nights while this node leads.
@@ -188,8 +188,8 @@
 	n.mu.Unlock()
 	o.Reports = metrics.Reports{Passed: c.forwarded, Failed: c.failed, Moved: c.redirected, Waiting: n.heartbeatLimiter.Waiting(),
 		Refused: n.heartbeatLimiter.Rejected(), Served: n.lastAnswered.CountWithin(now, config.Seconds(n.cfg.Cluster.Workers.LeaseS))}
-	if p := n.operatorPlan(); p.Head > 0 {
-		o.Orders = &metrics.Orders{Version: p.Number, Lost: p.Lost}
+	if p := n.operatorPlan(); p.HeadVersion > 0 {
+		o.Orders = &metrics.Orders{Version: p.Number, Lost: p.Unreadable}
 	}
 	if o.Fleet != nil {
 		o.Fleet.Nights = n.batchWindows(now)
@@ -215,14 +215,14 @@
 		return nil
 	}
 	l.mu.Lock()
-	s := l.model.Summary(now)
+	s := l.model.Snapshot(now)
 	l.mu.Unlock()
-	var unbegun []metrics.Unbegun
-	for _, u := range s.Unbegun {
-		unbegun = append(unbegun, metrics.Unbegun(u))
+	var unbegun []metrics.StarvedJob
+	for _, u := range s.Starved {
+		unbegun = append(unbegun, metrics.StarvedJob(u))
 	}
-	return &metrics.Fleet{Unbegun: unbegun, UnbegunAll: s.UnbegunN, Node: n.cfg.Node, Token: l.lease.FencingToken, Since: l.lease.ElectedAt, Sure: l.lease.Valid(),
-		Machines: s.Machines, Tasks: s.Tasks, Jobs: s.Jobs, Late: s.Late, LongestS: s.Longest, LeaseLeftS: s.LeaseLeft, Departures: s.Departures, Pools: warmPoolViews(s.Pools)}
+	return &metrics.Fleet{Unbegun: unbegun, UnbegunAll: s.StarvedTotal, Node: n.cfg.Node, Token: l.lease.FencingToken, Since: l.lease.ElectedAt, Sure: l.lease.Valid(),
+		Machines: s.Machines, Tasks: s.Tasks, Jobs: s.Jobs, Late: s.PastDeadline, LongestS: s.LongestWait, LeaseLeftS: s.LeaseLeft, Departures: s.PriorityInversions, Pools: warmPoolViews(s.Pools)}
 }
 
 // Overview implements mesh.Handler.
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -80,7 +80,7 @@
 		}
 		now := time.Now()
 		l.mu.Lock()
-		workers := l.model.Expecting(now)
+		workers := l.model.ExpectedMachines(now)
 		l.mu.Unlock()
 		var relays []routing.Node
 		n.mu.Lock()
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// StopHeld takes in how long a stop waited until the plan was compared.
-func (s *Set) StopHeld(seconds float64) {
+// PreemptionHeld takes in how long a stop waited until the plan was compared.
+func (s *Set) PreemptionHeld(seconds float64) {
 	if s != nil {
 		s.held.Observe(max(seconds, 0))
 	}
@@ -121,8 +121,8 @@
 	}
 }
 
-// Departed counts a departure from the operators' order.
-func (s *Set) Departed(tier, why string) {
+// PriorityInversion counts a departure from the operators' order.
+func (s *Set) PriorityInversion(tier, why string) {
 	if s != nil {
 		s.departs.WithLabelValues(tier, why).Inc()
 	}
--- a/metrics/overview.go
+++ b/metrics/overview.go
@@ -80,18 +80,18 @@
 	Pools      []Pool             `json:"pools,omitempty"`
 	Departures map[string]uint64  `json:"departures,omitempty"` // from the operators' order
 	// Jobs that can't begin in time: those that wait for longest, and how many.
-	Unbegun    []Unbegun `json:"unbegun"`
-	UnbegunAll int       `json:"unbegun_all"`
+	Unbegun    []StarvedJob `json:"unbegun"`
+	UnbegunAll int          `json:"unbegun_all"`
 }
 
-// Unbegun is a job that can't begin in time.
-type Unbegun struct {
-	ID     string  `json:"id"`
-	Class  string  `json:"class"`
-	Team   string  `json:"team"`
-	Tasks  int     `json:"tasks"`
-	InWay  string  `json:"in_the_way"`
-	WaitsS float64 `json:"waits_s"`
+// StarvedJob is a job that can't begin in time.
+type StarvedJob struct {
+	ID            string  `json:"id"`
+	Class         string  `json:"class"`
+	Team          string  `json:"team"`
+	Tasks         int     `json:"tasks"`
+	BlockedBy     string  `json:"in_the_way"`
+	WaitedSeconds float64 `json:"waits_s"`
 }
 
 // Pool is a warm pool of the operators' plan. Costs are in the catalogue's unit.
@@ -152,7 +152,7 @@
 			row("can't begin in time", "%d jobs", f.UnbegunAll)
 		}
 		for _, u := range f.Unbegun {
-			row("", "%s (%s of %s, %d tasks) waits for %.0f s: %s", u.ID, u.Class, u.Team, u.Tasks, u.WaitsS, u.InWay)
+			row("", "%s (%s of %s, %d tasks) waits for %.0f s: %s", u.ID, u.Class, u.Team, u.Tasks, u.WaitedSeconds, u.BlockedBy)
 		}
 		row("least lease left", "%.1f s", f.LeaseLeftS)
 		if len(f.Departures) > 0 {
--- a/modelcheck/orders.go
+++ b/modelcheck/orders.go
@@ -78,8 +78,8 @@
 	if w.applied%2 == 0 {
 		classes = []string{"craft", "clinic"}
 	}
-	p := &plan.Plan{Order: priority.Settings{Tiers: []priority.Tier{{Name: classes[0], Classes: classes[:1]}, {Name: classes[1], Classes: classes[1:], LongestWaitS: priority.BoundS}}}}
-	m.SetPlan(cluster.Plan{Plan: p, Number: w.applied, Head: v.version}, w.now())
+	p := &plan.Plan{Order: priority.Settings{Tiers: []priority.Tier{{Name: classes[0], Classes: classes[:1]}, {Name: classes[1], Classes: classes[1:], LongestWaitS: priority.StarvationBoundSeconds}}}}
+	m.SetPlan(cluster.Plan{Plan: p, Number: w.applied, HeadVersion: v.version}, w.now())
 }
 
 // plans has the leader plan, and notes by which order what it placed.
--- a/priority/departure.go
+++ b/priority/departure.go
@@ -4,47 +4,47 @@
 
 // This file says where the order was departed from, and why.
 
-// Reason is why a lower tier's task got room that a higher one waits for.
-type Reason uint8
+// InversionReason is why a lower tier's task got room that a higher one waits for.
+type InversionReason uint8
 
 // Reasons. None is a departure that nothing explains: it must not be.
 const (
-	None      Reason = iota
-	Guarantee        // the lower one is within its team's guarantee
-	Priority         // the lower one's priority is higher
-	Bound            // the lower one had to begin by then
-	Share            // its tier had less than its share
-	Wait             // it had waited its tier's longest wait
-	Limit            // the higher one's team is at its limit
-	Zone             // the higher one may not be in that zone, given its other tasks
-	Machine          // the machine's type or kind is not for the higher one, or it stays away from it
-	Gang             // the higher one needs more places at once than there are
-	Pool             // the machine is kept for a warm pool that the higher one may not use
-	Image            // the higher one's image would evict a warm pool's weights
-	Fault            // the higher one fails wherever it is tried, and is given spare room only
+	Unexplained       InversionReason = iota
+	WithinQuota                       // the lower one is within its team's guarantee
+	HigherPriority                    // the lower one's priority is higher
+	StarvationBound                   // the lower one had to begin by then
+	FairShare                         // its tier had less than its share
+	MaxWait                           // it had waited its tier's longest wait
+	QuotaLimit                        // the higher one's team is at its limit
+	ZoneConstraint                    // the higher one may not be in that zone, given its other tasks
+	MachineConstraint                 // the machine's type or kind is not for the higher one, or it stays away from it
+	GangTooLarge                      // the higher one needs more places at once than there are
+	WarmPoolReserved                  // the machine is kept for a warm pool that the higher one may not use
+	WarmPoolCache                     // the higher one's image would evict a warm pool's weights
+	RepeatedFailure                   // the higher one fails wherever it is tried, and is given spare room only
 	reasons
 )
 
 var reasonNames = [reasons]string{"none", "guarantee", "priority", "bound", "share", "wait", "limit", "zone", "machine", "gang", "pool", "image", "fault"}
 
-func (r Reason) String() string { return reasonNames[min(r, reasons-1)] }
+func (r InversionReason) String() string { return reasonNames[min(r, reasons-1)] }
 
-// Departure is a task placed where one of a higher tier could have been.
-type Departure struct {
-	Start  placement.Start
-	Over   int // the request passed over
-	Reason Reason
+// Inversion is a task placed where one of a higher tier could have been.
+type Inversion struct {
+	Start      placement.Start
+	PassedOver int // the request passed over
+	Reason     InversionReason
 }
 
-// Departures compares what a pass started with what still waits. teams is the
+// FindInversions compares what a pass started with what still waits. teams is the
 // teams' use before the pass. A task placed is a departure from the order at most once: over the highest that it was placed
 // before, the one that came first in the line among equals.
-func Departures(reqs []placement.Request, teams []placement.Team, starts []placement.Start, machines []placement.Machine) []Departure {
+func FindInversions(reqs []placement.Request, teams []placement.Team, starts []placement.Start, machines []placement.Machine) []Inversion {
 	line := waiting(reqs, teams, starts)
 	if len(line) == 0 {
 		return nil
 	}
-	var out []Departure
+	var out []Inversion
 	for _, s := range starts {
 		if reqs[s.Request].Phantom {
 			continue
@@ -59,7 +59,7 @@
 			continue
 		}
 		h := &line[best]
-		out = append(out, Departure{s, h.request, reason(reqs, s, h, &machines[s.Machine])})
+		out = append(out, Inversion{s, h.request, reason(reqs, s, h, &machines[s.Machine])})
 	}
 	return out
 }
@@ -95,45 +95,45 @@
 // reason says why a start came before a request that was left. Where the lower
 // one stood ahead in the line, that is why; where it stood behind, something must
 // have kept the higher one from the machine.
-func reason(reqs []placement.Request, s placement.Start, h *left, m *placement.Machine) Reason {
+func reason(reqs []placement.Request, s placement.Start, h *left, m *placement.Machine) InversionReason {
 	low, high := &reqs[s.Request], &reqs[h.request]
 	if s.Request < h.request {
 		switch {
 		case high.Spare && !low.Spare:
-			return Fault
+			return RepeatedFailure
 		case low.Within && !high.Within:
-			return Guarantee
+			return WithinQuota
 		case low.Priority < high.Priority && low.Within == high.Within:
-			return Priority
-		case low.Within == high.Within && low.Priority == high.Priority && low.Cause == uint8(ByWait):
-			return Wait // among those that are owed their beginning by the bound, or not
+			return HigherPriority
+		case low.Within == high.Within && low.Priority == high.Priority && low.Cause == uint8(PromotedByWait):
+			return MaxWait // among those that are owed their beginning by the bound, or not
 		case low.Owed:
 			// Before all of its priority, and at last before higher ones; of two
 			// that are owed, the one whose time is nearer.
-			return Bound
+			return StarvationBound
 		case low.Within != high.Within, low.Priority != high.Priority, high.Owed:
-			return None
-		case low.Cause == uint8(ByShare):
-			return Share
+			return Unexplained
+		case low.Cause == uint8(PromotedByShare):
+			return FairShare
 		}
-		return None
+		return Unexplained
 	}
 	pool, image := m.Refuses(high)
 	switch {
 	case h.limited:
-		return Limit
+		return QuotaLimit
 	case high.Zone >= 0 && high.Zone != m.Zone, high.SpreadMax > 0 && high.ZoneUsed[m.Zone] >= high.SpreadMax:
-		return Zone
+		return ZoneConstraint
 	case !high.Types[m.Type], m.Spot && !high.Spot, high.Avoid[s.Machine]:
-		return Machine
+		return MachineConstraint
 	case pool:
-		return Pool
+		return WarmPoolReserved
 	case image:
-		return Image
+		return WarmPoolCache
 	case high.All:
-		return Gang
+		return GangTooLarge
 	case high.OneZone && high.Zone < 0:
-		return Zone // its tasks went to another
+		return ZoneConstraint // its tasks went to another
 	}
-	return None
+	return Unexplained
 }
--- a/priority/order.go
+++ b/priority/order.go
@@ -8,43 +8,43 @@
 	"slices"
 )
 
-// Order is a checked order in force. The zero value and nil are no order: all
+// Policy is a checked order in force. The zero value and nil are no order: all
 // work is of one tier.
-type Order struct {
+type Policy struct {
 	tiers []Tier
 }
 
 // New makes an order of checked settings, nil if they hold none.
-func New(s *Settings) *Order {
+func New(s *Settings) *Policy {
 	if s.Empty() {
 		return nil
 	}
-	o := &Order{tiers: slices.Clone(s.Tiers)}
+	o := &Policy{tiers: slices.Clone(s.Tiers)}
 	if last := &o.tiers[len(o.tiers)-1]; !last.rest() {
 		o.tiers = append(o.tiers, Tier{Name: restName, LongestWaitS: restWaitS})
 	}
 	return o
 }
 
-// Tiers is how many there are, the rest included; 1 without an order.
-func (o *Order) Tiers() int {
+// NumTiers is how many there are, the rest included; 1 without an order.
+func (o *Policy) NumTiers() int {
 	if o == nil {
 		return 1
 	}
 	return len(o.tiers)
 }
 
-// Name is a tier's name.
-func (o *Order) Name(tier int) string {
+// TierName is a tier's name.
+func (o *Policy) TierName(tier int) string {
 	if o == nil || tier < 0 || tier >= len(o.tiers) {
 		return ""
 	}
 	return o.tiers[tier].Name
 }
 
-// Tier is the tier of a team's work of a class: the first that names it. 0 is
+// TierOf is the tier of a team's work of a class: the first that names it. 0 is
 // served first.
-func (o *Order) Tier(team, class string) int {
+func (o *Policy) TierOf(team, class string) int {
 	if o == nil {
 		return 0
 	}
@@ -56,33 +56,33 @@
 	return len(o.tiers) - 1
 }
 
-// Waiting is a job that waits for room.
-type Waiting struct {
-	Tier   int
-	Tasks  int     // that may start now
-	Whole  bool    // a gang: all of them or none
-	Size   float64 // of a task, as a part of the fleet: of the resource it takes most of
-	Waited float64 // seconds since it was accepted
-	Placed int     // tasks that are on machines, or on their way there
-	Begun  bool    // a task of it has run
+// PendingJob is a job that waits for room.
+type PendingJob struct {
+	Tier          int
+	Tasks         int     // that may start now
+	Gang          bool    // a gang: all of them or none
+	TaskShare     float64 // of a task, as a part of the fleet: of the resource it takes most of
+	WaitedSeconds float64 // seconds since it was accepted
+	Placed        int     // tasks that are on machines, or on their way there
+	Started       bool    // a task of it has run
 }
 
-// Cause is why a job, or some of its tasks, is served before higher tiers.
-type Cause uint8
+// PromotionCause is why a job, or some of its tasks, is served before higher tiers.
+type PromotionCause uint8
 
 // Causes.
 const (
-	ByTier  Cause = iota // it is not: its tier decides
-	ByShare              // its tier has less than its share of the fleet
-	ByWait               // nothing of it runs, and it has waited its tier's longest wait
-	ByTurn               // the same, but it goes before its own tier only: waits have won enough of the fleet
+	NotPromoted     PromotionCause = iota // it is not: its tier decides
+	PromotedByShare                       // its tier has less than its share of the fleet
+	PromotedByWait                        // nothing of it runs, and it has waited its tier's longest wait
+	PromotedInTier                        // the same, but it goes before its own tier only: waits have won enough of the fleet
 )
 
-// Ahead is how many of a job's tasks are served before higher tiers, or before
+// Promotion is how many of a job's tasks are served before higher tiers, or before
 // their own (ByTurn), and why.
-type Ahead struct {
+type Promotion struct {
 	Tasks int
-	Cause Cause
+	Cause PromotionCause
 }
 
 // Promote says what of the waiting work is served before higher tiers, for each
@@ -95,8 +95,8 @@
 // can ever be done, everything has waited for long at last; so that the order is
 // not turned round then, waits bring a tier on only while it and those after it
 // have less than half of the fleet, the next less than a quarter, and so on.
-func (o *Order) Promote(waiting []Waiting, booked []float64) []Ahead {
-	out := make([]Ahead, len(waiting))
+func (o *Policy) Promote(waiting []PendingJob, booked []float64) []Promotion {
+	out := make([]Promotion, len(waiting))
 	if o == nil {
 		return out
 	}
@@ -106,58 +106,58 @@
 	for _, begun := range []bool{false, true} {
 		for i := range waiting {
 			w := &waiting[i]
-			if w.Begun != begun || !o.owed(w) {
+			if w.Started != begun || !o.owed(w) {
 				continue
 			}
-			out[i] = Ahead{1, ByWait}
-			if w.Whole {
+			out[i] = Promotion{1, PromotedByWait}
+			if w.Gang {
 				out[i].Tasks = w.Tasks
 			}
 			if below(has, w.Tier) >= waitsMost(w.Tier) {
-				out[i].Cause = ByTurn
+				out[i].Cause = PromotedInTier
 				continue
 			}
-			has[w.Tier] += float64(out[i].Tasks) * w.Size
+			has[w.Tier] += float64(out[i].Tasks) * w.TaskShare
 		}
 	}
 	for i := range waiting {
 		w := &waiting[i]
-		if w.Tier <= 0 || w.Tier >= len(o.tiers) || w.Size <= 0 {
+		if w.Tier <= 0 || w.Tier >= len(o.tiers) || w.TaskShare <= 0 {
 			continue
 		}
 		share, more := o.tiers[w.Tier].Share, w.Tasks
-		if out[i].Cause == ByWait {
+		if out[i].Cause == PromotedByWait {
 			more -= out[i].Tasks
 		}
 		lacks := share - has[w.Tier]
-		if lacks <= 1e-9 || more <= 0 || w.Whole && float64(w.Tasks)*w.Size > lacks+share {
+		if lacks <= 1e-9 || more <= 0 || w.Gang && float64(w.Tasks)*w.TaskShare > lacks+share {
 			continue // or a gang that would take far more than the share: its wait brings it on
 		}
-		if !w.Whole {
-			more = min(more, int(lacks/w.Size)+1)
+		if !w.Gang {
+			more = min(more, int(lacks/w.TaskShare)+1)
 		}
-		has[w.Tier] += float64(more) * w.Size
-		if out[i].Cause == ByWait {
+		has[w.Tier] += float64(more) * w.TaskShare
+		if out[i].Cause == PromotedByWait {
 			out[i].Tasks += more
 			continue
 		}
-		out[i] = Ahead{more, ByShare}
+		out[i] = Promotion{more, PromotedByShare}
 	}
 	return out
 }
 
-// LongestWait is after how many seconds a job of the tier goes before higher ones;
+// MaxWaitSeconds is after how many seconds a job of the tier goes before higher ones;
 // 0: it never does for having waited.
-func (o *Order) LongestWait(tier int) float64 { return o.tiers[tier].LongestWaitS }
+func (o *Policy) MaxWaitSeconds(tier int) float64 { return o.tiers[tier].LongestWaitS }
 
 // owed says whether a job has waited its tier's longest wait, with nothing of it
 // running.
-func (o *Order) owed(w *Waiting) bool {
+func (o *Policy) owed(w *PendingJob) bool {
 	if w.Tier <= 0 || w.Tier >= len(o.tiers) || w.Tasks <= 0 || w.Placed > 0 {
 		return false
 	}
 	longest := o.tiers[w.Tier].LongestWaitS
-	return longest > 0 && w.Waited >= longest
+	return longest > 0 && w.WaitedSeconds >= longest
 }
 
 // waitsMost is how much of the fleet waits may win for a tier and those after it.
--- a/priority/order_test.go
+++ b/priority/order_test.go
@@ -13,9 +13,9 @@
 
 // fleet is a random fleet, what runs on it and what waits.
 type fleet struct {
-	o       *Order
+	o       *Policy
 	in      placement.Input
-	waiting []Waiting
+	waiting []PendingJob
 	booked  []float64
 }
 
@@ -23,9 +23,9 @@
 	n := func(label string, lo, hi int) int { return rapid.IntRange(lo, hi).Draw(t, label) }
 	f := &fleet{o: New(&Settings{Tiers: []Tier{{Name: "clinic", Classes: []string{"c0"}},
 		{Name: "school", Classes: []string{"c1"}, Share: float64(n("share", 0, 40)) / 100, LongestWaitS: 100},
-		{Name: "craft", Classes: []string{"c2"}, LongestWaitS: float64(n("wait", 100, BoundS))}}})}
+		{Name: "craft", Classes: []string{"c2"}, LongestWaitS: float64(n("wait", 100, StarvationBoundSeconds))}}})}
 	const zones, types, teams = 2, 2, 2
-	f.booked = make([]float64, f.o.Tiers())
+	f.booked = make([]float64, f.o.NumTiers())
 	for i := range n("machines", 1, 8) {
 		m := placement.Machine{Name: fmt.Sprint(i), Type: n("type", 0, types-1), Zone: n("zone", 0, zones-1), Spot: rapid.Bool().Draw(t, "spot"),
 			Ready: n("ready", 0, 5) > 0, Cap: placement.Res{CPU: 16, Mem: 64}, FetchRate: 1}
@@ -56,9 +56,9 @@
 		if n("avoid", 0, 3) == 0 {
 			r.Avoid = map[int]bool{0: true}
 		}
-		r.Standing = placement.Standing{Tier: f.o.Tier("any", fmt.Sprint("c", n("class", 0, 3))), Owed: n("owed", 0, 5) == 0}
+		r.Standing = placement.Standing{Tier: f.o.TierOf("any", fmt.Sprint("c", n("class", 0, 3))), Owed: n("owed", 0, 5) == 0}
 		f.in.Requests = append(f.in.Requests, r)
-		f.waiting = append(f.waiting, Waiting{Tier: r.Tier, Tasks: len(r.Tasks), Whole: r.All, Size: r.Need.CPU / 64, Waited: float64(n("waited", 0, 300)), Begun: rapid.Bool().Draw(t, "begun")})
+		f.waiting = append(f.waiting, PendingJob{Tier: r.Tier, Tasks: len(r.Tasks), Gang: r.All, TaskShare: r.Need.CPU / 64, WaitedSeconds: float64(n("waited", 0, 300)), Started: rapid.Bool().Draw(t, "begun")})
 	}
 	return f
 }
@@ -75,7 +75,7 @@
 		switch {
 		case !tiers:
 			return 0
-		case r.Cause == uint8(ByShare) || r.Cause == uint8(ByWait):
+		case r.Cause == uint8(PromotedByShare) || r.Cause == uint8(PromotedByWait):
 			return -1
 		}
 		return r.Tier
@@ -106,22 +106,22 @@
 	return 1
 }
 
-func (f *fleet) pass() []Departure {
+func (f *fleet) pass() []Inversion {
 	teams := slices.Clone(f.in.Teams)
 	plan := placement.Make(&f.in)
-	return Departures(f.in.Requests, teams, plan.Starts, f.in.Machines)
+	return FindInversions(f.in.Requests, teams, plan.Starts, f.in.Machines)
 }
 
 // Whatever the fleet, what waits and the order: each departure has a reason.
 func TestNoDepartureWithoutAReason(t *testing.T) {
-	seen := map[Reason]int{}
+	seen := map[InversionReason]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		f := draw(t)
 		f.line(true)
 		for _, d := range f.pass() {
 			seen[d.Reason]++
-			if d.Reason == None {
-				t.Fatalf("%+v before %+v on %+v", f.in.Requests[d.Start.Request], f.in.Requests[d.Over], f.in.Machines[d.Start.Machine])
+			if d.Reason == Unexplained {
+				t.Fatalf("%+v before %+v on %+v", f.in.Requests[d.Start.Request], f.in.Requests[d.PassedOver], f.in.Machines[d.Start.Machine])
 			}
 		}
 	})
@@ -135,7 +135,7 @@
 		f := rapid.Custom(draw).Example(seed)
 		f.line(false)
 		for _, d := range f.pass() {
-			if d.Reason == None {
+			if d.Reason == Unexplained {
 				found++
 			}
 		}
@@ -156,22 +156,22 @@
 		ahead := f.o.Promote(f.waiting, f.booked)
 		has := slices.Clone(f.booked)
 		for i, a := range ahead {
-			if a.Cause != ByTurn {
-				has[f.waiting[i].Tier] += float64(a.Tasks) * f.waiting[i].Size
+			if a.Cause != PromotedInTier {
+				has[f.waiting[i].Tier] += float64(a.Tasks) * f.waiting[i].TaskShare
 			}
 		}
 		for i, a := range ahead {
 			w := &f.waiting[i]
 			tier := &f.o.tiers[w.Tier]
-			due := w.Tier > 0 && tier.LongestWaitS > 0 && w.Waited >= tier.LongestWaitS && w.Placed == 0
+			due := w.Tier > 0 && tier.LongestWaitS > 0 && w.WaitedSeconds >= tier.LongestWaitS && w.Placed == 0
 			switch {
-			case a.Tasks > 0 && w.Tier == 0, a.Tasks > w.Tasks, w.Whole && a.Tasks != 0 && a.Tasks != w.Tasks:
+			case a.Tasks > 0 && w.Tier == 0, a.Tasks > w.Tasks, w.Gang && a.Tasks != 0 && a.Tasks != w.Tasks:
 				t.Fatalf("%+v: %+v", w, a)
-			case due && (a.Tasks == 0 || a.Cause == ByTurn && below(has, w.Tier) < waitsMost(w.Tier)):
+			case due && (a.Tasks == 0 || a.Cause == PromotedInTier && below(has, w.Tier) < waitsMost(w.Tier)):
 				t.Fatalf("%+v has waited for its %g s and is not owed a beginning", w, tier.LongestWaitS)
 			case !due && a.Tasks > 0 && f.booked[w.Tier] >= tier.Share:
 				t.Fatalf("%+v has its share and is given %+v", w, a)
-			case !due && a.Tasks > 0 && !w.Whole && has[w.Tier] > 2*tier.Share+w.Size && float64(a.Tasks-1)*w.Size > tier.Share:
+			case !due && a.Tasks > 0 && !w.Gang && has[w.Tier] > 2*tier.Share+w.TaskShare && float64(a.Tasks-1)*w.TaskShare > tier.Share:
 				t.Fatalf("%+v is given %+v, its tier then has %g of %g", w, a, has[w.Tier], tier.Share)
 			}
 		}
@@ -208,10 +208,10 @@
 		t.Error(errs)
 	}
 	o := New(good)
-	if o.Tier("north", "slicing") != 0 || o.Tier("north", "print") != 1 || o.Tier("guild", "print") != 2 || o.Tiers() != 3 {
+	if o.TierOf("north", "slicing") != 0 || o.TierOf("north", "print") != 1 || o.TierOf("guild", "print") != 2 || o.NumTiers() != 3 {
 		t.Error("work is not of the first tier that names it")
 	}
-	if New(&Settings{}) != nil || (*Order)(nil).Tier("north", "slicing") != 0 {
+	if New(&Settings{}) != nil || (*Policy)(nil).TierOf("north", "slicing") != 0 {
 		t.Error("no settings are an order")
 	}
 }
--- a/priority/record.go
+++ b/priority/record.go
@@ -7,30 +7,30 @@
 
 // This file is what is recorded of departures.
 
-// Record is how often and why the order was departed from, counted by whoever
+// InversionLog is how often and why the order was departed from, counted by whoever
 // led, and the last of it. It is bounded.
-type Record struct {
-	Counts map[string]uint64 `msgpack:"n"` // by Passed.Key
-	Last   []Passed          `msgpack:"l"` // oldest first
-	Plan   int               `msgpack:"p"` // the version of the plan that was last departed from
-	Fleet  [3]float64        `msgpack:"f"` // what shares were counted of: CPUs, GPUs, memory in GB
+type InversionLog struct {
+	Counts      map[string]uint64 `msgpack:"n"` // by Passed.Key
+	Recent      []InversionEvent  `msgpack:"l"` // oldest first
+	PlanVersion int               `msgpack:"p"` // the version of the plan that was last departed from
+	Capacity    [3]float64        `msgpack:"f"` // what shares were counted of: CPUs, GPUs, memory in GB
 }
 
 // Clone is a copy that does not change with the record.
-func (r *Record) Clone() Record {
+func (r *InversionLog) Clone() InversionLog {
 	c := *r
-	c.Counts, c.Last = maps.Clone(r.Counts), slices.Clone(r.Last)
+	c.Counts, c.Recent = maps.Clone(r.Counts), slices.Clone(r.Recent)
 	return c
 }
 
-// Passed is one departure.
-type Passed struct {
-	AtMs     int64  `msgpack:"at"`
-	Job      string `msgpack:"j"`
-	Tier     string `msgpack:"t"`
-	Over     string `msgpack:"o"`
-	OverTier string `msgpack:"ot"`
-	Reason   string `msgpack:"r"`
+// InversionEvent is one departure.
+type InversionEvent struct {
+	AtMs           int64  `msgpack:"at"`
+	Job            string `msgpack:"j"`
+	Tier           string `msgpack:"t"`
+	PassedOver     string `msgpack:"o"`
+	PassedOverTier string `msgpack:"ot"`
+	Reason         string `msgpack:"r"`
 }
 
 const (
@@ -39,34 +39,36 @@
 )
 
 // Key is what a departure is counted under: the tier passed over, and why.
-func (p *Passed) Key() string { return p.OverTier + ": " + p.Reason }
+func (p *InversionEvent) Key() string { return p.PassedOverTier + ": " + p.Reason }
 
-// Note counts a departure and keeps the last ones, of each pair of jobs and
+// Add counts a departure and keeps the last ones, of each pair of jobs and
 // reason the latest only.
-func (r *Record) Note(p Passed) {
+func (r *InversionLog) Add(p InversionEvent) {
 	if r.Counts == nil {
 		r.Counts = map[string]uint64{}
 	}
 	if _, ok := r.Counts[p.Key()]; ok || len(r.Counts) < countsKept {
 		r.Counts[p.Key()]++
 	}
-	r.Last = slices.DeleteFunc(r.Last, func(o Passed) bool { return o.Job == p.Job && o.Over == p.Over && o.Reason == p.Reason })
-	r.Last = append(r.Last, p)
-	if n := len(r.Last); n > lastKept {
-		r.Last = slices.Delete(r.Last, 0, n-lastKept)
+	r.Recent = slices.DeleteFunc(r.Recent, func(o InversionEvent) bool {
+		return o.Job == p.Job && o.PassedOver == p.PassedOver && o.Reason == p.Reason
+	})
+	r.Recent = append(r.Recent, p)
+	if n := len(r.Recent); n > lastKept {
+		r.Recent = slices.Delete(r.Recent, 0, n-lastKept)
 	}
 }
 
 // Merge takes in what earlier leaders counted.
-func (r *Record) Merge(o Record) {
-	if r.Fleet == ([3]float64{}) {
-		r.Plan, r.Fleet = o.Plan, o.Fleet
+func (r *InversionLog) Merge(o InversionLog) {
+	if r.Capacity == ([3]float64{}) {
+		r.PlanVersion, r.Capacity = o.PlanVersion, o.Capacity
 	}
-	last := r.Last
-	r.Last = slices.Clone(o.Last)
-	r.Last = append(r.Last, last...)
-	if n := len(r.Last); n > lastKept {
-		r.Last = slices.Delete(r.Last, 0, n-lastKept)
+	last := r.Recent
+	r.Recent = slices.Clone(o.Recent)
+	r.Recent = append(r.Recent, last...)
+	if n := len(r.Recent); n > lastKept {
+		r.Recent = slices.Delete(r.Recent, 0, n-lastKept)
 	}
 	for k, n := range o.Counts {
 		if r.Counts == nil {
@@ -78,10 +80,10 @@
 	}
 }
 
-// Over lists the last departures at a job's cost.
-func (r *Record) Over(job string) (out []Passed) {
-	for _, p := range r.Last {
-		if p.Over == job {
+// PassingOver lists the last departures at a job's cost.
+func (r *InversionLog) PassingOver(job string) (out []InversionEvent) {
+	for _, p := range r.Recent {
+		if p.PassedOver == job {
 			out = append(out, p)
 		}
 	}
--- a/priority/settings.go
+++ b/priority/settings.go
@@ -27,8 +27,8 @@
 const (
 	maxTiers = 16
 	maxNames = 200 // teams or classes of a tier
-	// BoundS is within how many seconds every job has to begin, whatever the order.
-	BoundS = 240
+	// StarvationBoundSeconds is within how many seconds every job has to begin, whatever the order.
+	StarvationBoundSeconds = 240
 	// The rest, where no tier is given for it, waits for no longer than this.
 	restName  = "the rest"
 	restWaitS = 180
@@ -154,8 +154,8 @@
 	if !(t.Share >= 0 && t.Share <= sharesMost) {
 		bad("%s.share must be from 0 to %g", at, sharesMost)
 	}
-	if !(t.LongestWaitS >= 0 && t.LongestWaitS <= BoundS) {
-		bad("%s.longest_wait_s must be from 0 to %d, within which every job has to begin", at, BoundS)
+	if !(t.LongestWaitS >= 0 && t.LongestWaitS <= StarvationBoundSeconds) {
+		bad("%s.longest_wait_s must be from 0 to %d, within which every job has to begin", at, StarvationBoundSeconds)
 	}
 	if i == 0 {
 		if t.Share != 0 || t.LongestWaitS != 0 {
--- a/snapshot/pools.go
+++ b/snapshot/pools.go
@@ -23,7 +23,7 @@
 	}
 	for i := range all {
 		for _, why := range all[i].Audit() {
-			v.say(jobstore.Notes+warmpool.NoteName(all[i].Name), "%s", why)
+			v.say(jobstore.Notes+warmpool.RecordName(all[i].Name), "%s", why)
 		}
 	}
 }
--- a/warmpool/account.go
+++ b/warmpool/account.go
@@ -15,31 +15,31 @@
 // Charge is what a team owes: milliseconds of machines, and money in millionths
 // of the catalogue's unit.
 type Charge struct {
-	Ms    int64 `msgpack:"s"`
-	Micro int64 `msgpack:"m"`
+	Ms     int64 `msgpack:"s"`
+	Micros int64 `msgpack:"m"`
 }
 
-func (c Charge) add(o Charge) Charge { return Charge{c.Ms + o.Ms, c.Micro + o.Micro} }
+func (c Charge) add(o Charge) Charge { return Charge{c.Ms + o.Ms, c.Micros + o.Micros} }
 
-// Part is a team's share of a machine, in thousandths: of that resource of which
+// TeamShare is a team's share of a machine, in thousandths: of that resource of which
 // it books the most.
-type Part struct {
-	Team  string `msgpack:"t"`
-	Share int    `msgpack:"p"`
+type TeamShare struct {
+	Team     string `msgpack:"t"`
+	PerMille int    `msgpack:"p"`
 }
 
 // Member is a machine of a pool. Its open span began when the shard's last span
 // ended, or when it joined if that was later.
 type Member struct {
-	Machine string `msgpack:"m"`
-	Zone    string `msgpack:"z,omitempty"`
-	SinceMs int64  `msgpack:"s"`           // when it joined
-	Rate    int64  `msgpack:"r"`           // millionths an hour, in the open span
-	Parts   []Part `msgpack:"b,omitempty"` // in the open span
-	Session uint64 `msgpack:"v,omitempty"` // of its worker when it was last seen with weights
-	Warm    int    `msgpack:"i,omitempty"` // number of the pool's image whose weights it has; 0: none
-	Leaving bool   `msgpack:"l,omitempty"` // no more wanted: to be returned, unless it is used first
-	Cost    Charge `msgpack:"c"`           // of its spans that are over
+	Machine     string      `msgpack:"m"`
+	Zone        string      `msgpack:"z,omitempty"`
+	SinceMs     int64       `msgpack:"s"`           // when it joined
+	HourlyRate  int64       `msgpack:"r"`           // millionths an hour, in the open span
+	Shares      []TeamShare `msgpack:"b,omitempty"` // in the open span
+	Session     uint64      `msgpack:"v,omitempty"` // of its worker when it was last seen with weights
+	WarmVersion int         `msgpack:"i,omitempty"` // number of the pool's image whose weights it has; 0: none
+	Leaving     bool        `msgpack:"l,omitempty"` // no more wanted: to be returned, unless it is used first
+	Cost        Charge      `msgpack:"c"`           // of its spans that are over
 }
 
 // Shard is a part of a pool's machines with their account, as it is committed:
@@ -47,14 +47,14 @@
 // beyond; a leader that begins where the one before ended leaves no gap and
 // charges nothing twice.
 type Shard struct {
-	AtMs    int64             `msgpack:"a"`
-	Members []Member          `msgpack:"m,omitempty"`
-	Teams   map[string]Charge `msgpack:"t,omitempty"`
-	Closed  Charge            `msgpack:"c"` // of machines that have left
-	Hits    int64             `msgpack:"h,omitempty"`
-	Misses  int64             `msgpack:"x,omitempty"`
-	Ceded   int64             `msgpack:"d,omitempty"` // tasks of higher tiers that took room
-	Why     string            `msgpack:"w,omitempty"` // the last of those, and why
+	AtMs           int64             `msgpack:"a"`
+	Members        []Member          `msgpack:"m,omitempty"`
+	Teams          map[string]Charge `msgpack:"t,omitempty"`
+	ClosedCost     Charge            `msgpack:"c"` // of machines that have left
+	Hits           int64             `msgpack:"h,omitempty"`
+	Misses         int64             `msgpack:"x,omitempty"`
+	Preemptions    int64             `msgpack:"d,omitempty"` // tasks of higher tiers that took room
+	LastPreemption string            `msgpack:"w,omitempty"` // the last of those, and why
 }
 
 // ShardSize is how many machines one record holds.
@@ -84,20 +84,20 @@
 	if ms <= 0 {
 		return
 	}
-	whole := Charge{Ms: ms, Micro: money(ms, m.Rate)}
+	whole := Charge{Ms: ms, Micros: money(ms, m.HourlyRate)}
 	rest := whole
 	if s.Teams == nil {
 		s.Teams = map[string]Charge{}
 	}
-	for _, p := range m.Parts {
+	for _, p := range m.Shares {
 		// Never more than is left, whatever the shares sum to.
-		part := Charge{Ms: min(rest.Ms, ms*int64(p.Share)/1000)}
-		part.Micro = min(rest.Micro, money(part.Ms, m.Rate))
+		part := Charge{Ms: min(rest.Ms, ms*int64(p.PerMille)/1000)}
+		part.Micros = min(rest.Micros, money(part.Ms, m.HourlyRate))
 		if part == (Charge{}) || p.Team == payer {
 			continue
 		}
 		s.Teams[p.Team] = s.Teams[p.Team].add(part)
-		rest = Charge{rest.Ms - part.Ms, rest.Micro - part.Micro}
+		rest = Charge{rest.Ms - part.Ms, rest.Micros - part.Micros}
 	}
 	s.Teams[payer] = s.Teams[payer].add(rest)
 	m.Cost = m.Cost.add(whole)
@@ -109,8 +109,8 @@
 	return ms/hour*rate + ms%hour*rate/hour
 }
 
-// Micro is a price in millionths.
-func Micro(price float64) int64 { return int64(math.Round(price * 1e6)) }
+// ToMicros is a price in millionths.
+func ToMicros(price float64) int64 { return int64(math.Round(price * 1e6)) }
 
 // Join takes a machine in, from a time on that may lie before the last settling:
 // its boot is paid for too. It must not be in the shard.
@@ -127,20 +127,20 @@
 		return false
 	}
 	s.settle(m, nowMs, payer)
-	s.Closed = s.Closed.add(m.Cost)
+	s.ClosedCost = s.ClosedCost.add(m.Cost)
 	s.Members = slices.DeleteFunc(s.Members, func(o Member) bool { return o.Machine == machine })
 	return true
 }
 
-// Book says who books how much of a machine at which price from now on. What was
+// SetShares says who books how much of a machine at which price from now on. What was
 // so far is settled first if it differs.
-func (s *Shard) Book(m *Member, parts []Part, rate int64, nowMs int64, payer string) bool {
-	if m.Rate == rate && slices.Equal(m.Parts, parts) {
+func (s *Shard) SetShares(m *Member, parts []TeamShare, rate int64, nowMs int64, payer string) bool {
+	if m.HourlyRate == rate && slices.Equal(m.Shares, parts) {
 		return false
 	}
 	// All of the shard's spans end, so that one time says where all begin.
 	s.Settle(nowMs, payer)
-	m.Rate, m.Parts = rate, parts
+	m.HourlyRate, m.Shares = rate, parts
 	return true
 }
 
@@ -153,8 +153,8 @@
 	return &s.Members[i]
 }
 
-// Copy is a shard that does not change with this one.
-func (s *Shard) Copy() *Shard {
+// Clone is a shard that does not change with this one.
+func (s *Shard) Clone() *Shard {
 	c := *s
 	c.Members, c.Teams = slices.Clone(s.Members), maps.Clone(s.Teams)
 	return &c
@@ -168,7 +168,7 @@
 		for t, c := range shards[i].Teams {
 			teams[t] = teams[t].add(c)
 		}
-		machines = machines.add(shards[i].Closed)
+		machines = machines.add(shards[i].ClosedCost)
 		for k := range shards[i].Members {
 			machines = machines.add(shards[i].Members[k].Cost)
 		}
--- a/warmpool/choose.go
+++ b/warmpool/choose.go
@@ -9,26 +9,26 @@
 
 // This file says which machines a pool takes, fills and lets go.
 
-// Seen is a machine as the leader sees it: one of the pool's, or one that is free
+// Observation is a machine as the leader sees it: one of the pool's, or one that is free
 // and of the pool's types and zones.
-type Seen struct {
-	Machine string
-	Zone    string
-	Warm    bool // has the weights
-	Ready   bool // can take work now
-	Booting bool // should be up soon
-	Used    bool // work is on it
-	Serving bool // replicas of the model are, and nothing else is
-	Filling bool // fetches the weights
-	Leaving bool // was let go, and is not yet returned
+type Observation struct {
+	Machine  string
+	Zone     string
+	Warm     bool // has the weights
+	Ready    bool // can take work now
+	Booting  bool // should be up soon
+	Busy     bool // work is on it
+	Serving  bool // replicas of the model are, and nothing else is
+	Fetching bool // fetches the weights
+	Leaving  bool // was let go, and is not yet returned
 }
 
 // counts says whether a machine counts as held: one that is silent, noticed or
 // gone serves nobody, and is replaced at once.
-func (s *Seen) counts() bool { return (s.Ready || s.Booting) && !s.Leaving }
+func (s *Observation) counts() bool { return (s.Ready || s.Booting) && !s.Leaving }
 
-// Held is how many of a pool's machines count as held.
-func Held(own []Seen) int {
+// CountHeld is how many of a pool's machines count as held.
+func CountHeld(own []Observation) int {
 	n := 0
 	for i := range own {
 		if own[i].counts() {
@@ -38,19 +38,19 @@
 	return n
 }
 
-// Change is what a pool does next.
-type Change struct {
-	Join    []string       // free machines that become the pool's
-	Stay    []string       // machines that had been let go, and are wanted again
-	Release []string       // to be returned, once they are empty
-	Drop    []string       // leave the pool as they are: it can't pay for them
-	Rent    map[string]int // by zone
+// ScalingPlan is what a pool does next.
+type ScalingPlan struct {
+	Join     []string       // free machines that become the pool's
+	Retain   []string       // machines that had been let go, and are wanted again
+	Release  []string       // to be returned, once they are empty
+	Evict    []string       // leave the pool as they are: it can't pay for them
+	ScaleOut map[string]int // by zone
 }
 
-// Choose compares a pool's machines with how many it aims at. affords is how many
+// PlanScaling compares a pool's machines with how many it aims at. affords is how many
 // it can pay for; what is beyond leaves at once, whatever runs there.
-func (p *Pool) Choose(own, free []Seen, aim, affords int) Change {
-	var c Change
+func (p *Pool) PlanScaling(own, free []Observation, aim, affords int) ScalingPlan {
+	var c ScalingPlan
 	held := map[string]int{} // by zone
 	n := 0
 	for i := range own {
@@ -63,7 +63,7 @@
 	if n > aim {
 		// The zone that has most gives first, then what has no weights.
 		for n > aim {
-			i := p.pick(own, func(s *Seen) bool { return s.counts() && !s.Used }, func(s *Seen) int {
+			i := p.pick(own, func(s *Observation) bool { return s.counts() && !s.Busy }, func(s *Observation) int {
 				return -10*held[s.Zone] + rank(s.Warm, s.Ready)
 			})
 			if i < 0 {
@@ -75,32 +75,32 @@
 			c.Release = append(c.Release, own[i].Machine)
 		}
 		for n > affords {
-			i := p.pick(own, (*Seen).counts, func(s *Seen) int { return -10*held[s.Zone] + rank(s.Warm, s.Serving) })
+			i := p.pick(own, (*Observation).counts, func(s *Observation) int { return -10*held[s.Zone] + rank(s.Warm, s.Serving) })
 			if i < 0 {
 				break
 			}
 			own[i].Leaving = true
 			held[own[i].Zone]--
 			n--
-			c.Drop = append(c.Drop, own[i].Machine)
+			c.Evict = append(c.Evict, own[i].Machine)
 		}
 		return c
 	}
 	for n < aim {
-		i := p.pick(own, func(s *Seen) bool { return s.Leaving && s.Ready }, func(s *Seen) int { return 10*held[s.Zone] - rank(s.Warm, s.Ready) })
+		i := p.pick(own, func(s *Observation) bool { return s.Leaving && s.Ready }, func(s *Observation) int { return 10*held[s.Zone] - rank(s.Warm, s.Ready) })
 		if i < 0 {
 			break
 		}
 		own[i].Leaving = false
 		held[own[i].Zone]++
 		n++
-		c.Stay = append(c.Stay, own[i].Machine)
+		c.Retain = append(c.Retain, own[i].Machine)
 	}
 	free = slices.Clone(free)
 	// Where replicas run anyhow, the weights are there already; else an empty
 	// machine is filled. One that boots may be for work that waits.
 	for n < aim {
-		i := p.pick(free, func(s *Seen) bool { return s.Ready && !s.Leaving && (!s.Used || s.Serving && s.Warm) }, func(s *Seen) int {
+		i := p.pick(free, func(s *Observation) bool { return s.Ready && !s.Leaving && (!s.Busy || s.Serving && s.Warm) }, func(s *Observation) int {
 			return 10*held[s.Zone] - 1000*rank(s.Warm, false)
 		})
 		if i < 0 {
@@ -120,10 +120,10 @@
 	}
 	for k := n + coming; k < aim && len(p.Zones) > 0; k++ {
 		z := slices.MinFunc(p.Zones, func(a, b string) int { return cmp.Compare(held[a], held[b]) })
-		if c.Rent == nil {
-			c.Rent = map[string]int{}
+		if c.ScaleOut == nil {
+			c.ScaleOut = map[string]int{}
 		}
-		c.Rent[z]++
+		c.ScaleOut[z]++
 		held[z]++
 	}
 	return c
@@ -141,7 +141,7 @@
 }
 
 // pick is the first of the cheapest that will do, or -1.
-func (p *Pool) pick(all []Seen, ok func(*Seen) bool, cost func(*Seen) int) int {
+func (p *Pool) pick(all []Observation, ok func(*Observation) bool, cost func(*Observation) int) int {
 	best, least := -1, 0
 	for i := range all {
 		if !ok(&all[i]) {
@@ -154,56 +154,56 @@
 	return best
 }
 
-// Fill says which of a pool's machines fetch the weights next, so that no more
+// NextFetches says which of a pool's machines fetch the weights next, so that no more
 // than AtOnce do at the same time and the zones are filled alike.
-func (p *Pool) Fill(own []Seen) []string {
-	room := p.AtOnce()
+func (p *Pool) NextFetches(own []Observation) []string {
+	room := p.MaxConcurrentFetches()
 	warm := map[string]int{}
 	for i := range own {
-		if own[i].Filling {
+		if own[i].Fetching {
 			room--
 		}
-		if own[i].Warm || own[i].Filling {
+		if own[i].Warm || own[i].Fetching {
 			warm[own[i].Zone]++
 		}
 	}
 	own = slices.Clone(own)
 	var out []string
 	for len(out) < room {
-		i := p.pick(own, func(s *Seen) bool { return s.Ready && !s.Leaving && !s.Warm && !s.Filling },
-			func(s *Seen) int { return warm[s.Zone] })
+		i := p.pick(own, func(s *Observation) bool { return s.Ready && !s.Leaving && !s.Warm && !s.Fetching },
+			func(s *Observation) int { return warm[s.Zone] })
 		if i < 0 {
 			break
 		}
-		own[i].Filling = true
+		own[i].Fetching = true
 		warm[own[i].Zone]++
 		out = append(out, own[i].Machine)
 	}
 	return out
 }
 
-// Work is what a job looks like to a pool.
-type Work struct {
-	Image   string
-	Team    string
-	Rank    int // its priority, 0 being the highest
-	Tier    int // of the operators' order, 0 being served first
-	Gang    bool
-	SavesS  float64 // how long it takes to save when it is stopped
-	CanSave bool
-	ModelOf int // rank of the model's replicas
-	ModelIn int // and their tier
+// Workload is what a job looks like to a pool.
+type Workload struct {
+	Image             string
+	Team              string
+	Priority          int // its priority, 0 being the highest
+	Tier              int // of the operators' order, 0 being served first
+	Gang              bool
+	CheckpointSeconds float64 // how long it takes to save when it is stopped
+	Checkpoints       bool
+	ModelPriority     int // rank of the model's replicas
+	ModelTier         int // and their tier
 }
 
-// May says what work may do with the pool's machines. What borrows has to give way
+// Access says what work may do with the pool's machines. What borrows has to give way
 // to replicas by the rules of priorities, and within the time that a burst leaves.
-func (p *Pool) May(w *Work) placement.Use {
+func (p *Pool) Access(w *Workload) placement.Use {
 	switch {
-	case p.Serves(w.Image) && p.Lends(w.Team):
+	case p.Serves(w.Image) && p.AllowsTeam(w.Team):
 		return placement.Own
-	case w.Tier < w.ModelIn || w.Tier == w.ModelIn && w.Rank < w.ModelOf:
+	case w.Tier < w.ModelTier || w.Tier == w.ModelTier && w.Priority < w.ModelPriority:
 		return placement.Last
-	case p.Lends(w.Team) && !w.Gang && w.Rank > w.ModelOf && w.CanSave && w.SavesS <= p.Burst.WithinS:
+	case p.AllowsTeam(w.Team) && !w.Gang && w.Priority > w.ModelPriority && w.Checkpoints && w.CheckpointSeconds <= p.Burst.WithinS:
 		return placement.Lent
 	}
 	return placement.Never
--- a/warmpool/pools.go
+++ b/warmpool/pools.go
@@ -13,20 +13,20 @@
 
 // Pool is what the operators' plan says of one pool.
 type Pool struct {
-	Name      string   `toml:"name" msgpack:"n"`
-	Model     string   `toml:"model" msgpack:"m"`                   // image of the weights; a tag after ':' may change
-	GB        float64  `toml:"gb" msgpack:"g"`                      // size of that image
-	Types     []string `toml:"types" msgpack:"t"`                   // machine types
-	Zones     []string `toml:"zones" msgpack:"z"`                   // over which the machines are spread
-	Spot      bool     `toml:"spot" msgpack:"s,omitempty"`          // spot machines will do
-	Least     int      `toml:"least" msgpack:"l"`                   // machines, at any hour
-	Most      int      `toml:"most" msgpack:"x"`                    // machines
-	Burst     Burst    `toml:"burst" msgpack:"b"`                   // what the pool is for
-	Warm      float64  `toml:"warm" msgpack:"w,omitempty"`          // share of the hours' peaks that finds weights; 0: 0.9
-	PerHour   float64  `toml:"cost_an_hour" msgpack:"c"`            // the most that the machines may cost together
-	Payer     string   `toml:"payer" msgpack:"p"`                   // team that pays while nobody books
-	Borrowers []string `toml:"borrowers" msgpack:"o,omitempty"`     // teams whose work may use the machines, and pays for it
-	FetchAt   int      `toml:"fetch_at_once" msgpack:"f,omitempty"` // machines that fetch at the same time; 0: an eighth of most
+	Name              string   `toml:"name" msgpack:"n"`
+	Model             string   `toml:"model" msgpack:"m"`                   // image of the weights; a tag after ':' may change
+	WeightsGB         float64  `toml:"gb" msgpack:"g"`                      // size of that image
+	Types             []string `toml:"types" msgpack:"t"`                   // machine types
+	Zones             []string `toml:"zones" msgpack:"z"`                   // over which the machines are spread
+	Spot              bool     `toml:"spot" msgpack:"s,omitempty"`          // spot machines will do
+	MinMachines       int      `toml:"least" msgpack:"l"`                   // machines, at any hour
+	MaxMachines       int      `toml:"most" msgpack:"x"`                    // machines
+	Burst             Burst    `toml:"burst" msgpack:"b"`                   // what the pool is for
+	WarmShare         float64  `toml:"warm" msgpack:"w,omitempty"`          // share of the hours' peaks that finds weights; 0: 0.9
+	MaxHourlyCost     float64  `toml:"cost_an_hour" msgpack:"c"`            // the most that the machines may cost together
+	Payer             string   `toml:"payer" msgpack:"p"`                   // team that pays while nobody books
+	Borrowers         []string `toml:"borrowers" msgpack:"o,omitempty"`     // teams whose work may use the machines, and pays for it
+	ConcurrentFetches int      `toml:"fetch_at_once" msgpack:"f,omitempty"` // machines that fetch at the same time; 0: an eighth of most
 }
 
 // Burst is so many replicas that come within seconds of each other.
@@ -71,7 +71,7 @@
 		} else {
 			models[family(p.Model)] = i
 		}
-		if !positive(p.GB) {
+		if !positive(p.WeightsGB) {
 			bad("gb", "must be above 0")
 		}
 		if len(p.Types) == 0 {
@@ -89,12 +89,12 @@
 			}
 		}
 		switch {
-		case p.Least < 0:
+		case p.MinMachines < 0:
 			bad("least", "must not be below 0")
-		case p.Least > p.Most:
-			bad("least", "%d is above most, %d", p.Least, p.Most)
+		case p.MinMachines > p.MaxMachines:
+			bad("least", "%d is above most, %d", p.MinMachines, p.MaxMachines)
 		}
-		if p.Most < 1 || p.Most > maxMost {
+		if p.MaxMachines < 1 || p.MaxMachines > maxMost {
 			bad("most", "must be from 1 to %d", maxMost)
 		}
 		if p.Burst.Replicas < 1 {
@@ -103,13 +103,13 @@
 		if !positive(p.Burst.WithinS) || p.Burst.WithinS > 3600 {
 			bad("burst.within_s", "must be above 0 and at most 3600")
 		}
-		if !(p.Warm >= 0 && p.Warm < 1) {
+		if !(p.WarmShare >= 0 && p.WarmShare < 1) {
 			bad("warm", "must be a share below 1")
 		}
-		if !positive(p.PerHour) {
+		if !positive(p.MaxHourlyCost) {
 			bad("cost_an_hour", "must be above 0")
 		}
-		if p.FetchAt < 0 || p.FetchAt > maxMost {
+		if p.ConcurrentFetches < 0 || p.ConcurrentFetches > maxMost {
 			bad("fetch_at_once", "must be from 0 to %d", maxMost)
 		}
 		team := func(field, t string) {
@@ -156,25 +156,27 @@
 // Serves says whether an image is the pool's model, in whatever version.
 func (p *Pool) Serves(image string) bool { return family(image) == family(p.Model) }
 
-// Lends says whether a team may use the pool's machines.
-func (p *Pool) Lends(team string) bool { return team == p.Payer || slices.Contains(p.Borrowers, team) }
+// AllowsTeam says whether a team may use the pool's machines.
+func (p *Pool) AllowsTeam(team string) bool {
+	return team == p.Payer || slices.Contains(p.Borrowers, team)
+}
 
-// AtOnce is how many machines fetch at the same time at most: each of them takes
+// MaxConcurrentFetches is how many machines fetch at the same time at most: each of them takes
 // from what all images of the fleet come from.
-func (p *Pool) AtOnce() int {
-	if p.FetchAt > 0 {
-		return p.FetchAt
+func (p *Pool) MaxConcurrentFetches() int {
+	if p.ConcurrentFetches > 0 {
+		return p.ConcurrentFetches
 	}
-	return max(2, (p.Most+7)/8)
+	return max(2, (p.MaxMachines+7)/8)
 }
 
-// Lead is how long before it is needed a pool of n machines begins to grow: a boot
+// LeadTime is how long before it is needed a pool of n machines begins to grow: a boot
 // as slow as they come, and the fetches in turn.
-func (p *Pool) Lead(n int, boot time.Duration, fetchGBPS float64) time.Duration {
-	rounds := (n + p.AtOnce() - 1) / p.AtOnce()
+func (p *Pool) LeadTime(n int, boot time.Duration, fetchGBPS float64) time.Duration {
+	rounds := (n + p.MaxConcurrentFetches() - 1) / p.MaxConcurrentFetches()
 	fetch := 0.0
 	if fetchGBPS > 0 {
-		fetch = p.GB / fetchGBPS * slowFetch
+		fetch = p.WeightsGB / fetchGBPS * slowFetch
 	}
 	d := 2*boot + time.Duration(float64(rounds)*fetch*float64(time.Second)) + time.Minute
 	return min(d, maxLead)
@@ -185,36 +187,36 @@
 	maxLead   = 3 * time.Hour
 )
 
-// Coming is how many machines the busiest of the hours that a pool may have to
+// PeakMachines is how many machines the busiest of the hours that a pool may have to
 // grow for is likely to need.
-func (p *Pool) Coming(w *Week, now time.Time, perMachine int) int {
-	replicas := w.Quantile(now, maxLead, p.warm())
-	return min(max((replicas+max(perMachine, 1)-1)/max(perMachine, 1), p.Least), p.Most)
+func (p *Pool) PeakMachines(w *WeeklyDemand, now time.Time, perMachine int) int {
+	replicas := w.Quantile(now, maxLead, p.warmShare())
+	return min(max((replicas+max(perMachine, 1)-1)/max(perMachine, 1), p.MinMachines), p.MaxMachines)
 }
 
-func (p *Pool) warm() float64 {
-	if p.Warm == 0 {
+func (p *Pool) warmShare() float64 {
+	if p.WarmShare == 0 {
 		return usualWarm
 	}
-	return p.Warm
+	return p.WarmShare
 }
 
-// Aim is how many machines to hold at a time: as many as the share Warm of the
+// TargetSize is how many machines to hold at a time: as many as the share Warm of the
 // peaks of this hour of the week has needed, looked up from now until the lead is
 // over, so that a pool has grown when the hour begins. perMachine is how many
 // replicas a machine takes, price what one costs an hour.
-func (p *Pool) Aim(w *Week, now time.Time, lead time.Duration, perMachine int, price float64) int {
-	replicas := w.Quantile(now, lead, p.warm())
+func (p *Pool) TargetSize(w *WeeklyDemand, now time.Time, lead time.Duration, perMachine int, price float64) int {
+	replicas := w.Quantile(now, lead, p.warmShare())
 	n := (replicas + max(perMachine, 1) - 1) / max(perMachine, 1)
-	n = min(max(n, p.Least), p.Most)
+	n = min(max(n, p.MinMachines), p.MaxMachines)
 	// The limit is hard, least or not: whoever sets it too low is told by status.
-	return min(n, p.Affords(price))
+	return min(n, p.Affordable(price))
 }
 
-// Affords is how many machines of that price an hour stay within the limit.
-func (p *Pool) Affords(price float64) int {
+// Affordable is how many machines of that price an hour stay within the limit.
+func (p *Pool) Affordable(price float64) int {
 	if price <= 0 {
-		return p.Most
+		return p.MaxMachines
 	}
-	return int(math.Floor(p.PerHour/price + 1e-9))
+	return int(math.Floor(p.MaxHourlyCost/price + 1e-9))
 }
--- a/warmpool/pools_test.go
+++ b/warmpool/pools_test.go
@@ -12,8 +12,8 @@
 )
 
 func llm() Pool {
-	return Pool{Name: "llm", Model: "llm-70b:v1", GB: 80, Types: []string{"g8"}, Zones: []string{"a", "b"}, Least: 1, Most: 64,
-		Burst: Burst{Replicas: 8, WithinS: 10}, PerHour: 1000, Payer: "speech", Borrowers: []string{"vision"}}
+	return Pool{Name: "llm", Model: "llm-70b:v1", WeightsGB: 80, Types: []string{"g8"}, Zones: []string{"a", "b"}, MinMachines: 1, MaxMachines: 64,
+		Burst: Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1000, Payer: "speech", Borrowers: []string{"vision"}}
 }
 
 func TestBadFieldsAreNamedWithTheirPlace(t *testing.T) {
@@ -25,13 +25,13 @@
 		want string
 		bad  func(p *Pool)
 	}{
-		{"pools[1].least: 65 is above most, 64", func(p *Pool) { p.Least = 65 }},
+		{"pools[1].least: 65 is above most, 64", func(p *Pool) { p.MinMachines = 65 }},
 		{`pools[1].name: "llm" is the name of pools[0] too`, func(p *Pool) { p.Name = "llm" }},
 		{`pools[1].model: "llm-70b:v2" is the model of pools[0] too`, func(p *Pool) { p.Model = "llm-70b:v2" }},
 		{`pools[1].zones[0]: there is no zone "c"`, func(p *Pool) { p.Zones = []string{"c"} }},
 		{`pools[1].payer: there is no team "nobody"`, func(p *Pool) { p.Payer = "nobody" }},
 		{`pools[1].borrowers[0]: "speech" pays, and does not borrow`, func(p *Pool) { p.Borrowers = []string{"speech"} }},
-		{"pools[1].cost_an_hour: must be above 0", func(p *Pool) { p.PerHour = 0 }},
+		{"pools[1].cost_an_hour: must be above 0", func(p *Pool) { p.MaxHourlyCost = 0 }},
 		{"pools[1].burst.within_s: must be above 0 and at most 3600", func(p *Pool) { p.Burst.WithinS = 0 }},
 	} {
 		p := llm()
@@ -48,22 +48,22 @@
 var monday = time.Date(2026, 11, 30, 0, 0, 0, 0, time.UTC)
 
 // weeks plays weeks of a model that wants n replicas at 9 on weekdays.
-func weeks(w *Week, from time.Time, count, n int) time.Time {
+func weeks(w *WeeklyDemand, from time.Time, count, n int) time.Time {
 	at := from
 	for ; at.Before(from.AddDate(0, 0, 7*count)); at = at.Add(20 * time.Minute) {
 		want := 0
-		if at.Hour() == 9 && Slot(at) < 5*24 {
+		if at.Hour() == 9 && HourOfWeek(at) < 5*24 {
 			want = n
 		}
-		w.Want(want, at)
+		w.Observe(want, at)
 	}
 	return at
 }
 
 func TestAPoolIsThereBeforeTheHourAndGoneAfterIt(t *testing.T) {
-	p, w := llm(), &Week{}
+	p, w := llm(), &WeeklyDemand{}
 	at := weeks(w, monday, 2, 40)
-	lead := p.Lead(40, time.Minute, 1)
+	lead := p.LeadTime(40, time.Minute, 1)
 	if lead < 5*time.Minute || lead > time.Hour {
 		t.Fatalf("lead %v", lead)
 	}
@@ -71,34 +71,34 @@
 		at   time.Duration
 		want int
 	}{{6 * time.Hour, 1}, {9*time.Hour - lead + time.Second, 40}, {9*time.Hour + 30*time.Minute, 40}, {10 * time.Hour, 1}, {5*24*time.Hour + 9*time.Hour, 1}} {
-		if got := p.Aim(w, at.Add(c.at), lead, 1, 1); got != c.want {
+		if got := p.TargetSize(w, at.Add(c.at), lead, 1, 1); got != c.want {
 			t.Errorf("%v after Monday 0 o'clock: %d machines, not %d", c.at, got, c.want)
 		}
 	}
-	if got := p.Aim(w, at.Add(9*time.Hour), lead, 4, 1); got != 10 {
+	if got := p.TargetSize(w, at.Add(9*time.Hour), lead, 4, 1); got != 10 {
 		t.Errorf("%d machines for 40 replicas, four on each", got)
 	}
-	p.PerHour = 12
-	if got := p.Aim(w, at.Add(9*time.Hour), lead, 1, 1); got != 12 {
+	p.MaxHourlyCost = 12
+	if got := p.TargetSize(w, at.Add(9*time.Hour), lead, 1, 1); got != 12 {
 		t.Errorf("%d machines where 12 are paid for", got)
 	}
 	// A month without bursts, and the model is forgotten.
 	at = weeks(w, at, 9, 0)
-	if got := p.Aim(w, at.Add(9*time.Hour), lead, 1, 1); got != 1 {
+	if got := p.TargetSize(w, at.Add(9*time.Hour), lead, 1, 1); got != 1 {
 		t.Errorf("%d machines long after the last burst", got)
 	}
 }
 
 func TestAWeekIsReadAsItWasWritten(t *testing.T) {
-	w, back := &Week{}, &Week{}
+	w, back := &WeeklyDemand{}, &WeeklyDemand{}
 	rnd := rand.New(rand.NewPCG(1, 2))
 	at := monday
 	for ; at.Before(monday.AddDate(0, 0, 7*30)); at = at.Add(time.Hour) {
-		w.Want(rnd.IntN(2000), at)
+		w.Observe(rnd.IntN(2000), at)
 	}
 	bytes := 0
 	for d := range 7 {
-		day := w.Day(d)
+		day := w.EncodeDay(d)
 		bytes = max(bytes, len(strings.Join(day, "")))
 		if err := back.LoadDay(d, day); err != nil {
 			t.Fatal(err)
@@ -131,7 +131,7 @@
 			switch rnd.IntN(5) {
 			case 0:
 				name++
-				m := Member{Machine: fmt.Sprintf("m%04d", rnd.IntN(1000)), SinceMs: now - int64(rnd.IntN(60_000)), Rate: int64(rnd.IntN(20_000_000))}
+				m := Member{Machine: fmt.Sprintf("m%04d", rnd.IntN(1000)), SinceMs: now - int64(rnd.IntN(60_000)), HourlyRate: int64(rnd.IntN(20_000_000))}
 				if s.Member(m.Machine) == nil {
 					s.Join(m)
 					joined[m.Machine] = m.SinceMs
@@ -146,12 +146,12 @@
 			case 2:
 				if len(s.Members) > 0 {
 					m := &s.Members[rnd.IntN(len(s.Members))]
-					s.Book(m, []Part{{"one", rnd.IntN(1200)}, {"payer", 10}, {"two", rnd.IntN(1200)}}, int64(rnd.IntN(20_000_000)), now, "payer")
+					s.SetShares(m, []TeamShare{{"one", rnd.IntN(1200)}, {"payer", 10}, {"two", rnd.IntN(1200)}}, int64(rnd.IntN(20_000_000)), now, "payer")
 				}
 			case 3:
 				s.Settle(now-int64(rnd.IntN(200_000)), "payer") // a clock that is behind
 			case 4:
-				s = s.Copy() // the next leader's
+				s = s.Clone() // the next leader's
 			}
 		}
 		s.Settle(now, "payer")
@@ -174,8 +174,8 @@
 
 func TestABorrowerPaysByWhatItBooks(t *testing.T) {
 	s := &Shard{AtMs: 0}
-	s.Join(Member{Machine: "m", SinceMs: 1000, Rate: 3_600_000_000})
-	s.Book(s.Member("m"), []Part{{"vision", 250}}, 3_600_000_000, 11_000, "speech")
+	s.Join(Member{Machine: "m", SinceMs: 1000, HourlyRate: 3_600_000_000})
+	s.SetShares(s.Member("m"), []TeamShare{{"vision", 250}}, 3_600_000_000, 11_000, "speech")
 	s.Leave("m", 51_000, "speech")
 	if got := s.Teams["vision"]; got != (Charge{10_000, 10_000_000}) {
 		t.Errorf("the borrower owes %+v for a quarter of 40 s", got)
@@ -186,10 +186,10 @@
 }
 
 // fleet is n machines alternating between the zones.
-func fleet(n int, change func(i int, s *Seen)) []Seen {
-	out := make([]Seen, n)
+func fleet(n int, change func(i int, s *Observation)) []Observation {
+	out := make([]Observation, n)
 	for i := range out {
-		out[i] = Seen{Machine: fmt.Sprintf("m%02d", i), Zone: []string{"a", "b"}[i%2], Ready: true}
+		out[i] = Observation{Machine: fmt.Sprintf("m%02d", i), Zone: []string{"a", "b"}[i%2], Ready: true}
 		if change != nil {
 			change(i, &out[i])
 		}
@@ -199,66 +199,70 @@
 
 func TestAPoolGrowsOverTheZonesFromWhatIsThere(t *testing.T) {
 	p := llm()
-	free := fleet(6, func(i int, s *Seen) {
+	free := fleet(6, func(i int, s *Observation) {
 		s.Zone = "a"
-		s.Used = i < 4
+		s.Busy = i < 4
 		s.Serving, s.Warm = i == 1, i == 1
 		s.Booting, s.Ready = i == 5, i != 5
 	})
-	c := p.Choose(nil, free, 6, 64)
-	if !slices.Equal(c.Join, []string{"m01", "m04"}) || c.Rent["b"] != 3 || c.Rent["a"] != 0 {
+	c := p.PlanScaling(nil, free, 6, 64)
+	if !slices.Equal(c.Join, []string{"m01", "m04"}) || c.ScaleOut["b"] != 3 || c.ScaleOut["a"] != 0 {
 		t.Errorf("%+v: not the machine where replicas run and the empty one, and the rest of zone b, one being on its way", c)
 	}
 }
 
 func TestAPoolGivesBackWhatIsIdle(t *testing.T) {
 	p := llm()
-	own := fleet(6, func(i int, s *Seen) { s.Used, s.Warm = i < 2, i != 4 })
-	if c := p.Choose(own, nil, 3, 64); !slices.Equal(c.Release, []string{"m04", "m03", "m02"}) || c.Drop != nil {
+	own := fleet(6, func(i int, s *Observation) { s.Busy, s.Warm = i < 2, i != 4 })
+	if c := p.PlanScaling(own, nil, 3, 64); !slices.Equal(c.Release, []string{"m04", "m03", "m02"}) || c.Evict != nil {
 		t.Errorf("%+v", c)
 	}
 	// At its limit it lets go what it can't pay for, without stopping anything.
 	for i := range own {
-		own[i].Used = true
+		own[i].Busy = true
 	}
-	if c := p.Choose(own, nil, 2, 2); len(c.Drop) != 4 || c.Release != nil {
+	if c := p.PlanScaling(own, nil, 2, 2); len(c.Evict) != 4 || c.Release != nil {
 		t.Errorf("%+v", c)
 	}
 	// What is silent is replaced, and not counted twice when it is back.
-	own = fleet(4, func(i int, s *Seen) { s.Ready = i != 0 })
-	if c := p.Choose(own, nil, 4, 64); c.Rent["a"] != 1 {
+	own = fleet(4, func(i int, s *Observation) { s.Ready = i != 0 })
+	if c := p.PlanScaling(own, nil, 4, 64); c.ScaleOut["a"] != 1 {
 		t.Errorf("%+v", c)
 	}
 }
 
 func TestFetchesComeInTurn(t *testing.T) {
 	p := llm()
-	own := fleet(40, func(i int, s *Seen) { s.Filling = i < 3 })
-	if got := p.Fill(own); len(got) != 5 {
-		t.Errorf("%d more fetch beside three, at most %d at once", len(got), p.AtOnce())
+	own := fleet(40, func(i int, s *Observation) { s.Fetching = i < 3 })
+	if got := p.NextFetches(own); len(got) != 5 {
+		t.Errorf("%d more fetch beside three, at most %d at once", len(got), p.MaxConcurrentFetches())
 	}
 }
 
 func TestWhoMayUseAPool(t *testing.T) {
 	p := llm()
-	replicas := Work{Image: "llm-70b:v2", Team: "speech", Rank: 1, ModelOf: 1}
+	replicas := Workload{Image: "llm-70b:v2", Team: "speech", Priority: 1, ModelPriority: 1}
 	for _, c := range []struct {
 		name string
 		want placement.Use
-		as   func(w *Work)
+		as   func(w *Workload)
 	}{
-		{"a replica of a newer version", placement.Own, func(*Work) {}},
-		{"a replica of a team that does not borrow", placement.Never, func(w *Work) { w.Team = "guests" }},
-		{"clinic work", placement.Last, func(w *Work) { w.Image, w.Team, w.Tier, w.ModelIn = "slicer", "clinic", 0, 1 }},
-		{"work of a higher priority", placement.Last, func(w *Work) { w.Image, w.Team, w.Rank = "x", "guests", 0 }},
-		{"work that saves in time", placement.Lent, func(w *Work) { w.Image, w.Team, w.Rank, w.CanSave, w.SavesS = "x", "vision", 3, true, 5 }},
-		{"work that saves too slowly", placement.Never, func(w *Work) { w.Image, w.Team, w.Rank, w.CanSave, w.SavesS = "x", "vision", 3, true, 50 }},
-		{"work that replicas may not stop", placement.Never, func(w *Work) { w.Image, w.Team, w.CanSave = "x", "vision", true }},
-		{"a gang", placement.Never, func(w *Work) { w.Image, w.Team, w.Rank, w.CanSave, w.Gang = "x", "vision", 3, true, true }},
+		{"a replica of a newer version", placement.Own, func(*Workload) {}},
+		{"a replica of a team that does not borrow", placement.Never, func(w *Workload) { w.Team = "guests" }},
+		{"clinic work", placement.Last, func(w *Workload) { w.Image, w.Team, w.Tier, w.ModelTier = "slicer", "clinic", 0, 1 }},
+		{"work of a higher priority", placement.Last, func(w *Workload) { w.Image, w.Team, w.Priority = "x", "guests", 0 }},
+		{"work that saves in time", placement.Lent, func(w *Workload) {
+			w.Image, w.Team, w.Priority, w.Checkpoints, w.CheckpointSeconds = "x", "vision", 3, true, 5
+		}},
+		{"work that saves too slowly", placement.Never, func(w *Workload) {
+			w.Image, w.Team, w.Priority, w.Checkpoints, w.CheckpointSeconds = "x", "vision", 3, true, 50
+		}},
+		{"work that replicas may not stop", placement.Never, func(w *Workload) { w.Image, w.Team, w.Checkpoints = "x", "vision", true }},
+		{"a gang", placement.Never, func(w *Workload) { w.Image, w.Team, w.Priority, w.Checkpoints, w.Gang = "x", "vision", 3, true, true }},
 	} {
 		w := replicas
 		c.as(&w)
-		if got := p.May(&w); got != c.want {
+		if got := p.Access(&w); got != c.want {
 			t.Errorf("%s: %d, not %d", c.name, got, c.want)
 		}
 	}
--- a/warmpool/records.go
+++ b/warmpool/records.go
@@ -15,8 +15,8 @@
 // records is where the pools' records lie among those of the plan's parts.
 const records = "pools/"
 
-// NoteName names a pool's Note.
-func NoteName(pool string) string { return records + pool + "/now" }
+// RecordName names a pool's Note.
+func RecordName(pool string) string { return records + pool + "/now" }
 
 // DayName names what is known of a day of the week, a list of 24 texts (Week.Day).
 func DayName(pool string, day int) string { return fmt.Sprintf("%s%s/day%d", records, pool, day) }
@@ -27,30 +27,30 @@
 // MaxShards is how many shards a pool has at most.
 const MaxShards = (maxMost + ShardSize - 1) / ShardSize
 
-// Note is how a pool stands, as the leader last recorded it.
-type Note struct {
-	AtMs    int64   `msgpack:"a"`
-	Hour    int64   `msgpack:"h"` // since 1970: the one that is not over
-	Peak    int     `msgpack:"p"` // of replicas wanted at once in it, so far
-	Image   string  `msgpack:"i"` // the weights that are held
-	GB      float64 `msgpack:"g"`
-	Number  int     `msgpack:"n"`           // counts the images
-	Per     int     `msgpack:"m"`           // replicas that a machine takes
-	Rank    int     `msgpack:"r"`           // priority of the replicas, 0 being the highest
-	Class   string  `msgpack:"t,omitempty"` // of the replicas
-	Payer   string  `msgpack:"w"`
-	Aim     int     `msgpack:"x"` // machines
-	Held    int     `msgpack:"y"`
-	Warm    int     `msgpack:"z"` // of those that are held
-	Filling int     `msgpack:"f,omitempty"`
-	Limited bool    `msgpack:"l,omitempty"` // more would be wanted than may be paid for
-	Refused string  `msgpack:"e,omitempty"` // why the weights are not fetched ahead
+// Record is how a pool stands, as the leader last recorded it.
+type Record struct {
+	AtMs               int64   `msgpack:"a"`
+	CurrentHour        int64   `msgpack:"h"` // since 1970: the one that is not over
+	CurrentPeak        int     `msgpack:"p"` // of replicas wanted at once in it, so far
+	Image              string  `msgpack:"i"` // the weights that are held
+	WeightsGB          float64 `msgpack:"g"`
+	ImageVersion       int     `msgpack:"n"`           // counts the images
+	ReplicasPerMachine int     `msgpack:"m"`           // replicas that a machine takes
+	Priority           int     `msgpack:"r"`           // priority of the replicas, 0 being the highest
+	Class              string  `msgpack:"t,omitempty"` // of the replicas
+	Payer              string  `msgpack:"w"`
+	Target             int     `msgpack:"x"` // machines
+	Held               int     `msgpack:"y"`
+	Warm               int     `msgpack:"z"` // of those that are held
+	Fetching           int     `msgpack:"f,omitempty"`
+	CostLimited        bool    `msgpack:"l,omitempty"` // more would be wanted than may be paid for
+	FetchRefused       string  `msgpack:"e,omitempty"` // why the weights are not fetched ahead
 }
 
 // State is all that is recorded of a pool.
 type State struct {
 	Name   string
-	Note   Note
+	Record Record
 	Shards []Shard
 }
 
@@ -63,7 +63,7 @@
 			continue
 		}
 		s := State{Name: pool}
-		if wire.Unmarshal(notes[name], &s.Note) != nil {
+		if wire.Unmarshal(notes[name], &s.Record) != nil {
 			bad = append(bad, name)
 		}
 		for n := range MaxShards {
@@ -92,7 +92,7 @@
 		sum = sum.add(c)
 	}
 	if sum != machines {
-		bad("the teams owe %d ms and %d, the machines cost %d ms and %d", sum.Ms, sum.Micro, machines.Ms, machines.Micro)
+		bad("the teams owe %d ms and %d, the machines cost %d ms and %d", sum.Ms, sum.Micros, machines.Ms, machines.Micros)
 	}
 	in := map[string]bool{}
 	for i := range s.Shards {
--- a/warmpool/week.go
+++ b/warmpool/week.go
@@ -21,9 +21,9 @@
 	forgotten   = 0.02  // what counts for less than that of a week is dropped: 14 weeks are kept
 )
 
-// Week is what a model's peaks have been, by hour of the week: for each hour a
+// WeeklyDemand is what a model's peaks have been, by hour of the week: for each hour a
 // sketch of how many replicas were wanted at once. It is bounded whatever comes.
-type Week struct {
+type WeeklyDemand struct {
 	hours [hoursOfWeek]*ddsketch.DDSketch
 	hour  int64 // hours since 1970 of the hour that is not over, 0: none
 	peak  int   // of it, so far
@@ -37,17 +37,17 @@
 	return ddsketch.NewDDSketch(m, store.NewSparseStore(), store.NewSparseStore())
 }
 
-// Slot is the hour of the week that a time lies in.
-func Slot(t time.Time) int {
+// HourOfWeek is the hour of the week that a time lies in.
+func HourOfWeek(t time.Time) int {
 	t = t.UTC()
 	return (int(t.Weekday())+6)%7*24 + t.Hour()
 }
 
 func hourOf(t time.Time) int64 { return t.Unix() / 3600 }
 
-// Want takes in how many replicas are wanted now. It returns the days of the week,
+// Observe takes in how many replicas are wanted now. It returns the days of the week,
 // Monday being 0, whose records have changed: those of hours that are over.
-func (w *Week) Want(n int, now time.Time) (changed []int) {
+func (w *WeeklyDemand) Observe(n int, now time.Time) (changed []int) {
 	h := hourOf(now)
 	if w.hour == 0 || h < w.hour { // the first, or a clock that is behind
 		if w.hour == 0 {
@@ -59,7 +59,7 @@
 	// Hours in which nobody led are unknown, not empty: only the one that was
 	// watched is taken down.
 	if h > w.hour {
-		slot := Slot(time.Unix(w.hour*3600, 0))
+		slot := HourOfWeek(time.Unix(w.hour*3600, 0))
 		w.learn(slot, w.peak)
 		changed = append(changed, slot/24)
 		w.hour, w.peak = h, 0
@@ -68,12 +68,12 @@
 	return changed
 }
 
-// Now is the hour that is not over, in hours since 1970, and its peak so far.
-func (w *Week) Now() (hour int64, peak int) { return w.hour, w.peak }
+// Current is the hour that is not over, in hours since 1970, and its peak so far.
+func (w *WeeklyDemand) Current() (hour int64, peak int) { return w.hour, w.peak }
 
 // Resume takes in what an earlier leader saw of an hour. Whether it is over is
 // found with the next Want.
-func (w *Week) Resume(hour int64, peak int) {
+func (w *WeeklyDemand) Resume(hour int64, peak int) {
 	if hour > w.hour {
 		w.hour, w.peak = hour, peak
 	} else if hour == w.hour {
@@ -81,7 +81,7 @@
 	}
 }
 
-func (w *Week) learn(slot, peak int) {
+func (w *WeeklyDemand) learn(slot, peak int) {
 	s := newSketch()
 	if old := w.hours[slot]; old != nil {
 		old.ForEach(func(v, count float64) bool {
@@ -97,14 +97,14 @@
 
 // Quantile is the most that a share q of the peaks has needed in any of the hours
 // from now until lead is over; what this hour has already needed counts too.
-func (w *Week) Quantile(now time.Time, lead time.Duration, q float64) int {
+func (w *WeeklyDemand) Quantile(now time.Time, lead time.Duration, q float64) int {
 	most := 0
 	if hourOf(now) == w.hour {
 		most = w.peak
 	}
 	// This hour may yet bring what it brings every week.
 	for h := hourOf(now); h <= hourOf(now.Add(lead)); h++ {
-		s := w.hours[Slot(time.Unix(h*3600, 0))]
+		s := w.hours[HourOfWeek(time.Unix(h*3600, 0))]
 		if s == nil || s.IsEmpty() {
 			continue
 		}
@@ -115,9 +115,9 @@
 	return most
 }
 
-// Day writes what is known of a day's hours as text, for a record; an hour of
+// EncodeDay writes what is known of a day's hours as text, for a record; an hour of
 // which nothing is known is empty.
-func (w *Week) Day(day int) []string {
+func (w *WeeklyDemand) EncodeDay(day int) []string {
 	out := make([]string, 24)
 	for i := range out {
 		if s := w.hours[day*24+i]; s != nil && !s.IsEmpty() {
@@ -131,7 +131,7 @@
 
 // LoadDay takes in what Day wrote. An hour that can't be read is left out and
 // named.
-func (w *Week) LoadDay(day int, text []string) error {
+func (w *WeeklyDemand) LoadDay(day int, text []string) error {
 	if day < 0 || day > 6 {
 		return fmt.Errorf("pools: there is no day %d", day)
 	}
