--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// runLeader leads until ctx ends. It implements election.Elector.Lead.
+// runLeader leads until ctx ends. It implements election.Config.Lead.
 func (n *Node) runLeader(ctx context.Context, t *election.Lease, ready func()) error {
 	l := &leadership{
 		node: n, lease: t, log: n.log, schedulerWake: make(chan struct{}, 1), committerWake: make(chan struct{}, 1), schemaWake: make(chan struct{}, 1), planCheckWake: make(chan struct{}, 1),
@@ -205,7 +205,7 @@
 	return nil
 }
 
-// readBarrier implements election.Elector.ReadBarrier: a leader counts as sure of its
+// readBarrier implements election.Config.ReadBarrier: a leader counts as sure of its
 // id only with knowledge as fresh as the renewal, so that it tells no
 // worker to go on with a job that was cancelled long ago.
 func (n *Node) readBarrier(ctx context.Context, t *election.Lease) error {
--- a/controller/node.go
+++ b/controller/node.go
@@ -141,10 +141,10 @@
 		n.peerStreams = append(n.peerStreams, peerrpc.NewHeartbeatStream(s.Name, s.Addr, nw.Dial, max(64, cfg.Cluster.Limits.Sockets/2)))
 	}
 	w := cfg.Cluster.Workers
-	n.elector = &election.Elector{
+	n.elector = election.New(election.Config{
 		Store: n.kv, Node: cfg.Node, LeaseTTL: config.Seconds(w.LeaderLeaseS()), ClockDrift: config.Drift, Log: log,
 		Lead: n.runLeader, ReadBarrier: n.readBarrier, OnChange: n.onLeaderChange,
-	}
+	})
 	return n
 }
 
--- a/election/election.go
+++ b/election/election.go
@@ -1,15 +1,25 @@
-// Package election keeps one leader among the controller nodes: whoever holds
-// the leader key under a lease of the state service. The key's revision is the
-// fencing token that workers compare and that guards every write, so tokens only grow.
+// Package election elects one leader among the controller nodes.
+//
+// The leader is the node whose name is under LeaderKey, which it wrote under a lease
+// of the key-value store: the key goes when the lease expires or is revoked. The
+// revision of the key is the fencing token that guards every write of the leader and
+// that workers compare, so tokens only grow.
+//
+// Each controller node runs one Elector. It watches the key, campaigns whenever the
+// key is free, and while it holds the key runs Config.Lead with a Lease. The package
+// guarantees that at most one node has a valid Lease at a time, given clocks that
+// drift apart by no more than Config.ClockDrift: validity counts from the moment a
+// renewal was sent, is shorter than the store's lease, and ends for good on resigning.
+// It keeps nothing but the key and never retries a write whose outcome is unknown.
 package election
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
@@ -20,7 +30,21 @@
 // LeaderKey holds the leader's name while its lease lives.
 const LeaderKey = "ctl/leader"
 
-// Store is what the election needs of the state service.
+const (
+	// roundBackoff is the mean pause after a round that failed.
+	roundBackoff = 300 * time.Millisecond
+	// watchBlock is how long one watch of the leader key may block.
+	watchBlock = 10 * time.Second
+	// abstainInterval is the time between two looks at the key of a node that abstains.
+	abstainInterval = 500 * time.Millisecond
+	// abandonTimeout bounds the revocation of a lease whose campaign was lost.
+	abandonTimeout = time.Second
+)
+
+// errUnresolved says that it is not known whether this node wrote the leader key.
+var errUnresolved = errors.New("outcome of the write of the leader key not resolved")
+
+// Store is the part of the key-value store that the election needs.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Entry, error)
 	CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
@@ -30,65 +54,44 @@
 	Watch(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error)
 }
 
+// leaderRecord is the value of LeaderKey.
 type leaderRecord struct {
 	Node  string `msgpack:"node"`
 	Lease uint64 `msgpack:"lease"`
 }
 
-// Lease is one leadership.
-type Lease struct {
-	FencingToken uint64 // the fencing token
-	ElectedAt    time.Time
-
-	id         uint64
-	validUntil atomic.Int64 // nanoseconds since Since
-	resigned   atomic.Bool
-	resignC    chan struct{}
-	resignOnce sync.Once
-}
-
-// NewLease makes a term that is not valid yet.
-func NewLease(token, lease uint64, since time.Time) *Lease {
-	return &Lease{FencingToken: token, ElectedAt: since, id: lease, resignC: make(chan struct{})}
-}
-
-// Valid says whether this node may act as the leader now.
-func (t *Lease) Valid() bool {
-	return !t.resigned.Load() && int64(time.Since(t.ElectedAt)) < t.validUntil.Load()
-}
-
-// Extend makes the term valid until then, unless it was given up: a renewal that
-// was under way meanwhile must not bring it back, since its lease ends next and
-// another leader may be elected.
-func (t *Lease) Extend(until time.Time) { t.validUntil.Store(int64(until.Sub(t.ElectedAt))) }
+// Config is what an Elector is made of.
+type Config struct {
+	Store      Store
+	Node       string        // the name of this node
+	LeaseTTL   time.Duration // of the store's lease
+	ClockDrift float64       // by how much two steady clocks drift apart, as a fraction
+	Log        *slog.Logger
 
-// Resign gives the leadership up, for good.
-func (t *Lease) Resign() {
-	t.resigned.Store(true)
-	t.resignOnce.Do(func() { close(t.resignC) })
+	// Lead runs while this node leads, until ctx ends; an error resigns the lease. It
+	// calls ready once it can act as the leader: the lease is not valid before.
+	Lead func(ctx context.Context, lease *Lease, ready func()) error
+	// ReadBarrier brings the leader's knowledge up to date with the store. A renewal
+	// counts only after it has succeeded.
+	ReadBarrier func(ctx context.Context, lease *Lease) error
+	// OnChange, if set, is called when Elector.Leader has changed, and when the lease of
+	// this node becomes valid after it was not.
+	OnChange func()
 }
 
-// Elector runs for leadership.
+// Elector campaigns for leadership on behalf of one node.
 type Elector struct {
-	Store      Store
-	Node       string
-	LeaseTTL   time.Duration
-	ClockDrift float64 // how far two steady clocks drift apart, as a share
-	Log        *slog.Logger
-	// Lead runs while this node leads, until ctx ends. ReadBarrier must bring the
-	// leader's knowledge up to date; the lease counts as sure only after it.
-	Lead        func(ctx context.Context, t *Lease, ready func()) error
-	ReadBarrier func(ctx context.Context, t *Lease) error
-	// Seen, if set, is called when another leader is seen, or none, and when this
-	// node becomes sure of leading.
-	OnChange func()
+	cfg Config
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards what follows
 	leader       string
-	abstainUntil time.Time // no candidacy before this, after resigning
+	abstainUntil time.Time
 }
 
-// RedirectFromLeader names the leader as last seen, or "".
+// New makes an Elector; Run makes it campaign.
+func New(cfg Config) *Elector { return &Elector{cfg: cfg} }
+
+// Leader names the leader as last seen, or "" if there was none.
 func (e *Elector) Leader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -100,19 +103,24 @@
 	changed := e.leader != name
 	e.leader = name
 	e.mu.Unlock()
-	if changed {
-		e.Log.Info("leader seen", "leader", name)
-		if e.OnChange != nil {
-			e.OnChange()
-		}
+	if !changed {
+		return
 	}
+	e.cfg.Log.Info("leader changed", "leader", name)
+	e.notify()
 }
 
-// Abstain keeps this node from standing for a while.
+func (e *Elector) notify() {
+	if e.cfg.OnChange != nil {
+		e.cfg.OnChange()
+	}
+}
+
+// Abstain keeps this node from campaigning for a while.
 func (e *Elector) Abstain(d time.Duration) {
 	e.mu.Lock()
+	defer e.mu.Unlock()
 	e.abstainUntil = time.Now().Add(d)
-	e.mu.Unlock()
 }
 
 func (e *Elector) abstaining() bool {
@@ -121,170 +129,111 @@
 	return time.Now().Before(e.abstainUntil)
 }
 
-func jitter(d time.Duration) time.Duration {
-	return d/2 + time.Duration(rand.Int64N(int64(d)))
-}
-
-// Run follows the leader key and stands for it whenever it is free.
+// Run watches the leader key, and campaigns for it whenever it is free, until ctx
+// ends. It returns after Config.Lead has.
 func (e *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := e.runOnce(ctx); err != nil && ctx.Err() == nil {
-			e.Log.Debug("election", "err", err)
-			call.Pause(ctx, jitter(300*time.Millisecond))
+			e.cfg.Log.Debug("election round failed", "err", err)
+			call.Pause(ctx, jitter(roundBackoff))
 		}
 	}
 }
 
+// jitter draws a duration between half and one and a half times d.
+func jitter(d time.Duration) time.Duration {
+	return d/2 + time.Duration(rand.Int64N(int64(d)))
+}
+
+// runOnce reads the leader key and follows or campaigns, once.
 func (e *Elector) runOnce(ctx context.Context) error {
-	entry, err := e.Store.Get(ctx, LeaderKey)
+	entry, err := e.cfg.Store.Get(ctx, LeaderKey)
 	if err != nil {
-		return err
+		return fmt.Errorf("read the leader key: %w", err)
 	}
 	if entry.Version != 0 {
-		var rec leaderRecord
-		if err := wire.Unmarshal(entry.Value, &rec); err != nil {
-			return err
-		}
-		if rec.Node == e.Node {
-			// No term of this process is running here, so the key is that of
-			// a process of this node that has ended: end its lease, instead of
-			// letting everybody wait for it.
-			e.Log.Info("ending the lease of this node's earlier process", "token", entry.Version)
-			e.setLeader("")
-			if err := e.Store.RevokeLease(ctx, rec.Lease); err != nil && !errors.Is(err, kvstore.ErrLeaseNotFound) {
-				return err
-			}
-			return nil
-		}
-		e.setLeader(rec.Node)
-		_, err := e.Store.Watch(ctx, LeaderKey, entry.Version, 10*time.Second)
-		return err
+		return e.follow(ctx, entry)
 	}
 	e.setLeader("")
 	if e.abstaining() {
-		call.Pause(ctx, 500*time.Millisecond)
+		call.Pause(ctx, abstainInterval)
 		return nil
 	}
 	return e.campaign(ctx)
 }
 
+// follow takes note of the leader and waits for a change of the key.
+func (e *Elector) follow(ctx context.Context, entry wire.Entry) error {
+	var leader leaderRecord
+	if err := wire.Unmarshal(entry.Value, &leader); err != nil {
+		return fmt.Errorf("decode the leader key: %w", err)
+	}
+	if leader.Node == e.cfg.Node {
+		return e.revokePrevious(ctx, leader.Lease, entry.Version)
+	}
+	e.setLeader(leader.Node)
+	if _, err := e.cfg.Store.Watch(ctx, LeaderKey, entry.Version, watchBlock); err != nil {
+		return fmt.Errorf("watch the leader key: %w", err)
+	}
+	return nil
+}
+
+// revokePrevious revokes the lease of an earlier process of this node, instead of
+// letting all nodes wait for its expiry. No lease of this process is held here, or
+// Run would be in lead.
+func (e *Elector) revokePrevious(ctx context.Context, id, fencingToken uint64) error {
+	e.cfg.Log.Info("revoking the lease of an earlier process of this node", "token", fencingToken)
+	e.setLeader("")
+	if err := e.cfg.Store.RevokeLease(ctx, id); err != nil && !errors.Is(err, kvstore.ErrLeaseNotFound) {
+		return fmt.Errorf("revoke the lease of an earlier process: %w", err)
+	}
+	return nil
+}
+
+// campaign tries to write the leader key, and leads if it succeeds.
 func (e *Elector) campaign(ctx context.Context) error {
-	lease, err := e.Store.GrantLease(ctx, e.LeaseTTL)
+	id, err := e.cfg.Store.GrantLease(ctx, e.cfg.LeaseTTL)
 	if err != nil {
-		return err
+		return fmt.Errorf("grant a lease: %w", err)
 	}
-	sent := time.Now()
-	if err := e.Store.RenewLease(ctx, lease); err != nil {
-		return err
+	if err := e.cfg.Store.RenewLease(ctx, id); err != nil {
+		return fmt.Errorf("renew the granted lease: %w", err)
 	}
-	token, err := e.Store.CompareAndSwap(ctx, []wire.Guard{{Key: LeaderKey}}, []wire.Op{{Put: LeaderKey, Value: leaderRecord{e.Node, lease}, Lease: lease}})
-	if errors.Is(err, kvstore.ErrOutcomeUnknown) {
-		// The commit may have been applied, or may yet be: only the key tells.
-		entry, gerr := e.Store.Get(ctx, LeaderKey)
-		if gerr != nil {
-			return errors.Join(err, gerr)
-		}
-		if entry.Version != 0 && entry.Lease == lease {
-			token, err = entry.Version, nil
-		}
+	token, err := e.acquire(ctx, id)
+	if errors.Is(err, errUnresolved) {
+		return err // the next round finds the key, or the lease expires
 	}
 	if err != nil {
-		rctx, cancel := context.WithTimeout(ctx, time.Second)
+		rctx, cancel := context.WithTimeout(ctx, abandonTimeout)
 		defer cancel()
-		_ = e.Store.RevokeLease(rctx, lease) // where this fails the lease runs out by itself
-		return err
+		_ = e.cfg.Store.RevokeLease(rctx, id) // where this fails the lease expires by itself
+		return fmt.Errorf("write the leader key: %w", err)
 	}
-	t := NewLease(token, lease, time.Now())
-	e.Log.Info("elected", "token", token)
-	e.setLeader(e.Node)
-	e.lead(ctx, t, sent)
+	lease := NewLease(token, id, time.Now())
+	e.cfg.Log.Info("elected", "token", token)
+	e.setLeader(e.cfg.Node)
+	e.lead(ctx, lease)
 	e.setLeader("")
-	e.Log.Info("leadership ended", "token", token)
+	e.cfg.Log.Info("leadership ended", "token", token)
 	return nil
 }
 
-// lead leads until the lease is lost or given up.
-func (e *Elector) lead(ctx context.Context, t *Lease, sent time.Time) {
-	ctx, cancel := context.WithCancel(ctx)
-	var wg sync.WaitGroup
-	ready := make(chan struct{})
-	var once sync.Once
-	wg.Add(1)
-	go func() {
-		defer wg.Done()
-		if err := e.Lead(ctx, t, func() { once.Do(func() { close(ready) }) }); err != nil && ctx.Err() == nil {
-			e.Log.Info("giving leadership up", "err", err)
-			t.Resign()
-		}
-	}()
-	defer wg.Wait()
-	defer cancel()
-	lasts := time.Duration(float64(e.LeaseTTL)*(1-2*e.ClockDrift)) - 20*time.Millisecond
-	isReady, sure := false, false
-	for {
-		select {
-		case <-ctx.Done():
-			return
-		case <-t.resignC:
-			rctx, rcancel := context.WithTimeout(context.WithoutCancel(ctx), 2*time.Second)
-			_ = e.Store.RevokeLease(rctx, t.id) // best effort: it runs out by itself
-			rcancel()
-			return
-		case <-ready:
-			ready, isReady = nil, true
-		default:
-		}
-		asked := time.Now()
-		err := e.renew(ctx, t, isReady, sure)
-		switch {
-		case errors.Is(err, kvstore.ErrLeaseNotFound):
-			t.Resign()
-			continue
-		case err == nil && isReady:
-			unsure := !t.Valid()
-			if unsure && sure {
-				e.Log.Info("sure of the lease again", "token", t.FencingToken)
-			}
-			sent, sure = asked, true
-			t.Extend(sent.Add(lasts))
-			if unsure && e.OnChange != nil {
-				e.OnChange()
-			}
-		case err != nil:
-			e.Log.Debug("renewal", "err", err)
-		}
-		wait := e.LeaseTTL / 5
-		if err != nil || !isReady {
-			wait = 250 * time.Millisecond
-		}
-		timer := time.NewTimer(wait)
-		select {
-		case <-ctx.Done():
-		case <-t.resignC:
-		case <-ready:
-			isReady, ready = true, nil
-		case <-timer.C:
-		}
-		timer.Stop()
-	}
-}
-
-func (e *Elector) renew(ctx context.Context, t *Lease, ready, sure bool) error {
-	if err := e.Store.RenewLease(ctx, t.id); err != nil {
-		return err
+// acquire writes the leader key under the store's lease and returns the key's
+// revision, which is the fencing token.
+func (e *Elector) acquire(ctx context.Context, id uint64) (uint64, error) {
+	free := []wire.Guard{{Key: LeaderKey}}
+	claim := []wire.Op{{Put: LeaderKey, Value: leaderRecord{Node: e.cfg.Node, Lease: id}, Lease: id}}
+	token, err := e.cfg.Store.CompareAndSwap(ctx, free, claim)
+	if !errors.Is(err, kvstore.ErrOutcomeUnknown) {
+		return token, err
 	}
-	if !ready {
-		return nil
+	// The write may have been applied, or may yet be: only the key tells.
+	entry, gerr := e.cfg.Store.Get(ctx, LeaderKey)
+	if gerr != nil {
+		return 0, fmt.Errorf("%w: %w; read the leader key: %w", errUnresolved, err, gerr)
 	}
-	if sure && !t.Valid() {
-		// Passive until now: the key must still be ours, at our revision.
-		entry, err := e.Store.Get(ctx, LeaderKey)
-		if err != nil {
-			return err
-		}
-		if entry.Version != t.FencingToken {
-			return kvstore.ErrLeaseNotFound
-		}
+	if entry.Version != 0 && entry.Lease == id {
+		return entry.Version, nil
 	}
-	return e.ReadBarrier(ctx, t)
+	return 0, err
 }
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -13,98 +13,98 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// held is a state service with one lease, which takes its time for renewals.
-type held struct {
+// slowStore is a key-value store with one lease, which takes its time for renewals.
+type slowStore struct {
 	renewal time.Duration
 
-	mu       sync.Mutex
-	entry    wire.Entry
-	released time.Time
+	mu      sync.Mutex
+	entry   wire.Entry
+	revoked time.Time
 }
 
-func (h *held) Get(context.Context, string) (wire.Entry, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.entry, nil
+func (s *slowStore) Get(context.Context, string) (wire.Entry, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.entry, nil
 }
 
-// ended is when the lease was released: zero if it was not.
-func (h *held) ended() time.Time {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.released
+// revokedAt is when the lease was revoked: zero if it was not.
+func (s *slowStore) revokedAt() time.Time {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.revoked
 }
 
-func (h *held) CompareAndSwap(_ context.Context, _ []wire.Guard, ops []wire.Op) (uint64, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.entry.Version != 0 || !h.released.IsZero() {
+func (s *slowStore) CompareAndSwap(_ context.Context, _ []wire.Guard, ops []wire.Op) (uint64, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.entry.Version != 0 || !s.revoked.IsZero() {
 		return 0, &kvstore.ConflictError{FailedKeys: []string{LeaderKey}}
 	}
 	raw, err := wire.Marshal(ops[0].Value)
-	h.entry = wire.Entry{Key: LeaderKey, Value: raw, Version: 5, Lease: ops[0].Lease}
+	s.entry = wire.Entry{Key: LeaderKey, Value: raw, Version: 5, Lease: ops[0].Lease}
 	return 5, err
 }
 
-func (h *held) GrantLease(context.Context, time.Duration) (uint64, error) { return 7, nil }
+func (s *slowStore) GrantLease(context.Context, time.Duration) (uint64, error) { return 7, nil }
 
-func (h *held) RenewLease(context.Context, uint64) error {
-	if !h.ended().IsZero() {
+func (s *slowStore) RenewLease(context.Context, uint64) error {
+	if !s.revokedAt().IsZero() {
 		return kvstore.ErrLeaseNotFound
 	}
-	time.Sleep(h.renewal)
+	time.Sleep(s.renewal)
 	return nil
 }
 
-// RevokeLease ends the lease at once, and its answer is lost.
-func (h *held) RevokeLease(ctx context.Context, _ uint64) error {
-	h.mu.Lock()
-	if h.released.IsZero() {
-		h.released, h.entry = time.Now(), wire.Entry{}
+// RevokeLease revokes the lease at once, and its answer is lost.
+func (s *slowStore) RevokeLease(ctx context.Context, _ uint64) error {
+	s.mu.Lock()
+	if s.revoked.IsZero() {
+		s.revoked, s.entry = time.Now(), wire.Entry{}
 	}
-	h.mu.Unlock()
+	s.mu.Unlock()
 	<-ctx.Done()
 	return kvstore.ErrOutcomeUnknown
 }
 
-func (h *held) Watch(ctx context.Context, _ string, _ uint64, _ time.Duration) (wire.Events, error) {
+func (s *slowStore) Watch(ctx context.Context, _ string, _ uint64, _ time.Duration) (wire.Events, error) {
 	<-ctx.Done()
 	return wire.Events{}, ctx.Err()
 }
 
-// A leader that gives up while a renewal is on its way stays what it is then: its
-// id is released, and another may lead at once.
-func TestARenewalOnItsWayRevivesNoTermThatWasGivenUp(t *testing.T) {
+// A leader that resigns while a renewal is in flight must not become leader again by
+// it: its lease is revoked, and another may lead at once.
+func TestRenewalInFlightDoesNotReviveResignedLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := &held{renewal: 100 * time.Millisecond}
+		s := &slowStore{renewal: 100 * time.Millisecond}
 		leads := make(chan *Lease, 1)
-		e := &Elector{Store: h, Node: "n-0", LeaseTTL: 7 * time.Second, ClockDrift: 0.0005, Log: slog.New(slog.DiscardHandler),
-			Lead: func(ctx context.Context, term *Lease, ready func()) error {
+		e := New(Config{Store: s, Node: "n-0", LeaseTTL: 7 * time.Second, ClockDrift: 0.0005, Log: slog.New(slog.DiscardHandler),
+			Lead: func(ctx context.Context, lease *Lease, ready func()) error {
 				ready()
-				leads <- term
+				leads <- lease
 				<-ctx.Done()
 				return errors.New("over")
 			},
-			ReadBarrier: func(context.Context, *Lease) error { return nil }}
+			ReadBarrier: func(context.Context, *Lease) error { return nil }})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); e.Run(ctx) }()
-		term := <-leads
-		for !term.Valid() {
+		lease := <-leads
+		for !lease.Valid() {
 			time.Sleep(time.Millisecond)
 		}
 		// A fifth of the lease after the first renewal the next one is sent.
-		time.Sleep(e.LeaseTTL/5 + h.renewal/2)
+		time.Sleep(e.cfg.LeaseTTL/5 + s.renewal/2)
 		synctest.Wait()
-		term.Resign()
+		lease.Resign()
 		for range 100 {
 			time.Sleep(10 * time.Millisecond)
-			if term.Valid() {
-				t.Errorf("valid again; the lease was released %v ago", time.Since(h.ended()))
+			if lease.Valid() {
+				t.Errorf("valid again; the lease was released %v ago", time.Since(s.revokedAt()))
 				break
 			}
 		}
-		if h.ended().IsZero() {
+		if s.revokedAt().IsZero() {
 			t.Error("the lease was not released")
 		}
 		cancel()
@@ -112,27 +112,27 @@
 	})
 }
 
-// A renewal was under way when the leader resigned, for a worker that had seen a
-// higher token, say. It made the term valid again: while the lease was being ended,
+// A renewal was in flight when the leader resigned, for a worker that had seen a
+// higher token, say. It made the lease valid again: while the lease was being revoked,
 // which may take 2 s, workers were answered beside the next leader.
-func TestATermThatWasGivenUpStaysSo(t *testing.T) {
+func TestResignedLeaseStaysResigned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		term := NewLease(7, 1, time.Now())
-		if term.Valid() {
+		lease := NewLease(7, 1, time.Now())
+		if lease.Valid() {
 			t.Error("valid before any renewal")
 		}
-		term.Extend(time.Now().Add(10 * time.Second))
+		lease.Extend(time.Now().Add(10 * time.Second))
 		time.Sleep(9999 * time.Millisecond)
-		if !term.Valid() {
+		if !lease.Valid() {
 			t.Error("not valid within its time")
 		}
-		if time.Sleep(time.Millisecond); term.Valid() {
+		if time.Sleep(time.Millisecond); lease.Valid() {
 			t.Error("valid beyond its time")
 		}
-		term.Extend(time.Now().Add(10 * time.Second))
-		term.Resign()
-		term.Extend(time.Now().Add(10 * time.Second))
-		if term.Valid() {
+		lease.Extend(time.Now().Add(10 * time.Second))
+		lease.Resign()
+		lease.Extend(time.Now().Add(10 * time.Second))
+		if lease.Valid() {
 			t.Error("a renewal that was under way brought a term back that was given up")
 		}
 	})
--- /dev/null
+++ b/election/renewal.go
@@ -0,0 +1,149 @@
+package election
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"sync"
+	"time"
+
+	"github.com/umberdeal/umberdeal/kvstore"
+)
+
+const (
+	// renewalsPerTTL is how often a valid lease is renewed in the time that it has.
+	renewalsPerTTL = 5
+	// renewRetryInterval is the time between two renewals while they fail, or while the
+	// leader is not ready.
+	renewRetryInterval = 250 * time.Millisecond
+	// validityMargin is taken off the validity of a renewal, beside the drift of clocks.
+	validityMargin = 20 * time.Millisecond
+	// resignTimeout bounds the revocation of a lease that was resigned.
+	resignTimeout = 2 * time.Second
+)
+
+// errSuperseded says that the leader key is no longer the one of this lease.
+var errSuperseded = fmt.Errorf("the leader key has another revision: %w", kvstore.ErrLeaseNotFound)
+
+// lead runs Config.Lead and renews the lease until it is lost or resigned, or ctx
+// ends. It waits for Config.Lead to return.
+func (e *Elector) lead(ctx context.Context, lease *Lease) {
+	ctx, cancel := context.WithCancel(ctx)
+	var wg sync.WaitGroup
+	ready := make(chan struct{})
+	setReady := sync.OnceFunc(func() { close(ready) })
+	wg.Go(func() {
+		if err := e.cfg.Lead(ctx, lease, setReady); err != nil && ctx.Err() == nil {
+			e.cfg.Log.Info("resigning leadership", "err", err)
+			lease.Resign()
+		}
+	})
+	defer wg.Wait()
+	defer cancel()
+	r := renewal{elector: e, lease: lease}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-lease.resignC:
+			e.revokeResigned(ctx, lease)
+			return
+		case <-ready:
+			ready, r.ready = nil, true
+		default:
+		}
+		err := r.renew(ctx)
+		if errors.Is(err, kvstore.ErrLeaseNotFound) {
+			lease.Resign()
+			continue
+		}
+		timer := time.NewTimer(r.interval(err))
+		select {
+		case <-ctx.Done():
+		case <-lease.resignC:
+		case <-ready:
+			ready, r.ready = nil, true
+		case <-timer.C:
+		}
+		timer.Stop()
+	}
+}
+
+// revokeResigned revokes the lease, also where the node shuts down meanwhile, so that
+// the next leader need not wait for its expiry.
+func (e *Elector) revokeResigned(ctx context.Context, lease *Lease) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), resignTimeout)
+	defer cancel()
+	_ = e.cfg.Store.RevokeLease(ctx, lease.id) // where this fails the lease expires by itself
+}
+
+// renewal keeps one lease alive. It belongs to the goroutine that runs lead.
+type renewal struct {
+	elector *Elector
+	lease   *Lease
+	ready   bool // Config.Lead can act as the leader
+	wasHeld bool // the lease has been valid before
+}
+
+// interval is the time until the next renewal, after one that ended with err.
+func (r *renewal) interval(err error) time.Duration {
+	if err != nil || !r.ready {
+		return renewRetryInterval
+	}
+	return r.elector.cfg.LeaseTTL / renewalsPerTTL
+}
+
+// renew renews the store's lease, and extends the Lease by what that allows once the
+// leader is ready. Validity counts from before the renewal was sent.
+func (r *renewal) renew(ctx context.Context) error {
+	sent := time.Now()
+	err := r.confirm(ctx)
+	switch {
+	case errors.Is(err, kvstore.ErrLeaseNotFound):
+	case err != nil:
+		r.elector.cfg.Log.Debug("lease not renewed", "err", err)
+	case r.ready:
+		r.extend(sent)
+	}
+	return err
+}
+
+func (r *renewal) extend(sent time.Time) {
+	cfg := &r.elector.cfg
+	wasValid := r.lease.Valid()
+	if !wasValid && r.wasHeld {
+		cfg.Log.Info("lease valid again", "token", r.lease.FencingToken)
+	}
+	r.wasHeld = true
+	validity := time.Duration(float64(cfg.LeaseTTL)*(1-2*cfg.ClockDrift)) - validityMargin
+	r.lease.Extend(sent.Add(validity))
+	if !wasValid {
+		r.elector.notify()
+	}
+}
+
+// confirm renews the store's lease and, once the leader is ready, makes sure that what
+// the leader knows is as fresh as the renewal.
+func (r *renewal) confirm(ctx context.Context) error {
+	cfg := &r.elector.cfg
+	if err := cfg.Store.RenewLease(ctx, r.lease.id); err != nil {
+		return fmt.Errorf("renew the lease: %w", err)
+	}
+	if !r.ready {
+		return nil
+	}
+	if r.wasHeld && !r.lease.Valid() {
+		// The lease was not valid for a while: the key must still be at its revision.
+		entry, err := cfg.Store.Get(ctx, LeaderKey)
+		if err != nil {
+			return fmt.Errorf("read the leader key: %w", err)
+		}
+		if entry.Version != r.lease.FencingToken {
+			return errSuperseded
+		}
+	}
+	if err := cfg.ReadBarrier(ctx, r.lease); err != nil {
+		return fmt.Errorf("read barrier: %w", err)
+	}
+	return nil
+}
--- a/metrics/troubles.go
+++ b/metrics/troubles.go
@@ -20,7 +20,7 @@
 	"this process stood still", "machine silent past its lease", "no worker reaches this leader: giving leadership up",
 	"state service not reached, retrying", "state service reached again", "the leader does not answer this node",
 	"the leader answers this node again", "leadership ended", "elected", "job fails everywhere", "machine suspected",
-	"machine types not read, retrying", "machine late", "machines not returned, retrying", "sure of the lease again",
+	"machine types not read, retrying", "machine late", "machines not returned, retrying", "lease valid again",
 	"records not loaded, retrying", "the watch fell behind; beginning anew",
 }
 
