--- a/cluster/bound_test.go
+++ b/cluster/bound_test.go
@@ -47,7 +47,7 @@
 // put submits a job of the test's class with so many tasks, changed by with.
 func (s *shop) put(id string, now float64, tasks int, with func(j *wire.Job)) {
 	rec := arrayJob(id, tasks)
-	rec.AtMs = at(now).UnixMilli()
+	rec.AcceptedAtMs = at(now).UnixMilli()
 	rec.Job.CPUs, rec.Job.ImageGB = 4, 0
 	if with != nil {
 		with(&rec.Job)
@@ -191,16 +191,16 @@
 		old := s.m
 		s.m = newModel(6)
 		s.m.ElectedAt, s.m.StarvationBound, s.m.cfg.Cluster.Objectives = at(100), bound, aims
-		var page jobstore.PageRecord
+		var page jobstore.PlacementPage
 		for _, j := range old.Jobs {
 			if j == nil || j.Finished || j.DoneTasks == len(j.Tasks) {
 				continue
 			}
-			s.m.PutJob(j.ID, jobstore.JobRecord{AtMs: j.AcceptedAt.UnixMilli(), Job: j.Spec}, 1, at(100))
-			c := jobstore.ChunkRecord{Job: j.ID, Attempt: j.LastAttempt}
+			s.m.PutJob(j.ID, jobstore.JobRecord{AcceptedAtMs: j.AcceptedAt.UnixMilli(), Job: j.Spec}, 1, at(100))
+			c := jobstore.PlacementChunk{Job: j.ID, MaxAttempt: j.LastAttempt}
 			for i := range j.Tasks {
 				if p := j.Tasks[i].Placement; p != nil {
-					c.Placed = append(c.Placed, jobstore.Placement{Task: i, Attempt: p.Attempt, Machine: p.name})
+					c.Placements = append(c.Placements, jobstore.Placement{Task: i, Attempt: p.Attempt, Machine: p.name})
 				}
 			}
 			page.Chunks = append(page.Chunks, c)
--- a/cluster/cluster_test.go
+++ b/cluster/cluster_test.go
@@ -29,7 +29,7 @@
 }
 
 func arrayJob(id string, n int) jobstore.JobRecord {
-	return jobstore.JobRecord{AtMs: t0.UnixMilli(), Job: wire.Job{ID: id, Class: "c", Team: "core", Kind: wire.KindArray,
+	return jobstore.JobRecord{AcceptedAtMs: t0.UnixMilli(), Job: wire.Job{ID: id, Class: "c", Team: "core", Kind: wire.KindArray,
 		Priority: wire.PriorityNormal, Tasks: n, CPUs: 2, Image: "i", ImageGB: 1, EstimateS: 60, CheckpointS: 10, SaveS: 2}}
 }
 
@@ -103,8 +103,8 @@
 func TestAbsenceProvesNothingWithoutThisLeadersToken(t *testing.T) {
 	m := newModel(9)
 	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	m.LoadPlacementPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
-		Placed: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
+	m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3,
+		Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
 	m.FinishLoading(at(0))
 	task := &m.Job("wk-000001").Tasks[0]
 	// An answer of the earlier leader may still be on its way to this worker.
@@ -202,7 +202,7 @@
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	b := m.NextBatch(12)
-	key := jobstore.PageKey(0)
+	key := jobstore.PlacementPageKey(0)
 	m.RequeueBatch(b)
 	m.ResolveConflict(b, key, 77) // it had been applied after all
 	b = m.NextBatch(12)
@@ -216,10 +216,10 @@
 func TestMovesSurviveAChangeOfLeader(t *testing.T) {
 	m := newModel(9)
 	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	m.LoadPlacementPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
-		Placed: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
-	m.LoadRebalanceCycle("a/m", jobstore.CycleRecord{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
-		CoolUntil: at(60).UnixMilli()}, at(0))
+	m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3,
+		Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
+	m.LoadRebalanceCycle("a/m", jobstore.RebalanceCycle{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
+		CooldownUntilMs: at(60).UnixMilli()}, at(0))
 	running := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
 	if _, s, _ := ops(answer(t, m, rep(1, 9, running), at(1))); s != 1 {
 		t.Fatal("the recorded move's stop was not repeated")
@@ -234,7 +234,7 @@
 	if p == nil || m.Machines[p.Machine].Name != "host-2" || p.Attempt != 4 {
 		t.Fatal("the task did not start on its target under a higher attempt")
 	}
-	if rec := m.RebalanceCycles["a/m"].Record; rec.CoolUntil != at(60).UnixMilli() {
+	if rec := m.RebalanceCycles["a/m"].Record; rec.CooldownUntilMs != at(60).UnixMilli() {
 		t.Error("the cooldown was lost")
 	}
 	// A start that fails there for reasons of the task quarantines it.
@@ -244,7 +244,7 @@
 	second.Seq = 3
 	second.Tasks = []wire.TaskReport{{Task: "wk-000001/0", Attempt: 4, State: wire.TaskExited, Why: wire.WhyError}}
 	answer(t, m, second, at(6))
-	if m.RebalanceCycles["a/m"].Record.Quarantine["wk-000001/0"] == 0 {
+	if m.RebalanceCycles["a/m"].Record.QuarantineUntilMs["wk-000001/0"] == 0 {
 		t.Error("not quarantined")
 	}
 }
@@ -258,15 +258,15 @@
 	}{{at(1), 1}, {at(0), 0}, {at(-60), 0}} {
 		m := newModel(9)
 		m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-		m.LoadPlacementPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3,
-			Placed: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
-		m.LoadRebalanceCycle("a/m", jobstore.CycleRecord{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
-			CoolUntil: c.coolUntil.UnixMilli(), Rest: map[string]int64{"wk-000001/0": at(90).UnixMilli()}}, at(0))
+		m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3,
+			Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
+		m.LoadRebalanceCycle("a/m", jobstore.RebalanceCycle{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
+			CooldownUntilMs: c.coolUntil.UnixMilli(), TaskCooldownUntilMs: map[string]int64{"wk-000001/0": at(90).UnixMilli()}}, at(0))
 		running := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
 		if _, s, _ := ops(answer(t, m, rep(1, 9, running), at(1))); s != c.stops {
 			t.Errorf("cooling until %v: %d stops, want %d", c.coolUntil, s, c.stops)
 		}
-		if m.RebalanceCycles["a/m"].Record.Rest["wk-000001/0"] == 0 {
+		if m.RebalanceCycles["a/m"].Record.TaskCooldownUntilMs["wk-000001/0"] == 0 {
 			t.Error("the task's rest was lost")
 		}
 	}
--- a/cluster/cycle.go
+++ b/cluster/cycle.go
@@ -14,7 +14,7 @@
 
 // RebalanceCycle is what the rebalancer remembers of a group.
 type RebalanceCycle struct {
-	Record jobstore.CycleRecord
+	Record jobstore.RebalanceCycle
 }
 
 // LoadRebalanceCycle takes an earlier leader's cycle record in. Moves whose task is
@@ -24,9 +24,9 @@
 // The record may be of a transaction that had no answer and was carried out late, so that
 // its moves were never begun. Once the group's cooldown is over nobody wants them any
 // more, and they are not begun then.
-func (m *Model) LoadRebalanceCycle(group string, rec jobstore.CycleRecord, now time.Time) {
+func (m *Model) LoadRebalanceCycle(group string, rec jobstore.RebalanceCycle, now time.Time) {
 	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
-	if now.UnixMilli() >= rec.CoolUntil {
+	if now.UnixMilli() >= rec.CooldownUntilMs {
 		return
 	}
 	for _, mv := range rec.Moves {
@@ -101,10 +101,10 @@
 	for _, c := range m.RebalanceCycles {
 		for i, mv := range c.Record.Moves {
 			if mv.Task == name {
-				if c.Record.Quarantine == nil {
-					c.Record.Quarantine = map[string]int64{}
+				if c.Record.QuarantineUntilMs == nil {
+					c.Record.QuarantineUntilMs = map[string]int64{}
 				}
-				c.Record.Quarantine[name] = now.Add(config.Seconds(m.RebalanceSettings.QuarantineS)).UnixMilli()
+				c.Record.QuarantineUntilMs[name] = now.Add(config.Seconds(m.RebalanceSettings.QuarantineS)).UnixMilli()
 				c.Record.Moves = append(c.Record.Moves[:i:i], c.Record.Moves[i+1:]...)
 				m.log.Info("move failed, task quarantined", "task", name, "why", failed)
 				break
@@ -115,7 +115,7 @@
 
 // PlanMoves looks at every group and returns the cycle records to commit
 // before their moves begin, by group.
-func (m *Model) PlanMoves(wanted []placement.Request, now time.Time) map[string]jobstore.CycleRecord {
+func (m *Model) PlanMoves(wanted []placement.Request, now time.Time) map[string]jobstore.RebalanceCycle {
 	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(m.cfg.Cluster.Workers.ReportS*3) {
 		return nil
 	}
@@ -131,14 +131,14 @@
 		}
 	}
 	sort.Strings(names)
-	out := map[string]jobstore.CycleRecord{}
+	out := map[string]jobstore.RebalanceCycle{}
 	ms := now.UnixMilli()
 	for _, g := range names {
-		var old jobstore.CycleRecord
+		var old jobstore.RebalanceCycle
 		if c := m.RebalanceCycles[g]; c != nil {
 			old = c.Record
 		}
-		if ms < old.CoolUntil {
+		if ms < old.CooldownUntilMs {
 			continue
 		}
 		mcs := groups[g]
@@ -152,7 +152,7 @@
 		if len(want) == 0 {
 			continue
 		}
-		rec := jobstore.CycleRecord{Rest: prune(old.Rest, ms), Quarantine: prune(old.Quarantine, ms)}
+		rec := jobstore.RebalanceCycle{TaskCooldownUntilMs: prune(old.TaskCooldownUntilMs, ms), QuarantineUntilMs: prune(old.QuarantineUntilMs, ms)}
 		in := rebalance.Group{Budget: m.RebalanceSettings.Budget, Wanted: want}
 		for _, p := range m.RebalanceSettings.Policies {
 			in.Policies = append(in.Policies, rebalance.Policy(p))
@@ -171,15 +171,15 @@
 				Task: name, Attempt: j.Tasks[mv.Task.Task].Placement.Attempt,
 				From: mcs[mv.From].Name, To: mcs[mv.To].Name,
 			})
-			rec.Rest[name] = now.Add(config.Seconds(m.RebalanceSettings.RestS)).UnixMilli()
+			rec.TaskCooldownUntilMs[name] = now.Add(config.Seconds(m.RebalanceSettings.RestS)).UnixMilli()
 		}
-		rec.CoolUntil = now.Add(config.Seconds(m.RebalanceSettings.CooldownS)).UnixMilli()
+		rec.CooldownUntilMs = now.Add(config.Seconds(m.RebalanceSettings.CooldownS)).UnixMilli()
 		out[g] = rec
 	}
 	return out
 }
 
-func (m *Model) host(mc *Machine, rec jobstore.CycleRecord, now time.Time) rebalance.Host {
+func (m *Model) host(mc *Machine, rec jobstore.RebalanceCycle, now time.Time) rebalance.Host {
 	h := rebalance.Host{Cap: m.MachineTypes[mc.Type].Capacity, Used: mc.Used.Add(mc.orphans, 1)}
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
@@ -187,7 +187,7 @@
 		name := j.ID + "/" + strconv.Itoa(int(ref.Task))
 		movable := !j.Gang() && p.Stop == nil && !p.StopHeld && p.ReportedState == seenRunning && j.Spec.CheckpointS > 0 &&
 			now.Sub(p.RunningSince).Seconds() < m.RebalanceSettings.LongS &&
-			rec.Rest[name] == 0 && rec.Quarantine[name] == 0 && !j.Spec.Spread
+			rec.TaskCooldownUntilMs[name] == 0 && rec.QuarantineUntilMs[name] == 0 && !j.Spec.Spread
 		h.Tasks = append(h.Tasks, rebalance.Task{Ref: ref, Need: j.Need, Movable: movable, Spot: j.Spec.Spot})
 	}
 	h.Spot = mc.Spot
@@ -205,7 +205,7 @@
 }
 
 // BeginMoves starts a cycle whose record is committed.
-func (m *Model) BeginMoves(group string, rec jobstore.CycleRecord, now time.Time) {
+func (m *Model) BeginMoves(group string, rec jobstore.RebalanceCycle, now time.Time) {
 	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
 	for _, mv := range rec.Moves {
 		if ref, p := m.moved(mv); p != nil && p.Attempt == mv.Attempt && p.Stop == nil {
--- a/cluster/damaged.go
+++ b/cluster/damaged.go
@@ -13,8 +13,8 @@
 
 // keptSize is what a chunk that is kept as it was takes, at most about, in the form
 // in which the service counts.
-func (m *Model) keptSize(c *jobstore.ChunkRecord) int {
-	return 80 + len(c.Job) + (22+max(m.longest, 18))*len(c.Placed) + 8*len(c.Done)
+func (m *Model) keptSize(c *jobstore.PlacementChunk) int {
+	return 80 + len(c.Job) + (22+max(m.longest, 18))*len(c.Placements) + 8*len(c.DoneRanges)
 }
 
 // QuarantineJob names a job whose record can't be read. It stands still until its
@@ -46,18 +46,18 @@
 
 // AdmissionEntries is what this leader knows of a page of users' jobs in that version; false
 // where it does not.
-func (m *Model) AdmissionEntries(key string, version uint64) ([]jobstore.IntakeEntry, bool) {
+func (m *Model) AdmissionEntries(key string, version uint64) ([]jobstore.JobPageEntry, bool) {
 	p := m.intakes[key]
 	if p == nil || p.version != version {
 		return nil, false
 	}
-	return append([]jobstore.IntakeEntry{}, p.rec.Jobs...), true
+	return append([]jobstore.JobPageEntry{}, p.rec.Entries...), true
 }
 
 // QuarantinePlacementPage names a page of placement records that can't be read, and keeps it as
 // it is. Whatever it may speak of is set aside when all has been read.
 func (m *Model) QuarantinePlacementPage(n int, version uint64, err error) {
-	key := jobstore.PageKey(n)
+	key := jobstore.PlacementPageKey(n)
 	m.log.Error("unreadable page of placements: jobs that it may speak of are set aside", "key", key, "err", err)
 	p := m.pageAt(n)
 	p.version, p.size = version, 1<<30 // nothing is put there
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -94,7 +94,7 @@
 	}
 	for _, p := range m.pages {
 		// A page that was never written may be, once what is in the store is deleted.
-		fmt.Fprintf(w, "|p%d,%t,%t,%t", p.n, p.version == ref.Version(jobstore.PageKey(p.n)), p.version == 0, p.gen == p.committed)
+		fmt.Fprintf(w, "|p%d,%t,%t,%t", p.n, p.version == ref.Version(jobstore.PlacementPageKey(p.n)), p.version == 0, p.gen == p.committed)
 	}
 	fmt.Fprintf(w, "|%d,%d", len(m.stops), len(m.fresh))
 }
--- a/cluster/flush.go
+++ b/cluster/flush.go
@@ -34,8 +34,8 @@
 	gen       uint64 // counts changes
 	committed uint64 // the last change that is in the store
 	chunks    []chunkRef
-	kept      []jobstore.ChunkRecord // of jobs whose records can't be read
-	size      int                    // the most bytes that its records take
+	kept      []jobstore.PlacementChunk // of jobs whose records can't be read
+	size      int                       // the most bytes that its records take
 }
 
 type chunkRef struct {
@@ -212,9 +212,9 @@
 
 // batchDone ends a job, if its page fits in beside what is there already.
 func (m *Model) batchDone(b *WriteBatch, j *Job) bool {
-	rec := jobstore.JobRecord{Job: j.Spec, AtMs: j.AcceptedAt.UnixMilli(), State: wire.JobDone, Ended: j.ends(0, len(j.Tasks)), EndMs: m.endMs(j)}
+	rec := jobstore.JobRecord{Job: j.Spec, AcceptedAtMs: j.AcceptedAt.UnixMilli(), State: wire.JobDone, Outcomes: j.ends(0, len(j.Tasks)), FinishedAtMs: m.endMs(j)}
 	if j.res != nil {
-		rec.Reserve = &j.res.Reserve
+		rec.Reservation = &j.res.Reservation
 	}
 	if j.home != nil {
 		if !b.leave(j) {
@@ -243,7 +243,7 @@
 		gen uint64
 	}
 	var (
-		rec    jobstore.PageRecord
+		rec    jobstore.PlacementPage
 		chunks []written
 		guards []wire.Guard
 		bytes  = 200
@@ -258,7 +258,7 @@
 		cr := r.j.chunkRecord(r.n)
 		rec.Chunks = append(rec.Chunks, cr)
 		chunks = append(chunks, written{c, c.Generation})
-		bytes += 60 + len(r.j.ID) + (20+m.longest)*len(cr.Placed) + 5*len(cr.Done)
+		bytes += 60 + len(r.j.ID) + (20+m.longest)*len(cr.Placements) + 5*len(cr.DoneRanges)
 		key := jobstore.JobKey(r.j.ID)
 		places = places || c.PlacedGen > c.CommittedGen
 		if c.PlacedGen > c.CommittedGen && !r.j.Cancelled && b.jobs[key] == nil && jobs[key] == nil {
@@ -276,7 +276,7 @@
 	if len(b.Ops) > 0 && (b.bytes+bytes > maxBytes || len(b.Guards)+len(guards)+1 > m.maxGuards()) {
 		return
 	}
-	key := jobstore.PageKey(p.n)
+	key := jobstore.PlacementPageKey(p.n)
 	op := wire.Op{Put: key, Value: rec}
 	if len(rec.Chunks) == 0 {
 		op = wire.Op{Delete: key}
@@ -330,7 +330,7 @@
 // IsJobKey says whether a key of the batch is that of active jobs.
 func (b *WriteBatch) IsJobKey(key string) bool {
 	_, ok := jobstore.ParseJobKey(key)
-	return ok || jobstore.IsIntake(key)
+	return ok || jobstore.IsJobPageKey(key)
 }
 
 // forget drops a job that is over. Its records leave their pages with the
@@ -349,21 +349,21 @@
 	delete(m.jobIdx, j.ID)
 }
 
-func (j *Job) chunkRecord(n int) jobstore.ChunkRecord {
-	rec := jobstore.ChunkRecord{Job: j.ID, Chunk: n, Attempt: j.LastAttempt}
+func (j *Job) chunkRecord(n int) jobstore.PlacementChunk {
+	rec := jobstore.PlacementChunk{Job: j.ID, Chunk: n, MaxAttempt: j.LastAttempt}
 	lo := n * jobstore.ChunkSize
 	hi := min(lo+jobstore.ChunkSize, len(j.Tasks))
-	rec.Reserved, rec.Ended, rec.Leaving = j.res != nil, j.ends(lo, hi), j.leaving(lo, hi)
+	rec.Reserved, rec.Outcomes, rec.Stopping = j.res != nil, j.ends(lo, hi), j.leaving(lo, hi)
 	for i := lo; i < hi; i++ {
 		switch t := &j.Tasks[i]; t.Phase {
 		case TaskDone:
-			if k := len(rec.Done); k > 0 && rec.Done[k-1] == i-1 {
-				rec.Done[k-1] = i
+			if k := len(rec.DoneRanges); k > 0 && rec.DoneRanges[k-1] == i-1 {
+				rec.DoneRanges[k-1] = i
 			} else {
-				rec.Done = append(rec.Done, i, i)
+				rec.DoneRanges = append(rec.DoneRanges, i, i)
 			}
 		case TaskPlaced:
-			rec.Placed = append(rec.Placed, j.placement(i))
+			rec.Placements = append(rec.Placements, j.placement(i))
 		}
 	}
 	return rec
--- a/cluster/hearing_test.go
+++ b/cluster/hearing_test.go
@@ -43,7 +43,7 @@
 func TestAReservedPlaceIsGivenUpOnceAMuteMachinesLeaseHasEnded(t *testing.T) {
 	m := newModel(5)
 	rec := arrayJob("wk-000001", 1)
-	rec.Reserve = &jobstore.Reserve{Owner: "w/y/a", Go: []int{0, 0}}
+	rec.Reservation = &jobstore.Reservation{Owner: "w/y/a", LaunchRanges: []int{0, 0}}
 	m.PutJob("wk-000001", rec, 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
@@ -58,7 +58,7 @@
 	}
 	r := rep(4, 5)
 	r.Session = 2
-	if answer(t, m, r, at(11)); task.Placement != nil || task.Outcome != jobstore.EndLost {
+	if answer(t, m, r, at(11)); task.Placement != nil || task.Outcome != jobstore.OutcomeLost {
 		t.Errorf("kept, or ended as %d", task.Outcome)
 	}
 }
@@ -84,8 +84,8 @@
 func takenOver() *Model {
 	m := newModel(9)
 	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	m.LoadPlacementPage(0, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 1,
-		Placed: []jobstore.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}}}, 2, at(0))
+	m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 1,
+		Placements: []jobstore.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}}}, 2, at(0))
 	m.FinishLoading(at(0))
 	return m
 }
--- a/cluster/intake.go
+++ b/cluster/intake.go
@@ -7,13 +7,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is about jobs whose records share pages (ledger.IntakeRecord).
+// This file is about jobs whose records share pages (jobstore.JobPage).
 
 // intake is such a page.
 type intake struct {
 	key     string
 	version uint64
-	rec     jobstore.IntakeRecord
+	rec     jobstore.JobPage
 	size    int // in the form in which the service counts
 }
 
@@ -22,7 +22,7 @@
 type AdmissionPage struct {
 	Key     string
 	Version uint64
-	Record  jobstore.IntakeRecord
+	Record  jobstore.JobPage
 }
 
 // PutAdmissionPages takes pages of users' jobs in, all of one moment: a job may have
@@ -41,19 +41,19 @@
 			m.intakes[pg.Key] = p
 		}
 		if pg.Version <= p.version {
-			if pg.Version == p.version && len(p.rec.Jobs) == 0 && !jobstore.IsHead(p.key) {
+			if pg.Version == p.version && len(p.rec.Entries) == 0 && !jobstore.IsHeadPageKey(p.key) {
 				delete(m.intakes, p.key) // as this leader has written it
 			}
 			continue
 		}
-		for _, e := range p.rec.Jobs {
+		for _, e := range p.rec.Entries {
 			may = append(may, gone{e.ID, p})
 		}
 		p.version, p.rec, p.size = pg.Version, pg.Record, pg.Record.Size()
-		for _, e := range p.rec.Jobs {
+		for _, e := range p.rec.Entries {
 			m.putOnPage(p, e, now)
 		}
-		if len(p.rec.Jobs) == 0 && !jobstore.IsHead(p.key) {
+		if len(p.rec.Entries) == 0 && !jobstore.IsHeadPageKey(p.key) {
 			delete(m.intakes, p.key) // it never comes back
 		}
 	}
@@ -71,8 +71,8 @@
 }
 
 func (p *intake) has(id string) bool {
-	for i := range p.rec.Jobs {
-		if p.rec.Jobs[i].ID == id {
+	for i := range p.rec.Entries {
+		if p.rec.Entries[i].ID == id {
 			return true
 		}
 	}
@@ -80,7 +80,7 @@
 }
 
 // putOnPage takes in that a job stands on a page.
-func (m *Model) putOnPage(p *intake, e jobstore.IntakeEntry, now time.Time) {
+func (m *Model) putOnPage(p *intake, e jobstore.JobPageEntry, now time.Time) {
 	j := m.Job(e.ID)
 	if j == nil {
 		rec, err := e.Decode()
@@ -127,7 +127,7 @@
 	for p, l := range b.leaves {
 		rec := p.rec.Without(l.ids)
 		op := wire.Op{Put: p.key, Value: rec}
-		if len(rec.Jobs) == 0 && !jobstore.IsHead(p.key) {
+		if len(rec.Entries) == 0 && !jobstore.IsHeadPageKey(p.key) {
 			op = wire.Op{Delete: p.key}
 		}
 		b.Ops[l.op] = op
--- a/cluster/jobs.go
+++ b/cluster/jobs.go
@@ -28,7 +28,7 @@
 	if j := m.Job(id); j != nil {
 		if version > j.Version {
 			j.Version = version
-			m.mark(j, rec.Reserve, now)
+			m.mark(j, rec.Reservation, now)
 		}
 		return
 	}
@@ -49,12 +49,12 @@
 func (m *Model) addJob(id string, rec jobstore.JobRecord) *Job {
 	s := rec.Job
 	j := &Job{
-		Index: int32(len(m.Jobs)), ID: id, Spec: s, AcceptedAt: time.UnixMilli(rec.AtMs), Team: -1,
+		Index: int32(len(m.Jobs)), ID: id, Spec: s, AcceptedAt: time.UnixMilli(rec.AcceptedAtMs), Team: -1,
 		Priority: priorities[s.Priority], Need: placement.Res{CPU: s.CPUs, GPU: s.GPUs, Mem: s.MemoryGB},
 		AllowedTypes: m.allowedTypes(&s), Zone: -1, Image: m.image(s.Image, s.ImageGB),
 		Tasks: make([]Task, s.Tasks), Chunks: make([]Chunk, (s.Tasks+jobstore.ChunkSize-1)/jobstore.ChunkSize),
 		PlacedByZone: make([]int, len(m.Zones)), record: &record{},
-		res: newReserve(rec.Reserve, s.Tasks),
+		res: newReserve(rec.Reservation, s.Tasks),
 	}
 	if t, ok := m.teamIdx[s.Team]; ok {
 		j.Team = t
--- a/cluster/load.go
+++ b/cluster/load.go
@@ -18,7 +18,7 @@
 
 // LoadPlacementPage takes a page of placement records of an earlier leader in. The jobs
 // must be there already, those that are over for their placements only.
-func (m *Model) LoadPlacementPage(n int, rec jobstore.PageRecord, version uint64, now time.Time) {
+func (m *Model) LoadPlacementPage(n int, rec jobstore.PlacementPage, version uint64, now time.Time) {
 	p := m.pageAt(n)
 	p.version = version
 	for i := range rec.Chunks {
@@ -26,7 +26,7 @@
 	}
 }
 
-func (m *Model) loadChunk(p *page, c *jobstore.ChunkRecord, now time.Time) {
+func (m *Model) loadChunk(p *page, c *jobstore.PlacementChunk, now time.Time) {
 	j := m.Job(c.Job)
 	if j == nil && (m.unreadable[c.Job] || m.lostIntake) {
 		p.kept = append(p.kept, *c)
@@ -40,17 +40,17 @@
 	ch := &j.Chunks[c.Chunk]
 	m.putOn(p, j, c.Chunk)
 	ch.CommittedGen = ch.Generation
-	j.LastAttempt = max(j.LastAttempt, c.Attempt)
-	for i := 0; i+1 < len(c.Done); i += 2 {
-		for t := max(c.Done[i], 0); t <= c.Done[i+1] && t < len(j.Tasks); t++ {
+	j.LastAttempt = max(j.LastAttempt, c.MaxAttempt)
+	for i := 0; i+1 < len(c.DoneRanges); i += 2 {
+		for t := max(c.DoneRanges[i], 0); t <= c.DoneRanges[i+1] && t < len(j.Tasks); t++ {
 			if j.Tasks[t].Phase != TaskDone {
 				j.Tasks[t].Phase = TaskDone
 				j.DoneTasks++
 			}
 		}
 	}
-	j.loadEnds(c.Ended)
-	for _, p := range c.Placed {
+	j.loadEnds(c.Outcomes)
+	for _, p := range c.Placements {
 		if p.Task < 0 || p.Task >= len(j.Tasks) || j.Tasks[p.Task].Phase != TaskIdle {
 			continue
 		}
--- a/cluster/load_test.go
+++ b/cluster/load_test.go
@@ -12,18 +12,18 @@
 // Whatever a page of placements holds, taking it in and going on ends, and what
 // is written afterwards can be read.
 func FuzzLoadPage(f *testing.F) {
-	add := func(rec jobstore.PageRecord) {
+	add := func(rec jobstore.PlacementPage) {
 		b, err := wire.Marshal(rec)
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(b)
 	}
-	add(jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Attempt: 3, Done: []int{1, 2}, Placed: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-000001"}}}}})
-	add(jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001", Chunk: -1}, {Job: "wk-000001", Done: []int{-5, 1 << 40, 3}}, {Job: "wk-000001", Placed: []jobstore.Placement{{Task: -1}, {Task: 4}}}}})
-	add(jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: "wk-000001"}, {Job: "wk-000001"}, {Job: "nobody", Placed: []jobstore.Placement{{}}}}})
+	add(jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3, DoneRanges: []int{1, 2}, Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-000001"}}}}})
+	add(jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", Chunk: -1}, {Job: "wk-000001", DoneRanges: []int{-5, 1 << 40, 3}}, {Job: "wk-000001", Placements: []jobstore.Placement{{Task: -1}, {Task: 4}}}}})
+	add(jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001"}, {Job: "wk-000001"}, {Job: "nobody", Placements: []jobstore.Placement{{}}}}})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var rec jobstore.PageRecord
+		var rec jobstore.PlacementPage
 		if wire.Unmarshal(b, &rec) != nil {
 			return
 		}
@@ -53,17 +53,17 @@
 func BenchmarkTakeover(b *testing.B) {
 	for _, tasks := range []int{1_000, 10_000, 100_000} {
 		const each = 20
-		var pages []jobstore.PageRecord
+		var pages []jobstore.PlacementPage
 		var jobs []jobstore.JobRecord
 		for n := range tasks / each {
 			id := fmt.Sprintf("wk-%06d", n)
 			jobs = append(jobs, arrayJob(id, each))
-			c := jobstore.ChunkRecord{Job: id, Attempt: each}
+			c := jobstore.PlacementChunk{Job: id, MaxAttempt: each}
 			for t := range each {
-				c.Placed = append(c.Placed, jobstore.Placement{Task: t, Attempt: uint64(t + 1), Machine: fmt.Sprintf("host-%06d", (n*each+t)/4)})
+				c.Placements = append(c.Placements, jobstore.Placement{Task: t, Attempt: uint64(t + 1), Machine: fmt.Sprintf("host-%06d", (n*each+t)/4)})
 			}
 			if n%16 == 0 {
-				pages = append(pages, jobstore.PageRecord{})
+				pages = append(pages, jobstore.PlacementPage{})
 			}
 			last := &pages[len(pages)-1]
 			last.Chunks = append(last.Chunks, c)
@@ -97,7 +97,7 @@
 					m.PutJob(jobs[i].Job.ID, rec, 1, at(0))
 				}
 				for i, v := range rawPages {
-					var rec jobstore.PageRecord
+					var rec jobstore.PlacementPage
 					if err := wire.Unmarshal(v, &rec); err != nil {
 						b.Fatal(err)
 					}
@@ -116,7 +116,7 @@
 func TestOnlyWhatCameAfterADamagedPageIsNotSetAside(t *testing.T) {
 	m := newModel(5)
 	marked := arrayJob("wk-000003", 4)
-	marked.Reserve = &jobstore.Reserve{Owner: "w/y/a"}
+	marked.Reservation = &jobstore.Reservation{Owner: "w/y/a"}
 	m.PutJob("wk-000001", arrayJob("wk-000001", 4), 4, at(0))
 	m.PutJob("wk-000002", arrayJob("wk-000002", 4), 9, at(0))
 	m.PutJob("wk-000003", marked, 9, at(0))
--- a/cluster/nights.go
+++ b/cluster/nights.go
@@ -456,11 +456,11 @@
 		if rec.State == wire.JobCancelled {
 			how = calendar.Taken
 		}
-		if rec.EndMs > 0 {
-			at = time.UnixMilli(rec.EndMs)
+		if rec.FinishedAtMs > 0 {
+			at = time.UnixMilli(rec.FinishedAtMs)
 		}
 		s := &rec.Job
-		r, night, ok := m.nights.cal.Of(time.UnixMilli(rec.AtMs), s.Class, s.Team, s.Zone, s.Image)
+		r, night, ok := m.nights.cal.Of(time.UnixMilli(rec.AcceptedAtMs), s.Class, s.Team, s.Zone, s.Image)
 		b.Told(id, how, night, ok && r == b.region, at)
 	}
 }
--- a/cluster/nights_test.go
+++ b/cluster/nights_test.go
@@ -35,7 +35,7 @@
 // nightJob is of a class, accepted so many seconds after midnight.
 func nightJob(id, class string, tasks int, came, estimate float64) jobstore.JobRecord {
 	rec := arrayJob(id, tasks)
-	rec.AtMs, rec.Job.Class, rec.Job.EstimateS, rec.Job.CPUs = at(came).UnixMilli(), class, estimate, 4
+	rec.AcceptedAtMs, rec.Job.Class, rec.Job.EstimateS, rec.Job.CPUs = at(came).UnixMilli(), class, estimate, 4
 	return rec
 }
 
@@ -127,7 +127,7 @@
 
 func (l *leaders) record(region string) (rec calendar.Record) {
 	l.t.Helper()
-	if raw, ok := l.notes[jobstore.Notes+calendar.NoteOf(region)]; ok {
+	if raw, ok := l.notes[jobstore.PlanStatePrefix+calendar.NoteOf(region)]; ok {
 		if err := wire.Unmarshal(raw, &rec); err != nil {
 			l.t.Fatal(err)
 		}
@@ -290,7 +290,7 @@
 // from the jobs that are not over, and comes out.
 func TestADamagedRecordOfNights(t *testing.T) {
 	job := nightJob("wk-000001", "tiles", 1, 10, 60)
-	l := &leaders{t: t, notes: map[string]wire.Raw{jobstore.Notes + calendar.NoteOf("brussels"): {0x81, 0xa1, 'n', 0x91, 0x81}}, over: map[string]jobstore.JobRecord{}}
+	l := &leaders{t: t, notes: map[string]wire.Raw{jobstore.PlanStatePrefix + calendar.NoteOf("brussels"): {0x81, 0xa1, 'n', 0x91, 0x81}}, over: map[string]jobstore.JobRecord{}}
 	l.next(6, at(3600), twoRegions, job)
 	l.m.Tick(at(3601))
 	l.finish("wk-000001", at(3700))
@@ -309,7 +309,7 @@
 		l.m.Tick(at(s))
 		l.note(at(s))
 	}
-	if _, ok := l.notes[jobstore.Notes+calendar.NoteOf("tunis")]; ok || len(l.notes) != 1 {
+	if _, ok := l.notes[jobstore.PlanStatePrefix+calendar.NoteOf("tunis")]; ok || len(l.notes) != 1 {
 		t.Errorf("%d records", len(l.notes))
 	}
 	v := l.m.BatchWindows(at(opens + 600))
--- a/cluster/page_test.go
+++ b/cluster/page_test.go
@@ -12,7 +12,7 @@
 )
 
 // grown is a model with many jobs placed on many machines, all of it written.
-func grown(t *testing.T, jobs, tasks int) (*Model, map[string]jobstore.PageRecord) {
+func grown(t *testing.T, jobs, tasks int) (*Model, map[string]jobstore.PlacementPage) {
 	t.Helper()
 	m := newModel(5)
 	for i := range jobs * tasks / 4 {
@@ -25,7 +25,7 @@
 		m.PutJob(id, arrayJob(id, tasks), 1, at(0))
 	}
 	m.Schedule(at(1), 1000)
-	stored := map[string]jobstore.PageRecord{}
+	stored := map[string]jobstore.PlacementPage{}
 	write(t, m, stored)
 	return m, stored
 }
@@ -33,7 +33,7 @@
 // write commits all that is to be written, and checks the limits that hold for
 // it: 12 changes and 48 conditions a transaction, 64 KiB of text in all and 16
 // a value.
-func write(t *testing.T, m *Model, stored map[string]jobstore.PageRecord) (changes int) {
+func write(t *testing.T, m *Model, stored map[string]jobstore.PlacementPage) (changes int) {
 	t.Helper()
 	for rev := uint64(100); m.PendingWrites() > 0; rev++ {
 		if rev > 300 {
@@ -53,7 +53,7 @@
 			if n > 16<<10 {
 				t.Errorf("%s takes %d bytes", op.Put, n)
 			}
-			if rec, ok := op.Value.(jobstore.PageRecord); ok {
+			if rec, ok := op.Value.(jobstore.PlacementPage); ok {
 				stored[op.Put] = rec
 			}
 			delete(stored, op.Delete)
@@ -94,7 +94,7 @@
 	placed := 0
 	for _, p := range stored {
 		for _, c := range p.Chunks {
-			placed += len(c.Placed)
+			placed += len(c.Placements)
 		}
 	}
 	if placed < 1000 {
@@ -117,10 +117,10 @@
 	write(t, m, stored)
 	next := newModel(9)
 	for _, j := range m.Jobs {
-		next.PutJob(j.ID, jobstore.JobRecord{Job: j.Spec, AtMs: t0.UnixMilli()}, 1, at(5))
+		next.PutJob(j.ID, jobstore.JobRecord{Job: j.Spec, AcceptedAtMs: t0.UnixMilli()}, 1, at(5))
 	}
 	for key, rec := range stored {
-		n, ok := jobstore.ParsePageKey(key)
+		n, ok := jobstore.ParsePlacementPageKey(key)
 		if !ok {
 			t.Fatal(key)
 		}
--- a/cluster/plan.go
+++ b/cluster/plan.go
@@ -128,7 +128,7 @@
 // LoadPlanRecord takes in what an earlier leader recorded. It comes before the plan and
 // the jobs.
 func (m *Model) LoadPlanRecord(key string, value wire.Raw, version uint64) {
-	x := m.notes.at(key[len(jobstore.Notes):])
+	x := m.notes.at(key[len(jobstore.PlanStatePrefix):])
 	x.raw, x.version = value, version
 }
 
@@ -169,7 +169,7 @@
 		}
 		// Those that are left out go first the next time.
 		m.notes.names = append(slices.DeleteFunc(m.notes.names, func(n string) bool { return n == name }), name)
-		key, gen := jobstore.Notes+name, x.gen
+		key, gen := jobstore.PlanStatePrefix+name, x.gen
 		b.Guards = append(b.Guards, wire.Guard{Key: key, Version: x.version})
 		b.Ops = append(b.Ops, wire.Op{Put: key, Value: wire.Raw(raw)})
 		b.notes[key] = x
--- a/cluster/poolfetch.go
+++ b/cluster/poolfetch.go
@@ -16,7 +16,7 @@
 // fetchOwner marks the jobs that fetch a pool's weights.
 func fetchOwner(pool string) string { return fetchOwners + pool }
 
-const fetchOwners = jobstore.Notes + "pools/"
+const fetchOwners = jobstore.PlanStatePrefix + "pools/"
 
 // fetches says whether a job is one that fetches weights.
 func (m *Model) fetches(j *Job) bool {
@@ -30,10 +30,10 @@
 	owner, im := fetchOwner(p.Name), m.image(p.note.Image, p.note.WeightsGB)
 	for _, idx := range m.live {
 		j := m.Jobs[idx]
-		if j == nil || j.Cancelled || j.Finished || j.DoneTasks > 0 || j.res == nil || j.res.Owner != owner || len(j.res.Only) == 0 {
+		if j == nil || j.Cancelled || j.Finished || j.DoneTasks > 0 || j.res == nil || j.res.Owner != owner || len(j.res.OnlyMachines) == 0 {
 			continue
 		}
-		i, known := m.machineIdx[j.res.Only[0]]
+		i, known := m.machineIdx[j.res.OnlyMachines[0]]
 		var e *warmpool.Member
 		if known && !m.Machines[i].Gone {
 			e = p.member(m.Machines[i])
@@ -41,13 +41,13 @@
 		vain := e == nil || e.Leaving || j.Image != im
 		switch t := &j.Tasks[0]; {
 		case t.Phase == TaskIdle && (vain || m.Machines[i].has(im)):
-			m.spend(j, 0, jobstore.EndReleased, now)
+			m.spend(j, 0, jobstore.OutcomeReleased, now)
 			continue
 		case vain && t.Placement != nil && t.Placement.Stop == nil:
 			m.stopByPlan(TaskRef{Job: j.Index}, whyReleased, now)
 			continue
 		}
-		out[j.res.Only[0]] = true
+		out[j.res.OnlyMachines[0]] = true
 	}
 	return out
 }
@@ -75,8 +75,8 @@
 			out = append(out, Prefetch{ID: id, Record: jobstore.JobRecord{
 				Job: wire.Job{ID: id, Class: "weights", Team: p.Payer, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 1,
 					CPUs: fetchCPUs, Image: p.note.Image, ImageGB: p.note.WeightsGB, Spot: true},
-				AtMs:    now.UnixMilli(),
-				Reserve: &jobstore.Reserve{Owner: fetchOwner(p.Name), Go: []int{0, 0}, Only: []string{mc.Name}},
+				AcceptedAtMs: now.UnixMilli(),
+				Reservation:  &jobstore.Reservation{Owner: fetchOwner(p.Name), LaunchRanges: []int{0, 0}, OnlyMachines: []string{mc.Name}},
 			}})
 		}
 	}
@@ -91,7 +91,7 @@
 // fetchEnded takes in that a fetch has ended without having run: where workers
 // know no such job, weights are not fetched ahead for a while.
 func (m *Model) fetchEnded(j *Job, how uint8, now time.Time) {
-	if how != jobstore.EndRefused && how != jobstore.EndError || !m.fetches(j) {
+	if how != jobstore.OutcomeRefused && how != jobstore.OutcomeFailed || !m.fetches(j) {
 		return
 	}
 	for _, p := range m.pools {
--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -18,7 +18,7 @@
 	m.teams = []placement.Team{{}, {}}
 	m.guarantee = []placement.Res{{CPU: 4}, {CPU: 4}}
 	put := func(id, team string, atS float64) {
-		rec := jobstore.JobRecord{AtMs: at(atS).UnixMilli(), Job: wire.Job{ID: id, Class: "c", Team: team, Kind: wire.KindArray,
+		rec := jobstore.JobRecord{AcceptedAtMs: at(atS).UnixMilli(), Job: wire.Job{ID: id, Class: "c", Team: team, Kind: wire.KindArray,
 			Priority: wire.PriorityNormal, Tasks: 1, CPUs: 4, Image: "i", EstimateS: 500, CheckpointS: 10, SaveS: 2}}
 		m.PutJob(id, rec, 1, at(atS))
 	}
--- a/cluster/report.go
+++ b/cluster/report.go
@@ -231,10 +231,10 @@
 	}
 	wait := time.Duration(0)
 	failed := ""
-	how := uint8(jobstore.EndRefused)
+	how := uint8(jobstore.OutcomeRefused)
 	switch t.Why {
 	case wire.WhyError:
-		how = jobstore.EndError
+		how = jobstore.OutcomeFailed
 		if j.res == nil { // what such a job runs differs from task to task
 			wait = m.failed(j, task, mc, now)
 		}
@@ -281,7 +281,7 @@
 		j.progressed(task, p, false, now)
 	}
 	m.unplace(j, task, now)
-	m.spend(j, task, jobstore.EndLost, now)
+	m.spend(j, task, jobstore.OutcomeLost, now)
 	m.moveEnded(TaskRef{Job: j.Index, Task: task}, "", now)
 	m.gangLost(j, task, now)
 }
--- a/cluster/reserve.go
+++ b/cluster/reserve.go
@@ -11,27 +11,27 @@
 )
 
 // This file is about jobs whose tasks are placed first and launched when they are
-// asked for, each once (ledger.Reserve). Until then a placement holds its room
+// asked for, each once (jobstore.Reservation). Until then a placement holds its room
 // and counts like any other; that a task has not been asked for stands in the
 // job's record, so that the next leader, too, knows that it is nowhere.
 
 type reserve struct {
-	jobstore.Reserve
+	jobstore.Reservation
 	goes, drops *bitset.BitSet
 }
 
-func newReserve(r *jobstore.Reserve, tasks int) *reserve {
+func newReserve(r *jobstore.Reservation, tasks int) *reserve {
 	if r == nil {
 		return nil
 	}
-	return &reserve{Reserve: *r, goes: jobstore.Set(r.Go, tasks), drops: jobstore.Set(r.Drop, tasks)}
+	return &reserve{Reservation: *r, goes: jobstore.BitSetOf(r.LaunchRanges, tasks), drops: jobstore.BitSetOf(r.ReleaseRanges, tasks)}
 }
 
 // waitsForGo says whether a task must not be launched yet.
 func (j *Job) waitsForGo(task int) bool { return j.res != nil && !j.res.goes.Test(uint(task)) }
 
 // mark takes a reserved job's marks in.
-func (m *Model) mark(j *Job, r *jobstore.Reserve, now time.Time) {
+func (m *Model) mark(j *Job, r *jobstore.Reservation, now time.Time) {
 	if j.res == nil || r == nil {
 		return
 	}
@@ -49,7 +49,7 @@
 		case TaskPlaced:
 			m.stop(j, int32(i), 0, whyReleased, now)
 		case TaskIdle:
-			m.spend(j, int32(i), jobstore.EndReleased, now)
+			m.spend(j, int32(i), jobstore.OutcomeReleased, now)
 		}
 	}
 }
@@ -59,9 +59,9 @@
 // endOf is how a task that was stopped for that reason ended.
 func endOf(why string) uint8 {
 	if why == whyReleased {
-		return jobstore.EndReleased
+		return jobstore.OutcomeReleased
 	}
-	return jobstore.EndPreempted
+	return jobstore.OutcomePreempted
 }
 
 // spend takes in that a task's only attempt has ended. For other jobs, whose
@@ -79,7 +79,7 @@
 // stopReason is how a task that its machine reports as stopped ended.
 func stopReason(p *Placement) uint8 {
 	if p.Stop == nil {
-		return jobstore.EndPreempted
+		return jobstore.OutcomePreempted
 	}
 	return endOf(p.Stop.Reason)
 }
@@ -87,16 +87,16 @@
 // restrict keeps a request to the machines that its job names, and away from
 // those that it shuns; the indices are the model's.
 func (m *Model) restrict(j *Job, r *placement.Request) {
-	if j.res == nil || len(j.res.Only) == 0 && len(j.res.Avoid) == 0 {
+	if j.res == nil || len(j.res.OnlyMachines) == 0 && len(j.res.AvoidMachines) == 0 {
 		return
 	}
 	avoid := map[int]bool{}
 	for i := range r.Avoid {
 		avoid[i] = true
 	}
-	if len(j.res.Only) > 0 {
+	if len(j.res.OnlyMachines) > 0 {
 		only := map[string]bool{}
-		for _, n := range j.res.Only {
+		for _, n := range j.res.OnlyMachines {
 			only[n] = true
 		}
 		for _, mc := range m.Machines {
@@ -106,7 +106,7 @@
 		}
 		r.Spare = true // no other machine would do, rented or not
 	}
-	for _, n := range j.res.Avoid {
+	for _, n := range j.res.AvoidMachines {
 		if i, ok := m.machineIdx[n]; ok {
 			avoid[int(i)] = true
 		}
--- a/cluster/tiers_test.go
+++ b/cluster/tiers_test.go
@@ -53,7 +53,7 @@
 func (p *fleetPlay) submit(n int, class string, tasks int, took float64, change func(*wire.Job)) string {
 	id := fmt.Sprintf("wk-%06d", n)
 	rec := arrayJob(id, tasks)
-	rec.AtMs = at(p.now).UnixMilli()
+	rec.AcceptedAtMs = at(p.now).UnixMilli()
 	rec.Job.Class, rec.Job.EstimateS = class, took
 	if change != nil {
 		change(&rec.Job)
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -14,7 +14,7 @@
 // due makes a job of the test's class that is to be done within its deadline.
 func due(m *Model, id string, tasks int, deadline float64, came float64) {
 	rec := arrayJob(id, tasks)
-	rec.AtMs = at(came).UnixMilli()
+	rec.AcceptedAtMs = at(came).UnixMilli()
 	rec.Job.CPUs, rec.Job.DeadlineS = 4, &deadline
 	m.PutJob(id, rec, 1, at(came))
 }
@@ -136,7 +136,7 @@
 			m.guarantee = []placement.Res{c.guarantee}
 			for i, gpus := range []float64{0, 1, 1} {
 				rec := arrayJob(fmt.Sprintf("wk-00000%d", i+1), 1)
-				rec.Job.GPUs, rec.AtMs = gpus, at(float64(i)).UnixMilli()
+				rec.Job.GPUs, rec.AcceptedAtMs = gpus, at(float64(i)).UnixMilli()
 				m.PutJob(rec.Job.ID, rec, 1, at(float64(i)))
 			}
 			jobs := m.openJobs()
--- a/cmd/umberdeal/pools.go
+++ b/cmd/umberdeal/pools.go
@@ -27,13 +27,13 @@
 		return err
 	}
 	defer stop()
-	items, _, err := st.List(ctx, jobstore.Notes)
+	items, _, err := st.List(ctx, jobstore.PlanStatePrefix)
 	if err != nil {
 		return err
 	}
 	notes := map[string]wire.Raw{}
 	for _, it := range items {
-		notes[strings.TrimPrefix(it.Key, jobstore.Notes)] = it.Value
+		notes[strings.TrimPrefix(it.Key, jobstore.PlanStatePrefix)] = it.Value
 	}
 	all, bad := warmpool.ReadStates(notes)
 	for _, name := range bad {
--- a/cmd/umberdeal/state.go
+++ b/cmd/umberdeal/state.go
@@ -89,8 +89,8 @@
 		return err
 	}
 	totals, found := snapshot.Verify(all)
-	fmt.Printf("whole: %d keys as of revision %d, taken %s by version %s\n", totals.Keys, h.Revision, h.Taken().UTC().Format(time.RFC3339), h.By)
-	fmt.Printf("%d unfinished jobs, %d that are over, %d places, %d other keys\n", totals.Unfinished, totals.Over, totals.Placed, totals.Other)
+	fmt.Printf("whole: %d keys as of revision %d, taken %s by version %s\n", totals.Keys, h.Revision, h.TakenAt().UTC().Format(time.RFC3339), h.By)
+	fmt.Printf("%d unfinished jobs, %d that are over, %d places, %d other keys\n", totals.Unfinished, totals.Finished, totals.Placements, totals.Other)
 	for _, f := range found {
 		fmt.Println(f)
 	}
--- a/controller/damage_test.go
+++ b/controller/damage_test.go
@@ -24,20 +24,20 @@
 	stuck  bool // of the jobs before no more is asked than that they are answered
 	rare   bool // there may be no such key
 }{
-	{name: "heads", is: jobstore.IsHead},
-	{name: "sealed pages", is: func(k string) bool { return jobstore.IsIntake(k) && !jobstore.IsHead(k) }, sealed: true},
-	{name: "all pages of jobs", is: jobstore.IsIntake, sealed: true},
+	{name: "heads", is: jobstore.IsHeadPageKey},
+	{name: "sealed pages", is: func(k string) bool { return jobstore.IsJobPageKey(k) && !jobstore.IsHeadPageKey(k) }, sealed: true},
+	{name: "all pages of jobs", is: jobstore.IsJobPageKey, sealed: true},
 	{name: "jobs", is: func(k string) bool { _, ok := jobstore.ParseJobKey(k); return ok }},
-	{name: "the form", is: begins(jobstore.FormKey)},
-	{name: "the form and its copy", is: func(k string) bool { return k == jobstore.FormKey || k == jobstore.FormCopyKey }},
-	{name: "the form, heads and pages", is: func(k string) bool { return k == jobstore.FormKey || jobstore.IsIntake(k) }},
+	{name: "the form", is: begins(jobstore.SchemaKey)},
+	{name: "the form and its copy", is: func(k string) bool { return k == jobstore.SchemaKey || k == jobstore.SchemaCopyKey }},
+	{name: "the form, heads and pages", is: func(k string) bool { return k == jobstore.SchemaKey || jobstore.IsJobPageKey(k) }},
 	{name: "placements", is: begins("w/p/"), stuck: true},
 	{name: "ends", is: begins("f/")},
 	{name: "the leader", is: begins("ctl/")},
 	{name: "the plan", is: begins("plan/")},
-	{name: "notes", is: begins(jobstore.Notes)},
-	{name: "types", is: begins(jobstore.TypesKey)},
-	{name: "rentals, returns and moves", is: begins(jobstore.Rentals, jobstore.ReturnsKey, jobstore.Cycles), rare: true},
+	{name: "notes", is: begins(jobstore.PlanStatePrefix)},
+	{name: "types", is: begins(jobstore.MachineTypesKey)},
+	{name: "rentals, returns and moves", is: begins(jobstore.ScaleOutPrefix, jobstore.ScaleInKey, jobstore.RebalanceCyclePrefix), rare: true},
 }
 
 func begins(with ...string) func(string) bool {
@@ -240,7 +240,7 @@
 					})
 				}
 				time.Sleep(time.Duration(rnd.IntN(7000)) * time.Millisecond)
-				keys := slices.DeleteFunc(w.Store.Keys(jobstore.Jobs), func(k string) bool { return !jobstore.IsIntake(k) })
+				keys := slices.DeleteFunc(w.Store.Keys(jobstore.JobPrefix), func(k string) bool { return !jobstore.IsJobPageKey(k) })
 				rnd.Shuffle(len(keys), func(a, b int) { keys[a], keys[b] = keys[b], keys[a] })
 				for _, k := range keys[:min(len(keys), 1+rnd.IntN(5))] {
 					if rnd.IntN(2) == 0 {
@@ -273,9 +273,9 @@
 			for _, j := range all {
 				at, raw := 0, w.Store.Keys("")
 				for _, k := range raw {
-					page, err := jobstore.DecodeIntake(w.Store.Value(k))
-					if k == jobstore.JobKey(j.ID) || k == jobstore.FinalKey(j.ID) || jobstore.IsIntake(k) && err == nil &&
-						slices.ContainsFunc(page.Jobs, func(e jobstore.IntakeEntry) bool { return e.ID == j.ID }) {
+					page, err := jobstore.DecodeJobPage(w.Store.Value(k))
+					if k == jobstore.JobKey(j.ID) || k == jobstore.FinalKey(j.ID) || jobstore.IsJobPageKey(k) && err == nil &&
+						slices.ContainsFunc(page.Entries, func(e jobstore.JobPageEntry) bool { return e.ID == j.ID }) {
 						at++
 					}
 				}
--- a/controller/form.go
+++ b/controller/form.go
@@ -21,16 +21,16 @@
 // schemaVersion is the newest form of records that this node is to have written.
 func (n *Node) schemaVersion() int {
 	if !n.tuning.Ledger.Intake {
-		return jobstore.FormKeys
+		return jobstore.SchemaJobKeys
 	}
-	return jobstore.Form
+	return jobstore.LatestSchema
 }
 
 // migrateSchema has records written in the newest form once every node says that it
 // reads that. While one is of an earlier version, or can't be asked, the form
 // stays as it is, so that that version can be gone back to.
 func (l *leadership) migrateSchema(ctx context.Context) {
-	if l.node.schemaVersion() < jobstore.FormIntake {
+	if l.node.schemaVersion() < jobstore.SchemaJobPages {
 		return
 	}
 	wait := 300 * time.Millisecond
@@ -59,14 +59,14 @@
 // targetSchemaVersion is the form that records are to be written in. As long as nobody
 // wants a plan, it is one that the version before reads as well.
 func (l *leadership) targetSchemaVersion(ctx context.Context) (int, error) {
-	asked, err := l.node.kv.Get(ctx, jobstore.PlanAskedKey)
+	asked, err := l.node.kv.Get(ctx, jobstore.PlanRequestedKey)
 	if err != nil {
 		return 0, err
 	}
 	if asked.Version != 0 {
-		return jobstore.FormPlan, nil
+		return jobstore.SchemaPlans, nil
 	}
-	return jobstore.FormIntake, nil
+	return jobstore.SchemaJobPages, nil
 }
 
 func (l *leadership) tryMigrateSchema(ctx context.Context) (done bool, err error) {
@@ -83,50 +83,50 @@
 			return false, fmt.Errorf("%s reads form %d", p.Name, s.Form)
 		}
 	}
-	e, err := l.node.kv.Get(ctx, jobstore.FormKey)
+	e, err := l.node.kv.Get(ctx, jobstore.SchemaKey)
 	if err != nil {
 		return false, err
 	}
-	var now jobstore.FormRecord
+	var now jobstore.SchemaRecord
 	if e.Version != 0 {
-		if now, err = jobstore.DecodeForm(e.Value); err != nil {
+		if now, err = jobstore.DecodeSchema(e.Value); err != nil {
 			return false, err
 		}
 	}
-	if max(now.Form, form) >= jobstore.FormPlan {
+	if max(now.Version, form) >= jobstore.SchemaPlans {
 		l.markPlanRequested() // also where this one's commit is applied and its answer lost
 	}
-	if now.Form >= form {
+	if now.Version >= form {
 		return true, l.ensureSchemaCopy(ctx, now, e.Version)
 	}
-	next := jobstore.FormRecord{Form: form, Buckets: max(1, len(l.node.peers)+1)}
+	next := jobstore.SchemaRecord{Version: form, Buckets: max(1, len(l.node.peers)+1)}
 	if now.Buckets > 0 {
 		next.Buckets = now.Buckets
 	}
-	_, err = l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.FormKey, Version: e.Version}},
-		[]wire.Op{{Put: jobstore.FormKey, Value: next}, {Put: jobstore.FormCopyKey, Value: next}})
+	_, err = l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.SchemaKey, Version: e.Version}},
+		[]wire.Op{{Put: jobstore.SchemaKey, Value: next}, {Put: jobstore.SchemaCopyKey, Value: next}})
 	if err != nil {
 		return false, err
 	}
-	l.log.Info("records are written in a new form; earlier versions can't read it", "form", next.Form, "buckets", next.Buckets)
+	l.log.Info("records are written in a new form; earlier versions can't read it", "form", next.Version, "buckets", next.Buckets)
 	return true, nil
 }
 
 // ensureSchemaCopy sees to it that the form's copy is there: a version before has written
 // none.
-func (l *leadership) ensureSchemaCopy(ctx context.Context, form jobstore.FormRecord, version uint64) error {
+func (l *leadership) ensureSchemaCopy(ctx context.Context, form jobstore.SchemaRecord, version uint64) error {
 	if version == 0 {
 		return nil
 	}
-	e, err := l.node.kv.Get(ctx, jobstore.FormCopyKey)
+	e, err := l.node.kv.Get(ctx, jobstore.SchemaCopyKey)
 	if err != nil {
 		return err
 	}
-	if was, err := jobstore.DecodeForm(e.Value); err == nil && was == form {
+	if was, err := jobstore.DecodeSchema(e.Value); err == nil && was == form {
 		return nil
 	}
-	_, err = l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.FormKey, Version: version}},
-		[]wire.Op{{Put: jobstore.FormCopyKey, Value: form}})
+	_, err = l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.SchemaKey, Version: version}},
+		[]wire.Op{{Put: jobstore.SchemaCopyKey, Value: form}})
 	return err
 }
 
@@ -144,12 +144,12 @@
 // speed only: any node may change any bucket, and the head's version tells who was
 // first.
 func (n *Node) forwardToBucketOwner(ctx context.Context, id string, r peerrpc.Request) (peerrpc.Answer, bool) {
-	form := n.jobs.Form()
-	if form.Form < jobstore.FormIntake {
+	form := n.jobs.Schema()
+	if form.Version < jobstore.SchemaJobPages {
 		return peerrpc.Answer{}, false
 	}
 	bucket := form.Bucket(id)
-	if !n.jobs.Crowded(bucket) {
+	if !n.jobs.Contended(bucket) {
 		return peerrpc.Answer{}, false
 	}
 	p := n.bucketOwner(bucket)
--- a/controller/known_test.go
+++ b/controller/known_test.go
@@ -144,10 +144,10 @@
 						w.KillNode(n)
 					}
 				}
-				for _, key := range w.Store.Keys(jobstore.Jobs) {
-					if jobstore.IsIntake(key) && c.scratch {
+				for _, key := range w.Store.Keys(jobstore.JobPrefix) {
+					if jobstore.IsJobPageKey(key) && c.scratch {
 						w.Store.CorruptNested(key)
-					} else if jobstore.IsIntake(key) {
+					} else if jobstore.IsJobPageKey(key) {
 						w.Store.Corrupt(key)
 					}
 				}
@@ -196,7 +196,7 @@
 			w.StartNode(n)
 		}
 		time.Sleep(10 * time.Second)
-		if len(w.Store.Keys(jobstore.FormKey)) == 0 {
+		if len(w.Store.Keys(jobstore.SchemaKey)) == 0 {
 			t.Error("the form has not changed")
 		}
 		wg.Wait()
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -92,9 +92,9 @@
 		if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
 			t.Fatal("nobody leads next")
 		}
-		pages := fmt.Sprint(w.Store.Versions(jobstore.PageKey(0)))
+		pages := fmt.Sprint(w.Store.Versions(jobstore.PlacementPageKey(0)))
 		numbers = append(numbers, several(t, w, 11, rnd)...)
-		if !scenario.Eventually(20*time.Second, 50*time.Millisecond, func() bool { return fmt.Sprint(w.Store.Versions(jobstore.PageKey(0))) != pages }) {
+		if !scenario.Eventually(20*time.Second, 50*time.Millisecond, func() bool { return fmt.Sprint(w.Store.Versions(jobstore.PlacementPageKey(0))) != pages }) {
 			t.Fatal("the next leader has placed nothing")
 		}
 		if status := w.ReplayReport(at, w.Leader()); status != 200 {
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -50,7 +50,7 @@
 }
 
 // pageKeys is what the keys of placement records begin with.
-var pageKeys = strings.TrimSuffix(jobstore.PageKey(0), "0")
+var pageKeys = strings.TrimSuffix(jobstore.PlacementPageKey(0), "0")
 
 func anyNode(int) bool { return true }
 
@@ -102,11 +102,11 @@
 			job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 6, 21.2 }))
 		mustReach(t, w, "wk-000002", wire.JobRunning, 10*time.Second)
 		late := within(rnd, 4*time.Second, 7*time.Second)
-		w.Store.DelayNextTransactionOn(jobstore.ReturnsKey, late)
+		w.Store.DelayNextTransactionOn(jobstore.ScaleInKey, late)
 		w.Cloud.DelayDeletes(within(rnd, 35*time.Second, 45*time.Second))
 		both := func(names []string) bool { return slices.Contains(names, all[0]) && slices.Contains(names, all[1]) }
-		returns := func() (rec jobstore.ReturnRecord) {
-			_ = wire.Unmarshal(w.Store.Value(jobstore.ReturnsKey), &rec)
+		returns := func() (rec jobstore.ScaleInRecord) {
+			_ = wire.Unmarshal(w.Store.Value(jobstore.ScaleInKey), &rec)
 			return rec
 		}
 		if !scenario.Eventually(2*time.Minute, 50*time.Millisecond, func() bool { return both(returns().Machines) }) {
@@ -161,7 +161,7 @@
 		}
 		w.Cancel("wk-000003")
 		time.Sleep(5 * time.Second)
-		w.Store.DelayNextTransactionOn(jobstore.Cycles, within(rnd, 6*time.Second, 12*time.Second))
+		w.Store.DelayNextTransactionOn(jobstore.RebalanceCyclePrefix, within(rnd, 6*time.Second, 12*time.Second))
 		mustSubmit(t, w, job(5, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 7, 10 }))
 		if !scenario.Eventually(30*time.Second, 50*time.Millisecond, func() bool { return w.Store.OvertakenTransactions().Older > 0 }) {
 			t.Fatalf("the older record of moves has not come after the newer one: %+v", w.Store.OvertakenTransactions())
@@ -198,8 +198,8 @@
 			for m := range w.TasksPerMachine() {
 				busy = append(busy, m)
 			}
-			for _, k := range w.Store.Keys(jobstore.Rentals) {
-				var rec jobstore.RentalRecord
+			for _, k := range w.Store.Keys(jobstore.ScaleOutPrefix) {
+				var rec jobstore.ScaleOutRecord
 				_ = wire.Unmarshal(w.Store.Value(k), &rec)
 				busy = slices.DeleteFunc(busy, func(m string) bool { return slices.Contains(rec.Machines, m) })
 			}
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -72,7 +72,7 @@
 		if err == nil {
 			break
 		}
-		if errors.Is(err, jobstore.ErrNewer) {
+		if errors.Is(err, jobstore.ErrNewerSchema) {
 			l.log.Error("this node can't lead", "err", err)
 			n.elector.Abstain(20 * time.Second)
 			t.Resign()
@@ -125,7 +125,7 @@
 		if e.Version <= l.appliedRevision {
 			continue
 		}
-		if jobstore.IsIntake(e.Put + e.Delete) {
+		if jobstore.IsJobPageKey(e.Put + e.Delete) {
 			if !l.applyIntakePage(pages, e) {
 				l.lease.Resign()
 				return false
@@ -164,7 +164,7 @@
 	key := e.Put + e.Delete
 	pg := cluster.AdmissionPage{Key: key, Version: e.Version}
 	if e.Put != "" {
-		rec, err := jobstore.DecodeIntake(e.Value)
+		rec, err := jobstore.DecodeJobPage(e.Value)
 		if err != nil {
 			l.log.Error("unreadable page of jobs: the next leader mends it", "key", key, "err", err)
 			return false
@@ -194,12 +194,12 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	ev, err := l.node.kv.Watch(ctx, jobstore.Jobs, l.revision(), 0)
+	ev, err := l.node.kv.Watch(ctx, jobstore.JobPrefix, l.revision(), 0)
 	if err != nil {
 		return err
 	}
 	if !l.applyEvents(ev) {
-		return jobstore.ErrDamaged
+		return jobstore.ErrUnreadable
 	}
 	l.sendDirectStops(ctx)
 	return nil
@@ -223,7 +223,7 @@
 // followJobs learns of submissions and cancellations as they are committed.
 func (l *leadership) followJobs(ctx context.Context) {
 	for ctx.Err() == nil {
-		ev, err := l.node.kv.Watch(ctx, jobstore.Jobs, l.revision(), 8*time.Second)
+		ev, err := l.node.kv.Watch(ctx, jobstore.JobPrefix, l.revision(), 8*time.Second)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
 			l.log.Info("the watch fell behind; beginning anew")
--- a/controller/ledger_test.go
+++ b/controller/ledger_test.go
@@ -21,12 +21,12 @@
 
 // own counts the jobs that have a key of their own, and those that share one.
 func own(w *fake.Cluster) (own, shared int) {
-	for _, k := range w.Store.Keys(jobstore.Jobs) {
-		var page jobstore.IntakeRecord
-		if !jobstore.IsIntake(k) {
+	for _, k := range w.Store.Keys(jobstore.JobPrefix) {
+		var page jobstore.JobPage
+		if !jobstore.IsJobPageKey(k) {
 			own++
 		} else if wire.Unmarshal(w.Store.Value(k), &page) == nil {
-			shared += len(page.Jobs)
+			shared += len(page.Entries)
 		}
 	}
 	return own, shared
@@ -49,7 +49,7 @@
 				time.Sleep(3 * time.Second)
 				mustSubmit(t, w, job(10+n, long))
 			}
-			if alone, shared := own(w); alone < 3 || shared != 0 || len(w.Store.Keys(jobstore.FormKey)) != 0 {
+			if alone, shared := own(w); alone < 3 || shared != 0 || len(w.Store.Keys(jobstore.SchemaKey)) != 0 {
 				t.Errorf("before: %d jobs with keys of their own, %d share", alone, shared)
 			}
 			w.KillNode(older)
@@ -240,7 +240,7 @@
 // go on under the next leader.
 func TestDamagedRecordsAreSetAsideAndTheOthersGoOn(t *testing.T) {
 	for _, c := range []struct{ name, key string }{
-		{"a job", jobstore.JobKey("wk-000001")}, {"a page of placements", jobstore.PageKey(0)},
+		{"a job", jobstore.JobKey("wk-000001")}, {"a page of placements", jobstore.PlacementPageKey(0)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var log logged
--- a/controller/load.go
+++ b/controller/load.go
@@ -20,19 +20,19 @@
 	if err != nil {
 		return err
 	}
-	cycles, _, err := st.List(ctx, jobstore.Cycles)
+	cycles, _, err := st.List(ctx, jobstore.RebalanceCyclePrefix)
 	if err != nil {
 		return err
 	}
-	rentals, _, err := st.List(ctx, jobstore.Rentals)
+	rentals, _, err := st.List(ctx, jobstore.ScaleOutPrefix)
 	if err != nil {
 		return err
 	}
-	returns, err := st.Get(ctx, jobstore.ReturnsKey)
+	returns, err := st.Get(ctx, jobstore.ScaleInKey)
 	if err != nil {
 		return err
 	}
-	notes, _, err := st.List(ctx, jobstore.Notes)
+	notes, _, err := st.List(ctx, jobstore.PlanStatePrefix)
 	if err != nil {
 		return err
 	}
@@ -61,22 +61,22 @@
 		return err
 	}
 	for _, it := range cycles {
-		var rec jobstore.CycleRecord
+		var rec jobstore.RebalanceCycle
 		if err := wire.Unmarshal(it.Value, &rec); err != nil {
 			l.log.Error("unreadable record of moves: passed over", "key", it.Key, "err", err)
 		} else {
-			m.LoadRebalanceCycle(it.Key[len(jobstore.Cycles):], rec, now)
+			m.LoadRebalanceCycle(it.Key[len(jobstore.RebalanceCyclePrefix):], rec, now)
 		}
 	}
 	for _, it := range rentals {
-		var rec jobstore.RentalRecord
+		var rec jobstore.ScaleOutRecord
 		if err := wire.Unmarshal(it.Value, &rec); err != nil {
 			l.log.Error("unreadable record of a rental: passed over", "key", it.Key, "err", err)
 		} else if now.Sub(time.UnixMilli(rec.AtMs)) < 2*time.Minute {
 			m.ScaledOut(cluster.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, time.UnixMilli(rec.AtMs))
 		}
 	}
-	var going jobstore.ReturnRecord
+	var going jobstore.ScaleInRecord
 	if returns.Version != 0 {
 		if err := wire.Unmarshal(returns.Value, &going); err != nil {
 			l.log.Error("unreadable record of returns: machines that go may be given tasks", "key", returns.Key, "err", err)
@@ -94,21 +94,21 @@
 func loadJobs(m *cluster.Model, items []wire.Entry, now time.Time) error {
 	var pages []cluster.AdmissionPage
 	for _, it := range items {
-		if it.Key == jobstore.FormKey {
-			form, err := jobstore.DecodeForm(it.Value)
-			if err != nil || form.Form > jobstore.Form {
-				return jobstore.ErrNewer
+		if it.Key == jobstore.SchemaKey {
+			form, err := jobstore.DecodeSchema(it.Value)
+			if err != nil || form.Version > jobstore.LatestSchema {
+				return jobstore.ErrNewerSchema
 			}
-			if form.Form >= jobstore.FormPlan {
+			if form.Version >= jobstore.SchemaPlans {
 				m.ExpectPlan()
 			}
 		}
-		if jobstore.IsIntake(it.Key) {
-			rec, err := jobstore.DecodeIntake(it.Value)
+		if jobstore.IsJobPageKey(it.Key) {
+			rec, err := jobstore.DecodeJobPage(it.Value)
 			if err != nil {
 				since := now
-				if a, ok := jobstore.DecodeAside(it.Value); ok {
-					since = time.UnixMilli(a.AtMs)
+				if a, ok := jobstore.DecodeQuarantinedPage(it.Value); ok {
+					since = time.UnixMilli(a.QuarantinedAtMs)
 				}
 				m.QuarantineAdmissionPage(it.Key, since, err)
 				continue
@@ -131,17 +131,17 @@
 // loadPlacements reads where tasks may be, also those of jobs that are over.
 func loadPlacements(ctx context.Context, st *kvstore.Client, m *cluster.Model, items []wire.Entry, now time.Time) error {
 	for _, it := range items {
-		n, ok := jobstore.ParsePageKey(it.Key)
+		n, ok := jobstore.ParsePlacementPageKey(it.Key)
 		if !ok {
 			continue
 		}
-		rec, err := jobstore.DecodePage(it.Value)
+		rec, err := jobstore.DecodePlacementPage(it.Value)
 		if err != nil {
 			m.QuarantinePlacementPage(n, it.Version, err)
 			continue
 		}
 		for _, c := range rec.Chunks {
-			if m.Job(c.Job) != nil || len(c.Placed) == 0 {
+			if m.Job(c.Job) != nil || len(c.Placements) == 0 {
 				continue
 			}
 			// The job is over, but its tasks may still be somewhere.
@@ -150,7 +150,7 @@
 				return err
 			}
 			if e.Version != 0 {
-				if over, err := jobstore.DecodeEnd(e.Value); err != nil {
+				if over, err := jobstore.DecodeFinal(e.Value); err != nil {
 					m.QuarantineFinishedJob(e.Key, c.Job, err)
 				} else {
 					m.LoadCancelledJob(c.Job, over)
--- a/controller/look.go
+++ b/controller/look.go
@@ -46,12 +46,12 @@
 // inspect makes a model of what is committed, as a leader that takes over does, but
 // for machines: none has reported to it.
 func inspect(ctx context.Context, cfg *config.Settings, st *kvstore.Client, now time.Time) (*cluster.Model, error) {
-	items, _, err := st.List(ctx, jobstore.Active)
+	items, _, err := st.List(ctx, jobstore.ActivePrefix)
 	if err != nil {
 		return nil, err
 	}
 	m := cluster.New(cfg, 0, now, slog.New(slog.DiscardHandler))
-	e, err := st.Get(ctx, jobstore.TypesKey)
+	e, err := st.Get(ctx, jobstore.MachineTypesKey)
 	if err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 
 // loadOperatorPlanRecords reads the plan that holds, and what its parts have recorded.
 func loadOperatorPlanRecords(ctx context.Context, m *cluster.Model, st *kvstore.Client, now time.Time) error {
-	notes, _, err := st.List(ctx, jobstore.Notes)
+	notes, _, err := st.List(ctx, jobstore.PlanStatePrefix)
 	if err != nil {
 		return err
 	}
--- a/controller/mend.go
+++ b/controller/mend.go
@@ -40,10 +40,10 @@
 // repairMemory is what a node knows of records that can't be read; guarded by the
 // node's lock.
 type repairMemory struct {
-	reported   map[recordVersion]bool             // other nodes can't read them
-	attempted  map[recordVersion]bool             // for which this node has resigned once
-	copies     map[recordVersion]*jobstore.Memory // as a leader of this node knew them
-	unrepaired []unrepairedRecord                 // of this leader's own: what could not be mended
+	reported   map[recordVersion]bool                   // other nodes can't read them
+	attempted  map[recordVersion]bool                   // for which this node has resigned once
+	copies     map[recordVersion]*jobstore.RecoveryCopy // as a leader of this node knew them
+	unrepaired []unrepairedRecord                       // of this leader's own: what could not be mended
 }
 
 // unrepairedRecord is a record that could not be mended when a leader took over.
@@ -66,7 +66,7 @@
 }
 
 // recoverLocally is what this node remembers of a record.
-func (n *Node) recoverLocally(ctx context.Context, rec, was recordVersion) *jobstore.Memory {
+func (n *Node) recoverLocally(ctx context.Context, rec, was recordVersion) *jobstore.RecoveryCopy {
 	n.mu.Lock()
 	m := n.repairs.copies[rec]
 	if m == nil {
@@ -76,7 +76,7 @@
 	if m != nil {
 		return m
 	}
-	return n.jobs.Recall(ctx, rec.key, rec.version)
+	return n.jobs.RecoveryCopy(ctx, rec.key, rec.version)
 }
 
 // FetchRecoveredRecord implements mesh.Handler.
@@ -90,18 +90,18 @@
 
 // recoverCopy asks all nodes for what they remember of a record in a version of it, this
 // one first.
-func (n *Node) recoverCopy(ctx context.Context, rec, was recordVersion) *jobstore.Memory {
+func (n *Node) recoverCopy(ctx context.Context, rec, was recordVersion) *jobstore.RecoveryCopy {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
 	if m := n.recoverLocally(ctx, rec, was); m != nil {
 		return m
 	}
 	var wg sync.WaitGroup
-	found := make(chan *jobstore.Memory, len(n.peers))
+	found := make(chan *jobstore.RecoveryCopy, len(n.peers))
 	for _, p := range n.peers {
 		wg.Go(func() {
 			a, err := p.FetchRecoveredRecord(ctx, peerrpc.Request{ID: rec.key, At: rec.version, Lost: was.key, LostAt: was.version})
-			m := &jobstore.Memory{}
+			m := &jobstore.RecoveryCopy{}
 			if err == nil && a.Status == http.StatusOK && wire.Unmarshal(a.Body, m) == nil {
 				found <- m
 			}
@@ -120,7 +120,7 @@
 type repairer struct {
 	leadership *leadership
 	entries    map[string]wire.Entry
-	pages      map[string]jobstore.IntakeRecord // that can be read
+	pages      map[string]jobstore.JobPage // that can be read
 	unrepaired []unrepairedRecord
 	changed    bool
 }
@@ -128,10 +128,10 @@
 // listRepaired lists all active records, mended as far as can be.
 func (l *leadership) listRepaired(ctx context.Context) (items []wire.Entry, rev uint64, err error) {
 	for range repairAttempts {
-		if items, rev, err = l.node.kv.List(ctx, jobstore.Active); err != nil {
+		if items, rev, err = l.node.kv.List(ctx, jobstore.ActivePrefix); err != nil {
 			return nil, 0, err
 		}
-		m := &repairer{leadership: l, entries: map[string]wire.Entry{}, pages: map[string]jobstore.IntakeRecord{}}
+		m := &repairer{leadership: l, entries: map[string]wire.Entry{}, pages: map[string]jobstore.JobPage{}}
 		err = m.repairAll(ctx, items)
 		l.node.mu.Lock()
 		l.node.repairs.unrepaired = m.unrepaired
@@ -140,7 +140,7 @@
 		switch {
 		case err == nil && !m.changed:
 			return items, rev, nil
-		case errors.Is(err, jobstore.ErrNewer):
+		case errors.Is(err, jobstore.ErrNewerSchema):
 			return nil, 0, err
 		case errors.As(err, &c) || err == nil:
 		default:
@@ -153,7 +153,7 @@
 func (m *repairer) repairAll(ctx context.Context, items []wire.Entry) error {
 	for _, it := range items {
 		m.entries[it.Key] = it
-		if rec, err := jobstore.DecodeIntake(it.Value); err == nil && jobstore.IsIntake(it.Key) {
+		if rec, err := jobstore.DecodeJobPage(it.Value); err == nil && jobstore.IsJobPageKey(it.Key) {
 			m.pages[it.Key] = rec
 		}
 	}
@@ -161,17 +161,17 @@
 		var err error
 		id, alone := jobstore.ParseJobKey(it.Key)
 		switch {
-		case it.Key == jobstore.FormKey:
+		case it.Key == jobstore.SchemaKey:
 			err = m.repairSchemaRecord(ctx, it)
 		case alone:
 			if _, bad := jobstore.DecodeJob(id, it.Value); bad != nil {
 				err = m.repairJob(ctx, id, it)
 			}
-		case strings.HasPrefix(it.Key, jobstore.Apps):
-			if !jobstore.IsApp(it.Value) {
+		case strings.HasPrefix(it.Key, jobstore.AppPrefix):
+			if !jobstore.IsAppValue(it.Value) {
 				err = m.repairYARNApp(ctx, it)
 			}
-		case jobstore.IsIntake(it.Key):
+		case jobstore.IsJobPageKey(it.Key):
 			if _, ok := m.pages[it.Key]; !ok {
 				err = m.repairJobPage(ctx, it)
 			}
@@ -200,7 +200,7 @@
 			continue
 		}
 		m.entries[op.Put] = wire.Entry{Key: op.Put, Version: rev}
-		if rec, ok := op.Value.(jobstore.IntakeRecord); ok {
+		if rec, ok := op.Value.(jobstore.JobPage); ok {
 			m.pages[op.Put] = rec
 		}
 	}
@@ -214,41 +214,41 @@
 		m.unrepaired = append(m.unrepaired, unrepairedRecord{recordVersion: recordVersion{it.Key, it.Version}})
 		return nil
 	}
-	if _, err := jobstore.DecodeJob(id, mem.Raw); err != nil {
+	if _, err := jobstore.DecodeJob(id, mem.Value); err != nil {
 		return nil
 	}
 	m.leadership.log.Error("unreadable job record: written again as a node remembers it", "key", it.Key)
-	return m.commit(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}}, wire.Op{Put: it.Key, Value: mem.Raw})
+	return m.commit(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}}, wire.Op{Put: it.Key, Value: mem.Value})
 }
 
 // repairYARNApp writes a door's record that some node remembers as it was.
 func (m *repairer) repairYARNApp(ctx context.Context, it wire.Entry) error {
 	mem := m.leadership.node.recoverCopy(ctx, recordVersion{it.Key, it.Version}, recordVersion{})
-	if mem == nil || !jobstore.IsApp(mem.Raw) {
+	if mem == nil || !jobstore.IsAppValue(mem.Value) {
 		m.unrepaired = append(m.unrepaired, unrepairedRecord{recordVersion: recordVersion{it.Key, it.Version}})
 		return nil
 	}
 	m.leadership.log.Error("unreadable record of a door: written again as a node remembers it", "key", it.Key)
-	return m.commit(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}}, wire.Op{Put: it.Key, Value: mem.Raw})
+	return m.commit(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}}, wire.Op{Put: it.Key, Value: mem.Value})
 }
 
 // repairSchemaRecord writes the form of the records again: as some node remembers it, as its copy
 // says, or else as the records themselves show.
 func (m *repairer) repairSchemaRecord(ctx context.Context, it wire.Entry) error {
-	if _, err := jobstore.DecodeForm(it.Value); err == nil {
+	if _, err := jobstore.DecodeSchema(it.Value); err == nil {
 		return nil
 	}
-	var form jobstore.FormRecord
-	err := jobstore.ErrDamaged
+	var form jobstore.SchemaRecord
+	err := jobstore.ErrUnreadable
 	if mem := m.leadership.node.recoverCopy(ctx, recordVersion{it.Key, it.Version}, recordVersion{}); mem != nil {
-		form, err = jobstore.DecodeForm(mem.Raw)
+		form, err = jobstore.DecodeSchema(mem.Value)
 	}
 	if err != nil {
-		e, gerr := m.leadership.node.kv.Get(ctx, jobstore.FormCopyKey)
+		e, gerr := m.leadership.node.kv.Get(ctx, jobstore.SchemaCopyKey)
 		if gerr != nil {
 			return gerr
 		}
-		form, err = jobstore.DecodeForm(e.Value)
+		form, err = jobstore.DecodeSchema(e.Value)
 	}
 	if err != nil {
 		// A version that writes a newer form has written the copy as well.
@@ -256,33 +256,33 @@
 		if werr != nil {
 			return werr
 		}
-		form = jobstore.FormRecord{Form: wanted, Buckets: jobstore.BucketsBy(m.pages, len(m.leadership.node.peers)+1)}
+		form = jobstore.SchemaRecord{Version: wanted, Buckets: jobstore.InferBuckets(m.pages, len(m.leadership.node.peers)+1)}
 	}
-	if form.Form > jobstore.Form {
-		return jobstore.ErrNewer
+	if form.Version > jobstore.LatestSchema {
+		return jobstore.ErrNewerSchema
 	}
-	m.leadership.log.Error("the form of the records can't be read: written again", "key", it.Key, "form", form.Form, "buckets", form.Buckets)
+	m.leadership.log.Error("the form of the records can't be read: written again", "key", it.Key, "form", form.Version, "buckets", form.Buckets)
 	return m.commit(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}},
-		wire.Op{Put: jobstore.FormKey, Value: form}, wire.Op{Put: jobstore.FormCopyKey, Value: form})
+		wire.Op{Put: jobstore.SchemaKey, Value: form}, wire.Op{Put: jobstore.SchemaCopyKey, Value: form})
 }
 
 // repairJobPage sets a page of users' jobs aside that can't be read, puts an empty head in
 // its place if it was one, and brings back what some node remembers of it.
 func (m *repairer) repairJobPage(ctx context.Context, it wire.Entry) error {
 	n := m.leadership.node
-	a, aside := jobstore.DecodeAside(it.Value)
-	was := recordVersion{a.From, a.Version}
+	a, aside := jobstore.DecodeQuarantinedPage(it.Value)
+	was := recordVersion{a.OriginalKey, a.OriginalVersion}
 	if !aside {
 		was = recordVersion{it.Key, it.Version}
 	}
 	mem := n.recoverCopy(ctx, recordVersion{it.Key, it.Version}, was)
 	key := it.Key
 	if !aside {
-		bucket, seq, ok := jobstore.ParseIntakeKey(it.Key)
+		bucket, seq, ok := jobstore.ParseJobPageKey(it.Key)
 		if !ok {
 			return nil // no page of this program's
 		}
-		a = jobstore.NewAside(it.Key, it.Version, time.Now().UnixMilli(), it.Value, n.jobs.Limits)
+		a = jobstore.NewQuarantinedPage(it.Key, it.Version, time.Now().UnixMilli(), it.Value, n.jobs.Limits)
 		guards := []wire.Guard{{Key: it.Key, Version: it.Version}}
 		m.leadership.log.Error("unreadable page of jobs: set aside", "key", it.Key, "version", it.Version, "remembered", mem != nil)
 		var err error
@@ -292,9 +292,9 @@
 			// Above all pages that there are, so that none is written over; the
 			// page goes before the head, so that readers meet it first.
 			seq = max(m.highestSequence(bucket), it.Version) + 1
-			key = jobstore.SealedKey(bucket, seq)
+			key = jobstore.SealedPageKey(bucket, seq)
 			err = m.commit(ctx, guards, wire.Op{Put: key, Value: a},
-				wire.Op{Put: it.Key, Value: jobstore.IntakeRecord{Seq: seq, Closed: true}})
+				wire.Op{Put: it.Key, Value: jobstore.JobPage{LastSealed: seq, Closed: true}})
 		}
 		if err != nil {
 			return err
@@ -304,14 +304,14 @@
 		m.unrepaired = append(m.unrepaired, unrepairedRecord{recordVersion{key, m.entries[key].Version}, was})
 		return nil
 	}
-	return m.restoreJobs(ctx, key, a, mem.Jobs)
+	return m.restoreJobs(ctx, key, a, mem.Entries)
 }
 
 // highestSequence is the highest number of a bucket's pages.
 func (m *repairer) highestSequence(bucket int) (last uint64) {
 	for key := range m.entries {
-		if b, seq, ok := jobstore.ParseIntakeKey(key); ok && b == bucket {
-			last = max(last, seq, m.pages[key].Seq)
+		if b, seq, ok := jobstore.ParseJobPageKey(key); ok && b == bucket {
+			last = max(last, seq, m.pages[key].LastSealed)
 		}
 	}
 	return last
@@ -323,7 +323,7 @@
 		return true
 	}
 	for _, rec := range m.pages {
-		for _, e := range rec.Jobs {
+		for _, e := range rec.Entries {
 			if e.ID == id {
 				return true
 			}
@@ -336,11 +336,11 @@
 // many at a time that each has its conditions: it is not over, and it has not been
 // accepted again meanwhile. The page changes each time, since whoever cancels
 // one of its jobs has its version as the condition.
-func (m *repairer) restoreJobs(ctx context.Context, key string, a jobstore.Aside, jobs []jobstore.IntakeEntry) error {
-	bucket, _, _ := jobstore.ParseIntakeKey(key)
-	head := jobstore.HeadKey(bucket)
+func (m *repairer) restoreJobs(ctx context.Context, key string, a jobstore.QuarantinedPage, jobs []jobstore.JobPageEntry) error {
+	bucket, _, _ := jobstore.ParseJobPageKey(key)
+	head := jobstore.HeadPageKey(bucket)
 	most := (4*m.leadership.node.cfg.Cluster.State.TxnOps - 3) / 2
-	var rest []jobstore.IntakeEntry
+	var rest []jobstore.JobPageEntry
 	for _, e := range jobs {
 		if !m.hasReadableRecord(e.ID) {
 			rest = append(rest, e)
@@ -357,8 +357,8 @@
 			}
 			h := m.pages[head]
 			h.Closed = h.Closed || m.entries[head].Version == 0
-			h.Seq = m.highestSequence(bucket) + 1
-			ops = append(ops, wire.Op{Put: jobstore.SealedKey(bucket, h.Seq), Value: jobstore.IntakeRecord{Jobs: batch}}, wire.Op{Put: head, Value: h})
+			h.LastSealed = m.highestSequence(bucket) + 1
+			ops = append(ops, wire.Op{Put: jobstore.SealedPageKey(bucket, h.LastSealed), Value: jobstore.JobPage{Entries: batch}}, wire.Op{Put: head, Value: h})
 		}
 		if len(batch) == len(rest) {
 			ops = append(ops, wire.Op{Delete: key})
@@ -368,7 +368,7 @@
 		err := m.commit(ctx, guards, ops...)
 		var c *kvstore.ConflictError
 		if errors.As(err, &c) {
-			var still []jobstore.IntakeEntry
+			var still []jobstore.JobPageEntry
 			for _, e := range rest {
 				if !slices.Contains(c.FailedKeys, jobstore.JobKey(e.ID)) && !slices.Contains(c.FailedKeys, jobstore.FinalKey(e.ID)) {
 					still = append(still, e)
@@ -384,7 +384,7 @@
 		}
 		back += len(batch)
 		if rest = rest[len(batch):]; len(rest) == 0 {
-			m.leadership.log.Error("jobs of an unreadable page are back, as a node remembers them", "key", key, "was", a.From, "jobs", back)
+			m.leadership.log.Error("jobs of an unreadable page are back, as a node remembers them", "key", key, "was", a.OriginalKey, "jobs", back)
 			return nil
 		}
 	}
@@ -409,7 +409,7 @@
 			jobs, ok := l.model.AdmissionEntries(t.key, t.version)
 			l.mu.Unlock()
 			if ok {
-				l.node.keepCopy(t, &jobstore.Memory{Jobs: jobs})
+				l.node.keepCopy(t, &jobstore.RecoveryCopy{Entries: jobs})
 			}
 			if l.resignForRepair(t) {
 				return
@@ -425,20 +425,20 @@
 
 func isReadable(e wire.Entry) bool {
 	var err error
-	if e.Key == jobstore.FormKey {
-		_, err = jobstore.DecodeForm(e.Value)
+	if e.Key == jobstore.SchemaKey {
+		_, err = jobstore.DecodeSchema(e.Value)
 	} else {
-		_, err = jobstore.DecodeIntake(e.Value)
+		_, err = jobstore.DecodeJobPage(e.Value)
 	}
 	return err == nil
 }
 
 // keepCopy remembers what a leader of this node knew of a page for the next one.
-func (n *Node) keepCopy(t recordVersion, m *jobstore.Memory) {
+func (n *Node) keepCopy(t recordVersion, m *jobstore.RecoveryCopy) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.repairs.copies == nil || len(n.repairs.copies) >= maxRecoveredCopies {
-		n.repairs.copies = map[recordVersion]*jobstore.Memory{}
+		n.repairs.copies = map[recordVersion]*jobstore.RecoveryCopy{}
 	}
 	n.repairs.copies[t] = m
 }
--- a/controller/nights_test.go
+++ b/controller/nights_test.go
@@ -31,7 +31,7 @@
 // nights is what is committed of a region.
 func nights(t *testing.T, w *fake.Cluster, region string) (rec calendar.Record) {
 	t.Helper()
-	if raw := w.Store.Value(jobstore.Notes + calendar.NoteOf(region)); raw != nil {
+	if raw := w.Store.Value(jobstore.PlanStatePrefix + calendar.NoteOf(region)); raw != nil {
 		if err := wire.Unmarshal(raw, &rec); err != nil {
 			t.Fatal(err)
 		}
--- a/controller/node.go
+++ b/controller/node.go
@@ -50,7 +50,7 @@
 	kv               *kvstore.Client
 	cloud            *cloud.Client
 	workerClient     *worker.Client
-	jobs             *jobstore.Reader
+	jobs             *jobstore.Store
 	elector          *election.Elector
 	peers            []*peerrpc.Peer
 	peerStreams      []*peerrpc.HeartbeatStream
@@ -129,7 +129,7 @@
 	}
 	forUsers := n.kv.WithAdaptiveLimits(sl.RPS*0.7, sl.WriteRPS, userRateShare/float64(max(1, cfg.Cluster.Size)))
 	n.userKV = forUsers
-	n.jobs = jobstore.NewReader(forUsers)
+	n.jobs = jobstore.New(forUsers)
 	n.jobs.Limits = jobstore.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB}
 	n.jobs.Log = log
 	n.jobs.Tier = func(team, class string) int { return n.priorities().TierOf(team, class) }
@@ -315,7 +315,7 @@
 		if err != nil || len(types) == 0 {
 			wait = 3 * time.Second
 			if n.machineTypes() == nil {
-				e, gerr := n.kv.Get(ctx, jobstore.TypesKey)
+				e, gerr := n.kv.Get(ctx, jobstore.MachineTypesKey)
 				var t wire.Types
 				if gerr == nil && e.Version != 0 && wire.Unmarshal(e.Value, &t) == nil {
 					types = t.Types
--- a/controller/order.go
+++ b/controller/order.go
@@ -51,7 +51,7 @@
 	if o == nil {
 		return 0
 	}
-	if team, class, ok := n.jobs.Whose(id); ok {
+	if team, class, ok := n.jobs.TeamAndClass(id); ok {
 		return o.TierOf(team, class)
 	}
 	return o.NumTiers() - 1
--- a/controller/order_test.go
+++ b/controller/order_test.go
@@ -316,22 +316,22 @@
 		mustSubmit(t, w, whole(2, "craft", 20), whole(3, "clinic", 20))
 		w.KillAll()
 		form := func(change int) {
-			var rec jobstore.FormRecord
-			if err := wire.Unmarshal(w.Store.Value(jobstore.FormKey), &rec); err != nil || rec.Form < jobstore.FormPlan {
-				t.Fatalf("with an order in force the records have form %d, which versions without orders read: %v", rec.Form, err)
+			var rec jobstore.SchemaRecord
+			if err := wire.Unmarshal(w.Store.Value(jobstore.SchemaKey), &rec); err != nil || rec.Version < jobstore.SchemaPlans {
+				t.Fatalf("with an order in force the records have form %d, which versions without orders read: %v", rec.Version, err)
 			}
-			rec.Form += change
-			if _, err := stateOf(w).CompareAndSwap(t.Context(), nil, []wire.Op{{Put: jobstore.FormKey, Value: rec}}); err != nil {
+			rec.Version += change
+			if _, err := stateOf(w).CompareAndSwap(t.Context(), nil, []wire.Op{{Put: jobstore.SchemaKey, Value: rec}}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		form(jobstore.Form + 1 - jobstore.FormPlan)
+		form(jobstore.LatestSchema + 1 - jobstore.SchemaPlans)
 		w.StartAll()
 		time.Sleep(40 * time.Second)
 		if on := append(w.MachinesRunning("wk-000002/0"), w.MachinesRunning("wk-000003/0")...); len(on) > 0 {
 			t.Error("a version that can't read the order has placed work")
 		}
-		form(jobstore.FormPlan - jobstore.Form - 1)
+		form(jobstore.SchemaPlans - jobstore.LatestSchema - 1)
 		if got := first(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
 			t.Errorf("%s was placed first", got)
 		}
--- a/controller/plan.go
+++ b/controller/plan.go
@@ -53,7 +53,7 @@
 			rev, known = at, true
 			n.requestSchemaMigration() // maybe before this watch
 		}
-		ev, err := n.kv.Watch(ctx, jobstore.Plans, rev, planWatchTimeout)
+		ev, err := n.kv.Watch(ctx, jobstore.PlanPrefix, rev, planWatchTimeout)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
 			known = false
@@ -66,7 +66,7 @@
 					continue // the same changes are told again
 				}
 				for _, e := range ev.Log {
-					if e.Put == jobstore.PlanAskedKey {
+					if e.Put == jobstore.PlanRequestedKey {
 						n.requestSchemaMigration()
 					}
 				}
@@ -78,18 +78,18 @@
 
 // readOperatorPlan reads the plan that holds. Where no version of it can be read, it is lost,
 // which is no error.
-func readOperatorPlan(ctx context.Context, s jobstore.Store) (cluster.Plan, jobstore.PlanState, error) {
+func readOperatorPlan(ctx context.Context, s jobstore.KeyValueStore) (cluster.Plan, jobstore.ActivePlan, error) {
 	var got *plan.Plan
 	st, err := jobstore.LoadPlan(ctx, s, func(text string) error {
 		p, err := plan.Parse(text)
 		got = p
 		return err
 	})
-	lost := errors.Is(err, jobstore.ErrPlanDamaged)
+	lost := errors.Is(err, jobstore.ErrPlanUnreadable)
 	if err != nil && !lost {
 		return cluster.Plan{}, st, err
 	}
-	p := cluster.Plan{Number: st.Number, HeadVersion: st.Head, Unreadable: lost}
+	p := cluster.Plan{Number: st.Number, HeadVersion: st.HeadVersion, Unreadable: lost}
 	if st.Number > 0 {
 		p.Plan = got
 	}
@@ -117,11 +117,11 @@
 	l := n.active
 	n.mu.Unlock()
 	if p.HeadVersion != was.HeadVersion {
-		for _, t := range st.Troubles {
+		for _, t := range st.Warnings {
 			n.log.Error("a record of the plan can't be read", "holds", p.Number, "err", t)
 		}
 		if lost {
-			n.log.Error("a record of the plan can't be read", "holds", p.Number, "err", jobstore.ErrPlanDamaged)
+			n.log.Error("a record of the plan can't be read", "holds", p.Number, "err", jobstore.ErrPlanUnreadable)
 		}
 		n.log.Info("plan read", "version", p.Number, "by", st.By, "note", st.Note)
 	}
--- a/controller/plan_test.go
+++ b/controller/plan_test.go
@@ -119,7 +119,7 @@
 func TestNoPlanIsAppliedBeforeEveryNodeReadsPlans(t *testing.T) {
 	story(t, fake.Options{Machines: 4, Metrics: true, Older: []int{2}}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
-		if _, err := scenario.TryPlan(w, 0, `note = "one"`, time.Minute); !errors.Is(err, jobstore.ErrPlanForm) {
+		if _, err := scenario.TryPlan(w, 0, `note = "one"`, time.Minute); !errors.Is(err, jobstore.ErrPlanUnsupported) {
 			t.Fatalf("with a node that reads no plans: %v", err)
 		}
 		if o := overview(t, w, 0); o.Orders != nil {
@@ -130,8 +130,8 @@
 		w.StartNode(2)
 		time.Sleep(10 * time.Second)
 		applyPlan(t, w, 0, `note = "one"`)
-		var form jobstore.FormRecord
-		if err := wire.Unmarshal(w.Store.Value(jobstore.FormKey), &form); err != nil || form.Form != jobstore.FormPlan {
+		var form jobstore.SchemaRecord
+		if err := wire.Unmarshal(w.Store.Value(jobstore.SchemaKey), &form); err != nil || form.Version != jobstore.SchemaPlans {
 			t.Fatalf("form %+v, %v", form, err)
 		}
 	})
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -34,8 +34,8 @@
 func poolState(t *testing.T, w *fake.Cluster) warmpool.State {
 	t.Helper()
 	notes := map[string]wire.Raw{}
-	for _, k := range w.Store.Keys(jobstore.Notes) {
-		notes[strings.TrimPrefix(k, jobstore.Notes)] = w.Store.Value(k)
+	for _, k := range w.Store.Keys(jobstore.PlanStatePrefix) {
+		notes[strings.TrimPrefix(k, jobstore.PlanStatePrefix)] = w.Store.Value(k)
 	}
 	all, bad := warmpool.ReadStates(notes)
 	if len(all) > 1 || len(bad) > 0 {
@@ -146,7 +146,7 @@
 	}{
 		{"between record and rental", func(t *testing.T, w *fake.Cluster) {
 			w.Cloud.SetOutage(true)
-			for len(w.Store.Keys(jobstore.Rentals)) == 0 {
+			for len(w.Store.Keys(jobstore.ScaleOutPrefix)) == 0 {
 				time.Sleep(100 * time.Millisecond)
 			}
 			w.KillNode(w.Leader())
@@ -444,7 +444,7 @@
 	story(t, poolWorld(2, 4), func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, replicas(1, 2))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 2*time.Minute)
-		if keys := w.Store.Keys(jobstore.Notes); len(keys) > 0 {
+		if keys := w.Store.Keys(jobstore.PlanStatePrefix); len(keys) > 0 {
 			t.Errorf("%v", keys)
 		}
 	})
--- a/controller/poolsmeasure_test.go
+++ b/controller/poolsmeasure_test.go
@@ -126,7 +126,7 @@
 	}
 	st := kvstore.New(w.Network.Dial("operator"), "state:1", 20, 20)
 	d := warmpool.HourOfWeek(hour) / 24
-	if _, err := st.CompareAndSwap(context.Background(), nil, []wire.Op{{Put: jobstore.Notes + warmpool.DayName("llm", d), Value: week.EncodeDay(d)}}); err != nil {
+	if _, err := st.CompareAndSwap(context.Background(), nil, []wire.Op{{Put: jobstore.PlanStatePrefix + warmpool.DayName("llm", d), Value: week.EncodeDay(d)}}); err != nil {
 		t.Fatal(err)
 	}
 	loseLeader(w) // the next one reads it
@@ -205,9 +205,9 @@
 			}
 			for range 4 { // a key is written every half a second at most
 				time.Sleep(250 * time.Millisecond)
-				for key, v := range w.Store.Versions(jobstore.Notes) {
+				for key, v := range w.Store.Versions(jobstore.PlanStatePrefix) {
 					if versions[key] != v {
-						part, _, _ := strings.Cut(strings.TrimPrefix(key, jobstore.Notes), "/")
+						part, _, _ := strings.Cut(strings.TrimPrefix(key, jobstore.PlanStatePrefix), "/")
 						part, _, _ = strings.Cut(part, ".")
 						by[part]++
 						versions[key] = v
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -61,14 +61,14 @@
 	if types == nil {
 		return false
 	}
-	return l.putOwnRecord(ctx, jobstore.TypesKey, wire.Types{Types: types}) == nil
+	return l.putOwnRecord(ctx, jobstore.MachineTypesKey, wire.Types{Types: types}) == nil
 }
 
 // scaleIn returns machines. Their names are committed first: between the look
 // last the lease and the cloud's act may lie a minute, in which another leader has
 // begun and placed tasks on them, unless it reads here that they go.
 func (l *leadership) scaleIn(ctx context.Context, names []string) {
-	if err := l.putOwnRecord(ctx, jobstore.ReturnsKey, jobstore.ReturnRecord{Machines: names}); err != nil {
+	if err := l.putOwnRecord(ctx, jobstore.ScaleInKey, jobstore.ScaleInRecord{Machines: names}); err != nil {
 		l.log.Debug("return record", "err", err)
 		return
 	}
@@ -113,8 +113,8 @@
 func (l *leadership) rentMachines(ctx context.Context, o cluster.Offer, count int) {
 	l.rentalRequests++
 	bon := fmt.Sprintf("r-%d-%d", l.lease.FencingToken, l.rentalRequests)
-	rec := jobstore.RentalRecord{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count, AtMs: time.Now().UnixMilli()}
-	key := jobstore.Rentals + bon
+	rec := jobstore.ScaleOutRecord{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count, AtMs: time.Now().UnixMilli()}
+	key := jobstore.ScaleOutPrefix + bon
 	l.mu.Lock()
 	byPlan := l.model.PlanGuard()
 	l.mu.Unlock()
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -49,7 +49,7 @@
 			if !l.scalingOut {
 				l.wantedMachines = d.ScaleOut
 			}
-			var moves map[string]jobstore.CycleRecord
+			var moves map[string]jobstore.RebalanceCycle
 			if now.Sub(cycle) >= config.Seconds(l.node.tuning.Rebalance.EveryS) {
 				cycle = now
 				moves = l.model.PlanMoves(d.Unplaced, now)
@@ -106,11 +106,11 @@
 
 // startRebalancing commits a cycle's record, so that a new leader knows of the
 // moves, and then begins them.
-func (l *leadership) startRebalancing(ctx context.Context, group string, rec jobstore.CycleRecord) {
+func (l *leadership) startRebalancing(ctx context.Context, group string, rec jobstore.RebalanceCycle) {
 	l.mu.Lock()
 	guards := l.model.RebalanceGuards()
 	l.mu.Unlock()
-	if err := l.putOwnRecord(ctx, jobstore.Cycles+group, rec, guards...); err != nil {
+	if err := l.putOwnRecord(ctx, jobstore.RebalanceCyclePrefix+group, rec, guards...); err != nil {
 		l.rebalancingRejected(ctx, group, err)
 		return
 	}
--- a/controller/users.go
+++ b/controller/users.go
@@ -117,7 +117,7 @@
 func (n *Node) handlePoll(w http.ResponseWriter, r *http.Request) {
 	n.markUserConnection(w, r)
 	id := r.PathValue("id")
-	if v, ok := n.jobs.Remembered(id); ok {
+	if v, ok := n.jobs.CachedFinal(id); ok {
 		writeAnswer(w, newAnswer(http.StatusOK, n.statusOf(v), 0))
 		return
 	}
@@ -231,8 +231,8 @@
 	}
 }
 
-func (n *Node) statusOf(v jobstore.View) wire.JobStatus {
-	s := wire.JobStatus{ID: v.Record.Job.ID, State: v.Record.State, Done: v.Done, Running: v.Placed}
+func (n *Node) statusOf(v jobstore.JobStatus) wire.JobStatus {
+	s := wire.JobStatus{ID: v.Record.Job.ID, State: v.Record.State, Done: v.DoneTasks, Running: v.PlacedTasks}
 	if v.Version == 0 {
 		s.Running = 0
 		if s.State == wire.JobDone {
@@ -241,13 +241,13 @@
 		return s
 	}
 	s.State = wire.JobPending
-	if v.Placed > 0 {
+	if v.PlacedTasks > 0 {
 		s.State = wire.JobRunning
 	}
 	return s
 }
 
-func (n *Node) lookup(ctx context.Context, id string) (v jobstore.View, found bool, err error) {
+func (n *Node) lookup(ctx context.Context, id string) (v jobstore.JobStatus, found bool, err error) {
 	err = retryRefused(ctx, func() error {
 		v, found, err = n.jobs.Lookup(ctx, id)
 		return err
@@ -275,7 +275,7 @@
 	if !wire.ValidUserID(id) {
 		return newAnswer(http.StatusNotFound, wire.Error{Error: "no such job"}, 0), nil
 	}
-	if _, over := n.jobs.Remembered(id); from == "" && !over {
+	if _, over := n.jobs.CachedFinal(id); from == "" && !over {
 		if a, ok := n.forwardToBucketOwner(ctx, id, peerrpc.Request{Op: opCancel, ID: id}); ok {
 			return a, nil
 		}
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -246,7 +246,7 @@
 					t.Errorf("cancelling %s is answered %q", j.ID, got)
 				}
 				// The placement is in the store, and the leader does not know it.
-				if sent, done := w.Store.UnansweredTransactions(); sent > had && done == sent && len(w.Store.Keys(strings.TrimSuffix(jobstore.PageKey(0), "0"))) > 0 {
+				if sent, done := w.Store.UnansweredTransactions(); sent > had && done == sent && len(w.Store.Keys(strings.TrimSuffix(jobstore.PlacementPageKey(0), "0"))) > 0 {
 					met++
 				}
 				w.QueryConcurrently(j.ID, 1)
@@ -447,12 +447,12 @@
 
 // pageOf is the key of the intake page on which a job stands; empty: it is on none.
 func pageOf(w *fake.Cluster, id string) string {
-	for _, key := range w.Store.Keys(jobstore.Jobs) {
-		if !jobstore.IsIntake(key) {
+	for _, key := range w.Store.Keys(jobstore.JobPrefix) {
+		if !jobstore.IsJobPageKey(key) {
 			continue
 		}
-		page, err := jobstore.DecodeIntake(w.Store.Value(key))
-		if err == nil && slices.ContainsFunc(page.Jobs, func(e jobstore.IntakeEntry) bool { return e.ID == id }) {
+		page, err := jobstore.DecodeJobPage(w.Store.Value(key))
+		if err == nil && slices.ContainsFunc(page.Entries, func(e jobstore.JobPageEntry) bool { return e.ID == id }) {
 			return key
 		}
 	}
@@ -461,8 +461,8 @@
 
 // headOpen says whether the head of a page's bucket is open.
 func headOpen(w *fake.Cluster, page string) bool {
-	bucket, _, ok := jobstore.ParseIntakeKey(page)
-	head, err := jobstore.DecodeIntake(w.Store.Value(jobstore.HeadKey(bucket)))
+	bucket, _, ok := jobstore.ParseJobPageKey(page)
+	head, err := jobstore.DecodeJobPage(w.Store.Value(jobstore.HeadPageKey(bucket)))
 	return ok && err == nil && !head.Closed
 }
 
@@ -584,9 +584,9 @@
 			}
 		})
 		time.Sleep(300 * time.Millisecond)
-		if !slices.ContainsFunc(w.Store.Keys(jobstore.HeadKey(0)[:len(jobstore.HeadKey(0))-1]), func(key string) bool {
-			head, err := jobstore.DecodeIntake(w.Store.Value(key))
-			return jobstore.IsHead(key) && err == nil && !head.Closed
+		if !slices.ContainsFunc(w.Store.Keys(jobstore.HeadPageKey(0)[:len(jobstore.HeadPageKey(0))-1]), func(key string) bool {
+			head, err := jobstore.DecodeJobPage(w.Store.Value(key))
+			return jobstore.IsHeadPageKey(key) && err == nil && !head.Closed
 		}) {
 			t.Error("no head is open: there is no crowd")
 		}
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -209,7 +209,7 @@
 
 // statusRequest is what this node says of itself when it asks another.
 func (n *Node) statusRequest() peerrpc.Request {
-	lost, at := n.jobs.Lost()
+	lost, at := n.jobs.UnreadableKey()
 	return peerrpc.Request{From: n.cfg.Node, Room: routing.MaxWorkerConns(n.cfg.Cluster.Limits.Sockets), Lost: lost, LostAt: at}
 }
 
--- a/controller/yarn.go
+++ b/controller/yarn.go
@@ -17,7 +17,7 @@
 // OpenYARN makes the node serve YARN's clients as well. It is to be called before
 // Run; without it no port is opened and nothing is kept for them.
 func (n *Node) OpenYARN(s *yarn.Settings) {
-	n.jobs.KeepDetail()
+	n.jobs.TrackReservations()
 	n.yarnSettings = s
 	sl := n.cfg.Cluster.State
 	n.yarn = yarn.New(s, n.userKV, n.jobs, yarnCore{n}, n.log, sl.TxnOps, int(sl.ValueKB*1024)-512)
--- a/internal/fake/delayed_transactions.go
+++ b/internal/fake/delayed_transactions.go
@@ -136,8 +136,8 @@
 
 // leadersAlone says whether a key is written by leaders alone.
 func leadersAlone(key string) bool {
-	_, page := jobstore.ParsePageKey(key)
-	return page || strings.HasPrefix(key, jobstore.Cycles) || strings.HasPrefix(key, jobstore.Rentals) || key == jobstore.ReturnsKey
+	_, page := jobstore.ParsePlacementPageKey(key)
+	return page || strings.HasPrefix(key, jobstore.RebalanceCyclePrefix) || strings.HasPrefix(key, jobstore.ScaleOutPrefix) || key == jobstore.ScaleInKey
 }
 
 // changes says whether a transaction changes a key that begins so.
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -253,9 +253,9 @@
 // JobKeys lists the keys that say something of unfinished jobs: heads of buckets
 // stay when they are empty.
 func (s *KVStore) JobKeys() []string {
-	return slices.DeleteFunc(s.Keys(jobstore.Active), func(k string) bool {
-		var page jobstore.IntakeRecord
-		return k == jobstore.FormKey || jobstore.IsHead(k) && wire.Unmarshal(s.Value(k), &page) == nil && len(page.Jobs) == 0
+	return slices.DeleteFunc(s.Keys(jobstore.ActivePrefix), func(k string) bool {
+		var page jobstore.JobPage
+		return k == jobstore.SchemaKey || jobstore.IsHeadPageKey(k) && wire.Unmarshal(s.Value(k), &page) == nil && len(page.Entries) == 0
 	})
 }
 
@@ -572,10 +572,10 @@
 		return
 	}
 	for _, op := range t.Then {
-		if _, ok := jobstore.ParsePageKey(op.Put); !ok {
+		if _, ok := jobstore.ParsePlacementPageKey(op.Put); !ok {
 			continue
 		}
-		var was, is jobstore.PageRecord
+		var was, is jobstore.PlacementPage
 		if wire.Unmarshal(op.Value, &is) != nil {
 			s.breaks("unreadable page %s", op.Put)
 			continue
@@ -586,12 +586,12 @@
 		there := map[string]bool{}
 		name := func(job string, p jobstore.Placement) string { return fmt.Sprint(job, p.Task, p.Attempt, p.Machine) }
 		for _, c := range was.Chunks {
-			for _, p := range c.Placed {
+			for _, p := range c.Placements {
 				there[name(c.Job, p)] = true
 			}
 		}
 		for _, c := range is.Chunks {
-			for _, p := range c.Placed {
+			for _, p := range c.Placements {
 				if !there[name(c.Job, p)] {
 					s.breaks("%s/%d is placed on no condition of the plan", c.Job, p.Task)
 				}
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -69,9 +69,9 @@
 func (w *Cluster) LearnJobs(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, key := range w.Store.Keys(jobstore.JobKey("")) {
-			var page jobstore.IntakeRecord
-			if jobstore.IsIntake(key) && wire.Unmarshal(w.Store.Value(key), &page) == nil {
-				for _, e := range page.Jobs {
+			var page jobstore.JobPage
+			if jobstore.IsJobPageKey(key) && wire.Unmarshal(w.Store.Value(key), &page) == nil {
+				for _, e := range page.Entries {
 					if rec, err := e.Decode(); err == nil {
 						w.RegisterJob(rec.Job)
 					}
--- a/internal/scenario/plans.go
+++ b/internal/scenario/plans.go
@@ -39,7 +39,7 @@
 // to have worked. Where another version is in force, that one is known from now on.
 func (p *Plans) Apply(text string, within time.Duration) bool {
 	n, err := TryPlan(p.World, p.Version, text, within)
-	var moved *jobstore.PlanMoved
+	var moved *jobstore.PlanConflictError
 	if err == nil {
 		p.Version = n
 	} else if errors.As(err, &moved) {
--- a/jobstore/accept.go
+++ b/jobstore/accept.go
@@ -48,7 +48,7 @@
 // intakePage is a page of users' jobs as last read or written.
 type intakePage struct {
 	version uint64
-	rec     IntakeRecord
+	rec     JobPage
 	size    int
 	since   uint64 // of a head that is open: the version by which it was known to be
 }
@@ -56,7 +56,7 @@
 func (p *intakePage) closed() bool { return p == nil || p.version == 0 || p.rec.Closed }
 
 // unreadable names a record that can't be read; the others go on.
-func (r *Reader) unreadable(key string, err error) {
+func (r *Store) unreadable(key string, err error) {
 	if r.Log != nil {
 		r.Log.Error("unreadable record", "key", key, "err", err)
 	}
@@ -64,14 +64,14 @@
 
 // damaged names a job whose record can't be read, and stands in for it: the job is
 // known, and that is all.
-func (r *Reader) damaged(key, id string, err error) JobRecord {
+func (r *Store) damaged(key, id string, err error) JobRecord {
 	r.unreadable(key, err)
 	return JobRecord{Job: wire.Job{ID: id, Tasks: 1}}
 }
 
 // setIntake replaces what stands on a page of users' jobs. A job may have come
 // from another page in the same transaction, in either order.
-func (r *Reader) setIntake(key string, rec IntakeRecord, version uint64) {
+func (r *Store) setIntake(key string, rec JobPage, version uint64) {
 	p := r.intake[key]
 	if p == nil {
 		p = &intakePage{}
@@ -82,17 +82,17 @@
 	}
 	again := r.lost[key].version != 0
 	delete(r.lost, key)
-	stays := make(map[string]bool, len(rec.Jobs))
-	for _, e := range rec.Jobs {
+	stays := make(map[string]bool, len(rec.Entries))
+	for _, e := range rec.Entries {
 		stays[e.ID] = true
 	}
-	for _, e := range p.rec.Jobs {
+	for _, e := range p.rec.Entries {
 		if j := r.jobs[e.ID]; j != nil && j.home == key && !stays[e.ID] {
 			j.version, j.home = 0, ""
 			r.drop(e.ID, j)
 		}
 	}
-	for _, e := range rec.Jobs {
+	for _, e := range rec.Entries {
 		j := r.job(e.ID)
 		if j.version == 0 || j.bad || again {
 			got, err := e.Decode()
@@ -112,17 +112,17 @@
 // lostPage is a page of users' jobs that can't be read.
 type lostPage struct {
 	version uint64
-	aside   bool    // a leader has set it aside, so that no leader knows its jobs
-	from    string  // where it stood before
-	of      uint64  // in which version
-	was     *Memory // what this node remembers of that, nil for nothing
+	aside   bool          // a leader has set it aside, so that no leader knows its jobs
+	from    string        // where it stood before
+	of      uint64        // in which version
+	was     *RecoveryCopy // what this node remembers of that, nil for nothing
 }
 
 // loseIntake notes that a page of users' jobs can't be read in its newest version.
 // What was known of it stays known, and so do the jobs that still stand there.
 // The page keeps the version that was last read, so that nothing is written over
 // it.
-func (r *Reader) loseIntake(key string, a Aside, aside bool, version uint64) {
+func (r *Store) loseIntake(key string, a QuarantinedPage, aside bool, version uint64) {
 	p := r.intake[key]
 	if p == nil {
 		p = &intakePage{}
@@ -131,23 +131,23 @@
 	if version <= p.version || version <= r.lost[key].version {
 		return
 	}
-	l := lostPage{version: version, aside: aside, from: a.From, of: a.Version}
-	if l.was = r.lost[a.From].was; r.lost[a.From].version != a.Version {
+	l := lostPage{version: version, aside: aside, from: a.OriginalKey, of: a.OriginalVersion}
+	if l.was = r.lost[a.OriginalKey].was; r.lost[a.OriginalKey].version != a.OriginalVersion {
 		l.was = nil
 	}
-	if from := r.intake[a.From]; from != nil && from.version == a.Version && r.lost[a.From].version == 0 {
-		l.was = &Memory{Jobs: slices.Clone(from.rec.Jobs)}
+	if from := r.intake[a.OriginalKey]; from != nil && from.version == a.OriginalVersion && r.lost[a.OriginalKey].version == 0 {
+		l.was = &RecoveryCopy{Entries: slices.Clone(from.rec.Entries)}
 	}
-	if before := r.lost[key]; before.from == a.From && before.of == a.Version {
+	if before := r.lost[key]; before.from == a.OriginalKey && before.of == a.OriginalVersion {
 		l.was = before.was // written again as it was
 	}
-	if from := r.intake[a.From]; from != nil && from != p && aside && from.version <= a.Version {
+	if from := r.intake[a.OriginalKey]; from != nil && from != p && aside && from.version <= a.OriginalVersion {
 		// What was known of it has moved here, in a transaction that goes on to put
 		// an empty head in its place.
-		for _, e := range from.rec.Jobs {
-			if j := r.jobs[e.ID]; j != nil && j.home == a.From {
+		for _, e := range from.rec.Entries {
+			if j := r.jobs[e.ID]; j != nil && j.home == a.OriginalKey {
 				j.home = key
-				p.rec.Jobs = append(p.rec.Jobs, e)
+				p.rec.Entries = append(p.rec.Entries, e)
 			}
 		}
 	}
@@ -155,15 +155,15 @@
 	for _, id := range salvageIDs(a.Raw) {
 		if j := r.job(id); j.version == 0 {
 			j.rec, j.version, j.home, j.bad = JobRecord{Job: wire.Job{ID: id, Tasks: 1}}, version, key, true
-			p.rec.Jobs = append(p.rec.Jobs, IntakeEntry{ID: id})
+			p.rec.Entries = append(p.rec.Entries, JobPageEntry{ID: id})
 		}
 	}
 }
 
 // lostWith is a page that can't be read and on which a job may stand; the lock is
 // held. The version is 0 where there is none.
-func (r *Reader) lostWith(id string) (key string, version uint64) {
-	head := HeadKey(r.form.Bucket(id))
+func (r *Store) lostWith(id string) (key string, version uint64) {
+	head := HeadPageKey(r.form.Bucket(id))
 	for key, l := range r.lost {
 		if r.form.Buckets == 0 || key == head || strings.HasPrefix(key, head+".") {
 			return key, l.version
@@ -178,17 +178,17 @@
 // says so, which this node reads: those that are placed are known. So nothing but
 // its record is lost, and the user brings that again. Before, a leader may know it
 // still, and may be placing it.
-func (r *Reader) mayAccept(id string) error {
+func (r *Store) mayAccept(id string) error {
 	if r.formLost {
-		return fmt.Errorf("%w: %s", ErrDamaged, FormKey)
+		return fmt.Errorf("%w: %s", ErrUnreadable, SchemaKey)
 	}
-	head := HeadKey(r.form.Bucket(id))
+	head := HeadPageKey(r.form.Bucket(id))
 	for key, l := range r.lost {
 		if key != head && !strings.HasPrefix(key, head+".") {
 			continue
 		}
 		if !l.aside || len(r.blind) > 0 {
-			return fmt.Errorf("%w: job %s may stand on %s", ErrDamaged, id, key)
+			return fmt.Errorf("%w: job %s may stand on %s", ErrUnreadable, id, key)
 		}
 	}
 	return nil
@@ -196,7 +196,7 @@
 
 // lostAt is the version of a page that can't be read, 0 if it can, and whether it
 // has been set aside.
-func (r *Reader) lostAt(key string) (version uint64, aside bool) {
+func (r *Store) lostAt(key string) (version uint64, aside bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	l := r.lost[key]
@@ -205,7 +205,7 @@
 
 // known says whether a job is accepted, as last read; the lock is held. Only
 // accepted jobs are placed.
-func (r *Reader) known(id string) bool {
+func (r *Store) known(id string) bool {
 	if _, ok := r.finals[id]; ok {
 		return true
 	}
@@ -215,7 +215,7 @@
 
 // submission waits for its job to be committed.
 type submission struct {
-	entry IntakeEntry
+	entry JobPageEntry
 	tier  int
 	done  chan accepted
 }
@@ -246,13 +246,13 @@
 )
 
 // Accept commits a submission. known is true where the id is known already.
-func (r *Reader) Accept(ctx context.Context, j wire.Job, at time.Time) (known bool, err error) {
-	rec := JobRecord{Job: j, AtMs: at.UnixMilli()}
+func (r *Store) Accept(ctx context.Context, j wire.Job, at time.Time) (known bool, err error) {
+	rec := JobRecord{Job: j, AcceptedAtMs: at.UnixMilli()}
 	raw, err := wire.Marshal(rec)
 	if err != nil {
 		return false, err
 	}
-	entry := IntakeEntry{ID: j.ID, Record: raw}
+	entry := JobPageEntry{ID: j.ID, Record: raw}
 	large := entry.size() > r.Limits.bytes()/4
 	for range acceptTries {
 		r.mu.Lock()
@@ -263,9 +263,9 @@
 			}
 			r.mu.Lock()
 		}
-		if r.form.Form > Form {
+		if r.form.Version > LatestSchema {
 			r.mu.Unlock()
-			return false, ErrNewer
+			return false, ErrNewerSchema
 		}
 		if r.known(j.ID) {
 			r.mu.Unlock()
@@ -275,12 +275,12 @@
 			r.mu.Unlock()
 			return false, err
 		}
-		guards := []wire.Guard{{Key: JobKey(j.ID)}, {Key: FinalKey(j.ID)}, {Key: FormKey, Version: r.formAt}}
+		guards := []wire.Guard{{Key: JobKey(j.ID)}, {Key: FinalKey(j.ID)}, {Key: SchemaKey, Version: r.formAt}}
 		ops := []wire.Op{{Put: JobKey(j.ID), Value: rec}}
 		var q *queue
-		if r.form.Form >= FormIntake {
+		if r.form.Version >= SchemaJobPages {
 			bucket := r.form.Bucket(j.ID)
-			key := HeadKey(bucket)
+			key := HeadPageKey(bucket)
 			q = r.queue(bucket)
 			head := r.intake[key]
 			// One that waits for its turn would have those behind it wait as well,
@@ -330,31 +330,31 @@
 	return false, fmt.Errorf("%w: too many conflicts", kvstore.ErrRefused)
 }
 
-func (r *Reader) headVersion(key string) uint64 {
+func (r *Store) headVersion(key string) uint64 {
 	if p := r.intake[key]; p != nil {
 		return p.version
 	}
 	return 0
 }
 
-// Form is the form of the records as last read.
-func (r *Reader) Form() FormRecord {
+// Schema is the form of the records as last read.
+func (r *Store) Schema() SchemaRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.form
 }
 
-// Crowded says whether submissions of a bucket had better come to one node now:
+// Contended says whether submissions of a bucket had better come to one node now:
 // its head is open, and those that add to it at once are in one another's way.
-func (r *Reader) Crowded(bucket int) bool {
+func (r *Store) Contended(bucket int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	q := r.queues[bucket]
-	return q != nil && (q.busy || q.alone >= crowd) || !r.intake[HeadKey(bucket)].closed()
+	return q != nil && (q.busy || q.alone >= crowd) || !r.intake[HeadPageKey(bucket)].closed()
 }
 
 // queue is a bucket's; the lock is held.
-func (r *Reader) queue(bucket int) *queue {
+func (r *Store) queue(bucket int) *queue {
 	q := r.queues[bucket]
 	if q == nil {
 		q = &queue{}
@@ -366,7 +366,7 @@
 // enqueue has a job committed together with those that wait as well; the lock is
 // held. The first one waits for nobody; those that come while a transaction is
 // inFlight way share the next.
-func (r *Reader) enqueue(bucket int, q *queue, e IntakeEntry, tier int) (*submission, error) {
+func (r *Store) enqueue(bucket int, q *queue, e JobPageEntry, tier int) (*submission, error) {
 	if r.ctx == nil || r.ended {
 		return nil, fmt.Errorf("%w: shutting down", kvstore.ErrRefused)
 	}
@@ -377,7 +377,7 @@
 }
 
 // write has what waits for a bucket committed; the lock is held.
-func (r *Reader) write(bucket int, q *queue) {
+func (r *Store) write(bucket int, q *queue) {
 	if !q.busy {
 		q.busy = true
 		r.writers.Add(1)
@@ -386,7 +386,7 @@
 }
 
 // await waits until a submission is answered.
-func (r *Reader) await(ctx context.Context, q *queue, s *submission) (known bool, err error) {
+func (r *Store) await(ctx context.Context, q *queue, s *submission) (known bool, err error) {
 	select {
 	case a := <-s.done:
 		return a.known, a.err
@@ -400,7 +400,7 @@
 
 // drain commits what waits for a bucket until nothing does, cancellations and
 // submissions in turn.
-func (r *Reader) drain(ctx context.Context, bucket int, q *queue) {
+func (r *Store) drain(ctx context.Context, bucket int, q *queue) {
 	for {
 		r.mu.Lock()
 		ends := r.takeEnding(q)
@@ -430,7 +430,7 @@
 // Once the head is open, jobs get keys of their own only by a transaction that
 // changes the head; so whoever knows what there was when it was opened knows all
 // such keys.
-func (r *Reader) each(key string) int {
+func (r *Store) each(key string) int {
 	if p := r.intake[key]; p.closed() || r.rev < p.since {
 		return 2
 	}
@@ -439,11 +439,11 @@
 
 // newBatchingConn takes what fits into a transaction off a queue, each id once: a repeat
 // of a submission waits for the next, and is told that it is known.
-func (r *Reader) gather(bucket int, q *queue) []*submission {
+func (r *Store) gather(bucket int, q *queue) []*submission {
 	var batch []*submission
 	ids := map[string]bool{}
 	taken := map[*submission]bool{}
-	bytes, most := 0, r.Limits.jobs(r.each(HeadKey(bucket)))
+	bytes, most := 0, r.Limits.jobs(r.each(HeadPageKey(bucket)))
 	for _, s := range inTurn(q.waiting, most) {
 		size := s.entry.size()
 		if ids[s.entry.ID] || len(batch) >= most || len(batch) > 0 && bytes+size > 2*r.Limits.bytes() {
@@ -457,9 +457,9 @@
 	return batch
 }
 
-// Whose is the team and the class of an unfinished job, as last read; false if it
+// TeamAndClass is the team and the class of an unfinished job, as last read; false if it
 // is not known.
-func (r *Reader) Whose(id string) (team, class string, ok bool) {
+func (r *Store) TeamAndClass(id string) (team, class string, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	j := r.jobs[id]
@@ -470,7 +470,7 @@
 }
 
 // tier is a job's by the operators' order.
-func (r *Reader) tier(j *wire.Job) int {
+func (r *Store) tier(j *wire.Job) int {
 	if r.Tier == nil {
 		return 0
 	}
@@ -490,7 +490,7 @@
 }
 
 // commitBatch commits submissions of a bucket, and answers each.
-func (r *Reader) commitBatch(ctx context.Context, bucket int, q *queue, batch []*submission) {
+func (r *Store) commitBatch(ctx context.Context, bucket int, q *queue, batch []*submission) {
 	answer := func(which func(*submission) bool, a accepted) {
 		batch = slices.DeleteFunc(batch, func(s *submission) bool {
 			if which(s) {
@@ -512,7 +512,7 @@
 				return
 			}
 		}
-		if most := r.Limits.jobs(r.each(HeadKey(bucket))); len(batch) > most {
+		if most := r.Limits.jobs(r.each(HeadPageKey(bucket))); len(batch) > most {
 			// The head has been closed meanwhile, so that each needs more conditions.
 			q.waiting = append(slices.Clone(batch[most:]), q.waiting...)
 			batch = batch[:most]
@@ -528,7 +528,7 @@
 			r.wrote(ops, rev)
 			answer(all, accepted{})
 			r.mu.Lock()
-			stale := len(q.waiting) > 0 && r.each(HeadKey(bucket)) > 1
+			stale := len(q.waiting) > 0 && r.each(HeadPageKey(bucket)) > 1
 			r.mu.Unlock()
 			if stale {
 				_ = r.readBarrier(ctx) // where it fails the next transaction takes fewer
@@ -541,7 +541,7 @@
 			answer(func(s *submission) bool {
 				return slices.Contains(c.FailedKeys, JobKey(s.entry.ID)) || slices.Contains(c.FailedKeys, FinalKey(s.entry.ID))
 			}, accepted{known: true})
-			if !slices.Contains(c.FailedKeys, HeadKey(bucket)) && !slices.Contains(c.FailedKeys, FormKey) {
+			if !slices.Contains(c.FailedKeys, HeadPageKey(bucket)) && !slices.Contains(c.FailedKeys, SchemaKey) {
 				continue
 			}
 		case errors.Is(err, kvstore.ErrOutcomeUnknown):
@@ -564,12 +564,12 @@
 // compose makes a transaction that adds jobs to a bucket; the lock is held. Its
 // conditions: the head is as it was when none of them was known, none is over,
 // and none has a key of its own that this node may not know.
-func (r *Reader) compose(bucket int, q *queue, batch []*submission) ([]wire.Guard, []wire.Op) {
-	key := HeadKey(bucket)
+func (r *Store) compose(bucket int, q *queue, batch []*submission) ([]wire.Guard, []wire.Op) {
+	key := HeadPageKey(bucket)
 	each := r.each(key)
 	guards := make([]wire.Guard, 0, 2+each*len(batch))
-	guards = append(guards, wire.Guard{Key: key, Version: r.headVersion(key)}, wire.Guard{Key: FormKey, Version: r.formAt})
-	var head IntakeRecord
+	guards = append(guards, wire.Guard{Key: key, Version: r.headVersion(key)}, wire.Guard{Key: SchemaKey, Version: r.formAt})
+	var head JobPage
 	size := 0
 	if p := r.intake[key]; p != nil {
 		head, size = p.rec, p.size
@@ -584,13 +584,13 @@
 	if len(batch) > 2 {
 		q.crowded = time.Now()
 	}
-	next := IntakeRecord{Seq: head.Seq, Jobs: slices.Clone(head.Jobs)}
+	next := JobPage{LastSealed: head.LastSealed, Entries: slices.Clone(head.Entries)}
 	var ops []wire.Op
 	seal := func() {
-		if len(next.Jobs) > 0 {
-			next.Seq++
-			ops = append(ops, wire.Op{Put: SealedKey(bucket, next.Seq), Value: IntakeRecord{Jobs: next.Jobs}})
-			next.Jobs = nil
+		if len(next.Entries) > 0 {
+			next.LastSealed++
+			ops = append(ops, wire.Op{Put: SealedPageKey(bucket, next.LastSealed), Value: JobPage{Entries: next.Entries}})
+			next.Entries = nil
 		}
 	}
 	if size > r.Limits.bytes() {
@@ -602,7 +602,7 @@
 			seal()
 			bytes = next.Size()
 		}
-		next.Jobs = append(next.Jobs, s.entry)
+		next.Entries = append(next.Entries, s.entry)
 		bytes += s.entry.size()
 	}
 	if len(batch) <= 2 && time.Since(q.crowded) > calm {
@@ -613,7 +613,7 @@
 }
 
 // wroteAlone takes in a job that this node has given a key of its own.
-func (r *Reader) wroteAlone(id string, raw wire.Raw, rev uint64) {
+func (r *Store) wroteAlone(id string, raw wire.Raw, rev uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.loaded && rev > r.rev {
@@ -624,17 +624,17 @@
 // wrote takes in what this node has committed, before a barrier brings it. Where
 // one has been faster, it may have brought what came after as well, and a page
 // that is gone again must not come back.
-func (r *Reader) wrote(ops []wire.Op, rev uint64) {
+func (r *Store) wrote(ops []wire.Op, rev uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.loaded || rev <= r.rev {
 		return
 	}
 	for _, op := range ops {
-		if rec, ok := op.Value.(IntakeRecord); ok && op.Put != "" {
+		if rec, ok := op.Value.(JobPage); ok && op.Put != "" {
 			r.setIntake(op.Put, rec, rev)
-		} else if IsIntake(op.Delete) {
-			r.setIntake(op.Delete, IntakeRecord{}, rev) // kept until the barrier that brings it
+		} else if IsJobPageKey(op.Delete) {
+			r.setIntake(op.Delete, JobPage{}, rev) // kept until the barrier that brings it
 		}
 	}
 }
--- a/jobstore/damage.go
+++ b/jobstore/damage.go
@@ -48,8 +48,8 @@
 	return rec, nil
 }
 
-// DecodeEnd reads the record of a job that is over.
-func DecodeEnd(raw wire.Raw) (JobRecord, error) {
+// DecodeFinal reads the record of a job that is over.
+func DecodeFinal(raw wire.Raw) (JobRecord, error) {
 	var rec JobRecord
 	if err := wire.Unmarshal(raw, &rec); err != nil {
 		return rec, err
@@ -60,33 +60,33 @@
 	return rec, nil
 }
 
-// DecodeIntake reads a page of users' jobs.
-func DecodeIntake(raw wire.Raw) (IntakeRecord, error) {
-	var rec IntakeRecord
+// DecodeJobPage reads a page of users' jobs.
+func DecodeJobPage(raw wire.Raw) (JobPage, error) {
+	var rec JobPage
 	err := decode(raw, "s", &rec)
 	return rec, err
 }
 
-// DecodePage reads a page of placement records.
-func DecodePage(raw wire.Raw) (PageRecord, error) {
-	var rec PageRecord
+// DecodePlacementPage reads a page of placement records.
+func DecodePlacementPage(raw wire.Raw) (PlacementPage, error) {
+	var rec PlacementPage
 	err := decode(raw, "c", &rec)
 	return rec, err
 }
 
-// DecodeForm reads the form of the records.
-func DecodeForm(raw wire.Raw) (FormRecord, error) {
-	var rec FormRecord
+// DecodeSchema reads the form of the records.
+func DecodeSchema(raw wire.Raw) (SchemaRecord, error) {
+	var rec SchemaRecord
 	err := decode(raw, "f", &rec)
-	if err == nil && (rec.Form < FormIntake || rec.Buckets < 1) {
+	if err == nil && (rec.Version < SchemaJobPages || rec.Buckets < 1) {
 		err = errNotWritten
 	}
 	return rec, err
 }
 
-// IsApp says whether a value may be a door's record, of whichever kind: all are maps
+// IsAppValue says whether a value may be a door's record, of whichever kind: all are maps
 // that are not empty.
-func IsApp(raw wire.Raw) bool {
+func IsAppValue(raw wire.Raw) bool {
 	return len(raw) > 1 && (raw[0] > 0x80 && raw[0] < 0x90 || raw[0] == 0xde || raw[0] == 0xdf)
 }
 
@@ -94,26 +94,26 @@
 // version takes it for a page: to all of them it is one that can't be read.
 const asideMark = "aside"
 
-// Aside is a page of users' jobs that can't be read, as a leader has set it aside
+// QuarantinedPage is a page of users' jobs that can't be read, as a leader has set it aside
 // under the key of a sealed page. From then on no leader knows its jobs, but by what
 // some node remembers of it.
-type Aside struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Mark     string
-	From     string // the key at which it stood
-	Version  uint64 // in which version
-	AtMs     int64  // when, Unix milliseconds by that leader's clock
-	Raw      wire.Raw
+type QuarantinedPage struct {
+	_msgpack        struct{} `msgpack:",as_array"`
+	Mark            string
+	OriginalKey     string // the key at which it stood
+	OriginalVersion uint64 // in which version
+	QuarantinedAtMs int64  // when, Unix milliseconds by that leader's clock
+	Raw             wire.Raw
 }
 
-// NewAside sets a value aside, whole where there is room for it; else the ids of
+// NewQuarantinedPage sets a value aside, whole where there is room for it; else the ids of
 // the jobs that still stand there.
-func NewAside(from string, version uint64, atMs int64, raw wire.Raw, l Limits) Aside {
-	a := Aside{Mark: asideMark, From: from, Version: version, AtMs: atMs, Raw: raw}
+func NewQuarantinedPage(from string, version uint64, atMs int64, raw wire.Raw, l Limits) QuarantinedPage {
+	a := QuarantinedPage{Mark: asideMark, OriginalKey: from, OriginalVersion: version, QuarantinedAtMs: atMs, Raw: raw}
 	if size := wire.JSONSize(raw); size >= 21*len(raw) || size+200 > l.valueBytes() { // no value at all, or too large
-		rec := IntakeRecord{}
+		rec := JobPage{}
 		for _, id := range salvageIDs(raw) {
-			rec.Jobs = append(rec.Jobs, IntakeEntry{ID: id, Record: append(bytes.Clone(recordID), text(id)...)})
+			rec.Entries = append(rec.Entries, JobPageEntry{ID: id, Record: append(bytes.Clone(recordID), text(id)...)})
 		}
 		a.Raw = nil
 		if b, err := wire.Marshal(idsOnly(rec)); err == nil {
@@ -124,28 +124,28 @@
 }
 
 // idsOnly writes ids so that salvageIDs finds them, within a text.
-func idsOnly(rec IntakeRecord) []byte {
+func idsOnly(rec JobPage) []byte {
 	var out []byte
-	for _, e := range rec.Jobs {
+	for _, e := range rec.Entries {
 		out = append(append(append(out, entryID...), text(e.ID)...), e.Record...)
 	}
 	return out
 }
 
-// DecodeAside reads what was set aside; ok is false for anything else.
-func DecodeAside(raw wire.Raw) (a Aside, ok bool) {
+// DecodeQuarantinedPage reads what was set aside; ok is false for anything else.
+func DecodeQuarantinedPage(raw wire.Raw) (a QuarantinedPage, ok bool) {
 	if len(raw) == 0 || raw[0]&0xf0 != 0x90 || wire.Unmarshal(raw, &a) != nil || a.Mark != asideMark {
-		return Aside{}, false
+		return QuarantinedPage{}, false
 	}
 	return a, true
 }
 
-// ParseIntakeKey takes the key of a page of users' jobs apart; seq is 0 for a head.
-func ParseIntakeKey(key string) (bucket int, seq uint64, ok bool) {
-	if !IsIntake(key) {
+// ParseJobPageKey takes the key of a page of users' jobs apart; seq is 0 for a head.
+func ParseJobPageKey(key string) (bucket int, seq uint64, ok bool) {
+	if !IsJobPageKey(key) {
 		return 0, 0, false
 	}
-	head, num, sealed := strings.Cut(key[len(intake):], ".")
+	head, num, sealed := strings.Cut(key[len(jobPagePrefix):], ".")
 	bucket, err := strconv.Atoi(head)
 	if err == nil && sealed {
 		seq, err = strconv.ParseUint(num, 10, 64)
@@ -153,20 +153,20 @@
 	return bucket, seq, err == nil && bucket >= 0
 }
 
-// BucketsBy finds how many buckets there are by where jobs stand: the least
+// InferBuckets finds how many buckets there are by where jobs stand: the least
 // number by which all of them stand where they belong, and which is not below least.
-func BucketsBy(pages map[string]IntakeRecord, least int) int {
+func InferBuckets(pages map[string]JobPage, least int) int {
 	least = max(least, 1)
 	for key := range pages {
-		if b, _, ok := ParseIntakeKey(key); ok {
+		if b, _, ok := ParseJobPageKey(key); ok {
 			least = max(least, b+1)
 		}
 	}
 	for n := least; n < least+64; n++ {
-		f, fits := FormRecord{Form: FormIntake, Buckets: n}, true
+		f, fits := SchemaRecord{Version: SchemaJobPages, Buckets: n}, true
 		for key, rec := range pages {
-			b, _, _ := ParseIntakeKey(key)
-			for _, e := range rec.Jobs {
+			b, _, _ := ParseJobPageKey(key)
+			for _, e := range rec.Entries {
 				fits = fits && f.Bucket(e.ID) == b
 			}
 		}
@@ -177,16 +177,16 @@
 	return least
 }
 
-// Memory is what a node remembers of a record in one version of it: just what was
+// RecoveryCopy is what a node remembers of a record in one version of it: just what was
 // written then. One of the two is set.
-type Memory struct {
-	Jobs []IntakeEntry `msgpack:"j"` // of a page of users' jobs
-	Raw  wire.Raw      `msgpack:"r"` // of another record
+type RecoveryCopy struct {
+	Entries []JobPageEntry `msgpack:"j"` // of a page of users' jobs
+	Value   wire.Raw       `msgpack:"r"` // of another record
 }
 
-// Recall says what this node remembers of a record, whether or not it can be read
+// RecoveryCopy says what this node remembers of a record, whether or not it can be read
 // any more; nil where it does not. It is as of a moment after the call.
-func (r *Reader) Recall(ctx context.Context, key string, version uint64) *Memory {
+func (r *Store) RecoveryCopy(ctx context.Context, key string, version uint64) *RecoveryCopy {
 	if version == 0 || r.readBarrier(ctx) != nil {
 		return nil
 	}
@@ -199,14 +199,14 @@
 		return nil
 	}
 	if p := r.intake[key]; p != nil && p.version == version {
-		return &Memory{Jobs: append([]IntakeEntry{}, p.rec.Jobs...)}
+		return &RecoveryCopy{Entries: append([]JobPageEntry{}, p.rec.Entries...)}
 	}
-	if key == FormKey && r.formAt == version && !r.formLost {
+	if key == SchemaKey && r.formAt == version && !r.formLost {
 		return remember(r.form)
 	}
-	if r.detail != nil && strings.HasPrefix(key, Apps) {
-		if e := r.detail.apps[key]; e.Version == version && IsApp(e.Value) {
-			return &Memory{Raw: e.Value}
+	if r.detail != nil && strings.HasPrefix(key, AppPrefix) {
+		if e := r.detail.apps[key]; e.Version == version && IsAppValue(e.Value) {
+			return &RecoveryCopy{Value: e.Value}
 		}
 	}
 	if id, ok := ParseJobKey(key); ok {
@@ -217,21 +217,21 @@
 	return nil
 }
 
-func remember(v any) *Memory {
+func remember(v any) *RecoveryCopy {
 	raw, err := wire.Marshal(v)
 	if err != nil {
 		return nil
 	}
-	return &Memory{Raw: raw}
+	return &RecoveryCopy{Value: raw}
 }
 
-// Lost names a page of users' jobs, or the form, that this node can't read and that
+// UnreadableKey names a page of users' jobs, or the form, that this node can't read and that
 // no leader has set aside yet; "" if there is none.
-func (r *Reader) Lost() (key string, version uint64) {
+func (r *Store) UnreadableKey() (key string, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.formLost {
-		return FormKey, r.formAt
+		return SchemaKey, r.formAt
 	}
 	for key, l := range r.lost {
 		if !l.aside {
--- a/jobstore/ending.go
+++ b/jobstore/ending.go
@@ -23,7 +23,7 @@
 }
 
 // cancelOnPage ends a job whose record shares a page with others.
-func (r *Reader) cancelOnPage(ctx context.Context, id, home string, over JobRecord) error {
+func (r *Store) cancelOnPage(ctx context.Context, id, home string, over JobRecord) error {
 	e := &ending{id: id, home: home, over: over, done: make(chan error, 1)}
 	r.mu.Lock()
 	if r.ctx == nil || r.ended {
@@ -48,7 +48,7 @@
 
 // takeEnding takes those that fit into a transaction off a queue, all of the page
 // for which the first one waits; the lock is held.
-func (r *Reader) takeEnding(q *queue) (taken []*ending) {
+func (r *Store) takeEnding(q *queue) (taken []*ending) {
 	if len(q.ending) == 0 {
 		return nil
 	}
@@ -74,14 +74,14 @@
 
 // commitEnding ends jobs of one page, and tells each. What has become of one whose
 // transaction failed, or was not answered, its caller looks up.
-func (r *Reader) commitEnding(ctx context.Context, ends []*ending) {
+func (r *Store) commitEnding(ctx context.Context, ends []*ending) {
 	home := ends[0].home
 	r.mu.Lock()
 	var stand []*ending
 	ids := map[string]bool{}
 	p := r.intake[home]
 	for _, e := range ends {
-		if p == nil || !slices.ContainsFunc(p.rec.Jobs, func(o IntakeEntry) bool { return o.ID == e.id }) || ids[e.id] {
+		if p == nil || !slices.ContainsFunc(p.rec.Entries, func(o JobPageEntry) bool { return o.ID == e.id }) || ids[e.id] {
 			e.done <- fmt.Errorf("%w: the job has moved", kvstore.ErrOutcomeUnknown)
 			continue
 		}
@@ -95,7 +95,7 @@
 	rec, version := p.rec.Without(ids), p.version
 	r.mu.Unlock()
 	guards, ops := []wire.Guard{{Key: home, Version: version}}, []wire.Op{{Put: home, Value: rec}}
-	if len(rec.Jobs) == 0 && !IsHead(home) {
+	if len(rec.Entries) == 0 && !IsHeadPageKey(home) {
 		ops[0] = wire.Op{Delete: home}
 	}
 	for _, e := range stand {
--- a/jobstore/ends.go
+++ b/jobstore/ends.go
@@ -55,7 +55,7 @@
 
 // closed reads a job's final record as of a moment after the call; found is false
 // where there is none.
-func (r *Reader) end(ctx context.Context, id string) (rec JobRecord, found bool, err error) {
+func (r *Store) end(ctx context.Context, id string) (rec JobRecord, found bool, err error) {
 	a := &endAsk{ctx: ctx, id: id, done: make(chan endAnswer, 1)}
 	if r.Order != nil {
 		a.order = r.Order(id)
@@ -76,14 +76,14 @@
 }
 
 // tell answers a lookup, and keeps what it was told.
-func (r *Reader) tell(a *endAsk, e wire.Entry, err error) {
+func (r *Store) tell(a *endAsk, e wire.Entry, err error) {
 	got := endAnswer{err: err, found: err == nil && e.Version != 0}
 	if got.found {
 		var err error
-		if got.rec, err = DecodeEnd(e.Value); err != nil {
+		if got.rec, err = DecodeFinal(e.Value); err != nil {
 			r.unreadable(e.Key, err)
 			if got.rec = (JobRecord{State: salvageState(e.Value)}); got.rec.State == "" {
-				got = endAnswer{err: fmt.Errorf("%w: how job %s ended", ErrDamaged, a.id)}
+				got = endAnswer{err: fmt.Errorf("%w: how job %s ended", ErrUnreadable, a.id)}
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 }
 
 // readEnds serves lookups until ctx ends.
-func (r *Reader) readEnds(ctx context.Context) {
+func (r *Store) readEnds(ctx context.Context) {
 	for {
 		asks, span := r.takeEnds()
 		switch {
@@ -121,7 +121,7 @@
 }
 
 // takeEnds takes all who wait, those first who are to be served first.
-func (r *Reader) takeEnds() (asks []*endAsk, span int) {
+func (r *Store) takeEnds() (asks []*endAsk, span int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	asks = r.ends.waiting
@@ -135,7 +135,7 @@
 }
 
 // putBack has lookups wait for another request, before those that came since.
-func (r *Reader) putBack(asks []*endAsk) {
+func (r *Store) putBack(asks []*endAsk) {
 	if len(asks) == 0 {
 		return
 	}
@@ -150,12 +150,12 @@
 
 // readSpan reads so many keys from the first one's on, and answers everyone whose
 // priority is among them or would be.
-func (r *Reader) readSpan(ctx context.Context, asks []*endAsk, n int) {
+func (r *Store) readSpan(ctx context.Context, asks []*endAsk, n int) {
 	rctx, cancel := context.WithTimeout(ctx, endWait)
 	defer cancel()
 	first := FinalKey(asks[0].id)
 	after := before(first)
-	entries, more, _, err := r.store.ListPage(rctx, final, after, n)
+	entries, more, _, err := r.store.ListPage(rctx, finalPrefix, after, n)
 	if err != nil {
 		for _, a := range asks {
 			r.tell(a, wire.Entry{}, err)
@@ -196,12 +196,12 @@
 
 // keepNear keeps what was read beside what was asked for: its users ask next, after a
 // restart of all nodes. It takes no more than half of what is kept.
-func (r *Reader) keepNear(entries []wire.Entry) {
+func (r *Store) keepNear(entries []wire.Entry) {
 	r.mu.Lock()
 	room := finalMax/2 - len(r.order)
 	r.mu.Unlock()
 	for _, e := range entries[:min(max(room, 0), len(entries))] {
-		rec, err := DecodeEnd(e.Value)
+		rec, err := DecodeFinal(e.Value)
 		if id, ok := ParseFinalKey(e.Key); ok && err == nil {
 			r.keepFinal(id, rec)
 		}
--- a/jobstore/export_test.go
+++ b/jobstore/export_test.go
@@ -3,7 +3,7 @@
 import "github.com/umberdeal/umberdeal/wire"
 
 // Kept is how much a reader keeps of each kind.
-func (r *Reader) Kept() map[string]int {
+func (r *Store) Kept() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	waiting := 0
@@ -15,7 +15,7 @@
 }
 
 // KeepFinal remembers a job that is over.
-func (r *Reader) KeepFinal(id string) { r.keepFinal(id, JobRecord{State: wire.JobDone}) }
+func (r *Store) KeepFinal(id string) { r.keepFinal(id, JobRecord{State: wire.JobDone}) }
 
 // FinalMax is how many are remembered.
 const FinalMax = finalMax
--- a/jobstore/intake.go
+++ b/jobstore/intake.go
@@ -18,74 +18,76 @@
 
 // Forms of the records. A form is written once every node reads it.
 const (
-	FormKeys   = 1 // a key for each unfinished job
-	FormIntake = 2 // users' unfinished jobs share pages
-	FormPlan   = 3 // there may be a plan, whose version placements depend on
-	// Form is the newest that this program reads.
-	Form = FormPlan
+	SchemaJobKeys  = 1 // a key for each unfinished job
+	SchemaJobPages = 2 // users' unfinished jobs share pages
+	SchemaPlans    = 3 // there may be a plan, whose version placements depend on
+	// LatestSchema is the newest that this program reads.
+	LatestSchema = SchemaPlans
 )
 
-// FormKey says in which form records are written. It lies with the jobs, so that
+// SchemaKey says in which form records are written. It lies with the jobs, so that
 // whoever knows the jobs knows it as of the same moment.
-const FormKey = Active + "form"
+const SchemaKey = ActivePrefix + "form"
 
-// FormCopyKey has the same value, for when that can't be read.
-const FormCopyKey = "c/form"
+// SchemaCopyKey has the same value, for when that can't be read.
+const SchemaCopyKey = "c/form"
 
-// FormRecord is the value of FormKey; where there is none, the form is FormKeys.
-type FormRecord struct {
-	Form    int `msgpack:"f"`
+// SchemaRecord is the value of SchemaKey; where there is none, the version is SchemaJobKeys.
+type SchemaRecord struct {
+	Version int `msgpack:"f"`
 	Buckets int `msgpack:"b"` // never changes once there are any: it says where an id belongs
 }
 
-// intake is where the pages of users' jobs lie. No job id begins with a plus.
-const intake = Jobs + "+"
+// jobPagePrefix is where the pages of users' jobs lie. No job id begins with a plus.
+const jobPagePrefix = JobPrefix + "+"
 
-// HeadKey is the key of a bucket's head. It is never removed, so that a late
+// HeadPageKey is the key of a bucket's head. It is never removed, so that a late
 // transaction that would have made it anew fails.
-func HeadKey(bucket int) string { return intake + strconv.Itoa(bucket) }
+func HeadPageKey(bucket int) string { return jobPagePrefix + strconv.Itoa(bucket) }
 
-// SealedKey is the key of a page that was a bucket's head before.
-func SealedKey(bucket int, seq uint64) string {
-	return HeadKey(bucket) + "." + strconv.FormatUint(seq, 10)
+// SealedPageKey is the key of a page that was a bucket's head before.
+func SealedPageKey(bucket int, seq uint64) string {
+	return HeadPageKey(bucket) + "." + strconv.FormatUint(seq, 10)
 }
 
-// IsIntake says whether a key is that of a page of users' jobs.
-func IsIntake(key string) bool { return strings.HasPrefix(key, intake) }
+// IsJobPageKey says whether a key is that of a page of users' jobs.
+func IsJobPageKey(key string) bool { return strings.HasPrefix(key, jobPagePrefix) }
 
-// IsHead says whether such a key is that of a bucket's head.
-func IsHead(key string) bool { return IsIntake(key) && !strings.Contains(key[len(intake):], ".") }
+// IsHeadPageKey says whether such a key is that of a bucket's head.
+func IsHeadPageKey(key string) bool {
+	return IsJobPageKey(key) && !strings.Contains(key[len(jobPagePrefix):], ".")
+}
 
 // Bucket is where an id belongs.
-func (f FormRecord) Bucket(id string) int {
+func (f SchemaRecord) Bucket(id string) int {
 	if f.Buckets <= 1 {
 		return 0
 	}
 	return int(xxhash.Sum64String(id) % uint64(f.Buckets))
 }
 
-// IntakeRecord is the value of a head or of a sealed page.
-type IntakeRecord struct {
-	Seq uint64 `msgpack:"s"` // of a head: the last page that was sealed
+// JobPage is the value of a head or of a sealed page.
+type JobPage struct {
+	LastSealed uint64 `msgpack:"s"` // of a head: the last page that was sealed
 	// Closed: nothing is added to this head, which is empty; jobs have keys of
 	// their own. A head that is not there is closed.
-	Closed bool          `msgpack:"c,omitempty"`
-	Jobs   []IntakeEntry `msgpack:"j"`
+	Closed  bool           `msgpack:"c,omitempty"`
+	Entries []JobPageEntry `msgpack:"j"`
 }
 
-// IntakeEntry is a job on a page. Its record is decoded by itself, so that one
+// JobPageEntry is a job on a page. Its record is decoded by itself, so that one
 // that is damaged is named and the others go on.
-type IntakeEntry struct {
+type JobPageEntry struct {
 	ID     string   `msgpack:"i"`
 	Record wire.Raw `msgpack:"r"` // a JobRecord
 }
 
 // Without is the record without those jobs.
-func (r IntakeRecord) Without(ids map[string]bool) IntakeRecord {
-	out := IntakeRecord{Seq: r.Seq, Closed: r.Closed, Jobs: make([]IntakeEntry, 0, len(r.Jobs))}
-	for _, e := range r.Jobs {
+func (r JobPage) Without(ids map[string]bool) JobPage {
+	out := JobPage{LastSealed: r.LastSealed, Closed: r.Closed, Entries: make([]JobPageEntry, 0, len(r.Entries))}
+	for _, e := range r.Entries {
 		if !ids[e.ID] {
-			out.Jobs = append(out.Jobs, e)
+			out.Entries = append(out.Entries, e)
 		}
 	}
 	return out
@@ -93,18 +95,18 @@
 
 // size is what an entry takes of its page, in the form in which the service
 // counts.
-func (e IntakeEntry) size() int { return 16 + len(e.ID) + wire.JSONSize(e.Record) }
+func (e JobPageEntry) size() int { return 16 + len(e.ID) + wire.JSONSize(e.Record) }
 
 // Size is what a page takes, in the form in which the service counts.
-func (r IntakeRecord) Size() int {
+func (r JobPage) Size() int {
 	n := 40
-	for _, e := range r.Jobs {
+	for _, e := range r.Entries {
 		n += e.size()
 	}
 	return n
 }
 
 // Decode reads a job's record from its page.
-func (e IntakeEntry) Decode() (JobRecord, error) {
+func (e JobPageEntry) Decode() (JobRecord, error) {
 	return DecodeJob(e.ID, e.Record)
 }
--- a/jobstore/intake_test.go
+++ b/jobstore/intake_test.go
@@ -33,13 +33,13 @@
 }
 
 // nodes plays a story with that many readers of one store.
-func nodes(t *testing.T, n int, s *store, play func(rs []*jobstore.Reader)) {
+func nodes(t *testing.T, n int, s *store, play func(rs []*jobstore.Store)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
-	var rs []*jobstore.Reader
+	var rs []*jobstore.Store
 	for range n {
-		r := jobstore.NewReader(s)
+		r := jobstore.New(s)
 		r.Limits = limits
 		rs = append(rs, r)
 		wg.Go(func() { r.Run(ctx) })
@@ -51,7 +51,7 @@
 }
 
 // accept submits as a user does: again after a second, for a minute.
-func accept(ctx context.Context, r *jobstore.Reader, j wire.Job) (known, ok bool) {
+func accept(ctx context.Context, r *jobstore.Store, j wire.Job) (known, ok bool) {
 	for range 60 {
 		actx, cancel := context.WithTimeout(ctx, 3500*time.Millisecond)
 		known, err := r.Accept(actx, j, time.Now())
@@ -103,7 +103,7 @@
 				}
 				told[id] = what
 			}
-			nodes(t, 7, s, func(rs []*jobstore.Reader) {
+			nodes(t, 7, s, func(rs []*jobstore.Store) {
 				rnd := rand.New(rand.NewPCG(seed, 9))
 				var wg sync.WaitGroup
 				for n := range jobs {
@@ -177,7 +177,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
 		s.raise(1)
-		nodes(t, 3, s, func(rs []*jobstore.Reader) {
+		nodes(t, 3, s, func(rs []*jobstore.Store) {
 			var wg sync.WaitGroup
 			for k := range 2 {
 				for n := range 150 {
@@ -201,7 +201,7 @@
 		})
 		sealed := 0
 		for k := range s.keys {
-			if jobstore.IsIntake(k) && !jobstore.IsHead(k) {
+			if jobstore.IsJobPageKey(k) && !jobstore.IsHeadPageKey(k) {
 				sealed++
 			}
 		}
@@ -217,7 +217,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
 		s.raise(1)
-		nodes(t, 1, s, func(rs []*jobstore.Reader) {
+		nodes(t, 1, s, func(rs []*jobstore.Store) {
 			if known, ok := accept(t.Context(), rs[0], job(9999)); known || !ok {
 				t.Fatal("the first one")
 			}
@@ -242,7 +242,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
 		s.raise(3)
-		nodes(t, 3, s, func(rs []*jobstore.Reader) {
+		nodes(t, 3, s, func(rs []*jobstore.Store) {
 			var wg sync.WaitGroup
 			for n := range 90 {
 				wg.Go(func() { accept(t.Context(), rs[n%3], job(1000+n)) })
@@ -279,7 +279,7 @@
 func TestTheFormIsRaisedUnderANodeThatHasNotHeard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
-		nodes(t, 2, s, func(rs []*jobstore.Reader) {
+		nodes(t, 2, s, func(rs []*jobstore.Store) {
 			accept(t.Context(), rs[0], job(1))
 			accept(t.Context(), rs[1], job(2))
 			for _, n := range []int{1, 2} {
@@ -295,7 +295,7 @@
 					at := s.where(job(100*i + 100 + n).ID)
 					if len(at) != 1 {
 						t.Errorf("after: %v", at)
-					} else if jobstore.IsIntake(at[0]) {
+					} else if jobstore.IsJobPageKey(at[0]) {
 						shared++
 					}
 				}
@@ -322,7 +322,7 @@
 }
 
 // crowded opens a bucket's head.
-func crowded(t *testing.T, r *jobstore.Reader, from int) {
+func crowded(t *testing.T, r *jobstore.Store, from int) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for n := range 40 {
@@ -337,7 +337,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
 		s.raise(1)
-		nodes(t, 1, s, func(rs []*jobstore.Reader) {
+		nodes(t, 1, s, func(rs []*jobstore.Store) {
 			crowded(t, rs[0], 100)
 			large := job(1)
 			large.Types = []string{strings.Repeat("x", 5000)}
@@ -361,16 +361,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
 		s.raise(1)
-		nodes(t, 1, s, func(rs []*jobstore.Reader) {
+		nodes(t, 1, s, func(rs []*jobstore.Store) {
 			crowded(t, rs[0], 100)
 			over := map[string]bool{}
 			s.answering = func(ops []wire.Op) {
 				for _, op := range ops {
-					page, ok := op.Value.(jobstore.IntakeRecord)
-					if !ok || jobstore.IsHead(op.Put) {
+					page, ok := op.Value.(jobstore.JobPage)
+					if !ok || jobstore.IsHeadPageKey(op.Put) {
 						continue
 					}
-					for _, e := range page.Jobs {
+					for _, e := range page.Entries {
 						over[e.ID] = s.finish(e.ID)
 					}
 				}
@@ -398,9 +398,9 @@
 func TestANewerFormIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(1)
-		_, _ = s.apply(nil, []wire.Op{{Put: jobstore.FormKey, Value: jobstore.FormRecord{Form: jobstore.Form + 1, Buckets: 3}}})
-		nodes(t, 1, s, func(rs []*jobstore.Reader) {
-			if _, _, err := rs[0].Lookup(t.Context(), "wk-000001"); !errors.Is(err, jobstore.ErrNewer) {
+		_, _ = s.apply(nil, []wire.Op{{Put: jobstore.SchemaKey, Value: jobstore.SchemaRecord{Version: jobstore.LatestSchema + 1, Buckets: 3}}})
+		nodes(t, 1, s, func(rs []*jobstore.Store) {
+			if _, _, err := rs[0].Lookup(t.Context(), "wk-000001"); !errors.Is(err, jobstore.ErrNewerSchema) {
 				t.Errorf("lookup: %v", err)
 			}
 			if _, err := rs[0].Accept(t.Context(), job(1), time.Now()); err == nil || errors.Is(err, kvstore.ErrOutcomeUnknown) {
@@ -422,10 +422,10 @@
 			t.Fatal(err)
 		}
 		s.raise(1)
-		_, _ = s.apply(nil, []wire.Op{{Put: jobstore.HeadKey(0), Value: jobstore.IntakeRecord{Jobs: []jobstore.IntakeEntry{
+		_, _ = s.apply(nil, []wire.Op{{Put: jobstore.HeadPageKey(0), Value: jobstore.JobPage{Entries: []jobstore.JobPageEntry{
 			{ID: job(1).ID, Record: good}, {ID: job(2).ID, Record: good}, {ID: job(3).ID, Record: wire.Raw{0xc0}}}}}})
 		var log bytes.Buffer
-		nodes(t, 1, s, func(rs []*jobstore.Reader) {
+		nodes(t, 1, s, func(rs []*jobstore.Store) {
 			rs[0].Log = slog.New(slog.NewTextHandler(&log, nil))
 			if v, found, err := rs[0].Lookup(t.Context(), job(1).ID); err != nil || !found || v.Record.Job.CPUs != 2.5 {
 				t.Errorf("the good one: %v, %v, %v", v, found, err)
@@ -457,7 +457,7 @@
 		j := job(rnd.IntN(1e6))
 		j.CPUs, j.EstimateS = rnd.ExpFloat64()*1e3, rnd.Float64()*1e-7
 		j.Class = strings.Repeat(`"é<`, rnd.IntN(20))
-		checkSize(t, jobstore.JobRecord{Job: j, AtMs: rnd.Int64()})
+		checkSize(t, jobstore.JobRecord{Job: j, AcceptedAtMs: rnd.Int64()})
 	}
 }
 
@@ -467,7 +467,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	page := jobstore.IntakeRecord{Seq: 1 << 40, Jobs: []jobstore.IntakeEntry{{ID: rec.Job.ID, Record: raw}, {ID: rec.Job.ID, Record: raw}}}
+	page := jobstore.JobPage{LastSealed: 1 << 40, Entries: []jobstore.JobPageEntry{{ID: rec.Job.ID, Record: raw}, {ID: rec.Job.ID, Record: raw}}}
 	whole, err := wire.Marshal(page)
 	if err != nil {
 		t.Fatal(err)
@@ -492,7 +492,7 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	whole, err := wire.Marshal(jobstore.IntakeRecord{Seq: 3, Jobs: []jobstore.IntakeEntry{{ID: job(1).ID, Record: raw}}})
+	whole, err := wire.Marshal(jobstore.JobPage{LastSealed: 3, Entries: []jobstore.JobPageEntry{{ID: job(1).ID, Record: raw}}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -500,14 +500,14 @@
 	f.Add([]byte{0x82, 0xa1, 's', 0xcf, 0xff})
 	f.Add([]byte{0xdf, 0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		var rec jobstore.IntakeRecord
+		var rec jobstore.JobPage
 		if wire.Unmarshal(b, &rec) != nil {
 			return
 		}
 		if n := rec.Size(); n < 40 {
 			t.Errorf("size %d", n)
 		}
-		for _, e := range rec.Jobs {
+		for _, e := range rec.Entries {
 			if got, err := e.Decode(); err == nil && got.Job.ID != e.ID {
 				t.Errorf("%q under %q", got.Job.ID, e.ID)
 			}
@@ -522,7 +522,7 @@
 		s := newStore(1)
 		s.raise(1)
 		s.slow = 200 * time.Millisecond
-		nodes(t, 1, s, func(rs []*jobstore.Reader) {
+		nodes(t, 1, s, func(rs []*jobstore.Store) {
 			rs[0].Tier = func(_, class string) int {
 				if class == "clinic" {
 					return 0
--- a/jobstore/kept_test.go
+++ b/jobstore/kept_test.go
@@ -18,7 +18,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(3)
 		s.raise(3)
-		nodes(t, 3, s, func(rs []*jobstore.Reader) {
+		nodes(t, 3, s, func(rs []*jobstore.Store) {
 			rnd := rand.New(rand.NewPCG(3, 31))
 			var wg sync.WaitGroup
 			n, most := 0, 0
--- a/jobstore/known_test.go
+++ b/jobstore/known_test.go
@@ -24,7 +24,7 @@
 }
 
 func over(j wire.Job, how string) jobstore.JobRecord {
-	return jobstore.JobRecord{Job: j, AtMs: 1, State: how}
+	return jobstore.JobRecord{Job: j, AcceptedAtMs: 1, State: how}
 }
 
 // After a restart thousands of users ask for jobs that are over, and for some that
@@ -46,7 +46,7 @@
 						s.set(jobstore.FinalKey(job(n).ID), mustMarshal(t, over(job(n), ends[n%2])))
 					}
 				}
-				nodes(t, 1, s, func(rs []*jobstore.Reader) {
+				nodes(t, 1, s, func(rs []*jobstore.Store) {
 					rs[0].Order = func(id string) float64 { return float64(id[len(id)-1]) }
 					var wg sync.WaitGroup
 					for i := range c.asked {
@@ -79,12 +79,12 @@
 		for n := range jobs {
 			s.set(jobstore.JobKey(job(n).ID), mustMarshal(t, over(job(n), "")))
 		}
-		nodes(t, 3, s, func(rs []*jobstore.Reader) {
+		nodes(t, 3, s, func(rs []*jobstore.Store) {
 			time.AfterFunc(5*time.Second, func() { s.finish(job(0).ID) })
 			for i, r := range rs {
 				at := time.Now()
 				var err error
-				var v jobstore.View
+				var v jobstore.JobStatus
 				found := false
 				for time.Since(at) < time.Minute && (!found || v.Version != 0) {
 					ctx, cancel := context.WithTimeout(t.Context(), 1700*time.Millisecond)
@@ -109,14 +109,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := newStore(seed)
 			s.raise(1)
-			page := jobstore.IntakeRecord{Seq: 1}
+			page := jobstore.JobPage{LastSealed: 1}
 			for n := range jobs {
-				page.Jobs = append(page.Jobs, jobstore.IntakeEntry{ID: job(n).ID, Record: mustMarshal(t, over(job(n), ""))})
+				page.Entries = append(page.Entries, jobstore.JobPageEntry{ID: job(n).ID, Record: mustMarshal(t, over(job(n), ""))})
 			}
-			key, whole := jobstore.HeadKey(0), mustMarshal(t, page)
+			key, whole := jobstore.HeadPageKey(0), mustMarshal(t, page)
 			placed := job(jobs - 1).ID
-			s.set(jobstore.PageKey(0), mustMarshal(t, jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{{Job: placed,
-				Placed: []jobstore.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}}}))
+			s.set(jobstore.PlacementPageKey(0), mustMarshal(t, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: placed,
+				Placements: []jobstore.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}}}))
 			rnd := rand.New(rand.NewPCG(seed, 4))
 			bad := slices.Clone(whole)
 			from := rnd.IntN(len(bad))
@@ -128,14 +128,14 @@
 			}
 			bad[0] = 0xc1 // which nothing begins with
 			s.set(key, bad)
-			nodes(t, 1, s, func(rs []*jobstore.Reader) {
+			nodes(t, 1, s, func(rs []*jobstore.Store) {
 				r, cancelled := rs[0], ""
 				for n := range jobs + strangers {
 					v, found, err := r.Lookup(t.Context(), job(n).ID)
 					switch {
 					case n >= jobs && found:
 						t.Errorf("seed %d: %d, which nobody has submitted, is known", seed, n)
-					case n < jobs && !found && !errors.Is(err, jobstore.ErrDamaged):
+					case n < jobs && !found && !errors.Is(err, jobstore.ErrUnreadable):
 						t.Errorf("seed %d: %d is forgotten: %v", seed, n, err)
 					case found && (v.Version == 0 || v.Record.State != ""):
 						t.Errorf("seed %d: %d is called over", seed, n)
@@ -143,14 +143,14 @@
 						known++
 						cancelled = job(n).ID
 					}
-					if job(n).ID == placed && v.Placed != 1 {
-						t.Errorf("seed %d: of the job that is placed %d tasks are, found %v", seed, v.Placed, found)
+					if job(n).ID == placed && v.PlacedTasks != 1 {
+						t.Errorf("seed %d: of the job that is placed %d tasks are, found %v", seed, v.PlacedTasks, found)
 					}
 				}
-				if _, _, err := r.Cancel(t.Context(), cancelled); !errors.Is(err, jobstore.ErrDamaged) {
+				if _, _, err := r.Cancel(t.Context(), cancelled); !errors.Is(err, jobstore.ErrUnreadable) {
 					t.Errorf("seed %d: cancelled while a node may remember the page: %v", seed, err)
 				}
-				s.set(key, mustMarshal(t, jobstore.NewAside(key, s.keys[key].Version, 0, bad, limits)))
+				s.set(key, mustMarshal(t, jobstore.NewQuarantinedPage(key, s.keys[key].Version, 0, bad, limits)))
 				if final, found, err := r.Cancel(t.Context(), cancelled); final != wire.JobCancelled || !found || err != nil {
 					t.Errorf("seed %d: cancel of %s: %q, %v, %v", seed, cancelled, final, found, err)
 				}
@@ -187,12 +187,12 @@
 			}
 			raw[0] = 0xc1
 			s.set(jobstore.FinalKey(job(1).ID), raw)
-			nodes(t, 1, s, func(rs []*jobstore.Reader) {
+			nodes(t, 1, s, func(rs []*jobstore.Store) {
 				v, found, err := rs[0].Lookup(t.Context(), job(1).ID)
 				switch {
 				case found && v.Record.State == how && v.Version == 0:
 					read++
-				case found || !errors.Is(err, jobstore.ErrDamaged):
+				case found || !errors.Is(err, jobstore.ErrUnreadable):
 					t.Errorf("seed %d: it was %s, and is %q, found %v, %v", seed, how, v.Record.State, found, err)
 				}
 			})
--- a/jobstore/ledger.go
+++ b/jobstore/ledger.go
@@ -13,15 +13,15 @@
 // Keys. Everything about unfinished jobs lies under Active, so that one watch
 // and one listing give all that a leader needs.
 const (
-	Active   = "w/"
-	Jobs     = "w/j/" // the part of it that users' requests change
-	pages    = "w/p/"
-	final    = "f/"
-	Rentals  = "r/"
-	Cycles   = "x/"
-	TypesKey = "c/types"
-	// ReturnsKey names the machines that the last deletion asked for.
-	ReturnsKey = "c/returns"
+	ActivePrefix         = "w/"
+	JobPrefix            = "w/j/" // the part of it that users' requests change
+	placementPagePrefix  = "w/p/"
+	finalPrefix          = "f/"
+	ScaleOutPrefix       = "r/"
+	RebalanceCyclePrefix = "x/"
+	MachineTypesKey      = "c/types"
+	// ScaleInKey names the machines that the last deletion asked for.
+	ScaleInKey = "c/returns"
 )
 
 // ChunkSize is how many tasks of a job share one placement record. The records
@@ -31,17 +31,17 @@
 const ChunkSize = 100
 
 // JobKey is the key of an unfinished job.
-func JobKey(id string) string { return Jobs + id }
+func JobKey(id string) string { return JobPrefix + id }
 
 // FinalKey is the key of a finished or cancelled job, kept for good.
-func FinalKey(id string) string { return final + id }
+func FinalKey(id string) string { return finalPrefix + id }
 
-// PageKey is the key of a page of placement records.
-func PageKey(page int) string { return pages + strconv.Itoa(page) }
+// PlacementPageKey is the key of a page of placement records.
+func PlacementPageKey(page int) string { return placementPagePrefix + strconv.Itoa(page) }
 
-// ParsePageKey takes a PageKey apart.
-func ParsePageKey(key string) (page int, ok bool) {
-	num, ok := strings.CutPrefix(key, pages)
+// ParsePlacementPageKey takes a PageKey apart.
+func ParsePlacementPageKey(key string) (page int, ok bool) {
+	num, ok := strings.CutPrefix(key, placementPagePrefix)
 	if !ok {
 		return 0, false
 	}
@@ -51,41 +51,41 @@
 
 // ParseJobKey takes a JobKey apart.
 func ParseJobKey(key string) (id string, ok bool) {
-	id, ok = strings.CutPrefix(key, Jobs)
-	return id, ok && !IsIntake(key)
+	id, ok = strings.CutPrefix(key, JobPrefix)
+	return id, ok && !IsJobPageKey(key)
 }
 
 // ParseFinalKey takes a FinalKey apart.
-func ParseFinalKey(key string) (id string, ok bool) { return strings.CutPrefix(key, final) }
+func ParseFinalKey(key string) (id string, ok bool) { return strings.CutPrefix(key, finalPrefix) }
 
 // JobRecord is an accepted job, or its end.
 type JobRecord struct {
-	Job   wire.Job `msgpack:"job"`
-	AtMs  int64    `msgpack:"at"`
-	State string   `msgpack:"st,omitempty"` // JobDone or JobCancelled once it is over
+	Job          wire.Job `msgpack:"job"`
+	AcceptedAtMs int64    `msgpack:"at"`
+	State        string   `msgpack:"st,omitempty"` // JobDone or JobCancelled once it is over
 
-	Reserve *Reserve `msgpack:"rv,omitempty"`
-	Ended   []int    `msgpack:"en,omitempty"` // of a reserved job that is over: task, how, task, how
-	EndMs   int64    `msgpack:"em,omitempty"` // of a night's job that is done: when, Unix milliseconds
+	Reservation  *Reservation `msgpack:"rv,omitempty"`
+	Outcomes     []int        `msgpack:"en,omitempty"` // of a reserved job that is over: task, how, task, how
+	FinishedAtMs int64        `msgpack:"em,omitempty"` // of a night's job that is done: when, Unix milliseconds
 }
 
-// PageRecord is the value of a page.
-type PageRecord struct {
-	Chunks []ChunkRecord `msgpack:"c"`
+// PlacementPage is the value of a page.
+type PlacementPage struct {
+	Chunks []PlacementChunk `msgpack:"c"`
 }
 
-// ChunkRecord says where the tasks of a chunk may be.
-type ChunkRecord struct {
-	Job     string      `msgpack:"j"`
-	Chunk   int         `msgpack:"n"`
-	Attempt uint64      `msgpack:"a"` // highest attempt ever used here
-	Placed  []Placement `msgpack:"p"`
-	Done    []int       `msgpack:"d"` // ranges: first, last, first, last
+// PlacementChunk says where the tasks of a chunk may be.
+type PlacementChunk struct {
+	Job        string      `msgpack:"j"`
+	Chunk      int         `msgpack:"n"`
+	MaxAttempt uint64      `msgpack:"a"` // highest attempt ever used here
+	Placements []Placement `msgpack:"p"`
+	DoneRanges []int       `msgpack:"d"` // ranges: first, last, first, last
 
 	// Of reserved jobs only.
 	Reserved bool  `msgpack:"r,omitempty"`
-	Ended    []int `msgpack:"e,omitempty"` // task, how, task, how
-	Leaving  []int `msgpack:"l,omitempty"` // placed, and told to stop
+	Outcomes []int `msgpack:"e,omitempty"` // task, how, task, how
+	Stopping []int `msgpack:"l,omitempty"` // placed, and told to stop
 }
 
 // Placement says that a task may be on a machine.
@@ -97,16 +97,16 @@
 }
 
 // DoneCount counts the done tasks of a chunk.
-func (c *ChunkRecord) DoneCount() int {
+func (c *PlacementChunk) DoneCount() int {
 	n := 0
-	for i := 0; i+1 < len(c.Done); i += 2 {
-		n += c.Done[i+1] - c.Done[i] + 1
+	for i := 0; i+1 < len(c.DoneRanges); i += 2 {
+		n += c.DoneRanges[i+1] - c.DoneRanges[i] + 1
 	}
 	return n
 }
 
-// RentalRecord is written before machines are asked for.
-type RentalRecord struct {
+// ScaleOutRecord is written before machines are asked for.
+type ScaleOutRecord struct {
 	Type     string   `msgpack:"type"`
 	Zone     string   `msgpack:"zone"`
 	Spot     bool     `msgpack:"spot"`
@@ -115,19 +115,19 @@
 	Machines []string `msgpack:"m,omitempty"`
 }
 
-// ReturnRecord is written before machines are returned, so that a later leader
+// ScaleInRecord is written before machines are returned, so that a later leader
 // places nothing on them and returns them in its turn.
-type ReturnRecord struct {
+type ScaleInRecord struct {
 	Machines []string `msgpack:"m"`
 }
 
-// CycleRecord is what a rebalancing cycle leaves for the next leader. Times
+// RebalanceCycle is what a rebalancing cycle leaves for the next leader. Times
 // are Unix milliseconds.
-type CycleRecord struct {
-	Moves      []Move           `msgpack:"moves"`
-	CoolUntil  int64            `msgpack:"cool"`
-	Rest       map[string]int64 `msgpack:"rest"`
-	Quarantine map[string]int64 `msgpack:"quar"`
+type RebalanceCycle struct {
+	Moves               []Move           `msgpack:"moves"`
+	CooldownUntilMs     int64            `msgpack:"cool"`
+	TaskCooldownUntilMs map[string]int64 `msgpack:"rest"`
+	QuarantineUntilMs   map[string]int64 `msgpack:"quar"`
 }
 
 // Move is a task on its way from one machine to another.
--- a/jobstore/plan.go
+++ b/jobstore/plan.go
@@ -25,19 +25,19 @@
 
 // Keys of the plan.
 const (
-	Plans = "plan/"
+	PlanPrefix = "plan/"
 	// PlanHeadKey says which version holds, and names the last ones.
 	PlanHeadKey = "plan/head"
-	// planCopyKey has the same value, changed in the same transaction: it says
+	// planHeadCopyKey has the same value, changed in the same transaction: it says
 	// which version holds where the head can't be read.
-	planCopyKey = "plan/copy"
-	// PlanAskedKey is there from when a plan is first wanted: the leader then has
+	planHeadCopyKey = "plan/copy"
+	// PlanRequestedKey is there from when a plan is first wanted: the leader then has
 	// the records written in FormPlan, once every node reads that.
-	PlanAskedKey = "plan/asked"
-	planTexts    = "plan/t/"
-	// Notes are what the plan's parts record. They change more often than the plan
+	PlanRequestedKey = "plan/asked"
+	planTextPrefix   = "plan/t/"
+	// PlanStatePrefix are what the plan's parts record. They change more often than the plan
 	// itself, which every node watches.
-	Notes = "note/"
+	PlanStatePrefix = "note/"
 )
 
 // planVersions is how many versions stay readable.
@@ -85,11 +85,13 @@
 	return PlanVersion{}, false
 }
 
-func pieceKey(draft string, piece int) string { return planTexts + draft + "/" + strconv.Itoa(piece) }
+func pieceKey(draft string, piece int) string {
+	return planTextPrefix + draft + "/" + strconv.Itoa(piece)
+}
 
 // draftNumber is the version that a text was written for.
 func draftNumber(key string) (number int, draft string, ok bool) {
-	rest, ok := strings.CutPrefix(key, planTexts)
+	rest, ok := strings.CutPrefix(key, planTextPrefix)
 	if !ok {
 		return 0, "", false
 	}
@@ -103,20 +105,20 @@
 	// ErrNoPlan: no version of the plan is there.
 	ErrNoPlan = errors.New("there is no plan")
 	// ErrPlanForm: not every node is known to read plans yet.
-	ErrPlanForm = errors.New("not every node reads plans yet: start this version on all of them (with ledger.intake), and apply again")
+	ErrPlanUnsupported = errors.New("not every node reads plans yet: start this version on all of them (with ledger.intake), and apply again")
 	// ErrPlanDamaged: a text is not what was written.
-	ErrPlanDamaged = errors.New("the plan's record is damaged")
+	ErrPlanUnreadable = errors.New("the plan's record is damaged")
 )
 
-// PlanMoved says that another version came between.
-type PlanMoved struct{ Base, Current int }
+// PlanConflictError says that another version came between.
+type PlanConflictError struct{ Base, Current int }
 
-func (e *PlanMoved) Error() string {
+func (e *PlanConflictError) Error() string {
 	return fmt.Sprintf("it builds on version %d, and version %d holds: look at what came between, and apply again", e.Base, e.Current)
 }
 
-// ReadStore is what reading the plan needs of the state service.
-type ReadStore interface {
+// KeyValueReader is what reading the plan needs of the state service.
+type KeyValueReader interface {
 	Get(ctx context.Context, key string) (wire.Entry, error)
 	List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error)
 }
@@ -124,7 +126,7 @@
 // ReadPlanHead reads which versions there are. version is the head key's own, 0
 // where there is no plan. A head that can't be read is named in trouble, and its
 // copy holds.
-func ReadPlanHead(ctx context.Context, s ReadStore) (h PlanHead, version uint64, trouble error, err error) {
+func ReadPlanHead(ctx context.Context, s KeyValueReader) (h PlanHead, version uint64, trouble error, err error) {
 	e, err := s.Get(ctx, PlanHeadKey)
 	if err != nil {
 		return h, 0, nil, err
@@ -135,15 +137,15 @@
 	if h, err := decodeHead(e.Value); err == nil {
 		return h, e.Version, nil, nil
 	}
-	trouble = fmt.Errorf("%w: %s can't be read, its copy holds", ErrPlanDamaged, PlanHeadKey)
-	c, err := s.Get(ctx, planCopyKey)
+	trouble = fmt.Errorf("%w: %s can't be read, its copy holds", ErrPlanUnreadable, PlanHeadKey)
+	c, err := s.Get(ctx, planHeadCopyKey)
 	if err != nil {
 		return h, 0, nil, err
 	}
 	if h, err = decodeHead(c.Value); c.Version != 0 && err == nil {
 		return h, e.Version, trouble, nil
 	}
-	trouble = fmt.Errorf("%w: neither %s nor %s can be read, the newest text holds", ErrPlanDamaged, PlanHeadKey, planCopyKey)
+	trouble = fmt.Errorf("%w: neither %s nor %s can be read, the newest text holds", ErrPlanUnreadable, PlanHeadKey, planHeadCopyKey)
 	h, err = planFromTexts(ctx, s)
 	return h, e.Version, trouble, err
 }
@@ -156,11 +158,11 @@
 		return PlanHead{}, err
 	}
 	if len(h.Versions) == 0 || len(h.Versions) > planVersions {
-		return PlanHead{}, ErrPlanDamaged
+		return PlanHead{}, ErrPlanUnreadable
 	}
 	for i, v := range h.Versions {
 		if v.Number < 1 || v.Pieces < 1 || i > 0 && v.Number >= h.Versions[i-1].Number {
-			return PlanHead{}, ErrPlanDamaged
+			return PlanHead{}, ErrPlanUnreadable
 		}
 	}
 	return h, nil
@@ -168,7 +170,7 @@
 
 // ReadPlanText reads the text of a version. ErrPlanDamaged: it is not there as it
 // was written.
-func ReadPlanText(ctx context.Context, s ReadStore, v PlanVersion) (string, error) {
+func ReadPlanText(ctx context.Context, s KeyValueReader, v PlanVersion) (string, error) {
 	var b strings.Builder
 	for k := range v.Pieces {
 		e, err := s.Get(ctx, pieceKey(v.Draft, k))
@@ -177,12 +179,12 @@
 		}
 		var p planPiece
 		if e.Version == 0 || wire.Unmarshal(e.Value, &p) != nil {
-			return "", fmt.Errorf("%w: piece %d of version %d", ErrPlanDamaged, k, v.Number)
+			return "", fmt.Errorf("%w: piece %d of version %d", ErrPlanUnreadable, k, v.Number)
 		}
 		b.WriteString(p.Text)
 	}
 	if xxh3.HashString(b.String()) != v.Digest {
-		return "", fmt.Errorf("%w: version %d is not what was written", ErrPlanDamaged, v.Number)
+		return "", fmt.Errorf("%w: version %d is not what was written", ErrPlanUnreadable, v.Number)
 	}
 	return b.String(), nil
 }
@@ -217,7 +219,7 @@
 // ApplyPlan makes a text the version that holds, and says which number it has. Of
 // two at once one wins, and the other is told (*PlanMoved). With an error of
 // package state the outcome is unknown: the history tells.
-func ApplyPlan(ctx context.Context, s Store, limits Limits, c PlanChange) (PlanVersion, error) {
+func ApplyPlan(ctx context.Context, s KeyValueStore, limits Limits, c PlanChange) (PlanVersion, error) {
 	form, err := planForm(ctx, s)
 	if err != nil {
 		return PlanVersion{}, err
@@ -227,7 +229,7 @@
 		return PlanVersion{}, err
 	}
 	if h.Current() != c.Base {
-		return PlanVersion{}, &PlanMoved{c.Base, h.Current()}
+		return PlanVersion{}, &PlanConflictError{c.Base, h.Current()}
 	}
 	// A draft of the same number, of somebody who failed halfway, is never taken
 	// for this one.
@@ -244,7 +246,7 @@
 	for len(next.Versions) > 1 && next.size() > min(limits.valueBytes(), 18<<10)-256 {
 		next.Versions = next.Versions[:len(next.Versions)-1]
 	}
-	heads := []wire.Op{{Put: PlanHeadKey, Value: next}, {Put: planCopyKey, Value: next}}
+	heads := []wire.Op{{Put: PlanHeadKey, Value: next}, {Put: planHeadCopyKey, Value: next}}
 	// What is too large for one transaction goes ahead of the head that names it,
 	// but for the last piece: a text is there as a whole only if it was committed as
 	// a version, also where no head can be read to say so.
@@ -255,7 +257,7 @@
 		}
 	}
 	heads = append(heads, puts[last])
-	guards := []wire.Guard{{Key: PlanHeadKey, Version: version}, {Key: FormKey, Version: form}}
+	guards := []wire.Guard{{Key: PlanHeadKey, Version: version}, {Key: SchemaKey, Version: form}}
 	err = surely(ctx, s, guards, heads, func() bool {
 		h, _, _, err := ReadPlanHead(ctx, s)
 		got, ok := h.Find(v.Number)
@@ -265,7 +267,7 @@
 	if errors.As(err, &conflict) {
 		now, _, _, rerr := ReadPlanHead(ctx, s)
 		if rerr == nil && now.Current() != c.Base {
-			err = &PlanMoved{c.Base, now.Current()}
+			err = &PlanConflictError{c.Base, now.Current()}
 		}
 	}
 	if err != nil {
@@ -293,7 +295,7 @@
 	return strings.ToValidUTF8(s[:most], "")
 }
 
-func isThere(ctx context.Context, s ReadStore, key string) bool {
+func isThere(ctx context.Context, s KeyValueReader, key string) bool {
 	e, err := s.Get(ctx, key)
 	return err == nil && e.Version != 0
 }
@@ -301,7 +303,7 @@
 // surely commits what its conditions let happen once only. A lost answer is made
 // up for by asking again; a conflict may be the first try's doing, which done finds
 // out.
-func surely(ctx context.Context, s Store, guards []wire.Guard, ops []wire.Op, done func() bool) error {
+func surely(ctx context.Context, s KeyValueStore, guards []wire.Guard, ops []wire.Op, done func() bool) error {
 	var err error
 	for wait := 200 * time.Millisecond; ; wait = min(2*wait, 2*time.Second) {
 		_, err = s.CompareAndSwap(ctx, guards, ops)
@@ -326,33 +328,33 @@
 // planForm makes sure that records are in a form that says that there may be a
 // plan: a program that knows of none refuses to lead from then on. It returns the
 // version of the form's record.
-func planForm(ctx context.Context, s Store) (uint64, error) {
+func planForm(ctx context.Context, s KeyValueStore) (uint64, error) {
 	for try := 0; ; try++ {
-		e, err := s.Get(ctx, FormKey)
+		e, err := s.Get(ctx, SchemaKey)
 		if err != nil {
 			return 0, err
 		}
-		var form FormRecord
+		var form SchemaRecord
 		if e.Version != 0 {
 			if err := wire.Unmarshal(e.Value, &form); err != nil {
-				return 0, fmt.Errorf("%s: %w", FormKey, err)
+				return 0, fmt.Errorf("%s: %w", SchemaKey, err)
 			}
 		}
-		if form.Form > Form {
-			return 0, ErrNewer
+		if form.Version > LatestSchema {
+			return 0, ErrNewerSchema
 		}
-		if form.Form >= FormPlan {
+		if form.Version >= SchemaPlans {
 			return e.Version, nil
 		}
 		if try == 0 {
-			_, err := s.CompareAndSwap(ctx, []wire.Guard{{Key: PlanAskedKey}}, []wire.Op{{Put: PlanAskedKey, Value: true}})
+			_, err := s.CompareAndSwap(ctx, []wire.Guard{{Key: PlanRequestedKey}}, []wire.Op{{Put: PlanRequestedKey, Value: true}})
 			var c *kvstore.ConflictError
 			if err != nil && !errors.As(err, &c) {
 				return 0, err
 			}
 		}
 		if try == 30 {
-			return 0, ErrPlanForm
+			return 0, ErrPlanUnsupported
 		}
 		if !call.Pause(ctx, 500*time.Millisecond) {
 			return 0, ctx.Err()
@@ -364,8 +366,8 @@
 // read: those that are whole and the only one of their number. A draft whose writer
 // failed before it named it lacks its last piece; one of a program that wrote all
 // pieces ahead can't be told from a version.
-func planFromTexts(ctx context.Context, s ReadStore) (PlanHead, error) {
-	texts, _, err := s.List(ctx, planTexts)
+func planFromTexts(ctx context.Context, s KeyValueReader) (PlanHead, error) {
+	texts, _, err := s.List(ctx, planTextPrefix)
 	if err != nil {
 		return PlanHead{}, err
 	}
@@ -401,52 +403,52 @@
 	return h, nil
 }
 
-// PlanState is the version of the plan that holds.
-type PlanState struct {
+// ActivePlan is the version of the plan that holds.
+type ActivePlan struct {
 	PlanVersion        // the zero value: there is no plan
-	Head        uint64 // the version of PlanHeadKey, which decisions by the plan have as their condition
+	HeadVersion uint64 // the version of PlanHeadKey, which decisions by the plan have as their condition
 	Text        string
-	Troubles    []error // what could not be read, newer than this version
+	Warnings    []error // what could not be read, newer than this version
 }
 
 // LoadPlan reads the newest version that can be read and that readable takes.
 // ErrPlanDamaged: there is a plan, and no version of it can be read.
-func LoadPlan(ctx context.Context, s ReadStore, readable func(text string) error) (PlanState, error) {
+func LoadPlan(ctx context.Context, s KeyValueReader, readable func(text string) error) (ActivePlan, error) {
 	h, version, trouble, err := ReadPlanHead(ctx, s)
 	if err != nil {
-		return PlanState{}, err
+		return ActivePlan{}, err
 	}
-	st := PlanState{Head: version}
+	st := ActivePlan{HeadVersion: version}
 	if version == 0 {
 		return st, nil
 	}
 	if trouble != nil {
-		st.Troubles = append(st.Troubles, trouble)
+		st.Warnings = append(st.Warnings, trouble)
 	}
 	for _, v := range h.Versions {
 		text, err := ReadPlanText(ctx, s, v)
 		if err == nil {
 			if err = readable(text); err != nil {
-				err = fmt.Errorf("%w: version %d: %v", ErrPlanDamaged, v.Number, err)
+				err = fmt.Errorf("%w: version %d: %v", ErrPlanUnreadable, v.Number, err)
 			}
 		}
 		switch {
-		case errors.Is(err, ErrPlanDamaged):
-			st.Troubles = append(st.Troubles, err)
+		case errors.Is(err, ErrPlanUnreadable):
+			st.Warnings = append(st.Warnings, err)
 			continue
 		case err != nil:
-			return PlanState{}, err // not reached: that says nothing of the plan
+			return ActivePlan{}, err // not reached: that says nothing of the plan
 		}
 		st.PlanVersion, st.Text = v, text
 		return st, nil
 	}
-	return st, fmt.Errorf("%w: no version of it can be read", ErrPlanDamaged)
+	return st, fmt.Errorf("%w: no version of it can be read", ErrPlanUnreadable)
 }
 
 // sweepPlans removes the texts that no version names. A draft can be committed only
 // as the next version, so that those up to the current one are nobody's.
-func sweepPlans(ctx context.Context, s Store, h PlanHead) {
-	texts, _, err := s.List(ctx, planTexts)
+func sweepPlans(ctx context.Context, s KeyValueStore, h PlanHead) {
+	texts, _, err := s.List(ctx, planTextPrefix)
 	if err != nil {
 		return // the next one that is applied sweeps
 	}
--- a/jobstore/plan_test.go
+++ b/jobstore/plan_test.go
@@ -23,7 +23,7 @@
 	return jobstore.ApplyPlan(ctx, s, limits, jobstore.PlanChange{Base: base, Text: text, By: "somebody", At: time.Now()})
 }
 
-func loadPlan(t *testing.T, s *store) jobstore.PlanState {
+func loadPlan(t *testing.T, s *store) jobstore.ActivePlan {
 	t.Helper()
 	st, err := jobstore.LoadPlan(context.Background(), s, func(text string) error {
 		if strings.HasPrefix(text, "unknown") {
@@ -66,7 +66,7 @@
 					for k := range 4 {
 						text := fmt.Sprintf("note = \"%d-%d %s\"", who, k, strings.Repeat("x", 9000*(k%3)))
 						v, err := applyPlan(s, loadPlan(t, s).Number, text)
-						var m *jobstore.PlanMoved
+						var m *jobstore.PlanConflictError
 						mu.Lock()
 						switch {
 						case err == nil:
@@ -222,8 +222,8 @@
 				s.damage(k)
 			}
 			st := loadPlan(t, s)
-			if st.Number != c.holds || st.Head == 0 || (len(st.Troubles) == 0) != (c.name == "nothing") {
-				t.Errorf("%s: version %d holds, head %d, named %v", c.name, st.Number, st.Head, st.Troubles)
+			if st.Number != c.holds || st.HeadVersion == 0 || (len(st.Warnings) == 0) != (c.name == "nothing") {
+				t.Errorf("%s: version %d holds, head %d, named %v", c.name, st.Number, st.HeadVersion, st.Warnings)
 			}
 			// A version that builds on what can be read gets a number of its own.
 			if strings.Contains(c.damage, "plan/t/3-") {
@@ -247,8 +247,8 @@
 		}
 		s.damage("plan/t/")
 		st, err := jobstore.LoadPlan(context.Background(), s, func(string) error { return nil })
-		if !errors.Is(err, jobstore.ErrPlanDamaged) || st.Head == 0 {
-			t.Errorf("head %d, %v", st.Head, err)
+		if !errors.Is(err, jobstore.ErrPlanUnreadable) || st.HeadVersion == 0 {
+			t.Errorf("head %d, %v", st.HeadVersion, err)
 		}
 	})
 }
--- a/jobstore/reader.go
+++ b/jobstore/reader.go
@@ -14,8 +14,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Store is what this package needs of the state service.
-type Store interface {
+// KeyValueStore is what this package needs of the state service.
+type KeyValueStore interface {
 	Get(ctx context.Context, key string) (wire.Entry, error)
 	List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error)
 	// ListPage reads at most so many keys with a prefix that come after a key.
@@ -25,23 +25,23 @@
 	Watch(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error)
 }
 
-// ErrNewer says that the records are in a form that a later version has written,
+// ErrNewerSchema says that the records are in a form that a later version has written,
 // and that this one can't read.
-var ErrNewer = errors.New("the records have a newer form than this version reads: start the version that wrote them")
+var ErrNewerSchema = errors.New("the records have a newer form than this version reads: start the version that wrote them")
 
-// ErrDamaged says that what a job's state hangs on can't be read, and that nothing
+// ErrUnreadable says that what a job's state hangs on can't be read, and that nothing
 // else says it.
-var ErrDamaged = errors.New("a record can't be read")
+var ErrUnreadable = errors.New("a record can't be read")
 
 // finalMax bounds the cache of final states; the state service keeps them all.
 const finalMax = 20_000
 
-// View is what a node knows of a job.
-type View struct {
-	Record  JobRecord
-	Version uint64 // of the active record, 0 once the job is over
-	Done    int
-	Placed  int
+// JobStatus is what a node knows of a job.
+type JobStatus struct {
+	Record      JobRecord
+	Version     uint64 // of the active record, 0 once the job is over
+	DoneTasks   int
+	PlacedTasks int
 
 	home string // the page that its record shares with others, if it does
 }
@@ -67,10 +67,10 @@
 	chunk int
 }
 
-// Reader answers what state jobs are in, as current as a read of the records
+// Store answers what state jobs are in, as current as a read of the records
 // themselves: lookups that come together share one barrier. Only final states
 // are cached beyond it.
-type Reader struct {
+type Store struct {
 	// Gap is for how long at the least a barrier follows another. It is for the
 	// owner to set before Run.
 	Gap func() time.Duration
@@ -87,7 +87,7 @@
 	// Log is told of records that can't be read. Nil: nobody is.
 	Log *slog.Logger
 
-	store  Store
+	store  KeyValueStore
 	asks   chan chan error
 	part   listing // of Run
 	ends   ends    // guarded by mu, but for the channel
@@ -100,7 +100,7 @@
 	pages  map[int]*page
 	finals map[string]JobRecord
 	order  []string
-	form   FormRecord
+	form   SchemaRecord
 	formAt uint64 // the version of the form's record
 	intake map[string]*intakePage
 	lost   map[string]lostPage // pages of users' jobs that can't be read
@@ -114,15 +114,15 @@
 	writers sync.WaitGroup // of submissions
 }
 
-// NewReader makes a reader; Run must be running for lookups to be answered.
-func NewReader(store Store) *Reader {
-	return &Reader{store: store, asks: make(chan chan error, 256),
+// New makes a reader; Run must be running for lookups to be answered.
+func New(store KeyValueStore) *Store {
+	return &Store{store: store, asks: make(chan chan error, 256),
 		ends:   ends{kick: make(chan struct{}, endReaders)},
 		finals: map[string]JobRecord{}, lost: map[string]lostPage{}, blind: map[int]uint64{}, queues: map[int]*queue{}}
 }
 
 // Run answers barriers and commits submissions until ctx ends.
-func (r *Reader) Run(ctx context.Context) {
+func (r *Store) Run(ctx context.Context) {
 	r.mu.Lock()
 	r.ctx = ctx
 	r.mu.Unlock()
@@ -167,7 +167,7 @@
 }
 
 // readBarrier waits for one that starts after the call.
-func (r *Reader) readBarrier(ctx context.Context) error {
+func (r *Store) readBarrier(ctx context.Context) error {
 	done := make(chan error, 1)
 	select {
 	case r.asks <- done:
@@ -182,14 +182,14 @@
 	}
 }
 
-func (r *Reader) refresh(ctx context.Context) error {
+func (r *Store) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 2500*time.Millisecond)
 	defer cancel()
 	r.mu.Lock()
 	loaded, rev := r.loaded, r.rev
 	r.mu.Unlock()
 	if loaded {
-		ev, err := r.store.Watch(ctx, Active, rev, 0)
+		ev, err := r.store.Watch(ctx, ActivePrefix, rev, 0)
 		if err == nil {
 			return r.apply(ev)
 		}
@@ -202,7 +202,7 @@
 	}
 	// The pages are of different moments: the changes since the first one make
 	// them whole.
-	ev, err := r.store.Watch(ctx, Active, r.part.rev, 0)
+	ev, err := r.store.Watch(ctx, ActivePrefix, r.part.rev, 0)
 	if err != nil {
 		if errors.Is(err, kvstore.ErrCompacted) {
 			r.part = listing{}
@@ -237,9 +237,9 @@
 // list reads all active records. What it has when the time is over stands, and the
 // next barrier goes on: where all nodes begin at once, and the service takes
 // little of each, none would ever have read all.
-func (r *Reader) list(ctx context.Context) error {
+func (r *Store) list(ctx context.Context) error {
 	for !r.part.whole {
-		items, more, rev, err := r.store.ListPage(ctx, Active, r.part.after, loadPage)
+		items, more, rev, err := r.store.ListPage(ctx, ActivePrefix, r.part.after, loadPage)
 		if err != nil {
 			return err
 		}
@@ -255,7 +255,7 @@
 	return nil
 }
 
-func (r *Reader) apply(ev wire.Events) error {
+func (r *Store) apply(ev wire.Events) error {
 	// A page may have changed many times since: only its last state counts.
 	last := map[string]uint64{}
 	for i := range ev.Log {
@@ -273,13 +273,13 @@
 		}
 	}
 	r.rev = max(r.rev, ev.Revision)
-	if r.form.Form > Form {
-		return ErrNewer
+	if r.form.Version > LatestSchema {
+		return ErrNewerSchema
 	}
 	return nil
 }
 
-func (r *Reader) job(id string) *activeJob {
+func (r *Store) job(id string) *activeJob {
 	j := r.jobs[id]
 	if j == nil {
 		j = &activeJob{chunks: map[int]counts{}}
@@ -288,7 +288,7 @@
 	return j
 }
 
-func (r *Reader) put(key string, v wire.Raw, version uint64) {
+func (r *Store) put(key string, v wire.Raw, version uint64) {
 	if id, ok := ParseJobKey(key); ok {
 		j := r.job(id)
 		if version <= j.version {
@@ -302,13 +302,13 @@
 		r.detail.putJob(id, &rec)
 		return
 	}
-	if IsIntake(key) {
-		rec, err := DecodeIntake(v)
+	if IsJobPageKey(key) {
+		rec, err := DecodeJobPage(v)
 		if err != nil {
-			a, aside := DecodeAside(v)
+			a, aside := DecodeQuarantinedPage(v)
 			if !aside {
 				r.unreadable(key, err)
-				a = Aside{From: key, Version: version, Raw: v}
+				a = QuarantinedPage{OriginalKey: key, OriginalVersion: version, Raw: v}
 			}
 			r.loseIntake(key, a, aside, version)
 			return
@@ -316,20 +316,20 @@
 		r.setIntake(key, rec, version)
 		return
 	}
-	if key == FormKey && version > r.formAt {
-		rec, err := DecodeForm(v)
+	if key == SchemaKey && version > r.formAt {
+		rec, err := DecodeSchema(v)
 		if err != nil {
 			r.unreadable(key, err)
 		}
 		r.form, r.formAt, r.formLost = rec, version, err != nil
 		return
 	}
-	if strings.HasPrefix(key, Apps) {
+	if strings.HasPrefix(key, AppPrefix) {
 		r.detail.put(key, v, version)
 		return
 	}
-	if n, ok := ParsePageKey(key); ok {
-		rec, err := DecodePage(v)
+	if n, ok := ParsePlacementPageKey(key); ok {
+		rec, err := DecodePlacementPage(v)
 		if err != nil {
 			r.unreadable(key, err)
 			if p := r.pages[n]; p == nil || version > p.version {
@@ -342,7 +342,7 @@
 }
 
 // setPage replaces what stands on a page.
-func (r *Reader) setPage(n int, chunks []ChunkRecord, version uint64) {
+func (r *Store) setPage(n int, chunks []PlacementChunk, version uint64) {
 	p := r.pages[n]
 	if p == nil {
 		p = &page{}
@@ -363,11 +363,11 @@
 	for i := range chunks {
 		c := &chunks[i]
 		p.chunks = append(p.chunks, chunkName{c.Job, c.Chunk})
-		r.job(c.Job).chunks[c.Chunk] = counts{page: n, done: c.DoneCount(), placed: len(c.Placed)}
+		r.job(c.Job).chunks[c.Chunk] = counts{page: n, done: c.DoneCount(), placed: len(c.Placements)}
 	}
 }
 
-func (r *Reader) remove(key string, version uint64) {
+func (r *Store) remove(key string, version uint64) {
 	if id, ok := ParseJobKey(key); ok {
 		if j := r.jobs[id]; j != nil && j.version <= version && j.home == "" {
 			j.version = 0
@@ -376,22 +376,22 @@
 		}
 		return
 	}
-	if IsIntake(key) {
-		r.setIntake(key, IntakeRecord{}, version)
-		if p := r.intake[key]; !IsHead(key) && p.version == version {
+	if IsJobPageKey(key) {
+		r.setIntake(key, JobPage{}, version)
+		if p := r.intake[key]; !IsHeadPageKey(key) && p.version == version {
 			delete(r.intake, key) // it never comes back
 		}
 		return
 	}
-	if n, ok := ParsePageKey(key); ok {
+	if n, ok := ParsePlacementPageKey(key); ok {
 		r.setPage(n, nil, version)
 	}
-	if strings.HasPrefix(key, Apps) {
+	if strings.HasPrefix(key, AppPrefix) {
 		r.detail.remove(key, version)
 	}
 }
 
-func (r *Reader) drop(id string, j *activeJob) {
+func (r *Store) drop(id string, j *activeJob) {
 	if j.version == 0 && len(j.chunks) == 0 {
 		delete(r.jobs, id)
 	}
@@ -400,21 +400,21 @@
 // view is what the active records say of a job. unsure says that it may be over
 // for all that, or not found and yet accepted: a page that it stands on, or may
 // campaign on, can't be read.
-func (r *Reader) view(id string) (v View, found, unsure bool) {
+func (r *Store) view(id string) (v JobStatus, found, unsure bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if rec, ok := r.finals[id]; ok {
-		return View{Record: rec}, true, false
+		return JobStatus{Record: rec}, true, false
 	}
 	j := r.jobs[id]
 	if j == nil {
 		_, at := r.lostWith(id)
-		return View{}, false, at != 0
+		return JobStatus{}, false, at != 0
 	}
-	v = View{Record: j.rec, Version: j.version, home: j.home}
+	v = JobStatus{Record: j.rec, Version: j.version, home: j.home}
 	for _, c := range j.chunks {
-		v.Done += c.done
-		v.Placed += c.placed
+		v.DoneTasks += c.done
+		v.PlacedTasks += c.placed
 	}
 	if j.version != 0 {
 		return v, true, r.lost[j.home].version != 0
@@ -425,7 +425,7 @@
 	return v, at != 0, at != 0
 }
 
-func (r *Reader) keepFinal(id string, rec JobRecord) {
+func (r *Store) keepFinal(id string, rec JobRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, ok := r.finals[id]; ok {
@@ -442,12 +442,12 @@
 
 // Lookup says what is known of a job; found is false where it was never
 // accepted.
-func (r *Reader) Lookup(ctx context.Context, id string) (v View, found bool, err error) {
-	if v, ok := r.Remembered(id); ok {
+func (r *Store) Lookup(ctx context.Context, id string) (v JobStatus, found bool, err error) {
+	if v, ok := r.CachedFinal(id); ok {
 		return v, true, nil
 	}
 	if err := r.readBarrier(ctx); err != nil {
-		return View{}, false, err
+		return JobStatus{}, false, err
 	}
 	v, found, unsure := r.view(id)
 	if found && !unsure {
@@ -458,27 +458,27 @@
 	rec, over, err := r.end(ctx, id)
 	switch {
 	case err != nil:
-		return View{}, false, err
+		return JobStatus{}, false, err
 	case over:
-		return View{Record: rec}, true, nil
+		return JobStatus{Record: rec}, true, nil
 	case unsure && !found:
-		return View{}, false, fmt.Errorf("%w: job %s may stand on it", ErrDamaged, id)
+		return JobStatus{}, false, fmt.Errorf("%w: job %s may stand on it", ErrUnreadable, id)
 	}
 	return v, found, nil
 }
 
-// Remembered is a job that this node knows to be over, for which nothing need be
+// CachedFinal is a job that this node knows to be over, for which nothing need be
 // read.
-func (r *Reader) Remembered(id string) (View, bool) {
+func (r *Store) CachedFinal(id string) (JobStatus, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	rec, ok := r.finals[id]
-	return View{Record: rec}, ok
+	return JobStatus{Record: rec}, ok
 }
 
 // Cancel ends a job unless it is over, and returns its final state; found is
 // false where it was never accepted.
-func (r *Reader) Cancel(ctx context.Context, id string) (final string, found bool, err error) {
+func (r *Store) Cancel(ctx context.Context, id string) (final string, found bool, err error) {
 	for range 8 {
 		v, found, err := r.Lookup(ctx, id)
 		if err != nil || !found {
@@ -494,7 +494,7 @@
 				// A node that remembers the page would go on calling the job
 				// unfinished: it may cancel it, or a leader sets the page aside,
 				// which all nodes hear of.
-				return "", true, fmt.Errorf("%w: %s", ErrDamaged, v.home)
+				return "", true, fmt.Errorf("%w: %s", ErrUnreadable, v.home)
 			}
 			// Its page stays as it is, and what is final goes before it.
 			_, err = r.store.CompareAndSwap(ctx,
--- a/jobstore/reserve.go
+++ b/jobstore/reserve.go
@@ -13,34 +13,34 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Apps is where doors keep records of what their jobs belong to. They lie with
+// AppPrefix is where doors keep records of what their jobs belong to. They lie with
 // the jobs, so that one barrier makes both current; the leader passes them over.
-const Apps = Active + "y/"
+const AppPrefix = ActivePrefix + "y/"
 
-// Reserve marks a job whose tasks are given a place first and launched when they
+// Reservation marks a job whose tasks are given a place first and launched when they
 // are asked for, each once: a task whose attempt has ended in whatever way is
 // over. Doors use it whose clients choose what to run once they know where.
-type Reserve struct {
-	Owner string   `msgpack:"o"`           // key of the door's record
-	Tag   string   `msgpack:"t,omitempty"` // the door's own
-	Go    []int    `msgpack:"g,omitempty"` // ranges of tasks that may be launched
-	Drop  []int    `msgpack:"d,omitempty"` // ranges of tasks that are given back
-	Only  []string `msgpack:"n,omitempty"` // the only machines, if any are named
-	Avoid []string `msgpack:"v,omitempty"` // machines to stay away from
-	Refs  []Ref    `msgpack:"x,omitempty"` // what several tasks share, for the door
+type Reservation struct {
+	Owner         string      `msgpack:"o"`           // key of the door's record
+	Tag           string      `msgpack:"t,omitempty"` // the door's own
+	LaunchRanges  []int       `msgpack:"g,omitempty"` // ranges of tasks that may be launched
+	ReleaseRanges []int       `msgpack:"d,omitempty"` // ranges of tasks that are given back
+	OnlyMachines  []string    `msgpack:"n,omitempty"` // the only machines, if any are named
+	AvoidMachines []string    `msgpack:"v,omitempty"` // machines to stay away from
+	SharedKeys    []SharedKey `msgpack:"x,omitempty"` // what several tasks share, for the door
 }
 
-// Ref leads from tasks to a key of their door's.
-type Ref struct {
-	Key   string `msgpack:"k"`
-	Tasks []int  `msgpack:"t"` // ranges
+// SharedKey leads from tasks to a key of their door's.
+type SharedKey struct {
+	Key        string `msgpack:"k"`
+	TaskRanges []int  `msgpack:"t"` // ranges
 }
 
-// RefOf finds the key that a task shares with others.
-func (r *Reserve) RefOf(task int) (string, bool) {
-	for _, f := range r.Refs {
-		for i := 0; i+1 < len(f.Tasks); i += 2 {
-			if f.Tasks[i] <= task && task <= f.Tasks[i+1] {
+// SharedKeyOf finds the key that a task shares with others.
+func (r *Reservation) SharedKeyOf(task int) (string, bool) {
+	for _, f := range r.SharedKeys {
+		for i := 0; i+1 < len(f.TaskRanges); i += 2 {
+			if f.TaskRanges[i] <= task && task <= f.TaskRanges[i+1] {
 				return f.Key, true
 			}
 		}
@@ -50,16 +50,16 @@
 
 // How a reserved task ended.
 const (
-	EndDone      = iota
-	EndError     // by itself, with an error
-	EndLost      // its machine is gone, or its lease is over
-	EndPreempted // stopped for other work, a notice or a drain
-	EndReleased  // given back
-	EndRefused   // its machine did not take it
+	OutcomeDone      = iota
+	OutcomeFailed    // by itself, with an error
+	OutcomeLost      // its machine is gone, or its lease is over
+	OutcomePreempted // stopped for other work, a notice or a drain
+	OutcomeReleased  // given back
+	OutcomeRefused   // its machine did not take it
 )
 
-// Ranges writes a set as first, last, first, last.
-func Ranges(s *bitset.BitSet) []int {
+// RangesOf writes a set as first, last, first, last.
+func RangesOf(s *bitset.BitSet) []int {
 	var out []int
 	for i, ok := s.NextSet(0); ok; i, ok = s.NextSet(i + 1) {
 		if k := len(out); k > 0 && out[k-1] == int(i)-1 {
@@ -71,8 +71,8 @@
 	return out
 }
 
-// Set reads ranges, and leaves out what is not below n.
-func Set(ranges []int, n int) *bitset.BitSet {
+// BitSetOf reads ranges, and leaves out what is not below n.
+func BitSetOf(ranges []int, n int) *bitset.BitSet {
 	s := bitset.New(uint(max(n, 0)))
 	for i := 0; i+1 < len(ranges); i += 2 {
 		for t := max(ranges[i], 0); t <= ranges[i+1] && t < n; t++ {
@@ -82,18 +82,18 @@
 	return s
 }
 
-// Reserved is a reserved job as a door sees it.
-type Reserved struct {
-	ID      string
-	Record  JobRecord
-	Version uint64 // 0 once the job is over
-	Placed  map[int]Placement
-	Leaving map[int]bool // placed, and told to stop
-	Ended   map[int]int
+// ReservedJob is a reserved job as a door sees it.
+type ReservedJob struct {
+	ID         string
+	Record     JobRecord
+	Version    uint64 // 0 once the job is over
+	Placements map[int]Placement
+	Stopping   map[int]bool // placed, and told to stop
+	Outcomes   map[int]int
 }
 
-// Entry is a door's record as last read.
-type Entry struct {
+// AppRecord is a door's record as last read.
+type AppRecord struct {
 	Key     string
 	Value   wire.Raw
 	Version uint64
@@ -101,14 +101,14 @@
 
 // detail is what a reader keeps for doors; nil where there are none.
 type detail struct {
-	chunks map[int][]ChunkRecord          // by page, of reserved jobs or unknown ones
-	owned  map[string]map[string]bool     // ids of reserved jobs by owner
-	places map[string]map[int]ChunkRecord // by job and chunk
-	apps   map[string]Entry
+	chunks map[int][]PlacementChunk          // by page, of reserved jobs or unknown ones
+	owned  map[string]map[string]bool        // ids of reserved jobs by owner
+	places map[string]map[int]PlacementChunk // by job and chunk
+	apps   map[string]AppRecord
 }
 
-// KeepDetail makes a reader keep what doors need. It is to be called before Run.
-func (r *Reader) KeepDetail() {
+// TrackReservations makes a reader keep what doors need. It is to be called before Run.
+func (r *Store) TrackReservations() {
 	r.detail = &detail{}
 	r.detail.reset()
 }
@@ -117,32 +117,32 @@
 	if d == nil {
 		return
 	}
-	d.chunks, d.owned, d.places, d.apps = map[int][]ChunkRecord{}, map[string]map[string]bool{}, map[string]map[int]ChunkRecord{}, map[string]Entry{}
+	d.chunks, d.owned, d.places, d.apps = map[int][]PlacementChunk{}, map[string]map[string]bool{}, map[string]map[int]PlacementChunk{}, map[string]AppRecord{}
 }
 
 func (d *detail) putJob(id string, rec *JobRecord) {
-	if d == nil || rec.Reserve == nil {
+	if d == nil || rec.Reservation == nil {
 		return
 	}
-	set := d.owned[rec.Reserve.Owner]
+	set := d.owned[rec.Reservation.Owner]
 	if set == nil {
 		set = map[string]bool{}
-		d.owned[rec.Reserve.Owner] = set
+		d.owned[rec.Reservation.Owner] = set
 	}
 	set[id] = true
 }
 
 func (d *detail) dropJob(id string, rec *JobRecord) {
-	if d == nil || rec.Reserve == nil {
+	if d == nil || rec.Reservation == nil {
 		return
 	}
-	delete(d.owned[rec.Reserve.Owner], id)
-	if len(d.owned[rec.Reserve.Owner]) == 0 {
-		delete(d.owned, rec.Reserve.Owner)
+	delete(d.owned[rec.Reservation.Owner], id)
+	if len(d.owned[rec.Reservation.Owner]) == 0 {
+		delete(d.owned, rec.Reservation.Owner)
 	}
 }
 
-func (d *detail) setPage(n int, chunks []ChunkRecord) {
+func (d *detail) setPage(n int, chunks []PlacementChunk) {
 	if d == nil {
 		return
 	}
@@ -152,14 +152,14 @@
 			delete(d.places, c.Job)
 		}
 	}
-	kept := make([]ChunkRecord, 0, len(chunks))
+	kept := make([]PlacementChunk, 0, len(chunks))
 	for _, c := range chunks {
 		if !c.Reserved {
 			continue
 		}
 		kept = append(kept, c)
 		if d.places[c.Job] == nil {
-			d.places[c.Job] = map[int]ChunkRecord{}
+			d.places[c.Job] = map[int]PlacementChunk{}
 		}
 		d.places[c.Job][c.Chunk] = c
 	}
@@ -170,7 +170,7 @@
 
 func (d *detail) put(key string, v wire.Raw, version uint64) {
 	if d != nil && version >= d.apps[key].Version {
-		d.apps[key] = Entry{key, v, version}
+		d.apps[key] = AppRecord{key, v, version}
 	}
 }
 
@@ -183,25 +183,25 @@
 // errNoDetail says that a reader was made without KeepDetail.
 var errNoDetail = errors.New("ledger: no details are kept")
 
-// Owned reads a door's record and the reserved jobs that belong to it, all of one
+// OwnedJobs reads a door's record and the reserved jobs that belong to it, all of one
 // moment after the call. An entry of version 0 says that there is no record.
-func (r *Reader) Owned(ctx context.Context, owner string) (Entry, []Reserved, error) {
+func (r *Store) OwnedJobs(ctx context.Context, owner string) (AppRecord, []ReservedJob, error) {
 	if r.detail == nil {
-		return Entry{}, nil, errNoDetail
+		return AppRecord{}, nil, errNoDetail
 	}
 	if err := r.readBarrier(ctx); err != nil {
-		return Entry{}, nil, err
+		return AppRecord{}, nil, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.detail.apps[owner]
-	var out []Reserved
+	var out []ReservedJob
 	for id := range r.detail.owned[owner] {
 		if j := r.jobs[id]; j != nil && j.version != 0 {
 			out = append(out, r.detail.reserved(id, j))
 		}
 	}
-	slices.SortFunc(out, func(a, b Reserved) int { return compareIDs(a.ID, b.ID) })
+	slices.SortFunc(out, func(a, b ReservedJob) int { return compareIDs(a.ID, b.ID) })
 	return e, out, nil
 }
 
@@ -218,16 +218,16 @@
 	return 0
 }
 
-func (d *detail) reserved(id string, j *activeJob) Reserved {
-	v := Reserved{ID: id, Record: j.rec, Version: j.version, Placed: map[int]Placement{}, Leaving: map[int]bool{}, Ended: map[int]int{}}
+func (d *detail) reserved(id string, j *activeJob) ReservedJob {
+	v := ReservedJob{ID: id, Record: j.rec, Version: j.version, Placements: map[int]Placement{}, Stopping: map[int]bool{}, Outcomes: map[int]int{}}
 	for _, c := range d.places[id] {
-		for _, p := range c.Placed {
-			v.Placed[p.Task] = p
+		for _, p := range c.Placements {
+			v.Placements[p.Task] = p
 		}
-		for _, t := range c.Leaving {
-			v.Leaving[t] = true
+		for _, t := range c.Stopping {
+			v.Stopping[t] = true
 		}
-		addEnds(v.Ended, c.Ended)
+		addEnds(v.Outcomes, c.Outcomes)
 	}
 	return v
 }
@@ -238,34 +238,34 @@
 	}
 }
 
-// Over reads a reserved job that is over: how each task ended. found is false
+// FinishedReservation reads a reserved job that is over: how each task ended. found is false
 // where there is none.
-func (r *Reader) Over(ctx context.Context, id string) (Reserved, bool, error) {
+func (r *Store) FinishedReservation(ctx context.Context, id string) (ReservedJob, bool, error) {
 	e, err := r.store.Get(ctx, FinalKey(id))
 	if err != nil || e.Version == 0 {
-		return Reserved{}, false, err
+		return ReservedJob{}, false, err
 	}
-	v := Reserved{ID: id, Ended: map[int]int{}}
+	v := ReservedJob{ID: id, Outcomes: map[int]int{}}
 	if err := wire.Unmarshal(e.Value, &v.Record); err != nil {
-		return Reserved{}, false, err
+		return ReservedJob{}, false, err
 	}
-	addEnds(v.Ended, v.Record.Ended)
+	addEnds(v.Outcomes, v.Record.Outcomes)
 	return v, true, nil
 }
 
-// Known is a door's record as of the last barrier, which a caller has behind it;
+// CachedApp is a door's record as of the last barrier, which a caller has behind it;
 // version 0 where there is none.
-func (r *Reader) Known(key string) Entry {
+func (r *Store) CachedApp(key string) AppRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.detail == nil {
-		return Entry{}
+		return AppRecord{}
 	}
 	return r.detail.apps[key]
 }
 
-// Apps reads all records of doors, as of a moment after the call.
-func (r *Reader) Apps(ctx context.Context) ([]Entry, error) {
+// ListApps reads all records of doors, as of a moment after the call.
+func (r *Store) ListApps(ctx context.Context) ([]AppRecord, error) {
 	if r.detail == nil {
 		return nil, errNoDetail
 	}
@@ -274,15 +274,15 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.SortedFunc(maps.Values(r.detail.apps), func(a, b Entry) int { return compareIDs(a.Key, b.Key) }), nil
+	return slices.SortedFunc(maps.Values(r.detail.apps), func(a, b AppRecord) int { return compareIDs(a.Key, b.Key) }), nil
 }
 
 // Reserve commits a reserved job together with its owner's record, which must
 // still have that version; value replaces it. Nothing is committed where the id
 // is known already (known).
-func (r *Reader) Reserve(ctx context.Context, j wire.Job, atMs int64, res Reserve, owner Entry, value any) (rev uint64, known bool, err error) {
+func (r *Store) Reserve(ctx context.Context, j wire.Job, atMs int64, res Reservation, owner AppRecord, value any) (rev uint64, known bool, err error) {
 	guards := []wire.Guard{{Key: JobKey(j.ID)}, {Key: FinalKey(j.ID)}, {Key: owner.Key, Version: owner.Version}}
-	ops := []wire.Op{{Put: JobKey(j.ID), Value: JobRecord{Job: j, AtMs: atMs, Reserve: &res}}, {Put: owner.Key, Value: value}}
+	ops := []wire.Op{{Put: JobKey(j.ID), Value: JobRecord{Job: j, AcceptedAtMs: atMs, Reservation: &res}}, {Put: owner.Key, Value: value}}
 	rev, err = r.store.CompareAndSwap(ctx, guards, ops)
 	var c *kvstore.ConflictError
 	if errors.As(err, &c) && !slices.Contains(c.FailedKeys, owner.Key) {
@@ -291,16 +291,16 @@
 	return rev, false, err
 }
 
-// Mark changes a reserved job's marks, together with more puts; it fails with a
+// UpdateReservation changes a reserved job's marks, together with more puts; it fails with a
 // ConflictError where the job has changed since it was read.
-func (r *Reader) Mark(ctx context.Context, v *Reserved, change func(*Reserve), more ...wire.Op) error {
-	if v.Version == 0 || v.Record.Reserve == nil {
+func (r *Store) UpdateReservation(ctx context.Context, v *ReservedJob, change func(*Reservation), more ...wire.Op) error {
+	if v.Version == 0 || v.Record.Reservation == nil {
 		return fmt.Errorf("%w: job %s is over", kvstore.ErrInvalidRequest, v.ID)
 	}
 	rec := v.Record
-	res := *rec.Reserve
+	res := *rec.Reservation
 	change(&res)
-	rec.Reserve = &res
+	rec.Reservation = &res
 	rev, err := r.store.CompareAndSwap(ctx, []wire.Guard{{Key: JobKey(v.ID), Version: v.Version}},
 		append([]wire.Op{{Put: JobKey(v.ID), Value: rec}}, more...))
 	if err != nil {
--- a/jobstore/store_test.go
+++ b/jobstore/store_test.go
@@ -61,7 +61,7 @@
 
 func (s *store) ListPage(ctx context.Context, prefix, after string, most int) ([]wire.Entry, bool, uint64, error) {
 	s.pause()
-	if prefix == jobstore.Active {
+	if prefix == jobstore.ActivePrefix {
 		time.Sleep(s.listing)
 	}
 	if ctx.Err() != nil {
@@ -170,9 +170,9 @@
 		if k == jobstore.JobKey(id) || k == jobstore.FinalKey(id) {
 			out = append(out, k)
 		}
-		var page jobstore.IntakeRecord
-		if jobstore.IsIntake(k) && wire.Unmarshal(e.Value, &page) == nil {
-			for _, j := range page.Jobs {
+		var page jobstore.JobPage
+		if jobstore.IsJobPageKey(k) && wire.Unmarshal(e.Value, &page) == nil {
+			for _, j := range page.Entries {
 				if j.ID == id {
 					out = append(out, k)
 				}
@@ -197,12 +197,12 @@
 		s.mu.Unlock()
 		rec := jobstore.JobRecord{Job: wire.Job{ID: id}, State: wire.JobDone}
 		op := wire.Op{Delete: at[0]}
-		if jobstore.IsIntake(at[0]) {
-			var page jobstore.IntakeRecord
+		if jobstore.IsJobPageKey(at[0]) {
+			var page jobstore.JobPage
 			_ = wire.Unmarshal(e.Value, &page) // as this store wrote it
 			left := page.Without(map[string]bool{id: true})
 			op = wire.Op{Put: at[0], Value: left}
-			if len(left.Jobs) == 0 && !jobstore.IsHead(at[0]) {
+			if len(left.Entries) == 0 && !jobstore.IsHeadPageKey(at[0]) {
 				op = wire.Op{Delete: at[0]} // as a leader does
 			}
 		}
@@ -229,5 +229,5 @@
 func (s *store) raise(buckets int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, _ = s.apply([]wire.Guard{{Key: jobstore.FormKey}}, []wire.Op{{Put: jobstore.FormKey, Value: jobstore.FormRecord{Form: jobstore.Form, Buckets: buckets}}})
+	_, _ = s.apply([]wire.Guard{{Key: jobstore.SchemaKey}}, []wire.Op{{Put: jobstore.SchemaKey, Value: jobstore.SchemaRecord{Version: jobstore.LatestSchema, Buckets: buckets}}})
 }
--- a/modelcheck/late.go
+++ b/modelcheck/late.go
@@ -121,7 +121,7 @@
 	return w.commit(t.guards, t.ops) == nil
 }
 
-// ask makes a user's cancellation from what a node has read (ledger.Reader.Cancel).
+// ask makes a user's cancellation from what a node has read (jobstore.Store.Cancel).
 func (w *World) ask(i int) {
 	id := w.sc.Jobs[i].ID
 	rec, _ := w.active(id)
@@ -204,7 +204,7 @@
 		return guards
 	}
 	return slices.DeleteFunc(slices.Clone(guards), func(g wire.Guard) bool {
-		_, page := jobstore.ParsePageKey(g.Key)
+		_, page := jobstore.ParsePlacementPageKey(g.Key)
 		return page == (w.breach == PageUnguarded)
 	})
 }
@@ -331,13 +331,13 @@
 	switch v := v.(type) {
 	case jobstore.JobRecord:
 		fmt.Fprint(out, v.State)
-	case jobstore.IntakeRecord:
-		for _, e := range v.Jobs {
+	case jobstore.JobPage:
+		for _, e := range v.Entries {
 			fmt.Fprint(out, ",", e.ID)
 		}
-	case jobstore.PageRecord:
+	case jobstore.PlacementPage:
 		for _, c := range v.Chunks {
-			fmt.Fprintf(out, ",%s%d%v%v", c.Job, c.Attempt, c.Placed, c.Done)
+			fmt.Fprintf(out, ",%s%d%v%v", c.Job, c.MaxAttempt, c.Placements, c.DoneRanges)
 		}
 	}
 }
--- a/modelcheck/orders.go
+++ b/modelcheck/orders.go
@@ -194,20 +194,20 @@
 // checkOrder holds what a transaction places against the order in force. It is
 // asked as the transaction is applied.
 func (w *World) checkOrder(op wire.Op) {
-	is, ok := op.Value.(jobstore.PageRecord)
+	is, ok := op.Value.(jobstore.PlacementPage)
 	if !ok {
 		return
 	}
 	there := map[taskKey]bool{}
-	if was, ok := w.store[op.Put].v.(jobstore.PageRecord); ok {
+	if was, ok := w.store[op.Put].v.(jobstore.PlacementPage); ok {
 		for _, c := range was.Chunks {
-			for _, p := range c.Placed {
+			for _, p := range c.Placements {
 				there[taskKey{wire.TaskName(c.Job, p.Task), p.Attempt}] = true
 			}
 		}
 	}
 	for _, c := range is.Chunks {
-		for _, p := range c.Placed {
+		for _, p := range c.Placements {
 			k := taskKey{wire.TaskName(c.Job, p.Task), p.Attempt}
 			if by, ok := w.decided[k]; ok && !there[k] && by != w.store[jobstore.PlanHeadKey].version {
 				w.broke("old order", fmt.Sprintf("%s is placed by an order that is no longer in force", k.name))
@@ -247,7 +247,7 @@
 	case Arrive:
 		w.arrived = true
 		w.rev++
-		rec := jobstore.JobRecord{Job: w.last(), AtMs: w.now().UnixMilli()}
+		rec := jobstore.JobRecord{Job: w.last(), AcceptedAtMs: w.now().UnixMilli()}
 		w.store[jobstore.JobKey(rec.Job.ID)] = value{rec, w.rev}
 		w.model.PutJob(rec.Job.ID, rec, w.rev, w.now())
 		w.seen = max(w.seen, w.rev)
