--- a/modelcheck/world.go
+++ b/modelcheck/world.go
@@ -200,22 +200,22 @@
 	}
 	if sc.Shared {
 		w.rev++
-		var page jobstore.IntakeRecord
+		var page jobstore.JobPage
 		for i := range sc.Jobs {
-			raw, err := wire.Marshal(jobstore.JobRecord{Job: sc.Jobs[i], AtMs: began.UnixMilli()})
+			raw, err := wire.Marshal(jobstore.JobRecord{Job: sc.Jobs[i], AcceptedAtMs: began.UnixMilli()})
 			if err != nil {
 				panic(err) // a job of ours
 			}
-			page.Jobs = append(page.Jobs, jobstore.IntakeEntry{ID: sc.Jobs[i].ID, Record: raw})
+			page.Entries = append(page.Entries, jobstore.JobPageEntry{ID: sc.Jobs[i].ID, Record: raw})
 		}
-		w.store[jobstore.SealedKey(0, 1)] = value{page, w.rev}
+		w.store[jobstore.SealedPageKey(0, 1)] = value{page, w.rev}
 	}
 	for i := range sc.Jobs {
 		if sc.Shared || i >= len(sc.Jobs)-sc.Later {
 			break
 		}
 		w.rev++
-		w.store[jobstore.JobKey(sc.Jobs[i].ID)] = value{jobstore.JobRecord{Job: sc.Jobs[i], AtMs: began.UnixMilli()}, w.rev}
+		w.store[jobstore.JobKey(sc.Jobs[i].ID)] = value{jobstore.JobRecord{Job: sc.Jobs[i], AcceptedAtMs: began.UnixMilli()}, w.rev}
 	}
 	w.lead()
 	for i := range w.workers {
@@ -254,18 +254,18 @@
 		if id, ok := jobstore.ParseJobKey(k); ok {
 			m.PutJob(id, w.store[k].v.(jobstore.JobRecord), w.store[k].version, w.now())
 		}
-		if jobstore.IsIntake(k) {
-			m.PutAdmissionPages([]cluster.AdmissionPage{{Key: k, Version: w.store[k].version, Record: w.store[k].v.(jobstore.IntakeRecord)}}, w.now())
+		if jobstore.IsJobPageKey(k) {
+			m.PutAdmissionPages([]cluster.AdmissionPage{{Key: k, Version: w.store[k].version, Record: w.store[k].v.(jobstore.JobPage)}}, w.now())
 		}
 	}
 	for _, k := range keys {
-		n, ok := jobstore.ParsePageKey(k)
+		n, ok := jobstore.ParsePlacementPageKey(k)
 		if !ok {
 			continue
 		}
-		rec := w.store[k].v.(jobstore.PageRecord)
+		rec := w.store[k].v.(jobstore.PlacementPage)
 		for _, c := range rec.Chunks {
-			if m.Job(c.Job) != nil || len(c.Placed) == 0 {
+			if m.Job(c.Job) != nil || len(c.Placements) == 0 {
 				continue
 			}
 			if over, ok := w.store[jobstore.FinalKey(c.Job)]; ok {
@@ -283,12 +283,12 @@
 // learn is the leader's watch: it sees which active records are gone.
 func (w *World) learn() {
 	if w.sc.Shared {
-		key := jobstore.SealedKey(0, 1)
+		key := jobstore.SealedPageKey(0, 1)
 		page, ok := w.store[key]
 		if !ok {
-			page = value{jobstore.IntakeRecord{}, w.rev} // removed, at the latest by now
+			page = value{jobstore.JobPage{}, w.rev} // removed, at the latest by now
 		}
-		w.model.PutAdmissionPages([]cluster.AdmissionPage{{Key: key, Version: page.version, Record: page.v.(jobstore.IntakeRecord)}}, w.now())
+		w.model.PutAdmissionPages([]cluster.AdmissionPage{{Key: key, Version: page.version, Record: page.v.(jobstore.JobPage)}}, w.now())
 		w.seen = w.rev
 		return
 	}
@@ -582,12 +582,12 @@
 		return true
 	}
 	for key, v := range w.store {
-		if _, ok := jobstore.ParsePageKey(key); !ok {
+		if _, ok := jobstore.ParsePlacementPageKey(key); !ok {
 			continue
 		}
-		for _, c := range v.v.(jobstore.PageRecord).Chunks {
-			for i := 0; c.Job == id && i+1 < len(c.Done); i += 2 {
-				if c.Done[i] <= n && n <= c.Done[i+1] {
+		for _, c := range v.v.(jobstore.PlacementPage).Chunks {
+			for i := 0; c.Job == id && i+1 < len(c.DoneRanges); i += 2 {
+				if c.DoneRanges[i] <= n && n <= c.DoneRanges[i+1] {
 					return true
 				}
 			}
@@ -732,8 +732,8 @@
 
 // active is a job's record, while it is not over.
 func (w *World) active(id string) (jobstore.JobRecord, bool) {
-	if page, ok := w.store[jobstore.SealedKey(0, 1)].v.(jobstore.IntakeRecord); ok {
-		for _, e := range page.Jobs {
+	if page, ok := w.store[jobstore.SealedPageKey(0, 1)].v.(jobstore.JobPage); ok {
+		for _, e := range page.Entries {
 			if e.ID == id {
 				rec, err := e.Decode()
 				return rec, err == nil
@@ -749,8 +749,8 @@
 	rec, _ := w.active(j.ID)
 	rec.State = wire.JobCancelled
 	w.rev++
-	if key := jobstore.SealedKey(0, 1); w.sc.Shared {
-		if page := w.store[key].v.(jobstore.IntakeRecord).Without(map[string]bool{j.ID: true}); len(page.Jobs) > 0 {
+	if key := jobstore.SealedPageKey(0, 1); w.sc.Shared {
+		if page := w.store[key].v.(jobstore.JobPage).Without(map[string]bool{j.ID: true}); len(page.Entries) > 0 {
 			w.store[key] = value{page, w.rev}
 		} else {
 			delete(w.store, key)
@@ -762,9 +762,9 @@
 	if w.breach == DropsOnCancel {
 		// As if the task were on no machine from here on.
 		for key := range w.store {
-			if _, ok := jobstore.ParsePageKey(key); ok {
+			if _, ok := jobstore.ParsePlacementPageKey(key); ok {
 				w.rev++
-				w.store[key] = value{jobstore.PageRecord{}, w.rev}
+				w.store[key] = value{jobstore.PlacementPage{}, w.rev}
 			}
 		}
 		w.lead()
--- a/peerrpc/mesh.go
+++ b/peerrpc/mesh.go
@@ -94,7 +94,7 @@
 }
 
 // FetchRecoveredRecord says what this node remembers of a record that can't be read any more: 200
-// with a ledger.Memory, or 404.
+// with a jobstore.RecoveryCopy, or 404.
 func (m *Mesh) Recall(r Request, a *Answer) error {
 	return m.serve(m.sem, func(ctx context.Context) { *a = m.h.RecoverRecord(ctx, r) })
 }
--- a/snapshot/plan.go
+++ b/snapshot/plan.go
@@ -21,8 +21,8 @@
 	if trouble != nil {
 		v.say(jobstore.PlanHeadKey, "%v", trouble)
 	}
-	if v.form.Form < jobstore.FormPlan {
-		v.say(jobstore.PlanHeadKey, "there is a plan, and the form is %d", v.form.Form)
+	if v.form.Version < jobstore.SchemaPlans {
+		v.say(jobstore.PlanHeadKey, "there is a plan, and the form is %d", v.form.Version)
 	}
 	for _, ver := range h.Versions {
 		if _, err := jobstore.ReadPlanText(ctx, held(v.all), ver); err != nil {
@@ -34,7 +34,7 @@
 // held is a snapshot as a store that is only read.
 type held map[string]wire.Raw
 
-// Get implements ledger.ReadStore. What a snapshot holds has no version of its own.
+// Get implements jobstore.KeyValueReader. What a snapshot holds has no version of its own.
 func (h held) Get(_ context.Context, key string) (wire.Entry, error) {
 	raw, ok := h[key]
 	if !ok {
@@ -43,7 +43,7 @@
 	return wire.Entry{Key: key, Value: raw, Version: 1}, nil
 }
 
-// List implements ledger.ReadStore.
+// List implements jobstore.KeyValueReader.
 func (h held) List(_ context.Context, prefix string) ([]wire.Entry, uint64, error) {
 	var out []wire.Entry
 	for _, k := range slices.Sorted(maps.Keys(h)) {
--- a/snapshot/plan_test.go
+++ b/snapshot/plan_test.go
@@ -50,8 +50,8 @@
 			t.Fatal(err)
 		}
 		st, err := jobstore.LoadPlan(t.Context(), client(w), func(string) error { return nil })
-		if err != nil || st.Number != 2 || st.Text != text || len(st.Troubles) > 0 {
-			t.Errorf("version %d of %d bytes, %v, %v", st.Number, len(st.Text), st.Troubles, err)
+		if err != nil || st.Number != 2 || st.Text != text || len(st.Warnings) > 0 {
+			t.Errorf("version %d of %d bytes, %v, %v", st.Number, len(st.Text), st.Warnings, err)
 		}
 		if v, err := jobstore.ApplyPlan(t.Context(), client(w), limits, jobstore.PlanChange{Base: 2, Text: "note = \"three\"", At: time.Now()}); err != nil || v.Number != 3 {
 			t.Errorf("applied after it: %+v, %v", v, err)
--- a/snapshot/pools.go
+++ b/snapshot/pools.go
@@ -13,17 +13,17 @@
 func (v *verifier) pools() {
 	notes := map[string]wire.Raw{}
 	for k, raw := range v.all {
-		if name, ok := strings.CutPrefix(k, jobstore.Notes); ok {
+		if name, ok := strings.CutPrefix(k, jobstore.PlanStatePrefix); ok {
 			notes[name] = raw
 		}
 	}
 	all, bad := warmpool.ReadStates(notes)
 	for _, name := range bad {
-		v.say(jobstore.Notes+name, "can't be read")
+		v.say(jobstore.PlanStatePrefix+name, "can't be read")
 	}
 	for i := range all {
 		for _, why := range all[i].Audit() {
-			v.say(jobstore.Notes+warmpool.RecordName(all[i].Name), "%s", why)
+			v.say(jobstore.PlanStatePrefix+warmpool.RecordName(all[i].Name), "%s", why)
 		}
 	}
 }
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -20,8 +20,8 @@
 // magic begins a file; its last byte is the version of the format.
 var magic = []byte("umberdeal snapshot\x01")
 
-// ErrDamaged says that a file is cut off or was changed; the error names where.
-var ErrDamaged = errors.New("snapshot damaged")
+// ErrCorrupt says that a file is cut off or was changed; the error names where.
+var ErrCorrupt = errors.New("snapshot damaged")
 
 const (
 	blockEntries = 512
@@ -38,8 +38,8 @@
 	By       string `msgpack:"by"` // the program's version
 }
 
-// Pair is a key and its value.
-type Pair struct {
+// KeyValue is a key and its value.
+type KeyValue struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Key      string
 	Value    wire.Raw
@@ -57,7 +57,7 @@
 	w     io.Writer
 	enc   *zstd.Encoder
 	sum   *xxhash.Digest
-	pairs []Pair
+	pairs []KeyValue
 	bytes int
 	keys  uint64
 }
@@ -106,7 +106,7 @@
 }
 
 // Add writes a pair; they come in the order of their keys.
-func (s *Writer) Add(p Pair) error {
+func (s *Writer) Add(p KeyValue) error {
 	s.pairs = append(s.pairs, p)
 	s.bytes += len(p.Key) + len(p.Value)
 	s.keys++
@@ -156,7 +156,7 @@
 	s := &Reader{r: bufio.NewReader(r), dec: dec, sum: xxhash.New(), at: int64(len(magic))}
 	got := make([]byte, len(magic))
 	if _, err := io.ReadFull(s.r, got); err != nil || string(got[:len(got)-1]) != string(magic[:len(magic)-1]) {
-		return nil, fmt.Errorf("%w: this is no snapshot", ErrDamaged)
+		return nil, fmt.Errorf("%w: this is no snapshot", ErrCorrupt)
 	}
 	if got[len(got)-1] != magic[len(magic)-1] {
 		return nil, fmt.Errorf("snapshot: its format has version %d, this program reads %d", got[len(got)-1], magic[len(magic)-1])
@@ -165,7 +165,7 @@
 }
 
 func (s *Reader) damaged(why string) error {
-	return fmt.Errorf("%w: block %d, at byte %d: %s", ErrDamaged, s.block, s.at, why)
+	return fmt.Errorf("%w: block %d, at byte %d: %s", ErrCorrupt, s.block, s.at, why)
 }
 
 // next reads a block of that kind, or returns errOther with the block unread.
@@ -209,11 +209,11 @@
 
 // Next reads the next pairs; io.EOF after the last, once the whole file has been
 // found sound.
-func (s *Reader) Next() ([]Pair, error) {
+func (s *Reader) Next() ([]KeyValue, error) {
 	if s.ended {
 		return nil, io.EOF
 	}
-	var pairs []Pair
+	var pairs []KeyValue
 	err := s.next(kindPairs, &pairs)
 	if err == nil {
 		for i := range pairs {
@@ -262,5 +262,5 @@
 	}
 }
 
-// Taken is when the snapshot was taken.
-func (h Header) Taken() time.Time { return time.UnixMilli(h.AtMs) }
+// TakenAt is when the snapshot was taken.
+func (h Header) TakenAt() time.Time { return time.UnixMilli(h.AtMs) }
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := snapshot.Pair{Key: fmt.Sprintf("k/%06d", i), Value: raw}
+		p := snapshot.KeyValue{Key: fmt.Sprintf("k/%06d", i), Value: raw}
 		all[p.Key] = raw
 		if err := w.Add(p); err != nil {
 			t.Fatal(err)
@@ -68,7 +68,7 @@
 func TestACutOffOrChangedFileIsRefused(t *testing.T) {
 	_, b := sample(t, 1200)
 	for n := 0; n < len(b); n += 1 + n/7 {
-		if _, err := read(b[:n]); !errors.Is(err, snapshot.ErrDamaged) {
+		if _, err := read(b[:n]); !errors.Is(err, snapshot.ErrCorrupt) {
 			t.Errorf("cut off at %d of %d: %v", n, len(b), err)
 		}
 	}
@@ -83,7 +83,7 @@
 			t.Errorf("changed at %d: the place is not named: %v", n, err)
 		}
 	}
-	if _, err := read(append(bytes.Clone(b), 0)); !errors.Is(err, snapshot.ErrDamaged) {
+	if _, err := read(append(bytes.Clone(b), 0)); !errors.Is(err, snapshot.ErrCorrupt) {
 		t.Errorf("with something behind: %v", err)
 	}
 }
@@ -148,7 +148,7 @@
 		t.Fatal(err)
 	}
 	totals, found := snapshot.Verify(all)
-	if len(found) > 0 || totals.Over == 0 || totals.Unfinished == 0 {
+	if len(found) > 0 || totals.Finished == 0 || totals.Unfinished == 0 {
 		t.Errorf("%+v: %v", totals, found)
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -173,7 +173,7 @@
 		if n := len(w.Store.Keys("")); n != len(all) {
 			t.Errorf("%d keys of %d", n, len(all))
 		}
-		rd := jobstore.NewReader(client(w))
+		rd := jobstore.New(client(w))
 		rctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); rd.Run(rctx) }()
@@ -204,11 +204,11 @@
 		jobstore.FinalKey("wk-000001"): raw(rec(1, wire.JobDone)),
 		jobstore.FinalKey("wk-000002"): raw(rec(2, "lost")),
 		jobstore.FinalKey("wk-000003"): raw(rec(4, wire.JobDone)),
-		jobstore.HeadKey(0):            raw(jobstore.IntakeRecord{Jobs: []jobstore.IntakeEntry{{ID: "wk-000005", Record: wire.Raw{0xc0}}}}),
+		jobstore.HeadPageKey(0):        raw(jobstore.JobPage{Entries: []jobstore.JobPageEntry{{ID: "wk-000005", Record: wire.Raw{0xc0}}}}),
 		jobstore.JobKey("wk-000006"):   {0xc1},
 		jobstore.JobKey("wk-000007"):   raw(rec(7, "")),
-		jobstore.PageKey(0): raw(jobstore.PageRecord{Chunks: []jobstore.ChunkRecord{
-			{Job: "wk-000007", Attempt: 3, Done: []int{0, 0}, Placed: []jobstore.Placement{{Task: 0, Attempt: 2, Machine: "a"}, {Task: 1, Attempt: 9, Machine: "b"}, {Task: 5, Attempt: 1, Machine: "c"}}},
+		jobstore.PlacementPageKey(0): raw(jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{
+			{Job: "wk-000007", MaxAttempt: 3, DoneRanges: []int{0, 0}, Placements: []jobstore.Placement{{Task: 0, Attempt: 2, Machine: "a"}, {Task: 1, Attempt: 9, Machine: "b"}, {Task: 5, Attempt: 1, Machine: "c"}}},
 			{Job: "wk-000099"}, {Job: "wk-000007"}}}),
 	}
 	_, found := snapshot.Verify(all)
--- a/snapshot/take.go
+++ b/snapshot/take.go
@@ -112,7 +112,7 @@
 		return h, 0, err
 	}
 	for _, key := range slices.Sorted(maps.Keys(all)) {
-		if err := s.Add(Pair{Key: key, Value: all[key]}); err != nil {
+		if err := s.Add(KeyValue{Key: key, Value: all[key]}); err != nil {
 			return h, 0, err
 		}
 	}
--- a/snapshot/verify.go
+++ b/snapshot/verify.go
@@ -10,22 +10,22 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Finding is an invariant of the ledger that does not hold.
-type Finding struct {
-	Key  string
-	What string
+// Violation is an invariant of the ledger that does not hold.
+type Violation struct {
+	Key     string
+	Problem string
 }
 
-func (f Finding) String() string { return f.Key + ": " + f.What }
+func (f Violation) String() string { return f.Key + ": " + f.Problem }
 
-// Totals counts what a ledger holds.
-type Totals struct {
-	Keys, Unfinished, Over, Placed, Other int
+// Summary counts what a ledger holds.
+type Summary struct {
+	Keys, Unfinished, Finished, Placements, Other int
 }
 
 // Verify says which invariants of the ledger do not hold, each with its key, in
 // their order.
-func Verify(all map[string]wire.Raw) (Totals, []Finding) {
+func Verify(all map[string]wire.Raw) (Summary, []Violation) {
 	v := &verifier{all: all, jobs: map[string]at{}, chunks: map[chunk]string{}}
 	v.totals.Keys = len(all)
 	keys := slices.Sorted(maps.Keys(all))
@@ -34,13 +34,13 @@
 		v.job(key)
 	}
 	for _, key := range keys {
-		if _, ok := jobstore.ParsePageKey(key); ok {
+		if _, ok := jobstore.ParsePlacementPageKey(key); ok {
 			v.page(key)
 		}
 	}
 	v.plan()
 	v.pools()
-	slices.SortStableFunc(v.found, func(a, b Finding) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortStableFunc(v.found, func(a, b Violation) int { return strings.Compare(a.Key, b.Key) })
 	return v.totals, v.found
 }
 
@@ -56,15 +56,15 @@
 
 type verifier struct {
 	all    map[string]wire.Raw
-	form   jobstore.FormRecord
+	form   jobstore.SchemaRecord
 	jobs   map[string]at
 	chunks map[chunk]string
-	totals Totals
-	found  []Finding
+	totals Summary
+	found  []Violation
 }
 
 func (v *verifier) say(key, what string, args ...any) {
-	v.found = append(v.found, Finding{key, fmt.Sprintf(what, args...)})
+	v.found = append(v.found, Violation{key, fmt.Sprintf(what, args...)})
 }
 
 // read decodes a key's value, or says that it can't be read.
@@ -77,37 +77,37 @@
 }
 
 func (v *verifier) readForm() {
-	raw, ok := v.all[jobstore.FormKey]
+	raw, ok := v.all[jobstore.SchemaKey]
 	if !ok {
 		return
 	}
-	if len(raw) > 0 && v.read(jobstore.FormKey, &v.form) && v.form.Form > jobstore.Form {
-		v.say(jobstore.FormKey, "form %d is newer than this program reads (%d)", v.form.Form, jobstore.Form)
+	if len(raw) > 0 && v.read(jobstore.SchemaKey, &v.form) && v.form.Version > jobstore.LatestSchema {
+		v.say(jobstore.SchemaKey, "form %d is newer than this program reads (%d)", v.form.Version, jobstore.LatestSchema)
 	}
 }
 
 // job takes in the jobs that stand on a key.
 func (v *verifier) job(key string) {
-	if jobstore.IsIntake(key) {
-		page, err := jobstore.DecodeIntake(v.all[key])
-		if a, ok := jobstore.DecodeAside(v.all[key]); ok {
-			v.say(key, "what stood at %s can't be read, and was set aside", a.From)
+	if jobstore.IsJobPageKey(key) {
+		page, err := jobstore.DecodeJobPage(v.all[key])
+		if a, ok := jobstore.DecodeQuarantinedPage(v.all[key]); ok {
+			v.say(key, "what stood at %s can't be read, and was set aside", a.OriginalKey)
 			return
 		}
 		if err != nil {
 			v.say(key, "can't be read: %v", err)
 			return
 		}
-		if v.form.Form < jobstore.FormIntake {
-			v.say(key, "jobs share a page, and the form is %d", v.form.Form)
+		if v.form.Version < jobstore.SchemaJobPages {
+			v.say(key, "jobs share a page, and the form is %d", v.form.Version)
 		}
-		for _, e := range page.Jobs {
+		for _, e := range page.Entries {
 			rec, err := e.Decode()
 			if err != nil {
 				v.say(key, "%v", err)
 				continue
 			}
-			if v.form.Buckets > 0 && key != jobstore.HeadKey(v.form.Bucket(e.ID)) && !strings.HasPrefix(key, jobstore.HeadKey(v.form.Bucket(e.ID))+".") {
+			if v.form.Buckets > 0 && key != jobstore.HeadPageKey(v.form.Bucket(e.ID)) && !strings.HasPrefix(key, jobstore.HeadPageKey(v.form.Bucket(e.ID))+".") {
 				v.say(key, "job %s belongs to bucket %d", e.ID, v.form.Bucket(e.ID))
 			}
 			v.put(key, e.ID, rec)
@@ -118,7 +118,7 @@
 	over := false
 	if !ok {
 		if id, over = jobstore.ParseFinalKey(key); !over {
-			if _, page := jobstore.ParsePageKey(key); !page {
+			if _, page := jobstore.ParsePlacementPageKey(key); !page {
 				v.totals.Other++
 			}
 			return
@@ -146,13 +146,13 @@
 	if rec.State == "" {
 		v.totals.Unfinished++
 	} else {
-		v.totals.Over++
+		v.totals.Finished++
 	}
 }
 
 // page takes in a page of placement records.
 func (v *verifier) page(key string) {
-	var page jobstore.PageRecord
+	var page jobstore.PlacementPage
 	if !v.read(key, &page) {
 		return
 	}
@@ -171,12 +171,12 @@
 		}
 		lo, hi := c.Chunk*jobstore.ChunkSize, min((c.Chunk+1)*jobstore.ChunkSize, j.rec.Job.Tasks)
 		done := map[int]bool{}
-		for k := 0; k+1 < len(c.Done); k += 2 {
-			if c.Done[k] < lo || c.Done[k+1] >= hi || c.Done[k] > c.Done[k+1] {
-				v.say(key, "job %s: tasks %d to %d are done, and its chunk has %d to %d", c.Job, c.Done[k], c.Done[k+1], lo, hi-1)
+		for k := 0; k+1 < len(c.DoneRanges); k += 2 {
+			if c.DoneRanges[k] < lo || c.DoneRanges[k+1] >= hi || c.DoneRanges[k] > c.DoneRanges[k+1] {
+				v.say(key, "job %s: tasks %d to %d are done, and its chunk has %d to %d", c.Job, c.DoneRanges[k], c.DoneRanges[k+1], lo, hi-1)
 				continue
 			}
-			for t := c.Done[k]; t <= c.Done[k+1]; t++ {
+			for t := c.DoneRanges[k]; t <= c.DoneRanges[k+1]; t++ {
 				done[t] = true
 			}
 		}
@@ -184,7 +184,7 @@
 			continue // what is left of a job that is over leaves with the page's next change
 		}
 		placed := map[int]string{}
-		for _, p := range c.Placed {
+		for _, p := range c.Placements {
 			switch {
 			case p.Task < lo || p.Task >= hi:
 				v.say(key, "job %s has no task %d in chunk %d", c.Job, p.Task, c.Chunk)
@@ -192,11 +192,11 @@
 				v.say(key, "task %s/%d is done, and placed on %s", c.Job, p.Task, p.Machine)
 			case placed[p.Task] != "":
 				v.say(key, "task %s/%d is placed on %s and on %s", c.Job, p.Task, placed[p.Task], p.Machine)
-			case p.Attempt > c.Attempt:
-				v.say(key, "task %s/%d is placed with attempt %d, the highest used being %d", c.Job, p.Task, p.Attempt, c.Attempt)
+			case p.Attempt > c.MaxAttempt:
+				v.say(key, "task %s/%d is placed with attempt %d, the highest used being %d", c.Job, p.Task, p.Attempt, c.MaxAttempt)
 			}
 			placed[p.Task] = p.Machine
-			v.totals.Placed++
+			v.totals.Placements++
 		}
 	}
 }
--- a/yarn/client.go
+++ b/yarn/client.go
@@ -46,7 +46,7 @@
 	if !ok {
 		return nil, wire.Errorf(wire.ClassYarn, "Failed to submit %s : there is no queue %q", appName(k.Stamp, id.GetId()), sc.GetQueue())
 	}
-	apps, err := d.led.Apps(ctx)
+	apps, err := d.led.ListApps(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -162,7 +162,7 @@
 	return yarnStates[a.State]
 }
 
-func (d *Door) report(a *app, jobs []jobstore.Reserved) *pb.ApplicationReportProto {
+func (d *Door) report(a *app, jobs []jobstore.ReservedJob) *pb.ApplicationReportProto {
 	final := pb.FinalApplicationStatusProto(a.Final)
 	st := a.stateOf()
 	r := &pb.ApplicationReportProto{ApplicationId: a.id(), User: &a.User, Queue: proto.String(leaf(a.Queue)), Name: &a.Name, Host: &a.Host, RpcPort: &a.Port,
@@ -175,12 +175,12 @@
 }
 
 // used adds up what the placed containers of jobs take.
-func (d *Door) used(jobs []jobstore.Reserved) (*pb.ResourceProto, int) {
+func (d *Door) used(jobs []jobstore.ReservedJob) (*pb.ResourceProto, int) {
 	var mem, cpus, gpus float64
 	n := 0
 	for _, j := range jobs {
-		s, k := &j.Record.Job, float64(len(j.Placed))
-		mem, cpus, gpus, n = mem+k*s.MemoryGB, cpus+k*s.CPUs, gpus+k*s.GPUs, n+len(j.Placed)
+		s, k := &j.Record.Job, float64(len(j.Placements))
+		mem, cpus, gpus, n = mem+k*s.MemoryGB, cpus+k*s.CPUs, gpus+k*s.GPUs, n+len(j.Placements)
 	}
 	return d.resource(int64(mem*1024), int32(cpus), int64(gpus), ""), n
 }
@@ -208,7 +208,7 @@
 	if f.limit <= 0 || f.limit > listMost {
 		f.limit = listMost
 	}
-	entries, err := d.led.Apps(ctx)
+	entries, err := d.led.ListApps(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -218,7 +218,7 @@
 		if e.Key == keysKey || nwire.Unmarshal(e.Value, &a) != nil || !f.takes(&a) || len(out) >= f.limit {
 			continue
 		}
-		_, jobs, err := d.led.Owned(ctx, e.Key)
+		_, jobs, err := d.led.OwnedJobs(ctx, e.Key)
 		if err != nil {
 			return nil, err
 		}
--- a/yarn/door.go
+++ b/yarn/door.go
@@ -26,14 +26,14 @@
 	CompareAndSwap(ctx context.Context, guards []nwire.Guard, ops []nwire.Op) (uint64, error)
 }
 
-// Ledger is what it needs of the jobs' records.
-type Ledger interface {
-	Owned(ctx context.Context, owner string) (jobstore.Entry, []jobstore.Reserved, error)
-	Over(ctx context.Context, id string) (jobstore.Reserved, bool, error)
-	Apps(ctx context.Context) ([]jobstore.Entry, error)
-	Known(key string) jobstore.Entry
-	Reserve(ctx context.Context, j nwire.Job, atMs int64, res jobstore.Reserve, owner jobstore.Entry, value any) (uint64, bool, error)
-	Mark(ctx context.Context, v *jobstore.Reserved, change func(*jobstore.Reserve), more ...nwire.Op) error
+// JobStore is what it needs of the jobs' records.
+type JobStore interface {
+	OwnedJobs(ctx context.Context, owner string) (jobstore.AppRecord, []jobstore.ReservedJob, error)
+	FinishedReservation(ctx context.Context, id string) (jobstore.ReservedJob, bool, error)
+	ListApps(ctx context.Context) ([]jobstore.AppRecord, error)
+	CachedApp(key string) jobstore.AppRecord
+	Reserve(ctx context.Context, j nwire.Job, atMs int64, res jobstore.Reservation, owner jobstore.AppRecord, value any) (uint64, bool, error)
+	UpdateReservation(ctx context.Context, v *jobstore.ReservedJob, change func(*jobstore.Reservation), more ...nwire.Op) error
 	Cancel(ctx context.Context, id string) (string, bool, error)
 }
 
@@ -64,7 +64,7 @@
 type Door struct {
 	s     *Settings
 	store Store
-	led   Ledger
+	led   JobStore
 	core  Core
 	log   *slog.Logger
 	ops   int // changes in one transaction
@@ -81,7 +81,7 @@
 }
 
 // NewPlan makes a door. ops and valueBytes are the state service's limits.
-func New(s *Settings, store Store, led Ledger, core Core, log *slog.Logger, ops, valueBytes int) *Door {
+func New(s *Settings, store Store, led JobStore, core Core, log *slog.Logger, ops, valueBytes int) *Door {
 	return &Door{s: s, store: store, led: led, core: core, log: log, ops: max(ops, 3), value: valueBytes, sessions: map[string]*session{}}
 }
 
@@ -205,7 +205,7 @@
 		return keyring{}, errAgain
 	}
 	k = keyring{Stamp: time.Now().UnixMilli()}
-	apps, err := d.led.Apps(ctx)
+	apps, err := d.led.ListApps(ctx)
 	if err != nil {
 		return keyring{}, err
 	}
@@ -241,7 +241,7 @@
 // heartbeats share barriers; a request of its own for each of them took the state
 // service's requests from native users.
 func (d *Door) ring(ctx context.Context) (keyring, error) {
-	e := d.led.Known(keysKey)
+	e := d.led.CachedApp(keysKey)
 	if k, ok := d.decodeRing(e.Value, e.Version); ok {
 		return k, nil
 	}
@@ -285,9 +285,9 @@
 
 // read reads an application's record and its jobs, as of a moment after the
 // call; over is true for one whose record is final.
-func (d *Door) read(ctx context.Context, id *pb.ApplicationIdProto) (a *app, e jobstore.Entry, jobs []jobstore.Reserved, over bool, err error) {
+func (d *Door) read(ctx context.Context, id *pb.ApplicationIdProto) (a *app, e jobstore.AppRecord, jobs []jobstore.ReservedJob, over bool, err error) {
 	key := appKey(id.GetClusterTimestamp(), id.GetId())
-	e, jobs, err = d.led.Owned(ctx, key)
+	e, jobs, err = d.led.OwnedJobs(ctx, key)
 	if err != nil {
 		return nil, e, nil, false, err
 	}
@@ -308,7 +308,7 @@
 
 // write replaces an application's record, and fails with a Conflict if it has
 // changed since it was read.
-func (d *Door) write(ctx context.Context, a *app, e *jobstore.Entry) error {
+func (d *Door) write(ctx context.Context, a *app, e *jobstore.AppRecord) error {
 	rev, err := d.store.CompareAndSwap(ctx, []nwire.Guard{{Key: e.Key, Version: e.Version}}, []nwire.Op{{Put: e.Key, Value: *a}})
 	if err == nil {
 		e.Version = rev
@@ -321,7 +321,7 @@
 func (d *Door) end(ctx context.Context, id *pb.ApplicationIdProto, how string, change func(a *app)) error {
 	var a *app
 	err := retry(ctx, func() error {
-		var e jobstore.Entry
+		var e jobstore.AppRecord
 		var over bool
 		var err error
 		if a, e, _, over, err = d.read(ctx, id); err != nil || over || a.Ending != "" {
@@ -425,7 +425,7 @@
 
 // reserve commits one more job of an application, together with the record that
 // counts it.
-func (d *Door) reserve(ctx context.Context, a *app, e *jobstore.Entry, k ask, tasks int, res jobstore.Reserve) (string, error) {
+func (d *Door) reserve(ctx context.Context, a *app, e *jobstore.AppRecord, k ask, tasks int, res jobstore.Reservation) (string, error) {
 	j, only, err := d.native(a, k, tasks)
 	if err != nil {
 		return "", err
@@ -433,7 +433,7 @@
 	if status, err := d.core.Judge(&j); err != nil {
 		return "", refuse(status, err)
 	}
-	res.Owner, res.Only = a.key(), append(res.Only, only...)
+	res.Owner, res.OnlyMachines = a.key(), append(res.OnlyMachines, only...)
 	a.Seq++
 	rev, known, err := d.led.Reserve(ctx, j, time.Now().UnixMilli(), res, *e, *a)
 	if err != nil {
--- a/yarn/duty.go
+++ b/yarn/duty.go
@@ -47,7 +47,7 @@
 				rolled = time.Now()
 			}
 		}
-		entries, err := d.led.Apps(ctx)
+		entries, err := d.led.ListApps(ctx)
 		if err != nil {
 			d.log.Debug("yarn: applications not read", "err", err)
 			continue
@@ -97,7 +97,7 @@
 			a.Diag, a.Final = fmt.Sprintf("its master was not heard of for %g s", d.s.MasterS), int32(pb.FinalApplicationStatusProto_APP_FAILED)
 		})
 	}
-	_, jobs, err := d.led.Owned(ctx, a.key())
+	_, jobs, err := d.led.OwnedJobs(ctx, a.key())
 	if err != nil {
 		return err
 	}
@@ -110,14 +110,14 @@
 }
 
 // reclaim takes back containers that nobody starts: they hold room.
-func (d *Door) reclaim(ctx context.Context, a *app, jobs []jobstore.Reserved, w *watch) error {
+func (d *Door) reclaim(ctx context.Context, a *app, jobs []jobstore.ReservedJob, w *watch) error {
 	now := time.Now()
 	idle := map[string]time.Time{}
 	for i := range jobs {
 		j := &jobs[i]
-		goes := jobstore.Set(j.Record.Reserve.Go, j.Record.Job.Tasks)
+		goes := jobstore.BitSetOf(j.Record.Reservation.LaunchRanges, j.Record.Job.Tasks)
 		var late []int
-		for t := range j.Placed {
+		for t := range j.Placements {
 			if goes.Test(uint(t)) {
 				continue
 			}
@@ -144,7 +144,7 @@
 
 // keepMaster launches a managed application's master, and a next attempt where
 // one has ended by itself.
-func (d *Door) keepMaster(ctx context.Context, a *app, jobs []jobstore.Reserved) error {
+func (d *Door) keepMaster(ctx context.Context, a *app, jobs []jobstore.ReservedJob) error {
 	if a.MasterJob == "" {
 		return d.launchMaster(ctx, a.id())
 	}
@@ -153,13 +153,13 @@
 			return nil
 		}
 	}
-	over, found, err := d.led.Over(ctx, a.MasterJob)
+	over, found, err := d.led.FinishedReservation(ctx, a.MasterJob)
 	if err != nil || !found {
 		return err
 	}
-	status, why := exitStatus(over.Ended[0])
+	status, why := exitStatus(over.Outcomes[0])
 	why = fmt.Sprintf("attempt %d: its master ended with status %d %s", a.Attempt, status, why)
-	if a.Attempt >= a.Attempts && over.Ended[0] != jobstore.EndPreempted && over.Ended[0] != jobstore.EndLost {
+	if a.Attempt >= a.Attempts && over.Outcomes[0] != jobstore.OutcomePreempted && over.Outcomes[0] != jobstore.OutcomeLost {
 		return d.end(ctx, a.id(), stateFailed, func(a *app) {
 			a.Diag, a.Final = why, int32(pb.FinalApplicationStatusProto_APP_FAILED)
 		})
@@ -196,7 +196,7 @@
 		a.MasterJob = jobID(a.Num, a.Seq)
 		k := a.Master
 		k.Name = "master"
-		_, err = d.reserve(ctx, a, &e, k, 1, jobstore.Reserve{Tag: k.tag(), Go: []int{0, 0}})
+		_, err = d.reserve(ctx, a, &e, k, 1, jobstore.Reservation{Tag: k.tag(), LaunchRanges: []int{0, 0}})
 		return err
 	})
 }
@@ -247,7 +247,7 @@
 		key = a.Context
 	}
 	for i := range jobs {
-		if shared, ok := jobs[i].Record.Reserve.RefOf(n); ok && jobs[i].ID == id {
+		if shared, ok := jobs[i].Record.Reservation.SharedKeyOf(n); ok && jobs[i].ID == id {
 			key = shared
 		}
 	}
--- a/yarn/manager.go
+++ b/yarn/manager.go
@@ -55,7 +55,7 @@
 // share puts contexts that several containers have in common under one key: a
 // start then costs two changes for a whole job, not one for each container. It
 // returns the changes, and the references that are new.
-func (a *app) share(list []start, refs []jobstore.Ref, tasks int) ([]nwire.Op, []jobstore.Ref) {
+func (a *app) share(list []start, refs []jobstore.SharedKey, tasks int) ([]nwire.Op, []jobstore.SharedKey) {
 	byKey := map[string][]int{}
 	var order []string
 	content := map[string]nwire.Op{}
@@ -69,7 +69,7 @@
 	}
 	var ops []nwire.Op
 	for _, key := range order {
-		at := slices.IndexFunc(refs, func(r jobstore.Ref) bool { return r.Key == key })
+		at := slices.IndexFunc(refs, func(r jobstore.SharedKey) bool { return r.Key == key })
 		if at < 0 && (len(byKey[key]) == 1 || len(refs) >= sharedMost) {
 			for _, i := range byKey[key] {
 				ops = append(ops, list[i].op)
@@ -77,15 +77,15 @@
 			continue
 		}
 		if at < 0 {
-			refs = append(refs, jobstore.Ref{Key: key})
+			refs = append(refs, jobstore.SharedKey{Key: key})
 			at = len(refs) - 1
 			ops = append(ops, content[key])
 		}
-		set := jobstore.Set(refs[at].Tasks, tasks)
+		set := jobstore.BitSetOf(refs[at].TaskRanges, tasks)
 		for _, i := range byKey[key] {
 			set.Set(uint(list[i].task))
 		}
-		refs[at].Tasks = jobstore.Ranges(set)
+		refs[at].TaskRanges = jobstore.RangesOf(set)
 	}
 	return ops, refs
 }
@@ -180,20 +180,20 @@
 func (d *Door) startSome(ctx context.Context, a *app, id string, list []start, out *pb.StartContainersResponseProto) {
 	var good []start
 	err := retry(ctx, func() error {
-		_, jobs, err := d.led.Owned(ctx, a.key())
+		_, jobs, err := d.led.OwnedJobs(ctx, a.key())
 		if err != nil {
 			return err
 		}
 		good = good[:0]
-		i := slices.IndexFunc(jobs, func(j jobstore.Reserved) bool { return j.ID == id })
+		i := slices.IndexFunc(jobs, func(j jobstore.ReservedJob) bool { return j.ID == id })
 		if i < 0 {
 			return nil
 		}
 		j := &jobs[i]
-		goes, drops := jobstore.Set(j.Record.Reserve.Go, j.Record.Job.Tasks), jobstore.Set(j.Record.Reserve.Drop, j.Record.Job.Tasks)
+		goes, drops := jobstore.BitSetOf(j.Record.Reservation.LaunchRanges, j.Record.Job.Tasks), jobstore.BitSetOf(j.Record.Reservation.ReleaseRanges, j.Record.Job.Tasks)
 		var fresh []start
 		for _, s := range list {
-			if _, placed := j.Placed[s.task]; !placed || drops.Test(uint(s.task)) {
+			if _, placed := j.Placements[s.task]; !placed || drops.Test(uint(s.task)) {
 				continue
 			}
 			good = append(good, s)
@@ -205,8 +205,8 @@
 		if len(fresh) == 0 {
 			return nil
 		}
-		ops, refs := a.share(fresh, slices.Clone(j.Record.Reserve.Refs), j.Record.Job.Tasks)
-		return d.led.Mark(ctx, j, func(r *jobstore.Reserve) { r.Go, r.Refs = jobstore.Ranges(goes), refs }, ops...)
+		ops, refs := a.share(fresh, slices.Clone(j.Record.Reservation.SharedKeys), j.Record.Job.Tasks)
+		return d.led.UpdateReservation(ctx, j, func(r *jobstore.Reservation) { r.LaunchRanges, r.SharedKeys = jobstore.RangesOf(goes), refs }, ops...)
 	})
 	for _, s := range list {
 		switch {
@@ -256,12 +256,12 @@
 }
 
 func (d *Door) statusOf(ctx context.Context, v *view, job string, task int) (*pb.ContainerStatusProto, error) {
-	i := slices.IndexFunc(v.jobs, func(j jobstore.Reserved) bool { return j.ID == job })
-	var j jobstore.Reserved
+	i := slices.IndexFunc(v.jobs, func(j jobstore.ReservedJob) bool { return j.ID == job })
+	var j jobstore.ReservedJob
 	if i >= 0 {
 		j = v.jobs[i]
 	} else {
-		over, found, err := d.led.Over(ctx, job)
+		over, found, err := d.led.FinishedReservation(ctx, job)
 		if err != nil {
 			return nil, err
 		}
@@ -270,15 +270,15 @@
 		}
 		j = over
 	}
-	if how, ok := j.Ended[task]; ok {
+	if how, ok := j.Outcomes[task]; ok {
 		status, why := exitStatus(how)
 		return &pb.ContainerStatusProto{State: pb.ContainerStateProto_C_COMPLETE.Enum(), ExitStatus: &status, Diagnostics: &why}, nil
 	}
-	if _, ok := j.Placed[task]; !ok {
+	if _, ok := j.Placements[task]; !ok {
 		return nil, wire.Errorf(wire.ClassNoContainer, "there is no such container")
 	}
 	st := pb.ContainerStateProto_C_NEW
-	if jobstore.Set(j.Record.Reserve.Go, j.Record.Job.Tasks).Test(uint(task)) {
+	if jobstore.BitSetOf(j.Record.Reservation.LaunchRanges, j.Record.Job.Tasks).Test(uint(task)) {
 		st = pb.ContainerStateProto_C_RUNNING
 	}
 	return &pb.ContainerStatusProto{State: &st, Diagnostics: proto.String("")}, nil
--- a/yarn/master.go
+++ b/yarn/master.go
@@ -78,8 +78,8 @@
 
 // view is an application's record as it was read, with its jobs.
 type view struct {
-	jobstore.Entry
-	jobs []jobstore.Reserved
+	jobstore.AppRecord
+	jobs []jobstore.ReservedJob
 }
 
 func (d *Door) caller(ctx context.Context, c *wire.Caller, kind string) (*app, *view, error) {
@@ -111,7 +111,7 @@
 		}
 		a.State, a.Host, a.Port, a.URL = stateRunning, in.GetHost(), in.GetRpcPort(), in.GetTrackingUrl()
 		a.Beat++
-		return d.write(ctx, a, &v.Entry)
+		return d.write(ctx, a, &v.AppRecord)
 	})
 	if err != nil {
 		return nil, err
@@ -132,14 +132,14 @@
 		if j.ID == a.MasterJob {
 			continue
 		}
-		for _, t := range slices.Sorted(maps.Keys(j.Placed)) {
+		for _, t := range slices.Sorted(maps.Keys(j.Placements)) {
 			ct, err := d.container(a, &k, &j, t)
 			if err != nil {
 				return nil, err
 			}
 			s.told[ct.GetId().GetId()] = j.ID
 			out.ContainersFromPreviousAttempts = append(out.ContainersFromPreviousAttempts, ct)
-			nodes[j.Placed[t].Machine] = true
+			nodes[j.Placements[t].Machine] = true
 		}
 	}
 	if out.NmTokensFromPreviousAttempts, err = d.nodeTokens(a, &k, nodes); err != nil {
@@ -166,14 +166,14 @@
 
 // container describes a placed task as a container, with the token that starts
 // it.
-func (d *Door) container(a *app, k *keyring, j *jobstore.Reserved, task int) (*pb.ContainerProto, error) {
+func (d *Door) container(a *app, k *keyring, j *jobstore.ReservedJob, task int) (*pb.ContainerProto, error) {
 	id := a.container(jobSeq(j.ID), task)
 	tok, err := k.issue(token{kind: tokContainer, stamp: a.Stamp, num: a.Num, attempt: a.Attempt, c: id.GetId()}, kindContainer, d.s.Advertise)
 	if err != nil {
 		return nil, err
 	}
-	q := parseTag(j.Record.Reserve.Tag)
-	return &pb.ContainerProto{Id: id, NodeId: nodeID(j.Placed[task].Machine), NodeHttpAddress: proto.String(""),
+	q := parseTag(j.Record.Reservation.Tag)
+	return &pb.ContainerProto{Id: id, NodeId: nodeID(j.Placements[task].Machine), NodeHttpAddress: proto.String(""),
 		Resource: d.resource(q.MemoryMB, q.VCores, q.GPUs, q.GPUName), Priority: &pb.PriorityProto{Priority: &q.Priority},
 		ContainerToken: tok, AllocationRequestId: &q.ReqID}, nil
 }
@@ -268,7 +268,7 @@
 		return
 	}
 	a.Beat++
-	if err := d.write(ctx, a, &v.Entry); err != nil {
+	if err := d.write(ctx, a, &v.AppRecord); err != nil {
 		d.log.Debug("yarn: sign of life not written", "app", a.name(), "err", err) // the next heartbeat tries again
 		return
 	}
@@ -308,8 +308,8 @@
 			continue
 		}
 		s.jobs[j.ID] = true
-		drops := jobstore.Set(j.Record.Reserve.Drop, j.Record.Job.Tasks)
-		for _, t := range slices.Sorted(maps.Keys(j.Placed)) {
+		drops := jobstore.BitSetOf(j.Record.Reservation.ReleaseRanges, j.Record.Job.Tasks)
+		for _, t := range slices.Sorted(maps.Keys(j.Placements)) {
 			id := a.container(jobSeq(j.ID), t)
 			if _, ok := s.told[id.GetId()]; !ok && !drops.Test(uint(t)) {
 				ct, err := d.container(a, &k, j, t)
@@ -318,9 +318,9 @@
 				}
 				s.told[id.GetId()] = j.ID
 				out.AllocatedContainers = append(out.AllocatedContainers, ct)
-				nodes[j.Placed[t].Machine] = true
+				nodes[j.Placements[t].Machine] = true
 			}
-			if j.Leaving[t] && !drops.Test(uint(t)) {
+			if j.Stopping[t] && !drops.Test(uint(t)) {
 				leaving = append(leaving, &pb.PreemptionContainerProto{Id: id})
 			}
 		}
@@ -330,7 +330,7 @@
 		if here[id] {
 			continue
 		}
-		j, found, err := d.led.Over(ctx, id)
+		j, found, err := d.led.FinishedReservation(ctx, id)
 		if err != nil {
 			return nil, err
 		}
@@ -355,12 +355,12 @@
 
 // tellEnds adds what has ended of a job. What was given back before it was ever
 // allocated is no container.
-func (d *Door) tellEnds(a *app, s *session, j *jobstore.Reserved, out *pb.AllocateResponseProto) {
-	for _, t := range slices.Sorted(maps.Keys(j.Ended)) {
+func (d *Door) tellEnds(a *app, s *session, j *jobstore.ReservedJob, out *pb.AllocateResponseProto) {
+	for _, t := range slices.Sorted(maps.Keys(j.Outcomes)) {
 		id := a.container(jobSeq(j.ID), t)
-		n, how := id.GetId(), j.Ended[t]
+		n, how := id.GetId(), j.Outcomes[t]
 		_, told := s.told[n]
-		if s.ended[n] || how == jobstore.EndReleased && !told {
+		if s.ended[n] || how == jobstore.OutcomeReleased && !told {
 			continue
 		}
 		s.ended[n] = true
@@ -395,21 +395,21 @@
 		jobs := v.jobs
 		if !first {
 			var err error
-			if _, jobs, err = d.led.Owned(ctx, a.key()); err != nil {
+			if _, jobs, err = d.led.OwnedJobs(ctx, a.key()); err != nil {
 				return err
 			}
 		}
 		first = false
 		for i := range jobs {
 			if j := &jobs[i]; j.ID == id {
-				return d.led.Mark(ctx, j, func(r *jobstore.Reserve) {
-					set := jobstore.Set(r.Drop, j.Record.Job.Tasks)
+				return d.led.UpdateReservation(ctx, j, func(r *jobstore.Reservation) {
+					set := jobstore.BitSetOf(r.ReleaseRanges, j.Record.Job.Tasks)
 					for _, t := range tasks {
 						if t >= 0 && t < j.Record.Job.Tasks {
 							set.Set(uint(t))
 						}
 					}
-					r.Drop = jobstore.Ranges(set)
+					r.ReleaseRanges = jobstore.RangesOf(set)
 				})
 			}
 		}
@@ -420,17 +420,17 @@
 // avoid writes the blacklist into the jobs that still wait.
 func (d *Door) avoid(ctx context.Context, a *app, s *session) error {
 	return retry(ctx, func() error {
-		_, jobs, err := d.led.Owned(ctx, a.key())
+		_, jobs, err := d.led.OwnedJobs(ctx, a.key())
 		if err != nil {
 			return err
 		}
 		names := slices.Sorted(maps.Keys(s.shun))
 		for i := range jobs {
 			j := &jobs[i]
-			if j.ID == a.MasterJob || slices.Equal(j.Record.Reserve.Avoid, names) || len(waiting(j)) == 0 {
+			if j.ID == a.MasterJob || slices.Equal(j.Record.Reservation.AvoidMachines, names) || len(waiting(j)) == 0 {
 				continue
 			}
-			if err := d.led.Mark(ctx, j, func(r *jobstore.Reserve) { r.Avoid = names }); err != nil {
+			if err := d.led.UpdateReservation(ctx, j, func(r *jobstore.Reservation) { r.AvoidMachines = names }); err != nil {
 				return err
 			}
 		}
@@ -439,12 +439,12 @@
 }
 
 // waiting lists the tasks of a job that have no place yet and are wanted.
-func waiting(j *jobstore.Reserved) []int {
-	drops := jobstore.Set(j.Record.Reserve.Drop, j.Record.Job.Tasks)
+func waiting(j *jobstore.ReservedJob) []int {
+	drops := jobstore.BitSetOf(j.Record.Reservation.ReleaseRanges, j.Record.Job.Tasks)
 	var out []int
 	for t := range j.Record.Job.Tasks {
-		_, placed := j.Placed[t]
-		_, ended := j.Ended[t]
+		_, placed := j.Placements[t]
+		_, ended := j.Outcomes[t]
 		if !placed && !ended && !drops.Test(uint(t)) {
 			out = append(out, t)
 		}
@@ -585,17 +585,17 @@
 func (d *Door) adjust(ctx context.Context, a *app, v *view, s *session, w wants) error {
 	tag := w.ask.tag()
 	have := 0
-	var mine []*jobstore.Reserved
+	var mine []*jobstore.ReservedJob
 	for i := range v.jobs {
-		if j := &v.jobs[i]; j.ID != a.MasterJob && j.Record.Reserve.Tag == tag {
+		if j := &v.jobs[i]; j.ID != a.MasterJob && j.Record.Reservation.Tag == tag {
 			mine = append(mine, j)
 			have += len(waiting(j)) + s.untold(j)
 		}
 	}
 	for have < w.n {
 		n := min(w.n-have, jobTasks)
-		res := jobstore.Reserve{Tag: tag, Avoid: slices.Sorted(maps.Keys(s.shun))}
-		id, err := d.reserve(ctx, a, &v.Entry, w.ask, n, res)
+		res := jobstore.Reservation{Tag: tag, AvoidMachines: slices.Sorted(maps.Keys(s.shun))}
+		id, err := d.reserve(ctx, a, &v.AppRecord, w.ask, n, res)
 		if err != nil {
 			var c *kvstore.ConflictError
 			if errors.As(err, &c) {
@@ -620,9 +620,9 @@
 // untold is how many containers of a job have a place that their master has not
 // been told of. They are part of what it still asks for: an ask that came again,
 // because its answer could not be made, was served twice.
-func (s *session) untold(j *jobstore.Reserved) int {
+func (s *session) untold(j *jobstore.ReservedJob) int {
 	n := 0
-	for t := range j.Placed {
+	for t := range j.Placements {
 		if _, ok := s.told[containerNum(jobSeq(j.ID), t)]; !ok {
 			n++
 		}
--- a/yarn/records.go
+++ b/yarn/records.go
@@ -83,7 +83,7 @@
 
 const (
 	keysKept = 8 // older ones sign nothing any more and are refused
-	keysKey  = jobstore.Apps + "keys"
+	keysKey  = jobstore.AppPrefix + "keys"
 	finalKey = "yf/"
 	ctxKey   = "yx/"
 	idBlock  = 50 // ids that a node takes at once
@@ -124,7 +124,7 @@
 	return nil, errors.New("signed with a key that is no longer kept")
 }
 
-func appKey(stamp int64, num int32) string { return jobstore.Apps + appName(stamp, num) }
+func appKey(stamp int64, num int32) string { return jobstore.AppPrefix + appName(stamp, num) }
 
 func appName(stamp int64, num int32) string { return fmt.Sprintf("application_%d_%04d", stamp, num) }
 
@@ -197,15 +197,15 @@
 // exitStatus is what a master is told of how a container ended.
 func exitStatus(how int) (int32, string) {
 	switch how {
-	case jobstore.EndDone:
+	case jobstore.OutcomeDone:
 		return ExitSuccess, ""
-	case jobstore.EndError:
+	case jobstore.OutcomeFailed:
 		return ExitError, "the container failed"
-	case jobstore.EndPreempted:
+	case jobstore.OutcomePreempted:
 		return ExitPreempted, "stopped for other work, a notice or a drain"
-	case jobstore.EndReleased:
+	case jobstore.OutcomeReleased:
 		return ExitByMaster, "given back"
-	case jobstore.EndRefused:
+	case jobstore.OutcomeRefused:
 		return ExitAborted, "its machine did not take it"
 	}
 	return ExitAborted, "its machine is lost"
--- a/yarn/rest.go
+++ b/yarn/rest.go
@@ -276,20 +276,20 @@
 	out := []object{}
 	for i := range jobs {
 		j := &jobs[i]
-		goes := jobstore.Set(j.Record.Reserve.Go, j.Record.Job.Tasks)
+		goes := jobstore.BitSetOf(j.Record.Reservation.LaunchRanges, j.Record.Job.Tasks)
 		for t := range j.Record.Job.Tasks {
 			o := object{"id": ContainerName(a.container(jobSeq(j.ID), t)), "task": nwire.TaskName(j.ID, t),
-				"priority": parseTag(j.Record.Reserve.Tag).Priority, "node": "", "exitStatus": "", "state": "WAITING"}
-			if p, ok := j.Placed[t]; ok {
+				"priority": parseTag(j.Record.Reservation.Tag).Priority, "node": "", "exitStatus": "", "state": "WAITING"}
+			if p, ok := j.Placements[t]; ok {
 				o["node"], o["state"] = p.Machine, "ALLOCATED"
 				if goes.Test(uint(t)) {
 					o["state"] = "RUNNING"
 				}
-				if j.Leaving[t] {
+				if j.Stopping[t] {
 					o["state"] = "STOPPING"
 				}
 			}
-			if how, ok := j.Ended[t]; ok {
+			if how, ok := j.Outcomes[t]; ok {
 				o["state"] = "COMPLETE"
 				o["exitStatus"], _ = exitStatus(how)
 			}
--- a/yarn/settings.go
+++ b/yarn/settings.go
@@ -1,6 +1,6 @@
 // Package yarn lets clients that speak YARN's application API run their work on
 // the same core as native jobs. An application's containers are tasks of reserved
-// jobs (ledger.Reserve): placed, counted, drained and preempted like all others.
+// jobs (jobstore.Reservation): placed, counted, drained and preempted like all others.
 // What is known of an application stands in the state service, so that any node
 // may serve it; docs/yarn.md says which choices that rests on.
 package yarn
