--- a/controller/leader_monitor.go
+++ b/controller/leader_monitor.go
@@ -2,60 +2,19 @@
 
 import (
 	"context"
-	"errors"
 	"hash/fnv"
-	"net"
-	"sync"
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
+	"github.com/umberdeal/umberdeal/liveness"
 	"github.com/umberdeal/umberdeal/peerrpc"
 )
 
 const (
 	leaderProbeInterval = 700 * time.Millisecond
 	leaderProbeTimeout  = 900 * time.Millisecond
-	suspectAfterMisses  = 2 // questions without an answer
 )
 
-// failureDetector is what a follower holds of the leader: one that stands still or has
-// no power takes a worker's connection, or seems to, and never answers. Each
-// follower that sends the worker there costs it 4 s of its lease.
-type failureDetector struct {
-	mu     sync.Mutex
-	leader string
-	misses int
-}
-
-func (d *failureDetector) Record(leader string, err error) (began, ended bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	before := d.misses >= suspectAfterMisses
-	if d.leader != leader {
-		d.leader, d.misses = leader, 0
-		before = false
-	}
-	var refused *net.OpError
-	switch {
-	case err == nil:
-		d.misses = 0
-	case errors.As(err, &refused) && !refused.Timeout():
-		// A refused connection shows nothing: a packet filter may stand
-		// between the nodes, and workers may well reach the leader.
-	default:
-		d.misses++
-	}
-	after := d.misses >= suspectAfterMisses
-	return after && !before, before && !after
-}
-
-// Suspected says whether the leader is suspected to be down.
-func (d *failureDetector) Suspected(leader string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.leader == leader && d.misses >= suspectAfterMisses
-}
-
 // monitorLeader asks the leader again and again whether it is there.
 func (n *Node) monitorLeader(ctx context.Context) {
 	for call.Pause(ctx, leaderProbeInterval) {
@@ -73,10 +32,10 @@
 		if err == nil && said.Plan != nil && said.Plan.Leader == name {
 			n.adoptRoutingPlan(*said.Plan, time.Now())
 		}
-		switch began, ended := n.leaderDetector.Record(name, err); {
-		case began:
+		switch n.leaderDetector.Record(name, err) {
+		case liveness.BecameSuspected:
 			n.log.Info("the leader does not answer this node", "leader", name, "err", err)
-		case ended:
+		case liveness.Recovered:
 			n.log.Info("the leader answers this node again", "leader", name)
 			n.broadcastLeaderChange()
 		}
--- a/controller/node.go
+++ b/controller/node.go
@@ -23,6 +23,7 @@
 	"github.com/umberdeal/umberdeal/internal/call"
 	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/kvstore"
+	"github.com/umberdeal/umberdeal/liveness"
 	"github.com/umberdeal/umberdeal/metrics"
 	"github.com/umberdeal/umberdeal/peerrpc"
 	"github.com/umberdeal/umberdeal/wire"
@@ -60,8 +61,8 @@
 	submissionTiers  *admission.TierLimiter     // how many each tier of submissions has of users
 	heartbeatLimiter *admission.PriorityLimiter // bounds the workers' reports
 	connLimiter      *admission.ConnLimiter     // of users and workers; set before anybody is served
-	stalls           stallDetector
-	leaderDetector   failureDetector
+	stalls           liveness.StallDetector
+	leaderDetector   liveness.FailureDetector
 
 	lastAnswered     *admission.ReplyTimes          // when workers were last answered here
 	routingPlan      atomic.Pointer[adoptedPlan]    // where workers report
--- a/controller/stall.go
+++ b/controller/stall.go
@@ -2,61 +2,25 @@
 
 import (
 	"context"
-	"sync"
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
 )
 
-const (
-	stallCheckInterval = 250 * time.Millisecond
-	// stallThreshold is how long nothing must have happened in the process for it to
-	// have stood still. A starved processor makes gaps of some hundred
-	// milliseconds.
-	stallThreshold = 2 * time.Second
-)
-
-// stallDetector notices that the process has stood still while its clocks ran on: a
-// paused virtual machine, a stopped process. Whatever has come of age meanwhile
-// says nothing of others: what they have sent waits in the sockets.
-type stallDetector struct {
-	mu           sync.Mutex
-	lastObserved time.Time
-	resumed      time.Time
-	duration     time.Duration
-}
-
-// Observe is called often. It says for how long the process has just stood still,
-// if it has.
-func (p *stallDetector) Observe(now time.Time) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	gap := now.Sub(p.lastObserved)
-	began := p.lastObserved.IsZero()
-	p.lastObserved = now
-	if began || gap < stallThreshold {
-		return 0
-	}
-	p.resumed, p.duration = now, gap
-	return gap
-}
-
-// LastStall says when the process last went on after standing still, and for how
-// long it had stood.
-func (p *stallDetector) LastStall() (resumed time.Time, stood time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.resumed, p.duration
-}
+// stallCheckInterval is how often the process is observed: several times within
+// liveness.StallThreshold, so that no stall goes unnoticed.
+const stallCheckInterval = 250 * time.Millisecond
 
-// monitorStalls tells the operator.
+// monitorStalls observes the process until ctx ends, and tells the operator of each
+// stall. The scheduler and the scaler observe as well, before they act on timeouts,
+// so that none of them acts between a stall and the next tick here.
 func (n *Node) monitorStalls(ctx context.Context) {
-	var told time.Time
+	var reported time.Time
 	for {
 		n.stalls.Observe(time.Now())
-		if at, stood := n.stalls.LastStall(); at.After(told) {
-			told = at
-			n.log.Info("this process stood still", "seconds", stood.Round(time.Millisecond).Seconds(), "leading", n.activeLeadership() != nil)
+		if resumed, duration := n.stalls.LastStall(); resumed.After(reported) {
+			reported = resumed
+			n.log.Info("process stalled", "seconds", duration.Round(time.Millisecond).Seconds(), "leading", n.activeLeadership() != nil)
 		}
 		if !call.Pause(ctx, stallCheckInterval) {
 			return
--- a/metrics/troubles.go
+++ b/metrics/troubles.go
@@ -17,7 +17,7 @@
 
 // troubleMessages are the messages that count; errors always do.
 var troubleMessages = []string{
-	"this process stood still", "machine silent past its lease", "no worker reaches this leader: giving leadership up",
+	"process stalled", "machine silent past its lease", "no worker reaches this leader: giving leadership up",
 	"state service not reached, retrying", "state service reached again", "the leader does not answer this node",
 	"the leader answers this node again", "leadership ended", "elected", "job fails everywhere", "machine suspected",
 	"machine types not read, retrying", "machine late", "machines not returned, retrying", "lease valid again",
