--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -76,7 +76,7 @@
 
 // tell tells the story; others is how many tasks ended that nobody had cancelled.
 func (g gap) tell(t *testing.T, seed uint64) (others int) {
-	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, Gap: g.report, Lease: g.lease}
+	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, ReportIntervalS: g.report, LeaseS: g.lease}
 	story(t, o, func(t *testing.T, w *fake.Cluster) {
 		times := w.Settings.Cluster.Workers
 		cancelS := time.Duration(times.CancelS * float64(time.Second))
--- a/controller/known_test.go
+++ b/controller/known_test.go
@@ -179,7 +179,7 @@
 // All nodes are restarted one after the other while the form of the records changes:
 // whichever of them a user reaches, each job is answered before, amid and after.
 func TestEveryJobIsAnsweredWhileTheFormChanges(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 3, Older: []int{0, 1, 2}}, func(t *testing.T, w *fake.Cluster) {
+	story(t, fake.Options{Machines: 3, Capacity: 3, OlderSchema: []int{0, 1, 2}}, func(t *testing.T, w *fake.Cluster) {
 		var jobs []wire.Job
 		for n := range 30 {
 			jobs = append(jobs, job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, 15 }))
@@ -191,7 +191,7 @@
 		for n := range w.Nodes() {
 			time.Sleep(15 * time.Second)
 			w.KillNode(n)
-			w.Upgrade(n)
+			w.UpgradeSchema(n)
 			time.Sleep(time.Second)
 			w.StartNode(n)
 		}
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -22,7 +22,7 @@
 // delayedLimited is the two limited teams with leases of 12 s.
 func delayedLimited() fake.Options {
 	o := limited()
-	o.Lease = 12
+	o.LeaseS = 12
 	return o
 }
 
@@ -130,7 +130,7 @@
 			running := runningOf(w, ids)
 			at := tasksOn(w, wire.Job{ID: running[rnd.IntN(len(running))], Tasks: 2})[0]
 			saved := w.DirectCommandsExecuted(at)
-			w.InterruptMachine(at, 30*time.Second) // what is there is told to save
+			w.SendInterruptionNotice(at, 30*time.Second) // what is there is told to save
 			if !scenario.Eventually(5*time.Second, 20*time.Millisecond, func() bool { return w.DirectCommandsExecuted(at) > saved }) {
 				t.Fatal("nothing on the machine was told to save")
 			}
@@ -194,7 +194,7 @@
 // returns under its own name within a second. A gang of which not all tasks were told to
 // save in time falls back to its last checkpoint, and is done in the end.
 func TestLateStopsOfPreemptedGangsAndALeaderThatReturns(t *testing.T) {
-	seeded(t, 54, fake.Options{Machines: 4, Capacity: 4, Lease: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	seeded(t, 54, fake.Options{Machines: 4, Capacity: 4, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		w.DelayDirectCommands(0.8, rnd.Uint64())
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
 			gang(j)
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -79,7 +79,7 @@
 // A machine's report is held back until another leader has placed work, and comes to
 // it then; the machine itself is back later, within its lease or beyond it.
 func TestAReportIsHeldBackUntilTheNextLeaderHasActed(t *testing.T) {
-	seeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, Lease: 30}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	seeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, LeaseS: 30}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		busy(t, w, 4)
 		numbers := several(t, w, 1, rnd)
 		time.Sleep(millis(rnd, 500, 4000))
@@ -199,7 +199,7 @@
 // A machine dies just after a report, and copies of that come every second. What ran
 // there goes on elsewhere once its lease is over, and no later than without them.
 func TestCopiesOfADeadMachinesLastReport(t *testing.T) {
-	seeded(t, 19, fake.Options{Machines: 3, Capacity: 3, Lease: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	seeded(t, 19, fake.Options{Machines: 3, Capacity: 3, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 2, 3600 }))
 		if !scenario.Eventually(40*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
 			t.Fatalf("%d tasks run", w.Running())
--- a/controller/ledger_test.go
+++ b/controller/ledger_test.go
@@ -37,7 +37,7 @@
 // pages, and those that have keys of their own go on.
 func TestARollingRestartRaisesTheFormAtItsEnd(t *testing.T) {
 	for older := range 3 {
-		story(t, fake.Options{Machines: 4, Older: []int{older}}, func(t *testing.T, w *fake.Cluster) {
+		story(t, fake.Options{Machines: 4, OlderSchema: []int{older}}, func(t *testing.T, w *fake.Cluster) {
 			long := func(j *wire.Job) { j.EstimateS = 90 }
 			mustSubmit(t, w, job(1, long), job(2, nil))
 			// A change of leader in each direction.
@@ -53,7 +53,7 @@
 				t.Errorf("before: %d jobs with keys of their own, %d share", alone, shared)
 			}
 			w.KillNode(older)
-			w.Upgrade(older)
+			w.UpgradeSchema(older)
 			time.Sleep(time.Second)
 			w.StartNode(older)
 			time.Sleep(20 * time.Second)
@@ -200,7 +200,7 @@
 			if older != nil && rate > 100 {
 				continue // they come for longer than their users wait
 			}
-			story(t, fake.Options{Machines: 4, Older: older}, func(t *testing.T, w *fake.Cluster) {
+			story(t, fake.Options{Machines: 4, OlderSchema: older}, func(t *testing.T, w *fake.Cluster) {
 				w.Store.LimitWrites(25)
 				time.Sleep(5 * time.Second)
 				before := w.Store.Changes()
--- a/controller/meetings_test.go
+++ b/controller/meetings_test.go
@@ -21,7 +21,7 @@
 
 // limited are two teams of 16 CPUs each, of the 48 that six machines have.
 func limited() fake.Options {
-	return fake.Options{Machines: 6, Capacity: 6, Lease: 30,
+	return fake.Options{Machines: 6, Capacity: 6, LeaseS: 30,
 		Teams: []config.Team{{Name: "core", CPUsMax: 16}, {Name: "edge", CPUsMax: 16}}}
 }
 
@@ -165,7 +165,7 @@
 // even named: the next leader learns of the tasks from the job's final record.
 func TestMeetingOfAChangeOfLeaderAndACancellation(t *testing.T) {
 	o := limited()
-	o.Lease = 22 // the leader's is 10 s then, and so is the spell without one
+	o.LeaseS = 22 // the leader's is 10 s then, and so is the spell without one
 	seeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		var names []string
--- a/controller/nights_test.go
+++ b/controller/nights_test.go
@@ -171,7 +171,7 @@
 		{"the state service is out, not all is done", "00:14:00", outage, calendar.Incomplete, 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 4, Lease: 200}, func(t *testing.T, w *fake.Cluster) {
+			story(t, fake.Options{Machines: 4, LeaseS: 200}, func(t *testing.T, w *fake.Cluster) {
 				applyPlan(t, w, 0, nightPlan)
 				at, err := time.Parse("15:04:05", c.ends)
 				if err != nil {
--- a/controller/plan_test.go
+++ b/controller/plan_test.go
@@ -117,7 +117,7 @@
 // As long as one node reads no plans none is applied. Once one is, the records have
 // a form by which that version does not lead: it would place by no order at all.
 func TestNoPlanIsAppliedBeforeEveryNodeReadsPlans(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Metrics: true, Older: []int{2}}, func(t *testing.T, w *fake.Cluster) {
+	story(t, fake.Options{Machines: 4, Metrics: true, OlderSchema: []int{2}}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		if _, err := scenario.TryPlan(w, 0, `note = "one"`, time.Minute); !errors.Is(err, jobstore.ErrPlanUnsupported) {
 			t.Fatalf("with a node that reads no plans: %v", err)
@@ -126,7 +126,7 @@
 			t.Fatalf("refused, and known: %+v", o.Orders)
 		}
 		w.KillNode(2)
-		w.Upgrade(2)
+		w.UpgradeSchema(2)
 		w.StartNode(2)
 		time.Sleep(10 * time.Second)
 		applyPlan(t, w, 0, `note = "one"`)
--- a/controller/pools_test.go
+++ b/controller/pools_test.go
@@ -266,7 +266,7 @@
 		{"hangs", func(w *fake.Cluster, n string) { w.HangMachine(n, true) }},
 		{"is mute", func(w *fake.Cluster, n string) { w.BlockRepliesTo(n, true) }},
 		{"is taken back", func(w *fake.Cluster, n string) {
-			w.InterruptMachine(n, 8*time.Second)
+			w.SendInterruptionNotice(n, 8*time.Second)
 			time.AfterFunc(8*time.Second, func() {
 				if slices.Contains(w.Cloud.Machines(), n) { // not returned by then
 					w.KillMachine(n)
--- a/controller/poolsmeasure_test.go
+++ b/controller/poolsmeasure_test.go
@@ -48,7 +48,7 @@
 			begin = hour.Add(after - 3*time.Minute) // idle machines are returned after four
 		}
 		time.Sleep(time.Until(begin))
-		o := fake.Options{Machines: b.fleet, Capacity: b.fleet + b.replicas + 20, Types: []wire.MachineType{typ}, Gap: 5, Lease: 30,
+		o := fake.Options{Machines: b.fleet, Capacity: b.fleet + b.replicas + 20, Types: []wire.MachineType{typ}, ReportIntervalS: 5, LeaseS: 30,
 			Teams: []config.Team{{Name: "core"}, {Name: "speech"}}}
 		if b.mode == "bare" {
 			o.Machines += b.replicas
@@ -179,7 +179,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		typ := fake.DefaultType
 		typ.CacheGB = 100
-		w := fake.New(fake.Options{Machines: machines, Capacity: machines, Types: []wire.MachineType{typ}, Gap: 5, Lease: 30,
+		w := fake.New(fake.Options{Machines: machines, Capacity: machines, Types: []wire.MachineType{typ}, ReportIntervalS: 5, LeaseS: 30,
 			Teams: []config.Team{{Name: "core"}, {Name: "speech"}}})
 		defer w.Close()
 		time.Sleep(8 * time.Second)
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -244,7 +244,7 @@
 		}
 	case 13:
 		if machine != "" && rnd.IntN(2) == 0 {
-			w.InterruptMachine(machine, time.Duration(2+rnd.IntN(10))*time.Second)
+			w.SendInterruptionNotice(machine, time.Duration(2+rnd.IntN(10))*time.Second)
 		}
 	case 14:
 		if machine != "" {
--- a/controller/story_test.go
+++ b/controller/story_test.go
@@ -182,7 +182,7 @@
 			j.Tasks, j.CPUs, j.EstimateS, j.CheckpointS = 2, 6, 60, 50
 		}))
 		time.Sleep(25 * time.Second)
-		w.InterruptMachine(w.MachinesRunning("wk-000001/0")[0], 8*time.Second)
+		w.SendInterruptionNotice(w.MachinesRunning("wk-000001/0")[0], 8*time.Second)
 		time.Sleep(8 * time.Second)
 		// The first checkpoint would be at 50 s: without an orderly stop there
 		// would be nothing.
--- a/controller/troubles_test.go
+++ b/controller/troubles_test.go
@@ -25,7 +25,7 @@
 // Launches went to a mute machine with every answer, and waited there for as long
 // as it was mute.
 func TestNothingWaitsForAMachineThatDoesNotHear(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 3, Lease: 30}, func(t *testing.T, w *fake.Cluster) {
+	story(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		at := w.Cloud.Machines()[0]
 		w.BlockRepliesTo(at, true)
@@ -54,7 +54,7 @@
 // elsewhere once that machine's lease is over. It never shows the next one's
 // token, and each of its reports was answered: tasks waited without end.
 func TestAMachineIsMuteWhileTheLeaderChanges(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 4, Lease: 30}, func(t *testing.T, w *fake.Cluster) {
+	story(t, fake.Options{Machines: 3, Capacity: 4, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		at := w.Cloud.Machines()[0]
 		w.BlockRepliesTo(at, true)
@@ -92,7 +92,7 @@
 // Copies of reports of a machine that is gone come to a leader that has never
 // heard of it. It looked alive, and tasks were launched there.
 func TestCopiesOfReportsOfAMachineThatIsGone(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 3, Lease: 30}, func(t *testing.T, w *fake.Cluster) {
+	story(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		gone := w.Cloud.Machines()[0]
 		w.DuplicateReports(1)
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -14,7 +14,7 @@
 
 // slowly is a deployment whose workers report every 4 s.
 func slowly(machines int) fake.Options {
-	return fake.Options{Machines: machines, Capacity: machines, Gap: 4, Lease: 22}
+	return fake.Options{Machines: machines, Capacity: machines, ReportIntervalS: 4, LeaseS: 22}
 }
 
 // one is a job with one task that fills a machine.
@@ -40,7 +40,7 @@
 // The operators may switch it off: launches wait for reports, as they did.
 func TestWithoutSummonsLaunchesGoWithTheNextReports(t *testing.T) {
 	o := slowly(8)
-	o.NoSummons = true
+	o.NoWakeUps = true
 	story(t, o, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(20 * time.Second)
 		for _, m := range w.Cloud.Machines() {
--- a/internal/cmd/devcluster/main.go
+++ b/internal/cmd/devcluster/main.go
@@ -38,7 +38,7 @@
 func run(c cli) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	w := fake.New(fake.Options{Nodes: 1, Machines: c.Machines, Outside: true})
+	w := fake.New(fake.Options{Nodes: 1, Machines: c.Machines, ExternalNodes: true})
 	s := *w.Settings
 	s.Bind, s.MeshListen = bind, meshAddr
 	s.Services.State, s.Services.Cloud = stateAddr, cloudAddr
--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -9,7 +9,7 @@
 )
 
 // cache is what images a machine has, the most recently used last, and what it is
-// fetching. The world's lock guards it.
+// fetching. The cluster's lock guards it.
 type cache struct {
 	order   []string
 	size    map[string]float64
@@ -54,7 +54,7 @@
 }
 
 // fetchOn lets fetches go on: those under way share the machine's rate, and one
-// that no task waits for is given up. The world's lock is held.
+// that no task waits for is given up. The cluster's lock is held.
 func (m *machine) fetchOn(now time.Time) {
 	wanted := map[string]bool{}
 	for _, t := range m.tasks {
--- a/internal/fake/cancellations.go
+++ b/internal/fake/cancellations.go
@@ -26,7 +26,7 @@
 	w.mu.Lock()
 	now := time.Now()
 	on := map[string][]*machine{}
-	for name, ms := range w.here {
+	for name, ms := range w.tasksWithImage {
 		id, _, _ := wire.SplitTask(name)
 		j := w.jobs[id]
 		for m := range ms {
@@ -42,7 +42,7 @@
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	w.rnd.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
+	w.random.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
 	ids = ids[:min(n, len(ids))]
 	var machines []*machine
 	for _, id := range ids {
@@ -74,8 +74,8 @@
 	return ids, hung
 }
 
-// cancelAtEnd has jobs cancelled as their last task ends. The world's lock guards it.
-type cancelAtEnd struct {
+// completionCancel has jobs cancelled as their last task ends. The cluster's lock guards it.
+type completionCancel struct {
 	share float64
 	rnd   *rand.Rand
 	asked []string
@@ -86,14 +86,14 @@
 func (w *Cluster) CancelOnCompletion(share float64, seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.atEnd.share, w.atEnd.rnd = share, rand.New(rand.NewPCG(seed, 43))
+	w.completionCancel.share, w.completionCancel.rnd = share, rand.New(rand.NewPCG(seed, 43))
 }
 
 // CancelledOnCompletion lists the jobs whose users have asked so.
 func (w *Cluster) CancelledOnCompletion() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.atEnd.asked)
+	return slices.Clone(w.completionCancel.asked)
 }
 
 // taskDone takes in that a task has completed, as the last of its job or not; the lock is
@@ -104,11 +104,11 @@
 	}
 	j.done[task] = true
 	if len(j.done) < j.spec.Tasks || j.asked || !wire.ValidUserID(j.spec.ID) ||
-		w.atEnd.share == 0 || w.atEnd.rnd.Float64() >= w.atEnd.share {
+		w.completionCancel.share == 0 || w.completionCancel.rnd.Float64() >= w.completionCancel.share {
 		return
 	}
 	j.asked = true
-	w.atEnd.asked = append(w.atEnd.asked, j.spec.ID)
+	w.completionCancel.asked = append(w.completionCancel.asked, j.spec.ID)
 	w.wg.Go(func() { w.Cancel(j.spec.ID) })
 }
 
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -12,7 +12,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Cloud rents machines of the world.
+// Cloud rents machines of the cluster.
 type Cloud struct {
 	w        *Cluster
 	mu       sync.Mutex
@@ -97,7 +97,7 @@
 	return name
 }
 
-// close ends renting. A request that is delivered late, as the world ends, would
+// close ends renting. A request that is delivered late, as the cluster ends, would
 // begin a machine while the end waits for all of them.
 func (c *Cloud) close() {
 	c.mu.Lock()
@@ -158,7 +158,7 @@
 			time.Sleep(by)
 			c.mu.Lock()
 			c.Late++
-			w = unheard{w}
+			w = discardedReply{w}
 		}
 		for _, name := range n.Machines {
 			if m := c.machines[name]; m != nil {
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -25,43 +25,43 @@
 	Cloud    *Cloud
 	Settings *config.Settings // of the first node
 
-	ctx       context.Context
-	end       context.CancelFunc
-	wg        sync.WaitGroup
-	nodes     []*node
-	yarn      string
-	watch     bool
-	noSummons bool
-	log       *slog.Logger
-	hc        *http.Client
-
-	mu       sync.Mutex
-	copying  int                 // one in so many reports is copied; 0: none
-	copies   int                 // on their way
-	kept     map[string][]byte   // a report of each machine, for stories of late ones
-	reached  map[reach]time.Time // when a machine last sent a report that a node answered
-	kept200  map[reach]time.Time // and one whose 200 it took
-	next     forNext
-	commands commandFault
-	atEnd    cancelAtEnd
-	rnd      *rand.Rand
-	jobs     map[string]*job
-	here     map[string]map[*machine]bool // tasks that have their image, by name
-	gangs    map[taskKey]*gang
-	progress map[string]float64 // saved, by task, or by job for gangs
-	started  int
-	ran      map[string]int // starts of tasks of other doors' jobs, each of which runs once
-	expired  int            // workers' leases that ended, with tasks
-	strict   bool           // workers know users' jobs only
-	fetching map[string]bool
+	ctx        context.Context
+	cancel     context.CancelFunc
+	wg         sync.WaitGroup
+	nodes      []*node
+	yarn       string
+	metrics    bool
+	noWakeUps  bool
+	log        *slog.Logger
+	httpClient *http.Client
+
+	mu                 sync.Mutex
+	duplicateOneIn     int                          // one in so many reports is copied; 0: none
+	duplicatesInFlight int                          // on their way
+	capturedReports    map[string][]byte            // a report of each machine, for scenarios of late ones
+	answeredReports    map[nodeAndMachine]time.Time // when a machine last sent a report that a node answered
+	acceptedAnswers    map[nodeAndMachine]time.Time // and one whose 200 it took
+	failoverCopies     failoverCopies
+	commands           commandDelay
+	completionCancel   completionCancel
+	random             *rand.Rand
+	jobs               map[string]*job
+	tasksWithImage     map[string]map[*machine]bool // tasks that have their image, by name
+	gangs              map[taskKey]*gang
+	progress           map[string]float64 // saved, by task, or by job for gangs
+	started            int
+	externalStarts     map[string]int // starts of tasks of other doors' jobs, each of which runs once
+	expired            int            // workers' leases that ended, with tasks
+	knownJobsOnly      bool           // workers know users' jobs only
+	fetching           map[string]bool
 	// fetchedMost is on how many machines images were fetched at the same time.
-	fetchedMost int
-	broken      []string
-	clock       uint64    // counts users' requests and the answers to them
-	odd         int       // ids of jobs that can't be accepted
-	afterCancel int       // starts after the user was told that the job is cancelled
-	met         time.Time // when a story's troubles met
-	faultSeen   time.Time // when a fault was last seen to be injected
+	fetchedMost   int
+	violations    []string
+	requestClock  uint64    // counts users' requests and the answers to them
+	unusualIDs    int       // ids of jobs that can't be accepted
+	afterCancel   int       // starts after the user was told that the job is cancelled
+	interactionAt time.Time // when a scenario's troubles met
+	faultSeen     time.Time // when a fault was last seen to be injected
 }
 
 // job is what the users and the checker know of a job.
@@ -72,7 +72,7 @@
 	asked     bool      // its user has asked to cancel it
 	done      map[int]bool
 	said      string // the last final state any node gave
-	answers   answers
+	answers   answerLog
 	// unanswered is since when no question about it has been answered, without faults.
 	unanswered time.Time
 }
@@ -89,47 +89,84 @@
 }
 
 type node struct {
-	name string
-	bind string
-	cfg  *config.Settings
-	end  context.CancelFunc
-	done chan struct{}
-	dies *atomic.Bool
-	down time.Time // when its power was cut; zero: it is up. Guarded by the world's lock
-
-	older bool // reads the form of records before
+	name   string
+	bind   string
+	cfg    *config.Settings
+	end    context.CancelFunc
+	done   chan struct{}
+	killed *atomic.Bool
+	down   time.Time // when its power was cut; zero: it is up. Guarded by the cluster's lock
+
+	olderSchema bool // reads the form of records before
 }
 
-// Options shape a world.
+// Options shape a cluster.
 type Options struct {
-	Nodes     int
-	Machines  int // up at the start, alternating between the zones
-	Capacity  int
-	Types     []wire.MachineType
-	Teams     []config.Team
-	Seed      uint64
-	Log       *slog.Logger
-	Outside   bool    // the controllers are real processes: none is started
-	Metrics   bool    // each node has an operators' door at port 9464
-	NoSummons bool    // launches wait for workers' reports
-	YARN      string  // settings of YARN's door, without its address; empty: none
-	Sockets   int     // of each node; 0 means 800, unenforced
-	Gap       float64 // seconds between reports; 0 means 1.5
-	Lease     float64 // seconds of a worker's lease; 0 means 12
-	Older     []int   // nodes that read the form of records before; see Upgrade
-	StateRPS  float64 // the state service's limit of requests a second; 0 means 200, unenforced
-	StateWPS  float64 // and of changes; 0 means 60, unenforced
-}
-
-// Zones of every world.
+	Nodes           int
+	Machines        int // up at the start, alternating between the zones
+	Capacity        int
+	Types           []wire.MachineType
+	Teams           []config.Team
+	Seed            uint64
+	Log             *slog.Logger
+	ExternalNodes   bool    // the controllers are real processes: none is started
+	Metrics         bool    // each node has an operators' door at port 9464
+	NoWakeUps       bool    // launches wait for workers' reports
+	YARN            string  // settings of YARN's door, without its address; empty: none
+	Sockets         int     // of each node; 0 means 800, unenforced
+	ReportIntervalS float64 // seconds between reports; 0 means 1.5
+	LeaseS          float64 // seconds of a worker's lease; 0 means 12
+	OlderSchema     []int   // nodes that read the form of records before; see Upgrade
+	StateRPS        float64 // the key-value store's limit of requests a second; 0 means 200, unenforced
+	StateWPS        float64 // and of changes; 0 means 60, unenforced
+}
+
+// Zones of every cluster.
 var Zones = []string{"a", "b"}
 
-// DefaultType is the machine type of worlds that name none.
+// DefaultType is the machine type of clusters that name none.
 var DefaultType = wire.MachineType{Name: "m8", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1,
 	Price: 1, SpotPrice: 0.4, BootS: 10, ZonesNamed: Zones}
 
-// New makes a world whose controllers are running.
-func New(o Options) *Cluster {
+// New makes a cluster whose controllers are running, unless they are external.
+func New(options Options) *Cluster {
+	options.setDefaults()
+	ctx, cancel := context.WithCancel(context.Background())
+	w := &Cluster{
+		Network: NewNetwork(), Store: NewKVStore(12), ctx: ctx, cancel: cancel, log: options.Log, yarn: options.YARN,
+		metrics: options.Metrics, noWakeUps: options.NoWakeUps, random: rand.New(rand.NewPCG(options.Seed, 7)),
+		jobs: map[string]*job{}, tasksWithImage: map[string]map[*machine]bool{}, gangs: map[taskKey]*gang{},
+		progress: map[string]float64{}, externalStarts: map[string]int{}, capturedReports: map[string][]byte{},
+		answeredReports: map[nodeAndMachine]time.Time{}, acceptedAnswers: map[nodeAndMachine]time.Time{}, fetching: map[string]bool{},
+	}
+	w.Store.breaks = w.breaks
+	w.Cloud = &Cloud{w: w, types: options.Types, capacity: options.Capacity, lag: 5 * time.Second,
+		answers: map[string][]string{}, machines: map[string]*machine{}}
+	w.serve("state:1", w.Store)
+	w.serve("cloud:1", w.Cloud)
+	w.httpClient = &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("user"), DisableKeepAlives: true}}
+	for i := range options.Nodes {
+		cfg := options.nodeSettings(i)
+		w.nodes = append(w.nodes, &node{name: cfg.Node, bind: cfg.Bind, cfg: cfg, olderSchema: slices.Contains(options.OlderSchema, i)})
+	}
+	w.setLimits(options)
+	w.Settings = w.nodes[0].cfg
+	w.Cloud.mu.Lock()
+	for i := range options.Machines {
+		w.Cloud.rent(options.Types[i%len(options.Types)].Name, Zones[i%2], false, 0)
+	}
+	w.Cloud.mu.Unlock()
+	for i := range w.nodes {
+		if !options.ExternalNodes {
+			w.StartNode(i)
+		}
+	}
+	w.faultSeen = time.Now() // the beginning is no better than a fault
+	w.wg.Go(w.watchFaults)
+	return w
+}
+
+func (o *Options) setDefaults() {
 	if o.Nodes == 0 {
 		o.Nodes = 3
 	}
@@ -145,32 +182,36 @@
 	if len(o.Teams) == 0 {
 		o.Teams = []config.Team{{Name: "core"}}
 	}
-	ctx, end := context.WithCancel(context.Background())
-	w := &Cluster{Network: NewNetwork(), Store: NewKVStore(12), ctx: ctx, end: end, log: o.Log, yarn: o.YARN, watch: o.Metrics, noSummons: o.NoSummons,
-		rnd: rand.New(rand.NewPCG(o.Seed, 7)), jobs: map[string]*job{}, here: map[string]map[*machine]bool{},
-		gangs: map[taskKey]*gang{}, progress: map[string]float64{}, ran: map[string]int{}, kept: map[string][]byte{}, reached: map[reach]time.Time{}, kept200: map[reach]time.Time{}, fetching: map[string]bool{}}
-	w.Store.breaks = w.breaks
-	w.Cloud = &Cloud{w: w, types: o.Types, capacity: o.Capacity, lag: 5 * time.Second,
-		answers: map[string][]string{}, machines: map[string]*machine{}}
-	w.serve("state:1", w.Store)
-	w.serve("cloud:1", w.Cloud)
-	w.hc = &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("user"), DisableKeepAlives: true}}
-	for i := range o.Nodes {
-		name := fmt.Sprintf("n-%d", i)
-		cfg := &config.Settings{Node: name, Zone: Zones[i%2], Bind: name + ":80", MeshListen: name + ":81",
-			Services: config.Services{Cloud: "cloud:1", State: "state:1"},
-			Cluster: config.Cluster{Size: o.Nodes, Zones: Zones, SkewMs: 5, Teams: o.Teams,
-				Workers: config.Workers{ReportS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
-				State:   config.StateLimits{RPS: 200, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
-				Cloud:   config.CloudLimits{RPS: 4, ListLagS: 5},
-				Limits:  config.Limits{CPU: 0.2, MemMB: 100, Sockets: 800}}}
-		for k := range o.Nodes {
-			if k != i {
-				s := fmt.Sprintf("n-%d", k)
-				cfg.Siblings = append(cfg.Siblings, config.Sibling{Name: s, Zone: Zones[k%2], Addr: s + ":81"})
-			}
+}
+
+// nodeSettings is the settings file of the i-th controller.
+func (o *Options) nodeSettings(i int) *config.Settings {
+	name := nodeName(i)
+	cfg := &config.Settings{Node: name, Zone: Zones[i%2], Bind: name + ":80", MeshListen: name + ":81",
+		Services: config.Services{Cloud: "cloud:1", State: "state:1"},
+		Cluster: config.Cluster{Size: o.Nodes, Zones: Zones, SkewMs: 5, Teams: o.Teams,
+			Workers: config.Workers{ReportS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
+			State:   config.StateLimits{RPS: 200, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
+			Cloud:   config.CloudLimits{RPS: 4, ListLagS: 5},
+			Limits:  config.Limits{CPU: 0.2, MemMB: 100, Sockets: 800}}}
+	for k := range o.Nodes {
+		if k != i {
+			cfg.Siblings = append(cfg.Siblings, config.Sibling{Name: nodeName(k), Zone: Zones[k%2], Addr: nodeName(k) + ":81"})
 		}
-		w.nodes = append(w.nodes, &node{name: name, bind: cfg.Bind, cfg: cfg, older: slices.Contains(o.Older, i)})
+	}
+	return cfg
+}
+
+func nodeName(i int) string { return fmt.Sprintf("n-%d", i) }
+
+// setLimits applies the options that differ from the default settings, to the nodes'
+// settings and, where the option says so, to the fakes that enforce them.
+func (w *Cluster) setLimits(o Options) {
+	if o.StateRPS > 0 {
+		w.Store.LimitRequests(o.StateRPS)
+	}
+	if o.StateWPS > 0 {
+		w.Store.LimitWrites(o.StateWPS)
 	}
 	for _, n := range w.nodes {
 		c := &n.cfg.Cluster
@@ -178,45 +219,25 @@
 			c.Limits.Sockets = o.Sockets
 			w.Network.LimitSockets(n.name, o.Sockets)
 		}
-		if o.Gap > 0 {
-			c.Workers.ReportS = o.Gap
+		if o.ReportIntervalS > 0 {
+			c.Workers.ReportS = o.ReportIntervalS
 		}
-		if o.Lease > 0 {
-			c.Workers.LeaseS, c.Workers.CancelS = o.Lease, o.Lease+20
-		}
-	}
-	if o.StateRPS > 0 {
-		w.Store.LimitRequests(o.StateRPS)
-		for _, n := range w.nodes {
-			n.cfg.Cluster.State.RPS = o.StateRPS
+		if o.LeaseS > 0 {
+			c.Workers.LeaseS, c.Workers.CancelS = o.LeaseS, o.LeaseS+20
 		}
-	}
-	if o.StateWPS > 0 {
-		w.Store.LimitWrites(o.StateWPS)
-		for _, n := range w.nodes {
-			n.cfg.Cluster.State.WriteRPS = o.StateWPS
+		if o.StateRPS > 0 {
+			c.State.RPS = o.StateRPS
 		}
-	}
-	w.Settings = w.nodes[0].cfg
-	w.Cloud.mu.Lock()
-	for i := range o.Machines {
-		w.Cloud.rent(o.Types[i%len(o.Types)].Name, Zones[i%2], false, 0)
-	}
-	w.Cloud.mu.Unlock()
-	for i := range w.nodes {
-		if !o.Outside {
-			w.StartNode(i)
+		if o.StateWPS > 0 {
+			c.State.WriteRPS = o.StateWPS
 		}
 	}
-	w.faultSeen = time.Now() // the beginning is no better than a fault
-	w.wg.Go(w.watchFaults)
-	return w
 }
 
 // reserved is a job of another door, whose description workers find in its record;
 // the lock is held.
 func (w *Cluster) reserved(id string) *job {
-	if j := w.jobs[id]; j != nil || wire.ValidUserID(id) || w.strict {
+	if j := w.jobs[id]; j != nil || wire.ValidUserID(id) || w.knownJobsOnly {
 		return j
 	}
 	var rec jobstore.JobRecord
@@ -231,10 +252,10 @@
 func (w *Cluster) RejectUnknownJobs() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.strict = true
+	w.knownJobsOnly = true
 }
 
-// RegisterJob tells the workers of a job that was not submitted through the world, as
+// RegisterJob tells the workers of a job that was not submitted through the cluster, as
 // users of real processes upload descriptions themselves.
 func (w *Cluster) RegisterJob(j wire.Job) {
 	w.mu.Lock()
@@ -244,7 +265,7 @@
 	}
 }
 
-// Close ends the world; nothing of it runs afterwards.
+// Close ends the cluster; nothing of it runs afterwards.
 func (w *Cluster) Close() {
 	for i := range w.nodes {
 		w.KillNode(i)
@@ -253,9 +274,9 @@
 	for _, n := range w.Cloud.Machines() {
 		w.Cloud.machine(n).kill()
 	}
-	w.end()
+	w.cancel()
 	w.Network.deliverAll()
-	w.hc.CloseIdleConnections()
+	w.httpClient.CloseIdleConnections()
 	w.wg.Wait()
 	// Requests that hang are given up in their own time, which is simulated.
 	time.Sleep(time.Minute)
@@ -271,7 +292,7 @@
 func (w *Cluster) serve(at string, h http.Handler) {
 	l, err := w.Network.Listen("tcp", at)
 	if err != nil {
-		panic(err) // a world is made wrong
+		panic(err) // a cluster is made wrong
 	}
 	srv := &http.Server{Handler: h, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, fromKey{}, c.(*conn).from)
@@ -305,7 +326,7 @@
 }
 
 // LaunchWithoutLeader makes a worker launch a task behind the controllers' backs, for
-// stories that show that the checker sees it.
+// scenarios that show that the checker sees it.
 func (w *Cluster) LaunchWithoutLeader(name, task string) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
@@ -340,8 +361,8 @@
 	return w.progress[name]
 }
 
-// InterruptMachine tells a worker that its machine will be taken.
-func (w *Cluster) InterruptMachine(name string, in time.Duration) {
+// SendInterruptionNotice tells a worker that its machine will be taken.
+func (w *Cluster) SendInterruptionNotice(name string, in time.Duration) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	s := in.Seconds()
@@ -368,7 +389,7 @@
 }
 
 // pick draws a number below n; the lock is held.
-func (w *Cluster) pick(n int) int { return w.rnd.IntN(n) }
+func (w *Cluster) pick(n int) int { return w.random.IntN(n) }
 
 func (w *Cluster) breaks(format string, args ...any) {
 	w.mu.Lock()
@@ -377,12 +398,12 @@
 }
 
 func (w *Cluster) breaksLocked(format string, args ...any) {
-	if len(w.broken) < 20 {
+	if len(w.violations) < 20 {
 		said := fmt.Sprintf(format, args...)
-		if !w.met.IsZero() {
-			said += fmt.Sprintf(" (%.1f s after the troubles met)", time.Since(w.met).Seconds())
+		if !w.interactionAt.IsZero() {
+			said += fmt.Sprintf(" (%.1f s after the troubles met)", time.Since(w.interactionAt).Seconds())
 		}
-		w.broken = append(w.broken, said)
+		w.violations = append(w.violations, said)
 	}
 }
 
@@ -390,7 +411,7 @@
 func (w *Cluster) Violations() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return append([]string(nil), w.broken...)
+	return append([]string(nil), w.violations...)
 }
 
 // Started is how many tasks have got on a machine.
@@ -405,7 +426,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, k := range w.ran {
+	for _, k := range w.externalStarts {
 		if k > 1 {
 			n++
 		}
@@ -418,7 +439,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]int{}
-	for _, on := range w.here {
+	for _, on := range w.tasksWithImage {
 		for m := range on {
 			out[m.name]++
 		}
@@ -434,7 +455,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, on := range w.here {
+	for _, on := range w.tasksWithImage {
 		n += len(on)
 	}
 	return n
@@ -464,20 +485,20 @@
 	return n
 }
 
-// reach is a node and a machine that reports to it.
-type reach struct{ node, machine string }
+// nodeAndMachine is a node and a machine that reports to it.
+type nodeAndMachine struct{ node, machine string }
 
 // ReportsAnswered is how many machines a node has answered since then, and how many of them
 // have taken a 200 of it: reports that were sent since.
 func (w *Cluster) ReportsAnswered(i int, since time.Time) (answered, kept int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for r, at := range w.reached {
+	for r, at := range w.answeredReports {
 		if r.node == w.nodes[i].name && at.After(since) {
 			answered++
 		}
 	}
-	for r, at := range w.kept200 {
+	for r, at := range w.acceptedAnswers {
 		if r.node == w.nodes[i].name && at.After(since) {
 			kept++
 		}
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -18,9 +18,9 @@
 	mostCommandDelay  = 16 * time.Second
 )
 
-// commandFault is the share of direct commands that is held up. The world's lock guards
+// commandDelay is the share of direct commands that is held up. The cluster's lock guards
 // it.
-type commandFault struct {
+type commandDelay struct {
 	share float64
 	rnd   *rand.Rand
 	seen  DelayedCommands
@@ -57,15 +57,15 @@
 	return w.commands.seen
 }
 
-// lateBatch is a batch of direct commands that is held up.
-type lateBatch struct {
+// delayedBatch is a batch of direct commands that is held up.
+type delayedBatch struct {
 	wire.DirectCommands
 	sent  time.Time
 	order int // among all batches that were sent to the machine
 }
 
 // delay draws whether a batch is held up, and for how long; the lock is held.
-func (f *commandFault) delay() (time.Duration, bool) {
+func (f *commandDelay) delay() (time.Duration, bool) {
 	if f.share == 0 || f.rnd.Float64() >= f.share {
 		return 0, false
 	}
@@ -74,7 +74,7 @@
 }
 
 // serveCommands answers a request with direct commands; held says that it is held up, and
-// gets no answer. The world's lock is held.
+// gets no answer. The cluster's lock is held.
 func (m *machine) serveCommands(body []byte) (status int, held bool) {
 	var d wire.DirectCommands
 	if wire.Unmarshal(body, &d) != nil || d.Session == 0 {
@@ -88,7 +88,7 @@
 	m.batches++
 	if by, late := m.w.commands.delay(); late {
 		m.w.commands.seen.Held++
-		batch := lateBatch{DirectCommands: d, sent: time.Now(), order: m.batches}
+		batch := delayedBatch{DirectCommands: d, sent: time.Now(), order: m.batches}
 		m.w.wg.Go(func() { m.deliverLate(batch, by) })
 		return 0, true
 	}
@@ -109,7 +109,7 @@
 
 // deliverLate carries a batch out that was held up. One that finds its machine hanging
 // waits until that resumes.
-func (m *machine) deliverLate(b lateBatch, by time.Duration) {
+func (m *machine) deliverLate(b delayedBatch, by time.Duration) {
 	if !call.Pause(m.ctx, by) {
 		return
 	}
@@ -120,7 +120,7 @@
 			return
 		}
 	}
-	leader := m.w.FencingToken() // before the world's lock, as everywhere
+	leader := m.w.FencingToken() // before the cluster's lock, as everywhere
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	if m.dead {
@@ -151,7 +151,7 @@
 }
 
 // noteStops counts what late stops are about to meet; the lock is held.
-func (m *machine) noteStops(b lateBatch) {
+func (m *machine) noteStops(b delayedBatch) {
 	seen := &m.w.commands.seen
 	for _, c := range b.Commands {
 		t := m.tasks[taskKey{c.Task, c.Attempt}]
@@ -191,7 +191,7 @@
 
 // HoldDirectCommands holds back direct commands to a machine until they are delivered.
 func (w *Cluster) HoldDirectCommands(name string) {
-	m := w.Cloud.machine(name) // before the world's lock, as everywhere
+	m := w.Cloud.machine(name) // before the cluster's lock, as everywhere
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m.holding = true
--- a/internal/fake/delayed_transactions.go
+++ b/internal/fake/delayed_transactions.go
@@ -14,9 +14,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// lagging is what becomes of transactions whose answers are lost. The state's lock
+// transactionDelays is what becomes of transactions whose answers are lost. The store's lock
 // guards it.
-type lagging struct {
+type transactionDelays struct {
 	late, lost float64 // shares
 	rnd        *rand.Rand
 	unanswered int // so many were not answered
@@ -26,15 +26,15 @@
 	leasesLate int     // of these, so many were carried out late
 	leasesPast int     // and so many while the leader held another lease
 
-	waiting int                // late ones that are still to come
-	begun   int                // late ones so far, come or not
-	arrived int                // transactions that have come, ever
-	applied map[string]arrival // the newest of each node that has changed something
+	waiting int                           // late ones that are still to come
+	begun   int                           // late ones so far, come or not
+	arrived int                           // transactions that have come, ever
+	applied map[string]transactionArrival // the newest of each node that has changed something
 	passed  OvertakenTransactions
 }
 
-// arrival is when a transaction came, among all, and whose it is.
-type arrival struct {
+// transactionArrival is when a transaction came, among all, and whose it is.
+type transactionArrival struct {
 	n     int
 	node  string
 	token uint64 // of the term that it is of: 0 if it is no leader's
@@ -51,13 +51,13 @@
 }
 
 // arrive notes that a transaction has come.
-func (l *lagging) arrive(node string, token uint64) arrival {
+func (l *transactionDelays) arrive(node string, token uint64) transactionArrival {
 	l.arrived++
-	return arrival{l.arrived, node, token}
+	return transactionArrival{l.arrived, node, token}
 }
 
 // overtaken counts a late transaction that is about to be carried out, or refused.
-func (l *lagging) overtaken(a arrival, leader uint64, refused, older bool) {
+func (l *transactionDelays) overtaken(a transactionArrival, leader uint64, refused, older bool) {
 	if a.token != 0 && a.token != leader {
 		l.passed.Stale++
 	}
@@ -159,9 +159,9 @@
 
 // checkLeader sees to it that what leaders alone write is changed in the term that the
 // change is of, by the node that leads, and by no other, however late it comes.
-func (s *KVStore) checkLeader(t *txn, came arrival) {
+func (s *KVStore) checkLeader(t *txn, came transactionArrival) {
 	if s.breaks == nil || !strings.HasPrefix(came.node, "n-") {
-		return // a story's own, or a snapshot's
+		return // a scenario's own, or a snapshot's
 	}
 	var rec struct {
 		Node string `msgpack:"node"`
@@ -179,7 +179,7 @@
 
 // rendezvousWeight says whether a transaction with so many changes is left without an answer, and
 // how long after its request it is carried out.
-func (l *lagging) draw(changes int) (by time.Duration, unanswered bool) {
+func (l *transactionDelays) draw(changes int) (by time.Duration, unanswered bool) {
 	if changes == 0 || l.late+l.lost == 0 {
 		return 0, false
 	}
@@ -196,7 +196,7 @@
 
 // drawLease says whether a request about a lease is left without an answer, and how
 // long after it came it is carried out.
-func (l *lagging) drawLease(path string) (by time.Duration, unanswered bool) {
+func (l *transactionDelays) drawLease(path string) (by time.Duration, unanswered bool) {
 	if l.leases == 0 || !strings.HasPrefix(path, "/holds") || l.rnd.Float64() >= l.leases {
 		return 0, false
 	}
@@ -237,11 +237,11 @@
 	return s.lagging.leasesLate, s.lagging.leasesPast
 }
 
-// unheard is an answer that nobody gets.
-type unheard struct{ http.ResponseWriter }
+// discardedReply is an answer that nobody gets.
+type discardedReply struct{ http.ResponseWriter }
 
-func (unheard) Write(b []byte) (int, error) { return len(b), nil }
-func (unheard) WriteHeader(int)             {}
+func (discardedReply) Write(b []byte) (int, error) { return len(b), nil }
+func (discardedReply) WriteHeader(int)             {}
 
 // DropReplies leaves shares of the transactions that change something without an
 // answer: those late are carried out 2 s to 12 s later, after newer ones of the same
--- a/internal/fake/duplicate_reports.go
+++ b/internal/fake/duplicate_reports.go
@@ -17,15 +17,15 @@
 func (w *Cluster) DuplicateReports(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.copying = oneIn
+	w.duplicateOneIn = oneIn
 }
 
 // mayCopy copies a report if it is its turn; the lock is held.
 func (w *Cluster) mayCopy(r wire.Report) {
-	if w.copying == 0 || w.copies >= maxCopies || w.pick(w.copying) > 0 {
+	if w.duplicateOneIn == 0 || w.duplicatesInFlight >= maxCopies || w.pick(w.duplicateOneIn) > 0 {
 		return
 	}
-	w.copies++
+	w.duplicatesInFlight++
 	most := int(5 * w.Settings.Cluster.Workers.LeaseS * 1000)
 	in, to := time.Duration(1000+w.pick(most-1000))*time.Millisecond, w.pick(len(w.nodes))
 	w.wg.Add(1)
@@ -35,7 +35,7 @@
 			w.post(w.nodes[to].bind, wire.PathReport, r)
 		}
 		w.mu.Lock()
-		w.copies--
+		w.duplicatesInFlight--
 		w.mu.Unlock()
 	}()
 }
@@ -46,14 +46,14 @@
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.kept[name], _ = wire.Marshal(m.report())
+	w.capturedReports[name], _ = wire.Marshal(m.report())
 }
 
 // ReplayReport sends what CaptureReport kept.
 func (w *Cluster) ReplayReport(name string, node int) (status int) {
 	w.mu.Lock()
 	var r wire.Report
-	_ = wire.Unmarshal(w.kept[name], &r)
+	_ = wire.Unmarshal(w.capturedReports[name], &r)
 	w.mu.Unlock()
 	status, _ = w.post(w.nodes[node].bind, wire.PathReport, r)
 	return status
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -21,8 +21,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// KVStore is a state service in memory, with the limits of sizes and counts, and
-// that of changes a second where a story sets it.
+// KVStore is a key-value store in memory, with the limits of sizes and counts, and
+// that of changes a second where a scenario sets it.
 type KVStore struct {
 	mu      sync.Mutex
 	rev     uint64
@@ -38,7 +38,7 @@
 	lateOf  string          // if it puts a key that begins so
 	kept    chan struct{}   // the next transaction is applied when this is closed
 	keptOf  string          // if it changes a key that begins so
-	lagging lagging
+	lagging transactionDelays
 	slow    time.Duration            // that much longer than usual until a request is carried out
 	held    time.Duration            // that much longer than usual from then until it is answered
 	heldTo  map[string]time.Duration // the same, for a node
@@ -71,7 +71,7 @@
 	return &KVStore{keys: map[string]wire.Entry{}, leases: map[uint64]*stateLease{}, next: 1,
 		changed: make(chan struct{}), refuse: map[string]bool{}, ops: txnOps, born: map[string]time.Time{},
 		heldTo: map[string]time.Duration{}, hushed: map[string]bool{}, last: map[string]uint64{},
-		lagging: lagging{applied: map[string]arrival{}}}
+		lagging: transactionDelays{applied: map[string]transactionArrival{}}}
 }
 
 // SetOutage begins or ends an outage; at its end leases have their full time.
@@ -111,7 +111,7 @@
 }
 
 // HoldNextTransactionOn keeps the next transaction that changes a key that begins so on its way
-// abstainUntil it is let come, which a story must do at the latest as it ends.
+// until it is let come, which a scenario must do at the latest as it ends.
 func (s *KVStore) HoldNextTransactionOn(prefix string) (come func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,18 +150,18 @@
 	s.hushed[node] = on
 }
 
-// answerLater keeps an answer until it is sent.
-type answerLater struct {
+// delayedReply keeps an answer until it is sent.
+type delayedReply struct {
 	http.ResponseWriter
 	status int
 	body   []byte
 }
 
-func (a *answerLater) Write(b []byte) (int, error) {
+func (a *delayedReply) Write(b []byte) (int, error) {
 	a.body = append(a.body, b...)
 	return len(b), nil
 }
-func (a *answerLater) WriteHeader(status int) { a.status = status }
+func (a *delayedReply) WriteHeader(status int) { a.status = status }
 
 // SetLatency makes every answer take that much longer than the usual 4 ms.
 func (s *KVStore) SetLatency(by time.Duration) {
@@ -335,7 +335,7 @@
 		s.serve(w, r, body)
 		return
 	}
-	a := &answerLater{ResponseWriter: w}
+	a := &delayedReply{ResponseWriter: w}
 	s.serve(a, r, body)
 	time.Sleep(held)
 	if a.status != 0 {
@@ -363,7 +363,7 @@
 		s.mu.Lock()
 		s.expire()
 		s.leaseCame(r.URL.Path, seen)
-		w = unheard{w}
+		w = discardedReply{w}
 	}
 	s.expire()
 	switch {
@@ -508,7 +508,7 @@
 			<-r.Context().Done()
 			s.mu.Lock()
 		}()
-		w = unheard{w}
+		w = discardedReply{w}
 	}
 	for _, op := range t.Then {
 		if op.Lease != 0 && s.leases[op.Lease] == nil {
@@ -581,7 +581,7 @@
 			continue
 		}
 		if e, ok := s.keys[op.Put]; ok && wire.Unmarshal(e.Value, &was) != nil {
-			continue // a story has damaged it
+			continue // a scenario has damaged it
 		}
 		there := map[string]bool{}
 		name := func(job string, p jobstore.Placement) string { return fmt.Sprint(job, p.Task, p.Attempt, p.Machine) }
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -12,7 +12,7 @@
 // are answered, and what is cancelled is not launched.
 
 const (
-	// faultCheckEvery is how often the world looks for faults that are injected.
+	// faultCheckEvery is how often the cluster looks for faults that are injected.
 	faultCheckEvery = 200 * time.Millisecond
 	// forgottenAfter is for how long questions about a job may go unanswered without
 	// faults: after that it counts as forgotten.
@@ -65,7 +65,7 @@
 		hosts[n.name] = true
 		down = down || !n.down.IsZero()
 	}
-	return hung || down || w.copying > 0 || w.copies > 0 || w.next.oneIn > 0 || w.next.ahead > 0 || w.commands.share > 0
+	return hung || down || w.duplicateOneIn > 0 || w.duplicatesInFlight > 0 || w.failoverCopies.oneIn > 0 || w.failoverCopies.ahead > 0 || w.commands.share > 0
 }
 
 // faulty says whether messages between hosts that are there are lost or held up, or one
@@ -79,17 +79,17 @@
 			return true
 		}
 	}
-	for ends, closed := range n.closed {
+	for ends, closed := range n.outgoingBlocks {
 		if closed && between(ends) {
 			return true
 		}
 	}
-	for ends := range n.mute {
+	for ends := range n.oneWayBlocks {
 		if between(ends) {
 			return true
 		}
 	}
-	for host := range n.still {
+	for host := range n.paused {
 		if hosts[host] {
 			return true
 		}
@@ -97,7 +97,7 @@
 	return false
 }
 
-// faulty says whether the state service refuses, delays or does not answer requests.
+// faulty says whether the key-value store refuses, delays or does not answer requests.
 func (s *KVStore) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -171,6 +171,6 @@
 }
 
 // answered says whether a question got an answer: 404 is one.
-func (h heard) answered() bool {
+func (h userReply) answered() bool {
 	return h.status == http.StatusOK || h.status == http.StatusNotFound
 }
--- a/internal/fake/liveness_test.go
+++ b/internal/fake/liveness_test.go
@@ -10,12 +10,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// checkedWorld is a world with a machine and a job that the checks know of, and no nodes:
+// checkedWorld is a cluster with a machine and a job that the checks know of, and no nodes:
 // what they would answer and command is played by the tests.
 func checkedWorld(t *testing.T, test func(w *Cluster, m *machine, j *job)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := New(Options{Nodes: 3, Machines: 1, Capacity: 1, Outside: true})
+		w := New(Options{Nodes: 3, Machines: 1, Capacity: 1, ExternalNodes: true})
 		defer w.Close()
 		time.Sleep(5 * time.Second)
 		j := wire.Job{ID: "wk-000001", Class: "c", Team: "core", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, EstimateS: 3600}
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -11,7 +11,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file joins a world to real processes on this machine's loopback.
+// This file joins a cluster to real processes on this machine's loopback.
 
 // Bridge copies what comes in on a listener to connections opened by dial, until
 // ctx ends.
@@ -43,7 +43,7 @@
 }
 
 // AttachProcess lets a real process at addr stand for a node, and real processes reach
-// the world's service at state and cloud, if those are not empty.
+// the cluster's service at state and cloud, if those are not empty.
 func (w *Cluster) AttachProcess(ctx context.Context, node, addr, state, cloud string) error {
 	inner := w.Network.Dial(node)
 	for outside, inside := range map[string]string{state: "state:1", cloud: "cloud:1"} {
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -24,7 +24,7 @@
 	attempt uint64
 }
 
-// task is a task on a machine. The world's lock guards it.
+// task is a task on a machine. The cluster's lock guards it.
 type task struct {
 	taskKey
 	m        *machine
@@ -55,7 +55,7 @@
 	ctx  context.Context
 	end  context.CancelFunc
 
-	// guarded by the world's lock
+	// guarded by the cluster's lock
 	dead    bool
 	hung    bool
 	faulty  bool // its tasks fail
@@ -75,9 +75,9 @@
 	batches int // batches of direct commands that were sent to it
 	// newestBatch is the newest of them, in the order of sending, that was executed at once.
 	newestBatch int
-	direct      int     // direct commands carried out
-	late        int     // answers taken more than a second after their reports
-	took        firstOf // the last report of its own that was answered 200, and by whom
+	direct      int            // direct commands carried out
+	late        int            // answers taken more than a second after their reports
+	took        answeredReport // the last report of its own that was answered 200, and by whom
 }
 
 func newMachine(w *Cluster, name string, typ wire.MachineType, zone string, spot bool, boot time.Duration) *machine {
@@ -109,7 +109,7 @@
 	m.end()
 }
 
-// clear kills and forgets all tasks; the world's lock is held.
+// clear kills and forgets all tasks; the cluster's lock is held.
 func (m *machine) clear() {
 	for _, k := range m.order {
 		m.w.leave(m.tasks[k], false)
@@ -212,7 +212,7 @@
 	m.w.leave(t, why == wire.WhyDone)
 }
 
-// report is the worker's message; the world's lock is held.
+// report is the worker's message; the cluster's lock is held.
 func (m *machine) report() wire.Report {
 	m.seq++
 	r := wire.Report{Machine: m.name, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot,
@@ -229,7 +229,7 @@
 	last := time.Time{}
 	for m.ctx.Err() == nil {
 		m.w.mu.Lock()
-		interval := secs(w.ReportS * (0.75 + 0.5*m.w.rnd.Float64()))
+		interval := secs(w.ReportS * (0.75 + 0.5*m.w.random.Float64()))
 		hung, changed := m.hung, m.dirty
 		m.w.mu.Unlock()
 		since := time.Since(last)
@@ -255,7 +255,7 @@
 	m.w.keepForNext(r)
 	session := m.session
 	node := m.w.nodes[m.node%len(m.w.nodes)]
-	ahead := m.w.next.ahead > 0 && m.w.pick(m.w.next.ahead) == 0
+	ahead := m.w.failoverCopies.ahead > 0 && m.w.pick(m.w.failoverCopies.ahead) == 0
 	m.w.mu.Unlock()
 	copied := uint64(0)
 	if ahead {
@@ -276,7 +276,7 @@
 		return true
 	}
 	if err == nil {
-		m.w.reached[reach{node.name, m.name}] = at
+		m.w.answeredReports[nodeAndMachine{node.name, m.name}] = at
 		m.w.overtook(r, copied, status)
 	}
 	if err != nil || status != http.StatusOK {
@@ -300,10 +300,10 @@
 	if time.Since(at) > time.Second {
 		m.late++
 	}
-	m.took = firstOf{m.name, session, r.Seq, a.Token}
+	m.took = answeredReport{m.name, session, r.Seq, a.Token}
 	m.sawToken(a.Token, at)
 	m.renewed = at
-	m.w.kept200[reach{node.name, m.name}] = at
+	m.w.acceptedAnswers[nodeAndMachine{node.name, m.name}] = at
 	m.execute(a.Commands, time.Now())
 	return true
 }
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -1,6 +1,6 @@
-// Package fake is a small world in memory: a network, a state service, a
+// Package fake is a small world in memory: a network, a key-value store, a
 // cloud, machines with workers, users, and a checker of the protocol's rules.
-// Stories run controllers against it, in simulated time.
+// Scenarios run controllers against it, in simulated time.
 package fake
 
 import (
@@ -15,23 +15,23 @@
 
 // Network is a network of hosts, named by the part of an address before the colon.
 type Network struct {
-	mu        sync.Mutex
-	listeners map[string]*listener
-	conns     map[*conn]bool
-	cuts      map[[2]string]bool
-	mute      map[[2]string]chan struct{} // what the first sends the second waits, until closed
-	closed    map[[2]string]bool          // the first can open no connection to the second
-	down      map[string]bool
-	still     map[string]chan struct{} // hosts that stand still, until closed
-	most      map[string]int           // sockets that a host has, if limited
-	open      map[string]int           // sockets that it has open
-	peak      map[string]int           // and had at once
+	mu             sync.Mutex
+	listeners      map[string]*listener
+	conns          map[*conn]bool
+	cuts           map[[2]string]bool
+	oneWayBlocks   map[[2]string]chan struct{} // what the first sends the second waits, until closed
+	outgoingBlocks map[[2]string]bool          // the first can open no connection to the second
+	down           map[string]bool
+	paused         map[string]chan struct{} // hosts whose processes are paused, until closed
+	most           map[string]int           // sockets that a host has, if limited
+	open           map[string]int           // sockets that it has open
+	peak           map[string]int           // and had at once
 }
 
 // NewNetwork makes an empty network.
 func NewNetwork() *Network {
 	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{},
-		cuts: map[[2]string]bool{}, mute: map[[2]string]chan struct{}{}, closed: map[[2]string]bool{}, down: map[string]bool{}, still: map[string]chan struct{}{},
+		cuts: map[[2]string]bool{}, oneWayBlocks: map[[2]string]chan struct{}{}, outgoingBlocks: map[[2]string]bool{}, down: map[string]bool{}, paused: map[string]chan struct{}{},
 		most: map[string]int{}, open: map[string]int{}, peak: map[string]int{}}
 }
 
@@ -72,12 +72,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	way := [2]string{from, to}
-	if c := n.mute[way]; c != nil {
+	if c := n.oneWayBlocks[way]; c != nil {
 		close(c)
-		delete(n.mute, way)
+		delete(n.oneWayBlocks, way)
 	}
 	if on {
-		n.mute[way] = make(chan struct{})
+		n.oneWayBlocks[way] = make(chan struct{})
 	}
 }
 
@@ -85,7 +85,7 @@
 // open none, or ends that. What the other opens to it works all the while.
 func (n *Network) SetOutgoingBlocked(from, to string, on bool) {
 	n.mu.Lock()
-	n.closed[[2]string{from, to}] = on
+	n.outgoingBlocks[[2]string{from, to}] = on
 	var hit []*conn
 	for c := range n.conns {
 		if on && c.from == from && c.to == to {
@@ -102,9 +102,9 @@
 func (n *Network) deliverAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for way, c := range n.mute {
+	for way, c := range n.oneWayBlocks {
 		close(c)
-		delete(n.mute, way)
+		delete(n.oneWayBlocks, way)
 	}
 }
 
@@ -112,7 +112,7 @@
 func (n *Network) pass(from, to string, stop <-chan struct{}) {
 	for {
 		n.mu.Lock()
-		c := n.mute[[2]string{from, to}]
+		c := n.oneWayBlocks[[2]string{from, to}]
 		n.mu.Unlock()
 		if c == nil {
 			return
@@ -150,17 +150,17 @@
 	}
 }
 
-// SetPaused makes a host's process stand still, or go on: it takes connections
+// SetPaused makes a host's process pause, or go on: it takes connections
 // and neither reads nor writes, nor sees what it has read.
 func (n *Network) SetPaused(h string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if c := n.still[h]; c != nil {
+	if c := n.paused[h]; c != nil {
 		close(c)
-		delete(n.still, h)
+		delete(n.paused, h)
 	}
 	if on {
-		n.still[h] = make(chan struct{})
+		n.paused[h] = make(chan struct{})
 	}
 }
 
@@ -168,7 +168,7 @@
 func (n *Network) await(h string, stop <-chan struct{}) {
 	for {
 		n.mu.Lock()
-		c := n.still[h]
+		c := n.paused[h]
 		n.mu.Unlock()
 		if c == nil {
 			return
@@ -184,7 +184,7 @@
 func (n *Network) blocked(a, b string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[pair(a, b)] || n.mute[[2]string{a, b}] != nil || n.closed[[2]string{a, b}] || n.down[a] || n.down[b]
+	return n.cuts[pair(a, b)] || n.oneWayBlocks[[2]string{a, b}] != nil || n.outgoingBlocks[[2]string{a, b}] || n.down[a] || n.down[b]
 }
 
 var errRefused = errors.New("connection refused")
@@ -328,7 +328,7 @@
 const socketBuffer = 4096
 
 // end makes an end of a connection. As with sockets, what is written waits in
-// the connection, and is there for a process that has stood still.
+// the connection, and is there for a process that was paused.
 func (n *Network) end(c net.Conn, from, to, side string) *conn {
 	e := &conn{Conn: c, n: n, from: from, to: to, side: side, closed: make(chan struct{}), broken: make(chan struct{}), out: make(chan []byte, socketBuffer)}
 	go e.pump()
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -15,8 +15,8 @@
 
 // This file starts and stops the controllers, and cuts them off.
 
-// Upgrade makes a node's next process read the newest form of records.
-func (w *Cluster) Upgrade(i int) { w.nodes[i].older = false }
+// UpgradeSchema makes a node's next process read the newest form of records.
+func (w *Cluster) UpgradeSchema(i int) { w.nodes[i].olderSchema = false }
 
 // StartNode starts a controller.
 func (w *Cluster) StartNode(i int) {
@@ -32,9 +32,9 @@
 	ctx, end := context.WithCancel(gated)
 	n.end, n.done = end, make(chan struct{})
 	tuning := config.DefaultTuning()
-	tuning.Launching.Summon = !w.noSummons
-	tuning.Ledger.Intake = !n.older
-	if w.watch {
+	tuning.Launching.Summon = !w.noWakeUps
+	tuning.Ledger.Intake = !n.olderSchema
+	if w.metrics {
 		tuning.Metrics.Listen = n.name + ":9464"
 	}
 	c := controller.New(n.cfg, tuning, w.log.With("node", n.name),
@@ -42,12 +42,12 @@
 	if w.yarn != "" {
 		s, err := yarn.ParseSettings(fmt.Sprintf("listen = %q\nrest = %q\n%s", n.name+":8032", n.name+":8088", w.yarn), n.cfg)
 		if err != nil {
-			panic(err) // a world is made wrong
+			panic(err) // a cluster is made wrong
 		}
 		c.OpenYARN(s)
 	}
 	done, dies := n.done, &atomic.Bool{}
-	n.dies = dies
+	n.killed = dies
 	w.wg.Add(1)
 	go func() {
 		defer w.wg.Done()
@@ -64,7 +64,7 @@
 	if n.end == nil {
 		return
 	}
-	n.dies.Store(true)
+	n.killed.Store(true)
 	w.mu.Lock()
 	n.down = time.Now()
 	w.mu.Unlock()
@@ -89,7 +89,7 @@
 	}
 }
 
-// PauseNode makes a controller's process stand still while its clocks run on, or lets
+// PauseNode makes a controller's process pause while its clocks run on, or lets
 // it go on.
 func (w *Cluster) PauseNode(i int, on bool) { w.Network.SetPaused(w.nodes[i].name, on) }
 
@@ -102,7 +102,7 @@
 	return out
 }
 
-// Leader is the index of the node whose key is in the state service, or -1.
+// Leader is the index of the node whose key is in the key-value store, or -1.
 func (w *Cluster) Leader() int {
 	w.Store.mu.Lock()
 	e, ok := w.Store.keys["ctl/leader"]
@@ -143,7 +143,7 @@
 	}
 }
 
-// IsolateToWorkers cuts a node off from the state service and the other nodes, but
+// IsolateToWorkers cuts a node off from the key-value store and the other nodes, but
 // not from workers, or ends that.
 func (w *Cluster) IsolateToWorkers(i int, on bool) { w.PartitionNode(i, on, "state", "nodes") }
 
--- a/internal/fake/partitions.go
+++ b/internal/fake/partitions.go
@@ -9,12 +9,12 @@
 
 // This file cuts machines off one way or another, and reads what happened to them.
 
-// MarkInteraction notes that a story's troubles have met: rules broken from now on are said with
+// MarkInteraction notes that a scenario's troubles have met: rules broken from now on are said with
 // how long after.
 func (w *Cluster) MarkInteraction() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.met = time.Now()
+	w.interactionAt = time.Now()
 }
 
 // BlockHeartbeats lets a machine open no connection to any controller, while direct
@@ -57,7 +57,7 @@
 	}
 }
 
-// FencingToken is the token of the leader whose key is in the state service; 0: there is
+// FencingToken is the token of the leader whose key is in the key-value store; 0: there is
 // none.
 func (w *Cluster) FencingToken() uint64 {
 	w.Store.mu.Lock()
@@ -87,7 +87,7 @@
 func (w *Cluster) CPUsInUse(team string) (cpus float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for name, ms := range w.here {
+	for name, ms := range w.tasksWithImage {
 		if id, _, _ := wire.SplitTask(name); w.jobs[id].spec.Team == team {
 			cpus += w.jobs[id].spec.CPUs * float64(len(ms))
 		}
--- a/internal/fake/placement.go
+++ b/internal/fake/placement.go
@@ -13,12 +13,12 @@
 func (w *Cluster) arrive(t *task, now time.Time) {
 	w.started++
 	if !wire.ValidUserID(t.job.ID) {
-		w.ran[t.name]++
+		w.externalStarts[t.name]++
 	}
-	on := w.here[t.name]
+	on := w.tasksWithImage[t.name]
 	if on == nil {
 		on = map[*machine]bool{}
-		w.here[t.name] = on
+		w.tasksWithImage[t.name] = on
 	}
 	if len(on) > 0 {
 		w.breaksLocked("ran_twice: %s starts on %s", t.name, t.m.name)
@@ -60,7 +60,7 @@
 	}
 	same, others := 0, 0
 	for i := range j.Tasks {
-		for m := range w.here[wire.TaskName(j.ID, i)] {
+		for m := range w.tasksWithImage[wire.TaskName(j.ID, i)] {
 			if m.zone == t.m.zone {
 				same++
 			} else {
@@ -79,7 +79,7 @@
 			continue
 		}
 		cpus, gpus := 0.0, 0.0
-		for name, ms := range w.here {
+		for name, ms := range w.tasksWithImage {
 			id, _, _ := wire.SplitTask(name)
 			if j := w.jobs[id]; j.spec.Team == team.Name {
 				cpus += j.spec.CPUs * float64(len(ms))
@@ -109,7 +109,7 @@
 	}
 	if t.here {
 		t.here = false
-		delete(w.here[t.name], t.m)
+		delete(w.tasksWithImage[t.name], t.m)
 		if t.job.Kind == wire.KindGang {
 			g := w.gangOf(t)
 			if g.tasks[t.idx] == t {
--- a/internal/fake/report_copies.go
+++ b/internal/fake/report_copies.go
@@ -18,20 +18,20 @@
 // copiesEach bounds the copies that are kept of a machine's reports.
 const copiesEach = 3
 
-// forNext is what is kept. The world's lock guards it.
-type forNext struct {
+// failoverCopies is what is kept. The cluster's lock guards it.
+type failoverCopies struct {
 	oneIn    int
 	watching bool
 	copies   map[string][]wire.Report
-	first    map[firstOf]bool
+	first    map[answeredReport]bool
 	met      CopyStats
 
 	ahead  int // one in so many reports is overtaken by its copies
 	outrun OvertakenReports
 }
 
-// firstOf is a report and the token of a leader that has answered it.
-type firstOf struct {
+// answeredReport is a report and the token of a leader that has answered it.
+type answeredReport struct {
 	machine             string
 	session, seq, token uint64
 }
@@ -52,11 +52,11 @@
 func (w *Cluster) DelayCopiesUntilFailover(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.next.oneIn = oneIn
-	if w.next.watching || oneIn == 0 {
+	w.failoverCopies.oneIn = oneIn
+	if w.failoverCopies.watching || oneIn == 0 {
 		return
 	}
-	w.next.watching, w.next.copies = true, map[string][]wire.Report{}
+	w.failoverCopies.watching, w.failoverCopies.copies = true, map[string][]wire.Report{}
 	last := w.Store.Versions(election.LeaderKey)[election.LeaderKey]
 	w.wg.Add(1)
 	go func() {
@@ -81,12 +81,12 @@
 
 // keepForNext keeps a report's copy if it is its turn; the lock is held.
 func (w *Cluster) keepForNext(r wire.Report) {
-	if w.next.oneIn == 0 || w.pick(w.next.oneIn) > 0 {
+	if w.failoverCopies.oneIn == 0 || w.pick(w.failoverCopies.oneIn) > 0 {
 		return
 	}
-	kept := w.next.copies[r.Machine]
+	kept := w.failoverCopies.copies[r.Machine]
 	if len(kept) < copiesEach {
-		w.next.copies[r.Machine] = append(kept, r)
+		w.failoverCopies.copies[r.Machine] = append(kept, r)
 		return
 	}
 	kept[w.pick(copiesEach)] = r
@@ -96,8 +96,8 @@
 func (w *Cluster) DeliverDelayedCopies() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(w.next.copies)) {
-		for _, r := range w.next.copies[name] {
+	for _, name := range slices.Sorted(maps.Keys(w.failoverCopies.copies)) {
+		for _, r := range w.failoverCopies.copies[name] {
 			for _, n := range w.nodes {
 				if n.end == nil {
 					continue
@@ -124,20 +124,20 @@
 	var a wire.ReportAnswer
 	switch {
 	case status == http.StatusServiceUnavailable && (m.session > r.Session || m.seq > r.Seq):
-		w.next.met.Older++
+		w.failoverCopies.met.Older++
 		return
 	case status != http.StatusOK || wire.Unmarshal(body, &a) != nil || a.Token <= r.Token:
 		return
 	}
-	first := firstOf{r.Machine, r.Session, r.Seq, a.Token}
-	if w.next.first[first] || m.took == first {
+	first := answeredReport{r.Machine, r.Session, r.Seq, a.Token}
+	if w.failoverCopies.first[first] || m.took == first {
 		return // not the first that this leader has heard
 	}
-	if w.next.first == nil {
-		w.next.first = map[firstOf]bool{}
+	if w.failoverCopies.first == nil {
+		w.failoverCopies.first = map[answeredReport]bool{}
 	}
-	w.next.first[first] = true
-	met := &w.next.met
+	w.failoverCopies.first[first] = true
+	met := &w.failoverCopies.met
 	met.First++
 	if m.session > r.Session {
 		met.EarlierSession++
@@ -154,7 +154,7 @@
 func (w *Cluster) CopyStats() CopyStats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.next.met
+	return w.failoverCopies.met
 }
 
 // OvertakenReports is what became of reports that their own copies have overtaken.
@@ -174,14 +174,14 @@
 func (w *Cluster) OvertakeReports(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.next.ahead = oneIn
+	w.failoverCopies.ahead = oneIn
 }
 
 // OvertakenReports is what has become of such reports.
 func (w *Cluster) OvertakenReports() OvertakenReports {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.next.outrun
+	return w.failoverCopies.outrun
 }
 
 // overtake sends a report's copies ahead of it, and returns the token by which one of
@@ -220,7 +220,7 @@
 	if token == 0 {
 		return
 	}
-	o := &w.next.outrun
+	o := &w.failoverCopies.outrun
 	o.Ahead++
 	if token > r.Token {
 		o.Next++
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -29,15 +29,15 @@
 	cancellation
 )
 
-// answers are when a user first had which answer, by the world's count; 0: not yet.
-type answers struct {
+// answerLog are when a user first had which answer, by the cluster's count; 0: not yet.
+type answerLog struct {
 	accepted uint64 // that the job is known
 	final    uint64 // that it is over
 	created  int    // how often it was newly accepted
 }
 
-// heard is what came of a user's request.
-type heard struct {
+// userReply is what came of a user's request.
+type userReply struct {
 	sent   uint64
 	status int    // 0: no answer
 	state  string // of a 200 or 201
@@ -56,7 +56,7 @@
 
 // ask sends a user's request to a node once, and checks the answer. A body that is
 // a wire.Raw is sent as it is.
-func (w *Cluster) ask(what int, id, addr string, body any, limit time.Duration) (r heard) {
+func (w *Cluster) ask(what int, id, addr string, body any, limit time.Duration) (r userReply) {
 	ctx, cancel := context.WithTimeout(w.ctx, limit)
 	defer cancel()
 	method := http.MethodPost
@@ -67,18 +67,18 @@
 	if body != nil {
 		b, err := wire.Marshal(body)
 		if err != nil {
-			panic(err) // a story is made wrong
+			panic(err) // a scenario is made wrong
 		}
 		in = bytes.NewReader(b)
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path(what, id), in)
 	if err != nil {
-		panic(err) // a story is made wrong
+		panic(err) // a scenario is made wrong
 	}
 	w.noteFaults()
 	w.mu.Lock()
-	w.clock++
-	r = heard{sent: w.clock}
+	w.requestClock++
+	r = userReply{sent: w.requestClock}
 	w.mu.Unlock()
 	if what == question {
 		defer func() {
@@ -87,7 +87,7 @@
 			w.checkAnswered(id, r.answered())
 		}()
 	}
-	resp, err := w.hc.Do(req)
+	resp, err := w.httpClient.Do(req)
 	if err != nil {
 		return r
 	}
@@ -116,8 +116,8 @@
 
 // hear checks a node's answer against the rules and what the user was told before;
 // the lock is held.
-func (w *Cluster) hear(what int, id string, r heard) {
-	w.clock++
+func (w *Cluster) hear(what int, id string, r userReply) {
+	w.requestClock++
 	j := w.jobs[id]
 	known := j != nil && j.accepted && j.answers.accepted <= r.sent
 	switch r.status {
@@ -143,7 +143,7 @@
 		return
 	}
 	if !j.accepted {
-		j.accepted, j.answers.accepted = true, w.clock
+		j.accepted, j.answers.accepted = true, w.requestClock
 		if why := w.misfit(&j.spec); why != "" {
 			w.breaksLocked("accepted: %s, which %s", id, why)
 		}
@@ -177,7 +177,7 @@
 		}
 	}
 	if j.said == "" {
-		j.answers.final = w.clock
+		j.answers.final = w.requestClock
 	}
 	j.said = r.state
 }
@@ -278,8 +278,8 @@
 			w.mu.Lock()
 			kind, a, b := w.pick(oddKinds), w.pick(max(1, len(known))), w.pick(max(1, len(over)))
 			invalid := w.pick(4 * len(invalidFields))
-			w.odd++
-			spec := wire.Job{ID: fmt.Sprintf("wk-8%07d", w.odd), Class: "odd", Team: w.Settings.Cluster.Teams[0].Name, Kind: wire.KindArray,
+			w.unusualIDs++
+			spec := wire.Job{ID: fmt.Sprintf("wk-8%07d", w.unusualIDs), Class: "odd", Team: w.Settings.Cluster.Teams[0].Name, Kind: wire.KindArray,
 				Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-odd", ImageGB: 1, EstimateS: 5}
 			if kind < 3 && len(known) > 0 {
 				spec = w.jobs[known[a]].spec
@@ -287,7 +287,7 @@
 			lacking, short := lackings[w.pick(len(lackings))], w.pick(2) == 0
 			w.mu.Unlock()
 			id, count := spec.ID, &odd.Refused
-			var r heard
+			var r userReply
 			want := 0
 			switch {
 			case kind < 2 && len(known) > 0:
--- a/internal/fake/user_requests_test.go
+++ b/internal/fake/user_requests_test.go
@@ -46,13 +46,13 @@
 			Store: NewKVStore(12), Cloud: &Cloud{types: []wire.MachineType{DefaultType}},
 			jobs: map[string]*job{id: {spec: wire.Job{ID: id, Team: c.team, Kind: wire.KindArray, Tasks: 1, CPUs: 1}, asked: true, done: map[int]bool{0: true}, cancelled: time.Time{}}}}
 		for _, s := range c.steps {
-			r := heard{sent: w.clock, status: s.status, state: s.state}
+			r := userReply{sent: w.requestClock, status: s.status, state: s.state}
 			if s.early {
 				r.sent = 0
 			}
 			w.hear(s.what, id, r)
 		}
-		if got := strings.Join(w.broken, "; "); (got == "") != (c.want == "") || !strings.HasPrefix(got, c.want) {
+		if got := strings.Join(w.violations, "; "); (got == "") != (c.want == "") || !strings.HasPrefix(got, c.want) {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -16,7 +16,7 @@
 func (w *Cluster) request(method, addr, path string, v any, limit time.Duration) (int, []byte) {
 	ctx, cancel := context.WithTimeout(w.ctx, limit)
 	defer cancel()
-	status, body, err := call.Do(ctx, w.hc, method, "http://"+addr+path, v, 1<<20)
+	status, body, err := call.Do(ctx, w.httpClient, method, "http://"+addr+path, v, 1<<20)
 	if err != nil {
 		return 0, nil
 	}
@@ -81,7 +81,7 @@
 }
 
 // submit sends a job to a node once.
-func (w *Cluster) submit(addr string, j wire.Job) heard {
+func (w *Cluster) submit(addr string, j wire.Job) userReply {
 	w.mu.Lock()
 	if w.jobs[j.ID] == nil {
 		w.jobs[j.ID] = &job{spec: j, done: map[int]bool{}}
@@ -147,7 +147,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
-	for m := range w.here[task] {
+	for m := range w.tasksWithImage[task] {
 		out = append(out, m.name)
 	}
 	return out
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -44,7 +44,7 @@
 	})
 }
 
-// Job is the n-th job, changed as a story needs it.
+// Job is the n-th job, changed as a scenario needs it.
 func Job(n int, change func(j *wire.Job)) wire.Job {
 	j := wire.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "c", Team: "core", Kind: wire.KindArray,
 		Priority: wire.PriorityNormal, Tasks: 2, CPUs: 2, MemoryGB: 4, Image: "img-1", ImageGB: 1, EstimateS: 20}
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -30,7 +30,7 @@
 	if o.Sockets == 0 {
 		o.Sockets = fleetSockets
 	}
-	o.Gap, o.Lease = 4, 22
+	o.ReportIntervalS, o.LeaseS = 4, 22
 	scenario.Run(t, o, func(t *testing.T, w *fake.Cluster) {
 		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = o.Machines, 8, 400 }))
 		scenario.Eventually(time.Minute, time.Second, func() bool { return w.Started() == o.Machines })
--- a/routing/plan_test.go
+++ b/routing/plan_test.go
@@ -62,7 +62,7 @@
 		t.Skip("played without the race detector by .ci/run")
 	}
 	minutes := fleetMinutes()
-	o := fake.Options{Nodes: 7, Machines: fleetMachines, Capacity: fleetMachines + 100, Sockets: fleetSockets, Gap: 4, Lease: 22, Seed: 3,
+	o := fake.Options{Nodes: 7, Machines: fleetMachines, Capacity: fleetMachines + 100, Sockets: fleetSockets, ReportIntervalS: 4, LeaseS: 22, Seed: 3,
 		Teams: []config.Team{{Name: "core", CPUs: 400, CPUsMax: 5000}, {Name: "edge"}}}
 	scenario.Run(t, o, func(t *testing.T, w *fake.Cluster) {
 		rnd := rand.New(rand.NewPCG(3, 17))
--- a/snapshot/plan_test.go
+++ b/snapshot/plan_test.go
@@ -43,7 +43,7 @@
 		t.Errorf("found %v", found)
 	}
 	synctest.Test(t, func(t *testing.T) {
-		w := fake.New(fake.Options{Machines: 1, Outside: true})
+		w := fake.New(fake.Options{Machines: 1, ExternalNodes: true})
 		defer w.Close()
 		w.Store.Clear()
 		if _, err := snapshot.Restore(t.Context(), client(w), r.Header, all, 12); err != nil {
--- a/yarn/door_test.go
+++ b/yarn/door_test.go
@@ -315,7 +315,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			yarnWorld(t, fake.Options{Machines: 4, Gap: 5, Lease: 27}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
+			yarnWorld(t, fake.Options{Machines: 4, ReportIntervalS: 5, LeaseS: 27}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 				id, m := y.app()
 				defer m.Close()
 				m.Want(small(1), 5)
@@ -487,7 +487,7 @@
 		if len(m.Has()) == 0 {
 			t.Fatal("no container")
 		}
-		w.InterruptMachine(m.Has()[0].GetNodeId().GetHost(), 15*time.Second)
+		w.SendInterruptionNotice(m.Has()[0].GetNodeId().GetHost(), 15*time.Second)
 		if ends, warned = y.run(m, 12*time.Second); ends[yarn.ExitPreempted] == 0 || warned == 0 {
 			t.Errorf("ended %v, warned of %d, at a notice", ends, warned)
 		}
