--- /dev/null
+++ b/controller/job_events.go
@@ -0,0 +1,145 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"github.com/umberdeal/umberdeal/cluster"
+	"github.com/umberdeal/umberdeal/election"
+	"github.com/umberdeal/umberdeal/internal/call"
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// applyEvents takes changes of the active records in. Each once: a watch and a
+// barrier may bring the same. Where a page of jobs can't be read, ok is false and
+// nothing is taken in: its jobs would seem to be cancelled. The next leader mends
+// it before it leads.
+func (l *leadership) applyEvents(ev wire.Events) (ok bool) {
+	now := time.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	pages := map[string]cluster.AdmissionPage{} // as the last change left them
+	for _, e := range ev.Log {
+		if e.Version <= l.appliedRevision {
+			continue
+		}
+		if jobstore.IsJobPageKey(e.Put + e.Delete) {
+			if !l.applyIntakePage(pages, e) {
+				l.lease.Resign()
+				return false
+			}
+			continue
+		}
+		if e.Delete != "" {
+			if id, ok := jobstore.ParseJobKey(e.Delete); ok {
+				if j := l.model.Job(id); j != nil && !j.Finished && j.DoneTasks < len(j.Tasks) {
+					l.recentUserChanges = append(l.recentUserChanges, now, now)
+				}
+				l.model.RemoveJob(id, now)
+			}
+			continue
+		}
+		if id, ok := jobstore.ParseJobKey(e.Put); ok {
+			rec, err := jobstore.DecodeJob(id, e.Value)
+			if err != nil {
+				l.log.Error("unreadable job record", "key", e.Put, "err", err)
+				continue
+			}
+			l.model.PutJob(id, rec, e.Version, now)
+			l.recentUserChanges = append(l.recentUserChanges, now)
+		}
+	}
+	// Together, since a job may have moved from one to another.
+	l.model.PutAdmissionPages(slices.Collect(maps.Values(pages)), now)
+	l.appliedRevision = max(l.appliedRevision, ev.Revision)
+	wake(l.schedulerWake)
+	wake(l.committerWake)
+	return true
+}
+
+// applyIntakePage takes a change of a page of users' jobs in; false where it can't be read.
+func (l *leadership) applyIntakePage(pages map[string]cluster.AdmissionPage, e wire.Event) bool {
+	key := e.Put + e.Delete
+	pg := cluster.AdmissionPage{Key: key, Version: e.Version}
+	if e.Put != "" {
+		rec, err := jobstore.DecodeJobPage(e.Value)
+		if err != nil {
+			l.log.Error("unreadable page of jobs: the next leader mends it", "key", key, "err", err)
+			return false
+		}
+		pg.Record = rec
+	}
+	if pages[key].Version <= e.Version {
+		pages[key] = pg
+	}
+	if !l.model.WroteAdmissionPage(key, e.Version) {
+		l.recentUserChanges = append(l.recentUserChanges, time.Now())
+	}
+	return true
+}
+
+func (l *leadership) revision() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.appliedRevision
+}
+
+// barrier brings the model up to date.
+func (l *leadership) barrier(ctx context.Context) error {
+	select {
+	case l.barrierSlot <- struct{}{}:
+		defer func() { <-l.barrierSlot }()
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+	ev, err := l.node.kv.Watch(ctx, jobstore.JobPrefix, l.revision(), 0)
+	if err != nil {
+		return err
+	}
+	if !l.applyEvents(ev) {
+		return jobstore.ErrUnreadable
+	}
+	l.sendDirectStops(ctx)
+	return nil
+}
+
+// readBarrier implements election.Config.ReadBarrier: a leader counts as sure of its
+// id only with knowledge as fresh as the renewal, so that it tells no
+// worker to go on with a job that was cancelled long ago.
+func (n *Node) readBarrier(ctx context.Context, t *election.Lease) error {
+	l := n.activeLeadership()
+	if l == nil || l.lease != t {
+		return errors.New("not leading yet")
+	}
+	err := l.barrier(ctx)
+	if errors.Is(err, kvstore.ErrCompacted) {
+		t.Resign()
+	}
+	return err
+}
+
+// followJobs learns of submissions and cancellations as they are committed.
+func (l *leadership) followJobs(ctx context.Context) {
+	for ctx.Err() == nil {
+		ev, err := l.node.kv.Watch(ctx, jobstore.JobPrefix, l.revision(), 8*time.Second)
+		switch {
+		case errors.Is(err, kvstore.ErrCompacted):
+			l.log.Info("the watch fell behind; beginning anew")
+			l.lease.Resign()
+			return
+		case err != nil:
+			call.Pause(ctx, time.Duration(200+rand.IntN(300))*time.Millisecond)
+		default:
+			if !l.applyEvents(ev) {
+				return
+			}
+			l.sendDirectStops(ctx)
+		}
+	}
+}
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -54,16 +54,6 @@
 	}
 }
 
-// saveMachineTypes leaves the catalogue where nodes find it during an outage of the
-// cloud.
-func (l *leadership) saveMachineTypes(ctx context.Context) bool {
-	types := l.node.machineTypes()
-	if types == nil {
-		return false
-	}
-	return l.putOwnRecord(ctx, jobstore.MachineTypesKey, wire.Types{Types: types}) == nil
-}
-
 // scaleIn returns machines. Their names are committed first: between the look
 // last the lease and the cloud's act may lie a minute, in which another leader has
 // begun and placed tasks on them, unless it reads here that they go.
