--- a/admission/pollschedule.go
+++ b/admission/pollschedule.go
@@ -29,7 +29,7 @@
 	return ((place-time.Duration(now.UnixNano())%round)%round + round) % round
 }
 
-// LeaderKey orders polls, the smallest first; it is a Gate's.
+// Priority orders polls, the smallest first; it is a Gate's.
 func (t PollSchedule) Priority(id string, now time.Time) float64 {
 	key := t.UntilTurn(id, now).Seconds()
 	if t.Tier != nil {
@@ -39,7 +39,7 @@
 }
 
 // RetryAfterS is after how many seconds a poll that was shed is to come again: as its
-// result begins if that is near. The others spread, since those that were shed
+// turn begins if that is near. The others spread, since those that were shed
 // together would come together.
 func (t PollSchedule) RetryAfterS(id string, now time.Time) int {
 	if left := int(t.UntilTurn(id, now) / time.Second); left < pollIntervalS {
--- a/admission/pollschedule_test.go
+++ b/admission/pollschedule_test.go
@@ -62,7 +62,7 @@
 }
 
 // However many poll, and at whichever nodes, no job is left without an answer for
-// pending than a round and a poll; left to chance, some are.
+// more than a round and a poll; left to chance, some are.
 func TestEveryJobHasItsTurn(t *testing.T) {
 	turns := PollSchedule{Period: 45 * time.Second}
 	for _, times := range []int{2, 4} {
--- a/admission/tierlimiter_test.go
+++ b/admission/tierlimiter_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// ConnContext places for 80, a crowd of one tier leaves room for each of the others,
+// With places for 80, a crowd of one tier leaves room for each of the others,
 // whichever comes first, and what it was given comes back.
 func TestNoTierTakesAllPlaces(t *testing.T) {
 	for first := range 3 {
--- a/controller/health.go
+++ b/controller/health.go
@@ -22,7 +22,7 @@
 // operator who gave a wrong address, or whose service is out, is told so once.
 func (n *Node) monitorKV(ctx context.Context) {
 	served := true
-	// Total nodes' probes together are a twentieth of what the service takes.
+	// All nodes' probes together are a twentieth of what the service takes.
 	every := config.Seconds(max(1, float64(n.cfg.Cluster.Size)/(0.05*n.cfg.Cluster.State.RPS)))
 	for {
 		pctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
--- a/controller/heartbeat_forwarding.go
+++ b/controller/heartbeat_forwarding.go
@@ -45,7 +45,7 @@
 	return a
 }
 
-// Forward implements mesh.Handler: a report that another node received.
+// HandleHeartbeat implements mesh.Handler: a report that another node received.
 func (n *Node) HandleHeartbeat(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	if !n.isLeader() {
 		// Sent away, the worker would come back in a second, by way of another
--- a/controller/job_events.go
+++ b/controller/job_events.go
@@ -110,7 +110,7 @@
 }
 
 // readBarrier implements election.Config.ReadBarrier: a leader counts as sure of its
-// id only with knowledge as fresh as the renewal, so that it tells no
+// lease only with knowledge as fresh as the renewal, so that it tells no
 // worker to go on with a job that was cancelled long ago.
 func (n *Node) readBarrier(ctx context.Context, t *election.Lease) error {
 	l := n.activeLeadership()
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -449,7 +449,7 @@
 	})
 }
 
-// Total controllers are away for longer than workers' leases last, a placement of
+// All controllers are away for longer than workers' leases last, a placement of
 // theirs comes when they are back, and the workers' later sessions have nothing.
 func TestAllNodesAreAwayForLongerThanALease(t *testing.T) {
 	seeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -45,7 +45,7 @@
 }
 
 // concurrentHeartbeats is how many reports a leader works on at once: they take turns
-// last the model anyway, and those beyond wait in the order of their leases.
+// at the model anyway, and those beyond wait in the order of their leases.
 const concurrentHeartbeats = 4
 
 func wake(c chan struct{}) {
--- a/controller/node.go
+++ b/controller/node.go
@@ -98,7 +98,7 @@
 	pollRound = 45 * time.Second
 )
 
-// NewPlan makes a node.
+// New makes a node.
 func New(cfg *config.Settings, tuning config.Tuning, log *slog.Logger, nw Network) *Node {
 	sl := cfg.Cluster.State
 	n := &Node{
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -140,7 +140,7 @@
 }
 
 // serveHTTP serves one of the node's other HTTP doors, on an address of its own,
-// abstainUntil ctx ends; name is its setting's.
+// until ctx ends; name is its setting's.
 func (n *Node) serveHTTP(ctx context.Context, srv *http.Server, name, addr string, most int) error {
 	l, err := n.network.Listen("tcp", addr)
 	if err != nil {
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -31,7 +31,7 @@
 	maxRecoveredCopies = 16
 )
 
-// last names a record in one version of it.
+// at names a record in one version of it.
 type recordVersion struct {
 	key     string
 	version uint64
@@ -79,7 +79,7 @@
 	return n.jobs.RecoveryCopy(ctx, rec.key, rec.version)
 }
 
-// FetchRecoveredRecord implements mesh.Handler.
+// RecoverRecord implements mesh.Handler.
 func (n *Node) RecoverRecord(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	m := n.recoverLocally(ctx, recordVersion{r.ID, r.At}, recordVersion{r.Lost, r.LostAt})
 	if m == nil {
@@ -444,7 +444,7 @@
 }
 
 // resignForRepair ends this leadership so that the next one mends a record, unless that was
-// held vain before.
+// in vain before.
 func (l *leadership) resignForRepair(t recordVersion) bool {
 	l.node.mu.Lock()
 	if l.node.repairs.attempted == nil || len(l.node.repairs.attempted) >= 64*maxRecoveredCopies {
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -55,7 +55,7 @@
 }
 
 // scaleIn returns machines. Their names are committed first: between the look
-// last the lease and the cloud's act may lie a minute, in which another leader has
+// at the lease and the cloud's act may lie a minute, in which another leader has
 // begun and placed tasks on them, unless it reads here that they go.
 func (l *leadership) scaleIn(ctx context.Context, names []string) {
 	if err := l.putOwnRecord(ctx, jobstore.ScaleInKey, jobstore.ScaleInRecord{Machines: names}); err != nil {
--- a/controller/users.go
+++ b/controller/users.go
@@ -196,7 +196,7 @@
 	return peerrpc.Answer{}, false
 }
 
-// ForwardUserRequest implements mesh.Handler: it serves a request another node received.
+// HandleUserRequest implements mesh.Handler: it serves a request another node received.
 func (n *Node) HandleUserRequest(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	if n.kvReachable() {
 		if r.From != "" {
--- a/controller/warm_pools_measure_test.go
+++ b/controller/warm_pools_measure_test.go
@@ -174,7 +174,7 @@
 }
 
 // notesWritten counts the changes of the parts' records, by part, while a plan of
-// total of them holds on that many machines, half of them in pools.
+// all of them holds on that many machines, half of them in pools.
 func notesWritten(t *testing.T, machines int, during time.Duration) (by map[string]int) {
 	synctest.Test(t, func(t *testing.T) {
 		typ := fake.DefaultType
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -28,7 +28,7 @@
 	maxTrackedWorkers = 20000
 )
 
-// ConnFromContext a node's sockets: users' requests beyond a quarter are answered and
+// Of a node's sockets: users' requests beyond a quarter are answered and
 // closed, and a fifth is kept for the node's own calls.
 const (
 	userConnShare = 0.25
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -326,7 +326,7 @@
 }
 
 // LaunchWithoutLeader makes a worker launch a task behind the controllers' backs, for
-// scenarios that show that the checker sees it.
+// stories that show that the checker sees it.
 func (w *Cluster) LaunchWithoutLeader(name, task string) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
@@ -468,7 +468,7 @@
 	return w.expired
 }
 
-// UnansweredTransactions is how many living machines have had no answer since then.
+// Unanswered is how many living machines have had no answer since then.
 func (w *Cluster) Unanswered(since time.Time) int {
 	var all []*machine
 	for _, name := range w.Cloud.Machines() {
--- a/internal/fake/delayed_transactions.go
+++ b/internal/fake/delayed_transactions.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// rendezvousWeight says whether a transaction with so many changes is left without an answer, and
+// draw says whether a transaction with so many changes is left without an answer, and
 // how long after its request it is carried out.
 func (l *transactionDelays) draw(changes int) (by time.Duration, unanswered bool) {
 	if changes == 0 || l.late+l.lost == 0 {
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -562,7 +562,7 @@
 }
 
 // checkOrders sees to it that no leader places a task but on condition of the plan
-// held force: the condition held, since the transaction is being applied. What is no
+// in force: the condition held, since the transaction is being applied. What is no
 // leader's is a snapshot being imported.
 func (s *KVStore) checkOrders(t *txn) {
 	on := func(key string) bool {
--- a/internal/fake/partitions.go
+++ b/internal/fake/partitions.go
@@ -33,7 +33,7 @@
 }
 
 // IsolateZone cuts the controllers and the machines of a zone off from all that is not
-// held it, or ends that. Users, cloud and state service belong to no zone.
+// in it, or ends that. Users, cloud and state service belong to no zone.
 func (w *Cluster) IsolateZone(zone string, on bool) {
 	var in []string
 	out := []string{"state", "cloud", "user"}
--- a/jobstore/accept.go
+++ b/jobstore/accept.go
@@ -365,7 +365,7 @@
 
 // enqueue has a job committed together with those that wait as well; the lock is
 // held. The first one waits for nobody; those that come while a transaction is
-// inFlight way share the next.
+// under way share the next.
 func (r *Store) enqueue(bucket int, q *queue, e JobPageEntry, tier int) (*submission, error) {
 	if r.ctx == nil || r.ended {
 		return nil, fmt.Errorf("%w: shutting down", kvstore.ErrRefused)
@@ -437,7 +437,7 @@
 	return 1
 }
 
-// newBatchingConn takes what fits into a transaction off a queue, each id once: a repeat
+// gather takes what fits into a transaction off a queue, each id once: a repeat
 // of a submission waits for the next, and is told that it is known.
 func (r *Store) gather(bucket int, q *queue) []*submission {
 	var batch []*submission
--- a/jobstore/ending.go
+++ b/jobstore/ending.go
@@ -12,7 +12,7 @@
 // This file cancels jobs whose records share pages with others. Each cancellation
 // changes a page on condition that nobody else has: with one transaction for each,
 // beside submissions that change the same page all the time, some were refused for
-// limiter of a minute. So those that wait for a page share a transaction, and a
+// most of a minute. So those that wait for a page share a transaction, and a
 // bucket's writer commits them and the submissions in turn.
 
 // ending waits for its job to be ended.
--- a/jobstore/ends.go
+++ b/jobstore/ends.go
@@ -53,7 +53,7 @@
 	kick    chan struct{}
 }
 
-// closed reads a job's final record as of a moment after the call; found is false
+// end reads a job's final record as of a moment after the call; found is false
 // where there is none.
 func (r *Store) end(ctx context.Context, id string) (rec JobRecord, found bool, err error) {
 	a := &endAsk{ctx: ctx, id: id, done: make(chan endAnswer, 1)}
@@ -149,7 +149,7 @@
 }
 
 // readSpan reads so many keys from the first one's on, and answers everyone whose
-// priority is among them or would be.
+// key is among them or would be.
 func (r *Store) readSpan(ctx context.Context, asks []*endAsk, n int) {
 	rctx, cancel := context.WithTimeout(ctx, endWait)
 	defer cancel()
--- a/jobstore/intake_test.go
+++ b/jobstore/intake_test.go
@@ -273,7 +273,7 @@
 	})
 }
 
-// UntilTurn the form is raised every job has a key of its own, which the version
+// Until the form is raised every job has a key of its own, which the version
 // before reads; a node that has not heard of the new form does not write the old
 // one any more.
 func TestTheFormIsRaisedUnderANodeThatHasNotHeard(t *testing.T) {
--- a/jobstore/plan_test.go
+++ b/jobstore/plan_test.go
@@ -236,7 +236,7 @@
 	}
 }
 
-// ConnContext nothing readable left there is no plan to decide by, and that is said: it is
+// With nothing readable left there is no plan to decide by, and that is said: it is
 // not as if there had never been one.
 func TestAPlanOfWhichNothingIsLeftIsNotNoPlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/jobstore/reader.go
+++ b/jobstore/reader.go
@@ -399,7 +399,7 @@
 
 // view is what the active records say of a job. unsure says that it may be over
 // for all that, or not found and yet accepted: a page that it stands on, or may
-// campaign on, can't be read.
+// stand on, can't be read.
 func (r *Store) view(id string) (v JobStatus, found, unsure bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/jobstore/reserve.go
+++ b/jobstore/reserve.go
@@ -292,7 +292,7 @@
 }
 
 // UpdateReservation changes a reserved job's marks, together with more puts; it fails with a
-// ConflictError where the job has changed since it was read.
+// Conflict where the job has changed since it was read.
 func (r *Store) UpdateReservation(ctx context.Context, v *ReservedJob, change func(*Reservation), more ...wire.Op) error {
 	if v.Version == 0 || v.Record.Reservation == nil {
 		return fmt.Errorf("%w: job %s is over", kvstore.ErrInvalidRequest, v.ID)
--- a/jobstore/store_test.go
+++ b/jobstore/store_test.go
@@ -216,7 +216,7 @@
 	}
 }
 
-// setRate writes a key as nobody else would.
+// set writes a key as nobody else would.
 func (s *store) set(key string, v wire.Raw) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/peerrpc/mesh.go
+++ b/peerrpc/mesh.go
@@ -66,7 +66,7 @@
 	rep chan struct{} // reports under way
 }
 
-// ErrRateLimited says that too much is under way already.
+// ErrOverloaded says that too much is under way already.
 var ErrOverloaded = errors.New("busy")
 
 // serve runs a request of another node, as long as not too many are under way.
@@ -83,17 +83,17 @@
 	return nil
 }
 
-// Forward handles a worker's report that another node received.
+// Report handles a worker's report that another node received.
 func (m *Mesh) Report(r Request, a *Answer) error {
 	return m.serve(m.rep, func(ctx context.Context) { *a = m.h.HandleHeartbeat(ctx, r) })
 }
 
-// ForwardUserRequest handles a user's request that another node could not serve.
+// User handles a user's request that another node could not serve.
 func (m *Mesh) User(r Request, a *Answer) error {
 	return m.serve(m.sem, func(ctx context.Context) { *a = m.h.HandleUserRequest(ctx, r) })
 }
 
-// FetchRecoveredRecord says what this node remembers of a record that can't be read any more: 200
+// Recall says what this node remembers of a record that can't be read any more: 200
 // with a jobstore.RecoveryCopy, or 404.
 func (m *Mesh) Recall(r Request, a *Answer) error {
 	return m.serve(m.sem, func(ctx context.Context) { *a = m.h.RecoverRecord(ctx, r) })
@@ -193,7 +193,7 @@
 	return &Peer{Name: name, addr: addr, dial: dial, dialing: make(chan struct{}, 1), sending: make(chan struct{}, 1)}
 }
 
-// counts returns the connection there is, if any, and whether one may be dialled.
+// existing returns the connection there is, if any, and whether one may be dialled.
 func (p *Peer) existing() (*rpc.Client, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/peerrpc/stream_test.go
+++ b/peerrpc/stream_test.go
@@ -136,7 +136,7 @@
 }
 
 // What is not reached is not tried by each of a thousand workers, and what is
-// inFlight way is bounded.
+// under way is bounded.
 func TestALaneIsBounded(t *testing.T) {
 	lane(t, func(t *testing.T, l *HeartbeatStream, f *far) {
 		wait := make(chan struct{})
--- a/routing/routing.go
+++ b/routing/routing.go
@@ -1,7 +1,7 @@
 // Package routing decides at which controller node each worker reports. One
 // node leads, but need not hold a connection of every worker: the others pass
 // reports on to it. The package is pure: same plan, same answer; the time comes
-// held as durations.
+// in as durations.
 package routing
 
 import (
--- a/yarn/door.go
+++ b/yarn/door.go
@@ -60,7 +60,7 @@
 	MemGB float64 `json:"mem_gb"`
 }
 
-// ConnLimiter serves YARN's protocols at one node.
+// Door serves YARN's protocols at one node.
 type Door struct {
 	s     *Settings
 	store Store
@@ -80,7 +80,7 @@
 	badSince time.Time
 }
 
-// NewPlan makes a door. ops and valueBytes are the state service's limits.
+// New makes a door. ops and valueBytes are the state service's limits.
 func New(s *Settings, store Store, led JobStore, core Core, log *slog.Logger, ops, valueBytes int) *Door {
 	return &Door{s: s, store: store, led: led, core: core, log: log, ops: max(ops, 3), value: valueBytes, sessions: map[string]*session{}}
 }
@@ -316,7 +316,7 @@
 	return err
 }
 
-// closed marks an application as ending, and then ends it as far as can be done
+// end marks an application as ending, and then ends it as far as can be done
 // now; the leader's duty does the rest. It returns once the mark is committed.
 func (d *Door) end(ctx context.Context, id *pb.ApplicationIdProto, how string, change func(a *app)) error {
 	var a *app
--- a/yarn/master.go
+++ b/yarn/master.go
@@ -346,7 +346,7 @@
 		return nil, err
 	}
 	// A master that heartbeats has the newest key's token well before its own
-	// priority is dropped.
+	// key is dropped.
 	if s.response == 0 || s.response%64 == 0 {
 		out.AmRmToken, err = k.issue(token{kind: tokMaster, stamp: a.Stamp, num: a.Num, attempt: a.Attempt}, kindMaster, d.s.Advertise)
 	}
