--- a/docs/analysis/bound.py
+++ b/docs/analysis/bound.py
@@ -34,6 +34,8 @@
 
 STEP = 5.0
 FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
+# Messages that had another name in logs of earlier versions.
+RENAMED = {'job': 'job accepted', 'job runs': 'job started', 'job done': 'job completed', 'running': 'task started'}
 LINE = re.compile(r'\s*([\d.]+) (\S+) time=(\S+) level=\S+ (.*)')
 
 
@@ -45,7 +47,9 @@
     for line in open(path, errors='replace'):
         m = LINE.match(line)
         if m:
-            yield float(m[1]), stamp(m[3]), {k: v.strip('"') for k, v in FIELD.findall(m[4])}
+            fields = {k: v.strip('"') for k, v in FIELD.findall(m[4])}
+            fields['msg'] = RENAMED.get(fields.get('msg'), fields.get('msg'))
+            yield float(m[1]), stamp(m[3]), fields
 
 
 def exits(path):
@@ -68,11 +72,11 @@
         for t, wall, f in lines(log):
             self.end = max(self.end, t)
             msg = f.get('msg')
-            if msg == 'job' and f['class'] not in self.classes:
+            if msg == 'job accepted' and f['class'] not in self.classes:
                 continue  # a guest's: the bound is what could be had without guests
-            if msg in ('job done', 'job runs') and f['id'] not in self.jobs:
+            if msg in ('job completed', 'job started') and f['id'] not in self.jobs:
                 continue
-            if msg == 'job' and f['id'] not in self.jobs:
+            if msg == 'job accepted' and f['id'] not in self.jobs:
                 late = wall - stamp(f['at'])
                 self.jobs[f['id']] = dict(
                     id=f['id'], cls=f['class'], team=f['team'], n=int(f['tasks']), cpus=float(f['cpus']), gpus=float(f['gpus']),
@@ -82,14 +86,14 @@
                 self.jobs[f['id']]['cancelled'] = True
             elif msg == 'launch':
                 launched[f['task'], f['attempt']] = t
-            elif msg == 'running' and (f['task'], f['attempt']) in launched:
+            elif msg == 'task started' and (f['task'], f['attempt']) in launched:
                 j = self.jobs.get(f['task'].split('/')[0])
                 if j:
                     took = t - launched[f['task'], f['attempt']]
                     self.image[j['cls']] = min(took, self.image.get(j['cls'], took))
-            elif msg == 'job done':
+            elif msg == 'job completed':
                 self.jobs[f['id']]['done'] = t
-            elif msg == 'job runs':
+            elif msg == 'job started':
                 self.jobs[f['id']].setdefault('start', t)
             elif msg in ('rented', 'machine up', 'machine listed'):
                 kinds.setdefault(f['machine'], (f['type'], f['spot'] == 'true'))
--- a/docs/analysis/split.py
+++ b/docs/analysis/split.py
@@ -15,7 +15,11 @@
 
 FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
 LINE = re.compile(r'\s*([\d.]+) (\S+) time=(\S+) level=\S+ (.*)')
-ACTS = {'placed', 'launch', 'running', 'exited', 'job', 'job runs', 'job done', "job's tasks done", 'stopping', 'rental refused'}
+# Messages that had another name in logs of earlier versions.
+RENAMED = {'job': 'job accepted', 'job runs': 'job started', 'job done': 'job completed', "job's tasks done": 'job tasks completed',
+           'running': 'task started'}
+ACTS = {'placed', 'launch', 'task started', 'exited', 'job accepted', 'job started', 'job completed', 'job tasks completed', 'stopping',
+        'rental refused'}
 
 
 def stamp(text):
@@ -33,27 +37,27 @@
         if not m:
             continue
         t, f = float(m[1]), {k: v.strip('"') for k, v in FIELD.findall(m[4])}
-        msg = f.get('msg')
+        msg = RENAMED.get(f.get('msg'), f.get('msg'))
         if msg == 'elected':
             gaps.append((last, t))
         if msg in ACTS:
             last = t
-        if msg == 'job' and f['id'] not in jobs:
+        if msg == 'job accepted' and f['id'] not in jobs:
             late = stamp(m[3]) - stamp(f['at'])
             jobs[f['id']] = dict(cls=f['class'], at=t - late if 0 <= late < 90 else t, n=int(f['tasks']), deadline=float(f['deadline']))
         elif msg == 'job cancelled':
             jobs.pop(f['id'], None)
-        elif msg in ('job runs', 'job done', "job's tasks done") and f['id'] in jobs:
+        elif msg in ('job started', 'job completed', 'job tasks completed') and f['id'] in jobs:
             jobs[f['id']].setdefault(msg, t)
         elif msg in ('placed', 'task lost', 'recalled'):
             events[f['job'] + '/' + f['task']].append((t, msg, f))
-        elif msg in ('launch', 'running', 'exited'):
+        elif msg in ('launch', 'task started', 'exited'):
             events[f['task']].append((t, msg, f))
     total, late, counted = defaultdict(float), 0, 0
     for jid, j in jobs.items():
         if j['cls'] != cls:
             continue
-        end = j.get('job runs' if kind == 'wait' else "job's tasks done")
+        end = j.get('job started' if kind == 'wait' else 'job tasks completed')
         most = j['deadline'] * limit if kind == 'deadline' else limit
         if end is None:
             continue
@@ -63,7 +67,7 @@
         late += 1
 
         def lastof(i):
-            return max((t for t, msg, _ in events[f'{jid}/{i}'] if t <= end and msg in ('running', 'exited')), default=0)
+            return max((t for t, msg, _ in events[f'{jid}/{i}'] if t <= end and msg in ('task started', 'exited')), default=0)
 
         slowest = f'{jid}/{max(range(j["n"]), key=lastof)}'
         state, since = 'room', j['at']
@@ -80,7 +84,7 @@
         for t, msg, f in sorted(events[slowest], key=lambda e: e[0]):
             if t > end:
                 break
-            if msg == 'running' and state == 'run':
+            if msg == 'task started' and state == 'run':
                 continue
             kept = msg == 'exited' and (f['why'] == 'done' or f['saved'] == 'true')
             close(t, None if state != 'run' or kept else 'repeated work')
