--- a/docs/analysis/split.py
+++ b/docs/analysis/split.py
@@ -88,7 +88,7 @@
                 continue
             kept = msg == 'exited' and (f['why'] == 'done' or f['saved'] == 'true')
             close(t, None if state != 'run' or kept else 'repeated work')
-            state = {'placed': 'record and report', 'launch': 'image', 'running': 'run', 'recalled': 'room',
+            state = {'placed': 'record and report', 'launch': 'image', 'task started': 'run', 'recalled': 'room',
                      'exited': 'room', 'task lost': 'room'}[msg]
         close(end)
     print(f'{cls} {kind} {limit:g}: {late} late of {counted}')
