--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -9,8 +9,8 @@
 
 // This file is about jobs whose records share pages (jobstore.JobPage).
 
-// intake is such a page.
-type intake struct {
+// admissionPage is such a page.
+type admissionPage struct {
 	key     string
 	version uint64
 	rec     jobstore.JobPage
@@ -30,19 +30,19 @@
 func (m *Model) PutAdmissionPages(pages []AdmissionPage, now time.Time) {
 	type gone struct {
 		id   string
-		from *intake
+		from *admissionPage
 	}
 	var may []gone
 	for i := range pages {
 		pg := &pages[i]
-		p := m.intakes[pg.Key]
+		p := m.admissionPages[pg.Key]
 		if p == nil {
-			p = &intake{key: pg.Key}
-			m.intakes[pg.Key] = p
+			p = &admissionPage{key: pg.Key}
+			m.admissionPages[pg.Key] = p
 		}
 		if pg.Version <= p.version {
 			if pg.Version == p.version && len(p.rec.Entries) == 0 && !jobstore.IsHeadPageKey(p.key) {
-				delete(m.intakes, p.key) // as this leader has written it
+				delete(m.admissionPages, p.key) // as this leader has written it
 			}
 			continue
 		}
@@ -51,14 +51,14 @@
 		}
 		p.version, p.rec, p.size = pg.Version, pg.Record, pg.Record.Size()
 		for _, e := range p.rec.Entries {
-			m.putOnPage(p, e, now)
+			m.applyAdmissionEntry(p, e, now)
 		}
 		if len(p.rec.Entries) == 0 && !jobstore.IsHeadPageKey(p.key) {
-			delete(m.intakes, p.key) // it never comes back
+			delete(m.admissionPages, p.key) // it never comes back
 		}
 	}
 	for _, g := range may {
-		if j := m.Job(g.id); j != nil && j.home == g.from && !g.from.has(g.id) {
+		if j := m.Job(g.id); j != nil && j.admissionPage == g.from && !g.from.has(g.id) {
 			m.RemoveJob(g.id, now)
 		}
 	}
@@ -66,11 +66,11 @@
 
 // WroteAdmissionPage says whether that change of a page is one of this leader's own.
 func (m *Model) WroteAdmissionPage(key string, version uint64) bool {
-	p := m.intakes[key]
+	p := m.admissionPages[key]
 	return p != nil && p.version == version
 }
 
-func (p *intake) has(id string) bool {
+func (p *admissionPage) has(id string) bool {
 	for i := range p.rec.Entries {
 		if p.rec.Entries[i].ID == id {
 			return true
@@ -79,8 +79,8 @@
 	return false
 }
 
-// putOnPage takes in that a job stands on a page.
-func (m *Model) putOnPage(p *intake, e jobstore.JobPageEntry, now time.Time) {
+// applyAdmissionEntry takes in that a job stands on a page.
+func (m *Model) applyAdmissionEntry(p *admissionPage, e jobstore.JobPageEntry, now time.Time) {
 	j := m.Job(e.ID)
 	if j == nil {
 		rec, err := e.Decode()
@@ -91,29 +91,29 @@
 		m.PutJob(e.ID, rec, p.version, now)
 		j = m.Job(e.ID)
 	}
-	j.home, j.Version = p, p.version
+	j.admissionPage, j.Version = p, p.version
 }
 
-// leaving is a page that a batch takes jobs from.
-type leaving struct {
+// admissionRemoval is a page that a batch takes jobs from.
+type admissionRemoval struct {
 	op      int // which of the batch's
 	version uint64
 	ids     map[string]bool
 }
 
-// leave takes a job from its page, if the page fits into the batch.
-func (b *WriteBatch) leave(j *Job) bool {
-	p := j.home
-	l := b.leaves[p]
+// removeFromAdmissionPage takes a job from its page, if the page fits into the batch.
+func (b *WriteBatch) removeFromAdmissionPage(j *Job) bool {
+	p := j.admissionPage
+	l := b.admissionRemovals[p]
 	if l == nil {
-		if len(b.Ops) > 0 && b.bytes+p.size > maxBytes {
+		if len(b.Ops) > 0 && b.bytes+p.size > maxBatchBytes {
 			return false
 		}
-		l = &leaving{op: len(b.Ops), version: p.version, ids: map[string]bool{}}
-		if b.leaves == nil {
-			b.leaves = map[*intake]*leaving{}
+		l = &admissionRemoval{op: len(b.Ops), version: p.version, ids: map[string]bool{}}
+		if b.admissionRemovals == nil {
+			b.admissionRemovals = map[*admissionPage]*admissionRemoval{}
 		}
-		b.leaves[p] = l
+		b.admissionRemovals[p] = l
 		b.Guards = append(b.Guards, wire.Guard{Key: p.key, Version: p.version})
 		b.Ops = append(b.Ops, wire.Op{Put: p.key})
 		b.bytes += p.size
@@ -122,16 +122,16 @@
 	return true
 }
 
-// emptied fills in what is left of the pages that the batch takes jobs from.
-func (b *WriteBatch) emptied() {
-	for p, l := range b.leaves {
+// fillAdmissionRemovals fills in what is left of the pages that the batch takes jobs from.
+func (b *WriteBatch) fillAdmissionRemovals() {
+	for p, l := range b.admissionRemovals {
 		rec := p.rec.Without(l.ids)
 		op := wire.Op{Put: p.key, Value: rec}
 		if len(rec.Entries) == 0 && !jobstore.IsHeadPageKey(p.key) {
 			op = wire.Op{Delete: p.key}
 		}
 		b.Ops[l.op] = op
-		b.after = append(b.after, func(rev uint64, _ time.Time) {
+		b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) {
 			if p.version == l.version { // else the watch was first
 				p.version, p.rec, p.size = rev, rec, rec.Size()
 			}
@@ -139,11 +139,11 @@
 	}
 }
 
-// current says whether what the model has of a job's record is what the store
+// isCurrent says whether what the model has of a job's record is what the store
 // has.
-func (j *Job) current(ref DigestBase) bool {
-	if j.home != nil {
-		return j.home.version == ref.Version(j.home.key)
+func (j *Job) isCurrent(ref DigestBase) bool {
+	if j.admissionPage != nil {
+		return j.admissionPage.version == ref.Version(j.admissionPage.key)
 	}
 	return j.Version == ref.Version(jobstore.JobKey(j.ID))
 }
--- a/cluster/ahead.go
+++ b/cluster/ahead.go
@@ -23,9 +23,9 @@
 }
 
 const (
-	aheadFor  = 3 * expectEvery            // a decision holds that long if there is no other
-	aheadEasy = 2*expectEvery + refusedFor // for a forecast that comes late, and a refusal
-	aheadMost = rentAtOnce                 // machines wanted at a time
+	aheadFor  = 3 * expectEvery                  // a decision holds that long if there is no other
+	aheadEasy = 2*expectEvery + offerRefusalTime // for a forecast that comes late, and a refusal
+	aheadMost = maxScaleOut                      // machines wanted at a time
 )
 
 // wantAhead decides what is rented for the nights, and says what of it is to be told
@@ -67,8 +67,8 @@
 // been heard of: workers come back within their lease, and what an earlier leader
 // rented shows in the cloud's list by then.
 func (m *Model) aheadQuiet() time.Duration {
-	w := m.cfg.Cluster.Workers
-	return max(config.Seconds(w.LeaseS), config.Seconds(2*m.cfg.Cluster.Cloud.ListLagS+10)) + config.Seconds(w.ReportS)
+	w := m.settings.Cluster.Workers
+	return max(config.Seconds(w.LeaseS), config.Seconds(2*m.settings.Cluster.Cloud.ListLagS+10)) + config.Seconds(w.ReportS)
 }
 
 // bootFor is how long the machine that would be rented for a job takes to be up, by
@@ -86,7 +86,7 @@
 		}
 		if per == 0 || c < least {
 			least, per = c, fit(j.Need, t.Capacity)
-			boot = time.Duration(float64(t.BootTime)*t.boots.expect()) + config.Seconds(m.cfg.Cluster.Workers.ReportS)
+			boot = time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()) + config.Seconds(m.settings.Cluster.Workers.ReportS)
 		}
 	}
 	return boot, per
@@ -121,7 +121,7 @@
 // after all that waits.
 func (m *Model) aheadRequest(now time.Time) (placement.Request, bool) {
 	a := &m.nights.ahead
-	if a.job == nil || now.Sub(a.at) > aheadFor || m.settling(now) {
+	if a.job == nil || now.Sub(a.at) > aheadFor || m.recoveringFromStall(now) {
 		return placement.Request{}, false
 	}
 	n := a.places - m.placesToCome(a.job, now)
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -44,7 +44,7 @@
 // arrays of lower priority with a deadline.
 func crowded(machines, jobs int) *Model {
 	m := newModel(5)
-	m.cfg.Cluster.Objectives = []config.Objective{
+	m.settings.Cluster.Objectives = []config.Objective{
 		{Kind: "wait", Class: "gangs", WithinS: 50}, {Kind: "finished", Class: "gangs", WithinS: 300},
 		{Kind: "deadline", Class: "arrays", Times: 1}, {Kind: "deadline", Class: "arrays", Times: 1.5}}
 	for i := range machines {
@@ -79,7 +79,7 @@
 	tiers.Order.Tiers = []priority.Tier{{Name: "first", Classes: []string{"gangs"}}, {Name: "second", Classes: []string{"arrays"}, Share: 0.2, LongestWaitS: 60}}
 	for i := range 3 {
 		held.Pools = append(held.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), WeightsGB: 20, Types: []string{m.MachineTypes[0].Name}, Zones: m.Zones,
-			MinMachines: machines / 15, MaxMachines: machines / 15, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
+			MinMachines: machines / 15, MaxMachines: machines / 15, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1e9, Payer: m.settings.Cluster.Teams[0].Name})
 	}
 	return map[string]*plan.Plan{"none": nil, "calendar": night, "order": tiers, "pools": held,
 		"all": {Calendar: night.Calendar, Order: tiers.Order, Pools: held.Pools}}
@@ -107,12 +107,12 @@
 	for b := m.PlanRecordBatch(12); b != nil; b = m.PlanRecordBatch(12) {
 		b.OnCommit(uint64(s*100), now)
 	}
-	for _, ref := range m.fresh {
+	for _, ref := range m.awaitingLaunch {
 		if p := m.Jobs[ref.Job].Tasks[ref.Task].Placement; p != nil {
-			p.LaunchSent, p.ReportedState, p.RunningSince = true, seenRunning, now
+			p.LaunchSent, p.ReportedState, p.RunningSince = true, reportedRunning, now
 		}
 	}
-	m.fresh = m.fresh[:0]
+	m.awaitingLaunch = m.awaitingLaunch[:0]
 }
 
 // threadTime is the processor time that this thread has taken, in all: unlike the
--- a/cluster/bound.go
+++ b/cluster/bound.go
@@ -136,7 +136,7 @@
 	if math.IsInf(fetch, 1) {
 		fetch = 0
 	}
-	must = j.AcceptedAt.Add(m.StarvationBound - config.Seconds(fetch+m.spreadOf(j).delay()))
+	must = j.AcceptedAt.Add(m.StarvationBound - config.Seconds(fetch+m.startupAndSpreadOf(j).startDelay()))
 	should = must.Add(-boundGuard)
 	if m.amongLargest(j) {
 		should = should.Add(-time.Duration(largestEarlier * float64(m.StarvationBound)))
--- a/cluster/bound_test.go
+++ b/cluster/bound_test.go
@@ -157,7 +157,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := beganBy(t, "wk-000001", func(bound time.Duration) *shop {
 				s := newShop(t, c.machines, bound)
-				s.m.cfg.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
+				s.m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
 				s.comes = crowd(s, c.every, nil)
 				s.run(0, 1)
 				s.put("wk-000001", 1, c.tasks, c.with)
@@ -183,14 +183,14 @@
 	beganBy(t, "wk-000001", func(bound time.Duration) *shop {
 		s := newShop(t, 2, bound)
 		aims := []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
-		s.m.cfg.Cluster.Objectives = aims
+		s.m.settings.Cluster.Objectives = aims
 		s.comes = crowd(s, 8, nil)
 		s.run(0, 1)
 		s.put("wk-000001", 1, 30, func(j *wire.Job) { d := 100.0; j.DeadlineS = &d })
 		s.run(1, 100)
 		old := s.m
 		s.m = newModel(6)
-		s.m.ElectedAt, s.m.StarvationBound, s.m.cfg.Cluster.Objectives = at(100), bound, aims
+		s.m.ElectedAt, s.m.StarvationBound, s.m.settings.Cluster.Objectives = at(100), bound, aims
 		var page jobstore.PlacementPage
 		for _, j := range old.Jobs {
 			if j == nil || j.Finished || j.DoneTasks == len(j.Tasks) {
@@ -200,7 +200,7 @@
 			c := jobstore.PlacementChunk{Job: j.ID, MaxAttempt: j.LastAttempt}
 			for i := range j.Tasks {
 				if p := j.Tasks[i].Placement; p != nil {
-					c.Placements = append(c.Placements, jobstore.Placement{Task: i, Attempt: p.Attempt, Machine: p.name})
+					c.Placements = append(c.Placements, jobstore.Placement{Task: i, Attempt: p.Attempt, Machine: p.machineName})
 				}
 			}
 			page.Chunks = append(page.Chunks, c)
@@ -227,7 +227,7 @@
 		for ti := range s.m.MachineTypes {
 			for z := range s.m.Zones {
 				for _, spot := range []bool{false, true} {
-					s.m.refused[offerKey{ti, z, spot}] = at(1000)
+					s.m.refusedOffers[offerKey{ti, z, spot}] = at(1000)
 				}
 			}
 		}
@@ -259,7 +259,7 @@
 		play := func(bound time.Duration) (out []string) {
 			rnd := rand.New(rand.NewPCG(seed, 3))
 			s := newShop(t, 4, bound)
-			s.m.cfg.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "wait", Class: "gangs", WithinS: 50}}
+			s.m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "wait", Class: "gangs", WithinS: 50}}
 			s.comes = func(now float64) {
 				if rnd.IntN(4) == 0 {
 					s.put(fmt.Sprintf("wk-1%05d", int(now)), now, 1+rnd.IntN(12), func(j *wire.Job) {
@@ -282,7 +282,7 @@
 				fmt.Fprint(&b, j.ID, j.LastAttempt, j.DoneTasks, j.FirstRunAt)
 				for i := range j.Tasks {
 					if p := j.Tasks[i].Placement; p != nil {
-						fmt.Fprint(&b, " ", i, p.name, p.PlacedAt)
+						fmt.Fprint(&b, " ", i, p.machineName, p.PlacedAt)
 					}
 				}
 				out = append(out, b.String())
@@ -300,7 +300,7 @@
 func TestHalfOfATeamsJobsAreDoneWhateverComes(t *testing.T) {
 	story := func(bound time.Duration) (done, all int) {
 		s := newShop(t, 4, bound)
-		s.m.cfg.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
+		s.m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
 		small := crowd(s, 4, nil)
 		s.comes = func(now float64) {
 			small(now)
--- a/cluster/classes.go
+++ b/cluster/classes.go
@@ -19,8 +19,8 @@
 	seen    time.Time
 	recent  []time.Time // arrivals of the last two minutes
 	waits   bool        // an aim speaks of how soon its jobs start
-	runs    estimator
-	spread  spread
+	runs    runTimeEstimator
+	spread  durationSpread
 	sizes   []int // tasks of the last jobs, the oldest at sized0 once there are enough
 	sized0  int
 	large   int // from how many tasks on a job is among the largest; 0: not worked out
@@ -50,13 +50,13 @@
 			return
 		}
 		c = &class{}
-		for _, o := range m.cfg.Cluster.Objectives {
+		for _, o := range m.settings.Cluster.Objectives {
 			c.waits = c.waits || o.Kind == "wait" && o.Class == j.Spec.Class
 		}
 		m.classes[j.Spec.Class] = c
 	}
 	c.spec, c.seen = j, now
-	c.runs.came(j.Spec.EstimateS)
+	c.runs.addEstimate(j.Spec.EstimateS)
 	c.sized(len(j.Tasks))
 	if now.Sub(j.AcceptedAt) < recentFor && len(c.recent) < 1000 {
 		c.recent = append(c.recent, j.AcceptedAt)
@@ -122,7 +122,7 @@
 
 // thrifty says whether the deployment has an aim on what it pays.
 func (m *Model) thrifty() bool {
-	for _, o := range m.cfg.Cluster.Objectives {
+	for _, o := range m.settings.Cluster.Objectives {
 		if o.Kind == "price" || o.Kind == "cost" {
 			return true
 		}
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -17,9 +17,9 @@
 	LastMessage(machine string) (session, seq uint64)
 }
 
-// longAgo is an age, in seconds, beyond which the exact one bears on nothing:
+// maxDigestAge is an age, in seconds, beyond which the exact one bears on nothing:
 // leases and the quiet after which a machine gets no tasks are shorter.
-const longAgo = 60
+const maxDigestAge = 60
 
 // Digest writes what bears on which commands and records the model will hand
 // out, so that two models with the same digest allow the same. Times are given
@@ -31,7 +31,7 @@
 		if t.IsZero() {
 			return -1
 		}
-		return int(min(now.Sub(t).Seconds(), longAgo))
+		return int(min(now.Sub(t).Seconds(), maxDigestAge))
 	}
 	behind := func(name string, session, seq uint64) string {
 		s, q := ref.LastMessage(name)
@@ -43,30 +43,30 @@
 	fmt.Fprintf(w, "t%d;%d|", m.FencingToken, age(m.ElectedAt))
 	for _, mc := range m.Machines {
 		fmt.Fprintf(w, "M%s,%t,%t,%t,%t,%s,%d,%d,%d,%g", mc.Name, mc.Up, mc.TokenShown, mc.Gone, mc.ScalingIn,
-			behind(mc.Name, mc.AgentEpoch, mc.Seq), age(mc.LastAnswered), age(mc.LastSeen), age(mc.InterruptionAt), mc.orphans.CPU)
-		names := make([]string, 0, len(mc.exits))
-		for k, e := range mc.exits {
+			behind(mc.Name, mc.AgentEpoch, mc.Seq), age(mc.LastAnswered), age(mc.LastSeen), age(mc.InterruptionAt), mc.orphaned.CPU)
+		names := make([]string, 0, len(mc.reportedExits))
+		for k, e := range mc.reportedExits {
 			committed := true
 			if j := m.Jobs[e.job]; j != nil {
-				committed = j.Chunks[e.chunk].CommittedGen >= e.gen
+				committed = j.Chunks[e.chunk].CommittedGen >= e.generation
 			}
 			names = append(names, fmt.Sprintf("e%s.%d,%t", k.name, k.attempt, committed))
 		}
-		h := &mc.hearing
-		for _, k := range append(h.forget, h.probe) {
+		h := &mc.reachability
+		for _, k := range append(h.pendingForgets, h.pendingProbe) {
 			names = append(names, fmt.Sprintf("f%s.%d", k.name, k.attempt))
 		}
 		slices.Sort(names)
-		fmt.Fprint(w, names, h.told, (number{mc.AgentEpoch, mc.Seq}) == h.twice, h.shown, mc.deaf(), m.showing(mc, now), m.mute(mc, now), "|")
+		fmt.Fprint(w, names, h.answerPending, (heartbeatID{mc.AgentEpoch, mc.Seq}) == h.answeredTwice, h.tokenEverShown, mc.unreachable(), m.mayProveReachable(mc, now), m.unreachableTooLong(mc, now), "|")
 	}
 	for _, j := range m.Jobs {
 		if j == nil {
 			continue
 		}
 		fmt.Fprintf(w, "J%s,%d,%t,%t,%t,%t,%t,%t,%t", j.ID, j.LastAttempt, j.Cancelled, j.Finished, j.GangStarted, j.GangEnding, j.dirty,
-			now.Before(j.NotBefore), j.current(ref))
+			now.Before(j.NotBefore), j.isCurrent(ref))
 		for _, mc := range m.Machines {
-			if until, ok := j.avoid[mc.Index]; ok && now.Before(until) {
+			if until, ok := j.avoidUntil[mc.Index]; ok && now.Before(until) {
 				fmt.Fprintf(w, "a%s%d", mc.Name, age(until))
 			}
 		}
@@ -74,9 +74,9 @@
 			t := &j.Tasks[i]
 			fmt.Fprintf(w, "T%d,%d,%t", t.Phase, t.Outcome, now.UnixMilli() < t.NotBefore)
 			if p := t.Placement; p != nil {
-				fmt.Fprintf(w, "g%tP%s,%d,%t,%t,%d,%t,%s", j.Chunks[i/jobstore.ChunkSize].CommittedGen >= p.gen, p.name, p.Attempt, p.Inherited, p.LaunchSent, p.ReportedState, now.Sub(p.WokenAt) < summonAgain,
-					behind(p.name, p.LaunchEpoch, p.LaunchSeq))
-				if p.LaunchSeq > 0 && (number{p.LaunchEpoch, p.LaunchSeq}) == m.Machines[p.Machine].hearing.twice {
+				fmt.Fprintf(w, "g%tP%s,%d,%t,%t,%d,%t,%s", j.Chunks[i/jobstore.ChunkSize].CommittedGen >= p.chunkGeneration, p.machineName, p.Attempt, p.Inherited, p.LaunchSent, p.ReportedState, now.Sub(p.WokenAt) < wakeUpRetry,
+					behind(p.machineName, p.LaunchEpoch, p.LaunchSeq))
+				if p.LaunchSeq > 0 && (heartbeatID{p.LaunchEpoch, p.LaunchSeq}) == m.Machines[p.Machine].reachability.answeredTwice {
 					fmt.Fprint(w, "2")
 				}
 				if p.StopHeld {
@@ -94,7 +94,7 @@
 	}
 	for _, p := range m.pages {
 		// A page that was never written may be, once what is in the store is deleted.
-		fmt.Fprintf(w, "|p%d,%t,%t,%t", p.n, p.version == ref.Version(jobstore.PlacementPageKey(p.n)), p.version == 0, p.gen == p.committed)
+		fmt.Fprintf(w, "|p%d,%t,%t,%t", p.number, p.version == ref.Version(jobstore.PlacementPageKey(p.number)), p.version == 0, p.generation == p.committedGeneration)
 	}
-	fmt.Fprintf(w, "|%d,%d", len(m.stops), len(m.fresh))
+	fmt.Fprintf(w, "|%d,%d", len(m.unpushedStops), len(m.awaitingLaunch))
 }
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -9,9 +9,9 @@
 // This file takes in what an earlier leader recorded.
 
 // pageAt finds or makes the page of that number.
-func (m *Model) pageAt(n int) *page {
+func (m *Model) pageAt(n int) *placementPage {
 	for len(m.pages) <= n {
-		m.pages = append(m.pages, &page{n: len(m.pages)})
+		m.pages = append(m.pages, &placementPage{number: len(m.pages)})
 	}
 	return m.pages[n]
 }
@@ -26,19 +26,19 @@
 	}
 }
 
-func (m *Model) loadChunk(p *page, c *jobstore.PlacementChunk, now time.Time) {
+func (m *Model) loadChunk(p *placementPage, c *jobstore.PlacementChunk, now time.Time) {
 	j := m.Job(c.Job)
-	if j == nil && (m.unreadable[c.Job] || m.lostIntake) {
-		p.kept = append(p.kept, *c)
-		p.size += m.keptSize(c)
+	if j == nil && (m.unreadableJobs[c.Job] || m.admissionPageLost) {
+		p.unreadChunks = append(p.unreadChunks, *c)
+		p.size += m.keptChunkSize(c)
 		return
 	}
 	if j == nil || c.Chunk < 0 || c.Chunk >= len(j.Chunks) {
-		p.gen++ // of a job that is over: the page is to be written without it
+		p.generation++ // of a job that is over: the page is to be written without it
 		return
 	}
 	ch := &j.Chunks[c.Chunk]
-	m.putOn(p, j, c.Chunk)
+	m.putOnPlacementPage(p, j, c.Chunk)
 	ch.CommittedGen = ch.Generation
 	j.LastAttempt = max(j.LastAttempt, c.MaxAttempt)
 	for i := 0; i+1 < len(c.DoneRanges); i += 2 {
@@ -54,9 +54,9 @@
 		if p.Task < 0 || p.Task >= len(j.Tasks) || j.Tasks[p.Task].Phase != TaskIdle {
 			continue
 		}
-		mc := m.machine(p.Machine, now)
+		mc := m.findOrAddMachine(p.Machine, now)
 		j.LastAttempt = max(j.LastAttempt, p.Attempt)
-		m.place(j, int32(p.Task), mc, p.Attempt, now)
+		m.placeTask(j, int32(p.Task), mc, p.Attempt, now)
 		// What waits to be asked for has not been launched by anybody: only what
 		// stands in the job's record may be, and that was read after this
 		// leader was elected.
@@ -66,8 +66,8 @@
 
 // FinishLoading ends the taking in of an earlier leader's records.
 func (m *Model) FinishLoading(now time.Time) {
-	m.loaded = true
-	m.setAside()
+	m.loadFinished = true
+	m.quarantineUnaccountedJobs()
 	for _, j := range m.Jobs {
 		m.giveBack(j, now)
 		if j.Cancelled {
--- a/cluster/failoverload_test.go
+++ b/cluster/failoverload_test.go
@@ -123,7 +123,7 @@
 	m.QuarantinePlacementPage(0, 5, errors.New("damaged"))
 	m.FinishLoading(at(0))
 	for id, want := range map[string]bool{"wk-000001": true, "wk-000002": false, "wk-000003": true} {
-		if got := m.Job(id).aside; got != want {
+		if got := m.Job(id).quarantined; got != want {
 			t.Errorf("%s set aside: %v", id, got)
 		}
 	}
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -11,98 +11,98 @@
 // the same error.
 
 const (
-	// failsOn is on how many machines nothing but errors of a job must have been
+	// faultMachines is on how many machines nothing but errors of a job must have been
 	// seen until the job is taken to be at fault. With two, a wide job that met
 	// a single faulty machine and one other is taken back as soon as a task of
 	// it lasts.
-	failsOn = 2
-	// lasts is for how many seconds a task must have run to speak for its job.
-	lasts = 20
+	faultMachines = 2
+	// provenAfterSeconds is for how many seconds a task must have run to speak for its job.
+	provenAfterSeconds = 20
 	// A job at fault waits longer from round to round.
-	firstWait = 10 * time.Second
-	lastWait  = 2 * time.Minute
-	// probes is how many tasks of an array at fault may be out at a time.
-	probes = 1
+	firstFaultWait = 10 * time.Second
+	lastFaultWait  = 2 * time.Minute
+	// faultProbes is how many tasks of an array at fault may be out at a time.
+	faultProbes = 1
 
-	faultMemory = 10 * time.Minute // of errors that speak against a machine
-	faultJobs   = 2                // with errors there that do not fail everywhere
+	machineErrorMemory = 10 * time.Minute // of errors that speak against a machine
+	machineErrorJobs   = 2                // with errors there that do not fail everywhere
 )
 
-// record is what is known of a job's failures. It outlives the job, since what
+// failureHistory is what is known of a job's failures. It outlives the job, since what
 // failed on a machine is weighed by it later on.
-type record struct {
-	hosts map[int32]bool // machines on which a task failed by itself
-	good  bool           // a task has completed or lasted
-	told  bool           // the operator has been told
-	round int
+type failureHistory struct {
+	machines map[int32]bool // machines on which a task failed by itself
+	proven   bool           // a task has completed or lasted
+	logged   bool           // the operator has been told
+	round    int
 }
 
 // atFault says whether the job fails everywhere, as far as it has been seen.
-func (r *record) atFault() bool { return !r.good && len(r.hosts) >= failsOn }
+func (r *failureHistory) atFault() bool { return !r.proven && len(r.machines) >= faultMachines }
 
-// failed takes in that a task of the job failed by itself on a machine. It
+// taskFailed takes in that a task of the job failed by itself on a machine. It
 // returns how long the task waits before it is tried again.
-func (m *Model) failed(j *Job, task int32, mc *Machine, now time.Time) time.Duration {
-	r := j.record
-	if r.hosts == nil {
-		r.hosts = map[int32]bool{}
+func (m *Model) taskFailed(j *Job, task int32, mc *Machine, now time.Time) time.Duration {
+	r := j.failures
+	if r.machines == nil {
+		r.machines = map[int32]bool{}
 	}
-	r.hosts[mc.Index] = true
+	r.machines[mc.Index] = true
 	tk := &j.Tasks[task]
 	tk.Failures = min(tk.Failures+1, 10)
 	wait := min(500*time.Millisecond<<tk.Failures, 60*time.Second)
-	m.suspect(j, mc, now)
+	m.recordTaskError(j, mc, now)
 	if !r.atFault() {
-		m.avoid(j, mc, now.Add(10*time.Minute))
+		m.avoidMachine(j, mc, now.Add(10*time.Minute))
 		return wait
 	}
 	// The machines are not to blame, and those that have the image already are
 	// the best for another try: no fetch is taken from healthy work.
-	j.avoid = nil
+	j.avoidUntil = nil
 	if !now.Before(j.NotBefore) {
 		// Errors of one round come together, within the wait that the first of
 		// them began.
-		j.NotBefore = now.Add(min(firstWait<<min(r.round, 10), lastWait))
+		j.NotBefore = now.Add(min(firstFaultWait<<min(r.round, 10), lastFaultWait))
 		r.round++
-		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(r.hosts), "lastReason", wire.WhyError,
+		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(r.machines), "lastReason", wire.WhyError,
 			"nextTryInS", j.NotBefore.Sub(now).Seconds())
 	}
 	return 0
 }
 
-// lasted takes in that a task of the job has completed or run for long: what
+// clearFault takes in that a task of the job has completed or run for long: what
 // failed before was the machines' fault.
-func (m *Model) lasted(j *Job) {
-	r := j.record
-	if r.good {
+func (m *Model) clearFault(j *Job) {
+	r := j.failures
+	if r.proven {
 		return
 	}
 	if r.atFault() {
 		m.log.Info("job no longer taken to fail everywhere", "id", j.ID)
 	}
-	r.good = true
+	r.proven = true
 	j.NotBefore = time.Time{}
 }
 
-// held says how many tasks a job may ask room for now, of those that wait.
-func (j *Job) held(limit int, now time.Time) int {
+// requestableTasks says how many tasks a job may ask room for now, of those that wait.
+func (j *Job) requestableTasks(limit int, now time.Time) int {
 	switch {
-	case !j.record.atFault():
+	case !j.failures.atFault():
 		return limit
 	case now.Before(j.NotBefore):
 		return 0
 	case j.Gang():
 		return limit // all or none
 	}
-	return max(0, probes-j.PlacedTasks)
+	return max(0, faultProbes-j.PlacedTasks)
 }
 
-// suspect remembers an error on a machine.
-func (m *Model) suspect(j *Job, mc *Machine, now time.Time) {
+// recordTaskError remembers an error on a machine.
+func (m *Model) recordTaskError(j *Job, mc *Machine, now time.Time) {
 	before := mc.suspected(now)
-	mc.errors = append(mc.errors, errorAt{j.record, now})
-	if len(mc.errors) > 20 {
-		mc.errors = mc.errors[1:]
+	mc.taskErrors = append(mc.taskErrors, taskError{j.failures, now})
+	if len(mc.taskErrors) > 20 {
+		mc.taskErrors = mc.taskErrors[1:]
 	}
 	if !before && mc.suspected(now) {
 		m.log.Info("machine suspected", "machine", mc.Name)
@@ -114,14 +114,14 @@
 // everywhere is often seen only after it has failed on the machine, and jobs
 // with a mistake must not make one machine after another look faulty.
 func (mc *Machine) suspected(now time.Time) bool {
-	if len(mc.errors) < faultJobs {
+	if len(mc.taskErrors) < machineErrorJobs {
 		return false
 	}
-	jobs := map[*record]bool{}
-	for _, e := range mc.errors {
-		if now.Sub(e.at) < faultMemory && !e.job.atFault() {
-			jobs[e.job] = true
+	jobs := map[*failureHistory]bool{}
+	for _, e := range mc.taskErrors {
+		if now.Sub(e.at) < machineErrorMemory && !e.failures.atFault() {
+			jobs[e.failures] = true
 		}
 	}
-	return len(jobs) >= faultJobs
+	return len(jobs) >= machineErrorJobs
 }
--- a/cluster/failurehistory_test.go
+++ b/cluster/failurehistory_test.go
@@ -11,7 +11,7 @@
 
 // fails plays that a job's task failed on a machine.
 func fails(m *Model, id string, task int32, machine string, now time.Time) {
-	m.failed(m.Job(id), task, m.machine(machine, now), now)
+	m.taskFailed(m.Job(id), task, m.findOrAddMachine(machine, now), now)
 }
 
 // Two jobs with a mistake that fail on the same machines one after the other
@@ -27,16 +27,16 @@
 		}
 	}
 	for k := range 3 {
-		if m.machine(fmt.Sprint("h", k), at(20)).suspected(at(20)) {
+		if m.findOrAddMachine(fmt.Sprint("h", k), at(20)).suspected(at(20)) {
 			t.Errorf("h%d is suspected for two jobs that fail everywhere", k)
 		}
 	}
 	// A faulty machine is still found by jobs that go well elsewhere.
 	for _, id := range []string{"wk-000002", "wk-000003"} {
-		m.lasted(m.Job(id))
+		m.clearFault(m.Job(id))
 		fails(m, id, 0, "h0", at(30))
 	}
-	if !m.machine("h0", at(31)).suspected(at(31)) || m.machine("h1", at(31)).suspected(at(31)) {
+	if !m.findOrAddMachine("h0", at(31)).suspected(at(31)) || m.findOrAddMachine("h1", at(31)).suspected(at(31)) {
 		t.Error("the machine on which healthy jobs fail is not the one suspected")
 	}
 }
@@ -46,25 +46,25 @@
 	m.PutJob("wk-000001", arrayJob("wk-000001", 50), 1, at(0))
 	j := m.Job("wk-000001")
 	now := at(1)
-	if j.held(64, now) != 64 {
+	if j.requestableTasks(64, now) != 64 {
 		t.Fatal("a job that has not failed is held back")
 	}
 	tries, last := 0, now
 	for now.Before(at(1200)) {
-		if j.held(64, now) > 0 {
-			if tries > 2 && j.held(64, now) > probes {
-				t.Fatalf("%d tasks at a time of a job that fails everywhere", j.held(64, now))
+		if j.requestableTasks(64, now) > 0 {
+			if tries > 2 && j.requestableTasks(64, now) > faultProbes {
+				t.Fatalf("%d tasks at a time of a job that fails everywhere", j.requestableTasks(64, now))
 			}
 			fails(m, j.ID, int32(tries%50), fmt.Sprint("h", tries%7), now)
 			tries, last = tries+1, now
 		}
 		now = now.Add(500 * time.Millisecond)
 	}
-	if tries > 20 || now.Sub(last) > lastWait+time.Second {
+	if tries > 20 || now.Sub(last) > lastFaultWait+time.Second {
 		t.Errorf("%d tries in 20 minutes, the last one %v ago", tries, now.Sub(last))
 	}
-	m.lasted(j)
-	if j.held(64, now) != 64 {
+	m.clearFault(j)
+	if j.requestableTasks(64, now) != 64 {
 		t.Error("held back although a task has lasted")
 	}
 }
@@ -86,12 +86,12 @@
 	put("wk-000001", 0, 8)
 	put("wk-000002", 1, 4) // two of them wait
 	m.Schedule(at(2), 0)
-	for ref := range m.Machines[m.machineIdx["h-gpu"]].Tasks {
+	for ref := range m.Machines[m.machineIndex["h-gpu"]].Tasks {
 		if m.Jobs[ref.Job].Need.GPU == 0 {
 			t.Error("a task without need of GPUs took the place of one that waits for them")
 		}
 	}
-	if n := len(m.Machines[m.machineIdx["h-plain"]].Tasks); n != 2 {
+	if n := len(m.Machines[m.machineIndex["h-plain"]].Tasks); n != 2 {
 		t.Errorf("%d tasks on the machine without GPUs", n)
 	}
 }
@@ -117,7 +117,7 @@
 // room that is kept for its class then met an index that was not there, and the
 // process ended.
 func TestTypesThatBecomeKnownLateAreKnownForClassesToo(t *testing.T) {
-	m := New(newModel(5).cfg, 5, at(0), newModel(5).log)
+	m := New(newModel(5).settings, 5, at(0), newModel(5).log)
 	m.Headroom = 0.3
 	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	m.RemoveJob("wk-000001", at(1))
@@ -146,18 +146,18 @@
 		m.ApplyHeartbeat(&wire.Report{Machine: name, Addr: "x", Type: "m", Zone: "a", Session: 1, Seq: 1}, at(s))
 	}
 	order("a", 10)
-	before := m.bootLate(m.machine("a", at(10)))
-	if _, ok := m.booting(m.machine("a", at(10)), at(10).Add(before+time.Second)); ok {
+	before := m.bootCountsAsLate(m.findOrAddMachine("a", at(10)))
+	if _, ok := m.bootTimeLeft(m.findOrAddMachine("a", at(10)), at(10).Add(before+time.Second)); ok {
 		t.Error("a late machine is still counted on")
 	}
 	up("a", 100) // three times what the catalogue says
 	order("b", 100)
-	if after := m.bootLate(m.machine("b", at(100))); after < 90*time.Second || after > 200*time.Second {
+	if after := m.bootCountsAsLate(m.findOrAddMachine("b", at(100))); after < 90*time.Second || after > 200*time.Second {
 		t.Errorf("late after %v", after)
 	}
 	up("b", 2000)
 	order("c", 2000)
-	if limit := m.bootLimit(m.machine("c", at(2000))); limit > 4*time.Minute {
+	if limit := m.bootLimit(m.findOrAddMachine("c", at(2000))); limit > 4*time.Minute {
 		t.Errorf("given up only after %v", limit)
 	}
 }
--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -20,24 +20,24 @@
 // ApplyHeartbeat takes a worker's message in. It returns nil for one that is older
 // than what is known, or of a machine that is gone.
 func (m *Model) ApplyHeartbeat(r *wire.Report, now time.Time) *Machine {
-	mc := m.machine(r.Machine, now)
+	mc := m.findOrAddMachine(r.Machine, now)
 	if mc.Gone {
 		return nil
 	}
 	// A message that was held back, or a copy, says what was, not what is.
-	if !mc.newer(r.Session, r.Seq) {
+	if !mc.isNewer(r.Session, r.Seq) {
 		return nil
 	}
 	if mc.AgentEpoch == 0 {
-		m.cameUp(mc, now)
+		m.learnBootTime(mc, now)
 	}
-	m.listen(mc, r, now)
+	m.updateReachability(mc, r, now)
 	if !mc.Up {
 		m.log.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Session)
 		mc.IdleSince = now
 	}
 	if mc.AgentEpoch != r.Session {
-		mc.images = nil
+		mc.cachedImages = nil
 	}
 	mc.Up, mc.AgentEpoch, mc.Seq, mc.Addr, mc.LastSeen = true, r.Session, r.Seq, r.Addr, now
 	mc.TokenShown = r.Token == m.FencingToken
@@ -52,21 +52,21 @@
 	return mc
 }
 
-func (mc *Machine) newer(session, seq uint64) bool {
+func (mc *Machine) isNewer(session, seq uint64) bool {
 	return session > mc.AgentEpoch || session == mc.AgentEpoch && seq > mc.Seq
 }
 
 // IsNewerHeartbeat says whether a worker's message would be taken in.
 func (m *Model) IsNewerHeartbeat(machine string, session, seq uint64) bool {
-	i, known := m.machineIdx[machine]
-	return !known || !m.Machines[i].Gone && m.Machines[i].newer(session, seq)
+	i, known := m.machineIndex[machine]
+	return !known || !m.Machines[i].Gone && m.Machines[i].isNewer(session, seq)
 }
 
 // reconcile compares a newer report with what the model has on the machine.
 func (m *Model) reconcile(mc *Machine, r *wire.Report, now time.Time) {
 	listed := make(map[TaskRef]bool, len(r.Tasks))
 	named := make(map[exitKey]bool, len(r.Tasks))
-	mc.orphans = placement.Res{}
+	mc.orphaned = placement.Res{}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		named[exitKey{t.Task, t.Attempt}] = true
@@ -82,9 +82,9 @@
 		p := j.Tasks[n].Placement
 		if p == nil || p.Machine != mc.Index || p.Attempt != t.Attempt {
 			if t.State == wire.TaskExited {
-				m.strayExit(j, int32(n), mc, t, now)
+				m.applyUnplacedExit(j, int32(n), mc, t, now)
 			} else {
-				mc.orphans = mc.orphans.Add(j.Need, 1)
+				mc.orphaned = mc.orphaned.Add(j.Need, 1)
 			}
 			continue
 		}
@@ -94,14 +94,14 @@
 			// again with the same attempt, and may be on the machine since.
 			continue
 		}
-		if p.LaunchSent && p.ReportedState == seenNot && p.LaunchEpoch == r.Session {
-			m.heard(mc, now)
+		if p.LaunchSent && p.ReportedState == notReported && p.LaunchEpoch == r.Session {
+			m.markReachable(mc, now)
 		}
-		m.seen(j, int32(n), mc, p, t, now)
+		m.applyTaskState(j, int32(n), mc, p, t, now)
 	}
-	for k := range mc.exits {
+	for k := range mc.reportedExits {
 		if !named[k] {
-			delete(mc.exits, k)
+			delete(mc.reportedExits, k)
 		}
 	}
 	if !mc.TokenShown {
@@ -126,41 +126,41 @@
 			continue // not launched yet
 		case p.LaunchEpoch == r.Session && p.LaunchSeq >= r.Seq:
 			continue
-		case p.LaunchEpoch == r.Session && p.ReportedState == seenNot && p.Stop == nil:
+		case p.LaunchEpoch == r.Session && p.ReportedState == notReported && p.Stop == nil:
 			// The answer with the launch was lost, and cannot be executed any
 			// more, since the worker has sent another report.
 			p.LaunchSent = false
-			if (number{p.LaunchEpoch, p.LaunchSeq}) != mc.hearing.twice {
-				m.missed(mc, "launch", now)
+			if (heartbeatID{p.LaunchEpoch, p.LaunchSeq}) != mc.reachability.answeredTwice {
+				m.markUnreachable(mc, "launch", now)
 			}
 			continue
 		}
-		m.lost(j, ref.Task, "not on its machine", now)
+		m.taskLost(j, ref.Task, "not on its machine", now)
 	}
 }
 
-// seen takes in what a report says of a task that is placed there.
-func (m *Model) seen(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
+// applyTaskState takes in what a report says of a task that is placed there.
+func (m *Model) applyTaskState(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
 	p.LaunchSent = true
 	switch t.State {
 	case wire.TaskFetching:
-		p.ReportedState = seenFetching
+		p.ReportedState = reportedFetching
 	case wire.TaskWaiting:
-		p.ReportedState = seenWaiting
+		p.ReportedState = reportedWaiting
 		m.hasImage(mc, j)
 	case wire.TaskRunning:
-		if p.ReportedState != seenRunning {
-			p.ReportedState, p.RunningSince = seenRunning, now
+		if p.ReportedState != reportedRunning {
+			p.ReportedState, p.RunningSince = reportedRunning, now
 			if !p.LaunchSentAt.IsZero() {
 				m.Observer.Running(now.Sub(p.LaunchSentAt).Seconds())
 			}
-			if !p.Inherited && !j.record.atFault() {
-				m.spreadOf(j).began(now.Sub(p.PlacedAt).Seconds())
+			if !p.Inherited && !j.failures.atFault() {
+				m.startupAndSpreadOf(j).addStartDelay(now.Sub(p.PlacedAt).Seconds())
 			}
 			m.log.Debug("running", "task", t.Task, "attempt", t.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
 		}
-		if now.Sub(p.RunningSince).Seconds() >= lasts {
-			m.lasted(j)
+		if now.Sub(p.RunningSince).Seconds() >= provenAfterSeconds {
+			m.clearFault(j)
 		}
 		if j.FirstRunAt.IsZero() {
 			j.FirstRunAt = now
@@ -169,9 +169,9 @@
 		j.GangStarted = true
 		m.hasImage(mc, j)
 	case wire.TaskSaving:
-		p.ReportedState = seenSaving
+		p.ReportedState = reportedSaving
 	case wire.TaskExited:
-		m.exited(j, task, mc, p, t, now)
+		m.applyExit(j, task, mc, p, t, now)
 	}
 }
 
@@ -179,33 +179,33 @@
 
 // addImage makes an image a machine's most recently used one.
 func (m *Model) addImage(mc *Machine, image int32) {
-	for i, im := range mc.images {
+	for i, im := range mc.cachedImages {
 		if im == image {
-			mc.images = append(mc.images[:i], mc.images[i+1:]...)
+			mc.cachedImages = append(mc.cachedImages[:i], mc.cachedImages[i+1:]...)
 			break
 		}
 	}
-	mc.images = append(mc.images, image)
+	mc.cachedImages = append(mc.cachedImages, image)
 	if mc.Type < 0 {
 		return
 	}
 	total := 0.0
-	for _, im := range mc.images {
+	for _, im := range mc.cachedImages {
 		total += m.imageSize[im]
 	}
-	for len(mc.images) > 1 && total > m.MachineTypes[mc.Type].CacheGB {
-		total -= m.imageSize[mc.images[0]]
-		mc.images = mc.images[1:]
+	for len(mc.cachedImages) > 1 && total > m.MachineTypes[mc.Type].CacheGB {
+		total -= m.imageSize[mc.cachedImages[0]]
+		mc.cachedImages = mc.cachedImages[1:]
 	}
 }
 
 func (m *Model) rememberExit(j *Job, task int32, mc *Machine, t *wire.TaskReport) {
 	n := int(task) / jobstore.ChunkSize
-	mc.exits[exitKey{t.Task, t.Attempt}] = &exit{job: j.Index, chunk: n, gen: j.Chunks[n].Generation}
+	mc.reportedExits[exitKey{t.Task, t.Attempt}] = &reportedExit{job: j.Index, chunk: n, generation: j.Chunks[n].Generation}
 }
 
-// exited takes in the end of a task's attempt.
-func (m *Model) exited(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
+// applyExit takes in the end of a task's attempt.
+func (m *Model) applyExit(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
 	ran := 0.0
 	if !p.RunningSince.IsZero() {
 		ran = now.Sub(p.RunningSince).Seconds()
@@ -214,9 +214,9 @@
 	ref := TaskRef{Job: j.Index, Task: task}
 	if t.Why == wire.WhyDone {
 		m.hasImage(mc, j)
-		m.lasted(j)
-		m.measureSpeed(j, mc, p, now)
-		m.completed(j, task, p, now)
+		m.clearFault(j)
+		m.measureSlowness(j, mc, p, now)
+		m.recordRunTime(j, task, p, now)
 		if j.Gang() {
 			// They complete together: if one task is done, all are.
 			for i := range j.Tasks {
@@ -225,7 +225,7 @@
 		} else {
 			m.markDone(j, task, now)
 		}
-		m.moveEnded(ref, "", now)
+		m.quarantineFailedMove(ref, "", now)
 		m.rememberExit(j, task, mc, t)
 		return
 	}
@@ -236,12 +236,12 @@
 	case wire.WhyError:
 		how = jobstore.OutcomeFailed
 		if j.res == nil { // what such a job runs differs from task to task
-			wait = m.failed(j, task, mc, now)
+			wait = m.taskFailed(j, task, mc, now)
 		}
 		failed = "error"
 	case wire.WhyNoRoom, wire.WhyBusy:
 		wait = time.Second
-		m.avoid(j, mc, now.Add(5*time.Second))
+		m.avoidMachine(j, mc, now.Add(5*time.Second))
 		failed = t.Why
 	case wire.WhyUnknown:
 		wait = 3 * time.Second
@@ -253,19 +253,19 @@
 		j.GangEnding = true
 		how = stopReason(p)
 	}
-	j.progressed(task, p, t.Saved, now)
-	m.unplace(j, task, now)
+	j.recordProgress(task, p, t.Saved, now)
+	m.removePlacement(j, task, now)
 	j.Tasks[task].NotBefore = now.Add(wait).UnixMilli()
 	m.spend(j, task, how, now)
 	m.rememberExit(j, task, mc, t)
-	m.moveEnded(ref, failed, now)
-	m.gangLost(j, task, now)
+	m.quarantineFailedMove(ref, failed, now)
+	m.afterGangLoss(j, task, now)
 }
 
-// strayExit takes in an exit that the model has no place for: the outcome is
+// applyUnplacedExit takes in an exit that the model has no place for: the outcome is
 // known already, or it is that of an attempt the model had given up.
-func (m *Model) strayExit(j *Job, task int32, mc *Machine, t *wire.TaskReport, now time.Time) {
-	if mc.exits[exitKey{t.Task, t.Attempt}] != nil {
+func (m *Model) applyUnplacedExit(j *Job, task int32, mc *Machine, t *wire.TaskReport, now time.Time) {
+	if mc.reportedExits[exitKey{t.Task, t.Attempt}] != nil {
 		return
 	}
 	if t.Why == wire.WhyDone && !j.Cancelled && j.Tasks[task].Phase == TaskIdle {
@@ -274,22 +274,22 @@
 	m.rememberExit(j, task, mc, t)
 }
 
-// lost takes in that a task is gone without having said how.
-func (m *Model) lost(j *Job, task int32, why string, now time.Time) {
+// taskLost takes in that a task is gone without having said how.
+func (m *Model) taskLost(j *Job, task int32, why string, now time.Time) {
 	m.log.Info("task lost", "job", j.ID, "task", task, "why", why)
 	if p := j.Tasks[task].Placement; p != nil {
-		j.progressed(task, p, false, now)
+		j.recordProgress(task, p, false, now)
 	}
-	m.unplace(j, task, now)
+	m.removePlacement(j, task, now)
 	m.spend(j, task, jobstore.OutcomeLost, now)
-	m.moveEnded(TaskRef{Job: j.Index, Task: task}, "", now)
-	m.gangLost(j, task, now)
+	m.quarantineFailedMove(TaskRef{Job: j.Index, Task: task}, "", now)
+	m.afterGangLoss(j, task, now)
 }
 
-// gangLost goes on after a gang lost a task. A gang that has not started keeps
+// afterGangLoss goes on after a gang lost a task. A gang that has not started keeps
 // waiting, and a replacement with the same attempt completes it; what is left
 // of one that ran is stopped, unless it is saving.
-func (m *Model) gangLost(j *Job, task int32, now time.Time) {
+func (m *Model) afterGangLoss(j *Job, task int32, now time.Time) {
 	if !j.Gang() {
 		return
 	}
@@ -305,17 +305,17 @@
 	}
 	// What is left of a gang that fails everywhere would hold its places until
 	// it has waited for the others in vain.
-	if stopping || !j.GangStarted && !j.GangEnding && !j.record.atFault() {
+	if stopping || !j.GangStarted && !j.GangEnding && !j.failures.atFault() {
 		return
 	}
-	m.stopAll(j, 0, "its gang lost a task", now)
+	m.stopAllTasks(j, 0, "its gang lost a task", now)
 }
 
-func (m *Model) avoid(j *Job, mc *Machine, until time.Time) {
-	if j.avoid == nil {
-		j.avoid = map[int32]time.Time{}
+func (m *Model) avoidMachine(j *Job, mc *Machine, until time.Time) {
+	if j.avoidUntil == nil {
+		j.avoidUntil = map[int32]time.Time{}
 	}
-	j.avoid[mc.Index] = until
+	j.avoidUntil[mc.Index] = until
 }
 
 // launchable says whether every record that a launch of this task rests on is
@@ -327,7 +327,7 @@
 	if !j.Gang() {
 		// Its own record, not its neighbours': where tasks of one chunk were
 		// placed again and again, none of them was launched for seconds.
-		return j.Chunks[int(task)/jobstore.ChunkSize].CommittedGen >= j.Tasks[task].Placement.gen
+		return j.Chunks[int(task)/jobstore.ChunkSize].CommittedGen >= j.Tasks[task].Placement.chunkGeneration
 	}
 	for i := range j.Chunks {
 		if c := &j.Chunks[i]; c.CommittedGen < c.PlacedGen {
@@ -352,7 +352,7 @@
 // once it has sent its next report, so that a launch which that one does not list was
 // not executed, and never will be.
 func (m *Model) AnswerRetry(r *wire.Report, via string) (cmds []wire.Command, ok bool) {
-	i, known := m.machineIdx[r.Machine]
+	i, known := m.machineIndex[r.Machine]
 	if !known {
 		return nil, false
 	}
@@ -363,18 +363,18 @@
 	if mc.LastAnswered.Before(mc.LastSeen) {
 		mc.LastAnswered = mc.LastSeen // the other has had no answer, or not yet
 	}
-	mc.answeredTwice(via)
-	return m.stopsFor(mc, r), true
+	mc.answeredAgain(via)
+	return m.stopCommands(mc, r), true
 }
 
 // AnswerHeartbeat makes the commands that answer a report just observed. Launches are
 // noted as sent with it.
 func (m *Model) AnswerHeartbeat(mc *Machine, r *wire.Report, now time.Time) []wire.Command {
-	m.Observer.LeaseLeft(m.leaseOver(mc).Sub(now).Seconds())
-	mc.LastAnswered, mc.hearing.told, mc.hearing.at = now, true, r.Seq
+	m.Observer.LeaseLeft(m.leaseEnd(mc).Sub(now).Seconds())
+	mc.LastAnswered, mc.reachability.answerPending, mc.reachability.answeredSeq = now, true, r.Seq
 	// Stops come first: an answer renews the worker's lease, so that a task which it
 	// should have stopped and did not may stay for another lease.
-	out := m.stopsFor(mc, r)
+	out := m.stopCommands(mc, r)
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		if t.State != wire.TaskExited {
@@ -383,19 +383,19 @@
 		if len(out) >= maxCommands {
 			return out
 		}
-		e := mc.exits[exitKey{t.Task, t.Attempt}]
+		e := mc.reportedExits[exitKey{t.Task, t.Attempt}]
 		if e != nil {
 			o := m.Jobs[e.job]
-			if o != nil && !o.Finished && !o.Cancelled && o.Chunks[e.chunk].CommittedGen < e.gen {
+			if o != nil && !o.Finished && !o.Cancelled && o.Chunks[e.chunk].CommittedGen < e.generation {
 				continue // the outcome is not committed yet
 			}
 		}
 		if e == nil {
-			if p := m.placeOf(mc, t); p != nil {
+			if p := m.placementOf(mc, t); p != nil {
 				continue // and not taken in yet
 			}
 		}
-		mc.hearing.forget = append(mc.hearing.forget, exitKey{t.Task, t.Attempt})
+		mc.reachability.pendingForgets = append(mc.reachability.pendingForgets, exitKey{t.Task, t.Attempt})
 		out = append(out, wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
 	}
 	for ref := range mc.Tasks {
@@ -404,7 +404,7 @@
 		}
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
-		if p.Stop == nil && !p.LaunchSent && !p.Inherited && launchable(j, ref.Task) && mc.InterruptionAt.IsZero() && !mc.deaf() {
+		if p.Stop == nil && !p.LaunchSent && !p.Inherited && launchable(j, ref.Task) && mc.InterruptionAt.IsZero() && !mc.unreachable() {
 			name := wire.TaskName(j.ID, int(ref.Task))
 			p.LaunchSent, p.LaunchSentAt, p.LaunchEpoch, p.LaunchSeq = true, now, r.Session, r.Seq
 			m.Observer.Launched(now.Sub(p.PlacedAt).Seconds())
@@ -412,17 +412,17 @@
 			m.log.Debug("launch", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
 		}
 	}
-	if mc.deaf() && mc.TokenShown {
-		if c, ok := m.ask(mc); ok {
+	if mc.unreachable() && mc.TokenShown {
+		if c, ok := m.reachabilityProbe(mc); ok {
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// placeOf is the place of a task that a report lists, nil where that attempt has none
+// placementOf is the place of a task that a report lists, nil where that attempt has none
 // on this machine.
-func (m *Model) placeOf(mc *Machine, t *wire.TaskReport) *Placement {
+func (m *Model) placementOf(mc *Machine, t *wire.TaskReport) *Placement {
 	id, n, ok := wire.SplitTask(t.Task)
 	if !ok {
 		return nil
@@ -437,9 +437,9 @@
 	return nil
 }
 
-// stopsFor are the stops that answer a report: of what it lists and has no place
+// stopCommands are the stops that answer a report: of what it lists and has no place
 // there, of what is to stop, and of what may yet arrive there and is to stop.
-func (m *Model) stopsFor(mc *Machine, r *wire.Report) []wire.Command {
+func (m *Model) stopCommands(mc *Machine, r *wire.Report) []wire.Command {
 	var out []wire.Command
 	stop := func(name string, attempt uint64, grace float64) {
 		if len(out) < maxStops {
@@ -451,15 +451,15 @@
 		if t.State == wire.TaskExited {
 			continue
 		}
-		if p := m.placeOf(mc, t); p == nil {
+		if p := m.placementOf(mc, t); p == nil {
 			stop(t.Task, t.Attempt, 0)
-		} else if p.Stop != nil && (p.ReportedState != seenSaving || p.Stop.Grace == 0) {
+		} else if p.Stop != nil && (p.ReportedState != reportedSaving || p.Stop.Grace == 0) {
 			stop(t.Task, t.Attempt, p.Stop.Grace)
 		}
 	}
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
-		if p := j.Tasks[ref.Task].Placement; p.Stop != nil && p.ReportedState == seenNot {
+		if p := j.Tasks[ref.Task].Placement; p.Stop != nil && p.ReportedState == notReported {
 			stop(wire.TaskName(j.ID, int(ref.Task)), p.Attempt, p.Stop.Grace)
 		}
 	}
@@ -478,7 +478,7 @@
 func (m *Model) StopPushes(now time.Time) []Push {
 	byMachine := map[int32]*Push{}
 	var order []int32
-	for _, ref := range m.stops {
+	for _, ref := range m.unpushedStops {
 		j := m.Jobs[ref.Job]
 		if j == nil {
 			continue
@@ -502,7 +502,7 @@
 		d.Commands.Commands = append(d.Commands.Commands,
 			wire.Command{Op: wire.OpStop, Task: wire.TaskName(j.ID, int(ref.Task)), Attempt: p.Attempt, GraceS: &g})
 	}
-	m.stops = m.stops[:0]
+	m.unpushedStops = m.unpushedStops[:0]
 	out := make([]Push, 0, len(order))
 	for _, i := range order {
 		out = append(out, *byMachine[i])
@@ -510,34 +510,34 @@
 	return out
 }
 
-// leaseOver says since when a machine that does not report can have no tasks.
-func (m *Model) leaseOver(mc *Machine) time.Time {
+// leaseEnd says since when a machine that does not report can have no tasks.
+func (m *Model) leaseEnd(mc *Machine) time.Time {
 	last := mc.LastAnswered
 	if last.Before(m.ElectedAt) {
 		last = m.ElectedAt
 	}
-	lease := m.cfg.Cluster.Workers.LeaseS
-	return last.Add(config.Seconds(lease*(1+4*m.drift)) + 300*time.Millisecond)
+	lease := m.settings.Cluster.Workers.LeaseS
+	return last.Add(config.Seconds(lease*(1+4*m.clockDrift)) + 300*time.Millisecond)
 }
 
 // ResumeAfterStall takes in that the leader's process stood still for so long, until
 // then, while its clocks ran on.
 func (m *Model) ResumeAfterStall(resumed time.Time, stood time.Duration) {
-	m.resumed, m.stood = resumed, stood
+	m.stallEnded, m.stallLasted = resumed, stood
 }
 
-// settling says whether the leader has just gone on after standing still: what
+// recoveringFromStall says whether the leader has just gone on after standing still: what
 // workers have reported meanwhile is read before any of them is called silent.
-func (m *Model) settling(now time.Time) bool {
-	return !m.resumed.IsZero() && now.Sub(m.resumed) < config.Seconds(m.cfg.Cluster.Workers.ReportS)+time.Second
+func (m *Model) recoveringFromStall(now time.Time) bool {
+	return !m.stallEnded.IsZero() && now.Sub(m.stallEnded) < config.Seconds(m.settings.Cluster.Workers.ReportS)+time.Second
 }
 
 // silentFor is how long nothing has been heard of a machine, not counting the
 // time in which the leader could not listen.
 func (m *Model) silentFor(mc *Machine, now time.Time) time.Duration {
 	d := now.Sub(mc.LastSeen)
-	if mc.LastSeen.Before(m.resumed) {
-		d -= m.stood
+	if mc.LastSeen.Before(m.stallEnded) {
+		d -= m.stallLasted
 	}
 	return d
 }
@@ -549,18 +549,18 @@
 		if mc.Gone {
 			continue
 		}
-		if (mc.Up || len(mc.Tasks) > 0) && now.After(m.leaseOver(mc)) && !m.settling(now) {
+		if (mc.Up || len(mc.Tasks) > 0) && now.After(m.leaseEnd(mc)) && !m.recoveringFromStall(now) {
 			if mc.Up {
 				m.log.Info("machine silent past its lease", "machine", mc.Name, "tasks", len(mc.Tasks))
 			}
 			mc.Up, mc.TokenShown = false, false
 			mc.AgentEpoch++ // whatever the ended session still sends is old
 			mc.Seq = 0
-			mc.orphans = placement.Res{}
-			m.dropTasks(mc, "its machine's lease is over", now)
+			mc.orphaned = placement.Res{}
+			m.loseTasksOn(mc, "its machine's lease is over", now)
 		}
 		if len(mc.Tasks) > 0 && !m.ready(mc, now) {
-			m.recall(mc, now)
+			m.revokeUnlaunched(mc, now)
 		}
 		if !mc.InterruptionAt.IsZero() && mc.Up {
 			m.evacuate(mc, now)
@@ -569,24 +569,24 @@
 	m.stepPools(now)
 }
 
-// recall takes back what was placed on a machine that has fallen silent and
+// revokeUnlaunched takes back what was placed on a machine that has fallen silent and
 // was never launched: it is certainly not there, and need not wait for the
 // machine's lease.
-func (m *Model) recall(mc *Machine, now time.Time) {
+func (m *Model) revokeUnlaunched(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
 		// A reserved place is promised: it is kept while its machine may return.
 		if p := j.Tasks[ref.Task].Placement; p != nil && !p.LaunchSent && !p.Inherited && j.res == nil {
 			m.log.Debug("recalled", "job", j.ID, "task", ref.Task, "machine", mc.Name)
-			m.unplace(j, ref.Task, now)
+			m.removePlacement(j, ref.Task, now)
 		}
 	}
 }
 
-func (m *Model) dropTasks(mc *Machine, why string, now time.Time) {
+func (m *Model) loseTasksOn(mc *Machine, why string, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		if j := m.Jobs[ref.Job]; j.Tasks[ref.Task].Placement != nil {
-			m.lost(j, ref.Task, why, now)
+			m.taskLost(j, ref.Task, why, now)
 		}
 	}
 }
@@ -599,7 +599,7 @@
 		if p == nil || p.Stop != nil {
 			continue
 		}
-		if p.ReportedState >= seenRunning && j.Spec.CheckpointS <= 0 {
+		if p.ReportedState >= reportedRunning && j.Spec.CheckpointS <= 0 {
 			continue // nothing to save: it may just finish in time
 		}
 		m.StopTask(ref, "notice", now)
@@ -608,7 +608,7 @@
 
 // MachineGone takes in that a machine is certainly gone.
 func (m *Model) MachineGone(name string, now time.Time) {
-	i, ok := m.machineIdx[name]
+	i, ok := m.machineIndex[name]
 	if !ok {
 		return
 	}
@@ -618,5 +618,5 @@
 	}
 	mc.Gone, mc.Up = true, false
 	m.log.Info("machine gone", "machine", name)
-	m.dropTasks(mc, "its machine is gone", now)
+	m.loseTasksOn(mc, "its machine is gone", now)
 }
--- a/cluster/heartbeatretry_test.go
+++ b/cluster/heartbeatretry_test.go
@@ -45,11 +45,11 @@
 	next := rep(3, 5, exit)
 	mc = m.ApplyHeartbeat(next, at(4))
 	m.ObserveReceivingNode(mc, "b", at(4))
-	if launches, _, forgets := ops(m.AnswerHeartbeat(mc, next, at(4))); mc.deaf() || launches != 2 || forgets != 1 {
-		t.Errorf("deaf %t, %d launches and %d outcomes forgotten", mc.deaf(), launches, forgets)
+	if launches, _, forgets := ops(m.AnswerHeartbeat(mc, next, at(4))); mc.unreachable() || launches != 2 || forgets != 1 {
+		t.Errorf("deaf %t, %d launches and %d outcomes forgotten", mc.unreachable(), launches, forgets)
 	}
 	// This one was answered once: what it does not show it has not heard.
-	if answer(t, m, rep(4, 5, exit), at(6)); !mc.deaf() {
+	if answer(t, m, rep(4, 5, exit), at(6)); !mc.unreachable() {
 		t.Error("it has missed a launch, and hears")
 	}
 }
@@ -59,7 +59,7 @@
 	next := takenOver()
 	answer(t, next, rep(3, 5), at(1))
 	again(t, next, rep(3, 5), "b", at(1.1))
-	if answer(t, next, rep(4, 5), at(6)); !next.Machines[0].deaf() {
+	if answer(t, next, rep(4, 5), at(6)); !next.Machines[0].unreachable() {
 		t.Error("neither answer was heard")
 	}
 }
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -18,11 +18,11 @@
 
 // What the last report said of a task.
 const (
-	seenNot = iota
-	seenFetching
-	seenWaiting
-	seenRunning
-	seenSaving
+	notReported = iota
+	reportedFetching
+	reportedWaiting
+	reportedRunning
+	reportedSaving
 )
 
 // Placement is where a task may be.
@@ -41,8 +41,8 @@
 	StopHeld      bool      // a stop waits for the plan to be compared
 	WokenAt       time.Time // when its machine was last told to report
 
-	name string // of the machine
-	gen  uint64 // the chunk's change that placed it
+	machineName     string // of the machine
+	chunkGeneration uint64 // the chunk's change that placed it
 }
 
 // StopOrder is an order to stop a task.
@@ -72,62 +72,62 @@
 	PlacedGen    uint64 // the last change that placed a task
 	PlacedTasks  int
 
-	page *page
+	page *placementPage
 	size int // the most bytes that it takes on its page
 }
 
 // Job is a job that is not over, or whose tasks may still be somewhere.
 type Job struct {
-	Index        int32
-	ID           string
-	Spec         wire.Job
-	Version      uint64
-	AcceptedAt   time.Time
-	Team         int
-	Priority     int
-	Need         placement.Res
-	AllowedTypes []bool
-	Zone         int
-	Image        int32
-	LastAttempt  uint64 // highest attempt ever used
-	Tasks        []Task
-	Chunks       []Chunk
-	DoneTasks    int
-	PlacedTasks  int
-	PlacedByZone []int
-	Cancelled    bool
-	Finished     bool // committed as done
-	ranN         int  // tasks that completed in one go, and
-	ranSum       float64
-	ranMax       float64
-	basis        basis // of guess, which is how long a task should run
-	guess        float64
-	off          bool // given up by the last triage
-	putOff       bool
-	due          time.Time // by the last triage
-	owed         bool      // by the bound's last verdict it must hold room, and
-	hopeless     bool      // can't begin in time; latest is when it should have its room
-	latest       time.Time
-	alone        time.Duration // until it would have its room if it were served first
-	roomless     bool          // there are not as many places as it needs to begin
-	floored      bool          // must be done for its group's sake
-	inWay        string        // why it can't begin in time, and when that was last logged
-	named        time.Time
-	GangStarted  bool      // gang: the current attempt was seen running
-	GangEnding   bool      // gang: the current attempt is coming to its end
-	NotBefore    time.Time // a job that fails everywhere is not tried before
-	FirstRunAt   time.Time
-	tier         int // by the operators' order, 0 first
+	Index           int32
+	ID              string
+	Spec            wire.Job
+	Version         uint64
+	AcceptedAt      time.Time
+	Team            int
+	Priority        int
+	Need            placement.Res
+	AllowedTypes    []bool
+	Zone            int
+	Image           int32
+	LastAttempt     uint64 // highest attempt ever used
+	Tasks           []Task
+	Chunks          []Chunk
+	DoneTasks       int
+	PlacedTasks     int
+	PlacedByZone    []int
+	Cancelled       bool
+	Finished        bool // committed as done
+	completedRuns   int  // tasks that completed in one go, and
+	completedRunSum float64
+	completedRunMax float64
+	estimateBasis   estimateBasis // of guess, which is how long a task should run
+	estimate        float64
+	off             bool // given up by the last triage
+	putOff          bool
+	due             time.Time // by the last triage
+	owed            bool      // by the bound's last verdict it must hold room, and
+	hopeless        bool      // can't begin in time; latest is when it should have its room
+	latest          time.Time
+	alone           time.Duration // until it would have its room if it were served first
+	roomless        bool          // there are not as many places as it needs to begin
+	floored         bool          // must be done for its group's sake
+	inWay           string        // why it can't begin in time, and when that was last logged
+	named           time.Time
+	GangStarted     bool      // gang: the current attempt was seen running
+	GangEnding      bool      // gang: the current attempt is coming to its end
+	NotBefore       time.Time // a job that fails everywhere is not tried before
+	FirstRunAt      time.Time
+	tier            int // by the operators' order, 0 first
 
-	aside  bool    // its placements can't be read
-	home   *intake // the page that its record shares with others, if it does
-	night  jobNight
-	endMs  int64 // when its end was last written, of a night's job
-	cursor int
-	dirty  bool
-	avoid  map[int32]time.Time
-	record *record  // of its failures
-	res    *reserve // nil unless its tasks are reserved first
+	quarantined   bool           // its placements can't be read
+	admissionPage *admissionPage // the page that its record shares with others, if it does
+	night         jobNight
+	endMs         int64 // when its end was last written, of a night's job
+	cursor        int
+	dirty         bool
+	avoidUntil    map[int32]time.Time
+	failures      *failureHistory // of its failures
+	res           *reserve        // nil unless its tasks are reserved first
 }
 
 // Gang says whether all tasks run at the same time or none does.
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -17,7 +17,7 @@
 
 // Job finds a job by its id.
 func (m *Model) Job(id string) *Job {
-	if i, ok := m.jobIdx[id]; ok {
+	if i, ok := m.jobIndex[id]; ok {
 		return m.Jobs[i]
 	}
 	return nil
@@ -35,7 +35,7 @@
 	j := m.addJob(id, rec)
 	j.Version = version
 	m.arrival(j, now)
-	if m.loaded {
+	if m.loadFinished {
 		m.giveBack(j, now)
 	}
 	s, deadline := &j.Spec, 0.0
@@ -51,24 +51,24 @@
 	j := &Job{
 		Index: int32(len(m.Jobs)), ID: id, Spec: s, AcceptedAt: time.UnixMilli(rec.AcceptedAtMs), Team: -1,
 		Priority: priorities[s.Priority], Need: placement.Res{CPU: s.CPUs, GPU: s.GPUs, Mem: s.MemoryGB},
-		AllowedTypes: m.allowedTypes(&s), Zone: -1, Image: m.image(s.Image, s.ImageGB),
+		AllowedTypes: m.allowedTypes(&s), Zone: -1, Image: m.internImage(s.Image, s.ImageGB),
 		Tasks: make([]Task, s.Tasks), Chunks: make([]Chunk, (s.Tasks+jobstore.ChunkSize-1)/jobstore.ChunkSize),
-		PlacedByZone: make([]int, len(m.Zones)), record: &record{},
+		PlacedByZone: make([]int, len(m.Zones)), failures: &failureHistory{},
 		res: newReserve(rec.Reservation, s.Tasks),
 	}
-	if t, ok := m.teamIdx[s.Team]; ok {
+	if t, ok := m.teamIndex[s.Team]; ok {
 		j.Team = t
 	}
 	if s.Zone != "" {
 		j.Zone = math.MaxInt32 // a zone that is not there fits nothing
-		if z, ok := m.zoneIdx[s.Zone]; ok {
+		if z, ok := m.zoneIndex[s.Zone]; ok {
 			j.Zone = z
 		}
 	}
 	m.setTier(j)
 	m.Jobs = append(m.Jobs, j)
-	m.live = append(m.live, j.Index)
-	m.jobIdx[id] = j.Index
+	m.openIndexes = append(m.openIndexes, j.Index)
+	m.jobIndex[id] = j.Index
 	return j
 }
 
@@ -92,7 +92,7 @@
 	j.Cancelled = true
 	for i := range j.Tasks {
 		if j.Tasks[i].Placement != nil {
-			m.stop(j, int32(i), 0, "cancelled", now)
+			m.stopPlacedTask(j, int32(i), 0, "cancelled", now)
 		}
 	}
 	m.markDirty(j)
@@ -107,11 +107,11 @@
 	j.Cancelled = true
 }
 
-func (m *Model) image(name string, gb float64) int32 {
-	i, ok := m.imageIdx[name]
+func (m *Model) internImage(name string, gb float64) int32 {
+	i, ok := m.imageIndex[name]
 	if !ok {
 		i = int32(len(m.imageSize))
-		m.imageIdx[name] = i
+		m.imageIndex[name] = i
 		m.imageSize = append(m.imageSize, gb)
 	}
 	m.imageSize[i] = gb
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -21,7 +21,7 @@
 	BootTime  time.Duration
 	Zones     []bool
 
-	boots boots
+	bootTimes bootEstimator
 }
 
 // Machine is a machine that is, was or may soon be there.
@@ -47,24 +47,24 @@
 	CloudStateAt   time.Time
 	RequestedHere  bool // rented by a request of ours whose answer named it
 	ScalingIn      bool
-	late           bool // the operator has been told
+	bootLateLogged bool // the operator has been told
 	Tasks          map[TaskRef]bool
 	Used           placement.Res
 	IdleSince      time.Time // without work
-	keptAt         time.Time // last kept, empty, as headroom
+	headroomAt     time.Time // last kept, empty, as headroom
 	HeldAnswers    int       // answers to its reports that are being held back
-	hearing        hearing
+	reachability   reachability
 
-	orphans placement.Res // what tasks not in the model take
-	images  []int32       // most recently used last
-	exits   map[exitKey]*exit
-	errors  []errorAt
-	speed   float64
-	pool    int       // 1 and more: the warm pool that it belongs to
-	worked  bool      // has had a task
-	unready time.Time // since when it could not be given tasks, as its pool saw
-	unfit   time.Time // no pool takes it before: its fetch came to nothing
-	learnt  uint64    // the session for which an earlier leader's word on its images was taken
+	orphaned      placement.Res // what tasks not in the model take
+	cachedImages  []int32       // most recently used last
+	reportedExits map[exitKey]*reportedExit
+	taskErrors    []taskError
+	slowness      float64
+	pool          int       // 1 and more: the warm pool that it belongs to
+	worked        bool      // has had a task
+	unready       time.Time // since when it could not be given tasks, as its pool saw
+	unfit         time.Time // no pool takes it before: its fetch came to nothing
+	learnt        uint64    // the session for which an earlier leader's word on its images was taken
 }
 
 type exitKey struct {
@@ -72,42 +72,42 @@
 	attempt uint64
 }
 
-type exit struct {
-	job   int32
-	chunk int
-	gen   uint64
+type reportedExit struct {
+	job        int32
+	chunk      int
+	generation uint64
 }
 
-type errorAt struct {
-	job *record
-	at  time.Time
+type taskError struct {
+	failures *failureHistory
+	at       time.Time
 }
 
 // SetMachineTypes takes the catalogue in. Types keep their indices.
 func (m *Model) SetMachineTypes(types []wire.MachineType) {
 	for _, t := range types {
-		idx, ok := m.typeIdx[t.Name]
+		idx, ok := m.typeIndex[t.Name]
 		if !ok {
 			idx = len(m.MachineTypes)
-			m.typeIdx[t.Name] = idx
+			m.typeIndex[t.Name] = idx
 			m.MachineTypes = append(m.MachineTypes, MachineType{})
 		}
 		zones := make([]bool, len(m.Zones))
 		for _, z := range t.ZonesNamed {
-			if i, ok := m.zoneIdx[z]; ok {
+			if i, ok := m.zoneIndex[z]; ok {
 				zones[i] = true
 			}
 		}
 		m.MachineTypes[idx] = MachineType{
 			Name: t.Name, Capacity: placement.Res{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemoryGB}, CacheGB: t.CacheGB,
 			FetchRate: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootTime: config.Seconds(t.BootS), Zones: zones,
-			boots: m.MachineTypes[idx].boots,
+			bootTimes: m.MachineTypes[idx].bootTimes,
 		}
 	}
 	m.nights.ahead = ahead{} // its job may be out of the model, and know none of the new types
 	for _, mc := range m.Machines {
 		if mc.Type < 0 {
-			mc.Type = m.typeOf(mc.TypeName)
+			mc.Type = m.machineTypeIndex(mc.TypeName)
 		}
 	}
 	for _, j := range m.Jobs {
@@ -122,8 +122,8 @@
 	}
 }
 
-func (m *Model) typeOf(name string) int {
-	if i, ok := m.typeIdx[name]; ok {
+func (m *Model) machineTypeIndex(name string) int {
+	if i, ok := m.typeIndex[name]; ok {
 		return i
 	}
 	return -1
@@ -141,24 +141,24 @@
 	return out
 }
 
-// machine finds or makes a machine.
-func (m *Model) machine(name string, now time.Time) *Machine {
-	if i, ok := m.machineIdx[name]; ok {
+// findOrAddMachine finds or makes a machine.
+func (m *Model) findOrAddMachine(name string, now time.Time) *Machine {
+	if i, ok := m.machineIndex[name]; ok {
 		return m.Machines[i]
 	}
 	mc := &Machine{
 		Index: int32(len(m.Machines)), Name: name, Type: -1, Zone: -1, Tasks: map[TaskRef]bool{},
-		exits: map[exitKey]*exit{}, IdleSince: now, Created: now, LastSeen: now,
+		reportedExits: map[exitKey]*reportedExit{}, IdleSince: now, Created: now, LastSeen: now,
 	}
-	m.longest = max(m.longest, len(name))
+	m.longestMachineName = max(m.longestMachineName, len(name))
 	m.Machines = append(m.Machines, mc)
-	m.machineIdx[name] = mc.Index
+	m.machineIndex[name] = mc.Index
 	return mc
 }
 
 func (m *Model) describe(mc *Machine, typ, zone string, spot bool) {
-	mc.TypeName, mc.Type, mc.Spot = typ, m.typeOf(typ), spot
-	z, ok := m.zoneIdx[zone]
+	mc.TypeName, mc.Type, mc.Spot = typ, m.machineTypeIndex(typ), spot
+	z, ok := m.zoneIndex[zone]
 	if !ok {
 		mc.Zone = -1
 		return
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -31,80 +31,80 @@
 	PlacesFreed     uint64 // counts the places that have become free
 	Observer        Observer
 
-	loaded bool // an earlier leader's records
+	loadFinished bool // an earlier leader's records
 
-	resumed time.Time     // when the leader last went on after standing still
-	stood   time.Duration // for how long it had stood
+	stallEnded  time.Time     // when the leader last went on after standing still
+	stallLasted time.Duration // for how long it had stood
 
-	cfg        *config.Settings
-	log        *slog.Logger
-	drift      float64
-	teams      []placement.Team
-	guarantee  []placement.Res
-	zoneIdx    map[string]int
-	teamIdx    map[string]int
-	typeIdx    map[string]int
-	machineIdx map[string]int32
-	jobIdx     map[string]int32
-	imageIdx   map[string]int32
-	imageSize  []float64
-	live       []int32 // jobs that may be in the model
-	dirty      []int32 // jobs that may be done, or out of the model
-	pages      []*page
-	intakes    map[string]*intake
-	unreadable map[string]bool // jobs whose records can't be read
-	lostIntake bool            // a page of jobs can't be read
-	damaged    uint64          // the newest version of a page that can't be read
-	quiet      time.Time       // nothing is placed before
-	nextPage   int             // where writing goes on
-	longest    int             // of the machines' names
-	stops      []TaskRef       // tasks to be told directly
-	fresh      []TaskRef       // tasks placed, whose machines have not been summoned
-	refused    map[offerKey]time.Time
-	plan       Plan
-	planned    bool       // there may be a plan
-	held       []heldStop // until the plan is compared
-	nights     nights
-	notes      notes
-	pools      []*pool
-	poolsAt    time.Time // not before then the pools' next step
-	fetchNo    int       // of the last fetch of a pool's weights
-	classes    map[string]*class
-	tiers      tiers
+	settings             *config.Settings
+	log                  *slog.Logger
+	clockDrift           float64
+	teams                []placement.Team
+	guarantees           []placement.Res
+	zoneIndex            map[string]int
+	teamIndex            map[string]int
+	typeIndex            map[string]int
+	machineIndex         map[string]int32
+	jobIndex             map[string]int32
+	imageIndex           map[string]int32
+	imageSize            []float64
+	openIndexes          []int32 // jobs that may be in the model
+	dirtyJobs            []int32 // jobs that may be done, or out of the model
+	pages                []*placementPage
+	admissionPages       map[string]*admissionPage
+	unreadableJobs       map[string]bool // jobs whose records can't be read
+	admissionPageLost    bool            // a page of jobs can't be read
+	newestUnreadablePage uint64          // the newest version of a page that can't be read
+	placingPausedUntil   time.Time       // nothing is placed before
+	nextPageToWrite      int             // where writing goes on
+	longestMachineName   int             // of the machines' names
+	unpushedStops        []TaskRef       // tasks to be told directly
+	awaitingLaunch       []TaskRef       // tasks placed, whose machines have not been summoned
+	refusedOffers        map[offerKey]time.Time
+	plan                 Plan
+	planExpected         bool       // there may be a plan
+	heldStops            []heldStop // until the plan is compared
+	nights               nights
+	notes                notes
+	pools                []*pool
+	poolsAt              time.Time // not before then the pools' next step
+	fetchNo              int       // of the last fetch of a pool's weights
+	classes              map[string]*class
+	tiers                tiers
 
 	// Reused from pass to pass.
-	viewBuf  []placement.Machine
-	taskBuf  []placement.Occupant
-	imageBuf []placement.ImageAt
-	refBuf   []TaskRef
-	playBuf  times
-	triageAt time.Time // not before then again
-	boundAt  time.Time
-	nameAt   time.Time
-	done     map[string]int // of late, by group
+	machineBuffer  []placement.Machine
+	occupantBuffer []placement.Occupant
+	imageBuffer    []placement.ImageAt
+	refBuffer      []TaskRef
+	playBuf        times
+	triageAt       time.Time // not before then again
+	boundAt        time.Time
+	nameAt         time.Time
+	done           map[string]int // of late, by group
 }
 
 type offerKey struct {
-	typ, zone int
-	spot      bool
+	machineType, zone int
+	spot              bool
 }
 
 // New makes an empty model.
 func New(cfg *config.Settings, token uint64, now time.Time, log *slog.Logger) *Model {
 	m := &Model{
-		FencingToken: token, ElectedAt: now, Zones: cfg.Cluster.Zones, cfg: cfg, log: log, drift: config.Drift,
-		zoneIdx: map[string]int{}, teamIdx: map[string]int{}, typeIdx: map[string]int{},
-		machineIdx: map[string]int32{}, jobIdx: map[string]int32{}, imageIdx: map[string]int32{},
-		refused: map[offerKey]time.Time{}, RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*class{}, done: map[string]int{}, intakes: map[string]*intake{},
+		FencingToken: token, ElectedAt: now, Zones: cfg.Cluster.Zones, settings: cfg, log: log, clockDrift: config.Drift,
+		zoneIndex: map[string]int{}, teamIndex: map[string]int{}, typeIndex: map[string]int{},
+		machineIndex: map[string]int32{}, jobIndex: map[string]int32{}, imageIndex: map[string]int32{},
+		refusedOffers: map[offerKey]time.Time{}, RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*class{}, done: map[string]int{}, admissionPages: map[string]*admissionPage{},
 		Observer: noObserver{},
 	}
 	for i, z := range cfg.Cluster.Zones {
-		m.zoneIdx[z] = i
+		m.zoneIndex[z] = i
 	}
 	for i, t := range cfg.Cluster.Teams {
-		m.teamIdx[t.Name] = i
+		m.teamIndex[t.Name] = i
 		m.teams = append(m.teams, placement.Team{Max: placement.Res{CPU: t.CPUsMax, GPU: t.GPUsMax}})
-		m.guarantee = append(m.guarantee, placement.Res{CPU: t.CPUs, GPU: t.GPUs})
+		m.guarantees = append(m.guarantees, placement.Res{CPU: t.CPUs, GPU: t.GPUs})
 	}
 	return m
 }
--- a/cluster/nights.go
+++ b/cluster/nights.go
@@ -102,7 +102,7 @@
 					left = calendar.Record{}
 				}
 			}
-			settle := time.Duration(m.cfg.Cluster.SkewMs*float64(time.Millisecond)) + lateNews
+			settle := time.Duration(m.settings.Cluster.SkewMs*float64(time.Millisecond)) + lateNews
 			b = &nightBook{Book: calendar.NewBook(r.Name, left, m.FencingToken, settle)}
 			if b.UnderWay() {
 				b.cause = "another leader leads"
@@ -144,8 +144,8 @@
 			k.promise = own
 		}
 	}
-	sp := m.spreadOf(k.j)
-	if due := k.promise.Add(-config.Seconds(sp.last(k.left, len(k.req.Tasks)) + sp.delay())); due.Before(k.due) {
+	sp := m.startupAndSpreadOf(k.j)
+	if due := k.promise.Add(-config.Seconds(sp.slowestTask(k.left, len(k.req.Tasks)) + sp.startDelay())); due.Before(k.due) {
 		k.due = due
 	}
 }
@@ -227,7 +227,7 @@
 	for _, b := range m.nights.books {
 		clear(b.ids)
 	}
-	for _, idx := range m.live {
+	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
 		if j == nil || j.Cancelled {
 			continue
@@ -261,8 +261,8 @@
 // expectNights makes the nights' forecasts, all together, since they share places.
 func (m *Model) expectNights(jobs []*Job, now time.Time) {
 	n := &m.nights
-	w := m.cfg.Cluster.Workers
-	if now.Sub(n.guessed) < expectEvery || now.Sub(m.ElectedAt) < config.Seconds(firstReports*w.ReportS) || m.settling(now) {
+	w := m.settings.Cluster.Workers
+	if now.Sub(n.guessed) < expectEvery || now.Sub(m.ElectedAt) < config.Seconds(firstReports*w.ReportS) || m.recoveringFromStall(now) {
 		return
 	}
 	n.guessed = now
@@ -359,11 +359,11 @@
 			continue
 		}
 		sum, idle := 0.0, 0
-		est := m.expected(j)
+		est := m.expectedRunTime(j)
 		for t := range j.Tasks {
 			switch j.Tasks[t].Phase {
 			case TaskIdle:
-				sum += rest(est, &j.Tasks[t])
+				sum += remainingOf(est, &j.Tasks[t])
 				idle++
 			case TaskPlaced:
 				loads[i].Running = max(loads[i].Running, m.left(j, int32(t), now))
@@ -373,15 +373,15 @@
 			continue
 		}
 		switch n := places(j); {
-		case j.aside:
+		case j.quarantined:
 			stuck[i] = append(stuck[i], j.ID+": its placements can't be read")
-		case j.record.atFault():
+		case j.failures.atFault():
 			stuck[i] = append(stuck[i], j.ID+" fails on every machine")
 		case n < 1 && len(room) < nightShapes:
 			stuck[i] = append(stuck[i], j.ID+": no machine that is up can take it")
 		}
-		sp := m.spreadOf(j)
-		b := calendar.Batch{Tasks: idle, Seconds: sum/float64(idle) + sp.delay(), Wide: 1, Vain: j.aside || j.record.atFault()}
+		sp := m.startupAndSpreadOf(j)
+		b := calendar.Batch{Tasks: idle, Seconds: sum/float64(idle) + sp.startDelay(), Wide: 1, Vain: j.quarantined || j.failures.atFault()}
 		if j.Gang() {
 			b.Tasks, b.Wide = 1, float64(idle)
 		}
@@ -423,7 +423,7 @@
 		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone {
 			continue
 		}
-		if _, boots := m.booting(mc, now); boots || counts(mc) {
+		if _, boots := m.bootTimeLeft(mc, now); boots || counts(mc) {
 			n += fit(j.Need, m.MachineTypes[mc.Type].Capacity)
 		}
 	}
--- a/cluster/nights_test.go
+++ b/cluster/nights_test.go
@@ -42,7 +42,7 @@
 func TestNightsComeFirstOfTheirPriorityByTheirOpenings(t *testing.T) {
 	m := newModel(5)
 	setPlan(t, m, 1, twoRegions, at(0))
-	m.cfg.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "day", WithinS: 1000}, {Kind: "deadline", Class: "tiles", Times: 1}}
+	m.settings.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "day", WithinS: 1000}, {Kind: "deadline", Class: "tiles", Times: 1}}
 	put := func(n int, class string, came, estimate float64, change func(*wire.Job)) {
 		rec := nightJob(fmt.Sprintf("wk-%06d", n), class, 1, came, estimate)
 		if change != nil {
@@ -86,7 +86,7 @@
 func (l *leaders) next(token uint64, now time.Time, text string, open ...jobstore.JobRecord) {
 	l.t.Helper()
 	m := newModel(token)
-	m.ElectedAt, m.cfg.Cluster.SkewMs = now, 1000
+	m.ElectedAt, m.settings.Cluster.SkewMs = now, 1000
 	for key, raw := range l.notes {
 		m.LoadPlanRecord(key, raw, 1)
 	}
--- a/cluster/order.go
+++ b/cluster/order.go
@@ -21,9 +21,9 @@
 // class's aims that it can still meet; urgent says that the first is on how
 // soon it starts, and missed that none is left of those there were.
 func (m *Model) latestStarts(j *Job, left float64, tasks int, within bool, now time.Time) (at []time.Time, missed, urgent bool) {
-	sp := m.spreadOf(j)
-	delay := config.Seconds(sp.delay())
-	est := config.Seconds(sp.last(left, tasks)) + delay
+	sp := m.startupAndSpreadOf(j)
+	delay := config.Seconds(sp.startDelay())
+	est := config.Seconds(sp.slowestTask(left, tasks)) + delay
 	aims := 0
 	var wait time.Time
 	take := func(t time.Time) {
@@ -41,7 +41,7 @@
 			}
 		}
 	}
-	for _, o := range m.cfg.Cluster.Objectives {
+	for _, o := range m.settings.Cluster.Objectives {
 		if o.Class != j.Spec.Class && o.Class != "" {
 			continue
 		}
@@ -106,7 +106,7 @@
 			continue
 		}
 		use[j.Team] = use[j.Team].Add(j.Need, float64(len(j.Tasks)-j.DoneTasks))
-		if g := m.guarantee[j.Team]; guaranteed(j.Need, g) && within(use[j.Team], g) {
+		if g := m.guarantees[j.Team]; guaranteed(j.Need, g) && within(use[j.Team], g) {
 			out[j.Index] = true
 		}
 	}
@@ -130,16 +130,16 @@
 func (m *Model) openJobs() []*Job {
 	// A leader may see far more jobs over its time than are there at once: those
 	// that are out of the model are dropped here, not looked at for ever.
-	live := m.live[:0]
-	for _, idx := range m.live {
+	live := m.openIndexes[:0]
+	for _, idx := range m.openIndexes {
 		if m.Jobs[idx] != nil {
 			live = append(live, idx)
 		}
 	}
-	m.live = live
+	m.openIndexes = live
 	var jobs []*Job
-	for _, idx := range m.live {
-		if j := m.Jobs[idx]; !j.Cancelled && !j.Finished && !j.aside && j.DoneTasks < len(j.Tasks) {
+	for _, idx := range m.openIndexes {
+		if j := m.Jobs[idx]; !j.Cancelled && !j.Finished && !j.quarantined && j.DoneTasks < len(j.Tasks) {
 			jobs = append(jobs, j)
 		}
 	}
@@ -154,7 +154,7 @@
 	}
 	var out, last []*ranked
 	for _, j := range jobs {
-		if c := m.classes[j.Spec.Class]; c != nil && !j.record.atFault() {
+		if c := m.classes[j.Spec.Class]; c != nil && !j.failures.atFault() {
 			c.open += len(j.Tasks) - j.DoneTasks
 		}
 		r, ok := m.request(j, now)
@@ -162,7 +162,7 @@
 			continue
 		}
 		k := &ranked{j: j, within: in[j.Index], req: r}
-		if j.record.atFault() {
+		if j.failures.atFault() {
 			// Free room and nothing else: no place is kept, made or rented for
 			// it, and no image fetched before those of healthy work.
 			k.within, k.missed, k.req.Spare = false, true, true
@@ -170,9 +170,9 @@
 			last = append(last, k)
 			continue
 		}
-		est := m.expected(j)
+		est := m.expectedRunTime(j)
 		for _, t := range r.Tasks {
-			k.left = max(k.left, rest(est, &j.Tasks[t]))
+			k.left = max(k.left, remainingOf(est, &j.Tasks[t]))
 		}
 		k.later, k.missed, k.urgent = m.latestStarts(j, k.left, len(r.Tasks), k.within, now)
 		k.next(now)
@@ -264,7 +264,7 @@
 
 // aimed says whether any aim speaks of the job.
 func (m *Model) aimed(j *Job) bool {
-	for _, o := range m.cfg.Cluster.Objectives {
+	for _, o := range m.settings.Cluster.Objectives {
 		switch o.Kind {
 		case "wait", "finished", "deadline":
 			if o.Class == j.Spec.Class {
@@ -296,7 +296,7 @@
 	if j.Gang() {
 		limit = len(j.Tasks)
 	}
-	if limit = j.held(limit, now); limit == 0 {
+	if limit = j.requestableTasks(limit, now); limit == 0 {
 		return r, false
 	}
 	ms := now.UnixMilli()
@@ -360,9 +360,9 @@
 // avoids lists the machines that the job stays away from.
 func (j *Job) avoids(now time.Time) map[int]bool {
 	var out map[int]bool
-	for idx, until := range j.avoid {
+	for idx, until := range j.avoidUntil {
 		if now.After(until) {
-			delete(j.avoid, idx)
+			delete(j.avoidUntil, idx)
 			continue
 		}
 		if out == nil {
--- a/cluster/plan.go
+++ b/cluster/plan.go
@@ -33,7 +33,7 @@
 	}
 	m.plan = p
 	m.DropHeldStops()
-	if m.loaded {
+	if m.loadFinished {
 		m.log.Info("plan taken in", "version", p.Number, "lost", p.Unreadable, "takenBack", m.takeBack(now))
 	}
 	m.planChanged(now)
@@ -56,8 +56,8 @@
 		}
 		for i := range j.Tasks {
 			p := j.Tasks[i].Placement
-			if p != nil && !p.LaunchSent && !p.Inherited && p.gen > j.Chunks[i/jobstore.ChunkSize].CommittedGen {
-				m.unplace(j, int32(i), now)
+			if p != nil && !p.LaunchSent && !p.Inherited && p.chunkGeneration > j.Chunks[i/jobstore.ChunkSize].CommittedGen {
+				m.removePlacement(j, int32(i), now)
 				n++
 			}
 		}
@@ -164,7 +164,7 @@
 			x.committed = x.gen
 			continue
 		}
-		if len(b.Ops) > 0 && b.bytes+size > maxBytes {
+		if len(b.Ops) > 0 && b.bytes+size > maxBatchBytes {
 			break
 		}
 		// Those that are left out go first the next time.
@@ -174,13 +174,13 @@
 		b.Ops = append(b.Ops, wire.Op{Put: key, Value: wire.Raw(raw)})
 		b.notes[key] = x
 		b.bytes += size
-		b.after = append(b.after, func(rev uint64, _ time.Time) {
+		b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) {
 			x.version, x.committed, x.raw = rev, max(x.committed, gen), raw
 		})
 	}
 	if len(b.Ops) == 0 {
 		return nil
 	}
-	b.OnCommit = b.committed
+	b.OnCommit = b.runCommitHooks
 	return b
 }
--- a/cluster/poolfetch.go
+++ b/cluster/poolfetch.go
@@ -27,13 +27,13 @@
 // that are for nothing any more.
 func (m *Model) fetchesWaiting(p *pool, now time.Time) map[string]bool {
 	out := map[string]bool{}
-	owner, im := fetchOwner(p.Name), m.image(p.note.Image, p.note.WeightsGB)
-	for _, idx := range m.live {
+	owner, im := fetchOwner(p.Name), m.internImage(p.note.Image, p.note.WeightsGB)
+	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
 		if j == nil || j.Cancelled || j.Finished || j.DoneTasks > 0 || j.res == nil || j.res.Owner != owner || len(j.res.OnlyMachines) == 0 {
 			continue
 		}
-		i, known := m.machineIdx[j.res.OnlyMachines[0]]
+		i, known := m.machineIndex[j.res.OnlyMachines[0]]
 		var e *warmpool.Member
 		if known && !m.Machines[i].Gone {
 			e = p.member(m.Machines[i])
@@ -44,7 +44,7 @@
 			m.spend(j, 0, jobstore.OutcomeReleased, now)
 			continue
 		case vain && t.Placement != nil && t.Placement.Stop == nil:
-			m.stopByPlan(TaskRef{Job: j.Index}, whyReleased, now)
+			m.stopUnderPlan(TaskRef{Job: j.Index}, whyReleased, now)
 			continue
 		}
 		out[j.res.OnlyMachines[0]] = true
--- a/cluster/pools.go
+++ b/cluster/pools.go
@@ -131,7 +131,7 @@
 		}
 		p.shards, p.changed = append(p.shards, &sh), append(p.changed, false)
 		for k := range sh.Members {
-			mc := m.machine(sh.Members[k].Machine, now)
+			mc := m.findOrAddMachine(sh.Members[k].Machine, now)
 			p.of[mc.Index] = n
 		}
 	}
@@ -185,7 +185,7 @@
 	}
 	p.shards[n].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), HourlyRate: m.rate(mc)})
 	p.of[mc.Index], p.changed[n], mc.pool = n, true, i+1
-	m.log.Info("pool takes machine", "pool", p.Name, "machine", mc.Name, "warm", mc.has(m.image(p.note.Image, p.note.WeightsGB)), "paidSince", since)
+	m.log.Info("pool takes machine", "pool", p.Name, "machine", mc.Name, "warm", mc.has(m.internImage(p.note.Image, p.note.WeightsGB)), "paidSince", since)
 }
 
 // leavePool ends a machine's time in its pool.
--- a/cluster/pools_test.go
+++ b/cluster/pools_test.go
@@ -15,7 +15,7 @@
 	p := &plan.Plan{}
 	for i := range 3 {
 		p.Pools = append(p.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), WeightsGB: 20, Types: []string{m.MachineTypes[0].Name}, Zones: m.Zones,
-			MinMachines: machines / 6, MaxMachines: machines / 6, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1e9, Payer: m.cfg.Cluster.Teams[0].Name})
+			MinMachines: machines / 6, MaxMachines: machines / 6, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1e9, Payer: m.settings.Cluster.Teams[0].Name})
 	}
 	m.SetPlan(Plan{Plan: p, Number: 1, HeadVersion: 1}, at(0))
 	return m
@@ -86,7 +86,7 @@
 			if e := m.poolOf(mc).member(mc); e.SinceMs < at(90).UnixMilli() {
 				t.Errorf("%s was up for jobs to come, and the pool pays from %d on", mc.Name, e.SinceMs)
 			}
-		} else if !mc.keptAt.IsZero() {
+		} else if !mc.headroomAt.IsZero() {
 			kept++
 		}
 	}
@@ -96,7 +96,7 @@
 	heard(m, at(300))
 	m.Schedule(at(300), 0)
 	for _, name := range m.SelectScaleIn(at(301), time.Minute) {
-		if mc := m.Machines[m.machineIdx[name]]; !mc.keptAt.IsZero() {
+		if mc := m.Machines[m.machineIndex[name]]; !mc.headroomAt.IsZero() {
 			t.Errorf("%s is headroom, and returned", name)
 		}
 	}
--- a/cluster/poolsteps.go
+++ b/cluster/poolsteps.go
@@ -28,7 +28,7 @@
 		p.note.CurrentHour, p.note.CurrentPeak = p.week.Current()
 		m.bookPool(p, now)
 		p.rent, p.fills = nil, nil
-		if now.Sub(m.ElectedAt) > poolsQuiet && !m.settling(now) && !m.plan.Unreadable {
+		if now.Sub(m.ElectedAt) > poolsQuiet && !m.recoveringFromStall(now) && !m.plan.Unreadable {
 			m.steer(i, p, now)
 		}
 		m.recordPool(p, now)
@@ -49,9 +49,9 @@
 // replicas counts each pool's model's replicas.
 func (m *Model) replicas() []demand {
 	out := make([]demand, len(m.pools))
-	for _, idx := range m.live {
+	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
-		if j == nil || j.Cancelled || j.Finished || j.record.atFault() || m.fetches(j) {
+		if j == nil || j.Cancelled || j.Finished || j.failures.atFault() || m.fetches(j) {
 			continue
 		}
 		for i, p := range m.pools {
@@ -120,12 +120,12 @@
 // bookPool brings a pool's members up to date: those that are gone, what is booked
 // on the others and by whom, and which have the weights.
 func (m *Model) bookPool(p *pool, now time.Time) {
-	im, ms := m.image(p.note.Image, p.note.WeightsGB), now.UnixMilli()
+	im, ms := m.internImage(p.note.Image, p.note.WeightsGB), now.UnixMilli()
 	for _, idx := range sortedKeys(p.of) {
 		mc := m.Machines[idx]
 		n := p.of[idx]
 		e := p.shards[n].Member(mc.Name)
-		_, boots := m.booting(mc, now)
+		_, boots := m.bootTimeLeft(mc, now)
 		unheard := !mc.Up && !boots && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > unheardFor && now.Sub(mc.CloudStateAt) > unheardFor
 		if mc.Gone || unheard || e.Leaving && len(mc.Tasks) > 0 {
 			m.leavePool(p, mc, now)
@@ -178,7 +178,7 @@
 			}
 		}
 		if s := int(math.Round(min(share, 1) * 1000)); s > 0 {
-			out = append(out, warmpool.TeamShare{Team: m.cfg.Cluster.Teams[t].Name, PerMille: s})
+			out = append(out, warmpool.TeamShare{Team: m.settings.Cluster.Teams[t].Name, PerMille: s})
 		}
 	}
 	return out
@@ -186,17 +186,17 @@
 
 // seenBy is a machine as its pool, or one that may take it, sees it.
 func (m *Model) seenBy(p *pool, mc *Machine, im int32, now time.Time) warmpool.Observation {
-	s := warmpool.Observation{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.has(im), Busy: len(mc.Tasks) > 0 || mc.orphans != (placement.Res{})}
+	s := warmpool.Observation{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.has(im), Busy: len(mc.Tasks) > 0 || mc.orphaned != (placement.Res{})}
 	// A machine that has been silent for a moment is not replaced yet: reports of
 	// a whole fleet pause when a leader does.
 	s.Ready = mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() &&
-		(mc.unready.IsZero() || now.Sub(mc.unready) < config.Seconds(m.cfg.Cluster.Workers.LeaseS))
-	_, s.Booting = m.booting(mc, now)
+		(mc.unready.IsZero() || now.Sub(mc.unready) < config.Seconds(m.settings.Cluster.Workers.LeaseS))
+	_, s.Booting = m.bootTimeLeft(mc, now)
 	s.Serving = len(mc.Tasks) > 0
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
 		place := j.Tasks[ref.Task].Placement
-		if j.Image == im && place.ReportedState < seenWaiting {
+		if j.Image == im && place.ReportedState < reportedWaiting {
 			s.Fetching = true
 		}
 		s.Serving = s.Serving && j.Image == im && p.AllowsTeam(j.Spec.Team)
@@ -213,7 +213,7 @@
 	limit := config.Seconds(stuckFetch*gb/m.MachineTypes[mc.Type].FetchRate) + time.Minute
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
-		if p := j.Tasks[ref.Task].Placement; j.Image == im && p.ReportedState < seenWaiting && now.Sub(p.PlacedAt) > limit {
+		if p := j.Tasks[ref.Task].Placement; j.Image == im && p.ReportedState < reportedWaiting && now.Sub(p.PlacedAt) > limit {
 			return true
 		}
 	}
@@ -240,7 +240,7 @@
 
 // steer takes machines in and lets others go, and says which fetch the weights.
 func (m *Model) steer(i int, p *pool, now time.Time) {
-	im := m.image(p.note.Image, p.note.WeightsGB)
+	im := m.internImage(p.note.Image, p.note.WeightsGB)
 	types := make([]bool, len(m.MachineTypes))
 	price, boot, fetch := 0.0, time.Duration(0), math.Inf(1)
 	for k := range m.MachineTypes {
@@ -289,7 +289,7 @@
 	}
 	c := p.PlanScaling(own, free, p.note.Target, p.Affordable(price))
 	for _, name := range c.Join {
-		m.joinPool(i, m.Machines[m.machineIdx[name]], now)
+		m.joinPool(i, m.Machines[m.machineIndex[name]], now)
 	}
 	for _, name := range c.Retain {
 		m.setLeaving(p, name, false)
@@ -298,12 +298,12 @@
 		m.setLeaving(p, name, true)
 	}
 	for _, name := range c.Evict {
-		m.leavePool(p, m.Machines[m.machineIdx[name]], now)
+		m.leavePool(p, m.Machines[m.machineIndex[name]], now)
 	}
 	p.rent = c.ScaleOut
 	p.note.Held, p.note.Warm, p.note.Fetching = 0, 0, 0
 	for k := range own {
-		if e := p.member(m.Machines[m.machineIdx[own[k].Machine]]); e == nil || e.Leaving {
+		if e := p.member(m.Machines[m.machineIndex[own[k].Machine]]); e == nil || e.Leaving {
 			continue
 		}
 		p.note.Held++
@@ -319,7 +319,7 @@
 	}
 	p.note.FetchRefused = ""
 	for _, name := range p.NextFetches(own) {
-		idx := m.machineIdx[name]
+		idx := m.machineIndex[name]
 		if e := p.member(m.Machines[idx]); e != nil && !e.Leaving {
 			p.fills = append(p.fills, idx)
 		}
@@ -327,7 +327,7 @@
 }
 
 func (m *Model) setLeaving(p *pool, name string, leaving bool) {
-	mc := m.Machines[m.machineIdx[name]]
+	mc := m.Machines[m.machineIndex[name]]
 	if e := p.member(mc); e != nil {
 		e.Leaving = leaving
 		p.changed[p.of[mc.Index]] = true
@@ -351,9 +351,9 @@
 				if o.Spot && !p.Spot || !slices.Contains(p.Types, o.Type) || !slices.Contains(p.Zones, o.Zone) {
 					continue
 				}
-				c := m.MachineTypes[o.key.typ].Price
+				c := m.MachineTypes[o.key.machineType].Price
 				if o.Spot {
-					c = m.MachineTypes[o.key.typ].SpotPrice
+					c = m.MachineTypes[o.key.machineType].SpotPrice
 				}
 				if o.key.zone != z {
 					c += otherZone // where this one has refused lately
--- a/cluster/poolview.go
+++ b/cluster/poolview.go
@@ -34,10 +34,10 @@
 		return
 	}
 	v.Pool = mc.pool
-	im := m.image(p.note.Image, p.note.WeightsGB)
+	im := m.internImage(p.note.Image, p.note.WeightsGB)
 	v.PoolGB = m.MachineTypes[mc.Type].CacheGB - p.note.WeightsGB
-	for k := len(mc.images) - 1; k >= 0 && mc.images[k] != im; k-- {
-		v.PoolGB -= m.imageSize[mc.images[k]]
+	for k := len(mc.cachedImages) - 1; k >= 0 && mc.cachedImages[k] != im; k-- {
+		v.PoolGB -= m.imageSize[mc.cachedImages[k]]
 	}
 	for _, on := range v.Images {
 		if on.In > 0 && on.Image != im {
--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -14,9 +14,9 @@
 // as beyond the guarantee, whichever job it was of.
 func TestTeamsDoNotStopEachOthersWorkInTurn(t *testing.T) {
 	m := newModel(5)
-	m.teamIdx = map[string]int{"one": 0, "two": 1}
+	m.teamIndex = map[string]int{"one": 0, "two": 1}
 	m.teams = []placement.Team{{}, {}}
-	m.guarantee = []placement.Res{{CPU: 4}, {CPU: 4}}
+	m.guarantees = []placement.Res{{CPU: 4}, {CPU: 4}}
 	put := func(id, team string, atS float64) {
 		rec := jobstore.JobRecord{AcceptedAtMs: at(atS).UnixMilli(), Job: wire.Job{ID: id, Class: "c", Team: team, Kind: wire.KindArray,
 			Priority: wire.PriorityNormal, Tasks: 1, CPUs: 4, Image: "i", EstimateS: 500, CheckpointS: 10, SaveS: 2}}
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -11,10 +11,10 @@
 // This file is about records of earlier leaders that can't be read. What they say
 // is not guessed: what hangs on them is set aside and named, and the rest goes on.
 
-// keptSize is what a chunk that is kept as it was takes, at most about, in the form
+// keptChunkSize is what a chunk that is kept as it was takes, at most about, in the form
 // in which the service counts.
-func (m *Model) keptSize(c *jobstore.PlacementChunk) int {
-	return 80 + len(c.Job) + (22+max(m.longest, 18))*len(c.Placements) + 8*len(c.DoneRanges)
+func (m *Model) keptChunkSize(c *jobstore.PlacementChunk) int {
+	return 80 + len(c.Job) + (22+max(m.longestMachineName, 18))*len(c.Placements) + 8*len(c.DoneRanges)
 }
 
 // QuarantineJob names a job whose record can't be read. It stands still until its
@@ -22,11 +22,11 @@
 // not repeat should it be read again.
 func (m *Model) QuarantineJob(key, id string, err error) {
 	m.log.Error("unreadable job record: the job is set aside", "key", key, "id", id, "err", err)
-	if m.unreadable == nil {
-		m.unreadable = map[string]bool{}
+	if m.unreadableJobs == nil {
+		m.unreadableJobs = map[string]bool{}
 	}
-	m.unreadable[id] = true
-	m.wait()
+	m.unreadableJobs[id] = true
+	m.pausePlacing()
 }
 
 // QuarantineAdmissionPage names a page of jobs that can't be read: which jobs stand on it is
@@ -35,19 +35,19 @@
 // jobs that were cancelled then, their tasks are gone cancel_s later.
 func (m *Model) QuarantineAdmissionPage(key string, since time.Time, err error) {
 	m.log.Error("unreadable page of jobs: they are set aside", "key", key, "since", since, "err", err)
-	m.lostIntake = true
-	apart := time.Duration(2 * m.cfg.Cluster.SkewMs * float64(time.Millisecond))
+	m.admissionPageLost = true
+	apart := time.Duration(2 * m.settings.Cluster.SkewMs * float64(time.Millisecond))
 	if since = since.Add(apart); since.Before(m.ElectedAt) {
-		m.waitFrom(since)
+		m.pausePlacingFrom(since)
 		return
 	}
-	m.wait()
+	m.pausePlacing()
 }
 
 // AdmissionEntries is what this leader knows of a page of users' jobs in that version; false
 // where it does not.
 func (m *Model) AdmissionEntries(key string, version uint64) ([]jobstore.JobPageEntry, bool) {
-	p := m.intakes[key]
+	p := m.admissionPages[key]
 	if p == nil || p.version != version {
 		return nil, false
 	}
@@ -61,18 +61,18 @@
 	m.log.Error("unreadable page of placements: jobs that it may speak of are set aside", "key", key, "err", err)
 	p := m.pageAt(n)
 	p.version, p.size = version, 1<<30 // nothing is put there
-	m.damaged = max(m.damaged, version)
-	m.wait()
+	m.newestUnreadablePage = max(m.newestUnreadablePage, version)
+	m.pausePlacing()
 }
 
-// wait holds all placing back until the tasks that can't be accounted for are gone
+// pausePlacing holds all placing back until the tasks that can't be accounted for are gone
 // by all means: they may use a team's limit. A worker that is answered is told
 // to stop what nobody knows; one that is not loses its lease.
-func (m *Model) wait() { m.waitFrom(m.ElectedAt) }
+func (m *Model) pausePlacing() { m.pausePlacingFrom(m.ElectedAt) }
 
-func (m *Model) waitFrom(t time.Time) {
-	if until := t.Add(config.Seconds(m.cfg.Cluster.Workers.CancelS)); until.After(m.quiet) {
-		m.quiet = until
+func (m *Model) pausePlacingFrom(t time.Time) {
+	if until := t.Add(config.Seconds(m.settings.Cluster.Workers.CancelS)); until.After(m.placingPausedUntil) {
+		m.placingPausedUntil = until
 	}
 }
 
@@ -81,24 +81,24 @@
 func (m *Model) QuarantineFinishedJob(key, id string, err error) {
 	m.log.Error("unreadable record of a job that is over: its tasks are stopped", "key", key, "id", id, "err", err)
 	m.LoadCancelledJob(id, jobstore.JobRecord{Job: wire.Job{ID: id, Tasks: wire.MaxTasks, Kind: wire.KindArray}})
-	m.wait()
+	m.pausePlacing()
 }
 
-// setAside holds the jobs back of which a page that can't be read may have
+// quarantineUnaccountedJobs holds the jobs back of which a page that can't be read may have
 // placements: those with a part that no other page has, unless they were
 // accepted after it was last written. What a job's version says of that is no
 // more than when its record last changed, where the record has marks or is shared.
-func (m *Model) setAside() {
-	if m.damaged == 0 {
+func (m *Model) quarantineUnaccountedJobs() {
+	if m.newestUnreadablePage == 0 {
 		return
 	}
 	for _, j := range m.Jobs {
-		if j == nil || j.Cancelled || j.Finished || j.home == nil && j.res == nil && j.Version > m.damaged {
+		if j == nil || j.Cancelled || j.Finished || j.admissionPage == nil && j.res == nil && j.Version > m.newestUnreadablePage {
 			continue
 		}
 		for i := range j.Chunks {
 			if j.Chunks[i].page == nil {
-				j.aside = true
+				j.quarantined = true
 				m.log.Error("job set aside: where its tasks are can't be read", "id", j.ID)
 				break
 			}
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -16,62 +16,62 @@
 // until it has shown that it hears.
 
 const (
-	// probeAttempt is a probe's: no job's attempts, which summonses name, come
+	// probeAttemptNumber is a probe's: no job's attempts, which summonses name, come
 	// that far.
-	probeAttempt = 1 << 40
-	// muteMost is for how long, beyond a lease, an empty machine that does not
+	probeAttemptNumber = 1 << 40
+	// unreachableKeep is for how long, beyond a lease, an empty machine that does not
 	// hear is kept: as long as one that is silent.
-	muteMost = 40 * time.Second
-	// probeSearch bounds the search for a job that a probe can name.
-	probeSearch = 1000
+	unreachableKeep = 40 * time.Second
+	// probeSearchLimit bounds the search for a job that a probe can name.
+	probeSearchLimit = 1000
 )
 
-// hearing is what is known of whether a machine hears.
-type hearing struct {
-	upAt  time.Time // when it began to report
-	shown bool      // it has shown this leader's token, now or before its lease ended
-	since time.Time // since when it shows that it does not hear; zero: it does, as far as is known
-	via   string    // the node by way of which the last report came
-	at    uint64    // the number of the last report that was answered
-	twice number    // the last report to which there were two answers, of which it heard one at most
+// reachability is what is known of whether a machine hears.
+type reachability struct {
+	reportingSince   time.Time   // when it began to report
+	tokenEverShown   bool        // it has shown this leader's token, now or before its lease ended
+	unreachableSince time.Time   // since when it shows that it does not hear; zero: it does, as far as is known
+	receivingNode    string      // the node by way of which the last report came
+	answeredSeq      uint64      // the number of the last report that was answered
+	answeredTwice    heartbeatID // the last report to which there were two answers, of which it heard one at most
 	// What the last answer said that the next report must show.
-	told   bool
-	forget []exitKey
-	probe  exitKey
+	answerPending  bool
+	pendingForgets []exitKey
+	pendingProbe   exitKey
 }
 
-// number is a report's.
-type number struct{ session, seq uint64 }
+// heartbeatID is a report's.
+type heartbeatID struct{ session, seq uint64 }
 
-// deaf says whether the machine's reports show that it has not heard the last
+// unreachable says whether the machine's reports show that it has not heard the last
 // that it was told.
-func (mc *Machine) deaf() bool { return !mc.hearing.since.IsZero() }
+func (mc *Machine) unreachable() bool { return !mc.reachability.unreachableSince.IsZero() }
 
-func (m *Model) missed(mc *Machine, what string, now time.Time) {
-	if !mc.deaf() {
+func (m *Model) markUnreachable(mc *Machine, what string, now time.Time) {
+	if !mc.unreachable() {
 		m.log.Info("machine does not hear", "machine", mc.Name, "session", mc.AgentEpoch, "sign", what)
-		mc.hearing.since = now
+		mc.reachability.unreachableSince = now
 	}
-	mc.hearing.upAt = time.Time{}
+	mc.reachability.reportingSince = time.Time{}
 }
 
-func (m *Model) heard(mc *Machine, now time.Time) {
-	if mc.deaf() {
-		m.log.Info("machine hears again", "machine", mc.Name, "after", now.Sub(mc.hearing.since).Seconds())
-		mc.hearing.since = time.Time{}
+func (m *Model) markReachable(mc *Machine, now time.Time) {
+	if mc.unreachable() {
+		m.log.Info("machine hears again", "machine", mc.Name, "after", now.Sub(mc.reachability.unreachableSince).Seconds())
+		mc.reachability.unreachableSince = time.Time{}
 	}
 }
 
-// listen takes in what a newer report shows of the answers before it; mc is
+// updateReachability takes in what a newer report shows of the answers before it; mc is
 // still as the report before left it.
-func (m *Model) listen(mc *Machine, r *wire.Report, now time.Time) {
-	h := &mc.hearing
-	told, forget, probe := h.told, h.forget, h.probe
-	h.told, h.forget, h.probe = false, nil, exitKey{}
+func (m *Model) updateReachability(mc *Machine, r *wire.Report, now time.Time) {
+	h := &mc.reachability
+	told, forget, probe := h.answerPending, h.pendingForgets, h.pendingProbe
+	h.answerPending, h.pendingForgets, h.pendingProbe = false, nil, exitKey{}
 	if !mc.Up {
-		h.upAt = now
-		if h.shown && !mc.deaf() {
-			h.since = now // it was silent for its lease: what it has shown is old
+		h.reportingSince = now
+		if h.tokenEverShown && !mc.unreachable() {
+			h.unreachableSince = now // it was silent for its lease: what it has shown is old
 		}
 	}
 	if r.Token < m.FencingToken {
@@ -80,22 +80,22 @@
 		// that is gone was answered, too; others would wait for it from then on.
 		mc.LastAnswered = time.Time{}
 		if told {
-			m.missed(mc, "token", now)
+			m.markUnreachable(mc, "token", now)
 		}
-		if (mc.Up || len(mc.Tasks) > 0) && now.After(m.leaseOver(mc)) {
-			m.dropTasks(mc, "its machine's lease is over", now)
+		if (mc.Up || len(mc.Tasks) > 0) && now.After(m.leaseEnd(mc)) {
+			m.loseTasksOn(mc, "its machine's lease is over", now)
 		}
 		return
 	}
-	if !h.shown {
-		h.shown = true
-		m.heard(mc, now)
+	if !h.tokenEverShown {
+		h.tokenEverShown = true
+		m.markReachable(mc, now)
 	}
 	if r.Session != mc.AgentEpoch {
 		// Its lease has ended, though it was answered.
-		if told && now.Sub(mc.LastAnswered) < config.Seconds(m.cfg.Cluster.Workers.LeaseS/2) {
-			m.missed(mc, "session", now)
-			m.breakPromises(mc, now)
+		if told && now.Sub(mc.LastAnswered) < config.Seconds(m.settings.Cluster.Workers.LeaseS/2) {
+			m.markUnreachable(mc, "session", now)
+			m.giveUpReservedPlaces(mc, now)
 		}
 		return
 	}
@@ -103,28 +103,28 @@
 	for i := range r.Tasks {
 		k := exitKey{r.Tasks[i].Task, r.Tasks[i].Attempt}
 		if k == probe {
-			m.heard(mc, now)
+			m.markReachable(mc, now)
 		}
 		listed[k] = true
 	}
 	for _, k := range forget {
 		if !listed[k] {
-			m.heard(mc, now)
-		} else if (number{mc.AgentEpoch, mc.Seq}) != h.twice {
-			m.missed(mc, "forget", now)
+			m.markReachable(mc, now)
+		} else if (heartbeatID{mc.AgentEpoch, mc.Seq}) != h.answeredTwice {
+			m.markUnreachable(mc, "forget", now)
 		}
 	}
 }
 
-// answeredTwice takes in that the newest report, which has come once more, is answered
+// answeredAgain takes in that the newest report, which has come once more, is answered
 // once more. What the first answer alone told may have gone unheard by a machine that
 // hears, and which of two nodes it stays with is not known: neither is a sign any more.
 // That it shows the token still is: both answers bear that.
-func (mc *Machine) answeredTwice(via string) {
-	h := &mc.hearing
-	h.twice = number{mc.AgentEpoch, mc.Seq}
-	if h.via != via {
-		h.via = ""
+func (mc *Machine) answeredAgain(via string) {
+	h := &mc.reachability
+	h.answeredTwice = heartbeatID{mc.AgentEpoch, mc.Seq}
+	if h.receivingNode != via {
+		h.receivingNode = ""
 	}
 }
 
@@ -132,51 +132,51 @@
 // worker stays with the node that has answered it: where its very next report
 // comes to another one, it has not heard the answer.
 func (m *Model) ObserveReceivingNode(mc *Machine, via string, now time.Time) {
-	h := &mc.hearing
-	if h.via != "" && h.via != via && mc.Seq == h.at+1 {
-		m.missed(mc, "node", now)
+	h := &mc.reachability
+	if h.receivingNode != "" && h.receivingNode != via && mc.Seq == h.answeredSeq+1 {
+		m.markUnreachable(mc, "node", now)
 	}
-	h.via = via
+	h.receivingNode = via
 }
 
-// breakPromises gives reserved places up that have not been launched, once the
+// giveUpReservedPlaces gives reserved places up that have not been launched, once the
 // lease of a machine that does not hear has ended.
-func (m *Model) breakPromises(mc *Machine, now time.Time) {
+func (m *Model) giveUpReservedPlaces(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
 		if p := j.Tasks[ref.Task].Placement; p != nil && !p.LaunchSent && !p.Inherited && j.res != nil {
-			m.lost(j, ref.Task, "its machine does not hear", now)
+			m.taskLost(j, ref.Task, "its machine does not hear", now)
 		}
 	}
 }
 
-// ask makes the command by which a machine that did not hear shows that it does:
+// reachabilityProbe makes the command by which a machine that did not hear shows that it does:
 // a launch that it must refuse, and lists. Like a summons it does no harm. None is
 // needed where something is to be forgotten, which shows the same; so an earlier
 // probe is no longer listed.
-func (m *Model) ask(mc *Machine) (wire.Command, bool) {
-	if len(mc.hearing.forget) > 0 {
+func (m *Model) reachabilityProbe(mc *Machine) (wire.Command, bool) {
+	if len(mc.reachability.pendingForgets) > 0 {
 		return wire.Command{}, false
 	}
-	for i := len(m.Jobs) - 1; i >= max(0, len(m.Jobs)-probeSearch); i-- {
+	for i := len(m.Jobs) - 1; i >= max(0, len(m.Jobs)-probeSearchLimit); i-- {
 		if j := m.Jobs[i]; j != nil {
-			mc.hearing.probe = exitKey{wire.TaskName(j.ID, NoSuchTask), probeAttempt}
-			return wire.Command{Op: wire.OpStart, Task: mc.hearing.probe.name, Attempt: mc.hearing.probe.attempt}, true
+			mc.reachability.pendingProbe = exitKey{wire.TaskName(j.ID, NoSuchTask), probeAttemptNumber}
+			return wire.Command{Op: wire.OpStart, Task: mc.reachability.pendingProbe.name, Attempt: mc.reachability.pendingProbe.attempt}, true
 		}
 	}
 	return wire.Command{}, false // nothing to be placed either
 }
 
-// showing says whether a machine has begun to report a moment ago, and should show
+// mayProveReachable says whether a machine has begun to report a moment ago, and should show
 // with its next report that it hears.
-func (m *Model) showing(mc *Machine, now time.Time) bool {
-	within := config.Seconds(1.25*m.cfg.Cluster.Workers.ReportS + 1)
+func (m *Model) mayProveReachable(mc *Machine, now time.Time) bool {
+	within := config.Seconds(1.25*m.settings.Cluster.Workers.ReportS + 1)
 	return mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() &&
-		mc.Type >= 0 && mc.Zone >= 0 && now.Sub(mc.hearing.upAt) < within
+		mc.Type >= 0 && mc.Zone >= 0 && now.Sub(mc.reachability.reportingSince) < within
 }
 
-// mute says whether a machine has not heard for so long that another had better
+// unreachableTooLong says whether a machine has not heard for so long that another had better
 // take its place.
-func (m *Model) mute(mc *Machine, now time.Time) bool {
-	return mc.deaf() && !m.showing(mc, now) && mc.Up && now.Sub(mc.hearing.since) > config.Seconds(m.cfg.Cluster.Workers.LeaseS)+muteMost
+func (m *Model) unreachableTooLong(mc *Machine, now time.Time) bool {
+	return mc.unreachable() && !m.mayProveReachable(mc, now) && mc.Up && now.Sub(mc.reachability.unreachableSince) > config.Seconds(m.settings.Cluster.Workers.LeaseS)+unreachableKeep
 }
--- a/cluster/reachability_test.go
+++ b/cluster/reachability_test.go
@@ -74,8 +74,8 @@
 		mc := m.ApplyHeartbeat(rep(c.seq, 5), at(float64(i)))
 		m.ObserveReceivingNode(mc, c.via, at(float64(i)))
 		m.AnswerHeartbeat(mc, rep(c.seq, 5), at(float64(i)))
-		if mc.deaf() == c.hear {
-			t.Errorf("report %d by way of %s: hears %t", c.seq, c.via, !mc.deaf())
+		if mc.unreachable() == c.hear {
+			t.Errorf("report %d by way of %s: hears %t", c.seq, c.via, !mc.unreachable())
 		}
 	}
 }
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -30,17 +30,17 @@
 		return
 	}
 	for _, mv := range rec.Moves {
-		ref, p := m.moved(mv)
+		ref, p := m.taskOfMove(mv)
 		if p == nil || p.Attempt != mv.Attempt {
 			continue
 		}
-		if i, ok := m.machineIdx[mv.From]; ok && p.Machine == i {
+		if i, ok := m.machineIndex[mv.From]; ok && p.Machine == i {
 			m.StopTask(ref, "move taken over", now)
 		}
 	}
 }
 
-func (m *Model) moved(mv jobstore.Move) (TaskRef, *Placement) {
+func (m *Model) taskOfMove(mv jobstore.Move) (TaskRef, *Placement) {
 	id, n, ok := wire.SplitTask(mv.Task)
 	if !ok {
 		return TaskRef{}, nil
@@ -55,19 +55,19 @@
 // Groups never cross zones or machine types.
 func groupName(typ, zone string) string { return zone + "/" + typ }
 
-// preferred says where moved tasks of a job should start.
-func (m *Model) preferred(j *Job, tasks []int32, fwd map[int]int) map[int32]int {
+// moveTargets says where moved tasks of a job should start.
+func (m *Model) moveTargets(j *Job, tasks []int32, fwd map[int]int) map[int32]int {
 	if j.Gang() {
 		return nil
 	}
 	var out map[int32]int
 	for _, c := range m.RebalanceCycles {
 		for _, mv := range c.Record.Moves {
-			ref, p := m.moved(mv)
+			ref, p := m.taskOfMove(mv)
 			if p != nil || ref.Job != j.Index || m.Jobs[ref.Job] != j || !ownTask(j, mv.Task) {
 				continue
 			}
-			to, ok := m.machineIdx[mv.To]
+			to, ok := m.machineIndex[mv.To]
 			if !ok {
 				continue
 			}
@@ -87,9 +87,9 @@
 	return ok && id == j.ID
 }
 
-// moveEnded takes in how a moved task's attempt ended. A start on the target
+// quarantineFailedMove takes in how a moved task's attempt ended. A start on the target
 // that fails for reasons of the task quarantines it.
-func (m *Model) moveEnded(ref TaskRef, failed string, now time.Time) {
+func (m *Model) quarantineFailedMove(ref TaskRef, failed string, now time.Time) {
 	if failed == "" {
 		return
 	}
@@ -116,7 +116,7 @@
 // PlanMoves looks at every group and returns the cycle records to commit
 // before their moves begin, by group.
 func (m *Model) PlanMoves(wanted []placement.Request, now time.Time) map[string]jobstore.RebalanceCycle {
-	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(m.cfg.Cluster.Workers.ReportS*3) {
+	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(m.settings.Cluster.Workers.ReportS*3) {
 		return nil
 	}
 	groups := map[string][]*Machine{}
@@ -152,13 +152,13 @@
 		if len(want) == 0 {
 			continue
 		}
-		rec := jobstore.RebalanceCycle{TaskCooldownUntilMs: prune(old.TaskCooldownUntilMs, ms), QuarantineUntilMs: prune(old.QuarantineUntilMs, ms)}
+		rec := jobstore.RebalanceCycle{TaskCooldownUntilMs: pruneExpired(old.TaskCooldownUntilMs, ms), QuarantineUntilMs: pruneExpired(old.QuarantineUntilMs, ms)}
 		in := rebalance.Group{Budget: m.RebalanceSettings.Budget, Wanted: want}
 		for _, p := range m.RebalanceSettings.Policies {
 			in.Policies = append(in.Policies, rebalance.Policy(p))
 		}
 		for _, mc := range mcs {
-			in.Hosts = append(in.Hosts, m.host(mc, rec, now))
+			in.Hosts = append(in.Hosts, m.rebalanceHost(mc, rec, now))
 		}
 		moves := rebalance.Plan(in)
 		if len(moves) == 0 {
@@ -179,13 +179,13 @@
 	return out
 }
 
-func (m *Model) host(mc *Machine, rec jobstore.RebalanceCycle, now time.Time) rebalance.Host {
-	h := rebalance.Host{Cap: m.MachineTypes[mc.Type].Capacity, Used: mc.Used.Add(mc.orphans, 1)}
+func (m *Model) rebalanceHost(mc *Machine, rec jobstore.RebalanceCycle, now time.Time) rebalance.Host {
+	h := rebalance.Host{Cap: m.MachineTypes[mc.Type].Capacity, Used: mc.Used.Add(mc.orphaned, 1)}
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
 		name := j.ID + "/" + strconv.Itoa(int(ref.Task))
-		movable := !j.Gang() && p.Stop == nil && !p.StopHeld && p.ReportedState == seenRunning && j.Spec.CheckpointS > 0 &&
+		movable := !j.Gang() && p.Stop == nil && !p.StopHeld && p.ReportedState == reportedRunning && j.Spec.CheckpointS > 0 &&
 			now.Sub(p.RunningSince).Seconds() < m.RebalanceSettings.LongS &&
 			rec.TaskCooldownUntilMs[name] == 0 && rec.QuarantineUntilMs[name] == 0 && !j.Spec.Spread
 		h.Tasks = append(h.Tasks, rebalance.Task{Ref: ref, Need: j.Need, Movable: movable, Spot: j.Spec.Spot})
@@ -194,7 +194,7 @@
 	return h
 }
 
-func prune(old map[string]int64, ms int64) map[string]int64 {
+func pruneExpired(old map[string]int64, ms int64) map[string]int64 {
 	out := map[string]int64{}
 	for k, v := range old {
 		if v > ms && len(out) < 200 {
@@ -208,21 +208,21 @@
 func (m *Model) BeginMoves(group string, rec jobstore.RebalanceCycle, now time.Time) {
 	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
 	for _, mv := range rec.Moves {
-		if ref, p := m.moved(mv); p != nil && p.Attempt == mv.Attempt && p.Stop == nil {
+		if ref, p := m.taskOfMove(mv); p != nil && p.Attempt == mv.Attempt && p.Stop == nil {
 			m.StopTask(ref, "move", now)
 		}
 	}
 }
 
-// measureSpeed compares how long a task ran with what its owner expected and
+// measureSlowness compares how long a task ran with what its owner expected and
 // keeps the ratio's average for the machine.
-func (m *Model) measureSpeed(j *Job, mc *Machine, p *Placement, now time.Time) {
+func (m *Model) measureSlowness(j *Job, mc *Machine, p *Placement, now time.Time) {
 	if j.Spec.EstimateS <= 0 || p.RunningSince.IsZero() || p.Inherited {
 		return
 	}
 	ratio := now.Sub(p.RunningSince).Seconds() / j.Spec.EstimateS
-	if mc.speed == 0 {
-		mc.speed = 1
+	if mc.slowness == 0 {
+		mc.slowness = 1
 	}
-	mc.speed = 0.6*mc.speed + 0.4*min(ratio, 5)
+	mc.slowness = 0.6*mc.slowness + 0.4*min(ratio, 5)
 }
--- a/cluster/reserve.go
+++ b/cluster/reserve.go
@@ -47,7 +47,7 @@
 	for i, ok := j.res.drops.NextSet(0); ok && int(i) < len(j.Tasks); i, ok = j.res.drops.NextSet(i + 1) {
 		switch t := &j.Tasks[i]; t.Phase {
 		case TaskPlaced:
-			m.stop(j, int32(i), 0, whyReleased, now)
+			m.stopPlacedTask(j, int32(i), 0, whyReleased, now)
 		case TaskIdle:
 			m.spend(j, int32(i), jobstore.OutcomeReleased, now)
 		}
@@ -107,7 +107,7 @@
 		r.Spare = true // no other machine would do, rented or not
 	}
 	for _, n := range j.res.AvoidMachines {
-		if i, ok := m.machineIdx[n]; ok {
+		if i, ok := m.machineIndex[n]; ok {
 			avoid[int(i)] = true
 		}
 	}
--- a/cluster/runtimeestimate.go
+++ b/cluster/runtimeestimate.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// estimator learns how long a class's tasks run, given what their owners
+// runTimeEstimator learns how long a class's tasks run, given what their owners
 // expect. Owners' estimates are often wrong by half, and on some days mostly
 // too high or too low: the shortest of them are mostly too short, the longest
 // too long. In logarithms, the error is taken to be a line over the estimate,
 // a + c*(x - mean), fitted to the jobs that have completed and drawn towards
 // a = 0 and c = priorSlope, which is what is believed of a class whose jobs
 // have not completed yet.
-type estimator struct {
-	seen, sum       float64 // estimates of all jobs that came
-	n, x, d, xx, xd float64 // jobs done: estimates and errors
-	lastN, lastSeen float64 // of which a and c were worked out
-	a, c, mean      float64
+type runTimeEstimator struct {
+	seen, sum           float64 // estimates of all jobs that came
+	n, x, d, xx, xd     float64 // jobs done: estimates and errors
+	lastN, lastSeen     float64 // of which a and c were worked out
+	offset, slope, mean float64
 }
 
 const (
@@ -26,16 +26,16 @@
 	maxError    = 1.4 // a factor of four
 )
 
-// came takes in a job's estimate.
-func (e *estimator) came(estimate float64) {
+// addEstimate takes in a job's estimate.
+func (e *runTimeEstimator) addEstimate(estimate float64) {
 	if estimate > 0 {
 		e.seen++
 		e.sum += math.Log(estimate)
 	}
 }
 
-// done takes in a job whose tasks ran for so long on average.
-func (e *estimator) done(estimate, ran float64) {
+// addRunTime takes in a job whose tasks ran for so long on average.
+func (e *runTimeEstimator) addRunTime(estimate, ran float64) {
 	if estimate <= 0 || ran <= 0 {
 		return
 	}
@@ -49,7 +49,7 @@
 }
 
 // expect is how long a task of a job with this estimate should run.
-func (e *estimator) expect(estimate float64) float64 {
+func (e *runTimeEstimator) expect(estimate float64) float64 {
 	if estimate <= 0 || e.seen == 0 {
 		return estimate
 	}
@@ -63,54 +63,54 @@
 		p, s := e.n+priorWeight, uu+priorSpread
 		r := ud + priorSpread*priorSlope
 		det := p*s - u*u
-		e.a, e.c = (e.d*s-u*r)/det, (p*r-u*e.d)/det
+		e.offset, e.slope = (e.d*s-u*r)/det, (p*r-u*e.d)/det
 	}
-	err := e.a + e.c*(math.Log(estimate)-e.mean)
+	err := e.offset + e.slope*(math.Log(estimate)-e.mean)
 	return estimate * math.Exp(max(-maxError, min(maxError, err)))
 }
 
-// expected is how long a task of the job should run from its beginning: what
+// expectedRunTime is how long a task of the job should run from its beginning: what
 // its completed tasks took says most, then what is known of its class.
-func (m *Model) expected(j *Job) float64 {
+func (m *Model) expectedRunTime(j *Job) float64 {
 	est := j.Spec.EstimateS
 	c := m.classes[j.Spec.Class]
-	now := basis{ranN: j.ranN}
+	now := estimateBasis{ranN: j.completedRuns}
 	if c != nil {
 		now.n, now.seen = c.runs.n, c.runs.seen
 	}
-	if j.basis == now && j.guess > 0 {
-		return j.guess // a pass asks this of every task that runs or waits
+	if j.estimateBasis == now && j.estimate > 0 {
+		return j.estimate // a pass asks this of every task that runs or waits
 	}
 	if c != nil {
 		est = c.runs.expect(est)
 	}
-	if j.ranN > 0 && est > 0 {
-		w := 2 * float64(j.ranN)
-		est = math.Exp((math.Log(est) + w*math.Log(j.ranSum/float64(j.ranN))) / (1 + w))
+	if j.completedRuns > 0 && est > 0 {
+		w := 2 * float64(j.completedRuns)
+		est = math.Exp((math.Log(est) + w*math.Log(j.completedRunSum/float64(j.completedRuns))) / (1 + w))
 	}
-	j.basis, j.guess = now, est
+	j.estimateBasis, j.estimate = now, est
 	return est
 }
 
-// basis is what an expectation was worked out from.
-type basis struct {
+// estimateBasis is what an expectation was worked out from.
+type estimateBasis struct {
 	ranN    int
 	n, seen float64
 }
 
-// remaining is how long a waiting task should still run.
-func (m *Model) remaining(j *Job, task int32) float64 {
-	return rest(m.expected(j), &j.Tasks[task])
+// remainingRunTime is how long a waiting task should still run.
+func (m *Model) remainingRunTime(j *Job, task int32) float64 {
+	return remainingOf(m.expectedRunTime(j), &j.Tasks[task])
 }
 
-// rest is what is left of a task's run time, given the whole.
-func rest(est float64, t *Task) float64 {
+// remainingOf is what is left of a task's run time, given the whole.
+func remainingOf(est float64, t *Task) float64 {
 	return max(est-float64(t.Progress), min(est, 5))
 }
 
-// progressed takes in how far an attempt that did not complete has brought its
+// recordProgress takes in how far an attempt that did not complete has brought its
 // task. It leads to no decision but in which order things are served.
-func (j *Job) progressed(task int32, p *Placement, saved bool, now time.Time) {
+func (j *Job) recordProgress(task int32, p *Placement, saved bool, now time.Time) {
 	if j.Spec.CheckpointS <= 0 || p.RunningSince.IsZero() {
 		return
 	}
@@ -130,22 +130,22 @@
 	t.Resumed = true
 }
 
-// completed takes in how long a task ran that completed in one go.
-func (m *Model) completed(j *Job, task int32, p *Placement, now time.Time) {
+// recordRunTime takes in how long a task ran that completed in one go.
+func (m *Model) recordRunTime(j *Job, task int32, p *Placement, now time.Time) {
 	if j.Tasks[task].Resumed || p.Inherited || p.RunningSince.IsZero() || j.Spec.EstimateS <= 0 {
 		return
 	}
-	j.ranN++
+	j.completedRuns++
 	ran := now.Sub(p.RunningSince).Seconds()
-	j.ranSum += ran
-	j.ranMax = max(j.ranMax, ran)
+	j.completedRunSum += ran
+	j.completedRunMax = max(j.completedRunMax, ran)
 }
 
-// spread learns of a class by how much a job's slowest task takes longer than
+// durationSpread learns of a class by how much a job's slowest task takes longer than
 // its average one, and how long a task takes from its placement until it runs.
 // A job is over when its last task is: with a dozen tasks or more, one that is
 // begun when its average task could just be in time is late.
-type spread struct{ slowest, n, start, starts float64 }
+type durationSpread struct{ slowest, n, start, starts float64 }
 
 const (
 	priorSlowest = 0.15 // beyond the average, as a share of it
@@ -154,47 +154,47 @@
 	spreadMemory = 50.0 // and how many are remembered
 )
 
-// widens is how much of the difference shows in a job of n tasks.
-func widens(n int) float64 { return min(1, float64(n-1)/4) }
+// spreadShare is how much of the difference shows in a job of n tasks.
+func spreadShare(n int) float64 { return min(1, float64(n-1)/4) }
 
-func (s *spread) done(slowest float64, tasks int) {
+func (s *durationSpread) addJob(slowest float64, tasks int) {
 	if tasks > 1 {
 		s.n = min(s.n+1, spreadMemory)
-		s.slowest += (min(slowest, 3)/widens(tasks) - s.slowest) / s.n
+		s.slowest += (min(slowest, 3)/spreadShare(tasks) - s.slowest) / s.n
 	}
 }
 
-func (s *spread) began(after float64) {
+func (s *durationSpread) addStartDelay(after float64) {
 	s.starts = min(s.starts+1, spreadMemory)
 	s.start += (min(after, 60) - s.start) / s.starts
 }
 
-// delay is how long a task of the class should take from placement to running.
-func (s *spread) delay() float64 {
+// startDelay is how long a task of the class should take from placement to running.
+func (s *durationSpread) startDelay() float64 {
 	return (s.starts*s.start + priorSpreads*priorStart) / (s.starts + priorSpreads)
 }
 
-// last is how long the last of n tasks should take to end, of which one takes
+// slowestTask is how long the last of n tasks should take to end, of which one takes
 // so long on average.
-func (s *spread) last(average float64, n int) float64 {
-	return average * (1 + widens(n)*(s.n*s.slowest+priorSpreads*priorSlowest)/(s.n+priorSpreads))
+func (s *durationSpread) slowestTask(average float64, n int) float64 {
+	return average * (1 + spreadShare(n)*(s.n*s.slowest+priorSpreads*priorSlowest)/(s.n+priorSpreads))
 }
 
-// spreadOf is what is known of a job's class.
-func (m *Model) spreadOf(j *Job) *spread {
+// startupAndSpreadOf is what is known of a job's class.
+func (m *Model) startupAndSpreadOf(j *Job) *durationSpread {
 	if c := m.classes[j.Spec.Class]; c != nil {
 		return &c.spread
 	}
-	return &spread{}
+	return &durationSpread{}
 }
 
-// learn takes in a job that is done.
-func (m *Model) learn(j *Job) {
-	if c := m.classes[j.Spec.Class]; c != nil && j.ranN > 0 {
-		average := j.ranSum / float64(j.ranN)
-		c.runs.done(j.Spec.EstimateS, average)
+// learnFromJob takes in a job that is done.
+func (m *Model) learnFromJob(j *Job) {
+	if c := m.classes[j.Spec.Class]; c != nil && j.completedRuns > 0 {
+		average := j.completedRunSum / float64(j.completedRuns)
+		c.runs.addRunTime(j.Spec.EstimateS, average)
 		if !j.Gang() {
-			c.spread.done(j.ranMax/average-1, j.ranN)
+			c.spread.addJob(j.completedRunMax/average-1, j.completedRuns)
 		}
 	}
 }
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -8,16 +8,16 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-const neverUp = "never came up"
+const reasonNeverUp = "never came up"
 
-// returnAtOnce is how many machines one request returns at most.
-const returnAtOnce = 50
+// maxScaleIn is how many machines one request returns at most.
+const maxScaleIn = 50
 
 // ResumeScaleIn takes in the names of a deletion that an earlier leader asked for:
 // it may yet be carried out.
 func (m *Model) ResumeScaleIn(names []string, now time.Time) {
 	for _, n := range names {
-		m.machine(n, now).ScalingIn = true
+		m.findOrAddMachine(n, now).ScalingIn = true
 	}
 }
 
@@ -29,8 +29,8 @@
 func (m *Model) ApplyCloudList(list []wire.ListedMachine, now time.Time) {
 	for i := range list {
 		l := &list[i]
-		_, known := m.machineIdx[l.Name]
-		mc := m.machine(l.Name, now)
+		_, known := m.machineIndex[l.Name]
+		mc := m.findOrAddMachine(l.Name, now)
 		if mc.Gone {
 			continue
 		}
@@ -60,15 +60,15 @@
 	// Those that were asked for before and not confirmed come first: the record
 	// of what goes holds one request's names.
 	for _, mc := range m.Machines {
-		if mc.ScalingIn && !mc.Gone && len(out) < returnAtOnce {
+		if mc.ScalingIn && !mc.Gone && len(out) < maxScaleIn {
 			out = append(out, mc.Name)
 		}
 	}
-	if m.settling(now) {
+	if m.recoveringFromStall(now) {
 		return out
 	}
 	for _, mc := range m.Machines {
-		if len(out) >= returnAtOnce {
+		if len(out) >= maxScaleIn {
 			break
 		}
 		if mc.Gone || mc.ScalingIn {
@@ -77,25 +77,25 @@
 		why := ""
 		listed := !mc.CloudStateAt.IsZero() && now.Sub(mc.CloudStateAt) < time.Minute
 		switch {
-		case len(mc.Tasks) > 0 || mc.orphans != (placement.Res{}):
+		case len(mc.Tasks) > 0 || mc.orphaned != (placement.Res{}):
 		case mc.CloudState == failedState && listed && !mc.Up:
 			why = "failed"
 		case !mc.Up && mc.AgentEpoch == 0 && mc.Type >= 0 && now.Sub(mc.Created) > m.bootLimit(mc) && (listed || mc.RequestedHere) && now.Sub(m.ElectedAt) > 20*time.Second:
-			why = neverUp
-		case !mc.Up && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseOver(mc)) > 40*time.Second:
+			why = reasonNeverUp
+		case !mc.Up && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseEnd(mc)) > 40*time.Second:
 			why = "silent"
 		case mc.Up && mc.TokenShown && m.letGo(mc):
 			why = "pool"
-		case mc.Up && mc.TokenShown && now.Sub(mc.IdleSince) > idle && now.Sub(mc.keptAt) > idle && now.Sub(m.ElectedAt) > 30*time.Second && !m.keptByPool(mc):
+		case mc.Up && mc.TokenShown && now.Sub(mc.IdleSince) > idle && now.Sub(mc.headroomAt) > idle && now.Sub(m.ElectedAt) > 30*time.Second && !m.keptByPool(mc):
 			why = "idle"
-		case m.mute(mc, now) && now.Sub(m.ElectedAt) > 30*time.Second:
+		case m.unreachableTooLong(mc, now) && now.Sub(m.ElectedAt) > 30*time.Second:
 			why = "mute"
 		}
 		if why != "" {
 			mc.ScalingIn = true
 			m.log.Info("returning", "machine", mc.Name, "why", why)
-			if why == neverUp {
-				m.givenUp(mc, now)
+			if why == reasonNeverUp {
+				m.refuseOfferOf(mc, now)
 			}
 			out = append(out, mc.Name)
 		}
--- a/cluster/scaleout.go
+++ b/cluster/scaleout.go
@@ -17,10 +17,10 @@
 }
 
 const (
-	refusedFor = 15 * time.Second
-	// rentAtOnce bounds what a pass wants rented: a few of the cloud's largest
+	offerRefusalTime = 15 * time.Second
+	// maxScaleOut bounds what a pass wants rented: a few of the cloud's largest
 	// requests.
-	rentAtOnce = 200
+	maxScaleOut = 200
 )
 
 func (m *Model) offers(now time.Time) ([]placement.Offer, []Offer) {
@@ -34,7 +34,7 @@
 			}
 			for _, spot := range []bool{false, true} {
 				key := offerKey{ti, z, spot}
-				if until, ok := m.refused[key]; ok && now.Before(until) {
+				if until, ok := m.refusedOffers[key]; ok && now.Before(until) {
 					continue
 				}
 				price := t.Price
@@ -52,12 +52,14 @@
 }
 
 // OfferRefused takes in that the cloud had nothing to rent.
-func (m *Model) OfferRefused(o Offer, now time.Time) { m.refused[o.key] = now.Add(refusedFor) }
+func (m *Model) OfferRefused(o Offer, now time.Time) {
+	m.refusedOffers[o.key] = now.Add(offerRefusalTime)
+}
 
 // ScaledOut takes in machines that a rental named.
 func (m *Model) ScaledOut(o Offer, names []string, now time.Time) {
 	for _, n := range names {
-		mc := m.machine(n, now)
+		mc := m.findOrAddMachine(n, now)
 		mc.RequestedHere = true
 		if !mc.Up && mc.AgentEpoch == 0 {
 			mc.CreationKnown = true
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -20,15 +20,15 @@
 
 // Schedule places what waits, stops what must make room and says what to rent.
 func (m *Model) Schedule(now time.Time, renting int) Decisions {
-	if now.Before(m.quiet) || m.plan.Unreadable {
+	if now.Before(m.placingPausedUntil) || m.plan.Unreadable {
 		return Decisions{}
 	}
 	jobs := m.openJobs()
 	within := m.within(jobs)
 	reqs := m.requests(jobs, within, now)
 	over := m.over(within)
-	in := placement.Input{Machines: m.viewBuf[:0], Preempt: true, RentMax: max(0, rentAtOnce-renting)}
-	m.taskBuf, m.imageBuf = m.taskBuf[:0], m.imageBuf[:0]
+	in := placement.Input{Machines: m.machineBuffer[:0], Preempt: true, RentMax: max(0, maxScaleOut-renting)}
+	m.occupantBuffer, m.imageBuffer = m.occupantBuffer[:0], m.imageBuffer[:0]
 	back := make([]int32, 0, len(m.Machines))
 	fwd := make(map[int]int, len(m.Machines))
 	for _, mc := range m.Machines {
@@ -58,7 +58,7 @@
 			}
 			r.Avoid = avoid
 		}
-		r.Prefer = m.preferred(reqs[k].j, r.Tasks, fwd)
+		r.Prefer = m.moveTargets(reqs[k].j, r.Tasks, fwd)
 		r.Pools = m.poolUses(reqs[k].j)
 		in.Requests = append(in.Requests, r)
 	}
@@ -75,7 +75,7 @@
 	in.Offers, offers = m.offers(now)
 
 	plan := placement.Make(&in)
-	m.viewBuf = in.Machines
+	m.machineBuffer = in.Machines
 	m.departures(&plan, &in, job, now)
 
 	d := m.carryOut(plan, in.Requests, job, back, offers, now)
@@ -103,16 +103,16 @@
 			attempts[j.Index] = a
 		}
 		m.poolPlaced(j, s.Task, mc)
-		m.place(j, s.Task, mc, a, now)
-		c := m.touch(j, s.Task)
+		m.placeTask(j, s.Task, mc, a, now)
+		c := m.changeChunk(j, s.Task)
 		c.PlacedGen = c.Generation
-		j.Tasks[s.Task].Placement.gen = c.Generation
+		j.Tasks[s.Task].Placement.chunkGeneration = c.Generation
 		d.Started++
 		m.Observer.Placed(now.Sub(j.AcceptedAt).Seconds())
 		m.log.Debug("placed", "job", j.ID, "task", s.Task, "attempt", a, "machine", mc.Name, "waited", now.Sub(j.AcceptedAt).Seconds())
 	}
 	for _, ref := range plan.Stops {
-		m.stopByPlan(ref, "preempted", now)
+		m.stopUnderPlan(ref, "preempted", now)
 	}
 	for i, n := range plan.Rent {
 		d.ScaleOut[offers[i]] += n
@@ -132,7 +132,7 @@
 		// Kept as headroom: not idle in the sense of being returned. A pool may
 		// have it all the same, and the headroom is rented anew.
 		if mc := m.Machines[back[v]]; len(mc.Tasks) == 0 {
-			mc.keptAt = now
+			mc.headroomAt = now
 		}
 	}
 	return d
@@ -155,7 +155,7 @@
 				continue
 			}
 			if !m.ready(mc, now) {
-				if _, ok := m.booting(mc, now); ok {
+				if _, ok := m.bootTimeLeft(mc, now); ok {
 					booting++
 				}
 				continue
@@ -167,7 +167,7 @@
 			for ref := range mc.Tasks {
 				j := m.Jobs[ref.Job]
 				no = no && j.Need.GPU == 0
-				if j.Tasks[ref.Task].Placement.ReportedState < seenRunning {
+				if j.Tasks[ref.Task].Placement.ReportedState < reportedRunning {
 					unsent = unsent.Add(j.Need, 1)
 				}
 			}
--- a/cluster/summary.go
+++ b/cluster/summary.go
@@ -34,7 +34,7 @@
 			s.Machines["noticed"]++
 		case mc.Up && m.ready(mc, now):
 			s.Machines["up"]++
-		case mc.Up && mc.deaf():
+		case mc.Up && mc.unreachable():
 			s.Machines["mute"]++
 		case mc.Up || len(mc.Tasks) > 0:
 			s.Machines["silent"]++
@@ -43,7 +43,7 @@
 		default:
 			s.Machines["not heard of"]++
 		}
-		if left := m.leaseOver(mc).Sub(now).Seconds(); mc.Up && (least < 0 || left < least) {
+		if left := m.leaseEnd(mc).Sub(now).Seconds(); mc.Up && (least < 0 || left < least) {
 			least = max(left, 0)
 		}
 	}
@@ -71,7 +71,7 @@
 				}
 			case p.Stop != nil:
 				s.Tasks["stopping"]++
-			case p.ReportedState >= seenRunning:
+			case p.ReportedState >= reportedRunning:
 				s.Tasks["running"]++
 			case p.LaunchSent || p.Inherited:
 				s.Tasks["starting"]++
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -12,29 +12,29 @@
 func (m *Model) markDirty(j *Job) {
 	if !j.dirty {
 		j.dirty = true
-		m.dirty = append(m.dirty, j.Index)
+		m.dirtyJobs = append(m.dirtyJobs, j.Index)
 	}
 }
 
-func (m *Model) touch(j *Job, task int32) *Chunk {
+func (m *Model) changeChunk(j *Job, task int32) *Chunk {
 	n := int(task) / jobstore.ChunkSize
 	c := &j.Chunks[n]
 	c.Generation++
 	if c.page == nil {
-		m.findPage(j, n)
+		m.assignPage(j, n)
 	}
-	c.page.gen++
+	c.page.generation++
 	m.markDirty(j)
 	return c
 }
 
-// place books a task on a machine; it is launched once that is committed.
-func (m *Model) place(j *Job, task int32, mc *Machine, attempt uint64, now time.Time) {
+// placeTask books a task on a machine; it is launched once that is committed.
+func (m *Model) placeTask(j *Job, task int32, mc *Machine, attempt uint64, now time.Time) {
 	t := &j.Tasks[task]
 	t.Phase = TaskPlaced
-	t.Placement = &Placement{Machine: mc.Index, Attempt: attempt, PlacedAt: now, name: mc.Name}
+	t.Placement = &Placement{Machine: mc.Index, Attempt: attempt, PlacedAt: now, machineName: mc.Name}
 	mc.Tasks[TaskRef{Job: j.Index, Task: task}] = true
-	m.fresh = append(m.fresh, TaskRef{Job: j.Index, Task: task})
+	m.awaitingLaunch = append(m.awaitingLaunch, TaskRef{Job: j.Index, Task: task})
 	mc.Used = mc.Used.Add(j.Need, 1)
 	mc.worked = true
 	j.PlacedTasks++
@@ -47,8 +47,8 @@
 	}
 }
 
-// unplace takes in that a task is certainly on no machine.
-func (m *Model) unplace(j *Job, task int32, now time.Time) *Placement {
+// removePlacement takes in that a task is certainly on no machine.
+func (m *Model) removePlacement(j *Job, task int32, now time.Time) *Placement {
 	t := &j.Tasks[task]
 	p := t.Placement
 	mc := m.Machines[p.Machine]
@@ -75,7 +75,7 @@
 	if j.cursor > int(task) {
 		j.cursor = int(task)
 	}
-	m.touch(j, task)
+	m.changeChunk(j, task)
 	return p
 }
 
@@ -85,27 +85,27 @@
 		return
 	}
 	if t.Placement != nil {
-		m.unplace(j, task, now)
+		m.removePlacement(j, task, now)
 	}
 	t.Phase = TaskDone
 	j.DoneTasks++
-	m.touch(j, task)
+	m.changeChunk(j, task)
 	if j.DoneTasks == len(j.Tasks) {
-		m.learn(j)
+		m.learnFromJob(j)
 		m.served(j)
 		m.log.Info("job's tasks done", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 	}
 }
 
-// stop orders a task to stop, or takes it back if its launch never left.
-func (m *Model) stop(j *Job, task int32, grace float64, why string, now time.Time) {
+// stopPlacedTask orders a task to stop, or takes it back if its launch never left.
+func (m *Model) stopPlacedTask(j *Job, task int32, grace float64, why string, now time.Time) {
 	t := &j.Tasks[task]
 	p := t.Placement
 	if p == nil {
 		return
 	}
 	if !p.LaunchSent && !p.Inherited {
-		m.unplace(j, task, now)
+		m.removePlacement(j, task, now)
 		m.spend(j, task, endOf(why), now)
 		return
 	}
@@ -114,17 +114,17 @@
 	}
 	p.Stop = &StopOrder{Grace: grace, Reason: why, OrderedAt: now}
 	if j.res != nil {
-		m.touch(j, task) // its door tells that it is leaving
+		m.changeChunk(j, task) // its door tells that it is leaving
 	}
-	m.stops = append(m.stops, TaskRef{Job: j.Index, Task: task})
+	m.unpushedStops = append(m.unpushedStops, TaskRef{Job: j.Index, Task: task})
 }
 
-// stopAll orders all placed tasks of a job to stop.
-func (m *Model) stopAll(j *Job, grace float64, why string, now time.Time) {
+// stopAllTasks orders all placed tasks of a job to stop.
+func (m *Model) stopAllTasks(j *Job, grace float64, why string, now time.Time) {
 	j.GangEnding = j.Gang()
 	for i := range j.Tasks {
 		if j.Tasks[i].Placement != nil {
-			m.stop(j, int32(i), grace, why, now)
+			m.stopPlacedTask(j, int32(i), grace, why, now)
 		}
 	}
 }
@@ -142,8 +142,8 @@
 	}
 	m.log.Info("stopping", "job", j.ID, "task", ref.Task, "why", why, "machine", m.Machines[j.Tasks[ref.Task].Placement.Machine].Name)
 	if j.Gang() {
-		m.stopAll(j, grace, why, now)
+		m.stopAllTasks(j, grace, why, now)
 		return
 	}
-	m.stop(j, ref.Task, grace, why, now)
+	m.stopPlacedTask(j, ref.Task, grace, why, now)
 }
--- a/cluster/tiers.go
+++ b/cluster/tiers.go
@@ -67,7 +67,7 @@
 // setOrder takes an order in; nil is none.
 func (m *Model) setOrder(o *priority.Policy) {
 	m.tiers.order = o
-	for _, idx := range m.live {
+	for _, idx := range m.openIndexes {
 		if j := m.Jobs[idx]; j != nil {
 			m.setTier(j)
 		}
@@ -108,7 +108,7 @@
 // booked is what each tier has of the fleet.
 func (m *Model) booked(fleet placement.Res) []float64 {
 	use := make([]placement.Res, m.tiers.order.NumTiers())
-	for _, idx := range m.live {
+	for _, idx := range m.openIndexes {
 		if j := m.Jobs[idx]; j != nil && j.PlacedTasks > 0 {
 			t := j.tier
 			use[t] = use[t].Add(j.Need, float64(j.PlacedTasks))
--- a/cluster/tiers_test.go
+++ b/cluster/tiers_test.go
@@ -151,7 +151,7 @@
 			if i == 2 {
 				p.m.ExpectPlan()
 			}
-			p.m.cfg.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "slicing", WithinS: 30}, {Kind: "finished", Class: "lesson", WithinS: 200}}
+			p.m.settings.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "slicing", WithinS: 30}, {Kind: "finished", Class: "lesson", WithinS: 200}}
 			p.day(seed, 300, func(r *rand.Rand) string { return []string{"slicing", "lesson", "print"}[r.IntN(3)] })
 			logs[i] = p.log
 		}
@@ -166,8 +166,8 @@
 	all := map[string]uint64{}
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFleetPlay(rapid.IntRange(1, 6).Draw(t, "machines"), clinicFirst())
-		p.m.cfg.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "slicing", WithinS: 30}}
-		p.m.guarantee[0] = placement.Res{CPU: rapid.Float64Range(0, 30).Draw(t, "guarantee")}
+		p.m.settings.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "slicing", WithinS: 30}}
+		p.m.guarantees[0] = placement.Res{CPU: rapid.Float64Range(0, 30).Draw(t, "guarantee")}
 		p.m.teams[0].Max = placement.Res{CPU: 25}
 		p.day(rapid.Uint64().Draw(t, "day"), 120, func(r *rand.Rand) string { return []string{"slicing", "lesson", "print", "else"}[r.IntN(4)] })
 		for k, n := range p.m.tiers.record.Counts {
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -156,7 +156,7 @@
 			continue
 		}
 		for range min(n, triageTasks) {
-			places.later(k.left + m.spreadOf(k.j).delay())
+			places.later(k.left + m.startupAndSpreadOf(k.j).startDelay())
 		}
 	}
 	return out
@@ -216,7 +216,7 @@
 			p.kept = append(p.kept, append(times(nil), free...))
 		}
 		r := jobs[i]
-		due, delay := r.due.Sub(p.now).Seconds(), p.m.spreadOf(r.j).delay()
+		due, delay := r.due.Sub(p.now).Seconds(), p.m.startupAndSpreadOf(r.j).startDelay()
 		n := len(r.req.Tasks)
 		last := 0.0
 		for range min(n, triageTasks) {
@@ -251,7 +251,7 @@
 		}
 		room := m.MachineTypes[mc.Type].Capacity
 		if !m.ready(mc, now) {
-			if eta, ok := m.booting(mc, now); ok {
+			if eta, ok := m.bootTimeLeft(mc, now); ok {
 				for range fit(j.Need, room) {
 					out = append(out, eta)
 				}
@@ -296,11 +296,11 @@
 
 // work is how many seconds what is left of a job would take on a single place.
 func (m *Model) work(j *Job, now time.Time) float64 {
-	sum, est := 0.0, m.expected(j)
+	sum, est := 0.0, m.expectedRunTime(j)
 	for i := range j.Tasks {
 		switch t := &j.Tasks[i]; t.Phase {
 		case TaskIdle:
-			sum += rest(est, t)
+			sum += remainingOf(est, t)
 		case TaskPlaced:
 			sum += m.left(j, int32(i), now)
 		}
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -31,7 +31,7 @@
 
 func TestTheLargestIsPutOffWhereNotAllCanBeInTime(t *testing.T) {
 	m := newModel(5)
-	m.cfg.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
+	m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
 	answer(t, m, rep(1, 5), at(0)) // a machine with room for two tasks
 	due(m, "wk-000001", 4, 150, 0)
 	for i := range 3 {
@@ -46,7 +46,7 @@
 
 func TestPlacesThatAreTakenCountFromWhenTheyWillBeFree(t *testing.T) {
 	m := newModel(5)
-	m.cfg.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 3}}
+	m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 3}}
 	answer(t, m, rep(1, 5), at(0))
 	due(m, "wk-000001", 2, 600, 0)
 	m.Schedule(at(1), 0)
@@ -65,12 +65,12 @@
 	m := placed(t, 1)
 	j := m.Job("wk-000001")
 	p := j.Tasks[0].Placement
-	p.ReportedState, p.RunningSince, p.Stop = seenRunning, at(5), &StopOrder{OrderedAt: at(45)}
-	j.progressed(0, p, true, at(48))
-	if left := m.remaining(j, 0); left < 10 || left > 30 {
+	p.ReportedState, p.RunningSince, p.Stop = reportedRunning, at(5), &StopOrder{OrderedAt: at(45)}
+	j.recordProgress(0, p, true, at(48))
+	if left := m.remainingRunTime(j, 0); left < 10 || left > 30 {
 		t.Errorf("%v s left of 60 after 40 s were saved", left)
 	}
-	j.progressed(0, &Placement{RunningSince: at(50)}, false, at(58))
+	j.recordProgress(0, &Placement{RunningSince: at(50)}, false, at(58))
 	if j.Tasks[0].Progress != 40 {
 		t.Errorf("progress %v after 8 s of work without a checkpoint", j.Tasks[0].Progress)
 	}
@@ -133,7 +133,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newModel(5)
-			m.guarantee = []placement.Res{c.guarantee}
+			m.guarantees = []placement.Res{c.guarantee}
 			for i, gpus := range []float64{0, 1, 1} {
 				rec := arrayJob(fmt.Sprintf("wk-00000%d", i+1), 1)
 				rec.Job.GPUs, rec.AcceptedAtMs = gpus, at(float64(i)).UnixMilli()
@@ -171,7 +171,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			m := newModel(5)
 			m.teams[0].Max.GPU = c.limit
-			m.cfg.Cluster.Objectives = []config.Objective{{Kind: c.aim, Class: "small", WithinS: 40, Share: 0.9}, {Kind: "finished", Class: "c", WithinS: 150, Share: 0.9}}
+			m.settings.Cluster.Objectives = []config.Objective{{Kind: c.aim, Class: "small", WithinS: 40, Share: 0.9}, {Kind: "finished", Class: "c", WithinS: 150, Share: 0.9}}
 			m.SetMachineTypes([]wire.MachineType{
 				{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}},
 				{Name: "plain", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}}})
@@ -183,7 +183,7 @@
 			m.PutJob(other.Job.ID, other, 1, at(0))
 			jobs := m.openJobs()
 			for _, k := range m.requests(jobs, m.within(jobs), at(1)) {
-				if k.j.Spec.Class == "small" && k.req.Types[m.typeIdx["m"]] == c.keeps {
+				if k.j.Spec.Class == "small" && k.req.Types[m.typeIndex["m"]] == c.keeps {
 					t.Errorf("may go to a machine with GPUs: %t", !c.keeps)
 				}
 			}
--- a/cluster/unbegun.go
+++ b/cluster/unbegun.go
@@ -48,7 +48,7 @@
 		return
 	}
 	m.nameAt = now.Add(nameEvery)
-	for _, idx := range m.live {
+	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
 		if j == nil {
 			continue
@@ -82,9 +82,9 @@
 // inWay says what stands in the way of a job.
 func (m *Model) inWay(j *Job, now time.Time) string {
 	switch {
-	case j.aside:
+	case j.quarantined:
 		return inWayRecords
-	case j.record.atFault():
+	case j.failures.atFault():
 		return inWayMistake
 	case j.PlacedTasks == len(j.Tasks) || j.PlacedTasks > 0 && !j.Gang():
 		return inWayStart
@@ -136,7 +136,7 @@
 		}
 		if m.ready(mc, now) {
 			up++
-		} else if _, ok := m.booting(mc, now); ok {
+		} else if _, ok := m.bootTimeLeft(mc, now); ok {
 			coming = true
 		}
 	}
@@ -170,7 +170,7 @@
 // unbegun lists the jobs that can't begin in time, those that wait for longest
 // first, and how many there are.
 func (m *Model) unbegun(now time.Time) (out []StarvedJob, all int) {
-	for _, idx := range m.live {
+	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
 		if j == nil || j.inWay == "" || j.Cancelled || j.Finished || j.begun() {
 			continue
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -12,11 +12,11 @@
 
 // ready says whether a machine can be given tasks now.
 func (m *Model) ready(mc *Machine, now time.Time) bool {
-	w := m.cfg.Cluster.Workers
+	w := m.settings.Cluster.Workers
 	quiet := config.Seconds(min(w.ReportS*2.5+2, w.LeaseS/2))
 	// One that has not shown this leader's token may not hear, or be gone: what
 	// was heard of it may be a late copy of a report.
-	return mc.Up && mc.TokenShown && !mc.deaf() && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() && mc.Type >= 0 && mc.Zone >= 0 &&
+	return mc.Up && mc.TokenShown && !mc.unreachable() && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() && mc.Type >= 0 && mc.Zone >= 0 &&
 		m.silentFor(mc, now) < quiet
 }
 
@@ -29,7 +29,7 @@
 // that has not shown the token may be known from a late copy of a report only.
 func (m *Model) ExpectedMachines(now time.Time) int {
 	n := 0
-	lag := config.Seconds(2*m.cfg.Cluster.Cloud.ListLagS + 10)
+	lag := config.Seconds(2*m.settings.Cluster.Cloud.ListLagS + 10)
 	for _, mc := range m.Machines {
 		listed := mc.CloudState == wire.MachineRunning && now.Sub(m.ElectedAt) > lag && now.Sub(mc.CloudStateAt) < lag
 		if !mc.Gone && !mc.ScalingIn && (mc.Up && mc.TokenShown || len(mc.Tasks) > 0 || listed) {
@@ -45,7 +45,7 @@
 // stop each other's in turn, over and over.
 func (m *Model) over(within map[int32]bool) map[TaskRef]bool {
 	out := map[TaskRef]bool{}
-	if !slices.ContainsFunc(m.guarantee, func(g placement.Res) bool { return g != placement.Res{} }) {
+	if !slices.ContainsFunc(m.guarantees, func(g placement.Res) bool { return g != placement.Res{} }) {
 		return out // nobody may claim anything
 	}
 	type cand struct {
@@ -62,7 +62,7 @@
 		}
 	}
 	for t, cs := range byTeam {
-		excess := m.teams[t].Used.Add(m.guarantee[t], -1)
+		excess := m.teams[t].Used.Add(m.guarantees[t], -1)
 		sort.Slice(cs, func(a, b int) bool {
 			if !cs[a].at.Equal(cs[b].at) {
 				return cs[a].at.After(cs[b].at)
@@ -74,7 +74,7 @@
 		})
 		for _, c := range cs {
 			need := m.Jobs[c.ref.Job].Need
-			g := m.guarantee[t]
+			g := m.guarantees[t]
 			if need.GPU > 0 && g.GPU > 0 && excess.GPU > 1e-6 || need.CPU > 0 && excess.CPU > 1e-6 {
 				out[c.ref] = true
 				excess = excess.Add(need, -1)
@@ -87,7 +87,7 @@
 // loss estimates the seconds of work that stopping a task throws away.
 func (m *Model) loss(j *Job, p *Placement, now time.Time) float64 {
 	switch {
-	case p.ReportedState < seenRunning:
+	case p.ReportedState < reportedRunning:
 		return 2
 	case j.Spec.CheckpointS > 0:
 		return j.Spec.SaveS
@@ -100,8 +100,8 @@
 	if j.Spec.Kind == wire.KindService {
 		return 1e9
 	}
-	p, more := j.Tasks[task].Placement, m.remaining(j, task)
-	if p.ReportedState < seenRunning || p.RunningSince.IsZero() {
+	p, more := j.Tasks[task].Placement, m.remainingRunTime(j, task)
+	if p.ReportedState < reportedRunning || p.RunningSince.IsZero() {
 		return 5 + more
 	}
 	ran := now.Sub(p.RunningSince).Seconds()
@@ -113,9 +113,9 @@
 	v := placement.Machine{Name: mc.Name, Type: mc.Type, Zone: mc.Zone, Spot: mc.Spot}
 	if m.ready(mc, now) {
 		v.Ready = true
-	} else if m.showing(mc, now) {
+	} else if m.mayProveReachable(mc, now) {
 		v.ETA = 1
-	} else if eta, ok := m.booting(mc, now); ok {
+	} else if eta, ok := m.bootTimeLeft(mc, now); ok {
 		v.ETA = eta
 	} else {
 		return v, false
@@ -125,23 +125,23 @@
 	if mc.Spot {
 		v.Price = t.SpotPrice
 	}
-	v.Free = t.Capacity.Add(mc.Used, -1).Add(mc.orphans, -1)
-	images := len(m.imageBuf)
+	v.Free = t.Capacity.Add(mc.Used, -1).Add(mc.orphaned, -1)
+	images := len(m.imageBuffer)
 	if mc.suspected(now) {
 		v.Slow = 300
 	}
-	if mc.speed > 1.5 {
-		v.Slow += 20 * mc.speed
+	if mc.slowness > 1.5 {
+		v.Slow += 20 * mc.slowness
 	}
-	tasks := len(m.taskBuf)
-	m.refBuf = sortRefs(mc.Tasks, m.refBuf[:0])
-	for _, ref := range m.refBuf {
+	tasks := len(m.occupantBuffer)
+	m.refBuffer = sortRefs(mc.Tasks, m.refBuffer[:0])
+	for _, ref := range m.refBuffer {
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
-		if p.ReportedState < seenWaiting && t.FetchRate > 0 && !mc.has(j.Image) {
+		if p.ReportedState < reportedWaiting && t.FetchRate > 0 && !mc.has(j.Image) {
 			left := max(0.5, j.Spec.ImageGB/t.FetchRate-now.Sub(p.PlacedAt).Seconds())
-			if !slices.ContainsFunc(m.imageBuf[images:], func(im placement.ImageAt) bool { return im.Image == j.Image }) {
-				m.imageBuf = append(m.imageBuf, placement.ImageAt{Image: j.Image, In: left})
+			if !slices.ContainsFunc(m.imageBuffer[images:], func(im placement.ImageAt) bool { return im.Image == j.Image }) {
+				m.imageBuffer = append(m.imageBuffer, placement.ImageAt{Image: j.Image, In: left})
 				v.Backlog += left
 			}
 		}
@@ -149,21 +149,21 @@
 		if stopping {
 			v.Coming = v.Coming.Add(j.Need, 1)
 		}
-		m.taskBuf = append(m.taskBuf, placement.Occupant{
+		m.occupantBuffer = append(m.occupantBuffer, placement.Occupant{
 			Task: ref, Need: j.Need, Priority: j.Priority, Team: j.Team, Over: over[ref], Tier: j.tier,
 			Loss: m.loss(j, p, now), Left: m.left(j, ref.Task, now), Stopping: stopping, Fixed: stopping || j.Gang() && len(j.Tasks) > 1 || m.beginning(j, now),
 		})
 	}
-	for _, im := range mc.images {
-		m.imageBuf = append(m.imageBuf, placement.ImageAt{Image: im})
+	for _, im := range mc.cachedImages {
+		m.imageBuffer = append(m.imageBuffer, placement.ImageAt{Image: im})
 	}
-	v.Images, v.Tasks = m.imageBuf[images:], m.taskBuf[tasks:]
+	v.Images, v.Tasks = m.imageBuffer[images:], m.occupantBuffer[tasks:]
 	m.poolView(mc, &v)
 	return v, true
 }
 
 func (mc *Machine) has(image int32) bool {
-	for _, im := range mc.images {
+	for _, im := range mc.cachedImages {
 		if im == image {
 			return true
 		}
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -14,8 +14,8 @@
 // that it was about. Executed late, or a second time, it does the same and no
 // more; docs/start.md has the whole argument.
 
-// summonAgain is after how long a summons of which nothing came is repeated.
-const summonAgain = 1500 * time.Millisecond
+// wakeUpRetry is after how long a summons of which nothing came is repeated.
+const wakeUpRetry = 1500 * time.Millisecond
 
 // NoSuchTask is the number of a task that no job has: jobs have 100,000 at most,
 // counted from 0.
@@ -28,8 +28,8 @@
 func (m *Model) WakeUps(most int, now time.Time) []Push {
 	var out []Push
 	called := map[int32]bool{}
-	left := m.fresh[:0]
-	for _, ref := range m.fresh {
+	left := m.awaitingLaunch[:0]
+	for _, ref := range m.awaitingLaunch {
 		j := m.Jobs[ref.Job]
 		if j == nil {
 			continue
@@ -43,8 +43,8 @@
 		if called[mc.Index] {
 			p.WokenAt = now
 		}
-		if len(out) >= most || called[mc.Index] || mc.HeldAnswers > 0 || mc.Addr == "" || !mc.Up || mc.deaf() || !mc.InterruptionAt.IsZero() ||
-			now.Sub(p.WokenAt) < summonAgain || !launchable(j, ref.Task) {
+		if len(out) >= most || called[mc.Index] || mc.HeldAnswers > 0 || mc.Addr == "" || !mc.Up || mc.unreachable() || !mc.InterruptionAt.IsZero() ||
+			now.Sub(p.WokenAt) < wakeUpRetry || !launchable(j, ref.Task) {
 			continue
 		}
 		p.WokenAt = now
@@ -52,6 +52,6 @@
 		out = append(out, Push{Machine: mc.Name, Addr: mc.Addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch,
 			Commands: []wire.Command{{Op: wire.OpStart, Task: wire.TaskName(j.ID, NoSuchTask), Attempt: p.Attempt}}}})
 	}
-	m.fresh = left
+	m.awaitingLaunch = left
 	return out
 }
--- a/cluster/why.go
+++ b/cluster/why.go
@@ -123,11 +123,11 @@
 	switch {
 	case j.Cancelled:
 		return []string{"the end of its last tasks: it is cancelled"}
-	case j.aside:
+	case j.quarantined:
 		return []string{"a repair: its records can't be read"}
 	case j.DoneTasks+j.PlacedTasks == len(j.Tasks):
 		return nil
-	case j.record.atFault():
+	case j.failures.atFault():
 		return []string{"its next try: it fails wherever it is tried"}
 	case j.Gang() && j.PlacedTasks > 0:
 		return []string{"the end of what is left of its last attempt"}
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -17,44 +17,44 @@
 	OnCommit  func(rev uint64, now time.Time)
 	HeldStops int // that go out once it is committed
 
-	pages  map[string]*page
-	jobs   map[string]*Job
-	notes  map[string]*noted
-	places bool // tasks, by the plan
-	leaves map[*intake]*leaving
-	after  []func(rev uint64, now time.Time)
-	bytes  int
+	placementPages    map[string]*placementPage
+	jobs              map[string]*Job
+	notes             map[string]*noted
+	placesTasks       bool // tasks, by the plan
+	admissionRemovals map[*admissionPage]*admissionRemoval
+	commitHooks       []func(rev uint64, now time.Time)
+	bytes             int
 }
 
-// page is a key of the state service on which placement records of several
+// placementPage is a key of the state service on which placement records of several
 // jobs stand.
-type page struct {
-	n         int
-	version   uint64
-	gen       uint64 // counts changes
-	committed uint64 // the last change that is in the store
-	chunks    []chunkRef
-	kept      []jobstore.PlacementChunk // of jobs whose records can't be read
-	size      int                       // the most bytes that its records take
+type placementPage struct {
+	number              int
+	version             uint64
+	generation          uint64 // counts changes
+	committedGeneration uint64 // the last change that is in the store
+	chunks              []chunkRef
+	unreadChunks        []jobstore.PlacementChunk // of jobs whose records can't be read
+	size                int                       // the most bytes that its records take
 }
 
 type chunkRef struct {
-	j *Job
-	n int
+	job   *Job
+	chunk int
 }
 
 const (
-	// maxBytes keeps a transaction well below the service's limit of 64 KiB.
-	maxBytes = 48 << 10
-	// donesAtOnce bounds the jobs that are ended by a transaction that also
+	// maxBatchBytes keeps a transaction well below the service's limit of 64 KiB.
+	maxBatchBytes = 48 << 10
+	// maxFinalsWithPlacements bounds the jobs that are ended by a transaction that also
 	// places tasks, so that the conditions of both fit.
-	donesAtOnce = 4
+	maxFinalsWithPlacements = 4
 )
 
 // maxGuards is how many conditions a transaction may have, the leader key's and
 // the plan's left out.
 func (m *Model) maxGuards() int {
-	ops := m.cfg.Cluster.State.TxnOps
+	ops := m.settings.Cluster.State.TxnOps
 	if ops <= 0 {
 		ops = 12
 	}
@@ -64,70 +64,70 @@
 // pageBytes and pageChunks bound a page, so that whatever becomes of its
 // records it fits into a value, and their conditions into a transaction.
 func (m *Model) pageBytes() int {
-	kb := m.cfg.Cluster.State.ValueKB
+	kb := m.settings.Cluster.State.ValueKB
 	if kb <= 0 {
 		kb = 16
 	}
 	return int(kb*1024) - 256
 }
 
-func (m *Model) pageChunks() int { return m.maxGuards() - 1 - 2*donesAtOnce }
+func (m *Model) pageChunks() int { return m.maxGuards() - 1 - 2*maxFinalsWithPlacements }
 
-// findPage gives a chunk the first page with room for all that may ever be
+// assignPage gives a chunk the first page with room for all that may ever be
 // said of its tasks, so that it never has to move.
-func (m *Model) findPage(j *Job, n int) {
+func (m *Model) assignPage(j *Job, n int) {
 	size := m.chunkSize(j, n)
 	for _, p := range m.pages {
-		if p.size+size <= m.pageBytes() && len(p.chunks)+len(p.kept) < m.pageChunks() {
-			m.putOn(p, j, n)
+		if p.size+size <= m.pageBytes() && len(p.chunks)+len(p.unreadChunks) < m.pageChunks() {
+			m.putOnPlacementPage(p, j, n)
 			return
 		}
 	}
-	p := &page{n: len(m.pages)}
+	p := &placementPage{number: len(m.pages)}
 	m.pages = append(m.pages, p)
-	m.putOn(p, j, n)
+	m.putOnPlacementPage(p, j, n)
 }
 
 // chunkSize is the most bytes that a chunk's record takes, in the form in
 // which the service counts them.
 func (m *Model) chunkSize(j *Job, n int) int {
 	tasks := min(jobstore.ChunkSize, len(j.Tasks)-n*jobstore.ChunkSize)
-	return 80 + len(j.ID) + tasks*(22+max(m.longest, 12))
+	return 80 + len(j.ID) + tasks*(22+max(m.longestMachineName, 12))
 }
 
-func (m *Model) putOn(p *page, j *Job, n int) {
+func (m *Model) putOnPlacementPage(p *placementPage, j *Job, n int) {
 	c := &j.Chunks[n]
-	m.takeOff(c) // a chunk stands on one page only
+	m.takeOffPlacementPage(c) // a chunk stands on one page only
 	c.page, c.size = p, m.chunkSize(j, n)
 	p.chunks = append(p.chunks, chunkRef{j, n})
 	p.size += c.size
 }
 
-func (m *Model) takeOff(c *Chunk) {
+func (m *Model) takeOffPlacementPage(c *Chunk) {
 	p := c.page
 	if p == nil {
 		return
 	}
-	p.chunks = slices.DeleteFunc(p.chunks, func(r chunkRef) bool { return &r.j.Chunks[r.n] == c })
+	p.chunks = slices.DeleteFunc(p.chunks, func(r chunkRef) bool { return &r.job.Chunks[r.chunk] == c })
 	p.size -= c.size
-	p.gen++
+	p.generation++
 	c.page = nil
 }
 
 // PendingWrites is how many puts and deletes the next batch would like to have.
 func (m *Model) PendingWrites() int {
 	n := 0
-	for _, idx := range m.dirty {
-		if j := m.Jobs[idx]; j != nil && j.over() {
+	for _, idx := range m.dirtyJobs {
+		if j := m.Jobs[idx]; j != nil && j.awaitsFinalRecord() {
 			n += 2
 		}
 	}
 	for _, p := range m.pages {
-		if p.gen != p.committed {
+		if p.generation != p.committedGeneration {
 			n++
 		}
 	}
-	if n == 0 && len(m.dirty) > 0 {
+	if n == 0 && len(m.dirtyJobs) > 0 {
 		return 1 // nothing to write, but jobs to be dropped
 	}
 	return n
@@ -136,29 +136,31 @@
 // AllWritesIssued says whether all changes have been handed out to be written.
 func (m *Model) AllWritesIssued() bool { return m.PendingWrites() == 0 }
 
-// over says whether a job is done and its end is to be committed.
-func (j *Job) over() bool { return j.DoneTasks == len(j.Tasks) && !j.Cancelled && !j.Finished }
+// awaitsFinalRecord says whether a job is done and its end is to be committed.
+func (j *Job) awaitsFinalRecord() bool {
+	return j.DoneTasks == len(j.Tasks) && !j.Cancelled && !j.Finished
+}
 
 // NextBatch collects changed records, at most maxOps of them. Users wait for
 // the ends of jobs, and machines for placements: these come first.
 func (m *Model) NextBatch(maxOps int) *WriteBatch {
-	b := &WriteBatch{pages: map[string]*page{}, jobs: map[string]*Job{}}
+	b := &WriteBatch{placementPages: map[string]*placementPage{}, jobs: map[string]*Job{}}
 	fresh, other := m.changedPages()
 	dones := maxOps
 	if len(fresh) > 0 {
-		dones = donesAtOnce
+		dones = maxFinalsWithPlacements
 	}
-	left := m.dirty[:0]
-	for _, idx := range m.dirty {
+	left := m.dirtyJobs[:0]
+	for _, idx := range m.dirtyJobs {
 		j := m.Jobs[idx]
 		switch {
 		case j == nil:
 			continue
 		case j.Finished || j.Cancelled && j.PlacedTasks == 0:
-			m.forget(j)
+			m.dropJob(j)
 			continue
-		case j.over():
-			if dones == 0 || len(b.Ops)+2 > maxOps || len(b.Guards)+2 > m.maxGuards() || !m.batchDone(b, j) {
+		case j.awaitsFinalRecord():
+			if dones == 0 || len(b.Ops)+2 > maxOps || len(b.Guards)+2 > m.maxGuards() || !m.addFinalRecord(b, j) {
 				left = append(left, idx)
 				continue
 			}
@@ -166,29 +168,29 @@
 		}
 		j.dirty = false
 	}
-	m.dirty = left
+	m.dirtyJobs = left
 	for _, p := range append(fresh, other...) {
 		if len(b.Ops) >= maxOps {
 			break
 		}
-		m.batchPage(b, p)
+		m.addPlacementPage(b, p)
 	}
-	m.nextPage++
-	b.emptied()
+	m.nextPageToWrite++
+	b.fillAdmissionRemovals()
 	if len(b.Ops) == 0 {
 		return nil
 	}
-	if b.places {
+	if b.placesTasks {
 		b.Guards = append(b.Guards, m.PlanGuard())
 	}
-	m.compare(b)
-	b.OnCommit = b.committed
+	m.addPlanCheck(b)
+	b.OnCommit = b.runCommitHooks
 	return b
 }
 
-// committed takes in that a batch is in the store.
-func (b *WriteBatch) committed(rev uint64, now time.Time) {
-	for _, f := range b.after {
+// runCommitHooks takes in that a batch is in the store.
+func (b *WriteBatch) runCommitHooks(rev uint64, now time.Time) {
+	for _, f := range b.commitHooks {
 		f(rev, now)
 	}
 }
@@ -196,12 +198,12 @@
 // changedPages lists the pages to be written: those with new placements, and
 // the others. Each begins elsewhere every time, so that none is left out for
 // long where not all can be written.
-func (m *Model) changedPages() (fresh, other []*page) {
+func (m *Model) changedPages() (fresh, other []*placementPage) {
 	for i := range m.pages {
-		p := m.pages[(i+m.nextPage)%len(m.pages)]
+		p := m.pages[(i+m.nextPageToWrite)%len(m.pages)]
 		switch {
-		case p.gen == p.committed:
-		case slices.ContainsFunc(p.chunks, func(r chunkRef) bool { c := &r.j.Chunks[r.n]; return c.PlacedGen > c.CommittedGen }):
+		case p.generation == p.committedGeneration:
+		case slices.ContainsFunc(p.chunks, func(r chunkRef) bool { c := &r.job.Chunks[r.chunk]; return c.PlacedGen > c.CommittedGen }):
 			fresh = append(fresh, p)
 		default:
 			other = append(other, p)
@@ -210,14 +212,14 @@
 	return fresh, other
 }
 
-// batchDone ends a job, if its page fits in beside what is there already.
-func (m *Model) batchDone(b *WriteBatch, j *Job) bool {
+// addFinalRecord ends a job, if its page fits in beside what is there already.
+func (m *Model) addFinalRecord(b *WriteBatch, j *Job) bool {
 	rec := jobstore.JobRecord{Job: j.Spec, AcceptedAtMs: j.AcceptedAt.UnixMilli(), State: wire.JobDone, Outcomes: j.ends(0, len(j.Tasks)), FinishedAtMs: m.endMs(j)}
 	if j.res != nil {
 		rec.Reservation = &j.res.Reservation
 	}
-	if j.home != nil {
-		if !b.leave(j) {
+	if j.admissionPage != nil {
+		if !b.removeFromAdmissionPage(j) {
 			return false
 		}
 	} else {
@@ -228,16 +230,16 @@
 	b.Ops = append(b.Ops, wire.Op{Put: jobstore.FinalKey(j.ID), Value: rec})
 	b.jobs[jobstore.JobKey(j.ID)] = j
 	b.bytes += 1000
-	b.after = append(b.after, func(_ uint64, now time.Time) {
+	b.commitHooks = append(b.commitHooks, func(_ uint64, now time.Time) {
 		j.Finished = true
 		m.log.Info("job done", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
-		m.forget(j)
+		m.dropJob(j)
 	})
 	return true
 }
 
-// batchPage adds a page, if it fits in beside what is there already.
-func (m *Model) batchPage(b *WriteBatch, p *page) {
+// addPlacementPage adds a page, if it fits in beside what is there already.
+func (m *Model) addPlacementPage(b *WriteBatch, p *placementPage) {
 	type written struct {
 		c   *Chunk
 		gen uint64
@@ -249,53 +251,53 @@
 		bytes  = 200
 	)
 	jobs, places := map[string]*Job{}, false
-	for i := range p.kept {
-		rec.Chunks = append(rec.Chunks, p.kept[i])
-		bytes += m.keptSize(&p.kept[i])
+	for i := range p.unreadChunks {
+		rec.Chunks = append(rec.Chunks, p.unreadChunks[i])
+		bytes += m.keptChunkSize(&p.unreadChunks[i])
 	}
 	for _, r := range p.chunks {
-		c := &r.j.Chunks[r.n]
-		cr := r.j.chunkRecord(r.n)
+		c := &r.job.Chunks[r.chunk]
+		cr := r.job.chunkRecord(r.chunk)
 		rec.Chunks = append(rec.Chunks, cr)
 		chunks = append(chunks, written{c, c.Generation})
-		bytes += 60 + len(r.j.ID) + (20+m.longest)*len(cr.Placements) + 5*len(cr.DoneRanges)
-		key := jobstore.JobKey(r.j.ID)
+		bytes += 60 + len(r.job.ID) + (20+m.longestMachineName)*len(cr.Placements) + 5*len(cr.DoneRanges)
+		key := jobstore.JobKey(r.job.ID)
 		places = places || c.PlacedGen > c.CommittedGen
-		if c.PlacedGen > c.CommittedGen && !r.j.Cancelled && b.jobs[key] == nil && jobs[key] == nil {
+		if c.PlacedGen > c.CommittedGen && !r.job.Cancelled && b.jobs[key] == nil && jobs[key] == nil {
 			// A placement is only good for a job that is still wanted. A page that
 			// the job shares changes with others, too: there it must not be over.
-			if r.j.home != nil {
-				guards = append(guards, wire.Guard{Key: jobstore.FinalKey(r.j.ID)})
+			if r.job.admissionPage != nil {
+				guards = append(guards, wire.Guard{Key: jobstore.FinalKey(r.job.ID)})
 			} else {
-				guards = append(guards, wire.Guard{Key: key, Version: r.j.Version})
+				guards = append(guards, wire.Guard{Key: key, Version: r.job.Version})
 			}
-			jobs[key] = r.j
+			jobs[key] = r.job
 			bytes += 60
 		}
 	}
-	if len(b.Ops) > 0 && (b.bytes+bytes > maxBytes || len(b.Guards)+len(guards)+1 > m.maxGuards()) {
+	if len(b.Ops) > 0 && (b.bytes+bytes > maxBatchBytes || len(b.Guards)+len(guards)+1 > m.maxGuards()) {
 		return
 	}
-	key := jobstore.PlacementPageKey(p.n)
+	key := jobstore.PlacementPageKey(p.number)
 	op := wire.Op{Put: key, Value: rec}
 	if len(rec.Chunks) == 0 {
 		op = wire.Op{Delete: key}
 		if p.version == 0 {
-			p.committed = p.gen // it was never written
+			p.committedGeneration = p.generation // it was never written
 			return
 		}
 	}
 	b.Guards = append(append(b.Guards, guards...), wire.Guard{Key: key, Version: p.version})
 	b.Ops = append(b.Ops, op)
-	b.pages[key] = p
+	b.placementPages[key] = p
 	for k, j := range jobs {
 		b.jobs[k] = j
 	}
-	b.places = b.places || places
+	b.placesTasks = b.placesTasks || places
 	b.bytes += bytes
-	gen := p.gen
-	b.after = append(b.after, func(rev uint64, _ time.Time) {
-		p.version, p.committed = rev, gen
+	gen := p.generation
+	b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) {
+		p.version, p.committedGeneration = rev, gen
 		if op.Delete != "" {
 			p.version = 0
 		}
@@ -318,9 +320,9 @@
 // is that of a transaction of its own whose answer was lost; what is in the
 // model is newer.
 func (m *Model) ResolveConflict(b *WriteBatch, key string, version uint64) {
-	if p := b.pages[key]; p != nil {
+	if p := b.placementPages[key]; p != nil {
 		p.version = version
-		p.gen++ // also where it was to be deleted
+		p.generation++ // also where it was to be deleted
 	}
 	if x := b.notes[key]; x != nil {
 		x.version = version
@@ -333,9 +335,9 @@
 	return ok || jobstore.IsJobPageKey(key)
 }
 
-// forget drops a job that is over. Its records leave their pages with the
+// dropJob drops a job that is over. Its records leave their pages with the
 // pages' next change; a leader that finds them sees that the job is over.
-func (m *Model) forget(j *Job) {
+func (m *Model) dropJob(j *Job) {
 	if m.Jobs[j.Index] == nil || j.PlacedTasks > 0 {
 		return
 	}
@@ -343,10 +345,10 @@
 		m.nightEnded(j)
 	}
 	for n := range j.Chunks {
-		m.takeOff(&j.Chunks[n])
+		m.takeOffPlacementPage(&j.Chunks[n])
 	}
 	m.Jobs[j.Index] = nil
-	delete(m.jobIdx, j.ID)
+	delete(m.jobIndex, j.ID)
 }
 
 func (j *Job) chunkRecord(n int) jobstore.PlacementChunk {
@@ -370,7 +372,7 @@
 }
 
 func (j *Job) placement(i int) jobstore.Placement {
-	return jobstore.Placement{Task: i, Attempt: j.Tasks[i].Placement.Attempt, Machine: j.Tasks[i].Placement.name}
+	return jobstore.Placement{Task: i, Attempt: j.Tasks[i].Placement.Attempt, Machine: j.Tasks[i].Placement.machineName}
 }
 
 // sortedRefs lists refs in an order that does not depend on the map's.
