--- a/cluster/ahead.go
+++ b/cluster/ahead.go
@@ -12,10 +12,10 @@
 // This file rents machines for the calendar's nights ahead of what waits for room:
 // package calendar says how many places they lack, and until when.
 
-// ahead is what the nights want rented. It is decided anew with each forecast and
+// windowProvision is what the nights want rented. It is decided anew with each forecast and
 // rests on nothing that was decided before: a next leader counts what there is then,
 // rented by whomever.
-type ahead struct {
+type windowProvision struct {
 	job    *Job // what a place is for: the kind of which the nights have most work; nil: nothing is wanted yet
 	places int  // that there should be, all machines empty
 	at     time.Time
@@ -23,26 +23,26 @@
 }
 
 const (
-	aheadFor  = 3 * expectEvery                  // a decision holds that long if there is no other
-	aheadEasy = 2*expectEvery + offerRefusalTime // for a forecast that comes late, and a refusal
-	aheadMost = maxScaleOut                      // machines wanted at a time
+	provisionTTL         = 3 * forecastInterval                  // a decision holds that long if there is no other
+	provisionMargin      = 2*forecastInterval + offerRefusalTime // for a forecast that comes late, and a refusal
+	maxProvisionMachines = maxScaleOut                           // machines wanted at a time
 )
 
-// wantAhead decides what is rented for the nights, and says what of it is to be told
+// planProvision decides what is rented for the nights, and says what of it is to be told
 // beside a forecast.
-func (m *Model) wantAhead(loads []calendar.Load, usual *Job, free []float64, now time.Time) string {
-	was := m.nights.ahead.want
-	m.nights.ahead = ahead{}
-	if usual == nil || now.Sub(m.ElectedAt) < m.aheadQuiet() {
+func (m *Model) planProvision(loads []calendar.Load, usual *Job, free []float64, now time.Time) string {
+	was := m.windows.provision.want
+	m.windows.provision = windowProvision{}
+	if usual == nil || now.Sub(m.ElectedAt) < m.provisionGracePeriod() {
 		return ""
 	}
-	boot, per := m.bootFor(usual)
+	boot, per := m.bootTimeFor(usual)
 	if per == 0 {
 		return "" // no type is for it
 	}
-	w := calendar.Ahead(now, loads, free, boot.Seconds(), aheadMost*per)
-	there := int(m.emptyPlaces(usual, now))
-	w.Places = min(w.Places, m.placesLeft(usual, there))
+	w := calendar.Ahead(now, loads, free, boot.Seconds(), maxProvisionMachines*per)
+	there := int(m.placesWhenEmpty(usual, now))
+	w.Places = min(w.Places, m.quotaPlacesLeft(usual, there))
 	if w.Places <= 0 {
 		return ""
 	}
@@ -51,29 +51,29 @@
 		// put the order off, again and again.
 		w.By = was.By
 	}
-	m.nights.ahead.want = w
-	if w.By.Sub(now) > aheadEasy {
+	m.windows.provision.want = w
+	if w.By.Sub(now) > provisionMargin {
 		return fmt.Sprintf("; room for %d tasks more is to be rented until %s", w.Places, w.By.UTC().Format(time.RFC3339))
 	}
-	m.nights.ahead = ahead{job: usual, places: there + w.Places, at: now, want: w}
+	m.windows.provision = windowProvision{job: usual, places: there + w.Places, at: now, want: w}
 	note := fmt.Sprintf("; room for %d tasks more is rented", w.Places)
-	if offers, _ := m.offers(now); !m.offered(usual, offers) {
+	if offers, _ := m.offers(now); !m.anyOfferFits(usual, offers) {
 		note = fmt.Sprintf("; room for %d tasks more is wanted, and no machines are to be had", w.Places)
 	}
 	return note
 }
 
-// aheadQuiet is how long after takeover machines are taken for lost that have not
+// provisionGracePeriod is how long after takeover machines are taken for lost that have not
 // been heard of: workers come back within their lease, and what an earlier leader
 // rented shows in the cloud's list by then.
-func (m *Model) aheadQuiet() time.Duration {
+func (m *Model) provisionGracePeriod() time.Duration {
 	w := m.settings.Cluster.Workers
 	return max(config.Seconds(w.LeaseS), config.Seconds(2*m.settings.Cluster.Cloud.ListLagS+10)) + config.Seconds(w.ReportS)
 }
 
-// bootFor is how long the machine that would be rented for a job takes to be up, by
+// bootTimeFor is how long the machine that would be rented for a job takes to be up, by
 // what has been learnt, and how many of its tasks it takes; 0: there is none.
-func (m *Model) bootFor(j *Job) (boot time.Duration, per int) {
+func (m *Model) bootTimeFor(j *Job) (boot time.Duration, per int) {
 	least := 0.0
 	for ti := range m.MachineTypes {
 		t := &m.MachineTypes[ti]
@@ -85,15 +85,15 @@
 			c += 10
 		}
 		if per == 0 || c < least {
-			least, per = c, fit(j.Need, t.Capacity)
+			least, per = c, tasksThatFit(j.Need, t.Capacity)
 			boot = time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()) + config.Seconds(m.settings.Cluster.Workers.ReportS)
 		}
 	}
 	return boot, per
 }
 
-// placesLeft is how many places more than there are a job's team may use.
-func (m *Model) placesLeft(j *Job, there int) int {
+// quotaPlacesLeft is how many places more than there are a job's team may use.
+func (m *Model) quotaPlacesLeft(j *Job, there int) int {
 	n := 1 << 30
 	if j.Team < 0 {
 		return n
@@ -107,7 +107,7 @@
 	return n
 }
 
-func (m *Model) offered(j *Job, offers []placement.Offer) bool {
+func (m *Model) anyOfferFits(j *Job, offers []placement.Offer) bool {
 	for i := range offers {
 		o := &offers[i]
 		if j.AllowedTypes[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Cap) {
@@ -117,24 +117,24 @@
 	return false
 }
 
-// aheadRequest asks for the places that are lacking now. It is a phantom, served
+// provisionRequest asks for the places that are lacking now. It is a phantom, served
 // after all that waits.
-func (m *Model) aheadRequest(now time.Time) (placement.Request, bool) {
-	a := &m.nights.ahead
-	if a.job == nil || now.Sub(a.at) > aheadFor || m.recoveringFromStall(now) {
+func (m *Model) provisionRequest(now time.Time) (placement.Request, bool) {
+	a := &m.windows.provision
+	if a.job == nil || now.Sub(a.at) > provisionTTL || m.recoveringFromStall(now) {
 		return placement.Request{}, false
 	}
-	n := a.places - m.placesToCome(a.job, now)
+	n := a.places - m.placesExpected(a.job, now)
 	if n <= 0 {
 		return placement.Request{}, false
 	}
-	r := m.phantom(&class{spec: a.job}, n)
+	r := m.placeholder(&classStats{lastJob: a.job}, n)
 	r.Ahead, r.Zone = true, a.job.Zone
 	return r, true
 }
 
-// placesToCome is as emptyPlaces, with the machines whose reports are late: they are
+// placesExpected is as emptyPlaces, with the machines whose reports are late: they are
 // replaced once their leases are over, not before.
-func (m *Model) placesToCome(j *Job, now time.Time) int {
-	return m.placesOn(j, now, func(mc *Machine) bool { return mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() })
+func (m *Model) placesExpected(j *Job, now time.Time) int {
+	return m.placesOnMachines(j, now, func(mc *Machine) bool { return mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() })
 }
--- a/cluster/bound.go
+++ b/cluster/bound.go
@@ -20,42 +20,42 @@
 // are, all of which a next leader reads or is told.
 
 const (
-	boundAgain = 2 * time.Second  // a verdict stands for so long
-	boundGuard = 10 * time.Second // by which a job should be early
-	// largestEarlier is the share of the bound by which the largest of a class
+	boundInterval = 2 * time.Second  // a verdict stands for so long
+	boundMargin   = 10 * time.Second // by which a job should be early
+	// largestMargin is the share of the bound by which the largest of a class
 	// must begin earlier: what they wait for is the hardest to foresee.
-	largestEarlier = 0.1
-	// arrayEarlier is the share of the bound that an array's first task is early
+	largestMargin = 0.1
+	// largeArrayMargin is the share of the bound that an array's first task is early
 	// by, where it has manyTasks: waiting for the last moment saves nothing.
-	arrayEarlier = 0.5
-	manyTasks    = 8
+	largeArrayMargin = 0.5
+	largeArrayTasks  = 8
 	// boundSlack and boundShare are how late a job may seem to be able to wait:
 	// a time, and a share of how long its room takes to come free.
-	boundSlack = 10 * time.Second
-	boundShare = 0.25
-	holdLong   = 150       // seconds ahead that room is kept for a job that must begin
-	boundHeads = 100       // jobs are served by the bound in a pass
-	sizesKept  = 200       // of a class's last jobs
-	boundDrops = 50        // times a class is played again without the costliest
-	largestOf  = 10        // one in so many is among the largest of its class
-	never      = time.Hour // what is further away is not counted on
+	boundSlack          = 10 * time.Second
+	boundShare          = 0.25
+	boundHoldSeconds    = 150       // seconds ahead that room is kept for a job that must begin
+	maxMustStarts       = 100       // jobs are served by the bound in a pass
+	maxSizes            = 200       // of a class's last jobs
+	maxInfeasibleRounds = 50        // times a class is played again without the costliest
+	largestFraction     = 10        // one in so many is among the largest of its class
+	schedulingHorizon   = time.Hour // what is further away is not counted on
 	// lastCall is how long before it must have its room a job goes before fresh
 	// starts of higher priority; lastCallOf is of how many machines one may have
 	// a place for such jobs.
-	lastCall   = 20 * time.Second
-	lastCallOf = 10
-	settledFor = 30 * time.Second
+	lastCall         = 20 * time.Second
+	lastCallMachines = 10
+	startProtection  = 30 * time.Second
 )
 
-// begun says whether a task of the job has run. A task that is done may have
+// hasStarted says whether a task of the job has run. A task that is done may have
 // run in an earlier leader's time.
-func (j *Job) begun() bool { return !j.FirstRunAt.IsZero() || j.DoneTasks > 0 }
+func (j *Job) hasStarted() bool { return !j.FirstRunAt.IsZero() || j.DoneTasks > 0 }
 
-// toBegin is how many places the job needs to begin: a gang all at once, others
+// placesToStart is how many places the job needs to begin: a gang all at once, others
 // one. 0: it has begun, or has its room already.
-func (j *Job) toBegin() int {
+func (j *Job) placesToStart() int {
 	switch {
-	case j.begun():
+	case j.hasStarted():
 		return 0
 	case j.Gang():
 		return len(j.Tasks)
@@ -65,50 +65,50 @@
 	return 1
 }
 
-// beginning says whether the job's only task must be left alone: it was begun by
+// isStartProtected says whether the job's only task must be left alone: it was begun by
 // the bound, and a start that is stopped at once is none.
-func (m *Model) beginning(j *Job, now time.Time) bool {
-	return m.StarvationBound > 0 && j.owed && !j.Gang() && j.PlacedTasks == 1 && (j.FirstRunAt.IsZero() || now.Sub(j.FirstRunAt) < settledFor)
+func (m *Model) isStartProtected(j *Job, now time.Time) bool {
+	return m.StarvationBound > 0 && j.owed && !j.Gang() && j.PlacedTasks == 1 && (j.FirstRunAt.IsZero() || now.Sub(j.FirstRunAt) < startProtection)
 }
 
-// sized takes in how many tasks a job of the class has.
-func (c *class) sized(tasks int) {
-	if len(c.sizes) < sizesKept {
+// addSize takes in how many tasks a job of the class has.
+func (c *classStats) addSize(tasks int) {
+	if len(c.sizes) < maxSizes {
 		c.sizes = append(c.sizes, tasks)
 	} else {
-		c.sizes[c.sized0] = tasks
-		c.sized0 = (c.sized0 + 1) % sizesKept
+		c.sizes[c.oldestSize] = tasks
+		c.oldestSize = (c.oldestSize + 1) % maxSizes
 	}
-	c.large = 0
+	c.largeFrom = 0
 }
 
-// largest says whether a job of so many tasks is among the largest of its class.
-func (c *class) largest(tasks int) bool {
-	if c.large == 0 {
+// isLarge says whether a job of so many tasks is among the largest of its class.
+func (c *classStats) isLarge(tasks int) bool {
+	if c.largeFrom == 0 {
 		v := slices.Clone(c.sizes)
 		slices.Sort(v)
-		c.large = v[len(v)-max(1, len(v)/largestOf)]
+		c.largeFrom = v[len(v)-max(1, len(v)/largestFraction)]
 	}
-	return tasks >= c.large
+	return tasks >= c.largeFrom
 }
 
-// amongLargest says whether the job is one of the largest of its class.
-func (m *Model) amongLargest(j *Job) bool {
+// isLargeJob says whether the job is one of the largest of its class.
+func (m *Model) isLargeJob(j *Job) bool {
 	c := m.classes[j.Spec.Class]
-	return c != nil && c.largest(len(j.Tasks))
+	return c != nil && c.isLarge(len(j.Tasks))
 }
 
-// bound marks the waiting jobs that must hold room now in order to begin in
+// checkStarvationBound marks the waiting jobs that must hold room now in order to begin in
 // time. The verdicts stand for a while; a job that came since waits for the next.
-func (m *Model) bound(out []*ranked, now time.Time) {
+func (m *Model) checkStarvationBound(out []*queued, now time.Time) {
 	if m.StarvationBound <= 0 || now.Before(m.boundAt) {
 		return
 	}
-	m.boundAt = now.Add(boundAgain)
-	byClass := map[string][]*ranked{}
+	m.boundAt = now.Add(boundInterval)
+	byClass := map[string][]*queued{}
 	var names []string
 	for _, k := range out {
-		if k.j.toBegin() == 0 {
+		if k.j.placesToStart() == 0 {
 			continue
 		}
 		c := k.j.Spec.Class
@@ -118,15 +118,15 @@
 		byClass[c] = append(byClass[c], k)
 	}
 	for _, c := range names {
-		m.boundClass(byClass[c], now)
+		m.checkClassBound(byClass[c], now)
 	}
-	m.floor(out, now)
-	m.nameUnbegun(now)
+	m.enforceCompletionFloor(out, now)
+	m.explainStarvation(now)
 }
 
-// latestBegin is when a job must have its room to begin in time, since the image
+// latestStart is when a job must have its room to begin in time, since the image
 // and the start come after that, and when it should have it.
-func (m *Model) latestBegin(j *Job) (should, must time.Time) {
+func (m *Model) latestStart(j *Job) (should, must time.Time) {
 	fetch := math.Inf(1)
 	for i := range m.MachineTypes {
 		if t := &m.MachineTypes[i]; j.AllowedTypes[i] && t.FetchRate > 0 {
@@ -137,98 +137,98 @@
 		fetch = 0
 	}
 	must = j.AcceptedAt.Add(m.StarvationBound - config.Seconds(fetch+m.startupAndSpreadOf(j).startDelay()))
-	should = must.Add(-boundGuard)
-	if m.amongLargest(j) {
-		should = should.Add(-time.Duration(largestEarlier * float64(m.StarvationBound)))
+	should = must.Add(-boundMargin)
+	if m.isLargeJob(j) {
+		should = should.Add(-time.Duration(largestMargin * float64(m.StarvationBound)))
 	}
 	return should, must
 }
 
-// verdict is what playing says of a job.
-type verdict struct {
-	latest, must time.Time
-	alone        time.Duration // until it has its room if it is served first
-	wait         time.Duration // and after all that must begin before it
-	dropped      bool          // it can't be in time beside the others
+// startForecast is what playing says of a job.
+type startForecast struct {
+	startBy, hardLimit time.Time
+	servedFirst        time.Duration // until it has its room if it is served first
+	servedInTurn       time.Duration // and after all that must begin before it
+	infeasible         bool          // it can't be in time beside the others
 }
 
-// boundClass plays the jobs of a class that have not begun through, the first
+// checkClassBound plays the jobs of a class that have not begun through, the first
 // to be late first, as if nothing else were served from now on. Those that can
 // be in time so, and not by much, must be served now, and with them all before
 // them. Where one would be late, the job that takes the most so far is dropped,
 // the largest of the class last: so that as few as possible are late.
-func (m *Model) boundClass(jobs []*ranked, now time.Time) {
-	all := m.roomsOf(jobs[0].j, now)
-	out := make([]verdict, len(jobs))
+func (m *Model) checkClassBound(jobs []*queued, now time.Time) {
+	all := m.zonePlacesFor(jobs[0].j, now)
+	out := make([]startForecast, len(jobs))
 	order := make([]int, len(jobs))
 	for i, k := range jobs {
 		v := &out[i]
-		at, _ := all.first(k.j, k.j.toBegin())
-		v.alone = config.Seconds(min(at, 2*never.Seconds()))
-		v.latest, v.must = m.latestBegin(k.j)
-		v.dropped = v.alone > never || now.Add(v.alone).After(v.must)
+		at, _ := all.earliest(k.j, k.j.placesToStart())
+		v.servedFirst = config.Seconds(min(at, 2*schedulingHorizon.Seconds()))
+		v.startBy, v.hardLimit = m.latestStart(k.j)
+		v.infeasible = v.servedFirst > schedulingHorizon || now.Add(v.servedFirst).After(v.hardLimit)
 		order[i] = i
 	}
-	sort.SliceStable(order, func(a, b int) bool { return out[order[a]].latest.Before(out[order[b]].latest) })
+	sort.SliceStable(order, func(a, b int) bool { return out[order[a]].startBy.Before(out[order[b]].startBy) })
 	for drops := 0; ; drops++ {
-		late := m.playBound(jobs, out, order, all.clone(), now)
+		late := m.simulateStarts(jobs, out, order, all.clone(), now)
 		if late < 0 {
 			break
 		}
-		if drops < boundDrops {
-			late = m.costliest(jobs, out, order, late)
+		if drops < maxInfeasibleRounds {
+			late = m.costliestStart(jobs, out, order, late)
 		}
-		out[late].dropped = true
+		out[late].infeasible = true
 	}
 	least := time.Duration(math.MaxInt64)
 	for o := len(order) - 1; o >= 0; o-- {
 		j, v := jobs[order[o]].j, out[order[o]]
 		enough := func(wait time.Duration) time.Duration { return boundSlack + time.Duration(boundShare*float64(wait)) }
-		slack := v.latest.Sub(now) - v.wait
+		slack := v.startBy.Sub(now) - v.servedInTurn
 		switch {
-		case !j.Gang() && len(j.Tasks) >= manyTasks:
-			j.owed = slack <= time.Duration(arrayEarlier*float64(m.StarvationBound))
-		case !v.dropped:
+		case !j.Gang() && len(j.Tasks) >= largeArrayTasks:
+			j.owed = slack <= time.Duration(largeArrayMargin*float64(m.StarvationBound))
+		case !v.infeasible:
 			least = min(least, slack)
-			j.owed = least <= enough(v.wait)
-		case v.alone > never:
-			j.owed = v.latest.Sub(now) <= lastCall
+			j.owed = least <= enough(v.servedInTurn)
+		case v.servedFirst > schedulingHorizon:
+			j.owed = v.startBy.Sub(now) <= lastCall
 		default:
 			// Served first, it would make others late in its turn: it has twice
 			// the time.
-			j.owed = v.latest.Add(m.StarvationBound).Sub(now)-v.alone <= enough(v.alone)
+			j.owed = v.startBy.Add(m.StarvationBound).Sub(now)-v.servedFirst <= enough(v.servedFirst)
 		}
-		j.latest, j.alone, j.hopeless, j.roomless = v.latest, v.alone, v.dropped, v.alone > never
+		j.latest, j.alone, j.hopeless, j.roomless = v.startBy, v.servedFirst, v.infeasible, v.servedFirst > schedulingHorizon
 	}
 }
 
-// playBound serves the jobs that are not dropped in their order, and says which
+// simulateStarts serves the jobs that are not dropped in their order, and says which
 // is the first that can't be in time, or -1.
-func (m *Model) playBound(jobs []*ranked, out []verdict, order []int, r *rooms, now time.Time) int {
+func (m *Model) simulateStarts(jobs []*queued, out []startForecast, order []int, r *zonePlaces, now time.Time) int {
 	for _, i := range order {
 		k, v := jobs[i], &out[i]
-		if v.dropped {
-			v.wait = v.alone
+		if v.infeasible {
+			v.servedInTurn = v.servedFirst
 			continue
 		}
-		n := k.j.toBegin()
-		at, zone := r.first(k.j, n)
-		v.wait = config.Seconds(min(at, 2*never.Seconds()))
-		if now.Add(v.wait).After(v.must) {
+		n := k.j.placesToStart()
+		at, zone := r.earliest(k.j, n)
+		v.servedInTurn = config.Seconds(min(at, 2*schedulingHorizon.Seconds()))
+		if now.Add(v.servedInTurn).After(v.hardLimit) {
 			return i
 		}
-		r.take(zone, n, at+k.left)
+		r.occupy(zone, n, at+k.runSeconds)
 	}
 	return -1
 }
 
-// costliest is the job whose beginning takes the most of those up to the late
+// costliestStart is the job whose beginning takes the most of those up to the late
 // one, and is none of the largest of its class while there are others.
-func (m *Model) costliest(jobs []*ranked, out []verdict, order []int, late int) int {
+func (m *Model) costliestStart(jobs []*queued, out []startForecast, order []int, late int) int {
 	best, most := late, -1.0
 	for _, i := range order {
-		if k := jobs[i]; !out[i].dropped && !m.amongLargest(k.j) {
-			if cost := float64(k.j.toBegin()) * k.left; cost > most {
+		if k := jobs[i]; !out[i].infeasible && !m.isLargeJob(k.j) {
+			if cost := float64(k.j.placesToStart()) * k.runSeconds; cost > most {
 				best, most = i, cost
 			}
 		}
@@ -239,20 +239,20 @@
 	return best
 }
 
-// rooms is after how many seconds there is a place for a task, once for each,
+// zonePlaces is after how many seconds there is a place for a task, once for each,
 // by zone. Where a class's jobs need no zone of their own, it is one list.
-type rooms struct {
-	byZone []times
-	whole  bool // one list for all zones
+type zonePlaces struct {
+	byZone  []placeTimes
+	anyZone bool // one list for all zones
 }
 
-func (m *Model) roomsOf(j *Job, now time.Time) *rooms {
-	r := &rooms{whole: !j.Spec.OneZone && j.Zone < 0}
-	if r.whole {
-		r.byZone = []times{m.places(j, -1, now)}
+func (m *Model) zonePlacesFor(j *Job, now time.Time) *zonePlaces {
+	r := &zonePlaces{anyZone: !j.Spec.OneZone && j.Zone < 0}
+	if r.anyZone {
+		r.byZone = []placeTimes{m.placesFor(j, -1, now)}
 	} else {
 		for z := range m.Zones {
-			r.byZone = append(r.byZone, m.places(j, z, now))
+			r.byZone = append(r.byZone, m.placesFor(j, z, now))
 		}
 	}
 	for _, t := range r.byZone {
@@ -261,20 +261,20 @@
 	return r
 }
 
-func (r *rooms) clone() *rooms {
-	out := &rooms{whole: r.whole}
+func (r *zonePlaces) clone() *zonePlaces {
+	out := &zonePlaces{anyZone: r.anyZone}
 	for _, t := range r.byZone {
 		out.byZone = append(out.byZone, slices.Clone(t))
 	}
 	return out
 }
 
-// first is after how many seconds a job has n places at once, and in which
+// earliest is after how many seconds a job has n places at once, and in which
 // zone; infinite where there never are so many.
-func (r *rooms) first(j *Job, n int) (at float64, zone int) {
+func (r *zonePlaces) earliest(j *Job, n int) (at float64, zone int) {
 	at, zone = math.Inf(1), -1
 	for z, t := range r.byZone {
-		if !r.whole && j.Zone >= 0 && j.Zone != z || len(t) < n {
+		if !r.anyZone && j.Zone >= 0 && j.Zone != z || len(t) < n {
 			continue
 		}
 		if t[n-1] < at {
@@ -284,8 +284,8 @@
 	return at, zone
 }
 
-// take holds the first n places of a zone until they are free again.
-func (r *rooms) take(zone, n int, until float64) {
+// occupy holds the first n places of a zone until they are free again.
+func (r *zonePlaces) occupy(zone, n int, until float64) {
 	t := r.byZone[zone]
 	at, _ := slices.BinarySearch(t, until)
 	at = max(at, n) // its places are the first, and free again no sooner than that
@@ -295,34 +295,34 @@
 	}
 }
 
-// byBound brings what must begin before the aims of its priority. Of an array
+// prioritizeMustStart brings what must begin before the aims of its priority. Of an array
 // that is its first task; the others keep their turn.
-func (m *Model) byBound(out []*ranked, now time.Time) []*ranked {
+func (m *Model) prioritizeMustStart(out []*queued, now time.Time) []*queued {
 	if m.StarvationBound <= 0 {
 		return out
 	}
 	heads := 0
-	var list []*ranked
+	var list []*queued
 	for lo := 0; lo < len(out); {
 		hi := lo + 1
-		for hi < len(out) && out[hi].within == out[lo].within && out[hi].j.Priority == out[lo].j.Priority {
+		for hi < len(out) && out[hi].withinQuota == out[lo].withinQuota && out[hi].j.Priority == out[lo].j.Priority {
 			hi++
 		}
-		var first, floored, rest []*ranked
+		var first, floored, rest []*queued
 		for _, k := range out[lo:hi] {
 			tail := &rest
 			if k.j.floored {
 				k.req.Owed = true
 				tail = &floored
 			}
-			if !k.j.owed || k.j.toBegin() == 0 || heads >= boundHeads {
+			if !k.j.owed || k.j.placesToStart() == 0 || heads >= maxMustStarts {
 				*tail = append(*tail, k)
 				continue
 			}
 			heads++
 			head := *k
-			head.owed, head.req.Owed = true, true
-			head.req.Hold, head.req.HoldFor = true, holdLong
+			head.mustStart, head.req.Owed = true, true
+			head.req.Hold, head.req.HoldFor = true, boundHoldSeconds
 			if !k.j.Gang() {
 				head.req.Tasks = k.req.Tasks[:1]
 				// Two requests of a job whose tasks must be in one zone, or in
@@ -347,11 +347,11 @@
 		list = append(append(append(list, floored...), first...), rest...)
 		lo = hi
 	}
-	return m.lastCalls(list, now)
+	return m.promoteLastCalls(list, now)
 }
 
-// atMost leaves so many requests, those that the bound has served among them.
-func atMost(list []*ranked, most int) []*ranked {
+// truncateQueue leaves so many requests, those that the bound has served among them.
+func truncateQueue(list []*queued, most int) []*queued {
 	cut := len(list) - most
 	if cut <= 0 {
 		return list
@@ -365,12 +365,12 @@
 	return list
 }
 
-// lastCalls brings the few that have no time left before fresh starts of higher
+// promoteLastCalls brings the few that have no time left before fresh starts of higher
 // priority, after all that is within a guarantee. Nothing is stopped for them,
 // and they are few: at any time a place for each so many machines, or one job,
 // counting those that were begun so and must be left alone.
-func (m *Model) lastCalls(list []*ranked, now time.Time) []*ranked {
-	at := slices.IndexFunc(list, func(k *ranked) bool { return !k.within })
+func (m *Model) promoteLastCalls(list []*queued, now time.Time) []*queued {
+	at := slices.IndexFunc(list, func(k *queued) bool { return !k.withinQuota })
 	if at < 0 || list[at].j.Priority == list[len(list)-1].j.Priority {
 		return list
 	}
@@ -381,16 +381,16 @@
 		}
 		ready++
 		for ref := range mc.Tasks {
-			if m.beginning(m.Jobs[ref.Job], now) {
+			if m.isStartProtected(m.Jobs[ref.Job], now) {
 				settling++
 			}
 		}
 	}
-	places := max(1, ready/lastCallOf) - settling
-	var called, others []*ranked
+	places := max(1, ready/lastCallMachines) - settling
+	var called, others []*queued
 	for _, k := range list[at:] {
 		n, j := len(k.req.Tasks), k.j
-		late := k.owed && j.latest.Sub(now) < lastCall+min(j.alone, holdLong*time.Second)
+		late := k.mustStart && j.latest.Sub(now) < lastCall+min(j.alone, boundHoldSeconds*time.Second)
 		if late && j.Priority > list[at].j.Priority && places > 0 && (n <= places || len(called) == 0) {
 			places -= n
 			called = append(called, k)
--- a/cluster/bound_test.go
+++ b/cluster/bound_test.go
@@ -209,7 +209,7 @@
 		s.m.FinishLoading(at(100))
 		s.run(100, 103)
 		for _, j := range s.m.Jobs {
-			if j.PlacedTasks > 0 && !j.begun() {
+			if j.PlacedTasks > 0 && !j.hasStarted() {
 				t.Errorf("%s runs, and the next leader takes it for one that has not begun", j.ID)
 			}
 		}
@@ -246,7 +246,7 @@
 	for _, u := range sum.Starved {
 		got[u.ID] = u.BlockedBy
 	}
-	want := map[string]string{"wk-000001": inWayZone, "wk-000002": inWayGang, "wk-000005": inWayMachines, "wk-000006": inWayTeam}
+	want := map[string]string{"wk-000001": blockedByZone, "wk-000002": blockedByGangSize, "wk-000005": blockedByNoMachines, "wk-000006": blockedByQuota}
 	if !maps.Equal(got, want) || sum.StarvedTotal != len(want) {
 		t.Errorf("named: %v", got)
 	}
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -49,7 +49,7 @@
 			}
 		}
 	}
-	j.loadEnds(c.Outcomes)
+	j.loadEndedTasks(c.Outcomes)
 	for _, p := range c.Placements {
 		if p.Task < 0 || p.Task >= len(j.Tasks) || j.Tasks[p.Task].Phase != TaskIdle {
 			continue
@@ -60,7 +60,7 @@
 		// What waits to be asked for has not been launched by anybody: only what
 		// stands in the job's record may be, and that was read after this
 		// leader was elected.
-		j.Tasks[p.Task].Placement.Inherited = !j.waitsForGo(p.Task)
+		j.Tasks[p.Task].Placement.Inherited = !j.awaitsLaunch(p.Task)
 	}
 }
 
@@ -69,7 +69,7 @@
 	m.loadFinished = true
 	m.quarantineUnaccountedJobs()
 	for _, j := range m.Jobs {
-		m.giveBack(j, now)
+		m.releaseMarked(j, now)
 		if j.Cancelled {
 			m.cancel(j, now)
 		}
--- a/cluster/floor.go
+++ b/cluster/floor.go
@@ -19,39 +19,39 @@
 	floorMemory = 1000
 )
 
-// groups are what must not fall under half of which a job counts for.
-func (m *Model) groups(j *Job) []string {
+// floorGroups are what must not fall under half of which a job counts for.
+func (m *Model) floorGroups(j *Job) []string {
 	out := []string{"class " + j.Spec.Class, "team " + j.Spec.Team}
-	if m.amongLargest(j) {
+	if m.isLargeJob(j) {
 		out = append(out, "largest "+j.Spec.Class)
 	}
 	return out
 }
 
-// served takes in that a job is done.
-func (m *Model) served(j *Job) {
+// countCompletion takes in that a job is done.
+func (m *Model) countCompletion(j *Job) {
 	if m.StarvationBound <= 0 {
 		return
 	}
-	for _, g := range m.groups(j) {
+	for _, g := range m.floorGroups(j) {
 		if m.done[g] < floorMemory && len(m.done) < 1000 {
 			m.done[g]++
 		}
 	}
 }
 
-// floor marks the jobs that are not to be put off any longer: of each group of
+// enforceCompletionFloor marks the jobs that are not to be put off any longer: of each group of
 // which less than half is done, of what came long ago, the oldest that are
 // missing to that.
-func (m *Model) floor(out []*ranked, now time.Time) {
+func (m *Model) enforceCompletionFloor(out []*queued, now time.Time) {
 	long := floorAfter * m.StarvationBound
-	old := map[string][]*ranked{}
+	old := map[string][]*queued{}
 	for _, k := range out {
 		k.j.floored = false
 		if now.Sub(k.j.AcceptedAt) <= long {
 			continue
 		}
-		for _, g := range m.groups(k.j) {
+		for _, g := range m.floorGroups(k.j) {
 			old[g] = append(old[g], k)
 		}
 	}
@@ -60,7 +60,7 @@
 		if missing <= 0 {
 			continue
 		}
-		slices.SortStableFunc(jobs, func(a, b *ranked) int { return a.j.AcceptedAt.Compare(b.j.AcceptedAt) })
+		slices.SortStableFunc(jobs, func(a, b *queued) int { return a.j.AcceptedAt.Compare(b.j.AcceptedAt) })
 		for _, k := range jobs[:min(missing, len(jobs))] {
 			k.j.floored = true
 		}
--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -116,7 +116,7 @@
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
 		switch {
-		case p.Inherited && p.Stop == nil && j.res != nil && r.Session == 1:
+		case p.Inherited && p.Stop == nil && j.reservation != nil && r.Session == 1:
 			// No lease of this worker has ever ended, and what it once had it
 			// lists until its outcome is committed: the launch never reached it.
 			p.Inherited, p.LaunchSent = false, false
@@ -235,7 +235,7 @@
 	switch t.Why {
 	case wire.WhyError:
 		how = jobstore.OutcomeFailed
-		if j.res == nil { // what such a job runs differs from task to task
+		if j.reservation == nil { // what such a job runs differs from task to task
 			wait = m.taskFailed(j, task, mc, now)
 		}
 		failed = "error"
@@ -256,7 +256,7 @@
 	j.recordProgress(task, p, t.Saved, now)
 	m.removePlacement(j, task, now)
 	j.Tasks[task].NotBefore = now.Add(wait).UnixMilli()
-	m.spend(j, task, how, now)
+	m.finishOnlyAttempt(j, task, how, now)
 	m.rememberExit(j, task, mc, t)
 	m.quarantineFailedMove(ref, failed, now)
 	m.afterGangLoss(j, task, now)
@@ -281,7 +281,7 @@
 		j.recordProgress(task, p, false, now)
 	}
 	m.removePlacement(j, task, now)
-	m.spend(j, task, jobstore.OutcomeLost, now)
+	m.finishOnlyAttempt(j, task, jobstore.OutcomeLost, now)
 	m.quarantineFailedMove(TaskRef{Job: j.Index, Task: task}, "", now)
 	m.afterGangLoss(j, task, now)
 }
@@ -321,7 +321,7 @@
 // launchable says whether every record that a launch of this task rests on is
 // committed; a gang launches as a whole.
 func launchable(j *Job, task int32) bool {
-	if j.Cancelled || j.Finished || j.waitsForGo(int(task)) {
+	if j.Cancelled || j.Finished || j.awaitsLaunch(int(task)) {
 		return false
 	}
 	if !j.Gang() {
@@ -544,7 +544,7 @@
 
 // Tick takes the passing of time in: leases that are over, notices.
 func (m *Model) Tick(now time.Time) {
-	m.tickNights(now)
+	m.tickWindows(now)
 	for _, mc := range m.Machines {
 		if mc.Gone {
 			continue
@@ -566,7 +566,7 @@
 			m.evacuate(mc, now)
 		}
 	}
-	m.stepPools(now)
+	m.tickPools(now)
 }
 
 // revokeUnlaunched takes back what was placed on a machine that has fallen silent and
@@ -576,7 +576,7 @@
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
 		// A reserved place is promised: it is kept while its machine may return.
-		if p := j.Tasks[ref.Task].Placement; p != nil && !p.LaunchSent && !p.Inherited && j.res == nil {
+		if p := j.Tasks[ref.Task].Placement; p != nil && !p.LaunchSent && !p.Inherited && j.reservation == nil {
 			m.log.Debug("recalled", "job", j.ID, "task", ref.Task, "machine", mc.Name)
 			m.removePlacement(j, ref.Task, now)
 		}
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -121,13 +121,13 @@
 
 	quarantined   bool           // its placements can't be read
 	admissionPage *admissionPage // the page that its record shares with others, if it does
-	night         jobNight
-	endMs         int64 // when its end was last written, of a night's job
+	window        jobWindow
+	completedAtMs int64 // when its end was last written, of a night's job
 	cursor        int
 	dirty         bool
 	avoidUntil    map[int32]time.Time
 	failures      *failureHistory // of its failures
-	res           *reserve        // nil unless its tasks are reserved first
+	reservation   *reservation    // nil unless its tasks are reserved first
 }
 
 // Gang says whether all tasks run at the same time or none does.
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -28,15 +28,15 @@
 	if j := m.Job(id); j != nil {
 		if version > j.Version {
 			j.Version = version
-			m.mark(j, rec.Reservation, now)
+			m.updateReservation(j, rec.Reservation, now)
 		}
 		return
 	}
 	j := m.addJob(id, rec)
 	j.Version = version
-	m.arrival(j, now)
+	m.recordArrival(j, now)
 	if m.loadFinished {
-		m.giveBack(j, now)
+		m.releaseMarked(j, now)
 	}
 	s, deadline := &j.Spec, 0.0
 	if s.DeadlineS != nil {
@@ -54,7 +54,7 @@
 		AllowedTypes: m.allowedTypes(&s), Zone: -1, Image: m.internImage(s.Image, s.ImageGB),
 		Tasks: make([]Task, s.Tasks), Chunks: make([]Chunk, (s.Tasks+jobstore.ChunkSize-1)/jobstore.ChunkSize),
 		PlacedByZone: make([]int, len(m.Zones)), failures: &failureHistory{},
-		res: newReserve(rec.Reservation, s.Tasks),
+		reservation: newReservation(rec.Reservation, s.Tasks),
 	}
 	if t, ok := m.teamIndex[s.Team]; ok {
 		j.Team = t
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -55,16 +55,16 @@
 	HeldAnswers    int       // answers to its reports that are being held back
 	reachability   reachability
 
-	orphaned      placement.Res // what tasks not in the model take
-	cachedImages  []int32       // most recently used last
-	reportedExits map[exitKey]*reportedExit
-	taskErrors    []taskError
-	slowness      float64
-	pool          int       // 1 and more: the warm pool that it belongs to
-	worked        bool      // has had a task
-	unready       time.Time // since when it could not be given tasks, as its pool saw
-	unfit         time.Time // no pool takes it before: its fetch came to nothing
-	learnt        uint64    // the session for which an earlier leader's word on its images was taken
+	orphaned            placement.Res // what tasks not in the model take
+	cachedImages        []int32       // most recently used last
+	reportedExits       map[exitKey]*reportedExit
+	taskErrors          []taskError
+	slowness            float64
+	pool                int       // 1 and more: the warm pool that it belongs to
+	hasHadTask          bool      // has had a task
+	unreadySince        time.Time // since when it could not be given tasks, as its pool saw
+	unfitUntil          time.Time // no pool takes it before: its fetch came to nothing
+	imagesLearntSession uint64    // the session for which an earlier leader's word on its images was taken
 }
 
 type exitKey struct {
@@ -104,7 +104,7 @@
 			bootTimes: m.MachineTypes[idx].bootTimes,
 		}
 	}
-	m.nights.ahead = ahead{} // its job may be out of the model, and know none of the new types
+	m.windows.provision = windowProvision{} // its job may be out of the model, and know none of the new types
 	for _, mc := range m.Machines {
 		if mc.Type < 0 {
 			mc.Type = m.machineTypeIndex(mc.TypeName)
@@ -118,7 +118,7 @@
 	// The last job of a class may be out of the model already: with none of the
 	// types allowed that it knew, the next pass ended the process.
 	for _, c := range m.classes {
-		c.spec.AllowedTypes = m.allowedTypes(&c.spec.Spec)
+		c.lastJob.AllowedTypes = m.allowedTypes(&c.lastJob.Spec)
 	}
 }
 
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -64,20 +64,20 @@
 	plan                 Plan
 	planExpected         bool       // there may be a plan
 	heldStops            []heldStop // until the plan is compared
-	nights               nights
-	notes                notes
-	pools                []*pool
+	windows              batchWindows
+	planRecords          planRecords
+	pools                []*warmPool
 	poolsAt              time.Time // not before then the pools' next step
 	fetchNo              int       // of the last fetch of a pool's weights
-	classes              map[string]*class
-	tiers                tiers
+	classes              map[string]*classStats
+	tiers                priorityTiers
 
 	// Reused from pass to pass.
 	machineBuffer  []placement.Machine
 	occupantBuffer []placement.Occupant
 	imageBuffer    []placement.ImageAt
 	refBuffer      []TaskRef
-	playBuf        times
+	playBuf        placeTimes
 	triageAt       time.Time // not before then again
 	boundAt        time.Time
 	nameAt         time.Time
@@ -95,7 +95,7 @@
 		FencingToken: token, ElectedAt: now, Zones: cfg.Cluster.Zones, settings: cfg, log: log, clockDrift: config.Drift,
 		zoneIndex: map[string]int{}, teamIndex: map[string]int{}, typeIndex: map[string]int{},
 		machineIndex: map[string]int32{}, jobIndex: map[string]int32{}, imageIndex: map[string]int32{},
-		refusedOffers: map[offerKey]time.Time{}, RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*class{}, done: map[string]int{}, admissionPages: map[string]*admissionPage{},
+		refusedOffers: map[offerKey]time.Time{}, RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*classStats{}, done: map[string]int{}, admissionPages: map[string]*admissionPage{},
 		Observer: noObserver{},
 	}
 	for i, z := range cfg.Cluster.Zones {
--- a/cluster/nights.go
+++ b/cluster/nights.go
@@ -18,64 +18,64 @@
 // decides; docs/calendar.md argues it.
 
 const (
-	nightsEvery   = time.Second      // what is there is looked through
-	expectEvery   = 10 * time.Second // forecasts are made
-	expectAnew    = 30 * time.Second // the least between two that are recorded because more came
-	keepNights    = 2 * time.Second  // the least between two records of a region
-	keepNightsOld = time.Minute      // and the most while a night is under way
-	lateNews      = 2 * time.Second  // for how long a submission may be under way
-	nightShapes   = 24               // kinds of tasks whose places are counted
-	firstReports  = 3                // reports' time until a new leader knows its machines
+	windowScanInterval    = time.Second      // what is there is looked through
+	forecastInterval      = 10 * time.Second // forecasts are made
+	reforecastInterval    = 30 * time.Second // the least between two that are recorded because more came
+	windowSaveInterval    = 2 * time.Second  // the least between two records of a region
+	windowSaveMaxInterval = time.Minute      // and the most while a night is under way
+	submissionDelay       = 2 * time.Second  // for how long a submission may be under way
+	maxTaskShapes         = 24               // kinds of tasks whose places are counted
+	takeoverHeartbeats    = 3                // reports' time until a new leader knows its machines
 )
 
-// nights is what the leader knows of the calendar's nights; without a calendar,
+// batchWindows is what the leader knows of the calendar's nights; without a calendar,
 // nothing.
-type nights struct {
-	cal     *calendar.Calendar
-	books   []*nightBook // by region, in the calendar's order
-	gen     int          // counts calendars
-	now     time.Time    // as last told
-	looked  time.Time
-	guessed time.Time // when forecasts were last made
-	ahead   ahead
+type batchWindows struct {
+	calendar     *calendar.Calendar
+	books        []*windowBook // by region, in the calendar's order
+	generation   int           // counts calendars
+	now          time.Time     // as last told
+	lastScan     time.Time
+	lastForecast time.Time // when forecasts were last made
+	provision    windowProvision
 }
 
-// nightBook is a region's book, and what its last recorded forecasts rest on.
-type nightBook struct {
+// windowBook is a region's book, and what its last recorded forecasts rest on.
+type windowBook struct {
 	*calendar.Book
-	region  *calendar.Region
-	basis   map[string]nightBasis     // by night
-	ids     map[string]calendar.Night // jobs that are not over, from look to look
-	cause   string                    // why all forecasts are to be made anew
-	gen     uint64                    // as last kept
-	kept    time.Time
-	decided bool // an outcome has not been kept yet
+	region          *calendar.Region
+	basis           map[string]forecastBasis  // by night
+	openJobs        map[string]calendar.Night // jobs that are not over, from look to look
+	reforecast      string                    // why all forecasts are to be made anew
+	savedGeneration uint64                    // as last kept
+	savedAt         time.Time
+	outcomeUnsaved  bool // an outcome has not been kept yet
 }
 
-type nightBasis struct {
+type forecastBasis struct {
 	machines, jobs int
 	at             time.Time
 }
 
-// jobNight is the night that a job belongs to, under one calendar.
-type jobNight struct {
-	gen   int
-	book  *nightBook // nil: none
-	night calendar.Night
+// jobWindow is the night that a job belongs to, under one calendar.
+type jobWindow struct {
+	generation int
+	book       *windowBook // nil: none
+	window     calendar.Night
 }
 
-// nightRank is where a job stands by the calendar.
-type nightRank struct {
-	night   bool      // it belongs to a night
-	promise time.Time // of the night, or its own deadline if that is tighter
+// windowRank is where a job stands by the calendar.
+type windowRank struct {
+	inWindow bool      // it belongs to a night
+	deadline time.Time // of the night, or its own deadline if that is tighter
 }
 
-// planNights takes the plan's calendar in. Books that are open are brought in line
+// reloadCalendar takes the plan's calendar in. Books that are open are brought in line
 // with it; of other regions, what an earlier leader committed is.
-func (m *Model) planNights(now time.Time) {
-	n := &m.nights
-	n.gen++
-	n.cal = nil
+func (m *Model) reloadCalendar(now time.Time) {
+	n := &m.windows
+	n.generation++
+	n.calendar = nil
 	was := n.books
 	n.books = nil
 	if m.plan.Plan == nil || len(m.plan.Calendar.Regions) == 0 {
@@ -86,192 +86,192 @@
 		m.log.Error("the plan's calendar can't be used", "err", err)
 		return
 	}
-	n.cal = cal
+	n.calendar = cal
 	for _, r := range cal.Regions {
-		var b *nightBook
-		if i := slices.IndexFunc(was, func(b *nightBook) bool { return b.region.Name == r.Name }); i >= 0 {
+		var b *windowBook
+		if i := slices.IndexFunc(was, func(b *windowBook) bool { return b.region.Name == r.Name }); i >= 0 {
 			b = was[i]
 			if b.UnderWay() {
-				b.cause = "the plan changed"
+				b.reforecast = "the plan changed"
 			}
 		} else {
 			var left calendar.Record
-			if raw, ok := m.kept(calendar.NoteOf(r.Name)); ok {
+			if raw, ok := m.loadedPlanRecord(calendar.NoteOf(r.Name)); ok {
 				if err := wire.Unmarshal(raw, &left); err != nil {
 					m.log.Error("a record of nights can't be read: they are counted anew", "region", r.Name, "err", err)
 					left = calendar.Record{}
 				}
 			}
-			settle := time.Duration(m.settings.Cluster.SkewMs*float64(time.Millisecond)) + lateNews
-			b = &nightBook{Book: calendar.NewBook(r.Name, left, m.FencingToken, settle)}
+			settle := time.Duration(m.settings.Cluster.SkewMs*float64(time.Millisecond)) + submissionDelay
+			b = &windowBook{Book: calendar.NewBook(r.Name, left, m.FencingToken, settle)}
 			if b.UnderWay() {
-				b.cause = "another leader leads"
+				b.reforecast = "another leader leads"
 			}
 		}
-		b.region, b.basis, b.ids = r, map[string]nightBasis{}, map[string]calendar.Night{}
+		b.region, b.basis, b.openJobs = r, map[string]forecastBasis{}, map[string]calendar.Night{}
 		b.Replan(r, now)
 		n.books = append(n.books, b)
 	}
-	n.looked, n.guessed = time.Time{}, time.Time{}
+	n.lastScan, n.lastForecast = time.Time{}, time.Time{}
 }
 
-// nightOf is the night that a job belongs to. It follows from the job's record and
+// windowOf is the night that a job belongs to. It follows from the job's record and
 // the plan, so that every leader finds the same.
-func (m *Model) nightOf(j *Job) (*nightBook, calendar.Night) {
-	n := &m.nights
-	if n.cal == nil || j.Spec.Kind == wire.KindService {
+func (m *Model) windowOf(j *Job) (*windowBook, calendar.Night) {
+	n := &m.windows
+	if n.calendar == nil || j.Spec.Kind == wire.KindService {
 		return nil, calendar.Night{} // a service is never done
 	}
-	if j.night.gen != n.gen {
-		j.night = jobNight{gen: n.gen}
-		if r, night, ok := n.cal.Of(j.AcceptedAt, j.Spec.Class, j.Spec.Team, j.Spec.Zone, j.Spec.Image); ok {
-			j.night.book, j.night.night = n.books[slices.Index(n.cal.Regions, r)], night
+	if j.window.generation != n.generation {
+		j.window = jobWindow{generation: n.generation}
+		if r, night, ok := n.calendar.Of(j.AcceptedAt, j.Spec.Class, j.Spec.Team, j.Spec.Zone, j.Spec.Image); ok {
+			j.window.book, j.window.window = n.books[slices.Index(n.calendar.Regions, r)], night
 		}
 	}
-	return j.night.book, j.night.night
+	return j.window.book, j.window.window
 }
 
-// nightly makes a night's job due by the tighter of its own deadline and what the
+// applyWindowDeadline makes a night's job due by the tighter of its own deadline and what the
 // night is promised for.
-func (m *Model) nightly(k *ranked) {
-	book, night := m.nightOf(k.j)
+func (m *Model) applyWindowDeadline(k *queued) {
+	book, night := m.windowOf(k.j)
 	if book == nil {
 		return
 	}
-	k.night, k.promise = true, night.Promise
+	k.inWindow, k.deadline = true, night.Promise
 	if d := k.j.Spec.DeadlineS; d != nil {
-		if own := k.j.AcceptedAt.Add(config.Seconds(*d)); own.Before(k.promise) {
-			k.promise = own
+		if own := k.j.AcceptedAt.Add(config.Seconds(*d)); own.Before(k.deadline) {
+			k.deadline = own
 		}
 	}
 	sp := m.startupAndSpreadOf(k.j)
-	if due := k.promise.Add(-config.Seconds(sp.slowestTask(k.left, len(k.req.Tasks)) + sp.startDelay())); due.Before(k.due) {
+	if due := k.deadline.Add(-config.Seconds(sp.slowestTask(k.runSeconds, len(k.req.Tasks)) + sp.startDelay())); due.Before(k.due) {
 		k.due = due
 	}
 }
 
-// byNight orders two jobs of which one belongs to a night at least: nights before
+// byWindow orders two jobs of which one belongs to a night at least: nights before
 // other work of their priority, what is promised first before the rest, and what
 // takes longest first, since a night is kept as a whole or not at all.
-func byNight(x, y *ranked) bool {
+func byWindow(x, y *queued) bool {
 	switch {
-	case x.night != y.night:
-		return x.night
-	case !x.promise.Equal(y.promise):
-		return x.promise.Before(y.promise)
+	case x.inWindow != y.inWindow:
+		return x.inWindow
+	case !x.deadline.Equal(y.deadline):
+		return x.deadline.Before(y.deadline)
 	}
-	return x.left > y.left
+	return x.runSeconds > y.runSeconds
 }
 
-// endMs is when a job's end is written, Unix milliseconds, for a record that tells
+// completionTimeMs is when a job's end is written, Unix milliseconds, for a record that tells
 // a later leader whether its night was kept; 0 for jobs of no night.
-func (m *Model) endMs(j *Job) int64 {
-	if book, _ := m.nightOf(j); book == nil {
+func (m *Model) completionTimeMs(j *Job) int64 {
+	if book, _ := m.windowOf(j); book == nil {
 		return 0
 	}
-	j.endMs = m.nights.now.UnixMilli()
-	return j.endMs
+	j.completedAtMs = m.windows.now.UnixMilli()
+	return j.completedAtMs
 }
 
 // SetCompletionTime takes in what time it is, for the ends that the next batch writes. The
 // last look is older than an outage or a stop that has just ended.
-func (m *Model) SetCompletionTime(now time.Time) { m.nights.now = now }
+func (m *Model) SetCompletionTime(now time.Time) { m.windows.now = now }
 
-// nightEnded takes in that a job's end is committed.
-func (m *Model) nightEnded(j *Job) {
-	book, night := m.nightOf(j)
+// recordWindowCompletion takes in that a job's end is committed.
+func (m *Model) recordWindowCompletion(j *Job) {
+	book, night := m.windowOf(j)
 	if book == nil {
 		return
 	}
-	at := m.nights.now
-	if j.endMs > 0 {
-		at = time.UnixMilli(j.endMs)
+	at := m.windows.now
+	if j.completedAtMs > 0 {
+		at = time.UnixMilli(j.completedAtMs)
 	}
 	book.Ended(j.ID, night, at)
 }
 
-// tickNights looks through the nights' jobs, and decides and records what is to be.
-func (m *Model) tickNights(now time.Time) {
-	n := &m.nights
+// tickWindows looks through the nights' jobs, and decides and records what is to be.
+func (m *Model) tickWindows(now time.Time) {
+	n := &m.windows
 	n.now = now
-	if n.cal == nil {
-		n.ahead = ahead{}
+	if n.calendar == nil {
+		n.provision = windowProvision{}
 	}
-	if n.cal == nil || now.Sub(n.looked) < nightsEvery {
+	if n.calendar == nil || now.Sub(n.lastScan) < windowScanInterval {
 		return
 	}
-	n.looked = now
-	jobs := m.nightJobs()
+	n.lastScan = now
+	jobs := m.openWindowJobs()
 	for _, b := range n.books {
-		b.See(b.ids)
+		b.See(b.openJobs)
 		for _, id := range b.Unknown() {
 			if j := m.Job(id); j != nil && !j.Cancelled {
 				b.Told(id, calendar.Whole, calendar.Night{}, false, now) // it belongs elsewhere now
 			}
 		}
 	}
-	m.expectNights(jobs, now)
+	m.forecastWindows(jobs, now)
 	for _, b := range n.books {
 		for _, o := range b.Close(now) {
-			b.decided = true
+			b.outcomeUnsaved = true
 			m.log.Info("night over", "region", b.region.Name, "outcome", o.String())
 		}
-		m.keepBook(b, now)
+		m.saveBook(b, now)
 	}
 }
 
-// nightJobs lists the jobs that belong to nights and are not known to be over, also
+// openWindowJobs lists the jobs that belong to nights and are not known to be over, also
 // by their books.
-func (m *Model) nightJobs() []*Job {
+func (m *Model) openWindowJobs() []*Job {
 	var jobs []*Job
-	for _, b := range m.nights.books {
-		clear(b.ids)
+	for _, b := range m.windows.books {
+		clear(b.openJobs)
 	}
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
 		if j == nil || j.Cancelled {
 			continue
 		}
-		book, night := m.nightOf(j)
+		book, night := m.windowOf(j)
 		if book == nil {
 			continue
 		}
-		book.ids[j.ID] = night
+		book.openJobs[j.ID] = night
 		jobs = append(jobs, j)
 	}
 	return jobs
 }
 
-// keepBook has a region's record written: an outcome at once, other changes every
+// saveBook has a region's record written: an outcome at once, other changes every
 // few seconds, and once a minute what shows that it is still looked after.
-func (m *Model) keepBook(b *nightBook, now time.Time) {
-	since := now.Sub(b.kept)
-	if b.decided || b.Gen() != b.gen && since >= keepNights || b.UnderWay() && since >= keepNightsOld {
-		m.keep(calendar.NoteOf(b.region.Name), b.Record(now, m.pageBytes()/3))
-		b.gen, b.kept, b.decided = b.Gen(), now, false
+func (m *Model) saveBook(b *windowBook, now time.Time) {
+	since := now.Sub(b.savedAt)
+	if b.outcomeUnsaved || b.Gen() != b.savedGeneration && since >= windowSaveInterval || b.UnderWay() && since >= windowSaveMaxInterval {
+		m.savePlanRecord(calendar.NoteOf(b.region.Name), b.Record(now, m.pageBytes()/3))
+		b.savedGeneration, b.savedAt, b.outcomeUnsaved = b.Gen(), now, false
 	}
 }
 
-// nightKey names a night of a region.
-type nightKey struct {
-	book *nightBook
+// windowKey names a night of a region.
+type windowKey struct {
+	book *windowBook
 	date string
 }
 
-// expectNights makes the nights' forecasts, all together, since they share places.
-func (m *Model) expectNights(jobs []*Job, now time.Time) {
-	n := &m.nights
+// forecastWindows makes the nights' forecasts, all together, since they share places.
+func (m *Model) forecastWindows(jobs []*Job, now time.Time) {
+	n := &m.windows
 	w := m.settings.Cluster.Workers
-	if now.Sub(n.guessed) < expectEvery || now.Sub(m.ElectedAt) < config.Seconds(firstReports*w.ReportS) || m.recoveringFromStall(now) {
+	if now.Sub(n.lastForecast) < forecastInterval || now.Sub(m.ElectedAt) < config.Seconds(takeoverHeartbeats*w.ReportS) || m.recoveringFromStall(now) {
 		return
 	}
-	n.guessed = now
-	var keys []nightKey
+	n.lastForecast = now
+	var keys []windowKey
 	var loads []calendar.Load
-	at := map[nightKey]int{}
+	at := map[windowKey]int{}
 	for _, b := range n.books {
 		for _, night := range b.Promised() {
-			key := nightKey{b, night.Date}
+			key := windowKey{b, night.Date}
 			at[key] = len(loads)
 			keys, loads = append(keys, key), append(loads, calendar.Load{Promise: night.Promise})
 		}
@@ -279,41 +279,41 @@
 	if len(loads) == 0 {
 		return
 	}
-	usual, free := m.nightLoads(jobs, loads, at, now)
+	usual, free := m.windowLoads(jobs, loads, at, now)
 	machines := 0
 	for _, mc := range m.Machines {
 		if m.ready(mc, now) {
 			machines++
 		}
 	}
-	note := m.wantAhead(loads, usual, free, now)
+	note := m.planProvision(loads, usual, free, now)
 	for i, f := range calendar.Expect(now, loads, free) {
 		b, date := keys[i].book, keys[i].date
 		if f.AtRisk {
 			f.Why += note
 		}
-		b.Expected(date, f, b.why(date, machines, now), machines, now)
+		b.Expected(date, f, b.forecastCause(date, machines, now), machines, now)
 	}
 	for _, b := range n.books {
-		b.cause = ""
+		b.reforecast = ""
 	}
 }
 
-// why says what has changed since a night's last recorded forecast; "": nothing.
-func (b *nightBook) why(date string, machines int, now time.Time) string {
+// forecastCause says what has changed since a night's last recorded forecast; "": nothing.
+func (b *windowBook) forecastCause(date string, machines int, now time.Time) string {
 	was, ok := b.basis[date]
 	all, left := b.Count(date)
-	is := nightBasis{machines: machines, jobs: all, at: now}
+	is := forecastBasis{machines: machines, jobs: all, at: now}
 	cause := ""
 	switch {
-	case b.cause != "":
-		cause = b.cause
+	case b.reforecast != "":
+		cause = b.reforecast
 	case !ok:
 		cause = "the night began"
 	case left == 0: // whatever becomes of the machines
 	case machines < was.machines:
 		cause = fmt.Sprintf("machines lost: %d of %d are left", machines, was.machines)
-	case is.jobs > was.jobs && now.Sub(was.at) >= expectAnew:
+	case is.jobs > was.jobs && now.Sub(was.at) >= reforecastInterval:
 		cause = fmt.Sprintf("more came: %d jobs, and were %d", is.jobs, was.jobs)
 	}
 	if cause != "" {
@@ -325,9 +325,9 @@
 	return cause
 }
 
-// nightLoads fills in what is left of the nights, and lists the places, each room
+// windowLoads fills in what is left of the nights, and lists the places, each room
 // for a task of the kind that has most work: of that job, nil where nothing waits.
-func (m *Model) nightLoads(jobs []*Job, loads []calendar.Load, at map[nightKey]int, now time.Time) (*Job, []float64) {
+func (m *Model) windowLoads(jobs []*Job, loads []calendar.Load, at map[windowKey]int, now time.Time) (*Job, []float64) {
 	type shape struct {
 		need  placement.Res
 		types string
@@ -338,8 +338,8 @@
 	places := func(j *Job) float64 {
 		s := shape{j.Need, fmt.Sprint(j.AllowedTypes), j.Zone, j.Spec.Spot}
 		k, ok := room[s]
-		if !ok && len(room) < nightShapes {
-			k = m.emptyPlaces(j, now)
+		if !ok && len(room) < maxTaskShapes {
+			k = m.placesWhenEmpty(j, now)
 			room[s] = k
 		}
 		return k
@@ -354,7 +354,7 @@
 	work := 0.0
 	stuck := map[int][]string{}
 	for _, j := range jobs {
-		i, ok := at[nightKey{j.night.book, j.night.night.Date}]
+		i, ok := at[windowKey{j.window.book, j.window.window.Date}]
 		if !ok {
 			continue
 		}
@@ -366,7 +366,7 @@
 				sum += remainingOf(est, &j.Tasks[t])
 				idle++
 			case TaskPlaced:
-				loads[i].Running = max(loads[i].Running, m.left(j, int32(t), now))
+				loads[i].Running = max(loads[i].Running, m.secondsLeft(j, int32(t), now))
 			}
 		}
 		if idle == 0 {
@@ -377,7 +377,7 @@
 			stuck[i] = append(stuck[i], j.ID+": its placements can't be read")
 		case j.failures.atFault():
 			stuck[i] = append(stuck[i], j.ID+" fails on every machine")
-		case n < 1 && len(room) < nightShapes:
+		case n < 1 && len(room) < maxTaskShapes:
 			stuck[i] = append(stuck[i], j.ID+": no machine that is up can take it")
 		}
 		sp := m.startupAndSpreadOf(j)
@@ -406,25 +406,25 @@
 			loads[i].Stuck += fmt.Sprintf("; and %d more", more)
 		}
 	}
-	return most, m.places(most, -1, now)
+	return most, m.placesFor(most, -1, now)
 }
 
-// emptyPlaces is how many tasks like a job's the machines could take that are up
+// placesWhenEmpty is how many tasks like a job's the machines could take that are up
 // or will be, if they had nothing else to do.
-func (m *Model) emptyPlaces(j *Job, now time.Time) float64 {
-	return float64(m.placesOn(j, now, func(mc *Machine) bool { return m.ready(mc, now) }))
+func (m *Model) placesWhenEmpty(j *Job, now time.Time) float64 {
+	return float64(m.placesOnMachines(j, now, func(mc *Machine) bool { return m.ready(mc, now) }))
 }
 
-// placesOn is how many tasks like a job's the machines could take, if they were
+// placesOnMachines is how many tasks like a job's the machines could take, if they were
 // empty, that boot or count by themselves.
-func (m *Model) placesOn(j *Job, now time.Time, counts func(*Machine) bool) int {
+func (m *Model) placesOnMachines(j *Job, now time.Time, counts func(*Machine) bool) int {
 	n := 0
 	for _, mc := range m.Machines {
 		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone {
 			continue
 		}
 		if _, boots := m.bootTimeLeft(mc, now); boots || counts(mc) {
-			n += fit(j.Need, m.MachineTypes[mc.Type].Capacity)
+			n += tasksThatFit(j.Need, m.MachineTypes[mc.Type].Capacity)
 		}
 	}
 	return n
@@ -434,7 +434,7 @@
 // over since, at most so many: ToldEnd is to be told how they ended.
 func (m *Model) UnresolvedWindowJobs(most int) []string {
 	var out []string
-	for _, b := range m.nights.books {
+	for _, b := range m.windows.books {
 		out = append(out, b.Unknown()...)
 	}
 	slices.Sort(out)
@@ -444,7 +444,7 @@
 // ResolveWindowJob takes in the final record of a job that UnknownEnds named; nil: there is
 // none.
 func (m *Model) ResolveWindowJob(id string, rec *jobstore.JobRecord, now time.Time) {
-	for _, b := range m.nights.books {
+	for _, b := range m.windows.books {
 		if !slices.Contains(b.Unknown(), id) {
 			continue
 		}
@@ -460,7 +460,7 @@
 			at = time.UnixMilli(rec.FinishedAtMs)
 		}
 		s := &rec.Job
-		r, night, ok := m.nights.cal.Of(time.UnixMilli(rec.AcceptedAtMs), s.Class, s.Team, s.Zone, s.Image)
+		r, night, ok := m.windows.calendar.Of(time.UnixMilli(rec.AcceptedAtMs), s.Class, s.Team, s.Zone, s.Image)
 		b.Told(id, how, night, ok && r == b.region, at)
 	}
 }
@@ -468,7 +468,7 @@
 // BatchWindows shows each region's nights, in the order of the calendar.
 func (m *Model) BatchWindows(now time.Time) []calendar.View {
 	var out []calendar.View
-	for _, b := range m.nights.books {
+	for _, b := range m.windows.books {
 		out = append(out, b.region.View(b.Record(now, m.pageBytes()/3), now))
 	}
 	return out
--- a/cluster/nights_test.go
+++ b/cluster/nights_test.go
@@ -340,12 +340,12 @@
 			}
 			s := 5.0
 			for b.Loop() {
-				m.nights.looked = time.Time{}
-				m.nights.guessed = at(s)
+				m.windows.lastScan = time.Time{}
+				m.windows.lastForecast = at(s)
 				if forecast {
-					m.nights.guessed = time.Time{}
+					m.windows.lastForecast = time.Time{}
 				}
-				m.tickNights(at(s))
+				m.tickWindows(at(s))
 			}
 		})
 	}
--- a/cluster/order.go
+++ b/cluster/order.go
@@ -71,34 +71,34 @@
 	return at, aims > 0 && len(at) == 0, len(at) > 0 && at[0].Equal(wait)
 }
 
-type ranked struct {
-	j      *Job
-	within bool
-	due    time.Time
-	later  []time.Time // what it is due for once it is put off
-	missed bool
-	putOff bool // from an aim it could still meet, for others' sake
-	urgent bool
-	owed   bool    // must begin now, before the aims of its priority
-	left   float64 // seconds that the longest of its waiting tasks takes
-	work   float64
-	req    placement.Request
+type queued struct {
+	j           *Job
+	withinQuota bool
+	due         time.Time
+	laterDue    []time.Time // what it is due for once it is put off
+	missed      bool
+	deferred    bool // from an aim it could still meet, for others' sake
+	urgent      bool
+	mustStart   bool    // must begin now, before the aims of its priority
+	runSeconds  float64 // seconds that the longest of its waiting tasks takes
+	totalWork   float64
+	req         placement.Request
 
-	nightRank
+	windowRank
 }
 
-// next takes a job's next aim as what it is due for.
-func (r *ranked) next(now time.Time) {
-	if len(r.later) == 0 {
+// nextObjective takes a job's next aim as what it is due for.
+func (r *queued) nextObjective(now time.Time) {
+	if len(r.laterDue) == 0 {
 		r.due = now.Add(time.Hour)
 		return
 	}
-	r.due, r.later = r.later[0], r.later[1:]
+	r.due, r.laterDue = r.laterDue[0], r.laterDue[1:]
 }
 
-// within finds the jobs that fit into their team's guarantee together with
+// jobsWithinQuota finds the jobs that fit into their team's guarantee together with
 // the team's earlier unfinished jobs.
-func (m *Model) within(jobs []*Job) map[int32]bool {
+func (m *Model) jobsWithinQuota(jobs []*Job) map[int32]bool {
 	out := map[int32]bool{}
 	use := make([]placement.Res, len(m.teams))
 	for _, j := range jobs { // in order of arrival
@@ -106,7 +106,7 @@
 			continue
 		}
 		use[j.Team] = use[j.Team].Add(j.Need, float64(len(j.Tasks)-j.DoneTasks))
-		if g := m.guarantees[j.Team]; guaranteed(j.Need, g) && within(use[j.Team], g) {
+		if g := m.guarantees[j.Team]; guaranteed(j.Need, g) && withinGuarantee(use[j.Team], g) {
 			out[j.Index] = true
 		}
 	}
@@ -120,10 +120,10 @@
 	return need.CPU > 0 && g.CPU > 0 || need.GPU > 0 && g.GPU > 0
 }
 
-// within says whether what a team uses is within its guarantee. A resource of which the
+// withinGuarantee says whether what a team uses is within its guarantee. A resource of which the
 // team is guaranteed nothing does not count: a team with guaranteed CPUs and no word of
 // GPUs may use both.
-func within(use, g placement.Res) bool {
+func withinGuarantee(use, g placement.Res) bool {
 	return (g.CPU == 0 || use.CPU <= g.CPU+1e-6) && (g.GPU == 0 || use.GPU <= g.GPU+1e-6)
 }
 
@@ -147,71 +147,71 @@
 	return jobs
 }
 
-// requests lists what waits for room, in the order it is to be served.
-func (m *Model) requests(jobs []*Job, in map[int32]bool, now time.Time) []*ranked {
+// buildQueue lists what waits for room, in the order it is to be served.
+func (m *Model) buildQueue(jobs []*Job, in map[int32]bool, now time.Time) []*queued {
 	for _, c := range m.classes {
-		c.open = 0
+		c.openTasks = 0
 	}
-	var out, last []*ranked
+	var out, last []*queued
 	for _, j := range jobs {
 		if c := m.classes[j.Spec.Class]; c != nil && !j.failures.atFault() {
-			c.open += len(j.Tasks) - j.DoneTasks
+			c.openTasks += len(j.Tasks) - j.DoneTasks
 		}
-		r, ok := m.request(j, now)
+		r, ok := m.buildRequest(j, now)
 		if !ok {
 			continue
 		}
-		k := &ranked{j: j, within: in[j.Index], req: r}
+		k := &queued{j: j, withinQuota: in[j.Index], req: r}
 		if j.failures.atFault() {
 			// Free room and nothing else: no place is kept, made or rented for
 			// it, and no image fetched before those of healthy work.
-			k.within, k.missed, k.req.Spare = false, true, true
-			k.next(now)
+			k.withinQuota, k.missed, k.req.Spare = false, true, true
+			k.nextObjective(now)
 			last = append(last, k)
 			continue
 		}
 		est := m.expectedRunTime(j)
 		for _, t := range r.Tasks {
-			k.left = max(k.left, remainingOf(est, &j.Tasks[t]))
+			k.runSeconds = max(k.runSeconds, remainingOf(est, &j.Tasks[t]))
 		}
-		k.later, k.missed, k.urgent = m.latestStarts(j, k.left, len(r.Tasks), k.within, now)
-		k.next(now)
-		m.nightly(k)
-		k.req.Within, k.req.Hold = k.within, k.urgent && m.rivals(j) || m.precedes(j)
+		k.laterDue, k.missed, k.urgent = m.latestStarts(j, k.runSeconds, len(r.Tasks), k.withinQuota, now)
+		k.nextObjective(now)
+		m.applyWindowDeadline(k)
+		k.req.Within, k.req.Hold = k.withinQuota, k.urgent && m.hasCompetitors(j) || m.outranksCompetitors(j)
 		out = append(out, k)
 	}
 	sort.SliceStable(out, func(a, b int) bool {
 		x, y := out[a], out[b]
 		switch {
-		case x.within != y.within:
-			return x.within
+		case x.withinQuota != y.withinQuota:
+			return x.withinQuota
 		case x.j.Priority != y.j.Priority:
 			return x.j.Priority < y.j.Priority
 		case x.req.Tier != y.req.Tier:
 			return x.req.Tier < y.req.Tier
-		case x.night || y.night:
-			return byNight(x, y)
+		case x.inWindow || y.inWindow:
+			return byWindow(x, y)
 		case x.missed != y.missed:
 			return y.missed
 		}
 		return x.due.Before(y.due)
 	})
 	m.triage(out, now)
-	m.bound(out, now)
-	out = atMost(m.promote(m.byBound(out, now), now), maxRequests)
-	m.keepOffGPUs(out, jobs)
+	m.checkStarvationBound(out, now)
+	out = truncateQueue(m.promoteStarvedTiers(m.prioritizeMustStart(out, now), now), maxRequests)
+	m.keepGPUMachinesFree(out, jobs)
 	return append(out, last...)
 }
 
-// keepOffGPUs keeps work that needs no GPU away from machines that have them
+// keepGPUMachinesFree keeps work that needs no GPU away from machines that have them
 // while other work waits for GPUs: jobs that no aim speaks of altogether, those
 // that no aim wants started soon as long as what waits is of no lower priority,
 // and the others as long as stopping such jobs elsewhere makes room for them.
 // Otherwise a guest's tasks take the machines without GPUs for minutes, and
 // everybody else's those with GPUs; and thousands of small tasks refill the CPUs
 // beside the GPUs one by one, so that a task which needs both never finds them.
-func (m *Model) keepOffGPUs(out []*ranked, jobs []*Job) {
-	gpus := slices.ContainsFunc(out, func(k *ranked) bool { return k.j.Need.GPU > 0 })
+func (m *Model) keepGPUMachinesFree(out []*queued, jobs []*Job) {
+	gpus := slices.ContainsFunc(out, func(k *queued) bool { return k.j.Need.GPU > 0 })
 	plain := make([]bool, len(m.MachineTypes))
 	for i := range m.MachineTypes {
 		plain[i] = m.MachineTypes[i].Capacity.GPU == 0
@@ -219,30 +219,30 @@
 	if !gpus || !slices.Contains(plain, true) {
 		return
 	}
-	aimless := slices.ContainsFunc(jobs, func(j *Job) bool { return j.PlacedTasks > 0 && j.Need.GPU == 0 && !m.aimed(j) })
-	first := m.firstForGPUs(out)
+	aimless := slices.ContainsFunc(jobs, func(j *Job) bool { return j.PlacedTasks > 0 && j.Need.GPU == 0 && !m.hasObjective(j) })
+	first := m.highestPriorityForGPUs(out)
 	for _, k := range out {
-		if k.j.Need.GPU > 0 || !slices.ContainsFunc(m.typesFor(k.j), func(ti int) bool { return plain[ti] }) {
+		if k.j.Need.GPU > 0 || !slices.ContainsFunc(m.fittingTypes(k.j), func(ti int) bool { return plain[ti] }) {
 			continue
 		}
 		switch {
-		case !m.aimed(k.j) && !k.within, !k.within && !k.owed && k.j.Priority >= first && !m.startsSoon(k.j):
-			k.req.Types = both(k.req.Types, plain)
+		case !m.hasObjective(k.j) && !k.withinQuota, !k.withinQuota && !k.mustStart && k.j.Priority >= first && !m.hasWaitObjective(k.j):
+			k.req.Types = intersect(k.req.Types, plain)
 		case aimless:
-			k.req.First = both(k.req.Types, plain)
+			k.req.First = intersect(k.req.Types, plain)
 		}
 	}
 }
 
-// startsSoon says whether an aim wants jobs of the job's class started soon.
-func (m *Model) startsSoon(j *Job) bool {
+// hasWaitObjective says whether an aim wants jobs of the job's class started soon.
+func (m *Model) hasWaitObjective(j *Job) bool {
 	c := m.classes[j.Spec.Class]
-	return c != nil && c.waits
+	return c != nil && c.hasWaitObjective
 }
 
-// firstForGPUs is the highest priority, the lowest number, of what waits for GPUs and not
+// highestPriorityForGPUs is the highest priority, the lowest number, of what waits for GPUs and not
 // for its team's limit; above all of them if nothing does.
-func (m *Model) firstForGPUs(out []*ranked) int {
+func (m *Model) highestPriorityForGPUs(out []*queued) int {
 	first := math.MaxInt
 	for _, k := range out {
 		if k.j.Need.GPU > 0 && k.j.Priority < first && placement.Allowed(&k.req, m.teams) > 0 {
@@ -252,8 +252,8 @@
 	return first
 }
 
-// typesFor lists the types on which a task of the job fits.
-func (m *Model) typesFor(j *Job) (out []int) {
+// fittingTypes lists the types on which a task of the job fits.
+func (m *Model) fittingTypes(j *Job) (out []int) {
 	for i := range m.MachineTypes {
 		if j.AllowedTypes[i] && j.Need.Fits(m.MachineTypes[i].Capacity) {
 			out = append(out, i)
@@ -262,8 +262,8 @@
 	return out
 }
 
-// aimed says whether any aim speaks of the job.
-func (m *Model) aimed(j *Job) bool {
+// hasObjective says whether any aim speaks of the job.
+func (m *Model) hasObjective(j *Job) bool {
 	for _, o := range m.settings.Cluster.Objectives {
 		switch o.Kind {
 		case "wait", "finished", "deadline":
@@ -275,7 +275,7 @@
 	return false
 }
 
-func both(a, b []bool) []bool {
+func intersect(a, b []bool) []bool {
 	out := make([]bool, len(a))
 	for i := range a {
 		out[i] = a[i] && b[i]
@@ -283,7 +283,7 @@
 	return out
 }
 
-func (m *Model) request(j *Job, now time.Time) (placement.Request, bool) {
+func (m *Model) buildRequest(j *Job, now time.Time) (placement.Request, bool) {
 	r := placement.Request{
 		Job: j.Index, All: j.Gang(), Need: j.Need, Priority: j.Priority, Team: j.Team,
 		Image: j.Image, ImageGB: j.Spec.ImageGB, Zone: j.Zone, OneZone: j.Spec.OneZone,
@@ -319,17 +319,17 @@
 	if len(r.Tasks) == 0 {
 		return r, false
 	}
-	if !m.pin(j, &r) {
+	if !m.constrainZones(j, &r) {
 		return r, false
 	}
-	r.Avoid = j.avoids(now)
-	m.restrict(j, &r)
+	r.Avoid = j.avoidedMachines(now)
+	m.applyMachineRestrictions(j, &r)
 	return r, true
 }
 
-// pin says in which zones the request may be placed, given where the job's other
+// constrainZones says in which zones the request may be placed, given where the job's other
 // tasks may still be; false where that is not known yet.
-func (m *Model) pin(j *Job, r *placement.Request) bool {
+func (m *Model) constrainZones(j *Job, r *placement.Request) bool {
 	if j.Spec.OneZone && r.Zone < 0 && j.PlacedTasks > 0 {
 		// Whatever may still be on a machine pins the others to its zone. A
 		// task recorded on a machine whose zone is not known yet pins them all.
@@ -357,8 +357,8 @@
 	return true
 }
 
-// avoids lists the machines that the job stays away from.
-func (j *Job) avoids(now time.Time) map[int]bool {
+// avoidedMachines lists the machines that the job stays away from.
+func (j *Job) avoidedMachines(now time.Time) map[int]bool {
 	var out map[int]bool
 	for idx, until := range j.avoidUntil {
 		if now.After(until) {
--- a/cluster/plan.go
+++ b/cluster/plan.go
@@ -34,7 +34,7 @@
 	m.plan = p
 	m.DropHeldStops()
 	if m.loadFinished {
-		m.log.Info("plan taken in", "version", p.Number, "lost", p.Unreadable, "takenBack", m.takeBack(now))
+		m.log.Info("plan taken in", "version", p.Number, "lost", p.Unreadable, "takenBack", m.unplaceUncommitted(now))
 	}
 	m.planChanged(now)
 }
@@ -42,13 +42,13 @@
 // planChanged tells the plan's parts; the plan may have been read for the first
 // time, before any job is known.
 func (m *Model) planChanged(now time.Time) {
-	m.orderChanged()
-	m.planNights(now)
-	m.poolsChanged(now)
+	m.reloadPriorityPolicy()
+	m.reloadCalendar(now)
+	m.reloadPools(now)
 }
 
-// takeBack takes placements back that are not committed, and says how many.
-func (m *Model) takeBack(now time.Time) int {
+// unplaceUncommitted takes placements back that are not committed, and says how many.
+func (m *Model) unplaceUncommitted(now time.Time) int {
 	n := 0
 	for _, j := range m.Jobs {
 		if j == nil || j.PlacedTasks == 0 {
@@ -72,14 +72,14 @@
 	return wire.Guard{Key: jobstore.PlanHeadKey, Version: m.plan.HeadVersion}
 }
 
-// notes are what the plan's parts record for the next leader and the operators:
+// planRecords are what the plan's parts record for the next leader and the operators:
 // one key each, of which only the last value counts.
-type notes struct {
-	byName map[string]*noted
+type planRecords struct {
+	byName map[string]*planRecord
 	names  []string // in the order in which they are written next
 }
 
-type noted struct {
+type planRecord struct {
 	value     any
 	gen       uint64 // counts changes
 	committed uint64 // the last one that is in the store
@@ -87,55 +87,55 @@
 	raw       wire.Raw // as committed
 }
 
-func (n *notes) at(name string) *noted {
+func (n *planRecords) at(name string) *planRecord {
 	if n.byName == nil {
-		n.byName = map[string]*noted{}
+		n.byName = map[string]*planRecord{}
 	}
 	x := n.byName[name]
 	if x == nil {
-		x = &noted{}
+		x = &planRecord{}
 		n.byName[name] = x
 		n.names = append(n.names, name)
 	}
 	return x
 }
 
-// keep has a record of that name written, soon: all of the parts' records
+// savePlanRecord has a record of that name written, soon: all of the parts' records
 // together are few changes a second, and of several values only the last is
 // written. rec must not change before it is kept again, and must fit into a value.
-func (m *Model) keep(name string, rec any) {
-	x := m.notes.at(name)
+func (m *Model) savePlanRecord(name string, rec any) {
+	x := m.planRecords.at(name)
 	x.value = rec
 	x.gen++
 }
 
-// kept is the committed record of that name, an earlier leader's or this one's;
+// loadedPlanRecord is the committed record of that name, an earlier leader's or this one's;
 // false where there is none.
-func (m *Model) kept(name string) (wire.Raw, bool) {
-	x := m.notes.byName[name]
+func (m *Model) loadedPlanRecord(name string) (wire.Raw, bool) {
+	x := m.planRecords.byName[name]
 	if x == nil || x.raw == nil {
 		return nil, false
 	}
 	return x.raw, true
 }
 
-// keeping says whether the last value of that name waits to be committed.
-func (m *Model) keeping(name string) bool {
-	x := m.notes.byName[name]
+// planRecordPending says whether the last value of that name waits to be committed.
+func (m *Model) planRecordPending(name string) bool {
+	x := m.planRecords.byName[name]
 	return x != nil && x.gen != x.committed
 }
 
 // LoadPlanRecord takes in what an earlier leader recorded. It comes before the plan and
 // the jobs.
 func (m *Model) LoadPlanRecord(key string, value wire.Raw, version uint64) {
-	x := m.notes.at(key[len(jobstore.PlanStatePrefix):])
+	x := m.planRecords.at(key[len(jobstore.PlanStatePrefix):])
 	x.raw, x.version = value, version
 }
 
 // PendingPlanRecords is how many records wait to be written.
 func (m *Model) PendingPlanRecords() int {
 	n := 0
-	for _, x := range m.notes.byName {
+	for _, x := range m.planRecords.byName {
 		if x.gen != x.committed {
 			n++
 		}
@@ -143,21 +143,21 @@
 	return n
 }
 
-var errNoteSize = errors.New("larger than a value may be")
+var errPlanRecordSize = errors.New("larger than a value may be")
 
 // PlanRecordBatch collects records of the plan's parts, at most maxOps of them; nil if
 // there are none. Its conditions are the plan's version and the records' own.
 func (m *Model) PlanRecordBatch(maxOps int) *WriteBatch {
-	b := &WriteBatch{Guards: []wire.Guard{m.PlanGuard()}, notes: map[string]*noted{}}
-	for _, name := range slices.Clone(m.notes.names) {
-		x := m.notes.byName[name]
+	b := &WriteBatch{Guards: []wire.Guard{m.PlanGuard()}, notes: map[string]*planRecord{}}
+	for _, name := range slices.Clone(m.planRecords.names) {
+		x := m.planRecords.byName[name]
 		if x.gen == x.committed || len(b.Ops) >= maxOps {
 			continue
 		}
 		raw, err := wire.Marshal(x.value)
 		size := wire.JSONSize(raw)
 		if err == nil && size > m.pageBytes() {
-			err = fmt.Errorf("%d bytes: %w", size, errNoteSize)
+			err = fmt.Errorf("%d bytes: %w", size, errPlanRecordSize)
 		}
 		if err != nil {
 			m.log.Error("a record of the plan's can't be written", "name", name, "err", err)
@@ -168,7 +168,7 @@
 			break
 		}
 		// Those that are left out go first the next time.
-		m.notes.names = append(slices.DeleteFunc(m.notes.names, func(n string) bool { return n == name }), name)
+		m.planRecords.names = append(slices.DeleteFunc(m.planRecords.names, func(n string) bool { return n == name }), name)
 		key, gen := jobstore.PlanStatePrefix+name, x.gen
 		b.Guards = append(b.Guards, wire.Guard{Key: key, Version: x.version})
 		b.Ops = append(b.Ops, wire.Op{Put: key, Value: wire.Raw(raw)})
--- a/cluster/poolfetch.go
+++ b/cluster/poolfetch.go
@@ -13,41 +13,41 @@
 // This file is about fetches: reserved jobs of one task that does nothing, on a
 // machine of a pool, for which the worker fetches the weights.
 
-// fetchOwner marks the jobs that fetch a pool's weights.
-func fetchOwner(pool string) string { return fetchOwners + pool }
+// prefetchOwner marks the jobs that fetch a pool's weights.
+func prefetchOwner(pool string) string { return prefetchOwnerPrefix + pool }
 
-const fetchOwners = jobstore.PlanStatePrefix + "pools/"
+const prefetchOwnerPrefix = jobstore.PlanStatePrefix + "pools/"
 
-// fetches says whether a job is one that fetches weights.
-func (m *Model) fetches(j *Job) bool {
-	return j.res != nil && strings.HasPrefix(j.res.Owner, fetchOwners)
+// isPrefetch says whether a job is one that fetches weights.
+func (m *Model) isPrefetch(j *Job) bool {
+	return j.reservation != nil && strings.HasPrefix(j.reservation.Owner, prefetchOwnerPrefix)
 }
 
-// fetchesWaiting lists the machines that a pool's fetches are for, and ends those
+// pendingPrefetches lists the machines that a pool's fetches are for, and ends those
 // that are for nothing any more.
-func (m *Model) fetchesWaiting(p *pool, now time.Time) map[string]bool {
+func (m *Model) pendingPrefetches(p *warmPool, now time.Time) map[string]bool {
 	out := map[string]bool{}
-	owner, im := fetchOwner(p.Name), m.internImage(p.note.Image, p.note.WeightsGB)
+	owner, im := prefetchOwner(p.Name), m.internImage(p.record.Image, p.record.WeightsGB)
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
-		if j == nil || j.Cancelled || j.Finished || j.DoneTasks > 0 || j.res == nil || j.res.Owner != owner || len(j.res.OnlyMachines) == 0 {
+		if j == nil || j.Cancelled || j.Finished || j.DoneTasks > 0 || j.reservation == nil || j.reservation.Owner != owner || len(j.reservation.OnlyMachines) == 0 {
 			continue
 		}
-		i, known := m.machineIndex[j.res.OnlyMachines[0]]
+		i, known := m.machineIndex[j.reservation.OnlyMachines[0]]
 		var e *warmpool.Member
 		if known && !m.Machines[i].Gone {
 			e = p.member(m.Machines[i])
 		}
 		vain := e == nil || e.Leaving || j.Image != im
 		switch t := &j.Tasks[0]; {
-		case t.Phase == TaskIdle && (vain || m.Machines[i].has(im)):
-			m.spend(j, 0, jobstore.OutcomeReleased, now)
+		case t.Phase == TaskIdle && (vain || m.Machines[i].hasImage(im)):
+			m.finishOnlyAttempt(j, 0, jobstore.OutcomeReleased, now)
 			continue
 		case vain && t.Placement != nil && t.Placement.Stop == nil:
-			m.stopUnderPlan(TaskRef{Job: j.Index}, whyReleased, now)
+			m.stopUnderPlan(TaskRef{Job: j.Index}, stopReleased, now)
 			continue
 		}
-		out[j.res.OnlyMachines[0]] = true
+		out[j.reservation.OnlyMachines[0]] = true
 	}
 	return out
 }
@@ -63,43 +63,43 @@
 func (m *Model) NextPrefetches(n int, now time.Time) []Prefetch {
 	var out []Prefetch
 	for _, p := range m.pools {
-		for len(p.fills) > 0 && len(out) < n {
-			mc := m.Machines[p.fills[0]]
-			p.fills = p.fills[1:]
+		for len(p.fetchQueue) > 0 && len(out) < n {
+			mc := m.Machines[p.fetchQueue[0]]
+			p.fetchQueue = p.fetchQueue[1:]
 			if m.poolOf(mc) != p {
 				continue
 			}
-			p.asked[mc.Index] = now
+			p.fetchRequestedAt[mc.Index] = now
 			m.fetchNo++
-			id := fetchID(m.FencingToken, m.fetchNo)
+			id := prefetchID(m.FencingToken, m.fetchNo)
 			out = append(out, Prefetch{ID: id, Record: jobstore.JobRecord{
 				Job: wire.Job{ID: id, Class: "weights", Team: p.Payer, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 1,
-					CPUs: fetchCPUs, Image: p.note.Image, ImageGB: p.note.WeightsGB, Spot: true},
+					CPUs: prefetchCPUs, Image: p.record.Image, ImageGB: p.record.WeightsGB, Spot: true},
 				AcceptedAtMs: now.UnixMilli(),
-				Reservation:  &jobstore.Reservation{Owner: fetchOwner(p.Name), LaunchRanges: []int{0, 0}, OnlyMachines: []string{mc.Name}},
+				Reservation:  &jobstore.Reservation{Owner: prefetchOwner(p.Name), LaunchRanges: []int{0, 0}, OnlyMachines: []string{mc.Name}},
 			}})
 		}
 	}
 	return out
 }
 
-// fetchID is an id that no user and no other door has, and none of another leader.
-func fetchID(token uint64, n int) string {
+// prefetchID is an id that no user and no other door has, and none of another leader.
+func prefetchID(token uint64, n int) string {
 	return fmt.Sprintf("%s9%011d%08d", wire.JobPrefix, token%1e11, n%1e8)
 }
 
-// fetchEnded takes in that a fetch has ended without having run: where workers
+// prefetchEnded takes in that a fetch has ended without having run: where workers
 // know no such job, weights are not fetched ahead for a while.
-func (m *Model) fetchEnded(j *Job, how uint8, now time.Time) {
-	if how != jobstore.OutcomeRefused && how != jobstore.OutcomeFailed || !m.fetches(j) {
+func (m *Model) prefetchEnded(j *Job, how uint8, now time.Time) {
+	if how != jobstore.OutcomeRefused && how != jobstore.OutcomeFailed || !m.isPrefetch(j) {
 		return
 	}
 	for _, p := range m.pools {
-		if j.res.Owner == fetchOwner(p.Name) && !now.Before(p.off) {
-			p.offFor = min(max(time.Minute, 2*p.offFor), 32*time.Minute)
-			p.off = now.Add(p.offFor)
-			p.note.FetchRefused = "workers refuse to run " + j.ID + ", which only fetches"
-			m.log.Warn("workers refuse a pool's fetch", "pool", p.Name, "job", j.ID, "againInS", p.offFor.Seconds())
+		if j.reservation.Owner == prefetchOwner(p.Name) && !now.Before(p.fetchesPausedUntil) {
+			p.fetchPause = min(max(time.Minute, 2*p.fetchPause), 32*time.Minute)
+			p.fetchesPausedUntil = now.Add(p.fetchPause)
+			p.record.FetchRefused = "workers refuse to run " + j.ID + ", which only fetches"
+			m.log.Warn("workers refuse a pool's fetch", "pool", p.Name, "job", j.ID, "againInS", p.fetchPause.Seconds())
 		}
 	}
 }
--- a/cluster/pools_test.go
+++ b/cluster/pools_test.go
@@ -33,13 +33,13 @@
 	m := pooled(1300, 400)
 	now := at(40)
 	for b.Loop() {
-		now = now.Add(poolsEvery)
+		now = now.Add(poolInterval)
 		heard(m, now)
-		m.stepPools(now)
+		m.tickPools(now)
 	}
 	held := 0
 	for _, p := range m.pools {
-		held += p.note.Held
+		held += p.record.Held
 	}
 	b.ReportMetric(float64(held), "machines")
 }
--- a/cluster/poolsteps.go
+++ b/cluster/poolsteps.go
@@ -13,45 +13,45 @@
 // This file is a pool's step: what its model's replicas want, what its machines are
 // booked for, and which join, leave and are rented.
 
-// stepPools lets the pools follow what has happened. It is called with each tick.
-func (m *Model) stepPools(now time.Time) {
+// tickPools lets the pools follow what has happened. It is called with each tick.
+func (m *Model) tickPools(now time.Time) {
 	if len(m.pools) == 0 || now.Before(m.poolsAt) || len(m.MachineTypes) == 0 {
 		return
 	}
-	m.poolsAt = now.Add(poolsEvery)
-	wanted := m.replicas()
+	m.poolsAt = now.Add(poolInterval)
+	wanted := m.replicaDemands()
 	for i, p := range m.pools {
-		m.followImage(p, wanted[i])
-		for _, d := range p.week.Observe(wanted[i].open, now) {
-			m.keep(warmpool.DayName(p.Name, d), p.week.EncodeDay(d))
+		m.followModelVersion(p, wanted[i])
+		for _, d := range p.demand.Observe(wanted[i].open, now) {
+			m.savePlanRecord(warmpool.DayName(p.Name, d), p.demand.EncodeDay(d))
 		}
-		p.note.CurrentHour, p.note.CurrentPeak = p.week.Current()
-		m.bookPool(p, now)
-		p.rent, p.fills = nil, nil
-		if now.Sub(m.ElectedAt) > poolsQuiet && !m.recoveringFromStall(now) && !m.plan.Unreadable {
-			m.steer(i, p, now)
+		p.record.CurrentHour, p.record.CurrentPeak = p.demand.Current()
+		m.updateMembers(p, now)
+		p.scaleOut, p.fetchQueue = nil, nil
+		if now.Sub(m.ElectedAt) > poolGracePeriod && !m.recoveringFromStall(now) && !m.plan.Unreadable {
+			m.reconcilePool(i, p, now)
 		}
-		m.recordPool(p, now)
+		m.savePool(p, now)
 	}
 }
 
-// demand is what waits for and runs a pool's model.
-type demand struct {
-	open   int // replicas, placed or waiting
-	rank   int
-	class  string
-	per    int
-	images map[string]int // replicas by image
-	gb     map[string]float64
-	newest map[string]time.Time
+// replicaDemand is what waits for and runs a pool's model.
+type replicaDemand struct {
+	open               int // replicas, placed or waiting
+	priority           int
+	class              string
+	replicasPerMachine int
+	images             map[string]int // replicas by image
+	gb                 map[string]float64
+	newest             map[string]time.Time
 }
 
-// replicas counts each pool's model's replicas.
-func (m *Model) replicas() []demand {
-	out := make([]demand, len(m.pools))
+// replicaDemands counts each pool's model's replicas.
+func (m *Model) replicaDemands() []replicaDemand {
+	out := make([]replicaDemand, len(m.pools))
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
-		if j == nil || j.Cancelled || j.Finished || j.failures.atFault() || m.fetches(j) {
+		if j == nil || j.Cancelled || j.Finished || j.failures.atFault() || m.isPrefetch(j) {
 			continue
 		}
 		for i, p := range m.pools {
@@ -60,25 +60,25 @@
 			}
 			d, n := &out[i], len(j.Tasks)-j.DoneTasks
 			if d.images == nil {
-				*d = demand{rank: j.Priority, class: j.Spec.Class, images: map[string]int{}, gb: map[string]float64{}, newest: map[string]time.Time{}}
+				*d = replicaDemand{priority: j.Priority, class: j.Spec.Class, images: map[string]int{}, gb: map[string]float64{}, newest: map[string]time.Time{}}
 			}
 			d.open += n
-			d.rank = min(d.rank, j.Priority)
+			d.priority = min(d.priority, j.Priority)
 			d.images[j.Spec.Image] += n
 			d.gb[j.Spec.Image] = j.Spec.ImageGB
 			if j.AcceptedAt.After(d.newest[j.Spec.Image]) {
 				d.newest[j.Spec.Image] = j.AcceptedAt
 			}
-			if per := m.perMachine(p, j.Need); per > 0 && (d.per == 0 || per < d.per) {
-				d.per = per
+			if per := m.replicasPerMachine(p, j.Need); per > 0 && (d.replicasPerMachine == 0 || per < d.replicasPerMachine) {
+				d.replicasPerMachine = per
 			}
 		}
 	}
 	return out
 }
 
-// perMachine is how many replicas the smallest machine of a pool takes.
-func (m *Model) perMachine(p *pool, need placement.Res) int {
+// replicasPerMachine is how many replicas the smallest machine of a pool takes.
+func (m *Model) replicasPerMachine(p *warmPool, need placement.Res) int {
 	least := 0
 	for i := range m.MachineTypes {
 		t := &m.MachineTypes[i]
@@ -98,51 +98,51 @@
 	return least
 }
 
-// followImage lets a pool hold the version of its model that most replicas want,
+// followModelVersion lets a pool hold the version of its model that most replicas want,
 // of two that are wanted alike the newer one.
-func (m *Model) followImage(p *pool, d demand) {
+func (m *Model) followModelVersion(p *warmPool, d replicaDemand) {
 	if d.open == 0 {
 		return
 	}
-	p.note.Priority, p.note.ReplicasPerMachine, p.note.Class = d.rank, max(d.per, 1), d.class
-	best := p.note.Image
+	p.record.Priority, p.record.ReplicasPerMachine, p.record.Class = d.priority, max(d.replicasPerMachine, 1), d.class
+	best := p.record.Image
 	for im, n := range d.images {
 		if n > d.images[best] || n == d.images[best] && d.newest[im].After(d.newest[best]) {
 			best = im
 		}
 	}
-	if best != p.note.Image || d.gb[best] != p.note.WeightsGB {
-		m.log.Info("pool's model has another version", "pool", p.Name, "was", p.note.Image, "is", best)
-		p.image(best, d.gb[best])
+	if best != p.record.Image || d.gb[best] != p.record.WeightsGB {
+		m.log.Info("pool's model has another version", "pool", p.Name, "was", p.record.Image, "is", best)
+		p.setImage(best, d.gb[best])
 	}
 }
 
-// bookPool brings a pool's members up to date: those that are gone, what is booked
+// updateMembers brings a pool's members up to date: those that are gone, what is booked
 // on the others and by whom, and which have the weights.
-func (m *Model) bookPool(p *pool, now time.Time) {
-	im, ms := m.internImage(p.note.Image, p.note.WeightsGB), now.UnixMilli()
-	for _, idx := range sortedKeys(p.of) {
+func (m *Model) updateMembers(p *warmPool, now time.Time) {
+	im, ms := m.internImage(p.record.Image, p.record.WeightsGB), now.UnixMilli()
+	for _, idx := range sortedKeys(p.shardOf) {
 		mc := m.Machines[idx]
-		n := p.of[idx]
+		n := p.shardOf[idx]
 		e := p.shards[n].Member(mc.Name)
 		_, boots := m.bootTimeLeft(mc, now)
-		unheard := !mc.Up && !boots && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > unheardFor && now.Sub(mc.CloudStateAt) > unheardFor
+		unheard := !mc.Up && !boots && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > lostMachineAfter && now.Sub(mc.CloudStateAt) > lostMachineAfter
 		if mc.Gone || unheard || e.Leaving && len(mc.Tasks) > 0 {
 			m.leavePool(p, mc, now)
 			continue
 		}
-		if e.WarmVersion == p.note.ImageVersion && e.Session == mc.AgentEpoch && mc.AgentEpoch > 0 && mc.learnt < mc.AgentEpoch && !mc.has(im) {
+		if e.WarmVersion == p.record.ImageVersion && e.Session == mc.AgentEpoch && mc.AgentEpoch > 0 && mc.imagesLearntSession < mc.AgentEpoch && !mc.hasImage(im) {
 			m.addImage(mc, im) // an earlier leader saw it there
 		}
-		mc.learnt = mc.AgentEpoch
+		mc.imagesLearntSession = mc.AgentEpoch
 		if m.ready(mc, now) {
-			mc.unready = time.Time{}
-		} else if mc.unready.IsZero() {
-			mc.unready = now
+			mc.unreadySince = time.Time{}
+		} else if mc.unreadySince.IsZero() {
+			mc.unreadySince = now
 		}
 		warm := 0
-		if mc.has(im) {
-			warm = p.note.ImageVersion
+		if mc.hasImage(im) {
+			warm = p.record.ImageVersion
 		}
 		if mc.AgentEpoch > 0 && (e.WarmVersion != warm || e.Session != mc.AgentEpoch) {
 			e.WarmVersion, e.Session = warm, mc.AgentEpoch
@@ -151,20 +151,20 @@
 		if mc.Type < 0 || mc.Zone < 0 {
 			continue // what it costs and who books it is as recorded
 		}
-		if p.shards[n].SetShares(e, m.parts(mc), m.rate(mc), ms, p.Payer) {
+		if p.shards[n].SetShares(e, m.teamShares(mc), m.hourlyRate(mc), ms, p.Payer) {
 			p.changed[n] = true
 		}
 	}
 }
 
-// parts is who books how much of a machine.
-func (m *Model) parts(mc *Machine) []warmpool.TeamShare {
+// teamShares is who books how much of a machine.
+func (m *Model) teamShares(mc *Machine) []warmpool.TeamShare {
 	if len(mc.Tasks) == 0 {
 		return nil
 	}
 	used := make([]placement.Res, len(m.teams))
 	for ref := range mc.Tasks {
-		if j := m.Jobs[ref.Job]; j.Team >= 0 && !m.fetches(j) {
+		if j := m.Jobs[ref.Job]; j.Team >= 0 && !m.isPrefetch(j) {
 			used[j.Team] = used[j.Team].Add(j.Need, 1)
 		}
 	}
@@ -184,13 +184,13 @@
 	return out
 }
 
-// seenBy is a machine as its pool, or one that may take it, sees it.
-func (m *Model) seenBy(p *pool, mc *Machine, im int32, now time.Time) warmpool.Observation {
-	s := warmpool.Observation{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.has(im), Busy: len(mc.Tasks) > 0 || mc.orphaned != (placement.Res{})}
+// observe is a machine as its pool, or one that may take it, sees it.
+func (m *Model) observe(p *warmPool, mc *Machine, im int32, now time.Time) warmpool.Observation {
+	s := warmpool.Observation{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.hasImage(im), Busy: len(mc.Tasks) > 0 || mc.orphaned != (placement.Res{})}
 	// A machine that has been silent for a moment is not replaced yet: reports of
 	// a whole fleet pause when a leader does.
 	s.Ready = mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() &&
-		(mc.unready.IsZero() || now.Sub(mc.unready) < config.Seconds(m.settings.Cluster.Workers.LeaseS))
+		(mc.unreadySince.IsZero() || now.Sub(mc.unreadySince) < config.Seconds(m.settings.Cluster.Workers.LeaseS))
 	_, s.Booting = m.bootTimeLeft(mc, now)
 	s.Serving = len(mc.Tasks) > 0
 	for ref := range mc.Tasks {
@@ -204,13 +204,13 @@
 	return s
 }
 
-// stuck says whether a machine has been fetching the weights for much longer than
+// fetchStuck says whether a machine has been fetching the weights for much longer than
 // that takes: it does not hear, or its fetches fail.
-func (m *Model) stuck(mc *Machine, im int32, gb float64, now time.Time) bool {
-	if mc.has(im) || m.MachineTypes[mc.Type].FetchRate <= 0 {
+func (m *Model) fetchStuck(mc *Machine, im int32, gb float64, now time.Time) bool {
+	if mc.hasImage(im) || m.MachineTypes[mc.Type].FetchRate <= 0 {
 		return false
 	}
-	limit := config.Seconds(stuckFetch*gb/m.MachineTypes[mc.Type].FetchRate) + time.Minute
+	limit := config.Seconds(stuckFetchFactor*gb/m.MachineTypes[mc.Type].FetchRate) + time.Minute
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
 		if p := j.Tasks[ref.Task].Placement; j.Image == im && p.ReportedState < reportedWaiting && now.Sub(p.PlacedAt) > limit {
@@ -220,17 +220,17 @@
 	return false
 }
 
-// freeFor lists the machines that a pool may take.
-func (m *Model) freeFor(p *pool, im int32, types, zones []bool, now time.Time) (free []warmpool.Observation) {
+// joinCandidates lists the machines that a pool may take.
+func (m *Model) joinCandidates(p *warmPool, im int32, types, zones []bool, now time.Time) (free []warmpool.Observation) {
 	for _, mc := range m.Machines {
 		if mc.Gone || mc.Type < 0 || mc.Zone < 0 {
 			continue
 		}
-		if mc.pool != 0 || mc.ScalingIn || !types[mc.Type] || !zones[mc.Zone] || mc.Spot && !p.Spot || now.Before(mc.unfit) {
+		if mc.pool != 0 || mc.ScalingIn || !types[mc.Type] || !zones[mc.Zone] || mc.Spot && !p.Spot || now.Before(mc.unfitUntil) {
 			continue
 		}
-		s := m.seenBy(p, mc, im, now)
-		if !s.Busy && now.Sub(mc.IdleSince) < idleToJoin || s.Ready && !m.ready(mc, now) {
+		s := m.observe(p, mc, im, now)
+		if !s.Busy && now.Sub(mc.IdleSince) < minIdleToJoin || s.Ready && !m.ready(mc, now) {
 			s.Ready, s.Booting = false, true // soon, perhaps
 		}
 		free = append(free, s)
@@ -238,9 +238,9 @@
 	return free
 }
 
-// steer takes machines in and lets others go, and says which fetch the weights.
-func (m *Model) steer(i int, p *pool, now time.Time) {
-	im := m.internImage(p.note.Image, p.note.WeightsGB)
+// reconcilePool takes machines in and lets others go, and says which fetch the weights.
+func (m *Model) reconcilePool(i int, p *warmPool, now time.Time) {
+	im := m.internImage(p.record.Image, p.record.WeightsGB)
 	types := make([]bool, len(m.MachineTypes))
 	price, boot, fetch := 0.0, time.Duration(0), math.Inf(1)
 	for k := range m.MachineTypes {
@@ -262,32 +262,32 @@
 	for z, name := range m.Zones {
 		zones[z] = slices.Contains(p.Zones, name)
 	}
-	lead := p.LeadTime(p.PeakMachines(&p.week, now, p.note.ReplicasPerMachine), boot, fetch)
-	p.note.Target = p.TargetSize(&p.week, now, lead, p.note.ReplicasPerMachine, price)
-	p.note.CostLimited = p.note.Target == p.Affordable(price) && p.note.Target < p.MaxMachines
-	waiting := m.fetchesWaiting(p, now)
+	lead := p.LeadTime(p.PeakMachines(&p.demand, now, p.record.ReplicasPerMachine), boot, fetch)
+	p.record.Target = p.TargetSize(&p.demand, now, lead, p.record.ReplicasPerMachine, price)
+	p.record.CostLimited = p.record.Target == p.Affordable(price) && p.record.Target < p.MaxMachines
+	waiting := m.pendingPrefetches(p, now)
 	var own, free []warmpool.Observation
 	for _, mc := range m.Machines {
 		if mc.Gone || mc.Type < 0 || mc.Zone < 0 {
 			continue
 		}
 		if e := p.member(mc); e != nil {
-			if m.stuck(mc, im, p.note.WeightsGB, now) {
+			if m.fetchStuck(mc, im, p.record.WeightsGB, now) {
 				m.log.Warn("a machine does not come by its weights", "pool", p.Name, "machine", mc.Name)
 				m.leavePool(p, mc, now)
-				mc.unfit = now.Add(unfitFor)
+				mc.unfitUntil = now.Add(unfitCooldown)
 				continue
 			}
-			s := m.seenBy(p, mc, im, now)
+			s := m.observe(p, mc, im, now)
 			s.Leaving = e.Leaving
-			s.Fetching = !s.Warm && (s.Fetching || waiting[mc.Name] || now.Sub(p.asked[mc.Index]) < fetchAsked)
+			s.Fetching = !s.Warm && (s.Fetching || waiting[mc.Name] || now.Sub(p.fetchRequestedAt[mc.Index]) < fetchRetryInterval)
 			own = append(own, s)
 		}
 	}
-	if warmpool.CountHeld(own) < p.note.Target {
-		free = m.freeFor(p, im, types, zones, now)
+	if warmpool.CountHeld(own) < p.record.Target {
+		free = m.joinCandidates(p, im, types, zones, now)
 	}
-	c := p.PlanScaling(own, free, p.note.Target, p.Affordable(price))
+	c := p.PlanScaling(own, free, p.record.Target, p.Affordable(price))
 	for _, name := range c.Join {
 		m.joinPool(i, m.Machines[m.machineIndex[name]], now)
 	}
@@ -300,49 +300,49 @@
 	for _, name := range c.Evict {
 		m.leavePool(p, m.Machines[m.machineIndex[name]], now)
 	}
-	p.rent = c.ScaleOut
-	p.note.Held, p.note.Warm, p.note.Fetching = 0, 0, 0
+	p.scaleOut = c.ScaleOut
+	p.record.Held, p.record.Warm, p.record.Fetching = 0, 0, 0
 	for k := range own {
 		if e := p.member(m.Machines[m.machineIndex[own[k].Machine]]); e == nil || e.Leaving {
 			continue
 		}
-		p.note.Held++
+		p.record.Held++
 		if own[k].Warm {
-			p.note.Warm++
+			p.record.Warm++
 		} else if own[k].Fetching {
-			p.note.Fetching++
+			p.record.Fetching++
 		}
 	}
-	p.note.Held += len(c.Join)
-	if now.Before(p.off) {
+	p.record.Held += len(c.Join)
+	if now.Before(p.fetchesPausedUntil) {
 		return
 	}
-	p.note.FetchRefused = ""
+	p.record.FetchRefused = ""
 	for _, name := range p.NextFetches(own) {
 		idx := m.machineIndex[name]
 		if e := p.member(m.Machines[idx]); e != nil && !e.Leaving {
-			p.fills = append(p.fills, idx)
+			p.fetchQueue = append(p.fetchQueue, idx)
 		}
 	}
 }
 
-func (m *Model) setLeaving(p *pool, name string, leaving bool) {
+func (m *Model) setLeaving(p *warmPool, name string, leaving bool) {
 	mc := m.Machines[m.machineIndex[name]]
 	if e := p.member(mc); e != nil {
 		e.Leaving = leaving
-		p.changed[p.of[mc.Index]] = true
+		p.changed[p.shardOf[mc.Index]] = true
 		m.log.Info("pool lets machine go", "pool", p.Name, "machine", name, "leaving", leaving)
 	}
 }
 
-// poolRent adds to what a pass wants rented what the pools want.
-func (m *Model) poolRent(want map[Offer]int, offers []Offer, most int) {
+// addPoolScaleOut adds to what a pass wants rented what the pools want.
+func (m *Model) addPoolScaleOut(want map[Offer]int, offers []Offer, most int) {
 	for _, n := range want {
 		most -= n
 	}
 	for _, p := range m.pools {
 		for z, name := range m.Zones {
-			n := min(p.rent[name], most, rentPerStep)
+			n := min(p.scaleOut[name], most, maxScaleOutPerTick)
 			if n <= 0 {
 				continue
 			}
@@ -356,7 +356,7 @@
 					c = m.MachineTypes[o.key.machineType].SpotPrice
 				}
 				if o.key.zone != z {
-					c += otherZone // where this one has refused lately
+					c += otherZonePenalty // where this one has refused lately
 				}
 				if best < 0 || c < least {
 					best, least = k, c
--- a/cluster/poolview.go
+++ b/cluster/poolview.go
@@ -14,13 +14,13 @@
 // letGo whether it is to be returned at once: no longer wanted, as is recorded.
 func (m *Model) keptByPool(mc *Machine) bool { return m.plan.Unreadable || m.poolOf(mc) != nil }
 
-func (m *Model) letGo(mc *Machine) bool {
+func (m *Model) releasedByPool(mc *Machine) bool {
 	p := m.poolOf(mc)
 	if p == nil {
 		return false
 	}
 	e := p.member(mc)
-	return e != nil && e.Leaving && !m.keeping(warmpool.ShardName(p.Name, p.of[mc.Index]))
+	return e != nil && e.Leaving && !m.planRecordPending(warmpool.ShardName(p.Name, p.shardOf[mc.Index]))
 }
 
 // poolView tells the planner whose a machine is, and which images fit beside the
@@ -34,8 +34,8 @@
 		return
 	}
 	v.Pool = mc.pool
-	im := m.internImage(p.note.Image, p.note.WeightsGB)
-	v.PoolGB = m.MachineTypes[mc.Type].CacheGB - p.note.WeightsGB
+	im := m.internImage(p.record.Image, p.record.WeightsGB)
+	v.PoolGB = m.MachineTypes[mc.Type].CacheGB - p.record.WeightsGB
 	for k := len(mc.cachedImages) - 1; k >= 0 && mc.cachedImages[k] != im; k-- {
 		v.PoolGB -= m.imageSize[mc.cachedImages[k]]
 	}
@@ -46,9 +46,9 @@
 	}
 }
 
-// poolUses says what a job may do with each pool's machines; nil where there are
+// poolAccess says what a job may do with each pool's machines; nil where there are
 // no pools.
-func (m *Model) poolUses(j *Job) []placement.Use {
+func (m *Model) poolAccess(j *Job) []placement.Use {
 	if len(m.pools) == 0 {
 		return nil
 	}
@@ -56,38 +56,38 @@
 	w := warmpool.Workload{Image: j.Spec.Image, Team: j.Spec.Team, Priority: j.Priority, Gang: j.Gang() && len(j.Tasks) > 1,
 		Tier: j.tier, CheckpointSeconds: j.Spec.SaveS, Checkpoints: j.Spec.CheckpointS > 0}
 	for i, p := range m.pools {
-		if m.fetches(j) {
-			if j.res.Owner == fetchOwner(p.Name) {
+		if m.isPrefetch(j) {
+			if j.reservation.Owner == prefetchOwner(p.Name) {
 				out[i] = placement.Own
 			}
 			continue
 		}
-		w.ModelPriority, w.ModelTier = p.note.Priority, m.tiers.order.TierOf(p.Payer, p.note.Class)
+		w.ModelPriority, w.ModelTier = p.record.Priority, m.tiers.policy.TierOf(p.Payer, p.record.Class)
 		out[i] = p.Access(&w)
 	}
 	return out
 }
 
-// poolPlaced counts what a placement says of the pools: whether a replica found
+// countPoolPlacement counts what a placement says of the pools: whether a replica found
 // its weights, and whether work of a higher tier took a pool's room.
-func (m *Model) poolPlaced(j *Job, task int32, mc *Machine) {
-	if len(m.pools) == 0 || m.fetches(j) {
+func (m *Model) countPoolPlacement(j *Job, task int32, mc *Machine) {
+	if len(m.pools) == 0 || m.isPrefetch(j) {
 		return
 	}
 	on := m.poolOf(mc)
 	for i, p := range m.pools {
 		if !p.Serves(j.Spec.Image) || !p.AllowsTeam(j.Spec.Team) {
-			if p == on && m.poolUses(j)[i] == placement.Last {
-				n := p.of[mc.Index]
+			if p == on && m.poolAccess(j)[i] == placement.Last {
+				n := p.shardOf[mc.Index]
 				p.shards[n].Preemptions++
-				p.shards[n].LastPreemption = fmt.Sprintf("%s/%d of %s, tier %q, %s, took room on %s", j.ID, task, j.Spec.Team, m.tiers.order.TierName(j.tier), j.Spec.Priority, mc.Name)
+				p.shards[n].LastPreemption = fmt.Sprintf("%s/%d of %s, tier %q, %s, took room on %s", j.ID, task, j.Spec.Team, m.tiers.policy.TierName(j.tier), j.Spec.Priority, mc.Name)
 				p.changed[n] = true
 				m.log.Info("pool cedes room", "pool", p.Name, "machine", mc.Name, "job", j.ID, "task", task, "team", j.Spec.Team, "priority", j.Spec.Priority)
 			}
 			continue
 		}
-		n := p.of[mc.Index] // 0 for machines of no pool
-		if mc.has(j.Image) {
+		n := p.shardOf[mc.Index] // 0 for machines of no pool
+		if mc.hasImage(j.Image) {
 			p.shards[n].Hits++
 		} else {
 			p.shards[n].Misses++
@@ -111,11 +111,11 @@
 	Teams        map[string]warmpool.Charge // what each owes, as recorded last
 }
 
-func (m *Model) poolSummaries() []PoolSnapshot {
+func (m *Model) poolSnapshots() []PoolSnapshot {
 	var out []PoolSnapshot
 	for _, p := range m.pools {
-		s := PoolSnapshot{Name: p.Name, Target: p.note.Target, Held: p.note.Held, Warm: p.note.Warm, Fetching: p.note.Fetching,
-			CostLimited: p.note.CostLimited, FetchRefused: p.note.FetchRefused}
+		s := PoolSnapshot{Name: p.Name, Target: p.record.Target, Held: p.record.Held, Warm: p.record.Warm, Fetching: p.record.Fetching,
+			CostLimited: p.record.CostLimited, FetchRefused: p.record.FetchRefused}
 		var shards []warmpool.Shard
 		for _, sh := range p.shards {
 			s.Hits, s.Misses, s.Preemptions = s.Hits+sh.Hits, s.Misses+sh.Misses, s.Preemptions+sh.Preemptions
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -93,7 +93,7 @@
 		return
 	}
 	for _, j := range m.Jobs {
-		if j == nil || j.Cancelled || j.Finished || j.admissionPage == nil && j.res == nil && j.Version > m.newestUnreadablePage {
+		if j == nil || j.Cancelled || j.Finished || j.admissionPage == nil && j.reservation == nil && j.Version > m.newestUnreadablePage {
 			continue
 		}
 		for i := range j.Chunks {
--- a/cluster/reserve.go
+++ b/cluster/reserve.go
@@ -15,64 +15,66 @@
 // and counts like any other; that a task has not been asked for stands in the
 // job's record, so that the next leader, too, knows that it is nowhere.
 
-type reserve struct {
+type reservation struct {
 	jobstore.Reservation
-	goes, drops *bitset.BitSet
+	launchable, released *bitset.BitSet
 }
 
-func newReserve(r *jobstore.Reservation, tasks int) *reserve {
+func newReservation(r *jobstore.Reservation, tasks int) *reservation {
 	if r == nil {
 		return nil
 	}
-	return &reserve{Reservation: *r, goes: jobstore.BitSetOf(r.LaunchRanges, tasks), drops: jobstore.BitSetOf(r.ReleaseRanges, tasks)}
+	return &reservation{Reservation: *r, launchable: jobstore.BitSetOf(r.LaunchRanges, tasks), released: jobstore.BitSetOf(r.ReleaseRanges, tasks)}
 }
 
-// waitsForGo says whether a task must not be launched yet.
-func (j *Job) waitsForGo(task int) bool { return j.res != nil && !j.res.goes.Test(uint(task)) }
+// awaitsLaunch says whether a task must not be launched yet.
+func (j *Job) awaitsLaunch(task int) bool {
+	return j.reservation != nil && !j.reservation.launchable.Test(uint(task))
+}
 
-// mark takes a reserved job's marks in.
-func (m *Model) mark(j *Job, r *jobstore.Reservation, now time.Time) {
-	if j.res == nil || r == nil {
+// updateReservation takes a reserved job's marks in.
+func (m *Model) updateReservation(j *Job, r *jobstore.Reservation, now time.Time) {
+	if j.reservation == nil || r == nil {
 		return
 	}
-	j.res = newReserve(r, len(j.Tasks))
-	m.giveBack(j, now)
+	j.reservation = newReservation(r, len(j.Tasks))
+	m.releaseMarked(j, now)
 }
 
-// giveBack ends the tasks of a reserved job that are marked as given back.
-func (m *Model) giveBack(j *Job, now time.Time) {
-	if j.res == nil || j.Cancelled || j.Finished {
+// releaseMarked ends the tasks of a reserved job that are marked as given back.
+func (m *Model) releaseMarked(j *Job, now time.Time) {
+	if j.reservation == nil || j.Cancelled || j.Finished {
 		return
 	}
-	for i, ok := j.res.drops.NextSet(0); ok && int(i) < len(j.Tasks); i, ok = j.res.drops.NextSet(i + 1) {
+	for i, ok := j.reservation.released.NextSet(0); ok && int(i) < len(j.Tasks); i, ok = j.reservation.released.NextSet(i + 1) {
 		switch t := &j.Tasks[i]; t.Phase {
 		case TaskPlaced:
-			m.stopPlacedTask(j, int32(i), 0, whyReleased, now)
+			m.stopPlacedTask(j, int32(i), 0, stopReleased, now)
 		case TaskIdle:
-			m.spend(j, int32(i), jobstore.OutcomeReleased, now)
+			m.finishOnlyAttempt(j, int32(i), jobstore.OutcomeReleased, now)
 		}
 	}
 }
 
-const whyReleased = "released"
+const stopReleased = "released"
 
-// endOf is how a task that was stopped for that reason ended.
-func endOf(why string) uint8 {
-	if why == whyReleased {
+// endForStop is how a task that was stopped for that reason ended.
+func endForStop(why string) uint8 {
+	if why == stopReleased {
 		return jobstore.OutcomeReleased
 	}
 	return jobstore.OutcomePreempted
 }
 
-// spend takes in that a task's only attempt has ended. For other jobs, whose
+// finishOnlyAttempt takes in that a task's only attempt has ended. For other jobs, whose
 // tasks start again, it does nothing.
-func (m *Model) spend(j *Job, task int32, how uint8, now time.Time) {
+func (m *Model) finishOnlyAttempt(j *Job, task int32, how uint8, now time.Time) {
 	t := &j.Tasks[task]
-	if j.res == nil || t.Phase != TaskIdle || j.Cancelled {
+	if j.reservation == nil || t.Phase != TaskIdle || j.Cancelled {
 		return
 	}
 	t.Outcome = how
-	m.fetchEnded(j, how, now)
+	m.prefetchEnded(j, how, now)
 	m.markDone(j, task, now)
 }
 
@@ -81,22 +83,22 @@
 	if p.Stop == nil {
 		return jobstore.OutcomePreempted
 	}
-	return endOf(p.Stop.Reason)
+	return endForStop(p.Stop.Reason)
 }
 
-// restrict keeps a request to the machines that its job names, and away from
+// applyMachineRestrictions keeps a request to the machines that its job names, and away from
 // those that it shuns; the indices are the model's.
-func (m *Model) restrict(j *Job, r *placement.Request) {
-	if j.res == nil || len(j.res.OnlyMachines) == 0 && len(j.res.AvoidMachines) == 0 {
+func (m *Model) applyMachineRestrictions(j *Job, r *placement.Request) {
+	if j.reservation == nil || len(j.reservation.OnlyMachines) == 0 && len(j.reservation.AvoidMachines) == 0 {
 		return
 	}
 	avoid := map[int]bool{}
 	for i := range r.Avoid {
 		avoid[i] = true
 	}
-	if len(j.res.OnlyMachines) > 0 {
+	if len(j.reservation.OnlyMachines) > 0 {
 		only := map[string]bool{}
-		for _, n := range j.res.OnlyMachines {
+		for _, n := range j.reservation.OnlyMachines {
 			only[n] = true
 		}
 		for _, mc := range m.Machines {
@@ -106,7 +108,7 @@
 		}
 		r.Spare = true // no other machine would do, rented or not
 	}
-	for _, n := range j.res.AvoidMachines {
+	for _, n := range j.reservation.AvoidMachines {
 		if i, ok := m.machineIndex[n]; ok {
 			avoid[int(i)] = true
 		}
@@ -114,9 +116,9 @@
 	r.Avoid = avoid
 }
 
-// ends lists how the ended tasks from lo to hi ended: task, how, task, how.
-func (j *Job) ends(lo, hi int) []int {
-	if j.res == nil {
+// endedTasks lists how the ended tasks from lo to hi ended: task, how, task, how.
+func (j *Job) endedTasks(lo, hi int) []int {
+	if j.reservation == nil {
 		return nil
 	}
 	var out []int
@@ -128,9 +130,9 @@
 	return out
 }
 
-// leaving lists the tasks from lo to hi that have been told to stop.
-func (j *Job) leaving(lo, hi int) []int {
-	if j.res == nil {
+// stoppingTasks lists the tasks from lo to hi that have been told to stop.
+func (j *Job) stoppingTasks(lo, hi int) []int {
+	if j.reservation == nil {
 		return nil
 	}
 	var out []int
@@ -142,8 +144,8 @@
 	return out
 }
 
-// loadEnds takes in how tasks of an earlier leader's time ended.
-func (j *Job) loadEnds(pairs []int) {
+// loadEndedTasks takes in how tasks of an earlier leader's time ended.
+func (j *Job) loadEndedTasks(pairs []int) {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if t := pairs[i]; t >= 0 && t < len(j.Tasks) && pairs[i+1] >= 0 && pairs[i+1] <= math.MaxUint8 {
 			j.Tasks[t].Outcome = uint8(pairs[i+1])
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -84,7 +84,7 @@
 			why = reasonNeverUp
 		case !mc.Up && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseEnd(mc)) > 40*time.Second:
 			why = "silent"
-		case mc.Up && mc.TokenShown && m.letGo(mc):
+		case mc.Up && mc.TokenShown && m.releasedByPool(mc):
 			why = "pool"
 		case mc.Up && mc.TokenShown && now.Sub(mc.IdleSince) > idle && now.Sub(mc.headroomAt) > idle && now.Sub(m.ElectedAt) > 30*time.Second && !m.keptByPool(mc):
 			why = "idle"
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -24,9 +24,9 @@
 		return Decisions{}
 	}
 	jobs := m.openJobs()
-	within := m.within(jobs)
-	reqs := m.requests(jobs, within, now)
-	over := m.over(within)
+	within := m.jobsWithinQuota(jobs)
+	reqs := m.buildQueue(jobs, within, now)
+	over := m.beyondQuota(within)
 	in := placement.Input{Machines: m.machineBuffer[:0], Preempt: true, RentMax: max(0, maxScaleOut-renting)}
 	m.occupantBuffer, m.imageBuffer = m.occupantBuffer[:0], m.imageBuffer[:0]
 	back := make([]int32, 0, len(m.Machines))
@@ -41,8 +41,8 @@
 	reserved := map[string]bool{}
 	job := make([]*Job, 0, len(reqs)+4)
 	for k := range reqs {
-		if !reqs[k].owed { // the bound goes before room that is kept for an aim
-			for _, r := range m.reserves(reqs[k], reserved, now) {
+		if !reqs[k].mustStart { // the bound goes before room that is kept for an aim
+			for _, r := range m.backfillReservations(reqs[k], reserved, now) {
 				in.Requests = append(in.Requests, r)
 				job = append(job, nil)
 			}
@@ -59,14 +59,14 @@
 			r.Avoid = avoid
 		}
 		r.Prefer = m.moveTargets(reqs[k].j, r.Tasks, fwd)
-		r.Pools = m.poolUses(reqs[k].j)
+		r.Pools = m.poolAccess(reqs[k].j)
 		in.Requests = append(in.Requests, r)
 	}
-	for _, r := range m.phantoms(jobs, now) {
+	for _, r := range m.headroomRequests(jobs, now) {
 		in.Requests = append(in.Requests, r)
 		job = append(job, nil)
 	}
-	if r, ok := m.aheadRequest(now); ok {
+	if r, ok := m.provisionRequest(now); ok {
 		in.Requests = append(in.Requests, r)
 		job = append(job, nil)
 	}
@@ -76,10 +76,10 @@
 
 	plan := placement.Make(&in)
 	m.machineBuffer = in.Machines
-	m.departures(&plan, &in, job, now)
+	m.recordInversions(&plan, &in, job, now)
 
 	d := m.carryOut(plan, in.Requests, job, back, offers, now)
-	m.poolRent(d.ScaleOut, offers, in.RentMax)
+	m.addPoolScaleOut(d.ScaleOut, offers, in.RentMax)
 	return d
 }
 
@@ -102,7 +102,7 @@
 			a = j.LastAttempt
 			attempts[j.Index] = a
 		}
-		m.poolPlaced(j, s.Task, mc)
+		m.countPoolPlacement(j, s.Task, mc)
 		m.placeTask(j, s.Task, mc, a, now)
 		c := m.changeChunk(j, s.Task)
 		c.PlacedGen = c.Generation
--- a/cluster/summary.go
+++ b/cluster/summary.go
@@ -22,7 +22,7 @@
 
 // Snapshot counts what is there; its cost grows with machines and open tasks.
 func (m *Model) Snapshot(now time.Time) Snapshot {
-	s := Snapshot{Pools: m.poolSummaries(), Machines: map[string]int{}, Tasks: map[string]int{}, LongestWait: map[string]float64{}, PriorityInversions: maps.Clone(m.tiers.record.Counts)}
+	s := Snapshot{Pools: m.poolSnapshots(), Machines: map[string]int{}, Tasks: map[string]int{}, LongestWait: map[string]float64{}, PriorityInversions: maps.Clone(m.tiers.inversions.Counts)}
 	least := -1.0
 	for _, mc := range m.Machines {
 		switch {
@@ -48,7 +48,7 @@
 		}
 	}
 	s.LeaseLeft = max(least, 0)
-	s.Starved, s.StarvedTotal = m.unbegun(now)
+	s.Starved, s.StarvedTotal = m.starvedJobs(now)
 	for _, j := range m.Jobs {
 		if j == nil || j.Finished {
 			continue
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -36,7 +36,7 @@
 	mc.Tasks[TaskRef{Job: j.Index, Task: task}] = true
 	m.awaitingLaunch = append(m.awaitingLaunch, TaskRef{Job: j.Index, Task: task})
 	mc.Used = mc.Used.Add(j.Need, 1)
-	mc.worked = true
+	mc.hasHadTask = true
 	j.PlacedTasks++
 	j.Chunks[int(task)/jobstore.ChunkSize].PlacedTasks++
 	if mc.Zone >= 0 {
@@ -92,7 +92,7 @@
 	m.changeChunk(j, task)
 	if j.DoneTasks == len(j.Tasks) {
 		m.learnFromJob(j)
-		m.served(j)
+		m.countCompletion(j)
 		m.log.Info("job's tasks done", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 	}
 }
@@ -106,14 +106,14 @@
 	}
 	if !p.LaunchSent && !p.Inherited {
 		m.removePlacement(j, task, now)
-		m.spend(j, task, endOf(why), now)
+		m.finishOnlyAttempt(j, task, endForStop(why), now)
 		return
 	}
 	if p.Stop != nil && p.Stop.Grace <= grace {
 		return
 	}
 	p.Stop = &StopOrder{Grace: grace, Reason: why, OrderedAt: now}
-	if j.res != nil {
+	if j.reservation != nil {
 		m.changeChunk(j, task) // its door tells that it is leaving
 	}
 	m.unpushedStops = append(m.unpushedStops, TaskRef{Job: j.Index, Task: task})
--- a/cluster/tiers.go
+++ b/cluster/tiers.go
@@ -15,87 +15,87 @@
 // priority, and where that was departed from. Without an order all of it leaves
 // everything as it is.
 
-// tiers is the order in force, and what came of it.
-type tiers struct {
-	order   *priority.Policy // nil: none
-	record  priority.InversionLog
-	loaded  bool      // what an earlier leader recorded
-	changed bool      // since the record was last handed out
-	keptAt  time.Time // when that was
+// priorityTiers is the order in force, and what came of it.
+type priorityTiers struct {
+	policy     *priority.Policy // nil: none
+	inversions priority.InversionLog
+	loaded     bool      // what an earlier leader recorded
+	changed    bool      // since the record was last handed out
+	savedAt    time.Time // when that was
 }
 
 // orderNote is the name of the record of departures, and orderPace how often it is
 // written at most while there are any.
 const (
-	orderNote = "order"
-	orderPace = 10 * time.Second
+	inversionRecordName   = "order"
+	inversionSaveInterval = 10 * time.Second
 )
 
-// orderChanged takes in the order of the plan that holds now. With a plan that
+// reloadPriorityPolicy takes in the order of the plan that holds now. With a plan that
 // can't be read there is none, and nothing is placed.
-func (m *Model) orderChanged() {
+func (m *Model) reloadPriorityPolicy() {
 	if !m.tiers.loaded {
 		m.tiers.loaded = true
-		if raw, ok := m.kept(orderNote); ok {
+		if raw, ok := m.loadedPlanRecord(inversionRecordName); ok {
 			var rec priority.InversionLog
 			if err := wire.Unmarshal(raw, &rec); err != nil {
 				m.log.Error("the record of departures can't be read: they are counted anew", "err", err)
 			} else {
-				m.tiers.record.Merge(rec)
+				m.tiers.inversions.Merge(rec)
 			}
 		}
 	}
 	if m.plan.Plan == nil {
-		m.setOrder(nil)
+		m.setPriorityPolicy(nil)
 		return
 	}
-	m.setOrder(priority.New(&m.plan.Order))
+	m.setPriorityPolicy(priority.New(&m.plan.Order))
 }
 
-// keepOrder has the departures recorded, and what shares are counted of.
-func (m *Model) keepOrder(now time.Time) {
+// saveInversions has the departures recorded, and what shares are counted of.
+func (m *Model) saveInversions(now time.Time) {
 	t := &m.tiers
-	if !t.changed || now.Sub(t.keptAt) < orderPace {
+	if !t.changed || now.Sub(t.savedAt) < inversionSaveInterval {
 		return
 	}
-	fleet := m.fleetNow(now)
-	t.changed, t.keptAt = false, now
-	t.record.PlanVersion, t.record.Capacity = m.plan.Number, [3]float64{fleet.CPU, fleet.GPU, fleet.Mem}
-	m.keep(orderNote, t.record.Clone())
+	fleet := m.schedulableCapacity(now)
+	t.changed, t.savedAt = false, now
+	t.inversions.PlanVersion, t.inversions.Capacity = m.plan.Number, [3]float64{fleet.CPU, fleet.GPU, fleet.Mem}
+	m.savePlanRecord(inversionRecordName, t.inversions.Clone())
 }
 
-// setOrder takes an order in; nil is none.
-func (m *Model) setOrder(o *priority.Policy) {
-	m.tiers.order = o
+// setPriorityPolicy takes an order in; nil is none.
+func (m *Model) setPriorityPolicy(o *priority.Policy) {
+	m.tiers.policy = o
 	for _, idx := range m.openIndexes {
 		if j := m.Jobs[idx]; j != nil {
 			m.setTier(j)
 		}
 	}
 	for _, c := range m.classes {
-		m.setTier(c.spec) // the last job of a class may be out of the model
+		m.setTier(c.lastJob) // the last job of a class may be out of the model
 	}
 }
 
-func (m *Model) setTier(j *Job) { j.tier = m.tiers.order.TierOf(j.Spec.Team, j.Spec.Class) }
+func (m *Model) setTier(j *Job) { j.tier = m.tiers.policy.TierOf(j.Spec.Team, j.Spec.Class) }
 
-// fleetNow is the capacity of the machines that can be given tasks.
-func (m *Model) fleetNow(now time.Time) (cap placement.Res) {
+// schedulableCapacity is the capacity of the machines that can be given tasks.
+func (m *Model) schedulableCapacity(now time.Time) (cap placement.Res) {
 	for _, mc := range m.Machines {
 		if m.ready(mc, now) {
 			cap = cap.Add(m.MachineTypes[mc.Type].Capacity, 1)
 		}
 	}
-	if f := m.tiers.record.Capacity; cap == (placement.Res{}) {
+	if f := m.tiers.inversions.Capacity; cap == (placement.Res{}) {
 		// None has reported yet, or this model leads nothing and is only asked.
 		cap = placement.Res{CPU: f[0], GPU: f[1], Mem: f[2]}
 	}
 	return cap
 }
 
-// partOf is how much of the fleet an amount is: of the resource of which it takes
+// dominantShare is how much of the fleet an amount is: of the resource of which it takes
 // the most.
-func partOf(need, fleet placement.Res) float64 {
+func dominantShare(need, fleet placement.Res) float64 {
 	part := 0.0
 	for _, x := range [][2]float64{{need.CPU, fleet.CPU}, {need.GPU, fleet.GPU}, {need.Mem, fleet.Mem}} {
 		if x[1] > 0 {
@@ -105,9 +105,9 @@
 	return part
 }
 
-// booked is what each tier has of the fleet.
-func (m *Model) booked(fleet placement.Res) []float64 {
-	use := make([]placement.Res, m.tiers.order.NumTiers())
+// tierUsage is what each tier has of the fleet.
+func (m *Model) tierUsage(fleet placement.Res) []float64 {
+	use := make([]placement.Res, m.tiers.policy.NumTiers())
 	for _, idx := range m.openIndexes {
 		if j := m.Jobs[idx]; j != nil && j.PlacedTasks > 0 {
 			t := j.tier
@@ -116,35 +116,35 @@
 	}
 	out := make([]float64, len(use))
 	for t := range use {
-		out[t] = partOf(use[t], fleet)
+		out[t] = dominantShare(use[t], fleet)
 	}
 	return out
 }
 
-// promote moves what is owed to lower tiers to before the higher ones: the jobs
+// promoteStarvedTiers moves what is owed to lower tiers to before the higher ones: the jobs
 // of a tier that has less than its share, and a beginning of those that have
 // waited their tier's longest wait; those for which waits have won enough go
 // before their own tier. What is not owed of a job stays behind, and
 // neither guarantees nor priorities nor the bound that holds for all are passed.
-func (m *Model) promote(line []*ranked, now time.Time) []*ranked {
-	o := m.tiers.order
+func (m *Model) promoteStarvedTiers(line []*queued, now time.Time) []*queued {
+	o := m.tiers.policy
 	if o == nil {
 		return line
 	}
-	fleet := m.fleetNow(now)
+	fleet := m.schedulableCapacity(now)
 	if fleet == (placement.Res{}) {
 		return line
 	}
 	waiting := make([]priority.PendingJob, len(line))
 	for i, k := range line {
-		waiting[i] = priority.PendingJob{Tier: k.req.Tier, Tasks: len(k.req.Tasks), Gang: k.req.All, TaskShare: partOf(k.req.Need, fleet),
+		waiting[i] = priority.PendingJob{Tier: k.req.Tier, Tasks: len(k.req.Tasks), Gang: k.req.All, TaskShare: dominantShare(k.req.Need, fleet),
 			WaitedSeconds: now.Sub(k.j.AcceptedAt).Seconds(), Placed: k.j.PlacedTasks, Started: k.j.DoneTasks > 0 || !k.j.FirstRunAt.IsZero()}
 	}
-	ahead := o.Promote(waiting, m.booked(fleet))
-	out := make([]*ranked, 0, len(line))
+	ahead := o.Promote(waiting, m.tierUsage(fleet))
+	out := make([]*queued, 0, len(line))
 	for lo := 0; lo < len(line); {
 		hi := lo + 1
-		for hi < len(line) && line[hi].abreast(line[lo]) {
+		for hi < len(line) && line[hi].sameRank(line[lo]) {
 			hi++
 		}
 		if line[lo].req.Owed {
@@ -152,14 +152,14 @@
 			lo = hi
 			continue
 		}
-		var first, rest []*ranked
+		var first, rest []*queued
 		for i := lo; i < hi; i++ {
 			k, a := line[i], ahead[i]
 			if a.Tasks == 0 {
 				rest = append(rest, k)
 				continue
 			}
-			head, tail := k.cut(a.Tasks)
+			head, tail := k.split(a.Tasks)
 			head.req.Cause = uint8(a.Cause)
 			head.req.Hold = head.req.Hold || a.Cause != priority.PromotedByShare
 			if a.Cause == priority.PromotedInTier {
@@ -177,28 +177,28 @@
 			x, y := &rest[a].req, &rest[b].req
 			return x.Tier < y.Tier || x.Tier == y.Tier && x.Cause == turn && y.Cause != turn
 		})
-		out = append(m.besideOwed(out, first), rest...)
+		out = append(m.mergePromoted(out, first), rest...)
 		lo = hi
 	}
 	return out
 }
 
-// besideOwed adds what is promoted behind what must begin by the bound. Those of a
+// mergePromoted adds what is promoted behind what must begin by the bound. Those of a
 // tier whose longest wait is over take their place among these, by the moment at
 // which it was: where more comes than can be done, everything has to begin by the
 // bound in the end, and a wait that came after all of it would be none.
-func (m *Model) besideOwed(out, promoted []*ranked) []*ranked {
-	var first []*ranked
+func (m *Model) mergePromoted(out, promoted []*queued) []*queued {
+	var first []*queued
 	for _, k := range promoted {
 		if priority.PromotionCause(k.req.Cause) != priority.PromotedByWait {
 			first = append(first, k)
 			continue
 		}
-		over := k.j.AcceptedAt.Add(config.Seconds(m.tiers.order.MaxWaitSeconds(k.req.Tier)))
+		over := k.j.AcceptedAt.Add(config.Seconds(m.tiers.policy.MaxWaitSeconds(k.req.Tier)))
 		at := len(out)
 		for at > 0 {
 			o := out[at-1]
-			if !o.req.Owed || o.within != k.within || o.j.Priority != k.j.Priority || o.j.floored ||
+			if !o.req.Owed || o.withinQuota != k.withinQuota || o.j.Priority != k.j.Priority || o.j.floored ||
 				!o.j.hopeless && !o.j.latest.After(over) || priority.PromotionCause(o.req.Cause) == priority.PromotedByWait {
 				break
 			}
@@ -210,15 +210,15 @@
 	return append(out, first...)
 }
 
-// abreast says whether only the order decides which of two is served first.
-func (k *ranked) abreast(o *ranked) bool {
-	return k.within == o.within && k.j.Priority == o.j.Priority && k.req.Owed == o.req.Owed
+// sameRank says whether only the order decides which of two is served first.
+func (k *queued) sameRank(o *queued) bool {
+	return k.withinQuota == o.withinQuota && k.j.Priority == o.j.Priority && k.req.Owed == o.req.Owed
 }
 
-// cut parts the first n tasks of a request from the others. They count the same
+// split parts the first n tasks of a request from the others. They count the same
 // zones; where a zone is still to be chosen for all of them, the others wait for
 // the next pass.
-func (k *ranked) cut(n int) (head, tail *ranked) {
+func (k *queued) split(n int) (head, tail *queued) {
 	if n >= len(k.req.Tasks) {
 		return k, nil
 	}
@@ -230,43 +230,43 @@
 	return &h, &t
 }
 
-// precedes says whether work of later tiers competes with a job that may not stop
+// outranksCompetitors says whether work of later tiers competes with a job that may not stop
 // it: room is held for the job then, or they would take every bit that comes free.
-func (m *Model) precedes(j *Job) bool {
-	if m.tiers.order == nil {
+func (m *Model) outranksCompetitors(j *Job) bool {
+	if m.tiers.policy == nil {
 		return false
 	}
 	for _, c := range m.classes {
-		if c.spec.Priority == j.Priority && c.spec.tier > j.tier {
+		if c.lastJob.Priority == j.Priority && c.lastJob.tier > j.tier {
 			return true
 		}
 	}
 	return false
 }
 
-// keepsFor says whether room is kept for jobs of a class that are likely to come,
+// reservesFor says whether room is kept for jobs of a class that are likely to come,
 // before a request of another: of the same tier as without an order, and always
 // of a higher one, but nothing is kept from what is owed.
-func (m *Model) keepsFor(c *class, k *ranked, own *class) bool {
-	if m.tiers.order == nil {
-		return !own.waits
+func (m *Model) reservesFor(c *classStats, k *queued, own *classStats) bool {
+	if m.tiers.policy == nil {
+		return !own.hasWaitObjective
 	}
-	t := c.spec.tier
-	return k.req.Cause == 0 && !k.req.Owed && (t < k.req.Tier || t == k.req.Tier && !own.waits)
+	t := c.lastJob.tier
+	return k.req.Cause == 0 && !k.req.Owed && (t < k.req.Tier || t == k.req.Tier && !own.hasWaitObjective)
 }
 
-// byTier puts classes of earlier tiers first.
-func (m *Model) byTier(names []string) []string {
-	if m.tiers.order != nil {
-		sort.SliceStable(names, func(a, b int) bool { return m.classes[names[a]].spec.tier < m.classes[names[b]].spec.tier })
+// sortByTier puts classes of earlier tiers first.
+func (m *Model) sortByTier(names []string) []string {
+	if m.tiers.policy != nil {
+		sort.SliceStable(names, func(a, b int) bool { return m.classes[names[a]].lastJob.tier < m.classes[names[b]].lastJob.tier })
 	}
 	return names
 }
 
-// departures records where a pass's plan departs from the order, before it is
+// recordInversions records where a pass's plan departs from the order, before it is
 // taken into the model.
-func (m *Model) departures(plan *placement.Plan, in *placement.Input, job []*Job, now time.Time) {
-	o := m.tiers.order
+func (m *Model) recordInversions(plan *placement.Plan, in *placement.Input, job []*Job, now time.Time) {
+	o := m.tiers.policy
 	if o == nil {
 		return
 	}
@@ -274,12 +274,12 @@
 		low, high := job[d.Start.Request], job[d.PassedOver]
 		m.tiers.changed = true
 		m.Observer.PriorityInversion(o.TierName(high.tier), d.Reason.String())
-		m.tiers.record.Add(priority.InversionEvent{AtMs: now.UnixMilli(), Job: low.ID, Tier: o.TierName(low.tier), PassedOver: high.ID, PassedOverTier: o.TierName(high.tier), Reason: d.Reason.String()})
+		m.tiers.inversions.Add(priority.InversionEvent{AtMs: now.UnixMilli(), Job: low.ID, Tier: o.TierName(low.tier), PassedOver: high.ID, PassedOverTier: o.TierName(high.tier), Reason: d.Reason.String()})
 		if d.Reason == priority.Unexplained {
 			m.log.Error("a lower tier was served first without a reason", "job", low.ID, "over", high.ID, "need", high.Need, "room", d.Start.Room)
 			continue
 		}
 		m.log.Debug("departure from the order", "job", low.ID, "over", high.ID, "reason", d.Reason)
 	}
-	m.keepOrder(now)
+	m.saveInversions(now)
 }
--- a/cluster/tiers_test.go
+++ b/cluster/tiers_test.go
@@ -43,7 +43,7 @@
 
 func newFleetPlay(machines int, o *priority.Policy) *fleetPlay {
 	p := &fleetPlay{m: newModel(5), rev: 100, took: map[string]float64{}, began: map[string]float64{}, came: map[string]float64{}}
-	p.m.setOrder(o)
+	p.m.setPriorityPolicy(o)
 	for range machines {
 		p.on = append(p.on, map[string]*playTask{})
 	}
@@ -170,9 +170,9 @@
 		p.m.guarantees[0] = placement.Res{CPU: rapid.Float64Range(0, 30).Draw(t, "guarantee")}
 		p.m.teams[0].Max = placement.Res{CPU: 25}
 		p.day(rapid.Uint64().Draw(t, "day"), 120, func(r *rand.Rand) string { return []string{"slicing", "lesson", "print", "else"}[r.IntN(4)] })
-		for k, n := range p.m.tiers.record.Counts {
+		for k, n := range p.m.tiers.inversions.Counts {
 			if all[k] += n; strings.HasSuffix(k, priority.Unexplained.String()) {
-				t.Fatalf("%d times %s: %v", n, k, p.m.tiers.record.Recent)
+				t.Fatalf("%d times %s: %v", n, k, p.m.tiers.inversions.Recent)
 			}
 		}
 	})
@@ -199,7 +199,7 @@
 				n++
 			}
 		}
-		if b := p.m.booked(p.m.fleetNow(at(p.now))); p.now > 120 && b[1] >= 0.05 {
+		if b := p.m.tierUsage(p.m.schedulableCapacity(at(p.now))); p.now > 120 && b[1] >= 0.05 {
 			lessons++
 		}
 	}
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -13,11 +13,11 @@
 	triageJobs  = 1000 // of a class are looked at
 	triageTasks = 128  // of a job are followed one by one
 
-	// triagePace is for how long a verdict stands for each waiting task, since
+	// triagePerTask is for how long a verdict stands for each waiting task, since
 	// playing them through takes the longer the more there are. triageAgain
 	// bounds that.
-	triagePace  = 500 * time.Microsecond
-	triageAgain = 2 * time.Second
+	triagePerTask     = 500 * time.Microsecond
+	triageMaxInterval = 2 * time.Second
 )
 
 // triage gives up, for now, on the aims of the jobs that cost the most where
@@ -27,33 +27,33 @@
 // that as many as possible meet their aims (Moore and Hodgson's rule). Those
 // put off are served for a later aim, if they can meet one beside the others,
 // and else after them, those that take longest first.
-func (m *Model) triage(out []*ranked, now time.Time) {
+func (m *Model) triage(out []*queued, now time.Time) {
 	fresh := !now.Before(m.triageAt)
 	if fresh {
 		tasks := 0
 		for _, k := range out {
 			tasks += len(k.req.Tasks)
 		}
-		m.triageAt = now.Add(min(time.Duration(tasks)*triagePace, triageAgain))
+		m.triageAt = now.Add(min(time.Duration(tasks)*triagePerTask, triageMaxInterval))
 	}
 	for lo := 0; lo < len(out); {
 		hi := lo + 1
-		for hi < len(out) && out[hi].abreast(out[lo]) && out[hi].req.Tier == out[lo].req.Tier {
+		for hi < len(out) && out[hi].sameRank(out[lo]) && out[hi].req.Tier == out[lo].req.Tier {
 			hi++
 		}
 		group := out[lo:hi]
 		lo = hi
-		byClass := map[string][]*ranked{}
+		byClass := map[string][]*queued{}
 		for _, k := range group {
 			if !fresh {
 				// As last judged; a job that came since is taken for one in time.
-				k.missed, k.putOff = k.missed || k.j.off, k.j.putOff
+				k.missed, k.deferred = k.missed || k.j.off, k.j.putOff
 				if !k.j.due.IsZero() {
 					k.due = k.j.due
 				}
 				continue
 			}
-			k.work = m.work(k.j, now)
+			k.totalWork = m.remainingWork(k.j, now)
 			if c := k.j.Spec.Class; !k.missed && len(byClass[c]) < triageJobs {
 				byClass[c] = append(byClass[c], k)
 			}
@@ -64,7 +64,7 @@
 		if fresh {
 			off, tasks, all := 0, 0, 0
 			for _, k := range group {
-				k.j.off, k.j.putOff, k.j.due = k.missed, k.putOff, k.due
+				k.j.off, k.j.putOff, k.j.due = k.missed, k.deferred, k.due
 				all += len(k.req.Tasks)
 				if k.missed {
 					off++
@@ -76,16 +76,16 @@
 		sort.SliceStable(group, func(a, b int) bool {
 			x, y := group[a], group[b]
 			switch {
-			case x.night || y.night:
-				return byNight(x, y)
+			case x.inWindow || y.inWindow:
+				return byWindow(x, y)
 			case x.missed != y.missed:
 				return y.missed
-			case x.putOff != y.putOff:
-				return y.putOff
+			case x.deferred != y.deferred:
+				return y.deferred
 			case x.missed:
 				// No aim is left but to have all work done soon: what takes
 				// longest must not be what begins last.
-				return x.left > y.left
+				return x.runSeconds > y.runSeconds
 			}
 			return x.due.Before(y.due)
 		})
@@ -95,44 +95,44 @@
 // triageClass plays a class's jobs through, and then looks for each of those
 // put off, the smallest first, whether it can meet a later aim without making
 // any of the others late.
-func (m *Model) triageClass(jobs []*ranked, now time.Time) {
-	places := times(m.places(jobs[0].j, jobs[0].j.Zone, now))
+func (m *Model) triageClass(jobs []*queued, now time.Time) {
+	places := placeTimes(m.placesFor(jobs[0].j, jobs[0].j.Zone, now))
 	if len(places) == 0 {
 		return
 	}
 	slices.Sort(places) // a sorted list is a heap
 	m.log.Debug("triage", "class", jobs[0].j.Spec.Class, "places", len(places), "first", places[0], "median", places[len(places)/2], "last", places[len(places)-1], "jobs", len(jobs))
-	jobs = m.afterOwed(jobs, places)
-	var off []*ranked
-	p := m.newPlayed(places, now)
+	jobs = m.afterMustStart(jobs, places)
+	var off []*queued
+	p := m.newSimulation(places, now)
 	for same := 0; ; {
-		late := p.play(jobs, same)
+		late := p.run(jobs, same)
 		if late < 0 {
 			break
 		}
 		worst := late
 		for k := late; k >= 0; k-- {
-			if !jobs[k].night && jobs[k].work >= jobs[worst].work {
+			if !jobs[k].inWindow && jobs[k].totalWork >= jobs[worst].totalWork {
 				worst = k
 			}
 		}
 		off = append(off, jobs[worst])
-		jobs = append(append([]*ranked(nil), jobs[:worst]...), jobs[worst+1:]...)
+		jobs = append(append([]*queued(nil), jobs[:worst]...), jobs[worst+1:]...)
 		same = worst
 	}
 	nights := 0 // they come first, whatever is due
-	for nights < len(jobs) && jobs[nights].night {
+	for nights < len(jobs) && jobs[nights].inWindow {
 		nights++
 	}
 	whole := len(jobs) // how many at the beginning are as last played
-	sort.SliceStable(off, func(a, b int) bool { return off[a].work < off[b].work })
+	sort.SliceStable(off, func(a, b int) bool { return off[a].totalWork < off[b].totalWork })
 	for _, r := range off {
-		r.putOff = true
-		for r.missed = true; r.missed && len(r.later) > 0; {
-			r.next(now)
+		r.deferred = true
+		for r.missed = true; r.missed && len(r.laterDue) > 0; {
+			r.nextObjective(now)
 			at := nights + sort.Search(len(jobs)-nights, func(k int) bool { return jobs[nights+k].due.After(r.due) })
-			with := append(append(append([]*ranked(nil), jobs[:at]...), r), jobs[at:]...)
-			late := p.play(with, min(at, whole))
+			with := append(append(append([]*queued(nil), jobs[:at]...), r), jobs[at:]...)
+			late := p.run(with, min(at, whole))
 			whole = at
 			if late < 0 {
 				jobs, r.missed, whole = with, false, len(with)
@@ -141,33 +141,33 @@
 	}
 }
 
-// afterOwed plays those that begin by the bound first, on the places given, and
+// afterMustStart plays those that begin by the bound first, on the places given, and
 // returns the others: they get what is left. Counted on twice, a place makes
 // two jobs late.
-func (m *Model) afterOwed(jobs []*ranked, places times) []*ranked {
+func (m *Model) afterMustStart(jobs []*queued, places placeTimes) []*queued {
 	if m.StarvationBound <= 0 {
 		return jobs
 	}
-	var out []*ranked
+	var out []*queued
 	for _, k := range jobs {
-		n := k.j.toBegin()
+		n := k.j.placesToStart()
 		if !k.j.owed || n == 0 {
 			out = append(out, k)
 			continue
 		}
 		for range min(n, triageTasks) {
-			places.later(k.left + m.startupAndSpreadOf(k.j).startDelay())
+			places.occupyEarliest(k.runSeconds + m.startupAndSpreadOf(k.j).startDelay())
 		}
 	}
 	return out
 }
 
-type times []float64
+type placeTimes []float64
 
-// later moves the earliest place back, to when it is free again. This is the
+// occupyEarliest moves the earliest place back, to when it is free again. This is the
 // step that triage takes most often by far, and container/heap takes four
 // times as long for it.
-func (t times) later(by float64) {
+func (t placeTimes) occupyEarliest(by float64) {
 	x, i := t[0]+by, 0
 	for {
 		k := 2*i + 1
@@ -186,34 +186,34 @@
 	t[i] = x
 }
 
-// playEvery is after how many jobs the places are kept as they are then. What is
+// checkpointEvery is after how many jobs the places are kept as they are then. What is
 // played again differs from one job on only: with 400 jobs of a start, playing
 // them from the first each time was nine tenths of the pass that placed them.
-const playEvery = 16
+const checkpointEvery = 16
 
-// played is the jobs of a class being played through, again and again.
-type played struct {
-	m    *Model
-	now  time.Time
-	kept []times // before the job of that number times playEvery
-	free times
+// simulation is the jobs of a class being played through, again and again.
+type simulation struct {
+	m           *Model
+	now         time.Time
+	checkpoints []placeTimes // before the job of that number times playEvery
+	free        placeTimes
 }
 
-func (m *Model) newPlayed(places times, now time.Time) *played {
-	return &played{m: m, now: now, kept: []times{places}, free: m.playBuf}
+func (m *Model) newSimulation(places placeTimes, now time.Time) *simulation {
+	return &simulation{m: m, now: now, checkpoints: []placeTimes{places}, free: m.playBuf}
 }
 
-// play serves the jobs in their order on places that are free at the given
+// run serves the jobs in their order on places that are free at the given
 // times, in seconds from now. The first so many jobs are those played last. It
 // returns the first that starts its last task later than it is due, or -1.
-func (p *played) play(jobs []*ranked, same int) int {
-	from := min(same/playEvery, len(p.kept)-1)
-	p.kept = p.kept[:from+1]
-	free := append(p.free[:0], p.kept[from]...)
+func (p *simulation) run(jobs []*queued, same int) int {
+	from := min(same/checkpointEvery, len(p.checkpoints)-1)
+	p.checkpoints = p.checkpoints[:from+1]
+	free := append(p.free[:0], p.checkpoints[from]...)
 	p.free, p.m.playBuf = free, free
-	for i := from * playEvery; i < len(jobs); i++ {
-		if i%playEvery == 0 && i/playEvery == len(p.kept) {
-			p.kept = append(p.kept, append(times(nil), free...))
+	for i := from * checkpointEvery; i < len(jobs); i++ {
+		if i%checkpointEvery == 0 && i/checkpointEvery == len(p.checkpoints) {
+			p.checkpoints = append(p.checkpoints, append(placeTimes(nil), free...))
 		}
 		r := jobs[i]
 		due, delay := r.due.Sub(p.now).Seconds(), p.m.startupAndSpreadOf(r.j).startDelay()
@@ -221,25 +221,25 @@
 		last := 0.0
 		for range min(n, triageTasks) {
 			last = free[0]
-			free.later(r.left + delay)
+			free.occupyEarliest(r.runSeconds + delay)
 		}
 		if n > triageTasks {
-			last += float64(n-triageTasks) * r.left / float64(len(free))
+			last += float64(n-triageTasks) * r.runSeconds / float64(len(free))
 		}
 		// A job that is due at once is not given up for a place that is free. One of
 		// a night keeps its turn whatever becomes of its own aims.
-		if !r.night && last > max(due, 0)+0.5 {
+		if !r.inWindow && last > max(due, 0)+0.5 {
 			return i
 		}
 	}
 	return -1
 }
 
-// places says after how many seconds there is a place in a zone (-1: in any)
+// placesFor says after how many seconds there is a place in a zone (-1: in any)
 // for a task like the job's, once for each. Places that tasks of higher priority hold are not
 // counted, since others of theirs are likely to follow; those of lower
 // priority can be had at once.
-func (m *Model) places(j *Job, zone int, now time.Time) []float64 {
+func (m *Model) placesFor(j *Job, zone int, now time.Time) []float64 {
 	var out []float64
 	type end struct {
 		at   float64
@@ -252,7 +252,7 @@
 		room := m.MachineTypes[mc.Type].Capacity
 		if !m.ready(mc, now) {
 			if eta, ok := m.bootTimeLeft(mc, now); ok {
-				for range fit(j.Need, room) {
+				for range tasksThatFit(j.Need, room) {
 					out = append(out, eta)
 				}
 			}
@@ -265,17 +265,17 @@
 				room = room.Add(o.Need, -1)
 			}
 			if o.Priority == j.Priority {
-				ends = append(ends, end{m.left(o, ref.Task, now), o.Need})
+				ends = append(ends, end{m.secondsLeft(o, ref.Task, now), o.Need})
 			}
 		}
-		n := fit(j.Need, room)
+		n := tasksThatFit(j.Need, room)
 		for range n {
 			out = append(out, 0)
 		}
 		sort.Slice(ends, func(a, b int) bool { return ends[a].at < ends[b].at })
 		for _, e := range ends {
 			room = room.Add(e.need, 1)
-			for k := fit(j.Need, room); n < k; n++ {
+			for k := tasksThatFit(j.Need, room); n < k; n++ {
 				out = append(out, e.at)
 			}
 		}
@@ -283,8 +283,8 @@
 	return out
 }
 
-// fit is how many tasks with a need fit into room.
-func fit(need, room placement.Res) int {
+// tasksThatFit is how many tasks with a need fit into room.
+func tasksThatFit(need, room placement.Res) int {
 	n := 1000.0
 	for _, x := range [][2]float64{{need.CPU, room.CPU}, {need.GPU, room.GPU}, {need.Mem, room.Mem}} {
 		if x[0] > 0 {
@@ -294,15 +294,15 @@
 	return int(max(n, 0))
 }
 
-// work is how many seconds what is left of a job would take on a single place.
-func (m *Model) work(j *Job, now time.Time) float64 {
+// remainingWork is how many seconds what is left of a job would take on a single place.
+func (m *Model) remainingWork(j *Job, now time.Time) float64 {
 	sum, est := 0.0, m.expectedRunTime(j)
 	for i := range j.Tasks {
 		switch t := &j.Tasks[i]; t.Phase {
 		case TaskIdle:
 			sum += remainingOf(est, t)
 		case TaskPlaced:
-			sum += m.left(j, int32(i), now)
+			sum += m.secondsLeft(j, int32(i), now)
 		}
 	}
 	return sum
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -20,7 +20,7 @@
 }
 
 func inOrder(m *Model, now float64) (ids []string, late int) {
-	for _, r := range m.requests(m.openJobs(), nil, at(now)) {
+	for _, r := range m.buildQueue(m.openJobs(), nil, at(now)) {
 		ids = append(ids, r.j.ID)
 		if r.missed {
 			late++
@@ -55,7 +55,7 @@
 	// Both places are taken for about a minute, so that this one can't be in time;
 	// it is served for three times its deadline.
 	due(m, "wk-000002", 1, 80, 2)
-	reqs := m.requests(m.openJobs(), nil, at(3))
+	reqs := m.buildQueue(m.openJobs(), nil, at(3))
 	if len(reqs) != 1 || reqs[0].missed || reqs[0].due.Before(at(150)) {
 		t.Fatalf("%d wait; missed %v, due %v", len(reqs), reqs[0].missed, reqs[0].due.Sub(t0))
 	}
@@ -81,20 +81,20 @@
 func TestPlayingOnIsPlayingAgain(t *testing.T) {
 	m := crowded(4, 60)
 	rnd := rand.New(rand.NewPCG(7, 7))
-	random := func() *ranked {
+	random := func() *queued {
 		j := m.Jobs[rnd.IntN(len(m.Jobs))]
-		return &ranked{j: j, left: 1 + 60*rnd.Float64(), due: at(rnd.Float64() * 700), req: placement.Request{Tasks: make([]int32, 1+rnd.IntN(150))}}
+		return &queued{j: j, runSeconds: 1 + 60*rnd.Float64(), due: at(rnd.Float64() * 700), req: placement.Request{Tasks: make([]int32, 1+rnd.IntN(150))}}
 	}
-	places := make(times, 400)
+	places := make(placeTimes, 400)
 	for i := range places {
 		places[i] = float64(i / 4)
 	}
-	var jobs []*ranked
+	var jobs []*queued
 	for range 90 {
 		jobs = append(jobs, random())
 	}
-	p := m.newPlayed(places, at(0))
-	p.play(jobs, 0)
+	p := m.newSimulation(places, at(0))
+	p.run(jobs, 0)
 	ends, differ := 0, 0
 	for range 500 {
 		k := rnd.IntN(len(jobs))
@@ -103,7 +103,7 @@
 		} else {
 			jobs = slices.Delete(slices.Clone(jobs), k, k+1)
 		}
-		got, want := p.play(jobs, k), m.newPlayed(places, at(0)).play(jobs, 0)
+		got, want := p.run(jobs, k), m.newSimulation(places, at(0)).run(jobs, 0)
 		if got != want {
 			t.Fatalf("changed from %d of %d on: %d, played anew: %d", k, len(jobs), got, want)
 		}
@@ -140,7 +140,7 @@
 				m.PutJob(rec.Job.ID, rec, 1, at(float64(i)))
 			}
 			jobs := m.openJobs()
-			in := m.within(jobs)
+			in := m.jobsWithinQuota(jobs)
 			for i, j := range jobs {
 				if in[j.Index] != c.want[i] {
 					t.Errorf("%s is within the guarantee: %t", j.ID, in[j.Index])
@@ -182,7 +182,7 @@
 			other.Job.GPUs, other.Job.Priority = c.gpus, c.waiting
 			m.PutJob(other.Job.ID, other, 1, at(0))
 			jobs := m.openJobs()
-			for _, k := range m.requests(jobs, m.within(jobs), at(1)) {
+			for _, k := range m.buildQueue(jobs, m.jobsWithinQuota(jobs), at(1)) {
 				if k.j.Spec.Class == "small" && k.req.Types[m.typeIndex["m"]] == c.keeps {
 					t.Errorf("may go to a machine with GPUs: %t", !c.keeps)
 				}
--- a/cluster/unbegun.go
+++ b/cluster/unbegun.go
@@ -11,24 +11,24 @@
 // the way of each.
 
 const (
-	nameEvery  = 10 * time.Second // what stands in the way is looked for, for each such job
-	namedAgain = 30 * time.Second // a job is logged again, for another reason, not before
-	namedMost  = 20               // jobs in a summary
+	explainInterval  = 10 * time.Second // what stands in the way is looked for, for each such job
+	relogInterval    = 30 * time.Second // a job is logged again, for another reason, not before
+	maxStarvedListed = 20               // jobs in a summary
 )
 
 // What stands in a job's way.
 const (
-	inWayMistake  = "it fails wherever it starts"
-	inWayRecords  = "its placements can't be read"
-	inWayTeam     = "its team's limit"
-	inWayZone     = "no machine of its zone answers"
-	inWayMachines = "no machine that it may use answers, and none is to be had"
-	inWayRented   = "machines that it may use are still to come"
-	inWayGang     = "no zone or fleet with room for all of its tasks at once"
-	inWayStart    = "its tasks are placed and have not started"
-	inWayPause    = "its tasks failed and wait to be tried again"
-	inWayHigher   = "work of higher priority has the room"
-	inWayOthers   = "others that are due have the room"
+	blockedByFailures          = "it fails wherever it starts"
+	blockedByUnreadableRecords = "its placements can't be read"
+	blockedByQuota             = "its team's limit"
+	blockedByZone              = "no machine of its zone answers"
+	blockedByNoMachines        = "no machine that it may use answers, and none is to be had"
+	blockedByScaleOut          = "machines that it may use are still to come"
+	blockedByGangSize          = "no zone or fleet with room for all of its tasks at once"
+	blockedByStart             = "its tasks are placed and have not started"
+	blockedByBackoff           = "its tasks failed and wait to be tried again"
+	blockedByHigherPriority    = "work of higher priority has the room"
+	blockedByCompetition       = "others that are due have the room"
 )
 
 // StarvedJob is a job that has not begun in time, or won't.
@@ -41,23 +41,23 @@
 	WaitedSeconds float64 // since it was accepted
 }
 
-// nameUnbegun works out what stands in the way of each open job that can't begin
+// explainStarvation works out what stands in the way of each open job that can't begin
 // within the bound, and logs it where that is new.
-func (m *Model) nameUnbegun(now time.Time) {
+func (m *Model) explainStarvation(now time.Time) {
 	if now.Before(m.nameAt) {
 		return
 	}
-	m.nameAt = now.Add(nameEvery)
+	m.nameAt = now.Add(explainInterval)
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
 		if j == nil {
 			continue
 		}
 		why := ""
-		if !j.Cancelled && !j.Finished && !j.begun() && m.tooLate(j, now) {
-			why = m.inWay(j, now)
+		if !j.Cancelled && !j.Finished && !j.hasStarted() && m.missesBound(j, now) {
+			why = m.starvationCause(j, now)
 		}
-		if why != "" && why != j.inWay && now.Sub(j.named) >= namedAgain {
+		if why != "" && why != j.inWay && now.Sub(j.named) >= relogInterval {
 			j.named = now
 			m.log.Info("job can't begin in time", "id", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", len(j.Tasks),
 				"inTheWay", why, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
@@ -66,63 +66,63 @@
 	}
 }
 
-// tooLate says whether a job can't begin within the bound any more, as far as can
+// missesBound says whether a job can't begin within the bound any more, as far as can
 // be foreseen: the places it needs are not there at all, or it is past the time
 // at which it should have had them.
-func (m *Model) tooLate(j *Job, now time.Time) bool {
+func (m *Model) missesBound(j *Job, now time.Time) bool {
 	if j.PlacedTasks > 0 && !j.Gang() || j.PlacedTasks == len(j.Tasks) {
 		return now.Sub(j.AcceptedAt) > m.StarvationBound
 	}
-	if should, _ := m.latestBegin(j); now.Before(should) {
+	if should, _ := m.latestStart(j); now.Before(should) {
 		return j.roomless && now.Sub(j.AcceptedAt) > m.StarvationBound/4
 	}
 	return true
 }
 
-// inWay says what stands in the way of a job.
-func (m *Model) inWay(j *Job, now time.Time) string {
+// starvationCause says what stands in the way of a job.
+func (m *Model) starvationCause(j *Job, now time.Time) string {
 	switch {
 	case j.quarantined:
-		return inWayRecords
+		return blockedByUnreadableRecords
 	case j.failures.atFault():
-		return inWayMistake
+		return blockedByFailures
 	case j.PlacedTasks == len(j.Tasks) || j.PlacedTasks > 0 && !j.Gang():
-		return inWayStart
-	case !m.limitAllows(j):
-		return inWayTeam
+		return blockedByStart
+	case !m.quotaAllows(j):
+		return blockedByQuota
 	}
 	up, coming := m.usableBy(j, now)
 	switch {
 	case up > 0:
 	case coming:
-		return inWayRented
+		return blockedByScaleOut
 	case j.Zone >= 0:
-		return inWayZone
+		return blockedByZone
 	default:
-		return inWayMachines
+		return blockedByNoMachines
 	}
 	if j.roomless {
 		if coming {
-			return inWayRented
+			return blockedByScaleOut
 		}
-		return inWayGang
+		return blockedByGangSize
 	}
-	if _, ok := m.request(j, now); !ok {
-		return inWayPause
+	if _, ok := m.buildRequest(j, now); !ok {
+		return blockedByBackoff
 	}
-	if m.heldByHigher(j, now) {
-		return inWayHigher
+	if m.occupiedByHigherPriority(j, now) {
+		return blockedByHigherPriority
 	}
-	return inWayOthers
+	return blockedByCompetition
 }
 
-// limitAllows says whether the team's limit lets the job begin.
-func (m *Model) limitAllows(j *Job) bool {
+// quotaAllows says whether the team's limit lets the job begin.
+func (m *Model) quotaAllows(j *Job) bool {
 	if j.Team < 0 {
 		return true
 	}
 	t := &m.teams[j.Team]
-	want := t.Used.Add(j.Need, float64(j.toBegin()))
+	want := t.Used.Add(j.Need, float64(j.placesToStart()))
 	over := func(want, need, most float64) bool { return most > 0 && need > 0 && want > most+1e-6 }
 	return !over(want.CPU, j.Need.CPU, t.Max.CPU) && !over(want.GPU, j.Need.GPU, t.Max.GPU)
 }
@@ -149,9 +149,9 @@
 	return up, coming
 }
 
-// heldByHigher says whether nothing but work of higher priority runs where the
+// occupiedByHigherPriority says whether nothing but work of higher priority runs where the
 // job may.
-func (m *Model) heldByHigher(j *Job, now time.Time) bool {
+func (m *Model) occupiedByHigherPriority(j *Job, now time.Time) bool {
 	higher := false
 	for _, mc := range m.Machines {
 		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone || !m.ready(mc, now) {
@@ -167,17 +167,17 @@
 	return higher
 }
 
-// unbegun lists the jobs that can't begin in time, those that wait for longest
+// starvedJobs lists the jobs that can't begin in time, those that wait for longest
 // first, and how many there are.
-func (m *Model) unbegun(now time.Time) (out []StarvedJob, all int) {
+func (m *Model) starvedJobs(now time.Time) (out []StarvedJob, all int) {
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
-		if j == nil || j.inWay == "" || j.Cancelled || j.Finished || j.begun() {
+		if j == nil || j.inWay == "" || j.Cancelled || j.Finished || j.hasStarted() {
 			continue
 		}
 		all++
 		out = append(out, StarvedJob{ID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), BlockedBy: j.inWay, WaitedSeconds: now.Sub(j.AcceptedAt).Seconds()})
 	}
 	slices.SortStableFunc(out, func(a, b StarvedJob) int { return int(1000 * (b.WaitedSeconds - a.WaitedSeconds)) })
-	return out[:min(len(out), namedMost)], all
+	return out[:min(len(out), maxStarvedListed)], all
 }
--- a/cluster/view.go
+++ b/cluster/view.go
@@ -39,11 +39,11 @@
 	return n
 }
 
-// over marks the tasks that run beyond their teams' guarantees, the last
+// beyondQuota marks the tasks that run beyond their teams' guarantees, the last
 // started first. Tasks of jobs that are within the guarantee are never among
 // them: two teams that each have work within and beyond theirs would otherwise
 // stop each other's in turn, over and over.
-func (m *Model) over(within map[int32]bool) map[TaskRef]bool {
+func (m *Model) beyondQuota(within map[int32]bool) map[TaskRef]bool {
 	out := map[TaskRef]bool{}
 	if !slices.ContainsFunc(m.guarantees, func(g placement.Res) bool { return g != placement.Res{} }) {
 		return out // nobody may claim anything
@@ -84,8 +84,8 @@
 	return out
 }
 
-// loss estimates the seconds of work that stopping a task throws away.
-func (m *Model) loss(j *Job, p *Placement, now time.Time) float64 {
+// preemptionLoss estimates the seconds of work that stopping a task throws away.
+func (m *Model) preemptionLoss(j *Job, p *Placement, now time.Time) float64 {
 	switch {
 	case p.ReportedState < reportedRunning:
 		return 2
@@ -95,8 +95,8 @@
 	return now.Sub(p.RunningSince).Seconds()
 }
 
-// left estimates the seconds until a task ends by itself.
-func (m *Model) left(j *Job, task int32, now time.Time) float64 {
+// secondsLeft estimates the seconds until a task ends by itself.
+func (m *Model) secondsLeft(j *Job, task int32, now time.Time) float64 {
 	if j.Spec.Kind == wire.KindService {
 		return 1e9
 	}
@@ -138,7 +138,7 @@
 	for _, ref := range m.refBuffer {
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
-		if p.ReportedState < reportedWaiting && t.FetchRate > 0 && !mc.has(j.Image) {
+		if p.ReportedState < reportedWaiting && t.FetchRate > 0 && !mc.hasImage(j.Image) {
 			left := max(0.5, j.Spec.ImageGB/t.FetchRate-now.Sub(p.PlacedAt).Seconds())
 			if !slices.ContainsFunc(m.imageBuffer[images:], func(im placement.ImageAt) bool { return im.Image == j.Image }) {
 				m.imageBuffer = append(m.imageBuffer, placement.ImageAt{Image: j.Image, In: left})
@@ -151,7 +151,7 @@
 		}
 		m.occupantBuffer = append(m.occupantBuffer, placement.Occupant{
 			Task: ref, Need: j.Need, Priority: j.Priority, Team: j.Team, Over: over[ref], Tier: j.tier,
-			Loss: m.loss(j, p, now), Left: m.left(j, ref.Task, now), Stopping: stopping, Fixed: stopping || j.Gang() && len(j.Tasks) > 1 || m.beginning(j, now),
+			Loss: m.preemptionLoss(j, p, now), Left: m.secondsLeft(j, ref.Task, now), Stopping: stopping, Fixed: stopping || j.Gang() && len(j.Tasks) > 1 || m.isStartProtected(j, now),
 		})
 	}
 	for _, im := range mc.cachedImages {
@@ -162,7 +162,7 @@
 	return v, true
 }
 
-func (mc *Machine) has(image int32) bool {
+func (mc *Machine) hasImage(image int32) bool {
 	for _, im := range mc.cachedImages {
 		if im == image {
 			return true
--- a/cluster/why.go
+++ b/cluster/why.go
@@ -41,10 +41,10 @@
 	if j == nil {
 		return Explanation{}, false
 	}
-	w := Explanation{ID: id, Tier: m.tiers.order.TierName(j.tier), WaitedSeconds: now.Sub(j.AcceptedAt).Seconds(), Tasks: len(j.Tasks), Done: j.DoneTasks, Placed: j.PlacedTasks,
-		AheadByReason: map[string]int{}, Inversions: m.tiers.record.PassingOver(id)}
+	w := Explanation{ID: id, Tier: m.tiers.policy.TierName(j.tier), WaitedSeconds: now.Sub(j.AcceptedAt).Seconds(), Tasks: len(j.Tasks), Done: j.DoneTasks, Placed: j.PlacedTasks,
+		AheadByReason: map[string]int{}, Inversions: m.tiers.inversions.PassingOver(id)}
 	jobs := m.openJobs()
-	line := m.requests(jobs, m.within(jobs), now)
+	line := m.buildQueue(jobs, m.jobsWithinQuota(jobs), now)
 	for i, k := range line {
 		if k.j != j {
 			continue
@@ -55,10 +55,10 @@
 			if o.j == j {
 				continue
 			}
-			why := k.behind(o)
+			why := k.behindReason(o)
 			w.AheadByReason[why]++
 			if len(w.Nearest) < nearestShown {
-				w.Nearest = append(w.Nearest, JobAhead{o.j.ID, m.tiers.order.TierName(o.j.tier), why})
+				w.Nearest = append(w.Nearest, JobAhead{o.j.ID, m.tiers.policy.TierName(o.j.tier), why})
 			}
 		}
 		return w, true // its part that is served first
@@ -67,12 +67,12 @@
 	return w, true
 }
 
-// behind says why another is served before a request.
-func (k *ranked) behind(o *ranked) string {
+// behindReason says why another is served before a request.
+func (k *queued) behindReason(o *queued) string {
 	switch {
 	case k.req.Spare:
 		return "fault"
-	case k.within != o.within:
+	case k.withinQuota != o.withinQuota:
 		return priority.WithinQuota.String()
 	case k.j.Priority != o.j.Priority:
 		return priority.HigherPriority.String()
@@ -86,22 +86,22 @@
 		return "tier"
 	case o.req.Cause == uint8(priority.PromotedInTier):
 		return priority.MaxWait.String()
-	case k.night != o.night:
+	case k.inWindow != o.inWindow:
 		return "a night's work"
-	case k.missed != o.missed && !k.night:
+	case k.missed != o.missed && !k.inWindow:
 		return "can still meet its aim"
 	}
 	return "due sooner"
 }
 
 // lacks says what a request in the line waits for.
-func (m *Model) lacks(k *ranked) (out []string) {
+func (m *Model) lacks(k *queued) (out []string) {
 	r, j := &k.req, k.j
 	if n := placement.Allowed(r, m.teams); n == 0 || r.All && n < len(r.Tasks) {
 		t := m.teams[r.Team]
 		out = append(out, fmt.Sprintf("its team's limit: %g of %g CPUs and %g of %g GPUs are in use (0: no limit)", t.Used.CPU, t.Max.CPU, t.Used.GPU, t.Max.GPU))
 	}
-	if len(m.MachineTypes) > 0 && len(m.typesFor(j)) == 0 {
+	if len(m.MachineTypes) > 0 && len(m.fittingTypes(j)) == 0 {
 		out = append(out, "a machine type that it fits; none in the catalogue is allowed and large enough")
 	}
 	switch {
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -19,7 +19,7 @@
 
 	placementPages    map[string]*placementPage
 	jobs              map[string]*Job
-	notes             map[string]*noted
+	notes             map[string]*planRecord
 	placesTasks       bool // tasks, by the plan
 	admissionRemovals map[*admissionPage]*admissionRemoval
 	commitHooks       []func(rev uint64, now time.Time)
@@ -214,9 +214,9 @@
 
 // addFinalRecord ends a job, if its page fits in beside what is there already.
 func (m *Model) addFinalRecord(b *WriteBatch, j *Job) bool {
-	rec := jobstore.JobRecord{Job: j.Spec, AcceptedAtMs: j.AcceptedAt.UnixMilli(), State: wire.JobDone, Outcomes: j.ends(0, len(j.Tasks)), FinishedAtMs: m.endMs(j)}
-	if j.res != nil {
-		rec.Reservation = &j.res.Reservation
+	rec := jobstore.JobRecord{Job: j.Spec, AcceptedAtMs: j.AcceptedAt.UnixMilli(), State: wire.JobDone, Outcomes: j.endedTasks(0, len(j.Tasks)), FinishedAtMs: m.completionTimeMs(j)}
+	if j.reservation != nil {
+		rec.Reservation = &j.reservation.Reservation
 	}
 	if j.admissionPage != nil {
 		if !b.removeFromAdmissionPage(j) {
@@ -342,7 +342,7 @@
 		return
 	}
 	if j.Finished {
-		m.nightEnded(j)
+		m.recordWindowCompletion(j)
 	}
 	for n := range j.Chunks {
 		m.takeOffPlacementPage(&j.Chunks[n])
@@ -355,7 +355,7 @@
 	rec := jobstore.PlacementChunk{Job: j.ID, Chunk: n, MaxAttempt: j.LastAttempt}
 	lo := n * jobstore.ChunkSize
 	hi := min(lo+jobstore.ChunkSize, len(j.Tasks))
-	rec.Reserved, rec.Outcomes, rec.Stopping = j.res != nil, j.ends(lo, hi), j.leaving(lo, hi)
+	rec.Reserved, rec.Outcomes, rec.Stopping = j.reservation != nil, j.endedTasks(lo, hi), j.stoppingTasks(lo, hi)
 	for i := lo; i < hi; i++ {
 		switch t := &j.Tasks[i]; t.Phase {
 		case TaskDone:
--- a/priority/departure.go
+++ b/priority/departure.go
@@ -22,12 +22,12 @@
 	WarmPoolReserved                  // the machine is kept for a warm pool that the higher one may not use
 	WarmPoolCache                     // the higher one's image would evict a warm pool's weights
 	RepeatedFailure                   // the higher one fails wherever it is tried, and is given spare room only
-	reasons
+	numReasons
 )
 
-var reasonNames = [reasons]string{"none", "guarantee", "priority", "bound", "share", "wait", "limit", "zone", "machine", "gang", "pool", "image", "fault"}
+var reasonNames = [numReasons]string{"none", "guarantee", "priority", "bound", "share", "wait", "limit", "zone", "machine", "gang", "pool", "image", "fault"}
 
-func (r InversionReason) String() string { return reasonNames[min(r, reasons-1)] }
+func (r InversionReason) String() string { return reasonNames[min(r, numReasons-1)] }
 
 // Inversion is a task placed where one of a higher tier could have been.
 type Inversion struct {
@@ -40,7 +40,7 @@
 // teams' use before the pass. A task placed is a departure from the order at most once: over the highest that it was placed
 // before, the one that came first in the line among equals.
 func FindInversions(reqs []placement.Request, teams []placement.Team, starts []placement.Start, machines []placement.Machine) []Inversion {
-	line := waiting(reqs, teams, starts)
+	line := unserved(reqs, teams, starts)
 	if len(line) == 0 {
 		return nil
 	}
@@ -59,31 +59,31 @@
 			continue
 		}
 		h := &line[best]
-		out = append(out, Inversion{s, h.request, reason(reqs, s, h, &machines[s.Machine])})
+		out = append(out, Inversion{s, h.request, inversionReason(reqs, s, h, &machines[s.Machine])})
 	}
 	return out
 }
 
-// left is a request of which tasks were left.
-type left struct {
-	request int
-	limited bool // by its team's limit alone
+// unservedRequest is a request of which tasks were left.
+type unservedRequest struct {
+	request      int
+	atQuotaLimit bool // by its team's limit alone
 }
 
-// waiting lists the requests with tasks left, in their order.
-func waiting(reqs []placement.Request, teams []placement.Team, starts []placement.Start) []left {
+// unserved lists the requests with tasks left, in their order.
+func unserved(reqs []placement.Request, teams []placement.Team, starts []placement.Start) []unservedRequest {
 	got := make([]int, len(reqs))
 	for _, s := range starts {
 		got[s.Request]++
 	}
 	used := make([]placement.Team, len(teams))
 	copy(used, teams)
-	var out []left
+	var out []unservedRequest
 	for i := range reqs {
 		r := &reqs[i]
 		n := placement.Allowed(r, used)
 		if !r.Phantom && got[i] < len(r.Tasks) {
-			out = append(out, left{i, got[i] >= n || r.All && n < len(r.Tasks)})
+			out = append(out, unservedRequest{i, got[i] >= n || r.All && n < len(r.Tasks)})
 		}
 		if r.Team >= 0 {
 			used[r.Team].Used = used[r.Team].Used.Add(r.Need, float64(got[i]))
@@ -92,10 +92,10 @@
 	return out
 }
 
-// reason says why a start came before a request that was left. Where the lower
+// inversionReason says why a start came before a request that was left. Where the lower
 // one stood ahead in the line, that is why; where it stood behind, something must
 // have kept the higher one from the machine.
-func reason(reqs []placement.Request, s placement.Start, h *left, m *placement.Machine) InversionReason {
+func inversionReason(reqs []placement.Request, s placement.Start, h *unservedRequest, m *placement.Machine) InversionReason {
 	low, high := &reqs[s.Request], &reqs[h.request]
 	if s.Request < h.request {
 		switch {
@@ -120,7 +120,7 @@
 	}
 	pool, image := m.Refuses(high)
 	switch {
-	case h.limited:
+	case h.atQuotaLimit:
 		return QuotaLimit
 	case high.Zone >= 0 && high.Zone != m.Zone, high.SpreadMax > 0 && high.ZoneUsed[m.Zone] >= high.SpreadMax:
 		return ZoneConstraint
--- a/priority/order.go
+++ b/priority/order.go
@@ -20,8 +20,8 @@
 		return nil
 	}
 	o := &Policy{tiers: slices.Clone(s.Tiers)}
-	if last := &o.tiers[len(o.tiers)-1]; !last.rest() {
-		o.tiers = append(o.tiers, Tier{Name: restName, LongestWaitS: restWaitS})
+	if last := &o.tiers[len(o.tiers)-1]; !last.isCatchAll() {
+		o.tiers = append(o.tiers, Tier{Name: catchAllName, LongestWaitS: catchAllWaitSeconds})
 	}
 	return o
 }
@@ -49,7 +49,7 @@
 		return 0
 	}
 	for i := range o.tiers {
-		if o.tiers[i].has(team, class) {
+		if o.tiers[i].matches(team, class) {
 			return i
 		}
 	}
@@ -106,14 +106,14 @@
 	for _, begun := range []bool{false, true} {
 		for i := range waiting {
 			w := &waiting[i]
-			if w.Started != begun || !o.owed(w) {
+			if w.Started != begun || !o.waitExceeded(w) {
 				continue
 			}
 			out[i] = Promotion{1, PromotedByWait}
 			if w.Gang {
 				out[i].Tasks = w.Tasks
 			}
-			if below(has, w.Tier) >= waitsMost(w.Tier) {
+			if sumFrom(has, w.Tier) >= maxWaitShare(w.Tier) {
 				out[i].Cause = PromotedInTier
 				continue
 			}
@@ -150,9 +150,9 @@
 // 0: it never does for having waited.
 func (o *Policy) MaxWaitSeconds(tier int) float64 { return o.tiers[tier].LongestWaitS }
 
-// owed says whether a job has waited its tier's longest wait, with nothing of it
+// waitExceeded says whether a job has waited its tier's longest wait, with nothing of it
 // running.
-func (o *Policy) owed(w *PendingJob) bool {
+func (o *Policy) waitExceeded(w *PendingJob) bool {
 	if w.Tier <= 0 || w.Tier >= len(o.tiers) || w.Tasks <= 0 || w.Placed > 0 {
 		return false
 	}
@@ -160,11 +160,11 @@
 	return longest > 0 && w.WaitedSeconds >= longest
 }
 
-// waitsMost is how much of the fleet waits may win for a tier and those after it.
-func waitsMost(tier int) float64 { return math.Pow(0.5, float64(tier)) }
+// maxWaitShare is how much of the fleet waits may win for a tier and those after it.
+func maxWaitShare(tier int) float64 { return math.Pow(0.5, float64(tier)) }
 
-// below is what a tier and those after it have.
-func below(has []float64, tier int) (sum float64) {
+// sumFrom is what a tier and those after it have.
+func sumFrom(has []float64, tier int) (sum float64) {
 	for _, h := range has[tier:] {
 		sum += h
 	}
--- a/priority/order_test.go
+++ b/priority/order_test.go
@@ -167,7 +167,7 @@
 			switch {
 			case a.Tasks > 0 && w.Tier == 0, a.Tasks > w.Tasks, w.Gang && a.Tasks != 0 && a.Tasks != w.Tasks:
 				t.Fatalf("%+v: %+v", w, a)
-			case due && (a.Tasks == 0 || a.Cause == PromotedInTier && below(has, w.Tier) < waitsMost(w.Tier)):
+			case due && (a.Tasks == 0 || a.Cause == PromotedInTier && sumFrom(has, w.Tier) < maxWaitShare(w.Tier)):
 				t.Fatalf("%+v has waited for its %g s and is not owed a beginning", w, tier.LongestWaitS)
 			case !due && a.Tasks > 0 && f.booked[w.Tier] >= tier.Share:
 				t.Fatalf("%+v has its share and is given %+v", w, a)
--- a/priority/record.go
+++ b/priority/record.go
@@ -34,8 +34,8 @@
 }
 
 const (
-	lastKept   = 48
-	countsKept = 400
+	maxRecent = 48
+	maxCounts = 400
 )
 
 // Key is what a departure is counted under: the tier passed over, and why.
@@ -47,15 +47,15 @@
 	if r.Counts == nil {
 		r.Counts = map[string]uint64{}
 	}
-	if _, ok := r.Counts[p.Key()]; ok || len(r.Counts) < countsKept {
+	if _, ok := r.Counts[p.Key()]; ok || len(r.Counts) < maxCounts {
 		r.Counts[p.Key()]++
 	}
 	r.Recent = slices.DeleteFunc(r.Recent, func(o InversionEvent) bool {
 		return o.Job == p.Job && o.PassedOver == p.PassedOver && o.Reason == p.Reason
 	})
 	r.Recent = append(r.Recent, p)
-	if n := len(r.Recent); n > lastKept {
-		r.Recent = slices.Delete(r.Recent, 0, n-lastKept)
+	if n := len(r.Recent); n > maxRecent {
+		r.Recent = slices.Delete(r.Recent, 0, n-maxRecent)
 	}
 }
 
@@ -67,14 +67,14 @@
 	last := r.Recent
 	r.Recent = slices.Clone(o.Recent)
 	r.Recent = append(r.Recent, last...)
-	if n := len(r.Recent); n > lastKept {
-		r.Recent = slices.Delete(r.Recent, 0, n-lastKept)
+	if n := len(r.Recent); n > maxRecent {
+		r.Recent = slices.Delete(r.Recent, 0, n-maxRecent)
 	}
 	for k, n := range o.Counts {
 		if r.Counts == nil {
 			r.Counts = map[string]uint64{}
 		}
-		if _, ok := r.Counts[k]; ok || len(r.Counts) < countsKept {
+		if _, ok := r.Counts[k]; ok || len(r.Counts) < maxCounts {
 			r.Counts[k] += n
 		}
 	}
--- a/priority/settings.go
+++ b/priority/settings.go
@@ -25,23 +25,23 @@
 }
 
 const (
-	maxTiers = 16
-	maxNames = 200 // teams or classes of a tier
+	maxTiers        = 16
+	maxNamesPerTier = 200 // teams or classes of a tier
 	// StarvationBoundSeconds is within how many seconds every job has to begin, whatever the order.
 	StarvationBoundSeconds = 240
 	// The rest, where no tier is given for it, waits for no longer than this.
-	restName  = "the rest"
-	restWaitS = 180
-	// sharesMost leaves the first tier something to be first on.
-	sharesMost = 0.9
+	catchAllName        = "the rest"
+	catchAllWaitSeconds = 180
+	// maxShareSum leaves the first tier something to be first on.
+	maxShareSum = 0.9
 )
 
 // Empty says that there is no order.
 func (s *Settings) Empty() bool { return s == nil || len(s.Tiers) == 0 }
 
-func (t *Tier) rest() bool { return len(t.Teams) == 0 && len(t.Classes) == 0 }
+func (t *Tier) isCatchAll() bool { return len(t.Teams) == 0 && len(t.Classes) == 0 }
 
-func (t *Tier) has(team, class string) bool {
+func (t *Tier) matches(team, class string) bool {
 	return (len(t.Teams) == 0 || slices.Contains(t.Teams, team)) && (len(t.Classes) == 0 || slices.Contains(t.Classes, class))
 }
 
@@ -90,8 +90,8 @@
 			bad("%s.name must be set and unique", at)
 		}
 		names[t.Name] = true
-		if len(t.Teams) > maxNames || len(t.Classes) > maxNames {
-			bad("%s names more than %d teams or classes", at, maxNames)
+		if len(t.Teams) > maxNamesPerTier || len(t.Classes) > maxNamesPerTier {
+			bad("%s names more than %d teams or classes", at, maxNamesPerTier)
 			continue
 		}
 		for k, n := range t.Teams {
@@ -104,40 +104,40 @@
 				bad("%s.classes[%d] must not be empty", at, k)
 			}
 		}
-		if t.rest() && i < len(s.Tiers)-1 {
+		if t.isCatchAll() && i < len(s.Tiers)-1 {
 			bad("%s names neither teams nor classes: only the last may be the rest", at)
 		}
-		if i == len(s.Tiers)-1 && i == 0 && t.rest() {
+		if i == len(s.Tiers)-1 && i == 0 && t.isCatchAll() {
 			bad("%s is all work: an order needs a tier before the rest", at)
 		}
-		s.reached(i, bad)
+		s.checkReachable(i, bad)
 		shares += max(t.Share, 0)
-		t.checkLimits(i, at, longest, bad)
+		t.checkStarvation(i, at, longest, bad)
 		longest = max(longest, t.LongestWaitS)
 	}
-	if shares > sharesMost+1e-9 {
-		bad("order.tiers: the shares sum to %g; at most %g, so that the first tier has something left", shares, sharesMost)
+	if shares > maxShareSum+1e-9 {
+		bad("order.tiers: the shares sum to %g; at most %g, so that the first tier has something left", shares, maxShareSum)
 	}
 	return errs
 }
 
-// reached finds what a tier names and an earlier one has already.
-func (s *Settings) reached(i int, bad func(string, ...any)) {
+// checkReachable finds what a tier names and an earlier one has already.
+func (s *Settings) checkReachable(i int, bad func(string, ...any)) {
 	t := &s.Tiers[i]
-	if t.rest() {
+	if t.isCatchAll() {
 		return
 	}
 	for _, p := range t.pairs() {
 		for k := range s.Tiers[:i] {
-			if o := &s.Tiers[k]; !o.rest() && o.covers(p[0], p[1]) {
-				bad("order.tiers[%d]: %s is in order.tiers[%d] (%s) already", i, naming(p), k, o.Name)
+			if o := &s.Tiers[k]; !o.isCatchAll() && o.covers(p[0], p[1]) {
+				bad("order.tiers[%d]: %s is in order.tiers[%d] (%s) already", i, describePair(p), k, o.Name)
 				break
 			}
 		}
 	}
 }
 
-func naming(p [2]string) string {
+func describePair(p [2]string) string {
 	var out []string
 	if p[0] != "" {
 		out = append(out, fmt.Sprintf("team %q", p[0]))
@@ -148,11 +148,11 @@
 	return strings.Join(out, ", ")
 }
 
-// checkLimits checks what keeps a tier from starving. longest is the longest wait
+// checkStarvation checks what keeps a tier from starving. longest is the longest wait
 // of the tiers above.
-func (t *Tier) checkLimits(i int, at string, longest float64, bad func(string, ...any)) {
-	if !(t.Share >= 0 && t.Share <= sharesMost) {
-		bad("%s.share must be from 0 to %g", at, sharesMost)
+func (t *Tier) checkStarvation(i int, at string, longest float64, bad func(string, ...any)) {
+	if !(t.Share >= 0 && t.Share <= maxShareSum) {
+		bad("%s.share must be from 0 to %g", at, maxShareSum)
 	}
 	if !(t.LongestWaitS >= 0 && t.LongestWaitS <= StarvationBoundSeconds) {
 		bad("%s.longest_wait_s must be from 0 to %d, within which every job has to begin", at, StarvationBoundSeconds)
--- a/warmpool/account.go
+++ b/warmpool/account.go
@@ -67,16 +67,16 @@
 		return
 	}
 	for i := range s.Members {
-		s.settle(&s.Members[i], nowMs, payer)
+		s.settleMember(&s.Members[i], nowMs, payer)
 	}
 	s.AtMs = nowMs
 }
 
-// begin is when a member's open span began.
-func (s *Shard) begin(m *Member) int64 { return max(s.AtMs, m.SinceMs) }
+// spanStart is when a member's open span began.
+func (s *Shard) spanStart(m *Member) int64 { return max(s.AtMs, m.SinceMs) }
 
-func (s *Shard) settle(m *Member, nowMs int64, payer string) {
-	from := s.begin(m)
+func (s *Shard) settleMember(m *Member, nowMs int64, payer string) {
+	from := s.spanStart(m)
 	if m.Cost == (Charge{}) {
 		from = m.SinceMs // its first span may begin before the shard's last ended
 	}
@@ -84,7 +84,7 @@
 	if ms <= 0 {
 		return
 	}
-	whole := Charge{Ms: ms, Micros: money(ms, m.HourlyRate)}
+	whole := Charge{Ms: ms, Micros: cost(ms, m.HourlyRate)}
 	rest := whole
 	if s.Teams == nil {
 		s.Teams = map[string]Charge{}
@@ -92,7 +92,7 @@
 	for _, p := range m.Shares {
 		// Never more than is left, whatever the shares sum to.
 		part := Charge{Ms: min(rest.Ms, ms*int64(p.PerMille)/1000)}
-		part.Micros = min(rest.Micros, money(part.Ms, m.HourlyRate))
+		part.Micros = min(rest.Micros, cost(part.Ms, m.HourlyRate))
 		if part == (Charge{}) || p.Team == payer {
 			continue
 		}
@@ -103,8 +103,8 @@
 	m.Cost = m.Cost.add(whole)
 }
 
-// money is what so many milliseconds cost at a rate in millionths an hour.
-func money(ms, rate int64) int64 {
+// cost is what so many milliseconds cost at a rate in millionths an hour.
+func cost(ms, rate int64) int64 {
 	const hour = 3_600_000
 	return ms/hour*rate + ms%hour*rate/hour
 }
@@ -126,7 +126,7 @@
 	if m == nil {
 		return false
 	}
-	s.settle(m, nowMs, payer)
+	s.settleMember(m, nowMs, payer)
 	s.ClosedCost = s.ClosedCost.add(m.Cost)
 	s.Members = slices.DeleteFunc(s.Members, func(o Member) bool { return o.Machine == machine })
 	return true
--- a/warmpool/choose.go
+++ b/warmpool/choose.go
@@ -23,15 +23,15 @@
 	Leaving  bool // was let go, and is not yet returned
 }
 
-// counts says whether a machine counts as held: one that is silent, noticed or
+// available says whether a machine counts as held: one that is silent, noticed or
 // gone serves nobody, and is replaced at once.
-func (s *Observation) counts() bool { return (s.Ready || s.Booting) && !s.Leaving }
+func (s *Observation) available() bool { return (s.Ready || s.Booting) && !s.Leaving }
 
 // CountHeld is how many of a pool's machines count as held.
 func CountHeld(own []Observation) int {
 	n := 0
 	for i := range own {
-		if own[i].counts() {
+		if own[i].available() {
 			n++
 		}
 	}
@@ -54,7 +54,7 @@
 	held := map[string]int{} // by zone
 	n := 0
 	for i := range own {
-		if own[i].counts() {
+		if own[i].available() {
 			held[own[i].Zone]++
 			n++
 		}
@@ -63,8 +63,8 @@
 	if n > aim {
 		// The zone that has most gives first, then what has no weights.
 		for n > aim {
-			i := p.pick(own, func(s *Observation) bool { return s.counts() && !s.Busy }, func(s *Observation) int {
-				return -10*held[s.Zone] + rank(s.Warm, s.Ready)
+			i := p.cheapest(own, func(s *Observation) bool { return s.available() && !s.Busy }, func(s *Observation) int {
+				return -10*held[s.Zone] + twoFlags(s.Warm, s.Ready)
 			})
 			if i < 0 {
 				break
@@ -75,7 +75,7 @@
 			c.Release = append(c.Release, own[i].Machine)
 		}
 		for n > affords {
-			i := p.pick(own, (*Observation).counts, func(s *Observation) int { return -10*held[s.Zone] + rank(s.Warm, s.Serving) })
+			i := p.cheapest(own, (*Observation).available, func(s *Observation) int { return -10*held[s.Zone] + twoFlags(s.Warm, s.Serving) })
 			if i < 0 {
 				break
 			}
@@ -87,7 +87,7 @@
 		return c
 	}
 	for n < aim {
-		i := p.pick(own, func(s *Observation) bool { return s.Leaving && s.Ready }, func(s *Observation) int { return 10*held[s.Zone] - rank(s.Warm, s.Ready) })
+		i := p.cheapest(own, func(s *Observation) bool { return s.Leaving && s.Ready }, func(s *Observation) int { return 10*held[s.Zone] - twoFlags(s.Warm, s.Ready) })
 		if i < 0 {
 			break
 		}
@@ -100,8 +100,8 @@
 	// Where replicas run anyhow, the weights are there already; else an empty
 	// machine is filled. One that boots may be for work that waits.
 	for n < aim {
-		i := p.pick(free, func(s *Observation) bool { return s.Ready && !s.Leaving && (!s.Busy || s.Serving && s.Warm) }, func(s *Observation) int {
-			return 10*held[s.Zone] - 1000*rank(s.Warm, false)
+		i := p.cheapest(free, func(s *Observation) bool { return s.Ready && !s.Leaving && (!s.Busy || s.Serving && s.Warm) }, func(s *Observation) int {
+			return 10*held[s.Zone] - 1000*twoFlags(s.Warm, false)
 		})
 		if i < 0 {
 			break
@@ -129,7 +129,7 @@
 	return c
 }
 
-func rank(a, b bool) int {
+func twoFlags(a, b bool) int {
 	n := 0
 	if a {
 		n += 2
@@ -140,8 +140,8 @@
 	return n
 }
 
-// pick is the first of the cheapest that will do, or -1.
-func (p *Pool) pick(all []Observation, ok func(*Observation) bool, cost func(*Observation) int) int {
+// cheapest is the first of the cheapest that will do, or -1.
+func (p *Pool) cheapest(all []Observation, ok func(*Observation) bool, cost func(*Observation) int) int {
 	best, least := -1, 0
 	for i := range all {
 		if !ok(&all[i]) {
@@ -170,7 +170,7 @@
 	own = slices.Clone(own)
 	var out []string
 	for len(out) < room {
-		i := p.pick(own, func(s *Observation) bool { return s.Ready && !s.Leaving && !s.Warm && !s.Fetching },
+		i := p.cheapest(own, func(s *Observation) bool { return s.Ready && !s.Leaving && !s.Warm && !s.Fetching },
 			func(s *Observation) int { return warm[s.Zone] })
 		if i < 0 {
 			break
--- a/warmpool/pools.go
+++ b/warmpool/pools.go
@@ -36,11 +36,11 @@
 }
 
 const (
-	maxPools  = 32
-	maxMost   = 2000
-	maxName   = 40
-	maxImage  = 200
-	usualWarm = 0.9
+	maxPools         = 32
+	maxPoolSize      = 2000
+	maxNameLength    = 40
+	maxImageLength   = 200
+	defaultWarmShare = 0.9
 )
 
 // Check names each bad field with its place, and what contradicts what. Without
@@ -57,19 +57,19 @@
 			errs = append(errs, fmt.Errorf("pools[%d].%s: %s", i, field, fmt.Sprintf(format, args...)))
 		}
 		if !plainName(p.Name) {
-			bad("name", "%q is not 1 to %d letters, digits, '-' or '_'", p.Name, maxName)
+			bad("name", "%q is not 1 to %d letters, digits, '-' or '_'", p.Name, maxNameLength)
 		} else if k, ok := names[p.Name]; ok {
 			bad("name", "%q is the name of pools[%d] too", p.Name, k)
 		} else {
 			names[p.Name] = i
 		}
-		if p.Model == "" || len(p.Model) > maxImage {
-			bad("model", "is not an image of 1 to %d characters", maxImage)
-		} else if k, ok := models[family(p.Model)]; ok {
+		if p.Model == "" || len(p.Model) > maxImageLength {
+			bad("model", "is not an image of 1 to %d characters", maxImageLength)
+		} else if k, ok := models[repository(p.Model)]; ok {
 			// Which of them a replica counts for could not be said.
 			bad("model", "%q is the model of pools[%d] too", p.Model, k)
 		} else {
-			models[family(p.Model)] = i
+			models[repository(p.Model)] = i
 		}
 		if !positive(p.WeightsGB) {
 			bad("gb", "must be above 0")
@@ -94,8 +94,8 @@
 		case p.MinMachines > p.MaxMachines:
 			bad("least", "%d is above most, %d", p.MinMachines, p.MaxMachines)
 		}
-		if p.MaxMachines < 1 || p.MaxMachines > maxMost {
-			bad("most", "must be from 1 to %d", maxMost)
+		if p.MaxMachines < 1 || p.MaxMachines > maxPoolSize {
+			bad("most", "must be from 1 to %d", maxPoolSize)
 		}
 		if p.Burst.Replicas < 1 {
 			bad("burst.replicas", "must be above 0")
@@ -109,8 +109,8 @@
 		if !positive(p.MaxHourlyCost) {
 			bad("cost_an_hour", "must be above 0")
 		}
-		if p.ConcurrentFetches < 0 || p.ConcurrentFetches > maxMost {
-			bad("fetch_at_once", "must be from 0 to %d", maxMost)
+		if p.ConcurrentFetches < 0 || p.ConcurrentFetches > maxPoolSize {
+			bad("fetch_at_once", "must be from 0 to %d", maxPoolSize)
 		}
 		team := func(field, t string) {
 			if t == "" {
@@ -142,11 +142,11 @@
 			return false
 		}
 	}
-	return len(s) > 0 && len(s) <= maxName
+	return len(s) > 0 && len(s) <= maxNameLength
 }
 
-// family is an image's name without its tag.
-func family(image string) string {
+// repository is an image's name without its tag.
+func repository(image string) string {
 	if i := strings.LastIndexByte(image, ':'); i > strings.LastIndexByte(image, '/') {
 		return image[:i]
 	}
@@ -154,7 +154,7 @@
 }
 
 // Serves says whether an image is the pool's model, in whatever version.
-func (p *Pool) Serves(image string) bool { return family(image) == family(p.Model) }
+func (p *Pool) Serves(image string) bool { return repository(image) == repository(p.Model) }
 
 // AllowsTeam says whether a team may use the pool's machines.
 func (p *Pool) AllowsTeam(team string) bool {
@@ -176,27 +176,27 @@
 	rounds := (n + p.MaxConcurrentFetches() - 1) / p.MaxConcurrentFetches()
 	fetch := 0.0
 	if fetchGBPS > 0 {
-		fetch = p.WeightsGB / fetchGBPS * slowFetch
+		fetch = p.WeightsGB / fetchGBPS * fetchMargin
 	}
 	d := 2*boot + time.Duration(float64(rounds)*fetch*float64(time.Second)) + time.Minute
-	return min(d, maxLead)
+	return min(d, maxLeadTime)
 }
 
 const (
-	slowFetch = 1.4 // a fetch takes up to a third longer than the catalogue says
-	maxLead   = 3 * time.Hour
+	fetchMargin = 1.4 // a fetch takes up to a third longer than the catalogue says
+	maxLeadTime = 3 * time.Hour
 )
 
 // PeakMachines is how many machines the busiest of the hours that a pool may have to
 // grow for is likely to need.
 func (p *Pool) PeakMachines(w *WeeklyDemand, now time.Time, perMachine int) int {
-	replicas := w.Quantile(now, maxLead, p.warmShare())
+	replicas := w.Quantile(now, maxLeadTime, p.warmShare())
 	return min(max((replicas+max(perMachine, 1)-1)/max(perMachine, 1), p.MinMachines), p.MaxMachines)
 }
 
 func (p *Pool) warmShare() float64 {
 	if p.WarmShare == 0 {
-		return usualWarm
+		return defaultWarmShare
 	}
 	return p.WarmShare
 }
--- a/warmpool/pools_test.go
+++ b/warmpool/pools_test.go
@@ -104,7 +104,7 @@
 			t.Fatal(err)
 		}
 	}
-	for h := range hoursOfWeek {
+	for h := range hoursPerWeek {
 		x := at.Add(time.Duration(h) * time.Hour)
 		if a, b := w.Quantile(x, 0, 0.9), back.Quantile(x, 0, 0.9); a != b && hourOf(x) != w.hour {
 			t.Fatalf("hour %d: %d became %d", h, a, b)
--- a/warmpool/records.go
+++ b/warmpool/records.go
@@ -12,20 +12,20 @@
 // This file says what is recorded of a pool and under which names, for the next
 // leader and for operators.
 
-// records is where the pools' records lie among those of the plan's parts.
-const records = "pools/"
+// recordPrefix is where the pools' records lie among those of the plan's parts.
+const recordPrefix = "pools/"
 
 // RecordName names a pool's Note.
-func RecordName(pool string) string { return records + pool + "/now" }
+func RecordName(pool string) string { return recordPrefix + pool + "/now" }
 
 // DayName names what is known of a day of the week, a list of 24 texts (Week.Day).
-func DayName(pool string, day int) string { return fmt.Sprintf("%s%s/day%d", records, pool, day) }
+func DayName(pool string, day int) string { return fmt.Sprintf("%s%s/day%d", recordPrefix, pool, day) }
 
 // ShardName names one of a pool's shards.
-func ShardName(pool string, n int) string { return fmt.Sprintf("%s%s/m%d", records, pool, n) }
+func ShardName(pool string, n int) string { return fmt.Sprintf("%s%s/m%d", recordPrefix, pool, n) }
 
 // MaxShards is how many shards a pool has at most.
-const MaxShards = (maxMost + ShardSize - 1) / ShardSize
+const MaxShards = (maxPoolSize + ShardSize - 1) / ShardSize
 
 // Record is how a pool stands, as the leader last recorded it.
 type Record struct {
@@ -58,8 +58,8 @@
 // names; bad names those that can't be read.
 func ReadStates(notes map[string]wire.Raw) (out []State, bad []string) {
 	for _, name := range slices.Sorted(maps.Keys(notes)) {
-		pool, ok := strings.CutSuffix(strings.TrimPrefix(name, records), "/now")
-		if !ok || !strings.HasPrefix(name, records) {
+		pool, ok := strings.CutSuffix(strings.TrimPrefix(name, recordPrefix), "/now")
+		if !ok || !strings.HasPrefix(name, recordPrefix) {
 			continue
 		}
 		s := State{Name: pool}
--- a/warmpool/week.go
+++ b/warmpool/week.go
@@ -11,26 +11,26 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// hoursOfWeek are counted from Monday 0 o'clock UTC: bursts that follow a clock
+// hoursPerWeek are counted from Monday 0 o'clock UTC: bursts that follow a clock
 // that is put forward move by an hour once, and are learnt anew in two weeks.
-const hoursOfWeek = 7 * 24
+const hoursPerWeek = 7 * 24
 
 const (
-	sketchError = 0.001 // of a peak
-	fades       = 0.75  // of what is known of an hour is kept with each week
-	forgotten   = 0.02  // what counts for less than that of a week is dropped: 14 weeks are kept
+	relativeAccuracy = 0.001 // of a peak
+	weeklyDecay      = 0.75  // of what is known of an hour is kept with each week
+	minWeight        = 0.02  // what counts for less than that of a week is dropped: 14 weeks are kept
 )
 
 // WeeklyDemand is what a model's peaks have been, by hour of the week: for each hour a
 // sketch of how many replicas were wanted at once. It is bounded whatever comes.
 type WeeklyDemand struct {
-	hours [hoursOfWeek]*ddsketch.DDSketch
+	hours [hoursPerWeek]*ddsketch.DDSketch
 	hour  int64 // hours since 1970 of the hour that is not over, 0: none
 	peak  int   // of it, so far
 }
 
 func newSketch() *ddsketch.DDSketch {
-	m, err := mapping.NewLogarithmicMapping(sketchError)
+	m, err := mapping.NewLogarithmicMapping(relativeAccuracy)
 	if err != nil {
 		panic(err) // the error is a constant
 	}
@@ -60,7 +60,7 @@
 	// watched is taken down.
 	if h > w.hour {
 		slot := HourOfWeek(time.Unix(w.hour*3600, 0))
-		w.learn(slot, w.peak)
+		w.addPeak(slot, w.peak)
 		changed = append(changed, slot/24)
 		w.hour, w.peak = h, 0
 	}
@@ -81,11 +81,11 @@
 	}
 }
 
-func (w *WeeklyDemand) learn(slot, peak int) {
+func (w *WeeklyDemand) addPeak(slot, peak int) {
 	s := newSketch()
 	if old := w.hours[slot]; old != nil {
 		old.ForEach(func(v, count float64) bool {
-			if count *= fades; count >= forgotten {
+			if count *= weeklyDecay; count >= minWeight {
 				_ = s.AddWithCount(v, count) // fails for values that no peak has
 			}
 			return false
