--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -335,6 +335,24 @@
 	}
 }
 
+// The layout in README.md lists each package that is not for tests only, or its parent.
+func TestReadmeListsPackages(t *testing.T) {
+	_, layout, found := strings.Cut(readPage(t, "README.md"), "\n## Layout\n")
+	if !found {
+		t.Fatal("README.md has no layout")
+	}
+	layout, _, _ = strings.Cut(layout, "\n## ")
+	listed := codeSpans(layout)
+	rows := layers(t)
+	for _, row := range rows[:len(rows)-1] {
+		for _, name := range row {
+			if !slices.Contains(listed, name) && !slices.Contains(listed, path.Dir(name)) && !strings.HasPrefix(name, "internal/") {
+				t.Errorf("README.md: package %s is not in the layout", name)
+			}
+		}
+	}
+}
+
 var testName = regexp.MustCompile(`^(?:([a-z][a-z0-9/]*)\.)?(Test[A-Za-z0-9_]*)(…?)(/.*)?$`)
 
 // The rows of docs/fault-interactions.md name the tests that bring each interaction about.
