--- /dev/null
+++ b/calendar/encoding_test.go
@@ -0,0 +1,24 @@
+package calendar
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/umberdeal/umberdeal/internal/golden"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// A region's nights are recorded for the next leader, and shown to operators as JSON.
+func TestNightsKeepTheirBytes(t *testing.T) {
+	f := golden.Open(t, "records.golden")
+	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
+	shown := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}
+	golden.Hold[Record](f, "nights", stored)
+	golden.Hold[Held](f, "night under way", stored)
+	golden.Hold[Outcome](f, "outcome", stored)
+	golden.Hold[View](f, "nights as JSON", shown)
+	f.Text("name of the record", NoteOf("north"))
+	for name, how := range map[string]string{"met": Met, "late": Late, "incomplete": Incomplete, "withdrawn": Withdrawn} {
+		f.Text(name, how)
+	}
+}
--- /dev/null
+++ b/cloud/cloud_test.go
@@ -0,0 +1,56 @@
+package cloud
+
+import (
+	"errors"
+	"fmt"
+	"net/http"
+	"testing"
+
+	"github.com/umberdeal/umberdeal/internal/golden"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+func body(t *testing.T, v any) []byte {
+	t.Helper()
+	b, err := wire.Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// Each call sends the recorded request, and reads its answer.
+func TestRequestsToTheCloudKeepTheirForm(t *testing.T) {
+	f := golden.Open(t, "requests.golden")
+	ctx := t.Context()
+	page := wire.MachineList{Machines: []wire.ListedMachine{golden.Filled[wire.ListedMachine]()}, More: true}
+	for label, c := range map[string]struct {
+		answers []any
+		call    func(c *Client) (any, error)
+	}{
+		"types":  {[]any{golden.Filled[wire.Types]()}, func(c *Client) (any, error) { return c.Types(ctx) }},
+		"rent":   {[]any{golden.Filled[wire.Names]()}, func(c *Client) (any, error) { return c.Rent(ctx, golden.Filled[wire.Rental]()) }},
+		"delete": {[]any{nil}, func(c *Client) (any, error) { return nil, c.Delete(ctx, []string{"host-1", "host-2"}) }},
+		"list":   {[]any{page, wire.MachineList{}}, func(c *Client) (any, error) { return c.List(ctx) }},
+	} {
+		var answers []golden.Answer
+		for _, a := range c.answers {
+			answers = append(answers, golden.Answer{Status: http.StatusOK, Body: body(t, a)})
+		}
+		s := golden.Serve(t, answers...)
+		got, err := c.call(New(s.Dial, "cloud:80", 100))
+		f.Text(label+", requests", fmt.Sprint(s.Asked()))
+		f.Text(label+", answer", fmt.Sprintf("%v %v", got, err))
+	}
+}
+
+// Without capacity nothing was rented, and callers tell that from other refusals.
+func TestARefusalForWantOfCapacityIsTold(t *testing.T) {
+	for answer, want := range map[string]bool{"no capacity": true, "other": false} {
+		s := golden.Serve(t, golden.Answer{Status: http.StatusServiceUnavailable, Body: body(t, wire.Error{Error: answer})})
+		_, err := New(s.Dial, "cloud:80", 100).Rent(t.Context(), wire.Rental{})
+		if err == nil || errors.Is(err, ErrNoCapacity) != want {
+			t.Errorf("%q is told as %v", answer, err)
+		}
+	}
+}
--- /dev/null
+++ b/controller/encoding_test.go
@@ -0,0 +1,16 @@
+package controller
+
+import (
+	"testing"
+
+	"github.com/umberdeal/umberdeal/internal/golden"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// The part of a report that every node reads.
+func TestTheSenderOfAReportIsReadFromTheRecordedBytes(t *testing.T) {
+	f := golden.Open(t, "encoding.golden")
+	golden.Hold[heartbeatHeader](f, "sender", golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }})
+	f.Text("path of the metrics", PathMetrics)
+	f.Text("path of the overview", PathStatus)
+}
--- /dev/null
+++ b/jobstore/encoding_test.go
@@ -0,0 +1,99 @@
+package jobstore
+
+import (
+	"reflect"
+	"testing"
+
+	"github.com/umberdeal/umberdeal/internal/golden"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+var msgpackCodec = golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
+
+// What the state service holds was written by earlier versions, and is read by older
+// ones during a rolling restart: every kind of record keeps its bytes.
+func TestStoredRecordsKeepTheirBytes(t *testing.T) {
+	f := golden.Open(t, "records.golden")
+	golden.Hold[JobRecord](f, "job", msgpackCodec)
+	golden.Hold[JobRecord](f, "final", msgpackCodec, func(r *JobRecord) { r.State = wire.JobDone })
+	golden.Hold[Reservation](f, "reserve", msgpackCodec)
+	golden.Hold[SharedKey](f, "reserve's reference", msgpackCodec)
+	golden.Hold[PlacementPage](f, "placement page", msgpackCodec)
+	golden.Hold[PlacementChunk](f, "chunk", msgpackCodec)
+	golden.Hold[Placement](f, "placement", msgpackCodec)
+	golden.Hold[JobPage](f, "intake page, closed", msgpackCodec)
+	golden.Hold[JobPage](f, "intake page, open", msgpackCodec, func(r *JobPage) { r.Closed = false })
+	golden.Hold[JobPageEntry](f, "intake entry", msgpackCodec)
+	golden.Hold[SchemaRecord](f, "form", msgpackCodec)
+	golden.Hold[ScaleOutRecord](f, "rental", msgpackCodec)
+	golden.Hold[ScaleInRecord](f, "return", msgpackCodec)
+	golden.Hold[RebalanceCycle](f, "cycle", msgpackCodec)
+	golden.Hold[Move](f, "move", msgpackCodec)
+	golden.Hold[wire.Types](f, "types", msgpackCodec)
+	golden.Hold[QuarantinedPage](f, "record set aside", msgpackCodec, func(a *QuarantinedPage) { a.Mark = asideMark })
+	golden.Hold[RecoveryCopy](f, "memory of a record", msgpackCodec)
+	golden.Hold[PlanHead](f, "plan head", msgpackCodec, func(h *PlanHead) { h.Versions = h.Versions[1:] })
+	golden.Hold[PlanVersion](f, "plan version", msgpackCodec)
+	golden.Hold[planPiece](f, "plan text", msgpackCodec)
+}
+
+// The functions by which records are read take what earlier versions wrote, each its
+// own kind and none of the others.
+func TestStoredRecordsAreReadByTheirOwnKind(t *testing.T) {
+	f := golden.OpenRead(t, "records.golden")
+	decoders := map[string]func(raw wire.Raw) (any, error){
+		"job":                 func(raw wire.Raw) (any, error) { return DecodeJob(golden.Filled[JobRecord]().Job.ID, raw) },
+		"final":               func(raw wire.Raw) (any, error) { return DecodeFinal(raw) },
+		"placement page":      func(raw wire.Raw) (any, error) { return DecodePlacementPage(raw) },
+		"intake page, closed": func(raw wire.Raw) (any, error) { return DecodeJobPage(raw) },
+		"form":                func(raw wire.Raw) (any, error) { return DecodeSchema(raw) },
+		"plan head":           func(raw wire.Raw) (any, error) { return decodeHead(raw) },
+	}
+	want := map[string]any{
+		"job": golden.Filled[JobRecord](), "placement page": golden.Filled[PlacementPage](), "intake page, closed": golden.Filled[JobPage](),
+		"form": golden.Filled[SchemaRecord](),
+	}
+	over := golden.Filled[JobRecord]()
+	over.State = wire.JobDone
+	want["final"] = over
+	head := golden.Filled[PlanHead]()
+	head.Versions = head.Versions[1:]
+	want["plan head"] = head
+	for label, decode := range decoders {
+		got, err := decode(f.Recorded(label))
+		if err != nil || !reflect.DeepEqual(got, want[label]) {
+			t.Errorf("%s: read as\n %+v, %v\nand not as\n %+v", label, got, err, want[label])
+		}
+	}
+	aside := golden.Filled[QuarantinedPage]()
+	aside.Mark = asideMark
+	if got, ok := DecodeQuarantinedPage(f.Recorded("record set aside")); !ok || !reflect.DeepEqual(got, aside) {
+		t.Errorf("what was set aside is read as %+v, %v", got, ok)
+	}
+	if _, err := DecodeJobPage(f.Recorded("record set aside")); err == nil {
+		t.Error("what was set aside is read as a page of jobs")
+	}
+}
+
+// Keys and the numbers in records are what earlier versions wrote.
+func TestKeysKeepTheirForm(t *testing.T) {
+	f := golden.Open(t, "keys.golden")
+	for name, key := range map[string]string{
+		"active": ActivePrefix, "jobs": JobPrefix, "rentals": ScaleOutPrefix, "cycles": RebalanceCyclePrefix, "types": MachineTypesKey, "returns": ScaleInKey,
+		"form": SchemaKey, "copy of the form": SchemaCopyKey, "apps": AppPrefix, "notes": PlanStatePrefix,
+		"plan head": PlanHeadKey, "copy of the plan head": planHeadCopyKey, "plan asked for": PlanRequestedKey, "plan text": pieceKey("7-abc", 3),
+		"job": JobKey("wk-000412"), "final": FinalKey("wk-000412"), "placement page": PlacementPageKey(17), "head": HeadPageKey(2), "sealed page": SealedPageKey(2, 31),
+	} {
+		f.Text(name, key)
+	}
+	for name, n := range map[string]int{
+		"chunk size": ChunkSize, "form of keys": SchemaJobKeys, "form of intake": SchemaJobPages, "form of plans": SchemaPlans, "newest form": LatestSchema,
+		"end: done": OutcomeDone, "end: error": OutcomeFailed, "end: lost": OutcomeLost, "end: preempted": OutcomePreempted, "end: released": OutcomeReleased, "end: refused": OutcomeRefused,
+	} {
+		f.Number(name, n)
+	}
+	form := SchemaRecord{Version: SchemaJobPages, Buckets: 7}
+	for _, id := range []string{"wk-000001", "wk-000412", "wk-123456", "wk-900000000000000000"} {
+		f.Number("bucket of "+id, form.Bucket(id))
+	}
+}
--- /dev/null
+++ b/metrics/overview_test.go
@@ -0,0 +1,24 @@
+package metrics
+
+import (
+	"bytes"
+	"encoding/json"
+	"testing"
+
+	"github.com/umberdeal/umberdeal/internal/golden"
+)
+
+// Operators' programs read the overview as JSON, and operators as a table; nodes of
+// different versions show one another theirs.
+func TestTheOverviewKeepsItsForm(t *testing.T) {
+	f := golden.Open(t, "overview.golden")
+	shown := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}
+	o := golden.Hold[Overview](f, "JSON", shown)
+	for label, o := range map[string]Overview{"table": o, "table, empty": {}} {
+		var out bytes.Buffer
+		if err := o.Print(&out); err != nil {
+			t.Fatal(err)
+		}
+		f.Text(label, out.String())
+	}
+}
--- /dev/null
+++ b/peerrpc/encoding_test.go
@@ -0,0 +1,268 @@
+package peerrpc
+
+import (
+	"bytes"
+	"context"
+	"encoding/gob"
+	"fmt"
+	"net"
+	"net/rpc"
+	"reflect"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/umberdeal/umberdeal/internal/golden"
+)
+
+// The messages between controllers as the version sends them that the recorded bytes
+// are of. gob goes by the names of fields and net/rpc by those of the service and its
+// methods, so that these names are the protocol. They are repeated here on purpose:
+// nothing renames them along.
+type (
+	sentRequest struct {
+		Op     string
+		ID     string
+		Body   []byte
+		From   string
+		Room   int
+		AgoS   float64
+		Lost   string
+		LostAt uint64
+		At     uint64
+	}
+	sentAnswer struct {
+		Status     int
+		Body       []byte
+		RetryAfter int
+		Repeated   bool
+	}
+	sentStatus struct {
+		Node    string
+		Leader  string
+		StateOK bool
+		Plan    *sentPlan
+		Form    int
+	}
+	sentPlan struct {
+		Leader  string
+		Token   uint64
+		Workers int
+		Direct  int
+		Relays  []sentNode
+	}
+	sentNode struct {
+		Name string
+		Room int
+	}
+)
+
+// served is a node that keeps what it was asked.
+type served struct {
+	mu    sync.Mutex
+	asked []string
+}
+
+func (s *served) note(method string, r Request) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.asked = append(s.asked, fmt.Sprint(method, " ", r))
+}
+
+func (s *served) HandleHeartbeat(_ context.Context, r Request) Answer {
+	s.note("Report", r)
+	return golden.Filled[Answer]()
+}
+
+func (s *served) HandleUserRequest(_ context.Context, r Request) Answer {
+	s.note("User", r)
+	return golden.Filled[Answer]()
+}
+
+func (s *served) RecoverRecord(_ context.Context, r Request) Answer {
+	s.note("Recall", r)
+	return golden.Filled[Answer]()
+}
+
+func (s *served) Status(r Request) Status {
+	s.note("Status", r)
+	return golden.Filled[Status]()
+}
+
+func (s *served) Overview() []byte { return []byte("overview") }
+func (s *served) Machines() []byte { return []byte("machines") }
+
+// exchange is a request and its answer.
+type exchange struct {
+	method string
+	sends  any // the request, and
+	gets   any // the answer, as they were recorded
+	call   func(ctx context.Context, p *Peer, l *HeartbeatStream) (any, error)
+	want   any // what the caller is told
+}
+
+func exchanges() []exchange {
+	request, answer, status := golden.Filled[sentRequest](), golden.Filled[sentAnswer](), golden.Filled[sentStatus]()
+	now, told, how := golden.Filled[Request](), golden.Filled[Answer](), golden.Filled[Status]()
+	return []exchange{
+		{"Report", request, answer, func(ctx context.Context, _ *Peer, l *HeartbeatStream) (any, error) { return l.Forward(ctx, now) }, told},
+		{"User", request, answer, func(ctx context.Context, p *Peer, _ *HeartbeatStream) (any, error) {
+			return p.ForwardUserRequest(ctx, now)
+		}, told},
+		{"Recall", request, answer, func(ctx context.Context, p *Peer, _ *HeartbeatStream) (any, error) {
+			return p.FetchRecoveredRecord(ctx, now)
+		}, told},
+		{"Status", request, status, func(ctx context.Context, p *Peer, _ *HeartbeatStream) (any, error) { return p.Status(ctx, now) }, how},
+		{"Overview", sentRequest{}, []byte("overview"), func(ctx context.Context, p *Peer, _ *HeartbeatStream) (any, error) { return p.Overview(ctx) }, []byte("overview")},
+		{"Machines", sentRequest{}, []byte("machines"), func(ctx context.Context, p *Peer, _ *HeartbeatStream) (any, error) { return p.Machines(ctx) }, []byte("machines")},
+	}
+}
+
+// tapped keeps what goes over a connection.
+type tapped struct {
+	net.Conn
+	mu            sync.Mutex
+	written, read bytes.Buffer
+}
+
+func (c *tapped) Write(b []byte) (int, error) {
+	c.mu.Lock()
+	c.written.Write(b)
+	c.mu.Unlock()
+	return c.Conn.Write(b)
+}
+
+func (c *tapped) Read(b []byte) (int, error) {
+	n, err := c.Conn.Read(b)
+	c.mu.Lock()
+	c.read.Write(b[:n])
+	c.mu.Unlock()
+	return n, err
+}
+
+// conns is a listener of connections that are handed to it.
+type conns struct {
+	c    chan net.Conn
+	ends chan struct{}
+	once sync.Once
+}
+
+func (l *conns) Accept() (net.Conn, error) {
+	select {
+	case c := <-l.c:
+		return c, nil
+	case <-l.ends:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *conns) Close() error {
+	l.once.Do(func() { close(l.ends) })
+	return nil
+}
+
+func (l *conns) Addr() net.Addr { return &net.UnixAddr{Name: "conns"} }
+
+// serve runs this version's server for a test. What it returns opens a connection.
+func serve(t *testing.T, h Handler) func() net.Conn {
+	t.Helper()
+	l := &conns{c: make(chan net.Conn), ends: make(chan struct{})}
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error)
+	go func() { done <- Serve(ctx, l, h, 100) }()
+	t.Cleanup(func() {
+		cancel()
+		if err := <-done; err != nil {
+			t.Error(err)
+		}
+	})
+	return func() net.Conn {
+		a, b := net.Pipe()
+		l.c <- b
+		return a
+	}
+}
+
+// ask makes this version's client ask over a connection.
+func (x *exchange) ask(t *testing.T, c net.Conn) (any, error) {
+	t.Helper()
+	dial := func(context.Context, string, string) (net.Conn, error) { return c, nil }
+	l := NewHeartbeatStream("n-1", "n-1:81", dial, 10)
+	defer l.Close()
+	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
+	defer cancel()
+	return x.call(ctx, NewPeer("n-1", "n-1:81", dial), l)
+}
+
+// decode reads a header and a body, and compares them with what is wanted.
+func decode[H any](t *testing.T, what string, d *gob.Decoder, want any) (h H) {
+	t.Helper()
+	if err := d.Decode(&h); err != nil {
+		t.Fatalf("%s: header: %v", what, err)
+	}
+	body := reflect.New(reflect.TypeOf(want))
+	if err := d.DecodeValue(body); err != nil {
+		t.Fatalf("%s: %v", what, err)
+	}
+	if got := body.Elem().Interface(); !reflect.DeepEqual(got, want) {
+		t.Errorf("%s: read as\n %+v\nand not as\n %+v", what, got, want)
+	}
+	return h
+}
+
+// During a rolling restart controllers of two versions talk: what this one sends is
+// what the recorded version reads, and the other way round, requests and answers.
+// Bytes are not compared, since gob's numbers of types depend on what else a process
+// has sent before.
+func TestControllersOfTwoVersionsUnderstandOneAnother(t *testing.T) {
+	f := golden.Open(t, "exchanges.golden")
+	for _, x := range exchanges() {
+		node := &served{}
+		dial := serve(t, node)
+		c := &tapped{Conn: dial()}
+		if got, err := x.ask(t, c); err != nil || !reflect.DeepEqual(got, x.want) {
+			t.Fatalf("%s among nodes of this version: %+v, %v", x.method, got, err)
+		}
+		c.Close()
+		asked := node.asked
+		c.mu.Lock()
+		sent, got := c.written.Bytes(), c.read.Bytes()
+		c.mu.Unlock()
+		if h := decode[rpc.Request](t, x.method+": this version's request", gob.NewDecoder(bytes.NewReader(sent)), x.sends); h.ServiceMethod != "Mesh."+x.method {
+			t.Errorf("%s is asked for as %q", x.method, h.ServiceMethod)
+		}
+		decode[rpc.Response](t, x.method+": this version's answer", gob.NewDecoder(bytes.NewReader(got)), x.gets)
+		if golden.Updating() {
+			f.Bytes(x.method+", request", sent)
+			f.Bytes(x.method+", answer", got)
+			continue
+		}
+
+		node.asked = nil
+		raw := dial()
+		if _, err := raw.Write(f.Recorded(x.method + ", request")); err != nil {
+			t.Fatal(err)
+		}
+		if h := decode[rpc.Response](t, x.method+": answer to the recorded request", gob.NewDecoder(raw), x.gets); h.Error != "" {
+			t.Errorf("%s: the recorded request is refused: %s", x.method, h.Error)
+		}
+		raw.Close()
+		if !reflect.DeepEqual(node.asked, asked) {
+			t.Errorf("%s: the recorded request is read as %v, and not as %v", x.method, node.asked, asked)
+		}
+
+		near, far := net.Pipe()
+		recorded := f.Recorded(x.method + ", answer")
+		go func() {
+			// What has been asked was looked at above.
+			d := gob.NewDecoder(far)
+			if d.Decode(&rpc.Request{}) == nil && d.Decode(&sentRequest{}) == nil {
+				_, _ = far.Write(recorded) // the caller says whether it came
+			}
+		}()
+		if got, err := x.ask(t, near); err != nil || !reflect.DeepEqual(got, x.want) {
+			t.Errorf("%s: the recorded answer is read as %+v, %v", x.method, got, err)
+		}
+		near.Close()
+	}
+}
--- /dev/null
+++ b/priority/encoding_test.go
@@ -0,0 +1,17 @@
+package priority
+
+import (
+	"testing"
+
+	"github.com/umberdeal/umberdeal/internal/golden"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// What is counted of departures is recorded for the next leader.
+func TestTheRecordOfDeparturesKeepsItsBytes(t *testing.T) {
+	f := golden.Open(t, "records.golden")
+	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
+	golden.Hold[InversionLog](f, "departures", stored)
+	p := golden.Hold[InversionEvent](f, "departure", stored)
+	f.Text("counted under", p.Key())
+}
--- /dev/null
+++ b/snapshot/encoding_test.go
@@ -0,0 +1,48 @@
+package snapshot
+
+import (
+	"bytes"
+	"maps"
+	"reflect"
+	"testing"
+
+	"github.com/umberdeal/umberdeal/internal/golden"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// A snapshot that an earlier version has written is read, and written in the same
+// form.
+func TestSnapshotsKeepTheirBytes(t *testing.T) {
+	f := golden.Open(t, "snapshot.golden")
+	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
+	h := golden.Hold[Header](f, "header", stored)
+	golden.Hold[KeyValue](f, "pair", stored)
+	golden.Hold[end](f, "end", stored)
+	f.Text("begins with", string(magic))
+	f.Text("key while restoring", importKey)
+	pairs := []KeyValue{{Key: "a", Value: wire.Raw("\xa3one")}, {Key: "b", Value: wire.Raw("\xa3two")}, {Key: "c", Value: wire.Raw("\x81\xa1k\x07")}}
+	var out bytes.Buffer
+	w, err := NewWriter(&out, h)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := map[string]wire.Raw{}
+	for _, p := range pairs {
+		want[p.Key] = p.Value
+		if err := w.Add(p); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	f.Bytes("a whole file", out.Bytes())
+	r, err := NewReader(bytes.NewReader(f.Recorded("a whole file")))
+	if err != nil {
+		t.Fatal(err)
+	}
+	all, err := r.All()
+	if err != nil || r.Header != h || !maps.EqualFunc(all, want, func(a, b wire.Raw) bool { return reflect.DeepEqual(a, b) }) {
+		t.Errorf("read as %+v, %v, %v", r.Header, all, err)
+	}
+}
--- /dev/null
+++ b/wire/encoding_test.go
@@ -0,0 +1,108 @@
+package wire
+
+import (
+	"bytes"
+	"reflect"
+	"testing"
+
+	"github.com/umberdeal/umberdeal/internal/golden"
+)
+
+var msgpackCodec = golden.Codec{Marshal: Marshal, Unmarshal: func(b []byte, v any) error { return Unmarshal(b, v) }}
+
+// Users, workers, the cloud and the state service are other programs: every message
+// keeps its bytes.
+func TestMessagesKeepTheirBytes(t *testing.T) {
+	f := golden.Open(t, "messages.golden")
+	golden.Hold[Job](f, "user: submission", msgpackCodec)
+	golden.Hold[Job](f, "user: submission without a zone", msgpackCodec, func(j *Job) { j.Zone, j.DeadlineS, j.Types = "", nil, nil })
+	golden.Hold[JobStatus](f, "user: answer", msgpackCodec)
+	golden.Hold[Error](f, "error", msgpackCodec)
+	golden.Hold[Report](f, "worker: report", msgpackCodec)
+	golden.Hold[TaskReport](f, "worker: task in a report", msgpackCodec)
+	golden.Hold[Command](f, "worker: command", msgpackCodec)
+	golden.Hold[ReportAnswer](f, "worker: answer", msgpackCodec)
+	golden.Hold[Redirect](f, "worker: redirection", msgpackCodec)
+	golden.Hold[DirectCommands](f, "worker: direct commands", msgpackCodec)
+	golden.Hold[Types](f, "cloud: machine types", msgpackCodec)
+	golden.Hold[MachineType](f, "cloud: machine type", msgpackCodec)
+	golden.Hold[Rental](f, "cloud: rental", msgpackCodec)
+	golden.Hold[Names](f, "cloud: names", msgpackCodec)
+	golden.Hold[MachineList](f, "cloud: list", msgpackCodec)
+	golden.Hold[ListedMachine](f, "cloud: listed machine", msgpackCodec)
+	golden.Hold[Entry](f, "state: entry", msgpackCodec)
+	golden.Hold[Listing](f, "state: listing", msgpackCodec)
+	golden.Hold[Guard](f, "state: condition", msgpackCodec)
+	golden.Hold[Op](f, "state: change", msgpackCodec)
+	golden.Hold[Op](f, "state: put", msgpackCodec, func(o *Op) { o.Delete, o.Lease = "", 0 })
+	golden.Hold[Txn](f, "state: transaction", msgpackCodec)
+	golden.Hold[TxnAnswer](f, "state: answer to a transaction", msgpackCodec)
+	golden.Hold[NewLease](f, "state: new lease", msgpackCodec)
+	golden.Hold[LeaseAnswer](f, "state: lease", msgpackCodec)
+	golden.Hold[Events](f, "state: events", msgpackCodec)
+	golden.Hold[Event](f, "state: event", msgpackCodec)
+}
+
+// A submission is read field by field, and not by the decoder of the other messages.
+func TestSubmissionsAreReadAsTheyAreWritten(t *testing.T) {
+	f := golden.Open(t, "submissions.golden")
+	deadline := 90.5
+	full := Job{ID: "wk-000412", Class: "class", Team: "team", Kind: KindGang, Priority: PriorityHigh, Tasks: 3, CPUs: 1.5, GPUs: 2, MemoryGB: 3.5, Image: "image:v1",
+		ImageGB: 4.5, Types: []string{"m4", "m8"}, Zone: "a", OneZone: true, Spread: true, Spot: true, EstimateS: 5.5, CheckpointS: 6.5, SaveS: 7.5, DeadlineS: &deadline}
+	least := Job{ID: "wk-000413", Class: "class", Team: "team", Kind: KindArray, Priority: PriorityLow, Tasks: 1, MemoryGB: 1, Image: "image"}
+	for label, j := range map[string]Job{"every field": full, "the fewest fields": least} {
+		now, err := Marshal(j)
+		if err != nil {
+			t.Fatal(err)
+		}
+		f.Bytes(label, now)
+		got, err := DecodeJob(f.Recorded(label))
+		if err != nil || !reflect.DeepEqual(got, j) {
+			t.Errorf("%s: read as\n %+v, %v\nand not as\n %+v", label, got, err, j)
+		}
+	}
+	for reason, body := range map[string][]byte{
+		"no map":       {0x93, 1, 2, 3},
+		"no id":        {0x80},
+		"larger":       bytes.Repeat([]byte{0xc0}, MaxBody+1),
+		"no such kind": mustMarshal(t, Job{ID: "wk-000414", Class: "c", Team: "t", Kind: "other", Priority: PriorityLow, Tasks: 1, CPUs: 1, Image: "i"}),
+		"no tasks":     mustMarshal(t, Job{ID: "wk-000414", Class: "c", Team: "t", Kind: KindArray, Priority: PriorityLow, CPUs: 1, Image: "i"}),
+		"needs nothing": mustMarshal(t, Job{ID: "wk-000414", Class: "c", Team: "t", Kind: KindArray, Priority: PriorityLow, Tasks: 1,
+			Image: "i"}),
+	} {
+		j, err := DecodeJob(body)
+		if err == nil {
+			t.Fatalf("%s: taken as %+v", reason, j)
+		}
+		f.Text("refused, "+reason, j.ID+" "+err.Error())
+	}
+}
+
+func mustMarshal(t *testing.T, v any) []byte {
+	t.Helper()
+	b, err := Marshal(v)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return b
+}
+
+// Words and paths on the wire are the protocol's.
+func TestWordsOnTheWire(t *testing.T) {
+	f := golden.Open(t, "words.golden")
+	for name, word := range map[string]string{
+		"content type": ContentType, "prefix of ids": JobPrefix, "name of a task": TaskName("wk-000412", 7),
+		"kind array": KindArray, "kind gang": KindGang, "kind service": KindService,
+		"priority production": PriorityProduction, "priority high": PriorityHigh, "priority normal": PriorityNormal, "priority low": PriorityLow,
+		"job pending": JobPending, "job running": JobRunning, "job done": JobDone, "job cancelled": JobCancelled,
+		"path of jobs": PathJobs, "path of readiness": PathReady, "path of reports": PathReport, "path of commands": PathCommands, "path of inspection": PathInspect,
+		"task fetching": TaskFetching, "task waiting": TaskWaiting, "task running": TaskRunning, "task saving": TaskSaving, "task exited": TaskExited,
+		"exit done": WhyDone, "exit stopped": WhyStopped, "exit peers": WhyPeers, "exit alone": WhyAlone, "exit error": WhyError, "exit no room": WhyNoRoom,
+		"exit busy": WhyBusy, "exit unknown": WhyUnknown, "op start": OpStart, "op stop": OpStop, "op forget": OpForget,
+		"machine booting": MachineBooting, "machine running": MachineRunning, "machine failed": MachineFailed,
+	} {
+		f.Text(name, word)
+	}
+	f.Number("largest body", MaxBody)
+	f.Number("most tasks", MaxTasks)
+}
--- /dev/null
+++ b/worker/worker_test.go
@@ -0,0 +1,34 @@
+package worker
+
+import (
+	"fmt"
+	"net/http"
+	"reflect"
+	"testing"
+
+	"github.com/umberdeal/umberdeal/internal/golden"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// Direct commands are sent in the recorded form; a worker says by the status whether
+// it has executed them.
+func TestDirectCommandsKeepTheirForm(t *testing.T) {
+	f := golden.Open(t, "requests.golden")
+	report := golden.Filled[wire.Report]()
+	answer, err := wire.Marshal(report)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for status, executed := range map[int]bool{http.StatusOK: true, http.StatusConflict: false} {
+		s := golden.Serve(t, golden.Answer{Status: status, Body: answer})
+		got, done, err := New(s.Dial, 3).Command(t.Context(), "host-1:90", golden.Filled[wire.DirectCommands]())
+		if err != nil || done != executed || !reflect.DeepEqual(got, report) {
+			t.Errorf("status %d: %+v, %v, %v", status, got, done, err)
+		}
+		f.Text(fmt.Sprint("request, answered with ", status), fmt.Sprint(s.Asked()))
+	}
+	s := golden.Serve(t, golden.Answer{Status: http.StatusServiceUnavailable, Body: answer})
+	if _, done, err := New(s.Dial, 3).Command(t.Context(), "host-1:90", wire.DirectCommands{}); err == nil || done {
+		t.Error("a refusal counts as an answer")
+	}
+}
