--- a/controller/repair.go
+++ b/controller/repair.go
@@ -4,180 +4,84 @@
 	"context"
 	"errors"
 	"fmt"
-	"net/http"
+	"log/slog"
 	"slices"
 	"strings"
-	"sync"
 	"time"
 
-	"github.com/umberdeal/umberdeal/internal/call"
 	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/kvstore"
-	"github.com/umberdeal/umberdeal/peerrpc"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file mends records that can't be read, before a leader leads. docs/jobstore.md
-// ("Mending") argues why no interleaving loses a job or accepts one twice.
+// This file repairs stored records that can't be read, before a leader leads.
+// docs/jobstore.md ("Mending") argues why no interleaving loses a job or accepts one
+// twice.
 
-const (
-	// repairAttempts is how often a leader that takes over looks again what there is to
-	// mend, since others have changed the same.
-	repairAttempts = 4
-	// repairRetryInterval is how often a leader looks whether a node remembers what could not
-	// be mended.
-	repairRetryInterval = 5 * time.Second
-	// maxRecoveredCopies bounds what a node that led remembers of pages for the next leader.
-	maxRecoveredCopies = 16
-)
-
-// at names a record in one version of it.
-type recordVersion struct {
-	key     string
-	version uint64
-}
-
-// repairMemory is what a node knows of records that can't be read; guarded by the
-// node's lock.
-type repairMemory struct {
-	reported   map[recordVersion]bool                   // other nodes can't read them
-	attempted  map[recordVersion]bool                   // for which this node has resigned once
-	copies     map[recordVersion]*jobstore.RecoveryCopy // as a leader of this node knew them
-	unrepaired []unrepairedRecord                       // of this leader's own: what could not be mended
-}
-
-// unrepairedRecord is a record that could not be mended when a leader took over.
-type unrepairedRecord struct {
-	recordVersion
-	original recordVersion // as it was before it was set aside
-}
-
-// noteUnreadable notes that another node can't read a record. The leader may know it still.
-func (n *Node) noteUnreadable(key string, version uint64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.active == nil || len(n.repairs.reported) >= maxRecoveredCopies {
-		return
-	}
-	if n.repairs.reported == nil {
-		n.repairs.reported = map[recordVersion]bool{}
-	}
-	n.repairs.reported[recordVersion{key, version}] = true
-}
+// repairAttempts is how often a new leader lists the records again after a repair, or
+// after another controller has changed the same records.
+const repairAttempts = 4
 
-// recoverLocally is what this node remembers of a record.
-func (n *Node) recoverLocally(ctx context.Context, rec, was recordVersion) *jobstore.RecoveryCopy {
-	n.mu.Lock()
-	m := n.repairs.copies[rec]
-	if m == nil {
-		m = n.repairs.copies[was]
-	}
-	n.mu.Unlock()
-	if m != nil {
-		return m
-	}
-	return n.jobs.RecoveryCopy(ctx, rec.key, rec.version)
-}
+// repairer repairs one listing of the active records. Every write is conditional on
+// the leader's fencing token and on the version of the record that it replaces.
+type repairer struct {
+	kv            *kvstore.Client
+	leaderGuard   wire.Guard
+	limits        jobstore.Limits
+	controllers   int
+	findCopy      func(ctx context.Context, record, original recordVersion) *jobstore.RecoveryCopy
+	schemaVersion func(ctx context.Context) (int, error) // that records are to be written in
+	log           *slog.Logger
 
-// RecoverRecord implements mesh.Handler.
-func (n *Node) RecoverRecord(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
-	m := n.recoverLocally(ctx, recordVersion{r.ID, r.At}, recordVersion{r.Lost, r.LostAt})
-	if m == nil {
-		return peerrpc.Answer{Status: http.StatusNotFound}
-	}
-	return newAnswer(http.StatusOK, m, 0)
+	entries    map[string]wire.Entry       // as listed, and as changed since
+	pages      map[string]jobstore.JobPage // the pages of jobs among them that can be read
+	unrepaired []unrepairedRecord
+	changed    bool
 }
 
-// recoverCopy asks all nodes for what they remember of a record in a version of it, this
-// one first.
-func (n *Node) recoverCopy(ctx context.Context, rec, was recordVersion) *jobstore.RecoveryCopy {
-	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
-	defer cancel()
-	if m := n.recoverLocally(ctx, rec, was); m != nil {
-		return m
-	}
-	var wg sync.WaitGroup
-	found := make(chan *jobstore.RecoveryCopy, len(n.peers))
-	for _, p := range n.peers {
-		wg.Go(func() {
-			a, err := p.FetchRecoveredRecord(ctx, peerrpc.Request{ID: rec.key, At: rec.version, Lost: was.key, LostAt: was.version})
-			m := &jobstore.RecoveryCopy{}
-			if err == nil && a.Status == http.StatusOK && wire.Unmarshal(a.Body, m) == nil {
-				found <- m
-			}
-		})
-	}
-	wg.Wait()
-	select {
-	case m := <-found:
-		return m
-	default:
-		return nil
+func (l *leadership) newRepairer() *repairer {
+	n := l.node
+	return &repairer{
+		kv: n.kv, leaderGuard: l.leaderGuard(), limits: n.jobs.Limits, controllers: len(n.peers) + 1,
+		findCopy: n.recoverCopy, log: l.log,
+		schemaVersion: func(ctx context.Context) (int, error) { return targetSchemaVersion(ctx, n.kv) },
+		entries:       map[string]wire.Entry{}, pages: map[string]jobstore.JobPage{},
 	}
 }
 
-// repairer mends what a listing has.
-type repairer struct {
-	leadership *leadership
-	entries    map[string]wire.Entry
-	pages      map[string]jobstore.JobPage // that can be read
-	unrepaired []unrepairedRecord
-	changed    bool
-}
-
-// listRepaired lists all active records, mended as far as can be.
-func (l *leadership) listRepaired(ctx context.Context) (items []wire.Entry, rev uint64, err error) {
+// listRepaired lists all active records after it has repaired what can be repaired.
+func (l *leadership) listRepaired(ctx context.Context) (entries []wire.Entry, revision uint64, err error) {
 	for range repairAttempts {
-		if items, rev, err = l.node.kv.List(ctx, jobstore.ActivePrefix); err != nil {
+		if entries, revision, err = l.node.kv.List(ctx, jobstore.ActivePrefix); err != nil {
 			return nil, 0, err
 		}
-		m := &repairer{leadership: l, entries: map[string]wire.Entry{}, pages: map[string]jobstore.JobPage{}}
-		err = m.repairAll(ctx, items)
-		l.node.mu.Lock()
-		l.node.repairs.unrepaired = m.unrepaired
-		l.node.mu.Unlock()
-		var c *kvstore.ConflictError
+		r := l.newRepairer()
+		err = r.repairAll(ctx, entries)
+		l.node.repairs.setUnrepaired(r.unrepaired)
+		var conflict *kvstore.ConflictError
 		switch {
-		case err == nil && !m.changed:
-			return items, rev, nil
-		case errors.Is(err, jobstore.ErrNewerSchema):
-			return nil, 0, err
-		case errors.As(err, &c) || err == nil:
-		default:
+		case err == nil && !r.changed:
+			return entries, revision, nil
+		case err != nil && !errors.As(err, &conflict):
 			return nil, 0, err
 		}
 	}
-	return nil, 0, fmt.Errorf("%w: too many conflicts", kvstore.ErrRefused)
+	return nil, 0, fmt.Errorf("%w: repair of unreadable records: too many conflicts", kvstore.ErrRefused)
 }
 
-func (m *repairer) repairAll(ctx context.Context, items []wire.Entry) error {
-	for _, it := range items {
-		m.entries[it.Key] = it
-		if rec, err := jobstore.DecodeJobPage(it.Value); err == nil && jobstore.IsJobPageKey(it.Key) {
-			m.pages[it.Key] = rec
+// repairAll repairs each unreadable record of a listing. One that the key-value store
+// refuses as invalid does not keep the others from being repaired.
+func (r *repairer) repairAll(ctx context.Context, entries []wire.Entry) error {
+	for _, e := range entries {
+		r.entries[e.Key] = e
+		if page, err := jobstore.DecodeJobPage(e.Value); err == nil && jobstore.IsJobPageKey(e.Key) {
+			r.pages[e.Key] = page
 		}
 	}
-	for _, it := range items {
-		var err error
-		id, alone := jobstore.ParseJobKey(it.Key)
-		switch {
-		case it.Key == jobstore.SchemaKey:
-			err = m.repairSchemaRecord(ctx, it)
-		case alone:
-			if _, bad := jobstore.DecodeJob(id, it.Value); bad != nil {
-				err = m.repairJob(ctx, id, it)
-			}
-		case strings.HasPrefix(it.Key, jobstore.AppPrefix):
-			if !jobstore.IsAppValue(it.Value) {
-				err = m.repairYARNApp(ctx, it)
-			}
-		case jobstore.IsJobPageKey(it.Key):
-			if _, ok := m.pages[it.Key]; !ok {
-				err = m.repairJobPage(ctx, it)
-			}
-		}
+	for _, e := range entries {
+		err := r.repairEntry(ctx, e)
 		if errors.Is(err, kvstore.ErrInvalidRequest) {
-			m.leadership.log.Error("an unreadable record can't be mended", "key", it.Key, "err", err)
+			r.log.Error("repair of an unreadable record rejected", "key", e.Key, "err", err)
 			continue
 		}
 		if err != nil {
@@ -187,143 +91,188 @@
 	return nil
 }
 
-// commit commits under this leadership, and keeps what it has written.
-func (m *repairer) commit(ctx context.Context, guards []wire.Guard, ops ...wire.Op) error {
-	rev, err := m.leadership.node.kv.CompareAndSwap(ctx, append([]wire.Guard{m.leadership.leaderGuard()}, guards...), ops)
+// repairEntry repairs a record by its kind, if it can't be read.
+func (r *repairer) repairEntry(ctx context.Context, e wire.Entry) error {
+	id, isJob := jobstore.ParseJobKey(e.Key)
+	switch {
+	case e.Key == jobstore.SchemaKey:
+		return r.repairSchemaRecord(ctx, e)
+	case isJob:
+		return r.repairJob(ctx, id, e)
+	case strings.HasPrefix(e.Key, jobstore.AppPrefix):
+		return r.repairYARNApp(ctx, e)
+	case jobstore.IsJobPageKey(e.Key):
+		if _, readable := r.pages[e.Key]; !readable {
+			return r.repairJobPage(ctx, e)
+		}
+	}
+	return nil
+}
+
+// commit writes under this leadership and applies what it has written to the listing.
+func (r *repairer) commit(ctx context.Context, guards []wire.Guard, ops ...wire.Op) error {
+	revision, err := r.kv.CompareAndSwap(ctx, append([]wire.Guard{r.leaderGuard}, guards...), ops)
 	if err != nil {
 		return err
 	}
-	m.changed = true
+	r.changed = true
 	for _, op := range ops {
 		if op.Delete != "" {
-			delete(m.entries, op.Delete)
+			delete(r.entries, op.Delete)
 			continue
 		}
-		m.entries[op.Put] = wire.Entry{Key: op.Put, Version: rev}
-		if rec, ok := op.Value.(jobstore.JobPage); ok {
-			m.pages[op.Put] = rec
+		r.entries[op.Put] = wire.Entry{Key: op.Put, Version: revision}
+		if page, ok := op.Value.(jobstore.JobPage); ok {
+			r.pages[op.Put] = page
 		}
 	}
 	return nil
 }
 
-// repairJob writes the record of a job that some node remembers as it was.
-func (m *repairer) repairJob(ctx context.Context, id string, it wire.Entry) error {
-	mem := m.leadership.node.recoverCopy(ctx, recordVersion{it.Key, it.Version}, recordVersion{})
-	if mem == nil {
-		m.unrepaired = append(m.unrepaired, unrepairedRecord{recordVersion: recordVersion{it.Key, it.Version}})
+// repairJob writes a controller's copy of a job's own record in its place.
+func (r *repairer) repairJob(ctx context.Context, id string, e wire.Entry) error {
+	if isJobRecord(id, e.Value) {
 		return nil
 	}
-	if _, err := jobstore.DecodeJob(id, mem.Value); err != nil {
+	record := recordVersion{e.Key, e.Version}
+	copied := r.findCopy(ctx, record, recordVersion{})
+	if copied == nil {
+		r.unrepaired = append(r.unrepaired, unrepairedRecord{recordVersion: record})
 		return nil
 	}
-	m.leadership.log.Error("unreadable job record: written again as a node remembers it", "key", it.Key)
-	return m.commit(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}}, wire.Op{Put: it.Key, Value: mem.Value})
+	if !isJobRecord(id, copied.Value) {
+		return nil // no better than what is stored, and asking again would not help
+	}
+	r.log.Error("unreadable job record repaired from a recovered copy", "key", e.Key)
+	return r.commit(ctx, guardOf(e), wire.Op{Put: e.Key, Value: copied.Value})
 }
 
-// repairYARNApp writes a door's record that some node remembers as it was.
-func (m *repairer) repairYARNApp(ctx context.Context, it wire.Entry) error {
-	mem := m.leadership.node.recoverCopy(ctx, recordVersion{it.Key, it.Version}, recordVersion{})
-	if mem == nil || !jobstore.IsAppValue(mem.Value) {
-		m.unrepaired = append(m.unrepaired, unrepairedRecord{recordVersion: recordVersion{it.Key, it.Version}})
+func isJobRecord(id string, value wire.Raw) bool {
+	_, err := jobstore.DecodeJob(id, value)
+	return err == nil
+}
+
+// repairYARNApp writes a controller's copy of a record of the YARN interface in its
+// place.
+func (r *repairer) repairYARNApp(ctx context.Context, e wire.Entry) error {
+	if jobstore.IsAppValue(e.Value) {
+		return nil
+	}
+	record := recordVersion{e.Key, e.Version}
+	copied := r.findCopy(ctx, record, recordVersion{})
+	if copied == nil || !jobstore.IsAppValue(copied.Value) {
+		r.unrepaired = append(r.unrepaired, unrepairedRecord{recordVersion: record})
 		return nil
 	}
-	m.leadership.log.Error("unreadable record of a door: written again as a node remembers it", "key", it.Key)
-	return m.commit(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}}, wire.Op{Put: it.Key, Value: mem.Value})
+	r.log.Error("unreadable YARN record repaired from a recovered copy", "key", e.Key)
+	return r.commit(ctx, guardOf(e), wire.Op{Put: e.Key, Value: copied.Value})
 }
 
-// repairSchemaRecord writes the form of the records again: as some node remembers it, as its copy
-// says, or else as the records themselves show.
-func (m *repairer) repairSchemaRecord(ctx context.Context, it wire.Entry) error {
-	if _, err := jobstore.DecodeSchema(it.Value); err == nil {
+func guardOf(e wire.Entry) []wire.Guard { return []wire.Guard{{Key: e.Key, Version: e.Version}} }
+
+// repairSchemaRecord writes the schema record and its stored copy again.
+func (r *repairer) repairSchemaRecord(ctx context.Context, e wire.Entry) error {
+	if _, err := jobstore.DecodeSchema(e.Value); err == nil {
 		return nil
 	}
-	var form jobstore.SchemaRecord
-	err := jobstore.ErrUnreadable
-	if mem := m.leadership.node.recoverCopy(ctx, recordVersion{it.Key, it.Version}, recordVersion{}); mem != nil {
-		form, err = jobstore.DecodeSchema(mem.Value)
-	}
+	schema, err := r.recoverSchema(ctx, e)
 	if err != nil {
-		e, gerr := m.leadership.node.kv.Get(ctx, jobstore.SchemaCopyKey)
-		if gerr != nil {
-			return gerr
+		return err
+	}
+	if schema.Version > jobstore.LatestSchema {
+		return jobstore.ErrNewerSchema
+	}
+	r.log.Error("unreadable schema record repaired", "key", e.Key, "schema", schema.Version, "buckets", schema.Buckets)
+	return r.commit(ctx, guardOf(e),
+		wire.Op{Put: jobstore.SchemaKey, Value: schema}, wire.Op{Put: jobstore.SchemaCopyKey, Value: schema})
+}
+
+// recoverSchema returns the schema as a controller knows it, as its stored copy says,
+// or else as the records themselves show.
+func (r *repairer) recoverSchema(ctx context.Context, e wire.Entry) (jobstore.SchemaRecord, error) {
+	if copied := r.findCopy(ctx, recordVersion{e.Key, e.Version}, recordVersion{}); copied != nil {
+		if schema, err := jobstore.DecodeSchema(copied.Value); err == nil {
+			return schema, nil
 		}
-		form, err = jobstore.DecodeSchema(e.Value)
 	}
+	stored, err := r.kv.Get(ctx, jobstore.SchemaCopyKey)
 	if err != nil {
-		// A version that writes a newer form has written the copy as well.
-		wanted, werr := m.leadership.targetSchemaVersion(ctx)
-		if werr != nil {
-			return werr
-		}
-		form = jobstore.SchemaRecord{Version: wanted, Buckets: jobstore.InferBuckets(m.pages, len(m.leadership.node.peers)+1)}
+		return jobstore.SchemaRecord{}, err
 	}
-	if form.Version > jobstore.LatestSchema {
-		return jobstore.ErrNewerSchema
+	if schema, err := jobstore.DecodeSchema(stored.Value); err == nil {
+		return schema, nil
 	}
-	m.leadership.log.Error("the form of the records can't be read: written again", "key", it.Key, "form", form.Version, "buckets", form.Buckets)
-	return m.commit(ctx, []wire.Guard{{Key: it.Key, Version: it.Version}},
-		wire.Op{Put: jobstore.SchemaKey, Value: form}, wire.Op{Put: jobstore.SchemaCopyKey, Value: form})
+	// A program that writes a newer schema has written the copy as well.
+	version, err := r.schemaVersion(ctx)
+	if err != nil {
+		return jobstore.SchemaRecord{}, err
+	}
+	return jobstore.SchemaRecord{Version: version, Buckets: jobstore.InferBuckets(r.pages, r.controllers)}, nil
 }
 
-// repairJobPage sets a page of users' jobs aside that can't be read, puts an empty head in
-// its place if it was one, and brings back what some node remembers of it.
-func (m *repairer) repairJobPage(ctx context.Context, it wire.Entry) error {
-	n := m.leadership.node
-	a, aside := jobstore.DecodeQuarantinedPage(it.Value)
-	was := recordVersion{a.OriginalKey, a.OriginalVersion}
-	if !aside {
-		was = recordVersion{it.Key, it.Version}
-	}
-	mem := n.recoverCopy(ctx, recordVersion{it.Key, it.Version}, was)
-	key := it.Key
-	if !aside {
-		bucket, seq, ok := jobstore.ParseJobPageKey(it.Key)
+// repairJobPage quarantines an unreadable page of jobs and restores the jobs that some
+// controller has a copy of.
+func (r *repairer) repairJobPage(ctx context.Context, e wire.Entry) error {
+	record := recordVersion{e.Key, e.Version}
+	quarantined, already := jobstore.DecodeQuarantinedPage(e.Value)
+	original := recordVersion{quarantined.OriginalKey, quarantined.OriginalVersion}
+	if !already {
+		original = record
+	}
+	copied := r.findCopy(ctx, record, original)
+	key := e.Key
+	if !already {
+		bucket, sequence, ok := jobstore.ParseJobPageKey(e.Key)
 		if !ok {
 			return nil // no page of this program's
 		}
-		a = jobstore.NewQuarantinedPage(it.Key, it.Version, time.Now().UnixMilli(), it.Value, n.jobs.Limits)
-		guards := []wire.Guard{{Key: it.Key, Version: it.Version}}
-		m.leadership.log.Error("unreadable page of jobs: set aside", "key", it.Key, "version", it.Version, "remembered", mem != nil)
+		quarantined = jobstore.NewQuarantinedPage(e.Key, e.Version, time.Now().UnixMilli(), e.Value, r.limits)
+		r.log.Error("unreadable job page quarantined", "key", e.Key, "version", e.Version, "recoverable", copied != nil)
 		var err error
-		if seq > 0 {
-			err = m.commit(ctx, guards, wire.Op{Put: it.Key, Value: a})
-		} else {
-			// Above all pages that there are, so that none is written over; the
-			// page goes before the head, so that readers meet it first.
-			seq = max(m.highestSequence(bucket), it.Version) + 1
-			key = jobstore.SealedPageKey(bucket, seq)
-			err = m.commit(ctx, guards, wire.Op{Put: key, Value: a},
-				wire.Op{Put: it.Key, Value: jobstore.JobPage{LastSealed: seq, Closed: true}})
-		}
-		if err != nil {
+		if key, err = r.quarantine(ctx, e, bucket, sequence, quarantined); err != nil {
 			return err
 		}
 	}
-	if mem == nil {
-		m.unrepaired = append(m.unrepaired, unrepairedRecord{recordVersion{key, m.entries[key].Version}, was})
+	if copied == nil {
+		r.unrepaired = append(r.unrepaired, unrepairedRecord{recordVersion{key, r.entries[key].Version}, original})
 		return nil
 	}
-	return m.restoreJobs(ctx, key, a, mem.Entries)
+	return r.restoreJobs(ctx, key, quarantined, copied.Entries)
 }
 
-// highestSequence is the highest number of a bucket's pages.
-func (m *repairer) highestSequence(bucket int) (last uint64) {
-	for key := range m.entries {
-		if b, seq, ok := jobstore.ParseJobPageKey(key); ok && b == bucket {
-			last = max(last, seq, m.pages[key].LastSealed)
+// quarantine puts a page's quarantined form in the store and returns its key. A sealed
+// page keeps its key. A bucket's head, which has no sequence number, moves to the key of
+// a sealed page, and an empty, closed head takes its place: that number is above all
+// that there are, so that no page is written over, and the page is put before the head,
+// so that readers meet it first.
+func (r *repairer) quarantine(ctx context.Context, e wire.Entry, bucket int, sequence uint64, page jobstore.QuarantinedPage) (key string, err error) {
+	if sequence > 0 {
+		return e.Key, r.commit(ctx, guardOf(e), wire.Op{Put: e.Key, Value: page})
+	}
+	sequence = max(r.highestSequence(bucket), e.Version) + 1
+	key = jobstore.SealedPageKey(bucket, sequence)
+	err = r.commit(ctx, guardOf(e), wire.Op{Put: key, Value: page},
+		wire.Op{Put: e.Key, Value: jobstore.JobPage{LastSealed: sequence, Closed: true}})
+	return key, err
+}
+
+// highestSequence returns the highest number of a bucket's sealed pages.
+func (r *repairer) highestSequence(bucket int) (highest uint64) {
+	for key := range r.entries {
+		if b, sequence, ok := jobstore.ParseJobPageKey(key); ok && b == bucket {
+			highest = max(highest, sequence, r.pages[key].LastSealed)
 		}
 	}
-	return last
+	return highest
 }
 
-// hasReadableRecord says whether a job has a record elsewhere.
-func (m *repairer) hasReadableRecord(id string) bool {
-	if _, ok := m.entries[jobstore.JobKey(id)]; ok {
+// hasReadableRecord tells whether a job has a readable record elsewhere.
+func (r *repairer) hasReadableRecord(id string) bool {
+	if _, ok := r.entries[jobstore.JobKey(id)]; ok {
 		return true
 	}
-	for _, rec := range m.pages {
-		for _, e := range rec.Entries {
+	for _, page := range r.pages {
+		for _, e := range page.Entries {
 			if e.ID == id {
 				return true
 			}
@@ -332,131 +281,75 @@
 	return false
 }
 
-// restoreJobs moves the jobs of a page that was set aside to pages that can be read, so
-// many at a time that each has its conditions: it is not over, and it has not been
-// accepted again meanwhile. The page changes each time, since whoever cancels
-// one of its jobs has its version as the condition.
-func (m *repairer) restoreJobs(ctx context.Context, key string, a jobstore.QuarantinedPage, jobs []jobstore.JobPageEntry) error {
-	bucket, _, _ := jobstore.ParseJobPageKey(key)
-	head := jobstore.HeadPageKey(bucket)
-	most := (4*m.leadership.node.cfg.Cluster.State.TxnOps - 3) / 2
+// restoreJobs moves the jobs of a quarantined page to readable pages, as many at a time
+// as fit a transaction with each job's conditions: it is not over, and it has not been
+// accepted again meanwhile. Every transaction changes the quarantined page, since
+// whoever cancels one of its jobs has that page's version as the condition.
+func (r *repairer) restoreJobs(ctx context.Context, key string, quarantined jobstore.QuarantinedPage, jobs []jobstore.JobPageEntry) error {
+	batchSize := (4*r.limits.TxnOps - 3) / 2
 	var rest []jobstore.JobPageEntry
-	for _, e := range jobs {
-		if !m.hasReadableRecord(e.ID) {
-			rest = append(rest, e)
+	for _, job := range jobs {
+		if !r.hasReadableRecord(job.ID) {
+			rest = append(rest, job)
 		}
 	}
-	back := 0
+	restored := 0
 	for {
-		batch := rest[:min(most, len(rest))]
-		guards := []wire.Guard{{Key: key, Version: m.entries[key].Version}, {Key: head, Version: m.entries[head].Version}}
-		var ops []wire.Op
-		if len(batch) > 0 {
-			for _, e := range batch {
-				guards = append(guards, wire.Guard{Key: jobstore.JobKey(e.ID)}, wire.Guard{Key: jobstore.FinalKey(e.ID)})
-			}
-			h := m.pages[head]
-			h.Closed = h.Closed || m.entries[head].Version == 0
-			h.LastSealed = m.highestSequence(bucket) + 1
-			ops = append(ops, wire.Op{Put: jobstore.SealedPageKey(bucket, h.LastSealed), Value: jobstore.JobPage{Entries: batch}}, wire.Op{Put: head, Value: h})
-		}
+		batch := rest[:min(batchSize, len(rest))]
+		pageChange := wire.Op{Put: key, Value: quarantined}
 		if len(batch) == len(rest) {
-			ops = append(ops, wire.Op{Delete: key})
-		} else {
-			ops = append(ops, wire.Op{Put: key, Value: a})
+			pageChange = wire.Op{Delete: key}
 		}
-		err := m.commit(ctx, guards, ops...)
-		var c *kvstore.ConflictError
-		if errors.As(err, &c) {
-			var still []jobstore.JobPageEntry
-			for _, e := range rest {
-				if !slices.Contains(c.FailedKeys, jobstore.JobKey(e.ID)) && !slices.Contains(c.FailedKeys, jobstore.FinalKey(e.ID)) {
-					still = append(still, e)
-				}
-			}
-			if len(still) < len(rest) {
-				rest = still
-				continue
-			}
+		err := r.restoreBatch(ctx, key, batch, pageChange)
+		if remaining := withoutConflicts(rest, err); len(remaining) < len(rest) {
+			rest = remaining
+			continue
 		}
 		if err != nil {
 			return err
 		}
-		back += len(batch)
+		restored += len(batch)
 		if rest = rest[len(batch):]; len(rest) == 0 {
-			m.leadership.log.Error("jobs of an unreadable page are back, as a node remembers them", "key", key, "was", a.OriginalKey, "jobs", back)
+			r.log.Error("quarantined jobs restored from a recovered copy", "key", key, "original_key", quarantined.OriginalKey, "jobs", restored)
 			return nil
 		}
 	}
 }
 
-// retryRepairs looks for what could not be mended when this leader took over: a node
-// that remembers it may have been away then. And what other nodes can't read, this
-// leader may know. It then gives way, once for each, to a leadership that begins by
-// mending: what jobs there are must not change under a leader's hands.
-func (l *leadership) retryRepairs(ctx context.Context) {
-	for call.Pause(ctx, repairRetryInterval) {
-		l.node.mu.Lock()
-		told := l.node.repairs.reported
-		l.node.repairs.reported = nil
-		rest := l.node.repairs.unrepaired
-		l.node.mu.Unlock()
-		for t := range told {
-			if e, err := l.node.kv.Get(ctx, t.key); err != nil || e.Version != t.version || isReadable(e) {
-				continue
-			}
-			l.mu.Lock()
-			jobs, ok := l.model.AdmissionEntries(t.key, t.version)
-			l.mu.Unlock()
-			if ok {
-				l.node.keepCopy(t, &jobstore.RecoveryCopy{Entries: jobs})
-			}
-			if l.resignForRepair(t) {
-				return
-			}
-		}
-		for _, r := range rest {
-			if l.node.recoverCopy(ctx, r.recordVersion, r.original) != nil && l.resignForRepair(r.recordVersion) {
-				return
-			}
+// restoreBatch commits one batch together with the change that ends it: that of the
+// quarantined page.
+func (r *repairer) restoreBatch(ctx context.Context, key string, batch []jobstore.JobPageEntry, pageChange wire.Op) error {
+	bucket, _, _ := jobstore.ParseJobPageKey(key)
+	headKey := jobstore.HeadPageKey(bucket)
+	guards := []wire.Guard{{Key: key, Version: r.entries[key].Version}, {Key: headKey, Version: r.entries[headKey].Version}}
+	var ops []wire.Op
+	if len(batch) > 0 {
+		for _, job := range batch {
+			guards = append(guards, wire.Guard{Key: jobstore.JobKey(job.ID)}, wire.Guard{Key: jobstore.FinalKey(job.ID)})
 		}
+		head := r.pages[headKey]
+		head.Closed = head.Closed || r.entries[headKey].Version == 0
+		head.LastSealed = r.highestSequence(bucket) + 1
+		ops = append(ops, wire.Op{Put: jobstore.SealedPageKey(bucket, head.LastSealed), Value: jobstore.JobPage{Entries: batch}},
+			wire.Op{Put: headKey, Value: head})
 	}
+	return r.commit(ctx, guards, append(ops, pageChange)...)
 }
 
-func isReadable(e wire.Entry) bool {
-	var err error
-	if e.Key == jobstore.SchemaKey {
-		_, err = jobstore.DecodeSchema(e.Value)
-	} else {
-		_, err = jobstore.DecodeJobPage(e.Value)
-	}
-	return err == nil
-}
-
-// keepCopy remembers what a leader of this node knew of a page for the next one.
-func (n *Node) keepCopy(t recordVersion, m *jobstore.RecoveryCopy) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.repairs.copies == nil || len(n.repairs.copies) >= maxRecoveredCopies {
-		n.repairs.copies = map[recordVersion]*jobstore.RecoveryCopy{}
-	}
-	n.repairs.copies[t] = m
-}
-
-// resignForRepair ends this leadership so that the next one mends a record, unless that was
-// in vain before.
-func (l *leadership) resignForRepair(t recordVersion) bool {
-	l.node.mu.Lock()
-	if l.node.repairs.attempted == nil || len(l.node.repairs.attempted) >= 64*maxRecoveredCopies {
-		l.node.repairs.attempted = map[recordVersion]bool{}
-	}
-	tried := l.node.repairs.attempted[t]
-	l.node.repairs.attempted[t] = true
-	l.node.mu.Unlock()
-	if tried {
-		return false
+// withoutConflicts returns the jobs whose own conditions a transaction did not fail
+// for: the others are over, or were accepted again.
+func withoutConflicts(jobs []jobstore.JobPageEntry, err error) []jobstore.JobPageEntry {
+	var conflict *kvstore.ConflictError
+	if !errors.As(err, &conflict) {
+		return jobs
+	}
+	var remaining []jobstore.JobPageEntry
+	for _, job := range jobs {
+		failed := slices.Contains(conflict.FailedKeys, jobstore.JobKey(job.ID)) ||
+			slices.Contains(conflict.FailedKeys, jobstore.FinalKey(job.ID))
+		if !failed {
+			remaining = append(remaining, job)
+		}
 	}
-	l.log.Error("a record that can't be read can be mended: the next leader does", "key", t.key, "version", t.version)
-	l.lease.Resign()
-	return true
+	return remaining
 }
--- a/controller/schema.go
+++ b/controller/schema.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"net/http"
 	"slices"
 	"time"
@@ -15,10 +16,15 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is about the form of the records, and about which node adds jobs to
-// a bucket (docs/jobstore.md).
+// This file migrates the stored records to a newer schema during a rolling upgrade
+// (docs/jobstore.md).
 
-// schemaVersion is the newest form of records that this node is to have written.
+const (
+	schemaRetryMin = 300 * time.Millisecond
+	schemaRetryMax = 5 * time.Second
+)
+
+// schemaVersion returns the newest schema that this node allows to be written.
 func (n *Node) schemaVersion() int {
 	if !n.tuning.Ledger.Intake {
 		return jobstore.SchemaJobKeys
@@ -26,110 +32,139 @@
 	return jobstore.LatestSchema
 }
 
-// migrateSchema has records written in the newest form once every node says that it
-// reads that. While one is of an earlier version, or can't be asked, the form
-// stays as it is, so that that version can be gone back to.
+// schemaMigration raises the schema once every controller reads the newer one. While one
+// of them runs an earlier program, or can't be asked, the schema stays as it is, so that
+// the upgrade can be rolled back. It belongs to one leadership, and every write is
+// guarded by its fencing token.
+type schemaMigration struct {
+	kv           *kvstore.Client
+	leaderGuard  wire.Guard
+	peers        []*peerrpc.Peer
+	request      func() peerrpc.Request // what this node tells the peers that it asks
+	onPlanSchema func()                 // called before records may depend on a plan
+	wake         <-chan struct{}        // a plan may have been requested
+	log          *slog.Logger
+}
+
+// migrateSchema migrates the schema until ctx ends, where this node allows that.
 func (l *leadership) migrateSchema(ctx context.Context) {
 	if l.node.schemaVersion() < jobstore.SchemaJobPages {
 		return
 	}
-	wait := 300 * time.Millisecond
+	m := &schemaMigration{
+		kv: l.node.kv, leaderGuard: l.leaderGuard(), peers: l.node.peers, request: l.node.statusRequest,
+		onPlanSchema: l.markPlanRequested, wake: l.schemaWake, log: l.log,
+	}
+	m.run(ctx)
+}
+
+func (m *schemaMigration) run(ctx context.Context) {
+	wait := schemaRetryMin
 	for ctx.Err() == nil {
-		done, err := l.tryMigrateSchema(ctx)
+		done, err := m.step(ctx)
 		if done {
-			// Higher once somebody wants a plan.
+			// The target rises again once somebody requests a plan.
 			select {
 			case <-ctx.Done():
 				return
-			case <-l.schemaWake:
+			case <-m.wake:
 			}
-			wait = 300 * time.Millisecond
+			wait = schemaRetryMin
 			continue
 		}
 		if err != nil {
-			l.log.Debug("the form of the records stays", "why", err)
+			m.log.Debug("schema migration deferred", "err", err)
 		}
 		if !call.Pause(ctx, wait) {
 			return
 		}
-		wait = min(2*wait, 5*time.Second)
+		wait = min(2*wait, schemaRetryMax)
 	}
 }
 
-// targetSchemaVersion is the form that records are to be written in. As long as nobody
-// wants a plan, it is one that the version before reads as well.
-func (l *leadership) targetSchemaVersion(ctx context.Context) (int, error) {
-	asked, err := l.node.kv.Get(ctx, jobstore.PlanRequestedKey)
+// targetSchemaVersion returns the schema that records are to be written in. As long as
+// nobody has requested a plan, it is one that the version before reads as well.
+func targetSchemaVersion(ctx context.Context, kv *kvstore.Client) (int, error) {
+	requested, err := kv.Get(ctx, jobstore.PlanRequestedKey)
 	if err != nil {
 		return 0, err
 	}
-	if asked.Version != 0 {
+	if requested.Version != 0 {
 		return jobstore.SchemaPlans, nil
 	}
 	return jobstore.SchemaJobPages, nil
 }
 
-func (l *leadership) tryMigrateSchema(ctx context.Context) (done bool, err error) {
-	form, err := l.targetSchemaVersion(ctx)
+// step raises the schema if that is possible now. Where done is true the stored schema
+// is the target, whether or not its copy could be written as well.
+func (m *schemaMigration) step(ctx context.Context) (done bool, err error) {
+	target, err := targetSchemaVersion(ctx, m.kv)
 	if err != nil {
 		return false, err
 	}
-	for _, p := range l.node.peers {
-		s, err := p.Status(ctx, l.node.statusRequest())
-		if err != nil {
-			return false, err
-		}
-		if s.Form < form {
-			return false, fmt.Errorf("%s reads form %d", p.Name, s.Form)
-		}
+	if err := m.checkPeers(ctx, target); err != nil {
+		return false, err
 	}
-	e, err := l.node.kv.Get(ctx, jobstore.SchemaKey)
+	e, err := m.kv.Get(ctx, jobstore.SchemaKey)
 	if err != nil {
 		return false, err
 	}
-	var now jobstore.SchemaRecord
+	var current jobstore.SchemaRecord
 	if e.Version != 0 {
-		if now, err = jobstore.DecodeSchema(e.Value); err != nil {
+		if current, err = jobstore.DecodeSchema(e.Value); err != nil {
 			return false, err
 		}
 	}
-	if max(now.Version, form) >= jobstore.SchemaPlans {
-		l.markPlanRequested() // also where this one's commit is applied and its answer lost
+	if max(current.Version, target) >= jobstore.SchemaPlans {
+		m.onPlanSchema() // before the commit: its answer may be lost although it is applied
 	}
-	if now.Version >= form {
-		return true, l.ensureSchemaCopy(ctx, now, e.Version)
+	if current.Version >= target {
+		return true, m.ensureCopy(ctx, current, e.Version)
 	}
-	next := jobstore.SchemaRecord{Version: form, Buckets: max(1, len(l.node.peers)+1)}
-	if now.Buckets > 0 {
-		next.Buckets = now.Buckets
+	next := jobstore.SchemaRecord{Version: target, Buckets: max(1, len(m.peers)+1)}
+	if current.Buckets > 0 {
+		next.Buckets = current.Buckets
 	}
-	_, err = l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.SchemaKey, Version: e.Version}},
+	_, err = m.kv.CompareAndSwap(ctx, []wire.Guard{m.leaderGuard, {Key: jobstore.SchemaKey, Version: e.Version}},
 		[]wire.Op{{Put: jobstore.SchemaKey, Value: next}, {Put: jobstore.SchemaCopyKey, Value: next}})
 	if err != nil {
 		return false, err
 	}
-	l.log.Info("records are written in a new form; earlier versions can't read it", "form", next.Version, "buckets", next.Buckets)
+	m.log.Info("schema migrated; earlier program versions can't read it", "schema", next.Version, "buckets", next.Buckets)
 	return true, nil
 }
 
-// ensureSchemaCopy sees to it that the form's copy is there: a version before has written
-// none.
-func (l *leadership) ensureSchemaCopy(ctx context.Context, form jobstore.SchemaRecord, version uint64) error {
+// checkPeers returns an error unless every peer reads a schema.
+func (m *schemaMigration) checkPeers(ctx context.Context, version int) error {
+	for _, p := range m.peers {
+		status, err := p.Status(ctx, m.request())
+		if err != nil {
+			return fmt.Errorf("ask %s which schema it reads: %w", p.Name, err)
+		}
+		if status.Form < version {
+			return fmt.Errorf("%s reads schema %d", p.Name, status.Form)
+		}
+	}
+	return nil
+}
+
+// ensureCopy writes the schema record's stored copy, which the first program versions
+// with a schema did not write.
+func (m *schemaMigration) ensureCopy(ctx context.Context, schema jobstore.SchemaRecord, version uint64) error {
 	if version == 0 {
 		return nil
 	}
-	e, err := l.node.kv.Get(ctx, jobstore.SchemaCopyKey)
+	e, err := m.kv.Get(ctx, jobstore.SchemaCopyKey)
 	if err != nil {
 		return err
 	}
-	if was, err := jobstore.DecodeSchema(e.Value); err == nil && was == form {
+	if stored, err := jobstore.DecodeSchema(e.Value); err == nil && stored == schema {
 		return nil
 	}
-	_, err = l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: jobstore.SchemaKey, Version: version}},
-		[]wire.Op{{Put: jobstore.SchemaCopyKey, Value: form}})
+	_, err = m.kv.CompareAndSwap(ctx, []wire.Guard{m.leaderGuard, {Key: jobstore.SchemaKey, Version: version}},
+		[]wire.Op{{Put: jobstore.SchemaCopyKey, Value: schema}})
 	return err
 }
-
 const (
 	// bucketOwnerTimeout is how long the node that adds jobs to a bucket is waited for, and
 	// bucketWithin how long that one takes at most: then it says that it is busy.
