--- /dev/null
+++ b/controller/forwarding.go
@@ -0,0 +1,130 @@
+package controller
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"slices"
+	"time"
+
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/kvstore"
+	"github.com/umberdeal/umberdeal/peerrpc"
+)
+
+// This file forwards users' requests between controllers: writes to the owner of their
+// bucket, and everything to a peer while the key-value store does not serve this node.
+
+const (
+	// bucketOwnerTimeout is how long a bucket's owner is waited for, and
+	// forwardedWriteTimeout how long the owner takes at most. It is the shorter of the
+	// two, so that an owner that is overloaded can still say so.
+	bucketOwnerTimeout    = 1600 * time.Millisecond
+	forwardedWriteTimeout = 1200 * time.Millisecond
+	// unresponsivePeerBackoff is for how long a node that did not answer owns no bucket.
+	unresponsivePeerBackoff = 3 * time.Second
+	// peerRequestTimeout is how long one peer is waited for. A paused process takes
+	// connections and answers nothing, and there are others to be asked within the
+	// user's time.
+	peerRequestTimeout = 700 * time.Millisecond
+)
+
+// forwardToBucketOwner forwards a submission or a cancellation to the owner of its
+// bucket, where several nodes would conflict on the bucket's head page. It returns false
+// where the request is to be served here. Ownership saves conflicts and is no lock: any
+// node may change any bucket, and the compare-and-swap on the head's version decides.
+func (n *Node) forwardToBucketOwner(ctx context.Context, id string, r peerrpc.Request) (peerrpc.Answer, bool) {
+	schema := n.jobs.Schema()
+	if schema.Version < jobstore.SchemaJobPages {
+		return peerrpc.Answer{}, false
+	}
+	bucket := schema.Bucket(id)
+	if !n.jobs.Contended(bucket) {
+		return peerrpc.Answer{}, false
+	}
+	owner := n.bucketOwner(bucket)
+	if owner == nil {
+		return peerrpc.Answer{}, false
+	}
+	octx, cancel := context.WithTimeout(ctx, bucketOwnerTimeout)
+	defer cancel()
+	r.From = n.cfg.Node
+	a, err := owner.ForwardUserRequest(octx, r)
+	switch {
+	case err != nil:
+		n.log.Debug("write not forwarded", "op", r.Op, "peer", owner.Name, "err", err)
+		return peerrpc.Answer{}, false
+	case a.Status == http.StatusServiceUnavailable && a.RetryAfter != busyRetryAfterS:
+		return peerrpc.Answer{}, false // the owner's store connection fails, ours may not
+	}
+	return a, true
+}
+
+// bucketOwner returns the node that writes to a bucket: counted from the bucket's
+// number, the first that has answered lately. nil is this node.
+func (n *Node) bucketOwner(bucket int) *peerrpc.Peer {
+	names := []string{n.cfg.Node}
+	for _, p := range n.peers {
+		names = append(names, p.Name)
+	}
+	slices.Sort(names)
+	for i := range names {
+		name := names[(bucket+i)%len(names)]
+		if name == n.cfg.Node {
+			return nil
+		}
+		if p := n.peerNamed(name); p != nil && time.Since(p.FailedAt()) > unresponsivePeerBackoff {
+			return p
+		}
+	}
+	return nil
+}
+
+// serveForwardedWrite serves a write that a peer has forwarded because this node owns
+// its bucket. It tells overload from a store that is not reached: only in the latter
+// case does the peer serve the write itself.
+func (n *Node) serveForwardedWrite(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
+	ctx, cancel := context.WithTimeout(ctx, forwardedWriteTimeout)
+	defer cancel()
+	a, err := n.serveLocally(ctx, r)
+	switch {
+	case err == nil:
+		return a
+	case errors.Is(err, kvstore.ErrRateLimited) || ctx.Err() != nil:
+		return storeBusy()
+	}
+	return storeUnreachable()
+}
+
+// forwardToPeers forwards a user's request to one peer after the other, beginning with
+// those that have not failed lately, until one can serve it. Requests are idempotent, so
+// that it does no harm if two peers serve the same one.
+func (n *Node) forwardToPeers(ctx context.Context, r peerrpc.Request) (peerrpc.Answer, bool) {
+	peers := slices.Clone(n.peers)
+	slices.SortStableFunc(peers, func(a, b *peerrpc.Peer) int { return a.FailedAt().Compare(b.FailedAt()) })
+	for _, p := range peers {
+		if ctx.Err() != nil {
+			break
+		}
+		pctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
+		a, err := p.ForwardUserRequest(pctx, r)
+		cancel()
+		if err == nil && a.Status != http.StatusServiceUnavailable {
+			return a, true
+		}
+	}
+	return peerrpc.Answer{}, false
+}
+
+// HandleUserRequest implements peerrpc.Handler: it serves a request that a peer forwards.
+func (n *Node) HandleUserRequest(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
+	if n.kvReachable() {
+		if r.From != "" {
+			return n.serveForwardedWrite(ctx, r)
+		}
+		if a, err := n.serveLocally(ctx, r); err == nil {
+			return a
+		}
+	}
+	return storeUnreachable()
+}
--- a/controller/schema.go
+++ b/controller/schema.go
@@ -2,11 +2,8 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"log/slog"
-	"net/http"
-	"slices"
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
@@ -165,77 +162,3 @@
 		[]wire.Op{{Put: jobstore.SchemaCopyKey, Value: schema}})
 	return err
 }
-const (
-	// bucketOwnerTimeout is how long the node that adds jobs to a bucket is waited for, and
-	// bucketWithin how long that one takes at most: then it says that it is busy.
-	bucketOwnerTimeout    = 1600 * time.Millisecond
-	forwardedWriteTimeout = 1200 * time.Millisecond
-	// unresponsivePeerBackoff is for how long a node that did not answer is passed over.
-	unresponsivePeerBackoff = 3 * time.Second
-)
-
-// forwardToBucketOwner hands a submission or a cancellation to the node that adds jobs to
-// its bucket, where several nodes would be in one another's way. It is a matter of
-// speed only: any node may change any bucket, and the head's version tells who was
-// first.
-func (n *Node) forwardToBucketOwner(ctx context.Context, id string, r peerrpc.Request) (peerrpc.Answer, bool) {
-	form := n.jobs.Schema()
-	if form.Version < jobstore.SchemaJobPages {
-		return peerrpc.Answer{}, false
-	}
-	bucket := form.Bucket(id)
-	if !n.jobs.Contended(bucket) {
-		return peerrpc.Answer{}, false
-	}
-	p := n.bucketOwner(bucket)
-	if p == nil {
-		return peerrpc.Answer{}, false
-	}
-	pctx, cancel := context.WithTimeout(ctx, bucketOwnerTimeout)
-	defer cancel()
-	r.From = n.cfg.Node
-	a, err := p.ForwardUserRequest(pctx, r)
-	switch {
-	case err != nil:
-		n.log.Debug("not passed on", "op", r.Op, "to", p.Name, "err", err)
-		return peerrpc.Answer{}, false
-	case a.Status == http.StatusServiceUnavailable && a.RetryAfter != busyRetryAfterS:
-		return peerrpc.Answer{}, false // it is that node's trouble
-	}
-	return a, true
-}
-
-// bucketOwner is the node that adds jobs to a bucket: the first, counted from the
-// bucket's own, that has answered lately; nil is this one.
-func (n *Node) bucketOwner(bucket int) *peerrpc.Peer {
-	names := []string{n.cfg.Node}
-	for _, p := range n.peers {
-		names = append(names, p.Name)
-	}
-	slices.Sort(names)
-	for i := range names {
-		name := names[(bucket+i)%len(names)]
-		if name == n.cfg.Node {
-			return nil
-		}
-		if p := n.peerNamed(name); p != nil && time.Since(p.FailedAt()) > unresponsivePeerBackoff {
-			return p
-		}
-	}
-	return nil
-}
-
-// serveForwardedWrite serves a submission that another node has passed on because it belongs
-// to this node's bucket.
-func (n *Node) serveForwardedWrite(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
-	ctx, cancel := context.WithTimeout(ctx, forwardedWriteTimeout)
-	defer cancel()
-	a, err := n.serveLocally(ctx, r)
-	switch {
-	case err == nil:
-		return a
-	case errors.Is(err, kvstore.ErrRateLimited) || ctx.Err() != nil:
-		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is busy"}, busyRetryAfterS)
-	}
-	return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "the state service is not reached"}, 1)
-}
