--- a/controller/direct_commands.go
+++ b/controller/direct_commands.go
@@ -18,9 +18,9 @@
 		select {
 		case l.stopSlots <- struct{}{}:
 		default:
-			continue // the next answer to a report carries them
+			continue // the response to the next heartbeat carries them
 		}
-		go func() {
+		l.node.directCommands.Go(func() {
 			defer func() { <-l.stopSlots }()
 			r, done, err := l.node.workerClient.Command(ctx, d.Addr, d.Commands)
 			if err != nil {
@@ -28,17 +28,17 @@
 				return
 			}
 			l.log.Debug("direct stop", "machine", d.Machine, "executed", done, "seq", r.Seq)
-		}()
+		})
 	}
 }
 
-// wakeUpTimeout is how long a worker may take to answer a summons. One that hangs
+// wakeUpTimeout is how long a worker may take to answer a wake-up. One that hangs
 // must not keep the others waiting for long; executed later, it does no harm.
 const wakeUpTimeout = time.Second
 
-// wakeWorkers makes the workers report for which launches are ready, as many at once
-// as there are sockets for. The others follow as these have answered: with those
-// left out instead, a quarter of a burst of 2,900 tasks waited for reports.
+// wakeWorkers makes the workers send a heartbeat for which launches are ready, as many
+// at once as there are sockets for. The others follow as these have answered: with
+// those left out instead, a quarter of a burst of 2,900 tasks waited for heartbeats.
 func (l *leadership) wakeWorkers(ctx context.Context) {
 	if !l.lease.Valid() {
 		return
@@ -50,14 +50,14 @@
 	}
 	batch := l.model.WakeUps(most, time.Now())
 	for range batch {
-		// Taken under the lock, the places are there. In a burst, summonses that
+		// Taken under the lock, the places are there. In a burst, wake-ups that
 		// two had asked for at the same time were given up for want of a place,
 		// and repeated only after a second and a half.
 		l.wakeUpSlots <- struct{}{}
 	}
 	l.mu.Unlock()
 	for _, d := range batch {
-		go func() {
+		l.node.directCommands.Go(func() {
 			within, cancel := context.WithTimeout(ctx, wakeUpTimeout)
 			defer cancel()
 			if _, done, err := l.node.workerClient.Command(within, d.Addr, d.Commands); err != nil || !done {
@@ -65,6 +65,6 @@
 			}
 			<-l.wakeUpSlots
 			l.wakeWorkers(ctx)
-		}()
+		})
 	}
 }
--- a/controller/health.go
+++ b/controller/health.go
@@ -12,43 +12,44 @@
 	"github.com/umberdeal/umberdeal/kvstore"
 )
 
-// kvReachable says whether the state service serves this node.
+// kvReachable says whether the key-value store serves this node: its last answer
+// was no failure, and is not long ago.
 func (n *Node) kvReachable() bool {
 	ok, bad := n.kv.LastOutcomes()
 	return ok.After(bad) && time.Since(ok) < 5*time.Second
 }
 
-// monitorKV probes the state service, and the other nodes while it fails. An
-// operator who gave a wrong address, or whose service is out, is told so once.
+const (
+	kvProbeTimeout = 900 * time.Millisecond
+	// kvProbeRateShare is what all nodes' probes together take of the store's rate.
+	kvProbeRateShare = 0.05
+	// kvRetryInterval is the probe interval while the store does not answer.
+	kvRetryInterval = time.Second
+)
+
+// monitorKV probes the key-value store, and the other nodes while it fails. An
+// operator who gave a wrong address, or whose store is down, is told so once.
 func (n *Node) monitorKV(ctx context.Context) {
-	served := true
-	// All nodes' probes together are a twentieth of what the service takes.
-	every := config.Seconds(max(1, float64(n.cfg.Cluster.Size)/(0.05*n.cfg.Cluster.State.RPS)))
+	reachable := true
+	interval := config.Seconds(max(1, float64(n.cfg.Cluster.Size)/(kvProbeRateShare*n.cfg.Cluster.State.RPS)))
 	for {
-		pctx, cancel := context.WithTimeout(ctx, 900*time.Millisecond)
-		_, err := n.kv.Get(pctx, election.LeaderKey)
-		cancel()
-		if errors.Is(err, kvstore.ErrRateLimited) {
-			err = nil // it is there, and busy
-		}
-		if ctx.Err() == nil && served != (err == nil) {
-			served = err == nil
-			if served {
+		err := n.probeKV(ctx)
+		if ctx.Err() == nil && reachable != (err == nil) {
+			reachable = err == nil
+			if reachable {
 				n.log.Info("state service reached again")
 			} else {
 				n.log.Info("state service not reached, retrying", "err", err)
 			}
 		}
+		wait := interval
 		if err == nil {
 			n.mu.Lock()
 			n.everConnected = true
 			n.mu.Unlock()
 		} else {
 			n.probePeers(ctx)
-		}
-		wait := time.Second
-		if err == nil {
-			wait = every
+			wait = kvRetryInterval
 		}
 		if !call.Pause(ctx, wait) {
 			return
@@ -56,24 +57,35 @@
 	}
 }
 
+// probeKV asks the store once. A store that is there and busy is no failure.
+func (n *Node) probeKV(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, kvProbeTimeout)
+	defer cancel()
+	_, err := n.kv.Get(ctx, election.LeaderKey)
+	if errors.Is(err, kvstore.ErrRateLimited) {
+		return nil
+	}
+	return err
+}
+
+// probePeers asks all other nodes at once and waits for their answers, so that it
+// is known which of them could serve a user or a worker.
 func (n *Node) probePeers(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, p := range n.peers {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
+		wg.Go(func() {
 			if _, err := p.Status(ctx, n.statusRequest()); err == nil {
 				n.mu.Lock()
 				n.lastPeerContact, n.everConnected = time.Now(), true
 				n.mu.Unlock()
 			}
-		}()
+		})
 	}
 	wg.Wait()
 }
 
-// ready says whether this node can take requests: the state service serves it,
-// or another node can be asked. In an outage of the state service every node
+// ready says whether this node can take requests: the key-value store serves it,
+// or another node can be asked. In an outage of the store every node
 // stays ready, since going away would only make its end later for the users.
 func (n *Node) ready() bool {
 	n.mu.Lock()
--- a/controller/node.go
+++ b/controller/node.go
@@ -1,5 +1,23 @@
-// Package controller wires a node together: its interfaces, its duties, and
-// what it does while it leads.
+// Package controller is the controller process: it joins the leader's model
+// (package cluster) and the typed stores with sockets, clocks and goroutines, and
+// is the only package that does.
+//
+// A Node serves users (users.go), workers (heartbeat.go), operators (status.go),
+// YARN clients (yarn.go) and other controllers (the methods that implement
+// peerrpc.Handler). It takes part in the election, and while it is elected it
+// has a leadership, which owns the cluster.Model: loaded at a failover (load.go),
+// kept up to date from the watch (job_events.go), advanced by the scheduler
+// (scheduler.go), written behind to the key-value store (committer.go), and told to
+// workers in responses to their heartbeats (heartbeat_response.go) and by direct
+// commands (direct_commands.go). A follower forwards heartbeats to the leader or
+// redirects workers to it (worker_routing.go, heartbeat_forwarding.go), and watches
+// whether it responds (leader_monitor.go).
+//
+// What it guarantees rests on two rules. Every write of a leader is a
+// compare-and-swap under its fencing token (leadership.leaderGuard), so that a former
+// leader changes nothing. And a worker is answered 200, or sent a command, only
+// while the lease is certainly valid (election.Lease.Valid); a node that is not
+// sure refuses instead. docs/architecture.md has the way of each request.
 package controller
 
 import (
@@ -34,54 +52,66 @@
 	Listen func(network, addr string) (net.Listener, error)
 }
 
-// RealNetwork is the machine's.
+// RealNetwork is that of the machine the process runs on.
 func RealNetwork() Network { return Network{Dial: call.Dialer(), Listen: net.Listen} }
 
-// Node is one controller node.
+// Node is one controller process. Every node serves users and workers; at most one
+// at a time also leads, and then has an active leadership. Make it with New, and
+// run it once with Run.
 type Node struct {
 	cfg     *config.Settings
 	tuning  config.Tuning
 	log     *slog.Logger
 	network Network
 
-	kv               *kvstore.Client
-	cloud            *cloud.Client
-	workerClient     *worker.Client
-	jobs             *jobstore.Store
-	elector          *election.Elector
-	peers            []*peerrpc.Peer
-	peerStreams      []*peerrpc.HeartbeatStream
-	userSlots        chan struct{}              // bounds the users' submissions and cancellations under way
-	pollLimiter      *admission.PriorityLimiter // and their polls
+	// Clients of other programs. All are safe for concurrent use.
+	kv           *kvstore.Client
+	userKV       *kvstore.Client // kv within the rate that users' requests may take
+	cloud        *cloud.Client
+	workerClient *worker.Client
+	jobs         *jobstore.Store
+	elector      *election.Elector
+	peers        []*peerrpc.Peer
+	peerStreams  []*peerrpc.HeartbeatStream // to the same nodes, for heartbeats alone
+
+	// Limits on what is served at once.
+	userSlots        chan struct{}              // held by submissions and cancellations in progress
+	pollLimiter      *admission.PriorityLimiter // of users' polls
 	pollTurns        admission.PollSchedule     // whose polls come first
-	submissionTiers  *admission.TierLimiter     // how many each tier of submissions has of users
-	heartbeatLimiter *admission.PriorityLimiter // bounds the workers' reports
-	connLimiter      *admission.ConnLimiter     // of users and workers; set before anybody is served
-	stalls           liveness.StallDetector
-	leaderDetector   liveness.FailureDetector
+	submissionTiers  *admission.TierLimiter     // the part of userSlots that each tier may take
+	heartbeatLimiter *admission.PriorityLimiter // the worker whose lease is nearest its end comes first
+	connLimiter      *admission.ConnLimiter     // set by Run before anybody is served
+
+	// Detectors with locks of their own.
+	stalls         liveness.StallDetector
+	leaderDetector liveness.FailureDetector
 
 	lastAnswered     *admission.ReplyTimes          // when workers were last answered here
-	routingPlan      atomic.Pointer[adoptedPlan]    // where workers report
-	loadedPlan       atomic.Pointer[cluster.Plan]   // what the operators decided; nil before it is read
-	cachedPriorities atomic.Pointer[planPriorities] // of that, the order of service
+	routingPlan      atomic.Pointer[adoptedPlan]    // where workers send their heartbeats
 	moveLimiter      *rate.Limiter                  // paces workers' moves to other nodes
-	metrics          *metrics.Set                   // nil unless the operators watch
-	recentErrors     *metrics.Troubles
+	loadedPlan       atomic.Pointer[cluster.Plan]   // the operators'; nil before it is read
+	cachedPriorities atomic.Pointer[planPriorities] // derived from loadedPlan
+
+	metrics      *metrics.Set      // nil unless the operators' address is set
+	recentErrors *metrics.Troubles // nil likewise
 
-	userKV       *kvstore.Client
-	yarn         *yarn.Door // nil unless YARN's clients are served
+	yarn         *yarn.Door // nil unless YARN clients are served
 	yarnSettings *yarn.Settings
 
-	mu              sync.Mutex
-	active          *leadership // nil unless this node leads
-	types           []wire.MachineType
-	redirects       map[string]redirectRecord // workers told to go elsewhere
-	relayCandidates map[string]relayCandidate // nodes that have asked this one
+	// directCommands are the requests to workers in progress. The node owns them, not
+	// the leadership, whose end must not wait for a worker that hangs.
+	directCommands sync.WaitGroup
+
+	mu              sync.Mutex                // guards all that follows; taken before no other lock but a leadership's
+	active          *leadership               // nil unless this node leads
+	types           []wire.MachineType        // nil before they are known
+	redirects       map[string]redirectRecord // by worker
+	relayCandidates map[string]relayCandidate // nodes that have asked this one for its status
 	forwarding      forwardingCounts
 	lastSeenLeader  string
-	lastPeerContact time.Time     // when another node was last reached
-	everConnected   bool          // the state service or another node has answered once
-	leaderChanged   chan struct{} // closed and replaced when there is news of the leader
+	lastPeerContact time.Time     // when another node last answered
+	everConnected   bool          // the key-value store or another node has answered once
+	leaderChanged   chan struct{} // closed and replaced whenever the leader may have changed
 	repairs         repairMemory
 }
 
@@ -98,53 +128,75 @@
 	pollRound = 45 * time.Second
 )
 
-// New makes a node.
+// New makes a node that does nothing yet but hold its clients and limits; Run
+// starts it. Nothing is dialled here.
 func New(cfg *config.Settings, tuning config.Tuning, log *slog.Logger, nw Network) *Node {
-	sl := cfg.Cluster.State
+	store, sockets := cfg.Cluster.State, cfg.Cluster.Limits.Sockets
 	n := &Node{
 		cfg: cfg, tuning: tuning, log: log, network: nw,
-		kv:               kvstore.New(nw.Dial, cfg.Services.State, sl.RPS*0.6, sl.WriteRPS),
+		kv:               kvstore.New(nw.Dial, cfg.Services.State, store.RPS*0.6, store.WriteRPS),
 		cloud:            cloud.New(nw.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.9),
-		workerClient:     worker.New(nw.Dial, min(64, cfg.Cluster.Limits.Sockets/20)),
-		userSlots:        make(chan struct{}, max(32, cfg.Cluster.Limits.Sockets/8)),
-		submissionTiers:  admission.NewTierLimiter(max(32, cfg.Cluster.Limits.Sockets/8)),
-		pollLimiter:      admission.NewPriorityLimiter(max(32, cfg.Cluster.Limits.Sockets/8), max(32, cfg.Cluster.Limits.Sockets/8)),
+		workerClient:     worker.New(nw.Dial, min(64, sockets/20)),
+		userSlots:        make(chan struct{}, max(32, sockets/8)),
+		submissionTiers:  admission.NewTierLimiter(max(32, sockets/8)),
+		pollLimiter:      admission.NewPriorityLimiter(max(32, sockets/8), max(32, sockets/8)),
 		pollTurns:        admission.PollSchedule{Period: pollRound},
-		heartbeatLimiter: admission.NewPriorityLimiter(max(64, cfg.Cluster.Limits.Sockets/2), cfg.Cluster.Limits.Sockets/8),
-		lastAnswered:     admission.NewReplyTimes(maxTrackedWorkers), moveLimiter: newMoveLimiter(),
-		redirects: map[string]redirectRecord{}, relayCandidates: map[string]relayCandidate{}, leaderChanged: make(chan struct{}),
+		heartbeatLimiter: admission.NewPriorityLimiter(max(64, sockets/2), sockets/8),
+		lastAnswered:     admission.NewReplyTimes(maxTrackedWorkers),
+		moveLimiter:      newMoveLimiter(),
+		redirects:        map[string]redirectRecord{},
+		relayCandidates:  map[string]relayCandidate{},
+		leaderChanged:    make(chan struct{}),
 	}
-	n.setUpMetrics()
-	log = n.log
-	for _, o := range cfg.Cluster.Objectives {
+	n.setUpMetrics() // first of all, since it wraps the log
+	n.logUnknownObjectives()
+	n.setUpJobStore()
+	n.setUpPeers()
+	n.elector = election.New(election.Config{
+		Store: n.kv, Node: cfg.Node, LeaseTTL: config.Seconds(cfg.Cluster.Workers.LeaderLeaseS()), ClockDrift: config.Drift, Log: n.log,
+		Lead: n.runLeader, ReadBarrier: n.readBarrier, OnChange: n.onLeaderChange,
+	})
+	return n
+}
+
+// logUnknownObjectives tells the operator which objectives of the settings have no
+// effect. Settings may be newer than the program, which serves what it knows.
+func (n *Node) logUnknownObjectives() {
+	for _, o := range n.cfg.Cluster.Objectives {
 		switch o.Kind {
 		case "wait", "finished", "deadline", "guarantee", "price", "cost":
 		default:
-			// Settings may be newer than the program: it serves what it knows.
-			log.Info("an aim of a kind that this program does not know", "kind", o.Kind, "class", o.Class)
+			n.log.Info("an aim of a kind that this program does not know", "kind", o.Kind, "class", o.Class)
 		}
 	}
-	forUsers := n.kv.WithAdaptiveLimits(sl.RPS*0.7, sl.WriteRPS, userRateShare/float64(max(1, cfg.Cluster.Size)))
-	n.userKV = forUsers
-	n.jobs = jobstore.New(forUsers)
-	n.jobs.Limits = jobstore.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB}
-	n.jobs.Log = log
+}
+
+// setUpJobStore opens the records of jobs through a client that is limited to the
+// users' share of the store's rate, so that users never starve the leader's writes.
+func (n *Node) setUpJobStore() {
+	store := n.cfg.Cluster.State
+	n.userKV = n.kv.WithAdaptiveLimits(store.RPS*0.7, store.WriteRPS, userRateShare/float64(max(1, n.cfg.Cluster.Size)))
+	n.jobs = jobstore.New(n.userKV)
+	n.jobs.Limits = jobstore.Limits{TxnOps: store.TxnOps, ValueKB: store.ValueKB}
+	n.jobs.Log = n.log
 	n.jobs.Tier = func(team, class string) int { return n.priorities().TierOf(team, class) }
 	n.jobs.Order = func(id string) float64 { return admission.PollSchedule{Period: pollRound}.Priority(id, time.Now()) }
+	n.jobs.Gap = func() time.Duration {
+		return config.Seconds(min(barrierRateShare/max(n.userKV.RequestRate(), 1), 0.6))
+	}
 	n.pollTurns.Tier = n.pollTier
-	n.jobs.Gap = func() time.Duration { return config.Seconds(min(barrierRateShare/max(forUsers.RequestRate(), 1), 0.6)) }
-	for _, s := range cfg.Siblings {
-		n.peers = append(n.peers, peerrpc.NewPeer(s.Name, s.Addr, nw.Dial))
-		n.peerStreams = append(n.peerStreams, peerrpc.NewHeartbeatStream(s.Name, s.Addr, nw.Dial, max(64, cfg.Cluster.Limits.Sockets/2)))
+}
+
+// setUpPeers makes the clients of the other controllers.
+func (n *Node) setUpPeers() {
+	for _, s := range n.cfg.Siblings {
+		n.peers = append(n.peers, peerrpc.NewPeer(s.Name, s.Addr, n.network.Dial))
+		n.peerStreams = append(n.peerStreams, peerrpc.NewHeartbeatStream(s.Name, s.Addr, n.network.Dial, max(64, n.cfg.Cluster.Limits.Sockets/2)))
 	}
-	w := cfg.Cluster.Workers
-	n.elector = election.New(election.Config{
-		Store: n.kv, Node: cfg.Node, LeaseTTL: config.Seconds(w.LeaderLeaseS()), ClockDrift: config.Drift, Log: log,
-		Lead: n.runLeader, ReadBarrier: n.readBarrier, OnChange: n.onLeaderChange,
-	})
-	return n
 }
 
+// activeLeadership is this node's leadership, nil unless it leads. Whether it is
+// sure of its lease is another question: see isLeader.
 func (n *Node) activeLeadership() *leadership {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/controller/server.go
+++ b/controller/server.go
@@ -14,20 +14,74 @@
 	"github.com/umberdeal/umberdeal/peerrpc"
 )
 
-// Run serves until ctx ends.
+const (
+	// maxServers is how many servers a node can have: users and workers, other
+	// controllers, operators, YARN's RPC and REST.
+	maxServers = 5
+	// shutdownGrace is how long requests in progress may take to end.
+	shutdownGrace = time.Second
+)
+
+// goroutines are the long-lived ones of a node. Whoever makes it waits for them.
+type goroutines struct {
+	sync.WaitGroup
+	failed chan error // has room for every server's failure, so that none blocks
+}
+
+func newGoroutines() *goroutines { return &goroutines{failed: make(chan error, maxServers)} }
+
+// serve runs a server whose failure ends the node.
+func (g *goroutines) serve(ctx context.Context, server func(context.Context) error) {
+	g.Go(func() {
+		if err := server(ctx); err != nil {
+			g.failed <- err
+		}
+	})
+}
+
+// run runs a loop that only ends with ctx.
+func (g *goroutines) run(ctx context.Context, loop func(context.Context)) {
+	g.Go(func() { loop(ctx) })
+}
+
+// Run serves until ctx ends, which is no error, or until one of the servers fails.
+// All goroutines that the node has started have ended when it returns.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	l, err := n.network.Listen("tcp", n.cfg.Bind)
+	listener, err := n.network.Listen("tcp", n.cfg.Bind)
 	if err != nil {
 		return fmt.Errorf("bind: %w", err)
 	}
-	ml, err := n.network.Listen("tcp", n.cfg.MeshListen)
+	peerListener, err := n.network.Listen("tcp", n.cfg.MeshListen)
 	if err != nil {
-		l.Close()
+		listener.Close()
 		return fmt.Errorf("mesh_addr: %w", err)
 	}
-	srv := &http.Server{
+	srv := n.newHTTPServer(ctx)
+	n.connLimiter = admission.NewConnLimiter(listener, max(16, int(connShare*float64(n.cfg.Cluster.Limits.Sockets))))
+	all := newGoroutines()
+	n.startServers(ctx, all, srv, peerListener)
+	n.startLoops(ctx, all)
+	n.log.Info("serving", "node", n.cfg.Node, "zone", n.cfg.Zone, "bind", n.cfg.Bind)
+	select {
+	case <-ctx.Done():
+		err = nil
+	case err = <-all.failed:
+	}
+	cancel()
+	shutDown(srv)
+	all.Wait()
+	n.directCommands.Wait()
+	for _, stream := range n.peerStreams {
+		stream.Close()
+	}
+	return err
+}
+
+// newHTTPServer makes the server of users and workers.
+func (n *Node) newHTTPServer(ctx context.Context) *http.Server {
+	return &http.Server{
 		Handler:           n.handler(),
 		ReadHeaderTimeout: 5 * time.Second,
 		ReadTimeout:       10 * time.Second,
@@ -38,67 +92,48 @@
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 		ConnContext:       admission.ConnContext,
 	}
-	n.connLimiter = admission.NewConnLimiter(l, max(16, int(connShare*float64(n.cfg.Cluster.Limits.Sockets))))
-	var wg sync.WaitGroup
-	duty := func(f func(context.Context)) {
-		wg.Add(1)
-		go func() { defer wg.Done(); f(ctx) }()
-	}
-	errs := make(chan error, 5)
+}
+
+// startServers starts whatever listens on an address.
+func (n *Node) startServers(ctx context.Context, all *goroutines, srv *http.Server, peerListener net.Listener) {
 	if n.yarn != nil {
-		duty(n.yarn.Run)
-		duty(func(ctx context.Context) {
-			if err := n.serveYARN(ctx); err != nil {
-				errs <- err
-			}
-		})
+		all.run(ctx, n.yarn.Run)
+		all.serve(ctx, n.serveYARN)
 		if n.yarnSettings.REST != "" {
-			duty(func(ctx context.Context) {
-				if err := n.serveYARNREST(ctx); err != nil {
-					errs <- err
-				}
-			})
+			all.serve(ctx, n.serveYARNREST)
 		}
 	}
 	if n.tuning.Metrics.Listen != "" {
-		duty(func(ctx context.Context) {
-			if err := n.serveOperators(ctx); err != nil {
-				errs <- err
-			}
-		})
+		all.serve(ctx, n.serveOperators)
 	}
-	duty(func(context.Context) {
+	all.serve(ctx, func(context.Context) error {
 		if err := srv.Serve(n.connLimiter); !errors.Is(err, http.ErrServerClosed) {
-			errs <- fmt.Errorf("bind: %w", err)
+			return fmt.Errorf("bind: %w", err)
 		}
+		return nil
 	})
-	duty(func(ctx context.Context) {
-		if err := peerrpc.Serve(ctx, ml, n, max(64, n.cfg.Cluster.Limits.Sockets/2)); err != nil {
-			errs <- err
-		}
+	all.serve(ctx, func(ctx context.Context) error {
+		return peerrpc.Serve(ctx, peerListener, n, max(64, n.cfg.Cluster.Limits.Sockets/2))
 	})
-	duty(n.jobs.Run)
-	duty(n.monitorKV)
-	duty(n.monitorStalls)
-	duty(n.monitorLeader)
-	duty(n.publishRoutingPlan)
-	duty(n.refreshMachineTypes)
-	duty(n.watchOperatorPlan)
-	duty(n.elector.Run)
-	n.log.Info("serving", "node", n.cfg.Node, "zone", n.cfg.Zone, "bind", n.cfg.Bind)
-	select {
-	case <-ctx.Done():
-		err = nil
-	case err = <-errs:
-	}
-	cancel()
-	sctx, scancel := context.WithTimeout(context.Background(), time.Second)
-	defer scancel()
-	_ = srv.Shutdown(sctx) // what is still open is closed next
-	_ = srv.Close()
-	wg.Wait()
-	for _, lane := range n.peerStreams {
-		lane.Close()
-	}
-	return err
+}
+
+// startLoops starts what a node does whether it leads or not.
+func (n *Node) startLoops(ctx context.Context, all *goroutines) {
+	all.run(ctx, n.jobs.Run)
+	all.run(ctx, n.monitorKV)
+	all.run(ctx, n.monitorStalls)
+	all.run(ctx, n.monitorLeader)
+	all.run(ctx, n.publishRoutingPlan)
+	all.run(ctx, n.refreshMachineTypes)
+	all.run(ctx, n.watchOperatorPlan)
+	all.run(ctx, n.elector.Run)
+}
+
+// shutDown lets requests in progress end for a moment, and closes the rest. Its
+// context is not the node's, which has ended by then.
+func shutDown(srv *http.Server) {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownGrace)
+	defer cancel()
+	_ = srv.Shutdown(ctx) // what is still open is closed next
+	_ = srv.Close()       // nothing is left to be done about a listener that fails to close
 }
