--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -326,7 +326,7 @@
 }
 
 // LaunchWithoutLeader makes a worker launch a task behind the controllers' backs, for
-// stories that show that the checker sees it.
+// scenarios that show that the checker sees it.
 func (w *Cluster) LaunchWithoutLeader(name, task string) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -1,6 +1,6 @@
 // Package fake is a small world in memory: a network, a key-value store, a
 // cloud, machines with workers, users, and a checker of the protocol's rules.
-// Stories run controllers against it, in simulated time.
+// Scenarios run controllers against it, in simulated time.
 package fake
 
 import (
--- a/jobstore/ends.go
+++ b/jobstore/ends.go
@@ -155,7 +155,7 @@
 	defer cancel()
 	first := FinalKey(asks[0].id)
 	after := before(first)
-	entries, more, _, err := r.store.ListPage(rctx, finalPrefix, after, n)
+	page, err := r.store.ListPage(rctx, finalPrefix, after, n)
 	if err != nil {
 		for _, a := range asks {
 			r.tell(a, wire.Entry{}, err)
@@ -163,19 +163,19 @@
 		return
 	}
 	last := ""
-	found := make(map[string]wire.Entry, len(entries))
-	for _, e := range entries {
+	found := make(map[string]wire.Entry, len(page.Items))
+	for _, e := range page.Items {
 		found[e.Key], last = e, e.Key
 	}
 	var left []*endAsk
 	for _, a := range asks {
-		if key := FinalKey(a.id); key > after && (!more || key <= last) {
+		if key := FinalKey(a.id); key > after && (!page.More || key <= last) {
 			r.tell(a, found[key], nil)
 		} else {
 			left = append(left, a)
 		}
 	}
-	r.keepNear(entries)
+	r.keepNear(page.Items)
 	covered := len(asks) - len(left)
 	if covered == 0 {
 		// Something else lies before the first one's key.
--- a/jobstore/reader.go
+++ b/jobstore/reader.go
@@ -19,7 +19,7 @@
 	Get(ctx context.Context, key string) (wire.Entry, error)
 	List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error)
 	// ListPage reads at most so many keys with a prefix that come after a key.
-	ListPage(ctx context.Context, prefix, after string, most int) (entries []wire.Entry, more bool, rev uint64, err error)
+	ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error)
 	CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
 	HasWriteCapacity(n int) bool // whether so many changes can be made without waiting
 	Watch(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error)
@@ -239,17 +239,17 @@
 // little of each, none would ever have read all.
 func (r *Store) list(ctx context.Context) error {
 	for !r.part.whole {
-		items, more, rev, err := r.store.ListPage(ctx, ActivePrefix, r.part.after, loadPage)
+		page, err := r.store.ListPage(ctx, ActivePrefix, r.part.after, loadPage)
 		if err != nil {
 			return err
 		}
 		if r.part.after == "" {
-			r.part.rev = rev
+			r.part.rev = page.Revision
 		}
-		r.part.items = append(r.part.items, items...)
-		r.part.whole = !more || len(items) == 0
-		if len(items) > 0 {
-			r.part.after = items[len(items)-1].Key
+		r.part.items = append(r.part.items, page.Items...)
+		r.part.whole = !page.More || len(page.Items) == 0
+		if len(page.Items) > 0 {
+			r.part.after = page.Items[len(page.Items)-1].Key
 		}
 	}
 	return nil
--- a/jobstore/store_test.go
+++ b/jobstore/store_test.go
@@ -59,13 +59,13 @@
 	return e, nil
 }
 
-func (s *store) ListPage(ctx context.Context, prefix, after string, most int) ([]wire.Entry, bool, uint64, error) {
+func (s *store) ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error) {
 	s.pause()
 	if prefix == jobstore.ActivePrefix {
 		time.Sleep(s.listing)
 	}
 	if ctx.Err() != nil {
-		return nil, false, 0, kvstore.ErrOutcomeUnknown
+		return wire.Listing{}, kvstore.ErrOutcomeUnknown
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,12 +77,12 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
-	return out[:min(most, len(out))], len(out) > most, s.rev, nil
+	return wire.Listing{Items: out[:min(limit, len(out))], More: len(out) > limit, Revision: s.rev}, nil
 }
 
 func (s *store) List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error) {
-	entries, _, rev, err := s.ListPage(ctx, prefix, "", 1<<20)
-	return entries, rev, err
+	all, err := s.ListPage(ctx, prefix, "", 1<<20)
+	return all.Items, all.Revision, err
 }
 
 func (s *store) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (wire.Events, error) {
--- a/snapshot/take.go
+++ b/snapshot/take.go
@@ -19,17 +19,20 @@
 
 // Source is what taking a snapshot needs of the state service.
 type Source interface {
-	Page(ctx context.Context, prefix, after string) ([]wire.Entry, bool, uint64, error)
+	ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error)
 	Watch(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error)
 }
 
 // Target is what filling a state service needs of it.
 type Target interface {
-	Page(ctx context.Context, prefix, after string) ([]wire.Entry, bool, uint64, error)
+	ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error)
 	Get(ctx context.Context, key string) (wire.Entry, error)
 	CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
 }
 
+// listPageSize is how many keys are read at once.
+const listPageSize = 500
+
 // tries is how often a request is repeated that the state service refuses.
 const tries = 20
 
@@ -57,22 +60,22 @@
 	var rev uint64
 	after, more := "", true
 	for more {
-		var items []wire.Entry
+		var page wire.Listing
 		err := again(ctx, func() (err error) {
 			if err := pace.Wait(ctx); err != nil {
 				return err
 			}
-			var at uint64
-			items, more, at, err = src.Page(ctx, "", after)
+			page, err = src.ListPage(ctx, "", after, listPageSize)
 			if rev == 0 {
-				rev = at
+				rev = page.Revision
 			}
 			return err
 		})
 		if err != nil {
 			return Header{}, 0, fmt.Errorf("snapshot: after %q: %w", after, err)
 		}
-		for _, it := range items {
+		more = page.More
+		for _, it := range page.Items {
 			all[it.Key], versions[it.Key] = it.Value, it.Version
 			after = it.Key
 		}
@@ -142,12 +145,12 @@
 			return 0, fmt.Errorf("%w: another import was begun there", ErrNotEmpty)
 		}
 	} else {
-		items, _, _, err := to.Page(ctx, "", "")
+		page, err := to.ListPage(ctx, "", "", listPageSize)
 		if err != nil {
 			return 0, fmt.Errorf("import: %w", err)
 		}
-		if len(items) > 0 {
-			return 0, fmt.Errorf("%w: it has %q", ErrNotEmpty, items[0].Key)
+		if len(page.Items) > 0 {
+			return 0, fmt.Errorf("%w: it has %q", ErrNotEmpty, page.Items[0].Key)
 		}
 		rev, err := to.CompareAndSwap(ctx, []wire.Guard{{Key: importKey}}, []wire.Op{{Put: importKey, Value: mark}})
 		if err != nil {
