--- a/kvstore/kvstore_test.go
+++ b/kvstore/kvstore_test.go
@@ -30,7 +30,7 @@
 		call   func(c *Client) (any, error)
 	}{
 		"get":     {entry, func(c *Client) (any, error) { return c.Get(ctx, "w/j/wk-000412") }},
-		"page":    {wire.Listing{Items: []wire.Entry{entry}, More: true, Revision: 9}, func(c *Client) (any, error) { return pageOf(c.Page(ctx, "w/ j", "w/j/+a")) }},
+		"page":    {wire.Listing{Items: []wire.Entry{entry}, More: true, Revision: 9}, func(c *Client) (any, error) { return pageOf(c.ListPage(ctx, "w/ j", "w/j/+a", listPageSize)) }},
 		"first":   {wire.Listing{Items: []wire.Entry{entry}, More: true, Revision: 9}, func(c *Client) (any, error) { return pageOf(c.ListPage(ctx, "", "", 7)) }},
 		"list":    {wire.Listing{Items: []wire.Entry{entry}, Revision: 9}, func(c *Client) (any, error) { return listOf(c.List(ctx, "w/")) }},
 		"hold":    {wire.LeaseAnswer{Lease: 77}, func(c *Client) (any, error) { return c.GrantLease(ctx, 5*time.Second) }},
@@ -49,8 +49,8 @@
 	}
 }
 
-func pageOf(entries []wire.Entry, more bool, rev uint64, err error) (any, error) {
-	return fmt.Sprint(entries, more, rev), err
+func pageOf(page wire.Listing, err error) (any, error) {
+	return fmt.Sprint(page.Items, page.More, page.Revision), err
 }
 
 func listOf(entries []wire.Entry, rev uint64, err error) (any, error) {
