--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -36,7 +36,7 @@
 		mc.InterruptionAt = time.Time{} // what was known came with an older message
 	} else if mc.InterruptionAt.IsZero() {
 		mc.InterruptionAt = now.Add(config.Seconds(*r.NoticeS))
-		m.log.Info("notice", "machine", mc.Name, "seconds", *r.NoticeS)
+		m.log.Info("spot interruption notice", "machine", mc.Name, "seconds", *r.NoticeS)
 	}
 	m.reconcile(mc, r, now)
 	return mc
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -106,7 +106,7 @@
 			p.LaunchSent, p.LaunchSentAt, p.LaunchEpoch, p.LaunchSeq = true, now, r.Session, r.Seq
 			m.Observer.Launched(now.Sub(p.PlacedAt).Seconds())
 			out = append(out, wire.Command{Op: wire.OpStart, Task: name, Attempt: p.Attempt})
-			m.log.Debug("launch", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
+			m.log.Debug("task launch sent", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
 		}
 	}
 	if mc.unreachable() && mc.TokenShown {
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -42,7 +42,7 @@
 	if s.DeadlineS != nil {
 		deadline = *s.DeadlineS
 	}
-	m.log.Info("job", "id", id, "class", s.Class, "team", s.Team, "kind", s.Kind, "tasks", s.Tasks, "cpus", s.CPUs, "gpus", s.GPUs,
+	m.log.Info("job accepted", "id", id, "class", s.Class, "team", s.Team, "kind", s.Kind, "tasks", s.Tasks, "cpus", s.CPUs, "gpus", s.GPUs,
 		"spot", s.Spot, "at", j.AcceptedAt, "estimate", s.EstimateS, "deadline", deadline)
 }
 
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -74,7 +74,7 @@
 		j := m.Jobs[ref.Job]
 		// A reserved place is promised: it is kept while its machine may return.
 		if p := j.Tasks[ref.Task].Placement; p != nil && !p.LaunchSent && !p.Inherited && j.reservation == nil {
-			m.log.Debug("recalled", "job", j.ID, "task", ref.Task, "machine", mc.Name)
+			m.log.Debug("unlaunched task revoked", "job", j.ID, "task", ref.Task, "machine", mc.Name)
 			m.removePlacement(j, ref.Task, now)
 		}
 	}
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -49,7 +49,7 @@
 
 func (m *Model) markUnreachable(mc *Machine, what string, now time.Time) {
 	if !mc.unreachable() {
-		m.log.Info("machine does not hear", "machine", mc.Name, "session", mc.AgentEpoch, "sign", what)
+		m.log.Info("machine receives no answers", "machine", mc.Name, "session", mc.AgentEpoch, "sign", what)
 		mc.reachability.unreachableSince = now
 	}
 	mc.reachability.reportingSince = time.Time{}
@@ -57,7 +57,7 @@
 
 func (m *Model) markReachable(mc *Machine, now time.Time) {
 	if mc.unreachable() {
-		m.log.Info("machine hears again", "machine", mc.Name, "after", now.Sub(mc.reachability.unreachableSince).Seconds())
+		m.log.Info("machine receives answers again", "machine", mc.Name, "after", now.Sub(mc.reachability.unreachableSince).Seconds())
 		mc.reachability.unreachableSince = time.Time{}
 	}
 }
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -106,7 +106,7 @@
 				}
 				c.Record.QuarantineUntilMs[name] = now.Add(config.Seconds(m.RebalanceSettings.QuarantineS)).UnixMilli()
 				c.Record.Moves = append(c.Record.Moves[:i:i], c.Record.Moves[i+1:]...)
-				m.log.Info("move failed, task quarantined", "task", name, "why", failed)
+				m.log.Info("rebalancing move failed: task quarantined", "task", name, "why", failed)
 				break
 			}
 		}
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -102,14 +102,14 @@
 			if !p.Inherited && !j.failures.atFault() {
 				m.startupAndSpreadOf(j).addStartDelay(now.Sub(p.PlacedAt).Seconds())
 			}
-			m.log.Debug("running", "task", t.Task, "attempt", t.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
+			m.log.Debug("task started", "task", t.Task, "attempt", t.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
 		}
 		if now.Sub(p.RunningSince).Seconds() >= provenAfterSeconds {
 			m.clearFault(j)
 		}
 		if j.FirstRunAt.IsZero() {
 			j.FirstRunAt = now
-			m.log.Info("job runs", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
+			m.log.Info("job started", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		}
 		j.GangStarted = true
 		m.hasImage(mc, j)
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -67,7 +67,7 @@
 		}
 		if why != "" {
 			mc.ScalingIn = true
-			m.log.Info("returning", "machine", mc.Name, "why", why)
+			m.log.Info("scaling in machine", "machine", mc.Name, "why", why)
 			if why == reasonNeverUp {
 				m.refuseOfferOf(mc, now)
 			}
--- a/cluster/scaleout.go
+++ b/cluster/scaleout.go
@@ -65,6 +65,6 @@
 			mc.CreationKnown = true
 		}
 		m.describe(mc, o.Type, o.Zone, o.Spot)
-		m.log.Info("rented", "machine", n, "type", o.Type, "zone", o.Zone, "spot", o.Spot)
+		m.log.Info("machine scaled out", "machine", n, "type", o.Type, "zone", o.Zone, "spot", o.Spot)
 	}
 }
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -18,7 +18,7 @@
 	if !p.RunningSince.IsZero() {
 		ran = now.Sub(p.RunningSince).Seconds()
 	}
-	m.log.Debug("exited", "task", t.Task, "attempt", t.Attempt, "why", t.Why, "saved", t.Saved, "ran", ran, "machine", mc.Name)
+	m.log.Debug("task exited", "task", t.Task, "attempt", t.Attempt, "why", t.Why, "saved", t.Saved, "ran", ran, "machine", mc.Name)
 	ref := TaskRef{Job: j.Index, Task: task}
 	if t.Why == wire.WhyDone {
 		m.hasImage(mc, j)
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -93,7 +93,7 @@
 	if j.DoneTasks == len(j.Tasks) {
 		m.learnFromJob(j)
 		m.countCompletion(j)
-		m.log.Info("job's tasks done", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
+		m.log.Info("job tasks completed", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 	}
 }
 
@@ -140,7 +140,7 @@
 	if j.Spec.CheckpointS > 0 {
 		grace = j.Spec.SaveS + 1
 	}
-	m.log.Info("stopping", "job", j.ID, "task", ref.Task, "why", why, "machine", m.Machines[j.Tasks[ref.Task].Placement.Machine].Name)
+	m.log.Info("stopping task", "job", j.ID, "task", ref.Task, "why", why, "machine", m.Machines[j.Tasks[ref.Task].Placement.Machine].Name)
 	if j.Gang() {
 		m.stopAllTasks(j, grace, why, now)
 		return
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -145,7 +145,7 @@
 	b.bytes += 1000
 	b.commitHooks = append(b.commitHooks, func(_ uint64, now time.Time) {
 		j.Finished = true
-		m.log.Info("job done", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
+		m.log.Info("job completed", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		m.dropJob(j)
 	})
 	return true
--- a/docs/analysis/bound.py
+++ b/docs/analysis/bound.py
@@ -35,7 +35,8 @@
 STEP = 5.0
 FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
 # Messages that had another name in logs of earlier versions.
-RENAMED = {'job': 'job accepted', 'job runs': 'job started', 'job done': 'job completed', 'running': 'task started'}
+RENAMED = {'job': 'job accepted', 'job runs': 'job started', 'job done': 'job completed', 'running': 'task started',
+           'launch': 'task launch sent', 'exited': 'task exited', 'rented': 'machine scaled out'}
 LINE = re.compile(r'\s*([\d.]+) (\S+) time=(\S+) level=\S+ (.*)')
 
 
@@ -55,7 +56,7 @@
 def exits(path):
     out = defaultdict(dict)
     for _, _, f in lines(path):
-        if f.get('msg') == 'exited':
+        if f.get('msg') == 'task exited':
             out[f['task']][int(f['attempt'])] = (f['why'], f['saved'] == 'true', float(f['ran']))
     return out
 
@@ -84,7 +85,7 @@
                     estimate=float(f['estimate']), deadline=float(f['deadline']))
             elif msg == 'job cancelled' and f['id'] in self.jobs:
                 self.jobs[f['id']]['cancelled'] = True
-            elif msg == 'launch':
+            elif msg == 'task launch sent':
                 launched[f['task'], f['attempt']] = t
             elif msg == 'task started' and (f['task'], f['attempt']) in launched:
                 j = self.jobs.get(f['task'].split('/')[0])
@@ -95,9 +96,9 @@
                 self.jobs[f['id']]['done'] = t
             elif msg == 'job started':
                 self.jobs[f['id']].setdefault('start', t)
-            elif msg in ('rented', 'machine up', 'machine listed'):
+            elif msg in ('machine scaled out', 'machine up', 'machine listed'):
                 kinds.setdefault(f['machine'], (f['type'], f['spot'] == 'true'))
-                if msg != 'rented':
+                if msg != 'machine scaled out':
                     up.setdefault(f['machine'], t)
             elif msg == 'machine gone':
                 gone[f['machine']] = t
--- a/docs/analysis/split.py
+++ b/docs/analysis/split.py
@@ -17,8 +17,9 @@
 LINE = re.compile(r'\s*([\d.]+) (\S+) time=(\S+) level=\S+ (.*)')
 # Messages that had another name in logs of earlier versions.
 RENAMED = {'job': 'job accepted', 'job runs': 'job started', 'job done': 'job completed', "job's tasks done": 'job tasks completed',
-           'running': 'task started'}
-ACTS = {'placed', 'launch', 'task started', 'exited', 'job accepted', 'job started', 'job completed', 'job tasks completed', 'stopping',
+           'running': 'task started', 'launch': 'task launch sent', 'exited': 'task exited', 'stopping': 'stopping task',
+           'recalled': 'unlaunched task revoked', 'rented': 'machine scaled out'}
+ACTS = {'placed', 'task launch sent', 'task started', 'task exited', 'job accepted', 'job started', 'job completed', 'job tasks completed', 'stopping task',
         'rental refused'}
 
 
@@ -49,9 +50,9 @@
             jobs.pop(f['id'], None)
         elif msg in ('job started', 'job completed', 'job tasks completed') and f['id'] in jobs:
             jobs[f['id']].setdefault(msg, t)
-        elif msg in ('placed', 'task lost', 'recalled'):
+        elif msg in ('placed', 'task lost', 'unlaunched task revoked'):
             events[f['job'] + '/' + f['task']].append((t, msg, f))
-        elif msg in ('launch', 'task started', 'exited'):
+        elif msg in ('task launch sent', 'task started', 'task exited'):
             events[f['task']].append((t, msg, f))
     total, late, counted = defaultdict(float), 0, 0
     for jid, j in jobs.items():
@@ -67,7 +68,7 @@
         late += 1
 
         def lastof(i):
-            return max((t for t, msg, _ in events[f'{jid}/{i}'] if t <= end and msg in ('task started', 'exited')), default=0)
+            return max((t for t, msg, _ in events[f'{jid}/{i}'] if t <= end and msg in ('task started', 'task exited')), default=0)
 
         slowest = f'{jid}/{max(range(j["n"]), key=lastof)}'
         state, since = 'room', j['at']
@@ -86,10 +87,10 @@
                 break
             if msg == 'task started' and state == 'run':
                 continue
-            kept = msg == 'exited' and (f['why'] == 'done' or f['saved'] == 'true')
+            kept = msg == 'task exited' and (f['why'] == 'done' or f['saved'] == 'true')
             close(t, None if state != 'run' or kept else 'repeated work')
-            state = {'placed': 'record and report', 'launch': 'image', 'task started': 'run', 'recalled': 'room',
-                     'exited': 'room', 'task lost': 'room'}[msg]
+            state = {'placed': 'record and report', 'task launch sent': 'image', 'task started': 'run', 'unlaunched task revoked': 'room',
+                     'task exited': 'room', 'task lost': 'room'}[msg]
         close(end)
     print(f'{cls} {kind} {limit:g}: {late} late of {counted}')
     for k, v in sorted(total.items(), key=lambda x: -x[1]):
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -318,8 +318,8 @@
 		t.Errorf("%d of %d tasks that fit on machines that hear have started after %v", started, hear, took)
 	}
 	time.Sleep(time.Minute - time.Since(began))
-	vain := said.count("recalled")
-	lost, deaf := w.ExpiredLeases(), said.count("machine does not hear")
+	vain := said.count("unlaunched task revoked")
+	lost, deaf := w.ExpiredLeases(), said.count("machine receives no answers")
 	if lost != n {
 		t.Errorf("%d leases ended of %d", lost, n)
 	}
