--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -29,7 +29,8 @@
 	names    map[string]bool            // "package.Name" and "package.Type.Member", tests included
 	tests    map[string][]string        // test functions, with the packages that have them
 	literals map[string]bool            // string literals outside tests
-	testText map[string]bool            // string literals in tests
+	logged   map[string]bool            // messages of log calls outside tests
+	troubles []string                   // the messages that package metrics keeps for operators
 }
 
 // readSources parses every Go file of the module once.
@@ -37,7 +38,7 @@
 	t.Helper()
 	s := &sources{
 		packages: map[string]bool{}, imports: map[string]map[string]bool{}, names: map[string]bool{},
-		tests: map[string][]string{}, literals: map[string]bool{}, testText: map[string]bool{},
+		tests: map[string][]string{}, literals: map[string]bool{}, logged: map[string]bool{},
 	}
 	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -92,20 +93,43 @@
 			}
 		}
 	}
+	if test {
+		return
+	}
 	ast.Inspect(file, func(n ast.Node) bool {
-		if literal, ok := n.(*ast.BasicLit); ok && literal.Kind == token.STRING {
-			if text, err := strconv.Unquote(literal.Value); err == nil {
-				if test {
-					s.testText[text] = true
-				} else {
-					s.literals[text] = true
-				}
+		switch n := n.(type) {
+		case *ast.BasicLit:
+			if text, ok := literal(n); ok {
+				s.literals[text] = true
 			}
+		case *ast.CallExpr:
+			s.addLogCall(n)
 		}
 		return true
 	})
 }
 
+// literal is the value of a string literal.
+func literal(e ast.Expr) (text string, ok bool) {
+	l, ok := e.(*ast.BasicLit)
+	if !ok || l.Kind != token.STRING {
+		return "", false
+	}
+	text, err := strconv.Unquote(l.Value)
+	return text, err == nil
+}
+
+// addLogCall takes the message of a structured log call in.
+func (s *sources) addLogCall(call *ast.CallExpr) {
+	method, ok := call.Fun.(*ast.SelectorExpr)
+	if !ok || len(call.Args) == 0 || !slices.Contains([]string{"Debug", "Info", "Warn", "Error"}, method.Sel.Name) {
+		return
+	}
+	if message, ok := literal(call.Args[0]); ok {
+		s.logged[message] = true
+	}
+}
+
 func (s *sources) addFunc(dir string, d *ast.FuncDecl, test bool) {
 	if d.Recv == nil {
 		s.names[dir+"."+d.Name.Name] = true
@@ -122,8 +146,11 @@
 func (s *sources) addSpec(dir string, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
-		for _, name := range spec.Names {
+		for i, name := range spec.Names {
 			s.names[dir+"."+name.Name] = true
+			if dir+"."+name.Name == "metrics.troubleMessages" && i < len(spec.Values) {
+				s.addTroubles(spec.Values[i])
+			}
 		}
 	case *ast.TypeSpec:
 		s.names[dir+"."+spec.Name.Name] = true
@@ -144,6 +171,19 @@
 	}
 }
 
+// addTroubles takes the list of messages in that package metrics keeps.
+func (s *sources) addTroubles(list ast.Expr) {
+	composite, ok := list.(*ast.CompositeLit)
+	if !ok {
+		return
+	}
+	for _, element := range composite.Elts {
+		if message, ok := literal(element); ok {
+			s.troubles = append(s.troubles, message)
+		}
+	}
+}
+
 // typeName is the name of a receiver's type.
 func typeName(receiver ast.Expr) string {
 	switch e := receiver.(type) {
@@ -412,12 +452,26 @@
 		t.Errorf("%d messages, want 20 at least", len(messages))
 	}
 	for _, message := range messages {
-		if !s.literals[message] {
+		if !s.logged[message] {
 			t.Errorf("docs/oncall.md: nothing logs %q", message)
 		}
 	}
 }
 
+// The status page keeps log lines by their messages: a message that is renamed must be
+// renamed there.
+func TestTroublesKeptForOperatorsAreLogged(t *testing.T) {
+	s := readSources(t)
+	if len(s.troubles) < 10 {
+		t.Errorf("%d messages in metrics.troubleMessages, want 10 at least", len(s.troubles))
+	}
+	for _, message := range s.troubles {
+		if !s.logged[message] {
+			t.Errorf("metrics.troubleMessages: nothing logs %q", message)
+		}
+	}
+}
+
 func TestOncallNamesMetricsThatExist(t *testing.T) {
 	s := readSources(t)
 	metrics := tableCells(t, readPage(t, "docs/oncall.md"), "Metrics")
