--- a/jobstore/intake_test.go
+++ b/jobstore/accept_test.go
@@ -22,8 +22,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// calm is for how long heads stay open after a crowd.
-const calm = 5 * time.Second
+// closePageAfter is for how long heads stay open after a crowd.
+const closePageAfter = 5 * time.Second
 
 var limits = jobstore.Limits{TxnOps: 12, ValueKB: 16}
 
@@ -32,8 +32,8 @@
 		Tasks: 2, CPUs: 2.5, MemoryGB: 4, Image: "img-1", ImageGB: 1.25, EstimateS: 20, Types: []string{"g8", "g16"}}
 }
 
-// nodes plays a story with that many readers of one store.
-func nodes(t *testing.T, n int, s *store, play func(rs []*jobstore.Store)) {
+// runStores plays a story with that many readers of one store.
+func runStores(t *testing.T, n int, s *fakeStore, play func(rs []*jobstore.Store)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -50,8 +50,8 @@
 	s.wg.Wait()
 }
 
-// accept submits as a user does: again after a second, for a minute.
-func accept(ctx context.Context, r *jobstore.Store, j wire.Job) (known, ok bool) {
+// submit submits as a user does: again after a second, for a minute.
+func submit(ctx context.Context, r *jobstore.Store, j wire.Job) (known, ok bool) {
 	for range 60 {
 		actx, cancel := context.WithTimeout(ctx, 3500*time.Millisecond)
 		known, err := r.Accept(actx, j, time.Now())
@@ -68,22 +68,22 @@
 // answers are lost, transactions are applied up to two minutes late, jobs are done
 // and cancelled. Each id stands in one place at any moment, and what was told as
 // final stays.
-func TestAnIDIsAcceptedOnceWhicheverNodesItReaches(t *testing.T) {
+func TestAcceptIsIdempotentAcrossControllers(t *testing.T) {
 	seeds := uint64(10)
 	if scenario.UnderRace {
 		seeds = 2
 	}
 	for seed := range seeds {
 		synctest.Test(t, func(t *testing.T) {
-			s := newStore(seed)
-			s.lost, s.late, s.lateBy, s.slow = 0.1, 0.15, 2*time.Minute, 50*time.Millisecond
+			s := newFakeStore(seed)
+			s.lostShare, s.lateShare, s.maxDelay, s.maxLatency = 0.1, 0.15, 2*time.Minute, 50*time.Millisecond
 			const jobs, singles = 90, 30
 			told := map[string]string{}   // final states
 			accepted := map[string]bool{} // by any node
-			s.check = func() {
+			s.afterChange = func() {
 				for n := range jobs {
 					id := job(n).ID
-					at := s.where(id)
+					at := s.keysOf(id)
 					if len(at) > 1 {
 						t.Errorf("seed %d: %s stands at %v", seed, id, at)
 					}
@@ -103,7 +103,7 @@
 				}
 				told[id] = what
 			}
-			nodes(t, 7, s, func(rs []*jobstore.Store) {
+			runStores(t, 7, s, func(rs []*jobstore.Store) {
 				rnd := rand.New(rand.NewPCG(seed, 9))
 				var wg sync.WaitGroup
 				for n := range jobs {
@@ -114,7 +114,7 @@
 						}
 						wg.Go(func() {
 							for range again + 1 {
-								if _, ok := accept(t.Context(), r, j); !ok {
+								if _, ok := submit(t.Context(), r, j); !ok {
 									t.Errorf("seed %d: %d was never accepted", seed, n)
 								}
 								s.mu.Lock()
@@ -128,7 +128,7 @@
 					if n%3 == 0 {
 						wg.Go(func() {
 							time.Sleep(at)
-							if s.finish(job(n).ID) {
+							if s.finishJob(job(n).ID) {
 								say(job(n).ID, wire.JobDone)
 							}
 						})
@@ -143,7 +143,7 @@
 						})
 					}
 					if n == singles/3 {
-						s.raise(2) // amid it all
+						s.setSchema(2) // amid it all
 					}
 					// Few at first and in the middle, so that heads are closed; many before
 					// and after, so that they are opened.
@@ -173,18 +173,18 @@
 
 // A page splits while two nodes write and a third reads: what is accepted is
 // found, at once and by every node.
-func TestAnAcceptedJobIsFoundWhilePagesSplit(t *testing.T) {
+func TestLookupFindsAcceptedJobsWhilePagesAreSealed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
-		s.raise(1)
-		nodes(t, 3, s, func(rs []*jobstore.Store) {
+		s := newFakeStore(1)
+		s.setSchema(1)
+		runStores(t, 3, s, func(rs []*jobstore.Store) {
 			var wg sync.WaitGroup
 			for k := range 2 {
 				for n := range 150 {
 					wg.Go(func() {
 						time.Sleep(time.Duration(n/6+k) * time.Millisecond)
 						j := job(1000*k + n)
-						if known, ok := accept(t.Context(), rs[k], j); !ok || known {
+						if known, ok := submit(t.Context(), rs[k], j); !ok || known {
 							t.Errorf("%s: known %v, accepted %v", j.ID, known, ok)
 						}
 						v, found, err := rs[2].Lookup(t.Context(), j.ID)
@@ -195,7 +195,7 @@
 				}
 			}
 			wg.Wait()
-			if n := len(s.where("")); n != 0 {
+			if n := len(s.keysOf("")); n != 0 {
 				t.Error("a job without an id")
 			}
 		})
@@ -213,19 +213,19 @@
 
 // A burst of submissions at a state service of 25 changes a second: a
 // transaction takes as many as it has conditions for.
-func TestABurstSharesChanges(t *testing.T) {
+func TestBurstOfSubmissionsSharesTransactions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
-		s.raise(1)
-		nodes(t, 1, s, func(rs []*jobstore.Store) {
-			if known, ok := accept(t.Context(), rs[0], job(9999)); known || !ok {
+		s := newFakeStore(1)
+		s.setSchema(1)
+		runStores(t, 1, s, func(rs []*jobstore.Store) {
+			if known, ok := submit(t.Context(), rs[0], job(9999)); known || !ok {
 				t.Fatal("the first one")
 			}
 			s.changes = 0
 			var wg sync.WaitGroup
 			begun := time.Now()
 			for n := range 500 {
-				wg.Go(func() { accept(t.Context(), rs[0], job(n)) })
+				wg.Go(func() { submit(t.Context(), rs[0], job(n)) })
 			}
 			wg.Wait()
 			t.Logf("500 jobs: %d changes, %v", s.changes, time.Since(begun))
@@ -238,19 +238,19 @@
 
 // A submission alone waits for nobody, and costs one transaction, whichever node
 // it reaches: also after a crowd, once the heads have been closed again.
-func TestASubmissionAloneIsCommittedAtOnce(t *testing.T) {
+func TestSingleSubmissionTakesOneTransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
-		s.raise(3)
-		nodes(t, 3, s, func(rs []*jobstore.Store) {
+		s := newFakeStore(1)
+		s.setSchema(3)
+		runStores(t, 3, s, func(rs []*jobstore.Store) {
 			var wg sync.WaitGroup
 			for n := range 90 {
-				wg.Go(func() { accept(t.Context(), rs[n%3], job(1000+n)) })
+				wg.Go(func() { submit(t.Context(), rs[n%3], job(1000+n)) })
 			}
 			wg.Wait()
-			time.Sleep(2 * calm)
+			time.Sleep(2 * closePageAfter)
 			for n := range 60 { // by which each bucket's head is closed
-				accept(t.Context(), rs[n%3], job(2000+n))
+				submit(t.Context(), rs[n%3], job(2000+n))
 				time.Sleep(time.Second)
 			}
 			for _, r := range rs {
@@ -261,7 +261,7 @@
 			s.changes = 0
 			for n := range 30 {
 				begun := time.Now()
-				if _, ok := accept(t.Context(), rs[n%3], job(n)); !ok || time.Since(begun) > 4*time.Millisecond {
+				if _, ok := submit(t.Context(), rs[n%3], job(n)); !ok || time.Since(begun) > 4*time.Millisecond {
 					t.Errorf("took %v", time.Since(begun))
 				}
 				time.Sleep(time.Second)
@@ -276,23 +276,23 @@
 // Until the form is raised every job has a key of its own, which the version
 // before reads; a node that has not heard of the new form does not write the old
 // one any more.
-func TestTheFormIsRaisedUnderANodeThatHasNotHeard(t *testing.T) {
+func TestAcceptAfterSchemaWasRaisedUnnoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
-		nodes(t, 2, s, func(rs []*jobstore.Store) {
-			accept(t.Context(), rs[0], job(1))
-			accept(t.Context(), rs[1], job(2))
+		s := newFakeStore(1)
+		runStores(t, 2, s, func(rs []*jobstore.Store) {
+			submit(t.Context(), rs[0], job(1))
+			submit(t.Context(), rs[1], job(2))
 			for _, n := range []int{1, 2} {
-				if at := s.where(job(n).ID); len(at) != 1 || at[0] != jobstore.JobKey(job(n).ID) {
+				if at := s.keysOf(job(n).ID); len(at) != 1 || at[0] != jobstore.JobKey(job(n).ID) {
 					t.Errorf("before: %v", at)
 				}
 			}
-			s.raise(3)
+			s.setSchema(3)
 			for i, r := range rs {
 				shared := 0
-				crowded(t, r, 100*i+100)
+				submitCrowd(t, r, 100*i+100)
 				for n := range 40 {
-					at := s.where(job(100*i + 100 + n).ID)
+					at := s.keysOf(job(100*i + 100 + n).ID)
 					if len(at) != 1 {
 						t.Errorf("after: %v", at)
 					} else if jobstore.IsJobPageKey(at[0]) {
@@ -302,53 +302,53 @@
 				if shared < 20 {
 					t.Errorf("only %d of 40 share pages", shared)
 				}
-				if known, ok := accept(t.Context(), r, job(1)); !known || !ok {
+				if known, ok := submit(t.Context(), r, job(1)); !known || !ok {
 					t.Error("a job of the old form is not known")
 				}
 			}
 			large := job(20)
 			large.Types = []string{strings.Repeat("x", 5000)}
-			if known, ok := accept(t.Context(), rs[0], large); known || !ok {
+			if known, ok := submit(t.Context(), rs[0], large); known || !ok {
 				t.Error("the large one was not accepted")
 			}
-			if known, ok := accept(t.Context(), rs[1], large); !known || !ok {
+			if known, ok := submit(t.Context(), rs[1], large); !known || !ok {
 				t.Error("the large one was accepted twice")
 			}
-			if at := s.where(large.ID); len(at) != 1 || at[0] != jobstore.JobKey(large.ID) {
+			if at := s.keysOf(large.ID); len(at) != 1 || at[0] != jobstore.JobKey(large.ID) {
 				t.Errorf("the large one stands at %v", at)
 			}
 		})
 	})
 }
 
-// crowded opens a bucket's head.
-func crowded(t *testing.T, r *jobstore.Store, from int) {
+// submitCrowd opens a bucket's head.
+func submitCrowd(t *testing.T, r *jobstore.Store, from int) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for n := range 40 {
-		wg.Go(func() { accept(t.Context(), r, job(from+n)) })
+		wg.Go(func() { submit(t.Context(), r, job(from+n)) })
 	}
 	wg.Wait()
 }
 
 // A job too large for a page gets a key of its own beside an open head; a smaller
 // repeat of it at the same node, which has not read since, is known.
-func TestALargeJobIsKnownToItsNodeAtOnce(t *testing.T) {
+func TestLargeJobIsKnownBeforeNextBarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
-		s.raise(1)
-		nodes(t, 1, s, func(rs []*jobstore.Store) {
-			crowded(t, rs[0], 100)
+		s := newFakeStore(1)
+		s.setSchema(1)
+		runStores(t, 1, s, func(rs []*jobstore.Store) {
+			submitCrowd(t, rs[0], 100)
 			large := job(1)
 			large.Types = []string{strings.Repeat("x", 5000)}
-			if known, ok := accept(t.Context(), rs[0], large); known || !ok {
+			if known, ok := submit(t.Context(), rs[0], large); known || !ok {
 				t.Error("the large one was not accepted")
 			}
-			crowded(t, rs[0], 200)
-			if known, ok := accept(t.Context(), rs[0], job(1)); !known || !ok {
+			submitCrowd(t, rs[0], 200)
+			if known, ok := submit(t.Context(), rs[0], job(1)); !known || !ok {
 				t.Error("the smaller one was accepted as well")
 			}
-			if at := s.where(job(1).ID); len(at) != 1 {
+			if at := s.keysOf(job(1).ID); len(at) != 1 {
 				t.Errorf("it stands at %v", at)
 			}
 		})
@@ -357,21 +357,21 @@
 
 // While a transaction's answer is on its way, a barrier brings what it did and that
 // the job is over: what the node then hears of its own transaction is old.
-func TestAnAnswerThatComesAfterTheNewsChangesNothing(t *testing.T) {
+func TestLateCommitAnswerIsIgnoredAfterBarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
-		s.raise(1)
-		nodes(t, 1, s, func(rs []*jobstore.Store) {
-			crowded(t, rs[0], 100)
+		s := newFakeStore(1)
+		s.setSchema(1)
+		runStores(t, 1, s, func(rs []*jobstore.Store) {
+			submitCrowd(t, rs[0], 100)
 			over := map[string]bool{}
-			s.answering = func(ops []wire.Op) {
+			s.beforeAnswer = func(ops []wire.Op) {
 				for _, op := range ops {
 					page, ok := op.Value.(jobstore.JobPage)
 					if !ok || jobstore.IsHeadPageKey(op.Put) {
 						continue
 					}
 					for _, e := range page.Entries {
-						over[e.ID] = s.finish(e.ID)
+						over[e.ID] = s.finishJob(e.ID)
 					}
 				}
 				if _, _, err := rs[0].Lookup(t.Context(), "wk-999999"); err != nil {
@@ -379,9 +379,9 @@
 				}
 			}
 			for n := range 6 {
-				crowded(t, rs[0], 1000+100*n)
+				submitCrowd(t, rs[0], 1000+100*n)
 			}
-			s.answering = nil
+			s.beforeAnswer = nil
 			if len(over) < 20 {
 				t.Errorf("only %d were over", len(over))
 			}
@@ -395,18 +395,18 @@
 }
 
 // A form that a later version has written is refused, in words.
-func TestANewerFormIsRefused(t *testing.T) {
+func TestNewerSchemaIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
+		s := newFakeStore(1)
 		_, _ = s.apply(nil, []wire.Op{{Put: jobstore.SchemaKey, Value: jobstore.SchemaRecord{Version: jobstore.LatestSchema + 1, Buckets: 3}}})
-		nodes(t, 1, s, func(rs []*jobstore.Store) {
+		runStores(t, 1, s, func(rs []*jobstore.Store) {
 			if _, _, err := rs[0].Lookup(t.Context(), "wk-000001"); !errors.Is(err, jobstore.ErrNewerSchema) {
 				t.Errorf("lookup: %v", err)
 			}
 			if _, err := rs[0].Accept(t.Context(), job(1), time.Now()); err == nil || errors.Is(err, kvstore.ErrOutcomeUnknown) {
 				t.Errorf("accept: %v", err)
 			}
-			if len(s.where("wk-000001")) != 0 {
+			if len(s.keysOf("wk-000001")) != 0 {
 				t.Error("it was written all the same")
 			}
 		})
@@ -414,28 +414,28 @@
 }
 
 // A damaged record is named, and those beside it go on.
-func TestADamagedRecordIsNamedAndTheOthersGoOn(t *testing.T) {
+func TestUnreadableEntryIsLoggedAndOthersAreServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
+		s := newFakeStore(1)
 		good, err := wire.Marshal(jobstore.JobRecord{Job: job(1)})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.raise(1)
+		s.setSchema(1)
 		_, _ = s.apply(nil, []wire.Op{{Put: jobstore.HeadPageKey(0), Value: jobstore.JobPage{Entries: []jobstore.JobPageEntry{
 			{ID: job(1).ID, Record: good}, {ID: job(2).ID, Record: good}, {ID: job(3).ID, Record: wire.Raw{0xc0}}}}}})
 		var log bytes.Buffer
-		nodes(t, 1, s, func(rs []*jobstore.Store) {
+		runStores(t, 1, s, func(rs []*jobstore.Store) {
 			rs[0].Log = slog.New(slog.NewTextHandler(&log, nil))
 			if v, found, err := rs[0].Lookup(t.Context(), job(1).ID); err != nil || !found || v.Record.Job.CPUs != 2.5 {
 				t.Errorf("the good one: %v, %v, %v", v, found, err)
 			}
 			for _, n := range []int{2, 3} {
-				if known, ok := accept(t.Context(), rs[0], job(n)); !known || !ok {
+				if known, ok := submit(t.Context(), rs[0], job(n)); !known || !ok {
 					t.Errorf("%d, which is damaged, was accepted anew", n)
 				}
 			}
-			if _, ok := accept(t.Context(), rs[0], job(4)); !ok {
+			if _, ok := submit(t.Context(), rs[0], job(4)); !ok {
 				t.Error("nothing is accepted beside damaged records")
 			}
 		})
@@ -443,7 +443,7 @@
 			if !strings.Contains(log.String(), job(n).ID) {
 				t.Errorf("%s is not named in %q", job(n).ID, log.String())
 			}
-			if at := s.where(job(n).ID); len(at) != 1 {
+			if at := s.keysOf(job(n).ID); len(at) != 1 {
 				t.Errorf("%s stands at %v", job(n).ID, at)
 			}
 		}
@@ -451,17 +451,17 @@
 }
 
 // What a page is said to take is never less than what the service counts.
-func TestSizesAreNotUnderstated(t *testing.T) {
+func TestPageSizeIsAnUpperBound(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 3))
 	for range 300 {
 		j := job(rnd.IntN(1e6))
 		j.CPUs, j.EstimateS = rnd.ExpFloat64()*1e3, rnd.Float64()*1e-7
 		j.Class = strings.Repeat(`"é<`, rnd.IntN(20))
-		checkSize(t, jobstore.JobRecord{Job: j, AcceptedAtMs: rnd.Int64()})
+		checkPageSize(t, jobstore.JobRecord{Job: j, AcceptedAtMs: rnd.Int64()})
 	}
 }
 
-func checkSize(t *testing.T, rec jobstore.JobRecord) {
+func checkPageSize(t *testing.T, rec jobstore.JobRecord) {
 	t.Helper()
 	raw, err := wire.Marshal(rec)
 	if err != nil {
@@ -487,7 +487,7 @@
 
 // Whatever stands in a page's value, reading it ends, and what can be read is
 // what was written.
-func FuzzIntakeRecord(f *testing.F) {
+func FuzzJobPage(f *testing.F) {
 	raw, err := wire.Marshal(jobstore.JobRecord{Job: job(1)})
 	if err != nil {
 		f.Fatal(err)
@@ -517,12 +517,12 @@
 
 // More submissions wait than a transaction takes. Those of the first tier go with
 // the next, whenever they came; of the others some go each time.
-func TestTheFirstTiersSubmissionsGoWithTheNextTransaction(t *testing.T) {
+func TestLowerTierSubmissionsOvertake(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
-		s.raise(1)
-		s.slow = 200 * time.Millisecond
-		nodes(t, 1, s, func(rs []*jobstore.Store) {
+		s := newFakeStore(1)
+		s.setSchema(1)
+		s.maxLatency = 200 * time.Millisecond
+		runStores(t, 1, s, func(rs []*jobstore.Store) {
 			rs[0].Tier = func(_, class string) int {
 				if class == "clinic" {
 					return 0
@@ -536,7 +536,7 @@
 				wg.Go(func() {
 					j := job(n)
 					j.Class = class
-					if _, ok := accept(t.Context(), rs[0], j); ok {
+					if _, ok := submit(t.Context(), rs[0], j); ok {
 						mu.Lock()
 						order = append(order, class)
 						mu.Unlock()
--- a/jobstore/damage.go
+++ b/jobstore/damage.go
@@ -15,23 +15,23 @@
 // has what a leader needs to mend pages of users' jobs. docs/jobstore.md ("Records
 // that can't be read") argues why that is safe.
 
-var errNotWritten = errors.New("it is not what was written")
+var errMalformed = errors.New("it is not what was written")
 
-// holds says whether a value is a map that may have that key. What is nothing, or
+// mapWithKey says whether a value is a map that may have that key. What is nothing, or
 // an empty map, decodes as an empty record, and an empty page would forget its jobs.
-func holds(raw wire.Raw, key string) bool {
+func mapWithKey(raw wire.Raw, key string) bool {
 	if len(raw) == 0 || raw[0]&0xf0 != 0x80 && raw[0] != 0xde && raw[0] != 0xdf {
 		return false
 	}
-	return bytes.Contains(raw, text(key))
+	return bytes.Contains(raw, msgpackString(key))
 }
 
-func decode(raw wire.Raw, key string, v any) error {
+func decodeMap(raw wire.Raw, key string, v any) error {
 	if err := wire.Unmarshal(raw, v); err != nil {
 		return err
 	}
-	if !holds(raw, key) {
-		return errNotWritten
+	if !mapWithKey(raw, key) {
+		return errMalformed
 	}
 	return nil
 }
@@ -55,7 +55,7 @@
 		return rec, err
 	}
 	if rec.State != wire.JobDone && rec.State != wire.JobCancelled {
-		return rec, errNotWritten
+		return rec, errMalformed
 	}
 	return rec, nil
 }
@@ -63,23 +63,23 @@
 // DecodeJobPage reads a page of users' jobs.
 func DecodeJobPage(raw wire.Raw) (JobPage, error) {
 	var rec JobPage
-	err := decode(raw, "s", &rec)
+	err := decodeMap(raw, "s", &rec)
 	return rec, err
 }
 
 // DecodePlacementPage reads a page of placement records.
 func DecodePlacementPage(raw wire.Raw) (PlacementPage, error) {
 	var rec PlacementPage
-	err := decode(raw, "c", &rec)
+	err := decodeMap(raw, "c", &rec)
 	return rec, err
 }
 
 // DecodeSchema reads the form of the records.
 func DecodeSchema(raw wire.Raw) (SchemaRecord, error) {
 	var rec SchemaRecord
-	err := decode(raw, "f", &rec)
+	err := decodeMap(raw, "f", &rec)
 	if err == nil && (rec.Version < SchemaJobPages || rec.Buckets < 1) {
-		err = errNotWritten
+		err = errMalformed
 	}
 	return rec, err
 }
@@ -90,9 +90,9 @@
 	return len(raw) > 1 && (raw[0] > 0x80 && raw[0] < 0x90 || raw[0] == 0xde || raw[0] == 0xdf)
 }
 
-// asideMark begins an Aside. It stands where a page has a number, so that no
+// quarantineMark begins an Aside. It stands where a page has a number, so that no
 // version takes it for a page: to all of them it is one that can't be read.
-const asideMark = "aside"
+const quarantineMark = "aside"
 
 // QuarantinedPage is a page of users' jobs that can't be read, as a leader has set it aside
 // under the key of a sealed page. From then on no leader knows its jobs, but by what
@@ -109,11 +109,11 @@
 // NewQuarantinedPage sets a value aside, whole where there is room for it; else the ids of
 // the jobs that still stand there.
 func NewQuarantinedPage(from string, version uint64, atMs int64, raw wire.Raw, l Limits) QuarantinedPage {
-	a := QuarantinedPage{Mark: asideMark, OriginalKey: from, OriginalVersion: version, QuarantinedAtMs: atMs, Raw: raw}
+	a := QuarantinedPage{Mark: quarantineMark, OriginalKey: from, OriginalVersion: version, QuarantinedAtMs: atMs, Raw: raw}
 	if size := wire.JSONSize(raw); size >= 21*len(raw) || size+200 > l.valueBytes() { // no value at all, or too large
 		rec := JobPage{}
 		for _, id := range salvageIDs(raw) {
-			rec.Entries = append(rec.Entries, JobPageEntry{ID: id, Record: append(bytes.Clone(recordID), text(id)...)})
+			rec.Entries = append(rec.Entries, JobPageEntry{ID: id, Record: append(bytes.Clone(recordID), msgpackString(id)...)})
 		}
 		a.Raw = nil
 		if b, err := wire.Marshal(idsOnly(rec)); err == nil {
@@ -127,14 +127,14 @@
 func idsOnly(rec JobPage) []byte {
 	var out []byte
 	for _, e := range rec.Entries {
-		out = append(append(append(out, entryID...), text(e.ID)...), e.Record...)
+		out = append(append(append(out, entryID...), msgpackString(e.ID)...), e.Record...)
 	}
 	return out
 }
 
 // DecodeQuarantinedPage reads what was set aside; ok is false for anything else.
 func DecodeQuarantinedPage(raw wire.Raw) (a QuarantinedPage, ok bool) {
-	if len(raw) == 0 || raw[0]&0xf0 != 0x90 || wire.Unmarshal(raw, &a) != nil || a.Mark != asideMark {
+	if len(raw) == 0 || raw[0]&0xf0 != 0x90 || wire.Unmarshal(raw, &a) != nil || a.Mark != quarantineMark {
 		return QuarantinedPage{}, false
 	}
 	return a, true
@@ -192,32 +192,32 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if l, ok := r.lost[key]; ok {
-		if m := l.was; l.version == version && m != nil {
+	if l, ok := r.unreadablePages[key]; ok {
+		if m := l.recovered; l.version == version && m != nil {
 			return m
 		}
 		return nil
 	}
-	if p := r.intake[key]; p != nil && p.version == version {
-		return &RecoveryCopy{Entries: append([]JobPageEntry{}, p.rec.Entries...)}
+	if p := r.jobPages[key]; p != nil && p.version == version {
+		return &RecoveryCopy{Entries: append([]JobPageEntry{}, p.page.Entries...)}
 	}
-	if key == SchemaKey && r.formAt == version && !r.formLost {
-		return remember(r.form)
+	if key == SchemaKey && r.schemaVersion == version && !r.schemaUnreadable {
+		return newRecoveryCopy(r.schema)
 	}
-	if r.detail != nil && strings.HasPrefix(key, AppPrefix) {
-		if e := r.detail.apps[key]; e.Version == version && IsAppValue(e.Value) {
+	if r.apps != nil && strings.HasPrefix(key, AppPrefix) {
+		if e := r.apps.apps[key]; e.Version == version && IsAppValue(e.Value) {
 			return &RecoveryCopy{Value: e.Value}
 		}
 	}
 	if id, ok := ParseJobKey(key); ok {
-		if j := r.jobs[id]; j != nil && j.version == version && j.home == "" && !j.bad {
-			return remember(j.rec)
+		if j := r.jobs[id]; j != nil && j.version == version && j.pageKey == "" && !j.unreadable {
+			return newRecoveryCopy(j.record)
 		}
 	}
 	return nil
 }
 
-func remember(v any) *RecoveryCopy {
+func newRecoveryCopy(v any) *RecoveryCopy {
 	raw, err := wire.Marshal(v)
 	if err != nil {
 		return nil
@@ -230,11 +230,11 @@
 func (r *Store) UnreadableKey() (key string, version uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.formLost {
-		return SchemaKey, r.formAt
+	if r.schemaUnreadable {
+		return SchemaKey, r.schemaVersion
 	}
-	for key, l := range r.lost {
-		if !l.aside {
+	for key, l := range r.unreadablePages {
+		if !l.quarantined {
 			return key, l.version
 		}
 	}
--- a/jobstore/encoding_test.go
+++ b/jobstore/encoding_test.go
@@ -30,7 +30,7 @@
 	golden.Hold[RebalanceCycle](f, "cycle", msgpackCodec)
 	golden.Hold[Move](f, "move", msgpackCodec)
 	golden.Hold[wire.Types](f, "types", msgpackCodec)
-	golden.Hold[QuarantinedPage](f, "record set aside", msgpackCodec, func(a *QuarantinedPage) { a.Mark = asideMark })
+	golden.Hold[QuarantinedPage](f, "record set aside", msgpackCodec, func(a *QuarantinedPage) { a.Mark = quarantineMark })
 	golden.Hold[RecoveryCopy](f, "memory of a record", msgpackCodec)
 	golden.Hold[PlanHead](f, "plan head", msgpackCodec, func(h *PlanHead) { h.Versions = h.Versions[1:] })
 	golden.Hold[PlanVersion](f, "plan version", msgpackCodec)
@@ -47,7 +47,7 @@
 		"placement page":      func(raw wire.Raw) (any, error) { return DecodePlacementPage(raw) },
 		"intake page, closed": func(raw wire.Raw) (any, error) { return DecodeJobPage(raw) },
 		"form":                func(raw wire.Raw) (any, error) { return DecodeSchema(raw) },
-		"plan head":           func(raw wire.Raw) (any, error) { return decodeHead(raw) },
+		"plan head":           func(raw wire.Raw) (any, error) { return decodePlanHead(raw) },
 	}
 	want := map[string]any{
 		"job": golden.Filled[JobRecord](), "placement page": golden.Filled[PlacementPage](), "intake page, closed": golden.Filled[JobPage](),
@@ -66,7 +66,7 @@
 		}
 	}
 	aside := golden.Filled[QuarantinedPage]()
-	aside.Mark = asideMark
+	aside.Mark = quarantineMark
 	if got, ok := DecodeQuarantinedPage(f.Recorded("record set aside")); !ok || !reflect.DeepEqual(got, aside) {
 		t.Errorf("what was set aside is read as %+v, %v", got, ok)
 	}
@@ -81,7 +81,7 @@
 	for name, key := range map[string]string{
 		"active": ActivePrefix, "jobs": JobPrefix, "rentals": ScaleOutPrefix, "cycles": RebalanceCyclePrefix, "types": MachineTypesKey, "returns": ScaleInKey,
 		"form": SchemaKey, "copy of the form": SchemaCopyKey, "apps": AppPrefix, "notes": PlanStatePrefix,
-		"plan head": PlanHeadKey, "copy of the plan head": planHeadCopyKey, "plan asked for": PlanRequestedKey, "plan text": pieceKey("7-abc", 3),
+		"plan head": PlanHeadKey, "copy of the plan head": planHeadCopyKey, "plan asked for": PlanRequestedKey, "plan text": planTextKey("7-abc", 3),
 		"job": JobKey("wk-000412"), "final": FinalKey("wk-000412"), "placement page": PlacementPageKey(17), "head": HeadPageKey(2), "sealed page": SealedPageKey(2, 31),
 	} {
 		f.Text(name, key)
--- a/jobstore/ending.go
+++ b/jobstore/ending.go
@@ -15,54 +15,54 @@
 // most of a minute. So those that wait for a page share a transaction, and a
 // bucket's writer commits them and the submissions in turn.
 
-// ending waits for its job to be ended.
-type ending struct {
-	id, home string // where the job stood when it was looked up
-	over     JobRecord
-	done     chan error
+// cancellation waits for its job to be ended.
+type cancellation struct {
+	id, pageKey string // where the job stood when it was looked up
+	final       JobRecord
+	done        chan error
 }
 
 // cancelOnPage ends a job whose record shares a page with others.
 func (r *Store) cancelOnPage(ctx context.Context, id, home string, over JobRecord) error {
-	e := &ending{id: id, home: home, over: over, done: make(chan error, 1)}
+	e := &cancellation{id: id, pageKey: home, final: over, done: make(chan error, 1)}
 	r.mu.Lock()
-	if r.ctx == nil || r.ended {
+	if r.ctx == nil || r.stopped {
 		r.mu.Unlock()
 		return fmt.Errorf("%w: shutting down", kvstore.ErrRefused)
 	}
-	bucket := r.form.Bucket(id)
-	q := r.queue(bucket)
-	q.ending = append(q.ending, e)
-	r.write(bucket, q)
+	bucket := r.schema.Bucket(id)
+	q := r.bucketQueue(bucket)
+	q.cancellations = append(q.cancellations, e)
+	r.startWriter(bucket, q)
 	r.mu.Unlock()
 	select {
 	case err := <-e.done:
 		return err
 	case <-ctx.Done():
 		r.mu.Lock()
-		q.ending = slices.DeleteFunc(q.ending, func(o *ending) bool { return o == e })
+		q.cancellations = slices.DeleteFunc(q.cancellations, func(o *cancellation) bool { return o == e })
 		r.mu.Unlock()
 		return fmt.Errorf("%w: %v", kvstore.ErrOutcomeUnknown, ctx.Err()) // it may be under way
 	}
 }
 
-// takeEnding takes those that fit into a transaction off a queue, all of the page
+// takeCancellations takes those that fit into a transaction off a queue, all of the page
 // for which the first one waits; the lock is held.
-func (r *Store) takeEnding(q *queue) (taken []*ending) {
-	if len(q.ending) == 0 {
+func (r *Store) takeCancellations(q *bucketQueue) (taken []*cancellation) {
+	if len(q.cancellations) == 0 {
 		return nil
 	}
-	home, most, bytes := q.ending[0].home, r.Limits.TxnOps-1, 0
+	home, most, bytes := q.cancellations[0].pageKey, r.Limits.TxnOps-1, 0
 	if r.Limits.TxnOps <= 0 {
 		most = 11
 	}
-	q.ending = slices.DeleteFunc(q.ending, func(e *ending) bool {
-		if e.home != home || len(taken) >= most {
+	q.cancellations = slices.DeleteFunc(q.cancellations, func(e *cancellation) bool {
+		if e.pageKey != home || len(taken) >= most {
 			return false
 		}
-		raw, err := wire.Marshal(e.over)
+		raw, err := wire.Marshal(e.final)
 		size := wire.JSONSize(raw) + 64
-		if len(taken) > 0 && (err != nil || bytes+size > 2*r.Limits.bytes()) {
+		if len(taken) > 0 && (err != nil || bytes+size > 2*r.Limits.pageBytes()) {
 			return false
 		}
 		bytes += size
@@ -72,16 +72,16 @@
 	return taken
 }
 
-// commitEnding ends jobs of one page, and tells each. What has become of one whose
+// commitCancellations ends jobs of one page, and tells each. What has become of one whose
 // transaction failed, or was not answered, its caller looks up.
-func (r *Store) commitEnding(ctx context.Context, ends []*ending) {
-	home := ends[0].home
+func (r *Store) commitCancellations(ctx context.Context, ends []*cancellation) {
+	home := ends[0].pageKey
 	r.mu.Lock()
-	var stand []*ending
+	var stand []*cancellation
 	ids := map[string]bool{}
-	p := r.intake[home]
+	p := r.jobPages[home]
 	for _, e := range ends {
-		if p == nil || !slices.ContainsFunc(p.rec.Entries, func(o JobPageEntry) bool { return o.ID == e.id }) || ids[e.id] {
+		if p == nil || !slices.ContainsFunc(p.page.Entries, func(o JobPageEntry) bool { return o.ID == e.id }) || ids[e.id] {
 			e.done <- fmt.Errorf("%w: the job has moved", kvstore.ErrOutcomeUnknown)
 			continue
 		}
@@ -92,7 +92,7 @@
 		r.mu.Unlock()
 		return
 	}
-	rec, version := p.rec.Without(ids), p.version
+	rec, version := p.page.Without(ids), p.version
 	r.mu.Unlock()
 	guards, ops := []wire.Guard{{Key: home, Version: version}}, []wire.Op{{Put: home, Value: rec}}
 	if len(rec.Entries) == 0 && !IsHeadPageKey(home) {
@@ -100,11 +100,11 @@
 	}
 	for _, e := range stand {
 		guards = append(guards, wire.Guard{Key: FinalKey(e.id)})
-		ops = append(ops, wire.Op{Put: FinalKey(e.id), Value: e.over})
+		ops = append(ops, wire.Op{Put: FinalKey(e.id), Value: e.final})
 	}
-	rev, err := r.store.CompareAndSwap(ctx, guards, ops)
+	rev, err := r.kv.CompareAndSwap(ctx, guards, ops)
 	if err == nil {
-		r.wrote(ops, rev)
+		r.applyOwnPages(ops, rev)
 	}
 	for _, e := range stand {
 		e.done <- err
--- a/jobstore/store_test.go
+++ b/jobstore/fakestore_test.go
@@ -13,63 +13,63 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// store is a state service in memory that takes 3 ms, and of which a story can
+// fakeStore is a state service in memory that takes 3 ms, and of which a story can
 // have transactions applied late, or their answers lost.
-type store struct {
-	rnd        *rand.Rand
-	slow       time.Duration // how much longer an answer takes at most
-	listing    time.Duration // how much longer a page of the active records takes
-	lost, late float64       // shares of the transactions
-	lateBy     time.Duration // at most
-
-	mu      sync.Mutex
-	rev     uint64
-	keys    map[string]wire.Entry
-	log     []wire.Event
-	changes int // also of transactions whose conditions failed
-	asked   int
-	check   func() // after each change
-	wg      sync.WaitGroup
-
-	answering func(ops []wire.Op) // before a transaction's answer goes out
+type fakeStore struct {
+	rnd                  *rand.Rand
+	maxLatency           time.Duration // how much longer an answer takes at most
+	listLatency          time.Duration // how much longer a page of the active records takes
+	lostShare, lateShare float64       // shares of the transactions
+	maxDelay             time.Duration // at most
+
+	mu          sync.Mutex
+	rev         uint64
+	keys        map[string]wire.Entry
+	log         []wire.Event
+	changes     int // also of transactions whose conditions failed
+	requests    int
+	afterChange func() // after each change
+	wg          sync.WaitGroup
+
+	beforeAnswer func(ops []wire.Op) // before a transaction's answer goes out
 }
 
-func newStore(seed uint64) *store {
-	return &store{rnd: rand.New(rand.NewPCG(seed, 5)), keys: map[string]wire.Entry{}}
+func newFakeStore(seed uint64) *fakeStore {
+	return &fakeStore{rnd: rand.New(rand.NewPCG(seed, 5)), keys: map[string]wire.Entry{}}
 }
 
 // pause is how long the service takes.
-func (s *store) pause() {
+func (s *fakeStore) pause() {
 	d := 3 * time.Millisecond
-	if s.slow > 0 {
+	if s.maxLatency > 0 {
 		s.mu.Lock()
-		d += time.Duration(s.rnd.Int64N(int64(s.slow)))
+		d += time.Duration(s.rnd.Int64N(int64(s.maxLatency)))
 		s.mu.Unlock()
 	}
 	time.Sleep(d)
 }
 
-func (s *store) Get(_ context.Context, key string) (wire.Entry, error) {
+func (s *fakeStore) Get(_ context.Context, key string) (wire.Entry, error) {
 	s.pause()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked++
+	s.requests++
 	e := s.keys[key]
 	e.Revision = s.rev
 	return e, nil
 }
 
-func (s *store) ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error) {
+func (s *fakeStore) ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error) {
 	s.pause()
 	if prefix == jobstore.ActivePrefix {
-		time.Sleep(s.listing)
+		time.Sleep(s.listLatency)
 	}
 	if ctx.Err() != nil {
 		return wire.Listing{}, kvstore.ErrOutcomeUnknown
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked++
+	s.requests++
 	var out []wire.Entry
 	for k, e := range s.keys {
 		if strings.HasPrefix(k, prefix) && k > after {
@@ -80,16 +80,16 @@
 	return wire.Listing{Items: out[:min(limit, len(out))], More: len(out) > limit, Revision: s.rev}, nil
 }
 
-func (s *store) List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error) {
+func (s *fakeStore) List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error) {
 	all, err := s.ListPage(ctx, prefix, "", 1<<20)
 	return all.Items, all.Revision, err
 }
 
-func (s *store) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (wire.Events, error) {
+func (s *fakeStore) Watch(_ context.Context, prefix string, after uint64, _ time.Duration) (wire.Events, error) {
 	s.pause()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked++
+	s.requests++
 	ev := wire.Events{Revision: s.rev}
 	for _, e := range s.log {
 		if e.Version > after && strings.HasPrefix(e.Put+e.Delete, prefix) {
@@ -99,23 +99,23 @@
 	return ev, nil
 }
 
-func (s *store) CompareAndSwap(_ context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error) {
+func (s *fakeStore) CompareAndSwap(_ context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error) {
 	s.pause()
 	rev, err := s.commit(guards, ops)
-	if f := s.answering; f != nil && err == nil {
+	if f := s.beforeAnswer; f != nil && err == nil {
 		f(ops)
 	}
 	return rev, err
 }
 
-func (s *store) commit(guards []wire.Guard, ops []wire.Op) (uint64, error) {
+func (s *fakeStore) commit(guards []wire.Guard, ops []wire.Op) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.asked++
+	s.requests++
 	s.changes += len(ops)
 	switch p := s.rnd.Float64(); {
-	case p < s.late:
-		by := time.Duration(s.rnd.Int64N(int64(s.lateBy)))
+	case p < s.lateShare:
+		by := time.Duration(s.rnd.Int64N(int64(s.maxDelay)))
 		s.wg.Go(func() {
 			time.Sleep(by)
 			s.mu.Lock()
@@ -123,17 +123,17 @@
 			_, _ = s.apply(guards, ops)
 		})
 		return 0, kvstore.ErrOutcomeUnknown
-	case p < s.late+s.lost:
+	case p < s.lateShare+s.lostShare:
 		_, _ = s.apply(guards, ops)
 		return 0, kvstore.ErrOutcomeUnknown
 	}
 	return s.apply(guards, ops)
 }
 
-func (s *store) HasWriteCapacity(int) bool { return true }
+func (s *fakeStore) HasWriteCapacity(int) bool { return true }
 
 // apply is the transaction itself; the lock is held.
-func (s *store) apply(guards []wire.Guard, ops []wire.Op) (uint64, error) {
+func (s *fakeStore) apply(guards []wire.Guard, ops []wire.Op) (uint64, error) {
 	var failed []string
 	for _, g := range guards {
 		if s.keys[g.Key].Version != g.Version {
@@ -157,14 +157,14 @@
 		s.keys[op.Put] = wire.Entry{Key: op.Put, Value: raw, Version: s.rev}
 		s.log = append(s.log, wire.Event{Put: op.Put, Value: raw, Version: s.rev})
 	}
-	if s.check != nil {
-		s.check()
+	if s.afterChange != nil {
+		s.afterChange()
 	}
 	return s.rev, nil
 }
 
-// where lists the keys on which a job's records stand; the lock is held.
-func (s *store) where(id string) []string {
+// keysOf lists the keys on which a job's records stand; the lock is held.
+func (s *fakeStore) keysOf(id string) []string {
 	var out []string
 	for k, e := range s.keys {
 		if k == jobstore.JobKey(id) || k == jobstore.FinalKey(id) {
@@ -182,13 +182,13 @@
 	return out
 }
 
-// finish is the leader's transaction that ends a job, and repeats it until it is
+// finishJob is the leader's transaction that ends a job, and repeats it until it is
 // over; done says whether it was this that ended it.
-func (s *store) finish(id string) (done bool) {
+func (s *fakeStore) finishJob(id string) (done bool) {
 	for {
 		time.Sleep(2 * time.Millisecond)
 		s.mu.Lock()
-		at := s.where(id)
+		at := s.keysOf(id)
 		if len(at) != 1 || at[0] == jobstore.FinalKey(id) {
 			s.mu.Unlock()
 			return false
@@ -216,8 +216,8 @@
 	}
 }
 
-// set writes a key as nobody else would.
-func (s *store) set(key string, v wire.Raw) {
+// overwrite writes a key as nobody else would.
+func (s *fakeStore) overwrite(key string, v wire.Raw) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rev++
@@ -225,8 +225,8 @@
 	s.log = append(s.log, wire.Event{Put: key, Value: v, Version: s.rev})
 }
 
-// raise writes the form in which jobs share pages.
-func (s *store) raise(buckets int) {
+// setSchema writes the form in which jobs share pages.
+func (s *fakeStore) setSchema(buckets int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, _ = s.apply([]wire.Guard{{Key: jobstore.SchemaKey}}, []wire.Op{{Put: jobstore.SchemaKey, Value: jobstore.SchemaRecord{Version: jobstore.LatestSchema, Buckets: buckets}}})
--- a/jobstore/kept_test.go
+++ b/jobstore/index_test.go
@@ -14,11 +14,11 @@
 // Jobs come four a second for minutes, and now and then many at once; some are
 // cancelled, all are over in the end, and users ask. What a node keeps of them
 // doesn't grow with how many there have been.
-func TestWhatIsKeptDoesNotGrow(t *testing.T) {
+func TestRetainedMemoryIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(3)
-		s.raise(3)
-		nodes(t, 3, s, func(rs []*jobstore.Store) {
+		s := newFakeStore(3)
+		s.setSchema(3)
+		runStores(t, 3, s, func(rs []*jobstore.Store) {
 			rnd := rand.New(rand.NewPCG(3, 31))
 			var wg sync.WaitGroup
 			n, most := 0, 0
@@ -26,7 +26,7 @@
 				n++
 				j, r, cancels, lasts := job(n), rs[n%3], rnd.IntN(4) == 0, time.Duration(rnd.IntN(4000))*time.Millisecond
 				wg.Go(func() {
-					if _, ok := accept(t.Context(), r, j); !ok {
+					if _, ok := submit(t.Context(), r, j); !ok {
 						t.Errorf("%s was not accepted", j.ID)
 					}
 					time.Sleep(2*time.Second + lasts)
@@ -35,7 +35,7 @@
 							t.Errorf("%s: found %v, %v", j.ID, found, err)
 						}
 					} else {
-						for !s.finish(j.ID) {
+						for !s.finishJob(j.ID) {
 							time.Sleep(100 * time.Millisecond)
 						}
 					}
@@ -59,8 +59,8 @@
 				}
 				time.Sleep(250 * time.Millisecond)
 				for _, r := range rs {
-					most = max(most, r.Kept()["jobs"])
-					full = max(full, r.Kept()["intake"]-3)
+					most = max(most, r.Retained()["jobs"])
+					full = max(full, r.Retained()["intake"]-3)
 				}
 			}
 			wg.Wait()
@@ -71,16 +71,16 @@
 				for range 2 { // barriers bring what the others did
 					_, _, _ = r.Lookup(t.Context(), "wk-999999")
 				}
-				kept := r.Kept()
+				kept := r.Retained()
 				for kind, bound := range map[string]int{"jobs": 0, "pages": 0, "intake": 3, "lost": 0, "blind": 0, "queues": 3, "waiting": 0, "ends": 0} {
 					if kept[kind] > bound {
 						t.Errorf("node %d keeps %d of %s after %d jobs, not %d at most", i, kept[kind], kind, n, bound)
 					}
 				}
-				for k := range jobstore.FinalMax + 100 {
-					r.KeepFinal(fmt.Sprintf("wk-7%06d", k))
+				for k := range jobstore.MaxCachedFinals + 100 {
+					r.CacheFinal(fmt.Sprintf("wk-7%06d", k))
 				}
-				if kept := r.Kept(); kept["finals"] != jobstore.FinalMax || kept["order"] != jobstore.FinalMax {
+				if kept := r.Retained(); kept["finals"] != jobstore.MaxCachedFinals || kept["order"] != jobstore.MaxCachedFinals {
 					t.Errorf("node %d keeps %d ends, in an order of %d", i, kept["finals"], kept["order"])
 				}
 			}
--- a/jobstore/known_test.go
+++ b/jobstore/lookup_test.go
@@ -23,14 +23,14 @@
 	return raw
 }
 
-func over(j wire.Job, how string) jobstore.JobRecord {
+func finalRecord(j wire.Job, how string) jobstore.JobRecord {
 	return jobstore.JobRecord{Job: j, AcceptedAtMs: 1, State: how}
 }
 
 // After a restart thousands of users ask for jobs that are over, and for some that
 // nobody has submitted. Each is told what is so, with few requests where those
 // asked for lie together, and with no more than one each where they lie apart.
-func TestEndsAreReadManyAtATime(t *testing.T) {
+func TestFinalRecordsAreReadInRanges(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		over, asked, most int
@@ -39,14 +39,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newStore(1)
+				s := newFakeStore(1)
 				ends := []string{wire.JobDone, wire.JobCancelled}
 				for n := range c.over {
 					if n%5 > 0 {
-						s.set(jobstore.FinalKey(job(n).ID), mustMarshal(t, over(job(n), ends[n%2])))
+						s.overwrite(jobstore.FinalKey(job(n).ID), mustMarshal(t, finalRecord(job(n), ends[n%2])))
 					}
 				}
-				nodes(t, 1, s, func(rs []*jobstore.Store) {
+				runStores(t, 1, s, func(rs []*jobstore.Store) {
 					rs[0].Order = func(id string) float64 { return float64(id[len(id)-1]) }
 					var wg sync.WaitGroup
 					for i := range c.asked {
@@ -60,9 +60,9 @@
 					}
 					wg.Wait()
 				})
-				t.Logf("%d requests for %d lookups", s.asked, c.asked)
-				if s.asked > c.most {
-					t.Errorf("%d requests for %d lookups", s.asked, c.asked)
+				t.Logf("%d requests for %d lookups", s.requests, c.asked)
+				if s.requests > c.most {
+					t.Errorf("%d requests for %d lookups", s.requests, c.asked)
 				}
 			})
 		})
@@ -71,16 +71,16 @@
 
 // All nodes begin anew, and what is to be read takes longer than a barrier may: each
 // barrier goes on where the one before it stopped, and changes meanwhile count.
-func TestALoadingGoesOnWhereItStopped(t *testing.T) {
+func TestInterruptedListingResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
-		s.listing = 600 * time.Millisecond
+		s := newFakeStore(1)
+		s.listLatency = 600 * time.Millisecond
 		const jobs = 6000
 		for n := range jobs {
-			s.set(jobstore.JobKey(job(n).ID), mustMarshal(t, over(job(n), "")))
+			s.overwrite(jobstore.JobKey(job(n).ID), mustMarshal(t, finalRecord(job(n), "")))
 		}
-		nodes(t, 3, s, func(rs []*jobstore.Store) {
-			time.AfterFunc(5*time.Second, func() { s.finish(job(0).ID) })
+		runStores(t, 3, s, func(rs []*jobstore.Store) {
+			time.AfterFunc(5*time.Second, func() { s.finishJob(job(0).ID) })
 			for i, r := range rs {
 				at := time.Now()
 				var err error
@@ -102,20 +102,20 @@
 // However a page of jobs is damaged, whoever reads it anew calls none of its jobs
 // unknown, and no job known that is not on it. Those that still stand there are
 // known, can be cancelled, and stay cancelled when the page can be read again.
-func TestJobsOfADamagedPageStayKnown(t *testing.T) {
+func TestJobsOnUnreadablePageStayKnown(t *testing.T) {
 	const jobs, strangers = 30, 30
 	known := 0
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
-			s := newStore(seed)
-			s.raise(1)
+			s := newFakeStore(seed)
+			s.setSchema(1)
 			page := jobstore.JobPage{LastSealed: 1}
 			for n := range jobs {
-				page.Entries = append(page.Entries, jobstore.JobPageEntry{ID: job(n).ID, Record: mustMarshal(t, over(job(n), ""))})
+				page.Entries = append(page.Entries, jobstore.JobPageEntry{ID: job(n).ID, Record: mustMarshal(t, finalRecord(job(n), ""))})
 			}
 			key, whole := jobstore.HeadPageKey(0), mustMarshal(t, page)
 			placed := job(jobs - 1).ID
-			s.set(jobstore.PlacementPageKey(0), mustMarshal(t, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: placed,
+			s.overwrite(jobstore.PlacementPageKey(0), mustMarshal(t, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: placed,
 				Placements: []jobstore.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}}}))
 			rnd := rand.New(rand.NewPCG(seed, 4))
 			bad := slices.Clone(whole)
@@ -127,8 +127,8 @@
 				bad = bad[:from+1]
 			}
 			bad[0] = 0xc1 // which nothing begins with
-			s.set(key, bad)
-			nodes(t, 1, s, func(rs []*jobstore.Store) {
+			s.overwrite(key, bad)
+			runStores(t, 1, s, func(rs []*jobstore.Store) {
 				r, cancelled := rs[0], ""
 				for n := range jobs + strangers {
 					v, found, err := r.Lookup(t.Context(), job(n).ID)
@@ -150,11 +150,11 @@
 				if _, _, err := r.Cancel(t.Context(), cancelled); !errors.Is(err, jobstore.ErrUnreadable) {
 					t.Errorf("seed %d: cancelled while a node may remember the page: %v", seed, err)
 				}
-				s.set(key, mustMarshal(t, jobstore.NewQuarantinedPage(key, s.keys[key].Version, 0, bad, limits)))
+				s.overwrite(key, mustMarshal(t, jobstore.NewQuarantinedPage(key, s.keys[key].Version, 0, bad, limits)))
 				if final, found, err := r.Cancel(t.Context(), cancelled); final != wire.JobCancelled || !found || err != nil {
 					t.Errorf("seed %d: cancel of %s: %q, %v, %v", seed, cancelled, final, found, err)
 				}
-				s.set(key, whole)
+				s.overwrite(key, whole)
 				for n := range jobs + strangers {
 					v, found, err := r.Lookup(t.Context(), job(n).ID)
 					if err != nil || found != (n < jobs) || found && job(n).ID != cancelled && v.Record.Job.Tasks != 2 {
@@ -174,20 +174,20 @@
 
 // Of a final record that can't be read its state may still stand there; it is never
 // made up.
-func TestADamagedEndIsNotMadeUp(t *testing.T) {
+func TestUnreadableFinalStateIsNotGuessed(t *testing.T) {
 	read := 0
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
-			s, rnd := newStore(seed), rand.New(rand.NewPCG(seed, 4))
+			s, rnd := newFakeStore(seed), rand.New(rand.NewPCG(seed, 4))
 			how := []string{wire.JobDone, wire.JobCancelled}[seed%2]
-			raw := mustMarshal(t, over(job(1), how))
+			raw := mustMarshal(t, finalRecord(job(1), how))
 			from := rnd.IntN(len(raw))
 			for i := range raw[from:min(len(raw), from+60)] {
 				raw[from+i] = byte(rnd.Uint32())
 			}
 			raw[0] = 0xc1
-			s.set(jobstore.FinalKey(job(1).ID), raw)
-			nodes(t, 1, s, func(rs []*jobstore.Store) {
+			s.overwrite(jobstore.FinalKey(job(1).ID), raw)
+			runStores(t, 1, s, func(rs []*jobstore.Store) {
 				v, found, err := rs[0].Lookup(t.Context(), job(1).ID)
 				switch {
 				case found && v.Record.State == how && v.Version == 0:
--- a/jobstore/plan.go
+++ b/jobstore/plan.go
@@ -40,8 +40,8 @@
 	PlanStatePrefix = "note/"
 )
 
-// planVersions is how many versions stay readable.
-const planVersions = 16
+// maxPlanVersions is how many versions stay readable.
+const maxPlanVersions = 16
 
 // PlanHead is the value of PlanHeadKey.
 type PlanHead struct {
@@ -85,12 +85,12 @@
 	return PlanVersion{}, false
 }
 
-func pieceKey(draft string, piece int) string {
+func planTextKey(draft string, piece int) string {
 	return planTextPrefix + draft + "/" + strconv.Itoa(piece)
 }
 
-// draftNumber is the version that a text was written for.
-func draftNumber(key string) (number int, draft string, ok bool) {
+// parsePlanTextKey is the version that a text was written for.
+func parsePlanTextKey(key string) (number int, draft string, ok bool) {
 	rest, ok := strings.CutPrefix(key, planTextPrefix)
 	if !ok {
 		return 0, "", false
@@ -134,7 +134,7 @@
 	if e.Version == 0 {
 		return h, 0, nil, nil
 	}
-	if h, err := decodeHead(e.Value); err == nil {
+	if h, err := decodePlanHead(e.Value); err == nil {
 		return h, e.Version, nil, nil
 	}
 	trouble = fmt.Errorf("%w: %s can't be read, its copy holds", ErrPlanUnreadable, PlanHeadKey)
@@ -142,22 +142,22 @@
 	if err != nil {
 		return h, 0, nil, err
 	}
-	if h, err = decodeHead(c.Value); c.Version != 0 && err == nil {
+	if h, err = decodePlanHead(c.Value); c.Version != 0 && err == nil {
 		return h, e.Version, trouble, nil
 	}
 	trouble = fmt.Errorf("%w: neither %s nor %s can be read, the newest text holds", ErrPlanUnreadable, PlanHeadKey, planHeadCopyKey)
-	h, err = planFromTexts(ctx, s)
+	h, err = planHeadFromTexts(ctx, s)
 	return h, e.Version, trouble, err
 }
 
-// decodeHead reads a head; one without a version is damaged, since none is ever
+// decodePlanHead reads a head; one without a version is damaged, since none is ever
 // written.
-func decodeHead(raw wire.Raw) (PlanHead, error) {
+func decodePlanHead(raw wire.Raw) (PlanHead, error) {
 	var h PlanHead
 	if err := wire.Unmarshal(raw, &h); err != nil {
 		return PlanHead{}, err
 	}
-	if len(h.Versions) == 0 || len(h.Versions) > planVersions {
+	if len(h.Versions) == 0 || len(h.Versions) > maxPlanVersions {
 		return PlanHead{}, ErrPlanUnreadable
 	}
 	for i, v := range h.Versions {
@@ -173,7 +173,7 @@
 func ReadPlanText(ctx context.Context, s KeyValueReader, v PlanVersion) (string, error) {
 	var b strings.Builder
 	for k := range v.Pieces {
-		e, err := s.Get(ctx, pieceKey(v.Draft, k))
+		e, err := s.Get(ctx, planTextKey(v.Draft, k))
 		if err != nil {
 			return "", err
 		}
@@ -189,9 +189,9 @@
 	return b.String(), nil
 }
 
-// pieces cuts a text so that each piece fits into a value of so many bytes, in
+// splitPlanText cuts a text so that each piece fits into a value of so many bytes, in
 // the form in which the service counts them.
-func pieces(text string, most int) []string {
+func splitPlanText(text string, most int) []string {
 	var out []string
 	from, size := 0, 0
 	for i, r := range text {
@@ -220,7 +220,7 @@
 // two at once one wins, and the other is told (*PlanMoved). With an error of
 // package state the outcome is unknown: the history tells.
 func ApplyPlan(ctx context.Context, s KeyValueStore, limits Limits, c PlanChange) (PlanVersion, error) {
-	form, err := planForm(ctx, s)
+	form, err := ensurePlanSchema(ctx, s)
 	if err != nil {
 		return PlanVersion{}, err
 	}
@@ -233,16 +233,16 @@
 	}
 	// A draft of the same number, of somebody who failed halfway, is never taken
 	// for this one.
-	v := PlanVersion{Number: h.Current() + 1, Digest: xxh3.HashString(c.Text), AtMs: c.At.UnixMilli(), By: clip(c.By), Note: clip(c.Note)}
+	v := PlanVersion{Number: h.Current() + 1, Digest: xxh3.HashString(c.Text), AtMs: c.At.UnixMilli(), By: truncate(c.By), Note: truncate(c.Note)}
 	v.Draft = fmt.Sprintf("%d-%08x", v.Number, rand.Uint32())
-	text := pieces(c.Text, min(limits.valueBytes(), 18<<10)-256) // the heads and one of them fit into a transaction
+	text := splitPlanText(c.Text, min(limits.valueBytes(), 18<<10)-256) // the heads and one of them fit into a transaction
 	v.Pieces = len(text)
 	var puts []wire.Op
 	for k, t := range text {
-		puts = append(puts, wire.Op{Put: pieceKey(v.Draft, k), Value: planPiece{t, v.Pieces, v.Digest}})
+		puts = append(puts, wire.Op{Put: planTextKey(v.Draft, k), Value: planPiece{t, v.Pieces, v.Digest}})
 	}
 	next := PlanHead{Versions: append([]PlanVersion{v}, h.Versions...)}
-	next.Versions = next.Versions[:min(len(next.Versions), planVersions)]
+	next.Versions = next.Versions[:min(len(next.Versions), maxPlanVersions)]
 	for len(next.Versions) > 1 && next.size() > min(limits.valueBytes(), 18<<10)-256 {
 		next.Versions = next.Versions[:len(next.Versions)-1]
 	}
@@ -252,13 +252,13 @@
 	// a version, also where no head can be read to say so.
 	last := len(puts) - 1
 	for _, p := range puts[:last] {
-		if err := surely(ctx, s, []wire.Guard{{Key: p.Put}}, []wire.Op{p}, func() bool { return isThere(ctx, s, p.Put) }); err != nil {
+		if err := commitOnce(ctx, s, []wire.Guard{{Key: p.Put}}, []wire.Op{p}, func() bool { return keyExists(ctx, s, p.Put) }); err != nil {
 			return PlanVersion{}, fmt.Errorf("the plan's text: %w", err)
 		}
 	}
 	heads = append(heads, puts[last])
 	guards := []wire.Guard{{Key: PlanHeadKey, Version: version}, {Key: SchemaKey, Version: form}}
-	err = surely(ctx, s, guards, heads, func() bool {
+	err = commitOnce(ctx, s, guards, heads, func() bool {
 		h, _, _, err := ReadPlanHead(ctx, s)
 		got, ok := h.Find(v.Number)
 		return err == nil && ok && got.Draft == v.Draft
@@ -273,7 +273,7 @@
 	if err != nil {
 		return PlanVersion{}, err
 	}
-	sweepPlans(ctx, s, next)
+	deleteOrphanedTexts(ctx, s, next)
 	return v, nil
 }
 
@@ -286,8 +286,8 @@
 	return wire.JSONSize(raw)
 }
 
-// clip bounds what people say of a version.
-func clip(s string) string {
+// truncate bounds what people say of a version.
+func truncate(s string) string {
 	const most = 120
 	if len(s) <= most {
 		return s
@@ -295,15 +295,15 @@
 	return strings.ToValidUTF8(s[:most], "")
 }
 
-func isThere(ctx context.Context, s KeyValueReader, key string) bool {
+func keyExists(ctx context.Context, s KeyValueReader, key string) bool {
 	e, err := s.Get(ctx, key)
 	return err == nil && e.Version != 0
 }
 
-// surely commits what its conditions let happen once only. A lost answer is made
+// commitOnce commits what its conditions let happen once only. A lost answer is made
 // up for by asking again; a conflict may be the first try's doing, which done finds
 // out.
-func surely(ctx context.Context, s KeyValueStore, guards []wire.Guard, ops []wire.Op, done func() bool) error {
+func commitOnce(ctx context.Context, s KeyValueStore, guards []wire.Guard, ops []wire.Op, done func() bool) error {
 	var err error
 	for wait := 200 * time.Millisecond; ; wait = min(2*wait, 2*time.Second) {
 		_, err = s.CompareAndSwap(ctx, guards, ops)
@@ -325,10 +325,10 @@
 	}
 }
 
-// planForm makes sure that records are in a form that says that there may be a
+// ensurePlanSchema makes sure that records are in a form that says that there may be a
 // plan: a program that knows of none refuses to lead from then on. It returns the
 // version of the form's record.
-func planForm(ctx context.Context, s KeyValueStore) (uint64, error) {
+func ensurePlanSchema(ctx context.Context, s KeyValueStore) (uint64, error) {
 	for try := 0; ; try++ {
 		e, err := s.Get(ctx, SchemaKey)
 		if err != nil {
@@ -362,11 +362,11 @@
 	}
 }
 
-// planFromTexts finds the versions by their texts alone, where neither head can be
+// planHeadFromTexts finds the versions by their texts alone, where neither head can be
 // read: those that are whole and the only one of their number. A draft whose writer
 // failed before it named it lacks its last piece; one of a program that wrote all
 // pieces ahead can't be told from a version.
-func planFromTexts(ctx context.Context, s KeyValueReader) (PlanHead, error) {
+func planHeadFromTexts(ctx context.Context, s KeyValueReader) (PlanHead, error) {
 	texts, _, err := s.List(ctx, planTextPrefix)
 	if err != nil {
 		return PlanHead{}, err
@@ -375,7 +375,7 @@
 	there := map[string]int{} // pieces of a draft
 	of := map[int]int{}       // drafts of a number
 	for _, e := range texts {
-		n, draft, ok := draftNumber(e.Key)
+		n, draft, ok := parsePlanTextKey(e.Key)
 		if ok {
 			there[draft]++ // also one that is damaged: it is no draft's for that
 		}
@@ -399,7 +399,7 @@
 		}
 	}
 	slices.SortFunc(h.Versions, func(a, b PlanVersion) int { return b.Number - a.Number })
-	h.Versions = h.Versions[:min(len(h.Versions), planVersions)]
+	h.Versions = h.Versions[:min(len(h.Versions), maxPlanVersions)]
 	return h, nil
 }
 
@@ -445,15 +445,15 @@
 	return st, fmt.Errorf("%w: no version of it can be read", ErrPlanUnreadable)
 }
 
-// sweepPlans removes the texts that no version names. A draft can be committed only
+// deleteOrphanedTexts removes the texts that no version names. A draft can be committed only
 // as the next version, so that those up to the current one are nobody's.
-func sweepPlans(ctx context.Context, s KeyValueStore, h PlanHead) {
+func deleteOrphanedTexts(ctx context.Context, s KeyValueStore, h PlanHead) {
 	texts, _, err := s.List(ctx, planTextPrefix)
 	if err != nil {
 		return // the next one that is applied sweeps
 	}
 	for _, e := range texts {
-		n, draft, ok := draftNumber(e.Key)
+		n, draft, ok := parsePlanTextKey(e.Key)
 		if !ok || n > h.Current() || slices.ContainsFunc(h.Versions, func(v PlanVersion) bool { return v.Draft == draft }) {
 			continue
 		}
--- a/jobstore/plan_test.go
+++ b/jobstore/plan_test.go
@@ -17,13 +17,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-func applyPlan(s *store, base int, text string) (jobstore.PlanVersion, error) {
+func applyPlan(s *fakeStore, base int, text string) (jobstore.PlanVersion, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	return jobstore.ApplyPlan(ctx, s, limits, jobstore.PlanChange{Base: base, Text: text, By: "somebody", At: time.Now()})
 }
 
-func loadPlan(t *testing.T, s *store) jobstore.ActivePlan {
+func loadPlan(t *testing.T, s *fakeStore) jobstore.ActivePlan {
 	t.Helper()
 	st, err := jobstore.LoadPlan(context.Background(), s, func(text string) error {
 		if strings.HasPrefix(text, "unknown") {
@@ -37,8 +37,8 @@
 	return st
 }
 
-// damage overwrites the keys with a prefix.
-func (s *store) damage(prefix string) {
+// corrupt overwrites the keys with a prefix.
+func (s *fakeStore) corrupt(prefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k, e := range s.keys {
@@ -52,12 +52,12 @@
 // Ten people apply at once, again and again, while transactions are lost, their
 // answers too, and some come up to a minute late. Each of those who are told that
 // theirs holds has a number of its own, and the text of that number is theirs.
-func TestOfPlansAppliedAtOnceOneWins(t *testing.T) {
+func TestConcurrentApplyPlanHasOneWinner(t *testing.T) {
 	for seed := range uint64(6) {
 		synctest.Test(t, func(t *testing.T) {
-			s := newStore(seed)
-			s.raise(1)
-			s.late, s.lost, s.lateBy = 0.1, 0.2, time.Minute
+			s := newFakeStore(seed)
+			s.setSchema(1)
+			s.lateShare, s.lostShare, s.maxDelay = 0.1, 0.2, time.Minute
 			var mu sync.Mutex
 			won, moved, texts := 0, 0, map[int]string{}
 			var wg sync.WaitGroup
@@ -104,10 +104,10 @@
 // Whoever applies a plan that needs many pieces dies after any of them: the version
 // before holds, whole, also where no head can be read, and the next one that is
 // applied sweeps what was left.
-func TestAPlanIsTakenInAsAWholeOrNotAtAll(t *testing.T) {
+func TestApplyPlanIsAtomicWhenInterrupted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
-		s.raise(1)
+		s := newFakeStore(1)
+		s.setSchema(1)
 		if _, err := applyPlan(s, 0, "note = \"first\""); err != nil {
 			t.Fatal(err)
 		}
@@ -115,12 +115,12 @@
 		for dies := 1; dies <= 24; dies++ {
 			ctx, cancel := context.WithCancel(context.Background())
 			n := 0
-			s.answering = func([]wire.Op) {
+			s.beforeAnswer = func([]wire.Op) {
 				if n++; n == dies {
 					cancel()
 					s.mu.Lock()
-					s.late = 1 // nothing more is done in its name
-					s.lateBy = 1
+					s.lateShare = 1 // nothing more is done in its name
+					s.maxDelay = 1
 					s.mu.Unlock()
 				}
 			}
@@ -128,10 +128,10 @@
 			s.mu.Lock()
 			before := maps.Clone(s.keys)
 			s.mu.Unlock()
-			_, err := jobstore.ApplyPlan(ctx, dying{s, ctx}, limits, jobstore.PlanChange{Base: base, Text: large, At: time.Now()})
-			s.answering = nil
+			_, err := jobstore.ApplyPlan(ctx, cancelledStore{s, ctx}, limits, jobstore.PlanChange{Base: base, Text: large, At: time.Now()})
+			s.beforeAnswer = nil
 			s.mu.Lock()
-			s.late = 0
+			s.lateShare = 0
 			s.mu.Unlock()
 			cancel()
 			switch st := loadPlan(t, s); {
@@ -147,8 +147,8 @@
 					}
 				}
 				s.mu.Unlock()
-				s.damage("plan/head")
-				s.damage("plan/copy")
+				s.corrupt("plan/head")
+				s.corrupt("plan/copy")
 				if st := loadPlan(t, s); st.Number != base {
 					t.Fatalf("died after %d, and both heads are damaged: version %d holds, not %d", dies, st.Number, base)
 				}
@@ -181,22 +181,22 @@
 	})
 }
 
-// dying is a store that is there as long as its context.
-type dying struct {
-	*store
+// cancelledStore is a store that is there as long as its context.
+type cancelledStore struct {
+	*fakeStore
 	context.Context
 }
 
-func (d dying) CompareAndSwap(ctx context.Context, g []wire.Guard, o []wire.Op) (uint64, error) {
+func (d cancelledStore) CompareAndSwap(ctx context.Context, g []wire.Guard, o []wire.Op) (uint64, error) {
 	if d.Err() != nil {
 		return 0, kvstore.ErrOutcomeUnknown
 	}
-	return d.store.CompareAndSwap(ctx, g, o)
+	return d.fakeStore.CompareAndSwap(ctx, g, o)
 }
 
 // Whatever of the records is damaged, the newest version that can be read holds,
 // and what could not be read is named.
-func TestTheNewestReadablePlanHolds(t *testing.T) {
+func TestLoadPlanFallsBackToNewestReadableVersion(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		damage string
@@ -211,15 +211,15 @@
 		{"a field of a later version", "none", "unknown = 3", 2},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			s := newStore(1)
-			s.raise(1)
+			s := newFakeStore(1)
+			s.setSchema(1)
 			for n, text := range []string{"note = \"1\"", "note = \"2\"", c.newest} {
 				if _, err := applyPlan(s, n, text); err != nil {
 					t.Fatal(err)
 				}
 			}
 			for _, k := range strings.Fields(c.damage) {
-				s.damage(k)
+				s.corrupt(k)
 			}
 			st := loadPlan(t, s)
 			if st.Number != c.holds || st.HeadVersion == 0 || (len(st.Warnings) == 0) != (c.name == "nothing") {
@@ -238,14 +238,14 @@
 
 // With nothing readable left there is no plan to decide by, and that is said: it is
 // not as if there had never been one.
-func TestAPlanOfWhichNothingIsLeftIsNotNoPlan(t *testing.T) {
+func TestLoadPlanReportsWhollyUnreadablePlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
-		s.raise(1)
+		s := newFakeStore(1)
+		s.setSchema(1)
 		if _, err := applyPlan(s, 0, "note = \"1\""); err != nil {
 			t.Fatal(err)
 		}
-		s.damage("plan/t/")
+		s.corrupt("plan/t/")
 		st, err := jobstore.LoadPlan(context.Background(), s, func(string) error { return nil })
 		if !errors.Is(err, jobstore.ErrPlanUnreadable) || st.HeadVersion == 0 {
 			t.Errorf("head %d, %v", st.HeadVersion, err)
@@ -256,8 +256,8 @@
 // Any text comes back as it was, and no piece is larger than a value.
 func TestPlanTextsFitIntoValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(1)
-		s.raise(1)
+		s := newFakeStore(1)
+		s.setSchema(1)
 		n := 0
 		err := quick.Check(func(words []string, times uint8) bool {
 			text := strings.ToValidUTF8(strings.Repeat(strings.Join(words, " \"<\n"), 1+int(times)), "")
--- a/jobstore/reader.go
+++ b/jobstore/reader.go
@@ -33,8 +33,8 @@
 // else says it.
 var ErrUnreadable = errors.New("a record can't be read")
 
-// finalMax bounds the cache of final states; the state service keeps them all.
-const finalMax = 20_000
+// maxCachedFinals bounds the cache of final states; the state service keeps them all.
+const maxCachedFinals = 20_000
 
 // JobStatus is what a node knows of a job.
 type JobStatus struct {
@@ -43,26 +43,26 @@
 	DoneTasks   int
 	PlacedTasks int
 
-	home string // the page that its record shares with others, if it does
+	pageKey string // the page that its record shares with others, if it does
 }
 
 type activeJob struct {
-	rec     JobRecord
-	version uint64
-	home    string // the page that its record stands on; "": a key of its own
-	bad     bool   // what stands there can't be read
-	chunks  map[int]counts
+	record     JobRecord
+	version    uint64
+	pageKey    string // the page that its record stands on; "": a key of its own
+	unreadable bool   // what stands there can't be read
+	chunks     map[int]chunkCounts
 }
 
-// counts is what a job's display needs of a chunk, and the page it stands on.
-type counts struct{ page, done, placed int }
+// chunkCounts is what a job's display needs of a chunk, and the page it stands on.
+type chunkCounts struct{ page, done, placed int }
 
-type page struct {
+type placementPageState struct {
 	version uint64 // to apply no older change
-	chunks  []chunkName
+	chunks  []chunkID
 }
 
-type chunkName struct {
+type chunkID struct {
 	job   string
 	chunk int
 }
@@ -87,38 +87,38 @@
 	// Log is told of records that can't be read. Nil: nobody is.
 	Log *slog.Logger
 
-	store  KeyValueStore
-	asks   chan chan error
-	part   listing // of Run
-	ends   ends    // guarded by mu, but for the channel
-	detail *detail // guarded by mu
-
-	mu     sync.Mutex
-	loaded bool
-	rev    uint64
-	jobs   map[string]*activeJob
-	pages  map[int]*page
-	finals map[string]JobRecord
-	order  []string
-	form   SchemaRecord
-	formAt uint64 // the version of the form's record
-	intake map[string]*intakePage
-	lost   map[string]lostPage // pages of users' jobs that can't be read
-	blind  map[int]uint64      // versions of pages of placements that can't be read
+	kv              KeyValueStore
+	barrierRequests chan chan error
+	partial         listing        // of Run
+	finalReads      finalReadQueue // guarded by mu, but for the channel
+	apps            *appIndex      // guarded by mu
+
+	mu                   sync.Mutex
+	loaded               bool
+	revision             uint64
+	jobs                 map[string]*activeJob
+	placementPages       map[int]*placementPageState
+	finals               map[string]JobRecord
+	finalOrder           []string
+	schema               SchemaRecord
+	schemaVersion        uint64 // the version of the form's record
+	jobPages             map[string]*jobPageState
+	unreadablePages      map[string]unreadablePage // pages of users' jobs that can't be read
+	unreadablePlacements map[int]uint64            // versions of pages of placements that can't be read
 	// formLost: the form's record can't be read, so that nothing is accepted here.
-	formLost bool
-	queues   map[int]*queue
-	ctx      context.Context // of Run
-	ended    bool            // by which no writer begins any more
+	schemaUnreadable bool
+	queues           map[int]*bucketQueue
+	ctx              context.Context // of Run
+	stopped          bool            // by which no writer begins any more
 
 	writers sync.WaitGroup // of submissions
 }
 
 // New makes a reader; Run must be running for lookups to be answered.
 func New(store KeyValueStore) *Store {
-	return &Store{store: store, asks: make(chan chan error, 256),
-		ends:   ends{kick: make(chan struct{}, endReaders)},
-		finals: map[string]JobRecord{}, lost: map[string]lostPage{}, blind: map[int]uint64{}, queues: map[int]*queue{}}
+	return &Store{kv: store, barrierRequests: make(chan chan error, 256),
+		finalReads: finalReadQueue{wake: make(chan struct{}, finalReaders)},
+		finals:     map[string]JobRecord{}, unreadablePages: map[string]unreadablePage{}, unreadablePlacements: map[int]uint64{}, queues: map[int]*bucketQueue{}}
 }
 
 // Run answers barriers and commits submissions until ctx ends.
@@ -129,24 +129,24 @@
 	defer r.writers.Wait()
 	var readers sync.WaitGroup
 	defer readers.Wait()
-	for range endReaders {
-		readers.Go(func() { r.readEnds(ctx) })
+	for range finalReaders {
+		readers.Go(func() { r.serveFinalReads(ctx) })
 	}
 	for {
 		var first chan error
 		select {
 		case <-ctx.Done():
 			r.mu.Lock()
-			r.ended = true
+			r.stopped = true
 			r.mu.Unlock()
 			return
-		case first = <-r.asks:
+		case first = <-r.barrierRequests:
 		}
 		waiting := []chan error{first}
 	drain:
 		for len(waiting) < 512 {
 			select {
-			case w := <-r.asks:
+			case w := <-r.barrierRequests:
 				waiting = append(waiting, w)
 			default:
 				break drain
@@ -170,7 +170,7 @@
 func (r *Store) readBarrier(ctx context.Context) error {
 	done := make(chan error, 1)
 	select {
-	case r.asks <- done:
+	case r.barrierRequests <- done:
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %v", kvstore.ErrRefused, ctx.Err())
 	}
@@ -186,10 +186,10 @@
 	ctx, cancel := context.WithTimeout(ctx, 2500*time.Millisecond)
 	defer cancel()
 	r.mu.Lock()
-	loaded, rev := r.loaded, r.rev
+	loaded, rev := r.loaded, r.revision
 	r.mu.Unlock()
 	if loaded {
-		ev, err := r.store.Watch(ctx, ActivePrefix, rev, 0)
+		ev, err := r.kv.Watch(ctx, ActivePrefix, rev, 0)
 		if err == nil {
 			return r.apply(ev)
 		}
@@ -197,59 +197,59 @@
 			return err
 		}
 	}
-	if err := r.list(ctx); err != nil {
+	if err := r.listActive(ctx); err != nil {
 		return err
 	}
 	// The pages are of different moments: the changes since the first one make
 	// them whole.
-	ev, err := r.store.Watch(ctx, ActivePrefix, r.part.rev, 0)
+	ev, err := r.kv.Watch(ctx, ActivePrefix, r.partial.revision, 0)
 	if err != nil {
 		if errors.Is(err, kvstore.ErrCompacted) {
-			r.part = listing{}
+			r.partial = listing{}
 		}
 		return err
 	}
 	r.mu.Lock()
-	r.loaded, r.rev = true, r.part.rev
-	r.jobs, r.pages, r.intake = map[string]*activeJob{}, map[int]*page{}, map[string]*intakePage{}
-	clear(r.lost)
-	clear(r.blind)
-	r.detail.reset()
-	for _, it := range r.part.items {
-		r.put(it.Key, it.Value, it.Version)
+	r.loaded, r.revision = true, r.partial.revision
+	r.jobs, r.placementPages, r.jobPages = map[string]*activeJob{}, map[int]*placementPageState{}, map[string]*jobPageState{}
+	clear(r.unreadablePages)
+	clear(r.unreadablePlacements)
+	r.apps.reset()
+	for _, it := range r.partial.items {
+		r.applyPut(it.Key, it.Value, it.Version)
 	}
 	r.mu.Unlock()
-	r.part = listing{}
+	r.partial = listing{}
 	return r.apply(ev)
 }
 
 // listing is what has been read of all active records.
 type listing struct {
-	items []wire.Entry
-	rev   uint64 // of the first page
-	after string
-	whole bool
+	items    []wire.Entry
+	revision uint64 // of the first page
+	lastKey  string
+	complete bool
 }
 
-// loadPage is how many keys are read at once.
-const loadPage = 500
+// listPageSize is how many keys are read at once.
+const listPageSize = 500
 
-// list reads all active records. What it has when the time is over stands, and the
+// listActive reads all active records. What it has when the time is over stands, and the
 // next barrier goes on: where all nodes begin at once, and the service takes
 // little of each, none would ever have read all.
-func (r *Store) list(ctx context.Context) error {
-	for !r.part.whole {
-		page, err := r.store.ListPage(ctx, ActivePrefix, r.part.after, loadPage)
+func (r *Store) listActive(ctx context.Context) error {
+	for !r.partial.complete {
+		page, err := r.kv.ListPage(ctx, ActivePrefix, r.partial.lastKey, listPageSize)
 		if err != nil {
 			return err
 		}
-		if r.part.after == "" {
-			r.part.rev = page.Revision
+		if r.partial.lastKey == "" {
+			r.partial.revision = page.Revision
 		}
-		r.part.items = append(r.part.items, page.Items...)
-		r.part.whole = !page.More || len(page.Items) == 0
+		r.partial.items = append(r.partial.items, page.Items...)
+		r.partial.complete = !page.More || len(page.Items) == 0
 		if len(page.Items) > 0 {
-			r.part.after = page.Items[len(page.Items)-1].Key
+			r.partial.lastKey = page.Items[len(page.Items)-1].Key
 		}
 	}
 	return nil
@@ -267,39 +267,39 @@
 	defer r.mu.Unlock()
 	for _, e := range ev.Log {
 		if e.Delete != "" {
-			r.remove(e.Delete, e.Version)
+			r.applyDelete(e.Delete, e.Version)
 		} else if e.Version == last[e.Put] {
-			r.put(e.Put, e.Value, e.Version)
+			r.applyPut(e.Put, e.Value, e.Version)
 		}
 	}
-	r.rev = max(r.rev, ev.Revision)
-	if r.form.Version > LatestSchema {
+	r.revision = max(r.revision, ev.Revision)
+	if r.schema.Version > LatestSchema {
 		return ErrNewerSchema
 	}
 	return nil
 }
 
-func (r *Store) job(id string) *activeJob {
+func (r *Store) jobEntry(id string) *activeJob {
 	j := r.jobs[id]
 	if j == nil {
-		j = &activeJob{chunks: map[int]counts{}}
+		j = &activeJob{chunks: map[int]chunkCounts{}}
 		r.jobs[id] = j
 	}
 	return j
 }
 
-func (r *Store) put(key string, v wire.Raw, version uint64) {
+func (r *Store) applyPut(key string, v wire.Raw, version uint64) {
 	if id, ok := ParseJobKey(key); ok {
-		j := r.job(id)
+		j := r.jobEntry(id)
 		if version <= j.version {
 			return
 		}
 		rec, err := DecodeJob(id, v)
 		if err != nil {
-			rec = r.damaged(key, id, err)
+			rec = r.placeholder(key, id, err)
 		}
-		j.rec, j.version, j.home, j.bad = rec, version, "", err != nil
-		r.detail.putJob(id, &rec)
+		j.record, j.version, j.pageKey, j.unreadable = rec, version, "", err != nil
+		r.apps.putJob(id, &rec)
 		return
 	}
 	if IsJobPageKey(key) {
@@ -307,100 +307,100 @@
 		if err != nil {
 			a, aside := DecodeQuarantinedPage(v)
 			if !aside {
-				r.unreadable(key, err)
+				r.logUnreadable(key, err)
 				a = QuarantinedPage{OriginalKey: key, OriginalVersion: version, Raw: v}
 			}
-			r.loseIntake(key, a, aside, version)
+			r.setUnreadablePage(key, a, aside, version)
 			return
 		}
-		r.setIntake(key, rec, version)
+		r.setJobPage(key, rec, version)
 		return
 	}
-	if key == SchemaKey && version > r.formAt {
+	if key == SchemaKey && version > r.schemaVersion {
 		rec, err := DecodeSchema(v)
 		if err != nil {
-			r.unreadable(key, err)
+			r.logUnreadable(key, err)
 		}
-		r.form, r.formAt, r.formLost = rec, version, err != nil
+		r.schema, r.schemaVersion, r.schemaUnreadable = rec, version, err != nil
 		return
 	}
 	if strings.HasPrefix(key, AppPrefix) {
-		r.detail.put(key, v, version)
+		r.apps.put(key, v, version)
 		return
 	}
 	if n, ok := ParsePlacementPageKey(key); ok {
 		rec, err := DecodePlacementPage(v)
 		if err != nil {
-			r.unreadable(key, err)
-			if p := r.pages[n]; p == nil || version > p.version {
-				r.blind[n] = version
+			r.logUnreadable(key, err)
+			if p := r.placementPages[n]; p == nil || version > p.version {
+				r.unreadablePlacements[n] = version
 			}
 			return
 		}
-		r.setPage(n, rec.Chunks, version)
+		r.setPlacementPage(n, rec.Chunks, version)
 	}
 }
 
-// setPage replaces what stands on a page.
-func (r *Store) setPage(n int, chunks []PlacementChunk, version uint64) {
-	p := r.pages[n]
+// setPlacementPage replaces what stands on a page.
+func (r *Store) setPlacementPage(n int, chunks []PlacementChunk, version uint64) {
+	p := r.placementPages[n]
 	if p == nil {
-		p = &page{}
-		r.pages[n] = p
+		p = &placementPageState{}
+		r.placementPages[n] = p
 	}
 	if version <= p.version {
 		return
 	}
-	delete(r.blind, n)
+	delete(r.unreadablePlacements, n)
 	for _, c := range p.chunks {
 		if j := r.jobs[c.job]; j != nil && j.chunks[c.chunk].page == n {
 			delete(j.chunks, c.chunk)
-			r.drop(c.job, j)
+			r.dropIfEmpty(c.job, j)
 		}
 	}
 	p.version, p.chunks = version, p.chunks[:0]
-	r.detail.setPage(n, chunks)
+	r.apps.setPage(n, chunks)
 	for i := range chunks {
 		c := &chunks[i]
-		p.chunks = append(p.chunks, chunkName{c.Job, c.Chunk})
-		r.job(c.Job).chunks[c.Chunk] = counts{page: n, done: c.DoneCount(), placed: len(c.Placements)}
+		p.chunks = append(p.chunks, chunkID{c.Job, c.Chunk})
+		r.jobEntry(c.Job).chunks[c.Chunk] = chunkCounts{page: n, done: c.DoneCount(), placed: len(c.Placements)}
 	}
 }
 
-func (r *Store) remove(key string, version uint64) {
+func (r *Store) applyDelete(key string, version uint64) {
 	if id, ok := ParseJobKey(key); ok {
-		if j := r.jobs[id]; j != nil && j.version <= version && j.home == "" {
+		if j := r.jobs[id]; j != nil && j.version <= version && j.pageKey == "" {
 			j.version = 0
-			r.detail.dropJob(id, &j.rec)
-			r.drop(id, j)
+			r.apps.dropJob(id, &j.record)
+			r.dropIfEmpty(id, j)
 		}
 		return
 	}
 	if IsJobPageKey(key) {
-		r.setIntake(key, JobPage{}, version)
-		if p := r.intake[key]; !IsHeadPageKey(key) && p.version == version {
-			delete(r.intake, key) // it never comes back
+		r.setJobPage(key, JobPage{}, version)
+		if p := r.jobPages[key]; !IsHeadPageKey(key) && p.version == version {
+			delete(r.jobPages, key) // it never comes back
 		}
 		return
 	}
 	if n, ok := ParsePlacementPageKey(key); ok {
-		r.setPage(n, nil, version)
+		r.setPlacementPage(n, nil, version)
 	}
 	if strings.HasPrefix(key, AppPrefix) {
-		r.detail.remove(key, version)
+		r.apps.remove(key, version)
 	}
 }
 
-func (r *Store) drop(id string, j *activeJob) {
+func (r *Store) dropIfEmpty(id string, j *activeJob) {
 	if j.version == 0 && len(j.chunks) == 0 {
 		delete(r.jobs, id)
 	}
 }
 
-// view is what the active records say of a job. unsure says that it may be over
+// status is what the active records say of a job. unsure says that it may be over
 // for all that, or not found and yet accepted: a page that it stands on, or may
 // stand on, can't be read.
-func (r *Store) view(id string) (v JobStatus, found, unsure bool) {
+func (r *Store) status(id string) (v JobStatus, found, unsure bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if rec, ok := r.finals[id]; ok {
@@ -408,36 +408,36 @@
 	}
 	j := r.jobs[id]
 	if j == nil {
-		_, at := r.lostWith(id)
+		_, at := r.unreadablePageOf(id)
 		return JobStatus{}, false, at != 0
 	}
-	v = JobStatus{Record: j.rec, Version: j.version, home: j.home}
+	v = JobStatus{Record: j.record, Version: j.version, pageKey: j.pageKey}
 	for _, c := range j.chunks {
 		v.DoneTasks += c.done
 		v.PlacedTasks += c.placed
 	}
 	if j.version != 0 {
-		return v, true, r.lost[j.home].version != 0
+		return v, true, r.unreadablePages[j.pageKey].version != 0
 	}
 	// Only accepted jobs are placed.
-	key, at := r.lostWith(id)
-	v.Record.Job, v.Version, v.home = wire.Job{ID: id, Tasks: 1}, at, key
+	key, at := r.unreadablePageOf(id)
+	v.Record.Job, v.Version, v.pageKey = wire.Job{ID: id, Tasks: 1}, at, key
 	return v, at != 0, at != 0
 }
 
-func (r *Store) keepFinal(id string, rec JobRecord) {
+func (r *Store) cacheFinal(id string, rec JobRecord) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, ok := r.finals[id]; ok {
 		return
 	}
-	if len(r.order) >= finalMax {
-		delete(r.finals, r.order[0])
-		r.order = r.order[1:]
+	if len(r.finalOrder) >= maxCachedFinals {
+		delete(r.finals, r.finalOrder[0])
+		r.finalOrder = r.finalOrder[1:]
 	}
 	rec.Job = wire.Job{ID: id, Tasks: rec.Job.Tasks}
 	r.finals[id] = rec
-	r.order = append(r.order, id)
+	r.finalOrder = append(r.finalOrder, id)
 }
 
 // Lookup says what is known of a job; found is false where it was never
@@ -449,13 +449,13 @@
 	if err := r.readBarrier(ctx); err != nil {
 		return JobStatus{}, false, err
 	}
-	v, found, unsure := r.view(id)
+	v, found, unsure := r.status(id)
 	if found && !unsure {
 		return v, true, nil
 	}
 	// A job moves from active to final in one transaction and never back, so
 	// reading final after active misses none.
-	rec, over, err := r.end(ctx, id)
+	rec, over, err := r.readFinal(ctx, id)
 	switch {
 	case err != nil:
 		return JobStatus{}, false, err
@@ -489,26 +489,26 @@
 		}
 		rec := v.Record
 		rec.State = wire.JobCancelled
-		if lost, aside := r.lostAt(v.home); lost != 0 {
+		if lost, aside := r.unreadableVersion(v.pageKey); lost != 0 {
 			if !aside {
 				// A node that remembers the page would go on calling the job
 				// unfinished: it may cancel it, or a leader sets the page aside,
 				// which all nodes hear of.
-				return "", true, fmt.Errorf("%w: %s", ErrUnreadable, v.home)
+				return "", true, fmt.Errorf("%w: %s", ErrUnreadable, v.pageKey)
 			}
 			// Its page stays as it is, and what is final goes before it.
-			_, err = r.store.CompareAndSwap(ctx,
-				[]wire.Guard{{Key: v.home, Version: lost}, {Key: JobKey(id)}, {Key: FinalKey(id)}},
+			_, err = r.kv.CompareAndSwap(ctx,
+				[]wire.Guard{{Key: v.pageKey, Version: lost}, {Key: JobKey(id)}, {Key: FinalKey(id)}},
 				[]wire.Op{{Put: FinalKey(id), Value: rec}})
-		} else if v.home != "" {
-			err = r.cancelOnPage(ctx, id, v.home, rec)
+		} else if v.pageKey != "" {
+			err = r.cancelOnPage(ctx, id, v.pageKey, rec)
 		} else {
-			_, err = r.store.CompareAndSwap(ctx,
+			_, err = r.kv.CompareAndSwap(ctx,
 				[]wire.Guard{{Key: JobKey(id), Version: v.Version}, {Key: FinalKey(id)}},
 				[]wire.Op{{Delete: JobKey(id)}, {Put: FinalKey(id), Value: rec}})
 		}
 		if err == nil {
-			r.keepFinal(id, rec)
+			r.cacheFinal(id, rec)
 			return rec.State, true, nil
 		}
 		var c *kvstore.ConflictError
--- a/jobstore/reserve.go
+++ b/jobstore/reserve.go
@@ -99,57 +99,57 @@
 	Version uint64
 }
 
-// detail is what a reader keeps for doors; nil where there are none.
-type detail struct {
-	chunks map[int][]PlacementChunk          // by page, of reserved jobs or unknown ones
-	owned  map[string]map[string]bool        // ids of reserved jobs by owner
-	places map[string]map[int]PlacementChunk // by job and chunk
-	apps   map[string]AppRecord
+// appIndex is what a reader keeps for doors; nil where there are none.
+type appIndex struct {
+	pageChunks  map[int][]PlacementChunk          // by page, of reserved jobs or unknown ones
+	jobsByOwner map[string]map[string]bool        // ids of reserved jobs by owner
+	chunksByJob map[string]map[int]PlacementChunk // by job and chunk
+	apps        map[string]AppRecord
 }
 
 // TrackReservations makes a reader keep what doors need. It is to be called before Run.
 func (r *Store) TrackReservations() {
-	r.detail = &detail{}
-	r.detail.reset()
+	r.apps = &appIndex{}
+	r.apps.reset()
 }
 
-func (d *detail) reset() {
+func (d *appIndex) reset() {
 	if d == nil {
 		return
 	}
-	d.chunks, d.owned, d.places, d.apps = map[int][]PlacementChunk{}, map[string]map[string]bool{}, map[string]map[int]PlacementChunk{}, map[string]AppRecord{}
+	d.pageChunks, d.jobsByOwner, d.chunksByJob, d.apps = map[int][]PlacementChunk{}, map[string]map[string]bool{}, map[string]map[int]PlacementChunk{}, map[string]AppRecord{}
 }
 
-func (d *detail) putJob(id string, rec *JobRecord) {
+func (d *appIndex) putJob(id string, rec *JobRecord) {
 	if d == nil || rec.Reservation == nil {
 		return
 	}
-	set := d.owned[rec.Reservation.Owner]
+	set := d.jobsByOwner[rec.Reservation.Owner]
 	if set == nil {
 		set = map[string]bool{}
-		d.owned[rec.Reservation.Owner] = set
+		d.jobsByOwner[rec.Reservation.Owner] = set
 	}
 	set[id] = true
 }
 
-func (d *detail) dropJob(id string, rec *JobRecord) {
+func (d *appIndex) dropJob(id string, rec *JobRecord) {
 	if d == nil || rec.Reservation == nil {
 		return
 	}
-	delete(d.owned[rec.Reservation.Owner], id)
-	if len(d.owned[rec.Reservation.Owner]) == 0 {
-		delete(d.owned, rec.Reservation.Owner)
+	delete(d.jobsByOwner[rec.Reservation.Owner], id)
+	if len(d.jobsByOwner[rec.Reservation.Owner]) == 0 {
+		delete(d.jobsByOwner, rec.Reservation.Owner)
 	}
 }
 
-func (d *detail) setPage(n int, chunks []PlacementChunk) {
+func (d *appIndex) setPage(n int, chunks []PlacementChunk) {
 	if d == nil {
 		return
 	}
-	for _, c := range d.chunks[n] {
-		delete(d.places[c.Job], c.Chunk)
-		if len(d.places[c.Job]) == 0 {
-			delete(d.places, c.Job)
+	for _, c := range d.pageChunks[n] {
+		delete(d.chunksByJob[c.Job], c.Chunk)
+		if len(d.chunksByJob[c.Job]) == 0 {
+			delete(d.chunksByJob, c.Job)
 		}
 	}
 	kept := make([]PlacementChunk, 0, len(chunks))
@@ -158,47 +158,47 @@
 			continue
 		}
 		kept = append(kept, c)
-		if d.places[c.Job] == nil {
-			d.places[c.Job] = map[int]PlacementChunk{}
+		if d.chunksByJob[c.Job] == nil {
+			d.chunksByJob[c.Job] = map[int]PlacementChunk{}
 		}
-		d.places[c.Job][c.Chunk] = c
+		d.chunksByJob[c.Job][c.Chunk] = c
 	}
-	if d.chunks[n] = kept; len(kept) == 0 {
-		delete(d.chunks, n)
+	if d.pageChunks[n] = kept; len(kept) == 0 {
+		delete(d.pageChunks, n)
 	}
 }
 
-func (d *detail) put(key string, v wire.Raw, version uint64) {
+func (d *appIndex) put(key string, v wire.Raw, version uint64) {
 	if d != nil && version >= d.apps[key].Version {
 		d.apps[key] = AppRecord{key, v, version}
 	}
 }
 
-func (d *detail) remove(key string, version uint64) {
+func (d *appIndex) remove(key string, version uint64) {
 	if d != nil && d.apps[key].Version <= version {
 		delete(d.apps, key)
 	}
 }
 
-// errNoDetail says that a reader was made without KeepDetail.
-var errNoDetail = errors.New("ledger: no details are kept")
+// errReservationsNotTracked says that a reader was made without KeepDetail.
+var errReservationsNotTracked = errors.New("ledger: no details are kept")
 
 // OwnedJobs reads a door's record and the reserved jobs that belong to it, all of one
 // moment after the call. An entry of version 0 says that there is no record.
 func (r *Store) OwnedJobs(ctx context.Context, owner string) (AppRecord, []ReservedJob, error) {
-	if r.detail == nil {
-		return AppRecord{}, nil, errNoDetail
+	if r.apps == nil {
+		return AppRecord{}, nil, errReservationsNotTracked
 	}
 	if err := r.readBarrier(ctx); err != nil {
 		return AppRecord{}, nil, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	e := r.detail.apps[owner]
+	e := r.apps.apps[owner]
 	var out []ReservedJob
-	for id := range r.detail.owned[owner] {
+	for id := range r.apps.jobsByOwner[owner] {
 		if j := r.jobs[id]; j != nil && j.version != 0 {
-			out = append(out, r.detail.reserved(id, j))
+			out = append(out, r.apps.reserved(id, j))
 		}
 	}
 	slices.SortFunc(out, func(a, b ReservedJob) int { return compareIDs(a.ID, b.ID) })
@@ -218,21 +218,21 @@
 	return 0
 }
 
-func (d *detail) reserved(id string, j *activeJob) ReservedJob {
-	v := ReservedJob{ID: id, Record: j.rec, Version: j.version, Placements: map[int]Placement{}, Stopping: map[int]bool{}, Outcomes: map[int]int{}}
-	for _, c := range d.places[id] {
+func (d *appIndex) reserved(id string, j *activeJob) ReservedJob {
+	v := ReservedJob{ID: id, Record: j.record, Version: j.version, Placements: map[int]Placement{}, Stopping: map[int]bool{}, Outcomes: map[int]int{}}
+	for _, c := range d.chunksByJob[id] {
 		for _, p := range c.Placements {
 			v.Placements[p.Task] = p
 		}
 		for _, t := range c.Stopping {
 			v.Stopping[t] = true
 		}
-		addEnds(v.Outcomes, c.Outcomes)
+		addOutcomes(v.Outcomes, c.Outcomes)
 	}
 	return v
 }
 
-func addEnds(to map[int]int, pairs []int) {
+func addOutcomes(to map[int]int, pairs []int) {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		to[pairs[i]] = pairs[i+1]
 	}
@@ -241,7 +241,7 @@
 // FinishedReservation reads a reserved job that is over: how each task ended. found is false
 // where there is none.
 func (r *Store) FinishedReservation(ctx context.Context, id string) (ReservedJob, bool, error) {
-	e, err := r.store.Get(ctx, FinalKey(id))
+	e, err := r.kv.Get(ctx, FinalKey(id))
 	if err != nil || e.Version == 0 {
 		return ReservedJob{}, false, err
 	}
@@ -249,7 +249,7 @@
 	if err := wire.Unmarshal(e.Value, &v.Record); err != nil {
 		return ReservedJob{}, false, err
 	}
-	addEnds(v.Outcomes, v.Record.Outcomes)
+	addOutcomes(v.Outcomes, v.Record.Outcomes)
 	return v, true, nil
 }
 
@@ -258,23 +258,23 @@
 func (r *Store) CachedApp(key string) AppRecord {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.detail == nil {
+	if r.apps == nil {
 		return AppRecord{}
 	}
-	return r.detail.apps[key]
+	return r.apps.apps[key]
 }
 
 // ListApps reads all records of doors, as of a moment after the call.
 func (r *Store) ListApps(ctx context.Context) ([]AppRecord, error) {
-	if r.detail == nil {
-		return nil, errNoDetail
+	if r.apps == nil {
+		return nil, errReservationsNotTracked
 	}
 	if err := r.readBarrier(ctx); err != nil {
 		return nil, err
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.SortedFunc(maps.Values(r.detail.apps), func(a, b AppRecord) int { return compareIDs(a.Key, b.Key) }), nil
+	return slices.SortedFunc(maps.Values(r.apps.apps), func(a, b AppRecord) int { return compareIDs(a.Key, b.Key) }), nil
 }
 
 // Reserve commits a reserved job together with its owner's record, which must
@@ -283,7 +283,7 @@
 func (r *Store) Reserve(ctx context.Context, j wire.Job, atMs int64, res Reservation, owner AppRecord, value any) (rev uint64, known bool, err error) {
 	guards := []wire.Guard{{Key: JobKey(j.ID)}, {Key: FinalKey(j.ID)}, {Key: owner.Key, Version: owner.Version}}
 	ops := []wire.Op{{Put: JobKey(j.ID), Value: JobRecord{Job: j, AcceptedAtMs: atMs, Reservation: &res}}, {Put: owner.Key, Value: value}}
-	rev, err = r.store.CompareAndSwap(ctx, guards, ops)
+	rev, err = r.kv.CompareAndSwap(ctx, guards, ops)
 	var c *kvstore.ConflictError
 	if errors.As(err, &c) && !slices.Contains(c.FailedKeys, owner.Key) {
 		return 0, true, nil
@@ -301,7 +301,7 @@
 	res := *rec.Reservation
 	change(&res)
 	rec.Reservation = &res
-	rev, err := r.store.CompareAndSwap(ctx, []wire.Guard{{Key: JobKey(v.ID), Version: v.Version}},
+	rev, err := r.kv.CompareAndSwap(ctx, []wire.Guard{{Key: JobKey(v.ID), Version: v.Version}},
 		append([]wire.Op{{Put: JobKey(v.ID), Value: rec}}, more...))
 	if err != nil {
 		return err
--- a/jobstore/salvage.go
+++ b/jobstore/salvage.go
@@ -10,13 +10,13 @@
 // Nothing is guessed: what is taken from them stands there in full, and an id
 // twice, so that one stretch of damage can't make up another one.
 
-// text is a short text as records have it.
-func text(s string) []byte { return append([]byte{0xa0 | byte(len(s))}, s...) }
+// msgpackString is a short text as records have it.
+func msgpackString(s string) []byte { return append([]byte{0xa0 | byte(len(s))}, s...) }
 
 var (
-	entryID  = text("i")      // of an IntakeEntry
-	recordID = text("nameId") // of the job in its record
-	stateKey = text("st")     // of a JobRecord
+	entryID  = msgpackString("i")      // of an IntakeEntry
+	recordID = msgpackString("nameId") // of the job in its record
+	stateKey = msgpackString("st")     // of a JobRecord
 )
 
 // salvageIDs finds jobs that stand on a page of users' jobs: each whose id is
@@ -50,7 +50,7 @@
 func salvageState(record []byte) string {
 	found := ""
 	for _, s := range []string{wire.JobDone, wire.JobCancelled} {
-		if bytes.Contains(record, append(bytes.Clone(stateKey), text(s)...)) {
+		if bytes.Contains(record, append(bytes.Clone(stateKey), msgpackString(s)...)) {
 			if found != "" {
 				return ""
 			}
--- a/snapshot/plan.go
+++ b/snapshot/plan.go
@@ -10,32 +10,32 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// plan says what of the operators' plan is not as it was written: its versions are
+// checkPlan says what of the operators' plan is not as it was written: its versions are
 // read as a node reads them.
-func (v *verifier) plan() {
+func (v *verifier) checkPlan() {
 	ctx := context.Background()
-	h, version, trouble, err := jobstore.ReadPlanHead(ctx, held(v.all))
+	h, version, trouble, err := jobstore.ReadPlanHead(ctx, memoryStore(v.all))
 	if err != nil || version == 0 {
 		return // there is no plan: a snapshot's reads do not fail
 	}
 	if trouble != nil {
-		v.say(jobstore.PlanHeadKey, "%v", trouble)
+		v.report(jobstore.PlanHeadKey, "%v", trouble)
 	}
 	if v.form.Version < jobstore.SchemaPlans {
-		v.say(jobstore.PlanHeadKey, "there is a plan, and the form is %d", v.form.Version)
+		v.report(jobstore.PlanHeadKey, "there is a plan, and the form is %d", v.form.Version)
 	}
 	for _, ver := range h.Versions {
-		if _, err := jobstore.ReadPlanText(ctx, held(v.all), ver); err != nil {
-			v.say(jobstore.PlanHeadKey, "%v", err)
+		if _, err := jobstore.ReadPlanText(ctx, memoryStore(v.all), ver); err != nil {
+			v.report(jobstore.PlanHeadKey, "%v", err)
 		}
 	}
 }
 
-// held is a snapshot as a store that is only read.
-type held map[string]wire.Raw
+// memoryStore is a snapshot as a store that is only read.
+type memoryStore map[string]wire.Raw
 
 // Get implements jobstore.KeyValueReader. What a snapshot holds has no version of its own.
-func (h held) Get(_ context.Context, key string) (wire.Entry, error) {
+func (h memoryStore) Get(_ context.Context, key string) (wire.Entry, error) {
 	raw, ok := h[key]
 	if !ok {
 		return wire.Entry{}, nil
@@ -44,7 +44,7 @@
 }
 
 // List implements jobstore.KeyValueReader.
-func (h held) List(_ context.Context, prefix string) ([]wire.Entry, uint64, error) {
+func (h memoryStore) List(_ context.Context, prefix string) ([]wire.Entry, uint64, error) {
 	var out []wire.Entry
 	for _, k := range slices.Sorted(maps.Keys(h)) {
 		if strings.HasPrefix(k, prefix) {
--- a/snapshot/plan_test.go
+++ b/snapshot/plan_test.go
@@ -16,7 +16,7 @@
 
 // The plan's versions are in a snapshot, a damaged one is named, and in a state
 // service that was filled from it the same version holds.
-func TestAPlanIsExportedVerifiedAndImported(t *testing.T) {
+func TestPlanSurvivesExportAndImport(t *testing.T) {
 	var file bytes.Buffer
 	limits := jobstore.Limits{TxnOps: 12, ValueKB: 16}
 	text := "note = \"" + strings.Repeat("two ", 9000) + "\""
--- a/snapshot/pools.go
+++ b/snapshot/pools.go
@@ -8,9 +8,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// pools says which records of warm pools can't be read, and which accounts do not
+// checkWarmPools says which records of warm pools can't be read, and which accounts do not
 // add up: what the teams owe is what the machines cost, each up to the record's time.
-func (v *verifier) pools() {
+func (v *verifier) checkWarmPools() {
 	notes := map[string]wire.Raw{}
 	for k, raw := range v.all {
 		if name, ok := strings.CutPrefix(k, jobstore.PlanStatePrefix); ok {
@@ -19,11 +19,11 @@
 	}
 	all, bad := warmpool.ReadStates(notes)
 	for _, name := range bad {
-		v.say(jobstore.PlanStatePrefix+name, "can't be read")
+		v.report(jobstore.PlanStatePrefix+name, "can't be read")
 	}
 	for i := range all {
 		for _, why := range all[i].Audit() {
-			v.say(jobstore.PlanStatePrefix+warmpool.RecordName(all[i].Name), "%s", why)
+			v.report(jobstore.PlanStatePrefix+warmpool.RecordName(all[i].Name), "%s", why)
 		}
 	}
 }
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -26,9 +26,9 @@
 const (
 	blockEntries = 512
 	blockBytes   = 256 << 10
-	// blockMost bounds what a damaged length can make a reader ask for: a value is
+	// maxBlockBytes bounds what a damaged length can make a reader ask for: a value is
 	// at most a transaction's 64 KiB, which a block may begin with and pass.
-	blockMost = 4 << 20
+	maxBlockBytes = 4 << 20
 )
 
 // Header is the first block.
@@ -45,8 +45,8 @@
 	Value    wire.Raw
 }
 
-// end is the last block.
-type end struct {
+// trailer is the last block.
+type trailer struct {
 	Keys uint64 `msgpack:"n"`
 	Sum  uint64 `msgpack:"x"` // of all blocks' checksums, in order
 }
@@ -63,9 +63,9 @@
 }
 
 const (
-	kindHeader = 'h'
-	kindPairs  = 'p'
-	kindEnd    = 'e'
+	kindHeader  = 'h'
+	kindEntries = 'p'
+	kindTrailer = 'e'
 )
 
 // NewWriter begins a snapshot.
@@ -78,10 +78,10 @@
 	if _, err := w.Write(magic); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	return s, s.block(kindHeader, h)
+	return s, s.writeBlock(kindHeader, h)
 }
 
-func (s *Writer) block(kind byte, v any) error {
+func (s *Writer) writeBlock(kind byte, v any) error {
 	plain, err := wire.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("snapshot: %w", err)
@@ -120,7 +120,7 @@
 	if len(s.pairs) == 0 {
 		return nil
 	}
-	err := s.block(kindPairs, s.pairs)
+	err := s.writeBlock(kindEntries, s.pairs)
 	s.pairs, s.bytes = s.pairs[:0], 0
 	return err
 }
@@ -130,21 +130,21 @@
 	if err := s.flush(); err != nil {
 		return err
 	}
-	return s.block(kindEnd, end{Keys: s.keys, Sum: s.sum.Sum64()})
+	return s.writeBlock(kindTrailer, trailer{Keys: s.keys, Sum: s.sum.Sum64()})
 }
 
 // Reader reads a snapshot.
 type Reader struct {
 	Header Header
 
-	r     *bufio.Reader
-	dec   *zstd.Decoder
-	sum   *xxhash.Digest
-	at    int64 // where the next block begins
-	block int
-	keys  uint64
-	last  string
-	ended bool
+	r       *bufio.Reader
+	dec     *zstd.Decoder
+	sum     *xxhash.Digest
+	at      int64 // where the next block begins
+	block   int
+	keys    uint64
+	lastKey string
+	ended   bool
 }
 
 // NewReader reads a snapshot's header.
@@ -161,51 +161,51 @@
 	if got[len(got)-1] != magic[len(magic)-1] {
 		return nil, fmt.Errorf("snapshot: its format has version %d, this program reads %d", got[len(got)-1], magic[len(magic)-1])
 	}
-	return s, s.next(kindHeader, &s.Header)
+	return s, s.nextBlock(kindHeader, &s.Header)
 }
 
-func (s *Reader) damaged(why string) error {
+func (s *Reader) corrupt(why string) error {
 	return fmt.Errorf("%w: block %d, at byte %d: %s", ErrCorrupt, s.block, s.at, why)
 }
 
-// next reads a block of that kind, or returns errOther with the block unread.
-func (s *Reader) next(kind byte, v any) error {
+// nextBlock reads a block of that kind, or returns errOther with the block unread.
+func (s *Reader) nextBlock(kind byte, v any) error {
 	head, err := s.r.Peek(13)
 	if err != nil {
-		return s.damaged("the file is cut off")
+		return s.corrupt("the file is cut off")
 	}
 	if head[0] != kind {
-		return errOther
+		return errOtherKind
 	}
 	length := binary.BigEndian.Uint32(head[1:])
-	if length > blockMost {
-		return s.damaged("its length can't be")
+	if length > maxBlockBytes {
+		return s.corrupt("its length can't be")
 	}
 	want := binary.BigEndian.Uint64(head[5:])
 	whole := make([]byte, 13+int(length))
 	if _, err := io.ReadFull(s.r, whole); err != nil {
-		return s.damaged("the file is cut off")
+		return s.corrupt("the file is cut off")
 	}
 	body := whole[13:]
 	if checksum(kind, body) != want {
-		return s.damaged("its checksum is wrong")
+		return s.corrupt("its checksum is wrong")
 	}
-	if kind != kindEnd {
+	if kind != kindTrailer {
 		_, _ = s.sum.Write(whole[:13])
 	}
 	plain, err := s.dec.DecodeAll(body, nil)
 	if err != nil {
-		return s.damaged(err.Error())
+		return s.corrupt(err.Error())
 	}
 	if err := wire.Unmarshal(plain, v); err != nil {
-		return s.damaged(err.Error())
+		return s.corrupt(err.Error())
 	}
 	s.at += int64(len(whole))
 	s.block++
 	return nil
 }
 
-var errOther = errors.New("another kind of block")
+var errOtherKind = errors.New("another kind of block")
 
 // Next reads the next pairs; io.EOF after the last, once the whole file has been
 // found sound.
@@ -214,32 +214,32 @@
 		return nil, io.EOF
 	}
 	var pairs []KeyValue
-	err := s.next(kindPairs, &pairs)
+	err := s.nextBlock(kindEntries, &pairs)
 	if err == nil {
 		for i := range pairs {
-			if pairs[i].Key <= s.last {
-				return nil, s.damaged(fmt.Sprintf("key %q is out of order", pairs[i].Key))
+			if pairs[i].Key <= s.lastKey {
+				return nil, s.corrupt(fmt.Sprintf("key %q is out of order", pairs[i].Key))
 			}
-			s.last = pairs[i].Key
+			s.lastKey = pairs[i].Key
 		}
 		s.keys += uint64(len(pairs))
 		return pairs, nil
 	}
-	if !errors.Is(err, errOther) {
+	if !errors.Is(err, errOtherKind) {
 		return nil, err
 	}
-	var e end
+	var e trailer
 	sum := s.sum.Sum64()
-	if err := s.next(kindEnd, &e); errors.Is(err, errOther) {
-		return nil, s.damaged("a block of no known kind")
+	if err := s.nextBlock(kindTrailer, &e); errors.Is(err, errOtherKind) {
+		return nil, s.corrupt("a block of no known kind")
 	} else if err != nil {
 		return nil, err
 	}
 	if e.Keys != s.keys || e.Sum != sum {
-		return nil, s.damaged(fmt.Sprintf("%d keys, %d were written", s.keys, e.Keys))
+		return nil, s.corrupt(fmt.Sprintf("%d keys, %d were written", s.keys, e.Keys))
 	}
 	if _, err := s.r.ReadByte(); err != io.EOF {
-		return nil, s.damaged("something follows the end")
+		return nil, s.corrupt("something follows the end")
 	}
 	s.ended = true
 	return nil, io.EOF
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -51,7 +51,7 @@
 	return r.All()
 }
 
-func TestWhatIsWrittenIsRead(t *testing.T) {
+func TestReaderReturnsWhatWriterWrote(t *testing.T) {
 	want, b := sample(t, 2000)
 	got, err := read(b)
 	if err != nil || len(got) != len(want) {
@@ -65,7 +65,7 @@
 }
 
 // Wherever a file is cut off or changed it is refused, with the place named.
-func TestACutOffOrChangedFileIsRefused(t *testing.T) {
+func TestTruncatedOrChangedFileIsRefused(t *testing.T) {
 	_, b := sample(t, 1200)
 	for n := 0; n < len(b); n += 1 + n/7 {
 		if _, err := read(b[:n]); !errors.Is(err, snapshot.ErrCorrupt) {
@@ -119,7 +119,7 @@
 
 // A snapshot taken while jobs come and go is of one moment and sound, and a world
 // that is filled with it knows every job.
-func TestASnapshotOfARunningServiceFillsAnEmptyOne(t *testing.T) {
+func TestSnapshotOfRunningClusterRestoresIntoEmptyStore(t *testing.T) {
 	var file bytes.Buffer
 	var known map[string]string
 	scenario.Run(t, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.Cluster) {
@@ -188,7 +188,7 @@
 }
 
 // Each invariant that does not hold is named with its key.
-func TestWhatDoesNotHoldIsNamed(t *testing.T) {
+func TestVerifyReportsEachViolation(t *testing.T) {
 	raw := func(v any) wire.Raw {
 		b, err := wire.Marshal(v)
 		if err != nil {
--- a/snapshot/take.go
+++ b/snapshot/take.go
@@ -33,14 +33,14 @@
 // listPageSize is how many keys are read at once.
 const listPageSize = 500
 
-// tries is how often a request is repeated that the state service refuses.
-const tries = 20
+// maxAttempts is how often a request is repeated that the state service refuses.
+const maxAttempts = 20
 
-// again repeats f while the state service refuses or does not answer.
-func again(ctx context.Context, f func() error) error {
+// retryRefused repeats f while the state service refuses or does not answer.
+func retryRefused(ctx context.Context, f func() error) error {
 	for try := 1; ; try++ {
 		err := f()
-		if err == nil || try == tries || !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
+		if err == nil || try == maxAttempts || !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 			return err
 		}
 		if !call.Pause(ctx, time.Duration(try)*100*time.Millisecond) {
@@ -61,7 +61,7 @@
 	after, more := "", true
 	for more {
 		var page wire.Listing
-		err := again(ctx, func() (err error) {
+		err := retryRefused(ctx, func() (err error) {
 			if err := pace.Wait(ctx); err != nil {
 				return err
 			}
@@ -81,7 +81,7 @@
 		}
 		// Changes of keys that the listing has not come to yet are read again with
 		// it, and known by their version.
-		err = again(ctx, func() error {
+		err = retryRefused(ctx, func() error {
 			if err := pace.Wait(ctx); err != nil {
 				return err
 			}
@@ -122,8 +122,8 @@
 	return h, len(all), s.Close()
 }
 
-// importKey stands in a state service while it is being filled.
-const importKey = "ctl/import"
+// importMarkKey stands in a state service while it is being filled.
+const importMarkKey = "ctl/import"
 
 // ErrNotEmpty says that a state service holds something already.
 var ErrNotEmpty = errors.New("the state service is not empty")
@@ -134,7 +134,7 @@
 // is written.
 func Restore(ctx context.Context, to Target, h Header, all map[string]wire.Raw, ops int) (int, error) {
 	mark := Header{Revision: h.Revision, AtMs: h.AtMs, By: h.By}
-	entry, err := to.Get(ctx, importKey)
+	entry, err := to.Get(ctx, importMarkKey)
 	if err != nil {
 		return 0, fmt.Errorf("import: %w", err)
 	}
@@ -152,7 +152,7 @@
 		if len(page.Items) > 0 {
 			return 0, fmt.Errorf("%w: it has %q", ErrNotEmpty, page.Items[0].Key)
 		}
-		rev, err := to.CompareAndSwap(ctx, []wire.Guard{{Key: importKey}}, []wire.Op{{Put: importKey, Value: mark}})
+		rev, err := to.CompareAndSwap(ctx, []wire.Guard{{Key: importMarkKey}}, []wire.Op{{Put: importMarkKey, Value: mark}})
 		if err != nil {
 			return 0, fmt.Errorf("import: %w", err)
 		}
@@ -162,7 +162,7 @@
 	keys := slices.Sorted(maps.Keys(all))
 	for len(keys) > 0 {
 		n, bytes := 0, 0
-		guards := []wire.Guard{{Key: importKey, Version: entry.Version}}
+		guards := []wire.Guard{{Key: importMarkKey, Version: entry.Version}}
 		var puts []wire.Op
 		for n < len(keys) && n < ops && (n == 0 || bytes+2*len(all[keys[n]]) < 48<<10) {
 			guards = append(guards, wire.Guard{Key: keys[n]})
@@ -171,22 +171,22 @@
 			n++
 		}
 		var c *kvstore.ConflictError
-		err := again(ctx, func() error {
+		err := retryRefused(ctx, func() error {
 			_, err := to.CompareAndSwap(ctx, guards, puts)
 			return err
 		})
 		switch {
-		case errors.As(err, &c) && !slices.Contains(c.FailedKeys, importKey):
+		case errors.As(err, &c) && !slices.Contains(c.FailedKeys, importMarkKey):
 			// Written before, by this import: its answer was lost, or it was cut off.
 			// With other limits it may have been written in other pieces.
 			for i := range puts {
-				err := again(ctx, func() error {
+				err := retryRefused(ctx, func() error {
 					_, err := to.CompareAndSwap(ctx, []wire.Guard{guards[0], guards[i+1]}, puts[i:i+1])
 					return err
 				})
 				if err == nil {
 					written++
-				} else if !errors.As(err, &c) || slices.Contains(c.FailedKeys, importKey) {
+				} else if !errors.As(err, &c) || slices.Contains(c.FailedKeys, importMarkKey) {
 					return written, fmt.Errorf("import: at %q: %w", keys[i], err)
 				}
 			}
@@ -197,8 +197,8 @@
 		}
 		keys = keys[n:]
 	}
-	err = again(ctx, func() error {
-		_, err := to.CompareAndSwap(ctx, []wire.Guard{{Key: importKey, Version: entry.Version}}, []wire.Op{{Delete: importKey}})
+	err = retryRefused(ctx, func() error {
+		_, err := to.CompareAndSwap(ctx, []wire.Guard{{Key: importMarkKey, Version: entry.Version}}, []wire.Op{{Delete: importMarkKey}})
 		return err
 	})
 	if err != nil {
