--- a/cluster/job.go
+++ b/cluster/job.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/placement"
 	"github.com/umberdeal/umberdeal/wire"
 )
@@ -57,10 +58,10 @@
 type Task struct {
 	Phase     uint8
 	Failures  uint8
-	Resumed   bool    // an earlier attempt has run
-	Progress  float32 // seconds of work that earlier attempts have saved
-	Outcome   uint8   // of a reserved task that is over: how it ended
-	NotBefore int64   // Unix milliseconds
+	Resumed   bool                 // an earlier attempt has run
+	Progress  float32              // seconds of work that earlier attempts have saved
+	Outcome   jobstore.TaskOutcome // of a reserved task that is over: how it ended
+	NotBefore int64                // Unix milliseconds
 	Placement *Placement
 }
 
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -24,7 +24,7 @@
 	if r == nil {
 		return nil
 	}
-	return &reservation{Reservation: *r, launchable: jobstore.BitSetOf(r.LaunchRanges, tasks), released: jobstore.BitSetOf(r.ReleaseRanges, tasks)}
+	return &reservation{Reservation: *r, launchable: r.LaunchRanges.BitSet(tasks), released: r.ReleaseRanges.BitSet(tasks)}
 }
 
 // awaitsLaunch says whether a task must not be launched yet.
@@ -59,7 +59,7 @@
 const stopReleased = "released"
 
 // endForStop is how a task that was stopped for that reason ended.
-func endForStop(why string) uint8 {
+func endForStop(why string) jobstore.TaskOutcome {
 	if why == stopReleased {
 		return jobstore.OutcomeReleased
 	}
@@ -68,7 +68,7 @@
 
 // finishOnlyAttempt takes in that a task's only attempt has ended. For other jobs, whose
 // tasks start again, it does nothing.
-func (m *Model) finishOnlyAttempt(j *Job, task int32, how uint8, now time.Time) {
+func (m *Model) finishOnlyAttempt(j *Job, task int32, how jobstore.TaskOutcome, now time.Time) {
 	t := &j.Tasks[task]
 	if j.reservation == nil || t.Phase != TaskIdle || j.Cancelled {
 		return
@@ -79,7 +79,7 @@
 }
 
 // stopReason is how a task that its machine reports as stopped ended.
-func stopReason(p *Placement) uint8 {
+func stopReason(p *Placement) jobstore.TaskOutcome {
 	if p.Stop == nil {
 		return jobstore.OutcomePreempted
 	}
@@ -148,7 +148,7 @@
 func (j *Job) loadEndedTasks(pairs []int) {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if t := pairs[i]; t >= 0 && t < len(j.Tasks) && pairs[i+1] >= 0 && pairs[i+1] <= math.MaxUint8 {
-			j.Tasks[t].Outcome = uint8(pairs[i+1])
+			j.Tasks[t].Outcome = jobstore.TaskOutcome(pairs[i+1])
 		}
 	}
 }
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -39,7 +39,7 @@
 	}
 	wait := time.Duration(0)
 	failed := ""
-	how := uint8(jobstore.OutcomeRefused)
+	how := jobstore.OutcomeRefused
 	switch t.Why {
 	case wire.WhyError:
 		how = jobstore.OutcomeFailed
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -90,7 +90,7 @@
 
 // prefetchEnded takes in that a fetch has ended without having run: where workers
 // know no such job, weights are not fetched ahead for a while.
-func (m *Model) prefetchEnded(j *Job, how uint8, now time.Time) {
+func (m *Model) prefetchEnded(j *Job, how jobstore.TaskOutcome, now time.Time) {
 	if how != jobstore.OutcomeRefused && how != jobstore.OutcomeFailed || !m.isPrefetch(j) {
 		return
 	}
--- a/cmd/umberdeal/plan.go
+++ b/cmd/umberdeal/plan.go
@@ -131,15 +131,15 @@
 	if err != nil {
 		return nil, nil, nil, h, err
 	}
-	h, _, trouble, err := jobstore.ReadPlanHead(ctx, st)
-	if trouble != nil {
-		fmt.Fprintln(os.Stderr, trouble)
+	head, err := jobstore.ReadPlanHead(ctx, st)
+	if head.Warning != nil {
+		fmt.Fprintln(os.Stderr, head.Warning)
 	}
 	if err != nil {
 		stop()
 		return nil, nil, nil, h, err
 	}
-	return ctx, stop, st, h, nil
+	return ctx, stop, st, head.PlanHead, nil
 }
 
 type planShowCmd struct {
--- a/controller/node.go
+++ b/controller/node.go
@@ -176,14 +176,15 @@
 func (n *Node) setUpJobStore() {
 	store := n.cfg.Cluster.State
 	n.userKV = n.kv.WithAdaptiveLimits(store.RPS*0.7, store.WriteRPS, userRateShare/float64(max(1, n.cfg.Cluster.Size)))
-	n.jobs = jobstore.New(n.userKV)
-	n.jobs.Limits = jobstore.Limits{TxnOps: store.TxnOps, ValueKB: store.ValueKB}
-	n.jobs.Log = n.log
-	n.jobs.Tier = func(team, class string) int { return n.priorities().TierOf(team, class) }
-	n.jobs.Order = func(id string) float64 { return admission.PollSchedule{Period: pollRound}.Priority(id, time.Now()) }
-	n.jobs.Gap = func() time.Duration {
-		return config.Seconds(min(barrierRateShare/max(n.userKV.RequestRate(), 1), 0.6))
-	}
+	n.jobs = jobstore.New(n.userKV, jobstore.Config{
+		Limits: jobstore.Limits{TxnOps: store.TxnOps, ValueKB: store.ValueKB},
+		BarrierInterval: func() time.Duration {
+			return config.Seconds(min(barrierRateShare/max(n.userKV.RequestRate(), 1), 0.6))
+		},
+		SubmissionTier: func(team, class string) int { return n.priorities().TierOf(team, class) },
+		FinalReadOrder: func(id string) float64 { return admission.PollSchedule{Period: pollRound}.Priority(id, time.Now()) },
+		Log:            n.log,
+	})
 	n.pollTurns.Tier = n.pollTier
 }
 
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -42,7 +42,7 @@
 func (l *leadership) newRepairer() *repairer {
 	n := l.node
 	return &repairer{
-		kv: n.kv, leaderGuard: l.leaderGuard(), limits: n.jobs.Limits, controllers: len(n.peers) + 1,
+		kv: n.kv, leaderGuard: l.leaderGuard(), limits: n.jobs.Limits(), controllers: len(n.peers) + 1,
 		findCopy: n.recoverCopy, log: l.log,
 		schemaVersion: func(ctx context.Context) (int, error) { return targetSchemaVersion(ctx, n.kv) },
 		entries:       map[string]wire.Entry{}, pages: map[string]jobstore.JobPage{},
--- a/jobstore/accept_test.go
+++ b/jobstore/accept_test.go
@@ -32,15 +32,20 @@
 		Tasks: 2, CPUs: 2.5, MemoryGB: 4, Image: "img-1", ImageGB: 1.25, EstimateS: 20, Types: []string{"g8", "g16"}}
 }
 
-// runStores plays a story with that many readers of one store.
+// runStores runs that many stores on one key-value store while play lasts.
 func runStores(t *testing.T, n int, s *fakeStore, play func(rs []*jobstore.Store)) {
+	t.Helper()
+	runStoresWith(t, n, s, jobstore.Config{Limits: limits}, play)
+}
+
+// runStoresWith is runStores with another configuration.
+func runStoresWith(t *testing.T, n int, s *fakeStore, config jobstore.Config, play func(rs []*jobstore.Store)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
 	var rs []*jobstore.Store
 	for range n {
-		r := jobstore.New(s)
-		r.Limits = limits
+		r := jobstore.New(s, config)
 		rs = append(rs, r)
 		wg.Go(func() { r.Run(ctx) })
 	}
@@ -425,8 +430,8 @@
 		_, _ = s.apply(nil, []wire.Op{{Put: jobstore.HeadPageKey(0), Value: jobstore.JobPage{Entries: []jobstore.JobPageEntry{
 			{ID: job(1).ID, Record: good}, {ID: job(2).ID, Record: good}, {ID: job(3).ID, Record: wire.Raw{0xc0}}}}}})
 		var log bytes.Buffer
-		runStores(t, 1, s, func(rs []*jobstore.Store) {
-			rs[0].Log = slog.New(slog.NewTextHandler(&log, nil))
+		config := jobstore.Config{Limits: limits, Log: slog.New(slog.NewTextHandler(&log, nil))}
+		runStoresWith(t, 1, s, config, func(rs []*jobstore.Store) {
 			if v, found, err := rs[0].Lookup(t.Context(), job(1).ID); err != nil || !found || v.Record.Job.CPUs != 2.5 {
 				t.Errorf("the good one: %v, %v, %v", v, found, err)
 			}
@@ -522,17 +527,17 @@
 		s := newFakeStore(1)
 		s.setSchema(1)
 		s.maxLatency = 200 * time.Millisecond
-		runStores(t, 1, s, func(rs []*jobstore.Store) {
-			rs[0].Tier = func(_, class string) int {
-				if class == "clinic" {
-					return 0
-				}
-				return 1
+		tierOf := func(_, class string) int {
+			if class == "clinic" {
+				return 0
 			}
+			return 1
+		}
+		runStoresWith(t, 1, s, jobstore.Config{Limits: limits, SubmissionTier: tierOf}, func(rs []*jobstore.Store) {
 			var mu sync.Mutex
 			var order []string
 			var wg sync.WaitGroup
-			submit := func(n int, class string) {
+			submitClass := func(n int, class string) {
 				wg.Go(func() {
 					j := job(n)
 					j.Class = class
@@ -548,13 +553,13 @@
 				t.Fatal(err)
 			}
 			for n := range 120 {
-				submit(n, "craft")
+				submitClass(n, "craft")
 			}
 			mu.Lock()
 			before := len(order)
 			mu.Unlock()
 			for n := range 4 {
-				submit(1000+n, "clinic")
+				submitClass(1000+n, "clinic")
 			}
 			wg.Wait()
 			last := 0
--- a/jobstore/encoding_test.go
+++ b/jobstore/encoding_test.go
@@ -88,7 +88,7 @@
 	}
 	for name, n := range map[string]int{
 		"chunk size": ChunkSize, "form of keys": SchemaJobKeys, "form of intake": SchemaJobPages, "form of plans": SchemaPlans, "newest form": LatestSchema,
-		"end: done": OutcomeDone, "end: error": OutcomeFailed, "end: lost": OutcomeLost, "end: preempted": OutcomePreempted, "end: released": OutcomeReleased, "end: refused": OutcomeRefused,
+		"end: done": int(OutcomeDone), "end: error": int(OutcomeFailed), "end: lost": int(OutcomeLost), "end: preempted": int(OutcomePreempted), "end: released": int(OutcomeReleased), "end: refused": int(OutcomeRefused),
 	} {
 		f.Number(name, n)
 	}
--- a/jobstore/export_test.go
+++ b/jobstore/export_test.go
@@ -2,20 +2,24 @@
 
 import "github.com/umberdeal/umberdeal/wire"
 
-// Retained is how much a reader keeps of each kind.
-func (r *Store) Retained() map[string]int {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	waiting := 0
-	for _, q := range r.queues {
-		waiting += len(q.submissions) + q.individual
+// Retained is how much a store keeps in memory of each kind.
+func (s *Store) Retained() map[string]int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	submissions := 0
+	for _, q := range s.writeQueues {
+		submissions += len(q.submissions) + q.individual
+	}
+	return map[string]int{
+		"jobs": len(s.jobs), "finals": len(s.finals.records), "final order": len(s.finals.order),
+		"placement pages": len(s.placementPages), "job pages": len(s.jobPages),
+		"unreadable pages": len(s.unreadablePages), "unreadable placements": len(s.unreadablePlacements),
+		"queues": len(s.writeQueues), "submissions": submissions, "final reads": len(s.finalReads.waiting),
 	}
-	return map[string]int{"jobs": len(r.jobs), "finals": len(r.finals), "order": len(r.finalOrder), "pages": len(r.placementPages), "intake": len(r.jobPages),
-		"lost": len(r.unreadablePages), "blind": len(r.unreadablePlacements), "queues": len(r.queues), "waiting": waiting, "ends": len(r.finalReads.waiting)}
 }
 
-// CacheFinal remembers a job that is over.
-func (r *Store) CacheFinal(id string) { r.cacheFinal(id, JobRecord{State: wire.JobDone}) }
+// RememberFinal remembers a job that is over.
+func (s *Store) RememberFinal(id string) { s.cacheFinal(id, JobRecord{State: wire.JobDone}) }
 
 // MaxCachedFinals is how many are remembered.
 const MaxCachedFinals = maxCachedFinals
--- a/jobstore/index_test.go
+++ b/jobstore/index_test.go
@@ -60,7 +60,7 @@
 				time.Sleep(250 * time.Millisecond)
 				for _, r := range rs {
 					most = max(most, r.Retained()["jobs"])
-					full = max(full, r.Retained()["intake"]-3)
+					full = max(full, r.Retained()["job pages"]-3)
 				}
 			}
 			wg.Wait()
@@ -72,16 +72,19 @@
 					_, _, _ = r.Lookup(t.Context(), "wk-999999")
 				}
 				kept := r.Retained()
-				for kind, bound := range map[string]int{"jobs": 0, "pages": 0, "intake": 3, "lost": 0, "blind": 0, "queues": 3, "waiting": 0, "ends": 0} {
+				for kind, bound := range map[string]int{
+					"jobs": 0, "placement pages": 0, "job pages": 3, "unreadable pages": 0, "unreadable placements": 0,
+					"queues": 3, "submissions": 0, "final reads": 0,
+				} {
 					if kept[kind] > bound {
 						t.Errorf("node %d keeps %d of %s after %d jobs, not %d at most", i, kept[kind], kind, n, bound)
 					}
 				}
 				for k := range jobstore.MaxCachedFinals + 100 {
-					r.CacheFinal(fmt.Sprintf("wk-7%06d", k))
+					r.RememberFinal(fmt.Sprintf("wk-7%06d", k))
 				}
-				if kept := r.Retained(); kept["finals"] != jobstore.MaxCachedFinals || kept["order"] != jobstore.MaxCachedFinals {
-					t.Errorf("node %d keeps %d ends, in an order of %d", i, kept["finals"], kept["order"])
+				if kept := r.Retained(); kept["finals"] != jobstore.MaxCachedFinals || kept["final order"] != jobstore.MaxCachedFinals {
+					t.Errorf("node %d keeps %d ends, in an order of %d", i, kept["finals"], kept["final order"])
 				}
 			}
 			t.Log(n, "jobs,", most, "at most unfinished,", full, "full pages")
--- /dev/null
+++ b/jobstore/keys.go
@@ -0,0 +1,92 @@
+package jobstore
+
+import (
+	"strconv"
+	"strings"
+)
+
+// Everything about unfinished jobs lies under ActivePrefix, so that one watch and one listing give all
+// that a leader needs.
+const (
+	ActivePrefix = "w/"
+	// JobPrefix is the part of ActivePrefix that users' requests change.
+	JobPrefix = "w/j/"
+	// AppPrefix is where API front ends keep the records of the applications that own reserved jobs.
+	// It lies under ActivePrefix so that one barrier makes applications and jobs current; the leader
+	// skips it.
+	AppPrefix = ActivePrefix + "y/"
+	// jobPagePrefix is where job pages lie. No job id begins with a plus.
+	jobPagePrefix       = JobPrefix + "+"
+	placementPagePrefix = "w/p/"
+	finalPrefix         = "f/"
+)
+
+// Keys of what else the leader keeps.
+const (
+	// ScaleOutPrefix holds a ScaleOutRecord for each request for machines.
+	ScaleOutPrefix = "r/"
+	// ScaleInKey holds the ScaleInRecord of the last request to delete machines.
+	ScaleInKey = "c/returns"
+	// RebalanceCyclePrefix holds a RebalanceCycle for each group of machines.
+	RebalanceCyclePrefix = "x/"
+	// MachineTypesKey holds the cloud's machine types as last read.
+	MachineTypesKey = "c/types"
+)
+
+// JobKey is the key of an unfinished job that does not share a job page.
+func JobKey(id string) string { return JobPrefix + id }
+
+// ParseJobKey is the inverse of JobKey.
+func ParseJobKey(key string) (id string, ok bool) {
+	id, ok = strings.CutPrefix(key, JobPrefix)
+	return id, ok && !IsJobPageKey(key)
+}
+
+// FinalKey is the key of a finished or cancelled job. It is never deleted.
+func FinalKey(id string) string { return finalPrefix + id }
+
+// ParseFinalKey is the inverse of FinalKey.
+func ParseFinalKey(key string) (id string, ok bool) { return strings.CutPrefix(key, finalPrefix) }
+
+// PlacementPageKey is the key of a page of placement records.
+func PlacementPageKey(page int) string { return placementPagePrefix + strconv.Itoa(page) }
+
+// ParsePlacementPageKey is the inverse of PlacementPageKey.
+func ParsePlacementPageKey(key string) (page int, ok bool) {
+	num, ok := strings.CutPrefix(key, placementPagePrefix)
+	if !ok {
+		return 0, false
+	}
+	page, err := strconv.Atoi(num)
+	return page, err == nil && page >= 0
+}
+
+// HeadPageKey is the key of a bucket's head page. It is never removed, so that a late transaction that
+// would have created it fails.
+func HeadPageKey(bucket int) string { return jobPagePrefix + strconv.Itoa(bucket) }
+
+// SealedPageKey is the key of a sealed page: a page that the bucket's head was before.
+func SealedPageKey(bucket int, number uint64) string {
+	return HeadPageKey(bucket) + "." + strconv.FormatUint(number, 10)
+}
+
+// IsJobPageKey reports whether a key is that of a head page or of a sealed page.
+func IsJobPageKey(key string) bool { return strings.HasPrefix(key, jobPagePrefix) }
+
+// IsHeadPageKey reports whether a key is that of a bucket's head page.
+func IsHeadPageKey(key string) bool {
+	return IsJobPageKey(key) && !strings.Contains(key[len(jobPagePrefix):], ".")
+}
+
+// ParseJobPageKey is the inverse of HeadPageKey and SealedPageKey; sealed is 0 for a head page.
+func ParseJobPageKey(key string) (bucket int, sealed uint64, ok bool) {
+	if !IsJobPageKey(key) {
+		return 0, 0, false
+	}
+	head, num, isSealed := strings.Cut(key[len(jobPagePrefix):], ".")
+	bucket, err := strconv.Atoi(head)
+	if err == nil && isSealed {
+		sealed, err = strconv.ParseUint(num, 10, 64)
+	}
+	return bucket, sealed, err == nil && bucket >= 0
+}
--- a/jobstore/lookup_test.go
+++ b/jobstore/lookup_test.go
@@ -46,8 +46,8 @@
 						s.overwrite(jobstore.FinalKey(job(n).ID), mustMarshal(t, finalRecord(job(n), ends[n%2])))
 					}
 				}
-				runStores(t, 1, s, func(rs []*jobstore.Store) {
-					rs[0].Order = func(id string) float64 { return float64(id[len(id)-1]) }
+				order := func(id string) float64 { return float64(id[len(id)-1]) }
+				runStoresWith(t, 1, s, jobstore.Config{Limits: limits, FinalReadOrder: order}, func(rs []*jobstore.Store) {
 					var wg sync.WaitGroup
 					for i := range c.asked {
 						wg.Go(func() {
--- a/jobstore/plan_test.go
+++ b/jobstore/plan_test.go
@@ -87,9 +87,9 @@
 			if won == 0 || moved == 0 {
 				t.Fatalf("seed %d: %d won, %d were told that another came between", seed, won, moved)
 			}
-			h, _, trouble, err := jobstore.ReadPlanHead(context.Background(), s)
-			if err != nil || trouble != nil || h.Current() < won {
-				t.Fatalf("seed %d: version %d after %d that won, %v, %v", seed, h.Current(), won, trouble, err)
+			h, err := jobstore.ReadPlanHead(context.Background(), s)
+			if err != nil || h.Warning != nil || h.Current() < won {
+				t.Fatalf("seed %d: version %d after %d that won, %v, %v", seed, h.Current(), won, h.Warning, err)
 			}
 			for _, v := range h.Versions {
 				text, err := jobstore.ReadPlanText(context.Background(), s, v)
--- /dev/null
+++ b/jobstore/planapply.go
@@ -0,0 +1,260 @@
+package jobstore
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"time"
+	"unicode/utf8"
+
+	"github.com/zeebo/xxh3"
+
+	"github.com/umberdeal/umberdeal/internal/call"
+	"github.com/umberdeal/umberdeal/kvstore"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// ErrPlanUnsupported means that not every controller is known to read plans yet.
+var ErrPlanUnsupported = errors.New("not every node reads plans yet: start this version on all of them (with ledger.intake), and apply again")
+
+// PlanConflictError means that another version was applied since the one that a change builds on.
+type PlanConflictError struct{ Base, Current int }
+
+func (e *PlanConflictError) Error() string {
+	return fmt.Sprintf("it builds on version %d, and version %d holds: look at what came between, and apply again", e.Base, e.Current)
+}
+
+// PlanChange is a new version of the plan.
+type PlanChange struct {
+	Base     int // the version that it builds on; 0: none
+	Text     string
+	By, Note string
+	At       time.Time
+}
+
+// ApplyPlan puts a text in force as the next version of the plan. Of two at once one wins, and the
+// other gets a PlanConflictError. With an error of package kvstore the outcome is unknown: the plan's
+// history tells.
+func ApplyPlan(ctx context.Context, kv KeyValueStore, limits Limits, c PlanChange) (PlanVersion, error) {
+	schemaVersion, err := ensurePlanSchema(ctx, kv)
+	if err != nil {
+		return PlanVersion{}, err
+	}
+	head, err := ReadPlanHead(ctx, kv)
+	if err != nil {
+		return PlanVersion{}, err
+	}
+	if head.Current() != c.Base {
+		return PlanVersion{}, &PlanConflictError{c.Base, head.Current()}
+	}
+	v, puts := newPlanVersion(head.Current()+1, c, limits)
+	// What is too large for one transaction goes ahead of the head that names it, but for the last
+	// piece: a text is there as a whole only if it was committed as a version, also where no head can
+	// be read to say so.
+	last := len(puts) - 1
+	for _, put := range puts[:last] {
+		err := commitOnce(ctx, kv, []wire.Guard{{Key: put.Put}}, []wire.Op{put}, func() bool { return keyExists(ctx, kv, put.Put) })
+		if err != nil {
+			return PlanVersion{}, fmt.Errorf("the plan's text: %w", err)
+		}
+	}
+	next := head.with(v, limits)
+	guards := []wire.Guard{{Key: PlanHeadKey, Version: head.Version}, {Key: SchemaKey, Version: schemaVersion}}
+	ops := []wire.Op{{Put: PlanHeadKey, Value: next}, {Put: planHeadCopyKey, Value: next}, puts[last]}
+	err = commitOnce(ctx, kv, guards, ops, func() bool { return isApplied(ctx, kv, v) })
+	if err != nil {
+		return PlanVersion{}, planConflict(ctx, kv, c.Base, err)
+	}
+	deleteOrphanedTexts(ctx, kv, next)
+	return v, nil
+}
+
+// newPlanVersion makes a version of a change, and the puts of its text's pieces.
+func newPlanVersion(number int, c PlanChange, limits Limits) (PlanVersion, []wire.Op) {
+	v := PlanVersion{
+		Number: number, Digest: xxh3.HashString(c.Text),
+		AtMs: c.At.UnixMilli(), By: truncate(c.By), Note: truncate(c.Note),
+	}
+	// The random part tells it from a draft of the same number, of somebody who failed halfway.
+	v.Draft = fmt.Sprintf("%d-%08x", v.Number, rand.Uint32())
+	text := splitPlanText(c.Text, limits.pageBytes()) // both heads and one piece fit into a transaction
+	v.Pieces = len(text)
+	puts := make([]wire.Op, 0, len(text))
+	for k, t := range text {
+		puts = append(puts, wire.Op{Put: planTextKey(v.Draft, k), Value: planPiece{t, v.Pieces, v.Digest}})
+	}
+	return v, puts
+}
+
+// splitPlanText cuts a text so that each piece fits into a value of so many bytes, as the key-value
+// store counts them.
+func splitPlanText(text string, maxBytes int) []string {
+	const maxEscape = 6 // bytes of \u00e9
+	var out []string
+	from, size := 0, 0
+	for i, r := range text {
+		cost := utf8.RuneLen(r)
+		if r < 0x20 || r >= 0x80 || strings.ContainsRune(`"\<>&`, r) {
+			cost = maxEscape * max(1, cost)
+		}
+		if size+cost > maxBytes && i > from {
+			out = append(out, text[from:i])
+			from, size = i, 0
+		}
+		size += cost
+	}
+	return append(out, text[from:])
+}
+
+// with is the head once v is applied: as many versions as fit into a value, the newest first.
+func (h PlanHead) with(v PlanVersion, limits Limits) PlanHead {
+	next := PlanHead{Versions: append([]PlanVersion{v}, h.Versions...)}
+	next.Versions = next.Versions[:min(len(next.Versions), maxPlanVersions)]
+	for len(next.Versions) > 1 && next.size() > limits.pageBytes() {
+		next.Versions = next.Versions[:len(next.Versions)-1]
+	}
+	return next
+}
+
+// size is what the key-value store counts for a head.
+func (h PlanHead) size() int {
+	raw, err := wire.Marshal(h)
+	if err != nil {
+		return 0 // the commit fails as well, and says so
+	}
+	return wire.JSONSize(raw)
+}
+
+// truncate bounds what people say of a version.
+func truncate(s string) string {
+	const most = 120
+	if len(s) <= most {
+		return s
+	}
+	return strings.ToValidUTF8(s[:most], "")
+}
+
+// isApplied reports whether a head names a version.
+func isApplied(ctx context.Context, kv KeyValueReader, v PlanVersion) bool {
+	head, err := ReadPlanHead(ctx, kv)
+	if err != nil {
+		return false
+	}
+	got, ok := head.Find(v.Number)
+	return ok && got.Draft == v.Draft
+}
+
+func keyExists(ctx context.Context, kv KeyValueReader, key string) bool {
+	e, err := kv.Get(ctx, key)
+	return err == nil && e.Version != 0
+}
+
+// planConflict turns a conflict into a PlanConflictError where another version was applied.
+func planConflict(ctx context.Context, kv KeyValueReader, base int, err error) error {
+	var conflict *kvstore.ConflictError
+	if !errors.As(err, &conflict) {
+		return err
+	}
+	head, readErr := ReadPlanHead(ctx, kv)
+	if readErr != nil || head.Current() == base {
+		return err
+	}
+	return &PlanConflictError{base, head.Current()}
+}
+
+// commitOnce commits a transaction whose conditions let it happen once only. A lost answer is made up
+// for by committing it again; a conflict may then be the first try's doing, which done finds out.
+func commitOnce(ctx context.Context, kv KeyValueStore, guards []wire.Guard, ops []wire.Op, done func() bool) error {
+	const firstWait, maxWait = 200 * time.Millisecond, 2 * time.Second
+	for wait := firstWait; ; wait = min(2*wait, maxWait) {
+		_, err := kv.CompareAndSwap(ctx, guards, ops)
+		var conflict *kvstore.ConflictError
+		switch {
+		case err == nil:
+			return nil
+		case errors.As(err, &conflict):
+			if done() {
+				return nil
+			}
+			return err
+		case errors.Is(err, kvstore.ErrInvalidRequest):
+			return err
+		}
+		if !call.Pause(ctx, wait/2+rand.N(wait)) {
+			return err
+		}
+	}
+}
+
+const (
+	// schemaTries is how often the schema is read until every controller reads plans.
+	schemaTries = 31
+	schemaWait  = 500 * time.Millisecond
+)
+
+// ensurePlanSchema makes sure that the schema says that there may be a plan: a program that knows of
+// none refuses to lead from then on. It returns the version of the schema's key.
+func ensurePlanSchema(ctx context.Context, kv KeyValueStore) (uint64, error) {
+	for try := range schemaTries {
+		e, schema, err := readSchema(ctx, kv)
+		switch {
+		case err != nil:
+			return 0, err
+		case schema.Version > LatestSchema:
+			return 0, ErrNewerSchema
+		case schema.Version >= SchemaPlans:
+			return e.Version, nil
+		}
+		if try == 0 {
+			if err := requestPlans(ctx, kv); err != nil {
+				return 0, err
+			}
+		}
+		if try < schemaTries-1 && !call.Pause(ctx, schemaWait) {
+			return 0, ctx.Err()
+		}
+	}
+	return 0, ErrPlanUnsupported
+}
+
+func readSchema(ctx context.Context, kv KeyValueReader) (wire.Entry, SchemaRecord, error) {
+	var schema SchemaRecord
+	e, err := kv.Get(ctx, SchemaKey)
+	if err != nil || e.Version == 0 {
+		return e, schema, err
+	}
+	if err := wire.Unmarshal(e.Value, &schema); err != nil {
+		return e, schema, fmt.Errorf("%s: %w", SchemaKey, err)
+	}
+	return e, schema, nil
+}
+
+// requestPlans asks the leader to raise the schema.
+func requestPlans(ctx context.Context, kv KeyValueStore) error {
+	_, err := kv.CompareAndSwap(ctx, []wire.Guard{{Key: PlanRequestedKey}}, []wire.Op{{Put: PlanRequestedKey, Value: true}})
+	var conflict *kvstore.ConflictError
+	if errors.As(err, &conflict) {
+		return nil // it was asked before
+	}
+	return err
+}
+
+// deleteOrphanedTexts deletes the texts that no version names. A draft can be committed only as the
+// next version, so that those up to the current one are nobody's.
+func deleteOrphanedTexts(ctx context.Context, kv KeyValueStore, h PlanHead) {
+	texts, _, err := kv.List(ctx, planTextPrefix)
+	if err != nil {
+		return // the next change that is applied deletes them
+	}
+	for _, e := range texts {
+		number, draft, ok := parsePlanTextKey(e.Key)
+		if !ok || number > h.Current() || h.names(draft) {
+			continue
+		}
+		if _, err := kv.CompareAndSwap(ctx, []wire.Guard{{Key: e.Key, Version: e.Version}}, []wire.Op{{Delete: e.Key}}); err != nil {
+			return
+		}
+	}
+}
--- a/jobstore/salvage.go
+++ b/jobstore/salvage.go
@@ -6,55 +6,62 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file reads what still stands in records that can't be read as a whole.
-// Nothing is guessed: what is taken from them stands there in full, and an id
-// twice, so that one stretch of damage can't make up another one.
-
-// msgpackString is a short text as records have it.
-func msgpackString(s string) []byte { return append([]byte{0xa0 | byte(len(s))}, s...) }
+// This file reads what is still intact in records that can't be read as a whole. Nothing is guessed:
+// what is taken from them stands there in full, and an id twice, so that one stretch of damage can't
+// make up another one.
 
 var (
-	entryID  = msgpackString("i")      // of an IntakeEntry
-	recordID = msgpackString("nameId") // of the job in its record
-	stateKey = msgpackString("st")     // of a JobRecord
+	entryIDField  = msgpackString("i")      // of a JobPageEntry
+	recordIDField = msgpackString("nameId") // of the job in its record
+	stateField    = msgpackString("st")     // of a JobRecord
 )
 
-// salvageIDs finds jobs that stand on a page of users' jobs: each whose id is
-// both its entry's and its record's.
+// salvageIDs finds jobs that stand on a job page: each whose id is both its entry's and its record's.
 func salvageIDs(page []byte) []string {
 	var ids []string
 	for rest := page; ; {
-		at := bytes.Index(rest, entryID)
+		at := bytes.Index(rest, entryIDField)
 		if at < 0 {
 			return ids
 		}
-		rest = rest[at+len(entryID):]
-		if len(rest) == 0 || rest[0]&0xe0 != 0xa0 || len(rest) <= int(rest[0]&0x1f) {
+		rest = rest[at+len(entryIDField):]
+		encoded, ok := leadingString(rest)
+		if !ok {
 			continue
 		}
-		whole := rest[:1+int(rest[0]&0x1f)]
-		id := string(whole[1:])
+		id := string(encoded[1:])
 		if !wire.ValidUserID(id) {
 			continue
 		}
-		rest = rest[len(whole):]
-		at = bytes.Index(rest, recordID)
-		if at >= 0 && bytes.HasPrefix(rest[at+len(recordID):], whole) {
+		rest = rest[len(encoded):]
+		at = bytes.Index(rest, recordIDField)
+		if at >= 0 && bytes.HasPrefix(rest[at+len(recordIDField):], encoded) {
 			ids = append(ids, id)
 		}
 	}
 }
 
-// salvageState finds how a job ended in a final record: "" where that does not
-// stand there, or both do.
+// leadingString is the encoded string of at most 31 bytes that b begins with.
+func leadingString(b []byte) (encoded []byte, ok bool) {
+	if len(b) == 0 || b[0]&fixStrMask != msgpackFixStr {
+		return nil, false
+	}
+	n := int(b[0] & fixStrLenMask)
+	if len(b) <= n {
+		return nil, false
+	}
+	return b[:1+n], true
+}
+
+// salvageState finds how a job ended in a final record: "" where no state stands there, or both do.
 func salvageState(record []byte) string {
 	found := ""
-	for _, s := range []string{wire.JobDone, wire.JobCancelled} {
-		if bytes.Contains(record, append(bytes.Clone(stateKey), msgpackString(s)...)) {
+	for _, state := range []string{wire.JobDone, wire.JobCancelled} {
+		if bytes.Contains(record, append(bytes.Clone(stateField), msgpackString(state)...)) {
 			if found != "" {
 				return ""
 			}
-			found = s
+			found = state
 		}
 	}
 	return found
--- /dev/null
+++ b/jobstore/tasks.go
@@ -0,0 +1,98 @@
+package jobstore
+
+import (
+	"iter"
+	"math"
+
+	"github.com/bits-and-blooms/bitset"
+)
+
+// TaskRanges is a set of task numbers in its stored form: first, last, first, last, both inclusive.
+type TaskRanges []int
+
+// RangesOf writes a set as ranges, in ascending order.
+func RangesOf(set *bitset.BitSet) TaskRanges {
+	var out TaskRanges
+	for i, ok := set.NextSet(0); ok; i, ok = set.NextSet(i + 1) {
+		if k := len(out); k > 0 && out[k-1] == int(i)-1 {
+			out[k-1] = int(i)
+		} else {
+			out = append(out, int(i), int(i))
+		}
+	}
+	return out
+}
+
+// BitSet is the set of the tasks that are below n.
+func (r TaskRanges) BitSet(n int) *bitset.BitSet {
+	set := bitset.New(uint(max(n, 0)))
+	for first, last := range r.All() {
+		for t := max(first, 0); t <= last && t < n; t++ {
+			set.Set(uint(t))
+		}
+	}
+	return set
+}
+
+// All yields the first and the last task of each range.
+func (r TaskRanges) All() iter.Seq2[int, int] {
+	return func(yield func(first, last int) bool) {
+		for i := 0; i+1 < len(r); i += 2 {
+			if !yield(r[i], r[i+1]) {
+				return
+			}
+		}
+	}
+}
+
+// Count counts the tasks.
+func (r TaskRanges) Count() int {
+	n := 0
+	for first, last := range r.All() {
+		n += last - first + 1
+	}
+	return n
+}
+
+// Contains reports whether a task is in one of the ranges.
+func (r TaskRanges) Contains(task int) bool {
+	for first, last := range r.All() {
+		if first <= task && task <= last {
+			return true
+		}
+	}
+	return false
+}
+
+// TaskOutcome says how a reserved task ended. The numbers are stored.
+type TaskOutcome uint8
+
+// How a reserved task ended.
+const (
+	OutcomeDone      TaskOutcome = iota
+	OutcomeFailed                // by itself, with an error
+	OutcomeLost                  // its machine is gone, or its lease expired
+	OutcomePreempted             // stopped for other work, an interruption notice or a drain
+	OutcomeReleased              // given back by its owner
+	OutcomeRefused               // its machine did not take it
+)
+
+// TaskOutcomes says how tasks ended, in its stored form: task, outcome, task, outcome.
+type TaskOutcomes []int
+
+// Append adds how a task ended.
+func (o TaskOutcomes) Append(task int, outcome TaskOutcome) TaskOutcomes {
+	return append(o, task, int(outcome))
+}
+
+// All yields each task and how it ended.
+func (o TaskOutcomes) All() iter.Seq2[int, TaskOutcome] {
+	return func(yield func(task int, outcome TaskOutcome) bool) {
+		for i := 0; i+1 < len(o); i += 2 {
+			outcome := min(uint(o[i+1]), math.MaxUint8) // what no version writes stays unknown
+			if !yield(o[i], TaskOutcome(outcome)) {
+				return
+			}
+		}
+	}
+}
--- a/snapshot/plan.go
+++ b/snapshot/plan.go
@@ -14,12 +14,12 @@
 // read as a node reads them.
 func (v *verifier) checkPlan() {
 	ctx := context.Background()
-	h, version, trouble, err := jobstore.ReadPlanHead(ctx, memoryStore(v.all))
-	if err != nil || version == 0 {
+	h, err := jobstore.ReadPlanHead(ctx, memoryStore(v.all))
+	if err != nil || h.Version == 0 {
 		return // there is no plan: a snapshot's reads do not fail
 	}
-	if trouble != nil {
-		v.report(jobstore.PlanHeadKey, "%v", trouble)
+	if h.Warning != nil {
+		v.report(jobstore.PlanHeadKey, "%v", h.Warning)
 	}
 	if v.form.Version < jobstore.SchemaPlans {
 		v.report(jobstore.PlanHeadKey, "there is a plan, and the form is %d", v.form.Version)
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -173,7 +173,7 @@
 		if n := len(w.Store.Keys("")); n != len(all) {
 			t.Errorf("%d keys of %d", n, len(all))
 		}
-		rd := jobstore.New(client(w))
+		rd := jobstore.New(client(w), jobstore.Config{})
 		rctx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); rd.Run(rctx) }()
--- a/yarn/duty.go
+++ b/yarn/duty.go
@@ -115,7 +115,7 @@
 	idle := map[string]time.Time{}
 	for i := range jobs {
 		j := &jobs[i]
-		goes := jobstore.BitSetOf(j.Record.Reservation.LaunchRanges, j.Record.Job.Tasks)
+		goes := j.Record.Reservation.LaunchRanges.BitSet(j.Record.Job.Tasks)
 		var late []int
 		for t := range j.Placements {
 			if goes.Test(uint(t)) {
--- a/yarn/manager.go
+++ b/yarn/manager.go
@@ -81,7 +81,7 @@
 			at = len(refs) - 1
 			ops = append(ops, content[key])
 		}
-		set := jobstore.BitSetOf(refs[at].TaskRanges, tasks)
+		set := refs[at].TaskRanges.BitSet(tasks)
 		for _, i := range byKey[key] {
 			set.Set(uint(list[i].task))
 		}
@@ -190,7 +190,7 @@
 			return nil
 		}
 		j := &jobs[i]
-		goes, drops := jobstore.BitSetOf(j.Record.Reservation.LaunchRanges, j.Record.Job.Tasks), jobstore.BitSetOf(j.Record.Reservation.ReleaseRanges, j.Record.Job.Tasks)
+		goes, drops := j.Record.Reservation.LaunchRanges.BitSet(j.Record.Job.Tasks), j.Record.Reservation.ReleaseRanges.BitSet(j.Record.Job.Tasks)
 		var fresh []start
 		for _, s := range list {
 			if _, placed := j.Placements[s.task]; !placed || drops.Test(uint(s.task)) {
@@ -278,7 +278,7 @@
 		return nil, wire.Errorf(wire.ClassNoContainer, "there is no such container")
 	}
 	st := pb.ContainerStateProto_C_NEW
-	if jobstore.BitSetOf(j.Record.Reservation.LaunchRanges, j.Record.Job.Tasks).Test(uint(task)) {
+	if j.Record.Reservation.LaunchRanges.BitSet(j.Record.Job.Tasks).Test(uint(task)) {
 		st = pb.ContainerStateProto_C_RUNNING
 	}
 	return &pb.ContainerStatusProto{State: &st, Diagnostics: proto.String("")}, nil
--- a/yarn/master.go
+++ b/yarn/master.go
@@ -308,7 +308,7 @@
 			continue
 		}
 		s.jobs[j.ID] = true
-		drops := jobstore.BitSetOf(j.Record.Reservation.ReleaseRanges, j.Record.Job.Tasks)
+		drops := j.Record.Reservation.ReleaseRanges.BitSet(j.Record.Job.Tasks)
 		for _, t := range slices.Sorted(maps.Keys(j.Placements)) {
 			id := a.container(jobSeq(j.ID), t)
 			if _, ok := s.told[id.GetId()]; !ok && !drops.Test(uint(t)) {
@@ -403,7 +403,7 @@
 		for i := range jobs {
 			if j := &jobs[i]; j.ID == id {
 				return d.led.UpdateReservation(ctx, j, func(r *jobstore.Reservation) {
-					set := jobstore.BitSetOf(r.ReleaseRanges, j.Record.Job.Tasks)
+					set := r.ReleaseRanges.BitSet(j.Record.Job.Tasks)
 					for _, t := range tasks {
 						if t >= 0 && t < j.Record.Job.Tasks {
 							set.Set(uint(t))
@@ -440,7 +440,7 @@
 
 // waiting lists the tasks of a job that have no place yet and are wanted.
 func waiting(j *jobstore.ReservedJob) []int {
-	drops := jobstore.BitSetOf(j.Record.Reservation.ReleaseRanges, j.Record.Job.Tasks)
+	drops := j.Record.Reservation.ReleaseRanges.BitSet(j.Record.Job.Tasks)
 	var out []int
 	for t := range j.Record.Job.Tasks {
 		_, placed := j.Placements[t]
--- a/yarn/records.go
+++ b/yarn/records.go
@@ -195,7 +195,7 @@
 )
 
 // exitStatus is what a master is told of how a container ended.
-func exitStatus(how int) (int32, string) {
+func exitStatus(how jobstore.TaskOutcome) (int32, string) {
 	switch how {
 	case jobstore.OutcomeDone:
 		return ExitSuccess, ""
--- a/yarn/rest.go
+++ b/yarn/rest.go
@@ -13,7 +13,6 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"github.com/umberdeal/umberdeal/jobstore"
 	nwire "github.com/umberdeal/umberdeal/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
@@ -276,7 +275,7 @@
 	out := []object{}
 	for i := range jobs {
 		j := &jobs[i]
-		goes := jobstore.BitSetOf(j.Record.Reservation.LaunchRanges, j.Record.Job.Tasks)
+		goes := j.Record.Reservation.LaunchRanges.BitSet(j.Record.Job.Tasks)
 		for t := range j.Record.Job.Tasks {
 			o := object{"id": ContainerName(a.container(jobSeq(j.ID), t)), "task": nwire.TaskName(j.ID, t),
 				"priority": parseTag(j.Record.Reservation.Tag).Priority, "node": "", "exitStatus": "", "state": "WAITING"}
