--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// tell tells the story; others is how many tasks ended that nobody had cancelled.
-func (g gap) tell(t *testing.T, seed uint64) (others int) {
+// run tells the story; others is how many tasks ended that nobody had cancelled.
+func (g gap) run(t *testing.T, seed uint64) (others int) {
 	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, ReportIntervalS: g.report, LeaseS: g.lease}
 	story(t, o, func(t *testing.T, w *fake.Cluster) {
 		times := w.Settings.Cluster.Workers
@@ -286,8 +286,8 @@
 var deployments = []struct{ report, lease float64 }{{1.5, 12}, {4, 22}, {5, 27}}
 
 // The moments that matter, one by one.
-func TestCancelledInTheGap(t *testing.T) {
-	_, many := manySeeds()
+func TestGapCancelledTasksAreGoneInTime(t *testing.T) {
+	_, many := seedCount()
 	for i, c := range []struct {
 		name string
 		g    gap
@@ -326,7 +326,7 @@
 			}
 			g := c.g
 			g.report, g.lease = d.report, d.lease
-			t.Run(fmt.Sprintf("%s, lease %g s", c.name, g.lease), func(t *testing.T) { g.tell(t, 1) })
+			t.Run(fmt.Sprintf("%s, lease %g s", c.name, g.lease), func(t *testing.T) { g.run(t, 1) })
 		}
 	}
 }
@@ -334,29 +334,29 @@
 // The answers to the leader are as late as it waits for them, and the cancellation
 // comes anywhere between two renewals: how long the leader is sure counts from when
 // it asked, not from when it was answered.
-func TestCancelledWhileARenewalIsAnsweredLate(t *testing.T) {
+func TestGapCancelledDuringALateRenewalAnswer(t *testing.T) {
 	step := 500 * ms
-	if _, many := manySeeds(); many {
+	if _, many := seedCount(); many {
 		step = 100 * ms
 	}
 	for wait := time.Duration(0); wait < 5*time.Second; wait += step {
 		t.Run(fmt.Sprint(wait), func(t *testing.T) {
-			gap{report: 1.5, lease: 12, refuse: -20 * ms, outage: time.Second, slowToLeader: 1800 * ms, wait: wait}.tell(t, 1)
+			gap{report: 1.5, lease: 12, refuse: -20 * ms, outage: time.Second, slowToLeader: 1800 * ms, wait: wait}.run(t, 1)
 		})
 	}
 }
 
 // The same, around each moment in steps of a fraction of a second.
-func TestCancelledSomewhereInTheGap(t *testing.T) {
+func TestGapCancelledAtRandomMoments(t *testing.T) {
 	seeds := uint64(6)
-	if n, many := manySeeds(); many {
+	if n, many := seedCount(); many {
 		seeds = n
 	}
 	for seed := uint64(1); seed <= seeds; seed++ {
 		g := randomGap(rand.New(rand.NewPCG(seed, 31)))
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Logf("%+v", g)
-			g.tell(t, seed)
+			g.run(t, seed)
 		})
 	}
 }
@@ -404,9 +404,9 @@
 
 // How many tasks that nobody cancelled the same outage ends: none while the old
 // leader's lease and the workers' outlast it, and beyond that each of them, once.
-func TestWhatNobodyCancelledInTheGap(t *testing.T) {
+func TestGapCostsOfUncancelledTasks(t *testing.T) {
 	outages := []float64{8, 20, 32, 50}
-	if _, many := manySeeds(); many {
+	if _, many := seedCount(); many {
 		outages = []float64{4, 8, 12, 16, 20, 24, 28, 32, 36, 40, 50}
 	}
 	for _, d := range deployments {
@@ -415,7 +415,7 @@
 			t.Run(fmt.Sprintf("lease %g s, out for %g s", d.lease, out), func(t *testing.T) {
 				const before = 1.1 // from the refusal to the outage
 				ended := gap{report: d.report, lease: d.lease, refuse: -100 * ms, outage: time.Second,
-					beyond: config.Seconds(out - w.CancelS)}.tell(t, 1)
+					beyond: config.Seconds(out - w.CancelS)}.run(t, 1)
 				t.Logf("%d of %d tasks that nobody cancelled ended", ended, gapOthers)
 				// The last renewal came a fifth of the leader's lease before it was refused
 				// at worst, the last report that it answered the longest interval before it
--- a/controller/grown_test.go
+++ b/controller/grown_test.go
@@ -56,7 +56,7 @@
 }
 
 // Settings may name aims that a program of an earlier day does not know.
-func TestAnUnknownAimIsSaidOnceAndDoesNoHarm(t *testing.T) {
+func TestUnknownObjectiveIsLoggedOnceAndHarmless(t *testing.T) {
 	var said strings.Builder
 	cfg := &config.Settings{Node: "n-0", Cluster: config.Cluster{Objectives: []config.Objective{
 		{Kind: "wait", Class: "c", WithinS: 10}, {Kind: "makespan", Share: 0.99}}}}
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -21,7 +21,7 @@
 
 // delayedLimited is the two limited teams with leases of 12 s.
 func delayedLimited() fake.Options {
-	o := limited()
+	o := twoLimitedTeams()
 	o.LeaseS = 12
 	return o
 }
@@ -43,20 +43,20 @@
 // runningOf lists the jobs that have tasks on machines.
 func runningOf(w *fake.Cluster, ids []string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), func(id string) bool {
-		return len(tasksOn(w, wire.Job{ID: id, Tasks: 2})) == 0
+		return len(machinesRunningJob(w, wire.Job{ID: id, Tasks: 2})) == 0
 	})
 }
 
 // Commands of a leader that has ended arrive after the next leader's, while every team is
 // at its limit, jobs are cancelled, one machine hangs and another reaches no controller.
 func TestLateCommandsArriveAfterTheNextLeaders(t *testing.T) {
-	seeded(t, 51, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 51, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		w.DelayDirectCommands(0.6, rnd.Uint64())
 		next := 100
 		for round := 0; round < lateCommandRounds; round++ {
 			ids := append(submitSavingJobs(t, w, next, "core"), submitSavingJobs(t, w, next+10, "edge")...)
 			next += 100
-			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return atLimit(w) }) {
+			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return teamsAtQuota(w) }) {
 				t.Fatalf("round %d: the teams use %g and %g CPUs", round, w.CPUsInUse("core"), w.CPUsInUse("edge"))
 			}
 			cancelAcrossLeaders(t, w, rnd, ids)
@@ -73,7 +73,7 @@
 		if met.FormerLeader == 0 || met.RefusedToken == 0 || met.Overtaken == 0 || met.AfterHang == 0 {
 			t.Errorf("late commands met %+v", met)
 		}
-		well(t, w)
+		healAndCheckStarvation(t, w)
 	})
 }
 
@@ -83,10 +83,10 @@
 	t.Helper()
 	running := runningOf(w, ids)
 	rnd.Shuffle(len(running), func(a, b int) { running[a], running[b] = running[b], running[a] })
-	silent := tasksOn(w, wire.Job{ID: running[0], Tasks: 2})[0]
+	silent := machinesRunningJob(w, wire.Job{ID: running[0], Tasks: 2})[0]
 	var hung []string
 	for _, id := range running[:len(running)/2] {
-		hung = append(hung, tasksOn(w, wire.Job{ID: id, Tasks: 2})...)
+		hung = append(hung, machinesRunningJob(w, wire.Job{ID: id, Tasks: 2})...)
 	}
 	hung = slices.DeleteFunc(hung, func(m string) bool { return m == silent })
 	slices.Sort(hung)
@@ -103,8 +103,8 @@
 		w.HangMachine(m, true)
 	}
 	time.Sleep(within(rnd, 0, time.Second))
-	dead := endLeader(w, rnd)
-	changes(t, w, before)
+	dead := stopLeader(w, rnd)
+	awaitLeaderChange(t, w, before)
 	for _, id := range running[len(running)/2:] {
 		w.Cancel(id)
 	}
@@ -120,7 +120,7 @@
 // A task is told to save, and cancelled while it saves, on a machine that only direct
 // commands reach: the second stop arrives late, and what it ends was cancelled.
 func TestALateStopEndsATaskThatIsSaving(t *testing.T) {
-	seeded(t, 52, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 52, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		met := fake.DelayedCommands{}
 		for round := 0; round < lateCommandRounds && met.EndedSaving == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
@@ -128,7 +128,7 @@
 				t.Fatalf("the team uses %g CPUs", w.CPUsInUse("core"))
 			}
 			running := runningOf(w, ids)
-			at := tasksOn(w, wire.Job{ID: running[rnd.IntN(len(running))], Tasks: 2})[0]
+			at := machinesRunningJob(w, wire.Job{ID: running[rnd.IntN(len(running))], Tasks: 2})[0]
 			saved := w.DirectCommandsExecuted(at)
 			w.SendInterruptionNotice(at, 30*time.Second) // what is there is told to save
 			if !scenario.Eventually(5*time.Second, 20*time.Millisecond, func() bool { return w.DirectCommandsExecuted(at) > saved }) {
@@ -151,14 +151,14 @@
 		if met.EndedSaving == 0 {
 			t.Errorf("late commands met %+v: none ended a task that was saving", met)
 		}
-		well(t, w)
+		healAndCheckStarvation(t, w)
 	})
 }
 
 // Commands arrive after the session has ended for which they were sent: the worker
 // refuses them, and what runs there in its next session goes on.
 func TestLateCommandsOfAnEndedSession(t *testing.T) {
-	seeded(t, 53, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 53, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		w.DelayDirectCommands(1, rnd.Uint64())
 		met := fake.DelayedCommands{}
 		for round := 0; round < lateCommandRounds && met.RefusedSession == 0; round++ {
@@ -167,7 +167,7 @@
 				t.Fatalf("the team uses %g CPUs", w.CPUsInUse("core"))
 			}
 			running := runningOf(w, ids)
-			at := tasksOn(w, wire.Job{ID: running[0], Tasks: 2})[0]
+			at := machinesRunningJob(w, wire.Job{ID: running[0], Tasks: 2})[0]
 			w.BlockHeartbeats(at, true)
 			time.Sleep(within(rnd, 7*time.Second, 10*time.Second)) // most of its lease
 			w.MarkInteraction()
@@ -186,7 +186,7 @@
 		if met.RefusedSession == 0 {
 			t.Errorf("late commands met %+v: none came after its session had ended", met)
 		}
-		well(t, w)
+		healAndCheckStarvation(t, w)
 	})
 }
 
@@ -194,7 +194,7 @@
 // returns under its own name within a second. A gang of which not all tasks were told to
 // save in time falls back to its last checkpoint, and is done in the end.
 func TestLateStopsOfPreemptedGangsAndALeaderThatReturns(t *testing.T) {
-	seeded(t, 54, fake.Options{Machines: 4, Capacity: 4, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 54, fake.Options{Machines: 4, Capacity: 4, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		w.DelayDirectCommands(0.8, rnd.Uint64())
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
 			gang(j)
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -57,7 +57,7 @@
 // Copies of reports come to every node as a leader begins: they are the first that it
 // hears of their machines.
 func TestOldReportsReachEveryNodeAsALeaderBegins(t *testing.T) {
-	seeded(t, 16, fake.Options{Machines: 6, Capacity: 8, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 16, fake.Options{Machines: 6, Capacity: 8, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		w.DelayCopiesUntilFailover(2)
 		for round := range 3 {
 			numbers := several(t, w, 10*round+1, rnd)
@@ -79,7 +79,7 @@
 // A machine's report is held back until another leader has placed work, and comes to
 // it then; the machine itself is back later, within its lease or beyond it.
 func TestAReportIsHeldBackUntilTheNextLeaderHasActed(t *testing.T) {
-	seeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, LeaseS: 30}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, LeaseS: 30}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		busy(t, w, 4)
 		numbers := several(t, w, 1, rnd)
 		time.Sleep(millis(rnd, 500, 4000))
@@ -120,7 +120,7 @@
 // Reports of a session that has ended come to the next leader before any of the new
 // session, and again after these; what they list has another attempt elsewhere by then.
 func TestOldReportsOfEarlierSessionsAndAttempts(t *testing.T) {
-	seeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		w.DelayCopiesUntilFailover(1)
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 3, 90 }))
 		numbers := several(t, w, 1, rnd)
@@ -153,7 +153,7 @@
 // that pass reports on, before these. Refused, each worker went on to the next node, a
 // second of its lease later, and where that met it again and again its lease ended.
 func TestCopiesOvertakeTheirReportsAsALeaderBegins(t *testing.T) {
-	seeded(t, 17, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 17, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		busy(t, w, 6)
 		time.Sleep(millis(rnd, 0, 2000))
 		started, was := w.Started(), w.Leader()
@@ -180,7 +180,7 @@
 // the launches along: they are launched with a later answer, once, and no machine is
 // taken for one that does not hear for long.
 func TestWorkIsGivenOutWhileCopiesOvertakeReports(t *testing.T) {
-	seeded(t, 18, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 18, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		w.OvertakeReports(2)
 		for round := range 3 {
 			numbers := several(t, w, 10*round+1, rnd)
@@ -199,7 +199,7 @@
 // A machine dies just after a report, and copies of that come every second. What ran
 // there goes on elsewhere once its lease is over, and no later than without them.
 func TestCopiesOfADeadMachinesLastReport(t *testing.T) {
-	seeded(t, 19, fake.Options{Machines: 3, Capacity: 3, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 19, fake.Options{Machines: 3, Capacity: 3, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 2, 3600 }))
 		if !scenario.Eventually(40*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
 			t.Fatalf("%d tasks run", w.Running())
--- a/controller/meetings_test.go
+++ b/controller/meetings_test.go
@@ -19,8 +19,8 @@
 // miss each other shows nothing, and fails. When what happens is drawn anew for
 // each seed, within the window in which they meet.
 
-// limited are two teams of 16 CPUs each, of the 48 that six machines have.
-func limited() fake.Options {
+// twoLimitedTeams are two teams of 16 CPUs each, of the 48 that six machines have.
+func twoLimitedTeams() fake.Options {
 	return fake.Options{Machines: 6, Capacity: 6, LeaseS: 30,
 		Teams: []config.Team{{Name: "core", CPUsMax: 16}, {Name: "edge", CPUsMax: 16}}}
 }
@@ -37,7 +37,7 @@
 			mustSubmit(t, w, job(base+i, func(j *wire.Job) { j.Team, j.CPUs, j.EstimateS = team, 2, 3600 }))
 		}
 	}
-	if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return atLimit(w) }) {
+	if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return teamsAtQuota(w) }) {
 		t.Fatalf("the teams use %g and %g CPUs", w.CPUsInUse("core"), w.CPUsInUse("edge"))
 	}
 	for base, team := range map[int]string{110: "core", 210: "edge"} {
@@ -47,12 +47,12 @@
 	}
 }
 
-func atLimit(w *fake.Cluster) bool {
+func teamsAtQuota(w *fake.Cluster) bool {
 	return w.CPUsInUse("core") == teamMax && w.CPUsInUse("edge") == teamMax
 }
 
-// tasksOn lists the machines that have tasks of a job.
-func tasksOn(w *fake.Cluster, j wire.Job) (out []string) {
+// machinesRunningJob lists the machines that have tasks of a job.
+func machinesRunningJob(w *fake.Cluster, j wire.Job) (out []string) {
 	for i := range j.Tasks {
 		out = append(out, w.MachinesRunning(wire.TaskName(j.ID, i))...)
 	}
@@ -60,17 +60,17 @@
 	return slices.Compact(out)
 }
 
-// changes has another leader come, in one way or another, and returns when its key
+// awaitLeaderChange has another leader come, in one way or another, and returns when its key
 // is there; before is the token until then.
-func changes(t *testing.T, w *fake.Cluster, before uint64) {
+func awaitLeaderChange(t *testing.T, w *fake.Cluster, before uint64) {
 	t.Helper()
 	if !scenario.Eventually(25*time.Second, 50*time.Millisecond, func() bool { k := w.FencingToken(); return k != 0 && k != before }) {
 		t.Fatal("the leader did not change")
 	}
 }
 
-// endLeader ends the leader: for good, or for a fraction of a second.
-func endLeader(w *fake.Cluster, rnd *rand.Rand) (dead int) {
+// stopLeader ends the leader: for good, or for a fraction of a second.
+func stopLeader(w *fake.Cluster, rnd *rand.Rand) (dead int) {
 	dead = max(0, w.Leader())
 	if rnd.IntN(2) == 0 {
 		w.PowerCycleNode(dead, within(rnd, 0, 900*time.Millisecond))
@@ -90,8 +90,8 @@
 	}
 }
 
-// well sees to it that what waits runs, now that all is over.
-func well(t *testing.T, w *fake.Cluster) {
+// healAndCheckStarvation sees to it that what waits runs, now that all is over.
+func healAndCheckStarvation(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	w.StartAll()
 	healMachines(w)
@@ -103,8 +103,8 @@
 // Every team is at its limit when jobs are cancelled whose machines are cut off or
 // hang, and the leader changes. What is cancelled counts for its team until it is
 // gone, at the next leader as well, which has not heard of those machines.
-func TestMeetingOfTeamsAtTheirLimitsCancellationsAndAChangeOfLeader(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+func TestInteractionQuotaCancellationsAndFailover(t *testing.T) {
+	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		hang := rnd.IntN(2) == 0
 		trouble := w.PartitionMachine
@@ -115,7 +115,7 @@
 		for _, n := range []int{101, 102 + rnd.IntN(3), 201, 202 + rnd.IntN(3)} {
 			j := job(n, nil)
 			ids = append(ids, j.ID)
-			names = append(names, tasksOn(w, j)...)
+			names = append(names, machinesRunningJob(w, j)...)
 		}
 		slices.Sort(names)
 		names = slices.Compact(names)
@@ -126,14 +126,14 @@
 		before := w.FencingToken()
 		early := rnd.IntN(2) == 0
 		if early {
-			endLeader(w, rnd)
+			stopLeader(w, rnd)
 		}
 		met := 0
 		for _, id := range ids {
 			if s := w.Cancel(id); s != wire.JobCancelled {
 				t.Fatalf("cancel answered %q", s)
 			}
-			if met += len(tasksOn(w, wire.Job{ID: id, Tasks: 2})); !atLimit(w) {
+			if met += len(machinesRunningJob(w, wire.Job{ID: id, Tasks: 2})); !teamsAtQuota(w) {
 				t.Errorf("the teams are not at their limits as %s is cancelled", id)
 			}
 		}
@@ -142,36 +142,36 @@
 		}
 		w.MarkInteraction()
 		if !early {
-			endLeader(w, rnd)
+			stopLeader(w, rnd)
 		}
-		changes(t, w, before)
+		awaitLeaderChange(t, w, before)
 		left := 0
 		for _, id := range ids {
-			left += len(tasksOn(w, wire.Job{ID: id, Tasks: 2}))
+			left += len(machinesRunningJob(w, wire.Job{ID: id, Tasks: 2}))
 		}
-		if left == 0 || !atLimit(w) {
+		if left == 0 || !teamsAtQuota(w) {
 			t.Errorf("%d machines have cancelled tasks as the next leader comes", left)
 		}
 		time.Sleep(within(rnd, 0, 35*time.Second))
 		for _, m := range names {
 			trouble(m, false)
 		}
-		well(t, w)
+		healAndCheckStarvation(t, w)
 	})
 }
 
 // A team is at its limit when the leader is gone. A cancellation falls into the
 // spell without one, and machines of the cancelled job can't be asked, some not
 // even named: the next leader learns of the tasks from the job's final record.
-func TestMeetingOfAChangeOfLeaderAndACancellation(t *testing.T) {
-	o := limited()
+func TestInteractionFailoverAndCancellation(t *testing.T) {
+	o := twoLimitedTeams()
 	o.LeaseS = 22 // the leader's is 10 s then, and so is the spell without one
-	seeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		var names []string
 		ids := []string{job(101+rnd.IntN(2), nil).ID, job(201+rnd.IntN(2), nil).ID}
 		for _, id := range ids {
-			names = append(names, tasksOn(w, wire.Job{ID: id, Tasks: 2})...)
+			names = append(names, machinesRunningJob(w, wire.Job{ID: id, Tasks: 2})...)
 		}
 		slices.Sort(names)
 		names = slices.Compact(names)
@@ -188,7 +188,7 @@
 			if s := w.Cancel(id); s != wire.JobCancelled {
 				t.Fatalf("cancel answered %q", s)
 			}
-			if len(tasksOn(w, wire.Job{ID: id, Tasks: 2})) == 0 || !atLimit(w) {
+			if len(machinesRunningJob(w, wire.Job{ID: id, Tasks: 2})) == 0 || !teamsAtQuota(w) {
 				t.Errorf("%s is cancelled, and its tasks are gone or the teams not at their limits", id)
 			}
 		}
@@ -199,15 +199,15 @@
 		if rnd.IntN(2) == 0 {
 			w.StartNode(dead)
 		}
-		changes(t, w, before)
-		if !atLimit(w) {
+		awaitLeaderChange(t, w, before)
+		if !teamsAtQuota(w) {
 			t.Error("the teams are not at their limits as the next leader comes")
 		}
 		time.Sleep(within(rnd, 0, 35*time.Second))
 		for _, m := range names {
 			trouble(m, false)
 		}
-		well(t, w)
+		healAndCheckStarvation(t, w)
 	})
 }
 
@@ -215,11 +215,11 @@
 // them: what a cancelled job has there is stopped at once, and counts until it is
 // known to be gone. At some seeds the leader changes, and the next one has never
 // heard of these machines.
-func TestMeetingOfSilentMachinesAndCancellations(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+func TestInteractionSilentMachinesAndCancellations(t *testing.T) {
+	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		id := job(101+rnd.IntN(4), nil).ID
-		names := tasksOn(w, wire.Job{ID: id, Tasks: 2})
+		names := machinesRunningJob(w, wire.Job{ID: id, Tasks: 2})
 		for _, m := range names {
 			w.BlockHeartbeats(m, true)
 		}
@@ -249,8 +249,8 @@
 			t.Errorf("%d starts while the cancelled tasks' machines can't say that they are gone", n)
 		}
 		if rnd.IntN(2) == 0 {
-			endLeader(w, rnd)
-			changes(t, w, before)
+			stopLeader(w, rnd)
+			awaitLeaderChange(t, w, before)
 			if w.Unanswered(silent.Add(2*time.Second)) < len(names) {
 				t.Error("a silent machine was answered")
 			}
@@ -265,20 +265,20 @@
 				t.Error("no direct command was held back")
 			}
 		}
-		well(t, w)
+		healAndCheckStarvation(t, w)
 	})
 }
 
 // Answers with launches are held up for seconds, their job is cancelled meanwhile,
 // and the machine then goes on: the launches are executed, count for the team, and
 // are gone in time.
-func TestMeetingOfHeldUpAnswersAndCancellations(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+func TestInteractionDelayedAnswersAndCancellations(t *testing.T) {
+	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		id := job(101+rnd.IntN(4), nil).ID
 		// Its room is what the next job fits into best: launches go to its machines, and
 		// later ones, of which the others hear, to all.
-		names, late := tasksOn(w, wire.Job{ID: id, Tasks: 2}), 0
+		names, late := machinesRunningJob(w, wire.Job{ID: id, Tasks: 2}), 0
 		for _, m := range names {
 			late -= w.LateReplies(m)
 			w.HoldDirectCommands(m)
@@ -321,7 +321,7 @@
 		time.Sleep(within(rnd, 0, time.Second))
 		change := rnd.IntN(2) == 0
 		if change {
-			endLeader(w, rnd)
+			stopLeader(w, rnd)
 		}
 		time.Sleep(within(rnd, time.Second, 15*time.Second))
 		for _, m := range names {
@@ -337,7 +337,7 @@
 			t.Errorf("no launch came after its job was cancelled, of %d starts", w.Started()-started)
 		}
 		if change {
-			changes(t, w, before)
+			awaitLeaderChange(t, w, before)
 		}
 		time.Sleep(within(rnd, 0, 20*time.Second))
 		commands := 0
@@ -349,15 +349,15 @@
 			t.Error("no direct command was held up")
 		}
 		time.Sleep(time.Minute)
-		well(t, w)
+		healAndCheckStarvation(t, w)
 	})
 }
 
 // A leader ends while machines with long tasks can't be reached, or don't hear the
 // next one's answers: a task is on one machine only, and goes on there if its
 // machine is back within its lease. Copies of old reports show nothing.
-func TestMeetingOfLongTasksAndAChangeOfLeader(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+func TestInteractionLongTasksAndFailover(t *testing.T) {
+	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		for _, m := range w.Cloud.Machines() {
 			w.CaptureReport(m) // lists no task
 		}
@@ -387,7 +387,7 @@
 			time.Sleep(within(rnd, 0, 900*time.Millisecond))
 			w.StartNode(dead)
 		}
-		changes(t, w, before)
+		awaitLeaderChange(t, w, before)
 		w.MarkInteraction()
 		tasks := 0
 		for _, m := range names {
@@ -414,8 +414,8 @@
 		for _, m := range names {
 			trouble(m, false)
 		}
-		well(t, w)
-		if !scenario.Eventually(time.Minute, time.Second, func() bool { return atLimit(w) }) {
+		healAndCheckStarvation(t, w)
+		if !scenario.Eventually(time.Minute, time.Second, func() bool { return teamsAtQuota(w) }) {
 			t.Errorf("the teams use %g and %g CPUs in the end", w.CPUsInUse("core"), w.CPUsInUse("edge"))
 		}
 		if n := w.Started() - started; short && lasted < 15*time.Second && n > 0 {
@@ -429,8 +429,8 @@
 // A zone with workers and a controller is cut off from all else for longer than a
 // worker's lease. Its workers go on for as long as a controller there answers them
 // with a valid token; then what they had starts elsewhere, and once only.
-func TestMeetingOfACutZoneAndLimits(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+func TestInteractionZonePartitionAndQuota(t *testing.T) {
+	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		zone, before := fake.Zones[w.Leader()%2], w.FencingToken()
 		inside := rnd.IntN(3) > 0 // the leader is in that zone
@@ -446,7 +446,7 @@
 		// Of all that both teams have, which leaves no zone without any, a job that has
 		// tasks there is cancelled.
 		inZone := func(j wire.Job) bool {
-			return slices.ContainsFunc(tasksOn(w, j), func(m string) bool { return w.ZoneOf(m) == zone })
+			return slices.ContainsFunc(machinesRunningJob(w, j), func(m string) bool { return w.ZoneOf(m) == zone })
 		}
 		var those []wire.Job
 		for _, n := range []int{101, 102, 103, 104, 201, 202, 203, 204} {
@@ -459,8 +459,8 @@
 		}
 		w.IsolateZone(zone, true)
 		time.Sleep(within(rnd, 0, 20*time.Second))
-		if there == 0 || !atLimit(w) {
-			t.Errorf("%d tasks in the zone that is cut off, teams at their limits: %v", there, atLimit(w))
+		if there == 0 || !teamsAtQuota(w) {
+			t.Errorf("%d tasks in the zone that is cut off, teams at their limits: %v", there, teamsAtQuota(w))
 		}
 		j := those[rnd.IntN(len(those))]
 		// At a node that users reach: they may ask the others for longer than a lease.
@@ -486,16 +486,16 @@
 			t.Errorf("the leader was cut off: %v; it has changed: %v", inside, k != before)
 		}
 		w.IsolateZone(zone, false)
-		well(t, w)
+		healAndCheckStarvation(t, w)
 	})
 }
 
 // Jobs bound to one zone, arrays and gangs, lose a machine while the leader changes:
 // what starts again does so in the zone where their other tasks still may be.
-func TestMeetingOfJobsOfOneZoneAndLostMachines(t *testing.T) {
-	o := limited()
+func TestInteractionSingleZoneJobsAndLostMachines(t *testing.T) {
+	o := twoLimitedTeams()
 	o.Teams = nil
-	seeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		// Three of the array's tasks run, in the one zone, and two wait. There would
 		// be room for them in the other.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 5, 5, 90 }))
@@ -507,7 +507,7 @@
 		before := w.FencingToken()
 		var lost, rest []string // one machine of each job, and those of their other tasks
 		for n := 1; n <= 2; n++ {
-			on := tasksOn(w, wire.Job{ID: job(n, nil).ID, Tasks: 5})
+			on := machinesRunningJob(w, wire.Job{ID: job(n, nil).ID, Tasks: 5})
 			k := rnd.IntN(len(on))
 			lost, rest = append(lost, on[k]), append(rest, slices.Delete(on, k, k+1)...)
 		}
@@ -524,9 +524,9 @@
 			w.KillMachine(m)
 		}
 		time.Sleep(within(rnd, 0, 2*time.Second))
-		endLeader(w, rnd)
+		stopLeader(w, rnd)
 		w.MarkInteraction()
-		changes(t, w, before)
+		awaitLeaderChange(t, w, before)
 		if n := w.Running(); n == 0 || n > 5 || w.Started() != started {
 			t.Errorf("%d tasks run as the leader changes, %d starts", n, w.Started()-started)
 		}
@@ -535,7 +535,7 @@
 		for _, m := range rest {
 			w.PartitionMachine(m, false)
 		}
-		well(t, w)
+		healAndCheckStarvation(t, w)
 		mustFinish(t, w, 20*time.Minute, 1, 2)
 		if w.Started() == started {
 			t.Error("nothing was started again")
@@ -545,10 +545,10 @@
 
 // Tasks of a small job end far apart, and the leader changes between: what is done
 // stays done, and the job is done with its last task.
-func TestMeetingOfTasksThatEndFarApartAndAChangeOfLeader(t *testing.T) {
-	o := limited()
+func TestInteractionStaggeredTaskEndsAndFailover(t *testing.T) {
+	o := twoLimitedTeams()
 	o.Teams = []config.Team{{Name: "core", CPUsMax: 5}}
-	seeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		tasks := 2 + rnd.IntN(2)
 		// One after another, as the team's limit lets them.
 		j := job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = tasks, 5, float64(20+rnd.IntN(30)) })
@@ -568,7 +568,7 @@
 			w.KillNode(w.Leader())
 			w.MarkInteraction()
 			w.Store.SetOutage(false)
-			changes(t, w, before)
+			awaitLeaderChange(t, w, before)
 			if n := w.FinishedTasks(j.ID); n != done {
 				t.Errorf("%d of %d tasks are done as the leader changes", n, tasks)
 			}
@@ -581,14 +581,14 @@
 		if n := w.Started(); n != tasks || w.ExpiredLeases() > 0 {
 			t.Errorf("%d starts of %d tasks, %d leases over", n, tasks, w.ExpiredLeases())
 		}
-		well(t, w)
+		healAndCheckStarvation(t, w)
 	})
 }
 
 // Everything meets: teams are kept at their limits by jobs of all kinds, while some
 // are cancelled, machines can't be asked in one way or another, and leaders change.
-func TestMeetingsAtRandom(t *testing.T) {
-	seeded(t, 1234, limited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+func TestInteractionsAtRandom(t *testing.T) {
+	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		ways := []func(string, bool){w.PartitionMachine, w.HangMachine, w.BlockRepliesTo, w.BlockHeartbeats}
 		var ids, asked, troubled []string
 		submitted := 0
@@ -637,7 +637,7 @@
 			case 6:
 				w.DeliverHeldCommands(at)
 			case 7:
-				endLeader(w, rnd)
+				stopLeader(w, rnd)
 			case 8:
 				w.StartAll()
 			}
@@ -646,7 +646,7 @@
 				asked = append(asked, now...)
 				full := w.CPUsInUse("core") > teamMax-4 || w.CPUsInUse("edge") > teamMax-4 // no room for one of the largest tasks
 				for _, id := range now {
-					for _, m := range tasksOn(w, wire.Job{ID: id, Tasks: 4}) {
+					for _, m := range machinesRunningJob(w, wire.Job{ID: id, Tasks: 4}) {
 						if full && (slices.Contains(troubled, m) || slices.Contains(hung, m)) {
 							met++
 						}
@@ -664,7 +664,7 @@
 		for _, m := range w.Cloud.Machines() {
 			w.DeliverHeldCommands(m)
 		}
-		well(t, w)
+		healAndCheckStarvation(t, w)
 		for _, id := range ids {
 			want := wire.JobDone
 			if slices.Contains(asked, id) {
@@ -679,7 +679,7 @@
 }
 
 // The checks that these stories rest on can fail.
-func TestTheCheckerSeesCancelledAndWaitingJobs(t *testing.T) {
+func TestCheckerDetectsUnstoppedAndStarvedJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := fake.New(fake.Options{Machines: 2, Capacity: 2, Teams: []config.Team{{Name: "core"}, {Name: "edge", CPUsMax: 2}}})
 		defer w.Close()
@@ -721,7 +721,7 @@
 }
 
 // The steps of random stories do what they say.
-func TestCancellationsAtOnceAndASilentMachine(t *testing.T) {
+func TestConcurrentCancellationsAndASilentMachine(t *testing.T) {
 	story(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 4)
 		for i := range 4 {
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -21,19 +21,19 @@
 // must be over in the end.
 func TestRulesHoldUnderRandomFailures(t *testing.T) {
 	seeds := uint64(8)
-	if n, many := manySeeds(); many {
+	if n, many := seedCount(); many {
 		seeds = n
 	}
 	for seed := uint64(1); seed <= seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { randomStory(t, seed, 1, false) })
+			synctest.Test(t, func(t *testing.T) { randomScenario(t, seed, 1, false) })
 		})
 		t.Run(fmt.Sprint("planned, seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { randomStory(t, seed, 1, true) })
+			synctest.Test(t, func(t *testing.T) { randomScenario(t, seed, 1, true) })
 		})
 	}
 	t.Run("larger", func(t *testing.T) {
-		synctest.Test(t, func(t *testing.T) { randomStory(t, 1, 6, false) })
+		synctest.Test(t, func(t *testing.T) { randomScenario(t, 1, 6, false) })
 	})
 }
 
@@ -58,9 +58,9 @@
 		plans.Pool("warm", "img-1", 5, "m8", rnd.IntN(3), 3, 2, "core", `borrowers = ["edge"]`)
 }
 
-// randomStory plays a story in a world that many times as large; planned says that
+// randomScenario plays a story in a world that many times as large; planned says that
 // a plan holds, and another one now and then.
-func randomStory(t *testing.T, seed uint64, size int, planned bool) {
+func randomScenario(t *testing.T, seed uint64, size int, planned bool) {
 	rnd := rand.New(rand.NewPCG(seed, 99))
 	o := fake.Options{Machines: 6 * size, Capacity: 10 * size, Seed: seed,
 		Teams: []config.Team{{Name: "core", CPUs: 12 * float64(size), CPUsMax: 28 * float64(size)}, {Name: "edge", CPUs: 8 * float64(size)}}}
--- a/controller/seeds_test.go
+++ b/controller/seeds_test.go
@@ -11,17 +11,17 @@
 	"github.com/umberdeal/umberdeal/internal/fake"
 )
 
-// manySeeds says how many seeds are asked for instead of those that are always played.
-func manySeeds() (n uint64, many bool) {
+// seedCount says how many seeds are asked for instead of those that are always played.
+func seedCount() (n uint64, many bool) {
 	n, err := strconv.ParseUint(os.Getenv("STORY_SEEDS"), 10, 64)
 	return n, err == nil
 }
 
-// seeded plays a story a few times, or as often as STORY_SEEDS says, with other times
+// runSeeded plays a story a few times, or as often as STORY_SEEDS says, with other times
 // within the same window: they are drawn from the seed and the story's own number.
-func seeded(t *testing.T, number uint64, o fake.Options, tell func(t *testing.T, w *fake.Cluster, rnd *rand.Rand)) {
+func runSeeded(t *testing.T, number uint64, o fake.Options, tell func(t *testing.T, w *fake.Cluster, rnd *rand.Rand)) {
 	t.Helper()
-	seeds, many := manySeeds()
+	seeds, many := seedCount()
 	if !many {
 		seeds = 3
 	}
--- a/controller/story_test.go
+++ b/controller/story_test.go
@@ -23,7 +23,7 @@
 	applyPlan  = scenario.ApplyPlan
 )
 
-func TestArrayGangAndServiceLive(t *testing.T) {
+func TestArrayGangAndServiceRun(t *testing.T) {
 	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, nil), job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.OneZone = true }),
 			job(3, func(j *wire.Job) { j.Kind = wire.KindService; j.Spread = true; j.EstimateS = 0; j.Tasks = 3 }))
@@ -40,7 +40,7 @@
 	})
 }
 
-func TestEveryControllerCrashesJustAfterACancel(t *testing.T) {
+func TestCancellationSurvivesCrashOfAllControllers(t *testing.T) {
 	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Kind = wire.KindService; j.EstimateS = 0 }), job(2, nil))
 		time.Sleep(8 * time.Second)
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestLateTransactionOfADeadLeaderChangesNothing(t *testing.T) {
+func TestLateTransactionOfADeadLeaderFails(t *testing.T) {
 	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
 		// The placement's commit hangs and is applied long after its leader
 		// has died: the guard on the leader key must refuse it.
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestLateReportIsNotBelieved(t *testing.T) {
+func TestLateHeartbeatIsIgnored(t *testing.T) {
 	story(t, fake.Options{Machines: 1, Capacity: 1, Nodes: 1}, func(t *testing.T, w *fake.Cluster) {
 		name := w.Cloud.Machines()[0]
 		w.CaptureReport(name) // lists no task
@@ -105,7 +105,7 @@
 	})
 }
 
-func TestUnansweredRentalIsNotRentedTwice(t *testing.T) {
+func TestUnansweredRentalIsNotRepeated(t *testing.T) {
 	story(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
 		w.Cloud.SetDropReplies(true)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks = 4; j.CPUs = 6 }))
@@ -122,7 +122,7 @@
 	})
 }
 
-func TestLeaderCutFromTheState(t *testing.T) {
+func TestLeaderPartitionedFromTheKeyValueStore(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(w *fake.Cluster, leader int, on bool)
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestNodeRefusedByTheStateServiceStillServesUsers(t *testing.T) {
+func TestNodeRefusedByTheKeyValueStoreStillServesUsers(t *testing.T) {
 	story(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster) {
 		f := (w.Leader() + 1) % 3
 		w.Store.Refuse(fmt.Sprintf("n-%d", f), true)
@@ -164,7 +164,7 @@
 	})
 }
 
-func TestMachineDiesWithoutNotice(t *testing.T) {
+func TestMachineLostWithoutInterruptionNotice(t *testing.T) {
 	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks = 3; j.EstimateS = 40 }),
 			job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.CPUs = 4; j.EstimateS = 40 }))
@@ -175,7 +175,7 @@
 	})
 }
 
-func TestNoticeLetsAGangSaveTogether(t *testing.T) {
+func TestInterruptionNoticeLetsAGangCheckpointTogether(t *testing.T) {
 	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
 			gang(j)
@@ -231,7 +231,7 @@
 	})
 }
 
-func TestTeamsKeepToTheirLimitsAndGetTheirGuarantees(t *testing.T) {
+func TestTeamsKeepToTheirLimitsAndGetTheirQuota(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUs: 8, CPUsMax: 12}, {Name: "edge", CPUs: 8}}
 	story(t, fake.Options{Machines: 2, Capacity: 2, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
 		long := func(j *wire.Job) { j.CPUs, j.EstimateS, j.CheckpointS, j.SaveS = 4, 200, 5, 1 }
@@ -285,7 +285,7 @@
 	})
 }
 
-func TestWhatCannotBeTakenIsAnsweredAtOnce(t *testing.T) {
+func TestInfeasibleSubmissionsAreAnsweredAtOnce(t *testing.T) {
 	story(t, fake.Options{Machines: 1}, func(t *testing.T, w *fake.Cluster) {
 		field := func(name string, v any) map[string]any {
 			m := map[string]any{"nameId": "wk-000009", "filiere": "c", "atelier": "core", "facon": "sweep", "rang": "normal",
@@ -320,7 +320,7 @@
 	})
 }
 
-func TestTheCheckerSeesWhatItShould(t *testing.T) {
+func TestCheckerDetectsViolations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := fake.New(fake.Options{Machines: 2, Capacity: 2})
 		defer w.Close()
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -27,7 +27,7 @@
 // on until they have: in a single seed chance alone leaves one of them out.
 func meetings(t *testing.T, seeds uint64, o fake.Options, play func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int, both ...func() bool) {
 	t.Helper()
-	if n, many := manySeeds(); many {
+	if n, many := seedCount(); many {
 		seeds = n
 	} else if scenario.UnderRace {
 		seeds = 1
