--- a/controller/heartbeat_forwarding.go
+++ b/controller/heartbeat_forwarding.go
@@ -17,9 +17,9 @@
 	if lane == nil {
 		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "no such leader"}, 1)
 	}
-	r := peerrpc.Request{From: n.cfg.Node, Body: body, AgoS: -1}
+	r := peerrpc.Request{From: n.cfg.Node, Body: body, SinceAnswerS: -1}
 	if ago, ok := n.lastAnswered.Since(machine, time.Now()); ok {
-		r.AgoS = ago.Seconds()
+		r.SinceAnswerS = ago.Seconds()
 	}
 	a, err := lane.Forward(ctx, r)
 	if err != nil {
@@ -45,7 +45,7 @@
 	return a
 }
 
-// HandleHeartbeat implements mesh.Handler: a report that another node received.
+// HandleHeartbeat implements peerrpc.Handler: a report that another node received.
 func (n *Node) HandleHeartbeat(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	if !n.isLeader() {
 		// Sent away, the worker would come back in a second, by way of another
@@ -56,5 +56,5 @@
 	if l == nil {
 		return redirectTo("") // it has not read the records yet, or leads no more
 	}
-	return l.answerHeartbeat(ctx, r.Body, r.AgoS, r.From)
+	return l.answerHeartbeat(ctx, r.Body, r.SinceAnswerS, r.From)
 }
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -225,7 +225,7 @@
 		Machines: s.Machines, Tasks: s.Tasks, Jobs: s.Jobs, Late: s.PastDeadline, LongestS: s.LongestWait, LeaseLeftS: s.LeaseLeft, Departures: s.PriorityInversions, Pools: warmPoolViews(s.Pools)}
 }
 
-// Overview implements mesh.Handler.
+// Overview implements peerrpc.Handler.
 func (n *Node) Overview() []byte {
 	b, err := json.Marshal(n.localOverview(time.Now()))
 	if err != nil {
--- a/controller/peer_recovery.go
+++ b/controller/peer_recovery.go
@@ -132,7 +132,7 @@
 
 // RecoverRecord implements peerrpc.Handler.
 func (n *Node) RecoverRecord(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
-	c := n.recoverLocally(ctx, recordVersion{r.ID, r.At}, recordVersion{r.Lost, r.LostAt})
+	c := n.recoverLocally(ctx, recordVersion{r.ID, r.Version}, recordVersion{r.UnreadableKey, r.UnreadableVersion})
 	if c == nil {
 		return peerrpc.Answer{Status: http.StatusNotFound}
 	}
@@ -149,7 +149,7 @@
 	}
 	var wg sync.WaitGroup
 	found := make(chan *jobstore.RecoveryCopy, len(n.peers))
-	request := peerrpc.Request{ID: record.key, At: record.version, Lost: original.key, LostAt: original.version}
+	request := peerrpc.Request{ID: record.key, Version: record.version, UnreadableKey: original.key, UnreadableVersion: original.version}
 	for _, p := range n.peers {
 		wg.Go(func() {
 			a, err := p.FetchRecoveredRecord(ctx, request)
--- a/controller/schema.go
+++ b/controller/schema.go
@@ -138,8 +138,8 @@
 		if err != nil {
 			return fmt.Errorf("ask %s which schema it reads: %w", p.Name, err)
 		}
-		if status.Form < version {
-			return fmt.Errorf("%s reads schema %d", p.Name, status.Form)
+		if status.SchemaVersion < version {
+			return fmt.Errorf("%s reads schema %d", p.Name, status.SchemaVersion)
 		}
 	}
 	return nil
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -210,20 +210,20 @@
 // statusRequest is what this node says of itself when it asks another.
 func (n *Node) statusRequest() peerrpc.Request {
 	lost, at := n.jobs.UnreadableKey()
-	return peerrpc.Request{From: n.cfg.Node, Room: routing.MaxWorkerConns(n.cfg.Cluster.Limits.Sockets), Lost: lost, LostAt: at}
+	return peerrpc.Request{From: n.cfg.Node, ConnCapacity: routing.MaxWorkerConns(n.cfg.Cluster.Limits.Sockets), UnreadableKey: lost, UnreadableVersion: at}
 }
 
-// Status implements mesh.Handler.
+// Status implements peerrpc.Handler.
 func (n *Node) Status(asks peerrpc.Request) peerrpc.Status {
 	if asks.From != "" && n.peerStream(asks.From) != nil {
 		n.mu.Lock()
-		n.relayCandidates[asks.From] = relayCandidate{capacity: asks.Room, at: time.Now()}
+		n.relayCandidates[asks.From] = relayCandidate{capacity: asks.ConnCapacity, at: time.Now()}
 		n.mu.Unlock()
 	}
-	if asks.Lost != "" {
-		n.noteUnreadable(asks.Lost, asks.LostAt)
+	if asks.UnreadableKey != "" {
+		n.noteUnreadable(asks.UnreadableKey, asks.UnreadableVersion)
 	}
-	s := peerrpc.Status{Node: n.cfg.Node, Leader: n.elector.Leader(), StateOK: n.kvReachable(), Form: n.schemaVersion()}
+	s := peerrpc.Status{Node: n.cfg.Node, Leader: n.elector.Leader(), StoreReachable: n.kvReachable(), SchemaVersion: n.schemaVersion()}
 	if p := n.currentRoutingPlan(n.cfg.Node); p != nil && n.isLeader() {
 		s.Plan = &p.Plan
 	}
--- a/controller/yarn.go
+++ b/controller/yarn.go
@@ -70,7 +70,7 @@
 	return out, err
 }
 
-// Machines implements mesh.Handler: the machines as this node sees them if it
+// Machines implements peerrpc.Handler: the machines as this node sees them if it
 // leads, as JSON; nil otherwise.
 func (n *Node) Machines() []byte {
 	l := n.activeLeadership()
--- a/peerrpc/encoding_test.go
+++ b/peerrpc/encoding_test.go
@@ -163,8 +163,8 @@
 
 func (l *conns) Addr() net.Addr { return &net.UnixAddr{Name: "conns"} }
 
-// serve runs this version's server for a test. What it returns opens a connection.
-func serve(t *testing.T, h Handler) func() net.Conn {
+// startServer runs this version's server for a test. What it returns opens a connection.
+func startServer(t *testing.T, h Handler) func() net.Conn {
 	t.Helper()
 	l := &conns{c: make(chan net.Conn), ends: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -218,7 +218,7 @@
 	f := golden.Open(t, "exchanges.golden")
 	for _, x := range exchanges() {
 		node := &served{}
-		dial := serve(t, node)
+		dial := startServer(t, node)
 		c := &tapped{Conn: dial()}
 		if got, err := x.ask(t, c); err != nil || !reflect.DeepEqual(got, x.want) {
 			t.Fatalf("%s among nodes of this version: %+v, %v", x.method, got, err)
--- a/peerrpc/stream.go
+++ b/peerrpc/stream.go
@@ -4,253 +4,158 @@
 	"context"
 	"errors"
 	"fmt"
-	"net"
 	"net/rpc"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
 )
 
 const (
-	// flushDelay is how long what is written waits for more to go along: a few
-	// hundred reports a second become some tens of packets.
-	flushDelay = 5 * time.Millisecond
-	// maxBuffered is how much may wait to be written. A node that reads nothing
-	// any more costs this much memory and no more.
-	maxBuffered = 2 << 20
-	// streamSilence is how long a lane with requests under way may bring nothing at
-	// total before it counts as dead. One answer that is late says nothing.
-	streamSilence = 1500 * time.Millisecond
-	// forwardTimeout is how long a report that is passed on waits for its answer: the
+	// forwardTimeout is how long a heartbeat that is forwarded waits for its answer: the
 	// worker gives up after 4 s.
 	forwardTimeout = 3 * time.Second
-	// writeTimeout is how long an answer may take to be written.
-	writeTimeout = 5 * time.Second
+	// maxSilence is how long a stream with heartbeats in flight may bring nothing at all
+	// before it counts as dead. One answer that is late says nothing.
+	maxSilence = 1500 * time.Millisecond
+	// streamBackoff is the time without dialling after a stream failed or the node was
+	// not reached.
+	streamBackoff = time.Second
 )
 
-var errWriteBufferFull = errors.New("mesh: too much waits to be written")
+// errBackoff says that a node is not dialled because it was not reached just before.
+var errBackoff = errors.New("was not reached a moment ago")
 
-// batchingConn is a connection whose writes are gathered and never block.
-type batchingConn struct {
-	net.Conn
-	lastRead atomic.Int64 // unix nanoseconds
-
-	mu        sync.Mutex
-	buf       []byte
-	err       error
-	pending   chan struct{}
-	closed    chan struct{}
-	closeOnce sync.Once
-}
-
-func newBatchingConn(c net.Conn) *batchingConn {
-	g := &batchingConn{Conn: c, pending: make(chan struct{}, 1), closed: make(chan struct{})}
-	g.lastRead.Store(time.Now().UnixNano())
-	go g.flushLoop()
-	return g
-}
-
-func (g *batchingConn) Read(b []byte) (int, error) {
-	n, err := g.Conn.Read(b)
-	if err != nil {
-		g.Close() // net/rpc closes it only when the next request finds it dead
-		return n, err
-	}
-	g.lastRead.Store(time.Now().UnixNano())
-	return n, nil
-}
-
-func (g *batchingConn) sinceLastRead() time.Duration {
-	return time.Since(time.Unix(0, g.lastRead.Load()))
-}
-
-func (g *batchingConn) Write(b []byte) (int, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.err == nil && len(g.buf)+len(b) > maxBuffered {
-		g.err = errWriteBufferFull
-	}
-	if g.err != nil {
-		return 0, g.err
-	}
-	g.buf = append(g.buf, b...)
-	select {
-	case g.pending <- struct{}{}:
-	default:
-	}
-	return len(b), nil
-}
-
-func (g *batchingConn) flushLoop() {
-	timer := time.NewTimer(time.Hour)
-	defer timer.Stop()
-	var spare []byte
-	for {
-		select {
-		case <-g.closed:
-			return
-		case <-g.pending:
-		}
-		timer.Reset(flushDelay)
-		select {
-		case <-g.closed:
-			return
-		case <-timer.C:
-		}
-		// The two buffers change places, and neither may be in both: what is
-		// written next would go over what is on its way.
-		g.mu.Lock()
-		out := g.buf
-		g.buf, spare = spare[:0], nil
-		g.mu.Unlock()
-		if len(out) > 0 {
-			_ = g.Conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only where the connection is closed
-			if _, err := g.Conn.Write(out); err != nil {
-				g.mu.Lock()
-				g.err = err
-				g.mu.Unlock()
-				g.Close()
-				return
-			}
-		}
-		if cap(out) <= 256<<10 {
-			spare = out
-		}
-	}
-}
-
-func (g *batchingConn) Close() error {
-	g.closeOnce.Do(func() { close(g.closed) })
-	return g.Conn.Close()
-}
-
-// HeartbeatStream carries workers' reports to another node: many at once over one
-// connection of its own, each answered by itself and in any order, so that a
-// report whose answer is held back holds up no other, and a request of a user's
-// never stands behind a thousand reports.
+// HeartbeatStream forwards workers' heartbeats to another node: many at once over one
+// connection of its own, each answered by itself and in any order, so that a heartbeat
+// whose answer is held back holds up no other, and a user's request never stands behind
+// a thousand heartbeats. It is safe for concurrent use.
 type HeartbeatStream struct {
 	Name string
 	addr string
 	dial call.DialFunc
 
-	dialing  chan struct{}
-	inFlight chan struct{} // bounds the reports under way
+	dialing  chan struct{} // held by the one caller that dials
+	inFlight chan struct{} // one for each heartbeat in flight
+
+	mu       sync.Mutex // guards what follows
+	conn     *streamConn
+	redialAt time.Time // no dialling before this
+}
 
-	mu        sync.Mutex
+// streamConn is one connection of a stream.
+type streamConn struct {
+	*batchingConn
 	rpcClient *rpc.Client
-	conn      *batchingConn
-	redialAt  time.Time // no dialling before this
-	ok        time.Time // when it last brought an answer
 }
 
-// NewHeartbeatStream makes a lane for at most so many reports at once.
-func NewHeartbeatStream(name, addr string, dial call.DialFunc, atOnce int) *HeartbeatStream {
-	return &HeartbeatStream{Name: name, addr: addr, dial: dial, dialing: make(chan struct{}, 1), inFlight: make(chan struct{}, max(1, atOnce))}
+// NewHeartbeatStream makes a stream for at most maxInFlight heartbeats at once; it does
+// not dial.
+func NewHeartbeatStream(name, addr string, dial call.DialFunc, maxInFlight int) *HeartbeatStream {
+	return &HeartbeatStream{Name: name, addr: addr, dial: dial, dialing: make(chan struct{}, 1), inFlight: make(chan struct{}, max(1, maxInFlight))}
 }
 
-// InFlight is how many reports are under way.
-func (l *HeartbeatStream) InFlight() int { return len(l.inFlight) }
+// InFlight is how many heartbeats wait for their answers.
+func (s *HeartbeatStream) InFlight() int { return len(s.inFlight) }
 
-// Reachable says whether a report that is passed on now has a chance: false for a
+// Reachable reports whether a heartbeat that is forwarded now has a chance: false for a
 // moment after the node was not reached.
-func (l *HeartbeatStream) Reachable() bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.rpcClient != nil || !time.Now().Before(l.redialAt)
+func (s *HeartbeatStream) Reachable() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.conn != nil || !time.Now().Before(s.redialAt)
 }
 
-func (l *HeartbeatStream) current() (*rpc.Client, *batchingConn, error) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.rpcClient == nil && time.Now().Before(l.redialAt) {
-		return nil, nil, fmt.Errorf("mesh: %s was not reached a moment ago", l.Name)
+// existing returns the connection there is, nil if one may be dialled.
+func (s *HeartbeatStream) existing() (*streamConn, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.conn == nil && time.Now().Before(s.redialAt) {
+		return nil, fmt.Errorf("peerrpc: %s: %w", s.Name, errBackoff)
 	}
-	return l.rpcClient, l.conn, nil
+	return s.conn, nil
 }
 
-func (l *HeartbeatStream) connect(ctx context.Context) (*rpc.Client, *batchingConn, error) {
-	if c, g, err := l.current(); c != nil || err != nil {
-		return c, g, err
+// connect connects if need be.
+func (s *HeartbeatStream) connect(ctx context.Context) (*streamConn, error) {
+	if c, err := s.existing(); c != nil || err != nil {
+		return c, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, 600*time.Millisecond)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	select {
-	case l.dialing <- struct{}{}:
-		defer func() { <-l.dialing }()
+	case s.dialing <- struct{}{}:
+		defer func() { <-s.dialing }()
 	case <-ctx.Done():
-		return nil, nil, fmt.Errorf("mesh: %s: %w", l.Name, ctx.Err())
+		return nil, fmt.Errorf("peerrpc: wait for a connection to %s: %w", s.Name, ctx.Err())
 	}
-	if c, g, err := l.current(); c != nil || err != nil {
-		return c, g, err
+	if c, err := s.existing(); c != nil || err != nil {
+		return c, err
 	}
-	conn, err := l.dial(ctx, "tcp", l.addr)
-	l.mu.Lock()
-	defer l.mu.Unlock()
+	conn, err := s.dial(ctx, "tcp", s.addr)
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if err != nil {
-		l.redialAt = time.Now().Add(time.Second)
-		return nil, nil, fmt.Errorf("mesh: %w", err)
+		s.redialAt = time.Now().Add(streamBackoff)
+		return nil, fmt.Errorf("peerrpc: dial %s: %w", s.Name, err)
 	}
-	l.conn = newBatchingConn(conn)
-	l.rpcClient = rpc.NewClient(l.conn)
-	return l.rpcClient, l.conn, nil
+	batching := newBatchingConn(conn)
+	s.conn = &streamConn{batchingConn: batching, rpcClient: rpc.NewClient(batching)}
+	return s.conn, nil
 }
 
-// Forward passes a worker's report on and waits for the answer, at most as long
-// as the worker does. ErrBusy: too many are under way.
-func (l *HeartbeatStream) Forward(ctx context.Context, r Request) (a Answer, err error) {
+// Forward passes a worker's heartbeat on and waits for the answer, at most as long as
+// the worker does. ErrOverloaded: too many are in flight.
+func (s *HeartbeatStream) Forward(ctx context.Context, r Request) (Answer, error) {
 	select {
-	case l.inFlight <- struct{}{}:
-		defer func() { <-l.inFlight }()
+	case s.inFlight <- struct{}{}:
+		defer func() { <-s.inFlight }()
 	default:
-		return a, fmt.Errorf("%s: %w", l.Name, ErrOverloaded)
+		return Answer{}, fmt.Errorf("%s: %w", s.Name, ErrOverloaded)
 	}
-	c, g, err := l.connect(ctx)
+	c, err := s.connect(ctx)
 	if err != nil {
-		return a, err
+		return Answer{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
-	said := c.Go("Mesh.Report", r, new(Answer), make(chan *rpc.Call, 1))
-	var late bool
+	var a Answer
+	sent := c.rpcClient.Go(serviceName+".Report", r.message(), &a, make(chan *rpc.Call, 1))
+	late := false
 	select {
-	case <-said.Done:
-		err = said.Error
+	case <-sent.Done:
+		err = sent.Error
 	case <-ctx.Done():
 		err, late = ctx.Err(), true
 	}
-	var server rpc.ServerError
-	switch {
-	case err == nil:
-		l.mu.Lock()
-		l.ok = time.Now()
-		l.mu.Unlock()
-		return *said.Reply.(*Answer), nil
-	case errors.As(err, &server), late && g.sinceLastRead() < streamSilence:
-	default:
-		l.drop(c)
+	if err == nil {
+		return a, nil
+	}
+	var answered rpc.ServerError
+	alive := errors.As(err, &answered) || late && c.sinceLastRead() < maxSilence
+	if !alive {
+		s.drop(c)
 	}
-	return a, fmt.Errorf("mesh: report by way of %s: %w", l.Name, err)
+	return Answer{}, fmt.Errorf("peerrpc: forward a heartbeat to %s: %w", s.Name, err)
 }
 
-// drop gives a connection up that brings nothing any more.
-func (l *HeartbeatStream) drop(c *rpc.Client) {
-	l.mu.Lock()
-	if l.rpcClient == c {
-		l.rpcClient, l.conn = nil, nil
-		l.redialAt = time.Now().Add(time.Second)
+// drop closes a connection that brings nothing any more.
+func (s *HeartbeatStream) drop(c *streamConn) {
+	s.mu.Lock()
+	if s.conn == c {
+		s.conn = nil
+		s.redialAt = time.Now().Add(streamBackoff)
 	}
-	l.mu.Unlock()
-	c.Close()
+	s.mu.Unlock()
+	_ = c.rpcClient.Close() // fails only where it is closed already
 }
 
-// Close ends the lane's connection.
-func (l *HeartbeatStream) Close() {
-	l.mu.Lock()
-	c := l.rpcClient
-	l.mu.Unlock()
+// Close closes the stream's connection.
+func (s *HeartbeatStream) Close() {
+	s.mu.Lock()
+	c := s.conn
+	s.mu.Unlock()
 	if c != nil {
-		l.drop(c)
+		s.drop(c)
 	}
 }
--- a/peerrpc/stream_test.go
+++ b/peerrpc/stream_test.go
@@ -14,21 +14,21 @@
 	"github.com/umberdeal/umberdeal/internal/memnet"
 )
 
-// far is a node that answers reports as a test says.
-type far struct {
+// fakePeer is a node that answers heartbeats as a test says.
+type fakePeer struct {
 	answer func(r Request) Answer
 	*memnet.Listener
 	dials  atomic.Int32
-	writes atomic.Int32 // of the lane's
+	writes atomic.Int32 // of the stream
 	down   atomic.Bool
 }
 
-func (f *far) HandleHeartbeat(_ context.Context, r Request) Answer { return f.answer(r) }
-func (f *far) HandleUserRequest(context.Context, Request) Answer   { return Answer{} }
-func (f *far) Status(Request) Status                               { return Status{} }
-func (f *far) RecoverRecord(context.Context, Request) Answer       { return Answer{} }
-func (f *far) Overview() []byte                                    { return nil }
-func (f *far) Machines() []byte                                    { return nil }
+func (f *fakePeer) HandleHeartbeat(_ context.Context, r Request) Answer { return f.answer(r) }
+func (f *fakePeer) HandleUserRequest(context.Context, Request) Answer   { return Answer{} }
+func (f *fakePeer) Status(Request) Status                               { return Status{} }
+func (f *fakePeer) RecoverRecord(context.Context, Request) Answer       { return Answer{} }
+func (f *fakePeer) Overview() []byte                                    { return nil }
+func (f *fakePeer) Machines() []byte                                    { return nil }
 
 type counted struct {
 	net.Conn
@@ -40,7 +40,7 @@
 	return c.Conn.Write(b)
 }
 
-func (f *far) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (f *fakePeer) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	if f.down.Load() {
 		return nil, errors.New("connection refused")
 	}
@@ -49,15 +49,16 @@
 	return counted{a, &f.writes}, err
 }
 
-func lane(t *testing.T, tell func(t *testing.T, l *HeartbeatStream, f *far)) {
+// withStream runs a test in simulated time with a stream to a fake peer.
+func withStream(t *testing.T, run func(t *testing.T, l *HeartbeatStream, f *fakePeer)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		f := &far{Listener: memnet.Listen(0)}
+		f := &fakePeer{Listener: memnet.Listen(0)}
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan struct{})
 		go func() { defer close(done); _ = Serve(ctx, f, f, 1000) }()
 		l := NewHeartbeatStream("n-1", "n-1:81", f.dial, 500)
-		tell(t, l, f)
+		run(t, l, f)
 		l.Close()
 		cancel()
 		f.End()
@@ -65,10 +66,11 @@
 	})
 }
 
-// Hundreds of reports go over one connection in few packets; one whose answer
+// Hundreds of heartbeats go over one connection in few packets; one whose answer
 // is held back holds up no other, and each gets the answer to its own.
-func TestReportsGoTogetherAndComeBackAlone(t *testing.T) {
-	lane(t, func(t *testing.T, l *HeartbeatStream, f *far) {
+func TestHeartbeatsShareAConnectionAndAreAnsweredIndependently(t *testing.T) {
+	withStream(t, func(t *testing.T, l *HeartbeatStream, f *fakePeer) {
+		t.Helper()
 		f.answer = func(r Request) Answer {
 			if string(r.Body) == "host-7" {
 				time.Sleep(time.Second)
@@ -100,9 +102,10 @@
 }
 
 // A late answer says nothing of the connection while others come; a connection
-// that brings nothing at all is given up, and the next report opens another.
-func TestALaneIsGivenUpWhenItBringsNothing(t *testing.T) {
-	lane(t, func(t *testing.T, l *HeartbeatStream, f *far) {
+// that brings nothing at all is given up, and the next heartbeat opens another.
+func TestSilentStreamIsDroppedAndRedialled(t *testing.T) {
+	withStream(t, func(t *testing.T, l *HeartbeatStream, f *fakePeer) {
+		t.Helper()
 		var still atomic.Bool
 		wait := make(chan struct{})
 		f.answer = func(r Request) Answer {
@@ -137,8 +140,9 @@
 
 // What is not reached is not tried by each of a thousand workers, and what is
 // under way is bounded.
-func TestALaneIsBounded(t *testing.T) {
-	lane(t, func(t *testing.T, l *HeartbeatStream, f *far) {
+func TestStreamBoundsHeartbeatsInFlightAndBacksOff(t *testing.T) {
+	withStream(t, func(t *testing.T, l *HeartbeatStream, f *fakePeer) {
+		t.Helper()
 		wait := make(chan struct{})
 		f.answer = func(Request) Answer { <-wait; return Answer{Status: 200} }
 		var busy atomic.Int32
@@ -170,7 +174,7 @@
 
 // What is written while the connection is slow must not go over what is on its
 // way; it did after a wake-up that found nothing to write.
-func TestWhatIsGatheredArrivesAsItWasWritten(t *testing.T) {
+func TestBatchedWritesArriveInOrderOverSlowConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
 		g := newBatchingConn(a)
