--- a/docs/analysis/bound.py
+++ b/docs/analysis/bound.py
@@ -35,8 +35,15 @@
 STEP = 5.0
 FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
 # Messages that had another name in logs of earlier versions.
-RENAMED = {'job': 'job accepted', 'job runs': 'job started', 'job done': 'job completed', 'running': 'task started',
-           'launch': 'task launch sent', 'exited': 'task exited', 'rented': 'machine scaled out'}
+RENAMED = {
+    'job': 'job accepted',
+    'job runs': 'job started',
+    'job done': 'job completed',
+    'launch': 'task launch sent',
+    'running': 'task started',
+    'exited': 'task exited',
+    'rented': 'machine scaled out',
+}
 LINE = re.compile(r'\s*([\d.]+) (\S+) time=(\S+) level=\S+ (.*)')
 
 
--- a/docs/analysis/split.py
+++ b/docs/analysis/split.py
@@ -16,9 +16,17 @@
 FIELD = re.compile(r'(\w+)=("[^"]*"|\S+)')
 LINE = re.compile(r'\s*([\d.]+) (\S+) time=(\S+) level=\S+ (.*)')
 # Messages that had another name in logs of earlier versions.
-RENAMED = {'job': 'job accepted', 'job runs': 'job started', 'job done': 'job completed', "job's tasks done": 'job tasks completed',
-           'running': 'task started', 'launch': 'task launch sent', 'exited': 'task exited', 'stopping': 'stopping task',
-           'recalled': 'unlaunched task revoked', 'rented': 'machine scaled out'}
+RENAMED = {
+    'job': 'job accepted',
+    'job runs': 'job started',
+    'job done': 'job completed',
+    "job's tasks done": 'job tasks completed',
+    'launch': 'task launch sent',
+    'running': 'task started',
+    'exited': 'task exited',
+    'recalled': 'unlaunched task revoked',
+    'stopping': 'stopping task',
+}
 ACTS = {'placed', 'task launch sent', 'task started', 'task exited', 'job accepted', 'job started', 'job completed', 'job tasks completed', 'stopping task',
         'rental refused'}
 
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -61,7 +61,7 @@
 		if err != nil {
 			return err
 		}
-		s.add(filepath.ToSlash(dir), file, strings.HasSuffix(name, "_test.go"))
+		s.add(sourceFile{dir: filepath.ToSlash(dir), syntax: file, inTests: strings.HasSuffix(name, "_test.go")})
 		return nil
 	})
 	if err != nil {
@@ -70,9 +70,17 @@
 	return s
 }
 
+// sourceFile is one parsed file, and the directory of its package.
+type sourceFile struct {
+	dir     string
+	syntax  *ast.File
+	inTests bool
+}
+
 // add takes one file in.
-func (s *sources) add(dir string, file *ast.File, test bool) {
-	if !test {
+func (s *sources) add(f sourceFile) {
+	dir, file := f.dir, f.syntax
+	if !f.inTests {
 		s.packages[dir] = true
 		if s.imports[dir] == nil {
 			s.imports[dir] = map[string]bool{}
@@ -86,14 +94,14 @@
 	for _, declaration := range file.Decls {
 		switch d := declaration.(type) {
 		case *ast.FuncDecl:
-			s.addFunc(dir, d, test)
+			s.addFunc(f, d)
 		case *ast.GenDecl:
 			for _, spec := range d.Specs {
 				s.addSpec(dir, spec)
 			}
 		}
 	}
-	if test {
+	if f.inTests {
 		return
 	}
 	ast.Inspect(file, func(n ast.Node) bool {
@@ -130,16 +138,16 @@
 	}
 }
 
-func (s *sources) addFunc(dir string, d *ast.FuncDecl, test bool) {
+func (s *sources) addFunc(f sourceFile, d *ast.FuncDecl) {
 	if d.Recv == nil {
-		s.names[dir+"."+d.Name.Name] = true
-		if test && strings.HasPrefix(d.Name.Name, "Test") {
-			s.tests[d.Name.Name] = append(s.tests[d.Name.Name], dir)
+		s.names[f.dir+"."+d.Name.Name] = true
+		if f.inTests && strings.HasPrefix(d.Name.Name, "Test") {
+			s.tests[d.Name.Name] = append(s.tests[d.Name.Name], f.dir)
 		}
 		return
 	}
 	if receiver := typeName(d.Recv.List[0].Type); receiver != "" {
-		s.names[dir+"."+receiver+"."+d.Name.Name] = true
+		s.names[f.dir+"."+receiver+"."+d.Name.Name] = true
 	}
 }
 
