--- a/snapshot/plan.go
+++ b/snapshot/plan.go
@@ -10,33 +10,34 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// checkPlan says what of the operators' plan is not as it was written: its versions are
-// read as a node reads them.
+// checkPlan reports what of the operators' plan is not as it was written: its versions are read as a
+// controller reads them.
 func (v *verifier) checkPlan() {
 	ctx := context.Background()
-	h, err := jobstore.ReadPlanHead(ctx, memoryStore(v.all))
-	if err != nil || h.Version == 0 {
-		return // there is no plan: a snapshot's reads do not fail
+	head, err := jobstore.ReadPlanHead(ctx, memoryStore(v.values))
+	if err != nil || head.Version == 0 {
+		return // there is no plan: a memoryStore's reads do not fail
 	}
-	if h.Warning != nil {
-		v.report(jobstore.PlanHeadKey, "%v", h.Warning)
+	if head.Warning != nil {
+		v.report(jobstore.PlanHeadKey, "%v", head.Warning)
 	}
-	if v.form.Version < jobstore.SchemaPlans {
-		v.report(jobstore.PlanHeadKey, "there is a plan, and the form is %d", v.form.Version)
+	if v.schema.Version < jobstore.SchemaPlans {
+		v.report(jobstore.PlanHeadKey, "there is a plan, and the form is %d", v.schema.Version)
 	}
-	for _, ver := range h.Versions {
-		if _, err := jobstore.ReadPlanText(ctx, memoryStore(v.all), ver); err != nil {
+	for _, version := range head.Versions {
+		if _, err := jobstore.ReadPlanText(ctx, memoryStore(v.values), version); err != nil {
 			v.report(jobstore.PlanHeadKey, "%v", err)
 		}
 	}
 }
 
-// memoryStore is a snapshot as a store that is only read.
+// memoryStore is a snapshot's entries as a key-value store that is only read. Their versions are not
+// those that they had.
 type memoryStore map[string]wire.Raw
 
-// Get implements jobstore.KeyValueReader. What a snapshot holds has no version of its own.
-func (h memoryStore) Get(_ context.Context, key string) (wire.Entry, error) {
-	raw, ok := h[key]
+// Get implements jobstore.KeyValueReader.
+func (s memoryStore) Get(_ context.Context, key string) (wire.Entry, error) {
+	raw, ok := s[key]
 	if !ok {
 		return wire.Entry{}, nil
 	}
@@ -44,11 +45,11 @@
 }
 
 // List implements jobstore.KeyValueReader.
-func (h memoryStore) List(_ context.Context, prefix string) ([]wire.Entry, uint64, error) {
+func (s memoryStore) List(_ context.Context, prefix string) ([]wire.Entry, uint64, error) {
 	var out []wire.Entry
-	for _, k := range slices.Sorted(maps.Keys(h)) {
-		if strings.HasPrefix(k, prefix) {
-			out = append(out, wire.Entry{Key: k, Value: h[k], Version: 1})
+	for _, key := range slices.Sorted(maps.Keys(s)) {
+		if strings.HasPrefix(key, prefix) {
+			out = append(out, wire.Entry{Key: key, Value: s[key], Version: 1})
 		}
 	}
 	return out, 1, nil
--- a/snapshot/plan_test.go
+++ b/snapshot/plan_test.go
@@ -20,7 +20,7 @@
 	var file bytes.Buffer
 	limits := jobstore.Limits{TxnOps: 12, ValueKB: 16}
 	text := "note = \"" + strings.Repeat("two ", 9000) + "\""
-	scenario.Run(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster) {
+	scenario.Run(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster) { //nolint:thelper // the body of the test
 		time.Sleep(5 * time.Second)
 		for n, text := range []string{"note = \"one\"", text} {
 			if _, err := jobstore.ApplyPlan(t.Context(), client(w), limits, jobstore.PlanChange{Base: n, Text: text, At: time.Now()}); err != nil {
--- /dev/null
+++ b/snapshot/reader.go
@@ -0,0 +1,155 @@
+package snapshot
+
+import (
+	"bufio"
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"io"
+
+	"github.com/cespare/xxhash/v2"
+	"github.com/klauspost/compress/zstd"
+
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// Reader reads a snapshot.
+type Reader struct {
+	Header Header
+
+	r       *bufio.Reader
+	decoder *zstd.Decoder
+	sum     *xxhash.Digest // of the blocks' headers
+	offset  int64          // where the next block begins
+	block   int            // its number
+	keys    uint64
+	lastKey string
+	ended   bool
+}
+
+// maxDecoderMemory bounds what a block takes once decompressed.
+const maxDecoderMemory = 16 << 20
+
+// NewReader reads a snapshot's header.
+func NewReader(r io.Reader) (*Reader, error) {
+	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoderMemory))
+	if err != nil {
+		return nil, fmt.Errorf("snapshot: %w", err)
+	}
+	s := &Reader{r: bufio.NewReader(r), decoder: decoder, sum: xxhash.New(), offset: int64(len(magic))}
+	got := make([]byte, len(magic))
+	version := len(magic) - 1
+	if _, err := io.ReadFull(s.r, got); err != nil || string(got[:version]) != string(magic[:version]) {
+		return nil, fmt.Errorf("%w: this is no snapshot", ErrCorrupt)
+	}
+	if got[version] != magic[version] {
+		return nil, fmt.Errorf("snapshot: its format has version %d, this program reads %d", got[version], magic[version])
+	}
+	return s, s.readBlock(kindHeader, &s.Header)
+}
+
+// All reads what is left, and returns it only if all of it is intact.
+func (s *Reader) All() (map[string]wire.Raw, error) {
+	out := map[string]wire.Raw{}
+	for {
+		entries, err := s.Next()
+		if errors.Is(err, io.EOF) {
+			return out, nil
+		}
+		if err != nil {
+			return nil, err
+		}
+		for _, kv := range entries {
+			out[kv.Key] = kv.Value
+		}
+	}
+}
+
+// Next reads the next entries; io.EOF after the last, once the whole file has been found intact.
+func (s *Reader) Next() ([]KeyValue, error) {
+	if s.ended {
+		return nil, io.EOF
+	}
+	var entries []KeyValue
+	err := s.readBlock(kindEntries, &entries)
+	if errors.Is(err, errOtherKind) {
+		return nil, s.readTrailer()
+	}
+	if err != nil {
+		return nil, err
+	}
+	for i := range entries {
+		if entries[i].Key <= s.lastKey {
+			return nil, s.corrupt(fmt.Sprintf("key %q is out of order", entries[i].Key))
+		}
+		s.lastKey = entries[i].Key
+	}
+	s.keys += uint64(len(entries))
+	return entries, nil
+}
+
+// readTrailer reads the last block, and returns io.EOF if the file is intact.
+func (s *Reader) readTrailer() error {
+	var t trailer
+	sum := s.sum.Sum64()
+	err := s.readBlock(kindTrailer, &t)
+	if errors.Is(err, errOtherKind) {
+		return s.corrupt("a block of no known kind")
+	}
+	if err != nil {
+		return err
+	}
+	if t.Keys != s.keys || t.Sum != sum {
+		return s.corrupt(fmt.Sprintf("%d keys, %d were written", s.keys, t.Keys))
+	}
+	if _, err := s.r.ReadByte(); !errors.Is(err, io.EOF) {
+		return s.corrupt("something follows the end")
+	}
+	s.ended = true
+	return io.EOF
+}
+
+// errOtherKind means that the next block is of another kind.
+var errOtherKind = errors.New("another kind of block")
+
+// readBlock reads a block of that kind, or returns errOtherKind with the block unread.
+func (s *Reader) readBlock(kind byte, v any) error {
+	header, err := s.r.Peek(blockHeaderSize)
+	if err != nil {
+		return s.corrupt("the file is cut off")
+	}
+	if header[0] != kind {
+		return errOtherKind
+	}
+	length := binary.BigEndian.Uint32(header[lengthOffset:])
+	if length > maxBlockBytes {
+		return s.corrupt("its length can't be")
+	}
+	want := binary.BigEndian.Uint64(header[checksumOffset:])
+	block := make([]byte, blockHeaderSize+int(length))
+	if _, err := io.ReadFull(s.r, block); err != nil {
+		return s.corrupt("the file is cut off")
+	}
+	body := block[blockHeaderSize:]
+	if checksum(kind, body) != want {
+		return s.corrupt("its checksum is wrong")
+	}
+	if kind != kindTrailer {
+		_, _ = s.sum.Write(block[:blockHeaderSize]) // a digest takes everything
+	}
+	plain, err := s.decoder.DecodeAll(body, nil)
+	if err != nil {
+		return s.corrupt(err.Error())
+	}
+	if err := wire.Unmarshal(plain, v); err != nil {
+		return s.corrupt(err.Error())
+	}
+	s.offset += int64(len(block))
+	s.block++
+	return nil
+}
+
+// corrupt says what is wrong with the next block.
+func (s *Reader) corrupt(why string) error {
+	return fmt.Errorf("%w: block %d, at byte %d: %s", ErrCorrupt, s.block, s.offset, why)
+}
--- /dev/null
+++ b/snapshot/restore.go
@@ -0,0 +1,141 @@
+package snapshot
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+
+	"github.com/umberdeal/umberdeal/kvstore"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// Target is what filling a key-value store needs of it.
+type Target interface {
+	ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error)
+	Get(ctx context.Context, key string) (wire.Entry, error)
+	CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
+}
+
+// importMarkKey stands in a key-value store while it is being filled; its value is the snapshot's Header.
+const importMarkKey = "ctl/import"
+
+// maxTxnBytes bounds the values of a transaction, below the key-value store's 64 KiB. Each is counted
+// twice, since the key-value store counts it as JSON.
+const maxTxnBytes = 48 << 10
+
+// ErrNotEmpty means that a key-value store holds something already.
+var ErrNotEmpty = errors.New("the state service is not empty")
+
+// Restore fills an empty key-value store, with maxOps changes a transaction, and returns how many keys
+// it has written. An import that was interrupted goes on where it stopped, if it is of the same
+// snapshot.
+func Restore(ctx context.Context, to Target, h Header, values map[string]wire.Raw, maxOps int) (int, error) {
+	mark, err := beginImport(ctx, to, h)
+	if err != nil {
+		return 0, err
+	}
+	written := 0
+	keys := slices.Sorted(maps.Keys(values))
+	for len(keys) > 0 {
+		ops := nextOps(keys, values, maxOps)
+		n, err := restoreOps(ctx, to, mark, ops)
+		written += n
+		if err != nil {
+			return written, err
+		}
+		keys = keys[len(ops):]
+	}
+	err = retry(ctx, func() error {
+		_, err := to.CompareAndSwap(ctx, []wire.Guard{mark}, []wire.Op{{Delete: importMarkKey}})
+		return err
+	})
+	if err != nil {
+		return written, fmt.Errorf("import: %w", err)
+	}
+	return written, nil
+}
+
+// beginImport marks an empty key-value store as one that is being filled, unless it is marked so for
+// the same snapshot. The mark is a condition of every transaction.
+func beginImport(ctx context.Context, to Target, h Header) (wire.Guard, error) {
+	e, err := to.Get(ctx, importMarkKey)
+	if err != nil {
+		return wire.Guard{}, fmt.Errorf("import: %w", err)
+	}
+	if e.Version != 0 {
+		var started Header
+		if err := wire.Unmarshal(e.Value, &started); err != nil || started != h {
+			return wire.Guard{}, fmt.Errorf("%w: another import was begun there", ErrNotEmpty)
+		}
+		return wire.Guard{Key: importMarkKey, Version: e.Version}, nil
+	}
+	page, err := to.ListPage(ctx, "", "", listPageSize)
+	if err != nil {
+		return wire.Guard{}, fmt.Errorf("import: %w", err)
+	}
+	if len(page.Items) > 0 {
+		return wire.Guard{}, fmt.Errorf("%w: it has %q", ErrNotEmpty, page.Items[0].Key)
+	}
+	rev, err := to.CompareAndSwap(ctx, []wire.Guard{{Key: importMarkKey}}, []wire.Op{{Put: importMarkKey, Value: h}})
+	if err != nil {
+		return wire.Guard{}, fmt.Errorf("import: %w", err)
+	}
+	return wire.Guard{Key: importMarkKey, Version: rev}, nil
+}
+
+// nextOps is puts of the first keys, as many as fit into a transaction and one at least.
+func nextOps(keys []string, values map[string]wire.Raw, maxOps int) []wire.Op {
+	var ops []wire.Op
+	bytes := 0
+	for _, key := range keys {
+		size := 2 * len(values[key])
+		if len(ops) >= maxOps || len(ops) > 0 && bytes+size >= maxTxnBytes {
+			break
+		}
+		ops = append(ops, wire.Op{Put: key, Value: values[key]})
+		bytes += size
+	}
+	return ops
+}
+
+// restoreOps commits puts of keys that are not there yet, and returns how many it has written.
+func restoreOps(ctx context.Context, to Target, mark wire.Guard, ops []wire.Op) (int, error) {
+	guards := []wire.Guard{mark}
+	for _, op := range ops {
+		guards = append(guards, wire.Guard{Key: op.Put})
+	}
+	err := retry(ctx, func() error {
+		_, err := to.CompareAndSwap(ctx, guards, ops)
+		return err
+	})
+	if err == nil {
+		return len(ops), nil
+	}
+	if !writtenBefore(err) {
+		return 0, fmt.Errorf("import: at %q: %w", ops[0].Put, err)
+	}
+	// Some were written before, by this import: its answer was lost, or it was interrupted. With other
+	// limits they may have been written in other transactions: each key is tried alone.
+	written := 0
+	for i, op := range ops {
+		err := retry(ctx, func() error {
+			_, err := to.CompareAndSwap(ctx, []wire.Guard{mark, {Key: op.Put}}, ops[i:i+1])
+			return err
+		})
+		switch {
+		case err == nil:
+			written++
+		case !writtenBefore(err):
+			return written, fmt.Errorf("import: at %q: %w", op.Put, err)
+		}
+	}
+	return written, nil
+}
+
+// writtenBefore reports whether a transaction failed only because keys are there already.
+func writtenBefore(err error) bool {
+	var conflict *kvstore.ConflictError
+	return errors.As(err, &conflict) && !slices.Contains(conflict.FailedKeys, importMarkKey)
+}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -117,12 +117,12 @@
 	return f.Client.CompareAndSwap(ctx, guards, ops)
 }
 
-// A snapshot taken while jobs come and go is of one moment and sound, and a world
+// A snapshot taken while jobs come and go is of one moment and sound, and a cluster
 // that is filled with it knows every job.
 func TestSnapshotOfRunningClusterRestoresIntoEmptyStore(t *testing.T) {
 	var file bytes.Buffer
 	var known map[string]string
-	scenario.Run(t, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.Cluster) {
+	scenario.Run(t, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.Cluster) { //nolint:thelper // the body of the test
 		known = map[string]string{}
 		for n := range 60 {
 			j := scenario.Job(n, func(j *wire.Job) { j.EstimateS = float64(2 + n%9) })
--- a/snapshot/take.go
+++ b/snapshot/take.go
@@ -17,192 +17,136 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Source is what taking a snapshot needs of the state service.
+// Source is what taking a snapshot needs of the key-value store.
 type Source interface {
 	ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error)
 	Watch(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error)
 }
 
-// Target is what filling a state service needs of it.
-type Target interface {
-	ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error)
-	Get(ctx context.Context, key string) (wire.Entry, error)
-	CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
-}
-
-// listPageSize is how many keys are read at once.
-const listPageSize = 500
-
-// maxAttempts is how often a request is repeated that the state service refuses.
-const maxAttempts = 20
+const (
+	// maxAttempts is how often a request is made that the key-value store refuses.
+	maxAttempts = 20
+	// listPageSize is how many keys are listed with one request.
+	listPageSize = 500
+	// retryStep is by how much longer each wait between them is.
+	retryStep = 100 * time.Millisecond
+)
 
-// retryRefused repeats f while the state service refuses or does not answer.
-func retryRefused(ctx context.Context, f func() error) error {
-	for try := 1; ; try++ {
+// retry repeats f while the key-value store refuses or does not answer.
+func retry(ctx context.Context, f func() error) error {
+	for attempt := 1; ; attempt++ {
 		err := f()
-		if err == nil || try == maxAttempts || !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
+		if err == nil || attempt == maxAttempts || !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 			return err
 		}
-		if !call.Pause(ctx, time.Duration(try)*100*time.Millisecond) {
+		if !call.Pause(ctx, time.Duration(attempt)*retryStep) {
 			return ctx.Err()
 		}
 	}
 }
 
-// Take reads everything there is, as of one revision, at no more than per
-// requests a second, and writes it to w. The pages of a listing are of different
-// moments: the changes between them are read after each, before the service
-// forgets them, and a last time at the end.
-func Take(ctx context.Context, src Source, per float64, w io.Writer, by string) (Header, int, error) {
-	pace := rate.NewLimiter(rate.Limit(per), 1)
-	all := map[string]wire.Raw{}
-	versions := map[string]uint64{}
-	var rev uint64
-	after, more := "", true
-	for more {
-		var page wire.Listing
-		err := retryRefused(ctx, func() (err error) {
-			if err := pace.Wait(ctx); err != nil {
-				return err
-			}
-			page, err = src.ListPage(ctx, "", after, listPageSize)
-			if rev == 0 {
-				rev = page.Revision
-			}
-			return err
-		})
-		if err != nil {
-			return Header{}, 0, fmt.Errorf("snapshot: after %q: %w", after, err)
+// Take reads everything there is, as of one revision, at no more than rps requests a second, and writes
+// it to w. The pages of a listing are of different moments: the changes between them are read after
+// each, before the key-value store forgets them, and a last time at the end.
+func Take(ctx context.Context, src Source, rps float64, w io.Writer, by string) (Header, int, error) {
+	l := &lister{
+		source: src, limiter: rate.NewLimiter(rate.Limit(rps), 1),
+		values: map[string]wire.Raw{}, versions: map[string]uint64{},
+	}
+	for more := true; more; {
+		var err error
+		if more, err = l.readPage(ctx); err != nil {
+			return Header{}, 0, fmt.Errorf("snapshot: after %q: %w", l.lastKey, err)
 		}
-		more = page.More
-		for _, it := range page.Items {
-			all[it.Key], versions[it.Key] = it.Value, it.Version
-			after = it.Key
-		}
-		// Changes of keys that the listing has not come to yet are read again with
-		// it, and known by their version.
-		err = retryRefused(ctx, func() error {
-			if err := pace.Wait(ctx); err != nil {
-				return err
-			}
-			ev, err := src.Watch(ctx, "", rev, 0)
-			if err != nil {
-				return err
-			}
-			for _, e := range ev.Log {
-				key := e.Put + e.Delete
-				if e.Version <= versions[key] {
-					continue
-				}
-				versions[key] = e.Version
-				if e.Delete != "" {
-					delete(all, key)
-				} else {
-					all[key] = e.Value
-				}
-			}
-			rev = max(rev, ev.Revision)
-			return nil
-		})
-		if err != nil {
-			return Header{}, 0, fmt.Errorf("snapshot: changes after revision %d: %w", rev, err)
+		if err := l.readChanges(ctx); err != nil {
+			return Header{}, 0, fmt.Errorf("snapshot: changes after revision %d: %w", l.revision, err)
 		}
 	}
-	delete(all, election.LeaderKey) // whoever leads now
-	h := Header{Revision: rev, AtMs: time.Now().UnixMilli(), By: by}
+	delete(l.values, election.LeaderKey) // whoever leads now
+	h := Header{Revision: l.revision, AtMs: time.Now().UnixMilli(), By: by}
+	if err := write(w, h, l.values); err != nil {
+		return h, 0, err
+	}
+	return h, len(l.values), nil
+}
+
+// write writes entries as a snapshot.
+func write(w io.Writer, h Header, values map[string]wire.Raw) error {
 	s, err := NewWriter(w, h)
 	if err != nil {
-		return h, 0, err
+		return err
 	}
-	for _, key := range slices.Sorted(maps.Keys(all)) {
-		if err := s.Add(KeyValue{Key: key, Value: all[key]}); err != nil {
-			return h, 0, err
+	for _, key := range slices.Sorted(maps.Keys(values)) {
+		if err := s.Add(KeyValue{Key: key, Value: values[key]}); err != nil {
+			return err
 		}
 	}
-	return h, len(all), s.Close()
+	return s.Close()
 }
 
-// importMarkKey stands in a state service while it is being filled.
-const importMarkKey = "ctl/import"
+// lister collects all entries of a key-value store.
+type lister struct {
+	source  Source
+	limiter *rate.Limiter
 
-// ErrNotEmpty says that a state service holds something already.
-var ErrNotEmpty = errors.New("the state service is not empty")
+	values   map[string]wire.Raw
+	versions map[string]uint64 // also of keys that were deleted meanwhile
+	revision uint64            // up to which changes are taken in; 0 before the first page
+	lastKey  string            // up to which keys are listed
+}
 
-// Restore fills an empty state service, ops changes and 48 KiB a transaction. One
-// that was cut off goes on where it stopped, if it is the same snapshot again.
-// The file is read to its end first: what is damaged is refused before anything
-// is written.
-func Restore(ctx context.Context, to Target, h Header, all map[string]wire.Raw, ops int) (int, error) {
-	mark := Header{Revision: h.Revision, AtMs: h.AtMs, By: h.By}
-	entry, err := to.Get(ctx, importMarkKey)
-	if err != nil {
-		return 0, fmt.Errorf("import: %w", err)
-	}
-	begun := entry.Version != 0
-	if begun {
-		var was Header
-		if err := wire.Unmarshal(entry.Value, &was); err != nil || was != mark {
-			return 0, fmt.Errorf("%w: another import was begun there", ErrNotEmpty)
-		}
-	} else {
-		page, err := to.ListPage(ctx, "", "", listPageSize)
-		if err != nil {
-			return 0, fmt.Errorf("import: %w", err)
-		}
-		if len(page.Items) > 0 {
-			return 0, fmt.Errorf("%w: it has %q", ErrNotEmpty, page.Items[0].Key)
+// readPage reads the next page of the listing; more is false after the last.
+func (l *lister) readPage(ctx context.Context) (more bool, err error) {
+	var page wire.Listing
+	err = retry(ctx, func() (err error) {
+		if err := l.limiter.Wait(ctx); err != nil {
+			return err
 		}
-		rev, err := to.CompareAndSwap(ctx, []wire.Guard{{Key: importMarkKey}}, []wire.Op{{Put: importMarkKey, Value: mark}})
-		if err != nil {
-			return 0, fmt.Errorf("import: %w", err)
+		page, err = l.source.ListPage(ctx, "", l.lastKey, listPageSize)
+		if l.revision == 0 {
+			l.revision = page.Revision
 		}
-		entry.Version = rev
+		return err
+	})
+	if err != nil {
+		return false, err
+	}
+	for _, e := range page.Items {
+		l.values[e.Key], l.versions[e.Key] = e.Value, e.Version
+		l.lastKey = e.Key
 	}
-	written := 0
-	keys := slices.Sorted(maps.Keys(all))
-	for len(keys) > 0 {
-		n, bytes := 0, 0
-		guards := []wire.Guard{{Key: importMarkKey, Version: entry.Version}}
-		var puts []wire.Op
-		for n < len(keys) && n < ops && (n == 0 || bytes+2*len(all[keys[n]]) < 48<<10) {
-			guards = append(guards, wire.Guard{Key: keys[n]})
-			puts = append(puts, wire.Op{Put: keys[n], Value: all[keys[n]]})
-			bytes += 2 * len(all[keys[n]])
-			n++
+	return page.More, nil
+}
+
+// readChanges takes in the changes since the last time. Those of keys that the listing has not come to
+// yet are read again with it, and known by their version.
+func (l *lister) readChanges(ctx context.Context) error {
+	return retry(ctx, func() error {
+		if err := l.limiter.Wait(ctx); err != nil {
+			return err
 		}
-		var c *kvstore.ConflictError
-		err := retryRefused(ctx, func() error {
-			_, err := to.CompareAndSwap(ctx, guards, puts)
+		events, err := l.source.Watch(ctx, "", l.revision, 0)
+		if err != nil {
 			return err
-		})
-		switch {
-		case errors.As(err, &c) && !slices.Contains(c.FailedKeys, importMarkKey):
-			// Written before, by this import: its answer was lost, or it was cut off.
-			// With other limits it may have been written in other pieces.
-			for i := range puts {
-				err := retryRefused(ctx, func() error {
-					_, err := to.CompareAndSwap(ctx, []wire.Guard{guards[0], guards[i+1]}, puts[i:i+1])
-					return err
-				})
-				if err == nil {
-					written++
-				} else if !errors.As(err, &c) || slices.Contains(c.FailedKeys, importMarkKey) {
-					return written, fmt.Errorf("import: at %q: %w", keys[i], err)
-				}
-			}
-		case err != nil:
-			return written, fmt.Errorf("import: at %q: %w", keys[0], err)
-		default:
-			written += n
 		}
-		keys = keys[n:]
-	}
-	err = retryRefused(ctx, func() error {
-		_, err := to.CompareAndSwap(ctx, []wire.Guard{{Key: importMarkKey, Version: entry.Version}}, []wire.Op{{Delete: importMarkKey}})
-		return err
+		for _, e := range events.Log {
+			l.apply(e)
+		}
+		l.revision = max(l.revision, events.Revision)
+		return nil
 	})
-	if err != nil {
-		return written, fmt.Errorf("import: %w", err)
+}
+
+// apply takes a change in unless it is older than what is known.
+func (l *lister) apply(e wire.Event) {
+	key := e.Put + e.Delete // one of them is empty
+	if e.Version <= l.versions[key] {
+		return
+	}
+	l.versions[key] = e.Version
+	if e.Delete != "" {
+		delete(l.values, key)
+	} else {
+		l.values[key] = e.Value
 	}
-	return written, nil
 }
--- a/snapshot/verify.go
+++ b/snapshot/verify.go
@@ -10,28 +10,28 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Violation is an invariant of the ledger that does not hold.
+// Violation is an invariant of the records that does not hold.
 type Violation struct {
 	Key     string
 	Problem string
 }
 
-func (f Violation) String() string { return f.Key + ": " + f.Problem }
+func (v Violation) String() string { return v.Key + ": " + v.Problem }
 
-// Summary counts what a ledger holds.
+// Summary counts what a snapshot holds.
 type Summary struct {
 	Keys, Unfinished, Finished, Placements, Other int
 }
 
-// Verify says which invariants of the ledger do not hold, each with its key, in
-// their order.
-func Verify(all map[string]wire.Raw) (Summary, []Violation) {
-	v := &verifier{all: all, jobs: map[string]jobLocation{}, chunks: map[chunkID]string{}}
-	v.summary.Keys = len(all)
-	keys := slices.Sorted(maps.Keys(all))
-	v.readForm()
+// Verify checks the invariants of the records, and returns those that do not hold in the order of their
+// keys.
+func Verify(values map[string]wire.Raw) (Summary, []Violation) {
+	v := &verifier{values: values, jobs: map[string]jobLocation{}, chunks: map[chunkID]string{}}
+	v.summary.Keys = len(values)
+	keys := slices.Sorted(maps.Keys(values))
+	v.readSchema()
 	for _, key := range keys {
-		v.checkJobKey(key)
+		v.checkKey(key)
 	}
 	for _, key := range keys {
 		if _, ok := jobstore.ParsePlacementPageKey(key); ok {
@@ -44,159 +44,131 @@
 	return v.summary, v.violations
 }
 
+// jobLocation is a job's record, and the key on which it stands.
 type jobLocation struct {
 	key    string
 	record jobstore.JobRecord
 }
 
 type chunkID struct {
-	job string
-	n   int
+	job   string
+	chunk int
 }
 
 type verifier struct {
-	all        map[string]wire.Raw
-	form       jobstore.SchemaRecord
+	values     map[string]wire.Raw
+	schema     jobstore.SchemaRecord
 	jobs       map[string]jobLocation
-	chunks     map[chunkID]string
+	chunks     map[chunkID]string // the key on which each stands
 	summary    Summary
 	violations []Violation
 }
 
-func (v *verifier) report(key, what string, args ...any) {
-	v.violations = append(v.violations, Violation{key, fmt.Sprintf(what, args...)})
+func (v *verifier) report(key, format string, args ...any) {
+	v.violations = append(v.violations, Violation{key, fmt.Sprintf(format, args...)})
 }
 
-// decode decodes a key's value, or says that it can't be read.
+// decode decodes a key's value, or reports that it can't be read.
 func (v *verifier) decode(key string, out any) bool {
-	if err := wire.Unmarshal(v.all[key], out); err != nil {
+	if err := wire.Unmarshal(v.values[key], out); err != nil {
 		v.report(key, "can't be read: %v", err)
 		return false
 	}
 	return true
 }
 
-func (v *verifier) readForm() {
-	raw, ok := v.all[jobstore.SchemaKey]
-	if !ok {
+func (v *verifier) readSchema() {
+	raw, ok := v.values[jobstore.SchemaKey]
+	if !ok || len(raw) == 0 || !v.decode(jobstore.SchemaKey, &v.schema) {
 		return
 	}
-	if len(raw) > 0 && v.decode(jobstore.SchemaKey, &v.form) && v.form.Version > jobstore.LatestSchema {
-		v.report(jobstore.SchemaKey, "form %d is newer than this program reads (%d)", v.form.Version, jobstore.LatestSchema)
+	if v.schema.Version > jobstore.LatestSchema {
+		v.report(jobstore.SchemaKey, "form %d is newer than this program reads (%d)", v.schema.Version, jobstore.LatestSchema)
 	}
 }
 
-// checkJobKey takes in the jobs that stand on a key.
-func (v *verifier) checkJobKey(key string) {
+// checkKey takes in the jobs that stand on a key.
+func (v *verifier) checkKey(key string) {
 	if jobstore.IsJobPageKey(key) {
-		page, err := jobstore.DecodeJobPage(v.all[key])
-		if a, ok := jobstore.DecodeQuarantinedPage(v.all[key]); ok {
-			v.report(key, "what stood at %s can't be read, and was set aside", a.OriginalKey)
-			return
-		}
-		if err != nil {
-			v.report(key, "can't be read: %v", err)
-			return
-		}
-		if v.form.Version < jobstore.SchemaJobPages {
-			v.report(key, "jobs share a page, and the form is %d", v.form.Version)
-		}
-		for _, e := range page.Entries {
-			rec, err := e.Decode()
-			if err != nil {
-				v.report(key, "%v", err)
-				continue
-			}
-			if v.form.Buckets > 0 && key != jobstore.HeadPageKey(v.form.Bucket(e.ID)) && !strings.HasPrefix(key, jobstore.HeadPageKey(v.form.Bucket(e.ID))+".") {
-				v.report(key, "job %s belongs to bucket %d", e.ID, v.form.Bucket(e.ID))
-			}
-			v.addJob(key, e.ID, rec)
-		}
+		v.checkJobPage(key)
 		return
 	}
-	id, ok := jobstore.ParseJobKey(key)
-	over := false
-	if !ok {
-		if id, over = jobstore.ParseFinalKey(key); !over {
-			if _, page := jobstore.ParsePlacementPageKey(key); !page {
-				v.summary.Other++
-			}
-			return
+	if id, ok := jobstore.ParseJobKey(key); ok {
+		if record, ok := v.decodeJob(key, id); ok {
+			v.addJob(key, id, record)
 		}
-	}
-	var rec jobstore.JobRecord
-	if !v.decode(key, &rec) {
 		return
 	}
-	if rec.Job.ID != id {
-		v.report(key, "its record is that of job %q", rec.Job.ID)
+	if id, ok := jobstore.ParseFinalKey(key); ok {
+		v.checkFinal(key, id)
+		return
 	}
-	if over && rec.State != wire.JobDone && rec.State != wire.JobCancelled {
-		v.report(key, "is over with state %q", rec.State)
+	if _, ok := jobstore.ParsePlacementPageKey(key); !ok {
+		v.summary.Other++
 	}
-	v.addJob(key, id, rec)
 }
 
-func (v *verifier) addJob(key, id string, rec jobstore.JobRecord) {
-	if was, ok := v.jobs[id]; ok {
-		v.report(key, "job %s stands at %s as well", id, was.key)
+// checkFinal takes in a job that is over.
+func (v *verifier) checkFinal(key, id string) {
+	record, ok := v.decodeJob(key, id)
+	if !ok {
 		return
 	}
-	v.jobs[id] = jobLocation{key, rec}
-	if rec.State == "" {
-		v.summary.Unfinished++
-	} else {
-		v.summary.Finished++
+	if record.State != wire.JobDone && record.State != wire.JobCancelled {
+		v.report(key, "is over with state %q", record.State)
+	}
+	v.addJob(key, id, record)
+}
+
+// decodeJob decodes the record of a job with a key of its own; ok is false where it can't be read.
+func (v *verifier) decodeJob(key, id string) (record jobstore.JobRecord, ok bool) {
+	if !v.decode(key, &record) {
+		return record, false
+	}
+	if record.Job.ID != id {
+		v.report(key, "its record is that of job %q", record.Job.ID)
 	}
+	return record, true
 }
 
-// checkPlacementPage takes in a page of placement records.
-func (v *verifier) checkPlacementPage(key string) {
-	var page jobstore.PlacementPage
-	if !v.decode(key, &page) {
+// checkJobPage takes in a page of jobs.
+func (v *verifier) checkJobPage(key string) {
+	page, err := jobstore.DecodeJobPage(v.values[key])
+	if q, ok := jobstore.DecodeQuarantinedPage(v.values[key]); ok {
+		v.report(key, "what stood at %s can't be read, and was set aside", q.OriginalKey)
 		return
 	}
-	for i := range page.Chunks {
-		c := &page.Chunks[i]
-		name := chunkID{c.Job, c.Chunk}
-		if other, ok := v.chunks[name]; ok {
-			v.report(key, "chunk %d of job %s stands at %s as well", c.Chunk, c.Job, other)
-			continue
-		}
-		v.chunks[name] = key
-		j, ok := v.jobs[c.Job]
-		if !ok {
-			v.report(key, "chunk %d of job %s, which is not there", c.Chunk, c.Job)
+	if err != nil {
+		v.report(key, "can't be read: %v", err)
+		return
+	}
+	if v.schema.Version < jobstore.SchemaJobPages {
+		v.report(key, "jobs share a page, and the form is %d", v.schema.Version)
+	}
+	for _, e := range page.Entries {
+		record, err := e.Decode()
+		if err != nil {
+			v.report(key, "%v", err)
 			continue
 		}
-		lo, hi := c.Chunk*jobstore.ChunkSize, min((c.Chunk+1)*jobstore.ChunkSize, j.record.Job.Tasks)
-		done := map[int]bool{}
-		for k := 0; k+1 < len(c.DoneRanges); k += 2 {
-			if c.DoneRanges[k] < lo || c.DoneRanges[k+1] >= hi || c.DoneRanges[k] > c.DoneRanges[k+1] {
-				v.report(key, "job %s: tasks %d to %d are done, and its chunk has %d to %d", c.Job, c.DoneRanges[k], c.DoneRanges[k+1], lo, hi-1)
-				continue
-			}
-			for t := c.DoneRanges[k]; t <= c.DoneRanges[k+1]; t++ {
-				done[t] = true
-			}
-		}
-		if j.record.State != "" {
-			continue // what is left of a job that is over leaves with the page's next change
-		}
-		placed := map[int]string{}
-		for _, p := range c.Placements {
-			switch {
-			case p.Task < lo || p.Task >= hi:
-				v.report(key, "job %s has no task %d in chunk %d", c.Job, p.Task, c.Chunk)
-			case done[p.Task]:
-				v.report(key, "task %s/%d is done, and placed on %s", c.Job, p.Task, p.Machine)
-			case placed[p.Task] != "":
-				v.report(key, "task %s/%d is placed on %s and on %s", c.Job, p.Task, placed[p.Task], p.Machine)
-			case p.Attempt > c.MaxAttempt:
-				v.report(key, "task %s/%d is placed with attempt %d, the highest used being %d", c.Job, p.Task, p.Attempt, c.MaxAttempt)
-			}
-			placed[p.Task] = p.Machine
-			v.summary.Placements++
+		bucket := v.schema.Bucket(e.ID)
+		if head := jobstore.HeadPageKey(bucket); v.schema.Buckets > 0 && key != head && !strings.HasPrefix(key, head+".") {
+			v.report(key, "job %s belongs to bucket %d", e.ID, bucket)
 		}
+		v.addJob(key, e.ID, record)
+	}
+}
+
+// addJob takes in a job, which must stand on one key only.
+func (v *verifier) addJob(key, id string, record jobstore.JobRecord) {
+	if other, ok := v.jobs[id]; ok {
+		v.report(key, "job %s stands at %s as well", id, other.key)
+		return
+	}
+	v.jobs[id] = jobLocation{key, record}
+	if record.State == "" {
+		v.summary.Unfinished++
+	} else {
+		v.summary.Finished++
 	}
 }
