--- a/admission/pollschedule_test.go
+++ b/admission/pollschedule_test.go
@@ -14,6 +14,7 @@
 // nodes, which can answer a part of that, and returns the longest that any job was
 // without an answer, and the longest that a poll waited.
 func crowd(t *testing.T, times int, seed uint64, key func(id string) float64) (unanswered, waited time.Duration) {
+	t.Helper()
 	const nodes, atOnce, work, gap, patience = 2, 16, 100 * time.Millisecond, 5 * time.Second, 800 * time.Millisecond
 	var mu sync.Mutex
 	rnd := rand.New(rand.NewPCG(seed, 3))
@@ -63,7 +64,7 @@
 
 // However many poll, and at whichever nodes, no job is left without an answer for
 // more than a round and a poll; left to chance, some are.
-func TestEveryJobHasItsTurn(t *testing.T) {
+func TestEveryJobIsAnsweredOnceAPeriod(t *testing.T) {
 	turns := PollSchedule{Period: 45 * time.Second}
 	for _, times := range []int{2, 4} {
 		synctest.Test(t, func(t *testing.T) {
@@ -85,7 +86,7 @@
 
 // A turn comes once a round, at the same time on all nodes, and whoever is shed
 // just before it is told to come in time.
-func TestATurnComesOnceARound(t *testing.T) {
+func TestTurnComesOnceAPeriod(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	turns := PollSchedule{Period: 45 * time.Second}
 	for range 2000 {
@@ -109,7 +110,7 @@
 
 // Jobs of earlier tiers are answered sooner, and nobody is left out for it: a later
 // tier's turn comes once a round all the same.
-func TestLaterTiersHaveTheirTurnsToo(t *testing.T) {
+func TestLaterTiersAreNotStarved(t *testing.T) {
 	turns := PollSchedule{Period: 45 * time.Second, Tier: func(id string) int { return int(id[len(id)-1]-'0') % 4 }}
 	plain := PollSchedule{Period: turns.Period}
 	now := time.Unix(1000, 0)
--- a/admission/prioritylimiter.go
+++ b/admission/prioritylimiter.go
@@ -1,5 +1,3 @@
-// Package admission bounds what a node takes on at once: how many reports are
-// worked on and in which order, and how many connections are open.
 package admission
 
 import (
@@ -12,106 +10,125 @@
 // ErrQueueFull says that too many wait already, all of them more urgent.
 var ErrQueueFull = errors.New("admission: too many wait")
 
-// PriorityLimiter lets a bounded number through at once, the most urgent first. When half a
-// fleet comes back in one second, whose lease is nearest its end must not stand
-// behind those who have just been answered.
+// PriorityLimiter lets a bounded number of requests run at once; of those that wait,
+// the most urgent runs next. When half a fleet comes back in one second, a worker whose
+// lease is near its end must not stand behind those that have just been answered.
 type PriorityLimiter struct {
-	mu         sync.Mutex
-	available  int
-	maxWaiting int // waiting
-	queue      waitQueue
-	lastSeq    uint64
-	rejected   uint64
+	maxWaiting int
+
+	mu        sync.Mutex // guards what follows
+	available int
+	queue     waitQueue
+	lastSeq   uint64
+	rejected  uint64
 }
 
+// waiter is a request that waits in the queue.
 type waiter struct {
 	priority float64
 	seq      uint64 // among equals, the first comes first
-	index    int
+	index    int    // in the queue; -1 once it has left it
 	result   chan error
 }
 
-// NewPriorityLimiter makes a gate for so many at once and at most so many waiting.
-func NewPriorityLimiter(atOnce, waiting int) *PriorityLimiter {
-	return &PriorityLimiter{available: max(1, atOnce), maxWaiting: max(0, waiting)}
+// NewPriorityLimiter makes a PriorityLimiter for maxConcurrent requests at once, and at
+// most maxWaiting that wait.
+func NewPriorityLimiter(maxConcurrent, maxWaiting int) *PriorityLimiter {
+	return &PriorityLimiter{available: max(1, maxConcurrent), maxWaiting: max(0, maxWaiting)}
 }
 
-// Acquire waits for a place. The smaller the key, the sooner: the seconds that a
-// id has left. Where too many wait, the least urgent is turned away
-// (ErrFull), be it this one or another. After nil, Leave must be called.
-func (g *PriorityLimiter) Acquire(ctx context.Context, key float64) error {
-	g.mu.Lock()
-	if g.available > 0 {
-		g.available--
-		g.mu.Unlock()
+// Acquire waits until the request may run. The smaller the priority, the sooner: the
+// seconds that a lease has left, say. Where too many wait, the least urgent is refused
+// (ErrQueueFull), be it this one or another. After nil, Release must be called.
+func (l *PriorityLimiter) Acquire(ctx context.Context, priority float64) error {
+	w := l.enqueue(priority)
+	if w == nil {
 		return nil
 	}
-	g.lastSeq++
-	w := &waiter{priority: key, seq: g.lastSeq, result: make(chan error, 1)}
-	heap.Push(&g.queue, w)
-	if len(g.queue) > g.maxWaiting {
-		g.rejected++
-		heap.Remove(&g.queue, g.queue.last()).(*waiter).result <- ErrQueueFull
-	}
-	g.mu.Unlock()
 	select {
 	case err := <-w.result:
 		return err
 	case <-ctx.Done():
 	}
-	g.mu.Lock()
-	if w.index >= 0 {
-		heap.Remove(&g.queue, w.index)
-		g.mu.Unlock()
+	if l.remove(w) {
 		return ctx.Err()
 	}
-	g.mu.Unlock()
-	// Its turn came at the same moment: the place goes to the next.
+	// It was its turn at the same moment: the place goes to the next.
 	if err := <-w.result; err == nil {
-		g.Release()
+		l.Release()
 	}
 	return ctx.Err()
 }
 
-// Release gives the place to the most urgent that waits.
-func (g *PriorityLimiter) Release() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if len(g.queue) == 0 {
-		g.available++
+// enqueue takes a place, and returns nil, or the waiter if there is none.
+func (l *PriorityLimiter) enqueue(priority float64) *waiter {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.available > 0 {
+		l.available--
+		return nil
+	}
+	l.lastSeq++
+	w := &waiter{priority: priority, seq: l.lastSeq, result: make(chan error, 1)}
+	heap.Push(&l.queue, w)
+	if len(l.queue) > l.maxWaiting {
+		l.rejected++
+		heap.Remove(&l.queue, l.queue.leastUrgent()).(*waiter).result <- ErrQueueFull
+	}
+	return w
+}
+
+// remove takes a waiter out of the queue; false if it has left it already.
+func (l *PriorityLimiter) remove(w *waiter) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if w.index < 0 {
+		return false
+	}
+	heap.Remove(&l.queue, w.index)
+	return true
+}
+
+// Release gives the place to the most urgent request that waits.
+func (l *PriorityLimiter) Release() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.queue) == 0 {
+		l.available++
 		return
 	}
-	heap.Pop(&g.queue).(*waiter).result <- nil
+	heap.Pop(&l.queue).(*waiter).result <- nil
 }
 
-// Waiting is how many wait.
-func (g *PriorityLimiter) Waiting() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return len(g.queue)
+// Waiting is how many requests wait.
+func (l *PriorityLimiter) Waiting() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.queue)
 }
 
-// Rejected is how many were turned away so far.
-func (g *PriorityLimiter) Rejected() uint64 {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.rejected
+// Rejected is how many requests were refused so far.
+func (l *PriorityLimiter) Rejected() uint64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.rejected
 }
 
+// waitQueue is a heap.Interface, the most urgent first.
 type waitQueue []*waiter
 
-func (q waitQueue) less(a, b *waiter) bool {
-	if a.priority != b.priority {
-		return a.priority < b.priority
+func (w *waiter) before(other *waiter) bool {
+	if w.priority != other.priority {
+		return w.priority < other.priority
 	}
-	return a.seq < b.seq
+	return w.seq < other.seq
 }
 
-// last finds the least urgent; it is among the leaves.
-func (q waitQueue) last() int {
+// leastUrgent finds the index of the least urgent waiter; it is among the leaves.
+func (q waitQueue) leastUrgent() int {
 	at := len(q) - 1
 	for i := len(q) / 2; i < len(q); i++ {
-		if q.less(q[at], q[i]) {
+		if q[at].before(q[i]) {
 			at = i
 		}
 	}
@@ -119,16 +136,20 @@
 }
 
 func (q waitQueue) Len() int           { return len(q) }
-func (q waitQueue) Less(i, k int) bool { return q.less(q[i], q[k]) }
-func (q waitQueue) Swap(i, k int) {
-	q[i], q[k] = q[k], q[i]
-	q[i].index, q[k].index = i, k
+func (q waitQueue) Less(i, j int) bool { return q[i].before(q[j]) }
+func (q waitQueue) Swap(i, j int) {
+	q[i], q[j] = q[j], q[i]
+	q[i].index, q[j].index = i, j
 }
+
+// Push implements heap.Interface.
 func (q *waitQueue) Push(x any) {
 	w := x.(*waiter)
 	w.index = len(*q)
 	*q = append(*q, w)
 }
+
+// Pop implements heap.Interface.
 func (q *waitQueue) Pop() any {
 	old := *q
 	w := old[len(old)-1]
--- a/admission/tierlimiter.go
+++ b/admission/tierlimiter.go
@@ -5,53 +5,63 @@
 	"sync"
 )
 
-// TierLimiter bounds how much of a node's places each tier of requests holds at once,
-// where there are more than it can take. Later tiers leave room for earlier ones,
-// and the earlier ones never take all: whoever is refused has a part of the places
-// to try for again.
+// TierLimiter bounds how many requests of each priority tier run at once, where there
+// are more than a node can take. Later tiers leave room for earlier ones, and the
+// earlier ones never take all: whoever is refused has a part of the places to try for
+// again.
 type TierLimiter struct {
 	capacity int
 
-	mu    sync.Mutex
-	held  []int
+	mu    sync.Mutex // guards what follows
+	held  []int      // places, by tier
 	total int
 }
 
-// A quarter of the places is kept in equal parts, one for each tier. Of the others
-// each tier leaves a quarter to those before it.
 const (
+	// reservedShare of the places is kept in equal parts, one for each tier.
 	reservedShare = 0.25
+	// headroomShare of the other places is left by each tier to those before it.
 	headroomShare = 0.25
+	// minTierCapacity is the least capacity of a TierLimiter.
+	minTierCapacity = 8
 )
 
-// NewTierLimiter makes bounds on so many places.
-func NewTierLimiter(most int) *TierLimiter { return &TierLimiter{capacity: max(8, most)} }
+// NewTierLimiter makes a TierLimiter for so many requests at once.
+func NewTierLimiter(capacity int) *TierLimiter {
+	return &TierLimiter{capacity: max(minTierCapacity, capacity)}
+}
 
-// Acquire says whether a request of a tier, of so many tiers, may go on. After true,
-// Release must be called.
-func (t *TierLimiter) TryAcquire(tier, of int) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for len(t.held) < of {
-		t.held = append(t.held, 0)
+// TryAcquire reports whether a request of a tier may run; tiers is how many there are.
+// After true, Release must be called with the same arguments.
+func (l *TierLimiter) TryAcquire(tier, tiers int) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for len(l.held) < tiers {
+		l.held = append(l.held, 0)
+	}
+	tier = clampTier(tier, tiers)
+	reserved := max(1, int(reservedShare*float64(l.capacity)/float64(tiers)))
+	if l.total >= l.capacity {
+		return false
 	}
-	tier = max(0, min(tier, of-1))
-	least := max(1, int(reservedShare*float64(t.capacity)/float64(of)))
-	if t.total >= t.capacity || t.held[tier] >= least && !t.mayBorrow(tier, t.capacity-of*least, least) {
+	if l.held[tier] >= reserved && !l.mayBorrow(tier, l.capacity-tiers*reserved, reserved) {
 		return false
 	}
-	t.held[tier]++
-	t.total++
+	l.held[tier]++
+	l.total++
 	return true
 }
 
-// mayBorrow says whether a tier that has what is kept for it may have another of the
-// other places.
-func (t *TierLimiter) mayBorrow(tier, others, least int) bool {
-	from := 0 // what tiers have of the others, from one tier on
-	for i := len(t.held) - 1; i >= 0; i-- {
-		from += max(0, t.held[i]-least)
-		if i <= tier && float64(from) >= float64(others)*math.Pow(1-headroomShare, float64(i)) {
+// clampTier counts a tier that is not known as the nearest one.
+func clampTier(tier, tiers int) int { return max(0, min(tier, tiers-1)) }
+
+// mayBorrow says whether a tier that has what is reserved for it may have another one
+// of the shared places. Called with mu held.
+func (l *TierLimiter) mayBorrow(tier, shared, reserved int) bool {
+	borrowed := 0 // shared places that tiers have, from one tier on
+	for i := len(l.held) - 1; i >= 0; i-- {
+		borrowed += max(0, l.held[i]-reserved)
+		if i <= tier && float64(borrowed) >= float64(shared)*math.Pow(1-headroomShare, float64(i)) {
 			return false
 		}
 	}
@@ -59,9 +69,9 @@
 }
 
 // Release gives a request's place back.
-func (t *TierLimiter) Release(tier, of int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.held[max(0, min(tier, of-1))]--
-	t.total--
+func (l *TierLimiter) Release(tier, tiers int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.held[clampTier(tier, tiers)]--
+	l.total--
 }
