--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -466,6 +466,34 @@
 	}
 }
 
+// The table of renamed log lines gives what is logged now, and nothing that still is in the
+// column of what was.
+func TestRenamedLogLinesAreLogged(t *testing.T) {
+	s := readSources(t)
+	_, table, found := strings.Cut(readPage(t, "docs/operations.md"), "| old log line | new log line |\n")
+	if !found {
+		t.Fatal("docs/operations.md has no table of renamed log lines")
+	}
+	rows := 0
+	for line := range strings.Lines(table) {
+		before, after, ok := strings.Cut(line, " | ")
+		was, is := codeSpans(before), codeSpans(after)
+		if !ok || len(was) == 0 || len(is) == 0 {
+			continue
+		}
+		rows++
+		if s.logged[was[0]] {
+			t.Errorf("docs/operations.md: %q is logged still", was[0])
+		}
+		if !s.logged[is[0]] {
+			t.Errorf("docs/operations.md: nothing logs %q", is[0])
+		}
+	}
+	if rows < 20 {
+		t.Errorf("%d renamed log lines, want 20 at least", rows)
+	}
+}
+
 // The status page keeps log lines by their messages: a message that is renamed must be
 // renamed there.
 func TestTroublesKeptForOperatorsAreLogged(t *testing.T) {
