--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -146,16 +146,17 @@
 		plan = &p.Plan
 	}
 	g := n.workerHistory(machine)
-	to, pass = routing.RouteAtFollower(n.cfg.Node, leader, machine, plan, g, n.workerConnsFull(), lane != nil && lane.Reachable())
-	if pass || !g.ServedHere || plan == nil || !plan.UsesRelays() {
-		return to, pass
+	route := routing.RouteAtFollower(routing.FollowerInput{Self: n.cfg.Node, Leader: leader, Worker: machine, Plan: plan, History: g,
+		ConnsFull: n.workerConnsFull(), LeaderReachable: lane != nil && lane.Reachable()})
+	if route.Forward || !g.ServedHere || plan == nil || !plan.UsesRelays() {
+		return route.RedirectTo, route.Forward
 	}
 	// One that is served here goes when nothing else is going on.
 	if time.Since(p.leaderSince) < quietAfterElection || !n.answeredRecently(machine) || !n.moveLimiter.Allow() {
 		return "", true
 	}
 	n.countForwarding(func(c *forwardingCounts) { c.redirected++ })
-	return to, false
+	return route.RedirectTo, false
 }
 
 // routeAsLeader says where this node, which leads, sends a worker that has reported
@@ -165,7 +166,8 @@
 	if p == nil || n.connLimiter == nil || time.Since(p.leaderSince) < quietAfterElection {
 		return ""
 	}
-	to := routing.RedirectFromLeader(machine, &p.Plan, n.workerHistory(machine), n.connLimiter.Count(admission.KindWorker), n.answeredRecently(machine))
+	to := routing.RedirectFromLeader(routing.LeaderInput{Worker: machine, Plan: &p.Plan, History: n.workerHistory(machine),
+		OpenConns: n.connLimiter.Count(admission.KindWorker), LeaseFresh: n.answeredRecently(machine)})
 	if to == "" || !n.moveLimiter.Allow() {
 		return ""
 	}
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -285,14 +285,20 @@
 				machines := max(fleetMachines, n*13/10)
 				said := &tally{said: map[string]int{}}
 				fleet(t, fake.Options{Machines: machines, Log: slog.New(said)}, func(t *testing.T, w *fake.Cluster) {
-					muteAtOnce(t, w, said, n, change)
+					muteAtOnce(t, w, said, n, func() {
+						if change {
+							w.KillNode(w.Leader())
+						}
+					})
 				})
 			})
 		}
 	}
 }
 
-func muteAtOnce(t *testing.T, w *fake.Cluster, said *tally, n int, change bool) {
+// muteAtOnce makes n machines receive no answers for a minute; whileMute runs at its
+// beginning.
+func muteAtOnce(t *testing.T, w *fake.Cluster, said *tally, n int, whileMute func()) {
 	if w.Cancel("wk-000001") != wire.JobCancelled {
 		t.Fatal("not cancelled")
 	}
@@ -305,9 +311,7 @@
 	for i := range n {
 		w.BlockRepliesTo(all[i*len(all)/n], true)
 	}
-	if change {
-		w.KillNode(w.Leader())
-	}
+	whileMute()
 	before := w.Started()
 	began := time.Now()
 	hear := len(all) - n
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -19,7 +19,7 @@
 // A leader of 2,600 workers keeps a quarter of its sockets for them, and the
 // others share the rest; where there are few workers, or nobody to pass reports
 // on, all report to it.
-func TestTheLeaderKeepsAPartAndTheOthersShareTheRest(t *testing.T) {
+func TestLeaderKeepsItsPartAndRelaysShareTheRest(t *testing.T) {
 	p := plan(2600, "c", "b")
 	got := map[string]int{}
 	for i := range p.Workers {
@@ -40,7 +40,7 @@
 
 // A worker's home must not change whenever another machine boots or a node goes:
 // each move costs it a report.
-func TestAChangeOfThePlanMovesFew(t *testing.T) {
+func TestPlanChangeMovesFewWorkers(t *testing.T) {
 	p, more, less := plan(2600, "b", "c"), plan(2650, "b", "c"), plan(2600, "b")
 	moved, orphans, strays := 0, 0, 0
 	for i := range 2600 {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestWhatAFollowerDoes(t *testing.T) {
+func TestRouteAtFollower(t *testing.T) {
 	p := plan(2600, "b", "c")
 	homes := map[string]string{}
 	for i := 0; len(homes) < 3; i++ {
@@ -96,31 +96,31 @@
 		{name: "a new leader that can't be reached from here", worker: homes["b"], cut: true, to: "a"},
 		{name: "sent there long ago", worker: homes["a"], p: &p, g: WorkerHistory{RedirectedTo: "a", SinceRedirect: time.Minute}, full: true, to: "a"},
 	} {
-		to, pass := RouteAtFollower("b", "a", c.worker, c.p, c.g, c.full, !c.cut)
-		if pass != c.pass || !pass && to != c.to {
-			t.Errorf("%s: passed on %v, sent to %q", c.name, pass, to)
+		r := RouteAtFollower(FollowerInput{Self: "b", Leader: "a", Worker: c.worker, Plan: c.p, History: c.g, ConnsFull: c.full, LeaderReachable: !c.cut})
+		if r.Forward != c.pass || !r.Forward && r.RedirectTo != c.to {
+			t.Errorf("%s: forwarded %v, redirected to %q", c.name, r.Forward, r.RedirectTo)
 		}
 	}
 }
 
 // Only a worker whose lease is fresh is moved, only where there are too many,
 // and not to where it has come back from.
-func TestWhoTheLeaderMoves(t *testing.T) {
+func TestRedirectFromLeader(t *testing.T) {
 	p := plan(2600, "b", "c")
 	w := worker(0)
 	for i := 0; p.NodeFor(w) == "a"; i++ {
 		w = worker(i)
 	}
 	home := p.NodeFor(w)
-	if to := RedirectFromLeader(w, &p, WorkerHistory{}, 2000, true); to != home {
+	if to := RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, OpenConns: 2000, LeaseFresh: true}); to != home {
 		t.Errorf("sent to %q, not to %q", to, home)
 	}
 	for name, to := range map[string]string{
-		"few are here":       RedirectFromLeader(w, &p, WorkerHistory{}, 600, true),
-		"its lease is old":   RedirectFromLeader(w, &p, WorkerHistory{}, 2000, false),
-		"it has come back":   RedirectFromLeader(w, &p, WorkerHistory{RedirectedTo: home, SinceRedirect: time.Second}, 2000, true),
-		"no other is there":  RedirectFromLeader(w, &Plan{Leader: "a", Workers: 2600, Direct: 2600}, WorkerHistory{}, 2500, true),
-		"it is at home here": RedirectFromLeader(mine(&p), &p, WorkerHistory{}, 2000, true),
+		"few are here":       RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, OpenConns: 600, LeaseFresh: true}),
+		"its lease is old":   RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, OpenConns: 2000, LeaseFresh: false}),
+		"it has come back":   RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, History: WorkerHistory{RedirectedTo: home, SinceRedirect: time.Second}, OpenConns: 2000, LeaseFresh: true}),
+		"no other is there":  RedirectFromLeader(LeaderInput{Worker: w, Plan: &Plan{Leader: "a", Workers: 2600, Direct: 2600}, OpenConns: 2500, LeaseFresh: true}),
+		"it is at home here": RedirectFromLeader(LeaderInput{Worker: mine(&p), Plan: &p, OpenConns: 2000, LeaseFresh: true}),
 	} {
 		if to != "" {
 			t.Errorf("%s: sent to %q", name, to)
