--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -143,7 +143,7 @@
 					took := threadTime() - began
 					sum, most = sum+took, max(most, took)
 				}
-				m.windows.lastScan, m.windows.lastForecast, m.poolsAt, m.triageAt, m.boundAt = time.Time{}, time.Time{}, time.Time{}, time.Time{}, time.Time{}
+				m.windows.lastScan, m.windows.lastForecast, m.pools.nextTick, m.triage.nextRun, m.starvation.nextCheck = time.Time{}, time.Time{}, time.Time{}, time.Time{}, time.Time{}
 			}
 			b.ReportMetric(sum.Seconds()*1e3/40/float64(b.N), "cpu-ms/pass")
 			b.ReportMetric(most.Seconds()*1e3, "cpu-ms-most")
--- a/cluster/completion_floor.go
+++ b/cluster/completion_floor.go
@@ -33,9 +33,12 @@
 	if m.StarvationBound <= 0 {
 		return
 	}
+	if m.starvation.completed == nil {
+		m.starvation.completed = map[string]int{}
+	}
 	for _, g := range m.floorGroups(j) {
-		if m.done[g] < floorMemory && len(m.done) < 1000 {
-			m.done[g]++
+		if m.starvation.completed[g] < floorMemory && len(m.starvation.completed) < 1000 {
+			m.starvation.completed[g]++
 		}
 	}
 }
@@ -47,7 +50,7 @@
 	long := floorAfter * m.StarvationBound
 	old := map[string][]*queued{}
 	for _, k := range out {
-		k.j.floored = false
+		k.j.start.mustFinish = false
 		if now.Sub(k.j.AcceptedAt) <= long {
 			continue
 		}
@@ -56,13 +59,13 @@
 		}
 	}
 	for g, jobs := range old {
-		missing := (len(jobs) - m.done[g] + 1) / 2
+		missing := (len(jobs) - m.starvation.completed[g] + 1) / 2
 		if missing <= 0 {
 			continue
 		}
 		slices.SortStableFunc(jobs, func(a, b *queued) int { return a.j.AcceptedAt.Compare(b.j.AcceptedAt) })
 		for _, k := range jobs[:min(missing, len(jobs))] {
-			k.j.floored = true
+			k.j.start.mustFinish = true
 		}
 	}
 }
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -103,20 +103,11 @@
 	completedRunMax float64
 	estimateBasis   estimateBasis // of guess, which is how long a task should run
 	estimate        float64
-	off             bool // given up by the last triage
-	putOff          bool
-	due             time.Time // by the last triage
-	owed            bool      // by the bound's last verdict it must hold room, and
-	hopeless        bool      // can't begin in time; latest is when it should have its room
-	latest          time.Time
-	alone           time.Duration // until it would have its room if it were served first
-	roomless        bool          // there are not as many places as it needs to begin
-	floored         bool          // must be done for its group's sake
-	inWay           string        // why it can't begin in time, and when that was last logged
-	named           time.Time
-	GangStarted     bool      // gang: the current attempt was seen running
-	GangEnding      bool      // gang: the current attempt is coming to its end
-	NotBefore       time.Time // a job that fails everywhere is not tried before
+	triage          triageVerdict
+	start           startState // towards the starvation bound
+	GangStarted     bool       // gang: the current attempt was seen running
+	GangEnding      bool       // gang: the current attempt is coming to its end
+	NotBefore       time.Time  // a job that fails everywhere is not tried before
 	FirstRunAt      time.Time
 	tier            int // by the operators' order, 0 first
 
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -66,9 +66,9 @@
 	heldStops            []heldStop // until the plan is compared
 	windows              batchWindows
 	planRecords          planRecords
-	pools                []*warmPool
-	poolsAt              time.Time // not before then the pools' next step
-	fetchNo              int       // of the last fetch of a pool's weights
+	pools                warmPools
+	starvation           starvationBound
+	triage               triageState
 	classes              map[string]*classStats
 	tiers                priorityTiers
 
@@ -77,11 +77,6 @@
 	occupantBuffer []placement.Occupant
 	imageBuffer    []placement.ImageAt
 	refBuffer      []TaskRef
-	playBuf        placeTimes
-	triageAt       time.Time // not before then again
-	boundAt        time.Time
-	nameAt         time.Time
-	done           map[string]int // of late, by group
 }
 
 type offerKey struct {
@@ -95,7 +90,7 @@
 		FencingToken: token, ElectedAt: now, Zones: cfg.Cluster.Zones, settings: cfg, log: log, clockDrift: config.Drift,
 		zoneIndex: map[string]int{}, teamIndex: map[string]int{}, typeIndex: map[string]int{},
 		machineIndex: map[string]int32{}, jobIndex: map[string]int32{}, imageIndex: map[string]int32{},
-		refusedOffers: map[offerKey]time.Time{}, RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*classStats{}, done: map[string]int{}, admissionPages: map[string]*admissionPage{},
+		refusedOffers: map[offerKey]time.Time{}, RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*classStats{}, admissionPages: map[string]*admissionPage{},
 		Observer: noObserver{},
 	}
 	for i, z := range cfg.Cluster.Zones {
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -198,8 +198,8 @@
 		at := len(out)
 		for at > 0 {
 			o := out[at-1]
-			if !o.req.Owed || o.withinQuota != k.withinQuota || o.j.Priority != k.j.Priority || o.j.floored ||
-				!o.j.hopeless && !o.j.latest.After(over) || priority.PromotionCause(o.req.Cause) == priority.PromotedByWait {
+			if !o.req.Owed || o.withinQuota != k.withinQuota || o.j.Priority != k.j.Priority || o.j.start.mustFinish ||
+				!o.j.start.infeasible && !o.j.start.startBy.After(over) || priority.PromotionCause(o.req.Cause) == priority.PromotedByWait {
 				break
 			}
 			at--
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -196,7 +196,7 @@
 		}
 		return x.due.Before(y.due)
 	})
-	m.triage(out, now)
+	m.runTriage(out, now)
 	m.checkStarvationBound(out, now)
 	out = truncateQueue(m.promoteStarvedTiers(m.prioritizeMustStart(out, now), now), maxRequests)
 	m.keepGPUMachinesFree(out, jobs)
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -47,6 +47,28 @@
 	startProtection  = 30 * time.Second
 )
 
+// starvationBound limits how long any job waits for its first start
+// (Model.StarvationBound is the limit; 0 switches all of this off). Only the
+// starvation*.go files and completion_floor.go write its fields.
+type starvationBound struct {
+	nextCheck   time.Time      // verdicts of the last check stand until then
+	nextExplain time.Time      // causes are not worked out before
+	completed   map[string]int // completed jobs by floor group, each up to floorMemory
+}
+
+// startState is what the starvation bound's last check said of a job that has not
+// started. Only the starvation*.go files and completion_floor.go write it.
+type startState struct {
+	mustStart  bool          // has to hold its places now in order to start in time
+	infeasible bool          // can't start in time beside the others of its class
+	startBy    time.Time     // when it should hold its places
+	startDelay time.Duration // until it would hold them if it were served first
+	noCapacity bool          // there are never as many places as it needs to start
+	mustFinish bool          // by the completion floor: not to be put off any longer
+	blockedBy  string        // why it can't start in time; "": it can
+	loggedAt   time.Time     // when blockedBy was last logged
+}
+
 // hasStarted says whether a task of the job has run. A task that is done may have
 // run in an earlier leader's time.
 func (j *Job) hasStarted() bool { return !j.FirstRunAt.IsZero() || j.DoneTasks > 0 }
@@ -68,7 +90,7 @@
 // isStartProtected says whether the job's only task must be left alone: it was begun by
 // the bound, and a start that is stopped at once is none.
 func (m *Model) isStartProtected(j *Job, now time.Time) bool {
-	return m.StarvationBound > 0 && j.owed && !j.Gang() && j.PlacedTasks == 1 && (j.FirstRunAt.IsZero() || now.Sub(j.FirstRunAt) < startProtection)
+	return m.StarvationBound > 0 && j.start.mustStart && !j.Gang() && j.PlacedTasks == 1 && (j.FirstRunAt.IsZero() || now.Sub(j.FirstRunAt) < startProtection)
 }
 
 // addSize takes in how many tasks a job of the class has.
@@ -101,10 +123,10 @@
 // checkStarvationBound marks the waiting jobs that must hold room now in order to begin in
 // time. The verdicts stand for a while; a job that came since waits for the next.
 func (m *Model) checkStarvationBound(out []*queued, now time.Time) {
-	if m.StarvationBound <= 0 || now.Before(m.boundAt) {
+	if m.StarvationBound <= 0 || now.Before(m.starvation.nextCheck) {
 		return
 	}
-	m.boundAt = now.Add(boundInterval)
+	m.starvation.nextCheck = now.Add(boundInterval)
 	byClass := map[string][]*queued{}
 	var names []string
 	for _, k := range out {
@@ -187,18 +209,18 @@
 		slack := v.startBy.Sub(now) - v.servedInTurn
 		switch {
 		case !j.Gang() && len(j.Tasks) >= largeArrayTasks:
-			j.owed = slack <= time.Duration(largeArrayMargin*float64(m.StarvationBound))
+			j.start.mustStart = slack <= time.Duration(largeArrayMargin*float64(m.StarvationBound))
 		case !v.infeasible:
 			least = min(least, slack)
-			j.owed = least <= enough(v.servedInTurn)
+			j.start.mustStart = least <= enough(v.servedInTurn)
 		case v.servedFirst > schedulingHorizon:
-			j.owed = v.startBy.Sub(now) <= lastCall
+			j.start.mustStart = v.startBy.Sub(now) <= lastCall
 		default:
 			// Served first, it would make others late in its turn: it has twice
 			// the time.
-			j.owed = v.startBy.Add(m.StarvationBound).Sub(now)-v.servedFirst <= enough(v.servedFirst)
+			j.start.mustStart = v.startBy.Add(m.StarvationBound).Sub(now)-v.servedFirst <= enough(v.servedFirst)
 		}
-		j.latest, j.alone, j.hopeless, j.roomless = v.startBy, v.servedFirst, v.infeasible, v.servedFirst > schedulingHorizon
+		j.start.startBy, j.start.startDelay, j.start.infeasible, j.start.noCapacity = v.startBy, v.servedFirst, v.infeasible, v.servedFirst > schedulingHorizon
 	}
 }
 
@@ -311,11 +333,11 @@
 		var first, floored, rest []*queued
 		for _, k := range out[lo:hi] {
 			tail := &rest
-			if k.j.floored {
+			if k.j.start.mustFinish {
 				k.req.Owed = true
 				tail = &floored
 			}
-			if !k.j.owed || k.j.placesToStart() == 0 || heads >= maxMustStarts {
+			if !k.j.start.mustStart || k.j.placesToStart() == 0 || heads >= maxMustStarts {
 				*tail = append(*tail, k)
 				continue
 			}
@@ -338,10 +360,10 @@
 		}
 		sort.SliceStable(first, func(a, b int) bool {
 			x, y := first[a].j, first[b].j
-			if x.hopeless != y.hopeless {
-				return y.hopeless
+			if x.start.infeasible != y.start.infeasible {
+				return y.start.infeasible
 			}
-			return x.latest.Before(y.latest)
+			return x.start.startBy.Before(y.start.startBy)
 		})
 		sort.SliceStable(floored, func(a, b int) bool { return floored[a].j.AcceptedAt.Before(floored[b].j.AcceptedAt) })
 		list = append(append(append(list, floored...), first...), rest...)
@@ -390,7 +412,7 @@
 	var called, others []*queued
 	for _, k := range list[at:] {
 		n, j := len(k.req.Tasks), k.j
-		late := k.mustStart && j.latest.Sub(now) < lastCall+min(j.alone, boundHoldSeconds*time.Second)
+		late := k.mustStart && j.start.startBy.Sub(now) < lastCall+min(j.start.startDelay, boundHoldSeconds*time.Second)
 		if late && j.Priority > list[at].j.Priority && places > 0 && (n <= places || len(called) == 0) {
 			places -= n
 			called = append(called, k)
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -44,10 +44,10 @@
 // explainStarvation works out what stands in the way of each open job that can't begin
 // within the bound, and logs it where that is new.
 func (m *Model) explainStarvation(now time.Time) {
-	if now.Before(m.nameAt) {
+	if now.Before(m.starvation.nextExplain) {
 		return
 	}
-	m.nameAt = now.Add(explainInterval)
+	m.starvation.nextExplain = now.Add(explainInterval)
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
 		if j == nil {
@@ -57,12 +57,12 @@
 		if !j.Cancelled && !j.Finished && !j.hasStarted() && m.missesBound(j, now) {
 			why = m.starvationCause(j, now)
 		}
-		if why != "" && why != j.inWay && now.Sub(j.named) >= relogInterval {
-			j.named = now
+		if why != "" && why != j.start.blockedBy && now.Sub(j.start.loggedAt) >= relogInterval {
+			j.start.loggedAt = now
 			m.log.Info("job can't begin in time", "id", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", len(j.Tasks),
 				"inTheWay", why, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		}
-		j.inWay = why
+		j.start.blockedBy = why
 	}
 }
 
@@ -74,7 +74,7 @@
 		return now.Sub(j.AcceptedAt) > m.StarvationBound
 	}
 	if should, _ := m.latestStart(j); now.Before(should) {
-		return j.roomless && now.Sub(j.AcceptedAt) > m.StarvationBound/4
+		return j.start.noCapacity && now.Sub(j.AcceptedAt) > m.StarvationBound/4
 	}
 	return true
 }
@@ -101,7 +101,7 @@
 	default:
 		return blockedByNoMachines
 	}
-	if j.roomless {
+	if j.start.noCapacity {
 		if coming {
 			return blockedByScaleOut
 		}
@@ -172,11 +172,11 @@
 func (m *Model) starvedJobs(now time.Time) (out []StarvedJob, all int) {
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
-		if j == nil || j.inWay == "" || j.Cancelled || j.Finished || j.hasStarted() {
+		if j == nil || j.start.blockedBy == "" || j.Cancelled || j.Finished || j.hasStarted() {
 			continue
 		}
 		all++
-		out = append(out, StarvedJob{ID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), BlockedBy: j.inWay, WaitedSeconds: now.Sub(j.AcceptedAt).Seconds()})
+		out = append(out, StarvedJob{ID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), BlockedBy: j.start.blockedBy, WaitedSeconds: now.Sub(j.AcceptedAt).Seconds()})
 	}
 	slices.SortStableFunc(out, func(a, b StarvedJob) int { return int(1000 * (b.WaitedSeconds - a.WaitedSeconds)) })
 	return out[:min(len(out), maxStarvedListed)], all
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -20,21 +20,36 @@
 	triageMaxInterval = 2 * time.Second
 )
 
-// triage gives up, for now, on the aims of the jobs that cost the most where
+// triageState is when triage runs next, and a buffer that it reuses. Only triage.go
+// writes its fields.
+type triageState struct {
+	nextRun time.Time  // verdicts of the last run stand until then
+	buffer  placeTimes // of the simulation
+}
+
+// triageVerdict is what the last run of triage said of a job. It stands until the next
+// run; the zero value is a job that has not been judged and counts as in time.
+type triageVerdict struct {
+	missed   bool      // no objective can be met beside the jobs that are kept
+	deferred bool      // removed from its first objective for the sake of others
+	due      time.Time // latest start for the objective it is served for; zero: not judged
+}
+
+// runTriage gives up, for now, on the aims of the jobs that cost the most where
 // there is more work than can be done in time. The jobs of a class are played
 // through in the order they would be served, on the places that are free or
 // will be; whenever one would come too late, the largest so far is put off, so
 // that as many as possible meet their aims (Moore and Hodgson's rule). Those
 // put off are served for a later aim, if they can meet one beside the others,
 // and else after them, those that take longest first.
-func (m *Model) triage(out []*queued, now time.Time) {
-	fresh := !now.Before(m.triageAt)
+func (m *Model) runTriage(out []*queued, now time.Time) {
+	fresh := !now.Before(m.triage.nextRun)
 	if fresh {
 		tasks := 0
 		for _, k := range out {
 			tasks += len(k.req.Tasks)
 		}
-		m.triageAt = now.Add(min(time.Duration(tasks)*triagePerTask, triageMaxInterval))
+		m.triage.nextRun = now.Add(min(time.Duration(tasks)*triagePerTask, triageMaxInterval))
 	}
 	for lo := 0; lo < len(out); {
 		hi := lo + 1
@@ -47,9 +62,9 @@
 		for _, k := range group {
 			if !fresh {
 				// As last judged; a job that came since is taken for one in time.
-				k.missed, k.deferred = k.missed || k.j.off, k.j.putOff
-				if !k.j.due.IsZero() {
-					k.due = k.j.due
+				k.missed, k.deferred = k.missed || k.j.triage.missed, k.j.triage.deferred
+				if !k.j.triage.due.IsZero() {
+					k.due = k.j.triage.due
 				}
 				continue
 			}
@@ -64,7 +79,7 @@
 		if fresh {
 			off, tasks, all := 0, 0, 0
 			for _, k := range group {
-				k.j.off, k.j.putOff, k.j.due = k.missed, k.deferred, k.due
+				k.j.triage.missed, k.j.triage.deferred, k.j.triage.due = k.missed, k.deferred, k.due
 				all += len(k.req.Tasks)
 				if k.missed {
 					off++
@@ -151,7 +166,7 @@
 	var out []*queued
 	for _, k := range jobs {
 		n := k.j.placesToStart()
-		if !k.j.owed || n == 0 {
+		if !k.j.start.mustStart || n == 0 {
 			out = append(out, k)
 			continue
 		}
@@ -200,7 +215,7 @@
 }
 
 func (m *Model) newSimulation(places placeTimes, now time.Time) *simulation {
-	return &simulation{m: m, now: now, checkpoints: []placeTimes{places}, free: m.playBuf}
+	return &simulation{m: m, now: now, checkpoints: []placeTimes{places}, free: m.triage.buffer}
 }
 
 // run serves the jobs in their order on places that are free at the given
@@ -210,7 +225,7 @@
 	from := min(same/checkpointEvery, len(p.checkpoints)-1)
 	p.checkpoints = p.checkpoints[:from+1]
 	free := append(p.free[:0], p.checkpoints[from]...)
-	p.free, p.m.playBuf = free, free
+	p.free, p.m.triage.buffer = free, free
 	for i := from * checkpointEvery; i < len(jobs); i++ {
 		if i%checkpointEvery == 0 && i/checkpointEvery == len(p.checkpoints) {
 			p.checkpoints = append(p.checkpoints, append(placeTimes(nil), free...))
--- a/cluster/warm_pool_effects.go
+++ b/cluster/warm_pool_effects.go
@@ -49,13 +49,13 @@
 // poolAccess says what a job may do with each pool's machines; nil where there are
 // no pools.
 func (m *Model) poolAccess(j *Job) []placement.Use {
-	if len(m.pools) == 0 {
+	if len(m.pools.all) == 0 {
 		return nil
 	}
-	out := make([]placement.Use, len(m.pools))
+	out := make([]placement.Use, len(m.pools.all))
 	w := warmpool.Workload{Image: j.Spec.Image, Team: j.Spec.Team, Priority: j.Priority, Gang: j.Gang() && len(j.Tasks) > 1,
 		Tier: j.tier, CheckpointSeconds: j.Spec.SaveS, Checkpoints: j.Spec.CheckpointS > 0}
-	for i, p := range m.pools {
+	for i, p := range m.pools.all {
 		if m.isPrefetch(j) {
 			if j.reservation.Owner == prefetchOwner(p.Name) {
 				out[i] = placement.Own
@@ -71,11 +71,11 @@
 // countPoolPlacement counts what a placement says of the pools: whether a replica found
 // its weights, and whether work of a higher tier took a pool's room.
 func (m *Model) countPoolPlacement(j *Job, task int32, mc *Machine) {
-	if len(m.pools) == 0 || m.isPrefetch(j) {
+	if len(m.pools.all) == 0 || m.isPrefetch(j) {
 		return
 	}
 	on := m.poolOf(mc)
-	for i, p := range m.pools {
+	for i, p := range m.pools.all {
 		if !p.Serves(j.Spec.Image) || !p.AllowsTeam(j.Spec.Team) {
 			if p == on && m.poolAccess(j)[i] == placement.Last {
 				n := p.shardOf[mc.Index]
@@ -113,7 +113,7 @@
 
 func (m *Model) poolSnapshots() []PoolSnapshot {
 	var out []PoolSnapshot
-	for _, p := range m.pools {
+	for _, p := range m.pools.all {
 		s := PoolSnapshot{Name: p.Name, Target: p.record.Target, Held: p.record.Held, Warm: p.record.Warm, Fetching: p.record.Fetching,
 			CostLimited: p.record.CostLimited, FetchRefused: p.record.FetchRefused}
 		var shards []warmpool.Shard
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -62,7 +62,7 @@
 // NextPrefetches lists the fetches that are to begin, at most n of them.
 func (m *Model) NextPrefetches(n int, now time.Time) []Prefetch {
 	var out []Prefetch
-	for _, p := range m.pools {
+	for _, p := range m.pools.all {
 		for len(p.fetchQueue) > 0 && len(out) < n {
 			mc := m.Machines[p.fetchQueue[0]]
 			p.fetchQueue = p.fetchQueue[1:]
@@ -70,8 +70,8 @@
 				continue
 			}
 			p.fetchRequestedAt[mc.Index] = now
-			m.fetchNo++
-			id := prefetchID(m.FencingToken, m.fetchNo)
+			m.pools.prefetchCount++
+			id := prefetchID(m.FencingToken, m.pools.prefetchCount)
 			out = append(out, Prefetch{ID: id, Record: jobstore.JobRecord{
 				Job: wire.Job{ID: id, Class: "weights", Team: p.Payer, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 1,
 					CPUs: prefetchCPUs, Image: p.record.Image, ImageGB: p.record.WeightsGB, Spot: true},
@@ -94,7 +94,7 @@
 	if how != jobstore.OutcomeRefused && how != jobstore.OutcomeFailed || !m.isPrefetch(j) {
 		return
 	}
-	for _, p := range m.pools {
+	for _, p := range m.pools.all {
 		if j.reservation.Owner == prefetchOwner(p.Name) && !now.Before(p.fetchesPausedUntil) {
 			p.fetchPause = min(max(time.Minute, 2*p.fetchPause), 32*time.Minute)
 			p.fetchesPausedUntil = now.Add(p.fetchPause)
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -15,12 +15,12 @@
 
 // tickPools lets the pools follow what has happened. It is called with each tick.
 func (m *Model) tickPools(now time.Time) {
-	if len(m.pools) == 0 || now.Before(m.poolsAt) || len(m.MachineTypes) == 0 {
+	if len(m.pools.all) == 0 || now.Before(m.pools.nextTick) || len(m.MachineTypes) == 0 {
 		return
 	}
-	m.poolsAt = now.Add(poolInterval)
+	m.pools.nextTick = now.Add(poolInterval)
 	wanted := m.replicaDemands()
-	for i, p := range m.pools {
+	for i, p := range m.pools.all {
 		m.followModelVersion(p, wanted[i])
 		for _, d := range p.demand.Observe(wanted[i].open, now) {
 			m.savePlanRecord(warmpool.DayName(p.Name, d), p.demand.EncodeDay(d))
@@ -48,13 +48,13 @@
 
 // replicaDemands counts each pool's model's replicas.
 func (m *Model) replicaDemands() []replicaDemand {
-	out := make([]replicaDemand, len(m.pools))
+	out := make([]replicaDemand, len(m.pools.all))
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
 		if j == nil || j.Cancelled || j.Finished || j.failures.atFault() || m.isPrefetch(j) {
 			continue
 		}
-		for i, p := range m.pools {
+		for i, p := range m.pools.all {
 			if !p.Serves(j.Spec.Image) || !p.AllowsTeam(j.Spec.Team) {
 				continue
 			}
@@ -340,7 +340,7 @@
 	for _, n := range want {
 		most -= n
 	}
-	for _, p := range m.pools {
+	for _, p := range m.pools.all {
 		for z, name := range m.Zones {
 			n := min(p.scaleOut[name], most, maxScaleOutPerTick)
 			if n <= 0 {
--- a/cluster/warm_pools.go
+++ b/cluster/warm_pools.go
@@ -12,6 +12,15 @@
 // is recorded goes through keep, so that the next leader goes on where this one
 // was. Without a plan that has pools, nothing here does anything.
 
+// warmPools holds the plan's warm pools. Only the warm_pool*.go files write its
+// fields. Invariant: a machine whose pool field is n > 0 is a member of all[n-1] and
+// of no other pool.
+type warmPools struct {
+	all           []*warmPool // in the order of the plan
+	nextTick      time.Time   // tickPools does nothing before
+	prefetchCount int         // prefetch jobs that this leader has created; makes their ids unique
+}
+
 // warmPool is a pool of the plan, with what is known of it.
 type warmPool struct {
 	warmpool.Pool
@@ -53,8 +62,8 @@
 	if m.plan.Plan != nil {
 		settings = m.plan.Pools
 	}
-	old := m.pools
-	m.pools = nil
+	old := m.pools.all
+	m.pools.all = nil
 	for _, s := range settings {
 		var p *warmPool
 		if i := slices.IndexFunc(old, func(p *warmPool) bool { return p.Name == s.Name }); i >= 0 {
@@ -77,7 +86,7 @@
 		if !p.Serves(p.record.Image) {
 			p.setImage(s.Model, s.WeightsGB)
 		}
-		m.pools = append(m.pools, p)
+		m.pools.all = append(m.pools.all, p)
 	}
 	for _, p := range old {
 		p.settle(now)
@@ -87,12 +96,12 @@
 		p.record.Target, p.record.Held, p.record.Warm, p.record.Fetching = 0, 0, 0, 0
 		m.savePool(p, now)
 	}
-	for i, p := range m.pools {
+	for i, p := range m.pools.all {
 		for idx := range p.shardOf {
 			m.Machines[idx].pool = i + 1
 		}
 	}
-	m.poolsAt = time.Time{}
+	m.pools.nextTick = time.Time{}
 }
 
 // loadPool makes a pool from what earlier leaders recorded.
@@ -165,16 +174,16 @@
 }
 
 func (m *Model) poolOf(mc *Machine) *warmPool {
-	if mc.pool == 0 || mc.pool > len(m.pools) {
+	if mc.pool == 0 || mc.pool > len(m.pools.all) {
 		return nil
 	}
-	return m.pools[mc.pool-1]
+	return m.pools.all[mc.pool-1]
 }
 
 // joinPool takes a machine in. One that is just up and has never had work was rented
 // for this: its boot is paid for as well. What was headroom before was nobody's.
 func (m *Model) joinPool(i int, mc *Machine, now time.Time) {
-	p := m.pools[i]
+	p := m.pools.all[i]
 	n := slices.IndexFunc(p.shards, func(s *warmpool.Shard) bool { return len(s.Members) < warmpool.ShardSize })
 	if n < 0 || mc.pool != 0 {
 		return
--- a/cluster/warm_pools_test.go
+++ b/cluster/warm_pools_test.go
@@ -38,7 +38,7 @@
 		m.tickPools(now)
 	}
 	held := 0
-	for _, p := range m.pools {
+	for _, p := range m.pools.all {
 		held += p.record.Held
 	}
 	b.ReportMetric(float64(held), "machines")
