--- a/controller/committer.go
+++ b/controller/committer.go
@@ -52,21 +52,19 @@
 	return err
 }
 
-// runCommitter writes changed records, and resigns where the leader key is lost. It
-// waits for its share of the state service's changes first and collects then,
-// so that whatever has changed meanwhile goes along.
+// committerRateShare is the share of the key-value store's writes that bookkeeping
+// begins with, before bookkeepingRate is known.
+const committerRateShare = 0.7
+
+// runCommitter writes changed records behind the model until ctx ends. It waits for
+// its share of the store's writes first and collects then, so that whatever has
+// changed meanwhile goes along.
 func (l *leadership) runCommitter(ctx context.Context) {
-	sl := l.node.cfg.Cluster.State
-	burst := max(3, min(sl.TxnOps, int(sl.WriteRPS*0.7)))
-	share := rate.NewLimiter(rate.Limit(sl.WriteRPS*0.7), burst)
+	store := l.node.cfg.Cluster.State
+	burst := max(3, min(store.TxnOps, int(store.WriteRPS*committerRateShare)))
+	limiter := rate.NewLimiter(rate.Limit(store.WriteRPS*committerRateShare), burst)
 	for {
-		l.mu.Lock()
-		want := min(l.model.PendingWrites(), burst)
-		if want == 0 {
-			l.committing = false
-			l.broadcastProgress()
-		}
-		l.mu.Unlock()
+		want := min(l.pendingWrites(), burst)
 		if want == 0 {
 			select {
 			case <-ctx.Done():
@@ -75,35 +73,69 @@
 			}
 			continue
 		}
-		share.SetLimit(l.bookkeepingRate())
-		if err := share.WaitN(ctx, want); err != nil {
+		limiter.SetLimit(l.bookkeepingRate())
+		if err := limiter.WaitN(ctx, want); err != nil {
 			return
 		}
-		l.mu.Lock()
-		l.model.SetCompletionTime(time.Now())
-		b := l.model.NextBatch(want)
-		l.committing = b != nil
-		l.broadcastProgress()
-		l.mu.Unlock()
-		if b == nil {
+		batch := l.nextBatch(want)
+		if batch == nil {
 			continue
 		}
-		rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), b.Ops)
-		if err == nil {
-			l.mu.Lock()
-			b.OnCommit(rev, time.Now())
-			l.mu.Unlock()
-			if b.HeldStops > 0 {
-				l.sendDirectStops(ctx)
+		if !l.commitBatch(ctx, batch) {
+			if !pauseAfterFailedCommit(ctx) {
+				return
 			}
-			l.wakeWorkers(ctx)
 			continue
 		}
-		l.handleCommitFailure(ctx, b, err)
-		if !call.Pause(ctx, time.Duration(50+rand.IntN(150))*time.Millisecond) {
-			return
+		if batch.HeldStops > 0 {
+			l.sendDirectStops(ctx)
 		}
+		l.wakeWorkers(ctx)
+	}
+}
+
+// pendingWrites is how many records are to be written. Where there are none, those
+// who wait for a commit are told that none is coming.
+func (l *leadership) pendingWrites() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	pending := l.model.PendingWrites()
+	if pending == 0 {
+		l.committing = false
+		l.broadcastProgress()
+	}
+	return pending
+}
+
+// nextBatch collects at most so many writes, nil where nothing is left to be written.
+func (l *leadership) nextBatch(most int) *cluster.WriteBatch {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.model.SetCompletionTime(time.Now())
+	batch := l.model.NextBatch(most)
+	l.committing = batch != nil
+	l.broadcastProgress()
+	return batch
+}
+
+// commitBatch commits a batch under the fencing token and tells the model the
+// result, one way or the other.
+func (l *leadership) commitBatch(ctx context.Context, batch *cluster.WriteBatch) (committed bool) {
+	rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard()}, batch.Guards...), batch.Ops)
+	if err != nil {
+		l.handleCommitFailure(ctx, batch, err)
+		return false
 	}
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	batch.OnCommit(rev, time.Now())
+	return true
+}
+
+// pauseAfterFailedCommit waits for 50 to 200 ms, drawn at random so that whoever
+// conflicted does not meet again; false where ctx has ended.
+func pauseAfterFailedCommit(ctx context.Context) bool {
+	return call.Pause(ctx, time.Duration(50+rand.IntN(150))*time.Millisecond)
 }
 
 // userChangeWindowS is over how many seconds users' changes are averaged.
@@ -125,36 +157,44 @@
 	return rate.Limit(max(0.4*w, 0.9*w-1.5*float64(len(recent))/userChangeWindowS))
 }
 
-// handleCommitFailure finds out why a batch was not committed.
+// handleCommitFailure finds out why a batch was not committed, brings the model up to
+// date with what conflicted, and gives the batch's changes back to be written again.
 func (l *leadership) handleCommitFailure(ctx context.Context, b *cluster.WriteBatch, err error) {
 	l.log.Debug("commit", "err", err, "ops", len(b.Ops))
-	var c *kvstore.ConflictError
-	if errors.As(err, &c) {
-		for _, key := range c.FailedKeys {
-			if key == election.LeaderKey {
-				l.lease.Resign()
-				break
-			}
-			if b.IsJobKey(key) {
-				continue // the watch tells what happened to it
-			}
-			if key == jobstore.PlanHeadKey {
-				l.dropSupersededPlan(ctx)
-				continue
-			}
-			if e, gerr := l.node.kv.Get(ctx, key); gerr == nil {
-				l.mu.Lock()
-				l.model.ResolveConflict(b, key, e.Version)
-				l.mu.Unlock()
-			}
-		}
-		if berr := l.barrier(ctx); berr != nil {
-			l.log.Debug("barrier", "err", berr)
-		}
-	} else if errors.Is(err, kvstore.ErrInvalidRequest) {
+	var conflict *kvstore.ConflictError
+	switch {
+	case errors.As(err, &conflict):
+		l.resolveConflicts(ctx, b, conflict.FailedKeys)
+	case errors.Is(err, kvstore.ErrInvalidRequest):
 		l.log.Error("the state service refuses a transaction as malformed", "err", err, "ops", len(b.Ops))
 	}
 	l.mu.Lock()
 	l.model.RequeueBatch(b)
 	l.mu.Unlock()
 }
+
+// resolveConflicts rereads what others have changed. A lost leader key ends the
+// leadership.
+func (l *leadership) resolveConflicts(ctx context.Context, b *cluster.WriteBatch, keys []string) {
+	for _, key := range keys {
+		if key == election.LeaderKey {
+			l.lease.Resign()
+			break
+		}
+		if b.IsJobKey(key) {
+			continue // the watch tells what happened to it
+		}
+		if key == jobstore.PlanHeadKey {
+			l.dropSupersededPlan(ctx)
+			continue
+		}
+		if e, err := l.node.kv.Get(ctx, key); err == nil {
+			l.mu.Lock()
+			l.model.ResolveConflict(b, key, e.Version)
+			l.mu.Unlock()
+		}
+	}
+	if err := l.barrier(ctx); err != nil {
+		l.log.Debug("barrier", "err", err)
+	}
+}
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -46,7 +46,7 @@
 		return
 	}
 	defer n.heartbeatLimiter.Release()
-	a := n.handleHeartbeat(ctx, who, body)
+	a := n.answerOrForward(ctx, who, body)
 	if a.Status == http.StatusOK && !a.Repeated {
 		// A copy that came to this node shows nothing of whether the worker is answered
 		// here. Where it was the copy that came first, its worker counts as longer
@@ -78,9 +78,9 @@
 	return newAnswer(http.StatusMisdirectedRequest, wire.Redirect{Leader: leader}, 0)
 }
 
-// handleHeartbeat serves a worker's report: here if this node leads, and otherwise by
+// answerOrForward serves a worker's report: here if this node leads, and otherwise by
 // passing it on to the leader, or by naming the node where the worker belongs.
-func (n *Node) handleHeartbeat(ctx context.Context, who heartbeatHeader, body []byte) peerrpc.Answer {
+func (n *Node) answerOrForward(ctx context.Context, who heartbeatHeader, body []byte) peerrpc.Answer {
 	machine := who.Machine
 	if l := n.activeLeadership(); l != nil && l.lease.Valid() {
 		if l.isCurrent(who) { // nobody is moved by a late copy
--- a/controller/job_events.go
+++ b/controller/job_events.go
@@ -36,24 +36,7 @@
 			}
 			continue
 		}
-		if e.Delete != "" {
-			if id, ok := jobstore.ParseJobKey(e.Delete); ok {
-				if j := l.model.Job(id); j != nil && !j.Finished && j.DoneTasks < len(j.Tasks) {
-					l.recentUserChanges = append(l.recentUserChanges, now, now)
-				}
-				l.model.RemoveJob(id, now)
-			}
-			continue
-		}
-		if id, ok := jobstore.ParseJobKey(e.Put); ok {
-			rec, err := jobstore.DecodeJob(id, e.Value)
-			if err != nil {
-				l.log.Error("unreadable job record", "key", e.Put, "err", err)
-				continue
-			}
-			l.model.PutJob(id, rec, e.Version, now)
-			l.recentUserChanges = append(l.recentUserChanges, now)
-		}
+		l.applyJobEvent(e, now)
 	}
 	// Together, since a job may have moved from one to another.
 	l.model.PutAdmissionPages(slices.Collect(maps.Values(pages)), now)
@@ -63,6 +46,33 @@
 	return true
 }
 
+// applyJobEvent takes in a change of a record that holds one job. The caller holds
+// the lock.
+func (l *leadership) applyJobEvent(e wire.Event, now time.Time) {
+	if e.Delete != "" {
+		id, ok := jobstore.ParseJobKey(e.Delete)
+		if !ok {
+			return
+		}
+		if j := l.model.Job(id); j != nil && !j.Finished && j.DoneTasks < len(j.Tasks) {
+			l.recentUserChanges = append(l.recentUserChanges, now, now) // a cancellation is two changes
+		}
+		l.model.RemoveJob(id, now)
+		return
+	}
+	id, ok := jobstore.ParseJobKey(e.Put)
+	if !ok {
+		return
+	}
+	rec, err := jobstore.DecodeJob(id, e.Value)
+	if err != nil {
+		l.log.Error("unreadable job record", "key", e.Put, "err", err)
+		return
+	}
+	l.model.PutJob(id, rec, e.Version, now)
+	l.recentUserChanges = append(l.recentUserChanges, now)
+}
+
 // applyIntakePage takes a change of a page of users' jobs in; false where it can't be read.
 func (l *leadership) applyIntakePage(pages map[string]cluster.AdmissionPage, e wire.Event) bool {
 	key := e.Put + e.Delete
--- a/controller/load.go
+++ b/controller/load.go
@@ -11,109 +11,144 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file reads what earlier leaders left.
+// This file rebuilds the model from what earlier leaders have committed.
 
-// loadModel reads what earlier leaders left.
+// rentalMemory is for how long a recorded scale-out is taken for machines on their
+// way: after that the cloud's list has them, or they never came.
+const rentalMemory = 2 * time.Minute
+
+// storedRecords are all records that a new leader reads.
+type storedRecords struct {
+	active          []wire.Entry // jobs, pages of jobs and of placements, the schema
+	revision        uint64       // of the listing of active
+	rebalanceCycles []wire.Entry
+	scaleOuts       []wire.Entry
+	scaleIn         wire.Entry
+	planRecords     []wire.Entry
+	operatorPlan    cluster.Plan
+}
+
+// loadModel reads the records, repairs what can be, and builds the model of this
+// leadership. The read barrier at the end takes in what has changed since.
 func (l *leadership) loadModel(ctx context.Context) error {
-	st := l.node.kv
-	items, rev, err := l.listRepaired(ctx)
+	records, err := l.readRecords(ctx)
 	if err != nil {
 		return err
 	}
-	cycles, _, err := st.List(ctx, jobstore.RebalanceCyclePrefix)
-	if err != nil {
-		return err
+	now := time.Now()
+	model := l.newModel(now)
+	for _, it := range records.planRecords {
+		model.LoadPlanRecord(it.Key, it.Value, it.Version)
 	}
-	rentals, _, err := st.List(ctx, jobstore.ScaleOutPrefix)
-	if err != nil {
+	model.SetPlan(records.operatorPlan, now)
+	if err := loadJobs(model, records.active, now); err != nil {
 		return err
 	}
-	returns, err := st.Get(ctx, jobstore.ScaleInKey)
-	if err != nil {
+	if err := loadPlacements(ctx, l.node.kv, model, records.active, now); err != nil {
 		return err
 	}
-	notes, _, err := st.List(ctx, jobstore.PlanStatePrefix)
-	if err != nil {
-		return err
+	l.loadRebalanceCycles(model, records.rebalanceCycles, now)
+	l.loadScaleOuts(model, records.scaleOuts, now)
+	l.loadScaleIn(model, records.scaleIn, now)
+	model.FinishLoading(now)
+	l.mu.Lock()
+	l.model, l.appliedRevision = model, records.revision
+	l.mu.Unlock()
+	l.log.Info("records loaded", "token", l.lease.FencingToken, "keys", len(records.active))
+	return l.barrier(ctx)
+}
+
+func (l *leadership) readRecords(ctx context.Context) (records storedRecords, err error) {
+	st := l.node.kv
+	if records.active, records.revision, err = l.listRepaired(ctx); err != nil {
+		return records, err
 	}
-	orders, err := l.node.loadOperatorPlan(ctx)
-	if err != nil {
-		return err
+	if records.rebalanceCycles, _, err = st.List(ctx, jobstore.RebalanceCyclePrefix); err != nil {
+		return records, err
 	}
-	now := time.Now()
+	if records.scaleOuts, _, err = st.List(ctx, jobstore.ScaleOutPrefix); err != nil {
+		return records, err
+	}
+	if records.scaleIn, err = st.Get(ctx, jobstore.ScaleInKey); err != nil {
+		return records, err
+	}
+	if records.planRecords, _, err = st.List(ctx, jobstore.PlanStatePrefix); err != nil {
+		return records, err
+	}
+	records.operatorPlan, err = l.node.loadOperatorPlan(ctx)
+	return records, err
+}
+
+// newModel makes an empty model with this node's settings.
+func (l *leadership) newModel(now time.Time) *cluster.Model {
+	tuning := l.node.tuning
 	m := cluster.New(l.node.cfg, l.lease.FencingToken, now, l.log)
-	m.RebalanceSettings, m.Headroom = l.node.tuning.Rebalance, l.node.tuning.Renting.Headroom
-	m.StarvationBound = config.Seconds(l.node.tuning.Serving.BeginWithinS)
+	m.RebalanceSettings, m.Headroom = tuning.Rebalance, tuning.Renting.Headroom
+	m.StarvationBound = config.Seconds(tuning.Serving.BeginWithinS)
 	if l.node.metrics != nil {
 		m.Observer = latencyMetrics{l.node.metrics}
 	}
 	if types := l.node.machineTypes(); types != nil {
 		m.SetMachineTypes(types)
 	}
-	for _, it := range notes {
-		m.LoadPlanRecord(it.Key, it.Value, it.Version)
-	}
-	m.SetPlan(orders, now)
-	if err := loadJobs(m, items, now); err != nil {
-		return err
-	}
-	if err := loadPlacements(ctx, st, m, items, now); err != nil {
-		return err
-	}
-	for _, it := range cycles {
+	return m
+}
+
+// loadRebalanceCycles takes in the moves under way. A record that can't be read
+// costs the moves, not the tasks: these stay where they are.
+func (l *leadership) loadRebalanceCycles(m *cluster.Model, entries []wire.Entry, now time.Time) {
+	for _, it := range entries {
 		var rec jobstore.RebalanceCycle
 		if err := wire.Unmarshal(it.Value, &rec); err != nil {
 			l.log.Error("unreadable record of moves: passed over", "key", it.Key, "err", err)
-		} else {
-			m.LoadRebalanceCycle(it.Key[len(jobstore.RebalanceCyclePrefix):], rec, now)
+			continue
 		}
+		m.LoadRebalanceCycle(it.Key[len(jobstore.RebalanceCyclePrefix):], rec, now)
 	}
-	for _, it := range rentals {
+}
+
+// loadScaleOuts takes in the machines that were rented a moment ago, so that they are
+// not rented again.
+func (l *leadership) loadScaleOuts(m *cluster.Model, entries []wire.Entry, now time.Time) {
+	for _, it := range entries {
 		var rec jobstore.ScaleOutRecord
 		if err := wire.Unmarshal(it.Value, &rec); err != nil {
 			l.log.Error("unreadable record of a rental: passed over", "key", it.Key, "err", err)
-		} else if now.Sub(time.UnixMilli(rec.AtMs)) < 2*time.Minute {
-			m.ScaledOut(cluster.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, time.UnixMilli(rec.AtMs))
+			continue
 		}
-	}
-	var going jobstore.ScaleInRecord
-	if returns.Version != 0 {
-		if err := wire.Unmarshal(returns.Value, &going); err != nil {
-			l.log.Error("unreadable record of returns: machines that go may be given tasks", "key", returns.Key, "err", err)
+		if at := time.UnixMilli(rec.AtMs); now.Sub(at) < rentalMemory {
+			m.ScaledOut(cluster.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, at)
 		}
-		m.ResumeScaleIn(going.Machines, now)
 	}
-	m.FinishLoading(now)
-	l.mu.Lock()
-	l.model, l.appliedRevision = m, rev
-	l.mu.Unlock()
-	l.log.Info("records loaded", "token", l.lease.FencingToken, "keys", len(items))
-	return l.barrier(ctx)
 }
 
+// loadScaleIn takes in the machines that the last leader was returning: the cloud may
+// delete them at any moment, and nothing may be placed there.
+func (l *leadership) loadScaleIn(m *cluster.Model, entry wire.Entry, now time.Time) {
+	if entry.Version == 0 {
+		return
+	}
+	var rec jobstore.ScaleInRecord
+	if err := wire.Unmarshal(entry.Value, &rec); err != nil {
+		l.log.Error("unreadable record of returns: machines that go may be given tasks", "key", entry.Key, "err", err)
+	}
+	m.ResumeScaleIn(rec.Machines, now)
+}
+
+// loadJobs takes in the jobs that are not over, and quarantines records that can't
+// be read: the rest of the cluster goes on without them.
 func loadJobs(m *cluster.Model, items []wire.Entry, now time.Time) error {
 	var pages []cluster.AdmissionPage
 	for _, it := range items {
 		if it.Key == jobstore.SchemaKey {
-			form, err := jobstore.DecodeSchema(it.Value)
-			if err != nil || form.Version > jobstore.LatestSchema {
-				return jobstore.ErrNewerSchema
-			}
-			if form.Version >= jobstore.SchemaPlans {
-				m.ExpectPlan()
+			if err := loadSchema(m, it); err != nil {
+				return err
 			}
 		}
 		if jobstore.IsJobPageKey(it.Key) {
-			rec, err := jobstore.DecodeJobPage(it.Value)
-			if err != nil {
-				since := now
-				if a, ok := jobstore.DecodeQuarantinedPage(it.Value); ok {
-					since = time.UnixMilli(a.QuarantinedAtMs)
-				}
-				m.QuarantineAdmissionPage(it.Key, since, err)
-				continue
+			if page, ok := loadJobPage(m, it, now); ok {
+				pages = append(pages, page)
 			}
-			pages = append(pages, cluster.AdmissionPage{Key: it.Key, Version: it.Version, Record: rec})
 		}
 		if id, ok := jobstore.ParseJobKey(it.Key); ok {
 			rec, err := jobstore.DecodeJob(id, it.Value)
@@ -128,7 +163,36 @@
 	return nil
 }
 
-// loadPlacements reads where tasks may be, also those of jobs that are over.
+// loadSchema checks that the records are of a schema that this program reads. One
+// that can't be read counts as newer: the next leader repairs it before it loads.
+func loadSchema(m *cluster.Model, entry wire.Entry) error {
+	schema, err := jobstore.DecodeSchema(entry.Value)
+	if err != nil || schema.Version > jobstore.LatestSchema {
+		return jobstore.ErrNewerSchema
+	}
+	if schema.Version >= jobstore.SchemaPlans {
+		m.ExpectPlan()
+	}
+	return nil
+}
+
+// loadJobPage decodes a page of accepted jobs; ok is false for one that is
+// quarantined, or is to be.
+func loadJobPage(m *cluster.Model, entry wire.Entry, now time.Time) (page cluster.AdmissionPage, ok bool) {
+	rec, err := jobstore.DecodeJobPage(entry.Value)
+	if err == nil {
+		return cluster.AdmissionPage{Key: entry.Key, Version: entry.Version, Record: rec}, true
+	}
+	since := now
+	if quarantined, ok := jobstore.DecodeQuarantinedPage(entry.Value); ok {
+		since = time.UnixMilli(quarantined.QuarantinedAtMs)
+	}
+	m.QuarantineAdmissionPage(entry.Key, since, err)
+	return page, false
+}
+
+// loadPlacements takes in where tasks may be, also those of jobs that are over: they
+// count against quotas until they are known to be gone.
 func loadPlacements(ctx context.Context, st *kvstore.Client, m *cluster.Model, items []wire.Entry, now time.Time) error {
 	for _, it := range items {
 		n, ok := jobstore.ParsePlacementPageKey(it.Key)
@@ -144,20 +208,28 @@
 			if m.Job(c.Job) != nil || len(c.Placements) == 0 {
 				continue
 			}
-			// The job is over, but its tasks may still be somewhere.
-			e, err := st.Get(ctx, jobstore.FinalKey(c.Job))
-			if err != nil {
+			if err := loadFinishedJob(ctx, st, m, c.Job); err != nil {
 				return err
 			}
-			if e.Version != 0 {
-				if over, err := jobstore.DecodeFinal(e.Value); err != nil {
-					m.QuarantineFinishedJob(e.Key, c.Job, err)
-				} else {
-					m.LoadCancelledJob(c.Job, over)
-				}
-			}
 		}
 		m.LoadPlacementPage(n, rec, it.Version, now)
 	}
 	return nil
 }
+
+// loadFinishedJob takes in a job that is over while its tasks may still be somewhere.
+func loadFinishedJob(ctx context.Context, st *kvstore.Client, m *cluster.Model, id string) error {
+	e, err := st.Get(ctx, jobstore.FinalKey(id))
+	if err != nil {
+		return err
+	}
+	if e.Version == 0 {
+		return nil
+	}
+	if final, err := jobstore.DecodeFinal(e.Value); err != nil {
+		m.QuarantineFinishedJob(e.Key, id, err)
+	} else {
+		m.LoadCancelledJob(id, final)
+	}
+	return nil
+}
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -9,19 +9,22 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// refreshMachineTypes keeps the catalogue, from the cloud or else from the copy that the
-// leader leaves in the state service.
+const (
+	typesRefreshInterval = 60 * time.Second
+	typesRetryInterval   = 3 * time.Second
+)
+
+// refreshMachineTypes keeps the catalogue of machine types, from the cloud or else
+// from the copy that the leader leaves in the key-value store.
 func (n *Node) refreshMachineTypes(ctx context.Context) {
 	for {
-		wait := 60 * time.Second
+		wait := typesRefreshInterval
 		types, err := n.cloud.Types(ctx)
 		if err != nil || len(types) == 0 {
-			wait = 3 * time.Second
+			wait = typesRetryInterval
 			if n.machineTypes() == nil {
-				e, gerr := n.kv.Get(ctx, jobstore.MachineTypesKey)
-				var t wire.Types
-				if gerr == nil && e.Version != 0 && wire.Unmarshal(e.Value, &t) == nil {
-					types = t.Types
+				if stored := n.storedMachineTypes(ctx); stored != nil {
+					types = stored
 				}
 			}
 			if err != nil {
@@ -29,13 +32,7 @@
 			}
 		}
 		if len(types) > 0 {
-			n.mu.Lock()
-			n.types = types
-			l := n.active
-			n.mu.Unlock()
-			if l != nil {
-				l.setTypes(types)
-			}
+			n.adoptMachineTypes(types)
 		}
 		if !call.Pause(ctx, wait) {
 			return
@@ -43,6 +40,28 @@
 	}
 }
 
+// storedMachineTypes is the leader's copy, nil where there is none or it can't be read.
+func (n *Node) storedMachineTypes(ctx context.Context) []wire.MachineType {
+	e, err := n.kv.Get(ctx, jobstore.MachineTypesKey)
+	var t wire.Types
+	if err != nil || e.Version == 0 || wire.Unmarshal(e.Value, &t) != nil {
+		return nil
+	}
+	return t.Types
+}
+
+// adoptMachineTypes makes types the node's, and the model's if this node leads.
+func (n *Node) adoptMachineTypes(types []wire.MachineType) {
+	n.mu.Lock()
+	n.types = types
+	l := n.active
+	n.mu.Unlock()
+	if l != nil {
+		l.setTypes(types)
+	}
+}
+
+// machineTypes is the catalogue as far as it is known, nil before it is.
 func (n *Node) machineTypes() []wire.MachineType {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/controller/plan_check.go
+++ b/controller/plan_check.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"math/rand/v2"
 	"slices"
 	"time"
 
@@ -12,30 +11,28 @@
 	"github.com/umberdeal/umberdeal/internal/call"
 	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/kvstore"
-	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file has the plan compared before tasks are stopped by it.
+// This file has the operators' plan confirmed before tasks are preempted by it.
 
 const (
 	// planCheckDelay is for how long stops wait for a transaction that is committed
 	// anyhow: it carries their condition without a request of its own.
 	planCheckDelay = 60 * time.Millisecond
-	// planCheckRateShare is the share of the state service's requests that comparing may
+	// planCheckRateShare is the share of the key-value store's requests that comparing may
 	// take.
 	planCheckRateShare = 0.03
 )
 
-// runPlanCheck sends out the stops that rest on the plan once the state service has
-// said that the plan by which they were decided is in force. All that wait go with
-// one request.
+// runPlanCheck sends out the stops that rest on the operators' plan once the store
+// has confirmed that the plan by which they were decided is in force: a leader that
+// has not heard of a newer plan must stop nobody by the old one. All stops that wait
+// go with one request.
 func (l *leadership) runPlanCheck(ctx context.Context) {
-	share := rate.NewLimiter(rate.Limit(min(max(2, planCheckRateShare*l.node.cfg.Cluster.State.RPS), 10)), 2)
+	limiter := rate.NewLimiter(rate.Limit(min(max(2, planCheckRateShare*l.node.cfg.Cluster.State.RPS), 10)), 2)
 	for {
-		l.mu.Lock()
-		wait, anyhow := l.model.HasHeldStops(), l.committing || l.model.PendingWrites() > 0
-		l.mu.Unlock()
-		if !wait {
+		held, commitDue := l.heldStops()
+		if !held {
 			select {
 			case <-ctx.Done():
 				return
@@ -43,7 +40,7 @@
 			}
 			continue
 		}
-		if anyhow && !call.Pause(ctx, planCheckDelay) || share.Wait(ctx) != nil {
+		if commitDue && !call.Pause(ctx, planCheckDelay) || limiter.Wait(ctx) != nil {
 			return
 		}
 		if !l.lease.Valid() {
@@ -52,27 +49,36 @@
 			}
 			continue
 		}
-		l.mu.Lock()
-		b := l.model.PlanCheckBatch()
-		l.mu.Unlock()
-		if b == nil {
-			continue // a transaction took them along
-		}
-		rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), nil)
-		if err == nil {
-			l.mu.Lock()
-			b.OnCommit(rev, time.Now())
-			l.mu.Unlock()
-			l.sendDirectStops(ctx)
-			continue
-		}
-		l.handleCommitFailure(ctx, b, err)
-		if !call.Pause(ctx, time.Duration(50+rand.IntN(150))*time.Millisecond) {
+		if !l.confirmPlan(ctx) && !pauseAfterFailedCommit(ctx) {
 			return
 		}
 	}
 }
 
+// heldStops says whether stops wait for the plan's confirmation, and whether a
+// commit that would carry it is due anyhow.
+func (l *leadership) heldStops() (held, commitDue bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.model.HasHeldStops(), l.committing || l.model.PendingWrites() > 0
+}
+
+// confirmPlan compares the plan's version, and sends the stops where it holds. It
+// returns false where the comparison failed.
+func (l *leadership) confirmPlan(ctx context.Context) bool {
+	l.mu.Lock()
+	b := l.model.PlanCheckBatch()
+	l.mu.Unlock()
+	if b == nil {
+		return true // a transaction took them along
+	}
+	if !l.commitBatch(ctx, b) {
+		return false
+	}
+	l.sendDirectStops(ctx)
+	return true
+}
+
 // dropSupersededPlan is for a leader that has learnt that another plan is in force than the
 // one it decides by: nobody is stopped by that one, and the newer is read.
 func (l *leadership) dropSupersededPlan(ctx context.Context) {
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -10,14 +10,23 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// This file runs the scheduling passes.
+// This file runs the scheduling passes of a leader.
 
-// runScheduler places, stops and moves, at once when something has changed and
-// twice a second otherwise.
+const (
+	// passInterval is how often a pass runs when nothing asks for one: time alone
+	// changes what is to be done, by leases and deadlines.
+	passInterval = 500 * time.Millisecond
+	// minPassDelay is the least pause after a pass, so that a burst of changes is
+	// served by one.
+	minPassDelay = 40 * time.Millisecond
+)
+
+// runScheduler runs a pass at once when something has changed, and each
+// passInterval otherwise, until ctx ends or the leader resigns.
 func (l *leadership) runScheduler(ctx context.Context) {
-	tick := time.NewTicker(500 * time.Millisecond)
+	tick := time.NewTicker(passInterval)
 	defer tick.Stop()
-	cycle := time.Now()
+	lastRebalance := time.Now()
 	for {
 		select {
 		case <-ctx.Done():
@@ -25,56 +34,76 @@
 		case <-tick.C:
 		case <-l.schedulerWake:
 		}
-		pause := 40 * time.Millisecond
+		delay := minPassDelay
 		if l.lease.Valid() {
-			l.mu.Lock()
-			now := time.Now()
-			l.node.stalls.Observe(now)
-			l.model.ResumeAfterStall(l.node.stalls.LastStall())
-			if l.workersUnreachable(now) {
-				l.mu.Unlock()
+			pass, ok := l.runPass(&lastRebalance)
+			if !ok {
 				l.log.Info("no worker reaches this leader: giving leadership up")
 				l.node.elector.Abstain(abstainAfterIsolation)
 				l.lease.Resign()
 				return
 			}
-			l.model.Tick(now)
-			renting := 0
-			if l.scalingOut {
-				renting = math.MaxInt32
-			}
-			d := l.model.Schedule(now, renting)
-			l.passCount++
-			l.broadcastProgress()
-			if !l.scalingOut {
-				l.wantedMachines = d.ScaleOut
-			}
-			var moves map[string]jobstore.RebalanceCycle
-			if now.Sub(cycle) >= config.Seconds(l.node.tuning.Rebalance.EveryS) {
-				cycle = now
-				moves = l.model.PlanMoves(d.Unplaced, now)
-				l.model.LogUtilization(d.Unplaced, now)
-			}
-			// The larger the cluster, the longer a pass: reports, renewals and
-			// users get most of the processor even so.
-			took := time.Since(now)
-			l.node.metrics.Pass(took.Seconds())
-			pause = max(pause+time.Duration(len(l.model.Machines))*passDelayPerMachine, passIdleFactor*took)
-			l.mu.Unlock()
-			for g, rec := range moves {
-				l.startRebalancing(ctx, g, rec)
-			}
-			l.sendDirectStops(ctx)
-			l.wakeWorkers(ctx)
-			wake(l.committerWake)
-			wake(l.planCheckWake)
+			delay = pass.delay
+			l.dispatch(ctx, pass)
 		}
-		if !call.Pause(ctx, pause) {
+		if !call.Pause(ctx, delay) {
 			return
 		}
 	}
 }
 
+// passResult is what a scheduling pass leaves to be done without the lock.
+type passResult struct {
+	moves map[string]jobstore.RebalanceCycle // by group; to be recorded, then begun
+	delay time.Duration                      // until the next pass may begin
+}
+
+// runPass advances the model to now and decides what is placed, stopped, moved and
+// rented. ok is false, and nothing was decided, where no worker reaches this node.
+func (l *leadership) runPass(lastRebalance *time.Time) (result passResult, ok bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	now := time.Now()
+	l.node.stalls.Observe(now)
+	l.model.ResumeAfterStall(l.node.stalls.LastStall())
+	if l.workersUnreachable(now) {
+		return passResult{}, false
+	}
+	l.model.Tick(now)
+	rentalsInProgress := 0
+	if l.scalingOut {
+		rentalsInProgress = math.MaxInt32 // how many will come is not known: none is asked for
+	}
+	decision := l.model.Schedule(now, rentalsInProgress)
+	l.passCount++
+	l.broadcastProgress()
+	if !l.scalingOut {
+		l.wantedMachines = decision.ScaleOut
+	}
+	if now.Sub(*lastRebalance) >= config.Seconds(l.node.tuning.Rebalance.EveryS) {
+		*lastRebalance = now
+		result.moves = l.model.PlanMoves(decision.Unplaced, now)
+		l.model.LogUtilization(decision.Unplaced, now)
+	}
+	// The larger the cluster, the longer a pass: heartbeats, renewals and users get
+	// most of the processor even so.
+	took := time.Since(now)
+	l.node.metrics.Pass(took.Seconds())
+	result.delay = max(minPassDelay+time.Duration(len(l.model.Machines))*passDelayPerMachine, passIdleFactor*took)
+	return result, true
+}
+
+// dispatch begins what a pass has decided: moves, stops, launches and writes.
+func (l *leadership) dispatch(ctx context.Context, pass passResult) {
+	for group, cycle := range pass.moves {
+		l.startRebalancing(ctx, group, cycle)
+	}
+	l.sendDirectStops(ctx)
+	l.wakeWorkers(ctx)
+	wake(l.committerWake)
+	wake(l.planCheckWake)
+}
+
 const (
 	// passIdleFactor is how many times as long as a pass the leader does other things.
 	passIdleFactor = 3
