--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -79,6 +79,6 @@
 // ordered elsewhere where that serves.
 func (m *Model) refuseOfferOf(mc *Machine, now time.Time) {
 	if mc.CloudState != wire.MachineFailed && mc.Zone >= 0 {
-		m.refusedOffers[offerKey{mc.Type, mc.Zone, mc.Spot}] = now.Add(offerRefusalTime)
+		m.refusedOffers.refuse(offerKey{mc.Type, mc.Zone, mc.Spot}, now.Add(offerRefusalTime))
 	}
 }
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -28,7 +28,7 @@
 
 func (m *Model) loadChunk(p *placementPage, c *jobstore.PlacementChunk, now time.Time) {
 	j := m.Job(c.Job)
-	if j == nil && (m.unreadableJobs[c.Job] || m.admissionPageLost) {
+	if j == nil && m.quarantine.mayHold(c.Job) {
 		p.unreadChunks = append(p.unreadChunks, *c)
 		p.size += m.keptChunkSize(c)
 		return
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -34,7 +34,7 @@
 	return true
 }
 
-// AnswerRetry is for a report that Observe has not taken in. If it is the newest that is
+// AnswerRetry is for a report that ApplyHeartbeat has not taken in. If it is the newest that is
 // known of its machine, it is an idempotent retry: this one and the one before are the
 // same message, of which one is a copy, and the worker waits for the answer to one of
 // them. Refused, it would go on to the next node, a second of its lease later, because
@@ -68,7 +68,8 @@
 // noted as sent with it.
 func (m *Model) AnswerHeartbeat(mc *Machine, r *wire.Report, now time.Time) []wire.Command {
 	m.Observer.LeaseLeft(m.leaseEnd(mc).Sub(now).Seconds())
-	mc.LastAnswered, mc.reachability.answerPending, mc.reachability.answeredSeq = now, true, r.Seq
+	mc.LastAnswered = now
+	mc.reachability.answered(r.Seq)
 	// Stops come first: an answer renews the worker's lease, so that a task which it
 	// should have stopped and did not may stay for another lease.
 	out := m.stopCommands(mc, r)
@@ -92,7 +93,7 @@
 				continue // and not taken in yet
 			}
 		}
-		mc.reachability.pendingForgets = append(mc.reachability.pendingForgets, exitKey{t.Task, t.Attempt})
+		mc.reachability.forgetSent(exitKey{t.Task, t.Attempt})
 		out = append(out, wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
 	}
 	for ref := range mc.Tasks {
--- /dev/null
+++ b/cluster/imagecatalog.go
@@ -0,0 +1,26 @@
+package cluster
+
+// imageCatalog gives each image name an index and remembers its size. Machines'
+// caches and jobs refer to images by index. An index is never reused, and the size
+// is the one that the newest job named.
+type imageCatalog struct {
+	index  map[string]int32
+	sizeGB []float64 // by index
+}
+
+func newImageCatalog() imageCatalog { return imageCatalog{index: map[string]int32{}} }
+
+// intern returns the index of an image and records its size.
+func (c *imageCatalog) intern(name string, gb float64) int32 {
+	i, ok := c.index[name]
+	if !ok {
+		i = int32(len(c.sizeGB))
+		c.index[name] = i
+		c.sizeGB = append(c.sizeGB, gb)
+	}
+	c.sizeGB[i] = gb
+	return i
+}
+
+// size is an image's size in GB.
+func (c *imageCatalog) size(image int32) float64 { return c.sizeGB[image] }
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -51,7 +51,7 @@
 	j := &Job{
 		Index: int32(len(m.Jobs)), ID: id, Spec: s, AcceptedAt: time.UnixMilli(rec.AcceptedAtMs), Team: -1,
 		Priority: priorities[s.Priority], Need: placement.Res{CPU: s.CPUs, GPU: s.GPUs, Mem: s.MemoryGB},
-		AllowedTypes: m.allowedTypes(&s), Zone: -1, Image: m.internImage(s.Image, s.ImageGB),
+		AllowedTypes: m.allowedTypes(&s), Zone: -1, Image: m.images.intern(s.Image, s.ImageGB),
 		Tasks: make([]Task, s.Tasks), Chunks: make([]Chunk, (s.Tasks+jobstore.ChunkSize-1)/jobstore.ChunkSize),
 		PlacedByZone: make([]int, len(m.Zones)), failures: &failureHistory{},
 		reservation: newReservation(rec.Reservation, s.Tasks),
@@ -106,14 +106,3 @@
 	j := m.addJob(id, rec)
 	j.Cancelled = true
 }
-
-func (m *Model) internImage(name string, gb float64) int32 {
-	i, ok := m.imageIndex[name]
-	if !ok {
-		i = int32(len(m.imageSize))
-		m.imageIndex[name] = i
-		m.imageSize = append(m.imageSize, gb)
-	}
-	m.imageSize[i] = gb
-	return i
-}
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -17,28 +17,6 @@
 	return last.Add(config.Seconds(lease*(1+4*m.clockDrift)) + 300*time.Millisecond)
 }
 
-// ResumeAfterStall takes in that the leader's process stood still for so long, until
-// then, while its clocks ran on.
-func (m *Model) ResumeAfterStall(resumed time.Time, stood time.Duration) {
-	m.stallEnded, m.stallLasted = resumed, stood
-}
-
-// recoveringFromStall says whether the leader has just gone on after standing still: what
-// workers have reported meanwhile is read before any of them is called silent.
-func (m *Model) recoveringFromStall(now time.Time) bool {
-	return !m.stallEnded.IsZero() && now.Sub(m.stallEnded) < config.Seconds(m.settings.Cluster.Workers.ReportS)+time.Second
-}
-
-// silentFor is how long nothing has been heard of a machine, not counting the
-// time in which the leader could not listen.
-func (m *Model) silentFor(mc *Machine, now time.Time) time.Duration {
-	d := now.Sub(mc.LastSeen)
-	if mc.LastSeen.Before(m.stallEnded) {
-		d -= m.stallLasted
-	}
-	return d
-}
-
 // Tick takes the passing of time in: leases that are over, notices.
 func (m *Model) Tick(now time.Time) {
 	m.tickWindows(now)
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -11,6 +11,37 @@
 // This file is about records of earlier leaders that can't be read. What they say
 // is not guessed: what hangs on them is set aside and named, and the rest goes on.
 
+// quarantine is what is known of records that can't be read. It only grows: a leader
+// that can read them again starts with a new model.
+type quarantine struct {
+	jobs               map[string]bool // whose own records can't be read
+	admissionPageLost  bool            // an admission page can't be read: any unknown job may be on it
+	newestPage         uint64          // the newest version of an unreadable placement page; 0: none
+	placingPausedUntil time.Time       // nothing is placed before
+}
+
+func (q *quarantine) addJob(id string) {
+	if q.jobs == nil {
+		q.jobs = map[string]bool{}
+	}
+	q.jobs[id] = true
+}
+
+func (q *quarantine) addPlacementPage(version uint64) { q.newestPage = max(q.newestPage, version) }
+
+// pausePlacing keeps anything from being placed until then; it never shortens a pause.
+func (q *quarantine) pausePlacing(until time.Time) {
+	if until.After(q.placingPausedUntil) {
+		q.placingPausedUntil = until
+	}
+}
+
+func (q *quarantine) pausesPlacing(now time.Time) bool { return now.Before(q.placingPausedUntil) }
+
+// mayHold says whether a job that the model does not have may still be active, its
+// record being one that can't be read.
+func (q *quarantine) mayHold(id string) bool { return q.jobs[id] || q.admissionPageLost }
+
 // keptChunkSize is what a chunk that is kept as it was takes, at most about, in the form
 // in which the service counts.
 func (m *Model) keptChunkSize(c *jobstore.PlacementChunk) int {
@@ -22,10 +53,7 @@
 // not repeat should it be read again.
 func (m *Model) QuarantineJob(key, id string, err error) {
 	m.log.Error("unreadable job record: the job is set aside", "key", key, "id", id, "err", err)
-	if m.unreadableJobs == nil {
-		m.unreadableJobs = map[string]bool{}
-	}
-	m.unreadableJobs[id] = true
+	m.quarantine.addJob(id)
 	m.pausePlacing()
 }
 
@@ -35,7 +63,7 @@
 // jobs that were cancelled then, their tasks are gone cancel_s later.
 func (m *Model) QuarantineAdmissionPage(key string, since time.Time, err error) {
 	m.log.Error("unreadable page of jobs: they are set aside", "key", key, "since", since, "err", err)
-	m.admissionPageLost = true
+	m.quarantine.admissionPageLost = true
 	apart := time.Duration(2 * m.settings.Cluster.SkewMs * float64(time.Millisecond))
 	if since = since.Add(apart); since.Before(m.ElectedAt) {
 		m.pausePlacingFrom(since)
@@ -61,7 +89,7 @@
 	m.log.Error("unreadable page of placements: jobs that it may speak of are set aside", "key", key, "err", err)
 	p := m.pageAt(n)
 	p.version, p.size = version, 1<<30 // nothing is put there
-	m.newestUnreadablePage = max(m.newestUnreadablePage, version)
+	m.quarantine.addPlacementPage(version)
 	m.pausePlacing()
 }
 
@@ -71,9 +99,7 @@
 func (m *Model) pausePlacing() { m.pausePlacingFrom(m.ElectedAt) }
 
 func (m *Model) pausePlacingFrom(t time.Time) {
-	if until := t.Add(config.Seconds(m.settings.Cluster.Workers.CancelS)); until.After(m.placingPausedUntil) {
-		m.placingPausedUntil = until
-	}
+	m.quarantine.pausePlacing(t.Add(config.Seconds(m.settings.Cluster.Workers.CancelS)))
 }
 
 // QuarantineFinishedJob takes in a job that is over and whose final record can't be read,
@@ -89,11 +115,11 @@
 // accepted after it was last written. What a job's version says of that is no
 // more than when its record last changed, where the record has marks or is shared.
 func (m *Model) quarantineUnaccountedJobs() {
-	if m.newestUnreadablePage == 0 {
+	if m.quarantine.newestPage == 0 {
 		return
 	}
 	for _, j := range m.Jobs {
-		if j == nil || j.Cancelled || j.Finished || j.admissionPage == nil && j.reservation == nil && j.Version > m.newestUnreadablePage {
+		if j == nil || j.Cancelled || j.Finished || j.admissionPage == nil && j.reservation == nil && j.Version > m.quarantine.newestPage {
 			continue
 		}
 		for i := range j.Chunks {
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -40,6 +40,14 @@
 	pendingProbe   exitKey
 }
 
+// answered takes in that a report has been answered: the worker's next one shows
+// whether it heard.
+func (h *reachability) answered(seq uint64) { h.answerPending, h.answeredSeq = true, seq }
+
+// forgetSent takes in that an answer told the worker to forget an exit, which its next
+// report must therefore not list.
+func (h *reachability) forgetSent(exit exitKey) { h.pendingForgets = append(h.pendingForgets, exit) }
+
 // heartbeatID is a report's.
 type heartbeatID struct{ session, seq uint64 }
 
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -136,10 +136,10 @@
 	}
 	total := 0.0
 	for _, im := range mc.cachedImages {
-		total += m.imageSize[im]
+		total += m.images.size(im)
 	}
 	for len(mc.cachedImages) > 1 && total > m.MachineTypes[mc.Type].CacheGB {
-		total -= m.imageSize[mc.cachedImages[0]]
+		total -= m.images.size(mc.cachedImages[0])
 		mc.cachedImages = mc.cachedImages[1:]
 	}
 }
--- a/cluster/scaleout.go
+++ b/cluster/scaleout.go
@@ -34,7 +34,7 @@
 			}
 			for _, spot := range []bool{false, true} {
 				key := offerKey{ti, z, spot}
-				if until, ok := m.refusedOffers[key]; ok && now.Before(until) {
+				if m.refusedOffers.refused(key, now) {
 					continue
 				}
 				price := t.Price
@@ -53,7 +53,7 @@
 
 // OfferRefused takes in that the cloud had nothing to rent.
 func (m *Model) OfferRefused(o Offer, now time.Time) {
-	m.refusedOffers[o.key] = now.Add(offerRefusalTime)
+	m.refusedOffers.refuse(o.key, now.Add(offerRefusalTime))
 }
 
 // ScaledOut takes in machines that a rental named.
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -20,7 +20,7 @@
 
 // Schedule places what waits, stops what must make room and says what to rent.
 func (m *Model) Schedule(now time.Time, renting int) Decisions {
-	if now.Before(m.placingPausedUntil) || m.plan.Unreadable {
+	if m.quarantine.pausesPlacing(now) || m.plan.Unreadable {
 		return Decisions{}
 	}
 	jobs := m.openJobs()
--- a/cluster/starvation_test.go
+++ b/cluster/starvation_test.go
@@ -227,7 +227,7 @@
 		for ti := range s.m.MachineTypes {
 			for z := range s.m.Zones {
 				for _, spot := range []bool{false, true} {
-					s.m.refusedOffers[offerKey{ti, z, spot}] = at(1000)
+					s.m.refusedOffers.refuse(offerKey{ti, z, spot}, at(1000))
 				}
 			}
 		}
--- a/cluster/warm_pool_effects.go
+++ b/cluster/warm_pool_effects.go
@@ -34,14 +34,14 @@
 		return
 	}
 	v.Pool = mc.pool
-	im := m.internImage(p.record.Image, p.record.WeightsGB)
+	im := m.images.intern(p.record.Image, p.record.WeightsGB)
 	v.PoolGB = m.MachineTypes[mc.Type].CacheGB - p.record.WeightsGB
 	for k := len(mc.cachedImages) - 1; k >= 0 && mc.cachedImages[k] != im; k-- {
-		v.PoolGB -= m.imageSize[mc.cachedImages[k]]
+		v.PoolGB -= m.images.size(mc.cachedImages[k])
 	}
 	for _, on := range v.Images {
 		if on.In > 0 && on.Image != im {
-			v.PoolGB -= m.imageSize[on.Image]
+			v.PoolGB -= m.images.size(on.Image)
 		}
 	}
 }
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -27,7 +27,7 @@
 // that are for nothing any more.
 func (m *Model) pendingPrefetches(p *warmPool, now time.Time) map[string]bool {
 	out := map[string]bool{}
-	owner, im := prefetchOwner(p.Name), m.internImage(p.record.Image, p.record.WeightsGB)
+	owner, im := prefetchOwner(p.Name), m.images.intern(p.record.Image, p.record.WeightsGB)
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
 		if j == nil || j.Cancelled || j.Finished || j.DoneTasks > 0 || j.reservation == nil || j.reservation.Owner != owner || len(j.reservation.OnlyMachines) == 0 {
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -120,7 +120,7 @@
 // updateMembers brings a pool's members up to date: those that are gone, what is booked
 // on the others and by whom, and which have the weights.
 func (m *Model) updateMembers(p *warmPool, now time.Time) {
-	im, ms := m.internImage(p.record.Image, p.record.WeightsGB), now.UnixMilli()
+	im, ms := m.images.intern(p.record.Image, p.record.WeightsGB), now.UnixMilli()
 	for _, idx := range sortedKeys(p.shardOf) {
 		mc := m.Machines[idx]
 		n := p.shardOf[idx]
@@ -240,7 +240,7 @@
 
 // reconcilePool takes machines in and lets others go, and says which fetch the weights.
 func (m *Model) reconcilePool(i int, p *warmPool, now time.Time) {
-	im := m.internImage(p.record.Image, p.record.WeightsGB)
+	im := m.images.intern(p.record.Image, p.record.WeightsGB)
 	types := make([]bool, len(m.MachineTypes))
 	price, boot, fetch := 0.0, time.Duration(0), math.Inf(1)
 	for k := range m.MachineTypes {
--- a/cluster/warm_pools.go
+++ b/cluster/warm_pools.go
@@ -194,7 +194,7 @@
 	}
 	p.shards[n].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), HourlyRate: m.hourlyRate(mc)})
 	p.shardOf[mc.Index], p.changed[n], mc.pool = n, true, i+1
-	m.log.Info("pool takes machine", "pool", p.Name, "machine", mc.Name, "warm", mc.hasImage(m.internImage(p.record.Image, p.record.WeightsGB)), "paidSince", since)
+	m.log.Info("pool takes machine", "pool", p.Name, "machine", mc.Name, "warm", mc.hasImage(m.images.intern(p.record.Image, p.record.WeightsGB)), "paidSince", since)
 }
 
 // leavePool ends a machine's time in its pool.
