--- a/priority/inversion.go
+++ b/priority/inversion.go
@@ -2,12 +2,13 @@
 
 import "github.com/umberdeal/umberdeal/placement"
 
-// This file says where the order was departed from, and why.
+// This file finds priority inversions, tasks that start where work of a higher tier
+// waits, and says why each was allowed.
 
 // InversionReason is why a lower tier's task got room that a higher one waits for.
 type InversionReason uint8
 
-// Reasons. None is a departure that nothing explains: it must not be.
+// Reasons. Unexplained is an inversion that nothing explains: it must not be.
 const (
 	Unexplained       InversionReason = iota
 	WithinQuota                       // the lower one is within its team's guarantee
@@ -37,7 +38,7 @@
 }
 
 // FindInversions compares what a pass started with what still waits. teams is the
-// teams' use before the pass. A task placed is a departure from the order at most once: over the highest that it was placed
+// teams' use before the pass. A task placed is an inversion at most once: over the highest that it was placed
 // before, the one that came first in the line among equals.
 func FindInversions(reqs []placement.Request, teams []placement.Team, starts []placement.Start, machines []placement.Machine) []Inversion {
 	line := unserved(reqs, teams, starts)
--- a/priority/inversion_log.go
+++ b/priority/inversion_log.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// This file is what is recorded of departures.
+// This file is what is recorded of priority inversions.
 
-// InversionLog is how often and why the order was departed from, counted by whoever
+// InversionLog is how many priority inversions there were and why, counted by whoever
 // led, and the last of it. It is bounded.
 type InversionLog struct {
 	Counts      map[string]uint64 `msgpack:"n"` // by Passed.Key
@@ -23,7 +23,7 @@
 	return c
 }
 
-// InversionEvent is one departure.
+// InversionEvent is one priority inversion.
 type InversionEvent struct {
 	AtMs           int64  `msgpack:"at"`
 	Job            string `msgpack:"j"`
@@ -38,10 +38,10 @@
 	maxCounts = 400
 )
 
-// Key is what a departure is counted under: the tier passed over, and why.
+// Key is what an inversion is counted under: the tier passed over, and why.
 func (p *InversionEvent) Key() string { return p.PassedOverTier + ": " + p.Reason }
 
-// Add counts a departure and keeps the last ones, of each pair of jobs and
+// Add counts an inversion and keeps the last ones, of each pair of jobs and
 // reason the latest only.
 func (r *InversionLog) Add(p InversionEvent) {
 	if r.Counts == nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-// PassingOver lists the last departures at a job's cost.
+// PassingOver lists the last inversions at a job's cost.
 func (r *InversionLog) PassingOver(job string) (out []InversionEvent) {
 	for _, p := range r.Recent {
 		if p.PassedOver == job {
--- a/priority/policy.go
+++ b/priority/policy.go
@@ -1,6 +1,12 @@
-// Package order decides who is served first where the operators have given the
-// work an order: tiers by team and class, clinics before schools before crafts.
-// It is pure: the same input gives the same decision, and the time is passed in.
+// Package priority decides who is served first where the operators' plan divides the
+// work into tiers by team and class. A Policy assigns jobs to tiers and promotes work
+// of lower tiers that has waited too long or has less than its share (Policy.Promote);
+// FindInversions compares what a scheduling pass started with what still waits, and
+// gives the reason of every priority inversion; InversionLog counts them.
+//
+// The leader's model (package cluster) calls it once a pass and keeps the log. The
+// package is pure: the same input gives the same decision, the time is passed in, and
+// nothing has to be remembered from one leader to the next but the log.
 package priority
 
 import (
@@ -8,7 +14,7 @@
 	"slices"
 )
 
-// Policy is a checked order in force. The zero value and nil are no order: all
+// Policy is a checked list of tiers in force. The zero value and nil are no policy: all
 // work is of one tier.
 type Policy struct {
 	tiers []Tier
@@ -102,7 +108,15 @@
 	}
 	has := make([]float64, len(o.tiers))
 	copy(has, booked)
-	// What has not begun at all comes before what only stands still.
+	o.promoteByWait(waiting, has, out)
+	o.promoteByShare(waiting, has, out)
+	return out
+}
+
+// promoteByWait promotes a beginning of each job that has waited its tier's longest
+// wait, and adds it to what the tiers have. What has not begun at all comes before what
+// only stands still.
+func (o *Policy) promoteByWait(waiting []PendingJob, has []float64, out []Promotion) {
 	for _, begun := range []bool{false, true} {
 		for i := range waiting {
 			w := &waiting[i]
@@ -120,6 +134,10 @@
 			has[w.Tier] += float64(out[i].Tasks) * w.TaskShare
 		}
 	}
+}
+
+// promoteByShare promotes as many tasks as each tier lacks to its share.
+func (o *Policy) promoteByShare(waiting []PendingJob, has []float64, out []Promotion) {
 	for i := range waiting {
 		w := &waiting[i]
 		if w.Tier <= 0 || w.Tier >= len(o.tiers) || w.TaskShare <= 0 {
@@ -143,7 +161,6 @@
 		}
 		out[i] = Promotion{more, PromotedByShare}
 	}
-	return out
 }
 
 // MaxWaitSeconds is after how many seconds a job of the tier goes before higher ones;
--- a/priority/policy_test.go
+++ b/priority/policy_test.go
@@ -84,11 +84,11 @@
 		x, y := &f.in.Requests[a], &f.in.Requests[b]
 		switch {
 		case x.Within != y.Within:
-			return sign(x.Within)
+			return sign[x.Within]
 		case x.Priority != y.Priority:
 			return x.Priority - y.Priority
 		case x.Owed != y.Owed:
-			return sign(x.Owed)
+			return sign[x.Owed]
 		}
 		return rank(x) - rank(y)
 	})
@@ -99,12 +99,8 @@
 	}
 }
 
-func sign(first bool) int {
-	if first {
-		return -1
-	}
-	return 1
-}
+// sign is what a comparison returns for the one that is first, or is not.
+var sign = map[bool]int{true: -1, false: 1}
 
 func (f *fleet) pass() []Inversion {
 	teams := slices.Clone(f.in.Teams)
@@ -112,8 +108,8 @@
 	return FindInversions(f.in.Requests, teams, plan.Starts, f.in.Machines)
 }
 
-// Whatever the fleet, what waits and the order: each departure has a reason.
-func TestNoDepartureWithoutAReason(t *testing.T) {
+// Whatever the fleet, what waits and the order: each inversion has a reason.
+func TestEveryInversionHasAReason(t *testing.T) {
 	seen := map[InversionReason]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		f := draw(t)
@@ -129,7 +125,7 @@
 }
 
 // Were the tiers left out of the line, that would be found.
-func TestADepartureWithoutAReasonIsFound(t *testing.T) {
+func TestInversionWithoutAReasonIsFound(t *testing.T) {
 	found := 0
 	for seed := range 200 {
 		f := rapid.Custom(draw).Example(seed)
--- a/priority/settings.go
+++ b/priority/settings.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// This file is the order as the operators write it.
+// This file is the policy as the operators write it; "order" is its name in the plan.
 
 // Settings is the order of a plan. The zero value is no order.
 type Settings struct {
@@ -90,20 +90,9 @@
 			bad("%s.name must be set and unique", at)
 		}
 		names[t.Name] = true
-		if len(t.Teams) > maxNamesPerTier || len(t.Classes) > maxNamesPerTier {
-			bad("%s names more than %d teams or classes", at, maxNamesPerTier)
+		if !t.checkNames(at, teams, bad) {
 			continue
 		}
-		for k, n := range t.Teams {
-			if !slices.Contains(teams, n) {
-				bad("%s.teams[%d]: %q is no team of this deployment", at, k, n)
-			}
-		}
-		for k, n := range t.Classes {
-			if n == "" {
-				bad("%s.classes[%d] must not be empty", at, k)
-			}
-		}
 		if t.isCatchAll() && i < len(s.Tiers)-1 {
 			bad("%s names neither teams nor classes: only the last may be the rest", at)
 		}
@@ -121,6 +110,26 @@
 	return errs
 }
 
+// checkNames checks the teams and classes that a tier names; false if they are too many
+// to look at.
+func (t *Tier) checkNames(at string, teams []string, bad func(string, ...any)) bool {
+	if len(t.Teams) > maxNamesPerTier || len(t.Classes) > maxNamesPerTier {
+		bad("%s names more than %d teams or classes", at, maxNamesPerTier)
+		return false
+	}
+	for k, n := range t.Teams {
+		if !slices.Contains(teams, n) {
+			bad("%s.teams[%d]: %q is no team of this deployment", at, k, n)
+		}
+	}
+	for k, n := range t.Classes {
+		if n == "" {
+			bad("%s.classes[%d] must not be empty", at, k)
+		}
+	}
+	return true
+}
+
 // checkReachable finds what a tier names and an earlier one has already.
 func (s *Settings) checkReachable(i int, bad func(string, ...any)) {
 	t := &s.Tiers[i]
--- /dev/null
+++ b/warmpool/check.go
@@ -0,0 +1,142 @@
+package warmpool
+
+import (
+	"fmt"
+	"math"
+	"slices"
+)
+
+// Check names each bad field with its place, and fields that contradict each other.
+// Without zones or teams to compare with, names are not looked up.
+func Check(ps []Pool, zones, teams []string) []error {
+	c := checker{zones: zones, teams: teams, names: map[string]int{}, models: map[string]int{}}
+	if len(ps) > maxPools {
+		c.errs = append(c.errs, fmt.Errorf("pools: %d of them, the most is %d", len(ps), maxPools))
+	}
+	for i := range ps {
+		c.index = i
+		c.checkIdentity(&ps[i])
+		c.checkPlacement(&ps[i])
+		c.checkSize(&ps[i])
+		c.checkLimits(&ps[i])
+		c.checkTeams(&ps[i])
+	}
+	return c.errs
+}
+
+// checker collects the errors of a list of pools.
+type checker struct {
+	zones, teams []string       // of the deployment; empty: not known
+	names        map[string]int // index of the pool by its name
+	models       map[string]int // index of the pool by its model's repository
+	index        int            // of the pool being checked
+	errs         []error
+}
+
+func (c *checker) bad(field, format string, args ...any) {
+	c.errs = append(c.errs, fmt.Errorf("pools[%d].%s: %s", c.index, field, fmt.Sprintf(format, args...)))
+}
+
+func (c *checker) checkIdentity(p *Pool) {
+	if !plainName(p.Name) {
+		c.bad("name", "%q is not 1 to %d letters, digits, '-' or '_'", p.Name, maxNameLength)
+	} else if k, ok := c.names[p.Name]; ok {
+		c.bad("name", "%q is the name of pools[%d] too", p.Name, k)
+	} else {
+		c.names[p.Name] = c.index
+	}
+	if p.Model == "" || len(p.Model) > maxImageLength {
+		c.bad("model", "is not an image of 1 to %d characters", maxImageLength)
+	} else if k, ok := c.models[repository(p.Model)]; ok {
+		// Which of them a replica counts for could not be said.
+		c.bad("model", "%q is the model of pools[%d] too", p.Model, k)
+	} else {
+		c.models[repository(p.Model)] = c.index
+	}
+	if !positive(p.WeightsGB) {
+		c.bad("gb", "must be above 0")
+	}
+}
+
+func (c *checker) checkPlacement(p *Pool) {
+	if len(p.Types) == 0 {
+		c.bad("types", "no machine type is named")
+	}
+	if len(p.Zones) == 0 {
+		c.bad("zones", "no zone is named")
+	}
+	for k, z := range p.Zones {
+		if len(c.zones) > 0 && !slices.Contains(c.zones, z) {
+			c.bad(fmt.Sprintf("zones[%d]", k), "there is no zone %q", z)
+		}
+		if slices.Contains(p.Zones[:k], z) {
+			c.bad(fmt.Sprintf("zones[%d]", k), "%q is named twice", z)
+		}
+	}
+}
+
+func (c *checker) checkSize(p *Pool) {
+	switch {
+	case p.MinMachines < 0:
+		c.bad("least", "must not be below 0")
+	case p.MinMachines > p.MaxMachines:
+		c.bad("least", "%d is above most, %d", p.MinMachines, p.MaxMachines)
+	}
+	if p.MaxMachines < 1 || p.MaxMachines > maxPoolSize {
+		c.bad("most", "must be from 1 to %d", maxPoolSize)
+	}
+}
+
+func (c *checker) checkLimits(p *Pool) {
+	if p.Burst.Replicas < 1 {
+		c.bad("burst.replicas", "must be above 0")
+	}
+	if !positive(p.Burst.WithinS) || p.Burst.WithinS > 3600 {
+		c.bad("burst.within_s", "must be above 0 and at most 3600")
+	}
+	if math.IsNaN(p.WarmShare) || p.WarmShare < 0 || p.WarmShare >= 1 {
+		c.bad("warm", "must be a share below 1")
+	}
+	if !positive(p.MaxHourlyCost) {
+		c.bad("cost_an_hour", "must be above 0")
+	}
+	if p.ConcurrentFetches < 0 || p.ConcurrentFetches > maxPoolSize {
+		c.bad("fetch_at_once", "must be from 0 to %d", maxPoolSize)
+	}
+}
+
+func (c *checker) checkTeams(p *Pool) {
+	c.checkTeam("payer", p.Payer)
+	for k, t := range p.Borrowers {
+		field := fmt.Sprintf("borrowers[%d]", k)
+		c.checkTeam(field, t)
+		if t != "" && t == p.Payer {
+			c.bad(field, "%q pays, and does not borrow", t)
+		}
+		if slices.Contains(p.Borrowers[:k], t) {
+			c.bad(field, "%q is named twice", t)
+		}
+	}
+}
+
+func (c *checker) checkTeam(field, team string) {
+	if team == "" {
+		c.bad(field, "no team is named")
+	} else if len(c.teams) > 0 && !slices.Contains(c.teams, team) {
+		c.bad(field, "there is no team %q", team)
+	}
+}
+
+func positive(v float64) bool { return v > 0 && !math.IsInf(v, 1) }
+
+// plainName says whether a name has letters, digits, '-' and '_' only.
+func plainName(s string) bool {
+	for _, c := range s {
+		switch {
+		case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9', c == '-', c == '_':
+		default:
+			return false
+		}
+	}
+	return len(s) > 0 && len(s) <= maxNameLength
+}
--- a/warmpool/pool.go
+++ b/warmpool/pool.go
@@ -1,10 +1,16 @@
-// Package pools decides on warm pools: machines that hold a model's weights ahead
-// of a burst, how many, which, and who pays. It is pure: the time is passed in,
-// and the same input gives the same decision.
+// Package warmpool decides about warm pools: machines that hold a model's weights
+// before a burst of replicas comes. It sizes a pool from the demand of past weeks
+// (WeeklyDemand, Pool.TargetSize), chooses which machines join, leave or are rented
+// (Pool.PlanScaling) and fetch weights next (Pool.NextFetches), says which other work
+// may use them (Pool.Access), and divides their cost among teams (Shard).
+//
+// The leader's model (package cluster) calls it and keeps its records; commands read
+// these with ReadStates. The package is pure: it does no I/O, the time is passed in,
+// and the same input gives the same decision. Every millisecond of a member is charged
+// to exactly one team (see State.Audit).
 package warmpool
 
 import (
-	"fmt"
 	"math"
 	"slices"
 	"strings"
@@ -43,108 +49,6 @@
 	defaultWarmShare = 0.9
 )
 
-// Check names each bad field with its place, and what contradicts what. Without
-// zones or teams to compare with, names are not looked up.
-func Check(ps []Pool, zones, teams []string) []error {
-	var errs []error
-	if len(ps) > maxPools {
-		errs = append(errs, fmt.Errorf("pools: %d of them, the most is %d", len(ps), maxPools))
-	}
-	names, models := map[string]int{}, map[string]int{}
-	for i := range ps {
-		p := &ps[i]
-		bad := func(field, format string, args ...any) {
-			errs = append(errs, fmt.Errorf("pools[%d].%s: %s", i, field, fmt.Sprintf(format, args...)))
-		}
-		if !plainName(p.Name) {
-			bad("name", "%q is not 1 to %d letters, digits, '-' or '_'", p.Name, maxNameLength)
-		} else if k, ok := names[p.Name]; ok {
-			bad("name", "%q is the name of pools[%d] too", p.Name, k)
-		} else {
-			names[p.Name] = i
-		}
-		if p.Model == "" || len(p.Model) > maxImageLength {
-			bad("model", "is not an image of 1 to %d characters", maxImageLength)
-		} else if k, ok := models[repository(p.Model)]; ok {
-			// Which of them a replica counts for could not be said.
-			bad("model", "%q is the model of pools[%d] too", p.Model, k)
-		} else {
-			models[repository(p.Model)] = i
-		}
-		if !positive(p.WeightsGB) {
-			bad("gb", "must be above 0")
-		}
-		if len(p.Types) == 0 {
-			bad("types", "no machine type is named")
-		}
-		if len(p.Zones) == 0 {
-			bad("zones", "no zone is named")
-		}
-		for k, z := range p.Zones {
-			if len(zones) > 0 && !slices.Contains(zones, z) {
-				bad(fmt.Sprintf("zones[%d]", k), "there is no zone %q", z)
-			}
-			if slices.Contains(p.Zones[:k], z) {
-				bad(fmt.Sprintf("zones[%d]", k), "%q is named twice", z)
-			}
-		}
-		switch {
-		case p.MinMachines < 0:
-			bad("least", "must not be below 0")
-		case p.MinMachines > p.MaxMachines:
-			bad("least", "%d is above most, %d", p.MinMachines, p.MaxMachines)
-		}
-		if p.MaxMachines < 1 || p.MaxMachines > maxPoolSize {
-			bad("most", "must be from 1 to %d", maxPoolSize)
-		}
-		if p.Burst.Replicas < 1 {
-			bad("burst.replicas", "must be above 0")
-		}
-		if !positive(p.Burst.WithinS) || p.Burst.WithinS > 3600 {
-			bad("burst.within_s", "must be above 0 and at most 3600")
-		}
-		if !(p.WarmShare >= 0 && p.WarmShare < 1) {
-			bad("warm", "must be a share below 1")
-		}
-		if !positive(p.MaxHourlyCost) {
-			bad("cost_an_hour", "must be above 0")
-		}
-		if p.ConcurrentFetches < 0 || p.ConcurrentFetches > maxPoolSize {
-			bad("fetch_at_once", "must be from 0 to %d", maxPoolSize)
-		}
-		team := func(field, t string) {
-			if t == "" {
-				bad(field, "no team is named")
-			} else if len(teams) > 0 && !slices.Contains(teams, t) {
-				bad(field, "there is no team %q", t)
-			}
-		}
-		team("payer", p.Payer)
-		for k, t := range p.Borrowers {
-			field := fmt.Sprintf("borrowers[%d]", k)
-			team(field, t)
-			if t != "" && t == p.Payer {
-				bad(field, "%q pays, and does not borrow", t)
-			}
-			if slices.Contains(p.Borrowers[:k], t) {
-				bad(field, "%q is named twice", t)
-			}
-		}
-	}
-	return errs
-}
-
-func positive(v float64) bool { return v > 0 && !math.IsInf(v, 1) }
-
-func plainName(s string) bool {
-	for _, c := range s {
-		if !(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || c == '-' || c == '_') {
-			return false
-		}
-	}
-	return len(s) > 0 && len(s) <= maxNameLength
-}
-
 // repository is an image's name without its tag.
 func repository(image string) string {
 	if i := strings.LastIndexByte(image, ':'); i > strings.LastIndexByte(image, '/') {
--- a/warmpool/scaling.go
+++ b/warmpool/scaling.go
@@ -47,97 +47,142 @@
 	ScaleOut map[string]int // by zone
 }
 
-// PlanScaling compares a pool's machines with how many it aims at. affords is how many
-// it can pay for; what is beyond leaves at once, whatever runs there.
-func (p *Pool) PlanScaling(own, free []Observation, aim, affords int) ScalingPlan {
-	var c ScalingPlan
-	held := map[string]int{} // by zone
-	n := 0
+// PlanScaling compares a pool's machines with its target size. affordable is how many
+// it can pay for; what is beyond that leaves at once, whatever runs there.
+func (p *Pool) PlanScaling(own, free []Observation, target, affordable int) ScalingPlan {
+	s := scaling{pool: p, own: slices.Clone(own), free: slices.Clone(free), byZone: map[string]int{}}
 	for i := range own {
 		if own[i].available() {
-			held[own[i].Zone]++
-			n++
+			s.byZone[own[i].Zone]++
+			s.size++
 		}
 	}
-	own = slices.Clone(own)
-	if n > aim {
-		// The zone that has most gives first, then what has no weights.
-		for n > aim {
-			i := p.cheapest(own, func(s *Observation) bool { return s.available() && !s.Busy }, func(s *Observation) int {
-				return -10*held[s.Zone] + twoFlags(s.Warm, s.Ready)
-			})
-			if i < 0 {
-				break
-			}
-			own[i].Leaving = true
-			held[own[i].Zone]--
-			n--
-			c.Release = append(c.Release, own[i].Machine)
+	if s.size > target {
+		s.release(target)
+		s.evict(affordable)
+		return s.plan
+	}
+	s.retain(target)
+	s.join(target)
+	s.scaleOut(target)
+	return s.plan
+}
+
+// scaling is a scaling plan being made. Each step marks what it has decided in own and
+// free, so that the next one does not choose the same machine.
+type scaling struct {
+	pool      *Pool
+	own, free []Observation
+	byZone    map[string]int // machines held
+	size      int            // machines held, in all zones
+	plan      ScalingPlan
+}
+
+// remove takes a machine of the pool out of what is held.
+func (s *scaling) remove(o *Observation) {
+	o.Leaving = true
+	s.byZone[o.Zone]--
+	s.size--
+}
+
+// release lets idle machines go: the zone that has most gives first, then what has no
+// weights.
+func (s *scaling) release(target int) {
+	for s.size > target {
+		i := s.pool.cheapest(s.own, func(o *Observation) bool { return o.available() && !o.Busy },
+			func(o *Observation) int { return -10*s.byZone[o.Zone] + o.readyScore() })
+		if i < 0 {
+			return
 		}
-		for n > affords {
-			i := p.cheapest(own, (*Observation).available, func(s *Observation) int { return -10*held[s.Zone] + twoFlags(s.Warm, s.Serving) })
-			if i < 0 {
-				break
-			}
-			own[i].Leaving = true
-			held[own[i].Zone]--
-			n--
-			c.Evict = append(c.Evict, own[i].Machine)
+		s.remove(&s.own[i])
+		s.plan.Release = append(s.plan.Release, s.own[i].Machine)
+	}
+}
+
+// evict takes machines that the pool can't pay for out of it.
+func (s *scaling) evict(affordable int) {
+	for s.size > affordable {
+		i := s.pool.cheapest(s.own, (*Observation).available,
+			func(o *Observation) int { return -10*s.byZone[o.Zone] + o.servingScore() })
+		if i < 0 {
+			return
 		}
-		return c
+		s.remove(&s.own[i])
+		s.plan.Evict = append(s.plan.Evict, s.own[i].Machine)
 	}
-	for n < aim {
-		i := p.cheapest(own, func(s *Observation) bool { return s.Leaving && s.Ready }, func(s *Observation) int { return 10*held[s.Zone] - twoFlags(s.Warm, s.Ready) })
+}
+
+// retain keeps machines that had been let go and are still there.
+func (s *scaling) retain(target int) {
+	for s.size < target {
+		i := s.pool.cheapest(s.own, func(o *Observation) bool { return o.Leaving && o.Ready },
+			func(o *Observation) int { return 10*s.byZone[o.Zone] - o.readyScore() })
 		if i < 0 {
-			break
+			return
 		}
-		own[i].Leaving = false
-		held[own[i].Zone]++
-		n++
-		c.Retain = append(c.Retain, own[i].Machine)
-	}
-	free = slices.Clone(free)
-	// Where replicas run anyhow, the weights are there already; else an empty
-	// machine is filled. One that boots may be for work that waits.
-	for n < aim {
-		i := p.cheapest(free, func(s *Observation) bool { return s.Ready && !s.Leaving && (!s.Busy || s.Serving && s.Warm) }, func(s *Observation) int {
-			return 10*held[s.Zone] - 1000*twoFlags(s.Warm, false)
-		})
+		s.own[i].Leaving = false
+		s.byZone[s.own[i].Zone]++
+		s.size++
+		s.plan.Retain = append(s.plan.Retain, s.own[i].Machine)
+	}
+}
+
+// join takes free machines in. Where replicas run anyhow, the weights are there already;
+// else an empty machine is filled. One that boots may be for work that waits.
+func (s *scaling) join(target int) {
+	for s.size < target {
+		i := s.pool.cheapest(s.free, func(o *Observation) bool { return o.Ready && !o.Leaving && (!o.Busy || o.Serving && o.Warm) },
+			func(o *Observation) int { return 10*s.byZone[o.Zone] - 1000*o.warmScore() })
 		if i < 0 {
-			break
+			return
 		}
-		free[i].Leaving = true // taken
-		held[free[i].Zone]++
-		n++
-		c.Join = append(c.Join, free[i].Machine)
+		s.free[i].Leaving = true // taken
+		s.byZone[s.free[i].Zone]++
+		s.size++
+		s.plan.Join = append(s.plan.Join, s.free[i].Machine)
 	}
+}
+
+// scaleOut rents what is still lacking, in the zones that have least. Free machines
+// that boot count: they may join once they are up.
+func (s *scaling) scaleOut(target int) {
 	coming := 0
-	for i := range free {
-		if free[i].Booting && !free[i].Leaving {
-			held[free[i].Zone]++
+	for i := range s.free {
+		if s.free[i].Booting && !s.free[i].Leaving {
+			s.byZone[s.free[i].Zone]++
 			coming++
 		}
 	}
-	for k := n + coming; k < aim && len(p.Zones) > 0; k++ {
-		z := slices.MinFunc(p.Zones, func(a, b string) int { return cmp.Compare(held[a], held[b]) })
-		if c.ScaleOut == nil {
-			c.ScaleOut = map[string]int{}
+	for k := s.size + coming; k < target && len(s.pool.Zones) > 0; k++ {
+		z := slices.MinFunc(s.pool.Zones, func(a, b string) int { return cmp.Compare(s.byZone[a], s.byZone[b]) })
+		if s.plan.ScaleOut == nil {
+			s.plan.ScaleOut = map[string]int{}
 		}
-		c.ScaleOut[z]++
-		held[z]++
+		s.plan.ScaleOut[z]++
+		s.byZone[z]++
 	}
-	return c
 }
 
-func twoFlags(a, b bool) int {
-	n := 0
-	if a {
-		n += 2
+// warmScore, readyScore and servingScore rank machines: having the weights counts most.
+func (s *Observation) warmScore() int {
+	if s.Warm {
+		return 2
 	}
-	if b {
-		n++
+	return 0
+}
+
+func (s *Observation) readyScore() int {
+	if s.Ready {
+		return s.warmScore() + 1
 	}
-	return n
+	return s.warmScore()
+}
+
+func (s *Observation) servingScore() int {
+	if s.Serving {
+		return s.warmScore() + 1
+	}
+	return s.warmScore()
 }
 
 // cheapest is the first of the cheapest that will do, or -1.
