--- a/controller/inspect.go
+++ b/controller/inspect.go
@@ -14,44 +14,48 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file answers operators' questions from committed state, without a node.
+// This file answers operators' questions from committed state alone, so that it also
+// works while no controller runs.
 
 // ErrNoJob says that nobody has submitted such a job.
 var ErrNoJob = errors.New("no such job")
 
-// WhyWaiting says what a job waits for, from what is committed. over is the state
-// of a job that is done or cancelled, and then there is nothing more to say.
-func WhyWaiting(ctx context.Context, cfg *config.Settings, st *kvstore.Client, id string, now time.Time) (why cluster.Explanation, over string, err error) {
-	m, err := inspect(ctx, cfg, st, now)
+// ErrUnreadableJob says that the final record of a job can't be decoded.
+var ErrUnreadableJob = errors.New("its record can't be read")
+
+// WhyWaiting explains what a job waits for. For a job that is done or cancelled, finalState
+// is its state and there is no explanation.
+func WhyWaiting(ctx context.Context, cfg *config.Settings, kv *kvstore.Client, id string, now time.Time) (why cluster.Explanation, finalState string, err error) {
+	m, err := inspect(ctx, cfg, kv, now)
 	if err != nil {
 		return why, "", err
 	}
 	if why, found := m.Explain(id, now); found {
 		return why, "", nil
 	}
-	e, err := st.Get(ctx, jobstore.FinalKey(id))
+	e, err := kv.Get(ctx, jobstore.FinalKey(id))
 	if err != nil {
 		return why, "", err
 	}
-	var rec jobstore.JobRecord
+	var final jobstore.JobRecord
 	switch {
 	case e.Version == 0:
 		return why, "", fmt.Errorf("%s: %w", id, ErrNoJob)
-	case wire.Unmarshal(e.Value, &rec) != nil:
-		return why, "", fmt.Errorf("%s: its record can't be read", id)
+	case wire.Unmarshal(e.Value, &final) != nil:
+		return why, "", fmt.Errorf("%s: %w", id, ErrUnreadableJob)
 	}
-	return why, rec.State, nil
+	return why, final.State, nil
 }
 
-// inspect makes a model of what is committed, as a leader that takes over does, but
-// for machines: none has reported to it.
-func inspect(ctx context.Context, cfg *config.Settings, st *kvstore.Client, now time.Time) (*cluster.Model, error) {
-	items, _, err := st.List(ctx, jobstore.ActivePrefix)
+// inspect loads a model of the committed state as a new leader does. It has no machines:
+// none sends heartbeats to it.
+func inspect(ctx context.Context, cfg *config.Settings, kv *kvstore.Client, now time.Time) (*cluster.Model, error) {
+	entries, _, err := kv.List(ctx, jobstore.ActivePrefix)
 	if err != nil {
 		return nil, err
 	}
 	m := cluster.New(cfg, 0, now, slog.New(slog.DiscardHandler))
-	e, err := st.Get(ctx, jobstore.MachineTypesKey)
+	e, err := kv.Get(ctx, jobstore.MachineTypesKey)
 	if err != nil {
 		return nil, err
 	}
@@ -59,29 +63,29 @@
 	if e.Version != 0 && wire.Unmarshal(e.Value, &types) == nil {
 		m.SetMachineTypes(types.Types)
 	}
-	if err := loadOperatorPlanRecords(ctx, m, st, now); err != nil {
+	if err := loadOperatorPlanRecords(ctx, m, kv, now); err != nil {
 		return nil, err
 	}
-	if err := loadJobs(m, items, now); err != nil {
+	if err := loadJobs(m, entries, now); err != nil {
 		return nil, err
 	}
-	if err := loadPlacements(ctx, st, m, items, now); err != nil {
+	if err := loadPlacements(ctx, kv, m, entries, now); err != nil {
 		return nil, err
 	}
 	m.FinishLoading(now)
 	return m, nil
 }
 
-// loadOperatorPlanRecords reads the plan that holds, and what its parts have recorded.
-func loadOperatorPlanRecords(ctx context.Context, m *cluster.Model, st *kvstore.Client, now time.Time) error {
-	notes, _, err := st.List(ctx, jobstore.PlanStatePrefix)
+// loadOperatorPlanRecords loads the plan that is in force, and the state of its parts.
+func loadOperatorPlanRecords(ctx context.Context, m *cluster.Model, kv *kvstore.Client, now time.Time) error {
+	records, _, err := kv.List(ctx, jobstore.PlanStatePrefix)
 	if err != nil {
 		return err
 	}
-	for _, it := range notes {
-		m.LoadPlanRecord(it.Key, it.Value, it.Version)
+	for _, e := range records {
+		m.LoadPlanRecord(e.Key, e.Value, e.Version)
 	}
-	p, _, err := readOperatorPlan(ctx, st)
+	p, _, err := readOperatorPlan(ctx, kv)
 	if err != nil {
 		return err
 	}
--- /dev/null
+++ b/controller/node_metrics.go
@@ -0,0 +1,162 @@
+package controller
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/umberdeal/umberdeal/admission"
+	"github.com/umberdeal/umberdeal/calendar"
+	"github.com/umberdeal/umberdeal/metrics"
+)
+
+// This file registers a node's metrics. Gauges of the whole cluster have a value on the
+// leader only.
+
+// setUpMetrics registers the metrics, if there is an address to serve them on: without
+// one nothing is measured.
+func (n *Node) setUpMetrics() {
+	if n.tuning.Metrics.Listen == "" {
+		return
+	}
+	n.recentErrors = metrics.NewTroubles(n.log.Handler())
+	n.log = slog.New(n.recentErrors)
+	n.metrics = metrics.New(n.cfg.Node)
+	n.registerConnectionMetrics(n.metrics)
+	n.registerForwardingMetrics(n.metrics)
+	n.registerLeaderMetrics(n.metrics)
+	n.registerWarmPoolMetrics(n.metrics)
+	n.registerBatchWindowMetrics(n.metrics)
+}
+
+// registerConnectionMetrics registers what this node's limits let in and turn away.
+func (n *Node) registerConnectionMetrics(m *metrics.Set) {
+	for name, kind := range map[string]admission.Kind{
+		"connections_users":   admission.KindUser,
+		"connections_workers": admission.KindWorker,
+		"connections_other":   admission.KindUnknown,
+	} {
+		m.Gauge(name, "Open connections.", func() float64 { return float64(n.connLimiter.Count(kind)) })
+	}
+	m.Counter("connections_closed_total", "Connections closed for want of room.", func() float64 { return float64(n.connLimiter.Rejected()) })
+	m.Counter("reports_shed_total", "Reports turned away for want of room.", func() float64 { return float64(n.heartbeatLimiter.Rejected()) })
+	m.Gauge("reports_waiting", "Reports that wait for their turn.", func() float64 { return float64(n.heartbeatLimiter.Waiting()) })
+}
+
+// registerForwardingMetrics registers what this node does with heartbeats while another
+// node leads.
+func (n *Node) registerForwardingMetrics(m *metrics.Set) {
+	for name, read := range map[string]func(forwardingCounts) uint64{
+		"reports_passed_total":      func(c forwardingCounts) uint64 { return c.forwarded },
+		"reports_pass_failed_total": func(c forwardingCounts) uint64 { return c.failed },
+		"workers_moved_total":       func(c forwardingCounts) uint64 { return c.redirected },
+	} {
+		m.Counter(name, "Of workers that report here while another node leads.", func() float64 {
+			n.mu.Lock()
+			defer n.mu.Unlock()
+			return float64(read(n.forwarding))
+		})
+	}
+}
+
+// registerLeaderMetrics registers whether this node leads, and the lease that ends first.
+func (n *Node) registerLeaderMetrics(m *metrics.Set) {
+	m.Gauge("leading", "1 while this node leads and is sure of it.", func() float64 {
+		if n.isLeader() {
+			return 1
+		}
+		return 0
+	})
+	m.Gauge("least_lease_left_seconds", "Of the worker whose lease is nearest its end; the leader's.", func() float64 {
+		if f := n.fleetView(time.Now()); f != nil {
+			return f.LeaseLeftS
+		}
+		return 0
+	})
+}
+
+// registerWarmPoolMetrics registers sums over all warm pools; each pool by itself is in
+// the overview.
+func (n *Node) registerWarmPoolMetrics(m *metrics.Set) {
+	for name, read := range map[string]func(metrics.Pool) float64{
+		"pool_machines_wanted":  func(p metrics.Pool) float64 { return float64(p.Aim) },
+		"pool_machines_held":    func(p metrics.Pool) float64 { return float64(p.Held) },
+		"pool_machines_warm":    func(p metrics.Pool) float64 { return float64(p.Warm) },
+		"pool_machines_filling": func(p metrics.Pool) float64 { return float64(p.Filling) },
+		"pool_hits":             func(p metrics.Pool) float64 { return float64(p.Hits) },
+		"pool_misses":           func(p metrics.Pool) float64 { return float64(p.Misses) },
+		"pool_ceded":            func(p metrics.Pool) float64 { return float64(p.Ceded) },
+	} {
+		m.Gauge(name, "Of all warm pools together; the leader's.", func() float64 {
+			sum := 0.0
+			if f := n.fleetView(time.Now()); f != nil {
+				for _, p := range f.Pools {
+					sum += read(p)
+				}
+			}
+			return sum
+		})
+	}
+}
+
+// registerBatchWindowMetrics registers sums over the batch windows of all regions.
+func (n *Node) registerBatchWindowMetrics(m *metrics.Set) {
+	for name, read := range map[string]func(v *calendar.View) float64{
+		"night_jobs_open": func(v *calendar.View) (count float64) {
+			for i := range v.Nights {
+				count += float64(v.Nights[i].All() - v.Nights[i].Done)
+			}
+			return count
+		},
+		"night_jobs_done": func(v *calendar.View) (count float64) {
+			for i := range v.Nights {
+				count += float64(v.Nights[i].Done)
+			}
+			return count
+		},
+		"nights_at_risk": func(v *calendar.View) (count float64) {
+			for i := range v.Nights {
+				if v.Nights[i].Forecast.AtRisk {
+					count++
+				}
+			}
+			return count
+		},
+		"nights_not_met": func(v *calendar.View) (count float64) {
+			for i := range v.Past {
+				if how := v.Past[i].How; how == calendar.Late || how == calendar.Incomplete {
+					count++
+				}
+			}
+			return count
+		},
+	} {
+		m.Gauge(name, "Of the calendar's regions together; the leader's. Of past nights, the last of each region are counted.", func() (sum float64) {
+			views := n.batchWindows(time.Now())
+			for i := range views {
+				sum += read(&views[i])
+			}
+			return sum
+		})
+	}
+}
+
+// latencyMetrics passes the model's latencies on to the metrics.
+type latencyMetrics struct{ *metrics.Set }
+
+func (t latencyMetrics) Placed(s float64)   { t.Took(metrics.Placed, s) }
+func (t latencyMetrics) Launched(s float64) { t.Took(metrics.Launched, s) }
+func (t latencyMetrics) Running(s float64)  { t.Took(metrics.Running, s) }
+
+// onLeaderChange is called when another leader is seen, or none, and when this node has
+// become sure that it leads.
+func (n *Node) onLeaderChange() {
+	leader := n.elector.Leader()
+	n.mu.Lock()
+	changed := leader != n.lastSeenLeader
+	n.lastSeenLeader = leader
+	n.mu.Unlock()
+	if changed {
+		n.metrics.LeaderChanged()
+	}
+	n.broadcastLeaderChange()
+}
--- a/controller/operator_plan.go
+++ b/controller/operator_plan.go
@@ -16,20 +16,22 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file keeps a node's knowledge of the operators' plan, and writes what its
-// parts record. Each node watches the plan; a leader reads it before it places
-// anything, and every placement is committed on condition of the plan's version,
-// so that the watch is a matter of speed only.
+// This file follows the operators' plan, and writes the records of its parts. Every node
+// watches the plan, and a leader reads it before it places anything. Every placement is
+// committed on condition of the plan's version, so that safety does not depend on the
+// watch.
 
 const (
-	// planWatchTimeout is for how long a watch of the plan is open.
+	// planWatchTimeout is how long one watch of the plan is open.
 	planWatchTimeout = 50 * time.Second
-	// planRecordWriteShare is the share of the state service's changes that all records of
-	// the plan's parts may take.
+	// planRecordWriteShare is the share of the store's write rate that the records of the
+	// plan's parts may take.
 	planRecordWriteShare = 0.02
+	// planRecordInterval is how often these records are written.
+	planRecordInterval = 500 * time.Millisecond
 )
 
-// operatorPlan is the operators' plan as this node knows it.
+// operatorPlan returns the operators' plan as this node knows it.
 func (n *Node) operatorPlan() cluster.Plan {
 	if p := n.loadedPlan.Load(); p != nil {
 		return *p
@@ -37,93 +39,114 @@
 	return cluster.Plan{}
 }
 
-// watchOperatorPlan learns of new versions of the plan as they are applied.
+// watchOperatorPlan reads new versions of the plan as they are applied.
 func (n *Node) watchOperatorPlan(ctx context.Context) {
-	rev, known := uint64(0), false
+	revision, known := uint64(0), false
 	for ctx.Err() == nil {
 		if !known {
-			_, at, err := n.kv.List(ctx, jobstore.PlanHeadKey)
-			if err == nil {
-				_, err = n.loadOperatorPlan(ctx)
-			}
+			at, err := n.startPlanWatch(ctx)
 			if err != nil {
-				call.Pause(ctx, time.Second+rand.N(time.Second))
+				pauseBeforePlanRead(ctx)
 				continue
 			}
-			rev, known = at, true
-			n.requestSchemaMigration() // maybe before this watch
+			revision, known = at, true
+			n.requestSchemaMigration() // a plan may have been requested before this watch
 		}
-		ev, err := n.kv.Watch(ctx, jobstore.PlanPrefix, rev, planWatchTimeout)
-		switch {
-		case errors.Is(err, kvstore.ErrCompacted):
+		events, err := n.kv.Watch(ctx, jobstore.PlanPrefix, revision, planWatchTimeout)
+		if errors.Is(err, kvstore.ErrCompacted) {
 			known = false
-		case err != nil:
-			call.Pause(ctx, time.Second+rand.N(time.Second))
-		default:
-			if len(ev.Log) > 0 {
-				if _, err := n.loadOperatorPlan(ctx); err != nil {
-					call.Pause(ctx, time.Second+rand.N(time.Second))
-					continue // the same changes are told again
-				}
-				for _, e := range ev.Log {
-					if e.Put == jobstore.PlanRequestedKey {
-						n.requestSchemaMigration()
-					}
-				}
-			}
-			rev = max(rev, ev.Revision)
+			continue
+		}
+		if err == nil {
+			err = n.applyPlanEvents(ctx, events.Log)
+		}
+		if err != nil {
+			pauseBeforePlanRead(ctx)
+			continue // the next watch returns the same events again
+		}
+		revision = max(revision, events.Revision)
+	}
+}
+
+// startPlanWatch reads the plan and returns a revision from which to watch it: one from
+// before the read, so that no change between the two is missed.
+func (n *Node) startPlanWatch(ctx context.Context) (revision uint64, err error) {
+	if _, revision, err = n.kv.List(ctx, jobstore.PlanHeadKey); err != nil {
+		return 0, err
+	}
+	_, err = n.loadOperatorPlan(ctx)
+	return revision, err
+}
+
+// applyPlanEvents reads the plan again if anything has changed.
+func (n *Node) applyPlanEvents(ctx context.Context, events []wire.Event) error {
+	if len(events) == 0 {
+		return nil
+	}
+	if _, err := n.loadOperatorPlan(ctx); err != nil {
+		return err
+	}
+	for _, e := range events {
+		if e.Put == jobstore.PlanRequestedKey {
+			n.requestSchemaMigration()
 		}
 	}
+	return nil
+}
+
+// pauseBeforePlanRead waits a while, at random, so that the nodes don't retry together.
+func pauseBeforePlanRead(ctx context.Context) {
+	call.Pause(ctx, time.Second+rand.N(time.Second))
 }
 
-// readOperatorPlan reads the plan that holds. Where no version of it can be read, it is lost,
-// which is no error.
+// readOperatorPlan reads the plan that is in force. A plan of which no version can be
+// read is no error: it is returned as unreadable, and nothing is placed by it.
 func readOperatorPlan(ctx context.Context, s jobstore.KeyValueStore) (cluster.Plan, jobstore.ActivePlan, error) {
-	var got *plan.Plan
-	st, err := jobstore.LoadPlan(ctx, s, func(text string) error {
+	var parsed *plan.Plan
+	active, err := jobstore.LoadPlan(ctx, s, func(text string) error {
 		p, err := plan.Parse(text)
-		got = p
+		parsed = p
 		return err
 	})
-	lost := errors.Is(err, jobstore.ErrPlanUnreadable)
-	if err != nil && !lost {
-		return cluster.Plan{}, st, err
+	unreadable := errors.Is(err, jobstore.ErrPlanUnreadable)
+	if err != nil && !unreadable {
+		return cluster.Plan{}, active, err
 	}
-	p := cluster.Plan{Number: st.Number, HeadVersion: st.HeadVersion, Unreadable: lost}
-	if st.Number > 0 {
-		p.Plan = got
+	p := cluster.Plan{Number: active.Number, HeadVersion: active.HeadVersion, Unreadable: unreadable}
+	if active.Number > 0 {
+		p.Plan = parsed
 	}
-	return p, st, nil
+	return p, active, nil
 }
 
-// loadOperatorPlan reads the plan and hands it to the leader, if this node leads.
+// loadOperatorPlan reads the plan and passes it to the model, if this node leads.
 func (n *Node) loadOperatorPlan(ctx context.Context) (cluster.Plan, error) {
-	p, st, err := readOperatorPlan(ctx, n.kv)
+	p, active, err := readOperatorPlan(ctx, n.kv)
 	if err != nil {
 		return cluster.Plan{}, err
 	}
-	lost := p.Unreadable
+	unreadable := p.Unreadable
 	n.mu.Lock()
-	was := n.operatorPlan()
-	if p.Unreadable && was.Plan != nil {
-		// What this node read before still holds: the record is damaged, not
-		// the decision.
-		p.Plan, p.Number, p.Unreadable = was.Plan, was.Number, false
+	previous := n.operatorPlan()
+	if unreadable && previous.Plan != nil {
+		// The plan that this node read before is still in force: only its record is
+		// damaged.
+		p.Plan, p.Number, p.Unreadable = previous.Plan, previous.Number, false
 	}
-	if p.HeadVersion < was.HeadVersion {
-		p = was // another read has been faster
+	if p.HeadVersion < previous.HeadVersion {
+		p = previous // a concurrent read has seen a newer plan
 	}
 	n.loadedPlan.Store(&p)
 	l := n.active
 	n.mu.Unlock()
-	if p.HeadVersion != was.HeadVersion {
-		for _, t := range st.Warnings {
-			n.log.Error("a record of the plan can't be read", "holds", p.Number, "err", t)
+	if p.HeadVersion != previous.HeadVersion {
+		for _, warning := range active.Warnings {
+			n.log.Error("unreadable plan record", "version_in_force", p.Number, "err", warning)
 		}
-		if lost {
-			n.log.Error("a record of the plan can't be read", "holds", p.Number, "err", jobstore.ErrPlanUnreadable)
+		if unreadable {
+			n.log.Error("unreadable plan record", "version_in_force", p.Number, "err", jobstore.ErrPlanUnreadable)
 		}
-		n.log.Info("plan read", "version", p.Number, "by", st.By, "note", st.Note)
+		n.log.Info("plan loaded", "version", p.Number, "by", active.By, "note", active.Note)
 	}
 	if l != nil {
 		l.setPlan(p)
@@ -131,6 +154,7 @@
 	return p, nil
 }
 
+// setPlan passes a plan to the model and has it applied at once.
 func (l *leadership) setPlan(p cluster.Plan) {
 	l.mu.Lock()
 	l.model.SetPlan(p, time.Now())
@@ -139,33 +163,35 @@
 	wake(l.committerWake)
 }
 
-// reloadPlan is for a leader whose transaction failed for the plan's version.
+// reloadPlan is called when a transaction failed for the plan's version: this node's plan
+// is older than the one in force.
 func (l *leadership) reloadPlan(ctx context.Context) {
 	if _, err := l.node.loadOperatorPlan(ctx); err != nil {
-		l.log.Debug("plan", "err", err)
+		l.log.Debug("plan not reloaded", "err", err)
 	}
 }
 
-// markPlanRequested tells the model that there may be a plan.
+// markPlanRequested tells the model that there may be a plan, so that placements are
+// committed on condition of its version.
 func (l *leadership) markPlanRequested() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.model.ExpectPlan()
 }
 
-// requestSchemaMigration has a leader look again whether the records may be written in the form
-// that says that there may be a plan.
+// requestSchemaMigration has the leader try to raise the schema to the one with plans, if
+// this node leads.
 func (n *Node) requestSchemaMigration() {
 	if l := n.activeLeadership(); l != nil {
 		wake(l.schemaWake)
 	}
 }
 
-// writePlanRecords writes what the plan's parts record, few changes a second.
+// writePlanRecords writes the records of the plan's parts, few a second.
 func (l *leadership) writePlanRecords(ctx context.Context) {
 	sl := l.node.cfg.Cluster.State
 	share := rate.NewLimiter(rate.Limit(planRecordWriteShare*sl.WriteRPS), max(1, min(sl.TxnOps, int(2*planRecordWriteShare*sl.WriteRPS))))
-	for call.Pause(ctx, 500*time.Millisecond) {
+	for call.Pause(ctx, planRecordInterval) {
 		l.mu.Lock()
 		want := min(l.model.PendingPlanRecords(), share.Burst())
 		l.mu.Unlock()
--- a/controller/priorities.go
+++ b/controller/priorities.go
@@ -5,54 +5,54 @@
 	"github.com/umberdeal/umberdeal/priority"
 )
 
-// This file is what a node does by the operators' order besides leading: whose
-// submissions and polls come first when there are too many.
+// This file admits users' requests by the priority tiers of the operators' plan, when
+// there are more than can be served. Scheduling by priority is the leader's (cluster).
 
-// planPriorities is the order of a plan.
+// planPriorities are the priorities of one plan, computed once.
 type planPriorities struct {
 	plan       *plan.Plan
 	priorities *priority.Policy
 }
 
-// priorities is the one in force as far as this node knows, nil if there is none. One
-// that is a moment behind serves a request sooner or later than it might have, and
-// that is all.
+// priorities returns the priorities of the plan as far as this node knows it, nil if
+// there is none. A node whose plan is a moment old only serves a request sooner or later
+// than it might have.
 func (n *Node) priorities() *priority.Policy {
 	p := n.operatorPlan().Plan
 	if p == nil {
 		return nil
 	}
-	cur := n.cachedPriorities.Load()
-	if cur == nil || cur.plan != p {
-		cur = &planPriorities{p, priority.New(&p.Order)}
-		n.cachedPriorities.Store(cur)
+	cached := n.cachedPriorities.Load()
+	if cached == nil || cached.plan != p {
+		cached = &planPriorities{p, priority.New(&p.Order)}
+		n.cachedPriorities.Store(cached)
 	}
-	return cur.priorities
+	return cached.priorities
 }
 
-// admitSubmission admits a submission by its tier while many are under way; leave is to
-// be called once it is answered. Without an order, and while there is room for
-// all, everybody is admitted.
-func (n *Node) admitSubmission(team, class string) (leave func(), ok bool) {
-	o := n.priorities()
-	if o == nil {
+// admitSubmission admits a submission by its tier; release is to be called once it is
+// answered. Without a plan, and while there is room for all, every submission is admitted.
+func (n *Node) admitSubmission(team, class string) (release func(), ok bool) {
+	p := n.priorities()
+	if p == nil {
 		return func() {}, true
 	}
-	tier, of := o.TierOf(team, class), o.NumTiers()
-	if !n.submissionTiers.TryAcquire(tier, of) {
+	tier, tiers := p.TierOf(team, class), p.NumTiers()
+	if !n.submissionTiers.TryAcquire(tier, tiers) {
 		return nil, false
 	}
-	return func() { n.submissionTiers.Release(tier, of) }, true
+	return func() { n.submissionTiers.Release(tier, tiers) }, true
 }
 
-// pollTier is a job's tier, the last for one that is not known to be unfinished.
+// pollTier returns the tier of polls for a job: that of the job, or the last one unless
+// the job is known to be unfinished.
 func (n *Node) pollTier(id string) int {
-	o := n.priorities()
-	if o == nil {
+	p := n.priorities()
+	if p == nil {
 		return 0
 	}
 	if team, class, ok := n.jobs.TeamAndClass(id); ok {
-		return o.TierOf(team, class)
+		return p.TierOf(team, class)
 	}
-	return o.NumTiers() - 1
+	return p.NumTiers() - 1
 }
--- a/controller/yarn.go
+++ b/controller/yarn.go
@@ -12,10 +12,10 @@
 	"github.com/umberdeal/umberdeal/yarn"
 )
 
-// This file is where YARN's clients come in; the door itself is package yarn.
+// This file connects a node to package yarn, which serves YARN's clients.
 
-// OpenYARN makes the node serve YARN's clients as well. It is to be called before
-// Run; without it no port is opened and nothing is kept for them.
+// OpenYARN makes the node serve YARN's clients as well. It must be called before Run;
+// without it no port is opened and nothing is kept for them.
 func (n *Node) OpenYARN(s *yarn.Settings) {
 	n.jobs.TrackReservations()
 	n.yarnSettings = s
@@ -23,7 +23,7 @@
 	n.yarn = yarn.New(s, n.userKV, n.jobs, yarnCore{n}, n.log, sl.TxnOps, int(sl.ValueKB*1024)-512)
 }
 
-// serveYARN serves the door until ctx ends.
+// serveYARN serves YARN's RPC protocols until ctx ends.
 func (n *Node) serveYARN(ctx context.Context) error {
 	l, err := n.network.Listen("tcp", n.yarnSettings.Listen)
 	if err != nil {
@@ -32,46 +32,54 @@
 	return n.yarn.Server().Serve(ctx, l)
 }
 
-// serveYARNREST serves its REST interface until ctx ends.
+// serveYARNREST serves YARN's REST interface until ctx ends.
 func (n *Node) serveYARNREST(ctx context.Context) error {
 	srv := &http.Server{Handler: n.yarn.REST(), WriteTimeout: 15 * time.Second, IdleTimeout: time.Minute}
 	return n.serveHTTP(ctx, srv, "yarn: rest", n.yarnSettings.REST, n.yarnSettings.MaxConns)
 }
 
-// yarnCore is the node as the door sees it.
-type yarnCore struct{ n *Node }
+// yarnCore is the node as package yarn sees it.
+type yarnCore struct{ node *Node }
 
-func (c yarnCore) Judge(j *wire.Job) (int, error) { return c.n.checkFeasible(j) }
-func (c yarnCore) Types() []wire.MachineType      { return c.n.machineTypes() }
-func (c yarnCore) Leads() bool                    { return c.n.isLeader() }
+func (c yarnCore) Judge(j *wire.Job) (int, error) { return c.node.checkFeasible(j) }
+func (c yarnCore) Types() []wire.MachineType      { return c.node.machineTypes() }
+func (c yarnCore) Leads() bool                    { return c.node.isLeader() }
 
-// Machines are the leader's.
+// Machines returns the machines as the leader sees them, from a peer unless this node
+// leads.
 func (c yarnCore) Machines(ctx context.Context) ([]yarn.Machine, error) {
-	if b := c.n.Machines(); b != nil {
+	if b := c.node.Machines(); b != nil {
 		return readMachines(b)
 	}
-	p := c.n.peerNamed(c.n.elector.Leader())
-	if p == nil {
-		return nil, errors.New("no leader is known")
+	leader := c.node.peerNamed(c.node.elector.Leader())
+	if leader == nil {
+		return nil, errNoLeader
 	}
-	b, err := p.Machines(ctx)
+	b, err := leader.Machines(ctx)
 	if err != nil {
 		return nil, err
 	}
 	return readMachines(b)
 }
 
+var (
+	errNoLeader     = errors.New("no leader is known")
+	errLeaderSilent = errors.New("the leader does not answer")
+)
+
 func readMachines(b []byte) ([]yarn.Machine, error) {
 	var out []yarn.Machine
 	if len(b) == 0 {
-		return nil, errors.New("the leader does not answer")
+		return nil, errLeaderSilent
+	}
+	if err := json.Unmarshal(b, &out); err != nil {
+		return out, fmt.Errorf("decode the leader's machines: %w", err)
 	}
-	err := json.Unmarshal(b, &out)
-	return out, err
+	return out, nil
 }
 
-// Machines implements peerrpc.Handler: the machines as this node sees them if it
-// leads, as JSON; nil otherwise.
+// Machines implements peerrpc.Handler: it returns the machines as JSON if this node
+// leads, and nil otherwise.
 func (n *Node) Machines() []byte {
 	l := n.activeLeadership()
 	if l == nil || !l.lease.Valid() {
