--- a/controller/committer.go
+++ b/controller/committer.go
@@ -160,13 +160,13 @@
 // handleCommitFailure finds out why a batch was not committed, brings the model up to
 // date with what conflicted, and gives the batch's changes back to be written again.
 func (l *leadership) handleCommitFailure(ctx context.Context, b *cluster.WriteBatch, err error) {
-	l.log.Debug("commit", "err", err, "ops", len(b.Ops))
+	l.log.Debug("commit failed", "err", err, "ops", len(b.Ops))
 	var conflict *kvstore.ConflictError
 	switch {
 	case errors.As(err, &conflict):
 		l.resolveConflicts(ctx, b, conflict.FailedKeys)
 	case errors.Is(err, kvstore.ErrInvalidRequest):
-		l.log.Error("the state service refuses a transaction as malformed", "err", err, "ops", len(b.Ops))
+		l.log.Error("key-value store rejected a transaction as malformed", "err", err, "ops", len(b.Ops))
 	}
 	l.mu.Lock()
 	l.model.RequeueBatch(b)
@@ -195,6 +195,6 @@
 		}
 	}
 	if err := l.barrier(ctx); err != nil {
-		l.log.Debug("barrier", "err", err)
+		l.log.Debug("read barrier failed", "err", err)
 	}
 }
--- a/controller/direct_commands.go
+++ b/controller/direct_commands.go
@@ -24,10 +24,10 @@
 			defer func() { <-l.stopSlots }()
 			r, done, err := l.node.workerClient.Command(ctx, d.Addr, d.Commands)
 			if err != nil {
-				l.log.Debug("direct stop", "machine", d.Machine, "err", err)
+				l.log.Debug("direct stop failed", "machine", d.Machine, "err", err)
 				return
 			}
-			l.log.Debug("direct stop", "machine", d.Machine, "executed", done, "seq", r.Seq)
+			l.log.Debug("direct stop sent", "machine", d.Machine, "executed", done, "seq", r.Seq)
 		})
 	}
 }
@@ -61,7 +61,7 @@
 			within, cancel := context.WithTimeout(ctx, wakeUpTimeout)
 			defer cancel()
 			if _, done, err := l.node.workerClient.Command(within, d.Addr, d.Commands); err != nil || !done {
-				l.log.Debug("summons", "machine", d.Machine, "executed", done, "err", err)
+				l.log.Debug("wake-up not executed", "machine", d.Machine, "executed", done, "err", err)
 			}
 			<-l.wakeUpSlots
 			l.wakeWorkers(ctx)
--- a/controller/health.go
+++ b/controller/health.go
@@ -37,9 +37,9 @@
 		if ctx.Err() == nil && reachable != (err == nil) {
 			reachable = err == nil
 			if reachable {
-				n.log.Info("state service reached again")
+				n.log.Info("key-value store reachable again")
 			} else {
-				n.log.Info("state service not reached, retrying", "err", err)
+				n.log.Info("key-value store unreachable, retrying", "err", err)
 			}
 		}
 		wait := interval
--- a/controller/heartbeat_forwarding.go
+++ b/controller/heartbeat_forwarding.go
@@ -23,7 +23,7 @@
 	}
 	a, err := lane.Forward(ctx, r)
 	if err != nil {
-		n.log.Debug("report not passed on", "machine", machine, "leader", leader, "err", err)
+		n.log.Debug("heartbeat not forwarded", "machine", machine, "leader", leader, "err", err)
 		n.countForwarding(func(c *forwardingCounts) { c.failed++ })
 		if !lane.Reachable() && ctx.Err() == nil && !n.workerHistory(machine).ReturnedFrom(leader) {
 			n.recordRedirect(machine, leader)
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -22,7 +22,7 @@
 	}
 	var r wire.Report
 	if err := wire.Unmarshal(body, &r); err != nil || r.Machine == "" || r.Session == 0 {
-		l.log.Info("malformed report", "err", err)
+		l.log.Info("malformed heartbeat", "err", err)
 		return newAnswer(http.StatusBadRequest, wire.Error{Error: "malformed report"}, 0)
 	}
 	if err := l.heartbeatLimiter.Acquire(ctx, l.node.workerLeaseLeft(r.Machine, agoS)); err != nil {
@@ -33,7 +33,7 @@
 	if r.Token > l.model.FencingToken {
 		l.mu.Unlock()
 		l.heartbeatLimiter.Release()
-		l.log.Info("a worker has seen a higher token", "machine", r.Machine, "token", r.Token)
+		l.log.Info("worker has seen a higher fencing token", "machine", r.Machine, "token", r.Token)
 		l.lease.Resign()
 		return redirectTo("")
 	}
--- a/controller/job_events.go
+++ b/controller/job_events.go
@@ -80,7 +80,7 @@
 	if e.Put != "" {
 		rec, err := jobstore.DecodeJobPage(e.Value)
 		if err != nil {
-			l.log.Error("unreadable page of jobs: the next leader mends it", "key", key, "err", err)
+			l.log.Error("unreadable job page, resigning for repair", "key", key, "err", err)
 			return false
 		}
 		pg.Record = rec
@@ -140,7 +140,7 @@
 		ev, err := l.node.kv.Watch(ctx, jobstore.JobPrefix, l.revision(), 8*time.Second)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
-			l.log.Info("the watch fell behind; beginning anew")
+			l.log.Info("watch fell behind, resigning")
 			l.lease.Resign()
 			return
 		case err != nil:
--- a/controller/leader_monitor.go
+++ b/controller/leader_monitor.go
@@ -34,9 +34,9 @@
 		}
 		switch n.leaderDetector.Record(name, err) {
 		case liveness.BecameSuspected:
-			n.log.Info("the leader does not answer this node", "leader", name, "err", err)
+			n.log.Info("leader unresponsive", "leader", name, "err", err)
 		case liveness.Recovered:
-			n.log.Info("the leader answers this node again", "leader", name)
+			n.log.Info("leader responsive again", "leader", name)
 			n.broadcastLeaderChange()
 		}
 		if n.leaderDetector.Suspected(name) {
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -112,7 +112,7 @@
 			return nil
 		}
 		if errors.Is(err, jobstore.ErrNewerSchema) {
-			l.log.Error("this node can't lead", "err", err)
+			l.log.Error("cannot lead, stored schema is newer", "err", err)
 			l.node.elector.Abstain(abstainOnNewerSchema)
 			l.lease.Resign()
 			return err
--- a/controller/load.go
+++ b/controller/load.go
@@ -100,7 +100,7 @@
 	for _, it := range entries {
 		var rec jobstore.RebalanceCycle
 		if err := wire.Unmarshal(it.Value, &rec); err != nil {
-			l.log.Error("unreadable record of moves: passed over", "key", it.Key, "err", err)
+			l.log.Error("unreadable rebalancing record skipped", "key", it.Key, "err", err)
 			continue
 		}
 		m.LoadRebalanceCycle(it.Key[len(jobstore.RebalanceCyclePrefix):], rec, now)
@@ -113,7 +113,7 @@
 	for _, it := range entries {
 		var rec jobstore.ScaleOutRecord
 		if err := wire.Unmarshal(it.Value, &rec); err != nil {
-			l.log.Error("unreadable record of a rental: passed over", "key", it.Key, "err", err)
+			l.log.Error("unreadable scale-out record skipped", "key", it.Key, "err", err)
 			continue
 		}
 		if at := time.UnixMilli(rec.AtMs); now.Sub(at) < rentalMemory {
@@ -130,7 +130,7 @@
 	}
 	var rec jobstore.ScaleInRecord
 	if err := wire.Unmarshal(entry.Value, &rec); err != nil {
-		l.log.Error("unreadable record of returns: machines that go may be given tasks", "key", entry.Key, "err", err)
+		l.log.Error("unreadable scale-in record, machines being returned may get tasks", "key", entry.Key, "err", err)
 	}
 	m.ResumeScaleIn(rec.Machines, now)
 }
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -28,7 +28,7 @@
 				}
 			}
 			if err != nil {
-				n.log.Info("machine types not read, retrying", "err", err)
+				n.log.Info("machine types not loaded, retrying", "err", err)
 			}
 		}
 		if len(types) > 0 {
--- a/controller/node.go
+++ b/controller/node.go
@@ -166,7 +166,7 @@
 		switch o.Kind {
 		case "wait", "finished", "deadline", "guarantee", "price", "cost":
 		default:
-			n.log.Info("an aim of a kind that this program does not know", "kind", o.Kind, "class", o.Class)
+			n.log.Info("unknown kind of service-level objective ignored", "kind", o.Kind, "class", o.Class)
 		}
 	}
 }
--- a/controller/operators_test.go
+++ b/controller/operators_test.go
@@ -69,7 +69,7 @@
 		}
 		told := false
 		for _, tr := range o.Troubles {
-			told = told || strings.Contains(tr.Text, "state service not reached")
+			told = told || strings.Contains(tr.Text, "key-value store unreachable")
 		}
 		if !told {
 			t.Errorf("its last troubles are %v", o.Troubles)
--- a/controller/plan_check.go
+++ b/controller/plan_check.go
@@ -96,7 +96,7 @@
 
 // rebalancingRejected is for a record of moves that was not committed.
 func (l *leadership) rebalancingRejected(ctx context.Context, group string, err error) {
-	l.log.Debug("cycle record", "group", group, "err", err)
+	l.log.Debug("rebalancing record not committed", "group", group, "err", err)
 	if conflictsOn(err, jobstore.PlanHeadKey) {
 		l.dropSupersededPlan(ctx)
 	}
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -42,7 +42,7 @@
 		}
 		list, err := l.node.cloud.List(ctx)
 		if err != nil {
-			l.log.Debug("machine list", "err", err)
+			l.log.Debug("machine list not read", "err", err)
 			call.Pause(ctx, time.Second)
 			continue
 		}
@@ -59,11 +59,11 @@
 // begun and placed tasks on them, unless it reads here that they go.
 func (l *leadership) scaleIn(ctx context.Context, names []string) {
 	if err := l.putOwnRecord(ctx, jobstore.ScaleInKey, jobstore.ScaleInRecord{Machines: names}); err != nil {
-		l.log.Debug("return record", "err", err)
+		l.log.Debug("scale-in record not committed", "err", err)
 		return
 	}
 	if err := l.node.cloud.Delete(ctx, names); err != nil {
-		l.log.Info("machines not returned, retrying", "count", len(names), "err", err)
+		l.log.Info("scale in failed, retrying", "count", len(names), "err", err)
 		call.Pause(ctx, time.Second)
 		return
 	}
@@ -110,7 +110,7 @@
 	l.mu.Unlock()
 	made, err := l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), byPlan, {Key: key}}, []wire.Op{{Put: key, Value: rec}})
 	if err != nil {
-		l.log.Debug("rental record", "err", err)
+		l.log.Debug("scale-out record not committed", "err", err)
 		return
 	}
 	names, err := l.node.cloud.Rent(ctx, wire.Rental{Request: bon, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count})
@@ -126,7 +126,7 @@
 	l.model.ScaledOut(o, names, now)
 	l.mu.Unlock()
 	if err != nil {
-		l.log.Info("rental refused", "request", bon, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", count, "err", err)
+		l.log.Info("scale out refused", "request", bon, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", count, "err", err)
 	}
 	op := wire.Op{Delete: key}
 	if len(names) > 0 {
@@ -134,6 +134,6 @@
 		op = wire.Op{Put: key, Value: rec}
 	}
 	if _, err := l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: key, Version: made}}, []wire.Op{op}); err != nil {
-		l.log.Debug("rental record", "err", err)
+		l.log.Debug("scale-out record not committed", "err", err)
 	}
 }
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -38,7 +38,7 @@
 		if l.lease.Valid() {
 			pass, ok := l.runPass(&lastRebalance)
 			if !ok {
-				l.log.Info("no worker reaches this leader: giving leadership up")
+				l.log.Info("no heartbeats reach this leader, resigning")
 				l.node.elector.Abstain(abstainAfterIsolation)
 				l.lease.Resign()
 				return
--- a/docs/analysis/split.py
+++ b/docs/analysis/split.py
@@ -26,9 +26,10 @@
     'exited': 'task exited',
     'recalled': 'unlaunched task revoked',
     'stopping': 'stopping task',
+    'rental refused': 'scale out refused',
 }
 ACTS = {'placed', 'task launch sent', 'task started', 'task exited', 'job accepted', 'job started', 'job completed', 'job tasks completed', 'stopping task',
-        'rental refused'}
+        'scale out refused'}
 
 
 def stamp(text):
--- a/metrics/troubles.go
+++ b/metrics/troubles.go
@@ -17,11 +17,11 @@
 
 // troubleMessages are the messages that count; errors always do.
 var troubleMessages = []string{
-	"process stalled", "machine silent past its lease", "no worker reaches this leader: giving leadership up",
-	"state service not reached, retrying", "state service reached again", "the leader does not answer this node",
-	"the leader answers this node again", "leadership ended", "elected", "job fails everywhere", "machine suspected",
-	"machine types not read, retrying", "machine late", "machines not returned, retrying", "lease valid again",
-	"records not loaded, retrying", "the watch fell behind; beginning anew",
+	"process stalled", "machine silent past its lease", "no heartbeats reach this leader, resigning",
+	"key-value store unreachable, retrying", "key-value store reachable again", "leader unresponsive",
+	"leader responsive again", "leadership ended", "elected", "job fails everywhere", "machine suspected",
+	"machine types not loaded, retrying", "machine late", "scale in failed, retrying", "lease valid again",
+	"records not loaded, retrying", "watch fell behind, resigning",
 }
 
 const troublesKept = 64
