--- a/jobstore/accept_test.go
+++ b/jobstore/accept_test.go
@@ -33,23 +33,23 @@
 }
 
 // runStores runs that many stores on one key-value store while play lasts.
-func runStores(t *testing.T, n int, s *fakeStore, play func(rs []*jobstore.Store)) {
+func runStores(t *testing.T, n int, s *fakeStore, play func(stores []*jobstore.Store)) {
 	t.Helper()
 	runStoresWith(t, n, s, jobstore.Config{Limits: limits}, play)
 }
 
 // runStoresWith is runStores with another configuration.
-func runStoresWith(t *testing.T, n int, s *fakeStore, config jobstore.Config, play func(rs []*jobstore.Store)) {
+func runStoresWith(t *testing.T, n int, s *fakeStore, config jobstore.Config, play func(stores []*jobstore.Store)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
-	var rs []*jobstore.Store
+	var stores []*jobstore.Store
 	for range n {
 		r := jobstore.New(s, config)
-		rs = append(rs, r)
+		stores = append(stores, r)
 		wg.Go(func() { r.Run(ctx) })
 	}
-	play(rs)
+	play(stores)
 	cancel()
 	wg.Wait()
 	s.wg.Wait()
@@ -108,11 +108,11 @@
 				}
 				told[id] = what
 			}
-			runStores(t, 7, s, func(rs []*jobstore.Store) {
+			runStores(t, 7, s, func(stores []*jobstore.Store) {
 				rnd := rand.New(rand.NewPCG(seed, 9))
 				var wg sync.WaitGroup
 				for n := range jobs {
-					for i, r := range rs {
+					for i, r := range stores {
 						again, j := rnd.IntN(3), job(n)
 						if n%4 == 0 && i%2 == 0 { // the same id, and too large to share a page
 							j.Types = []string{strings.Repeat("x", 5000)}
@@ -129,7 +129,7 @@
 							}
 						})
 					}
-					at, r := time.Duration(rnd.IntN(60))*time.Second, rs[rnd.IntN(len(rs))]
+					at, r := time.Duration(rnd.IntN(60))*time.Second, stores[rnd.IntN(len(stores))]
 					if n%3 == 0 {
 						wg.Go(func() {
 							time.Sleep(at)
@@ -161,7 +161,7 @@
 				wg.Wait()
 				time.Sleep(2 * time.Minute)
 				for n := range jobs {
-					for i, r := range rs {
+					for i, r := range stores {
 						v, found, err := r.Lookup(t.Context(), job(n).ID)
 						if err != nil || !found {
 							t.Errorf("seed %d: %d at node %d: %v, %v", seed, n, i, found, err)
@@ -182,17 +182,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
 		s.setSchema(1)
-		runStores(t, 3, s, func(rs []*jobstore.Store) {
+		runStores(t, 3, s, func(stores []*jobstore.Store) {
 			var wg sync.WaitGroup
 			for k := range 2 {
 				for n := range 150 {
 					wg.Go(func() {
 						time.Sleep(time.Duration(n/6+k) * time.Millisecond)
 						j := job(1000*k + n)
-						if known, ok := submit(t.Context(), rs[k], j); !ok || known {
+						if known, ok := submit(t.Context(), stores[k], j); !ok || known {
 							t.Errorf("%s: known %v, accepted %v", j.ID, known, ok)
 						}
-						v, found, err := rs[2].Lookup(t.Context(), j.ID)
+						v, found, err := stores[2].Lookup(t.Context(), j.ID)
 						if err != nil || !found || v.Record.Job.ID != j.ID || v.Record.Job.CPUs != j.CPUs {
 							t.Errorf("%s: found %v, %v, %v", j.ID, found, v.Record, err)
 						}
@@ -222,15 +222,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
 		s.setSchema(1)
-		runStores(t, 1, s, func(rs []*jobstore.Store) {
-			if known, ok := submit(t.Context(), rs[0], job(9999)); known || !ok {
+		runStores(t, 1, s, func(stores []*jobstore.Store) {
+			if known, ok := submit(t.Context(), stores[0], job(9999)); known || !ok {
 				t.Fatal("the first one")
 			}
 			s.changes = 0
 			var wg sync.WaitGroup
 			begun := time.Now()
 			for n := range 500 {
-				wg.Go(func() { submit(t.Context(), rs[0], job(n)) })
+				wg.Go(func() { submit(t.Context(), stores[0], job(n)) })
 			}
 			wg.Wait()
 			t.Logf("500 jobs: %d changes, %v", s.changes, time.Since(begun))
@@ -247,18 +247,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
 		s.setSchema(3)
-		runStores(t, 3, s, func(rs []*jobstore.Store) {
+		runStores(t, 3, s, func(stores []*jobstore.Store) {
 			var wg sync.WaitGroup
 			for n := range 90 {
-				wg.Go(func() { submit(t.Context(), rs[n%3], job(1000+n)) })
+				wg.Go(func() { submit(t.Context(), stores[n%3], job(1000+n)) })
 			}
 			wg.Wait()
 			time.Sleep(2 * closePageAfter)
 			for n := range 60 { // by which each bucket's head is closed
-				submit(t.Context(), rs[n%3], job(2000+n))
+				submit(t.Context(), stores[n%3], job(2000+n))
 				time.Sleep(time.Second)
 			}
-			for _, r := range rs {
+			for _, r := range stores {
 				if _, _, err := r.Lookup(t.Context(), "wk-999999"); err != nil {
 					t.Fatal(err)
 				}
@@ -266,7 +266,7 @@
 			s.changes = 0
 			for n := range 30 {
 				begun := time.Now()
-				if _, ok := submit(t.Context(), rs[n%3], job(n)); !ok || time.Since(begun) > 4*time.Millisecond {
+				if _, ok := submit(t.Context(), stores[n%3], job(n)); !ok || time.Since(begun) > 4*time.Millisecond {
 					t.Errorf("took %v", time.Since(begun))
 				}
 				time.Sleep(time.Second)
@@ -284,16 +284,16 @@
 func TestAcceptAfterSchemaWasRaisedUnnoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
-		runStores(t, 2, s, func(rs []*jobstore.Store) {
-			submit(t.Context(), rs[0], job(1))
-			submit(t.Context(), rs[1], job(2))
+		runStores(t, 2, s, func(stores []*jobstore.Store) {
+			submit(t.Context(), stores[0], job(1))
+			submit(t.Context(), stores[1], job(2))
 			for _, n := range []int{1, 2} {
 				if at := s.keysOf(job(n).ID); len(at) != 1 || at[0] != jobstore.JobKey(job(n).ID) {
 					t.Errorf("before: %v", at)
 				}
 			}
 			s.setSchema(3)
-			for i, r := range rs {
+			for i, r := range stores {
 				shared := 0
 				submitCrowd(t, r, 100*i+100)
 				for n := range 40 {
@@ -313,10 +313,10 @@
 			}
 			large := job(20)
 			large.Types = []string{strings.Repeat("x", 5000)}
-			if known, ok := submit(t.Context(), rs[0], large); known || !ok {
+			if known, ok := submit(t.Context(), stores[0], large); known || !ok {
 				t.Error("the large one was not accepted")
 			}
-			if known, ok := submit(t.Context(), rs[1], large); !known || !ok {
+			if known, ok := submit(t.Context(), stores[1], large); !known || !ok {
 				t.Error("the large one was accepted twice")
 			}
 			if at := s.keysOf(large.ID); len(at) != 1 || at[0] != jobstore.JobKey(large.ID) {
@@ -342,15 +342,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
 		s.setSchema(1)
-		runStores(t, 1, s, func(rs []*jobstore.Store) {
-			submitCrowd(t, rs[0], 100)
+		runStores(t, 1, s, func(stores []*jobstore.Store) {
+			submitCrowd(t, stores[0], 100)
 			large := job(1)
 			large.Types = []string{strings.Repeat("x", 5000)}
-			if known, ok := submit(t.Context(), rs[0], large); known || !ok {
+			if known, ok := submit(t.Context(), stores[0], large); known || !ok {
 				t.Error("the large one was not accepted")
 			}
-			submitCrowd(t, rs[0], 200)
-			if known, ok := submit(t.Context(), rs[0], job(1)); !known || !ok {
+			submitCrowd(t, stores[0], 200)
+			if known, ok := submit(t.Context(), stores[0], job(1)); !known || !ok {
 				t.Error("the smaller one was accepted as well")
 			}
 			if at := s.keysOf(job(1).ID); len(at) != 1 {
@@ -366,8 +366,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
 		s.setSchema(1)
-		runStores(t, 1, s, func(rs []*jobstore.Store) {
-			submitCrowd(t, rs[0], 100)
+		runStores(t, 1, s, func(stores []*jobstore.Store) {
+			submitCrowd(t, stores[0], 100)
 			over := map[string]bool{}
 			s.beforeAnswer = func(ops []wire.Op) {
 				for _, op := range ops {
@@ -379,19 +379,19 @@
 						over[e.ID] = s.finishJob(e.ID)
 					}
 				}
-				if _, _, err := rs[0].Lookup(t.Context(), "wk-999999"); err != nil {
+				if _, _, err := stores[0].Lookup(t.Context(), "wk-999999"); err != nil {
 					t.Error(err)
 				}
 			}
 			for n := range 6 {
-				submitCrowd(t, rs[0], 1000+100*n)
+				submitCrowd(t, stores[0], 1000+100*n)
 			}
 			s.beforeAnswer = nil
 			if len(over) < 20 {
 				t.Errorf("only %d were over", len(over))
 			}
 			for id := range over {
-				if v, found, err := rs[0].Lookup(t.Context(), id); err != nil || !found || v.Record.State != wire.JobDone {
+				if v, found, err := stores[0].Lookup(t.Context(), id); err != nil || !found || v.Record.State != wire.JobDone {
 					t.Errorf("%s: %v, %q, %v", id, found, v.Record.State, err)
 				}
 			}
@@ -404,11 +404,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
 		_, _ = s.apply(nil, []wire.Op{{Put: jobstore.SchemaKey, Value: jobstore.SchemaRecord{Version: jobstore.LatestSchema + 1, Buckets: 3}}})
-		runStores(t, 1, s, func(rs []*jobstore.Store) {
-			if _, _, err := rs[0].Lookup(t.Context(), "wk-000001"); !errors.Is(err, jobstore.ErrNewerSchema) {
+		runStores(t, 1, s, func(stores []*jobstore.Store) {
+			if _, _, err := stores[0].Lookup(t.Context(), "wk-000001"); !errors.Is(err, jobstore.ErrNewerSchema) {
 				t.Errorf("lookup: %v", err)
 			}
-			if _, err := rs[0].Accept(t.Context(), job(1), time.Now()); err == nil || errors.Is(err, kvstore.ErrOutcomeUnknown) {
+			if _, err := stores[0].Accept(t.Context(), job(1), time.Now()); err == nil || errors.Is(err, kvstore.ErrOutcomeUnknown) {
 				t.Errorf("accept: %v", err)
 			}
 			if len(s.keysOf("wk-000001")) != 0 {
@@ -431,16 +431,16 @@
 			{ID: job(1).ID, Record: good}, {ID: job(2).ID, Record: good}, {ID: job(3).ID, Record: wire.Raw{0xc0}}}}}})
 		var log bytes.Buffer
 		config := jobstore.Config{Limits: limits, Log: slog.New(slog.NewTextHandler(&log, nil))}
-		runStoresWith(t, 1, s, config, func(rs []*jobstore.Store) {
-			if v, found, err := rs[0].Lookup(t.Context(), job(1).ID); err != nil || !found || v.Record.Job.CPUs != 2.5 {
+		runStoresWith(t, 1, s, config, func(stores []*jobstore.Store) {
+			if v, found, err := stores[0].Lookup(t.Context(), job(1).ID); err != nil || !found || v.Record.Job.CPUs != 2.5 {
 				t.Errorf("the good one: %v, %v, %v", v, found, err)
 			}
 			for _, n := range []int{2, 3} {
-				if known, ok := submit(t.Context(), rs[0], job(n)); !known || !ok {
+				if known, ok := submit(t.Context(), stores[0], job(n)); !known || !ok {
 					t.Errorf("%d, which is damaged, was accepted anew", n)
 				}
 			}
-			if _, ok := submit(t.Context(), rs[0], job(4)); !ok {
+			if _, ok := submit(t.Context(), stores[0], job(4)); !ok {
 				t.Error("nothing is accepted beside damaged records")
 			}
 		})
@@ -533,7 +533,7 @@
 			}
 			return 1
 		}
-		runStoresWith(t, 1, s, jobstore.Config{Limits: limits, SubmissionTier: tierOf}, func(rs []*jobstore.Store) {
+		runStoresWith(t, 1, s, jobstore.Config{Limits: limits, SubmissionTier: tierOf}, func(stores []*jobstore.Store) {
 			var mu sync.Mutex
 			var order []string
 			var wg sync.WaitGroup
@@ -541,7 +541,7 @@
 				wg.Go(func() {
 					j := job(n)
 					j.Class = class
-					if _, ok := submit(t.Context(), rs[0], j); ok {
+					if _, ok := submit(t.Context(), stores[0], j); ok {
 						mu.Lock()
 						order = append(order, class)
 						mu.Unlock()
@@ -549,7 +549,7 @@
 				})
 				time.Sleep(time.Millisecond)
 			}
-			if _, _, err := rs[0].Lookup(t.Context(), "wk-000001"); err != nil {
+			if _, _, err := stores[0].Lookup(t.Context(), "wk-000001"); err != nil {
 				t.Fatal(err)
 			}
 			for n := range 120 {
--- a/jobstore/fakestore_test.go
+++ b/jobstore/fakestore_test.go
@@ -13,7 +13,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// fakeStore is a state service in memory that takes 3 ms, and of which a story can
+// fakeStore is a key-value store in memory that takes 3 ms, and of which a test can
 // have transactions applied late, or their answers lost.
 type fakeStore struct {
 	rnd                  *rand.Rand
--- a/jobstore/index_test.go
+++ b/jobstore/index_test.go
@@ -18,13 +18,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(3)
 		s.setSchema(3)
-		runStores(t, 3, s, func(rs []*jobstore.Store) {
+		runStores(t, 3, s, func(stores []*jobstore.Store) {
 			rnd := rand.New(rand.NewPCG(3, 31))
 			var wg sync.WaitGroup
 			n, most := 0, 0
 			come := func() {
 				n++
-				j, r, cancels, lasts := job(n), rs[n%3], rnd.IntN(4) == 0, time.Duration(rnd.IntN(4000))*time.Millisecond
+				j, r, cancels, lasts := job(n), stores[n%3], rnd.IntN(4) == 0, time.Duration(rnd.IntN(4000))*time.Millisecond
 				wg.Go(func() {
 					if _, ok := submit(t.Context(), r, j); !ok {
 						t.Errorf("%s was not accepted", j.ID)
@@ -39,7 +39,7 @@
 							time.Sleep(100 * time.Millisecond)
 						}
 					}
-					for _, o := range rs {
+					for _, o := range stores {
 						if _, found, err := o.Lookup(t.Context(), j.ID); err != nil || !found {
 							t.Errorf("%s, which is over: found %v, %v", j.ID, found, err)
 						}
@@ -58,7 +58,7 @@
 					}
 				}
 				time.Sleep(250 * time.Millisecond)
-				for _, r := range rs {
+				for _, r := range stores {
 					most = max(most, r.Retained()["jobs"])
 					full = max(full, r.Retained()["job pages"]-3)
 				}
@@ -67,7 +67,7 @@
 			if most < 20 || most > 400 || full < 1 {
 				t.Errorf("at most %d unfinished jobs were known, and %d full pages", most, full)
 			}
-			for i, r := range rs {
+			for i, r := range stores {
 				for range 2 { // barriers bring what the others did
 					_, _, _ = r.Lookup(t.Context(), "wk-999999")
 				}
--- a/jobstore/lookup_test.go
+++ b/jobstore/lookup_test.go
@@ -47,12 +47,12 @@
 					}
 				}
 				order := func(id string) float64 { return float64(id[len(id)-1]) }
-				runStoresWith(t, 1, s, jobstore.Config{Limits: limits, FinalReadOrder: order}, func(rs []*jobstore.Store) {
+				runStoresWith(t, 1, s, jobstore.Config{Limits: limits, FinalReadOrder: order}, func(stores []*jobstore.Store) {
 					var wg sync.WaitGroup
 					for i := range c.asked {
 						wg.Go(func() {
 							n := i * (c.over / c.asked)
-							v, found, err := rs[0].Lookup(t.Context(), job(n).ID)
+							v, found, err := stores[0].Lookup(t.Context(), job(n).ID)
 							if err != nil || found != (n%5 > 0) || found && (v.Record.State != ends[n%2] || v.Version != 0) {
 								t.Errorf("%d is %q, found %v, %v", n, v.Record.State, found, err)
 							}
@@ -79,9 +79,9 @@
 		for n := range jobs {
 			s.overwrite(jobstore.JobKey(job(n).ID), mustMarshal(t, finalRecord(job(n), "")))
 		}
-		runStores(t, 3, s, func(rs []*jobstore.Store) {
+		runStores(t, 3, s, func(stores []*jobstore.Store) {
 			time.AfterFunc(5*time.Second, func() { s.finishJob(job(0).ID) })
-			for i, r := range rs {
+			for i, r := range stores {
 				at := time.Now()
 				var err error
 				var v jobstore.JobStatus
@@ -128,8 +128,8 @@
 			}
 			bad[0] = 0xc1 // which nothing begins with
 			s.overwrite(key, bad)
-			runStores(t, 1, s, func(rs []*jobstore.Store) {
-				r, cancelled := rs[0], ""
+			runStores(t, 1, s, func(stores []*jobstore.Store) {
+				r, cancelled := stores[0], ""
 				for n := range jobs + strangers {
 					v, found, err := r.Lookup(t.Context(), job(n).ID)
 					switch {
@@ -187,8 +187,8 @@
 			}
 			raw[0] = 0xc1
 			s.overwrite(jobstore.FinalKey(job(1).ID), raw)
-			runStores(t, 1, s, func(rs []*jobstore.Store) {
-				v, found, err := rs[0].Lookup(t.Context(), job(1).ID)
+			runStores(t, 1, s, func(stores []*jobstore.Store) {
+				v, found, err := stores[0].Lookup(t.Context(), job(1).ID)
 				switch {
 				case found && v.Record.State == how && v.Version == 0:
 					read++
--- a/jobstore/tasks.go
+++ b/jobstore/tasks.go
@@ -80,11 +80,6 @@
 // TaskOutcomes says how tasks ended, in its stored form: task, outcome, task, outcome.
 type TaskOutcomes []int
 
-// Append adds how a task ended.
-func (o TaskOutcomes) Append(task int, outcome TaskOutcome) TaskOutcomes {
-	return append(o, task, int(outcome))
-}
-
 // All yields each task and how it ended.
 func (o TaskOutcomes) All() iter.Seq2[int, TaskOutcome] {
 	return func(yield func(task int, outcome TaskOutcome) bool) {
