--- a/cmd/umberdeal/main.go
+++ b/cmd/umberdeal/main.go
@@ -149,7 +149,7 @@
 		if err != nil {
 			return err
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }() // only read: there is nothing to lose
 		in = f
 	}
 	job, err := readJSON(in)
--- a/cmd/umberdeal/plan.go
+++ b/cmd/umberdeal/plan.go
@@ -53,7 +53,7 @@
 		if err != nil {
 			return "", nil, err
 		}
-		defer f.Close()
+		defer func() { _ = f.Close() }() // only read: there is nothing to lose
 		in = f
 	}
 	text, err := io.ReadAll(io.LimitReader(in, plan.MaxBytes+1))
--- a/cmd/umberdeal/state.go
+++ b/cmd/umberdeal/state.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return h, nil, err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // only read: there is nothing to lose
 	r, err := snapshot.NewReader(f)
 	if err != nil {
 		return h, nil, fmt.Errorf("%s: %w", name, err)
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// Do sends in (nil: no body) and returns the status and the body, at most max
+// Do sends in (nil: no body) and returns the status and the body, at most limit
 // bytes of it.
-func Do(ctx context.Context, c *http.Client, method, url string, in any, max int64) (int, []byte, error) {
+func Do(ctx context.Context, c *http.Client, method, url string, in any, limit int64) (int, []byte, error) {
 	var body io.Reader
 	if in != nil {
 		b, err := wire.Marshal(in)
@@ -64,12 +64,12 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	out, err := io.ReadAll(io.LimitReader(resp.Body, max+1))
+	out, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s %s: %w", method, url, err)
 	}
-	if int64(len(out)) > max {
-		return 0, nil, fmt.Errorf("%s %s: answer over %d bytes", method, url, max)
+	if int64(len(out)) > limit {
+		return 0, nil, fmt.Errorf("%s %s: answer over %d bytes", method, url, limit)
 	}
 	return resp.StatusCode, out, nil
 }
--- a/internal/cmd/devcluster/main.go
+++ b/internal/cmd/devcluster/main.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	if err := toml.NewEncoder(f).Encode(s); err != nil {
-		f.Close()
+		_ = f.Close() // what failed to be written says more
 		return err
 	}
 	if err := f.Close(); err != nil {
--- a/internal/cmd/yarntrial/main.go
+++ b/internal/cmd/yarntrial/main.go
@@ -145,7 +145,7 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // a node that finds half of it refuses to start
 	if err := toml.NewEncoder(f).Encode(s); err != nil {
 		return err
 	}
@@ -164,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close()
+	defer func() { _ = log.Close() }() // nothing is written here: the process has its own copy
 	cmd := exec.Command(t.Program, "--config", filepath.Join(t.Dir, name+".toml"), "--yarn", filepath.Join(t.Dir, name+"-yarn.toml"))
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -128,7 +128,7 @@
 	srv := &http.Server{Handler: m}
 	m.w.wg.Add(1)
 	go func() { defer m.w.wg.Done(); _ = srv.Serve(l) }()
-	defer srv.Close()
+	defer func() { _ = srv.Close() }() // the machine is gone: its listener too
 	defer m.hc.CloseIdleConnections()
 	m.w.mu.Lock()
 	m.renewed = time.Now()
@@ -233,7 +233,7 @@
 		hung, changed := m.hung, m.dirty
 		m.w.mu.Unlock()
 		since := time.Since(last)
-		if hung || since < interval && !(changed && since >= 500*time.Millisecond) {
+		if hung || since < interval && (!changed || since < 500*time.Millisecond) {
 			if !call.Pause(m.ctx, stepEvery) {
 				return
 			}
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -146,7 +146,7 @@
 		c.cut()
 	}
 	for _, l := range ls {
-		l.Close()
+		_ = l.Close() // never fails
 	}
 }
 
@@ -208,8 +208,8 @@
 		a, b := net.Pipe()
 		ca, cb := n.end(a, from, host(addr), from), n.end(b, from, host(addr), host(addr))
 		if !n.take(from, host(addr), ca, cb) {
-			ca.Close()
-			cb.Close()
+			_ = ca.Close() // never fails
+			_ = cb.Close()
 			return nil, fmt.Errorf("dial %s: %w", addr, errRefused)
 		}
 		select {
@@ -218,8 +218,8 @@
 		case <-l.closed:
 		case <-ctx.Done():
 		}
-		ca.Close()
-		cb.Close()
+		_ = ca.Close() // never fails
+		_ = cb.Close()
 		return nil, fmt.Errorf("dial %s: %w", addr, errRefused)
 	}
 }
@@ -400,7 +400,7 @@
 		}
 		delete(c.n.conns, c)
 		c.n.mu.Unlock()
-		_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // fails only where the other end is closed
+		_ = c.SetReadDeadline(time.Unix(1, 0)) // fails only where the other end is closed
 	})
 	return nil
 }
--- a/internal/scenario/subprocess.go
+++ b/internal/scenario/subprocess.go
@@ -93,7 +93,7 @@
 				again := err != nil && try < apartTries && detectorEnded(exe, text)
 				mu.Lock()
 				if err != nil || testing.Verbose() {
-					out.Write(text)
+					_, _ = out.Write(text) // the standard output: the exit code says it all the same
 				}
 				if again {
 					fmt.Fprintf(out, "%s: ended within the race detector, begun again\n", name)
@@ -148,7 +148,7 @@
 	if err != nil {
 		return false
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // only read
 	symbols, err := f.Symbols()
 	return err == nil && within(symbols, pc)
 }
--- a/modelcheck/commands.go
+++ b/modelcheck/commands.go
@@ -83,5 +83,5 @@
 	k := w.workers[i]
 	at := slices.IndexFunc(k.tasks, func(t *task) bool { return t.state == wire.TaskFetching })
 	w.errors++
-	w.exit(k, k.tasks[at], wire.WhyNoRoom)
+	w.exit(k.tasks[at], wire.WhyNoRoom)
 }
--- a/modelcheck/world.go
+++ b/modelcheck/world.go
@@ -554,7 +554,7 @@
 			}
 		case wire.OpStop:
 			if at >= 0 && k.tasks[at].state != wire.TaskExited {
-				w.exit(k, k.tasks[at], wire.WhyStopped)
+				w.exit(k.tasks[at], wire.WhyStopped)
 			}
 		case wire.OpForget:
 			if at >= 0 && k.tasks[at].state == wire.TaskExited {
@@ -630,7 +630,7 @@
 	j := &w.sc.Jobs[t.job]
 	w.checkStart(k, t)
 	if w.completed[t.name] {
-		w.exit(k, t, wire.WhyDone) // its result is kept
+		w.exit(t, wire.WhyDone) // its result is kept
 		return
 	}
 	t.state = wire.TaskRunning
@@ -658,20 +658,20 @@
 	k := w.workers[i]
 	t := k.tasks[slices.IndexFunc(k.tasks, func(t *task) bool { return t.state == wire.TaskRunning })]
 	if w.sc.Jobs[t.job].Kind != wire.KindGang {
-		w.exit(k, t, wire.WhyDone)
+		w.exit(t, wire.WhyDone)
 		return
 	}
 	for _, o := range w.workers {
 		for _, p := range o.tasks {
 			if p.job == t.job && p.attempt == t.attempt && p.state == wire.TaskRunning {
-				w.exit(o, p, wire.WhyDone)
+				w.exit(p, wire.WhyDone)
 			}
 		}
 	}
 }
 
 // exit ends a task. What is left of a gang that ran ends with it.
-func (w *World) exit(k *worker, t *task, why string) {
+func (w *World) exit(t *task, why string) {
 	ran := t.state == wire.TaskRunning
 	t.state, t.why = wire.TaskExited, why
 	if why == wire.WhyDone {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -188,9 +188,9 @@
 		return n
 	}
 	t := teams[r.Team]
-	limit := func(need, used, max float64) {
-		if max > 0 && need > 0 {
-			n = min(n, int((max-used+eps)/need))
+	limit := func(need, used, most float64) {
+		if most > 0 && need > 0 {
+			n = min(n, int((most-used+eps)/need))
 		}
 	}
 	limit(r.Need.CPU, t.Used.CPU, t.Max.CPU)
--- a/placement/rent.go
+++ b/placement/rent.go
@@ -36,7 +36,7 @@
 		p.plan.Rent[best]++
 		idx := len(p.in.Machines) - 1
 		n := 0
-		for n < len(tasks) && r.Need.Fits(p.in.Machines[idx].Free) && !(r.SpreadMax > 0 && r.ZoneUsed[o.Zone] >= r.SpreadMax) {
+		for n < len(tasks) && r.Need.Fits(p.in.Machines[idx].Free) && (r.SpreadMax <= 0 || r.ZoneUsed[o.Zone] < r.SpreadMax) {
 			p.book(r, idx, 1)
 			n++
 		}
--- a/placement/search.go
+++ b/placement/search.go
@@ -114,7 +114,7 @@
 		if v.n > n || v.zone >= 0 && v.zone != zone || r.Spot && !o.Spot || !o.Need.Fits(r.Need) {
 			continue
 		}
-		if md == byStopping && (o.Priority > r.Priority || r.Within && !(o.Within && o.Team == r.Team)) {
+		if md == byStopping && (o.Priority > r.Priority || r.Within && (!o.Within || o.Team != r.Team)) {
 			continue
 		}
 		if slices.Equal(o.Types, r.Types) && slices.Equal(o.Pools, r.Pools) {
@@ -214,7 +214,7 @@
 		if !r.Need.Fits(room(m, md)) || !p.usable(m, i, r, md) || zone >= 0 && m.Zone != zone {
 			return 0, false
 		}
-		return cost(m, r, room(m, md)), !(r.SpreadMax > 0 && r.ZoneUsed[m.Zone] >= r.SpreadMax)
+		return cost(m, r, room(m, md)), r.SpreadMax <= 0 || r.ZoneUsed[m.Zone] < r.SpreadMax
 	}
 	take := func(i int, t int32, c float64) {
 		got = append(got, Start{Task: t, Machine: i, Room: p.in.Machines[i].Free})
--- a/rebalance/rebalance.go
+++ b/rebalance/rebalance.go
@@ -58,8 +58,8 @@
 }
 
 // score is booked over capacity, for a policy.
-func score(p *Policy, cap, used placement.Res) float64 {
-	c := p.of(cap)
+func score(p *Policy, capacity, used placement.Res) float64 {
+	c := p.of(capacity)
 	if c <= 0 {
 		return 0
 	}
@@ -87,10 +87,10 @@
 	return combined, above
 }
 
-func (g *Group) weight(cap, r placement.Res) float64 {
+func (g *Group) weight(capacity, r placement.Res) float64 {
 	sum := 0.0
 	for i := range g.Policies {
-		sum += g.Policies[i].Weight * score(&g.Policies[i], cap, r)
+		sum += g.Policies[i].Weight * score(&g.Policies[i], capacity, r)
 	}
 	return sum
 }
@@ -192,10 +192,10 @@
 }
 
 // under says whether every projected score keeps to its capacity threshold.
-func (g *Group) under(cap, used placement.Res) bool {
+func (g *Group) under(capacity, used placement.Res) bool {
 	for i := range g.Policies {
 		p := &g.Policies[i]
-		if score(p, cap, used) > p.CapacityThreshold+1e-9 {
+		if score(p, capacity, used) > p.CapacityThreshold+1e-9 {
 			return false
 		}
 	}
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -66,7 +66,7 @@
 	}
 	m, err := decodeFields(body)
 	if err != nil {
-		return Job{ID: salvageID(body)}, fmt.Errorf("%w: not a MessagePack map with text keys: %v", ErrMalformed, err)
+		return Job{ID: salvageID(body)}, fmt.Errorf("%w: not a MessagePack map with text keys: %w", ErrMalformed, err)
 	}
 	f := fields{m: m}
 	var j Job
--- a/yarn/master.go
+++ b/yarn/master.go
@@ -537,18 +537,18 @@
 // that this service does not trade room for; otherwise the named nodes or racks
 // are the only ones.
 func (d *Door) locate(ctx context.Context, ws []wants) ([]wants, error) {
-	var any *wants
+	var anywhere *wants
 	var named []wants
 	for i := range ws {
 		if ws[i].Name == "*" || ws[i].Name == "" {
-			any = &ws[i]
+			anywhere = &ws[i]
 		} else {
 			named = append(named, ws[i])
 		}
 	}
-	if any != nil && (any.Relax || len(named) == 0) {
-		any.Name = "*"
-		return []wants{*any}, nil
+	if anywhere != nil && (anywhere.Relax || len(named) == 0) {
+		anywhere.Name = "*"
+		return []wants{*anywhere}, nil
 	}
 	if len(named) == 0 {
 		return nil, nil
@@ -583,7 +583,7 @@
 // adjust reserves what is wanted beyond what waits, or gives back what waits
 // beyond what is wanted.
 func (d *Door) adjust(ctx context.Context, a *app, v *view, s *session, w wants) error {
-	tag := w.ask.tag()
+	tag := w.tag()
 	have := 0
 	var mine []*jobstore.ReservedJob
 	for i := range v.jobs {
--- a/yarn/wire/client.go
+++ b/yarn/wire/client.go
@@ -96,7 +96,7 @@
 	defer c.wmu.Unlock()
 	_ = c.c.SetWriteDeadline(time.Now().Add(openFor)) // fails only where the connection is closed
 	if _, err := c.c.Write(b); err != nil {
-		return fmt.Errorf("%w: %v", ErrLost, err)
+		return fmt.Errorf("%w: %w", ErrLost, err)
 	}
 	return nil
 }
@@ -108,7 +108,7 @@
 		}
 		f, err := ReadFrame(c.c, c.limit)
 		if err != nil {
-			return nil, fmt.Errorf("%w: %v", ErrLost, err)
+			return nil, fmt.Errorf("%w: %w", ErrLost, err)
 		}
 		rest := bytes.NewReader(f)
 		if _, err := header(rest); err != nil {
@@ -158,7 +158,7 @@
 	for {
 		f, err := ReadFrame(c.c, c.limit)
 		if err != nil {
-			c.end(fmt.Errorf("%w: %v", ErrLost, err))
+			c.end(fmt.Errorf("%w: %w", ErrLost, err))
 			return
 		}
 		rest := bytes.NewReader(f)
@@ -222,7 +222,7 @@
 		c.mu.Lock()
 		delete(c.calls, id)
 		c.mu.Unlock()
-		return fmt.Errorf("%w: %v", ErrLost, ctx.Err())
+		return fmt.Errorf("%w: %w", ErrLost, ctx.Err())
 	}
 }
 
--- a/yarn/wire/frame.go
+++ b/yarn/wire/frame.go
@@ -80,7 +80,8 @@
 // kept, and no error.
 func part(rest *bytes.Reader, m proto.Message) error {
 	if err := (protodelim.UnmarshalOptions{MaxSize: int64(rest.Len())}).UnmarshalFrom(rest, m); err != nil {
-		return fmt.Errorf("%w: %s: %v", ErrFrame, m.ProtoReflect().Descriptor().Name(), err)
+		// A message that ends too soon is malformed, and no end of its connection.
+		return fmt.Errorf("%w: %s: %v", ErrFrame, m.ProtoReflect().Descriptor().Name(), err) //nolint:errorlint // callers ask for io.EOF
 	}
 	return nil
 }
--- a/yarn/wire/sasl.go
+++ b/yarn/wire/sasl.go
@@ -125,7 +125,7 @@
 		if !errors.As(err, &e) {
 			return nil, nil, err // not known yet: no word on the token
 		}
-		return nil, nil, fmt.Errorf("%w: %v", ErrAuth, err)
+		return nil, nil, fmt.Errorf("%w: %v", ErrAuth, err) //nolint:errorlint // ErrAuth is what is answered, not the class of the cause
 	}
 	pw := base64.StdEncoding.EncodeToString(pass)
 	want := digest("AUTHENTICATE", d["username"], saslRealm, pw, nonce, d["cnonce"], d["nc"], saslURI)
