--- a/jobstore/encoding_test.go
+++ b/jobstore/encoding_test.go
@@ -44,7 +44,7 @@
 	f := golden.Open(t, "arrays.golden")
 	for label, v := range map[string]any{
 		"placement":        Placement{Task: 3, Attempt: 5, Machine: "host-7"},
-		"record set aside": QuarantinedPage{Mark: asideMark, OriginalKey: "w/j/+2", OriginalVersion: 9, QuarantinedAtMs: 11, Raw: wire.Raw("\xa3raw")},
+		"record set aside": QuarantinedPage{Mark: quarantineMark, OriginalKey: "w/j/+2", OriginalVersion: 9, QuarantinedAtMs: 11, Raw: wire.Raw("\xa3raw")},
 	} {
 		raw, err := wire.Marshal(v)
 		if err != nil {
