--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -33,7 +33,6 @@
 type failureHistory struct {
 	machines map[int32]bool // machines on which a task failed by itself
 	proven   bool           // a task has completed or lasted
-	logged   bool           // the operator has been told
 	round    int
 }
 
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -73,13 +73,32 @@
 	// Stops come first: an answer renews the worker's lease, so that a task which it
 	// should have stopped and did not may stay for another lease.
 	out := m.stopCommands(mc, r)
+	out, full := m.addForgets(out, mc, r)
+	if full {
+		return out
+	}
+	out, full = m.addLaunches(out, mc, r, now)
+	if full {
+		return out
+	}
+	if mc.unreachable() && mc.TokenShown {
+		if c, ok := m.reachabilityProbe(mc); ok {
+			out = append(out, c)
+		}
+	}
+	return out
+}
+
+// addForgets tells the worker to forget the exits whose outcome is committed. full says
+// that the answer holds no more.
+func (m *Model) addForgets(out []wire.Command, mc *Machine, r *wire.Report) (cmds []wire.Command, full bool) {
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		if t.State != wire.TaskExited {
 			continue
 		}
 		if len(out) >= maxCommands {
-			return out
+			return out, true
 		}
 		e := mc.reportedExits[exitKey{t.Task, t.Attempt}]
 		if e != nil {
@@ -96,9 +115,15 @@
 		mc.reachability.forgetSent(exitKey{t.Task, t.Attempt})
 		out = append(out, wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
 	}
+	return out, false
+}
+
+// addLaunches launches what is placed on the machine and committed, and notes it as sent
+// with this answer. full says that the answer holds no more.
+func (m *Model) addLaunches(out []wire.Command, mc *Machine, r *wire.Report, now time.Time) (cmds []wire.Command, full bool) {
 	for ref := range mc.Tasks {
 		if len(out) >= maxCommands {
-			return out
+			return out, true
 		}
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
@@ -110,12 +135,7 @@
 			m.log.Debug("task launch sent", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
 		}
 	}
-	if mc.unreachable() && mc.TokenShown {
-		if c, ok := m.reachabilityProbe(mc); ok {
-			out = append(out, c)
-		}
-	}
-	return out
+	return out, false
 }
 
 // placementOf is the place of a task that a report lists, nil where that attempt has none
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -56,7 +56,7 @@
 func groupName(typ, zone string) string { return zone + "/" + typ }
 
 // moveTargets says where moved tasks of a job should start.
-func (m *Model) moveTargets(j *Job, tasks []int32, fwd map[int]int) map[int32]int {
+func (m *Model) moveTargets(j *Job, fwd map[int]int) map[int32]int {
 	if j.Gang() {
 		return nil
 	}
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -9,6 +9,22 @@
 
 // reconcile compares a newer report with what the model has on the machine.
 func (m *Model) reconcile(mc *Machine, r *wire.Report, now time.Time) {
+	listed := m.applyListedTasks(mc, r, now)
+	if !mc.TokenShown {
+		// An answer of an earlier leader may still be on its way to a worker
+		// that has not shown this leader's token: absence proves nothing.
+		return
+	}
+	for ref := range mc.Tasks {
+		if !listed[ref] {
+			m.applyAbsence(mc, ref, r, now)
+		}
+	}
+}
+
+// applyListedTasks takes in what a report says of each task that it lists, and returns
+// those that are placed on the machine.
+func (m *Model) applyListedTasks(mc *Machine, r *wire.Report, now time.Time) map[TaskRef]bool {
 	listed := make(map[TaskRef]bool, len(r.Tasks))
 	named := make(map[exitKey]bool, len(r.Tasks))
 	mc.orphaned = placement.Res{}
@@ -49,39 +65,35 @@
 			delete(mc.reportedExits, k)
 		}
 	}
-	if !mc.TokenShown {
-		// An answer of an earlier leader may still be on its way to a worker
-		// that has not shown this leader's token: absence proves nothing.
+	return listed
+}
+
+// applyAbsence takes in that a report does not list a task that is placed on its machine:
+// it was not launched, its launch was lost, or it is gone.
+func (m *Model) applyAbsence(mc *Machine, ref TaskRef, r *wire.Report, now time.Time) {
+	j := m.Jobs[ref.Job]
+	p := j.Tasks[ref.Task].Placement
+	switch {
+	case p.Inherited && p.Stop == nil && j.reservation != nil && r.Session == 1:
+		// No lease of this worker has ever ended, and what it once had it
+		// lists until its outcome is committed: the launch never reached it.
+		p.Inherited, p.LaunchSent = false, false
 		return
-	}
-	for ref := range mc.Tasks {
-		if listed[ref] {
-			continue
-		}
-		j := m.Jobs[ref.Job]
-		p := j.Tasks[ref.Task].Placement
-		switch {
-		case p.Inherited && p.Stop == nil && j.reservation != nil && r.Session == 1:
-			// No lease of this worker has ever ended, and what it once had it
-			// lists until its outcome is committed: the launch never reached it.
-			p.Inherited, p.LaunchSent = false, false
-			continue
-		case p.Inherited:
-		case !p.LaunchSent:
-			continue // not launched yet
-		case p.LaunchEpoch == r.Session && p.LaunchSeq >= r.Seq:
-			continue
-		case p.LaunchEpoch == r.Session && p.ReportedState == notReported && p.Stop == nil:
-			// The answer with the launch was lost, and cannot be executed any
-			// more, since the worker has sent another report.
-			p.LaunchSent = false
-			if (heartbeatID{p.LaunchEpoch, p.LaunchSeq}) != mc.reachability.answeredTwice {
-				m.markUnreachable(mc, "launch", now)
-			}
-			continue
+	case p.Inherited:
+	case !p.LaunchSent:
+		return // not launched yet
+	case p.LaunchEpoch == r.Session && p.LaunchSeq >= r.Seq:
+		return
+	case p.LaunchEpoch == r.Session && p.ReportedState == notReported && p.Stop == nil:
+		// The answer with the launch was lost, and cannot be executed any
+		// more, since the worker has sent another report.
+		p.LaunchSent = false
+		if (heartbeatID{p.LaunchEpoch, p.LaunchSeq}) != mc.reachability.answeredTwice {
+			m.markUnreachable(mc, "launch", now)
 		}
-		m.taskLost(j, ref.Task, "not on its machine", now)
+		return
 	}
+	m.taskLost(j, ref.Task, "not on its machine", now)
 }
 
 // applyTaskState takes in what a report says of a task that is placed there.
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -48,23 +48,7 @@
 		if mc.Gone || mc.ScalingIn {
 			continue
 		}
-		why := ""
-		listed := !mc.CloudStateAt.IsZero() && now.Sub(mc.CloudStateAt) < time.Minute
-		switch {
-		case len(mc.Tasks) > 0 || mc.orphaned != (placement.Res{}):
-		case mc.CloudState == failedState && listed && !mc.Up:
-			why = "failed"
-		case !mc.Up && mc.AgentEpoch == 0 && mc.Type >= 0 && now.Sub(mc.Created) > m.bootLimit(mc) && (listed || mc.RequestedHere) && now.Sub(m.ElectedAt) > 20*time.Second:
-			why = reasonNeverUp
-		case !mc.Up && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseEnd(mc)) > 40*time.Second:
-			why = "silent"
-		case mc.Up && mc.TokenShown && m.releasedByPool(mc):
-			why = "pool"
-		case mc.Up && mc.TokenShown && now.Sub(mc.IdleSince) > idle && now.Sub(mc.headroomAt) > idle && now.Sub(m.ElectedAt) > 30*time.Second && !m.keptByPool(mc):
-			why = "idle"
-		case m.unreachableTooLong(mc, now) && now.Sub(m.ElectedAt) > 30*time.Second:
-			why = "mute"
-		}
+		why := m.scaleInReason(mc, now, idle)
 		if why != "" {
 			mc.ScalingIn = true
 			m.log.Info("scaling in machine", "machine", mc.Name, "why", why)
@@ -76,3 +60,24 @@
 	}
 	return out
 }
+
+// scaleInReason says why a machine is to be deleted; empty where it stays.
+func (m *Model) scaleInReason(mc *Machine, now time.Time, idle time.Duration) string {
+	listed := !mc.CloudStateAt.IsZero() && now.Sub(mc.CloudStateAt) < time.Minute
+	switch {
+	case len(mc.Tasks) > 0 || mc.orphaned != (placement.Res{}):
+	case mc.CloudState == failedState && listed && !mc.Up:
+		return "failed"
+	case !mc.Up && mc.AgentEpoch == 0 && mc.Type >= 0 && now.Sub(mc.Created) > m.bootLimit(mc) && (listed || mc.RequestedHere) && now.Sub(m.ElectedAt) > 20*time.Second:
+		return reasonNeverUp
+	case !mc.Up && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseEnd(mc)) > 40*time.Second:
+		return "silent"
+	case mc.Up && mc.TokenShown && m.releasedByPool(mc):
+		return "pool"
+	case mc.Up && mc.TokenShown && now.Sub(mc.IdleSince) > idle && now.Sub(mc.headroomAt) > idle && now.Sub(m.ElectedAt) > 30*time.Second && !m.keptByPool(mc):
+		return "idle"
+	case m.unreachableTooLong(mc, now) && now.Sub(m.ElectedAt) > 30*time.Second:
+		return "mute"
+	}
+	return ""
+}
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -58,7 +58,7 @@
 			}
 			r.Avoid = avoid
 		}
-		r.Prefer = m.moveTargets(reqs[k].j, r.Tasks, fwd)
+		r.Prefer = m.moveTargets(reqs[k].j, fwd)
 		r.Pools = m.poolAccess(reqs[k].j)
 		in.Requests = append(in.Requests, r)
 	}
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -67,7 +67,7 @@
 	m.finishOnlyAttempt(j, task, how, now)
 	m.rememberExit(j, task, mc, t)
 	m.quarantineFailedMove(ref, failed, now)
-	m.afterGangLoss(j, task, now)
+	m.afterGangLoss(j, now)
 }
 
 // applyUnplacedExit takes in an exit that the model has no place for: the outcome is
@@ -91,13 +91,13 @@
 	m.removePlacement(j, task, now)
 	m.finishOnlyAttempt(j, task, jobstore.OutcomeLost, now)
 	m.quarantineFailedMove(TaskRef{Job: j.Index, Task: task}, "", now)
-	m.afterGangLoss(j, task, now)
+	m.afterGangLoss(j, now)
 }
 
 // afterGangLoss goes on after a gang lost a task. A gang that has not started keeps
 // waiting, and a replacement with the same attempt completes it; what is left
 // of one that ran is stopped, unless it is saving.
-func (m *Model) afterGangLoss(j *Job, task int32, now time.Time) {
+func (m *Model) afterGangLoss(j *Job, now time.Time) {
 	if !j.Gang() {
 		return
 	}
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -48,7 +48,7 @@
 }
 
 // removePlacement takes in that a task is certainly on no machine.
-func (m *Model) removePlacement(j *Job, task int32, now time.Time) *Placement {
+func (m *Model) removePlacement(j *Job, task int32, now time.Time) {
 	t := &j.Tasks[task]
 	p := t.Placement
 	mc := m.Machines[p.Machine]
@@ -76,7 +76,6 @@
 		j.cursor = int(task)
 	}
 	m.changeChunk(j, task)
-	return p
 }
 
 func (m *Model) markDone(j *Job, task int32, now time.Time) {
