--- a/controller/committer.go
+++ b/controller/committer.go
@@ -16,7 +16,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file writes the leader's records.
+// This file writes the leader's records behind the model, each under the fencing token.
 
 // leaderGuard is the condition of every write: this leadership still stands.
 func (l *leadership) leaderGuard() wire.Guard {
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -12,10 +12,11 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is the workers' door; where each of them belongs is decided in
-// package routing, and what a leader answers in answers.go.
+// This file serves workers' heartbeats over HTTP. Where each worker belongs is decided
+// in package routing, and what a leader answers in heartbeat_response.go.
 
-// heartbeatHeader is what a report says of whose it is, and how new.
+// heartbeatHeader is what a heartbeat says of whose it is, and how new. The field names in the
+// tags are the protocol's; the rest of the heartbeat is decoded by the leader alone.
 type heartbeatHeader struct {
 	Machine string `msgpack:"poste"`
 	Session uint64 `msgpack:"quart"`
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -10,7 +10,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is what the leader says to workers.
+// This file makes the leader's responses to heartbeats.
 
 // answerHeartbeat answers a worker. agoS is how long ago the node that passes the report
 // on last had an answer for it, negative if that is not known; via is the node that
--- a/controller/leader_monitor.go
+++ b/controller/leader_monitor.go
@@ -15,7 +15,8 @@
 	leaderProbeTimeout  = 900 * time.Millisecond
 )
 
-// monitorLeader asks the leader again and again whether it is there.
+// monitorLeader probes the leader until ctx ends, feeds the failure detector, and takes
+// the leader's routing plan from its answers.
 func (n *Node) monitorLeader(ctx context.Context) {
 	for call.Pause(ctx, leaderProbeInterval) {
 		name := n.elector.Leader()
@@ -45,7 +46,7 @@
 	}
 }
 
-// broadcastLeaderChange wakes the reports that wait for a leader.
+// broadcastLeaderChange wakes the heartbeats that wait for a leader.
 func (n *Node) broadcastLeaderChange() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -53,7 +54,7 @@
 	n.leaderChanged = make(chan struct{})
 }
 
-// leaderWaitTimeout is how long a worker's report waits for a leader to be known. The
+// leaderWaitTimeout is how long a worker's heartbeat waits for a leader to be known. The
 // worker gives up after 4 s; sent away, it would go on to whichever node is
 // next, and wait for one that stands still as long as for an answer.
 const leaderWaitTimeout = 2500 * time.Millisecond
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -14,9 +14,11 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file rents and returns machines.
+// This file scales the fleet out and in, and keeps the model in step with the cloud's
+// list of machines.
 
-// runScaler rents, returns and lists machines.
+// runScaler rents, returns and lists machines until ctx ends. One loop does all three,
+// one after the other, so that calls of the cloud never overtake one another.
 func (l *leadership) runScaler(ctx context.Context) {
 	every := max(4*time.Second, time.Duration(4/l.node.cfg.Cluster.Cloud.RPS*float64(time.Second)))
 	var listed time.Time
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -14,8 +14,8 @@
 	"github.com/umberdeal/umberdeal/routing"
 )
 
-// This file keeps what package routing decides on: the leader's plan, which
-// nodes can pass reports on, and which workers were sent where.
+// This file keeps what package routing decides on: the leader's routing plan, which
+// nodes can forward heartbeats, and which workers were redirected where.
 
 const (
 	routingPlanInterval = 500 * time.Millisecond
