--- a/calendar/book_test.go
+++ b/calendar/book_test.go
@@ -12,7 +12,7 @@
 )
 
 // oneRegion is a calendar of a region, changed as a test needs it.
-func oneRegion(t *testing.T, old, new string) *Region {
+func oneRegion(t *testing.T, old, replacement string) *Region {
 	t.Helper()
 	return made(t, strings.Replace(`
 [[regions]]
@@ -22,7 +22,7 @@
 evening = "18:00"
 margin_s = 1800
 work = [ { class = "tiles" } ]
-`, old, new, 1)).Regions[0]
+`, old, replacement, 1)).Regions[0]
 }
 
 // night is what follows 22:00 UTC (t0): promised for 06:30 UTC, opening at 07:00.
--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -50,17 +50,17 @@
 
 // outcome waits until a night's outcome is committed, and looks whether it stays
 // the only one.
-func outcome(t *testing.T, w *fake.Cluster, region string) calendar.Outcome {
+func outcome(t *testing.T, w *fake.Cluster) calendar.Outcome {
 	t.Helper()
-	for end := time.Now().Add(15 * time.Minute); len(nights(t, w, region).Past) == 0; {
+	for end := time.Now().Add(15 * time.Minute); len(nights(t, w, "here").Past) == 0; {
 		if time.Now().After(end) {
-			t.Fatalf("no outcome: %+v", nights(t, w, region))
+			t.Fatalf("no outcome: %+v", nights(t, w, "here"))
 		}
 		time.Sleep(time.Second)
 	}
-	first := nights(t, w, region)
+	first := nights(t, w, "here")
 	time.Sleep(time.Minute)
-	last := nights(t, w, region)
+	last := nights(t, w, "here")
 	if len(last.Past) != 1 || last.Past[0] != first.Past[0] {
 		t.Errorf("outcomes %+v, and then %+v", first.Past, last.Past)
 	}
@@ -113,7 +113,7 @@
 		if unfinished == 0 {
 			t.Error("the day's work was over before the night's")
 		}
-		o := outcome(t, w, "here")
+		o := outcome(t, w)
 		if o.How != calendar.Met || o.Done != 12 || o.All != 12 {
 			t.Errorf("%+v", o)
 		}
@@ -183,7 +183,7 @@
 				end := c.begin(w)
 				clock("00:12:30")
 				end()
-				o := outcome(t, w, "here")
+				o := outcome(t, w)
 				if o.How != c.how || o.Done != c.done || o.All != 3 || time.Duration(o.LateMs)*time.Millisecond > c.within || c.how == calendar.Late && o.LateMs <= 0 {
 					t.Errorf("%+v", o)
 				}
@@ -254,7 +254,7 @@
 		if text := watchNode(t, w, l, controller.PathMetrics); !strings.Contains(text, "umberdeal_night_jobs_open 1") || !strings.Contains(text, "umberdeal_nights_at_risk 1") {
 			t.Error("the gauges don't show the night")
 		}
-		if o := outcome(t, w, "here"); o.How != calendar.Late || o.Done != 2 || o.OpeningMs%3600_000 != 540_000 {
+		if o := outcome(t, w); o.How != calendar.Late || o.Done != 2 || o.OpeningMs%3600_000 != 540_000 {
 			t.Errorf("%+v", o)
 		}
 	})
@@ -290,7 +290,7 @@
 		if w.FinishedTasks("wk-000100") >= 12 {
 			t.Errorf("%d tasks of the day's work were done first", w.FinishedTasks("wk-000100"))
 		}
-		if o := outcome(t, w, "here"); o.How != calendar.Met || o.Done != 6 {
+		if o := outcome(t, w); o.How != calendar.Met || o.Done != 6 {
 			t.Errorf("%+v", o)
 		}
 	})
@@ -340,7 +340,7 @@
 					if rec := nights(t, w, "here"); len(rec.Past) > 0 || len(rec.Nights) != 1 || rec.Nights[0].Date != "2000-04-25" || rec.Nights[0].Done != 1 {
 						t.Errorf("%+v", rec)
 					}
-				} else if o := outcome(t, w, "here"); o.How != calendar.Met || o.Done != 1 || time.UnixMilli(o.OpeningMs).Format(time.RFC3339) != parse(t, c.want).Local().Format(time.RFC3339) {
+				} else if o := outcome(t, w); o.How != calendar.Met || o.Done != 1 || time.UnixMilli(o.OpeningMs).Format(time.RFC3339) != parse(t, c.want).Local().Format(time.RFC3339) {
 					t.Errorf("%+v, opens %v", o, time.UnixMilli(o.OpeningMs))
 				}
 				for _, b := range w.Violations() {
@@ -499,7 +499,7 @@
 				t.Errorf("no forecast names the cloud: %+v", nights(t, w, "here").Nights)
 			}
 		}
-		out = outcome(t, w, "here")
+		out = outcome(t, w)
 		if w.Cancel("wk-000001") != wire.JobCancelled {
 			mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
 		}
