--- a/cluster/model.go
+++ b/cluster/model.go
@@ -1,6 +1,19 @@
-// Package cluster is the leader's model of jobs and machines, on dense
-// indices. It does no input or output: reports, changes of records and the
-// time come in, commands and transactions go out.
+// Package cluster is the leader's model of jobs, tasks and machines: a pure state
+// machine. Heartbeats, changes of stored records, the cloud's list and the time come in;
+// commands to workers, transactions for the key-value store and scaling decisions go out.
+// It does no input or output, starts no goroutine and never reads a clock.
+//
+// Package controller owns the one Model of a leadership and calls it from one goroutine at
+// a time; package modelcheck drives it step by step. A Model lives as long as its fencing
+// token: a new leader makes a new one and loads it from the store.
+//
+// What it guarantees: a task is launched only after its placement is committed; the number
+// of an attempt is never used twice; a task counts as gone only on the proofs that
+// reconcile, Tick and MachineGone take in; quotas count every task that may still be on a
+// machine. It never trusts a heartbeat older than one that it knows, and never takes the
+// cloud's list as a proof about tasks.
+//
+// Jobs and machines are addressed by dense indices, which are not used again.
 package cluster
 
 import (
@@ -14,7 +27,9 @@
 // TaskRef names a task by indices.
 type TaskRef = placement.Task
 
-// Model is the leader's knowledge.
+// Model is what one leader knows, for as long as it leads. Concerns with fields of their
+// own are types in files of their own; Model ties them together. It is not safe for
+// concurrent use.
 type Model struct {
 	FencingToken      uint64
 	ElectedAt         time.Time
@@ -51,10 +66,10 @@
 	pages              []*placementPage
 	admissionPages     map[string]*admissionPage
 	quarantine         quarantine
-	nextPageToWrite    int       // where writing goes on
+	nextPageToWrite    int       // pages are written in turn from here on
 	longestMachineName int       // of the machines' names
-	unpushedStops      []TaskRef // tasks to be told directly
-	awaitingLaunch     []TaskRef // tasks placed, whose machines have not been summoned
+	unpushedStops      []TaskRef // stops not yet sent to workers' own addresses
+	awaitingLaunch     []TaskRef // tasks placed and not launched: their machines may need a wake-up
 	refusedOffers      offerRefusals
 	plan               Plan
 	planExpected       bool       // there may be a plan
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -7,8 +7,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A machine whose reports arrive need not hear the answers to them: one
-// direction of its traffic may be cut. Left to itself the leader would launch
+// A machine whose heartbeats arrive need not receive the answers to them: one
+// direction of its traffic may be cut (an asymmetric partition). Left to itself the leader would launch
 // there with every answer, and what was launched would wait in vain for as long
 // as the cut lasts. A worker keeps one report in flight at a time, and drops
 // answers that come late, so that its next report shows what it has heard: the
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -7,21 +7,21 @@
 )
 
 // A launch travels in the answer to a report and nowhere else, so that it can't
-// be executed late. A worker reports every few seconds, and also whenever its
-// tasks change (PROTOCOL, "Workers -> controller nodes"). A summons makes them
+// be executed late. A worker sends a heartbeat every few seconds, and also whenever its
+// tasks change (PROTOCOL, "Workers -> controller nodes"). A wake-up makes them
 // change: a direct launch of a task that no job can have is refused, listed as
 // exited, reported at once, and forgotten by the answer, which brings the launch
 // that it was about. Executed late, or a second time, it does the same and no
 // more; docs/start.md has the whole argument.
 
-// wakeUpRetry is after how long a summons of which nothing came is repeated.
+// wakeUpRetry is after how long a wake-up of which nothing came is repeated.
 const wakeUpRetry = 1500 * time.Millisecond
 
 // NoSuchTask is the number of a task that no job has: jobs have 100,000 at most,
 // counted from 0.
 const NoSuchTask = 100_000
 
-// WakeUps returns what makes the workers report for which a launch is ready, at
+// WakeUps returns what makes the workers send a heartbeat for which a launch is ready, at
 // most so many at once. A machine whose report is being answered is left for the
 // next time: the launch goes with that answer. Where nothing has come of one, it
 // is repeated.
