--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -28,10 +28,10 @@
 		answers []any
 		call    func(c *Client) (any, error)
 	}{
-		"types":  {[]any{golden.Filled[wire.Types]()}, func(c *Client) (any, error) { return c.Types(ctx) }},
-		"rent":   {[]any{golden.Filled[wire.Names]()}, func(c *Client) (any, error) { return c.Rent(ctx, golden.Filled[wire.Rental]()) }},
-		"delete": {[]any{nil}, func(c *Client) (any, error) { return nil, c.Delete(ctx, []string{"host-1", "host-2"}) }},
-		"list":   {[]any{page, wire.MachineList{}}, func(c *Client) (any, error) { return c.List(ctx) }},
+		"types":  {[]any{golden.Filled[wire.Types]()}, func(c *Client) (any, error) { return c.MachineTypes(ctx) }},
+		"rent":   {[]any{golden.Filled[wire.Names]()}, func(c *Client) (any, error) { return c.CreateMachines(ctx, golden.Filled[wire.Rental]()) }},
+		"delete": {[]any{nil}, func(c *Client) (any, error) { return nil, c.DeleteMachines(ctx, []string{"host-1", "host-2"}) }},
+		"list":   {[]any{page, wire.MachineList{}}, func(c *Client) (any, error) { return c.ListMachines(ctx) }},
 	} {
 		var answers []golden.Answer
 		for _, a := range c.answers {
@@ -48,7 +48,7 @@
 func TestARefusalForWantOfCapacityIsTold(t *testing.T) {
 	for answer, want := range map[string]bool{"no capacity": true, "other": false} {
 		s := golden.Serve(t, golden.Answer{Status: http.StatusServiceUnavailable, Body: body(t, wire.Error{Error: answer})})
-		_, err := New(s.Dial, "cloud:80", 100).Rent(t.Context(), wire.Rental{})
+		_, err := New(s.Dial, "cloud:80", 100).CreateMachines(t.Context(), wire.Rental{})
 		if err == nil || errors.Is(err, ErrNoCapacity) != want {
 			t.Errorf("%q is told as %v", answer, err)
 		}
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -19,7 +19,7 @@
 func (n *Node) refreshMachineTypes(ctx context.Context) {
 	for {
 		wait := typesRefreshInterval
-		types, err := n.cloud.Types(ctx)
+		types, err := n.cloud.MachineTypes(ctx)
 		if err != nil || len(types) == 0 {
 			wait = typesRetryInterval
 			if n.machineTypes() == nil {
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -37,12 +37,12 @@
 		back := l.model.SelectScaleIn(time.Now(), config.Seconds(l.node.tuning.Renting.IdleS))
 		l.mu.Unlock()
 		if len(back) > 0 {
-			l.scaleIn(ctx, back[:min(len(back), cloud.DeleteMax)])
+			l.scaleIn(ctx, back[:min(len(back), cloud.MaxDelete)])
 		}
 		if time.Since(listed) < every {
 			continue
 		}
-		list, err := l.node.cloud.List(ctx)
+		list, err := l.node.cloud.ListMachines(ctx)
 		if err != nil {
 			l.log.Debug("machine list not read", "err", err)
 			call.Pause(ctx, time.Second)
@@ -64,7 +64,7 @@
 		l.log.Debug("scale-in record not committed", "err", err)
 		return
 	}
-	if err := l.node.cloud.Delete(ctx, names); err != nil {
+	if err := l.node.cloud.DeleteMachines(ctx, names); err != nil {
 		l.log.Info("scale in failed, retrying", "count", len(names), "err", err)
 		call.Pause(ctx, time.Second)
 		return
@@ -94,7 +94,7 @@
 		if ctx.Err() != nil || !l.lease.Valid() {
 			break
 		}
-		l.rentMachines(ctx, o, min(count, cloud.RentMax))
+		l.rentMachines(ctx, o, min(count, cloud.MaxCreate))
 	}
 	l.mu.Lock()
 	l.scalingOut, l.wantedMachines = false, nil
@@ -115,10 +115,10 @@
 		l.log.Debug("scale-out record not committed", "err", err)
 		return
 	}
-	names, err := l.node.cloud.Rent(ctx, wire.Rental{Request: bon, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count})
+	names, err := l.node.cloud.CreateMachines(ctx, wire.Rental{Request: bon, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count})
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 		// The same request either rents now or names what it rented before.
-		names, err = l.node.cloud.Rent(ctx, wire.Rental{Request: bon, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count})
+		names, err = l.node.cloud.CreateMachines(ctx, wire.Rental{Request: bon, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count})
 	}
 	now := time.Now()
 	l.mu.Lock()
--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,5 +1,9 @@
-// Package call does one MessagePack request over HTTP, with everything that
-// could grow without bound limited.
+// Package call sends one MessagePack request over HTTP, with everything that could grow
+// without bound limited: connections, idle connections and the size of the response.
+//
+// The clients of the key-value store, the cloud and the workers are built on it. It
+// never repeats a request. Pause is the sleep that all loops of a controller use, so
+// that tests can stop a process while its clocks run on.
 package call
 
 import (
@@ -17,7 +21,7 @@
 // DialFunc opens connections; tests hand in an in-memory network.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Dialer is the real network's.
+// Dialer returns the DialFunc of the real network.
 func Dialer() DialFunc {
 	d := &net.Dialer{Timeout: 2 * time.Second, KeepAlive: 15 * time.Second}
 	return d.DialContext
@@ -40,9 +44,9 @@
 	}
 }
 
-// Do sends in (nil: no body) and returns the status and the body, at most limit
-// bytes of it.
-func Do(ctx context.Context, c *http.Client, method, url string, in any, limit int64) (int, []byte, error) {
+// Do sends in (nil: no body) and returns the status and the body of the response. It
+// fails if the body has more than maxBytes.
+func Do(ctx context.Context, c *http.Client, method, url string, in any, maxBytes int64) (int, []byte, error) {
 	var body io.Reader
 	if in != nil {
 		b, err := wire.Marshal(in)
@@ -64,12 +68,12 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	out, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
+	out, err := io.ReadAll(io.LimitReader(resp.Body, maxBytes+1))
 	if err != nil {
 		return 0, nil, fmt.Errorf("%s %s: %w", method, url, err)
 	}
-	if int64(len(out)) > limit {
-		return 0, nil, fmt.Errorf("%s %s: answer over %d bytes", method, url, limit)
+	if int64(len(out)) > maxBytes {
+		return 0, nil, fmt.Errorf("%s %s: response over %d bytes", method, url, maxBytes)
 	}
 	return resp.StatusCode, out, nil
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,5 +1,8 @@
-// Package worker is the client of the workers' own addresses. It decides
-// nothing.
+// Package worker is the client of the workers' own addresses.
+//
+// The leader uses it to push commands that can't wait for the next heartbeat. The
+// package decides nothing and never repeats a command. A request may be executed minutes
+// after it was given up, so that only stops belong here, never launches.
 package worker
 
 import (
@@ -12,34 +15,38 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Client sends direct commands to workers.
+const (
+	commandTimeout   = 3 * time.Second
+	maxResponseBytes = 1 << 20
+)
+
+// Client sends direct commands to workers. It is safe for concurrent use.
 type Client struct {
-	hc      *http.Client
-	timeout time.Duration
+	httpClient *http.Client
 }
 
-// New makes a client that keeps at most so many connections that it does not use
-// at the moment: there are far more workers than a node has sockets to spare.
-func New(dial call.DialFunc, idle int) *Client {
-	return &Client{hc: call.NewClient(dial, 1, idle), timeout: 3 * time.Second}
+// New makes a client that keeps at most maxIdle connections that it does not use at the
+// moment: there are far more workers than a node has sockets to spare.
+func New(dial call.DialFunc, maxIdle int) *Client {
+	return &Client{httpClient: call.NewClient(dial, 1, maxIdle)}
 }
 
-// Command sends commands to a worker's address. It returns the worker's
-// report, and whether the commands were executed. Only stops belong here: a
-// request may be executed minutes after it was given up.
-func (c *Client) Command(ctx context.Context, addr string, d wire.DirectCommands) (wire.Report, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.timeout)
+// Command sends commands to a worker's address. It returns the worker's heartbeat, and
+// whether the commands were executed: the worker refuses those with an old fencing token
+// or for another session.
+func (c *Client) Command(ctx context.Context, addr string, commands wire.DirectCommands) (wire.Report, bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
-	var r wire.Report
-	status, body, err := call.Do(ctx, c.hc, http.MethodPost, "http://"+addr+wire.PathCommands, d, 1<<20)
+	status, body, err := call.Do(ctx, c.httpClient, http.MethodPost, "http://"+addr+wire.PathCommands, commands, maxResponseBytes)
 	if err != nil {
-		return r, false, fmt.Errorf("worker %s: %w", addr, err)
+		return wire.Report{}, false, fmt.Errorf("command worker %s: %w", addr, err)
 	}
 	if status != http.StatusOK && status != http.StatusConflict {
-		return r, false, fmt.Errorf("worker %s: status %d", addr, status)
+		return wire.Report{}, false, fmt.Errorf("command worker %s: status %d", addr, status)
 	}
-	if err := wire.Unmarshal(body, &r); err != nil {
-		return r, false, fmt.Errorf("worker %s: %w", addr, err)
+	var heartbeat wire.Report
+	if err := wire.Unmarshal(body, &heartbeat); err != nil {
+		return heartbeat, false, fmt.Errorf("command worker %s: decode the response: %w", addr, err)
 	}
-	return r, status == http.StatusOK, nil
+	return heartbeat, status == http.StatusOK, nil
 }
