--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -51,6 +51,7 @@
 // at its limit, jobs are cancelled, one machine hangs and another reaches no controller.
 func TestLateCommandsArriveAfterTheNextLeaders(t *testing.T) {
 	runSeeded(t, 51, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		w.DelayDirectCommands(0.6, rnd.Uint64())
 		next := 100
 		for round := 0; round < lateCommandRounds; round++ {
@@ -121,6 +122,7 @@
 // commands reach: the second stop arrives late, and what it ends was cancelled.
 func TestALateStopEndsATaskThatIsSaving(t *testing.T) {
 	runSeeded(t, 52, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		met := fake.DelayedCommands{}
 		for round := 0; round < lateCommandRounds && met.EndedSaving == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
@@ -159,6 +161,7 @@
 // refuses them, and what runs there in its next session goes on.
 func TestLateCommandsOfAnEndedSession(t *testing.T) {
 	runSeeded(t, 53, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		w.DelayDirectCommands(1, rnd.Uint64())
 		met := fake.DelayedCommands{}
 		for round := 0; round < lateCommandRounds && met.RefusedSession == 0; round++ {
@@ -195,6 +198,7 @@
 // save in time falls back to its last checkpoint, and is done in the end.
 func TestLateStopsOfPreemptedGangsAndALeaderThatReturns(t *testing.T) {
 	runSeeded(t, 54, fake.Options{Machines: 4, Capacity: 4, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		w.DelayDirectCommands(0.8, rnd.Uint64())
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
 			gang(j)
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -58,6 +58,7 @@
 // hears of their machines.
 func TestOldReportsReachEveryNodeAsALeaderBegins(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 6, Capacity: 8, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		w.DelayCopiesUntilFailover(2)
 		for round := range 3 {
 			numbers := several(t, w, 10*round+1, rnd)
@@ -80,6 +81,7 @@
 // it then; the machine itself is back later, within its lease or beyond it.
 func TestAReportIsHeldBackUntilTheNextLeaderHasActed(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, LeaseS: 30}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		busy(t, w, 4)
 		numbers := several(t, w, 1, rnd)
 		time.Sleep(millis(rnd, 500, 4000))
@@ -121,6 +123,7 @@
 // session, and again after these; what they list has another attempt elsewhere by then.
 func TestOldReportsOfEarlierSessionsAndAttempts(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		w.DelayCopiesUntilFailover(1)
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 3, 90 }))
 		numbers := several(t, w, 1, rnd)
@@ -154,6 +157,7 @@
 // second of its lease later, and where that met it again and again its lease ended.
 func TestCopiesOvertakeTheirReportsAsALeaderBegins(t *testing.T) {
 	runSeeded(t, 17, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		busy(t, w, 6)
 		time.Sleep(millis(rnd, 0, 2000))
 		started, was := w.Started(), w.Leader()
@@ -181,6 +185,7 @@
 // taken for one that does not hear for long.
 func TestWorkIsGivenOutWhileCopiesOvertakeReports(t *testing.T) {
 	runSeeded(t, 18, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		w.OvertakeReports(2)
 		for round := range 3 {
 			numbers := several(t, w, 10*round+1, rnd)
@@ -200,6 +205,7 @@
 // there goes on elsewhere once its lease is over, and no later than without them.
 func TestCopiesOfADeadMachinesLastReport(t *testing.T) {
 	runSeeded(t, 19, fake.Options{Machines: 3, Capacity: 3, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 2, 3600 }))
 		if !scenario.Eventually(40*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
 			t.Fatalf("%d tasks run", w.Running())
@@ -232,6 +238,7 @@
 // its worker does not count as answered there.
 func TestACopyDoesNotMakeItsWorkerCountAsAnswered(t *testing.T) {
 	story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+		t.Helper()
 		busy(t, w, 1)
 		at, other := -1, -1
 		for i := range w.Nodes() {
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -58,6 +58,7 @@
 // while it places, stops, ends and cancels. Then another reads what they have left.
 func TestOwnTransactionsComeAfterNewerOnes(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 5, Capacity: 7}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		w.Store.DropReplies(0.3, 0.15, rnd.Uint64())
 		end := time.Now().Add(time.Minute)
 		for n := 1; time.Now().Before(end); n++ {
@@ -95,6 +96,7 @@
 // what it places there is taken away with its machine.
 func TestAnOlderRecordOfReturnsComesLate(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 2, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		all := w.Cloud.Machines()
 		// Each fills its machine, and the second ends within the 2 s for which the
 		// first one's return waits for its answer.
@@ -146,6 +148,7 @@
 // place, whose moves have begun.
 func TestAnOlderRecordOfMovesComesLate(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		// One machine of a zone has 5 CPUs taken, the other 2: nothing has 7 left, unless
 		// that task moves.
 		long := func(n, tasks int, cpus float64, zone string) wire.Job {
@@ -186,7 +189,9 @@
 // endsAfterMachinesCameUp has machines come up within a window, and rentals answered
 // so long after they were asked for at least: what comes up later has work later.
 func endsAfterMachinesCameUp(t *testing.T, least, most, answered time.Duration) {
+	t.Helper()
 	runSeeded(t, 31, fake.Options{Machines: 0, Capacity: 60}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		drawn := rnd.Uint64()
 		boots := func(n int) time.Duration {
 			return least + time.Duration((drawn+uint64(n)*397)%uint64((most-least)/time.Millisecond))*time.Millisecond
@@ -251,6 +256,7 @@
 // inside an outage of the state service, while some of their writes lag.
 func TestLeadersChangeTenTimesInTwoMinutes(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		w.Store.DropReplies(0.15, 0.05, rnd.Uint64())
 		stop, begun := tokens(w), time.Now()
 		defer stop()
@@ -312,6 +318,7 @@
 // that was given up is renewed or ended in the time of the next one.
 func TestLeasesAreRenewedAndEndedLate(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		stop := tokens(w)
 		defer stop()
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 6, 4, 70 }))
@@ -346,6 +353,7 @@
 // the next term has begun, before its leader has changed anything.
 func TestNodesHandOverAndBackAndOneReturns(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		stop := tokens(w)
 		defer stop()
 		busy(t, w, 4)
@@ -413,6 +421,7 @@
 // and it comes when its node has given it up: a key under a lease that nobody renews.
 func TestAnElectionComesLate(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 10*time.Second)
 		for i := range 3 {
@@ -453,6 +462,7 @@
 // theirs comes when they are back, and the workers' later sessions have nothing.
 func TestAllNodesAreAwayForLongerThanALease(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		lease := time.Duration(w.Settings.Cluster.Workers.LeaseS * float64(time.Second))
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 4, 40 }),
 			job(2, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.EstimateS = 3, 3, 40 }))
@@ -492,6 +502,7 @@
 // service; room is made by stops while the leader changes.
 func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+		t.Helper()
 		stop := tokens(w)
 		defer stop()
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
--- a/controller/machine_boot_test.go
+++ b/controller/machine_boot_test.go
@@ -12,6 +12,7 @@
 // shows it: it is the one that was ordered.
 func TestMachinesUpAtOnceAreTakenAsOrdered(t *testing.T) {
 	story(t, fake.Options{Machines: 0, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
+		t.Helper()
 		w.Cloud.SetBootTimes(func(int) time.Duration { return 200 * time.Millisecond })
 		w.Cloud.SetReplyDelay(3 * time.Second)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 6, 90 }))
@@ -31,6 +32,7 @@
 // not held for it until then.
 func TestAMachineThatNeverComesIsReplaced(t *testing.T) {
 	story(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
+		t.Helper()
 		w.Cloud.SetBootTimes(func(n int) time.Duration {
 			if n < 3 {
 				return -1
--- a/controller/paused_process_test.go
+++ b/controller/paused_process_test.go
@@ -30,6 +30,7 @@
 		for _, d := range stops {
 			t.Run(fmt.Sprint(c.name, " for ", d), func(t *testing.T) {
 				story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
+					t.Helper()
 					mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 90 }),
 						job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.EstimateS = 80 }))
 					mustReach(t, w, "wk-000002", wire.JobRunning, 20*time.Second)
@@ -68,6 +69,7 @@
 // of 12 s, and with another node down as well most tasks were killed.
 func TestWorkersWaitForTheNextLeaderWhereTheyAreAnswered(t *testing.T) {
 	story(t, fake.Options{Machines: 8, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
+		t.Helper()
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 16, 90 }))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 20*time.Second)
 		time.Sleep(5 * time.Second)
@@ -86,6 +88,7 @@
 // request goes past both within its time.
 func TestARequestGoesPastANodeThatStandsStill(t *testing.T) {
 	story(t, fake.Options{Machines: 2, Nodes: 4}, func(t *testing.T, w *fake.Cluster) {
+		t.Helper()
 		a := (w.Leader() + 1) % 4
 		w.Store.Refuse(fmt.Sprintf("n-%d", a), true)
 		for i := range 2 {
@@ -103,6 +106,7 @@
 // leader's renewals were refused along with the rest, for good.
 func TestACrowdOfPollsDoesNotEndLeadership(t *testing.T) {
 	story(t, fake.Options{Machines: 4, Nodes: 5, StateRPS: 40}, func(t *testing.T, w *fake.Cluster) {
+		t.Helper()
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		before := w.Store.Value("ctl/leader")
 		end := time.Now().Add(40 * time.Second)
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -26,6 +26,7 @@
 // average, and a gang for the last of its machines.
 func TestALaunchDoesNotWaitForTheNextReport(t *testing.T) {
 	story(t, slowly(8), func(t *testing.T, w *fake.Cluster) {
+		t.Helper()
 		time.Sleep(20 * time.Second)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.ImageGB = 8, 8, 1 }))
 		time.Sleep(2500 * time.Millisecond) // of which the image takes 1 s
@@ -42,6 +43,7 @@
 	o := slowly(8)
 	o.NoWakeUps = true
 	story(t, o, func(t *testing.T, w *fake.Cluster) {
+		t.Helper()
 		time.Sleep(20 * time.Second)
 		for _, m := range w.Cloud.Machines() {
 			w.HoldDirectCommands(m)
@@ -77,14 +79,17 @@
 func TestASummonsThatArrivesMinutesLateStartsNothing(t *testing.T) {
 	for name, meanwhile := range map[string]func(t *testing.T, w *fake.Cluster, at string){
 		"its job was cancelled": func(t *testing.T, w *fake.Cluster, _ string) {
+			t.Helper()
 			if w.Cancel("wk-000001") != wire.JobCancelled {
 				t.Error("not cancelled")
 			}
 		},
 		"its job is done": func(t *testing.T, w *fake.Cluster, _ string) {
+			t.Helper()
 			mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
 		},
 		"its task is elsewhere": func(t *testing.T, w *fake.Cluster, at string) {
+			t.Helper()
 			w.HangMachine(at, true)
 			mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
 			w.HangMachine(at, false)
@@ -92,6 +97,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			story(t, slowly(3), func(t *testing.T, w *fake.Cluster) {
+				t.Helper()
 				// So that no machine is idle, and returned.
 				mustSubmit(t, w, job(9, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 5, 900 }))
 				time.Sleep(20 * time.Second)
@@ -138,6 +144,7 @@
 // the task runs once.
 func TestASessionThatEndsUnderASummonsRefusesIt(t *testing.T) {
 	story(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
+		t.Helper()
 		time.Sleep(10 * time.Second)
 		m := w.Cloud.Machines()[0]
 		w.HoldDirectCommands(m)
@@ -163,6 +170,7 @@
 	for _, stop := range []time.Duration{3 * time.Second, 25 * time.Second} {
 		t.Run(stop.String(), func(t *testing.T) {
 			story(t, slowly(6), func(t *testing.T, w *fake.Cluster) {
+				t.Helper()
 				time.Sleep(10 * time.Second)
 				for n := 1; n <= 6; n++ {
 					mustSubmit(t, w, one(n, 8))
@@ -191,6 +199,7 @@
 	for _, hang := range []time.Duration{2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		t.Run(hang.String(), func(t *testing.T) {
 			story(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
+				t.Helper()
 				mustSubmit(t, w, one(1, 10), one(2, 10), one(3, 10))
 				for range 600 {
 					if time.Sleep(100 * time.Millisecond); w.FinishedTasks("wk-000001")+w.FinishedTasks("wk-000002")+w.FinishedTasks("wk-000003") > 0 {
