--- /dev/null
+++ b/cluster/starvation_queue.go
@@ -0,0 +1,116 @@
+package cluster
+
+import (
+	"slices"
+	"sort"
+	"time"
+)
+
+// This file moves jobs that must start now, by the starvation bound, forward in the
+// queue of a scheduling pass.
+
+// prioritizeMustStart brings what must begin before the aims of its priority. Of an array
+// that is its first task; the others keep their turn.
+func (m *Model) prioritizeMustStart(out []*queued, now time.Time) []*queued {
+	if m.StarvationBound <= 0 {
+		return out
+	}
+	heads := 0
+	var list []*queued
+	for lo := 0; lo < len(out); {
+		hi := lo + 1
+		for hi < len(out) && out[hi].withinQuota == out[lo].withinQuota && out[hi].j.Priority == out[lo].j.Priority {
+			hi++
+		}
+		var first, floored, rest []*queued
+		for _, k := range out[lo:hi] {
+			tail := &rest
+			if k.j.start.mustFinish {
+				k.req.Owed = true
+				tail = &floored
+			}
+			if !k.j.start.mustStart || k.j.placesToStart() == 0 || heads >= maxMustStarts {
+				*tail = append(*tail, k)
+				continue
+			}
+			heads++
+			head := *k
+			head.mustStart, head.req.Owed = true, true
+			head.req.Hold, head.req.HoldFor = true, boundHoldSeconds
+			if !k.j.Gang() {
+				head.req.Tasks = k.req.Tasks[:1]
+				// Two requests of a job whose tasks must be in one zone, or in
+				// several, don't know of each other's places.
+				if len(k.req.Tasks) > 1 && !k.j.Spec.OneZone && !k.j.Spec.Spread {
+					others := *k
+					others.req.Tasks = k.req.Tasks[1:]
+					others.req.ZoneUsed = slices.Clone(k.req.ZoneUsed)
+					*tail = append(*tail, &others)
+				}
+			}
+			first = append(first, &head)
+		}
+		sort.SliceStable(first, func(a, b int) bool {
+			x, y := first[a].j, first[b].j
+			if x.start.infeasible != y.start.infeasible {
+				return y.start.infeasible
+			}
+			return x.start.startBy.Before(y.start.startBy)
+		})
+		sort.SliceStable(floored, func(a, b int) bool { return floored[a].j.AcceptedAt.Before(floored[b].j.AcceptedAt) })
+		list = append(append(append(list, floored...), first...), rest...)
+		lo = hi
+	}
+	return m.promoteLastCalls(list, now)
+}
+
+// truncateQueue leaves so many requests, those that the bound has served among them.
+func truncateQueue(list []*queued, most int) []*queued {
+	cut := len(list) - most
+	if cut <= 0 {
+		return list
+	}
+	for i := len(list) - 1; i >= 0 && cut > 0; i-- {
+		if !list[i].req.Owed {
+			list = slices.Delete(list, i, i+1)
+			cut--
+		}
+	}
+	return list
+}
+
+// promoteLastCalls brings the few that have no time left before fresh starts of higher
+// priority, after all that is within a guarantee. Nothing is stopped for them,
+// and they are few: at any time a place for each so many machines, or one job,
+// counting those that were begun so and must be left alone.
+func (m *Model) promoteLastCalls(list []*queued, now time.Time) []*queued {
+	at := slices.IndexFunc(list, func(k *queued) bool { return !k.withinQuota })
+	if at < 0 || list[at].j.Priority == list[len(list)-1].j.Priority {
+		return list
+	}
+	ready, settling := 0, 0
+	for _, mc := range m.Machines {
+		if !m.ready(mc, now) {
+			continue
+		}
+		ready++
+		for ref := range mc.Tasks {
+			if m.isStartProtected(m.Jobs[ref.Job], now) {
+				settling++
+			}
+		}
+	}
+	places := max(1, ready/lastCallMachines) - settling
+	var called, others []*queued
+	for _, k := range list[at:] {
+		n, j := len(k.req.Tasks), k.j
+		late := k.mustStart && j.start.startBy.Sub(now) < lastCall+min(j.start.startDelay, boundHoldSeconds*time.Second)
+		if late && j.Priority > list[at].j.Priority && places > 0 && (n <= places || len(called) == 0) {
+			places -= n
+			called = append(called, k)
+		} else {
+			others = append(others, k)
+		}
+	}
+	return slices.Concat(list[:at], called, others)
+}
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -35,7 +35,9 @@
 	due      time.Time // latest start for the objective it is served for; zero: not judged
 }
 
-// runTriage gives up, for now, on the aims of the jobs that cost the most where
+// runTriage is deadline-aware admission: it decides which jobs are served for their
+// objectives (deadline, waiting time, completion) when not all of them can be met. It
+// gives up, for now, on the objectives of the jobs that cost the most where
 // there is more work than can be done in time. The jobs of a class are played
 // through in the order they would be served, on the places that are free or
 // will be; whenever one would come too late, the largest so far is put off, so
@@ -58,53 +60,68 @@
 		}
 		group := out[lo:hi]
 		lo = hi
-		byClass := map[string][]*queued{}
-		for _, k := range group {
-			if !fresh {
-				// As last judged; a job that came since is taken for one in time.
-				k.missed, k.deferred = k.missed || k.j.triage.missed, k.j.triage.deferred
-				if !k.j.triage.due.IsZero() {
-					k.due = k.j.triage.due
-				}
-				continue
-			}
-			k.totalWork = m.remainingWork(k.j, now)
-			if c := k.j.Spec.Class; !k.missed && len(byClass[c]) < triageJobs {
-				byClass[c] = append(byClass[c], k)
-			}
+		if fresh {
+			m.triageGroup(group, now)
+		} else {
+			applyLastTriage(group)
 		}
-		for _, jobs := range byClass { // the classes' results don't depend on one another
-			m.triageClass(jobs, now)
+		sortTriaged(group)
+	}
+}
+
+// applyLastTriage gives jobs the last run's verdicts; one that came since counts as in
+// time.
+func applyLastTriage(group []*queued) {
+	for _, k := range group {
+		k.missed, k.deferred = k.missed || k.j.triage.missed, k.j.triage.deferred
+		if !k.j.triage.due.IsZero() {
+			k.due = k.j.triage.due
 		}
-		if fresh {
-			off, tasks, all := 0, 0, 0
-			for _, k := range group {
-				k.j.triage.missed, k.j.triage.deferred, k.j.triage.due = k.missed, k.deferred, k.due
-				all += len(k.req.Tasks)
-				if k.missed {
-					off++
-					tasks += len(k.req.Tasks)
-				}
-			}
-			m.log.Debug("triage", "priority", group[0].j.Priority, "jobs", len(group), "tasks", all, "givenUp", off, "tasksGivenUp", tasks)
+	}
+}
+
+// triageGroup judges the jobs of one rank, class by class, and keeps the verdicts.
+func (m *Model) triageGroup(group []*queued, now time.Time) {
+	byClass := map[string][]*queued{}
+	for _, k := range group {
+		k.totalWork = m.remainingWork(k.j, now)
+		if c := k.j.Spec.Class; !k.missed && len(byClass[c]) < triageJobs {
+			byClass[c] = append(byClass[c], k)
 		}
-		sort.SliceStable(group, func(a, b int) bool {
-			x, y := group[a], group[b]
-			switch {
-			case x.inWindow || y.inWindow:
-				return byWindow(x, y)
-			case x.missed != y.missed:
-				return y.missed
-			case x.deferred != y.deferred:
-				return y.deferred
-			case x.missed:
-				// No aim is left but to have all work done soon: what takes
-				// longest must not be what begins last.
-				return x.runSeconds > y.runSeconds
-			}
-			return x.due.Before(y.due)
-		})
 	}
+	for _, jobs := range byClass { // the classes' results don't depend on one another
+		m.triageClass(jobs, now)
+	}
+	missed, missedTasks, tasks := 0, 0, 0
+	for _, k := range group {
+		k.j.triage = triageVerdict{missed: k.missed, deferred: k.deferred, due: k.due}
+		tasks += len(k.req.Tasks)
+		if k.missed {
+			missed++
+			missedTasks += len(k.req.Tasks)
+		}
+	}
+	m.log.Debug("triage", "priority", group[0].j.Priority, "jobs", len(group), "tasks", tasks, "givenUp", missed, "tasksGivenUp", missedTasks)
+}
+
+// sortTriaged puts jobs of one rank in the order in which they are served.
+func sortTriaged(group []*queued) {
+	sort.SliceStable(group, func(a, b int) bool {
+		x, y := group[a], group[b]
+		switch {
+		case x.inWindow || y.inWindow:
+			return byWindow(x, y)
+		case x.missed != y.missed:
+			return y.missed
+		case x.deferred != y.deferred:
+			return y.deferred
+		case x.missed:
+			// No objective is left but to have all work done soon: what takes
+			// longest must not be what begins last.
+			return x.runSeconds > y.runSeconds
+		}
+		return x.due.Before(y.due)
+	})
 }
 
 // triageClass plays a class's jobs through, and then looks for each of those
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -238,69 +238,115 @@
 	return free
 }
 
-// reconcilePool takes machines in and lets others go, and says which fetch the weights.
+// reconcilePool compares a pool with its target size: it takes machines in, lets others
+// go, and says which fetch the weights.
 func (m *Model) reconcilePool(i int, p *warmPool, now time.Time) {
 	im := m.images.intern(p.record.Image, p.record.WeightsGB)
-	types := make([]bool, len(m.MachineTypes))
-	price, boot, fetch := 0.0, time.Duration(0), math.Inf(1)
+	terms, ok := m.poolTerms(p)
+	if !ok {
+		return // none of its types is in the catalogue
+	}
+	lead := p.LeadTime(p.PeakMachines(&p.demand, now, p.record.ReplicasPerMachine), terms.boot, terms.fetch)
+	p.record.Target = p.TargetSize(&p.demand, now, lead, p.record.ReplicasPerMachine, terms.price)
+	p.record.CostLimited = p.record.Target == p.Affordable(terms.price) && p.record.Target < p.MaxMachines
+	own := m.observeMembers(p, im, now)
+	var free []warmpool.Observation
+	if warmpool.CountHeld(own) < p.record.Target {
+		free = m.joinCandidates(p, im, terms.types, terms.zones, now)
+	}
+	plan := p.PlanScaling(own, free, p.record.Target, p.Affordable(terms.price))
+	m.applyScalingPlan(i, p, &plan, now)
+	m.countMembers(p, own, len(plan.Join))
+	if now.Before(p.fetchesPausedUntil) {
+		return
+	}
+	p.record.FetchRefused = ""
+	for _, name := range p.NextFetches(own) {
+		idx := m.machineIndex[name]
+		if e := p.member(m.Machines[idx]); e != nil && !e.Leaving {
+			p.fetchQueue = append(p.fetchQueue, idx)
+		}
+	}
+}
+
+// poolTerms are what a pool's machine types cost and how fast they are, the worst of
+// them, and where they may be.
+type poolTerms struct {
+	types, zones []bool
+	price        float64       // an hour
+	boot         time.Duration // until a machine is up
+	fetch        float64       // GB a second
+}
+
+// poolTerms looks a pool's types up in the catalogue; false if there is none of them.
+func (m *Model) poolTerms(p *warmPool) (poolTerms, bool) {
+	terms := poolTerms{types: make([]bool, len(m.MachineTypes)), zones: make([]bool, len(m.Zones)), fetch: math.Inf(1)}
 	for k := range m.MachineTypes {
 		t := &m.MachineTypes[k]
 		if !slices.Contains(p.Types, t.Name) {
 			continue
 		}
-		types[k] = true
+		terms.types[k] = true
 		c := t.Price
 		if p.Spot {
 			c = min(c, t.SpotPrice)
 		}
-		price, boot, fetch = max(price, c), max(boot, t.BootTime), min(fetch, t.FetchRate)
+		terms.price, terms.boot, terms.fetch = max(terms.price, c), max(terms.boot, t.BootTime), min(terms.fetch, t.FetchRate)
 	}
-	if !slices.Contains(types, true) {
-		return // none of them is in the catalogue
-	}
-	zones := make([]bool, len(m.Zones))
 	for z, name := range m.Zones {
-		zones[z] = slices.Contains(p.Zones, name)
+		terms.zones[z] = slices.Contains(p.Zones, name)
 	}
-	lead := p.LeadTime(p.PeakMachines(&p.demand, now, p.record.ReplicasPerMachine), boot, fetch)
-	p.record.Target = p.TargetSize(&p.demand, now, lead, p.record.ReplicasPerMachine, price)
-	p.record.CostLimited = p.record.Target == p.Affordable(price) && p.record.Target < p.MaxMachines
+	return terms, slices.Contains(terms.types, true)
+}
+
+// observeMembers is a pool's machines as they are now. One whose fetch comes to nothing
+// leaves the pool.
+func (m *Model) observeMembers(p *warmPool, im int32, now time.Time) []warmpool.Observation {
 	waiting := m.pendingPrefetches(p, now)
-	var own, free []warmpool.Observation
+	var own []warmpool.Observation
 	for _, mc := range m.Machines {
 		if mc.Gone || mc.Type < 0 || mc.Zone < 0 {
 			continue
 		}
-		if e := p.member(mc); e != nil {
-			if m.fetchStuck(mc, im, p.record.WeightsGB, now) {
-				m.log.Warn("a machine does not come by its weights", "pool", p.Name, "machine", mc.Name)
-				m.leavePool(p, mc, now)
-				mc.unfitUntil = now.Add(unfitCooldown)
-				continue
-			}
-			s := m.observe(p, mc, im, now)
-			s.Leaving = e.Leaving
-			s.Fetching = !s.Warm && (s.Fetching || waiting[mc.Name] || now.Sub(p.fetchRequestedAt[mc.Index]) < fetchRetryInterval)
-			own = append(own, s)
+		e := p.member(mc)
+		if e == nil {
+			continue
 		}
+		if m.fetchStuck(mc, im, p.record.WeightsGB, now) {
+			m.log.Warn("a machine does not come by its weights", "pool", p.Name, "machine", mc.Name)
+			m.leavePool(p, mc, now)
+			mc.unfitUntil = now.Add(unfitCooldown)
+			continue
+		}
+		s := m.observe(p, mc, im, now)
+		s.Leaving = e.Leaving
+		s.Fetching = !s.Warm && (s.Fetching || waiting[mc.Name] || now.Sub(p.fetchRequestedAt[mc.Index]) < fetchRetryInterval)
+		own = append(own, s)
 	}
-	if warmpool.CountHeld(own) < p.record.Target {
-		free = m.joinCandidates(p, im, types, zones, now)
-	}
-	c := p.PlanScaling(own, free, p.record.Target, p.Affordable(price))
-	for _, name := range c.Join {
+	return own
+}
+
+// applyScalingPlan carries a scaling plan out; what is to be rented waits for the next
+// scheduling pass.
+func (m *Model) applyScalingPlan(i int, p *warmPool, plan *warmpool.ScalingPlan, now time.Time) {
+	for _, name := range plan.Join {
 		m.joinPool(i, m.Machines[m.machineIndex[name]], now)
 	}
-	for _, name := range c.Retain {
+	for _, name := range plan.Retain {
 		m.setLeaving(p, name, false)
 	}
-	for _, name := range c.Release {
+	for _, name := range plan.Release {
 		m.setLeaving(p, name, true)
 	}
-	for _, name := range c.Evict {
+	for _, name := range plan.Evict {
 		m.leavePool(p, m.Machines[m.machineIndex[name]], now)
 	}
-	p.scaleOut = c.ScaleOut
+	p.scaleOut = plan.ScaleOut
+}
+
+// countMembers records how many machines a pool holds, the ones that have just joined
+// included, and how many of them are warm.
+func (m *Model) countMembers(p *warmPool, own []warmpool.Observation, joined int) {
 	p.record.Held, p.record.Warm, p.record.Fetching = 0, 0, 0
 	for k := range own {
 		if e := p.member(m.Machines[m.machineIndex[own[k].Machine]]); e == nil || e.Leaving {
@@ -313,17 +359,7 @@
 			p.record.Fetching++
 		}
 	}
-	p.record.Held += len(c.Join)
-	if now.Before(p.fetchesPausedUntil) {
-		return
-	}
-	p.record.FetchRefused = ""
-	for _, name := range p.NextFetches(own) {
-		idx := m.machineIndex[name]
-		if e := p.member(m.Machines[idx]); e != nil && !e.Leaving {
-			p.fetchQueue = append(p.fetchQueue, idx)
-		}
-	}
+	p.record.Held += joined
 }
 
 func (m *Model) setLeaving(p *warmPool, name string, leaving bool) {
