--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -13,7 +13,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file keeps the calendar's nights: which jobs belong to them, in which order
+// This file keeps the calendar's batch windows: which jobs belong to them, in which order
 // they are served, what is expected, and how they came out. Package calendar
 // decides; docs/calendar.md argues it.
 
@@ -22,13 +22,13 @@
 	forecastInterval      = 10 * time.Second // forecasts are made
 	reforecastInterval    = 30 * time.Second // the least between two that are recorded because more came
 	windowSaveInterval    = 2 * time.Second  // the least between two records of a region
-	windowSaveMaxInterval = time.Minute      // and the most while a night is under way
+	windowSaveMaxInterval = time.Minute      // and the most while a batch window is under way
 	submissionDelay       = 2 * time.Second  // for how long a submission may be under way
 	maxTaskShapes         = 24               // kinds of tasks whose places are counted
 	takeoverHeartbeats    = 3                // reports' time until a new leader knows its machines
 )
 
-// batchWindows is what the leader knows of the calendar's nights; without a calendar,
+// batchWindows is what the leader knows of the calendar's batch windows; without a calendar,
 // nothing.
 type batchWindows struct {
 	calendar     *calendar.Calendar
@@ -44,7 +44,7 @@
 type windowBook struct {
 	*calendar.Book
 	region          *calendar.Region
-	basis           map[string]forecastBasis  // by night
+	basis           map[string]forecastBasis  // by batch window
 	openJobs        map[string]calendar.Night // jobs that are not over, from look to look
 	reforecast      string                    // why all forecasts are to be made anew
 	savedGeneration uint64                    // as last kept
@@ -57,7 +57,7 @@
 	at             time.Time
 }
 
-// jobWindow is the night that a job belongs to, under one calendar.
+// jobWindow is the batch window that a job belongs to, under one calendar.
 type jobWindow struct {
 	generation int
 	book       *windowBook // nil: none
@@ -66,8 +66,8 @@
 
 // windowRank is where a job stands by the calendar.
 type windowRank struct {
-	inWindow bool      // it belongs to a night
-	deadline time.Time // of the night, or its own deadline if that is tighter
+	inWindow bool      // it belongs to a batch window
+	deadline time.Time // of the batch window, or its own deadline if that is tighter
 }
 
 // reloadCalendar takes the plan's calendar in. Books that are open are brought in line
@@ -115,7 +115,7 @@
 	n.lastScan, n.lastForecast = time.Time{}, time.Time{}
 }
 
-// windowOf is the night that a job belongs to. It follows from the job's record and
+// windowOf is the batch window that a job belongs to. It follows from the job's record and
 // the plan, so that every leader finds the same.
 func (m *Model) windowOf(j *Job) (*windowBook, calendar.Night) {
 	n := &m.windows
@@ -131,8 +131,8 @@
 	return j.window.book, j.window.window
 }
 
-// applyWindowDeadline makes a night's job due by the tighter of its own deadline and what the
-// night is promised for.
+// applyWindowDeadline makes a batch window's job due by the tighter of its own deadline and what the
+// batch window is promised for.
 func (m *Model) applyWindowDeadline(k *queued) {
 	book, night := m.windowOf(k.j)
 	if book == nil {
@@ -150,9 +150,9 @@
 	}
 }
 
-// byWindow orders two jobs of which one belongs to a night at least: nights before
+// byWindow orders two jobs of which one belongs to a batch window at least: batch windows before
 // other work of their priority, what is promised first before the rest, and what
-// takes longest first, since a night is kept as a whole or not at all.
+// takes longest first, since a batch window is kept as a whole or not at all.
 func byWindow(x, y *queued) bool {
 	switch {
 	case x.inWindow != y.inWindow:
@@ -164,7 +164,7 @@
 }
 
 // completionTimeMs is when a job's end is written, Unix milliseconds, for a record that tells
-// a later leader whether its night was kept; 0 for jobs of no night.
+// a later leader whether its batch window was kept; 0 for jobs of no batch window.
 func (m *Model) completionTimeMs(j *Job) int64 {
 	if book, _ := m.windowOf(j); book == nil {
 		return 0
@@ -190,7 +190,7 @@
 	book.Ended(j.ID, night, at)
 }
 
-// tickWindows looks through the nights' jobs, and decides and records what is to be.
+// tickWindows looks through the batch windows' jobs, and decides and records what is to be.
 func (m *Model) tickWindows(now time.Time) {
 	n := &m.windows
 	n.now = now
@@ -220,7 +220,7 @@
 	}
 }
 
-// openWindowJobs lists the jobs that belong to nights and are not known to be over, also
+// openWindowJobs lists the jobs that belong to batch windows and are not known to be over, also
 // by their books.
 func (m *Model) openWindowJobs() []*Job {
 	var jobs []*Job
@@ -252,13 +252,13 @@
 	}
 }
 
-// windowKey names a night of a region.
+// windowKey names a batch window of a region.
 type windowKey struct {
 	book *windowBook
 	date string
 }
 
-// forecastWindows makes the nights' forecasts, all together, since they share places.
+// forecastWindows makes the batch windows' forecasts, all together, since they share places.
 func (m *Model) forecastWindows(jobs []*Job, now time.Time) {
 	n := &m.windows
 	w := m.settings.Cluster.Workers
@@ -299,7 +299,7 @@
 	}
 }
 
-// forecastCause says what has changed since a night's last recorded forecast; "": nothing.
+// forecastCause says what has changed since a batch window's last recorded forecast; "": nothing.
 func (b *windowBook) forecastCause(date string, machines int, now time.Time) string {
 	was, ok := b.basis[date]
 	all, left := b.Count(date)
@@ -325,7 +325,7 @@
 	return cause
 }
 
-// windowLoads fills in what is left of the nights, and lists the places, each room
+// windowLoads fills in what is left of the batch windows, and lists the places, each room
 // for a task of the kind that has most work: of that job, nil where nothing waits.
 func (m *Model) windowLoads(jobs []*Job, loads []calendar.Load, at map[windowKey]int, now time.Time) (*Job, []float64) {
 	type shape struct {
@@ -430,7 +430,7 @@
 	return n
 }
 
-// UnresolvedWindowJobs lists jobs of nights that an earlier leader left open and that are
+// UnresolvedWindowJobs lists jobs of batch windows that an earlier leader left open and that are
 // over since, at most so many: ToldEnd is to be told how they ended.
 func (m *Model) UnresolvedWindowJobs(most int) []string {
 	var out []string
@@ -465,7 +465,7 @@
 	}
 }
 
-// BatchWindows shows each region's nights, in the order of the calendar.
+// BatchWindows shows each region's batch windows, in the order of the calendar.
 func (m *Model) BatchWindows(now time.Time) []calendar.View {
 	var out []calendar.View
 	for _, b := range m.windows.books {
--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -18,7 +18,7 @@
 	openTasks        int // unfinished tasks
 	lastArrival      time.Time
 	recent           []time.Time // arrivals of the last two minutes
-	hasWaitObjective bool        // an aim speaks of how soon its jobs start
+	hasWaitObjective bool        // an objective speaks of how soon its jobs start
 	runs             runTimeEstimator
 	spread           durationSpread
 	sizes            []int // tasks of the last jobs, the oldest at sized0 once there are enough
@@ -32,7 +32,7 @@
 )
 
 // expectedArrivals is how many jobs of a class are likely to come in the time in which
-// its aim wants one started.
+// its objective wants one started.
 func (c *classStats) expectedArrivals(now time.Time) int {
 	for len(c.recent) > 0 && now.Sub(c.recent[0]) > arrivalWindow {
 		c.recent = c.recent[1:]
@@ -64,7 +64,7 @@
 	c.largestTasks = max(c.largestTasks, min(len(j.Tasks), 16))
 }
 
-// hasCompetitors says whether classes that no aim wants started soon compete with a
+// hasCompetitors says whether classes that no objective wants started soon compete with a
 // job that may not stop their tasks.
 func (m *Model) hasCompetitors(j *Job) bool {
 	for _, c := range m.classes {
@@ -75,7 +75,7 @@
 	return false
 }
 
-// backfillReservations are phantoms to be served before a request: for a class whose aim
+// backfillReservations are placeholders to be served before a request: for a class whose objective
 // is to start soon, and whose jobs may not stop those of the request's class,
 // room is kept for the jobs that are likely to come.
 func (m *Model) backfillReservations(k *queued, done map[string]bool, now time.Time) []placement.Request {
@@ -120,7 +120,7 @@
 	return r
 }
 
-// hasCostObjective says whether the deployment has an aim on what it pays.
+// hasCostObjective says whether the deployment has an objective on what it pays.
 func (m *Model) hasCostObjective() bool {
 	for _, o := range m.settings.Cluster.Objectives {
 		if o.Kind == "price" || o.Kind == "cost" {
@@ -131,7 +131,7 @@
 }
 
 // headroomRequests are requests that no job has made: room kept for jobs that are
-// likely to come, where no aim speaks of the price.
+// likely to come, where no objective speaks of the price.
 func (m *Model) headroomRequests(jobs []*Job, now time.Time) []placement.Request {
 	if m.Headroom <= 0 || m.hasCostObjective() || len(jobs) == 0 {
 		return nil
--- a/cluster/completion_floor.go
+++ b/cluster/completion_floor.go
@@ -11,7 +11,7 @@
 
 const (
 	// floorAfter is after how many times the bound a job counts as one that must
-	// be done. Before that, order is for the aims: what is put off for a while
+	// be done. Before that, order is for the objectives: what is put off for a while
 	// is mostly done when less comes.
 	floorAfter = 3
 	// floorMemory is how many jobs that are done count for their group. It bounds
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -20,7 +20,7 @@
 	Done           int
 	Placed         int
 	PendingReasons []string                  // for what, the most telling first; empty: for nothing
-	AheadByReason  map[string]int            // jobs ahead of it in the line, by why
+	AheadByReason  map[string]int            // jobs ahead of it in the queue, by why
 	Nearest        []JobAhead                // of them, nearest first
 	Inversions     []priority.InversionEvent // lower tiers' tasks that got room it could have had
 }
@@ -94,7 +94,7 @@
 	return "due sooner"
 }
 
-// lacks says what a request in the line waits for.
+// lacks says what a request in the queue waits for.
 func (m *Model) lacks(k *queued) (out []string) {
 	r, j := &k.req, k.j
 	if n := placement.Allowed(r, m.teams); n == 0 || r.All && n < len(r.Tasks) {
@@ -118,7 +118,7 @@
 	return append(out, fmt.Sprintf("room for %d tasks of %g CPUs, %g GPUs and %g GB", len(r.Tasks), j.Need.CPU, j.Need.GPU, j.Need.Mem))
 }
 
-// outOfLine says why a job has no place in the line.
+// outOfLine says why a job has no place in the queue.
 func (m *Model) outOfLine(j *Job, now time.Time) []string {
 	switch {
 	case j.Cancelled:
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -11,11 +11,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file asks the operators' order: whose turn it is among jobs of the same
-// priority, and where that was departed from. Without an order all of it leaves
-// everything as it is.
+// This file applies the operators' priority tiers (package priority): which of the jobs
+// of one priority is served first, and where a pass inverted that. Without tiers all of
+// it leaves everything as it is.
 
-// priorityTiers is the order in force, and what came of it.
+// priorityTiers is the policy in force, and the priority inversions under it. Only
+// priority_tiers.go writes its fields.
 type priorityTiers struct {
 	policy     *priority.Policy // nil: none
 	inversions priority.InversionLog
@@ -24,7 +25,8 @@
 	savedAt    time.Time // when that was
 }
 
-// orderNote is the name of the record of departures, and orderPace how often it is
+// inversionRecordName is the name of the record of priority inversions, and
+// inversionSaveInterval how often it is
 // written at most while there are any.
 const (
 	inversionRecordName   = "order"
@@ -52,7 +54,7 @@
 	m.setPriorityPolicy(priority.New(&m.plan.Order))
 }
 
-// saveInversions has the departures recorded, and what shares are counted of.
+// saveInversions has the priority inversions recorded, and what shares are counted of.
 func (m *Model) saveInversions(now time.Time) {
 	t := &m.tiers
 	if !t.changed || now.Sub(t.savedAt) < inversionSaveInterval {
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -10,7 +10,8 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file says what waits for room, and in which order it is served.
+// This file builds the queue of a scheduling pass: what waits for room, and in which
+// order it is served.
 
 const (
 	maxRequestTasks = 64  // of one job in one pass
@@ -18,7 +19,7 @@
 )
 
 // latestStarts is when a job must start at the latest to meet each of its
-// class's aims that it can still meet; urgent says that the first is on how
+// class's objectives that it can still meet; urgent says that the first is on how
 // soon it starts, and missed that none is left of those there were.
 func (m *Model) latestStarts(j *Job, left float64, tasks int, within bool, now time.Time) (at []time.Time, missed, urgent bool) {
 	sp := m.startupAndSpreadOf(j)
@@ -51,7 +52,7 @@
 		case "guarantee":
 			// One that has waited for longer is no worse off for waiting on:
 			// those that have just come are served before it, until its next
-			// aim is near.
+			// objective is near.
 			if within {
 				soon(o)
 			}
@@ -71,15 +72,18 @@
 	return at, aims > 0 && len(at) == 0, len(at) > 0 && at[0].Equal(wait)
 }
 
+// queued is a job in the queue of a scheduling pass, with what its place in the queue
+// rests on. It lives for one pass; what outlasts it is kept in the job (triageVerdict,
+// startState).
 type queued struct {
 	j           *Job
 	withinQuota bool
 	due         time.Time
 	laterDue    []time.Time // what it is due for once it is put off
 	missed      bool
-	deferred    bool // from an aim it could still meet, for others' sake
+	deferred    bool // from an objective it could still meet, for others' sake
 	urgent      bool
-	mustStart   bool    // must begin now, before the aims of its priority
+	mustStart   bool    // must begin now, before the objectives of its priority
 	runSeconds  float64 // seconds that the longest of its waiting tasks takes
 	totalWork   float64
 	req         placement.Request
@@ -87,7 +91,7 @@
 	windowRank
 }
 
-// nextObjective takes a job's next aim as what it is due for.
+// nextObjective takes a job's next objective as what it is due for.
 func (r *queued) nextObjective(now time.Time) {
 	if len(r.laterDue) == 0 {
 		r.due = now.Add(time.Hour)
@@ -204,8 +208,8 @@
 }
 
 // keepGPUMachinesFree keeps work that needs no GPU away from machines that have them
-// while other work waits for GPUs: jobs that no aim speaks of altogether, those
-// that no aim wants started soon as long as what waits is of no lower priority,
+// while other work waits for GPUs: jobs that no objective speaks of altogether, those
+// that no objective wants started soon as long as what waits is of no lower priority,
 // and the others as long as stopping such jobs elsewhere makes room for them.
 // Otherwise a guest's tasks take the machines without GPUs for minutes, and
 // everybody else's those with GPUs; and thousands of small tasks refill the CPUs
@@ -234,7 +238,7 @@
 	}
 }
 
-// hasWaitObjective says whether an aim wants jobs of the job's class started soon.
+// hasWaitObjective says whether an objective wants jobs of the job's class started soon.
 func (m *Model) hasWaitObjective(j *Job) bool {
 	c := m.classes[j.Spec.Class]
 	return c != nil && c.hasWaitObjective
@@ -262,7 +266,7 @@
 	return out
 }
 
-// hasObjective says whether any aim speaks of the job.
+// hasObjective says whether any objective speaks of the job.
 func (m *Model) hasObjective(j *Job) bool {
 	for _, o := range m.settings.Cluster.Objectives {
 		switch o.Kind {
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -8,8 +8,9 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file is a scheduling pass: the model becomes a planner's input, and the
-// plan becomes records to be written.
+// This file is a scheduling pass: the queue is built, package placement filters, scores
+// and reserves machines for it, and what it decided is bound: taken into the model, from
+// which the write-behind commits it before anything is launched.
 
 // Decisions is what a pass decided; starts and stops are in the model already.
 type Decisions struct {
@@ -41,7 +42,7 @@
 	reserved := map[string]bool{}
 	job := make([]*Job, 0, len(reqs)+4)
 	for k := range reqs {
-		if !reqs[k].mustStart { // the bound goes before room that is kept for an aim
+		if !reqs[k].mustStart { // the bound goes before room that is kept for an objective
 			for _, r := range m.backfillReservations(reqs[k], reserved, now) {
 				in.Requests = append(in.Requests, r)
 				job = append(job, nil)
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Snapshot is the model in numbers, for those who watch it.
+// Snapshot is the model in numbers, for metrics and for operators.
 type Snapshot struct {
 	Machines     map[string]int // by state
 	Tasks        map[string]int // by state
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -11,9 +11,9 @@
 
 // This file is the bound: whoever is put off, for whatever reason, begins
 // within a time of its acceptance for which the fleet has room at all. Triage
-// and the order of aims put the same jobs off again and again: those that cost
+// and the order of objectives put the same jobs off again and again: those that cost
 // the most. The bound asks when a job must hold room to begin in time, and from
-// then on it is served before the aims of its priority. It stops nothing that
+// then on it is served before the objectives of its priority. It stops nothing that
 // could not be stopped anyhow.
 //
 // It rests on when a job was accepted, whether it has begun, and where tasks
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -9,7 +9,7 @@
 // This file moves jobs that must start now, by the starvation bound, forward in the
 // queue of a scheduling pass.
 
-// prioritizeMustStart brings what must begin before the aims of its priority. Of an array
+// prioritizeMustStart brings what must begin before the objectives of its priority. Of an array
 // that is its first task; the others keep their turn.
 func (m *Model) prioritizeMustStart(out []*queued, now time.Time) []*queued {
 	if m.StarvationBound <= 0 {
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -41,8 +41,8 @@
 // there is more work than can be done in time. The jobs of a class are played
 // through in the order they would be served, on the places that are free or
 // will be; whenever one would come too late, the largest so far is put off, so
-// that as many as possible meet their aims (Moore and Hodgson's rule). Those
-// put off are served for a later aim, if they can meet one beside the others,
+// that as many as possible meet their objectives (Moore and Hodgson's rule). Those
+// put off are served for a later objective, if they can meet one beside the others,
 // and else after them, those that take longest first.
 func (m *Model) runTriage(out []*queued, now time.Time) {
 	fresh := !now.Before(m.triage.nextRun)
@@ -125,7 +125,7 @@
 }
 
 // triageClass plays a class's jobs through, and then looks for each of those
-// put off, the smallest first, whether it can meet a later aim without making
+// put off, the smallest first, whether it can meet a later objective without making
 // any of the others late.
 func (m *Model) triageClass(jobs []*queued, now time.Time) {
 	places := placeTimes(m.placesFor(jobs[0].j, jobs[0].j.Zone, now))
@@ -259,7 +259,7 @@
 			last += float64(n-triageTasks) * r.runSeconds / float64(len(free))
 		}
 		// A job that is due at once is not given up for a place that is free. One of
-		// a night keeps its turn whatever becomes of its own aims.
+		// a batch window keeps its turn whatever becomes of its own objectives.
 		if !r.inWindow && last > max(due, 0)+0.5 {
 			return i
 		}
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -9,14 +9,14 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file rents machines for the calendar's nights ahead of what waits for room:
+// This file rents machines for the calendar's batch windows ahead of what waits for room:
 // package calendar says how many places they lack, and until when.
 
-// windowProvision is what the nights want rented. It is decided anew with each forecast and
+// windowProvision is what the batch windows want rented. It is decided anew with each forecast and
 // rests on nothing that was decided before: a next leader counts what there is then,
 // rented by whomever.
 type windowProvision struct {
-	job    *Job // what a place is for: the kind of which the nights have most work; nil: nothing is wanted yet
+	job    *Job // what a place is for: the kind of which the batch windows have most work; nil: nothing is wanted yet
 	places int  // that there should be, all machines empty
 	at     time.Time
 	want   calendar.Want // as last worked out
@@ -28,7 +28,7 @@
 	maxProvisionMachines = maxScaleOut                           // machines wanted at a time
 )
 
-// planProvision decides what is rented for the nights, and says what of it is to be told
+// planProvision decides what is rented for the batch windows, and says what of it is to be told
 // beside a forecast.
 func (m *Model) planProvision(loads []calendar.Load, usual *Job, free []float64, now time.Time) string {
 	was := m.windows.provision.want
@@ -117,7 +117,7 @@
 	return false
 }
 
-// provisionRequest asks for the places that are lacking now. It is a phantom, served
+// provisionRequest asks for the places that are lacking now. It is a placeholder, served
 // after all that waits.
 func (m *Model) provisionRequest(now time.Time) (placement.Request, bool) {
 	a := &m.windows.provision
