--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -63,7 +63,7 @@
 		}
 		return w, true // its part that is served first
 	}
-	w.PendingReasons = m.outOfLine(j, now)
+	w.PendingReasons = outsideQueueReasons(j)
 	return w, true
 }
 
@@ -118,8 +118,8 @@
 	return append(out, fmt.Sprintf("room for %d tasks of %g CPUs, %g GPUs and %g GB", len(r.Tasks), j.Need.CPU, j.Need.GPU, j.Need.Mem))
 }
 
-// outOfLine says why a job has no place in the queue.
-func (m *Model) outOfLine(j *Job, now time.Time) []string {
+// outsideQueueReasons says why a job has no place in the queue.
+func outsideQueueReasons(j *Job) []string {
 	switch {
 	case j.Cancelled:
 		return []string{"the end of its last tasks: it is cancelled"}
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -82,17 +82,17 @@
 func (m *Model) setTier(j *Job) { j.tier = m.tiers.policy.TierOf(j.Spec.Team, j.Spec.Class) }
 
 // schedulableCapacity is the capacity of the machines that can be given tasks.
-func (m *Model) schedulableCapacity(now time.Time) (cap placement.Res) {
+func (m *Model) schedulableCapacity(now time.Time) (total placement.Res) {
 	for _, mc := range m.Machines {
 		if m.ready(mc, now) {
-			cap = cap.Add(m.MachineTypes[mc.Type].Capacity, 1)
+			total = total.Add(m.MachineTypes[mc.Type].Capacity, 1)
 		}
 	}
-	if f := m.tiers.inversions.Capacity; cap == (placement.Res{}) {
+	if f := m.tiers.inversions.Capacity; total == (placement.Res{}) {
 		// None has reported yet, or this model leads nothing and is only asked.
-		cap = placement.Res{CPU: f[0], GPU: f[1], Mem: f[2]}
+		total = placement.Res{CPU: f[0], GPU: f[1], Mem: f[2]}
 	}
-	return cap
+	return total
 }
 
 // dominantShare is how much of the fleet an amount is: of the resource of which it takes
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -150,7 +150,7 @@
 	}
 	for ti := range m.MachineTypes {
 		var ready, booting, without int // machines
-		var cap, used, unsent placement.Res
+		var capacity, used, unsent placement.Res
 		for _, mc := range m.Machines {
 			if mc.Type != ti {
 				continue
@@ -162,7 +162,7 @@
 				continue
 			}
 			ready++
-			cap = cap.Add(m.MachineTypes[ti].Capacity, 1)
+			capacity = capacity.Add(m.MachineTypes[ti].Capacity, 1)
 			used = used.Add(mc.Used, 1)
 			no := true
 			for ref := range mc.Tasks {
@@ -176,7 +176,7 @@
 				without++
 			}
 		}
-		m.log.Debug("room", "type", m.MachineTypes[ti].Name, "ready", ready, "booting", booting, "cpus", cap.CPU, "cpusUsed", used.CPU,
-			"gpus", cap.GPU, "gpusUsed", used.GPU, "cpusNotRunning", unsent.CPU, "gpusNotRunning", unsent.GPU, "withoutGPUTasks", without, "waiting", waiting)
+		m.log.Debug("room", "type", m.MachineTypes[ti].Name, "ready", ready, "booting", booting, "cpus", capacity.CPU, "cpusUsed", used.CPU,
+			"gpus", capacity.GPU, "gpusUsed", used.GPU, "cpusNotRunning", unsent.CPU, "gpusNotRunning", unsent.GPU, "withoutGPUTasks", without, "waiting", waiting)
 	}
 }
