--- a/cluster/starvation_test.go
+++ b/cluster/starvation_test.go
@@ -34,6 +34,7 @@
 
 // newShop is a shop with machines of 8 CPUs in zones a and b, in turn.
 func newShop(t *testing.T, machines int, bound time.Duration) *shop {
+	t.Helper()
 	s := &shop{t: t, m: newModel(5), began: map[string]float64{}}
 	s.m.StarvationBound = bound
 	for i := range machines {
--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -86,7 +86,7 @@
 // the same priority that was there before, and says when it was finished.
 func nightOf(t *testing.T, trouble func(w *fake.Cluster)) (finish time.Duration) {
 	t.Helper()
-	story(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
 		for i := range 4 {
 			mustSubmit(t, w, job(100+i, func(j *wire.Job) { j.Class, j.Tasks, j.CPUs, j.EstimateS = "day", 8, 4, 45 }))
@@ -171,7 +171,7 @@
 		{"the state service is out, not all is done", "00:14:00", outage, calendar.Incomplete, 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 4, LeaseS: 200}, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, fake.Options{Machines: 4, LeaseS: 200}, func(t *testing.T, w *fake.Cluster) {
 				applyPlan(t, w, 0, nightPlan)
 				at, err := time.Parse("15:04:05", c.ends)
 				if err != nil {
@@ -219,7 +219,7 @@
 // A plan is applied in the night that makes the opening earlier, and the leader
 // crashes: what counts is the new promise.
 func TestAPlanMakesAnOpeningEarlier(t *testing.T) {
-	story(t, fake.Options{Machines: 2, Capacity: 2, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 2, Capacity: 2, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
 		mustSubmit(t, w, tiles(1, 2, 60), tiles(2, 1, 420))
 		clock("00:03:00")
@@ -263,7 +263,7 @@
 // Half of the machines are gone at once, and with them the leader: the forecast is
 // made again and says so, and the night's work is done first on what is left.
 func TestHalfOfTheMachinesAreGone(t *testing.T) {
-	story(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
 		var ids []string
 		for i := range 6 {
@@ -393,7 +393,7 @@
 // mixedNight plays a night in which two leaders crash.
 func mixedNight(t *testing.T, seed uint64, text string) (got mixed) {
 	t.Helper()
-	story(t, fake.Options{Machines: 4, Capacity: 4, Seed: seed}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4, Capacity: 4, Seed: seed}, func(t *testing.T, w *fake.Cluster) {
 		if text != "" {
 			applyPlan(t, w, 0, text)
 		}
@@ -472,7 +472,7 @@
 	big := fake.DefaultType
 	big.CPUs, big.MemoryGB, big.BootS = 32, 256, 60
 	o.Types, o.Machines = []wire.MachineType{big}, 1
-	story(t, o, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
 		clock("00:00:40") // the leader knows its machines
 		applyPlan(t, w, 0, strings.ReplaceAll(nightPlan, "00:12", opens))
 		mustSubmit(t, w, tiles(1, tasks, 60))
@@ -542,7 +542,7 @@
 				w.KillMachine(name)
 			}
 		}, 60},
-		{"there are no machines", 1, calendar.Incomplete, func(w *fake.Cluster) {}, 0},
+		{"there are no machines", 1, calendar.Incomplete, func(*fake.Cluster) {}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o, rented, paid := aheadNight(t, fake.Options{Capacity: c.room}, 1500, "00:08", c.trouble)
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -181,7 +181,10 @@
 // cancelledInTheHandover has jobs cancelled in one way of handing over. With open
 // heads most of them share pages, of which the heads stay open, since crowds of
 // other jobs go on to come: those and the cancellations change the same pages.
+//
+//nolint:revive // flag-parameter: the variants of the test differ in it
 func cancelledInTheHandover(t *testing.T, way int, heads bool) {
+	t.Helper()
 	machines := 6
 	if heads {
 		machines = 12 // so that the crowds have room as well
--- a/controller/fault_interactions_test.go
+++ b/controller/fault_interactions_test.go
@@ -722,7 +722,7 @@
 
 // The steps of random stories do what they say.
 func TestConcurrentCancellationsAndASilentMachine(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 4)
 		for i := range 4 {
 			mustSubmit(t, w, job(1+i, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 3, 300 }))
--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -76,8 +76,9 @@
 
 // run tells the story; others is how many tasks ended that nobody had cancelled.
 func (g gap) run(t *testing.T, seed uint64) (others int) {
+	t.Helper()
 	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, ReportIntervalS: g.report, LeaseS: g.lease}
-	story(t, o, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
 		times := w.Settings.Cluster.Workers
 		cancelS := time.Duration(times.CancelS * float64(time.Second))
 		jobs := gapJobs(g)
--- a/controller/grown_test.go
+++ b/controller/grown_test.go
@@ -20,7 +20,7 @@
 // and transactions over their limits.
 func TestAGrownClusterOutlivesACrashOfAllNodes(t *testing.T) {
 	const machines, jobs = grownMachines, grownJobs
-	story(t, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster) {
 		w.Store.LimitWrites(25)
 		tasks := 0
 		for i := range jobs {
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -237,7 +237,7 @@
 // A copy of the newest report comes to another node than its worker's. It is answered, and
 // its worker does not count as answered there.
 func TestACopyDoesNotMakeItsWorkerCountAsAnswered(t *testing.T) {
-	story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		busy(t, w, 1)
 		at, other := -1, -1
--- a/controller/operator_plan_test.go
+++ b/controller/operator_plan_test.go
@@ -30,7 +30,7 @@
 // transaction of one comes a minute late. The store's checker sees that nothing is
 // placed but on condition of the plan in force; every job is done, once.
 func TestPlansAreAppliedWhileLeadersFail(t *testing.T) {
-	story(t, fake.Options{Machines: 6, Metrics: true, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 6, Metrics: true, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		next := 1
 		submit := func(n int) {
 			for range n {
@@ -72,7 +72,7 @@
 // All nodes are killed at once just after a plan is applied: whoever leads next
 // reads it before it places anything, also where its newest record is damaged.
 func TestANewLeaderReadsThePlanBeforeItPlaces(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, `note = "one"`)
 		applyPlan(t, w, 1, `note = "two"`)
@@ -92,7 +92,7 @@
 // Where no version can be read any more, what runs goes on and submissions are
 // taken, but nothing is placed as if there were no plan, until one is applied.
 func TestNothingIsPlacedByALostPlan(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, `note = "one"`)
@@ -117,7 +117,7 @@
 // As long as one node reads no plans none is applied. Once one is, the records have
 // a form by which that version does not lead: it would place by no order at all.
 func TestNoPlanIsAppliedBeforeEveryNodeReadsPlans(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Metrics: true, OlderSchema: []int{2}}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4, Metrics: true, OlderSchema: []int{2}}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		if _, err := scenario.TryPlan(w, 0, `note = "one"`, time.Minute); !errors.Is(err, jobstore.ErrPlanUnsupported) {
 			t.Fatalf("with a node that reads no plans: %v", err)
--- a/controller/paused_process_test.go
+++ b/controller/paused_process_test.go
@@ -29,7 +29,7 @@
 	} {
 		for _, d := range stops {
 			t.Run(fmt.Sprint(c.name, " for ", d), func(t *testing.T) {
-				story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
+				runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 					t.Helper()
 					mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 90 }),
 						job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.EstimateS = 80 }))
@@ -68,7 +68,7 @@
 // answers nothing: each follower that sent a worker there cost it 4 s of a lease
 // of 12 s, and with another node down as well most tasks were killed.
 func TestWorkersWaitForTheNextLeaderWhereTheyAreAnswered(t *testing.T) {
-	story(t, fake.Options{Machines: 8, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 8, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 16, 90 }))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 20*time.Second)
@@ -87,7 +87,7 @@
 // The state service refuses one node while another stands still: a user's
 // request goes past both within its time.
 func TestARequestGoesPastANodeThatStandsStill(t *testing.T) {
-	story(t, fake.Options{Machines: 2, Nodes: 4}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 2, Nodes: 4}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		a := (w.Leader() + 1) % 4
 		w.Store.Refuse(fmt.Sprintf("n-%d", a), true)
@@ -105,7 +105,7 @@
 // it could; together that was several times what the service takes, and the
 // leader's renewals were refused along with the rest, for good.
 func TestACrowdOfPollsDoesNotEndLeadership(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Nodes: 5, StateRPS: 40}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4, Nodes: 5, StateRPS: 40}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		before := w.Store.Value("ctl/leader")
--- a/controller/poll_answers_test.go
+++ b/controller/poll_answers_test.go
@@ -64,7 +64,7 @@
 	if scenario.UnderRace {
 		many = 120
 	}
-	story(t, fake.Options{Machines: 2, Capacity: 2, StateRPS: 20, Sockets: 260}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 2, Capacity: 2, StateRPS: 20, Sockets: 260}, func(t *testing.T, w *fake.Cluster) {
 		var jobs []wire.Job
 		var wg sync.WaitGroup
 		for n := range many {
@@ -120,7 +120,7 @@
 		stays   bool // one node goes on
 	}{{"in part", true, false}, {"wholly", false, false}, {"wholly, but a node remembers", false, true}} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 3, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, fake.Options{Machines: 3, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
 				var wg sync.WaitGroup
 				jobs := make([]wire.Job, 40)
 				for n := range jobs {
@@ -179,7 +179,7 @@
 // All nodes are restarted one after the other while the form of the records changes:
 // whichever of them a user reaches, each job is answered before, amid and after.
 func TestEveryJobIsAnsweredWhileTheFormChanges(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 3, OlderSchema: []int{0, 1, 2}}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 3, Capacity: 3, OlderSchema: []int{0, 1, 2}}, func(t *testing.T, w *fake.Cluster) {
 		var jobs []wire.Job
 		for n := range 30 {
 			jobs = append(jobs, job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, 15 }))
--- a/controller/priorities_test.go
+++ b/controller/priorities_test.go
@@ -32,7 +32,7 @@
 // What a job waits for is told from the records, also while no node is up.
 func TestWhyAJobWaitsIsToldWithoutALeader(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 8}, {Name: "edge"}}
-	story(t, fake.Options{Machines: 3, Capacity: 3, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 3, Capacity: 3, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
 		long := func(j *wire.Job) { j.CPUs, j.EstimateS = 4, 500 }
 		mustSubmit(t, w, job(1, long))
 		time.Sleep(5 * time.Second)
@@ -123,7 +123,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
 				applyPlan(t, w, 0, orderOf("craft", "clinic"))
 				mustSubmit(t, w, whole(1, "other", 30))
@@ -175,14 +175,14 @@
 			time.AfterFunc(4*time.Second, func() { w.PauseNode(l, false) })
 			return func() {}
 		}},
-		{"finds the state service slow", func(w *fake.Cluster, l int) func() {
+		{"finds the key-value store slow", func(w *fake.Cluster, _ int) func() {
 			w.Store.SetLatency(300 * time.Millisecond)
 			return func() { w.Store.SetLatency(0) }
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			teams := []config.Team{{Name: "core"}, {Name: "edge", CPUsMax: 8}}
-			story(t, fake.Options{Machines: 3, Capacity: 3, Types: []wire.MachineType{typ("m8"), typ("m9"), typ("m8")}, Teams: teams, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, fake.Options{Machines: 3, Capacity: 3, Types: []wire.MachineType{typ("m8"), typ("m9"), typ("m8")}, Teams: teams, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				urgent := func(n int, seconds float64, change func(*wire.Job)) wire.Job {
 					j := whole(n, "other", seconds)
 					j.Team, j.Priority = "edge", wire.PriorityHigh
@@ -220,7 +220,7 @@
 func TestALateTransactionPlacesByNoOlderOrder(t *testing.T) {
 	for _, dies := range []bool{false, true} {
 		t.Run(fmt.Sprint("the leader dies: ", dies), func(t *testing.T) {
-			story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
 				applyPlan(t, w, 0, orderOf("craft", "clinic"))
 				mustSubmit(t, w, whole(1, "other", 30))
@@ -252,7 +252,7 @@
 func TestNodesWithDifferentOlderOrdersPlaceByTheNewest(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		t.Run(fmt.Sprint("restarted: ", restart), func(t *testing.T) {
-			story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
 				applyPlan(t, w, 0, orderOf("craft", "clinic", "school"))
 				mustSubmit(t, w, whole(1, "other", 30))
@@ -283,7 +283,7 @@
 
 // The newest order can't be read: the one before holds, never none.
 func TestADamagedOrderLeavesTheOneBefore(t *testing.T) {
-	story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, orderOf("clinic", "craft"))
 		applyPlan(t, w, 1, orderOf("craft", "clinic"))
@@ -308,7 +308,7 @@
 // written. Nodes of this one that are started again don't lead by what they know
 // of it: nothing is placed until the later version is back.
 func TestAVersionThatCannotReadTheOrderDoesNotLead(t *testing.T) {
-	story(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, orderOf("clinic", "craft"))
 		mustSubmit(t, w, whole(1, "other", 15))
@@ -342,7 +342,7 @@
 // begins within the bound, and the departures that takes are counted by whoever
 // leads.
 func TestClinicWorkWithoutEndStarvesNobodyWhileLeadersFail(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Capacity: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4, Capacity: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, strings.ReplaceAll(orderOf("clinic", "school", "craft"), "240", "60"))
 		began := map[string]time.Duration{}
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -58,9 +58,12 @@
 		plans.Pool("warm", "img-1", 5, "m8", rnd.IntN(3), 3, 2, "core", `borrowers = ["edge"]`)
 }
 
-// randomScenario plays a story in a world that many times as large; planned says that
-// a plan holds, and another one now and then.
+// randomScenario runs random faults on a cluster that many times as large; planned says
+// that a plan is in force, and another one now and then.
+//
+//nolint:revive // flag-parameter: the variants of the test differ in it
 func randomScenario(t *testing.T, seed uint64, size int, planned bool) {
+	t.Helper()
 	rnd := rand.New(rand.NewPCG(seed, 99))
 	o := fake.Options{Machines: 6 * size, Capacity: 10 * size, Seed: seed,
 		Teams: []config.Team{{Name: "core", CPUs: 12 * float64(size), CPUsMax: 28 * float64(size)}, {Name: "edge", CPUs: 8 * float64(size)}}}
--- a/controller/reachability_test.go
+++ b/controller/reachability_test.go
@@ -25,7 +25,7 @@
 // Launches went to a mute machine with every answer, and waited there for as long
 // as it was mute.
 func TestNothingWaitsForAMachineThatDoesNotHear(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		at := w.Cloud.Machines()[0]
 		w.BlockRepliesTo(at, true)
@@ -54,7 +54,7 @@
 // elsewhere once that machine's lease is over. It never shows the next one's
 // token, and each of its reports was answered: tasks waited without end.
 func TestAMachineIsMuteWhileTheLeaderChanges(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 4, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 3, Capacity: 4, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		at := w.Cloud.Machines()[0]
 		w.BlockRepliesTo(at, true)
@@ -74,7 +74,7 @@
 
 // A machine that stays mute is returned, and another rented.
 func TestAMachineThatStaysMuteIsReplaced(t *testing.T) {
-	story(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 2)
 		at := w.Cloud.Machines()[0]
 		w.BlockRepliesTo(at, true)
@@ -92,7 +92,7 @@
 // Copies of reports of a machine that is gone come to a leader that has never
 // heard of it. It looked alive, and tasks were launched there.
 func TestCopiesOfReportsOfAMachineThatIsGone(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		gone := w.Cloud.Machines()[0]
 		w.DuplicateReports(1)
@@ -119,7 +119,7 @@
 
 // Copies of all machines' reports come all the time, up to five leases late.
 func TestCopiesOfReportsChangeNothing(t *testing.T) {
-	story(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		w.DuplicateReports(2)
 		busy(t, w, 6)
 		before := w.Started()
@@ -145,7 +145,7 @@
 		"one by another": nil,
 	} {
 		t.Run(name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 12, Capacity: 12}, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, fake.Options{Machines: 12, Capacity: 12}, func(t *testing.T, w *fake.Cluster) {
 				busy(t, w, 12)
 				switch name {
 				case "all but one":
@@ -179,7 +179,7 @@
 // Nodes are back within a fraction of a second, one after another and at once,
 // and so in the middle of the elections that this brings about.
 func TestNodesAreBackWithinAFractionOfASecond(t *testing.T) {
-	story(t, fake.Options{Machines: 8, Capacity: 8}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 8, Capacity: 8}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 8)
 		for round, after := range []time.Duration{0, 50, 150, 300, 600, 900} {
 			if l := w.Leader(); l >= 0 {
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -79,6 +79,8 @@
 
 // open submits jobs at once, so that they share open heads, and has these sealed, if
 // wanted, by a few more that come one by one.
+//
+//nolint:revive // flag-parameter: the variants of the test differ in it
 func open(t *testing.T, w *fake.Cluster, jobs []wire.Job, sealed bool) {
 	t.Helper()
 	submitAll(t, w, jobs)
@@ -104,7 +106,7 @@
 		value := [][]byte{nil, {0xc0}}[i%2]
 		t.Run(c.name, func(t *testing.T) {
 			var log logged
-			story(t, fake.Options{Machines: 6, Capacity: 7, Log: slog.New(slog.NewTextHandler(&log, nil))}, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, fake.Options{Machines: 6, Capacity: 7, Log: slog.New(slog.NewTextHandler(&log, nil))}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
 				applyPlan(t, w, 0, orderOf("clinic", "craft")+nightPlan)
 				mustSubmit(t, w, job(1, nil), job(2, func(j *wire.Job) { j.EstimateS = 600 }))
@@ -163,7 +165,7 @@
 func TestWhatNobodyRemembersIsSetAside(t *testing.T) {
 	for _, c := range damaged[:3] {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 6, Capacity: 7}, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, fake.Options{Machines: 6, Capacity: 7}, func(t *testing.T, w *fake.Cluster) {
 				before := manyKinds(100, 40)
 				open(t, w, before, c.sealed)
 				for n := range w.Nodes() {
@@ -209,7 +211,7 @@
 		seeds = 1
 	}
 	for seed := range seeds {
-		story(t, fake.Options{Machines: 6, Capacity: 7, Seed: seed}, func(t *testing.T, w *fake.Cluster) {
+		runScenario(t, fake.Options{Machines: 6, Capacity: 7, Seed: seed}, func(t *testing.T, w *fake.Cluster) {
 			rnd := rand.New(rand.NewPCG(seed, 6))
 			w.Store.LimitWrites(25)
 			var wg sync.WaitGroup
--- a/controller/scenarios_test.go
+++ b/controller/scenarios_test.go
@@ -14,17 +14,17 @@
 
 // Stories are told in other packages as well.
 var (
-	story      = scenario.Run
-	job        = scenario.Job
-	gang       = scenario.AsGang
-	mustSubmit = scenario.MustSubmit
-	mustReach  = scenario.MustReach
-	mustFinish = scenario.MustFinish
-	applyPlan  = scenario.ApplyPlan
+	runScenario = scenario.Run
+	job         = scenario.Job
+	gang        = scenario.AsGang
+	mustSubmit  = scenario.MustSubmit
+	mustReach   = scenario.MustReach
+	mustFinish  = scenario.MustFinish
+	applyPlan   = scenario.ApplyPlan
 )
 
 func TestArrayGangAndServiceRun(t *testing.T) {
-	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, nil), job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.OneZone = true }),
 			job(3, func(j *wire.Job) { j.Kind = wire.KindService; j.Spread = true; j.EstimateS = 0; j.Tasks = 3 }))
 		mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
@@ -41,7 +41,7 @@
 }
 
 func TestCancellationSurvivesCrashOfAllControllers(t *testing.T) {
-	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Kind = wire.KindService; j.EstimateS = 0 }), job(2, nil))
 		time.Sleep(8 * time.Second)
 		w.Cancel("wk-000001")
@@ -58,7 +58,7 @@
 }
 
 func TestLateTransactionOfADeadLeaderFails(t *testing.T) {
-	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
 		// The placement's commit hangs and is applied long after its leader
 		// has died: the guard on the leader key must refuse it.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
@@ -72,7 +72,7 @@
 }
 
 func TestLateHeartbeatIsIgnored(t *testing.T) {
-	story(t, fake.Options{Machines: 1, Capacity: 1, Nodes: 1}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Nodes: 1}, func(t *testing.T, w *fake.Cluster) {
 		name := w.Cloud.Machines()[0]
 		w.CaptureReport(name) // lists no task
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
@@ -91,7 +91,7 @@
 }
 
 func TestHungMachineExecutesLateStopsHarmlessly(t *testing.T) {
-	story(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Kind = wire.KindService; j.EstimateS = 0; j.Tasks = 4; j.CPUs = 4 }))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 30*time.Second)
 		time.Sleep(3 * time.Second)
@@ -106,7 +106,7 @@
 }
 
 func TestUnansweredRentalIsNotRepeated(t *testing.T) {
-	story(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
 		w.Cloud.SetDropReplies(true)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks = 4; j.CPUs = 6 }))
 		time.Sleep(12 * time.Second)
@@ -136,7 +136,7 @@
 		{"outage for all", func(w *fake.Cluster, _ int, on bool) { w.Store.SetOutage(on) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 				mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 70 }),
 					job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.EstimateS = 50 }))
 				time.Sleep(8 * time.Second)
@@ -154,7 +154,7 @@
 }
 
 func TestNodeRefusedByTheKeyValueStoreStillServesUsers(t *testing.T) {
-	story(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster) {
 		f := (w.Leader() + 1) % 3
 		w.Store.Refuse(fmt.Sprintf("n-%d", f), true)
 		time.Sleep(2 * time.Second)
@@ -165,7 +165,7 @@
 }
 
 func TestMachineLostWithoutInterruptionNotice(t *testing.T) {
-	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks = 3; j.EstimateS = 40 }),
 			job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.CPUs = 4; j.EstimateS = 40 }))
 		time.Sleep(10 * time.Second)
@@ -176,7 +176,7 @@
 }
 
 func TestInterruptionNoticeLetsAGangCheckpointTogether(t *testing.T) {
-	story(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
 			gang(j)
 			j.Tasks, j.CPUs, j.EstimateS, j.CheckpointS = 2, 6, 60, 50
@@ -194,7 +194,7 @@
 }
 
 func TestFaultyMachineIsAvoidedAndBrokenJobBacksOff(t *testing.T) {
-	story(t, fake.Options{Machines: 3, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 3, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
 		w.MakeMachineFaulty(w.Cloud.Machines()[0])
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Class, j.Tasks = fake.BrokenClass, 1 }),
 			job(2, func(j *wire.Job) { j.Tasks = 6 }), job(3, func(j *wire.Job) { j.Tasks = 6 }))
@@ -212,7 +212,7 @@
 }
 
 func TestPriorityPreemptsAndEqualsDoNot(t *testing.T) {
-	story(t, fake.Options{Machines: 1, Capacity: 1}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 1, Capacity: 1}, func(t *testing.T, w *fake.Cluster) {
 		low := func(j *wire.Job) {
 			j.Priority, j.Tasks, j.CPUs, j.EstimateS, j.CheckpointS, j.SaveS = wire.PriorityLow, 2, 4, 100, 10, 2
 		}
@@ -233,7 +233,7 @@
 
 func TestTeamsKeepToTheirLimitsAndGetTheirQuota(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUs: 8, CPUsMax: 12}, {Name: "edge", CPUs: 8}}
-	story(t, fake.Options{Machines: 2, Capacity: 2, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 2, Capacity: 2, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
 		long := func(j *wire.Job) { j.CPUs, j.EstimateS, j.CheckpointS, j.SaveS = 4, 200, 5, 1 }
 		mustSubmit(t, w, job(1, func(j *wire.Job) { long(j); j.Tasks = 4 }))
 		time.Sleep(15 * time.Second)
@@ -246,7 +246,7 @@
 }
 
 func TestRollingRestart(t *testing.T) {
-	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 8, 60 }))
 		for i := range 3 {
 			time.Sleep(12 * time.Second)
@@ -270,7 +270,7 @@
 }
 
 func TestHugeArrayIsAcceptedRunAndCancelled(t *testing.T) {
-	story(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = wire.MaxTasks, 1, 5 }))
 		time.Sleep(time.Minute)
 		if n := w.FinishedTasks("wk-000001"); n < 100 {
@@ -286,7 +286,7 @@
 }
 
 func TestInfeasibleSubmissionsAreAnsweredAtOnce(t *testing.T) {
-	story(t, fake.Options{Machines: 1}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 1}, func(t *testing.T, w *fake.Cluster) {
 		field := func(name string, v any) map[string]any {
 			m := map[string]any{"nameId": "wk-000009", "filiere": "c", "atelier": "core", "facon": "sweep", "rang": "normal",
 				"pieces": 2, "cpus": 1.0, "gpus": 0.0, "memoryGb": 1.0, "gabarit": "i", "pullGb": 1.0, "gammes": nil,
--- a/controller/schema_test.go
+++ b/controller/schema_test.go
@@ -37,7 +37,7 @@
 // pages, and those that have keys of their own go on.
 func TestARollingRestartRaisesTheFormAtItsEnd(t *testing.T) {
 	for older := range 3 {
-		story(t, fake.Options{Machines: 4, OlderSchema: []int{older}}, func(t *testing.T, w *fake.Cluster) {
+		runScenario(t, fake.Options{Machines: 4, OlderSchema: []int{older}}, func(t *testing.T, w *fake.Cluster) {
 			long := func(j *wire.Job) { j.EstimateS = 90 }
 			mustSubmit(t, w, job(1, long), job(2, nil))
 			// A change of leader in each direction.
@@ -151,7 +151,7 @@
 	if scenario.UnderRace {
 		burst = 150
 	}
-	story(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		w.Store.LimitWrites(25)
 		time.Sleep(5 * time.Second)
 		before := w.Store.Changes()
@@ -200,7 +200,7 @@
 			if older != nil && rate > 100 {
 				continue // they come for longer than their users wait
 			}
-			story(t, fake.Options{Machines: 4, OlderSchema: older}, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, fake.Options{Machines: 4, OlderSchema: older}, func(t *testing.T, w *fake.Cluster) {
 				w.Store.LimitWrites(25)
 				time.Sleep(5 * time.Second)
 				before := w.Store.Changes()
--- a/controller/seeds_test.go
+++ b/controller/seeds_test.go
@@ -28,7 +28,7 @@
 	for seed := uint64(1); seed <= seeds; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			o.Seed = seed
-			story(t, o, func(t *testing.T, w *fake.Cluster) { tell(t, w, rand.New(rand.NewPCG(seed, number))) })
+			runScenario(t, o, func(t *testing.T, w *fake.Cluster) { tell(t, w, rand.New(rand.NewPCG(seed, number))) })
 		})
 	}
 }
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -38,7 +38,7 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			o := o
 			o.Seed = seed
-			story(t, o, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
 				met := play(t, w, rand.New(rand.NewPCG(seed, 29)))
 				if met == 0 {
 					t.Error("the troubles missed one another")
@@ -516,7 +516,10 @@
 
 // manySmallJobs lets jobs come while the state service takes so many changes a second.
 // No more keys of unfinished jobs than that are there at once, and nothing takes longer.
+//
+//nolint:revive // argument-limit: each is a bound of the variant, read at its call
 func manySmallJobs(t *testing.T, during time.Duration, changes float64, keys int, accept, cancel, end time.Duration) {
+	t.Helper()
 	if scenario.UnderRace {
 		during = 30 * time.Second
 	}
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -25,7 +25,7 @@
 // Machines reported every 4 s, and a launch waited for the next report: 2 s on
 // average, and a gang for the last of its machines.
 func TestALaunchDoesNotWaitForTheNextReport(t *testing.T) {
-	story(t, slowly(8), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, slowly(8), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		time.Sleep(20 * time.Second)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.ImageGB = 8, 8, 1 }))
@@ -42,7 +42,7 @@
 func TestWithoutSummonsLaunchesGoWithTheNextReports(t *testing.T) {
 	o := slowly(8)
 	o.NoWakeUps = true
-	story(t, o, func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		time.Sleep(20 * time.Second)
 		for _, m := range w.Cloud.Machines() {
@@ -96,7 +96,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			story(t, slowly(3), func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, slowly(3), func(t *testing.T, w *fake.Cluster) {
 				t.Helper()
 				// So that no machine is idle, and returned.
 				mustSubmit(t, w, job(9, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 5, 900 }))
@@ -143,7 +143,7 @@
 // The worker's session ends while its summons is under way: it is refused, and
 // the task runs once.
 func TestASessionThatEndsUnderASummonsRefusesIt(t *testing.T) {
-	story(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		time.Sleep(10 * time.Second)
 		m := w.Cloud.Machines()[0]
@@ -169,7 +169,7 @@
 func TestALeaderThatStopsBeforeItsSummonsStartsNothingTwice(t *testing.T) {
 	for _, stop := range []time.Duration{3 * time.Second, 25 * time.Second} {
 		t.Run(stop.String(), func(t *testing.T) {
-			story(t, slowly(6), func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, slowly(6), func(t *testing.T, w *fake.Cluster) {
 				t.Helper()
 				time.Sleep(10 * time.Second)
 				for n := 1; n <= 6; n++ {
@@ -198,7 +198,7 @@
 func TestAMachineHangsWhileItsAnswerIsHeld(t *testing.T) {
 	for _, hang := range []time.Duration{2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		t.Run(hang.String(), func(t *testing.T) {
-			story(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
 				t.Helper()
 				mustSubmit(t, w, one(1, 10), one(2, 10), one(3, 10))
 				for range 600 {
--- a/controller/warm_pools_measure_test.go
+++ b/controller/warm_pools_measure_test.go
@@ -33,6 +33,7 @@
 // such weeks. It returns after how long each replica ran, in order, and what the
 // pool's machines had cost by then.
 func (b burst) play(t *testing.T) (ran []time.Duration, cost float64) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		hour := time.Now().UTC().Truncate(24 * time.Hour).Add(25 * time.Hour)
 		typ := wire.MachineType{Name: "g8", CPUs: 8, GPUs: 8, MemoryGB: 64, CacheGB: 200, FetchGBPS: 1, Price: machineRate, SpotPrice: 5, BootS: 45, ZonesNamed: fake.Zones}
@@ -176,6 +177,7 @@
 // notesWritten counts the changes of the parts' records, by part, while a plan of
 // all of them holds on that many machines, half of them in pools.
 func notesWritten(t *testing.T, machines int, during time.Duration) (by map[string]int) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		typ := fake.DefaultType
 		typ.CacheGB = 100
--- a/controller/warm_pools_test.go
+++ b/controller/warm_pools_test.go
@@ -17,8 +17,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// poolWorld has machines with a cache of 100 GB; an image of 40 GB takes 40 s.
-func poolWorld(machines, capacity int) fake.Options {
+// poolCluster has machines with a cache of 100 GB; an image of 40 GB takes 40 s.
+func poolCluster(machines, capacity int) fake.Options {
 	typ := fake.DefaultType
 	typ.CacheGB = 100
 	return fake.Options{Machines: machines, Capacity: capacity, Types: []wire.MachineType{typ},
@@ -76,7 +76,7 @@
 }
 
 func TestAPoolHoldsWeightsAheadOfABurst(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitWarm(t, w, "llm:v1", 4, 5*time.Minute)
 		if n := w.PeakImageFetches(); n > 2 {
@@ -144,7 +144,7 @@
 		name string
 		tell func(t *testing.T, w *fake.Cluster)
 	}{
-		{"between record and rental", func(t *testing.T, w *fake.Cluster) {
+		{"between record and rental", func(_ *testing.T, w *fake.Cluster) {
 			w.Cloud.SetOutage(true)
 			for len(w.Store.Keys(jobstore.ScaleOutPrefix)) == 0 {
 				time.Sleep(100 * time.Millisecond)
@@ -152,7 +152,7 @@
 			w.KillNode(w.Leader())
 			w.Cloud.SetOutage(false)
 		}},
-		{"while the rental is not answered", func(t *testing.T, w *fake.Cluster) {
+		{"while the rental is not answered", func(_ *testing.T, w *fake.Cluster) {
 			w.Cloud.SetDropReplies(true)
 			for len(w.Cloud.Machines()) == 0 {
 				time.Sleep(100 * time.Millisecond)
@@ -160,14 +160,14 @@
 			w.KillNode(w.Leader())
 			w.Cloud.SetDropReplies(false)
 		}},
-		{"between rental and fetch", func(t *testing.T, w *fake.Cluster) {
+		{"between rental and fetch", func(_ *testing.T, w *fake.Cluster) {
 			for len(w.Cloud.Machines()) < 4 {
 				time.Sleep(100 * time.Millisecond)
 			}
 			time.Sleep(5 * time.Second)
 			w.KillNode(w.Leader())
 		}},
-		{"while weights are fetched, and all others too", func(t *testing.T, w *fake.Cluster) {
+		{"while weights are fetched, and all others too", func(_ *testing.T, w *fake.Cluster) {
 			for w.PeakImageFetches() == 0 {
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -177,7 +177,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, poolWorld(0, 12), func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, poolCluster(0, 12), func(t *testing.T, w *fake.Cluster) {
 				applyPlan(t, w, 0, poolPlan(4, 4, ""))
 				c.tell(t, w)
 				awaitWarm(t, w, "llm:v1", 4, 8*time.Minute)
@@ -197,7 +197,7 @@
 }
 
 func TestALeaderDiesBetweenHoldAndReturn(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
 		applyPlan(t, w, 1, poolPlan(1, 4, ""))
@@ -241,7 +241,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, poolWorld(0, 12), func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, poolCluster(0, 12), func(t *testing.T, w *fake.Cluster) {
 				c.tell(w)
 				applyPlan(t, w, 0, poolPlan(4, 4, ""))
 				time.Sleep(30 * time.Second)
@@ -275,7 +275,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 				applyPlan(t, w, 0, poolPlan(4, 4, ""))
 				awaitPool(t, w, "full", 10*time.Minute, full(4))
 				c.lose(w, w.MachinesWithImage("llm:v1")[0])
@@ -305,7 +305,7 @@
 }
 
 func TestAMachineThatDoesNotComeByItsWeightsIsReplaced(t *testing.T) {
-	story(t, poolWorld(2, 4), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(2, 4), func(t *testing.T, w *fake.Cluster) {
 		slow := w.Cloud.Machines()[0]
 		w.SlowImageFetch(slow)
 		applyPlan(t, w, 0, poolPlan(2, 2, ""))
@@ -324,7 +324,7 @@
 }
 
 func TestAModelsImageChangesOvernight(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
 		// The plan names v1; what comes is v2.
@@ -340,7 +340,7 @@
 }
 
 func TestTwoPoolsWhoseWeightsDoNotFitTogether(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		second := strings.Replace(strings.Replace(poolPlan(2, 2, ""), `name = "llm"`, `name = "asr"`, 1), `model = "llm:v1"`, `model = "asr:v1"`, 1)
 		text := strings.ReplaceAll(poolPlan(2, 2, "")+second, "gb = 40", "gb = 60")
 		applyPlan(t, w, 0, text)
@@ -362,12 +362,13 @@
 		{"by its priority", "", wire.PriorityHigh, wire.PriorityNormal},
 		{"by the order", "[[order.tiers]]\nname = \"clinic\"\nclasses = [\"slicing\"]\n", wire.PriorityNormal, wire.PriorityNormal},
 	} {
-		t.Run(c.name, func(t *testing.T) { clinicStory(t, c.order, c.rank, c.not) })
+		t.Run(c.name, func(t *testing.T) { runClinicScenario(t, c.order, c.rank, c.not) })
 	}
 }
 
-func clinicStory(t *testing.T, order, rank, not string) {
-	story(t, poolWorld(0, 4), func(t *testing.T, w *fake.Cluster) {
+func runClinicScenario(t *testing.T, order, rank, not string) {
+	t.Helper()
+	runScenario(t, poolCluster(0, 4), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, order))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
 		other := func(n int, class, rank string) wire.Job {
@@ -395,7 +396,7 @@
 }
 
 func TestThePoolIsLentToWorkThatStopsInTime(t *testing.T) {
-	story(t, poolWorld(0, 4), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(0, 4), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
@@ -422,7 +423,7 @@
 }
 
 func TestTheStateServiceIsOutInABurst(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		before := awaitPool(t, w, "full", 10*time.Minute, full(4))
 		mustSubmit(t, w, replicas(1, 4))
@@ -441,7 +442,7 @@
 }
 
 func TestWithoutAPlanNothingIsRecorded(t *testing.T) {
-	story(t, poolWorld(2, 4), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(2, 4), func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, replicas(1, 2))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 2*time.Minute)
 		if keys := w.Store.Keys(jobstore.PlanStatePrefix); len(keys) > 0 {
@@ -451,7 +452,7 @@
 }
 
 func TestWorkersThatKnowNoFetchesAreFilledByReplicas(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		w.RejectUnknownJobs()
 		applyPlan(t, w, 0, poolPlan(2, 4, ""))
 		awaitPool(t, w, "told", 5*time.Minute, func(s warmpool.State) bool { return s.Record.FetchRefused != "" })
@@ -472,7 +473,7 @@
 }
 
 func TestAPoolIsThereForTheHourAndReturnedAfterIt(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		hour := time.Now().Truncate(time.Hour).Add(time.Hour)
 		burst{replicas: 4}.remember(t, w, hour)
 		applyPlan(t, w, 0, poolPlan(0, 4, ""))
@@ -507,9 +508,9 @@
 func TestPoolsOutliveEverything(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			o := poolWorld(3, 14)
+			o := poolCluster(3, 14)
 			o.Seed, o.Nodes = seed, 5
-			story(t, o, func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
 				rnd := rand.New(rand.NewPCG(seed, 11))
 				applyPlan(t, w, 0, poolPlan(3, 6, ""))
 				plan, next, running := scenario.Plans{World: w, Version: 1}, 1, []string{}
@@ -576,7 +577,7 @@
 }
 
 func TestWhatNobodyLedIsChargedToWhoPaidThen(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		before := awaitPool(t, w, "full", 10*time.Minute, full(4))
 		w.KillAll()
@@ -598,7 +599,7 @@
 }
 
 func TestAPoolOutlivesALostPlan(t *testing.T) {
-	story(t, poolWorld(0, 8), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(2, 2, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(2))
 		held := w.MachinesWithImage("llm:v1")
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -299,6 +299,7 @@
 // muteAtOnce makes n machines receive no answers for a minute; whileMute runs at its
 // beginning.
 func muteAtOnce(t *testing.T, w *fake.Cluster, said *tally, n int, whileMute func()) {
+	t.Helper()
 	if w.Cancel("wk-000001") != wire.JobCancelled {
 		t.Fatal("not cancelled")
 	}
