--- a/jobstore/accept.go
+++ b/jobstore/accept.go
@@ -11,20 +11,21 @@
 )
 
 const (
-	// openPageThreshold is how many jobs are given keys of their own at once, for each bucket and
-	// controller, before the head page is opened: a change for each is more than there is.
+	// openPageThreshold is how many transactions for jobs with keys of their own a controller may have
+	// in flight for a bucket. Beyond that it opens the head page, where jobs share transactions: one
+	// write for each job would exceed the key-value store's write rate.
 	openPageThreshold = 4
-	// maxAcceptAttempts bounds how often a submission finds that things have changed.
+	// maxAcceptAttempts bounds the tries of a submission that concurrent changes make fail.
 	maxAcceptAttempts = 6
-	// maxEntryShare: an entry larger than this part of a page gets a key of its own.
+	// maxEntryShare limits entries to 1/maxEntryShare of a page; a larger job gets a key of its own.
 	maxEntryShare = 4
 )
 
-// submission is a job that is to be accepted.
+// submission is a job to be accepted.
 type submission struct {
 	entry JobPageEntry
 	tier  int
-	done  chan acceptResult // of one that a bucketQueue commits
+	done  chan acceptResult // receives the result if a bucket's writer commits it
 }
 
 type acceptResult struct {
@@ -32,7 +33,9 @@
 	err       error
 }
 
-// Accept commits a submission; it is idempotent. duplicate is true where the id was accepted before.
+// Accept commits a submission. It is idempotent: duplicate is true if the id has been accepted already,
+// also by an earlier try of the same call whose response was lost. After an error that wraps
+// kvstore.ErrOutcomeUnknown the job may have been accepted; repeat the call to find out.
 func (s *Store) Accept(ctx context.Context, job wire.Job, at time.Time) (duplicate bool, err error) {
 	record := JobRecord{Job: job, AcceptedAtMs: at.UnixMilli()}
 	raw, err := wire.Marshal(record)
@@ -70,7 +73,7 @@
 	return false, errTooManyConflicts
 }
 
-// ensureLoaded makes sure that the index has been read once.
+// ensureLoaded reads the index if it has not been read yet.
 func (s *Store) ensureLoaded(ctx context.Context) error {
 	s.mu.Lock()
 	loaded := s.loaded
@@ -81,27 +84,27 @@
 	return s.readBarrier(ctx)
 }
 
-// acceptOutcome is what has become of an attempt to accept a job.
+// acceptOutcome is the state of an attempt to accept a job.
 type acceptOutcome int
 
 const (
-	acceptPending    acceptOutcome = iota // its own transaction is to be committed
-	acceptQueued                          // it shares a transaction with others, and waits for that
-	acceptCommitted                       // it is accepted
-	acceptDuplicate                       // it was accepted before
-	acceptConflicted                      // something has changed: read, and try again
+	acceptPending    acceptOutcome = iota // a transaction of its own is to be committed
+	acceptQueued                          // queued for a transaction shared with other submissions
+	acceptCommitted                       // accepted
+	acceptDuplicate                       // had been accepted already
+	acceptConflicted                      // the index was stale: read a barrier, and try again
 )
 
 // acceptAttempt is an attempt to accept a job.
 type acceptAttempt struct {
 	outcome acceptOutcome
-	queue   *bucketQueue // of the job's bucket; nil before SchemaJobPages
+	queue   *bucketQueue // the queue of the job's bucket; nil before SchemaJobPages
 	guards  []wire.Guard
 	ops     []wire.Op
 }
 
-// beginAccept decides how a job is to be committed: with others, by the writer of its bucket, or by a
-// transaction of its own.
+// beginAccept decides how to commit a job: in a transaction shared with others, by the writer of its
+// bucket, or in a transaction of its own.
 func (s *Store) beginAccept(sub *submission, record JobRecord) (acceptAttempt, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,8 +130,8 @@
 	attempt.queue = q
 	headKey := HeadPageKey(bucket)
 	head := s.jobPages[headKey]
-	// One that waits for its turn would have those behind it wait as well, who could all share one
-	// transaction.
+	// Without write capacity a transaction of its own would wait for the limiter, and delay the
+	// submissions behind it, which could all share one transaction.
 	contended := q.individual >= openPageThreshold || !s.kv.HasWriteCapacity(1)
 	large := sub.entry.size() > s.config.Limits.pageBytes()/maxEntryShare
 	if !large && (!head.isClosed() || q.writing || contended) {
@@ -140,14 +143,15 @@
 	}
 	attempt.guards = append(attempt.guards, wire.Guard{Key: headKey, Version: s.headPageVersion(headKey)})
 	if !head.isClosed() {
-		// Whoever adds to an open head page knows by its version all jobs with keys of their own.
+		// Rewrite the open head page unchanged, to change its version: controllers that add to an open
+		// page guard only that version, and not the key that each job might have (see guardsPerJob).
 		attempt.ops = append(attempt.ops, wire.Op{Put: headKey, Value: head.page})
 	}
 	q.individual++
 	return attempt, nil
 }
 
-// commitIndividually commits a job with a key of its own.
+// commitIndividually commits the transaction of a job that gets a key of its own.
 func (s *Store) commitIndividually(ctx context.Context, attempt acceptAttempt, sub *submission) (acceptOutcome, error) {
 	rev, err := s.kv.CompareAndSwap(ctx, attempt.guards, attempt.ops)
 	if q := attempt.queue; q != nil {
@@ -170,8 +174,8 @@
 	return acceptConflicted, nil
 }
 
-// applyOwnJob takes in a job that this controller has given a key of its own, before a barrier brings
-// it.
+// applyOwnJob adds a job that this controller has committed under a key of its own to the index, so
+// that it is known before the next barrier.
 func (s *Store) applyOwnJob(e JobPageEntry, rev uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,9 +184,9 @@
 	}
 }
 
-// applyOwnPages takes in what this controller has committed, before a barrier brings it. Where one has
-// been faster, it may have brought what came after as well, and a page that is gone again must not come
-// back.
+// applyOwnPages applies a committed transaction's changes of job pages to the index, so that they are
+// known before the next barrier. If a barrier has already read up to rev, nothing is applied: the index
+// may hold later changes as well, and the old ones could bring back a page deleted since.
 func (s *Store) applyOwnPages(ops []wire.Op, rev uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,7 +197,7 @@
 		if page, ok := op.Value.(JobPage); ok && op.Put != "" {
 			s.setJobPage(op.Put, page, rev)
 		} else if IsJobPageKey(op.Delete) {
-			s.setJobPage(op.Delete, JobPage{}, rev) // stays until the barrier that brings the deletion
+			s.setJobPage(op.Delete, JobPage{}, rev) // the empty page stays until the barrier that reads the deletion
 		}
 	}
 }
--- a/jobstore/appindex.go
+++ b/jobstore/appindex.go
@@ -4,8 +4,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// appIndex is what a store keeps for front ends with reserved jobs. A Store's lock guards it. The
-// methods that take changes in do nothing on nil.
+// appIndex is the part of the index that only API front ends with reserved jobs need. A Store's lock
+// guards it. Methods that apply changes do nothing on a nil appIndex.
 type appIndex struct {
 	pageChunks  map[int][]PlacementChunk          // of reserved jobs, by placement page
 	chunksByJob map[string]map[int]PlacementChunk // the same by job and chunk
@@ -45,7 +45,7 @@
 	}
 }
 
-// setPlacementPage replaces what stands on a placement page.
+// setPlacementPage replaces the content of a placement page.
 func (x *appIndex) setPlacementPage(page int, chunks []PlacementChunk) {
 	if x == nil {
 		return
@@ -81,7 +81,7 @@
 	}
 }
 
-// reservedJob is an unfinished reserved job with what is known of its tasks.
+// reservedJob returns an unfinished reserved job with what is known of its tasks.
 func (x *appIndex) reservedJob(id string, j *activeJob) ReservedJob {
 	out := ReservedJob{
 		ID: id, Record: j.record, Version: j.version,
--- a/jobstore/barrier.go
+++ b/jobstore/barrier.go
@@ -10,13 +10,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A read barrier brings the index up to a moment after the call: a watch that does not block returns
-// every change so far. Callers that come together share one.
+// A read barrier brings the index up to a revision current at some moment after the call: it is a watch
+// that does not block and returns every change so far. Concurrent callers share one.
 
 const (
-	// barrierQueue is how many callers can ask for a barrier without waiting.
+	// barrierQueue is how many requests for a barrier are buffered.
 	barrierQueue = 256
-	// barrierShare is how many callers share a barrier at most.
+	// barrierShare is the most callers that share a barrier.
 	barrierShare   = 512
 	barrierTimeout = 2500 * time.Millisecond
 	// listPageSize is how many keys are listed with one request.
@@ -38,15 +38,15 @@
 		for _, w := range waiting {
 			w <- err
 		}
-		// Callers that come meanwhile share the next barrier: with hundreds of users who poll, one
-		// barrier after another on every controller is more than the key-value store takes.
+		// Callers that arrive during the pause share the next barrier. With hundreds of polling users,
+		// back-to-back barriers of every controller would exceed the key-value store's request rate.
 		if s.config.BarrierInterval != nil {
 			call.Pause(ctx, s.config.BarrierInterval()-time.Since(started))
 		}
 	}
 }
 
-// waitingForBarrier takes the callers that wait beside the first one.
+// waitingForBarrier takes the callers that are already waiting, in addition to the first one.
 func (s *Store) waitingForBarrier() []chan error {
 	var waiting []chan error
 	for len(waiting) < barrierShare-1 {
@@ -76,8 +76,8 @@
 	}
 }
 
-// refresh brings the index up to date: by the changes since the last refresh or, the first time and
-// where these are no longer kept, by listing all records.
+// refresh brings the index up to date with the changes since the last refresh. The first time, and if
+// those changes have been compacted, it lists all records.
 func (s *Store) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, barrierTimeout)
 	defer cancel()
@@ -96,12 +96,13 @@
 	return s.reload(ctx)
 }
 
-// reload replaces the index by a listing of all records.
+// reload rebuilds the index from a listing of all records.
 func (s *Store) reload(ctx context.Context) error {
 	if err := s.listActive(ctx); err != nil {
 		return err
 	}
-	// The pages of the listing are of different moments: the changes since the first one make it whole.
+	// Each page of the listing is of a different revision: applying all changes since the first page's
+	// makes them consistent.
 	events, err := s.kv.Watch(ctx, ActivePrefix, s.partial.revision, 0)
 	if err != nil {
 		if errors.Is(err, kvstore.ErrCompacted) {
@@ -116,7 +117,7 @@
 	return s.apply(events)
 }
 
-// apply takes changes in.
+// apply applies changes to the index. It returns ErrNewerSchema if this program can't read the records.
 func (s *Store) apply(events wire.Events) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// listing is what has been read so far of all active records.
+// listing is a listing of all active records, as far as it has been read.
 type listing struct {
 	entries  []wire.Entry
 	revision uint64 // of the first page
@@ -135,9 +136,9 @@
 	complete bool
 }
 
-// listActive reads all active records. What it has read when ctx ends is kept, and the next barrier
-// goes on: where all controllers start at once, and the key-value store takes few requests of each,
-// none would ever have read all.
+// listActive reads all active records. If ctx ends first, the next barrier resumes where it stopped:
+// after a restart of all controllers at once, the key-value store's rate limits leave too few requests
+// for a controller to list everything within one barrier's timeout.
 func (s *Store) listActive(ctx context.Context) error {
 	l := &s.partial
 	for !l.complete {
--- a/jobstore/batch.go
+++ b/jobstore/batch.go
@@ -10,31 +10,33 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file commits submissions that come together with shared transactions, on the job pages of their
-// bucket. Each bucket has one writer at a time.
+// This file commits concurrent submissions in shared transactions, which add them to the job pages of
+// their bucket. Each controller has at most one writer goroutine for a bucket, so that its own
+// transactions do not conflict.
 
 const (
-	// closePageAfter is for how long submissions must have come one by one until the head page is
-	// closed again.
+	// closePageAfter is how long submissions must have come without contention, in batches of up to
+	// singleFile, before the head page is closed again.
 	closePageAfter = 5 * time.Second
-	// maxBatchPages is how many pages' worth of entries, or final records, a transaction takes.
+	// maxBatchPages bounds the size of a transaction's entries or final records, in multiples of the
+	// page size.
 	maxBatchPages = 2
-	// singleFile is how many submissions at once still count as one by one.
+	// singleFile is the largest batch that does not count as concurrent submissions.
 	singleFile   = 2
 	batchTimeout = 3 * time.Second
 )
 
-// bucketQueue is what waits for a bucket's next transaction. A Store's lock guards it.
+// bucketQueue holds what waits for a bucket's next transaction. A Store's lock guards it.
 type bucketQueue struct {
 	bucket        int
 	submissions   []*submission
 	cancellations []*cancellation
-	writing       bool      // a writer runs
-	individual    int       // jobs that are being given keys of their own
-	lastShared    time.Time // when submissions last shared a transaction
+	writing       bool      // a writer goroutine is running
+	individual    int       // transactions in flight for jobs with keys of their own
+	lastShared    time.Time // when submissions last were concurrent
 }
 
-// bucketQueue returns a bucket's queue; the lock is held.
+// bucketQueue returns a bucket's queue. The caller holds s.mu.
 func (s *Store) bucketQueue(bucket int) *bucketQueue {
 	q := s.writeQueues[bucket]
 	if q == nil {
@@ -44,8 +46,9 @@
 	return q
 }
 
-// Contended reports whether submissions of a bucket are better sent to one controller now: its head
-// page is open, and controllers that add to it at once make each other's transactions fail.
+// Contended reports whether submissions of a bucket should currently all be sent to one controller: the
+// bucket's head page is open or about to be, and controllers that add to it concurrently make each
+// other's transactions fail. It is a matter of throughput only.
 func (s *Store) Contended(bucket int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,8 +59,8 @@
 	return !s.jobPages[HeadPageKey(bucket)].isClosed()
 }
 
-// enqueueSubmission has a job committed together with those that wait as well; the lock is held. The
-// first one waits for nobody; those that come while a transaction is under way share the next.
+// enqueueSubmission hands a submission to its bucket's writer. The first is committed without delay;
+// those that arrive while its transaction is in flight share the next one. The caller holds s.mu.
 func (s *Store) enqueueSubmission(q *bucketQueue, sub *submission, job *wire.Job) error {
 	if s.runContext == nil || s.stopped {
 		return errStopped
@@ -70,7 +73,7 @@
 	return nil
 }
 
-// startWriter starts a bucket's writer unless it runs; the lock is held.
+// startWriter starts a bucket's writer unless it is running. The caller holds s.mu.
 func (s *Store) startWriter(q *bucketQueue) {
 	if q.writing {
 		return
@@ -80,7 +83,7 @@
 	s.writers.Go(func() { s.runWriter(ctx, q) })
 }
 
-// awaitAcceptance waits until a queued submission is answered.
+// awaitAcceptance waits for the result of a queued submission.
 func (s *Store) awaitAcceptance(ctx context.Context, q *bucketQueue, sub *submission) (duplicate bool, err error) {
 	select {
 	case r := <-sub.done:
@@ -93,7 +96,8 @@
 	}
 }
 
-// runWriter commits what waits for a bucket until nothing does, cancellations and submissions in turn.
+// runWriter commits what waits for a bucket until the queue is empty. It alternates between
+// cancellations and submissions so that neither starves the other.
 func (s *Store) runWriter(ctx context.Context, q *bucketQueue) {
 	for {
 		if batch := s.takeCancellations(q); len(batch) > 0 {
@@ -113,8 +117,8 @@
 	}
 }
 
-// takeSubmissions takes a batch off a queue. idle means that nothing waits any more: the writer is to
-// stop, and the next one that comes starts another.
+// takeSubmissions takes a batch off a queue. idle means that the queue is empty: the writer must stop,
+// and the next request starts a new one.
 func (s *Store) takeSubmissions(q *bucketQueue) (subs []*submission, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -126,8 +130,9 @@
 	return subs, false
 }
 
-// fillBatch takes what fits into a transaction off a queue, each id once: a repeat of a submission
-// waits for the next, and is told that it is a duplicate. The lock is held.
+// fillBatch takes the submissions that fit into a transaction off a queue. Each id is taken once: a
+// repeated submission stays for the next batch, where it is found to be a duplicate. The caller holds
+// s.mu.
 func (s *Store) fillBatch(q *bucketQueue) []*submission {
 	var subs []*submission
 	ids := map[string]bool{}
@@ -146,8 +151,8 @@
 	return subs
 }
 
-// byTier puts submissions, of which a transaction takes so many, in the order in which they are taken:
-// lower tiers first, but a quarter is of those that have waited longest, whatever their tier.
+// byTier orders submissions for a transaction that takes up to most of them: lowest tier number first,
+// except that a quarter of the places goes to those that have waited longest, so that no tier starves.
 func byTier(waiting []*submission, most int) []*submission {
 	if len(waiting) <= most {
 		return waiting
@@ -157,9 +162,11 @@
 	return out
 }
 
-// guardsPerJob is how many conditions a job has that is added to a head page; the lock is held. Once
-// the page is open, jobs get keys of their own only by a transaction that changes it; so whoever knows
-// what there was when it was opened knows all such keys.
+// guardsPerJob returns how many guards each job needs that is added to a head page: that it has no
+// final record and, in some cases, no key of its own. The latter is not needed if the head page is open
+// and the index includes the revision that opened it: the index then has every key from before, and any
+// later transaction that gives a job of this bucket its own key also changes the head page, whose
+// version is guarded. The caller holds s.mu.
 func (s *Store) guardsPerJob(headKey string) int {
 	if head := s.jobPages[headKey]; head.isClosed() || s.revision < head.openedAt {
 		return 2
@@ -167,10 +174,10 @@
 	return 1
 }
 
-// batch is submissions of one bucket that share a transaction and are not answered yet.
+// batch is the submissions of a bucket that share a transaction and have no result yet.
 type batch struct{ submissions []*submission }
 
-// answer answers those for which which is true.
+// answer sends a result to the submissions for which which returns true, and removes them.
 func (b *batch) answer(which func(*submission) bool, result acceptResult) {
 	b.submissions = slices.DeleteFunc(b.submissions, func(sub *submission) bool {
 		if !which(sub) {
@@ -181,12 +188,12 @@
 	})
 }
 
-// answerAll answers all that are left.
+// answerAll sends a result to all submissions that are left.
 func (b *batch) answerAll(result acceptResult) {
 	b.answer(func(*submission) bool { return true }, result)
 }
 
-// commitBatch commits submissions of a bucket, and answers each.
+// commitBatch commits submissions of a bucket, and sends each its result.
 func (s *Store) commitBatch(ctx context.Context, q *bucketQueue, b *batch) {
 	var err error
 	for try := 0; try < maxAcceptAttempts && ctx.Err() == nil; try++ {
@@ -214,7 +221,7 @@
 				continue
 			}
 		case errors.Is(err, kvstore.ErrOutcomeUnknown):
-			// It may have been committed: then the head page has them.
+			// It may have been committed. If so, the barrier shows the jobs, and they count as duplicates.
 		default:
 			b.answerAll(acceptResult{err: err})
 			return
@@ -230,8 +237,8 @@
 	b.answerAll(acceptResult{err: err})
 }
 
-// prepareBatch answers the submissions that are known meanwhile, and returns the transaction for the
-// others.
+// prepareBatch answers submissions whose ids have become known since they were queued, and returns the
+// transaction for the others.
 func (s *Store) prepareBatch(q *bucketQueue, b *batch) ([]wire.Guard, []wire.Op, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -239,11 +246,11 @@
 	if len(b.submissions) == 0 {
 		return nil, nil, nil
 	}
-	if err := s.checkAdmissible(b.submissions[0].entry.ID); err != nil { // and so for all of its bucket
+	if err := s.checkAdmissible(b.submissions[0].entry.ID); err != nil { // the same for the whole bucket
 		return nil, nil, err
 	}
 	if most := s.config.Limits.maxJobs(s.guardsPerJob(HeadPageKey(q.bucket))); len(b.submissions) > most {
-		// The head page has been closed meanwhile, so that each needs more conditions.
+		// The head page has been closed since the batch was filled, so that each job needs more guards.
 		q.submissions = append(slices.Clone(b.submissions[most:]), q.submissions...)
 		b.submissions = b.submissions[:most]
 	}
@@ -251,8 +258,8 @@
 	return guards, ops, nil
 }
 
-// refreshIfBehind reads a barrier where that lets the next transaction take more submissions. If it
-// fails, that one takes fewer.
+// refreshIfBehind reads a barrier if submissions wait and the next transaction would need the second
+// guard for each (see guardsPerJob): an up-to-date index saves it, so that more jobs fit.
 func (s *Store) refreshIfBehind(ctx context.Context, q *bucketQueue) {
 	s.mu.Lock()
 	behind := len(q.submissions) > 0 && s.guardsPerJob(HeadPageKey(q.bucket)) > 1
@@ -262,9 +269,9 @@
 	}
 }
 
-// batchTransaction is a transaction that adds jobs to a bucket; the lock is held. Its conditions: the
-// head page is as it was when none of them was known, none is over, and none has a key of its own that
-// this controller may not know.
+// batchTransaction returns a transaction that adds jobs to a bucket. Its guards make sure that no id is
+// accepted twice: the head page and the schema are unchanged since the index showed none of the jobs,
+// none has a final record, and none has a key of its own that the index may lack. The caller holds s.mu.
 func (s *Store) batchTransaction(q *bucketQueue, subs []*submission) ([]wire.Guard, []wire.Op) {
 	key := HeadPageKey(q.bucket)
 	perJob := s.guardsPerJob(key)
@@ -299,22 +306,23 @@
 	return guards, append(w.ops, wire.Op{Put: key, Value: w.head})
 }
 
-// headWriter adds entries to a copy of a bucket's head page. What it has no room for is sealed.
+// headWriter adds entries to a copy of a bucket's head page, and moves them to a new sealed page
+// whenever it is full.
 type headWriter struct {
 	bucket   int
 	head     JobPage
-	bytes    int // what the head page takes
+	bytes    int // size of the head page
 	maxBytes int
 	ops      []wire.Op // puts of sealed pages
 }
 
-// newHeadWriter writes a head page that is open.
+// newHeadWriter returns a headWriter that starts from head, as an open page.
 func newHeadWriter(bucket int, head JobPage, maxBytes int) *headWriter {
 	head = JobPage{LastSealed: head.LastSealed, Entries: slices.Clone(head.Entries)}
 	return &headWriter{bucket: bucket, head: head, bytes: head.Size(), maxBytes: maxBytes}
 }
 
-// add adds an entry, after sealing the page if it has no room for it.
+// add adds an entry. If the page has no room for it, it is sealed first.
 func (w *headWriter) add(e JobPageEntry) {
 	size := e.size()
 	if w.bytes+size > w.maxBytes {
@@ -324,7 +332,7 @@
 	w.bytes += size
 }
 
-// seal moves the entries to a sealed page.
+// seal moves the entries to a new sealed page.
 func (w *headWriter) seal() {
 	if len(w.head.Entries) == 0 {
 		return
--- a/jobstore/cancel.go
+++ b/jobstore/cancel.go
@@ -10,11 +10,11 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// maxCancelAttempts bounds how often a cancellation finds that things have changed.
+// maxCancelAttempts bounds the tries of a cancellation that concurrent changes make fail.
 const maxCancelAttempts = 8
 
-// Cancel ends a job unless it is over, and returns its final state; found is false where it was never
-// accepted.
+// Cancel ends a job unless it is over already, and returns its final state, which is wire.JobDone if it
+// completed first. found is false if the id was never accepted.
 func (s *Store) Cancel(ctx context.Context, id string) (final string, found bool, err error) {
 	for range maxCancelAttempts {
 		status, found, err := s.Lookup(ctx, id)
@@ -39,17 +39,19 @@
 	return "", true, errTooManyConflicts
 }
 
-// commitCancellation moves a job from where its status says that it stands to its final record.
+// commitCancellation replaces a job's active record, whose place status gives, by its final record. It
+// fails with a conflict if the job has changed since the lookup.
 func (s *Store) commitCancellation(ctx context.Context, id string, status JobStatus, record JobRecord) error {
 	guards := []wire.Guard{{Key: JobKey(id), Version: status.Version}, {Key: FinalKey(id)}}
 	ops := []wire.Op{{Delete: JobKey(id)}, {Put: FinalKey(id), Value: record}}
 	if version, quarantined := s.unreadableVersion(status.pageKey); version != 0 {
 		if !quarantined {
-			// A controller that remembers the page would go on calling the job unfinished: that one may
-			// cancel it, or a leader quarantines the page, of which all controllers hear.
+			// A controller that did decode this version of the page would go on reporting the job as
+			// unfinished, since it reads no final record for it. That controller can cancel the job; this
+			// one can once a leader has quarantined the page, a change that every controller reads.
 			return &UnreadableError{Op: opCancel, Job: id, Key: status.pageKey}
 		}
-		// The page stays as it is, and the final record takes precedence over it.
+		// The page stays as it is; for jobs on a quarantined page, Lookup prefers the final record.
 		guards = []wire.Guard{{Key: status.pageKey, Version: version}, {Key: JobKey(id)}, {Key: FinalKey(id)}}
 		ops = ops[1:]
 	} else if status.pageKey != "" {
@@ -59,8 +61,8 @@
 	return err
 }
 
-// unreadableVersion is the version of a job page that can't be read, 0 if it can, and whether it is
-// quarantined.
+// unreadableVersion returns the version of a job page that can't be decoded, 0 if it can, and whether
+// it is quarantined.
 func (s *Store) unreadableVersion(key string) (version uint64, quarantined bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,20 +70,20 @@
 	return u.version, u.quarantined
 }
 
-// What follows cancels jobs whose records share pages with others. Each cancellation changes a page on
-// condition that nobody else has: with one transaction for each, beside submissions that change the
-// same page all the time, some were refused for most of a minute. So those that wait for a page share a
-// transaction, and a bucket's writer commits them and the submissions in turn.
+// The rest of this file cancels jobs whose records are on job pages. A cancellation changes its page on
+// condition that the page's version is unchanged. With a transaction for each, concurrent submissions
+// to the same page made some cancellations conflict for most of a minute. So the cancellations that
+// wait for a page share a transaction, and the bucket's writer alternates them with submissions.
 
-// cancellation waits for its job to be ended.
+// cancellation is a queued request to cancel a job on a job page.
 type cancellation struct {
 	id      string
-	pageKey string // where the job stood when it was looked up
+	pageKey string // the job's page at the time of the lookup
 	final   JobRecord
 	done    chan error
 }
 
-// cancelOnPage ends a job whose record shares a page with others.
+// cancelOnPage cancels a job whose record is on a job page.
 func (s *Store) cancelOnPage(ctx context.Context, id, pageKey string, final JobRecord) error {
 	c := &cancellation{id: id, pageKey: pageKey, final: final, done: make(chan error, 1)}
 	q, err := s.enqueueCancellation(c)
@@ -95,7 +97,7 @@
 		s.mu.Lock()
 		q.cancellations = slices.DeleteFunc(q.cancellations, func(o *cancellation) bool { return o == c })
 		s.mu.Unlock()
-		return unknownError(ctx) // it may be under way
+		return unknownError(ctx) // its transaction may be in flight
 	}
 }
 
@@ -112,15 +114,15 @@
 	return q, nil
 }
 
-// takeCancellations takes those that fit into a transaction off a queue, all of the page for which the
-// first one waits.
+// takeCancellations takes the cancellations that fit into a transaction off a queue: those of the same
+// page as the first.
 func (s *Store) takeCancellations(q *bucketQueue) (taken []*cancellation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(q.cancellations) == 0 {
 		return nil
 	}
-	const opOverhead = 64 // of a put beside its value
+	const opOverhead = 64 // size of a put without its value
 	pageKey, most, bytes := q.cancellations[0].pageKey, s.config.Limits.txnOps()-1, 0
 	q.cancellations = slices.DeleteFunc(q.cancellations, func(c *cancellation) bool {
 		if c.pageKey != pageKey || len(taken) >= most {
@@ -138,8 +140,8 @@
 	return taken
 }
 
-// commitCancellations ends jobs of one page, and answers each. What has become of one whose transaction
-// failed, or was not answered, its caller looks up.
+// commitCancellations cancels jobs of one page, and sends each its result. If the transaction failed or
+// its outcome is unknown, Cancel looks the job up again.
 func (s *Store) commitCancellations(ctx context.Context, batch []*cancellation) {
 	pageKey := batch[0].pageKey
 	page, version, present := s.withoutCancelled(pageKey, batch)
@@ -163,8 +165,9 @@
 	}
 }
 
-// withoutCancelled is a job page without the jobs that are to be cancelled, and those of them that
-// stand on it. The others, and repeats, are answered.
+// withoutCancelled returns a job page without the jobs to be cancelled, and the cancellations whose jobs
+// are on it. The other cancellations, and repeated ones, are sent ErrOutcomeUnknown so that Cancel looks
+// the job up again.
 func (s *Store) withoutCancelled(pageKey string, batch []*cancellation) (page JobPage, version uint64, present []*cancellation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/jobstore/decode.go
+++ b/jobstore/decode.go
@@ -8,12 +8,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// errMalformed means that a value decodes, and yet is not what any version has written.
+// errMalformed means that a value decodes, but that no version of this program writes such a value.
 var errMalformed = errors.New("it is not what was written")
 
 // First bytes of MessagePack values.
 const (
-	msgpackFixMap   = 0x80 // up to 15 pairs; the low four bits are their number
+	msgpackFixMap   = 0x80 // up to 15 pairs; the low four bits are the count
 	msgpackMap16    = 0xde
 	msgpackMap32    = 0xdf
 	msgpackFixArray = 0x90 // up to 15 elements
@@ -23,11 +23,12 @@
 	fixStrLenMask   = 0x1f
 )
 
-// msgpackString is a string of at most 31 bytes as records have it.
+// msgpackString encodes a string of at most 31 bytes.
 func msgpackString(s string) []byte { return append([]byte{msgpackFixStr | byte(len(s))}, s...) }
 
-// mapWithKey reports whether a value is a map that may have that key. Null and the empty map decode as
-// empty records, and an empty page would forget its jobs.
+// mapWithKey reports whether a value is a map that may have the key. It guards against values such as
+// null and the empty map, which decode to an empty record without an error: taking a damaged page for an
+// empty one would lose its jobs.
 func mapWithKey(raw wire.Raw, key string) bool {
 	if len(raw) == 0 || raw[0]&fixCountMask != msgpackFixMap && raw[0] != msgpackMap16 && raw[0] != msgpackMap32 {
 		return false
@@ -35,7 +36,7 @@
 	return bytes.Contains(raw, msgpackString(key))
 }
 
-// decodeMap decodes a map that must have that key.
+// decodeMap decodes a map that must have the key.
 func decodeMap(raw wire.Raw, key string, v any) error {
 	if err := wire.Unmarshal(raw, v); err != nil {
 		return err
@@ -46,7 +47,7 @@
 	return nil
 }
 
-// DecodeJob reads the record of an unfinished job.
+// DecodeJob decodes the record of an unfinished job, and checks that it is that of the id.
 func DecodeJob(id string, raw wire.Raw) (JobRecord, error) {
 	var record JobRecord
 	if err := wire.Unmarshal(raw, &record); err != nil {
@@ -58,7 +59,7 @@
 	return record, nil
 }
 
-// DecodeFinal reads the record of a job that is over.
+// DecodeFinal decodes the final record of a job.
 func DecodeFinal(raw wire.Raw) (JobRecord, error) {
 	var record JobRecord
 	if err := wire.Unmarshal(raw, &record); err != nil {
@@ -70,21 +71,21 @@
 	return record, nil
 }
 
-// DecodeJobPage reads a page of users' jobs.
+// DecodeJobPage decodes a job page. The entries' records stay encoded; see JobPageEntry.Decode.
 func DecodeJobPage(raw wire.Raw) (JobPage, error) {
 	var page JobPage
 	err := decodeMap(raw, "s", &page)
 	return page, err
 }
 
-// DecodePlacementPage reads a page of placement records.
+// DecodePlacementPage decodes a page of placement records.
 func DecodePlacementPage(raw wire.Raw) (PlacementPage, error) {
 	var page PlacementPage
 	err := decodeMap(raw, "c", &page)
 	return page, err
 }
 
-// DecodeSchema reads the version of the schema.
+// DecodeSchema decodes a stored SchemaRecord.
 func DecodeSchema(raw wire.Raw) (SchemaRecord, error) {
 	var schema SchemaRecord
 	err := decodeMap(raw, "f", &schema)
@@ -94,8 +95,8 @@
 	return schema, err
 }
 
-// IsAppValue reports whether a value may be an API front end's record, of whichever kind: all are maps
-// that are not empty.
+// IsAppValue reports whether a value may be a record of an API front end. This package does not know
+// their types, only that all are encoded as maps that are not empty.
 func IsAppValue(raw wire.Raw) bool {
 	return len(raw) > 1 && (raw[0] > msgpackFixMap && raw[0] < msgpackFixArray || raw[0] == msgpackMap16 || raw[0] == msgpackMap32)
 }
--- a/jobstore/doc.go
+++ b/jobstore/doc.go
@@ -1,5 +1,5 @@
 // Package jobstore is the typed layer over the key-value store in which the controllers keep their
-// records: the keys, the form of each record, and the compare-and-swap transactions behind users'
+// records: the keys, the encoding of each record, and the compare-and-swap transactions behind users'
 // requests.
 //
 // A Store serves the users' side of one controller: it accepts, looks up and cancels jobs. Every
@@ -7,15 +7,19 @@
 // (everything under ActivePrefix), which read barriers keep current, and a bounded cache of final
 // records. It guarantees that
 //
-//   - an id is accepted at most once, whichever controllers it reaches and however late a transaction
-//     is applied: each condition is chosen so that a stale local copy makes the transaction fail;
-//   - Lookup and Cancel are linearizable: what they return was true at a moment after the call;
+//   - a job id is accepted at most once, whichever controllers receive it and however late a
+//     transaction is applied: the guards make a transaction that was built from a stale local copy
+//     fail. The one exception is a job whose only record was on a job page that got damaged, and that
+//     neither a leader nor a placement knows: once the page is quarantined it can be submitted again;
+//   - Lookup and Cancel are linearizable: what they return was true at some moment during the call, or
+//     is final;
 //   - a job moves from its active record to its final record in one transaction, and never back;
-//   - a record that can't be read is reported and never guessed or overwritten (see UnreadableError).
+//   - a record that can't be decoded is reported (see UnreadableError), and neither replaced by a guess
+//     nor overwritten.
 //
 // The package never places tasks and never writes placement pages: those transactions carry the
 // leader's fencing token and are built by package cluster from the record types defined here.
-// Functions of the operators' plan (ApplyPlan, LoadPlan) need no Store, only the key-value store.
+// The functions for the operators' plan (ApplyPlan, LoadPlan) need no Store, only the key-value store.
 //
-// docs/jobstore.md argues why no id is accepted twice.
+// docs/jobstore.md explains why no id is accepted twice.
 package jobstore
--- a/jobstore/errors.go
+++ b/jobstore/errors.go
@@ -9,11 +9,11 @@
 	"github.com/umberdeal/umberdeal/kvstore"
 )
 
-// ErrUnreadable means that what a job's state depends on can't be read, and that nothing else says it.
-// It is wrapped in an UnreadableError.
+// ErrUnreadable means that a record on which the answer depends can't be decoded, and that the answer
+// does not follow from any other record. It is wrapped in an UnreadableError.
 var ErrUnreadable = errors.New("a record can't be read")
 
-// UnreadableError names the record that can't be read. errors.Is finds ErrUnreadable in it.
+// UnreadableError names the record that can't be decoded. It wraps ErrUnreadable.
 type UnreadableError struct {
 	Op  string // what was being done: "accept", "look up", "cancel"
 	Job string
@@ -27,30 +27,31 @@
 // Unwrap returns ErrUnreadable.
 func (e *UnreadableError) Unwrap() error { return ErrUnreadable }
 
-// What was being done when a record could not be read.
+// Values of UnreadableError.Op.
 const (
 	opAccept = "accept"
 	opLookup = "look up"
 	opCancel = "cancel"
 )
 
-// refusedError says that nothing was done because ctx has ended.
+// refusedError is returned if ctx ended while waiting for a read, which changes nothing.
 func refusedError(ctx context.Context) error {
 	return fmt.Errorf("%w: %w", kvstore.ErrRefused, ctx.Err())
 }
 
-// unknownError says that ctx has ended while a transaction may be under way.
+// unknownError is returned if ctx ended while a transaction may be in flight.
 func unknownError(ctx context.Context) error {
 	return fmt.Errorf("%w: %w", kvstore.ErrOutcomeUnknown, ctx.Err())
 }
 
-// errTooManyConflicts says that others have changed the same records again and again.
+// errTooManyConflicts is returned if concurrent changes of the same records made every try fail.
 var errTooManyConflicts = fmt.Errorf("%w: too many conflicts", kvstore.ErrRefused)
 
-// errStopped says that the store no longer commits anything.
+// errStopped is returned if Run is not running, so that nothing can be committed.
 var errStopped = fmt.Errorf("%w: shutting down", kvstore.ErrRefused)
 
-// conflictsWithJob reports whether a transaction failed because a job has a key of its own or is over.
+// conflictsWithJob reports whether a transaction failed because the job already has a key of its own
+// or a final record.
 func conflictsWithJob(c *kvstore.ConflictError, id string) bool {
 	return slices.Contains(c.FailedKeys, JobKey(id)) || slices.Contains(c.FailedKeys, FinalKey(id))
 }
--- a/jobstore/finalread.go
+++ b/jobstore/finalread.go
@@ -10,26 +10,27 @@
 )
 
 // This file reads final records for lookups, several with one request. After a restart of all
-// controllers nobody remembers any, and thousands of users ask: with a request each, some job's was
-// refused for minutes, and the barriers waited behind them.
+// controllers their caches are empty while thousands of users poll: with a request for each lookup,
+// some were refused for minutes, and read barriers queued behind them.
 
 const (
-	// finalReaders is how many requests there are at once: one that is not answered keeps only those
-	// waiting that it was sent for.
+	// finalReaders is how many requests may be in flight at once, so that one without a response delays
+	// only the lookups that it serves.
 	finalReaders = 2
-	// minRangeReads is below how many reads each is served by itself.
+	// minRangeReads is the fewest waiting reads that are served by listing a range of keys; fewer are
+	// served one by one.
 	minRangeReads = 3
-	// A request covers as many keys as pay: between minRange and maxRange, such that at least one in
-	// maxKeysPerHit is asked for.
+	// A listing covers minRange to maxRange keys. The length doubles as long as at least one in
+	// maxKeysPerHit of the keys is waited for, and is halved otherwise.
 	minRange, maxRange = 16, 500
 	maxKeysPerHit      = 32
 	finalReadTimeout   = 2 * time.Second
-	// readsKept is how many of the first reads are served although nobody waits any more: what is read
-	// is cached, and the user asks again.
+	// readsKept is how many reads at the front of the queue are served even if their callers have given
+	// up: the result is cached, and the user is expected to poll again.
 	readsKept = 64
 )
 
-// finalRead waits for a final record.
+// finalRead is a queued read of a final record.
 type finalRead struct {
 	ctx   context.Context
 	id    string
@@ -43,14 +44,14 @@
 	err    error
 }
 
-// finalReadQueue is the reads that wait.
+// finalReadQueue holds the reads that wait.
 type finalReadQueue struct {
 	waiting  []*finalRead
-	rangeLen int // how many keys the next request covers
+	rangeLen int // how many keys the next listing covers
 	wake     chan struct{}
 }
 
-// readFinal reads a job's final record as of a moment after the call; found is false where there is
+// readFinal reads a job's final record, as of some moment after the call. found is false if there is
 // none.
 func (s *Store) readFinal(ctx context.Context, id string) (record JobRecord, found bool, err error) {
 	read := &finalRead{ctx: ctx, id: id, done: make(chan finalResult, 1)}
@@ -76,7 +77,7 @@
 	}
 }
 
-// deliver answers a read with what the key-value store has returned for its key, and caches that.
+// deliver completes a read with what the key-value store returned for its key, and caches the record.
 func (s *Store) deliver(read *finalRead, e wire.Entry, err error) {
 	if err != nil {
 		read.done <- finalResult{err: err}
@@ -95,7 +96,7 @@
 	read.done <- finalResult{record: record, found: true}
 }
 
-// decodeFinal decodes a final record; where it can't be read, its state may still stand there.
+// decodeFinal decodes a final record. From a damaged one it recovers the state if that is intact.
 func (s *Store) decodeFinal(id string, e wire.Entry) (JobRecord, error) {
 	record, err := DecodeFinal(e.Value)
 	if err == nil {
@@ -109,7 +110,7 @@
 	return record, nil
 }
 
-// serveFinalReads serves reads until ctx ends.
+// serveFinalReads serves queued reads until ctx ends.
 func (s *Store) serveFinalReads(ctx context.Context) {
 	for {
 		reads, rangeLen := s.takeFinalReads()
@@ -133,7 +134,8 @@
 	}
 }
 
-// takeFinalReads takes all reads that wait, those first that are to be served first.
+// takeFinalReads takes all waiting reads, in the order in which they are to be served, except those
+// beyond the first readsKept whose callers have given up.
 func (s *Store) takeFinalReads() (reads []*finalRead, rangeLen int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,7 +149,7 @@
 	return reads, max(minRange, s.finalReads.rangeLen)
 }
 
-// requeueFinalReads has reads wait for another request, before those that came since.
+// requeueFinalReads puts reads back at the front of the queue.
 func (s *Store) requeueFinalReads(reads []*finalRead) {
 	if len(reads) == 0 {
 		return
@@ -158,7 +160,7 @@
 	s.wakeFinalReader()
 }
 
-// serveFinalRead reads one key.
+// serveFinalRead serves one read with a request of its own.
 func (s *Store) serveFinalRead(ctx context.Context, read *finalRead) {
 	ctx, cancel := context.WithTimeout(ctx, finalReadTimeout)
 	defer cancel()
@@ -166,8 +168,8 @@
 	s.deliver(read, e, err)
 }
 
-// readFinalRange reads n keys from the first read's on, and answers every read whose key is among them
-// or would be.
+// readFinalRange lists n keys starting just before that of the first read, and completes every read
+// whose key is in the listed range, whether or not the key exists. The others are queued again.
 func (s *Store) readFinalRange(ctx context.Context, reads []*finalRead, n int) {
 	ctx, cancel := context.WithTimeout(ctx, finalReadTimeout)
 	defer cancel()
@@ -196,7 +198,7 @@
 	s.cacheNeighbours(page.Items)
 	covered := len(reads) - len(left)
 	if covered == 0 {
-		// Something else lies before the first read's key.
+		// The listing ended before the first read's key: read that alone, so that there is progress.
 		e, err := s.kv.Get(ctx, first)
 		s.deliver(reads[0], e, err)
 		left = left[1:]
@@ -205,7 +207,8 @@
 	s.requeueFinalReads(left)
 }
 
-// adaptRange has requests cover more keys where enough of n were asked for, and fewer where not.
+// adaptRange doubles the length of the next listing if enough of the last one's n keys were waited for,
+// and halves it if not.
 func (s *Store) adaptRange(n, covered int) {
 	if covered*maxKeysPerHit >= n {
 		n *= 2
@@ -217,8 +220,8 @@
 	s.finalReads.rangeLen = min(max(n, minRange), maxRange)
 }
 
-// cacheNeighbours caches what was read beside what was asked for: after a restart of all controllers
-// its users ask next. It takes no more than half of the cache.
+// cacheNeighbours caches listed records that nobody has waited for: after a restart of all controllers
+// their users are likely to ask next. It fills at most half of the cache.
 func (s *Store) cacheNeighbours(entries []wire.Entry) {
 	s.mu.Lock()
 	room := maxCachedFinals/2 - len(s.finals.order)
@@ -231,7 +234,8 @@
 	}
 }
 
-// keyBefore is a key that comes before another, with few between them: an id ends in a digit.
+// keyBefore returns a key that sorts before another, with few possible keys between them: it decrements
+// the last character, which in a job id is a digit.
 func keyBefore(key string) string {
 	last := len(key) - 1
 	return key[:last] + string(key[last]-1) + "~"
--- a/jobstore/index.go
+++ b/jobstore/index.go
@@ -8,37 +8,37 @@
 )
 
 // index is the local copy of the records of unfinished jobs, as of revision. A Store's lock guards it.
-// Changes of a key older than what it knows of it are passed over, so that they may come more than
-// once and out of order.
+// A change that is older than what the index has of its key is ignored, so that changes may be applied
+// repeatedly and out of order: they come from barriers and from this controller's own transactions.
 type index struct {
 	log *slog.Logger
 
-	loaded   bool // all records have been read
+	loaded   bool // all records have been read once
 	revision uint64
 
 	schema           SchemaRecord
 	schemaVersion    uint64 // the version of SchemaKey
-	schemaUnreadable bool   // so that nothing is accepted here
+	schemaUnreadable bool   // SchemaKey can't be decoded, so no job may be accepted
 
 	jobs           map[string]*activeJob
 	jobPages       map[string]*jobPageState
 	placementPages map[int]*placementPageState
-	apps           *appIndex // nil: reservations are not tracked
+	apps           *appIndex // nil unless TrackReservations was called
 
-	unreadablePages      map[string]unreadablePage // job pages
-	unreadablePlacements map[int]uint64            // versions of unreadable placement pages
+	unreadablePages      map[string]unreadablePage // job pages, by key
+	unreadablePlacements map[int]uint64            // versions of unreadable placement pages, by page
 }
 
 // activeJob is a job that has an active record, or placements, or both.
 type activeJob struct {
 	record     JobRecord
-	version    uint64 // of the key on which the record stands; 0: there is no record
-	pageKey    string // the job page on which the record stands; "": a key of its own
-	unreadable bool   // what stands there can't be read
+	version    uint64 // version of the key that holds the record; 0: there is no record
+	pageKey    string // the job page that holds the record; "": a key of its own
+	unreadable bool   // the record can't be decoded
 	chunks     map[int]chunkCounts
 }
 
-// chunkCounts is what a job's status needs of a chunk, and the page on which it stands.
+// chunkCounts is what a job's status needs to know of a chunk, and the placement page that holds it.
 type chunkCounts struct{ page, done, placed int }
 
 // jobPageState is a job page as last read or written.
@@ -46,13 +46,13 @@
 	version  uint64
 	page     JobPage
 	size     int
-	openedAt uint64 // of an open head page: the version by which it was known to be open
+	openedAt uint64 // for an open head page: the first version in which the index saw it open
 }
 
-// isClosed reports whether a head page is closed; one that is not there is.
+// isClosed reports whether a head page is closed. An absent one counts as closed.
 func (p *jobPageState) isClosed() bool { return p == nil || p.version == 0 || p.page.Closed }
 
-// placementPageState names the chunks that stand on a placement page.
+// placementPageState lists the chunks on a placement page.
 type placementPageState struct {
 	version uint64
 	chunks  []chunkID
@@ -67,7 +67,7 @@
 	return index{log: log, unreadablePages: map[string]unreadablePage{}, unreadablePlacements: map[int]uint64{}}
 }
 
-// reset replaces the index by a listing.
+// reset rebuilds the index from a listing.
 func (x *index) reset(entries []wire.Entry, revision uint64) {
 	x.loaded, x.revision = true, revision
 	x.jobs = map[string]*activeJob{}
@@ -81,9 +81,9 @@
 	}
 }
 
-// applyEvents takes changes in.
+// applyEvents applies changes to the index.
 func (x *index) applyEvents(events wire.Events) {
-	// A page may have changed many times since: only its last state counts.
+	// A page may have changed many times since the last barrier: decode only its last value.
 	last := map[string]uint64{}
 	for i := range events.Log {
 		if e := &events.Log[i]; e.Delete == "" {
@@ -100,7 +100,7 @@
 	x.revision = max(x.revision, events.Revision)
 }
 
-// applyPut takes in that a key was put.
+// applyPut applies the put of a key.
 func (x *index) applyPut(key string, value wire.Raw, version uint64) {
 	switch {
 	case IsJobPageKey(key):
@@ -118,7 +118,7 @@
 	}
 }
 
-// applyDelete takes in that a key was deleted.
+// applyDelete applies the deletion of a key.
 func (x *index) applyDelete(key string, version uint64) {
 	switch {
 	case IsJobPageKey(key):
@@ -137,7 +137,7 @@
 	}
 }
 
-// putJob takes in the record of a job with a key of its own.
+// putJob applies the put of a job with a key of its own.
 func (x *index) putJob(key string, value wire.Raw, version uint64) {
 	id := key[len(JobPrefix):]
 	j := x.job(id)
@@ -152,7 +152,7 @@
 	x.apps.putJob(id, &record)
 }
 
-// deleteJob takes in that a job no longer has a key of its own.
+// deleteJob applies the deletion of a job's own key.
 func (x *index) deleteJob(id string, version uint64) {
 	j := x.jobs[id]
 	if j == nil || j.version > version || j.pageKey != "" {
@@ -163,7 +163,7 @@
 	x.dropIfUnused(id, j)
 }
 
-// putSchema takes in the version of the schema.
+// putSchema applies the put of the schema record.
 func (x *index) putSchema(value wire.Raw, version uint64) {
 	if version <= x.schemaVersion {
 		return
@@ -175,7 +175,7 @@
 	x.schema, x.schemaVersion, x.schemaUnreadable = schema, version, err != nil
 }
 
-// putJobPage takes in a job page, also one that can't be read or is quarantined.
+// putJobPage applies the put of a job page, which may be unreadable or quarantined.
 func (x *index) putJobPage(key string, value wire.Raw, version uint64) {
 	page, err := DecodeJobPage(value)
 	if err == nil {
@@ -190,7 +190,8 @@
 	x.setUnreadablePage(key, unreadablePage{version: version, originalKey: key, originalVersion: version}, value)
 }
 
-// putPlacementPage takes in a placement page. One that can't be read leaves what was known of it.
+// putPlacementPage applies the put of a placement page. If it can't be decoded, the index keeps what it
+// has of the version before.
 func (x *index) putPlacementPage(key string, number int, value wire.Raw, version uint64) {
 	page, err := DecodePlacementPage(value)
 	if err == nil {
@@ -203,8 +204,9 @@
 	}
 }
 
-// setJobPage replaces what stands on a job page. A job may have come from another page in the same
-// transaction, in either order.
+// setJobPage replaces the content of a job page. A transaction may move a job from one page to another,
+// and the changes of the two pages may be applied in either order: so a job is only dropped with a page
+// if the index still has it on that page.
 func (x *index) setJobPage(key string, page JobPage, version uint64) {
 	p := x.jobPage(key)
 	if version <= p.version || version < x.unreadablePages[key].version {
@@ -230,7 +232,7 @@
 	p.version, p.page, p.size = version, page, page.Size()
 }
 
-// dropMissingJobs drops the jobs that stood on a page and no longer do.
+// dropMissingJobs drops the jobs that were on a page and no longer are, unless they moved to another.
 func (x *index) dropMissingJobs(key string, before, after JobPage) {
 	stays := make(map[string]bool, len(after.Entries))
 	for _, e := range after.Entries {
@@ -244,7 +246,7 @@
 	}
 }
 
-// setPlacementPage replaces what stands on a placement page.
+// setPlacementPage replaces the content of a placement page.
 func (x *index) setPlacementPage(number int, chunks []PlacementChunk, version uint64) {
 	p := x.placementPages[number]
 	if p == nil {
@@ -270,7 +272,7 @@
 	}
 }
 
-// job returns a job, which it adds where it is not known.
+// job returns a job, adding it if it is not known.
 func (x *index) job(id string) *activeJob {
 	j := x.jobs[id]
 	if j == nil {
@@ -280,7 +282,7 @@
 	return j
 }
 
-// jobPage returns a job page, which it adds where it is not known.
+// jobPage returns a job page, adding it if it is not known.
 func (x *index) jobPage(key string) *jobPageState {
 	p := x.jobPages[key]
 	if p == nil {
@@ -290,14 +292,14 @@
 	return p
 }
 
-// dropIfUnused forgets a job of which neither a record nor placements are left.
+// dropIfUnused removes a job that has neither a record nor placements.
 func (x *index) dropIfUnused(id string, j *activeJob) {
 	if j.version == 0 && len(j.chunks) == 0 {
 		delete(x.jobs, id)
 	}
 }
 
-// headPageVersion is the version of a head page; 0 where there is none.
+// headPageVersion returns the version of a head page, 0 if there is none.
 func (x *index) headPageVersion(key string) uint64 {
 	if p := x.jobPages[key]; p != nil {
 		return p.version
--- a/jobstore/jobpage.go
+++ b/jobstore/jobpage.go
@@ -8,26 +8,27 @@
 
 // JobPage is the value of a head page or of a sealed page: unfinished jobs that share a key.
 //
-// A job's id leads to a bucket, and each bucket has a head page, to which jobs are added on condition
-// that it has not changed. What it has no room for moves to a sealed page of the bucket, from which
-// jobs only leave. While few submissions come the head page is closed: it stays empty, and each job
-// gets a key of its own, on condition that the head page still is closed.
+// A job's id determines its bucket (SchemaRecord.Bucket). Each bucket has one head page, to which jobs
+// are added on condition that its version is unchanged. Entries that it has no room for are moved to a
+// sealed page of the bucket, to which no jobs are added. While submissions are few the head page is
+// closed, that is, empty and not used, and each job gets a key of its own, on condition that the head
+// page's version is unchanged.
 type JobPage struct {
-	LastSealed uint64 `msgpack:"s"` // of a head page: the number of the last page that was sealed
-	// Closed: nothing is added to this head page, which is empty; jobs have keys of their own. A head
-	// page that is not there counts as closed.
+	LastSealed uint64 `msgpack:"s"` // head pages only: the highest number of a sealed page
+	// Closed marks an empty head page to which nothing is added: jobs get keys of their own. A bucket
+	// without a head page is treated in the same way.
 	Closed  bool           `msgpack:"c,omitempty"`
 	Entries []JobPageEntry `msgpack:"j"`
 }
 
-// JobPageEntry is a job on a page. Its record is decoded by itself, so that one that can't be read is
-// named and the others go on.
+// JobPageEntry is a job on a page. Its record is decoded separately, so that a damaged one does not
+// affect the other jobs of the page.
 type JobPageEntry struct {
 	ID     string   `msgpack:"i"`
 	Record wire.Raw `msgpack:"r"` // a JobRecord
 }
 
-// Without is the page without those jobs.
+// Without returns a copy of the page without the given jobs.
 func (p JobPage) Without(ids map[string]bool) JobPage {
 	out := JobPage{LastSealed: p.LastSealed, Closed: p.Closed, Entries: make([]JobPageEntry, 0, len(p.Entries))}
 	for _, e := range p.Entries {
@@ -38,22 +39,22 @@
 	return out
 }
 
-// has reports whether a job stands on the page.
+// has reports whether a job is on the page.
 func (p JobPage) has(id string) bool {
 	return slices.ContainsFunc(p.Entries, func(e JobPageEntry) bool { return e.ID == id })
 }
 
-// How much the key-value store counts for a page and an entry beside what they hold: not less than
-// the names of their fields, quotes and commas take as JSON.
+// Upper bounds of what the key-value store, which measures values as JSON, counts for a page and an
+// entry in addition to their content: field names, quotes and commas.
 const (
 	pageOverhead  = 40
 	entryOverhead = 16
 )
 
-// size is at least what the key-value store counts for an entry.
+// size is an upper bound of what the key-value store counts for an entry.
 func (e JobPageEntry) size() int { return entryOverhead + len(e.ID) + wire.JSONSize(e.Record) }
 
-// Size is at least what the key-value store counts for a page.
+// Size is an upper bound of what the key-value store counts for a page.
 func (p JobPage) Size() int {
 	n := pageOverhead
 	for _, e := range p.Entries {
@@ -62,7 +63,7 @@
 	return n
 }
 
-// Decode reads a job's record from its entry.
+// Decode decodes the entry's record.
 func (e JobPageEntry) Decode() (JobRecord, error) {
 	return DecodeJob(e.ID, e.Record)
 }
--- a/jobstore/keys.go
+++ b/jobstore/keys.go
@@ -5,23 +5,24 @@
 	"strings"
 )
 
-// Everything about unfinished jobs lies under ActivePrefix, so that one watch and one listing give all
-// that a leader needs.
+// Everything about unfinished jobs is stored under ActivePrefix, so that a leader can load it with one
+// listing and follow it with one watch.
 const (
 	ActivePrefix = "w/"
 	// JobPrefix is the part of ActivePrefix that users' requests change.
 	JobPrefix = "w/j/"
-	// AppPrefix is where API front ends keep the records of the applications that own reserved jobs.
-	// It lies under ActivePrefix so that one barrier makes applications and jobs current; the leader
-	// skips it.
+	// AppPrefix is where API front ends store the records of the applications that own reserved jobs.
+	// It is under ActivePrefix so that one read barrier brings applications and jobs up to date
+	// together; the leader ignores these keys.
 	AppPrefix = ActivePrefix + "y/"
-	// jobPagePrefix is where job pages lie. No job id begins with a plus.
+	// jobPagePrefix is where job pages are stored. The plus sign keeps them apart from jobs with keys of
+	// their own, since no job id begins with one.
 	jobPagePrefix       = JobPrefix + "+"
 	placementPagePrefix = "w/p/"
 	finalPrefix         = "f/"
 )
 
-// Keys of what else the leader keeps.
+// Keys of the leader's other records.
 const (
 	// ScaleOutPrefix holds a ScaleOutRecord for each request for machines.
 	ScaleOutPrefix = "r/"
@@ -29,7 +30,7 @@
 	ScaleInKey = "c/returns"
 	// RebalanceCyclePrefix holds a RebalanceCycle for each group of machines.
 	RebalanceCyclePrefix = "x/"
-	// MachineTypesKey holds the cloud's machine types as last read.
+	// MachineTypesKey holds the cloud's machine types as last read from its API.
 	MachineTypesKey = "c/types"
 )
 
@@ -61,11 +62,12 @@
 	return page, err == nil && page >= 0
 }
 
-// HeadPageKey is the key of a bucket's head page. It is never removed, so that a late transaction that
-// would have created it fails.
+// HeadPageKey is the key of a bucket's head page, the one to which new jobs are added (see JobPage). It
+// is never deleted, so that a delayed transaction that expects it to be absent fails.
 func HeadPageKey(bucket int) string { return jobPagePrefix + strconv.Itoa(bucket) }
 
-// SealedPageKey is the key of a sealed page: a page that the bucket's head was before.
+// SealedPageKey is the key of a sealed page: one that holds entries which the bucket's head page had no
+// room for. Numbers are not reused.
 func SealedPageKey(bucket int, number uint64) string {
 	return HeadPageKey(bucket) + "." + strconv.FormatUint(number, 10)
 }
--- a/jobstore/limits.go
+++ b/jobstore/limits.go
@@ -3,22 +3,22 @@
 const (
 	defaultTxnOps  = 12
 	defaultValueKB = 16
-	// maxPageBytes lets three pages fit into a transaction, which takes 64 KiB.
+	// maxPageBytes is chosen so that three pages fit into a transaction, whose limit is 64 KiB.
 	maxPageBytes = 18 << 10
-	// pageReserve is left free in a value for what surrounds the entries.
+	// pageReserve is left free in a value for the encoding around the entries.
 	pageReserve = 256
-	// guardsPerOp is how many conditions the key-value store takes for each change.
+	// guardsPerOp is how many guards the key-value store allows in a transaction for each op it allows.
 	guardsPerOp = 4
 )
 
-// Limits are the key-value store's limits on a transaction. Values that are not positive stand for
-// the defaults.
+// Limits are the key-value store's limits on a transaction. A value that is not positive means the
+// default.
 type Limits struct {
-	TxnOps  int     // puts and deletes; guardsPerOp times as many conditions
-	ValueKB float64 // KiB of a value
+	TxnOps  int     // puts and deletes of a transaction; it may have guardsPerOp times as many guards
+	ValueKB float64 // largest value, in KiB
 }
 
-// txnOps is how many changes a transaction takes.
+// txnOps returns how many puts and deletes a transaction may have.
 func (l Limits) txnOps() int {
 	if l.TxnOps <= 0 {
 		return defaultTxnOps
@@ -26,7 +26,7 @@
 	return l.TxnOps
 }
 
-// valueBytes is how large a value may be.
+// valueBytes returns how large a value may be.
 func (l Limits) valueBytes() int {
 	kb := l.ValueKB
 	if kb <= 0 {
@@ -35,13 +35,13 @@
 	return int(kb * 1024)
 }
 
-// maxJobs is how many jobs a transaction can take that has so many conditions for each; the head page
-// and the schema have one each.
+// maxJobs returns how many jobs a transaction can add with guardsPerJob guards for each. Two guards are
+// needed besides, for the head page and the schema.
 func (l Limits) maxJobs(guardsPerJob int) int {
 	return (guardsPerOp*l.txnOps() - 2) / guardsPerJob
 }
 
-// pageBytes is how large a page may be.
+// pageBytes returns how large a page may be.
 func (l Limits) pageBytes() int {
 	return min(l.valueBytes(), maxPageBytes) - pageReserve
 }
--- a/jobstore/lookup.go
+++ b/jobstore/lookup.go
@@ -6,20 +6,21 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// JobStatus is what a controller knows of a job.
+// JobStatus is a job's record and its progress.
 type JobStatus struct {
 	Record      JobRecord
-	Version     uint64 // of the active record; 0 once the job is over
+	Version     uint64 // version of the key that holds the active record; 0 once the job is over
 	DoneTasks   int
 	PlacedTasks int
 
-	pageKey string // the job page on which the record stands; "": a key of its own
-	// uncertain: a page on which the job stands, or may stand, can't be read. It may be over although
-	// it was found, or accepted although it was not.
+	pageKey string // the job page that holds the record; "": a key of its own
+	// uncertain means that a page that holds the job, or might, can't be decoded. The job may be over
+	// although it was found, or accepted although it was not found.
 	uncertain bool
 }
 
-// Lookup returns the status of a job; found is false where it was never accepted.
+// Lookup returns the status of a job. found is false if the id was never accepted. If a damaged record
+// leaves open whether it was, or how the job ended, it returns an UnreadableError.
 func (s *Store) Lookup(ctx context.Context, id string) (status JobStatus, found bool, err error) {
 	if status, ok := s.CachedFinal(id); ok {
 		return status, true, nil
@@ -31,8 +32,8 @@
 	if found && !status.uncertain {
 		return status, true, nil
 	}
-	// A job moves from active to final in one transaction and never back, so that reading the final
-	// record after the active one misses none.
+	// A job moves from active to final in one transaction and never back, so reading the final record
+	// after the active one can't miss it.
 	record, over, err := s.readFinal(ctx, id)
 	switch {
 	case err != nil:
@@ -45,8 +46,8 @@
 	return status, found, nil
 }
 
-// activeStatus is what the index says of a job. Where it is not found and yet may stand on a page that
-// can't be read, the status names that page.
+// activeStatus returns a job's status according to the index. If the job is not found but may be on a
+// page that can't be decoded, the status names that page.
 func (s *Store) activeStatus(id string) (status JobStatus, found bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,15 +68,16 @@
 		status.uncertain = s.unreadablePages[j.pageKey].version != 0
 		return status, true
 	}
-	// Only accepted jobs are placed: without a record, it stands on the page that can't be read.
+	// Only accepted jobs are placed: if it has placements but no record, its record may be on a page that
+	// can't be decoded. Otherwise the job is over, and its placements are yet to be removed.
 	status.Record.Job = wire.Job{ID: id, Tasks: 1}
 	status.pageKey, status.Version = s.unreadablePageOf(id)
 	status.uncertain = status.Version != 0
 	return status, status.uncertain
 }
 
-// isKnown reports whether a job is accepted, as last read; the lock is held. Only accepted jobs are
-// placed.
+// isKnown reports whether a job has been accepted, as last read. Placements alone show it as well, since
+// only accepted jobs are placed. The caller holds s.mu.
 func (s *Store) isKnown(id string) bool {
 	if _, ok := s.finals.records[id]; ok {
 		return true
@@ -84,7 +86,8 @@
 	return j != nil && (j.version != 0 || len(j.chunks) > 0)
 }
 
-// CachedFinal returns a job that this controller knows to be over, for which nothing need be read.
+// CachedFinal returns the status of a job whose final record is cached. Final records never change, so
+// the answer is current without a read.
 func (s *Store) CachedFinal(id string) (JobStatus, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,16 +95,16 @@
 	return JobStatus{Record: record}, ok
 }
 
-// maxCachedFinals bounds the cache of final records; the key-value store keeps them all.
+// maxCachedFinals bounds the cache of final records, all of which stay in the key-value store.
 const maxCachedFinals = 20_000
 
-// finalCache remembers how jobs ended, the last ones. A Store's lock guards it.
+// finalCache caches final records, and evicts the oldest first. A Store's lock guards it.
 type finalCache struct {
 	records map[string]JobRecord
-	order   []string // in which they came
+	order   []string // ids in order of insertion
 }
 
-// add remembers how a job ended; of the job itself, only its id and size.
+// add caches a final record. Of the job itself it keeps only the id and the number of tasks.
 func (c *finalCache) add(id string, record JobRecord) {
 	if _, ok := c.records[id]; ok {
 		return
@@ -115,7 +118,7 @@
 	c.order = append(c.order, id)
 }
 
-// cacheFinal remembers how a job ended.
+// cacheFinal caches a final record.
 func (s *Store) cacheFinal(id string, record JobRecord) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/jobstore/plan.go
+++ b/jobstore/plan.go
@@ -13,49 +13,50 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file reads the versions of the operators' plan; planapply.go writes them. docs/plan.md has the
-// design alternatives. The version of the head's key is the condition of whatever a leader decides by
-// the plan; the texts lie beside it, in pieces that fit into a value, and are written before the head
-// that names them, so that a version is there as a whole or not at all.
+// This file reads the versions of the operators' plan; planapply.go writes them. docs/plan.md discusses
+// the design alternatives. The key PlanHeadKey lists the plan's versions, and its own version guards
+// every decision that a leader bases on the plan. The texts are stored under keys of their own, in
+// pieces that fit into a value, and are written no later than the head that lists them, so that a listed
+// version is always complete.
 
 // Keys of the plan.
 const (
 	PlanPrefix = "plan/"
-	// PlanHeadKey holds a PlanHead: which version is in force, and the last ones.
+	// PlanHeadKey holds a PlanHead: the version in force, and those before it.
 	PlanHeadKey = "plan/head"
-	// planHeadCopyKey has the same value, changed in the same transaction, for when the head can't be
-	// read.
+	// planHeadCopyKey holds a copy of the head, written in the same transaction and used if the head
+	// can't be decoded.
 	planHeadCopyKey = "plan/copy"
-	// PlanRequestedKey is there from when a plan is first wanted: the leader then raises the schema to
-	// SchemaPlans, once every controller reads that.
+	// PlanRequestedKey exists once somebody has tried to apply a plan. It asks the leader to raise the
+	// schema to SchemaPlans, which it does once every controller can read that.
 	PlanRequestedKey = "plan/asked"
 	planTextPrefix   = "plan/t/"
-	// PlanStatePrefix holds what the plan's components record. It changes more often than the plan
-	// itself, which every controller watches.
+	// PlanStatePrefix holds the state of the plan's components, such as warm pools. It is not under
+	// PlanPrefix, which every controller watches, because it changes more often than the plan.
 	PlanStatePrefix = "note/"
 )
 
-// maxPlanVersions is how many versions stay readable.
+// maxPlanVersions is how many versions are kept.
 const maxPlanVersions = 16
 
 // PlanHead is the value of PlanHeadKey.
 type PlanHead struct {
-	Versions []PlanVersion `msgpack:"v"` // the newest first: the one that is in force
+	Versions []PlanVersion `msgpack:"v"` // newest first; the first is in force
 }
 
-// PlanVersion names a version of the plan. Numbers never repeat.
+// PlanVersion describes a version of the plan. Numbers increase and are never reused.
 type PlanVersion struct {
 	Number int    `msgpack:"n"`
-	Draft  string `msgpack:"d"` // of its text
-	Pieces int    `msgpack:"p"`
+	Draft  string `msgpack:"d"` // identifies the keys of its text
+	Pieces int    `msgpack:"p"` // number of keys that hold its text
 	Digest uint64 `msgpack:"h"` // xxh3 of its text
 	AtMs   int64  `msgpack:"at"`
-	By     string `msgpack:"by,omitempty"` // as far as known
+	By     string `msgpack:"by,omitempty"` // who applied it, if known
 	Note   string `msgpack:"note,omitempty"`
 }
 
-// planPiece is a part of a version's text. It says what belongs together, so that the texts alone tell
-// what there was where no head can be read.
+// planPiece is a part of a version's text. Each has the number of pieces and the digest of the whole, so
+// that the versions can be rebuilt from the pieces alone if no head can be decoded.
 type planPiece struct {
 	Text   string `msgpack:"t"`
 	Pieces int    `msgpack:"p"`
@@ -63,13 +64,13 @@
 }
 
 var (
-	// ErrNoPlan means that there is no version of the plan.
+	// ErrNoPlan means that no plan has ever been applied.
 	ErrNoPlan = errors.New("there is no plan")
-	// ErrPlanUnreadable means that a part of the plan is not what was written.
+	// ErrPlanUnreadable means that a record of the plan is missing or damaged.
 	ErrPlanUnreadable = errors.New("the plan's record is damaged")
 )
 
-// Current is the number of the version that is in force, 0 where there is none.
+// Current returns the number of the version in force, 0 if there is none.
 func (h PlanHead) Current() int {
 	if len(h.Versions) == 0 {
 		return 0
@@ -77,7 +78,7 @@
 	return h.Versions[0].Number
 }
 
-// Find finds a version; 0 is the current one.
+// Find returns a version by its number; 0 means the version in force.
 func (h PlanHead) Find(number int) (PlanVersion, bool) {
 	for _, v := range h.Versions {
 		if v.Number == number || number == 0 {
@@ -87,7 +88,7 @@
 	return PlanVersion{}, false
 }
 
-// names reports whether a version has that draft.
+// names reports whether one of the versions has this draft.
 func (h PlanHead) names(draft string) bool {
 	return slices.ContainsFunc(h.Versions, func(v PlanVersion) bool { return v.Draft == draft })
 }
@@ -96,7 +97,8 @@
 	return planTextPrefix + draft + "/" + strconv.Itoa(piece)
 }
 
-// parsePlanTextKey returns the draft to which a text belongs, and the version that it was written for.
+// parsePlanTextKey returns the draft to which a piece of text belongs, and the number of the version for
+// which it was written.
 func parsePlanTextKey(key string) (number int, draft string, ok bool) {
 	rest, ok := strings.CutPrefix(key, planTextPrefix)
 	if !ok {
@@ -108,15 +110,15 @@
 	return number, draft, ok && hasNumber && err == nil
 }
 
-// StoredPlanHead is the plan's head as read.
+// StoredPlanHead is the plan's head as read from the key-value store.
 type StoredPlanHead struct {
 	PlanHead
-	Version uint64 // of PlanHeadKey; 0: there is no plan
-	Warning error  // the head can't be read, and this is its copy or was found by the texts
+	Version uint64 // of PlanHeadKey; 0 if there is no plan
+	Warning error  // set if the head can't be decoded: this is its copy, or rebuilt from the texts
 }
 
-// ReadPlanHead reads which versions there are. Where the head can't be read its copy is used, and where
-// neither can, the texts.
+// ReadPlanHead reads the list of versions. If the head can't be decoded its copy is used, and if that
+// can't either, the list is rebuilt from the texts.
 func ReadPlanHead(ctx context.Context, kv KeyValueReader) (StoredPlanHead, error) {
 	e, err := kv.Get(ctx, PlanHeadKey)
 	if err != nil || e.Version == 0 {
@@ -138,7 +140,8 @@
 	return StoredPlanHead{PlanHead: h, Version: e.Version, Warning: warning}, err
 }
 
-// decodePlanHead decodes a head; one without a version is unreadable, since none is ever written.
+// decodePlanHead decodes a head. One without versions, or with numbers that do not decrease, counts as
+// damaged, since no such head is ever written.
 func decodePlanHead(raw wire.Raw) (PlanHead, error) {
 	var h PlanHead
 	if err := wire.Unmarshal(raw, &h); err != nil {
@@ -155,16 +158,17 @@
 	return h, nil
 }
 
-// planHeadFromTexts finds the versions by their texts alone: those that are whole and the only one of
-// their number. A draft whose writer failed before it named it lacks its last piece; one of a program
-// that wrote all pieces ahead can't be told from a version.
+// planHeadFromTexts rebuilds the list of versions from the texts alone: the drafts that are complete and
+// the only complete one of their number. A draft that was never committed lacks its last piece, which is
+// written together with the head. (An earlier version of this program wrote all pieces before the head;
+// an uncommitted draft of that program can't be told from a version.)
 func planHeadFromTexts(ctx context.Context, kv KeyValueReader) (PlanHead, error) {
 	texts, _, err := kv.List(ctx, planTextPrefix)
 	if err != nil {
 		return PlanHead{}, err
 	}
 	drafts := wholeDrafts(texts)
-	draftsOf := map[int]int{} // how many of a number
+	draftsOf := map[int]int{} // complete drafts, by number
 	for _, v := range drafts {
 		draftsOf[v.Number]++
 	}
@@ -179,10 +183,10 @@
 	return h, nil
 }
 
-// wholeDrafts finds the drafts of which every piece is there.
+// wholeDrafts returns the drafts all of whose pieces exist.
 func wholeDrafts(texts []wire.Entry) map[string]PlanVersion {
 	drafts := map[string]PlanVersion{}
-	pieces := map[string]int{} // of a draft, also those that can't be read
+	pieces := map[string]int{} // per draft, including those that can't be decoded
 	for _, e := range texts {
 		number, draft, ok := parsePlanTextKey(e.Key)
 		if !ok {
@@ -202,7 +206,8 @@
 	return drafts
 }
 
-// ReadPlanText reads the text of a version. ErrPlanUnreadable: it is not there as it was written.
+// ReadPlanText reads the text of a version. It returns ErrPlanUnreadable if a piece is missing or the
+// text does not match its digest.
 func ReadPlanText(ctx context.Context, kv KeyValueReader, v PlanVersion) (string, error) {
 	var b strings.Builder
 	for k := range v.Pieces {
@@ -222,16 +227,16 @@
 	return b.String(), nil
 }
 
-// ActivePlan is the version of the plan that is in force.
+// ActivePlan is the version of the plan that controllers act on, as LoadPlan finds it.
 type ActivePlan struct {
-	PlanVersion        // the zero value: there is no plan
-	HeadVersion uint64 // of PlanHeadKey, the condition of decisions by the plan
+	PlanVersion        // the zero value if there is no plan
+	HeadVersion uint64 // version of PlanHeadKey, the guard of decisions based on the plan
 	Text        string
-	Warnings    []error // what could not be read, newer than this version
+	Warnings    []error // records newer than this version that could not be read
 }
 
-// LoadPlan reads the newest version that can be read and that validate accepts. ErrPlanUnreadable:
-// there is a plan, and no version of it can be read.
+// LoadPlan reads the newest version that is intact and that validate accepts. It returns
+// ErrPlanUnreadable if there is a plan but no such version.
 func LoadPlan(ctx context.Context, kv KeyValueReader, validate func(text string) error) (ActivePlan, error) {
 	head, err := ReadPlanHead(ctx, kv)
 	if err != nil {
@@ -251,14 +256,14 @@
 			active.PlanVersion, active.Text = v, text
 			return active, nil
 		case !errors.Is(err, ErrPlanUnreadable):
-			return ActivePlan{}, err // the key-value store was not reached: that says nothing of the plan
+			return ActivePlan{}, err // the request failed, which says nothing about the plan
 		}
 		active.Warnings = append(active.Warnings, err)
 	}
 	return active, fmt.Errorf("%w: no version of it can be read", ErrPlanUnreadable)
 }
 
-// readValidText reads the text of a version that validate accepts.
+// readValidText reads the text of a version, and returns ErrPlanUnreadable unless validate accepts it.
 func readValidText(ctx context.Context, kv KeyValueReader, v PlanVersion, validate func(text string) error) (string, error) {
 	text, err := ReadPlanText(ctx, kv, v)
 	if err != nil {
--- a/jobstore/planapply.go
+++ b/jobstore/planapply.go
@@ -16,27 +16,28 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// ErrPlanUnsupported means that not every controller is known to read plans yet.
+// ErrPlanUnsupported means that the leader has not raised the schema to SchemaPlans, because not every
+// controller is known to support it.
 var ErrPlanUnsupported = errors.New("not every node reads plans yet: start this version on all of them (with ledger.intake), and apply again")
 
-// PlanConflictError means that another version was applied since the one that a change builds on.
+// PlanConflictError means that the version in force is not the one on which a change is based.
 type PlanConflictError struct{ Base, Current int }
 
 func (e *PlanConflictError) Error() string {
 	return fmt.Sprintf("it builds on version %d, and version %d holds: look at what came between, and apply again", e.Base, e.Current)
 }
 
-// PlanChange is a new version of the plan.
+// PlanChange is a request to apply a new version of the plan.
 type PlanChange struct {
-	Base     int // the version that it builds on; 0: none
+	Base     int // number of the version on which it is based; 0 if there is no plan
 	Text     string
 	By, Note string
 	At       time.Time
 }
 
-// ApplyPlan puts a text in force as the next version of the plan. Of two at once one wins, and the
-// other gets a PlanConflictError. With an error of package kvstore the outcome is unknown: the plan's
-// history tells.
+// ApplyPlan commits a text as the next version of the plan, which is then in force. Of two concurrent
+// changes with the same base one is applied, and the other fails with a PlanConflictError. After an error
+// of package kvstore the change may or may not have been applied: read the plan's versions to find out.
 func ApplyPlan(ctx context.Context, kv KeyValueStore, limits Limits, c PlanChange) (PlanVersion, error) {
 	schemaVersion, err := ensurePlanSchema(ctx, kv)
 	if err != nil {
@@ -50,9 +51,9 @@
 		return PlanVersion{}, &PlanConflictError{c.Base, head.Current()}
 	}
 	v, puts := newPlanVersion(head.Current()+1, c, limits)
-	// What is too large for one transaction goes ahead of the head that names it, but for the last
-	// piece: a text is there as a whole only if it was committed as a version, also where no head can
-	// be read to say so.
+	// A text may be too large for one transaction, so all pieces but the last are written before the
+	// head. The last is written together with it: then a text is complete only if it was committed as a
+	// version, which planHeadFromTexts relies on if no head can be decoded.
 	last := len(puts) - 1
 	for _, put := range puts[:last] {
 		err := commitOnce(ctx, kv, []wire.Guard{{Key: put.Put}}, []wire.Op{put}, func() bool { return keyExists(ctx, kv, put.Put) })
@@ -71,15 +72,16 @@
 	return v, nil
 }
 
-// newPlanVersion makes a version of a change, and the puts of its text's pieces.
+// newPlanVersion returns the version for a change, and the puts of the pieces of its text.
 func newPlanVersion(number int, c PlanChange, limits Limits) (PlanVersion, []wire.Op) {
 	v := PlanVersion{
 		Number: number, Digest: xxh3.HashString(c.Text),
 		AtMs: c.At.UnixMilli(), By: truncate(c.By), Note: truncate(c.Note),
 	}
-	// The random part tells it from a draft of the same number, of somebody who failed halfway.
+	// The random part keeps the keys apart from those of another draft of the same number, left by a
+	// writer that failed halfway or is still running.
 	v.Draft = fmt.Sprintf("%d-%08x", v.Number, rand.Uint32())
-	text := splitPlanText(c.Text, limits.pageBytes()) // both heads and one piece fit into a transaction
+	text := splitPlanText(c.Text, limits.pageBytes()) // head, copy and a piece fit into a transaction
 	v.Pieces = len(text)
 	puts := make([]wire.Op, 0, len(text))
 	for k, t := range text {
@@ -88,10 +90,10 @@
 	return v, puts
 }
 
-// splitPlanText cuts a text so that each piece fits into a value of so many bytes, as the key-value
-// store counts them.
+// splitPlanText splits a text into pieces of up to maxBytes, as the key-value store counts bytes: of the
+// JSON encoding, with escapes.
 func splitPlanText(text string, maxBytes int) []string {
-	const maxEscape = 6 // bytes of \u00e9
+	const maxEscape = 6 // bytes of an escape such as \u00e9
 	var out []string
 	from, size := 0, 0
 	for i, r := range text {
@@ -108,7 +110,8 @@
 	return append(out, text[from:])
 }
 
-// with is the head once v is applied: as many versions as fit into a value, the newest first.
+// with returns the head that results from applying v. It drops the oldest versions if there are more
+// than maxPlanVersions or they do not fit into a value.
 func (h PlanHead) with(v PlanVersion, limits Limits) PlanHead {
 	next := PlanHead{Versions: append([]PlanVersion{v}, h.Versions...)}
 	next.Versions = next.Versions[:min(len(next.Versions), maxPlanVersions)]
@@ -118,16 +121,16 @@
 	return next
 }
 
-// size is what the key-value store counts for a head.
+// size is an upper bound of what the key-value store counts for a head.
 func (h PlanHead) size() int {
 	raw, err := wire.Marshal(h)
 	if err != nil {
-		return 0 // the commit fails as well, and says so
+		return 0 // the commit will fail to encode it as well, and return the error
 	}
 	return wire.JSONSize(raw)
 }
 
-// truncate bounds what people say of a version.
+// truncate bounds the length of the free text that is stored with a version.
 func truncate(s string) string {
 	const most = 120
 	if len(s) <= most {
@@ -136,7 +139,7 @@
 	return strings.ToValidUTF8(s[:most], "")
 }
 
-// isApplied reports whether a head names a version.
+// isApplied reports whether the stored head lists a version with v's draft.
 func isApplied(ctx context.Context, kv KeyValueReader, v PlanVersion) bool {
 	head, err := ReadPlanHead(ctx, kv)
 	if err != nil {
@@ -151,7 +154,7 @@
 	return err == nil && e.Version != 0
 }
 
-// planConflict turns a conflict into a PlanConflictError where another version was applied.
+// planConflict turns a conflict into a PlanConflictError if another version has been applied.
 func planConflict(ctx context.Context, kv KeyValueReader, base int, err error) error {
 	var conflict *kvstore.ConflictError
 	if !errors.As(err, &conflict) {
@@ -164,8 +167,9 @@
 	return &PlanConflictError{base, head.Current()}
 }
 
-// commitOnce commits a transaction whose conditions let it happen once only. A lost answer is made up
-// for by committing it again; a conflict may then be the first try's doing, which done finds out.
+// commitOnce commits a transaction whose guards let it succeed only once, and retries it until the
+// outcome is known or ctx ends. After a lost response, a conflict may be caused by an earlier try that
+// was applied: done reports whether that is so.
 func commitOnce(ctx context.Context, kv KeyValueStore, guards []wire.Guard, ops []wire.Op, done func() bool) error {
 	const firstWait, maxWait = 200 * time.Millisecond, 2 * time.Second
 	for wait := firstWait; ; wait = min(2*wait, maxWait) {
@@ -189,13 +193,14 @@
 }
 
 const (
-	// schemaTries is how often the schema is read until every controller reads plans.
+	// schemaTries is how often the schema is read while waiting for the leader to raise it.
 	schemaTries = 31
 	schemaWait  = 500 * time.Millisecond
 )
 
-// ensurePlanSchema makes sure that the schema says that there may be a plan: a program that knows of
-// none refuses to lead from then on. It returns the version of the schema's key.
+// ensurePlanSchema asks for SchemaPlans and waits until it is in force. From then on a version of this
+// program that does not support plans refuses to lead, instead of ignoring the plan. It returns the
+// version of SchemaKey.
 func ensurePlanSchema(ctx context.Context, kv KeyValueStore) (uint64, error) {
 	for try := range schemaTries {
 		e, schema, err := readSchema(ctx, kv)
@@ -236,13 +241,13 @@
 	_, err := kv.CompareAndSwap(ctx, []wire.Guard{{Key: PlanRequestedKey}}, []wire.Op{{Put: PlanRequestedKey, Value: true}})
 	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
-		return nil // it was asked before
+		return nil // requested before
 	}
 	return err
 }
 
-// deleteOrphanedTexts deletes the texts that no version names. A draft can be committed only as the
-// next version, so that those up to the current one are nobody's.
+// deleteOrphanedTexts deletes the texts that no version refers to. A draft can only be committed as the
+// version after the current one, so one with a lower number will never be.
 func deleteOrphanedTexts(ctx context.Context, kv KeyValueStore, h PlanHead) {
 	texts, _, err := kv.List(ctx, planTextPrefix)
 	if err != nil {
--- a/jobstore/quarantine.go
+++ b/jobstore/quarantine.go
@@ -4,31 +4,33 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// quarantineMark begins a QuarantinedPage. It stands where a page has a number, so that no version
-// takes it for a page: to all of them it is one that can't be read.
+// quarantineMark is the first element of a QuarantinedPage. A JobPage has a number as its first field, so
+// that even a decoder which accepts arrays for structs, and any earlier version of this program, reports
+// a quarantined page as unreadable and does not take it for a job page.
 const quarantineMark = "aside"
 
-// QuarantinedPage is a job page that can't be read, as a leader has put it under the key of a sealed
-// page. From then on no leader knows its jobs, but by what some controller remembers of it. It is
-// stored as an array: the order of the fields is part of the stored form.
+// QuarantinedPage preserves a job page that can't be decoded. A leader stores it under the key of a
+// sealed page. From then on leaders load no jobs from it, except those that they recover from a copy in
+// the memory of some controller (see RecoveryCopy). It is encoded as an array, so the order of the
+// fields is part of the stored format.
 type QuarantinedPage struct {
 	_msgpack        struct{} `msgpack:",as_array"` //nolint:unused // read by package msgpack
 	Mark            string
 	OriginalKey     string
 	OriginalVersion uint64
-	QuarantinedAtMs int64 // by that leader's clock, Unix milliseconds
+	QuarantinedAtMs int64 // Unix milliseconds, by the leader's clock
 	Raw             wire.Raw
 }
 
-// What the key-value store counts for a value: one that is no MessagePack at all is counted at
-// notMsgpackSize bytes for each of its own, and the other fields take at most quarantineOverhead.
+// Bounds of what the key-value store counts for a value: notMsgpackSize for each byte of a value that is
+// not MessagePack (see wire.JSONSize), and quarantineOverhead for the other fields together.
 const (
 	notMsgpackSize     = 21
 	quarantineOverhead = 200
 )
 
-// NewQuarantinedPage quarantines a value, whole where there is room for it; else the ids of the jobs
-// that still stand there.
+// NewQuarantinedPage returns the quarantined form of a job page: with the raw value if that fits into a
+// value and is MessagePack, else with the ids of the jobs that are still legible in it.
 func NewQuarantinedPage(key string, version uint64, atMs int64, raw wire.Raw, limits Limits) QuarantinedPage {
 	q := QuarantinedPage{Mark: quarantineMark, OriginalKey: key, OriginalVersion: version, QuarantinedAtMs: atMs, Raw: raw}
 	size := wire.JSONSize(raw)
@@ -42,7 +44,7 @@
 	return q
 }
 
-// encodeIDs writes ids so that salvageIDs finds them, within a text.
+// encodeIDs encodes ids so that salvageIDs finds them in the result.
 func encodeIDs(ids []string) []byte {
 	var out []byte
 	for _, id := range ids {
@@ -55,7 +57,7 @@
 	return out
 }
 
-// DecodeQuarantinedPage reads a quarantined page; ok is false for anything else.
+// DecodeQuarantinedPage decodes a quarantined page; ok is false for any other value.
 func DecodeQuarantinedPage(raw wire.Raw) (q QuarantinedPage, ok bool) {
 	if len(raw) == 0 || raw[0]&fixCountMask != msgpackFixArray || wire.Unmarshal(raw, &q) != nil || q.Mark != quarantineMark {
 		return QuarantinedPage{}, false
--- a/jobstore/records.go
+++ b/jobstore/records.go
@@ -5,19 +5,20 @@
 )
 
 // ChunkSize is how many tasks of a job share one PlacementChunk. Chunks of many jobs share a page,
-// which is one key: with thousands of tasks far more chunks change each second than the key-value
-// store takes changes.
+// which is one key: with thousands of tasks, many more chunks change each second than the key-value
+// store accepts writes.
 const ChunkSize = 100
 
-// JobRecord is an accepted job, or its end.
+// JobRecord is an accepted job. It is the value of the job's active record and, with State set, of its
+// final record.
 type JobRecord struct {
 	Job          wire.Job `msgpack:"job"`
 	AcceptedAtMs int64    `msgpack:"at"`
-	State        string   `msgpack:"st,omitempty"` // wire.JobDone or wire.JobCancelled once it is over
+	State        string   `msgpack:"st,omitempty"` // wire.JobDone or wire.JobCancelled in a final record
 
 	Reservation  *Reservation `msgpack:"rv,omitempty"`
-	Outcomes     TaskOutcomes `msgpack:"en,omitempty"` // of a reserved job that is over
-	FinishedAtMs int64        `msgpack:"em,omitempty"` // of a batch window's job that is done, Unix milliseconds
+	Outcomes     TaskOutcomes `msgpack:"en,omitempty"` // set in the final record of a reserved job
+	FinishedAtMs int64        `msgpack:"em,omitempty"` // Unix milliseconds; set for a completed job of a batch window
 }
 
 // PlacementPage is the value of a page of placement records.
@@ -25,22 +26,22 @@
 	Chunks []PlacementChunk `msgpack:"c"`
 }
 
-// PlacementChunk says where the tasks of a chunk may be.
+// PlacementChunk records where the tasks of a chunk may be running, and which of them are done.
 type PlacementChunk struct {
 	Job        string      `msgpack:"j"`
 	Chunk      int         `msgpack:"n"`
-	MaxAttempt uint64      `msgpack:"a"` // highest attempt ever used here, so that none repeats
+	MaxAttempt uint64      `msgpack:"a"` // highest attempt number used in this chunk; numbers are never reused
 	Placements []Placement `msgpack:"p"`
 	DoneRanges TaskRanges  `msgpack:"d"`
 
-	// Of reserved jobs only.
+	// Set for reserved jobs only (see Reservation).
 	Reserved bool         `msgpack:"r,omitempty"`
 	Outcomes TaskOutcomes `msgpack:"e,omitempty"`
-	Stopping []int        `msgpack:"l,omitempty"` // placed, and told to stop
+	Stopping []int        `msgpack:"l,omitempty"` // tasks that are placed and have been asked to stop
 }
 
-// Placement says that a task may be on a machine. It is stored as an array: the order of the fields is
-// part of the stored form.
+// Placement states that a task may be on a machine. It is encoded as an array, so the order of the
+// fields is part of the stored format.
 type Placement struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by package msgpack
 	Task     int
@@ -51,7 +52,8 @@
 // DoneCount counts the done tasks of a chunk.
 func (c *PlacementChunk) DoneCount() int { return c.DoneRanges.Count() }
 
-// ScaleOutRecord is committed before machines are asked for.
+// ScaleOutRecord is committed before machines are requested from the cloud, so that a later leader
+// knows of the request.
 type ScaleOutRecord struct {
 	Type     string   `msgpack:"type"`
 	Zone     string   `msgpack:"zone"`
@@ -62,12 +64,13 @@
 }
 
 // ScaleInRecord is committed before machines are deleted, so that a later leader places nothing on
-// them and deletes them in its turn.
+// them and completes the deletion.
 type ScaleInRecord struct {
 	Machines []string `msgpack:"m"`
 }
 
-// RebalanceCycle is what a rebalancing cycle leaves for the next leader. Times are Unix milliseconds.
+// RebalanceCycle is the state of a rebalancing cycle, stored so that it survives a failover. Times are
+// Unix milliseconds; the maps are keyed by task.
 type RebalanceCycle struct {
 	Moves               []Move           `msgpack:"moves"`
 	CooldownUntilMs     int64            `msgpack:"cool"`
@@ -75,7 +78,7 @@
 	QuarantineUntilMs   map[string]int64 `msgpack:"quar"`
 }
 
-// Move is a task on its way from one machine to another.
+// Move is a task that is being moved from one machine to another.
 type Move struct {
 	Task    string `msgpack:"task"`
 	Attempt uint64 `msgpack:"attempt"`
--- a/jobstore/recovery.go
+++ b/jobstore/recovery.go
@@ -8,16 +8,16 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// RecoveryCopy is what a controller remembers of a record in one version of it: exactly what was
-// written then. A leader that finds the record unreadable asks its peers for it. One of the two fields
-// is set.
+// RecoveryCopy is a controller's in-memory copy of one version of a record, as it was written. A leader
+// that can't decode the record asks its peers for a copy. One of the two fields is set.
 type RecoveryCopy struct {
-	Entries []JobPageEntry `msgpack:"j"` // of a job page
-	Value   wire.Raw       `msgpack:"r"` // of another record
+	Entries []JobPageEntry `msgpack:"j"` // for a job page
+	Value   wire.Raw       `msgpack:"r"` // for any other record
 }
 
-// RecoveryCopy returns what this controller remembers of a record, whether or not it can still be
-// read; nil where it remembers nothing of that version. It is as of a moment after the call.
+// RecoveryCopy returns this controller's copy of a version of a record, whether or not the stored record
+// is damaged; nil if it has none of that version. It reads a barrier first, so that the current version is
+// considered, and also returns nil if that fails.
 func (s *Store) RecoveryCopy(ctx context.Context, key string, version uint64) *RecoveryCopy {
 	if version == 0 || s.readBarrier(ctx) != nil {
 		return nil
@@ -57,11 +57,12 @@
 	return &RecoveryCopy{Value: raw}
 }
 
-// rememberedPage is what this controller remembers of the page that u was before.
+// rememberedPage returns this controller's copy of the original of an unreadable page, nil if it has
+// none.
 func (x *index) rememberedPage(key string, u unreadablePage) *RecoveryCopy {
 	before := x.unreadablePages[key]
 	if before.originalKey == u.originalKey && before.originalVersion == u.originalVersion {
-		return before.recovered // written again as it was
+		return before.recovered // u is a rewrite of the same quarantined page
 	}
 	original := x.unreadablePages[u.originalKey]
 	if p := x.jobPages[u.originalKey]; p != nil && p.version == u.originalVersion && original.version == 0 {
@@ -73,8 +74,8 @@
 	return nil
 }
 
-// UnreadableKey names a job page, or the schema's record, that this controller can't read and that no
-// leader has quarantined yet; "" if there is none.
+// UnreadableKey returns the key of a job page, or of the schema record, that this controller can't decode
+// and that no leader has quarantined yet; "" if there is none.
 func (s *Store) UnreadableKey() (key string, version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/jobstore/reservation.go
+++ b/jobstore/reservation.go
@@ -13,26 +13,26 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Reservation marks a job whose tasks are given a place first and launched when its owner asks for it,
-// each once: a task whose attempt has ended in whatever way is over. API front ends use it whose
-// clients choose what to run once they know where.
+// Reservation marks a job whose tasks are placed first and launched only when the job's owner asks for
+// it. Each task runs at most once: when its attempt has ended in any way, the task is over. It serves API
+// front ends (such as YARN's) whose clients decide what to run after they know the machine.
 type Reservation struct {
 	Owner         string      `msgpack:"o"`           // key of the owning application's record
-	Tag           string      `msgpack:"t,omitempty"` // the front end's own
+	Tag           string      `msgpack:"t,omitempty"` // opaque value of the front end
 	LaunchRanges  TaskRanges  `msgpack:"g,omitempty"` // tasks that may be launched
-	ReleaseRanges TaskRanges  `msgpack:"d,omitempty"` // tasks that are given back
-	OnlyMachines  []string    `msgpack:"n,omitempty"` // the only machines, if any are named
-	AvoidMachines []string    `msgpack:"v,omitempty"` // machines to stay away from
-	SharedKeys    []SharedKey `msgpack:"x,omitempty"` // what several tasks share, for the front end
+	ReleaseRanges TaskRanges  `msgpack:"d,omitempty"` // tasks that the owner gives back
+	OnlyMachines  []string    `msgpack:"n,omitempty"` // if not empty, the only machines to use
+	AvoidMachines []string    `msgpack:"v,omitempty"` // machines not to use
+	SharedKeys    []SharedKey `msgpack:"x,omitempty"` // the front end's keys that several tasks share
 }
 
-// SharedKey leads from tasks to a key of their front end's.
+// SharedKey maps tasks to a key that the front end stores for them.
 type SharedKey struct {
 	Key        string     `msgpack:"k"`
 	TaskRanges TaskRanges `msgpack:"t"`
 }
 
-// SharedKeyOf finds the key that a task shares with others.
+// SharedKeyOf returns the key that a task shares with others, if any.
 func (r *Reservation) SharedKeyOf(task int) (string, bool) {
 	for _, k := range r.SharedKeys {
 		if k.TaskRanges.Contains(task) {
@@ -48,7 +48,7 @@
 	Record     JobRecord
 	Version    uint64 // 0 once the job is over
 	Placements map[int]Placement
-	Stopping   map[int]bool // placed, and told to stop
+	Stopping   map[int]bool // tasks that are placed and have been asked to stop
 	Outcomes   map[int]TaskOutcome
 }
 
@@ -56,21 +56,21 @@
 type AppRecord struct {
 	Key     string
 	Value   wire.Raw
-	Version uint64 // 0: there is none
+	Version uint64 // 0 if there is no record
 }
 
 // errReservationsNotTracked means that TrackReservations was not called.
 var errReservationsNotTracked = errors.New("jobstore: reservations are not tracked")
 
-// TrackReservations has a store keep what front ends with reserved jobs need. It must be called before
-// Run.
+// TrackReservations makes the store index reserved jobs and applications, which only controllers with
+// an API front end need. It must be called before Run.
 func (s *Store) TrackReservations() {
 	s.apps = &appIndex{}
 	s.apps.reset()
 }
 
-// OwnedJobs reads an application's record and the reserved jobs that belong to it, all as of one moment
-// after the call.
+// OwnedJobs returns an application's record and its unfinished reserved jobs, all as of the same
+// revision, which is current at some moment after the call.
 func (s *Store) OwnedJobs(ctx context.Context, owner string) (AppRecord, []ReservedJob, error) {
 	if s.apps == nil {
 		return AppRecord{}, nil, errReservationsNotTracked
@@ -90,13 +90,13 @@
 	return s.apps.apps[owner], jobs, nil
 }
 
-// compareIDs orders ids that end in numbers by these.
+// compareIDs orders ids with a common prefix by the number in which they end.
 func compareIDs(a, b string) int {
 	return cmp.Or(cmp.Compare(len(a), len(b)), strings.Compare(a, b))
 }
 
-// FinishedReservation reads a reserved job that is over, and how each task ended; found is false where
-// there is none.
+// FinishedReservation reads the final record of a reserved job, which says how each task ended. found is
+// false if there is no final record.
 func (s *Store) FinishedReservation(ctx context.Context, id string) (job ReservedJob, found bool, err error) {
 	e, err := s.kv.Get(ctx, FinalKey(id))
 	if err != nil || e.Version == 0 {
@@ -110,7 +110,8 @@
 	return job, true, nil
 }
 
-// CachedApp is an application's record as of the last barrier, which a caller has behind it.
+// CachedApp returns an application's record as of the last barrier. It reads nothing: use it after a
+// method that did, such as OwnedJobs.
 func (s *Store) CachedApp(key string) AppRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,7 +121,7 @@
 	return s.apps.apps[key]
 }
 
-// ListApps reads all applications' records, as of a moment after the call.
+// ListApps returns all applications' records, as of some moment after the call.
 func (s *Store) ListApps(ctx context.Context) ([]AppRecord, error) {
 	if s.apps == nil {
 		return nil, errReservationsNotTracked
@@ -133,8 +134,9 @@
 	return slices.SortedFunc(maps.Values(s.apps.apps), func(a, b AppRecord) int { return compareIDs(a.Key, b.Key) }), nil
 }
 
-// Reserve commits a reserved job together with its owner's record, which must still have that version;
-// value replaces it. duplicate is true, and nothing is committed, where the id was accepted before.
+// Reserve commits a reserved job, and replaces its owner's record by value in the same transaction. It
+// fails with a kvstore.ConflictError if the owner's record no longer has the version given. duplicate is
+// true, and nothing is committed, if the job's id has been accepted already.
 func (s *Store) Reserve(ctx context.Context, job wire.Job, atMs int64, r Reservation, owner AppRecord, value any) (rev uint64, duplicate bool, err error) {
 	guards := []wire.Guard{{Key: JobKey(job.ID)}, {Key: FinalKey(job.ID)}, {Key: owner.Key, Version: owner.Version}}
 	ops := []wire.Op{
@@ -149,8 +151,9 @@
 	return rev, false, err
 }
 
-// UpdateReservation changes a reserved job's marks, together with more puts; it fails with a
-// kvstore.ConflictError where the job has changed since it was read.
+// UpdateReservation changes a job's Reservation, together with more ops, in one transaction, and updates
+// job to match. It fails with a kvstore.ConflictError if the job has changed since it was read, and with
+// kvstore.ErrInvalidRequest if the job was over by then.
 func (s *Store) UpdateReservation(ctx context.Context, job *ReservedJob, change func(*Reservation), more ...wire.Op) error {
 	if job.Version == 0 || job.Record.Reservation == nil {
 		return fmt.Errorf("%w: job %s is over", kvstore.ErrInvalidRequest, job.ID)
--- a/jobstore/salvage.go
+++ b/jobstore/salvage.go
@@ -6,17 +6,18 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file reads what is still intact in records that can't be read as a whole. Nothing is guessed:
-// what is taken from them stands there in full, and an id twice, so that one stretch of damage can't
-// make up another one.
+// This file recovers what is intact in damaged records, without guessing: a value is used only if it is
+// completely there, and an id only if it occurs both in the page entry and in the entry's record, so that
+// damage to one place can't turn it into the id of another job.
 
 var (
-	entryIDField  = msgpackString("i")      // of a JobPageEntry
-	recordIDField = msgpackString("nameId") // of the job in its record
-	stateField    = msgpackString("st")     // of a JobRecord
+	entryIDField  = msgpackString("i")      // field of JobPageEntry
+	recordIDField = msgpackString("nameId") // field of wire.Job in a JobRecord
+	stateField    = msgpackString("st")     // field of JobRecord
 )
 
-// salvageIDs finds jobs that stand on a job page: each whose id is both its entry's and its record's.
+// salvageIDs returns the ids that are legible in a damaged job page: those of entries whose record has
+// the same id.
 func salvageIDs(page []byte) []string {
 	var ids []string
 	for rest := page; ; {
@@ -41,7 +42,7 @@
 	}
 }
 
-// leadingString is the encoded string of at most 31 bytes that b begins with.
+// leadingString returns the encoded string, of at most 31 bytes, with which b begins.
 func leadingString(b []byte) (encoded []byte, ok bool) {
 	if len(b) == 0 || b[0]&fixStrMask != msgpackFixStr {
 		return nil, false
@@ -53,7 +54,8 @@
 	return b[:1+n], true
 }
 
-// salvageState finds how a job ended in a final record: "" where no state stands there, or both do.
+// salvageState returns the state that is legible in a damaged final record: "" if there is none, or if
+// the bytes of both states occur.
 func salvageState(record []byte) string {
 	found := ""
 	for _, state := range []string{wire.JobDone, wire.JobCancelled} {
--- a/jobstore/schema.go
+++ b/jobstore/schema.go
@@ -6,38 +6,39 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Versions of the schema in which records are written. The leader raises the version once every
-// controller reads the next one; until then records are written as the version before writes them.
+// Versions of the schema in which records are written. The leader raises the stored version once every
+// controller can read the next one; until then records are written in the older schema, so that a
+// rolling upgrade can be reverted.
 const (
-	// SchemaJobKeys: a key for each unfinished job.
+	// SchemaJobKeys: each unfinished job has a key of its own.
 	SchemaJobKeys = 1
-	// SchemaJobPages: users' unfinished jobs share pages.
+	// SchemaJobPages: users' unfinished jobs may share job pages.
 	SchemaJobPages = 2
-	// SchemaPlans: there may be a plan, on whose version placements depend.
+	// SchemaPlans: there may be an operators' plan, whose version is a guard of placements.
 	SchemaPlans = 3
-	// LatestSchema is the newest version that this program reads.
+	// LatestSchema is the newest version that this program can read.
 	LatestSchema = SchemaPlans
 )
 
 const (
-	// SchemaKey holds a SchemaRecord. It lies with the jobs, so that whoever knows the jobs knows the
-	// schema as of the same moment.
+	// SchemaKey holds a SchemaRecord. It is under ActivePrefix so that a read of the jobs includes the
+	// schema as of the same revision.
 	SchemaKey = ActivePrefix + "form"
-	// SchemaCopyKey has the same value, for when SchemaKey can't be read.
+	// SchemaCopyKey holds a copy of the value, used if SchemaKey can't be decoded.
 	SchemaCopyKey = "c/form"
 )
 
-// ErrNewerSchema means that a later version of this program has written the records, which this one
-// therefore does not read.
+// ErrNewerSchema means that the records are in a schema newer than LatestSchema, written by a later
+// version of this program.
 var ErrNewerSchema = errors.New("the records have a newer form than this version reads: start the version that wrote them")
 
-// SchemaRecord is the value of SchemaKey; where there is none, the version is SchemaJobKeys.
+// SchemaRecord is the value of SchemaKey. If the key is absent, the version is SchemaJobKeys.
 type SchemaRecord struct {
 	Version int `msgpack:"f"`
-	Buckets int `msgpack:"b"` // never changes once there are any: it says where an id belongs
+	Buckets int `msgpack:"b"` // fixed once set, since it determines the bucket of each id
 }
 
-// Bucket is the bucket to which a job id belongs.
+// Bucket returns the bucket to which a job id belongs.
 func (r SchemaRecord) Bucket(id string) int {
 	if r.Buckets <= 1 {
 		return 0
@@ -45,8 +46,8 @@
 	return int(xxhash.Sum64String(id) % uint64(r.Buckets))
 }
 
-// InferBuckets finds how many buckets there are by where jobs stand: the least number, not below
-// least, by which all of them stand where they belong.
+// InferBuckets derives the number of buckets from the job pages, for when the SchemaRecord is lost: the
+// smallest number, not below least, for which every job is on a page of its bucket.
 func InferBuckets(pages map[string]JobPage, least int) int {
 	least = max(least, 1)
 	for key := range pages {
@@ -63,7 +64,7 @@
 	return least
 }
 
-// fitsBuckets reports whether every job stands on a page of its bucket.
+// fitsBuckets reports whether every job is on a page of its bucket.
 func fitsBuckets(pages map[string]JobPage, schema SchemaRecord) bool {
 	for key, page := range pages {
 		bucket, _, _ := ParseJobPageKey(key)
--- a/jobstore/store.go
+++ b/jobstore/store.go
@@ -9,18 +9,18 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// KeyValueStore is what this package needs of the key-value store.
+// KeyValueStore is the part of the key-value store's client that this package uses.
 type KeyValueStore interface {
 	KeyValueReader
-	// ListPage reads at most limit keys with a prefix that come after a key.
+	// ListPage reads up to limit keys that have the prefix and sort after the key after.
 	ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error)
 	CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
-	// HasWriteCapacity reports whether so many changes can be made without waiting.
+	// HasWriteCapacity reports whether n keys can be changed now without waiting for the write limiter.
 	HasWriteCapacity(n int) bool
 	Watch(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error)
 }
 
-// KeyValueReader is what reading the plan needs of the key-value store.
+// KeyValueReader is the part of the key-value store's client that reading the plan needs.
 type KeyValueReader interface {
 	Get(ctx context.Context, key string) (wire.Entry, error)
 	List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error)
@@ -30,40 +30,43 @@
 type Config struct {
 	// Limits are the key-value store's limits on a transaction.
 	Limits Limits
-	// BarrierInterval is the least time between the starts of two read barriers. Nil: none.
+	// BarrierInterval returns the minimum time between the starts of two read barriers. Nil: no minimum.
 	BarrierInterval func() time.Duration
-	// SubmissionTier is the priority tier of a team's work of a class. Where more submissions wait than
-	// a transaction takes, lower tiers go first. Nil: in the order in which they came.
+	// SubmissionTier returns the priority tier of a team and class. If more submissions wait than fit
+	// into a transaction, those with the lowest tier number go first, except for a share that goes by
+	// arrival so that none starves. Nil: in order of arrival.
 	SubmissionTier func(team, class string) int
-	// FinalReadOrder says who is served first while more callers ask for jobs that are over than can be
-	// read at once, the smallest first. Nil: in the order in which they came.
+	// FinalReadOrder returns the rank of a waiting read of a job's final record; the smallest is served
+	// first. Nil: in order of arrival.
 	FinalReadOrder func(id string) float64
-	// Log is told of records that can't be read. Nil: they are not logged.
+	// Log receives an error for each record that can't be decoded. Nil: nothing is logged.
 	Log *slog.Logger
 }
 
-// Store accepts, looks up and cancels jobs for one controller. What it returns is as current as a read
-// of the records themselves: calls that come together share one read barrier. Only final records are
-// cached beyond it.
+// Store accepts, looks up and cancels jobs for one controller. Methods that take a context are as
+// current as a read of the records themselves, although concurrent calls share one read barrier: only
+// final records, which never change, are answered from a cache. Methods without a context answer from
+// the local copy as of the last barrier. A Store is safe for concurrent use.
 type Store struct {
 	kv     KeyValueStore
 	config Config
 
 	barrierRequests chan chan error
-	partial         listing // owned by Run
+	partial         listing // an unfinished reload; owned by serveBarriers
 
 	writers sync.WaitGroup // the goroutines of bucketQueues, which Run waits for
 
-	mu         sync.Mutex      // guards all that follows
-	runContext context.Context // of Run; nil before it
-	stopped    bool            // Run is over: no writer starts any more
+	mu         sync.Mutex      // guards the fields below
+	runContext context.Context // the context of Run; nil before Run is called
+	stopped    bool            // Run is ending: no new writer may start
 	index
 	finals      finalCache
-	finalReads  finalReadQueue // but for its channel, which needs no lock
+	finalReads  finalReadQueue // except for its channel, which needs no lock
 	writeQueues map[int]*bucketQueue
 }
 
-// New makes a store; Run must be running for it to answer.
+// New returns a store. Run must be running for methods that need a read barrier, such as Accept, Lookup
+// and Cancel, to return.
 func New(kv KeyValueStore, config Config) *Store {
 	if config.Log == nil {
 		config.Log = slog.New(slog.DiscardHandler)
@@ -79,7 +82,7 @@
 }
 
 // Run serves read barriers, lookups and submissions until ctx ends, and returns once every goroutine
-// that the store has started is over.
+// that the store has started has ended.
 func (s *Store) Run(ctx context.Context) {
 	s.mu.Lock()
 	s.runContext = ctx
@@ -96,17 +99,18 @@
 	s.mu.Unlock()
 }
 
-// Limits are the key-value store's limits on a transaction, as configured.
+// Limits returns the key-value store's limits on a transaction, as configured.
 func (s *Store) Limits() Limits { return s.config.Limits }
 
-// Schema is the version of the schema as last read.
+// Schema returns the schema record as last read.
 func (s *Store) Schema() SchemaRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.schema
 }
 
-// TeamAndClass is the team and the class of an unfinished job, as last read; false if it is not known.
+// TeamAndClass returns the team and the class of an unfinished job, as last read; ok is false if the
+// local copy does not have the job.
 func (s *Store) TeamAndClass(id string) (team, class string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/jobstore/tasks.go
+++ b/jobstore/tasks.go
@@ -7,10 +7,11 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// TaskRanges is a set of task numbers in its stored form: first, last, first, last, both inclusive.
+// TaskRanges is a set of task numbers in its stored format: pairs of the first and the last number of a
+// range, both inclusive.
 type TaskRanges []int
 
-// RangesOf writes a set as ranges, in ascending order.
+// RangesOf returns a set as ranges, in ascending order.
 func RangesOf(set *bitset.BitSet) TaskRanges {
 	var out TaskRanges
 	for i, ok := set.NextSet(0); ok; i, ok = set.NextSet(i + 1) {
@@ -23,7 +24,7 @@
 	return out
 }
 
-// BitSet is the set of the tasks that are below n.
+// BitSet returns the set of the tasks from 0 to n-1 that are in the ranges. Numbers outside are ignored.
 func (r TaskRanges) BitSet(n int) *bitset.BitSet {
 	set := bitset.New(uint(max(n, 0)))
 	for first, last := range r.All() {
@@ -45,7 +46,7 @@
 	}
 }
 
-// Count counts the tasks.
+// Count returns the number of tasks, assuming that ranges do not overlap.
 func (r TaskRanges) Count() int {
 	n := 0
 	for first, last := range r.All() {
@@ -64,27 +65,27 @@
 	return false
 }
 
-// TaskOutcome says how a reserved task ended. The numbers are stored.
+// TaskOutcome is how a task of a reserved job ended. The values are part of the stored format.
 type TaskOutcome uint8
 
-// How a reserved task ended.
+// Values of TaskOutcome.
 const (
 	OutcomeDone      TaskOutcome = iota
 	OutcomeFailed                // by itself, with an error
 	OutcomeLost                  // its machine is gone, or its lease expired
-	OutcomePreempted             // stopped for other work, an interruption notice or a drain
+	OutcomePreempted             // stopped for other work, an interruption notice or a graceful eviction
 	OutcomeReleased              // given back by its owner
-	OutcomeRefused               // its machine did not take it
+	OutcomeRefused               // its machine refused to run it
 )
 
-// TaskOutcomes says how tasks ended, in its stored form: task, outcome, task, outcome.
+// TaskOutcomes is how tasks ended, in its stored format: pairs of a task number and a TaskOutcome.
 type TaskOutcomes []int
 
 // All yields each task and how it ended.
 func (o TaskOutcomes) All() iter.Seq2[int, TaskOutcome] {
 	return func(yield func(task int, outcome TaskOutcome) bool) {
 		for i := 0; i+1 < len(o); i += 2 {
-			outcome := min(uint(o[i+1]), math.MaxUint8) // what no version writes stays unknown
+			outcome := min(uint(o[i+1]), math.MaxUint8) // an invalid value must stay invalid
 			if !yield(o[i], TaskOutcome(outcome)) {
 				return
 			}
--- a/jobstore/unreadable.go
+++ b/jobstore/unreadable.go
@@ -6,32 +6,35 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// unreadablePage is a job page whose newest version can't be read. The index keeps the version that was
-// last read, so that nothing is written over the page.
+// unreadablePage is a job page whose newest version can't be decoded. The index keeps the content and
+// the version of the page that it last decoded: transactions that guard that older version fail, so the
+// damaged page is not overwritten.
 type unreadablePage struct {
 	version         uint64
-	quarantined     bool          // by a leader, so that no leader knows its jobs
-	originalKey     string        // where it stood before
-	originalVersion uint64        // and in which version
-	recovered       *RecoveryCopy // what this controller remembers of that version; nil for nothing
+	quarantined     bool          // a leader has quarantined it, and leaders load no jobs from it
+	originalKey     string        // its key before it was quarantined
+	originalVersion uint64        // its version under that key
+	recovered       *RecoveryCopy // this controller's copy of that version; nil if it has none
 }
 
-// logUnreadable names a record that can't be read; the others go on.
+// logUnreadable logs a record that can't be decoded. Other records are not affected.
 func (x *index) logUnreadable(key string, err error) {
 	x.log.Error("unreadable record", "key", key, "err", err)
 }
 
-// placeholder stands in for the record of a job that can't be read: the job is known, and nothing else.
+// placeholder logs a job's record that can't be decoded and returns one in its place, which says only
+// that the job exists.
 func (x *index) placeholder(key, id string, err error) JobRecord {
 	x.logUnreadable(key, err)
 	return unknownRecord(id)
 }
 
-// unknownRecord is the record of a job of which only the id is known.
+// unknownRecord returns a record for a job of which only the id is known. It has one task, because a job
+// without tasks would count as done.
 func unknownRecord(id string) JobRecord { return JobRecord{Job: wire.Job{ID: id, Tasks: 1}} }
 
-// setUnreadablePage takes in that a job page can't be read in its newest version. What was known of it
-// stays known, and so do the jobs whose ids can still be read.
+// setUnreadablePage applies a new version of a job page that can't be decoded. The index keeps what it
+// has of the page, and adds the jobs whose ids are still legible.
 func (x *index) setUnreadablePage(key string, u unreadablePage, raw wire.Raw) {
 	p := x.jobPage(key)
 	if u.version <= p.version || u.version <= x.unreadablePages[key].version {
@@ -50,8 +53,9 @@
 	}
 }
 
-// moveJobs moves what is known of a page's jobs to the page under which it was quarantined. The
-// transaction that did so goes on to put an empty head page in its place.
+// moveJobs moves the jobs that the index has on a page to the key under which the page was quarantined.
+// The same transaction replaces the original by an empty head page; without the move, applying that
+// change would drop the jobs.
 func (x *index) moveJobs(from, to string) {
 	for _, e := range x.jobPages[from].page.Entries {
 		if j := x.jobs[e.ID]; j != nil && j.pageKey == from {
@@ -61,8 +65,7 @@
 	}
 }
 
-// unreadablePageOf is an unreadable job page on which a job may stand. The version is 0 where there is
-// none.
+// unreadablePageOf returns an unreadable job page that may hold a job. The version is 0 if there is none.
 func (x *index) unreadablePageOf(id string) (key string, version uint64) {
 	head := HeadPageKey(x.schema.Bucket(id))
 	for key, u := range x.unreadablePages {
@@ -73,18 +76,19 @@
 	return "", 0
 }
 
-// inBucket reports whether a job page is that head page, or one of its sealed pages.
+// inBucket reports whether a job page is the head page, or a sealed page, of the bucket of headKey.
 func inBucket(key, headKey string) bool {
 	return key == headKey || strings.HasPrefix(key, headKey+".")
 }
 
-// checkAdmissible returns an UnreadableError unless an id that this controller does not know may be
-// accepted: it may stand on a page that can't be read.
+// checkAdmissible returns an UnreadableError if an id that the index does not have must not be accepted,
+// because the job may be on a page that can't be decoded.
 //
-// Once a leader has quarantined that page no leader knows the job or ever did place it, unless a
-// placement page says so, which this controller reads: jobs that are placed are known. So only its
-// record is lost, and its user submits that again. Before that, a leader may still know it, and may be
-// placing it.
+// Until a leader has quarantined that page, the current leader may know the job from the page's intact
+// version and may be placing it. Afterwards no leader knows the job, and it was never placed unless a
+// placement page shows it; the index has all placement pages, and a placed job counts as known. So all
+// that is lost is the job's record, which the user provides again by resubmitting it. If a placement page
+// can't be decoded either, that conclusion does not hold, and the id is refused.
 func (x *index) checkAdmissible(id string) error {
 	if x.schemaUnreadable {
 		return &UnreadableError{Op: opAccept, Job: id, Key: SchemaKey}
--- a/snapshot/format.go
+++ b/snapshot/format.go
@@ -1,14 +1,14 @@
 // Package snapshot exports all records of the key-value store to a file, verifies such a file, and
 // imports it into an empty key-value store.
 //
-// Take writes the records as of one revision while the controllers run. A file is a header, blocks of
-// entries and a trailer, each with checksums: a Reader returns entries only as long as they are intact,
-// and All returns none unless the whole file is. Verify checks the invariants of what a file holds and
-// changes nothing. Restore writes into an empty key-value store only, and resumes an import of the same
-// file that was interrupted.
+// Take writes the records as of one revision, also while the controllers are running. A file consists of
+// a header, blocks of entries and a trailer, each with a checksum: Reader.Next returns a block's entries
+// only if the block is intact, and Reader.All returns none unless the whole file is. Verify checks the
+// invariants of the records and changes nothing. Restore writes only into an empty key-value store, and
+// can resume an interrupted import of the same file.
 //
-// The package owns no state. The commands "state export", "state verify" and "state import" are its
-// callers. docs/jobstore.md has the format.
+// The package owns no state. It is called by the commands "state export", "state verify" and "state
+// import". docs/jobstore.md describes the format.
 package snapshot
 
 import (
@@ -20,10 +20,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// magic begins a file; its last byte is the version of the format.
+// magic is the start of a file; its last byte is the version of the format.
 var magic = []byte("umberdeal snapshot\x01")
 
-// ErrCorrupt means that a file is truncated or was changed; the error that wraps it names the block.
+// ErrCorrupt means that a file is truncated or altered. The error that wraps it names the block.
 var ErrCorrupt = errors.New("snapshot damaged")
 
 // Kinds of blocks.
@@ -33,31 +33,31 @@
 	kindTrailer = 'e'
 )
 
-// A block is its kind, the length of its body, the body's checksum, and the body, compressed.
+// Layout of a block: its kind, the length of the compressed body, a checksum of kind and body, the body.
 const (
 	lengthOffset    = 1
 	checksumOffset  = 5
 	blockHeaderSize = 13
 
-	// A block of entries is written once it has so many, or so many bytes.
+	// A block of entries is written once it has blockEntries entries or blockBytes bytes.
 	blockEntries = 512
 	blockBytes   = 256 << 10
-	// maxBlockBytes bounds what a changed length can make a reader allocate: a value is at most a
-	// transaction's 64 KiB, which a block may begin with and pass.
+	// maxBlockBytes bounds what a damaged length can make a reader allocate. It is far more than a
+	// block can have: blockBytes and one more value, which is at most 64 KiB.
 	maxBlockBytes = 4 << 20
 )
 
 // Header is the first block.
 type Header struct {
-	Revision uint64 `msgpack:"r"`  // of the key-value store
+	Revision uint64 `msgpack:"r"`  // revision of the key-value store
 	AtMs     int64  `msgpack:"at"` // Unix milliseconds
-	By       string `msgpack:"by"` // the program's version
+	By       string `msgpack:"by"` // version of the program that wrote it
 }
 
-// TakenAt is when the snapshot was taken.
+// TakenAt returns when the snapshot was taken.
 func (h Header) TakenAt() time.Time { return time.UnixMilli(h.AtMs) }
 
-// KeyValue is a key and its value. It is stored as an array: the order of the fields is part of the
+// KeyValue is a key and its value. It is encoded as an array, so the order of the fields is part of the
 // format.
 type KeyValue struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by package msgpack
@@ -68,12 +68,12 @@
 // trailer is the last block.
 type trailer struct {
 	Keys uint64 `msgpack:"n"`
-	Sum  uint64 `msgpack:"x"` // of all blocks' headers, in order
+	Sum  uint64 `msgpack:"x"` // checksum over the headers of all blocks, in order
 }
 
 func checksum(kind byte, body []byte) uint64 {
 	d := xxhash.New()
-	_, _ = d.Write([]byte{kind}) // a digest takes everything
+	_, _ = d.Write([]byte{kind}) // Write of a hash never fails
 	_, _ = d.Write(body)
 	return d.Sum64()
 }
--- a/snapshot/placements.go
+++ b/snapshot/placements.go
@@ -4,7 +4,7 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// checkPlacementPage checks a page of placement records against the jobs, which have been taken in.
+// checkPlacementPage checks a page of placement records against the jobs, which must have been collected.
 func (v *verifier) checkPlacementPage(key string) {
 	var page jobstore.PlacementPage
 	if !v.decode(key, &page) {
@@ -15,8 +15,8 @@
 	}
 }
 
-// checkChunk checks that a chunk stands in one place, belongs to a job that is there, and has only the
-// job's tasks, each done or in one place.
+// checkChunk checks that a chunk is on one page only, belongs to an existing job, and mentions only
+// tasks of the job and chunk, each done or placed once.
 func (v *verifier) checkChunk(key string, c *jobstore.PlacementChunk) {
 	id := chunkID{c.Job, c.Chunk}
 	if other, ok := v.chunks[id]; ok {
@@ -33,13 +33,12 @@
 	end := min(first+jobstore.ChunkSize, j.record.Job.Tasks)
 	done := v.checkDone(key, c, first, end)
 	if j.record.State != "" {
-		return // what is left of a job that is over is removed with the page's next change
+		return // leftover placements of a finished job are removed with the page's next change
 	}
 	v.checkPlacements(key, c, first, end, done)
 }
 
-// checkDone checks that the done ranges lie between first and end, and returns the tasks of those that
-// do.
+// checkDone checks that the done ranges lie within [first, end), and returns the tasks of those that do.
 func (v *verifier) checkDone(key string, c *jobstore.PlacementChunk, first, end int) map[int]bool {
 	done := map[int]bool{}
 	for from, to := range c.DoneRanges.All() {
@@ -54,7 +53,7 @@
 	return done
 }
 
-// checkPlacements checks where the tasks of a chunk are.
+// checkPlacements checks the placements of a chunk whose tasks are [first, end).
 func (v *verifier) checkPlacements(key string, c *jobstore.PlacementChunk, first, end int, done map[int]bool) {
 	machines := map[int]string{}
 	for _, p := range c.Placements {
--- a/snapshot/plan.go
+++ b/snapshot/plan.go
@@ -10,13 +10,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// checkPlan reports what of the operators' plan is not as it was written: its versions are read as a
-// controller reads them.
+// checkPlan reports damaged records of the operators' plan. It reads the versions with the functions that
+// controllers use.
 func (v *verifier) checkPlan() {
 	ctx := context.Background()
 	head, err := jobstore.ReadPlanHead(ctx, memoryStore(v.values))
 	if err != nil || head.Version == 0 {
-		return // there is no plan: a memoryStore's reads do not fail
+		return // there is no plan: reads of a memoryStore never fail
 	}
 	if head.Warning != nil {
 		v.report(jobstore.PlanHeadKey, "%v", head.Warning)
@@ -31,8 +31,8 @@
 	}
 }
 
-// memoryStore is a snapshot's entries as a key-value store that is only read. Their versions are not
-// those that they had.
+// memoryStore presents a snapshot's entries as a read-only key-value store. A snapshot has no versions of
+// keys: each entry is given version 1.
 type memoryStore map[string]wire.Raw
 
 // Get implements jobstore.KeyValueReader.
--- a/snapshot/reader.go
+++ b/snapshot/reader.go
@@ -13,24 +13,24 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Reader reads a snapshot.
+// Reader reads a snapshot and checks that it is intact.
 type Reader struct {
 	Header Header
 
 	r       *bufio.Reader
 	decoder *zstd.Decoder
-	sum     *xxhash.Digest // of the blocks' headers
-	offset  int64          // where the next block begins
-	block   int            // its number
+	sum     *xxhash.Digest // over the blocks' headers
+	offset  int64          // offset of the next block in the file
+	block   int            // number of the next block
 	keys    uint64
 	lastKey string
 	ended   bool
 }
 
-// maxDecoderMemory bounds what a block takes once decompressed.
+// maxDecoderMemory bounds the memory that decompressing a block may take.
 const maxDecoderMemory = 16 << 20
 
-// NewReader reads a snapshot's header.
+// NewReader returns a Reader after reading the snapshot's header.
 func NewReader(r io.Reader) (*Reader, error) {
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoderMemory))
 	if err != nil {
@@ -48,7 +48,7 @@
 	return s, s.readBlock(kindHeader, &s.Header)
 }
 
-// All reads what is left, and returns it only if all of it is intact.
+// All reads the remaining entries. It returns them only if the whole file is intact.
 func (s *Reader) All() (map[string]wire.Raw, error) {
 	out := map[string]wire.Raw{}
 	for {
@@ -65,7 +65,8 @@
 	}
 }
 
-// Next reads the next entries; io.EOF after the last, once the whole file has been found intact.
+// Next returns the entries of the next block. After the last it returns io.EOF, but only if the file as a
+// whole has proved intact; entries returned before an ErrCorrupt are intact, but not complete.
 func (s *Reader) Next() ([]KeyValue, error) {
 	if s.ended {
 		return nil, io.EOF
@@ -88,7 +89,7 @@
 	return entries, nil
 }
 
-// readTrailer reads the last block, and returns io.EOF if the file is intact.
+// readTrailer reads the trailer, and returns io.EOF if the file is intact.
 func (s *Reader) readTrailer() error {
 	var t trailer
 	sum := s.sum.Sum64()
@@ -109,10 +110,11 @@
 	return io.EOF
 }
 
-// errOtherKind means that the next block is of another kind.
+// errOtherKind means that the next block is not of the kind that was to be read.
 var errOtherKind = errors.New("another kind of block")
 
-// readBlock reads a block of that kind, or returns errOtherKind with the block unread.
+// readBlock reads a block of the given kind into v. If the next block is of another kind it returns
+// errOtherKind and leaves the block unread.
 func (s *Reader) readBlock(kind byte, v any) error {
 	header, err := s.r.Peek(blockHeaderSize)
 	if err != nil {
@@ -135,7 +137,7 @@
 		return s.corrupt("its checksum is wrong")
 	}
 	if kind != kindTrailer {
-		_, _ = s.sum.Write(block[:blockHeaderSize]) // a digest takes everything
+		_, _ = s.sum.Write(block[:blockHeaderSize]) // Write of a hash never fails
 	}
 	plain, err := s.decoder.DecodeAll(body, nil)
 	if err != nil {
@@ -149,7 +151,7 @@
 	return nil
 }
 
-// corrupt says what is wrong with the next block.
+// corrupt returns an ErrCorrupt that names the next block and what is wrong with it.
 func (s *Reader) corrupt(why string) error {
 	return fmt.Errorf("%w: block %d, at byte %d: %s", ErrCorrupt, s.block, s.offset, why)
 }
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -11,26 +11,27 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Target is what filling a key-value store needs of it.
+// Target is the part of the key-value store's client that Restore uses.
 type Target interface {
 	ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error)
 	Get(ctx context.Context, key string) (wire.Entry, error)
 	CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
 }
 
-// importMarkKey stands in a key-value store while it is being filled; its value is the snapshot's Header.
+// importMarkKey exists in a key-value store during an import; its value is the snapshot's Header.
 const importMarkKey = "ctl/import"
 
-// maxTxnBytes bounds the values of a transaction, below the key-value store's 64 KiB. Each is counted
-// twice, since the key-value store counts it as JSON.
+// maxTxnBytes bounds the values of a transaction, to stay below the key-value store's limit of 64 KiB.
+// Values are counted at twice their length, because the key-value store counts them as JSON.
 const maxTxnBytes = 48 << 10
 
-// ErrNotEmpty means that a key-value store holds something already.
+// ErrNotEmpty means that the key-value store has records already, or an unfinished import of another
+// snapshot.
 var ErrNotEmpty = errors.New("the state service is not empty")
 
-// Restore fills an empty key-value store, with maxOps changes a transaction, and returns how many keys
-// it has written. An import that was interrupted goes on where it stopped, if it is of the same
-// snapshot.
+// Restore writes a snapshot into an empty key-value store, with up to maxOps puts in a transaction, and
+// returns how many keys it has written. If it was interrupted, calling it again with the same snapshot
+// completes the import; keys written before are not counted again.
 func Restore(ctx context.Context, to Target, h Header, values map[string]wire.Raw, maxOps int) (int, error) {
 	mark, err := beginImport(ctx, to, h)
 	if err != nil {
@@ -57,8 +58,9 @@
 	return written, nil
 }
 
-// beginImport marks an empty key-value store as one that is being filled, unless it is marked so for
-// the same snapshot. The mark is a condition of every transaction.
+// beginImport marks an empty key-value store as being imported into, or finds the mark of an interrupted
+// import of the same snapshot. The mark is a guard of every transaction, so that nothing more is written
+// once the import has ended.
 func beginImport(ctx context.Context, to Target, h Header) (wire.Guard, error) {
 	e, err := to.Get(ctx, importMarkKey)
 	if err != nil {
@@ -85,7 +87,7 @@
 	return wire.Guard{Key: importMarkKey, Version: rev}, nil
 }
 
-// nextOps is puts of the first keys, as many as fit into a transaction and one at least.
+// nextOps returns puts of the first keys: as many as fit into a transaction, and at least one.
 func nextOps(keys []string, values map[string]wire.Raw, maxOps int) []wire.Op {
 	var ops []wire.Op
 	bytes := 0
@@ -100,7 +102,7 @@
 	return ops
 }
 
-// restoreOps commits puts of keys that are not there yet, and returns how many it has written.
+// restoreOps commits puts of keys that do not exist yet, and returns how many it has written.
 func restoreOps(ctx context.Context, to Target, mark wire.Guard, ops []wire.Op) (int, error) {
 	guards := []wire.Guard{mark}
 	for _, op := range ops {
@@ -116,8 +118,8 @@
 	if !writtenBefore(err) {
 		return 0, fmt.Errorf("import: at %q: %w", ops[0].Put, err)
 	}
-	// Some were written before, by this import: its answer was lost, or it was interrupted. With other
-	// limits they may have been written in other transactions: each key is tried alone.
+	// This import has written some of the keys before: a response was lost, or it was interrupted and
+	// resumed. With a different maxOps they may have been in other transactions, so try each key alone.
 	written := 0
 	for i, op := range ops {
 		err := retry(ctx, func() error {
@@ -134,7 +136,7 @@
 	return written, nil
 }
 
-// writtenBefore reports whether a transaction failed only because keys are there already.
+// writtenBefore reports whether a transaction failed only because some of its keys exist already.
 func writtenBefore(err error) bool {
 	var conflict *kvstore.ConflictError
 	return errors.As(err, &conflict) && !slices.Contains(conflict.FailedKeys, importMarkKey)
--- a/snapshot/take.go
+++ b/snapshot/take.go
@@ -17,22 +17,23 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Source is what taking a snapshot needs of the key-value store.
+// Source is the part of the key-value store's client that Take uses.
 type Source interface {
 	ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error)
 	Watch(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error)
 }
 
 const (
-	// maxAttempts is how often a request is made that the key-value store refuses.
+	// maxAttempts bounds the tries of a request that the key-value store refuses.
 	maxAttempts = 20
 	// listPageSize is how many keys are listed with one request.
 	listPageSize = 500
-	// retryStep is by how much longer each wait between them is.
+	// retryStep is the wait before the first retry, and what each further wait is longer by.
 	retryStep = 100 * time.Millisecond
 )
 
-// retry repeats f while the key-value store refuses or does not answer.
+// retry calls f again, up to maxAttempts times, while the key-value store refuses the request or does not
+// answer. f must be safe to repeat although its outcome is unknown.
 func retry(ctx context.Context, f func() error) error {
 	for attempt := 1; ; attempt++ {
 		err := f()
@@ -45,9 +46,13 @@
 	}
 }
 
-// Take reads everything there is, as of one revision, at no more than rps requests a second, and writes
-// it to w. The pages of a listing are of different moments: the changes between them are read after
-// each, before the key-value store forgets them, and a last time at the end.
+// Take reads all records as of one revision, with up to rps requests a second, and writes them to w. It
+// returns the header and the number of keys. by is the program's version, for the header. The leader key
+// is left out.
+//
+// The pages of the listing are of different revisions. So after each page Take also reads the changes
+// since the page before, and applies them; waiting until the end would risk that the key-value store has
+// compacted them.
 func Take(ctx context.Context, src Source, rps float64, w io.Writer, by string) (Header, int, error) {
 	l := &lister{
 		source: src, limiter: rate.NewLimiter(rate.Limit(rps), 1),
@@ -62,7 +67,7 @@
 			return Header{}, 0, fmt.Errorf("snapshot: changes after revision %d: %w", l.revision, err)
 		}
 	}
-	delete(l.values, election.LeaderKey) // whoever leads now
+	delete(l.values, election.LeaderKey) // it says who leads now, which is no longer true at an import
 	h := Header{Revision: l.revision, AtMs: time.Now().UnixMilli(), By: by}
 	if err := write(w, h, l.values); err != nil {
 		return h, 0, err
@@ -70,7 +75,7 @@
 	return h, len(l.values), nil
 }
 
-// write writes entries as a snapshot.
+// write writes entries as a snapshot, in the order of their keys.
 func write(w io.Writer, h Header, values map[string]wire.Raw) error {
 	s, err := NewWriter(w, h)
 	if err != nil {
@@ -84,18 +89,18 @@
 	return s.Close()
 }
 
-// lister collects all entries of a key-value store.
+// lister reads all entries of a key-value store.
 type lister struct {
 	source  Source
 	limiter *rate.Limiter
 
 	values   map[string]wire.Raw
-	versions map[string]uint64 // also of keys that were deleted meanwhile
-	revision uint64            // up to which changes are taken in; 0 before the first page
-	lastKey  string            // up to which keys are listed
+	versions map[string]uint64 // including keys that were deleted since the listing began
+	revision uint64            // changes up to it are applied; 0 before the first page
+	lastKey  string            // keys up to it are listed
 }
 
-// readPage reads the next page of the listing; more is false after the last.
+// readPage reads the next page of the listing. more is false if it was the last.
 func (l *lister) readPage(ctx context.Context) (more bool, err error) {
 	var page wire.Listing
 	err = retry(ctx, func() (err error) {
@@ -118,8 +123,8 @@
 	return page.More, nil
 }
 
-// readChanges takes in the changes since the last time. Those of keys that the listing has not come to
-// yet are read again with it, and known by their version.
+// readChanges reads and applies the changes since the last call. That includes keys that the listing has
+// not reached yet; the listing then reads them again, in the same or a later version.
 func (l *lister) readChanges(ctx context.Context) error {
 	return retry(ctx, func() error {
 		if err := l.limiter.Wait(ctx); err != nil {
@@ -137,7 +142,7 @@
 	})
 }
 
-// apply takes a change in unless it is older than what is known.
+// apply applies a change unless the lister has the same or a later version of the key.
 func (l *lister) apply(e wire.Event) {
 	key := e.Put + e.Delete // one of them is empty
 	if e.Version <= l.versions[key] {
--- a/snapshot/verify.go
+++ b/snapshot/verify.go
@@ -10,7 +10,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Violation is an invariant of the records that does not hold.
+// Violation is a violation of an invariant of the records.
 type Violation struct {
 	Key     string
 	Problem string
@@ -18,13 +18,12 @@
 
 func (v Violation) String() string { return v.Key + ": " + v.Problem }
 
-// Summary counts what a snapshot holds.
+// Summary counts the content of a snapshot: keys, jobs, placements, and keys with other records.
 type Summary struct {
 	Keys, Unfinished, Finished, Placements, Other int
 }
 
-// Verify checks the invariants of the records, and returns those that do not hold in the order of their
-// keys.
+// Verify checks the invariants of the records, and returns the violations in the order of their keys.
 func Verify(values map[string]wire.Raw) (Summary, []Violation) {
 	v := &verifier{values: values, jobs: map[string]jobLocation{}, chunks: map[chunkID]string{}}
 	v.summary.Keys = len(values)
@@ -44,7 +43,7 @@
 	return v.summary, v.violations
 }
 
-// jobLocation is a job's record, and the key on which it stands.
+// jobLocation is a job's record, and the key that holds it.
 type jobLocation struct {
 	key    string
 	record jobstore.JobRecord
@@ -59,7 +58,7 @@
 	values     map[string]wire.Raw
 	schema     jobstore.SchemaRecord
 	jobs       map[string]jobLocation
-	chunks     map[chunkID]string // the key on which each stands
+	chunks     map[chunkID]string // the placement page that holds each chunk
 	summary    Summary
 	violations []Violation
 }
@@ -68,7 +67,7 @@
 	v.violations = append(v.violations, Violation{key, fmt.Sprintf(format, args...)})
 }
 
-// decode decodes a key's value, or reports that it can't be read.
+// decode decodes a key's value. If it can't be decoded, it reports that and returns false.
 func (v *verifier) decode(key string, out any) bool {
 	if err := wire.Unmarshal(v.values[key], out); err != nil {
 		v.report(key, "can't be read: %v", err)
@@ -87,7 +86,7 @@
 	}
 }
 
-// checkKey takes in the jobs that stand on a key.
+// checkKey checks a key that holds jobs, and collects them; it counts other keys, except placement pages.
 func (v *verifier) checkKey(key string) {
 	if jobstore.IsJobPageKey(key) {
 		v.checkJobPage(key)
@@ -108,7 +107,7 @@
 	}
 }
 
-// checkFinal takes in a job that is over.
+// checkFinal checks and collects a final record.
 func (v *verifier) checkFinal(key, id string) {
 	record, ok := v.decodeJob(key, id)
 	if !ok {
@@ -120,7 +119,7 @@
 	v.addJob(key, id, record)
 }
 
-// decodeJob decodes the record of a job with a key of its own; ok is false where it can't be read.
+// decodeJob decodes the record of a job with a key of its own; ok is false if it can't be decoded.
 func (v *verifier) decodeJob(key, id string) (record jobstore.JobRecord, ok bool) {
 	if !v.decode(key, &record) {
 		return record, false
@@ -131,7 +130,7 @@
 	return record, true
 }
 
-// checkJobPage takes in a page of jobs.
+// checkJobPage checks a job page, and collects its jobs.
 func (v *verifier) checkJobPage(key string) {
 	page, err := jobstore.DecodeJobPage(v.values[key])
 	if q, ok := jobstore.DecodeQuarantinedPage(v.values[key]); ok {
@@ -159,7 +158,7 @@
 	}
 }
 
-// addJob takes in a job, which must stand on one key only.
+// addJob collects a job, and reports it if another key holds it as well.
 func (v *verifier) addJob(key, id string, record jobstore.JobRecord) {
 	if other, ok := v.jobs[id]; ok {
 		v.report(key, "job %s stands at %s as well", id, other.key)
--- a/snapshot/warmpools.go
+++ b/snapshot/warmpools.go
@@ -8,8 +8,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// checkWarmPools reports which records of warm pools can't be read, and which accounts do not add up:
-// what the teams owe must be what the machines cost, each up to the record's time.
+// checkWarmPools reports records of warm pools that can't be decoded, and those whose accounts do not
+// balance: the sum charged to teams must equal the cost of the machines, up to the time of the record.
 func (v *verifier) checkWarmPools() {
 	records := map[string]wire.Raw{}
 	for key, raw := range v.values {
--- a/snapshot/writer.go
+++ b/snapshot/writer.go
@@ -11,17 +11,17 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Writer writes a snapshot.
+// Writer writes a snapshot. After an error the file is incomplete.
 type Writer struct {
 	w       io.Writer
 	encoder *zstd.Encoder
-	sum     *xxhash.Digest // of the blocks' headers
-	pending []KeyValue     // of the next block
-	bytes   int            // that pending takes
+	sum     *xxhash.Digest // over the blocks' headers
+	pending []KeyValue     // entries of the next block
+	bytes   int            // size of pending
 	keys    uint64
 }
 
-// NewWriter begins a snapshot.
+// NewWriter returns a Writer after writing the snapshot's header.
 func NewWriter(w io.Writer, h Header) (*Writer, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -34,7 +34,7 @@
 	return s, s.writeBlock(kindHeader, h)
 }
 
-// Add writes an entry; entries come in the order of their keys.
+// Add adds an entry. Entries must be added in ascending order of their keys, which Add does not check.
 func (s *Writer) Add(kv KeyValue) error {
 	s.pending = append(s.pending, kv)
 	s.bytes += len(kv.Key) + len(kv.Value)
@@ -45,8 +45,8 @@
 	return s.flush()
 }
 
-// Close ends the snapshot; without it the file counts as truncated. It does not close the underlying
-// writer.
+// Close writes the remaining entries and the trailer, without which readers report the file as truncated.
+// It does not close the underlying writer.
 func (s *Writer) Close() error {
 	if err := s.flush(); err != nil {
 		return err
@@ -54,7 +54,7 @@
 	return s.writeBlock(kindTrailer, trailer{Keys: s.keys, Sum: s.sum.Sum64()})
 }
 
-// flush writes the entries that wait.
+// flush writes the pending entries as a block.
 func (s *Writer) flush() error {
 	if len(s.pending) == 0 {
 		return nil
@@ -74,7 +74,7 @@
 	header[0] = kind
 	binary.BigEndian.PutUint32(header[lengthOffset:], uint32(len(body)))
 	binary.BigEndian.PutUint64(header[checksumOffset:], checksum(kind, body))
-	_, _ = s.sum.Write(header) // a digest takes everything
+	_, _ = s.sum.Write(header) // Write of a hash never fails
 	if _, err := s.w.Write(append(header, body...)); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
