--- a/jobstore/accept_test.go
+++ b/jobstore/accept_test.go
@@ -22,7 +22,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// closePageAfter is for how long heads stay open after a crowd.
+// closePageAfter is how long head pages stay open after concurrent submissions (see batch.go).
 const closePageAfter = 5 * time.Second
 
 var limits = jobstore.Limits{TxnOps: 12, ValueKB: 16}
@@ -32,13 +32,13 @@
 		Tasks: 2, CPUs: 2.5, MemoryGB: 4, Image: "img-1", ImageGB: 1.25, EstimateS: 20, Types: []string{"g8", "g16"}}
 }
 
-// runStores runs that many stores on one key-value store while play lasts.
+// runStores calls play with n running stores that share the key-value store s.
 func runStores(t *testing.T, n int, s *fakeStore, play func(stores []*jobstore.Store)) {
 	t.Helper()
 	runStoresWith(t, n, s, jobstore.Config{Limits: limits}, play)
 }
 
-// runStoresWith is runStores with another configuration.
+// runStoresWith is runStores with a configuration.
 func runStoresWith(t *testing.T, n int, s *fakeStore, config jobstore.Config, play func(stores []*jobstore.Store)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -55,7 +55,7 @@
 	s.wg.Wait()
 }
 
-// submit submits as a user does: again after a second, for a minute.
+// submit submits a job and retries every second, for up to 60 tries. known is the result of Accept.
 func submit(ctx context.Context, r *jobstore.Store, j wire.Job) (known, ok bool) {
 	for range 60 {
 		actx, cancel := context.WithTimeout(ctx, 3500*time.Millisecond)
@@ -69,10 +69,9 @@
 	return false, false
 }
 
-// The same ids reach seven nodes at the same moment, again and again, while
-// answers are lost, transactions are applied up to two minutes late, jobs are done
-// and cancelled. Each id stands in one place at any moment, and what was told as
-// final stays.
+// The same ids are submitted to seven controllers at once, repeatedly, while responses are lost,
+// transactions are applied up to two minutes late, and jobs complete and are cancelled. Each id must be
+// on exactly one key at any moment, and a state once reported as final must never change.
 func TestAcceptIsIdempotentAcrossControllers(t *testing.T) {
 	seeds := uint64(10)
 	if scenario.UnderRace {
@@ -84,7 +83,7 @@
 			s.lostShare, s.lateShare, s.maxDelay, s.maxLatency = 0.1, 0.15, 2*time.Minute, 50*time.Millisecond
 			const jobs, singles = 90, 30
 			told := map[string]string{}   // final states
-			accepted := map[string]bool{} // by any node
+			accepted := map[string]bool{} // by any controller
 			s.afterChange = func() {
 				for n := range jobs {
 					id := job(n).ID
@@ -114,7 +113,7 @@
 				for n := range jobs {
 					for i, r := range stores {
 						again, j := rnd.IntN(3), job(n)
-						if n%4 == 0 && i%2 == 0 { // the same id, and too large to share a page
+						if n%4 == 0 && i%2 == 0 { // the same id, with a record too large for a job page
 							j.Types = []string{strings.Repeat("x", 5000)}
 						}
 						wg.Go(func() {
@@ -148,10 +147,10 @@
 						})
 					}
 					if n == singles/3 {
-						s.setSchema(2) // amid it all
+						s.setSchema(2) // raise the schema while submissions are in flight
 					}
-					// Few at first and in the middle, so that heads are closed; many before
-					// and after, so that they are opened.
+					// Sparse submissions at first and in the middle, so that head pages get closed;
+					// dense ones in between and at the end, so that they get opened.
 					gap := 4
 					if n < singles/2 || n >= jobs/2 && n < jobs/2+singles/2 {
 						gap = 4000
@@ -176,8 +175,8 @@
 	}
 }
 
-// A page splits while two nodes write and a third reads: what is accepted is
-// found, at once and by every node.
+// Head pages are sealed while two controllers write and a third reads: an accepted job must be found at
+// once by a controller that did not accept it.
 func TestLookupFindsAcceptedJobsWhilePagesAreSealed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -216,8 +215,8 @@
 	})
 }
 
-// A burst of submissions at a state service of 25 changes a second: a
-// transaction takes as many as it has conditions for.
+// A burst of 500 submissions must share transactions: they may cost no more than 75 changes, since a
+// transaction takes as many jobs as its guards allow.
 func TestBurstOfSubmissionsSharesTransactions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -241,8 +240,8 @@
 	})
 }
 
-// A submission alone waits for nobody, and costs one transaction, whichever node
-// it reaches: also after a crowd, once the heads have been closed again.
+// A single submission is not delayed and costs one transaction at any controller, also after a burst,
+// once the head pages have been closed again.
 func TestSingleSubmissionTakesOneTransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -254,7 +253,7 @@
 			}
 			wg.Wait()
 			time.Sleep(2 * closePageAfter)
-			for n := range 60 { // by which each bucket's head is closed
+			for n := range 60 { // enough for each bucket's head page to be closed
 				submit(t.Context(), stores[n%3], job(2000+n))
 				time.Sleep(time.Second)
 			}
@@ -278,9 +277,8 @@
 	})
 }
 
-// Until the form is raised every job has a key of its own, which the version
-// before reads; a node that has not heard of the new form does not write the old
-// one any more.
+// Until the schema is raised every job has a key of its own, as earlier program versions expect. After
+// that, a controller that has not read the new schema yet must not commit in the old one.
 func TestAcceptAfterSchemaWasRaisedUnnoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -326,7 +324,7 @@
 	})
 }
 
-// submitCrowd opens a bucket's head.
+// submitCrowd submits 40 jobs at once, which opens a bucket's head page.
 func submitCrowd(t *testing.T, r *jobstore.Store, from int) {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -336,8 +334,8 @@
 	wg.Wait()
 }
 
-// A job too large for a page gets a key of its own beside an open head; a smaller
-// repeat of it at the same node, which has not read since, is known.
+// A job too large for a page gets a key of its own although the head page is open. A smaller submission
+// of the same id at the same controller, before its next barrier, must be found to be a duplicate.
 func TestLargeJobIsKnownBeforeNextBarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -360,8 +358,8 @@
 	})
 }
 
-// While a transaction's answer is on its way, a barrier brings what it did and that
-// the job is over: what the node then hears of its own transaction is old.
+// Before the response of a transaction arrives, a barrier reads its changes and also that the jobs are
+// done. The response is then older than the index and must not bring the jobs back.
 func TestLateCommitAnswerIsIgnoredAfterBarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -399,7 +397,7 @@
 	})
 }
 
-// A form that a later version has written is refused, in words.
+// A schema newer than this program supports is refused with ErrNewerSchema, and nothing is written.
 func TestNewerSchemaIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -418,7 +416,7 @@
 	})
 }
 
-// A damaged record is named, and those beside it go on.
+// A damaged record is reported, and does not affect the other records.
 func TestUnreadableEntryIsLoggedAndOthersAreServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -455,7 +453,7 @@
 	})
 }
 
-// What a page is said to take is never less than what the service counts.
+// JobPage.Size is never less than the JSON size that the key-value store counts.
 func TestPageSizeIsAnUpperBound(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 3))
 	for range 300 {
@@ -490,8 +488,7 @@
 	}
 }
 
-// Whatever stands in a page's value, reading it ends, and what can be read is
-// what was written.
+// Decoding terminates for any value, and an entry that decodes has the id of its record.
 func FuzzJobPage(f *testing.F) {
 	raw, err := wire.Marshal(jobstore.JobRecord{Job: job(1)})
 	if err != nil {
@@ -520,8 +517,8 @@
 	})
 }
 
-// More submissions wait than a transaction takes. Those of the first tier go with
-// the next, whenever they came; of the others some go each time.
+// If more submissions wait than fit into a transaction, those of the lowest tier number go into the next
+// one although they came last, and each transaction also takes some of the others.
 func TestLowerTierSubmissionsOvertake(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
--- a/jobstore/encoding_test.go
+++ b/jobstore/encoding_test.go
@@ -10,8 +10,8 @@
 
 var msgpackCodec = golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
 
-// What the state service holds was written by earlier versions, and is read by older
-// ones during a rolling restart: every kind of record keeps its bytes.
+// Stored records may have been written by earlier program versions, and earlier versions read them
+// during a rolling upgrade: the encoding of every kind of record must not change.
 func TestStoredRecordsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	golden.Hold[JobRecord](f, "job", msgpackCodec)
@@ -37,9 +37,8 @@
 	golden.Hold[planPiece](f, "plan text", msgpackCodec)
 }
 
-// Records that are written as arrays depend on the order of their fields. These go by
-// the fields' names: filled values, which go by the order, don't show two fields that
-// have changed places.
+// Records encoded as arrays depend on the order of their fields. The values here are set by field name,
+// so that swapped fields are noticed: golden.Filled assigns values in field order and would hide that.
 func TestFieldsOfArraysKeepTheirPlaces(t *testing.T) {
 	f := golden.Open(t, "arrays.golden")
 	for label, v := range map[string]any{
@@ -54,8 +53,8 @@
 	}
 }
 
-// The functions by which records are read take what earlier versions wrote, each its
-// own kind and none of the others.
+// Each decoder accepts what earlier program versions wrote for its kind of record, and a quarantined
+// page is not taken for a job page.
 func TestStoredRecordsAreReadByTheirOwnKind(t *testing.T) {
 	f := golden.OpenRead(t, "records.golden")
 	decoders := map[string]func(raw wire.Raw) (any, error){
@@ -92,7 +91,7 @@
 	}
 }
 
-// Keys and the numbers in records are what earlier versions wrote.
+// Keys, and constants that are part of records, must stay as earlier program versions wrote them.
 func TestKeysKeepTheirForm(t *testing.T) {
 	f := golden.Open(t, "keys.golden")
 	for name, key := range map[string]string{
--- a/jobstore/export_test.go
+++ b/jobstore/export_test.go
@@ -2,7 +2,7 @@
 
 import "github.com/umberdeal/umberdeal/wire"
 
-// Retained is how much a store keeps in memory of each kind.
+// Retained returns how many items of each kind a store holds in memory.
 func (s *Store) Retained() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -18,8 +18,8 @@
 	}
 }
 
-// RememberFinal remembers a job that is over.
+// RememberFinal puts a final record into the cache.
 func (s *Store) RememberFinal(id string) { s.cacheFinal(id, JobRecord{State: wire.JobDone}) }
 
-// MaxCachedFinals is how many are remembered.
+// MaxCachedFinals is the size of the cache of final records.
 const MaxCachedFinals = maxCachedFinals
--- a/jobstore/fakestore_test.go
+++ b/jobstore/fakestore_test.go
@@ -13,32 +13,32 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// fakeStore is a key-value store in memory that takes 3 ms, and of which a test can
-// have transactions applied late, or their answers lost.
+// fakeStore is an in-memory key-value store with a latency of 3 ms. A test can make it apply
+// transactions late or lose their responses.
 type fakeStore struct {
 	rnd                  *rand.Rand
-	maxLatency           time.Duration // how much longer an answer takes at most
-	listLatency          time.Duration // how much longer a page of the active records takes
-	lostShare, lateShare float64       // shares of the transactions
-	maxDelay             time.Duration // at most
+	maxLatency           time.Duration // upper bound of a random additional latency
+	listLatency          time.Duration // additional latency of listing a page of the active records
+	lostShare, lateShare float64       // shares of transactions whose response is lost, or that are applied late
+	maxDelay             time.Duration // upper bound of how late a transaction is applied
 
 	mu          sync.Mutex
 	rev         uint64
 	keys        map[string]wire.Entry
 	log         []wire.Event
-	changes     int // also of transactions whose conditions failed
+	changes     int // including those of transactions whose guards failed
 	requests    int
-	afterChange func() // after each change
+	afterChange func() // called after each change
 	wg          sync.WaitGroup
 
-	beforeAnswer func(ops []wire.Op) // before a transaction's answer goes out
+	beforeAnswer func(ops []wire.Op) // called before a transaction's response is returned
 }
 
 func newFakeStore(seed uint64) *fakeStore {
 	return &fakeStore{rnd: rand.New(rand.NewPCG(seed, 5)), keys: map[string]wire.Entry{}}
 }
 
-// pause is how long the service takes.
+// pause waits for the latency of a request.
 func (s *fakeStore) pause() {
 	d := 3 * time.Millisecond
 	if s.maxLatency > 0 {
@@ -132,7 +132,7 @@
 
 func (s *fakeStore) HasWriteCapacity(int) bool { return true }
 
-// apply is the transaction itself; the lock is held.
+// apply executes a transaction. The caller holds s.mu.
 func (s *fakeStore) apply(guards []wire.Guard, ops []wire.Op) (uint64, error) {
 	var failed []string
 	for _, g := range guards {
@@ -163,7 +163,7 @@
 	return s.rev, nil
 }
 
-// keysOf lists the keys on which a job's records stand; the lock is held.
+// keysOf lists the keys that hold a record of a job. The caller holds s.mu.
 func (s *fakeStore) keysOf(id string) []string {
 	var out []string
 	for k, e := range s.keys {
@@ -182,8 +182,8 @@
 	return out
 }
 
-// finishJob is the leader's transaction that ends a job, and repeats it until it is
-// over; done says whether it was this that ended it.
+// finishJob ends a job as the leader does, and retries after conflicts. done is true if this call ended
+// the job, and false if it was over, or not there, before.
 func (s *fakeStore) finishJob(id string) (done bool) {
 	for {
 		time.Sleep(2 * time.Millisecond)
@@ -199,11 +199,11 @@
 		op := wire.Op{Delete: at[0]}
 		if jobstore.IsJobPageKey(at[0]) {
 			var page jobstore.JobPage
-			_ = wire.Unmarshal(e.Value, &page) // as this store wrote it
+			_ = wire.Unmarshal(e.Value, &page) // valid, since it was encoded by this store
 			left := page.Without(map[string]bool{id: true})
 			op = wire.Op{Put: at[0], Value: left}
 			if len(left.Entries) == 0 && !jobstore.IsHeadPageKey(at[0]) {
-				op = wire.Op{Delete: at[0]} // as a leader does
+				op = wire.Op{Delete: at[0]} // a leader deletes an empty sealed page too
 			}
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -216,7 +216,7 @@
 	}
 }
 
-// overwrite writes a key as nobody else would.
+// overwrite writes a key without guards, to simulate damage.
 func (s *fakeStore) overwrite(key string, v wire.Raw) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -225,7 +225,7 @@
 	s.log = append(s.log, wire.Event{Put: key, Value: v, Version: s.rev})
 }
 
-// setSchema writes the form in which jobs share pages.
+// setSchema writes the latest schema, in which jobs share job pages, unless there is one.
 func (s *fakeStore) setSchema(buckets int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/jobstore/index_test.go
+++ b/jobstore/index_test.go
@@ -11,9 +11,8 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// Jobs come four a second for minutes, and now and then many at once; some are
-// cancelled, all are over in the end, and users ask. What a node keeps of them
-// doesn't grow with how many there have been.
+// Four jobs a second are submitted for minutes, with occasional bursts; some are cancelled, all end, and
+// users poll. The memory that a store retains must not grow with the number of past jobs.
 func TestRetainedMemoryIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(3)
@@ -46,13 +45,13 @@
 					}
 				})
 			}
-			full := 0 // pages that were full, at most at once
+			full := 0 // highest number of sealed pages at once
 			for i := range 4 * 180 {
 				come()
 				for range i / 200 % 2 * 10 {
 					come()
 				}
-				if i%200 == 99 { // a crowd: its jobs share pages
+				if i%200 == 99 { // a burst, whose jobs share pages
 					for range 60 {
 						come()
 					}
@@ -68,7 +67,7 @@
 				t.Errorf("at most %d unfinished jobs were known, and %d full pages", most, full)
 			}
 			for i, r := range stores {
-				for range 2 { // barriers bring what the others did
+				for range 2 { // read barriers, to apply what the other stores did
 					_, _, _ = r.Lookup(t.Context(), "wk-999999")
 				}
 				kept := r.Retained()
--- a/jobstore/lookup_test.go
+++ b/jobstore/lookup_test.go
@@ -27,9 +27,9 @@
 	return jobstore.JobRecord{Job: j, AcceptedAtMs: 1, State: how}
 }
 
-// After a restart thousands of users ask for jobs that are over, and for some that
-// nobody has submitted. Each is told what is so, with few requests where those
-// asked for lie together, and with no more than one each where they lie apart.
+// After a restart thousands of users look up jobs that are over, and some that were never submitted. All
+// get the right answer, with few requests if the keys are close together, and with about one request for
+// each lookup if they are far apart.
 func TestFinalRecordsAreReadInRanges(t *testing.T) {
 	for _, c := range []struct {
 		name              string
@@ -69,8 +69,8 @@
 	}
 }
 
-// All nodes begin anew, and what is to be read takes longer than a barrier may: each
-// barrier goes on where the one before it stopped, and changes meanwhile count.
+// All controllers start with an empty index, and listing the records takes longer than the timeout of a
+// barrier: each barrier resumes the listing of the one before, and changes made in between are applied.
 func TestInterruptedListingResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -99,9 +99,9 @@
 	})
 }
 
-// However a page of jobs is damaged, whoever reads it anew calls none of its jobs
-// unknown, and no job known that is not on it. Those that still stand there are
-// known, can be cancelled, and stay cancelled when the page can be read again.
+// However a job page is damaged, a controller without a copy of it reports none of its jobs as unknown,
+// and no other job as known. Jobs whose ids are still legible are found, can be cancelled once the page
+// is quarantined, and stay cancelled when the page is intact again.
 func TestJobsOnUnreadablePageStayKnown(t *testing.T) {
 	const jobs, strangers = 30, 30
 	known := 0
@@ -126,7 +126,7 @@
 			if seed%3 == 0 {
 				bad = bad[:from+1]
 			}
-			bad[0] = 0xc1 // which nothing begins with
+			bad[0] = 0xc1 // a byte that starts no MessagePack value
 			s.overwrite(key, bad)
 			runStores(t, 1, s, func(stores []*jobstore.Store) {
 				r, cancelled := stores[0], ""
@@ -172,8 +172,7 @@
 	}
 }
 
-// Of a final record that can't be read its state may still stand there; it is never
-// made up.
+// From a damaged final record the state is recovered if it is legible, and never guessed.
 func TestUnreadableFinalStateIsNotGuessed(t *testing.T) {
 	read := 0
 	for seed := range uint64(60) {
--- a/jobstore/plan_test.go
+++ b/jobstore/plan_test.go
@@ -37,7 +37,7 @@
 	return st
 }
 
-// corrupt overwrites the keys with a prefix.
+// corrupt replaces the values of all keys with a prefix by one that can't be decoded.
 func (s *fakeStore) corrupt(prefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,9 +49,9 @@
 	}
 }
 
-// Ten people apply at once, again and again, while transactions are lost, their
-// answers too, and some come up to a minute late. Each of those who are told that
-// theirs holds has a number of its own, and the text of that number is theirs.
+// Ten writers apply plans concurrently and repeatedly, while responses are lost and transactions are
+// applied up to a minute late. Each successful change must have a version number of its own, and the text
+// of that version must be the writer's.
 func TestConcurrentApplyPlanHasOneWinner(t *testing.T) {
 	for seed := range uint64(6) {
 		synctest.Test(t, func(t *testing.T) {
@@ -83,7 +83,7 @@
 				})
 			}
 			wg.Wait()
-			s.wg.Wait() // the late ones as well
+			s.wg.Wait() // wait for late transactions as well
 			if won == 0 || moved == 0 {
 				t.Fatalf("seed %d: %d won, %d were told that another came between", seed, won, moved)
 			}
@@ -101,9 +101,9 @@
 	}
 }
 
-// Whoever applies a plan that needs many pieces dies after any of them: the version
-// before holds, whole, also where no head can be read, and the next one that is
-// applied sweeps what was left.
+// A writer is interrupted after any piece of a large plan. The previous version must stay in force and
+// complete, even if neither head can be decoded, and the next change that is applied must delete the
+// orphaned pieces.
 func TestApplyPlanIsAtomicWhenInterrupted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -119,7 +119,7 @@
 				if n++; n == dies {
 					cancel()
 					s.mu.Lock()
-					s.lateShare = 1 // nothing more is done in its name
+					s.lateShare = 1 // its later transactions have no effect
 					s.maxDelay = 1
 					s.mu.Unlock()
 				}
@@ -141,7 +141,7 @@
 				}
 				s.mu.Lock()
 				sound := maps.Clone(s.keys)
-				for k := range before { // of two drafts of a number neither would count
+				for k := range before { // if two drafts of a number were complete, neither would count
 					if strings.HasPrefix(k, fmt.Sprintf("plan/t/%d-", base+1)) {
 						delete(s.keys, k)
 					}
@@ -181,7 +181,7 @@
 	})
 }
 
-// cancelledStore is a store that is there as long as its context.
+// cancelledStore is a key-value store that stops responding when its context ends.
 type cancelledStore struct {
 	*fakeStore
 	context.Context
@@ -194,13 +194,12 @@
 	return d.fakeStore.CompareAndSwap(ctx, g, o)
 }
 
-// Whatever of the records is damaged, the newest version that can be read holds,
-// and what could not be read is named.
+// Whichever records are damaged, the newest intact version is in force, and the damage is reported.
 func TestLoadPlanFallsBackToNewestReadableVersion(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		damage string
-		newest string // the text of version 3
+		newest string // text of version 3
 		holds  int
 	}{
 		{"nothing", "none", "note = \"3\"", 3},
@@ -225,7 +224,7 @@
 			if st.Number != c.holds || st.HeadVersion == 0 || (len(st.Warnings) == 0) != (c.name == "nothing") {
 				t.Errorf("%s: version %d holds, head %d, named %v", c.name, st.Number, st.HeadVersion, st.Warnings)
 			}
-			// A version that builds on what can be read gets a number of its own.
+			// A change based on the version found gets a new number.
 			if strings.Contains(c.damage, "plan/t/3-") {
 				return
 			}
@@ -236,8 +235,7 @@
 	}
 }
 
-// With nothing readable left there is no plan to decide by, and that is said: it is
-// not as if there had never been one.
+// If no version of the plan is intact, LoadPlan fails: it must not look as if there had never been a plan.
 func TestLoadPlanReportsWhollyUnreadablePlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -253,7 +251,7 @@
 	})
 }
 
-// Any text comes back as it was, and no piece is larger than a value.
+// Any text is read back unchanged, and no piece exceeds the size limit of a value.
 func TestPlanTextsFitIntoValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
--- a/snapshot/encoding_test.go
+++ b/snapshot/encoding_test.go
@@ -10,8 +10,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A snapshot that an earlier version has written is read, and written in the same
-// form.
+// Snapshots of earlier program versions can be read, and the format that is written has not changed.
 func TestSnapshotsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "snapshot.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
@@ -47,8 +46,8 @@
 	}
 }
 
-// A pair is written as an array, so that the order of its fields is its form; filled
-// values, which go by the order, don't show two fields that have changed places.
+// KeyValue is encoded as an array, so the order of its fields is part of the format. The value here is
+// set by field name, so that swapped fields are noticed: golden.Filled would hide that.
 func TestFieldsOfAPairKeepTheirPlaces(t *testing.T) {
 	f := golden.Open(t, "arrays.golden")
 	raw, err := wire.Marshal(KeyValue{Key: "key", Value: wire.Raw("\xa5value")})
--- a/snapshot/plan_test.go
+++ b/snapshot/plan_test.go
@@ -14,8 +14,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// The plan's versions are in a snapshot, a damaged one is named, and in a state
-// service that was filled from it the same version holds.
+// A snapshot includes the plan's versions, Verify reports a damaged one, and in a key-value store that is
+// restored from the snapshot the same version is in force.
 func TestPlanSurvivesExportAndImport(t *testing.T) {
 	var file bytes.Buffer
 	limits := jobstore.Limits{TxnOps: 12, ValueKB: 16}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// Wherever a file is cut off or changed it is refused, with the place named.
+// A file that is truncated or altered anywhere is refused, and the error names the block.
 func TestTruncatedOrChangedFileIsRefused(t *testing.T) {
 	_, b := sample(t, 1200)
 	for n := 0; n < len(b); n += 1 + n/7 {
@@ -104,7 +104,7 @@
 
 var errCut = errors.New("cut off")
 
-// few is a state service that takes so many transactions.
+// few is a key-value store client whose transactions fail once left of them have been made.
 type few struct {
 	*kvstore.Client
 	left int
@@ -117,8 +117,8 @@
 	return f.Client.CompareAndSwap(ctx, guards, ops)
 }
 
-// A snapshot taken while jobs come and go is of one moment and sound, and a cluster
-// that is filled with it knows every job.
+// A snapshot taken while jobs are submitted and end is consistent, and a key-value store restored from it
+// has every job.
 func TestSnapshotOfRunningClusterRestoresIntoEmptyStore(t *testing.T) {
 	var file bytes.Buffer
 	var known map[string]string
@@ -161,7 +161,7 @@
 			t.Errorf("into one that is not empty: %v", err)
 		}
 		w.Store.Clear()
-		// Cut off in the middle, it goes on where it stopped.
+		// An interrupted import resumes where it stopped.
 		first, err := snapshot.Restore(t.Context(), &few{client(w), 4}, r.Header, all, 5)
 		if !errors.Is(err, errCut) || first == 0 {
 			t.Errorf("was not cut off: %d", first)
@@ -187,7 +187,7 @@
 	})
 }
 
-// Each invariant that does not hold is named with its key.
+// Each violation of an invariant is reported with its key.
 func TestVerifyReportsEachViolation(t *testing.T) {
 	raw := func(v any) wire.Raw {
 		b, err := wire.Marshal(v)
