--- a/admission/connlimiter.go
+++ b/admission/connlimiter.go
@@ -7,7 +7,8 @@
 	"sync/atomic"
 )
 
-// Kind is whose a connection is, as far as its first request has shown.
+// Kind says who opened a connection: a user or a worker. It is unknown until the
+// connection's first request.
 type Kind int
 
 // Kinds of connections.
@@ -18,14 +19,16 @@
 	kindCount
 )
 
-// minConns is the least limit of a ConnLimiter.
+// minConns is the smallest limit of a ConnLimiter.
 const minConns = 8
 
-// ConnLimiter is a listener that bounds its open connections, counts them by kind, and
-// so holds a part of the machine's sockets back: a node whose every socket is a
-// worker's can't renew its own lease. Connections that wait to be accepted hold sockets
-// too, so it accepts all of them at once and closes what is beyond its limit, where a
-// listener that stops accepting only hides them.
+// ConnLimiter is a listener that bounds its open connections and counts them by kind. It
+// reserves the rest of the machine's sockets for the node's own calls: a node whose
+// sockets are all used by workers can't renew its lease.
+//
+// It accepts connections beyond the limit and closes them at once, in contrast to a
+// listener that stops accepting (netutil.LimitListener): connections in the kernel's
+// accept queue use sockets as well.
 type ConnLimiter struct {
 	net.Listener
 	limit    int
@@ -34,12 +37,12 @@
 	rejected atomic.Uint64
 }
 
-// NewConnLimiter makes a ConnLimiter for at most limit connections.
+// NewConnLimiter returns a ConnLimiter for at most limit connections, at least minConns.
 func NewConnLimiter(l net.Listener, limit int) *ConnLimiter {
 	return &ConnLimiter{Listener: l, limit: max(minConns, limit)}
 }
 
-// Accept returns the next connection that there is room for, as a *Conn.
+// Accept returns the next connection within the limit, as a *Conn.
 func (l *ConnLimiter) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -49,7 +52,7 @@
 		if l.total.Add(1) > int64(l.limit) {
 			l.total.Add(-1)
 			l.rejected.Add(1)
-			_ = c.Close() // nothing was promised to it
+			_ = c.Close() // nothing was read from it, so no request is lost
 			continue
 		}
 		l.counts[KindUnknown].Add(1)
@@ -57,13 +60,13 @@
 	}
 }
 
-// Count is how many connections of a kind are open.
+// Count returns the number of open connections of a kind.
 func (l *ConnLimiter) Count(k Kind) int { return int(l.counts[k].Load()) }
 
-// Total is how many connections are open.
+// Total returns the number of open connections.
 func (l *ConnLimiter) Total() int { return int(l.total.Load()) }
 
-// Rejected is how many connections were closed for want of room so far.
+// Rejected returns how many connections were closed so far because of the limit.
 func (l *ConnLimiter) Rejected() uint64 { return l.rejected.Load() }
 
 // Conn is a connection that a ConnLimiter accepted.
@@ -71,12 +74,12 @@
 	net.Conn
 	limiter *ConnLimiter
 
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	kind   Kind
 	closed bool
 }
 
-// SetKind takes note of whose the connection is.
+// SetKind records who opened the connection. It has no effect on a closed one.
 func (c *Conn) SetKind(k Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -88,7 +91,7 @@
 	c.kind = k
 }
 
-// Close closes the connection and gives its place back. It may be called repeatedly.
+// Close closes the connection and stops counting it. It may be called more than once.
 func (c *Conn) Close() error {
 	c.releasePlace()
 	return c.Conn.Close()
@@ -107,8 +110,8 @@
 
 type connContextKey struct{}
 
-// ConnContext is the ConnContext of an http.Server whose listener is a ConnLimiter: it
-// lets ConnFromContext find the connection of a request.
+// ConnContext is meant for the field ConnContext of an http.Server whose listener is a
+// ConnLimiter. It stores the connection for ConnFromContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	if conn, ok := c.(*Conn); ok {
 		return context.WithValue(ctx, connContextKey{}, conn)
@@ -116,8 +119,8 @@
 	return ctx
 }
 
-// ConnFromContext returns the connection that a request came with, nil if it did not
-// come through a ConnLimiter.
+// ConnFromContext returns the connection of the request whose context is given, or nil
+// if a ConnLimiter did not accept it.
 func ConnFromContext(ctx context.Context) *Conn {
 	c, _ := ctx.Value(connContextKey{}).(*Conn)
 	return c
--- a/admission/pollschedule.go
+++ b/admission/pollschedule.go
@@ -7,38 +7,42 @@
 )
 
 const (
-	// tierDelayStep is by how much longer than it is the time until an id's turn counts
-	// for each tier, and tierDelayMax is the most.
+	// The time until an id's turn is multiplied by 1 + tierDelayStep per tier, and by
+	// tierDelayMax at most.
 	tierDelayStep, tierDelayMax = 0.5, 2
-	// pollIntervalS is how many seconds lie between two polls of a user.
+	// pollIntervalS is the interval at which users poll, in seconds.
 	pollIntervalS = 5
-	// retrySpreadS is over how many seconds retries are spread.
+	// retrySpreadS is the range over which retries are spread, in seconds.
 	retrySpreadS = 4
 )
 
-// PollSchedule says whose polls come first while there are more than a node can answer.
+// PollSchedule ranks users' polls for jobs while there are more than a node can answer,
+// so that each job is preferred once per Period. If polls were refused at random, some
+// job would be refused many times in a row.
 //
-// Each id has a place on a circle that the time goes round once a Period, and the
-// sooner its turn comes, the sooner it is served. Where polls are x times what can be
-// answered, the x-th part of the circle that lies ahead is, and each id is within it
-// for Period/x. So whoever asks clearly more often than that is answered once a period,
-// at whichever nodes, without coordination between them: they read the same time of
-// day. Left to chance, some job would be refused fifteen times running.
+// The hash of a job's id determines one instant in every Period: its turn. The sooner
+// the next turn, the more urgent the poll. If polls arrive at x times the rate that can
+// be answered, those whose turn is less than Period/x ahead are answered. Each id is in
+// that window for Period/x out of every Period, so a user who polls clearly more often
+// than every Period/x is answered at least once per Period. Nodes need no coordination,
+// since all compute the turns from the time of day; their clocks must roughly agree.
 type PollSchedule struct {
 	Period time.Duration
-	// Tier is an id's priority tier. Later tiers have their turn as often as the first
-	// and for a shorter time, so that nobody is left out. Nil: all are of one tier.
+	// Tier returns an id's priority tier, 0 for the first. Later tiers have turns as
+	// often as the first, but their window is shorter, so that under overload none is
+	// shut out. If Tier is nil, all ids are of one tier.
 	Tier func(id string) int
 }
 
-// UntilTurn is how long it is until an id's turn.
+// UntilTurn returns the time until the id's next turn, less than a Period.
 func (s PollSchedule) UntilTurn(id string, now time.Time) time.Duration {
 	period := max(s.Period, time.Millisecond)
 	place := time.Duration(xxhash.Sum64String(id) % uint64(period))
 	return ((place-time.Duration(now.UnixNano())%period)%period + period) % period
 }
 
-// Priority orders polls, the smallest first, for a PriorityLimiter.
+// Priority returns the priority of a poll in a PriorityLimiter: the smaller, the more
+// urgent.
 func (s PollSchedule) Priority(id string, now time.Time) float64 {
 	priority := s.UntilTurn(id, now).Seconds()
 	if s.Tier != nil {
@@ -47,9 +51,9 @@
 	return priority
 }
 
-// RetryAfterS is after how many seconds a poll that was refused is to come again: as
-// its turn begins if that is near. The others spread, since those that were refused
-// together would come together.
+// RetryAfterS returns after how many seconds a refused poll should be retried: at the
+// id's turn if that is near. The other retries are spread, since polls that were refused
+// at the same time would otherwise return at the same time.
 func (s PollSchedule) RetryAfterS(id string, now time.Time) int {
 	if left := int(s.UntilTurn(id, now) / time.Second); left < pollIntervalS {
 		return max(1, left)
--- a/admission/prioritylimiter.go
+++ b/admission/prioritylimiter.go
@@ -7,39 +7,42 @@
 	"sync"
 )
 
-// ErrQueueFull says that too many wait already, all of them more urgent.
+// ErrQueueFull means that the queue was full and that no request in it was less urgent.
+// It ends a request on arrival, or later, when a more urgent one takes its place.
 var ErrQueueFull = errors.New("admission: too many wait")
 
-// PriorityLimiter lets a bounded number of requests run at once; of those that wait,
-// the most urgent runs next. When half a fleet comes back in one second, a worker whose
-// lease is near its end must not stand behind those that have just been answered.
+// PriorityLimiter bounds how many requests run concurrently, with a bounded priority
+// queue of waiting ones. After an outage many workers send heartbeats at the same time:
+// one whose lease is about to expire must not queue behind workers that were answered
+// just before. It is safe for concurrent use.
 type PriorityLimiter struct {
 	maxWaiting int
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	available int
 	queue     waitQueue
 	lastSeq   uint64
 	rejected  uint64
 }
 
-// waiter is a request that waits in the queue.
+// waiter is a queued request.
 type waiter struct {
 	priority float64
-	seq      uint64 // among equals, the first comes first
-	index    int    // in the queue; -1 once it has left it
+	seq      uint64 // order of arrival, which decides between equal priorities
+	index    int    // in the queue; -1 once removed
 	result   chan error
 }
 
-// NewPriorityLimiter makes a PriorityLimiter for maxConcurrent requests at once, and at
-// most maxWaiting that wait.
+// NewPriorityLimiter returns a PriorityLimiter for maxConcurrent concurrent requests, at
+// least one, and a queue of at most maxWaiting.
 func NewPriorityLimiter(maxConcurrent, maxWaiting int) *PriorityLimiter {
 	return &PriorityLimiter{available: max(1, maxConcurrent), maxWaiting: max(0, maxWaiting)}
 }
 
-// Acquire waits until the request may run. The smaller the priority, the sooner: the
-// seconds that a lease has left, say. Where too many wait, the least urgent is refused
-// (ErrQueueFull), be it this one or another. After nil, Release must be called.
+// Acquire waits until the request may run, or returns ctx.Err() if ctx ends before. The
+// smaller the priority, the sooner it runs; it may be, for example, the time that is left
+// of a lease. If the queue is full, the least urgent request, which may be this one, is
+// refused with ErrQueueFull. After a nil error the caller must call Release.
 func (l *PriorityLimiter) Acquire(ctx context.Context, priority float64) error {
 	w := l.enqueue(priority)
 	if w == nil {
@@ -53,14 +56,15 @@
 	if l.remove(w) {
 		return ctx.Err()
 	}
-	// It was its turn at the same moment: the place goes to the next.
+	// The request left the queue just as ctx ended: if it got a slot, pass that on.
 	if err := <-w.result; err == nil {
 		l.Release()
 	}
 	return ctx.Err()
 }
 
-// enqueue takes a place, and returns nil, or the waiter if there is none.
+// enqueue takes a free slot and returns nil, or, if there is none, queues a waiter and
+// returns it. If the queue is too long then, it refuses the least urgent waiter.
 func (l *PriorityLimiter) enqueue(priority float64) *waiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +82,7 @@
 	return w
 }
 
-// remove takes a waiter out of the queue; false if it has left it already.
+// remove removes a waiter from the queue; it returns false if it was no longer there.
 func (l *PriorityLimiter) remove(w *waiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,7 +93,7 @@
 	return true
 }
 
-// Release gives the place to the most urgent request that waits.
+// Release passes the caller's slot to the most urgent waiting request, or frees it.
 func (l *PriorityLimiter) Release() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,21 +104,21 @@
 	heap.Pop(&l.queue).(*waiter).result <- nil
 }
 
-// Waiting is how many requests wait.
+// Waiting returns the number of queued requests.
 func (l *PriorityLimiter) Waiting() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.queue)
 }
 
-// Rejected is how many requests were refused so far.
+// Rejected returns how many requests were refused with ErrQueueFull so far.
 func (l *PriorityLimiter) Rejected() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rejected
 }
 
-// waitQueue is a heap.Interface, the most urgent first.
+// waitQueue implements heap.Interface with the most urgent waiter at the top.
 type waitQueue []*waiter
 
 func (w *waiter) before(other *waiter) bool {
@@ -124,7 +128,8 @@
 	return w.seq < other.seq
 }
 
-// leastUrgent finds the index of the least urgent waiter; it is among the leaves.
+// leastUrgent returns the index of the least urgent waiter. It only searches the leaves,
+// the second half of the heap's slice, since no parent is less urgent than its children.
 func (q waitQueue) leastUrgent() int {
 	at := len(q) - 1
 	for i := len(q) / 2; i < len(q); i++ {
--- a/admission/replytimes.go
+++ b/admission/replytimes.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// minReplyTimes is the least limit of ReplyTimes.
+// minReplyTimes is the smallest limit of a ReplyTimes.
 const minReplyTimes = 16
 
-// ReplyTimes remembers when workers were last answered. What it remembers is bounded;
-// the oldest goes. It is safe for concurrent use.
+// ReplyTimes records when workers were last answered, for a bounded number of workers:
+// when it is full, all entries that are at least as old as the mean are evicted. It is
+// safe for concurrent use.
 type ReplyTimes struct {
 	limit int
 
@@ -17,12 +18,12 @@
 	last map[string]time.Time
 }
 
-// NewReplyTimes makes a ReplyTimes for at most limit workers.
+// NewReplyTimes returns a ReplyTimes for at most limit workers, at least minReplyTimes.
 func NewReplyTimes(limit int) *ReplyTimes {
 	return &ReplyTimes{last: map[string]time.Time{}, limit: max(minReplyTimes, limit)}
 }
 
-// Record takes note that a worker was answered.
+// Record records that a worker was answered now.
 func (r *ReplyTimes) Record(worker string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,7 +33,8 @@
 	r.last[worker] = now
 }
 
-// evict drops what is older than the mean. Called with mu held.
+// evict removes the entries that are at least as old as the mean age, so that it need not
+// run for every new entry. The caller holds mu.
 func (r *ReplyTimes) evict(now time.Time) {
 	var sum time.Duration
 	for _, t := range r.last {
@@ -46,7 +48,7 @@
 	}
 }
 
-// Since returns how long ago a worker was answered; false if that is not known.
+// Since returns how long ago a worker was answered, and whether that is known.
 func (r *ReplyTimes) Since(worker string, now time.Time) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,7 +56,7 @@
 	return now.Sub(t), ok
 }
 
-// CountWithin is how many workers were answered within d.
+// CountWithin returns how many of the recorded workers were last answered within d.
 func (r *ReplyTimes) CountWithin(now time.Time, d time.Duration) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/admission/tierlimiter.go
+++ b/admission/tierlimiter.go
@@ -5,34 +5,37 @@
 	"sync"
 )
 
-// TierLimiter bounds how many requests of each priority tier run at once, where there
-// are more than a node can take. Later tiers leave room for earlier ones, and the
-// earlier ones never take all: whoever is refused has a part of the places to try for
-// again.
+// TierLimiter bounds how many requests of each priority tier run concurrently. Under
+// overload, later tiers leave slots for earlier ones, while every tier has some reserved
+// slots, so that a refused request of any tier has a chance when it is retried. It is
+// safe for concurrent use.
 type TierLimiter struct {
 	capacity int
 
-	mu    sync.Mutex // guards what follows
-	held  []int      // places, by tier
+	mu    sync.Mutex // guards the fields below
+	held  []int      // slots in use, by tier
 	total int
 }
 
 const (
-	// reservedShare of the places is kept in equal parts, one for each tier.
+	// reservedShare of the slots is reserved, in equal parts for the tiers.
 	reservedShare = 0.25
-	// headroomShare of the other places is left by each tier to those before it.
+	// headroomShare is the part of the shared slots that each tier leaves to earlier
+	// ones: tier i and all later ones together use at most (1-headroomShare)^i of them,
+	// rounded up.
 	headroomShare = 0.25
-	// minTierCapacity is the least capacity of a TierLimiter.
+	// minTierCapacity is the smallest capacity of a TierLimiter.
 	minTierCapacity = 8
 )
 
-// NewTierLimiter makes a TierLimiter for so many requests at once.
+// NewTierLimiter returns a TierLimiter with capacity slots, at least minTierCapacity.
 func NewTierLimiter(capacity int) *TierLimiter {
 	return &TierLimiter{capacity: max(minTierCapacity, capacity)}
 }
 
-// TryAcquire reports whether a request of a tier may run; tiers is how many there are.
-// After true, Release must be called with the same arguments.
+// TryAcquire takes a slot for a request of the given tier, 0 for the first, out of the
+// given number of tiers, and reports whether there was one. It does not wait. If it
+// returns true, the caller must call Release with the same arguments.
 func (l *TierLimiter) TryAcquire(tier, tiers int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -52,13 +55,13 @@
 	return true
 }
 
-// clampTier counts a tier that is not known as the nearest one.
+// clampTier maps a tier outside the valid range to the nearest valid one.
 func clampTier(tier, tiers int) int { return max(0, min(tier, tiers-1)) }
 
-// mayBorrow says whether a tier that has what is reserved for it may have another one
-// of the shared places. Called with mu held.
+// mayBorrow reports whether a tier that uses all slots reserved for it may take one of
+// the shared slots. The caller holds mu.
 func (l *TierLimiter) mayBorrow(tier, shared, reserved int) bool {
-	borrowed := 0 // shared places that tiers have, from one tier on
+	borrowed := 0 // shared slots that tier i and later ones use
 	for i := len(l.held) - 1; i >= 0; i-- {
 		borrowed += max(0, l.held[i]-reserved)
 		if i <= tier && float64(borrowed) >= float64(shared)*math.Pow(1-headroomShare, float64(i)) {
@@ -68,7 +71,7 @@
 	return true
 }
 
-// Release gives a request's place back.
+// Release frees the slot of a request.
 func (l *TierLimiter) Release(tier, tiers int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/election/election.go
+++ b/election/election.go
@@ -1,16 +1,20 @@
 // Package election elects one leader among the controller nodes.
 //
-// The leader is the node whose name is under LeaderKey, which it wrote under a lease
-// of the key-value store: the key goes when the lease expires or is revoked. The
-// revision of the key is the fencing token that guards every write of the leader and
-// that workers compare, so tokens only grow.
+// The leader is the node named in the value of LeaderKey. It wrote the key under a
+// lease of the key-value store, so the store deletes the key when that lease expires or
+// is revoked. The revision at which the key was written is the fencing token. Every
+// write of the leader is conditional on it, and workers reject commands with a token
+// lower than the highest that they have seen. Store revisions only increase, so every
+// new leader has a higher token than all earlier ones.
 //
-// Each controller node runs one Elector. It watches the key, campaigns whenever the
-// key is free, and while it holds the key runs Config.Lead with a Lease. The package
-// guarantees that at most one node has a valid Lease at a time, given clocks that
-// drift apart by no more than Config.ClockDrift: validity counts from the moment a
-// renewal was sent, is shorter than the store's lease, and ends for good on resigning.
-// It keeps nothing but the key and never retries a write whose outcome is unknown.
+// Each controller node runs one Elector. It watches the key, campaigns whenever the key
+// is absent, and runs Config.Lead with a Lease while it holds the key.
+//
+// The package guarantees that at most one node has a valid Lease at a time, provided
+// that clocks drift apart by no more than Config.ClockDrift: validity counts from the
+// moment a renewal was sent, is shorter than the store's lease, and ends permanently
+// when the leader resigns. The package stores nothing but the key, and it never retries
+// a write whose outcome is unknown.
 package election
 
 import (
@@ -27,21 +31,23 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// LeaderKey holds the leader's name while its lease lives.
+// LeaderKey is the key whose value names the leader. It exists only as long as the
+// leader's lease in the store.
 const LeaderKey = "ctl/leader"
 
 const (
-	// roundBackoff is the mean pause after a round that failed.
+	// roundBackoff is the mean pause after a failed election round (see runOnce).
 	roundBackoff = 300 * time.Millisecond
 	// watchBlock is how long one watch of the leader key may block.
 	watchBlock = 10 * time.Second
-	// abstainInterval is the time between two looks at the key of a node that abstains.
+	// abstainInterval is how often an abstaining node reads the leader key.
 	abstainInterval = 500 * time.Millisecond
-	// abandonTimeout bounds the revocation of a lease whose campaign was lost.
+	// abandonTimeout bounds the revocation of the lease of a lost campaign.
 	abandonTimeout = time.Second
 )
 
-// errUnresolved says that it is not known whether this node wrote the leader key.
+// errUnresolved means that it is unknown whether this node wrote the leader key: the
+// write got no answer, and reading the key back failed as well.
 var errUnresolved = errors.New("outcome of the write of the leader key not resolved")
 
 // Store is the part of the key-value store that the election needs.
@@ -60,22 +66,24 @@
 	Lease uint64 `msgpack:"lease"`
 }
 
-// Config is what an Elector is made of.
+// Config configures an Elector. OnChange is optional.
 type Config struct {
 	Store      Store
 	Node       string        // the name of this node
-	LeaseTTL   time.Duration // of the store's lease
-	ClockDrift float64       // by how much two steady clocks drift apart, as a fraction
+	LeaseTTL   time.Duration // TTL of the lease in the store
+	ClockDrift float64       // maximum relative drift between two nodes' monotonic clocks
 	Log        *slog.Logger
 
-	// Lead runs while this node leads, until ctx ends; an error resigns the lease. It
-	// calls ready once it can act as the leader: the lease is not valid before.
+	// Lead does the leader's work until ctx ends. It calls ready once it can act as the
+	// leader; the lease does not become valid before that. If Lead returns an error
+	// before ctx ends, the lease is resigned.
 	Lead func(ctx context.Context, lease *Lease, ready func()) error
-	// ReadBarrier brings the leader's knowledge up to date with the store. A renewal
-	// counts only after it has succeeded.
+	// ReadBarrier brings the leader's in-memory state up to date with the store. Once
+	// the leader is ready, a renewal extends the lease only if ReadBarrier succeeded
+	// after it: a leader with a valid lease must not act on stale state.
 	ReadBarrier func(ctx context.Context, lease *Lease) error
-	// OnChange, if set, is called when Elector.Leader has changed, and when the lease of
-	// this node becomes valid after it was not.
+	// OnChange, if set, is called after the result of Elector.Leader has changed, and
+	// whenever this node's lease becomes valid, for the first time or again.
 	OnChange func()
 }
 
@@ -83,15 +91,16 @@
 type Elector struct {
 	cfg Config
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	leader       string
 	abstainUntil time.Time
 }
 
-// New makes an Elector; Run makes it campaign.
+// New returns an Elector, which does nothing until Run is called.
 func New(cfg Config) *Elector { return &Elector{cfg: cfg} }
 
-// Leader names the leader as last seen, or "" if there was none.
+// Leader returns the name of the leader as this node last observed it, or "" if there
+// was none. It may be out of date; only Lease.Valid proves leadership.
 func (e *Elector) Leader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,7 +125,8 @@
 	}
 }
 
-// Abstain keeps this node from campaigning for a while.
+// Abstain keeps this node from campaigning for the duration d from now, so that another
+// node can be elected. It does not affect a lease that this node already holds.
 func (e *Elector) Abstain(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -129,8 +139,8 @@
 	return time.Now().Before(e.abstainUntil)
 }
 
-// Run watches the leader key, and campaigns for it whenever it is free, until ctx
-// ends. It returns after Config.Lead has.
+// Run watches the leader key and campaigns whenever it is absent, until ctx ends. It
+// does not return before a running Config.Lead has returned.
 func (e *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := e.runOnce(ctx); err != nil && ctx.Err() == nil {
@@ -140,12 +150,13 @@
 	}
 }
 
-// jitter draws a duration between half and one and a half times d.
+// jitter returns a random duration between 0.5 d and 1.5 d.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + time.Duration(rand.Int64N(int64(d)))
 }
 
-// runOnce reads the leader key and follows or campaigns, once.
+// runOnce runs one election round: it reads the leader key, then follows the leader
+// until the key changes, or campaigns if there is no leader.
 func (e *Elector) runOnce(ctx context.Context) error {
 	entry, err := e.cfg.Store.Get(ctx, LeaderKey)
 	if err != nil {
@@ -162,7 +173,8 @@
 	return e.campaign(ctx)
 }
 
-// follow takes note of the leader and waits for a change of the key.
+// follow records who leads and waits until the key changes or the watch times out. If
+// the key names this node, it revokes that lease instead.
 func (e *Elector) follow(ctx context.Context, entry wire.Entry) error {
 	var leader leaderRecord
 	if err := wire.Unmarshal(entry.Value, &leader); err != nil {
@@ -178,9 +190,10 @@
 	return nil
 }
 
-// revokePrevious revokes the lease of an earlier process of this node, instead of
-// letting all nodes wait for its expiry. No lease of this process is held here, or
-// Run would be in lead.
+// revokePrevious revokes a lease that names this node but that this process does not
+// use: of an earlier process, or of a campaign whose outcome was unknown. Without this,
+// all nodes would have to wait for its expiry. The lease in use is never revoked here,
+// because lead does not return to the election round before it is over.
 func (e *Elector) revokePrevious(ctx context.Context, id, fencingToken uint64) error {
 	e.cfg.Log.Info("revoking the lease of an earlier process of this node", "token", fencingToken)
 	e.setLeader("")
@@ -190,7 +203,7 @@
 	return nil
 }
 
-// campaign tries to write the leader key, and leads if it succeeds.
+// campaign tries to write the leader key and, if it succeeds, leads until the lease ends.
 func (e *Elector) campaign(ctx context.Context) error {
 	id, err := e.cfg.Store.GrantLease(ctx, e.cfg.LeaseTTL)
 	if err != nil {
@@ -201,7 +214,7 @@
 	}
 	token, err := e.acquire(ctx, id)
 	if errors.Is(err, errUnresolved) {
-		return err // the next round finds the key, or the lease expires
+		return err // a later round finds the key with this lease and revokes it, or the lease expires
 	}
 	if err != nil {
 		rctx, cancel := context.WithTimeout(ctx, abandonTimeout)
@@ -218,8 +231,9 @@
 	return nil
 }
 
-// acquire writes the leader key under the store's lease and returns the key's
-// revision, which is the fencing token.
+// acquire writes the leader key under the store's lease id and returns the key's
+// revision, which is the fencing token. The error is errUnresolved if the write got no
+// answer and the key could not be read back.
 func (e *Elector) acquire(ctx context.Context, id uint64) (uint64, error) {
 	free := []wire.Guard{{Key: LeaderKey}}
 	claim := []wire.Op{{Put: LeaderKey, Value: leaderRecord{Node: e.cfg.Node, Lease: id}, Lease: id}}
@@ -227,7 +241,9 @@
 	if !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return token, err
 	}
-	// The write may have been applied, or may yet be: only the key tells.
+	// The write may have been applied, or may still be: read the key to find out. If it
+	// is not there, the caller revokes the lease, so that the write fails if it arrives
+	// later.
 	entry, gerr := e.cfg.Store.Get(ctx, LeaderKey)
 	if gerr != nil {
 		return 0, fmt.Errorf("%w: %w; read the leader key: %w", errUnresolved, err, gerr)
--- a/election/renewal.go
+++ b/election/renewal.go
@@ -11,22 +11,23 @@
 )
 
 const (
-	// renewalsPerTTL is how often a valid lease is renewed in the time that it has.
+	// renewalsPerTTL is how many times a valid lease is renewed per TTL.
 	renewalsPerTTL = 5
-	// renewRetryInterval is the time between two renewals while they fail, or while the
-	// leader is not ready.
+	// renewRetryInterval is the pause between renewals while they fail or while
+	// Config.Lead is not ready.
 	renewRetryInterval = 250 * time.Millisecond
-	// validityMargin is taken off the validity of a renewal, beside the drift of clocks.
+	// validityMargin is subtracted from a renewal's validity, on top of clock drift.
 	validityMargin = 20 * time.Millisecond
-	// resignTimeout bounds the revocation of a lease that was resigned.
+	// resignTimeout bounds the revocation of a resigned lease.
 	resignTimeout = 2 * time.Second
 )
 
-// errSuperseded says that the leader key is no longer the one of this lease.
+// errSuperseded means that the leader key no longer has the revision that this lease
+// wrote: another leadership may have begun since.
 var errSuperseded = fmt.Errorf("the leader key has another revision: %w", kvstore.ErrLeaseNotFound)
 
-// lead runs Config.Lead and renews the lease until it is lost or resigned, or ctx
-// ends. It waits for Config.Lead to return.
+// lead runs Config.Lead and renews the lease until the lease is lost or resigned, or
+// ctx ends. It returns after Config.Lead has.
 func (e *Elector) lead(ctx context.Context, lease *Lease) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -69,15 +70,15 @@
 	}
 }
 
-// revokeResigned revokes the lease, also where the node shuts down meanwhile, so that
-// the next leader need not wait for its expiry.
+// revokeResigned revokes the lease in the store, so that the next leader need not wait
+// for its expiry. It does so even if ctx ends because the node shuts down.
 func (e *Elector) revokeResigned(ctx context.Context, lease *Lease) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), resignTimeout)
 	defer cancel()
 	_ = e.cfg.Store.RevokeLease(ctx, lease.id) // where this fails the lease expires by itself
 }
 
-// renewal keeps one lease alive. It belongs to the goroutine that runs lead.
+// renewal renews one lease. Only the goroutine that runs lead uses it.
 type renewal struct {
 	elector *Elector
 	lease   *Lease
@@ -85,7 +86,7 @@
 	wasHeld bool // the lease has been valid before
 }
 
-// interval is the time until the next renewal, after one that ended with err.
+// interval returns the time until the next renewal, given the last one's error.
 func (r *renewal) interval(err error) time.Duration {
 	if err != nil || !r.ready {
 		return renewRetryInterval
@@ -93,8 +94,9 @@
 	return r.elector.cfg.LeaseTTL / renewalsPerTTL
 }
 
-// renew renews the store's lease, and extends the Lease by what that allows once the
-// leader is ready. Validity counts from before the renewal was sent.
+// renew renews the store's lease and, once the leader is ready, extends the Lease
+// accordingly. Validity counts from before the renewal was sent: the store may count its
+// TTL from any moment between that and its answer.
 func (r *renewal) renew(ctx context.Context) error {
 	sent := time.Now()
 	err := r.confirm(ctx)
@@ -122,8 +124,8 @@
 	}
 }
 
-// confirm renews the store's lease and, once the leader is ready, makes sure that what
-// the leader knows is as fresh as the renewal.
+// confirm renews the store's lease and, once the leader is ready, runs the read barrier,
+// so that the leader's state is at least as recent as the renewal.
 func (r *renewal) confirm(ctx context.Context) error {
 	cfg := &r.elector.cfg
 	if err := cfg.Store.RenewLease(ctx, r.lease.id); err != nil {
@@ -133,7 +135,8 @@
 		return nil
 	}
 	if r.wasHeld && !r.lease.Valid() {
-		// The lease was not valid for a while: the key must still be at its revision.
+		// The lease was invalid for a while, in which the key may have been deleted and
+		// written again: it must still have this lease's revision.
 		entry, err := cfg.Store.Get(ctx, LeaderKey)
 		if err != nil {
 			return fmt.Errorf("read the leader key: %w", err)
--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -1,14 +1,14 @@
 // Package kvstore is the client of the consensus-backed key-value store.
 //
-// The store keeps keys with versions, applies compare-and-swap transactions, grants
-// leases and serves watches. Every package that keeps something reaches it through a
-// Client: the election, the job store, the controllers, snapshots and the command line.
+// The store holds versioned keys, applies compare-and-swap transactions, grants leases
+// and serves watches. Every package that persists state uses it through a Client: the
+// election, the job store, the controllers, snapshots and the command line.
 //
-// A Client owns no data. It guarantees two things: it stays within the request rates
-// that it was given (New, WithAdaptiveLimits), and its errors tell apart what was
-// refused, what was executed and what is unknown (ErrRefused, ConflictError,
-// ErrOutcomeUnknown). It never repeats a request: only the caller knows whether that
-// is safe.
+// A Client caches nothing. It stays within its rate limits (New, WithAdaptiveLimits),
+// and its errors distinguish a request that was not executed (ErrRefused), a transaction
+// that was not applied because a guard failed (ConflictError) and a request whose
+// outcome is unknown (ErrOutcomeUnknown). It never retries a request: only the caller
+// knows whether that is safe.
 package kvstore
 
 import (
@@ -28,10 +28,10 @@
 	requestTimeout = 2 * time.Second
 	// maxConns bounds the connections to the store.
 	maxConns = 16
-	// maxResponseBytes bounds a response, and maxEventsBytes that of a watch.
+	// maxResponseBytes bounds the size of a response, maxEventsBytes that of a watch.
 	maxResponseBytes = 1 << 20
 	maxEventsBytes   = 16 << 20
-	// listPageSize is how many keys List asks for at once.
+	// listPageSize is how many keys List requests per page.
 	listPageSize = 500
 )
 
@@ -40,18 +40,18 @@
 	baseURL    string
 	httpClient *http.Client
 	requests   limiter
-	writes     limiter   // counts changed keys
-	outcomes   *outcomes // shared by the clients that WithAdaptiveLimits makes
+	writes     limiter   // counts changed keys, not transactions
+	outcomes   *outcomes // shared with the clients that WithAdaptiveLimits derives
 }
 
-// outcomes are the times at which requests last succeeded and failed.
+// outcomes holds the times at which a request last succeeded and last failed.
 type outcomes struct {
 	lastSuccess atomic.Int64 // unix nanoseconds
 	lastFailure atomic.Int64
 }
 
-// New makes a client that sends at most rps requests and changes at most wps keys a
-// second.
+// New returns a client of the store at addr that sends at most rps requests and changes
+// at most wps keys per second. Requests beyond that wait.
 func New(dial call.DialFunc, addr string, rps, wps float64) *Client {
 	return &Client{
 		baseURL:    "http://" + addr,
@@ -62,10 +62,11 @@
 	}
 }
 
-// WithAdaptiveLimits returns a client for what all nodes do at once, users' requests
-// above all: the store counts the nodes' requests together. It starts at rps and wps
-// and, when the store refuses for too many requests, goes down towards the given share
-// of them, from which it climbs again slowly.
+// WithAdaptiveLimits returns a client of the same store with rate limits of its own that
+// adapt to load. It is meant for requests that all nodes send at once, mainly those of
+// users: the store limits the nodes' total, which no single node can observe. The limits
+// start at rps and wps, are reduced when the store refuses a request with status 429,
+// though not below the given share of rps and wps, and recover gradually.
 func (c *Client) WithAdaptiveLimits(rps, wps, share float64) *Client {
 	adaptive := *c
 	adaptive.requests = newAdaptiveLimiter(rps, rps*share)
@@ -73,19 +74,21 @@
 	return &adaptive
 }
 
-// RequestRate is how many requests a second this client may send now.
+// RequestRate returns how many requests per second this client may send at present.
 func (c *Client) RequestRate() float64 { return c.requests.currentRate() }
 
 // HasWriteCapacity reports whether this client may change n keys now without waiting.
 func (c *Client) HasWriteCapacity(n int) bool { return c.writes.available(n) }
 
-// LastOutcomes returns when a request last succeeded, and when one last failed because
-// the store did not answer or was not available.
+// LastOutcomes returns when the store last answered a request, with any status but 503,
+// and when a request last failed because the store did not answer or answered 503. It
+// returns the Unix epoch for what has never happened.
 func (c *Client) LastOutcomes() (success, failure time.Time) {
 	return time.Unix(0, c.outcomes.lastSuccess.Load()), time.Unix(0, c.outcomes.lastFailure.Load())
 }
 
-// Get reads one key. The entry's Version is 0 where the key does not exist.
+// Get reads one key. If the key does not exist, the entry's Version is 0 and its
+// Revision is the store's.
 func (c *Client) Get(ctx context.Context, key string) (wire.Entry, error) {
 	entry, err := c.readEntry(ctx, key)
 	return entry, opError("get", key, err)
@@ -107,8 +110,9 @@
 	return entry, err
 }
 
-// ListPage reads at most limit keys with a prefix that come after the given key, in
-// their order. More in the result says that there are others.
+// ListPage reads, in key order, at most limit keys that have the prefix and sort after
+// the given key, "" for the first page. The result's More field reports whether further
+// keys follow; it is never set on an empty page, so that callers can't loop for ever.
 func (c *Client) ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error) {
 	q := url.Values{"prefix": {prefix}, "page": {strconv.Itoa(limit)}}
 	if after != "" {
@@ -126,8 +130,9 @@
 	return page, nil
 }
 
-// List reads all keys with a prefix. The revision is that of the first page: a watch
-// from there sees every change that the pages may have missed.
+// List reads all keys with a prefix, page by page. The returned revision is that of the
+// first page: later pages may be newer, and a watch from that revision delivers every
+// change that the pages missed.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error) {
 	var all []wire.Entry
 	var firstRevision uint64
@@ -149,8 +154,9 @@
 }
 
 // CompareAndSwap applies the operations as one transaction if all guards hold, and
-// returns its revision. The error is nil, a *ConflictError where a guard does not hold,
-// or one of this package's.
+// returns the transaction's revision. If a guard does not hold, the error is a
+// *ConflictError; otherwise it is one of this package's. Errors are wrapped in an
+// *OpError, which names only the first key.
 func (c *Client) CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error) {
 	revision, err := c.commit(ctx, guards, ops)
 	return revision, opError("compare-and-swap", firstKey(guards, ops), err)
@@ -184,7 +190,7 @@
 	return 0, fmt.Errorf("%w: status %d: %s", ErrInvalidRequest, resp.status, answer.Error)
 }
 
-// firstKey names a transaction in errors.
+// firstKey returns the key that identifies a transaction in error messages.
 func firstKey(guards []wire.Guard, ops []wire.Op) string {
 	switch {
 	case len(ops) > 0:
@@ -195,9 +201,10 @@
 	return ""
 }
 
-// Watch waits up to block for changes of keys with the prefix after a revision. With
-// block 0 it is a barrier: what it returns is current. ErrCompacted says that the
-// revision is too old to watch from.
+// Watch waits up to block for changes, after the given revision, of keys with the
+// prefix. With block 0 it returns at once and serves as a read barrier: the result
+// includes every change that was committed before the call. The error is ErrCompacted if
+// the store no longer has the changes since that revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error) {
 	events, err := c.readEvents(ctx, prefix, after, block)
 	return events, opError("watch", prefix, err)
--- a/kvstore/errors.go
+++ b/kvstore/errors.go
@@ -5,26 +5,29 @@
 	"fmt"
 )
 
-// What a request can end with, beside a *ConflictError. Callers tell them apart with
-// errors.Is: whether a request may be repeated depends on whether it was executed.
+// Errors of requests, beside *ConflictError. Callers distinguish them with errors.Is,
+// because whether a request may be retried depends on whether it was executed.
 var (
-	// ErrRefused: the request was not executed (503 or 429).
+	// ErrRefused means that the request was not executed: the store answered 503 or 429,
+	// or the request did not pass this client's rate limit before its context ended.
 	ErrRefused = errors.New("key-value store refused the request")
-	// ErrRateLimited is an ErrRefused for too many requests: another node would be
-	// refused as well.
+	// ErrRateLimited is the ErrRefused of a rate limit, the store's or this client's.
+	// Other nodes use the same store, so retrying through another node only adds load.
 	ErrRateLimited = fmt.Errorf("%w: too many requests", ErrRefused)
-	// ErrOutcomeUnknown: the request may have been executed, or may yet be.
+	// ErrOutcomeUnknown means that no usable response arrived: the request may have been
+	// executed, or may still be.
 	ErrOutcomeUnknown = errors.New("no answer from the key-value store")
-	// ErrLeaseNotFound: the lease has expired or was revoked.
+	// ErrLeaseNotFound means that the lease has expired or was revoked.
 	ErrLeaseNotFound = errors.New("no such lease")
-	// ErrCompacted: the revision to watch from is no longer kept.
+	// ErrCompacted means that the store has discarded the changes since that revision.
 	ErrCompacted = errors.New("revision compacted")
-	// ErrInvalidRequest: the store called the request malformed.
+	// ErrInvalidRequest means that the store rejected the request as malformed, or that
+	// the status or body of its response was not one that this client expects.
 	ErrInvalidRequest = errors.New("key-value store called the request invalid")
 )
 
-// ConflictError says that a compare-and-swap was not applied, and which of its
-// conditions failed.
+// ConflictError reports that a compare-and-swap was not applied because guards failed,
+// on which keys, and the store's revision at that time.
 type ConflictError struct {
 	FailedKeys []string
 	Revision   uint64
@@ -32,14 +35,14 @@
 
 func (c *ConflictError) Error() string { return fmt.Sprintf("conditions failed: %v", c.FailedKeys) }
 
-// OpError says which operation failed, and on which key or prefix.
+// OpError records which operation failed, on which key, and why.
 type OpError struct {
 	Op  string
-	Key string // or prefix, or lease
+	Key string // or prefix, or lease ID; "" if there is none
 	Err error
 }
 
 func (e *OpError) Error() string { return fmt.Sprintf("%s %q: %v", e.Op, e.Key, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns the underlying error.
 func (e *OpError) Unwrap() error { return e.Err }
--- a/kvstore/lease.go
+++ b/kvstore/lease.go
@@ -10,7 +10,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// GrantLease takes a new lease that expires after ttl unless it is renewed.
+// GrantLease creates a lease that expires after ttl unless it is renewed, and returns
+// its ID.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	resp, err := c.do(ctx, request{method: http.MethodPost, path: "/holds", body: wire.NewLease{TTLMs: ttl.Milliseconds()}})
 	if err != nil {
@@ -21,14 +22,16 @@
 	return answer.Lease, opError("grant lease", "", err)
 }
 
-// RenewLease renews a lease; ErrLeaseNotFound says that it has expired or was revoked.
+// RenewLease restarts the TTL of a lease. The error is ErrLeaseNotFound if the lease has
+// expired or was revoked.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	id := strconv.FormatUint(lease, 10)
 	err := c.changeLease(ctx, request{method: http.MethodPost, path: "/holds/" + id + "/touch"})
 	return opError("renew lease", id, err)
 }
 
-// RevokeLease ends a lease at once, and deletes the keys that were put under it.
+// RevokeLease ends a lease at once; the store deletes the keys that were written under
+// it. The error is ErrLeaseNotFound if the lease has ended before.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	id := strconv.FormatUint(lease, 10)
 	err := c.changeLease(ctx, request{method: http.MethodDelete, path: "/holds/" + id})
--- a/kvstore/ratelimit.go
+++ b/kvstore/ratelimit.go
@@ -8,15 +8,15 @@
 	"golang.org/x/time/rate"
 )
 
-// limiter paces what a client sends.
+// limiter limits the rate of a client's requests or writes.
 type limiter interface {
-	// WaitN waits until n may be sent.
+	// WaitN blocks until n may be sent, or fails if ctx ends or its deadline is too near.
 	WaitN(ctx context.Context, n int) error
 	// available reports whether n may be sent without waiting.
 	available(n int) bool
-	// currentRate is how many may be sent a second, now.
+	// currentRate returns how many may be sent per second at present.
 	currentRate() float64
-	// rateLimited takes note that the store has refused for too many requests.
+	// rateLimited records that the store refused a request with status 429.
 	rateLimited()
 }
 
@@ -34,29 +34,30 @@
 func (fixedLimiter) rateLimited() {}
 
 const (
-	decreaseFactor   = 0.5                    // of the rate is kept after a refusal
-	decreaseInterval = 250 * time.Millisecond // between two cuts: refusals come in volleys
-	rampUpTime       = 30 * time.Second       // from nothing to the maximum
-	// increaseInterval is the least time between two increases, and maxIncreaseStep the
-	// time that one of them makes up for at most.
+	decreaseFactor   = 0.5                    // multiplies the rate after a refusal
+	decreaseInterval = 250 * time.Millisecond // minimum time between decreases: refusals come in bursts
+	rampUpTime       = 30 * time.Second       // to rise from zero to the maximum rate
+	// increaseInterval is the minimum time between increases. One increase covers at most
+	// maxIncreaseStep of elapsed time, so that the rate does not jump after an idle period.
 	increaseInterval = 100 * time.Millisecond
 	maxIncreaseStep  = time.Second
-	// minBurst is how many may be sent at once at any rate.
+	// minBurst is the minimum burst size, however low the rate.
 	minBurst = 4
 )
 
-// adaptiveLimiter gives way to the other nodes: additive increase, multiplicative
-// decrease (AIMD). With fixed limits whose sum is more than the store takes, a few
-// hundred users' polls kept it refusing nearly everything, the leader's renewals
-// included, for good: what is refused is asked again at once.
+// adaptiveLimiter shares the store's capacity with the other nodes by additive increase
+// and multiplicative decrease (AIMD). With fixed limits whose sum exceeds that capacity,
+// a sustained overload by users' polls never ends, since refused requests are retried at
+// once; the store then refuses most requests, the leader's lease renewals included, and
+// the cluster loses its leader.
 type adaptiveLimiter struct {
 	maxRate, minRate float64
 
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	bucket  *rate.Limiter
 	rate    float64
-	updated time.Time // of the last cut or increase
-	lastCut time.Time
+	updated time.Time // last decrease or increase
+	lastCut time.Time // last decrease
 }
 
 func newAdaptiveLimiter(maxRate, minRate float64) *adaptiveLimiter {
@@ -64,7 +65,7 @@
 		bucket: rate.NewLimiter(rate.Limit(maxRate), max(1, int(maxRate)))}
 }
 
-// currentRate returns the rate after the increase that is due.
+// currentRate applies the increase that is due, if any, and returns the rate.
 func (a *adaptiveLimiter) currentRate() float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -75,8 +76,9 @@
 	return a.rate
 }
 
-// setRate changes the rate. The burst shrinks along, so that a node that was quiet for
-// long does not join a crowd with a volley. Called with mu held.
+// setRate changes the rate, within its limits, and sets the burst to match: with the
+// original burst, a node that was idle would add a large burst to an overloaded store.
+// The caller holds mu.
 func (a *adaptiveLimiter) setRate(perSecond float64, now time.Time) {
 	a.rate, a.updated = max(a.minRate, min(a.maxRate, perSecond)), now
 	a.bucket.SetLimitAt(now, rate.Limit(a.rate))
@@ -92,7 +94,7 @@
 	}
 }
 
-// WaitN waits until n may be sent at the current rate.
+// WaitN blocks until n may be sent at the current rate.
 func (a *adaptiveLimiter) WaitN(ctx context.Context, n int) error {
 	a.currentRate()
 	return a.bucket.WaitN(ctx, n)
--- a/kvstore/request.go
+++ b/kvstore/request.go
@@ -14,9 +14,9 @@
 type request struct {
 	method   string
 	path     string
-	body     any           // nil: none
-	maxBytes int64         // of the response; 0: maxResponseBytes
-	block    time.Duration // how long the store may hold the response back
+	body     any           // nil if there is none
+	maxBytes int64         // maximum size of the response; 0 means maxResponseBytes
+	block    time.Duration // how long the store may delay the response (long polling)
 }
 
 type response struct {
@@ -24,7 +24,7 @@
 	body   []byte
 }
 
-// decode decodes the body of a response with status 200.
+// decode decodes the body of a response; any status but 200 is an error.
 func (r response) decode(out any) error {
 	if r.status != http.StatusOK {
 		return fmt.Errorf("%w: status %d", ErrInvalidRequest, r.status)
@@ -32,8 +32,8 @@
 	return wire.Unmarshal(r.body, out)
 }
 
-// do sends a request within the limits. Where the store refused it, the response has
-// its status beside the error.
+// do sends a request once the rate limit allows it. If the store refused the request,
+// do returns both an error and a response that holds the status.
 func (c *Client) do(ctx context.Context, req request) (response, error) {
 	if err := c.requests.WaitN(ctx, 1); err != nil {
 		return response{}, fmt.Errorf("%w: %w", ErrRateLimited, err)
@@ -61,7 +61,7 @@
 	return response{status: status, body: body}, nil
 }
 
-// opError wraps err, if any, with the operation and the key.
+// opError wraps err in an OpError; it returns nil if err is nil.
 func opError(op, key string, err error) error {
 	if err == nil {
 		return nil
--- a/liveness/failure.go
+++ b/liveness/failure.go
@@ -6,35 +6,35 @@
 	"sync"
 )
 
-// SuspectAfterMisses is how many probes in a row must go unanswered before a
-// leader is suspected. One is not enough: a single packet may be lost, and moving
-// workers away costs them time.
+// SuspectAfterMisses is how many unanswered probes, with no answered one in between, make
+// a follower suspect the leader. One is not enough: a single packet may be lost, and
+// redirecting workers to another node costs them time.
 const SuspectAfterMisses = 2
 
-// Transition is how one probe has changed the suspicion of a leader.
+// Transition is the effect of one probe on whether the leader is suspected.
 type Transition int
 
 const (
-	// Unchanged means that the leader is suspected, or not, as before the probe.
+	// Unchanged means that the probe changed nothing.
 	Unchanged Transition = iota
-	// BecameSuspected means that this probe was the one too many.
+	// BecameSuspected means that the leader is suspected since this probe.
 	BecameSuspected
-	// Recovered means that a suspected leader has answered.
+	// Recovered means that a suspected leader has answered again.
 	Recovered
 )
 
-// FailureDetector counts the probes that the current leader left unanswered. A
-// leader that is paused or has lost power seems to accept a worker's connection
-// and never answers, so that a node that suspects it sends no worker there. Safe
-// for concurrent use.
+// FailureDetector counts the probes that the current leader has left unanswered since it
+// last answered one. A node that suspects the leader redirects no worker to it: a paused
+// process still appears to accept connections, but never answers. The zero value is
+// ready for use. It is safe for concurrent use.
 type FailureDetector struct {
-	mu     sync.Mutex // guards all that follows
+	mu     sync.Mutex // guards the fields below
 	leader string
 	misses int
 }
 
-// Record takes in the result of a probe of a leader. The count starts anew when
-// the leader is another one than last time.
+// Record records the result of a probe of the leader: err is nil if it answered. The
+// count restarts if the leader is not the one of the previous call.
 func (d *FailureDetector) Record(leader string, err error) Transition {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -48,8 +48,8 @@
 	case err == nil:
 		d.misses = 0
 	case errors.As(err, &refused) && !refused.Timeout():
-		// A refused connection shows nothing: a packet filter may stand
-		// between the nodes, and workers may well reach the leader.
+		// A refused connection does not count either way: a packet filter between
+		// the nodes may have caused it, and workers may still reach the leader.
 	default:
 		d.misses++
 	}
@@ -63,8 +63,8 @@
 	return Unchanged
 }
 
-// Suspected reports whether that leader is suspected to be down. A leader that
-// was never probed is not.
+// Suspected reports whether the given leader is suspected to be down. It is false for
+// any node but the leader of the last Record.
 func (d *FailureDetector) Suspected(leader string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/liveness/stall.go
+++ b/liveness/stall.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// StallThreshold is how long nothing must have run in the process for it to count
-// as stalled. A starved processor makes gaps of some hundred milliseconds, which
-// must not count.
+// StallThreshold is the gap between two observations from which the process counts as
+// stalled. It is well above the gaps of some hundred milliseconds that an overloaded
+// CPU causes, which must not count.
 const StallThreshold = 2 * time.Second
 
-// StallDetector notices that the process was paused while its clocks ran on, from
-// the gap between two observations. It is as good as it is observed often: several
-// times within StallThreshold. Safe for concurrent use.
+// StallDetector detects from the gap between two calls of Observe that the process was
+// paused while the clock ran on. It must be observed several times per StallThreshold;
+// with rarer calls it reports stalls that did not happen. The zero value is ready for
+// use. It is safe for concurrent use.
 type StallDetector struct {
-	mu           sync.Mutex // guards all that follows
+	mu           sync.Mutex // guards the fields below
 	lastObserved time.Time
 	resumed      time.Time
 	duration     time.Duration
 }
 
-// Observe records that the process runs now. It returns for how long the process
-// has just been stalled, 0 if it has not. Each stall is reported once, to
-// whichever caller observes first after it.
+// Observe records that the process is running. It returns how long the process was
+// stalled before this call, or 0 if it was not. Each stall is reported only once, to the
+// first caller after it.
 func (d *StallDetector) Observe(now time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -36,8 +37,8 @@
 	return gap
 }
 
-// LastStall returns when the process last resumed after a stall, and how long
-// that stall was; zero values if there was none.
+// LastStall returns when the process last resumed after a stall and how long that stall
+// lasted, or zero values if there was none.
 func (d *StallDetector) LastStall() (resumed time.Time, duration time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/peerrpc/batchingconn.go
+++ b/peerrpc/batchingconn.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// flushDelay is how long what is written waits for more to go along: a few
-	// hundred heartbeats a second become some tens of packets.
+	// flushDelay is how long written data is held back to be batched with later
+	// writes: one write for each of hundreds of heartbeats a second is too costly.
 	flushDelay = 5 * time.Millisecond
-	// maxBuffered is how much may wait to be written. A node that reads nothing
-	// any more costs this much memory and no more.
+	// maxBuffered bounds the bytes that wait to be sent, and so the memory that a
+	// node costs which has stopped reading.
 	maxBuffered = 2 << 20
-	// maxSpare is the largest buffer that is kept for later.
+	// maxSpare is the capacity up to which a buffer is reused.
 	maxSpare = 256 << 10
-	// writeTimeout is how long what is flushed may take to be written.
+	// writeTimeout bounds one flush.
 	writeTimeout = 5 * time.Second
 )
 
 var errWriteBufferFull = errors.New("peerrpc: write buffer full")
 
-// batchingConn is a connection whose writes never block: they are gathered, and written
-// together by a goroutine that ends with Close.
+// batchingConn is a connection whose writes never block: Write appends to a buffer,
+// which flushLoop sends. That goroutine ends when the connection is closed or a flush
+// fails.
 type batchingConn struct {
 	net.Conn
 	lastRead atomic.Int64 // unix nanoseconds
 
 	mu     sync.Mutex // guards buffer and err
 	buffer []byte
-	err    error // of an earlier write; all later ones fail with it
+	err    error // first write error, which all later writes return
 
-	pending   chan struct{} // has an item if there is something to flush
+	pending   chan struct{} // holds an item if there is something to flush
 	closed    chan struct{}
 	closeOnce sync.Once
 }
@@ -45,25 +46,25 @@
 	return b
 }
 
-// Read closes the connection when it fails, because net/rpc does so only when the next
-// request finds it dead.
+// Read closes the connection when reading fails: net/rpc itself would not close it
+// before the next request fails.
 func (b *batchingConn) Read(p []byte) (int, error) {
 	n, err := b.Conn.Read(p)
 	if err != nil {
-		_ = b.Close() // the read error is the one that is told
+		_ = b.Close() // the read error matters more
 		return n, err
 	}
 	b.lastRead.Store(time.Now().UnixNano())
 	return n, nil
 }
 
-// sinceLastRead is for how long nothing has come.
+// sinceLastRead returns the time since data was last received.
 func (b *batchingConn) sinceLastRead() time.Duration {
 	return time.Since(time.Unix(0, b.lastRead.Load()))
 }
 
-// Write queues p and returns at once. It fails if too much is queued, or once writing
-// has failed.
+// Write queues p and returns at once. It fails if the buffer would exceed maxBuffered,
+// and always after a failed write.
 func (b *batchingConn) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,7 +82,7 @@
 	return len(p), nil
 }
 
-// flushLoop writes what is queued until the connection is closed or fails.
+// flushLoop sends queued data until the connection is closed or a write fails.
 func (b *batchingConn) flushLoop() {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -98,8 +99,8 @@
 			return
 		case <-timer.C:
 		}
-		// The two buffers change places, and neither may be in both: what is
-		// written next would overwrite what is being sent.
+		// Swap the two buffers. The spare is cleared because the same memory must
+		// not serve both: Write would overwrite the data that is being sent.
 		b.mu.Lock()
 		out := b.buffer
 		b.buffer, spare = spare[:0], nil
@@ -108,7 +109,7 @@
 			b.mu.Lock()
 			b.err = err
 			b.mu.Unlock()
-			_ = b.Close() // the write error is the one that is kept
+			_ = b.Close() // the write error matters more
 			return
 		}
 		if cap(out) <= maxSpare {
@@ -121,12 +122,12 @@
 	if len(out) == 0 {
 		return nil
 	}
-	_ = b.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only where the connection is closed
+	_ = b.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only if the connection is closed
 	_, err := b.Conn.Write(out)
 	return err
 }
 
-// Close closes the connection; what is queued is lost.
+// Close closes the connection. Queued data is discarded.
 func (b *batchingConn) Close() error {
 	b.closeOnce.Do(func() { close(b.closed) })
 	return b.Conn.Close()
--- a/peerrpc/doc.go
+++ b/peerrpc/doc.go
@@ -1,17 +1,19 @@
-// Package peerrpc carries requests between the controller nodes, over net/rpc.
+// Package peerrpc implements the RPCs between controller nodes, over net/rpc.
 //
-// Each node runs one server (Serve), which hands requests to its Handler, and has a
-// Peer and a HeartbeatStream for every other node. A Peer takes single requests:
-// users' requests that this node can't serve, questions for a node's status and for
-// copies of unreadable records. A HeartbeatStream takes the heartbeats of workers,
-// many at once, over a connection of its own, so that neither waits for the other.
+// Each node runs one server (Serve), which passes requests to its Handler, and has a
+// Peer and a HeartbeatStream for every other node. A Peer sends single requests: users'
+// requests for another node to serve, and queries for a node's status, its view of the
+// cluster or its copy of an unreadable record. A HeartbeatStream forwards workers'
+// heartbeats, many concurrently, over a connection of its own, so that heartbeats and
+// single requests do not delay each other.
 //
-// The package owns connections and nothing else. It guarantees that a node which
-// takes connections and answers nothing holds up no caller for longer than its
-// timeout, and that what is queued for it, and in flight on either side, is bounded.
-// It never repeats a request and does not look into bodies.
+// The package owns connections and nothing else. It guarantees that a node which accepts
+// connections but does not respond delays no caller beyond the call's timeout (plus
+// dialTimeout for a heartbeat), and that users' requests and heartbeats in flight at a
+// server, heartbeats in flight in a stream, and unsent data are bounded. It never
+// retries a request and does not interpret bodies.
 //
-// Nodes of two versions talk during a rolling restart. The names of the service, its
-// methods and the fields of RequestMessage, StatusMessage, Answer and routing.Plan are
-// the protocol, and are kept (messages.go).
+// During a rolling restart, nodes of two versions talk to each other. The names of the
+// service, of its methods and of the fields of RequestMessage, StatusMessage, Answer and
+// routing.Plan are therefore part of the protocol and must not change (messages.go).
 package peerrpc
--- a/peerrpc/messages.go
+++ b/peerrpc/messages.go
@@ -2,44 +2,48 @@
 
 import "github.com/umberdeal/umberdeal/routing"
 
-// serviceName and the names of service's methods are part of the protocol.
+// serviceName is the name of the net/rpc service. It and the names of the methods of
+// type service are part of the protocol, so they stay even where they differ from the
+// terms that the rest of the code uses.
 const serviceName = "Mesh"
 
-// Request is a worker's heartbeat, a user's request or a question of another node. Body
-// is as it came from the worker or user.
+// Request is a request from another node: a forwarded heartbeat of a worker, a forwarded
+// request of a user, a status query or the recovery of an unreadable record. Each kind
+// uses only some of the fields. Body is unchanged from what the worker or user sent.
 type Request struct {
-	Op   string // of a user's request
-	ID   string // of a job, or the key of a record to be recovered
+	Op   string // user's request: the operation
+	ID   string // user's request: the job; recovery: the key of the record
 	Body []byte
 
-	From         string  // the node that asks; of a user's request: that has passed it on to its bucket's node
-	ConnCapacity int     // how many workers' connections that node keeps
-	SinceAnswerS float64 // of a heartbeat: seconds since the worker's last answer at that node; negative if not known
+	From         string  // sending node; of users' requests only those to a bucket's owner have it
+	ConnCapacity int     // status: how many worker connections From can hold
+	SinceAnswerS float64 // heartbeat: seconds since From last answered the worker; negative if unknown
 
-	UnreadableKey     string // of a status: a record that the node that asks can't read; of a recovery: where the record stood before
-	UnreadableVersion uint64 // in which version
-	Version           uint64 // of a recovery: the version of the record ID
+	UnreadableKey     string // status: a record that From can't decode; recovery: the record's original key
+	UnreadableVersion uint64 // version of UnreadableKey
+	Version           uint64 // recovery: version of the record at key ID
 }
 
-// Answer is the response to a heartbeat, a user's request or a recovery. It has the
-// same form on the wire, so that its fields keep their names.
+// Answer is the response to a heartbeat, a user's request or a recovery. It is encoded
+// by gob as it is, so its field names are part of the protocol.
 type Answer struct {
-	Status     int // as in HTTP
+	Status     int // HTTP status code
 	Body       []byte
-	RetryAfter int  // in seconds; 0: not said
-	Repeated   bool // of a heartbeat that had been answered before: nobody may wait for this answer
+	RetryAfter int  // seconds; 0 if not set
+	Repeated   bool // answers a duplicate heartbeat; no sign that the worker gets answers
 }
 
-// Status is what a node says of itself.
+// Status is a node's report on itself.
 type Status struct {
 	Node           string
 	Leader         string
 	StoreReachable bool
-	Plan           *routing.Plan // of the leader: where workers send heartbeats
-	SchemaVersion  int           // the newest schema of records that the node reads
+	Plan           *routing.Plan // set only by the leader: how workers are spread over the nodes
+	SchemaVersion  int           // newest schema of stored records that the node accepts
 }
 
-// RequestMessage is a Request on the wire. gob matches the names of its fields.
+// RequestMessage is the wire form of Request. gob matches fields by name, so the names
+// must not change.
 type RequestMessage struct {
 	Op   string
 	ID   string
@@ -70,7 +74,8 @@
 	}
 }
 
-// StatusMessage is a Status on the wire. gob matches the names of its fields.
+// StatusMessage is the wire form of Status. gob matches fields by name, so the names
+// must not change.
 type StatusMessage struct {
 	Node    string
 	Leader  string
--- a/peerrpc/peer.go
+++ b/peerrpc/peer.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// dialTimeout bounds the wait for a connection, one's own or another caller's dialling.
+	// dialTimeout bounds the wait for a connection, whichever caller dials it.
 	dialTimeout = 600 * time.Millisecond
-	// dialBackoff is the time without dialling after a Peer was not reached, and
-	// deadBackoff that after a connection has brought no answer.
+	// dialBackoff is how long a Peer does not dial after dialling failed, deadBackoff
+	// how long after a connection was dropped because a call on it failed.
 	dialBackoff = 700 * time.Millisecond
 	deadBackoff = 300 * time.Millisecond
 
@@ -24,40 +24,42 @@
 	statusTimeout   = time.Second
 )
 
-// Peer sends single requests to another node, over one connection that is dialled when
-// it is needed. It is safe for concurrent use.
+// Peer sends single requests to another node over one connection, which it dials on
+// demand. It is safe for concurrent use.
 type Peer struct {
 	Name string
 	addr string
 	dial call.DialFunc
 
-	dialing chan struct{} // held by the one caller that dials
-	sending chan struct{} // and by the one that writes a request
+	dialing chan struct{} // semaphore: one caller dials at a time
+	sending chan struct{} // semaphore: one request is written at a time
 
-	mu        sync.Mutex // guards what follows
+	mu        sync.Mutex // guards the fields below
 	rpcClient *rpc.Client
-	redialAt  time.Time // no dialling before this
-	failedAt  time.Time // when it last did not answer, unless it has since
+	redialAt  time.Time // earliest time of the next dial
+	failedAt  time.Time // set by a call that got no answer, cleared by one that did
 }
 
-// NewPeer makes a Peer; it does not dial.
+// NewPeer returns a Peer for the node at addr. It does not dial.
 func NewPeer(name, addr string, dial call.DialFunc) *Peer {
 	return &Peer{Name: name, addr: addr, dial: dial, dialing: make(chan struct{}, 1), sending: make(chan struct{}, 1)}
 }
 
-// FailedAt returns when the node last did not answer; zero if it has since.
+// FailedAt returns when the node last failed to answer, or the zero time if it has
+// answered since or was never called.
 func (p *Peer) FailedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failedAt
 }
 
-// ForwardUserRequest passes a user's request on.
+// ForwardUserRequest sends a user's request to the node and returns its answer.
 func (p *Peer) ForwardUserRequest(ctx context.Context, r Request) (Answer, error) {
 	return p.ask(ctx, userTimeout, "User", r)
 }
 
-// FetchRecoveredRecord asks what the node remembers of a record.
+// FetchRecoveredRecord asks the node for its copy of a record that can't be decoded any
+// more. See Handler.RecoverRecord for the answer.
 func (p *Peer) FetchRecoveredRecord(ctx context.Context, r Request) (Answer, error) {
 	return p.ask(ctx, recoveryTimeout, "Recall", r)
 }
@@ -72,7 +74,8 @@
 	return a, nil
 }
 
-// Status asks how the node is, and tells it about this one.
+// Status returns the node's status. The request also reports this node's capacity and
+// unreadable record to it.
 func (p *Peer) Status(ctx context.Context, r Request) (Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -83,10 +86,11 @@
 	return m.status(), nil
 }
 
-// Overview asks for what an operator would, as JSON.
+// Overview returns the node's overview for operators, as JSON.
 func (p *Peer) Overview(ctx context.Context) ([]byte, error) { return p.fetch(ctx, "Overview") }
 
-// Machines asks for the machines as a leader sees them, as JSON.
+// Machines returns the machines that the node knows as the leader, as JSON; the result is
+// empty if it does not lead.
 func (p *Peer) Machines(ctx context.Context) ([]byte, error) { return p.fetch(ctx, "Machines") }
 
 func (p *Peer) fetch(ctx context.Context, method string) ([]byte, error) {
@@ -99,15 +103,16 @@
 	return out, nil
 }
 
-// existing returns the connection there is, if any, and whether one may be dialled.
+// existing returns the current connection, nil if there is none, and whether the backoff
+// permits dialling.
 func (p *Peer) existing() (*rpc.Client, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rpcClient, !time.Now().Before(p.redialAt)
 }
 
-// connect connects if need be. Nobody waits for another's dialling longer than
-// for an answer.
+// connect returns the current connection, or dials one. It waits at most dialTimeout,
+// also while another caller dials.
 func (p *Peer) connect(ctx context.Context) (*rpc.Client, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -138,22 +143,23 @@
 	return p.rpcClient, nil
 }
 
-// call calls a method of the node and waits for the answer until ctx ends.
+// call calls a method of the node and waits for its answer until ctx ends.
 func (p *Peer) call(ctx context.Context, method string, in, out any) error {
 	c, err := p.connect(ctx)
 	if err != nil {
 		p.recordOutcome(err)
 		return err
 	}
-	// net/rpc writes the request before Go returns, and lets one caller write at
-	// a time: to a node that reads nothing any more that may take for ever.
+	// rpc.Client.Go returns only once the request is written, and holds a lock
+	// meanwhile. If the node has stopped reading, that may block indefinitely, so it
+	// runs in a goroutine of its own, one at a time.
 	select {
 	case p.sending <- struct{}{}:
 	case <-ctx.Done():
 		return fmt.Errorf("peerrpc: wait to send %s to %s: %w", method, p.Name, ctx.Err())
 	}
 	done := make(chan *rpc.Call, 1)
-	go func() { // ends at the latest when the connection is dropped
+	go func() { // ends when the connection is dropped, at the latest
 		defer func() { <-p.sending }()
 		c.Go(serviceName+"."+method, in, out, done)
 	}()
@@ -172,12 +178,12 @@
 		p.recordOutcome(nil)
 	} else {
 		p.recordOutcome(err)
-		p.drop(c) // it may be dead without an error
+		p.drop(c) // after a timeout as well: a dead connection need not report an error
 	}
 	return fmt.Errorf("peerrpc: call %s of %s: %w", method, p.Name, err)
 }
 
-// recordOutcome takes note of whether the node has answered.
+// recordOutcome records whether the node answered: err is nil if it did.
 func (p *Peer) recordOutcome(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,7 +193,7 @@
 	}
 }
 
-// drop closes a connection that brings no answer, so that the next call dials.
+// drop closes a connection on which a call failed, so that a later call dials a new one.
 func (p *Peer) drop(c *rpc.Client) {
 	p.mu.Lock()
 	if p.rpcClient == c {
@@ -195,5 +201,5 @@
 		p.redialAt = time.Now().Add(deadBackoff)
 	}
 	p.mu.Unlock()
-	_ = c.Close() // fails only where it is closed already
+	_ = c.Close() // fails only if it is closed already
 }
--- a/peerrpc/stream.go
+++ b/peerrpc/stream.go
@@ -12,61 +12,64 @@
 )
 
 const (
-	// forwardTimeout is how long a heartbeat that is forwarded waits for its answer: the
-	// worker gives up after 4 s.
+	// forwardTimeout is how long a forwarded heartbeat waits for its answer. With
+	// dialTimeout it stays below the 4 s after which the worker gives up.
 	forwardTimeout = 3 * time.Second
-	// maxSilence is how long a stream with heartbeats in flight may bring nothing at all
-	// before it counts as dead. One answer that is late says nothing.
+	// maxSilence is how long a stream may have received nothing before a heartbeat that
+	// times out makes it count as dead. A late answer alone proves nothing, because the
+	// leader may delay a single one.
 	maxSilence = 1500 * time.Millisecond
-	// streamBackoff is the time without dialling after a stream failed or the node was
-	// not reached.
+	// streamBackoff is how long a stream does not dial after its connection was dropped
+	// or dialling failed.
 	streamBackoff = time.Second
 )
 
-// errBackoff says that a node is not dialled because it was not reached just before.
+// errBackoff means that the node was not dialled because an attempt failed just before.
 var errBackoff = errors.New("was not reached a moment ago")
 
-// HeartbeatStream forwards workers' heartbeats to another node: many at once over one
-// connection of its own, each answered by itself and in any order, so that a heartbeat
-// whose answer is held back holds up no other, and a user's request never stands behind
-// a thousand heartbeats. It is safe for concurrent use.
+// HeartbeatStream forwards workers' heartbeats to another node, many concurrently over
+// one connection that only heartbeats use. Answers arrive in any order, so a delayed
+// answer does not delay other heartbeats, and users' requests, which a Peer sends, never
+// queue behind heartbeats. It is safe for concurrent use.
 type HeartbeatStream struct {
 	Name string
 	addr string
 	dial call.DialFunc
 
-	dialing  chan struct{} // held by the one caller that dials
-	inFlight chan struct{} // one for each heartbeat in flight
+	dialing  chan struct{} // semaphore: one caller dials at a time
+	inFlight chan struct{} // semaphore: one item for each heartbeat in flight
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	conn     *streamConn
-	redialAt time.Time // no dialling before this
+	redialAt time.Time // earliest time of the next dial
 }
 
-// streamConn is one connection of a stream.
+// streamConn is a connection of a stream, with its RPC client.
 type streamConn struct {
 	*batchingConn
 	rpcClient *rpc.Client
 }
 
-// NewHeartbeatStream makes a stream for at most maxInFlight heartbeats at once; it does
-// not dial.
+// NewHeartbeatStream returns a stream to the node at addr with at most maxInFlight
+// heartbeats in flight, at least one. It does not dial.
 func NewHeartbeatStream(name, addr string, dial call.DialFunc, maxInFlight int) *HeartbeatStream {
 	return &HeartbeatStream{Name: name, addr: addr, dial: dial, dialing: make(chan struct{}, 1), inFlight: make(chan struct{}, max(1, maxInFlight))}
 }
 
-// InFlight is how many heartbeats wait for their answers.
+// InFlight returns the number of heartbeats that wait for an answer.
 func (s *HeartbeatStream) InFlight() int { return len(s.inFlight) }
 
-// Reachable reports whether a heartbeat that is forwarded now has a chance: false for a
-// moment after the node was not reached.
+// Reachable reports whether Forward would use a connection or dial one now. It is false
+// during the backoff after the connection failed; true does not prove that the node
+// answers.
 func (s *HeartbeatStream) Reachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conn != nil || !time.Now().Before(s.redialAt)
 }
 
-// existing returns the connection there is, nil if one may be dialled.
+// existing returns the current connection, or nil if there is none and one may be
+// dialled. During the backoff the error is errBackoff.
 func (s *HeartbeatStream) existing() (*streamConn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +79,7 @@
 	return s.conn, nil
 }
 
-// connect connects if need be.
+// connect returns the current connection, or dials one within dialTimeout.
 func (s *HeartbeatStream) connect(ctx context.Context) (*streamConn, error) {
 	if c, err := s.existing(); c != nil || err != nil {
 		return c, err
@@ -104,8 +107,9 @@
 	return s.conn, nil
 }
 
-// Forward passes a worker's heartbeat on and waits for the answer, at most as long as
-// the worker does. ErrOverloaded: too many are in flight.
+// Forward sends a worker's heartbeat to the node and waits for the answer, for less time
+// than the worker itself waits. The error is ErrOverloaded if this stream has too many
+// heartbeats in flight.
 func (s *HeartbeatStream) Forward(ctx context.Context, r Request) (Answer, error) {
 	select {
 	case s.inFlight <- struct{}{}:
@@ -139,7 +143,7 @@
 	return Answer{}, fmt.Errorf("peerrpc: forward a heartbeat to %s: %w", s.Name, err)
 }
 
-// drop closes a connection that brings nothing any more.
+// drop closes a connection that counts as dead, so that a later Forward dials a new one.
 func (s *HeartbeatStream) drop(c *streamConn) {
 	s.mu.Lock()
 	if s.conn == c {
@@ -147,10 +151,10 @@
 		s.redialAt = time.Now().Add(streamBackoff)
 	}
 	s.mu.Unlock()
-	_ = c.rpcClient.Close() // fails only where it is closed already
+	_ = c.rpcClient.Close() // fails only if it is closed already
 }
 
-// Close closes the stream's connection.
+// Close closes the current connection, if any. A later Forward may dial a new one.
 func (s *HeartbeatStream) Close() {
 	s.mu.Lock()
 	c := s.conn
--- a/routing/plan.go
+++ b/routing/plan.go
@@ -1,13 +1,15 @@
-// Package routing decides at which controller node each worker's heartbeats arrive.
+// Package routing decides to which controller node each worker sends its heartbeats.
 //
-// One node leads, but need not hold a connection of every worker: the others, its
-// relays, forward heartbeats to it. The leader makes a Plan of how workers are spread;
-// the others learn it with the leader's answers to their questions for its status. For
-// a heartbeat that arrives, RouteAtFollower and RedirectFromLeader say whether it is
-// served there or its worker is redirected to another node.
+// Only the leader answers heartbeats, but a single node has too few sockets for the
+// connections of a large fleet. The followers therefore act as relays: they hold
+// connections of workers and forward heartbeats to the leader. The leader computes a
+// Plan of how workers are spread over the nodes; followers receive it in the leader's
+// answer to their periodic status query. When a heartbeat arrives, RouteAtFollower and
+// RedirectFromLeader decide whether it is handled there (forwarded, at a follower) or
+// whether its worker is redirected to another node.
 //
-// The package is pure: same plan, same answer; it does no I/O, keeps nothing, and the
-// time comes in as durations. Package controller keeps what the decisions need.
+// All functions are pure: they do no I/O, read no clock and have no state. Package
+// controller holds the state that the decisions need.
 package routing
 
 import (
@@ -19,62 +21,64 @@
 )
 
 const (
-	// leaderConnFraction: a leader's workers may hold one in so many of its sockets when
-	// others can take the rest. What is left is for its own calls, for users, and for a
-	// day on which the others are gone.
+	// leaderConnFraction is the divisor of a leader's sockets that yields how many of
+	// them workers may hold while relays can take the rest. The other sockets are for
+	// its own calls, for users, and for workers that return when the relays fail.
 	leaderConnFraction = 4
-	// minLeaderWorkers is how many workers a leader serves itself in any case: below
-	// that, forwarding gains nothing and costs a hop.
+	// minLeaderWorkers is the number of workers up to which a leader serves them itself,
+	// as far as MaxWorkerConns allows: for so few, forwarding only adds a hop.
 	minLeaderWorkers = 400
-	// workerConnShare is the part of any node's sockets that workers may hold for good.
+	// workerConnShare is the fraction of a node's sockets for workers' persistent connections.
 	workerConnShare = 0.45
-	// minWorkerConns is how many they may hold in any case.
+	// minWorkerConns is the smallest result of MaxWorkerConns.
 	minWorkerConns = 8
 )
 
-// Node is a relay: a node that can forward heartbeats to the leader. It is sent between
-// controllers, where gob matches the names of its fields.
+// Node is a relay: a follower that can forward heartbeats to the leader. Controllers send
+// it to each other with gob, so its field names must not change.
 type Node struct {
 	Name string
-	Room int // how many workers' connections it keeps
+	Room int // capacity: how many workers' connections it can hold
 }
 
-// Plan says how the leader wants workers spread. It is sent between controllers, where
-// gob matches the names of its fields.
+// Plan is the leader's distribution of workers over the nodes. Controllers send it to
+// each other with gob, so its field names must not change.
 type Plan struct {
 	Leader  string
 	Token   uint64 // the leader's fencing token
-	Workers int    // how many are expected
-	Direct  int    // how many send their heartbeats to the leader itself
-	Relays  []Node // by name
+	Workers int    // expected number of workers
+	Direct  int    // how many of them connect to the leader itself
+	Relays  []Node // sorted by name
 }
 
-// MaxLeaderWorkerConns is how many workers' connections a leader keeps for good, of so
-// many sockets, while others can take the rest.
+// MaxLeaderWorkerConns returns how many persistent connections of workers a leader with
+// the given number of sockets should hold while relays can take the rest.
 func MaxLeaderWorkerConns(sockets int) int {
 	return min(MaxWorkerConns(sockets), max(sockets/leaderConnFraction, minLeaderWorkers))
 }
 
-// MaxWorkerConns is how many workers' connections a node keeps for good. Beyond that it
-// answers and closes: a worker needs a connection for the time of its heartbeat only, so
-// that there may be any number of them.
+// MaxWorkerConns returns how many persistent connections of workers a node with the given
+// number of sockets holds. Beyond that it closes each connection after the answer. It
+// can still serve more workers than that, since each needs a connection only while its
+// heartbeat is being answered.
 func MaxWorkerConns(sockets int) int {
 	return max(minWorkerConns, int(workerConnShare*float64(sockets)))
 }
 
-// NewPlan makes a leader's plan for so many workers and sockets of its own.
+// NewPlan returns the plan of a leader that expects the given number of workers; sockets
+// is the leader's own limit. The relays are copied and may be in any order.
 func NewPlan(leader string, fencingToken uint64, workers, sockets int, relays []Node) Plan {
 	p := Plan{Leader: leader, Token: fencingToken, Workers: workers, Relays: slices.Clone(relays)}
 	slices.SortFunc(p.Relays, func(a, b Node) int { return strings.Compare(a.Name, b.Name) })
 	p.Direct = workers
 	if len(relays) > 0 {
-		// What the relays have no room for stays with the leader.
+		// Workers beyond the relays' capacity stay with the leader.
 		p.Direct = min(workers, max(MaxLeaderWorkerConns(sockets), workers-p.relayCapacity()))
 	}
 	return p
 }
 
-// relayCapacity is how many workers' connections all relays keep together.
+// relayCapacity returns how many workers' connections all relays together can hold.
 func (p *Plan) relayCapacity() int {
 	capacity := 0
 	for _, r := range p.Relays {
@@ -83,13 +87,13 @@
 	return capacity
 }
 
-// UsesRelays reports whether some workers are to use other nodes than the leader.
+// UsesRelays reports whether the plan assigns any workers to relays.
 func (p *Plan) UsesRelays() bool { return len(p.Relays) > 0 && p.Workers > p.Direct }
 
-// NodeFor names the node that a worker should use. It is the same at every node that
-// knows the plan, and a change of the plan moves few workers: each node draws a number
-// from the worker's and its own name, weighted by its part, and the largest wins
-// (rendezvous hashing).
+// NodeFor returns the name of the node that a worker should use. It is computed by
+// weighted rendezvous hashing, so that all nodes with the same plan agree without
+// coordination and a change of the plan moves few workers: each node has a score that
+// depends on both names and on its share of the workers, and the highest score wins.
 func (p *Plan) NodeFor(worker string) string {
 	if !p.UsesRelays() {
 		return p.Leader
@@ -105,8 +109,8 @@
 	return node
 }
 
-// rendezvousScore is a worker's score at a node; the chance to be the largest of several
-// is as their weights.
+// rendezvousScore returns the score of a node for a worker. Among several nodes, the
+// probability of having the highest score is proportional to the weight.
 func rendezvousScore(node, worker string, weight float64) float64 {
 	if weight <= 0 {
 		return 0
--- a/routing/route.go
+++ b/routing/route.go
@@ -3,45 +3,45 @@
 import "time"
 
 const (
-	// returnWindow is for how long a worker that comes back is taken not to reach the
-	// node that it was redirected to.
+	// returnWindow is the time after a redirection in which a worker's return is taken
+	// to mean that it can't reach the node it was redirected to.
 	returnWindow = 20 * time.Second
-	// slackFraction: a leader redirects workers once it has one in so many more than
-	// planned.
+	// slackFraction is the divisor of Plan.Direct that yields how many connections beyond
+	// Plan.Direct a leader tolerates before it redirects workers.
 	slackFraction = 16
 )
 
-// WorkerHistory is what a node remembers of a worker.
+// WorkerHistory is what a node knows about its recent contact with a worker.
 type WorkerHistory struct {
-	RedirectedTo  string        // the node it was redirected to last, "" if to none
-	SinceRedirect time.Duration // since then
-	ServedHere    bool          // it has had answers here lately
+	RedirectedTo  string        // node that it was last redirected to from here; "" if none
+	SinceRedirect time.Duration // time since that redirection
+	ServedHere    bool          // it was answered here within its lease time
 }
 
-// ReturnedFrom reports whether the worker was redirected to a node a moment ago and is
-// here again: it may not reach that node. An answer that is missing there for other
-// reasons costs one more hop, nothing else.
+// ReturnedFrom reports whether the worker, whose heartbeat has just arrived here, was
+// redirected to the given node less than returnWindow ago. It then presumably can't reach
+// that node. Where it returned for another reason, the cost is one additional hop.
 func (h WorkerHistory) ReturnedFrom(node string) bool {
 	return h.RedirectedTo == node && h.SinceRedirect < returnWindow
 }
 
-// Route is what a follower does with a heartbeat.
+// Route is a follower's decision about a heartbeat.
 type Route struct {
-	Forward    bool   // to the leader
-	RedirectTo string // where the worker is redirected otherwise
+	Forward    bool   // forward it to the leader
+	RedirectTo string // otherwise: the node to redirect the worker to
 }
 
-// FollowerInput is what a follower knows when a heartbeat arrives.
+// FollowerInput is the input of RouteAtFollower.
 type FollowerInput struct {
 	Self, Leader    string
 	Worker          string
-	Plan            *Plan // nil where the leader's is not known: just elected, or not reached from here
+	Plan            *Plan // nil if no recent plan is known: new or unreachable leader
 	History         WorkerHistory
-	ConnsFull       bool // this node has no room for one more worker's connection
-	LeaderReachable bool // heartbeats can be forwarded to the leader at all
+	ConnsFull       bool // this node holds more than MaxWorkerConns
+	LeaderReachable bool // peerrpc.HeartbeatStream.Reachable of the stream to the leader
 }
 
-// RouteAtFollower says what a node that does not lead does with a worker's heartbeat.
+// RouteAtFollower decides what a follower does with a worker's heartbeat.
 func RouteAtFollower(in FollowerInput) Route {
 	forward, redirectToLeader := Route{Forward: true}, Route{RedirectTo: in.Leader}
 	switch {
@@ -50,8 +50,8 @@
 	case !in.LeaderReachable:
 		return redirectToLeader
 	case in.Plan == nil || in.Plan.Leader != in.Leader:
-		// Through a change of leader each is answered where it is: nothing is
-		// gained by a crowd at the new one, which has everything to do.
+		// During a change of leader no worker is moved: redirecting all of them
+		// would add load to the new leader when it has the most to do.
 		return forward
 	}
 	home := in.Plan.NodeFor(in.Worker)
@@ -61,26 +61,28 @@
 	if home != in.Leader && (!in.ConnsFull || in.History.ReturnedFrom(home)) {
 		return forward
 	}
-	// One that is new here is answered first, and moved with a fresh lease. A machine
-	// that does not receive answers goes from node to node: redirected by each of them,
-	// the leader heard of it every 15 s, and what was launched there waited as long.
+	// A worker that is new here is answered first and redirected only later, with a
+	// fresh lease. A machine whose incoming packets are lost gets no answer anywhere and
+	// keeps changing nodes. If each node redirected it, its heartbeats would rarely reach
+	// the leader, which would learn as late whether a launched task runs there.
 	if !in.History.ServedHere && !in.ConnsFull {
 		return forward
 	}
 	return Route{RedirectTo: home}
 }
 
-// LeaderInput is what the leader knows when a heartbeat has arrived at it directly.
+// LeaderInput is the input of RedirectFromLeader.
 type LeaderInput struct {
 	Worker     string
 	Plan       *Plan
 	History    WorkerHistory
-	OpenConns  int  // workers' connections that are open here
-	LeaseFresh bool // the worker was answered so lately that a failing move does not endanger its lease
+	OpenConns  int  // open connections of workers at the leader
+	LeaseFresh bool // its lease would outlast a failed redirection
 }
 
-// RedirectFromLeader says where the leader redirects a worker, "" to keep it. Only one
-// whose lease is fresh is moved, since the move may fail and then costs it seconds.
+// RedirectFromLeader returns the node to which the leader redirects a worker that sent its
+// heartbeat to the leader directly, or "" if the worker stays. Only workers with a fresh
+// lease are redirected, since a redirection that fails takes seconds of the lease.
 func RedirectFromLeader(in LeaderInput) string {
 	if !in.Plan.UsesRelays() || !in.LeaseFresh || in.OpenConns <= in.Plan.Direct+in.Plan.Direct/slackFraction {
 		return ""
