--- a/controller/committer.go
+++ b/controller/committer.go
@@ -18,16 +18,17 @@
 
 // This file writes the leader's records behind the model, each under the fencing token.
 
-// leaderGuard is the condition of every write: this leadership still stands.
+// leaderGuard is a condition of every write: that this leadership has not ended.
 func (l *leadership) leaderGuard() wire.Guard {
 	return wire.Guard{Key: election.LeaderKey, Version: l.lease.FencingToken}
 }
 
-// putOwnRecord writes a record that leaders alone write, and each in one place, on condition
-// of its version. The token does not stop a transaction of this same term that had
-// no answer and comes late: put over a newer record, it would be what the next
-// leader reads. Such a record is never deleted, so that no version of it comes back;
-// an unexpected one is that of an own transaction whose answer was lost.
+// putOwnRecord writes a record that only leaders write, conditional on its version as well
+// as on the fencing token. The token alone would not stop an earlier write of the same
+// leadership that got no response and is applied late: it would overwrite a newer record,
+// and the next leader would load it. Such records are never deleted, so that no version
+// number recurs; an unexpected version is from a write of this leader's whose response was
+// lost.
 func (l *leadership) putOwnRecord(ctx context.Context, key string, rec any, guards ...wire.Guard) error {
 	l.mu.Lock()
 	version, known := l.ownVersions[key]
@@ -45,7 +46,7 @@
 	if err == nil {
 		l.ownVersions[key] = rev
 	} else if conflictsOn(err, key) {
-		delete(l.ownVersions, key) // read again the next time
+		delete(l.ownVersions, key) // reread before the next write
 	} else if !known {
 		l.ownVersions[key] = version // also for what has no answer: it may yet come
 	}
@@ -56,9 +57,9 @@
 // begins with, before bookkeepingRate is known.
 const committerRateShare = 0.7
 
-// runCommitter writes changed records behind the model until ctx ends. It waits for
-// its share of the store's writes first and collects then, so that whatever has
-// changed meanwhile goes along.
+// runCommitter writes changed records to the store until ctx ends. It waits for the rate
+// limit before it collects a batch, so that the batch includes what changed during the
+// wait.
 func (l *leadership) runCommitter(ctx context.Context) {
 	store := l.node.cfg.Cluster.State
 	burst := max(3, min(store.TxnOps, int(store.WriteRPS*committerRateShare)))
@@ -94,8 +95,8 @@
 	}
 }
 
-// pendingWrites is how many records are to be written. Where there are none, those
-// who wait for a commit are told that none is coming.
+// pendingWrites returns how many records are to be written. If there are none, it wakes
+// whoever waits for a commit, since no commit follows.
 func (l *leadership) pendingWrites() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -132,8 +133,8 @@
 	return true
 }
 
-// pauseAfterFailedCommit waits for 50 to 200 ms, drawn at random so that whoever
-// conflicted does not meet again; false where ctx has ended.
+// pauseAfterFailedCommit waits for a random 50 to 200 ms, so that the same writers do not
+// conflict again. It returns false if ctx has ended.
 func pauseAfterFailedCommit(ctx context.Context) bool {
 	return call.Pause(ctx, time.Duration(50+rand.IntN(150))*time.Millisecond)
 }
@@ -182,7 +183,7 @@
 			break
 		}
 		if b.IsJobKey(key) {
-			continue // the watch tells what happened to it
+			continue // the watch delivers the change of the job
 		}
 		if key == jobstore.PlanHeadKey {
 			l.dropSupersededPlan(ctx)
--- a/controller/direct_commands.go
+++ b/controller/direct_commands.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// sendDirectStops sends stops to the workers' own addresses: there they arrive at
-// once, and may safely be executed late.
+// sendDirectStops sends stops to the workers' own addresses, so that they arrive before
+// the response to the next heartbeat. A direct command may be executed late, which is
+// safe for a stop.
 func (l *leadership) sendDirectStops(ctx context.Context) {
 	if !l.lease.Valid() {
 		return
@@ -32,27 +33,30 @@
 	}
 }
 
-// wakeUpTimeout is how long a worker may take to answer a wake-up. One that hangs
-// must not keep the others waiting for long; executed later, it does no harm.
+// wakeUpTimeout is how long a worker may take to answer a wake-up. A worker that hangs
+// must not occupy a slot for long; a wake-up that is executed later does no harm.
 const wakeUpTimeout = time.Second
 
-// wakeWorkers makes the workers send a heartbeat for which launches are ready, as many
-// at once as there are sockets for. The others follow as these have answered: with
-// those left out instead, a quarter of a burst of 2,900 tasks waited for heartbeats.
+// wakeWorkers makes workers for which launches are ready send a heartbeat now, since
+// launches travel only in responses to heartbeats. The number in progress is bounded by
+// wakeUpSlots; each one that ends starts the next, because dropping the excess would
+// leave much of a large burst waiting for regular heartbeats.
 func (l *leadership) wakeWorkers(ctx context.Context) {
 	if !l.lease.Valid() {
 		return
 	}
-	most := 0 // switched off: the model is asked all the same, and forgets what was launched
+	// Where wake-ups are disabled the model is still asked, for none, because asking
+	// removes launched tasks from its list.
+	most := 0
 	l.mu.Lock()
 	if l.node.tuning.Launching.Summon {
 		most = cap(l.wakeUpSlots) - len(l.wakeUpSlots)
 	}
 	batch := l.model.WakeUps(most, time.Now())
 	for range batch {
-		// Taken under the lock, the places are there. In a burst, wake-ups that
-		// two had asked for at the same time were given up for want of a place,
-		// and repeated only after a second and a half.
+		// Never blocks: slots are taken under l.mu only, and len(batch) were free
+		// above. Taken outside the lock, two callers could count on the same slots,
+		// and the wake-ups left without one would wait for the model's retry delay.
 		l.wakeUpSlots <- struct{}{}
 	}
 	l.mu.Unlock()
--- a/controller/forwarding.go
+++ b/controller/forwarding.go
@@ -16,23 +16,25 @@
 // bucket, and everything to a peer while the key-value store does not serve this node.
 
 const (
-	// bucketOwnerTimeout is how long a bucket's owner is waited for, and
-	// forwardedWriteTimeout how long the owner takes at most. It is the shorter of the
-	// two, so that an owner that is overloaded can still say so.
+	// bucketOwnerTimeout is how long to wait for a bucket's owner, and
+	// forwardedWriteTimeout how long the owner works on a forwarded write. The latter is
+	// shorter, so that an overloaded owner can still respond that it is.
 	bucketOwnerTimeout    = 1600 * time.Millisecond
 	forwardedWriteTimeout = 1200 * time.Millisecond
-	// unresponsivePeerBackoff is for how long a node that did not answer owns no bucket.
+	// unresponsivePeerBackoff is how long a peer owns no bucket after it last failed to
+	// answer.
 	unresponsivePeerBackoff = 3 * time.Second
-	// peerRequestTimeout is how long one peer is waited for. A paused process takes
-	// connections and answers nothing, and there are others to be asked within the
-	// user's time.
+	// peerRequestTimeout is how long to wait for one peer. A paused process still accepts
+	// connections but never responds, and the other peers must be tried before the user's
+	// request times out.
 	peerRequestTimeout = 700 * time.Millisecond
 )
 
 // forwardToBucketOwner forwards a submission or a cancellation to the owner of its
 // bucket, where several nodes would conflict on the bucket's head page. It returns false
-// where the request is to be served here. Ownership saves conflicts and is no lock: any
-// node may change any bucket, and the compare-and-swap on the head's version decides.
+// where the request is to be served here. Ownership avoids conflicts but is not a lock:
+// any node may change any bucket, and the compare-and-swap on the version of the head
+// page keeps concurrent changes safe.
 func (n *Node) forwardToBucketOwner(ctx context.Context, id string, r peerrpc.Request) (peerrpc.Answer, bool) {
 	schema := n.jobs.Schema()
 	if schema.Version < jobstore.SchemaJobPages {
@@ -60,8 +62,9 @@
 	return a, true
 }
 
-// bucketOwner returns the node that writes to a bucket: counted from the bucket's
-// number, the first that has answered lately. nil is this node.
+// bucketOwner returns the node that should write to a bucket, or nil for this node. All
+// nodes are sorted by name; starting at the bucket's number, the first one that has not
+// failed recently is the owner. Nodes may disagree about that, which costs conflicts only.
 func (n *Node) bucketOwner(bucket int) *peerrpc.Peer {
 	names := []string{n.cfg.Node}
 	for _, p := range n.peers {
@@ -81,8 +84,8 @@
 }
 
 // serveForwardedWrite serves a write that a peer has forwarded because this node owns
-// its bucket. It tells overload from a store that is not reached: only in the latter
-// case does the peer serve the write itself.
+// its bucket. The response distinguishes an overloaded owner from one that can't reach
+// the store: only in the latter case does the peer serve the write itself.
 func (n *Node) serveForwardedWrite(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	ctx, cancel := context.WithTimeout(ctx, forwardedWriteTimeout)
 	defer cancel()
@@ -96,9 +99,9 @@
 	return storeUnreachable()
 }
 
-// forwardToPeers forwards a user's request to one peer after the other, beginning with
-// those that have not failed lately, until one can serve it. Requests are idempotent, so
-// that it does no harm if two peers serve the same one.
+// forwardToPeers forwards a user's request to one peer after the other, least recently
+// failed first, until one can serve it. Requests are idempotent, so that it is harmless
+// if two peers serve the same one.
 func (n *Node) forwardToPeers(ctx context.Context, r peerrpc.Request) (peerrpc.Answer, bool) {
 	peers := slices.Clone(n.peers)
 	slices.SortStableFunc(peers, func(a, b *peerrpc.Peer) int { return a.FailedAt().Compare(b.FailedAt()) })
--- a/controller/health.go
+++ b/controller/health.go
@@ -12,8 +12,8 @@
 	"github.com/umberdeal/umberdeal/kvstore"
 )
 
-// kvReachable says whether the key-value store serves this node: its last answer
-// was no failure, and is not long ago.
+// kvReachable reports whether the key-value store serves this node: its last response was
+// successful and recent.
 func (n *Node) kvReachable() bool {
 	ok, bad := n.kv.LastOutcomes()
 	return ok.After(bad) && time.Since(ok) < 5*time.Second
@@ -27,8 +27,9 @@
 	kvRetryInterval = time.Second
 )
 
-// monitorKV probes the key-value store, and the other nodes while it fails. An
-// operator who gave a wrong address, or whose store is down, is told so once.
+// monitorKV probes the key-value store, and the other nodes while the store fails. It logs
+// each change once, so that a wrong address or an outage is visible without flooding the
+// log.
 func (n *Node) monitorKV(ctx context.Context) {
 	reachable := true
 	interval := config.Seconds(max(1, float64(n.cfg.Cluster.Size)/(kvProbeRateShare*n.cfg.Cluster.State.RPS)))
@@ -85,8 +86,8 @@
 }
 
 // ready says whether this node can take requests: the key-value store serves it,
-// or another node can be asked. In an outage of the store every node
-// stays ready, since going away would only make its end later for the users.
+// or another node can be asked. During an outage of the store all nodes stay ready: taking
+// them out of service would not help users, and would prolong the outage for them.
 func (n *Node) ready() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -12,11 +12,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file serves workers' heartbeats over HTTP. Where each worker belongs is decided
-// in package routing, and what a leader answers in heartbeat_response.go.
+// This file serves workers' heartbeats over HTTP. Package routing decides to which node
+// a worker should send them; heartbeat_response.go makes the leader's answers.
 
-// heartbeatHeader is what a heartbeat says of whose it is, and how new. The field names in the
-// tags are the protocol's; the rest of the heartbeat is decoded by the leader alone.
+// heartbeatHeader holds the fields of a heartbeat that every node needs: the sender, its
+// session and the sequence number within it. The tags are the protocol's field names.
+// Only the leader decodes the rest.
 type heartbeatHeader struct {
 	Machine string `msgpack:"poste"`
 	Session uint64 `msgpack:"quart"`
@@ -49,22 +50,23 @@
 	defer n.heartbeatLimiter.Release()
 	a := n.answerOrForward(ctx, who, body)
 	if a.Status == http.StatusOK && !a.Repeated {
-		// A copy that came to this node shows nothing of whether the worker is answered
-		// here. Where it was the copy that came first, its worker counts as longer
-		// unanswered than it is, and waits the shorter.
+		// The answer to a duplicate does not prove that the worker receives this node's
+		// answers, so it is not recorded. If the duplicate overtook the original, the
+		// worker's lease looks shorter than it is, which only raises its priority.
 		n.lastAnswered.Record(who.Machine, time.Now())
 	}
 	if n.workerConnsFull() {
-		// It needs a connection for its report only. Sockets that workers keep
-		// are missed by this node's own calls.
+		// A worker needs a connection only while it sends a heartbeat; idle ones
+		// would use up the sockets that this node needs for its own requests.
 		w.Header().Set("Connection", "close")
 	}
 	writeAnswer(w, a)
 }
 
-// workerLeaseLeft is how many seconds a worker's lease has left, as far as is known
-// here; agoS is what another node knows of its last answer, negative for
-// nothing. Of one that nobody knows the worst is assumed.
+// workerLeaseLeft estimates how many seconds are left of a worker's lease, from the most
+// recent answer that this node knows of. agoS is the age of the last answer as another
+// node knows it, negative if it does not. A worker without a known answer counts as
+// having nothing left, so that it is served first.
 func (n *Node) workerLeaseLeft(machine string, agoS float64) float64 {
 	if ago, ok := n.lastAnswered.Since(machine, time.Now()); ok && (agoS < 0 || ago.Seconds() < agoS) {
 		agoS = ago.Seconds()
@@ -79,12 +81,12 @@
 	return newAnswer(http.StatusMisdirectedRequest, wire.Redirect{Leader: leader}, 0)
 }
 
-// answerOrForward serves a worker's report: here if this node leads, and otherwise by
-// passing it on to the leader, or by naming the node where the worker belongs.
+// answerOrForward serves a heartbeat: it answers it if this node leads, and otherwise
+// forwards it to the leader or redirects the worker to another node.
 func (n *Node) answerOrForward(ctx context.Context, who heartbeatHeader, body []byte) peerrpc.Answer {
 	machine := who.Machine
 	if l := n.activeLeadership(); l != nil && l.lease.Valid() {
-		if l.isCurrent(who) { // nobody is moved by a late copy
+		if l.isCurrent(who) { // a delayed duplicate must not redirect its worker
 			if to := n.routeAsLeader(machine); to != "" {
 				n.recordRedirect(machine, to)
 				return redirectTo(to)
@@ -107,15 +109,16 @@
 	return n.forwardHeartbeat(ctx, machine, leader, body)
 }
 
-// isCurrent says whether a report is not older than what is known of its worker.
+// isCurrent reports whether a heartbeat is newer than the last one that the model has
+// applied for its worker.
 func (l *leadership) isCurrent(who heartbeatHeader) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.model.IsNewerHeartbeat(who.Machine, who.Session, who.Seq)
 }
 
-// answeredRecently says whether a worker was answered here so lately that a move which
-// fails does not bring its lease near its end.
+// answeredRecently reports whether this node answered a worker so recently that its
+// lease survives a redirect which fails.
 func (n *Node) answeredRecently(machine string) bool {
 	w := n.cfg.Cluster.Workers
 	ago, ok := n.lastAnswered.Since(machine, time.Now())
--- a/controller/heartbeat_forwarding.go
+++ b/controller/heartbeat_forwarding.go
@@ -9,9 +9,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// forwardHeartbeat passes a report on to the leader. What comes back is the leader's own
-// answer with its token: a 200 is the leader's, given while it was sure of its
-// lease, and everything else is a 503 here.
+// forwardHeartbeat forwards a heartbeat to the leader and relays the answer. A 200 renews
+// the worker's lease, so it is only ever the leader's own, given under a valid leader
+// lease and with its fencing token. Everything else becomes a redirect to the leader or
+// a 503.
 func (n *Node) forwardHeartbeat(ctx context.Context, machine, leader string, body []byte) peerrpc.Answer {
 	lane := n.peerStream(leader)
 	if lane == nil {
@@ -32,9 +33,9 @@
 		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "the leader is not reached"}, 1)
 	}
 	if a.Status == http.StatusMisdirectedRequest && !n.workerHistory(machine).ReturnedFrom(leader) {
-		// It was elected and has not read the records yet. Refused here, the worker would
-		// go on to the next node, which may be the one that has ended, and lose seconds of
-		// its lease to that; at the leader its report waits until that is ready.
+		// The leader has been elected but is still loading its records. After a 503 the
+		// worker would try the next node, possibly the failed old leader, and lose
+		// seconds of its lease. At the leader itself, its heartbeat waits for the load.
 		n.recordRedirect(machine, leader)
 		return redirectTo(leader)
 	}
@@ -45,16 +46,17 @@
 	return a
 }
 
-// HandleHeartbeat implements peerrpc.Handler: a report that another node received.
+// HandleHeartbeat implements peerrpc.Handler: it answers a heartbeat that a follower
+// forwards.
 func (n *Node) HandleHeartbeat(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
 	if !n.isLeader() {
-		// Sent away, the worker would come back in a second, by way of another
-		// node, and so would all others.
+		// Wait for an election in progress: an immediate refusal would make every
+		// worker retry within a second through another node, all at the same time.
 		n.awaitLeader(ctx)
 	}
 	l := n.activeLeadership()
 	if l == nil {
-		return redirectTo("") // it has not read the records yet, or leads no more
+		return redirectTo("") // the records are not loaded yet, or leadership was lost
 	}
 	return l.answerHeartbeat(ctx, r.Body, r.SinceAnswerS, r.From)
 }
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -12,9 +12,9 @@
 
 // This file makes the leader's responses to heartbeats.
 
-// answerHeartbeat answers a worker. agoS is how long ago the node that passes the report
-// on last had an answer for it, negative if that is not known; via is the node that
-// it came to.
+// answerHeartbeat applies a heartbeat and answers it as the leader. via is the node that
+// received it from the worker, and agoS the seconds since that node last relayed an
+// answer to the worker, negative if it does not know.
 func (l *leadership) answerHeartbeat(ctx context.Context, body []byte, agoS float64, via string) peerrpc.Answer {
 	unsure := newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "not sure of leading"}, 1)
 	if !l.lease.Valid() {
@@ -51,7 +51,9 @@
 	if mc != nil {
 		l.model.ObserveReceivingNode(mc, via, now)
 		if via == l.node.cfg.Node {
-			l.lastDirectHeartbeat = now // a late copy shows nothing of whether workers reach this node
+			// Only a new heartbeat counts: a delayed duplicate does not prove that
+			// workers can reach this node now.
+			l.lastDirectHeartbeat = now
 		}
 	}
 	l.heartbeatLimiter.Release()
@@ -60,8 +62,9 @@
 		l.awaitSchedulingPass()
 		mc.HeldAnswers--
 	}
-	// The lease is looked at last: the answer counts from here. A worker that
-	// has sent another report meanwhile waits for this answer no more.
+	// Check the leader lease as late as possible: the model counts the worker's lease
+	// from this answer. A worker that has sent a newer heartbeat while this one waited
+	// no longer waits for this answer.
 	if mc == nil || mc.Seq != r.Seq || mc.AgentEpoch != r.Session || !l.lease.Valid() {
 		l.mu.Unlock()
 		return unsure
@@ -73,7 +76,8 @@
 	return l.commandResponse(cmds)
 }
 
-// commandResponse is the answer of a leader that was sure of its lease when it made them.
+// commandResponse makes the 200 response that carries cmds. The caller must have checked
+// the leader lease when it made them.
 func (l *leadership) commandResponse(cmds []wire.Command) peerrpc.Answer {
 	if cmds == nil {
 		cmds = []wire.Command{}
@@ -81,16 +85,17 @@
 	return newAnswer(http.StatusOK, wire.ReportAnswer{Token: l.lease.FencingToken, Commands: cmds}, 0)
 }
 
-// maxResponseDelay is how long an answer waits for what is to follow from its report.
-// It is worth the more the longer the worker's next report takes to come; a
-// worker gives an answer up after 4 s.
+// maxResponseDelay is how long an answer may be delayed so that it can carry launches
+// for the resources that its heartbeat has freed. Waiting pays off more where the next
+// heartbeat is further away. Workers time out after 4 s.
 func (l *leadership) maxResponseDelay() time.Duration {
 	return config.Seconds(min(max(0.4, l.node.cfg.Cluster.Workers.ReportS/4), 1.5))
 }
 
-// awaitSchedulingPass holds an answer back until room that the report has freed is given
-// out and recorded, so that the launch goes with this answer and not with that
-// to the next report. The lock is held before and after, not meanwhile.
+// awaitSchedulingPass delays an answer, for maxResponseDelay at most, until a scheduling
+// pass has used the resources that the heartbeat freed and its placements are committed.
+// The launch then goes out with this answer instead of the next one, a heartbeat interval
+// later. The caller holds l.mu, which is released during the wait.
 func (l *leadership) awaitSchedulingPass() {
 	target := l.passCount + 1
 	timer := time.NewTimer(l.maxResponseDelay())
@@ -112,7 +117,8 @@
 	}
 }
 
-// broadcastProgress wakes those who wait for a pass or a batch; the lock is held.
+// broadcastProgress wakes everyone who waits for a scheduling pass or a commit to end.
+// The caller holds l.mu.
 func (l *leadership) broadcastProgress() {
 	close(l.progress)
 	l.progress = make(chan struct{})
--- a/controller/job_events.go
+++ b/controller/job_events.go
@@ -16,10 +16,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// applyEvents takes changes of the active records in. Each once: a watch and a
-// barrier may bring the same. Where a page of jobs can't be read, ok is false and
-// nothing is taken in: its jobs would seem to be cancelled. The next leader mends
-// it before it leads.
+// applyEvents applies changes of the active records to the model, each one once although
+// the watch and a read barrier may both deliver it. If a page of jobs can't be read, it
+// applies no page, because jobs of the unreadable one would look cancelled, resigns and
+// returns false; the next leader repairs the page before it becomes active.
 func (l *leadership) applyEvents(ev wire.Events) (ok bool) {
 	now := time.Now()
 	l.mu.Lock()
@@ -38,7 +38,7 @@
 		}
 		l.applyJobEvent(e, now)
 	}
-	// Together, since a job may have moved from one to another.
+	// All pages at once, since a job may have moved from one to another.
 	l.model.PutAdmissionPages(slices.Collect(maps.Values(pages)), now)
 	l.appliedRevision = max(l.appliedRevision, ev.Revision)
 	wake(l.schedulerWake)
@@ -46,8 +46,7 @@
 	return true
 }
 
-// applyJobEvent takes in a change of a record that holds one job. The caller holds
-// the lock.
+// applyJobEvent applies a change of a record that holds a single job. The caller holds l.mu.
 func (l *leadership) applyJobEvent(e wire.Event, now time.Time) {
 	if e.Delete != "" {
 		id, ok := jobstore.ParseJobKey(e.Delete)
@@ -73,7 +72,8 @@
 	l.recentUserChanges = append(l.recentUserChanges, now)
 }
 
-// applyIntakePage takes a change of a page of users' jobs in; false where it can't be read.
+// applyIntakePage adds a change of an admission page to pages. It returns false if the page
+// can't be read.
 func (l *leadership) applyIntakePage(pages map[string]cluster.AdmissionPage, e wire.Event) bool {
 	key := e.Put + e.Delete
 	pg := cluster.AdmissionPage{Key: key, Version: e.Version}
@@ -100,7 +100,7 @@
 	return l.appliedRevision
 }
 
-// barrier brings the model up to date.
+// barrier applies to the model all changes that were committed before the call.
 func (l *leadership) barrier(ctx context.Context) error {
 	select {
 	case l.barrierSlot <- struct{}{}:
@@ -119,9 +119,9 @@
 	return nil
 }
 
-// readBarrier implements election.Config.ReadBarrier: a leader counts as sure of its
-// lease only with knowledge as fresh as the renewal, so that it tells no
-// worker to go on with a job that was cancelled long ago.
+// readBarrier implements election.Config.ReadBarrier: a lease counts as valid only if the
+// model is as recent as its renewal, so that the leader does not renew workers' leases for
+// tasks of jobs that were cancelled long ago.
 func (n *Node) readBarrier(ctx context.Context, t *election.Lease) error {
 	l := n.activeLeadership()
 	if l == nil || l.lease != t {
--- a/controller/leader_monitor.go
+++ b/controller/leader_monitor.go
@@ -55,12 +55,12 @@
 }
 
 // leaderWaitTimeout is how long a worker's heartbeat waits for a leader to be known. The
-// worker gives up after 4 s; sent away, it would go on to whichever node is
-// next, and wait for one that stands still as long as for an answer.
+// worker times out after 4 s. Refused earlier, it would try the next node, and lose the
+// whole timeout if that node is paused.
 const leaderWaitTimeout = 2500 * time.Millisecond
 
-// awaitLeader waits until a leader is known that is not suspected; "" where there
-// is none in time.
+// awaitLeader waits until a leader is known that is not suspected to be down. It returns ""
+// if there is none within leaderWaitTimeout.
 func (n *Node) awaitLeader(ctx context.Context) string {
 	ctx, cancel := context.WithTimeout(ctx, leaderWaitTimeout)
 	defer cancel()
@@ -68,9 +68,8 @@
 		n.mu.Lock()
 		news := n.leaderChanged
 		n.mu.Unlock()
-		// This node, once elected, still has to read the records and to be sure
-		// of its lease; sent on from here, a worker may well come upon a node
-		// that stands still.
+		// If this node was elected, wait until its records are loaded and its lease is
+		// valid: a worker redirected meanwhile may end up at a paused node.
 		if name := n.elector.Leader(); name != "" && !n.leaderDetector.Suspected(name) && (name != n.cfg.Node || n.isLeader()) {
 			return name
 		}
@@ -85,9 +84,9 @@
 	}
 }
 
-// isolated says whether this node reaches neither the state service nor any other
-// node: of a leader it will learn nothing, and who waits here loses that much of
-// its lease. Workers that still reach it had better ask another.
+// isolated reports whether this node reaches neither the key-value store nor any other
+// node. It can't learn of a leader then, so that workers should try another node rather
+// than wait here and lose that much of their leases.
 func (n *Node) isolated() bool {
 	if len(n.peers) == 0 || n.kvReachable() {
 		return false
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -14,35 +14,36 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// leadership is one term of this node as the leader: the model, and the loops that
-// feed, advance and write it. It exists from the election until the lease is lost
-// or given up, and is never used again: the next term loads anew.
+// leadership is one term of this node as the leader: the model, and the loops that apply
+// events to it, run scheduling passes on it and commit its changes. It exists from the
+// election until the lease is lost or resigned. The next term starts with a new one and
+// loads the records again, since another leader may have changed them.
 type leadership struct {
 	node  *Node
 	lease *election.Lease
 	log   *slog.Logger
 
-	// Wake-up signals of the loops, each with room for one: many causes between two
-	// rounds are one reason to run.
+	// Wake-up signals of the loops, with a buffer of one: several signals between two
+	// iterations cause a single iteration.
 	schedulerWake chan struct{}
 	committerWake chan struct{}
 	schemaWake    chan struct{}
 	planCheckWake chan struct{}
 
-	// Semaphores: a place is taken by sending.
+	// Semaphores: sending acquires a slot, receiving releases it.
 	stopSlots   chan struct{} // direct stops in progress
 	wakeUpSlots chan struct{} // wake-ups in progress
 	barrierSlot chan struct{} // the one read barrier in progress
 
 	heartbeatLimiter *admission.PriorityLimiter
 
-	rentalRequests int // names of scale-out requests given so far; the scaler's own
+	rentalRequests int // counts scale-out requests, to name them; used by the scaler only
 
 	mu                  sync.Mutex // guards all that follows, the whole model included
 	model               *cluster.Model
-	appliedRevision     uint64                // every change up to it is in the model
-	wantedMachines      map[cluster.Offer]int // by the last scheduling pass
-	scalingOut          bool                  // wantedMachines are being rented
+	appliedRevision     uint64                // every stored change up to it is in the model
+	wantedMachines      map[cluster.Offer]int // that the last scheduling pass wants rented
+	scalingOut          bool                  // a scale-out for wantedMachines is in progress
 	passCount           uint64                // scheduling passes so far
 	committing          bool                  // a batch is being committed
 	progress            chan struct{}         // closed and replaced when a pass or a commit ends
@@ -52,14 +53,15 @@
 }
 
 const (
-	// concurrentHeartbeats is how many heartbeats a leader works on at once: they
-	// take turns at the model anyway, and those beyond wait in the order of their leases.
+	// concurrentHeartbeats is how many heartbeats a leader processes at once. The model's
+	// lock serializes them anyway; the others wait in heartbeatLimiter, where the worker
+	// whose lease expires first goes first.
 	concurrentHeartbeats = 4
-	// directStopsAtOnce bounds direct stops in progress; what finds no place goes with
-	// the response to the worker's next heartbeat.
+	// directStopsAtOnce bounds direct stops in progress. A stop that finds no free slot
+	// goes out with the response to the worker's next heartbeat.
 	directStopsAtOnce = 16
-	// abstainOnNewerSchema is for how long a node that can't read the records leaves
-	// the election to nodes that may.
+	// abstainOnNewerSchema is how long a node that can't read the stored schema stays out
+	// of the election, so that a node with a newer program can win it.
 	abstainOnNewerSchema = 20 * time.Second
 	// loadRetryDelay is the pause between two attempts to load the records.
 	loadRetryDelay = 300 * time.Millisecond
@@ -103,8 +105,9 @@
 	return nil
 }
 
-// loadWithRetry loads the records until it succeeds, ctx ends, or the records turn
-// out to be of a newer schema: then this node leaves the leadership to others.
+// loadWithRetry retries loading the records until it succeeds or ctx ends. If their
+// schema is newer than this program reads, retrying can't help: the node resigns and
+// abstains from the election for a while.
 func (l *leadership) loadWithRetry(ctx context.Context) error {
 	for {
 		err := l.loadModel(ctx)
@@ -124,8 +127,8 @@
 	}
 }
 
-// activate makes the leadership the node's, and hands it what the node has learnt
-// while the records were read.
+// activate makes this the node's active leadership, and applies the machine types and
+// the operators' plan that the node has received while the records were loading.
 func (l *leadership) activate() {
 	n := l.node
 	n.mu.Lock()
@@ -144,8 +147,8 @@
 	l.node.active = nil
 }
 
-// runLoops runs everything that a leader does beside answering, and waits until all
-// of it has ended.
+// runLoops runs the leader's background loops until ctx ends, and waits for all of them,
+// so that none outlives its leadership.
 func (l *leadership) runLoops(ctx context.Context) {
 	loops := []func(context.Context){
 		l.followJobs,
--- a/controller/load.go
+++ b/controller/load.go
@@ -13,8 +13,8 @@
 
 // This file rebuilds the model from what earlier leaders have committed.
 
-// rentalMemory is for how long a recorded scale-out is taken for machines on their
-// way: after that the cloud's list has them, or they never came.
+// rentalMemory is how long a recorded scale-out is assumed to be still in progress: after
+// that its machines are in the cloud's list, or were never rented.
 const rentalMemory = 2 * time.Minute
 
 // storedRecords are all records that a new leader reads.
@@ -28,8 +28,8 @@
 	operatorPlan    cluster.Plan
 }
 
-// loadModel reads the records, repairs what can be, and builds the model of this
-// leadership. The read barrier at the end takes in what has changed since.
+// loadModel reads the stored records, repairs unreadable ones where it can, and builds the
+// model of this leadership. The read barrier at its end applies what has changed since.
 func (l *leadership) loadModel(ctx context.Context) error {
 	records, err := l.readRecords(ctx)
 	if err != nil {
@@ -94,8 +94,8 @@
 	return m
 }
 
-// loadRebalanceCycles takes in the moves under way. A record that can't be read
-// costs the moves, not the tasks: these stay where they are.
+// loadRebalanceCycles loads the rebalancing moves in progress. If a record can't be read,
+// its moves are dropped, and the tasks stay where they are.
 func (l *leadership) loadRebalanceCycles(m *cluster.Model, entries []wire.Entry, now time.Time) {
 	for _, it := range entries {
 		var rec jobstore.RebalanceCycle
@@ -107,8 +107,8 @@
 	}
 }
 
-// loadScaleOuts takes in the machines that were rented a moment ago, so that they are
-// not rented again.
+// loadScaleOuts loads the machines that were rented recently, so that they are not rented
+// again.
 func (l *leadership) loadScaleOuts(m *cluster.Model, entries []wire.Entry, now time.Time) {
 	for _, it := range entries {
 		var rec jobstore.ScaleOutRecord
@@ -122,8 +122,8 @@
 	}
 }
 
-// loadScaleIn takes in the machines that the last leader was returning: the cloud may
-// delete them at any moment, and nothing may be placed there.
+// loadScaleIn loads the machines whose deletion the last leader requested: the cloud may
+// delete them at any moment, so that nothing must be placed on them.
 func (l *leadership) loadScaleIn(m *cluster.Model, entry wire.Entry, now time.Time) {
 	if entry.Version == 0 {
 		return
@@ -135,8 +135,8 @@
 	m.ResumeScaleIn(rec.Machines, now)
 }
 
-// loadJobs takes in the jobs that are not over, and quarantines records that can't
-// be read: the rest of the cluster goes on without them.
+// loadJobs loads the jobs that are not over. Unreadable records are quarantined and do not
+// keep the rest of the cluster from being loaded.
 func loadJobs(m *cluster.Model, items []wire.Entry, now time.Time) error {
 	var pages []cluster.AdmissionPage
 	for _, it := range items {
@@ -191,8 +191,8 @@
 	return page, false
 }
 
-// loadPlacements takes in where tasks may be, also those of jobs that are over: they
-// count against quotas until they are known to be gone.
+// loadPlacements loads the placements of tasks, including those of jobs that are over,
+// which count against quotas until the tasks are proved gone.
 func loadPlacements(ctx context.Context, st *kvstore.Client, m *cluster.Model, items []wire.Entry, now time.Time) error {
 	for _, it := range items {
 		n, ok := jobstore.ParsePlacementPageKey(it.Key)
@@ -217,7 +217,7 @@
 	return nil
 }
 
-// loadFinishedJob takes in a job that is over while its tasks may still be somewhere.
+// loadFinishedJob loads a job that is over but of which tasks may still be on machines.
 func loadFinishedJob(ctx context.Context, st *kvstore.Client, m *cluster.Model, id string) error {
 	e, err := st.Get(ctx, jobstore.FinalKey(id))
 	if err != nil {
--- a/controller/node.go
+++ b/controller/node.go
@@ -2,14 +2,14 @@
 // (package cluster) and the typed stores with sockets, clocks and goroutines, and
 // is the only package that does.
 //
-// A Node serves users (users.go), workers (heartbeat.go), operators (status.go),
+// A Node serves users (users.go), workers (heartbeat.go), operators (operators.go),
 // YARN clients (yarn.go) and other controllers (the methods that implement
 // peerrpc.Handler). It takes part in the election, and while it is elected it
 // has a leadership, which owns the cluster.Model: loaded at a failover (load.go),
 // kept up to date from the watch (job_events.go), advanced by the scheduler
-// (scheduler.go), written behind to the key-value store (committer.go), and told to
-// workers in responses to their heartbeats (heartbeat_response.go) and by direct
-// commands (direct_commands.go). A follower forwards heartbeats to the leader or
+// (scheduler.go) and written behind to the key-value store (committer.go). Its commands
+// reach workers in responses to their heartbeats (heartbeat_response.go) and directly
+// (direct_commands.go). A follower forwards heartbeats to the leader or
 // redirects workers to it (worker_routing.go, heartbeat_forwarding.go), and watches
 // whether it responds (leader_monitor.go).
 //
@@ -116,8 +116,8 @@
 }
 
 const (
-	// userRateShare is the part of what the state service takes that is left to
-	// users' requests of all nodes when there are too many, beside the leader's.
+	// userRateShare is the share of the key-value store's request rate that users'
+	// requests of all nodes together may take; the rest is for the leader.
 	userRateShare = 0.5
 	// barrierRateShare is how many requests of a node's there may be for each
 	// barrier: submissions and final states need theirs.
--- a/controller/peer_recovery.go
+++ b/controller/peer_recovery.go
@@ -18,12 +18,12 @@
 
 const (
 	// repairRetryInterval is how often a leader asks again for copies of records that
-	// it could not repair: the controller that has one may have been away.
+	// it could not repair: a controller that has one may have been unreachable.
 	repairRetryInterval = 5 * time.Second
-	// peerRecoveryTimeout bounds one question to all controllers.
+	// peerRecoveryTimeout bounds one request for a copy to all controllers.
 	peerRecoveryTimeout = 2 * time.Second
-	// maxRecoveredCopies bounds the copies that are kept for the next leader, and the
-	// reports of unreadable records that wait to be looked at.
+	// maxRecoveredCopies bounds the copies that are preserved for the next leader, and
+	// the unreadable records reported by peers that wait to be processed.
 	maxRecoveredCopies = 16
 	// maxRepairAttempts bounds the memory of records for which this node has resigned.
 	maxRepairAttempts = 64 * maxRecoveredCopies
@@ -113,8 +113,8 @@
 	return !before
 }
 
-// noteUnreadable takes in that a peer can't read a record. Only a leader may know its
-// value still and can do something about it.
+// noteUnreadable records that a peer can't read a record. Only a leader may still have its
+// value in memory and can repair it.
 func (n *Node) noteUnreadable(key string, version uint64) {
 	if n.activeLeadership() == nil {
 		return
@@ -168,10 +168,10 @@
 	}
 }
 
-// retryRepairs looks for copies of records that could not be repaired when this
-// leader took over, and for records that peers can't read and this leader knows.
-// Where there is one it resigns, once for each record, so that the next leader begins
-// with the repair: jobs must not change under a leader that is at work.
+// retryRepairs looks for copies of records that could not be repaired when this leader
+// was elected, and for records that peers can't read but this leader has in memory. If it
+// finds one it resigns, once for each record, because records are only repaired during the
+// load of a new leader: jobs must not be restored under an active leader.
 func (l *leadership) retryRepairs(ctx context.Context) {
 	for call.Pause(ctx, repairRetryInterval) {
 		reported, unrepaired := l.node.repairs.takePending()
--- a/controller/plan_check.go
+++ b/controller/plan_check.go
@@ -24,10 +24,10 @@
 	planCheckRateShare = 0.03
 )
 
-// runPlanCheck sends out the stops that rest on the operators' plan once the store
-// has confirmed that the plan by which they were decided is in force: a leader that
-// has not heard of a newer plan must stop nobody by the old one. All stops that wait
-// go with one request.
+// runPlanCheck releases the stops that depend on the operators' plan once the store has
+// confirmed that the plan by which they were decided is still in force: a leader that has
+// missed a newer plan must not preempt tasks by the old one. One request confirms all stops
+// that are held.
 func (l *leadership) runPlanCheck(ctx context.Context) {
 	limiter := rate.NewLimiter(rate.Limit(min(max(2, planCheckRateShare*l.node.cfg.Cluster.State.RPS), 10)), 2)
 	for {
@@ -70,7 +70,7 @@
 	b := l.model.PlanCheckBatch()
 	l.mu.Unlock()
 	if b == nil {
-		return true // a transaction took them along
+		return true // a commit has released them in the meantime
 	}
 	if !l.commitBatch(ctx, b) {
 		return false
@@ -79,8 +79,8 @@
 	return true
 }
 
-// dropSupersededPlan is for a leader that has learnt that another plan is in force than the
-// one it decides by: nobody is stopped by that one, and the newer is read.
+// dropSupersededPlan handles the discovery that another plan is in force than the one in the
+// model: the stops that were held for the latter are dropped, and the current plan is read.
 func (l *leadership) dropSupersededPlan(ctx context.Context) {
 	l.mu.Lock()
 	l.model.DropHeldStops()
@@ -94,7 +94,7 @@
 	return errors.As(err, &c) && slices.Contains(c.FailedKeys, key)
 }
 
-// rebalancingRejected is for a record of moves that was not committed.
+// rebalancingRejected handles the failure to commit a rebalance cycle record.
 func (l *leadership) rebalancingRejected(ctx context.Context, group string, err error) {
 	l.log.Debug("rebalancing record not committed", "group", group, "err", err)
 	if conflictsOn(err, jobstore.PlanHeadKey) {
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -14,12 +14,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file repairs stored records that can't be read, before a leader leads.
-// docs/jobstore.md ("Mending") argues why no interleaving loses a job or accepts one
-// twice.
+// This file repairs stored records that can't be read, while a new leader loads them and
+// before it becomes active. docs/jobstore.md ("Repair") argues why no interleaving loses
+// a job or accepts one twice.
 
-// repairAttempts is how often a new leader lists the records again after a repair, or
-// after another controller has changed the same records.
+// repairAttempts is how often a new leader lists the records at most. It lists them again
+// after each repair, and after a repair that conflicted with another controller's change.
 const repairAttempts = 4
 
 // repairer repairs one listing of the active records. Every write is conditional on
@@ -30,11 +30,11 @@
 	limits        jobstore.Limits
 	controllers   int
 	findCopy      func(ctx context.Context, record, original recordVersion) *jobstore.RecoveryCopy
-	schemaVersion func(ctx context.Context) (int, error) // that records are to be written in
+	schemaVersion func(ctx context.Context) (int, error) // the schema to write if it can't be recovered
 	log           *slog.Logger
 
-	entries    map[string]wire.Entry       // as listed, and as changed since
-	pages      map[string]jobstore.JobPage // the pages of jobs among them that can be read
+	entries    map[string]wire.Entry       // as listed, updated by each commit
+	pages      map[string]jobstore.JobPage // the readable job pages among entries
 	unrepaired []unrepairedRecord
 	changed    bool
 }
@@ -49,7 +49,8 @@
 	}
 }
 
-// listRepaired lists all active records after it has repaired what can be repaired.
+// listRepaired lists all active records after repairing those that can be repaired. The
+// listing that it returns was made after the last repair.
 func (l *leadership) listRepaired(ctx context.Context) (entries []wire.Entry, revision uint64, err error) {
 	for range repairAttempts {
 		if entries, revision, err = l.node.kv.List(ctx, jobstore.ActivePrefix); err != nil {
@@ -129,7 +130,8 @@
 	return nil
 }
 
-// repairJob writes a controller's copy of a job's own record in its place.
+// repairJob replaces an unreadable job record by the copy that some controller still has
+// in memory, if there is one.
 func (r *repairer) repairJob(ctx context.Context, id string, e wire.Entry) error {
 	if isJobRecord(id, e.Value) {
 		return nil
@@ -152,8 +154,8 @@
 	return err == nil
 }
 
-// repairYARNApp writes a controller's copy of a record of the YARN interface in its
-// place.
+// repairYARNApp replaces an unreadable record of the YARN interface by the copy that some
+// controller still has in memory, if there is one.
 func (r *repairer) repairYARNApp(ctx context.Context, e wire.Entry) error {
 	if jobstore.IsAppValue(e.Value) {
 		return nil
@@ -187,8 +189,8 @@
 		wire.Op{Put: jobstore.SchemaKey, Value: schema}, wire.Op{Put: jobstore.SchemaCopyKey, Value: schema})
 }
 
-// recoverSchema returns the schema as a controller knows it, as its stored copy says,
-// or else as the records themselves show.
+// recoverSchema returns the schema from the first source that has it: a controller's
+// memory, the stored copy, or an inference from the other records.
 func (r *repairer) recoverSchema(ctx context.Context, e wire.Entry) (jobstore.SchemaRecord, error) {
 	if copied := r.findCopy(ctx, recordVersion{e.Key, e.Version}, recordVersion{}); copied != nil {
 		if schema, err := jobstore.DecodeSchema(copied.Value); err == nil {
@@ -202,7 +204,8 @@
 	if schema, err := jobstore.DecodeSchema(stored.Value); err == nil {
 		return schema, nil
 	}
-	// A program that writes a newer schema has written the copy as well.
+	// Without a readable copy the schema is not newer than this program's: any program
+	// with a newer schema also writes the copy.
 	version, err := r.schemaVersion(ctx)
 	if err != nil {
 		return jobstore.SchemaRecord{}, err
@@ -224,7 +227,7 @@
 	if !already {
 		bucket, sequence, ok := jobstore.ParseJobPageKey(e.Key)
 		if !ok {
-			return nil // no page of this program's
+			return nil // not a key of a job page
 		}
 		quarantined = jobstore.NewQuarantinedPage(e.Key, e.Version, time.Now().UnixMilli(), e.Value, r.limits)
 		r.log.Error("unreadable job page quarantined", "key", e.Key, "version", e.Version, "recoverable", copied != nil)
@@ -240,11 +243,11 @@
 	return r.restoreJobs(ctx, key, quarantined, copied.Entries)
 }
 
-// quarantine puts a page's quarantined form in the store and returns its key. A sealed
-// page keeps its key. A bucket's head, which has no sequence number, moves to the key of
-// a sealed page, and an empty, closed head takes its place: that number is above all
-// that there are, so that no page is written over, and the page is put before the head,
-// so that readers meet it first.
+// quarantine stores the quarantined form of a page and returns its key. A sealed page
+// keeps its key. A bucket's head page, which has no sequence number, moves to the key of
+// a new sealed page and is replaced by an empty, closed head. The new sequence number is
+// above all existing ones, so that no page is overwritten. The page comes before the head
+// in the transaction, so that readers of the change see it first.
 func (r *repairer) quarantine(ctx context.Context, e wire.Entry, bucket int, sequence uint64, page jobstore.QuarantinedPage) (key string, err error) {
 	if sequence > 0 {
 		return e.Key, r.commit(ctx, guardOf(e), wire.Op{Put: e.Key, Value: page})
@@ -266,7 +269,8 @@
 	return highest
 }
 
-// hasReadableRecord tells whether a job has a readable record elsewhere.
+// hasReadableRecord reports whether a job has a record of its own or an entry on a
+// readable page, so that it need not be restored.
 func (r *repairer) hasReadableRecord(id string) bool {
 	if _, ok := r.entries[jobstore.JobKey(id)]; ok {
 		return true
@@ -281,10 +285,11 @@
 	return false
 }
 
-// restoreJobs moves the jobs of a quarantined page to readable pages, as many at a time
-// as fit a transaction with each job's conditions: it is not over, and it has not been
-// accepted again meanwhile. Every transaction changes the quarantined page, since
-// whoever cancels one of its jobs has that page's version as the condition.
+// restoreJobs moves the jobs of a quarantined page to new readable pages, in batches that
+// fit into a transaction. Two conditions per job ensure that it has neither ended nor been
+// accepted again in the meantime. Every transaction also changes the quarantined page:
+// cancelling one of its jobs is conditional on the version of that page, and must conflict
+// with a restore.
 func (r *repairer) restoreJobs(ctx context.Context, key string, quarantined jobstore.QuarantinedPage, jobs []jobstore.JobPageEntry) error {
 	batchSize := (4*r.limits.TxnOps - 3) / 2
 	var rest []jobstore.JobPageEntry
@@ -316,8 +321,8 @@
 	}
 }
 
-// restoreBatch commits one batch together with the change that ends it: that of the
-// quarantined page.
+// restoreBatch commits one batch of restored jobs, if there are any, on a new sealed page,
+// together with pageChange, the update or deletion of the quarantined page.
 func (r *repairer) restoreBatch(ctx context.Context, key string, batch []jobstore.JobPageEntry, pageChange wire.Op) error {
 	bucket, _, _ := jobstore.ParseJobPageKey(key)
 	headKey := jobstore.HeadPageKey(bucket)
@@ -336,8 +341,8 @@
 	return r.commit(ctx, guards, append(ops, pageChange)...)
 }
 
-// withoutConflicts returns the jobs whose own conditions a transaction did not fail
-// for: the others are over, or were accepted again.
+// withoutConflicts removes the jobs whose own conditions made a transaction fail: they
+// have ended or were accepted again, and need no restoring.
 func withoutConflicts(jobs []jobstore.JobPageEntry, err error) []jobstore.JobPageEntry {
 	var conflict *kvstore.ConflictError
 	if !errors.As(err, &conflict) {
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// scaleIn returns machines. Their names are committed first: between the look
-// at the lease and the cloud's act may lie a minute, in which another leader has
-// begun and placed tasks on them, unless it reads here that they go.
+// scaleIn deletes machines. Their names are committed first, because the cloud may carry
+// the deletion out long after the leader lease was last checked: a leader elected in the
+// meantime would place tasks on these machines if it did not find the record.
 func (l *leadership) scaleIn(ctx context.Context, names []string) {
 	if err := l.putOwnRecord(ctx, jobstore.ScaleInKey, jobstore.ScaleInRecord{Machines: names}); err != nil {
 		l.log.Debug("scale-in record not committed", "err", err)
@@ -79,8 +79,8 @@
 	wake(l.committerWake)
 }
 
-// scaleOut asks for what the last pass wanted. The request's name is recorded
-// before the call and never used again.
+// scaleOut rents the machines that the last scheduling pass wanted. The name of each request
+// is committed before it is sent and never reused, so that sending it again is idempotent.
 func (l *leadership) scaleOut(ctx context.Context) {
 	l.mu.Lock()
 	wants := l.wantedMachines
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -13,8 +13,8 @@
 // This file runs the scheduling passes of a leader.
 
 const (
-	// passInterval is how often a pass runs when nothing asks for one: time alone
-	// changes what is to be done, by leases and deadlines.
+	// passInterval is the time between passes without an event: decisions also depend on
+	// time alone, through leases and deadlines.
 	passInterval = 500 * time.Millisecond
 	// minPassDelay is the least pause after a pass, so that a burst of changes is
 	// served by one.
@@ -72,7 +72,7 @@
 	l.model.Tick(now)
 	rentalsInProgress := 0
 	if l.scalingOut {
-		rentalsInProgress = math.MaxInt32 // how many will come is not known: none is asked for
+		rentalsInProgress = math.MaxInt32 // their outcome is not known yet, so request no more
 	}
 	decision := l.model.Schedule(now, rentalsInProgress)
 	l.passCount++
@@ -85,8 +85,8 @@
 		result.moves = l.model.PlanMoves(decision.Unplaced, now)
 		l.model.LogUtilization(decision.Unplaced, now)
 	}
-	// The larger the cluster, the longer a pass: heartbeats, renewals and users get
-	// most of the processor even so.
+	// Passes take longer in larger clusters. A delay in proportion leaves most of the
+	// CPU time to heartbeats, lease renewals and users' requests.
 	took := time.Since(now)
 	l.node.metrics.Pass(took.Seconds())
 	result.delay = max(minPassDelay+time.Duration(len(l.model.Machines))*passDelayPerMachine, passIdleFactor*took)
@@ -105,20 +105,21 @@
 }
 
 const (
-	// passIdleFactor is how many times as long as a pass the leader does other things.
+	// passIdleFactor is the least delay after a pass, as a multiple of the pass's duration.
 	passIdleFactor = 3
-	// passDelayPerMachine is how much longer it does for each machine that it knows, however
-	// fast its processor is: at 2,000 machines 25 passes a second were a quarter of
-	// a core, and nothing that waits minds a tenth of a second.
+	// passDelayPerMachine is the part of the least delay that grows with the number of
+	// machines. It bounds the cost of passes in a large cluster whatever the speed of the
+	// CPU (at 2,000 machines, 25 passes a second took a quarter of a core), where a tenth of
+	// a second more does not matter.
 	passDelayPerMachine = 50 * time.Microsecond
 )
 
-// abstainAfterIsolation is for how long a leader that workers did not reach leaves the
-// leadership to others.
+// abstainAfterIsolation is how long a leader that workers could not reach stays out of the
+// election.
 const abstainAfterIsolation = 20 * time.Second
 
-// workersUnreachable says whether workers that should report here do not, so that
-// another node had better lead; the lock is held.
+// workersUnreachable reports whether no worker's heartbeat has reached this node for so
+// long, although some are expected, that another node should lead. The caller holds l.mu.
 func (l *leadership) workersUnreachable(now time.Time) bool {
 	w := l.node.cfg.Cluster.Workers
 	quiet := config.Seconds(max(3*w.ReportS, w.LeaseS/4) + 2)
@@ -126,7 +127,7 @@
 	if since.Before(l.model.ElectedAt) {
 		since = l.model.ElectedAt
 	}
-	// After a stop, the workers' reports are there and have not been read yet.
+	// After a pause of the process, heartbeats that arrived during it are still unread.
 	if resumed, _ := l.node.stalls.LastStall(); since.Before(resumed) {
 		since = resumed
 	}
--- a/controller/schema.go
+++ b/controller/schema.go
@@ -37,9 +37,9 @@
 	kv           *kvstore.Client
 	leaderGuard  wire.Guard
 	peers        []*peerrpc.Peer
-	request      func() peerrpc.Request // what this node tells the peers that it asks
-	onPlanSchema func()                 // called before records may depend on a plan
-	wake         <-chan struct{}        // a plan may have been requested
+	request      func() peerrpc.Request // makes the status request sent to each peer
+	onPlanSchema func()                 // called before a schema that allows plans is committed
+	wake         <-chan struct{}        // signals that a plan may have been requested
 	log          *slog.Logger
 }
 
@@ -60,7 +60,7 @@
 	for ctx.Err() == nil {
 		done, err := m.step(ctx)
 		if done {
-			// The target rises again once somebody requests a plan.
+			// The target is raised when an operator first requests a plan.
 			select {
 			case <-ctx.Done():
 				return
@@ -79,8 +79,9 @@
 	}
 }
 
-// targetSchemaVersion returns the schema that records are to be written in. As long as
-// nobody has requested a plan, it is one that the version before reads as well.
+// targetSchemaVersion returns the schema that records are to be written in. SchemaPlans
+// is used only after an operator has requested a plan: until then the schema stays one
+// that the previous program version reads too, so that an upgrade can be rolled back.
 func targetSchemaVersion(ctx context.Context, kv *kvstore.Client) (int, error) {
 	requested, err := kv.Get(ctx, jobstore.PlanRequestedKey)
 	if err != nil {
@@ -113,7 +114,7 @@
 		}
 	}
 	if max(current.Version, target) >= jobstore.SchemaPlans {
-		m.onPlanSchema() // before the commit: its answer may be lost although it is applied
+		m.onPlanSchema() // before the commit, which may succeed although its response is lost
 	}
 	if current.Version >= target {
 		return true, m.ensureCopy(ctx, current, e.Version)
@@ -131,7 +132,7 @@
 	return true, nil
 }
 
-// checkPeers returns an error unless every peer reads a schema.
+// checkPeers returns an error unless every peer answers and reads the given schema.
 func (m *schemaMigration) checkPeers(ctx context.Context, version int) error {
 	for _, p := range m.peers {
 		status, err := p.Status(ctx, m.request())
--- a/controller/users.go
+++ b/controller/users.go
@@ -17,8 +17,8 @@
 // writes the answers. What a request does is in job_requests.go.
 
 const (
-	// userWriteTimeout is how long a submission or a cancellation may take: users give
-	// up after 5 s, and an answer later than that is none.
+	// userWriteTimeout is how long a submission or a cancellation may take, so that the
+	// response arrives before users time out after 5 s.
 	userWriteTimeout = 3500 * time.Millisecond
 	// limitRetryAfterS is after how many seconds a user is to come back whom the limit of
 	// concurrent requests has turned away.
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -14,27 +14,29 @@
 	"github.com/umberdeal/umberdeal/routing"
 )
 
-// This file keeps what package routing decides on: the leader's routing plan, which
-// nodes can forward heartbeats, and which workers were redirected where.
+// This file holds the state on which package routing, itself stateless, decides: the
+// leader's routing plan, which nodes can forward heartbeats, and which workers were
+// redirected where.
 
 const (
 	routingPlanInterval = 500 * time.Millisecond
-	// routingPlanTTL is for how long a plan or a node's question is taken for news.
+	// routingPlanTTL is how long a routing plan, or a relay's last status request, stays
+	// valid.
 	routingPlanTTL = 2500 * time.Millisecond
-	// quietAfterElection is for how long after a change of leader no worker is moved:
-	// what matters then is that each is answered.
+	// quietAfterElection is how long after a change of leader no worker is redirected to
+	// balance connections: until then, answering every worker takes precedence.
 	quietAfterElection = 10 * time.Second
-	// maxTrackedWorkers bounds what is remembered of workers that were sent away.
+	// maxTrackedWorkers bounds the memory for workers that were redirected.
 	maxTrackedWorkers = 20000
 )
 
-// Of a node's sockets: users' requests beyond a quarter are answered and
-// closed, and a fifth is kept for the node's own calls.
+// Shares of a node's sockets. Users' connections beyond userConnShare are closed after
+// their response; what connShare leaves is reserved for the node's own requests.
 const (
 	userConnShare = 0.25
 	connShare     = 0.8
-	// waitingConnShare is up to which part of its sockets a node lets reports wait for
-	// a leader: beyond it others would find none.
+	// waitingConnShare is the share up to which a node lets heartbeats wait for a leader
+	// to be elected: beyond it, waiting ones would leave no socket for new connections.
 	waitingConnShare = 0.6
 )
 
@@ -48,7 +50,7 @@
 	at       time.Time
 }
 
-// forwardingCounts are what a node has done with reports so far.
+// forwardingCounts counts what a node has done with workers' heartbeats since it started.
 type forwardingCounts struct {
 	forwarded, failed, redirected uint64
 }
@@ -59,7 +61,7 @@
 	f(&n.forwarding)
 }
 
-// adoptedPlan is a plan and when it was learnt.
+// adoptedPlan is a routing plan together with when this node received it.
 type adoptedPlan struct {
 	routing.Plan
 	receivedAt  time.Time
@@ -68,7 +70,8 @@
 
 func newMoveLimiter() *rate.Limiter { return rate.NewLimiter(20, 20) }
 
-// publishRoutingPlan makes the plan while this node leads.
+// publishRoutingPlan recomputes the routing plan periodically while this node leads, and
+// withdraws it otherwise. Followers fetch it with their status requests.
 func (n *Node) publishRoutingPlan(ctx context.Context) {
 	for call.Pause(ctx, routingPlanInterval) {
 		l := n.activeLeadership()
@@ -94,8 +97,9 @@
 	}
 }
 
-// adoptRoutingPlan takes a plan in. Moves are paced by the size of the fleet: the whole
-// of it moves in no less than half a minute.
+// adoptRoutingPlan makes a plan the current one. The rate of redirects follows the number
+// of workers: redirecting a whole large fleet takes about half a minute at least, so that
+// no node is flooded with new connections.
 func (n *Node) adoptRoutingPlan(p routing.Plan, now time.Time) {
 	since := now
 	if old := n.routingPlan.Load(); old != nil && old.Token == p.Token && old.Leader == p.Leader {
@@ -105,7 +109,8 @@
 	n.routingPlan.Store(&adoptedPlan{Plan: p, receivedAt: now, leaderSince: since})
 }
 
-// currentRoutingPlan is the plan of that leader, nil where it is not known or old.
+// currentRoutingPlan returns the plan of the given leader, or nil if there is none or it
+// has expired.
 func (n *Node) currentRoutingPlan(leader string) *adoptedPlan {
 	p := n.routingPlan.Load()
 	if p == nil || p.Leader != leader || time.Since(p.receivedAt) > routingPlanTTL {
@@ -136,8 +141,8 @@
 	n.redirects[machine] = redirectRecord{node: to, at: time.Now()}
 }
 
-// routeAsFollower says what to do with the report of a worker at a node that does not
-// lead.
+// routeAsFollower decides what a follower does with a worker's heartbeat: forward it to
+// the leader (pass is true) or redirect the worker to another node.
 func (n *Node) routeAsFollower(machine, leader string) (to string, pass bool) {
 	lane := n.peerStream(leader)
 	p := n.currentRoutingPlan(leader)
@@ -151,7 +156,8 @@
 	if route.Forward || !g.ServedHere || plan == nil || !plan.UsesRelays() {
 		return route.RedirectTo, route.Forward
 	}
-	// One that is served here goes when nothing else is going on.
+	// A worker that is already served here is moved only to balance connections. That can
+	// wait until no election is recent, the worker's lease is fresh and the rate allows it.
 	if time.Since(p.leaderSince) < quietAfterElection || !n.answeredRecently(machine) || !n.moveLimiter.Allow() {
 		return "", true
 	}
@@ -159,8 +165,8 @@
 	return route.RedirectTo, false
 }
 
-// routeAsLeader says where this node, which leads, sends a worker that has reported
-// to it; "" to keep it.
+// routeAsLeader returns the node to which the leader redirects a worker that has sent it
+// a heartbeat directly, or "" to answer it here.
 func (n *Node) routeAsLeader(machine string) string {
 	p := n.currentRoutingPlan(n.cfg.Node)
 	if p == nil || n.connLimiter == nil || time.Since(p.leaderSince) < quietAfterElection {
@@ -175,22 +181,26 @@
 	return to
 }
 
-// workerConnsFull says whether as many workers' connections are open as are kept.
+// workerConnsFull reports whether more workers' connections are open than this node keeps
+// alive between heartbeats.
 func (n *Node) workerConnsFull() bool {
 	return n.connLimiter != nil && n.connLimiter.Count(admission.KindWorker) > routing.MaxWorkerConns(n.cfg.Cluster.Limits.Sockets)
 }
 
-// userConnsFull says the same of users'.
+// userConnsFull reports whether more users' connections are open than this node keeps
+// alive between requests.
 func (n *Node) userConnsFull() bool {
 	return n.connLimiter != nil && n.connLimiter.Count(admission.KindUser) > max(8, int(userConnShare*float64(n.cfg.Cluster.Limits.Sockets)))
 }
 
-// connsCrowded says whether connections are so many that none should wait.
+// connsCrowded reports whether so many connections are open that heartbeats should be
+// refused rather than wait for a leader.
 func (n *Node) connsCrowded() bool {
 	return n.connLimiter != nil && n.connLimiter.Total() > int(waitingConnShare*float64(n.cfg.Cluster.Limits.Sockets))
 }
 
-// markUserConnection notes that a request is a user's.
+// markUserConnection classifies a request's connection as a user's, and has it closed
+// after the response if there are too many of them.
 func (n *Node) markUserConnection(w http.ResponseWriter, r *http.Request) {
 	if c := admission.ConnFromContext(r.Context()); c != nil {
 		c.SetKind(admission.KindUser)
@@ -209,13 +219,16 @@
 	return nil
 }
 
-// statusRequest is what this node says of itself when it asks another.
+// statusRequest is the request with which this node asks a peer for its status. It
+// offers the node as a relay with its capacity, and asks for help with a record that this
+// node can't read, if there is one.
 func (n *Node) statusRequest() peerrpc.Request {
 	lost, at := n.jobs.UnreadableKey()
 	return peerrpc.Request{From: n.cfg.Node, ConnCapacity: routing.MaxWorkerConns(n.cfg.Cluster.Limits.Sockets), UnreadableKey: lost, UnreadableVersion: at}
 }
 
-// Status implements peerrpc.Handler.
+// Status implements peerrpc.Handler. Besides answering, it records what the request says
+// of the asking node.
 func (n *Node) Status(asks peerrpc.Request) peerrpc.Status {
 	if asks.From != "" && n.peerStream(asks.From) != nil {
 		n.mu.Lock()
