--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -17,16 +17,17 @@
 	size    int // in the form in which the service counts
 }
 
-// AdmissionPage is a page of users' jobs, as the store has it. The record of one
-// that is gone is empty.
+// AdmissionPage is a stored page on which several accepted jobs share one key. The record
+// of a deleted page is empty.
 type AdmissionPage struct {
 	Key     string
 	Version uint64
 	Record  jobstore.JobPage
 }
 
-// PutAdmissionPages takes pages of users' jobs in, all of one moment: a job may have
-// moved from one to another, and is over where none has it any more.
+// PutAdmissionPages applies changed admission pages. They must come together as of one
+// revision of the store, because a job may move between pages: a job that is on none of
+// them any more has ended, but one that has merely moved must not look that way.
 func (m *Model) PutAdmissionPages(pages []AdmissionPage, now time.Time) {
 	type gone struct {
 		id   string
@@ -64,7 +65,8 @@
 	}
 }
 
-// WroteAdmissionPage says whether that change of a page is one of this leader's own.
+// WroteAdmissionPage reports whether the model already has that version of a page, as it
+// does if this leader wrote it.
 func (m *Model) WroteAdmissionPage(key string, version uint64) bool {
 	p := m.admissionPages[key]
 	return p != nil && p.version == version
--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -173,8 +173,8 @@
 	return j.completedAtMs
 }
 
-// SetCompletionTime takes in what time it is, for the ends that the next batch writes. The
-// last look is older than an outage or a stop that has just ended.
+// SetCompletionTime sets the time that the next batch records as the end of jobs. The time of
+// the last Tick won't do: after an outage or a pause of the process it is far in the past.
 func (m *Model) SetCompletionTime(now time.Time) { m.windows.now = now }
 
 // recordWindowCompletion takes in that a job's end is committed.
@@ -430,8 +430,9 @@
 	return n
 }
 
-// UnresolvedWindowJobs lists jobs of batch windows that an earlier leader left open and that are
-// over since, at most so many: ToldEnd is to be told how they ended.
+// UnresolvedWindowJobs lists jobs, at most as many as given, that the records of batch windows
+// have as open but that have ended since, unseen by a leader. The caller reads their final
+// records and passes them to ResolveWindowJob.
 func (m *Model) UnresolvedWindowJobs(most int) []string {
 	var out []string
 	for _, b := range m.windows.books {
@@ -441,8 +442,8 @@
 	return out[:min(most, len(out))]
 }
 
-// ResolveWindowJob takes in the final record of a job that UnknownEnds named; nil: there is
-// none.
+// ResolveWindowJob applies the final record of a job that UnresolvedWindowJobs has listed, nil
+// if there is none, to the outcome of its batch window.
 func (m *Model) ResolveWindowJob(id string, rec *jobstore.JobRecord, now time.Time) {
 	for _, b := range m.windows.books {
 		if !slices.Contains(b.Unknown(), id) {
@@ -465,7 +466,8 @@
 	}
 }
 
-// BatchWindows shows each region's batch windows, in the order of the calendar.
+// BatchWindows returns a view of each region's batch windows for operators, in the order of
+// the calendar.
 func (m *Model) BatchWindows(now time.Time) []calendar.View {
 	var out []calendar.View
 	for _, b := range m.windows.books {
--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -27,7 +27,7 @@
 
 func (b *bootEstimator) expectedRatio() float64 { return max(usualBootRatio, b.slowest) }
 
-// learnBootTime takes in that a machine reports for the first time.
+// learnBootTime updates the boot time of a machine's type from its first heartbeat.
 func (m *Model) learnBootTime(mc *Machine, now time.Time) {
 	if !mc.CreationKnown || mc.Created.Before(m.ElectedAt) || mc.Type < 0 || m.MachineTypes[mc.Type].BootTime <= 0 {
 		return // up before its rental's answer, or ordered before this leader's time
@@ -65,7 +65,7 @@
 		return 0, false
 	}
 	if age > m.bootCountsAsLate(mc) {
-		// A new leader has yet to hear from machines that are up.
+		// A new leader has not received heartbeats from all running machines yet.
 		if !mc.bootLateLogged && len(mc.Tasks) == 0 && mc.CloudState != wire.MachineRunning {
 			mc.bootLateLogged = true
 			m.log.Info("machine late", "machine", mc.Name, "type", mc.TypeName, "zone", m.Zones[mc.Zone], "spot", mc.Spot, "orderedS", age.Seconds())
--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -21,9 +21,9 @@
 	hasWaitObjective bool        // an objective speaks of how soon its jobs start
 	runs             runTimeEstimator
 	spread           durationSpread
-	sizes            []int // tasks of the last jobs, the oldest at sized0 once there are enough
+	sizes            []int // numbers of tasks of the last maxSizes jobs; a ring buffer once full
 	oldestSize       int
-	largeFrom        int // from how many tasks on a job is among the largest; 0: not worked out
+	largeFrom        int // least number of tasks of the largest jobs; 0 if not computed yet
 }
 
 const (
--- a/cluster/cloudlist.go
+++ b/cluster/cloudlist.go
@@ -7,9 +7,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// ApplyCloudList takes the cloud's machine list in. It lags and may be older than the
-// one before, so that it proves nothing about tasks; it tells of machines that
-// no worker has reported from yet.
+// ApplyCloudList applies the cloud's list of machines. The list lags, and may be older than
+// the previous one, so that it proves nothing about tasks. It is used to learn of machines
+// that have not sent a heartbeat yet.
 func (m *Model) ApplyCloudList(list []wire.ListedMachine, now time.Time) {
 	for i := range list {
 		l := &list[i]
--- a/cluster/completion_floor.go
+++ b/cluster/completion_floor.go
@@ -5,21 +5,22 @@
 	"time"
 )
 
-// This file keeps a class, a team and a class's largest jobs from falling under
-// half. The bound lets each job begin; where more comes than can ever be done,
-// the same ones would still never be done: those that triage gives up.
+// This file enforces the completion floor: at least half of the old jobs of each class, of
+// each team, and of the largest jobs of each class are completed. The starvation bound only
+// lets a job start. Under lasting overload the jobs that triage gives up, always the same
+// kinds, would still never complete.
 
 const (
-	// floorAfter is after how many times the bound a job counts as one that must
-	// be done. Before that, order is for the objectives: what is put off for a while
-	// is mostly done when less comes.
+	// floorAfter is the age, in multiples of the starvation bound, from which the floor
+	// counts a job. Younger jobs are ordered by the objectives alone: most jobs that are
+	// postponed for a while complete when the load falls.
 	floorAfter = 3
-	// floorMemory is how many jobs that are done count for their group. It bounds
-	// how many of its jobs may wait that long before one must be done.
+	// floorMemory bounds how many completed jobs count for a group, and with it how many
+	// old jobs of the group may be postponed before one must be completed.
 	floorMemory = 1000
 )
 
-// floorGroups are what must not fall under half of which a job counts for.
+// floorGroups returns the groups in which a job counts towards the floor.
 func (m *Model) floorGroups(j *Job) []string {
 	out := []string{"class " + j.Spec.Class, "team " + j.Spec.Team}
 	if m.isLargeJob(j) {
@@ -28,7 +29,7 @@
 	return out
 }
 
-// countCompletion takes in that a job is done.
+// countCompletion counts a completed job for its groups.
 func (m *Model) countCompletion(j *Job) {
 	if m.StarvationBound <= 0 {
 		return
@@ -43,9 +44,8 @@
 	}
 }
 
-// enforceCompletionFloor marks the jobs that are not to be put off any longer: of each group of
-// which less than half is done, of what came long ago, the oldest that are
-// missing to that.
+// enforceCompletionFloor marks the jobs that must not be postponed any longer: in each group
+// of which less than half is completed, the oldest of its old jobs, as many as are missing.
 func (m *Model) enforceCompletionFloor(out []*queued, now time.Time) {
 	long := floorAfter * m.StarvationBound
 	old := map[string][]*queued{}
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -9,23 +9,24 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// DigestBase says against what a digest gives numbers that only ever grow.
+// DigestBase supplies the current values of counters that only ever grow. A digest contains
+// such counters relative to them, so that equivalent states at different counts are equal.
 type DigestBase interface {
-	// Version is that of a key in the state service; 0 where there is none.
+	// Version returns the version of a key in the key-value store; 0 if there is none.
 	Version(key string) uint64
-	// LastMessage is the worker's current session and the number of its last message.
+	// LastMessage returns the worker's current session and its last sequence number.
 	LastMessage(machine string) (session, seq uint64)
 }
 
-// maxDigestAge is an age, in seconds, beyond which the exact one bears on nothing:
-// leases and the quiet after which a machine gets no tasks are shorter.
+// maxDigestAge is an age, in seconds, beyond which the exact value has no effect: leases, and
+// the silence after which a machine gets no tasks, are shorter.
 const maxDigestAge = 60
 
-// Digest writes what bears on which commands and records the model will hand
-// out, so that two models with the same digest allow the same. Times are given
-// as ages in whole seconds, versions as up to date or not, messages by how far
-// they lie back. What only bears on which of several machines is chosen is left
-// out (estimates, speeds, images, boots). The model check merges states by it.
+// Digest writes the part of the state that determines which commands and records the model
+// may produce, so that models with equal digests behave alike; the model check merges such
+// states. Times are written as ages in whole seconds, versions as current or not, sequence
+// numbers by their distance from the last one. What only affects which of several machines
+// is chosen is left out (estimates, speeds, images, boot times).
 func (m *Model) Digest(w io.Writer, ref DigestBase, now time.Time) {
 	age := func(t time.Time) int {
 		if t.IsZero() {
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -8,34 +8,35 @@
 	"github.com/umberdeal/umberdeal/priority"
 )
 
-// This file says what a job waits for, from records alone: it is asked of a model
-// that has been loaded and leads nothing.
+// This file explains to operators why a job is pending. It uses stored records only, so that
+// it works on a model that was loaded for inspection and belongs to no leader.
 
-// Explanation is what a job waits for.
+// Explanation says why the tasks of a job are pending.
 type Explanation struct {
 	ID             string
-	Tier           string // "" without an order
+	Tier           string // "" if the plan defines no priority tiers
 	WaitedSeconds  float64
 	Tasks          int // of the job
 	Done           int
 	Placed         int
-	PendingReasons []string                  // for what, the most telling first; empty: for nothing
-	AheadByReason  map[string]int            // jobs ahead of it in the queue, by why
-	Nearest        []JobAhead                // of them, nearest first
-	Inversions     []priority.InversionEvent // lower tiers' tasks that got room it could have had
+	PendingReasons []string                  // what the job waits for, most important first; empty if for nothing
+	AheadByReason  map[string]int            // how many requests are ahead of it in the queue, by reason
+	Nearest        []JobAhead                // the nearest of them, nearest first; bounded
+	Inversions     []priority.InversionEvent // lower-tier tasks placed on resources that it could have used
 }
 
-// JobAhead is a job that is served before another.
+// JobAhead is a job that is ahead of another in the queue.
 type JobAhead struct {
 	ID     string
 	Tier   string
 	Reason string
 }
 
-// nearestShown is how many of those ahead are named.
+// nearestShown bounds Explanation.Nearest.
 const nearestShown = 20
 
-// Explain says what a job waits for; false if it is not among the unfinished.
+// Explain says why a job is pending. It returns false if the model has no such job, which is
+// so for jobs that are over.
 func (m *Model) Explain(id string, now time.Time) (Explanation, bool) {
 	j := m.Job(id)
 	if j == nil {
@@ -67,7 +68,7 @@
 	return w, true
 }
 
-// behindReason says why another is served before a request.
+// behindReason says why another request is ahead of this one in the queue.
 func (k *queued) behindReason(o *queued) string {
 	switch {
 	case k.req.Spare:
@@ -94,7 +95,7 @@
 	return "due sooner"
 }
 
-// lacks says what a request in the queue waits for.
+// lacks lists what a request in the queue waits for.
 func (m *Model) lacks(k *queued) (out []string) {
 	r, j := &k.req, k.j
 	if n := placement.Allowed(r, m.teams); n == 0 || r.All && n < len(r.Tasks) {
@@ -118,7 +119,7 @@
 	return append(out, fmt.Sprintf("room for %d tasks of %g CPUs, %g GPUs and %g GB", len(r.Tasks), j.Need.CPU, j.Need.GPU, j.Need.Mem))
 }
 
-// outsideQueueReasons says why a job has no place in the queue.
+// outsideQueueReasons says why a job has no request in the queue.
 func outsideQueueReasons(j *Job) []string {
 	switch {
 	case j.Cancelled:
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -16,8 +16,9 @@
 	return m.pages[n]
 }
 
-// LoadPlacementPage takes a page of placement records of an earlier leader in. The jobs
-// must be there already, those that are over for their placements only.
+// LoadPlacementPage loads a page of placement records that an earlier leader wrote. Its
+// jobs must have been loaded before, including those that are over and only have
+// placements left (LoadCancelledJob).
 func (m *Model) LoadPlacementPage(n int, rec jobstore.PlacementPage, version uint64, now time.Time) {
 	p := m.pageAt(n)
 	p.version = version
@@ -64,7 +65,9 @@
 	}
 }
 
-// FinishLoading ends the taking in of an earlier leader's records.
+// FinishLoading completes a load after the last record. Only now is it known which jobs may
+// have placements on an unreadable page; it quarantines these, and continues cancellations
+// that an earlier leader began.
 func (m *Model) FinishLoading(now time.Time) {
 	m.loadFinished = true
 	m.quarantineUnaccountedJobs()
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -6,41 +6,39 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file tells a job that was submitted with a mistake, whose tasks fail
-// wherever they start, from a machine on which whatever starts fails. Both show
-// the same error.
+// This file distinguishes a faulty job, whose tasks fail on every machine, from a faulty
+// machine, on which every job fails. Workers report the same error for both.
 
 const (
-	// faultMachines is on how many machines nothing but errors of a job must have been
-	// seen until the job is taken to be at fault. With two, a wide job that met
-	// a single faulty machine and one other is taken back as soon as a task of
-	// it lasts.
+	// faultMachines is on how many machines a job must have failed, without any success,
+	// to be considered at fault. The low number costs little if it is wrong: the verdict
+	// is revised as soon as one of its tasks keeps running.
 	faultMachines = 2
-	// provenAfterSeconds is for how many seconds a task must have run to speak for its job.
+	// provenAfterSeconds is how long a task must run to prove that its job is not at fault.
 	provenAfterSeconds = 20
-	// A job at fault waits longer from round to round.
+	// Bounds of the exponential backoff of a job at fault.
 	firstFaultWait = 10 * time.Second
 	lastFaultWait  = 2 * time.Minute
-	// faultProbes is how many tasks of an array at fault may be out at a time.
+	// faultProbes is how many tasks of an array at fault may be placed at a time.
 	faultProbes = 1
 
-	machineErrorMemory = 10 * time.Minute // of errors that speak against a machine
-	machineErrorJobs   = 2                // with errors there that do not fail everywhere
+	machineErrorMemory = 10 * time.Minute // how long an error counts against a machine
+	machineErrorJobs   = 2                // jobs not at fault that must have failed there
 )
 
-// failureHistory is what is known of a job's failures. It outlives the job, since what
-// failed on a machine is weighed by it later on.
+// failureHistory is what is known of a job's failures. It outlives the job, because a
+// machine's errors are judged by whether the jobs that had them are at fault.
 type failureHistory struct {
 	machines map[int32]bool // machines on which a task failed by itself
 	proven   bool           // a task has completed or lasted
 	round    int
 }
 
-// atFault says whether the job fails everywhere, as far as it has been seen.
+// atFault reports whether the job has failed on several machines and succeeded on none.
 func (r *failureHistory) atFault() bool { return !r.proven && len(r.machines) >= faultMachines }
 
-// taskFailed takes in that a task of the job failed by itself on a machine. It
-// returns how long the task waits before it is tried again.
+// taskFailed records that a task of the job failed by itself on a machine. It returns the
+// backoff before the task is tried again.
 func (m *Model) taskFailed(j *Job, task int32, mc *Machine, now time.Time) time.Duration {
 	r := j.failures
 	if r.machines == nil {
@@ -55,12 +53,12 @@
 		m.avoidMachine(j, mc, now.Add(10*time.Minute))
 		return wait
 	}
-	// The machines are not to blame, and those that have the image already are
-	// the best for another try: no fetch is taken from healthy work.
+	// The machines are not at fault. Those that have the image already are best for
+	// another try, because it then takes no fetch bandwidth from healthy jobs.
 	j.avoidUntil = nil
 	if !now.Before(j.NotBefore) {
-		// Errors of one round come together, within the wait that the first of
-		// them began.
+		// The errors of one round arrive together; only the first one begins a new
+		// backoff.
 		j.NotBefore = now.Add(min(firstFaultWait<<min(r.round, 10), lastFaultWait))
 		r.round++
 		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(r.machines), "lastReason", wire.WhyError,
@@ -108,10 +106,9 @@
 	}
 }
 
-// suspected says whether errors of several jobs that do not fail everywhere
-// speak against a machine. It is asked anew each time: that a job fails
-// everywhere is often seen only after it has failed on the machine, and jobs
-// with a mistake must not make one machine after another look faulty.
+// suspected reports whether several jobs that are not at fault have failed on a machine. The
+// result is not cached: that a job is at fault often shows only after it has failed on this
+// machine, and faulty jobs must not make one machine after another look faulty.
 func (mc *Machine) suspected(now time.Time) bool {
 	if len(mc.taskErrors) < machineErrorJobs {
 		return false
--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -7,14 +7,15 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// ApplyHeartbeat takes a worker's message in. It returns nil for one that is older
-// than what is known, or of a machine that is gone.
+// ApplyHeartbeat applies a worker's heartbeat to the model and returns its machine. It
+// returns nil, and applies nothing, if the heartbeat is not newer than the last one
+// applied or if the machine is gone.
 func (m *Model) ApplyHeartbeat(r *wire.Report, now time.Time) *Machine {
 	mc := m.findOrAddMachine(r.Machine, now)
 	if mc.Gone {
 		return nil
 	}
-	// A message that was held back, or a copy, says what was, not what is.
+	// A delayed or duplicated heartbeat describes an earlier state of the machine.
 	if !mc.isNewer(r.Session, r.Seq) {
 		return nil
 	}
@@ -33,7 +34,7 @@
 	mc.TokenShown = r.Token == m.FencingToken
 	m.describe(mc, r.Type, r.Zone, r.Spot)
 	if r.NoticeS == nil {
-		mc.InterruptionAt = time.Time{} // what was known came with an older message
+		mc.InterruptionAt = time.Time{} // the newest heartbeat counts, and it has no notice
 	} else if mc.InterruptionAt.IsZero() {
 		mc.InterruptionAt = now.Add(config.Seconds(*r.NoticeS))
 		m.log.Info("spot interruption notice", "machine", mc.Name, "seconds", *r.NoticeS)
@@ -46,7 +47,8 @@
 	return session > mc.AgentEpoch || session == mc.AgentEpoch && seq > mc.Seq
 }
 
-// IsNewerHeartbeat says whether a worker's message would be taken in.
+// IsNewerHeartbeat reports whether ApplyHeartbeat would apply a heartbeat with this
+// session and sequence number.
 func (m *Model) IsNewerHeartbeat(machine string, session, seq uint64) bool {
 	i, known := m.machineIndex[machine]
 	return !known || !m.Machines[i].Gone && m.Machines[i].isNewer(session, seq)
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -8,22 +8,25 @@
 )
 
 const (
-	// maxCommands bounds one answer, but for stops; what is left goes with the next one.
+	// maxCommands bounds the commands in one answer, except stops; the rest goes into the
+	// next answer.
 	maxCommands = 300
-	// maxStops bounds its stops: as many as fit into the 64 KiB of an answer, since
-	// an answer renews the lease of what it leaves running.
+	// maxStops bounds the stops in one answer. It is as large as the 64 KiB limit on
+	// answers allows, because an answer renews the lease of every task that it does not
+	// stop.
 	maxStops = 800
 )
 
-// launchable says whether every record that a launch of this task rests on is
-// committed; a gang launches as a whole.
+// launchable reports whether a placed task may be launched: the job still wants it, and
+// its placement is committed. A gang launches as a whole, so that all its placements must be.
 func launchable(j *Job, task int32) bool {
 	if j.Cancelled || j.Finished || j.awaitsLaunch(int(task)) {
 		return false
 	}
 	if !j.Gang() {
-		// Its own record, not its neighbours': where tasks of one chunk were
-		// placed again and again, none of them was launched for seconds.
+		// Only the change that placed this task must be committed, not later changes
+		// of its chunk: a chunk whose tasks are placed one after the other would
+		// otherwise have uncommitted changes all the time, and launch none of them.
 		return j.Chunks[int(task)/jobstore.ChunkSize].CommittedGen >= j.Tasks[task].Placement.chunkGeneration
 	}
 	for i := range j.Chunks {
@@ -34,19 +37,22 @@
 	return true
 }
 
-// AnswerRetry is for a report that ApplyHeartbeat has not taken in. If it is the newest that is
-// known of its machine, it is an idempotent retry: this one and the one before are the
-// same message, of which one is a copy, and the worker waits for the answer to one of
-// them. Refused, it would go on to the next node, a second of its lease later, because
-// a copy was faster. The caller must be sure of its lease.
+// AnswerRetry answers a heartbeat that ApplyHeartbeat has not applied. ok is true only if
+// it has the session and sequence number of the last heartbeat applied, that is, if both
+// are copies of one message, and the machine is up. The worker may be waiting for the
+// answer to either copy; if this one were refused because the other was faster, it would
+// try the next node and lose about a second of its lease. The caller must hold a valid
+// leader lease.
 //
-// The answer renews the worker's lease from when the report was sent, which was before
-// this leader first received it. So no more is counted for it than that: with a time
-// of its own, copies of a dead machine's last report would put off for as long as they
-// come what is to start again elsewhere. It tells all stops, as every answer that
-// renews a lease, and nothing that is noted as told: launches and outcomes to be
-// forgotten are the other answer's. A worker takes one of the two at most, and none
-// once it has sent its next report, so that a launch which that one does not list was
+// The worker counts its lease from when it sent the heartbeat, which was before this
+// leader first received it. LastAnswered therefore advances to that first reception only,
+// not to now: otherwise late copies of a dead machine's last heartbeat would postpone its
+// lease expiry, and the restart of its tasks elsewhere, for as long as they arrive.
+//
+// Like every answer that renews a lease, this one carries the pending stops. It carries no
+// command that the model records as sent: launches and forgets are in the answer to the
+// copy that was applied. A worker accepts at most one of the two answers, and neither once
+// it has sent its next heartbeat, so that a launch which that heartbeat does not list was
 // not executed, and never will be.
 func (m *Model) AnswerRetry(r *wire.Report, via string) (cmds []wire.Command, ok bool) {
 	i, known := m.machineIndex[r.Machine]
@@ -58,20 +64,21 @@
 		return nil, false
 	}
 	if mc.LastAnswered.Before(mc.LastSeen) {
-		mc.LastAnswered = mc.LastSeen // the other has had no answer, or not yet
+		mc.LastAnswered = mc.LastSeen // the applied copy has not been answered (yet)
 	}
 	mc.answeredAgain(via)
 	return m.stopCommands(mc, r), true
 }
 
-// AnswerHeartbeat makes the commands that answer a report just observed. Launches are
-// noted as sent with it.
+// AnswerHeartbeat returns the commands that answer the heartbeat last applied for mc, and
+// counts the machine's lease from now. Launches among them are recorded as sent, whether
+// or not the answer arrives; the next heartbeat shows which of them were executed.
 func (m *Model) AnswerHeartbeat(mc *Machine, r *wire.Report, now time.Time) []wire.Command {
 	m.Observer.LeaseLeft(m.leaseEnd(mc).Sub(now).Seconds())
 	mc.LastAnswered = now
 	mc.reachability.answered(r.Seq)
-	// Stops come first: an answer renews the worker's lease, so that a task which it
-	// should have stopped and did not may stay for another lease.
+	// Stops come first, so that they always fit: an answer renews the worker's lease, and
+	// a task whose stop was left out may keep running for another lease.
 	out := m.stopCommands(mc, r)
 	out, full := m.addForgets(out, mc, r)
 	if full {
@@ -89,8 +96,8 @@
 	return out
 }
 
-// addForgets tells the worker to forget the exits whose outcome is committed. full says
-// that the answer holds no more.
+// addForgets adds the commands to forget reported exits whose outcome is committed, so
+// that the worker stops listing them. full means that the answer holds no more commands.
 func (m *Model) addForgets(out []wire.Command, mc *Machine, r *wire.Report) (cmds []wire.Command, full bool) {
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
@@ -109,7 +116,7 @@
 		}
 		if e == nil {
 			if p := m.placementOf(mc, t); p != nil {
-				continue // and not taken in yet
+				continue // its exit has not been applied yet
 			}
 		}
 		mc.reachability.forgetSent(exitKey{t.Task, t.Attempt})
@@ -118,8 +125,9 @@
 	return out, false
 }
 
-// addLaunches launches what is placed on the machine and committed, and notes it as sent
-// with this answer. full says that the answer holds no more.
+// addLaunches adds the launches of tasks whose placements on the machine are committed,
+// and records them as sent with this answer. full means that the answer holds no more
+// commands.
 func (m *Model) addLaunches(out []wire.Command, mc *Machine, r *wire.Report, now time.Time) (cmds []wire.Command, full bool) {
 	for ref := range mc.Tasks {
 		if len(out) >= maxCommands {
@@ -138,8 +146,8 @@
 	return out, false
 }
 
-// placementOf is the place of a task that a report lists, nil where that attempt has none
-// on this machine.
+// placementOf returns the placement of an attempt that a heartbeat lists, or nil if that
+// attempt is not placed on this machine.
 func (m *Model) placementOf(mc *Machine, t *wire.TaskReport) *Placement {
 	id, n, ok := wire.SplitTask(t.Task)
 	if !ok {
@@ -155,8 +163,10 @@
 	return nil
 }
 
-// stopCommands are the stops that answer a report: of what it lists and has no place
-// there, of what is to stop, and of what may yet arrive there and is to stop.
+// stopCommands returns the stops that answer a heartbeat: for listed attempts that are not
+// placed on this machine, for listed attempts that are to stop and are not saving a
+// checkpoint already, and for attempts that are to stop but were never listed, since their
+// launch may still arrive.
 func (m *Model) stopCommands(mc *Machine, r *wire.Report) []wire.Command {
 	var out []wire.Command
 	stop := func(name string, attempt uint64, grace float64) {
--- a/cluster/heldstops.go
+++ b/cluster/heldstops.go
@@ -7,13 +7,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file holds stops that rest on the plan back until the state service has
-// said that the plan by which they were decided is still in force. A stop is no
-// transaction of its own: without that, a leader that has not heard of the newest
-// order would stop tasks by an older one for as long as it is sure of its lease.
+// This file holds back stops that were decided by the operators' plan until a transaction
+// has confirmed that this plan is still in force. Stops are sent to workers and are not
+// transactions themselves: without the check, a leader that has missed a newer plan could
+// preempt tasks by an outdated one for as long as its lease is valid.
 
-// heldStop is a stop that was decided and that nobody has been told of. It is gone
-// once its place is, or once the place is no longer held.
+// heldStop is a stop that was decided but not yet ordered. It lapses when its placement is
+// removed or is no longer marked as held.
 type heldStop struct {
 	ref   TaskRef
 	place *Placement
@@ -21,15 +21,15 @@
 	at    time.Time
 }
 
-// ExpectPlan takes in that there may be a plan from now on. A leader learns of it
-// before the first version can be applied, since that waits for the form of the
-// records, which only a leader raises.
+// ExpectPlan records that there may be a plan from now on, so that stops are held back for
+// the check. A leader always learns of this before the first plan can be applied, because
+// that requires a schema version to which only the leader migrates.
 func (m *Model) ExpectPlan() { m.planExpected = true }
 
-// stopUnderPlan stops a task for a reason that rests on the plan, once the plan is
-// known to be in force. Its room counts as coming free from now on. What was never
-// launched is taken back at once, which stops nothing; and where there can be no
-// plan, nothing is held back.
+// stopUnderPlan stops a task for a reason that depends on the plan, once the plan is
+// confirmed to be in force. The task's resources count as about to be freed from now on.
+// A placement that was never launched is removed at once, since no running task is
+// affected. Where there can't be a plan, nothing is held back.
 func (m *Model) stopUnderPlan(ref TaskRef, why string, now time.Time) {
 	j := m.Jobs[ref.Job]
 	p := j.Tasks[ref.Task].Placement
@@ -43,7 +43,7 @@
 	}
 }
 
-// HasHeldStops says whether stops wait for the plan to be compared.
+// HasHeldStops reports whether stops wait for a transaction to confirm the plan.
 func (m *Model) HasHeldStops() bool {
 	m.heldStops = slices.DeleteFunc(m.heldStops, func(h heldStop) bool { return !m.stillHeld(h) })
 	return len(m.heldStops) > 0
@@ -54,8 +54,8 @@
 	return j != nil && j.Tasks[h.ref.Task].Placement == h.place && h.place.StopHeld
 }
 
-// PlanCheckBatch is a transaction that changes nothing and has the plan's version as
-// its condition, for all stops held; nil where there are none.
+// PlanCheckBatch returns a transaction without changes whose condition is the plan's
+// version: committing it releases all held stops. It returns nil if there are none.
 func (m *Model) PlanCheckBatch() *WriteBatch {
 	if !m.HasHeldStops() {
 		return nil
@@ -65,8 +65,8 @@
 	return b
 }
 
-// addPlanCheck has the stops that are held go out once a batch is committed. They may
-// be in several batches: the first to be committed counts.
+// addPlanCheck makes the commit of a batch release the held stops. A stop may be in several
+// batches; the first commit releases it.
 func (m *Model) addPlanCheck(b *WriteBatch) {
 	if !m.HasHeldStops() {
 		return
@@ -88,8 +88,8 @@
 	b.OnCommit = b.runCommitHooks
 }
 
-// DropHeldStops takes back the stops that are held: another plan is in force than the
-// one they were decided by. Who is to be stopped is judged anew.
+// DropHeldStops discards the held stops because the plan by which they were decided is no
+// longer in force. The next scheduling pass decides anew which tasks to stop.
 func (m *Model) DropHeldStops() {
 	for _, h := range m.heldStops {
 		h.place.StopHeld = false
@@ -97,8 +97,9 @@
 	m.heldStops = m.heldStops[:0]
 }
 
-// RebalanceGuards are the conditions of a record of moves besides the leader's: whom
-// moves make room for follows from the order.
+// RebalanceGuards returns the conditions of a rebalance cycle record besides the leader
+// key. They include the plan, because its priority order decides for which requests moves
+// make room.
 func (m *Model) RebalanceGuards() []wire.Guard {
 	if !m.planExpected && m.plan.HeadVersion == 0 {
 		return nil
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -10,14 +10,14 @@
 
 // This file is a job, its tasks, and where they may be.
 
-// Task phases.
+// Task phases: not placed, placed on a machine (and possibly running there), completed.
 const (
 	TaskIdle = iota
 	TaskPlaced
 	TaskDone
 )
 
-// What the last report said of a task.
+// What the last heartbeat of its machine said of a task.
 const (
 	notReported = iota
 	reportedFetching
@@ -26,21 +26,22 @@
 	reportedSaving
 )
 
-// Placement is where a task may be.
+// Placement is an attempt of a task on a machine. It exists from the decision to place the
+// task until there is proof that the attempt is not on the machine.
 type Placement struct {
 	Machine       int32
 	Attempt       uint64
 	PlacedAt      time.Time
-	Inherited     bool // recorded by an earlier leader, which may have sent it
+	Inherited     bool // recorded by an earlier leader, which may have sent the launch
 	LaunchSent    bool // this leader has sent the launch
 	LaunchSentAt  time.Time
 	LaunchEpoch   uint64
-	LaunchSeq     uint64 // the report that the launch answered
+	LaunchSeq     uint64 // of the heartbeat whose answer carried the launch
 	ReportedState uint8
 	RunningSince  time.Time // when it was first seen running
 	Stop          *StopOrder
-	StopHeld      bool      // a stop waits for the plan to be compared
-	WokenAt       time.Time // when its machine was last told to report
+	StopHeld      bool      // a stop is held back until the plan is confirmed
+	WokenAt       time.Time // when a wake-up was last sent to its machine
 
 	machineName     string // of the machine
 	chunkGeneration uint64 // the chunk's change that placed it
@@ -65,8 +66,9 @@
 	Placement *Placement
 }
 
-// Chunk is one placement record. It stands on a page from when its first task
-// is placed until its job is over and none of its tasks can be anywhere.
+// Chunk is the placement record of jobstore.ChunkSize consecutive tasks of a job. It is
+// stored on a placement page from when its first task is placed until its job is over and
+// none of the job's tasks can be on a machine.
 type Chunk struct {
 	Generation   uint64 // counts changes
 	CommittedGen uint64 // the last change that is in the store
@@ -77,7 +79,7 @@
 	size int // the most bytes that it takes on its page
 }
 
-// Job is a job that is not over, or whose tasks may still be somewhere.
+// Job is a job that is not over, or of which tasks may still be on a machine.
 type Job struct {
 	Index           int32
 	ID              string
@@ -106,8 +108,8 @@
 	triage          triageVerdict
 	start           startState // towards the starvation bound
 	GangStarted     bool       // gang: the current attempt was seen running
-	GangEnding      bool       // gang: the current attempt is coming to its end
-	NotBefore       time.Time  // a job that fails everywhere is not tried before
+	GangEnding      bool       // gang: the current attempt is being stopped, or can't complete
+	NotBefore       time.Time  // backoff of a job that fails on every machine
 	FirstRunAt      time.Time
 	tier            int // by the operators' order, 0 first
 
@@ -122,5 +124,5 @@
 	reservation   *reservation    // nil unless its tasks are reserved first
 }
 
-// Gang says whether all tasks run at the same time or none does.
+// Gang reports whether the job is a gang: all its tasks run at the same time, or none does.
 func (j *Job) Gang() bool { return j.Spec.Kind == wire.KindGang }
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -23,7 +23,8 @@
 	return nil
 }
 
-// PutJob takes a job's active record in.
+// PutJob adds the job of an active record. For a job that the model has, it applies a newer
+// version of the record, in which only the reservation may have changed.
 func (m *Model) PutJob(id string, rec jobstore.JobRecord, version uint64, now time.Time) {
 	if j := m.Job(id); j != nil {
 		if version > j.Version {
@@ -72,8 +73,8 @@
 	return j
 }
 
-// RemoveJob takes in that a job's active record is gone: unless this leader
-// finished it, its user has cancelled it.
+// RemoveJob applies the deletion of a job's active record. If all its tasks are done, this
+// leader has finished it; otherwise its user has cancelled it.
 func (m *Model) RemoveJob(id string, now time.Time) {
 	j := m.Job(id)
 	if j == nil || j.Finished || j.Cancelled {
@@ -98,7 +99,8 @@
 	m.markDirty(j)
 }
 
-// LoadCancelledJob takes in a job that is over while placements of it are left.
+// LoadCancelledJob loads a job that is over, as cancelled, because placement records of it
+// are left: its remaining tasks are to be stopped.
 func (m *Model) LoadCancelledJob(id string, rec jobstore.JobRecord) {
 	if m.Job(id) != nil {
 		return
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -7,7 +7,9 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// leaseEnd says since when a machine that does not report can have no tasks.
+// leaseEnd returns when a machine's lease expires: unless it is answered again, no task can
+// be running on it from then on. The lease counts from the last answer, or from the
+// election, before which another leader may have answered; clock drift is allowed for.
 func (m *Model) leaseEnd(mc *Machine) time.Time {
 	last := mc.LastAnswered
 	if last.Before(m.ElectedAt) {
@@ -17,7 +19,8 @@
 	return last.Add(config.Seconds(lease*(1+4*m.clockDrift)) + 300*time.Millisecond)
 }
 
-// Tick takes the passing of time in: leases that are over, notices.
+// Tick applies the passage of time: expired leases, machines with interruption notices,
+// batch windows and warm pools.
 func (m *Model) Tick(now time.Time) {
 	m.tickWindows(now)
 	for _, mc := range m.Machines {
@@ -81,7 +84,8 @@
 	}
 }
 
-// MachineGone takes in that a machine is certainly gone.
+// MachineGone applies proof that a machine is gone, that is, a deletion which the cloud has
+// confirmed. Unlike a lease expiry this is final: later heartbeats are ignored.
 func (m *Model) MachineGone(name string, now time.Time) {
 	i, ok := m.machineIndex[name]
 	if !ok {
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -8,7 +8,7 @@
 
 // This file is a machine, and the catalogue of types.
 
-// Machine is a machine that is, was or may soon be there.
+// Machine is a machine that is running, is expected to come up, or is gone.
 type Machine struct {
 	Index          int32
 	Name           string
@@ -17,26 +17,26 @@
 	TypeName       string
 	Zone           int
 	Spot           bool
-	Up             bool // has reported to this leader and may be alive
-	TokenShown     bool // has shown this leader's token
+	Up             bool // has sent this leader a heartbeat, and its lease has not expired
+	TokenShown     bool // its last heartbeat carried this leader's fencing token
 	Gone           bool // deleted, or no longer listed for good
 	AgentEpoch     uint64
 	Seq            uint64
 	LastAnswered   time.Time
 	LastSeen       time.Time
-	InterruptionAt time.Time // when the cloud takes it away, if it said so
+	InterruptionAt time.Time // when the cloud will reclaim it; zero without an interruption notice
 	Created        time.Time // when it was rented, as far as known
-	CreationKnown  bool      // Created is known, and from then on the machine boots
+	CreationKnown  bool      // this leader rented it, so that its boot can be timed from Created
 	CloudState     string
 	CloudStateAt   time.Time
-	RequestedHere  bool // rented by a request of ours whose answer named it
+	RequestedHere  bool // named in the cloud's response to a scale-out request
 	ScalingIn      bool
 	bootLateLogged bool // the operator has been told
 	Tasks          map[TaskRef]bool
 	Used           placement.Res
-	IdleSince      time.Time // without work
+	IdleSince      time.Time // when it came up or last ran out of tasks
 	headroomAt     time.Time // last kept, empty, as headroom
-	HeldAnswers    int       // answers to its reports that are being held back
+	HeldAnswers    int       // answers to its heartbeats that wait for a scheduling pass
 	reachability   reachability
 
 	orphaned            placement.Res // what tasks not in the model take
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -10,23 +10,25 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// ready says whether a machine can be given tasks now.
+// ready reports whether tasks can be placed on a machine now.
 func (m *Model) ready(mc *Machine, now time.Time) bool {
 	w := m.settings.Cluster.Workers
 	quiet := config.Seconds(min(w.ReportS*2.5+2, w.LeaseS/2))
-	// One that has not shown this leader's token may not hear, or be gone: what
-	// was heard of it may be a late copy of a report.
+	// A machine that has not shown this leader's token may not receive answers, or may be
+	// gone, its heartbeats being delayed copies.
 	return mc.Up && mc.TokenShown && !mc.unreachable() && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() && mc.Type >= 0 && mc.Zone >= 0 &&
 		m.silentFor(mc, now) < quiet
 }
 
-// Ready says whether a machine can be given tasks now.
+// Ready reports whether tasks can be placed on a machine now.
 func (m *Model) Ready(mc *Machine, now time.Time) bool { return m.ready(mc, now) }
 
-// ExpectedMachines is how many machines should be reporting. The list lags: of machines
-// that were returned a while ago it shows nothing. Leaders that expected those
-// gave leadership up in turn, every few seconds, when a day's work was over. One
-// that has not shown the token may be known from a late copy of a report only.
+// ExpectedMachines returns how many machines should be sending heartbeats. A leader that
+// expects some and receives none for a while concludes that workers can't reach it and
+// resigns. Counting machines that are gone would therefore make leaders resign in turn when
+// a cluster becomes idle. The cloud's list counts only while it is recent and not soon after
+// an election, because it lags behind deletions; heartbeats count only if they carry this
+// leader's token, because others may be delayed copies.
 func (m *Model) ExpectedMachines(now time.Time) int {
 	n := 0
 	lag := config.Seconds(2*m.settings.Cluster.Cloud.ListLagS + 10)
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -8,7 +8,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// MachineType is a machine type.
+// MachineType is a machine type of the cloud's catalogue.
 type MachineType struct {
 	Name      string
 	Capacity  placement.Res
@@ -22,7 +22,8 @@
 	bootTimes bootEstimator
 }
 
-// SetMachineTypes takes the catalogue in. Types keep their indices.
+// SetMachineTypes applies the cloud's catalogue of machine types. Known types keep their
+// indices, since machines refer to them; types that are no longer listed are kept.
 func (m *Model) SetMachineTypes(types []wire.MachineType) {
 	for _, t := range types {
 		idx, ok := m.typeIndex[t.Name]
@@ -54,8 +55,8 @@
 			j.AllowedTypes = m.allowedTypes(&j.Spec)
 		}
 	}
-	// The last job of a class may be out of the model already: with none of the
-	// types allowed that it knew, the next pass ended the process.
+	// The last job of a class may be out of the model already, and so was not updated
+	// above. Its AllowedTypes is indexed by machine type and must cover the new ones.
 	for _, c := range m.classes {
 		c.lastJob.AllowedTypes = m.allowedTypes(&c.lastJob.Spec)
 	}
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -8,12 +8,13 @@
 // token: a new leader makes a new one and loads it from the store.
 //
 // What it guarantees: a task is launched only after its placement is committed; the number
-// of an attempt is never used twice; a task counts as gone only on the proofs that
-// reconcile, Tick and MachineGone take in; quotas count every task that may still be on a
-// machine. It never trusts a heartbeat older than one that it knows, and never takes the
-// cloud's list as a proof about tasks.
+// of an attempt is never used twice, except that a gang's task which is replaced before the
+// gang has started keeps that of the gang; a task counts as gone only on proof, which is a
+// newer heartbeat (reconcile), an expired lease (Tick) or a deleted machine (MachineGone);
+// quotas count every task that may still be on a machine. It never applies a heartbeat that
+// is older than the last one applied, and never takes the cloud's list as proof about tasks.
 //
-// Jobs and machines are addressed by dense indices, which are not used again.
+// Jobs and machines are addressed by dense indices, which are never reused.
 package cluster
 
 import (
@@ -24,11 +25,11 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// TaskRef names a task by indices.
+// TaskRef identifies a task by the index of its job and its number within the job.
 type TaskRef = placement.Task
 
-// Model is what one leader knows, for as long as it leads. Concerns with fields of their
-// own are types in files of their own; Model ties them together. It is not safe for
+// Model is the state of one leader for one leadership. Each concern that has state of its
+// own is a type in a file of its own; Model ties them together. It is not safe for
 // concurrent use.
 type Model struct {
 	FencingToken      uint64
@@ -40,10 +41,10 @@
 	RebalanceCycles   map[string]*RebalanceCycle
 	RebalanceSettings config.Rebalance
 	Headroom          float64
-	// StarvationBound is how soon after its acceptance a job begins at the latest; 0:
-	// there is no such bound.
+	// StarvationBound is how long a job may wait from its acceptance to its start; 0 means
+	// that there is no such bound.
 	StarvationBound time.Duration
-	PlacesFreed     uint64 // counts the places that have become free
+	PlacesFreed     uint64 // counts placements removed, each of which frees resources
 	Observer        Observer
 
 	loadFinished bool // an earlier leader's records
@@ -89,7 +90,7 @@
 	refBuffer      []TaskRef
 }
 
-// New makes an empty model.
+// New makes an empty model for the leadership with the given fencing token.
 func New(cfg *config.Settings, token uint64, now time.Time, log *slog.Logger) *Model {
 	m := &Model{
 		FencingToken: token, ElectedAt: now, Zones: cfg.Cluster.Zones, settings: cfg, log: log, clockDrift: config.Drift,
--- a/cluster/placementpages.go
+++ b/cluster/placementpages.go
@@ -8,8 +8,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// placementPage is a key of the state service on which placement records of several
-// jobs stand.
+// placementPage is a key of the key-value store that holds placement records of several
+// jobs.
 type placementPage struct {
 	number              int
 	version             uint64
--- a/cluster/plan_records.go
+++ b/cluster/plan_records.go
@@ -11,22 +11,22 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is what the leader knows of the operators' plan, and what the plan's
-// parts record (docs/plan.md).
+// This file holds the operators' plan that the leader follows, and the records that the
+// parts of the plan (priority tiers, batch windows, warm pools) keep (docs/plan.md).
 
-// Plan is a version of the plan that a leader decides by.
+// Plan is the version of the operators' plan by which a leader decides.
 type Plan struct {
-	*plan.Plan // nil: there is none
+	*plan.Plan // nil if there is none
 
 	Number      int
-	HeadVersion uint64 // the version of the plan's head: 0 where there is no plan
-	Unreadable  bool   // there is a plan, and no version of it can be read
+	HeadVersion uint64 // version of the plan's head key in the store; 0 if there is no plan
+	Unreadable  bool   // there is a plan, but no version of it can be read
 }
 
-// SetPlan takes a version of the plan in. What was placed by another one and is
-// not committed yet was decided by what no longer holds: it is taken back, and
-// decided anew. Its transaction, if it is under way, fails for the head's version,
-// or was committed while that version held.
+// SetPlan applies a version of the plan, unless it is older than the current one.
+// Uncommitted placements were decided by the previous version; they are removed and decided
+// anew. A transaction that is in progress for them either fails on the version of the plan
+// head or was committed while the previous plan was in force.
 func (m *Model) SetPlan(p Plan, now time.Time) {
 	if p.HeadVersion < m.plan.HeadVersion || p.HeadVersion == m.plan.HeadVersion && p.Number == m.plan.Number && p.Unreadable == m.plan.Unreadable {
 		return
@@ -39,8 +39,8 @@
 	m.planChanged(now)
 }
 
-// planChanged tells the plan's parts; the plan may have been read for the first
-// time, before any job is known.
+// planChanged makes the parts of the plan reload their settings. It may run before any job
+// is loaded.
 func (m *Model) planChanged(now time.Time) {
 	m.reloadPriorityPolicy()
 	m.reloadCalendar(now)
@@ -65,9 +65,10 @@
 	return n
 }
 
-// PlanGuard is the condition of whatever is decided by the plan: a leader that
-// has not heard of a newer one, or a transaction that comes late, changes nothing
-// by an older. Where there is no plan, the condition is that there is none still.
+// PlanGuard returns the condition of every transaction that depends on the plan: that the
+// plan head is unchanged, or that there is still no plan. It prevents a leader that has not
+// seen a newer plan, and a transaction that is applied late, from writing what an older
+// plan decided.
 func (m *Model) PlanGuard() wire.Guard {
 	return wire.Guard{Key: jobstore.PlanHeadKey, Version: m.plan.HeadVersion}
 }
@@ -125,14 +126,14 @@
 	return x != nil && x.gen != x.committed
 }
 
-// LoadPlanRecord takes in what an earlier leader recorded. It comes before the plan and
-// the jobs.
+// LoadPlanRecord loads a record that an earlier leader wrote for a part of the plan. It must
+// be called before the plan and the jobs are loaded, which read these records.
 func (m *Model) LoadPlanRecord(key string, value wire.Raw, version uint64) {
 	x := m.planRecords.at(key[len(jobstore.PlanStatePrefix):])
 	x.raw, x.version = value, version
 }
 
-// PendingPlanRecords is how many records wait to be written.
+// PendingPlanRecords returns how many records of the plan's parts wait to be written.
 func (m *Model) PendingPlanRecords() int {
 	n := 0
 	for _, x := range m.planRecords.byName {
@@ -145,8 +146,9 @@
 
 var errPlanRecordSize = errors.New("larger than a value may be")
 
-// PlanRecordBatch collects records of the plan's parts, at most maxOps of them; nil if
-// there are none. Its conditions are the plan's version and the records' own.
+// PlanRecordBatch returns a transaction that writes at most maxOps changed records of the
+// plan's parts, or nil if there are none. Its conditions are PlanGuard and the versions of
+// these records.
 func (m *Model) PlanRecordBatch(maxOps int) *WriteBatch {
 	b := &WriteBatch{Guards: []wire.Guard{m.PlanGuard()}, notes: map[string]*planRecord{}}
 	for _, name := range slices.Clone(m.planRecords.names) {
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -11,30 +11,29 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file applies the operators' priority tiers (package priority): which of the jobs
-// of one priority is served first, and where a pass inverted that. Without tiers all of
-// it leaves everything as it is.
+// This file applies the operators' priority tiers (package priority): they order jobs of the
+// same priority, and a pass that places a lower tier first is recorded as a priority
+// inversion. Without tiers this file has no effect.
 
 // priorityTiers is the policy in force, and the priority inversions under it. Only
 // priority_tiers.go writes its fields.
 type priorityTiers struct {
-	policy     *priority.Policy // nil: none
+	policy     *priority.Policy // nil if the plan defines no tiers
 	inversions priority.InversionLog
-	loaded     bool      // what an earlier leader recorded
-	changed    bool      // since the record was last handed out
-	savedAt    time.Time // when that was
+	loaded     bool      // earlier leaders' inversions are in the log
+	changed    bool      // the log has changed since it was last saved
+	savedAt    time.Time // when the log was last saved
 }
 
-// inversionRecordName is the name of the record of priority inversions, and
-// inversionSaveInterval how often it is
-// written at most while there are any.
+// inversionRecordName is the name of the plan record that holds the log of priority
+// inversions, and inversionSaveInterval the least time between two writes of it.
 const (
 	inversionRecordName   = "order"
 	inversionSaveInterval = 10 * time.Second
 )
 
-// reloadPriorityPolicy takes in the order of the plan that holds now. With a plan that
-// can't be read there is none, and nothing is placed.
+// reloadPriorityPolicy makes the tiers of the current plan the policy in force. If the plan
+// can't be read there is no policy, and nothing is placed (Model.Schedule).
 func (m *Model) reloadPriorityPolicy() {
 	if !m.tiers.loaded {
 		m.tiers.loaded = true
@@ -66,7 +65,7 @@
 	m.savePlanRecord(inversionRecordName, t.inversions.Clone())
 }
 
-// setPriorityPolicy takes an order in; nil is none.
+// setPriorityPolicy puts a policy in force; nil means that there are no tiers.
 func (m *Model) setPriorityPolicy(o *priority.Policy) {
 	m.tiers.policy = o
 	for _, idx := range m.openIndexes {
@@ -232,8 +231,9 @@
 	return &h, &t
 }
 
-// outranksCompetitors says whether work of later tiers competes with a job that may not stop
-// it: room is held for the job then, or they would take every bit that comes free.
+// outranksCompetitors reports whether classes of lower tiers compete with a job at the same
+// priority, which it can't preempt. Resources are then held for the job, because smaller
+// tasks would otherwise take whatever becomes free.
 func (m *Model) outranksCompetitors(j *Job) bool {
 	if m.tiers.policy == nil {
 		return false
@@ -246,9 +246,9 @@
 	return false
 }
 
-// reservesFor says whether room is kept for jobs of a class that are likely to come,
-// before a request of another: of the same tier as without an order, and always
-// of a higher one, but nothing is kept from what is owed.
+// reservesFor reports whether resources are reserved for expected jobs of class c before
+// request k is served: always if c is of a higher tier, by the rule without tiers if it is of
+// the same one, and never if k was promoted.
 func (m *Model) reservesFor(c *classStats, k *queued, own *classStats) bool {
 	if m.tiers.policy == nil {
 		return !own.hasWaitObjective
@@ -265,8 +265,9 @@
 	return names
 }
 
-// recordInversions records where a pass's plan departs from the order, before it is
-// taken into the model.
+// recordInversions records the priority inversions of a pass. It must run before the pass's
+// placements are applied to the model, since it compares them with the state that the pass
+// decided on.
 func (m *Model) recordInversions(plan *placement.Plan, in *placement.Input, job []*Job, now time.Time) {
 	o := m.tiers.policy
 	if o == nil {
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -8,8 +8,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is about records of earlier leaders that can't be read. What they say
-// is not guessed: what hangs on them is set aside and named, and the rest goes on.
+// This file quarantines what depends on unreadable records of earlier leaders. Their
+// contents are not guessed: the jobs concerned are logged and not scheduled, and all others
+// go on.
 
 // quarantine is what is known of records that can't be read. It only grows: a leader
 // that can read them again starts with a new model.
@@ -48,19 +49,20 @@
 	return 80 + len(c.Job) + (22+max(m.longestMachineName, 18))*len(c.Placements) + 8*len(c.DoneRanges)
 }
 
-// QuarantineJob names a job whose record can't be read. It stands still until its
-// user cancels it; its placements are kept as they are, since attempts must
-// not repeat should it be read again.
+// QuarantineJob quarantines a job whose record can't be read: it is not scheduled until its
+// record is readable again or its user cancels it. Its placement records are preserved, so
+// that no attempt number is reused if the record becomes readable.
 func (m *Model) QuarantineJob(key, id string, err error) {
 	m.log.Error("unreadable job record: the job is set aside", "key", key, "id", id, "err", err)
 	m.quarantine.addJob(id)
 	m.pausePlacing()
 }
 
-// QuarantineAdmissionPage names a page of jobs that can't be read: which jobs stand on it is
-// not known. Chunks of jobs that are not known otherwise are kept. since is from
-// when on no leader has known its jobs, by the clock of whoever says so: as with
-// jobs that were cancelled then, their tasks are gone cancel_s later.
+// QuarantineAdmissionPage records that an admission page can't be read, so that it is not
+// known which jobs are on it. Placement records of unknown jobs are preserved, since those
+// jobs may be on the page. since is when the page became unreadable to leaders, by the clock
+// of the node that recorded it: from then on workers are told to stop the tasks of its jobs,
+// and as with a cancelled job those are gone cancel_s later. Nothing is placed before that.
 func (m *Model) QuarantineAdmissionPage(key string, since time.Time, err error) {
 	m.log.Error("unreadable page of jobs: they are set aside", "key", key, "since", since, "err", err)
 	m.quarantine.admissionPageLost = true
@@ -72,8 +74,9 @@
 	m.pausePlacing()
 }
 
-// AdmissionEntries is what this leader knows of a page of users' jobs in that version; false
-// where it does not.
+// AdmissionEntries returns the jobs on an admission page in that version, so that a page
+// that has become unreadable can be recovered from this leader's memory. It returns false
+// if the model has another version of the page, or none.
 func (m *Model) AdmissionEntries(key string, version uint64) ([]jobstore.JobPageEntry, bool) {
 	p := m.admissionPages[key]
 	if p == nil || p.version != version {
@@ -82,8 +85,9 @@
 	return append([]jobstore.JobPageEntry{}, p.rec.Entries...), true
 }
 
-// QuarantinePlacementPage names a page of placement records that can't be read, and keeps it as
-// it is. Whatever it may speak of is set aside when all has been read.
+// QuarantinePlacementPage records that a page of placement records can't be read. The page
+// is left as it is in the store. FinishLoading quarantines the jobs that may have
+// placements on it.
 func (m *Model) QuarantinePlacementPage(n int, version uint64, err error) {
 	key := jobstore.PlacementPageKey(n)
 	m.log.Error("unreadable page of placements: jobs that it may speak of are set aside", "key", key, "err", err)
@@ -93,27 +97,28 @@
 	m.pausePlacing()
 }
 
-// pausePlacing holds all placing back until the tasks that can't be accounted for are gone
-// by all means: they may use a team's limit. A worker that is answered is told
-// to stop what nobody knows; one that is not loses its lease.
+// pausePlacing stops all placing until tasks that can't be accounted for are certainly
+// gone, since they may count against a team's limit. Workers that are answered are told to
+// stop tasks that the model does not have; workers that are not answered lose their leases.
 func (m *Model) pausePlacing() { m.pausePlacingFrom(m.ElectedAt) }
 
 func (m *Model) pausePlacingFrom(t time.Time) {
 	m.quarantine.pausePlacing(t.Add(config.Seconds(m.settings.Cluster.Workers.CancelS)))
 }
 
-// QuarantineFinishedJob takes in a job that is over and whose final record can't be read,
-// while placements of it are left: what its tasks need is not known.
+// QuarantineFinishedJob loads, as cancelled, a job that is over and whose final record can't
+// be read, because placements of it are left. Since it is not known which resources its
+// tasks use, placing is paused until they are gone.
 func (m *Model) QuarantineFinishedJob(key, id string, err error) {
 	m.log.Error("unreadable record of a job that is over: its tasks are stopped", "key", key, "id", id, "err", err)
 	m.LoadCancelledJob(id, jobstore.JobRecord{Job: wire.Job{ID: id, Tasks: wire.MaxTasks, Kind: wire.KindArray}})
 	m.pausePlacing()
 }
 
-// quarantineUnaccountedJobs holds the jobs back of which a page that can't be read may have
-// placements: those with a part that no other page has, unless they were
-// accepted after it was last written. What a job's version says of that is no
-// more than when its record last changed, where the record has marks or is shared.
+// quarantineUnaccountedJobs quarantines the jobs that may have placements on an unreadable
+// page: those with a chunk that is on no readable page, unless their record is newer than
+// the unreadable page. That exception does not hold for jobs with reservations or on shared
+// admission pages, whose records change after the job was accepted.
 func (m *Model) quarantineUnaccountedJobs() {
 	if m.quarantine.newestPage == 0 {
 		return
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -7,52 +7,53 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A machine whose heartbeats arrive need not receive the answers to them: one
-// direction of its traffic may be cut (an asymmetric partition). Left to itself the leader would launch
-// there with every answer, and what was launched would wait in vain for as long
-// as the cut lasts. A worker keeps one report in flight at a time, and drops
-// answers that come late, so that its next report shows what it has heard: the
-// token, tasks launched, tasks forgotten. One that shows a miss gets no work
-// until it has shown that it hears.
+// This file detects asymmetric partitions: machines whose heartbeats arrive but which do
+// not receive the answers. Without it the leader would place and launch tasks there for
+// as long as the partition lasts, and none of them would ever run. A worker has one
+// heartbeat in flight at a time and discards late answers, so that its next heartbeat
+// shows whether it received the last answer: by the fencing token, the tasks launched and
+// the exits forgotten. A machine that missed one is unreachable, and gets no tasks until
+// a heartbeat proves that it receives answers again.
 
 const (
-	// probeAttemptNumber is a probe's: no job's attempts, which summonses name, come
-	// that far.
+	// probeAttemptNumber is the attempt number in probes. Real attempts, which wake-ups
+	// name, never reach it, so that a probe can't be mistaken for a wake-up.
 	probeAttemptNumber = 1 << 40
-	// unreachableKeep is for how long, beyond a lease, an empty machine that does not
-	// hear is kept: as long as one that is silent.
+	// unreachableKeep is how long beyond a lease an empty unreachable machine is kept
+	// before it is deleted, the same as for a silent one.
 	unreachableKeep = 40 * time.Second
 	// probeSearchLimit bounds the search for a job that a probe can name.
 	probeSearchLimit = 1000
 )
 
-// reachability is what is known of whether a machine hears.
+// reachability is what the heartbeats of a machine have shown of whether it receives the
+// answers to them.
 type reachability struct {
-	reportingSince   time.Time   // when it began to report
-	tokenEverShown   bool        // it has shown this leader's token, now or before its lease ended
-	unreachableSince time.Time   // since when it shows that it does not hear; zero: it does, as far as is known
-	receivingNode    string      // the node by way of which the last report came
-	answeredSeq      uint64      // the number of the last report that was answered
-	answeredTwice    heartbeatID // the last report to which there were two answers, of which it heard one at most
-	// What the last answer said that the next report must show.
+	reportingSince   time.Time   // when its current run of heartbeats began
+	tokenEverShown   bool        // a heartbeat carried this leader's token, possibly before its lease expired
+	unreachableSince time.Time   // since when it misses answers; zero if it is not known to miss any
+	receivingNode    string      // the node that received its last heartbeat
+	answeredSeq      uint64      // sequence number of the last heartbeat answered
+	answeredTwice    heartbeatID // the last heartbeat that got two answers, of which the worker accepts one at most
+	// Contents of the last answer that the next heartbeat must reflect.
 	answerPending  bool
 	pendingForgets []exitKey
 	pendingProbe   exitKey
 }
 
-// answered takes in that a report has been answered: the worker's next one shows
-// whether it heard.
+// answered records that a heartbeat has been answered: the next one shows whether the
+// worker received the answer.
 func (h *reachability) answered(seq uint64) { h.answerPending, h.answeredSeq = true, seq }
 
-// forgetSent takes in that an answer told the worker to forget an exit, which its next
-// report must therefore not list.
+// forgetSent records that an answer contains a command to forget an exit. The next
+// heartbeat lists that exit only if the answer was not received.
 func (h *reachability) forgetSent(exit exitKey) { h.pendingForgets = append(h.pendingForgets, exit) }
 
-// heartbeatID is a report's.
+// heartbeatID identifies a heartbeat of one machine.
 type heartbeatID struct{ session, seq uint64 }
 
-// unreachable says whether the machine's reports show that it has not heard the last
-// that it was told.
+// unreachable reports whether the machine's heartbeats show that it does not receive the
+// answers to them.
 func (mc *Machine) unreachable() bool { return !mc.reachability.unreachableSince.IsZero() }
 
 func (m *Model) markUnreachable(mc *Machine, what string, now time.Time) {
@@ -70,8 +71,8 @@
 	}
 }
 
-// updateReachability takes in what a newer report shows of the answers before it; mc is
-// still as the report before left it.
+// updateReachability derives from a new heartbeat whether the machine received the answer
+// to the previous one. It must run before the heartbeat changes mc.
 func (m *Model) updateReachability(mc *Machine, r *wire.Report, now time.Time) {
 	h := &mc.reachability
 	told, forget, probe := h.answerPending, h.pendingForgets, h.pendingProbe
@@ -79,13 +80,14 @@
 	if !mc.Up {
 		h.reportingSince = now
 		if h.tokenEverShown && !mc.unreachable() {
-			h.unreachableSince = now // it was silent for its lease: what it has shown is old
+			h.unreachableSince = now // silent for a lease: earlier proofs no longer count
 		}
 	}
 	if r.Token < m.FencingToken {
-		// No answer of this leader was heard, and none before this report can be
-		// any more: they have renewed nothing. A late copy of a report of a machine
-		// that is gone was answered, too; others would wait for it from then on.
+		// The worker has accepted no answer of this leader, and discards all answers to
+		// earlier heartbeats by now, so that none of them has renewed its lease. Counting
+		// them would delay the restart of its tasks, above all where they answered
+		// delayed heartbeats of a machine that is gone.
 		mc.LastAnswered = time.Time{}
 		if told {
 			m.markUnreachable(mc, "token", now)
@@ -100,7 +102,7 @@
 		m.markReachable(mc, now)
 	}
 	if r.Session != mc.AgentEpoch {
-		// Its lease has ended, though it was answered.
+		// A new session although an answer was sent: its lease expired all the same.
 		if told && now.Sub(mc.LastAnswered) < config.Seconds(m.settings.Cluster.Workers.LeaseS/2) {
 			m.markUnreachable(mc, "session", now)
 			m.giveUpReservedPlaces(mc, now)
@@ -124,10 +126,10 @@
 	}
 }
 
-// answeredAgain takes in that the newest report, which has come once more, is answered
-// once more. What the first answer alone told may have gone unheard by a machine that
-// hears, and which of two nodes it stays with is not known: neither is a sign any more.
-// That it shows the token still is: both answers bear that.
+// answeredAgain records that a copy of the newest heartbeat is answered as well. The worker
+// may accept either answer, so that neither a missing effect of the first one nor the node
+// that receives the next heartbeat shows any more that an answer was lost. The fencing
+// token still does, because both answers carry it.
 func (mc *Machine) answeredAgain(via string) {
 	h := &mc.reachability
 	h.answeredTwice = heartbeatID{mc.AgentEpoch, mc.Seq}
@@ -136,9 +138,9 @@
 	}
 }
 
-// ObserveReceivingNode takes in by way of which node a report came that has just been observed. A
-// worker stays with the node that has answered it: where its very next report
-// comes to another one, it has not heard the answer.
+// ObserveReceivingNode records which node received the heartbeat that was just applied. A
+// worker stays with the node that has answered it, so that if its very next heartbeat
+// arrives at another node, the answer was lost and the machine counts as unreachable.
 func (m *Model) ObserveReceivingNode(mc *Machine, via string, now time.Time) {
 	h := &mc.reachability
 	if h.receivingNode != "" && h.receivingNode != via && mc.Seq == h.answeredSeq+1 {
@@ -147,8 +149,8 @@
 	h.receivingNode = via
 }
 
-// giveUpReservedPlaces gives reserved places up that have not been launched, once the
-// lease of a machine that does not hear has ended.
+// giveUpReservedPlaces removes reserved placements that were never launched from an
+// unreachable machine whose lease has expired.
 func (m *Model) giveUpReservedPlaces(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
@@ -158,10 +160,11 @@
 	}
 }
 
-// reachabilityProbe makes the command by which a machine that did not hear shows that it does:
-// a launch that it must refuse, and lists. Like a summons it does no harm. None is
-// needed where something is to be forgotten, which shows the same; so an earlier
-// probe is no longer listed.
+// reachabilityProbe makes a command whose effect proves that an unreachable machine
+// receives answers again: like a wake-up, it launches a task that no job has, which the
+// worker refuses and lists as exited. While an answer carries a command to forget an exit
+// no probe is needed, since the exit's absence from the next heartbeat proves the same.
+// That includes the exit of an earlier probe.
 func (m *Model) reachabilityProbe(mc *Machine) (wire.Command, bool) {
 	if len(mc.reachability.pendingForgets) > 0 {
 		return wire.Command{}, false
@@ -172,19 +175,19 @@
 			return wire.Command{Op: wire.OpStart, Task: mc.reachability.pendingProbe.name, Attempt: mc.reachability.pendingProbe.attempt}, true
 		}
 	}
-	return wire.Command{}, false // nothing to be placed either
+	return wire.Command{}, false // no recent job to name, and so nothing to place either
 }
 
-// mayProveReachable says whether a machine has begun to report a moment ago, and should show
-// with its next report that it hears.
+// mayProveReachable reports whether a machine began to send heartbeats so recently that
+// its next one should show whether it receives answers.
 func (m *Model) mayProveReachable(mc *Machine, now time.Time) bool {
 	within := config.Seconds(1.25*m.settings.Cluster.Workers.ReportS + 1)
 	return mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() &&
 		mc.Type >= 0 && mc.Zone >= 0 && now.Sub(mc.reachability.reportingSince) < within
 }
 
-// unreachableTooLong says whether a machine has not heard for so long that another had better
-// take its place.
+// unreachableTooLong reports whether a machine has been unreachable for so long that it
+// should be replaced.
 func (m *Model) unreachableTooLong(mc *Machine, now time.Time) bool {
 	return mc.unreachable() && !m.mayProveReachable(mc, now) && mc.Up && now.Sub(mc.reachability.unreachableSince) > config.Seconds(m.settings.Cluster.Workers.LeaseS)+unreachableKeep
 }
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -12,18 +12,20 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// RebalanceCycle is what the rebalancer remembers of a group.
+// RebalanceCycle is the last rebalance cycle of a group, that is, of the machines of one
+// type in one zone.
 type RebalanceCycle struct {
 	Record jobstore.RebalanceCycle
 }
 
-// LoadRebalanceCycle takes an earlier leader's cycle record in. Moves whose task is
-// still where it was are stopped again, since the stop may have been sent;
-// those whose stop was confirmed are simply waiting and start on their target.
+// LoadRebalanceCycle loads the record of a cycle that an earlier leader committed, and
+// continues its moves. Tasks that are still on their old machine are stopped again, since
+// the earlier leader may have sent the stop; tasks that have stopped already are waiting,
+// and start on their target like any other.
 //
-// The record may be of a transaction that had no answer and was carried out late, so that
-// its moves were never begun. Once the group's cooldown is over nobody wants them any
-// more, and they are not begun then.
+// The transaction of the record may have been applied late, without its leader knowing, so
+// that its moves never began. They are not continued once the group's cooldown has passed,
+// because the reasons for them may no longer hold.
 func (m *Model) LoadRebalanceCycle(group string, rec jobstore.RebalanceCycle, now time.Time) {
 	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
 	if now.UnixMilli() >= rec.CooldownUntilMs {
@@ -113,8 +115,9 @@
 	}
 }
 
-// PlanMoves looks at every group and returns the cycle records to commit
-// before their moves begin, by group.
+// PlanMoves plans a cycle for every group in which moving tasks would make room for wanted
+// requests. It returns the records by group and changes nothing: each must be committed
+// before BeginMoves starts its moves.
 func (m *Model) PlanMoves(wanted []placement.Request, now time.Time) map[string]jobstore.RebalanceCycle {
 	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(m.settings.Cluster.Workers.ReportS*3) {
 		return nil
@@ -204,7 +207,8 @@
 	return out
 }
 
-// BeginMoves starts a cycle whose record is committed.
+// BeginMoves starts a cycle whose record has been committed, by stopping the tasks that are
+// to move.
 func (m *Model) BeginMoves(group string, rec jobstore.RebalanceCycle, now time.Time) {
 	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
 	for _, mv := range rec.Moves {
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -7,7 +7,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// reconcile compares a newer report with what the model has on the machine.
+// reconcile updates the model from a new heartbeat: first from the tasks that it lists, and
+// then from the absence of tasks that the model has on the machine, where that is a proof.
 func (m *Model) reconcile(mc *Machine, r *wire.Report, now time.Time) {
 	listed := m.applyListedTasks(mc, r, now)
 	if !mc.TokenShown {
@@ -22,8 +23,8 @@
 	}
 }
 
-// applyListedTasks takes in what a report says of each task that it lists, and returns
-// those that are placed on the machine.
+// applyListedTasks applies the state of each task that a heartbeat lists, and returns those
+// that are placed on the machine.
 func (m *Model) applyListedTasks(mc *Machine, r *wire.Report, now time.Time) map[TaskRef]bool {
 	listed := make(map[TaskRef]bool, len(r.Tasks))
 	named := make(map[exitKey]bool, len(r.Tasks))
@@ -51,8 +52,9 @@
 		}
 		listed[ref] = true
 		if t.State == wire.TaskExited && t.Why != wire.WhyDone && p.Inherited && !mc.TokenShown {
-			// The report may be a late copy: a gang's task that was refused is tried
-			// again with the same attempt, and may be on the machine since.
+			// Without the token this may be a delayed copy. A gang's task that the
+			// worker refused is launched again with the same attempt number, and may
+			// be on the machine by now.
 			continue
 		}
 		if p.LaunchSent && p.ReportedState == notReported && p.LaunchEpoch == r.Session {
@@ -68,15 +70,16 @@
 	return listed
 }
 
-// applyAbsence takes in that a report does not list a task that is placed on its machine:
-// it was not launched, its launch was lost, or it is gone.
+// applyAbsence handles a task that is placed on a machine but missing from its heartbeat: it
+// has not been launched yet, its launch was lost, or it is gone.
 func (m *Model) applyAbsence(mc *Machine, ref TaskRef, r *wire.Report, now time.Time) {
 	j := m.Jobs[ref.Job]
 	p := j.Tasks[ref.Task].Placement
 	switch {
 	case p.Inherited && p.Stop == nil && j.reservation != nil && r.Session == 1:
-		// No lease of this worker has ever ended, and what it once had it
-		// lists until its outcome is committed: the launch never reached it.
+		// In its first session the worker's lease has never expired, and a worker
+		// lists every task it ever received until told to forget it. So the launch
+		// never reached it.
 		p.Inherited, p.LaunchSent = false, false
 		return
 	case p.Inherited:
@@ -85,8 +88,8 @@
 	case p.LaunchEpoch == r.Session && p.LaunchSeq >= r.Seq:
 		return
 	case p.LaunchEpoch == r.Session && p.ReportedState == notReported && p.Stop == nil:
-		// The answer with the launch was lost, and cannot be executed any
-		// more, since the worker has sent another report.
+		// The answer with the launch was lost, and can't be executed any more, since
+		// the worker has sent a newer heartbeat.
 		p.LaunchSent = false
 		if (heartbeatID{p.LaunchEpoch, p.LaunchSeq}) != mc.reachability.answeredTwice {
 			m.markUnreachable(mc, "launch", now)
@@ -96,7 +99,7 @@
 	m.taskLost(j, ref.Task, "not on its machine", now)
 }
 
-// applyTaskState takes in what a report says of a task that is placed there.
+// applyTaskState applies the state that a heartbeat lists for a task placed on the machine.
 func (m *Model) applyTaskState(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
 	p.LaunchSent = true
 	switch t.State {
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -78,7 +78,7 @@
 	m.markDone(j, task, now)
 }
 
-// stopReason is how a task that its machine reports as stopped ended.
+// stopReason is the outcome of a task that its worker lists as stopped.
 func stopReason(p *Placement) jobstore.TaskOutcome {
 	if p.Stop == nil {
 		return jobstore.OutcomePreempted
@@ -130,7 +130,7 @@
 	return out
 }
 
-// stoppingTasks lists the tasks from lo to hi that have been told to stop.
+// stoppingTasks lists the tasks from lo to hi that have been ordered to stop.
 func (j *Job) stoppingTasks(lo, hi int) []int {
 	if j.reservation == nil {
 		return nil
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -9,11 +9,11 @@
 
 const reasonNeverUp = "never came up"
 
-// maxScaleIn is how many machines one request returns at most.
+// maxScaleIn bounds the machines that one request deletes.
 const maxScaleIn = 50
 
-// ResumeScaleIn takes in the names of a deletion that an earlier leader asked for:
-// it may yet be carried out.
+// ResumeScaleIn marks machines that an earlier leader asked the cloud to delete. The
+// deletion may still be carried out, so that nothing must be placed on them.
 func (m *Model) ResumeScaleIn(names []string, now time.Time) {
 	for _, n := range names {
 		m.findOrAddMachine(n, now).ScalingIn = true
@@ -22,17 +22,17 @@
 
 const failedState = wire.MachineFailed
 
-// SelectScaleIn lists machines to be deleted: failed ones, those that never came
-// up, those that have been silent for long, and empty ones that nobody needs.
-// A machine is marked, so that nothing is placed on it any more.
+// SelectScaleIn selects machines to delete: failed ones, those that never came up, those
+// that have been silent or unreachable for long, and those that have been idle for the
+// given time. It marks them, so that nothing is placed on them any more.
 func (m *Model) SelectScaleIn(now time.Time, idle time.Duration) []string {
 	if len(m.openJobs()) == 0 {
-		// Nothing to do at all: no reason to keep machines for what may come.
+		// Without any open job, machines need not be kept for long.
 		idle = min(idle, 20*time.Second)
 	}
 	var out []string
-	// Those that were asked for before and not confirmed come first: the record
-	// of what goes holds one request's names.
+	// Deletions that were requested before and are not confirmed come first, because
+	// the scale-in record holds the names of one request only.
 	for _, mc := range m.Machines {
 		if mc.ScalingIn && !mc.Gone && len(out) < maxScaleIn {
 			out = append(out, mc.Name)
--- a/cluster/scaleout.go
+++ b/cluster/scaleout.go
@@ -6,9 +6,9 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file is about what the cloud offers and what was rented.
+// This file selects what can be rented from the cloud, and applies the results of rentals.
 
-// Offer says what could be rented.
+// Offer is a kind of machine that could be rented from the cloud.
 type Offer struct {
 	Type string
 	Zone string
@@ -18,8 +18,8 @@
 
 const (
 	offerRefusalTime = 15 * time.Second
-	// maxScaleOut bounds what a pass wants rented: a few of the cloud's largest
-	// requests.
+	// maxScaleOut bounds the machines that a pass wants rented, to a few requests of
+	// the largest size that the cloud accepts.
 	maxScaleOut = 200
 )
 
@@ -51,12 +51,13 @@
 	return out, names
 }
 
-// OfferRefused takes in that the cloud had nothing to rent.
+// OfferRefused records that the cloud had no machine for an offer. The offer is not used
+// again for offerRefusalTime, so that the next pass tries another type or zone.
 func (m *Model) OfferRefused(o Offer, now time.Time) {
 	m.refusedOffers.refuse(o.key, now.Add(offerRefusalTime))
 }
 
-// ScaledOut takes in machines that a rental named.
+// ScaledOut adds machines that the cloud named in its response to a scale-out request.
 func (m *Model) ScaledOut(o Offer, names []string, now time.Time) {
 	for _, n := range names {
 		mc := m.findOrAddMachine(n, now)
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -12,14 +12,16 @@
 // and reserves machines for it, and what it decided is bound: taken into the model, from
 // which the write-behind commits it before anything is launched.
 
-// Decisions is what a pass decided; starts and stops are in the model already.
+// Decisions is the result of a scheduling pass. Placements and stops are applied to the
+// model already; scaling out is left to the caller.
 type Decisions struct {
 	Started  int
-	ScaleOut map[Offer]int
-	Unplaced []placement.Request // requests that fit nowhere for want of room
+	ScaleOut map[Offer]int       // machines to rent
+	Unplaced []placement.Request // requests that no machine has enough free resources for
 }
 
-// Schedule places what waits, stops what must make room and says what to rent.
+// Schedule runs a scheduling pass: it places waiting tasks, orders preemptions and decides
+// which machines to rent. renting is how many machines are being rented already.
 func (m *Model) Schedule(now time.Time, renting int) Decisions {
 	if m.quarantine.pausesPlacing(now) || m.plan.Unreadable {
 		return Decisions{}
@@ -42,7 +44,7 @@
 	reserved := map[string]bool{}
 	job := make([]*Job, 0, len(reqs)+4)
 	for k := range reqs {
-		if !reqs[k].mustStart { // the bound goes before room that is kept for an objective
+		if !reqs[k].mustStart { // the starvation bound takes precedence over reservations
 			for _, r := range m.backfillReservations(reqs[k], reserved, now) {
 				in.Requests = append(in.Requests, r)
 				job = append(job, nil)
@@ -139,7 +141,8 @@
 	return d
 }
 
-// LogUtilization says how the machines of each type are booked and what waits.
+// LogUtilization logs, at debug level, how many resources of each machine type are in use
+// and how many tasks wait.
 func (m *Model) LogUtilization(wanted []placement.Request, now time.Time) {
 	if !m.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -7,20 +7,21 @@
 
 // Snapshot is the model in numbers, for metrics and for operators.
 type Snapshot struct {
-	Machines     map[string]int // by state
-	Tasks        map[string]int // by state
-	Jobs         int            // that are not over
-	PastDeadline int            // of those, past their deadline
-	LongestWait  map[string]float64
-	Starved      []StarvedJob // can't begin within the bound: those that wait for longest, and how
-	StarvedTotal int          // many there are
-	LeaseLeft    float64      // seconds, of the machine whose lease is nearest its end
+	Machines     map[string]int     // by state
+	Tasks        map[string]int     // by state
+	Jobs         int                // that are not over
+	PastDeadline int                // of those, past their deadline
+	LongestWait  map[string]float64 // seconds since acceptance of a job with waiting tasks, by class
+	Starved      []StarvedJob       // jobs that can't start within the starvation bound, longest wait first; bounded
+	StarvedTotal int                // how many such jobs there are, listed in Starved or not
+	LeaseLeft    float64            // seconds left of the machine lease that expires first
 
-	PriorityInversions map[string]uint64 // from the order, by whose cost and why, of all leaders' time
+	PriorityInversions map[string]uint64 // by the tier that had to wait and the cause, summed over all leaders
 	Pools              []PoolSnapshot
 }
 
-// Snapshot counts what is there; its cost grows with machines and open tasks.
+// Snapshot computes the model's numbers. Its cost is proportional to the numbers of
+// machines and open tasks.
 func (m *Model) Snapshot(now time.Time) Snapshot {
 	s := Snapshot{Pools: m.poolSnapshots(), Machines: map[string]int{}, Tasks: map[string]int{}, LongestWait: map[string]float64{}, PriorityInversions: maps.Clone(m.tiers.inversions.Counts)}
 	least := -1.0
@@ -83,18 +84,18 @@
 	return s
 }
 
-// Observer takes in how long the steps of tasks take, in seconds, and what departs
-// from the order.
+// Observer receives measurements of the model, for metrics: how long the steps of a task's
+// life take, and priority inversions.
 type Observer interface {
-	Placed(seconds float64)             // since the job was accepted
-	Launched(seconds float64)           // since the placement
-	Running(seconds float64)            // since the launch
-	LeaseLeft(seconds float64)          // of the machine that is answered
-	PriorityInversion(tier, why string) // from the order, at that tier's cost
-	PreemptionHeld(seconds float64)     // until the plan was compared
+	Placed(seconds float64)             // from a job's acceptance to a task's placement
+	Launched(seconds float64)           // from the placement to the launch
+	Running(seconds float64)            // from the launch until the task is seen running
+	LeaseLeft(seconds float64)          // what was left of a machine's lease when it was answered
+	PriorityInversion(tier, why string) // a task of that tier waits while a lower tier's is placed
+	PreemptionHeld(seconds float64)     // how long a stop waited for the plan to be confirmed
 }
 
-// noObserver is what a model has that nobody watches.
+// noObserver discards all measurements.
 type noObserver struct{}
 
 func (noObserver) Placed(float64)                {}
--- a/cluster/stallrecovery.go
+++ b/cluster/stallrecovery.go
@@ -28,20 +28,22 @@
 	return d
 }
 
-// ResumeAfterStall takes in that the leader's process stood still for so long, until
-// then, while its clocks ran on.
+// ResumeAfterStall records that the leader's process was paused for that long until
+// resumed, while its clocks ran on. Heartbeats that arrived meanwhile are still unread, so
+// that the pause does not count as silence of any machine.
 func (m *Model) ResumeAfterStall(resumed time.Time, stood time.Duration) {
 	m.stall = stallRecovery{ended: resumed, lasted: stood}
 }
 
-// recoveringFromStall says whether the leader has just gone on after standing still: what
-// workers have reported meanwhile is read before any of them is called silent.
+// recoveringFromStall reports whether the leader's process resumed after a pause so
+// recently that heartbeats which arrived during the pause may still be unread: until they
+// are read, no machine is treated as silent.
 func (m *Model) recoveringFromStall(now time.Time) bool {
 	return m.stall.recovering(now, config.Seconds(m.settings.Cluster.Workers.ReportS)+time.Second)
 }
 
-// silentFor is how long nothing has been heard of a machine, not counting the
-// time in which the leader could not listen.
+// silentFor returns the time since a machine's last heartbeat, not counting a pause of the
+// leader's process.
 func (m *Model) silentFor(mc *Machine, now time.Time) time.Duration {
 	return m.stall.silence(mc.LastSeen, now)
 }
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -9,39 +9,39 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// This file is the bound: whoever is put off, for whatever reason, begins
-// within a time of its acceptance for which the fleet has room at all. Triage
-// and the order of objectives put the same jobs off again and again: those that cost
-// the most. The bound asks when a job must hold room to begin in time, and from
-// then on it is served before the objectives of its priority. It stops nothing that
-// could not be stopped anyhow.
+// This file decides which jobs the starvation bound applies to now. The bound lets every job
+// start within Model.StarvationBound of its acceptance, provided that the cluster has the
+// capacity. Triage and the ordering by objectives alone would postpone the most expensive
+// jobs again and again. The bound estimates when a job must hold its resources in order to
+// start in time; from then on the job precedes the objectives of its priority. It preempts
+// nothing that could not be preempted otherwise.
 //
-// It rests on when a job was accepted, whether it has begun, and where tasks
-// are, all of which a next leader reads or is told.
+// It depends only on when a job was accepted, whether it has started, and where tasks are,
+// all of which a new leader loads or learns from heartbeats.
 
 const (
-	boundInterval = 2 * time.Second  // a verdict stands for so long
+	boundInterval = 2 * time.Second  // between two checks; verdicts stand until the next one
 	boundMargin   = 10 * time.Second // by which a job should be early
-	// largestMargin is the share of the bound by which the largest of a class
-	// must begin earlier: what they wait for is the hardest to foresee.
+	// largestMargin is the share of the bound by which the largest jobs of a class
+	// should be earlier still, since their waits are the hardest to predict.
 	largestMargin = 0.1
-	// largeArrayMargin is the share of the bound that an array's first task is early
-	// by, where it has manyTasks: waiting for the last moment saves nothing.
+	// largeArrayMargin is the share of the bound by which the first task of an array of
+	// at least largeArrayTasks tasks is early: delaying a single task saves nothing.
 	largeArrayMargin = 0.5
 	largeArrayTasks  = 8
-	// boundSlack and boundShare are how late a job may seem to be able to wait:
-	// a time, and a share of how long its room takes to come free.
+	// boundSlack and boundShare make up the slack at which a job is served by the bound:
+	// a constant, and a share of the predicted wait for its resources.
 	boundSlack          = 10 * time.Second
 	boundShare          = 0.25
-	boundHoldSeconds    = 150       // seconds ahead that room is kept for a job that must begin
-	maxMustStarts       = 100       // jobs are served by the bound in a pass
-	maxSizes            = 200       // of a class's last jobs
-	maxInfeasibleRounds = 50        // times a class is played again without the costliest
-	largestFraction     = 10        // one in so many is among the largest of its class
-	schedulingHorizon   = time.Hour // what is further away is not counted on
-	// lastCall is how long before it must have its room a job goes before fresh
-	// starts of higher priority; lastCallOf is of how many machines one may have
-	// a place for such jobs.
+	boundHoldSeconds    = 150       // how far ahead resources are held for a job that must start
+	maxMustStarts       = 100       // jobs served by the bound in one pass
+	maxSizes            = 200       // recent jobs of a class whose sizes are remembered
+	maxInfeasibleRounds = 50        // simulations of a class from which the costliest job is dropped
+	largestFraction     = 10        // one in so many jobs is among the largest of its class
+	schedulingHorizon   = time.Hour // resources that become free later count as never free
+	// lastCall is how long before the time by which it must hold its resources a job
+	// precedes new starts of higher priority. One place in lastCallMachines machines may
+	// be used for such jobs at a time.
 	lastCall         = 20 * time.Second
 	lastCallMachines = 10
 	startProtection  = 30 * time.Second
@@ -69,12 +69,12 @@
 	loggedAt   time.Time     // when blockedBy was last logged
 }
 
-// hasStarted says whether a task of the job has run. A task that is done may have
-// run in an earlier leader's time.
+// hasStarted reports whether a task of the job has run. FirstRunAt does not suffice: a task
+// may have run and completed under an earlier leader.
 func (j *Job) hasStarted() bool { return !j.FirstRunAt.IsZero() || j.DoneTasks > 0 }
 
-// placesToStart is how many places the job needs to begin: a gang all at once, others
-// one. 0: it has begun, or has its room already.
+// placesToStart returns how many tasks must be placed for the job to start: all tasks of a
+// gang, one of any other job, 0 if it has started or is placed already.
 func (j *Job) placesToStart() int {
 	switch {
 	case j.hasStarted():
@@ -87,13 +87,13 @@
 	return 1
 }
 
-// isStartProtected says whether the job's only task must be left alone: it was begun by
-// the bound, and a start that is stopped at once is none.
+// isStartProtected reports whether the job's only placed task must not be preempted yet
+// because the bound started it: being preempted at once would not count as a start.
 func (m *Model) isStartProtected(j *Job, now time.Time) bool {
 	return m.StarvationBound > 0 && j.start.mustStart && !j.Gang() && j.PlacedTasks == 1 && (j.FirstRunAt.IsZero() || now.Sub(j.FirstRunAt) < startProtection)
 }
 
-// addSize takes in how many tasks a job of the class has.
+// addSize records the number of tasks of a job of the class.
 func (c *classStats) addSize(tasks int) {
 	if len(c.sizes) < maxSizes {
 		c.sizes = append(c.sizes, tasks)
@@ -104,7 +104,7 @@
 	c.largeFrom = 0
 }
 
-// isLarge says whether a job of so many tasks is among the largest of its class.
+// isLarge reports whether a job of so many tasks is among the largest of its class.
 func (c *classStats) isLarge(tasks int) bool {
 	if c.largeFrom == 0 {
 		v := slices.Clone(c.sizes)
@@ -114,14 +114,14 @@
 	return tasks >= c.largeFrom
 }
 
-// isLargeJob says whether the job is one of the largest of its class.
+// isLargeJob reports whether the job is among the largest of its class.
 func (m *Model) isLargeJob(j *Job) bool {
 	c := m.classes[j.Spec.Class]
 	return c != nil && c.isLarge(len(j.Tasks))
 }
 
-// checkStarvationBound marks the waiting jobs that must hold room now in order to begin in
-// time. The verdicts stand for a while; a job that came since waits for the next.
+// checkStarvationBound marks the waiting jobs that must hold resources now in order to start
+// in time. It runs every boundInterval; jobs that arrive in between wait for the next check.
 func (m *Model) checkStarvationBound(out []*queued, now time.Time) {
 	if m.StarvationBound <= 0 || now.Before(m.starvation.nextCheck) {
 		return
@@ -146,8 +146,8 @@
 	m.explainStarvation(now)
 }
 
-// latestStart is when a job must have its room to begin in time, since the image
-// and the start come after that, and when it should have it.
+// latestStart returns when a job should, and when it must at the latest, hold its resources
+// in order to start in time, allowing for the image fetch and the startup that follow.
 func (m *Model) latestStart(j *Job) (should, must time.Time) {
 	fetch := math.Inf(1)
 	for i := range m.MachineTypes {
@@ -166,19 +166,19 @@
 	return should, must
 }
 
-// startForecast is what playing says of a job.
+// startForecast is the result of the simulation in checkClassBound for one job.
 type startForecast struct {
 	startBy, hardLimit time.Time
-	servedFirst        time.Duration // until it has its room if it is served first
-	servedInTurn       time.Duration // and after all that must begin before it
-	infeasible         bool          // it can't be in time beside the others
+	servedFirst        time.Duration // until it holds its resources if it is served first
+	servedInTurn       time.Duration // the same if it is served after the jobs that are due earlier
+	infeasible         bool          // it can't start in time beside the others
 }
 
-// checkClassBound plays the jobs of a class that have not begun through, the first
-// to be late first, as if nothing else were served from now on. Those that can
-// be in time so, and not by much, must be served now, and with them all before
-// them. Where one would be late, the job that takes the most so far is dropped,
-// the largest of the class last: so that as few as possible are late.
+// checkClassBound simulates serving the unstarted jobs of a class, earliest due first, as if
+// nothing else were served from now on. Jobs that would be in time, but with little slack,
+// must be served now, and with them all that are due earlier. Where a job would be late, the
+// costliest job up to it is dropped from the simulation, the largest ones of the class only
+// if there are no others, so that as few jobs as possible are late.
 func (m *Model) checkClassBound(jobs []*queued, now time.Time) {
 	all := m.zonePlacesFor(jobs[0].j, now)
 	out := make([]startForecast, len(jobs))
@@ -216,16 +216,16 @@
 		case v.servedFirst > schedulingHorizon:
 			j.start.mustStart = v.startBy.Sub(now) <= lastCall
 		default:
-			// Served first, it would make others late in its turn: it has twice
-			// the time.
+			// Serving it in time would make others late, so that it gets twice the
+			// time.
 			j.start.mustStart = v.startBy.Add(m.StarvationBound).Sub(now)-v.servedFirst <= enough(v.servedFirst)
 		}
 		j.start.startBy, j.start.startDelay, j.start.infeasible, j.start.noCapacity = v.startBy, v.servedFirst, v.infeasible, v.servedFirst > schedulingHorizon
 	}
 }
 
-// simulateStarts serves the jobs that are not dropped in their order, and says which
-// is the first that can't be in time, or -1.
+// simulateStarts serves the jobs that are not dropped in the given order, and returns the
+// index of the first one that would be late, or -1.
 func (m *Model) simulateStarts(jobs []*queued, out []startForecast, order []int, r *zonePlaces, now time.Time) int {
 	for _, i := range order {
 		k, v := jobs[i], &out[i]
@@ -244,8 +244,9 @@
 	return -1
 }
 
-// costliestStart is the job whose beginning takes the most of those up to the late
-// one, and is none of the largest of its class while there are others.
+// costliestStart returns the index of the job, among those up to the late one, that occupies
+// the most resources for the longest time. The largest jobs of the class are excepted; if
+// there are no others it is the late job itself.
 func (m *Model) costliestStart(jobs []*queued, out []startForecast, order []int, late int) int {
 	best, most := late, -1.0
 	for _, i := range order {
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -31,13 +31,13 @@
 	blockedByCompetition       = "others that are due have the room"
 )
 
-// StarvedJob is a job that has not begun in time, or won't.
+// StarvedJob is a job that has not started within the starvation bound, or can't.
 type StarvedJob struct {
 	ID            string
 	Class         string
 	Team          string
 	Tasks         int
-	BlockedBy     string  // what stands in its way
+	BlockedBy     string  // what prevents its start
 	WaitedSeconds float64 // since it was accepted
 }
 
--- a/cluster/starvation_places.go
+++ b/cluster/starvation_places.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// This file is the list of places, by the time at which each comes free, on which the
-// starvation bound plays starts through.
+// This file predicts when places for tasks become free, for the simulation by which the
+// starvation bound decides.
 
-// zonePlaces is after how many seconds there is a place for a task, once for each,
-// by zone. Where a class's jobs need no zone of their own, it is one list.
+// zonePlaces lists, for each place for a task, the seconds until it is free, by zone, or in
+// one list where the class's jobs have no zone constraint.
 type zonePlaces struct {
 	byZone  []placeTimes
 	anyZone bool // one list for all zones
@@ -39,8 +39,8 @@
 	return out
 }
 
-// earliest is after how many seconds a job has n places at once, and in which
-// zone; infinite where there never are so many.
+// earliest returns the seconds until a job has n places at the same time, and in which zone.
+// It returns infinity if there are never so many.
 func (r *zonePlaces) earliest(j *Job, n int) (at float64, zone int) {
 	at, zone = math.Inf(1), -1
 	for z, t := range r.byZone {
@@ -54,7 +54,7 @@
 	return at, zone
 }
 
-// occupy holds the first n places of a zone until they are free again.
+// occupy takes the first n places of a zone until the given second.
 func (r *zonePlaces) occupy(zone, n int, until float64) {
 	t := r.byZone[zone]
 	at, _ := slices.BinarySearch(t, until)
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -9,8 +9,8 @@
 // This file moves jobs that must start now, by the starvation bound, forward in the
 // queue of a scheduling pass.
 
-// prioritizeMustStart brings what must begin before the objectives of its priority. Of an array
-// that is its first task; the others keep their turn.
+// prioritizeMustStart moves the jobs that must start now to the front of their priority. Of
+// an array only the first task moves; the others keep their position.
 func (m *Model) prioritizeMustStart(out []*queued, now time.Time) []*queued {
 	if m.StarvationBound <= 0 {
 		return out
@@ -39,8 +39,8 @@
 			head.req.Hold, head.req.HoldFor = true, boundHoldSeconds
 			if !k.j.Gang() {
 				head.req.Tasks = k.req.Tasks[:1]
-				// Two requests of a job whose tasks must be in one zone, or in
-				// several, don't know of each other's places.
+				// A job with zone constraints can't be split: its two requests
+				// would be placed without regard to each other's zones.
 				if len(k.req.Tasks) > 1 && !k.j.Spec.OneZone && !k.j.Spec.Spread {
 					others := *k
 					others.req.Tasks = k.req.Tasks[1:]
@@ -64,7 +64,8 @@
 	return m.promoteLastCalls(list, now)
 }
 
-// truncateQueue leaves so many requests, those that the bound has served among them.
+// truncateQueue cuts the queue to the given length, from its end, but never drops requests
+// that the starvation bound or the completion floor has moved forward.
 func truncateQueue(list []*queued, most int) []*queued {
 	cut := len(list) - most
 	if cut <= 0 {
@@ -79,10 +80,10 @@
 	return list
 }
 
-// promoteLastCalls brings the few that have no time left before fresh starts of higher
-// priority, after all that is within a guarantee. Nothing is stopped for them,
-// and they are few: at any time a place for each so many machines, or one job,
-// counting those that were begun so and must be left alone.
+// promoteLastCalls moves jobs that are about to miss the bound ahead of new starts of higher
+// priority, but behind all work within a quota. Nothing is preempted for them. Their number
+// is bounded to one place per lastCallMachines ready machines, or a single job, and includes
+// starts that are still protected.
 func (m *Model) promoteLastCalls(list []*queued, now time.Time) []*queued {
 	at := slices.IndexFunc(list, func(k *queued) bool { return !k.withinQuota })
 	if at < 0 || list[at].j.Priority == list[len(list)-1].j.Priority {
--- a/cluster/stoppush.go
+++ b/cluster/stoppush.go
@@ -6,15 +6,16 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Push is a stop to be sent to a worker's own address.
+// Push is a set of commands to be sent directly to a worker's own address: stops, or a
+// wake-up.
 type Push struct {
 	Machine  string
 	Addr     string
 	Commands wire.DirectCommands
 }
 
-// StopPushes returns the stops that have not been sent directly yet. They
-// are repeated in answers to reports until the tasks are gone.
+// StopPushes returns the stops that have not been sent directly yet, by machine. A push
+// only speeds them up: answers to heartbeats repeat them until the tasks are gone.
 func (m *Model) StopPushes(now time.Time) []Push {
 	byMachine := map[int32]*Push{}
 	var order []int32
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -12,7 +12,7 @@
 	mc.reportedExits[exitKey{t.Task, t.Attempt}] = &reportedExit{job: j.Index, chunk: n, generation: j.Chunks[n].Generation}
 }
 
-// applyExit takes in the end of a task's attempt.
+// applyExit applies the end of a task's attempt that its worker has listed.
 func (m *Model) applyExit(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
 	ran := 0.0
 	if !p.RunningSince.IsZero() {
@@ -70,8 +70,8 @@
 	m.afterGangLoss(j, now)
 }
 
-// applyUnplacedExit takes in an exit that the model has no place for: the outcome is
-// known already, or it is that of an attempt the model had given up.
+// applyUnplacedExit applies an exit without a placement: its outcome is known already, or
+// the model had given the attempt up as lost.
 func (m *Model) applyUnplacedExit(j *Job, task int32, mc *Machine, t *wire.TaskReport, now time.Time) {
 	if mc.reportedExits[exitKey{t.Task, t.Attempt}] != nil {
 		return
@@ -82,7 +82,7 @@
 	m.rememberExit(j, task, mc, t)
 }
 
-// taskLost takes in that a task is gone without having said how.
+// taskLost removes the placement of a task that is proved to be gone, its outcome unknown.
 func (m *Model) taskLost(j *Job, task int32, why string, now time.Time) {
 	m.log.Info("task lost", "job", j.ID, "task", task, "why", why)
 	if p := j.Tasks[task].Placement; p != nil {
@@ -94,9 +94,9 @@
 	m.afterGangLoss(j, now)
 }
 
-// afterGangLoss goes on after a gang lost a task. A gang that has not started keeps
-// waiting, and a replacement with the same attempt completes it; what is left
-// of one that ran is stopped, unless it is saving.
+// afterGangLoss decides what becomes of a gang that has lost a task. A gang that has not
+// started keeps its other places, and a replacement with the same attempt number completes
+// it. The rest of a gang that has started is stopped, unless stops are in progress already.
 func (m *Model) afterGangLoss(j *Job, now time.Time) {
 	if !j.Gang() {
 		return
@@ -111,8 +111,8 @@
 			stopping = true
 		}
 	}
-	// What is left of a gang that fails everywhere would hold its places until
-	// it has waited for the others in vain.
+	// The rest of a gang that fails on every machine is stopped as well: its tasks would
+	// otherwise occupy their places, waiting in vain for the others.
 	if stopping || !j.GangStarted && !j.GangEnding && !j.failures.atFault() {
 		return
 	}
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -128,8 +128,9 @@
 	}
 }
 
-// StopTask stops a task so that it can save; a gang is stopped as a whole,
-// since its tasks save together or not at all.
+// StopTask orders a task to stop, with a grace period in which it can save a checkpoint if
+// it supports that. A gang is stopped as a whole, since its tasks save together or not at
+// all.
 func (m *Model) StopTask(ref TaskRef, why string, now time.Time) {
 	j := m.Jobs[ref.Job]
 	if j == nil || j.Tasks[ref.Task].Placement == nil {
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -10,12 +10,11 @@
 )
 
 const (
-	triageJobs  = 1000 // of a class are looked at
-	triageTasks = 128  // of a job are followed one by one
+	triageJobs  = 1000 // jobs of a class that are simulated
+	triageTasks = 128  // tasks of a job that are simulated one by one
 
-	// triagePerTask is for how long a verdict stands for each waiting task, since
-	// playing them through takes the longer the more there are. triageAgain
-	// bounds that.
+	// triagePerTask is how long verdicts stand per waiting task, since the simulation takes
+	// longer the more tasks wait. triageMaxInterval bounds the product.
 	triagePerTask     = 500 * time.Microsecond
 	triageMaxInterval = 2 * time.Second
 )
@@ -69,8 +68,8 @@
 	}
 }
 
-// applyLastTriage gives jobs the last run's verdicts; one that came since counts as in
-// time.
+// applyLastTriage applies the last run's verdicts to the queue. Jobs that have arrived since
+// count as in time.
 func applyLastTriage(group []*queued) {
 	for _, k := range group {
 		k.missed, k.deferred = k.missed || k.j.triage.missed, k.j.triage.deferred
@@ -173,9 +172,9 @@
 	}
 }
 
-// afterMustStart plays those that begin by the bound first, on the places given, and
-// returns the others: they get what is left. Counted on twice, a place makes
-// two jobs late.
+// afterMustStart serves the jobs that must start by the starvation bound first in the
+// simulation, on the given places, and returns the others, which get what is left. Without
+// that the same places would be counted for both.
 func (m *Model) afterMustStart(jobs []*queued, places placeTimes) []*queued {
 	if m.StarvationBound <= 0 {
 		return jobs
@@ -227,7 +226,7 @@
 type simulation struct {
 	m           *Model
 	now         time.Time
-	checkpoints []placeTimes // before the job of that number times playEvery
+	checkpoints []placeTimes // element n is the state before job n*checkpointEvery
 	free        placeTimes
 }
 
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -6,25 +6,24 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A launch travels in the answer to a report and nowhere else, so that it can't
-// be executed late. A worker sends a heartbeat every few seconds, and also whenever its
-// tasks change (PROTOCOL, "Workers -> controller nodes"). A wake-up makes them
-// change: a direct launch of a task that no job can have is refused, listed as
-// exited, reported at once, and forgotten by the answer, which brings the launch
-// that it was about. Executed late, or a second time, it does the same and no
-// more; docs/start.md has the whole argument.
+// Launches are sent only in answers to heartbeats, because a direct command may be
+// executed late. A worker sends a heartbeat every few seconds, and at once when its tasks
+// change (PROTOCOL, "Workers -> controller nodes"). A wake-up causes such a change: it is
+// a direct launch of a task number that no job has (NoSuchTask). The worker refuses it,
+// lists it as exited in an immediate heartbeat, and the answer carries both the command to
+// forget it and the real launch. A wake-up that is executed late or twice does the same
+// and no more; docs/start.md has the whole argument.
 
-// wakeUpRetry is after how long a wake-up of which nothing came is repeated.
+// wakeUpRetry is how long after a wake-up without effect it is repeated.
 const wakeUpRetry = 1500 * time.Millisecond
 
-// NoSuchTask is the number of a task that no job has: jobs have 100,000 at most,
-// counted from 0.
+// NoSuchTask is a task number that no job has, used in wake-ups: jobs have at most 100,000
+// tasks, numbered from 0.
 const NoSuchTask = 100_000
 
-// WakeUps returns what makes the workers send a heartbeat for which a launch is ready, at
-// most so many at once. A machine whose report is being answered is left for the
-// next time: the launch goes with that answer. Where nothing has come of one, it
-// is repeated.
+// WakeUps returns wake-ups, at most as many as given, for workers for which a launch is
+// ready. A machine with an answer in preparation is skipped, since that answer can carry
+// the launch. A wake-up that has had no effect is repeated after wakeUpRetry.
 func (m *Model) WakeUps(most int, now time.Time) []Push {
 	var out []Push
 	called := map[int32]bool{}
--- a/cluster/warm_pool_effects.go
+++ b/cluster/warm_pool_effects.go
@@ -10,8 +10,10 @@
 // This file says what pools mean for everybody else: placement, returns, and those
 // who watch.
 
-// keptByPool says whether a machine is not to be returned though it is idle, and
-// letGo whether it is to be returned at once: no longer wanted, as is recorded.
+// keptByPool reports whether an idle machine must not be scaled in because it is in a pool,
+// or may be, which is not known while the plan is unreadable. releasedByPool reports whether
+// its pool has released it, so that it is to be scaled in at once; the release must be
+// committed first.
 func (m *Model) keptByPool(mc *Machine) bool { return m.plan.Unreadable || m.poolOf(mc) != nil }
 
 func (m *Model) releasedByPool(mc *Machine) bool {
@@ -96,19 +98,19 @@
 	}
 }
 
-// PoolSnapshot is a pool in numbers.
+// PoolSnapshot is the state of a warm pool in numbers.
 type PoolSnapshot struct {
 	Name         string
-	Target       int // machines
-	Held         int
-	Warm         int // of those
-	Fetching     int
-	Hits         int64 // replicas that were placed where their weights were
-	Misses       int64
-	Preemptions  int64 // tasks of higher tiers that took room
-	CostLimited  bool  // by what it may cost
-	FetchRefused string
-	Teams        map[string]warmpool.Charge // what each owes, as recorded last
+	Target       int                        // machines that the pool should hold
+	Held         int                        // machines that it holds
+	Warm         int                        // of those, machines that have the weights
+	Fetching     int                        // of those, machines that are fetching the weights
+	Hits         int64                      // replicas placed on a machine that had their weights
+	Misses       int64                      // replicas placed on one that had not
+	Preemptions  int64                      // tasks of other work placed on the pool's machines as a last resort
+	CostLimited  bool                       // the target is bounded by what the pool may cost
+	FetchRefused string                     // why weights are not prefetched; "" if they are
+	Teams        map[string]warmpool.Charge // what each team owes, as last recorded
 }
 
 func (m *Model) poolSnapshots() []PoolSnapshot {
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -52,14 +52,14 @@
 	return out
 }
 
-// Prefetch is a job to be recorded: a task that does nothing on a machine of a pool,
-// for which the worker fetches the weights.
+// Prefetch is a job that the controller is to record. Its single task does no work; placing
+// it on a machine of a warm pool makes the worker fetch the model weights.
 type Prefetch struct {
 	ID     string
 	Record jobstore.JobRecord
 }
 
-// NextPrefetches lists the fetches that are to begin, at most n of them.
+// NextPrefetches takes at most n prefetches off the queues of the warm pools.
 func (m *Model) NextPrefetches(n int, now time.Time) []Prefetch {
 	var out []Prefetch
 	for _, p := range m.pools.all {
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -187,8 +187,8 @@
 // observe is a machine as its pool, or one that may take it, sees it.
 func (m *Model) observe(p *warmPool, mc *Machine, im int32, now time.Time) warmpool.Observation {
 	s := warmpool.Observation{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.hasImage(im), Busy: len(mc.Tasks) > 0 || mc.orphaned != (placement.Res{})}
-	// A machine that has been silent for a moment is not replaced yet: reports of
-	// a whole fleet pause when a leader does.
+	// A machine that has been silent for a short time is not replaced yet: heartbeats of
+	// all machines are delayed when the leader is paused.
 	s.Ready = mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() &&
 		(mc.unreadySince.IsZero() || now.Sub(mc.unreadySince) < config.Seconds(m.settings.Cluster.Workers.LeaseS))
 	_, s.Booting = m.bootTimeLeft(mc, now)
@@ -205,7 +205,7 @@
 }
 
 // fetchStuck says whether a machine has been fetching the weights for much longer than
-// that takes: it does not hear, or its fetches fail.
+// that takes: it does not receive answers, or its fetches fail.
 func (m *Model) fetchStuck(mc *Machine, im int32, gb float64, now time.Time) bool {
 	if mc.hasImage(im) || m.MachineTypes[mc.Type].FetchRate <= 0 {
 		return false
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -133,8 +133,8 @@
 	return r, true
 }
 
-// placesExpected is as emptyPlaces, with the machines whose reports are late: they are
-// replaced once their leases are over, not before.
+// placesExpected is like placesWhenEmpty, but counts machines whose heartbeats are late as
+// well: they are replaced only when their leases have expired.
 func (m *Model) placesExpected(j *Job, now time.Time) int {
 	return m.placesOnMachines(j, now, func(mc *Machine) bool { return mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() })
 }
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -8,14 +8,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// WriteBatch is a transaction of the leader. The controller adds the guard on the
-// leader key.
+// WriteBatch is a compare-and-swap transaction that the leader is to commit. The controller
+// adds the guard on the leader key.
 type WriteBatch struct {
 	Guards []wire.Guard
 	Ops    []wire.Op
-	// OnCommit takes the revision in after a success.
+	// OnCommit must be called after a successful commit, with its revision.
 	OnCommit  func(rev uint64, now time.Time)
-	HeldStops int // that go out once it is committed
+	HeldStops int // how many held stops its commit releases
 
 	placementPages    map[string]*placementPage
 	jobs              map[string]*Job
@@ -44,7 +44,8 @@
 	return 4*ops - 2
 }
 
-// PendingWrites is how many puts and deletes the next batch would like to have.
+// PendingWrites returns how many puts and deletes are needed to write all changes; 1 if
+// there is nothing to write but finished jobs are to be dropped from the model.
 func (m *Model) PendingWrites() int {
 	n := 0
 	for _, idx := range m.dirtyJobs {
@@ -63,7 +64,8 @@
 	return n
 }
 
-// AllWritesIssued says whether all changes have been handed out to be written.
+// AllWritesIssued reports whether the next batch would be empty. Changed pages count until
+// they are committed, finished jobs only until they are in a batch.
 func (m *Model) AllWritesIssued() bool { return m.PendingWrites() == 0 }
 
 // awaitsFinalRecord says whether a job is done and its end is to be committed.
@@ -71,8 +73,9 @@
 	return j.DoneTasks == len(j.Tasks) && !j.Cancelled && !j.Finished
 }
 
-// NextBatch collects changed records, at most maxOps of them. Users wait for
-// the ends of jobs, and machines for placements: these come first.
+// NextBatch returns a transaction that writes at most maxOps changed records, or nil if
+// there is nothing to write. Finished jobs and new placements come first, because users
+// wait for the former and idle machines for the latter.
 func (m *Model) NextBatch(maxOps int) *WriteBatch {
 	b := &WriteBatch{placementPages: map[string]*placementPage{}, jobs: map[string]*Job{}}
 	fresh, other := m.changedPages()
@@ -151,18 +154,18 @@
 	return true
 }
 
-// RequeueBatch puts a batch's jobs back among those to be written; its pages still
-// are.
+// RequeueBatch marks the jobs of a batch that was not committed as changed again. Pages need
+// no such call: they count as changed until a commit.
 func (m *Model) RequeueBatch(b *WriteBatch) {
 	for _, j := range b.jobs {
 		m.markDirty(j)
 	}
 }
 
-// ResolveConflict takes in what a key's version turned out to be after a conflict. The
-// leader is the only writer of its placement records, so an unexpected version
-// is that of a transaction of its own whose answer was lost; what is in the
-// model is newer.
+// ResolveConflict applies the version that a key of a batch turned out to have after a
+// conflict. Only the leader writes placement records, so that an unexpected version is from
+// an earlier transaction of its own whose response was lost. The model is newer than that
+// and is written again.
 func (m *Model) ResolveConflict(b *WriteBatch, key string, version uint64) {
 	if p := b.placementPages[key]; p != nil {
 		p.version = version
@@ -173,7 +176,7 @@
 	}
 }
 
-// IsJobKey says whether a key of the batch is that of active jobs.
+// IsJobKey reports whether a key holds an active job or a page of them.
 func (b *WriteBatch) IsJobKey(key string) bool {
 	_, ok := jobstore.ParseJobKey(key)
 	return ok || jobstore.IsJobPageKey(key)
