--- a/controller/operator_plan.go
+++ b/controller/operator_plan.go
@@ -207,13 +207,6 @@
 		if b == nil {
 			continue
 		}
-		rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard()}, b.Guards...), b.Ops)
-		if err != nil {
-			l.handleCommitFailure(ctx, b, err)
-			continue
-		}
-		l.mu.Lock()
-		b.OnCommit(rev, time.Now())
-		l.mu.Unlock()
+		l.commitBatch(ctx, b) // a batch that failed is collected again
 	}
 }
