--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -89,13 +89,15 @@
 }
 
 type node struct {
-	name   string
-	bind   string
-	cfg    *config.Settings
-	end    context.CancelFunc
-	done   chan struct{}
-	killed *atomic.Bool
-	down   time.Time // when its power was cut; zero: it is up. Guarded by the cluster's lock
+	name string
+	bind string
+	cfg  *config.Settings
+
+	// Guarded by the cluster's lock: copies of reports are sent by goroutines of their own.
+	end    context.CancelFunc // nil while no process runs
+	done   chan struct{}      // closed once the process has ended
+	killed *atomic.Bool       // its process was ended on purpose
+	down   time.Time          // when its power was cut; zero: it is up
 
 	olderSchema bool // reads the form of records before
 }
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -21,16 +21,16 @@
 // StartNode starts a controller.
 func (w *Cluster) StartNode(i int) {
 	n := w.nodes[i]
-	if n.end != nil {
+	if w.nodeRuns(n) {
 		return
 	}
 	w.Network.SetDown(n.name, false)
-	w.mu.Lock()
-	n.down = time.Time{}
-	w.mu.Unlock()
 	gated := call.WithGate(w.ctx, func(ctx context.Context) { w.Network.await(n.name, ctx.Done()) })
 	ctx, end := context.WithCancel(gated)
-	n.end, n.done = end, make(chan struct{})
+	done, dies := make(chan struct{}), &atomic.Bool{}
+	w.mu.Lock()
+	n.down, n.end, n.done, n.killed = time.Time{}, end, done, dies
+	w.mu.Unlock()
 	tuning := config.DefaultTuning()
 	tuning.Launching.Summon = !w.noWakeUps
 	tuning.Ledger.Intake = !n.olderSchema
@@ -46,8 +46,6 @@
 		}
 		c.OpenYARN(s)
 	}
-	done, dies := n.done, &atomic.Bool{}
-	n.killed = dies
 	w.wg.Add(1)
 	go func() {
 		defer w.wg.Done()
@@ -61,18 +59,28 @@
 // KillNode ends a controller as if its power were cut.
 func (w *Cluster) KillNode(i int) {
 	n := w.nodes[i]
-	if n.end == nil {
+	if !w.nodeRuns(n) {
 		return
 	}
-	n.killed.Store(true)
 	w.mu.Lock()
+	n.killed.Store(true)
 	n.down = time.Now()
+	end, done := n.end, n.done
 	w.mu.Unlock()
 	w.Network.SetDown(n.name, true)
 	w.Network.SetPaused(n.name, false)
-	n.end()
-	<-n.done
+	end()
+	<-done
+	w.mu.Lock()
 	n.end = nil
+	w.mu.Unlock()
+}
+
+// nodeRuns says whether a controller has been started and not ended since.
+func (w *Cluster) nodeRuns(n *node) bool {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return n.end != nil
 }
 
 // KillAll ends every controller.
--- /dev/null
+++ b/internal/fake/report_copies_test.go
@@ -0,0 +1,36 @@
+package fake
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// Copies are delivered by goroutines of their own while a scenario ends nodes and starts
+// them again. The race detector finds what is not guarded.
+func TestCopiesAreDeliveredWhileNodesRestart(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		w := New(Options{Nodes: 3, Machines: 1, Capacity: 1})
+		defer w.Close()
+		time.Sleep(5 * time.Second)
+		machine := w.Cloud.Machines()[0]
+		w.mu.Lock()
+		w.failoverCopies.copies = map[string][]wire.Report{machine: {{Machine: machine}}}
+		w.mu.Unlock()
+		delivering := make(chan struct{})
+		w.wg.Go(func() {
+			for range 500 {
+				w.DeliverDelayedCopies()
+				time.Sleep(time.Millisecond)
+			}
+			close(delivering)
+		})
+		for range 5 {
+			w.PowerCycleNode(0, 50*time.Millisecond)
+			time.Sleep(50 * time.Millisecond)
+		}
+		<-delivering
+	})
+}
