--- a/controller/node.go
+++ b/controller/node.go
@@ -95,7 +95,7 @@
 	metrics      *metrics.Set      // nil unless the operators' address is set
 	recentErrors *metrics.Troubles // nil likewise
 
-	yarn         *yarn.Door // nil unless YARN clients are served
+	yarn         *yarn.Frontend // nil unless YARN clients are served
 	yarnSettings *yarn.Settings
 
 	// directCommands are the requests to workers in progress. The node owns them, not
--- a/yarn/door.go
+++ b/yarn/frontend.go
@@ -19,7 +19,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// Store is what the door writes of its own.
+// Store is what the front end writes of its own.
 type Store interface {
 	Get(ctx context.Context, key string) (nwire.Entry, error)
 	List(ctx context.Context, prefix string) ([]nwire.Entry, uint64, error)
@@ -37,7 +37,7 @@
 	Cancel(ctx context.Context, id string) (string, bool, error)
 }
 
-// Core is the node that the door belongs to.
+// Core is the node that the front end belongs to.
 type Core interface {
 	// Judge says whether a job can ever run, as it does for native ones: 0, or
 	// the status and the words of the refusal.
@@ -60,8 +60,8 @@
 	MemGB float64 `json:"mem_gb"`
 }
 
-// Door serves YARN's protocols at one node.
-type Door struct {
+// Frontend serves YARN's protocols at one node.
+type Frontend struct {
 	s     *Settings
 	store Store
 	led   JobStore
@@ -80,9 +80,9 @@
 	badSince time.Time
 }
 
-// New makes a door. ops and valueBytes are the state service's limits.
-func New(s *Settings, store Store, led JobStore, core Core, log *slog.Logger, ops, valueBytes int) *Door {
-	return &Door{s: s, store: store, led: led, core: core, log: log, ops: max(ops, 3), value: valueBytes, sessions: map[string]*session{}}
+// New makes a front end. ops and valueBytes are the state service's limits.
+func New(s *Settings, store Store, led JobStore, core Core, log *slog.Logger, ops, valueBytes int) *Frontend {
+	return &Frontend{s: s, store: store, led: led, core: core, log: log, ops: max(ops, 3), value: valueBytes, sessions: map[string]*session{}}
 }
 
 const (
@@ -91,44 +91,44 @@
 	protoManager = "org.apache.hadoop.yarn.api.ContainerManagementProtocolPB"
 )
 
-// Server is the RPC server that serves the door.
-func (d *Door) Server() *wire.Server {
+// Server is the RPC server that serves the front end.
+func (f *Frontend) Server() *wire.Server {
 	return &wire.Server{
 		Protocols: map[string]wire.Protocol{
 			protoClient: {Methods: map[string]wire.Method{
-				"getNewApplication":           wire.Handle(d.getNewApplication),
-				"submitApplication":           wire.Handle(d.submitApplication),
-				"forceKillApplication":        wire.Handle(d.killApplication),
-				"getApplicationReport":        wire.Handle(d.getApplicationReport),
-				"getApplications":             wire.Handle(d.getApplications),
-				"getClusterMetrics":           wire.Handle(d.getClusterMetrics),
-				"getClusterNodes":             wire.Handle(d.getClusterNodes),
-				"getQueueInfo":                wire.Handle(d.getQueueInfo),
-				"moveApplicationAcrossQueues": wire.Handle(d.moveApplication),
+				"getNewApplication":           wire.Handle(f.getNewApplication),
+				"submitApplication":           wire.Handle(f.submitApplication),
+				"forceKillApplication":        wire.Handle(f.killApplication),
+				"getApplicationReport":        wire.Handle(f.getApplicationReport),
+				"getApplications":             wire.Handle(f.getApplications),
+				"getClusterMetrics":           wire.Handle(f.getClusterMetrics),
+				"getClusterNodes":             wire.Handle(f.getClusterNodes),
+				"getQueueInfo":                wire.Handle(f.getQueueInfo),
+				"moveApplicationAcrossQueues": wire.Handle(f.moveApplication),
 			}},
 			protoMaster: {NeedToken: true, Methods: map[string]wire.Method{
-				"registerApplicationMaster": wire.Handle(d.register),
-				"allocate":                  wire.Handle(d.allocate),
-				"finishApplicationMaster":   wire.Handle(d.finish),
+				"registerApplicationMaster": wire.Handle(f.register),
+				"allocate":                  wire.Handle(f.allocate),
+				"finishApplicationMaster":   wire.Handle(f.finish),
 			}},
 			protoManager: {NeedToken: true, Methods: map[string]wire.Method{
-				"startContainers":      wire.Handle(d.startContainers),
-				"stopContainers":       wire.Handle(d.stopContainers),
-				"getContainerStatuses": wire.Handle(d.containerStatuses),
+				"startContainers":      wire.Handle(f.startContainers),
+				"stopContainers":       wire.Handle(f.stopContainers),
+				"getContainerStatuses": wire.Handle(f.containerStatuses),
 			}},
 		},
-		Password: d.password, Allow: d.s.Allow, Log: d.log, MaxConns: d.s.MaxConns, MaxAll: d.s.MaxCalls,
+		Password: f.password, Allow: f.s.Allow, Log: f.log, MaxConns: f.s.MaxConns, MaxAll: f.s.MaxCalls,
 	}
 }
 
 var errAgain = wire.Errorf(wire.ClassRetriable, "the record has changed meanwhile, come again")
 
 // retry repeats what lost a race against another change of the same record.
-func retry(ctx context.Context, f func() error) error {
+func retry(ctx context.Context, attempt func() error) error {
 	var err error
 	for try := range 6 {
 		var c *kvstore.ConflictError
-		if err = f(); !errors.As(err, &c) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
+		if err = attempt(); !errors.As(err, &c) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 			return err
 		}
 		if !call.Pause(ctx, time.Duration(20+rand.IntN(40<<try))*time.Millisecond) {
@@ -139,21 +139,21 @@
 }
 
 // keys reads the keyring; the first node that needs it makes it.
-func (d *Door) keys(ctx context.Context) (keyring, uint64, error) {
+func (f *Frontend) keys(ctx context.Context) (keyring, uint64, error) {
 	for range 3 {
-		e, err := d.store.Get(ctx, keysKey)
+		e, err := f.store.Get(ctx, keysKey)
 		if err != nil {
 			return keyring{}, 0, err
 		}
-		if k, ok := d.decodeRing(e.Value, e.Version); ok {
+		if k, ok := f.decodeRing(e.Value, e.Version); ok {
 			return k, e.Version, nil
 		}
 		k := keyring{Stamp: time.Now().UnixMilli(), Next: 1}
 		if e.Version != 0 {
-			if k, err = d.mendedRing(ctx, e.Version); err != nil {
+			if k, err = f.mendedRing(ctx, e.Version); err != nil {
 				return keyring{}, 0, err
 			}
-			d.log.Error("yarn: unreadable record of keys: written again", "key", keysKey, "version", e.Version, "remembered", len(k.Keys) > 0)
+			f.log.Error("yarn: unreadable record of keys: written again", "key", keysKey, "version", e.Version, "remembered", len(k.Keys) > 0)
 		}
 		if len(k.Keys) == 0 {
 			first, err := newSecret(1)
@@ -162,7 +162,7 @@
 			}
 			k.Keys = []secret{first}
 		}
-		_, err = d.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: e.Version}}, []nwire.Op{{Put: keysKey, Value: k}})
+		_, err = f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: e.Version}}, []nwire.Op{{Put: keysKey, Value: k}})
 		var c *kvstore.ConflictError
 		if err != nil && !errors.As(err, &c) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 			return keyring{}, 0, err
@@ -172,14 +172,14 @@
 }
 
 // decodeRing reads the keyring, and remembers it.
-func (d *Door) decodeRing(raw nwire.Raw, version uint64) (k keyring, ok bool) {
+func (f *Frontend) decodeRing(raw nwire.Raw, version uint64) (k keyring, ok bool) {
 	if version == 0 || nwire.Unmarshal(raw, &k) != nil || k.Stamp == 0 || len(k.Keys) == 0 {
 		return keyring{}, false
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if version >= d.ringAt {
-		d.lastRing, d.ringAt = k, version
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if version >= f.ringAt {
+		f.lastRing, f.ringAt = k, version
 	}
 	return k, true
 }
@@ -188,28 +188,28 @@
 // node has read of that same version, or one without keys whose ids are beyond all
 // that were given out, as far as applications tell. Then masters' tokens are
 // refused, and their applications have to be submitted anew.
-func (d *Door) mendedRing(ctx context.Context, version uint64) (keyring, error) {
-	d.mu.Lock()
-	k, at := d.lastRing, d.ringAt
-	d.mu.Unlock()
+func (f *Frontend) mendedRing(ctx context.Context, version uint64) (keyring, error) {
+	f.mu.Lock()
+	k, at := f.lastRing, f.ringAt
+	f.mu.Unlock()
 	if at == version {
 		return k, nil
 	}
-	d.mu.Lock()
-	if d.badAt != version {
-		d.badAt, d.badSince = version, time.Now()
+	f.mu.Lock()
+	if f.badAt != version {
+		f.badAt, f.badSince = version, time.Now()
 	}
-	since := d.badSince
-	d.mu.Unlock()
+	since := f.badSince
+	f.mu.Unlock()
 	if time.Since(since) < ringWait {
 		return keyring{}, errAgain
 	}
 	k = keyring{Stamp: time.Now().UnixMilli()}
-	apps, err := d.led.ListApps(ctx)
+	apps, err := f.led.ListApps(ctx)
 	if err != nil {
 		return keyring{}, err
 	}
-	over, _, err := d.store.List(ctx, finalKey)
+	over, _, err := f.store.List(ctx, finalKey)
 	if err != nil {
 		return keyring{}, err
 	}
@@ -240,54 +240,54 @@
 // ring is the keyring as of the barrier that the caller has behind it. Masters'
 // heartbeats share barriers; a request of its own for each of them took the state
 // service's requests from native users.
-func (d *Door) ring(ctx context.Context) (keyring, error) {
-	e := d.led.CachedApp(keysKey)
-	if k, ok := d.decodeRing(e.Value, e.Version); ok {
+func (f *Frontend) ring(ctx context.Context) (keyring, error) {
+	e := f.led.CachedApp(keysKey)
+	if k, ok := f.decodeRing(e.Value, e.Version); ok {
 		return k, nil
 	}
-	k, _, err := d.keys(ctx)
+	k, _, err := f.keys(ctx)
 	return k, err
 }
 
 // newID takes an id that no node has given out or ever will.
-func (d *Door) newID(ctx context.Context) (int64, int32, error) {
-	d.mu.Lock()
-	if n := len(d.ids); n > 0 {
-		id, stamp := d.ids[0], d.stamp
-		d.ids = d.ids[1:]
-		d.mu.Unlock()
+func (f *Frontend) newID(ctx context.Context) (int64, int32, error) {
+	f.mu.Lock()
+	if n := len(f.ids); n > 0 {
+		id, stamp := f.ids[0], f.stamp
+		f.ids = f.ids[1:]
+		f.mu.Unlock()
 		return stamp, id, nil
 	}
-	d.mu.Unlock()
+	f.mu.Unlock()
 	var from int32
 	var stamp int64
 	err := retry(ctx, func() error {
-		k, version, err := d.keys(ctx)
+		k, version, err := f.keys(ctx)
 		if err != nil {
 			return err
 		}
 		from, stamp = k.Next, k.Stamp
 		k.Next += idBlock
-		_, err = d.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
+		_, err = f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
 		return err
 	})
 	if err != nil {
 		return 0, 0, err
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.stamp = stamp
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.stamp = stamp
 	for i := from + 1; i < from+idBlock; i++ {
-		d.ids = append(d.ids, i)
+		f.ids = append(f.ids, i)
 	}
 	return stamp, from, nil
 }
 
 // read reads an application's record and its jobs, as of a moment after the
 // call; over is true for one whose record is final.
-func (d *Door) read(ctx context.Context, id *pb.ApplicationIdProto) (a *app, e jobstore.AppRecord, jobs []jobstore.ReservedJob, over bool, err error) {
+func (f *Frontend) read(ctx context.Context, id *pb.ApplicationIdProto) (a *app, e jobstore.AppRecord, jobs []jobstore.ReservedJob, over bool, err error) {
 	key := appKey(id.GetClusterTimestamp(), id.GetId())
-	e, jobs, err = d.led.OwnedJobs(ctx, key)
+	e, jobs, err = f.led.OwnedJobs(ctx, key)
 	if err != nil {
 		return nil, e, nil, false, err
 	}
@@ -296,20 +296,20 @@
 		return a, e, jobs, false, nwire.Unmarshal(e.Value, a)
 	}
 	// It moves to the final records in one transaction and never back.
-	f, err := d.store.Get(ctx, finalKey+appName(id.GetClusterTimestamp(), id.GetId()))
+	final, err := f.store.Get(ctx, finalKey+appName(id.GetClusterTimestamp(), id.GetId()))
 	if err != nil {
 		return nil, e, nil, false, err
 	}
-	if f.Version == 0 {
+	if final.Version == 0 {
 		return nil, e, nil, false, wire.Errorf(wire.ClassNoApp, "Application with id '%s' doesn't exist", appName(id.GetClusterTimestamp(), id.GetId()))
 	}
-	return a, e, nil, true, nwire.Unmarshal(f.Value, a)
+	return a, e, nil, true, nwire.Unmarshal(final.Value, a)
 }
 
 // write replaces an application's record, and fails with a Conflict if it has
 // changed since it was read.
-func (d *Door) write(ctx context.Context, a *app, e *jobstore.AppRecord) error {
-	rev, err := d.store.CompareAndSwap(ctx, []nwire.Guard{{Key: e.Key, Version: e.Version}}, []nwire.Op{{Put: e.Key, Value: *a}})
+func (f *Frontend) write(ctx context.Context, a *app, e *jobstore.AppRecord) error {
+	rev, err := f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: e.Key, Version: e.Version}}, []nwire.Op{{Put: e.Key, Value: *a}})
 	if err == nil {
 		e.Version = rev
 	}
@@ -318,13 +318,13 @@
 
 // end marks an application as ending, and then ends it as far as can be done
 // now; the leader's duty does the rest. It returns once the mark is committed.
-func (d *Door) end(ctx context.Context, id *pb.ApplicationIdProto, how string, change func(a *app)) error {
+func (f *Frontend) end(ctx context.Context, id *pb.ApplicationIdProto, how string, change func(a *app)) error {
 	var a *app
 	err := retry(ctx, func() error {
 		var e jobstore.AppRecord
 		var over bool
 		var err error
-		if a, e, _, over, err = d.read(ctx, id); err != nil || over || a.Ending != "" {
+		if a, e, _, over, err = f.read(ctx, id); err != nil || over || a.Ending != "" {
 			return err
 		}
 		e.Key = a.key()
@@ -332,57 +332,57 @@
 		if change != nil {
 			change(a)
 		}
-		return d.write(ctx, a, &e)
+		return f.write(ctx, a, &e)
 	})
 	if err != nil {
 		return err
 	}
-	if err := d.settle(ctx, id); err != nil {
-		d.log.Debug("yarn: application not settled yet", "app", a.name(), "err", err)
+	if err := f.settle(ctx, id); err != nil {
+		f.log.Debug("yarn: application not settled yet", "app", a.name(), "err", err)
 	}
 	return nil
 }
 
 // settle cancels what is left of an ending application and makes its record
 // final. It may be repeated, by any node.
-func (d *Door) settle(ctx context.Context, id *pb.ApplicationIdProto) error {
-	a, e, jobs, over, err := d.read(ctx, id)
+func (f *Frontend) settle(ctx context.Context, id *pb.ApplicationIdProto) error {
+	a, e, jobs, over, err := f.read(ctx, id)
 	if err != nil || over || a.Ending == "" {
 		return err
 	}
 	for _, j := range jobs {
-		if _, _, err := d.led.Cancel(ctx, j.ID); err != nil {
+		if _, _, err := f.led.Cancel(ctx, j.ID); err != nil {
 			return err
 		}
 	}
 	// A job that was reserved at the same moment was reserved under the record's
 	// version before the mark, so it was among those that were read.
 	a.State = a.Ending
-	_, err = d.store.CompareAndSwap(ctx, []nwire.Guard{{Key: e.Key, Version: e.Version}},
+	_, err = f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: e.Key, Version: e.Version}},
 		[]nwire.Op{{Delete: e.Key}, {Put: finalKey + a.name(), Value: *a}})
 	if err != nil {
 		return err
 	}
-	d.mu.Lock()
-	delete(d.sessions, a.name())
-	d.mu.Unlock()
-	d.log.Info("yarn: application over", "app", a.name(), "state", a.State, "why", a.Diag)
-	return d.dropContexts(ctx, a)
+	f.mu.Lock()
+	delete(f.sessions, a.name())
+	f.mu.Unlock()
+	f.log.Info("yarn: application over", "app", a.name(), "state", a.State, "why", a.Diag)
+	return f.dropContexts(ctx, a)
 }
 
 // dropContexts removes the launch contexts of an application that is over.
-func (d *Door) dropContexts(ctx context.Context, a *app) error {
-	items, _, err := d.store.List(ctx, ctxKey+a.name()+"/")
+func (f *Frontend) dropContexts(ctx context.Context, a *app) error {
+	items, _, err := f.store.List(ctx, ctxKey+a.name()+"/")
 	if err != nil {
 		return err
 	}
 	for len(items) > 0 {
-		n := min(len(items), d.ops)
+		n := min(len(items), f.ops)
 		var ops []nwire.Op
 		for _, it := range items[:n] {
 			ops = append(ops, nwire.Op{Delete: it.Key})
 		}
-		if _, err := d.store.CompareAndSwap(ctx, nil, ops); err != nil {
+		if _, err := f.store.CompareAndSwap(ctx, nil, ops); err != nil {
 			return err
 		}
 		items = items[n:]
@@ -391,12 +391,12 @@
 }
 
 // native makes the native job of so many containers of a kind.
-func (d *Door) native(a *app, k ask, tasks int) (nwire.Job, []string, error) {
-	q, ok := d.s.queue(a.Queue)
+func (f *Frontend) native(a *app, k ask, tasks int) (nwire.Job, []string, error) {
+	q, ok := f.s.queue(a.Queue)
 	if !ok {
 		return nwire.Job{}, nil, wire.Errorf(wire.ClassYarn, "there is no queue %q", a.Queue)
 	}
-	l, ok := d.s.label(k.Label)
+	l, ok := f.s.label(k.Label)
 	if !ok {
 		return nwire.Job{}, nil, wire.Errorf(wire.ClassBadRequest, "Invalid resource request, node label %q is not known", k.Label)
 	}
@@ -404,13 +404,13 @@
 	if class == "" {
 		class = "yarn"
 	}
-	j := nwire.Job{ID: jobID(a.Num, a.Seq), Class: class, Team: q.Team, Kind: nwire.KindArray, Priority: d.s.rank(int(a.Priority)), Tasks: tasks,
-		CPUs: float64(k.VCores), GPUs: float64(k.GPUs), MemoryGB: float64(k.MemoryMB) / 1024, Image: d.s.Image, ImageGB: d.s.ImageGB,
-		Types: l.Types, Zone: l.Zone, Spot: l.Spot, EstimateS: d.s.EstimateS}
-	if d.s.GraceS > 0 {
+	j := nwire.Job{ID: jobID(a.Num, a.Seq), Class: class, Team: q.Team, Kind: nwire.KindArray, Priority: f.s.rank(int(a.Priority)), Tasks: tasks,
+		CPUs: float64(k.VCores), GPUs: float64(k.GPUs), MemoryGB: float64(k.MemoryMB) / 1024, Image: f.s.Image, ImageGB: f.s.ImageGB,
+		Types: l.Types, Zone: l.Zone, Spot: l.Spot, EstimateS: f.s.EstimateS}
+	if f.s.GraceS > 0 {
 		// A stop leaves the grace between the message and the end; nothing is
 		// saved, since each container runs once.
-		j.CheckpointS, j.SaveS = 1e6, d.s.GraceS
+		j.CheckpointS, j.SaveS = 1e6, f.s.GraceS
 	}
 	return j, k.Only, nil
 }
@@ -425,17 +425,17 @@
 
 // reserve commits one more job of an application, together with the record that
 // counts it.
-func (d *Door) reserve(ctx context.Context, a *app, e *jobstore.AppRecord, k ask, tasks int, res jobstore.Reservation) (string, error) {
-	j, only, err := d.native(a, k, tasks)
+func (f *Frontend) reserve(ctx context.Context, a *app, e *jobstore.AppRecord, k ask, tasks int, res jobstore.Reservation) (string, error) {
+	j, only, err := f.native(a, k, tasks)
 	if err != nil {
 		return "", err
 	}
-	if status, err := d.core.Judge(&j); err != nil {
+	if status, err := f.core.Judge(&j); err != nil {
 		return "", refuse(status, err)
 	}
 	res.Owner, res.OnlyMachines = a.key(), append(res.OnlyMachines, only...)
 	a.Seq++
-	rev, known, err := d.led.Reserve(ctx, j, time.Now().UnixMilli(), res, *e, *a)
+	rev, known, err := f.led.Reserve(ctx, j, time.Now().UnixMilli(), res, *e, *a)
 	if err != nil {
 		return "", err
 	}
@@ -447,20 +447,20 @@
 }
 
 // maximum is the largest container that fits any machine.
-func (d *Door) maximum() *pb.ResourceProto {
+func (f *Frontend) maximum() *pb.ResourceProto {
 	var mem, cpus, gpus float64
-	for _, t := range d.core.Types() {
+	for _, t := range f.core.Types() {
 		mem, cpus, gpus = max(mem, t.MemoryGB), max(cpus, t.CPUs), max(gpus, t.GPUs)
 	}
-	return d.resource(int64(mem*1024), int32(cpus), int64(gpus), "")
+	return f.resource(int64(mem*1024), int32(cpus), int64(gpus), "")
 }
 
-func (d *Door) resource(memMB int64, vcores int32, gpus int64, gpuName string) *pb.ResourceProto {
+func (f *Frontend) resource(memMB int64, vcores int32, gpus int64, gpuName string) *pb.ResourceProto {
 	r := &pb.ResourceProto{Memory: proto.Int64(memMB), VirtualCores: proto.Int32(vcores), ResourceValueMap: []*pb.ResourceInformationProto{
 		{Key: proto.String("memory-mb"), Value: proto.Int64(memMB), Units: proto.String("Mi")},
 		{Key: proto.String("vcores"), Value: proto.Int64(int64(vcores)), Units: proto.String("")}}}
-	if gpuName == "" && len(d.s.Resources) > 0 {
-		gpuName = d.s.Resources[0].Name
+	if gpuName == "" && len(f.s.Resources) > 0 {
+		gpuName = f.s.Resources[0].Name
 	}
 	if gpus > 0 {
 		r.ResourceValueMap = append(r.ResourceValueMap, &pb.ResourceInformationProto{Key: proto.String(gpuName), Value: proto.Int64(gpus), Units: proto.String("")})
@@ -469,7 +469,7 @@
 }
 
 // need reads what a container takes.
-func (d *Door) need(r *pb.ResourceProto) (memMB int64, vcores int32, gpus int64, gpuName string, err error) {
+func (f *Frontend) need(r *pb.ResourceProto) (memMB int64, vcores int32, gpus int64, gpuName string, err error) {
 	memMB, vcores = r.GetMemory(), r.GetVirtualCores()
 	for _, v := range r.GetResourceValueMap() {
 		switch v.GetKey() {
@@ -479,7 +479,7 @@
 			vcores = int32(min(max(v.GetValue(), 0), 1<<30))
 		default:
 			known := false
-			for _, k := range d.s.Resources {
+			for _, k := range f.s.Resources {
 				if k.Name == v.GetKey() {
 					gpus, gpuName, known = gpus+v.GetValue()*int64(k.GPUs), k.Name, true
 				}
--- a/yarn/duty.go
+++ b/yarn/leader.go
@@ -28,28 +28,28 @@
 }
 
 // Run does the leader's duties until ctx ends.
-func (d *Door) Run(ctx context.Context) {
-	every := min(5*time.Second, seconds(d.s.MasterS/6), seconds(d.s.StartS/6))
+func (f *Frontend) Run(ctx context.Context) {
+	every := min(5*time.Second, seconds(f.s.MasterS/6), seconds(f.s.StartS/6))
 	var seen map[string]*watch
 	var rolled time.Time
 	for call.Pause(ctx, max(every, 200*time.Millisecond)) {
-		if !d.core.Leads() {
+		if !f.core.Leads() {
 			seen = nil // a next leadership gives everybody their full time again
 			continue
 		}
 		if seen == nil {
 			seen, rolled = map[string]*watch{}, time.Now()
 		}
-		if time.Since(rolled) > seconds(d.s.KeyRollS) {
-			if err := d.roll(ctx); err != nil {
-				d.log.Info("yarn: key not rolled, retrying", "err", err)
+		if time.Since(rolled) > seconds(f.s.KeyRollS) {
+			if err := f.roll(ctx); err != nil {
+				f.log.Info("yarn: key not rolled, retrying", "err", err)
 			} else {
 				rolled = time.Now()
 			}
 		}
-		entries, err := d.led.ListApps(ctx)
+		entries, err := f.led.ListApps(ctx)
 		if err != nil {
-			d.log.Debug("yarn: applications not read", "err", err)
+			f.log.Debug("yarn: applications not read", "err", err)
 			continue
 		}
 		here := map[string]bool{}
@@ -59,7 +59,7 @@
 				continue
 			}
 			if err := nwire.Unmarshal(e.Value, &a); err != nil {
-				d.log.Error("yarn: unreadable record", "key", e.Key, "err", err)
+				f.log.Error("yarn: unreadable record", "key", e.Key, "err", err)
 				continue
 			}
 			here[e.Key] = true
@@ -68,8 +68,8 @@
 				w = &watch{version: e.Version, since: time.Now(), idle: idleOf(w)}
 				seen[e.Key] = w
 			}
-			if err := d.look(ctx, &a, w); err != nil {
-				d.log.Debug("yarn: duty", "app", a.name(), "err", err)
+			if err := f.look(ctx, &a, w); err != nil {
+				f.log.Debug("yarn: duty", "app", a.name(), "err", err)
 			}
 		}
 		for key := range seen {
@@ -88,29 +88,29 @@
 }
 
 // look does what is due for one application.
-func (d *Door) look(ctx context.Context, a *app, w *watch) error {
+func (f *Frontend) look(ctx context.Context, a *app, w *watch) error {
 	if a.Ending != "" {
-		return d.settle(ctx, a.id())
+		return f.settle(ctx, a.id())
 	}
-	if time.Since(w.since) > seconds(d.s.MasterS) {
-		return d.end(ctx, a.id(), stateFailed, func(a *app) {
-			a.Diag, a.Final = fmt.Sprintf("its master was not heard of for %g s", d.s.MasterS), int32(pb.FinalApplicationStatusProto_APP_FAILED)
+	if time.Since(w.since) > seconds(f.s.MasterS) {
+		return f.end(ctx, a.id(), stateFailed, func(a *app) {
+			a.Diag, a.Final = fmt.Sprintf("its master was not heard of for %g s", f.s.MasterS), int32(pb.FinalApplicationStatusProto_APP_FAILED)
 		})
 	}
-	_, jobs, err := d.led.OwnedJobs(ctx, a.key())
+	_, jobs, err := f.led.OwnedJobs(ctx, a.key())
 	if err != nil {
 		return err
 	}
 	if !a.Unmanaged {
-		if err := d.keepMaster(ctx, a, jobs); err != nil {
+		if err := f.keepMaster(ctx, a, jobs); err != nil {
 			return err
 		}
 	}
-	return d.reclaim(ctx, a, jobs, w)
+	return f.reclaim(ctx, a, jobs, w)
 }
 
 // reclaim takes back containers that nobody starts: they hold room.
-func (d *Door) reclaim(ctx context.Context, a *app, jobs []jobstore.ReservedJob, w *watch) error {
+func (f *Frontend) reclaim(ctx context.Context, a *app, jobs []jobstore.ReservedJob, w *watch) error {
 	now := time.Now()
 	idle := map[string]time.Time{}
 	for i := range jobs {
@@ -127,13 +127,13 @@
 				at = now
 			}
 			idle[name] = at
-			if now.Sub(at) > seconds(d.s.StartS) {
+			if now.Sub(at) > seconds(f.s.StartS) {
 				late = append(late, t)
 			}
 		}
 		if len(late) > 0 {
-			d.log.Info("yarn: containers were not started in time", "app", a.name(), "job", j.ID, "count", len(late))
-			if err := d.drop(ctx, a, &view{jobs: jobs}, j.ID, late); err != nil {
+			f.log.Info("yarn: containers were not started in time", "app", a.name(), "job", j.ID, "count", len(late))
+			if err := f.drop(ctx, a, &view{jobs: jobs}, j.ID, late); err != nil {
 				return err
 			}
 		}
@@ -144,68 +144,68 @@
 
 // keepMaster launches a managed application's master, and a next attempt where
 // one has ended by itself.
-func (d *Door) keepMaster(ctx context.Context, a *app, jobs []jobstore.ReservedJob) error {
+func (f *Frontend) keepMaster(ctx context.Context, a *app, jobs []jobstore.ReservedJob) error {
 	if a.MasterJob == "" {
-		return d.launchMaster(ctx, a.id())
+		return f.launchMaster(ctx, a.id())
 	}
 	for i := range jobs {
 		if jobs[i].ID == a.MasterJob {
 			return nil
 		}
 	}
-	over, found, err := d.led.FinishedReservation(ctx, a.MasterJob)
+	over, found, err := f.led.FinishedReservation(ctx, a.MasterJob)
 	if err != nil || !found {
 		return err
 	}
 	status, why := exitStatus(over.Outcomes[0])
 	why = fmt.Sprintf("attempt %d: its master ended with status %d %s", a.Attempt, status, why)
 	if a.Attempt >= a.Attempts && over.Outcomes[0] != jobstore.OutcomePreempted && over.Outcomes[0] != jobstore.OutcomeLost {
-		return d.end(ctx, a.id(), stateFailed, func(a *app) {
+		return f.end(ctx, a.id(), stateFailed, func(a *app) {
 			a.Diag, a.Final = why, int32(pb.FinalApplicationStatusProto_APP_FAILED)
 		})
 	}
-	return d.nextAttempt(ctx, a, why)
+	return f.nextAttempt(ctx, a, why)
 }
 
 // nextAttempt ends what an attempt has left, and begins another: tokens of the
 // one before are refused from then on.
-func (d *Door) nextAttempt(ctx context.Context, old *app, why string) error {
-	a, e, jobs, over, err := d.read(ctx, old.id())
+func (f *Frontend) nextAttempt(ctx context.Context, old *app, why string) error {
+	a, e, jobs, over, err := f.read(ctx, old.id())
 	if err != nil || over || a.Ending != "" || a.Attempt != old.Attempt {
 		return err
 	}
 	a.Attempt, a.MasterJob, a.State, a.Diag = a.Attempt+1, "", stateAccepted, why
-	if err := d.write(ctx, a, &e); err != nil {
+	if err := f.write(ctx, a, &e); err != nil {
 		return err
 	}
 	for _, j := range jobs {
-		if _, _, err := d.led.Cancel(ctx, j.ID); err != nil {
+		if _, _, err := f.led.Cancel(ctx, j.ID); err != nil {
 			return err
 		}
 	}
-	return d.launchMaster(ctx, a.id())
+	return f.launchMaster(ctx, a.id())
 }
 
 // launchMaster reserves a managed application's master and lets it go at once.
-func (d *Door) launchMaster(ctx context.Context, id *pb.ApplicationIdProto) error {
+func (f *Frontend) launchMaster(ctx context.Context, id *pb.ApplicationIdProto) error {
 	return retry(ctx, func() error {
-		a, e, _, over, err := d.read(ctx, id)
+		a, e, _, over, err := f.read(ctx, id)
 		if err != nil || over || a.Ending != "" || a.MasterJob != "" {
 			return err
 		}
 		a.MasterJob = jobID(a.Num, a.Seq)
 		k := a.Master
 		k.Name = "master"
-		_, err = d.reserve(ctx, a, &e, k, 1, jobstore.Reservation{Tag: k.tag(), LaunchRanges: []int{0, 0}})
+		_, err = f.reserve(ctx, a, &e, k, 1, jobstore.Reservation{Tag: k.tag(), LaunchRanges: []int{0, 0}})
 		return err
 	})
 }
 
 // roll adds a key. Those that sign nothing new any more stay for a while, and a
 // master that heartbeats meanwhile is given a token of the new one.
-func (d *Door) roll(ctx context.Context) error {
+func (f *Frontend) roll(ctx context.Context) error {
 	return retry(ctx, func() error {
-		k, version, err := d.keys(ctx)
+		k, version, err := f.keys(ctx)
 		if err != nil {
 			return err
 		}
@@ -215,14 +215,14 @@
 		}
 		k.Keys = append(k.Keys, s)
 		k.Keys = k.Keys[max(0, len(k.Keys)-keysKept):]
-		_, err = d.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
+		_, err = f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
 		return err
 	})
 }
 
 // Launch is what a worker runs for a task: its context, and a master's token. An
 // error says that there is none.
-func (d *Door) Launch(ctx context.Context, task string) (*Context, error) {
+func (f *Frontend) Launch(ctx context.Context, task string) (*Context, error) {
 	id, n, ok := nwire.SplitTask(task)
 	if !ok || nwire.ValidUserID(id) || len(id) < 13 {
 		return nil, wire.Errorf(wire.ClassNoContainer, "%s is no container", task)
@@ -231,11 +231,11 @@
 	if _, err := fmt.Sscanf(id[len("wk-8"):len(id)-9], "%d", &num); err != nil {
 		return nil, wire.Errorf(wire.ClassNoContainer, "%s is no container", task)
 	}
-	k, _, err := d.keys(ctx)
+	k, _, err := f.keys(ctx)
 	if err != nil {
 		return nil, err
 	}
-	a, _, jobs, over, err := d.read(ctx, &pb.ApplicationIdProto{Id: &num, ClusterTimestamp: proto.Int64(k.Stamp)})
+	a, _, jobs, over, err := f.read(ctx, &pb.ApplicationIdProto{Id: &num, ClusterTimestamp: proto.Int64(k.Stamp)})
 	if err != nil {
 		return nil, err
 	}
@@ -251,7 +251,7 @@
 			key = shared
 		}
 	}
-	e, err := d.store.Get(ctx, key)
+	e, err := f.store.Get(ctx, key)
 	if err != nil {
 		return nil, err
 	}
@@ -263,11 +263,11 @@
 		return nil, err
 	}
 	if id == a.MasterJob {
-		t, err := k.issue(token{kind: tokMaster, stamp: a.Stamp, num: a.Num, attempt: a.Attempt}, kindMaster, d.s.Advertise)
+		t, err := k.issue(token{kind: tokMaster, stamp: a.Stamp, num: a.Num, attempt: a.Attempt}, kindMaster, f.s.Advertise)
 		if err != nil {
 			return nil, err
 		}
-		c.Env["UMBERDEAL_AM_ADDRESS"] = d.s.Advertise
+		c.Env["UMBERDEAL_AM_ADDRESS"] = f.s.Advertise
 		c.Env["UMBERDEAL_AM_TOKEN_ID"] = string(t.Identifier)
 		c.Env["UMBERDEAL_AM_TOKEN_PASSWORD"] = base64.StdEncoding.EncodeToString(t.Password)
 	}
--- a/yarn/manager.go
+++ b/yarn/manager.go
@@ -28,7 +28,7 @@
 }
 
 // contextOp is the change that keeps a launch context.
-func (d *Door) contextOp(key string, in *pb.ContainerLaunchContextProto) (nwire.Op, error) {
+func (f *Frontend) contextOp(key string, in *pb.ContainerLaunchContextProto) (nwire.Op, error) {
 	c := Context{Env: map[string]string{}, Argv: in.GetCommand(), Tokens: base64.StdEncoding.EncodeToString(in.GetTokens())}
 	size := len(c.Tokens) + 256
 	for _, e := range in.GetEnvironment() {
@@ -38,8 +38,8 @@
 	for _, a := range c.Argv {
 		size += 2*len(a) + 4
 	}
-	if size > d.value {
-		return nwire.Op{}, wire.Errorf(wire.ClassYarn, "the launch context takes %d bytes, and %d are kept", size, d.value)
+	if size > f.value {
+		return nwire.Op{}, wire.Errorf(wire.ClassYarn, "the launch context takes %d bytes, and %d are kept", size, f.value)
 	}
 	return nwire.Op{Put: key, Value: c}, nil
 }
@@ -108,12 +108,12 @@
 
 // startContainers lets containers be launched: their contexts are kept and their
 // jobs marked, and the leader launches them with its next answer to the machine.
-func (d *Door) startContainers(ctx context.Context, c *wire.Caller, in *pb.StartContainersRequestProto) (*pb.StartContainersResponseProto, error) {
-	a, _, err := d.caller(ctx, c, tokNode)
+func (f *Frontend) startContainers(ctx context.Context, c *wire.Caller, in *pb.StartContainersRequestProto) (*pb.StartContainersResponseProto, error) {
+	a, _, err := f.caller(ctx, c, tokNode)
 	if err != nil {
 		return nil, err
 	}
-	k, err := d.ring(ctx)
+	k, err := f.ring(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -121,7 +121,7 @@
 	byJob := map[string][]start{}
 	var order []string
 	for _, r := range in.GetStartContainerRequest() {
-		s, err := d.checkStart(a, &k, r)
+		s, err := f.checkStart(a, &k, r)
 		if err != nil {
 			out.FailedRequests = append(out.FailedRequests, failed(s.id, err))
 			continue
@@ -133,11 +133,11 @@
 	}
 	for _, id := range order {
 		for list := byJob[id]; len(list) > 0; {
-			n := min(len(list), d.ops-1)
+			n := min(len(list), f.ops-1)
 			if alike(list) {
 				n = len(list)
 			}
-			d.startSome(ctx, a, id, list[:n], out)
+			f.startSome(ctx, a, id, list[:n], out)
 			list = list[n:]
 		}
 	}
@@ -145,7 +145,7 @@
 }
 
 // checkStart checks a container's token and reads what is to be started.
-func (d *Door) checkStart(a *app, k *keyring, r *pb.StartContainerRequestProto) (start, error) {
+func (f *Frontend) checkStart(a *app, k *keyring, r *pb.StartContainerRequestProto) (start, error) {
 	t, err := parseToken(r.GetContainerToken().GetIdentifier())
 	if err != nil {
 		return start{}, wire.Errorf(wire.ClassInvalidToken, "%v", err)
@@ -157,7 +157,7 @@
 		!bytes.Equal(want, r.GetContainerToken().GetPassword()) {
 		return s, wire.Errorf(wire.ClassInvalidToken, "the container's token is not valid")
 	}
-	s.op, err = d.contextOp(a.contextKey(s.job, task), r.GetContainerLaunchContext())
+	s.op, err = f.contextOp(a.contextKey(s.job, task), r.GetContainerLaunchContext())
 	return s, err
 }
 
@@ -177,10 +177,10 @@
 }
 
 // startSome starts containers of one job in one transaction.
-func (d *Door) startSome(ctx context.Context, a *app, id string, list []start, out *pb.StartContainersResponseProto) {
+func (f *Frontend) startSome(ctx context.Context, a *app, id string, list []start, out *pb.StartContainersResponseProto) {
 	var good []start
 	err := retry(ctx, func() error {
-		_, jobs, err := d.led.OwnedJobs(ctx, a.key())
+		_, jobs, err := f.led.OwnedJobs(ctx, a.key())
 		if err != nil {
 			return err
 		}
@@ -206,7 +206,7 @@
 			return nil
 		}
 		ops, refs := a.share(fresh, slices.Clone(j.Record.Reservation.SharedKeys), j.Record.Job.Tasks)
-		return d.led.UpdateReservation(ctx, j, func(r *jobstore.Reservation) { r.LaunchRanges, r.SharedKeys = jobstore.RangesOf(goes), refs }, ops...)
+		return f.led.UpdateReservation(ctx, j, func(r *jobstore.Reservation) { r.LaunchRanges, r.SharedKeys = jobstore.RangesOf(goes), refs }, ops...)
 	})
 	for _, s := range list {
 		switch {
@@ -220,14 +220,14 @@
 	}
 }
 
-func (d *Door) stopContainers(ctx context.Context, c *wire.Caller, in *pb.StopContainersRequestProto) (*pb.StopContainersResponseProto, error) {
-	a, v, err := d.caller(ctx, c, tokNode)
+func (f *Frontend) stopContainers(ctx context.Context, c *wire.Caller, in *pb.StopContainersRequestProto) (*pb.StopContainersResponseProto, error) {
+	a, v, err := f.caller(ctx, c, tokNode)
 	if err != nil {
 		return nil, err
 	}
 	out := &pb.StopContainersResponseProto{}
 	for _, id := range in.GetContainerId() {
-		if err := d.release(ctx, a, v, []*pb.ContainerIdProto{id}); err != nil {
+		if err := f.release(ctx, a, v, []*pb.ContainerIdProto{id}); err != nil {
 			out.FailedRequests = append(out.FailedRequests, failed(id, err))
 			continue
 		}
@@ -236,15 +236,15 @@
 	return out, nil
 }
 
-func (d *Door) containerStatuses(ctx context.Context, c *wire.Caller, in *pb.GetContainerStatusesRequestProto) (*pb.GetContainerStatusesResponseProto, error) {
-	a, v, err := d.caller(ctx, c, tokNode)
+func (f *Frontend) containerStatuses(ctx context.Context, c *wire.Caller, in *pb.GetContainerStatusesRequestProto) (*pb.GetContainerStatusesResponseProto, error) {
+	a, v, err := f.caller(ctx, c, tokNode)
 	if err != nil {
 		return nil, err
 	}
 	out := &pb.GetContainerStatusesResponseProto{}
 	for _, id := range in.GetContainerId() {
 		seq, task := splitContainer(id.GetId())
-		st, err := d.statusOf(ctx, v, jobID(a.Num, seq), task)
+		st, err := f.statusOf(ctx, v, jobID(a.Num, seq), task)
 		if err != nil {
 			out.FailedRequests = append(out.FailedRequests, failed(id, err))
 			continue
@@ -255,13 +255,13 @@
 	return out, nil
 }
 
-func (d *Door) statusOf(ctx context.Context, v *view, job string, task int) (*pb.ContainerStatusProto, error) {
+func (f *Frontend) statusOf(ctx context.Context, v *view, job string, task int) (*pb.ContainerStatusProto, error) {
 	i := slices.IndexFunc(v.jobs, func(j jobstore.ReservedJob) bool { return j.ID == job })
 	var j jobstore.ReservedJob
 	if i >= 0 {
 		j = v.jobs[i]
 	} else {
-		over, found, err := d.led.FinishedReservation(ctx, job)
+		over, found, err := f.led.FinishedReservation(ctx, job)
 		if err != nil {
 			return nil, err
 		}
--- a/yarn/master.go
+++ b/yarn/master.go
@@ -37,7 +37,7 @@
 }
 
 // password is the server's: the password of a token that is still valid.
-func (d *Door) password(ctx context.Context, identifier []byte) ([]byte, error) {
+func (f *Frontend) password(ctx context.Context, identifier []byte) ([]byte, error) {
 	t, err := parseToken(identifier)
 	if err != nil {
 		return nil, wire.Errorf(wire.ClassInvalidToken, "%v", err)
@@ -45,10 +45,10 @@
 	if t.kind != tokMaster && t.kind != tokNode {
 		return nil, wire.Errorf(wire.ClassInvalidToken, "not a token for a connection")
 	}
-	if _, _, err := d.current(ctx, t); err != nil {
+	if _, _, err := f.current(ctx, t); err != nil {
 		return nil, err
 	}
-	k, err := d.ring(ctx)
+	k, err := f.ring(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -61,9 +61,9 @@
 
 // current reads the application of a token, which must be of its current attempt
 // and not over.
-func (d *Door) current(ctx context.Context, t token) (*app, *view, error) {
+func (f *Frontend) current(ctx context.Context, t token) (*app, *view, error) {
 	id := &pb.ApplicationIdProto{Id: &t.num, ClusterTimestamp: &t.stamp}
-	a, e, jobs, over, err := d.read(ctx, id)
+	a, e, jobs, over, err := f.read(ctx, id)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -82,18 +82,18 @@
 	jobs []jobstore.ReservedJob
 }
 
-func (d *Door) caller(ctx context.Context, c *wire.Caller, kind string) (*app, *view, error) {
+func (f *Frontend) caller(ctx context.Context, c *wire.Caller, kind string) (*app, *view, error) {
 	t, err := parseToken(c.Identifier)
 	if err != nil || t.kind != kind {
 		return nil, nil, wire.Errorf(wire.ClassInvalidToken, "not a token for this protocol")
 	}
-	return d.current(ctx, t)
+	return f.current(ctx, t)
 }
 
-func (d *Door) session(a *app) *session {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	s := d.sessions[a.name()]
+func (f *Frontend) session(a *app) *session {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	s := f.sessions[a.name()]
 	if s != nil && s.attempt == a.Attempt {
 		return s
 	}
@@ -102,16 +102,16 @@
 
 // register begins a master's session, anew if there was one: containers that run
 // are named, and everything that has ended is told again.
-func (d *Door) register(ctx context.Context, c *wire.Caller, in *pb.RegisterApplicationMasterRequestProto) (*pb.RegisterApplicationMasterResponseProto, error) {
+func (f *Frontend) register(ctx context.Context, c *wire.Caller, in *pb.RegisterApplicationMasterRequestProto) (*pb.RegisterApplicationMasterResponseProto, error) {
 	var a *app
 	var v *view
 	err := retry(ctx, func() (err error) {
-		if a, v, err = d.caller(ctx, c, tokMaster); err != nil {
+		if a, v, err = f.caller(ctx, c, tokMaster); err != nil {
 			return err
 		}
 		a.State, a.Host, a.Port, a.URL = stateRunning, in.GetHost(), in.GetRpcPort(), in.GetTrackingUrl()
 		a.Beat++
-		return d.write(ctx, a, &v.AppRecord)
+		return f.write(ctx, a, &v.AppRecord)
 	})
 	if err != nil {
 		return nil, err
@@ -122,8 +122,8 @@
 			s.jobs[id] = true
 		}
 	}
-	out := &pb.RegisterApplicationMasterResponseProto{MaximumCapability: d.maximum(), Queue: proto.String(leaf(a.Queue))}
-	k, err := d.ring(ctx)
+	out := &pb.RegisterApplicationMasterResponseProto{MaximumCapability: f.maximum(), Queue: proto.String(leaf(a.Queue))}
+	k, err := f.ring(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -133,7 +133,7 @@
 			continue
 		}
 		for _, t := range slices.Sorted(maps.Keys(j.Placements)) {
-			ct, err := d.container(a, &k, &j, t)
+			ct, err := f.container(a, &k, &j, t)
 			if err != nil {
 				return nil, err
 			}
@@ -142,20 +142,20 @@
 			nodes[j.Placements[t].Machine] = true
 		}
 	}
-	if out.NmTokensFromPreviousAttempts, err = d.nodeTokens(a, &k, nodes); err != nil {
+	if out.NmTokensFromPreviousAttempts, err = f.nodeTokens(a, &k, nodes); err != nil {
 		return nil, err
 	}
-	d.mu.Lock()
-	d.sessions[a.name()] = s
-	d.mu.Unlock()
-	d.log.Info("yarn: master registered", "app", a.name(), "attempt", a.Attempt, "containers", len(s.told))
+	f.mu.Lock()
+	f.sessions[a.name()] = s
+	f.mu.Unlock()
+	f.log.Info("yarn: master registered", "app", a.name(), "attempt", a.Attempt, "containers", len(s.told))
 	return out, nil
 }
 
-func (d *Door) nodeTokens(a *app, k *keyring, nodes map[string]bool) ([]*pb.NMTokenProto, error) {
+func (f *Frontend) nodeTokens(a *app, k *keyring, nodes map[string]bool) ([]*pb.NMTokenProto, error) {
 	var out []*pb.NMTokenProto
 	for _, n := range slices.Sorted(maps.Keys(nodes)) {
-		t, err := k.issue(token{kind: tokNode, stamp: a.Stamp, num: a.Num, attempt: a.Attempt}, kindNode, d.s.Advertise)
+		t, err := k.issue(token{kind: tokNode, stamp: a.Stamp, num: a.Num, attempt: a.Attempt}, kindNode, f.s.Advertise)
 		if err != nil {
 			return nil, err
 		}
@@ -166,15 +166,15 @@
 
 // container describes a placed task as a container, with the token that starts
 // it.
-func (d *Door) container(a *app, k *keyring, j *jobstore.ReservedJob, task int) (*pb.ContainerProto, error) {
+func (f *Frontend) container(a *app, k *keyring, j *jobstore.ReservedJob, task int) (*pb.ContainerProto, error) {
 	id := a.container(jobSeq(j.ID), task)
-	tok, err := k.issue(token{kind: tokContainer, stamp: a.Stamp, num: a.Num, attempt: a.Attempt, c: id.GetId()}, kindContainer, d.s.Advertise)
+	tok, err := k.issue(token{kind: tokContainer, stamp: a.Stamp, num: a.Num, attempt: a.Attempt, c: id.GetId()}, kindContainer, f.s.Advertise)
 	if err != nil {
 		return nil, err
 	}
 	q := parseTag(j.Record.Reservation.Tag)
 	return &pb.ContainerProto{Id: id, NodeId: nodeID(j.Placements[task].Machine), NodeHttpAddress: proto.String(""),
-		Resource: d.resource(q.MemoryMB, q.VCores, q.GPUs, q.GPUName), Priority: &pb.PriorityProto{Priority: &q.Priority},
+		Resource: f.resource(q.MemoryMB, q.VCores, q.GPUs, q.GPUName), Priority: &pb.PriorityProto{Priority: &q.Priority},
 		ContainerToken: tok, AllocationRequestId: &q.ReqID}, nil
 }
 
@@ -200,15 +200,15 @@
 
 // allocate is a master's heartbeat: releases, asks and blacklists in, containers
 // and ends out.
-func (d *Door) allocate(ctx context.Context, c *wire.Caller, in *pb.AllocateRequestProto) (*pb.AllocateResponseProto, error) {
-	a, v, err := d.caller(ctx, c, tokMaster)
+func (f *Frontend) allocate(ctx context.Context, c *wire.Caller, in *pb.AllocateRequestProto) (*pb.AllocateResponseProto, error) {
+	a, v, err := f.caller(ctx, c, tokMaster)
 	if err != nil {
 		if wire.IsClass(err, wire.ClassNoAttempt) {
 			return &pb.AllocateResponseProto{AMCommand: pb.AMCommandProto_AM_SHUTDOWN.Enum(), ResponseId: in.ResponseId}, nil
 		}
 		return nil, err
 	}
-	s := d.session(a)
+	s := f.session(a)
 	if s == nil {
 		return nil, wire.Errorf(wire.ClassNotReg, "AM is not registered for known application attempt: %s_%d", a.name(), a.Attempt)
 	}
@@ -222,7 +222,7 @@
 	}
 	changed := false
 	if len(in.GetRelease()) > 0 {
-		if err := d.release(ctx, a, v, in.GetRelease()); err != nil {
+		if err := f.release(ctx, a, v, in.GetRelease()); err != nil {
 			return nil, err
 		}
 		changed = true
@@ -234,42 +234,42 @@
 		for _, n := range b.GetBlacklistRemovals() {
 			delete(s.shun, n)
 		}
-		if err := d.avoid(ctx, a, s); err != nil {
+		if err := f.avoid(ctx, a, s); err != nil {
 			return nil, err
 		}
 		changed = true
 	}
 	if len(in.GetAsk()) > 0 {
-		if err := d.asks(ctx, c, s, in.GetAsk()); err != nil {
+		if err := f.asks(ctx, c, s, in.GetAsk()); err != nil {
 			return nil, err
 		}
 		changed = true
 	}
 	if changed {
-		if a, v, err = d.caller(ctx, c, tokMaster); err != nil {
+		if a, v, err = f.caller(ctx, c, tokMaster); err != nil {
 			return nil, err
 		}
 	}
-	out, err := d.answer(ctx, a, v, s)
+	out, err := f.answer(ctx, a, v, s)
 	if err != nil {
 		return nil, err
 	}
 	s.response++
 	out.ResponseId = proto.Int32(s.response)
 	s.last = out
-	d.beat(ctx, a, v, s)
+	f.beat(ctx, a, v, s)
 	return out, nil
 }
 
 // beat writes a sign of life down, three times within what a master may be
 // silent for: any leader counts from the last that it has seen.
-func (d *Door) beat(ctx context.Context, a *app, v *view, s *session) {
-	if time.Since(s.beat) < seconds(d.s.MasterS/3) {
+func (f *Frontend) beat(ctx context.Context, a *app, v *view, s *session) {
+	if time.Since(s.beat) < seconds(f.s.MasterS/3) {
 		return
 	}
 	a.Beat++
-	if err := d.write(ctx, a, &v.AppRecord); err != nil {
-		d.log.Debug("yarn: sign of life not written", "app", a.name(), "err", err) // the next heartbeat tries again
+	if err := f.write(ctx, a, &v.AppRecord); err != nil {
+		f.log.Debug("yarn: sign of life not written", "app", a.name(), "err", err) // the next heartbeat tries again
 		return
 	}
 	s.beat = time.Now()
@@ -278,9 +278,9 @@
 // answer collects what the master has not been told yet. What it collects counts
 // as told only once there is an answer to tell it with: where one could not be made,
 // containers were held as told that the master never heard of.
-func (d *Door) answer(ctx context.Context, a *app, v *view, s *session) (*pb.AllocateResponseProto, error) {
+func (f *Frontend) answer(ctx context.Context, a *app, v *view, s *session) (*pb.AllocateResponseProto, error) {
 	next := *s.clone()
-	out, err := d.collect(ctx, a, v, &next)
+	out, err := f.collect(ctx, a, v, &next)
 	if err != nil {
 		return nil, err
 	}
@@ -292,9 +292,9 @@
 	return &session{response: s.response, told: maps.Clone(s.told), ended: maps.Clone(s.ended), jobs: maps.Clone(s.jobs)}
 }
 
-func (d *Door) collect(ctx context.Context, a *app, v *view, s *session) (*pb.AllocateResponseProto, error) {
-	out := &pb.AllocateResponseProto{Limit: d.maximum(), NumClusterNodes: proto.Int32(0)}
-	k, err := d.ring(ctx)
+func (f *Frontend) collect(ctx context.Context, a *app, v *view, s *session) (*pb.AllocateResponseProto, error) {
+	out := &pb.AllocateResponseProto{Limit: f.maximum(), NumClusterNodes: proto.Int32(0)}
+	k, err := f.ring(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -312,7 +312,7 @@
 		for _, t := range slices.Sorted(maps.Keys(j.Placements)) {
 			id := a.container(jobSeq(j.ID), t)
 			if _, ok := s.told[id.GetId()]; !ok && !drops.Test(uint(t)) {
-				ct, err := d.container(a, &k, j, t)
+				ct, err := f.container(a, &k, j, t)
 				if err != nil {
 					return nil, err
 				}
@@ -324,38 +324,38 @@
 				leaving = append(leaving, &pb.PreemptionContainerProto{Id: id})
 			}
 		}
-		d.tellEnds(a, s, j, out)
+		f.tellEnds(a, s, j, out)
 	}
 	for id := range s.jobs {
 		if here[id] {
 			continue
 		}
-		j, found, err := d.led.FinishedReservation(ctx, id)
+		j, found, err := f.led.FinishedReservation(ctx, id)
 		if err != nil {
 			return nil, err
 		}
 		if found {
-			d.tellEnds(a, s, &j, out)
+			f.tellEnds(a, s, &j, out)
 		}
 		delete(s.jobs, id)
 	}
 	if len(leaving) > 0 {
 		out.Preempt = &pb.PreemptionMessageProto{StrictContract: &pb.StrictPreemptionContractProto{Container: leaving}}
 	}
-	if out.NmTokens, err = d.nodeTokens(a, &k, nodes); err != nil {
+	if out.NmTokens, err = f.nodeTokens(a, &k, nodes); err != nil {
 		return nil, err
 	}
 	// A master that heartbeats has the newest key's token well before its own
 	// key is dropped.
 	if s.response == 0 || s.response%64 == 0 {
-		out.AmRmToken, err = k.issue(token{kind: tokMaster, stamp: a.Stamp, num: a.Num, attempt: a.Attempt}, kindMaster, d.s.Advertise)
+		out.AmRmToken, err = k.issue(token{kind: tokMaster, stamp: a.Stamp, num: a.Num, attempt: a.Attempt}, kindMaster, f.s.Advertise)
 	}
 	return out, err
 }
 
 // tellEnds adds what has ended of a job. What was given back before it was ever
 // allocated is no container.
-func (d *Door) tellEnds(a *app, s *session, j *jobstore.ReservedJob, out *pb.AllocateResponseProto) {
+func (f *Frontend) tellEnds(a *app, s *session, j *jobstore.ReservedJob, out *pb.AllocateResponseProto) {
 	for _, t := range slices.Sorted(maps.Keys(j.Outcomes)) {
 		id := a.container(jobSeq(j.ID), t)
 		n, how := id.GetId(), j.Outcomes[t]
@@ -371,7 +371,7 @@
 }
 
 // release gives containers back.
-func (d *Door) release(ctx context.Context, a *app, v *view, ids []*pb.ContainerIdProto) error {
+func (f *Frontend) release(ctx context.Context, a *app, v *view, ids []*pb.ContainerIdProto) error {
 	byJob := map[string][]int{}
 	for _, id := range ids {
 		if id.GetAppAttemptId().GetApplicationId().GetId() != a.Num && id.GetAppId().GetId() != a.Num {
@@ -381,7 +381,7 @@
 		byJob[jobID(a.Num, seq)] = append(byJob[jobID(a.Num, seq)], task)
 	}
 	for id, tasks := range byJob {
-		if err := d.drop(ctx, a, v, id, tasks); err != nil {
+		if err := f.drop(ctx, a, v, id, tasks); err != nil {
 			return err
 		}
 	}
@@ -389,20 +389,20 @@
 }
 
 // drop marks tasks of a job as given back; one that is over needs nothing.
-func (d *Door) drop(ctx context.Context, a *app, v *view, id string, tasks []int) error {
+func (f *Frontend) drop(ctx context.Context, a *app, v *view, id string, tasks []int) error {
 	first := true
 	return retry(ctx, func() error {
 		jobs := v.jobs
 		if !first {
 			var err error
-			if _, jobs, err = d.led.OwnedJobs(ctx, a.key()); err != nil {
+			if _, jobs, err = f.led.OwnedJobs(ctx, a.key()); err != nil {
 				return err
 			}
 		}
 		first = false
 		for i := range jobs {
 			if j := &jobs[i]; j.ID == id {
-				return d.led.UpdateReservation(ctx, j, func(r *jobstore.Reservation) {
+				return f.led.UpdateReservation(ctx, j, func(r *jobstore.Reservation) {
 					set := r.ReleaseRanges.BitSet(j.Record.Job.Tasks)
 					for _, t := range tasks {
 						if t >= 0 && t < j.Record.Job.Tasks {
@@ -418,9 +418,9 @@
 }
 
 // avoid writes the blacklist into the jobs that still wait.
-func (d *Door) avoid(ctx context.Context, a *app, s *session) error {
+func (f *Frontend) avoid(ctx context.Context, a *app, s *session) error {
 	return retry(ctx, func() error {
-		_, jobs, err := d.led.OwnedJobs(ctx, a.key())
+		_, jobs, err := f.led.OwnedJobs(ctx, a.key())
 		if err != nil {
 			return err
 		}
@@ -430,7 +430,7 @@
 			if j.ID == a.MasterJob || slices.Equal(j.Record.Reservation.AvoidMachines, names) || len(waiting(j)) == 0 {
 				continue
 			}
-			if err := d.led.UpdateReservation(ctx, j, func(r *jobstore.Reservation) { r.AvoidMachines = names }); err != nil {
+			if err := f.led.UpdateReservation(ctx, j, func(r *jobstore.Reservation) { r.AvoidMachines = names }); err != nil {
 				return err
 			}
 		}
@@ -454,13 +454,13 @@
 
 // asks makes what waits what is asked for. As published, a number is absolute:
 // how many containers of a kind are still wanted.
-func (d *Door) asks(ctx context.Context, c *wire.Caller, s *session, in []*pb.ResourceRequestProto) error {
-	want, err := d.wanted(ctx, in)
+func (f *Frontend) asks(ctx context.Context, c *wire.Caller, s *session, in []*pb.ResourceRequestProto) error {
+	want, err := f.wanted(ctx, in)
 	if err != nil {
 		return err
 	}
 	return retry(ctx, func() error {
-		a, v, err := d.caller(ctx, c, tokMaster)
+		a, v, err := f.caller(ctx, c, tokMaster)
 		if err != nil {
 			return err
 		}
@@ -469,16 +469,16 @@
 			if w.n == 0 {
 				continue
 			}
-			j, _, err := d.native(a, w.ask, min(w.n, jobTasks))
+			j, _, err := f.native(a, w.ask, min(w.n, jobTasks))
 			if err != nil {
 				return err
 			}
-			if status, err := d.core.Judge(&j); err != nil {
+			if status, err := f.core.Judge(&j); err != nil {
 				return refuse(status, err)
 			}
 		}
 		for _, w := range want {
-			if err := d.adjust(ctx, a, v, s, w); err != nil {
+			if err := f.adjust(ctx, a, v, s, w); err != nil {
 				return err
 			}
 		}
@@ -494,7 +494,7 @@
 
 // wanted reads a list of asks: for each priority, size and label the nodes that
 // are named, and the number that counts for all of them.
-func (d *Door) wanted(ctx context.Context, in []*pb.ResourceRequestProto) ([]wants, error) {
+func (f *Frontend) wanted(ctx context.Context, in []*pb.ResourceRequestProto) ([]wants, error) {
 	type kind struct {
 		prio  int32
 		req   int64
@@ -506,7 +506,7 @@
 	for _, r := range in {
 		var k ask
 		var err error
-		if k.MemoryMB, k.VCores, k.GPUs, k.GPUName, err = d.need(r.GetCapability()); err != nil {
+		if k.MemoryMB, k.VCores, k.GPUs, k.GPUName, err = f.need(r.GetCapability()); err != nil {
 			return nil, err
 		}
 		if r.GetNumContainers() < 0 || r.GetNumContainers() > nwire.MaxTasks {
@@ -524,7 +524,7 @@
 	}
 	var out []wants
 	for _, g := range order {
-		w, err := d.locate(ctx, groups[g])
+		w, err := f.locate(ctx, groups[g])
 		if err != nil {
 			return nil, err
 		}
@@ -536,7 +536,7 @@
 // locate reads the locality of one kind: with any node allowed, names are wishes
 // that this service does not trade room for; otherwise the named nodes or racks
 // are the only ones.
-func (d *Door) locate(ctx context.Context, ws []wants) ([]wants, error) {
+func (f *Frontend) locate(ctx context.Context, ws []wants) ([]wants, error) {
 	var anywhere *wants
 	var named []wants
 	for i := range ws {
@@ -553,7 +553,7 @@
 	if len(named) == 0 {
 		return nil, nil
 	}
-	ms, err := d.core.Machines(ctx)
+	ms, err := f.core.Machines(ctx)
 	if err != nil {
 		return nil, wire.Errorf(wire.ClassRetriable, "%v", err)
 	}
@@ -582,7 +582,7 @@
 
 // adjust reserves what is wanted beyond what waits, or gives back what waits
 // beyond what is wanted.
-func (d *Door) adjust(ctx context.Context, a *app, v *view, s *session, w wants) error {
+func (f *Frontend) adjust(ctx context.Context, a *app, v *view, s *session, w wants) error {
 	tag := w.tag()
 	have := 0
 	var mine []*jobstore.ReservedJob
@@ -595,7 +595,7 @@
 	for have < w.n {
 		n := min(w.n-have, jobTasks)
 		res := jobstore.Reservation{Tag: tag, AvoidMachines: slices.Sorted(maps.Keys(s.shun))}
-		id, err := d.reserve(ctx, a, &v.AppRecord, w.ask, n, res)
+		id, err := f.reserve(ctx, a, &v.AppRecord, w.ask, n, res)
 		if err != nil {
 			var c *kvstore.ConflictError
 			if errors.As(err, &c) {
@@ -609,7 +609,7 @@
 	for i := len(mine) - 1; i >= 0 && have > w.n; i-- {
 		ts := waiting(mine[i])
 		k := min(have-w.n, len(ts))
-		if err := d.drop(ctx, a, v, mine[i].ID, ts[len(ts)-k:]); err != nil {
+		if err := f.drop(ctx, a, v, mine[i].ID, ts[len(ts)-k:]); err != nil {
 			return err
 		}
 		have -= k
@@ -631,13 +631,13 @@
 }
 
 // finish ends an application as its master says.
-func (d *Door) finish(ctx context.Context, c *wire.Caller, in *pb.FinishApplicationMasterRequestProto) (*pb.FinishApplicationMasterResponseProto, error) {
+func (f *Frontend) finish(ctx context.Context, c *wire.Caller, in *pb.FinishApplicationMasterRequestProto) (*pb.FinishApplicationMasterResponseProto, error) {
 	t, err := parseToken(c.Identifier)
 	if err != nil || t.kind != tokMaster {
 		return nil, wire.Errorf(wire.ClassInvalidToken, "not a token for this protocol")
 	}
 	out := &pb.FinishApplicationMasterResponseProto{IsUnregistered: proto.Bool(true)}
-	if _, _, err := d.current(ctx, t); err != nil {
+	if _, _, err := f.current(ctx, t); err != nil {
 		if wire.IsClass(err, wire.ClassNoAttempt) {
 			return out, nil // over: whoever asks again is told the same
 		}
@@ -647,7 +647,7 @@
 	if in.GetFinalApplicationStatus() == pb.FinalApplicationStatusProto_APP_FAILED {
 		how = stateFailed
 	}
-	return out, d.end(ctx, &pb.ApplicationIdProto{Id: &t.num, ClusterTimestamp: &t.stamp}, how, func(a *app) {
+	return out, f.end(ctx, &pb.ApplicationIdProto{Id: &t.num, ClusterTimestamp: &t.stamp}, how, func(a *app) {
 		a.Diag, a.Final, a.URL = in.GetDiagnostics(), int32(in.GetFinalApplicationStatus()), in.GetTrackingUrl()
 	})
 }
--- a/yarn/rest.go
+++ b/yarn/rest.go
@@ -31,33 +31,33 @@
 type object = map[string]any
 
 // REST is the handler of the REST interface.
-func (d *Door) REST() http.Handler {
+func (f *Frontend) REST() http.Handler {
 	mux := http.NewServeMux()
-	get := func(path string, f func(r *http.Request) (any, error)) {
-		mux.HandleFunc("GET "+path, d.restful(f))
-	}
-	get(PathREST, d.restInfo)
-	get(PathREST+"/info", d.restInfo)
-	get(PathREST+"/metrics", d.restMetrics)
-	get(PathREST+"/scheduler", d.restScheduler)
-	get(PathREST+"/nodes", d.restNodes)
-	get(PathREST+"/apps", d.restApps)
-	get(PathREST+"/apps/{id}", d.restApp)
-	get(PathREST+"/apps/{id}/state", d.restState)
-	get(PathREST+"/apps/{id}/containers", d.restContainers)
+	get := func(path string, handle func(r *http.Request) (any, error)) {
+		mux.HandleFunc("GET "+path, f.restful(handle))
+	}
+	get(PathREST, f.restInfo)
+	get(PathREST+"/info", f.restInfo)
+	get(PathREST+"/metrics", f.restMetrics)
+	get(PathREST+"/scheduler", f.restScheduler)
+	get(PathREST+"/nodes", f.restNodes)
+	get(PathREST+"/apps", f.restApps)
+	get(PathREST+"/apps/{id}", f.restApp)
+	get(PathREST+"/apps/{id}/state", f.restState)
+	get(PathREST+"/apps/{id}/containers", f.restContainers)
 	get(PathContext+"{job}/{task}", func(r *http.Request) (any, error) {
-		return d.Launch(r.Context(), r.PathValue("job")+"/"+r.PathValue("task"))
+		return f.Launch(r.Context(), r.PathValue("job")+"/"+r.PathValue("task"))
 	})
-	mux.HandleFunc("POST "+PathREST+"/apps/new-application", d.restful(func(r *http.Request) (any, error) {
-		out, err := d.getNewApplication(r.Context(), nil, nil)
+	mux.HandleFunc("POST "+PathREST+"/apps/new-application", f.restful(func(r *http.Request) (any, error) {
+		out, err := f.getNewApplication(r.Context(), nil, nil)
 		if err != nil {
 			return nil, err
 		}
 		id := out.GetApplicationId()
 		return object{"application-id": appName(id.GetClusterTimestamp(), id.GetId()), "maximum-resource-capability": plain(out.GetMaximumCapability())}, nil
 	}))
-	mux.HandleFunc("POST "+PathREST+"/apps", d.restSubmit)
-	mux.HandleFunc("PUT "+PathREST+"/apps/{id}/state", d.restful(d.restKill))
+	mux.HandleFunc("POST "+PathREST+"/apps", f.restSubmit)
+	mux.HandleFunc("PUT "+PathREST+"/apps/{id}/state", f.restful(f.restKill))
 	return mux
 }
 
@@ -87,28 +87,28 @@
 	_ = json.NewEncoder(w).Encode(v) // a client that went away needs no answer
 }
 
-// let says whether a request's address may reach the door, and refuses others.
-func (d *Door) let(w http.ResponseWriter, r *http.Request) bool {
-	if len(d.s.Networks) == 0 {
+// let says whether a request's address may reach the front end, and refuses others.
+func (f *Frontend) let(w http.ResponseWriter, r *http.Request) bool {
+	if len(f.s.Networks) == 0 {
 		return true
 	}
 	a, err := netip.ParseAddrPort(r.RemoteAddr)
-	if err == nil && d.s.prefixes.Contains(a.Addr().Unmap()) {
+	if err == nil && f.s.prefixes.Contains(a.Addr().Unmap()) {
 		return true
 	}
 	restError(w, wire.Errorf(wire.ClassAccess, "not from this address"))
 	return false
 }
 
-func (d *Door) restful(f func(r *http.Request) (any, error)) http.HandlerFunc {
+func (f *Frontend) restful(handle func(r *http.Request) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if !d.let(w, r) {
+		if !f.let(w, r) {
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), 10*time.Second)
 		defer cancel()
 		r.Body = http.MaxBytesReader(w, r.Body, restBody)
-		out, err := f(r.WithContext(ctx))
+		out, err := handle(r.WithContext(ctx))
 		if err != nil {
 			restError(w, err)
 			return
@@ -121,25 +121,25 @@
 	return object{"memory": r.GetMemory(), "vCores": r.GetVirtualCores()}
 }
 
-func (d *Door) restInfo(r *http.Request) (any, error) {
-	k, _, err := d.keys(r.Context())
+func (f *Frontend) restInfo(r *http.Request) (any, error) {
+	k, _, err := f.keys(r.Context())
 	if err != nil {
 		return nil, err
 	}
 	ha := "STANDBY"
-	if d.core.Leads() {
+	if f.core.Leads() {
 		ha = "ACTIVE"
 	}
 	return object{"clusterInfo": object{"id": k.Stamp, "startedOn": k.Stamp, "state": "STARTED", "haState": ha,
 		"resourceManagerVersion": "umberdeal", "hadoopVersion": "umberdeal"}}, nil
 }
 
-func (d *Door) restMetrics(r *http.Request) (any, error) {
-	ms, err := d.core.Machines(r.Context())
+func (f *Frontend) restMetrics(r *http.Request) (any, error) {
+	ms, err := f.core.Machines(r.Context())
 	if err != nil {
 		return nil, wire.Errorf(wire.ClassRetriable, "%v", err)
 	}
-	apps, err := d.list(r.Context(), filter{states: []pb.YarnApplicationStateProto{pb.YarnApplicationStateProto_ACCEPTED, pb.YarnApplicationStateProto_RUNNING}})
+	apps, err := f.list(r.Context(), applicationFilter{states: []pb.YarnApplicationStateProto{pb.YarnApplicationStateProto_ACCEPTED, pb.YarnApplicationStateProto_RUNNING}})
 	if err != nil {
 		return nil, err
 	}
@@ -151,7 +151,7 @@
 		}
 		up++
 		cpus, mem = cpus+m.CPUs, mem+m.MemGB
-		for _, t := range d.core.Types() {
+		for _, t := range f.core.Types() {
 			if t.Name == m.Type {
 				totalCPU, totalMem = totalCPU+t.CPUs, totalMem+t.MemoryGB
 			}
@@ -170,10 +170,10 @@
 		"availableVirtualCores": totalCPU - cpus, "allocatedMB": mem * 1024, "totalMB": totalMem * 1024, "availableMB": (totalMem - mem) * 1024}}, nil
 }
 
-func (d *Door) restScheduler(r *http.Request) (any, error) {
+func (f *Frontend) restScheduler(r *http.Request) (any, error) {
 	var queues []object
-	for i := range d.s.Queues {
-		q, err := d.queueInfo(r.Context(), &d.s.Queues[i], true)
+	for i := range f.s.Queues {
+		q, err := f.queueInfo(r.Context(), &f.s.Queues[i], true)
 		if err != nil {
 			return nil, err
 		}
@@ -181,20 +181,20 @@
 		for _, a := range q.Applications {
 			n += int(a.GetAppResource_Usage().GetNumUsedContainers())
 		}
-		queues = append(queues, object{"queueName": q.GetQueueName(), "queuePath": d.s.Queues[i].Path, "state": "RUNNING",
-			"team": d.s.Queues[i].Team, "numApplications": len(q.Applications), "numContainers": n})
+		queues = append(queues, object{"queueName": q.GetQueueName(), "queuePath": f.s.Queues[i].Path, "state": "RUNNING",
+			"team": f.s.Queues[i].Team, "numApplications": len(q.Applications), "numContainers": n})
 	}
 	return object{"scheduler": object{"schedulerInfo": object{"type": "capacityScheduler", "queueName": "root", "queues": object{"queue": queues}}}}, nil
 }
 
-func (d *Door) restNodes(r *http.Request) (any, error) {
-	ms, err := d.core.Machines(r.Context())
+func (f *Frontend) restNodes(r *http.Request) (any, error) {
+	ms, err := f.core.Machines(r.Context())
 	if err != nil {
 		return nil, wire.Errorf(wire.ClassRetriable, "%v", err)
 	}
 	nodes := []object{}
 	for i := range ms {
-		n := d.nodeReport(&ms[i])
+		n := f.nodeReport(&ms[i])
 		nodes = append(nodes, object{"id": n.GetNodeId().GetHost() + ":" + strconv.Itoa(int(n.GetNodeId().GetPort())), "nodeHostName": ms[i].Name,
 			"rack": n.GetRackName(), "state": strings.TrimPrefix(n.GetNodeState().String(), "NS_"), "numContainers": ms[i].Tasks,
 			"usedMemoryMB": n.GetUsed().GetMemory(), "usedVirtualCores": n.GetUsed().GetVirtualCores(), "nodeLabels": n.GetNodeLabels()})
@@ -213,7 +213,7 @@
 		"unmanagedApplication": a.GetUnmanagedApplication()}
 }
 
-func (d *Door) restApps(r *http.Request) (any, error) {
+func (f *Frontend) restApps(r *http.Request) (any, error) {
 	q := r.URL.Query()
 	split := func(name string) []string {
 		var out []string
@@ -222,16 +222,16 @@
 		}
 		return out
 	}
-	f := filter{types: split("applicationTypes"), users: split("user"), queues: split("queue"), tags: split("applicationTags"), name: q.Get("name")}
-	f.limit, _ = strconv.Atoi(q.Get("limit")) // 0, and thus the most, where there is none
+	filter := applicationFilter{types: split("applicationTypes"), users: split("user"), queues: split("queue"), tags: split("applicationTags"), name: q.Get("name")}
+	filter.limit, _ = strconv.Atoi(q.Get("limit")) // 0, and thus the most, where there is none
 	for _, s := range append(split("states"), split("state")...) {
 		n, ok := pb.YarnApplicationStateProto_value[strings.ToUpper(s)]
 		if !ok {
 			return nil, wire.Errorf(wire.ClassYarn, "there is no state %q", s)
 		}
-		f.states = append(f.states, pb.YarnApplicationStateProto(n))
+		filter.states = append(filter.states, pb.YarnApplicationStateProto(n))
 	}
-	apps, err := d.list(r.Context(), f)
+	apps, err := f.list(r.Context(), filter)
 	if err != nil {
 		return nil, err
 	}
@@ -242,20 +242,20 @@
 	return object{"apps": object{"app": out}}, nil
 }
 
-func (d *Door) restReport(r *http.Request) (*pb.ApplicationReportProto, error) {
+func (f *Frontend) restReport(r *http.Request) (*pb.ApplicationReportProto, error) {
 	id, ok := parseApp(r.PathValue("id"))
 	if !ok {
 		return nil, wire.Errorf(wire.ClassNoApp, "invalid application id %q", r.PathValue("id"))
 	}
-	a, _, jobs, _, err := d.read(r.Context(), id)
+	a, _, jobs, _, err := f.read(r.Context(), id)
 	if err != nil {
 		return nil, err
 	}
-	return d.report(a, jobs), nil
+	return f.report(a, jobs), nil
 }
 
-func (d *Door) restApp(r *http.Request) (any, error) {
-	a, err := d.restReport(r)
+func (f *Frontend) restApp(r *http.Request) (any, error) {
+	a, err := f.restReport(r)
 	if err != nil {
 		return nil, err
 	}
@@ -263,12 +263,12 @@
 }
 
 // restContainers lists the containers of an application's unfinished jobs.
-func (d *Door) restContainers(r *http.Request) (any, error) {
+func (f *Frontend) restContainers(r *http.Request) (any, error) {
 	id, ok := parseApp(r.PathValue("id"))
 	if !ok {
 		return nil, wire.Errorf(wire.ClassNoApp, "invalid application id %q", r.PathValue("id"))
 	}
-	a, _, jobs, _, err := d.read(r.Context(), id)
+	a, _, jobs, _, err := f.read(r.Context(), id)
 	if err != nil {
 		return nil, err
 	}
@@ -298,15 +298,15 @@
 	return object{"containers": object{"container": out}}, nil
 }
 
-func (d *Door) restState(r *http.Request) (any, error) {
-	a, err := d.restReport(r)
+func (f *Frontend) restState(r *http.Request) (any, error) {
+	a, err := f.restReport(r)
 	if err != nil {
 		return nil, err
 	}
 	return object{"state": a.GetYarnApplicationState().String()}, nil
 }
 
-func (d *Door) restKill(r *http.Request) (any, error) {
+func (f *Frontend) restKill(r *http.Request) (any, error) {
 	var in struct {
 		State string `json:"state"`
 		Diag  string `json:"diagnostics"`
@@ -318,10 +318,10 @@
 	if !ok {
 		return nil, wire.Errorf(wire.ClassNoApp, "invalid application id %q", r.PathValue("id"))
 	}
-	if _, err := d.killApplication(r.Context(), nil, &pb.KillApplicationRequestProto{ApplicationId: id, Diagnostics: &in.Diag}); err != nil {
+	if _, err := f.killApplication(r.Context(), nil, &pb.KillApplicationRequestProto{ApplicationId: id, Diagnostics: &in.Diag}); err != nil {
 		return nil, err
 	}
-	return d.restState(r)
+	return f.restState(r)
 }
 
 // restJob is a submission in JSON.
@@ -352,8 +352,8 @@
 	} `json:"am-container-spec"`
 }
 
-func (d *Door) restSubmit(w http.ResponseWriter, r *http.Request) {
-	if !d.let(w, r) {
+func (f *Frontend) restSubmit(w http.ResponseWriter, r *http.Request) {
+	if !f.let(w, r) {
 		return
 	}
 	var in restJob
@@ -384,7 +384,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), 10*time.Second)
 	defer cancel()
-	if _, err := d.submitApplication(ctx, &wire.Caller{User: user}, &pb.SubmitApplicationRequestProto{ApplicationSubmissionContext: sc}); err != nil {
+	if _, err := f.submitApplication(ctx, &wire.Caller{User: user}, &pb.SubmitApplicationRequestProto{ApplicationSubmissionContext: sc}); err != nil {
 		restError(w, err)
 		return
 	}
--- a/yarn/settings.go
+++ b/yarn/settings.go
@@ -21,12 +21,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Settings is the operators' file for this door.
+// Settings is the operators' file for this interface.
 type Settings struct {
 	Listen    string     `toml:"listen"`     // Hadoop RPC, all protocols
 	Advertise string     `toml:"advertise"`  // where clients reach Listen, if that differs
 	REST      string     `toml:"rest"`       // the ResourceManager's REST interface; empty: none
-	Networks  []string   `toml:"networks"`   // prefixes that may reach the door; none: all
+	Networks  []string   `toml:"networks"`   // prefixes that may reach the front end; none: all
 	MasterS   float64    `toml:"master_s"`   // without a heartbeat, until an application is given up
 	StartS    float64    `toml:"start_s"`    // from a container's allocation until it must be started
 	KeyRollS  float64    `toml:"key_roll_s"` // until a new key signs tokens
@@ -245,7 +245,7 @@
 	return Label{}, false
 }
 
-// Allow says whether a client's address may reach the door.
+// Allow says whether a client's address may reach the front end.
 func (s *Settings) Allow(a net.Addr) bool {
 	if len(s.Networks) == 0 {
 		return true
