--- a/modelcheck/scenarios.go
+++ b/modelcheck/scenarios.go
@@ -1,6 +1,60 @@
 package modelcheck
 
-import "github.com/umberdeal/umberdeal/wire"
+import (
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// FailedGang is a gang of two on one machine, of which a start may be refused.
+// What replaces it has the same attempt number, on the same machine.
+func FailedGang() *Scenario {
+	sc := Gang()
+	sc.Name, sc.Zones, sc.Cancels, sc.Takeovers, sc.Errors = "failed gang", sc.Zones[:1], 1, 1, 1
+	return sc
+}
+
+// LateTransactions is an array of two whose leader's transactions may be carried out
+// late, and whose user may cancel it at any time.
+func LateTransactions() *Scenario {
+	sc := Pair()
+	sc.Name, sc.Lates, sc.Asks, sc.Cancels = "late transactions", 1, 1, 0
+	return sc
+}
+
+// LateOfOne is a task with one machine, on which the same happens; it goes deeper.
+func LateOfOne() *Scenario {
+	sc := Alone()
+	sc.Name, sc.Lates, sc.Asks, sc.Cancels, sc.Takeovers = "late transactions of one task", 2, 1, 0, 1
+	return sc
+}
+
+// RefusedAlone is a task whose leader the state service refuses for a while.
+func RefusedAlone() *Scenario {
+	sc := OneTask()
+	sc.Name, sc.Refusals, sc.Takeovers = "refused alone", 1, 1
+	return sc
+}
+
+// NextLeader is a task and a copy of a report that may be kept for the next leader.
+func NextLeader() *Scenario {
+	sc := OneTask()
+	sc.Name, sc.Copies, sc.Cancels, sc.Takeovers = "copy for the next leader", 1, 0, 1
+	return sc
+}
+
+// Ordered is two jobs of two classes, one machine for one of them at a time, and
+// an order between them that is turned round.
+func Ordered() *Scenario {
+	return &Scenario{Name: "orders", Zones: []string{"a"}, Capacity: 2, Takeovers: 1, Plans: 2,
+		Jobs: []wire.Job{job("wk-000001", func(j *wire.Job) { j.Class = "craft" }), job("wk-000002", func(j *wire.Job) { j.Class = "clinic" })}}
+}
+
+// Preempted is work that is running, and urgent work that comes for its place while
+// the order is changed.
+func Preempted() *Scenario {
+	return &Scenario{Name: "stops by orders", Zones: []string{"a"}, Capacity: 2, Takeovers: 1, Plans: 2, Later: 1,
+		Jobs: []wire.Job{job("wk-000001", func(j *wire.Job) { j.Class = "craft" }),
+			job("wk-000002", func(j *wire.Job) { j.Class, j.Priority = "clinic", wire.PriorityHigh })}}
+}
 
 func job(id string, change func(*wire.Job)) wire.Job {
 	j := wire.Job{ID: id, Class: "c", Team: "core", Kind: wire.KindArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 2, MemoryGB: 1,
