--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -128,22 +128,22 @@
 		v.Price = t.SpotPrice
 	}
 	v.Free = t.Capacity.Add(mc.Used, -1).Add(mc.orphaned, -1)
-	images := len(m.imageBuffer)
+	images := len(m.buffers.images)
 	if mc.suspected(now) {
 		v.Slow = 300
 	}
 	if mc.slowness > 1.5 {
 		v.Slow += 20 * mc.slowness
 	}
-	tasks := len(m.occupantBuffer)
-	m.refBuffer = sortRefs(mc.Tasks, m.refBuffer[:0])
-	for _, ref := range m.refBuffer {
+	tasks := len(m.buffers.occupants)
+	m.buffers.taskRefs = sortRefs(mc.Tasks, m.buffers.taskRefs[:0])
+	for _, ref := range m.buffers.taskRefs {
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
 		if p.ReportedState < reportedWaiting && t.FetchRate > 0 && !mc.hasImage(j.Image) {
 			left := max(0.5, j.Spec.ImageGB/t.FetchRate-now.Sub(p.PlacedAt).Seconds())
-			if !slices.ContainsFunc(m.imageBuffer[images:], func(im placement.ImageAt) bool { return im.Image == j.Image }) {
-				m.imageBuffer = append(m.imageBuffer, placement.ImageAt{Image: j.Image, In: left})
+			if !slices.ContainsFunc(m.buffers.images[images:], func(im placement.ImageAt) bool { return im.Image == j.Image }) {
+				m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: j.Image, In: left})
 				v.Backlog += left
 			}
 		}
@@ -151,15 +151,15 @@
 		if stopping {
 			v.Coming = v.Coming.Add(j.Need, 1)
 		}
-		m.occupantBuffer = append(m.occupantBuffer, placement.Occupant{
+		m.buffers.occupants = append(m.buffers.occupants, placement.Occupant{
 			Task: ref, Need: j.Need, Priority: j.Priority, Team: j.Team, Over: over[ref], Tier: j.tier,
 			Loss: m.preemptionLoss(j, p, now), Left: m.secondsLeft(j, ref.Task, now), Stopping: stopping, Fixed: stopping || j.Gang() && len(j.Tasks) > 1 || m.isStartProtected(j, now),
 		})
 	}
 	for _, im := range mc.cachedImages {
-		m.imageBuffer = append(m.imageBuffer, placement.ImageAt{Image: im})
+		m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: im})
 	}
-	v.Images, v.Tasks = m.imageBuffer[images:], m.occupantBuffer[tasks:]
+	v.Images, v.Tasks = m.buffers.images[images:], m.buffers.occupants[tasks:]
 	m.poolView(mc, &v)
 	return v, true
 }
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -83,11 +83,7 @@
 	classes            map[string]*classStats
 	tiers              priorityTiers
 
-	// Reused from pass to pass.
-	machineBuffer  []placement.Machine
-	occupantBuffer []placement.Occupant
-	imageBuffer    []placement.ImageAt
-	refBuffer      []TaskRef
+	buffers passBuffers
 }
 
 // New makes an empty model for the leadership with the given fencing token.
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -20,6 +20,15 @@
 	Unplaced []placement.Request // requests that no machine has enough free resources for
 }
 
+// passBuffers are slices that each scheduling pass reuses, so that a pass over thousands of
+// machines does not allocate them anew. What they hold is valid until the next pass.
+type passBuffers struct {
+	machines  []placement.Machine
+	occupants []placement.Occupant // of all machines, one after another
+	images    []placement.ImageAt  // of all machines, one after another
+	taskRefs  []TaskRef            // of one machine
+}
+
 // Schedule runs a scheduling pass: it places waiting tasks, orders preemptions and decides
 // which machines to rent. renting is how many machines are being rented already.
 func (m *Model) Schedule(now time.Time, renting int) Decisions {
@@ -30,8 +39,8 @@
 	within := m.jobsWithinQuota(jobs)
 	reqs := m.buildQueue(jobs, within, now)
 	over := m.beyondQuota(within)
-	in := placement.Input{Machines: m.machineBuffer[:0], Preempt: true, RentMax: max(0, maxScaleOut-renting)}
-	m.occupantBuffer, m.imageBuffer = m.occupantBuffer[:0], m.imageBuffer[:0]
+	in := placement.Input{Machines: m.buffers.machines[:0], Preempt: true, RentMax: max(0, maxScaleOut-renting)}
+	m.buffers.occupants, m.buffers.images = m.buffers.occupants[:0], m.buffers.images[:0]
 	back := make([]int32, 0, len(m.Machines))
 	fwd := make(map[int]int, len(m.Machines))
 	for _, mc := range m.Machines {
@@ -78,7 +87,7 @@
 	in.Offers, offers = m.offers(now)
 
 	plan := placement.Make(&in)
-	m.machineBuffer = in.Machines
+	m.buffers.machines = in.Machines
 	m.recordInversions(&plan, &in, job, now)
 
 	d := m.carryOut(plan, in.Requests, job, back, offers, now)
