--- a/admission/pollschedule.go
+++ b/admission/pollschedule.go
@@ -34,8 +34,8 @@
 	Tier func(id string) int
 }
 
-// UntilTurn returns the time until the id's next turn, less than a Period.
-func (s PollSchedule) UntilTurn(id string, now time.Time) time.Duration {
+// UntilNextTurn returns the time until the id's next turn, less than a Period.
+func (s PollSchedule) UntilNextTurn(id string, now time.Time) time.Duration {
 	period := max(s.Period, time.Millisecond)
 	place := time.Duration(xxhash.Sum64String(id) % uint64(period))
 	return ((place-time.Duration(now.UnixNano())%period)%period + period) % period
@@ -44,7 +44,7 @@
 // Priority returns the priority of a poll in a PriorityLimiter: the smaller, the more
 // urgent.
 func (s PollSchedule) Priority(id string, now time.Time) float64 {
-	priority := s.UntilTurn(id, now).Seconds()
+	priority := s.UntilNextTurn(id, now).Seconds()
 	if s.Tier != nil {
 		priority *= min(1+tierDelayStep*float64(s.Tier(id)), tierDelayMax)
 	}
@@ -55,7 +55,7 @@
 // id's turn if that is near. The other retries are spread, since polls that were refused
 // at the same time would otherwise return at the same time.
 func (s PollSchedule) RetryAfterS(id string, now time.Time) int {
-	if left := int(s.UntilTurn(id, now) / time.Second); left < pollIntervalS {
+	if left := int(s.UntilNextTurn(id, now) / time.Second); left < pollIntervalS {
 		return max(1, left)
 	}
 	spread := (xxhash.Sum64String(id) + uint64(now.Unix())) % retrySpreadS
--- a/admission/pollschedule_test.go
+++ b/admission/pollschedule_test.go
@@ -91,14 +91,14 @@
 	turns := PollSchedule{Period: 45 * time.Second}
 	for range 2000 {
 		id, now := fmt.Sprintf("wk-%06d", rnd.IntN(1e6)), time.Unix(rnd.Int64N(1<<32), rnd.Int64N(1e9))
-		left := turns.UntilTurn(id, now)
+		left := turns.UntilNextTurn(id, now)
 		if left < 0 || left >= turns.Period {
 			t.Fatalf("%s at %v: its turn is in %v", id, now, left)
 		}
-		if at := turns.UntilTurn(id, now.Add(left)); at != 0 {
+		if at := turns.UntilNextTurn(id, now.Add(left)); at != 0 {
 			t.Errorf("%s: %v after its turn was %v ahead it is %v ahead", id, left, left, at)
 		}
-		if again := turns.UntilTurn(id, now.Add(turns.Period)); again != left {
+		if again := turns.UntilNextTurn(id, now.Add(turns.Period)); again != left {
 			t.Errorf("%s: %v ahead, a round later %v", id, left, again)
 		}
 		in := turns.RetryAfterS(id, now)
--- a/controller/forwarding.go
+++ b/controller/forwarding.go
@@ -41,7 +41,7 @@
 		return peerrpc.Answer{}, false
 	}
 	bucket := schema.Bucket(id)
-	if !n.jobs.Contended(bucket) {
+	if !n.jobs.ShouldRouteToOwner(bucket) {
 		return peerrpc.Answer{}, false
 	}
 	owner := n.bucketOwner(bucket)
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -64,17 +64,17 @@
 }
 
 // workerLeaseLeft estimates how many seconds are left of a worker's lease, from the most
-// recent answer that this node knows of. agoS is the age of the last answer as another
+// recent answer that this node knows of. sinceAnswerS is the age of the last answer as another
 // node knows it, negative if it does not. A worker without a known answer counts as
 // having nothing left, so that it is served first.
-func (n *Node) workerLeaseLeft(machine string, agoS float64) float64 {
-	if ago, ok := n.lastAnswered.Since(machine, time.Now()); ok && (agoS < 0 || ago.Seconds() < agoS) {
-		agoS = ago.Seconds()
+func (n *Node) workerLeaseLeft(machine string, sinceAnswerS float64) float64 {
+	if ago, ok := n.lastAnswered.Since(machine, time.Now()); ok && (sinceAnswerS < 0 || ago.Seconds() < sinceAnswerS) {
+		sinceAnswerS = ago.Seconds()
 	}
-	if agoS < 0 {
+	if sinceAnswerS < 0 {
 		return 0
 	}
-	return n.cfg.Cluster.Workers.LeaseS - agoS
+	return n.cfg.Cluster.Workers.LeaseS - sinceAnswerS
 }
 
 func redirectTo(leader string) peerrpc.Answer {
--- a/controller/heartbeat_forwarding.go
+++ b/controller/heartbeat_forwarding.go
@@ -14,25 +14,25 @@
 // lease and with its fencing token. Everything else becomes a redirect to the leader or
 // a 503.
 func (n *Node) forwardHeartbeat(ctx context.Context, machine, leader string, body []byte) peerrpc.Answer {
-	lane := n.peerStream(leader)
-	if lane == nil {
+	stream := n.peerStream(leader)
+	if stream == nil {
 		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "no such leader"}, 1)
 	}
 	r := peerrpc.Request{From: n.cfg.Node, Body: body, SinceAnswerS: -1}
 	if ago, ok := n.lastAnswered.Since(machine, time.Now()); ok {
 		r.SinceAnswerS = ago.Seconds()
 	}
-	a, err := lane.Forward(ctx, r)
+	a, err := stream.Forward(ctx, r)
 	if err != nil {
 		n.log.Debug("heartbeat not forwarded", "machine", machine, "leader", leader, "err", err)
 		n.countForwarding(func(c *forwardingCounts) { c.failed++ })
-		if !lane.Reachable() && ctx.Err() == nil && !n.workerHistory(machine).ReturnedFrom(leader) {
+		if !stream.Reachable() && ctx.Err() == nil && !n.workerHistory(machine).BouncedFrom(leader) {
 			n.recordRedirect(machine, leader)
 			return redirectTo(leader)
 		}
 		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "the leader is not reached"}, 1)
 	}
-	if a.Status == http.StatusMisdirectedRequest && !n.workerHistory(machine).ReturnedFrom(leader) {
+	if a.Status == http.StatusMisdirectedRequest && !n.workerHistory(machine).BouncedFrom(leader) {
 		// The leader has been elected but is still loading its records. After a 503 the
 		// worker would try the next node, possibly the failed old leader, and lose
 		// seconds of its lease. At the leader itself, its heartbeat waits for the load.
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -12,10 +12,10 @@
 
 // This file makes the leader's responses to heartbeats.
 
-// answerHeartbeat applies a heartbeat and answers it as the leader. via is the node that
-// received it from the worker, and agoS the seconds since that node last relayed an
+// answerHeartbeat applies a heartbeat and answers it as the leader. receivedBy is the node that
+// received it from the worker, and sinceAnswerS the seconds since that node last relayed an
 // answer to the worker, negative if it does not know.
-func (l *leadership) answerHeartbeat(ctx context.Context, body []byte, agoS float64, via string) peerrpc.Answer {
+func (l *leadership) answerHeartbeat(ctx context.Context, body []byte, sinceAnswerS float64, receivedBy string) peerrpc.Answer {
 	unsure := newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "not sure of leading"}, 1)
 	if !l.lease.Valid() {
 		return unsure
@@ -25,7 +25,7 @@
 		l.log.Info("malformed heartbeat", "err", err)
 		return newAnswer(http.StatusBadRequest, wire.Error{Error: "malformed report"}, 0)
 	}
-	if err := l.heartbeatLimiter.Acquire(ctx, l.node.workerLeaseLeft(r.Machine, agoS)); err != nil {
+	if err := l.heartbeatLimiter.Acquire(ctx, l.node.workerLeaseLeft(r.Machine, sinceAnswerS)); err != nil {
 		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "too many reports under way"}, 1)
 	}
 	l.mu.Lock()
@@ -40,7 +40,7 @@
 	freed := l.model.PlacesFreed
 	mc := l.model.ApplyHeartbeat(&r, now)
 	if mc == nil && l.lease.Valid() {
-		if cmds, ok := l.model.AnswerRetry(&r, via); ok {
+		if cmds, ok := l.model.AnswerRetry(&r, receivedBy); ok {
 			l.mu.Unlock()
 			l.heartbeatLimiter.Release()
 			a := l.commandResponse(cmds)
@@ -49,8 +49,8 @@
 		}
 	}
 	if mc != nil {
-		l.model.ObserveReceivingNode(mc, via, now)
-		if via == l.node.cfg.Node {
+		l.model.ObserveReceivingNode(mc, receivedBy, now)
+		if receivedBy == l.node.cfg.Node {
 			// Only a new heartbeat counts: a delayed duplicate does not prove that
 			// workers can reach this node now.
 			l.lastDirectHeartbeat = now
--- a/controller/operator_plan.go
+++ b/controller/operator_plan.go
@@ -101,7 +101,7 @@
 
 // readOperatorPlan reads the plan that is in force. A plan of which no version can be
 // read is no error: it is returned as unreadable, and nothing is placed by it.
-func readOperatorPlan(ctx context.Context, s jobstore.KeyValueStore) (cluster.Plan, jobstore.ActivePlan, error) {
+func readOperatorPlan(ctx context.Context, s jobstore.Client) (cluster.Plan, jobstore.ActivePlan, error) {
 	var parsed *plan.Plan
 	active, err := jobstore.LoadPlan(ctx, s, func(text string) error {
 		p, err := plan.Parse(text)
--- a/controller/peer_recovery.go
+++ b/controller/peer_recovery.go
@@ -113,9 +113,9 @@
 	return !before
 }
 
-// noteUnreadable records that a peer can't read a record. Only a leader may still have its
+// recordUnreadable records that a peer can't read a record. Only a leader may still have its
 // value in memory and can repair it.
-func (n *Node) noteUnreadable(key string, version uint64) {
+func (n *Node) recordUnreadable(key string, version uint64) {
 	if n.activeLeadership() == nil {
 		return
 	}
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -142,23 +142,23 @@
 }
 
 // routeAsFollower decides what a follower does with a worker's heartbeat: forward it to
-// the leader (pass is true) or redirect the worker to another node.
-func (n *Node) routeAsFollower(machine, leader string) (to string, pass bool) {
-	lane := n.peerStream(leader)
-	p := n.currentRoutingPlan(leader)
+// the leader, or redirect the worker to another node.
+func (n *Node) routeAsFollower(machine, leader string) (redirectTo string, forward bool) {
+	stream := n.peerStream(leader)
+	routingPlan := n.currentRoutingPlan(leader)
 	var plan *routing.Plan
-	if p != nil {
-		plan = &p.Plan
+	if routingPlan != nil {
+		plan = &routingPlan.Plan
 	}
-	g := n.workerHistory(machine)
-	route := routing.RouteAtFollower(routing.FollowerInput{Self: n.cfg.Node, Leader: leader, Worker: machine, Plan: plan, History: g,
-		ConnsFull: n.workerConnsFull(), LeaderReachable: lane != nil && lane.Reachable()})
-	if route.Forward || !g.ServedHere || plan == nil || !plan.UsesRelays() {
+	history := n.workerHistory(machine)
+	route := routing.RouteAtFollower(routing.FollowerInput{Self: n.cfg.Node, Leader: leader, Worker: machine, Plan: plan, History: history,
+		ConnsFull: n.workerConnsFull(), LeaderReachable: stream != nil && stream.Reachable()})
+	if route.Forward || !history.ServedHere || plan == nil || !plan.UsesRelays() {
 		return route.RedirectTo, route.Forward
 	}
 	// A worker that is already served here is moved only to balance connections. That can
 	// wait until no election is recent, the worker's lease is fresh and the rate allows it.
-	if time.Since(p.leaderSince) < quietAfterElection || !n.answeredRecently(machine) || !n.moveLimiter.Allow() {
+	if time.Since(routingPlan.leaderSince) < quietAfterElection || !n.answeredRecently(machine) || !n.moveLimiter.Allow() {
 		return "", true
 	}
 	n.countForwarding(func(c *forwardingCounts) { c.redirected++ })
@@ -236,7 +236,7 @@
 		n.mu.Unlock()
 	}
 	if asks.UnreadableKey != "" {
-		n.noteUnreadable(asks.UnreadableKey, asks.UnreadableVersion)
+		n.recordUnreadable(asks.UnreadableKey, asks.UnreadableVersion)
 	}
 	s := peerrpc.Status{Node: n.cfg.Node, Leader: n.elector.Leader(), StoreReachable: n.kvReachable(), SchemaVersion: n.schemaVersion()}
 	if p := n.currentRoutingPlan(n.cfg.Node); p != nil && n.isLeader() {
--- a/jobstore/batch.go
+++ b/jobstore/batch.go
@@ -16,14 +16,14 @@
 
 const (
 	// closePageAfter is how long submissions must have come without contention, in batches of up to
-	// singleFile, before the head page is closed again.
+	// maxUncontendedBatch, before the head page is closed again.
 	closePageAfter = 5 * time.Second
 	// maxBatchPages bounds the size of a transaction's entries or final records, in multiples of the
 	// page size.
 	maxBatchPages = 2
-	// singleFile is the largest batch that does not count as concurrent submissions.
-	singleFile   = 2
-	batchTimeout = 3 * time.Second
+	// maxUncontendedBatch is the largest batch that does not count as concurrent submissions.
+	maxUncontendedBatch = 2
+	batchTimeout        = 3 * time.Second
 )
 
 // bucketQueue holds what waits for a bucket's next transaction. A Store's lock guards it.
@@ -46,10 +46,10 @@
 	return q
 }
 
-// Contended reports whether submissions of a bucket should currently all be sent to one controller: the
+// ShouldRouteToOwner reports whether submissions of a bucket should currently all be sent to one controller: the
 // bucket's head page is open or about to be, and controllers that add to it concurrently make each
 // other's transactions fail. It is a matter of throughput only.
-func (s *Store) Contended(bucket int) bool {
+func (s *Store) ShouldRouteToOwner(bucket int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := s.writeQueues[bucket]
@@ -289,7 +289,7 @@
 		}
 		size += sub.entry.size()
 	}
-	if len(subs) > singleFile {
+	if len(subs) > maxUncontendedBatch {
 		q.lastShared = time.Now()
 	}
 	w := newHeadWriter(q.bucket, head, s.config.Limits.pageBytes())
@@ -299,7 +299,7 @@
 	for _, sub := range subs {
 		w.add(sub.entry)
 	}
-	if len(subs) <= singleFile && time.Since(q.lastShared) > closePageAfter {
+	if len(subs) <= maxUncontendedBatch && time.Since(q.lastShared) > closePageAfter {
 		w.seal()
 		w.head.Closed = true
 	}
--- a/jobstore/planapply.go
+++ b/jobstore/planapply.go
@@ -38,7 +38,7 @@
 // ApplyPlan commits a text as the next version of the plan, which is then in force. Of two concurrent
 // changes with the same base one is applied, and the other fails with a PlanConflictError. After an error
 // of package kvstore the change may or may not have been applied: read the plan's versions to find out.
-func ApplyPlan(ctx context.Context, kv KeyValueStore, limits Limits, c PlanChange) (PlanVersion, error) {
+func ApplyPlan(ctx context.Context, kv Client, limits Limits, c PlanChange) (PlanVersion, error) {
 	schemaVersion, err := ensurePlanSchema(ctx, kv)
 	if err != nil {
 		return PlanVersion{}, err
@@ -170,7 +170,7 @@
 // commitOnce commits a transaction whose guards let it succeed only once, and retries it until the
 // outcome is known or ctx ends. After a lost response, a conflict may be caused by an earlier try that
 // was applied: done reports whether that is so.
-func commitOnce(ctx context.Context, kv KeyValueStore, guards []wire.Guard, ops []wire.Op, done func() bool) error {
+func commitOnce(ctx context.Context, kv Client, guards []wire.Guard, ops []wire.Op, done func() bool) error {
 	const firstWait, maxWait = 200 * time.Millisecond, 2 * time.Second
 	for wait := firstWait; ; wait = min(2*wait, maxWait) {
 		_, err := kv.CompareAndSwap(ctx, guards, ops)
@@ -201,7 +201,7 @@
 // ensurePlanSchema asks for SchemaPlans and waits until it is in force. From then on a version of this
 // program that does not support plans refuses to lead, instead of ignoring the plan. It returns the
 // version of SchemaKey.
-func ensurePlanSchema(ctx context.Context, kv KeyValueStore) (uint64, error) {
+func ensurePlanSchema(ctx context.Context, kv Client) (uint64, error) {
 	for try := range schemaTries {
 		e, schema, err := readSchema(ctx, kv)
 		switch {
@@ -237,7 +237,7 @@
 }
 
 // requestPlans asks the leader to raise the schema.
-func requestPlans(ctx context.Context, kv KeyValueStore) error {
+func requestPlans(ctx context.Context, kv Client) error {
 	_, err := kv.CompareAndSwap(ctx, []wire.Guard{{Key: PlanRequestedKey}}, []wire.Op{{Put: PlanRequestedKey, Value: true}})
 	var conflict *kvstore.ConflictError
 	if errors.As(err, &conflict) {
@@ -248,7 +248,7 @@
 
 // deleteOrphanedTexts deletes the texts that no version refers to. A draft can only be committed as the
 // version after the current one, so one with a lower number will never be.
-func deleteOrphanedTexts(ctx context.Context, kv KeyValueStore, h PlanHead) {
+func deleteOrphanedTexts(ctx context.Context, kv Client, h PlanHead) {
 	texts, _, err := kv.List(ctx, planTextPrefix)
 	if err != nil {
 		return // the next change that is applied deletes them
--- a/jobstore/store.go
+++ b/jobstore/store.go
@@ -9,8 +9,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// KeyValueStore is the part of the key-value store's client that this package uses.
-type KeyValueStore interface {
+// Client is the part of the key-value store's client that this package uses.
+type Client interface {
 	KeyValueReader
 	// ListPage reads up to limit keys that have the prefix and sort after the key after.
 	ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error)
@@ -48,7 +48,7 @@
 // final records, which never change, are answered from a cache. Methods without a context answer from
 // the local copy as of the last barrier. A Store is safe for concurrent use.
 type Store struct {
-	kv     KeyValueStore
+	kv     Client
 	config Config
 
 	barrierRequests chan chan error
@@ -67,7 +67,7 @@
 
 // New returns a store. Run must be running for methods that need a read barrier, such as Accept, Lookup
 // and Cancel, to return.
-func New(kv KeyValueStore, config Config) *Store {
+func New(kv Client, config Config) *Store {
 	if config.Log == nil {
 		config.Log = slog.New(slog.DiscardHandler)
 	}
--- a/routing/route.go
+++ b/routing/route.go
@@ -18,10 +18,10 @@
 	ServedHere    bool          // it was answered here within its lease time
 }
 
-// ReturnedFrom reports whether the worker, whose heartbeat has just arrived here, was
+// BouncedFrom reports whether the worker, whose heartbeat has just arrived here, was
 // redirected to the given node less than returnWindow ago. It then presumably can't reach
 // that node. Where it returned for another reason, the cost is one additional hop.
-func (h WorkerHistory) ReturnedFrom(node string) bool {
+func (h WorkerHistory) BouncedFrom(node string) bool {
 	return h.RedirectedTo == node && h.SinceRedirect < returnWindow
 }
 
@@ -45,7 +45,7 @@
 func RouteAtFollower(in FollowerInput) Route {
 	forward, redirectToLeader := Route{Forward: true}, Route{RedirectTo: in.Leader}
 	switch {
-	case in.History.ReturnedFrom(in.Leader):
+	case in.History.BouncedFrom(in.Leader):
 		return forward
 	case !in.LeaderReachable:
 		return redirectToLeader
@@ -58,7 +58,7 @@
 	if home == in.Self || home == in.Leader && in.History.ServedHere && in.Plan.UsesRelays() {
 		return forward
 	}
-	if home != in.Leader && (!in.ConnsFull || in.History.ReturnedFrom(home)) {
+	if home != in.Leader && (!in.ConnsFull || in.History.BouncedFrom(home)) {
 		return forward
 	}
 	// A worker that is new here is answered first and redirected only later, with a
@@ -88,7 +88,7 @@
 		return ""
 	}
 	home := in.Plan.NodeFor(in.Worker)
-	if home == in.Plan.Leader || in.History.ReturnedFrom(home) {
+	if home == in.Plan.Leader || in.History.BouncedFrom(home) {
 		return ""
 	}
 	return home
