--- a/controller/answer_checker_test.go
+++ b/controller/answer_checker_test.go
@@ -12,7 +12,7 @@
 
 // What the world checks of users' answers can fail: here nodes lose what they have
 // promised, since all records are wiped or written by hand.
-func TestTheCheckerSeesAnswersThatGrowOlder(t *testing.T) {
+func TestCheckerDetectsAnswersThatGoBackInTime(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
 		tell       func(w *fake.Cluster)
--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -133,7 +133,7 @@
 // All controllers are replaced one by one while the night's work is under way: the
 // same promises, no work repeated, and the finish that of a night untroubled but
 // for the time in which there was no leader.
-func TestAllControllersAreReplacedInTheNight(t *testing.T) {
+func TestAllControllersAreReplacedDuringABatchWindow(t *testing.T) {
 	calm := nightOf(t, func(*fake.Cluster) {})
 	replaced := nightOf(t, func(w *fake.Cluster) {
 		for range 3 {
@@ -152,7 +152,7 @@
 
 // The leader stands still across the opening, crashes before it, or nobody can
 // write: the outcome is decided once, by when layers were whole and known to be.
-func TestTheOutcomeIsDecidedOnceWhateverHappensAtTheOpening(t *testing.T) {
+func TestWindowOutcomeIsDecidedOnceUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		ends   string // about when the last layer's tasks end
@@ -218,7 +218,7 @@
 
 // A plan is applied in the night that makes the opening earlier, and the leader
 // crashes: what counts is the new promise.
-func TestAPlanMakesAnOpeningEarlier(t *testing.T) {
+func TestPlanChangeMakesAWindowEndEarlier(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
 		mustSubmit(t, w, tiles(1, 2, 60), tiles(2, 1, 420))
@@ -262,7 +262,7 @@
 
 // Half of the machines are gone at once, and with them the leader: the forecast is
 // made again and says so, and the night's work is done first on what is left.
-func TestHalfOfTheMachinesAreGone(t *testing.T) {
+func TestHalfOfTheMachinesAreLost(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
 		var ids []string
@@ -298,7 +298,7 @@
 
 // Nights of special dates, each with all controllers replaced one by one across
 // the opening.
-func TestNightsOfSpecialDates(t *testing.T) {
+func TestBatchWindowsOfSpecialDates(t *testing.T) {
 	for _, c := range []struct {
 		name, begin, zone, region string
 		want                      string // the opening, or none that night
@@ -363,7 +363,7 @@
 // Nights that are seeded differently, with day work of the same priority coming all
 // night long, together somewhat more than the machines can do. STORY_SEEDS sets how
 // many are played.
-func TestNightsAreMetBesideTheDaysWork(t *testing.T) {
+func TestBatchDeadlinesAreMetBesideOtherJobs(t *testing.T) {
 	seeds := uint64(2)
 	if n, err := strconv.ParseUint(os.Getenv("STORY_SEEDS"), 10, 64); err == nil {
 		seeds = n
@@ -516,7 +516,7 @@
 // boot's time brings room for 64 tasks more, and the night is late. What is rented
 // is the same when the leader dies over it, and when machines are lost they are
 // replaced in time. Where there are none, the forecast says so.
-func TestNightsRentAhead(t *testing.T) {
+func TestBatchWindowsScaleOutAhead(t *testing.T) {
 	plain := 0
 	for _, c := range []struct {
 		name    string
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -18,7 +18,7 @@
 // A cancellation, a question or a submission that is repeated comes after a job's
 // last task has completed and before that is recorded. The first to be committed
 // holds, at all nodes and for good.
-func TestACancellationMeetsTheEndOfTheLastTask(t *testing.T) {
+func TestCancellationRacesWithTheLastCompletion(t *testing.T) {
 	t.Run("the job has a key of its own", endOfTheLastTaskOfOneJob)
 	t.Run("the job is on a page with others", endsOfLastTasksOnPages)
 }
@@ -171,7 +171,7 @@
 // before, while nobody leads, and while the next leader reads what there is. Their
 // tasks, of which some run, some are on their way and some are just being placed, are
 // gone in time, and stay so when the leader before comes back.
-func TestJobsAreCancelledWhileTheWorkChangesHands(t *testing.T) {
+func TestCancellationsDuringFailover(t *testing.T) {
 	for way, name := range []string{"it dies", "it stands still", "the state service refuses it", "it keeps only its workers"} {
 		t.Run(name, func(t *testing.T) { cancelledInTheHandover(t, way, false) })
 		t.Run(name+", with open heads", func(t *testing.T) { cancelledInTheHandover(t, way, true) })
@@ -348,7 +348,7 @@
 // So many submissions come at every node that they share pages, and fill what the
 // state service takes of changes: cancellations, each of which changes a page under
 // the condition that nobody else has, come through all the same.
-func TestACrowdStarvesNoCancellation(t *testing.T) {
+func TestManyPollsDoNotDelayCancellations(t *testing.T) {
 	meetings(t, 2, fake.Options{Machines: 6, Capacity: 6, StateRPS: 200, StateWPS: 25}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
--- a/controller/encoding_test.go
+++ b/controller/encoding_test.go
@@ -8,7 +8,7 @@
 )
 
 // The part of a report that every node reads.
-func TestTheSenderOfAReportIsReadFromTheRecordedBytes(t *testing.T) {
+func TestSenderOfAHeartbeatIsReadFromTheRecordedBytes(t *testing.T) {
 	f := golden.Open(t, "encoding.golden")
 	golden.Hold[heartbeatHeader](f, "sender", golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }})
 	f.Text("path of the metrics", PathMetrics)
--- a/controller/grown_test.go
+++ b/controller/grown_test.go
@@ -18,7 +18,7 @@
 // crashed, hundreds of workers come back at once and must be answered within
 // their leases. The service refuses 25 changes a second and more, and values
 // and transactions over their limits.
-func TestAGrownClusterOutlivesACrashOfAllNodes(t *testing.T) {
+func TestGrownClusterSurvivesCrashOfAllNodes(t *testing.T) {
 	const machines, jobs = grownMachines, grownJobs
 	runScenario(t, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster) {
 		w.Store.LimitWrites(25)
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -120,7 +120,7 @@
 
 // A task is told to save, and cancelled while it saves, on a machine that only direct
 // commands reach: the second stop arrives late, and what it ends was cancelled.
-func TestALateStopEndsATaskThatIsSaving(t *testing.T) {
+func TestLateStopEndsATaskThatIsCheckpointing(t *testing.T) {
 	runSeeded(t, 52, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		met := fake.DelayedCommands{}
@@ -159,7 +159,7 @@
 
 // Commands arrive after the session has ended for which they were sent: the worker
 // refuses them, and what runs there in its next session goes on.
-func TestLateCommandsOfAnEndedSession(t *testing.T) {
+func TestLateCommandsOfAnEndedAgentEpoch(t *testing.T) {
 	runSeeded(t, 53, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		w.DelayDirectCommands(1, rnd.Uint64())
@@ -196,7 +196,7 @@
 // Urgent work preempts gangs and arrays while most of the stops are late, and each leader
 // returns under its own name within a second. A gang of which not all tasks were told to
 // save in time falls back to its last checkpoint, and is done in the end.
-func TestLateStopsOfPreemptedGangsAndALeaderThatReturns(t *testing.T) {
+func TestLateStopsOfPreemptedGangsWhenALeaderIsReelected(t *testing.T) {
 	runSeeded(t, 54, fake.Options{Machines: 4, Capacity: 4, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		w.DelayDirectCommands(0.8, rnd.Uint64())
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -56,7 +56,7 @@
 
 // Copies of reports come to every node as a leader begins: they are the first that it
 // hears of their machines.
-func TestOldReportsReachEveryNodeAsALeaderBegins(t *testing.T) {
+func TestOldHeartbeatsReachEveryNodeDuringFailover(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 6, Capacity: 8, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		w.DelayCopiesUntilFailover(2)
@@ -79,7 +79,7 @@
 
 // A machine's report is held back until another leader has placed work, and comes to
 // it then; the machine itself is back later, within its lease or beyond it.
-func TestAReportIsHeldBackUntilTheNextLeaderHasActed(t *testing.T) {
+func TestHeartbeatIsDelayedUntilTheNextLeaderHasActed(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, LeaseS: 30}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		busy(t, w, 4)
@@ -121,7 +121,7 @@
 
 // Reports of a session that has ended come to the next leader before any of the new
 // session, and again after these; what they list has another attempt elsewhere by then.
-func TestOldReportsOfEarlierSessionsAndAttempts(t *testing.T) {
+func TestOldHeartbeatsOfEarlierEpochsAndAttempts(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		w.DelayCopiesUntilFailover(1)
@@ -155,7 +155,7 @@
 // Copies of the very reports that are being sent come to a new leader, and to the nodes
 // that pass reports on, before these. Refused, each worker went on to the next node, a
 // second of its lease later, and where that met it again and again its lease ended.
-func TestCopiesOvertakeTheirReportsAsALeaderBegins(t *testing.T) {
+func TestDuplicatesOvertakeTheirHeartbeatsDuringFailover(t *testing.T) {
 	runSeeded(t, 17, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		busy(t, w, 6)
@@ -183,7 +183,7 @@
 // Work is given out while half of the reports are overtaken by their copies, which take
 // the launches along: they are launched with a later answer, once, and no machine is
 // taken for one that does not hear for long.
-func TestWorkIsGivenOutWhileCopiesOvertakeReports(t *testing.T) {
+func TestTasksAreLaunchedWhileDuplicatesOvertakeHeartbeats(t *testing.T) {
 	runSeeded(t, 18, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		w.OvertakeReports(2)
@@ -203,7 +203,7 @@
 
 // A machine dies just after a report, and copies of that come every second. What ran
 // there goes on elsewhere once its lease is over, and no later than without them.
-func TestCopiesOfADeadMachinesLastReport(t *testing.T) {
+func TestDuplicatesOfADeadMachinesLastHeartbeat(t *testing.T) {
 	runSeeded(t, 19, fake.Options{Machines: 3, Capacity: 3, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 2, 3600 }))
@@ -236,7 +236,7 @@
 
 // A copy of the newest report comes to another node than its worker's. It is answered, and
 // its worker does not count as answered there.
-func TestACopyDoesNotMakeItsWorkerCountAsAnswered(t *testing.T) {
+func TestDuplicateHeartbeatDoesNotCountAsAnswered(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		busy(t, w, 1)
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -56,7 +56,7 @@
 
 // A leader's transactions have no answer and are carried out after its newer ones,
 // while it places, stops, ends and cancels. Then another reads what they have left.
-func TestOwnTransactionsComeAfterNewerOnes(t *testing.T) {
+func TestOwnTransactionsArriveAfterNewerOnes(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 5, Capacity: 7}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		w.Store.DropReplies(0.3, 0.15, rnd.Uint64())
@@ -94,7 +94,7 @@
 // The record of what is being returned comes late, over a newer one that names more,
 // and the deletion itself later still. The next leader must know of all that goes:
 // what it places there is taken away with its machine.
-func TestAnOlderRecordOfReturnsComesLate(t *testing.T) {
+func TestOlderScaleInRecordArrivesLate(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 2, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		all := w.Cloud.Machines()
@@ -146,7 +146,7 @@
 
 // The record of moves has no answer and comes after the one that was written in its
 // place, whose moves have begun.
-func TestAnOlderRecordOfMovesComesLate(t *testing.T) {
+func TestOlderRebalanceRecordArrivesLate(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		// One machine of a zone has 5 CPUs taken, the other 2: nothing has 7 left, unless
@@ -177,7 +177,7 @@
 
 // Machines are up before their rental is answered, and have work at once while
 // writes lag. Then their leader ends, before it has recorded their names.
-func TestALeaderEndsJustAfterItsMachinesCameUpAndGotWork(t *testing.T) {
+func TestLeaderEndsJustAfterItsMachinesBootedAndGotTasks(t *testing.T) {
 	t.Run("up within a second", func(t *testing.T) {
 		endsAfterMachinesCameUp(t, 200*time.Millisecond, time.Second, 4200*time.Millisecond)
 	})
@@ -254,7 +254,7 @@
 
 // Leaders change ten times in two minutes, each time in another way, one of them
 // inside an outage of the state service, while some of their writes lag.
-func TestLeadersChangeTenTimesInTwoMinutes(t *testing.T) {
+func TestTenFailoversInTwoMinutes(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		w.Store.DropReplies(0.15, 0.05, rnd.Uint64())
@@ -316,7 +316,7 @@
 
 // Requests that take, renew and end leases come late, while leaders change: a lease
 // that was given up is renewed or ended in the time of the next one.
-func TestLeasesAreRenewedAndEndedLate(t *testing.T) {
+func TestLateLeaseRenewalsAndReleases(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		stop := tokens(w)
@@ -351,7 +351,7 @@
 // The leadership goes to another node and back, all end, and one returns, within a
 // second or after some; each leader leaves a change of placements that comes as soon as
 // the next term has begun, before its leader has changed anything.
-func TestNodesHandOverAndBackAndOneReturns(t *testing.T) {
+func TestFailoverAndBackWhileANodeReturns(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		stop := tokens(w)
@@ -419,7 +419,7 @@
 
 // An election's own transaction has no answer, the release of its lease is refused,
 // and it comes when its node has given it up: a key under a lease that nobody renews.
-func TestAnElectionComesLate(t *testing.T) {
+func TestLateElection(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
@@ -460,7 +460,7 @@
 
 // All controllers are away for longer than workers' leases last, a placement of
 // theirs comes when they are back, and the workers' later sessions have nothing.
-func TestAllNodesAreAwayForLongerThanALease(t *testing.T) {
+func TestAllNodesAreDownForLongerThanALease(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		lease := time.Duration(w.Settings.Cluster.Workers.LeaseS * float64(time.Second))
@@ -500,7 +500,7 @@
 
 // There is more work than room, urgent and not, over a slow link to the state
 // service; room is made by stops while the leader changes.
-func TestMoreWorkThanRoomOverSlowLinks(t *testing.T) {
+func TestOverloadOverSlowLinks(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		stop := tokens(w)
--- a/controller/machine_boot_test.go
+++ b/controller/machine_boot_test.go
@@ -10,7 +10,7 @@
 
 // A machine may report before its rental is answered and long before the list
 // shows it: it is the one that was ordered.
-func TestMachinesUpAtOnceAreTakenAsOrdered(t *testing.T) {
+func TestMachinesThatBootAtOnceAreTakenAsRented(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 0, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		w.Cloud.SetBootTimes(func(int) time.Duration { return 200 * time.Millisecond })
@@ -30,7 +30,7 @@
 
 // One that never comes up ends in a deletion and another order; what waits is
 // not held for it until then.
-func TestAMachineThatNeverComesIsReplaced(t *testing.T) {
+func TestPoolMachineThatNeverBootsIsReplaced(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		w.Cloud.SetBootTimes(func(n int) time.Duration {
--- a/controller/operator_plan_test.go
+++ b/controller/operator_plan_test.go
@@ -71,7 +71,7 @@
 
 // All nodes are killed at once just after a plan is applied: whoever leads next
 // reads it before it places anything, also where its newest record is damaged.
-func TestANewLeaderReadsThePlanBeforeItPlaces(t *testing.T) {
+func TestNewLeaderReadsThePlanBeforeItPlaces(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, `note = "one"`)
@@ -91,7 +91,7 @@
 
 // Where no version can be read any more, what runs goes on and submissions are
 // taken, but nothing is placed as if there were no plan, until one is applied.
-func TestNothingIsPlacedByALostPlan(t *testing.T) {
+func TestNothingIsPlacedUnderALostPlan(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		time.Sleep(5 * time.Second)
--- a/controller/paused_process_test.go
+++ b/controller/paused_process_test.go
@@ -17,7 +17,7 @@
 // A process that stands still while its clocks run on acts afterwards on what it
 // knew before. The checker watches the rules; no task may be lost that a leader
 // could have kept, and users are served by the other nodes meanwhile.
-func TestControllersStandStill(t *testing.T) {
+func TestControllersStall(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		which func(leader int) []int
@@ -67,7 +67,7 @@
 // A leader that has no power any more, or stands still, takes connections and
 // answers nothing: each follower that sent a worker there cost it 4 s of a lease
 // of 12 s, and with another node down as well most tasks were killed.
-func TestWorkersWaitForTheNextLeaderWhereTheyAreAnswered(t *testing.T) {
+func TestWorkersStayWithTheNodeThatAnswersDuringFailover(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 8, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 16, 90 }))
@@ -86,7 +86,7 @@
 
 // The state service refuses one node while another stands still: a user's
 // request goes past both within its time.
-func TestARequestGoesPastANodeThatStandsStill(t *testing.T) {
+func TestRequestIsForwardedAroundAStalledNode(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Nodes: 4}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		a := (w.Leader() + 1) % 4
@@ -104,7 +104,7 @@
 // Hundreds of users who poll made every node ask the state service as often as
 // it could; together that was several times what the service takes, and the
 // leader's renewals were refused along with the rest, for good.
-func TestACrowdOfPollsDoesNotEndLeadership(t *testing.T) {
+func TestManyPollsDoNotEndLeadership(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Nodes: 5, StateRPS: 40}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
--- a/controller/poll_answers_test.go
+++ b/controller/poll_answers_test.go
@@ -113,7 +113,7 @@
 // A page on which many jobs stand can't be read any more. Whoever has started since
 // answers for those that still stand there, that are placed, or that another node
 // remembers, and calls none of them unknown; the others go on.
-func TestJobsOfADamagedPageAreAnswered(t *testing.T) {
+func TestJobsOfADamagedPageAreStillAnswered(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		scratch bool // most of the page still stands
@@ -178,7 +178,7 @@
 
 // All nodes are restarted one after the other while the form of the records changes:
 // whichever of them a user reaches, each job is answered before, amid and after.
-func TestEveryJobIsAnsweredWhileTheFormChanges(t *testing.T) {
+func TestEveryJobIsAnsweredWhileTheSchemaChanges(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, OlderSchema: []int{0, 1, 2}}, func(t *testing.T, w *fake.Cluster) {
 		var jobs []wire.Job
 		for n := range 30 {
--- a/controller/priorities_test.go
+++ b/controller/priorities_test.go
@@ -30,7 +30,7 @@
 }
 
 // What a job waits for is told from the records, also while no node is up.
-func TestWhyAJobWaitsIsToldWithoutALeader(t *testing.T) {
+func TestExplanationOfAWaitingJobWithoutALeader(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 8}, {Name: "edge"}}
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
 		long := func(j *wire.Job) { j.CPUs, j.EstimateS = 4, 500 }
@@ -99,7 +99,7 @@
 // A leader that has read an order, and is in trouble as another is applied, places
 // nothing by the older: neither itself, nor by a transaction that comes a minute
 // late, nor does the next one.
-func TestNothingIsPlacedByAnOlderOrder(t *testing.T) {
+func TestNothingIsPlacedUnderAnOlderPlan(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		do   func(w *fake.Cluster) (end func())
@@ -155,7 +155,7 @@
 // A leader is in trouble as the order is turned round, and learns only then, from a
 // worker, that its team has room for urgent work again, which stops other work. It
 // stops none of what the older order would have stopped first.
-func TestNobodyIsStoppedByAnOlderOrder(t *testing.T) {
+func TestNoPreemptionUnderAnOlderPlan(t *testing.T) {
 	at := func(typ string) func(*wire.Job) { return func(j *wire.Job) { j.Types = []string{typ} } }
 	typ := func(name string) wire.MachineType { v := fake.DefaultType; v.Name = name; return v }
 	for _, c := range []struct {
@@ -217,7 +217,7 @@
 
 // The order is changed twice while the transaction that places by the first one
 // hangs, and is applied a minute late, or not.
-func TestALateTransactionPlacesByNoOlderOrder(t *testing.T) {
+func TestLateTransactionDoesNotPlaceUnderAnOlderPlan(t *testing.T) {
 	for _, dies := range []bool{false, true} {
 		t.Run(fmt.Sprint("the leader dies: ", dies), func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
@@ -249,7 +249,7 @@
 
 // Each node knows another version of the order, the newest none of them, and all
 // are back at once: with what they know in memory, and started anew.
-func TestNodesWithDifferentOlderOrdersPlaceByTheNewest(t *testing.T) {
+func TestNodesWithDifferentOlderPlansPlaceByTheNewest(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		t.Run(fmt.Sprint("restarted: ", restart), func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
@@ -282,7 +282,7 @@
 }
 
 // The newest order can't be read: the one before holds, never none.
-func TestADamagedOrderLeavesTheOneBefore(t *testing.T) {
+func TestDamagedPlanLeavesThePreviousOneInForce(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, orderOf("clinic", "craft"))
@@ -307,7 +307,7 @@
 // The records say that an order is in force in a form that a later version has
 // written. Nodes of this one that are started again don't lead by what they know
 // of it: nothing is placed until the later version is back.
-func TestAVersionThatCannotReadTheOrderDoesNotLead(t *testing.T) {
+func TestVersionThatCannotReadThePlanDoesNotLead(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, orderOf("clinic", "craft"))
@@ -341,7 +341,7 @@
 // Clinic work comes without end while leaders are killed in turn. Every other job
 // begins within the bound, and the departures that takes are counted by whoever
 // leads.
-func TestClinicWorkWithoutEndStarvesNobodyWhileLeadersFail(t *testing.T) {
+func TestEndlessUrgentJobsStarveNobodyDuringFailovers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, strings.ReplaceAll(orderOf("clinic", "school", "craft"), "240", "60"))
--- a/controller/reachability_test.go
+++ b/controller/reachability_test.go
@@ -24,7 +24,7 @@
 
 // Launches went to a mute machine with every answer, and waited there for as long
 // as it was mute.
-func TestNothingWaitsForAMachineThatDoesNotHear(t *testing.T) {
+func TestNothingWaitsForAnUnreachableMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		at := w.Cloud.Machines()[0]
@@ -53,7 +53,7 @@
 // What the last leader had placed on a mute machine, launched or not, goes on
 // elsewhere once that machine's lease is over. It never shows the next one's
 // token, and each of its reports was answered: tasks waited without end.
-func TestAMachineIsMuteWhileTheLeaderChanges(t *testing.T) {
+func TestUnreachableMachineDuringFailover(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 4, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		at := w.Cloud.Machines()[0]
@@ -73,7 +73,7 @@
 }
 
 // A machine that stays mute is returned, and another rented.
-func TestAMachineThatStaysMuteIsReplaced(t *testing.T) {
+func TestMachineThatStaysUnreachableIsReplaced(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 2)
 		at := w.Cloud.Machines()[0]
@@ -91,7 +91,7 @@
 
 // Copies of reports of a machine that is gone come to a leader that has never
 // heard of it. It looked alive, and tasks were launched there.
-func TestCopiesOfReportsOfAMachineThatIsGone(t *testing.T) {
+func TestDuplicateHeartbeatsOfADeletedMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 3)
 		gone := w.Cloud.Machines()[0]
@@ -118,7 +118,7 @@
 }
 
 // Copies of all machines' reports come all the time, up to five leases late.
-func TestCopiesOfReportsChangeNothing(t *testing.T) {
+func TestDuplicateHeartbeatsChangeNothing(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		w.DuplicateReports(2)
 		busy(t, w, 6)
@@ -137,7 +137,7 @@
 // A node that has lost the state service and the other nodes answers no worker
 // for longer than its lease of the leadership lasts, and sends them on at once:
 // the next leader answers them all before their leases end.
-func TestANodeKeepsOnlyItsWorkers(t *testing.T) {
+func TestNodeKeepsOnlyItsWorkersConnections(t *testing.T) {
 	for name, which := range map[string]func(w *fake.Cluster) int{
 		"the leader":     func(w *fake.Cluster) int { return w.Leader() },
 		"another":        func(w *fake.Cluster) int { return (w.Leader() + 1) % 3 },
@@ -178,7 +178,7 @@
 
 // Nodes are back within a fraction of a second, one after another and at once,
 // and so in the middle of the elections that this brings about.
-func TestNodesAreBackWithinAFractionOfASecond(t *testing.T) {
+func TestNodesRestartWithinAFractionOfASecond(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 8, Capacity: 8}, func(t *testing.T, w *fake.Cluster) {
 		busy(t, w, 8)
 		for round, after := range []time.Duration{0, 50, 150, 300, 600, 900} {
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -98,7 +98,7 @@
 // Each kind of key of the state service is damaged in turn, as text or as nothing at
 // all, and then the leader is killed, while the others remember what they have
 // read. Jobs before and after are accepted, answered and run; what is over stays so.
-func TestWhateverRecordIsDamagedTheServiceGoesOn(t *testing.T) {
+func TestServiceContinuesWithAnyDamagedRecord(t *testing.T) {
 	for i, c := range damaged {
 		if scenario.UnderRace && i%3 > 0 {
 			continue
@@ -162,7 +162,7 @@
 // the service goes on: what comes is accepted and runs, under this leader and the
 // next, and no job of the page is called unknown. Ids that were on it may come again:
 // each runs once.
-func TestWhatNobodyRemembersIsSetAside(t *testing.T) {
+func TestRecordsWithoutACopyAreQuarantined(t *testing.T) {
 	for _, c := range damaged[:3] {
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 6, Capacity: 7}, func(t *testing.T, w *fake.Cluster) {
@@ -205,7 +205,7 @@
 // submit the same ids at all nodes, cancel some, and nodes are killed. No id stands
 // in two places that can be read, nothing is done twice, nobody is told 404, and in
 // the end what is submitted runs.
-func TestPagesAreDamagedAmidItAll(t *testing.T) {
+func TestPagesAreDamagedDuringOtherFaults(t *testing.T) {
 	seeds := uint64(4)
 	if scenario.UnderRace {
 		seeds = 1
--- a/controller/scenarios_test.go
+++ b/controller/scenarios_test.go
@@ -231,7 +231,7 @@
 	})
 }
 
-func TestTeamsKeepToTheirLimitsAndGetTheirQuota(t *testing.T) {
+func TestTeamsKeepTheirLimitsAndGetTheirQuotas(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUs: 8, CPUsMax: 12}, {Name: "edge", CPUs: 8}}
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
 		long := func(j *wire.Job) { j.CPUs, j.EstimateS, j.CheckpointS, j.SaveS = 4, 200, 5, 1 }
--- a/controller/schema_test.go
+++ b/controller/schema_test.go
@@ -35,7 +35,7 @@
 // While one node reads the form of records before, that is what is written, under
 // whichever leader; once it has been restarted as the newer version, jobs share
 // pages, and those that have keys of their own go on.
-func TestARollingRestartRaisesTheFormAtItsEnd(t *testing.T) {
+func TestRollingRestartRaisesTheSchemaVersionAtItsEnd(t *testing.T) {
 	for older := range 3 {
 		runScenario(t, fake.Options{Machines: 4, OlderSchema: []int{older}}, func(t *testing.T, w *fake.Cluster) {
 			long := func(j *wire.Job) { j.EstimateS = 90 }
@@ -80,7 +80,7 @@
 
 // What the version before has written, as it wrote it, is read: its jobs run, what
 // was over stays so, and repeats are known.
-func TestRecordsOfTheVersionBeforeAreRead(t *testing.T) {
+func TestRecordsOfThePreviousSchemaAreRead(t *testing.T) {
 	f, err := os.Open("testdata/form1.snapshot")
 	if err != nil {
 		t.Fatal(err)
@@ -146,7 +146,7 @@
 
 // A burst of submissions at 25 changes a second while all nodes are restarted: all
 // are accepted within their users' minute, by few changes, and none is forgotten.
-func TestABurstWhileAllNodesAreRestarted(t *testing.T) {
+func TestBurstOfJobsWhileAllNodesRestart(t *testing.T) {
 	burst := 2000
 	if scenario.UnderRace {
 		burst = 150
@@ -190,7 +190,7 @@
 
 // How long submissions wait at 25 changes a second, by how many come a second, with
 // the form of records before and with this one. -v prints the figures.
-func TestSubmissionsASecond(t *testing.T) {
+func TestSubmissionsPerSecond(t *testing.T) {
 	rates := []int{1, 20, 300, 500}
 	if scenario.UnderRace {
 		rates = rates[:2]
@@ -238,7 +238,7 @@
 // A record that can't be read is named, and what hangs on it is set aside: it is
 // neither forgotten nor started again, its user can cancel it, and the other jobs
 // go on under the next leader.
-func TestDamagedRecordsAreSetAsideAndTheOthersGoOn(t *testing.T) {
+func TestDamagedRecordsAreQuarantinedAndTheOthersContinue(t *testing.T) {
 	for _, c := range []struct{ name, key string }{
 		{"a job", jobstore.JobKey("wk-000001")}, {"a page of placements", jobstore.PlacementPageKey(0)},
 	} {
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -72,7 +72,7 @@
 // their job was accepted, was done or was cancelled. One node is refused by the state
 // service and asks the others, and nodes stand still for a moment again and again. No
 // answer is older than one that the user had before asking.
-func TestAllNodesAreAskedAtOnce(t *testing.T) {
+func TestAllPeersAreQueriedConcurrently(t *testing.T) {
 	meetings(t, 3, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		w.Store.SetLatency(time.Duration(rnd.IntN(40)) * time.Millisecond)
 		refused := rnd.IntN(3)
@@ -138,7 +138,7 @@
 // A node's transaction is carried out at once and only its answer is lost: others
 // read it, and act on it, before its sender knows. Whatever the sender says then is
 // not older than what they have said.
-func TestOthersReadWhatItsSenderDoesNotKnow(t *testing.T) {
+func TestPeersReadCommitsUnknownToTheirSender(t *testing.T) {
 	lose := func(w *fake.Cluster, rnd *rand.Rand, key string) bool {
 		w.Store.DropReplies(0, 1, rnd.Uint64())
 		met := when(5*time.Second, func() bool { return exists(w, key) })
@@ -262,7 +262,7 @@
 
 // A transaction has no answer because it is still on its way, and comes when its sender
 // has long gone on: whoever takes it for carried out is wrong.
-func TestWhatHasNoAnswerWasNotCarriedOut(t *testing.T) {
+func TestUnansweredRequestsWereNotExecuted(t *testing.T) {
 	t.Run("a cancellation", func(t *testing.T) {
 		ends := map[string]int{}
 		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
@@ -400,7 +400,7 @@
 // Requests that users seldom send come to every node while all is well, while many
 // submissions come, while the state service refuses one node, while it is out, and
 // after all nodes have begun anew: each is answered as it must be, or not for good.
-func TestOddRequestsMeetTroubles(t *testing.T) {
+func TestUnusualRequestsDuringFaults(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 20}, {Name: "edge"}}
 	meetings(t, 3, fake.Options{Machines: 4, Capacity: 4, Teams: teams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 		for n := range 6 {
@@ -465,7 +465,7 @@
 // A node's acceptance hangs, and nobody knows whether it will be: meanwhile the other
 // nodes know nothing of the job and say so at once. It is carried out late, beside its
 // user's next submission or instead of it, and once.
-func TestAnAcceptanceIsNeverConfirmed(t *testing.T) {
+func TestAcceptanceIsNeverConfirmedToItsUser(t *testing.T) {
 	meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 		for n := range 6 {
 			j, a := quick(n+1), rnd.IntN(3)
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -24,7 +24,7 @@
 
 // Machines reported every 4 s, and a launch waited for the next report: 2 s on
 // average, and a gang for the last of its machines.
-func TestALaunchDoesNotWaitForTheNextReport(t *testing.T) {
+func TestLaunchDoesNotWaitForTheNextHeartbeat(t *testing.T) {
 	runScenario(t, slowly(8), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		time.Sleep(20 * time.Second)
@@ -39,7 +39,7 @@
 }
 
 // The operators may switch it off: launches wait for reports, as they did.
-func TestWithoutSummonsLaunchesGoWithTheNextReports(t *testing.T) {
+func TestWithoutWakeUpsLaunchesGoWithTheNextHeartbeats(t *testing.T) {
 	o := slowly(8)
 	o.NoWakeUps = true
 	runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
@@ -76,7 +76,7 @@
 // A summons whose connection is held for two minutes is executed then, since
 // token and session still match. By then its job is over, or elsewhere; it is
 // delivered twice, as after a forget, and starts nothing.
-func TestASummonsThatArrivesMinutesLateStartsNothing(t *testing.T) {
+func TestWakeUpThatArrivesMinutesLateStartsNothing(t *testing.T) {
 	for name, meanwhile := range map[string]func(t *testing.T, w *fake.Cluster, at string){
 		"its job was cancelled": func(t *testing.T, w *fake.Cluster, _ string) {
 			t.Helper()
@@ -142,7 +142,7 @@
 
 // The worker's session ends while its summons is under way: it is refused, and
 // the task runs once.
-func TestASessionThatEndsUnderASummonsRefusesIt(t *testing.T) {
+func TestEndedAgentEpochRefusesItsWakeUp(t *testing.T) {
 	runScenario(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		time.Sleep(10 * time.Second)
@@ -166,7 +166,7 @@
 
 // The leader stands still somewhere between accepting a job, committing its
 // place and sending the summons, and goes on within its lease or past it.
-func TestALeaderThatStopsBeforeItsSummonsStartsNothingTwice(t *testing.T) {
+func TestLeaderThatEndsBeforeItsWakeUpsStartsNothingTwice(t *testing.T) {
 	for _, stop := range []time.Duration{3 * time.Second, 25 * time.Second} {
 		t.Run(stop.String(), func(t *testing.T) {
 			runScenario(t, slowly(6), func(t *testing.T, w *fake.Cluster) {
@@ -195,7 +195,7 @@
 
 // A machine hangs while the answer to the report of its task's end is held back
 // for what comes next there. What it was to run runs, once, there or elsewhere.
-func TestAMachineHangsWhileItsAnswerIsHeld(t *testing.T) {
+func TestMachineHangsWhileItsHeartbeatAnswerIsDelayed(t *testing.T) {
 	for _, hang := range []time.Duration{2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		t.Run(hang.String(), func(t *testing.T) {
 			runScenario(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
--- a/controller/warm_pools_measure_test.go
+++ b/controller/warm_pools_measure_test.go
@@ -221,10 +221,10 @@
 	return by
 }
 
-// TestMeasureNotes prints how often the parts' records are written; NOTES_MEASURE is
+// TestMeasurePlanRecords prints how often the parts' records are written; NOTES_MEASURE is
 // the number of machines. All of them together keep to their share, whatever there is
 // to write.
-func TestMeasureNotes(t *testing.T) {
+func TestMeasurePlanRecords(t *testing.T) {
 	machines, during := 24, 90*time.Second
 	if s := os.Getenv("NOTES_MEASURE"); s != "" {
 		if _, err := fmt.Sscan(s, &machines); err != nil {
--- a/controller/warm_pools_test.go
+++ b/controller/warm_pools_test.go
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestAPoolHoldsWeightsAheadOfABurst(t *testing.T) {
+func TestWarmPoolHoldsImagesAheadOfABurst(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitWarm(t, w, "llm:v1", 4, 5*time.Minute)
@@ -139,7 +139,7 @@
 	w.StartNode(i)
 }
 
-func TestALeaderDiesWhileAPoolGrows(t *testing.T) {
+func TestLeaderDiesWhileAWarmPoolScalesOut(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		tell func(t *testing.T, w *fake.Cluster)
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestALeaderDiesBetweenHoldAndReturn(t *testing.T) {
+func TestLeaderDiesBetweenCordonAndScaleIn(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
@@ -221,7 +221,7 @@
 	})
 }
 
-func TestTheCloudRentsLateNeverOrTwice(t *testing.T) {
+func TestCloudScalesOutLateNeverOrTwice(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		tell func(w *fake.Cluster)
@@ -257,7 +257,7 @@
 	}
 }
 
-func TestAPoolMachineIsLostAsABurstBegins(t *testing.T) {
+func TestPoolMachineIsLostAsABurstBegins(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		lose func(w *fake.Cluster, name string)
@@ -304,7 +304,7 @@
 	}
 }
 
-func TestAMachineThatDoesNotComeByItsWeightsIsReplaced(t *testing.T) {
+func TestPoolMachineThatCannotFetchItsImageIsReplaced(t *testing.T) {
 	runScenario(t, poolCluster(2, 4), func(t *testing.T, w *fake.Cluster) {
 		slow := w.Cloud.Machines()[0]
 		w.SlowImageFetch(slow)
@@ -323,7 +323,7 @@
 	})
 }
 
-func TestAModelsImageChangesOvernight(t *testing.T) {
+func TestImageOfAWarmPoolChanges(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
@@ -339,7 +339,7 @@
 	})
 }
 
-func TestTwoPoolsWhoseWeightsDoNotFitTogether(t *testing.T) {
+func TestTwoPoolsWhoseImagesDoNotFitTogether(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		second := strings.Replace(strings.Replace(poolPlan(2, 2, ""), `name = "llm"`, `name = "asr"`, 1), `model = "llm:v1"`, `model = "asr:v1"`, 1)
 		text := strings.ReplaceAll(poolPlan(2, 2, "")+second, "gb = 40", "gb = 60")
@@ -357,7 +357,7 @@
 
 // Clinic work is of a higher tier by the plan's order, or of a higher priority
 // where the plan gives none.
-func TestClinicWorkTakesThePoolsRoom(t *testing.T) {
+func TestUrgentJobsPreemptPoolBorrowers(t *testing.T) {
 	for _, c := range []struct{ name, order, rank, not string }{
 		{"by its priority", "", wire.PriorityHigh, wire.PriorityNormal},
 		{"by the order", "[[order.tiers]]\nname = \"clinic\"\nclasses = [\"slicing\"]\n", wire.PriorityNormal, wire.PriorityNormal},
@@ -395,7 +395,7 @@
 	})
 }
 
-func TestThePoolIsLentToWorkThatStopsInTime(t *testing.T) {
+func TestPoolIsLentOnlyToTasksThatStopInTime(t *testing.T) {
 	runScenario(t, poolCluster(0, 4), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(4))
@@ -422,7 +422,7 @@
 	})
 }
 
-func TestTheStateServiceIsOutInABurst(t *testing.T) {
+func TestKeyValueStoreOutageDuringABurst(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		before := awaitPool(t, w, "full", 10*time.Minute, full(4))
@@ -451,7 +451,7 @@
 	})
 }
 
-func TestWorkersThatKnowNoFetchesAreFilledByReplicas(t *testing.T) {
+func TestWorkersWithoutPrefetchAreWarmedByReplicas(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		w.RejectUnknownJobs()
 		applyPlan(t, w, 0, poolPlan(2, 4, ""))
@@ -472,7 +472,7 @@
 	})
 }
 
-func TestAPoolIsThereForTheHourAndReturnedAfterIt(t *testing.T) {
+func TestScheduledPoolIsReadyForItsHourAndScaledInAfterIt(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		hour := time.Now().Truncate(time.Hour).Add(time.Hour)
 		burst{replicas: 4}.remember(t, w, hour)
@@ -505,7 +505,7 @@
 
 // Pools under everything at once: afterwards the pool is whole, every machine has
 // been paid for once, and no rule was broken.
-func TestPoolsOutliveEverything(t *testing.T) {
+func TestWarmPoolsSurviveFailovers(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			o := poolCluster(3, 14)
@@ -576,7 +576,7 @@
 	}
 }
 
-func TestWhatNobodyLedIsChargedToWhoPaidThen(t *testing.T) {
+func TestUsageWithoutALeaderIsChargedToItsTeam(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		before := awaitPool(t, w, "full", 10*time.Minute, full(4))
@@ -598,7 +598,7 @@
 	})
 }
 
-func TestAPoolOutlivesALostPlan(t *testing.T) {
+func TestWarmPoolSurvivesALostPlan(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(2, 2, ""))
 		awaitPool(t, w, "full", 10*time.Minute, full(2))
