--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -155,7 +155,7 @@
 func TestWorkWithoutGPUsKeepsOffThemWhileOthersWait(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		aim     string // on the class without GPUs
+		aim     config.ObjectiveKind // on the class without GPUs
 		gpus    float64
 		waiting string // priority of the work with GPUs
 		limit   float64
--- a/config/config.go
+++ b/config/config.go
@@ -58,13 +58,28 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective repeats one aim of the deployment.
+// ObjectiveKind says what a service-level objective measures. Settings may be
+// newer than the program: a kind that is not listed here has no effect.
+type ObjectiveKind string
+
+// Kinds of service-level objectives.
+const (
+	ObjectiveWait      ObjectiveKind = "wait"      // a job starts within some time of its acceptance
+	ObjectiveGuarantee ObjectiveKind = "guarantee" // the same, where its team's guarantee covers it
+	ObjectiveFinished  ObjectiveKind = "finished"  // a job is done within some time of its acceptance
+	ObjectiveDeadline  ObjectiveKind = "deadline"  // a job is done by its deadline, or a multiple of that
+	ObjectivePrice     ObjectiveKind = "price"     // what machines cost
+	ObjectiveCost      ObjectiveKind = "cost"      // the same, as other settings call it
+)
+
+// Objective is one service-level objective of the deployment, for the jobs of a
+// class, or for all jobs where the class is empty.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"`
+	Kind    ObjectiveKind `toml:"kind"`
+	Class   string        `toml:"class"`
+	WithinS float64       `toml:"within_s"` // seconds after the job's acceptance
+	Share   float64       `toml:"share"`    // of the jobs that are to meet it
+	Times   float64       `toml:"times"`    // for deadlines: a multiple of the job's own deadline
 }
 
 // Workers holds the workers' timers, in seconds.
--- a/controller/node.go
+++ b/controller/node.go
@@ -164,7 +164,8 @@
 func (n *Node) logUnknownObjectives() {
 	for _, o := range n.cfg.Cluster.Objectives {
 		switch o.Kind {
-		case "wait", "finished", "deadline", "guarantee", "price", "cost":
+		case config.ObjectiveWait, config.ObjectiveFinished, config.ObjectiveDeadline, config.ObjectiveGuarantee,
+			config.ObjectivePrice, config.ObjectiveCost:
 		default:
 			n.log.Info("unknown kind of service-level objective ignored", "kind", o.Kind, "class", o.Class)
 		}
