--- a/calendar/ahead_test.go
+++ b/calendar/ahead_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestNightsWantAsManyPlacesAsKeepThem(t *testing.T) {
+func TestFindShortageMeetsDeadlines(t *testing.T) {
 	work := []Batch{{100, 60, 1, false}}
 	for _, tc := range []struct {
 		name  string
@@ -14,19 +14,19 @@
 		want  int
 		by    float64 // seconds from now
 	}{
-		{"in time as it is", []Load{{Promise: after(700), Batches: work}}, make([]float64, 10), 0, 0},
+		{"in time as it is", []Load{{Deadline: after(700), Batches: work}}, make([]float64, 10), 0, 0},
 		// Nine rounds of 60 s on the ten places, a tenth of all left over, and five on others.
-		{"one round less", []Load{{Promise: after(600), Batches: work}}, make([]float64, 10), 3, 163},
+		{"one round less", []Load{{Deadline: after(600), Batches: work}}, make([]float64, 10), 3, 163},
 		// After 100 s of boot there is time for one round, and one on the ten before it.
-		{"nearly too late", []Load{{Promise: after(180), Batches: work}}, make([]float64, 10), 80, 3},
-		{"no place at all", []Load{{Promise: after(1000), Batches: work}}, nil, 8, 1000/1.1 - 12.5*60 - 100},
-		{"too late, but less so", []Load{{Promise: after(60), Batches: work}}, make([]float64, 10), 70, 0},
-		{"nothing helps", []Load{{Promise: after(60), Running: 500}}, make([]float64, 10), 0, 0},
-		{"nothing would go on", []Load{{Promise: after(60), Batches: []Batch{{100, 60, 1, true}}}}, make([]float64, 10), 0, 0},
-		{"two nights", []Load{{Promise: after(600), Batches: work}, {Promise: after(300), Batches: work}}, make([]float64, 20), 10, 52},
+		{"nearly too late", []Load{{Deadline: after(180), Batches: work}}, make([]float64, 10), 80, 3},
+		{"no place at all", []Load{{Deadline: after(1000), Batches: work}}, nil, 8, 1000/1.1 - 12.5*60 - 100},
+		{"too late, but less so", []Load{{Deadline: after(60), Batches: work}}, make([]float64, 10), 70, 0},
+		{"nothing helps", []Load{{Deadline: after(60), RunningSeconds: 500}}, make([]float64, 10), 0, 0},
+		{"nothing would go on", []Load{{Deadline: after(60), Batches: []Batch{{100, 60, 1, true}}}}, make([]float64, 10), 0, 0},
+		{"two nights", []Load{{Deadline: after(600), Batches: work}, {Deadline: after(300), Batches: work}}, make([]float64, 20), 10, 52},
 	} {
-		w := Ahead(t0, tc.loads, tc.free, 100, 1000)
-		if by := w.By.Sub(t0).Seconds(); w.Places != tc.want || tc.want > 0 && (by < tc.by-6 || by > tc.by+6) {
+		w := FindShortage(t0, tc.loads, tc.free, 100, 1000)
+		if by := w.OrderBy.Sub(t0).Seconds(); w.Places != tc.want || tc.want > 0 && (by < tc.by-6 || by > tc.by+6) {
 			t.Errorf("%s: %d places by %v s, want %d by %v", tc.name, w.Places, by, tc.want, tc.by)
 		}
 	}
@@ -35,31 +35,31 @@
 // Whatever the work: with the places that are asked for, ordered when they must be
 // at the latest, the nights are kept, but for what is lost where several places are
 // followed as one; and with half of them they would not be.
-func TestPlacesWantedAreEnoughAndNotManyMore(t *testing.T) {
+func TestRandomShortagesAreSufficientAndNecessary(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	wanted := 0
 	for range 300 {
 		free := make([]float64, rnd.IntN(400))
 		var loads []Load
 		for n := range 1 + rnd.IntN(3) {
-			l := Load{Promise: after(float64(2000 * (n + 1)))}
+			l := Load{Deadline: after(float64(2000 * (n + 1)))}
 			for range 1 + rnd.IntN(20) {
-				l.Batches = append(l.Batches, Batch{Tasks: 1 + rnd.IntN(300), Seconds: 20 + 200*rnd.Float64(), Wide: 1})
+				l.Batches = append(l.Batches, Batch{Tasks: 1 + rnd.IntN(300), Seconds: 20 + 200*rnd.Float64(), PlacesPerTask: 1})
 			}
 			loads = append(loads, l)
 		}
-		w := Ahead(t0, loads, free, 90, 5000)
+		w := FindShortage(t0, loads, free, 90, 5000)
 		slack := func(more int, when, risk float64) float64 {
 			with := append(make([]float64, 0, len(free)+more), free...)
 			for range more {
 				with = append(with, when)
 			}
 			least := 1e9
-			for i, f := range Expect(t0, loads, with) {
+			for i, f := range ForecastLoads(t0, loads, with) {
 				if f.Finish.IsZero() {
 					return -1e9
 				}
-				least = min(least, loads[i].Promise.Sub(t0).Seconds()-(1+risk)*f.Finish.Sub(t0).Seconds())
+				least = min(least, loads[i].Deadline.Sub(t0).Seconds()-(1+risk)*f.Finish.Sub(t0).Seconds())
 			}
 			return least
 		}
@@ -70,11 +70,11 @@
 			continue
 		}
 		wanted++
-		if s := slack(w.Places, w.By.Sub(t0).Seconds()+90, 0); s < 0 {
-			t.Errorf("%d places by %v: late by %v s", w.Places, w.By.Sub(t0), -s)
+		if s := slack(w.Places, w.OrderBy.Sub(t0).Seconds()+90, 0); s < 0 {
+			t.Errorf("%d places by %v: late by %v s", w.Places, w.OrderBy.Sub(t0), -s)
 		}
-		if s := slack(w.Places/2, w.By.Sub(t0).Seconds()+90, riskShare); s > 0 && w.Places > 20 {
-			t.Errorf("%d places by %v: half of them would do, with %v s to spare", w.Places, w.By.Sub(t0), s)
+		if s := slack(w.Places/2, w.OrderBy.Sub(t0).Seconds()+90, riskMargin); s > 0 && w.Places > 20 {
+			t.Errorf("%d places by %v: half of them would do, with %v s to spare", w.Places, w.OrderBy.Sub(t0), s)
 		}
 	}
 	if wanted < 50 {
@@ -83,18 +83,18 @@
 }
 
 // BenchmarkAhead is a night of a large fleet that is at risk.
-func BenchmarkAhead(b *testing.B) {
+func BenchmarkFindShortage(b *testing.B) {
 	rnd := rand.New(rand.NewPCG(5, 6))
 	var loads []Load
 	for n := range 3 {
-		l := Load{Promise: after(float64(1000 * (n + 1)))}
+		l := Load{Deadline: after(float64(1000 * (n + 1)))}
 		for range 700 {
-			l.Batches = append(l.Batches, Batch{Tasks: 20, Seconds: 20 + 600*rnd.Float64(), Wide: 1})
+			l.Batches = append(l.Batches, Batch{Tasks: 20, Seconds: 20 + 600*rnd.Float64(), PlacesPerTask: 1})
 		}
 		loads = append(loads, l)
 	}
 	free := make([]float64, 2600)
 	for b.Loop() {
-		Ahead(t0, loads, free, 90, 800)
+		FindShortage(t0, loads, free, 90, 800)
 	}
 }
--- a/calendar/book_test.go
+++ b/calendar/book_test.go
@@ -14,7 +14,7 @@
 // oneRegion is a calendar of a region, changed as a test needs it.
 func oneRegion(t *testing.T, old, replacement string) *Region {
 	t.Helper()
-	return made(t, strings.Replace(`
+	return newTestCalendar(t, strings.Replace(`
 [[regions]]
 name = "brussels"
 zone = "Europe/Brussels"
@@ -26,17 +26,17 @@
 }
 
 // night is what follows 22:00 UTC (t0): promised for 06:30 UTC, opening at 07:00.
-func night(t *testing.T, r *Region) Night {
+func night(t *testing.T, r *Region) Window {
 	t.Helper()
-	n, ok := r.Night(t0)
+	n, ok := r.WindowAt(t0)
 	if !ok {
 		t.Fatal("not a night")
 	}
 	return n
 }
 
-func open(n Night, ids ...string) map[string]Night {
-	out := map[string]Night{}
+func open(n Window, ids ...string) map[string]Window {
+	out := map[string]Window{}
 	for _, id := range ids {
 		out[id] = n
 	}
@@ -45,7 +45,7 @@
 
 const hour = 3600
 
-func TestOutcomesAreDecidedWhenTheirTimeHasCome(t *testing.T) {
+func TestCloseDueDecidesEachResult(t *testing.T) {
 	n := night(t, oneRegion(t, "", ""))
 	for _, tc := range []struct {
 		name      string
@@ -55,29 +55,29 @@
 		late      time.Duration
 		done, all int
 	}{
-		{"in time", []float64{3, 5}, 8.5, Met, 0, 2, 2},
-		{"on the second", []float64{3, 8.5}, 8.5, Met, 0, 2, 2},
-		{"late", []float64{3, 8.75}, 8.75, Late, 15 * time.Minute, 2, 2},
-		{"one layer missing", []float64{3, 0}, 9, Incomplete, 0, 1, 2},
-		{"one layer after the opening", []float64{3, 9.5}, 9, Incomplete, 0, 1, 2},
+		{"in time", []float64{3, 5}, 8.5, ResultMet, 0, 2, 2},
+		{"on the second", []float64{3, 8.5}, 8.5, ResultMet, 0, 2, 2},
+		{"late", []float64{3, 8.75}, 8.75, ResultLate, 15 * time.Minute, 2, 2},
+		{"one layer missing", []float64{3, 0}, 9, ResultIncomplete, 0, 1, 2},
+		{"one layer after the opening", []float64{3, 9.5}, 9, ResultIncomplete, 0, 1, 2},
 	} {
-		b := NewBook("brussels", Record{}, 5, 0)
-		b.See(open(n, "a", "b"))
+		b := NewSchedule("brussels", Record{}, 5, 0)
+		b.ObserveOpenJobs(open(n, "a", "b"))
 		var decided []Outcome
 		for h := 0.25; h < 12; h += 0.25 {
 			for i, end := range tc.ends {
 				if end == h {
-					b.Ended([]string{"a", "b"}[i], n, after(h*hour))
+					b.RecordCompletion([]string{"a", "b"}[i], n, after(h*hour))
 				}
 			}
-			for _, o := range b.Close(after(h * hour)) {
+			for _, o := range b.CloseDue(after(h * hour)) {
 				if h != tc.at {
 					t.Errorf("%s: decided after %v h", tc.name, h)
 				}
 				decided = append(decided, o)
 			}
 		}
-		if len(decided) != 1 || decided[0].How != tc.how || decided[0].LateMs != tc.late.Milliseconds() || decided[0].Done != tc.done || decided[0].All != tc.all {
+		if len(decided) != 1 || decided[0].Result != tc.how || decided[0].LateMs != tc.late.Milliseconds() || decided[0].Completed != tc.done || decided[0].Jobs != tc.all {
 			t.Errorf("%s: %+v", tc.name, decided)
 		}
 	}
@@ -85,80 +85,80 @@
 
 // Leaders follow one another at any moment, each with what was last committed:
 // whoever decides, it is decided once, and nothing is counted twice.
-func TestLeadersThatFollowOneAnotherCountEachJobOnce(t *testing.T) {
+func TestFailoverCountsEachJobOnce(t *testing.T) {
 	n := night(t, oneRegion(t, "", ""))
 	for lose := range 6 { // how many changes the first leader made and could not commit
-		b := NewBook("brussels", Record{}, 5, 0)
+		b := NewSchedule("brussels", Record{}, 5, 0)
 		var committed []Record
 		step := func(f func()) { f(); committed = append(committed, b.Record(t0, 4000)) }
-		step(func() { b.See(open(n, "a", "b", "c")) })
-		step(func() { b.Ended("a", n, after(hour)) })
-		step(func() { b.Ended("b", n, after(2*hour)) })
-		step(func() { b.See(open(n, "c", "d")) })
-		step(func() { b.See(open(n, "c")) }) // d was cancelled
-		step(func() { b.Ended("c", n, after(8.75*hour)) })
-		b = NewBook("brussels", committed[len(committed)-1-lose], 6, 0)
-		if out := b.Close(after(8.9 * hour)); len(out) > 0 && lose > 0 {
+		step(func() { b.ObserveOpenJobs(open(n, "a", "b", "c")) })
+		step(func() { b.RecordCompletion("a", n, after(hour)) })
+		step(func() { b.RecordCompletion("b", n, after(2*hour)) })
+		step(func() { b.ObserveOpenJobs(open(n, "c", "d")) })
+		step(func() { b.ObserveOpenJobs(open(n, "c")) }) // d was cancelled
+		step(func() { b.RecordCompletion("c", n, after(8.75*hour)) })
+		b = NewSchedule("brussels", committed[len(committed)-1-lose], 6, 0)
+		if out := b.CloseDue(after(8.9 * hour)); len(out) > 0 && lose > 0 {
 			t.Fatalf("%d lost: decided before it was known: %v", lose, out)
 		}
 		ends := map[string]time.Time{"a": after(hour), "b": after(2 * hour), "c": after(8.75 * hour)}
-		for _, id := range b.Unknown() {
+		for _, id := range b.UnresolvedJobs() {
 			if end, ok := ends[id]; ok {
-				b.Told(id, Whole, n, true, end)
+				b.ResolveJob(id, EndCompleted, n, true, end)
 			} else {
-				b.Told(id, Taken, Night{}, false, time.Time{})
+				b.ResolveJob(id, EndCancelled, Window{}, false, time.Time{})
 			}
 		}
-		out := b.Close(after(8.9 * hour))
+		out := b.CloseDue(after(8.9 * hour))
 		if lose == 0 {
-			out = append(out, b.rec.Past...)
+			out = append(out, b.record.Past...)
 		}
-		if len(out) != 1 || out[0].How != Late || out[0].LateMs != (15*time.Minute).Milliseconds() || out[0].Done != 3 || out[0].All != 3 {
+		if len(out) != 1 || out[0].Result != ResultLate || out[0].LateMs != (15*time.Minute).Milliseconds() || out[0].Completed != 3 || out[0].Jobs != 3 {
 			t.Errorf("%d lost: %+v", lose, out)
 		}
 		// The next leader's clock is behind: nothing is decided again, and a job
 		// of that night which comes to be known now does not begin it anew.
-		b = NewBook("brussels", b.Record(t0, 4000), 7, 0)
-		b.See(open(n, "late"))
-		if out := b.Close(after(8.4 * hour)); len(out) > 0 || len(b.rec.Nights) > 0 || len(b.Close(after(10*hour))) > 0 {
+		b = NewSchedule("brussels", b.Record(t0, 4000), 7, 0)
+		b.ObserveOpenJobs(open(n, "late"))
+		if out := b.CloseDue(after(8.4 * hour)); len(out) > 0 || len(b.record.Windows) > 0 || len(b.CloseDue(after(10*hour))) > 0 {
 			t.Errorf("%d lost: decided twice: %+v", lose, out)
 		}
 	}
 }
 
-func TestAJobOfWhichNoRecordTellsIsNotCalledDone(t *testing.T) {
+func TestJobWithoutFinalRecordMakesWindowIncomplete(t *testing.T) {
 	n := night(t, oneRegion(t, "", ""))
-	b := NewBook("brussels", Record{}, 5, 0)
-	b.See(open(n, "a", "b"))
-	b.Ended("a", n, after(hour))
-	b = NewBook("brussels", b.Record(t0, 4000), 6, 0)
-	if ids := b.Unknown(); !slices.Equal(ids, []string{"b"}) {
+	b := NewSchedule("brussels", Record{}, 5, 0)
+	b.ObserveOpenJobs(open(n, "a", "b"))
+	b.RecordCompletion("a", n, after(hour))
+	b = NewSchedule("brussels", b.Record(t0, 4000), 6, 0)
+	if ids := b.UnresolvedJobs(); !slices.Equal(ids, []string{"b"}) {
 		t.Fatalf("asks for %v", ids)
 	}
-	b.Told("b", Gone, Night{}, false, time.Time{})
-	if out := b.Close(after(9 * hour)); len(out) != 1 || out[0].How != Incomplete || out[0].Done != 1 || out[0].All != 2 || !out[0].AtLeast {
+	b.ResolveJob("b", EndUnknown, Window{}, false, time.Time{})
+	if out := b.CloseDue(after(9 * hour)); len(out) != 1 || out[0].Result != ResultIncomplete || out[0].Completed != 1 || out[0].Jobs != 2 || !out[0].LowerBound {
 		t.Errorf("%+v", out)
 	}
 }
 
 // What comes at the last moment may be known only after it.
-func TestANightWaitsForWhatWasAcceptedJustBefore(t *testing.T) {
+func TestCloseDueWaitsForSettleDelay(t *testing.T) {
 	n := night(t, oneRegion(t, "", ""))
-	b := NewBook("brussels", Record{}, 5, 3*time.Second)
-	b.Ended("a", n, after(hour))
-	if out := b.Close(n.Promise.Add(2 * time.Second)); len(out) > 0 {
+	b := NewSchedule("brussels", Record{}, 5, 3*time.Second)
+	b.RecordCompletion("a", n, after(hour))
+	if out := b.CloseDue(n.Deadline.Add(2 * time.Second)); len(out) > 0 {
 		t.Fatalf("%+v", out)
 	}
-	b.See(open(n, "b"))
-	if out := b.Close(n.Promise.Add(4 * time.Second)); len(out) > 0 {
+	b.ObserveOpenJobs(open(n, "b"))
+	if out := b.CloseDue(n.Deadline.Add(4 * time.Second)); len(out) > 0 {
 		t.Errorf("%+v", out)
 	}
-	if out := b.Close(n.Opening.Add(4 * time.Second)); len(out) != 1 || out[0].How != Incomplete {
+	if out := b.CloseDue(n.Opening.Add(4 * time.Second)); len(out) != 1 || out[0].Result != ResultIncomplete {
 		t.Errorf("%+v", out)
 	}
 }
 
-func TestAPlanMovesNightsThatAreUnderWay(t *testing.T) {
+func TestRescheduleMovesOpenWindows(t *testing.T) {
 	r := oneRegion(t, "", "")
 	n := night(t, r)
 	for _, tc := range []struct {
@@ -171,73 +171,73 @@
 		{"never open until spring", `open = { mon = "08:00", tue = "08:00", wed = "08:00", thu = "08:00", fri = "08:00" }`,
 			`exceptions = [ { date = "2027-04-13", open = "08:00" } ]`, ""},
 	} {
-		b := NewBook("brussels", Record{}, 5, 0)
-		b.See(open(n, "a"))
-		b.Ended("b", n, after(hour))
+		b := NewSchedule("brussels", Record{}, 5, 0)
+		b.ObserveOpenJobs(open(n, "a"))
+		b.RecordCompletion("b", n, after(hour))
 		moved := oneRegion(t, tc.old, tc.new)
-		b.Replan(moved, after(4*hour))
+		b.Reschedule(moved, after(4*hour))
 		if tc.opens == "" {
-			if p := b.rec.Past; len(b.rec.Nights) > 0 || len(p) != 1 || p[0].How != Withdrawn {
-				t.Errorf("%s: %+v", tc.name, b.rec)
+			if p := b.record.Past; len(b.record.Windows) > 0 || len(p) != 1 || p[0].Result != ResultWithdrawn {
+				t.Errorf("%s: %+v", tc.name, b.record)
 			}
 			continue
 		}
-		now, ok := moved.Night(t0)
-		if !ok || !now.Opening.Equal(when(t, tc.opens)) || len(b.rec.Nights) != 1 {
-			t.Fatalf("%s: %+v (%v), %+v", tc.name, now, ok, b.rec)
+		now, ok := moved.WindowAt(t0)
+		if !ok || !now.Opening.Equal(parseTime(t, tc.opens)) || len(b.record.Windows) != 1 {
+			t.Fatalf("%s: %+v (%v), %+v", tc.name, now, ok, b.record)
 		}
-		b.See(open(now, "a"))
-		h := b.rec.Nights[0]
-		if h.PromiseMs != now.Promise.UnixMilli() || h.Done != 1 || h.Cancelled != 0 || b.all(&h) != 2 {
+		b.ObserveOpenJobs(open(now, "a"))
+		h := b.record.Windows[0]
+		if h.DeadlineMs != now.Deadline.UnixMilli() || h.Completed != 1 || h.Cancelled != 0 || b.jobCount(&h) != 2 {
 			t.Errorf("%s: %+v", tc.name, h)
 		}
 	}
 }
 
-func TestARecordIsBounded(t *testing.T) {
+func TestRecordSizeIsBounded(t *testing.T) {
 	r := oneRegion(t, "", "")
-	b := NewBook("brussels", Record{}, 5, 0)
+	b := NewSchedule("brussels", Record{}, 5, 0)
 	at := t0
 	for range 60 {
-		n, ok := r.Next(at)
+		n, ok := r.NextWindow(at)
 		if !ok {
 			t.Fatal("no night")
 		}
-		jobs := map[string]Night{}
+		jobs := map[string]Window{}
 		for i := range 600 {
 			jobs[fmt.Sprintf("wk-%06d", i)] = n
 		}
-		b.See(jobs)
+		b.ObserveOpenJobs(jobs)
 		for range 20 {
-			b.Expected(n.Date, Forecast{}, "machines lost", 3, at)
+			b.RecordForecast(n.Date, Forecast{}, "machines lost", 3, at)
 		}
 		rec := b.Record(at, 4000)
 		if raw, err := wire.Marshal(rec); err != nil || wire.JSONSize(raw) > 12<<10 {
 			t.Fatalf("%d bytes, %v", wire.JSONSize(raw), err)
 		}
-		if h := rec.Nights[len(rec.Nights)-1]; len(h.Open) != 4000/12 || h.All() != 600 || len(h.Replans) != maxReplans || h.Replanned != 20 {
-			t.Fatalf("%d open of %d, %d of %d replans", len(h.Open), h.All(), len(h.Replans), h.Replanned)
+		if h := rec.Windows[len(rec.Windows)-1]; len(h.OpenJobs) != 4000/12 || h.JobCount() != 600 || len(h.Reforecasts) != maxReforecasts || h.ReforecastCount != 20 {
+			t.Fatalf("%d open of %d, %d of %d replans", len(h.OpenJobs), h.JobCount(), len(h.Reforecasts), h.ReforecastCount)
 		}
-		if len(rec.Nights) > maxNights || len(rec.Past) > maxPast {
-			t.Fatalf("%d nights, %d past", len(rec.Nights), len(rec.Past))
+		if len(rec.Windows) > maxOpenWindows || len(rec.Past) > maxPastOutcomes {
+			t.Fatalf("%d nights, %d past", len(rec.Windows), len(rec.Past))
 		}
 		at = n.Opening
-		b.Close(at)
+		b.CloseDue(at)
 	}
-	if len(b.rec.Past) != maxPast {
-		t.Errorf("%d outcomes kept", len(b.rec.Past))
+	if len(b.record.Past) != maxPastOutcomes {
+		t.Errorf("%d outcomes kept", len(b.record.Past))
 	}
 }
 
 // Random nights: jobs come, end or are cancelled, records are committed now and
 // then, leaders are lost at any moment and their successors look late. Whoever
 // decides, the outcome is that of the jobs' real ends.
-func TestRandomNightsComeOutByTheJobsRealEnds(t *testing.T) {
+func TestRandomWindowsDecideByActualJobEnds(t *testing.T) {
 	n := night(t, oneRegion(t, "", ""))
 	seen := map[string]int{}
 	for seed := range uint64(1000) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
-		b := NewBook("brussels", Record{}, 5, 0)
+		b := NewSchedule("brussels", Record{}, 5, 0)
 		var committed Record
 		var past []Outcome
 		open, ends := map[string]bool{}, map[string]time.Time{}
@@ -247,18 +247,18 @@
 			past = append(past[:0], committed.Past...)
 		}
 		lookAt := func(now time.Time) {
-			jobs := map[string]Night{}
+			jobs := map[string]Window{}
 			for id := range open {
 				jobs[id] = n
 			}
-			b.See(jobs)
-			b.Close(now)
+			b.ObserveOpenJobs(jobs)
+			b.CloseDue(now)
 		}
 		lost := false
 		for s := 0.0; s < 10*hour; s += 200 + rnd.Float64()*400 {
 			now := after(s)
 			switch k := rnd.IntN(10); {
-			case k < 3 && now.Before(n.Promise) && len(open) < 6:
+			case k < 3 && now.Before(n.Deadline) && len(open) < 6:
 				id := fmt.Sprintf("wk-%06d", int(s))
 				open[id] = true
 				lookAt(now)
@@ -269,20 +269,20 @@
 						cancelled[id] = true
 					} else {
 						ends[id] = now
-						b.Ended(id, n, now)
+						b.RecordCompletion(id, n, now)
 					}
 					break
 				}
 			case k == 6 && rnd.IntN(2) == 0:
-				b = NewBook("brussels", committed, 6, 0)
+				b = NewSchedule("brussels", committed, 6, 0)
 				lost = true
 				lookAt(now)
-				for _, id := range b.Unknown() {
+				for _, id := range b.UnresolvedJobs() {
 					switch {
 					case cancelled[id]:
-						b.Told(id, Taken, Night{}, false, now)
+						b.ResolveJob(id, EndCancelled, Window{}, false, now)
 					case !ends[id].IsZero():
-						b.Told(id, Whole, n, true, ends[id])
+						b.ResolveJob(id, EndCompleted, n, true, ends[id])
 					}
 				}
 			case k == 7:
@@ -294,7 +294,7 @@
 		}
 		lookAt(n.Opening.Add(3 * time.Hour))
 		commit(n.Opening.Add(3 * time.Hour))
-		want, last := Met, time.Time{}
+		want, last := ResultMet, time.Time{}
 		for _, end := range ends {
 			if end.After(last) {
 				last = end
@@ -302,19 +302,19 @@
 		}
 		switch {
 		case len(open) > 0 || last.After(n.Opening):
-			want = Incomplete
-		case last.After(n.Promise):
-			want = Late
+			want = ResultIncomplete
+		case last.After(n.Deadline):
+			want = ResultLate
 		}
 		if len(open)+len(ends) == 0 {
 			continue
 		}
-		if len(past) != 1 || past[0].How != want || past[0].All != len(open)+len(ends) || want == Late && past[0].LateMs != last.Sub(n.Promise).Milliseconds() {
+		if len(past) != 1 || past[0].Result != want || past[0].Jobs != len(open)+len(ends) || want == ResultLate && past[0].LateMs != last.Sub(n.Deadline).Milliseconds() {
 			t.Fatalf("seed %d: %+v, want %s of %d (%d open, leaders lost %v)", seed, past, want, len(open)+len(ends), len(open), lost)
 		}
 		seen[want]++
 	}
-	if seen[Met] == 0 || seen[Late] == 0 || seen[Incomplete] == 0 {
+	if seen[ResultMet] == 0 || seen[ResultLate] == 0 || seen[ResultIncomplete] == 0 {
 		t.Errorf("only played %v", seen)
 	}
 }
--- a/calendar/encoding_test.go
+++ b/calendar/encoding_test.go
@@ -9,16 +9,16 @@
 )
 
 // A region's nights are recorded for the next leader, and shown to operators as JSON.
-func TestNightsKeepTheirBytes(t *testing.T) {
+func TestRecordEncodingsAreStable(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
 	shown := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}
 	golden.Hold[Record](f, "nights", stored)
-	golden.Hold[Held](f, "night under way", stored)
+	golden.Hold[OpenWindow](f, "night under way", stored)
 	golden.Hold[Outcome](f, "outcome", stored)
 	golden.Hold[View](f, "nights as JSON", shown)
-	f.Text("name of the record", NoteOf("north"))
-	for name, how := range map[string]string{"met": Met, "late": Late, "incomplete": Incomplete, "withdrawn": Withdrawn} {
+	f.Text("name of the record", RecordName("north"))
+	for name, how := range map[string]string{"met": ResultMet, "late": ResultLate, "incomplete": ResultIncomplete, "withdrawn": ResultWithdrawn} {
 		f.Text(name, how)
 	}
 }
--- a/calendar/forecast.go
+++ b/calendar/forecast.go
@@ -9,101 +9,101 @@
 // Batch is tasks of a night that are alike: each takes so many seconds more, on
 // as many places as Wide says (a place is room for the load's usual task).
 type Batch struct {
-	Tasks   int
-	Seconds float64
-	Wide    float64
-	Vain    bool // they can't go on, whatever places there are
+	Tasks         int
+	Seconds       float64
+	PlacesPerTask float64
+	Blocked       bool // they can't go on, whatever places there are
 }
 
 // Load is what is left of a night.
 type Load struct {
-	Promise time.Time
-	Batches []Batch
-	Running float64 // seconds until the last of its tasks that run ends
-	Stuck   string  // why some of it can't go on at all; empty: nothing is in its way
+	Deadline       time.Time
+	Batches        []Batch
+	RunningSeconds float64 // seconds until the last of its tasks that run ends
+	BlockedReason  string  // why some of it can't go on at all; empty: nothing is in its way
 }
 
 // Forecast is what is expected of a night.
 type Forecast struct {
-	Finish time.Time // zero: never, as things are
-	Latest time.Time // its start with all places to itself, the later nights' starts included
-	AtRisk bool
-	Why    string // what stands in the way
+	Finish      time.Time // zero: never, as things are
+	LatestStart time.Time // its start with all places to itself, the later nights' starts included
+	AtRisk      bool
+	Reason      string // what stands in the way
 }
 
 // riskShare is by how much of what is left a finish may slip before the promise
 // is at risk: owners' estimates are wrong by more than this, but what has been
 // learnt of a class is mostly not.
-const riskShare = 0.1
+const riskMargin = 0.1
 
 // Expect says of each night when it will be finished, the earliest opening
 // served first, and until when it could begin. free is when each place can be
 // had, in seconds from now.
-func Expect(now time.Time, loads []Load, free []float64) []Forecast {
+func ForecastLoads(now time.Time, loads []Load, free []float64) []Forecast {
 	order := make([]int, len(loads))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortStableFunc(order, func(a, b int) int { return loads[a].Promise.Compare(loads[b].Promise) })
+	slices.SortStableFunc(order, func(a, b int) int { return loads[a].Deadline.Compare(loads[b].Deadline) })
 	out := make([]Forecast, len(loads))
-	places := newPlaces(free)
+	places := newPlaceHeap(free)
 	first := 0.0
 	if len(places) > 0 {
 		first = places[0]
 	}
 	for _, i := range order {
 		l, f := &loads[i], &out[i]
-		if l.Stuck != "" || len(places) == 0 && len(l.Batches) > 0 {
-			f.AtRisk, f.Why = true, l.Stuck
-			if f.Why == "" {
-				f.Why = "no machine can take it"
+		if l.BlockedReason != "" || len(places) == 0 && len(l.Batches) > 0 {
+			f.AtRisk, f.Reason = true, l.BlockedReason
+			if f.Reason == "" {
+				f.Reason = "no machine can take it"
 			}
 			places.serve(l.Batches) // what of it goes on is ahead of later nights
 			continue
 		}
-		last := max(l.Running, places.serve(l.Batches))
+		last := max(l.RunningSeconds, places.serve(l.Batches))
 		f.Finish = now.Add(seconds(last))
-		spare := l.Promise.Sub(now) - seconds(last*(1+riskShare))
+		spare := l.Deadline.Sub(now) - seconds(last*(1+riskMargin))
 		if f.AtRisk = spare < 0; !f.AtRisk {
 			continue
 		}
-		if alone := l.alone(len(places)); l.Promise.Sub(now) >= seconds(alone*(1+riskShare)) {
-			f.Why = "places are taken: the first is free in " + seconds(first).Round(time.Second).String()
+		if alone := l.durationAlone(len(places)); l.Deadline.Sub(now) >= seconds(alone*(1+riskMargin)) {
+			f.Reason = "places are taken: the first is free in " + seconds(first).Round(time.Second).String()
 			if first < 1 {
-				f.Why = "earlier nights and work of higher priority come before it"
+				f.Reason = "earlier nights and work of higher priority come before it"
 			}
 			continue
 		}
-		f.Why = "more work than its places can do in time"
+		f.Reason = "more work than its places can do in time"
 	}
 	// Backwards: each night must be done when it is promised, and when the next
 	// must have all places to itself.
 	end := time.Time{}
 	for _, i := range slices.Backward(order) {
 		l := &loads[i]
-		if end.IsZero() || l.Promise.Before(end) {
-			end = l.Promise
+		if end.IsZero() || l.Deadline.Before(end) {
+			end = l.Deadline
 		}
 		if len(places) > 0 || len(l.Batches) == 0 {
-			end = end.Add(-seconds(l.alone(len(places))))
-			out[i].Latest = end
+			end = end.Add(-seconds(l.durationAlone(len(places))))
+			out[i].LatestStart = end
 		}
 	}
 	return out
 }
 
 // alone is how long a night takes that has so many places to itself.
-func (l *Load) alone(n int) float64 {
-	return max(l.Running, newPlaces(make([]float64, n)).serve(l.Batches))
+func (l *Load) durationAlone(n int) float64 {
+	return max(l.RunningSeconds, newPlaceHeap(make([]float64, n)).serve(l.Batches))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // places is when each place is free, a heap.
-type places []float64
+type placeHeap []float64
 
-func newPlaces(free []float64) places {
-	p := places(slices.Clone(free))
+func newPlaceHeap(free []float64) placeHeap {
+	p := placeHeap(slices.Clone(free))
 	slices.Sort(p) // a sorted list is a heap
 	return p
 }
@@ -111,13 +111,13 @@
 // rounds is how many tasks are followed one by one on each place; of more alike,
 // the places' average says as much.
 const (
-	rounds  = 4
-	maxWide = 32 // tasks alike that take several places are followed
+	simulatedRounds       = 4
+	maxSimulatedWideTasks = 32 // tasks alike that take several places are followed
 )
 
 // serve puts batches on the places, what takes longest first, and returns when
 // the last task ends.
-func (p places) serve(batches []Batch) (last float64) {
+func (p placeHeap) serve(batches []Batch) (last float64) {
 	if len(p) == 0 {
 		return 0
 	}
@@ -132,13 +132,13 @@
 		return 0
 	})
 	for _, b := range sorted {
-		n, wide := b.Tasks, min(len(p), int(math.Ceil(b.Wide-0.01)))
-		follow := rounds * len(p)
+		n, wide := b.Tasks, min(len(p), int(math.Ceil(b.PlacesPerTask-0.01)))
+		follow := simulatedRounds * len(p)
 		if wide > 1 {
-			follow = min(follow/wide, maxWide)
+			follow = min(follow/wide, maxSimulatedWideTasks)
 		}
 		if many := n - follow; many > 0 {
-			by := float64(many) * b.Seconds * b.Wide / float64(len(p))
+			by := float64(many) * b.Seconds * b.PlacesPerTask / float64(len(p))
 			for i := range p {
 				p[i] += by // the order stays
 			}
@@ -147,7 +147,7 @@
 		for range n {
 			if wide <= 1 {
 				last = max(last, p[0]+b.Seconds)
-				p.later(b.Seconds * b.Wide)
+				p.delayEarliest(b.Seconds * b.PlacesPerTask)
 				continue
 			}
 			// It begins once it has all the places that it takes.
@@ -164,7 +164,7 @@
 }
 
 // later moves the earliest place back.
-func (p places) later(by float64) {
+func (p placeHeap) delayEarliest(by float64) {
 	x, i := p[0]+by, 0
 	for {
 		k := 2*i + 1
--- a/calendar/forecast_test.go
+++ b/calendar/forecast_test.go
@@ -10,14 +10,14 @@
 
 func after(s float64) time.Time { return t0.Add(seconds(s)) }
 
-func TestNightsArePlannedBackwardsFromTheirOpenings(t *testing.T) {
+func TestLatestStartsFollowFromLaterWindows(t *testing.T) {
 	free := []float64{0, 0, 0, 100}
 	loads := []Load{
-		{Promise: after(4000), Batches: []Batch{{8, 300, 1, false}}}, // 600 s alone
-		{Promise: after(2000), Batches: []Batch{{4, 500, 1, false}}}, // 500 s alone, served first
-		{Promise: after(4100), Batches: []Batch{{1, 200, 4, false}}}, // all places at once
+		{Deadline: after(4000), Batches: []Batch{{8, 300, 1, false}}}, // 600 s alone
+		{Deadline: after(2000), Batches: []Batch{{4, 500, 1, false}}}, // 500 s alone, served first
+		{Deadline: after(4100), Batches: []Batch{{1, 200, 4, false}}}, // all places at once
 	}
-	f := Expect(t0, loads, free)
+	f := ForecastLoads(t0, loads, free)
 	if !f[1].Finish.Equal(after(600)) || f[1].AtRisk {
 		t.Errorf("the first to open: %+v", f[1])
 	}
@@ -27,13 +27,13 @@
 	}
 	// 4100 - 200 = 3900, and 3900 - 600 = 3300; the first has until 2000 - 500.
 	for i, want := range []float64{3300, 1500, 3900} {
-		if !f[i].Latest.Equal(after(want)) {
-			t.Errorf("night %d must begin at %v, want %v", i, f[i].Latest.Sub(t0).Seconds(), want)
+		if !f[i].LatestStart.Equal(after(want)) {
+			t.Errorf("night %d must begin at %v, want %v", i, f[i].LatestStart.Sub(t0).Seconds(), want)
 		}
 	}
 }
 
-func TestWhatStandsInTheWayIsNamed(t *testing.T) {
+func TestForecastNamesReasonForRisk(t *testing.T) {
 	work := []Batch{{10, 100, 1, false}}
 	for _, tc := range []struct {
 		load Load
@@ -41,14 +41,14 @@
 		risk bool
 		why  string
 	}{
-		{Load{Promise: after(2000), Batches: work}, []float64{0}, false, ""},
-		{Load{Promise: after(1050), Batches: work}, []float64{0}, true, "more work than its places can do in time"},
-		{Load{Promise: after(1500), Batches: work}, []float64{600}, true, "places are taken: the first is free in 10m0s"},
-		{Load{Promise: after(1500), Batches: work}, nil, true, "no machine can take it"},
-		{Load{Promise: after(1500), Batches: work, Stuck: "wk-000001 fails everywhere"}, []float64{0}, true, "wk-000001 fails everywhere"},
-		{Load{Promise: after(50), Running: 90}, []float64{0}, true, "more work than its places can do in time"},
+		{Load{Deadline: after(2000), Batches: work}, []float64{0}, false, ""},
+		{Load{Deadline: after(1050), Batches: work}, []float64{0}, true, "more work than its places can do in time"},
+		{Load{Deadline: after(1500), Batches: work}, []float64{600}, true, "places are taken: the first is free in 10m0s"},
+		{Load{Deadline: after(1500), Batches: work}, nil, true, "no machine can take it"},
+		{Load{Deadline: after(1500), Batches: work, BlockedReason: "wk-000001 fails everywhere"}, []float64{0}, true, "wk-000001 fails everywhere"},
+		{Load{Deadline: after(50), RunningSeconds: 90}, []float64{0}, true, "more work than its places can do in time"},
 	} {
-		if f := Expect(t0, []Load{tc.load}, tc.free)[0]; f.AtRisk != tc.risk || f.Why != tc.why {
+		if f := ForecastLoads(t0, []Load{tc.load}, tc.free)[0]; f.AtRisk != tc.risk || f.Reason != tc.why {
 			t.Errorf("%+v on %v: %+v", tc.load, tc.free, f)
 		}
 	}
@@ -56,7 +56,7 @@
 
 // Whatever the work and the places, nothing is expected earlier than the work
 // takes on all places, nor later than one task after another would.
-func TestForecastsLieBetweenWhatMustBeAndWhatCanBe(t *testing.T) {
+func TestRandomForecastsLieWithinBounds(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
 		free := make([]float64, 1+rnd.IntN(30))
@@ -68,13 +68,13 @@
 		var l Load
 		sum, longest := 0.0, 0.0
 		for range 1 + rnd.IntN(5) {
-			b := Batch{Tasks: 1 + rnd.IntN(400), Seconds: 1 + 50*rnd.Float64(), Wide: float64(1 + rnd.IntN(3))}
-			b.Wide = min(b.Wide, float64(len(free)))
+			b := Batch{Tasks: 1 + rnd.IntN(400), Seconds: 1 + 50*rnd.Float64(), PlacesPerTask: float64(1 + rnd.IntN(3))}
+			b.PlacesPerTask = min(b.PlacesPerTask, float64(len(free)))
 			l.Batches = append(l.Batches, b)
-			sum += float64(b.Tasks) * b.Seconds * b.Wide
+			sum += float64(b.Tasks) * b.Seconds * b.PlacesPerTask
 			longest = max(longest, b.Seconds)
 		}
-		f := Expect(t0, []Load{l}, free)[0]
+		f := ForecastLoads(t0, []Load{l}, free)[0]
 		got := f.Finish.Sub(t0).Seconds()
 		if got < max(longest, sum/float64(len(free)))-0.1 || got > late+sum+0.1 {
 			t.Fatalf("%+v on %v: finished after %v of %v work", l, free, got, sum)
--- a/calendar/night_test.go
+++ b/calendar/night_test.go
@@ -29,7 +29,7 @@
 work = [ { team = "sfax" }, { class = "tiles", zone = "b" } ]
 `
 
-func parsed(t *testing.T, text string) *Settings {
+func parseSettings(t *testing.T, text string) *Settings {
 	t.Helper()
 	var s Settings
 	if _, err := toml.Decode(text, &s); err != nil {
@@ -38,9 +38,9 @@
 	return &s
 }
 
-func made(t *testing.T, text string) *Calendar {
+func newTestCalendar(t *testing.T, text string) *Calendar {
 	t.Helper()
-	s := parsed(t, text)
+	s := parseSettings(t, text)
 	if errs := s.Check([]string{"a", "b"}, []string{"core", "sfax"}); len(errs) > 0 {
 		t.Fatal(errs)
 	}
@@ -51,7 +51,7 @@
 	return c
 }
 
-func when(t *testing.T, s string) time.Time {
+func parseTime(t *testing.T, s string) time.Time {
 	t.Helper()
 	at, err := time.Parse(time.RFC3339, s)
 	if err != nil {
@@ -60,8 +60,8 @@
 	return at
 }
 
-func TestNightsOfAllKindsOfDays(t *testing.T) {
-	c := made(t, offices)
+func TestWindowAtOnSpecialDates(t *testing.T) {
+	c := newTestCalendar(t, offices)
 	for _, tc := range []struct{ region, at, date, from, promise string }{
 		{"brussels", "2027-01-12T21:00:00+01:00", "2027-01-13", "2027-01-12T18:00:00+01:00", "2027-01-13T07:30:00+01:00"},
 		{"brussels", "2027-01-12T18:00:00+01:00", "2027-01-13", "2027-01-12T18:00:00+01:00", "2027-01-13T07:30:00+01:00"},
@@ -85,12 +85,12 @@
 		{"tunis", "2027-03-29T19:59:00+01:00", "", "", ""},
 		{"tunis", "2027-03-30T00:04:59+01:00", "2027-03-30", "2027-03-29T20:00:00+01:00", "2027-03-30T00:05:00+01:00"},
 	} {
-		at := when(t, tc.at)
-		n, ok := c.Region(tc.region).Night(at)
+		at := parseTime(t, tc.at)
+		n, ok := c.Region(tc.region).WindowAt(at)
 		if !ok {
-			n = Night{}
+			n = Window{}
 		}
-		if n.Date != tc.date || tc.date != "" && (!n.From.Equal(when(t, tc.from)) || !n.Promise.Equal(when(t, tc.promise))) {
+		if n.Date != tc.date || tc.date != "" && (!n.Start.Equal(parseTime(t, tc.from)) || !n.Deadline.Equal(parseTime(t, tc.promise))) {
 			t.Errorf("%s at %s: %+v, want %s from %s until %s", tc.region, tc.at, n, tc.date, tc.from, tc.promise)
 		}
 	}
@@ -98,29 +98,29 @@
 
 // Whenever it is, a night is found by its date as well, moments of one night all
 // find the same, and openings follow one another.
-func TestEveryHourOfTwoYearsBelongsToOneNightAtMost(t *testing.T) {
-	c := made(t, offices)
+func TestEveryHourBelongsToOneWindowAtMost(t *testing.T) {
+	c := newTestCalendar(t, offices)
 	for _, r := range c.Regions {
 		last := time.Time{}
-		for at := when(t, "2026-12-01T00:10:00Z"); at.Year() < 2029; at = at.Add(time.Hour) {
-			next, ok := r.Next(at)
+		for at := parseTime(t, "2026-12-01T00:10:00Z"); at.Year() < 2029; at = at.Add(time.Hour) {
+			next, ok := r.NextWindow(at)
 			if !ok || !next.Opening.After(at) || next.Opening.Before(last) {
 				t.Fatalf("%s: after %v opens %+v, %v", r.Name, at, next, ok)
 			}
 			last = next.Opening
-			n, ok := r.Night(at)
-			if ok != (!at.Before(next.From) && at.Before(next.Promise)) || ok && n != next {
+			n, ok := r.WindowAt(at)
+			if ok != (!at.Before(next.Start) && at.Before(next.Deadline)) || ok && n != next {
 				t.Fatalf("%s: %v belongs to %+v (%v), the next is %+v", r.Name, at, n, ok, next)
 			}
-			if on, ok := r.On(next.Date); !ok || on != next {
+			if on, ok := r.WindowOn(next.Date); !ok || on != next {
 				t.Fatalf("%s: %s is %+v, and was %+v", r.Name, next.Date, on, next)
 			}
 		}
 	}
 }
 
-func TestAJobBelongsToTheRegionThatOpensFirst(t *testing.T) {
-	c := made(t, offices)
+func TestWindowForPicksEarliestDeadline(t *testing.T) {
+	c := newTestCalendar(t, offices)
 	for _, tc := range []struct{ class, team, zone, image, want string }{
 		{"tiles", "core", "", "tiles-7", "brussels"},
 		{"tiles", "core", "", "other", ""},
@@ -128,14 +128,14 @@
 		{"maps", "sfax", "", "x", "tunis"},
 		{"maps", "core", "b", "tiles-7", ""},
 	} {
-		r, _, ok := c.Of(when(t, "2027-01-12T21:00:00Z"), tc.class, tc.team, tc.zone, tc.image)
+		r, _, ok := c.WindowFor(parseTime(t, "2027-01-12T21:00:00Z"), tc.class, tc.team, tc.zone, tc.image)
 		if ok != (tc.want != "") || ok && r.Name != tc.want {
 			t.Errorf("%+v: %v, %v", tc, r, ok)
 		}
 	}
 }
 
-func TestEachBadFieldIsNamedWithItsPlace(t *testing.T) {
+func TestCheckNamesEachInvalidField(t *testing.T) {
 	for _, tc := range []struct{ old, new, want string }{
 		{`"Europe/Brussels"`, `"Europe/Brusels"`, "calendar.regions[0].zone:"},
 		{`"Europe/Brussels"`, `"Local"`, "calendar.regions[0].zone:"},
@@ -161,7 +161,7 @@
 		if !strings.Contains(offices, tc.old) {
 			t.Fatalf("%s is not there", tc.old)
 		}
-		errs := parsed(t, strings.ReplaceAll(offices, tc.old, tc.new)).Check([]string{"a", "b"}, []string{"core", "sfax"})
+		errs := parseSettings(t, strings.ReplaceAll(offices, tc.old, tc.new)).Check([]string{"a", "b"}, []string{"core", "sfax"})
 		if len(errs) == 0 || !strings.Contains(fmt.Sprint(errs), tc.want) {
 			t.Errorf("%s: %v, want %s", tc.new, errs, tc.want)
 		}
--- a/calendar/settings.go
+++ b/calendar/settings.go
@@ -68,12 +68,12 @@
 	maxImages     = 32
 )
 
-var days = map[string]time.Weekday{
+var weekdays = map[string]time.Weekday{
 	"sun": time.Sunday, "mon": time.Monday, "tue": time.Tuesday, "wed": time.Wednesday,
 	"thu": time.Thursday, "fri": time.Friday, "sat": time.Saturday,
 }
 
-var countries = map[string][]*cal.Holiday{
+var holidaysByCountry = map[string][]*cal.Holiday{
 	"at": at.Holidays, "be": be.Holidays, "ch": ch.Holidays, "de": de.Holidays, "es": es.Holidays, "fr": fr.Holidays,
 	"gb": gb.Holidays, "ie": ie.Holidays, "it": it.Holidays, "nl": nl.Holidays, "pl": pl.Holidays, "us": us.Holidays,
 }
@@ -81,35 +81,35 @@
 var regionName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,31}$`)
 
 const (
-	dateForm  = "2006-01-02"
-	clockForm = "15:04"
+	dateLayout  = "2006-01-02"
+	clockLayout = "15:04"
 )
 
 // clock is a local time of day, since midnight.
-type clock time.Duration
+type timeOfDay time.Duration
 
-func parseClock(s string) (clock, error) {
-	t, err := time.Parse(clockForm, s)
+func parseTimeOfDay(s string) (timeOfDay, error) {
+	t, err := time.Parse(clockLayout, s)
 	if err != nil {
 		return 0, fmt.Errorf("%q is not a time of day such as 08:00", s)
 	}
-	return clock(t.Sub(t.Truncate(24 * time.Hour))), nil
+	return timeOfDay(t.Sub(t.Truncate(24 * time.Hour))), nil
 }
 
 // Check says all that is wrong, each with its place. zones and teams are those
 // of the platform's settings.
 func (s *Settings) Check(zones, teams []string) []error {
 	c := &checker{zones: zones, teams: teams}
-	c.bound("calendar.regions", len(s.Regions), maxRegions)
+	c.limit("calendar.regions", len(s.Regions), maxRegions)
 	names, work := map[string]int{}, map[string]string{}
 	for i := range s.Regions {
 		r := &s.Regions[i]
 		at := fmt.Sprintf("calendar.regions[%d]", i)
 		if !regionName.MatchString(r.Name) {
-			c.bad(at+".name", "%q is not made of up to 32 of a-z, 0-9 and -", r.Name)
+			c.fail(at+".name", "%q is not made of up to 32 of a-z, 0-9 and -", r.Name)
 		}
 		if k, ok := names[r.Name]; ok {
-			c.bad(at+".name", "calendar.regions[%d] is called %q already", k, r.Name)
+			c.fail(at+".name", "calendar.regions[%d] is called %q already", k, r.Name)
 		}
 		names[r.Name] = i
 		c.region(at, r)
@@ -123,68 +123,68 @@
 	errs         []error
 }
 
-func (c *checker) bad(place, format string, args ...any) {
+func (c *checker) fail(place, format string, args ...any) {
 	c.errs = append(c.errs, fmt.Errorf("%s: %s", place, fmt.Sprintf(format, args...)))
 }
 
-func (c *checker) bound(place string, n, most int) {
+func (c *checker) limit(place string, n, most int) {
 	if n > most {
-		c.bad(place, "%d, and at most %d are taken", n, most)
+		c.fail(place, "%d, and at most %d are taken", n, most)
 	}
 }
 
-func (c *checker) clock(place, s string) (clock, bool) {
-	t, err := parseClock(s)
+func (c *checker) timeOfDay(place, s string) (timeOfDay, bool) {
+	t, err := parseTimeOfDay(s)
 	if err != nil {
-		c.bad(place, "%v", err)
+		c.fail(place, "%v", err)
 	}
 	return t, err == nil
 }
 
 func (c *checker) region(at string, r *RegionSettings) {
 	if loc, err := time.LoadLocation(r.Zone); err != nil || r.Zone == "" || loc == time.Local {
-		c.bad(at+".zone", "%q is not a time zone's name such as Europe/Brussels", r.Zone)
+		c.fail(at+".zone", "%q is not a time zone's name such as Europe/Brussels", r.Zone)
 	}
-	if r.Holidays != "" && countries[r.Holidays] == nil {
-		c.bad(at+".holidays", "no holidays of %q are known, but of %s; give others as exceptions", r.Holidays, strings.Join(slices.Sorted(maps.Keys(countries)), ", "))
+	if r.Holidays != "" && holidaysByCountry[r.Holidays] == nil {
+		c.fail(at+".holidays", "no holidays of %q are known, but of %s; give others as exceptions", r.Holidays, strings.Join(slices.Sorted(maps.Keys(holidaysByCountry)), ", "))
 	}
-	evening, ok := c.clock(at+".evening", r.Evening)
+	evening, ok := c.timeOfDay(at+".evening", r.Evening)
 	margin := time.Duration(r.MarginS * float64(time.Second))
 	if !(r.MarginS >= 0 && r.MarginS < 86400) {
-		c.bad(at+".margin_s", "%v is not between 0 and a day", r.MarginS)
+		c.fail(at+".margin_s", "%v is not between 0 and a day", r.MarginS)
 		ok = false
 	}
 	// night looks at one opening against the evening before it.
 	night := func(place, s string) {
-		open, valid := c.clock(place, s)
+		open, valid := c.timeOfDay(place, s)
 		if !ok || !valid {
 			return
 		}
-		switch long := time.Duration((open - evening + clock(24*time.Hour)) % clock(24*time.Hour)); {
+		switch long := time.Duration((open - evening + timeOfDay(24*time.Hour)) % timeOfDay(24*time.Hour)); {
 		case long == 0:
-			c.bad(place, "opens at the evening hour: every hour would be night")
+			c.fail(place, "opens at the evening hour: every hour would be night")
 		case margin >= long:
-			c.bad(at+".margin_s", "%v before the opening at %s (%s) is not after the evening hour %s: nothing could be promised", margin, s, place, r.Evening)
+			c.fail(at+".margin_s", "%v before the opening at %s (%s) is not after the evening hour %s: nothing could be promised", margin, s, place, r.Evening)
 		}
 	}
 	opens := 0
 	for _, day := range slices.Sorted(maps.Keys(r.Open)) {
 		place := at + ".open." + day
-		if _, known := days[day]; !known {
-			c.bad(place, "is not a day: mon, tue, wed, thu, fri, sat, sun")
+		if _, known := weekdays[day]; !known {
+			c.fail(place, "is not a day: mon, tue, wed, thu, fri, sat, sun")
 		}
 		opens++
 		night(place, r.Open[day])
 	}
-	c.bound(at+".exceptions", len(r.Exceptions), maxExceptions)
+	c.limit(at+".exceptions", len(r.Exceptions), maxExceptions)
 	dates := map[string]int{}
 	for k, e := range r.Exceptions {
 		place := fmt.Sprintf("%s.exceptions[%d]", at, k)
-		if d, err := time.Parse(dateForm, e.Date); err != nil || d.Format(dateForm) != e.Date {
-			c.bad(place+".date", "%q is not a date such as 2027-01-31", e.Date)
+		if d, err := time.Parse(dateLayout, e.Date); err != nil || d.Format(dateLayout) != e.Date {
+			c.fail(place+".date", "%q is not a date such as 2027-01-31", e.Date)
 		}
 		if first, ok := dates[e.Date]; ok {
-			c.bad(place+".date", "%s.exceptions[%d] speaks of %s already", at, first, e.Date)
+			c.fail(place+".date", "%s.exceptions[%d] speaks of %s already", at, first, e.Date)
 		}
 		dates[e.Date] = k
 		if e.Open != "" {
@@ -193,35 +193,35 @@
 		}
 	}
 	if opens == 0 {
-		c.bad(at+".open", "the office never opens: nothing could be promised")
+		c.fail(at+".open", "the office never opens: nothing could be promised")
 	}
 }
 
 func (c *checker) work(at string, r *RegionSettings, seen map[string]string) {
 	if len(r.Work) == 0 {
-		c.bad(at+".work", "nothing belongs to the region")
+		c.fail(at+".work", "nothing belongs to the region")
 	}
-	c.bound(at+".work", len(r.Work), maxWork)
+	c.limit(at+".work", len(r.Work), maxWork)
 	for k, w := range r.Work {
 		place := fmt.Sprintf("%s.work[%d]", at, k)
 		if w.Class == "" && w.Team == "" && w.Zone == "" && len(w.Images) == 0 {
-			c.bad(place, "without a class, a team, a zone or images, all work would belong")
+			c.fail(place, "without a class, a team, a zone or images, all work would belong")
 		}
 		if w.Team != "" && !slices.Contains(c.teams, w.Team) {
-			c.bad(place+".team", "the platform's settings name no team %q", w.Team)
+			c.fail(place+".team", "the platform's settings name no team %q", w.Team)
 		}
 		if w.Zone != "" && !slices.Contains(c.zones, w.Zone) {
-			c.bad(place+".zone", "the platform's settings name no zone %q", w.Zone)
+			c.fail(place+".zone", "the platform's settings name no zone %q", w.Zone)
 		}
-		c.bound(place+".images", len(w.Images), maxImages)
+		c.limit(place+".images", len(w.Images), maxImages)
 		for n, p := range w.Images {
 			if _, err := path.Match(p, ""); err != nil || p == "" {
-				c.bad(fmt.Sprintf("%s.images[%d]", place, n), "%q is not a pattern such as tiles-*", p)
+				c.fail(fmt.Sprintf("%s.images[%d]", place, n), "%q is not a pattern such as tiles-*", p)
 			}
 		}
 		key := fmt.Sprintf("%q", w)
 		if other, ok := seen[key]; ok {
-			c.bad(place, "is the same as %s: a job belongs to one region", other)
+			c.fail(place, "is the same as %s: a job belongs to one region", other)
 			continue
 		}
 		seen[key] = place
@@ -229,7 +229,7 @@
 }
 
 // Takes says whether a job with these properties is the work meant.
-func (w *Work) Takes(class, team, zone, image string) bool {
+func (w *Work) Matches(class, team, zone, image string) bool {
 	if w.Class != "" && w.Class != class || w.Team != "" && w.Team != team || w.Zone != "" && w.Zone != zone {
 		return false
 	}
--- a/calendar/view_test.go
+++ b/calendar/view_test.go
@@ -8,14 +8,14 @@
 
 // What nobody looks after any more is called stale, what may be counted too low
 // says so, and what stands in the way is named.
-func TestWhatIsShownSaysHowFarItCanBeTrusted(t *testing.T) {
+func TestPrintMarksStaleAndIncompleteRecords(t *testing.T) {
 	r := oneRegion(t, "", "")
 	n := night(t, r)
-	b := NewBook("brussels", Record{}, 5, 0)
-	b.See(open(n, "a", "b"))
-	b.Ended("a", n, after(hour))
-	b.Expected(n.Date, Forecast{AtRisk: true, Why: "no machine can take it"}, "machines lost", 0, after(hour))
-	b = NewBook("brussels", b.Record(after(hour), 4000), 6, 0)
+	b := NewSchedule("brussels", Record{}, 5, 0)
+	b.ObserveOpenJobs(open(n, "a", "b"))
+	b.RecordCompletion("a", n, after(hour))
+	b.RecordForecast(n.Date, Forecast{AtRisk: true, Reason: "no machine can take it"}, "machines lost", 0, after(hour))
+	b = NewSchedule("brussels", b.Record(after(hour), 4000), 6, 0)
 	rec := b.Record(after(hour), 4000)
 	shown := func(rec Record, at float64) string {
 		var out strings.Builder
@@ -38,8 +38,8 @@
 		t.Errorf("called stale after a minute:\n%s", fresh)
 	}
 	has(shown(rec, hour+staleAfter.Seconds()+1), "STALE: as of 2027-01-13T00:00:00+01:00")
-	b.Told("b", Whole, n, true, n.Promise.Add(90*time.Second))
-	if out := b.Close(n.Opening); len(out) != 1 {
+	b.ResolveJob("b", EndCompleted, n, true, n.Deadline.Add(90*time.Second))
+	if out := b.CloseDue(n.Opening); len(out) != 1 {
 		t.Fatalf("%+v", out)
 	}
 	has(shown(b.Record(n.Opening, 4000), 24*hour), "nothing is waited for", "2027-01-13 late, at least 2 of 2 done, 1m30s late")
--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -31,37 +31,37 @@
 // batchWindows is what the leader knows of the calendar's batch windows; without a calendar,
 // nothing.
 type batchWindows struct {
-	calendar     *calendar.Calendar
-	books        []*windowBook // by region, in the calendar's order
-	generation   int           // counts calendars
-	now          time.Time     // as last told
-	lastScan     time.Time
-	lastForecast time.Time // when forecasts were last made
-	provision    windowProvision
+	calendar           *calendar.Calendar
+	schedules          []*windowSchedule // by region, in the calendar's order
+	calendarGeneration int               // counts calendars
+	now                time.Time         // as last told
+	lastScan           time.Time
+	lastForecast       time.Time // when forecasts were last made
+	provision          windowProvision
 }
 
 // windowBook is a region's book, and what its last recorded forecasts rest on.
-type windowBook struct {
-	*calendar.Book
+type windowSchedule struct {
+	*calendar.Schedule
 	region          *calendar.Region
-	basis           map[string]forecastBasis  // by batch window
-	openJobs        map[string]calendar.Night // jobs that are not over, from look to look
-	reforecast      string                    // why all forecasts are to be made anew
-	savedGeneration uint64                    // as last kept
+	forecastBases   map[string]forecastBasis   // by batch window
+	openJobs        map[string]calendar.Window // jobs that are not over, from look to look
+	reforecastCause string                     // why all forecasts are to be made anew
+	savedGeneration uint64                     // as last kept
 	savedAt         time.Time
 	outcomeUnsaved  bool // an outcome has not been kept yet
 }
 
 type forecastBasis struct {
 	machines, jobs int
-	at             time.Time
+	madeAt         time.Time
 }
 
 // jobWindow is the batch window that a job belongs to, under one calendar.
 type jobWindow struct {
-	generation int
-	book       *windowBook // nil: none
-	window     calendar.Night
+	calendarGeneration int
+	schedule           *windowSchedule // nil: none
+	window             calendar.Window
 }
 
 // windowRank is where a job stands by the calendar.
@@ -74,10 +74,10 @@
 // with it; of other regions, what an earlier leader committed is.
 func (m *Model) reloadCalendar(now time.Time) {
 	n := &m.windows
-	n.generation++
+	n.calendarGeneration++
 	n.calendar = nil
-	was := n.books
-	n.books = nil
+	was := n.schedules
+	n.schedules = nil
 	if m.plan.Plan == nil || len(m.plan.Calendar.Regions) == 0 {
 		return
 	}
@@ -88,47 +88,47 @@
 	}
 	n.calendar = cal
 	for _, r := range cal.Regions {
-		var b *windowBook
-		if i := slices.IndexFunc(was, func(b *windowBook) bool { return b.region.Name == r.Name }); i >= 0 {
+		var b *windowSchedule
+		if i := slices.IndexFunc(was, func(b *windowSchedule) bool { return b.region.Name == r.Name }); i >= 0 {
 			b = was[i]
-			if b.UnderWay() {
-				b.reforecast = "the plan changed"
+			if b.HasOpenWindows() {
+				b.reforecastCause = "the plan changed"
 			}
 		} else {
 			var left calendar.Record
-			if raw, ok := m.loadedPlanRecord(calendar.NoteOf(r.Name)); ok {
+			if raw, ok := m.loadedPlanRecord(calendar.RecordName(r.Name)); ok {
 				if err := wire.Unmarshal(raw, &left); err != nil {
 					m.log.Error("a record of nights can't be read: they are counted anew", "region", r.Name, "err", err)
 					left = calendar.Record{}
 				}
 			}
 			settle := time.Duration(m.settings.Cluster.SkewMs*float64(time.Millisecond)) + submissionDelay
-			b = &windowBook{Book: calendar.NewBook(r.Name, left, m.FencingToken, settle)}
-			if b.UnderWay() {
-				b.reforecast = "another leader leads"
+			b = &windowSchedule{Schedule: calendar.NewSchedule(r.Name, left, m.FencingToken, settle)}
+			if b.HasOpenWindows() {
+				b.reforecastCause = "another leader leads"
 			}
 		}
-		b.region, b.basis, b.openJobs = r, map[string]forecastBasis{}, map[string]calendar.Night{}
-		b.Replan(r, now)
-		n.books = append(n.books, b)
+		b.region, b.forecastBases, b.openJobs = r, map[string]forecastBasis{}, map[string]calendar.Window{}
+		b.Reschedule(r, now)
+		n.schedules = append(n.schedules, b)
 	}
 	n.lastScan, n.lastForecast = time.Time{}, time.Time{}
 }
 
 // windowOf is the batch window that a job belongs to. It follows from the job's record and
 // the plan, so that every leader finds the same.
-func (m *Model) windowOf(j *Job) (*windowBook, calendar.Night) {
+func (m *Model) windowOf(j *Job) (*windowSchedule, calendar.Window) {
 	n := &m.windows
 	if n.calendar == nil || j.Spec.Kind == wire.KindService {
-		return nil, calendar.Night{} // a service is never done
+		return nil, calendar.Window{} // a service is never done
 	}
-	if j.window.generation != n.generation {
-		j.window = jobWindow{generation: n.generation}
-		if r, night, ok := n.calendar.Of(j.AcceptedAt, j.Spec.Class, j.Spec.Team, j.Spec.Zone, j.Spec.Image); ok {
-			j.window.book, j.window.window = n.books[slices.Index(n.calendar.Regions, r)], night
+	if j.window.calendarGeneration != n.calendarGeneration {
+		j.window = jobWindow{calendarGeneration: n.calendarGeneration}
+		if r, night, ok := n.calendar.WindowFor(j.AcceptedAt, j.Spec.Class, j.Spec.Team, j.Spec.Zone, j.Spec.Image); ok {
+			j.window.schedule, j.window.window = n.schedules[slices.Index(n.calendar.Regions, r)], night
 		}
 	}
-	return j.window.book, j.window.window
+	return j.window.schedule, j.window.window
 }
 
 // applyWindowDeadline makes a batch window's job due by the tighter of its own deadline and what the
@@ -138,7 +138,7 @@
 	if book == nil {
 		return
 	}
-	k.inWindow, k.deadline = true, night.Promise
+	k.inWindow, k.deadline = true, night.Deadline
 	if d := k.j.Spec.DeadlineS; d != nil {
 		if own := k.j.AcceptedAt.Add(config.Seconds(*d)); own.Before(k.deadline) {
 			k.deadline = own
@@ -153,7 +153,7 @@
 // byWindow orders two jobs of which one belongs to a batch window at least: batch windows before
 // other work of their priority, what is promised first before the rest, and what
 // takes longest first, since a batch window is kept as a whole or not at all.
-func byWindow(x, y *queued) bool {
+func compareByWindow(x, y *queued) bool {
 	switch {
 	case x.inWindow != y.inWindow:
 		return x.inWindow
@@ -187,7 +187,7 @@
 	if j.completedAtMs > 0 {
 		at = time.UnixMilli(j.completedAtMs)
 	}
-	book.Ended(j.ID, night, at)
+	book.RecordCompletion(j.ID, night, at)
 }
 
 // tickWindows looks through the batch windows' jobs, and decides and records what is to be.
@@ -201,30 +201,30 @@
 		return
 	}
 	n.lastScan = now
-	jobs := m.openWindowJobs()
-	for _, b := range n.books {
-		b.See(b.openJobs)
-		for _, id := range b.Unknown() {
+	jobs := m.observeOpenWindowJobs()
+	for _, b := range n.schedules {
+		b.ObserveOpenJobs(b.openJobs)
+		for _, id := range b.UnresolvedJobs() {
 			if j := m.Job(id); j != nil && !j.Cancelled {
-				b.Told(id, calendar.Whole, calendar.Night{}, false, now) // it belongs elsewhere now
+				b.ResolveJob(id, calendar.EndCompleted, calendar.Window{}, false, now) // it belongs elsewhere now
 			}
 		}
 	}
 	m.forecastWindows(jobs, now)
-	for _, b := range n.books {
-		for _, o := range b.Close(now) {
+	for _, b := range n.schedules {
+		for _, o := range b.CloseDue(now) {
 			b.outcomeUnsaved = true
 			m.log.Info("night over", "region", b.region.Name, "outcome", o.String())
 		}
-		m.saveBook(b, now)
+		m.saveWindowRecord(b, now)
 	}
 }
 
 // openWindowJobs lists the jobs that belong to batch windows and are not known to be over, also
 // by their books.
-func (m *Model) openWindowJobs() []*Job {
+func (m *Model) observeOpenWindowJobs() []*Job {
 	var jobs []*Job
-	for _, b := range m.windows.books {
+	for _, b := range m.windows.schedules {
 		clear(b.openJobs)
 	}
 	for _, idx := range m.openIndexes {
@@ -244,18 +244,18 @@
 
 // saveBook has a region's record written: an outcome at once, other changes every
 // few seconds, and once a minute what shows that it is still looked after.
-func (m *Model) saveBook(b *windowBook, now time.Time) {
+func (m *Model) saveWindowRecord(b *windowSchedule, now time.Time) {
 	since := now.Sub(b.savedAt)
-	if b.outcomeUnsaved || b.Gen() != b.savedGeneration && since >= windowSaveInterval || b.UnderWay() && since >= windowSaveMaxInterval {
-		m.savePlanRecord(calendar.NoteOf(b.region.Name), b.Record(now, m.pageBytes()/3))
-		b.savedGeneration, b.savedAt, b.outcomeUnsaved = b.Gen(), now, false
+	if b.outcomeUnsaved || b.Generation() != b.savedGeneration && since >= windowSaveInterval || b.HasOpenWindows() && since >= windowSaveMaxInterval {
+		m.savePlanRecord(calendar.RecordName(b.region.Name), b.Record(now, m.pageBytes()/3))
+		b.savedGeneration, b.savedAt, b.outcomeUnsaved = b.Generation(), now, false
 	}
 }
 
 // windowKey names a batch window of a region.
 type windowKey struct {
-	book *windowBook
-	date string
+	schedule *windowSchedule
+	date     string
 }
 
 // forecastWindows makes the batch windows' forecasts, all together, since they share places.
@@ -269,11 +269,11 @@
 	var keys []windowKey
 	var loads []calendar.Load
 	at := map[windowKey]int{}
-	for _, b := range n.books {
-		for _, night := range b.Promised() {
+	for _, b := range n.schedules {
+		for _, night := range b.OpenWindows() {
 			key := windowKey{b, night.Date}
 			at[key] = len(loads)
-			keys, loads = append(keys, key), append(loads, calendar.Load{Promise: night.Promise})
+			keys, loads = append(keys, key), append(loads, calendar.Load{Deadline: night.Deadline})
 		}
 	}
 	if len(loads) == 0 {
@@ -286,41 +286,41 @@
 			machines++
 		}
 	}
-	note := m.planProvision(loads, usual, free, now)
-	for i, f := range calendar.Expect(now, loads, free) {
-		b, date := keys[i].book, keys[i].date
+	note := m.planWindowProvision(loads, usual, free, now)
+	for i, f := range calendar.ForecastLoads(now, loads, free) {
+		b, date := keys[i].schedule, keys[i].date
 		if f.AtRisk {
-			f.Why += note
+			f.Reason += note
 		}
-		b.Expected(date, f, b.forecastCause(date, machines, now), machines, now)
+		b.RecordForecast(date, f, b.forecastCause(date, machines, now), machines, now)
 	}
-	for _, b := range n.books {
-		b.reforecast = ""
+	for _, b := range n.schedules {
+		b.reforecastCause = ""
 	}
 }
 
 // forecastCause says what has changed since a batch window's last recorded forecast; "": nothing.
-func (b *windowBook) forecastCause(date string, machines int, now time.Time) string {
-	was, ok := b.basis[date]
-	all, left := b.Count(date)
-	is := forecastBasis{machines: machines, jobs: all, at: now}
+func (b *windowSchedule) forecastCause(date string, machines int, now time.Time) string {
+	was, ok := b.forecastBases[date]
+	all, left := b.JobCounts(date)
+	is := forecastBasis{machines: machines, jobs: all, madeAt: now}
 	cause := ""
 	switch {
-	case b.reforecast != "":
-		cause = b.reforecast
+	case b.reforecastCause != "":
+		cause = b.reforecastCause
 	case !ok:
 		cause = "the night began"
 	case left == 0: // whatever becomes of the machines
 	case machines < was.machines:
 		cause = fmt.Sprintf("machines lost: %d of %d are left", machines, was.machines)
-	case is.jobs > was.jobs && now.Sub(was.at) >= reforecastInterval:
+	case is.jobs > was.jobs && now.Sub(was.madeAt) >= reforecastInterval:
 		cause = fmt.Sprintf("more came: %d jobs, and were %d", is.jobs, was.jobs)
 	}
 	if cause != "" {
-		b.basis[date] = is
+		b.forecastBases[date] = is
 	} else if machines > was.machines {
 		was.machines = machines
-		b.basis[date] = was
+		b.forecastBases[date] = was
 	}
 	return cause
 }
@@ -354,7 +354,7 @@
 	work := 0.0
 	stuck := map[int][]string{}
 	for _, j := range jobs {
-		i, ok := at[windowKey{j.window.book, j.window.window.Date}]
+		i, ok := at[windowKey{j.window.schedule, j.window.window.Date}]
 		if !ok {
 			continue
 		}
@@ -366,7 +366,7 @@
 				sum += remainingOf(est, &j.Tasks[t])
 				idle++
 			case TaskPlaced:
-				loads[i].Running = max(loads[i].Running, m.secondsLeft(j, int32(t), now))
+				loads[i].RunningSeconds = max(loads[i].RunningSeconds, m.secondsLeft(j, int32(t), now))
 			}
 		}
 		if idle == 0 {
@@ -381,9 +381,9 @@
 			stuck[i] = append(stuck[i], j.ID+": no machine that is up can take it")
 		}
 		sp := m.startupAndSpreadOf(j)
-		b := calendar.Batch{Tasks: idle, Seconds: sum/float64(idle) + sp.startDelay(), Wide: 1, Vain: j.quarantined || j.failures.atFault()}
+		b := calendar.Batch{Tasks: idle, Seconds: sum/float64(idle) + sp.startDelay(), PlacesPerTask: 1, Blocked: j.quarantined || j.failures.atFault()}
 		if j.Gang() {
-			b.Tasks, b.Wide = 1, float64(idle)
+			b.Tasks, b.PlacesPerTask = 1, float64(idle)
 		}
 		all = append(all, left{i, j, b})
 		if w := sum * j.Need.CPU; most == nil || w > work {
@@ -396,14 +396,14 @@
 	usual := places(most)
 	for _, l := range all {
 		if n := places(l.j); n >= 1 && usual >= 1 {
-			l.batch.Wide *= usual / n
+			l.batch.PlacesPerTask *= usual / n
 		}
 		loads[l.load].Batches = append(loads[l.load].Batches, l.batch)
 	}
 	for i, why := range stuck {
-		loads[i].Stuck = strings.Join(why[:min(3, len(why))], "; ")
+		loads[i].BlockedReason = strings.Join(why[:min(3, len(why))], "; ")
 		if more := len(why) - 3; more > 0 {
-			loads[i].Stuck += fmt.Sprintf("; and %d more", more)
+			loads[i].BlockedReason += fmt.Sprintf("; and %d more", more)
 		}
 	}
 	return most, m.placesFor(most, -1, now)
@@ -435,8 +435,8 @@
 // records and passes them to ResolveWindowJob.
 func (m *Model) UnresolvedWindowJobs(most int) []string {
 	var out []string
-	for _, b := range m.windows.books {
-		out = append(out, b.Unknown()...)
+	for _, b := range m.windows.schedules {
+		out = append(out, b.UnresolvedJobs()...)
 	}
 	slices.Sort(out)
 	return out[:min(most, len(out))]
@@ -445,24 +445,24 @@
 // ResolveWindowJob applies the final record of a job that UnresolvedWindowJobs has listed, nil
 // if there is none, to the outcome of its batch window.
 func (m *Model) ResolveWindowJob(id string, rec *jobstore.JobRecord, now time.Time) {
-	for _, b := range m.windows.books {
-		if !slices.Contains(b.Unknown(), id) {
+	for _, b := range m.windows.schedules {
+		if !slices.Contains(b.UnresolvedJobs(), id) {
 			continue
 		}
 		if rec == nil {
-			b.Told(id, calendar.Gone, calendar.Night{}, false, now)
+			b.ResolveJob(id, calendar.EndUnknown, calendar.Window{}, false, now)
 			continue
 		}
-		how, at := calendar.Whole, now
+		how, at := calendar.EndCompleted, now
 		if rec.State == wire.JobCancelled {
-			how = calendar.Taken
+			how = calendar.EndCancelled
 		}
 		if rec.FinishedAtMs > 0 {
 			at = time.UnixMilli(rec.FinishedAtMs)
 		}
 		s := &rec.Job
-		r, night, ok := m.windows.calendar.Of(time.UnixMilli(rec.AcceptedAtMs), s.Class, s.Team, s.Zone, s.Image)
-		b.Told(id, how, night, ok && r == b.region, at)
+		r, night, ok := m.windows.calendar.WindowFor(time.UnixMilli(rec.AcceptedAtMs), s.Class, s.Team, s.Zone, s.Image)
+		b.ResolveJob(id, how, night, ok && r == b.region, at)
 	}
 }
 
@@ -470,7 +470,7 @@
 // the calendar.
 func (m *Model) BatchWindows(now time.Time) []calendar.View {
 	var out []calendar.View
-	for _, b := range m.windows.books {
+	for _, b := range m.windows.schedules {
 		out = append(out, b.region.View(b.Record(now, m.pageBytes()/3), now))
 	}
 	return out
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -98,7 +98,7 @@
 // run is a pass and what a leader does around it, with all that is placed running.
 func run(m *Model, s float64) {
 	now := at(s)
-	heard(m, now)
+	markAllHeartbeats(m, now)
 	m.Tick(now)
 	m.Schedule(now, 1000)
 	for b := m.NextBatch(12); b != nil; b = m.NextBatch(12) {
@@ -136,7 +136,7 @@
 			defer runtime.UnlockOSThread()
 			for b.Loop() {
 				for s := 40.0; s < 60; s += 0.5 {
-					heard(m, at(s))
+					markAllHeartbeats(m, at(s))
 					began := threadTime()
 					m.Tick(at(s))
 					m.Schedule(at(s), 1000)
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -567,8 +567,8 @@
 	default:
 		b.OnCommit(d.rev, d.now())
 	}
-	if raw := d.store[jobstore.PlanStatePrefix+calendar.NoteOf("north")].raw; raw != nil {
-		d.met["outcome of a night"] += len(read[calendar.Record](d, jobstore.PlanStatePrefix+calendar.NoteOf("north")).Past)
+	if raw := d.store[jobstore.PlanStatePrefix+calendar.RecordName("north")].raw; raw != nil {
+		d.met["outcome of a night"] += len(read[calendar.Record](d, jobstore.PlanStatePrefix+calendar.RecordName("north")).Past)
 	}
 }
 
@@ -621,7 +621,7 @@
 		d.note("pool", p.Name, p.Target, p.Held, p.Warm, p.Fetching, p.Hits, p.Misses, p.Preemptions, p.CostLimited, p.FetchRefused, d.plain(p.Teams))
 	}
 	for _, v := range d.m.BatchWindows(now) {
-		d.note("night", v.Zone, v.NextMs, v.Stale, d.plain(v.Record))
+		d.note("night", v.Zone, v.NextOpeningMs, v.Stale, d.plain(v.Record))
 	}
 	for _, id := range d.m.UnresolvedWindowJobs(3) {
 		if over, ok := d.store[jobstore.FinalKey(id)]; ok {
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -194,7 +194,7 @@
 		case x.req.Tier != y.req.Tier:
 			return x.req.Tier < y.req.Tier
 		case x.inWindow || y.inWindow:
-			return byWindow(x, y)
+			return compareByWindow(x, y)
 		case x.missed != y.missed:
 			return y.missed
 		}
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -109,7 +109,7 @@
 		x, y := group[a], group[b]
 		switch {
 		case x.inWindow || y.inWindow:
-			return byWindow(x, y)
+			return compareByWindow(x, y)
 		case x.missed != y.missed:
 			return y.missed
 		case x.deferred != y.deferred:
--- a/cluster/warm_pools_test.go
+++ b/cluster/warm_pools_test.go
@@ -10,7 +10,7 @@
 )
 
 // pooled is a crowded model with pools that hold half of its machines.
-func pooled(machines, jobs int) *Model {
+func newPoolModel(machines, jobs int) *Model {
 	m := crowded(machines, jobs)
 	p := &plan.Plan{}
 	for i := range 3 {
@@ -22,19 +22,19 @@
 }
 
 // heard is a moment at which all machines have just reported.
-func heard(m *Model, now time.Time) {
+func markAllHeartbeats(m *Model, now time.Time) {
 	for _, mc := range m.Machines {
 		mc.LastSeen, mc.LastAnswered, mc.TokenShown = now, now, true
 	}
 }
 
 // BenchmarkStepPools is what the pools take of a leader every two seconds.
-func BenchmarkStepPools(b *testing.B) {
-	m := pooled(1300, 400)
+func BenchmarkTickPools(b *testing.B) {
+	m := newPoolModel(1300, 400)
 	now := at(40)
 	for b.Loop() {
 		now = now.Add(poolInterval)
-		heard(m, now)
+		markAllHeartbeats(m, now)
 		m.tickPools(now)
 	}
 	held := 0
@@ -45,13 +45,13 @@
 }
 
 // What is joined is charged and kept, and what a pool takes is nobody else's.
-func TestMachinesOfAPoolAreNotReturned(t *testing.T) {
-	m := pooled(12, 0)
+func TestScaleInKeepsPoolMembers(t *testing.T) {
+	m := newPoolModel(12, 0)
 	for s := 30.0; s < 40; s += 2 {
-		heard(m, at(s))
+		markAllHeartbeats(m, at(s))
 		m.Tick(at(s))
 	}
-	heard(m, at(1000))
+	markAllHeartbeats(m, at(1000))
 	kept := 0
 	for _, mc := range m.Machines {
 		if mc.pool > 0 {
@@ -66,8 +66,8 @@
 // The room that is kept for jobs to come is idle, and renewed with each pass: a
 // pool must not wait for such machines to be left alone, nor take them for ones
 // that are about to be free.
-func TestAPoolTakesMachinesThatAreKeptAsHeadroom(t *testing.T) {
-	m := pooled(12, 0) // three pools of two machines
+func TestPoolAcceptsHeadroomMachines(t *testing.T) {
+	m := newPoolModel(12, 0) // three pools of two machines
 	m.Headroom = 0.35
 	m.PutJob("wk-000001", arrayJob("wk-000001", 16), 1, at(0)) // four machines, and headroom of six
 	for _, mc := range m.Machines {
@@ -75,7 +75,7 @@
 	}
 	held := 0
 	for s := 90.0; s < 100; s++ {
-		heard(m, at(s))
+		markAllHeartbeats(m, at(s))
 		m.Schedule(at(s), 0)
 		m.Tick(at(s))
 	}
@@ -93,7 +93,7 @@
 	if held != 6 || kept == 0 {
 		t.Errorf("the pools hold %d machines of 6, %d others are headroom", held, kept)
 	}
-	heard(m, at(300))
+	markAllHeartbeats(m, at(300))
 	m.Schedule(at(300), 0)
 	for _, name := range m.SelectScaleIn(at(301), time.Minute) {
 		if mc := m.Machines[m.machineIndex[name]]; !mc.headroomAt.IsZero() {
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -16,10 +16,10 @@
 // rests on nothing that was decided before: a next leader counts what there is then,
 // rented by whomever.
 type windowProvision struct {
-	job    *Job // what a place is for: the kind of which the batch windows have most work; nil: nothing is wanted yet
-	places int  // that there should be, all machines empty
-	at     time.Time
-	want   calendar.Want // as last worked out
+	job          *Job // what a place is for: the kind of which the batch windows have most work; nil: nothing is wanted yet
+	targetPlaces int  // that there should be, all machines empty
+	decidedAt    time.Time
+	shortage     calendar.Shortage // as last worked out
 }
 
 const (
@@ -30,8 +30,8 @@
 
 // planProvision decides what is rented for the batch windows, and says what of it is to be told
 // beside a forecast.
-func (m *Model) planProvision(loads []calendar.Load, usual *Job, free []float64, now time.Time) string {
-	was := m.windows.provision.want
+func (m *Model) planWindowProvision(loads []calendar.Load, usual *Job, free []float64, now time.Time) string {
+	was := m.windows.provision.shortage
 	m.windows.provision = windowProvision{}
 	if usual == nil || now.Sub(m.ElectedAt) < m.provisionGracePeriod() {
 		return ""
@@ -40,22 +40,22 @@
 	if per == 0 {
 		return "" // no type is for it
 	}
-	w := calendar.Ahead(now, loads, free, boot.Seconds(), maxProvisionMachines*per)
+	w := calendar.FindShortage(now, loads, free, boot.Seconds(), maxProvisionMachines*per)
 	there := int(m.placesWhenEmpty(usual, now))
 	w.Places = min(w.Places, m.quotaPlacesLeft(usual, there))
 	if w.Places <= 0 {
 		return ""
 	}
-	if was.Places > 0 && w.Places >= was.Places && was.By.Before(w.By) {
+	if was.Places > 0 && w.Places >= was.Places && was.OrderBy.Before(w.OrderBy) {
 		// While work goes slower than expected, a few places more each time would
 		// put the order off, again and again.
-		w.By = was.By
+		w.OrderBy = was.OrderBy
 	}
-	m.windows.provision.want = w
-	if w.By.Sub(now) > provisionMargin {
-		return fmt.Sprintf("; room for %d tasks more is to be rented until %s", w.Places, w.By.UTC().Format(time.RFC3339))
+	m.windows.provision.shortage = w
+	if w.OrderBy.Sub(now) > provisionMargin {
+		return fmt.Sprintf("; room for %d tasks more is to be rented until %s", w.Places, w.OrderBy.UTC().Format(time.RFC3339))
 	}
-	m.windows.provision = windowProvision{job: usual, places: there + w.Places, at: now, want: w}
+	m.windows.provision = windowProvision{job: usual, targetPlaces: there + w.Places, decidedAt: now, shortage: w}
 	note := fmt.Sprintf("; room for %d tasks more is rented", w.Places)
 	if offers, _ := m.offers(now); !m.anyOfferFits(usual, offers) {
 		note = fmt.Sprintf("; room for %d tasks more is wanted, and no machines are to be had", w.Places)
@@ -121,10 +121,10 @@
 // after all that waits.
 func (m *Model) provisionRequest(now time.Time) (placement.Request, bool) {
 	a := &m.windows.provision
-	if a.job == nil || now.Sub(a.at) > provisionTTL || m.recoveringFromStall(now) {
+	if a.job == nil || now.Sub(a.decidedAt) > provisionTTL || m.recoveringFromStall(now) {
 		return placement.Request{}, false
 	}
-	n := a.places - m.placesExpected(a.job, now)
+	n := a.targetPlaces - m.placesExpected(a.job, now)
 	if n <= 0 {
 		return placement.Request{}, false
 	}
--- a/cluster/window_provision_test.go
+++ b/cluster/window_provision_test.go
@@ -11,9 +11,9 @@
 // A night wants more room than what waits asks for. It is rented once, whoever
 // leads: not before a new leader knows its machines, not again while they boot or
 // their reports are late, and anew once they are lost.
-func TestPlacesAreRentedAheadOnce(t *testing.T) {
-	l := &leaders{t: t, notes: map[string]wire.Raw{}, over: map[string]jobstore.JobRecord{}}
-	layer := nightJob("wk-000001", "tiles", 6000, 10, 600) // 3.6 million seconds, seven hours
+func TestProvisionScalesOutOnceAcrossFailover(t *testing.T) {
+	l := &leaderSequence{t: t, planRecords: map[string]wire.Raw{}, finalRecords: map[string]jobstore.JobRecord{}}
+	layer := windowJob("wk-000001", "tiles", 6000, 10, 600) // 3.6 million seconds, seven hours
 	type rental struct {
 		name string
 		at   float64
@@ -21,23 +21,23 @@
 	var rented []rental
 	report := func(n int, s float64) {
 		for k := range n {
-			r := rep(uint64(s), l.m.FencingToken)
+			r := rep(uint64(s), l.model.FencingToken)
 			r.Machine, r.Addr = fmt.Sprintf("host-%d", k), fmt.Sprintf("h-%d:1", k)
-			answer(t, l.m, r, at(s))
+			answer(t, l.model, r, at(s))
 		}
 	}
 	// wants lets a leader tick until then and says what it wants rented at last.
 	wants := func(from, to float64, reporting int) (n int) {
 		for s := from; s <= to; s++ {
 			report(reporting, s)
-			l.m.Tick(at(s))
+			l.model.Tick(at(s))
 		}
-		for _, k := range l.m.Schedule(at(to), 0).ScaleOut {
+		for _, k := range l.model.Schedule(at(to), 0).ScaleOut {
 			n += k
 		}
 		return n
 	}
-	l.next(5, at(100), twoRegions, layer)
+	l.failover(5, at(100), twoRegions, layer)
 	if n := wants(101, 110, 8); n > 32 {
 		t.Errorf("%d machines are wanted before the leader knows its own", n)
 	}
@@ -51,14 +51,14 @@
 	for k := range n {
 		name := fmt.Sprintf("host-%d", 8+k)
 		rented = append(rented, rental{name, 1100})
-		l.m.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{name}, at(1100))
+		l.model.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{name}, at(1100))
 	}
 	if more := wants(1101, 1111, 8); more > 0 {
 		t.Errorf("%d more are wanted while they boot", more)
 	}
-	l.next(6, at(1112), twoRegions, layer)
+	l.failover(6, at(1112), twoRegions, layer)
 	for _, r := range rented {
-		l.m.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{r.name}, at(r.at))
+		l.model.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{r.name}, at(r.at))
 	}
 	if more := wants(1113, 1120, 8); more > 0 {
 		t.Errorf("the next leader wants %d more while they boot", more)
@@ -73,7 +73,7 @@
 		t.Errorf("%d more are wanted when %d are lost", more, n)
 	}
 	// The plan is taken back.
-	setPlan(t, l.m, 2, "", at(1901))
+	applyPlan(t, l.model, 2, "", at(1901))
 	if more := wants(1902, 1910, 8); more > 40 {
 		t.Errorf("%d are wanted without a calendar", more)
 	}
--- a/cmd/umberdeal/nights.go
+++ b/cmd/umberdeal/nights.go
@@ -42,7 +42,7 @@
 	now := time.Now()
 	var views []calendar.View
 	for _, r := range cal.Regions {
-		e, err := st.Get(ctx, jobstore.PlanStatePrefix+calendar.NoteOf(r.Name))
+		e, err := st.Get(ctx, jobstore.PlanStatePrefix+calendar.RecordName(r.Name))
 		if err != nil {
 			return err
 		}
--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -31,7 +31,7 @@
 // nights is what is committed of a region.
 func nights(t *testing.T, w *fake.Cluster, region string) (rec calendar.Record) {
 	t.Helper()
-	if raw := w.Store.Value(jobstore.PlanStatePrefix + calendar.NoteOf(region)); raw != nil {
+	if raw := w.Store.Value(jobstore.PlanStatePrefix + calendar.RecordName(region)); raw != nil {
 		if err := wire.Unmarshal(raw, &rec); err != nil {
 			t.Fatal(err)
 		}
@@ -98,10 +98,10 @@
 			ids = append(ids, j.ID)
 		}
 		time.Sleep(20 * time.Second)
-		promise := nights(t, w, "here").Nights[0].PromiseMs
+		promise := nights(t, w, "here").Windows[0].DeadlineMs
 		go trouble(w)
 		finish = finishOf(t, w, ids...).Sub(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC))
-		if n := nights(t, w, "here").Nights; len(n) != 1 || n[0].PromiseMs != promise {
+		if n := nights(t, w, "here").Windows; len(n) != 1 || n[0].DeadlineMs != promise {
 			t.Errorf("promised for %d, and then %+v", promise, n)
 		}
 		unfinished := 0
@@ -114,7 +114,7 @@
 			t.Error("the day's work was over before the night's")
 		}
 		o := outcome(t, w)
-		if o.How != calendar.Met || o.Done != 12 || o.All != 12 {
+		if o.Result != calendar.ResultMet || o.Completed != 12 || o.Jobs != 12 {
 			t.Errorf("%+v", o)
 		}
 		for i := range 4 {
@@ -123,7 +123,7 @@
 		if n := w.Started(); n != 24+32 {
 			t.Errorf("%d starts of %d tasks", n, 24+32)
 		}
-		if rec := nights(t, w, "empty"); rec.AtMs != 0 {
+		if rec := nights(t, w, "empty"); rec.SavedAtMs != 0 {
 			t.Errorf("written of a region nothing belongs to: %+v", rec)
 		}
 	})
@@ -161,14 +161,14 @@
 		done   int
 		within time.Duration // it is late by that at most
 	}{
-		{"the leader stands still, all was done", "00:07:00", standStill, calendar.Met, 3, 0},
-		{"the leader stands still, not all is done", "00:14:00", standStill, calendar.Incomplete, 2, 0},
-		{"the leader stands still, the last is late", "00:10:40", standStill, calendar.Late, 3, 90 * time.Second},
-		{"the leader crashes, all was done", "00:07:00", crash, calendar.Met, 3, 0},
-		{"the leader crashes, not all is done", "00:14:00", crash, calendar.Incomplete, 2, 0},
-		{"the state service is out, all was done", "00:07:00", outage, calendar.Met, 3, 0},
-		{"the state service is out, the last was not known in time", "00:11:00", outage, calendar.Incomplete, 2, 0},
-		{"the state service is out, not all is done", "00:14:00", outage, calendar.Incomplete, 2, 0},
+		{"the leader stands still, all was done", "00:07:00", standStill, calendar.ResultMet, 3, 0},
+		{"the leader stands still, not all is done", "00:14:00", standStill, calendar.ResultIncomplete, 2, 0},
+		{"the leader stands still, the last is late", "00:10:40", standStill, calendar.ResultLate, 3, 90 * time.Second},
+		{"the leader crashes, all was done", "00:07:00", crash, calendar.ResultMet, 3, 0},
+		{"the leader crashes, not all is done", "00:14:00", crash, calendar.ResultIncomplete, 2, 0},
+		{"the state service is out, all was done", "00:07:00", outage, calendar.ResultMet, 3, 0},
+		{"the state service is out, the last was not known in time", "00:11:00", outage, calendar.ResultIncomplete, 2, 0},
+		{"the state service is out, not all is done", "00:14:00", outage, calendar.ResultIncomplete, 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 4, LeaseS: 200}, func(t *testing.T, w *fake.Cluster) {
@@ -184,7 +184,7 @@
 				clock("00:12:30")
 				end()
 				o := outcome(t, w)
-				if o.How != c.how || o.Done != c.done || o.All != 3 || time.Duration(o.LateMs)*time.Millisecond > c.within || c.how == calendar.Late && o.LateMs <= 0 {
+				if o.Result != c.how || o.Completed != c.done || o.Jobs != 3 || time.Duration(o.LateMs)*time.Millisecond > c.within || c.how == calendar.ResultLate && o.LateMs <= 0 {
 					t.Errorf("%+v", o)
 				}
 				mustReach(t, w, "wk-000003", wire.JobDone, 20*time.Minute)
@@ -223,19 +223,19 @@
 		applyPlan(t, w, 0, nightPlan)
 		mustSubmit(t, w, tiles(1, 2, 60), tiles(2, 1, 420))
 		clock("00:03:00")
-		if n := nights(t, w, "here").Nights; len(n) != 1 || n[0].PromiseMs%3600_000 != 600_000 || n[0].Forecast.AtRisk {
+		if n := nights(t, w, "here").Windows; len(n) != 1 || n[0].DeadlineMs%3600_000 != 600_000 || n[0].Forecast.AtRisk {
 			t.Fatalf("%+v", n)
 		}
 		applyPlan(t, w, 1, strings.ReplaceAll(nightPlan, "00:12", "00:09"))
 		lost := w.Leader()
 		w.KillNode(lost)
 		clock("00:04:00")
-		n := nights(t, w, "here").Nights
-		if len(n) != 1 || n[0].PromiseMs%3600_000 != 420_000 || !n[0].Forecast.AtRisk {
+		n := nights(t, w, "here").Windows
+		if len(n) != 1 || n[0].DeadlineMs%3600_000 != 420_000 || !n[0].Forecast.AtRisk {
 			t.Fatalf("%+v", n)
 		}
 		said := ""
-		for _, r := range n[0].Replans {
+		for _, r := range n[0].Reforecasts {
 			said += r.Cause + "; "
 		}
 		if !strings.Contains(said, "the night began") || !strings.Contains(said, "the plan changed") && !strings.Contains(said, "another leader leads") {
@@ -247,14 +247,14 @@
 				continue
 			}
 			v := overview(t, w, i).Fleet.Nights
-			if len(v) != 2 || v[0].Region != "here" || v[0].Stale || v[0].Nights[0].PromiseMs != n[0].PromiseMs || v[0].Nights[0].Done != 1 || len(v[1].Nights) > 0 {
+			if len(v) != 2 || v[0].Region != "here" || v[0].Stale || v[0].Windows[0].DeadlineMs != n[0].DeadlineMs || v[0].Windows[0].Completed != 1 || len(v[1].Windows) > 0 {
 				t.Errorf("node %d shows %+v", i, v)
 			}
 		}
 		if text := watchNode(t, w, l, controller.PathMetrics); !strings.Contains(text, "umberdeal_night_jobs_open 1") || !strings.Contains(text, "umberdeal_nights_at_risk 1") {
 			t.Error("the gauges don't show the night")
 		}
-		if o := outcome(t, w); o.How != calendar.Late || o.Done != 2 || o.OpeningMs%3600_000 != 540_000 {
+		if o := outcome(t, w); o.Result != calendar.ResultLate || o.Completed != 2 || o.OpeningMs%3600_000 != 540_000 {
 			t.Errorf("%+v", o)
 		}
 	})
@@ -279,7 +279,7 @@
 		w.Cloud.SetBootTimes(func(int) time.Duration { return -1 })
 		clock("00:01:50")
 		said := ""
-		for _, r := range nights(t, w, "here").Nights[0].Replans {
+		for _, r := range nights(t, w, "here").Windows[0].Reforecasts {
 			said += r.Cause + "; "
 		}
 		if !strings.Contains(said, "machines lost: 3 of 6 are left") {
@@ -290,7 +290,7 @@
 		if w.FinishedTasks("wk-000100") >= 12 {
 			t.Errorf("%d tasks of the day's work were done first", w.FinishedTasks("wk-000100"))
 		}
-		if o := outcome(t, w); o.How != calendar.Met || o.Done != 6 {
+		if o := outcome(t, w); o.Result != calendar.ResultMet || o.Completed != 6 {
 			t.Errorf("%+v", o)
 		}
 	})
@@ -337,10 +337,10 @@
 					time.Sleep(90 * time.Second)
 				}
 				if c.want == "" {
-					if rec := nights(t, w, "here"); len(rec.Past) > 0 || len(rec.Nights) != 1 || rec.Nights[0].Date != "2000-04-25" || rec.Nights[0].Done != 1 {
+					if rec := nights(t, w, "here"); len(rec.Past) > 0 || len(rec.Windows) != 1 || rec.Windows[0].Date != "2000-04-25" || rec.Windows[0].Completed != 1 {
 						t.Errorf("%+v", rec)
 					}
-				} else if o := outcome(t, w); o.How != calendar.Met || o.Done != 1 || time.UnixMilli(o.OpeningMs).Format(time.RFC3339) != parse(t, c.want).Local().Format(time.RFC3339) {
+				} else if o := outcome(t, w); o.Result != calendar.ResultMet || o.Completed != 1 || time.UnixMilli(o.OpeningMs).Format(time.RFC3339) != parse(t, c.want).Local().Format(time.RFC3339) {
 					t.Errorf("%+v, opens %v", o, time.UnixMilli(o.OpeningMs))
 				}
 				for _, b := range w.Violations() {
@@ -493,10 +493,10 @@
 			clock("00:01:00")
 			// The cloud is asked again and again: a forecast made just then says that room is rented.
 			if !scenario.Eventually(4*time.Minute, time.Second, func() bool {
-				n := nights(t, w, "here").Nights
-				return len(n) == 1 && strings.Contains(n[0].Forecast.Why, "no machines are to be had")
+				n := nights(t, w, "here").Windows
+				return len(n) == 1 && strings.Contains(n[0].Forecast.Reason, "no machines are to be had")
 			}) {
-				t.Errorf("no forecast names the cloud: %+v", nights(t, w, "here").Nights)
+				t.Errorf("no forecast names the cloud: %+v", nights(t, w, "here").Windows)
 			}
 		}
 		out = outcome(t, w)
@@ -525,8 +525,8 @@
 		trouble func(w *fake.Cluster)
 		extra   int // machines rented beyond those of the night untroubled
 	}{
-		{"untroubled", 200, calendar.Met, func(*fake.Cluster) {}, 0},
-		{"the leader dies between record and rental", 200, calendar.Met, func(w *fake.Cluster) {
+		{"untroubled", 200, calendar.ResultMet, func(*fake.Cluster) {}, 0},
+		{"the leader dies between record and rental", 200, calendar.ResultMet, func(w *fake.Cluster) {
 			w.Cloud.SetDropReplies(true)
 			for len(w.Cloud.Machines()) < 12 {
 				time.Sleep(100 * time.Millisecond)
@@ -534,7 +534,7 @@
 			crash(w)
 			w.Cloud.SetDropReplies(false)
 		}, 30},
-		{"the cloud answers late, and half of the machines are lost", 200, calendar.Met, func(w *fake.Cluster) {
+		{"the cloud answers late, and half of the machines are lost", 200, calendar.ResultMet, func(w *fake.Cluster) {
 			w.Cloud.SetReplyDelay(15 * time.Second)
 			clock("00:04:00")
 			all := w.Cloud.Machines()
@@ -542,12 +542,12 @@
 				w.KillMachine(name)
 			}
 		}, 60},
-		{"there are no machines", 1, calendar.Incomplete, func(*fake.Cluster) {}, 0},
+		{"there are no machines", 1, calendar.ResultIncomplete, func(*fake.Cluster) {}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			o, rented, paid := aheadNight(t, fake.Options{Capacity: c.room}, 1500, "00:08", c.trouble)
 			t.Logf("%s; %d machines rented, %d machine-seconds (simulated)", o.String(), rented, paid)
-			if o.How != c.how || rented > plain+c.extra && plain > 0 {
+			if o.Result != c.how || rented > plain+c.extra && plain > 0 {
 				t.Errorf("%s, want %s; %d machines rented, untroubled %d", o.String(), c.how, rented, plain)
 			}
 			if plain == 0 {
--- a/controller/node_metrics.go
+++ b/controller/node_metrics.go
@@ -102,20 +102,20 @@
 func (n *Node) registerBatchWindowMetrics(m *metrics.Set) {
 	for name, read := range map[string]func(v *calendar.View) float64{
 		"night_jobs_open": func(v *calendar.View) (count float64) {
-			for i := range v.Nights {
-				count += float64(v.Nights[i].All() - v.Nights[i].Done)
+			for i := range v.Windows {
+				count += float64(v.Windows[i].JobCount() - v.Windows[i].Completed)
 			}
 			return count
 		},
 		"night_jobs_done": func(v *calendar.View) (count float64) {
-			for i := range v.Nights {
-				count += float64(v.Nights[i].Done)
+			for i := range v.Windows {
+				count += float64(v.Windows[i].Completed)
 			}
 			return count
 		},
 		"nights_at_risk": func(v *calendar.View) (count float64) {
-			for i := range v.Nights {
-				if v.Nights[i].Forecast.AtRisk {
+			for i := range v.Windows {
+				if v.Windows[i].Forecast.AtRisk {
 					count++
 				}
 			}
@@ -123,7 +123,7 @@
 		},
 		"nights_not_met": func(v *calendar.View) (count float64) {
 			for i := range v.Past {
-				if how := v.Past[i].How; how == calendar.Late || how == calendar.Incomplete {
+				if how := v.Past[i].Result; how == calendar.ResultLate || how == calendar.ResultIncomplete {
 					count++
 				}
 			}
--- a/routing/fleet_plan_test.go
+++ b/routing/fleet_plan_test.go
@@ -154,7 +154,7 @@
 		opening := time.Date(2000, time.January, 1, 0, minutes+3, 0, 0, time.UTC)
 		time.Sleep(time.Until(opening.Add(time.Minute)))
 		var rec calendar.Record
-		if err := wire.Unmarshal(w.Store.Value(jobstore.PlanStatePrefix+calendar.NoteOf("here")), &rec); err != nil {
+		if err := wire.Unmarshal(w.Store.Value(jobstore.PlanStatePrefix+calendar.RecordName("here")), &rec); err != nil {
 			t.Fatal(err)
 		}
 		outcomes := 0
