--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -282,7 +282,7 @@
 	usual, free := m.windowLoads(jobs, loads, at, now)
 	machines := 0
 	for _, mc := range m.Machines {
-		if m.ready(mc, now) {
+		if m.Ready(mc, now) {
 			machines++
 		}
 	}
@@ -412,7 +412,7 @@
 // placesWhenEmpty is how many tasks like a job's the machines could take that are up
 // or will be, if they had nothing else to do.
 func (m *Model) placesWhenEmpty(j *Job, now time.Time) float64 {
-	return float64(m.placesOnMachines(j, now, func(mc *Machine) bool { return m.ready(mc, now) }))
+	return float64(m.placesOnMachines(j, now, func(mc *Machine) bool { return m.Ready(mc, now) }))
 }
 
 // placesOnMachines is how many tasks like a job's the machines could take, if they were
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -37,7 +37,7 @@
 			mc.orphaned = placement.Res{}
 			m.loseTasksOn(mc, "its machine's lease is over", now)
 		}
-		if len(mc.Tasks) > 0 && !m.ready(mc, now) {
+		if len(mc.Tasks) > 0 && !m.Ready(mc, now) {
 			m.revokeUnlaunched(mc, now)
 		}
 		if !mc.InterruptionAt.IsZero() && mc.Up {
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -10,8 +10,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// ready reports whether tasks can be placed on a machine now.
-func (m *Model) ready(mc *Machine, now time.Time) bool {
+// Ready reports whether tasks can be placed on a machine now.
+func (m *Model) Ready(mc *Machine, now time.Time) bool {
 	w := m.settings.Cluster.Workers
 	quiet := config.Seconds(min(w.ReportS*2.5+2, w.LeaseS/2))
 	// A machine that has not shown this leader's token may not receive answers, or may be
@@ -20,9 +20,6 @@
 		m.silentFor(mc, now) < quiet
 }
 
-// Ready reports whether tasks can be placed on a machine now.
-func (m *Model) Ready(mc *Machine, now time.Time) bool { return m.ready(mc, now) }
-
 // ExpectedMachines returns how many machines should be sending heartbeats. A leader that
 // expects some and receives none for a while concludes that workers can't reach it and
 // resigns. Counting machines that are gone would therefore make leaders resign in turn when
@@ -113,7 +110,7 @@
 
 func (m *Model) machineView(mc *Machine, over map[TaskRef]bool, now time.Time) (placement.Machine, bool) {
 	v := placement.Machine{Name: mc.Name, Type: mc.Type, Zone: mc.Zone, Spot: mc.Spot}
-	if m.ready(mc, now) {
+	if m.Ready(mc, now) {
 		v.Ready = true
 	} else if m.mayProveReachable(mc, now) {
 		v.ETA = 1
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -83,7 +83,7 @@
 // schedulableCapacity is the capacity of the machines that can be given tasks.
 func (m *Model) schedulableCapacity(now time.Time) (total placement.Res) {
 	for _, mc := range m.Machines {
-		if m.ready(mc, now) {
+		if m.Ready(mc, now) {
 			total = total.Add(m.MachineTypes[mc.Type].Capacity, 1)
 		}
 	}
--- a/cluster/reachability_test.go
+++ b/cluster/reachability_test.go
@@ -13,7 +13,7 @@
 	m := placed(t, 2)
 	mc := m.Machines[0]
 	cmds := answer(t, m, rep(3, 5), at(7)) // as after 4 s without an answer
-	if m.ready(mc, at(7)) || len(cmds) != 1 || cmds[0].Task != wire.TaskName("wk-000001", NoSuchTask) {
+	if m.Ready(mc, at(7)) || len(cmds) != 1 || cmds[0].Task != wire.TaskName("wk-000001", NoSuchTask) {
 		t.Fatalf("ready, or told %v", cmds)
 	}
 	m.Tick(at(7.2))
@@ -28,12 +28,12 @@
 	if _, _, forgets := ops(answer(t, m, rep(4, 5, probe), at(8))); forgets != 1 {
 		t.Error("the probe is not forgotten")
 	}
-	if !m.ready(mc, at(8)) {
+	if !m.Ready(mc, at(8)) {
 		t.Error("it has shown that it hears")
 	}
 	// The same again is no news: the answer with the forget was missed.
 	answer(t, m, rep(5, 5, probe), at(13))
-	if m.ready(mc, at(13)) {
+	if m.Ready(mc, at(13)) {
 		t.Error("it has not heard that the probe is to be forgotten")
 	}
 }
@@ -131,11 +131,11 @@
 	r, s := rep(1, 5), 30.0
 	r.NoticeS = &s
 	answer(t, m, r, at(0))
-	if m.ready(m.Machines[0], at(0)) {
+	if m.Ready(m.Machines[0], at(0)) {
 		t.Error("it is about to be taken")
 	}
 	answer(t, m, rep(2, 5), at(1))
-	if !m.ready(m.Machines[0], at(1)) {
+	if !m.Ready(m.Machines[0], at(1)) {
 		t.Error("what was known of a notice came with an older message")
 	}
 }
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -125,7 +125,7 @@
 	groups := map[string][]*Machine{}
 	var names []string
 	for _, mc := range m.Machines {
-		if m.ready(mc, now) && !m.keptByPool(mc) {
+		if m.Ready(mc, now) && !m.keptByPool(mc) {
 			g := groupName(m.MachineTypes[mc.Type].Name, m.Zones[mc.Zone])
 			if groups[g] == nil {
 				names = append(names, g)
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -167,7 +167,7 @@
 			if mc.Type != ti {
 				continue
 			}
-			if !m.ready(mc, now) {
+			if !m.Ready(mc, now) {
 				if _, ok := m.bootTimeLeft(mc, now); ok {
 					booting++
 				}
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -33,7 +33,7 @@
 			s.Machines["returning"]++
 		case mc.Up && !mc.InterruptionAt.IsZero():
 			s.Machines["noticed"]++
-		case mc.Up && m.ready(mc, now):
+		case mc.Up && m.Ready(mc, now):
 			s.Machines["up"]++
 		case mc.Up && mc.unreachable():
 			s.Machines["mute"]++
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -134,7 +134,7 @@
 		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone || !j.Need.Fits(m.MachineTypes[mc.Type].Capacity) {
 			continue
 		}
-		if m.ready(mc, now) {
+		if m.Ready(mc, now) {
 			up++
 		} else if _, ok := m.bootTimeLeft(mc, now); ok {
 			coming = true
@@ -154,7 +154,7 @@
 func (m *Model) occupiedByHigherPriority(j *Job, now time.Time) bool {
 	higher := false
 	for _, mc := range m.Machines {
-		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone || !m.ready(mc, now) {
+		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone || !m.Ready(mc, now) {
 			continue
 		}
 		for ref := range mc.Tasks {
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -91,7 +91,7 @@
 	}
 	ready, settling := 0, 0
 	for _, mc := range m.Machines {
-		if !m.ready(mc, now) {
+		if !m.Ready(mc, now) {
 			continue
 		}
 		ready++
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -281,7 +281,7 @@
 			continue
 		}
 		room := m.MachineTypes[mc.Type].Capacity
-		if !m.ready(mc, now) {
+		if !m.Ready(mc, now) {
 			if eta, ok := m.bootTimeLeft(mc, now); ok {
 				for range tasksThatFit(j.Need, room) {
 					out = append(out, eta)
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -135,7 +135,7 @@
 			m.addImage(mc, im) // an earlier leader saw it there
 		}
 		mc.imagesLearntSession = mc.AgentEpoch
-		if m.ready(mc, now) {
+		if m.Ready(mc, now) {
 			mc.unreadySince = time.Time{}
 		} else if mc.unreadySince.IsZero() {
 			mc.unreadySince = now
@@ -230,7 +230,7 @@
 			continue
 		}
 		s := m.observe(p, mc, im, now)
-		if !s.Busy && now.Sub(mc.IdleSince) < minIdleToJoin || s.Ready && !m.ready(mc, now) {
+		if !s.Busy && now.Sub(mc.IdleSince) < minIdleToJoin || s.Ready && !m.Ready(mc, now) {
 			s.Ready, s.Booting = false, true // soon, perhaps
 		}
 		free = append(free, s)
