--- a/cluster/heldstops.go
+++ b/cluster/heldstops.go
@@ -17,7 +17,7 @@
 type heldStop struct {
 	ref   TaskRef
 	place *Placement
-	why   string
+	why   StopReason
 	at    time.Time
 }
 
@@ -30,7 +30,7 @@
 // confirmed to be in force. The task's resources count as about to be freed from now on.
 // A placement that was never launched is removed at once, since no running task is
 // affected. Where there can't be a plan, nothing is held back.
-func (m *Model) stopUnderPlan(ref TaskRef, why string, now time.Time) {
+func (m *Model) stopUnderPlan(ref TaskRef, why StopReason, now time.Time) {
 	j := m.Jobs[ref.Job]
 	p := j.Tasks[ref.Task].Placement
 	switch {
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -10,20 +10,40 @@
 
 // This file is a job, its tasks, and where they may be.
 
-// Task phases: not placed, placed on a machine (and possibly running there), completed.
+// TaskPhase is how far a task has come.
+type TaskPhase uint8
+
+// The phases of a task. A placed task may be running; TaskDone is final.
 const (
-	TaskIdle = iota
-	TaskPlaced
-	TaskDone
+	TaskIdle   TaskPhase = iota // not placed
+	TaskPlaced                  // placed on a machine
+	TaskDone                    // completed, or, if it is reserved, ended otherwise
 )
 
-// What the last heartbeat of its machine said of a task.
+// ReportedState is the state of a task as its machine last reported it in a heartbeat. The
+// states are in the order in which a task passes through them.
+type ReportedState uint8
+
 const (
-	notReported = iota
-	reportedFetching
-	reportedWaiting
+	notReported      ReportedState = iota
+	reportedFetching               // its image is being fetched
+	reportedWaiting                // for the other tasks of its gang
 	reportedRunning
-	reportedSaving
+	reportedSaving // a checkpoint, before it stops
+)
+
+// StopReason is why a task was ordered to stop. It is logged.
+type StopReason string
+
+// The reasons to stop a task.
+const (
+	StopPreempted      StopReason = "preempted"            // by waiting work of a higher rank
+	StopMoved          StopReason = "move"                 // by a rebalance cycle
+	StopMoveResumed    StopReason = "move taken over"      // by a rebalance cycle of an earlier leader
+	StopCancelled      StopReason = "cancelled"            // by the job's user
+	StopReleased       StopReason = "released"             // a reserved task is given back
+	StopInterruption   StopReason = "notice"               // the cloud is about to reclaim its machine
+	StopGangIncomplete StopReason = "its gang lost a task" // the rest of the gang can't go on
 )
 
 // Placement is an attempt of a task on a machine. It exists from the decision to place the
@@ -37,7 +57,7 @@
 	LaunchSentAt  time.Time
 	LaunchEpoch   uint64
 	LaunchSeq     uint64 // of the heartbeat whose answer carried the launch
-	ReportedState uint8
+	ReportedState ReportedState
 	RunningSince  time.Time // when it was first seen running
 	Stop          *StopOrder
 	StopHeld      bool      // a stop is held back until the plan is confirmed
@@ -50,14 +70,14 @@
 // StopOrder is an order to stop a task.
 type StopOrder struct {
 	Grace     float64
-	Reason    string
+	Reason    StopReason
 	OrderedAt time.Time
 	PushedAt  time.Time // when it was last sent directly
 }
 
 // Task is one task of a job.
 type Task struct {
-	Phase     uint8
+	Phase     TaskPhase
 	Failures  uint8
 	Resumed   bool                 // an earlier attempt has run
 	Progress  float32              // seconds of work that earlier attempts have saved
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -93,7 +93,7 @@
 	j.Cancelled = true
 	for i := range j.Tasks {
 		if j.Tasks[i].Placement != nil {
-			m.stopPlacedTask(j, int32(i), 0, "cancelled", now)
+			m.stopPlacedTask(j, int32(i), 0, StopCancelled, now)
 		}
 	}
 	m.markDirty(j)
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -80,7 +80,7 @@
 		if p.ReportedState >= reportedRunning && j.Spec.CheckpointS <= 0 {
 			continue // nothing to save: it may just finish in time
 		}
-		m.StopTask(ref, "notice", now)
+		m.StopTask(ref, StopInterruption, now)
 	}
 }
 
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		if i, ok := m.machineIndex[mv.From]; ok && p.Machine == i {
-			m.StopTask(ref, "move taken over", now)
+			m.StopTask(ref, StopMoveResumed, now)
 		}
 	}
 }
@@ -213,7 +213,7 @@
 	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
 	for _, mv := range rec.Moves {
 		if ref, p := m.taskOfMove(mv); p != nil && p.Attempt == mv.Attempt && p.Stop == nil {
-			m.StopTask(ref, "move", now)
+			m.StopTask(ref, StopMoved, now)
 		}
 	}
 }
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -49,18 +49,16 @@
 	for i, ok := j.reservation.released.NextSet(0); ok && int(i) < len(j.Tasks); i, ok = j.reservation.released.NextSet(i + 1) {
 		switch t := &j.Tasks[i]; t.Phase {
 		case TaskPlaced:
-			m.stopPlacedTask(j, int32(i), 0, stopReleased, now)
+			m.stopPlacedTask(j, int32(i), 0, StopReleased, now)
 		case TaskIdle:
 			m.finishOnlyAttempt(j, int32(i), jobstore.OutcomeReleased, now)
 		}
 	}
 }
 
-const stopReleased = "released"
-
 // endForStop is how a task that was stopped for that reason ended.
-func endForStop(why string) jobstore.TaskOutcome {
-	if why == stopReleased {
+func endForStop(why StopReason) jobstore.TaskOutcome {
+	if why == StopReleased {
 		return jobstore.OutcomeReleased
 	}
 	return jobstore.OutcomePreempted
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -124,7 +124,7 @@
 		m.log.Debug("placed", "job", j.ID, "task", s.Task, "attempt", a, "machine", mc.Name, "waited", now.Sub(j.AcceptedAt).Seconds())
 	}
 	for _, ref := range plan.Stops {
-		m.stopUnderPlan(ref, "preempted", now)
+		m.stopUnderPlan(ref, StopPreempted, now)
 	}
 	for i, n := range plan.Rent {
 		d.ScaleOut[offers[i]] += n
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -116,7 +116,7 @@
 	if stopping || !j.GangStarted && !j.GangEnding && !j.failures.atFault() {
 		return
 	}
-	m.stopAllTasks(j, 0, "its gang lost a task", now)
+	m.stopAllTasks(j, 0, StopGangIncomplete, now)
 }
 
 func (m *Model) avoidMachine(j *Job, mc *Machine, until time.Time) {
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -97,7 +97,7 @@
 }
 
 // stopPlacedTask orders a task to stop, or takes it back if its launch never left.
-func (m *Model) stopPlacedTask(j *Job, task int32, grace float64, why string, now time.Time) {
+func (m *Model) stopPlacedTask(j *Job, task int32, grace float64, why StopReason, now time.Time) {
 	t := &j.Tasks[task]
 	p := t.Placement
 	if p == nil {
@@ -119,7 +119,7 @@
 }
 
 // stopAllTasks orders all placed tasks of a job to stop.
-func (m *Model) stopAllTasks(j *Job, grace float64, why string, now time.Time) {
+func (m *Model) stopAllTasks(j *Job, grace float64, why StopReason, now time.Time) {
 	j.GangEnding = j.Gang()
 	for i := range j.Tasks {
 		if j.Tasks[i].Placement != nil {
@@ -131,7 +131,7 @@
 // StopTask orders a task to stop, with a grace period in which it can save a checkpoint if
 // it supports that. A gang is stopped as a whole, since its tasks save together or not at
 // all.
-func (m *Model) StopTask(ref TaskRef, why string, now time.Time) {
+func (m *Model) StopTask(ref TaskRef, why StopReason, now time.Time) {
 	j := m.Jobs[ref.Job]
 	if j == nil || j.Tasks[ref.Task].Placement == nil {
 		return
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -44,7 +44,7 @@
 			m.finishOnlyAttempt(j, 0, jobstore.OutcomeReleased, now)
 			continue
 		case vain && t.Placement != nil && t.Placement.Stop == nil:
-			m.stopUnderPlan(TaskRef{Job: j.Index}, stopReleased, now)
+			m.stopUnderPlan(TaskRef{Job: j.Index}, StopReleased, now)
 			continue
 		}
 		out[j.reservation.OnlyMachines[0]] = true
--- a/modelcheck/invariants.go
+++ b/modelcheck/invariants.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 
+	"github.com/umberdeal/umberdeal/cluster"
 	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
@@ -94,7 +95,7 @@
 			if p.StopHeld {
 				w.victims[k] = by
 			}
-			if p.Stop != nil && p.Stop.Reason == "preempted" && !w.stopped[k] {
+			if p.Stop != nil && p.Stop.Reason == cluster.StopPreempted && !w.stopped[k] {
 				w.stopped[k] = true
 				if by != w.store[jobstore.PlanHeadKey].version {
 					w.broke("old order", fmt.Sprintf("%s is stopped by an order that is no longer in force", k.name))
