--- a/admission/pollschedule_test.go
+++ b/admission/pollschedule_test.go
@@ -64,7 +64,7 @@
 
 // However many poll, and at whichever nodes, no job is left without an answer for
 // more than a round and a poll; left to chance, some are.
-func TestEveryJobIsAnsweredOnceAPeriod(t *testing.T) {
+func TestEveryJobGetsOneTurnAPeriod(t *testing.T) {
 	turns := PollSchedule{Period: 45 * time.Second}
 	for _, times := range []int{2, 4} {
 		synctest.Test(t, func(t *testing.T) {
--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -20,7 +20,7 @@
 }
 
 // Each call sends the recorded request, and reads its answer.
-func TestRequestsToTheCloudKeepTheirForm(t *testing.T) {
+func TestRequestsToTheCloudKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "requests.golden")
 	ctx := t.Context()
 	page := wire.MachineList{Machines: []wire.ListedMachine{golden.Filled[wire.ListedMachine]()}, More: true}
@@ -45,7 +45,7 @@
 }
 
 // Without capacity nothing was rented, and callers tell that from other refusals.
-func TestARefusalForWantOfCapacityIsTold(t *testing.T) {
+func TestRefusalForLackOfCapacityIsReported(t *testing.T) {
 	for answer, want := range map[string]bool{"no capacity": true, "other": false} {
 		s := golden.Serve(t, golden.Answer{Status: http.StatusServiceUnavailable, Body: body(t, wire.Error{Error: answer})})
 		_, err := New(s.Dial, "cloud:80", 100).CreateMachines(t.Context(), wire.Rental{})
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -304,7 +304,7 @@
 
 // The status page keeps log lines by their messages: a message that is renamed must be
 // renamed there.
-func TestTroublesKeptForOperatorsAreLogged(t *testing.T) {
+func TestFaultsKeptForOperatorsAreLogged(t *testing.T) {
 	s := readSources(t)
 	if len(s.troubles) < 10 {
 		t.Errorf("%d messages in metrics.troubleMessages, want 10 at least", len(s.troubles))
--- a/internal/scenario/subprocess_test.go
+++ b/internal/scenario/subprocess_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-func TestOnlyTheDetectorsOwnEndIsForgiven(t *testing.T) {
+func TestOnlyTheRaceDetectorsOwnExitIsAccepted(t *testing.T) {
 	fn := func(name string, at, size uint64) elf.Symbol {
 		return elf.Symbol{Name: name, Info: byte(elf.STT_FUNC), Value: at, Size: size}
 	}
@@ -40,7 +40,7 @@
 
 // A shell script plays the test binary: what it says and how it ends is what the
 // package says and how it ends.
-func TestATestsEndIsThePackages(t *testing.T) {
+func TestSubprocessResultsBecomeThePackagesResult(t *testing.T) {
 	dir := t.TempDir()
 	exe := filepath.Join(dir, "tests")
 	script := `#!/bin/sh
--- a/jobstore/encoding_test.go
+++ b/jobstore/encoding_test.go
@@ -39,7 +39,7 @@
 
 // Records encoded as arrays depend on the order of their fields. The values here are set by field name,
 // so that swapped fields are noticed: golden.Filled assigns values in field order and would hide that.
-func TestFieldsOfArraysKeepTheirPlaces(t *testing.T) {
+func TestFieldsOfArraysKeepTheirOrder(t *testing.T) {
 	f := golden.Open(t, "arrays.golden")
 	for label, v := range map[string]any{
 		"placement":        Placement{Task: 3, Attempt: 5, Machine: "host-7"},
--- a/kvstore/kvstore_test.go
+++ b/kvstore/kvstore_test.go
@@ -21,7 +21,7 @@
 }
 
 // Each call sends the recorded request, and reads its answer.
-func TestRequestsToTheStateServiceKeepTheirForm(t *testing.T) {
+func TestRequestsToTheStoreKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "requests.golden")
 	entry := golden.Filled[wire.Entry]()
 	ctx := t.Context()
@@ -58,7 +58,7 @@
 }
 
 // Callers tell errors apart by these values and nothing else.
-func TestWhatTheStateServiceRefusesIsTold(t *testing.T) {
+func TestRefusalsOfTheStoreAreReported(t *testing.T) {
 	ctx := t.Context()
 	get := func(c *Client) error { _, err := c.Get(ctx, "a"); return err }
 	commit := func(c *Client) error { _, err := c.CompareAndSwap(ctx, nil, []wire.Op{{Delete: "a"}}); return err }
--- a/liveness/failure_test.go
+++ b/liveness/failure_test.go
@@ -9,7 +9,7 @@
 
 // A refused connection is no sign that the leader is gone: a packet filter may
 // stand between the nodes while workers reach it.
-func TestALeaderIsSuspectedForSilenceNotForARefusal(t *testing.T) {
+func TestLeaderIsSuspectedForSilenceNotForARefusal(t *testing.T) {
 	var d FailureDetector
 	refused := &net.OpError{Op: "dial", Err: errors.New("connection refused")}
 	for range 5 {
--- a/liveness/stall_test.go
+++ b/liveness/stall_test.go
@@ -7,7 +7,7 @@
 
 // After a stall, timeouts that expired say nothing of others: a leader that took
 // its workers' silence for a partition resigned, although their heartbeats were waiting.
-func TestAStallIsReportedOnceAndOnlyIfThereWasOne(t *testing.T) {
+func TestStallIsReportedOnceAndOnlyIfThereWasOne(t *testing.T) {
 	const observedEvery = 250 * time.Millisecond
 	var stalls StallDetector
 	at := time.Unix(1000, 0)
--- a/peerrpc/encoding_test.go
+++ b/peerrpc/encoding_test.go
@@ -214,7 +214,7 @@
 // what the recorded version reads, and the other way round, requests and answers.
 // Bytes are not compared, since gob's numbers of types depend on what else a process
 // has sent before.
-func TestControllersOfTwoVersionsUnderstandOneAnother(t *testing.T) {
+func TestControllersOfTwoVersionsInteroperate(t *testing.T) {
 	f := golden.Open(t, "exchanges.golden")
 	for _, x := range exchanges() {
 		node := &served{}
--- a/priority/encoding_test.go
+++ b/priority/encoding_test.go
@@ -8,7 +8,7 @@
 )
 
 // What is counted of departures is recorded for the next leader.
-func TestTheRecordOfDeparturesKeepsItsBytes(t *testing.T) {
+func TestInversionRecordsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
 	golden.Hold[InversionLog](f, "departures", stored)
--- a/priority/policy_test.go
+++ b/priority/policy_test.go
@@ -143,7 +143,7 @@
 
 // What is served before higher tiers is no more than a share lacks, by one task,
 // and for a wait what it takes to begin.
-func TestSharesAndWaitsTakeNoMoreThanTheyAreOwed(t *testing.T) {
+func TestSharesAndWaitsTakeNoMoreThanTheirEntitlement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := draw(t)
 		for i := range f.booked {
@@ -174,7 +174,7 @@
 	})
 }
 
-func TestSettingsAreCheckedWhole(t *testing.T) {
+func TestAllSettingsAreChecked(t *testing.T) {
 	s := &Settings{Tiers: []Tier{
 		{Name: "clinic", Classes: []string{"slicing"}, Share: 0.5},
 		{Name: "school", Teams: []string{"north", "nobody"}, LongestWaitS: 120},
--- a/routing/fleet_plan_test.go
+++ b/routing/fleet_plan_test.go
@@ -57,7 +57,7 @@
 // reports are copied, and the plan changes all the while. No rule breaks; then
 // everything accepted is done, the night has one outcome, and another version can
 // be applied.
-func TestAFleetUnderAPlanOutlivesEverythingAtOnce(t *testing.T) {
+func TestFleetUnderAPlanSurvivesCombinedFaults(t *testing.T) {
 	if underRace {
 		t.Skip("played without the race detector by .ci/run")
 	}
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -65,7 +65,7 @@
 
 // The leader keeps its part of the workers, and the rest are answered by way of
 // the other nodes.
-func TestTheLeaderDoesNotHoldTheWholeFleet(t *testing.T) {
+func TestLeaderDoesNotHoldAllConnectionsOfTheFleet(t *testing.T) {
 	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		at := time.Now()
 		allAnswered(t, w, at, 10*time.Second)
@@ -83,7 +83,7 @@
 	})
 }
 
-func TestAllNodesRestartWhileTheFleetReports(t *testing.T) {
+func TestAllNodesRestartWhileTheFleetSendsHeartbeats(t *testing.T) {
 	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		w.KillAll()
 		time.Sleep(6 * time.Second)
@@ -95,7 +95,7 @@
 	})
 }
 
-func TestHalfTheFleetReturnsWithinASecond(t *testing.T) {
+func TestHalfTheFleetReconnectsWithinASecond(t *testing.T) {
 	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		half := w.Cloud.Machines()[:fleetMachines/2]
 		for _, m := range half {
@@ -113,7 +113,7 @@
 
 // A zone that comes back after its leases have ended starts anew, at once and
 // nothing twice, while the cloud gives nothing.
-func TestAZoneReturnsAfterItsLeasesWhileTheCloudGivesNothing(t *testing.T) {
+func TestZoneReturnsAfterItsLeasesExpireWhileTheCloudRefuses(t *testing.T) {
 	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		w.Cloud.SetOutage(true)
 		w.PartitionZone("b", true)
@@ -138,7 +138,7 @@
 
 // A node that passes reports on stands still, is cut from the leader, or dies:
 // its workers go elsewhere in time.
-func TestANodeThatPassesReportsOnIsGone(t *testing.T) {
+func TestRelayNodeIsLost(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		begin, end func(w *fake.Cluster, relay int)
@@ -185,7 +185,7 @@
 
 // The leader is gone without a word: workers that others answer stay where they
 // are, and only the leader's own have to look for a node.
-func TestAFleetGoesOnUnderTheNextLeader(t *testing.T) {
+func TestFleetContinuesUnderTheNextLeader(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		end  func(w *fake.Cluster, l int)
@@ -217,7 +217,7 @@
 // the answer to each machine's report is held until what comes next there is
 // recorded. The nodes are slow meanwhile, and stand still for a second again and
 // again. No worker is left without an answer, and nothing starts twice.
-func TestAnswersAreHeldForAWholeFleetWhileAllNodesAreSlow(t *testing.T) {
+func TestAnswersToTheWholeFleetAreDelayedWhileAllNodesAreSlow(t *testing.T) {
 	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		scenario.MustSubmit(t, w, scenario.Job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = fleetMachines, 8, 60 }))
 		scenario.Eventually(10*time.Minute, time.Second, func() bool { return w.FinishedTasks("wk-000001") > 0 }) // the first job's tasks run 400 s
@@ -278,7 +278,7 @@
 // Many machines do not hear, all at once, while their reports come by way of all
 // nodes, and copies of reports arrive late. What is submitted then starts on the
 // others at once, and when they hear again they have work within seconds.
-func TestManyMachinesAreMuteAtOnce(t *testing.T) {
+func TestManyMachinesAreUnreachableAtOnce(t *testing.T) {
 	for _, n := range mutes() {
 		for _, change := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d, change of leader %t", n, change), func(t *testing.T) {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -19,7 +19,7 @@
 // A leader of 2,600 workers keeps a quarter of its sockets for them, and the
 // others share the rest; where there are few workers, or nobody to pass reports
 // on, all report to it.
-func TestLeaderKeepsItsPartAndRelaysShareTheRest(t *testing.T) {
+func TestLeaderKeepsItsShareAndRelaysDivideTheRest(t *testing.T) {
 	p := plan(2600, "c", "b")
 	got := map[string]int{}
 	for i := range p.Workers {
--- a/snapshot/encoding_test.go
+++ b/snapshot/encoding_test.go
@@ -48,7 +48,7 @@
 
 // KeyValue is encoded as an array, so the order of its fields is part of the format. The value here is
 // set by field name, so that swapped fields are noticed: golden.Filled would hide that.
-func TestFieldsOfAPairKeepTheirPlaces(t *testing.T) {
+func TestFieldsOfAPairKeepTheirOrder(t *testing.T) {
 	f := golden.Open(t, "arrays.golden")
 	raw, err := wire.Marshal(KeyValue{Key: "key", Value: wire.Raw("\xa5value")})
 	if err != nil {
--- a/warmpool/encoding_test.go
+++ b/warmpool/encoding_test.go
@@ -8,7 +8,7 @@
 )
 
 // A pool's records and accounts are left for the next leader.
-func TestThePoolsRecordsKeepTheirBytes(t *testing.T) {
+func TestPoolRecordsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
 	golden.Hold[Record](f, "pool", stored)
--- a/warmpool/pool_test.go
+++ b/warmpool/pool_test.go
@@ -16,7 +16,7 @@
 		Burst: Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1000, Payer: "speech", Borrowers: []string{"vision"}}
 }
 
-func TestBadFieldsAreNamedWithTheirPlace(t *testing.T) {
+func TestInvalidFieldsAreNamedWithTheirPath(t *testing.T) {
 	good := llm()
 	if errs := Check([]Pool{good}, []string{"a", "b"}, []string{"speech", "vision"}); len(errs) > 0 {
 		t.Fatalf("a good pool is refused: %v", errs)
@@ -60,7 +60,7 @@
 	return at
 }
 
-func TestAPoolIsThereBeforeTheHourAndGoneAfterIt(t *testing.T) {
+func TestScheduledPoolIsReadyBeforeTheHourAndGoneAfterIt(t *testing.T) {
 	p, w := llm(), &WeeklyDemand{}
 	at := weeks(w, monday, 2, 40)
 	lead := p.LeadTime(40, time.Minute, 1)
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestAWeekIsReadAsItWasWritten(t *testing.T) {
+func TestWeeklyScheduleRoundTrips(t *testing.T) {
 	w, back := &WeeklyDemand{}, &WeeklyDemand{}
 	rnd := rand.New(rand.NewPCG(1, 2))
 	at := monday
@@ -172,7 +172,7 @@
 	}
 }
 
-func TestABorrowerPaysByWhatItBooks(t *testing.T) {
+func TestBorrowerIsChargedForWhatItBooks(t *testing.T) {
 	s := &Shard{AtMs: 0}
 	s.Join(Member{Machine: "m", SinceMs: 1000, HourlyRate: 3_600_000_000})
 	s.SetShares(s.Member("m"), []TeamShare{{"vision", 250}}, 3_600_000_000, 11_000, "speech")
@@ -197,7 +197,7 @@
 	return out
 }
 
-func TestAPoolGrowsOverTheZonesFromWhatIsThere(t *testing.T) {
+func TestPoolScalesOutOverZonesFromItsMembers(t *testing.T) {
 	p := llm()
 	free := fleet(6, func(i int, s *Observation) {
 		s.Zone = "a"
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestAPoolGivesBackWhatIsIdle(t *testing.T) {
+func TestPoolScalesInIdleMachines(t *testing.T) {
 	p := llm()
 	own := fleet(6, func(i int, s *Observation) { s.Busy, s.Warm = i < 2, i != 4 })
 	if c := p.PlanScaling(own, nil, 3, 64); !slices.Equal(c.Release, []string{"m04", "m03", "m02"}) || c.Evict != nil {
@@ -231,7 +231,7 @@
 	}
 }
 
-func TestFetchesComeInTurn(t *testing.T) {
+func TestImageFetchesAreStaggered(t *testing.T) {
 	p := llm()
 	own := fleet(40, func(i int, s *Observation) { s.Fetching = i < 3 })
 	if got := p.NextFetches(own); len(got) != 5 {
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestWhoMayUseAPool(t *testing.T) {
+func TestPoolAccess(t *testing.T) {
 	p := llm()
 	replicas := Workload{Image: "llm-70b:v2", Team: "speech", Priority: 1, ModelPriority: 1}
 	for _, c := range []struct {
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -12,7 +12,7 @@
 
 // Direct commands are sent in the recorded form; a worker says by the status whether
 // it has executed them.
-func TestDirectCommandsKeepTheirForm(t *testing.T) {
+func TestDirectCommandsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "requests.golden")
 	report := golden.Filled[wire.Report]()
 	answer, err := wire.Marshal(report)
