--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -141,7 +141,7 @@
 		progress: map[string]float64{}, externalStarts: map[string]int{}, capturedReports: map[string][]byte{},
 		answeredReports: map[nodeAndMachine]time.Time{}, acceptedAnswers: map[nodeAndMachine]time.Time{}, fetching: map[string]bool{},
 	}
-	w.Store.breaks = w.breaks
+	w.Store.reportViolation = w.breaks
 	w.Cloud = &Cloud{w: w, types: options.Types, capacity: options.Capacity, lag: 5 * time.Second,
 		answers: map[string][]string{}, machines: map[string]*machine{}}
 	w.serve("state:1", w.Store)
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -101,24 +101,24 @@
 func (s *KVStore) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, on := range s.refuse {
+	for _, on := range s.refusedNodes {
 		if on {
 			return true
 		}
 	}
-	for _, on := range s.hushed {
+	for _, on := range s.silentWatches {
 		if on {
 			return true
 		}
 	}
-	for _, by := range s.heldTo {
+	for _, by := range s.replyDelayTo {
 		if by > 0 {
 			return true
 		}
 	}
-	l := &s.lagging
-	return s.outage || s.slow > 0 || s.held > 0 || s.late > 0 || s.kept != nil || s.harmed.Load() ||
-		l.late > 0 || l.lost > 0 || l.leases > 0 || l.waiting > 0
+	d := &s.delays
+	return s.outage || s.latency > 0 || s.replyDelay > 0 || s.delayNext.by > 0 || s.holdNext.release != nil || s.corrupted.Load() ||
+		d.lateShare > 0 || d.lostReplyShare > 0 || d.leaseShare > 0 || d.waiting > 0
 }
 
 // faulty says whether the cloud refuses, delays or does not answer requests.
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -3,13 +3,13 @@
 import (
 	"context"
 	"fmt"
+	"slices"
 	"sync/atomic"
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/controller"
 	"github.com/umberdeal/umberdeal/internal/call"
-	"github.com/umberdeal/umberdeal/wire"
 	"github.com/umberdeal/umberdeal/yarn"
 )
 
@@ -113,20 +113,9 @@
 // Leader is the index of the node whose key is in the key-value store, or -1.
 func (w *Cluster) Leader() int {
 	w.Store.mu.Lock()
-	e, ok := w.Store.keys["ctl/leader"]
+	leader := w.Store.leaderNode()
 	w.Store.mu.Unlock()
-	var rec struct {
-		Node string `msgpack:"node"`
-	}
-	if !ok || wire.Unmarshal(e.Value, &rec) != nil {
-		return -1
-	}
-	for i, n := range w.nodes {
-		if n.name == rec.Node {
-			return i
-		}
-	}
-	return -1
+	return slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == leader })
 }
 
 // PartitionNode cuts a node off from hosts: "state", "cloud", "user", "workers",
--- a/internal/fake/partitions.go
+++ b/internal/fake/partitions.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/umberdeal/umberdeal/election"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -62,7 +61,7 @@
 func (w *Cluster) FencingToken() uint64 {
 	w.Store.mu.Lock()
 	defer w.Store.mu.Unlock()
-	return w.Store.keys[election.LeaderKey].Version
+	return w.Store.leaderToken()
 }
 
 // DirectCommandsExecuted is how many direct commands a machine has carried out, those that
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -12,7 +12,6 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -151,7 +150,7 @@
 	if r.status == http.StatusCreated {
 		j.answers.created++
 		again := j.answers.created > 1 || known && j.answers.accepted > 0
-		if again && !w.Store.harmed.Load() {
+		if again && !w.Store.corrupted.Load() {
 			w.breaksLocked("accepted twice: %s", id)
 		}
 	}
@@ -392,13 +391,3 @@
 	delete(m, lacking)
 	return m
 }
-
-// checkEnds sees to it that how a job ended is written once; the state's lock is held.
-func (s *KVStore) checkEnds(t *txn) {
-	for _, op := range t.Then {
-		id, ok := jobstore.ParseFinalKey(op.Put + op.Delete)
-		if _, again := s.keys[op.Put+op.Delete]; ok && again && s.breaks != nil {
-			s.breaks("how %s ended is written again", id)
-		}
-	}
-}
