--- a/yarn/frontend.go
+++ b/yarn/frontend.go
@@ -117,7 +117,7 @@
 				"getContainerStatuses": wire.Handle(f.containerStatuses),
 			}},
 		},
-		Password: f.password, Allow: f.s.Allow, Log: f.log, MaxConns: f.s.MaxConns, MaxAll: f.s.MaxCalls,
+		Password: f.password, Allow: f.s.Allow, Log: f.log, MaxConns: f.s.MaxConns, MaxCalls: f.s.MaxCalls,
 	}
 }
 
--- a/yarn/manager.go
+++ b/yarn/manager.go
@@ -6,7 +6,6 @@
 	"crypto/sha256"
 	"encoding/base64"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"slices"
 
@@ -91,11 +90,8 @@
 }
 
 func failed(id *pb.ContainerIdProto, err error) *pb.ContainerExceptionMapProto {
-	var e *wire.Error
-	if !errors.As(err, &e) {
-		e = &wire.Error{Class: wire.ClassRetriable, Text: err.Error()}
-	}
-	return &pb.ContainerExceptionMapProto{ContainerId: id, Exception: &pb.SerializedExceptionProto{Message: &e.Text, ClassName: &e.Class}}
+	e := wire.AsError(err)
+	return &pb.ContainerExceptionMapProto{ContainerId: id, Exception: &pb.SerializedExceptionProto{Message: &e.Text, ClassName: proto.String(string(e.Class))}}
 }
 
 // start is one container that is to be started.
--- a/yarn/rest.go
+++ b/yarn/rest.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"net/http"
 	"net/netip"
 	"slices"
@@ -63,10 +62,7 @@
 
 // restError answers with the exception's class, as published.
 func restError(w http.ResponseWriter, err error) {
-	var e *wire.Error
-	if !errors.As(err, &e) {
-		e = &wire.Error{Class: wire.ClassRetriable, Text: err.Error()}
-	}
+	e := wire.AsError(err)
 	status := http.StatusBadRequest
 	switch e.Class {
 	case wire.ClassNoApp, wire.ClassNoContainer:
@@ -77,8 +73,9 @@
 	case wire.ClassAccess, wire.ClassInvalidToken:
 		status = http.StatusForbidden
 	}
-	name := e.Class[strings.LastIndexByte(e.Class, '.')+1:]
-	answerJSON(w, status, object{"RemoteException": object{"exception": name, "message": e.Text, "javaClassName": e.Class}})
+	class := string(e.Class)
+	name := class[strings.LastIndexByte(class, '.')+1:]
+	answerJSON(w, status, object{"RemoteException": object{"exception": name, "message": e.Text, "javaClassName": class}})
 }
 
 func answerJSON(w http.ResponseWriter, status int, v any) {
--- a/yarn/wire/client.go
+++ b/yarn/wire/client.go
@@ -18,44 +18,51 @@
 // DialFunc opens connections.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// ErrLost says that a connection ended while a call was under way: it may or
-// may not have been carried out.
+// ErrLost says that a connection ended during a call, which may or may not have been
+// executed.
 var ErrLost = errors.New("yarn: connection lost")
 
-// Conn is a client's connection, for calls of one protocol. Calls may be under
-// way at once.
+const (
+	// dialTimeout bounds the opening of a connection, and each write.
+	dialTimeout = 5 * time.Second
+	// maxResponseBytes is the largest frame that a client reads.
+	maxResponseBytes = 64 << 20
+	clientIDBytes    = 16
+	// protocolVersion is that of all of YARN's protocols.
+	protocolVersion = 1
+)
+
+// Conn is a client's connection, for calls of one protocol. Calls may be made at the same
+// time.
 type Conn struct {
-	c        net.Conn
+	conn     net.Conn
 	protocol string
-	client   []byte
-	limit    int
+	clientID []byte
 
-	wmu sync.Mutex
+	writeMu sync.Mutex
 
-	mu    sync.Mutex
-	next  int32
-	calls map[int32]chan answered
-	err   error
+	mu         sync.Mutex
+	lastCallID int32
+	pending    map[int32]chan<- response // by call id
+	err        error
 }
 
-type answered struct {
+// response is the outcome of a call: an error, or what follows the response's header.
+type response struct {
 	rest *bytes.Reader
 	err  error
 }
 
-// openFor is how long the opening of a connection may take.
-const openFor = 5 * time.Second
-
-// Dial opens a connection; with a token it is authenticated by that.
+// Dial opens a connection. With a token, client and server authenticate each other by it.
 func Dial(ctx context.Context, dial DialFunc, addr, protocol, user string, token *pb.TokenProto) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, openFor)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	raw, err := dial(ctx, "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("yarn: %w", err)
 	}
-	c := &Conn{c: raw, protocol: protocol, client: make([]byte, 16), limit: 64 << 20, calls: map[int32]chan answered{}}
-	_, _ = rand.Read(c.client) // never fails
+	c := &Conn{conn: raw, protocol: protocol, clientID: make([]byte, clientIDBytes), pending: map[int32]chan<- response{}}
+	_, _ = rand.Read(c.clientID) // never fails
 	stop := context.AfterFunc(ctx, func() { raw.Close() })
 	err = c.open(user, token)
 	if !stop() && err == nil {
@@ -65,16 +72,17 @@
 		raw.Close()
 		return nil, err
 	}
-	go c.read()
+	go c.readResponses()
 	return c, nil
 }
 
+// open sends what a connection begins with: magic and version, SASL, connection context.
 func (c *Conn) open(user string, token *pb.TokenProto) error {
-	head := append(bytes.Clone(magic), Version, 0, authNone)
+	auth := byte(authNone)
 	if token != nil {
-		head[6] = authSasl
+		auth = authSasl
 	}
-	if _, err := c.c.Write(head); err != nil {
+	if _, err := c.conn.Write(append(bytes.Clone(magic), Version, serviceClass, auth)); err != nil {
 		return fmt.Errorf("yarn: %w", err)
 	}
 	if token != nil {
@@ -85,56 +93,48 @@
 	return c.write(callContext, &pb.IpcConnectionContextProto{UserInfo: &pb.UserInformationProto{EffectiveUser: &user}, Protocol: &c.protocol})
 }
 
-func (c *Conn) write(id int32, ms ...proto.Message) error {
-	h := &pb.RpcRequestHeaderProto{RpcKind: pb.RpcKindProto_RPC_PROTOCOL_BUFFER.Enum(), RpcOp: pb.RpcRequestHeaderProto_RPC_FINAL_PACKET.Enum(),
-		CallId: &id, ClientId: c.client}
-	b, err := Frame(append([]proto.Message{h}, ms...)...)
+// write sends a request.
+func (c *Conn) write(callID int32, messages ...proto.Message) error {
+	header := &pb.RpcRequestHeaderProto{
+		RpcKind:  pb.RpcKindProto_RPC_PROTOCOL_BUFFER.Enum(),
+		RpcOp:    pb.RpcRequestHeaderProto_RPC_FINAL_PACKET.Enum(),
+		CallId:   &callID,
+		ClientId: c.clientID,
+	}
+	b, err := Frame(append([]proto.Message{header}, messages...)...)
 	if err != nil {
 		return err
 	}
-	c.wmu.Lock()
-	defer c.wmu.Unlock()
-	_ = c.c.SetWriteDeadline(time.Now().Add(openFor)) // fails only where the connection is closed
-	if _, err := c.c.Write(b); err != nil {
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	_ = c.conn.SetWriteDeadline(time.Now().Add(dialTimeout)) // fails only where the connection is closed
+	if _, err := c.conn.Write(b); err != nil {
 		return fmt.Errorf("%w: %w", ErrLost, err)
 	}
 	return nil
 }
 
+// authenticate proves to the server that the client knows the token, and has the server
+// prove the same.
 func (c *Conn) authenticate(token *pb.TokenProto) error {
-	say := func(m *pb.RpcSaslProto) (*pb.RpcSaslProto, error) {
-		if err := c.write(callSasl, m); err != nil {
-			return nil, err
-		}
-		f, err := ReadFrame(c.c, c.limit)
-		if err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrLost, err)
-		}
-		rest := bytes.NewReader(f)
-		if _, err := header(rest); err != nil {
-			return nil, err
-		}
-		var out pb.RpcSaslProto
-		return &out, part(rest, &out)
-	}
-	offer, err := say(&pb.RpcSaslProto{State: pb.RpcSaslProto_NEGOTIATE.Enum()})
+	offer, err := c.exchangeSASL(&pb.RpcSaslProto{State: pb.RpcSaslProto_NEGOTIATE.Enum()})
 	if err != nil {
 		return err
 	}
-	for _, a := range offer.GetAuths() {
-		if a.GetMethod() != saslMethod {
+	for _, auth := range offer.GetAuths() {
+		if auth.GetMethod() != saslMethodToken {
 			continue
 		}
-		proof, expect, err := respond(a.GetChallenge(), token.GetIdentifier(), token.GetPassword())
+		response, expected, err := respond(auth.GetChallenge(), token.GetIdentifier(), token.GetPassword())
 		if err != nil {
 			return err
 		}
-		a.Challenge = nil
-		done, err := say(&pb.RpcSaslProto{State: pb.RpcSaslProto_INITIATE.Enum(), Token: proof, Auths: []*pb.RpcSaslProto_SaslAuth{a}})
+		auth.Challenge = nil
+		done, err := c.exchangeSASL(&pb.RpcSaslProto{State: pb.RpcSaslProto_INITIATE.Enum(), Token: response, Auths: []*pb.RpcSaslProto_SaslAuth{auth}})
 		if err != nil {
 			return err
 		}
-		if done.GetState() != pb.RpcSaslProto_SUCCESS || string(done.GetToken()) != "rspauth="+expect {
+		if done.GetState() != pb.RpcSaslProto_SUCCESS || string(done.GetToken()) != expected {
 			return fmt.Errorf("%w: the server did not prove that it knows the token", ErrAuth)
 		}
 		return nil
@@ -142,91 +142,125 @@
 	return fmt.Errorf("%w: the server takes no tokens", ErrAuth)
 }
 
-// header reads a response's header; an error that it carries is returned.
-func header(rest *bytes.Reader) (*pb.RpcResponseHeaderProto, error) {
-	var h pb.RpcResponseHeaderProto
-	if err := part(rest, &h); err != nil {
+// exchangeSASL sends a SASL message and reads the answer.
+func (c *Conn) exchangeSASL(message *pb.RpcSaslProto) (*pb.RpcSaslProto, error) {
+	if err := c.write(callSasl, message); err != nil {
 		return nil, err
 	}
-	if h.GetStatus() != pb.RpcResponseHeaderProto_SUCCESS {
-		return &h, &Error{Class: h.GetExceptionClassName(), Text: h.GetErrorMsg()}
+	frame, err := ReadFrame(c.conn, maxResponseBytes)
+	if err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrLost, err)
+	}
+	rest := bytes.NewReader(frame)
+	if _, err := readResponseHeader(rest); err != nil {
+		return nil, err
 	}
-	return &h, nil
+	var out pb.RpcSaslProto
+	return &out, readMessage(rest, &out)
 }
 
-func (c *Conn) read() {
+// readResponseHeader reads a response's header. An error that the header carries is
+// returned along with the header; of one that can't be read there is no header.
+func readResponseHeader(rest *bytes.Reader) (*pb.RpcResponseHeaderProto, error) {
+	var header pb.RpcResponseHeaderProto
+	if err := readMessage(rest, &header); err != nil {
+		return nil, err
+	}
+	if header.GetStatus() != pb.RpcResponseHeaderProto_SUCCESS {
+		return &header, &Error{Class: ExceptionClass(header.GetExceptionClassName()), Text: header.GetErrorMsg()}
+	}
+	return &header, nil
+}
+
+// readResponses hands responses to the calls that wait for them, until the connection ends.
+func (c *Conn) readResponses() {
 	for {
-		f, err := ReadFrame(c.c, c.limit)
+		frame, err := ReadFrame(c.conn, maxResponseBytes)
 		if err != nil {
-			c.end(fmt.Errorf("%w: %w", ErrLost, err))
+			c.fail(fmt.Errorf("%w: %w", ErrLost, err))
 			return
 		}
-		rest := bytes.NewReader(f)
-		h, err := header(rest)
-		if h == nil {
-			c.end(err)
+		rest := bytes.NewReader(frame)
+		header, err := readResponseHeader(rest)
+		if header == nil {
+			c.fail(err)
 			return
 		}
-		c.mu.Lock()
-		done := c.calls[int32(h.GetCallId())]
-		delete(c.calls, int32(h.GetCallId()))
-		c.mu.Unlock()
-		if done != nil {
-			done <- answered{rest, err}
+		if waiting := c.takePending(int32(header.GetCallId())); waiting != nil {
+			waiting <- response{rest, err}
 		}
-		if h.GetStatus() == pb.RpcResponseHeaderProto_FATAL {
-			c.end(err)
+		if header.GetStatus() == pb.RpcResponseHeaderProto_FATAL {
+			c.fail(err)
 			return
 		}
 	}
 }
 
-func (c *Conn) end(err error) {
-	c.c.Close()
+// takePending removes a pending call; nil if there is none by this id.
+func (c *Conn) takePending(callID int32) chan<- response {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	waiting := c.pending[callID]
+	delete(c.pending, callID)
+	return waiting
+}
+
+// fail ends the connection, and with it all pending calls. The first error is kept.
+func (c *Conn) fail(err error) {
+	c.conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err == nil {
 		c.err = err
 	}
-	for id, done := range c.calls {
-		delete(c.calls, id)
-		done <- answered{err: c.err}
+	for id, waiting := range c.pending {
+		delete(c.pending, id)
+		waiting <- response{err: c.err}
 	}
 }
 
-// Call makes a call. An *Error is what the server said; ErrLost leaves open
-// whether the call was carried out.
-func (c *Conn) Call(ctx context.Context, method string, in, out proto.Message) error {
-	done := make(chan answered, 1)
+// addPending makes up the id of a new call, whose response will be sent to the channel.
+func (c *Conn) addPending(waiting chan<- response) (callID int32, err error) {
 	c.mu.Lock()
+	defer c.mu.Unlock()
 	if c.err != nil {
-		defer c.mu.Unlock()
-		return c.err
-	}
-	c.next++
-	id := c.next
-	c.calls[id] = done
-	c.mu.Unlock()
-	version := uint64(1)
-	if err := c.write(id, &pb.RequestHeaderProto{MethodName: &method, DeclaringClassProtocolName: &c.protocol, ClientProtocolVersion: &version}, in); err != nil {
-		c.end(err)
+		return 0, c.err
+	}
+	c.lastCallID++
+	c.pending[c.lastCallID] = waiting
+	return c.lastCallID, nil
+}
+
+// Call makes a call. An *Error is the server's answer; ErrLost leaves open whether the call
+// was executed.
+func (c *Conn) Call(ctx context.Context, method string, in, out proto.Message) error {
+	waiting := make(chan response, 1) // so that a late response blocks nobody
+	id, err := c.addPending(waiting)
+	if err != nil {
+		return err
+	}
+	header := &pb.RequestHeaderProto{
+		MethodName:                 &method,
+		DeclaringClassProtocolName: &c.protocol,
+		ClientProtocolVersion:      proto.Uint64(protocolVersion),
+	}
+	if err := c.write(id, header, in); err != nil {
+		c.fail(err)
 		return err
 	}
 	select {
-	case a := <-done:
-		if a.err != nil {
-			return a.err
+	case answer := <-waiting:
+		if answer.err != nil {
+			return answer.err
 		}
-		return part(a.rest, out)
+		return readMessage(answer.rest, out)
 	case <-ctx.Done():
-		c.mu.Lock()
-		delete(c.calls, id)
-		c.mu.Unlock()
+		c.takePending(id)
 		return fmt.Errorf("%w: %w", ErrLost, ctx.Err())
 	}
 }
 
-// Err says why the connection has ended, nil while it has not.
+// Err says why the connection has ended; nil while it is open.
 func (c *Conn) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -234,4 +268,4 @@
 }
 
 // Close ends the connection.
-func (c *Conn) Close() { c.end(net.ErrClosed) }
+func (c *Conn) Close() { c.fail(net.ErrClosed) }
--- a/yarn/wire/doc.go
+++ b/yarn/wire/doc.go
@@ -1,7 +1,7 @@
-// Package wire speaks Hadoop RPC, version 9, as YARN's clients do: frames,
-// headers, SASL, calls in flight on one connection, and YARN's records as
-// Protocol Buffers (pb). Servers and clients use the same code; nothing here
-// knows of jobs or queues.
+// Package wire implements Hadoop RPC, version 9, as YARN's clients speak it: frames,
+// headers, SASL, concurrent calls on one connection, and YARN's records as Protocol Buffers
+// (package pb). It has the server's side (Server) and the client's (Conn), and knows nothing
+// of jobs or queues.
 package wire
 
 //go:generate go run ./gen
--- a/yarn/wire/frame.go
+++ b/yarn/wire/frame.go
@@ -17,38 +17,54 @@
 const (
 	// Version of Hadoop RPC.
 	Version = 9
-	// MaxFrame is the largest frame that is read, in bytes.
+	// MaxFrame is the largest frame that a server reads, in bytes.
 	MaxFrame = 4 << 20
+)
+
+// The opening of a connection: magic, then one byte each for version, service class and
+// authentication.
+const (
+	openingBytes = 7
+	versionAt    = 4
+	authAt       = 6
+
+	serviceClass = 0
+	authNone     = 0
+	authSasl     = 0xdf // -33
+)
 
-	authNone = 0
-	authSasl = 0xdf // -33
+var magic = []byte("hrpc")
 
+// Call ids of frames that are no calls.
+const (
 	callContext = -3
 	callPing    = -4
 	callSasl    = -33
 )
 
-var magic = []byte("hrpc")
-
-// ErrFrame marks input that is no frame of Hadoop RPC.
+// ErrFrame says that input is not a valid frame of Hadoop RPC.
 var ErrFrame = errors.New("yarn: malformed frame")
 
-// frameStep is how much room is made for a frame at a time: a length that is
-// only claimed costs no more than this beyond what really arrives.
+// lengthBytes is the size of the length that precedes a frame.
+const lengthBytes = 4
+
+// frameStep is how much memory is allocated for a frame at a time, in bytes: a client that
+// announces a long frame and does not send it takes no more than this.
 const frameStep = 16 << 10
 
-// ReadFrame reads one frame: its length in four bytes, and that many more.
-func ReadFrame(r io.Reader, most int) ([]byte, error) {
-	var head [4]byte
+// ReadFrame reads one frame: its length, and that many bytes. A frame of more than maxBytes
+// is an ErrFrame.
+func ReadFrame(r io.Reader, maxBytes int) ([]byte, error) {
+	var head [lengthBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		return nil, err
 	}
-	n := int64(int32(binary.BigEndian.Uint32(head[:])))
-	if n < 1 || n > int64(most) {
-		return nil, fmt.Errorf("%w: length %d", ErrFrame, n)
+	length := int64(int32(binary.BigEndian.Uint32(head[:])))
+	if length < 1 || length > int64(maxBytes) {
+		return nil, fmt.Errorf("%w: length %d", ErrFrame, length)
 	}
 	var buf bytes.Buffer
-	for left := n; left > 0; {
+	for left := length; left > 0; {
 		step := min(left, frameStep)
 		got, err := io.CopyN(&buf, r, step)
 		left -= got
@@ -63,40 +79,39 @@
 }
 
 // Frame makes a frame of messages, each preceded by its length.
-func Frame(ms ...proto.Message) ([]byte, error) {
-	out := make([]byte, 4, 256)
-	for _, m := range ms {
-		b, err := proto.Marshal(m)
+func Frame(messages ...proto.Message) ([]byte, error) {
+	out := make([]byte, lengthBytes, 256)
+	for _, message := range messages {
+		b, err := proto.Marshal(message)
 		if err != nil {
 			return nil, fmt.Errorf("yarn: %w", err)
 		}
 		out = append(protowire.AppendVarint(out, uint64(len(b))), b...)
 	}
-	binary.BigEndian.PutUint32(out, uint32(len(out)-4))
+	binary.BigEndian.PutUint32(out, uint32(len(out)-lengthBytes))
 	return out, nil
 }
 
-// part takes the next message off a frame. Fields that it does not know are
-// kept, and no error.
-func part(rest *bytes.Reader, m proto.Message) error {
-	if err := (protodelim.UnmarshalOptions{MaxSize: int64(rest.Len())}).UnmarshalFrom(rest, m); err != nil {
-		// A message that ends too soon is malformed, and no end of its connection.
-		return fmt.Errorf("%w: %s: %v", ErrFrame, m.ProtoReflect().Descriptor().Name(), err) //nolint:errorlint // callers ask for io.EOF
+// readMessage reads the next message of a frame. Unknown fields are kept, and no error.
+func readMessage(rest *bytes.Reader, message proto.Message) error {
+	if err := (protodelim.UnmarshalOptions{MaxSize: int64(rest.Len())}).UnmarshalFrom(rest, message); err != nil {
+		// io.EOF is not wrapped: the message is malformed, which is not the end of the connection.
+		return fmt.Errorf("%w: %s: %v", ErrFrame, message.ProtoReflect().Descriptor().Name(), err) //nolint:errorlint // callers ask for io.EOF
 	}
 	return nil
 }
 
-// Request is a call as it came.
+// Request is a received request.
 type Request struct {
 	Header *pb.RpcRequestHeaderProto
-	Method *pb.RequestHeaderProto // nil for what is no call
+	Method *pb.RequestHeaderProto // nil unless it is a call
 	rest   *bytes.Reader
 }
 
-// ParseRequest takes a request's frame apart as far as its method.
+// ParseRequest parses a request's frame as far as its method.
 func ParseRequest(frame []byte) (*Request, error) {
 	r := &Request{Header: &pb.RpcRequestHeaderProto{}, rest: bytes.NewReader(frame)}
-	if err := part(r.rest, r.Header); err != nil {
+	if err := readMessage(r.rest, r.Header); err != nil {
 		return nil, err
 	}
 	if r.Header.GetCallId() < 0 {
@@ -106,8 +121,8 @@
 		return r, fmt.Errorf("%w: rpc kind %v", ErrFrame, k)
 	}
 	r.Method = &pb.RequestHeaderProto{}
-	return r, part(r.rest, r.Method)
+	return r, readMessage(r.rest, r.Method)
 }
 
-// Body reads what the call carries.
-func (r *Request) Body(m proto.Message) error { return part(r.rest, m) }
+// Body reads the request's parameters, or the message of a request that is no call.
+func (r *Request) Body(message proto.Message) error { return readMessage(r.rest, message) }
--- a/yarn/wire/sasl.go
+++ b/yarn/wire/sasl.go
@@ -11,21 +11,29 @@
 	"strings"
 )
 
-// This file is SASL's DIGEST-MD5 (RFC 2831) in the one form that Hadoop's tokens
-// use: user and password are the token's identifier and password in base64, the
-// realm is "default", and only authentication is asked for.
+// SASL's DIGEST-MD5 (RFC 2831) in the one form that Hadoop's tokens use: username and
+// password are the token's identifier and password in base64, the realm is "default", and
+// the quality of protection is authentication only.
+const (
+	saslMethodToken  = "TOKEN"
+	saslMethodSimple = "SIMPLE"
+	saslMechanism    = "DIGEST-MD5"
+	saslRealm        = "default"
+	saslURI          = "/default"
+	saslNonceCount   = "00000001" // a nonce is used once
+)
 
+// What the digest of a client's response begins with; that of the server's is empty.
 const (
-	saslMethod    = "TOKEN"
-	saslMechanism = "DIGEST-MD5"
-	saslRealm     = "default"
-	saslURI       = "/default"
+	clientDigestMethod = "AUTHENTICATE"
+	serverDigestMethod = ""
 )
 
 // ErrAuth says that a token was not accepted.
 var ErrAuth = errors.New("yarn: not authenticated")
 
-func nonce() (string, error) {
+// newNonce returns a random nonce. Server and client each contribute one.
+func newNonce() (string, error) {
 	b := make([]byte, 24)
 	if _, err := rand.Read(b); err != nil {
 		return "", fmt.Errorf("yarn: %w", err)
@@ -33,104 +41,153 @@
 	return base64.StdEncoding.EncodeToString(b), nil
 }
 
+// challenge returns the server's digest-challenge.
 func challenge(nonce string) []byte {
 	return []byte(fmt.Sprintf(`realm="%s",nonce="%s",qop="auth",charset=utf-8,algorithm=md5-sess`, saslRealm, nonce))
 }
 
-// digest is the proof that whoever has made it knows the password.
-func digest(begin, user, realm, password, nonce, cnonce, nc, uri string) string {
-	h := func(s string) []byte { d := md5.Sum([]byte(s)); return d[:] }
-	a1 := string(h(user+":"+realm+":"+password)) + ":" + nonce + ":" + cnonce
-	return hex.EncodeToString(h(hex.EncodeToString(h(a1)) + ":" + nonce + ":" + nc + ":" + cnonce + ":auth:" +
-		hex.EncodeToString(h(begin+":"+uri))))
+// digest is what a response value is computed from, by the names of RFC 2831.
+type digest struct {
+	username, realm, password string
+	nonce, cnonce, nonceCount string
+	uri                       string
+}
+
+// response computes a response value: whoever made it knows the password.
+func (d *digest) response(method string) string {
+	a1 := string(md5Sum(d.username+":"+d.realm+":"+d.password)) + ":" + d.nonce + ":" + d.cnonce
+	a2 := method + ":" + d.uri
+	return hexMD5(hexMD5(a1) + ":" + d.nonce + ":" + d.nonceCount + ":" + d.cnonce + ":auth:" + hexMD5(a2))
+}
+
+func md5Sum(s string) []byte {
+	sum := md5.Sum([]byte(s))
+	return sum[:]
 }
 
-// directives reads key=value pairs, quoted or not.
-func directives(b []byte) (map[string]string, error) {
+func hexMD5(s string) string { return hex.EncodeToString(md5Sum(s)) }
+
+// serverProof is the message by which the server proves in turn that it knows the password.
+func (d *digest) serverProof() string { return "rspauth=" + d.response(serverDigestMethod) }
+
+// errMalformedDirectives is what input is answered that is no list of key=value pairs.
+var errMalformedDirectives = fmt.Errorf("%w: malformed directives", ErrAuth)
+
+// parseDirectives parses key=value pairs, quoted or not. No key may occur twice.
+func parseDirectives(b []byte) (map[string]string, error) {
 	out := map[string]string{}
 	s := string(b)
 	for s != "" {
 		key, rest, ok := strings.Cut(s, "=")
 		key = strings.ToLower(strings.TrimSpace(strings.TrimLeft(key, ", ")))
 		if !ok || key == "" || out[key] != "" {
-			return nil, fmt.Errorf("%w: malformed directives", ErrAuth)
+			return nil, errMalformedDirectives
 		}
-		var v strings.Builder
-		if strings.HasPrefix(rest, `"`) {
-			i := 1
-			for ; i < len(rest) && rest[i] != '"'; i++ {
-				if rest[i] == '\\' && i+1 < len(rest) {
-					i++
-				}
-				v.WriteByte(rest[i])
-			}
-			if i >= len(rest) {
-				return nil, fmt.Errorf("%w: malformed directives", ErrAuth)
-			}
-			rest = rest[i+1:]
-		} else {
-			plain, _, _ := strings.Cut(rest, ",")
-			v.WriteString(strings.TrimSpace(plain))
-			rest = rest[len(plain):]
+		value, rest, err := cutDirectiveValue(rest)
+		if err != nil {
+			return nil, err
 		}
-		out[key] = v.String()
+		out[key] = value
 		s = strings.TrimLeft(rest, ", ")
 	}
 	return out, nil
 }
 
+// cutDirectiveValue parses the value that s begins with and returns what follows it.
+func cutDirectiveValue(s string) (value, rest string, err error) {
+	if !strings.HasPrefix(s, `"`) {
+		plain, _, _ := strings.Cut(s, ",")
+		return strings.TrimSpace(plain), s[len(plain):], nil
+	}
+	var unquoted strings.Builder
+	i := 1
+	for ; i < len(s) && s[i] != '"'; i++ {
+		if s[i] == '\\' && i+1 < len(s) {
+			i++
+		}
+		unquoted.WriteByte(s[i])
+	}
+	if i >= len(s) {
+		return "", "", errMalformedDirectives
+	}
+	return unquoted.String(), s[i+1:], nil
+}
+
 func quote(s string) string {
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
 }
 
-// respond is a client's answer to a challenge; expect is what the server must
-// prove in turn.
-func respond(ch, identifier, password []byte) (token []byte, expect string, err error) {
-	d, err := directives(ch)
+// respond returns a client's digest-response to a challenge, and the proof that the server
+// has to answer it with.
+func respond(challenge, identifier, password []byte) (response []byte, expected string, err error) {
+	directives, err := parseDirectives(challenge)
 	if err != nil {
 		return nil, "", err
 	}
-	if d["nonce"] == "" {
+	if directives["nonce"] == "" {
 		return nil, "", fmt.Errorf("%w: no nonce", ErrAuth)
 	}
-	cnonce, err := nonce()
+	cnonce, err := newNonce()
 	if err != nil {
 		return nil, "", err
 	}
-	user, pw := base64.StdEncoding.EncodeToString(identifier), base64.StdEncoding.EncodeToString(password)
-	proof := digest("AUTHENTICATE", user, saslRealm, pw, d["nonce"], cnonce, "00000001", saslURI)
-	out := fmt.Sprintf(`charset=utf-8,username=%s,realm="%s",nonce=%s,nc=00000001,cnonce=%s,digest-uri="%s",maxbuf=65536,response=%s,qop=auth`,
-		quote(user), saslRealm, quote(d["nonce"]), quote(cnonce), saslURI, proof)
-	return []byte(out), digest("", user, saslRealm, pw, d["nonce"], cnonce, "00000001", saslURI), nil
+	d := digest{
+		username:   base64.StdEncoding.EncodeToString(identifier),
+		realm:      saslRealm,
+		password:   base64.StdEncoding.EncodeToString(password),
+		nonce:      directives["nonce"],
+		cnonce:     cnonce,
+		nonceCount: saslNonceCount,
+		uri:        saslURI,
+	}
+	out := fmt.Sprintf(`charset=utf-8,username=%s,realm="%s",nonce=%s,nc=%s,cnonce=%s,digest-uri="%s",maxbuf=65536,response=%s,qop=auth`,
+		quote(d.username), d.realm, quote(d.nonce), d.nonceCount, quote(d.cnonce), d.uri, d.response(clientDigestMethod))
+	return []byte(out), d.serverProof(), nil
 }
 
-// verify checks a client's response and returns the token's identifier and the
-// server's own proof. password finds a token's password, an error if the token
-// is not valid any more.
-func verify(response []byte, nonce string, password func(identifier []byte) ([]byte, error)) (identifier, proof []byte, err error) {
-	d, err := directives(response)
+// passwordOf finds the password of a token. An *Error says why the token is not valid; any
+// other error says that this can't be found out now.
+type passwordOf func(identifier []byte) ([]byte, error)
+
+// verify checks a client's digest-response to the challenge with the given nonce. It returns
+// the token's identifier and the server's own proof.
+func verify(response []byte, nonce string, password passwordOf) (identifier, proof []byte, err error) {
+	directives, err := parseDirectives(response)
 	if err != nil {
 		return nil, nil, err
 	}
-	identifier, derr := base64.StdEncoding.DecodeString(d["username"])
-	switch {
-	case derr != nil || len(identifier) == 0:
+	identifier, err = base64.StdEncoding.DecodeString(directives["username"])
+	if err != nil || len(identifier) == 0 {
 		return nil, nil, fmt.Errorf("%w: no token", ErrAuth)
-	case d["nonce"] != nonce || d["realm"] != saslRealm || d["qop"] != "auth" || d["nc"] != "00000001" || d["digest-uri"] != saslURI || d["cnonce"] == "":
+	}
+	if !answersChallenge(directives, nonce) {
 		return nil, nil, fmt.Errorf("%w: the response is to another challenge", ErrAuth)
 	}
-	pass, err := password(identifier)
+	secret, err := password(identifier)
 	if err != nil {
-		var e *Error
-		if !errors.As(err, &e) {
-			return nil, nil, err // not known yet: no word on the token
+		var invalid *Error
+		if !errors.As(err, &invalid) {
+			return nil, nil, err // says nothing about the token
 		}
 		return nil, nil, fmt.Errorf("%w: %v", ErrAuth, err) //nolint:errorlint // ErrAuth is what is answered, not the class of the cause
 	}
-	pw := base64.StdEncoding.EncodeToString(pass)
-	want := digest("AUTHENTICATE", d["username"], saslRealm, pw, nonce, d["cnonce"], d["nc"], saslURI)
-	if !hmac.Equal([]byte(want), []byte(strings.ToLower(d["response"]))) {
+	d := digest{
+		username:   directives["username"],
+		realm:      saslRealm,
+		password:   base64.StdEncoding.EncodeToString(secret),
+		nonce:      nonce,
+		cnonce:     directives["cnonce"],
+		nonceCount: directives["nc"],
+		uri:        saslURI,
+	}
+	if !hmac.Equal([]byte(d.response(clientDigestMethod)), []byte(strings.ToLower(directives["response"]))) {
 		return nil, nil, fmt.Errorf("%w: wrong password", ErrAuth)
 	}
-	return identifier, []byte("rspauth=" + digest("", d["username"], saslRealm, pw, nonce, d["cnonce"], d["nc"], saslURI)), nil
+	return identifier, []byte(d.serverProof()), nil
+}
+
+// answersChallenge says whether a response is to the challenge with this nonce.
+func answersChallenge(directives map[string]string, nonce string) bool {
+	return directives["nonce"] == nonce && directives["realm"] == saslRealm && directives["qop"] == "auth" &&
+		directives["nc"] == saslNonceCount && directives["digest-uri"] == saslURI && directives["cnonce"] != ""
 }
--- /dev/null
+++ b/yarn/wire/server_conn.go
@@ -0,0 +1,228 @@
+package wire
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"sync"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// noCallID is the call id of an answer that belongs to no call.
+const noCallID = -1
+
+// readBufferBytes is how much is read from a connection at once.
+const readBufferBytes = 8 << 10
+
+// serverConn is the server's side of one connection.
+type serverConn struct {
+	server *Server
+	conn   net.Conn
+	reader *bufio.Reader
+	caller Caller
+
+	writeMu sync.Mutex // answers of calls that run at the same time go out one by one
+}
+
+// serveConn reads the opening of a connection, authenticates its caller where it asks for
+// that, and serves its calls.
+func (s *Server) serveConn(ctx context.Context, conn net.Conn) error {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	c := &serverConn{server: s, conn: conn, reader: bufio.NewReaderSize(conn, readBufferBytes)}
+	_ = conn.SetReadDeadline(time.Now().Add(s.FrameTimeout))
+	var opening [openingBytes]byte
+	if _, err := io.ReadFull(c.reader, opening[:]); err != nil {
+		return err
+	}
+	if !bytes.Equal(opening[:len(magic)], magic) {
+		return fmt.Errorf("%w: no hrpc", ErrFrame)
+	}
+	if opening[versionAt] != Version {
+		return errors.Join(ErrFrame, c.sendFatal(noCallID, pb.RpcResponseHeaderProto_FATAL_VERSION_MISMATCH,
+			Errorf(ClassVersion, "this server speaks version %d", Version)))
+	}
+	switch opening[authAt] {
+	case authNone:
+	case authSasl:
+		if err := c.authenticate(ctx); err != nil {
+			return err
+		}
+	default:
+		return fmt.Errorf("%w: authentication %d", ErrFrame, opening[authAt])
+	}
+	return c.serveCalls(ctx)
+}
+
+// readFrame reads a frame. It may be idle for long before the frame begins, but not within
+// the frame.
+func (c *serverConn) readFrame(idle time.Duration) ([]byte, error) {
+	_ = c.conn.SetReadDeadline(time.Now().Add(idle))
+	if _, err := c.reader.Peek(1); err != nil {
+		return nil, err
+	}
+	_ = c.conn.SetReadDeadline(time.Now().Add(c.server.FrameTimeout))
+	return ReadFrame(c.reader, c.server.MaxFrameBytes)
+}
+
+// send writes one frame of the messages.
+func (c *serverConn) send(messages ...proto.Message) error {
+	b, err := Frame(messages...)
+	if err != nil {
+		return err
+	}
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
+	_ = c.conn.SetWriteDeadline(time.Now().Add(c.server.FrameTimeout)) // fails only where the connection is closed
+	_, err = c.conn.Write(b)
+	return err
+}
+
+// sendFatal answers with an error after which the connection ends.
+func (c *serverConn) sendFatal(callID int32, code pb.RpcResponseHeaderProto_RpcErrorCodeProto, err error) error {
+	return c.send(errorHeader(callID, pb.RpcResponseHeaderProto_FATAL, code, err))
+}
+
+// errorHeader is the header of an answer that is an error.
+func errorHeader(callID int32, status pb.RpcResponseHeaderProto_RpcStatusProto, code pb.RpcResponseHeaderProto_RpcErrorCodeProto, err error) *pb.RpcResponseHeaderProto {
+	e := AsError(err)
+	return &pb.RpcResponseHeaderProto{
+		CallId:              proto.Uint32(uint32(callID)),
+		Status:              status.Enum(),
+		ServerIpcVersionNum: proto.Uint32(Version),
+		ExceptionClassName:  proto.String(string(e.Class)),
+		ErrorMsg:            proto.String(e.Text),
+		ErrorDetail:         code.Enum(),
+	}
+}
+
+// serveCalls reads requests until the connection ends, and serves calls at the same time up
+// to the limit; beyond it, the client's frames wait in its connection.
+func (c *serverConn) serveCalls(ctx context.Context) error {
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	slots := make(chan struct{}, c.server.MaxCallsPerConn)
+	haveContext := false
+	for {
+		req, err := c.readRequest()
+		if err != nil {
+			return err
+		}
+		if req.Header.GetRpcOp() == pb.RpcRequestHeaderProto_RPC_CLOSE_CONNECTION {
+			return nil
+		}
+		switch id := req.Header.GetCallId(); {
+		case id == callPing:
+			continue
+		case id == callContext && !haveContext:
+			if err := c.readContext(req); err != nil {
+				return err
+			}
+			haveContext = true
+			continue
+		case id < 0 || !haveContext:
+			return errors.Join(ErrFrame, c.sendFatal(id, pb.RpcResponseHeaderProto_FATAL_INVALID_RPC_HEADER,
+				Errorf(ClassServer, "no connection context, or an unknown call id")))
+		}
+		select {
+		case slots <- struct{}{}:
+		case <-ctx.Done():
+			return ctx.Err()
+		}
+		wg.Go(func() {
+			defer func() { <-slots }()
+			if err := c.serveCall(ctx, req); err != nil {
+				c.conn.Close()
+			}
+		})
+	}
+}
+
+// readRequest reads a request; one that is malformed is answered, and ends the connection.
+func (c *serverConn) readRequest() (*Request, error) {
+	frame, err := c.readFrame(c.server.IdleTimeout)
+	if err != nil {
+		return nil, err
+	}
+	req, err := ParseRequest(frame)
+	if err != nil {
+		id := int32(noCallID)
+		if req != nil {
+			id = req.Header.GetCallId()
+		}
+		return nil, errors.Join(err, c.sendFatal(id, pb.RpcResponseHeaderProto_FATAL_INVALID_RPC_HEADER, Errorf(ClassServer, "%s", err)))
+	}
+	return req, nil
+}
+
+// readContext learns from the connection context who calls, and which protocol.
+func (c *serverConn) readContext(req *Request) error {
+	var m pb.IpcConnectionContextProto
+	if err := req.Body(&m); err != nil {
+		return err
+	}
+	c.caller.User, c.caller.Protocol = m.GetUserInfo().GetEffectiveUser(), m.GetProtocol()
+	return nil
+}
+
+// serveCall serves one call and answers it.
+func (c *serverConn) serveCall(ctx context.Context, req *Request) error {
+	out, failure := c.execute(ctx, req)
+	if failure != nil {
+		h := errorHeader(req.Header.GetCallId(), pb.RpcResponseHeaderProto_ERROR, failure.code, failure.err)
+		h.ClientId = req.Header.GetClientId()
+		return c.send(h)
+	}
+	return c.send(&pb.RpcResponseHeaderProto{
+		CallId:   proto.Uint32(uint32(req.Header.GetCallId())),
+		Status:   pb.RpcResponseHeaderProto_SUCCESS.Enum(),
+		ClientId: req.Header.GetClientId(),
+	}, out)
+}
+
+// callFailure is why a call was not served, with the code by which the protocol names it.
+type callFailure struct {
+	code pb.RpcResponseHeaderProto_RpcErrorCodeProto
+	err  error
+}
+
+// execute runs the method that a request names.
+func (c *serverConn) execute(ctx context.Context, req *Request) (proto.Message, *callFailure) {
+	protocolName, methodName := req.Method.GetDeclaringClassProtocolName(), req.Method.GetMethodName()
+	protocol, ok := c.server.Protocols[protocolName]
+	if !ok {
+		return nil, &callFailure{pb.RpcResponseHeaderProto_ERROR_NO_SUCH_PROTOCOL, Errorf(ClassNoProtocol, "unknown protocol %s", protocolName)}
+	}
+	if protocol.NeedToken && c.caller.Identifier == nil {
+		return nil, &callFailure{pb.RpcResponseHeaderProto_ERROR_APPLICATION, Errorf(ClassAccess, "%s needs a token", protocolName)}
+	}
+	method, ok := protocol.Methods[methodName]
+	if !ok {
+		return nil, &callFailure{pb.RpcResponseHeaderProto_ERROR_NO_SUCH_METHOD, Errorf(ClassNoMethod, "%s is not supported", methodName)}
+	}
+	in := method.newRequest()
+	if err := req.Body(in); err != nil {
+		return nil, &callFailure{pb.RpcResponseHeaderProto_FATAL_DESERIALIZING_REQUEST, Errorf(ClassServer, "%v", err)}
+	}
+	select {
+	case c.server.callSlots <- struct{}{}:
+		defer func() { <-c.server.callSlots }()
+	default:
+		return nil, &callFailure{pb.RpcResponseHeaderProto_ERROR_APPLICATION, Errorf(ClassRetriable, "too many calls under way")}
+	}
+	ctx, cancel := context.WithTimeout(ctx, c.server.CallTimeout)
+	defer cancel()
+	out, err := method.call(ctx, &c.caller, in)
+	if err != nil {
+		return nil, &callFailure{pb.RpcResponseHeaderProto_ERROR_APPLICATION, err}
+	}
+	return out, nil
+}
--- /dev/null
+++ b/yarn/wire/server_sasl.go
@@ -0,0 +1,107 @@
+package wire
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// maxSASLMessages bounds what a client may send until it is authenticated.
+const maxSASLMessages = 4
+
+// saslCallID is callSasl as answers carry it, without a sign.
+const saslCallID = uint32(0xffffffff + callSasl + 1)
+
+// authenticate negotiates by SASL with which authentication the caller goes on, a token or
+// none, and verifies the token.
+func (c *serverConn) authenticate(ctx context.Context) error {
+	nonce, err := newNonce()
+	if err != nil {
+		return err
+	}
+	for range maxSASLMessages {
+		message, err := c.readSASL()
+		if err != nil {
+			return err
+		}
+		switch message.GetState() {
+		case pb.RpcSaslProto_NEGOTIATE:
+			if err := c.sendSASL(negotiation(nonce)); err != nil {
+				return err
+			}
+		case pb.RpcSaslProto_INITIATE, pb.RpcSaslProto_RESPONSE:
+			if len(message.Auths) == 1 && message.Auths[0].GetMethod() == saslMethodSimple {
+				return c.sendSASL(&pb.RpcSaslProto{State: pb.RpcSaslProto_SUCCESS.Enum()})
+			}
+			return c.authenticateToken(ctx, nonce, message.GetToken())
+		default:
+			return fmt.Errorf("%w: SASL state %v", ErrFrame, message.GetState())
+		}
+	}
+	return ErrAuth
+}
+
+// negotiation offers tokens, with the challenge, and simple authentication.
+func negotiation(nonce string) *pb.RpcSaslProto {
+	return &pb.RpcSaslProto{State: pb.RpcSaslProto_NEGOTIATE.Enum(), Auths: []*pb.RpcSaslProto_SaslAuth{
+		{
+			Method:    proto.String(saslMethodToken),
+			Mechanism: proto.String(saslMechanism),
+			Protocol:  proto.String(""),
+			ServerId:  proto.String(saslRealm),
+			Challenge: challenge(nonce),
+		},
+		{Method: proto.String(saslMethodSimple), Mechanism: proto.String("")},
+	}}
+}
+
+// authenticateToken verifies the response to the challenge and answers it.
+func (c *serverConn) authenticateToken(ctx context.Context, nonce string, response []byte) error {
+	identifier, proof, err := verify(response, nonce, func(identifier []byte) ([]byte, error) {
+		return c.password(ctx, identifier)
+	})
+	if errors.Is(err, ErrAuth) {
+		return errors.Join(err, c.sendFatal(callSasl, pb.RpcResponseHeaderProto_FATAL_UNAUTHORIZED, Errorf(ClassInvalidToken, "%s", err)))
+	}
+	if err != nil {
+		// An application master whose token is called invalid gives up for good, so an
+		// overloaded key-value store must not lead to that answer.
+		return errors.Join(err, c.sendFatal(callSasl, pb.RpcResponseHeaderProto_FATAL_UNKNOWN, Errorf(ClassRetriable, "%s", err)))
+	}
+	c.caller.Identifier = identifier
+	return c.sendSASL(&pb.RpcSaslProto{State: pb.RpcSaslProto_SUCCESS.Enum(), Token: proof})
+}
+
+func (c *serverConn) password(ctx context.Context, identifier []byte) ([]byte, error) {
+	if c.server.Password == nil {
+		return nil, Errorf(ClassInvalidToken, "no tokens here")
+	}
+	ctx, cancel := context.WithTimeout(ctx, c.server.CallTimeout)
+	defer cancel()
+	return c.server.Password(ctx, identifier)
+}
+
+func (c *serverConn) readSASL() (*pb.RpcSaslProto, error) {
+	frame, err := c.readFrame(c.server.FrameTimeout)
+	if err != nil {
+		return nil, err
+	}
+	req, err := ParseRequest(frame)
+	if err != nil || req.Header.GetCallId() != callSasl {
+		return nil, errors.Join(ErrFrame, err)
+	}
+	var message pb.RpcSaslProto
+	return &message, req.Body(&message)
+}
+
+func (c *serverConn) sendSASL(message *pb.RpcSaslProto) error {
+	return c.send(&pb.RpcResponseHeaderProto{
+		CallId:              proto.Uint32(saslCallID),
+		Status:              pb.RpcResponseHeaderProto_SUCCESS.Enum(),
+		ServerIpcVersionNum: proto.Uint32(Version),
+	}, message)
+}
--- a/yarn/wire/wire_test.go
+++ b/yarn/wire/wire_test.go
@@ -22,46 +22,46 @@
 
 const testProtocol = "org.example.Test"
 
-// serve begins a story with a server that echoes an application's name after as
-// many seconds as its id says.
-func serve(t *testing.T, change func(s *Server), tell func(t *testing.T, p *memnet.Listener)) {
+// startServer starts a server for the time of the test. Its method waits for as many
+// seconds as the application's id says.
+func startServer(t *testing.T, change func(s *Server)) *memnet.Listener {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
-		echo := Handle(func(ctx context.Context, c *Caller, in *pb.KillApplicationRequestProto) (*pb.KillApplicationResponseProto, error) {
-			select {
-			case <-time.After(time.Duration(in.GetApplicationId().GetId()) * time.Second):
-			case <-ctx.Done():
-				return nil, ctx.Err()
-			}
-			if in.GetDiagnostics() == "no" {
-				return nil, Errorf(ClassNoApp, "there is none")
-			}
-			return &pb.KillApplicationResponseProto{IsKillCompleted: proto.Bool(c.User == "ann")}, nil
-		})
-		s := &Server{Log: slog.New(slog.DiscardHandler), Protocols: map[string]Protocol{
-			testProtocol: {Methods: map[string]Method{"echo": echo}},
-			"closed":     {Methods: map[string]Method{"echo": echo}, NeedToken: true},
-		}, Password: func(_ context.Context, id []byte) ([]byte, error) {
-			switch string(id) {
-			case "over":
-				return nil, Errorf(ClassNoAttempt, "the application is over")
-			case "busy":
-				return nil, errors.New("the state service is busy")
-			}
-			return append([]byte("pw of "), id...), nil
-		}}
-		if change != nil {
-			change(s)
+	echo := Handle(func(ctx context.Context, c *Caller, in *pb.KillApplicationRequestProto) (*pb.KillApplicationResponseProto, error) {
+		select {
+		case <-time.After(time.Duration(in.GetApplicationId().GetId()) * time.Second):
+		case <-ctx.Done():
+			return nil, ctx.Err()
 		}
-		p := memnet.Listen(0)
-		ctx, cancel := context.WithCancel(t.Context())
-		done := make(chan struct{})
-		go func() { defer close(done); _ = s.Serve(ctx, p) }()
-		tell(t, p)
+		if in.GetDiagnostics() == "no" {
+			return nil, Errorf(ClassNoApp, "there is none")
+		}
+		return &pb.KillApplicationResponseProto{IsKillCompleted: proto.Bool(c.User == "ann")}, nil
+	})
+	s := &Server{Log: slog.New(slog.DiscardHandler), Protocols: map[string]Protocol{
+		testProtocol: {Methods: map[string]Method{"echo": echo}},
+		"closed":     {Methods: map[string]Method{"echo": echo}, NeedToken: true},
+	}, Password: func(_ context.Context, id []byte) ([]byte, error) {
+		switch string(id) {
+		case "over":
+			return nil, Errorf(ClassNoAttempt, "the application is over")
+		case "busy":
+			return nil, errors.New("the state service is busy")
+		}
+		return append([]byte("pw of "), id...), nil
+	}}
+	if change != nil {
+		change(s)
+	}
+	l := memnet.Listen(0)
+	ctx, cancel := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() { defer close(done); _ = s.Serve(ctx, l) }()
+	t.Cleanup(func() {
 		cancel()
-		p.End()
+		l.End()
 		<-done
 	})
+	return l
 }
 
 func call(t *testing.T, c *Conn, seconds int32, text string) (*pb.KillApplicationResponseProto, error) {
@@ -72,7 +72,8 @@
 }
 
 func TestCallsAreAnsweredInAnyOrder(t *testing.T) {
-	serve(t, nil, func(t *testing.T, p *memnet.Listener) {
+	synctest.Test(t, func(t *testing.T) {
+		p := startServer(t, nil)
 		c, err := Dial(t.Context(), p.Dial, "", testProtocol, "ann", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -106,8 +107,9 @@
 	})
 }
 
-func TestTokens(t *testing.T) {
-	serve(t, nil, func(t *testing.T, p *memnet.Listener) {
+func TestTokenAuthentication(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p := startServer(t, nil)
 		token := func(id, pw string) *pb.TokenProto {
 			return &pb.TokenProto{Identifier: []byte(id), Password: []byte(pw), Kind: proto.String("k"), Service: proto.String("")}
 		}
@@ -125,8 +127,8 @@
 				t.Errorf("%s: let in", name)
 			}
 		}
-		// What can't be found out now is no word on the token: a master would
-		// give up for good.
+		// An application master whose token is called invalid gives up for good, so an
+		// error of the lookup must not lead to that answer.
 		if _, err := Dial(t.Context(), p.Dial, "", "closed", "ann", token("busy", "pw of busy")); !IsClass(err, ClassRetriable) {
 			t.Errorf("while the token can't be checked: %v", err)
 		}
@@ -144,19 +146,26 @@
 	})
 }
 
-// The example that RFC 2831 gives.
-func TestDigestIsAsPublished(t *testing.T) {
-	got := digest("AUTHENTICATE", "chris", "elwood.innosoft.com", "secret", "OA6MG9tEQGm2hh", "OA6MHXh6VqTrRk", "00000001", "imap/elwood.innosoft.com")
-	if got != "d388dad90d4bbd760a152321f2143af7" {
+func TestDigestMatchesExampleOfRFC2831(t *testing.T) {
+	d := digest{
+		username:   "chris",
+		realm:      "elwood.innosoft.com",
+		password:   "secret",
+		nonce:      "OA6MG9tEQGm2hh",
+		cnonce:     "OA6MHXh6VqTrRk",
+		nonceCount: "00000001",
+		uri:        "imap/elwood.innosoft.com",
+	}
+	if got := d.response(clientDigestMethod); got != "d388dad90d4bbd760a152321f2143af7" {
 		t.Errorf("digest is %s", got)
 	}
 }
 
-// Garbage, a length that is only claimed, half a frame and then nothing: each
-// ends its own connection within its deadline, costs little, and others are
-// served meanwhile.
-func TestBadClientsHarmNobodyElse(t *testing.T) {
-	serve(t, nil, func(t *testing.T, p *memnet.Listener) {
+// Garbage, a huge announced length, an incomplete frame: each connection is closed within
+// its deadline, little memory is allocated, and other clients are served meanwhile.
+func TestMalformedInputDoesNotAffectOtherClients(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p := startServer(t, nil)
 		good, err := Dial(t.Context(), p.Dial, "", testProtocol, "ann", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -203,7 +212,7 @@
 	})
 }
 
-// A client may know fields that this project does not; they are no error and are
+// A client of a newer version sends fields that are unknown here: they are no error, and are
 // kept.
 func TestUnknownFieldsAreKept(t *testing.T) {
 	b, _ := proto.Marshal(&pb.ApplicationIdProto{Id: proto.Int32(7)})
@@ -217,10 +226,11 @@
 	}
 }
 
-// Too many calls are told to come again with the published class, and too many
-// connections are closed at once.
-func TestOverloadSheds(t *testing.T) {
-	serve(t, func(s *Server) { s.MaxAll, s.MaxConns = 4, 2 }, func(t *testing.T, p *memnet.Listener) {
+// Calls beyond the limit are answered RetriableException, and connections beyond the limit
+// are closed at once.
+func TestCallsAndConnectionsBeyondLimitsAreRejected(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p := startServer(t, func(s *Server) { s.MaxCalls, s.MaxConns = 4, 2 })
 		c, err := Dial(t.Context(), p.Dial, "", testProtocol, "ann", nil)
 		if err != nil {
 			t.Fatal(err)
@@ -280,7 +290,7 @@
 	f.Add([]byte(`realm="default",nonce="a\"b",qop=auth`))
 	f.Add([]byte(`=,,="`))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if d, err := directives(b); err == nil && len(d) > len(b) {
+		if d, err := parseDirectives(b); err == nil && len(d) > len(b) {
 			t.Fatal("more directives than bytes")
 		}
 		_, _, _ = verify(b, "n", func([]byte) ([]byte, error) { return nil, fmt.Errorf("none") })
