--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -25,10 +25,10 @@
 	Record  jobstore.JobPage
 }
 
-// PutAdmissionPages applies changed admission pages. They must come together as of one
+// ApplyAdmissionPages applies changed admission pages. They must come together as of one
 // revision of the store, because a job may move between pages: a job that is on none of
 // them any more has ended, but one that has merely moved must not look that way.
-func (m *Model) PutAdmissionPages(pages []AdmissionPage, now time.Time) {
+func (m *Model) ApplyAdmissionPages(pages []AdmissionPage, now time.Time) {
 	type gone struct {
 		id   string
 		from *admissionPage
@@ -90,7 +90,7 @@
 			m.QuarantineJob(p.key, e.ID, err)
 			return
 		}
-		m.PutJob(e.ID, rec, p.version, now)
+		m.ApplyJobRecord(e.ID, rec, p.version, now)
 		j = m.Job(e.ID)
 	}
 	j.admissionPage, j.Version = p, p.version
--- a/cluster/batch_window_test.go
+++ b/cluster/batch_window_test.go
@@ -48,7 +48,7 @@
 		if change != nil {
 			change(&rec.Job)
 		}
-		m.PutJob(rec.Job.ID, rec, 1, at(came))
+		m.ApplyJobRecord(rec.Job.ID, rec, 1, at(came))
 	}
 	put(1, "day", 0, 60, nil)
 	put(2, "tiles", 10, 60, nil)
@@ -92,7 +92,7 @@
 	}
 	applyPlan(l.t, m, 1, text, now)
 	for i := range open {
-		m.PutJob(open[i].Job.ID, open[i], 1, now)
+		m.ApplyJobRecord(open[i].Job.ID, open[i], 1, now)
 	}
 	m.FinishLoading(now)
 	l.model = m
@@ -268,7 +268,7 @@
 		t.Errorf("%+v", c)
 	}
 	more := windowJob("wk-000002", "tiles", 400, 200, 600)
-	l.model.PutJob("wk-000002", more, 1, at(200))
+	l.model.ApplyJobRecord("wk-000002", more, 1, at(200))
 	up(4, 200)
 	if f := l.model.BatchWindows(at(240))[0].Windows[0]; !strings.Contains(f.Reforecasts[len(f.Reforecasts)-1].Cause, "more came") || !f.Forecast.AtRisk || f.Forecast.Reason == "" {
 		t.Errorf("%+v", f)
@@ -331,7 +331,7 @@
 			m.SetPlan(Plan{Plan: p, Number: 1, HeadVersion: 1}, at(0))
 			for i := range 2000 {
 				id := fmt.Sprintf("wk-%06d", i)
-				m.PutJob(id, windowJob(id, []string{"tiles", "halls", "day"}[i%3], 20, 0, 300), 1, at(0))
+				m.ApplyJobRecord(id, windowJob(id, []string{"tiles", "halls", "day"}[i%3], 20, 0, 300), 1, at(0))
 			}
 			for i := range 1300 {
 				r := rep(1, 5)
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -63,7 +63,7 @@
 			rec.Job.Class, rec.Job.Image, rec.Job.EstimateS = "arrays", fmt.Sprint("g", i%18), float64(60+i%200)
 			rec.Job.Priority, rec.Job.DeadlineS, rec.Job.GPUs = wire.PriorityLow, &deadline, 0.5
 		}
-		m.PutJob(id, rec, 1, at(0))
+		m.ApplyJobRecord(id, rec, 1, at(0))
 	}
 	return m
 }
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -316,9 +316,9 @@
 		if err != nil {
 			d.t.Fatal(err)
 		}
-		d.m.PutJob(id, rec, v.version, now)
+		d.m.ApplyJobRecord(id, rec, v.version, now)
 	})
-	d.m.PutAdmissionPages(pages, now)
+	d.m.ApplyAdmissionPages(pages, now)
 	each(jobstore.ActivePrefix, func(key string, v storedValue) {
 		n, ok := jobstore.ParsePlacementPageKey(key)
 		if !ok {
@@ -369,7 +369,7 @@
 				if err != nil {
 					d.t.Fatal(err)
 				}
-				d.m.PutJob(id, rec, e.Version, now)
+				d.m.ApplyJobRecord(id, rec, e.Version, now)
 			}
 		}
 	}
@@ -377,7 +377,7 @@
 	for _, key := range slices.Sorted(maps.Keys(pages)) {
 		changed = append(changed, pages[key])
 	}
-	d.m.PutAdmissionPages(changed, now)
+	d.m.ApplyAdmissionPages(changed, now)
 	d.log, d.seen = d.log[:0], d.rev
 }
 
--- a/cluster/failoverload_test.go
+++ b/cluster/failoverload_test.go
@@ -28,7 +28,7 @@
 			return
 		}
 		m := newModel(5)
-		m.PutJob("wk-000001", arrayJob("wk-000001", 4), 1, at(0))
+		m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 4), 1, at(0))
 		m.LoadPlacementPage(0, rec, 2, at(0))
 		m.FinishLoading(at(0))
 		r := rep(1, 5)
@@ -94,7 +94,7 @@
 					if err := wire.Unmarshal(v, &rec); err != nil {
 						b.Fatal(err)
 					}
-					m.PutJob(jobs[i].Job.ID, rec, 1, at(0))
+					m.ApplyJobRecord(jobs[i].Job.ID, rec, 1, at(0))
 				}
 				for i, v := range rawPages {
 					var rec jobstore.PlacementPage
@@ -117,9 +117,9 @@
 	m := newModel(5)
 	marked := arrayJob("wk-000003", 4)
 	marked.Reservation = &jobstore.Reservation{Owner: "w/y/a"}
-	m.PutJob("wk-000001", arrayJob("wk-000001", 4), 4, at(0))
-	m.PutJob("wk-000002", arrayJob("wk-000002", 4), 9, at(0))
-	m.PutJob("wk-000003", marked, 9, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 4), 4, at(0))
+	m.ApplyJobRecord("wk-000002", arrayJob("wk-000002", 4), 9, at(0))
+	m.ApplyJobRecord("wk-000003", marked, 9, at(0))
 	m.QuarantinePlacementPage(0, 5, errors.New("damaged"))
 	m.FinishLoading(at(0))
 	for id, want := range map[string]bool{"wk-000001": true, "wk-000002": false, "wk-000003": true} {
--- a/cluster/failurehistory_test.go
+++ b/cluster/failurehistory_test.go
@@ -19,7 +19,7 @@
 func TestJobsWithAMistakeDoNotSpeakAgainstMachines(t *testing.T) {
 	m := newModel(5)
 	for i := range 4 {
-		m.PutJob(fmt.Sprintf("wk-%06d", i), arrayJob(fmt.Sprintf("wk-%06d", i), 20), 1, at(0))
+		m.ApplyJobRecord(fmt.Sprintf("wk-%06d", i), arrayJob(fmt.Sprintf("wk-%06d", i), 20), 1, at(0))
 	}
 	for i, id := range []string{"wk-000000", "wk-000001"} {
 		for k := range 3 {
@@ -43,7 +43,7 @@
 
 func TestAJobAtFaultTriesLessAndLess(t *testing.T) {
 	m := newModel(5)
-	m.PutJob("wk-000001", arrayJob("wk-000001", 50), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 50), 1, at(0))
 	j := m.Job("wk-000001")
 	now := at(1)
 	if j.requestableTasks(64, now) != 64 {
@@ -80,7 +80,7 @@
 		m.ApplyHeartbeat(&wire.Report{Machine: "h-" + name, Addr: "x", Type: name, Zone: "a", Session: 1, Seq: 1, Token: 5}, at(1))
 	}
 	put := func(id string, gpus float64, tasks int) {
-		m.PutJob(id, jobstore.JobRecord{Job: wire.Job{ID: id, Class: id, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: tasks,
+		m.ApplyJobRecord(id, jobstore.JobRecord{Job: wire.Job{ID: id, Class: id, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: tasks,
 			CPUs: 4, GPUs: gpus, Image: "i", EstimateS: 100}}, 1, at(1))
 	}
 	put("wk-000001", 0, 8)
@@ -102,7 +102,7 @@
 	m := newModel(6)
 	name := rep(1, 6).Machine
 	m.ResumeScaleIn([]string{name}, at(0))
-	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	m.ApplyHeartbeat(rep(1, 6), at(1))
 	m.Schedule(at(2), 0)
 	if n := m.Job("wk-000001").PlacedTasks; n != 0 {
@@ -119,7 +119,7 @@
 func TestTypesThatBecomeKnownLateAreKnownForClassesToo(t *testing.T) {
 	m := New(newModel(5).settings, 5, at(0), newModel(5).log)
 	m.Headroom = 0.3
-	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	m.RemoveJob("wk-000001", at(1))
 	m.NextBatch(10)
 	if m.Job("wk-000001") != nil {
@@ -127,7 +127,7 @@
 	}
 	other := arrayJob("wk-000002", 1)
 	other.Job.Class = "other"
-	m.PutJob("wk-000002", other, 1, at(2))
+	m.ApplyJobRecord("wk-000002", other, 1, at(2))
 	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
 	if d := m.Schedule(at(3), 0); len(d.ScaleOut) == 0 {
 		t.Error("nothing is rented for a job that waits")
--- a/cluster/heartbeatretry_test.go
+++ b/cluster/heartbeatretry_test.go
@@ -25,7 +25,7 @@
 // of is no sign that it does not hear.
 func TestTheNewestReportIsAnsweredAgain(t *testing.T) {
 	m := newModel(5)
-	m.PutJob("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
 	exit := wire.TaskReport{Task: wire.TaskName("wk-000001", NoSuchTask), Attempt: 1, State: wire.TaskExited, Why: wire.WhyUnknown}
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -23,9 +23,9 @@
 	return nil
 }
 
-// PutJob adds the job of an active record. For a job that the model has, it applies a newer
-// version of the record, in which only the reservation may have changed.
-func (m *Model) PutJob(id string, rec jobstore.JobRecord, version uint64, now time.Time) {
+// ApplyJobRecord adds the job of an active record. For a job that the model has, it applies a
+// newer version of the record, in which only the reservation may have changed.
+func (m *Model) ApplyJobRecord(id string, rec jobstore.JobRecord, version uint64, now time.Time) {
 	if j := m.Job(id); j != nil {
 		if version > j.Version {
 			j.Version = version
--- a/cluster/model_test.go
+++ b/cluster/model_test.go
@@ -50,7 +50,7 @@
 func placed(t *testing.T, n int) *Model {
 	t.Helper()
 	m := newModel(5)
-	m.PutJob("wk-000001", arrayJob("wk-000001", n), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", n), 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	commit(t, m, at(1))
@@ -84,7 +84,7 @@
 
 func TestNothingIsLaunchedBeforeItsRecordIsCommitted(t *testing.T) {
 	m := newModel(5)
-	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	if l, _, _ := ops(answer(t, m, rep(2, 5), at(1.5))); l != 0 {
@@ -102,7 +102,7 @@
 
 func TestAbsenceProvesNothingWithoutThisLeadersToken(t *testing.T) {
 	m := newModel(9)
-	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3,
 		Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
 	m.FinishLoading(at(0))
@@ -159,7 +159,7 @@
 func TestRefusedStartsBackOffAndGoElsewhere(t *testing.T) {
 	for _, why := range []string{wire.WhyNoRoom, wire.WhyBusy, wire.WhyUnknown, wire.WhyError} {
 		m := newModel(5)
-		m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
+		m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 		answer(t, m, rep(1, 5), at(0))
 		m.Schedule(at(1), 0)
 		commit(t, m, at(1))
@@ -187,7 +187,7 @@
 
 func TestUnlaunchedTasksAreTakenBackFromASilentMachine(t *testing.T) {
 	m := newModel(5)
-	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	m.Tick(at(9)) // silent, but within its lease
@@ -198,7 +198,7 @@
 
 func TestConflictWithALostTransactionOfOnesOwn(t *testing.T) {
 	m := newModel(5)
-	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	b := m.NextBatch(12)
@@ -215,7 +215,7 @@
 
 func TestMovesSurviveAChangeOfLeader(t *testing.T) {
 	m := newModel(9)
-	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3,
 		Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
 	m.LoadRebalanceCycle("a/m", jobstore.RebalanceCycle{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
@@ -257,7 +257,7 @@
 		stops     int
 	}{{at(1), 1}, {at(0), 0}, {at(-60), 0}} {
 		m := newModel(9)
-		m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
+		m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 		m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3,
 			Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
 		m.LoadRebalanceCycle("a/m", jobstore.RebalanceCycle{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
--- a/cluster/placementpages_test.go
+++ b/cluster/placementpages_test.go
@@ -22,7 +22,7 @@
 	}
 	for i := range jobs {
 		id := fmt.Sprintf("wk-%06d", i)
-		m.PutJob(id, arrayJob(id, tasks), 1, at(0))
+		m.ApplyJobRecord(id, arrayJob(id, tasks), 1, at(0))
 	}
 	m.Schedule(at(1), 1000)
 	stored := map[string]jobstore.PlacementPage{}
@@ -117,7 +117,7 @@
 	write(t, m, stored)
 	next := newModel(9)
 	for _, j := range m.Jobs {
-		next.PutJob(j.ID, jobstore.JobRecord{Job: j.Spec, AcceptedAtMs: t0.UnixMilli()}, 1, at(5))
+		next.ApplyJobRecord(j.ID, jobstore.JobRecord{Job: j.Spec, AcceptedAtMs: t0.UnixMilli()}, 1, at(5))
 	}
 	for key, rec := range stored {
 		n, ok := jobstore.ParsePlacementPageKey(key)
--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -20,7 +20,7 @@
 	put := func(id, team string, atS float64) {
 		rec := jobstore.JobRecord{AcceptedAtMs: at(atS).UnixMilli(), Job: wire.Job{ID: id, Class: "c", Team: team, Kind: wire.KindArray,
 			Priority: wire.PriorityNormal, Tasks: 1, CPUs: 4, Image: "i", EstimateS: 500, CheckpointS: 10, SaveS: 2}}
-		m.PutJob(id, rec, 1, at(atS))
+		m.ApplyJobRecord(id, rec, 1, at(atS))
 	}
 	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 12, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
 	put("wk-000002", "one", 1) // beyond, once the first is there
--- a/cluster/priority_tiers_test.go
+++ b/cluster/priority_tiers_test.go
@@ -59,7 +59,7 @@
 		change(&rec.Job)
 	}
 	p.rev++
-	p.m.PutJob(id, rec, p.rev, at(p.now))
+	p.m.ApplyJobRecord(id, rec, p.rev, at(p.now))
 	p.took[id], p.came[id] = took, p.now
 	return id
 }
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -105,7 +105,7 @@
 		// A new session although an answer was sent: its lease expired all the same.
 		if told && now.Sub(mc.LastAnswered) < config.Seconds(m.settings.Cluster.Workers.LeaseS/2) {
 			m.markUnreachable(mc, "session", now)
-			m.giveUpReservedPlaces(mc, now)
+			m.releaseReservedPlacements(mc, now)
 		}
 		return
 	}
@@ -149,9 +149,9 @@
 	h.receivingNode = via
 }
 
-// giveUpReservedPlaces removes reserved placements that were never launched from an
+// releaseReservedPlacements removes reserved placements that were never launched from an
 // unreachable machine whose lease has expired.
-func (m *Model) giveUpReservedPlaces(mc *Machine, now time.Time) {
+func (m *Model) releaseReservedPlacements(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
 		if p := j.Tasks[ref.Task].Placement; p != nil && !p.LaunchSent && !p.Inherited && j.reservation != nil {
--- a/cluster/reachability_test.go
+++ b/cluster/reachability_test.go
@@ -44,7 +44,7 @@
 	m := newModel(5)
 	rec := arrayJob("wk-000001", 1)
 	rec.Reservation = &jobstore.Reservation{Owner: "w/y/a", LaunchRanges: []int{0, 0}}
-	m.PutJob("wk-000001", rec, 1, at(0))
+	m.ApplyJobRecord("wk-000001", rec, 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	commit(t, m, at(1))
@@ -83,7 +83,7 @@
 // takenOver is a new leader's model, in which an earlier one has placed a task.
 func takenOver() *Model {
 	m := newModel(9)
-	m.PutJob("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 1,
 		Placements: []jobstore.Placement{{Task: 0, Attempt: 1, Machine: "host-1"}}}}}, 2, at(0))
 	m.FinishLoading(at(0))
--- a/cluster/starvation_test.go
+++ b/cluster/starvation_test.go
@@ -53,7 +53,7 @@
 	if with != nil {
 		with(&rec.Job)
 	}
-	s.m.PutJob(id, rec, 1, at(now))
+	s.m.ApplyJobRecord(id, rec, 1, at(now))
 }
 
 // run lets time pass, second by second.
@@ -197,7 +197,7 @@
 			if j == nil || j.Finished || j.DoneTasks == len(j.Tasks) {
 				continue
 			}
-			s.m.PutJob(j.ID, jobstore.JobRecord{AcceptedAtMs: j.AcceptedAt.UnixMilli(), Job: j.Spec}, 1, at(100))
+			s.m.ApplyJobRecord(j.ID, jobstore.JobRecord{AcceptedAtMs: j.AcceptedAt.UnixMilli(), Job: j.Spec}, 1, at(100))
 			c := jobstore.PlacementChunk{Job: j.ID, MaxAttempt: j.LastAttempt}
 			for i := range j.Tasks {
 				if p := j.Tasks[i].Placement; p != nil {
--- a/cluster/stopcommands_test.go
+++ b/cluster/stopcommands_test.go
@@ -13,7 +13,7 @@
 // running for another lease, and for good if no answer followed.
 func TestAnAnswerStopsAllThatIsToStop(t *testing.T) {
 	m := newModel(5)
-	m.PutJob("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	commit(t, m, at(1))
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -16,7 +16,7 @@
 	rec := arrayJob(id, tasks)
 	rec.AcceptedAtMs = at(came).UnixMilli()
 	rec.Job.CPUs, rec.Job.DeadlineS = 4, &deadline
-	m.PutJob(id, rec, 1, at(came))
+	m.ApplyJobRecord(id, rec, 1, at(came))
 }
 
 func inOrder(m *Model, now float64) (ids []string, late int) {
@@ -137,7 +137,7 @@
 			for i, gpus := range []float64{0, 1, 1} {
 				rec := arrayJob(fmt.Sprintf("wk-00000%d", i+1), 1)
 				rec.Job.GPUs, rec.AcceptedAtMs = gpus, at(float64(i)).UnixMilli()
-				m.PutJob(rec.Job.ID, rec, 1, at(float64(i)))
+				m.ApplyJobRecord(rec.Job.ID, rec, 1, at(float64(i)))
 			}
 			jobs := m.openJobs()
 			in := m.jobsWithinQuota(jobs)
@@ -177,10 +177,10 @@
 				{Name: "plain", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}}})
 			small, deadline := arrayJob("wk-000001", 4), 100.0
 			small.Job.Class, small.Job.DeadlineS = "small", &deadline
-			m.PutJob(small.Job.ID, small, 1, at(0))
+			m.ApplyJobRecord(small.Job.ID, small, 1, at(0))
 			other := arrayJob("wk-000002", 1)
 			other.Job.GPUs, other.Job.Priority = c.gpus, c.waiting
-			m.PutJob(other.Job.ID, other, 1, at(0))
+			m.ApplyJobRecord(other.Job.ID, other, 1, at(0))
 			jobs := m.openJobs()
 			for _, k := range m.buildQueue(jobs, m.jobsWithinQuota(jobs), at(1)) {
 				if k.j.Spec.Class == "small" && k.req.Types[m.typeIndex["m"]] == c.keeps {
--- a/cluster/wakeup_test.go
+++ b/cluster/wakeup_test.go
@@ -13,7 +13,7 @@
 	m := newModel(5)
 	rec := arrayJob("wk-000001", 2)
 	rec.Job.CPUs = 8
-	m.PutJob("wk-000001", rec, 1, at(0))
+	m.ApplyJobRecord("wk-000001", rec, 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	commit(t, m, at(1))
--- a/cluster/warm_pools_test.go
+++ b/cluster/warm_pools_test.go
@@ -69,7 +69,7 @@
 func TestPoolAcceptsHeadroomMachines(t *testing.T) {
 	m := newPoolModel(12, 0) // three pools of two machines
 	m.Headroom = 0.35
-	m.PutJob("wk-000001", arrayJob("wk-000001", 16), 1, at(0)) // four machines, and headroom of six
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 16), 1, at(0)) // four machines, and headroom of six
 	for _, mc := range m.Machines {
 		mc.CreationKnown = true
 	}
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -64,9 +64,9 @@
 	return n
 }
 
-// AllWritesIssued reports whether the next batch would be empty. Changed pages count until
+// NothingToWrite reports whether the next batch would be empty. Changed pages count until
 // they are committed, finished jobs only until they are in a batch.
-func (m *Model) AllWritesIssued() bool { return m.PendingWrites() == 0 }
+func (m *Model) NothingToWrite() bool { return m.PendingWrites() == 0 }
 
 // awaitsFinalRecord says whether a job is done and its end is to be committed.
 func (j *Job) awaitsFinalRecord() bool {
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -101,7 +101,7 @@
 	timer := time.NewTimer(l.maxResponseDelay())
 	defer timer.Stop()
 	wake(l.schedulerWake)
-	for l.passCount < target || l.committing || !l.model.AllWritesIssued() {
+	for l.passCount < target || l.committing || !l.model.NothingToWrite() {
 		turned := l.progress
 		l.mu.Unlock()
 		late := false
--- a/controller/job_events.go
+++ b/controller/job_events.go
@@ -30,7 +30,7 @@
 			continue
 		}
 		if jobstore.IsJobPageKey(e.Put + e.Delete) {
-			if !l.applyIntakePage(pages, e) {
+			if !l.collectAdmissionPage(pages, e) {
 				l.lease.Resign()
 				return false
 			}
@@ -39,7 +39,7 @@
 		l.applyJobEvent(e, now)
 	}
 	// All pages at once, since a job may have moved from one to another.
-	l.model.PutAdmissionPages(slices.Collect(maps.Values(pages)), now)
+	l.model.ApplyAdmissionPages(slices.Collect(maps.Values(pages)), now)
 	l.appliedRevision = max(l.appliedRevision, ev.Revision)
 	wake(l.schedulerWake)
 	wake(l.committerWake)
@@ -68,13 +68,13 @@
 		l.log.Error("unreadable job record", "key", e.Put, "err", err)
 		return
 	}
-	l.model.PutJob(id, rec, e.Version, now)
+	l.model.ApplyJobRecord(id, rec, e.Version, now)
 	l.recentUserChanges = append(l.recentUserChanges, now)
 }
 
-// applyIntakePage adds a change of an admission page to pages. It returns false if the page
+// collectAdmissionPage adds a change of an admission page to pages. It returns false if the page
 // can't be read.
-func (l *leadership) applyIntakePage(pages map[string]cluster.AdmissionPage, e wire.Event) bool {
+func (l *leadership) collectAdmissionPage(pages map[string]cluster.AdmissionPage, e wire.Event) bool {
 	key := e.Put + e.Delete
 	pg := cluster.AdmissionPage{Key: key, Version: e.Version}
 	if e.Put != "" {
--- a/controller/load.go
+++ b/controller/load.go
@@ -156,10 +156,10 @@
 				m.QuarantineJob(it.Key, id, err)
 				continue
 			}
-			m.PutJob(id, rec, it.Version, now)
+			m.ApplyJobRecord(id, rec, it.Version, now)
 		}
 	}
-	m.PutAdmissionPages(pages, now)
+	m.ApplyAdmissionPages(pages, now)
 	return nil
 }
 
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -35,10 +35,10 @@
 	keys := slices.Sorted(maps.Keys(w.store))
 	for _, k := range keys {
 		if id, ok := jobstore.ParseJobKey(k); ok {
-			m.PutJob(id, w.store[k].v.(jobstore.JobRecord), w.store[k].version, w.now())
+			m.ApplyJobRecord(id, w.store[k].v.(jobstore.JobRecord), w.store[k].version, w.now())
 		}
 		if jobstore.IsJobPageKey(k) {
-			m.PutAdmissionPages([]cluster.AdmissionPage{{Key: k, Version: w.store[k].version, Record: w.store[k].v.(jobstore.JobPage)}}, w.now())
+			m.ApplyAdmissionPages([]cluster.AdmissionPage{{Key: k, Version: w.store[k].version, Record: w.store[k].v.(jobstore.JobPage)}}, w.now())
 		}
 	}
 	for _, k := range keys {
@@ -71,7 +71,7 @@
 		if !ok {
 			page = value{jobstore.JobPage{}, w.rev} // removed, at the latest by now
 		}
-		w.model.PutAdmissionPages([]cluster.AdmissionPage{{Key: key, Version: page.version, Record: page.v.(jobstore.JobPage)}}, w.now())
+		w.model.ApplyAdmissionPages([]cluster.AdmissionPage{{Key: key, Version: page.version, Record: page.v.(jobstore.JobPage)}}, w.now())
 		w.seen = w.rev
 		return
 	}
--- a/modelcheck/transition.go
+++ b/modelcheck/transition.go
@@ -57,7 +57,7 @@
 		w.rev++
 		rec := jobstore.JobRecord{Job: w.last(), AcceptedAtMs: w.now().UnixMilli()}
 		w.store[jobstore.JobKey(rec.Job.ID)] = value{rec, w.rev}
-		w.model.PutJob(rec.Job.ID, rec, w.rev, w.now())
+		w.model.ApplyJobRecord(rec.Job.ID, rec, w.rev, w.now())
 		w.seen = max(w.seen, w.rev)
 	}
 }
