--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -1,16 +1,16 @@
 package cluster
 
 import (
-	"context"
-	"log/slog"
+	"slices"
 	"time"
 
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file is a scheduling pass: the queue is built, package placement filters, scores
-// and reserves machines for it, and what it decided is bound: taken into the model, from
-// which the write-behind commits it before anything is launched.
+// This file is the scheduling pass. A pass has three stages: the queue of waiting requests is
+// built, package placement filters, scores and reserves machines for the requests, and the
+// plan that results is bound, which means that it is applied to the model. The write-behind
+// commits what was bound before any task is launched.
 
 // Decisions is the result of a scheduling pass. Placements and stops are applied to the
 // model already; scaling out is left to the caller.
@@ -27,6 +27,7 @@
 	occupants []placement.Occupant // of all machines, one after another
 	images    []placement.ImageAt  // of all machines, one after another
 	taskRefs  []TaskRef            // of one machine
+	indexes   []int32              // of machines
 }
 
 // Schedule runs a scheduling pass: it places waiting tasks, orders preemptions and decides
@@ -36,159 +37,189 @@
 		return Decisions{}
 	}
 	jobs := m.openJobs()
-	within := m.jobsWithinQuota(jobs)
-	reqs := m.buildQueue(jobs, within, now)
-	over := m.beyondQuota(within)
-	in := placement.Input{Machines: m.buffers.machines[:0], Preempt: true, RentMax: max(0, maxScaleOut-renting)}
+	withinQuota := m.jobsWithinQuota(jobs)
+	queue := m.buildQueue(jobs, withinQuota, now)
+
+	pass := &schedulingPass{model: m, now: now}
+	pass.input.Preempt = true
+	pass.input.RentMax = max(0, maxScaleOut-renting)
+	pass.addMachines(m.beyondQuota(withinQuota))
+	pass.addQueue(queue)
+	pass.addPlaceholders(m.headroomRequests(jobs, now))
+	pass.addProvision()
+	pass.input.Teams = append(pass.input.Teams, m.teams...)
+	pass.input.Offers, pass.offers = m.offers(now)
+
+	plan := placement.Make(&pass.input)
+	m.buffers.machines = pass.input.Machines
+	m.recordInversions(&plan, &pass.input, pass.requestJobs, now)
+
+	decisions := pass.bind(&plan)
+	m.addPoolScaleOut(decisions.ScaleOut, pass.offers, pass.input.RentMax)
+	return decisions
+}
+
+// schedulingPass is the state of one scheduling pass. Package placement addresses machines
+// and requests by their positions in its input; a pass translates between these positions and
+// the model's machines and jobs.
+type schedulingPass struct {
+	model *Model
+	now   time.Time
+	input placement.Input
+	// requestJobs has the job of each request of the input, nil for a placeholder, which
+	// is a request that no job has made.
+	requestJobs []*Job
+	// machineIndexes has the model's index of each machine of the input; inputPositions
+	// is its inverse. A machine that can't be given tasks has no position.
+	machineIndexes []int32
+	inputPositions map[int]int
+	// offers has the model's name of each offer of the input.
+	offers []Offer
+}
+
+// addMachines adds the machines that can be given tasks to the input, in the model's order.
+// beyondQuota are the tasks that may be preempted for work within a quota.
+func (p *schedulingPass) addMachines(beyondQuota map[TaskRef]bool) {
+	m := p.model
+	p.input.Machines = m.buffers.machines[:0]
 	m.buffers.occupants, m.buffers.images = m.buffers.occupants[:0], m.buffers.images[:0]
-	back := make([]int32, 0, len(m.Machines))
-	fwd := make(map[int]int, len(m.Machines))
+	p.machineIndexes = slices.Grow(m.buffers.indexes[:0], len(m.Machines))
+	p.inputPositions = make(map[int]int, len(m.Machines))
 	for _, mc := range m.Machines {
-		if v, ok := m.machineView(mc, over, now); ok {
-			fwd[int(mc.Index)] = len(in.Machines)
-			in.Machines = append(in.Machines, v)
-			back = append(back, mc.Index)
+		view, ok := m.machineView(mc, beyondQuota, p.now)
+		if !ok {
+			continue
 		}
+		p.inputPositions[int(mc.Index)] = len(p.input.Machines)
+		p.input.Machines = append(p.input.Machines, view)
+		p.machineIndexes = append(p.machineIndexes, mc.Index)
 	}
-	reserved := map[string]bool{}
-	job := make([]*Job, 0, len(reqs)+4)
-	for k := range reqs {
-		if !reqs[k].mustStart { // the starvation bound takes precedence over reservations
-			for _, r := range m.backfillReservations(reqs[k], reserved, now) {
-				in.Requests = append(in.Requests, r)
-				job = append(job, nil)
-			}
-		}
-		job = append(job, reqs[k].j)
-		r := reqs[k].req
-		if len(r.Avoid) > 0 {
-			avoid := map[int]bool{}
-			for idx := range r.Avoid {
-				if i, ok := fwd[idx]; ok {
-					avoid[i] = true
-				}
-			}
-			r.Avoid = avoid
+	m.buffers.indexes = p.machineIndexes
+}
+
+// addQueue adds the queued requests to the input, in the queue's order, and before each the
+// backfill reservations that take precedence over it.
+func (p *schedulingPass) addQueue(queue []*queued) {
+	reservedClasses := map[string]bool{}
+	p.requestJobs = make([]*Job, 0, len(queue)+4)
+	for _, k := range queue {
+		if !k.mustStart { // the starvation bound takes precedence over reservations
+			p.addPlaceholders(p.model.backfillReservations(k, reservedClasses, p.now))
 		}
-		r.Prefer = m.moveTargets(reqs[k].j, fwd)
-		r.Pools = m.poolAccess(reqs[k].j)
-		in.Requests = append(in.Requests, r)
+		p.addRequest(k)
 	}
-	for _, r := range m.headroomRequests(jobs, now) {
-		in.Requests = append(in.Requests, r)
-		job = append(job, nil)
+}
+
+// addRequest adds a queued request to the input.
+func (p *schedulingPass) addRequest(k *queued) {
+	r := k.req
+	r.Avoid = p.avoidedPositions(r.Avoid)
+	r.Prefer = p.model.moveTargets(k.j, p.inputPositions)
+	r.Pools = p.model.poolAccess(k.j)
+	p.input.Requests = append(p.input.Requests, r)
+	p.requestJobs = append(p.requestJobs, k.j)
+}
+
+// avoidedPositions translates the model's machines that a request avoids into positions in
+// the input.
+func (p *schedulingPass) avoidedPositions(machines map[int]bool) map[int]bool {
+	if len(machines) == 0 {
+		return machines
 	}
-	if r, ok := m.provisionRequest(now); ok {
-		in.Requests = append(in.Requests, r)
-		job = append(job, nil)
+	positions := map[int]bool{}
+	for index := range machines {
+		if position, ok := p.inputPositions[index]; ok {
+			positions[position] = true
+		}
 	}
-	in.Teams = append(in.Teams, m.teams...)
-	var offers []Offer
-	in.Offers, offers = m.offers(now)
+	return positions
+}
 
-	plan := placement.Make(&in)
-	m.buffers.machines = in.Machines
-	m.recordInversions(&plan, &in, job, now)
+// addPlaceholders adds requests that no job has made to the input.
+func (p *schedulingPass) addPlaceholders(requests []placement.Request) {
+	for i := range requests {
+		p.input.Requests = append(p.input.Requests, requests[i])
+		p.requestJobs = append(p.requestJobs, nil)
+	}
+}
 
-	d := m.carryOut(plan, in.Requests, job, back, offers, now)
-	m.addPoolScaleOut(d.ScaleOut, offers, in.RentMax)
-	return d
+// addProvision adds the placeholder for which machines are rented ahead of a batch window, if
+// there is one.
+func (p *schedulingPass) addProvision() {
+	if r, ok := p.model.provisionRequest(p.now); ok {
+		p.input.Requests = append(p.input.Requests, r)
+		p.requestJobs = append(p.requestJobs, nil)
+	}
 }
 
-// carryOut takes a plan into the model. job is whose each request is, nil for
-// room that is kept; back leads from the planner's machines to the model's.
-func (m *Model) carryOut(plan placement.Plan, reqs []placement.Request, job []*Job, back []int32, offers []Offer, now time.Time) Decisions {
-	d := Decisions{ScaleOut: map[Offer]int{}}
+// bind applies a plan to the model: first the placements, then the preemptions.
+func (p *schedulingPass) bind(plan *placement.Plan) Decisions {
+	decisions := Decisions{ScaleOut: map[Offer]int{}}
+	decisions.Started = p.bindStarts(plan.Starts)
+	for _, ref := range plan.Stops {
+		p.model.stopUnderPlan(ref, StopPreempted, p.now)
+	}
+	for offer, machines := range plan.Rent {
+		decisions.ScaleOut[p.offers[offer]] += machines
+	}
+	for _, request := range plan.Waiting {
+		if p.requestJobs[request] != nil {
+			decisions.Unplaced = append(decisions.Unplaced, p.input.Requests[request])
+		}
+	}
+	p.markHeadroom(plan.Starts)
+	return decisions
+}
+
+// bindStarts places the tasks that a plan starts and returns how many there are. The tasks of
+// a job that one pass places share one attempt number.
+func (p *schedulingPass) bindStarts(starts []placement.Start) int {
+	started := 0
 	attempts := map[int32]uint64{}
-	for _, s := range plan.Starts {
-		j := job[s.Request]
+	for _, s := range starts {
+		j := p.requestJobs[s.Request]
 		if j == nil {
 			continue
 		}
-		mc := m.Machines[back[s.Machine]]
-		a, ok := attempts[j.Index]
+		attempt, ok := attempts[j.Index]
 		if !ok {
 			if !j.Gang() || j.PlacedTasks == 0 {
 				j.LastAttempt++
 			}
-			a = j.LastAttempt
-			attempts[j.Index] = a
-		}
-		m.countPoolPlacement(j, s.Task, mc)
-		m.placeTask(j, s.Task, mc, a, now)
-		c := m.changeChunk(j, s.Task)
-		c.PlacedGen = c.Generation
-		j.Tasks[s.Task].Placement.chunkGeneration = c.Generation
-		d.Started++
-		m.Observer.Placed(now.Sub(j.AcceptedAt).Seconds())
-		m.log.Debug("placed", "job", j.ID, "task", s.Task, "attempt", a, "machine", mc.Name, "waited", now.Sub(j.AcceptedAt).Seconds())
-	}
-	for _, ref := range plan.Stops {
-		m.stopUnderPlan(ref, StopPreempted, now)
-	}
-	for i, n := range plan.Rent {
-		d.ScaleOut[offers[i]] += n
-	}
-	for _, i := range plan.Waiting {
-		if job[i] != nil {
-			d.Unplaced = append(d.Unplaced, reqs[i])
-		}
-	}
-	used := map[int]bool{}
-	for _, s := range plan.Starts {
-		if job[s.Request] == nil && s.Machine < len(back) {
-			used[s.Machine] = true
+			attempt = j.LastAttempt
+			attempts[j.Index] = attempt
 		}
+		p.bindStart(j, s, attempt)
+		started++
 	}
-	for v := range used {
-		// Kept as headroom: not idle in the sense of being returned. A pool may
-		// have it all the same, and the headroom is rented anew.
-		if mc := m.Machines[back[v]]; len(mc.Tasks) == 0 {
-			mc.headroomAt = now
-		}
-	}
-	return d
+	return started
 }
 
-// LogUtilization logs, at debug level, how many resources of each machine type are in use
-// and how many tasks wait.
-func (m *Model) LogUtilization(wanted []placement.Request, now time.Time) {
-	if !m.log.Enabled(context.Background(), slog.LevelDebug) {
-		return
-	}
-	waiting := 0
-	for i := range wanted {
-		waiting += len(wanted[i].Tasks)
-	}
-	for ti := range m.MachineTypes {
-		var ready, booting, without int // machines
-		var capacity, used, unsent placement.Res
-		for _, mc := range m.Machines {
-			if mc.Type != ti {
-				continue
-			}
-			if !m.Ready(mc, now) {
-				if _, ok := m.bootTimeLeft(mc, now); ok {
-					booting++
-				}
-				continue
-			}
-			ready++
-			capacity = capacity.Add(m.MachineTypes[ti].Capacity, 1)
-			used = used.Add(mc.Used, 1)
-			no := true
-			for ref := range mc.Tasks {
-				j := m.Jobs[ref.Job]
-				no = no && j.Need.GPU == 0
-				if j.Tasks[ref.Task].Placement.ReportedState < reportedRunning {
-					unsent = unsent.Add(j.Need, 1)
-				}
-			}
-			if no && len(mc.Tasks) > 0 {
-				without++
-			}
+// bindStart places one task of a job as the given attempt.
+func (p *schedulingPass) bindStart(j *Job, s placement.Start, attempt uint64) {
+	m, now := p.model, p.now
+	mc := m.Machines[p.machineIndexes[s.Machine]]
+	m.countPoolPlacement(j, s.Task, mc)
+	m.placeTask(j, s.Task, mc, attempt, now)
+	c := m.changeChunk(j, s.Task)
+	c.PlacedGen = c.Generation
+	j.Tasks[s.Task].Placement.chunkGeneration = c.Generation
+	waited := now.Sub(j.AcceptedAt).Seconds()
+	m.Observer.Placed(waited)
+	m.log.Debug("placed", "job", j.ID, "task", s.Task, "attempt", attempt, "machine", mc.Name, "waited", waited)
+}
+
+// markHeadroom marks the machines without tasks on which placeholders were placed, so that
+// they are not scaled in as idle. A warm pool may have such a machine all the same; the
+// headroom is then rented anew.
+func (p *schedulingPass) markHeadroom(starts []placement.Start) {
+	for _, s := range starts {
+		// Positions beyond those of the model's machines are machines to be rented.
+		if p.requestJobs[s.Request] != nil || s.Machine >= len(p.machineIndexes) {
+			continue
+		}
+		if mc := p.model.Machines[p.machineIndexes[s.Machine]]; len(mc.Tasks) == 0 {
+			mc.headroomAt = p.now
 		}
-		m.log.Debug("room", "type", m.MachineTypes[ti].Name, "ready", ready, "booting", booting, "cpus", capacity.CPU, "cpusUsed", used.CPU,
-			"gpus", capacity.GPU, "gpusUsed", used.GPU, "cpusNotRunning", unsent.CPU, "gpusNotRunning", unsent.GPU, "withoutGPUTasks", without, "waiting", waiting)
 	}
 }
--- /dev/null
+++ b/cluster/utilization.go
@@ -0,0 +1,73 @@
+package cluster
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"github.com/umberdeal/umberdeal/placement"
+)
+
+// typeUtilization is how much of the machines of one type is in use.
+type typeUtilization struct {
+	ready, booting  int // machines
+	withoutGPUTasks int // ready machines that have tasks, none of which needs a GPU
+	capacity        placement.Res
+	used            placement.Res
+	notRunning      placement.Res // of used: held by tasks that were not reported as running
+}
+
+// LogUtilization logs, at debug level, how many resources of each machine type are in use
+// and how many tasks wait.
+func (m *Model) LogUtilization(wanted []placement.Request, now time.Time) {
+	if !m.log.Enabled(context.Background(), slog.LevelDebug) {
+		return
+	}
+	waiting := 0
+	for i := range wanted {
+		waiting += len(wanted[i].Tasks)
+	}
+	for i := range m.MachineTypes {
+		u := m.utilizationOf(i, now)
+		m.log.Debug("room", "type", m.MachineTypes[i].Name, "ready", u.ready, "booting", u.booting,
+			"cpus", u.capacity.CPU, "cpusUsed", u.used.CPU, "gpus", u.capacity.GPU, "gpusUsed", u.used.GPU,
+			"cpusNotRunning", u.notRunning.CPU, "gpusNotRunning", u.notRunning.GPU,
+			"withoutGPUTasks", u.withoutGPUTasks, "waiting", waiting)
+	}
+}
+
+// utilizationOf adds up the machines of a type, given by its index.
+func (m *Model) utilizationOf(machineType int, now time.Time) typeUtilization {
+	var u typeUtilization
+	for _, mc := range m.Machines {
+		if mc.Type != machineType {
+			continue
+		}
+		if !m.Ready(mc, now) {
+			if _, boots := m.bootTimeLeft(mc, now); boots {
+				u.booting++
+			}
+			continue
+		}
+		m.addReadyMachine(&u, mc)
+	}
+	return u
+}
+
+// addReadyMachine adds a machine that can start tasks to the utilization of its type.
+func (m *Model) addReadyMachine(u *typeUtilization, mc *Machine) {
+	u.ready++
+	u.capacity = u.capacity.Add(m.MachineTypes[mc.Type].Capacity, 1)
+	u.used = u.used.Add(mc.Used, 1)
+	needsGPU := false
+	for ref := range mc.Tasks {
+		j := m.Jobs[ref.Job]
+		needsGPU = needsGPU || j.Need.GPU != 0
+		if j.Tasks[ref.Task].Placement.ReportedState < reportedRunning {
+			u.notRunning = u.notRunning.Add(j.Need, 1)
+		}
+	}
+	if len(mc.Tasks) > 0 && !needsGPU {
+		u.withoutGPUTasks++
+	}
+}
