--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -38,49 +38,69 @@
 	return n
 }
 
-// beyondQuota marks the tasks that run beyond their teams' guarantees, the last
-// started first. Tasks of jobs that are within the guarantee are never among
-// them: two teams that each have work within and beyond theirs would otherwise
-// stop each other's in turn, over and over.
+// placedTask is a placed task with when it was placed.
+type placedTask struct {
+	ref      TaskRef
+	placedAt time.Time
+}
+
+// beyondQuota returns the tasks that run beyond their teams' guarantees, chosen from the
+// last one placed on. Tasks of the jobs in within, which are inside the guarantee, are never
+// among them: two teams that each have work inside and beyond theirs would otherwise
+// preempt each other's tasks in turn, over and over.
 func (m *Model) beyondQuota(within map[int32]bool) map[TaskRef]bool {
-	out := map[TaskRef]bool{}
+	over := map[TaskRef]bool{}
 	if !slices.ContainsFunc(m.guarantees, func(g placement.Res) bool { return g != placement.Res{} }) {
-		return out // nobody may claim anything
+		return over // nobody may claim anything
 	}
-	type cand struct {
-		ref TaskRef
-		at  time.Time
+	for team, tasks := range m.placedTasksByTeam(within) {
+		sortLatestFirst(tasks)
+		m.addBeyondGuarantee(over, team, tasks)
 	}
-	byTeam := make([][]cand, len(m.teams))
+	return over
+}
+
+// placedTasksByTeam returns the placed tasks of each team, without those of the given jobs.
+func (m *Model) placedTasksByTeam(without map[int32]bool) [][]placedTask {
+	byTeam := make([][]placedTask, len(m.teams))
 	for _, mc := range m.Machines {
 		for ref := range mc.Tasks {
 			j := m.Jobs[ref.Job]
-			if j.Team >= 0 && !within[j.Index] {
-				byTeam[j.Team] = append(byTeam[j.Team], cand{ref, j.Tasks[ref.Task].Placement.PlacedAt})
+			if j.Team >= 0 && !without[j.Index] {
+				byTeam[j.Team] = append(byTeam[j.Team], placedTask{ref, j.Tasks[ref.Task].Placement.PlacedAt})
 			}
 		}
 	}
-	for t, cs := range byTeam {
-		excess := m.teams[t].Used.Add(m.guarantees[t], -1)
-		sort.Slice(cs, func(a, b int) bool {
-			if !cs[a].at.Equal(cs[b].at) {
-				return cs[a].at.After(cs[b].at)
-			}
-			if cs[a].ref.Job != cs[b].ref.Job {
-				return cs[a].ref.Job > cs[b].ref.Job
-			}
-			return cs[a].ref.Task > cs[b].ref.Task
-		})
-		for _, c := range cs {
-			need := m.Jobs[c.ref.Job].Need
-			g := m.guarantees[t]
-			if need.GPU > 0 && g.GPU > 0 && excess.GPU > 1e-6 || need.CPU > 0 && excess.CPU > 1e-6 {
-				out[c.ref] = true
-				excess = excess.Add(need, -1)
-			}
+	return byTeam
+}
+
+// sortLatestFirst sorts tasks by when they were placed, the last one first. Tasks placed at
+// the same time are sorted by their references, so that the order does not depend on that of
+// the maps which they come from.
+func sortLatestFirst(tasks []placedTask) {
+	sort.Slice(tasks, func(a, b int) bool {
+		if !tasks[a].placedAt.Equal(tasks[b].placedAt) {
+			return tasks[a].placedAt.After(tasks[b].placedAt)
+		}
+		if tasks[a].ref.Job != tasks[b].ref.Job {
+			return tasks[a].ref.Job > tasks[b].ref.Job
+		}
+		return tasks[a].ref.Task > tasks[b].ref.Task
+	})
+}
+
+// addBeyondGuarantee adds to over as many of a team's tasks, in the given order, as make up
+// what the team uses beyond its guarantee.
+func (m *Model) addBeyondGuarantee(over map[TaskRef]bool, team int, tasks []placedTask) {
+	guarantee := m.guarantees[team]
+	excess := m.teams[team].Used.Add(guarantee, -1)
+	for _, t := range tasks {
+		need := m.Jobs[t.ref.Job].Need
+		if need.GPU > 0 && guarantee.GPU > 0 && excess.GPU > 1e-6 || need.CPU > 0 && excess.CPU > 1e-6 {
+			over[t.ref] = true
+			excess = excess.Add(need, -1)
 		}
 	}
-	return out
 }
 
 // preemptionLoss estimates the seconds of work that stopping a task throws away.
@@ -108,6 +128,9 @@
 	return max(5, ran/5, more-ran)
 }
 
+// machineView returns a machine as a scheduling pass sees it. It returns false for a machine
+// that can't be given tasks and is not expected to be soon. The images and tasks of the view
+// are slices of the model's buffers, and hold until the next pass.
 func (m *Model) machineView(mc *Machine, over map[TaskRef]bool, now time.Time) (placement.Machine, bool) {
 	v := placement.Machine{Name: mc.Name, Type: mc.Type, Zone: mc.Zone, Spot: mc.Spot}
 	if m.Ready(mc, now) {
@@ -125,20 +148,32 @@
 		v.Price = t.SpotPrice
 	}
 	v.Free = t.Capacity.Add(mc.Used, -1).Add(mc.orphaned, -1)
-	images := len(m.buffers.images)
 	if mc.suspected(now) {
 		v.Slow = 300
 	}
 	if mc.slowness > 1.5 {
 		v.Slow += 20 * mc.slowness
 	}
-	tasks := len(m.buffers.occupants)
+	images := len(m.buffers.images)
+	m.addOccupants(mc, &v, over, now)
+	for _, im := range mc.cachedImages {
+		m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: im})
+	}
+	v.Images = m.buffers.images[images:]
+	m.poolView(mc, &v)
+	return v, true
+}
+
+// addOccupants adds a machine's tasks to its view, with the resources that those which are
+// stopping will free. Images that the tasks wait for are appended to the image buffer.
+func (m *Model) addOccupants(mc *Machine, v *placement.Machine, over map[TaskRef]bool, now time.Time) {
+	images, tasks := len(m.buffers.images), len(m.buffers.occupants)
 	m.buffers.taskRefs = sortRefs(mc.Tasks, m.buffers.taskRefs[:0])
 	for _, ref := range m.buffers.taskRefs {
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
-		if p.ReportedState < reportedWaiting && t.FetchRate > 0 && !mc.hasImage(j.Image) {
-			left := max(0.5, j.Spec.ImageGB/t.FetchRate-now.Sub(p.PlacedAt).Seconds())
+		if p.ReportedState < reportedWaiting && v.FetchRate > 0 && !mc.hasImage(j.Image) {
+			left := max(0.5, j.Spec.ImageGB/v.FetchRate-now.Sub(p.PlacedAt).Seconds())
 			if !slices.ContainsFunc(m.buffers.images[images:], func(im placement.ImageAt) bool { return im.Image == j.Image }) {
 				m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: j.Image, In: left})
 				v.Backlog += left
@@ -150,15 +185,11 @@
 		}
 		m.buffers.occupants = append(m.buffers.occupants, placement.Occupant{
 			Task: ref, Need: j.Need, Priority: j.Priority, Team: j.Team, Over: over[ref], Tier: j.tier,
-			Loss: m.preemptionLoss(j, p, now), Left: m.secondsLeft(j, ref.Task, now), Stopping: stopping, Fixed: stopping || j.Gang() && len(j.Tasks) > 1 || m.isStartProtected(j, now),
+			Loss: m.preemptionLoss(j, p, now), Left: m.secondsLeft(j, ref.Task, now), Stopping: stopping,
+			Fixed: stopping || j.Gang() && len(j.Tasks) > 1 || m.isStartProtected(j, now),
 		})
 	}
-	for _, im := range mc.cachedImages {
-		m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: im})
-	}
-	v.Images, v.Tasks = m.buffers.images[images:], m.buffers.occupants[tasks:]
-	m.poolView(mc, &v)
-	return v, true
+	v.Tasks = m.buffers.occupants[tasks:]
 }
 
 func (mc *Machine) hasImage(image int32) bool {
