--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -71,12 +71,27 @@
 	}
 }
 
+// expectedEffects is what the last answer must have changed in the next heartbeat, if the
+// worker received it.
+type expectedEffects struct {
+	answered bool      // there was an answer
+	forgets  []exitKey // exits that must not be listed any more
+	probe    exitKey   // exit of the probe, which must be listed
+}
+
+// takeExpectedEffects returns what the next heartbeat must reflect, and expects nothing any
+// more.
+func (h *reachability) takeExpectedEffects() expectedEffects {
+	e := expectedEffects{answered: h.answerPending, forgets: h.pendingForgets, probe: h.pendingProbe}
+	h.answerPending, h.pendingForgets, h.pendingProbe = false, nil, exitKey{}
+	return e
+}
+
 // updateReachability derives from a new heartbeat whether the machine received the answer
 // to the previous one. It must run before the heartbeat changes mc.
 func (m *Model) updateReachability(mc *Machine, r *wire.Report, now time.Time) {
 	h := &mc.reachability
-	told, forget, probe := h.answerPending, h.pendingForgets, h.pendingProbe
-	h.answerPending, h.pendingForgets, h.pendingProbe = false, nil, exitKey{}
+	expected := h.takeExpectedEffects()
 	if !mc.Up {
 		h.reportingSince = now
 		if h.tokenEverShown && !mc.unreachable() {
@@ -84,17 +99,7 @@
 		}
 	}
 	if r.Token < m.FencingToken {
-		// The worker has accepted no answer of this leader, and discards all answers to
-		// earlier heartbeats by now, so that none of them has renewed its lease. Counting
-		// them would delay the restart of its tasks, above all where they answered
-		// delayed heartbeats of a machine that is gone.
-		mc.LastAnswered = time.Time{}
-		if told {
-			m.markUnreachable(mc, "token", now)
-		}
-		if (mc.Up || len(mc.Tasks) > 0) && now.After(m.leaseEnd(mc)) {
-			m.loseTasksOn(mc, "its machine's lease is over", now)
-		}
+		m.applyMissingToken(mc, expected, now)
 		return
 	}
 	if !h.tokenEverShown {
@@ -103,24 +108,44 @@
 	}
 	if r.Session != mc.AgentEpoch {
 		// A new session although an answer was sent: its lease expired all the same.
-		if told && now.Sub(mc.LastAnswered) < config.Seconds(m.settings.Cluster.Workers.LeaseS/2) {
+		if expected.answered && now.Sub(mc.LastAnswered) < config.Seconds(m.settings.Cluster.Workers.LeaseS/2) {
 			m.markUnreachable(mc, "session", now)
 			m.releaseReservedPlacements(mc, now)
 		}
 		return
 	}
-	listed := make(map[exitKey]bool, len(forget))
+	m.checkExpectedEffects(mc, r, expected, now)
+}
+
+// applyMissingToken applies a heartbeat without this leader's fencing token. The worker has
+// accepted no answer of this leader, and discards all answers to earlier heartbeats by now,
+// so that none of them has renewed its lease. Counting them would delay the restart of its
+// tasks, above all where they answered delayed heartbeats of a machine that is gone.
+func (m *Model) applyMissingToken(mc *Machine, expected expectedEffects, now time.Time) {
+	mc.LastAnswered = time.Time{}
+	if expected.answered {
+		m.markUnreachable(mc, "token", now)
+	}
+	if (mc.Up || len(mc.Tasks) > 0) && now.After(m.leaseEnd(mc)) {
+		m.loseTasksOn(mc, "its machine's lease is over", now)
+	}
+}
+
+// checkExpectedEffects derives from a heartbeat of the same session whether the last answer
+// was received: the exit of its probe is listed, and the exits that it forgot are not.
+func (m *Model) checkExpectedEffects(mc *Machine, r *wire.Report, expected expectedEffects, now time.Time) {
+	listed := make(map[exitKey]bool, len(expected.forgets))
 	for i := range r.Tasks {
 		k := exitKey{r.Tasks[i].Task, r.Tasks[i].Attempt}
-		if k == probe {
+		if k == expected.probe {
 			m.markReachable(mc, now)
 		}
 		listed[k] = true
 	}
-	for _, k := range forget {
+	for _, k := range expected.forgets {
 		if !listed[k] {
 			m.markReachable(mc, now)
-		} else if (heartbeatID{mc.AgentEpoch, mc.Seq}) != h.answeredTwice {
+		} else if (heartbeatID{mc.AgentEpoch, mc.Seq}) != mc.reachability.answeredTwice {
 			m.markUnreachable(mc, "forget", now)
 		}
 	}
