--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -32,35 +32,9 @@
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		named[exitKey{t.Task, t.Attempt}] = true
-		id, n, ok := wire.SplitTask(t.Task)
-		if !ok {
-			continue
+		if ref, placed := m.applyListedTask(mc, r, t, now); placed {
+			listed[ref] = true
 		}
-		j := m.Job(id)
-		if j == nil || n >= len(j.Tasks) {
-			continue
-		}
-		ref := TaskRef{Job: j.Index, Task: int32(n)}
-		p := j.Tasks[n].Placement
-		if p == nil || p.Machine != mc.Index || p.Attempt != t.Attempt {
-			if t.State == wire.TaskExited {
-				m.applyUnplacedExit(j, int32(n), mc, t, now)
-			} else {
-				mc.orphaned = mc.orphaned.Add(j.Need, 1)
-			}
-			continue
-		}
-		listed[ref] = true
-		if t.State == wire.TaskExited && t.Why != wire.WhyDone && p.Inherited && !mc.TokenShown {
-			// Without the token this may be a delayed copy. A gang's task that the
-			// worker refused is launched again with the same attempt number, and may
-			// be on the machine by now.
-			continue
-		}
-		if p.LaunchSent && p.ReportedState == notReported && p.LaunchEpoch == r.Session {
-			m.markReachable(mc, now)
-		}
-		m.applyTaskState(j, int32(n), mc, p, t, now)
 	}
 	for k := range mc.reportedExits {
 		if !named[k] {
@@ -70,6 +44,40 @@
 	return listed
 }
 
+// applyListedTask applies the state of a task that a heartbeat lists. It returns the task if
+// it is placed on the machine with the attempt listed.
+func (m *Model) applyListedTask(mc *Machine, r *wire.Report, t *wire.TaskReport, now time.Time) (ref TaskRef, placed bool) {
+	id, n, ok := wire.SplitTask(t.Task)
+	if !ok {
+		return TaskRef{}, false
+	}
+	j := m.Job(id)
+	if j == nil || n >= len(j.Tasks) {
+		return TaskRef{}, false
+	}
+	p := j.Tasks[n].Placement
+	if p == nil || p.Machine != mc.Index || p.Attempt != t.Attempt {
+		if t.State == wire.TaskExited {
+			m.applyUnplacedExit(j, int32(n), mc, t, now)
+		} else {
+			mc.orphaned = mc.orphaned.Add(j.Need, 1)
+		}
+		return TaskRef{}, false
+	}
+	ref = TaskRef{Job: j.Index, Task: int32(n)}
+	if t.State == wire.TaskExited && t.Why != wire.WhyDone && p.Inherited && !mc.TokenShown {
+		// Without the token this may be a delayed copy. A gang's task that the worker
+		// refused is launched again with the same attempt number, and may be on the
+		// machine by now.
+		return ref, true
+	}
+	if p.LaunchSent && p.ReportedState == notReported && p.LaunchEpoch == r.Session {
+		m.markReachable(mc, now)
+	}
+	m.applyTaskState(j, int32(n), mc, p, t, now)
+	return ref, true
+}
+
 // applyAbsence handles a task that is placed on a machine but missing from its heartbeat: it
 // has not been launched yet, its launch was lost, or it is gone.
 func (m *Model) applyAbsence(mc *Machine, ref TaskRef, r *wire.Report, now time.Time) {
