--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -1,7 +1,8 @@
 package cluster
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"strconv"
 	"time"
 
@@ -122,64 +123,78 @@
 	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(m.settings.Cluster.Workers.ReportS*3) {
 		return nil
 	}
-	groups := map[string][]*Machine{}
-	var names []string
-	for _, mc := range m.Machines {
-		if m.Ready(mc, now) && !m.keptByPool(mc) {
-			g := groupName(m.MachineTypes[mc.Type].Name, m.Zones[mc.Zone])
-			if groups[g] == nil {
-				names = append(names, g)
-			}
-			groups[g] = append(groups[g], mc)
-		}
-	}
-	sort.Strings(names)
-	out := map[string]jobstore.RebalanceCycle{}
-	ms := now.UnixMilli()
-	for _, g := range names {
-		var old jobstore.RebalanceCycle
-		if c := m.RebalanceCycles[g]; c != nil {
-			old = c.Record
+	cycles := map[string]jobstore.RebalanceCycle{}
+	groups := m.rebalanceGroups(now)
+	for _, name := range slices.Sorted(maps.Keys(groups)) {
+		machines := groups[name]
+		var last jobstore.RebalanceCycle
+		if c := m.RebalanceCycles[name]; c != nil {
+			last = c.Record
 		}
-		if ms < old.CooldownUntilMs {
+		if now.UnixMilli() < last.CooldownUntilMs {
 			continue
 		}
-		mcs := groups[g]
-		var want []placement.Res
-		for i := range wanted {
-			r := &wanted[i]
-			if r.Types[mcs[0].Type] && (r.Zone < 0 || r.Zone == mcs[0].Zone) {
-				want = append(want, r.Need)
-			}
-		}
-		if len(want) == 0 {
-			continue
-		}
-		rec := jobstore.RebalanceCycle{TaskCooldownUntilMs: pruneExpired(old.TaskCooldownUntilMs, ms), QuarantineUntilMs: pruneExpired(old.QuarantineUntilMs, ms)}
-		in := rebalance.Group{Budget: m.RebalanceSettings.Budget, Wanted: want}
-		for _, p := range m.RebalanceSettings.Policies {
-			in.Policies = append(in.Policies, rebalance.Policy(p))
+		if cycle := m.planCycle(machines, wantedIn(machines, wanted), last, now); len(cycle.Moves) > 0 {
+			cycles[name] = cycle
 		}
-		for _, mc := range mcs {
-			in.Hosts = append(in.Hosts, m.rebalanceHost(mc, rec, now))
-		}
-		moves := rebalance.Plan(in)
-		if len(moves) == 0 {
-			continue
+	}
+	return cycles
+}
+
+// rebalanceGroups returns the machines that take part in rebalancing by their groups, each
+// in the order of the model.
+func (m *Model) rebalanceGroups(now time.Time) map[string][]*Machine {
+	groups := map[string][]*Machine{}
+	for _, mc := range m.Machines {
+		if m.Ready(mc, now) && !m.keptByPool(mc) {
+			name := groupName(m.MachineTypes[mc.Type].Name, m.Zones[mc.Zone])
+			groups[name] = append(groups[name], mc)
 		}
-		for _, mv := range moves {
-			j := m.Jobs[mv.Task.Job]
-			name := wire.TaskName(j.ID, int(mv.Task.Task))
-			rec.Moves = append(rec.Moves, jobstore.Move{
-				Task: name, Attempt: j.Tasks[mv.Task.Task].Placement.Attempt,
-				From: mcs[mv.From].Name, To: mcs[mv.To].Name,
-			})
-			rec.TaskCooldownUntilMs[name] = now.Add(config.Seconds(m.RebalanceSettings.RestS)).UnixMilli()
+	}
+	return groups
+}
+
+// wantedIn returns what the requests that the machines of a group can serve need.
+func wantedIn(group []*Machine, wanted []placement.Request) []placement.Res {
+	var needs []placement.Res
+	for i := range wanted {
+		r := &wanted[i]
+		if r.Types[group[0].Type] && (r.Zone < 0 || r.Zone == group[0].Zone) {
+			needs = append(needs, r.Need)
 		}
-		rec.CooldownUntilMs = now.Add(config.Seconds(m.RebalanceSettings.CooldownS)).UnixMilli()
-		out[g] = rec
 	}
-	return out
+	return needs
+}
+
+// planCycle plans the cycle after the last one of a group of machines. The cycle has no
+// moves if moving tasks makes no room for what is wanted.
+func (m *Model) planCycle(machines []*Machine, wanted []placement.Res, last jobstore.RebalanceCycle, now time.Time) jobstore.RebalanceCycle {
+	if len(wanted) == 0 {
+		return jobstore.RebalanceCycle{}
+	}
+	ms := now.UnixMilli()
+	cycle := jobstore.RebalanceCycle{
+		TaskCooldownUntilMs: pruneExpired(last.TaskCooldownUntilMs, ms),
+		QuarantineUntilMs:   pruneExpired(last.QuarantineUntilMs, ms),
+	}
+	group := rebalance.Group{Budget: m.RebalanceSettings.Budget, Wanted: wanted}
+	for _, p := range m.RebalanceSettings.Policies {
+		group.Policies = append(group.Policies, rebalance.Policy(p))
+	}
+	for _, mc := range machines {
+		group.Hosts = append(group.Hosts, m.rebalanceHost(mc, cycle, now))
+	}
+	for _, mv := range rebalance.Plan(group) {
+		j := m.Jobs[mv.Task.Job]
+		name := wire.TaskName(j.ID, int(mv.Task.Task))
+		cycle.Moves = append(cycle.Moves, jobstore.Move{
+			Task: name, Attempt: j.Tasks[mv.Task.Task].Placement.Attempt,
+			From: machines[mv.From].Name, To: machines[mv.To].Name,
+		})
+		cycle.TaskCooldownUntilMs[name] = now.Add(config.Seconds(m.RebalanceSettings.RestS)).UnixMilli()
+	}
+	cycle.CooldownUntilMs = now.Add(config.Seconds(m.RebalanceSettings.CooldownS)).UnixMilli()
+	return cycle
 }
 
 func (m *Model) rebalanceHost(mc *Machine, rec jobstore.RebalanceCycle, now time.Time) rebalance.Host {
