--- a/controller/answer_checker_test.go
+++ b/controller/answer_checker_test.go
@@ -17,12 +17,16 @@
 		name, want string
 		tell       func(w *fake.Cluster)
 	}{
-		{"accepted, then not known", "forgotten: wk-000001 answered 404", func(w *fake.Cluster) { w.Submit(job(1, nil)); lose(w); w.PollState(w.NodeAddr(2), "wk-000001") }},
-		{"accepted twice", "accepted twice: wk-000001", func(w *fake.Cluster) { w.Submit(job(1, nil)); lose(w); w.QueryConcurrently("wk-000001", 1) }},
+		{"accepted, then not known", "forgotten: wk-000001 answered 404", func(w *fake.Cluster) {
+			w.Submit(job(1, nil))
+			loseAllRecords(w)
+			w.PollState(w.NodeAddr(2), "wk-000001")
+		}},
+		{"accepted twice", "accepted twice: wk-000001", func(w *fake.Cluster) { w.Submit(job(1, nil)); loseAllRecords(w); w.QueryConcurrently("wk-000001", 1) }},
 		{"cancelled, then pending", "went_back: wk-000001 called pending after aborted", func(w *fake.Cluster) {
 			w.Submit(job(1, nil))
 			w.Cancel("wk-000001")
-			lose(w)
+			loseAllRecords(w)
 			w.QueryConcurrently("wk-000001", 1)
 		}},
 	} {
@@ -40,8 +44,8 @@
 	}
 }
 
-// lose has all nodes forget all jobs.
-func lose(w *fake.Cluster) {
+// loseAllRecords has all nodes forget all jobs.
+func loseAllRecords(w *fake.Cluster) {
 	w.KillAll()
 	w.Store.Clear()
 	w.StartAll()
--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -28,8 +28,8 @@
 var nightPlan = plans.Region("here", nightHours, "00:00", 120, `class = "tiles"`) +
 	plans.Region("empty", nightHours, "00:00", 120, `class = "nobody's"`)
 
-// nights is what is committed of a region.
-func nights(t *testing.T, w *fake.Cluster, region string) (rec calendar.Record) {
+// windowRecord is what is committed of a region.
+func windowRecord(t *testing.T, w *fake.Cluster, region string) (rec calendar.Record) {
 	t.Helper()
 	if raw := w.Store.Value(jobstore.PlanStatePrefix + calendar.RecordName(region)); raw != nil {
 		if err := wire.Unmarshal(raw, &rec); err != nil {
@@ -39,8 +39,8 @@
 	return rec
 }
 
-// clock waits until a time of the first day.
-func clock(s string) {
+// sleepUntilClock waits until a time of the first day.
+func sleepUntilClock(s string) {
 	at, err := time.Parse("2006-01-02 15:04:05", "2000-01-01 "+s)
 	if err != nil {
 		panic(err) // a story is told wrong
@@ -48,33 +48,33 @@
 	time.Sleep(time.Until(at))
 }
 
-// outcome waits until a night's outcome is committed, and looks whether it stays
+// awaitWindowOutcome waits until a night's outcome is committed, and looks whether it stays
 // the only one.
-func outcome(t *testing.T, w *fake.Cluster) calendar.Outcome {
+func awaitWindowOutcome(t *testing.T, w *fake.Cluster) calendar.Outcome {
 	t.Helper()
-	for end := time.Now().Add(15 * time.Minute); len(nights(t, w, "here").Past) == 0; {
+	for end := time.Now().Add(15 * time.Minute); len(windowRecord(t, w, "here").Past) == 0; {
 		if time.Now().After(end) {
-			t.Fatalf("no outcome: %+v", nights(t, w, "here"))
+			t.Fatalf("no outcome: %+v", windowRecord(t, w, "here"))
 		}
 		time.Sleep(time.Second)
 	}
-	first := nights(t, w, "here")
+	first := windowRecord(t, w, "here")
 	time.Sleep(time.Minute)
-	last := nights(t, w, "here")
+	last := windowRecord(t, w, "here")
 	if len(last.Past) != 1 || last.Past[0] != first.Past[0] {
 		t.Errorf("outcomes %+v, and then %+v", first.Past, last.Past)
 	}
 	return last.Past[0]
 }
 
-func tiles(n, tasks int, estimate float64) wire.Job {
+func tileJob(n, tasks int, estimate float64) wire.Job {
 	return job(n, func(j *wire.Job) {
 		j.Class, j.Tasks, j.CPUs, j.EstimateS = "tiles", tasks, 4, estimate
 	})
 }
 
-// finishOf is when the last of some jobs is done.
-func finishOf(t *testing.T, w *fake.Cluster, ids ...string) time.Time {
+// awaitAllDone is when the last of some jobs is done.
+func awaitAllDone(t *testing.T, w *fake.Cluster, ids ...string) time.Time {
 	t.Helper()
 	for _, id := range ids {
 		mustReach(t, w, id, wire.JobDone, 20*time.Minute)
@@ -82,9 +82,9 @@
 	return time.Now()
 }
 
-// nightOf plays a night of 24 layers on four machines, with as much day work of
+// runBatchWindow plays a night of 24 layers on four machines, with as much day work of
 // the same priority that was there before, and says when it was finished.
-func nightOf(t *testing.T, trouble func(w *fake.Cluster)) (finish time.Duration) {
+func runBatchWindow(t *testing.T, trouble func(w *fake.Cluster)) (finish time.Duration) {
 	t.Helper()
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
@@ -93,15 +93,15 @@
 		}
 		var ids []string
 		for i := range 12 {
-			j := tiles(i, 2, 40)
+			j := tileJob(i, 2, 40)
 			mustSubmit(t, w, j)
 			ids = append(ids, j.ID)
 		}
 		time.Sleep(20 * time.Second)
-		promise := nights(t, w, "here").Windows[0].DeadlineMs
+		promise := windowRecord(t, w, "here").Windows[0].DeadlineMs
 		go trouble(w)
-		finish = finishOf(t, w, ids...).Sub(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC))
-		if n := nights(t, w, "here").Windows; len(n) != 1 || n[0].DeadlineMs != promise {
+		finish = awaitAllDone(t, w, ids...).Sub(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC))
+		if n := windowRecord(t, w, "here").Windows; len(n) != 1 || n[0].DeadlineMs != promise {
 			t.Errorf("promised for %d, and then %+v", promise, n)
 		}
 		unfinished := 0
@@ -113,7 +113,7 @@
 		if unfinished == 0 {
 			t.Error("the day's work was over before the night's")
 		}
-		o := outcome(t, w)
+		o := awaitWindowOutcome(t, w)
 		if o.Result != calendar.ResultMet || o.Completed != 12 || o.Jobs != 12 {
 			t.Errorf("%+v", o)
 		}
@@ -123,7 +123,7 @@
 		if n := w.Started(); n != 24+32 {
 			t.Errorf("%d starts of %d tasks", n, 24+32)
 		}
-		if rec := nights(t, w, "empty"); rec.SavedAtMs != 0 {
+		if rec := windowRecord(t, w, "empty"); rec.SavedAtMs != 0 {
 			t.Errorf("written of a region nothing belongs to: %+v", rec)
 		}
 	})
@@ -134,10 +134,10 @@
 // same promises, no work repeated, and the finish that of a night untroubled but
 // for the time in which there was no leader.
 func TestAllControllersAreReplacedDuringABatchWindow(t *testing.T) {
-	calm := nightOf(t, func(*fake.Cluster) {})
-	replaced := nightOf(t, func(w *fake.Cluster) {
+	calm := runBatchWindow(t, func(*fake.Cluster) {})
+	replaced := runBatchWindow(t, func(w *fake.Cluster) {
 		for range 3 {
-			loseLeader(w)
+			restartLeader(w)
 			time.Sleep(12 * time.Second)
 		}
 	})
@@ -161,14 +161,14 @@
 		done   int
 		within time.Duration // it is late by that at most
 	}{
-		{"the leader stands still, all was done", "00:07:00", standStill, calendar.ResultMet, 3, 0},
-		{"the leader stands still, not all is done", "00:14:00", standStill, calendar.ResultIncomplete, 2, 0},
-		{"the leader stands still, the last is late", "00:10:40", standStill, calendar.ResultLate, 3, 90 * time.Second},
-		{"the leader crashes, all was done", "00:07:00", crash, calendar.ResultMet, 3, 0},
-		{"the leader crashes, not all is done", "00:14:00", crash, calendar.ResultIncomplete, 2, 0},
-		{"the state service is out, all was done", "00:07:00", outage, calendar.ResultMet, 3, 0},
-		{"the state service is out, the last was not known in time", "00:11:00", outage, calendar.ResultIncomplete, 2, 0},
-		{"the state service is out, not all is done", "00:14:00", outage, calendar.ResultIncomplete, 2, 0},
+		{"the leader stands still, all was done", "00:07:00", stallLeader, calendar.ResultMet, 3, 0},
+		{"the leader stands still, not all is done", "00:14:00", stallLeader, calendar.ResultIncomplete, 2, 0},
+		{"the leader stands still, the last is late", "00:10:40", stallLeader, calendar.ResultLate, 3, 90 * time.Second},
+		{"the leader crashes, all was done", "00:07:00", crashLeader, calendar.ResultMet, 3, 0},
+		{"the leader crashes, not all is done", "00:14:00", crashLeader, calendar.ResultIncomplete, 2, 0},
+		{"the state service is out, all was done", "00:07:00", storeOutage, calendar.ResultMet, 3, 0},
+		{"the state service is out, the last was not known in time", "00:11:00", storeOutage, calendar.ResultIncomplete, 2, 0},
+		{"the state service is out, not all is done", "00:14:00", storeOutage, calendar.ResultIncomplete, 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 4, LeaseS: 200}, func(t *testing.T, w *fake.Cluster) {
@@ -178,12 +178,12 @@
 					t.Fatal(err)
 				}
 				long := at.Sub(at.Truncate(24*time.Hour)) - time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC))
-				mustSubmit(t, w, tiles(1, 3, 60), tiles(2, 2, 100), tiles(3, 1, long.Seconds()-8))
-				clock("00:09:50")
+				mustSubmit(t, w, tileJob(1, 3, 60), tileJob(2, 2, 100), tileJob(3, 1, long.Seconds()-8))
+				sleepUntilClock("00:09:50")
 				end := c.begin(w)
-				clock("00:12:30")
+				sleepUntilClock("00:12:30")
 				end()
-				o := outcome(t, w)
+				o := awaitWindowOutcome(t, w)
 				if o.Result != c.how || o.Completed != c.done || o.Jobs != 3 || time.Duration(o.LateMs)*time.Millisecond > c.within || c.how == calendar.ResultLate && o.LateMs <= 0 {
 					t.Errorf("%+v", o)
 				}
@@ -193,25 +193,25 @@
 	}
 }
 
-func standStill(w *fake.Cluster) func() {
+func stallLeader(w *fake.Cluster) func() {
 	i := w.Leader()
 	w.PauseNode(i, true)
 	return func() { w.PauseNode(i, false) }
 }
 
-func crash(w *fake.Cluster) func() {
+func crashLeader(w *fake.Cluster) func() {
 	i := w.Leader()
 	w.KillNode(i)
 	return func() { w.StartNode(i) }
 }
 
-func cutOff(w *fake.Cluster) func() {
+func partitionLeaderFromStore(w *fake.Cluster) func() {
 	i := w.Leader()
 	w.PartitionNode(i, true, "state")
 	return func() { w.PartitionNode(i, false, "state") }
 }
 
-func outage(w *fake.Cluster) func() {
+func storeOutage(w *fake.Cluster) func() {
 	w.Store.SetOutage(true)
 	return func() { w.Store.SetOutage(false) }
 }
@@ -221,16 +221,16 @@
 func TestPlanChangeMakesAWindowEndEarlier(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
-		mustSubmit(t, w, tiles(1, 2, 60), tiles(2, 1, 420))
-		clock("00:03:00")
-		if n := nights(t, w, "here").Windows; len(n) != 1 || n[0].DeadlineMs%3600_000 != 600_000 || n[0].Forecast.AtRisk {
+		mustSubmit(t, w, tileJob(1, 2, 60), tileJob(2, 1, 420))
+		sleepUntilClock("00:03:00")
+		if n := windowRecord(t, w, "here").Windows; len(n) != 1 || n[0].DeadlineMs%3600_000 != 600_000 || n[0].Forecast.AtRisk {
 			t.Fatalf("%+v", n)
 		}
 		applyPlan(t, w, 1, strings.ReplaceAll(nightPlan, "00:12", "00:09"))
 		lost := w.Leader()
 		w.KillNode(lost)
-		clock("00:04:00")
-		n := nights(t, w, "here").Windows
+		sleepUntilClock("00:04:00")
+		n := windowRecord(t, w, "here").Windows
 		if len(n) != 1 || n[0].DeadlineMs%3600_000 != 420_000 || !n[0].Forecast.AtRisk {
 			t.Fatalf("%+v", n)
 		}
@@ -246,15 +246,15 @@
 			if i == lost {
 				continue
 			}
-			v := overview(t, w, i).Fleet.Nights
+			v := getOverview(t, w, i).Fleet.Nights
 			if len(v) != 2 || v[0].Region != "here" || v[0].Stale || v[0].Windows[0].DeadlineMs != n[0].DeadlineMs || v[0].Windows[0].Completed != 1 || len(v[1].Windows) > 0 {
 				t.Errorf("node %d shows %+v", i, v)
 			}
 		}
-		if text := watchNode(t, w, l, controller.PathMetrics); !strings.Contains(text, "umberdeal_night_jobs_open 1") || !strings.Contains(text, "umberdeal_nights_at_risk 1") {
+		if text := getOperatorPath(t, w, l, controller.PathMetrics); !strings.Contains(text, "umberdeal_night_jobs_open 1") || !strings.Contains(text, "umberdeal_nights_at_risk 1") {
 			t.Error("the gauges don't show the night")
 		}
-		if o := outcome(t, w); o.Result != calendar.ResultLate || o.Completed != 2 || o.OpeningMs%3600_000 != 540_000 {
+		if o := awaitWindowOutcome(t, w); o.Result != calendar.ResultLate || o.Completed != 2 || o.OpeningMs%3600_000 != 540_000 {
 			t.Errorf("%+v", o)
 		}
 	})
@@ -267,30 +267,30 @@
 		applyPlan(t, w, 0, nightPlan)
 		var ids []string
 		for i := range 6 {
-			j := tiles(i, 4, 60)
+			j := tileJob(i, 4, 60)
 			mustSubmit(t, w, j)
 			ids = append(ids, j.ID)
 		}
 		mustSubmit(t, w, job(100, func(j *wire.Job) { j.Class, j.Tasks, j.CPUs, j.EstimateS = "day", 24, 4, 60 }))
-		clock("00:01:00")
+		sleepUntilClock("00:01:00")
 		for _, m := range w.Cloud.Machines()[:3] {
 			w.KillMachine(m)
 		}
 		w.Cloud.SetBootTimes(func(int) time.Duration { return -1 })
-		clock("00:01:50")
+		sleepUntilClock("00:01:50")
 		said := ""
-		for _, r := range nights(t, w, "here").Windows[0].Reforecasts {
+		for _, r := range windowRecord(t, w, "here").Windows[0].Reforecasts {
 			said += r.Cause + "; "
 		}
 		if !strings.Contains(said, "machines lost: 3 of 6 are left") {
 			t.Errorf("forecasts were made again because %s", said)
 		}
 		w.KillNode(w.Leader())
-		finishOf(t, w, ids...)
+		awaitAllDone(t, w, ids...)
 		if w.FinishedTasks("wk-000100") >= 12 {
 			t.Errorf("%d tasks of the day's work were done first", w.FinishedTasks("wk-000100"))
 		}
-		if o := outcome(t, w); o.Result != calendar.ResultMet || o.Completed != 6 {
+		if o := awaitWindowOutcome(t, w); o.Result != calendar.ResultMet || o.Completed != 6 {
 			t.Errorf("%+v", o)
 		}
 	})
@@ -326,8 +326,8 @@
 				defer w.Close()
 				time.Sleep(5 * time.Second)
 				applyPlan(t, w, 0, fmt.Sprintf("[[calendar.regions]]\nname = \"here\"\nzone = %q\n%s\nmargin_s = 120\nwork = [ { class = \"tiles\" } ]\n", c.zone, c.region))
-				mustSubmit(t, w, tiles(1, 2, 60))
-				finishOf(t, w, "wk-000001")
+				mustSubmit(t, w, tileJob(1, 2, 60))
+				awaitAllDone(t, w, "wk-000001")
 				time.Sleep(time.Until(at.Add(11 * time.Minute)))
 				for range 3 {
 					i := w.Leader()
@@ -337,10 +337,10 @@
 					time.Sleep(90 * time.Second)
 				}
 				if c.want == "" {
-					if rec := nights(t, w, "here"); len(rec.Past) > 0 || len(rec.Windows) != 1 || rec.Windows[0].Date != "2000-04-25" || rec.Windows[0].Completed != 1 {
+					if rec := windowRecord(t, w, "here"); len(rec.Past) > 0 || len(rec.Windows) != 1 || rec.Windows[0].Date != "2000-04-25" || rec.Windows[0].Completed != 1 {
 						t.Errorf("%+v", rec)
 					}
-				} else if o := outcome(t, w); o.Result != calendar.ResultMet || o.Completed != 1 || time.UnixMilli(o.OpeningMs).Format(time.RFC3339) != parse(t, c.want).Local().Format(time.RFC3339) {
+				} else if o := awaitWindowOutcome(t, w); o.Result != calendar.ResultMet || o.Completed != 1 || time.UnixMilli(o.OpeningMs).Format(time.RFC3339) != mustParseTime(t, c.want).Local().Format(time.RFC3339) {
 					t.Errorf("%+v, opens %v", o, time.UnixMilli(o.OpeningMs))
 				}
 				for _, b := range w.Violations() {
@@ -351,7 +351,7 @@
 	}
 }
 
-func parse(t *testing.T, s string) time.Time {
+func mustParseTime(t *testing.T, s string) time.Time {
 	t.Helper()
 	at, err := time.Parse(time.RFC3339, s)
 	if err != nil {
@@ -369,9 +369,9 @@
 		seeds = n
 	}
 	for _, text := range []string{"", nightPlan} {
-		var sum mixed
+		var sum mixedWindowResult
 		for seed := range seeds {
-			got := mixedNight(t, seed+1, text)
+			got := runMixedWindow(t, seed+1, text)
 			sum.met, sum.day, sum.begun, sum.longest = sum.met+got.met, sum.day+got.day, sum.begun+got.begun, max(sum.longest, got.longest)
 			sum.finish += got.finish
 			sum.changes += got.changes
@@ -384,14 +384,14 @@
 	}
 }
 
-type mixed struct {
+type mixedWindowResult struct {
 	met, day, begun int
 	longest, finish time.Duration
 	changes         int // of the state service
 }
 
-// mixedNight plays a night in which two leaders crash.
-func mixedNight(t *testing.T, seed uint64, text string) (got mixed) {
+// runMixedWindow plays a night in which two leaders crash.
+func runMixedWindow(t *testing.T, seed uint64, text string) (got mixedWindowResult) {
 	t.Helper()
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4, Seed: seed}, func(t *testing.T, w *fake.Cluster) {
 		if text != "" {
@@ -405,7 +405,7 @@
 		var finish time.Time
 		for i := 0; time.Now().Before(end); i++ {
 			if i < 14 {
-				j := tiles(i, 2+rnd.IntN(3), 30+rnd.Float64()*60)
+				j := tileJob(i, 2+rnd.IntN(3), 30+rnd.Float64()*60)
 				mustSubmit(t, w, j)
 				layers = append(layers, j.ID)
 			}
@@ -445,7 +445,7 @@
 }
 
 // watch takes note of which of the day's jobs have begun.
-func (x *mixed) watch(w *fake.Cluster, came map[string]time.Time) {
+func (x *mixedWindowResult) watch(w *fake.Cluster, came map[string]time.Time) {
 	for id, at := range came {
 		began := w.FinishedTasks(id) > 0
 		for k := range 3 {
@@ -464,18 +464,18 @@
 	}
 }
 
-// aheadNight plays a night of a layer of so many tasks of a minute, on machines for
+// runScaleOutAheadWindow plays a night of a layer of so many tasks of a minute, on machines for
 // eight of them that take a minute to boot, of which one is there. It says how it
 // came out, how many machines were rented, and for how many seconds machines were paid.
-func aheadNight(t *testing.T, o fake.Options, tasks int, opens string, trouble func(w *fake.Cluster)) (out calendar.Outcome, rented, paid int) {
+func runScaleOutAheadWindow(t *testing.T, o fake.Options, tasks int, opens string, trouble func(w *fake.Cluster)) (out calendar.Outcome, rented, paid int) {
 	t.Helper()
 	big := fake.DefaultType
 	big.CPUs, big.MemoryGB, big.BootS = 32, 256, 60
 	o.Types, o.Machines = []wire.MachineType{big}, 1
 	runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
-		clock("00:00:40") // the leader knows its machines
+		sleepUntilClock("00:00:40") // the leader knows its machines
 		applyPlan(t, w, 0, strings.ReplaceAll(nightPlan, "00:12", opens))
-		mustSubmit(t, w, tiles(1, tasks, 60))
+		mustSubmit(t, w, tileJob(1, tasks, 60))
 		go trouble(w)
 		over := make(chan struct{})
 		defer close(over)
@@ -490,16 +490,16 @@
 			}
 		}()
 		if o.Capacity == 1 {
-			clock("00:01:00")
+			sleepUntilClock("00:01:00")
 			// The cloud is asked again and again: a forecast made just then says that room is rented.
 			if !scenario.Eventually(4*time.Minute, time.Second, func() bool {
-				n := nights(t, w, "here").Windows
+				n := windowRecord(t, w, "here").Windows
 				return len(n) == 1 && strings.Contains(n[0].Forecast.Reason, "no machines are to be had")
 			}) {
-				t.Errorf("no forecast names the cloud: %+v", nights(t, w, "here").Windows)
+				t.Errorf("no forecast names the cloud: %+v", windowRecord(t, w, "here").Windows)
 			}
 		}
-		out = outcome(t, w)
+		out = awaitWindowOutcome(t, w)
 		if w.Cancel("wk-000001") != wire.JobCancelled {
 			mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
 		}
@@ -531,12 +531,12 @@
 			for len(w.Cloud.Machines()) < 12 {
 				time.Sleep(100 * time.Millisecond)
 			}
-			crash(w)
+			crashLeader(w)
 			w.Cloud.SetDropReplies(false)
 		}, 30},
 		{"the cloud answers late, and half of the machines are lost", 200, calendar.ResultMet, func(w *fake.Cluster) {
 			w.Cloud.SetReplyDelay(15 * time.Second)
-			clock("00:04:00")
+			sleepUntilClock("00:04:00")
 			all := w.Cloud.Machines()
 			for _, name := range all[:len(all)/2] {
 				w.KillMachine(name)
@@ -545,7 +545,7 @@
 		{"there are no machines", 1, calendar.ResultIncomplete, func(*fake.Cluster) {}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			o, rented, paid := aheadNight(t, fake.Options{Capacity: c.room}, 1500, "00:08", c.trouble)
+			o, rented, paid := runScaleOutAheadWindow(t, fake.Options{Capacity: c.room}, 1500, "00:08", c.trouble)
 			t.Logf("%s; %d machines rented, %d machine-seconds (simulated)", o.String(), rented, paid)
 			if o.Result != c.how || rented > plain+c.extra && plain > 0 {
 				t.Errorf("%s, want %s; %d machines rented, untroubled %d", o.String(), c.how, rented, plain)
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -19,22 +19,22 @@
 // last task has completed and before that is recorded. The first to be committed
 // holds, at all nodes and for good.
 func TestCancellationRacesWithTheLastCompletion(t *testing.T) {
-	t.Run("the job has a key of its own", endOfTheLastTaskOfOneJob)
-	t.Run("the job is on a page with others", endsOfLastTasksOnPages)
+	t.Run("the job has a key of its own", cancelDuringCompletionOfOneJob)
+	t.Run("the job is on a page with others", cancelDuringCompletionsOnSharedPages)
 }
 
-func endOfTheLastTaskOfOneJob(t *testing.T) {
+func cancelDuringCompletionOfOneJob(t *testing.T) {
 	ends := map[string]int{}
-	meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 		w.Store.SetLatency(time.Duration(rnd.IntN(40)) * time.Millisecond)
 		for n := range 24 {
-			j := quick(n + 1)
+			j := shortJob(n + 1)
 			mustSubmit(t, w, j)
-			if !when(time.Minute, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
+			if !eventually(time.Minute, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
 				t.Fatalf("%s does not run", j.ID)
 			}
 			time.Sleep(time.Duration(rnd.IntN(300)) * time.Millisecond)
-			between := w.FinishedTasks(j.ID) == 1 && !exists(w, jobstore.FinalKey(j.ID))
+			between := w.FinishedTasks(j.ID) == 1 && !keyExists(w, jobstore.FinalKey(j.ID))
 			var looks sync.WaitGroup
 			looks.Go(func() { w.QueryConcurrently(j.ID, 3) })
 			got := ""
@@ -50,21 +50,21 @@
 		}
 		time.Sleep(3 * time.Second)
 		for n := range 24 {
-			w.QueryConcurrently(quick(n+1).ID, 1)
+			w.QueryConcurrently(shortJob(n+1).ID, 1)
 		}
 		if keys := w.Store.JobKeys(); len(keys) > 0 {
 			t.Errorf("left of jobs that are over: %v", keys)
 		}
 		return met
-	}, bothWon(ends))
-	if !bothWon(ends)() {
+	}, bothOutcomesOccurred(ends))
+	if !bothOutcomesOccurred(ends)() {
 		t.Errorf("of those that met, one side always won: %v", ends)
 	}
 	t.Log("ends:", ends)
 }
 
-// pageOf is the key of the intake page on which a job stands; empty: it is on none.
-func pageOf(w *fake.Cluster, id string) string {
+// jobPageOf is the key of the intake page on which a job stands; empty: it is on none.
+func jobPageOf(w *fake.Cluster, id string) string {
 	for _, key := range w.Store.Keys(jobstore.JobPrefix) {
 		if !jobstore.IsJobPageKey(key) {
 			continue
@@ -77,16 +77,16 @@
 	return ""
 }
 
-// headOpen says whether the head of a page's bucket is open.
-func headOpen(w *fake.Cluster, page string) bool {
+// headPageOpen says whether the head of a page's bucket is open.
+func headPageOpen(w *fake.Cluster, page string) bool {
 	bucket, _, ok := jobstore.ParseJobPageKey(page)
 	head, err := jobstore.DecodeJobPage(w.Store.Value(jobstore.HeadPageKey(bucket)))
 	return ok && err == nil && !head.Closed
 }
 
-// crowd submits so many jobs at once at one node that the heads of the intake open,
+// submitConcurrently submits so many jobs at once at one node that the heads of the intake open,
 // and those that come once they are share their pages.
-func crowd(t *testing.T, w *fake.Cluster, node int, jobs []wire.Job) {
+func submitConcurrently(t *testing.T, w *fake.Cluster, node int, jobs []wire.Job) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for _, j := range jobs {
@@ -105,9 +105,9 @@
 
 // The jobs of several rounds share pages, which their ends, cancellations and
 // submissions change all the time, each on condition that nobody else has.
-func endsOfLastTasksOnPages(t *testing.T) {
+func cancelDuringCompletionsOnSharedPages(t *testing.T) {
 	ends := map[string]int{}
-	meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 		w.Store.SetLatency(time.Duration(5+rnd.IntN(40)) * time.Millisecond)
 		const first, round, rounds = 30, 16, 4
 		n, alone := 0, 0
@@ -116,11 +116,11 @@
 			var jobs []wire.Job
 			for range map[bool]int{true: first, false: round}[r == 0] {
 				n++
-				jobs = append(jobs, quick(n))
+				jobs = append(jobs, shortJob(n))
 			}
 			var wg sync.WaitGroup
 			node := rnd.IntN(3)
-			wg.Go(func() { crowd(t, w, node, jobs) })
+			wg.Go(func() { submitConcurrently(t, w, node, jobs) })
 			for _, j := range jobs {
 				at, after := rnd.IntN(3), time.Duration(rnd.IntN(900))*time.Millisecond
 				wg.Go(func() {
@@ -129,8 +129,8 @@
 						return
 					}
 					time.Sleep(after)
-					page := pageOf(w, j.ID)
-					between := page != "" && !exists(w, jobstore.FinalKey(j.ID))
+					page := jobPageOf(w, j.ID)
+					between := page != "" && !keyExists(w, jobstore.FinalKey(j.ID))
 					var looks sync.WaitGroup
 					looks.Go(func() { w.QueryConcurrently(j.ID, 2) })
 					got := ""
@@ -153,15 +153,15 @@
 		}
 		time.Sleep(3 * time.Second)
 		for i := range n {
-			w.QueryConcurrently(quick(i+1).ID, 1)
+			w.QueryConcurrently(shortJob(i+1).ID, 1)
 		}
 		if keys := w.Store.JobKeys(); len(keys) > 0 {
 			t.Errorf("left of jobs that are over: %v", keys)
 		}
 		t.Logf("%d of %d met on a page, %d were on none or over", met, n, alone)
 		return met
-	}, bothWon(ends))
-	if !bothWon(ends)() {
+	}, bothOutcomesOccurred(ends))
+	if !bothOutcomesOccurred(ends)() {
 		t.Errorf("of those that met, one side always won: %v", ends)
 	}
 	t.Log("ends:", ends)
@@ -173,23 +173,23 @@
 // gone in time, and stay so when the leader before comes back.
 func TestCancellationsDuringFailover(t *testing.T) {
 	for way, name := range []string{"it dies", "it stands still", "the state service refuses it", "it keeps only its workers"} {
-		t.Run(name, func(t *testing.T) { cancelledInTheHandover(t, way, false) })
-		t.Run(name+", with open heads", func(t *testing.T) { cancelledInTheHandover(t, way, true) })
+		t.Run(name, func(t *testing.T) { cancelDuringFailover(t, way, false) })
+		t.Run(name+", with open heads", func(t *testing.T) { cancelDuringFailover(t, way, true) })
 	}
 }
 
-// cancelledInTheHandover has jobs cancelled in one way of handing over. With open
+// cancelDuringFailover has jobs cancelled in one way of handing over. With open
 // heads most of them share pages, of which the heads stay open, since crowds of
 // other jobs go on to come: those and the cancellations change the same pages.
 //
 //nolint:revive // flag-parameter: the variants of the test differ in it
-func cancelledInTheHandover(t *testing.T, way int, heads bool) {
+func cancelDuringFailover(t *testing.T, way int, heads bool) {
 	t.Helper()
 	machines := 6
 	if heads {
 		machines = 12 // so that the crowds have room as well
 	}
-	meetings(t, 2, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
+	runInteraction(t, 2, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		rnd = rand.New(rand.NewPCG(rnd.Uint64(), uint64(way)))
 		jobs := 16
 		if heads {
@@ -197,9 +197,9 @@
 			w.Store.SetLatency(20 * time.Millisecond)
 			var opens []wire.Job
 			for n := range 48 {
-				opens = append(opens, quick(200+n))
+				opens = append(opens, shortJob(200+n))
 			}
-			crowd(t, w, rnd.IntN(3), opens)
+			submitConcurrently(t, w, rnd.IntN(3), opens)
 		}
 		var coming sync.WaitGroup
 		over, come := make(chan struct{}), 0
@@ -214,7 +214,7 @@
 					case <-time.After(1500 * time.Millisecond):
 					}
 					for k := range 24 {
-						j := quick(300 + come + k)
+						j := shortJob(300 + come + k)
 						each.Go(func() {
 							if !w.Submit(j) {
 								t.Errorf("%s was not accepted", j.ID)
@@ -240,7 +240,7 @@
 				all = append(all, spec(n+1))
 			}
 			if heads {
-				crowd(t, w, rnd.IntN(3), all)
+				submitConcurrently(t, w, rnd.IntN(3), all)
 			} else {
 				mustSubmit(t, w, all...)
 			}
@@ -269,8 +269,8 @@
 			wg.Go(func() {
 				time.Sleep(after)
 				sent := w.Store.Versions("ctl/leader")["ctl/leader"]
-				page := pageOf(w, id)
-				open := page != "" && headOpen(w, page)
+				page := jobPageOf(w, id)
+				open := page != "" && headPageOpen(w, page)
 				got := w.Cancel(id)
 				now := w.Store.Versions("ctl/leader")["ctl/leader"]
 				mu.Lock()
@@ -319,7 +319,7 @@
 		coming.Wait()
 		time.Sleep(45 * time.Second) // the world watches for tasks past cancel_s
 		for n := range come {        // what came meanwhile is not lost
-			mustReach(t, w, quick(300+n).ID, wire.JobDone, 2*time.Minute)
+			mustReach(t, w, shortJob(300+n).ID, wire.JobDone, 2*time.Minute)
 		}
 		for n := range jobs {
 			j := spec(n + 1)
@@ -349,20 +349,20 @@
 // state service takes of changes: cancellations, each of which changes a page under
 // the condition that nobody else has, come through all the same.
 func TestManyPollsDoNotDelayCancellations(t *testing.T) {
-	meetings(t, 2, fake.Options{Machines: 6, Capacity: 6, StateRPS: 200, StateWPS: 25}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
+	runInteraction(t, 2, fake.Options{Machines: 6, Capacity: 6, StateRPS: 200, StateWPS: 25}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		var slowest time.Duration
 		cancelled, onPages := 0, 0
 		n := 0
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); n++ {
-			j, cancels, after := quick(n+1), rnd.IntN(4) == 0, time.Duration(rnd.IntN(1000))*time.Millisecond
+			j, cancels, after := shortJob(n+1), rnd.IntN(4) == 0, time.Duration(rnd.IntN(1000))*time.Millisecond
 			wg.Go(func() {
 				if !w.Submit(j) || !cancels {
 					return
 				}
 				time.Sleep(after)
-				alone := exists(w, jobstore.JobKey(j.ID))
+				alone := keyExists(w, jobstore.JobKey(j.ID))
 				at := time.Now()
 				got := w.Cancel(j.ID)
 				mu.Lock()
@@ -379,8 +379,8 @@
 		}
 		wg.Wait()
 		for k := range n { // each is what it was, or has gone on
-			if status := w.QueryStatus(k%3, quick(k+1).ID); status == http.StatusNotFound {
-				t.Errorf("%s, which was accepted, is not known", quick(k+1).ID)
+			if status := w.QueryStatus(k%3, shortJob(k+1).ID); status == http.StatusNotFound {
+				t.Errorf("%s, which was accepted, is not known", shortJob(k+1).ID)
 			}
 		}
 		t.Logf("%d jobs, %d cancelled, %d of them on a page; the slowest took %v", n, cancelled, onPages, slowest)
--- a/controller/fault_interactions_test.go
+++ b/controller/fault_interactions_test.go
@@ -73,7 +73,7 @@
 func stopLeader(w *fake.Cluster, rnd *rand.Rand) (dead int) {
 	dead = max(0, w.Leader())
 	if rnd.IntN(2) == 0 {
-		w.PowerCycleNode(dead, within(rnd, 0, 900*time.Millisecond))
+		w.PowerCycleNode(dead, randomDuration(rnd, 0, 900*time.Millisecond))
 	} else {
 		w.KillNode(dead)
 	}
@@ -122,7 +122,7 @@
 		for _, m := range names {
 			trouble(m, true)
 		}
-		time.Sleep(within(rnd, 0, 3*time.Second))
+		time.Sleep(randomDuration(rnd, 0, 3*time.Second))
 		before := w.FencingToken()
 		early := rnd.IntN(2) == 0
 		if early {
@@ -152,7 +152,7 @@
 		if left == 0 || !teamsAtQuota(w) {
 			t.Errorf("%d machines have cancelled tasks as the next leader comes", left)
 		}
-		time.Sleep(within(rnd, 0, 35*time.Second))
+		time.Sleep(randomDuration(rnd, 0, 35*time.Second))
 		for _, m := range names {
 			trouble(m, false)
 		}
@@ -179,11 +179,11 @@
 		trouble := ways[rnd.IntN(len(ways))]
 		before, dead := w.FencingToken(), w.Leader()
 		w.KillNode(dead)
-		time.Sleep(within(rnd, 3*time.Second, 4500*time.Millisecond)) // users go to other nodes
+		time.Sleep(randomDuration(rnd, 3*time.Second, 4500*time.Millisecond)) // users go to other nodes
 		for _, m := range names {
 			trouble(m, true)
 		}
-		time.Sleep(within(rnd, 0, time.Second))
+		time.Sleep(randomDuration(rnd, 0, time.Second))
 		for _, id := range ids {
 			if s := w.Cancel(id); s != wire.JobCancelled {
 				t.Fatalf("cancel answered %q", s)
@@ -203,7 +203,7 @@
 		if !teamsAtQuota(w) {
 			t.Error("the teams are not at their limits as the next leader comes")
 		}
-		time.Sleep(within(rnd, 0, 35*time.Second))
+		time.Sleep(randomDuration(rnd, 0, 35*time.Second))
 		for _, m := range names {
 			trouble(m, false)
 		}
@@ -224,7 +224,7 @@
 			w.BlockHeartbeats(m, true)
 		}
 		silent := time.Now()
-		time.Sleep(within(rnd, 0, 8*time.Second))
+		time.Sleep(randomDuration(rnd, 0, 8*time.Second))
 		at := names[rnd.IntN(len(names))]
 		direct, started, before := w.DirectCommandsExecuted(at), w.Started(), w.FencingToken()
 		late := rnd.IntN(2) == 0
@@ -255,12 +255,12 @@
 				t.Error("a silent machine was answered")
 			}
 		}
-		time.Sleep(within(rnd, 0, 35*time.Second))
+		time.Sleep(randomDuration(rnd, 0, 35*time.Second))
 		for _, m := range names {
 			w.BlockHeartbeats(m, false)
 		}
 		if late {
-			time.Sleep(within(rnd, 0, 5*time.Second))
+			time.Sleep(randomDuration(rnd, 0, 5*time.Second))
 			if done, refused := w.DeliverHeldCommands(at); done+refused == 0 {
 				t.Error("no direct command was held back")
 			}
@@ -297,7 +297,7 @@
 			w.DeliverHeldCommands(m)
 			w.HoldDirectCommands(m)
 		}
-		time.Sleep(within(rnd, 1200*time.Millisecond, 1600*time.Millisecond))
+		time.Sleep(randomDuration(rnd, 1200*time.Millisecond, 1600*time.Millisecond))
 		w.MarkInteraction()
 		started := w.Started()
 		for i := 1; i <= 1+rnd.IntN(2); i++ { // the others want the room
@@ -310,7 +310,7 @@
 				w.BlockRepliesTo(m, false)
 			}
 		}
-		time.Sleep(within(rnd, 400*time.Millisecond, 1700*time.Millisecond))
+		time.Sleep(randomDuration(rnd, 400*time.Millisecond, 1700*time.Millisecond))
 		for _, m := range names {
 			for _, n := range w.Nodes() {
 				w.Network.SetOneWayBlock(m, n, true) // nobody hears that they go on
@@ -318,12 +318,12 @@
 			w.HangMachine(m, false)
 			w.BlockRepliesTo(m, false)
 		}
-		time.Sleep(within(rnd, 0, time.Second))
+		time.Sleep(randomDuration(rnd, 0, time.Second))
 		change := rnd.IntN(2) == 0
 		if change {
 			stopLeader(w, rnd)
 		}
-		time.Sleep(within(rnd, time.Second, 15*time.Second))
+		time.Sleep(randomDuration(rnd, time.Second, 15*time.Second))
 		for _, m := range names {
 			late += w.LateReplies(m)
 			for _, n := range w.Nodes() {
@@ -339,7 +339,7 @@
 		if change {
 			awaitLeaderChange(t, w, before)
 		}
-		time.Sleep(within(rnd, 0, 20*time.Second))
+		time.Sleep(randomDuration(rnd, 0, 20*time.Second))
 		commands := 0
 		for _, m := range names {
 			executed, refused := w.DeliverHeldCommands(m)
@@ -369,22 +369,22 @@
 		names := slices.Sorted(maps.Keys(on))
 		rnd.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
 		names = names[:1+rnd.IntN(len(names))]
-		time.Sleep(within(rnd, 0, 5*time.Second))
+		time.Sleep(randomDuration(rnd, 0, 5*time.Second))
 		dead, late := w.Leader(), rnd.IntN(2) == 0
 		if late {
 			w.KillNode(dead)
-			time.Sleep(within(rnd, 0, time.Second))
+			time.Sleep(randomDuration(rnd, 0, time.Second))
 		}
 		for _, m := range names {
 			trouble(m, true)
 		}
 		from := time.Now()
 		if !late {
-			time.Sleep(within(rnd, 0, time.Second))
+			time.Sleep(randomDuration(rnd, 0, time.Second))
 			w.KillNode(dead)
 		}
 		if rnd.IntN(2) == 0 {
-			time.Sleep(within(rnd, 0, 900*time.Millisecond))
+			time.Sleep(randomDuration(rnd, 0, 900*time.Millisecond))
 			w.StartNode(dead)
 		}
 		awaitLeaderChange(t, w, before)
@@ -406,9 +406,9 @@
 		// Within the 30 s of a lease, or well beyond it.
 		short := rnd.IntN(2) == 0
 		if short {
-			time.Sleep(within(rnd, 0, 3*time.Second))
+			time.Sleep(randomDuration(rnd, 0, 3*time.Second))
 		} else {
-			time.Sleep(within(rnd, 32*time.Second, time.Minute))
+			time.Sleep(randomDuration(rnd, 32*time.Second, time.Minute))
 		}
 		lasted := time.Since(from)
 		for _, m := range names {
@@ -458,7 +458,7 @@
 			t.Fatal("no job has a task in the zone that is cut off")
 		}
 		w.IsolateZone(zone, true)
-		time.Sleep(within(rnd, 0, 20*time.Second))
+		time.Sleep(randomDuration(rnd, 0, 20*time.Second))
 		if there == 0 || !teamsAtQuota(w) {
 			t.Errorf("%d tasks in the zone that is cut off, teams at their limits: %v", there, teamsAtQuota(w))
 		}
@@ -478,7 +478,7 @@
 		}
 		w.MarkInteraction()
 		// A leader in the zone answers for as long as its own lease lasts.
-		time.Sleep(within(rnd, 42*time.Second, time.Minute))
+		time.Sleep(randomDuration(rnd, 42*time.Second, time.Minute))
 		if w.ExpiredLeases() == 0 {
 			t.Error("no lease ended in the zone")
 		}
@@ -503,7 +503,7 @@
 		if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.Running() == 6 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
-		time.Sleep(within(rnd, time.Second, 10*time.Second))
+		time.Sleep(randomDuration(rnd, time.Second, 10*time.Second))
 		before := w.FencingToken()
 		var lost, rest []string // one machine of each job, and those of their other tasks
 		for n := 1; n <= 2; n++ {
@@ -523,14 +523,14 @@
 		for _, m := range lost {
 			w.KillMachine(m)
 		}
-		time.Sleep(within(rnd, 0, 2*time.Second))
+		time.Sleep(randomDuration(rnd, 0, 2*time.Second))
 		stopLeader(w, rnd)
 		w.MarkInteraction()
 		awaitLeaderChange(t, w, before)
 		if n := w.Running(); n == 0 || n > 5 || w.Started() != started {
 			t.Errorf("%d tasks run as the leader changes, %d starts", n, w.Started()-started)
 		}
-		time.Sleep(within(rnd, 0, 40*time.Second))
+		time.Sleep(randomDuration(rnd, 0, 40*time.Second))
 		w.Cloud.SetOutage(false)
 		for _, m := range rest {
 			w.PartitionMachine(m, false)
@@ -564,7 +564,7 @@
 			if !scenario.Eventually(20*time.Second, 50*time.Millisecond, func() bool { return w.FinishedTasks(j.ID) == done }) {
 				t.Fatalf("%d tasks are done", w.FinishedTasks(j.ID))
 			}
-			time.Sleep(within(rnd, 0, 1500*time.Millisecond))
+			time.Sleep(randomDuration(rnd, 0, 1500*time.Millisecond))
 			w.KillNode(w.Leader())
 			w.MarkInteraction()
 			w.Store.SetOutage(false)
@@ -642,7 +642,7 @@
 				w.StartAll()
 			}
 			if rnd.IntN(2) == 0 {
-				now, hung := w.CancelRunning(1+rnd.IntN(2), within(rnd, 0, 25*time.Second)*time.Duration(rnd.IntN(2)))
+				now, hung := w.CancelRunning(1+rnd.IntN(2), randomDuration(rnd, 0, 25*time.Second)*time.Duration(rnd.IntN(2)))
 				asked = append(asked, now...)
 				full := w.CPUsInUse("core") > teamMax-4 || w.CPUsInUse("edge") > teamMax-4 // no room for one of the largest tasks
 				for _, id := range now {
@@ -653,7 +653,7 @@
 					}
 				}
 			}
-			time.Sleep(within(rnd, 0, 6*time.Second))
+			time.Sleep(randomDuration(rnd, 0, 6*time.Second))
 			if k := w.FencingToken(); k != 0 && k != token {
 				token, changed = k, changed+1
 			}
@@ -684,7 +684,7 @@
 		w := fake.New(fake.Options{Machines: 2, Capacity: 2, Teams: []config.Team{{Name: "core"}, {Name: "edge", CPUsMax: 2}}})
 		defer w.Close()
 		time.Sleep(5 * time.Second)
-		busy(t, w, 2)
+		fillMachines(t, w, 2)
 		one := func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 1, 3600 }
 		mustSubmit(t, w, job(1, one))
 		time.Sleep(5 * time.Second)
@@ -723,7 +723,7 @@
 // The steps of random stories do what they say.
 func TestConcurrentCancellationsAndASilentMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
-		busy(t, w, 4)
+		fillMachines(t, w, 4)
 		for i := range 4 {
 			mustSubmit(t, w, job(1+i, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 3, 300 }))
 		}
--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -19,8 +19,8 @@
 // confirms cancellations, and then the service is out for all, longer than cancel_s,
 // while workers go on reporting to the leader that has not heard of them.
 
-// gap is one meeting of these troubles.
-type gap struct {
+// cancellationGap is one meeting of these troubles.
+type cancellationGap struct {
 	report, lease float64 // of the workers; cancel_s lies 20 s above the lease
 
 	refuse time.Duration // when the leader is refused, from when the jobs are cancelled
@@ -50,9 +50,9 @@
 	gapOthers = 4 // of the job that nobody cancels
 )
 
-// gapJobs are the jobs that are cancelled: an array, a gang that would save, and one
+// jobsForGap are the jobs that are cancelled: an array, a gang that would save, and one
 // whose launches may be under way.
-func gapJobs(g gap) []wire.Job {
+func jobsForGap(g cancellationGap) []wire.Job {
 	jobs := []wire.Job{
 		job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = gapTasks, 2, 3600 }),
 		job(2, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.EstimateS, j.SaveS = 2, 2, 3600, 5 }),
@@ -63,8 +63,8 @@
 	return jobs
 }
 
-// lastOn notes when each of the jobs was last seen with a task on a machine.
-func lastOn(w *fake.Cluster, jobs []wire.Job, last map[string]time.Time) {
+// recordLastRunning notes when each of the jobs was last seen with a task on a machine.
+func recordLastRunning(w *fake.Cluster, jobs []wire.Job, last map[string]time.Time) {
 	for _, j := range jobs {
 		for i := range j.Tasks {
 			if len(w.MachinesRunning(wire.TaskName(j.ID, i))) > 0 {
@@ -75,13 +75,13 @@
 }
 
 // run tells the story; others is how many tasks ended that nobody had cancelled.
-func (g gap) run(t *testing.T, seed uint64) (others int) {
+func (g cancellationGap) run(t *testing.T, seed uint64) (others int) {
 	t.Helper()
 	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, ReportIntervalS: g.report, LeaseS: g.lease}
 	runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
 		times := w.Settings.Cluster.Workers
 		cancelS := time.Duration(times.CancelS * float64(time.Second))
-		jobs := gapJobs(g)
+		jobs := jobsForGap(g)
 		mustSubmit(t, w, jobs[0], jobs[1],
 			job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = gapOthers, 3, 3600 }))
 		running := jobs[0].Tasks + jobs[1].Tasks + gapOthers
@@ -219,7 +219,7 @@
 		})
 		at(end.Add(g.stays).Sub(asked), func() { refuse(false) })
 		for time.Now().Before(end) || time.Since(latest) < cancelS {
-			lastOn(w, jobs, last)
+			recordLastRunning(w, jobs, last)
 			time.Sleep(50 * time.Millisecond)
 		}
 		wg.Wait()
@@ -291,35 +291,35 @@
 	_, many := seedCount()
 	for i, c := range []struct {
 		name string
-		g    gap
+		g    cancellationGap
 	}{
-		{"refused at once with the cancellation", gap{refuse: 0, outage: time.Second, heard: true}},
-		{"refused just before", gap{refuse: -30 * ms, outage: time.Second}},
-		{"refused a quarter of a second before", gap{refuse: -250 * ms, outage: time.Second}},
-		{"refused two seconds before, out at once", gap{refuse: -2 * time.Second, outage: 0}},
-		{"refused just after", gap{refuse: 20 * ms, outage: time.Second, heard: true, hold: true}},
-		{"refused a quarter of a second after", gap{refuse: 250 * ms, outage: time.Second, heard: true, hold: true}},
-		{"out just before the leader's lease would end", gap{refuse: -3 * time.Second, outage: 2200 * ms}},
-		{"out for just less than cancel_s", gap{refuse: -100 * ms, outage: time.Second, beyond: -500 * ms}},
-		{"out for three times cancel_s", gap{refuse: -100 * ms, outage: time.Second, beyond: 64 * time.Second}},
-		{"refused twice", gap{refuse: -1500 * ms, again: time.Second, outage: time.Second}},
-		{"served again just after, and refused", gap{refuse: -300 * ms, again: 600 * ms, outage: time.Second, heard: true}},
-		{"cut from the other nodes too", gap{refuse: -400 * ms, outage: time.Second, cut: true}},
-		{"the leader stands still across its lease's end", gap{refuse: -100 * ms, outage: 500 * ms, stopAt: 2 * time.Second, stopFor: 9 * time.Second}},
-		{"the leader stands still, and for longer", gap{refuse: -100 * ms, outage: 500 * ms, stopAt: 6 * time.Second, stopFor: 25 * time.Second}},
-		{"a machine hangs over the confirmation", gap{refuse: -100 * ms, outage: time.Second, hangAt: -300 * ms, hangFor: 9 * time.Second}},
-		{"a machine hangs within its last lease", gap{refuse: -100 * ms, outage: time.Second, hangAt: 5 * time.Second, hangFor: 10 * time.Second}},
-		{"launches under way", gap{refuse: -100 * ms, outage: time.Second, late: 300 * ms, hold: true}},
-		{"launches under way, and the leader refused before", gap{refuse: -900 * ms, outage: time.Second, late: time.Second}},
-		{"the service slow", gap{refuse: -100 * ms, outage: 100 * ms, slow: 400 * ms}},
-		{"the service's answers slow", gap{refuse: -100 * ms, outage: 100 * ms, slowAnswers: 700 * ms}},
-		{"the leader's watch brings nothing", gap{refuse: 15 * time.Second, outage: 16 * time.Second, hush: true, heard: true}},
-		{"the leader refused for longer", gap{refuse: -100 * ms, outage: time.Second, stays: 20 * time.Second}},
-		{"out when the old leader's lease ends", gap{refuse: -2 * time.Second, outage: 0, next: true}},
-		{"out while the next leader is elected", gap{refuse: -2 * time.Second, outage: 10 * ms, next: true}},
-		{"out while the next leader reads", gap{refuse: -1500 * ms, outage: 120 * ms, next: true}},
-		{"out as the next leader begins to answer", gap{refuse: -2 * time.Second, outage: 400 * ms, next: true}},
-		{"out after the next leader has begun", gap{refuse: -100 * ms, outage: 3 * time.Second, next: true}},
+		{"refused at once with the cancellation", cancellationGap{refuse: 0, outage: time.Second, heard: true}},
+		{"refused just before", cancellationGap{refuse: -30 * ms, outage: time.Second}},
+		{"refused a quarter of a second before", cancellationGap{refuse: -250 * ms, outage: time.Second}},
+		{"refused two seconds before, out at once", cancellationGap{refuse: -2 * time.Second, outage: 0}},
+		{"refused just after", cancellationGap{refuse: 20 * ms, outage: time.Second, heard: true, hold: true}},
+		{"refused a quarter of a second after", cancellationGap{refuse: 250 * ms, outage: time.Second, heard: true, hold: true}},
+		{"out just before the leader's lease would end", cancellationGap{refuse: -3 * time.Second, outage: 2200 * ms}},
+		{"out for just less than cancel_s", cancellationGap{refuse: -100 * ms, outage: time.Second, beyond: -500 * ms}},
+		{"out for three times cancel_s", cancellationGap{refuse: -100 * ms, outage: time.Second, beyond: 64 * time.Second}},
+		{"refused twice", cancellationGap{refuse: -1500 * ms, again: time.Second, outage: time.Second}},
+		{"served again just after, and refused", cancellationGap{refuse: -300 * ms, again: 600 * ms, outage: time.Second, heard: true}},
+		{"cut from the other nodes too", cancellationGap{refuse: -400 * ms, outage: time.Second, cut: true}},
+		{"the leader stands still across its lease's end", cancellationGap{refuse: -100 * ms, outage: 500 * ms, stopAt: 2 * time.Second, stopFor: 9 * time.Second}},
+		{"the leader stands still, and for longer", cancellationGap{refuse: -100 * ms, outage: 500 * ms, stopAt: 6 * time.Second, stopFor: 25 * time.Second}},
+		{"a machine hangs over the confirmation", cancellationGap{refuse: -100 * ms, outage: time.Second, hangAt: -300 * ms, hangFor: 9 * time.Second}},
+		{"a machine hangs within its last lease", cancellationGap{refuse: -100 * ms, outage: time.Second, hangAt: 5 * time.Second, hangFor: 10 * time.Second}},
+		{"launches under way", cancellationGap{refuse: -100 * ms, outage: time.Second, late: 300 * ms, hold: true}},
+		{"launches under way, and the leader refused before", cancellationGap{refuse: -900 * ms, outage: time.Second, late: time.Second}},
+		{"the service slow", cancellationGap{refuse: -100 * ms, outage: 100 * ms, slow: 400 * ms}},
+		{"the service's answers slow", cancellationGap{refuse: -100 * ms, outage: 100 * ms, slowAnswers: 700 * ms}},
+		{"the leader's watch brings nothing", cancellationGap{refuse: 15 * time.Second, outage: 16 * time.Second, hush: true, heard: true}},
+		{"the leader refused for longer", cancellationGap{refuse: -100 * ms, outage: time.Second, stays: 20 * time.Second}},
+		{"out when the old leader's lease ends", cancellationGap{refuse: -2 * time.Second, outage: 0, next: true}},
+		{"out while the next leader is elected", cancellationGap{refuse: -2 * time.Second, outage: 10 * ms, next: true}},
+		{"out while the next leader reads", cancellationGap{refuse: -1500 * ms, outage: 120 * ms, next: true}},
+		{"out as the next leader begins to answer", cancellationGap{refuse: -2 * time.Second, outage: 400 * ms, next: true}},
+		{"out after the next leader has begun", cancellationGap{refuse: -100 * ms, outage: 3 * time.Second, next: true}},
 	} {
 		for k, d := range deployments {
 			if k != i%len(deployments) && !many {
@@ -342,7 +342,7 @@
 	}
 	for wait := time.Duration(0); wait < 5*time.Second; wait += step {
 		t.Run(fmt.Sprint(wait), func(t *testing.T) {
-			gap{report: 1.5, lease: 12, refuse: -20 * ms, outage: time.Second, slowToLeader: 1800 * ms, wait: wait}.run(t, 1)
+			cancellationGap{report: 1.5, lease: 12, refuse: -20 * ms, outage: time.Second, slowToLeader: 1800 * ms, wait: wait}.run(t, 1)
 		})
 	}
 }
@@ -362,12 +362,12 @@
 	}
 }
 
-func randomGap(rnd *rand.Rand) gap {
+func randomGap(rnd *rand.Rand) cancellationGap {
 	within := func(from, to time.Duration) time.Duration {
 		return from + time.Duration(rnd.Int64N(int64(to-from)/int64(10*ms)))*10*ms
 	}
 	d := deployments[rnd.IntN(len(deployments))]
-	g := gap{report: d.report, lease: d.lease}
+	g := cancellationGap{report: d.report, lease: d.lease}
 	// The leader stays the leader: its lease of 7 s or 10 s was renewed at most 2 s
 	// before it was refused.
 	g.refuse, g.outage = within(-2500*ms, 300*ms), within(0, 1800*ms)
@@ -415,7 +415,7 @@
 		for _, out := range outages {
 			t.Run(fmt.Sprintf("lease %g s, out for %g s", d.lease, out), func(t *testing.T) {
 				const before = 1.1 // from the refusal to the outage
-				ended := gap{report: d.report, lease: d.lease, refuse: -100 * ms, outage: time.Second,
+				ended := cancellationGap{report: d.report, lease: d.lease, refuse: -100 * ms, outage: time.Second,
 					beyond: config.Seconds(out - w.CancelS)}.run(t, 1)
 				t.Logf("%d of %d tasks that nobody cancelled ended", ended, gapOthers)
 				// The last renewal came a fifth of the leader's lease before it was refused
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -94,7 +94,7 @@
 	hung = slices.Compact(hung)
 	hung = hung[:min(2, len(hung))]
 	w.BlockHeartbeats(silent, true)
-	time.Sleep(within(rnd, 0, 2*time.Second))
+	time.Sleep(randomDuration(rnd, 0, 2*time.Second))
 	before := w.FencingToken()
 	w.MarkInteraction()
 	for _, id := range running[:len(running)/2] {
@@ -103,17 +103,17 @@
 	for _, m := range hung {
 		w.HangMachine(m, true)
 	}
-	time.Sleep(within(rnd, 0, time.Second))
+	time.Sleep(randomDuration(rnd, 0, time.Second))
 	dead := stopLeader(w, rnd)
 	awaitLeaderChange(t, w, before)
 	for _, id := range running[len(running)/2:] {
 		w.Cancel(id)
 	}
-	time.Sleep(within(rnd, 0, 4*time.Second))
+	time.Sleep(randomDuration(rnd, 0, 4*time.Second))
 	for _, m := range hung {
 		w.HangMachine(m, false)
 	}
-	time.Sleep(within(rnd, 0, 9*time.Second))
+	time.Sleep(randomDuration(rnd, 0, 9*time.Second))
 	w.BlockHeartbeats(silent, false)
 	w.StartNode(dead)
 }
@@ -137,7 +137,7 @@
 				t.Fatal("nothing on the machine was told to save")
 			}
 			// It saves for 8 s, counts all the while, and starts nowhere else.
-			time.Sleep(within(rnd, 1500*time.Millisecond, 3*time.Second))
+			time.Sleep(randomDuration(rnd, 1500*time.Millisecond, 3*time.Second))
 			w.BlockHeartbeats(at, true)
 			w.DelayDirectCommands(1, rnd.Uint64())
 			w.MarkInteraction()
@@ -172,12 +172,12 @@
 			running := runningOf(w, ids)
 			at := machinesRunningJob(w, wire.Job{ID: running[0], Tasks: 2})[0]
 			w.BlockHeartbeats(at, true)
-			time.Sleep(within(rnd, 7*time.Second, 10*time.Second)) // most of its lease
+			time.Sleep(randomDuration(rnd, 7*time.Second, 10*time.Second)) // most of its lease
 			w.MarkInteraction()
 			for _, id := range running {
 				w.Cancel(id)
 			}
-			time.Sleep(within(rnd, 6*time.Second, 12*time.Second))
+			time.Sleep(randomDuration(rnd, 6*time.Second, 12*time.Second))
 			w.BlockHeartbeats(at, false)
 			for _, id := range ids {
 				w.Cancel(id)
@@ -213,11 +213,11 @@
 			mustSubmit(t, w, job(n, func(j *wire.Job) {
 				j.Tasks, j.CPUs, j.EstimateS, j.Priority = 2, 6, float64(2+rnd.IntN(6)), wire.PriorityHigh
 			}))
-			time.Sleep(within(rnd, 0, 1500*time.Millisecond))
+			time.Sleep(randomDuration(rnd, 0, 1500*time.Millisecond))
 			w.MarkInteraction()
-			w.PowerCycleNode(max(0, w.Leader()), within(rnd, 0, 900*time.Millisecond))
+			w.PowerCycleNode(max(0, w.Leader()), randomDuration(rnd, 0, 900*time.Millisecond))
 			mustFinish(t, w, time.Minute, n)
-			time.Sleep(within(rnd, 4*time.Second, 12*time.Second))
+			time.Sleep(randomDuration(rnd, 4*time.Second, 12*time.Second))
 			met = w.DelayedCommands()
 		}
 		met := w.DelayedCommands()
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -18,8 +18,8 @@
 // one that has acted already, and after newer ones, of an earlier session and of
 // attempts that have ended. Each says that the meeting took place.
 
-// millis is a time between two, in milliseconds.
-func millis(rnd *rand.Rand, least, most int) time.Duration {
+// randomMillis is a time between two, in milliseconds.
+func randomMillis(rnd *rand.Rand, least, most int) time.Duration {
 	return time.Duration(least+rnd.IntN(most-least)) * time.Millisecond
 }
 
@@ -38,9 +38,9 @@
 	w.StartNode(was)
 }
 
-// several submits a gang in one zone, an array, and an array of a team that is at its
+// submitGangAndArrays submits a gang in one zone, an array, and an array of a team that is at its
 // limit; all of it takes machines that have room beside what is there.
-func several(t *testing.T, w *fake.Cluster, from int, rnd *rand.Rand) []int {
+func submitGangAndArrays(t *testing.T, w *fake.Cluster, from int, rnd *rand.Rand) []int {
 	t.Helper()
 	mustSubmit(t, w,
 		job(from, func(j *wire.Job) {
@@ -61,8 +61,8 @@
 		t.Helper()
 		w.DelayCopiesUntilFailover(2)
 		for round := range 3 {
-			numbers := several(t, w, 10*round+1, rnd)
-			time.Sleep(millis(rnd, 500, 9000))
+			numbers := submitGangAndArrays(t, w, 10*round+1, rnd)
+			time.Sleep(randomMillis(rnd, 500, 9000))
 			met := w.CopyStats()
 			changeLeader(t, w)
 			time.Sleep(4 * time.Second)
@@ -82,12 +82,12 @@
 func TestHeartbeatIsDelayedUntilTheNextLeaderHasActed(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, LeaseS: 30}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
-		busy(t, w, 4)
-		numbers := several(t, w, 1, rnd)
-		time.Sleep(millis(rnd, 500, 4000))
+		fillMachines(t, w, 4)
+		numbers := submitGangAndArrays(t, w, 1, rnd)
+		time.Sleep(randomMillis(rnd, 500, 4000))
 		at := w.Cloud.Machines()[rnd.IntN(4)]
 		w.CaptureReport(at)
-		time.Sleep(millis(rnd, 0, 2000))
+		time.Sleep(randomMillis(rnd, 0, 2000))
 		w.HangMachine(at, true)
 		was := w.Leader()
 		w.KillNode(was)
@@ -95,7 +95,7 @@
 			t.Fatal("nobody leads next")
 		}
 		pages := fmt.Sprint(w.Store.Versions(jobstore.PlacementPageKey(0)))
-		numbers = append(numbers, several(t, w, 11, rnd)...)
+		numbers = append(numbers, submitGangAndArrays(t, w, 11, rnd)...)
 		if !scenario.Eventually(20*time.Second, 50*time.Millisecond, func() bool { return fmt.Sprint(w.Store.Versions(jobstore.PlacementPageKey(0))) != pages }) {
 			t.Fatal("the next leader has placed nothing")
 		}
@@ -105,7 +105,7 @@
 		if status := w.ReplayReport(at, w.Leader()); status != 200 {
 			t.Errorf("it was answered %d as it came again, while it is the newest", status)
 		}
-		time.Sleep(millis(rnd, 1000, 40_000))
+		time.Sleep(randomMillis(rnd, 1000, 40_000))
 		w.HangMachine(at, false)
 		w.StartNode(was)
 		time.Sleep(4 * time.Second) // it has reported itself, or nothing of it counts any more
@@ -126,12 +126,12 @@
 		t.Helper()
 		w.DelayCopiesUntilFailover(1)
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 3, 90 }))
-		numbers := several(t, w, 1, rnd)
-		time.Sleep(millis(rnd, 3000, 8000))
+		numbers := submitGangAndArrays(t, w, 1, rnd)
+		time.Sleep(randomMillis(rnd, 3000, 8000))
 		w.DelayCopiesUntilFailover(0) // what is kept is of the sessions that end now
 		zone := fake.Zones[rnd.IntN(2)]
 		w.PartitionZone(zone, true)
-		time.Sleep(millis(rnd, 13_000, 25_000)) // their leases end, and what was there goes on elsewhere
+		time.Sleep(randomMillis(rnd, 13_000, 25_000)) // their leases end, and what was there goes on elsewhere
 		changeLeader(t, w)
 		time.Sleep(4 * time.Second)
 		met := w.CopyStats()
@@ -139,9 +139,9 @@
 			t.Errorf("copies met %+v", met)
 		}
 		w.PartitionZone(zone, false)
-		numbers = append(numbers, several(t, w, 11, rnd)...)
+		numbers = append(numbers, submitGangAndArrays(t, w, 11, rnd)...)
 		for range 8 {
-			time.Sleep(millis(rnd, 500, 4000))
+			time.Sleep(randomMillis(rnd, 500, 4000))
 			w.DeliverDelayedCopies()
 		}
 		time.Sleep(time.Second)
@@ -158,8 +158,8 @@
 func TestDuplicatesOvertakeTheirHeartbeatsDuringFailover(t *testing.T) {
 	runSeeded(t, 17, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
-		busy(t, w, 6)
-		time.Sleep(millis(rnd, 0, 2000))
+		fillMachines(t, w, 6)
+		time.Sleep(randomMillis(rnd, 0, 2000))
 		started, was := w.Started(), w.Leader()
 		w.KillNode(was)
 		w.OvertakeReports(1)
@@ -176,7 +176,7 @@
 		if n := w.Started() - started; n > 0 {
 			t.Errorf("%d tasks started again", n)
 		}
-		mustFinish(t, w, 2*time.Minute, several(t, w, 1, rnd)...)
+		mustFinish(t, w, 2*time.Minute, submitGangAndArrays(t, w, 1, rnd)...)
 	})
 }
 
@@ -188,8 +188,8 @@
 		t.Helper()
 		w.OvertakeReports(2)
 		for round := range 3 {
-			numbers := several(t, w, 10*round+1, rnd)
-			time.Sleep(millis(rnd, 500, 9000))
+			numbers := submitGangAndArrays(t, w, 10*round+1, rnd)
+			time.Sleep(randomMillis(rnd, 500, 9000))
 			if round == 1 {
 				changeLeader(t, w)
 			}
@@ -210,7 +210,7 @@
 		if !scenario.Eventually(40*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
-		time.Sleep(millis(rnd, 0, 3000))
+		time.Sleep(randomMillis(rnd, 0, 3000))
 		load := w.TasksPerMachine()
 		dead := slices.MaxFunc(w.Cloud.Machines(), func(a, b string) int { return load[a] - load[b] })
 		w.CaptureReport(dead)
@@ -239,10 +239,10 @@
 func TestDuplicateHeartbeatDoesNotCountAsAnswered(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
-		busy(t, w, 1)
+		fillMachines(t, w, 1)
 		at, other := -1, -1
 		for i := range w.Nodes() {
-			if overview(t, w, i).Reports.Served > 0 {
+			if getOverview(t, w, i).Reports.Served > 0 {
 				at = i
 			} else {
 				other = i
@@ -258,7 +258,7 @@
 				t.Fatalf("copy %d was answered %d", i, status)
 			}
 		}
-		if n := overview(t, w, other).Reports.Served; n != 0 {
+		if n := getOverview(t, w, other).Reports.Served; n != 0 {
 			t.Errorf("%d workers count as answered at a node that only had copies", n)
 		}
 	})
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -20,8 +20,8 @@
 // each other and everything else. Each says that the meeting took place: a story in
 // which the troubles miss one another fails.
 
-// tokens notes each version of the leader key until it is stopped.
-func tokens(w *fake.Cluster) (stop func() []uint64) {
+// recordLeaderTokens notes each version of the leader key until it is stopped.
+func recordLeaderTokens(w *fake.Cluster) (stop func() []uint64) {
 	end, done := make(chan struct{}), make(chan struct{})
 	var seen []uint64
 	go func() {
@@ -40,8 +40,8 @@
 	return sync.OnceValue(func() []uint64 { close(end); <-done; return seen })
 }
 
-// mustLead waits until a node of that kind holds the leader key, and says which.
-func mustLead(t *testing.T, w *fake.Cluster, most time.Duration, ok func(i int) bool) int {
+// awaitLeader waits until a node of that kind holds the leader key, and says which.
+func awaitLeader(t *testing.T, w *fake.Cluster, most time.Duration, ok func(i int) bool) int {
 	t.Helper()
 	if !scenario.Eventually(most, 20*time.Millisecond, func() bool { l := w.Leader(); return l >= 0 && ok(l) }) {
 		t.Fatalf("no such leader within %v", most)
@@ -69,7 +69,7 @@
 				}
 			})
 			mustSubmit(t, w, j)
-			time.Sleep(within(rnd, 0, 2*time.Second))
+			time.Sleep(randomDuration(rnd, 0, 2*time.Second))
 			if rnd.IntN(4) == 0 {
 				w.Cancel(j.ID)
 			}
@@ -103,9 +103,9 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 6, 20 }),
 			job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 6, 21.2 }))
 		mustReach(t, w, "wk-000002", wire.JobRunning, 10*time.Second)
-		late := within(rnd, 4*time.Second, 7*time.Second)
+		late := randomDuration(rnd, 4*time.Second, 7*time.Second)
 		w.Store.DelayNextTransactionOn(jobstore.ScaleInKey, late)
-		w.Cloud.DelayDeletes(within(rnd, 35*time.Second, 45*time.Second))
+		w.Cloud.DelayDeletes(randomDuration(rnd, 35*time.Second, 45*time.Second))
 		both := func(names []string) bool { return slices.Contains(names, all[0]) && slices.Contains(names, all[1]) }
 		returns := func() (rec jobstore.ScaleInRecord) {
 			_ = wire.Unmarshal(w.Store.Value(jobstore.ScaleInKey), &rec)
@@ -164,7 +164,7 @@
 		}
 		w.Cancel("wk-000003")
 		time.Sleep(5 * time.Second)
-		w.Store.DelayNextTransactionOn(jobstore.RebalanceCyclePrefix, within(rnd, 6*time.Second, 12*time.Second))
+		w.Store.DelayNextTransactionOn(jobstore.RebalanceCyclePrefix, randomDuration(rnd, 6*time.Second, 12*time.Second))
 		mustSubmit(t, w, job(5, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 7, 10 }))
 		if !scenario.Eventually(30*time.Second, 50*time.Millisecond, func() bool { return w.Store.OvertakenTransactions().Older > 0 }) {
 			t.Fatalf("the older record of moves has not come after the newer one: %+v", w.Store.OvertakenTransactions())
@@ -179,16 +179,16 @@
 // writes lag. Then their leader ends, before it has recorded their names.
 func TestLeaderEndsJustAfterItsMachinesBootedAndGotTasks(t *testing.T) {
 	t.Run("up within a second", func(t *testing.T) {
-		endsAfterMachinesCameUp(t, 200*time.Millisecond, time.Second, 4200*time.Millisecond)
+		runLeaderEndsAfterBoots(t, 200*time.Millisecond, time.Second, 4200*time.Millisecond)
 	})
 	t.Run("up between one second and two", func(t *testing.T) {
-		endsAfterMachinesCameUp(t, time.Second, 2*time.Second, 4600*time.Millisecond)
+		runLeaderEndsAfterBoots(t, time.Second, 2*time.Second, 4600*time.Millisecond)
 	})
 }
 
-// endsAfterMachinesCameUp has machines come up within a window, and rentals answered
+// runLeaderEndsAfterBoots has machines come up within a window, and rentals answered
 // so long after they were asked for at least: what comes up later has work later.
-func endsAfterMachinesCameUp(t *testing.T, least, most, answered time.Duration) {
+func runLeaderEndsAfterBoots(t *testing.T, least, most, answered time.Duration) {
 	t.Helper()
 	runSeeded(t, 31, fake.Options{Machines: 0, Capacity: 60}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -197,7 +197,7 @@
 			return least + time.Duration((drawn+uint64(n)*397)%uint64((most-least)/time.Millisecond))*time.Millisecond
 		}
 		w.Cloud.SetBootTimes(boots)
-		w.Cloud.SetReplyDelay(within(rnd, answered, 4800*time.Millisecond))
+		w.Cloud.SetReplyDelay(randomDuration(rnd, answered, 4800*time.Millisecond))
 		w.Store.DropReplies(0, 0.2, rnd.Uint64())
 		unnamed := func() (busy []string) {
 			for m := range w.TasksPerMachine() {
@@ -219,7 +219,7 @@
 			tasks += more
 			// The placement has no answer, and comes in the next leader's time. It is
 			// committed again before anything is launched.
-			w.Store.DelayNextTransactionOn(pageKeys, within(rnd, 20*time.Second, 30*time.Second))
+			w.Store.DelayNextTransactionOn(pageKeys, randomDuration(rnd, 20*time.Second, 30*time.Second))
 			mustSubmit(t, w, job(jobs, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = more, 6, 60, 0.1 }))
 			met = scenario.Eventually(6*time.Second, 20*time.Millisecond, func() bool { return len(unnamed()) > 0 && w.Store.PendingTransactions() > 0 })
 		}
@@ -228,7 +228,7 @@
 		}
 		before := w.Leader()
 		w.KillNode(before)
-		next := mustLead(t, w, 20*time.Second, func(i int) bool { return i != before })
+		next := awaitLeader(t, w, 20*time.Second, func(i int) bool { return i != before })
 		t.Logf("%v had work; leader %d, then %d", unnamed(), before, next)
 		time.Sleep(80 * time.Second)
 		w.Store.DropReplies(0, 0, 0)
@@ -258,44 +258,44 @@
 	runSeeded(t, 31, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		w.Store.DropReplies(0.15, 0.05, rnd.Uint64())
-		stop, begun := tokens(w), time.Now()
+		stop, begun := recordLeaderTokens(w), time.Now()
 		defer stop()
 		outages := 0
 		for n := range 11 {
-			mustLead(t, w, 20*time.Second, anyNode)
+			awaitLeader(t, w, 20*time.Second, anyNode)
 			mustSubmit(t, w, job(n+1, func(j *wire.Job) {
 				j.Tasks, j.CPUs, j.EstimateS = 1+rnd.IntN(4), float64(1+rnd.IntN(5)), float64(10+rnd.IntN(30))
 				if n%3 == 0 {
 					gang(j)
 				}
 			}))
-			time.Sleep(within(rnd, 100*time.Millisecond, 3*time.Second))
-			l := mustLead(t, w, 20*time.Second, anyNode)
+			time.Sleep(randomDuration(rnd, 100*time.Millisecond, 3*time.Second))
+			l := awaitLeader(t, w, 20*time.Second, anyNode)
 			node := fmt.Sprintf("n-%d", l)
 			switch n {
 			case 1, 7:
 				w.Store.Refuse(node, true)
-				mustLead(t, w, 15*time.Second, func(i int) bool { return i != l })
+				awaitLeader(t, w, 15*time.Second, func(i int) bool { return i != l })
 				// For longer than leases last that the next one counts from its takeover.
-				time.Sleep(within(rnd, 14*time.Second, 18*time.Second))
+				time.Sleep(randomDuration(rnd, 14*time.Second, 18*time.Second))
 				w.Store.Refuse(node, false)
 			case 4: // inside an outage
 				w.Store.SetOutage(true)
-				time.Sleep(within(rnd, 200*time.Millisecond, 2*time.Second))
-				w.PowerCycleNode(l, within(rnd, 0, time.Second))
-				time.Sleep(within(rnd, 200*time.Millisecond, 2*time.Second))
+				time.Sleep(randomDuration(rnd, 200*time.Millisecond, 2*time.Second))
+				w.PowerCycleNode(l, randomDuration(rnd, 0, time.Second))
+				time.Sleep(randomDuration(rnd, 200*time.Millisecond, 2*time.Second))
 				w.Store.SetOutage(false)
 				outages++
 			case 6: // it stands still, and goes on beside the next one
 				w.PauseNode(l, true)
-				mustLead(t, w, 15*time.Second, func(i int) bool { return i != l })
+				awaitLeader(t, w, 15*time.Second, func(i int) bool { return i != l })
 				w.PauseNode(l, false)
 			case 9: // cut off alone, and back
 				w.PartitionNode(l, true, everything...)
-				mustLead(t, w, 15*time.Second, func(i int) bool { return i != l })
+				awaitLeader(t, w, 15*time.Second, func(i int) bool { return i != l })
 				w.PartitionNode(l, false, everything...)
 			default:
-				w.PowerCycleNode(l, within(rnd, 0, 900*time.Millisecond))
+				w.PowerCycleNode(l, randomDuration(rnd, 0, 900*time.Millisecond))
 			}
 		}
 		took := time.Since(begun)
@@ -319,20 +319,20 @@
 func TestLateLeaseRenewalsAndReleases(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
-		stop := tokens(w)
+		stop := recordLeaderTokens(w)
 		defer stop()
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 6, 4, 70 }))
 		time.Sleep(5 * time.Second)
 		w.Store.DelayLeaseRequests(0.25, rnd.Uint64())
 		for n := range 6 {
-			l := mustLead(t, w, 60*time.Second, anyNode)
+			l := awaitLeader(t, w, 60*time.Second, anyNode)
 			mustSubmit(t, w, job(n+2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 1, 10 }))
-			time.Sleep(within(rnd, 0, 8*time.Second))
+			time.Sleep(randomDuration(rnd, 0, 8*time.Second))
 			if n%2 == 0 {
-				w.PowerCycleNode(l, within(rnd, 0, 900*time.Millisecond))
+				w.PowerCycleNode(l, randomDuration(rnd, 0, 900*time.Millisecond))
 			} else {
 				w.Store.Refuse(fmt.Sprintf("n-%d", l), true)
-				time.Sleep(within(rnd, 2*time.Second, 20*time.Second))
+				time.Sleep(randomDuration(rnd, 2*time.Second, 20*time.Second))
 				w.Store.Refuse(fmt.Sprintf("n-%d", l), false)
 			}
 		}
@@ -354,10 +354,10 @@
 func TestFailoverAndBackWhileANodeReturns(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
-		stop := tokens(w)
+		stop := recordLeaderTokens(w)
 		defer stop()
-		busy(t, w, 4)
-		first := mustLead(t, w, 10*time.Second, anyNode)
+		fillMachines(t, w, 4)
+		first := awaitLeader(t, w, 10*time.Second, anyNode)
 		var late sync.WaitGroup
 		defer late.Wait()
 		leave := func(n int) { // a placement under way as the leader ends
@@ -372,16 +372,16 @@
 			if !scenario.Eventually(15*time.Second, 5*time.Millisecond, func() bool { return w.Store.DelayedTransactions() > before }) {
 				t.Fatal("no placement is on its way")
 			}
-			time.Sleep(within(rnd, 0, 400*time.Millisecond))
+			time.Sleep(randomDuration(rnd, 0, 400*time.Millisecond))
 		}
 		leave(1)
 		// A node that is back within a second ends its earlier process's lease, and
 		// stands beside the others.
 		over := func(from int) int {
 			for range 20 {
-				w.PowerCycleNode(from, within(rnd, 0, 900*time.Millisecond))
-				time.Sleep(within(rnd, 100*time.Millisecond, 2*time.Second))
-				if l := mustLead(t, w, 15*time.Second, anyNode); l != from {
+				w.PowerCycleNode(from, randomDuration(rnd, 0, 900*time.Millisecond))
+				time.Sleep(randomDuration(rnd, 100*time.Millisecond, 2*time.Second))
+				if l := awaitLeader(t, w, 15*time.Second, anyNode); l != from {
 					return l
 				}
 			}
@@ -396,10 +396,10 @@
 		}
 		leave(3)
 		w.KillAll()
-		time.Sleep(within(rnd, 0, 1500*time.Millisecond))
+		time.Sleep(randomDuration(rnd, 0, 1500*time.Millisecond))
 		last := rnd.IntN(3)
 		w.StartNode(last)
-		mustLead(t, w, 15*time.Second, func(i int) bool { return i == last })
+		awaitLeader(t, w, 15*time.Second, func(i int) bool { return i == last })
 		time.Sleep(25 * time.Second)
 		if n := w.Store.OvertakenTransactions().Stale; n != 3 {
 			t.Errorf("%d of 3 placements came in another leader's time", n)
@@ -431,7 +431,7 @@
 		}
 		l := w.Leader()
 		node := fmt.Sprintf("n-%d", l)
-		w.Store.DelayNextTransactionOn(election.LeaderKey, within(rnd, 3*time.Second, 6*time.Second))
+		w.Store.DelayNextTransactionOn(election.LeaderKey, randomDuration(rnd, 3*time.Second, 6*time.Second))
 		w.PowerCycleNode(l, 100*time.Millisecond)
 		if !scenario.Eventually(15*time.Second, 10*time.Millisecond, func() bool { return w.Store.PendingTransactions() > 0 }) {
 			t.Fatal("no election is on its way")
@@ -470,8 +470,8 @@
 			t.Fatalf("%d tasks run", w.Running())
 		}
 		before := w.Store.Versions(election.LeaderKey)[election.LeaderKey]
-		away := lease + within(rnd, time.Second, 10*time.Second)
-		w.Store.DelayNextTransactionOn(pageKeys, away+within(rnd, 0, 5*time.Second))
+		away := lease + randomDuration(rnd, time.Second, 10*time.Second)
+		w.Store.DelayNextTransactionOn(pageKeys, away+randomDuration(rnd, 0, 5*time.Second))
 		mustSubmit(t, w, job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 1, 10 }))
 		if !scenario.Eventually(5*time.Second, 5*time.Millisecond, func() bool { return w.Store.PendingTransactions() > 0 }) {
 			t.Fatal("no placement is on its way")
@@ -486,7 +486,7 @@
 		} else {
 			w.StartNode(rnd.IntN(3))
 		}
-		mustLead(t, w, 10*time.Second, anyNode)
+		awaitLeader(t, w, 10*time.Second, anyNode)
 		if !scenario.Eventually(6*time.Second, 10*time.Millisecond, func() bool { return w.Store.PendingTransactions() == 0 }) {
 			t.Error("the placement has not come")
 		}
@@ -503,7 +503,7 @@
 func TestOverloadOverSlowLinks(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
-		stop := tokens(w)
+		stop := recordLeaderTokens(w)
 		defer stop()
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
 			j.Tasks, j.CPUs, j.EstimateS, j.Priority, j.CheckpointS, j.SaveS = 12, 4, 40, wire.PriorityLow, 5, 1
@@ -511,7 +511,7 @@
 		if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 8 }) {
 			t.Fatalf("%d tasks run", w.Running())
 		}
-		w.Store.SetLatency(within(rnd, 300*time.Millisecond, 1200*time.Millisecond))
+		w.Store.SetLatency(randomDuration(rnd, 300*time.Millisecond, 1200*time.Millisecond))
 		w.Store.DropReplies(0.1, 0.1, rnd.Uint64())
 		for n := 2; n <= 7; n++ {
 			mustSubmit(t, w, job(n, func(j *wire.Job) {
@@ -521,9 +521,9 @@
 					gang(j)
 				}
 			}))
-			time.Sleep(within(rnd, 200*time.Millisecond, 2*time.Second))
+			time.Sleep(randomDuration(rnd, 200*time.Millisecond, 2*time.Second))
 			if n == 3 || n == 5 {
-				w.PowerCycleNode(mustLead(t, w, 20*time.Second, anyNode), within(rnd, 0, 900*time.Millisecond))
+				w.PowerCycleNode(awaitLeader(t, w, 20*time.Second, anyNode), randomDuration(rnd, 0, 900*time.Millisecond))
 			}
 		}
 		time.Sleep(20 * time.Second)
--- a/controller/operator_plan_test.go
+++ b/controller/operator_plan_test.go
@@ -12,13 +12,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// knows waits until every node that is up knows a version of the plan.
-func knows(t *testing.T, w *fake.Cluster, version int, nodes ...int) {
+// awaitPlanVersion waits until every node that is up knows a version of the plan.
+func awaitPlanVersion(t *testing.T, w *fake.Cluster, version int, nodes ...int) {
 	t.Helper()
 	for _, i := range nodes {
-		o := overview(t, w, i)
+		o := getOverview(t, w, i)
 		if !scenario.Eventually(30*time.Second, 500*time.Millisecond, func() bool {
-			o = overview(t, w, i)
+			o = getOverview(t, w, i)
 			return o.Orders != nil && o.Orders.Version == version && !o.Orders.Lost
 		}) {
 			t.Fatalf("node %d knows %+v, not version %d", i, o.Orders, version)
@@ -42,10 +42,10 @@
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, `note = "before"`) // the first one takes every node to be up
 		version := 1
-		for round, trouble := range []func(w *fake.Cluster) func(){crash, standStill, cutOff, func(w *fake.Cluster) func() {
+		for round, trouble := range []func(w *fake.Cluster) func(){crashLeader, stallLeader, partitionLeaderFromStore, func(w *fake.Cluster) func() {
 			w.Store.DelayNextTransaction(time.Minute)
 			submit(2)
-			return crash(w)
+			return crashLeader(w)
 		}} {
 			submit(3)
 			end := trouble(w)
@@ -59,7 +59,7 @@
 			time.Sleep(8 * time.Second)
 		}
 		time.Sleep(time.Minute)
-		knows(t, w, version, 0, 1, 2, 3, 4)
+		awaitPlanVersion(t, w, version, 0, 1, 2, 3, 4)
 		for n := 1; n < next; n++ {
 			mustFinish(t, w, 3*time.Minute, n)
 		}
@@ -83,9 +83,9 @@
 		w.StartAll()
 		mustSubmit(t, w, job(1, nil))
 		mustFinish(t, w, 2*time.Minute, 1)
-		knows(t, w, 1, 0, 1, 2)
+		awaitPlanVersion(t, w, 1, 0, 1, 2)
 		applyPlan(t, w, 2, `note = "three"`)
-		knows(t, w, 3, 0, 1, 2)
+		awaitPlanVersion(t, w, 3, 0, 1, 2)
 	})
 }
 
@@ -106,7 +106,7 @@
 		if len(w.MachinesRunning("wk-000002/0"))+len(w.MachinesRunning("wk-000002/1")) > 0 || w.Started() > 2 {
 			t.Errorf("%d tasks were started by a plan that nobody can read", w.Started())
 		}
-		if o := overview(t, w, 0); o.Orders == nil || !o.Orders.Lost {
+		if o := getOverview(t, w, 0); o.Orders == nil || !o.Orders.Lost {
 			t.Errorf("status says %+v", o.Orders)
 		}
 		applyPlan(t, w, 1, `note = "two"`)
@@ -122,7 +122,7 @@
 		if _, err := scenario.TryPlan(w, 0, `note = "one"`, time.Minute); !errors.Is(err, jobstore.ErrPlanUnsupported) {
 			t.Fatalf("with a node that reads no plans: %v", err)
 		}
-		if o := overview(t, w, 0); o.Orders != nil {
+		if o := getOverview(t, w, 0); o.Orders != nil {
 			t.Fatalf("refused, and known: %+v", o.Orders)
 		}
 		w.KillNode(2)
--- a/controller/operators_test.go
+++ b/controller/operators_test.go
@@ -14,7 +14,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-func watchNode(t *testing.T, w *fake.Cluster, node int, path string) string {
+func getOperatorPath(t *testing.T, w *fake.Cluster, node int, path string) string {
 	t.Helper()
 	hc := &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("operator"), DisableKeepAlives: true}}
 	resp, err := hc.Get("http://" + w.Nodes()[node] + ":9464" + path)
@@ -29,9 +29,9 @@
 	return string(b)
 }
 
-func overview(t *testing.T, w *fake.Cluster, node int) (o metrics.Overview) {
+func getOverview(t *testing.T, w *fake.Cluster, node int) (o metrics.Overview) {
 	t.Helper()
-	if err := json.Unmarshal([]byte(watchNode(t, w, node, controller.PathStatus)), &o); err != nil {
+	if err := json.Unmarshal([]byte(getOperatorPath(t, w, node, controller.PathStatus)), &o); err != nil {
 		t.Fatal(err)
 	}
 	return o
@@ -45,7 +45,7 @@
 		time.Sleep(15 * time.Second)
 		leader := w.Leader()
 		for i := range w.Nodes() {
-			o := overview(t, w, i)
+			o := getOverview(t, w, i)
 			f := o.Fleet
 			if f == nil || f.Node != w.Nodes()[leader] || !f.Sure || f.Machines["up"] < 4 || f.Tasks["running"] != w.Running() || f.Jobs != 2 {
 				t.Fatalf("node %d: %+v, %+v", i, o, f)
@@ -54,7 +54,7 @@
 				t.Errorf("node %d: %+v", i, o)
 			}
 		}
-		text := watchNode(t, w, leader, controller.PathMetrics)
+		text := getOperatorPath(t, w, leader, controller.PathMetrics)
 		for _, want := range []string{"umberdeal_placement_to_launch_seconds_count{", "umberdeal_lease_left_seconds_bucket{", "umberdeal_connections_workers", "umberdeal_leading 1"} {
 			if !strings.Contains(text, want) {
 				t.Errorf("no %s in the metrics", want)
@@ -63,7 +63,7 @@
 		w.Store.SetOutage(true)
 		w.KillNode(leader)
 		time.Sleep(15 * time.Second)
-		o := overview(t, w, (leader+1)%3)
+		o := getOverview(t, w, (leader+1)%3)
 		if o.Fleet != nil || o.StateServed {
 			t.Errorf("shown without a leader: %+v", o.Fleet)
 		}
--- a/controller/poll_answers_test.go
+++ b/controller/poll_answers_test.go
@@ -13,8 +13,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// asked is what became of many users' polls.
-type asked struct {
+// polledAnswers is what became of many users' polls.
+type polledAnswers struct {
 	mu         sync.Mutex
 	unanswered time.Duration // the longest that one job was
 	last       string        // that job
@@ -23,7 +23,7 @@
 }
 
 // poll asks for each job about every 5 s, for a while, at whichever node.
-func (a *asked) poll(w *fake.Cluster, jobs []wire.Job, during time.Duration) {
+func (a *polledAnswers) poll(w *fake.Cluster, jobs []wire.Job, during time.Duration) {
 	var wg sync.WaitGroup
 	end := time.Now().Add(during)
 	for i, j := range jobs {
@@ -95,7 +95,7 @@
 		w.StartAll()
 		time.Sleep(5 * time.Second)
 		w.Store.SetOutage(false)
-		var a asked
+		var a polledAnswers
 		a.poll(w, jobs, 85*time.Second)
 		t.Logf("%d polls, %d not answered; no job was without an answer for more than %v (%s)", a.polls, a.refused, a.unanswered, a.last)
 		if a.unanswered > 50*time.Second {
@@ -133,7 +133,7 @@
 				}
 				wg.Wait()
 				time.Sleep(8 * time.Second)
-				_, shared := own(w)
+				_, shared := countOwnAndSharedRecords(w)
 				if shared < 10 {
 					t.Fatalf("%d jobs share pages", shared)
 				}
@@ -154,7 +154,7 @@
 				time.Sleep(time.Second)
 				w.StartAll()
 				time.Sleep(12 * time.Second)
-				alone, _ := own(w)
+				alone, _ := countOwnAndSharedRecords(w)
 				for i := range w.Nodes() {
 					answered := 0
 					for n := range jobs {
@@ -185,7 +185,7 @@
 			jobs = append(jobs, job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, 15 }))
 			mustSubmit(t, w, jobs[n])
 		}
-		var a asked
+		var a polledAnswers
 		var wg sync.WaitGroup
 		wg.Go(func() { a.poll(w, jobs, 85*time.Second) })
 		for n := range w.Nodes() {
--- a/controller/priorities_test.go
+++ b/controller/priorities_test.go
@@ -16,13 +16,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-func stateOf(w *fake.Cluster) *kvstore.Client {
+func storeClient(w *fake.Cluster) *kvstore.Client {
 	return kvstore.New(w.Network.Dial("user"), "state:1", 200, 100)
 }
 
-func why(t *testing.T, w *fake.Cluster, id string) (cluster.Explanation, string) {
+func explainWaiting(t *testing.T, w *fake.Cluster, id string) (cluster.Explanation, string) {
 	t.Helper()
-	got, over, err := controller.WhyWaiting(t.Context(), w.Settings, stateOf(w), id, time.Now())
+	got, over, err := controller.WhyWaiting(t.Context(), w.Settings, storeClient(w), id, time.Now())
 	if err != nil {
 		t.Fatalf("why %s: %v", id, err)
 	}
@@ -46,27 +46,27 @@
 		w.Cancel("wk-000004")
 		time.Sleep(10 * time.Second)
 		w.KillAll()
-		got, _ := why(t, w, "wk-000002")
+		got, _ := explainWaiting(t, w, "wk-000002")
 		if len(got.PendingReasons) == 0 || !strings.HasPrefix(got.PendingReasons[0], "its team's limit: 8 of 8 CPUs") {
 			t.Errorf("%+v", got)
 		}
-		if got, _ = why(t, w, "wk-000003"); got.AheadByReason["priority"] != 1 || !slices.ContainsFunc(got.Nearest, func(a cluster.JobAhead) bool { return a.ID == "wk-000005" }) {
+		if got, _ = explainWaiting(t, w, "wk-000003"); got.AheadByReason["priority"] != 1 || !slices.ContainsFunc(got.Nearest, func(a cluster.JobAhead) bool { return a.ID == "wk-000005" }) {
 			t.Errorf("%+v", got)
 		}
-		if got, _ = why(t, w, "wk-000001"); len(got.PendingReasons) != 0 || got.Placed != 2 {
+		if got, _ = explainWaiting(t, w, "wk-000001"); len(got.PendingReasons) != 0 || got.Placed != 2 {
 			t.Errorf("%+v", got)
 		}
-		if _, over := why(t, w, "wk-000004"); over != wire.JobCancelled {
+		if _, over := explainWaiting(t, w, "wk-000004"); over != wire.JobCancelled {
 			t.Errorf("a cancelled job is %q", over)
 		}
-		if _, _, err := controller.WhyWaiting(t.Context(), w.Settings, stateOf(w), "wk-777777", time.Now()); err == nil {
+		if _, _, err := controller.WhyWaiting(t.Context(), w.Settings, storeClient(w), "wk-777777", time.Now()); err == nil {
 			t.Error("a job that nobody submitted waits for something")
 		}
 	})
 }
 
-// orderOf is a plan by which work of the classes is served in that order.
-func orderOf(classes ...string) string {
+// tierPlan is a plan by which work of the classes is served in that order.
+func tierPlan(classes ...string) string {
 	var out strings.Builder
 	for i, c := range classes {
 		fmt.Fprintf(&out, "[[order.tiers]]\nname = %q\nclasses = [%q]\n", c, c)
@@ -77,13 +77,13 @@
 	return out.String()
 }
 
-// whole is a job that takes a whole machine.
-func whole(n int, class string, seconds float64) wire.Job {
+// wholeMachineJob is a job that takes a whole machine.
+func wholeMachineJob(n int, class string, seconds float64) wire.Job {
 	return job(n, func(j *wire.Job) { j.Class, j.Tasks, j.CPUs, j.EstimateS = class, 1, 8, seconds })
 }
 
-// first is the job of which task 0 is on a machine first.
-func first(t *testing.T, w *fake.Cluster, within time.Duration, ids ...string) string {
+// awaitFirstRunning is the job of which task 0 is on a machine first.
+func awaitFirstRunning(t *testing.T, w *fake.Cluster, within time.Duration, ids ...string) string {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		for _, id := range ids {
@@ -104,13 +104,13 @@
 		name string
 		do   func(w *fake.Cluster) (end func())
 	}{
-		{"crashes", crash},
-		{"stands still", standStill},
+		{"crashes", crashLeader},
+		{"stands still", stallLeader},
 		{"stands still for a moment", func(w *fake.Cluster) func() {
-			time.AfterFunc(3*time.Second, standStill(w))
+			time.AfterFunc(3*time.Second, stallLeader(w))
 			return func() {}
 		}},
-		{"is cut off from the state service", cutOff},
+		{"is cut off from the state service", partitionLeaderFromStore},
 		{"is refused by it", func(w *fake.Cluster) func() {
 			l := w.Leader()
 			w.Store.Refuse(fmt.Sprintf("n-%d", l), true)
@@ -125,14 +125,14 @@
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
-				applyPlan(t, w, 0, orderOf("craft", "clinic"))
-				mustSubmit(t, w, whole(1, "other", 30))
+				applyPlan(t, w, 0, tierPlan("craft", "clinic"))
+				mustSubmit(t, w, wholeMachineJob(1, "other", 30))
 				time.Sleep(10 * time.Second)
-				mustSubmit(t, w, whole(2, "craft", 30), whole(3, "clinic", 30), whole(4, "craft", 30))
+				mustSubmit(t, w, wholeMachineJob(2, "craft", 30), wholeMachineJob(3, "clinic", 30), wholeMachineJob(4, "craft", 30))
 				time.Sleep(5 * time.Second)
 				end := c.do(w)
-				applyPlan(t, w, 1, orderOf("clinic", "craft"))
-				if got := first(t, w, 2*time.Minute, "wk-000002", "wk-000003", "wk-000004"); got != "wk-000003" {
+				applyPlan(t, w, 1, tierPlan("clinic", "craft"))
+				if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003", "wk-000004"); got != "wk-000003" {
 					t.Errorf("%s was placed first, by the order before", got)
 				}
 				end()
@@ -142,11 +142,11 @@
 	}
 }
 
-// runs waits until task 0 of each job is on a machine, and says on which.
-func runs(t *testing.T, w *fake.Cluster, ids ...string) (on []string) {
+// awaitRunning waits until task 0 of each job is on a machine, and says on which.
+func awaitRunning(t *testing.T, w *fake.Cluster, ids ...string) (on []string) {
 	t.Helper()
 	for _, id := range ids {
-		first(t, w, time.Minute, id)
+		awaitFirstRunning(t, w, time.Minute, id)
 		on = append(on, w.MachinesRunning(id + "/0")[0])
 	}
 	return on
@@ -184,19 +184,19 @@
 			teams := []config.Team{{Name: "core"}, {Name: "edge", CPUsMax: 8}}
 			runScenario(t, fake.Options{Machines: 3, Capacity: 3, Types: []wire.MachineType{typ("m8"), typ("m9"), typ("m8")}, Teams: teams, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				urgent := func(n int, seconds float64, change func(*wire.Job)) wire.Job {
-					j := whole(n, "other", seconds)
+					j := wholeMachineJob(n, "other", seconds)
 					j.Team, j.Priority = "edge", wire.PriorityHigh
 					change(&j)
 					return j
 				}
-				applyPlan(t, w, 0, orderOf("craft", "clinic"))
-				mustSubmit(t, w, whole(2, "craft", 300), whole(3, "clinic", 300), urgent(1, 40, at("m9")))
-				on := runs(t, w, "wk-000002", "wk-000003", "wk-000001")
+				applyPlan(t, w, 0, tierPlan("craft", "clinic"))
+				mustSubmit(t, w, wholeMachineJob(2, "craft", 300), wholeMachineJob(3, "clinic", 300), urgent(1, 40, at("m9")))
+				on := awaitRunning(t, w, "wk-000002", "wk-000003", "wk-000001")
 				mustSubmit(t, w, urgent(4, 20, at("m8"))) // waits for its team's limit
 				time.Sleep(37 * time.Second)
 				l := w.Leader()
 				end := c.do(w, l)
-				applyPlan(t, w, 1, orderOf("clinic", "craft"))
+				applyPlan(t, w, 1, tierPlan("clinic", "craft"))
 				for began := time.Now(); len(w.MachinesRunning("wk-000004/0")) == 0; time.Sleep(100 * time.Millisecond) {
 					if time.Since(began) > 2*time.Minute {
 						t.Fatal("nobody is stopped for urgent work")
@@ -222,23 +222,23 @@
 		t.Run(fmt.Sprint("the leader dies: ", dies), func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
-				applyPlan(t, w, 0, orderOf("craft", "clinic"))
-				mustSubmit(t, w, whole(1, "other", 30))
+				applyPlan(t, w, 0, tierPlan("craft", "clinic"))
+				mustSubmit(t, w, wholeMachineJob(1, "other", 30))
 				mustReach(t, w, "wk-000001", wire.JobRunning, 30*time.Second)
 				// Jobs that come as the machine is free: the next transaction after
 				// theirs places.
-				mustSubmit(t, w, whole(2, "craft", 20), whole(3, "clinic", 20))
+				mustSubmit(t, w, wholeMachineJob(2, "craft", 20), wholeMachineJob(3, "clinic", 20))
 				for len(w.MachinesRunning("wk-000001/0")) > 0 {
 					time.Sleep(20 * time.Millisecond)
 				}
 				w.Store.DelayNextTransaction(time.Minute)
 				time.Sleep(time.Second)
-				applyPlan(t, w, 1, orderOf("clinic", "craft"))
+				applyPlan(t, w, 1, tierPlan("clinic", "craft"))
 				if dies {
 					w.KillNode(w.Leader())
 				}
-				applyPlan(t, w, 2, "note = \"the same again\"\n"+orderOf("clinic", "craft"))
-				if got := first(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
+				applyPlan(t, w, 2, "note = \"the same again\"\n"+tierPlan("clinic", "craft"))
+				if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
 					t.Errorf("%s was placed first, by the first order", got)
 				}
 				mustReach(t, w, "wk-000002", wire.JobDone, 3*time.Minute)
@@ -254,11 +254,11 @@
 		t.Run(fmt.Sprint("restarted: ", restart), func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
-				applyPlan(t, w, 0, orderOf("craft", "clinic", "school"))
-				mustSubmit(t, w, whole(1, "other", 30))
+				applyPlan(t, w, 0, tierPlan("craft", "clinic", "school"))
+				mustSubmit(t, w, wholeMachineJob(1, "other", 30))
 				time.Sleep(10 * time.Second)
-				mustSubmit(t, w, whole(2, "craft", 20), whole(3, "school", 20), whole(4, "clinic", 20))
-				for i, next := range []string{orderOf("school", "clinic", "craft"), orderOf("craft", "school", "clinic"), orderOf("clinic", "school", "craft")} {
+				mustSubmit(t, w, wholeMachineJob(2, "craft", 20), wholeMachineJob(3, "school", 20), wholeMachineJob(4, "clinic", 20))
+				for i, next := range []string{tierPlan("school", "clinic", "craft"), tierPlan("craft", "school", "clinic"), tierPlan("clinic", "school", "craft")} {
 					w.PartitionNode(i, true, "state", "nodes")
 					applyPlan(t, w, i+1, next)
 					time.Sleep(3 * time.Second)
@@ -272,7 +272,7 @@
 					w.PartitionNode(i, false, "state", "nodes")
 					w.StartNode(i)
 				}
-				if got := first(t, w, 2*time.Minute, "wk-000002", "wk-000003", "wk-000004"); got != "wk-000004" {
+				if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003", "wk-000004"); got != "wk-000004" {
 					t.Errorf("%s was placed first, by an older order", got)
 				}
 				mustFinish(t, w, 4*time.Minute, 2, 3, 4)
@@ -285,20 +285,20 @@
 func TestDamagedPlanLeavesThePreviousOneInForce(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
-		applyPlan(t, w, 0, orderOf("clinic", "craft"))
-		applyPlan(t, w, 1, orderOf("craft", "clinic"))
-		mustSubmit(t, w, whole(1, "other", 30))
+		applyPlan(t, w, 0, tierPlan("clinic", "craft"))
+		applyPlan(t, w, 1, tierPlan("craft", "clinic"))
+		mustSubmit(t, w, wholeMachineJob(1, "other", 30))
 		time.Sleep(8 * time.Second)
 		w.KillAll()
 		for _, k := range w.Store.Keys("plan/t/2-") {
 			w.Store.Corrupt(k)
 		}
 		w.StartAll()
-		mustSubmit(t, w, whole(2, "craft", 20), whole(3, "clinic", 20))
-		if got, _ := why(t, w, "wk-000002"); got.Tier != "craft" || got.AheadByReason["tier"] != 1 {
+		mustSubmit(t, w, wholeMachineJob(2, "craft", 20), wholeMachineJob(3, "clinic", 20))
+		if got, _ := explainWaiting(t, w, "wk-000002"); got.Tier != "craft" || got.AheadByReason["tier"] != 1 {
 			t.Errorf("%+v", got)
 		}
-		if got := first(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
+		if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
 			t.Errorf("%s was placed first", got)
 		}
 	})
@@ -310,10 +310,10 @@
 func TestVersionThatCannotReadThePlanDoesNotLead(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
-		applyPlan(t, w, 0, orderOf("clinic", "craft"))
-		mustSubmit(t, w, whole(1, "other", 15))
+		applyPlan(t, w, 0, tierPlan("clinic", "craft"))
+		mustSubmit(t, w, wholeMachineJob(1, "other", 15))
 		time.Sleep(6 * time.Second)
-		mustSubmit(t, w, whole(2, "craft", 20), whole(3, "clinic", 20))
+		mustSubmit(t, w, wholeMachineJob(2, "craft", 20), wholeMachineJob(3, "clinic", 20))
 		w.KillAll()
 		form := func(change int) {
 			var rec jobstore.SchemaRecord
@@ -321,7 +321,7 @@
 				t.Fatalf("with an order in force the records have form %d, which versions without orders read: %v", rec.Version, err)
 			}
 			rec.Version += change
-			if _, err := stateOf(w).CompareAndSwap(t.Context(), nil, []wire.Op{{Put: jobstore.SchemaKey, Value: rec}}); err != nil {
+			if _, err := storeClient(w).CompareAndSwap(t.Context(), nil, []wire.Op{{Put: jobstore.SchemaKey, Value: rec}}); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -332,7 +332,7 @@
 			t.Error("a version that can't read the order has placed work")
 		}
 		form(jobstore.SchemaPlans - jobstore.LatestSchema - 1)
-		if got := first(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
+		if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
 			t.Errorf("%s was placed first", got)
 		}
 	})
@@ -344,7 +344,7 @@
 func TestEndlessUrgentJobsStarveNobodyDuringFailovers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
-		applyPlan(t, w, 0, strings.ReplaceAll(orderOf("clinic", "school", "craft"), "240", "60"))
+		applyPlan(t, w, 0, strings.ReplaceAll(tierPlan("clinic", "school", "craft"), "240", "60"))
 		began := map[string]time.Duration{}
 		came := map[string]time.Time{}
 		n, started := 1, time.Now()
@@ -386,7 +386,7 @@
 		t.Logf("%d of %d began, the last after %v", len(began), len(came), worst)
 		time.Sleep(40 * time.Second) // the last node that was killed is back, and one leads
 		counted := uint64(0)
-		for _, o := range overview(t, w, w.Leader()).Fleet.Departures {
+		for _, o := range getOverview(t, w, w.Leader()).Fleet.Departures {
 			counted += o
 		}
 		if len(began) < 12 || counted < uint64(len(began))/2 {
--- a/controller/reachability_test.go
+++ b/controller/reachability_test.go
@@ -13,8 +13,8 @@
 // Stories of machines that do not hear, of reports that come twice, of nodes that
 // keep only their workers, and of what is back within a fraction of a second.
 
-// busy fills every machine but for 3 of its 8 CPUs, so that none is returned.
-func busy(t *testing.T, w *fake.Cluster, machines int) {
+// fillMachines fills every machine but for 3 of its 8 CPUs, so that none is returned.
+func fillMachines(t *testing.T, w *fake.Cluster, machines int) {
 	t.Helper()
 	mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = machines, 5, 3600 }))
 	if !scenario.Eventually(40*time.Second, time.Second, func() bool { return w.Running() == machines }) {
@@ -26,7 +26,7 @@
 // as it was mute.
 func TestNothingWaitsForAnUnreachableMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
-		busy(t, w, 3)
+		fillMachines(t, w, 3)
 		at := w.Cloud.Machines()[0]
 		w.BlockRepliesTo(at, true)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 3, 10 }))
@@ -55,7 +55,7 @@
 // token, and each of its reports was answered: tasks waited without end.
 func TestUnreachableMachineDuringFailover(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 4, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
-		busy(t, w, 3)
+		fillMachines(t, w, 3)
 		at := w.Cloud.Machines()[0]
 		w.BlockRepliesTo(at, true)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 3, 5 }))
@@ -75,7 +75,7 @@
 // A machine that stays mute is returned, and another rented.
 func TestMachineThatStaysUnreachableIsReplaced(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster) {
-		busy(t, w, 2)
+		fillMachines(t, w, 2)
 		at := w.Cloud.Machines()[0]
 		w.BlockRepliesTo(at, true)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 3, 600 }))
@@ -93,7 +93,7 @@
 // heard of it. It looked alive, and tasks were launched there.
 func TestDuplicateHeartbeatsOfADeletedMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
-		busy(t, w, 3)
+		fillMachines(t, w, 3)
 		gone := w.Cloud.Machines()[0]
 		w.DuplicateReports(1)
 		time.Sleep(20 * time.Second)
@@ -121,7 +121,7 @@
 func TestDuplicateHeartbeatsChangeNothing(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		w.DuplicateReports(2)
-		busy(t, w, 6)
+		fillMachines(t, w, 6)
 		before := w.Started()
 		for i := range 6 {
 			mustSubmit(t, w, job(1+i, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.EstimateS, j.OneZone = 2, 3, 15, i%2 == 0 }))
@@ -146,7 +146,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 12, Capacity: 12}, func(t *testing.T, w *fake.Cluster) {
-				busy(t, w, 12)
+				fillMachines(t, w, 12)
 				switch name {
 				case "all but one":
 					l := w.Leader()
@@ -180,7 +180,7 @@
 // and so in the middle of the elections that this brings about.
 func TestNodesRestartWithinAFractionOfASecond(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 8, Capacity: 8}, func(t *testing.T, w *fake.Cluster) {
-		busy(t, w, 8)
+		fillMachines(t, w, 8)
 		for round, after := range []time.Duration{0, 50, 150, 300, 600, 900} {
 			if l := w.Leader(); l >= 0 {
 				w.PowerCycleNode(l, after*time.Millisecond)
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -28,26 +28,26 @@
 	{name: "sealed pages", is: func(k string) bool { return jobstore.IsJobPageKey(k) && !jobstore.IsHeadPageKey(k) }, sealed: true},
 	{name: "all pages of jobs", is: jobstore.IsJobPageKey, sealed: true},
 	{name: "jobs", is: func(k string) bool { _, ok := jobstore.ParseJobKey(k); return ok }},
-	{name: "the form", is: begins(jobstore.SchemaKey)},
+	{name: "the form", is: hasAnyPrefix(jobstore.SchemaKey)},
 	{name: "the form and its copy", is: func(k string) bool { return k == jobstore.SchemaKey || k == jobstore.SchemaCopyKey }},
 	{name: "the form, heads and pages", is: func(k string) bool { return k == jobstore.SchemaKey || jobstore.IsJobPageKey(k) }},
-	{name: "placements", is: begins("w/p/"), stuck: true},
-	{name: "ends", is: begins("f/")},
-	{name: "the leader", is: begins("ctl/")},
-	{name: "the plan", is: begins("plan/")},
-	{name: "notes", is: begins(jobstore.PlanStatePrefix)},
-	{name: "types", is: begins(jobstore.MachineTypesKey)},
-	{name: "rentals, returns and moves", is: begins(jobstore.ScaleOutPrefix, jobstore.ScaleInKey, jobstore.RebalanceCyclePrefix), rare: true},
+	{name: "placements", is: hasAnyPrefix("w/p/"), stuck: true},
+	{name: "ends", is: hasAnyPrefix("f/")},
+	{name: "the leader", is: hasAnyPrefix("ctl/")},
+	{name: "the plan", is: hasAnyPrefix("plan/")},
+	{name: "notes", is: hasAnyPrefix(jobstore.PlanStatePrefix)},
+	{name: "types", is: hasAnyPrefix(jobstore.MachineTypesKey)},
+	{name: "rentals, returns and moves", is: hasAnyPrefix(jobstore.ScaleOutPrefix, jobstore.ScaleInKey, jobstore.RebalanceCyclePrefix), rare: true},
 }
 
-func begins(with ...string) func(string) bool {
+func hasAnyPrefix(with ...string) func(string) bool {
 	return func(k string) bool {
 		return slices.ContainsFunc(with, func(w string) bool { return strings.HasPrefix(k, w) })
 	}
 }
 
-// manyKinds are jobs of all kinds, from a number on; the last is cancelled by its user.
-func manyKinds(from int, seconds float64) (jobs []wire.Job) {
+// jobsOfAllKinds are jobs of all kinds, from a number on; the last is cancelled by its user.
+func jobsOfAllKinds(from int, seconds float64) (jobs []wire.Job) {
 	for n := range 45 {
 		jobs = append(jobs, job(from+n, func(j *wire.Job) {
 			j.Tasks, j.CPUs, j.EstimateS = 1, 1, seconds
@@ -77,14 +77,14 @@
 	wg.Wait()
 }
 
-// open submits jobs at once, so that they share open heads, and has these sealed, if
+// submitOpenPages submits jobs at once, so that they share open heads, and has these sealed, if
 // wanted, by a few more that come one by one.
 //
 //nolint:revive // flag-parameter: the variants of the test differ in it
-func open(t *testing.T, w *fake.Cluster, jobs []wire.Job, sealed bool) {
+func submitOpenPages(t *testing.T, w *fake.Cluster, jobs []wire.Job, sealed bool) {
 	t.Helper()
 	submitAll(t, w, jobs)
-	if _, shared := own(w); shared < 5 {
+	if _, shared := countOwnAndSharedRecords(w); shared < 5 {
 		t.Fatalf("only %d jobs share pages", shared)
 	}
 	time.Sleep(9 * time.Second)
@@ -105,15 +105,15 @@
 		}
 		value := [][]byte{nil, {0xc0}}[i%2]
 		t.Run(c.name, func(t *testing.T) {
-			var log logged
+			var log logBuffer
 			runScenario(t, fake.Options{Machines: 6, Capacity: 7, Log: slog.New(slog.NewTextHandler(&log, nil))}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
-				applyPlan(t, w, 0, orderOf("clinic", "craft")+nightPlan)
+				applyPlan(t, w, 0, tierPlan("clinic", "craft")+nightPlan)
 				mustSubmit(t, w, job(1, nil), job(2, func(j *wire.Job) { j.EstimateS = 600 }))
 				mustReach(t, w, job(1, nil).ID, wire.JobDone, time.Minute)
 				w.Cancel(job(2, nil).ID)
-				before := manyKinds(100, 40)
-				open(t, w, before, c.sealed)
+				before := jobsOfAllKinds(100, 40)
+				submitOpenPages(t, w, before, c.sealed)
 				for _, j := range append(before, job(1, nil), job(2, nil)) {
 					for n := range w.Nodes() {
 						w.PollState(w.NodeAddr(n), j.ID)
@@ -133,7 +133,7 @@
 				time.Sleep(12 * time.Second)
 				w.StartNode(leader)
 				time.Sleep(2 * time.Second)
-				after := manyKinds(200, 5)
+				after := jobsOfAllKinds(200, 5)
 				submitAll(t, w, after)
 				for n := range w.Nodes() {
 					for _, j := range slices.Concat(before, after) {
@@ -166,8 +166,8 @@
 	for _, c := range damaged[:3] {
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 6, Capacity: 7}, func(t *testing.T, w *fake.Cluster) {
-				before := manyKinds(100, 40)
-				open(t, w, before, c.sealed)
+				before := jobsOfAllKinds(100, 40)
+				submitOpenPages(t, w, before, c.sealed)
 				for n := range w.Nodes() {
 					w.KillNode(n)
 				}
@@ -180,7 +180,7 @@
 					w.StartNode(n)
 				}
 				time.Sleep(10 * time.Second)
-				after := manyKinds(200, 5)
+				after := jobsOfAllKinds(200, 5)
 				submitAll(t, w, after)
 				w.KillNode(w.Leader())
 				time.Sleep(10 * time.Second)
@@ -217,7 +217,7 @@
 			var wg sync.WaitGroup
 			var all []wire.Job
 			for round := range 6 {
-				jobs := manyKinds(1000*(round+1), 15)[3 : 30+rnd.IntN(15)]
+				jobs := jobsOfAllKinds(1000*(round+1), 15)[3 : 30+rnd.IntN(15)]
 				all = append(all, jobs...)
 				for _, j := range jobs {
 					var at [3]time.Duration
@@ -290,7 +290,7 @@
 					}
 				}
 			}
-			last := manyKinds(20000, 5)
+			last := jobsOfAllKinds(20000, 5)
 			submitAll(t, w, last)
 			for _, j := range last {
 				mustReach(t, w, j.ID, wire.JobDone, 4*time.Minute)
--- a/controller/schema_test.go
+++ b/controller/schema_test.go
@@ -19,8 +19,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// own counts the jobs that have a key of their own, and those that share one.
-func own(w *fake.Cluster) (own, shared int) {
+// countOwnAndSharedRecords counts the jobs that have a key of their own, and those that share one.
+func countOwnAndSharedRecords(w *fake.Cluster) (own, shared int) {
 	for _, k := range w.Store.Keys(jobstore.JobPrefix) {
 		var page jobstore.JobPage
 		if !jobstore.IsJobPageKey(k) {
@@ -49,7 +49,7 @@
 				time.Sleep(3 * time.Second)
 				mustSubmit(t, w, job(10+n, long))
 			}
-			if alone, shared := own(w); alone < 3 || shared != 0 || len(w.Store.Keys(jobstore.SchemaKey)) != 0 {
+			if alone, shared := countOwnAndSharedRecords(w); alone < 3 || shared != 0 || len(w.Store.Keys(jobstore.SchemaKey)) != 0 {
 				t.Errorf("before: %d jobs with keys of their own, %d share", alone, shared)
 			}
 			w.KillNode(older)
@@ -67,7 +67,7 @@
 				})
 			}
 			wg.Wait()
-			if alone, shared := own(w); alone < 1 || shared < 20 {
+			if alone, shared := countOwnAndSharedRecords(w); alone < 1 || shared < 20 {
 				t.Errorf("after: %d jobs with keys of their own, %d share", alone, shared)
 			}
 			w.KillNode(w.Leader())
@@ -243,7 +243,7 @@
 		{"a job", jobstore.JobKey("wk-000001")}, {"a page of placements", jobstore.PlacementPageKey(0)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var log logged
+			var log logBuffer
 			o := fake.Options{Machines: 4, Log: slog.New(slog.NewTextHandler(&log, nil))}
 			synctest.Test(t, func(t *testing.T) {
 				w := fake.New(o)
@@ -285,19 +285,19 @@
 	}
 }
 
-// logged is a log in memory.
-type logged struct {
+// logBuffer is a log in memory.
+type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
 }
 
-func (l *logged) Write(b []byte) (int, error) {
+func (l *logBuffer) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(b)
 }
 
-func (l *logged) String() string {
+func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.String()
--- a/controller/seeds_test.go
+++ b/controller/seeds_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// within draws a time from a window.
-func within(rnd *rand.Rand, from, to time.Duration) time.Duration {
+// randomDuration draws a time from a window.
+func randomDuration(rnd *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(rnd.Int64N(int64(to-from)))
 }
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -22,10 +22,10 @@
 // meet: one in which they miss one another fails. docs/fault-interactions.md lists them with
 // the guards that keep the rules.
 
-// meetings plays a story for a few seeds, or for as many as STORY_SEEDS says, and says
+// runInteraction plays a story for a few seeds, or for as many as STORY_SEEDS says, and says
 // how often its troubles met. Where both sides of a race must win now and then, it goes
 // on until they have: in a single seed chance alone leaves one of them out.
-func meetings(t *testing.T, seeds uint64, o fake.Options, play func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int, both ...func() bool) {
+func runInteraction(t *testing.T, seeds uint64, o fake.Options, play func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int, both ...func() bool) {
 	t.Helper()
 	if n, many := seedCount(); many {
 		seeds = n
@@ -49,22 +49,22 @@
 	}
 }
 
-// bothWon says whether some jobs ended as done and some as cancelled.
-func bothWon(ends map[string]int) func() bool {
+// bothOutcomesOccurred says whether some jobs ended as done and some as cancelled.
+func bothOutcomesOccurred(ends map[string]int) func() bool {
 	return func() bool { return ends[wire.JobDone] > 0 && ends[wire.JobCancelled] > 0 }
 }
 
-// quick is a job of one task of 2 s.
-func quick(n int) wire.Job {
+// shortJob is a job of one task of 2 s.
+func shortJob(n int) wire.Job {
 	return job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 2, 0.1 })
 }
 
-// when waits for what will be so at any moment, and says whether it was.
-func when(within time.Duration, ok func() bool) bool {
+// eventually waits for what will be so at any moment, and says whether it was.
+func eventually(within time.Duration, ok func() bool) bool {
 	return scenario.Eventually(within, time.Millisecond, ok)
 }
 
-func exists(w *fake.Cluster, key string) bool {
+func keyExists(w *fake.Cluster, key string) bool {
 	return w.Store.Value(key) != nil
 }
 
@@ -73,7 +73,7 @@
 // service and asks the others, and nodes stand still for a moment again and again. No
 // answer is older than one that the user had before asking.
 func TestAllPeersAreQueriedConcurrently(t *testing.T) {
-	meetings(t, 3, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
+	runInteraction(t, 3, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		w.Store.SetLatency(time.Duration(rnd.IntN(40)) * time.Millisecond)
 		refused := rnd.IntN(3)
 		w.Store.Refuse(w.Nodes()[refused], true)
@@ -101,7 +101,7 @@
 			}
 		}
 		for n := range 15 {
-			j, cancels, at, wait := quick(n+1), rnd.IntN(3), rnd.IntN(3), time.Duration(rnd.IntN(800))*time.Millisecond
+			j, cancels, at, wait := shortJob(n+1), rnd.IntN(3), rnd.IntN(3), time.Duration(rnd.IntN(800))*time.Millisecond
 			wg.Go(func() {
 				time.Sleep(time.Duration(n) * 700 * time.Millisecond)
 				if !w.Submit(j) {
@@ -141,14 +141,14 @@
 func TestPeersReadCommitsUnknownToTheirSender(t *testing.T) {
 	lose := func(w *fake.Cluster, rnd *rand.Rand, key string) bool {
 		w.Store.DropReplies(0, 1, rnd.Uint64())
-		met := when(5*time.Second, func() bool { return exists(w, key) })
+		met := eventually(5*time.Second, func() bool { return keyExists(w, key) })
 		w.Store.DropReplies(0, 0, 0)
 		return met
 	}
 	t.Run("a submission", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
-				j, a := quick(n+1), rnd.IntN(3)
+				j, a := shortJob(n+1), rnd.IntN(3)
 				b := (a + 1 + rnd.IntN(2)) % 3
 				var knows atomic.Bool
 				var wg sync.WaitGroup
@@ -179,7 +179,7 @@
 		})
 	})
 	t.Run("a cancellation", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
 				j, a := job(n+1, func(j *wire.Job) { j.Tasks, j.EstimateS = 1, 60 }), rnd.IntN(3)
 				mustSubmit(t, w, j)
@@ -205,11 +205,11 @@
 		})
 	})
 	t.Run("an end", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
-				j := quick(n + 1)
+				j := shortJob(n + 1)
 				mustSubmit(t, w, j)
-				if !when(time.Minute, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
+				if !eventually(time.Minute, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
 					t.Fatalf("%s does not run", j.ID)
 				}
 				started := w.Started()
@@ -233,13 +233,13 @@
 		})
 	})
 	t.Run("a placement", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
 				j := job(n+1, func(j *wire.Job) { j.Tasks, j.EstimateS = 1, 60 })
 				had, _ := w.Store.UnansweredTransactions()
 				mustSubmit(t, w, j)
 				w.Store.DropReplies(0, 1, rnd.Uint64())
-				when(5*time.Second, func() bool { sent, _ := w.Store.UnansweredTransactions(); return sent > had })
+				eventually(5*time.Second, func() bool { sent, _ := w.Store.UnansweredTransactions(); return sent > had })
 				w.Store.DropReplies(0, 0, 0)
 				started := w.Started()
 				if got := w.CancelAt(w.NodeAddr(rnd.IntN(3)), j.ID); got != wire.JobCancelled {
@@ -265,26 +265,26 @@
 func TestUnansweredRequestsWereNotExecuted(t *testing.T) {
 	t.Run("a cancellation", func(t *testing.T) {
 		ends := map[string]int{}
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
-				j, a := quick(n+1), rnd.IntN(3)
+				j, a := shortJob(n+1), rnd.IntN(3)
 				if n%3 == 2 {
 					j.EstimateS = 60
 				}
 				mustSubmit(t, w, j)
-				if !when(time.Minute, func() bool { return len(w.MachinesRunning(j.ID+"/0")) > 0 }) {
+				if !eventually(time.Minute, func() bool { return len(w.MachinesRunning(j.ID+"/0")) > 0 }) {
 					t.Fatalf("%s does not run", j.ID)
 				}
-				time.Sleep(within(rnd, 500*time.Millisecond, 1500*time.Millisecond))
+				time.Sleep(randomDuration(rnd, 500*time.Millisecond, 1500*time.Millisecond))
 				come := w.Store.HoldNextTransactionOn(jobstore.FinalKey(j.ID))
 				defer come()
 				var knows atomic.Bool
 				var wg sync.WaitGroup
 				var state string
 				wg.Go(func() { state = w.CancelAt(w.NodeAddr(a), j.ID); knows.Store(true) })
-				onItsWay := when(time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
+				onItsWay := eventually(time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
 				// Its sender asks the store again after 2 s: by then the job may have ended.
-				ended := when(10*time.Second, func() bool { return knows.Load() || exists(w, jobstore.FinalKey(j.ID)) })
+				ended := eventually(10*time.Second, func() bool { return knows.Load() || keyExists(w, jobstore.FinalKey(j.ID)) })
 				if onItsWay && ended && !knows.Load() {
 					met++
 				}
@@ -299,36 +299,36 @@
 				w.QueryConcurrently(j.ID, 1)
 			}
 			return met
-		}, bothWon(ends))
-		if !bothWon(ends)() {
+		}, bothOutcomesOccurred(ends))
+		if !bothOutcomesOccurred(ends)() {
 			t.Errorf("one side always won: %v", ends)
 		}
 		t.Log("ends:", ends)
 	})
 	t.Run("an end", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
-				j, cancels := quick(n+1), rnd.IntN(2) == 0
+				j, cancels := shortJob(n+1), rnd.IntN(2) == 0
 				come := w.Store.HoldNextTransactionOn(jobstore.FinalKey(j.ID))
 				defer come()
 				mustSubmit(t, w, j)
-				if !when(time.Minute, func() bool { return w.Store.PendingTransactions() > 0 }) {
+				if !eventually(time.Minute, func() bool { return w.Store.PendingTransactions() > 0 }) {
 					t.Fatalf("no end of %s is on its way", j.ID)
 				}
-				if w.FinishedTasks(j.ID) == 1 && !exists(w, jobstore.FinalKey(j.ID)) {
+				if w.FinishedTasks(j.ID) == 1 && !keyExists(w, jobstore.FinalKey(j.ID)) {
 					met++
 				}
 				want := wire.JobDone
 				if cancels {
-					time.Sleep(within(rnd, 0, 3*time.Second))
+					time.Sleep(randomDuration(rnd, 0, 3*time.Second))
 					want = w.Cancel(j.ID)
 				}
-				if !when(10*time.Second, func() bool { return exists(w, jobstore.FinalKey(j.ID)) }) {
+				if !eventually(10*time.Second, func() bool { return keyExists(w, jobstore.FinalKey(j.ID)) }) {
 					t.Errorf("%s, which is done, is not recorded as such", j.ID)
 				}
 				w.QueryConcurrently(j.ID, 1)
 				come()
-				time.Sleep(within(rnd, 0, time.Second))
+				time.Sleep(randomDuration(rnd, 0, time.Second))
 				if got := w.PollState(w.AnyNodeAddr(), j.ID); got != want {
 					t.Errorf("%s is %q, and was %q", j.ID, got, want)
 				}
@@ -340,24 +340,24 @@
 		})
 	})
 	t.Run("a placement", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 4 {
 				j := job(n+1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 20, 0.1 })
 				come := w.Store.HoldNextTransactionOn(pageKeys)
 				defer come()
 				started := w.Started()
 				mustSubmit(t, w, j)
-				if !when(20*time.Second, func() bool { return len(w.MachinesRunning(j.ID+"/0")) > 0 }) {
+				if !eventually(20*time.Second, func() bool { return len(w.MachinesRunning(j.ID+"/0")) > 0 }) {
 					t.Fatalf("%s does not run", j.ID)
 				}
 				if w.Store.PendingTransactions() > 0 {
 					met++
 				}
 				// Whoever leads next knows of it what the store says.
-				l := mustLead(t, w, 10*time.Second, anyNode)
+				l := awaitLeader(t, w, 10*time.Second, anyNode)
 				w.KillNode(l)
-				mustLead(t, w, 20*time.Second, func(i int) bool { return i != l })
-				time.Sleep(within(rnd, 0, 5*time.Second))
+				awaitLeader(t, w, 20*time.Second, func(i int) bool { return i != l })
+				time.Sleep(randomDuration(rnd, 0, 5*time.Second))
 				come()
 				w.StartNode(l)
 				mustFinish(t, w, time.Minute, n+1)
@@ -369,7 +369,7 @@
 		})
 	})
 	t.Run("a placement of a job that is cancelled meanwhile", func(t *testing.T) {
-		meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			time.Sleep(3 * time.Second)
 			for n := range 8 {
 				j := job(n+1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 60, 0.1 })
@@ -377,16 +377,16 @@
 				defer come()
 				mustSubmit(t, w, j)
 				// Its leader hears of nothing but by the barriers of its renewals.
-				node := w.Nodes()[mustLead(t, w, 10*time.Second, anyNode)]
+				node := w.Nodes()[awaitLeader(t, w, 10*time.Second, anyNode)]
 				w.Store.SilenceWatches(node, true)
-				onItsWay := when(10*time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
+				onItsWay := eventually(10*time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
 				started := w.Started()
 				got := w.CancelAt(w.AnyNodeAddr(), j.ID)
 				if onItsWay && got == wire.JobCancelled && w.Store.PendingTransactions() > 0 {
 					met++
 				}
 				come()
-				time.Sleep(within(rnd, 4*time.Second, 6*time.Second))
+				time.Sleep(randomDuration(rnd, 4*time.Second, 6*time.Second))
 				w.Store.SilenceWatches(node, false)
 				if n := w.Started() - started; n > 0 || len(w.MachinesRunning(j.ID+"/0")) > 0 {
 					t.Errorf("%s, which is cancelled, was started %d times", j.ID, n)
@@ -402,9 +402,9 @@
 // after all nodes have begun anew: each is answered as it must be, or not for good.
 func TestUnusualRequestsDuringFaults(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 20}, {Name: "edge"}}
-	meetings(t, 3, fake.Options{Machines: 4, Capacity: 4, Teams: teams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+	runInteraction(t, 3, fake.Options{Machines: 4, Capacity: 4, Teams: teams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 		for n := range 6 {
-			mustSubmit(t, w, quick(n+1), job(100+n, func(j *wire.Job) { j.Team, j.Kind, j.EstimateS = "edge", wire.KindService, 0 }))
+			mustSubmit(t, w, shortJob(n+1), job(100+n, func(j *wire.Job) { j.Team, j.Kind, j.EstimateS = "edge", wire.KindService, 0 }))
 		}
 		mustFinish(t, w, time.Minute, 1, 2, 3, 4, 5, 6)
 		odd := func(when string, least int) {
@@ -427,7 +427,7 @@
 				case <-time.After(10 * time.Millisecond):
 				}
 				for k := range 15 {
-					wg.Go(func() { w.Submit(quick(200 + 15*n + k)) })
+					wg.Go(func() { w.Submit(shortJob(200 + 15*n + k)) })
 				}
 			}
 		})
@@ -466,9 +466,9 @@
 // nodes know nothing of the job and say so at once. It is carried out late, beside its
 // user's next submission or instead of it, and once.
 func TestAcceptanceIsNeverConfirmedToItsUser(t *testing.T) {
-	meetings(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 		for n := range 6 {
-			j, a := quick(n+1), rnd.IntN(3)
+			j, a := shortJob(n+1), rnd.IntN(3)
 			w.Store.DelayNextTransaction(time.Duration(3000+rnd.IntN(9000)) * time.Millisecond)
 			var wg sync.WaitGroup
 			var status int
@@ -476,7 +476,7 @@
 			wg.Go(func() { status, _ = w.SubmitTo(a, j) })
 			time.Sleep(time.Duration(20+rnd.IntN(1500)) * time.Millisecond)
 			for b := range 3 {
-				if w.QueryStatus(b, j.ID) == http.StatusNotFound && !exists(w, jobstore.JobKey(j.ID)) {
+				if w.QueryStatus(b, j.ID) == http.StatusNotFound && !keyExists(w, jobstore.JobKey(j.ID)) {
 					met++
 				} else {
 					t.Errorf("%s is known, or not told to be unknown, at node %d", j.ID, b)
@@ -523,7 +523,7 @@
 	if scenario.UnderRace {
 		during = 30 * time.Second
 	}
-	meetings(t, 2, fake.Options{Machines: 10, Capacity: 10, StateRPS: 120, StateWPS: changes}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
+	runInteraction(t, 2, fake.Options{Machines: 10, Capacity: 10, StateRPS: 120, StateWPS: changes}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		var slowestAccept, slowestCancel, slowestEnd time.Duration
@@ -535,7 +535,7 @@
 		}
 		n := 0
 		for end := time.Now().Add(during); time.Now().Before(end); n++ {
-			j, cancels, after := quick(n+1), rnd.IntN(4) == 0, time.Duration(rnd.IntN(3000))*time.Millisecond
+			j, cancels, after := shortJob(n+1), rnd.IntN(4) == 0, time.Duration(rnd.IntN(3000))*time.Millisecond
 			wg.Go(func() {
 				at := time.Now()
 				if !w.Submit(j) {
@@ -555,12 +555,12 @@
 					mu.Unlock()
 					return
 				}
-				if !when(time.Minute, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
+				if !eventually(time.Minute, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
 					t.Errorf("%s does not run", j.ID)
 					return
 				}
 				at = time.Now()
-				if !scenario.Eventually(time.Minute, 100*time.Millisecond, func() bool { return exists(w, jobstore.FinalKey(j.ID)) }) {
+				if !scenario.Eventually(time.Minute, 100*time.Millisecond, func() bool { return keyExists(w, jobstore.FinalKey(j.ID)) }) {
 					t.Errorf("%s is not recorded as done", j.ID)
 				}
 				note(&slowestEnd, at)
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -12,20 +12,20 @@
 // Stories of the summons: the direct command by which a worker reports at once,
 // and so gets a launch that is ready for it.
 
-// slowly is a deployment whose workers report every 4 s.
-func slowly(machines int) fake.Options {
+// slowHeartbeats is a deployment whose workers report every 4 s.
+func slowHeartbeats(machines int) fake.Options {
 	return fake.Options{Machines: machines, Capacity: machines, ReportIntervalS: 4, LeaseS: 22}
 }
 
-// one is a job with one task that fills a machine.
-func one(n int, seconds float64) wire.Job {
+// singleTaskJob is a job with one task that fills a machine.
+func singleTaskJob(n int, seconds float64) wire.Job {
 	return job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, seconds })
 }
 
 // Machines reported every 4 s, and a launch waited for the next report: 2 s on
 // average, and a gang for the last of its machines.
 func TestLaunchDoesNotWaitForTheNextHeartbeat(t *testing.T) {
-	runScenario(t, slowly(8), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, slowHeartbeats(8), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		time.Sleep(20 * time.Second)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.ImageGB = 8, 8, 1 }))
@@ -34,13 +34,13 @@
 			t.Errorf("%d of the gang's 8 tasks run", n)
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
-		nothingListed(t, w)
+		checkNoWakeUpListed(t, w)
 	})
 }
 
 // The operators may switch it off: launches wait for reports, as they did.
 func TestWithoutWakeUpsLaunchesGoWithTheNextHeartbeats(t *testing.T) {
-	o := slowly(8)
+	o := slowHeartbeats(8)
 	o.NoWakeUps = true
 	runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -62,8 +62,8 @@
 	})
 }
 
-// nothingListed fails where a worker still lists what a summons left.
-func nothingListed(t *testing.T, w *fake.Cluster) {
+// checkNoWakeUpListed fails where a worker still lists what a summons left.
+func checkNoWakeUpListed(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	time.Sleep(12 * time.Second)
 	for _, id := range []string{"wk-000001", "wk-000002", "wk-000003"} {
@@ -96,7 +96,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			runScenario(t, slowly(3), func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, slowHeartbeats(3), func(t *testing.T, w *fake.Cluster) {
 				t.Helper()
 				// So that no machine is idle, and returned.
 				mustSubmit(t, w, job(9, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 5, 900 }))
@@ -125,11 +125,11 @@
 				if executed == 0 {
 					t.Error("no summons was held and then executed")
 				}
-				nothingListed(t, w)
+				checkNoWakeUpListed(t, w)
 				for _, m := range all {
 					w.DeliverHeldCommands(m)
 				}
-				nothingListed(t, w)
+				checkNoWakeUpListed(t, w)
 				if n := w.Started(); n != started {
 					t.Errorf("%d starts after the late summons, %d before", n, started)
 				}
@@ -143,12 +143,12 @@
 // The worker's session ends while its summons is under way: it is refused, and
 // the task runs once.
 func TestEndedAgentEpochRefusesItsWakeUp(t *testing.T) {
-	runScenario(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
+	runScenario(t, slowHeartbeats(1), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		time.Sleep(10 * time.Second)
 		m := w.Cloud.Machines()[0]
 		w.HoldDirectCommands(m)
-		mustSubmit(t, w, one(1, 30))
+		mustSubmit(t, w, singleTaskJob(1, 30))
 		w.HangMachine(m, true)
 		time.Sleep(40 * time.Second)
 		w.HangMachine(m, false)
@@ -157,7 +157,7 @@
 			t.Error("the summons of the ended session was not refused")
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
-		nothingListed(t, w)
+		checkNoWakeUpListed(t, w)
 		if n := w.Started(); n != 1 {
 			t.Errorf("%d starts of a task that was not launched in the first session", n)
 		}
@@ -169,11 +169,11 @@
 func TestLeaderThatEndsBeforeItsWakeUpsStartsNothingTwice(t *testing.T) {
 	for _, stop := range []time.Duration{3 * time.Second, 25 * time.Second} {
 		t.Run(stop.String(), func(t *testing.T) {
-			runScenario(t, slowly(6), func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, slowHeartbeats(6), func(t *testing.T, w *fake.Cluster) {
 				t.Helper()
 				time.Sleep(10 * time.Second)
 				for n := 1; n <= 6; n++ {
-					mustSubmit(t, w, one(n, 8))
+					mustSubmit(t, w, singleTaskJob(n, 8))
 					time.Sleep(time.Duration(n*n) * 5 * time.Millisecond)
 					at := w.Leader()
 					if at < 0 {
@@ -198,9 +198,9 @@
 func TestMachineHangsWhileItsHeartbeatAnswerIsDelayed(t *testing.T) {
 	for _, hang := range []time.Duration{2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		t.Run(hang.String(), func(t *testing.T) {
-			runScenario(t, slowly(1), func(t *testing.T, w *fake.Cluster) {
+			runScenario(t, slowHeartbeats(1), func(t *testing.T, w *fake.Cluster) {
 				t.Helper()
-				mustSubmit(t, w, one(1, 10), one(2, 10), one(3, 10))
+				mustSubmit(t, w, singleTaskJob(1, 10), singleTaskJob(2, 10), singleTaskJob(3, 10))
 				for range 600 {
 					if time.Sleep(100 * time.Millisecond); w.FinishedTasks("wk-000001")+w.FinishedTasks("wk-000002")+w.FinishedTasks("wk-000003") > 0 {
 						break
--- a/controller/warm_pools_measure_test.go
+++ b/controller/warm_pools_measure_test.go
@@ -108,7 +108,7 @@
 		if b.mode == "hours" {
 			time.Sleep(70 * time.Second) // until the account is recorded
 			s := poolState(t, w)
-			mustBePaid(t, s)
+			checkChargesAddUp(t, s)
 			_, machines := warmpool.Totals(s.Shards)
 			cost = float64(machines.Micros) / 1e6
 		}
@@ -130,7 +130,7 @@
 	if _, err := st.CompareAndSwap(context.Background(), nil, []wire.Op{{Put: jobstore.PlanStatePrefix + warmpool.DayName("llm", d), Value: week.EncodeDay(d)}}); err != nil {
 		t.Fatal(err)
 	}
-	loseLeader(w) // the next one reads it
+	restartLeader(w) // the next one reads it
 }
 
 // TestMeasureBursts prints the table of docs/results.md. POOLS_MEASURE lists cases,
@@ -174,9 +174,9 @@
 	}
 }
 
-// notesWritten counts the changes of the parts' records, by part, while a plan of
+// countPlanRecordWrites counts the changes of the parts' records, by part, while a plan of
 // all of them holds on that many machines, half of them in pools.
-func notesWritten(t *testing.T, machines int, during time.Duration) (by map[string]int) {
+func countPlanRecordWrites(t *testing.T, machines int, during time.Duration) (by map[string]int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		typ := fake.DefaultType
@@ -232,7 +232,7 @@
 		}
 		during = 3 * time.Minute
 	}
-	by, sum := notesWritten(t, machines, during), 0
+	by, sum := countPlanRecordWrites(t, machines, during), 0
 	for _, part := range []string{"order", "night", "pools"} {
 		sum += by[part]
 		if by[part] == 0 {
--- a/controller/warm_pools_test.go
+++ b/controller/warm_pools_test.go
@@ -47,8 +47,8 @@
 	return all[0]
 }
 
-// mustBePaid checks that what the teams owe is what the machines cost.
-func mustBePaid(t *testing.T, s warmpool.State) {
+// checkChargesAddUp checks that what the teams owe is what the machines cost.
+func checkChargesAddUp(t *testing.T, s warmpool.State) {
 	t.Helper()
 	for _, why := range s.Audit() {
 		t.Error(why)
@@ -87,7 +87,7 @@
 			t.Errorf("%d machines hold the weights after a while of nothing", n)
 		}
 		began := w.Started()
-		loseLeader(w)
+		restartLeader(w)
 		time.Sleep(time.Minute)
 		if n := w.Started() - began; n > 0 {
 			t.Errorf("the next leader fetches %d times what is there", n)
@@ -102,7 +102,7 @@
 		}
 		time.Sleep(10 * time.Second)
 		s := poolState(t, w)
-		mustBePaid(t, s)
+		checkChargesAddUp(t, s)
 		hits := int64(0)
 		for _, sh := range s.Shards {
 			hits += sh.Hits
@@ -127,12 +127,12 @@
 	}
 }
 
-func full(n int) func(warmpool.State) bool {
+func poolFull(n int) func(warmpool.State) bool {
 	return func(s warmpool.State) bool { return s.Record.Held == n && s.Record.Warm == n }
 }
 
-// loseLeader ends the leader, and starts its node again a while later.
-func loseLeader(w *fake.Cluster) {
+// restartLeader ends the leader, and starts its node again a while later.
+func restartLeader(w *fake.Cluster) {
 	i := w.Leader()
 	w.KillNode(i)
 	time.Sleep(12 * time.Second)
@@ -181,8 +181,8 @@
 				applyPlan(t, w, 0, poolPlan(4, 4, ""))
 				c.tell(t, w)
 				awaitWarm(t, w, "llm:v1", 4, 8*time.Minute)
-				s := awaitPool(t, w, "full", 3*time.Minute, full(4))
-				mustBePaid(t, s)
+				s := awaitPool(t, w, "full", 3*time.Minute, poolFull(4))
+				checkChargesAddUp(t, s)
 				if w.PeakImageFetches() > 2 {
 					t.Errorf("%d machines fetched at the same time", w.PeakImageFetches())
 				}
@@ -190,7 +190,7 @@
 				if n := len(w.Cloud.Machines()); n != 4 {
 					t.Errorf("%d machines", n)
 				}
-				mustBePaid(t, poolState(t, w))
+				checkChargesAddUp(t, poolState(t, w))
 			})
 		})
 	}
@@ -199,7 +199,7 @@
 func TestLeaderDiesBetweenCordonAndScaleIn(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
-		awaitPool(t, w, "full", 10*time.Minute, full(4))
+		awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 		applyPlan(t, w, 1, poolPlan(1, 4, ""))
 		awaitPool(t, w, "letting go", time.Minute, func(s warmpool.State) bool {
 			for _, m := range s.Shards[0].Members {
@@ -209,9 +209,9 @@
 			}
 			return false
 		})
-		loseLeader(w)
+		restartLeader(w)
 		s := awaitPool(t, w, "small", 3*time.Minute, func(s warmpool.State) bool { return len(s.Shards[0].Members) == 1 })
-		mustBePaid(t, s)
+		checkChargesAddUp(t, s)
 		if n := len(w.Cloud.Machines()); n != 1 || len(w.MachinesWithImage("llm:v1")) != 1 {
 			t.Errorf("%d machines, %d with weights", n, len(w.MachinesWithImage("llm:v1")))
 		}
@@ -245,13 +245,13 @@
 				c.tell(w)
 				applyPlan(t, w, 0, poolPlan(4, 4, ""))
 				time.Sleep(30 * time.Second)
-				loseLeader(w)
-				awaitPool(t, w, "full", 10*time.Minute, full(4))
+				restartLeader(w)
+				awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 				time.Sleep(8 * time.Minute)
 				if n := len(w.Cloud.Machines()); n != 4 {
 					t.Errorf("%d machines", n)
 				}
-				mustBePaid(t, poolState(t, w))
+				checkChargesAddUp(t, poolState(t, w))
 			})
 		})
 	}
@@ -277,10 +277,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 				applyPlan(t, w, 0, poolPlan(4, 4, ""))
-				awaitPool(t, w, "full", 10*time.Minute, full(4))
+				awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 				c.lose(w, w.MachinesWithImage("llm:v1")[0])
 				mustSubmit(t, w, replicas(1, 4))
-				loseLeader(w)
+				restartLeader(w)
 				run := func() (n int) {
 					for i := range 4 {
 						n += len(w.MachinesRunning(fmt.Sprintf("wk-000001/%d", i)))
@@ -291,14 +291,14 @@
 					t.Errorf("%d replicas run 12 s after the burst, three had a healthy machine with weights", run())
 				}
 				mustReach(t, w, "wk-000001", wire.JobRunning, time.Minute)
-				awaitPool(t, w, "whole again", 10*time.Minute, full(4))
+				awaitPool(t, w, "whole again", 10*time.Minute, poolFull(4))
 				for end := time.Now().Add(3 * time.Minute); run() < 4 && time.Now().Before(end); {
 					time.Sleep(time.Second)
 				}
 				if run() != 4 {
 					t.Errorf("%d replicas run", run())
 				}
-				mustBePaid(t, poolState(t, w))
+				checkChargesAddUp(t, poolState(t, w))
 			})
 		})
 	}
@@ -310,12 +310,12 @@
 		w.SlowImageFetch(slow)
 		applyPlan(t, w, 0, poolPlan(2, 2, ""))
 		time.Sleep(time.Minute)
-		loseLeader(w)
-		s := awaitPool(t, w, "full", 6*time.Minute, full(2))
+		restartLeader(w)
+		s := awaitPool(t, w, "full", 6*time.Minute, poolFull(2))
 		if slices.Contains(w.MachinesWithImage("llm:v1"), slow) || s.Shards[0].Member(slow) != nil {
 			t.Errorf("%s is held", slow)
 		}
-		mustBePaid(t, s)
+		checkChargesAddUp(t, s)
 		time.Sleep(6 * time.Minute)
 		if n := len(w.Cloud.Machines()); n != 2 {
 			t.Errorf("%d machines: the slow one is not returned", n)
@@ -326,16 +326,16 @@
 func TestImageOfAWarmPoolChanges(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
-		awaitPool(t, w, "full", 10*time.Minute, full(4))
+		awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 		// The plan names v1; what comes is v2.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { *j = replicas(1, 1); j.Image = "llm:v2" }))
-		loseLeader(w)
+		restartLeader(w)
 		awaitWarm(t, w, "llm:v2", 4, 8*time.Minute)
-		s := awaitPool(t, w, "full of the new version", 2*time.Minute, full(4))
+		s := awaitPool(t, w, "full of the new version", 2*time.Minute, poolFull(4))
 		if s.Record.Image != "llm:v2" || w.PeakImageFetches() > 2 {
 			t.Errorf("%+v, %d fetched at the same time", s.Record, w.PeakImageFetches())
 		}
-		mustBePaid(t, s)
+		checkChargesAddUp(t, s)
 	})
 }
 
@@ -346,7 +346,7 @@
 		applyPlan(t, w, 0, text)
 		awaitWarm(t, w, "llm:v1", 2, 10*time.Minute)
 		awaitWarm(t, w, "asr:v1", 2, 5*time.Minute)
-		loseLeader(w)
+		restartLeader(w)
 		time.Sleep(5 * time.Minute)
 		a, b := w.MachinesWithImage("llm:v1"), w.MachinesWithImage("asr:v1")
 		if len(a) != 2 || len(b) != 2 || len(w.Cloud.Machines()) != 4 {
@@ -370,7 +370,7 @@
 	t.Helper()
 	runScenario(t, poolCluster(0, 4), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, order))
-		awaitPool(t, w, "full", 10*time.Minute, full(4))
+		awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 		other := func(n int, class, rank string) wire.Job {
 			return job(n, func(j *wire.Job) {
 				j.Class, j.Team, j.Priority, j.Tasks, j.CPUs, j.EstimateS, j.Image, j.ImageGB = class, "clinic", rank, 1, 8, 60, "slicer", 70
@@ -383,12 +383,12 @@
 		if s := w.MachinesRunning("wk-000001/0"); len(s) > 0 {
 			t.Errorf("work of no higher tier took a pool's machine: %v", s)
 		}
-		loseLeader(w)
-		s := awaitPool(t, w, "full again", 5*time.Minute, full(4))
+		restartLeader(w)
+		s := awaitPool(t, w, "full again", 5*time.Minute, poolFull(4))
 		if s.Shards[0].Preemptions != 1 || !strings.Contains(s.Shards[0].LastPreemption, "wk-000002/0 of clinic") || s.Shards[0].Teams["clinic"].Ms < 50_000 {
 			t.Errorf("recorded: %+v", s.Shards[0])
 		}
-		mustBePaid(t, s)
+		checkChargesAddUp(t, s)
 		// The plan keeps the pool's machines from it for as long as the plan holds, although
 		// they have room: its user gives it up before the end, where nothing may wait so.
 		w.Cancel(long.ID)
@@ -398,7 +398,7 @@
 func TestPoolIsLentOnlyToTasksThatStopInTime(t *testing.T) {
 	runScenario(t, poolCluster(0, 4), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
-		awaitPool(t, w, "full", 10*time.Minute, full(4))
+		awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
 			j.Priority, j.Tasks, j.CPUs, j.EstimateS, j.CheckpointS, j.SaveS, j.Image = wire.PriorityLow, 4, 8, 600, 60, 3, "craft"
 		}))
@@ -406,7 +406,7 @@
 		time.Sleep(time.Minute)
 		at := time.Now()
 		mustSubmit(t, w, replicas(2, 4))
-		loseLeader(w)
+		restartLeader(w)
 		for len(w.MachinesRunning("wk-000002/0"))*len(w.MachinesRunning("wk-000002/1"))*len(w.MachinesRunning("wk-000002/2"))*len(w.MachinesRunning("wk-000002/3")) == 0 {
 			time.Sleep(100 * time.Millisecond)
 			if time.Since(at) > 35*time.Second {
@@ -418,14 +418,14 @@
 		if got := s.Shards[0].Teams["core"].Ms; got < 4*50_000 || got > 4*120_000 {
 			t.Errorf("the borrower owes %d ms for four machines and a minute or so", got)
 		}
-		mustBePaid(t, s)
+		checkChargesAddUp(t, s)
 	})
 }
 
 func TestKeyValueStoreOutageDuringABurst(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
-		before := awaitPool(t, w, "full", 10*time.Minute, full(4))
+		before := awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 		mustSubmit(t, w, replicas(1, 4))
 		time.Sleep(500 * time.Millisecond)
 		w.Store.SetOutage(true)
@@ -433,8 +433,8 @@
 		w.Store.SetOutage(false)
 		mustReach(t, w, "wk-000001", wire.JobRunning, time.Minute)
 		time.Sleep(2 * time.Minute)
-		s := awaitPool(t, w, "full", time.Minute, full(4))
-		mustBePaid(t, s)
+		s := awaitPool(t, w, "full", time.Minute, poolFull(4))
+		checkChargesAddUp(t, s)
 		if len(s.Shards[0].Members) != 4 || s.Shards[0].AtMs-before.Shards[0].AtMs < 100_000 {
 			t.Errorf("no account of the outage: %+v", s.Shards[0])
 		}
@@ -458,7 +458,7 @@
 		awaitPool(t, w, "told", 5*time.Minute, func(s warmpool.State) bool { return s.Record.FetchRefused != "" })
 		mustSubmit(t, w, replicas(1, 4))
 		awaitWarm(t, w, "llm:v1", 4, 5*time.Minute)
-		loseLeader(w)
+		restartLeader(w)
 		if s := w.Cancel("wk-000001"); s != wire.JobCancelled {
 			t.Fatal(s)
 		}
@@ -468,7 +468,7 @@
 		if n := len(w.MachinesWithImage("llm:v1")); n < 2 || s.Record.Warm != n {
 			t.Errorf("%d machines hold the weights: %+v", n, s.Record)
 		}
-		mustBePaid(t, s)
+		checkChargesAddUp(t, s)
 	})
 }
 
@@ -482,7 +482,7 @@
 			t.Errorf("%d machines half an hour before", n)
 		}
 		time.Sleep(time.Until(hour.Add(-150 * time.Second)))
-		loseLeader(w)
+		restartLeader(w)
 		time.Sleep(time.Until(hour))
 		if n := len(w.MachinesWithImage("llm:v1")); n != 4 {
 			t.Errorf("%d machines have the weights as the hour begins", n)
@@ -493,7 +493,7 @@
 		}
 		time.Sleep(3 * time.Minute)
 		s := poolState(t, w)
-		mustBePaid(t, s)
+		checkChargesAddUp(t, s)
 		if n := len(w.Cloud.Machines()); n != 0 || len(s.Shards[0].Members) != 0 {
 			t.Errorf("%d machines, %d in the pool after the hour", n, len(s.Shards[0].Members))
 		}
@@ -519,7 +519,7 @@
 					machines := w.Cloud.Machines()
 					switch rnd.IntN(10) {
 					case 0:
-						loseLeader(w)
+						restartLeader(w)
 					case 1:
 						i := rnd.IntN(5)
 						w.PartitionNode(i, true, "state", "workers")
@@ -569,8 +569,8 @@
 						t.Fatal("no plan can be applied")
 					}
 				}
-				s := awaitPool(t, w, "whole", 15*time.Minute, full(4))
-				mustBePaid(t, s)
+				s := awaitPool(t, w, "whole", 15*time.Minute, poolFull(4))
+				checkChargesAddUp(t, s)
 			})
 		})
 	}
@@ -579,7 +579,7 @@
 func TestUsageWithoutALeaderIsChargedToItsTeam(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
-		before := awaitPool(t, w, "full", 10*time.Minute, full(4))
+		before := awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 		w.KillAll()
 		time.Sleep(9 * time.Second) // their leases outlast it
 		applyPlan(t, w, 1, strings.Replace(poolPlan(4, 4, ""), `payer = "speech"`, `payer = "clinic"`, 1))
@@ -590,7 +590,7 @@
 		s := awaitPool(t, w, "charged", 3*time.Minute, func(s warmpool.State) bool {
 			return s.Record.Payer == "clinic" && s.Shards[0].AtMs >= back.Add(50*time.Second).UnixMilli()
 		})
-		mustBePaid(t, s)
+		checkChargesAddUp(t, s)
 		was, is, next := before.Shards[0], s.Shards[0].Teams["speech"].Ms, s.Shards[0].Teams["clinic"].Ms
 		if gap := is - was.Teams["speech"].Ms; gap < 4*9_000 || gap > 4*90_000 || next < 4*30_000 || s.Record.Payer != "clinic" {
 			t.Errorf("from then on the first payer owes %d ms more, the second %d", gap, next)
@@ -601,7 +601,7 @@
 func TestWarmPoolSurvivesALostPlan(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(2, 2, ""))
-		awaitPool(t, w, "full", 10*time.Minute, full(2))
+		awaitPool(t, w, "full", 10*time.Minute, poolFull(2))
 		held := w.MachinesWithImage("llm:v1")
 		w.KillAll()
 		for _, k := range w.Store.Keys("plan/t/") {
@@ -614,6 +614,6 @@
 		if now := w.MachinesWithImage("llm:v1"); !slices.Equal(now, held) || len(w.Cloud.Machines()) != 2 {
 			t.Errorf("%v held the weights, and then %v of %v", held, now, w.Cloud.Machines())
 		}
-		mustBePaid(t, awaitPool(t, w, "full", time.Minute, full(2)))
+		checkChargesAddUp(t, awaitPool(t, w, "full", time.Minute, poolFull(2)))
 	})
 }
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -239,30 +239,30 @@
 	})
 }
 
-// tally counts what the nodes log, by message.
-type tally struct {
+// logCounter counts what the nodes log, by message.
+type logCounter struct {
 	mu   sync.Mutex
 	said map[string]int
 }
 
-func (c *tally) Enabled(context.Context, slog.Level) bool { return true }
-func (c *tally) WithAttrs([]slog.Attr) slog.Handler       { return c }
-func (c *tally) WithGroup(string) slog.Handler            { return c }
-func (c *tally) Handle(_ context.Context, r slog.Record) error {
+func (c *logCounter) Enabled(context.Context, slog.Level) bool { return true }
+func (c *logCounter) WithAttrs([]slog.Attr) slog.Handler       { return c }
+func (c *logCounter) WithGroup(string) slog.Handler            { return c }
+func (c *logCounter) Handle(_ context.Context, r slog.Record) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.said[r.Message]++
 	return nil
 }
 
-func (c *tally) count(msg string) int {
+func (c *logCounter) count(msg string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.said[msg]
 }
 
-// mutes is how many machines are mute at once; MUTE_MACHINES=100,300,1000 measures.
-func mutes() []int {
+// unreachableCounts is how many machines are mute at once; MUTE_MACHINES=100,300,1000 measures.
+func unreachableCounts() []int {
 	var out []int
 	for _, s := range strings.Split(os.Getenv("MUTE_MACHINES"), ",") {
 		if n, err := strconv.Atoi(s); err == nil {
@@ -279,13 +279,13 @@
 // nodes, and copies of reports arrive late. What is submitted then starts on the
 // others at once, and when they hear again they have work within seconds.
 func TestManyMachinesAreUnreachableAtOnce(t *testing.T) {
-	for _, n := range mutes() {
+	for _, n := range unreachableCounts() {
 		for _, change := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d, change of leader %t", n, change), func(t *testing.T) {
 				machines := max(fleetMachines, n*13/10)
-				said := &tally{said: map[string]int{}}
+				said := &logCounter{said: map[string]int{}}
 				fleet(t, fake.Options{Machines: machines, Log: slog.New(said)}, func(t *testing.T, w *fake.Cluster) {
-					muteAtOnce(t, w, said, n, func() {
+					makeUnreachable(t, w, said, n, func() {
 						if change {
 							w.KillNode(w.Leader())
 						}
@@ -296,9 +296,9 @@
 	}
 }
 
-// muteAtOnce makes n machines receive no answers for a minute; whileMute runs at its
+// makeUnreachable makes n machines receive no answers for a minute; whileMute runs at its
 // beginning.
-func muteAtOnce(t *testing.T, w *fake.Cluster, said *tally, n int, whileMute func()) {
+func makeUnreachable(t *testing.T, w *fake.Cluster, said *logCounter, n int, whileMute func()) {
 	t.Helper()
 	if w.Cancel("wk-000001") != wire.JobCancelled {
 		t.Fatal("not cancelled")
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -120,7 +120,7 @@
 		"its lease is old":   RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, OpenConns: 2000, LeaseFresh: false}),
 		"it has come back":   RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, History: WorkerHistory{RedirectedTo: home, SinceRedirect: time.Second}, OpenConns: 2000, LeaseFresh: true}),
 		"no other is there":  RedirectFromLeader(LeaderInput{Worker: w, Plan: &Plan{Leader: "a", Workers: 2600, Direct: 2600}, OpenConns: 2500, LeaseFresh: true}),
-		"it is at home here": RedirectFromLeader(LeaderInput{Worker: mine(&p), Plan: &p, OpenConns: 2000, LeaseFresh: true}),
+		"it is at home here": RedirectFromLeader(LeaderInput{Worker: workerOfLeader(&p), Plan: &p, OpenConns: 2000, LeaseFresh: true}),
 	} {
 		if to != "" {
 			t.Errorf("%s: sent to %q", name, to)
@@ -128,7 +128,7 @@
 	}
 }
 
-func mine(p *Plan) string {
+func workerOfLeader(p *Plan) string {
 	for i := 0; ; i++ {
 		if p.NodeFor(worker(i)) == p.Leader {
 			return worker(i)
