--- a/modelcheck/cancel.go
+++ b/modelcheck/cancel.go
@@ -5,54 +5,54 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-func (w *World) cancel(i int) {
-	j := w.sc.Jobs[i]
-	rec, _ := w.active(j.ID)
+func (s *System) cancelJob(i int) {
+	j := s.scenario.Jobs[i]
+	rec, _ := s.activeRecord(j.ID)
 	rec.State = wire.JobCancelled
-	w.rev++
-	if key := jobstore.SealedPageKey(0, 1); w.sc.Shared {
-		if page := w.store[key].v.(jobstore.JobPage).Without(map[string]bool{j.ID: true}); len(page.Entries) > 0 {
-			w.store[key] = value{page, w.rev}
+	s.revision++
+	if key := jobstore.SealedPageKey(0, 1); s.scenario.SharedPage {
+		if page := s.store[key].value.(jobstore.JobPage).Without(map[string]bool{j.ID: true}); len(page.Entries) > 0 {
+			s.store[key] = storedValue{page, s.revision}
 		} else {
-			delete(w.store, key)
+			delete(s.store, key)
 		}
 	}
-	delete(w.store, jobstore.JobKey(j.ID))
-	w.store[jobstore.FinalKey(j.ID)] = value{rec, w.rev}
-	w.cancelled[j.ID] = w.step
-	if w.breach == DropsOnCancel {
+	delete(s.store, jobstore.JobKey(j.ID))
+	s.store[jobstore.FinalKey(j.ID)] = storedValue{rec, s.revision}
+	s.cancelledAt[j.ID] = s.step
+	if s.mutation == ReleaseTasksOnCancel {
 		// As if the task were on no machine from here on.
-		for key := range w.store {
+		for key := range s.store {
 			if _, ok := jobstore.ParsePlacementPageKey(key); ok {
-				w.rev++
-				w.store[key] = value{jobstore.PlacementPage{}, w.rev}
+				s.revision++
+				s.store[key] = storedValue{jobstore.PlacementPage{}, s.revision}
 			}
 		}
-		w.lead()
+		s.startLeader()
 	}
 }
 
-// ask makes a user's cancellation from what a node has read (jobstore.Store.Cancel).
-func (w *World) ask(i int) {
-	id := w.sc.Jobs[i].ID
-	rec, _ := w.active(id)
+// sendCancellation makes a user's cancellation from what a node has read (jobstore.Store.Cancel).
+func (s *System) sendCancellation(i int) {
+	id := s.scenario.Jobs[i].ID
+	rec, _ := s.activeRecord(id)
 	rec.State = wire.JobCancelled
 	key := jobstore.JobKey(id)
-	t := txn{guards: []wire.Guard{{Key: key, Version: w.store[key].version}, {Key: jobstore.FinalKey(id)}},
+	t := transaction{guards: []wire.Guard{{Key: key, Version: s.store[key].version}, {Key: jobstore.FinalKey(id)}},
 		ops: []wire.Op{{Delete: key}, {Put: jobstore.FinalKey(id), Value: rec}}}
-	if w.breach == CancelUnguards {
+	if s.mutation == DropCancellationGuards {
 		t.guards = nil
 	}
-	if w.asks == nil {
-		w.asks, w.asked = map[string]txn{}, map[string]bool{}
+	if s.cancellations == nil {
+		s.cancellations, s.cancelRequested = map[string]transaction{}, map[string]bool{}
 	}
-	w.asks[id], w.asked[id] = t, true
+	s.cancellations[id], s.cancelRequested[id] = t, true
 }
 
-// tell answers a user what is final, which a node has read or written.
-func (w *World) tell(id string) {
-	rec, ok := w.store[jobstore.FinalKey(id)].v.(jobstore.JobRecord)
-	if _, told := w.cancelled[id]; ok && !told && rec.State == wire.JobCancelled {
-		w.cancelled[id] = w.step
+// answerCancellation answers a user what is final, which a node has read or written.
+func (s *System) answerCancellation(id string) {
+	rec, ok := s.store[jobstore.FinalKey(id)].value.(jobstore.JobRecord)
+	if _, told := s.cancelledAt[id]; ok && !told && rec.State == wire.JobCancelled {
+		s.cancelledAt[id] = s.step
 	}
 }
--- a/modelcheck/delays.go
+++ b/modelcheck/delays.go
@@ -5,16 +5,16 @@
 // cancellation that races with the end of its job's last task, and a leader that the
 // state service refuses alone, while another node serves users.
 
-// late is what a world knows of them.
-type late struct {
-	txns      []txn          // sent, not answered, not carried out
-	lates     int            // how many there have been
-	asks      map[string]txn // users' cancellations on their way, by job
-	asked     map[string]bool
-	forgotten map[string]bool // tasks whose done their workers have forgotten
-	refused   bool
-	refusals  int
-	termFrom  int  // the step in which the last renewal was sent that was answered
-	renewal   int  // the step in which one was sent that is on its way
-	renewing  bool // there is such a one
+// delayState is what a world knows of them.
+type delayState struct {
+	delayedCommits  []transaction          // sent, not answered, not carried out
+	delayedCount    int                    // how many there have been
+	cancellations   map[string]transaction // users' cancellations on their way, by job
+	cancelRequested map[string]bool
+	forgotten       map[string]bool // tasks whose done their workers have forgotten
+	storeRefuses    bool
+	refusalCount    int
+	leaseStart      int  // the step in which the last renewal was sent that was answered
+	renewalSentAt   int  // the step in which one was sent that is on its way
+	renewalPending  bool // there is such a one
 }
--- a/modelcheck/digest.go
+++ b/modelcheck/digest.go
@@ -12,79 +12,79 @@
 )
 
 // Version and Message make World a cluster.Reference.
-func (w *World) Version(key string) uint64 { return w.store[key].version }
+func (s *System) Version(key string) uint64 { return s.store[key].version }
 
 // LastMessage implements cluster.Reference.
-func (w *World) LastMessage(machine string) (session, seq uint64) {
-	for _, k := range w.workers {
+func (s *System) LastMessage(machine string) (session, seq uint64) {
+	for _, k := range s.workers {
 		if k.name == machine {
-			return k.session, k.seq
+			return k.epoch, k.seq
 		}
 	}
 	return 0, 0
 }
 
 // Digest writes all that bears on what may follow.
-func (w *World) Digest(out io.Writer) {
-	fmt.Fprintf(out, "%d,%t|", w.takeover, w.seen < w.rev)
-	for _, k := range w.workers {
-		fmt.Fprintf(out, "W%d,%d,%d", min(k.session, 2), k.token, min(w.step-k.renewed, 2))
+func (s *System) Digest(out io.Writer) {
+	fmt.Fprintf(out, "%d,%t|", s.failovers, s.watchedRevision < s.revision)
+	for _, k := range s.workers {
+		fmt.Fprintf(out, "W%d,%d,%d", min(k.epoch, 2), k.token, min(s.step-k.renewedAt, 2))
 		for _, t := range k.tasks {
-			fmt.Fprintf(out, ";%s.%d%s%s", t.name, t.attempt, t.state, t.why)
+			fmt.Fprintf(out, ";%s.%d%s%s", t.name, t.attempt, t.state, t.exitReason)
 		}
-		fmt.Fprint(out, k.mute)
-		if k.out != nil {
-			w.flight(out, k.out)
+		fmt.Fprint(out, k.unreachable)
+		if k.pending != nil {
+			s.writeHeartbeat(out, k.pending)
 		}
-		if k.last != nil {
+		if k.lastHeartbeat != nil {
 			fmt.Fprint(out, "K")
-			w.flight(out, k.last)
+			s.writeHeartbeat(out, k.lastHeartbeat)
 		}
 	}
-	fmt.Fprintf(out, "m%d,%d,%d", w.mutes, w.copied, w.errors)
-	for _, f := range w.copies {
+	fmt.Fprintf(out, "m%d,%d,%d", s.partitionCount, s.duplicateCount, s.refusedStarts)
+	for _, f := range s.duplicates {
 		fmt.Fprint(out, "C")
-		w.flight(out, f)
+		s.writeHeartbeat(out, f)
 	}
-	for _, f := range w.overdue {
+	for _, f := range s.delayedHeartbeats {
 		fmt.Fprint(out, "L")
-		w.flight(out, f)
+		s.writeHeartbeat(out, f)
 	}
-	for _, f := range w.answers {
+	for _, f := range s.abandonedResponses {
 		fmt.Fprint(out, "A")
-		w.flight(out, f)
+		s.writeHeartbeat(out, f)
 	}
-	for _, d := range w.directs {
-		fmt.Fprintf(out, "D%d,%d,%d", d.w, d.batch.Token, w.workers[d.w].session-d.batch.Session)
+	for _, d := range s.pushes {
+		fmt.Fprintf(out, "D%d,%d,%d", d.worker, d.batch.Token, s.workers[d.worker].epoch-d.batch.Session)
 		writeCommands(out, d.batch.Commands)
 	}
-	keys := slices.Sorted(maps.Keys(w.store))
+	keys := slices.Sorted(maps.Keys(s.store))
 	for _, k := range keys {
 		fmt.Fprintf(out, "|%s", k)
-		writeRecord(out, w.store[k].v)
+		writeRecord(out, s.store[k].value)
 	}
-	for i := range w.sc.Jobs {
-		j := &w.sc.Jobs[i]
+	for i := range s.scenario.Jobs {
+		j := &s.scenario.Jobs[i]
 		fmt.Fprint(out, "|")
 		for n := range j.Tasks {
-			fmt.Fprint(out, w.completed[wire.TaskName(j.ID, n)])
+			fmt.Fprint(out, s.completed[wire.TaskName(j.ID, n)])
 		}
-		if since, ok := w.cancelled[j.ID]; ok {
-			fmt.Fprint(out, min(w.step-since, cancelSteps))
+		if since, ok := s.cancelledAt[j.ID]; ok {
+			fmt.Fprint(out, min(s.step-since, cancelDeadlineSteps))
 		}
 	}
-	w.orderDigest(out)
-	w.lateDigest(out)
-	w.model.Digest(out, w, w.now())
-	if w.old != nil {
-		w.old.Digest(out, w, w.now())
+	s.digestPlan(out)
+	s.digestDelays(out)
+	s.leader.Digest(out, s, s.now())
+	if s.formerLeader != nil {
+		s.formerLeader.Digest(out, s, s.now())
 	}
 }
 
-func (w *World) flight(out io.Writer, f *flight) {
-	k := w.workers[f.w]
-	fmt.Fprintf(out, "r%d,%d,%d,%d,%d,%t,%d", f.w, w.step-f.sent, k.session-f.rep.Session, k.seq-f.rep.Seq, f.rep.Token, f.handled, f.token)
-	for _, t := range f.rep.Tasks {
+func (s *System) writeHeartbeat(out io.Writer, f *heartbeat) {
+	k := s.workers[f.worker]
+	fmt.Fprintf(out, "r%d,%d,%d,%d,%d,%t,%d", f.worker, s.step-f.sentAt, k.epoch-f.report.Session, k.seq-f.report.Seq, f.report.Token, f.received, f.token)
+	for _, t := range f.report.Tasks {
 		fmt.Fprintf(out, ";%s.%d%s%s", t.Task, t.Attempt, t.State, t.Why)
 	}
 	writeCommands(out, f.commands)
@@ -96,37 +96,37 @@
 	}
 }
 
-// lateDigest writes what of it bears on what may follow.
-func (w *World) lateDigest(out io.Writer) {
-	if w.sc.Lates+w.sc.Asks+w.sc.Refusals == 0 {
+// digestDelays writes what of it bears on what may follow.
+func (s *System) digestDelays(out io.Writer) {
+	if s.scenario.MaxDelayedCommits+s.scenario.AsyncCancellations+s.scenario.MaxStoreRefusals == 0 {
 		return
 	}
-	fmt.Fprintf(out, "|L%d", w.lates)
-	write := func(t txn) {
-		fmt.Fprintf(out, ";%t", t.token == w.token)
+	fmt.Fprintf(out, "|L%d", s.delayedCount)
+	write := func(t transaction) {
+		fmt.Fprintf(out, ";%t", t.token == s.fencingToken)
 		for _, g := range t.guards {
 			// One that does not hold now never will, but for a key that is not there.
-			fmt.Fprintf(out, "g%s%t%t", g.Key, g.Version == w.store[g.Key].version, g.Version == 0)
+			fmt.Fprintf(out, "g%s%t%t", g.Key, g.Version == s.store[g.Key].version, g.Version == 0)
 		}
 		for _, o := range t.ops {
 			fmt.Fprintf(out, "o%s%s", o.Put, o.Delete)
 			writeRecord(out, o.Value)
 		}
 	}
-	for _, t := range w.txns {
+	for _, t := range s.delayedCommits {
 		write(t)
 	}
-	for _, id := range slices.Sorted(maps.Keys(w.asked)) {
+	for _, id := range slices.Sorted(maps.Keys(s.cancelRequested)) {
 		fmt.Fprint(out, "|a", id)
-		if t, ok := w.asks[id]; ok {
+		if t, ok := s.cancellations[id]; ok {
 			write(t)
 		}
 	}
-	fmt.Fprint(out, slices.Sorted(maps.Keys(w.forgotten)))
-	if w.sc.Refusals > 0 {
-		fmt.Fprintf(out, "R%t%d,%d,%t", w.refused, w.refusals, min(w.step-w.termFrom, 2), w.renewing)
-		if w.renewing {
-			fmt.Fprint(out, min(w.step-w.renewal, 2))
+	fmt.Fprint(out, slices.Sorted(maps.Keys(s.forgotten)))
+	if s.scenario.MaxStoreRefusals > 0 {
+		fmt.Fprintf(out, "R%t%d,%d,%t", s.storeRefuses, s.refusalCount, min(s.step-s.leaseStart, 2), s.renewalPending)
+		if s.renewalPending {
+			fmt.Fprint(out, min(s.step-s.renewalSentAt, 2))
 		}
 	}
 }
@@ -147,17 +147,17 @@
 	}
 }
 
-// orderDigest writes what of the order bears on what may follow.
-func (w *World) orderDigest(out io.Writer) {
-	if w.sc.Plans == 0 {
+// digestPlan writes what of the order bears on what may follow.
+func (s *System) digestPlan(out io.Writer) {
+	if s.scenario.MaxPlans == 0 {
 		return
 	}
-	head := w.store[jobstore.PlanHeadKey].version
-	fmt.Fprintf(out, "|O%d,%d,%t", w.applied, w.known, w.model.PlanGuard().Version == head)
-	w.placements(func(k taskKey, committed bool) {
-		fmt.Fprintf(out, ";%s%t%t", k.name, committed, w.decided[k] == head)
+	head := s.store[jobstore.PlanHeadKey].version
+	fmt.Fprintf(out, "|O%d,%d,%t", s.planNumber, s.loadedPlan, s.leader.PlanGuard().Version == head)
+	s.eachPlacement(func(k attemptKey, committed bool) {
+		fmt.Fprintf(out, ";%s%t%t", k.name, committed, s.placedUnder[k] == head)
 	})
-	for _, k := range slices.SortedFunc(maps.Keys(w.victims), func(a, b taskKey) int { return strings.Compare(a.name, b.name) }) {
-		fmt.Fprintf(out, ";v%s%t", k.name, w.victims[k] == head)
+	for _, k := range slices.SortedFunc(maps.Keys(s.heldPreemptions), func(a, b attemptKey) int { return strings.Compare(a.name, b.name) }) {
+		fmt.Fprintf(out, ";v%s%t", k.name, s.heldPreemptions[k] == head)
 	}
 }
--- a/modelcheck/enabled.go
+++ b/modelcheck/enabled.go
@@ -7,124 +7,124 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// lateActions lists what of it may happen next.
-func (w *World) lateActions() (out []Action) {
-	if w.lates < w.sc.Lates {
-		out = append(out, Action{Kind: PassLate})
-	}
-	for i := range w.txns {
-		out = append(out, Action{LateTxn, uint8(i)})
-	}
-	for i := range w.sc.Asks {
-		id := w.sc.Jobs[i].ID
-		_, active := w.active(id)
-		_, told := w.cancelled[id]
-		if _, under := w.asks[id]; under {
-			out = append(out, Action{AskHeard, uint8(i)}, Action{AskLost, uint8(i)})
+// delayActions lists what of it may happen next.
+func (s *System) delayActions() (out []Action) {
+	if s.delayedCount < s.scenario.MaxDelayedCommits {
+		out = append(out, Action{Kind: PassCommitDelayed})
+	}
+	for i := range s.delayedCommits {
+		out = append(out, Action{ExecuteDelayedCommit, uint8(i)})
+	}
+	for i := range s.scenario.AsyncCancellations {
+		id := s.scenario.Jobs[i].ID
+		_, active := s.activeRecord(id)
+		_, told := s.cancelledAt[id]
+		if _, under := s.cancellations[id]; under {
+			out = append(out, Action{ExecuteCancellation, uint8(i)}, Action{CancellationResponseLost, uint8(i)})
 		} else if active {
-			out = append(out, Action{Ask, uint8(i)})
-		} else if w.asked[id] && !told {
-			out = append(out, Action{Again, uint8(i)})
+			out = append(out, Action{SendCancellation, uint8(i)})
+		} else if s.cancelRequested[id] && !told {
+			out = append(out, Action{RetryCancellation, uint8(i)})
 		}
 	}
-	if w.refused || w.refusals < w.sc.Refusals {
-		out = append(out, Action{Kind: Refuse})
+	if s.storeRefuses || s.refusalCount < s.scenario.MaxStoreRefusals {
+		out = append(out, Action{Kind: ToggleStoreRefusal})
 	}
-	if w.renewing {
-		out = append(out, Action{Kind: Renewed})
+	if s.renewalPending {
+		out = append(out, Action{Kind: ReceiveRenewalResponse})
 	}
 	return out
 }
 
-// orderActions lists what may happen to the order next.
-func (w *World) orderActions() (out []Action) {
-	if w.sc.Plans == 0 {
+// planActions lists what may happen to the order next.
+func (s *System) planActions() (out []Action) {
+	if s.scenario.MaxPlans == 0 {
 		return nil
 	}
-	out = append(out, Action{Kind: Decide})
-	if w.applied < w.sc.Plans {
-		out = append(out, Action{Kind: Apply})
+	out = append(out, Action{Kind: ScheduleWithoutCommit})
+	if s.planNumber < s.scenario.MaxPlans {
+		out = append(out, Action{Kind: ApplyPlan})
 	}
-	if w.sc.Later > 0 && !w.arrived {
-		out = append(out, Action{Kind: Arrive})
+	if s.scenario.DeferredJobs > 0 && !s.deferredAccepted {
+		out = append(out, Action{Kind: AcceptJob})
 	}
-	if w.model.PlanGuard().Version != w.store[jobstore.PlanHeadKey].version {
-		out = append(out, Action{Kind: Hear})
+	if s.leader.PlanGuard().Version != s.store[jobstore.PlanHeadKey].version {
+		out = append(out, Action{Kind: LoadPlan})
 	}
 	return out
 }
 
-// Actions lists what may happen next.
-func (w *World) Actions() []Action {
-	out := w.all()
-	if w.sc.Only != nil {
-		out = slices.DeleteFunc(out, func(a Action) bool { return !slices.Contains(w.sc.Only, a.Kind) })
+// EnabledActions lists what may happen next.
+func (s *System) EnabledActions() []Action {
+	out := s.enabledActions()
+	if s.scenario.Allowed != nil {
+		out = slices.DeleteFunc(out, func(a Action) bool { return !slices.Contains(s.scenario.Allowed, a.Kind) })
 	}
 	return out
 }
 
-func (w *World) all() []Action {
-	out := append([]Action{{Kind: Pass}, {Kind: PassLost}, {Kind: Wait}}, append(w.orderActions(), w.lateActions()...)...)
-	if w.takeover < w.sc.Takeovers {
-		out = append(out, Action{Kind: Takeover})
+func (s *System) enabledActions() []Action {
+	out := append([]Action{{Kind: SchedulingPass}, {Kind: PassResponseLost}, {Kind: AdvanceTime}}, append(s.planActions(), s.delayActions()...)...)
+	if s.failovers < s.scenario.MaxFailovers {
+		out = append(out, Action{Kind: Failover})
 	}
-	for i, k := range w.workers {
+	for i, k := range s.workers {
 		n := uint8(i)
 		switch {
-		case k.out == nil:
-			out = append(out, Action{Trip, n})
-			if i >= len(w.workers)-w.sc.Reliable {
+		case k.pending == nil:
+			out = append(out, Action{HeartbeatRoundTrip, n})
+			if i >= len(s.workers)-s.scenario.ReliableMachines {
 				break
 			}
-			out = append(out, Action{Send, n})
-			if w.old != nil && !k.mute {
-				out = append(out, Action{Old, n})
+			out = append(out, Action{SendHeartbeat, n})
+			if s.formerLeader != nil && !k.unreachable {
+				out = append(out, Action{FormerLeaderRoundTrip, n})
 			}
-		case k.out.handled && k.mute:
-			out = append(out, Action{GiveUp, n})
-		case k.out.handled:
-			out = append(out, Action{Answer, n}, Action{GiveUp, n})
+		case k.pending.received && k.unreachable:
+			out = append(out, Action{AbandonHeartbeat, n})
+		case k.pending.received:
+			out = append(out, Action{ReceiveResponse, n}, Action{AbandonHeartbeat, n})
 		default:
-			out = append(out, Action{Handle, n}, Action{GiveUp, n})
+			out = append(out, Action{ReceiveHeartbeat, n}, Action{AbandonHeartbeat, n})
 		}
-		if k.mute || w.mutes < w.sc.Mutes {
-			out = append(out, Action{Mute, n})
+		if k.unreachable || s.partitionCount < s.scenario.MaxPartitions {
+			out = append(out, Action{ToggleReachability, n})
 		}
-		if k.last != nil {
-			out = append(out, Action{Keep, n})
+		if k.lastHeartbeat != nil {
+			out = append(out, Action{DuplicateHeartbeat, n})
 		}
 		if slices.ContainsFunc(k.tasks, func(t *task) bool { return t.state == wire.TaskFetching }) {
-			out = append(out, Action{Image, n})
-			if w.errors < w.sc.Errors {
-				out = append(out, Action{Fail, n})
+			out = append(out, Action{ImageFetched, n})
+			if s.refusedStarts < s.scenario.MaxRefusedStarts {
+				out = append(out, Action{RefuseStart, n})
 			}
 		}
 		if slices.ContainsFunc(k.tasks, func(t *task) bool { return t.state == wire.TaskRunning }) {
-			out = append(out, Action{Finish, n})
+			out = append(out, Action{CompleteTask, n})
 		}
 	}
-	for i := range w.overdue {
-		out = append(out, Action{Late, uint8(i)})
+	for i := range s.delayedHeartbeats {
+		out = append(out, Action{ReceiveDelayedHeartbeat, uint8(i)})
 	}
-	for i := range w.answers {
-		out = append(out, Action{LateAnswer, uint8(i)})
+	for i := range s.abandonedResponses {
+		out = append(out, Action{ReceiveAbandonedResponse, uint8(i)})
 	}
-	for i := range w.copies {
-		out = append(out, Action{Copy, uint8(i)})
+	for i := range s.duplicates {
+		out = append(out, Action{ReceiveDuplicate, uint8(i)})
 	}
-	for i := range w.directs {
-		if w.workers[w.directs[i].w].mute {
+	for i := range s.pushes {
+		if s.workers[s.pushes[i].worker].unreachable {
 			continue
 		}
-		out = append(out, Action{Direct, uint8(i)})
+		out = append(out, Action{ReceivePush, uint8(i)})
 	}
-	for i := range w.sc.Cancels {
-		if _, ok := w.active(w.sc.Jobs[i].ID); ok {
-			out = append(out, Action{Cancel, uint8(i)})
+	for i := range s.scenario.CancellableJobs {
+		if _, ok := s.activeRecord(s.scenario.Jobs[i].ID); ok {
+			out = append(out, Action{CancelJob, uint8(i)})
 		}
 	}
-	if len(w.cancelled)+len(w.asked) > 0 && w.seen < w.rev && !w.refused {
-		out = append(out, Action{Kind: Learn})
+	if len(s.cancelledAt)+len(s.cancelRequested) > 0 && s.watchedRevision < s.revision && !s.storeRefuses {
+		out = append(out, Action{Kind: DeliverWatch})
 	}
 	return out
 }
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -13,32 +13,32 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// lead makes a new leader's model from the records, as a node does.
-func (w *World) lead() {
-	w.rev++
-	w.token++
-	cfg := *w.cfg
-	if w.breach == ShortLease {
-		cfg.Cluster.Workers.LeaseS = leaseS / 2
+// startLeader makes a new leader's model from the records, as a node does.
+func (s *System) startLeader() {
+	s.revision++
+	s.fencingToken++
+	cfg := *s.settings
+	if s.mutation == HalveWorkerLease {
+		cfg.Cluster.Workers.LeaseS = leaseSeconds / 2
 	}
-	at := w.now()
-	if w.breach == NoTakeoverWait {
-		at = at.Add(-config.Seconds(2 * leaseS))
+	at := s.now()
+	if s.mutation == SkipFailoverWait {
+		at = at.Add(-config.Seconds(2 * leaseSeconds))
 	}
-	m := cluster.New(&cfg, w.token, at, slog.New(slog.DiscardHandler))
+	m := cluster.New(&cfg, s.fencingToken, at, slog.New(slog.DiscardHandler))
 	m.RebalanceSettings = config.DefaultTuning().Rebalance
-	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: w.sc.Capacity, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: w.cfg.Cluster.Zones}})
-	if w.sc.Plans > 0 {
+	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: s.scenario.Capacity, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: s.settings.Cluster.Zones}})
+	if s.scenario.MaxPlans > 0 {
 		m.ExpectPlan()
 	}
-	w.hear(m)
-	keys := slices.Sorted(maps.Keys(w.store))
+	s.loadPlan(m)
+	keys := slices.Sorted(maps.Keys(s.store))
 	for _, k := range keys {
 		if id, ok := jobstore.ParseJobKey(k); ok {
-			m.ApplyJobRecord(id, w.store[k].v.(jobstore.JobRecord), w.store[k].version, w.now())
+			m.ApplyJobRecord(id, s.store[k].value.(jobstore.JobRecord), s.store[k].version, s.now())
 		}
 		if jobstore.IsJobPageKey(k) {
-			m.ApplyAdmissionPages([]cluster.AdmissionPage{{Key: k, Version: w.store[k].version, Record: w.store[k].v.(jobstore.JobPage)}}, w.now())
+			m.ApplyAdmissionPages([]cluster.AdmissionPage{{Key: k, Version: s.store[k].version, Record: s.store[k].value.(jobstore.JobPage)}}, s.now())
 		}
 	}
 	for _, k := range keys {
@@ -46,101 +46,101 @@
 		if !ok {
 			continue
 		}
-		rec := w.store[k].v.(jobstore.PlacementPage)
+		rec := s.store[k].value.(jobstore.PlacementPage)
 		for _, c := range rec.Chunks {
 			if m.Job(c.Job) != nil || len(c.Placements) == 0 {
 				continue
 			}
-			if over, ok := w.store[jobstore.FinalKey(c.Job)]; ok {
-				m.LoadCancelledJob(c.Job, over.v.(jobstore.JobRecord))
+			if over, ok := s.store[jobstore.FinalKey(c.Job)]; ok {
+				m.LoadCancelledJob(c.Job, over.value.(jobstore.JobRecord))
 			}
 		}
-		m.LoadPlacementPage(n, rec, w.store[k].version, w.now())
+		m.LoadPlacementPage(n, rec, s.store[k].version, s.now())
 	}
-	m.FinishLoading(w.now())
-	w.model, w.seen = m, w.rev
-	w.victims, w.stopped = nil, nil // the leader before's
-	w.refused, w.renewing, w.termFrom = false, false, w.step
+	m.FinishLoading(s.now())
+	s.leader, s.watchedRevision = m, s.revision
+	s.heldPreemptions, s.preempted = nil, nil // the leader before's
+	s.storeRefuses, s.renewalPending, s.leaseStart = false, false, s.step
 }
 
-// learn is the leader's watch: it sees which active records are gone.
-func (w *World) learn() {
-	if w.sc.Shared {
+// deliverWatch is the leader's watch: it sees which active records are gone.
+func (s *System) deliverWatch() {
+	if s.scenario.SharedPage {
 		key := jobstore.SealedPageKey(0, 1)
-		page, ok := w.store[key]
+		page, ok := s.store[key]
 		if !ok {
-			page = value{jobstore.JobPage{}, w.rev} // removed, at the latest by now
+			page = storedValue{jobstore.JobPage{}, s.revision} // removed, at the latest by now
 		}
-		w.model.ApplyAdmissionPages([]cluster.AdmissionPage{{Key: key, Version: page.version, Record: page.v.(jobstore.JobPage)}}, w.now())
-		w.seen = w.rev
+		s.leader.ApplyAdmissionPages([]cluster.AdmissionPage{{Key: key, Version: page.version, Record: page.value.(jobstore.JobPage)}}, s.now())
+		s.watchedRevision = s.revision
 		return
 	}
-	for i := range w.sc.Jobs {
-		id := w.sc.Jobs[i].ID
-		if _, ok := w.store[jobstore.JobKey(id)]; !ok {
-			w.model.RemoveJob(id, w.now())
+	for i := range s.scenario.Jobs {
+		id := s.scenario.Jobs[i].ID
+		if _, ok := s.store[jobstore.JobKey(id)]; !ok {
+			s.leader.RemoveJob(id, s.now())
 		}
 	}
-	w.seen = w.rev
+	s.watchedRevision = s.revision
 }
 
-// pass is the leader's: what time has ended, what to place, its records, and
+// schedulingPass is the leader's: what time has ended, what to place, its records, and
 // then what is sent directly. Where the answer to a commit is lost, the leader
 // does not know that it was applied, and where one comes late, whether it will be.
-func (w *World) pass(how Kind) {
-	now, answerLost := w.now(), how == PassLost
-	w.model.Tick(now)
-	w.plans()
-	if w.breach == UncommittedLaunch {
-		w.sendDirects()
-		if b := w.model.NextBatch(12); b != nil {
+func (s *System) schedulingPass(how ActionKind) {
+	now, answerLost := s.now(), how == PassResponseLost
+	s.leader.Tick(now)
+	s.schedule()
+	if s.mutation == LaunchBeforeCommit {
+		s.sendPushes()
+		if b := s.leader.NextBatch(12); b != nil {
 			b.OnCommit(1, now) // no: it only thinks so
 		}
 		return
 	}
 	for range 3 {
-		b := w.model.NextBatch(12)
+		b := s.leader.NextBatch(12)
 		if b == nil {
 			break
 		}
-		if w.refused {
-			w.model.RequeueBatch(b) // 503: it was not executed
+		if s.storeRefuses {
+			s.leader.RequeueBatch(b) // 503: it was not executed
 			break
 		}
-		if how == PassLate {
-			w.hold(b)
+		if how == PassCommitDelayed {
+			s.delayCommit(b)
 			break
 		}
-		failed := w.commit(b.Guards, b.Ops)
+		failed := s.compareAndSwap(b.Guards, b.Ops)
 		if failed == nil && !answerLost {
-			b.OnCommit(w.rev, now)
-			w.seeStops()
+			b.OnCommit(s.revision, now)
+			s.checkPreemptions()
 			continue
 		}
-		w.refusedFor(failed)
+		s.handleConflict(failed)
 		for _, key := range failed {
 			if !b.IsJobKey(key) {
-				w.model.ResolveConflict(b, key, w.store[key].version)
+				s.leader.ResolveConflict(b, key, s.store[key].version)
 			}
 		}
 		if failed != nil {
-			w.learn()
+			s.deliverWatch()
 		}
-		w.model.RequeueBatch(b)
+		s.leader.RequeueBatch(b)
 		if answerLost {
 			break
 		}
 	}
-	w.compare(answerLost)
-	if w.sure() {
-		w.sendDirects()
+	s.commitPlanCheck(answerLost)
+	if s.leaseValid() {
+		s.sendPushes()
 	}
 }
 
-func (w *World) sendDirects() {
-	now := w.now()
-	for _, d := range append(w.model.StopPushes(now), w.model.WakeUps(maxDirects, now)...) {
-		if w.breach == DirectLaunch {
+func (s *System) sendPushes() {
+	now := s.now()
+	for _, d := range append(s.leader.StopPushes(now), s.leader.WakeUps(maxPushes, now)...) {
+		if s.mutation == LaunchByPush {
 			for i := range d.Commands.Commands {
 				c := &d.Commands.Commands[i]
 				if id, _, _ := wire.SplitTask(c.Task); c.Op == wire.OpStart {
@@ -148,35 +148,35 @@
 				}
 			}
 		}
-		if len(w.directs) < maxDirects {
-			i := slices.IndexFunc(w.workers, func(o *worker) bool { return o.name == d.Machine })
-			w.directs = append(w.directs, direct{i, d.Commands, w.workers[i].launched})
+		if len(s.pushes) < maxPushes {
+			i := slices.IndexFunc(s.workers, func(o *worker) bool { return o.name == d.Machine })
+			s.pushes = append(s.pushes, push{i, d.Commands, s.workers[i].launchCount})
 		}
 	}
 }
 
-// handle gives a report to the leader, as the controller does.
-func (w *World) handle(f *flight, m *cluster.Model) {
-	f.handled = true
-	r := f.rep
-	copied := slices.Contains(w.copies, f)
+// receiveHeartbeat gives a report to the leader, as the controller does.
+func (s *System) receiveHeartbeat(f *heartbeat, m *cluster.Model) {
+	f.received = true
+	r := f.report
+	copied := slices.Contains(s.duplicates, f)
 	if copied {
-		w.meets(f)
-	} else if m == w.model {
-		w.workers[f.w].heardBy = w.token
+		s.noteDuplicate(f)
+	} else if m == s.leader {
+		s.workers[f.worker].reachedToken = s.fencingToken
 	}
-	if !w.sure() {
+	if !s.leaseValid() {
 		return // a 503
 	}
 	if r.Token > m.FencingToken {
 		return // it resigns
 	}
-	now := w.now()
-	if w.breach == StaleReports || w.breach == CopiesCount && copied {
-		r.Seq += 1000 * uint64(w.rev)
-		w.rev++
+	now := s.now()
+	if s.mutation == AcceptStaleHeartbeats || s.mutation == AcceptDuplicatesAsNewest && copied {
+		r.Seq += 1000 * uint64(s.revision)
+		s.revision++
 	}
-	if w.breach == TokenNotShown || w.breach == CopyShows && copied {
+	if s.mutation == AssumeTokenShown || s.mutation == AcceptDuplicateAsTokenShown && copied {
 		r.Token = m.FencingToken
 	}
 	mc := m.ApplyHeartbeat(&r, now)
@@ -184,24 +184,24 @@
 		if cmds, ok := m.AnswerRetry(&r, ""); ok {
 			f.token, f.commands = m.FencingToken, cmds
 			sortRuns(f.commands)
-			if !copied && w.workers[f.w].out == f {
-				w.Met = append(w.Met, repeated)
+			if !copied && s.workers[f.worker].pending == f {
+				s.Events = append(s.Events, eventRetryAfterDuplicate)
 				if r.Token < m.FencingToken {
-					w.Met = append(w.Met, repeatedAtNext)
+					s.Events = append(s.Events, eventRetryAtNextLeader)
 				}
 			}
 		}
 		return // refused
 	}
 	f.token, f.commands = m.FencingToken, m.AnswerHeartbeat(mc, &r, now) // though nobody may wait for the answer any more
-	if w.breach == UnheardAnswers && len(mc.Tasks) > 0 {
+	if s.mutation == TreatResponsesAsUnreceived && len(mc.Tasks) > 0 {
 		mc.LastAnswered = time.Time{}
 	}
 	sortRuns(f.commands)
-	if w.breach == DirectForget {
-		w.forgetDirectly(f, m.FencingToken)
+	if s.mutation == ForgetByPush {
+		s.forgetByPush(f, m.FencingToken)
 	}
-	if w.breach == ForgetAtOnce {
+	if s.mutation == ForgetBeforeCommit {
 		for _, t := range r.Tasks {
 			if t.State == wire.TaskExited {
 				f.commands = append(f.commands, wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
@@ -225,54 +225,54 @@
 
 // pass of time: answers on their way are given up, leases end, and the leader
 // goes on only with knowledge as fresh as its renewal.
-func (w *World) wait() {
-	w.step++
-	for _, k := range w.workers {
-		if k.out != nil {
-			w.giveUp(k)
+func (s *System) advanceTime() {
+	s.step++
+	for _, k := range s.workers {
+		if k.pending != nil {
+			s.abandonHeartbeat(k)
 		}
 	}
-	w.renew()
-	for _, k := range w.workers {
-		if w.step-k.renewed < 2 {
+	s.renewLease()
+	for _, k := range s.workers {
+		if s.step-k.renewedAt < 2 {
 			continue
 		}
 		ended := k.tasks
-		k.tasks, k.renewed = nil, w.step
-		k.session++
+		k.tasks, k.renewedAt = nil, s.step
+		k.epoch++
 		for _, t := range ended {
-			if t.state == wire.TaskRunning && w.sc.Jobs[t.job].Kind == wire.KindGang {
-				w.peers(t)
+			if t.state == wire.TaskRunning && s.scenario.Jobs[t.jobIndex].Kind == wire.KindGang {
+				s.exitGangPeers(t)
 			}
 		}
 	}
-	for id, since := range w.cancelled {
-		if w.step-since < cancelSteps {
+	for id, since := range s.cancelledAt {
+		if s.step-since < cancelDeadlineSteps {
 			continue
 		}
-		for _, k := range w.workers {
+		for _, k := range s.workers {
 			for _, t := range k.tasks {
-				if t.here() && w.sc.Jobs[t.job].ID == id {
-					w.broke("ran_cancelled", t.name+" is still on "+k.name)
+				if t.occupiesMachine() && s.scenario.Jobs[t.jobIndex].ID == id {
+					s.violate("ran_cancelled", t.name+" is still on "+k.name)
 				}
 			}
 		}
 	}
 }
 
-// sure says whether the leader's term is valid: it has lasted no longer than a step
+// leaseValid says whether the leader's term is valid: it has lasted no longer than a step
 // since its renewal was sent.
-func (w *World) sure() bool {
-	return w.sc.Refusals == 0 || w.breach == TermIgnored || w.step-w.termFrom <= 1
+func (s *System) leaseValid() bool {
+	return s.scenario.MaxStoreRefusals == 0 || s.mutation == IgnoreLeaderLease || s.step-s.leaseStart <= 1
 }
 
-// renew is the leader's renewal with its barrier, in the step that begins.
-func (w *World) renew() {
-	if w.refused {
+// renewLease is the leader's renewal with its barrier, in the step that begins.
+func (s *System) renewLease() {
+	if s.storeRefuses {
 		return
 	}
-	w.termFrom = w.step
-	if w.breach != NoReadBarrier {
-		w.learn()
+	s.leaseStart = s.step
+	if s.mutation != SkipReadBarrier {
+		s.deliverWatch()
 	}
 }
--- a/modelcheck/network.go
+++ b/modelcheck/network.go
@@ -9,147 +9,147 @@
 // This file is what becomes of direct commands, which arrive at any time after they were
 // sent: after newer ones, after the next leader's, and in a later session of their worker.
 
-// flight is a report on its way, and its answer.
-type flight struct {
-	w        int
-	rep      wire.Report
-	sent     int
-	handled  bool
+// heartbeat is a report on its way, and its answer.
+type heartbeat struct {
+	worker   int
+	report   wire.Report
+	sentAt   int
+	received bool
 	token    uint64
 	commands []wire.Command
 }
 
-type direct struct {
-	w        int
-	batch    wire.DirectCommands
-	launches int // of its worker before it was sent
+type push struct {
+	worker      int
+	batch       wire.DirectCommands
+	launchCount int // of its worker before it was sent
 }
 
-// send makes a worker's report.
-func (w *World) send(i int) *flight {
-	k := w.workers[i]
+// sendHeartbeat makes a worker's report.
+func (s *System) sendHeartbeat(i int) *heartbeat {
+	k := s.workers[i]
 	k.seq++
-	f := &flight{w: i, sent: w.step, rep: wire.Report{Machine: k.name, Addr: k.name, Type: "m", Zone: k.zone, Session: k.session, Seq: k.seq, Token: k.token}}
+	f := &heartbeat{worker: i, sentAt: s.step, report: wire.Report{Machine: k.name, Addr: k.name, Type: "m", Zone: k.zone, Session: k.epoch, Seq: k.seq, Token: k.token}}
 	for _, t := range k.tasks {
-		f.rep.Tasks = append(f.rep.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.why})
+		f.report.Tasks = append(f.report.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason})
 	}
-	k.out = f
-	if w.copied < w.sc.Copies {
-		k.last = f
+	k.pending = f
+	if s.duplicateCount < s.scenario.MaxDuplicates {
+		k.lastHeartbeat = f
 	}
 	return f
 }
 
-// answer lets a worker take the answer that it waits for.
-func (w *World) answer(f *flight) {
-	k := w.workers[f.w]
-	if k.out == f {
-		k.out = nil
+// receiveResponse lets a worker take the answer that it waits for.
+func (s *System) receiveResponse(f *heartbeat) {
+	k := s.workers[f.worker]
+	if k.pending == f {
+		k.pending = nil
 	}
-	if f.token == 0 || f.token < k.token || f.rep.Session != k.session {
+	if f.token == 0 || f.token < k.token || f.report.Session != k.epoch {
 		return
 	}
-	k.token, k.renewed = f.token, f.sent
-	w.execute(f.w, f.commands)
+	k.token, k.renewedAt = f.token, f.sentAt
+	s.executeCommands(f.worker, f.commands)
 }
 
-// copyReport keeps a copy of a worker's last report.
-func (w *World) copyReport(k *worker) {
-	c := *k.last
-	w.copies = append(w.copies, &c)
-	if w.copied++; w.copied == w.sc.Copies {
-		for _, o := range w.workers {
-			o.last = nil
+// duplicateHeartbeat keeps a copy of a worker's last report.
+func (s *System) duplicateHeartbeat(k *worker) {
+	c := *k.lastHeartbeat
+	s.duplicates = append(s.duplicates, &c)
+	if s.duplicateCount++; s.duplicateCount == s.scenario.MaxDuplicates {
+		for _, o := range s.workers {
+			o.lastHeartbeat = nil
 		}
 	}
-	k.last = nil
+	k.lastHeartbeat = nil
 }
 
-func (w *World) giveUp(k *worker) {
-	f := k.out
-	k.out = nil
+func (s *System) abandonHeartbeat(k *worker) {
+	f := k.pending
+	k.pending = nil
 	late := 0
-	for _, o := range w.overdue {
-		if o.w == f.w {
+	for _, o := range s.delayedHeartbeats {
+		if o.worker == f.worker {
 			late++
 		}
 	}
-	if !f.handled && late < maxLate {
-		w.overdue = append(w.overdue, f)
+	if !f.received && late < maxAbandoned {
+		s.delayedHeartbeats = append(s.delayedHeartbeats, f)
 	}
-	if f.handled && w.breach == LateAnswers && len(w.answers) < maxLate {
-		w.answers = append(w.answers, f)
+	if f.received && s.mutation == ExecuteAbandonedResponses && len(s.abandonedResponses) < maxAbandoned {
+		s.abandonedResponses = append(s.abandonedResponses, f)
 	}
 }
 
 // What a direct batch meets when it arrives.
 const (
-	formerLeader   = "executed, of a former leader"
-	refusedToken   = "refused for its token"
-	refusedSession = "refused for its session"
-	newerStart     = "a stop met its own attempt, launched later"
+	eventPushOfFormerLeader  = "executed, of a former leader"
+	eventPushRefusedForToken = "refused for its token"
+	eventPushRefusedForEpoch = "refused for its session"
+	eventStopAfterRestart    = "a stop met its own attempt, launched later"
 )
 
-// deliverDirect has a worker take a direct batch, if token and session still match.
-func (w *World) deliverDirect(d direct) {
-	k := w.workers[d.w]
+// receivePush has a worker take a direct batch, if token and session still match.
+func (s *System) receivePush(d push) {
+	k := s.workers[d.worker]
 	k.seq++
 	switch {
-	case d.batch.Session != k.session:
-		w.Met = append(w.Met, refusedSession)
+	case d.batch.Session != k.epoch:
+		s.Events = append(s.Events, eventPushRefusedForEpoch)
 		return
 	case d.batch.Token < k.token:
-		w.Met = append(w.Met, refusedToken)
+		s.Events = append(s.Events, eventPushRefusedForToken)
 		return
 	}
-	if d.batch.Token < w.token {
-		w.Met = append(w.Met, formerLeader)
+	if d.batch.Token < s.fencingToken {
+		s.Events = append(s.Events, eventPushOfFormerLeader)
 	}
 	for _, c := range d.batch.Commands {
-		key := taskKey{c.Task, c.Attempt}
-		running := slices.ContainsFunc(k.tasks, func(t *task) bool { return t.taskKey == key && t.state != wire.TaskExited })
-		if c.Op == wire.OpStop && running && k.launches[key] > d.launches {
-			w.Met = append(w.Met, newerStart)
+		key := attemptKey{c.Task, c.Attempt}
+		running := slices.ContainsFunc(k.tasks, func(t *task) bool { return t.attemptKey == key && t.state != wire.TaskExited })
+		if c.Op == wire.OpStop && running && k.launchOrder[key] > d.launchCount {
+			s.Events = append(s.Events, eventStopAfterRestart)
 		}
 	}
 	k.token = d.batch.Token
-	w.execute(d.w, d.batch.Commands)
+	s.executeCommands(d.worker, d.batch.Commands)
 }
 
-// forgetDirectly sends the outcomes that an answer forgets by a direct batch as well.
-func (w *World) forgetDirectly(f *flight, token uint64) {
+// forgetByPush sends the outcomes that an answer forgets by a direct batch as well.
+func (s *System) forgetByPush(f *heartbeat, token uint64) {
 	var forgets []wire.Command
 	for _, c := range f.commands {
 		if c.Op == wire.OpForget {
 			forgets = append(forgets, c)
 		}
 	}
-	if len(forgets) == 0 || len(w.directs) >= maxDirects {
+	if len(forgets) == 0 || len(s.pushes) >= maxPushes {
 		return
 	}
-	batch := wire.DirectCommands{Token: token, Session: f.rep.Session, Commands: forgets}
-	w.directs = append(w.directs, direct{f.w, batch, w.workers[f.w].launched})
+	batch := wire.DirectCommands{Token: token, Session: f.report.Session, Commands: forgets}
+	s.pushes = append(s.pushes, push{f.worker, batch, s.workers[f.worker].launchCount})
 }
 
 // What meets where a copy overtakes the report that is being sent.
 const (
-	repeated       = "answered as it came after its copy"
-	repeatedAtNext = repeated + ", at the next leader"
+	eventRetryAfterDuplicate = "answered as it came after its copy"
+	eventRetryAtNextLeader   = eventRetryAfterDuplicate + ", at the next leader"
 )
 
-// meets notes what a copy meets that arrives now.
-func (w *World) meets(f *flight) {
-	k := w.workers[f.w]
-	if w.takeover == 0 || f.rep.Token >= w.model.FencingToken || k.heardBy == w.token {
+// noteDuplicate notes what a copy meets that arrives now.
+func (s *System) noteDuplicate(f *heartbeat) {
+	k := s.workers[f.worker]
+	if s.failovers == 0 || f.report.Token >= s.leader.FencingToken || k.reachedToken == s.fencingToken {
 		return
 	}
-	w.Met = append(w.Met, "first at the next leader")
-	if f.rep.Session < k.session {
-		w.Met = append(w.Met, "of an earlier session")
+	s.Events = append(s.Events, "first at the next leader")
+	if f.report.Session < k.epoch {
+		s.Events = append(s.Events, "of an earlier session")
 	}
-	for _, t := range f.rep.Tasks {
+	for _, t := range f.report.Tasks {
 		if t.State != wire.TaskExited && !slices.ContainsFunc(k.tasks, func(o *task) bool { return o.name == t.Task && o.attempt == t.Attempt && o.state != wire.TaskExited }) {
-			w.Met = append(w.Met, "of an earlier attempt")
+			s.Events = append(s.Events, "of an earlier attempt")
 		}
 	}
 }
--- a/modelcheck/norace_test.go
+++ b/modelcheck/norace_test.go
@@ -2,4 +2,4 @@
 
 package modelcheck
 
-const anyDepth, underRace = 6, false
+const defaultDepth, raceDetector = 6, false
--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -15,89 +15,89 @@
 // decided by an order older than the one in force at that commit, and nobody is
 // stopped to make room by an order older than the one in force when it was compared.
 
-// orders is what a world knows of them.
-type orders struct {
-	applied int
-	arrived bool               // what comes later
-	known   int                // to the leader
-	decided map[taskKey]uint64 // by which version of the plan's key a task was placed
-	victims map[taskKey]uint64 // by which one it is to be stopped, while nobody is told
-	stopped map[taskKey]bool   // to make room
+// planState is what a world knows of them.
+type planState struct {
+	planNumber       int
+	deferredAccepted bool                  // what comes later
+	loadedPlan       int                   // to the leader
+	placedUnder      map[attemptKey]uint64 // by which version of the plan's key a task was placed
+	heldPreemptions  map[attemptKey]uint64 // by which one it is to be stopped, while nobody is told
+	preempted        map[attemptKey]bool   // to make room
 }
 
-// apply puts the next version in force.
-func (w *World) apply() {
-	w.applied++
-	w.rev++
-	w.store[jobstore.PlanHeadKey] = value{jobstore.PlanHead{Versions: []jobstore.PlanVersion{{Number: w.applied}}}, w.rev}
+// applyPlan puts the next version in force.
+func (s *System) applyPlan() {
+	s.planNumber++
+	s.revision++
+	s.store[jobstore.PlanHeadKey] = storedValue{jobstore.PlanHead{Versions: []jobstore.PlanVersion{{Number: s.planNumber}}}, s.revision}
 }
 
-// hear lets a leader read the plan in force.
-func (w *World) hear(m *cluster.Model) {
-	v, ok := w.store[jobstore.PlanHeadKey]
+// loadPlan lets a leader read the plan in force.
+func (s *System) loadPlan(m *cluster.Model) {
+	v, ok := s.store[jobstore.PlanHeadKey]
 	if !ok {
 		return
 	}
-	w.known = w.applied
+	s.loadedPlan = s.planNumber
 	classes := []string{"clinic", "craft"}
-	if w.applied%2 == 0 {
+	if s.planNumber%2 == 0 {
 		classes = []string{"craft", "clinic"}
 	}
 	p := &plan.Plan{Order: priority.Settings{Tiers: []priority.Tier{{Name: classes[0], Classes: classes[:1]}, {Name: classes[1], Classes: classes[1:], LongestWaitS: priority.StarvationBoundSeconds}}}}
-	m.SetPlan(cluster.Plan{Plan: p, Number: w.applied, HeadVersion: v.version}, w.now())
+	m.SetPlan(cluster.Plan{Plan: p, Number: s.planNumber, HeadVersion: v.version}, s.now())
 }
 
-// plans has the leader plan, and notes by which order what it placed.
-func (w *World) plans() {
-	w.model.Schedule(w.now(), 0)
-	if w.decided == nil {
-		w.decided = map[taskKey]uint64{}
+// schedule has the leader plan, and notes by which order what it placed.
+func (s *System) schedule() {
+	s.leader.Schedule(s.now(), 0)
+	if s.placedUnder == nil {
+		s.placedUnder = map[attemptKey]uint64{}
 	}
-	w.placements(func(k taskKey, _ bool) {
-		if _, ok := w.decided[k]; !ok {
-			w.decided[k] = w.model.PlanGuard().Version
+	s.eachPlacement(func(k attemptKey, _ bool) {
+		if _, ok := s.placedUnder[k]; !ok {
+			s.placedUnder[k] = s.leader.PlanGuard().Version
 		}
 	})
-	w.seeStops()
+	s.checkPreemptions()
 }
 
-// compare has the leader compare the plan, if somebody is to be stopped by it.
-func (w *World) compare(answerLost bool) {
-	b := w.model.PlanCheckBatch()
+// commitPlanCheck has the leader compare the plan, if somebody is to be stopped by it.
+func (s *System) commitPlanCheck(answerLost bool) {
+	b := s.leader.PlanCheckBatch()
 	if b == nil {
 		return
 	}
-	if w.breach == OldStops {
+	if s.mutation == PreemptWithoutPlanCheck {
 		b.Guards = nil
 	}
-	failed := w.commit(b.Guards, nil)
+	failed := s.compareAndSwap(b.Guards, nil)
 	switch {
 	case failed != nil:
-		w.refusedFor(failed)
+		s.handleConflict(failed)
 	case !answerLost:
-		b.OnCommit(w.rev, w.now())
-		w.seeStops()
+		b.OnCommit(s.revision, s.now())
+		s.checkPreemptions()
 	}
 }
 
-// refusedFor has the leader take in that a transaction failed for these keys.
-func (w *World) refusedFor(keys []string) {
+// handleConflict has the leader take in that a transaction failed for these keys.
+func (s *System) handleConflict(keys []string) {
 	if slices.Contains(keys, jobstore.PlanHeadKey) {
-		w.model.DropHeldStops()
-		w.hear(w.model)
-		w.seeStops()
+		s.leader.DropHeldStops()
+		s.loadPlan(s.leader)
+		s.checkPreemptions()
 	}
 }
 
-// placements goes through what the leader has placed, in its order.
-func (w *World) placements(see func(k taskKey, committed bool)) {
-	for _, j := range w.model.Jobs {
+// eachPlacement goes through what the leader has placed, in its order.
+func (s *System) eachPlacement(see func(k attemptKey, committed bool)) {
+	for _, j := range s.leader.Jobs {
 		if j == nil {
 			continue
 		}
 		for i := range j.Tasks {
 			if p := j.Tasks[i].Placement; p != nil && !p.Inherited {
-				see(taskKey{wire.TaskName(j.ID, i), p.Attempt}, j.Chunks[i/jobstore.ChunkSize].CommittedGen >= j.Chunks[i/jobstore.ChunkSize].PlacedGen)
+				see(attemptKey{wire.TaskName(j.ID, i), p.Attempt}, j.Chunks[i/jobstore.ChunkSize].CommittedGen >= j.Chunks[i/jobstore.ChunkSize].PlacedGen)
 			}
 		}
 	}
--- a/modelcheck/race_test.go
+++ b/modelcheck/race_test.go
@@ -3,4 +3,4 @@
 package modelcheck
 
 // Under the race detector a search takes ten times as long.
-const anyDepth, underRace = 5, true
+const defaultDepth, raceDetector = 5, true
--- a/modelcheck/recorded_test.go
+++ b/modelcheck/recorded_test.go
@@ -7,13 +7,13 @@
 	"github.com/umberdeal/umberdeal/internal/golden"
 )
 
-// pinnedDepth is how deep the searches go whose sizes are recorded: deep enough that
+// recordedDepth is how deep the searches go whose sizes are recorded: deep enough that
 // tasks run and leaders change, and a second or two for all of them.
-const pinnedDepth = 4
+const recordedDepth = 4
 
-// size is a result without the words that name actions and rules.
-func size(r Result) string {
-	return fmt.Sprintf("%d states, %d transitions, depth %d, all %v, %d steps to a broken rule", r.States, r.Transitions, r.Depth, r.All, len(r.Path))
+// sizeOf is a result without the words that name actions and rules.
+func sizeOf(r Result) string {
+	return fmt.Sprintf("%d states, %d transitions, depth %d, all %v, %d steps to a broken rule", r.States, r.Transitions, r.Depth, r.Exhausted, len(r.Counterexample))
 }
 
 // The leader's decisions decide how many states there are: a change of the code that
@@ -21,22 +21,22 @@
 func TestSearchesAreOfTheRecordedSize(t *testing.T) {
 	f := golden.Open(t, "searches.golden")
 	for _, sc := range Scenarios() {
-		f.Text(sc.Name, size(Search(sc, None, pinnedDepth, 5_000_000)))
+		f.Text(sc.Name, sizeOf(Search(sc, NoMutation, recordedDepth, 5_000_000)))
 	}
 }
 
 // The same for searches that find a broken rule once a guard is taken away.
-func TestBrokenRulesAreFoundWhereTheyWereRecorded(t *testing.T) {
+func TestCounterexamplesAreOfTheRecordedSize(t *testing.T) {
 	f := golden.Open(t, "broken.golden")
-	for _, p := range plants {
+	for _, p := range mutationSearches {
 		if p.depth > 9 {
 			continue // the others take longer
 		}
 		sc := p.sc()
-		sc.Only = p.only
+		sc.Allowed = p.only
 		if p.only != nil && len(sc.Zones) > 1 {
-			sc.Reliable = 1
+			sc.ReliableMachines = 1
 		}
-		f.Text(p.breach.String(), size(Search(sc, p.breach, p.depth, 5_000_000)))
+		f.Text(p.breach.String(), sizeOf(Search(sc, p.breach, p.depth, 5_000_000)))
 	}
 }
--- a/modelcheck/search.go
+++ b/modelcheck/search.go
@@ -12,68 +12,68 @@
 
 // Result is what a search found.
 type Result struct {
-	States      int // different ones, by digest
-	Transitions int
-	Depth       int  // actions from the beginning
-	All         bool // no state was left to go on from
-	Broken      string
-	Path        []Action
-	Met         map[string]int // transitions in which so much met (World.Met)
+	States         int // different ones, by digest
+	Transitions    int
+	Depth          int  // actions from the beginning
+	Exhausted      bool // no state was left to go on from
+	Violation      string
+	Counterexample []Action
+	Events         map[string]int // transitions in which so much met (World.Met)
 }
 
 func (r Result) String() string {
 	s := fmt.Sprintf("%d states, %d transitions, depth %d", r.States, r.Transitions, r.Depth)
-	if r.Broken == "" {
+	if r.Violation == "" {
 		return s
 	}
-	steps := make([]string, len(r.Path))
-	for i, a := range r.Path {
+	steps := make([]string, len(r.Counterexample))
+	for i, a := range r.Counterexample {
 		steps[i] = a.String()
 	}
-	return s + ", " + r.Broken + " by: " + strings.Join(steps, "; ")
+	return s + ", " + r.Violation + " by: " + strings.Join(steps, "; ")
 }
 
-func replay(sc *Scenario, b Breach, path []Action) *World {
-	w := NewWorld(sc, b)
+func replay(sc *Scenario, b Mutation, path []Action) *System {
+	s := NewSystem(sc, b)
 	for _, a := range path {
-		w.Do(a)
+		s.Apply(a)
 	}
-	return w
+	return s
 }
 
-func (w *World) hash() xxh3.Uint128 {
+func (s *System) hash() xxh3.Uint128 {
 	h := xxh3.New()
-	w.Digest(h)
+	s.Digest(h)
 	return h.Sum128()
 }
 
-type found struct {
-	path   []Action
-	hash   xxh3.Uint128
-	broken string
-	met    []string
+type successor struct {
+	path      []Action
+	hash      xxh3.Uint128
+	violation string
+	events    []string
 }
 
 // Search goes through all that may happen within so many actions, breadth
 // first, and ends with the first rule broken or once it knows so many states.
 // A state is the actions that lead to it: the leader's model is not copied, but
 // made again.
-func Search(sc *Scenario, b Breach, depth, states int) Result {
-	first := NewWorld(sc, b)
+func Search(sc *Scenario, b Mutation, depth, states int) Result {
+	first := NewSystem(sc, b)
 	known := map[xxh3.Uint128]struct{}{first.hash(): {}}
 	level := [][]Action{nil}
-	res := Result{States: 1, Met: map[string]int{}}
+	res := Result{States: 1, Events: map[string]int{}}
 	for res.Depth < depth && len(level) > 0 && res.States < states {
 		res.Depth++
-		next := expand(sc, b, level)
+		next := successors(sc, b, level)
 		level = level[:0:0]
 		for _, f := range next {
 			res.Transitions++
-			for _, what := range f.met {
-				res.Met[what]++
+			for _, what := range f.events {
+				res.Events[what]++
 			}
-			if f.broken != "" {
-				res.Broken, res.Path = f.broken, f.path
+			if f.violation != "" {
+				res.Violation, res.Counterexample = f.violation, f.path
 				return res
 			}
 			if _, ok := known[f.hash]; !ok {
@@ -83,13 +83,13 @@
 		}
 		res.States = len(known)
 	}
-	res.All = len(level) == 0
+	res.Exhausted = len(level) == 0
 	return res
 }
 
-// expand makes every successor of a level's states, in their order.
-func expand(sc *Scenario, b Breach, level [][]Action) []found {
-	parts := make([][]found, len(level))
+// successors makes every successor of a level's states, in their order.
+func successors(sc *Scenario, b Mutation, level [][]Action) []successor {
+	parts := make([][]successor, len(level))
 	var wg sync.WaitGroup
 	n := runtime.GOMAXPROCS(0)
 	for k := range n {
@@ -97,10 +97,10 @@
 		go func() {
 			defer wg.Done()
 			for i := k; i < len(level); i += n {
-				for _, a := range replay(sc, b, level[i]).Actions() {
+				for _, a := range replay(sc, b, level[i]).EnabledActions() {
 					path := append(slices.Clip(slices.Clone(level[i])), a)
-					w := replay(sc, b, path)
-					parts[i] = append(parts[i], found{path, w.hash(), w.Broken, w.Met})
+					s := replay(sc, b, path)
+					parts[i] = append(parts[i], successor{path, s.hash(), s.Violation, s.Events})
 				}
 			}
 		}()
--- a/modelcheck/store.go
+++ b/modelcheck/store.go
@@ -6,15 +6,15 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-type value struct {
-	v       any
+type storedValue struct {
+	value   any
 	version uint64
 }
 
-// commit applies a transaction as the state service does.
-func (w *World) commit(guards []wire.Guard, ops []wire.Op) (failed []string) {
-	for _, g := range w.unguarded(w.conditions(guards)) {
-		if w.store[g.Key].version != g.Version {
+// compareAndSwap applies a transaction as the state service does.
+func (s *System) compareAndSwap(guards []wire.Guard, ops []wire.Op) (failed []string) {
+	for _, g := range s.withoutRecordGuards(s.withoutPlanGuard(guards)) {
+		if s.store[g.Key].version != g.Version {
 			failed = append(failed, g.Key)
 		}
 	}
@@ -24,39 +24,39 @@
 	if len(ops) == 0 {
 		return nil
 	}
-	w.rev++
-	was := w.finalRecords()
+	s.revision++
+	was := s.finalRecords()
 	for _, o := range ops {
-		w.checkOrder(o)
+		s.checkPlanOfPlacements(o)
 		if o.Delete != "" {
-			delete(w.store, o.Delete)
+			delete(s.store, o.Delete)
 			continue
 		}
-		w.store[o.Put] = value{o.Value, w.rev}
+		s.store[o.Put] = storedValue{o.Value, s.revision}
 		if rec, ok := o.Value.(jobstore.JobRecord); ok && rec.State == wire.JobDone {
 			for n := range rec.Job.Tasks {
-				if name := wire.TaskName(rec.Job.ID, n); !w.completed[name] {
-					w.broke("not_done", name+" has not completed")
+				if name := wire.TaskName(rec.Job.ID, n); !s.completed[name] {
+					s.violate("not_done", name+" has not completed")
 				}
 			}
 		}
 	}
-	w.finals(was)
+	s.checkJobRecords(was)
 	return nil
 }
 
-// recorded says whether the state service has it that a task is done, or that
+// outcomeRecorded says whether the state service has it that a task is done, or that
 // nobody wants to know.
-func (w *World) recorded(t *task) bool {
+func (s *System) outcomeRecorded(t *task) bool {
 	id, n, _ := wire.SplitTask(t.name)
-	if _, ok := w.store[jobstore.FinalKey(id)]; ok {
+	if _, ok := s.store[jobstore.FinalKey(id)]; ok {
 		return true
 	}
-	for key, v := range w.store {
+	for key, v := range s.store {
 		if _, ok := jobstore.ParsePlacementPageKey(key); !ok {
 			continue
 		}
-		for _, c := range v.v.(jobstore.PlacementPage).Chunks {
+		for _, c := range v.value.(jobstore.PlacementPage).Chunks {
 			for i := 0; c.Job == id && i+1 < len(c.DoneRanges); i += 2 {
 				if c.DoneRanges[i] <= n && n <= c.DoneRanges[i+1] {
 					return true
@@ -67,9 +67,9 @@
 	return false
 }
 
-// active is a job's record, while it is not over.
-func (w *World) active(id string) (jobstore.JobRecord, bool) {
-	if page, ok := w.store[jobstore.SealedPageKey(0, 1)].v.(jobstore.JobPage); ok {
+// activeRecord is a job's record, while it is not over.
+func (s *System) activeRecord(id string) (jobstore.JobRecord, bool) {
+	if page, ok := s.store[jobstore.SealedPageKey(0, 1)].value.(jobstore.JobPage); ok {
 		for _, e := range page.Entries {
 			if e.ID == id {
 				rec, err := e.Decode()
@@ -77,42 +77,42 @@
 			}
 		}
 	}
-	rec, ok := w.store[jobstore.JobKey(id)].v.(jobstore.JobRecord)
+	rec, ok := s.store[jobstore.JobKey(id)].value.(jobstore.JobRecord)
 	return rec, ok
 }
 
-// txn is a transaction on its way.
-type txn struct {
+// transaction is a transaction on its way.
+type transaction struct {
 	token  uint64 // of the leader that sent it; 0: a user's
 	guards []wire.Guard
 	ops    []wire.Op
 }
 
-// hold leaves a leader's transaction without an answer, to be carried out later.
-func (w *World) hold(b *cluster.WriteBatch) {
-	w.lates++
-	w.txns = append(w.txns, txn{w.token, b.Guards, b.Ops})
-	if w.breach == UnknownCounts {
-		b.OnCommit(w.rev, w.now())
+// delayCommit leaves a leader's transaction without an answer, to be carried out later.
+func (s *System) delayCommit(b *cluster.WriteBatch) {
+	s.delayedCount++
+	s.delayedCommits = append(s.delayedCommits, transaction{s.fencingToken, b.Guards, b.Ops})
+	if s.mutation == TreatUnknownCommitAsSuccess {
+		b.OnCommit(s.revision, s.now())
 		return
 	}
-	w.model.RequeueBatch(b)
+	s.leader.RequeueBatch(b)
 }
 
-// carryOut has the state service come to a transaction: a leader's has the leader
+// executeTransaction has the state service come to a transaction: a leader's has the leader
 // key's revision as a condition besides.
-func (w *World) carryOut(t txn) bool {
-	if t.token != 0 && t.token != w.token {
+func (s *System) executeTransaction(t transaction) bool {
+	if t.token != 0 && t.token != s.fencingToken {
 		return false
 	}
-	return w.commit(t.guards, t.ops) == nil
+	return s.compareAndSwap(t.guards, t.ops) == nil
 }
 
-func (w *World) finalRecords() map[string]value {
-	out := map[string]value{}
-	for i := range w.sc.Jobs {
-		id := w.sc.Jobs[i].ID
-		out[id] = w.store[jobstore.FinalKey(id)]
+func (s *System) finalRecords() map[string]storedValue {
+	out := map[string]storedValue{}
+	for i := range s.scenario.Jobs {
+		id := s.scenario.Jobs[i].ID
+		out[id] = s.store[jobstore.FinalKey(id)]
 	}
 	return out
 }
--- a/modelcheck/transition.go
+++ b/modelcheck/transition.go
@@ -6,126 +6,126 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-func (w *World) doLate(a Action) {
+func (s *System) applyDelayAction(a Action) {
 	i := int(a.Arg)
 	switch a.Kind {
-	case PassLate:
-		w.pass(PassLate)
-	case LateTxn:
-		t := w.txns[i]
-		w.txns = slices.Delete(w.txns, i, i+1)
-		w.carryOut(t)
-	case Ask:
-		w.ask(i)
-	case AskHeard, AskLost:
-		id := w.sc.Jobs[i].ID
-		t := w.asks[id]
-		delete(w.asks, id)
-		if w.carryOut(t) && a.Kind == AskHeard {
-			w.tell(id)
+	case PassCommitDelayed:
+		s.schedulingPass(PassCommitDelayed)
+	case ExecuteDelayedCommit:
+		t := s.delayedCommits[i]
+		s.delayedCommits = slices.Delete(s.delayedCommits, i, i+1)
+		s.executeTransaction(t)
+	case SendCancellation:
+		s.sendCancellation(i)
+	case ExecuteCancellation, CancellationResponseLost:
+		id := s.scenario.Jobs[i].ID
+		t := s.cancellations[id]
+		delete(s.cancellations, id)
+		if s.executeTransaction(t) && a.Kind == ExecuteCancellation {
+			s.answerCancellation(id)
 		}
-	case Again:
-		w.tell(w.sc.Jobs[i].ID)
-	case Refuse:
-		if w.refused = !w.refused; w.refused {
-			w.refusals++
-			w.renewal, w.renewing = w.step, true
+	case RetryCancellation:
+		s.answerCancellation(s.scenario.Jobs[i].ID)
+	case ToggleStoreRefusal:
+		if s.storeRefuses = !s.storeRefuses; s.storeRefuses {
+			s.refusalCount++
+			s.renewalSentAt, s.renewalPending = s.step, true
 		} else {
-			w.renew()
+			s.renewLease()
 		}
-	case Renewed:
-		w.renewing = false
-		if w.breach == TermFromAnswer {
-			w.renewal = w.step
+	case ReceiveRenewalResponse:
+		s.renewalPending = false
+		if s.mutation == CountLeaseFromRenewalResponse {
+			s.renewalSentAt = s.step
 		}
-		w.termFrom = max(w.termFrom, w.renewal)
+		s.leaseStart = max(s.leaseStart, s.renewalSentAt)
 	}
 }
 
-func (w *World) doOrder(k Kind) {
+func (s *System) applyPlanAction(k ActionKind) {
 	switch k {
-	case Decide:
-		w.model.Tick(w.now())
-		w.plans()
-	case Apply:
-		w.apply()
-	case Hear:
-		w.hear(w.model)
-		w.seeStops()
-	case Arrive:
-		w.arrived = true
-		w.rev++
-		rec := jobstore.JobRecord{Job: w.last(), AcceptedAtMs: w.now().UnixMilli()}
-		w.store[jobstore.JobKey(rec.Job.ID)] = value{rec, w.rev}
-		w.model.ApplyJobRecord(rec.Job.ID, rec, w.rev, w.now())
-		w.seen = max(w.seen, w.rev)
+	case ScheduleWithoutCommit:
+		s.leader.Tick(s.now())
+		s.schedule()
+	case ApplyPlan:
+		s.applyPlan()
+	case LoadPlan:
+		s.loadPlan(s.leader)
+		s.checkPreemptions()
+	case AcceptJob:
+		s.deferredAccepted = true
+		s.revision++
+		rec := jobstore.JobRecord{Job: s.deferredJob(), AcceptedAtMs: s.now().UnixMilli()}
+		s.store[jobstore.JobKey(rec.Job.ID)] = storedValue{rec, s.revision}
+		s.leader.ApplyJobRecord(rec.Job.ID, rec, s.revision, s.now())
+		s.watchedRevision = max(s.watchedRevision, s.revision)
 	}
 }
 
-// Do lets an action happen.
-func (w *World) Do(a Action) {
+// Apply lets an action happen.
+func (s *System) Apply(a Action) {
 	i := int(a.Arg)
-	w.Met = nil
+	s.Events = nil
 	switch a.Kind {
-	case Decide, Apply, Hear, Arrive:
-		w.doOrder(a.Kind)
-	case PassLate, LateTxn, Ask, AskHeard, AskLost, Again, Refuse, Renewed:
-		w.doLate(a)
-	case Pass, PassLost:
-		w.pass(a.Kind)
-	case Trip:
-		w.trip(i)
-	case Send:
-		w.send(i)
-	case Handle:
-		w.handle(w.workers[i].out, w.model)
-	case Answer:
-		w.answer(w.workers[i].out)
-	case GiveUp:
-		w.giveUp(w.workers[i])
-	case Late:
-		f := w.overdue[i]
-		w.overdue = slices.Delete(w.overdue, i, i+1)
-		w.handle(f, w.model)
-	case LateAnswer:
-		f := w.answers[i]
-		w.answers = slices.Delete(w.answers, i, i+1)
-		w.answer(f)
-	case Direct:
-		d := w.directs[i]
-		w.directs = slices.Delete(w.directs, i, i+1)
-		w.deliverDirect(d)
-	case Image:
-		w.image(i)
-	case Fail:
-		w.fail(i)
-	case Finish:
-		w.finish(i)
-	case Cancel:
-		w.cancel(i)
-	case Learn:
-		w.learn()
-	case Wait:
-		w.wait()
-	case Takeover:
-		w.takeover++
-		if w.breach == LeaderGoesOn {
-			w.old = w.model
+	case ScheduleWithoutCommit, ApplyPlan, LoadPlan, AcceptJob:
+		s.applyPlanAction(a.Kind)
+	case PassCommitDelayed, ExecuteDelayedCommit, SendCancellation, ExecuteCancellation, CancellationResponseLost, RetryCancellation, ToggleStoreRefusal, ReceiveRenewalResponse:
+		s.applyDelayAction(a)
+	case SchedulingPass, PassResponseLost:
+		s.schedulingPass(a.Kind)
+	case HeartbeatRoundTrip:
+		s.roundTrip(i)
+	case SendHeartbeat:
+		s.sendHeartbeat(i)
+	case ReceiveHeartbeat:
+		s.receiveHeartbeat(s.workers[i].pending, s.leader)
+	case ReceiveResponse:
+		s.receiveResponse(s.workers[i].pending)
+	case AbandonHeartbeat:
+		s.abandonHeartbeat(s.workers[i])
+	case ReceiveDelayedHeartbeat:
+		f := s.delayedHeartbeats[i]
+		s.delayedHeartbeats = slices.Delete(s.delayedHeartbeats, i, i+1)
+		s.receiveHeartbeat(f, s.leader)
+	case ReceiveAbandonedResponse:
+		f := s.abandonedResponses[i]
+		s.abandonedResponses = slices.Delete(s.abandonedResponses, i, i+1)
+		s.receiveResponse(f)
+	case ReceivePush:
+		d := s.pushes[i]
+		s.pushes = slices.Delete(s.pushes, i, i+1)
+		s.receivePush(d)
+	case ImageFetched:
+		s.imageFetched(i)
+	case RefuseStart:
+		s.refuseStart(i)
+	case CompleteTask:
+		s.completeTask(i)
+	case CancelJob:
+		s.cancelJob(i)
+	case DeliverWatch:
+		s.deliverWatch()
+	case AdvanceTime:
+		s.advanceTime()
+	case Failover:
+		s.failovers++
+		if s.mutation == KeepFormerLeader {
+			s.formerLeader = s.leader
 		}
-		w.lead()
-	case Mute:
-		k := w.workers[i]
-		if k.mute = !k.mute; k.mute {
-			w.mutes++
+		s.startLeader()
+	case ToggleReachability:
+		k := s.workers[i]
+		if k.unreachable = !k.unreachable; k.unreachable {
+			s.partitionCount++
 		}
-	case Keep:
-		w.copyReport(w.workers[i])
-	case Copy:
-		w.handle(w.copies[i], w.model)
-		w.copies = slices.Delete(w.copies, i, i+1)
-	case Old:
-		f := w.send(i)
-		w.handle(f, w.old)
-		w.answer(f)
+	case DuplicateHeartbeat:
+		s.duplicateHeartbeat(s.workers[i])
+	case ReceiveDuplicate:
+		s.receiveHeartbeat(s.duplicates[i], s.leader)
+		s.duplicates = slices.Delete(s.duplicates, i, i+1)
+	case FormerLeaderRoundTrip:
+		f := s.sendHeartbeat(i)
+		s.receiveHeartbeat(f, s.formerLeader)
+		s.receiveResponse(f)
 	}
 }
