--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -329,7 +329,7 @@
 // for a task of the kind that has most work: of that job, nil where nothing waits.
 func (m *Model) windowLoads(jobs []*Job, loads []calendar.Load, at map[windowKey]int, now time.Time) (*Job, []float64) {
 	type shape struct {
-		need  placement.Res
+		need  placement.Resources
 		types string
 		zone  int
 		spot  bool
--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -112,7 +112,7 @@
 	j := c.lastJob
 	r := placement.Request{
 		Job: -1, Need: j.Need, Priority: 9, Team: -1, Image: j.Image, Zone: -1,
-		ZoneUsed: make([]int, len(m.Zones)), Types: j.AllowedTypes, Spot: j.Spec.Spot, Phantom: true,
+		PlacedByZone: make([]int, len(m.Zones)), Types: j.AllowedTypes, Spot: j.Spec.Spot, Headroom: true,
 	}
 	for i := range n {
 		r.Tasks = append(r.Tasks, int32(i))
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -417,7 +417,7 @@
 	s := d.m.Schedule(now, renting)
 	d.note("pass", s.Started, d.m.PendingWrites(), d.m.PlacesFreed, d.m.ExpectedMachines(now))
 	for _, r := range s.Unplaced {
-		d.note("wanted", r.Tasks, r.Team, r.Need.CPU, r.Need.GPU, r.Need.Mem, r.Zone, r.All, r.Spot)
+		d.note("wanted", r.Tasks, r.Team, r.Need.CPU, r.Need.GPU, r.Need.Mem, r.Zone, r.Gang, r.Spot)
 	}
 	if renting == 0 {
 		d.rent(s.ScaleOut)
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -71,7 +71,7 @@
 // behindReason says why another request is ahead of this one in the queue.
 func (k *queued) behindReason(o *queued) string {
 	switch {
-	case k.req.Spare:
+	case k.req.FreeRoomOnly:
 		return "fault"
 	case k.withinQuota != o.withinQuota:
 		return priority.WithinQuota.String()
@@ -79,13 +79,13 @@
 		return priority.HigherPriority.String()
 	case o.req.Owed:
 		return priority.StarvationBound.String()
-	case o.req.Cause == uint8(priority.PromotedByWait):
+	case o.req.PromotionCause == uint8(priority.PromotedByWait):
 		return priority.MaxWait.String()
-	case o.req.Cause == uint8(priority.PromotedByShare):
+	case o.req.PromotionCause == uint8(priority.PromotedByShare):
 		return priority.FairShare.String()
 	case k.req.Tier != o.req.Tier:
 		return "tier"
-	case o.req.Cause == uint8(priority.PromotedInTier):
+	case o.req.PromotionCause == uint8(priority.PromotedInTier):
 		return priority.MaxWait.String()
 	case k.inWindow != o.inWindow:
 		return "a night's work"
@@ -98,7 +98,7 @@
 // lacks lists what a request in the queue waits for.
 func (m *Model) lacks(k *queued) (out []string) {
 	r, j := &k.req, k.j
-	if n := placement.Allowed(r, m.teams); n == 0 || r.All && n < len(r.Tasks) {
+	if n := placement.TasksWithinLimit(r, m.teams); n == 0 || r.Gang && n < len(r.Tasks) {
 		t := m.teams[r.Team]
 		out = append(out, fmt.Sprintf("its team's limit: %g of %g CPUs and %g of %g GPUs are in use (0: no limit)", t.Used.CPU, t.Max.CPU, t.Used.GPU, t.Max.GPU))
 	}
@@ -110,10 +110,10 @@
 		out = append(out, "room in zone "+m.Zones[r.Zone]+", where its other tasks are")
 	case r.Zone >= 0 && r.Zone < len(m.Zones):
 		out = append(out, "room in zone "+m.Zones[r.Zone]+", the only one it allows")
-	case r.SpreadMax > 0:
-		out = append(out, fmt.Sprintf("room in zones that have fewer than %d of its tasks", r.SpreadMax))
+	case r.MaxPerZone > 0:
+		out = append(out, fmt.Sprintf("room in zones that have fewer than %d of its tasks", r.MaxPerZone))
 	}
-	if r.All {
+	if r.Gang {
 		out = append(out, fmt.Sprintf("room for all its %d tasks at once", len(r.Tasks)))
 	}
 	return append(out, fmt.Sprintf("room for %d tasks of %g CPUs, %g GPUs and %g GB", len(r.Tasks), j.Need.CPU, j.Need.GPU, j.Need.Mem))
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -108,7 +108,7 @@
 	AcceptedAt      time.Time
 	Team            int
 	Priority        int
-	Need            placement.Res
+	Need            placement.Resources
 	AllowedTypes    []bool
 	Zone            int
 	Image           int32
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -34,7 +34,7 @@
 			mc.Up, mc.TokenShown = false, false
 			mc.AgentEpoch++ // whatever the ended session still sends is old
 			mc.Seq = 0
-			mc.orphaned = placement.Res{}
+			mc.orphaned = placement.Resources{}
 			m.loseTasksOn(mc, "its machine's lease is over", now)
 		}
 		if len(mc.Tasks) > 0 && !m.Ready(mc, now) {
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -33,14 +33,14 @@
 	ScalingIn      bool
 	bootLateLogged bool // the operator has been told
 	Tasks          map[TaskRef]bool
-	Used           placement.Res
+	Used           placement.Resources
 	IdleSince      time.Time // when it came up or last ran out of tasks
 	headroomAt     time.Time // last kept, empty, as headroom
 	HeldAnswers    int       // answers to its heartbeats that wait for a scheduling pass
 	reachability   reachability
 
-	orphaned            placement.Res // what tasks not in the model take
-	cachedImages        []int32       // most recently used last
+	orphaned            placement.Resources // what tasks not in the model take
+	cachedImages        []int32             // most recently used last
 	reportedExits       map[exitKey]*reportedExit
 	taskErrors          []taskError
 	slowness            float64
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -50,7 +50,7 @@
 // preempt each other's tasks in turn, over and over.
 func (m *Model) beyondQuota(within map[int32]bool) map[TaskRef]bool {
 	over := map[TaskRef]bool{}
-	if !slices.ContainsFunc(m.guarantees, func(g placement.Res) bool { return g != placement.Res{} }) {
+	if !slices.ContainsFunc(m.guarantees, func(g placement.Resources) bool { return g != placement.Resources{} }) {
 		return over // nobody may claim anything
 	}
 	for team, tasks := range m.placedTasksByTeam(within) {
@@ -143,16 +143,16 @@
 		return v, false
 	}
 	t := &m.MachineTypes[mc.Type]
-	v.Cap, v.Price, v.FetchRate = t.Capacity, t.Price, t.FetchRate
+	v.Capacity, v.Price, v.FetchRate = t.Capacity, t.Price, t.FetchRate
 	if mc.Spot {
 		v.Price = t.SpotPrice
 	}
 	v.Free = t.Capacity.Add(mc.Used, -1).Add(mc.orphaned, -1)
 	if mc.suspected(now) {
-		v.Slow = 300
+		v.PenaltySeconds = 300
 	}
 	if mc.slowness > 1.5 {
-		v.Slow += 20 * mc.slowness
+		v.PenaltySeconds += 20 * mc.slowness
 	}
 	images := len(m.buffers.images)
 	m.addOccupants(mc, &v, over, now)
@@ -175,18 +175,18 @@
 		if p.ReportedState < reportedWaiting && v.FetchRate > 0 && !mc.hasImage(j.Image) {
 			left := max(0.5, j.Spec.ImageGB/v.FetchRate-now.Sub(p.PlacedAt).Seconds())
 			if !slices.ContainsFunc(m.buffers.images[images:], func(im placement.ImageAt) bool { return im.Image == j.Image }) {
-				m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: j.Image, In: left})
-				v.Backlog += left
+				m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: j.Image, ReadyInSeconds: left})
+				v.FetchBacklogSeconds += left
 			}
 		}
 		stopping := p.Stop != nil || p.StopHeld
 		if stopping {
-			v.Coming = v.Coming.Add(j.Need, 1)
+			v.Releasing = v.Releasing.Add(j.Need, 1)
 		}
 		m.buffers.occupants = append(m.buffers.occupants, placement.Occupant{
-			Task: ref, Need: j.Need, Priority: j.Priority, Team: j.Team, Over: over[ref], Tier: j.tier,
-			Loss: m.preemptionLoss(j, p, now), Left: m.secondsLeft(j, ref.Task, now), Stopping: stopping,
-			Fixed: stopping || j.Gang() && len(j.Tasks) > 1 || m.isStartProtected(j, now),
+			Task: ref, Need: j.Need, Priority: j.Priority, Team: j.Team, OverGuarantee: over[ref], Tier: j.tier,
+			LossSeconds: m.preemptionLoss(j, p, now), RemainingSeconds: m.secondsLeft(j, ref.Task, now), Stopping: stopping,
+			NonPreemptible: stopping || j.Gang() && len(j.Tasks) > 1 || m.isStartProtected(j, now),
 		})
 	}
 	v.Tasks = m.buffers.occupants[tasks:]
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -11,7 +11,7 @@
 // MachineType is a machine type of the cloud's catalogue.
 type MachineType struct {
 	Name      string
-	Capacity  placement.Res
+	Capacity  placement.Resources
 	CacheGB   float64
 	FetchRate float64
 	Price     float64
@@ -39,7 +39,7 @@
 			}
 		}
 		m.MachineTypes[idx] = MachineType{
-			Name: t.Name, Capacity: placement.Res{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemoryGB}, CacheGB: t.CacheGB,
+			Name: t.Name, Capacity: placement.Resources{CPU: t.CPUs, GPU: t.GPUs, Mem: t.MemoryGB}, CacheGB: t.CacheGB,
 			FetchRate: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootTime: config.Seconds(t.BootS), Zones: zones,
 			bootTimes: m.MachineTypes[idx].bootTimes,
 		}
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -55,7 +55,7 @@
 	log                *slog.Logger
 	clockDrift         float64
 	teams              []placement.Team
-	guarantees         []placement.Res
+	guarantees         []placement.Resources
 	zoneIndex          map[string]int
 	teamIndex          map[string]int
 	typeIndex          map[string]int
@@ -100,8 +100,8 @@
 	}
 	for i, t := range cfg.Cluster.Teams {
 		m.teamIndex[t.Name] = i
-		m.teams = append(m.teams, placement.Team{Max: placement.Res{CPU: t.CPUsMax, GPU: t.GPUsMax}})
-		m.guarantees = append(m.guarantees, placement.Res{CPU: t.CPUs, GPU: t.GPUs})
+		m.teams = append(m.teams, placement.Team{Max: placement.Resources{CPU: t.CPUsMax, GPU: t.GPUsMax}})
+		m.guarantees = append(m.guarantees, placement.Resources{CPU: t.CPUs, GPU: t.GPUs})
 	}
 	return m
 }
--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -16,7 +16,7 @@
 	m := newModel(5)
 	m.teamIndex = map[string]int{"one": 0, "two": 1}
 	m.teams = []placement.Team{{}, {}}
-	m.guarantees = []placement.Res{{CPU: 4}, {CPU: 4}}
+	m.guarantees = []placement.Resources{{CPU: 4}, {CPU: 4}}
 	put := func(id, team string, atS float64) {
 		rec := jobstore.JobRecord{AcceptedAtMs: at(atS).UnixMilli(), Job: wire.Job{ID: id, Class: "c", Team: team, Kind: wire.KindArray,
 			Priority: wire.PriorityNormal, Tasks: 1, CPUs: 4, Image: "i", EstimateS: 500, CheckpointS: 10, SaveS: 2}}
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -81,22 +81,22 @@
 func (m *Model) setTier(j *Job) { j.tier = m.tiers.policy.TierOf(j.Spec.Team, j.Spec.Class) }
 
 // schedulableCapacity is the capacity of the machines that can be given tasks.
-func (m *Model) schedulableCapacity(now time.Time) (total placement.Res) {
+func (m *Model) schedulableCapacity(now time.Time) (total placement.Resources) {
 	for _, mc := range m.Machines {
 		if m.Ready(mc, now) {
 			total = total.Add(m.MachineTypes[mc.Type].Capacity, 1)
 		}
 	}
-	if f := m.tiers.inversions.Capacity; total == (placement.Res{}) {
+	if f := m.tiers.inversions.Capacity; total == (placement.Resources{}) {
 		// None has reported yet, or this model leads nothing and is only asked.
-		total = placement.Res{CPU: f[0], GPU: f[1], Mem: f[2]}
+		total = placement.Resources{CPU: f[0], GPU: f[1], Mem: f[2]}
 	}
 	return total
 }
 
 // dominantShare is how much of the fleet an amount is: of the resource of which it takes
 // the most.
-func dominantShare(need, fleet placement.Res) float64 {
+func dominantShare(need, fleet placement.Resources) float64 {
 	part := 0.0
 	for _, x := range [][2]float64{{need.CPU, fleet.CPU}, {need.GPU, fleet.GPU}, {need.Mem, fleet.Mem}} {
 		if x[1] > 0 {
@@ -107,8 +107,8 @@
 }
 
 // tierUsage is what each tier has of the fleet.
-func (m *Model) tierUsage(fleet placement.Res) []float64 {
-	use := make([]placement.Res, m.tiers.policy.NumTiers())
+func (m *Model) tierUsage(fleet placement.Resources) []float64 {
+	use := make([]placement.Resources, m.tiers.policy.NumTiers())
 	for _, idx := range m.openIndexes {
 		if j := m.Jobs[idx]; j != nil && j.PlacedTasks > 0 {
 			t := j.tier
@@ -133,12 +133,12 @@
 		return line
 	}
 	fleet := m.schedulableCapacity(now)
-	if fleet == (placement.Res{}) {
+	if fleet == (placement.Resources{}) {
 		return line
 	}
 	waiting := make([]priority.PendingJob, len(line))
 	for i, k := range line {
-		waiting[i] = priority.PendingJob{Tier: k.req.Tier, Tasks: len(k.req.Tasks), Gang: k.req.All, TaskShare: dominantShare(k.req.Need, fleet),
+		waiting[i] = priority.PendingJob{Tier: k.req.Tier, Tasks: len(k.req.Tasks), Gang: k.req.Gang, TaskShare: dominantShare(k.req.Need, fleet),
 			WaitedSeconds: now.Sub(k.j.AcceptedAt).Seconds(), Placed: k.j.PlacedTasks, Started: k.j.DoneTasks > 0 || !k.j.FirstRunAt.IsZero()}
 	}
 	ahead := o.Promote(waiting, m.tierUsage(fleet))
@@ -161,7 +161,7 @@
 				continue
 			}
 			head, tail := k.split(a.Tasks)
-			head.req.Cause = uint8(a.Cause)
+			head.req.PromotionCause = uint8(a.Cause)
 			head.req.Hold = head.req.Hold || a.Cause != priority.PromotedByShare
 			if a.Cause == priority.PromotedInTier {
 				rest = append(rest, head)
@@ -176,7 +176,7 @@
 		turn := uint8(priority.PromotedInTier)
 		sort.SliceStable(rest, func(a, b int) bool {
 			x, y := &rest[a].req, &rest[b].req
-			return x.Tier < y.Tier || x.Tier == y.Tier && x.Cause == turn && y.Cause != turn
+			return x.Tier < y.Tier || x.Tier == y.Tier && x.PromotionCause == turn && y.PromotionCause != turn
 		})
 		out = append(m.mergePromoted(out, first), rest...)
 		lo = hi
@@ -191,7 +191,7 @@
 func (m *Model) mergePromoted(out, promoted []*queued) []*queued {
 	var first []*queued
 	for _, k := range promoted {
-		if priority.PromotionCause(k.req.Cause) != priority.PromotedByWait {
+		if priority.PromotionCause(k.req.PromotionCause) != priority.PromotedByWait {
 			first = append(first, k)
 			continue
 		}
@@ -200,7 +200,7 @@
 		for at > 0 {
 			o := out[at-1]
 			if !o.req.Owed || o.withinQuota != k.withinQuota || o.j.Priority != k.j.Priority || o.j.start.mustFinish ||
-				!o.j.start.infeasible && !o.j.start.startBy.After(over) || priority.PromotionCause(o.req.Cause) == priority.PromotedByWait {
+				!o.j.start.infeasible && !o.j.start.startBy.After(over) || priority.PromotionCause(o.req.PromotionCause) == priority.PromotedByWait {
 				break
 			}
 			at--
@@ -254,7 +254,7 @@
 		return !own.hasWaitObjective
 	}
 	t := c.lastJob.tier
-	return k.req.Cause == 0 && !k.req.Owed && (t < k.req.Tier || t == k.req.Tier && !own.hasWaitObjective)
+	return k.req.PromotionCause == 0 && !k.req.Owed && (t < k.req.Tier || t == k.req.Tier && !own.hasWaitObjective)
 }
 
 // sortByTier puts classes of earlier tiers first.
@@ -279,7 +279,7 @@
 		m.Observer.PriorityInversion(o.TierName(high.tier), d.Reason.String())
 		m.tiers.inversions.Add(priority.InversionEvent{AtMs: now.UnixMilli(), Job: low.ID, Tier: o.TierName(low.tier), PassedOver: high.ID, PassedOverTier: o.TierName(high.tier), Reason: d.Reason.String()})
 		if d.Reason == priority.Unexplained {
-			m.log.Error("a lower tier was served first without a reason", "job", low.ID, "over", high.ID, "need", high.Need, "room", d.Start.Room)
+			m.log.Error("a lower tier was served first without a reason", "job", low.ID, "over", high.ID, "need", high.Need, "room", d.Start.FreeBefore)
 			continue
 		}
 		m.log.Debug("departure from the order", "job", low.ID, "over", high.ID, "reason", d.Reason)
--- a/cluster/priority_tiers_test.go
+++ b/cluster/priority_tiers_test.go
@@ -167,8 +167,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFleetPlay(rapid.IntRange(1, 6).Draw(t, "machines"), clinicFirst())
 		p.m.settings.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "slicing", WithinS: 30}}
-		p.m.guarantees[0] = placement.Res{CPU: rapid.Float64Range(0, 30).Draw(t, "guarantee")}
-		p.m.teams[0].Max = placement.Res{CPU: 25}
+		p.m.guarantees[0] = placement.Resources{CPU: rapid.Float64Range(0, 30).Draw(t, "guarantee")}
+		p.m.teams[0].Max = placement.Resources{CPU: 25}
 		p.day(rapid.Uint64().Draw(t, "day"), 120, func(r *rand.Rand) string { return []string{"slicing", "lesson", "print", "else"}[r.IntN(4)] })
 		for k, n := range p.m.tiers.inversions.Counts {
 			if all[k] += n; strings.HasSuffix(k, priority.Unexplained.String()) {
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -104,7 +104,7 @@
 // the team's earlier unfinished jobs.
 func (m *Model) jobsWithinQuota(jobs []*Job) map[int32]bool {
 	out := map[int32]bool{}
-	use := make([]placement.Res, len(m.teams))
+	use := make([]placement.Resources, len(m.teams))
 	for _, j := range jobs { // in order of arrival
 		if j.Team < 0 {
 			continue
@@ -120,14 +120,14 @@
 // guaranteed says whether a task needs any resource of which its team is guaranteed some.
 // Work that needs none of them is within no guarantee: where teams were guaranteed GPUs
 // only, every job without GPUs came before all others.
-func guaranteed(need, g placement.Res) bool {
+func guaranteed(need, g placement.Resources) bool {
 	return need.CPU > 0 && g.CPU > 0 || need.GPU > 0 && g.GPU > 0
 }
 
 // withinGuarantee says whether what a team uses is within its guarantee. A resource of which the
 // team is guaranteed nothing does not count: a team with guaranteed CPUs and no word of
 // GPUs may use both.
-func withinGuarantee(use, g placement.Res) bool {
+func withinGuarantee(use, g placement.Resources) bool {
 	return (g.CPU == 0 || use.CPU <= g.CPU+1e-6) && (g.GPU == 0 || use.GPU <= g.GPU+1e-6)
 }
 
@@ -169,7 +169,7 @@
 		if j.failures.atFault() {
 			// Free room and nothing else: no place is kept, made or rented for
 			// it, and no image fetched before those of healthy work.
-			k.withinQuota, k.missed, k.req.Spare = false, true, true
+			k.withinQuota, k.missed, k.req.FreeRoomOnly = false, true, true
 			k.nextObjective(now)
 			last = append(last, k)
 			continue
@@ -181,7 +181,7 @@
 		k.laterDue, k.missed, k.urgent = m.latestStarts(j, k.runSeconds, len(r.Tasks), k.withinQuota, now)
 		k.nextObjective(now)
 		m.applyWindowDeadline(k)
-		k.req.Within, k.req.Hold = k.withinQuota, k.urgent && m.hasCompetitors(j) || m.outranksCompetitors(j)
+		k.req.WithinGuarantee, k.req.Hold = k.withinQuota, k.urgent && m.hasCompetitors(j) || m.outranksCompetitors(j)
 		out = append(out, k)
 	}
 	sort.SliceStable(out, func(a, b int) bool {
@@ -233,7 +233,7 @@
 		case !m.hasObjective(k.j) && !k.withinQuota, !k.withinQuota && !k.mustStart && k.j.Priority >= first && !m.hasWaitObjective(k.j):
 			k.req.Types = intersect(k.req.Types, plain)
 		case aimless:
-			k.req.First = intersect(k.req.Types, plain)
+			k.req.PreferredTypes = intersect(k.req.Types, plain)
 		}
 	}
 }
@@ -249,7 +249,7 @@
 func (m *Model) highestPriorityForGPUs(out []*queued) int {
 	first := math.MaxInt
 	for _, k := range out {
-		if k.j.Need.GPU > 0 && k.j.Priority < first && placement.Allowed(&k.req, m.teams) > 0 {
+		if k.j.Need.GPU > 0 && k.j.Priority < first && placement.TasksWithinLimit(&k.req, m.teams) > 0 {
 			first = k.j.Priority
 		}
 	}
@@ -289,9 +289,9 @@
 
 func (m *Model) buildRequest(j *Job, now time.Time) (placement.Request, bool) {
 	r := placement.Request{
-		Job: j.Index, All: j.Gang(), Need: j.Need, Priority: j.Priority, Team: j.Team,
+		Job: j.Index, Gang: j.Gang(), Need: j.Need, Priority: j.Priority, Team: j.Team,
 		Image: j.Image, ImageGB: j.Spec.ImageGB, Zone: j.Zone, OneZone: j.Spec.OneZone,
-		ZoneUsed: append([]int(nil), j.PlacedByZone...), Types: j.AllowedTypes, Spot: j.Spec.Spot, Standing: placement.Standing{Tier: j.tier},
+		PlacedByZone: append([]int(nil), j.PlacedByZone...), Types: j.AllowedTypes, Spot: j.Spec.Spot, Precedence: placement.Precedence{Tier: j.tier},
 	}
 	if j.Gang() && j.PlacedTasks > 0 && (j.GangStarted || j.GangEnding) {
 		return r, false
@@ -349,7 +349,7 @@
 		}
 	}
 	if j.Spec.Spread {
-		r.SpreadMax = (len(j.Tasks) + 1) / 2
+		r.MaxPerZone = (len(j.Tasks) + 1) / 2
 		known := 0
 		for _, n := range j.PlacedByZone {
 			known += n
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -155,8 +155,8 @@
 }
 
 // wantedIn returns what the requests that the machines of a group can serve need.
-func wantedIn(group []*Machine, wanted []placement.Request) []placement.Res {
-	var needs []placement.Res
+func wantedIn(group []*Machine, wanted []placement.Request) []placement.Resources {
+	var needs []placement.Resources
 	for i := range wanted {
 		r := &wanted[i]
 		if r.Types[group[0].Type] && (r.Zone < 0 || r.Zone == group[0].Zone) {
@@ -168,7 +168,7 @@
 
 // planCycle plans the cycle after the last one of a group of machines. The cycle has no
 // moves if moving tasks makes no room for what is wanted.
-func (m *Model) planCycle(machines []*Machine, wanted []placement.Res, last jobstore.RebalanceCycle, now time.Time) jobstore.RebalanceCycle {
+func (m *Model) planCycle(machines []*Machine, wanted []placement.Resources, last jobstore.RebalanceCycle, now time.Time) jobstore.RebalanceCycle {
 	if len(wanted) == 0 {
 		return jobstore.RebalanceCycle{}
 	}
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -28,7 +28,7 @@
 func (m *Model) applyListedTasks(mc *Machine, r *wire.Report, now time.Time) map[TaskRef]bool {
 	listed := make(map[TaskRef]bool, len(r.Tasks))
 	named := make(map[exitKey]bool, len(r.Tasks))
-	mc.orphaned = placement.Res{}
+	mc.orphaned = placement.Resources{}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		named[exitKey{t.Task, t.Attempt}] = true
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -104,7 +104,7 @@
 				avoid[int(mc.Index)] = true
 			}
 		}
-		r.Spare = true // no other machine would do, rented or not
+		r.FreeRoomOnly = true // no other machine would do, rented or not
 	}
 	for _, n := range j.reservation.AvoidMachines {
 		if i, ok := m.machineIndex[n]; ok {
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -65,7 +65,7 @@
 func (m *Model) scaleInReason(mc *Machine, now time.Time, idle time.Duration) string {
 	listed := !mc.CloudStateAt.IsZero() && now.Sub(mc.CloudStateAt) < time.Minute
 	switch {
-	case len(mc.Tasks) > 0 || mc.orphaned != (placement.Res{}):
+	case len(mc.Tasks) > 0 || mc.orphaned != (placement.Resources{}):
 	case mc.CloudState == failedState && listed && !mc.Up:
 		return "failed"
 	case !mc.Up && mc.AgentEpoch == 0 && mc.Type >= 0 && now.Sub(mc.Created) > m.bootLimit(mc) && (listed || mc.RequestedHere) && now.Sub(m.ElectedAt) > 20*time.Second:
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -41,8 +41,8 @@
 	queue := m.buildQueue(jobs, withinQuota, now)
 
 	pass := &schedulingPass{model: m, now: now}
-	pass.input.Preempt = true
-	pass.input.RentMax = max(0, maxScaleOut-renting)
+	pass.input.AllowPreemption = true
+	pass.input.MaxScaleOut = max(0, maxScaleOut-renting)
 	pass.addMachines(m.beyondQuota(withinQuota))
 	pass.addQueue(queue)
 	pass.addPlaceholders(m.headroomRequests(jobs, now))
@@ -50,12 +50,12 @@
 	pass.input.Teams = append(pass.input.Teams, m.teams...)
 	pass.input.Offers, pass.offers = m.offers(now)
 
-	plan := placement.Make(&pass.input)
+	plan := placement.Compute(&pass.input)
 	m.buffers.machines = pass.input.Machines
 	m.recordInversions(&plan, &pass.input, pass.requestJobs, now)
 
 	decisions := pass.bind(&plan)
-	m.addPoolScaleOut(decisions.ScaleOut, pass.offers, pass.input.RentMax)
+	m.addPoolScaleOut(decisions.ScaleOut, pass.offers, pass.input.MaxScaleOut)
 	return decisions
 }
 
@@ -114,8 +114,8 @@
 func (p *schedulingPass) addRequest(k *queued) {
 	r := k.req
 	r.Avoid = p.avoidedPositions(r.Avoid)
-	r.Prefer = p.model.moveTargets(k.j, p.inputPositions)
-	r.Pools = p.model.poolAccess(k.j)
+	r.PreferredMachines = p.model.moveTargets(k.j, p.inputPositions)
+	r.PoolAccess = p.model.poolAccess(k.j)
 	p.input.Requests = append(p.input.Requests, r)
 	p.requestJobs = append(p.requestJobs, k.j)
 }
@@ -156,10 +156,10 @@
 func (p *schedulingPass) bind(plan *placement.Plan) Decisions {
 	decisions := Decisions{ScaleOut: map[Offer]int{}}
 	decisions.Started = p.bindStarts(plan.Starts)
-	for _, ref := range plan.Stops {
+	for _, ref := range plan.Preemptions {
 		p.model.stopUnderPlan(ref, StopPreempted, p.now)
 	}
-	for offer, machines := range plan.Rent {
+	for offer, machines := range plan.ScaleOut {
 		decisions.ScaleOut[p.offers[offer]] += machines
 	}
 	for _, request := range plan.Waiting {
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -143,7 +143,7 @@
 	if !coming && up == 0 {
 		offers, _ := m.offers(now)
 		coming = slices.ContainsFunc(offers, func(o placement.Offer) bool {
-			return j.AllowedTypes[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Cap)
+			return j.AllowedTypes[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity)
 		})
 	}
 	return up, coming
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -36,7 +36,7 @@
 			heads++
 			head := *k
 			head.mustStart, head.req.Owed = true, true
-			head.req.Hold, head.req.HoldFor = true, boundHoldSeconds
+			head.req.Hold, head.req.HoldSeconds = true, boundHoldSeconds
 			if !k.j.Gang() {
 				head.req.Tasks = k.req.Tasks[:1]
 				// A job with zone constraints can't be split: its two requests
@@ -44,7 +44,7 @@
 				if len(k.req.Tasks) > 1 && !k.j.Spec.OneZone && !k.j.Spec.Spread {
 					others := *k
 					others.req.Tasks = k.req.Tasks[1:]
-					others.req.ZoneUsed = slices.Clone(k.req.ZoneUsed)
+					others.req.PlacedByZone = slices.Clone(k.req.PlacedByZone)
 					*tail = append(*tail, &others)
 				}
 			}
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -58,7 +58,7 @@
 	delete(mc.Tasks, ref)
 	mc.Used = mc.Used.Add(j.Need, -1)
 	if len(mc.Tasks) == 0 {
-		mc.Used = placement.Res{}
+		mc.Used = placement.Resources{}
 		mc.IdleSince = now
 	}
 	j.PlacedTasks--
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -274,7 +274,7 @@
 	var out []float64
 	type end struct {
 		at   float64
-		need placement.Res
+		need placement.Resources
 	}
 	for _, mc := range m.Machines {
 		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || zone >= 0 && zone != mc.Zone {
@@ -315,7 +315,7 @@
 }
 
 // tasksThatFit is how many tasks with a need fit into room.
-func tasksThatFit(need, room placement.Res) int {
+func tasksThatFit(need, room placement.Resources) int {
 	n := 1000.0
 	for _, x := range [][2]float64{{need.CPU, room.CPU}, {need.GPU, room.GPU}, {need.Mem, room.Mem}} {
 		if x[0] > 0 {
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -123,17 +123,17 @@
 func TestWorkThatNeedsNothingGuaranteedIsWithinNoGuarantee(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		guarantee placement.Res
+		guarantee placement.Resources
 		want      []bool // of three jobs of 2 CPUs, of which the second and the third need a GPU as well
 	}{
-		{"GPUs", placement.Res{GPU: 1}, []bool{false, true, false}},
-		{"CPUs", placement.Res{CPU: 4}, []bool{true, true, false}},
-		{"both", placement.Res{CPU: 6, GPU: 1}, []bool{true, true, false}},
-		{"nothing", placement.Res{}, []bool{false, false, false}},
+		{"GPUs", placement.Resources{GPU: 1}, []bool{false, true, false}},
+		{"CPUs", placement.Resources{CPU: 4}, []bool{true, true, false}},
+		{"both", placement.Resources{CPU: 6, GPU: 1}, []bool{true, true, false}},
+		{"nothing", placement.Resources{}, []bool{false, false, false}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newModel(5)
-			m.guarantees = []placement.Res{c.guarantee}
+			m.guarantees = []placement.Resources{c.guarantee}
 			for i, gpus := range []float64{0, 1, 1} {
 				rec := arrayJob(fmt.Sprintf("wk-00000%d", i+1), 1)
 				rec.Job.GPUs, rec.AcceptedAtMs = gpus, at(float64(i)).UnixMilli()
--- a/cluster/utilization.go
+++ b/cluster/utilization.go
@@ -12,9 +12,9 @@
 type typeUtilization struct {
 	ready, booting  int // machines
 	withoutGPUTasks int // ready machines that have tasks, none of which needs a GPU
-	capacity        placement.Res
-	used            placement.Res
-	notRunning      placement.Res // of used: held by tasks that were not reported as running
+	capacity        placement.Resources
+	used            placement.Resources
+	notRunning      placement.Resources // of used: held by tasks that were not reported as running
 }
 
 // LogUtilization logs, at debug level, how many resources of each machine type are in use
--- a/cluster/warm_pool_effects.go
+++ b/cluster/warm_pool_effects.go
@@ -37,30 +37,30 @@
 	}
 	v.Pool = mc.pool
 	im := m.images.intern(p.record.Image, p.record.WeightsGB)
-	v.PoolGB = m.MachineTypes[mc.Type].CacheGB - p.record.WeightsGB
+	v.PoolSpareGB = m.MachineTypes[mc.Type].CacheGB - p.record.WeightsGB
 	for k := len(mc.cachedImages) - 1; k >= 0 && mc.cachedImages[k] != im; k-- {
-		v.PoolGB -= m.images.size(mc.cachedImages[k])
+		v.PoolSpareGB -= m.images.size(mc.cachedImages[k])
 	}
 	for _, on := range v.Images {
-		if on.In > 0 && on.Image != im {
-			v.PoolGB -= m.images.size(on.Image)
+		if on.ReadyInSeconds > 0 && on.Image != im {
+			v.PoolSpareGB -= m.images.size(on.Image)
 		}
 	}
 }
 
 // poolAccess says what a job may do with each pool's machines; nil where there are
 // no pools.
-func (m *Model) poolAccess(j *Job) []placement.Use {
+func (m *Model) poolAccess(j *Job) []placement.PoolAccess {
 	if len(m.pools.all) == 0 {
 		return nil
 	}
-	out := make([]placement.Use, len(m.pools.all))
+	out := make([]placement.PoolAccess, len(m.pools.all))
 	w := warmpool.Workload{Image: j.Spec.Image, Team: j.Spec.Team, Priority: j.Priority, Gang: j.Gang() && len(j.Tasks) > 1,
 		Tier: j.tier, CheckpointSeconds: j.Spec.SaveS, Checkpoints: j.Spec.CheckpointS > 0}
 	for i, p := range m.pools.all {
 		if m.isPrefetch(j) {
 			if j.reservation.Owner == prefetchOwner(p.Name) {
-				out[i] = placement.Own
+				out[i] = placement.OwnerAccess
 			}
 			continue
 		}
@@ -79,7 +79,7 @@
 	on := m.poolOf(mc)
 	for i, p := range m.pools.all {
 		if !p.Serves(j.Spec.Image) || !p.AllowsTeam(j.Spec.Team) {
-			if p == on && m.poolAccess(j)[i] == placement.Last {
+			if p == on && m.poolAccess(j)[i] == placement.LastResortAccess {
 				n := p.shardOf[mc.Index]
 				p.shards[n].Preemptions++
 				p.shards[n].LastPreemption = fmt.Sprintf("%s/%d of %s, tier %q, %s, took room on %s", j.ID, task, j.Spec.Team, m.tiers.policy.TierName(j.tier), j.Spec.Priority, mc.Name)
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -78,7 +78,7 @@
 }
 
 // replicasPerMachine is how many replicas the smallest machine of a pool takes.
-func (m *Model) replicasPerMachine(p *warmPool, need placement.Res) int {
+func (m *Model) replicasPerMachine(p *warmPool, need placement.Resources) int {
 	least := 0
 	for i := range m.MachineTypes {
 		t := &m.MachineTypes[i]
@@ -162,7 +162,7 @@
 	if len(mc.Tasks) == 0 {
 		return nil
 	}
-	used := make([]placement.Res, len(m.teams))
+	used := make([]placement.Resources, len(m.teams))
 	for ref := range mc.Tasks {
 		if j := m.Jobs[ref.Job]; j.Team >= 0 && !m.isPrefetch(j) {
 			used[j.Team] = used[j.Team].Add(j.Need, 1)
@@ -186,7 +186,7 @@
 
 // observe is a machine as its pool, or one that may take it, sees it.
 func (m *Model) observe(p *warmPool, mc *Machine, im int32, now time.Time) warmpool.Observation {
-	s := warmpool.Observation{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.hasImage(im), Busy: len(mc.Tasks) > 0 || mc.orphaned != (placement.Res{})}
+	s := warmpool.Observation{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.hasImage(im), Busy: len(mc.Tasks) > 0 || mc.orphaned != (placement.Resources{})}
 	// A machine that has been silent for a short time is not replaced yet: heartbeats of
 	// all machines are delayed when the leader is paused.
 	s.Ready = mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() &&
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -110,7 +110,7 @@
 func (m *Model) anyOfferFits(j *Job, offers []placement.Offer) bool {
 	for i := range offers {
 		o := &offers[i]
-		if j.AllowedTypes[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Cap) {
+		if j.AllowedTypes[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity) {
 			return true
 		}
 	}
@@ -129,7 +129,7 @@
 		return placement.Request{}, false
 	}
 	r := m.placeholder(&classStats{lastJob: a.job}, n)
-	r.Ahead, r.Zone = true, a.job.Zone
+	r.Provision, r.Zone = true, a.job.Zone
 	return r, true
 }
 
--- a/placement/classes.go
+++ b/placement/classes.go
@@ -16,7 +16,7 @@
 type classKey struct {
 	typ, zone, images, pool        int
 	spot, ready                    bool
-	free, coming, cap              Res
+	free, coming, cap              Resources
 	eta, price, fetch, queue, slow float64
 	poolGB                         float64
 }
@@ -49,7 +49,7 @@
 	c.buf = c.buf[:0]
 	for _, im := range machines[i].Images {
 		c.buf = binary.LittleEndian.AppendUint32(c.buf, uint32(im.Image))
-		c.buf = binary.LittleEndian.AppendUint64(c.buf, math.Float64bits(im.In))
+		c.buf = binary.LittleEndian.AppendUint64(c.buf, math.Float64bits(im.ReadyInSeconds))
 	}
 	n, ok := c.imageNo[string(c.buf)]
 	if !ok {
@@ -64,8 +64,8 @@
 // moved takes in that a machine's room has changed.
 func (c *classes) moved(machines []Machine, i int) {
 	m := &machines[i]
-	key := classKey{typ: m.Type, zone: m.Zone, images: c.images[i], spot: m.Spot, ready: m.Ready, free: m.Free, coming: m.Coming, cap: m.Cap,
-		eta: m.ETA, price: m.Price, fetch: m.FetchRate, queue: m.Backlog, slow: m.Slow, pool: m.Pool, poolGB: m.PoolGB}
+	key := classKey{typ: m.Type, zone: m.Zone, images: c.images[i], spot: m.Spot, ready: m.Ready, free: m.Free, coming: m.Releasing, cap: m.Capacity,
+		eta: m.ETA, price: m.Price, fetch: m.FetchRate, queue: m.FetchBacklogSeconds, slow: m.PenaltySeconds, pool: m.Pool, poolGB: m.PoolSpareGB}
 	old := c.of[i]
 	if old != nil {
 		if old.key == key {
--- a/placement/classes_test.go
+++ b/placement/classes_test.go
@@ -9,58 +9,58 @@
 
 // anyInput is machines of which many are alike, and requests of all kinds.
 func anyInput(rnd *rand.Rand) *Input {
-	in := &Input{Preempt: true, RentMax: 6, Teams: []Team{{Max: Res{CPU: float64(100 + rnd.IntN(400))}}, {}}}
-	caps := []Res{{CPU: 32, Mem: 64}, {CPU: 16, GPU: 2, Mem: 128}, {CPU: 4, Mem: 32}}
+	in := &Input{AllowPreemption: true, MaxScaleOut: 6, Teams: []Team{{Max: Resources{CPU: float64(100 + rnd.IntN(400))}}, {}}}
+	caps := []Resources{{CPU: 32, Mem: 64}, {CPU: 16, GPU: 2, Mem: 128}, {CPU: 4, Mem: 32}}
 	for i := range 20 + rnd.IntN(60) {
 		typ := rnd.IntN(3)
-		m := Machine{Name: fmt.Sprint(i), Type: typ, Zone: rnd.IntN(2), Spot: rnd.IntN(4) == 0, Ready: rnd.IntN(6) > 0, Cap: caps[typ], Free: caps[typ],
+		m := Machine{Name: fmt.Sprint(i), Type: typ, Zone: rnd.IntN(2), Spot: rnd.IntN(4) == 0, Ready: rnd.IntN(6) > 0, Capacity: caps[typ], Free: caps[typ],
 			Price: float64(1 + typ), FetchRate: 1}
 		if !m.Ready {
 			m.ETA = float64(10 * (1 + rnd.IntN(3)))
 		}
 		if rnd.IntN(3) == 0 {
-			m.Images = append(m.Images, ImageAt{Image: int32(rnd.IntN(3)), In: float64(rnd.IntN(2))})
+			m.Images = append(m.Images, ImageAt{Image: int32(rnd.IntN(3)), ReadyInSeconds: float64(rnd.IntN(2))})
 		}
 		if rnd.IntN(8) == 0 {
-			m.Slow = 20
+			m.PenaltySeconds = 20
 		}
 		if rnd.IntN(6) == 0 {
-			m.Pool, m.PoolGB = 1+rnd.IntN(2), float64(rnd.IntN(8))
+			m.Pool, m.PoolSpareGB = 1+rnd.IntN(2), float64(rnd.IntN(8))
 		}
 		for k := range rnd.IntN(3) {
-			o := Occupant{Task: Task{Job: int32(1000 + i), Task: int32(k)}, Need: Res{CPU: 2, Mem: 4}, Priority: rnd.IntN(4), Team: rnd.IntN(2),
-				Over: rnd.IntN(2) == 0, Loss: float64(rnd.IntN(50)), Left: float64(rnd.IntN(100)), Stopping: rnd.IntN(5) == 0}
+			o := Occupant{Task: Task{Job: int32(1000 + i), Task: int32(k)}, Need: Resources{CPU: 2, Mem: 4}, Priority: rnd.IntN(4), Team: rnd.IntN(2),
+				OverGuarantee: rnd.IntN(2) == 0, LossSeconds: float64(rnd.IntN(50)), RemainingSeconds: float64(rnd.IntN(100)), Stopping: rnd.IntN(5) == 0}
 			m.Free = m.Free.Add(o.Need, -1)
 			if o.Stopping {
-				m.Coming = m.Coming.Add(o.Need, 1)
+				m.Releasing = m.Releasing.Add(o.Need, 1)
 			}
 			m.Tasks = append(m.Tasks, o)
 		}
 		in.Machines = append(in.Machines, m)
 	}
 	for j := range 10 + rnd.IntN(20) {
-		r := Request{Job: int32(j), All: rnd.IntN(2) == 0, Need: Res{CPU: []float64{2, 6, 15}[rnd.IntN(3)], Mem: 8}, Priority: rnd.IntN(4), Team: rnd.IntN(3) - 1,
-			Within: rnd.IntN(2) == 0, Image: int32(rnd.IntN(4)), ImageGB: float64(rnd.IntN(6)), Zone: rnd.IntN(3) - 1, OneZone: rnd.IntN(2) == 0,
-			ZoneUsed: make([]int, 2), Types: []bool{rnd.IntN(4) > 0, true, rnd.IntN(2) == 0}, Spot: rnd.IntN(2) == 0, Hold: rnd.IntN(3) == 0}
+		r := Request{Job: int32(j), Gang: rnd.IntN(2) == 0, Need: Resources{CPU: []float64{2, 6, 15}[rnd.IntN(3)], Mem: 8}, Priority: rnd.IntN(4), Team: rnd.IntN(3) - 1,
+			WithinGuarantee: rnd.IntN(2) == 0, Image: int32(rnd.IntN(4)), ImageGB: float64(rnd.IntN(6)), Zone: rnd.IntN(3) - 1, OneZone: rnd.IntN(2) == 0,
+			PlacedByZone: make([]int, 2), Types: []bool{rnd.IntN(4) > 0, true, rnd.IntN(2) == 0}, Spot: rnd.IntN(2) == 0, Hold: rnd.IntN(3) == 0}
 		for t := range 1 + rnd.IntN(12) {
 			r.Tasks = append(r.Tasks, int32(t))
 		}
 		if rnd.IntN(3) == 0 {
-			r.Pools = []Use{Use(rnd.IntN(4)), Use(rnd.IntN(4))}
+			r.PoolAccess = []PoolAccess{PoolAccess(rnd.IntN(4)), PoolAccess(rnd.IntN(4))}
 		}
 		if rnd.IntN(4) == 0 {
-			r.SpreadMax = (len(r.Tasks) + 1) / 2
+			r.MaxPerZone = (len(r.Tasks) + 1) / 2
 		}
 		if rnd.IntN(4) == 0 {
 			r.Avoid = map[int]bool{rnd.IntN(len(in.Machines)): true, rnd.IntN(len(in.Machines)): true}
 		}
 		if rnd.IntN(5) == 0 {
-			r.Prefer = map[int32]int{0: rnd.IntN(len(in.Machines))}
+			r.PreferredMachines = map[int32]int{0: rnd.IntN(len(in.Machines))}
 		}
 		in.Requests = append(in.Requests, r)
 	}
 	for typ := range 3 {
-		in.Offers = append(in.Offers, Offer{Type: typ, Zone: typ % 2, Machine: Machine{Type: typ, Zone: typ % 2, ETA: 40, Cap: caps[typ], Price: float64(1 + typ), FetchRate: 1}})
+		in.Offers = append(in.Offers, Offer{Type: typ, Zone: typ % 2, Machine: Machine{Type: typ, Zone: typ % 2, ETA: 40, Capacity: caps[typ], Price: float64(1 + typ), FetchRate: 1}})
 	}
 	return in
 }
@@ -71,11 +71,11 @@
 	starts, stops, rents := 0, 0, 0
 	for seed := range uint64(400) {
 		one, other := anyInput(rand.New(rand.NewPCG(seed, 1))), anyInput(rand.New(rand.NewPCG(seed, 1)))
-		got, want := Make(one), makePlan(other, nil)
+		got, want := Compute(one), makePlan(other, nil)
 		if !reflect.DeepEqual(got, want) {
 			t.Fatalf("seed %d: by class\n%+v\nby machine\n%+v", seed, got, want)
 		}
-		starts, stops, rents = starts+len(got.Starts), stops+len(got.Stops), rents+len(got.Rent)
+		starts, stops, rents = starts+len(got.Starts), stops+len(got.Preemptions), rents+len(got.ScaleOut)
 	}
 	if starts < 1000 || stops < 100 || rents < 100 {
 		t.Errorf("only %d starts, %d stops and %d kinds rented in all", starts, stops, rents)
--- a/placement/hold.go
+++ b/placement/hold.go
@@ -35,14 +35,14 @@
 			return 0, false
 		}
 		in, ok := p.roomIn(r, m)
-		return in, ok && in <= max(holdWithin, r.HoldFor)
+		return in, ok && in <= max(holdWithin, r.HoldSeconds)
 	}, func(i int) bool {
 		last, _ = p.roomIn(r, &p.in.Machines[i])
 		p.book(r, i, 1)
 		held = append(held, Start{Machine: i})
 		return true
 	})
-	if r.All && len(held) < n {
+	if r.Gang && len(held) < n {
 		p.undo(r, held)
 		return nil, 0
 	}
@@ -56,7 +56,7 @@
 	if r.Need.Fits(free) {
 		return 0, true
 	}
-	if !r.Need.Fits(m.Cap) {
+	if !r.Need.Fits(m.Capacity) {
 		return 0, false
 	}
 	var few [16]bool
@@ -68,7 +68,7 @@
 	for !r.Need.Fits(free) {
 		next := -1
 		for k := range m.Tasks {
-			if !taken[k] && !p.stopped[m.Tasks[k].Task] && !m.Tasks[k].Stopping && (next < 0 || m.Tasks[k].Left < m.Tasks[next].Left) {
+			if !taken[k] && !p.stopped[m.Tasks[k].Task] && !m.Tasks[k].Stopping && (next < 0 || m.Tasks[k].RemainingSeconds < m.Tasks[next].RemainingSeconds) {
 				next = k
 			}
 		}
@@ -76,7 +76,7 @@
 			return 0, false
 		}
 		taken[next] = true
-		in = m.Tasks[next].Left
+		in = m.Tasks[next].RemainingSeconds
 		free = free.Add(m.Tasks[next].Need, 1)
 	}
 	return in, true
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -3,19 +3,19 @@
 // the same plan.
 package placement
 
-// Res is an amount of each resource.
-type Res struct{ CPU, GPU, Mem float64 }
+// Resources is an amount of each resource.
+type Resources struct{ CPU, GPU, Mem float64 }
 
 const eps = 1e-6
 
 // Fits says whether r fits into free.
-func (r Res) Fits(free Res) bool {
+func (r Resources) Fits(free Resources) bool {
 	return r.CPU <= free.CPU+eps && r.GPU <= free.GPU+eps && r.Mem <= free.Mem+eps
 }
 
 // Add returns r plus n times o.
-func (r Res) Add(o Res, n float64) Res {
-	return Res{r.CPU + n*o.CPU, r.GPU + n*o.GPU, r.Mem + n*o.Mem}
+func (r Resources) Add(o Resources, n float64) Resources {
+	return Resources{r.CPU + n*o.CPU, r.GPU + n*o.GPU, r.Mem + n*o.Mem}
 }
 
 // Task names a task by dense indices.
@@ -24,50 +24,50 @@
 // Occupant is a task that may be on a machine.
 type Occupant struct {
 	Task
-	Need     Res
-	Priority int // 0 is the highest
-	Team     int
-	Over     bool    // runs beyond its team's guarantee
-	Loss     float64 // seconds of work that stopping it loses
-	Left     float64 // seconds until it should end by itself
-	Fixed    bool    // may not be stopped to make room
-	Tier     int     // by the operators' order: work of later tiers is stopped first
-	Stopping bool    // its room is among what is coming
+	Need             Resources
+	Priority         int // 0 is the highest
+	Team             int
+	OverGuarantee    bool    // runs beyond its team's guarantee
+	LossSeconds      float64 // seconds of work that stopping it loses
+	RemainingSeconds float64 // seconds until it should end by itself
+	NonPreemptible   bool    // may not be stopped to make room
+	Tier             int     // by the operators' order: work of later tiers is stopped first
+	Stopping         bool    // its room is among what is coming
 }
 
 // Machine is a machine, or one that may be rented.
 type Machine struct {
-	Name      string
-	Type      int
-	Zone      int
-	Spot      bool
-	Ready     bool    // can start tasks now
-	ETA       float64 // seconds until it is up, if not ready
-	Free      Res
-	Coming    Res // more room once stopping tasks are gone
-	Cap       Res
-	Price     float64
-	FetchRate float64
-	Backlog   float64   // seconds of image fetches under way
-	Images    []ImageAt // images that are there or on their way
-	Slow      float64   // penalty in seconds for a machine that is suspect
-	Tasks     []Occupant
-	Pool      int     // 1 and more: the warm pool that it belongs to
-	PoolGB    float64 // images that fit beside the pool's weights without evicting them
+	Name                string
+	Type                int
+	Zone                int
+	Spot                bool
+	Ready               bool    // can start tasks now
+	ETA                 float64 // seconds until it is up, if not ready
+	Free                Resources
+	Releasing           Resources // more room once stopping tasks are gone
+	Capacity            Resources
+	Price               float64
+	FetchRate           float64
+	FetchBacklogSeconds float64   // seconds of image fetches under way
+	Images              []ImageAt // images that are there or on their way
+	PenaltySeconds      float64   // penalty in seconds for a machine that is suspect
+	Tasks               []Occupant
+	Pool                int     // 1 and more: the warm pool that it belongs to
+	PoolSpareGB         float64 // images that fit beside the pool's weights without evicting them
 }
 
 // ImageAt is an image that a machine has, or will have after so many seconds.
 type ImageAt struct {
-	Image int32
-	In    float64
+	Image          int32
+	ReadyInSeconds float64
 }
 
-// Image says after how many seconds a machine has an image, if it is there or
+// ImageReadyIn says after how many seconds a machine has an image, if it is there or
 // on its way.
-func (m *Machine) Image(image int32) (float64, bool) {
+func (m *Machine) ImageReadyIn(image int32) (float64, bool) {
 	for i := range m.Images {
 		if m.Images[i].Image == image {
-			return m.Images[i].In, true
+			return m.Images[i].ReadyInSeconds, true
 		}
 	}
 	return 0, false
@@ -75,40 +75,40 @@
 
 // Request is a job that wants tasks started.
 type Request struct {
-	Job       int32
-	Tasks     []int32
-	All       bool // a gang: all of them or none
-	Need      Res
-	Priority  int
-	Team      int // -1: none
-	Within    bool
-	Image     int32
-	ImageGB   float64
-	Zone      int // -1: any
-	OneZone   bool
-	SpreadMax int // 0: no limit per zone
-	ZoneUsed  []int
-	Types     []bool
-	Spot      bool
-	Avoid     map[int]bool // machines this job stays away from for now
-	Prefer    map[int32]int
-	Phantom   bool    // no job's: room to be kept free
-	Ahead     bool    // a phantom for which machines are rented, so many places more than there are and will be
-	Reserve   bool    // a phantom for which room is kept from later requests, and nothing rented
-	Hold      bool    // machines are kept from later requests until they have room for this one
-	HoldFor   float64 // with Hold: seconds ahead that room is kept; 0: as usual
-	Spare     bool    // takes free room only: nothing is kept, stopped or rented for it
-	First     []bool  // types to be tried first, also by stopping others there
-	Pools     []Use   // what it may do with each pool's machines; what is missing: nothing
-	Standing
+	Job               int32
+	Tasks             []int32
+	Gang              bool // a gang: all of them or none
+	Need              Resources
+	Priority          int
+	Team              int // -1: none
+	WithinGuarantee   bool
+	Image             int32
+	ImageGB           float64
+	Zone              int // -1: any
+	OneZone           bool
+	MaxPerZone        int // 0: no limit per zone
+	PlacedByZone      []int
+	Types             []bool
+	Spot              bool
+	Avoid             map[int]bool // machines this job stays away from for now
+	PreferredMachines map[int32]int
+	Headroom          bool         // no job's: room to be kept free
+	Provision         bool         // a phantom for which machines are rented, so many places more than there are and will be
+	Reserve           bool         // a phantom for which room is kept from later requests, and nothing rented
+	Hold              bool         // machines are kept from later requests until they have room for this one
+	HoldSeconds       float64      // with Hold: seconds ahead that room is kept; 0: as usual
+	FreeRoomOnly      bool         // takes free room only: nothing is kept, stopped or rented for it
+	PreferredTypes    []bool       // types to be tried first, also by stopping others there
+	PoolAccess        []PoolAccess // what it may do with each pool's machines; what is missing: nothing
+	Precedence
 }
 
-// Standing is what bears on a request's place in the line, besides its priority
+// Precedence is what bears on a request's place in the line, besides its priority
 // and its team's guarantee.
-type Standing struct {
-	Tier  int   // by the operators' order, 0 first
-	Owed  bool  // it has to begin now, by the bound that holds for all jobs
-	Cause uint8 // why it is served before higher tiers (package order); 0: it is not
+type Precedence struct {
+	Tier           int   // by the operators' order, 0 first
+	Owed           bool  // it has to begin now, by the bound that holds for all jobs
+	PromotionCause uint8 // why it is served before higher tiers (package order); 0: it is not
 }
 
 // Offer is a kind of machine that may be rented.
@@ -119,32 +119,32 @@
 }
 
 // Team is a team's use and limits; 0 means no limit.
-type Team struct{ Used, Max Res }
+type Team struct{ Used, Max Resources }
 
 // Input is all that a plan depends on.
 type Input struct {
-	Machines []Machine
-	Requests []Request
-	Teams    []Team
-	Offers   []Offer
-	Preempt  bool
-	RentMax  int
+	Machines        []Machine
+	Requests        []Request
+	Teams           []Team
+	Offers          []Offer
+	AllowPreemption bool
+	MaxScaleOut     int
 }
 
 // Start puts a task on a machine.
 type Start struct {
-	Request int
-	Task    int32
-	Machine int
-	Room    Res // that the machine had left
+	Request    int
+	Task       int32
+	Machine    int
+	FreeBefore Resources // that the machine had left
 }
 
 // Plan is what to do.
 type Plan struct {
-	Starts  []Start
-	Stops   []Task
-	Rent    map[int]int // offers by index
-	Waiting []int       // requests with tasks that fit nowhere for want of room
+	Starts      []Start
+	Preemptions []Task
+	ScaleOut    map[int]int // offers by index
+	Waiting     []int       // requests with tasks that fit nowhere for want of room
 }
 
 type planner struct {
@@ -160,15 +160,15 @@
 	lastTier int // of all that is on machines
 }
 
-// Make plans. Requests are served in their order. The input's machines are
+// Compute makes a plan. Requests are served in their order. The input's machines are
 // changed on the way.
-func Make(in *Input) Plan {
+func Compute(in *Input) Plan {
 	return makePlan(in, newClasses(in.Machines))
 }
 
 func makePlan(in *Input, c *classes) Plan {
 	p := &planner{in: in, stopped: map[Task]bool{}, classes: c}
-	p.plan.Rent = map[int]int{}
+	p.plan.ScaleOut = map[int]int{}
 	for i := range in.Machines {
 		p.zones = max(p.zones, in.Machines[i].Zone+1)
 		for k := range in.Machines[i].Tasks {
@@ -181,8 +181,8 @@
 	return p.plan
 }
 
-// Allowed is how many more tasks of the request its team's limit lets start.
-func Allowed(r *Request, teams []Team) int {
+// TasksWithinLimit is how many more tasks of the request its team's limit lets start.
+func TasksWithinLimit(r *Request, teams []Team) int {
 	n := len(r.Tasks)
 	if r.Team < 0 {
 		return n
@@ -200,30 +200,30 @@
 
 func (p *planner) serve(i int) {
 	r := &p.in.Requests[i]
-	n := Allowed(r, p.in.Teams)
-	if n == 0 || r.All && n < len(r.Tasks) {
+	n := TasksWithinLimit(r, p.in.Teams)
+	if n == 0 || r.Gang && n < len(r.Tasks) {
 		return
 	}
 	rest := r.Tasks[:n]
-	if r.Ahead {
+	if r.Provision {
 		p.rentAhead(r)
 		return
 	}
-	if r.First != nil {
+	if r.PreferredTypes != nil {
 		first := *r // searches in vain are remembered with the types they were for
-		first.Types = r.First
+		first.Types = r.PreferredTypes
 		rest = p.start(&first, i, rest)
 		rest = p.preempt(&first, rest)
 	}
 	rest = p.start(r, i, rest)
-	if len(rest) == 0 || r.Spare {
+	if len(rest) == 0 || r.FreeRoomOnly {
 		return
 	}
 	if r.Reserve {
 		p.hold(r, rest)
 		return
 	}
-	if r.Phantom {
+	if r.Headroom {
 		got := p.try(r, rest, booting)
 		p.rent(r, rest[len(got):])
 		return
@@ -234,7 +234,7 @@
 	if got := p.try(r, rest, soon); len(got) > 0 {
 		rest = rest[len(got):]
 	}
-	if len(rest) > 0 && p.in.Preempt {
+	if len(rest) > 0 && p.in.AllowPreemption {
 		rest = p.preempt(r, rest)
 	}
 	if len(rest) > 0 && r.Hold {
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-func machine(zone int, free Res) Machine {
-	return Machine{Zone: zone, Ready: true, Free: free, Cap: Res{16, 2, 128}, FetchRate: 1}
+func machine(zone int, free Resources) Machine {
+	return Machine{Zone: zone, Ready: true, Free: free, Capacity: Resources{16, 2, 128}, FetchRate: 1}
 }
 
-func request(n int, need Res) Request {
-	r := Request{Need: need, Priority: 2, Team: -1, Zone: -1, ZoneUsed: make([]int, 2), Types: []bool{true}, ImageGB: 2}
+func request(n int, need Resources) Request {
+	r := Request{Need: need, Priority: 2, Team: -1, Zone: -1, PlacedByZone: make([]int, 2), Types: []bool{true}, ImageGB: 2}
 	for i := range n {
 		r.Tasks = append(r.Tasks, int32(i))
 	}
@@ -15,10 +15,10 @@
 }
 
 func TestAGangInOneZoneIsPlacedWholeOrNotAtAll(t *testing.T) {
-	r := request(3, Res{CPU: 8})
-	r.All, r.OneZone = true, true
-	in := Input{Machines: []Machine{machine(0, Res{CPU: 16}), machine(1, Res{CPU: 16}), machine(1, Res{CPU: 8})}, Requests: []Request{r}}
-	p := Make(&in)
+	r := request(3, Resources{CPU: 8})
+	r.Gang, r.OneZone = true, true
+	in := Input{Machines: []Machine{machine(0, Resources{CPU: 16}), machine(1, Resources{CPU: 16}), machine(1, Resources{CPU: 8})}, Requests: []Request{r}}
+	p := Compute(&in)
 	if len(p.Starts) != 3 {
 		t.Fatalf("%d starts", len(p.Starts))
 	}
@@ -27,62 +27,62 @@
 			t.Error("crossed zones")
 		}
 	}
-	in = Input{Machines: []Machine{machine(0, Res{CPU: 16}), machine(1, Res{CPU: 8})}, Requests: []Request{r}}
-	if p := Make(&in); len(p.Starts) != 0 {
+	in = Input{Machines: []Machine{machine(0, Resources{CPU: 16}), machine(1, Resources{CPU: 8})}, Requests: []Request{r}}
+	if p := Compute(&in); len(p.Starts) != 0 {
 		t.Errorf("part of a gang was placed: %v", p.Starts)
 	}
 }
 
 func TestSpreadAndTeamLimitsHold(t *testing.T) {
-	r := request(5, Res{CPU: 1})
-	r.SpreadMax, r.Team = 3, 0
-	in := Input{Machines: []Machine{machine(0, Res{CPU: 16})}, Requests: []Request{r}, Teams: []Team{{}}}
-	if p := Make(&in); len(p.Starts) != 3 {
+	r := request(5, Resources{CPU: 1})
+	r.MaxPerZone, r.Team = 3, 0
+	in := Input{Machines: []Machine{machine(0, Resources{CPU: 16})}, Requests: []Request{r}, Teams: []Team{{}}}
+	if p := Compute(&in); len(p.Starts) != 3 {
 		t.Errorf("%d tasks in one zone, at most 3 allowed", len(p.Starts))
 	}
-	r = request(5, Res{CPU: 2})
+	r = request(5, Resources{CPU: 2})
 	r.Team = 0
-	in = Input{Machines: []Machine{machine(0, Res{CPU: 16})}, Requests: []Request{r}, Teams: []Team{{Used: Res{CPU: 3}, Max: Res{CPU: 8}}}}
-	if p := Make(&in); len(p.Starts) != 2 {
+	in = Input{Machines: []Machine{machine(0, Resources{CPU: 16})}, Requests: []Request{r}, Teams: []Team{{Used: Resources{CPU: 3}, Max: Resources{CPU: 8}}}}
+	if p := Compute(&in); len(p.Starts) != 2 {
 		t.Errorf("%d starts within a limit that allows 2", len(p.Starts))
 	}
 }
 
 func TestPreemptionTakesTheCheapestLossAndOnlyWhatItMay(t *testing.T) {
-	m := machine(0, Res{})
+	m := machine(0, Resources{})
 	m.Tasks = []Occupant{
-		{Task: Task{1, 0}, Need: Res{CPU: 8}, Priority: 3, Loss: 50},
-		{Task: Task{2, 0}, Need: Res{CPU: 8}, Priority: 3, Loss: 2},
-	}
-	in := Input{Machines: []Machine{m}, Requests: []Request{request(1, Res{CPU: 8})}, Preempt: true}
-	if p := Make(&in); len(p.Stops) != 1 || p.Stops[0].Job != 2 {
-		t.Errorf("stops %v", p.Stops)
-	}
-	m = machine(0, Res{})
-	m.Tasks = []Occupant{{Task: Task{1, 0}, Need: Res{CPU: 16}, Priority: 2, Team: 1, Over: true}}
-	r := request(1, Res{CPU: 8})
-	in = Input{Machines: []Machine{m}, Requests: []Request{r}, Preempt: true}
-	if p := Make(&in); len(p.Stops) != 0 {
-		t.Errorf("stopped work of the same priority: %v", p.Stops)
-	}
-	r.Within = true
-	in = Input{Machines: []Machine{m}, Requests: []Request{r}, Preempt: true}
-	if p := Make(&in); len(p.Stops) != 1 {
+		{Task: Task{1, 0}, Need: Resources{CPU: 8}, Priority: 3, LossSeconds: 50},
+		{Task: Task{2, 0}, Need: Resources{CPU: 8}, Priority: 3, LossSeconds: 2},
+	}
+	in := Input{Machines: []Machine{m}, Requests: []Request{request(1, Resources{CPU: 8})}, AllowPreemption: true}
+	if p := Compute(&in); len(p.Preemptions) != 1 || p.Preemptions[0].Job != 2 {
+		t.Errorf("stops %v", p.Preemptions)
+	}
+	m = machine(0, Resources{})
+	m.Tasks = []Occupant{{Task: Task{1, 0}, Need: Resources{CPU: 16}, Priority: 2, Team: 1, OverGuarantee: true}}
+	r := request(1, Resources{CPU: 8})
+	in = Input{Machines: []Machine{m}, Requests: []Request{r}, AllowPreemption: true}
+	if p := Compute(&in); len(p.Preemptions) != 0 {
+		t.Errorf("stopped work of the same priority: %v", p.Preemptions)
+	}
+	r.WithinGuarantee = true
+	in = Input{Machines: []Machine{m}, Requests: []Request{r}, AllowPreemption: true}
+	if p := Compute(&in); len(p.Preemptions) != 1 {
 		t.Error("a guarantee did not get its room")
 	}
 }
 
 func TestALargeTaskGetsAMachineThatSmallOnesWouldKeepTaking(t *testing.T) {
-	m := machine(0, Res{CPU: 10, GPU: 1, Mem: 80})
-	m.Tasks = []Occupant{{Task: Task{9, 0}, Need: Res{CPU: 6, GPU: 1, Mem: 48}, Priority: 2, Left: 20}}
-	large, little := request(1, Res{CPU: 15}), request(1, Res{CPU: 6, GPU: 1})
+	m := machine(0, Resources{CPU: 10, GPU: 1, Mem: 80})
+	m.Tasks = []Occupant{{Task: Task{9, 0}, Need: Resources{CPU: 6, GPU: 1, Mem: 48}, Priority: 2, RemainingSeconds: 20}}
+	large, little := request(1, Resources{CPU: 15}), request(1, Resources{CPU: 6, GPU: 1})
 	in := Input{Machines: []Machine{m}, Requests: []Request{large, little}}
-	if p := Make(&in); len(p.Starts) != 1 {
+	if p := Compute(&in); len(p.Starts) != 1 {
 		t.Fatal("without holding, the small task starts")
 	}
 	large.Hold = true
 	in = Input{Machines: []Machine{m}, Requests: []Request{large, little}}
-	if p := Make(&in); len(p.Starts) != 0 {
+	if p := Compute(&in); len(p.Starts) != 0 {
 		t.Errorf("the held machine was given away: %v", p.Starts)
 	}
 }
@@ -90,24 +90,24 @@
 // A search that found nothing is not repeated for those that want as much or
 // more. It must not hide room from those that want less or elsewhere.
 func TestASearchInVainSpeaksOnlyForThoseThatWantAsMuch(t *testing.T) {
-	large, little, gpu := request(1, Res{CPU: 12}), request(1, Res{CPU: 4}), request(1, Res{CPU: 12})
+	large, little, gpu := request(1, Resources{CPU: 12}), request(1, Resources{CPU: 4}), request(1, Resources{CPU: 12})
 	gpu.Types = []bool{false, true}
-	other := machine(0, Res{CPU: 16})
+	other := machine(0, Resources{CPU: 16})
 	other.Type = 1
-	in := Input{Machines: []Machine{machine(0, Res{CPU: 8}), other}, Requests: []Request{large, large, little, gpu}}
+	in := Input{Machines: []Machine{machine(0, Resources{CPU: 8}), other}, Requests: []Request{large, large, little, gpu}}
 	in.Requests[0].Types = []bool{true, false}
 	in.Requests[1].Types = []bool{true, false}
 	in.Requests[2].Types = []bool{true, false}
-	p := Make(&in)
+	p := Compute(&in)
 	if len(p.Starts) != 2 || p.Starts[0].Request != 2 || p.Starts[1].Request != 3 {
 		t.Errorf("started %v", p.Starts)
 	}
 	// Room that stops make for one is there for the next.
-	m := machine(0, Res{})
-	m.Tasks = []Occupant{{Task: Task{9, 0}, Need: Res{CPU: 16}, Priority: 3}}
-	in = Input{Machines: []Machine{m}, Requests: []Request{request(1, Res{CPU: 8}), request(1, Res{CPU: 8})}, Preempt: true}
-	if p := Make(&in); len(p.Stops) != 1 || len(p.Waiting) != 2 {
-		t.Errorf("stops %v, waiting %v", p.Stops, p.Waiting)
+	m := machine(0, Resources{})
+	m.Tasks = []Occupant{{Task: Task{9, 0}, Need: Resources{CPU: 16}, Priority: 3}}
+	in = Input{Machines: []Machine{m}, Requests: []Request{request(1, Resources{CPU: 8}), request(1, Resources{CPU: 8})}, AllowPreemption: true}
+	if p := Compute(&in); len(p.Preemptions) != 1 || len(p.Waiting) != 2 {
+		t.Errorf("stops %v, waiting %v", p.Preemptions, p.Waiting)
 	}
 }
 
@@ -115,19 +115,19 @@
 // none are held where there are not enough.
 func TestAGangHoldsMachinesOfOneZone(t *testing.T) {
 	busy := func(zone int, left float64) Machine {
-		m := machine(zone, Res{})
-		m.Tasks = []Occupant{{Task: Task{int32(left), 0}, Need: Res{CPU: 16}, Priority: 2, Left: left}}
+		m := machine(zone, Resources{})
+		m.Tasks = []Occupant{{Task: Task{int32(left), 0}, Need: Resources{CPU: 16}, Priority: 2, RemainingSeconds: left}}
 		return m
 	}
-	gang := request(2, Res{CPU: 16})
-	gang.All, gang.OneZone, gang.Hold = true, true, true
+	gang := request(2, Resources{CPU: 16})
+	gang.Gang, gang.OneZone, gang.Hold = true, true, true
 	in := Input{Machines: []Machine{busy(0, 5), busy(1, 20), busy(1, 30)}, Requests: []Request{gang}}
-	Make(&in)
+	Compute(&in)
 	if in.Machines[0].Free.CPU != 0 || in.Machines[1].Free.CPU != -16 || in.Machines[2].Free.CPU != -16 {
 		t.Errorf("held: %v %v %v", in.Machines[0].Free, in.Machines[1].Free, in.Machines[2].Free)
 	}
 	in = Input{Machines: []Machine{busy(0, 5), busy(1, 20), busy(1, 90)}, Requests: []Request{gang}}
-	Make(&in)
+	Compute(&in)
 	for i := range in.Machines {
 		if in.Machines[i].Free.CPU != 0 {
 			t.Errorf("machine %d is held for part of a gang", i)
--- a/placement/pools.go
+++ b/placement/pools.go
@@ -3,15 +3,15 @@
 // This file is about machines of warm pools, which hold a model's weights for work
 // that is to come.
 
-// Use says what a request may do with a pool's machines.
-type Use uint8
+// PoolAccess says what a request may do with a pool's machines.
+type PoolAccess uint8
 
 // Uses.
 const (
-	Never Use = iota // the room is the pool's
-	Lent             // as long as the weights stay there, until the pool wants the room back
-	Last             // where there is no other room, whatever becomes of the weights
-	Own              // as what the pool is for
+	NoAccess         PoolAccess = iota // the room is the pool's
+	BorrowAccess                       // as long as the weights stay there, until the pool wants the room back
+	LastResortAccess                   // where there is no other room, whatever becomes of the weights
+	OwnerAccess                        // as what the pool is for
 )
 
 const (
@@ -20,11 +20,11 @@
 	ownGain  = 2    // of two machines with the weights, the pool's is taken
 )
 
-func (m *Machine) use(r *Request) Use {
-	if m.Pool > len(r.Pools) {
-		return Never
+func (m *Machine) use(r *Request) PoolAccess {
+	if m.Pool > len(r.PoolAccess) {
+		return NoAccess
 	}
-	return r.Pools[m.Pool-1]
+	return r.PoolAccess[m.Pool-1]
 }
 
 // admits says whether the request may use the machine as far as pools go.
@@ -33,22 +33,22 @@
 		return true
 	}
 	switch m.use(r) {
-	case Own, Last:
+	case OwnerAccess, LastResortAccess:
 		return true
-	case Lent:
-		_, there := m.Image(r.Image)
-		return there || r.ImageGB <= m.PoolGB
+	case BorrowAccess:
+		_, there := m.ImageReadyIn(r.Image)
+		return there || r.ImageGB <= m.PoolSpareGB
 	}
 	return false
 }
 
-// Refuses says whether a warm pool keeps the request from the machine, altogether
+// PoolRefuses says whether a warm pool keeps the request from the machine, altogether
 // or for its image, which would evict the pool's weights.
-func (m *Machine) Refuses(r *Request) (pool, image bool) {
+func (m *Machine) PoolRefuses(r *Request) (pool, image bool) {
 	if admits(m, r) {
 		return false, false
 	}
-	lent := m.use(r) == Lent
+	lent := m.use(r) == BorrowAccess
 	return !lent, lent
 }
 
@@ -57,9 +57,9 @@
 		return 0
 	}
 	switch m.use(r) {
-	case Own:
+	case OwnerAccess:
 		return -ownGain
-	case Lent:
+	case BorrowAccess:
 		return lentCost
 	}
 	return lastCost
@@ -67,10 +67,10 @@
 
 // bookPool books what a borrower's image takes beside the weights.
 func bookPool(m *Machine, r *Request, sign float64) {
-	if m.Pool == 0 || m.use(r) != Lent {
+	if m.Pool == 0 || m.use(r) != BorrowAccess {
 		return
 	}
-	if _, there := m.Image(r.Image); !there {
-		m.PoolGB -= sign * r.ImageGB
+	if _, there := m.ImageReadyIn(r.Image); !there {
+		m.PoolSpareGB -= sign * r.ImageGB
 	}
 }
--- a/placement/pools_test.go
+++ b/placement/pools_test.go
@@ -4,44 +4,44 @@
 
 // poolMachine is one of pool 1, with its weights and 10 GB beside them.
 func poolMachine(zone int) Machine {
-	m := machine(zone, Res{CPU: 16, GPU: 2, Mem: 128})
-	m.Pool, m.PoolGB, m.Images = 1, 10, []ImageAt{{Image: 7}}
+	m := machine(zone, Resources{CPU: 16, GPU: 2, Mem: 128})
+	m.Pool, m.PoolSpareGB, m.Images = 1, 10, []ImageAt{{Image: 7}}
 	return m
 }
 
 func TestAPoolsMachineIsKeptFromOtherWork(t *testing.T) {
 	for _, c := range []struct {
 		name  string
-		uses  []Use
+		uses  []PoolAccess
 		gb    float64
 		tasks int
 		want  int
 	}{
 		{"work that the plan does not speak of", nil, 2, 1, 0},
-		{"work that may not", []Use{Never}, 2, 1, 0},
-		{"a borrower", []Use{Lent}, 2, 1, 1},
-		{"a borrower whose image would evict the weights", []Use{Lent}, 11, 1, 0},
-		{"two whose images would do so together", []Use{Lent}, 6, 2, 1},
-		{"a higher tier, whatever its image evicts", []Use{Last}, 50, 1, 1},
-		{"of another pool only", []Use{Never, Own}, 2, 1, 0},
+		{"work that may not", []PoolAccess{NoAccess}, 2, 1, 0},
+		{"a borrower", []PoolAccess{BorrowAccess}, 2, 1, 1},
+		{"a borrower whose image would evict the weights", []PoolAccess{BorrowAccess}, 11, 1, 0},
+		{"two whose images would do so together", []PoolAccess{BorrowAccess}, 6, 2, 1},
+		{"a higher tier, whatever its image evicts", []PoolAccess{LastResortAccess}, 50, 1, 1},
+		{"of another pool only", []PoolAccess{NoAccess, OwnerAccess}, 2, 1, 0},
 	} {
 		in := Input{Machines: []Machine{poolMachine(0)}}
 		for range c.tasks {
-			r := request(1, Res{CPU: 1})
-			r.Image, r.ImageGB, r.Pools = int32(len(in.Requests)), c.gb, c.uses
+			r := request(1, Resources{CPU: 1})
+			r.Image, r.ImageGB, r.PoolAccess = int32(len(in.Requests)), c.gb, c.uses
 			in.Requests = append(in.Requests, r)
 		}
-		if p := Make(&in); len(p.Starts) != c.want {
+		if p := Compute(&in); len(p.Starts) != c.want {
 			t.Errorf("%s: %d starts, not %d", c.name, len(p.Starts), c.want)
 		}
 	}
 }
 
 func TestAHigherTierTakesOtherRoomFirst(t *testing.T) {
-	r := request(2, Res{CPU: 16})
-	r.Pools = []Use{Last}
-	in := Input{Machines: []Machine{poolMachine(0), machine(1, Res{CPU: 16})}, Requests: []Request{r}}
-	p := Make(&in)
+	r := request(2, Resources{CPU: 16})
+	r.PoolAccess = []PoolAccess{LastResortAccess}
+	in := Input{Machines: []Machine{poolMachine(0), machine(1, Resources{CPU: 16})}, Requests: []Request{r}}
+	p := Compute(&in)
 	if len(p.Starts) != 2 || p.Starts[0].Machine != 1 {
 		t.Errorf("%+v", p.Starts)
 	}
@@ -49,10 +49,10 @@
 
 // A search in vain by one that may not use the pool says nothing of one that may.
 func TestASearchInVainDoesNotHideAPool(t *testing.T) {
-	other, replica := request(1, Res{CPU: 4}), request(1, Res{CPU: 8})
-	replica.Pools = []Use{Own}
+	other, replica := request(1, Resources{CPU: 4}), request(1, Resources{CPU: 8})
+	replica.PoolAccess = []PoolAccess{OwnerAccess}
 	in := Input{Machines: []Machine{poolMachine(0)}, Requests: []Request{other, replica}}
-	if p := Make(&in); len(p.Starts) != 1 || p.Starts[0].Request != 1 {
+	if p := Compute(&in); len(p.Starts) != 1 || p.Starts[0].Request != 1 {
 		t.Errorf("%+v", p.Starts)
 	}
 }
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -6,13 +6,13 @@
 
 // victim says whether the request may stop the occupant.
 func victim(r *Request, o *Occupant) bool {
-	if o.Fixed {
+	if o.NonPreemptible {
 		return false
 	}
 	if o.Priority > r.Priority {
 		return true
 	}
-	return r.Within && o.Over && o.Team != r.Team
+	return r.WithinGuarantee && o.OverGuarantee && o.Team != r.Team
 }
 
 // tierLoss is what stopping work counts for each tier that it stands before the
@@ -25,7 +25,7 @@
 	if a.Tier != b.Tier {
 		return a.Tier > b.Tier
 	}
-	return a.Loss < b.Loss
+	return a.LossSeconds < b.LossSeconds
 }
 
 // stopLoss is what a stop costs beyond the lost work: saving, and starting
@@ -59,7 +59,7 @@
 	made := p.preemptIn(r, tasks, zone)
 	for _, d := range made {
 		for _, k := range d.victims {
-			p.plan.Stops = append(p.plan.Stops, p.in.Machines[d.machine].Tasks[k].Task)
+			p.plan.Preemptions = append(p.plan.Preemptions, p.in.Machines[d.machine].Tasks[k].Task)
 		}
 	}
 	if len(made) > 0 {
@@ -78,7 +78,7 @@
 
 func (p *planner) preemptIn(r *Request, tasks []int32, zone int) []made {
 	need := 1
-	if r.All {
+	if r.Gang {
 		need = len(tasks)
 	}
 	if p.inVain(byStopping, r, zone, need) {
@@ -87,7 +87,7 @@
 	var out []made
 	judge := func(i int) (made, bool) {
 		m := &p.in.Machines[i]
-		if !p.usable(m, i, r, soon) || zone >= 0 && m.Zone != zone || r.SpreadMax > 0 && r.ZoneUsed[m.Zone] >= r.SpreadMax {
+		if !p.usable(m, i, r, soon) || zone >= 0 && m.Zone != zone || r.MaxPerZone > 0 && r.PlacedByZone[m.Zone] >= r.MaxPerZone {
 			return made{}, false
 		}
 		chosen, loss, ok := p.cheapest(r, m)
@@ -122,7 +122,7 @@
 		} else {
 			delete(p.stopped, o.Task)
 		}
-		m.Coming = m.Coming.Add(o.Need, sign)
+		m.Releasing = m.Releasing.Add(o.Need, sign)
 	}
 	p.book(r, d.machine, sign)
 }
@@ -138,7 +138,7 @@
 func (p *planner) cheapest(r *Request, m *Machine) ([]int, float64, bool) {
 	free := room(m, soon)
 	if r.Need.Fits(free) {
-		return nil, m.Slow, true
+		return nil, m.PenaltySeconds, true
 	}
 	most := free
 	for k := range m.Tasks {
@@ -171,7 +171,7 @@
 	}
 	// What of earlier tiers turns out not to be needed is spared first.
 	slices.SortStableFunc(chosen, func(a, b int) int { return m.Tasks[a].Tier - m.Tasks[b].Tier })
-	loss := m.Slow
+	loss := m.PenaltySeconds
 	keep := chosen[:0]
 	for _, k := range chosen {
 		if less := free.Add(m.Tasks[k].Need, -1); r.Need.Fits(less) {
@@ -179,7 +179,7 @@
 			continue
 		}
 		keep = append(keep, k)
-		loss += m.Tasks[k].Loss + stopLoss + tierLoss*float64(p.lastTier-m.Tasks[k].Tier)
+		loss += m.Tasks[k].LossSeconds + stopLoss + tierLoss*float64(p.lastTier-m.Tasks[k].Tier)
 	}
 	return keep, loss, true
 }
--- a/placement/rent.go
+++ b/placement/rent.go
@@ -4,18 +4,18 @@
 
 // rent adds machines for the tasks that fit nowhere, the cheapest way first.
 func (p *planner) rent(r *Request, tasks []int32) {
-	for len(tasks) > 0 && len(p.rented) < p.in.RentMax {
+	for len(tasks) > 0 && len(p.rented) < p.in.MaxScaleOut {
 		best, bestCost := -1, 0.0
 		for i := range p.in.Offers {
 			o := &p.in.Offers[i]
-			if !r.Types[o.Type] || r.Zone >= 0 && r.Zone != o.Zone || o.Spot && !r.Spot || !r.Need.Fits(o.Machine.Cap) {
+			if !r.Types[o.Type] || r.Zone >= 0 && r.Zone != o.Zone || o.Spot && !r.Spot || !r.Need.Fits(o.Machine.Capacity) {
 				continue
 			}
-			if r.SpreadMax > 0 && r.ZoneUsed[o.Zone] >= r.SpreadMax {
+			if r.MaxPerZone > 0 && r.PlacedByZone[o.Zone] >= r.MaxPerZone {
 				continue
 			}
 			c := o.Machine.ETA + 2*o.Machine.Price
-			if o.Machine.Cap.GPU > 0 && r.Need.GPU == 0 {
+			if o.Machine.Capacity.GPU > 0 && r.Need.GPU == 0 {
 				c += 10
 			}
 			if best < 0 || c < bestCost {
@@ -27,16 +27,16 @@
 		}
 		o := &p.in.Offers[best]
 		m := o.Machine
-		m.Free = m.Cap
+		m.Free = m.Capacity
 		p.in.Machines = append(p.in.Machines, m)
 		if p.classes != nil {
 			p.classes.add(p.in.Machines, len(p.in.Machines)-1)
 		}
 		p.rented = append(p.rented, best)
-		p.plan.Rent[best]++
+		p.plan.ScaleOut[best]++
 		idx := len(p.in.Machines) - 1
 		n := 0
-		for n < len(tasks) && r.Need.Fits(p.in.Machines[idx].Free) && (r.SpreadMax <= 0 || r.ZoneUsed[o.Zone] < r.SpreadMax) {
+		for n < len(tasks) && r.Need.Fits(p.in.Machines[idx].Free) && (r.MaxPerZone <= 0 || r.PlacedByZone[o.Zone] < r.MaxPerZone) {
 			p.book(r, idx, 1)
 			n++
 		}
@@ -57,7 +57,7 @@
 		if !r.Types[m.Type] || m.Spot && !r.Spot || r.Zone >= 0 && r.Zone != m.Zone {
 			continue
 		}
-		for room := m.Cap; n > 0 && r.Need.Fits(room); room = room.Add(r.Need, -1) {
+		for room := m.Capacity; n > 0 && r.Need.Fits(room); room = room.Add(r.Need, -1) {
 			n--
 		}
 	}
--- a/placement/search.go
+++ b/placement/search.go
@@ -114,10 +114,10 @@
 		if v.n > n || v.zone >= 0 && v.zone != zone || r.Spot && !o.Spot || !o.Need.Fits(r.Need) {
 			continue
 		}
-		if md == byStopping && (o.Priority > r.Priority || r.Within && (!o.Within || o.Team != r.Team)) {
+		if md == byStopping && (o.Priority > r.Priority || r.WithinGuarantee && (!o.WithinGuarantee || o.Team != r.Team)) {
 			continue
 		}
-		if slices.Equal(o.Types, r.Types) && slices.Equal(o.Pools, r.Pools) {
+		if slices.Equal(o.Types, r.Types) && slices.Equal(o.PoolAccess, r.PoolAccess) {
 			return true
 		}
 	}
@@ -127,7 +127,7 @@
 // note remembers a search for n tasks that was in vain, unless it was for
 // reasons of that request alone.
 func (p *planner) note(md mode, r *Request, zone, n int) {
-	if len(r.Avoid) > 0 || r.SpreadMax > 0 || len(p.vain[md]) >= 64 {
+	if len(r.Avoid) > 0 || r.MaxPerZone > 0 || len(p.vain[md]) >= 64 {
 		return
 	}
 	p.vain[md] = append(p.vain[md], vain{r, zone, n})
@@ -140,23 +140,23 @@
 	return r.Types[m.Type] && (r.Zone < 0 || r.Zone == m.Zone) && (!m.Spot || r.Spot) && !r.Avoid[idx] && admits(m, r)
 }
 
-func room(m *Machine, md mode) Res {
+func room(m *Machine, md mode) Resources {
 	if md == readyNow {
 		return m.Free
 	}
-	return m.Free.Add(m.Coming, 1)
+	return m.Free.Add(m.Releasing, 1)
 }
 
 // cost ranks the machines that fit, in seconds: what the start is delayed by,
 // and what it takes away from others.
-func cost(m *Machine, r *Request, free Res) float64 {
-	c := m.Slow + m.ETA + poolCost(m, r)
-	if left, ok := m.Image(r.Image); ok {
+func cost(m *Machine, r *Request, free Resources) float64 {
+	c := m.PenaltySeconds + m.ETA + poolCost(m, r)
+	if left, ok := m.ImageReadyIn(r.Image); ok {
 		c += left
 	} else if m.FetchRate > 0 {
-		c += m.Backlog + r.ImageGB/m.FetchRate
+		c += m.FetchBacklogSeconds + r.ImageGB/m.FetchRate
 	}
-	if m.Cap.GPU > 0 && r.Need.GPU == 0 {
+	if m.Capacity.GPU > 0 && r.Need.GPU == 0 {
 		// A machine with GPUs is taken for other work only where nothing else
 		// is free; then the one whose GPUs are taken least useful.
 		c += 30
@@ -164,15 +164,15 @@
 	if m.Spot {
 		c -= 3
 	}
-	c += 0.5 * m.Price / max(1, m.Cap.CPU)
+	c += 0.5 * m.Price / max(1, m.Capacity.CPU)
 	// Fullest first, as the rebalancer would have it.
 	left := free.Add(r.Need, -1)
 	frac := 0.0
-	if m.Cap.CPU > 0 {
-		frac += left.CPU / m.Cap.CPU
+	if m.Capacity.CPU > 0 {
+		frac += left.CPU / m.Capacity.CPU
 	}
-	if m.Cap.GPU > 0 {
-		frac += left.GPU / m.Cap.GPU
+	if m.Capacity.GPU > 0 {
+		frac += left.GPU / m.Capacity.GPU
 	}
 	c += 2 * frac
 	return c
@@ -201,7 +201,7 @@
 
 func (p *planner) fill(r *Request, tasks []int32, md mode, zone int) ([]Start, float64) {
 	need := 1
-	if r.All {
+	if r.Gang {
 		need = len(tasks)
 	}
 	if p.inVain(md, r, zone, need) {
@@ -214,19 +214,19 @@
 		if !r.Need.Fits(room(m, md)) || !p.usable(m, i, r, md) || zone >= 0 && m.Zone != zone {
 			return 0, false
 		}
-		return cost(m, r, room(m, md)), r.SpreadMax <= 0 || r.ZoneUsed[m.Zone] < r.SpreadMax
+		return cost(m, r, room(m, md)), r.MaxPerZone <= 0 || r.PlacedByZone[m.Zone] < r.MaxPerZone
 	}
 	take := func(i int, t int32, c float64) {
-		got = append(got, Start{Task: t, Machine: i, Room: p.in.Machines[i].Free})
+		got = append(got, Start{Task: t, Machine: i, FreeBefore: p.in.Machines[i].Free})
 		p.book(r, i, 1)
 		total += c
 	}
 	rest := tasks
-	if len(r.Prefer) > 0 {
+	if len(r.PreferredMachines) > 0 {
 		// Moved tasks go where the move was to bring them.
 		rest = make([]int32, 0, len(tasks))
 		for _, t := range tasks {
-			to, ok := r.Prefer[t]
+			to, ok := r.PreferredMachines[t]
 			if ok && to < len(p.in.Machines) {
 				if c, ok := judge(to); ok {
 					take(to, t, c)
@@ -249,10 +249,10 @@
 	} else {
 		p.greedy(len(rest), judge, use)
 	}
-	if len(rest) > 0 && (r.All || len(got) == 0) {
+	if len(rest) > 0 && (r.Gang || len(got) == 0) {
 		p.note(md, r, zone, need)
 	}
-	if r.All && len(rest) > 0 {
+	if r.Gang && len(rest) > 0 {
 		p.undo(r, got)
 		return nil, 0
 	}
@@ -263,8 +263,8 @@
 	m := &p.in.Machines[machine]
 	m.Free = m.Free.Add(r.Need, -sign)
 	bookPool(m, r, sign)
-	if r.ZoneUsed != nil {
-		r.ZoneUsed[m.Zone] += int(sign)
+	if r.PlacedByZone != nil {
+		r.PlacedByZone[m.Zone] += int(sign)
 	}
 	p.moved(machine)
 }
--- a/priority/inversion.go
+++ b/priority/inversion.go
@@ -47,12 +47,12 @@
 	}
 	var out []Inversion
 	for _, s := range starts {
-		if reqs[s.Request].Phantom {
+		if reqs[s.Request].Headroom {
 			continue
 		}
 		tier, best := reqs[s.Request].Tier, -1
 		for i := range line {
-			if h := &reqs[line[i].request]; h.Tier < tier && h.Need.Fits(s.Room) {
+			if h := &reqs[line[i].request]; h.Tier < tier && h.Need.Fits(s.FreeBefore) {
 				best, tier = i, h.Tier
 			}
 		}
@@ -82,9 +82,9 @@
 	var out []unservedRequest
 	for i := range reqs {
 		r := &reqs[i]
-		n := placement.Allowed(r, used)
-		if !r.Phantom && got[i] < len(r.Tasks) {
-			out = append(out, unservedRequest{i, got[i] >= n || r.All && n < len(r.Tasks)})
+		n := placement.TasksWithinLimit(r, used)
+		if !r.Headroom && got[i] < len(r.Tasks) {
+			out = append(out, unservedRequest{i, got[i] >= n || r.Gang && n < len(r.Tasks)})
 		}
 		if r.Team >= 0 {
 			used[r.Team].Used = used[r.Team].Used.Add(r.Need, float64(got[i]))
@@ -100,30 +100,30 @@
 	low, high := &reqs[s.Request], &reqs[h.request]
 	if s.Request < h.request {
 		switch {
-		case high.Spare && !low.Spare:
+		case high.FreeRoomOnly && !low.FreeRoomOnly:
 			return RepeatedFailure
-		case low.Within && !high.Within:
+		case low.WithinGuarantee && !high.WithinGuarantee:
 			return WithinQuota
-		case low.Priority < high.Priority && low.Within == high.Within:
+		case low.Priority < high.Priority && low.WithinGuarantee == high.WithinGuarantee:
 			return HigherPriority
-		case low.Within == high.Within && low.Priority == high.Priority && low.Cause == uint8(PromotedByWait):
+		case low.WithinGuarantee == high.WithinGuarantee && low.Priority == high.Priority && low.PromotionCause == uint8(PromotedByWait):
 			return MaxWait // among those that are owed their beginning by the bound, or not
 		case low.Owed:
 			// Before all of its priority, and at last before higher ones; of two
 			// that are owed, the one whose time is nearer.
 			return StarvationBound
-		case low.Within != high.Within, low.Priority != high.Priority, high.Owed:
+		case low.WithinGuarantee != high.WithinGuarantee, low.Priority != high.Priority, high.Owed:
 			return Unexplained
-		case low.Cause == uint8(PromotedByShare):
+		case low.PromotionCause == uint8(PromotedByShare):
 			return FairShare
 		}
 		return Unexplained
 	}
-	pool, image := m.Refuses(high)
+	pool, image := m.PoolRefuses(high)
 	switch {
 	case h.atQuotaLimit:
 		return QuotaLimit
-	case high.Zone >= 0 && high.Zone != m.Zone, high.SpreadMax > 0 && high.ZoneUsed[m.Zone] >= high.SpreadMax:
+	case high.Zone >= 0 && high.Zone != m.Zone, high.MaxPerZone > 0 && high.PlacedByZone[m.Zone] >= high.MaxPerZone:
 		return ZoneConstraint
 	case !high.Types[m.Type], m.Spot && !high.Spot, high.Avoid[s.Machine]:
 		return MachineConstraint
@@ -131,7 +131,7 @@
 		return WarmPoolReserved
 	case image:
 		return WarmPoolCache
-	case high.All:
+	case high.Gang:
 		return GangTooLarge
 	case high.OneZone && high.Zone < 0:
 		return ZoneConstraint // its tasks went to another
--- a/priority/policy_test.go
+++ b/priority/policy_test.go
@@ -28,22 +28,22 @@
 	f.booked = make([]float64, f.o.NumTiers())
 	for i := range n("machines", 1, 8) {
 		m := placement.Machine{Name: fmt.Sprint(i), Type: n("type", 0, types-1), Zone: n("zone", 0, zones-1), Spot: rapid.Bool().Draw(t, "spot"),
-			Ready: n("ready", 0, 5) > 0, Cap: placement.Res{CPU: 16, Mem: 64}, FetchRate: 1}
-		m.Free = placement.Res{CPU: float64(n("free", 0, 16)), Mem: 64}
+			Ready: n("ready", 0, 5) > 0, Capacity: placement.Resources{CPU: 16, Mem: 64}, FetchRate: 1}
+		m.Free = placement.Resources{CPU: float64(n("free", 0, 16)), Mem: 64}
 		if used := 16 - m.Free.CPU; used > 0 {
-			m.Tasks = []placement.Occupant{{Task: placement.Task{Job: 1000, Task: int32(i)}, Need: placement.Res{CPU: used}, Priority: n("on", 1, 3),
-				Tier: n("tier on", 0, 3), Left: float64(n("left", 1, 100)), Loss: float64(n("loss", 0, 90)), Fixed: rapid.Bool().Draw(t, "fixed")}}
+			m.Tasks = []placement.Occupant{{Task: placement.Task{Job: 1000, Task: int32(i)}, Need: placement.Resources{CPU: used}, Priority: n("on", 1, 3),
+				Tier: n("tier on", 0, 3), RemainingSeconds: float64(n("left", 1, 100)), LossSeconds: float64(n("loss", 0, 90)), NonPreemptible: rapid.Bool().Draw(t, "fixed")}}
 		}
 		f.in.Machines = append(f.in.Machines, m)
 	}
 	for range teams {
-		f.in.Teams = append(f.in.Teams, placement.Team{Max: placement.Res{CPU: float64(n("limit", 0, 40))}})
+		f.in.Teams = append(f.in.Teams, placement.Team{Max: placement.Resources{CPU: float64(n("limit", 0, 40))}})
 	}
-	f.in.Preempt = true
+	f.in.AllowPreemption = true
 	for i := range n("jobs", 1, 10) {
-		r := placement.Request{Job: int32(i), Need: placement.Res{CPU: float64(n("cpus", 1, 12)), Mem: 1}, Priority: n("priority", 1, 2), Team: n("team", 0, teams-1),
-			Within: n("within", 0, 4) == 0, Zone: n("in zone", -1, zones-1), ZoneUsed: make([]int, zones), Types: make([]bool, types),
-			Spot: rapid.Bool().Draw(t, "may spot"), All: n("gang", 0, 3) == 0, OneZone: n("one zone", 0, 3) == 0, Hold: rapid.Bool().Draw(t, "hold")}
+		r := placement.Request{Job: int32(i), Need: placement.Resources{CPU: float64(n("cpus", 1, 12)), Mem: 1}, Priority: n("priority", 1, 2), Team: n("team", 0, teams-1),
+			WithinGuarantee: n("within", 0, 4) == 0, Zone: n("in zone", -1, zones-1), PlacedByZone: make([]int, zones), Types: make([]bool, types),
+			Spot: rapid.Bool().Draw(t, "may spot"), Gang: n("gang", 0, 3) == 0, OneZone: n("one zone", 0, 3) == 0, Hold: rapid.Bool().Draw(t, "hold")}
 		for k := range r.Types {
 			r.Types[k] = n("may type", 0, 3) > 0
 		}
@@ -51,14 +51,14 @@
 			r.Tasks = append(r.Tasks, int32(k))
 		}
 		if !r.OneZone && n("spread", 0, 3) == 0 {
-			r.SpreadMax = (len(r.Tasks) + 1) / 2
+			r.MaxPerZone = (len(r.Tasks) + 1) / 2
 		}
 		if n("avoid", 0, 3) == 0 {
 			r.Avoid = map[int]bool{0: true}
 		}
-		r.Standing = placement.Standing{Tier: f.o.TierOf("any", fmt.Sprint("c", n("class", 0, 3))), Owed: n("owed", 0, 5) == 0}
+		r.Precedence = placement.Precedence{Tier: f.o.TierOf("any", fmt.Sprint("c", n("class", 0, 3))), Owed: n("owed", 0, 5) == 0}
 		f.in.Requests = append(f.in.Requests, r)
-		f.waiting = append(f.waiting, PendingJob{Tier: r.Tier, Tasks: len(r.Tasks), Gang: r.All, TaskShare: r.Need.CPU / 64, WaitedSeconds: float64(n("waited", 0, 300)), Started: rapid.Bool().Draw(t, "begun")})
+		f.waiting = append(f.waiting, PendingJob{Tier: r.Tier, Tasks: len(r.Tasks), Gang: r.Gang, TaskShare: r.Need.CPU / 64, WaitedSeconds: float64(n("waited", 0, 300)), Started: rapid.Bool().Draw(t, "begun")})
 	}
 	return f
 }
@@ -69,13 +69,13 @@
 	idx := make([]int, len(f.in.Requests))
 	for i := range idx {
 		idx[i] = i
-		f.in.Requests[i].Cause = uint8(ahead[i].Cause)
+		f.in.Requests[i].PromotionCause = uint8(ahead[i].Cause)
 	}
 	rank := func(r *placement.Request) int {
 		switch {
 		case !tiers:
 			return 0
-		case r.Cause == uint8(PromotedByShare) || r.Cause == uint8(PromotedByWait):
+		case r.PromotionCause == uint8(PromotedByShare) || r.PromotionCause == uint8(PromotedByWait):
 			return -1
 		}
 		return r.Tier
@@ -83,8 +83,8 @@
 	slices.SortStableFunc(idx, func(a, b int) int {
 		x, y := &f.in.Requests[a], &f.in.Requests[b]
 		switch {
-		case x.Within != y.Within:
-			return sign[x.Within]
+		case x.WithinGuarantee != y.WithinGuarantee:
+			return sign[x.WithinGuarantee]
 		case x.Priority != y.Priority:
 			return x.Priority - y.Priority
 		case x.Owed != y.Owed:
@@ -104,7 +104,7 @@
 
 func (f *fleet) pass() []Inversion {
 	teams := slices.Clone(f.in.Teams)
-	plan := placement.Make(&f.in)
+	plan := placement.Compute(&f.in)
 	return FindInversions(f.in.Requests, teams, plan.Starts, f.in.Machines)
 }
 
--- a/rebalance/rebalance.go
+++ b/rebalance/rebalance.go
@@ -17,7 +17,7 @@
 	CapacityThreshold float64
 }
 
-func (p *Policy) of(r placement.Res) float64 {
+func (p *Policy) of(r placement.Resources) float64 {
 	switch p.Resource {
 	case "cpus":
 		return r.CPU
@@ -30,15 +30,15 @@
 // Task is a task on a host.
 type Task struct {
 	Ref     placement.Task
-	Need    placement.Res
+	Need    placement.Resources
 	Movable bool
 	Spot    bool // may run on spot machines
 }
 
 // Host is a machine of the group.
 type Host struct {
-	Cap   placement.Res
-	Used  placement.Res
+	Cap   placement.Resources
+	Used  placement.Resources
 	Spot  bool
 	Tasks []Task
 }
@@ -48,7 +48,7 @@
 	Policies []Policy
 	Hosts    []Host
 	Budget   int
-	Wanted   []placement.Res // what waits and fits nowhere
+	Wanted   []placement.Resources // what waits and fits nowhere
 }
 
 // Move takes a task from one host to another, by their places in the group.
@@ -58,7 +58,7 @@
 }
 
 // score is booked over capacity, for a policy.
-func score(p *Policy, capacity, used placement.Res) float64 {
+func score(p *Policy, capacity, used placement.Resources) float64 {
 	c := p.of(capacity)
 	if c <= 0 {
 		return 0
@@ -87,7 +87,7 @@
 	return combined, above
 }
 
-func (g *Group) weight(capacity, r placement.Res) float64 {
+func (g *Group) weight(capacity, r placement.Resources) float64 {
 	sum := 0.0
 	for i := range g.Policies {
 		sum += g.Policies[i].Weight * score(&g.Policies[i], capacity, r)
@@ -112,7 +112,7 @@
 		x, y := &g.Hosts[order[a]], &g.Hosts[order[b]]
 		return g.weight(x.Cap, x.Used) < g.weight(y.Cap, y.Used)
 	})
-	used := make([]placement.Res, len(g.Hosts))
+	used := make([]placement.Resources, len(g.Hosts))
 	draining := make([]bool, len(g.Hosts))
 	receiving := make([]bool, len(g.Hosts))
 	for i := range g.Hosts {
@@ -148,19 +148,19 @@
 			receiving[mv.To] = true
 		}
 		moves = append(moves, got...)
-		wanted = append(append([]placement.Res(nil), wanted[:want]...), wanted[want+1:]...)
+		wanted = append(append([]placement.Resources(nil), wanted[:want]...), wanted[want+1:]...)
 	}
 	return moves
 }
 
 // drain finds a place for every task of a host, or returns nil.
-func (g *Group) drain(from int, used []placement.Res, draining []bool) []Move {
+func (g *Group) drain(from int, used []placement.Resources, draining []bool) []Move {
 	h := &g.Hosts[from]
 	tasks := append([]Task(nil), h.Tasks...)
 	sort.SliceStable(tasks, func(a, b int) bool {
 		return g.weight(h.Cap, tasks[a].Need) > g.weight(h.Cap, tasks[b].Need)
 	})
-	after := append([]placement.Res(nil), used...)
+	after := append([]placement.Resources(nil), used...)
 	var moves []Move
 	for _, t := range tasks {
 		if !t.Movable {
@@ -186,13 +186,13 @@
 		after[best] = after[best].Add(t.Need, 1)
 		moves = append(moves, Move{Task: t.Ref, From: from, To: best})
 	}
-	after[from] = placement.Res{}
+	after[from] = placement.Resources{}
 	copy(used, after)
 	return moves
 }
 
 // under says whether every projected score keeps to its capacity threshold.
-func (g *Group) under(capacity, used placement.Res) bool {
+func (g *Group) under(capacity, used placement.Resources) bool {
 	for i := range g.Policies {
 		p := &g.Policies[i]
 		if score(p, capacity, used) > p.CapacityThreshold+1e-9 {
--- a/rebalance/rebalance_test.go
+++ b/rebalance/rebalance_test.go
@@ -6,7 +6,7 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-var size = placement.Res{CPU: 16, GPU: 2, Mem: 128}
+var size = placement.Resources{CPU: 16, GPU: 2, Mem: 128}
 
 func host(n int, tasks ...Task) Host {
 	h := Host{Cap: size, Tasks: tasks}
@@ -18,18 +18,18 @@
 }
 
 func small(movable bool) Task {
-	return Task{Need: placement.Res{CPU: 6, GPU: 1, Mem: 48}, Movable: movable}
+	return Task{Need: placement.Resources{CPU: 6, GPU: 1, Mem: 48}, Movable: movable}
 }
 
 func group(hosts ...Host) Group {
 	return Group{
 		Policies: []Policy{{"cpus", 0.4, 0.2, 1}, {"gpus", 0.4, 0.2, 1}, {"memory", 0.2, 0.2, 1}},
-		Hosts:    hosts, Budget: 2, Wanted: []placement.Res{{CPU: 15, Mem: 26}},
+		Hosts:    hosts, Budget: 2, Wanted: []placement.Resources{{CPU: 15, Mem: 26}},
 	}
 }
 
 func TestColdestDrainsOntoTheFullest(t *testing.T) {
-	g := group(host(0, small(true)), host(1, small(true), small(true)), host(2, small(true)), host(3, Task{Need: placement.Res{CPU: 2, Mem: 8}, Movable: true}))
+	g := group(host(0, small(true)), host(1, small(true), small(true)), host(2, small(true)), host(3, Task{Need: placement.Resources{CPU: 2, Mem: 8}, Movable: true}))
 	moves := Plan(g)
 	if len(moves) != 1 || moves[0].From != 3 || moves[0].To != 1 {
 		t.Fatalf("moves %v: the least booked host should drain onto the fullest one", moves)
--- a/warmpool/pool_test.go
+++ b/warmpool/pool_test.go
@@ -244,21 +244,21 @@
 	replicas := Workload{Image: "llm-70b:v2", Team: "speech", Priority: 1, ModelPriority: 1}
 	for _, c := range []struct {
 		name string
-		want placement.Use
+		want placement.PoolAccess
 		as   func(w *Workload)
 	}{
-		{"a replica of a newer version", placement.Own, func(*Workload) {}},
-		{"a replica of a team that does not borrow", placement.Never, func(w *Workload) { w.Team = "guests" }},
-		{"clinic work", placement.Last, func(w *Workload) { w.Image, w.Team, w.Tier, w.ModelTier = "slicer", "clinic", 0, 1 }},
-		{"work of a higher priority", placement.Last, func(w *Workload) { w.Image, w.Team, w.Priority = "x", "guests", 0 }},
-		{"work that saves in time", placement.Lent, func(w *Workload) {
+		{"a replica of a newer version", placement.OwnerAccess, func(*Workload) {}},
+		{"a replica of a team that does not borrow", placement.NoAccess, func(w *Workload) { w.Team = "guests" }},
+		{"clinic work", placement.LastResortAccess, func(w *Workload) { w.Image, w.Team, w.Tier, w.ModelTier = "slicer", "clinic", 0, 1 }},
+		{"work of a higher priority", placement.LastResortAccess, func(w *Workload) { w.Image, w.Team, w.Priority = "x", "guests", 0 }},
+		{"work that saves in time", placement.BorrowAccess, func(w *Workload) {
 			w.Image, w.Team, w.Priority, w.Checkpoints, w.CheckpointSeconds = "x", "vision", 3, true, 5
 		}},
-		{"work that saves too slowly", placement.Never, func(w *Workload) {
+		{"work that saves too slowly", placement.NoAccess, func(w *Workload) {
 			w.Image, w.Team, w.Priority, w.Checkpoints, w.CheckpointSeconds = "x", "vision", 3, true, 50
 		}},
-		{"work that replicas may not stop", placement.Never, func(w *Workload) { w.Image, w.Team, w.Checkpoints = "x", "vision", true }},
-		{"a gang", placement.Never, func(w *Workload) { w.Image, w.Team, w.Priority, w.Checkpoints, w.Gang = "x", "vision", 3, true, true }},
+		{"work that replicas may not stop", placement.NoAccess, func(w *Workload) { w.Image, w.Team, w.Checkpoints = "x", "vision", true }},
+		{"a gang", placement.NoAccess, func(w *Workload) { w.Image, w.Team, w.Priority, w.Checkpoints, w.Gang = "x", "vision", 3, true, true }},
 	} {
 		w := replicas
 		c.as(&w)
--- a/warmpool/scaling.go
+++ b/warmpool/scaling.go
@@ -242,14 +242,14 @@
 
 // Access says what work may do with the pool's machines. What borrows has to give way
 // to replicas by the rules of priorities, and within the time that a burst leaves.
-func (p *Pool) Access(w *Workload) placement.Use {
+func (p *Pool) Access(w *Workload) placement.PoolAccess {
 	switch {
 	case p.Serves(w.Image) && p.AllowsTeam(w.Team):
-		return placement.Own
+		return placement.OwnerAccess
 	case w.Tier < w.ModelTier || w.Tier == w.ModelTier && w.Priority < w.ModelPriority:
-		return placement.Last
+		return placement.LastResortAccess
 	case p.AllowsTeam(w.Team) && !w.Gang && w.Priority > w.ModelPriority && w.Checkpoints && w.CheckpointSeconds <= p.Burst.WithinS:
-		return placement.Lent
+		return placement.BorrowAccess
 	}
-	return placement.Never
+	return placement.NoAccess
 }
