--- a/internal/cmd/yarntrial/main.go
+++ b/internal/cmd/yarntrial/main.go
@@ -204,27 +204,27 @@
 	if err != nil {
 		return err
 	}
-	m := client.NewMaster(t.cfg, r.GetAmRmToken())
+	m := client.NewApplicationMaster(t.cfg, r.GetAmRmToken())
 	defer m.Close()
 	if _, err := m.Register(long); err != nil {
 		return err
 	}
-	a := client.Ask{Priority: 1, Name: "*", Relax: true, MemoryMB: 2048, VCores: 1}
-	m.Want(a, n)
+	a := client.ContainerRequest{Priority: 1, ResourceName: "*", RelaxLocality: true, MemoryMB: 2048, VCores: 1}
+	m.Request(a, n)
 	for ctx.Err() == nil {
 		begun := time.Now()
-		news, err := m.Beat(long)
+		update, err := m.Heartbeat(long)
 		if err != nil {
 			return err
 		}
 		t.beats.add(time.Since(begun))
-		if len(news.Allocated) > 0 {
-			if _, err := m.Start(long, command, news.Allocated...); err != nil {
+		if len(update.Allocated) > 0 {
+			if _, err := m.Start(long, command, update.Allocated...); err != nil {
 				return err
 			}
 		}
-		if done := len(news.Completed); done > 0 {
-			m.Want(a, m.Wanted()+done)
+		if done := len(update.Completed); done > 0 {
+			m.Request(a, m.Pending()+done)
 		}
 		if die() {
 			t.gone.Add(1)
@@ -232,7 +232,7 @@
 		}
 		time.Sleep(every*9/10 + rand.N(every/5))
 	}
-	return m.Finish(long, true, "over")
+	return m.Finish(long, pb.FinalApplicationStatusProto_APP_SUCCEEDED, "over")
 }
 
 // killing kills nodes and masters in turn, and then waits for what may be left.
--- /dev/null
+++ b/yarn/client/failover.go
@@ -0,0 +1,139 @@
+package client
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/umberdeal/umberdeal/yarn/wire"
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// Config says where the service is.
+type Config struct {
+	Addrs   []string // of the nodes
+	Dial    wire.DialFunc
+	User    string
+	Timeout time.Duration // of one attempt at one node; 0 means 5 s
+}
+
+const defaultTimeout = 5 * time.Second
+
+// ErrNoAddress says that the configuration names no node.
+var ErrNoAddress = errors.New("yarn client: no address")
+
+// failoverConn is one protocol's connection to whichever node answers.
+type failoverConn struct {
+	cfg      Config
+	protocol string
+
+	mu    sync.Mutex
+	token *pb.TokenProto
+	node  int // index in cfg.Addrs, modulo their number
+	conn  *wire.Conn
+}
+
+// newFailoverConn begins at a random node, so that clients spread over all.
+func newFailoverConn(cfg Config, protocol string, token *pb.TokenProto) *failoverConn {
+	if cfg.Timeout <= 0 {
+		cfg.Timeout = defaultTimeout
+	}
+	return &failoverConn{cfg: cfg, protocol: protocol, token: token, node: rand.IntN(max(1, len(cfg.Addrs)))}
+}
+
+// connect returns the open connection, or opens one.
+func (f *failoverConn) connect(ctx context.Context) (*wire.Conn, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.conn != nil && f.conn.Err() == nil {
+		return f.conn, nil
+	}
+	if len(f.cfg.Addrs) == 0 {
+		return nil, ErrNoAddress
+	}
+	addr := f.cfg.Addrs[f.node%len(f.cfg.Addrs)]
+	conn, err := wire.Dial(ctx, f.cfg.Dial, addr, f.protocol, f.cfg.User, f.token)
+	if err != nil {
+		f.node++
+		return nil, err
+	}
+	f.conn = conn
+	return conn, nil
+}
+
+// abandon closes the connection to a node that does not answer; the next call goes to the
+// next node.
+func (f *failoverConn) abandon(conn *wire.Conn) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.conn == conn && conn != nil {
+		f.conn.Close()
+		f.conn = nil
+		f.node++
+	}
+}
+
+// setToken sets the token of connections to come.
+func (f *failoverConn) setToken(token *pb.TokenProto) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.token = token
+}
+
+func (f *failoverConn) close() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.conn != nil {
+		f.conn.Close()
+	}
+}
+
+// isRetriable says whether a call may succeed when it is repeated.
+func isRetriable(err error) bool {
+	var remote *wire.Error
+	return !errors.As(err, &remote) || remote.Class == wire.ClassRetriable || remote.Class == wire.ClassStandby
+}
+
+// call makes a call, and retries it over all nodes until it is answered or ctx ends.
+func (f *failoverConn) call(ctx context.Context, method string, in, out proto.Message) error {
+	for attempt := 0; ; attempt++ {
+		err := f.attempt(ctx, method, in, out)
+		if err == nil || !isRetriable(err) {
+			return err
+		}
+		timer := time.NewTimer(backoff(attempt))
+		select {
+		case <-timer.C:
+		case <-ctx.Done():
+			timer.Stop()
+			return fmt.Errorf("yarn client: %s: %w", method, errors.Join(ctx.Err(), err))
+		}
+	}
+}
+
+// attempt makes a call at one node.
+func (f *failoverConn) attempt(ctx context.Context, method string, in, out proto.Message) error {
+	ctx, cancel := context.WithTimeout(ctx, f.cfg.Timeout)
+	defer cancel()
+	conn, err := f.connect(ctx)
+	if err != nil {
+		return err
+	}
+	proto.Reset(out)
+	err = conn.Call(ctx, method, in, out)
+	var remote *wire.Error
+	if err != nil && !errors.As(err, &remote) {
+		f.abandon(conn)
+	}
+	return err
+}
+
+// backoff is the jittered pause after an attempt, which grows to 50 to 1650 ms.
+func backoff(attempt int) time.Duration {
+	return time.Duration(50+rand.IntN(100<<min(attempt, 4))) * time.Millisecond
+}
--- a/yarn/door_test.go
+++ b/yarn/door_test.go
@@ -53,7 +53,7 @@
 		for _, n := range w.Nodes() {
 			addrs = append(addrs, n+":8032")
 		}
-		y := &yarnUser{t: t, cfg: client.Config{Addrs: addrs, Dial: w.Network.Dial("am"), User: "ann", Each: 3 * time.Second}}
+		y := &yarnUser{t: t, cfg: client.Config{Addrs: addrs, Dial: w.Network.Dial("am"), User: "ann", Timeout: 3 * time.Second}}
 		y.c = client.New(y.cfg)
 		defer y.c.Close()
 		play(t, w, y)
@@ -72,7 +72,7 @@
 func (y *yarnUser) ctx() context.Context { return y.t.Context() }
 
 // app submits an unmanaged application and returns its registered master.
-func (y *yarnUser) app() (*pb.ApplicationIdProto, *client.Master) {
+func (y *yarnUser) app() (*pb.ApplicationIdProto, *client.ApplicationMaster) {
 	y.t.Helper()
 	id, _, err := y.c.NewApplication(y.ctx())
 	if err != nil {
@@ -85,7 +85,7 @@
 	if err != nil {
 		y.t.Fatal(err)
 	}
-	m := client.NewMaster(y.cfg, r.GetAmRmToken())
+	m := client.NewApplicationMaster(y.cfg, r.GetAmRmToken())
 	if _, err := m.Register(y.ctx()); err != nil {
 		y.t.Fatal(err)
 	}
@@ -102,8 +102,8 @@
 }
 
 // two CPUs, four GB.
-func small(prio int32) client.Ask {
-	return client.Ask{Priority: prio, Name: "*", Relax: true, MemoryMB: 4096, VCores: 2}
+func small(prio int32) client.ContainerRequest {
+	return client.ContainerRequest{Priority: prio, ResourceName: "*", RelaxLocality: true, MemoryMB: 4096, VCores: 2}
 }
 
 var launch = &pb.ContainerLaunchContextProto{Command: []string{"render --tile 7"}, Environment: []*pb.StringStringMapProto{
@@ -112,14 +112,14 @@
 
 // run heartbeats for a while, starting what is allocated, and returns how
 // containers ended, by exit status, and how many were about to be preempted.
-func (y *yarnUser) run(m *client.Master, for_ time.Duration) (ends map[int32]int, warned int) {
+func (y *yarnUser) run(m *client.ApplicationMaster, for_ time.Duration) (ends map[int32]int, warned int) {
 	y.t.Helper()
 	ends = map[int32]int{}
 	var todo []*pb.ContainerProto
 	for end := time.Now().Add(for_); time.Now().Before(end); time.Sleep(time.Second) {
 		ctx, cancel := context.WithTimeout(y.ctx(), 90*time.Second)
-		news, err := m.Beat(ctx)
-		todo = append(todo, news.Allocated...)
+		update, err := m.Heartbeat(ctx)
+		todo = append(todo, update.Allocated...)
 		if err == nil && len(todo) > 0 {
 			var failed map[int64]string
 			failed, err = m.Start(ctx, launch, todo...)
@@ -130,11 +130,11 @@
 		if err != nil {
 			y.t.Fatalf("heartbeat: %v", err)
 		}
-		warned += len(news.Preempting)
-		for _, s := range news.Completed {
+		warned += len(update.Preempting)
+		for _, s := range update.Completed {
 			ends[s.GetExitStatus()]++
 		}
-		if news.Shutdown {
+		if update.Shutdown {
 			break
 		}
 	}
@@ -154,11 +154,11 @@
 	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		id, m := y.app()
 		defer m.Close()
-		m.Want(small(1), 6)
-		if ends, _ := y.run(m, 30*time.Second); len(ends) != 0 || w.Started() != 6 || m.Wanted() != 0 {
-			t.Fatalf("%d started, %d wanted, ended %v", w.Started(), m.Wanted(), ends)
+		m.Request(small(1), 6)
+		if ends, _ := y.run(m, 30*time.Second); len(ends) != 0 || w.Started() != 6 || m.Pending() != 0 {
+			t.Fatalf("%d started, %d wanted, ended %v", w.Started(), m.Pending(), ends)
 		}
-		sts, err := m.Statuses(t.Context(), m.Has()[0].GetId())
+		sts, err := m.Statuses(t.Context(), m.Containers()[0].GetId())
 		if err != nil || len(sts) != 1 || sts[0].GetState() != pb.ContainerStateProto_C_RUNNING {
 			t.Errorf("statuses %v, %v", sts, err)
 		}
@@ -174,12 +174,12 @@
 				t.Errorf("%d contexts, one is %+v", shared, c)
 			}
 		}
-		m.Release(m.Has()[0].GetId())
+		m.Release(m.Containers()[0].GetId())
 		ends, _ := y.run(m, 50*time.Second)
 		if ends[yarn.ExitSuccess] != 5 || ends[yarn.ExitByMaster] != 1 {
 			t.Errorf("ended %v", ends)
 		}
-		if err := m.Finish(t.Context(), true, "all done"); err != nil {
+		if err := m.Finish(t.Context(), pb.FinalApplicationStatusProto_APP_SUCCEEDED, "all done"); err != nil {
 			t.Fatal(err)
 		}
 		if st := y.state(id); st != pb.YarnApplicationStateProto_FINISHED {
@@ -190,7 +190,7 @@
 			t.Errorf("killed after it had finished: %v", err)
 		}
 		time.Sleep(10 * time.Second)
-		if news, err := m.Beat(t.Context()); err == nil && !news.Shutdown {
+		if update, err := m.Heartbeat(t.Context()); err == nil && !update.Shutdown {
 			t.Error("a heartbeat after the end is answered as if nothing had happened")
 		}
 		noRecords(t, w)
@@ -209,8 +209,8 @@
 			_, m := y.app()
 			native := scenario.Job(100, func(j *wire.Job) { j.CPUs, j.MemoryGB, j.Tasks = float64(c.cpus), float64(c.mem), 1 })
 			status, words := w.SubmitRefused(0, native)
-			m.Want(client.Ask{Priority: 1, Name: "*", Relax: true, MemoryMB: c.mem * 1024, VCores: c.cpus}, 1)
-			_, err := m.Beat(t.Context())
+			m.Request(client.ContainerRequest{Priority: 1, ResourceName: "*", RelaxLocality: true, MemoryMB: c.mem * 1024, VCores: c.cpus}, 1)
+			_, err := m.Heartbeat(t.Context())
 			if status != http.StatusUnprocessableEntity || !ywire.IsClass(err, ywire.ClassBadRequest) || !strings.HasSuffix(err.Error(), words) {
 				t.Errorf("%d CPUs, %d GB: native %d %q, container %v", c.cpus, c.mem, status, words, err)
 			}
@@ -220,15 +220,15 @@
 		defer m.Close()
 		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 4, 30 }))
 		for n := range 10 {
-			m.Want(small(int32(n)), 4) // 80 CPUs in pieces, beside 8 of the job's
+			m.Request(small(int32(n)), 4) // 80 CPUs in pieces, beside 8 of the job's
 			y.run(m, 2*time.Second)
 		}
-		if got := len(m.Has()); got != 6 && got != 10 {
+		if got := len(m.Containers()); got != 6 && got != 10 {
 			t.Errorf("%d containers beside a job, 20 CPUs being the limit", got)
 		}
 		scenario.MustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
 		y.run(m, 15*time.Second)
-		if got := len(m.Has()); got != 10 {
+		if got := len(m.Containers()); got != 10 {
 			t.Errorf("%d containers, 20 CPUs being the limit", got)
 		}
 		if err := y.c.Kill(t.Context(), id); err != nil {
@@ -244,18 +244,18 @@
 func TestAMasterThatIsGoneLeavesNoOrphan(t *testing.T) {
 	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		id, m := y.app()
-		m.Want(small(1), 4)
+		m.Request(small(1), 4)
 		y.run(m, 12*time.Second)
-		m.Want(small(2), 3)
+		m.Request(small(2), 3)
 		for range 4 { // allocated and told, and never started
-			if _, err := m.Beat(t.Context()); err != nil {
+			if _, err := m.Heartbeat(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second)
 		}
 		m.Close()
-		if w.Started() != 4 || len(m.Has()) != 7 {
-			t.Fatalf("%d started, %d had", w.Started(), len(m.Has()))
+		if w.Started() != 4 || len(m.Containers()) != 7 {
+			t.Fatalf("%d started, %d had", w.Started(), len(m.Containers()))
 		}
 		time.Sleep(70 * time.Second)
 		if st := y.state(id); st != pb.YarnApplicationStateProto_FAILED {
@@ -273,14 +273,14 @@
 	yarnWorld(t, fake.Options{Machines: 1, Capacity: 1}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		_, m := y.app()
 		defer m.Close()
-		m.Want(small(1), 4)
+		m.Request(small(1), 4)
 		ends := map[int32]int{}
 		for range 45 {
-			news, err := m.Beat(t.Context())
+			update, err := m.Heartbeat(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, s := range news.Completed {
+			for _, s := range update.Completed {
 				ends[s.GetExitStatus()]++
 			}
 			time.Sleep(time.Second)
@@ -318,9 +318,9 @@
 			yarnWorld(t, fake.Options{Machines: 4, ReportIntervalS: 5, LeaseS: 27}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 				id, m := y.app()
 				defer m.Close()
-				m.Want(small(1), 5)
+				m.Request(small(1), 5)
 				y.run(m, 14*time.Second)
-				m.Want(small(2), 30) // more than there is room for: it stays asked for
+				m.Request(small(2), 30) // more than there is room for: it stays asked for
 				y.run(m, 3*time.Second)
 				before := w.Started()
 				var wg sync.WaitGroup
@@ -339,7 +339,7 @@
 					t.Errorf("ended %v", ends)
 				}
 				seen := map[int64]bool{}
-				for _, ct := range m.Has() {
+				for _, ct := range m.Containers() {
 					if seen[ct.GetId().GetId()] {
 						t.Errorf("id %d twice", ct.GetId().GetId())
 					}
@@ -387,9 +387,9 @@
 		if other.GetId() <= id.GetId()+50 || other.GetClusterTimestamp() != id.GetClusterTimestamp() {
 			t.Errorf("%v after %v", other, id)
 		}
-		m.Want(small(1), 2)
+		m.Request(small(1), 2)
 		y.run(m, 20*time.Second)
-		if len(m.Has()) == 0 && w.Started() == 0 {
+		if len(m.Containers()) == 0 && w.Started() == 0 {
 			t.Error("it runs nothing")
 		}
 	})
@@ -462,32 +462,32 @@
 	yarnWorld(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
 		_, m := y.app()
 		defer m.Close()
-		m.Want(small(1), 8)
+		m.Request(small(1), 8)
 		y.run(m, 12*time.Second)
 		if w.Started() != 8 {
 			t.Fatalf("%d started", w.Started())
 		}
-		m.Want(small(1), 0)
+		m.Request(small(1), 0)
 		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Priority, j.Tasks, j.CPUs, j.EstimateS = wire.PriorityHigh, 1, 8, 10 }))
 		ends, warned := y.run(m, 20*time.Second)
 		if ends[yarn.ExitPreempted] != 4 || warned == 0 {
 			t.Errorf("ended %v, warned of %d", ends, warned)
 		}
 		scenario.MustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
-		m.Want(small(2), 2)
+		m.Request(small(2), 2)
 		y.run(m, 8*time.Second)
-		busy := m.Has()[0].GetNodeId().GetHost()
+		busy := m.Containers()[0].GetNodeId().GetHost()
 		w.KillMachine(busy)
 		ends, _ = y.run(m, 30*time.Second)
 		if ends[yarn.ExitAborted] == 0 {
 			t.Errorf("ended %v when a machine died", ends)
 		}
-		m.Want(small(3), 2)
+		m.Request(small(3), 2)
 		y.run(m, 8*time.Second)
-		if len(m.Has()) == 0 {
+		if len(m.Containers()) == 0 {
 			t.Fatal("no container")
 		}
-		w.SendInterruptionNotice(m.Has()[0].GetNodeId().GetHost(), 15*time.Second)
+		w.SendInterruptionNotice(m.Containers()[0].GetNodeId().GetHost(), 15*time.Second)
 		if ends, warned = y.run(m, 12*time.Second); ends[yarn.ExitPreempted] == 0 || warned == 0 {
 			t.Errorf("ended %v, warned of %d, at a notice", ends, warned)
 		}
@@ -617,11 +617,11 @@
 					go func() {
 						defer wg.Done()
 						defer m.Close()
-						m.Want(small(int32(k)), 8)
+						m.Request(small(int32(k)), 8)
 						ends, _ := y.run(m, time.Until(over)-time.Duration(k)*10*time.Second)
 						ended.Add(int64(ends[yarn.ExitSuccess]))
 						if k > 0 { // one master just goes away
-							if err := m.Finish(t.Context(), true, ""); err != nil {
+							if err := m.Finish(t.Context(), pb.FinalApplicationStatusProto_APP_SUCCEEDED, ""); err != nil {
 								t.Errorf("finish: %v", err)
 							}
 						}
@@ -704,15 +704,15 @@
 			// Each has a master of its own, so that a refusal leaves the others be.
 			_, m := y.app()
 			defer m.Close()
-			m.Want(client.Ask{Priority: int32(i), Name: "*", Relax: true, VCores: int32(s.cpus), MemoryMB: int64(s.memGB * 1024), GPUs: int64(s.gpu), GPUName: "yarn.io/gpu"}, s.n)
+			m.Request(client.ContainerRequest{Priority: int32(i), ResourceName: "*", RelaxLocality: true, VCores: int32(s.cpus), MemoryMB: int64(s.memGB * 1024), GPUs: int64(s.gpu), GPUName: "yarn.io/gpu"}, s.n)
 			words := ""
 			for range 5 {
-				news, err := m.Beat(t.Context())
+				update, err := m.Heartbeat(t.Context())
 				var e *ywire.Error
 				if errors.As(err, &e) {
 					words = e.Text
-				} else if len(news.Allocated) > 0 {
-					if _, err := m.Start(t.Context(), launch, news.Allocated...); err != nil {
+				} else if len(update.Allocated) > 0 {
+					if _, err := m.Start(t.Context(), launch, update.Allocated...); err != nil {
 						t.Fatal(err)
 					}
 				}
@@ -735,19 +735,19 @@
 		_, m := y.app()
 		defer m.Close()
 		node := w.Cloud.Machines()[3]
-		strict := func(prio int32, name string) client.Ask {
-			return client.Ask{Priority: prio, Name: name, MemoryMB: 1024, VCores: 1}
+		strict := func(prio int32, name string) client.ContainerRequest {
+			return client.ContainerRequest{Priority: prio, ResourceName: name, MemoryMB: 1024, VCores: 1}
 		}
-		m.Want(strict(1, node), 2)
+		m.Request(strict(1, node), 2)
 		y.run(m, 5*time.Second) // before others take the room there
-		m.Want(strict(2, "/b"), 4)
+		m.Request(strict(2, "/b"), 4)
 		labelled := small(3)
-		labelled.Label = "zone-b"
-		m.Want(labelled, 2)
-		m.Want(strict(4, "host-999999"), 1) // never there: it waits, and holds nobody up
+		labelled.NodeLabel = "zone-b"
+		m.Request(labelled, 2)
+		m.Request(strict(4, "host-999999"), 1) // never there: it waits, and holds nobody up
 		y.run(m, 15*time.Second)
 		got := map[int32]int{}
-		for _, c := range m.Has() {
+		for _, c := range m.Containers() {
 			at, prio := c.GetNodeId().GetHost(), c.GetPriority().GetPriority()
 			got[prio]++
 			if prio == 1 && at != node || prio != 1 && w.ZoneOf(at) != "b" {
@@ -757,22 +757,22 @@
 		if got[1] != 2 || got[2] != 4 || got[3] != 2 || len(got) != 3 {
 			t.Errorf("allocated by priority: %v", got)
 		}
-		m.Want(strict(4, "host-999999"), 0)
-		m.Shun([]string{node}, nil)
-		m.Want(small(5), 14)
+		m.Request(strict(4, "host-999999"), 0)
+		m.UpdateBlacklist([]string{node}, nil)
+		m.Request(small(5), 14)
 		y.run(m, 15*time.Second)
-		for _, c := range m.Has() {
+		for _, c := range m.Containers() {
 			if c.GetPriority().GetPriority() == 5 && c.GetNodeId().GetHost() == node {
 				t.Errorf("a container on %s, which is shunned", node)
 			}
 		}
-		if got := len(m.Has()); got < 20 {
+		if got := len(m.Containers()); got < 20 {
 			t.Errorf("only %d containers beside a shunned node", got)
 		}
 		bad := labelled
-		bad.Label = "nowhere"
-		m.Want(bad, 1)
-		if _, err := m.Beat(t.Context()); !ywire.IsClass(err, ywire.ClassBadRequest) {
+		bad.NodeLabel = "nowhere"
+		m.Request(bad, 1)
+		if _, err := m.Heartbeat(t.Context()); !ywire.IsClass(err, ywire.ClassBadRequest) {
 			t.Errorf("an unknown label is answered %v", err)
 		}
 	})
@@ -785,7 +785,7 @@
 		_, m := y.app()
 		defer m.Close()
 		for i := range 6 {
-			m.Want(small(int32(i)), 2)
+			m.Request(small(int32(i)), 2)
 			go func() {
 				time.Sleep(time.Duration(i) * 9 * time.Millisecond)
 				for k := range w.Nodes() {
@@ -799,8 +799,8 @@
 			y.run(m, 8*time.Second)
 		}
 		y.run(m, 10*time.Second)
-		if n := len(m.Has()); n != 12 || w.Started() != 12 || m.Wanted() != 0 {
-			t.Errorf("%d had and %d started of 12, %d still wanted", n, w.Started(), m.Wanted())
+		if n := len(m.Containers()); n != 12 || w.Started() != 12 || m.Pending() != 0 {
+			t.Errorf("%d had and %d started of 12, %d still wanted", n, w.Started(), m.Pending())
 		}
 	})
 }
