--- a/cluster/cloudlist.go
+++ b/cluster/cloudlist.go
@@ -13,7 +13,7 @@
 func (m *Model) ApplyCloudList(list []wire.ListedMachine, now time.Time) {
 	for i := range list {
 		l := &list[i]
-		_, known := m.machineIndex[l.Name]
+		known := m.machineNamed(l.Name) != nil
 		mc := m.findOrAddMachine(l.Name, now)
 		if mc.Gone {
 			continue
--- a/cluster/failurehistory_test.go
+++ b/cluster/failurehistory_test.go
@@ -86,12 +86,12 @@
 	put("wk-000001", 0, 8)
 	put("wk-000002", 1, 4) // two of them wait
 	m.Schedule(at(2), 0)
-	for ref := range m.Machines[m.machineIndex["h-gpu"]].Tasks {
+	for ref := range m.machineNamed("h-gpu").Tasks {
 		if m.Jobs[ref.Job].Need.GPU == 0 {
 			t.Error("a task without need of GPUs took the place of one that waits for them")
 		}
 	}
-	if n := len(m.Machines[m.machineIndex["h-plain"]].Tasks); n != 2 {
+	if n := len(m.machineNamed("h-plain").Tasks); n != 2 {
 		t.Errorf("%d tasks on the machine without GPUs", n)
 	}
 }
--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -50,6 +50,6 @@
 // IsNewerHeartbeat reports whether ApplyHeartbeat would apply a heartbeat with this
 // session and sequence number.
 func (m *Model) IsNewerHeartbeat(machine string, session, seq uint64) bool {
-	i, known := m.machineIndex[machine]
-	return !known || !m.Machines[i].Gone && m.Machines[i].isNewer(session, seq)
+	mc := m.machineNamed(machine)
+	return mc == nil || !mc.Gone && mc.isNewer(session, seq)
 }
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -55,12 +55,8 @@
 // it has sent its next heartbeat, so that a launch which that heartbeat does not list was
 // not executed, and never will be.
 func (m *Model) AnswerRetry(r *wire.Report, via string) (cmds []wire.Command, ok bool) {
-	i, known := m.machineIndex[r.Machine]
-	if !known {
-		return nil, false
-	}
-	mc := m.Machines[i]
-	if mc.Gone || !mc.Up || mc.AgentEpoch != r.Session || mc.Seq != r.Seq {
+	mc := m.machineNamed(r.Machine)
+	if mc == nil || mc.Gone || !mc.Up || mc.AgentEpoch != r.Session || mc.Seq != r.Seq {
 		return nil, false
 	}
 	if mc.LastAnswered.Before(mc.LastSeen) {
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -15,14 +15,6 @@
 	wire.PriorityProduction: 0, wire.PriorityHigh: 1, wire.PriorityNormal: 2, wire.PriorityLow: 3,
 }
 
-// Job finds a job by its id.
-func (m *Model) Job(id string) *Job {
-	if i, ok := m.jobIndex[id]; ok {
-		return m.Jobs[i]
-	}
-	return nil
-}
-
 // ApplyJobRecord adds the job of an active record. For a job that the model has, it applies a
 // newer version of the record, in which only the reservation may have changed.
 func (m *Model) ApplyJobRecord(id string, rec jobstore.JobRecord, version uint64, now time.Time) {
@@ -57,19 +49,19 @@
 		PlacedByZone: make([]int, len(m.Zones)), failures: &failureHistory{},
 		reservation: newReservation(rec.Reservation, s.Tasks),
 	}
-	if t, ok := m.teamIndex[s.Team]; ok {
+	if t, ok := m.names.teams[s.Team]; ok {
 		j.Team = t
 	}
 	if s.Zone != "" {
 		j.Zone = math.MaxInt32 // a zone that is not there fits nothing
-		if z, ok := m.zoneIndex[s.Zone]; ok {
+		if z, ok := m.names.zones[s.Zone]; ok {
 			j.Zone = z
 		}
 	}
 	m.setTier(j)
 	m.Jobs = append(m.Jobs, j)
 	m.openIndexes = append(m.openIndexes, j.Index)
-	m.jobIndex[id] = j.Index
+	m.names.jobs[id] = j.Index
 	return j
 }
 
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -87,12 +87,8 @@
 // MachineGone applies proof that a machine is gone, that is, a deletion which the cloud has
 // confirmed. Unlike a lease expiry this is final: later heartbeats are ignored.
 func (m *Model) MachineGone(name string, now time.Time) {
-	i, ok := m.machineIndex[name]
-	if !ok {
-		return
-	}
-	mc := m.Machines[i]
-	if mc.Gone {
+	mc := m.machineNamed(name)
+	if mc == nil || mc.Gone {
 		return
 	}
 	mc.Gone, mc.Up = true, false
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -69,8 +69,8 @@
 
 // findOrAddMachine finds or makes a machine.
 func (m *Model) findOrAddMachine(name string, now time.Time) *Machine {
-	if i, ok := m.machineIndex[name]; ok {
-		return m.Machines[i]
+	if mc := m.machineNamed(name); mc != nil {
+		return mc
 	}
 	mc := &Machine{
 		Index: int32(len(m.Machines)), Name: name, Type: -1, Zone: -1, Tasks: map[TaskRef]bool{},
@@ -78,13 +78,13 @@
 	}
 	m.longestMachineName = max(m.longestMachineName, len(name))
 	m.Machines = append(m.Machines, mc)
-	m.machineIndex[name] = mc.Index
+	m.names.machines[name] = mc.Index
 	return mc
 }
 
 func (m *Model) describe(mc *Machine, typ, zone string, spot bool) {
 	mc.TypeName, mc.Type, mc.Spot = typ, m.machineTypeIndex(typ), spot
-	z, ok := m.zoneIndex[zone]
+	z, ok := m.names.zones[zone]
 	if !ok {
 		mc.Zone = -1
 		return
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -26,15 +26,15 @@
 // indices, since machines refer to them; types that are no longer listed are kept.
 func (m *Model) SetMachineTypes(types []wire.MachineType) {
 	for _, t := range types {
-		idx, ok := m.typeIndex[t.Name]
+		idx, ok := m.names.machineTypes[t.Name]
 		if !ok {
 			idx = len(m.MachineTypes)
-			m.typeIndex[t.Name] = idx
+			m.names.machineTypes[t.Name] = idx
 			m.MachineTypes = append(m.MachineTypes, MachineType{})
 		}
 		zones := make([]bool, len(m.Zones))
 		for _, z := range t.ZonesNamed {
-			if i, ok := m.zoneIndex[z]; ok {
+			if i, ok := m.names.zones[z]; ok {
 				zones[i] = true
 			}
 		}
@@ -63,7 +63,7 @@
 }
 
 func (m *Model) machineTypeIndex(name string) int {
-	if i, ok := m.typeIndex[name]; ok {
+	if i, ok := m.names.machineTypes[name]; ok {
 		return i
 	}
 	return -1
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -56,11 +56,7 @@
 	clockDrift         float64
 	teams              []placement.Team
 	guarantees         []placement.Resources
-	zoneIndex          map[string]int
-	teamIndex          map[string]int
-	typeIndex          map[string]int
-	machineIndex       map[string]int32
-	jobIndex           map[string]int32
+	names              nameIndex
 	images             imageCatalog
 	openIndexes        []int32 // jobs that may be in the model
 	dirtyJobs          []int32 // jobs that may be done, or out of the model
@@ -90,16 +86,15 @@
 func New(cfg *config.Settings, token uint64, now time.Time, log *slog.Logger) *Model {
 	m := &Model{
 		FencingToken: token, ElectedAt: now, Zones: cfg.Cluster.Zones, settings: cfg, log: log, clockDrift: config.Drift,
-		zoneIndex: map[string]int{}, teamIndex: map[string]int{}, typeIndex: map[string]int{},
-		machineIndex: map[string]int32{}, jobIndex: map[string]int32{}, images: newImageCatalog(),
+		names: newNameIndex(), images: newImageCatalog(),
 		refusedOffers: newOfferRefusals(), RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*classStats{}, admissionPages: map[string]*admissionPage{},
 		Observer: noObserver{},
 	}
 	for i, z := range cfg.Cluster.Zones {
-		m.zoneIndex[z] = i
+		m.names.zones[z] = i
 	}
 	for i, t := range cfg.Cluster.Teams {
-		m.teamIndex[t.Name] = i
+		m.names.teams[t.Name] = i
 		m.teams = append(m.teams, placement.Team{Max: placement.Resources{CPU: t.CPUsMax, GPU: t.GPUsMax}})
 		m.guarantees = append(m.guarantees, placement.Resources{CPU: t.CPUs, GPU: t.GPUs})
 	}
--- /dev/null
+++ b/cluster/names.go
@@ -0,0 +1,34 @@
+package cluster
+
+// nameIndex finds zones, teams, machine types, machines and jobs by their names. Its values
+// are indices into the slices of the model that hold them; an index is never reused.
+type nameIndex struct {
+	zones        map[string]int
+	teams        map[string]int
+	machineTypes map[string]int
+	machines     map[string]int32
+	jobs         map[string]int32 // only jobs that are in the model
+}
+
+func newNameIndex() nameIndex {
+	return nameIndex{
+		zones: map[string]int{}, teams: map[string]int{}, machineTypes: map[string]int{},
+		machines: map[string]int32{}, jobs: map[string]int32{},
+	}
+}
+
+// Job finds a job by its id; nil if it is not in the model.
+func (m *Model) Job(id string) *Job {
+	if i, ok := m.names.jobs[id]; ok {
+		return m.Jobs[i]
+	}
+	return nil
+}
+
+// machineNamed finds a machine by its name; nil if the model has never heard of it.
+func (m *Model) machineNamed(name string) *Machine {
+	if i, ok := m.names.machines[name]; ok {
+		return m.Machines[i]
+	}
+	return nil
+}
--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -14,7 +14,7 @@
 // as beyond the guarantee, whichever job it was of.
 func TestTeamsDoNotStopEachOthersWorkInTurn(t *testing.T) {
 	m := newModel(5)
-	m.teamIndex = map[string]int{"one": 0, "two": 1}
+	m.names.teams = map[string]int{"one": 0, "two": 1}
 	m.teams = []placement.Team{{}, {}}
 	m.guarantees = []placement.Resources{{CPU: 4}, {CPU: 4}}
 	put := func(id, team string, atS float64) {
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -37,7 +37,7 @@
 		if p == nil || p.Attempt != mv.Attempt {
 			continue
 		}
-		if i, ok := m.machineIndex[mv.From]; ok && p.Machine == i {
+		if i, ok := m.names.machines[mv.From]; ok && p.Machine == i {
 			m.StopTask(ref, StopMoveResumed, now)
 		}
 	}
@@ -70,7 +70,7 @@
 			if p != nil || ref.Job != j.Index || m.Jobs[ref.Job] != j || !ownTask(j, mv.Task) {
 				continue
 			}
-			to, ok := m.machineIndex[mv.To]
+			to, ok := m.names.machines[mv.To]
 			if !ok {
 				continue
 			}
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -107,7 +107,7 @@
 		r.FreeRoomOnly = true // no other machine would do, rented or not
 	}
 	for _, n := range j.reservation.AvoidMachines {
-		if i, ok := m.machineIndex[n]; ok {
+		if i, ok := m.names.machines[n]; ok {
 			avoid[int(i)] = true
 		}
 	}
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -183,7 +183,7 @@
 			m.ApplyJobRecord(other.Job.ID, other, 1, at(0))
 			jobs := m.openJobs()
 			for _, k := range m.buildQueue(jobs, m.jobsWithinQuota(jobs), at(1)) {
-				if k.j.Spec.Class == "small" && k.req.Types[m.typeIndex["m"]] == c.keeps {
+				if k.j.Spec.Class == "small" && k.req.Types[m.names.machineTypes["m"]] == c.keeps {
 					t.Errorf("may go to a machine with GPUs: %t", !c.keeps)
 				}
 			}
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -33,7 +33,7 @@
 		if j == nil || j.Cancelled || j.Finished || j.DoneTasks > 0 || j.reservation == nil || j.reservation.Owner != owner || len(j.reservation.OnlyMachines) == 0 {
 			continue
 		}
-		i, known := m.machineIndex[j.reservation.OnlyMachines[0]]
+		i, known := m.names.machines[j.reservation.OnlyMachines[0]]
 		var e *warmpool.Member
 		if known && !m.Machines[i].Gone {
 			e = p.member(m.Machines[i])
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -262,7 +262,7 @@
 	}
 	p.record.FetchRefused = ""
 	for _, name := range p.NextFetches(own) {
-		idx := m.machineIndex[name]
+		idx := m.names.machines[name]
 		if e := p.member(m.Machines[idx]); e != nil && !e.Leaving {
 			p.fetchQueue = append(p.fetchQueue, idx)
 		}
@@ -330,7 +330,7 @@
 // scheduling pass.
 func (m *Model) applyScalingPlan(i int, p *warmPool, plan *warmpool.ScalingPlan, now time.Time) {
 	for _, name := range plan.Join {
-		m.joinPool(i, m.Machines[m.machineIndex[name]], now)
+		m.joinPool(i, m.machineNamed(name), now)
 	}
 	for _, name := range plan.Retain {
 		m.setLeaving(p, name, false)
@@ -339,7 +339,7 @@
 		m.setLeaving(p, name, true)
 	}
 	for _, name := range plan.Evict {
-		m.leavePool(p, m.Machines[m.machineIndex[name]], now)
+		m.leavePool(p, m.machineNamed(name), now)
 	}
 	p.scaleOut = plan.ScaleOut
 }
@@ -349,7 +349,7 @@
 func (m *Model) countMembers(p *warmPool, own []warmpool.Observation, joined int) {
 	p.record.Held, p.record.Warm, p.record.Fetching = 0, 0, 0
 	for k := range own {
-		if e := p.member(m.Machines[m.machineIndex[own[k].Machine]]); e == nil || e.Leaving {
+		if e := p.member(m.machineNamed(own[k].Machine)); e == nil || e.Leaving {
 			continue
 		}
 		p.record.Held++
@@ -363,7 +363,7 @@
 }
 
 func (m *Model) setLeaving(p *warmPool, name string, leaving bool) {
-	mc := m.Machines[m.machineIndex[name]]
+	mc := m.machineNamed(name)
 	if e := p.member(mc); e != nil {
 		e.Leaving = leaving
 		p.changed[p.shardOf[mc.Index]] = true
--- a/cluster/warm_pools_test.go
+++ b/cluster/warm_pools_test.go
@@ -96,7 +96,7 @@
 	markAllHeartbeats(m, at(300))
 	m.Schedule(at(300), 0)
 	for _, name := range m.SelectScaleIn(at(301), time.Minute) {
-		if mc := m.Machines[m.machineIndex[name]]; !mc.headroomAt.IsZero() {
+		if mc := m.machineNamed(name); !mc.headroomAt.IsZero() {
 			t.Errorf("%s is headroom, and returned", name)
 		}
 	}
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -195,7 +195,7 @@
 		m.takeOffPlacementPage(&j.Chunks[n])
 	}
 	m.Jobs[j.Index] = nil
-	delete(m.jobIndex, j.ID)
+	delete(m.names.jobs, j.ID)
 }
 
 // sortedRefs lists refs in an order that does not depend on the map's.
