--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -120,16 +120,6 @@
 	return r
 }
 
-// hasCostObjective says whether the deployment has an objective on what it pays.
-func (m *Model) hasCostObjective() bool {
-	for _, o := range m.settings.Cluster.Objectives {
-		if o.Kind == "price" || o.Kind == "cost" {
-			return true
-		}
-	}
-	return false
-}
-
 // headroomRequests are requests that no job has made: room kept for jobs that are
 // likely to come, where no objective speaks of the price.
 func (m *Model) headroomRequests(jobs []*Job, now time.Time) []placement.Request {
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -1,12 +1,9 @@
 package cluster
 
 import (
-	"math"
 	"slices"
 	"sort"
 	"time"
-
-	"github.com/umberdeal/umberdeal/placement"
 )
 
 const (
@@ -193,138 +190,6 @@
 	return out
 }
 
-type placeTimes []float64
-
-// occupyEarliest moves the earliest place back, to when it is free again. This is the
-// step that triage takes most often by far, and container/heap takes four
-// times as long for it.
-func (t placeTimes) occupyEarliest(by float64) {
-	x, i := t[0]+by, 0
-	for {
-		k := 2*i + 1
-		if k >= len(t) {
-			break
-		}
-		if k+1 < len(t) && t[k+1] < t[k] {
-			k++
-		}
-		if x <= t[k] {
-			break
-		}
-		t[i] = t[k]
-		i = k
-	}
-	t[i] = x
-}
-
-// checkpointEvery is after how many jobs the places are kept as they are then. What is
-// played again differs from one job on only: with 400 jobs of a start, playing
-// them from the first each time was nine tenths of the pass that placed them.
-const checkpointEvery = 16
-
-// simulation is the jobs of a class being played through, again and again.
-type simulation struct {
-	m           *Model
-	now         time.Time
-	checkpoints []placeTimes // element n is the state before job n*checkpointEvery
-	free        placeTimes
-}
-
-func (m *Model) newSimulation(places placeTimes, now time.Time) *simulation {
-	return &simulation{m: m, now: now, checkpoints: []placeTimes{places}, free: m.triage.buffer}
-}
-
-// run serves the jobs in their order on places that are free at the given
-// times, in seconds from now. The first so many jobs are those played last. It
-// returns the first that starts its last task later than it is due, or -1.
-func (p *simulation) run(jobs []*queued, same int) int {
-	from := min(same/checkpointEvery, len(p.checkpoints)-1)
-	p.checkpoints = p.checkpoints[:from+1]
-	free := append(p.free[:0], p.checkpoints[from]...)
-	p.free, p.m.triage.buffer = free, free
-	for i := from * checkpointEvery; i < len(jobs); i++ {
-		if i%checkpointEvery == 0 && i/checkpointEvery == len(p.checkpoints) {
-			p.checkpoints = append(p.checkpoints, append(placeTimes(nil), free...))
-		}
-		r := jobs[i]
-		due, delay := r.due.Sub(p.now).Seconds(), p.m.startupAndSpreadOf(r.j).startDelay()
-		n := len(r.req.Tasks)
-		last := 0.0
-		for range min(n, triageTasks) {
-			last = free[0]
-			free.occupyEarliest(r.runSeconds + delay)
-		}
-		if n > triageTasks {
-			last += float64(n-triageTasks) * r.runSeconds / float64(len(free))
-		}
-		// A job that is due at once is not given up for a place that is free. One of
-		// a batch window keeps its turn whatever becomes of its own objectives.
-		if !r.inWindow && last > max(due, 0)+0.5 {
-			return i
-		}
-	}
-	return -1
-}
-
-// placesFor says after how many seconds there is a place in a zone (-1: in any)
-// for a task like the job's, once for each. Places that tasks of higher priority hold are not
-// counted, since others of theirs are likely to follow; those of lower
-// priority can be had at once.
-func (m *Model) placesFor(j *Job, zone int, now time.Time) []float64 {
-	var out []float64
-	type end struct {
-		at   float64
-		need placement.Resources
-	}
-	for _, mc := range m.Machines {
-		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || zone >= 0 && zone != mc.Zone {
-			continue
-		}
-		room := m.MachineTypes[mc.Type].Capacity
-		if !m.Ready(mc, now) {
-			if eta, ok := m.bootTimeLeft(mc, now); ok {
-				for range tasksThatFit(j.Need, room) {
-					out = append(out, eta)
-				}
-			}
-			continue
-		}
-		var ends []end
-		for ref := range mc.Tasks {
-			o := m.Jobs[ref.Job]
-			if o.Priority <= j.Priority {
-				room = room.Add(o.Need, -1)
-			}
-			if o.Priority == j.Priority {
-				ends = append(ends, end{m.secondsLeft(o, ref.Task, now), o.Need})
-			}
-		}
-		n := tasksThatFit(j.Need, room)
-		for range n {
-			out = append(out, 0)
-		}
-		sort.Slice(ends, func(a, b int) bool { return ends[a].at < ends[b].at })
-		for _, e := range ends {
-			room = room.Add(e.need, 1)
-			for k := tasksThatFit(j.Need, room); n < k; n++ {
-				out = append(out, e.at)
-			}
-		}
-	}
-	return out
-}
-
-// tasksThatFit is how many tasks with a need fit into room.
-func tasksThatFit(need, room placement.Resources) int {
-	n := 1000.0
-	for _, x := range [][2]float64{{need.CPU, room.CPU}, {need.GPU, room.GPU}, {need.Mem, room.Mem}} {
-		if x[0] > 0 {
-			n = min(n, math.Floor(x[1]/x[0]+1e-6))
-		}
-	}
-	return int(max(n, 0))
-}
-
 // remainingWork is how many seconds what is left of a job would take on a single place.
 func (m *Model) remainingWork(j *Job, now time.Time) float64 {
 	sum, est := 0.0, m.expectedRunTime(j)
