--- a/cluster/batch_window_test.go
+++ b/cluster/batch_window_test.go
@@ -15,8 +15,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Nights until 08:00 and 07:00 on 1 January 2026, which is a Thursday; t0 is its
-// midnight.
+// twoRegions has batch windows until 08:00 and 07:00 on 1 January 2026, a Thursday; t0 is
+// its midnight.
 var twoRegions = plans.Region("brussels", `wed = "08:00", thu = "08:00", fri = "08:00"`, "18:00", 1800, `class = "tiles"`) +
 	plans.Region("tunis", `wed = "07:00", thu = "07:00", fri = "07:00"`, "18:00", 1800, `class = "halls"`)
 
@@ -32,10 +32,10 @@
 	m.SetPlan(Plan{Plan: p, Number: int(head), HeadVersion: head}, now)
 }
 
-// nightJob is of a class, accepted so many seconds after midnight.
-func windowJob(id, class string, tasks int, came, estimate float64) jobstore.JobRecord {
+// windowJob is a record of a job of a class, accepted so many seconds after midnight.
+func windowJob(id, class string, tasks int, acceptedAt, estimate float64) jobstore.JobRecord {
 	rec := arrayJob(id, tasks)
-	rec.AcceptedAtMs, rec.Job.Class, rec.Job.EstimateS, rec.Job.CPUs = at(came).UnixMilli(), class, estimate, 4
+	rec.AcceptedAtMs, rec.Job.Class, rec.Job.EstimateS, rec.Job.CPUs = at(acceptedAt).UnixMilli(), class, estimate, 4
 	return rec
 }
 
@@ -43,12 +43,12 @@
 	m := newModel(5)
 	applyPlan(t, m, 1, twoRegions, at(0))
 	m.settings.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "day", WithinS: 1000}, {Kind: "deadline", Class: "tiles", Times: 1}}
-	put := func(n int, class string, came, estimate float64, change func(*wire.Job)) {
-		rec := windowJob(fmt.Sprintf("wk-%06d", n), class, 1, came, estimate)
+	put := func(n int, class string, acceptedAt, estimate float64, change func(*wire.Job)) {
+		rec := windowJob(fmt.Sprintf("wk-%06d", n), class, 1, acceptedAt, estimate)
 		if change != nil {
 			change(&rec.Job)
 		}
-		m.ApplyJobRecord(rec.Job.ID, rec, 1, at(came))
+		m.ApplyJobRecord(rec.Job.ID, rec, 1, at(acceptedAt))
 	}
 	put(1, "day", 0, 60, nil)
 	put(2, "tiles", 10, 60, nil)
@@ -73,7 +73,8 @@
 	}
 }
 
-// leaders is a state service's memory of notes and of jobs that are over.
+// leaderSequence stands for the key-value store across leaders: it keeps the plan records
+// and the final records of jobs that they have committed.
 type leaderSequence struct {
 	t            *testing.T
 	planRecords  map[string]wire.Raw
@@ -81,7 +82,7 @@
 	model        *Model
 }
 
-// next is a new leader, who reads what was committed and learns of the jobs that
+// failover makes a new leader's model from what was committed and from the given jobs that
 // are not over.
 func (l *leaderSequence) failover(token uint64, now time.Time, text string, open ...jobstore.JobRecord) {
 	l.t.Helper()
@@ -98,7 +99,7 @@
 	l.model = m
 }
 
-// write commits what the leader wants to be written.
+// commitAll commits all that the leader wants written.
 func (l *leaderSequence) commitAll(now time.Time) {
 	for range 20 {
 		l.model.SetCompletionTime(now)
@@ -135,7 +136,7 @@
 	return rec
 }
 
-// finish lets a job's tasks be done, and its end be committed.
+// finish marks a job's tasks as done, so that its end can be committed.
 func (l *leaderSequence) finish(id string, now time.Time) {
 	j := l.model.Job(id)
 	for i := range j.Tasks {
@@ -163,8 +164,8 @@
 	brusselsOpening  = 8 * 3600
 )
 
-// A leader is lost around the opening, and the next one's clock is behind by all
-// that the time of day may be: the outcome is decided once, by when jobs ended.
+// The leader is lost around the opening, and the next one's clock is behind by the largest
+// clock skew allowed: the outcome is decided once, by the times at which jobs ended.
 func TestFailoverToSlowClockDecidesOutcomeOnce(t *testing.T) {
 	a, b := windowJob("wk-000001", "tiles", 1, 10, 60), windowJob("wk-000002", "tiles", 1, 20, 60)
 	for _, tc := range []struct {
@@ -199,7 +200,7 @@
 				}
 				if tc.noted {
 					l.commitAll(at(s))
-				} else if j := l.model.NextBatch(12); j != nil { // the end is committed, the note is not
+				} else if j := l.model.NextBatch(12); j != nil { // the end is committed, the plan record is not
 					for _, op := range j.Ops {
 						if id, ok := jobstore.ParseFinalKey(op.Put); ok {
 							l.finalRecords[id] = op.Value.(jobstore.JobRecord)
@@ -286,8 +287,8 @@
 	has("another leader leads", true)
 }
 
-// A record that can't be read takes nothing else with it: the night is counted anew
-// from the jobs that are not over, and comes out.
+// An unreadable record affects nothing else: the batch window is counted anew from the jobs
+// that are not over, and its outcome is decided.
 func TestUnreadableWindowRecordIsRebuiltFromOpenJobs(t *testing.T) {
 	job := windowJob("wk-000001", "tiles", 1, 10, 60)
 	l := &leaderSequence{t: t, planRecords: map[string]wire.Raw{jobstore.PlanStatePrefix + calendar.RecordName("brussels"): {0x81, 0xa1, 'n', 0x91, 0x81}}, finalRecords: map[string]jobstore.JobRecord{}}
@@ -301,7 +302,7 @@
 	}
 }
 
-// Nothing is written for regions to which nothing belongs.
+// Regions that no job belongs to get no record.
 func TestRegionWithoutJobsWritesNoRecord(t *testing.T) {
 	l := &leaderSequence{t: t, planRecords: map[string]wire.Raw{}, finalRecords: map[string]jobstore.JobRecord{}}
 	l.failover(5, at(0), twoRegions, windowJob("wk-000001", "tiles", 1, 10, 60), windowJob("wk-000002", "day", 1, 10, 60))
@@ -318,8 +319,8 @@
 	}
 }
 
-// What nights cost a leader of a large fleet: every second a look, every ten a
-// forecast.
+// BenchmarkBatchWindows measures what batch windows cost the leader of a large cluster: a
+// scan every second, a forecast every ten.
 func BenchmarkBatchWindows(b *testing.B) {
 	for _, forecast := range []bool{false, true} {
 		b.Run(fmt.Sprintf("forecast %v", forecast), func(b *testing.B) {
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -44,7 +44,7 @@
 			bootTimes: m.MachineTypes[idx].bootTimes,
 		}
 	}
-	m.windows.provision = windowProvision{} // its job may be out of the model, and know none of the new types
+	m.windows.cancelProvision() // its job may be out of the model, and know none of the new types
 	for _, mc := range m.Machines {
 		if mc.Type < 0 {
 			mc.Type = m.machineTypeIndex(mc.TypeName)
--- a/cluster/warm_pools_test.go
+++ b/cluster/warm_pools_test.go
@@ -9,7 +9,7 @@
 	"github.com/umberdeal/umberdeal/warmpool"
 )
 
-// pooled is a crowded model with pools that hold half of its machines.
+// newPoolModel makes a crowded model with warm pools that hold half of its machines.
 func newPoolModel(machines, jobs int) *Model {
 	m := crowded(machines, jobs)
 	p := &plan.Plan{}
@@ -21,14 +21,14 @@
 	return m
 }
 
-// heard is a moment at which all machines have just reported.
+// markAllHeartbeats sets the last heartbeat of all machines to now.
 func markAllHeartbeats(m *Model, now time.Time) {
 	for _, mc := range m.Machines {
 		mc.LastSeen, mc.LastAnswered, mc.TokenShown = now, now, true
 	}
 }
 
-// BenchmarkStepPools is what the pools take of a leader every two seconds.
+// BenchmarkTickPools measures what warm pools cost the leader every two seconds.
 func BenchmarkTickPools(b *testing.B) {
 	m := newPoolModel(1300, 400)
 	now := at(40)
@@ -44,7 +44,7 @@
 	b.ReportMetric(float64(held), "machines")
 }
 
-// What is joined is charged and kept, and what a pool takes is nobody else's.
+// Machines of warm pools are not scaled in when they are idle; all others are.
 func TestScaleInKeepsPoolMembers(t *testing.T) {
 	m := newPoolModel(12, 0)
 	for s := 30.0; s < 40; s += 2 {
@@ -63,9 +63,9 @@
 	}
 }
 
-// The room that is kept for jobs to come is idle, and renewed with each pass: a
-// pool must not wait for such machines to be left alone, nor take them for ones
-// that are about to be free.
+// Headroom machines are idle, and marked anew with each scheduling pass: a warm pool that
+// lacks machines must not wait until they are unmarked, and pays for them only from when
+// they join.
 func TestPoolAcceptsHeadroomMachines(t *testing.T) {
 	m := newPoolModel(12, 0) // three pools of two machines
 	m.Headroom = 0.35
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -9,104 +9,115 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file rents machines for the calendar's batch windows ahead of what waits for room:
-// package calendar says how many places they lack, and until when.
+// This file scales out for the calendar's batch windows ahead of their deadlines: package
+// calendar says how many places they lack, and until when these must be ordered.
 
-// windowProvision is what the batch windows want rented. It is decided anew with each forecast and
-// rests on nothing that was decided before: a next leader counts what there is then,
-// rented by whomever.
+// windowProvision is the scale-out that the batch windows need. It is decided anew with each
+// forecast, by the machines there are then, whoever rented them: a new leader needs no
+// record of it.
 type windowProvision struct {
-	job          *Job // what a place is for: the kind of which the batch windows have most work; nil: nothing is wanted yet
-	targetPlaces int  // that there should be, all machines empty
+	job          *Job // a place has room for one of its tasks; nil: nothing is to be rented now
+	targetPlaces int  // places there should be, with all machines empty
 	decidedAt    time.Time
-	shortage     calendar.Shortage // as last worked out
+	shortage     calendar.Shortage // as last computed
 }
 
 const (
-	provisionTTL         = 3 * forecastInterval                  // a decision holds that long if there is no other
-	provisionMargin      = 2*forecastInterval + offerRefusalTime // for a forecast that comes late, and a refusal
+	provisionTTL         = 3 * forecastInterval                  // a decision that is not renewed ends after it
+	provisionMargin      = 2*forecastInterval + offerRefusalTime // ordered earlier by it: a forecast may be late, an offer refused
 	maxProvisionMachines = maxScaleOut                           // machines wanted at a time
+	unlimitedPlaces      = 1 << 30                               // without a quota
 )
 
-// planProvision decides what is rented for the batch windows, and says what of it is to be told
-// beside a forecast.
+// cancelProvision drops the decided scale-out; the next forecast decides anew.
+func (w *batchWindows) cancelProvision() { w.provision = windowProvision{} }
+
+// planWindowProvision decides what is rented for the batch windows, and returns what a
+// forecast that is at risk says of it. A place has room for a task of the job usual.
 func (m *Model) planWindowProvision(loads []calendar.Load, usual *Job, free []float64, now time.Time) string {
-	was := m.windows.provision.shortage
-	m.windows.provision = windowProvision{}
+	windows := &m.windows
+	previous := windows.provision.shortage
+	windows.cancelProvision()
 	if usual == nil || now.Sub(m.ElectedAt) < m.provisionGracePeriod() {
 		return ""
 	}
-	boot, per := m.bootTimeFor(usual)
-	if per == 0 {
-		return "" // no type is for it
+	boot, perMachine := m.bootTimeFor(usual)
+	if perMachine == 0 {
+		return "" // no machine type can take it
 	}
-	w := calendar.FindShortage(now, loads, free, boot.Seconds(), maxProvisionMachines*per)
-	there := int(m.placesWhenEmpty(usual, now))
-	w.Places = min(w.Places, m.quotaPlacesLeft(usual, there))
-	if w.Places <= 0 {
+	shortage := calendar.FindShortage(now, loads, free, boot.Seconds(), maxProvisionMachines*perMachine)
+	present := int(m.placesWhenEmpty(usual, now))
+	shortage.Places = min(shortage.Places, m.quotaPlacesLeft(usual, present))
+	if shortage.Places <= 0 {
 		return ""
 	}
-	if was.Places > 0 && w.Places >= was.Places && was.OrderBy.Before(w.OrderBy) {
-		// While work goes slower than expected, a few places more each time would
-		// put the order off, again and again.
-		w.OrderBy = was.OrderBy
+	if previous.Places > 0 && shortage.Places >= previous.Places && previous.OrderBy.Before(shortage.OrderBy) {
+		// While work goes slower than expected, a few more places each time would
+		// postpone the order again and again.
+		shortage.OrderBy = previous.OrderBy
 	}
-	m.windows.provision.shortage = w
-	if w.OrderBy.Sub(now) > provisionMargin {
-		return fmt.Sprintf("; room for %d tasks more is to be rented until %s", w.Places, w.OrderBy.UTC().Format(time.RFC3339))
+	windows.provision.shortage = shortage
+	if shortage.OrderBy.Sub(now) > provisionMargin {
+		return fmt.Sprintf("; room for %d tasks more is to be rented until %s", shortage.Places, shortage.OrderBy.UTC().Format(time.RFC3339))
 	}
-	m.windows.provision = windowProvision{job: usual, targetPlaces: there + w.Places, decidedAt: now, shortage: w}
-	note := fmt.Sprintf("; room for %d tasks more is rented", w.Places)
+	windows.provision = windowProvision{job: usual, targetPlaces: present + shortage.Places, decidedAt: now, shortage: shortage}
 	if offers, _ := m.offers(now); !m.anyOfferFits(usual, offers) {
-		note = fmt.Sprintf("; room for %d tasks more is wanted, and no machines are to be had", w.Places)
+		return fmt.Sprintf("; room for %d tasks more is wanted, and no machines are to be had", shortage.Places)
 	}
-	return note
+	return fmt.Sprintf("; room for %d tasks more is rented", shortage.Places)
 }
 
-// provisionGracePeriod is how long after takeover machines are taken for lost that have not
-// been heard of: workers come back within their lease, and what an earlier leader
-// rented shows in the cloud's list by then.
+// provisionGracePeriod is how long after takeover a machine without a heartbeat counts as
+// booting at most: by then workers have come back within their lease, and what an earlier
+// leader rented shows in the cloud's list.
 func (m *Model) provisionGracePeriod() time.Duration {
-	w := m.settings.Cluster.Workers
-	return max(config.Seconds(w.LeaseS), config.Seconds(2*m.settings.Cluster.Cloud.ListLagS+10)) + config.Seconds(w.ReportS)
+	workers := m.settings.Cluster.Workers
+	return max(config.Seconds(workers.LeaseS), config.Seconds(2*m.settings.Cluster.Cloud.ListLagS+10)) + config.Seconds(workers.ReportS)
 }
 
-// bootTimeFor is how long the machine that would be rented for a job takes to be up, by
-// what has been learnt, and how many of its tasks it takes; 0: there is none.
-func (m *Model) bootTimeFor(j *Job) (boot time.Duration, per int) {
+// Penalties that bootTimeFor adds to a type's boot time, as the placement of scale-out does.
+const (
+	bootSecondsPerPrice = 2  // per unit of the hourly price
+	unusedGPUSeconds    = 10 // for a type with GPUs that the job doesn't need
+)
+
+// bootTimeFor returns how long the machine that would be rented for a job takes to be up, by
+// the boot times seen so far, and how many of the job's tasks it takes; 0 if there is none.
+func (m *Model) bootTimeFor(j *Job) (boot time.Duration, perMachine int) {
 	least := 0.0
-	for ti := range m.MachineTypes {
-		t := &m.MachineTypes[ti]
-		if !j.AllowedTypes[ti] || !j.Need.Fits(t.Capacity) {
+	for i := range m.MachineTypes {
+		t := &m.MachineTypes[i]
+		if !j.AllowedTypes[i] || !j.Need.Fits(t.Capacity) {
 			continue
 		}
-		c := t.BootTime.Seconds() + 2*t.Price
+		cost := t.BootTime.Seconds() + bootSecondsPerPrice*t.Price
 		if t.Capacity.GPU > 0 && j.Need.GPU == 0 {
-			c += 10
+			cost += unusedGPUSeconds
 		}
-		if per == 0 || c < least {
-			least, per = c, tasksThatFit(j.Need, t.Capacity)
+		if perMachine == 0 || cost < least {
+			least, perMachine = cost, tasksThatFit(j.Need, t.Capacity)
 			boot = time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()) + config.Seconds(m.settings.Cluster.Workers.ReportS)
 		}
 	}
-	return boot, per
+	return boot, perMachine
 }
 
-// quotaPlacesLeft is how many places more than there are a job's team may use.
-func (m *Model) quotaPlacesLeft(j *Job, there int) int {
-	n := 1 << 30
+// quotaPlacesLeft is how many places a job's team may use beyond those present.
+func (m *Model) quotaPlacesLeft(j *Job, present int) int {
+	places := unlimitedPlaces
 	if j.Team < 0 {
-		return n
+		return places
 	}
 	limit := m.teams[j.Team].Max
-	for _, x := range [][2]float64{{j.Need.CPU, limit.CPU}, {j.Need.GPU, limit.GPU}} {
-		if x[0] > 0 && x[1] > 0 {
-			n = min(n, int(x[1]/x[0]+1e-6)-there)
+	for _, resource := range []struct{ need, limit float64 }{{j.Need.CPU, limit.CPU}, {j.Need.GPU, limit.GPU}} {
+		if resource.need > 0 && resource.limit > 0 {
+			places = min(places, int(resource.limit/resource.need+1e-6)-present)
 		}
 	}
-	return n
+	return places
 }
 
+// anyOfferFits reports whether one of the machines on offer can take a task of a job.
 func (m *Model) anyOfferFits(j *Job, offers []placement.Offer) bool {
 	for i := range offers {
 		o := &offers[i]
@@ -117,20 +128,20 @@
 	return false
 }
 
-// provisionRequest asks for the places that are lacking now. It is a placeholder, served
-// after all that waits.
+// provisionRequest asks for the places that are lacking now, as a placeholder that is served
+// after all that waits; false if none is lacking.
 func (m *Model) provisionRequest(now time.Time) (placement.Request, bool) {
-	a := &m.windows.provision
-	if a.job == nil || now.Sub(a.decidedAt) > provisionTTL || m.recoveringFromStall(now) {
+	provision := &m.windows.provision
+	if provision.job == nil || now.Sub(provision.decidedAt) > provisionTTL || m.recoveringFromStall(now) {
 		return placement.Request{}, false
 	}
-	n := a.targetPlaces - m.placesExpected(a.job, now)
-	if n <= 0 {
+	lacking := provision.targetPlaces - m.placesExpected(provision.job, now)
+	if lacking <= 0 {
 		return placement.Request{}, false
 	}
-	r := m.placeholder(&classStats{lastJob: a.job}, n)
-	r.Provision, r.Zone = true, a.job.Zone
-	return r, true
+	request := m.placeholder(&classStats{lastJob: provision.job}, lacking)
+	request.Provision, request.Zone = true, provision.job.Zone
+	return request, true
 }
 
 // placesExpected is like placesWhenEmpty, but counts machines whose heartbeats are late as
--- a/cluster/window_provision_test.go
+++ b/cluster/window_provision_test.go
@@ -8,9 +8,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A night wants more room than what waits asks for. It is rented once, whoever
-// leads: not before a new leader knows its machines, not again while they boot or
-// their reports are late, and anew once they are lost.
+// A batch window needs more places than waiting tasks ask for. They are rented once across
+// leaders: not before a new leader knows its machines, not again while they boot or their
+// heartbeats are late, and again once they are lost.
 func TestProvisionScalesOutOnceAcrossFailover(t *testing.T) {
 	l := &leaderSequence{t: t, planRecords: map[string]wire.Raw{}, finalRecords: map[string]jobstore.JobRecord{}}
 	layer := windowJob("wk-000001", "tiles", 6000, 10, 600) // 3.6 million seconds, seven hours
@@ -26,7 +26,7 @@
 			answer(t, l.model, r, at(s))
 		}
 	}
-	// wants lets a leader tick until then and says what it wants rented at last.
+	// wants ticks the leader over a time, and returns how many machines it wants in the end.
 	wants := func(from, to float64, reporting int) (n int) {
 		for s := from; s <= to; s++ {
 			report(reporting, s)
