--- a/internal/fake/cancellations.go
+++ b/internal/fake/cancellations.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -24,35 +25,13 @@
 // first is asked for. It does not wait for the answers.
 func (w *Cluster) CancelRunning(n int, hang time.Duration) (ids, hung []string) {
 	w.mu.Lock()
-	now := time.Now()
-	on := map[string][]*machine{}
-	for name, ms := range w.tasksWithImage {
-		id, _, _ := wire.SplitTask(name)
-		j := w.jobs[id]
-		for m := range ms {
-			for _, t := range m.tasks {
-				long := j.spec.Kind == wire.KindService || j.spec.EstimateS-w.progress[name]-now.Sub(t.waiting).Seconds() > longToGo
-				if t.name == name && t.here && j.accepted && !j.asked && long {
-					on[id] = append(on[id], m)
-				}
-			}
-		}
-	}
-	for id := range on {
-		ids = append(ids, id)
-	}
-	slices.Sort(ids)
+	machinesOf := w.jobsWithLongToGo(time.Now())
+	ids = slices.Sorted(maps.Keys(machinesOf))
 	w.random.Shuffle(len(ids), func(a, b int) { ids[a], ids[b] = ids[b], ids[a] })
 	ids = ids[:min(n, len(ids))]
 	var machines []*machine
-	for _, id := range ids {
-		slices.SortFunc(on[id], func(a, b *machine) int { return cmp.Compare(a.name, b.name) })
-		for _, m := range on[id] {
-			if hang > 0 && len(machines) < hangsMost && !m.hung && !slices.Contains(machines, m) {
-				m.hung = true
-				machines, hung = append(machines, m), append(hung, m.name)
-			}
-		}
+	if hang > 0 {
+		machines = hangSome(ids, machinesOf)
 	}
 	w.mu.Unlock()
 	for i, id := range ids {
@@ -71,9 +50,52 @@
 			}
 		}
 	})
+	for _, m := range machines {
+		hung = append(hung, m.name)
+	}
 	return ids, hung
 }
 
+// jobsWithLongToGo returns the jobs that nobody has asked to cancel and that have tasks
+// with long to go, and the machines of these tasks; the lock is held.
+func (w *Cluster) jobsWithLongToGo(now time.Time) map[string][]*machine {
+	machinesOf := map[string][]*machine{}
+	for name, ms := range w.tasksWithImage {
+		id, _, _ := wire.SplitTask(name)
+		j := w.jobs[id]
+		if !j.accepted || j.asked {
+			continue
+		}
+		for m := range ms {
+			for _, t := range m.tasks {
+				if t.name == name && t.here && w.hasLongToGo(t, now) {
+					machinesOf[id] = append(machinesOf[id], m)
+				}
+			}
+		}
+	}
+	return machinesOf
+}
+
+// hasLongToGo says whether a task that is on its machine has long to go.
+func (w *Cluster) hasLongToGo(t *task, now time.Time) bool {
+	return t.job.Kind == wire.KindService || t.job.EstimateS-w.progress[t.name]-now.Sub(t.waiting).Seconds() > longToGo
+}
+
+// hangSome makes machines of the jobs hang, a few at most; the lock is held.
+func hangSome(ids []string, machinesOf map[string][]*machine) (hung []*machine) {
+	for _, id := range ids {
+		slices.SortFunc(machinesOf[id], func(a, b *machine) int { return cmp.Compare(a.name, b.name) })
+		for _, m := range machinesOf[id] {
+			if len(hung) < hangsMost && !m.hung {
+				m.hung = true
+				hung = append(hung, m)
+			}
+		}
+	}
+	return hung
+}
+
 // completionCancel has jobs cancelled as their last task ends. The cluster's lock guards it.
 type completionCancel struct {
 	share float64
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -148,25 +148,7 @@
 	case r.URL.Path == "/machine_types":
 		reply(w, http.StatusOK, wire.Types{Types: c.types})
 	case r.URL.Path == "/machines/delete":
-		var n wire.Names
-		if wire.Unmarshal(body, &n) != nil || len(n.Machines) > 100 {
-			reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
-			return
-		}
-		if by := c.later; by > 0 {
-			c.mu.Unlock()
-			time.Sleep(by)
-			c.mu.Lock()
-			c.Late++
-			w = discardedReply{w}
-		}
-		for _, name := range n.Machines {
-			if m := c.machines[name]; m != nil {
-				m.kill()
-				delete(c.machines, name)
-			}
-		}
-		reply(w, http.StatusOK, map[string]any{})
+		c.serveDeletion(w, body)
 	case r.URL.Path == "/machines" && r.Method == http.MethodPost:
 		c.serveRental(w, body)
 	case r.URL.Path == "/machines":
@@ -176,51 +158,106 @@
 	}
 }
 
+// What the protocol allows a request to ask for.
+const (
+	maxDeletions = 100
+	maxRentals   = 50
+)
+
+// serveDeletion ends machines; the lock is held, but not while the deletion is delayed.
+func (c *Cloud) serveDeletion(w http.ResponseWriter, body []byte) {
+	var names wire.Names
+	if wire.Unmarshal(body, &names) != nil || len(names.Machines) > maxDeletions {
+		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
+		return
+	}
+	if by := c.later; by > 0 {
+		c.wait(by)
+		c.Late++
+		w = discardedReply{w}
+	}
+	for _, name := range names.Machines {
+		if m := c.machines[name]; m != nil {
+			m.kill()
+			delete(c.machines, name)
+		}
+	}
+	reply(w, http.StatusOK, map[string]any{})
+}
+
+// silence is how long a request is kept that is carried out and not answered: longer than
+// its sender waits.
+const silence = 20 * time.Second
+
+// neverBoots is the boot time of a machine that never comes up.
+const neverBoots = 1000 * time.Hour
+
+// serveRental makes machines, or answers a request again that was carried out before. The
+// lock is held, but not while the answer is delayed.
 func (c *Cloud) serveRental(w http.ResponseWriter, body []byte) {
 	var q wire.Rental
-	if wire.Unmarshal(body, &q) != nil || c.typ(q.Type) == nil || q.Count < 1 || q.Count > 50 {
+	if wire.Unmarshal(body, &q) != nil || c.typ(q.Type) == nil || q.Count < 1 || q.Count > maxRentals {
 		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
-	names, ok := c.answers[q.Request]
-	if !ok {
-		for i := 0; i < q.Count && len(c.machines) < c.capacity; i++ {
-			boot := time.Duration(c.typ(q.Type).BootS * float64(time.Second))
-			if c.boots != nil {
-				if boot = c.boots(c.next); boot < 0 {
-					boot = 1000 * time.Hour
-				}
-			}
-			c.Rented++
-			names = append(names, c.rent(q.Type, q.Zone, q.Spot, boot))
-		}
-		if len(names) == 0 {
-			reply(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
-			return
-		}
-		c.answers[q.Request] = names
-	} else {
+	names, again := c.answers[q.Request]
+	if again {
 		c.Reused = append(c.Reused, q.Request)
+	} else if names = c.rentFor(q); len(names) == 0 {
+		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
+		return
 	}
 	if c.silent {
-		c.mu.Unlock()
-		time.Sleep(20 * time.Second)
-		c.mu.Lock()
+		c.wait(silence)
 	}
 	if c.slow > 0 {
-		d := c.slow
-		c.mu.Unlock()
-		time.Sleep(d)
-		c.mu.Lock()
+		c.wait(c.slow)
+	}
+	if !again {
+		c.countReady(names)
+	}
+	reply(w, http.StatusOK, wire.Names{Machines: names})
+}
+
+// rentFor makes the machines of a new request, as far as there is capacity; the lock is held.
+func (c *Cloud) rentFor(q wire.Rental) (names []string) {
+	for i := 0; i < q.Count && len(c.machines) < c.capacity; i++ {
+		c.Rented++
+		names = append(names, c.rent(q.Type, q.Zone, q.Spot, c.bootTime(q.Type)))
+	}
+	if len(names) > 0 {
+		c.answers[q.Request] = names
+	}
+	return names
+}
+
+// bootTime is how long the next machine takes to come up.
+func (c *Cloud) bootTime(typ string) time.Duration {
+	if c.boots == nil {
+		return secs(c.typ(typ).BootS)
+	}
+	if boot := c.boots(c.next); boot >= 0 {
+		return boot
 	}
+	return neverBoots
+}
+
+// countReady counts those of newly rented machines whose worker has had an answer already.
+func (c *Cloud) countReady(names []string) {
 	c.w.mu.Lock()
+	defer c.w.mu.Unlock()
 	for _, name := range names {
-		if m := c.machines[name]; m != nil && !ok && m.token > 0 {
+		if m := c.machines[name]; m != nil && m.token > 0 {
 			c.upFirst++
 		}
 	}
-	c.w.mu.Unlock()
-	reply(w, http.StatusOK, wire.Names{Machines: names})
+}
+
+// wait lets time pass; the lock is held before and after, not meanwhile.
+func (c *Cloud) wait(d time.Duration) {
+	c.mu.Unlock()
+	time.Sleep(d)
+	c.mu.Lock()
 }
 
 func (c *Cloud) list(w http.ResponseWriter, after string) {
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -77,17 +77,6 @@
 	unanswered time.Time
 }
 
-type gang struct {
-	tasks   map[int]*task
-	running bool
-	over    bool
-	since   time.Time
-	before  float64
-	haltAt  time.Time
-	halted  map[int]bool
-	broken  time.Time
-}
-
 type node struct {
 	name string
 	bind string
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -161,7 +161,7 @@
 		if t.launched.After(b.sent) {
 			seen.NewerStart++
 		}
-		if t.state == wire.TaskSaving && (c.GraceS == nil || *c.GraceS == 0) {
+		if t.state == wire.TaskSaving && graceOf(c) == 0 {
 			seen.EndedSaving++
 		}
 	}
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -1,7 +1,6 @@
 package fake
 
 import (
-	"net/http"
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
@@ -130,13 +129,13 @@
 
 // checkAnswered takes in whether a question about a job was answered. Without faults, one
 // about which no question is answered for a while counts as forgotten. The lock is held.
-func (w *Cluster) checkAnswered(id string, answered bool) {
+func (w *Cluster) checkAnswered(id string, r userReply) {
 	j := w.jobs[id]
 	if j == nil || !j.accepted {
 		return
 	}
 	now := time.Now()
-	if answered {
+	if r.answered() {
 		j.unanswered = time.Time{}
 		return
 	}
@@ -169,8 +168,3 @@
 		w.breaksLocked("launched after its cancellation: %s, %.1f s later", task, since.Seconds())
 	}
 }
-
-// answered says whether a question got an answer: 404 is one.
-func (h userReply) answered() bool {
-	return h.status == http.StatusOK || h.status == http.StatusNotFound
-}
--- a/internal/fake/liveness_test.go
+++ b/internal/fake/liveness_test.go
@@ -14,7 +14,7 @@
 // what they would answer and command is played by the tests.
 func checkedWorld(t *testing.T, test func(w *Cluster, m *machine, j *job)) {
 	t.Helper()
-	synctest.Test(t, func(t *testing.T) {
+	synctest.Test(t, func(_ *testing.T) {
 		w := New(Options{Nodes: 3, Machines: 1, Capacity: 1, ExternalNodes: true})
 		defer w.Close()
 		time.Sleep(5 * time.Second)
@@ -151,7 +151,7 @@
 		{"but for one", func(w *Cluster, second int) {
 			if second == 40 {
 				w.mu.Lock()
-				w.checkAnswered("wk-000001", true)
+				w.checkAnswered("wk-000001", userReply{status: http.StatusOK})
 				w.mu.Unlock()
 			}
 		}, ""},
@@ -163,7 +163,7 @@
 					w.noteFaults()
 					if second%2 == 0 {
 						w.mu.Lock()
-						w.checkAnswered("wk-000001", false)
+						w.checkAnswered("wk-000001", userReply{})
 						w.mu.Unlock()
 					}
 					time.Sleep(time.Second)
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -4,6 +4,7 @@
 	"context"
 	"io"
 	"net/http"
+	"slices"
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
@@ -16,6 +17,9 @@
 // dropsAfter is when a worker gives an answer to its report up.
 const dropsAfter = 4 * time.Second
 
+// maxReply is the most that is read of an answer, in bytes.
+const maxReply = 1 << 20
+
 // stepEvery is how finely machines are simulated.
 const stepEvery = 100 * time.Millisecond
 
@@ -112,7 +116,7 @@
 // clear kills and forgets all tasks; the cluster's lock is held.
 func (m *machine) clear() {
 	for _, k := range m.order {
-		m.w.leave(m.tasks[k], false)
+		m.w.leave(m.tasks[k])
 	}
 	m.tasks, m.order = map[taskKey]*task{}, nil
 }
@@ -209,7 +213,11 @@
 	}
 	t.state, t.why, t.saved = wire.TaskExited, why, saved
 	m.dirty = true
-	m.w.leave(t, why == wire.WhyDone)
+	if why == wire.WhyDone {
+		m.w.complete(t)
+	} else {
+		m.w.leave(t)
+	}
 }
 
 // report is the worker's message; the cluster's lock is held.
@@ -248,30 +256,17 @@
 
 // send makes one report; false says that another node is to be tried.
 func (m *machine) send(at time.Time) bool {
-	m.w.mu.Lock()
-	m.dirty = false
-	r := m.report()
-	m.w.mayCopy(r)
-	m.w.keepForNext(r)
-	session := m.session
-	node := m.w.nodes[m.node%len(m.w.nodes)]
-	ahead := m.w.failoverCopies.ahead > 0 && m.w.pick(m.w.failoverCopies.ahead) == 0
-	m.w.mu.Unlock()
+	r, node, overtaken := m.nextReport()
 	copied := uint64(0)
-	if ahead {
+	if overtaken {
 		copied = m.w.overtake(r)
 	}
 	ctx, cancel := context.WithTimeout(m.ctx, dropsAfter)
 	defer cancel()
-	status, body, err := call.Do(ctx, m.hc, http.MethodPost, "http://"+node.bind+wire.PathReport, r, 1<<20)
+	status, body, err := call.Do(ctx, m.hc, http.MethodPost, "http://"+node.bind+wire.PathReport, r, maxReply)
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
-	// What came while the machine hung is there when it goes on.
-	for m.hung && !m.dead && time.Since(at) < dropsAfter {
-		m.w.mu.Unlock()
-		time.Sleep(stepEvery)
-		m.w.mu.Lock()
-	}
+	m.awaitResume(at)
 	if m.dead {
 		return true
 	}
@@ -280,32 +275,73 @@
 		m.w.overtook(r, copied, status)
 	}
 	if err != nil || status != http.StatusOK {
-		var to wire.Redirect
-		if err == nil && status == http.StatusMisdirectedRequest && wire.Unmarshal(body, &to) == nil {
-			for i, n := range m.w.nodes {
-				if n.name == to.Leader && i != m.node {
-					m.node, m.dirty = i, true
-					return true
-				}
-			}
+		m.dirty = true
+		if err == nil && m.redirect(status, body) {
+			return true
 		}
 		m.node = (m.node + 1) % len(m.w.nodes)
-		m.dirty = true
 		return false
 	}
+	m.takeAnswer(r, node, body, at)
+	return true
+}
+
+// nextReport composes a report, chooses the node that it is sent to, and draws whether
+// copies of it go ahead.
+func (m *machine) nextReport() (r wire.Report, to *node, overtaken bool) {
+	m.w.mu.Lock()
+	defer m.w.mu.Unlock()
+	m.dirty = false
+	r = m.report()
+	m.w.mayCopy(r)
+	m.w.keepForNext(r)
+	to = m.w.nodes[m.node%len(m.w.nodes)]
+	overtaken = m.w.failoverCopies.ahead > 0 && m.w.pick(m.w.failoverCopies.ahead) == 0
+	return r, to, overtaken
+}
+
+// awaitResume waits while the machine hangs, at most until it drops the answer to the
+// report that it sent at a time: what came while it hung is there when it goes on. The
+// cluster's lock is held, but not while it waits.
+func (m *machine) awaitResume(sent time.Time) {
+	for m.hung && !m.dead && time.Since(sent) < dropsAfter {
+		m.w.mu.Unlock()
+		time.Sleep(stepEvery)
+		m.w.mu.Lock()
+	}
+}
+
+// redirect makes the machine report to the leader that a node has named, and says whether
+// it has named another.
+func (m *machine) redirect(status int, body []byte) bool {
+	var to wire.Redirect
+	if status != http.StatusMisdirectedRequest || wire.Unmarshal(body, &to) != nil {
+		return false
+	}
+	for i, n := range m.w.nodes {
+		if n.name == to.Leader && i != m.node {
+			m.node = i
+			return true
+		}
+	}
+	return false
+}
+
+// takeAnswer renews the lease and carries out what a node has answered to a report, unless
+// the answer is late, or of a former leader or session; the cluster's lock is held.
+func (m *machine) takeAnswer(r wire.Report, from *node, body []byte, sent time.Time) {
 	var a wire.ReportAnswer
-	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || session != m.session || m.hung || time.Since(at) >= dropsAfter {
-		return true // dropped
+	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || r.Session != m.session || m.hung || time.Since(sent) >= dropsAfter {
+		return
 	}
-	if time.Since(at) > time.Second {
+	if time.Since(sent) > time.Second {
 		m.late++
 	}
-	m.took = answeredReport{m.name, session, r.Seq, a.Token}
-	m.sawToken(a.Token, at)
-	m.renewed = at
-	m.w.acceptedAnswers[nodeAndMachine{node.name, m.name}] = at
+	m.took = answeredReport{m.name, r.Session, r.Seq, a.Token}
+	m.sawToken(a.Token, sent)
+	m.renewed = sent
+	m.w.acceptedAnswers[nodeAndMachine{from.name, m.name}] = sent
 	m.execute(a.Commands, time.Now())
-	return true
 }
 
 func (m *machine) sawToken(token uint64, now time.Time) {
@@ -322,34 +358,36 @@
 	for _, c := range cmds {
 		k := taskKey{c.Task, c.Attempt}
 		t := m.tasks[k]
-		switch c.Op {
-		case wire.OpStart:
-			if t == nil {
-				m.w.checkLaunch(k.name, now)
-				m.launch(k, now)
-			}
-		case wire.OpForget:
-			if t != nil && t.state == wire.TaskExited {
-				delete(m.tasks, k)
-				for i := range m.order {
-					if m.order[i] == k {
-						m.order = append(m.order[:i], m.order[i+1:]...)
-						break
-					}
-				}
-			}
-		case wire.OpStop:
-			if t != nil && t.state != wire.TaskExited {
-				grace := 0.0
-				if c.GraceS != nil {
-					grace = *c.GraceS
-				}
-				m.w.halt(t, grace, now)
-			}
+		switch {
+		case c.Op == wire.OpStart && t == nil:
+			m.w.checkLaunch(k.name, now)
+			m.launch(k, now)
+		case c.Op == wire.OpForget && t != nil && t.state == wire.TaskExited:
+			m.forget(k)
+		case c.Op == wire.OpStop && t != nil && t.state != wire.TaskExited:
+			m.w.stop(t, graceOf(c), now)
 		}
 	}
 }
 
+// graceOf is how many seconds a stop leaves its task to save.
+func graceOf(c wire.Command) float64 {
+	if c.GraceS == nil {
+		return 0
+	}
+	return *c.GraceS
+}
+
+// forget drops the outcome of a task that has exited.
+func (m *machine) forget(k taskKey) {
+	delete(m.tasks, k)
+	if i := slices.Index(m.order, k); i >= 0 {
+		m.order = slices.Delete(m.order, i, i+1)
+	}
+}
+
+// launch takes a task in, which then fetches its image, unless it is unknown, runs here
+// already, or has no room.
 func (m *machine) launch(k taskKey, now time.Time) {
 	t := &task{taskKey: k, m: m, state: wire.TaskFetching, launched: now}
 	m.tasks[k] = t
@@ -361,17 +399,17 @@
 		return
 	}
 	t.job, t.idx = &job.spec, n
-	var cpus, gpus, mem float64
+	var used resources
 	for _, o := range m.tasks {
 		if o != t && o.name == k.name && o.state != wire.TaskExited {
 			m.exit(t, wire.WhyBusy, false)
 			return
 		}
 		if o.job != nil && o.state != wire.TaskExited {
-			cpus, gpus, mem = cpus+o.job.CPUs, gpus+o.job.GPUs, mem+o.job.MemoryGB
+			used = used.plus(o.job)
 		}
 	}
-	if cpus > m.typ.CPUs+1e-6 || gpus > m.typ.GPUs+1e-6 || mem > m.typ.MemoryGB+1e-6 {
+	if !used.fitIn(resourcesOf(m.typ)) {
 		m.exit(t, wire.WhyNoRoom, false)
 		return
 	}
--- a/internal/fake/placement.go
+++ b/internal/fake/placement.go
@@ -1,6 +1,7 @@
 package fake
 
 import (
+	"slices"
 	"time"
 
 	"github.com/umberdeal/umberdeal/wire"
@@ -33,31 +34,16 @@
 	w.checkPlace(t)
 	w.checkQuota(t)
 	if t.job.Kind == wire.KindGang {
-		g := w.gangOf(t)
-		if g.over {
-			g.tasks, g.running, g.over, g.halted = map[int]*task{}, false, false, map[int]bool{}
-			g.broken, g.haltAt = time.Time{}, time.Time{}
-		}
-		g.tasks[t.idx] = t
-		if len(g.tasks) == t.job.Tasks && !g.running {
-			g.running, g.since, g.before = true, now, w.progress[t.job.ID]
-			for _, o := range g.tasks {
-				o.state, o.m.dirty = wire.TaskRunning, true
-			}
-		}
-		return
+		w.joinGang(t, now)
 	}
 }
 
+// checkPlace checks that a task is on a machine and in a zone that its job allows.
 func (w *Cluster) checkPlace(t *task) {
-	j := t.job
-	ok := len(j.Types) == 0
-	for _, n := range j.Types {
-		ok = ok || n == t.m.typ.Name
-	}
-	if !ok || j.Zone != "" && j.Zone != t.m.zone || t.m.spot && !j.Spot {
+	if !t.m.allowedFor(t.job) {
 		w.breaksLocked("wrong_place: %s on %s", t.name, t.m.name)
 	}
+	j := t.job
 	same, others := 0, 0
 	for i := range j.Tasks {
 		for m := range w.tasksWithImage[wire.TaskName(j.ID, i)] {
@@ -68,11 +54,20 @@
 			}
 		}
 	}
-	if j.OneZone && others > 0 || j.Spread && same > (j.Tasks+1)/2 {
+	if j.OneZone && others > 0 || j.Spread && same > mostInOneZone(j) {
 		w.breaksLocked("wrong_place: %s in zone %s, %d here and %d elsewhere", t.name, t.m.zone, same, others)
 	}
 }
 
+// allowedFor says whether a job allows a machine by its type, zone and price.
+func (m *machine) allowedFor(j *wire.Job) bool {
+	return (len(j.Types) == 0 || slices.Contains(j.Types, m.typ.Name)) && (j.Zone == "" || j.Zone == m.zone) && (!m.spot || j.Spot)
+}
+
+// mostInOneZone is how many tasks of a job that spreads may be in one zone.
+func mostInOneZone(j *wire.Job) int { return (j.Tasks + 1) / 2 }
+
+// checkQuota checks that a task's team is within its limits.
 func (w *Cluster) checkQuota(t *task) {
 	for _, team := range w.Settings.Cluster.Teams {
 		if team.Name != t.job.Team || team.CPUsMax+team.GPUsMax == 0 {
@@ -86,48 +81,38 @@
 				gpus += j.spec.GPUs * float64(len(ms))
 			}
 		}
-		if team.CPUsMax > 0 && cpus > team.CPUsMax+1e-6 || team.GPUsMax > 0 && gpus > team.GPUsMax+1e-6 {
+		if exceedsQuota(team, cpus, gpus) {
 			w.breaksLocked("quota: team %s uses %g CPUs, %g GPUs", team.Name, cpus, gpus)
 		}
 	}
 }
 
-func (w *Cluster) gangOf(t *task) *gang {
-	k := taskKey{t.job.ID, t.attempt}
-	g := w.gangs[k]
-	if g == nil {
-		g = &gang{tasks: map[int]*task{}, halted: map[int]bool{}}
-		w.gangs[k] = g
+// leave takes in that a task is on its machine no more, and has not completed. The lock is
+// held.
+func (w *Cluster) leave(t *task) {
+	if !t.here {
+		return
+	}
+	w.remove(t)
+	if t.job.Kind == wire.KindGang {
+		w.breakGang(w.gangOf(t), t.job)
 	}
-	return g
 }
 
-// leave takes in that a task is on its machine no more. The lock is held.
-func (w *Cluster) leave(t *task, done bool) {
-	if t == nil {
-		return
-	}
+// complete takes in that a task has completed, and is on its machine no more. The lock is
+// held.
+func (w *Cluster) complete(t *task) {
 	if t.here {
-		t.here = false
-		delete(w.tasksWithImage[t.name], t.m)
-		if t.job.Kind == wire.KindGang {
-			g := w.gangOf(t)
-			if g.tasks[t.idx] == t {
-				delete(g.tasks, t.idx)
-			}
-			if g.running && !done && g.broken.IsZero() && g.haltAt.IsZero() {
-				g.broken = time.Now()
-				if c := t.job.CheckpointS; c > 0 {
-					n := (g.before + time.Since(g.since).Seconds()) / c
-					w.progress[t.job.ID] = c * float64(int(n))
-				}
-			}
-			if len(g.tasks) == 0 {
-				g.over = true
-			}
-		}
+		w.remove(t)
 	}
-	if done && t.job != nil {
-		w.taskDone(w.jobs[t.job.ID], t.idx)
+	w.taskDone(w.jobs[t.job.ID], t.idx)
+}
+
+// remove takes a task off its machine.
+func (w *Cluster) remove(t *task) {
+	t.here = false
+	delete(w.tasksWithImage[t.name], t.m)
+	if t.job.Kind == wire.KindGang {
+		w.gangOf(t).remove(t)
 	}
 }
--- a/internal/fake/report_copies_test.go
+++ b/internal/fake/report_copies_test.go
@@ -11,7 +11,7 @@
 // Copies are delivered by goroutines of their own while a scenario ends nodes and starts
 // them again. The race detector finds what is not guarded.
 func TestCopiesAreDeliveredWhileNodesRestart(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
+	synctest.Test(t, func(_ *testing.T) {
 		w := New(Options{Nodes: 3, Machines: 1, Capacity: 1})
 		defer w.Close()
 		time.Sleep(5 * time.Second)
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -11,36 +11,36 @@
 // This file finds jobs that wait although a machine has room for them and their team is under
 // its limit.
 
-// Starved watches, once troubles are over, for as long as it takes until no job
+// Starved watches, once faults are over, for as long as it takes until no job
 // waits that could run, a while at most, and names the jobs that waited all that
 // time though a machine that fits had room and the team was under its limit.
 func (w *Cluster) Starved(within time.Duration) []string {
 	since := map[string]time.Time{}
 	for {
 		now := time.Now()
-		may := w.couldStart()
+		startable := w.startableJobs()
 		for id := range since {
-			if !slices.Contains(may, id) {
+			if !slices.Contains(startable, id) {
 				delete(since, id)
 			}
 		}
-		var out []string
-		for _, id := range may {
+		var starved []string
+		for _, id := range startable {
 			if since[id].IsZero() {
 				since[id] = now
 			}
 			if now.Sub(since[id]) >= within {
-				out = append(out, id)
+				starved = append(starved, id)
 			}
 		}
-		if len(may) == 0 || len(out) > 0 || !call.Pause(w.ctx, time.Second) {
-			return out
+		if len(startable) == 0 || len(starved) > 0 || !call.Pause(w.ctx, time.Second) {
+			return starved
 		}
 	}
 }
 
-// couldStart lists the jobs with a task that could start now, a gang if all could.
-func (w *Cluster) couldStart() (out []string) {
+// startableJobs lists the jobs with a task that could start now, a gang if all could.
+func (w *Cluster) startableJobs() (out []string) {
 	var all []*machine
 	for _, name := range w.Cloud.Machines() {
 		if m := w.Cloud.machine(name); m != nil {
@@ -50,26 +50,12 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, j := range w.jobs {
-		waiting := j.spec.Tasks - len(j.done)
-		zones := map[string]int{}
-		for _, m := range all {
-			for _, t := range m.tasks {
-				if t.job == &j.spec && t.state != wire.TaskExited && !j.done[t.idx] {
-					waiting--
-					zones[m.zone]++
-				}
-			}
-		}
-		if !wire.ValidUserID(id) || !j.accepted || j.asked || j.spec.Class == BrokenClass || waiting <= 0 {
+		if !wire.ValidUserID(id) || !j.accepted || j.asked || j.spec.Class == BrokenClass {
 			continue
 		}
-		need := 1
-		if j.spec.Kind == wire.KindGang {
-			if need = waiting; waiting < j.spec.Tasks {
-				continue // its attempt ends before the next begins
-			}
-		}
-		if w.under(&j.spec, need, all) && w.roomFor(&j.spec, all, zones) >= need {
+		inZone := unfinishedPerZone(j, all)
+		need := tasksToStart(j, inZone)
+		if need > 0 && w.quotaAllows(&j.spec, need, all) && w.roomFor(&j.spec, all, inZone) >= need {
 			out = append(out, id)
 		}
 	}
@@ -77,9 +63,40 @@
 	return out
 }
 
-// under says whether a team's limit leaves room for so many more tasks; the lock
+// unfinishedPerZone counts the tasks of a job on machines that have not completed, by zone.
+func unfinishedPerZone(j *job, all []*machine) map[string]int {
+	zones := map[string]int{}
+	for _, m := range all {
+		for _, t := range m.tasks {
+			if t.job == &j.spec && t.state != wire.TaskExited && !j.done[t.idx] {
+				zones[m.zone]++
+			}
+		}
+	}
+	return zones
+}
+
+// tasksToStart is how many tasks of a job have to start together, given those that are on
+// machines; 0 if none can.
+func tasksToStart(j *job, inZone map[string]int) int {
+	waiting := j.spec.Tasks - len(j.done)
+	for _, n := range inZone {
+		waiting -= n
+	}
+	switch {
+	case waiting <= 0:
+		return 0
+	case j.spec.Kind != wire.KindGang:
+		return 1
+	case waiting < j.spec.Tasks:
+		return 0 // its attempt ends before the next begins
+	}
+	return waiting
+}
+
+// quotaAllows says whether a team's limit leaves room for so many more tasks; the lock
 // is held. What fetches its image counts.
-func (w *Cluster) under(j *wire.Job, n int, all []*machine) bool {
+func (w *Cluster) quotaAllows(j *wire.Job, n int, all []*machine) bool {
 	cpus, gpus := j.CPUs*float64(n), j.GPUs*float64(n)
 	for _, m := range all {
 		for _, t := range m.tasks {
@@ -89,45 +106,60 @@
 		}
 	}
 	for _, team := range w.Settings.Cluster.Teams {
-		if team.Name == j.Team && (team.CPUsMax > 0 && cpus > team.CPUsMax+1e-6 || team.GPUsMax > 0 && gpus > team.GPUsMax+1e-6) {
+		if team.Name == j.Team && exceedsQuota(team, cpus, gpus) {
 			return false
 		}
 	}
 	return true
 }
 
-// roomFor is how many tasks of a job fit on the machines that work; zones is where
+// roomFor is how many tasks of a job fit on the machines that work; inZone is where
 // others of its tasks are. The lock is held.
-func (w *Cluster) roomFor(j *wire.Job, all []*machine, zones map[string]int) int {
+func (w *Cluster) roomFor(j *wire.Job, all []*machine, inZone map[string]int) int {
 	fits := map[string]int{}
 	for _, m := range all {
-		if m.dead || m.hung || m.faulty || m.notice != nil || m.spot && !j.Spot || j.Zone != "" && j.Zone != m.zone ||
-			len(j.Types) > 0 && !slices.Contains(j.Types, m.typ.Name) || time.Since(m.renewed) > secs(w.Settings.Cluster.Workers.LeaseS)/2 {
+		if !m.works() || !m.allowedFor(j) {
 			continue
 		}
-		cpus, gpus, mem := m.typ.CPUs, m.typ.GPUs, m.typ.MemoryGB
-		for _, t := range m.tasks {
-			if t.job != nil && t.state != wire.TaskExited {
-				cpus, gpus, mem = cpus-t.job.CPUs, gpus-t.job.GPUs, mem-t.job.MemoryGB
-			}
-		}
-		for cpus+1e-6 >= j.CPUs && gpus+1e-6 >= j.GPUs && mem+1e-6 >= j.MemoryGB && fits[m.zone] < j.Tasks {
-			fits[m.zone]++
-			cpus, gpus, mem = cpus-j.CPUs, gpus-j.GPUs, mem-j.MemoryGB
+		if n := m.roomFor(j, j.Tasks-fits[m.zone]); n > 0 {
+			fits[m.zone] += n
 		}
 	}
-	n, most := 0, 0
-	for zone, k := range fits {
+	total, most := 0, 0
+	for zone, n := range fits {
 		if j.Spread {
-			k = min(k, (j.Tasks+1)/2-zones[zone])
+			n = min(n, mostInOneZone(j)-inZone[zone])
 		}
-		if j.OneZone && len(zones) > 0 && zones[zone] == 0 {
-			k = 0
+		if j.OneZone && len(inZone) > 0 && inZone[zone] == 0 {
+			n = 0
 		}
-		n, most = n+k, max(most, k)
+		total, most = total+n, max(most, n)
 	}
 	if j.OneZone {
 		return most
 	}
+	return total
+}
+
+// works says whether a machine takes tasks and lets them run; one whose last answer is old
+// may not. The cluster's lock is held.
+func (m *machine) works() bool {
+	return !m.dead && !m.hung && !m.faulty && m.notice == nil &&
+		time.Since(m.renewed) <= secs(m.w.Settings.Cluster.Workers.LeaseS)/2
+}
+
+// roomFor is how many tasks of a job fit on a machine beside those that it has, so many at
+// most. The cluster's lock is held.
+func (m *machine) roomFor(j *wire.Job, most int) (n int) {
+	free := resourcesOf(m.typ)
+	for _, t := range m.tasks {
+		if t.job != nil && t.state != wire.TaskExited {
+			free = free.minus(t.job)
+		}
+	}
+	need := resources{}.plus(j)
+	for ; n < most && need.fitIn(free); n++ {
+		free = free.minus(j)
+	}
 	return n
 }
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -3,11 +3,9 @@
 import (
 	"bytes"
 	"context"
-	"fmt"
 	"io"
 	"net/http"
 	"slices"
-	"strings"
 	"sync"
 	"time"
 
@@ -21,13 +19,34 @@
 // An answer to a request that was under way when a newer one came is not blamed:
 // the node may have read before.
 
-// What users ask.
+// requestKind is what a user asks.
+type requestKind int
+
 const (
-	submission = iota
+	submission requestKind = iota
 	question
 	cancellation
 )
 
+// path is where users ask about a job.
+func (k requestKind) path(id string) string {
+	switch k {
+	case question:
+		return wire.PathJobs + "/" + id
+	case cancellation:
+		return wire.PathJobs + "/" + id + "/cancel"
+	}
+	return wire.PathJobs
+}
+
+// method is the HTTP method of a request.
+func (k requestKind) method() string {
+	if k == question {
+		return http.MethodGet
+	}
+	return http.MethodPost
+}
+
 // answerLog are when a user first had which answer, by the cluster's count; 0: not yet.
 type answerLog struct {
 	accepted uint64 // that the job is known
@@ -42,48 +61,22 @@
 	state  string // of a 200 or 201
 }
 
-// path is where users ask about a job.
-func path(what int, id string) string {
-	switch what {
-	case question:
-		return wire.PathJobs + "/" + id
-	case cancellation:
-		return wire.PathJobs + "/" + id + "/cancel"
-	}
-	return wire.PathJobs
-}
-
 // ask sends a user's request to a node once, and checks the answer. A body that is
 // a wire.Raw is sent as it is.
-func (w *Cluster) ask(what int, id, addr string, body any, limit time.Duration) (r userReply) {
+func (w *Cluster) ask(kind requestKind, id, addr string, body any, limit time.Duration) (r userReply) {
 	ctx, cancel := context.WithTimeout(w.ctx, limit)
 	defer cancel()
-	method := http.MethodPost
-	if what == question {
-		method = http.MethodGet
-	}
-	var in io.Reader
-	if body != nil {
-		b, err := wire.Marshal(body)
-		if err != nil {
-			panic(err) // a scenario is made wrong
-		}
-		in = bytes.NewReader(b)
-	}
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path(what, id), in)
-	if err != nil {
-		panic(err) // a scenario is made wrong
-	}
+	req := newUserRequest(ctx, kind, id, addr, body)
 	w.noteFaults()
 	w.mu.Lock()
 	w.requestClock++
-	r = userReply{sent: w.requestClock}
+	r.sent = w.requestClock
 	w.mu.Unlock()
-	if what == question {
+	if kind == question {
 		defer func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			w.checkAnswered(id, r.answered())
+			w.checkAnswered(id, r)
 		}()
 	}
 	resp, err := w.httpClient.Do(req)
@@ -104,66 +97,117 @@
 		}
 		r.state = s.State
 	}
-	if shed := r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable; shed && resp.Header.Get("Retry-After") == "" {
+	if r.shed() && resp.Header.Get("Retry-After") == "" {
 		w.breaks("%s answered %d without Retry-After", id, r.status)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.hear(what, id, r)
+	w.checkReply(kind, id, r)
 	return r
 }
 
-// hear checks a node's answer against the rules and what the user was told before;
+// newUserRequest composes a request; body may be nil.
+func newUserRequest(ctx context.Context, kind requestKind, id, addr string, body any) *http.Request {
+	var in io.Reader
+	if body != nil {
+		b, err := wire.Marshal(body)
+		if err != nil {
+			panic(err) // a scenario is made wrong
+		}
+		in = bytes.NewReader(b)
+	}
+	req, err := http.NewRequestWithContext(ctx, kind.method(), "http://"+addr+kind.path(id), in)
+	if err != nil {
+		panic(err) // a scenario is made wrong
+	}
+	return req
+}
+
+// answered says whether a question got an answer: 404 is one.
+func (r userReply) answered() bool {
+	return r.status == http.StatusOK || r.status == http.StatusNotFound
+}
+
+// shed says whether a node refused a request for the time being.
+func (r userReply) shed() bool {
+	return r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable
+}
+
+// final says whether an answer tells that a job is over.
+func (r userReply) final() bool { return r.state == wire.JobDone || r.state == wire.JobCancelled }
+
+// acceptedBefore says whether a user knew that a job is accepted before sending a request.
+func (j *job) acceptedBefore(r userReply) bool {
+	return j != nil && j.accepted && j.answers.accepted <= r.sent
+}
+
+// checkReply checks a node's answer against the rules and what the user was told before;
 // the lock is held.
-func (w *Cluster) hear(what int, id string, r userReply) {
+func (w *Cluster) checkReply(kind requestKind, id string, r userReply) {
 	w.requestClock++
 	j := w.jobs[id]
-	known := j != nil && j.accepted && j.answers.accepted <= r.sent
 	switch r.status {
 	case 0, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		return // nothing is said
+		// nothing is said
 	case http.StatusNotFound:
-		if known {
+		if j.acceptedBefore(r) {
 			w.breaksLocked("forgotten: %s answered 404", id)
 		}
-		return
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
-		if known || what != submission {
+		if j.acceptedBefore(r) || kind != submission {
 			w.breaksLocked("forgotten: %s answered %d", id, r.status)
 		}
-		return
 	case http.StatusOK, http.StatusCreated:
+		if j == nil {
+			w.breaksLocked("invented: %s", id)
+			return
+		}
+		w.checkAccepted(j, r)
+		w.checkState(kind, j, r)
 	default:
 		w.breaksLocked("%s answered %d", id, r.status)
-		return
-	}
-	if j == nil {
-		w.breaksLocked("invented: %s", id)
-		return
 	}
+}
+
+// checkAccepted checks an answer by which a job is known: only one that can run is
+// accepted, and only once.
+func (w *Cluster) checkAccepted(j *job, r userReply) {
+	id, known := j.spec.ID, j.acceptedBefore(r)
 	if !j.accepted {
 		j.accepted, j.answers.accepted = true, w.requestClock
 		if why := w.misfit(&j.spec); why != "" {
 			w.breaksLocked("accepted: %s, which %s", id, why)
 		}
 	}
-	if r.status == http.StatusCreated {
-		j.answers.created++
-		again := j.answers.created > 1 || known && j.answers.accepted > 0
-		if again && !w.Store.corrupted.Load() {
-			w.breaksLocked("accepted twice: %s", id)
-		}
+	if r.status != http.StatusCreated {
+		return
 	}
-	over := r.state == wire.JobDone || r.state == wire.JobCancelled
+	j.answers.created++
+	again := j.answers.created > 1 || known && j.answers.accepted > 0
+	if again && !w.Store.corrupted.Load() {
+		w.breaksLocked("accepted twice: %s", id)
+	}
+}
+
+// checkState checks the state that an answer tells against those that were told before:
+// a final state never changes.
+func (w *Cluster) checkState(kind requestKind, j *job, r userReply) {
+	id, over := j.spec.ID, r.final()
 	switch {
 	case over && j.said != "" && r.state != j.said, !over && j.said != "" && j.answers.final <= r.sent:
 		w.breaksLocked("went_back: %s called %s after %s", id, r.state, j.said)
-	case what == cancellation && !over:
+	case kind == cancellation && !over:
 		w.breaksLocked("cancelling %s is answered %q", id, r.state)
 	}
-	if !over {
-		return
+	if over {
+		w.checkFinal(j, r)
 	}
+}
+
+// checkFinal checks that a job that is told to be done has completed, and that one that is
+// told to be cancelled was to be.
+func (w *Cluster) checkFinal(j *job, r userReply) {
+	id := j.spec.ID
 	if r.state == wire.JobDone && len(j.done) < j.spec.Tasks {
 		w.breaksLocked("not_done: %s with %d of %d", id, len(j.done), j.spec.Tasks)
 	}
@@ -191,7 +235,7 @@
 	if i < 0 {
 		return "is of no team"
 	}
-	if t := w.Settings.Cluster.Teams[i]; t.CPUsMax > 0 && j.CPUs*tasks > t.CPUsMax+1e-6 || t.GPUsMax > 0 && j.GPUs*tasks > t.GPUsMax+1e-6 {
+	if exceedsQuota(w.Settings.Cluster.Teams[i], j.CPUs*tasks, j.GPUs*tasks) {
 		return "needs more than its team's limit"
 	}
 	if !slices.ContainsFunc(w.Cloud.types, func(t wire.MachineType) bool {
@@ -205,7 +249,7 @@
 
 // SubmitTo sends a job to a node once, and returns the status and the state it is told.
 func (w *Cluster) SubmitTo(node int, j wire.Job) (status int, state string) {
-	r := w.submit(w.nodes[node].bind, j)
+	r := w.sendSubmission(w.nodes[node].bind, j)
 	return r.status, r.state
 }
 
@@ -228,13 +272,13 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range waits {
-		n, what, body := i/2%len(w.nodes), question, any(nil)
+		n, kind, body := i/2%len(w.nodes), question, any(nil)
 		if i%2 == 1 {
-			what, body = submission, spec
+			kind, body = submission, spec
 		}
 		wg.Go(func() {
 			time.Sleep(time.Duration(i/(2*len(w.nodes)))*6*time.Millisecond + waits[i])
-			if a := w.ask(what, id, w.nodes[n].bind, body, 5*time.Second); a.state != "" {
+			if a := w.ask(kind, id, w.nodes[n].bind, body, 5*time.Second); a.state != "" {
 				mu.Lock()
 				told[n]++
 				mu.Unlock()
@@ -244,150 +288,3 @@
 	wg.Wait()
 	return told
 }
-
-// UnusualRequests is how many requests of a kind that users seldom send were answered for good.
-type UnusualRequests struct {
-	Known   int // repeated submissions, with whatever body, and cancellations of done jobs
-	Refused int // submissions that can't be accepted
-	Unknown int // questions and cancellations of jobs that nobody submitted
-}
-
-// oddKinds are what OddRequests draws from.
-const oddKinds = 10
-
-// SendUnusualRequests sends each node so many requests that users seldom send: submissions
-// of known jobs again, as they were or damaged, cancellations of jobs that are
-// done, jobs that can't be accepted, and ids that nobody has used.
-func (w *Cluster) SendUnusualRequests(each int) (odd UnusualRequests) {
-	var known, over []string
-	w.mu.Lock()
-	for id, j := range w.jobs {
-		if wire.ValidUserID(id) && j.accepted {
-			known = append(known, id)
-			if j.said == wire.JobDone {
-				over = append(over, id)
-			}
-		}
-	}
-	slices.Sort(known)
-	slices.Sort(over)
-	w.mu.Unlock()
-	for _, n := range w.nodes {
-		for range each {
-			w.mu.Lock()
-			kind, a, b := w.pick(oddKinds), w.pick(max(1, len(known))), w.pick(max(1, len(over)))
-			invalid := w.pick(4 * len(invalidFields))
-			w.unusualIDs++
-			spec := wire.Job{ID: fmt.Sprintf("wk-8%07d", w.unusualIDs), Class: "odd", Team: w.Settings.Cluster.Teams[0].Name, Kind: wire.KindArray,
-				Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemoryGB: 1, Image: "img-odd", ImageGB: 1, EstimateS: 5}
-			if kind < 3 && len(known) > 0 {
-				spec = w.jobs[known[a]].spec
-			}
-			lacking, short := lackings[w.pick(len(lackings))], w.pick(2) == 0
-			w.mu.Unlock()
-			id, count := spec.ID, &odd.Refused
-			var r userReply
-			want := 0
-			switch {
-			case kind < 2 && len(known) > 0:
-				count, want = &odd.Known, http.StatusOK
-				r = w.ask(submission, id, n.bind, damaged(spec, lacking, kind == 1, short), 5*time.Second)
-			case kind == 2 && len(over) > 0:
-				count, want, id = &odd.Known, http.StatusOK, over[b]
-				r = w.ask(cancellation, id, n.bind, nil, 5*time.Second)
-			case kind == 3:
-				spec.CPUs, want = 1e6, http.StatusUnprocessableEntity
-				r = w.ask(submission, id, n.bind, spec, 5*time.Second)
-			case kind == 4:
-				want = http.StatusBadRequest
-				r = w.ask(submission, id, n.bind, damaged(spec, lacking, true, short), 5*time.Second)
-			case kind == 5:
-				count, want = &odd.Unknown, http.StatusNotFound
-				r = w.ask(question, id, n.bind, nil, 2*time.Second)
-			case kind == 6:
-				count, want = &odd.Unknown, http.StatusNotFound
-				r = w.ask(cancellation, id, n.bind, nil, 5*time.Second)
-			case kind == 7:
-				spec.Team, want = "nobody", http.StatusUnprocessableEntity
-				r = w.ask(submission, id, n.bind, spec, 5*time.Second)
-			case kind == 8:
-				spec, want = beyondLimit(spec, w.Settings.Cluster.Teams), http.StatusUnprocessableEntity
-				r = w.ask(submission, id, n.bind, spec, 5*time.Second)
-			case kind == 9:
-				want = http.StatusBadRequest
-				r = w.ask(submission, id, n.bind, malformed(spec, invalid), 5*time.Second)
-			}
-			switch r.status {
-			case 0, http.StatusTooManyRequests, http.StatusServiceUnavailable:
-			case want:
-				*count++
-			default:
-				w.breaks("odd request %d of %s answered %d, not %d", kind, id, r.status, want)
-			}
-		}
-	}
-	return odd
-}
-
-// beyondLimit is a gang that needs more than its team's limit, of a team that has one, and
-// else one that no team has.
-func beyondLimit(j wire.Job, teams []config.Team) wire.Job {
-	i := slices.IndexFunc(teams, func(t config.Team) bool { return t.CPUsMax > 0 })
-	if i < 0 {
-		j.Team = "nobody"
-		return j
-	}
-	j.Kind, j.Team, j.Tasks = wire.KindGang, teams[i].Name, int(teams[i].CPUsMax)+1
-	return j
-}
-
-// invalidFields are values that a field must not have.
-var invalidFields = []struct {
-	name  string
-	value any
-}{
-	{"pieces", -1}, {"pieces", 0}, {"pieces", wire.MaxTasks + 1}, {"pieces", 1.5}, {"pieces", "two"}, {"cpus", -2.0}, {"cpus", "two"},
-	{"cpus", nil}, {"facon", "swarm"}, {"rang", "low"}, {"gammes", []any{1}}, {"oneZone", 1}, {"dureeS", -1.0}, {"gabarit", 7},
-}
-
-// encoded is a submission as it is sent, and its fields by their wire names.
-func encoded(j wire.Job) (raw []byte, fields map[string]any) {
-	raw, err := wire.Marshal(j)
-	if err == nil {
-		err = wire.Unmarshal(raw, &fields)
-	}
-	if err != nil {
-		panic(err) // a scenario is made wrong
-	}
-	return raw, fields
-}
-
-// malformed is a submission with an invalid field, or none at all.
-func malformed(j wire.Job, draw int) any {
-	switch draw % 4 {
-	case 0:
-		return wire.Raw{0xc1} // no MessagePack begins so
-	case 1:
-		return []string{"not", "a", "map"}
-	}
-	_, fields := encoded(j)
-	invalid := invalidFields[draw/4%len(invalidFields)]
-	fields[invalid.name] = invalid.value
-	return fields
-}
-
-// lackings are fields without which a job is not accepted.
-var lackings = []string{"pieces", "cpus", "facon", "gabarit", "oneZone"}
-
-// damaged is a submission that lacks a field, or is cut off after its id, if it is to be.
-func damaged(j wire.Job, lacking string, bad, short bool) any {
-	if !bad {
-		return j
-	}
-	raw, m := encoded(j)
-	if at := strings.Index(string(raw), j.ID); short && at >= 0 {
-		return wire.Raw(raw[:at+len(j.ID)+3])
-	}
-	delete(m, lacking)
-	return m
-}
--- a/internal/fake/user_requests_test.go
+++ b/internal/fake/user_requests_test.go
@@ -14,7 +14,7 @@
 func TestWhatIsHeardIsJudgedByWhenItWasAsked(t *testing.T) {
 	const id = "wk-000001"
 	type step struct {
-		what   int
+		kind   requestKind
 		status int
 		state  string
 		early  bool // sent before anything was answered
@@ -50,7 +50,7 @@
 			if s.early {
 				r.sent = 0
 			}
-			w.hear(s.what, id, r)
+			w.checkReply(s.kind, id, r)
 		}
 		if got := strings.Join(w.violations, "; "); (got == "") != (c.want == "") || !strings.HasPrefix(got, c.want) {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -16,7 +16,7 @@
 func (w *Cluster) request(method, addr, path string, v any, limit time.Duration) (int, []byte) {
 	ctx, cancel := context.WithTimeout(w.ctx, limit)
 	defer cancel()
-	status, body, err := call.Do(ctx, w.httpClient, method, "http://"+addr+path, v, 1<<20)
+	status, body, err := call.Do(ctx, w.httpClient, method, "http://"+addr+path, v, maxReply)
 	if err != nil {
 		return 0, nil
 	}
@@ -67,7 +67,7 @@
 // was.
 func (w *Cluster) Submit(j wire.Job) bool {
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); {
-		switch w.submit(w.AnyNodeAddr(), j).status {
+		switch w.sendSubmission(w.AnyNodeAddr(), j).status {
 		case http.StatusOK, http.StatusCreated:
 			return true
 		case http.StatusBadRequest, http.StatusUnprocessableEntity:
@@ -80,8 +80,8 @@
 	return false
 }
 
-// submit sends a job to a node once.
-func (w *Cluster) submit(addr string, j wire.Job) userReply {
+// sendSubmission sends a job to a node once.
+func (w *Cluster) sendSubmission(addr string, j wire.Job) userReply {
 	w.mu.Lock()
 	if w.jobs[j.ID] == nil {
 		w.jobs[j.ID] = &job{spec: j, done: map[int]bool{}}
