--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -107,12 +107,12 @@
 	for b := m.PlanRecordBatch(12); b != nil; b = m.PlanRecordBatch(12) {
 		b.OnCommit(uint64(s*100), now)
 	}
-	for _, ref := range m.awaitingLaunch {
+	for _, ref := range m.directCommands.launches {
 		if p := m.Jobs[ref.Job].Tasks[ref.Task].Placement; p != nil {
 			p.LaunchSent, p.ReportedState, p.RunningSince = true, reportedRunning, now
 		}
 	}
-	m.awaitingLaunch = m.awaitingLaunch[:0]
+	m.directCommands.launches = m.directCommands.launches[:0]
 }
 
 // threadTime is the processor time that this thread has taken, in all: unlike the
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -97,5 +97,5 @@
 		// A page that was never written may be, once what is in the store is deleted.
 		fmt.Fprintf(w, "|p%d,%t,%t,%t", p.number, p.version == ref.Version(jobstore.PlacementPageKey(p.number)), p.version == 0, p.generation == p.committedGeneration)
 	}
-	fmt.Fprintf(w, "|%d,%d", len(m.unpushedStops), len(m.awaitingLaunch))
+	fmt.Fprintf(w, "|%d,%d", len(m.directCommands.stops), len(m.directCommands.launches))
 }
--- a/cluster/heldstops.go
+++ b/cluster/heldstops.go
@@ -12,13 +12,45 @@
 // transactions themselves: without the check, a leader that has missed a newer plan could
 // preempt tasks by an outdated one for as long as its lease is valid.
 
-// heldStop is a stop that was decided but not yet ordered. It lapses when its placement is
-// removed or is no longer marked as held.
+// heldStop is a stop that was decided but not yet ordered. Its placement is marked as
+// StopHeld for as long as it is to be ordered.
 type heldStop struct {
-	ref   TaskRef
-	place *Placement
-	why   StopReason
-	at    time.Time
+	ref       TaskRef
+	job       *Job
+	placement *Placement
+	why       StopReason
+	at        time.Time
+}
+
+// stillHeld reports whether a stop is still to be ordered. It lapses when its placement is
+// removed or is no longer marked.
+func (h *heldStop) stillHeld() bool {
+	return h.job.Tasks[h.ref.Task].Placement == h.placement && h.placement.StopHeld
+}
+
+// heldStops are the stops that wait for the plan to be confirmed, in the order in which they
+// were decided.
+type heldStops struct {
+	stops []heldStop
+}
+
+func (s *heldStops) hold(h heldStop) {
+	h.placement.StopHeld = true
+	s.stops = append(s.stops, h)
+}
+
+// pending returns a copy of the stops that are still held, and forgets the others.
+func (s *heldStops) pending() []heldStop {
+	s.stops = slices.DeleteFunc(s.stops, func(h heldStop) bool { return !h.stillHeld() })
+	return slices.Clone(s.stops)
+}
+
+// drop discards all stops.
+func (s *heldStops) drop() {
+	for _, h := range s.stops {
+		h.placement.StopHeld = false
+	}
+	s.stops = s.stops[:0]
 }
 
 // ExpectPlan records that there may be a plan from now on, so that stops are held back for
@@ -38,21 +70,12 @@
 	case !m.planExpected && m.plan.HeadVersion == 0, !p.LaunchSent && !p.Inherited, p.Stop != nil:
 		m.StopTask(ref, why, now)
 	default:
-		p.StopHeld = true
-		m.heldStops = append(m.heldStops, heldStop{ref: ref, place: p, why: why, at: now})
+		m.heldStops.hold(heldStop{ref: ref, job: j, placement: p, why: why, at: now})
 	}
 }
 
 // HasHeldStops reports whether stops wait for a transaction to confirm the plan.
-func (m *Model) HasHeldStops() bool {
-	m.heldStops = slices.DeleteFunc(m.heldStops, func(h heldStop) bool { return !m.stillHeld(h) })
-	return len(m.heldStops) > 0
-}
-
-func (m *Model) stillHeld(h heldStop) bool {
-	j := m.Jobs[h.ref.Job]
-	return j != nil && j.Tasks[h.ref.Task].Placement == h.place && h.place.StopHeld
-}
+func (m *Model) HasHeldStops() bool { return len(m.heldStops.pending()) > 0 }
 
 // PlanCheckBatch returns a transaction without changes whose condition is the plan's
 // version: committing it releases all held stops. It returns nil if there are none.
@@ -68,35 +91,33 @@
 // addPlanCheck makes the commit of a batch release the held stops. A stop may be in several
 // batches; the first commit releases it.
 func (m *Model) addPlanCheck(b *WriteBatch) {
-	if !m.HasHeldStops() {
+	held := m.heldStops.pending()
+	if len(held) == 0 {
 		return
 	}
 	if !b.placesTasks {
 		b.Guards = append(b.Guards, m.PlanGuard())
 	}
-	held := slices.Clone(m.heldStops)
 	b.HeldStops = len(held)
-	b.commitHooks = append(b.commitHooks, func(_ uint64, now time.Time) {
-		for _, h := range held {
-			if m.stillHeld(h) {
-				h.place.StopHeld = false
-				m.Observer.PreemptionHeld(now.Sub(h.at).Seconds())
-				m.StopTask(h.ref, h.why, now)
-			}
-		}
-	})
+	b.commitHooks = append(b.commitHooks, func(_ uint64, now time.Time) { m.releaseHeldStops(held, now) })
 	b.OnCommit = b.runCommitHooks
 }
 
-// DropHeldStops discards the held stops because the plan by which they were decided is no
-// longer in force. The next scheduling pass decides anew which tasks to stop.
-func (m *Model) DropHeldStops() {
-	for _, h := range m.heldStops {
-		h.place.StopHeld = false
+// releaseHeldStops orders the stops, apart from those that have lapsed.
+func (m *Model) releaseHeldStops(held []heldStop, now time.Time) {
+	for _, h := range held {
+		if h.stillHeld() {
+			h.placement.StopHeld = false
+			m.Observer.PreemptionHeld(now.Sub(h.at).Seconds())
+			m.StopTask(h.ref, h.why, now)
+		}
 	}
-	m.heldStops = m.heldStops[:0]
 }
 
+// DropHeldStops discards the held stops because the plan by which they were decided is no
+// longer in force. The next scheduling pass decides anew which tasks to stop.
+func (m *Model) DropHeldStops() { m.heldStops.drop() }
+
 // RebalanceGuards returns the conditions of a rebalance cycle record besides the leader
 // key. They include the plan, because its priority order decides for which requests moves
 // make room.
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -63,14 +63,13 @@
 	pages              []*placementPage
 	admissionPages     map[string]*admissionPage
 	quarantine         quarantine
-	nextPageToWrite    int       // pages are written in turn from here on
-	longestMachineName int       // of the machines' names
-	unpushedStops      []TaskRef // stops not yet sent to workers' own addresses
-	awaitingLaunch     []TaskRef // tasks placed and not launched: their machines may need a wake-up
+	nextPageToWrite    int // pages are written in turn from here on
+	longestMachineName int // of the machines' names
+	directCommands     directCommandQueue
 	refusedOffers      offerRefusals
 	plan               Plan
-	planExpected       bool       // there may be a plan
-	heldStops          []heldStop // until the plan is compared
+	planExpected       bool      // there may be a plan
+	heldStops          heldStops // until the plan is confirmed
 	windows            batchWindows
 	planRecords        planRecords
 	pools              warmPools
--- a/cluster/stoppush.go
+++ b/cluster/stoppush.go
@@ -19,12 +19,8 @@
 func (m *Model) StopPushes(now time.Time) []Push {
 	byMachine := map[int32]*Push{}
 	var order []int32
-	for _, ref := range m.unpushedStops {
-		j := m.Jobs[ref.Job]
-		if j == nil {
-			continue
-		}
-		p := j.Tasks[ref.Task].Placement
+	for _, ref := range m.directCommands.takeStops() {
+		p := m.placementAt(ref)
 		if p == nil || p.Stop == nil || !p.Stop.PushedAt.IsZero() {
 			continue
 		}
@@ -39,11 +35,10 @@
 			byMachine[mc.Index] = d
 			order = append(order, mc.Index)
 		}
-		g := p.Stop.Grace
+		grace := p.Stop.Grace
 		d.Commands.Commands = append(d.Commands.Commands,
-			wire.Command{Op: wire.OpStop, Task: wire.TaskName(j.ID, int(ref.Task)), Attempt: p.Attempt, GraceS: &g})
+			wire.Command{Op: wire.OpStop, Task: wire.TaskName(m.Jobs[ref.Job].ID, int(ref.Task)), Attempt: p.Attempt, GraceS: &grace})
 	}
-	m.unpushedStops = m.unpushedStops[:0]
 	out := make([]Push, 0, len(order))
 	for _, i := range order {
 		out = append(out, *byMachine[i])
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -34,7 +34,7 @@
 	t.Phase = TaskPlaced
 	t.Placement = &Placement{Machine: mc.Index, Attempt: attempt, PlacedAt: now, machineName: mc.Name}
 	mc.Tasks[TaskRef{Job: j.Index, Task: task}] = true
-	m.awaitingLaunch = append(m.awaitingLaunch, TaskRef{Job: j.Index, Task: task})
+	m.directCommands.addLaunch(TaskRef{Job: j.Index, Task: task})
 	mc.Used = mc.Used.Add(j.Need, 1)
 	mc.hasHadTask = true
 	j.PlacedTasks++
@@ -47,6 +47,15 @@
 	}
 }
 
+// placementAt returns the placement of a task; nil if it is not placed or its job is out of
+// the model.
+func (m *Model) placementAt(ref TaskRef) *Placement {
+	if j := m.Jobs[ref.Job]; j != nil {
+		return j.Tasks[ref.Task].Placement
+	}
+	return nil
+}
+
 // removePlacement takes in that a task is certainly on no machine.
 func (m *Model) removePlacement(j *Job, task int32, now time.Time) {
 	t := &j.Tasks[task]
@@ -115,7 +124,7 @@
 	if j.reservation != nil {
 		m.changeChunk(j, task) // its door tells that it is leaving
 	}
-	m.unpushedStops = append(m.unpushedStops, TaskRef{Job: j.Index, Task: task})
+	m.directCommands.addStop(TaskRef{Job: j.Index, Task: task})
 }
 
 // stopAllTasks orders all placed tasks of a job to stop.
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -27,30 +27,33 @@
 func (m *Model) WakeUps(most int, now time.Time) []Push {
 	var out []Push
 	called := map[int32]bool{}
-	left := m.awaitingLaunch[:0]
-	for _, ref := range m.awaitingLaunch {
-		j := m.Jobs[ref.Job]
-		if j == nil {
-			continue
-		}
-		p := j.Tasks[ref.Task].Placement
+	m.directCommands.filterLaunches(func(ref TaskRef) bool {
+		p := m.placementAt(ref)
 		if p == nil || p.LaunchSent || p.Inherited || p.Stop != nil {
-			continue
+			return false
 		}
-		mc := m.Machines[p.Machine]
-		left = append(left, ref)
+		j, mc := m.Jobs[ref.Job], m.Machines[p.Machine]
 		if called[mc.Index] {
-			p.WokenAt = now
+			p.WokenAt = now // one wake-up serves all launches of its machine
+			return true
 		}
-		if len(out) >= most || called[mc.Index] || mc.HeldAnswers > 0 || mc.Addr == "" || !mc.Up || mc.unreachable() || !mc.InterruptionAt.IsZero() ||
-			now.Sub(p.WokenAt) < wakeUpRetry || !launchable(j, ref.Task) {
-			continue
+		if len(out) < most && mc.canBeWoken() && now.Sub(p.WokenAt) >= wakeUpRetry && launchable(j, ref.Task) {
+			p.WokenAt = now
+			called[mc.Index] = true
+			out = append(out, m.wakeUp(mc, j, p.Attempt))
 		}
-		p.WokenAt = now
-		called[mc.Index] = true
-		out = append(out, Push{Machine: mc.Name, Addr: mc.Addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch,
-			Commands: []wire.Command{{Op: wire.OpStart, Task: wire.TaskName(j.ID, NoSuchTask), Attempt: p.Attempt}}}})
-	}
-	m.awaitingLaunch = left
+		return true
+	})
 	return out
 }
+
+// canBeWoken reports whether a wake-up sent to a machine now would have an effect that the
+// answer to its next heartbeat does not have anyway.
+func (mc *Machine) canBeWoken() bool {
+	return mc.HeldAnswers == 0 && mc.Addr != "" && mc.Up && !mc.unreachable() && mc.InterruptionAt.IsZero()
+}
+
+func (m *Model) wakeUp(mc *Machine, j *Job, attempt uint64) Push {
+	return Push{Machine: mc.Name, Addr: mc.Addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch,
+		Commands: []wire.Command{{Op: wire.OpStart, Task: wire.TaskName(j.ID, NoSuchTask), Attempt: attempt}}}}
+}
--- a/cluster/wakeup_test.go
+++ b/cluster/wakeup_test.go
@@ -74,8 +74,8 @@
 	if got := m.WakeUps(0, at(1.3)); len(got) != 0 {
 		t.Errorf("%d summonses without a socket", len(got))
 	}
-	if len(m.awaitingLaunch) != 2 {
-		t.Errorf("%d places wait for a summons, wanted both", len(m.awaitingLaunch))
+	if len(m.directCommands.launches) != 2 {
+		t.Errorf("%d places wait for a summons, wanted both", len(m.directCommands.launches))
 	}
 	m.Machines[0].HeldAnswers++
 	if got := m.WakeUps(10, at(1.3)); len(got) != 0 {
@@ -91,7 +91,7 @@
 func TestWhatWasLaunchedIsForgottenWithoutSummonses(t *testing.T) {
 	m := twoHosts(t)
 	m.AnswerHeartbeat(m.ApplyHeartbeat(rep(2, 5), at(1.5)), rep(2, 5), at(1.5))
-	if m.WakeUps(0, at(2)); len(m.awaitingLaunch) != 1 {
-		t.Errorf("%d places are kept, wanted the one that is not launched", len(m.awaitingLaunch))
+	if m.WakeUps(0, at(2)); len(m.directCommands.launches) != 1 {
+		t.Errorf("%d places are kept, wanted the one that is not launched", len(m.directCommands.launches))
 	}
 }
