--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -140,17 +140,17 @@
 // applyWindowDeadline makes a batch window's job due by the earlier of its own deadline and
 // that of the batch window.
 func (m *Model) applyWindowDeadline(k *queued) {
-	schedule, window := m.windowOf(k.j)
+	schedule, window := m.windowOf(k.job)
 	if schedule == nil {
 		return
 	}
 	k.inWindow, k.deadline = true, window.Deadline
-	if seconds := k.j.Spec.DeadlineS; seconds != nil {
-		if own := k.j.AcceptedAt.Add(config.Seconds(*seconds)); own.Before(k.deadline) {
+	if seconds := k.job.Spec.DeadlineS; seconds != nil {
+		if own := k.job.AcceptedAt.Add(config.Seconds(*seconds)); own.Before(k.deadline) {
 			k.deadline = own
 		}
 	}
-	startup := m.startupAndSpreadOf(k.j)
+	startup := m.startupAndSpreadOf(k.job)
 	if due := k.deadline.Add(-config.Seconds(startup.slowestTask(k.runSeconds, len(k.req.Tasks)) + startup.startDelay())); due.Before(k.due) {
 		k.due = due
 	}
--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/placement"
 )
 
@@ -51,7 +52,7 @@
 		}
 		c = &classStats{}
 		for _, o := range m.settings.Cluster.Objectives {
-			c.hasWaitObjective = c.hasWaitObjective || o.Kind == "wait" && o.Class == j.Spec.Class
+			c.hasWaitObjective = c.hasWaitObjective || o.Kind == config.ObjectiveWait && o.Class == j.Spec.Class
 		}
 		m.classes[j.Spec.Class] = c
 	}
@@ -79,14 +80,14 @@
 // is to start soon, and whose jobs may not stop those of the request's class,
 // room is kept for the jobs that are likely to come.
 func (m *Model) backfillReservations(k *queued, done map[string]bool, now time.Time) []placement.Request {
-	own := m.classes[k.j.Spec.Class]
+	own := m.classes[k.job.Spec.Class]
 	if own == nil || k.withinQuota {
 		return nil
 	}
 	var out []placement.Request
 	for _, n := range m.classNames() {
 		c := m.classes[n]
-		if done[n] || !c.hasWaitObjective || c.lastJob.Priority != k.j.Priority || !m.reservesFor(c, k, own) {
+		if done[n] || !c.hasWaitObjective || c.lastJob.Priority != k.job.Priority || !m.reservesFor(c, k, own) {
 			continue
 		}
 		done[n] = true
--- a/cluster/completion_floor.go
+++ b/cluster/completion_floor.go
@@ -50,11 +50,11 @@
 	long := floorAfter * m.StarvationBound
 	old := map[string][]*queued{}
 	for _, k := range out {
-		k.j.start.mustFinish = false
-		if now.Sub(k.j.AcceptedAt) <= long {
+		k.job.start.mustFinish = false
+		if now.Sub(k.job.AcceptedAt) <= long {
 			continue
 		}
-		for _, g := range m.floorGroups(k.j) {
+		for _, g := range m.floorGroups(k.job) {
 			old[g] = append(old[g], k)
 		}
 	}
@@ -63,9 +63,9 @@
 		if missing <= 0 {
 			continue
 		}
-		slices.SortStableFunc(jobs, func(a, b *queued) int { return a.j.AcceptedAt.Compare(b.j.AcceptedAt) })
+		slices.SortStableFunc(jobs, func(a, b *queued) int { return a.job.AcceptedAt.Compare(b.job.AcceptedAt) })
 		for _, k := range jobs[:min(missing, len(jobs))] {
-			k.j.start.mustFinish = true
+			k.job.start.mustFinish = true
 		}
 	}
 }
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -47,19 +47,19 @@
 	jobs := m.openJobs()
 	line := m.buildQueue(jobs, m.jobsWithinQuota(jobs), now)
 	for i, k := range line {
-		if k.j != j {
+		if k.job != j {
 			continue
 		}
 		w.PendingReasons = m.lacks(k)
 		for b := i - 1; b >= 0; b-- {
 			o := line[b]
-			if o.j == j {
+			if o.job == j {
 				continue
 			}
 			why := k.behindReason(o)
 			w.AheadByReason[why]++
 			if len(w.Nearest) < nearestShown {
-				w.Nearest = append(w.Nearest, JobAhead{o.j.ID, m.tiers.policy.TierName(o.j.tier), why})
+				w.Nearest = append(w.Nearest, JobAhead{o.job.ID, m.tiers.policy.TierName(o.job.tier), why})
 			}
 		}
 		return w, true // its part that is served first
@@ -75,7 +75,7 @@
 		return "fault"
 	case k.withinQuota != o.withinQuota:
 		return priority.WithinQuota.String()
-	case k.j.Priority != o.j.Priority:
+	case k.job.Priority != o.job.Priority:
 		return priority.HigherPriority.String()
 	case o.req.Owed:
 		return priority.StarvationBound.String()
@@ -97,7 +97,7 @@
 
 // lacks lists what a request in the queue waits for.
 func (m *Model) lacks(k *queued) (out []string) {
-	r, j := &k.req, k.j
+	r, j := &k.req, k.job
 	if n := placement.TasksWithinLimit(r, m.teams); n == 0 || r.Gang && n < len(r.Tasks) {
 		t := m.teams[r.Team]
 		out = append(out, fmt.Sprintf("its team's limit: %g of %g CPUs and %g of %g GPUs are in use (0: no limit)", t.Used.CPU, t.Max.CPU, t.Used.GPU, t.Max.GPU))
--- a/cluster/gpu_machines.go
+++ b/cluster/gpu_machines.go
@@ -17,7 +17,7 @@
 // everybody else's those with GPUs; and thousands of small tasks refill the CPUs
 // beside the GPUs one by one, so that a task which needs both never finds them.
 func (m *Model) keepGPUMachinesFree(out []*queued, jobs []*Job) {
-	gpus := slices.ContainsFunc(out, func(k *queued) bool { return k.j.Need.GPU > 0 })
+	gpus := slices.ContainsFunc(out, func(k *queued) bool { return k.job.Need.GPU > 0 })
 	plain := make([]bool, len(m.MachineTypes))
 	for i := range m.MachineTypes {
 		plain[i] = m.MachineTypes[i].Capacity.GPU == 0
@@ -28,11 +28,11 @@
 	aimless := slices.ContainsFunc(jobs, func(j *Job) bool { return j.PlacedTasks > 0 && j.Need.GPU == 0 && !m.hasObjective(j) })
 	first := m.highestPriorityForGPUs(out)
 	for _, k := range out {
-		if k.j.Need.GPU > 0 || !slices.ContainsFunc(m.fittingTypes(k.j), func(ti int) bool { return plain[ti] }) {
+		if k.job.Need.GPU > 0 || !slices.ContainsFunc(m.fittingTypes(k.job), func(ti int) bool { return plain[ti] }) {
 			continue
 		}
 		switch {
-		case !m.hasObjective(k.j) && !k.withinQuota, !k.withinQuota && !k.mustStart && k.j.Priority >= first && !m.hasWaitObjective(k.j):
+		case !m.hasObjective(k.job) && !k.withinQuota, !k.withinQuota && !k.mustStart && k.job.Priority >= first && !m.hasWaitObjective(k.job):
 			k.req.Types = intersect(k.req.Types, plain)
 		case aimless:
 			k.req.PreferredTypes = intersect(k.req.Types, plain)
@@ -45,8 +45,8 @@
 func (m *Model) highestPriorityForGPUs(out []*queued) int {
 	first := math.MaxInt
 	for _, k := range out {
-		if k.j.Need.GPU > 0 && k.j.Priority < first && placement.TasksWithinLimit(&k.req, m.teams) > 0 {
-			first = k.j.Priority
+		if k.job.Need.GPU > 0 && k.job.Priority < first && placement.TasksWithinLimit(&k.req, m.teams) > 0 {
+			first = k.job.Priority
 		}
 	}
 	return first
--- a/cluster/objectives.go
+++ b/cluster/objectives.go
@@ -1,73 +1,99 @@
 package cluster
 
 import (
-	"sort"
+	"slices"
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// This file is what the service-level objectives say of a job.
+// This file derives from the service-level objectives by when a job must start.
 
-// latestStarts is when a job must start at the latest to meet each of its
-// class's objectives that it can still meet; urgent says that the first is on how
-// soon it starts, and missed that none is left of those there were.
-func (m *Model) latestStarts(j *Job, left float64, tasks int, within bool, now time.Time) (at []time.Time, missed, urgent bool) {
-	sp := m.startupAndSpreadOf(j)
-	delay := config.Seconds(sp.startDelay())
-	est := config.Seconds(sp.slowestTask(left, tasks)) + delay
-	aims := 0
-	var wait time.Time
-	take := func(t time.Time) {
-		aims++
-		if !t.Before(now) {
-			at = append(at, t)
-		}
+// startDeadlines are the latest starts by which a job meets the objectives that it can still
+// meet, earliest first.
+type startDeadlines struct {
+	latest       []time.Time
+	earliestWait time.Time // the earliest of them that belongs to an objective on the wait; zero: none
+	missed       int       // number of objectives that can't be met any more
+}
+
+// add adds an objective that is met if the job starts by the given time.
+func (d *startDeadlines) add(latest, now time.Time) {
+	if latest.Before(now) {
+		d.missed++
+		return
 	}
-	soon := func(o config.Objective) {
-		if j.FirstRunAt.IsZero() {
-			t := j.AcceptedAt.Add(config.Seconds(o.WithinS) - delay)
-			take(t)
-			if !t.Before(now) && (wait.IsZero() || t.Before(wait)) {
-				wait = t
-			}
-		}
+	d.latest = append(d.latest, latest)
+}
+
+// addWait adds an objective on how long a job waits for its start. startup is the time from
+// its placement to its start. A job that has started needs no such objective.
+func (d *startDeadlines) addWait(j *Job, o *config.Objective, startup time.Duration, now time.Time) {
+	if !j.FirstRunAt.IsZero() {
+		return
 	}
-	for _, o := range m.settings.Cluster.Objectives {
+	latest := j.AcceptedAt.Add(config.Seconds(o.WithinS) - startup)
+	d.add(latest, now)
+	if !latest.Before(now) && (d.earliestWait.IsZero() || latest.Before(d.earliestWait)) {
+		d.earliestWait = latest
+	}
+}
+
+// allMissed reports whether the job has objectives and can meet none of them any more.
+func (d *startDeadlines) allMissed() bool { return d.missed > 0 && len(d.latest) == 0 }
+
+// waitIsNext reports whether the next objective is on how long the job waits for its start.
+func (d *startDeadlines) waitIsNext() bool {
+	return len(d.latest) > 0 && d.latest[0].Equal(d.earliestWait)
+}
+
+// latestStarts returns by when a queued job must start to meet the objectives of its class,
+// as far as it can still meet them.
+func (m *Model) latestStarts(k *queued, now time.Time) startDeadlines {
+	j := k.job
+	learned := m.startupAndSpreadOf(j)
+	startup := config.Seconds(learned.startDelay())
+	duration := config.Seconds(learned.slowestTask(k.runSeconds, len(k.req.Tasks))) + startup
+	var deadlines startDeadlines
+	for i := range m.settings.Cluster.Objectives {
+		o := &m.settings.Cluster.Objectives[i]
 		if o.Class != j.Spec.Class && o.Class != "" {
 			continue
 		}
 		switch o.Kind {
-		case "wait":
-			soon(o)
-		case "guarantee":
-			// One that has waited for longer is no worse off for waiting on:
-			// those that have just come are served before it, until its next
-			// objective is near.
-			if within {
-				soon(o)
+		case config.ObjectiveWait:
+			deadlines.addWait(j, o, startup, now)
+		case config.ObjectiveGuarantee:
+			// A job that has missed this objective loses nothing by waiting longer:
+			// jobs that can still meet it precede it until its next objective is due.
+			if k.withinQuota {
+				deadlines.addWait(j, o, startup, now)
 			}
-		case "finished":
-			take(j.AcceptedAt.Add(config.Seconds(o.WithinS) - est))
-		case "deadline":
+		case config.ObjectiveFinished:
+			deadlines.add(j.AcceptedAt.Add(config.Seconds(o.WithinS)-duration), now)
+		case config.ObjectiveDeadline:
 			if j.Spec.DeadlineS != nil {
-				times := o.Times
-				if times <= 0 {
-					times = 1
-				}
-				take(j.AcceptedAt.Add(config.Seconds(*j.Spec.DeadlineS*times) - est))
+				deadlines.add(j.AcceptedAt.Add(config.Seconds(*j.Spec.DeadlineS*deadlineFactor(o))-duration), now)
 			}
 		}
 	}
-	sort.Slice(at, func(a, b int) bool { return at[a].Before(at[b]) })
-	return at, aims > 0 && len(at) == 0, len(at) > 0 && at[0].Equal(wait)
+	slices.SortFunc(deadlines.latest, time.Time.Compare)
+	return deadlines
+}
+
+// deadlineFactor is the multiple of a job's own deadline that a deadline objective grants.
+func deadlineFactor(o *config.Objective) float64 {
+	if o.Times <= 0 {
+		return 1
+	}
+	return o.Times
 }
 
-// hasObjective says whether any objective speaks of the job.
+// hasObjective reports whether any objective applies to the class of the job by name.
 func (m *Model) hasObjective(j *Job) bool {
 	for _, o := range m.settings.Cluster.Objectives {
 		switch o.Kind {
-		case "wait", "finished", "deadline":
+		case config.ObjectiveWait, config.ObjectiveFinished, config.ObjectiveDeadline:
 			if o.Class == j.Spec.Class {
 				return true
 			}
@@ -76,16 +102,17 @@
 	return false
 }
 
-// hasWaitObjective says whether an objective wants jobs of the job's class started soon.
+// hasWaitObjective reports whether an objective bounds how long jobs of the job's class wait for
+// their start.
 func (m *Model) hasWaitObjective(j *Job) bool {
 	c := m.classes[j.Spec.Class]
 	return c != nil && c.hasWaitObjective
 }
 
-// hasCostObjective says whether the deployment has an objective on what it pays.
+// hasCostObjective reports whether an objective of the deployment is on the price of machines.
 func (m *Model) hasCostObjective() bool {
 	for _, o := range m.settings.Cluster.Objectives {
-		if o.Kind == "price" || o.Kind == "cost" {
+		if o.Kind == config.ObjectivePrice || o.Kind == config.ObjectiveCost {
 			return true
 		}
 	}
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -139,7 +139,7 @@
 	waiting := make([]priority.PendingJob, len(line))
 	for i, k := range line {
 		waiting[i] = priority.PendingJob{Tier: k.req.Tier, Tasks: len(k.req.Tasks), Gang: k.req.Gang, TaskShare: dominantShare(k.req.Need, fleet),
-			WaitedSeconds: now.Sub(k.j.AcceptedAt).Seconds(), Placed: k.j.PlacedTasks, Started: k.j.DoneTasks > 0 || !k.j.FirstRunAt.IsZero()}
+			WaitedSeconds: now.Sub(k.job.AcceptedAt).Seconds(), Placed: k.job.PlacedTasks, Started: k.job.DoneTasks > 0 || !k.job.FirstRunAt.IsZero()}
 	}
 	ahead := o.Promote(waiting, m.tierUsage(fleet))
 	out := make([]*queued, 0, len(line))
@@ -195,12 +195,12 @@
 			first = append(first, k)
 			continue
 		}
-		over := k.j.AcceptedAt.Add(config.Seconds(m.tiers.policy.MaxWaitSeconds(k.req.Tier)))
+		over := k.job.AcceptedAt.Add(config.Seconds(m.tiers.policy.MaxWaitSeconds(k.req.Tier)))
 		at := len(out)
 		for at > 0 {
 			o := out[at-1]
-			if !o.req.Owed || o.withinQuota != k.withinQuota || o.j.Priority != k.j.Priority || o.j.start.mustFinish ||
-				!o.j.start.infeasible && !o.j.start.startBy.After(over) || priority.PromotionCause(o.req.PromotionCause) == priority.PromotedByWait {
+			if !o.req.Owed || o.withinQuota != k.withinQuota || o.job.Priority != k.job.Priority || o.job.start.mustFinish ||
+				!o.job.start.infeasible && !o.job.start.startBy.After(over) || priority.PromotionCause(o.req.PromotionCause) == priority.PromotedByWait {
 				break
 			}
 			at--
@@ -213,7 +213,7 @@
 
 // sameRank says whether only the order decides which of two is served first.
 func (k *queued) sameRank(o *queued) bool {
-	return k.withinQuota == o.withinQuota && k.j.Priority == o.j.Priority && k.req.Owed == o.req.Owed
+	return k.withinQuota == o.withinQuota && k.job.Priority == o.job.Priority && k.req.Owed == o.req.Owed
 }
 
 // split parts the first n tasks of a request from the others. They count the same
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -7,45 +7,48 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file builds the queue of a scheduling pass: what waits for room, and in which
-// order it is served.
+// This file builds the queue of a scheduling pass: the requests of all waiting jobs, in the
+// order in which they are served.
 
 const (
 	maxRequestTasks = 64  // of one job in one pass
 	maxRequests     = 400 // in one pass
+	// noObjectiveDue is when a job is due that has no objective left, from now on: after
+	// nearly all that have one.
+	noObjectiveDue = time.Hour
 )
 
-// queued is a job in the queue of a scheduling pass, with what its place in the queue
-// rests on. It lives for one pass; what outlasts it is kept in the job (triageVerdict,
-// startState).
+// queued is a job in the queue of a scheduling pass, with what determines its position. It
+// lives for one pass; what outlasts the pass is kept in the job (triageVerdict, startState).
 type queued struct {
-	j           *Job
+	job         *Job
 	withinQuota bool
-	due         time.Time
-	laterDue    []time.Time // what it is due for once it is put off
-	missed      bool
-	deferred    bool // from an objective it could still meet, for others' sake
-	urgent      bool
-	mustStart   bool    // must begin now, before the objectives of its priority
-	runSeconds  float64 // seconds that the longest of its waiting tasks takes
-	totalWork   float64
+	due         time.Time   // latest start for the objective that it is served for
+	laterDue    []time.Time // latest starts for its later objectives, earliest first
+	missed      bool        // it can meet none of its objectives
+	deferred    bool        // triage has removed it from an objective that it could meet
+	mustStart   bool        // the starvation bound lets it precede the objectives of its priority
+	runSeconds  float64     // expected, of the longest of its waiting tasks
+	totalWork   float64     // remainingWork
 	req         placement.Request
 
 	windowRank
 }
 
-// nextObjective takes a job's next objective as what it is due for.
-func (r *queued) nextObjective(now time.Time) {
-	if len(r.laterDue) == 0 {
-		r.due = now.Add(time.Hour)
+// nextObjective makes the job due for the next of its later objectives.
+func (k *queued) nextObjective(now time.Time) {
+	if len(k.laterDue) == 0 {
+		k.due = now.Add(noObjectiveDue)
 		return
 	}
-	r.due, r.laterDue = r.laterDue[0], r.laterDue[1:]
+	k.due, k.laterDue = k.laterDue[0], k.laterDue[1:]
 }
 
+// openJobs lists the jobs that have unfinished tasks and may be scheduled, in the order in
+// which they were accepted.
 func (m *Model) openJobs() []*Job {
-	// A leader may see far more jobs over its time than are there at once: those
-	// that are out of the model are dropped here, not looked at for ever.
+	// Over a leadership far more jobs come and go than are in the model at once, so the
+	// indexes of those that have left it are dropped here.
 	live := m.openIndexes[:0]
 	for _, idx := range m.openIndexes {
 		if m.Jobs[idx] != nil {
@@ -63,12 +66,13 @@
 	return jobs
 }
 
-// buildQueue lists what waits for room, in the order it is to be served.
-func (m *Model) buildQueue(jobs []*Job, in map[int32]bool, now time.Time) []*queued {
+// buildQueue returns the queue: the requests of the waiting jobs, in the order in which they
+// are served. Jobs that fail wherever they run are at its end.
+func (m *Model) buildQueue(jobs []*Job, withinQuota map[int32]bool, now time.Time) []*queued {
 	for _, c := range m.classes {
 		c.openTasks = 0
 	}
-	var out, last []*queued
+	var queue, faulty []*queued
 	for _, j := range jobs {
 		if c := m.classes[j.Spec.Class]; c != nil && !j.failures.atFault() {
 			c.openTasks += len(j.Tasks) - j.DoneTasks
@@ -77,44 +81,64 @@
 		if !ok {
 			continue
 		}
-		k := &queued{j: j, withinQuota: in[j.Index], req: r}
 		if j.failures.atFault() {
-			// Free room and nothing else: no place is kept, made or rented for
-			// it, and no image fetched before those of healthy work.
-			k.withinQuota, k.missed, k.req.FreeRoomOnly = false, true, true
-			k.nextObjective(now)
-			last = append(last, k)
+			faulty = append(faulty, newFaultyQueued(j, r, now))
 			continue
 		}
-		est := m.expectedRunTime(j)
-		for _, t := range r.Tasks {
-			k.runSeconds = max(k.runSeconds, remainingOf(est, &j.Tasks[t]))
-		}
-		k.laterDue, k.missed, k.urgent = m.latestStarts(j, k.runSeconds, len(r.Tasks), k.withinQuota, now)
-		k.nextObjective(now)
-		m.applyWindowDeadline(k)
-		k.req.WithinGuarantee, k.req.Hold = k.withinQuota, k.urgent && m.hasCompetitors(j) || m.outranksCompetitors(j)
-		out = append(out, k)
+		k := &queued{job: j, withinQuota: withinQuota[j.Index], req: r}
+		m.rankByObjectives(k, now)
+		queue = append(queue, k)
 	}
-	sort.SliceStable(out, func(a, b int) bool {
-		x, y := out[a], out[b]
-		switch {
-		case x.withinQuota != y.withinQuota:
-			return x.withinQuota
-		case x.j.Priority != y.j.Priority:
-			return x.j.Priority < y.j.Priority
-		case x.req.Tier != y.req.Tier:
-			return x.req.Tier < y.req.Tier
-		case x.inWindow || y.inWindow:
-			return compareByWindow(x, y)
-		case x.missed != y.missed:
-			return y.missed
-		}
-		return x.due.Before(y.due)
-	})
-	m.runTriage(out, now)
-	m.checkStarvationBound(out, now)
-	out = truncateQueue(m.promoteStarvedTiers(m.prioritizeMustStart(out, now), now), maxRequests)
-	m.keepGPUMachinesFree(out, jobs)
-	return append(out, last...)
+	sort.SliceStable(queue, func(a, b int) bool { return queue[a].precedes(queue[b]) })
+	m.runTriage(queue, now)
+	m.checkStarvationBound(queue, now)
+	queue = m.prioritizeMustStart(queue, now)
+	queue = m.promoteStarvedTiers(queue, now)
+	queue = truncateQueue(queue, maxRequests)
+	m.keepGPUMachinesFree(queue, jobs)
+	return append(queue, faulty...)
+}
+
+// newFaultyQueued queues a job that fails wherever it runs. It gets free resources only:
+// nothing is reserved, preempted or rented for it, and no image is fetched for it before
+// those of healthy work.
+func newFaultyQueued(j *Job, r placement.Request, now time.Time) *queued {
+	k := &queued{job: j, missed: true, req: r}
+	k.req.FreeRoomOnly = true
+	k.nextObjective(now)
+	return k
+}
+
+// rankByObjectives determines by when a queued job must start, and whether resources are held
+// for it.
+func (m *Model) rankByObjectives(k *queued, now time.Time) {
+	j := k.job
+	estimate := m.expectedRunTime(j)
+	for _, t := range k.req.Tasks {
+		k.runSeconds = max(k.runSeconds, remainingOf(estimate, &j.Tasks[t]))
+	}
+	deadlines := m.latestStarts(k, now)
+	k.laterDue, k.missed = deadlines.latest, deadlines.allMissed()
+	k.nextObjective(now)
+	m.applyWindowDeadline(k)
+	k.req.WithinGuarantee = k.withinQuota
+	k.req.Hold = deadlines.waitIsNext() && m.hasCompetitors(j) || m.outranksCompetitors(j)
+}
+
+// precedes reports whether k is served before o, before triage and the starvation bound have
+// changed the order.
+func (k *queued) precedes(o *queued) bool {
+	switch {
+	case k.withinQuota != o.withinQuota:
+		return k.withinQuota
+	case k.job.Priority != o.job.Priority:
+		return k.job.Priority < o.job.Priority
+	case k.req.Tier != o.req.Tier:
+		return k.req.Tier < o.req.Tier
+	case k.inWindow || o.inWindow:
+		return compareByWindow(k, o)
+	case k.missed != o.missed:
+		return o.missed
+	}
+	return k.due.Before(o.due)
 }
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -114,10 +114,10 @@
 func (p *schedulingPass) addRequest(k *queued) {
 	r := k.req
 	r.Avoid = p.avoidedPositions(r.Avoid)
-	r.PreferredMachines = p.model.moveTargets(k.j, p.inputPositions)
-	r.PoolAccess = p.model.poolAccess(k.j)
+	r.PreferredMachines = p.model.moveTargets(k.job, p.inputPositions)
+	r.PoolAccess = p.model.poolAccess(k.job)
 	p.input.Requests = append(p.input.Requests, r)
-	p.requestJobs = append(p.requestJobs, k.j)
+	p.requestJobs = append(p.requestJobs, k.job)
 }
 
 // avoidedPositions translates the model's machines that a request avoids into positions in
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -130,10 +130,10 @@
 	byClass := map[string][]*queued{}
 	var names []string
 	for _, k := range out {
-		if k.j.placesToStart() == 0 {
+		if k.job.placesToStart() == 0 {
 			continue
 		}
-		c := k.j.Spec.Class
+		c := k.job.Spec.Class
 		if byClass[c] == nil {
 			names = append(names, c)
 		}
@@ -180,14 +180,14 @@
 // costliest job up to it is dropped from the simulation, the largest ones of the class only
 // if there are no others, so that as few jobs as possible are late.
 func (m *Model) checkClassBound(jobs []*queued, now time.Time) {
-	all := m.zonePlacesFor(jobs[0].j, now)
+	all := m.zonePlacesFor(jobs[0].job, now)
 	out := make([]startForecast, len(jobs))
 	order := make([]int, len(jobs))
 	for i, k := range jobs {
 		v := &out[i]
-		at, _ := all.earliest(k.j, k.j.placesToStart())
+		at, _ := all.earliest(k.job, k.job.placesToStart())
 		v.servedFirst = config.Seconds(min(at, 2*schedulingHorizon.Seconds()))
-		v.startBy, v.hardLimit = m.latestStart(k.j)
+		v.startBy, v.hardLimit = m.latestStart(k.job)
 		v.infeasible = v.servedFirst > schedulingHorizon || now.Add(v.servedFirst).After(v.hardLimit)
 		order[i] = i
 	}
@@ -204,7 +204,7 @@
 	}
 	least := time.Duration(math.MaxInt64)
 	for o := len(order) - 1; o >= 0; o-- {
-		j, v := jobs[order[o]].j, out[order[o]]
+		j, v := jobs[order[o]].job, out[order[o]]
 		enough := func(wait time.Duration) time.Duration { return boundSlack + time.Duration(boundShare*float64(wait)) }
 		slack := v.startBy.Sub(now) - v.servedInTurn
 		switch {
@@ -233,8 +233,8 @@
 			v.servedInTurn = v.servedFirst
 			continue
 		}
-		n := k.j.placesToStart()
-		at, zone := r.earliest(k.j, n)
+		n := k.job.placesToStart()
+		at, zone := r.earliest(k.job, n)
 		v.servedInTurn = config.Seconds(min(at, 2*schedulingHorizon.Seconds()))
 		if now.Add(v.servedInTurn).After(v.hardLimit) {
 			return i
@@ -250,8 +250,8 @@
 func (m *Model) costliestStart(jobs []*queued, out []startForecast, order []int, late int) int {
 	best, most := late, -1.0
 	for _, i := range order {
-		if k := jobs[i]; !out[i].infeasible && !m.isLargeJob(k.j) {
-			if cost := float64(k.j.placesToStart()) * k.runSeconds; cost > most {
+		if k := jobs[i]; !out[i].infeasible && !m.isLargeJob(k.job) {
+			if cost := float64(k.job.placesToStart()) * k.runSeconds; cost > most {
 				best, most = i, cost
 			}
 		}
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -19,17 +19,17 @@
 	var list []*queued
 	for lo := 0; lo < len(out); {
 		hi := lo + 1
-		for hi < len(out) && out[hi].withinQuota == out[lo].withinQuota && out[hi].j.Priority == out[lo].j.Priority {
+		for hi < len(out) && out[hi].withinQuota == out[lo].withinQuota && out[hi].job.Priority == out[lo].job.Priority {
 			hi++
 		}
 		var first, floored, rest []*queued
 		for _, k := range out[lo:hi] {
 			tail := &rest
-			if k.j.start.mustFinish {
+			if k.job.start.mustFinish {
 				k.req.Owed = true
 				tail = &floored
 			}
-			if !k.j.start.mustStart || k.j.placesToStart() == 0 || heads >= maxMustStarts {
+			if !k.job.start.mustStart || k.job.placesToStart() == 0 || heads >= maxMustStarts {
 				*tail = append(*tail, k)
 				continue
 			}
@@ -37,11 +37,11 @@
 			head := *k
 			head.mustStart, head.req.Owed = true, true
 			head.req.Hold, head.req.HoldSeconds = true, boundHoldSeconds
-			if !k.j.Gang() {
+			if !k.job.Gang() {
 				head.req.Tasks = k.req.Tasks[:1]
 				// A job with zone constraints can't be split: its two requests
 				// would be placed without regard to each other's zones.
-				if len(k.req.Tasks) > 1 && !k.j.Spec.OneZone && !k.j.Spec.Spread {
+				if len(k.req.Tasks) > 1 && !k.job.Spec.OneZone && !k.job.Spec.Spread {
 					others := *k
 					others.req.Tasks = k.req.Tasks[1:]
 					others.req.PlacedByZone = slices.Clone(k.req.PlacedByZone)
@@ -51,13 +51,13 @@
 			first = append(first, &head)
 		}
 		sort.SliceStable(first, func(a, b int) bool {
-			x, y := first[a].j, first[b].j
+			x, y := first[a].job, first[b].job
 			if x.start.infeasible != y.start.infeasible {
 				return y.start.infeasible
 			}
 			return x.start.startBy.Before(y.start.startBy)
 		})
-		sort.SliceStable(floored, func(a, b int) bool { return floored[a].j.AcceptedAt.Before(floored[b].j.AcceptedAt) })
+		sort.SliceStable(floored, func(a, b int) bool { return floored[a].job.AcceptedAt.Before(floored[b].job.AcceptedAt) })
 		list = append(append(append(list, floored...), first...), rest...)
 		lo = hi
 	}
@@ -86,7 +86,7 @@
 // starts that are still protected.
 func (m *Model) promoteLastCalls(list []*queued, now time.Time) []*queued {
 	at := slices.IndexFunc(list, func(k *queued) bool { return !k.withinQuota })
-	if at < 0 || list[at].j.Priority == list[len(list)-1].j.Priority {
+	if at < 0 || list[at].job.Priority == list[len(list)-1].job.Priority {
 		return list
 	}
 	ready, settling := 0, 0
@@ -104,9 +104,9 @@
 	places := max(1, ready/lastCallMachines) - settling
 	var called, others []*queued
 	for _, k := range list[at:] {
-		n, j := len(k.req.Tasks), k.j
+		n, j := len(k.req.Tasks), k.job
 		late := k.mustStart && j.start.startBy.Sub(now) < lastCall+min(j.start.startDelay, boundHoldSeconds*time.Second)
-		if late && j.Priority > list[at].j.Priority && places > 0 && (n <= places || len(called) == 0) {
+		if late && j.Priority > list[at].job.Priority && places > 0 && (n <= places || len(called) == 0) {
 			places -= n
 			called = append(called, k)
 		} else {
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -69,9 +69,9 @@
 // count as in time.
 func applyLastTriage(group []*queued) {
 	for _, k := range group {
-		k.missed, k.deferred = k.missed || k.j.triage.missed, k.j.triage.deferred
-		if !k.j.triage.due.IsZero() {
-			k.due = k.j.triage.due
+		k.missed, k.deferred = k.missed || k.job.triage.missed, k.job.triage.deferred
+		if !k.job.triage.due.IsZero() {
+			k.due = k.job.triage.due
 		}
 	}
 }
@@ -80,8 +80,8 @@
 func (m *Model) triageGroup(group []*queued, now time.Time) {
 	byClass := map[string][]*queued{}
 	for _, k := range group {
-		k.totalWork = m.remainingWork(k.j, now)
-		if c := k.j.Spec.Class; !k.missed && len(byClass[c]) < triageJobs {
+		k.totalWork = m.remainingWork(k.job, now)
+		if c := k.job.Spec.Class; !k.missed && len(byClass[c]) < triageJobs {
 			byClass[c] = append(byClass[c], k)
 		}
 	}
@@ -90,14 +90,14 @@
 	}
 	missed, missedTasks, tasks := 0, 0, 0
 	for _, k := range group {
-		k.j.triage = triageVerdict{missed: k.missed, deferred: k.deferred, due: k.due}
+		k.job.triage = triageVerdict{missed: k.missed, deferred: k.deferred, due: k.due}
 		tasks += len(k.req.Tasks)
 		if k.missed {
 			missed++
 			missedTasks += len(k.req.Tasks)
 		}
 	}
-	m.log.Debug("triage", "priority", group[0].j.Priority, "jobs", len(group), "tasks", tasks, "givenUp", missed, "tasksGivenUp", missedTasks)
+	m.log.Debug("triage", "priority", group[0].job.Priority, "jobs", len(group), "tasks", tasks, "givenUp", missed, "tasksGivenUp", missedTasks)
 }
 
 // sortTriaged puts jobs of one rank in the order in which they are served.
@@ -124,12 +124,12 @@
 // put off, the smallest first, whether it can meet a later objective without making
 // any of the others late.
 func (m *Model) triageClass(jobs []*queued, now time.Time) {
-	places := placeTimes(m.placesFor(jobs[0].j, jobs[0].j.Zone, now))
+	places := placeTimes(m.placesFor(jobs[0].job, jobs[0].job.Zone, now))
 	if len(places) == 0 {
 		return
 	}
 	slices.Sort(places) // a sorted list is a heap
-	m.log.Debug("triage", "class", jobs[0].j.Spec.Class, "places", len(places), "first", places[0], "median", places[len(places)/2], "last", places[len(places)-1], "jobs", len(jobs))
+	m.log.Debug("triage", "class", jobs[0].job.Spec.Class, "places", len(places), "first", places[0], "median", places[len(places)/2], "last", places[len(places)-1], "jobs", len(jobs))
 	jobs = m.afterMustStart(jobs, places)
 	var off []*queued
 	p := m.newSimulation(places, now)
@@ -178,13 +178,13 @@
 	}
 	var out []*queued
 	for _, k := range jobs {
-		n := k.j.placesToStart()
-		if !k.j.start.mustStart || n == 0 {
+		n := k.job.placesToStart()
+		if !k.job.start.mustStart || n == 0 {
 			out = append(out, k)
 			continue
 		}
 		for range min(n, triageTasks) {
-			places.occupyEarliest(k.runSeconds + m.startupAndSpreadOf(k.j).startDelay())
+			places.occupyEarliest(k.runSeconds + m.startupAndSpreadOf(k.job).startDelay())
 		}
 	}
 	return out
--- a/cluster/triage_simulation.go
+++ b/cluster/triage_simulation.go
@@ -34,7 +34,7 @@
 			p.checkpoints = append(p.checkpoints, append(placeTimes(nil), free...))
 		}
 		r := jobs[i]
-		due, delay := r.due.Sub(p.now).Seconds(), p.m.startupAndSpreadOf(r.j).startDelay()
+		due, delay := r.due.Sub(p.now).Seconds(), p.m.startupAndSpreadOf(r.job).startDelay()
 		n := len(r.req.Tasks)
 		last := 0.0
 		for range min(n, triageTasks) {
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -21,7 +21,7 @@
 
 func inOrder(m *Model, now float64) (ids []string, late int) {
 	for _, r := range m.buildQueue(m.openJobs(), nil, at(now)) {
-		ids = append(ids, r.j.ID)
+		ids = append(ids, r.job.ID)
 		if r.missed {
 			late++
 		}
@@ -83,7 +83,7 @@
 	rnd := rand.New(rand.NewPCG(7, 7))
 	random := func() *queued {
 		j := m.Jobs[rnd.IntN(len(m.Jobs))]
-		return &queued{j: j, runSeconds: 1 + 60*rnd.Float64(), due: at(rnd.Float64() * 700), req: placement.Request{Tasks: make([]int32, 1+rnd.IntN(150))}}
+		return &queued{job: j, runSeconds: 1 + 60*rnd.Float64(), due: at(rnd.Float64() * 700), req: placement.Request{Tasks: make([]int32, 1+rnd.IntN(150))}}
 	}
 	places := make(placeTimes, 400)
 	for i := range places {
@@ -183,7 +183,7 @@
 			m.ApplyJobRecord(other.Job.ID, other, 1, at(0))
 			jobs := m.openJobs()
 			for _, k := range m.buildQueue(jobs, m.jobsWithinQuota(jobs), at(1)) {
-				if k.j.Spec.Class == "small" && k.req.Types[m.names.machineTypes["m"]] == c.keeps {
+				if k.job.Spec.Class == "small" && k.req.Types[m.names.machineTypes["m"]] == c.keeps {
 					t.Errorf("may go to a machine with GPUs: %t", !c.keeps)
 				}
 			}
