--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -29,10 +29,10 @@
 
 // learnBootTime updates the boot time of a machine's type from its first heartbeat.
 func (m *Model) learnBootTime(mc *Machine, now time.Time) {
-	if !mc.CreationKnown || mc.Created.Before(m.ElectedAt) || mc.Type < 0 || m.MachineTypes[mc.Type].BootTime <= 0 {
+	if !mc.creationKnown || mc.createdAt.Before(m.ElectedAt) || mc.Type < 0 || m.MachineTypes[mc.Type].BootTime <= 0 {
 		return // up before its rental's answer, or ordered before this leader's time
 	}
-	took := now.Sub(mc.Created)
+	took := now.Sub(mc.createdAt)
 	m.MachineTypes[mc.Type].bootTimes.observe(float64(took) / float64(m.MachineTypes[mc.Type].BootTime))
 	if mc.bootLateLogged {
 		m.log.Info("late machine up", "machine", mc.Name, "type", mc.TypeName, "bootS", took.Seconds())
@@ -56,17 +56,17 @@
 
 // bootTimeLeft says how long until a machine that is not up yet should be.
 func (m *Model) bootTimeLeft(mc *Machine, now time.Time) (float64, bool) {
-	if mc.Up || mc.Gone || mc.ScalingIn || mc.AgentEpoch > 0 || mc.Type < 0 || mc.Zone < 0 {
+	if mc.alive || mc.Gone || mc.scalingIn || mc.AgentEpoch > 0 || mc.Type < 0 || mc.Zone < 0 {
 		return 0, false
 	}
-	age := now.Sub(mc.Created)
+	age := now.Sub(mc.createdAt)
 	lag := config.Seconds(2*m.settings.Cluster.Cloud.ListLagS + 10)
-	if mc.CloudState == "" && age > lag || mc.CloudState == failedState || age > m.bootLimit(mc) {
+	if mc.cloudState == "" && age > lag || mc.cloudState == failedState || age > m.bootLimit(mc) {
 		return 0, false
 	}
 	if age > m.bootCountsAsLate(mc) {
 		// A new leader has not received heartbeats from all running machines yet.
-		if !mc.bootLateLogged && len(mc.Tasks) == 0 && mc.CloudState != wire.MachineRunning {
+		if !mc.bootLateLogged && len(mc.Tasks) == 0 && mc.cloudState != wire.MachineRunning {
 			mc.bootLateLogged = true
 			m.log.Info("machine late", "machine", mc.Name, "type", mc.TypeName, "zone", m.Zones[mc.Zone], "spot", mc.Spot, "orderedS", age.Seconds())
 		}
@@ -78,7 +78,7 @@
 // refuseOfferOf takes in that a machine never came up: for a while, others are
 // ordered elsewhere where that serves.
 func (m *Model) refuseOfferOf(mc *Machine, now time.Time) {
-	if mc.CloudState != wire.MachineFailed && mc.Zone >= 0 {
+	if mc.cloudState != wire.MachineFailed && mc.Zone >= 0 {
 		m.refusedOffers.refuse(offerKey{mc.Type, mc.Zone, mc.Spot}, now.Add(offerRefusalTime))
 	}
 }
--- a/cluster/cloudlist.go
+++ b/cluster/cloudlist.go
@@ -20,7 +20,7 @@
 		}
 		if !known {
 			m.log.Info("machine listed", "machine", l.Name, "type", l.Type, "zone", l.Zone, "spot", l.Spot, "state", l.State)
-			mc.Created = now.Add(-config.Seconds(l.AgeS))
+			mc.createdAt = now.Add(-config.Seconds(l.AgeS))
 		}
 		if mc.Addr == "" {
 			mc.Addr = l.Addr
@@ -28,6 +28,6 @@
 		if mc.Type < 0 || mc.Zone < 0 {
 			m.describe(mc, l.Type, l.Zone, l.Spot)
 		}
-		mc.CloudState, mc.CloudStateAt = l.State, now
+		mc.cloudState, mc.cloudStateAt = l.State, now
 	}
 }
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -815,7 +815,7 @@
 		}
 		how = "repeated"
 	} else {
-		d.m.ObserveReceivingNode(mc, via, now)
+		d.m.RecordReceivingNode(mc, via, now)
 		cmds = d.m.AnswerHeartbeat(mc, r, now)
 	}
 	// What a machine's tasks are told comes in the order of a map: of several of one
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -43,8 +43,8 @@
 	}
 	fmt.Fprintf(w, "t%d;%d|", m.FencingToken, age(m.ElectedAt))
 	for _, mc := range m.Machines {
-		fmt.Fprintf(w, "M%s,%t,%t,%t,%t,%s,%d,%d,%d,%g", mc.Name, mc.Up, mc.TokenShown, mc.Gone, mc.ScalingIn,
-			behind(mc.Name, mc.AgentEpoch, mc.Seq), age(mc.LastAnswered), age(mc.LastSeen), age(mc.InterruptionAt), mc.orphaned.CPU)
+		fmt.Fprintf(w, "M%s,%t,%t,%t,%t,%s,%d,%d,%d,%g", mc.Name, mc.alive, mc.tokenShown, mc.Gone, mc.scalingIn,
+			behind(mc.Name, mc.AgentEpoch, mc.Seq), age(mc.lastAnswered), age(mc.lastSeen), age(mc.interruptionAt), mc.orphaned.CPU)
 		names := make([]string, 0, len(mc.reportedExits))
 		for k, e := range mc.reportedExits {
 			committed := true
--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -23,20 +23,20 @@
 		m.learnBootTime(mc, now)
 	}
 	m.updateReachability(mc, r, now)
-	if !mc.Up {
+	if !mc.alive {
 		m.log.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Session)
-		mc.IdleSince = now
+		mc.idleSince = now
 	}
 	if mc.AgentEpoch != r.Session {
 		mc.cachedImages = nil
 	}
-	mc.Up, mc.AgentEpoch, mc.Seq, mc.Addr, mc.LastSeen = true, r.Session, r.Seq, r.Addr, now
-	mc.TokenShown = r.Token == m.FencingToken
+	mc.alive, mc.AgentEpoch, mc.Seq, mc.Addr, mc.lastSeen = true, r.Session, r.Seq, r.Addr, now
+	mc.tokenShown = r.Token == m.FencingToken
 	m.describe(mc, r.Type, r.Zone, r.Spot)
 	if r.NoticeS == nil {
-		mc.InterruptionAt = time.Time{} // the newest heartbeat counts, and it has no notice
-	} else if mc.InterruptionAt.IsZero() {
-		mc.InterruptionAt = now.Add(config.Seconds(*r.NoticeS))
+		mc.interruptionAt = time.Time{} // the newest heartbeat counts, and it has no notice
+	} else if mc.interruptionAt.IsZero() {
+		mc.interruptionAt = now.Add(config.Seconds(*r.NoticeS))
 		m.log.Info("spot interruption notice", "machine", mc.Name, "seconds", *r.NoticeS)
 	}
 	m.reconcile(mc, r, now)
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -45,7 +45,7 @@
 // leader lease.
 //
 // The worker counts its lease from when it sent the heartbeat, which was before this
-// leader first received it. LastAnswered therefore advances to that first reception only,
+// leader first received it. lastAnswered therefore advances to that first reception only,
 // not to now: otherwise late copies of a dead machine's last heartbeat would postpone its
 // lease expiry, and the restart of its tasks elsewhere, for as long as they arrive.
 //
@@ -56,11 +56,11 @@
 // not executed, and never will be.
 func (m *Model) AnswerRetry(r *wire.Report, via string) (cmds []wire.Command, ok bool) {
 	mc := m.machineNamed(r.Machine)
-	if mc == nil || mc.Gone || !mc.Up || mc.AgentEpoch != r.Session || mc.Seq != r.Seq {
+	if mc == nil || mc.Gone || !mc.alive || mc.AgentEpoch != r.Session || mc.Seq != r.Seq {
 		return nil, false
 	}
-	if mc.LastAnswered.Before(mc.LastSeen) {
-		mc.LastAnswered = mc.LastSeen // the applied copy has not been answered (yet)
+	if mc.lastAnswered.Before(mc.lastSeen) {
+		mc.lastAnswered = mc.lastSeen // the applied copy has not been answered (yet)
 	}
 	mc.answeredAgain(via)
 	return m.stopCommands(mc, r), true
@@ -71,7 +71,7 @@
 // or not the answer arrives; the next heartbeat shows which of them were executed.
 func (m *Model) AnswerHeartbeat(mc *Machine, r *wire.Report, now time.Time) []wire.Command {
 	m.Observer.LeaseLeft(m.leaseEnd(mc).Sub(now).Seconds())
-	mc.LastAnswered = now
+	mc.lastAnswered = now
 	mc.reachability.answered(r.Seq)
 	// Stops come first, so that they always fit: an answer renews the worker's lease, and
 	// a task whose stop was left out may keep running for another lease.
@@ -84,7 +84,7 @@
 	if full {
 		return out
 	}
-	if mc.unreachable() && mc.TokenShown {
+	if mc.unreachable() && mc.tokenShown {
 		if c, ok := m.reachabilityProbe(mc); ok {
 			out = append(out, c)
 		}
@@ -131,7 +131,7 @@
 		}
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
-		if p.Stop == nil && !p.LaunchSent && !p.Inherited && launchable(j, ref.Task) && mc.InterruptionAt.IsZero() && !mc.unreachable() {
+		if p.Stop == nil && !p.LaunchSent && !p.Inherited && launchable(j, ref.Task) && mc.interruptionAt.IsZero() && !mc.unreachable() {
 			name := wire.TaskName(j.ID, int(ref.Task))
 			p.LaunchSent, p.LaunchSentAt, p.LaunchEpoch, p.LaunchSeq = true, now, r.Session, r.Seq
 			m.Observer.Launched(now.Sub(p.PlacedAt).Seconds())
--- a/cluster/heartbeatretry_test.go
+++ b/cluster/heartbeatretry_test.go
@@ -32,7 +32,7 @@
 	commit(t, m, at(1))
 	copied := rep(2, 5, exit)
 	mc := m.ApplyHeartbeat(copied, at(2))
-	m.ObserveReceivingNode(mc, "a", at(2))
+	m.RecordReceivingNode(mc, "a", at(2))
 	if launches, _, forgets := ops(m.AnswerHeartbeat(mc, copied, at(2))); launches != 2 || forgets != 1 {
 		t.Fatalf("%d launches and %d outcomes forgotten", launches, forgets)
 	}
@@ -44,7 +44,7 @@
 	}
 	next := rep(3, 5, exit)
 	mc = m.ApplyHeartbeat(next, at(4))
-	m.ObserveReceivingNode(mc, "b", at(4))
+	m.RecordReceivingNode(mc, "b", at(4))
 	if launches, _, forgets := ops(m.AnswerHeartbeat(mc, next, at(4))); mc.unreachable() || launches != 2 || forgets != 1 {
 		t.Errorf("deaf %t, %d launches and %d outcomes forgotten", mc.unreachable(), launches, forgets)
 	}
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -11,7 +11,7 @@
 // be running on it from then on. The lease counts from the last answer, or from the
 // election, before which another leader may have answered; clock drift is allowed for.
 func (m *Model) leaseEnd(mc *Machine) time.Time {
-	last := mc.LastAnswered
+	last := mc.lastAnswered
 	if last.Before(m.ElectedAt) {
 		last = m.ElectedAt
 	}
@@ -27,11 +27,11 @@
 		if mc.Gone {
 			continue
 		}
-		if (mc.Up || len(mc.Tasks) > 0) && now.After(m.leaseEnd(mc)) && !m.recoveringFromStall(now) {
-			if mc.Up {
+		if (mc.alive || len(mc.Tasks) > 0) && now.After(m.leaseEnd(mc)) && !m.recoveringFromStall(now) {
+			if mc.alive {
 				m.log.Info("machine silent past its lease", "machine", mc.Name, "tasks", len(mc.Tasks))
 			}
-			mc.Up, mc.TokenShown = false, false
+			mc.alive, mc.tokenShown = false, false
 			mc.AgentEpoch++ // whatever the ended session still sends is old
 			mc.Seq = 0
 			mc.orphaned = placement.Resources{}
@@ -40,7 +40,7 @@
 		if len(mc.Tasks) > 0 && !m.Ready(mc, now) {
 			m.revokeUnlaunched(mc, now)
 		}
-		if !mc.InterruptionAt.IsZero() && mc.Up {
+		if !mc.interruptionAt.IsZero() && mc.alive {
 			m.evacuate(mc, now)
 		}
 	}
@@ -91,7 +91,7 @@
 	if mc == nil || mc.Gone {
 		return
 	}
-	mc.Gone, mc.Up = true, false
+	mc.Gone, mc.alive = true, false
 	m.log.Info("machine gone", "machine", name)
 	m.loseTasksOn(mc, "its machine is gone", now)
 }
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -17,26 +17,26 @@
 	TypeName       string
 	Zone           int
 	Spot           bool
-	Up             bool // has sent this leader a heartbeat, and its lease has not expired
-	TokenShown     bool // its last heartbeat carried this leader's fencing token
+	alive          bool // has sent this leader a heartbeat, and its lease has not expired
+	tokenShown     bool // its last heartbeat carried this leader's fencing token
 	Gone           bool // deleted, or no longer listed for good
 	AgentEpoch     uint64
 	Seq            uint64
-	LastAnswered   time.Time
-	LastSeen       time.Time
-	InterruptionAt time.Time // when the cloud will reclaim it; zero without an interruption notice
-	Created        time.Time // when it was rented, as far as known
-	CreationKnown  bool      // this leader rented it, so that its boot can be timed from Created
-	CloudState     string
-	CloudStateAt   time.Time
-	RequestedHere  bool // named in the cloud's response to a scale-out request
-	ScalingIn      bool
+	lastAnswered   time.Time
+	lastSeen       time.Time
+	interruptionAt time.Time // when the cloud will reclaim it; zero without an interruption notice
+	createdAt      time.Time // when it was rented, as far as known
+	creationKnown  bool      // this leader rented it, so that its boot can be timed from createdAt
+	cloudState     string
+	cloudStateAt   time.Time
+	requestedHere  bool // named in the cloud's response to a scale-out request
+	scalingIn      bool
 	bootLateLogged bool // the operator has been told
 	Tasks          map[TaskRef]bool
 	Used           placement.Resources
-	IdleSince      time.Time // when it came up or last ran out of tasks
+	idleSince      time.Time // when it came up or last ran out of tasks
 	headroomAt     time.Time // last kept, empty, as headroom
-	HeldAnswers    int       // answers to its heartbeats that wait for a scheduling pass
+	delayedAnswers int       // answers to its heartbeats that wait for a scheduling pass
 	reachability   reachability
 
 	orphaned            placement.Resources // what tasks not in the model take
@@ -48,7 +48,7 @@
 	hasHadTask          bool      // has had a task
 	unreadySince        time.Time // since when it could not be given tasks, as its pool saw
 	unfitUntil          time.Time // no pool takes it before: its fetch came to nothing
-	imagesLearntSession uint64    // the session for which an earlier leader's word on its images was taken
+	imagesRestoredEpoch uint64    // the session for which an earlier leader's word on its images was taken
 }
 
 type exitKey struct {
@@ -74,7 +74,7 @@
 	}
 	mc := &Machine{
 		Index: int32(len(m.Machines)), Name: name, Type: -1, Zone: -1, Tasks: map[TaskRef]bool{},
-		reportedExits: map[exitKey]*reportedExit{}, IdleSince: now, Created: now, LastSeen: now,
+		reportedExits: map[exitKey]*reportedExit{}, idleSince: now, createdAt: now, lastSeen: now,
 	}
 	m.longestMachineName = max(m.longestMachineName, len(name))
 	m.Machines = append(m.Machines, mc)
@@ -104,3 +104,13 @@
 		}
 	}
 }
+
+// DelayAnswer records that the answer to the machine's newest heartbeat waits for a
+// scheduling pass, so that it can carry what the pass launches. EndAnswerDelay must follow.
+func (mc *Machine) DelayAnswer() { mc.delayedAnswers++ }
+
+// EndAnswerDelay records that an answer recorded by DelayAnswer waits no longer.
+func (mc *Machine) EndAnswerDelay() { mc.delayedAnswers-- }
+
+// DiscountAnswers records that none of the answers so far has renewed the worker's lease.
+func (mc *Machine) DiscountAnswers() { mc.lastAnswered = time.Time{} }
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -16,7 +16,7 @@
 	quiet := config.Seconds(min(w.ReportS*2.5+2, w.LeaseS/2))
 	// A machine that has not shown this leader's token may not receive answers, or may be
 	// gone, its heartbeats being delayed copies.
-	return mc.Up && mc.TokenShown && !mc.unreachable() && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() && mc.Type >= 0 && mc.Zone >= 0 &&
+	return mc.alive && mc.tokenShown && !mc.unreachable() && !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() && mc.Type >= 0 && mc.Zone >= 0 &&
 		m.silentFor(mc, now) < quiet
 }
 
@@ -30,8 +30,8 @@
 	n := 0
 	lag := config.Seconds(2*m.settings.Cluster.Cloud.ListLagS + 10)
 	for _, mc := range m.Machines {
-		listed := mc.CloudState == wire.MachineRunning && now.Sub(m.ElectedAt) > lag && now.Sub(mc.CloudStateAt) < lag
-		if !mc.Gone && !mc.ScalingIn && (mc.Up && mc.TokenShown || len(mc.Tasks) > 0 || listed) {
+		listed := mc.cloudState == wire.MachineRunning && now.Sub(m.ElectedAt) > lag && now.Sub(mc.cloudStateAt) < lag
+		if !mc.Gone && !mc.scalingIn && (mc.alive && mc.tokenShown || len(mc.Tasks) > 0 || listed) {
 			n++
 		}
 	}
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -92,7 +92,7 @@
 func (m *Model) updateReachability(mc *Machine, r *wire.Report, now time.Time) {
 	h := &mc.reachability
 	expected := h.takeExpectedEffects()
-	if !mc.Up {
+	if !mc.alive {
 		h.reportingSince = now
 		if h.tokenEverShown && !mc.unreachable() {
 			h.unreachableSince = now // silent for a lease: earlier proofs no longer count
@@ -108,7 +108,7 @@
 	}
 	if r.Session != mc.AgentEpoch {
 		// A new session although an answer was sent: its lease expired all the same.
-		if expected.answered && now.Sub(mc.LastAnswered) < config.Seconds(m.settings.Cluster.Workers.LeaseS/2) {
+		if expected.answered && now.Sub(mc.lastAnswered) < config.Seconds(m.settings.Cluster.Workers.LeaseS/2) {
 			m.markUnreachable(mc, "session", now)
 			m.releaseReservedPlacements(mc, now)
 		}
@@ -122,11 +122,11 @@
 // so that none of them has renewed its lease. Counting them would delay the restart of its
 // tasks, above all where they answered delayed heartbeats of a machine that is gone.
 func (m *Model) applyMissingToken(mc *Machine, expected expectedEffects, now time.Time) {
-	mc.LastAnswered = time.Time{}
+	mc.DiscountAnswers()
 	if expected.answered {
 		m.markUnreachable(mc, "token", now)
 	}
-	if (mc.Up || len(mc.Tasks) > 0) && now.After(m.leaseEnd(mc)) {
+	if (mc.alive || len(mc.Tasks) > 0) && now.After(m.leaseEnd(mc)) {
 		m.loseTasksOn(mc, "its machine's lease is over", now)
 	}
 }
@@ -163,10 +163,10 @@
 	}
 }
 
-// ObserveReceivingNode records which node received the heartbeat that was just applied. A
+// RecordReceivingNode records which node received the heartbeat that was just applied. A
 // worker stays with the node that has answered it, so that if its very next heartbeat
 // arrives at another node, the answer was lost and the machine counts as unreachable.
-func (m *Model) ObserveReceivingNode(mc *Machine, via string, now time.Time) {
+func (m *Model) RecordReceivingNode(mc *Machine, via string, now time.Time) {
 	h := &mc.reachability
 	if h.receivingNode != "" && h.receivingNode != via && mc.Seq == h.answeredSeq+1 {
 		m.markUnreachable(mc, "node", now)
@@ -207,12 +207,12 @@
 // its next one should show whether it receives answers.
 func (m *Model) mayProveReachable(mc *Machine, now time.Time) bool {
 	within := config.Seconds(1.25*m.settings.Cluster.Workers.ReportS + 1)
-	return mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() &&
+	return mc.alive && !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() &&
 		mc.Type >= 0 && mc.Zone >= 0 && now.Sub(mc.reachability.reportingSince) < within
 }
 
 // unreachableTooLong reports whether a machine has been unreachable for so long that it
 // should be replaced.
 func (m *Model) unreachableTooLong(mc *Machine, now time.Time) bool {
-	return mc.unreachable() && !m.mayProveReachable(mc, now) && mc.Up && now.Sub(mc.reachability.unreachableSince) > config.Seconds(m.settings.Cluster.Workers.LeaseS)+unreachableKeep
+	return mc.unreachable() && !m.mayProveReachable(mc, now) && mc.alive && now.Sub(mc.reachability.unreachableSince) > config.Seconds(m.settings.Cluster.Workers.LeaseS)+unreachableKeep
 }
--- a/cluster/reachability_test.go
+++ b/cluster/reachability_test.go
@@ -72,7 +72,7 @@
 		hear bool
 	}{{"a", 1, true}, {"a", 2, true}, {"b", 4, true}, {"b", 5, true}, {"a", 6, false}} {
 		mc := m.ApplyHeartbeat(rep(c.seq, 5), at(float64(i)))
-		m.ObserveReceivingNode(mc, c.via, at(float64(i)))
+		m.RecordReceivingNode(mc, c.via, at(float64(i)))
 		m.AnswerHeartbeat(mc, rep(c.seq, 5), at(float64(i)))
 		if mc.unreachable() == c.hear {
 			t.Errorf("report %d by way of %s: hears %t", c.seq, c.via, !mc.unreachable())
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -11,7 +11,7 @@
 // then from the absence of tasks that the model has on the machine, where that is a proof.
 func (m *Model) reconcile(mc *Machine, r *wire.Report, now time.Time) {
 	listed := m.applyListedTasks(mc, r, now)
-	if !mc.TokenShown {
+	if !mc.tokenShown {
 		// An answer of an earlier leader may still be on its way to a worker
 		// that has not shown this leader's token: absence proves nothing.
 		return
@@ -65,7 +65,7 @@
 		return TaskRef{}, false
 	}
 	ref = TaskRef{Job: j.Index, Task: int32(n)}
-	if t.State == wire.TaskExited && t.Why != wire.WhyDone && p.Inherited && !mc.TokenShown {
+	if t.State == wire.TaskExited && t.Why != wire.WhyDone && p.Inherited && !mc.tokenShown {
 		// Without the token this may be a delayed copy. A gang's task that the worker
 		// refused is launched again with the same attempt number, and may be on the
 		// machine by now.
@@ -115,7 +115,7 @@
 		p.ReportedState = reportedFetching
 	case wire.TaskWaiting:
 		p.ReportedState = reportedWaiting
-		m.hasImage(mc, j)
+		m.recordImage(mc, j.Image)
 	case wire.TaskRunning:
 		if p.ReportedState != reportedRunning {
 			p.ReportedState, p.RunningSince = reportedRunning, now
@@ -135,7 +135,7 @@
 			m.log.Info("job started", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		}
 		j.GangStarted = true
-		m.hasImage(mc, j)
+		m.recordImage(mc, j.Image)
 	case wire.TaskSaving:
 		p.ReportedState = reportedSaving
 	case wire.TaskExited:
@@ -143,10 +143,8 @@
 	}
 }
 
-func (m *Model) hasImage(mc *Machine, j *Job) { m.addImage(mc, j.Image) }
-
-// addImage makes an image a machine's most recently used one.
-func (m *Model) addImage(mc *Machine, image int32) {
+// recordImage makes an image a machine's most recently used one.
+func (m *Model) recordImage(mc *Machine, image int32) {
 	for i, im := range mc.cachedImages {
 		if im == image {
 			mc.cachedImages = append(mc.cachedImages[:i], mc.cachedImages[i+1:]...)
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -16,7 +16,7 @@
 // deletion may still be carried out, so that nothing must be placed on them.
 func (m *Model) ResumeScaleIn(names []string, now time.Time) {
 	for _, n := range names {
-		m.findOrAddMachine(n, now).ScalingIn = true
+		m.findOrAddMachine(n, now).scalingIn = true
 	}
 }
 
@@ -34,7 +34,7 @@
 	// Deletions that were requested before and are not confirmed come first, because
 	// the scale-in record holds the names of one request only.
 	for _, mc := range m.Machines {
-		if mc.ScalingIn && !mc.Gone && len(out) < maxScaleIn {
+		if mc.scalingIn && !mc.Gone && len(out) < maxScaleIn {
 			out = append(out, mc.Name)
 		}
 	}
@@ -45,12 +45,12 @@
 		if len(out) >= maxScaleIn {
 			break
 		}
-		if mc.Gone || mc.ScalingIn {
+		if mc.Gone || mc.scalingIn {
 			continue
 		}
 		why := m.scaleInReason(mc, now, idle)
 		if why != "" {
-			mc.ScalingIn = true
+			mc.scalingIn = true
 			m.log.Info("scaling in machine", "machine", mc.Name, "why", why)
 			if why == reasonNeverUp {
 				m.refuseOfferOf(mc, now)
@@ -63,18 +63,18 @@
 
 // scaleInReason says why a machine is to be deleted; empty where it stays.
 func (m *Model) scaleInReason(mc *Machine, now time.Time, idle time.Duration) string {
-	listed := !mc.CloudStateAt.IsZero() && now.Sub(mc.CloudStateAt) < time.Minute
+	listed := !mc.cloudStateAt.IsZero() && now.Sub(mc.cloudStateAt) < time.Minute
 	switch {
 	case len(mc.Tasks) > 0 || mc.orphaned != (placement.Resources{}):
-	case mc.CloudState == failedState && listed && !mc.Up:
+	case mc.cloudState == failedState && listed && !mc.alive:
 		return "failed"
-	case !mc.Up && mc.AgentEpoch == 0 && mc.Type >= 0 && now.Sub(mc.Created) > m.bootLimit(mc) && (listed || mc.RequestedHere) && now.Sub(m.ElectedAt) > 20*time.Second:
+	case !mc.alive && mc.AgentEpoch == 0 && mc.Type >= 0 && now.Sub(mc.createdAt) > m.bootLimit(mc) && (listed || mc.requestedHere) && now.Sub(m.ElectedAt) > 20*time.Second:
 		return reasonNeverUp
-	case !mc.Up && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseEnd(mc)) > 40*time.Second:
+	case !mc.alive && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseEnd(mc)) > 40*time.Second:
 		return "silent"
-	case mc.Up && mc.TokenShown && m.releasedByPool(mc):
+	case mc.alive && mc.tokenShown && m.releasedByPool(mc):
 		return "pool"
-	case mc.Up && mc.TokenShown && now.Sub(mc.IdleSince) > idle && now.Sub(mc.headroomAt) > idle && now.Sub(m.ElectedAt) > 30*time.Second && !m.keptByPool(mc):
+	case mc.alive && mc.tokenShown && now.Sub(mc.idleSince) > idle && now.Sub(mc.headroomAt) > idle && now.Sub(m.ElectedAt) > 30*time.Second && !m.keptByPool(mc):
 		return "idle"
 	case m.unreachableTooLong(mc, now) && now.Sub(m.ElectedAt) > 30*time.Second:
 		return "mute"
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -29,22 +29,22 @@
 		switch {
 		case mc.Gone:
 			continue
-		case mc.ScalingIn:
+		case mc.scalingIn:
 			s.Machines["returning"]++
-		case mc.Up && !mc.InterruptionAt.IsZero():
+		case mc.alive && !mc.interruptionAt.IsZero():
 			s.Machines["noticed"]++
-		case mc.Up && m.Ready(mc, now):
+		case mc.alive && m.Ready(mc, now):
 			s.Machines["up"]++
-		case mc.Up && mc.unreachable():
+		case mc.alive && mc.unreachable():
 			s.Machines["mute"]++
-		case mc.Up || len(mc.Tasks) > 0:
+		case mc.alive || len(mc.Tasks) > 0:
 			s.Machines["silent"]++
-		case mc.CreationKnown:
+		case mc.creationKnown:
 			s.Machines["booting"]++
 		default:
 			s.Machines["not heard of"]++
 		}
-		if left := m.leaseEnd(mc).Sub(now).Seconds(); mc.Up && (least < 0 || left < least) {
+		if left := m.leaseEnd(mc).Sub(now).Seconds(); mc.alive && (least < 0 || left < least) {
 			least = max(left, 0)
 		}
 	}
--- a/cluster/stallrecovery.go
+++ b/cluster/stallrecovery.go
@@ -45,5 +45,5 @@
 // silentFor returns the time since a machine's last heartbeat, not counting a pause of the
 // leader's process.
 func (m *Model) silentFor(mc *Machine, now time.Time) time.Duration {
-	return m.stall.silence(mc.LastSeen, now)
+	return m.stall.silence(mc.lastSeen, now)
 }
--- a/cluster/stoppush.go
+++ b/cluster/stoppush.go
@@ -25,7 +25,7 @@
 			continue
 		}
 		mc := m.Machines[p.Machine]
-		if mc.Addr == "" || !mc.Up {
+		if mc.Addr == "" || !mc.alive {
 			continue
 		}
 		p.Stop.PushedAt = now
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -68,7 +68,7 @@
 	mc.Used = mc.Used.Add(j.Need, -1)
 	if len(mc.Tasks) == 0 {
 		mc.Used = placement.Resources{}
-		mc.IdleSince = now
+		mc.idleSince = now
 	}
 	j.PlacedTasks--
 	if j.PlacedTasks == 0 {
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -50,7 +50,7 @@
 // canBeWoken reports whether a wake-up sent to a machine now would have an effect that the
 // answer to its next heartbeat does not have anyway.
 func (mc *Machine) canBeWoken() bool {
-	return mc.HeldAnswers == 0 && mc.Addr != "" && mc.Up && !mc.unreachable() && mc.InterruptionAt.IsZero()
+	return mc.delayedAnswers == 0 && mc.Addr != "" && mc.alive && !mc.unreachable() && mc.interruptionAt.IsZero()
 }
 
 func (m *Model) wakeUp(mc *Machine, j *Job, attempt uint64) Push {
--- a/cluster/wakeup_test.go
+++ b/cluster/wakeup_test.go
@@ -77,11 +77,11 @@
 	if len(m.directCommands.launches) != 2 {
 		t.Errorf("%d places wait for a summons, wanted both", len(m.directCommands.launches))
 	}
-	m.Machines[0].HeldAnswers++
+	m.Machines[0].DelayAnswer()
 	if got := m.WakeUps(10, at(1.3)); len(got) != 0 {
 		t.Error("summoned while its answer is held: the launch goes with that")
 	}
-	m.Machines[0].HeldAnswers--
+	m.Machines[0].EndAnswerDelay()
 	if got := m.WakeUps(10, at(1.3)); len(got) != 1 {
 		t.Errorf("%d summonses, wanted the one that was put off", len(got))
 	}
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -126,15 +126,15 @@
 		n := p.shardOf[idx]
 		e := p.shards[n].Member(mc.Name)
 		_, boots := m.bootTimeLeft(mc, now)
-		unheard := !mc.Up && !boots && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > lostMachineAfter && now.Sub(mc.CloudStateAt) > lostMachineAfter
+		unheard := !mc.alive && !boots && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > lostMachineAfter && now.Sub(mc.cloudStateAt) > lostMachineAfter
 		if mc.Gone || unheard || e.Leaving && len(mc.Tasks) > 0 {
 			m.leavePool(p, mc, now)
 			continue
 		}
-		if e.WarmVersion == p.record.ImageVersion && e.Session == mc.AgentEpoch && mc.AgentEpoch > 0 && mc.imagesLearntSession < mc.AgentEpoch && !mc.hasImage(im) {
-			m.addImage(mc, im) // an earlier leader saw it there
+		if e.WarmVersion == p.record.ImageVersion && e.Session == mc.AgentEpoch && mc.AgentEpoch > 0 && mc.imagesRestoredEpoch < mc.AgentEpoch && !mc.hasImage(im) {
+			m.recordImage(mc, im) // an earlier leader saw it there
 		}
-		mc.imagesLearntSession = mc.AgentEpoch
+		mc.imagesRestoredEpoch = mc.AgentEpoch
 		if m.Ready(mc, now) {
 			mc.unreadySince = time.Time{}
 		} else if mc.unreadySince.IsZero() {
@@ -189,7 +189,7 @@
 	s := warmpool.Observation{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.hasImage(im), Busy: len(mc.Tasks) > 0 || mc.orphaned != (placement.Resources{})}
 	// A machine that has been silent for a short time is not replaced yet: heartbeats of
 	// all machines are delayed when the leader is paused.
-	s.Ready = mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() &&
+	s.Ready = mc.alive && !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() &&
 		(mc.unreadySince.IsZero() || now.Sub(mc.unreadySince) < config.Seconds(m.settings.Cluster.Workers.LeaseS))
 	_, s.Booting = m.bootTimeLeft(mc, now)
 	s.Serving = len(mc.Tasks) > 0
@@ -226,11 +226,11 @@
 		if mc.Gone || mc.Type < 0 || mc.Zone < 0 {
 			continue
 		}
-		if mc.pool != 0 || mc.ScalingIn || !types[mc.Type] || !zones[mc.Zone] || mc.Spot && !p.Spot || now.Before(mc.unfitUntil) {
+		if mc.pool != 0 || mc.scalingIn || !types[mc.Type] || !zones[mc.Zone] || mc.Spot && !p.Spot || now.Before(mc.unfitUntil) {
 			continue
 		}
 		s := m.observe(p, mc, im, now)
-		if !s.Busy && now.Sub(mc.IdleSince) < minIdleToJoin || s.Ready && !m.Ready(mc, now) {
+		if !s.Busy && now.Sub(mc.idleSince) < minIdleToJoin || s.Ready && !m.Ready(mc, now) {
 			s.Ready, s.Booting = false, true // soon, perhaps
 		}
 		free = append(free, s)
--- a/cluster/warm_pools.go
+++ b/cluster/warm_pools.go
@@ -189,8 +189,8 @@
 		return
 	}
 	since := now
-	if mc.CreationKnown && !mc.hasHadTask && mc.Created.Before(now) && now.Sub(mc.IdleSince) < recentlyStarted {
-		since = mc.Created
+	if mc.creationKnown && !mc.hasHadTask && mc.createdAt.Before(now) && now.Sub(mc.idleSince) < recentlyStarted {
+		since = mc.createdAt
 	}
 	p.shards[n].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), HourlyRate: m.hourlyRate(mc)})
 	p.shardOf[mc.Index], p.changed[n], mc.pool = n, true, i+1
--- a/cluster/warm_pools_test.go
+++ b/cluster/warm_pools_test.go
@@ -24,7 +24,7 @@
 // markAllHeartbeats sets the last heartbeat of all machines to now.
 func markAllHeartbeats(m *Model, now time.Time) {
 	for _, mc := range m.Machines {
-		mc.LastSeen, mc.LastAnswered, mc.TokenShown = now, now, true
+		mc.lastSeen, mc.lastAnswered, mc.tokenShown = now, now, true
 	}
 }
 
@@ -71,7 +71,7 @@
 	m.Headroom = 0.35
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 16), 1, at(0)) // four machines, and headroom of six
 	for _, mc := range m.Machines {
-		mc.CreationKnown = true
+		mc.creationKnown = true
 	}
 	held := 0
 	for s := 90.0; s < 100; s++ {
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -147,5 +147,5 @@
 // placesExpected is like placesWhenEmpty, but counts machines whose heartbeats are late as
 // well: they are replaced only when their leases have expired.
 func (m *Model) placesExpected(j *Job, now time.Time) int {
-	return m.placesOnMachines(j, now, func(mc *Machine) bool { return mc.Up && !mc.Gone && !mc.ScalingIn && mc.InterruptionAt.IsZero() })
+	return m.placesOnMachines(j, now, func(mc *Machine) bool { return mc.alive && !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() })
 }
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -49,7 +49,7 @@
 		}
 	}
 	if mc != nil {
-		l.model.ObserveReceivingNode(mc, receivedBy, now)
+		l.model.RecordReceivingNode(mc, receivedBy, now)
 		if receivedBy == l.node.cfg.Node {
 			// Only a new heartbeat counts: a delayed duplicate does not prove that
 			// workers can reach this node now.
@@ -58,9 +58,9 @@
 	}
 	l.heartbeatLimiter.Release()
 	if mc != nil && l.model.PlacesFreed != freed {
-		mc.HeldAnswers++
+		mc.DelayAnswer()
 		l.awaitSchedulingPass()
-		mc.HeldAnswers--
+		mc.EndAnswerDelay()
 	}
 	// Check the leader lease as late as possible: the model counts the worker's lease
 	// from this answer. A worker that has sent a newer heartbeat while this one waited
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -5,7 +5,6 @@
 	"maps"
 	"slices"
 	"strings"
-	"time"
 
 	"github.com/umberdeal/umberdeal/cluster"
 	"github.com/umberdeal/umberdeal/config"
@@ -195,7 +194,7 @@
 	}
 	f.token, f.commands = m.FencingToken, m.AnswerHeartbeat(mc, &r, now) // though nobody may wait for the answer any more
 	if s.mutation == TreatResponsesAsUnreceived && len(mc.Tasks) > 0 {
-		mc.LastAnswered = time.Time{}
+		mc.DiscountAnswers()
 	}
 	sortRuns(f.commands)
 	if s.mutation == ForgetByPush {
