--- a/modelcheck/delays_test.go
+++ b/modelcheck/delays_test.go
@@ -2,98 +2,93 @@
 
 import "testing"
 
-// What comes late or is lost between nodes and the state service breaks no rule, and
-// each guard is missed when it is taken away.
+// asyncCancellation are the steps of a cancellation that takes several.
+var asyncCancellation = []ActionKind{SchedulingPass, PassResponseLost, PassCommitDelayed, ExecuteDelayedCommit, HeartbeatRoundTrip, ImageFetched, CompleteTask, SendCancellation, ExecuteCancellation, CancellationResponseLost, RetryCancellation}
+
+// delaySearches are of mutations that need a delayed transaction, a leader that the store
+// refuses, or a duplicate after a failover.
+var delaySearches = []mutationSearch{
+	{TreatUnknownCommitAsSuccess, DelayedTransactionsOfOneTask, []ActionKind{SchedulingPass, PassCommitDelayed, ExecuteDelayedCommit, HeartbeatRoundTrip, ImageFetched, CompleteTask, Failover}, 9},
+	{DropPageGuards, DelayedTransactions, []ActionKind{SchedulingPass, PassCommitDelayed, ExecuteDelayedCommit, HeartbeatRoundTrip, ImageFetched, CompleteTask}, 10},
+	{DropCancellationGuards, DelayedTransactionsOfOneTask, asyncCancellation, 9},
+	{DropJobGuards, DelayedTransactionsOfOneTask, asyncCancellation, 9},
+	{IgnoreLeaderLease, leaderRefusedOnOneMachine, []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, CancelJob, ToggleStoreRefusal, AdvanceTime, Failover}, 8},
+	{CountLeaseFromRenewalResponse, leaderRefusedOnOneMachine, []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, CancelJob, ToggleStoreRefusal, ReceiveRenewalResponse, AdvanceTime}, 9},
+	{AcceptDuplicateAsTokenShown, duplicateWhileRunning, []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, DuplicateHeartbeat, ReceiveDuplicate, Failover, AdvanceTime}, 9},
+}
+
+// What is delayed or lost between controllers and the key-value store violates no invariant,
+// and each guard against it is needed.
 func TestDelaysAndStoreRefusalsNeedTheirGuards(t *testing.T) {
-	for _, c := range []struct {
-		without Mutation
-		world   *Scenario
-		moves   []ActionKind
-		depth   int
-	}{
-		{TreatUnknownCommitAsSuccess, DelayedTransactionsOfOneTask(), []ActionKind{SchedulingPass, PassCommitDelayed, ExecuteDelayedCommit, HeartbeatRoundTrip, ImageFetched, CompleteTask, Failover}, 9},
-		{DropPageGuards, DelayedTransactions(), []ActionKind{SchedulingPass, PassCommitDelayed, ExecuteDelayedCommit, HeartbeatRoundTrip, ImageFetched, CompleteTask}, 10},
-		{DropCancellationGuards, DelayedTransactionsOfOneTask(), []ActionKind{SchedulingPass, PassResponseLost, PassCommitDelayed, ExecuteDelayedCommit, HeartbeatRoundTrip, ImageFetched, CompleteTask, SendCancellation, ExecuteCancellation, CancellationResponseLost, RetryCancellation}, 9},
-		{DropJobGuards, DelayedTransactionsOfOneTask(), []ActionKind{SchedulingPass, PassResponseLost, PassCommitDelayed, ExecuteDelayedCommit, HeartbeatRoundTrip, ImageFetched, CompleteTask, SendCancellation, ExecuteCancellation, CancellationResponseLost, RetryCancellation}, 9},
-		{IgnoreLeaderLease, leaderRefusedOnOneMachine(), []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, CancelJob, ToggleStoreRefusal, AdvanceTime, Failover}, 8},
-		{CountLeaseFromRenewalResponse, leaderRefusedOnOneMachine(), []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, CancelJob, ToggleStoreRefusal, ReceiveRenewalResponse, AdvanceTime}, 9},
-		{AcceptDuplicateAsTokenShown, duplicateWhileRunning(), []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, DuplicateHeartbeat, ReceiveDuplicate, Failover, AdvanceTime}, 9},
-	} {
-		t.Run(c.without.String(), func(t *testing.T) {
-			if raceDetector && c.without == AcceptDuplicateAsTokenShown {
+	for _, search := range delaySearches {
+		t.Run(search.mutation.String(), func(t *testing.T) {
+			if raceDetector && search.mutation == AcceptDuplicateAsTokenShown {
 				t.Skip("the largest: .ci/run goes through it without the race detector")
 			}
-			c.world.Allowed = c.moves
-			requireCounterexample(t, c.world, c.without, c.depth)
+			requireCounterexample(t, search.narrowed(), search.mutation, search.depth)
 		})
 	}
 }
 
-// leaderRefusedOnOneMachine is the same with one machine, once the task is placed and the leader
-// refused.
+// leaderRefusedOnOneMachine is the leader that the store refuses, with one machine, once the
+// task is placed and the leader refused.
 func leaderRefusedOnOneMachine() *Scenario {
-	sc := LeaderRefusedByStore()
-	sc.Zones, sc.Initial = sc.Zones[:1], []Action{{Kind: SchedulingPass}, {Kind: ToggleStoreRefusal}}
-	return sc
+	scenario := LeaderRefusedByStore()
+	scenario.Zones = scenario.Zones[:1]
+	scenario.Initial = []Action{{Kind: SchedulingPass}, {Kind: ToggleStoreRefusal}}
+	return scenario
 }
 
-// duplicateWhileRunning is the same once the task has got on its first machine: the last
-// report of that does not list it yet.
+// duplicateWhileRunning is the duplicate after a failover, once the task runs on its first
+// machine, whose last heartbeat does not list it yet.
 func duplicateWhileRunning() *Scenario {
-	sc := DuplicateAfterFailover()
-	sc.Initial = []Action{{Kind: SchedulingPass}, {Kind: HeartbeatRoundTrip}, {Kind: ImageFetched}}
-	return sc
+	scenario := DuplicateAfterFailover()
+	scenario.Initial = []Action{{Kind: SchedulingPass}, {Kind: HeartbeatRoundTrip}, {Kind: ImageFetched}}
+	return scenario
 }
 
-// A copy comes before the very report that its worker waits for an answer to, and that
-// is answered as it comes again: at the leader that has launched by it, and at the next.
+// A duplicate arrives before the very heartbeat that its worker waits for a response to, and
+// that gets one when it arrives in turn: from the leader that has launched tasks in response
+// to the duplicate, and from the next leader.
 func TestDuplicatesOvertakeHeartbeats(t *testing.T) {
 	for _, c := range []struct {
-		world *Scenario
-		moves []ActionKind
-		depth int
+		scenario *Scenario
+		allowed  []ActionKind
+		depth    int
 	}{
 		{oneDuplicate(), []ActionKind{SchedulingPass, HeartbeatRoundTrip, SendHeartbeat, ReceiveHeartbeat, ReceiveResponse, AbandonHeartbeat, ReceiveDelayedHeartbeat, ImageFetched, DuplicateHeartbeat, ReceiveDuplicate, Failover, AdvanceTime}, 6},
 		{duplicateWhileRunning(), []ActionKind{SchedulingPass, HeartbeatRoundTrip, SendHeartbeat, ReceiveHeartbeat, ReceiveResponse, ImageFetched, DuplicateHeartbeat, ReceiveDuplicate, Failover, AdvanceTime}, 6},
 		{duplicateAndCancellation(), []ActionKind{SchedulingPass, HeartbeatRoundTrip, SendHeartbeat, ReceiveHeartbeat, ReceiveResponse, ImageFetched, DuplicateHeartbeat, ReceiveDuplicate, CancelJob, DeliverWatch, Failover, AdvanceTime}, 7},
 	} {
-		c.world.Allowed = c.moves
-		res := Search(c.world, NoMutation, c.depth, 5_000_000)
-		t.Log(res, res.Events)
-		if res.Violation != "" {
-			t.Error(res)
-		}
-		for _, what := range []string{eventRetryAfterDuplicate, eventRetryAtNextLeader} {
-			if res.Events[what] == 0 {
-				t.Errorf("no report was %s", what)
-			}
+		c.scenario.Allowed = c.allowed
+		result := Search(c.scenario, NoMutation, c.depth, unbounded)
+		t.Log(result, result.Events)
+		if result.Violation != "" {
+			t.Error(result)
 		}
+		requireEvents(t, c.scenario, result, []Event{EventRetryAfterDuplicate, EventRetryAtNextLeader})
 	}
 }
 
-// duplicateAndCancellation is the one task on one machine with a copy, once it runs; its user may
-// cancel it.
+// duplicateAndCancellation is the one task on one machine with a duplicated heartbeat, once
+// the task runs; its user may cancel it.
 func duplicateAndCancellation() *Scenario {
-	sc := OneMachine()
-	sc.Name, sc.MaxDuplicates, sc.MaxFailovers = "copy and cancellation", 1, 1
-	sc.Initial = []Action{{Kind: SchedulingPass}, {Kind: HeartbeatRoundTrip}, {Kind: ImageFetched}}
-	return sc
+	scenario := OneMachine()
+	scenario.Name = "duplicate and cancellation"
+	scenario.MaxDuplicates, scenario.MaxFailovers = 1, 1
+	scenario.Initial = []Action{{Kind: SchedulingPass}, {Kind: HeartbeatRoundTrip}, {Kind: ImageFetched}}
+	return scenario
 }
 
-// A copy comes to the next leader before any other report of its worker, of a session
-// that has ended since, and with attempts that have: the search has gone through all
-// of these.
+// The next leader receives a duplicate before any other heartbeat of its worker: also one of
+// an agent epoch that has ended, and one with an attempt that has.
 func TestDuplicatesReachTheNextLeader(t *testing.T) {
-	sc := duplicateWhileRunning()
-	sc.Allowed = []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, DuplicateHeartbeat, ReceiveDuplicate, Failover, AdvanceTime}
-	res := Search(sc, NoMutation, 6, 5_000_000)
-	t.Log(res, res.Events)
-	for _, what := range []string{"first at the next leader", "of an earlier session", "of an earlier attempt"} {
-		if res.Events[what] == 0 {
-			t.Errorf("no copy was %s", what)
-		}
-	}
-	if res.Violation != "" {
-		t.Error(res)
+	scenario := duplicateWhileRunning()
+	scenario.Allowed = []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, DuplicateHeartbeat, ReceiveDuplicate, Failover, AdvanceTime}
+	result := Search(scenario, NoMutation, 6, unbounded)
+	t.Log(result, result.Events)
+	requireEvents(t, scenario, result, []Event{EventDuplicateAtNextLeader, EventDuplicateOfEarlierEpoch, EventDuplicateOfEarlierAttempt})
+	if result.Violation != "" {
+		t.Error(result)
 	}
 }
--- a/modelcheck/digest.go
+++ b/modelcheck/digest.go
@@ -11,153 +11,173 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Version and Message make World a cluster.Reference.
+// Version implements cluster.DigestBase.
 func (s *System) Version(key string) uint64 { return s.store[key].version }
 
-// LastMessage implements cluster.Reference.
+// LastMessage implements cluster.DigestBase.
 func (s *System) LastMessage(machine string) (session, seq uint64) {
-	for _, k := range s.workers {
-		if k.name == machine {
-			return k.epoch, k.seq
+	for _, w := range s.workers {
+		if w.name == machine {
+			return w.epoch, w.seq
 		}
 	}
 	return 0, 0
 }
 
-// Digest writes all that bears on what may follow.
+// Digest writes the part of the state that determines what may follow: states with equal
+// digests are merged. Numbers that only grow are written relative to what they are compared
+// with, so that equivalent states at different counts are equal.
 func (s *System) Digest(out io.Writer) {
 	fmt.Fprintf(out, "%d,%t|", s.failovers, s.watchedRevision < s.revision)
-	for _, k := range s.workers {
-		fmt.Fprintf(out, "W%d,%d,%d", min(k.epoch, 2), k.token, min(s.step-k.renewedAt, 2))
-		for _, t := range k.tasks {
-			fmt.Fprintf(out, ";%s.%d%s%s", t.name, t.attempt, t.state, t.exitReason)
-		}
-		fmt.Fprint(out, k.unreachable)
-		if k.pending != nil {
-			s.writeHeartbeat(out, k.pending)
-		}
-		if k.lastHeartbeat != nil {
-			fmt.Fprint(out, "K")
-			s.writeHeartbeat(out, k.lastHeartbeat)
-		}
+	for _, w := range s.workers {
+		s.digestWorker(out, w)
+	}
+	s.digestNetwork(out)
+	for _, key := range slices.Sorted(maps.Keys(s.store)) {
+		fmt.Fprintf(out, "|%s", key)
+		digestRecord(out, s.store[key].value)
+	}
+	s.digestJobs(out)
+	s.digestPlan(out)
+	s.digestStore(out)
+	s.leader.Digest(out, s, s.now())
+	if s.formerLeader != nil {
+		s.formerLeader.Digest(out, s, s.now())
+	}
+}
+
+func (s *System) digestWorker(out io.Writer, w *worker) {
+	fmt.Fprintf(out, "W%d,%d,%d", min(w.epoch, 2), w.token, min(s.step-w.renewedAt, leaseSteps))
+	for _, t := range w.tasks {
+		fmt.Fprintf(out, ";%s.%d%s%s", t.name, t.attempt, t.state, t.exitReason)
 	}
+	fmt.Fprint(out, w.unreachable)
+	if w.pending != nil {
+		s.digestHeartbeat(out, w.pending)
+	}
+	if w.lastHeartbeat != nil {
+		fmt.Fprint(out, "K")
+		s.digestHeartbeat(out, w.lastHeartbeat)
+	}
+}
+
+// digestNetwork writes the messages that nobody waits for, and the faults so far.
+func (s *System) digestNetwork(out io.Writer) {
 	fmt.Fprintf(out, "m%d,%d,%d", s.partitionCount, s.duplicateCount, s.refusedStarts)
-	for _, f := range s.duplicates {
+	for _, h := range s.duplicates {
 		fmt.Fprint(out, "C")
-		s.writeHeartbeat(out, f)
+		s.digestHeartbeat(out, h)
 	}
-	for _, f := range s.delayedHeartbeats {
+	for _, h := range s.delayedHeartbeats {
 		fmt.Fprint(out, "L")
-		s.writeHeartbeat(out, f)
+		s.digestHeartbeat(out, h)
 	}
-	for _, f := range s.abandonedResponses {
+	for _, h := range s.abandonedResponses {
 		fmt.Fprint(out, "A")
-		s.writeHeartbeat(out, f)
+		s.digestHeartbeat(out, h)
 	}
-	for _, d := range s.pushes {
-		fmt.Fprintf(out, "D%d,%d,%d", d.worker, d.batch.Token, s.workers[d.worker].epoch-d.batch.Session)
-		writeCommands(out, d.batch.Commands)
+	for _, p := range s.pushes {
+		fmt.Fprintf(out, "D%d,%d,%d", p.worker, p.batch.Token, s.workers[p.worker].epoch-p.batch.Session)
+		digestCommands(out, p.batch.Commands)
 	}
-	keys := slices.Sorted(maps.Keys(s.store))
-	for _, k := range keys {
-		fmt.Fprintf(out, "|%s", k)
-		writeRecord(out, s.store[k].value)
+}
+
+func (s *System) digestHeartbeat(out io.Writer, h *heartbeat) {
+	w := s.workers[h.worker]
+	fmt.Fprintf(out, "r%d,%d,%d,%d,%d,%t,%d", h.worker, s.step-h.sentAt, w.epoch-h.report.Session, w.seq-h.report.Seq, h.report.Token, h.received, h.token)
+	for _, t := range h.report.Tasks {
+		fmt.Fprintf(out, ";%s.%d%s%s", t.Task, t.Attempt, t.State, t.Why)
 	}
-	for i := range s.scenario.Jobs {
-		j := &s.scenario.Jobs[i]
-		fmt.Fprint(out, "|")
-		for n := range j.Tasks {
-			fmt.Fprint(out, s.completed[wire.TaskName(j.ID, n)])
+	digestCommands(out, h.commands)
+}
+
+func digestCommands(out io.Writer, commands []wire.Command) {
+	for _, c := range commands {
+		fmt.Fprintf(out, ";%s%s.%d", c.Op, c.Task, c.Attempt)
+	}
+}
+
+// digestRecord writes a value of the key-value store.
+func digestRecord(out io.Writer, value any) {
+	switch record := value.(type) {
+	case jobstore.JobRecord:
+		fmt.Fprint(out, record.State)
+	case jobstore.JobPage:
+		for _, entry := range record.Entries {
+			fmt.Fprint(out, ",", entry.ID)
 		}
-		if since, ok := s.cancelledAt[j.ID]; ok {
-			fmt.Fprint(out, min(s.step-since, cancelDeadlineSteps))
+	case jobstore.PlacementPage:
+		for _, chunk := range record.Chunks {
+			fmt.Fprintf(out, ",%s%d%v%v", chunk.Job, chunk.MaxAttempt, chunk.Placements, chunk.DoneRanges)
 		}
 	}
-	s.digestPlan(out)
-	s.digestDelays(out)
-	s.leader.Digest(out, s, s.now())
-	if s.formerLeader != nil {
-		s.formerLeader.Digest(out, s, s.now())
-	}
 }
 
-func (s *System) writeHeartbeat(out io.Writer, f *heartbeat) {
-	k := s.workers[f.worker]
-	fmt.Fprintf(out, "r%d,%d,%d,%d,%d,%t,%d", f.worker, s.step-f.sentAt, k.epoch-f.report.Session, k.seq-f.report.Seq, f.report.Token, f.received, f.token)
-	for _, t := range f.report.Tasks {
-		fmt.Fprintf(out, ";%s.%d%s%s", t.Task, t.Attempt, t.State, t.Why)
+// digestJobs writes which tasks have completed, and how long ago jobs were cancelled.
+func (s *System) digestJobs(out io.Writer) {
+	for i := range s.scenario.Jobs {
+		job := &s.scenario.Jobs[i]
+		fmt.Fprint(out, "|")
+		for number := range job.Tasks {
+			fmt.Fprint(out, s.completed[wire.TaskName(job.ID, number)])
+		}
+		if cancelledAt, ok := s.cancelledAt[job.ID]; ok {
+			fmt.Fprint(out, min(s.step-cancelledAt, cancelDeadlineSteps))
+		}
 	}
-	writeCommands(out, f.commands)
 }
 
-func writeCommands(out io.Writer, cmds []wire.Command) {
-	for _, c := range cmds {
-		fmt.Fprintf(out, ";%s%s.%d", c.Op, c.Task, c.Attempt)
+// digestPlan writes the plan's progress, and which decisions were made under the one in force.
+func (s *System) digestPlan(out io.Writer) {
+	if s.scenario.MaxPlans == 0 {
+		return
+	}
+	inForce := s.planVersion()
+	fmt.Fprintf(out, "|O%d,%d,%t", s.planNumber, s.loadedPlan, s.leader.PlanGuard().Version == inForce)
+	for p := range s.placements() {
+		if !p.placement.Inherited {
+			fmt.Fprintf(out, ";%s%t%t", p.key.name, p.committed, s.placedUnder[p.key] == inForce)
+		}
+	}
+	held := slices.SortedFunc(maps.Keys(s.heldPreemptions), func(a, b attemptKey) int { return strings.Compare(a.name, b.name) })
+	for _, key := range held {
+		fmt.Fprintf(out, ";v%s%t", key.name, s.heldPreemptions[key] == inForce)
 	}
 }
 
-// digestDelays writes what of it bears on what may follow.
-func (s *System) digestDelays(out io.Writer) {
+// digestStore writes the transactions under way, and the leader's lease.
+func (s *System) digestStore(out io.Writer) {
 	if s.scenario.MaxDelayedCommits+s.scenario.AsyncCancellations+s.scenario.MaxStoreRefusals == 0 {
 		return
 	}
 	fmt.Fprintf(out, "|L%d", s.delayedCount)
-	write := func(t transaction) {
-		fmt.Fprintf(out, ";%t", t.token == s.fencingToken)
-		for _, g := range t.guards {
-			// One that does not hold now never will, but for a key that is not there.
-			fmt.Fprintf(out, "g%s%t%t", g.Key, g.Version == s.store[g.Key].version, g.Version == 0)
-		}
-		for _, o := range t.ops {
-			fmt.Fprintf(out, "o%s%s", o.Put, o.Delete)
-			writeRecord(out, o.Value)
-		}
-	}
 	for _, t := range s.delayedCommits {
-		write(t)
+		s.digestTransaction(out, t)
 	}
 	for _, id := range slices.Sorted(maps.Keys(s.cancelRequested)) {
 		fmt.Fprint(out, "|a", id)
 		if t, ok := s.cancellations[id]; ok {
-			write(t)
+			s.digestTransaction(out, t)
 		}
 	}
 	fmt.Fprint(out, slices.Sorted(maps.Keys(s.forgotten)))
-	if s.scenario.MaxStoreRefusals > 0 {
-		fmt.Fprintf(out, "R%t%d,%d,%t", s.storeRefuses, s.refusalCount, min(s.step-s.leaseStart, 2), s.renewalPending)
-		if s.renewalPending {
-			fmt.Fprint(out, min(s.step-s.renewalSentAt, 2))
-		}
+	if s.scenario.MaxStoreRefusals == 0 {
+		return
 	}
-}
-
-// writeRecord writes what of a record bears on what may follow.
-func writeRecord(out io.Writer, v any) {
-	switch v := v.(type) {
-	case jobstore.JobRecord:
-		fmt.Fprint(out, v.State)
-	case jobstore.JobPage:
-		for _, e := range v.Entries {
-			fmt.Fprint(out, ",", e.ID)
-		}
-	case jobstore.PlacementPage:
-		for _, c := range v.Chunks {
-			fmt.Fprintf(out, ",%s%d%v%v", c.Job, c.MaxAttempt, c.Placements, c.DoneRanges)
-		}
+	fmt.Fprintf(out, "R%t%d,%d,%t", s.storeRefuses, s.refusalCount, min(s.step-s.leaseStart, leaseSteps), s.renewalPending)
+	if s.renewalPending {
+		fmt.Fprint(out, min(s.step-s.renewalSentAt, leaseSteps))
 	}
 }
 
-// digestPlan writes what of the order bears on what may follow.
-func (s *System) digestPlan(out io.Writer) {
-	if s.scenario.MaxPlans == 0 {
-		return
-	}
-	head := s.store[jobstore.PlanHeadKey].version
-	fmt.Fprintf(out, "|O%d,%d,%t", s.planNumber, s.loadedPlan, s.leader.PlanGuard().Version == head)
-	s.eachPlacement(func(k attemptKey, committed bool) {
-		fmt.Fprintf(out, ";%s%t%t", k.name, committed, s.placedUnder[k] == head)
-	})
-	for _, k := range slices.SortedFunc(maps.Keys(s.heldPreemptions), func(a, b attemptKey) int { return strings.Compare(a.name, b.name) }) {
-		fmt.Fprintf(out, ";v%s%t", k.name, s.heldPreemptions[k] == head)
+func (s *System) digestTransaction(out io.Writer, t transaction) {
+	fmt.Fprintf(out, ";%t", t.token == s.fencingToken)
+	for _, g := range t.guards {
+		// A guard that does not hold now never will, unless it wants the key not to exist.
+		fmt.Fprintf(out, "g%s%t%t", g.Key, g.Version == s.store[g.Key].version, g.Version == 0)
+	}
+	for _, op := range t.ops {
+		fmt.Fprintf(out, "o%s%s", op.Put, op.Delete)
+		digestRecord(out, op.Value)
 	}
 }
--- a/modelcheck/doc.go
+++ b/modelcheck/doc.go
@@ -1,8 +1,16 @@
-// Package modelcheck explores, exhaustively and at small numbers, what the
-// leader's decisions, the workers' rules and a network that delays and loses can
-// bring about together. The leader is the real cluster.Model; workers, the state
-// service and the network are written here from PROTOCOL ("Workers -> controller
-// nodes", "Controller nodes -> workers", "Delayed messages"). Every rule is an
-// invariant, and a Breach takes one of the guards away, which must be found out.
-// docs/model-check.md has what is covered and what is not.
+// Package modelcheck is an explicit-state model checker for the leader's decisions. It
+// explores, breadth first and for a small system, every interleaving of what the leader,
+// workers, users, the key-value store and a network that delays, loses and duplicates
+// messages may do, and checks invariants on every transition.
+//
+// The leader is the real cluster.Model. Workers, the store and the network are written here
+// from PROTOCOL ("Workers -> controller nodes", "Controller nodes -> workers", "Delayed
+// messages") and share no code with the service.
+//
+// A Scenario is the initial state with bounds on what may happen; an Action is one
+// transition of a System; Search explores them. A Mutation removes one of the guards that
+// the invariants rest on: the search must then find a counterexample, which shows that it
+// reaches the states in which the guard matters.
+//
+// Only tests use this package. docs/model-check.md has what is covered and what is not.
 package modelcheck
--- a/modelcheck/enabled.go
+++ b/modelcheck/enabled.go
@@ -7,124 +7,159 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// delayActions lists what of it may happen next.
-func (s *System) delayActions() (out []Action) {
-	if s.delayedCount < s.scenario.MaxDelayedCommits {
-		out = append(out, Action{Kind: PassCommitDelayed})
-	}
-	for i := range s.delayedCommits {
-		out = append(out, Action{ExecuteDelayedCommit, uint8(i)})
-	}
-	for i := range s.scenario.AsyncCancellations {
-		id := s.scenario.Jobs[i].ID
-		_, active := s.activeRecord(id)
-		_, told := s.cancelledAt[id]
-		if _, under := s.cancellations[id]; under {
-			out = append(out, Action{ExecuteCancellation, uint8(i)}, Action{CancellationResponseLost, uint8(i)})
-		} else if active {
-			out = append(out, Action{SendCancellation, uint8(i)})
-		} else if s.cancelRequested[id] && !told {
-			out = append(out, Action{RetryCancellation, uint8(i)})
-		}
+// EnabledActions lists the actions that may happen next, without those that the scenario
+// excludes. Their order decides which counterexample is found first.
+func (s *System) EnabledActions() []Action {
+	actions := []Action{{Kind: SchedulingPass}, {Kind: PassResponseLost}, {Kind: AdvanceTime}}
+	actions = append(actions, s.planActions()...)
+	actions = append(actions, s.storeActions()...)
+	if s.failovers < s.scenario.MaxFailovers {
+		actions = append(actions, Action{Kind: Failover})
 	}
-	if s.storeRefuses || s.refusalCount < s.scenario.MaxStoreRefusals {
-		out = append(out, Action{Kind: ToggleStoreRefusal})
+	for i := range s.workers {
+		actions = append(actions, s.heartbeatActions(i)...)
+		actions = append(actions, s.networkActions(i)...)
+		actions = append(actions, s.taskActions(i)...)
 	}
-	if s.renewalPending {
-		out = append(out, Action{Kind: ReceiveRenewalResponse})
+	actions = append(actions, s.messageActions()...)
+	actions = append(actions, s.cancelActions()...)
+	if s.scenario.Allowed == nil {
+		return actions
 	}
-	return out
+	return slices.DeleteFunc(actions, func(a Action) bool { return !slices.Contains(s.scenario.Allowed, a.Kind) })
 }
 
-// planActions lists what may happen to the order next.
-func (s *System) planActions() (out []Action) {
+// planActions lists what may happen to the plan.
+func (s *System) planActions() (actions []Action) {
 	if s.scenario.MaxPlans == 0 {
 		return nil
 	}
-	out = append(out, Action{Kind: ScheduleWithoutCommit})
+	actions = append(actions, Action{Kind: ScheduleWithoutCommit})
 	if s.planNumber < s.scenario.MaxPlans {
-		out = append(out, Action{Kind: ApplyPlan})
+		actions = append(actions, Action{Kind: ApplyPlan})
 	}
 	if s.scenario.DeferredJobs > 0 && !s.deferredAccepted {
-		out = append(out, Action{Kind: AcceptJob})
+		actions = append(actions, Action{Kind: AcceptJob})
 	}
 	if s.leader.PlanGuard().Version != s.store[jobstore.PlanHeadKey].version {
-		out = append(out, Action{Kind: LoadPlan})
+		actions = append(actions, Action{Kind: LoadPlan})
 	}
-	return out
+	return actions
 }
 
-// EnabledActions lists what may happen next.
-func (s *System) EnabledActions() []Action {
-	out := s.enabledActions()
-	if s.scenario.Allowed != nil {
-		out = slices.DeleteFunc(out, func(a Action) bool { return !slices.Contains(s.scenario.Allowed, a.Kind) })
+// storeActions lists what may happen to transactions under way and between the leader and
+// the key-value store.
+func (s *System) storeActions() (actions []Action) {
+	if s.delayedCount < s.scenario.MaxDelayedCommits {
+		actions = append(actions, Action{Kind: PassCommitDelayed})
+	}
+	for i := range s.delayedCommits {
+		actions = append(actions, Action{ExecuteDelayedCommit, uint8(i)})
+	}
+	for i := range s.scenario.AsyncCancellations {
+		actions = append(actions, s.asyncCancellationActions(i)...)
+	}
+	if s.storeRefuses || s.refusalCount < s.scenario.MaxStoreRefusals {
+		actions = append(actions, Action{Kind: ToggleStoreRefusal})
+	}
+	if s.renewalPending {
+		actions = append(actions, Action{Kind: ReceiveRenewalResponse})
 	}
-	return out
+	return actions
 }
 
-func (s *System) enabledActions() []Action {
-	out := append([]Action{{Kind: SchedulingPass}, {Kind: PassResponseLost}, {Kind: AdvanceTime}}, append(s.planActions(), s.delayActions()...)...)
-	if s.failovers < s.scenario.MaxFailovers {
-		out = append(out, Action{Kind: Failover})
-	}
-	for i, k := range s.workers {
-		n := uint8(i)
-		switch {
-		case k.pending == nil:
-			out = append(out, Action{HeartbeatRoundTrip, n})
-			if i >= len(s.workers)-s.scenario.ReliableMachines {
-				break
-			}
-			out = append(out, Action{SendHeartbeat, n})
-			if s.formerLeader != nil && !k.unreachable {
-				out = append(out, Action{FormerLeaderRoundTrip, n})
-			}
-		case k.pending.received && k.unreachable:
-			out = append(out, Action{AbandonHeartbeat, n})
-		case k.pending.received:
-			out = append(out, Action{ReceiveResponse, n}, Action{AbandonHeartbeat, n})
-		default:
-			out = append(out, Action{ReceiveHeartbeat, n}, Action{AbandonHeartbeat, n})
-		}
-		if k.unreachable || s.partitionCount < s.scenario.MaxPartitions {
-			out = append(out, Action{ToggleReachability, n})
-		}
-		if k.lastHeartbeat != nil {
-			out = append(out, Action{DuplicateHeartbeat, n})
-		}
-		if slices.ContainsFunc(k.tasks, func(t *task) bool { return t.state == wire.TaskFetching }) {
-			out = append(out, Action{ImageFetched, n})
-			if s.refusedStarts < s.scenario.MaxRefusedStarts {
-				out = append(out, Action{RefuseStart, n})
-			}
-		}
-		if slices.ContainsFunc(k.tasks, func(t *task) bool { return t.state == wire.TaskRunning }) {
-			out = append(out, Action{CompleteTask, n})
+// asyncCancellationActions lists the next steps of a job's cancellation.
+func (s *System) asyncCancellationActions(job int) []Action {
+	id, arg := s.scenario.Jobs[job].ID, uint8(job)
+	_, underWay := s.cancellations[id]
+	_, active := s.activeRecord(id)
+	_, answered := s.cancelledAt[id]
+	switch {
+	case underWay:
+		return []Action{{ExecuteCancellation, arg}, {CancellationResponseLost, arg}}
+	case active:
+		return []Action{{SendCancellation, arg}}
+	case s.cancelRequested[id] && !answered:
+		return []Action{{RetryCancellation, arg}}
+	}
+	return nil
+}
+
+// heartbeatActions lists the next steps of a worker's heartbeat.
+func (s *System) heartbeatActions(i int) []Action {
+	w, arg := s.workers[i], uint8(i)
+	reliable := i >= len(s.workers)-s.scenario.ReliableMachines
+	switch {
+	case w.pending == nil && reliable:
+		return []Action{{HeartbeatRoundTrip, arg}}
+	case w.pending == nil && s.formerLeader != nil && !w.unreachable:
+		return []Action{{HeartbeatRoundTrip, arg}, {SendHeartbeat, arg}, {FormerLeaderRoundTrip, arg}}
+	case w.pending == nil:
+		return []Action{{HeartbeatRoundTrip, arg}, {SendHeartbeat, arg}}
+	case w.pending.received && w.unreachable:
+		return []Action{{AbandonHeartbeat, arg}}
+	case w.pending.received:
+		return []Action{{ReceiveResponse, arg}, {AbandonHeartbeat, arg}}
+	}
+	return []Action{{ReceiveHeartbeat, arg}, {AbandonHeartbeat, arg}}
+}
+
+// networkActions lists the faults of the network that may hit a worker.
+func (s *System) networkActions(i int) (actions []Action) {
+	w, arg := s.workers[i], uint8(i)
+	if w.unreachable || s.partitionCount < s.scenario.MaxPartitions {
+		actions = append(actions, Action{ToggleReachability, arg})
+	}
+	if w.lastHeartbeat != nil {
+		actions = append(actions, Action{DuplicateHeartbeat, arg})
+	}
+	return actions
+}
+
+// taskActions lists what may happen to a worker's tasks.
+func (s *System) taskActions(i int) (actions []Action) {
+	w, arg := s.workers[i], uint8(i)
+	if w.firstInState(wire.TaskFetching) != nil {
+		actions = append(actions, Action{ImageFetched, arg})
+		if s.refusedStarts < s.scenario.MaxRefusedStarts {
+			actions = append(actions, Action{RefuseStart, arg})
 		}
 	}
+	if w.firstInState(wire.TaskRunning) != nil {
+		actions = append(actions, Action{CompleteTask, arg})
+	}
+	return actions
+}
+
+// messageActions lists the arrivals of messages that nobody waits for.
+func (s *System) messageActions() (actions []Action) {
 	for i := range s.delayedHeartbeats {
-		out = append(out, Action{ReceiveDelayedHeartbeat, uint8(i)})
+		actions = append(actions, Action{ReceiveDelayedHeartbeat, uint8(i)})
 	}
 	for i := range s.abandonedResponses {
-		out = append(out, Action{ReceiveAbandonedResponse, uint8(i)})
+		actions = append(actions, Action{ReceiveAbandonedResponse, uint8(i)})
 	}
 	for i := range s.duplicates {
-		out = append(out, Action{ReceiveDuplicate, uint8(i)})
+		actions = append(actions, Action{ReceiveDuplicate, uint8(i)})
 	}
-	for i := range s.pushes {
-		if s.workers[s.pushes[i].worker].unreachable {
-			continue
+	for i, p := range s.pushes {
+		if !s.workers[p.worker].unreachable {
+			actions = append(actions, Action{ReceivePush, uint8(i)})
 		}
-		out = append(out, Action{ReceivePush, uint8(i)})
 	}
+	return actions
+}
+
+// cancelActions lists cancellations in one step, and that the leader reads of one.
+func (s *System) cancelActions() (actions []Action) {
 	for i := range s.scenario.CancellableJobs {
 		if _, ok := s.activeRecord(s.scenario.Jobs[i].ID); ok {
-			out = append(out, Action{CancelJob, uint8(i)})
+			actions = append(actions, Action{CancelJob, uint8(i)})
 		}
 	}
-	if len(s.cancelledAt)+len(s.cancelRequested) > 0 && s.watchedRevision < s.revision && !s.storeRefuses {
-		out = append(out, Action{Kind: DeliverWatch})
+	cancelled := len(s.cancelledAt)+len(s.cancelRequested) > 0
+	if cancelled && s.watchedRevision < s.revision && !s.storeRefuses {
+		actions = append(actions, Action{Kind: DeliverWatch})
 	}
-	return out
+	return actions
 }
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -12,65 +12,105 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// startLeader makes a new leader's model from the records, as a node does.
+const (
+	passBatches  = 3  // batches that a scheduling pass commits at most
+	batchRecords = 12 // records of a batch
+)
+
+// commitOutcome is what the leader learns of a scheduling pass's commits.
+type commitOutcome int
+
+const (
+	commitAnswered     commitOutcome = iota
+	commitResponseLost               // executed, but the leader doesn't learn of it
+	commitDelayed                    // the first one gets no response and is executed later
+)
+
+// failOver lets another leader take over.
+func (s *System) failOver() {
+	s.failovers++
+	if s.mutation == KeepFormerLeader {
+		s.formerLeader = s.leader
+	}
+	s.startLeader()
+}
+
+// startLeader makes a new leader's model from the records, as a controller does.
 func (s *System) startLeader() {
 	s.revision++
 	s.fencingToken++
-	cfg := *s.settings
+	model := s.newModel()
+	s.loadPlan(model)
+	keys := slices.Sorted(maps.Keys(s.store))
+	for _, key := range keys {
+		s.loadJobs(model, key)
+	}
+	for _, key := range keys {
+		s.loadPlacements(model, key)
+	}
+	model.FinishLoading(s.now())
+	s.leader, s.watchedRevision = model, s.revision
+	s.heldPreemptions, s.preempted = map[attemptKey]uint64{}, map[attemptKey]bool{}
+	s.storeRefuses, s.renewalPending, s.leaseStart = false, false, s.step
+}
+
+// newModel returns the model of a leader that has loaded nothing yet.
+func (s *System) newModel() *cluster.Model {
+	settings := *s.settings
 	if s.mutation == HalveWorkerLease {
-		cfg.Cluster.Workers.LeaseS = leaseSeconds / 2
+		settings.Cluster.Workers.LeaseS = leaseSeconds / 2
 	}
-	at := s.now()
+	electedAt := s.now()
 	if s.mutation == SkipFailoverWait {
-		at = at.Add(-config.Seconds(2 * leaseSeconds))
+		electedAt = electedAt.Add(-config.Seconds(2 * leaseSeconds))
 	}
-	m := cluster.New(&cfg, s.fencingToken, at, slog.New(slog.DiscardHandler))
-	m.RebalanceSettings = config.DefaultTuning().Rebalance
-	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: s.scenario.Capacity, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: s.settings.Cluster.Zones}})
+	model := cluster.New(&settings, s.fencingToken, electedAt, slog.New(slog.DiscardHandler))
+	model.RebalanceSettings = config.DefaultTuning().Rebalance
+	model.SetMachineTypes([]wire.MachineType{{Name: machineTypeName, CPUs: s.scenario.Capacity, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: s.settings.Cluster.Zones}})
 	if s.scenario.MaxPlans > 0 {
-		m.ExpectPlan()
+		model.ExpectPlan()
 	}
-	s.loadPlan(m)
-	keys := slices.Sorted(maps.Keys(s.store))
-	for _, k := range keys {
-		if id, ok := jobstore.ParseJobKey(k); ok {
-			m.ApplyJobRecord(id, s.store[k].value.(jobstore.JobRecord), s.store[k].version, s.now())
-		}
-		if jobstore.IsJobPageKey(k) {
-			m.ApplyAdmissionPages([]cluster.AdmissionPage{{Key: k, Version: s.store[k].version, Record: s.store[k].value.(jobstore.JobPage)}}, s.now())
-		}
+	return model
+}
+
+// loadJobs gives a new leader the record of a job, or of a page of jobs.
+func (s *System) loadJobs(model *cluster.Model, key string) {
+	stored := s.store[key]
+	if id, ok := jobstore.ParseJobKey(key); ok {
+		model.ApplyJobRecord(id, stored.value.(jobstore.JobRecord), stored.version, s.now())
 	}
-	for _, k := range keys {
-		n, ok := jobstore.ParsePlacementPageKey(k)
-		if !ok {
+	if jobstore.IsJobPageKey(key) {
+		model.ApplyAdmissionPages([]cluster.AdmissionPage{{Key: key, Version: stored.version, Record: stored.value.(jobstore.JobPage)}}, s.now())
+	}
+}
+
+// loadPlacements gives a new leader a page of placements, and the final records of jobs that
+// have some and are over.
+func (s *System) loadPlacements(model *cluster.Model, key string) {
+	number, ok := jobstore.ParsePlacementPageKey(key)
+	if !ok {
+		return
+	}
+	page := s.store[key].value.(jobstore.PlacementPage)
+	for _, chunk := range page.Chunks {
+		if model.Job(chunk.Job) != nil || len(chunk.Placements) == 0 {
 			continue
 		}
-		rec := s.store[k].value.(jobstore.PlacementPage)
-		for _, c := range rec.Chunks {
-			if m.Job(c.Job) != nil || len(c.Placements) == 0 {
-				continue
-			}
-			if over, ok := s.store[jobstore.FinalKey(c.Job)]; ok {
-				m.LoadCancelledJob(c.Job, over.value.(jobstore.JobRecord))
-			}
+		if final, ok := s.store[jobstore.FinalKey(chunk.Job)]; ok {
+			model.LoadCancelledJob(chunk.Job, final.value.(jobstore.JobRecord))
 		}
-		m.LoadPlacementPage(n, rec, s.store[k].version, s.now())
 	}
-	m.FinishLoading(s.now())
-	s.leader, s.watchedRevision = m, s.revision
-	s.heldPreemptions, s.preempted = nil, nil // the leader before's
-	s.storeRefuses, s.renewalPending, s.leaseStart = false, false, s.step
+	model.LoadPlacementPage(number, page, s.store[key].version, s.now())
 }
 
-// deliverWatch is the leader's watch: it sees which active records are gone.
+// deliverWatch lets the leader read which jobs' records are gone.
 func (s *System) deliverWatch() {
 	if s.scenario.SharedPage {
-		key := jobstore.SealedPageKey(0, 1)
-		page, ok := s.store[key]
+		page, ok := s.store[sharedPageKey]
 		if !ok {
-			page = storedValue{jobstore.JobPage{}, s.revision} // removed, at the latest by now
+			page = storedValue{jobstore.JobPage{}, s.revision} // removed, now at the latest
 		}
-		s.leader.ApplyAdmissionPages([]cluster.AdmissionPage{{Key: key, Version: page.version, Record: page.value.(jobstore.JobPage)}}, s.now())
+		s.leader.ApplyAdmissionPages([]cluster.AdmissionPage{{Key: sharedPageKey, Version: page.version, Record: page.value.(jobstore.JobPage)}}, s.now())
 		s.watchedRevision = s.revision
 		return
 	}
@@ -83,195 +123,166 @@
 	s.watchedRevision = s.revision
 }
 
-// schedulingPass is the leader's: what time has ended, what to place, its records, and
-// then what is sent directly. Where the answer to a commit is lost, the leader
-// does not know that it was applied, and where one comes late, whether it will be.
-func (s *System) schedulingPass(how ActionKind) {
-	now, answerLost := s.now(), how == PassResponseLost
-	s.leader.Tick(now)
+// schedulingPass is the leader's: it expires leases, schedules, commits, and then sends
+// pushes.
+func (s *System) schedulingPass(outcome commitOutcome) {
 	s.schedule()
 	if s.mutation == LaunchBeforeCommit {
 		s.sendPushes()
-		if b := s.leader.NextBatch(12); b != nil {
-			b.OnCommit(1, now) // no: it only thinks so
+		if batch := s.leader.NextBatch(batchRecords); batch != nil {
+			batch.OnCommit(1, s.now()) // which did not happen
 		}
 		return
 	}
-	for range 3 {
-		b := s.leader.NextBatch(12)
-		if b == nil {
-			break
-		}
-		if s.storeRefuses {
-			s.leader.RequeueBatch(b) // 503: it was not executed
-			break
-		}
-		if how == PassCommitDelayed {
-			s.delayCommit(b)
-			break
-		}
-		failed := s.compareAndSwap(b.Guards, b.Ops)
-		if failed == nil && !answerLost {
-			b.OnCommit(s.revision, now)
-			s.checkPreemptions()
-			continue
-		}
-		s.handleConflict(failed)
-		for _, key := range failed {
-			if !b.IsJobKey(key) {
-				s.leader.ResolveConflict(b, key, s.store[key].version)
-			}
-		}
-		if failed != nil {
-			s.deliverWatch()
-		}
-		s.leader.RequeueBatch(b)
-		if answerLost {
+	for range passBatches {
+		batch := s.leader.NextBatch(batchRecords)
+		if batch == nil || !s.commitBatch(batch, outcome) {
 			break
 		}
 	}
-	s.commitPlanCheck(answerLost)
+	s.commitPlanCheck(outcome)
 	if s.leaseValid() {
 		s.sendPushes()
 	}
 }
 
-func (s *System) sendPushes() {
-	now := s.now()
-	for _, d := range append(s.leader.StopPushes(now), s.leader.WakeUps(maxPushes, now)...) {
-		if s.mutation == LaunchByPush {
-			for i := range d.Commands.Commands {
-				c := &d.Commands.Commands[i]
-				if id, _, _ := wire.SplitTask(c.Task); c.Op == wire.OpStart {
-					c.Task = wire.TaskName(id, 0)
-				}
-			}
-		}
-		if len(s.pushes) < maxPushes {
-			i := slices.IndexFunc(s.workers, func(o *worker) bool { return o.name == d.Machine })
-			s.pushes = append(s.pushes, push{i, d.Commands, s.workers[i].launchCount})
+// schedule has the leader expire leases and place tasks, and notes by which version of the
+// plan it placed them.
+func (s *System) schedule() {
+	s.leader.Tick(s.now())
+	s.leader.Schedule(s.now(), 0)
+	for p := range s.placements() {
+		if _, ok := s.placedUnder[p.key]; !ok && !p.placement.Inherited {
+			s.placedUnder[p.key] = s.leader.PlanGuard().Version
 		}
 	}
+	s.checkPreemptions()
 }
 
-// receiveHeartbeat gives a report to the leader, as the controller does.
-func (s *System) receiveHeartbeat(f *heartbeat, m *cluster.Model) {
-	f.received = true
-	r := f.report
-	copied := slices.Contains(s.duplicates, f)
-	if copied {
-		s.noteDuplicate(f)
-	} else if m == s.leader {
-		s.workers[f.worker].reachedToken = s.fencingToken
+// commitBatch commits a batch of the leader's and says whether the pass goes on.
+func (s *System) commitBatch(batch *cluster.WriteBatch, outcome commitOutcome) bool {
+	switch {
+	case s.storeRefuses:
+		s.leader.RequeueBatch(batch) // 503: it was not executed
+		return false
+	case outcome == commitDelayed:
+		s.delayCommit(batch)
+		return false
 	}
-	if !s.leaseValid() {
-		return // a 503
-	}
-	if r.Token > m.FencingToken {
-		return // it resigns
-	}
-	now := s.now()
-	if s.mutation == AcceptStaleHeartbeats || s.mutation == AcceptDuplicatesAsNewest && copied {
-		r.Seq += 1000 * uint64(s.revision)
-		s.revision++
-	}
-	if s.mutation == AssumeTokenShown || s.mutation == AcceptDuplicateAsTokenShown && copied {
-		r.Token = m.FencingToken
+	failed := s.compareAndSwap(batch.Guards, batch.Ops)
+	if failed == nil && outcome == commitAnswered {
+		batch.OnCommit(s.revision, s.now())
+		s.checkPreemptions()
+		return true
 	}
-	mc := m.ApplyHeartbeat(&r, now)
-	if mc == nil {
-		if cmds, ok := m.AnswerRetry(&r, ""); ok {
-			f.token, f.commands = m.FencingToken, cmds
-			sortRuns(f.commands)
-			if !copied && s.workers[f.worker].pending == f {
-				s.Events = append(s.Events, eventRetryAfterDuplicate)
-				if r.Token < m.FencingToken {
-					s.Events = append(s.Events, eventRetryAtNextLeader)
-				}
-			}
+	s.resolveConflicts(batch, failed)
+	s.leader.RequeueBatch(batch)
+	return outcome == commitAnswered
+}
+
+// resolveConflicts has the leader read the records whose guards failed.
+func (s *System) resolveConflicts(batch *cluster.WriteBatch, failed []string) {
+	s.reloadPlanOnConflict(failed)
+	for _, key := range failed {
+		if !batch.IsJobKey(key) {
+			s.leader.ResolveConflict(batch, key, s.store[key].version)
 		}
-		return // refused
 	}
-	f.token, f.commands = m.FencingToken, m.AnswerHeartbeat(mc, &r, now) // though nobody may wait for the answer any more
-	if s.mutation == TreatResponsesAsUnreceived && len(mc.Tasks) > 0 {
-		mc.DiscountAnswers()
+	if failed != nil {
+		s.deliverWatch()
 	}
-	sortRuns(f.commands)
-	if s.mutation == ForgetByPush {
-		s.forgetByPush(f, m.FencingToken)
+}
+
+// delayCommit leaves a batch without a response, to be executed later.
+func (s *System) delayCommit(batch *cluster.WriteBatch) {
+	s.delayedCount++
+	s.delayedCommits = append(s.delayedCommits, transaction{s.fencingToken, batch.Guards, batch.Ops})
+	if s.mutation == TreatUnknownCommitAsSuccess {
+		batch.OnCommit(s.revision, s.now())
+		return
 	}
-	if s.mutation == ForgetBeforeCommit {
-		for _, t := range r.Tasks {
-			if t.State == wire.TaskExited {
-				f.commands = append(f.commands, wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
-			}
+	s.leader.RequeueBatch(batch)
+}
+
+// sendPushes sends stops and wake-ups to workers.
+func (s *System) sendPushes() {
+	now := s.now()
+	for _, p := range append(s.leader.StopPushes(now), s.leader.WakeUps(maxPushes, now)...) {
+		s.mutatePush(p.Commands.Commands)
+		if len(s.pushes) < maxPushes {
+			i := slices.IndexFunc(s.workers, func(w *worker) bool { return w.name == p.Machine })
+			s.pushes = append(s.pushes, push{i, p.Commands, s.workers[i].launchCount})
 		}
 	}
 }
 
-// sortRuns puts neighbouring commands of one kind in the order of their tasks:
-// the leader's maps leave it open, and a replay must not differ.
-func sortRuns(cmds []wire.Command) {
-	for lo := 0; lo < len(cmds); {
-		hi := lo + 1
-		for hi < len(cmds) && cmds[hi].Op == cmds[lo].Op {
-			hi++
-		}
-		slices.SortFunc(cmds[lo:hi], func(a, b wire.Command) int { return strings.Compare(a.Task, b.Task) })
-		lo = hi
+// receiveHeartbeat gives a heartbeat to a leader and notes the response, as a controller
+// does; nobody may be waiting for the response any more.
+func (s *System) receiveHeartbeat(h *heartbeat, leader *cluster.Model) {
+	h.received = true
+	if s.isDuplicate(h) {
+		s.noteDuplicate(h)
+	} else if leader == s.leader {
+		s.workers[h.worker].reachedToken = s.fencingToken
+	}
+	if !s.leaseValid() {
+		return // responds with 503
 	}
+	if h.report.Token > leader.FencingToken {
+		return // resigns
+	}
+	report := s.reportUnderMutation(h, leader.FencingToken)
+	machine := leader.ApplyHeartbeat(&report, s.now())
+	if machine == nil {
+		s.respondToRetry(h, &report, leader)
+		return
+	}
+	s.respond(h, leader.AnswerHeartbeat(machine, &report, s.now()), leader)
+	if s.mutation == TreatResponsesAsUnreceived && len(machine.Tasks) > 0 {
+		machine.DiscountAnswers()
+	}
+	s.mutateForgets(h)
 }
 
-// pass of time: answers on their way are given up, leases end, and the leader
-// goes on only with knowledge as fresh as its renewal.
-func (s *System) advanceTime() {
-	s.step++
-	for _, k := range s.workers {
-		if k.pending != nil {
-			s.abandonHeartbeat(k)
-		}
+// respondToRetry responds to a heartbeat that the leader has had already, if it is the
+// newest one.
+func (s *System) respondToRetry(h *heartbeat, report *wire.Report, leader *cluster.Model) {
+	commands, ok := leader.AnswerRetry(report, "")
+	if !ok {
+		return // refused
 	}
-	s.renewLease()
-	for _, k := range s.workers {
-		if s.step-k.renewedAt < 2 {
-			continue
-		}
-		ended := k.tasks
-		k.tasks, k.renewedAt = nil, s.step
-		k.epoch++
-		for _, t := range ended {
-			if t.state == wire.TaskRunning && s.scenario.Jobs[t.jobIndex].Kind == wire.KindGang {
-				s.exitGangPeers(t)
-			}
-		}
+	s.respond(h, commands, leader)
+	if s.isDuplicate(h) || s.workers[h.worker].pending != h {
+		return
 	}
-	for id, since := range s.cancelledAt {
-		if s.step-since < cancelDeadlineSteps {
-			continue
-		}
-		for _, k := range s.workers {
-			for _, t := range k.tasks {
-				if t.occupiesMachine() && s.scenario.Jobs[t.jobIndex].ID == id {
-					s.violate("ran_cancelled", t.name+" is still on "+k.name)
-				}
-			}
-		}
+	s.Events = append(s.Events, EventRetryAfterDuplicate)
+	if report.Token < leader.FencingToken {
+		s.Events = append(s.Events, EventRetryAtNextLeader)
 	}
 }
 
-// leaseValid says whether the leader's term is valid: it has lasted no longer than a step
-// since its renewal was sent.
-func (s *System) leaseValid() bool {
-	return s.scenario.MaxStoreRefusals == 0 || s.mutation == IgnoreLeaderLease || s.step-s.leaseStart <= 1
+// respond notes the response to a heartbeat.
+func (s *System) respond(h *heartbeat, commands []wire.Command, leader *cluster.Model) {
+	sortCommandsWithinOps(commands)
+	h.token, h.commands = leader.FencingToken, commands
 }
 
-// renewLease is the leader's renewal with its barrier, in the step that begins.
-func (s *System) renewLease() {
-	if s.storeRefuses {
-		return
-	}
-	s.leaseStart = s.step
-	if s.mutation != SkipReadBarrier {
-		s.deliverWatch()
+// sortCommandsWithinOps sorts neighbouring commands of one operation by their tasks: the
+// leader iterates over maps there, and replays must not differ.
+func sortCommandsWithinOps(commands []wire.Command) {
+	for start := 0; start < len(commands); {
+		end := start + 1
+		for end < len(commands) && commands[end].Op == commands[start].Op {
+			end++
+		}
+		slices.SortFunc(commands[start:end], func(a, b wire.Command) int { return strings.Compare(a.Task, b.Task) })
+		start = end
 	}
 }
+
+// formerLeaderRoundTrip sends a worker's heartbeat to the former leader.
+func (s *System) formerLeaderRoundTrip(i int) {
+	h := s.sendHeartbeat(i)
+	s.receiveHeartbeat(h, s.formerLeader)
+	s.receiveResponse(h)
+}
--- a/modelcheck/mutation.go
+++ b/modelcheck/mutation.go
@@ -7,88 +7,151 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Mutation names a guard that is taken away. What the service does is None.
+// Mutation is a fault that is put into the system: it removes one guard.
 type Mutation int
 
-// The guards that can be taken away.
+// The mutations. NoMutation is the service as it is.
 const (
-	NoMutation                 Mutation = iota
-	LaunchBeforeCommit                  // a launch leaves before its placement is committed
-	HalveWorkerLease                    // the leader counts a worker's lease as over at half of it
-	SkipFailoverWait                    // a new leader does not count the lease from its takeover
-	AcceptStaleHeartbeats               // a report that was held back counts as the newest
-	AssumeTokenShown                    // absence counts of a worker that has not shown this token
-	ExecuteAbandonedResponses           // a worker executes an answer it has given up
-	LaunchByPush                        // a summons is the launch itself
-	ForgetBeforeCommit                  // an exit is forgotten before its outcome is committed
-	SkipReadBarrier                     // a leader renews its lease without learning of cancellations
-	KeepFormerLeader                    // a leader answers on past the end of its lease
-	ReleaseTasksOnCancel                // a cancelled job's tasks count as gone at once
-	AcceptDuplicatesAsNewest            // a late copy of a report counts as the newest
-	TreatResponsesAsUnreceived          // every answer counts as unheard, also where no report has shown that
-	Breaches
+	NoMutation                    Mutation = iota
+	LaunchBeforeCommit                     // a launch is sent before its placement is committed
+	HalveWorkerLease                       // the leader takes a worker's lease as expired after half of it
+	SkipFailoverWait                       // a new leader doesn't wait for the leases that were valid at its election
+	AcceptStaleHeartbeats                  // a delayed heartbeat counts as the newest
+	AssumeTokenShown                       // a task's absence counts although its worker has not shown the fencing token
+	ExecuteAbandonedResponses              // a worker executes a response after its timeout
+	LaunchByPush                           // a wake-up launches the task itself
+	ForgetBeforeCommit                     // a worker is told to forget an outcome before it is committed
+	SkipReadBarrier                        // a leader renews its lease without reading cancellations
+	KeepFormerLeader                       // a leader goes on responding after its lease has expired
+	ReleaseTasksOnCancel                   // a cancelled job's tasks count as gone at once
+	AcceptDuplicatesAsNewest               // a duplicated heartbeat counts as the newest
+	TreatResponsesAsUnreceived             // every response counts as not received, also where no heartbeat has shown that
+	DropPlanGuard                          // commits don't depend on the version of the plan
+	PreemptWithoutPlanCheck                // preempted tasks are stopped without checking the version of the plan
+	TreatUnknownCommitAsSuccess            // a commit without a response counts as successful
+	DropPageGuards                         // a write of a placement page doesn't depend on its version
+	DropCancellationGuards                 // a user's cancellation has no conditions
+	DropJobGuards                          // the end of a job doesn't depend on the version of its record
+	IgnoreLeaderLease                      // a leader responds after its lease has expired, while there is no other one
+	CountLeaseFromRenewalResponse          // the leader's lease counts from the renewal's response, not from its request
+	AcceptDuplicateAsTokenShown            // a duplicated heartbeat counts as having shown the fencing token
+	ForgetByPush                           // outcomes are forgotten by pushes as well as by responses
 )
 
-func (b Mutation) String() string {
-	switch b {
-	case DropPlanGuard:
-		return "old order"
-	case PreemptWithoutPlanCheck:
-		return "old order's stops"
-	case ForgetByPush:
-		return "direct forget"
-	}
-	if name, ok := delayMutationNames[b]; ok {
-		return name
-	}
-	return [...]string{"none", "uncommitted launch", "short lease", "no wait after takeover", "stale reports", "token not shown",
-		"late answers", "direct launch", "forget at once", "no catching up", "leader goes on", "dropped on cancel", "copies count", "unheard answers"}[b]
+var mutationNames = map[Mutation]string{
+	NoMutation:                    "none",
+	LaunchBeforeCommit:            "launch before commit",
+	HalveWorkerLease:              "half of the worker's lease",
+	SkipFailoverWait:              "no wait after failover",
+	AcceptStaleHeartbeats:         "stale heartbeats accepted",
+	AssumeTokenShown:              "token assumed shown",
+	ExecuteAbandonedResponses:     "abandoned responses executed",
+	LaunchByPush:                  "launch by push",
+	ForgetBeforeCommit:            "forget before commit",
+	SkipReadBarrier:               "no read barrier",
+	KeepFormerLeader:              "former leader continues",
+	ReleaseTasksOnCancel:          "tasks released on cancel",
+	AcceptDuplicatesAsNewest:      "duplicates accepted as newest",
+	TreatResponsesAsUnreceived:    "responses treated as unreceived",
+	DropPlanGuard:                 "no plan guard",
+	PreemptWithoutPlanCheck:       "no plan check before preemption",
+	TreatUnknownCommitAsSuccess:   "unknown commit taken as success",
+	DropPageGuards:                "no page guards",
+	DropCancellationGuards:        "no cancellation guards",
+	DropJobGuards:                 "no job guards",
+	IgnoreLeaderLease:             "leader's lease ignored",
+	CountLeaseFromRenewalResponse: "lease counted from renewal's response",
+	AcceptDuplicateAsTokenShown:   "duplicate accepted as token shown",
+	ForgetByPush:                  "forget by push",
 }
 
-// ForgetByPush has outcomes forgotten by direct commands as well as in answers.
-const ForgetByPush Mutation = 130
+func (m Mutation) String() string { return mutationNames[m] }
 
-// Guards that are taken away here.
-const (
-	TreatUnknownCommitAsSuccess   Mutation = 110 + iota // a transaction without an answer counts as committed
-	DropPageGuards                                      // a page's version is no condition of its next change
-	DropCancellationGuards                              // a user's cancellation has no conditions
-	DropJobGuards                                       // the end of a job is no matter of its record's version
-	IgnoreLeaderLease                                   // a leader answers past its term, while nobody else leads
-	CountLeaseFromRenewalResponse                       // the term counts from the renewal's answer, not from its sending
-	AcceptDuplicateAsTokenShown                         // a late copy counts as having shown the leader's token
-)
+// guardsUnderMutation returns the conditions of a transaction that the mutation leaves.
+func (s *System) guardsUnderMutation(guards []wire.Guard) []wire.Guard {
+	var dropped func(key string) bool
+	switch s.mutation {
+	case DropPlanGuard:
+		dropped = func(key string) bool { return key == jobstore.PlanHeadKey }
+	case DropPageGuards:
+		dropped = isPlacementPageKey
+	case DropJobGuards:
+		dropped = func(key string) bool { return !isPlacementPageKey(key) }
+	default:
+		return guards
+	}
+	return slices.DeleteFunc(slices.Clone(guards), func(g wire.Guard) bool { return dropped(g.Key) })
+}
 
-var delayMutationNames = map[Mutation]string{TreatUnknownCommitAsSuccess: "no answer counts as committed", DropPageGuards: "page unguarded", DropCancellationGuards: "cancellation unguarded",
-	DropJobGuards: "done unguarded", IgnoreLeaderLease: "term ignored", CountLeaseFromRenewalResponse: "term from the answer", AcceptDuplicateAsTokenShown: "copy shows the token"}
+func isPlacementPageKey(key string) bool {
+	_, ok := jobstore.ParsePlacementPageKey(key)
+	return ok
+}
 
-// withoutRecordGuards takes conditions away as the breach has it.
-func (s *System) withoutRecordGuards(guards []wire.Guard) []wire.Guard {
-	if s.mutation != DropPageGuards && s.mutation != DropJobGuards {
-		return guards
+// reportUnderMutation returns the status that the leader is given of a heartbeat.
+func (s *System) reportUnderMutation(h *heartbeat, fencingToken uint64) wire.Report {
+	const ahead = 1000 // beyond any sequence number of a worker
+	report, duplicate := h.report, s.isDuplicate(h)
+	if s.mutation == AcceptStaleHeartbeats || s.mutation == AcceptDuplicatesAsNewest && duplicate {
+		report.Seq += ahead * s.revision
+		s.revision++
+	}
+	if s.mutation == AssumeTokenShown || s.mutation == AcceptDuplicateAsTokenShown && duplicate {
+		report.Token = fencingToken
 	}
-	return slices.DeleteFunc(slices.Clone(guards), func(g wire.Guard) bool {
-		_, page := jobstore.ParsePlacementPageKey(g.Key)
-		return page == (s.mutation == DropPageGuards)
-	})
+	return report
 }
 
-// DropPlanGuard takes the condition away that ties a commit to the plan in force.
-const DropPlanGuard Mutation = 100
+// mutatePush makes a wake-up launch its task.
+func (s *System) mutatePush(commands []wire.Command) {
+	if s.mutation != LaunchByPush {
+		return
+	}
+	for i := range commands {
+		c := &commands[i]
+		if id, _, _ := wire.SplitTask(c.Task); c.Op == wire.OpStart {
+			c.Task = wire.TaskName(id, 0)
+		}
+	}
+}
 
-// PreemptWithoutPlanCheck lets stops go out without the plan being compared.
-const PreemptWithoutPlanCheck Mutation = 101
+// mutateForgets lets the worker of a heartbeat forget outcomes by a push, or before they
+// are committed.
+func (s *System) mutateForgets(h *heartbeat) {
+	switch s.mutation {
+	case ForgetByPush:
+		s.forgetByPush(h)
+	case ForgetBeforeCommit:
+		for _, t := range h.report.Tasks {
+			if t.State == wire.TaskExited {
+				h.commands = append(h.commands, wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
+			}
+		}
+	}
+}
 
-// withoutPlanGuard are a transaction's.
-func (s *System) withoutPlanGuard(guards []wire.Guard) []wire.Guard {
-	if s.mutation != DropPlanGuard {
-		return guards
+// forgetByPush sends the outcomes that a response forgets by a push as well.
+func (s *System) forgetByPush(h *heartbeat) {
+	var forgets []wire.Command
+	for _, c := range h.commands {
+		if c.Op == wire.OpForget {
+			forgets = append(forgets, c)
+		}
 	}
-	var out []wire.Guard
-	for _, g := range guards {
-		if g.Key != jobstore.PlanHeadKey {
-			out = append(out, g)
+	if len(forgets) == 0 || len(s.pushes) >= maxPushes {
+		return
+	}
+	batch := wire.DirectCommands{Token: h.token, Session: h.report.Session, Commands: forgets}
+	s.pushes = append(s.pushes, push{h.worker, batch, s.workers[h.worker].launchCount})
+}
+
+// releaseTasks removes all placements, as if no task were on any machine.
+func (s *System) releaseTasks() {
+	for key := range s.store {
+		if isPlacementPageKey(key) {
+			s.revision++
+			s.store[key] = storedValue{jobstore.PlacementPage{}, s.revision}
 		}
 	}
-	return out
+	s.startLeader()
 }
--- a/modelcheck/network.go
+++ b/modelcheck/network.go
@@ -6,150 +6,178 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is what becomes of direct commands, which arrive at any time after they were
-// sent: after newer ones, after the next leader's, and in a later session of their worker.
-
-// heartbeat is a report on its way, and its answer.
+// heartbeat is a worker's heartbeat and the response to it.
 type heartbeat struct {
-	worker   int
+	worker   int // index
 	report   wire.Report
-	sentAt   int
-	received bool
+	sentAt   int  // step
+	received bool // by a leader, which may have refused it
 	token    uint64
 	commands []wire.Command
 }
 
+// push is a batch of commands on its way to a worker outside of a response. It may arrive
+// at any time: after newer ones, after the next leader's, and in a later epoch.
 type push struct {
-	worker      int
+	worker      int // index
 	batch       wire.DirectCommands
-	launchCount int // of its worker before it was sent
+	launchCount int // of the worker when the push was sent
 }
 
-// sendHeartbeat makes a worker's report.
+// Event is a situation that a transition may reach.
+type Event string
+
+// What a push may meet when it arrives.
+const (
+	EventPushOfFormerLeader  Event = "push of a former leader executed"
+	EventPushRefusedForToken Event = "push refused for its fencing token"
+	EventPushRefusedForEpoch Event = "push refused for its agent epoch"
+	EventStopAfterRestart    Event = "pushed stop reached its attempt, launched later"
+)
+
+// What a duplicated heartbeat may meet when it arrives, or the heartbeat that comes after it.
+const (
+	EventRetryAfterDuplicate       Event = "heartbeat responded to after its duplicate"
+	EventRetryAtNextLeader         Event = "heartbeat responded to after its duplicate, at the next leader"
+	EventDuplicateAtNextLeader     Event = "duplicate first at the next leader"
+	EventDuplicateOfEarlierEpoch   Event = "duplicate of an earlier epoch first at the next leader"
+	EventDuplicateOfEarlierAttempt Event = "duplicate with an earlier attempt first at the next leader"
+)
+
+// sendHeartbeat has a worker send a heartbeat.
 func (s *System) sendHeartbeat(i int) *heartbeat {
-	k := s.workers[i]
-	k.seq++
-	f := &heartbeat{worker: i, sentAt: s.step, report: wire.Report{Machine: k.name, Addr: k.name, Type: "m", Zone: k.zone, Session: k.epoch, Seq: k.seq, Token: k.token}}
-	for _, t := range k.tasks {
-		f.report.Tasks = append(f.report.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason})
-	}
-	k.pending = f
+	w := s.workers[i]
+	w.seq++
+	h := &heartbeat{worker: i, sentAt: s.step, report: wire.Report{
+		Machine: w.name, Addr: w.name, Type: machineTypeName, Zone: w.zone, Session: w.epoch, Seq: w.seq, Token: w.token,
+	}}
+	for _, t := range w.tasks {
+		h.report.Tasks = append(h.report.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason})
+	}
+	w.pending = h
 	if s.duplicateCount < s.scenario.MaxDuplicates {
-		k.lastHeartbeat = f
+		w.lastHeartbeat = h
 	}
-	return f
+	return h
 }
 
-// receiveResponse lets a worker take the answer that it waits for.
-func (s *System) receiveResponse(f *heartbeat) {
-	k := s.workers[f.worker]
-	if k.pending == f {
-		k.pending = nil
-	}
-	if f.token == 0 || f.token < k.token || f.report.Session != k.epoch {
+// receiveResponse gives a worker the response to its heartbeat, which renews its lease.
+func (s *System) receiveResponse(h *heartbeat) {
+	w := s.workers[h.worker]
+	if w.pending == h {
+		w.pending = nil
+	}
+	responded := h.token != 0
+	if !responded || h.token < w.token || h.report.Session != w.epoch {
 		return
 	}
-	k.token, k.renewedAt = f.token, f.sentAt
-	s.executeCommands(f.worker, f.commands)
+	w.token, w.renewedAt = h.token, h.sentAt
+	s.executeCommands(w, h.commands)
 }
 
-// duplicateHeartbeat keeps a copy of a worker's last report.
-func (s *System) duplicateHeartbeat(k *worker) {
-	c := *k.lastHeartbeat
-	s.duplicates = append(s.duplicates, &c)
-	if s.duplicateCount++; s.duplicateCount == s.scenario.MaxDuplicates {
-		for _, o := range s.workers {
-			o.lastHeartbeat = nil
-		}
+// roundTrip sends a worker's heartbeat to the leader, and the response back if it reaches the
+// worker.
+func (s *System) roundTrip(i int) {
+	h := s.sendHeartbeat(i)
+	s.receiveHeartbeat(h, s.leader)
+	if w := s.workers[i]; w.unreachable {
+		w.pending = nil
+		return
 	}
-	k.lastHeartbeat = nil
+	s.receiveResponse(h)
 }
 
-func (s *System) abandonHeartbeat(k *worker) {
-	f := k.pending
-	k.pending = nil
-	late := 0
-	for _, o := range s.delayedHeartbeats {
-		if o.worker == f.worker {
-			late++
+// abandonHeartbeat has a worker's request time out. What is under way of it may still arrive.
+func (s *System) abandonHeartbeat(w *worker) {
+	h := w.pending
+	w.pending = nil
+	if h.received {
+		if s.mutation == ExecuteAbandonedResponses && len(s.abandonedResponses) < maxAbandoned {
+			s.abandonedResponses = append(s.abandonedResponses, h)
 		}
+		return
 	}
-	if !f.received && late < maxAbandoned {
-		s.delayedHeartbeats = append(s.delayedHeartbeats, f)
+	delayed := 0
+	for _, other := range s.delayedHeartbeats {
+		if other.worker == h.worker {
+			delayed++
+		}
 	}
-	if f.received && s.mutation == ExecuteAbandonedResponses && len(s.abandonedResponses) < maxAbandoned {
-		s.abandonedResponses = append(s.abandonedResponses, f)
+	if delayed < maxAbandoned {
+		s.delayedHeartbeats = append(s.delayedHeartbeats, h)
 	}
 }
 
-// What a direct batch meets when it arrives.
-const (
-	eventPushOfFormerLeader  = "executed, of a former leader"
-	eventPushRefusedForToken = "refused for its token"
-	eventPushRefusedForEpoch = "refused for its session"
-	eventStopAfterRestart    = "a stop met its own attempt, launched later"
-)
+// toggleReachability makes a worker receive nothing, or receive again.
+func (s *System) toggleReachability(i int) {
+	w := s.workers[i]
+	w.unreachable = !w.unreachable
+	if w.unreachable {
+		s.partitionCount++
+	}
+}
 
-// receivePush has a worker take a direct batch, if token and session still match.
-func (s *System) receivePush(d push) {
-	k := s.workers[d.worker]
-	k.seq++
-	switch {
-	case d.batch.Session != k.epoch:
-		s.Events = append(s.Events, eventPushRefusedForEpoch)
-		return
-	case d.batch.Token < k.token:
-		s.Events = append(s.Events, eventPushRefusedForToken)
+// duplicateHeartbeat makes a duplicate of a worker's last heartbeat. With the last duplicate
+// of the scenario no heartbeat needs to be kept for one any more.
+func (s *System) duplicateHeartbeat(w *worker) {
+	duplicate := *w.lastHeartbeat
+	s.duplicates = append(s.duplicates, &duplicate)
+	w.lastHeartbeat = nil
+	s.duplicateCount++
+	if s.duplicateCount < s.scenario.MaxDuplicates {
 		return
 	}
-	if d.batch.Token < s.fencingToken {
-		s.Events = append(s.Events, eventPushOfFormerLeader)
-	}
-	for _, c := range d.batch.Commands {
-		key := attemptKey{c.Task, c.Attempt}
-		running := slices.ContainsFunc(k.tasks, func(t *task) bool { return t.attemptKey == key && t.state != wire.TaskExited })
-		if c.Op == wire.OpStop && running && k.launchOrder[key] > d.launchCount {
-			s.Events = append(s.Events, eventStopAfterRestart)
-		}
+	for _, other := range s.workers {
+		other.lastHeartbeat = nil
 	}
-	k.token = d.batch.Token
-	s.executeCommands(d.worker, d.batch.Commands)
 }
 
-// forgetByPush sends the outcomes that an answer forgets by a direct batch as well.
-func (s *System) forgetByPush(f *heartbeat, token uint64) {
-	var forgets []wire.Command
-	for _, c := range f.commands {
-		if c.Op == wire.OpForget {
-			forgets = append(forgets, c)
-		}
-	}
-	if len(forgets) == 0 || len(s.pushes) >= maxPushes {
+func (s *System) isDuplicate(h *heartbeat) bool { return slices.Contains(s.duplicates, h) }
+
+// noteDuplicate notes what a duplicate meets that is the next leader's first heartbeat of its
+// worker.
+func (s *System) noteDuplicate(h *heartbeat) {
+	w := s.workers[h.worker]
+	if s.failovers == 0 || h.report.Token >= s.leader.FencingToken || w.reachedToken == s.fencingToken {
 		return
 	}
-	batch := wire.DirectCommands{Token: token, Session: f.report.Session, Commands: forgets}
-	s.pushes = append(s.pushes, push{f.worker, batch, s.workers[f.worker].launchCount})
+	s.Events = append(s.Events, EventDuplicateAtNextLeader)
+	if h.report.Session < w.epoch {
+		s.Events = append(s.Events, EventDuplicateOfEarlierEpoch)
+	}
+	for _, t := range h.report.Tasks {
+		if t.State != wire.TaskExited && !w.has(attemptKey{t.Task, t.Attempt}) {
+			s.Events = append(s.Events, EventDuplicateOfEarlierAttempt)
+		}
+	}
 }
 
-// What meets where a copy overtakes the report that is being sent.
-const (
-	eventRetryAfterDuplicate = "answered as it came after its copy"
-	eventRetryAtNextLeader   = eventRetryAfterDuplicate + ", at the next leader"
-)
-
-// noteDuplicate notes what a copy meets that arrives now.
-func (s *System) noteDuplicate(f *heartbeat) {
-	k := s.workers[f.worker]
-	if s.failovers == 0 || f.report.Token >= s.leader.FencingToken || k.reachedToken == s.fencingToken {
+// receivePush has a worker execute a push, if its token and epoch still hold.
+func (s *System) receivePush(p push) {
+	w := s.workers[p.worker]
+	w.seq++
+	switch {
+	case p.batch.Session != w.epoch:
+		s.Events = append(s.Events, EventPushRefusedForEpoch)
+		return
+	case p.batch.Token < w.token:
+		s.Events = append(s.Events, EventPushRefusedForToken)
 		return
 	}
-	s.Events = append(s.Events, "first at the next leader")
-	if f.report.Session < k.epoch {
-		s.Events = append(s.Events, "of an earlier session")
+	if p.batch.Token < s.fencingToken {
+		s.Events = append(s.Events, EventPushOfFormerLeader)
 	}
-	for _, t := range f.report.Tasks {
-		if t.State != wire.TaskExited && !slices.ContainsFunc(k.tasks, func(o *task) bool { return o.name == t.Task && o.attempt == t.Attempt && o.state != wire.TaskExited }) {
-			s.Events = append(s.Events, "of an earlier attempt")
+	for _, c := range p.batch.Commands {
+		key := attemptKey{c.Task, c.Attempt}
+		if c.Op == wire.OpStop && w.has(key) && w.launchOrder[key] > p.launchCount {
+			s.Events = append(s.Events, EventStopAfterRestart)
 		}
 	}
+	w.token = p.batch.Token
+	s.executeCommands(w, p.batch.Commands)
+}
+
+// has says whether the worker has an attempt that has not exited.
+func (w *worker) has(key attemptKey) bool {
+	return slices.ContainsFunc(w.tasks, func(t *task) bool { return t.attemptKey == key && t.state != wire.TaskExited })
 }
--- a/modelcheck/plan_test.go
+++ b/modelcheck/plan_test.go
@@ -2,33 +2,30 @@
 
 import "testing"
 
-// Whatever happens while orders change, no placement is committed by an older one,
-// nor is anybody stopped to make room by one; with the condition on the plan's
-// version taken away, it is found.
+// planSearches are of mutations that remove the conditions on the version of the plan.
+var planSearches = []mutationSearch{
+	{DropPlanGuard, PlanChange, []ActionKind{ScheduleWithoutCommit, ApplyPlan, LoadPlan, SchedulingPass, PassResponseLost, HeartbeatRoundTrip, ImageFetched, CompleteTask, Failover}, 9},
+	{PreemptWithoutPlanCheck, PreemptionUnderPlanChange, []ActionKind{ScheduleWithoutCommit, ApplyPlan, LoadPlan, AcceptJob, SchedulingPass, PassResponseLost, HeartbeatRoundTrip, ImageFetched, Failover}, 8},
+}
+
+// Whatever happens while plans change, no placement is committed and no task preempted under
+// a plan that is no longer in force; without the conditions on the plan's version, one is.
 func TestNothingIsDoneUnderASupersededPlan(t *testing.T) {
-	for _, c := range []struct {
-		without Mutation
-		world   *Scenario
-		moves   []ActionKind
-		depth   int
-	}{
-		{DropPlanGuard, PlanChange(), []ActionKind{ScheduleWithoutCommit, ApplyPlan, LoadPlan, SchedulingPass, PassResponseLost, HeartbeatRoundTrip, ImageFetched, CompleteTask, Failover}, 9},
-		{PreemptWithoutPlanCheck, PreemptionUnderPlanChange(), []ActionKind{ScheduleWithoutCommit, ApplyPlan, LoadPlan, AcceptJob, SchedulingPass, PassResponseLost, HeartbeatRoundTrip, ImageFetched, Failover}, 8},
-	} {
-		sc, depth := c.world, c.depth
-		sc.Allowed = c.moves
+	const minStates = 500
+	for _, search := range planSearches {
+		scenario, depth := search.narrowed(), search.depth
 		if raceDetector {
 			depth = 7
 		}
-		whole := Search(sc, NoMutation, depth, 5_000_000)
-		t.Logf("with the condition: %v", whole)
-		if whole.Violation != "" || whole.States < 500 {
-			t.Errorf("with the condition: %v", whole)
+		unmutated := Search(scenario, NoMutation, depth, unbounded)
+		t.Logf("with the condition: %v", unmutated)
+		if unmutated.Violation != "" || unmutated.States < minStates {
+			t.Errorf("with the condition: %v", unmutated)
 		}
-		without := Search(sc, c.without, depth, 5_000_000)
-		t.Logf("%v: %v", c.without, without)
-		if without.Violation == "" {
-			t.Errorf("%v: nothing found in %v", c.without, without)
+		mutated := Search(scenario, search.mutation, depth, unbounded)
+		t.Logf("%v: %v", search.mutation, mutated)
+		if mutated.Violation == "" {
+			t.Errorf("%v: nothing found in %v", search.mutation, mutated)
 		}
 	}
 }
--- a/modelcheck/search.go
+++ b/modelcheck/search.go
@@ -12,99 +12,108 @@
 
 // Result is what a search found.
 type Result struct {
-	States         int // different ones, by digest
-	Transitions    int
-	Depth          int  // actions from the beginning
-	Exhausted      bool // no state was left to go on from
+	States         int  // different ones, by digest
+	Transitions    int  // explored
+	Depth          int  // actions from the initial state
+	Exhausted      bool // every reachable state has been explored
 	Violation      string
-	Counterexample []Action
-	Events         map[string]int // transitions in which so much met (World.Met)
+	Counterexample []Action      // a shortest sequence of actions that leads to the violation
+	Events         map[Event]int // transitions that reached each situation
 }
 
 func (r Result) String() string {
-	s := fmt.Sprintf("%d states, %d transitions, depth %d", r.States, r.Transitions, r.Depth)
+	size := fmt.Sprintf("%d states, %d transitions, depth %d", r.States, r.Transitions, r.Depth)
 	if r.Violation == "" {
-		return s
+		return size
 	}
 	steps := make([]string, len(r.Counterexample))
 	for i, a := range r.Counterexample {
 		steps[i] = a.String()
 	}
-	return s + ", " + r.Violation + " by: " + strings.Join(steps, "; ")
+	return size + ", " + r.Violation + " by: " + strings.Join(steps, "; ")
 }
 
-func replay(sc *Scenario, b Mutation, path []Action) *System {
-	s := NewSystem(sc, b)
-	for _, a := range path {
-		s.Apply(a)
-	}
-	return s
-}
+// digestHash is the hash of a state's digest.
+type digestHash = xxh3.Uint128
 
-func (s *System) hash() xxh3.Uint128 {
-	h := xxh3.New()
-	s.Digest(h)
-	return h.Sum128()
+// Search explores a scenario breadth first, down to a depth, and ends with the first violation
+// or once it knows that many states.
+//
+// A state is kept as the actions that lead to it, and made anew by a replay of these: the
+// leader's model can't be copied.
+func Search(scenario *Scenario, mutation Mutation, maxDepth, maxStates int) Result {
+	known := map[digestHash]struct{}{NewSystem(scenario, mutation).hash(): {}}
+	frontier := [][]Action{nil}
+	result := Result{States: 1, Events: map[Event]int{}}
+	for result.Depth < maxDepth && len(frontier) > 0 && result.States < maxStates {
+		result.Depth++
+		reached := successors(scenario, mutation, frontier)
+		frontier = nil
+		for _, next := range reached {
+			result.Transitions++
+			for _, event := range next.events {
+				result.Events[event]++
+			}
+			if next.violation != "" {
+				result.Violation, result.Counterexample = next.violation, next.path
+				return result
+			}
+			if _, ok := known[next.hash]; !ok {
+				known[next.hash] = struct{}{}
+				frontier = append(frontier, next.path)
+			}
+		}
+		result.States = len(known)
+	}
+	result.Exhausted = len(frontier) == 0
+	return result
 }
 
+// successor is the state after a transition.
 type successor struct {
 	path      []Action
-	hash      xxh3.Uint128
+	hash      digestHash
 	violation string
-	events    []string
+	events    []Event
 }
 
-// Search goes through all that may happen within so many actions, breadth
-// first, and ends with the first rule broken or once it knows so many states.
-// A state is the actions that lead to it: the leader's model is not copied, but
-// made again.
-func Search(sc *Scenario, b Mutation, depth, states int) Result {
-	first := NewSystem(sc, b)
-	known := map[xxh3.Uint128]struct{}{first.hash(): {}}
-	level := [][]Action{nil}
-	res := Result{States: 1, Events: map[string]int{}}
-	for res.Depth < depth && len(level) > 0 && res.States < states {
-		res.Depth++
-		next := successors(sc, b, level)
-		level = level[:0:0]
-		for _, f := range next {
-			res.Transitions++
-			for _, what := range f.events {
-				res.Events[what]++
-			}
-			if f.violation != "" {
-				res.Violation, res.Counterexample = f.violation, f.path
-				return res
+// successors makes the successors of all states of the frontier, in their order.
+func successors(scenario *Scenario, mutation Mutation, frontier [][]Action) []successor {
+	reached := make([][]successor, len(frontier))
+	goroutines := runtime.GOMAXPROCS(0)
+	var group sync.WaitGroup
+	for first := range goroutines {
+		group.Go(func() {
+			for i := first; i < len(frontier); i += goroutines {
+				reached[i] = successorsOf(scenario, mutation, frontier[i])
 			}
-			if _, ok := known[f.hash]; !ok {
-				known[f.hash] = struct{}{}
-				level = append(level, f.path)
-			}
-		}
-		res.States = len(known)
+		})
 	}
-	res.Exhausted = len(level) == 0
-	return res
+	group.Wait()
+	return slices.Concat(reached...)
 }
 
-// successors makes every successor of a level's states, in their order.
-func successors(sc *Scenario, b Mutation, level [][]Action) []successor {
-	parts := make([][]successor, len(level))
-	var wg sync.WaitGroup
-	n := runtime.GOMAXPROCS(0)
-	for k := range n {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for i := k; i < len(level); i += n {
-				for _, a := range replay(sc, b, level[i]).EnabledActions() {
-					path := append(slices.Clip(slices.Clone(level[i])), a)
-					s := replay(sc, b, path)
-					parts[i] = append(parts[i], successor{path, s.hash(), s.Violation, s.Events})
-				}
-			}
-		}()
+// successorsOf makes the successors of the state that a path leads to.
+func successorsOf(scenario *Scenario, mutation Mutation, path []Action) (reached []successor) {
+	for _, action := range replay(scenario, mutation, path).EnabledActions() {
+		longer := append(slices.Clip(slices.Clone(path)), action)
+		s := replay(scenario, mutation, longer)
+		reached = append(reached, successor{longer, s.hash(), s.Violation, s.Events})
+	}
+	return reached
+}
+
+// replay makes the state that a path leads to.
+func replay(scenario *Scenario, mutation Mutation, path []Action) *System {
+	s := NewSystem(scenario, mutation)
+	for _, action := range path {
+		s.Apply(action)
 	}
-	wg.Wait()
-	return slices.Concat(parts...)
+	return s
+}
+
+func (s *System) hash() digestHash {
+	h := xxh3.New()
+	s.Digest(h)
+	return h.Sum128()
 }
--- a/modelcheck/store.go
+++ b/modelcheck/store.go
@@ -1,118 +1,121 @@
 package modelcheck
 
 import (
-	"github.com/umberdeal/umberdeal/cluster"
 	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+// sharedPageKey is the key of the page on which jobs' records are in scenarios that share one.
+var sharedPageKey = jobstore.SealedPageKey(0, 1)
+
+// storedValue is the value of a key in the key-value store; its zero value stands for a key
+// that does not exist.
 type storedValue struct {
 	value   any
 	version uint64
 }
 
-// compareAndSwap applies a transaction as the state service does.
+// transaction is a compare-and-swap under way.
+type transaction struct {
+	token  uint64 // of the leader that sent it; 0: a user's
+	guards []wire.Guard
+	ops    []wire.Op
+}
+
+// compareAndSwap executes a transaction as the key-value store does and returns the keys
+// whose guards failed.
 func (s *System) compareAndSwap(guards []wire.Guard, ops []wire.Op) (failed []string) {
-	for _, g := range s.withoutRecordGuards(s.withoutPlanGuard(guards)) {
+	for _, g := range s.guardsUnderMutation(guards) {
 		if s.store[g.Key].version != g.Version {
 			failed = append(failed, g.Key)
 		}
 	}
-	if failed != nil {
+	if failed != nil || len(ops) == 0 {
 		return failed
 	}
-	if len(ops) == 0 {
-		return nil
-	}
 	s.revision++
-	was := s.finalRecords()
-	for _, o := range ops {
-		s.checkPlanOfPlacements(o)
-		if o.Delete != "" {
-			delete(s.store, o.Delete)
+	finalBefore := s.finalRecords()
+	for _, op := range ops {
+		s.checkPlacementsFollowPlan(op)
+		if op.Delete != "" {
+			delete(s.store, op.Delete)
 			continue
 		}
-		s.store[o.Put] = storedValue{o.Value, s.revision}
-		if rec, ok := o.Value.(jobstore.JobRecord); ok && rec.State == wire.JobDone {
-			for n := range rec.Job.Tasks {
-				if name := wire.TaskName(rec.Job.ID, n); !s.completed[name] {
-					s.violate("not_done", name+" has not completed")
-				}
-			}
-		}
+		s.store[op.Put] = storedValue{op.Value, s.revision}
+		s.checkDoneTasksCompleted(op)
 	}
-	s.checkJobRecords(was)
+	s.checkJobRecords(finalBefore)
 	return nil
 }
 
-// outcomeRecorded says whether the state service has it that a task is done, or that
-// nobody wants to know.
-func (s *System) outcomeRecorded(t *task) bool {
-	id, n, _ := wire.SplitTask(t.name)
-	if _, ok := s.store[jobstore.FinalKey(id)]; ok {
-		return true
-	}
-	for key, v := range s.store {
-		if _, ok := jobstore.ParsePlacementPageKey(key); !ok {
-			continue
-		}
-		for _, c := range v.value.(jobstore.PlacementPage).Chunks {
-			for i := 0; c.Job == id && i+1 < len(c.DoneRanges); i += 2 {
-				if c.DoneRanges[i] <= n && n <= c.DoneRanges[i+1] {
-					return true
-				}
-			}
-		}
+// executeTransaction executes a delayed transaction: a leader's has the version of the leader
+// key as a further guard. It says whether the guards held.
+func (s *System) executeTransaction(t transaction) bool {
+	if t.token != 0 && t.token != s.fencingToken {
+		return false
 	}
-	return false
+	return s.compareAndSwap(t.guards, t.ops) == nil
 }
 
-// activeRecord is a job's record, while it is not over.
+// activeRecord returns the record of a job that is not over.
 func (s *System) activeRecord(id string) (jobstore.JobRecord, bool) {
-	if page, ok := s.store[jobstore.SealedPageKey(0, 1)].value.(jobstore.JobPage); ok {
-		for _, e := range page.Entries {
-			if e.ID == id {
-				rec, err := e.Decode()
-				return rec, err == nil
+	if page, ok := s.store[sharedPageKey].value.(jobstore.JobPage); ok {
+		for _, entry := range page.Entries {
+			if entry.ID == id {
+				record, err := entry.Decode()
+				return record, err == nil
 			}
 		}
 	}
-	rec, ok := s.store[jobstore.JobKey(id)].value.(jobstore.JobRecord)
-	return rec, ok
+	record, ok := s.store[jobstore.JobKey(id)].value.(jobstore.JobRecord)
+	return record, ok
 }
 
-// transaction is a transaction on its way.
-type transaction struct {
-	token  uint64 // of the leader that sent it; 0: a user's
-	guards []wire.Guard
-	ops    []wire.Op
+// finalRecord returns the record of a job that is over.
+func (s *System) finalRecord(id string) (jobstore.JobRecord, bool) {
+	record, ok := s.store[jobstore.FinalKey(id)].value.(jobstore.JobRecord)
+	return record, ok
 }
 
-// delayCommit leaves a leader's transaction without an answer, to be carried out later.
-func (s *System) delayCommit(b *cluster.WriteBatch) {
-	s.delayedCount++
-	s.delayedCommits = append(s.delayedCommits, transaction{s.fencingToken, b.Guards, b.Ops})
-	if s.mutation == TreatUnknownCommitAsSuccess {
-		b.OnCommit(s.revision, s.now())
-		return
+// finalRecords returns the final records of all jobs that are over, by job.
+func (s *System) finalRecords() map[string]jobstore.JobRecord {
+	records := map[string]jobstore.JobRecord{}
+	for i := range s.scenario.Jobs {
+		id := s.scenario.Jobs[i].ID
+		if record, ok := s.finalRecord(id); ok {
+			records[id] = record
+		}
 	}
-	s.leader.RequeueBatch(b)
+	return records
 }
 
-// executeTransaction has the state service come to a transaction: a leader's has the leader
-// key's revision as a condition besides.
-func (s *System) executeTransaction(t transaction) bool {
-	if t.token != 0 && t.token != s.fencingToken {
-		return false
+// outcomeRecorded says whether the store has the record that a task is done, or that its job
+// is over.
+func (s *System) outcomeRecorded(taskName string) bool {
+	id, number, _ := wire.SplitTask(taskName)
+	if _, ok := s.store[jobstore.FinalKey(id)]; ok {
+		return true
 	}
-	return s.compareAndSwap(t.guards, t.ops) == nil
+	for key, stored := range s.store {
+		if !isPlacementPageKey(key) {
+			continue
+		}
+		for _, chunk := range stored.value.(jobstore.PlacementPage).Chunks {
+			if chunk.Job == id && inRanges(chunk.DoneRanges, number) {
+				return true
+			}
+		}
+	}
+	return false
 }
 
-func (s *System) finalRecords() map[string]storedValue {
-	out := map[string]storedValue{}
-	for i := range s.scenario.Jobs {
-		id := s.scenario.Jobs[i].ID
-		out[id] = s.store[jobstore.FinalKey(id)]
+// inRanges says whether a number is in one of the ranges, which are pairs of their first and
+// last number.
+func inRanges(ranges []int, number int) bool {
+	for i := 0; i+1 < len(ranges); i += 2 {
+		if ranges[i] <= number && number <= ranges[i+1] {
+			return true
+		}
 	}
-	return out
+	return false
 }
--- a/modelcheck/system.go
+++ b/modelcheck/system.go
@@ -13,94 +13,181 @@
 
 const (
 	leaseSeconds = 20.0
-	// Time passes in steps of 0.6 of a lease. Two of them end one; an answer that
-	// takes as long has been given up (4 s).
+	// stepSeconds is how much time passes in one step. Two steps end a lease; a response
+	// that takes one has timed out (4 s).
 	stepSeconds = 0.6 * leaseSeconds
-	// cancelSteps is by when a cancelled job's tasks must be gone (cancel_s is
-	// about twice the lease): the leader learns within one step, and two more end
+	// leaseSteps is the number of steps after which a lease has expired.
+	leaseSteps = 2
+	// cancelDeadlineSteps is when a cancelled job's tasks must be gone (cancel_s is about
+	// twice the lease): the leader reads the cancellation within one step, and two more end
 	// the lease of a worker that it does not reach.
 	cancelDeadlineSteps = 3
-	maxPushes           = 2 // direct batches on their way; more are lost
-	maxAbandoned        = 1 // reports of a worker, or answers, that it has given up and that may still arrive
+	// maxPushes bounds the pushes under way; more are lost.
+	maxPushes = 2
+	// maxAbandoned bounds a worker's heartbeats, and all workers' responses, that may still
+	// arrive after their timeout.
+	maxAbandoned = 1
+)
+
+const (
+	teamName        = "core"
+	machineTypeName = "m"
 )
 
 var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// System is one state of everything.
+// System is one state of everything: the leader, the key-value store, the workers and the
+// messages between them.
 type System struct {
 	scenario *Scenario
 	mutation Mutation
 	settings *config.Settings
+	step     int // of the clock
 
-	step            int
-	fencingToken    uint64
-	revision        uint64
-	store           map[string]storedValue
+	// The key-value store.
+	store    map[string]storedValue
+	revision uint64
+
+	// The leader.
 	leader          *cluster.Model
-	formerLeader    *cluster.Model // of the leader before, where it goes on
-	watchedRevision uint64         // the revision that the leader has followed to
+	formerLeader    *cluster.Model // under mutation KeepFormerLeader
+	fencingToken    uint64
 	failovers       int
+	watchedRevision uint64 // up to which the leader has read the jobs' records
+
+	// The leader's own lease.
+	storeRefuses   bool // the store refuses the leader alone
+	refusalCount   int
+	leaseStart     int // the step in which the last renewal with a response was sent
+	renewalSentAt  int // the step in which the renewal under way was sent
+	renewalPending bool
+
+	// Transactions under way.
+	delayedCommits  []transaction // of the leader: no response, not executed yet
+	delayedCount    int
+	cancellations   map[string]transaction // of users, by job
+	cancelRequested map[string]bool        // jobs of which a cancellation was ever sent
+	cancelledAt     map[string]int         // the step in which a job's user was told that it is cancelled
 
+	// The plan.
+	planNumber       int
+	loadedPlan       int // the number of the plan that the leader uses
+	deferredAccepted bool
+	placedUnder      map[attemptKey]uint64 // the version of the plan by which an attempt was placed
+	heldPreemptions  map[attemptKey]uint64 // the version by which an attempt is to be preempted, while that is held back
+	preempted        map[attemptKey]bool
+
+	// Workers and the network.
 	workers            []*worker
-	delayedHeartbeats  []*heartbeat // reports given up, not arrived
-	abandonedResponses []*heartbeat // answers given up, where workers execute these
-	duplicates         []*heartbeat // of reports, on their way
+	delayedHeartbeats  []*heartbeat // timed out, not arrived
+	abandonedResponses []*heartbeat // timed out, under mutation ExecuteAbandonedResponses
+	duplicates         []*heartbeat // under way
+	pushes             []push       // under way
 	partitionCount     int
 	duplicateCount     int
 	refusedStarts      int
-	pushes             []push
-
-	completed   map[string]bool // tasks that have exited with done
-	cancelledAt map[string]int  // since which step
+	completed          map[string]bool // tasks that have exited as done
+	forgotten          map[string]bool // tasks whose done outcome their workers have forgotten
 
-	planState
-	delayState
-
-	Events    []string // what met in the last step, for tests that it did
-	Violation string   // the first rule broken, with what broke it
+	// Events are noteworthy situations that the last transition reached, so that tests can
+	// tell whether a search covers them.
+	Events []Event
+	// Violation is the first invariant violated, with a description; empty: none.
+	Violation string
 }
 
-// NewSystem makes a world in which the machines are up, have shown the leader's
-// token, and the jobs are accepted.
-func NewSystem(sc *Scenario, b Mutation) *System {
-	zones := slices.Compact(slices.Sorted(slices.Values(sc.Zones)))
-	s := &System{scenario: sc, mutation: b, store: map[string]storedValue{}, completed: map[string]bool{}, cancelledAt: map[string]int{}}
-	s.settings = &config.Settings{Cluster: config.Cluster{Zones: zones, Teams: []config.Team{{Name: "core", CPUs: sc.TeamLimit, CPUsMax: sc.TeamLimit}},
-		Workers: config.Workers{ReportS: 4, LeaseS: leaseSeconds, GangWaitS: 1000, GangPeerS: 6, CancelS: 2 * leaseSeconds},
-		Cloud:   config.CloudLimits{RPS: 4, ListLagS: 5}}}
-	for _, z := range sc.Zones {
-		s.workers = append(s.workers, &worker{name: fmt.Sprintf("host-%d", len(s.workers)+1), zone: z, epoch: 1})
+// NewSystem returns the initial state of a scenario: the machines are up and have shown the
+// leader's fencing token, the jobs are accepted, and the scenario's initial actions applied.
+func NewSystem(scenario *Scenario, mutation Mutation) *System {
+	s := &System{
+		scenario:        scenario,
+		mutation:        mutation,
+		settings:        newSettings(scenario),
+		store:           map[string]storedValue{},
+		cancellations:   map[string]transaction{},
+		cancelRequested: map[string]bool{},
+		cancelledAt:     map[string]int{},
+		placedUnder:     map[attemptKey]uint64{},
+		completed:       map[string]bool{},
+		forgotten:       map[string]bool{},
 	}
-	if sc.SharedPage {
-		s.revision++
-		var page jobstore.JobPage
-		for i := range sc.Jobs {
-			raw, err := wire.Marshal(jobstore.JobRecord{Job: sc.Jobs[i], AcceptedAtMs: startTime.UnixMilli()})
-			if err != nil {
-				panic(err) // a job of ours
-			}
-			page.Entries = append(page.Entries, jobstore.JobPageEntry{ID: sc.Jobs[i].ID, Record: raw})
-		}
-		s.store[jobstore.SealedPageKey(0, 1)] = storedValue{page, s.revision}
-	}
-	for i := range sc.Jobs {
-		if sc.SharedPage || i >= len(sc.Jobs)-sc.DeferredJobs {
-			break
-		}
-		s.revision++
-		s.store[jobstore.JobKey(sc.Jobs[i].ID)] = storedValue{jobstore.JobRecord{Job: sc.Jobs[i], AcceptedAtMs: startTime.UnixMilli()}, s.revision}
+	for i, zone := range scenario.Zones {
+		s.workers = append(s.workers, &worker{name: fmt.Sprintf("host-%d", i+1), zone: zone, epoch: 1})
 	}
+	s.acceptInitialJobs()
 	s.startLeader()
 	for i := range s.workers {
-		s.roundTrip(i)
-		s.roundTrip(i)
+		s.roundTrip(i) // the worker receives the token
+		s.roundTrip(i) // and shows it
 	}
-	for _, a := range sc.Initial {
+	for _, a := range scenario.Initial {
 		s.Apply(a)
 	}
 	return s
 }
 
-func (s *System) now() time.Time { return startTime.Add(config.Seconds(float64(s.step) * stepSeconds)) }
+func newSettings(scenario *Scenario) *config.Settings {
+	return &config.Settings{Cluster: config.Cluster{
+		Zones:   slices.Compact(slices.Sorted(slices.Values(scenario.Zones))),
+		Teams:   []config.Team{{Name: teamName, CPUs: scenario.TeamLimit, CPUsMax: scenario.TeamLimit}},
+		Workers: config.Workers{ReportS: 4, LeaseS: leaseSeconds, GangWaitS: 1000, GangPeerS: 6, CancelS: 2 * leaseSeconds},
+		Cloud:   config.CloudLimits{RPS: 4, ListLagS: 5},
+	}}
+}
+
+// acceptInitialJobs writes the records of all jobs but the deferred one.
+func (s *System) acceptInitialJobs() {
+	if s.scenario.SharedPage {
+		s.revision++
+		s.store[sharedPageKey] = storedValue{newJobPage(s.scenario.Jobs), s.revision}
+		return
+	}
+	for i, job := range s.scenario.Jobs {
+		if !s.scenario.isDeferred(i) {
+			s.putJob(job)
+		}
+	}
+}
+
+// newJobPage returns a page with all of these jobs' records.
+func newJobPage(jobs []wire.Job) jobstore.JobPage {
+	var page jobstore.JobPage
+	for _, job := range jobs {
+		record, err := wire.Marshal(jobstore.JobRecord{Job: job, AcceptedAtMs: startTime.UnixMilli()})
+		if err != nil {
+			panic(fmt.Errorf("modelcheck: encode job %s of a scenario: %w", job.ID, err))
+		}
+		page.Entries = append(page.Entries, jobstore.JobPageEntry{ID: job.ID, Record: record})
+	}
+	return page
+}
 
-func (s *System) deferredJob() wire.Job { return s.scenario.Jobs[len(s.scenario.Jobs)-1] }
+// putJob writes the record of a job that is accepted now.
+func (s *System) putJob(job wire.Job) jobstore.JobRecord {
+	s.revision++
+	record := jobstore.JobRecord{Job: job, AcceptedAtMs: s.now().UnixMilli()}
+	s.store[jobstore.JobKey(job.ID)] = storedValue{record, s.revision}
+	return record
+}
+
+func (s *System) now() time.Time {
+	return startTime.Add(config.Seconds(float64(s.step) * stepSeconds))
+}
+
+// advanceTime lets one step pass: requests under way time out, leases end, and the leader
+// renews its own.
+func (s *System) advanceTime() {
+	s.step++
+	for _, w := range s.workers {
+		if w.pending != nil {
+			s.abandonHeartbeat(w)
+		}
+	}
+	s.renewLease()
+	for _, w := range s.workers {
+		if s.step-w.renewedAt >= leaseSteps {
+			s.expireLease(w)
+		}
+	}
+	s.checkCancelDeadlines()
+}
--- a/modelcheck/transition.go
+++ b/modelcheck/transition.go
@@ -1,131 +1,61 @@
 package modelcheck
 
-import (
-	"slices"
+import "slices"
 
-	"github.com/umberdeal/umberdeal/jobstore"
-)
-
-func (s *System) applyDelayAction(a Action) {
-	i := int(a.Arg)
-	switch a.Kind {
-	case PassCommitDelayed:
-		s.schedulingPass(PassCommitDelayed)
-	case ExecuteDelayedCommit:
-		t := s.delayedCommits[i]
-		s.delayedCommits = slices.Delete(s.delayedCommits, i, i+1)
-		s.executeTransaction(t)
-	case SendCancellation:
-		s.sendCancellation(i)
-	case ExecuteCancellation, CancellationResponseLost:
-		id := s.scenario.Jobs[i].ID
-		t := s.cancellations[id]
-		delete(s.cancellations, id)
-		if s.executeTransaction(t) && a.Kind == ExecuteCancellation {
-			s.answerCancellation(id)
-		}
-	case RetryCancellation:
-		s.answerCancellation(s.scenario.Jobs[i].ID)
-	case ToggleStoreRefusal:
-		if s.storeRefuses = !s.storeRefuses; s.storeRefuses {
-			s.refusalCount++
-			s.renewalSentAt, s.renewalPending = s.step, true
-		} else {
-			s.renewLease()
-		}
-	case ReceiveRenewalResponse:
-		s.renewalPending = false
-		if s.mutation == CountLeaseFromRenewalResponse {
-			s.renewalSentAt = s.step
-		}
-		s.leaseStart = max(s.leaseStart, s.renewalSentAt)
-	}
-}
-
-func (s *System) applyPlanAction(k ActionKind) {
-	switch k {
-	case ScheduleWithoutCommit:
-		s.leader.Tick(s.now())
-		s.schedule()
-	case ApplyPlan:
-		s.applyPlan()
-	case LoadPlan:
+// transitions are what the actions do, given their argument.
+var transitions = map[ActionKind]func(s *System, arg int){
+	SchedulingPass:        func(s *System, _ int) { s.schedulingPass(commitAnswered) },
+	PassResponseLost:      func(s *System, _ int) { s.schedulingPass(commitResponseLost) },
+	PassCommitDelayed:     func(s *System, _ int) { s.schedulingPass(commitDelayed) },
+	ScheduleWithoutCommit: func(s *System, _ int) { s.schedule() },
+	DeliverWatch:          func(s *System, _ int) { s.deliverWatch() },
+	LoadPlan: func(s *System, _ int) {
 		s.loadPlan(s.leader)
 		s.checkPreemptions()
-	case AcceptJob:
-		s.deferredAccepted = true
-		s.revision++
-		rec := jobstore.JobRecord{Job: s.deferredJob(), AcceptedAtMs: s.now().UnixMilli()}
-		s.store[jobstore.JobKey(rec.Job.ID)] = storedValue{rec, s.revision}
-		s.leader.ApplyJobRecord(rec.Job.ID, rec, s.revision, s.now())
-		s.watchedRevision = max(s.watchedRevision, s.revision)
-	}
+	},
+	Failover:               func(s *System, _ int) { s.failOver() },
+	FormerLeaderRoundTrip:  (*System).formerLeaderRoundTrip,
+	ReceiveRenewalResponse: func(s *System, _ int) { s.receiveRenewalResponse() },
+
+	HeartbeatRoundTrip:       (*System).roundTrip,
+	SendHeartbeat:            func(s *System, worker int) { s.sendHeartbeat(worker) },
+	ReceiveHeartbeat:         func(s *System, worker int) { s.receiveHeartbeat(s.workers[worker].pending, s.leader) },
+	ReceiveResponse:          func(s *System, worker int) { s.receiveResponse(s.workers[worker].pending) },
+	AbandonHeartbeat:         func(s *System, worker int) { s.abandonHeartbeat(s.workers[worker]) },
+	ReceiveDelayedHeartbeat:  func(s *System, i int) { s.receiveHeartbeat(remove(&s.delayedHeartbeats, i), s.leader) },
+	ReceiveAbandonedResponse: func(s *System, i int) { s.receiveResponse(remove(&s.abandonedResponses, i)) },
+	ReceivePush:              func(s *System, i int) { s.receivePush(remove(&s.pushes, i)) },
+	ToggleReachability:       (*System).toggleReachability,
+	DuplicateHeartbeat:       func(s *System, worker int) { s.duplicateHeartbeat(s.workers[worker]) },
+	ReceiveDuplicate: func(s *System, i int) {
+		s.receiveHeartbeat(s.duplicates[i], s.leader)
+		remove(&s.duplicates, i)
+	},
+	ImageFetched: (*System).imageFetched,
+	CompleteTask: (*System).completeTask,
+	RefuseStart:  (*System).refuseStart,
+
+	CancelJob:                (*System).cancelJob,
+	SendCancellation:         (*System).sendCancellation,
+	ExecuteCancellation:      (*System).executeCancellation,
+	CancellationResponseLost: func(s *System, job int) { s.executeCancellationTransaction(s.scenario.Jobs[job].ID) },
+	RetryCancellation:        func(s *System, job int) { s.answerCancellation(s.scenario.Jobs[job].ID) },
+	AcceptJob:                func(s *System, _ int) { s.acceptDeferredJob() },
+	ApplyPlan:                func(s *System, _ int) { s.applyPlan() },
+	ExecuteDelayedCommit:     func(s *System, i int) { s.executeTransaction(remove(&s.delayedCommits, i)) },
+	ToggleStoreRefusal:       func(s *System, _ int) { s.toggleStoreRefusal() },
+	AdvanceTime:              func(s *System, _ int) { s.advanceTime() },
 }
 
-// Apply lets an action happen.
+// Apply makes the transition of an action, which must be enabled.
 func (s *System) Apply(a Action) {
-	i := int(a.Arg)
 	s.Events = nil
-	switch a.Kind {
-	case ScheduleWithoutCommit, ApplyPlan, LoadPlan, AcceptJob:
-		s.applyPlanAction(a.Kind)
-	case PassCommitDelayed, ExecuteDelayedCommit, SendCancellation, ExecuteCancellation, CancellationResponseLost, RetryCancellation, ToggleStoreRefusal, ReceiveRenewalResponse:
-		s.applyDelayAction(a)
-	case SchedulingPass, PassResponseLost:
-		s.schedulingPass(a.Kind)
-	case HeartbeatRoundTrip:
-		s.roundTrip(i)
-	case SendHeartbeat:
-		s.sendHeartbeat(i)
-	case ReceiveHeartbeat:
-		s.receiveHeartbeat(s.workers[i].pending, s.leader)
-	case ReceiveResponse:
-		s.receiveResponse(s.workers[i].pending)
-	case AbandonHeartbeat:
-		s.abandonHeartbeat(s.workers[i])
-	case ReceiveDelayedHeartbeat:
-		f := s.delayedHeartbeats[i]
-		s.delayedHeartbeats = slices.Delete(s.delayedHeartbeats, i, i+1)
-		s.receiveHeartbeat(f, s.leader)
-	case ReceiveAbandonedResponse:
-		f := s.abandonedResponses[i]
-		s.abandonedResponses = slices.Delete(s.abandonedResponses, i, i+1)
-		s.receiveResponse(f)
-	case ReceivePush:
-		d := s.pushes[i]
-		s.pushes = slices.Delete(s.pushes, i, i+1)
-		s.receivePush(d)
-	case ImageFetched:
-		s.imageFetched(i)
-	case RefuseStart:
-		s.refuseStart(i)
-	case CompleteTask:
-		s.completeTask(i)
-	case CancelJob:
-		s.cancelJob(i)
-	case DeliverWatch:
-		s.deliverWatch()
-	case AdvanceTime:
-		s.advanceTime()
-	case Failover:
-		s.failovers++
-		if s.mutation == KeepFormerLeader {
-			s.formerLeader = s.leader
-		}
-		s.startLeader()
-	case ToggleReachability:
-		k := s.workers[i]
-		if k.unreachable = !k.unreachable; k.unreachable {
-			s.partitionCount++
-		}
-	case DuplicateHeartbeat:
-		s.duplicateHeartbeat(s.workers[i])
-	case ReceiveDuplicate:
-		s.receiveHeartbeat(s.duplicates[i], s.leader)
-		s.duplicates = slices.Delete(s.duplicates, i, i+1)
-	case FormerLeaderRoundTrip:
-		f := s.sendHeartbeat(i)
-		s.receiveHeartbeat(f, s.formerLeader)
-		s.receiveResponse(f)
-	}
+	transitions[a.Kind](s, int(a.Arg))
+}
+
+// remove takes an element out of a list.
+func remove[T any](list *[]T, i int) T {
+	element := (*list)[i]
+	*list = slices.Delete(*list, i, i+1)
+	return element
 }
--- a/modelcheck/worker.go
+++ b/modelcheck/worker.go
@@ -6,193 +6,211 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+// attemptKey identifies one attempt of a task.
 type attemptKey struct {
-	name    string
+	name    string // of the task
 	attempt uint64
 }
 
+// task is an attempt that a worker has on its list.
 type task struct {
 	attemptKey
-	jobIndex   int
-	idx        int
-	state      string
-	exitReason string
+	jobIndex   int    // in the scenario; -1 if the worker does not know the task
+	state      string // wire.TaskFetching and so on
+	exitReason string // wire.WhyDone and so on
 }
 
+// occupiesMachine says whether the task counts as being on its machine.
 func (t *task) occupiesMachine() bool {
 	return t.state == wire.TaskWaiting || t.state == wire.TaskRunning
 }
 
+// worker is the agent of a machine.
 type worker struct {
 	name          string
 	zone          string
-	epoch         uint64
-	seq           uint64
-	token         uint64
-	renewedAt     int // the step in which its last answered report was sent
+	epoch         uint64 // of the agent: its tasks are gone with the next one
+	seq           uint64 // of its last message
+	token         uint64 // the highest fencing token that it has seen
+	renewedAt     int    // the step in which the last heartbeat that got a response was sent
 	tasks         []*task
-	pending       *heartbeat // the report that it waits for an answer to
-	unreachable   bool       // neither answers nor commands reach it
-	lastHeartbeat *heartbeat // its last report, while a copy of it may be made
-	reachedToken  uint64     // the last leader that has had a report of it which is no copy
-	// launches are when, by their count, its tasks were launched.
-	launchOrder map[attemptKey]int
-	launchCount int
-}
-
-func (s *System) roundTrip(i int) {
-	f := s.sendHeartbeat(i)
-	s.receiveHeartbeat(f, s.leader)
-	if s.workers[i].unreachable {
-		s.workers[i].pending = nil
-		return
+	pending       *heartbeat // the heartbeat that it waits for a response to
+	lastHeartbeat *heartbeat // while that may be duplicated
+	unreachable   bool       // neither responses nor pushes reach it
+	reachedToken  uint64     // the last leader that has received a heartbeat of it, duplicates apart
+	launchOrder   map[attemptKey]int
+	launchCount   int
+}
+
+// firstInState returns the first task in that state; nil: there is none.
+func (w *worker) firstInState(state string) *task {
+	i := slices.IndexFunc(w.tasks, func(t *task) bool { return t.state == state })
+	if i < 0 {
+		return nil
 	}
-	s.receiveResponse(f)
+	return w.tasks[i]
 }
 
-// executeCommands is a worker's, as PROTOCOL has it.
-func (s *System) executeCommands(i int, cmds []wire.Command) {
-	k := s.workers[i]
-	for _, c := range cmds {
-		at := slices.IndexFunc(k.tasks, func(t *task) bool { return t.attemptKey == attemptKey{c.Task, c.Attempt} })
-		switch c.Op {
-		case wire.OpStart:
-			if at < 0 {
-				k.tasks = append(k.tasks, s.startTask(k, c))
-				k.recordLaunch(c)
-			}
-		case wire.OpStop:
-			if at >= 0 && k.tasks[at].state != wire.TaskExited {
-				s.exitTask(k.tasks[at], wire.WhyStopped)
-			}
-		case wire.OpForget:
-			if at >= 0 && k.tasks[at].state == wire.TaskExited {
-				t := k.tasks[at]
-				if t.exitReason == wire.WhyDone && !s.outcomeRecorded(t) {
-					s.violate("outcome lost", t.name+" is forgotten and nowhere recorded")
-				}
-				if t.exitReason == wire.WhyDone && s.scenario.MaxDelayedCommits > 0 {
-					if s.forgotten == nil {
-						s.forgotten = map[string]bool{}
-					}
-					s.forgotten[t.name] = true
-				}
-				k.tasks = slices.Delete(k.tasks, at, at+1)
-			}
+// executeCommands has a worker execute the commands of a response or a push, as PROTOCOL
+// says.
+func (s *System) executeCommands(w *worker, commands []wire.Command) {
+	for _, c := range commands {
+		key := attemptKey{c.Task, c.Attempt}
+		i := slices.IndexFunc(w.tasks, func(t *task) bool { return t.attemptKey == key })
+		switch {
+		case c.Op == wire.OpStart && i < 0:
+			s.startTask(w, key)
+		case i < 0:
+			// Not known here: nothing to stop or to forget.
+		case c.Op == wire.OpStop && w.tasks[i].state != wire.TaskExited:
+			s.exitTask(w.tasks[i], wire.WhyStopped)
+		case c.Op == wire.OpForget && w.tasks[i].state == wire.TaskExited:
+			s.forgetTask(w, i)
 		}
 	}
 }
 
-func (s *System) startTask(k *worker, c wire.Command) *task {
-	t := &task{attemptKey: attemptKey{c.Task, c.Attempt}, state: wire.TaskFetching, jobIndex: -1}
-	id, n, _ := wire.SplitTask(c.Task)
+// startTask launches an attempt: the worker fetches its image first, or refuses it.
+func (s *System) startTask(w *worker, key attemptKey) {
+	t := &task{attemptKey: key, state: wire.TaskFetching, jobIndex: s.jobIndexOf(key.name)}
+	if reason := s.startRefusal(w, t); reason != "" {
+		t.state, t.exitReason = wire.TaskExited, reason
+	}
+	w.tasks = append(w.tasks, t)
+	if w.launchOrder == nil {
+		w.launchOrder = map[attemptKey]int{}
+	}
+	w.launchCount++
+	w.launchOrder[key] = w.launchCount
+}
+
+// jobIndexOf returns the index of a task's job in the scenario; -1 if it has no such task.
+func (s *System) jobIndexOf(taskName string) int {
+	id, number, _ := wire.SplitTask(taskName)
+	return slices.IndexFunc(s.scenario.Jobs, func(j wire.Job) bool { return j.ID == id && number < j.Tasks })
+}
+
+// startRefusal returns why a worker refuses a start; empty: it does not.
+func (s *System) startRefusal(w *worker, t *task) string {
+	if t.jobIndex < 0 {
+		return wire.WhyUnknown
+	}
 	used := 0.0
-	busy := false
-	for _, o := range k.tasks {
-		if o.state != wire.TaskExited {
-			busy = busy || o.name == c.Task
-			used += s.scenario.Jobs[o.jobIndex].CPUs
+	for _, other := range w.tasks {
+		if other.state == wire.TaskExited {
+			continue
 		}
-	}
-	for i := range s.scenario.Jobs {
-		if s.scenario.Jobs[i].ID == id && n < s.scenario.Jobs[i].Tasks {
-			t.jobIndex, t.idx = i, n
+		if other.name == t.name {
+			return wire.WhyBusy
 		}
+		used += s.jobOf(other).CPUs
 	}
-	switch {
-	case t.jobIndex < 0:
-		t.state, t.exitReason = wire.TaskExited, wire.WhyUnknown
-	case busy:
-		t.state, t.exitReason = wire.TaskExited, wire.WhyBusy
-	case used+s.scenario.Jobs[t.jobIndex].CPUs > s.scenario.Capacity:
-		t.state, t.exitReason = wire.TaskExited, wire.WhyNoRoom
+	if used+s.jobOf(t).CPUs > s.scenario.Capacity {
+		return wire.WhyNoRoom
 	}
-	return t
+	return ""
 }
 
-// imageFetched brings a worker's first waiting image: its task starts.
+// refuseStart has a worker refuse the first task whose image it is fetching.
+func (s *System) refuseStart(i int) {
+	s.refusedStarts++
+	s.exitTask(s.workers[i].firstInState(wire.TaskFetching), wire.WhyNoRoom)
+}
+
+// imageFetched has a worker start the first task whose image it is fetching. A gang's tasks
+// wait until all of them have started.
 func (s *System) imageFetched(i int) {
-	k := s.workers[i]
-	t := k.tasks[slices.IndexFunc(k.tasks, func(t *task) bool { return t.state == wire.TaskFetching })]
-	j := &s.scenario.Jobs[t.jobIndex]
-	s.checkStart(k, t)
+	w := s.workers[i]
+	t := w.firstInState(wire.TaskFetching)
+	s.checkStart(w, t)
 	if s.completed[t.name] {
 		s.exitTask(t, wire.WhyDone) // its result is kept
 		return
 	}
-	t.state = wire.TaskRunning
-	if j.Kind != wire.KindGang {
+	if !s.isGang(t) {
+		t.state = wire.TaskRunning
 		return
 	}
 	t.state = wire.TaskWaiting
-	var all []*task
-	for _, o := range s.workers {
-		for _, p := range o.tasks {
-			if p.jobIndex == t.jobIndex && p.attempt == t.attempt && p.state == wire.TaskWaiting {
-				all = append(all, p)
-			}
-		}
-	}
-	if len(all) == j.Tasks {
-		for _, p := range all {
-			p.state = wire.TaskRunning
+	if waiting := s.gangInState(t, wire.TaskWaiting); len(waiting) == s.jobOf(t).Tasks {
+		for _, member := range waiting {
+			member.state = wire.TaskRunning
 		}
 	}
 }
 
 // completeTask completes a worker's first running task, and with it its gang.
 func (s *System) completeTask(i int) {
-	k := s.workers[i]
-	t := k.tasks[slices.IndexFunc(k.tasks, func(t *task) bool { return t.state == wire.TaskRunning })]
-	if s.scenario.Jobs[t.jobIndex].Kind != wire.KindGang {
+	t := s.workers[i].firstInState(wire.TaskRunning)
+	if !s.isGang(t) {
 		s.exitTask(t, wire.WhyDone)
 		return
 	}
-	for _, o := range s.workers {
-		for _, p := range o.tasks {
-			if p.jobIndex == t.jobIndex && p.attempt == t.attempt && p.state == wire.TaskRunning {
-				s.exitTask(p, wire.WhyDone)
-			}
-		}
+	for _, member := range s.gangInState(t, wire.TaskRunning) {
+		s.exitTask(member, wire.WhyDone)
 	}
 }
 
-// exitTask ends a task. What is left of a gang that ran ends with it.
-func (s *System) exitTask(t *task, why string) {
-	ran := t.state == wire.TaskRunning
-	t.state, t.exitReason = wire.TaskExited, why
-	if why == wire.WhyDone {
+// exitTask ends a task. Where it was running and has not completed, the rest of its gang ends
+// with it.
+func (s *System) exitTask(t *task, reason string) {
+	wasRunning := t.state == wire.TaskRunning
+	t.state, t.exitReason = wire.TaskExited, reason
+	switch {
+	case reason == wire.WhyDone:
 		s.completed[t.name] = true
-		return
-	}
-	if ran && s.scenario.Jobs[t.jobIndex].Kind == wire.KindGang {
+	case wasRunning && s.isGang(t):
 		s.exitGangPeers(t)
 	}
 }
 
+// exitGangPeers ends the other running tasks of a gang.
 func (s *System) exitGangPeers(t *task) {
-	for _, o := range s.workers {
-		for _, p := range o.tasks {
-			if p != t && p.jobIndex == t.jobIndex && p.attempt == t.attempt && p.state == wire.TaskRunning {
-				p.state, p.exitReason = wire.TaskExited, wire.WhyPeers
-			}
+	for _, peer := range s.gangInState(t, wire.TaskRunning) {
+		if peer != t {
+			peer.state, peer.exitReason = wire.TaskExited, wire.WhyPeers
 		}
 	}
 }
 
-// recordLaunch notes when a task was launched, among all of its worker.
-func (k *worker) recordLaunch(c wire.Command) {
-	if k.launchOrder == nil {
-		k.launchOrder = map[attemptKey]int{}
+// forgetTask takes an exited task off its worker's list.
+func (s *System) forgetTask(w *worker, i int) {
+	t := w.tasks[i]
+	if t.exitReason == wire.WhyDone {
+		s.checkOutcomeRecorded(t)
+		if s.scenario.MaxDelayedCommits > 0 {
+			s.forgotten[t.name] = true
+		}
 	}
-	k.launchCount++
-	k.launchOrder[attemptKey{c.Task, c.Attempt}] = k.launchCount
+	w.tasks = slices.Delete(w.tasks, i, i+1)
 }
 
-// refuseStart has a worker refuse the first of its tasks that wait for their image.
-func (s *System) refuseStart(i int) {
-	k := s.workers[i]
-	at := slices.IndexFunc(k.tasks, func(t *task) bool { return t.state == wire.TaskFetching })
-	s.refusedStarts++
-	s.exitTask(k.tasks[at], wire.WhyNoRoom)
+// expireLease ends a worker's lease: its tasks are gone, and its agent begins a new epoch.
+func (s *System) expireLease(w *worker) {
+	ended := w.tasks
+	w.tasks, w.renewedAt = nil, s.step
+	w.epoch++
+	for _, t := range ended {
+		if t.state == wire.TaskRunning && s.isGang(t) {
+			s.exitGangPeers(t)
+		}
+	}
+}
+
+// gangInState returns the tasks of an attempt of a gang that are in that state, on all
+// workers.
+func (s *System) gangInState(t *task, state string) (members []*task) {
+	for _, w := range s.workers {
+		for _, other := range w.tasks {
+			if other.jobIndex == t.jobIndex && other.attempt == t.attempt && other.state == state {
+				members = append(members, other)
+			}
+		}
+	}
+	return members
 }
+
+// jobOf returns the job of a task, which must be known.
+func (s *System) jobOf(t *task) *wire.Job { return &s.scenario.Jobs[t.jobIndex] }
+
+func (s *System) isGang(t *task) bool { return s.jobOf(t).Kind == wire.KindGang }
