--- a/cluster/warm_pool_effects.go
+++ b/cluster/warm_pool_effects.go
@@ -7,94 +7,94 @@
 	"github.com/umberdeal/umberdeal/warmpool"
 )
 
-// This file says what pools mean for everybody else: placement, returns, and those
-// who watch.
+// This file is how warm pools affect the rest of the model: placement, scale-in, and the
+// snapshot for operators.
 
 // keptByPool reports whether an idle machine must not be scaled in because it is in a pool,
-// or may be, which is not known while the plan is unreadable. releasedByPool reports whether
-// its pool has released it, so that it is to be scaled in at once; the release must be
-// committed first.
+// or may be, which is not known while the plan is unreadable.
 func (m *Model) keptByPool(mc *Machine) bool { return m.plan.Unreadable || m.poolOf(mc) != nil }
 
+// releasedByPool reports whether a machine's pool has released it, so that it is to be scaled
+// in at once; the release must be committed first.
 func (m *Model) releasedByPool(mc *Machine) bool {
 	p := m.poolOf(mc)
 	if p == nil {
 		return false
 	}
-	e := p.member(mc)
-	return e != nil && e.Leaving && !m.planRecordPending(warmpool.ShardName(p.Name, p.shardOf[mc.Index]))
+	member := p.member(mc)
+	return member != nil && member.Leaving && !m.planRecordPending(warmpool.ShardName(p.Name, p.shardOf[mc.Index]))
 }
 
-// poolView tells the planner whose a machine is, and which images fit beside the
-// weights: an image that is newer than they are goes after them.
+// poolView sets a machine's pool for placement, and the room for images beside the weights:
+// without what was cached after them, which would be evicted after them.
 func (m *Model) poolView(mc *Machine, v *placement.Machine) {
 	p := m.poolOf(mc)
 	if p == nil {
 		return
 	}
-	if e := p.member(mc); e == nil || e.Leaving {
+	if member := p.member(mc); member == nil || member.Leaving {
 		return
 	}
 	v.Pool = mc.pool
-	im := m.images.intern(p.record.Image, p.record.WeightsGB)
+	weights := m.poolImage(p)
 	v.PoolSpareGB = m.MachineTypes[mc.Type].CacheGB - p.record.WeightsGB
-	for k := len(mc.cachedImages) - 1; k >= 0 && mc.cachedImages[k] != im; k-- {
+	for k := len(mc.cachedImages) - 1; k >= 0 && mc.cachedImages[k] != weights; k-- {
 		v.PoolSpareGB -= m.images.size(mc.cachedImages[k])
 	}
-	for _, on := range v.Images {
-		if on.ReadyInSeconds > 0 && on.Image != im {
-			v.PoolSpareGB -= m.images.size(on.Image)
+	for _, fetching := range v.Images {
+		if fetching.ReadyInSeconds > 0 && fetching.Image != weights {
+			v.PoolSpareGB -= m.images.size(fetching.Image)
 		}
 	}
 }
 
-// poolAccess says what a job may do with each pool's machines; nil where there are
-// no pools.
+// poolAccess returns how a job may use the machines of each pool; nil if there are no pools.
 func (m *Model) poolAccess(j *Job) []placement.PoolAccess {
 	if len(m.pools.all) == 0 {
 		return nil
 	}
-	out := make([]placement.PoolAccess, len(m.pools.all))
-	w := warmpool.Workload{Image: j.Spec.Image, Team: j.Spec.Team, Priority: j.Priority, Gang: j.Gang() && len(j.Tasks) > 1,
+	access := make([]placement.PoolAccess, len(m.pools.all))
+	workload := warmpool.Workload{Image: j.Spec.Image, Team: j.Spec.Team, Priority: j.Priority, Gang: j.Gang() && len(j.Tasks) > 1,
 		Tier: j.tier, CheckpointSeconds: j.Spec.SaveS, Checkpoints: j.Spec.CheckpointS > 0}
 	for i, p := range m.pools.all {
 		if m.isPrefetch(j) {
 			if j.reservation.Owner == prefetchOwner(p.Name) {
-				out[i] = placement.OwnerAccess
+				access[i] = placement.OwnerAccess
 			}
 			continue
 		}
-		w.ModelPriority, w.ModelTier = p.record.Priority, m.tiers.policy.TierOf(p.Payer, p.record.Class)
-		out[i] = p.Access(&w)
+		workload.ModelPriority, workload.ModelTier = p.record.Priority, m.tiers.policy.TierOf(p.Payer, p.record.Class)
+		access[i] = p.Access(&workload)
 	}
-	return out
+	return access
 }
 
-// countPoolPlacement counts what a placement says of the pools: whether a replica found
-// its weights, and whether work of a higher tier took a pool's room.
+// countPoolPlacement counts a placement for the pools: for those that serve the job, whether
+// the machine had the weights; for the pool of the machine, whether other work has preempted
+// its capacity.
 func (m *Model) countPoolPlacement(j *Job, task int32, mc *Machine) {
 	if len(m.pools.all) == 0 || m.isPrefetch(j) {
 		return
 	}
-	on := m.poolOf(mc)
+	machinePool := m.poolOf(mc)
 	for i, p := range m.pools.all {
 		if !p.Serves(j.Spec.Image) || !p.AllowsTeam(j.Spec.Team) {
-			if p == on && m.poolAccess(j)[i] == placement.LastResortAccess {
-				n := p.shardOf[mc.Index]
-				p.shards[n].Preemptions++
-				p.shards[n].LastPreemption = fmt.Sprintf("%s/%d of %s, tier %q, %s, took room on %s", j.ID, task, j.Spec.Team, m.tiers.policy.TierName(j.tier), j.Spec.Priority, mc.Name)
-				p.changed[n] = true
-				m.log.Info("pool cedes room", "pool", p.Name, "machine", mc.Name, "job", j.ID, "task", task, "team", j.Spec.Team, "priority", j.Spec.Priority)
+			if p == machinePool && m.poolAccess(j)[i] == placement.LastResortAccess {
+				shard := p.shardOf[mc.Index]
+				p.shards[shard].Preemptions++
+				p.shards[shard].LastPreemption = fmt.Sprintf("%s/%d of %s, tier %q, %s, took room on %s", j.ID, task, j.Spec.Team, m.tiers.policy.TierName(j.tier), j.Spec.Priority, mc.Name)
+				p.changed[shard] = true
+				m.log.Info("warm pool capacity preempted", "pool", p.Name, "machine", mc.Name, "job", j.ID, "task", task, "team", j.Spec.Team, "priority", j.Spec.Priority)
 			}
 			continue
 		}
-		n := p.shardOf[mc.Index] // 0 for machines of no pool
+		shard := p.shardOf[mc.Index] // 0 for machines of no pool
 		if mc.hasImage(j.Image) {
-			p.shards[n].Hits++
+			p.shards[shard].Hits++
 		} else {
-			p.shards[n].Misses++
+			p.shards[shard].Misses++
 		}
-		p.changed[n] = true
+		p.changed[shard] = true
 	}
 }
 
@@ -113,18 +113,19 @@
 	Teams        map[string]warmpool.Charge // what each team owes, as last recorded
 }
 
+// poolSnapshots returns the state of all pools, in the order of the plan.
 func (m *Model) poolSnapshots() []PoolSnapshot {
-	var out []PoolSnapshot
+	var snapshots []PoolSnapshot
 	for _, p := range m.pools.all {
 		s := PoolSnapshot{Name: p.Name, Target: p.record.Target, Held: p.record.Held, Warm: p.record.Warm, Fetching: p.record.Fetching,
 			CostLimited: p.record.CostLimited, FetchRefused: p.record.FetchRefused}
 		var shards []warmpool.Shard
-		for _, sh := range p.shards {
-			s.Hits, s.Misses, s.Preemptions = s.Hits+sh.Hits, s.Misses+sh.Misses, s.Preemptions+sh.Preemptions
-			shards = append(shards, *sh)
+		for _, shard := range p.shards {
+			s.Hits, s.Misses, s.Preemptions = s.Hits+shard.Hits, s.Misses+shard.Misses, s.Preemptions+shard.Preemptions
+			shards = append(shards, *shard)
 		}
 		s.Teams, _ = warmpool.Totals(shards)
-		out = append(out, s)
+		snapshots = append(snapshots, s)
 	}
-	return out
+	return snapshots
 }
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -10,46 +10,55 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is about fetches: reserved jobs of one task that does nothing, on a
-// machine of a pool, for which the worker fetches the weights.
+// This file prefetches model weights: by reserved jobs of one task that does no work, on a
+// machine of a pool, for which the worker fetches the weights as the task's image.
 
-// prefetchOwner marks the jobs that fetch a pool's weights.
-func prefetchOwner(pool string) string { return prefetchOwnerPrefix + pool }
+const (
+	prefetchOwnerPrefix = jobstore.PlanStatePrefix + "pools/"
+
+	minPrefetchPause = time.Minute // after the first refusal; doubled with each further one
+	maxPrefetchPause = 32 * time.Minute
+)
 
-const prefetchOwnerPrefix = jobstore.PlanStatePrefix + "pools/"
+// prefetchOwner is the owner of the reserved jobs that prefetch a pool's weights.
+func prefetchOwner(pool string) string { return prefetchOwnerPrefix + pool }
 
-// isPrefetch says whether a job is one that fetches weights.
+// isPrefetch reports whether a job prefetches weights.
 func (m *Model) isPrefetch(j *Job) bool {
 	return j.reservation != nil && strings.HasPrefix(j.reservation.Owner, prefetchOwnerPrefix)
 }
 
-// pendingPrefetches lists the machines that a pool's fetches are for, and ends those
-// that are for nothing any more.
+// pendingPrefetches returns the machines that a pool's unfinished prefetches are for, and
+// ends those that are obsolete.
 func (m *Model) pendingPrefetches(p *warmPool, now time.Time) map[string]bool {
-	out := map[string]bool{}
-	owner, im := prefetchOwner(p.Name), m.images.intern(p.record.Image, p.record.WeightsGB)
+	pending := map[string]bool{}
+	owner, image := prefetchOwner(p.Name), m.poolImage(p)
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
-		if j == nil || j.Cancelled || j.Finished || j.DoneTasks > 0 || j.reservation == nil || j.reservation.Owner != owner || len(j.reservation.OnlyMachines) == 0 {
+		if j == nil || j.Cancelled || j.Finished || j.DoneTasks > 0 {
+			continue
+		}
+		if j.reservation == nil || j.reservation.Owner != owner || len(j.reservation.OnlyMachines) == 0 {
 			continue
 		}
-		i, known := m.names.machines[j.reservation.OnlyMachines[0]]
-		var e *warmpool.Member
+		name := j.reservation.OnlyMachines[0]
+		i, known := m.names.machines[name]
+		var member *warmpool.Member
 		if known && !m.Machines[i].Gone {
-			e = p.member(m.Machines[i])
+			member = p.member(m.Machines[i])
 		}
-		vain := e == nil || e.Leaving || j.Image != im
+		obsolete := member == nil || member.Leaving || j.Image != image
 		switch t := &j.Tasks[0]; {
-		case t.Phase == TaskIdle && (vain || m.Machines[i].hasImage(im)):
+		case t.Phase == TaskIdle && (obsolete || m.Machines[i].hasImage(image)):
 			m.finishOnlyAttempt(j, 0, jobstore.OutcomeReleased, now)
 			continue
-		case vain && t.Placement != nil && t.Placement.Stop == nil:
+		case obsolete && t.Placement != nil && t.Placement.Stop == nil:
 			m.stopUnderPlan(TaskRef{Job: j.Index}, StopReleased, now)
 			continue
 		}
-		out[j.reservation.OnlyMachines[0]] = true
+		pending[name] = true
 	}
-	return out
+	return pending
 }
 
 // Prefetch is a job that the controller is to record. Its single task does no work; placing
@@ -61,9 +70,9 @@
 
 // NextPrefetches takes at most n prefetches off the queues of the warm pools.
 func (m *Model) NextPrefetches(n int, now time.Time) []Prefetch {
-	var out []Prefetch
+	var prefetches []Prefetch
 	for _, p := range m.pools.all {
-		for len(p.fetchQueue) > 0 && len(out) < n {
+		for len(p.fetchQueue) > 0 && len(prefetches) < n {
 			mc := m.Machines[p.fetchQueue[0]]
 			p.fetchQueue = p.fetchQueue[1:]
 			if m.poolOf(mc) != p {
@@ -72,7 +81,7 @@
 			p.fetchRequestedAt[mc.Index] = now
 			m.pools.prefetchCount++
 			id := prefetchID(m.FencingToken, m.pools.prefetchCount)
-			out = append(out, Prefetch{ID: id, Record: jobstore.JobRecord{
+			prefetches = append(prefetches, Prefetch{ID: id, Record: jobstore.JobRecord{
 				Job: wire.Job{ID: id, Class: "weights", Team: p.Payer, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: 1,
 					CPUs: prefetchCPUs, Image: p.record.Image, ImageGB: p.record.WeightsGB, Spot: true},
 				AcceptedAtMs: now.UnixMilli(),
@@ -80,26 +89,27 @@
 			}})
 		}
 	}
-	return out
+	return prefetches
 }
 
-// prefetchID is an id that no user and no other door has, and none of another leader.
+// prefetchID is the id of a leader's n-th prefetch job. No user's job, no other reserved job
+// and no prefetch of another leader has it.
 func prefetchID(token uint64, n int) string {
 	return fmt.Sprintf("%s9%011d%08d", wire.JobPrefix, token%1e11, n%1e8)
 }
 
-// prefetchEnded takes in that a fetch has ended without having run: where workers
-// know no such job, weights are not fetched ahead for a while.
+// prefetchEnded pauses the prefetches of a pool whose prefetch job was refused or has failed:
+// its workers don't support such jobs.
 func (m *Model) prefetchEnded(j *Job, how jobstore.TaskOutcome, now time.Time) {
 	if how != jobstore.OutcomeRefused && how != jobstore.OutcomeFailed || !m.isPrefetch(j) {
 		return
 	}
 	for _, p := range m.pools.all {
 		if j.reservation.Owner == prefetchOwner(p.Name) && !now.Before(p.fetchesPausedUntil) {
-			p.fetchPause = min(max(time.Minute, 2*p.fetchPause), 32*time.Minute)
+			p.fetchPause = min(max(minPrefetchPause, 2*p.fetchPause), maxPrefetchPause)
 			p.fetchesPausedUntil = now.Add(p.fetchPause)
 			p.record.FetchRefused = "workers refuse to run " + j.ID + ", which only fetches"
-			m.log.Warn("workers refuse a pool's fetch", "pool", p.Name, "job", j.ID, "againInS", p.fetchPause.Seconds())
+			m.log.Warn("workers refused a warm pool prefetch", "pool", p.Name, "job", j.ID, "againInS", p.fetchPause.Seconds())
 		}
 	}
 }
--- /dev/null
+++ b/cluster/warm_pool_records.go
@@ -0,0 +1,93 @@
+package cluster
+
+import (
+	"time"
+
+	"github.com/umberdeal/umberdeal/warmpool"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// This file reads and writes the records of warm pools: their state, the demand of each day
+// of the week, and the shards of their members with the accounts.
+
+const (
+	daysPerWeek        = 7
+	poolRecordInterval = 5 * accountInterval // between two records of a pool that has not changed
+)
+
+// loadPool makes a pool from what earlier leaders recorded.
+func (m *Model) loadPool(settings warmpool.Pool, now time.Time) *warmPool {
+	p := &warmPool{Pool: settings, shardOf: map[int32]int{}, fetchRequestedAt: map[int32]time.Time{}}
+	p.record = warmpool.Record{ReplicasPerMachine: 1, Priority: priorities[wire.PriorityNormal], Image: settings.Model, WeightsGB: settings.WeightsGB, ImageVersion: 1}
+	record := p.record
+	if m.loadPoolRecord(warmpool.RecordName(settings.Name), &record) {
+		p.record = record
+		p.demand.Resume(record.CurrentHour, record.CurrentPeak)
+	}
+	for d := range daysPerWeek {
+		var day []string
+		if m.loadPoolRecord(warmpool.DayName(settings.Name, d), &day) {
+			if err := p.demand.LoadDay(d, day); err != nil {
+				m.log.Error("unreadable warm pool record", "pool", settings.Name, "err", err)
+			}
+		}
+	}
+	for n := range warmpool.MaxShards {
+		m.loadShard(p, n, now)
+	}
+	if previous := p.record.Payer; previous != "" && previous != settings.Payer {
+		p.Payer = previous // charged to who paid then
+		p.settle(now)
+		p.Payer = settings.Payer
+	}
+	return p
+}
+
+// loadPoolRecord decodes one of a pool's records; false if there is none that is readable.
+func (m *Model) loadPoolRecord(name string, to any) bool {
+	raw, ok := m.loadedPlanRecord(name)
+	if !ok {
+		return false
+	}
+	if err := wire.Unmarshal(raw, to); err != nil {
+		m.log.Error("unreadable warm pool record", "name", name, "err", err)
+		return false
+	}
+	return true
+}
+
+// loadShard adds a pool's next shard with its members. One that is missing or unreadable
+// starts empty.
+func (m *Model) loadShard(p *warmPool, n int, now time.Time) {
+	var shard warmpool.Shard
+	if !m.loadPoolRecord(warmpool.ShardName(p.Name, n), &shard) {
+		shard = warmpool.Shard{AtMs: now.UnixMilli()}
+	}
+	p.shards, p.changed = append(p.shards, &shard), append(p.changed, false)
+	for k := range shard.Members {
+		mc := m.findOrAddMachine(shard.Members[k].Machine, now)
+		p.shardOf[mc.Index] = n
+	}
+}
+
+// savePool has what has changed of a pool written, and its accounts now and then.
+func (m *Model) savePool(p *warmPool, now time.Time) {
+	nowMs := now.UnixMilli()
+	for n, shard := range p.shards {
+		if len(shard.Members) > 0 && nowMs-shard.AtMs > accountInterval.Milliseconds() {
+			p.changed[n] = true
+		}
+		if p.changed[n] {
+			shard.Settle(nowMs, p.Payer)
+			p.changed[n] = false
+			m.savePlanRecord(warmpool.ShardName(p.Name, n), shard.Clone())
+		}
+	}
+	last := p.savedRecord
+	last.AtMs = p.record.AtMs
+	if last != p.record || nowMs-p.record.AtMs > poolRecordInterval.Milliseconds() {
+		p.record.AtMs = nowMs
+		p.savedRecord = p.record
+		m.savePlanRecord(warmpool.RecordName(p.Name), p.record)
+	}
+}
--- a/cluster/warm_pools.go
+++ b/cluster/warm_pools.go
@@ -5,58 +5,80 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/warmpool"
-	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is what the leader does about warm pools; package pools decides. What
-// is recorded goes through keep, so that the next leader goes on where this one
-// was. Without a plan that has pools, nothing here does anything.
+// This file holds the warm pools of the plan and their members. Package warmpool decides how
+// many machines a pool needs; warm_pool_reconcile.go compares that with what it has. What a
+// new leader needs is recorded (warm_pool_records.go). Without pools in the plan nothing
+// here has an effect.
 
-// warmPools holds the plan's warm pools. Only the warm_pool*.go files write its
-// fields. Invariant: a machine whose pool field is n > 0 is a member of all[n-1] and
-// of no other pool.
+// warmPools holds the plan's warm pools. Only the warm_pool*.go files write its fields, those
+// of its pools, and the pool's fields of machines. Invariant: a machine whose pool field is
+// n > 0 is a member of all[n-1] and of no other pool.
 type warmPools struct {
 	all           []*warmPool // in the order of the plan
 	nextTick      time.Time   // tickPools does nothing before
 	prefetchCount int         // prefetch jobs that this leader has created; makes their ids unique
 }
 
-// warmPool is a pool of the plan, with what is known of it.
+// warmPool is a pool of the plan with its members. Invariant: shardOf has exactly the
+// machines that are members of one of the shards.
 type warmPool struct {
 	warmpool.Pool
 	record             warmpool.Record
+	savedRecord        warmpool.Record // as last recorded
 	demand             warmpool.WeeklyDemand
 	shards             []*warmpool.Shard
-	changed            []bool          // shards to be recorded
-	shardOf            map[int32]int   // the shard of each machine
-	scaleOut           map[string]int  // wanted, by zone, until the next step
-	savedRecord        warmpool.Record // as last recorded
-	fetchQueue         []int32         // machines that are to fetch the weights
+	changed            []bool         // shards to be recorded
+	shardOf            map[int32]int  // index in shards, by machine
+	scaleOut           map[string]int // machines wanted, by zone, until the next tick
+	fetchQueue         []int32        // machines that are to fetch the weights
 	fetchRequestedAt   map[int32]time.Time
-	fetchesPausedUntil time.Time // no fetches before: workers refuse them
-	fetchPause         time.Duration
+	fetchesPausedUntil time.Time     // workers have refused prefetches
+	fetchPause         time.Duration // length of the last pause
 }
 
 const (
-	poolInterval       = 2 * time.Second  // a step
-	poolGracePeriod    = 25 * time.Second // after takeover: machines have not been heard of
-	minIdleToJoin      = 4 * time.Second  // a machine just up may be for work that waits
-	accountInterval    = time.Minute      // an account is recorded that often if nothing else happens
-	fetchRetryInterval = 20 * time.Second // until a fetch is asked for again
-	recentlyStarted    = time.Minute      // what has been idle for longer was not rented for a pool
-	lostMachineAfter   = time.Minute      // a recorded machine that nobody has heard of is gone
-	maxScaleOutPerTick = 50
-	otherZonePenalty   = 1e6 // added to the price of a machine in another zone than wanted
-	unfitCooldown      = 10 * time.Minute
-	stuckFetchFactor   = 3    // times what a fetch should take, and a minute: nothing is to come of it
-	prefetchCPUs       = 0.01 // what a fetch books
+	poolInterval       = 2 * time.Second  // between two ticks of the pools
+	poolGracePeriod    = 25 * time.Second // after takeover: not all machines have sent a heartbeat
+	minIdleToJoin      = 4 * time.Second  // a machine that has just come up may be for waiting work
+	accountInterval    = time.Minute      // between two records of an account that nothing else changes
+	fetchRetryInterval = 20 * time.Second // until a fetch is requested again
+	recentlyStarted    = time.Minute      // a machine that has been idle for longer was not rented for a pool
+	lostMachineAfter   = time.Minute      // a recorded member that no heartbeat and no list has shown is gone
+	maxScaleOutPerTick = 50               // of a pool in a zone
+	otherZonePenalty   = 1e6              // added to the price of a machine in another zone than wanted
+	unfitCooldown      = 10 * time.Minute // no pool accepts a machine that has failed to fetch
+	stuckFetchFactor   = 3                // a fetch has failed after this multiple of its time and a minute
+	prefetchCPUs       = 0.01             // what a prefetch reserves
 )
 
-// reloadPools takes the plan's pools in. It may be called before any job or
-// machine is known.
+// enterPool makes the machine a member of the pool at an index of warmPools.all.
+func (mc *Machine) enterPool(index int) { mc.pool = index + 1 }
+
+// exitPool makes the machine a member of no pool.
+func (mc *Machine) exitPool() { mc.pool = 0 }
+
+// inPool reports whether the machine is a member of a pool.
+func (mc *Machine) inPool() bool { return mc.pool != 0 }
+
+// markReady records that the machine can be given tasks.
+func (mc *Machine) markReady() { mc.unreadySince = time.Time{} }
+
+// markUnready records that the machine can't be given tasks now.
+func (mc *Machine) markUnready(now time.Time) {
+	if mc.unreadySince.IsZero() {
+		mc.unreadySince = now
+	}
+}
+
+// excludeFromPools lets no pool accept the machine for a time.
+func (mc *Machine) excludeFromPools(until time.Time) { mc.unfitUntil = until }
+
+// reloadPools applies the plan's pools. It may be called before any job or machine is known.
 func (m *Model) reloadPools(now time.Time) {
 	if m.plan.Unreadable {
-		return // what was known holds
+		return // the pools known before stay
 	}
 	var settings []warmpool.Pool
 	if m.plan.Plan != nil {
@@ -69,18 +91,9 @@
 		if i := slices.IndexFunc(old, func(p *warmPool) bool { return p.Name == s.Name }); i >= 0 {
 			p = old[i]
 			old = slices.Delete(old, i, i+1)
-			if p.Payer != s.Payer {
-				// What was so far is charged to who paid then.
-				p.settle(now)
-			}
-			p.Pool = s
+			p.changeSettings(s, now)
 		} else {
 			p = m.loadPool(s, now)
-			if was := p.record.Payer; was != "" && was != s.Payer {
-				p.Payer = was
-				p.settle(now)
-				p.Payer = s.Payer
-			}
 		}
 		p.record.Payer = s.Payer
 		if !p.Serves(p.record.Image) {
@@ -89,90 +102,70 @@
 		m.pools.all = append(m.pools.all, p)
 	}
 	for _, p := range old {
-		p.settle(now)
-		for idx := range p.shardOf {
-			m.leavePool(p, m.Machines[idx], now)
-		}
-		p.record.Target, p.record.Held, p.record.Warm, p.record.Fetching = 0, 0, 0, 0
-		m.savePool(p, now)
+		m.dissolvePool(p, now)
 	}
 	for i, p := range m.pools.all {
 		for idx := range p.shardOf {
-			m.Machines[idx].pool = i + 1
+			m.Machines[idx].enterPool(i)
 		}
 	}
 	m.pools.nextTick = time.Time{}
 }
 
-// loadPool makes a pool from what earlier leaders recorded.
-func (m *Model) loadPool(s warmpool.Pool, now time.Time) *warmPool {
-	p := &warmPool{Pool: s, shardOf: map[int32]int{}, fetchRequestedAt: map[int32]time.Time{}}
-	p.record = warmpool.Record{ReplicasPerMachine: 1, Priority: priorities[wire.PriorityNormal], Image: s.Model, WeightsGB: s.WeightsGB, ImageVersion: 1}
-	read := func(name string, to any) bool {
-		raw, ok := m.loadedPlanRecord(name)
-		if !ok {
-			return false
-		}
-		if err := wire.Unmarshal(raw, to); err != nil {
-			m.log.Error("a record of a pool can't be read", "name", name, "err", err)
-			return false
-		}
-		return true
-	}
-	note := p.record
-	if read(warmpool.RecordName(s.Name), &note) {
-		p.record = note
-		p.demand.Resume(note.CurrentHour, note.CurrentPeak)
-	}
-	for d := range 7 {
-		var day []string
-		if read(warmpool.DayName(s.Name, d), &day) {
-			if err := p.demand.LoadDay(d, day); err != nil {
-				m.log.Error("a record of a pool can't be read", "pool", s.Name, "err", err)
-			}
-		}
+// changeSettings applies the plan's new settings. The time so far is charged to who paid
+// then.
+func (p *warmPool) changeSettings(s warmpool.Pool, now time.Time) {
+	if p.Payer != s.Payer {
+		p.settle(now)
 	}
-	for n := range warmpool.MaxShards {
-		var sh warmpool.Shard
-		if !read(warmpool.ShardName(s.Name, n), &sh) {
-			// What can't be read, or is not there, begins anew.
-			sh = warmpool.Shard{AtMs: now.UnixMilli()}
-		}
-		p.shards, p.changed = append(p.shards, &sh), append(p.changed, false)
-		for k := range sh.Members {
-			mc := m.findOrAddMachine(sh.Members[k].Machine, now)
-			p.shardOf[mc.Index] = n
-		}
+	p.Pool = s
+}
+
+// dissolvePool settles the account of a pool that the plan no longer has, and lets its
+// machines go.
+func (m *Model) dissolvePool(p *warmPool, now time.Time) {
+	p.settle(now)
+	for idx := range p.shardOf {
+		m.leavePool(p, m.Machines[idx], now)
 	}
-	return p
+	p.record.Target, p.record.Held, p.record.Warm, p.record.Fetching = 0, 0, 0, 0
+	m.savePool(p, now)
 }
 
 // setImage makes an image the one whose weights the pool holds.
-func (p *warmPool) setImage(name string, gb float64) {
+func (p *warmPool) setImage(name string, weightsGB float64) {
 	if p.record.Image != name {
 		p.record.ImageVersion++
 	}
-	p.record.Image, p.record.WeightsGB = name, gb
+	p.record.Image, p.record.WeightsGB = name, weightsGB
+}
+
+// poolImage is the index of the image whose weights a pool holds.
+func (m *Model) poolImage(p *warmPool) int32 {
+	return m.images.intern(p.record.Image, p.record.WeightsGB)
 }
 
+// settle charges everything up to now to the pool's payer.
 func (p *warmPool) settle(now time.Time) {
-	for i, s := range p.shards {
-		if len(s.Members) > 0 {
-			s.Settle(now.UnixMilli(), p.Payer)
+	for i, shard := range p.shards {
+		if len(shard.Members) > 0 {
+			shard.Settle(now.UnixMilli(), p.Payer)
 			p.changed[i] = true
 		}
 	}
 }
 
-// member is a machine's entry in its pool; it is good until the pool changes.
+// member is a machine's entry in the pool, nil if it has none; it is valid until the pool's
+// members change.
 func (p *warmPool) member(mc *Machine) *warmpool.Member {
-	n, ok := p.shardOf[mc.Index]
+	shard, ok := p.shardOf[mc.Index]
 	if !ok {
 		return nil
 	}
-	return p.shards[n].Member(mc.Name)
+	return p.shards[shard].Member(mc.Name)
 }
 
+// poolOf is the pool that a machine belongs to, nil if there is none.
 func (m *Model) poolOf(mc *Machine) *warmPool {
 	if mc.pool == 0 || mc.pool > len(m.pools.all) {
 		return nil
@@ -180,35 +173,47 @@
 	return m.pools.all[mc.pool-1]
 }
 
-// joinPool takes a machine in. One that is just up and has never had work was rented
-// for this: its boot is paid for as well. What was headroom before was nobody's.
-func (m *Model) joinPool(i int, mc *Machine, now time.Time) {
-	p := m.pools.all[i]
-	n := slices.IndexFunc(p.shards, func(s *warmpool.Shard) bool { return len(s.Members) < warmpool.ShardSize })
-	if n < 0 || mc.pool != 0 {
+// joinPool makes a machine a member of a pool. One that has just come up and has never had a
+// task was rented for the pool, which pays for its boot as well. Headroom was paid by nobody
+// before it joined.
+func (m *Model) joinPool(index int, mc *Machine, now time.Time) {
+	p := m.pools.all[index]
+	shard := slices.IndexFunc(p.shards, func(s *warmpool.Shard) bool { return len(s.Members) < warmpool.ShardSize })
+	if shard < 0 || mc.inPool() {
 		return
 	}
 	since := now
 	if mc.creationKnown && !mc.hasHadTask && mc.createdAt.Before(now) && now.Sub(mc.idleSince) < recentlyStarted {
 		since = mc.createdAt
 	}
-	p.shards[n].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), HourlyRate: m.hourlyRate(mc)})
-	p.shardOf[mc.Index], p.changed[n], mc.pool = n, true, i+1
-	m.log.Info("pool takes machine", "pool", p.Name, "machine", mc.Name, "warm", mc.hasImage(m.images.intern(p.record.Image, p.record.WeightsGB)), "paidSince", since)
+	p.shards[shard].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), HourlyRate: m.hourlyRate(mc)})
+	p.shardOf[mc.Index], p.changed[shard] = shard, true
+	mc.enterPool(index)
+	m.log.Info("machine joined warm pool", "pool", p.Name, "machine", mc.Name, "warm", mc.hasImage(m.poolImage(p)), "paidSince", since)
 }
 
-// leavePool ends a machine's time in its pool.
+// leavePool ends a machine's membership in a pool.
 func (m *Model) leavePool(p *warmPool, mc *Machine, now time.Time) {
-	n := p.shardOf[mc.Index]
-	p.shards[n].Leave(mc.Name, now.UnixMilli(), p.Payer)
-	p.changed[n] = true
+	shard := p.shardOf[mc.Index]
+	p.shards[shard].Leave(mc.Name, now.UnixMilli(), p.Payer)
+	p.changed[shard] = true
 	delete(p.shardOf, mc.Index)
 	delete(p.fetchRequestedAt, mc.Index)
-	mc.pool = 0
-	m.log.Info("machine leaves pool", "pool", p.Name, "machine", mc.Name, "gone", mc.Gone)
+	mc.exitPool()
+	m.log.Info("machine left warm pool", "pool", p.Name, "machine", mc.Name, "gone", mc.Gone)
 }
 
-// hourlyRate is what a machine costs an hour now, in millionths.
+// setLeaving changes whether a member is to be scaled in once it is idle.
+func (m *Model) setLeaving(p *warmPool, name string, leaving bool) {
+	mc := m.machineNamed(name)
+	if member := p.member(mc); member != nil {
+		member.Leaving = leaving
+		p.changed[p.shardOf[mc.Index]] = true
+		m.log.Info("machine release from warm pool changed", "pool", p.Name, "machine", name, "leaving", leaving)
+	}
+}
+
+// hourlyRate is the price of a machine for an hour, in millionths.
 func (m *Model) hourlyRate(mc *Machine) int64 {
 	if mc.Type < 0 {
 		return 0
@@ -218,34 +223,3 @@
 	}
 	return warmpool.ToMicros(m.MachineTypes[mc.Type].Price)
 }
-
-// savePool keeps what has changed of a pool, and its accounts now and then.
-func (m *Model) savePool(p *warmPool, now time.Time) {
-	ms := now.UnixMilli()
-	for n, s := range p.shards {
-		if len(s.Members) > 0 && ms-s.AtMs > accountInterval.Milliseconds() {
-			p.changed[n] = true
-		}
-		if p.changed[n] {
-			s.Settle(ms, p.Payer)
-			p.changed[n] = false
-			m.savePlanRecord(warmpool.ShardName(p.Name, n), s.Clone())
-		}
-	}
-	last := p.savedRecord
-	last.AtMs = p.record.AtMs
-	if last != p.record || ms-p.record.AtMs > 5*accountInterval.Milliseconds() {
-		p.record.AtMs = ms
-		p.savedRecord = p.record
-		m.savePlanRecord(warmpool.RecordName(p.Name), p.record)
-	}
-}
-
-func sortedKeys(of map[int32]int) []int32 {
-	out := make([]int32, 0, len(of))
-	for k := range of {
-		out = append(out, k)
-	}
-	slices.Sort(out)
-	return out
-}
