--- a/cluster/places.go
+++ b/cluster/places.go
@@ -1,21 +1,23 @@
 package cluster
 
 import (
+	"cmp"
 	"math"
 	"slices"
-	"sort"
 	"time"
 
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file forecasts when places for tasks become free.
+// This file forecasts when places for tasks become free. A place is enough free resources on
+// one machine for one task of a given job.
 
+// placeTimes has for each place the seconds from now until it is free. The simulations keep it
+// as a binary min-heap; a sorted list is one.
 type placeTimes []float64
 
-// occupyEarliest moves the earliest place back, to when it is free again. This is the
-// step that triage takes most often by far, and container/heap takes four
-// times as long for it.
+// occupyEarliest occupies the place that is free first for the given number of seconds more.
+// Triage spends most of its time here, and container/heap takes four times as long for it.
 func (t placeTimes) occupyEarliest(by float64) {
 	x, i := t[0]+by, 0
 	for {
@@ -35,58 +37,78 @@
 	t[i] = x
 }
 
-// placesFor says after how many seconds there is a place in a zone (-1: in any)
-// for a task like the job's, once for each. Places that tasks of higher priority hold are not
-// counted, since others of theirs are likely to follow; those of lower
-// priority can be had at once.
+// mayUse reports whether the job's constraints on machine types and spot machines allow the
+// machine.
+func (j *Job) mayUse(mc *Machine) bool {
+	return mc.Type >= 0 && j.AllowedTypes[mc.Type] && (!mc.Spot || j.Spec.Spot)
+}
+
+// allowsZone reports whether the job's zone constraint allows a zone.
+func (j *Job) allowsZone(zone int) bool { return j.Zone < 0 || j.Zone == zone }
+
+// placesFor returns for each place for a task of the job in a zone, or in all zones if zone is
+// negative, the seconds until it is free. Places that tasks of higher priority occupy are not
+// counted, since more tasks like them are likely to follow; those of tasks of lower priority
+// count as free, since these can be preempted.
 func (m *Model) placesFor(j *Job, zone int, now time.Time) []float64 {
-	var out []float64
-	type end struct {
-		at   float64
-		need placement.Resources
-	}
+	var places []float64
 	for _, mc := range m.Machines {
-		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || zone >= 0 && zone != mc.Zone {
+		if !j.mayUse(mc) || zone >= 0 && zone != mc.Zone {
 			continue
 		}
-		room := m.MachineTypes[mc.Type].Capacity
-		if !m.Ready(mc, now) {
-			if eta, ok := m.bootTimeLeft(mc, now); ok {
-				for range tasksThatFit(j.Need, room) {
-					out = append(out, eta)
-				}
+		if m.Ready(mc, now) {
+			places = m.appendReadyPlaces(places, mc, j, now)
+		} else if eta, boots := m.bootTimeLeft(mc, now); boots {
+			for range tasksThatFit(j.Need, m.MachineTypes[mc.Type].Capacity) {
+				places = append(places, eta)
 			}
-			continue
 		}
-		var ends []end
-		for ref := range mc.Tasks {
-			o := m.Jobs[ref.Job]
-			if o.Priority <= j.Priority {
-				room = room.Add(o.Need, -1)
-			}
-			if o.Priority == j.Priority {
-				ends = append(ends, end{m.secondsLeft(o, ref.Task, now), o.Need})
-			}
+	}
+	return places
+}
+
+// taskEnd is when a task is expected to end, in seconds from now, and what it frees then.
+type taskEnd struct {
+	after float64
+	need  placement.Resources
+}
+
+// appendReadyPlaces appends the places that a ready machine has for tasks of the job: those
+// that are free now, and those that tasks of the same priority free when they end.
+func (m *Model) appendReadyPlaces(places []float64, mc *Machine, j *Job, now time.Time) []float64 {
+	free := m.MachineTypes[mc.Type].Capacity
+	var ends []taskEnd
+	for ref := range mc.Tasks {
+		occupant := m.Jobs[ref.Job]
+		if occupant.Priority <= j.Priority {
+			free = free.Add(occupant.Need, -1)
 		}
-		n := tasksThatFit(j.Need, room)
-		for range n {
-			out = append(out, 0)
+		if occupant.Priority == j.Priority {
+			ends = append(ends, taskEnd{m.secondsLeft(occupant, ref.Task, now), occupant.Need})
 		}
-		sort.Slice(ends, func(a, b int) bool { return ends[a].at < ends[b].at })
-		for _, e := range ends {
-			room = room.Add(e.need, 1)
-			for k := tasksThatFit(j.Need, room); n < k; n++ {
-				out = append(out, e.at)
-			}
+	}
+	count := tasksThatFit(j.Need, free)
+	for range count {
+		places = append(places, 0)
+	}
+	slices.SortFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.after, b.after) })
+	for _, end := range ends {
+		free = free.Add(end.need, 1)
+		for fit := tasksThatFit(j.Need, free); count < fit; count++ {
+			places = append(places, end.after)
 		}
 	}
-	return out
+	return places
 }
 
-// tasksThatFit is how many tasks with a need fit into room.
-func tasksThatFit(need, room placement.Resources) int {
-	n := 1000.0
-	for _, x := range [][2]float64{{need.CPU, room.CPU}, {need.GPU, room.GPU}, {need.Mem, room.Mem}} {
+// maxTasksThatFit bounds the places that are counted on one machine for tasks that need
+// next to nothing.
+const maxTasksThatFit = 1000
+
+// tasksThatFit returns how many tasks fit into free resources, at most maxTasksThatFit.
+func tasksThatFit(need, free placement.Resources) int {
+	n := float64(maxTasksThatFit)
+	for _, x := range [][2]float64{{need.CPU, free.CPU}, {need.GPU, free.GPU}, {need.Mem, free.Mem}} {
 		if x[0] > 0 {
 			n = min(n, math.Floor(x[1]/x[0]+1e-6))
 		}
@@ -101,6 +123,7 @@
 	anyZone bool // one list for all zones
 }
 
+// zonePlacesFor forecasts the places for tasks of the job, each list sorted.
 func (m *Model) zonePlacesFor(j *Job, now time.Time) *zonePlaces {
 	r := &zonePlaces{anyZone: !j.Spec.OneZone && j.Zone < 0}
 	if r.anyZone {
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -131,7 +131,7 @@
 // says whether others are on their way or may be rented.
 func (m *Model) usableBy(j *Job, now time.Time) (up int, coming bool) {
 	for _, mc := range m.Machines {
-		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone || !j.Need.Fits(m.MachineTypes[mc.Type].Capacity) {
+		if !j.mayUse(mc) || !j.allowsZone(mc.Zone) || !j.Need.Fits(m.MachineTypes[mc.Type].Capacity) {
 			continue
 		}
 		if m.Ready(mc, now) {
@@ -143,7 +143,7 @@
 	if !coming && up == 0 {
 		offers, _ := m.offers(now)
 		coming = slices.ContainsFunc(offers, func(o placement.Offer) bool {
-			return j.AllowedTypes[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity)
+			return j.AllowedTypes[o.Type] && j.allowsZone(o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity)
 		})
 	}
 	return up, coming
@@ -154,7 +154,7 @@
 func (m *Model) occupiedByHigherPriority(j *Job, now time.Time) bool {
 	higher := false
 	for _, mc := range m.Machines {
-		if mc.Type < 0 || !j.AllowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone || !m.Ready(mc, now) {
+		if !j.mayUse(mc) || !j.allowsZone(mc.Zone) || !m.Ready(mc, now) {
 			continue
 		}
 		for ref := range mc.Tasks {
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -6,6 +6,10 @@
 	"time"
 )
 
+// This file is triage, which is deadline-aware admission: where not all waiting jobs can meet
+// their objectives, it decides which of them are served for their objectives and which are
+// postponed.
+
 const (
 	triageJobs  = 1000 // jobs of a class that are simulated
 	triageTasks = 128  // tasks of a job that are simulated one by one
@@ -16,45 +20,58 @@
 	triageMaxInterval = 2 * time.Second
 )
 
-// triageState is when triage runs next, and a buffer that it reuses. Only triage.go
-// writes its fields.
+// triageState is when triage runs next, and a buffer that it reuses. Only triage.go and
+// triage_simulation.go write its fields.
 type triageState struct {
 	nextRun time.Time  // verdicts of the last run stand until then
 	buffer  placeTimes // of the simulation
 }
 
-// triageVerdict is what the last run of triage said of a job. It stands until the next
-// run; the zero value is a job that has not been judged and counts as in time.
+// triageVerdict is what the last run of triage decided about a job. It stands until the next
+// run; the zero value is a job that triage has not seen and counts as in time. Only record
+// writes it.
 type triageVerdict struct {
-	missed   bool      // no objective can be met beside the jobs that are kept
+	missed   bool      // no objective can be met beside the jobs that are served
 	deferred bool      // removed from its first objective for the sake of others
 	due      time.Time // latest start for the objective it is served for; zero: not judged
 }
 
-// runTriage is deadline-aware admission: it decides which jobs are served for their
-// objectives (deadline, waiting time, completion) when not all of them can be met. It
-// gives up, for now, on the objectives of the jobs that cost the most where
-// there is more work than can be done in time. The jobs of a class are played
-// through in the order they would be served, on the places that are free or
-// will be; whenever one would come too late, the largest so far is put off, so
-// that as many as possible meet their objectives (Moore and Hodgson's rule). Those
-// put off are served for a later objective, if they can meet one beside the others,
-// and else after them, those that take longest first.
-func (m *Model) runTriage(out []*queued, now time.Time) {
+// record keeps the verdict of a run, which the run has left in the queue.
+func (v *triageVerdict) record(k *queued) {
+	*v = triageVerdict{missed: k.missed, deferred: k.deferred, due: k.due}
+}
+
+// applyTo applies the verdict to the queue of a later pass.
+func (v *triageVerdict) applyTo(k *queued) {
+	k.missed, k.deferred = k.missed || v.missed, v.deferred
+	if !v.due.IsZero() {
+		k.due = v.due
+	}
+}
+
+// runTriage decides which jobs of the queue are served for their objectives (deadline, waiting
+// time, completion) when not all of them can be met, and sorts the jobs of each rank by that.
+//
+// The jobs of a class are simulated in the order in which they would be served, on the places
+// that are or become free. Whenever a job would be late, the one with the most work so far is
+// removed, so that as many jobs as possible meet their objectives (the Moore-Hodgson
+// algorithm). A removed job is served for a later objective if it can meet one without making
+// others late, and otherwise after all others, those that run longest first.
+func (m *Model) runTriage(queue []*queued, now time.Time) {
 	fresh := !now.Before(m.triage.nextRun)
 	if fresh {
 		tasks := 0
-		for _, k := range out {
+		for _, k := range queue {
 			tasks += len(k.req.Tasks)
 		}
 		m.triage.nextRun = now.Add(min(time.Duration(tasks)*triagePerTask, triageMaxInterval))
 	}
-	for lo := 0; lo < len(out); {
+	for lo := 0; lo < len(queue); {
 		hi := lo + 1
-		for hi < len(out) && out[hi].sameRank(out[lo]) && out[hi].req.Tier == out[lo].req.Tier {
+		for hi < len(queue) && queue[hi].sameRank(queue[lo]) && queue[hi].req.Tier == queue[lo].req.Tier {
 			hi++
 		}
-		group := out[lo:hi]
+		group := queue[lo:hi]
 		lo = hi
 		if fresh {
 			m.triageGroup(group, now)
@@ -65,18 +82,15 @@
 	}
 }
 
-// applyLastTriage applies the last run's verdicts to the queue. Jobs that have arrived since
-// count as in time.
+// applyLastTriage applies the last run's verdicts to the jobs of one rank. Jobs that have
+// arrived since count as in time.
 func applyLastTriage(group []*queued) {
 	for _, k := range group {
-		k.missed, k.deferred = k.missed || k.job.triage.missed, k.job.triage.deferred
-		if !k.job.triage.due.IsZero() {
-			k.due = k.job.triage.due
-		}
+		k.job.triage.applyTo(k)
 	}
 }
 
-// triageGroup judges the jobs of one rank, class by class, and keeps the verdicts.
+// triageGroup runs triage on the jobs of one rank, class by class, and keeps the verdicts.
 func (m *Model) triageGroup(group []*queued, now time.Time) {
 	byClass := map[string][]*queued{}
 	for _, k := range group {
@@ -90,7 +104,7 @@
 	}
 	missed, missedTasks, tasks := 0, 0, 0
 	for _, k := range group {
-		k.job.triage = triageVerdict{missed: k.missed, deferred: k.deferred, due: k.due}
+		k.job.triage.record(k)
 		tasks += len(k.req.Tasks)
 		if k.missed {
 			missed++
@@ -112,17 +126,15 @@
 		case x.deferred != y.deferred:
 			return y.deferred
 		case x.missed:
-			// No objective is left but to have all work done soon: what takes
-			// longest must not be what begins last.
+			// What remains is to complete all work soon, for which the longest jobs
+			// must not be the last to start.
 			return x.runSeconds > y.runSeconds
 		}
 		return x.due.Before(y.due)
 	})
 }
 
-// triageClass plays a class's jobs through, and then looks for each of those
-// put off, the smallest first, whether it can meet a later objective without making
-// any of the others late.
+// triageClass simulates the jobs of a class and marks those that can't meet their objectives.
 func (m *Model) triageClass(jobs []*queued, now time.Time) {
 	places := placeTimes(m.placesFor(jobs[0].job, jobs[0].job.Zone, now))
 	if len(places) == 0 {
@@ -131,47 +143,59 @@
 	slices.Sort(places) // a sorted list is a heap
 	m.log.Debug("triage", "class", jobs[0].job.Spec.Class, "places", len(places), "first", places[0], "median", places[len(places)/2], "last", places[len(places)-1], "jobs", len(jobs))
 	jobs = m.afterMustStart(jobs, places)
-	var off []*queued
-	p := m.newSimulation(places, now)
-	for same := 0; ; {
-		late := p.run(jobs, same)
+	s := m.newSimulation(places, now)
+	inTime, removed := s.removeLate(jobs)
+	s.tryLaterObjectives(inTime, removed)
+}
+
+// removeLate removes jobs until none of the others is late: each time one is, the job with
+// the most work up to it. Jobs of batch windows are not removed.
+func (s *simulation) removeLate(jobs []*queued) (inTime, removed []*queued) {
+	for unchanged := 0; ; {
+		late := s.run(jobs, unchanged)
 		if late < 0 {
-			break
+			return jobs, removed
 		}
-		worst := late
-		for k := late; k >= 0; k-- {
-			if !jobs[k].inWindow && jobs[k].totalWork >= jobs[worst].totalWork {
-				worst = k
+		largest := late
+		for i := late; i >= 0; i-- {
+			if !jobs[i].inWindow && jobs[i].totalWork >= jobs[largest].totalWork {
+				largest = i
 			}
 		}
-		off = append(off, jobs[worst])
-		jobs = append(append([]*queued(nil), jobs[:worst]...), jobs[worst+1:]...)
-		same = worst
+		removed = append(removed, jobs[largest])
+		jobs = append(append([]*queued(nil), jobs[:largest]...), jobs[largest+1:]...)
+		unchanged = largest
 	}
-	nights := 0 // they come first, whatever is due
-	for nights < len(jobs) && jobs[nights].inWindow {
-		nights++
+}
+
+// tryLaterObjectives finds for each removed job, the smallest first, the earliest of its later
+// objectives that it can meet without making any of the others late.
+func (s *simulation) tryLaterObjectives(inTime, removed []*queued) {
+	windowJobs := 0 // they precede the others, whatever these are due for
+	for windowJobs < len(inTime) && inTime[windowJobs].inWindow {
+		windowJobs++
 	}
-	whole := len(jobs) // how many at the beginning are as last played
-	sort.SliceStable(off, func(a, b int) bool { return off[a].totalWork < off[b].totalWork })
-	for _, r := range off {
-		r.deferred = true
-		for r.missed = true; r.missed && len(r.laterDue) > 0; {
-			r.nextObjective(now)
-			at := nights + sort.Search(len(jobs)-nights, func(k int) bool { return jobs[nights+k].due.After(r.due) })
-			with := append(append(append([]*queued(nil), jobs[:at]...), r), jobs[at:]...)
-			late := p.run(with, min(at, whole))
-			whole = at
+	unchanged := len(inTime) // since the last run, from the first job on
+	sort.SliceStable(removed, func(a, b int) bool { return removed[a].totalWork < removed[b].totalWork })
+	for _, k := range removed {
+		k.deferred, k.missed = true, true
+		for k.missed && len(k.laterDue) > 0 {
+			k.nextObjective(s.now)
+			others := inTime[windowJobs:]
+			at := windowJobs + sort.Search(len(others), func(i int) bool { return others[i].due.After(k.due) })
+			candidate := append(append(append([]*queued(nil), inTime[:at]...), k), inTime[at:]...)
+			late := s.run(candidate, min(at, unchanged))
+			unchanged = at
 			if late < 0 {
-				jobs, r.missed, whole = with, false, len(with)
+				inTime, unchanged, k.missed = candidate, len(candidate), false
 			}
 		}
 	}
 }
 
-// afterMustStart serves the jobs that must start by the starvation bound first in the
-// simulation, on the given places, and returns the others, which get what is left. Without
-// that the same places would be counted for both.
+// afterMustStart lets the jobs that must start by the starvation bound occupy their places and
+// returns the other jobs, which get the rest. Otherwise the same places would be counted for
+// both.
 func (m *Model) afterMustStart(jobs []*queued, places placeTimes) []*queued {
 	if m.StarvationBound <= 0 {
 		return jobs
@@ -190,7 +214,7 @@
 	return out
 }
 
-// remainingWork is how many seconds what is left of a job would take on a single place.
+// remainingWork is how many seconds the unfinished tasks of a job would take one after another.
 func (m *Model) remainingWork(j *Job, now time.Time) float64 {
 	sum, est := 0.0, m.expectedRunTime(j)
 	for i := range j.Tasks {
--- a/cluster/triage_simulation.go
+++ b/cluster/triage_simulation.go
@@ -2,53 +2,65 @@
 
 import "time"
 
-// This file is the simulation by which triage decides.
+// This file is the simulation by which triage decides: it serves the jobs of a class one after
+// another on the places that are or become free.
 
-// checkpointEvery is after how many jobs the places are kept as they are then. What is
-// played again differs from one job on only: with 400 jobs of a start, playing
-// them from the first each time was nine tenths of the pass that placed them.
-const checkpointEvery = 16
+// checkpointInterval is the number of jobs between two checkpoints of a simulation. Triage
+// simulates nearly the same list of jobs again and again; without checkpoints this took nine
+// tenths of a pass that places the 400 jobs of a burst.
+const checkpointInterval = 16
 
-// simulation is the jobs of a class being played through, again and again.
+// latenessTolerance is how many seconds late a job may start and still count as in time.
+const latenessTolerance = 0.5
+
+// simulation serves the jobs of a class on places. It can be run any number of times, and runs
+// only what differs from the run before.
 type simulation struct {
-	m           *Model
+	model       *Model
 	now         time.Time
-	checkpoints []placeTimes // element n is the state before job n*checkpointEvery
-	free        placeTimes
+	checkpoints []placeTimes // element n is the state before job n*checkpointInterval
+	free        placeTimes   // the state of the current run; a buffer
 }
 
 func (m *Model) newSimulation(places placeTimes, now time.Time) *simulation {
-	return &simulation{m: m, now: now, checkpoints: []placeTimes{places}, free: m.triage.buffer}
+	return &simulation{model: m, now: now, checkpoints: []placeTimes{places}, free: m.triage.buffer}
 }
 
-// run serves the jobs in their order on places that are free at the given
-// times, in seconds from now. The first so many jobs are those played last. It
-// returns the first that starts its last task later than it is due, or -1.
-func (p *simulation) run(jobs []*queued, same int) int {
-	from := min(same/checkpointEvery, len(p.checkpoints)-1)
-	p.checkpoints = p.checkpoints[:from+1]
-	free := append(p.free[:0], p.checkpoints[from]...)
-	p.free, p.m.triage.buffer = free, free
-	for i := from * checkpointEvery; i < len(jobs); i++ {
-		if i%checkpointEvery == 0 && i/checkpointEvery == len(p.checkpoints) {
-			p.checkpoints = append(p.checkpoints, append(placeTimes(nil), free...))
-		}
-		r := jobs[i]
-		due, delay := r.due.Sub(p.now).Seconds(), p.m.startupAndSpreadOf(r.job).startDelay()
-		n := len(r.req.Tasks)
-		last := 0.0
-		for range min(n, triageTasks) {
-			last = free[0]
-			free.occupyEarliest(r.runSeconds + delay)
+// run serves the jobs in the given order. The first so many jobs, unchanged, must be those of
+// the run before. It returns the index of the first job whose last task would start later
+// than the job is due, or -1.
+func (s *simulation) run(jobs []*queued, unchanged int) int {
+	from := min(unchanged/checkpointInterval, len(s.checkpoints)-1)
+	s.checkpoints = s.checkpoints[:from+1]
+	s.free = append(s.free[:0], s.checkpoints[from]...)
+	s.model.triage.buffer = s.free
+	for i := from * checkpointInterval; i < len(jobs); i++ {
+		if i%checkpointInterval == 0 && i/checkpointInterval == len(s.checkpoints) {
+			s.checkpoints = append(s.checkpoints, append(placeTimes(nil), s.free...))
 		}
-		if n > triageTasks {
-			last += float64(n-triageTasks) * r.runSeconds / float64(len(free))
-		}
-		// A job that is due at once is not given up for a place that is free. One of
-		// a batch window keeps its turn whatever becomes of its own objectives.
-		if !r.inWindow && last > max(due, 0)+0.5 {
+		// A job that is due already is not given up for a place that is free now. A job
+		// of a batch window keeps its position, whether or not it meets its own objectives.
+		k := jobs[i]
+		due := max(k.due.Sub(s.now).Seconds(), 0)
+		if last := s.serve(k); !k.inWindow && last > due+latenessTolerance {
 			return i
 		}
 	}
 	return -1
 }
+
+// serve occupies places for the tasks of a job and returns the seconds until its last task
+// starts.
+func (s *simulation) serve(k *queued) float64 {
+	startup := s.model.startupAndSpreadOf(k.job).startDelay()
+	tasks := len(k.req.Tasks)
+	last := 0.0
+	for range min(tasks, triageTasks) {
+		last = s.free[0]
+		s.free.occupyEarliest(k.runSeconds + startup)
+	}
+	if tasks > triageTasks {
+		last += float64(tasks-triageTasks) * k.runSeconds / float64(len(s.free))
+	}
+	return last
+}
