--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -17,6 +17,52 @@
 	size    int // in the form in which the service counts
 }
 
+// isObsolete reports whether the page is empty and stays so. Only head pages get new jobs.
+func (p *admissionPage) isObsolete() bool {
+	return len(p.rec.Entries) == 0 && !jobstore.IsHeadPageKey(p.key)
+}
+
+// admissionPages are the admission pages that the model has, by their keys.
+type admissionPages map[string]*admissionPage
+
+// at returns a page if the model has that version of it, and nil otherwise.
+func (s admissionPages) at(key string, version uint64) *admissionPage {
+	if p := s[key]; p != nil && p.version == version {
+		return p
+	}
+	return nil
+}
+
+// findOrAdd returns the page of that key, in any version.
+func (s admissionPages) findOrAdd(key string) *admissionPage {
+	p := s[key]
+	if p == nil {
+		p = &admissionPage{key: key}
+		s[key] = p
+	}
+	return p
+}
+
+// apply applies a change of a page that the store reports. It returns false if the model has
+// it already.
+func (s admissionPages) apply(p *admissionPage, change *AdmissionPage) bool {
+	if change.Version > p.version {
+		p.version, p.rec, p.size = change.Version, change.Record, change.Record.Size()
+		return true
+	}
+	if change.Version == p.version {
+		s.removeObsolete(p) // as this leader has written it
+	}
+	return false
+}
+
+// removeObsolete forgets a page that never comes back.
+func (s admissionPages) removeObsolete(p *admissionPage) {
+	if p.isObsolete() {
+		delete(s, p.key)
+	}
+}
+
 // AdmissionPage is a stored page on which several accepted jobs share one key. The record
 // of a deleted page is empty.
 type AdmissionPage struct {
@@ -29,38 +75,28 @@
 // revision of the store, because a job may move between pages: a job that is on none of
 // them any more has ended, but one that has merely moved must not look that way.
 func (m *Model) ApplyAdmissionPages(pages []AdmissionPage, now time.Time) {
-	type gone struct {
+	type formerEntry struct {
 		id   string
-		from *admissionPage
+		page *admissionPage
 	}
-	var may []gone
+	var former []formerEntry
 	for i := range pages {
-		pg := &pages[i]
-		p := m.admissionPages[pg.Key]
-		if p == nil {
-			p = &admissionPage{key: pg.Key}
-			m.admissionPages[pg.Key] = p
-		}
-		if pg.Version <= p.version {
-			if pg.Version == p.version && len(p.rec.Entries) == 0 && !jobstore.IsHeadPageKey(p.key) {
-				delete(m.admissionPages, p.key) // as this leader has written it
-			}
+		p := m.writes.admissionPages.findOrAdd(pages[i].Key)
+		before := p.rec.Entries
+		if !m.writes.admissionPages.apply(p, &pages[i]) {
 			continue
 		}
-		for _, e := range p.rec.Entries {
-			may = append(may, gone{e.ID, p})
+		for _, e := range before {
+			former = append(former, formerEntry{e.ID, p})
 		}
-		p.version, p.rec, p.size = pg.Version, pg.Record, pg.Record.Size()
 		for _, e := range p.rec.Entries {
 			m.applyAdmissionEntry(p, e, now)
 		}
-		if len(p.rec.Entries) == 0 && !jobstore.IsHeadPageKey(p.key) {
-			delete(m.admissionPages, p.key) // it never comes back
-		}
+		m.writes.admissionPages.removeObsolete(p)
 	}
-	for _, g := range may {
-		if j := m.Job(g.id); j != nil && j.admissionPage == g.from && !g.from.has(g.id) {
-			m.RemoveJob(g.id, now)
+	for _, e := range former {
+		if j := m.Job(e.id); j != nil && j.admissionPage == e.page && !e.page.has(e.id) {
+			m.RemoveJob(e.id, now)
 		}
 	}
 }
@@ -68,10 +104,18 @@
 // WroteAdmissionPage reports whether the model already has that version of a page, as it
 // does if this leader wrote it.
 func (m *Model) WroteAdmissionPage(key string, version uint64) bool {
-	p := m.admissionPages[key]
-	return p != nil && p.version == version
+	return m.writes.admissionPages.at(key, version) != nil
+}
+
+// written applies the commit of a record that replaces the given version of the page, unless
+// the watch of the store has reported this change or a later one already.
+func (p *admissionPage) written(replaced, version uint64, rec jobstore.JobPage) {
+	if p.version == replaced {
+		p.version, p.rec, p.size = version, rec, rec.Size()
+	}
 }
 
+// has reports whether a job is on the page.
 func (p *admissionPage) has(id string) bool {
 	for i := range p.rec.Entries {
 		if p.rec.Entries[i].ID == id {
@@ -133,11 +177,7 @@
 			op = wire.Op{Delete: p.key}
 		}
 		b.Ops[l.op] = op
-		b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) {
-			if p.version == l.version { // else the watch was first
-				p.version, p.rec, p.size = rev, rec, rec.Size()
-			}
-		})
+		b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) { p.written(l.version, rev, rec) })
 	}
 }
 
--- a/cluster/batch_window_test.go
+++ b/cluster/batch_window_test.go
@@ -143,7 +143,7 @@
 		j.Tasks[i].Phase = TaskDone
 	}
 	j.DoneTasks = len(j.Tasks)
-	l.model.markDirty(j)
+	l.model.writes.markJob(j)
 	l.model.Tick(now)
 }
 
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -93,9 +93,9 @@
 			fmt.Fprintf(w, "C%t,%t", c.CommittedGen >= c.PlacedGen, c.CommittedGen >= c.Generation)
 		}
 	}
-	for _, p := range m.pages {
+	for _, p := range m.writes.placementPages.pages {
 		// A page that was never written may be, once what is in the store is deleted.
-		fmt.Fprintf(w, "|p%d,%t,%t,%t", p.number, p.version == ref.Version(jobstore.PlacementPageKey(p.number)), p.version == 0, p.generation == p.committedGeneration)
+		fmt.Fprintf(w, "|p%d,%t,%t,%t", p.number, p.version == ref.Version(jobstore.PlacementPageKey(p.number)), p.version == 0, !p.isChanged())
 	}
 	fmt.Fprintf(w, "|%d,%d", len(m.directCommands.stops), len(m.directCommands.launches))
 }
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -8,19 +8,11 @@
 
 // This file takes in what an earlier leader recorded.
 
-// pageAt finds or makes the page of that number.
-func (m *Model) pageAt(n int) *placementPage {
-	for len(m.pages) <= n {
-		m.pages = append(m.pages, &placementPage{number: len(m.pages)})
-	}
-	return m.pages[n]
-}
-
 // LoadPlacementPage loads a page of placement records that an earlier leader wrote. Its
 // jobs must have been loaded before, including those that are over and only have
 // placements left (LoadCancelledJob).
 func (m *Model) LoadPlacementPage(n int, rec jobstore.PlacementPage, version uint64, now time.Time) {
-	p := m.pageAt(n)
+	p := m.writes.placementPages.at(n)
 	p.version = version
 	for i := range rec.Chunks {
 		m.loadChunk(p, &rec.Chunks[i], now)
@@ -30,8 +22,7 @@
 func (m *Model) loadChunk(p *placementPage, c *jobstore.PlacementChunk, now time.Time) {
 	j := m.Job(c.Job)
 	if j == nil && m.quarantine.mayHold(c.Job) {
-		p.unreadChunks = append(p.unreadChunks, *c)
-		p.size += m.keptChunkSize(c)
+		m.writes.placementPages.preserve(p, c)
 		return
 	}
 	if j == nil || c.Chunk < 0 || c.Chunk >= len(j.Chunks) {
@@ -39,7 +30,7 @@
 		return
 	}
 	ch := &j.Chunks[c.Chunk]
-	m.putOnPlacementPage(p, j, c.Chunk)
+	m.writes.placementPages.put(p, j, c.Chunk)
 	ch.CommittedGen = ch.Generation
 	j.LastAttempt = max(j.LastAttempt, c.MaxAttempt)
 	for i := 0; i+1 < len(c.DoneRanges); i += 2 {
@@ -77,7 +68,7 @@
 			m.cancel(j, now)
 		}
 		if j.DoneTasks == len(j.Tasks) {
-			m.markDirty(j)
+			m.writes.markJob(j)
 		}
 	}
 }
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -99,6 +99,9 @@
 	size int // the most bytes that it takes on its page
 }
 
+// hasNewPlacements reports whether placements of the chunk are not in the store yet.
+func (c *Chunk) hasNewPlacements() bool { return c.PlacedGen > c.CommittedGen }
+
 // Job is a job that is not over, or of which tasks may still be on a machine.
 type Job struct {
 	Index           int32
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -74,7 +74,7 @@
 	}
 	if j.DoneTasks == len(j.Tasks) {
 		j.Finished = true
-		m.markDirty(j)
+		m.writes.markJob(j)
 		return
 	}
 	m.log.Info("job cancelled", "id", id, "placed", j.PlacedTasks)
@@ -88,7 +88,7 @@
 			m.stopPlacedTask(j, int32(i), 0, StopCancelled, now)
 		}
 	}
-	m.markDirty(j)
+	m.writes.markJob(j)
 }
 
 // LoadCancelledJob loads a job that is over, as cancelled, because placement records of it
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -76,7 +76,7 @@
 		Index: int32(len(m.Machines)), Name: name, Type: -1, Zone: -1, Tasks: map[TaskRef]bool{},
 		reportedExits: map[exitKey]*reportedExit{}, idleSince: now, createdAt: now, lastSeen: now,
 	}
-	m.longestMachineName = max(m.longestMachineName, len(name))
+	m.writes.placementPages.observeMachineName(name)
 	m.Machines = append(m.Machines, mc)
 	m.names.machines[name] = mc.Index
 	return mc
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -51,32 +51,28 @@
 
 	stall stallRecovery
 
-	settings           *config.Settings
-	log                *slog.Logger
-	clockDrift         float64
-	teams              []placement.Team
-	guarantees         []placement.Resources
-	names              nameIndex
-	images             imageCatalog
-	openIndexes        []int32 // jobs that may be in the model
-	dirtyJobs          []int32 // jobs that may be done, or out of the model
-	pages              []*placementPage
-	admissionPages     map[string]*admissionPage
-	quarantine         quarantine
-	nextPageToWrite    int // pages are written in turn from here on
-	longestMachineName int // of the machines' names
-	directCommands     directCommandQueue
-	refusedOffers      offerRefusals
-	plan               Plan
-	planExpected       bool      // there may be a plan
-	heldStops          heldStops // until the plan is confirmed
-	windows            batchWindows
-	planRecords        planRecords
-	pools              warmPools
-	starvation         starvationBound
-	triage             triageState
-	classes            map[string]*classStats
-	tiers              priorityTiers
+	settings       *config.Settings
+	log            *slog.Logger
+	clockDrift     float64
+	teams          []placement.Team
+	guarantees     []placement.Resources
+	names          nameIndex
+	images         imageCatalog
+	openIndexes    []int32     // jobs that may be in the model
+	writes         writeBehind // what is to be written to the store
+	quarantine     quarantine
+	directCommands directCommandQueue
+	refusedOffers  offerRefusals
+	plan           Plan
+	planExpected   bool      // there may be a plan
+	heldStops      heldStops // until the plan is confirmed
+	windows        batchWindows
+	planRecords    planRecords
+	pools          warmPools
+	starvation     starvationBound
+	triage         triageState
+	classes        map[string]*classStats
+	tiers          priorityTiers
 
 	buffers passBuffers
 }
@@ -85,8 +81,8 @@
 func New(cfg *config.Settings, token uint64, now time.Time, log *slog.Logger) *Model {
 	m := &Model{
 		FencingToken: token, ElectedAt: now, Zones: cfg.Cluster.Zones, settings: cfg, log: log, clockDrift: config.Drift,
-		names: newNameIndex(), images: newImageCatalog(),
-		refusedOffers: newOfferRefusals(), RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*classStats{}, admissionPages: map[string]*admissionPage{},
+		names: newNameIndex(), images: newImageCatalog(), writes: newWriteBehind(writeLimits{&cfg.Cluster.State}),
+		refusedOffers: newOfferRefusals(), RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*classStats{},
 		Observer: noObserver{},
 	}
 	for i, z := range cfg.Cluster.Zones {
--- a/cluster/plan_records.go
+++ b/cluster/plan_records.go
@@ -150,7 +150,7 @@
 // plan's parts, or nil if there are none. Its conditions are PlanGuard and the versions of
 // these records.
 func (m *Model) PlanRecordBatch(maxOps int) *WriteBatch {
-	b := &WriteBatch{Guards: []wire.Guard{m.PlanGuard()}, notes: map[string]*planRecord{}}
+	b := &WriteBatch{Guards: []wire.Guard{m.PlanGuard()}, planRecords: map[string]*planRecord{}}
 	for _, name := range slices.Clone(m.planRecords.names) {
 		x := m.planRecords.byName[name]
 		if x.gen == x.committed || len(b.Ops) >= maxOps {
@@ -158,7 +158,7 @@
 		}
 		raw, err := wire.Marshal(x.value)
 		size := wire.JSONSize(raw)
-		if err == nil && size > m.pageBytes() {
+		if err == nil && size > m.writes.placementPages.limits.valueBytes() {
 			err = fmt.Errorf("%d bytes: %w", size, errPlanRecordSize)
 		}
 		if err != nil {
@@ -174,7 +174,7 @@
 		key, gen := jobstore.PlanStatePrefix+name, x.gen
 		b.Guards = append(b.Guards, wire.Guard{Key: key, Version: x.version})
 		b.Ops = append(b.Ops, wire.Op{Put: key, Value: wire.Raw(raw)})
-		b.notes[key] = x
+		b.planRecords[key] = x
 		b.bytes += size
 		b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) {
 			x.version, x.committed, x.raw = rev, max(x.committed, gen), raw
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -43,12 +43,6 @@
 // record being one that can't be read.
 func (q *quarantine) mayHold(id string) bool { return q.jobs[id] || q.admissionPageLost }
 
-// keptChunkSize is what a chunk that is kept as it was takes, at most about, in the form
-// in which the service counts.
-func (m *Model) keptChunkSize(c *jobstore.PlacementChunk) int {
-	return 80 + len(c.Job) + (22+max(m.longestMachineName, 18))*len(c.Placements) + 8*len(c.DoneRanges)
-}
-
 // QuarantineJob quarantines a job whose record can't be read: it is not scheduled until its
 // record is readable again or its user cancels it. Its placement records are preserved, so
 // that no attempt number is reused if the record becomes readable.
@@ -78,8 +72,8 @@
 // that has become unreadable can be recovered from this leader's memory. It returns false
 // if the model has another version of the page, or none.
 func (m *Model) AdmissionEntries(key string, version uint64) ([]jobstore.JobPageEntry, bool) {
-	p := m.admissionPages[key]
-	if p == nil || p.version != version {
+	p := m.writes.admissionPages.at(key, version)
+	if p == nil {
 		return nil, false
 	}
 	return append([]jobstore.JobPageEntry{}, p.rec.Entries...), true
@@ -91,8 +85,7 @@
 func (m *Model) QuarantinePlacementPage(n int, version uint64, err error) {
 	key := jobstore.PlacementPageKey(n)
 	m.log.Error("unreadable page of placements: jobs that it may speak of are set aside", "key", key, "err", err)
-	p := m.pageAt(n)
-	p.version, p.size = version, 1<<30 // nothing is put there
+	m.writes.placementPages.markUnreadable(n, version)
 	m.quarantine.addPlacementPage(version)
 	m.pausePlacing()
 }
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -201,9 +201,7 @@
 	mc := m.Machines[p.machineIndexes[s.Machine]]
 	m.countPoolPlacement(j, s.Task, mc)
 	m.placeTask(j, s.Task, mc, attempt, now)
-	c := m.changeChunk(j, s.Task)
-	c.PlacedGen = c.Generation
-	j.Tasks[s.Task].Placement.chunkGeneration = c.Generation
+	m.writes.recordPlacement(j, s.Task)
 	waited := now.Sub(j.AcceptedAt).Seconds()
 	m.Observer.Placed(waited)
 	m.log.Debug("placed", "job", j.ID, "task", s.Task, "attempt", attempt, "machine", mc.Name, "waited", waited)
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"slices"
 	"time"
 
 	"github.com/umberdeal/umberdeal/jobstore"
@@ -9,25 +10,6 @@
 
 // This file books tasks on machines, and takes them off.
 
-func (m *Model) markDirty(j *Job) {
-	if !j.dirty {
-		j.dirty = true
-		m.dirtyJobs = append(m.dirtyJobs, j.Index)
-	}
-}
-
-func (m *Model) changeChunk(j *Job, task int32) *Chunk {
-	n := int(task) / jobstore.ChunkSize
-	c := &j.Chunks[n]
-	c.Generation++
-	if c.page == nil {
-		m.assignPage(j, n)
-	}
-	c.page.generation++
-	m.markDirty(j)
-	return c
-}
-
 // placeTask books a task on a machine; it is launched once that is committed.
 func (m *Model) placeTask(j *Job, task int32, mc *Machine, attempt uint64, now time.Time) {
 	t := &j.Tasks[task]
@@ -84,7 +66,7 @@
 	if j.cursor > int(task) {
 		j.cursor = int(task)
 	}
-	m.changeChunk(j, task)
+	m.writes.changeChunk(j, task)
 }
 
 func (m *Model) markDone(j *Job, task int32, now time.Time) {
@@ -97,7 +79,7 @@
 	}
 	t.Phase = TaskDone
 	j.DoneTasks++
-	m.changeChunk(j, task)
+	m.writes.changeChunk(j, task)
 	if j.DoneTasks == len(j.Tasks) {
 		m.learnFromJob(j)
 		m.countCompletion(j)
@@ -122,7 +104,7 @@
 	}
 	p.Stop = &StopOrder{Grace: grace, Reason: why, OrderedAt: now}
 	if j.reservation != nil {
-		m.changeChunk(j, task) // its door tells that it is leaving
+		m.writes.changeChunk(j, task) // its door tells that it is leaving
 	}
 	m.directCommands.addStop(TaskRef{Job: j.Index, Task: task})
 }
@@ -156,3 +138,19 @@
 	}
 	m.stopPlacedTask(j, ref.Task, grace, why, now)
 }
+
+// sortedRefs lists refs in an order that does not depend on the map's.
+func sortedRefs(set map[TaskRef]bool) []TaskRef { return sortRefs(set, make([]TaskRef, 0, len(set))) }
+
+func sortRefs(set map[TaskRef]bool, out []TaskRef) []TaskRef {
+	for r := range set {
+		out = append(out, r)
+	}
+	slices.SortFunc(out, func(a, b TaskRef) int {
+		if a.Job != b.Job {
+			return int(a.Job - b.Job)
+		}
+		return int(a.Task - b.Task)
+	})
+	return out
+}
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -4,61 +4,100 @@
 	"slices"
 	"time"
 
+	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// WriteBatch is a compare-and-swap transaction that the leader is to commit. The controller
-// adds the guard on the leader key.
-type WriteBatch struct {
-	Guards []wire.Guard
-	Ops    []wire.Op
-	// OnCommit must be called after a successful commit, with its revision.
-	OnCommit  func(rev uint64, now time.Time)
-	HeldStops int // how many held stops its commit releases
-
-	placementPages    map[string]*placementPage
-	jobs              map[string]*Job
-	notes             map[string]*planRecord
-	placesTasks       bool // tasks, by the plan
-	admissionRemovals map[*admissionPage]*admissionRemoval
-	commitHooks       []func(rev uint64, now time.Time)
-	bytes             int
-}
-
-const (
-	// maxBatchBytes keeps a transaction well below the service's limit of 64 KiB.
-	maxBatchBytes = 48 << 10
-	// maxFinalsWithPlacements bounds the jobs that are ended by a transaction that also
-	// places tasks, so that the conditions of both fit.
-	maxFinalsWithPlacements = 4
-)
+// writeBehind is the queue of changes of the model that the key-value store does not have
+// yet. Decisions are applied to the model at once and written with a later batch (NextBatch);
+// what depends on a write, such as the launch of a task, waits for the commit.
+//
+// Only its methods, and those of its parts, change its fields. They keep these invariants:
+//   - A job of the model is in dirtyJobs, once, exactly while it is marked as dirty.
+//   - A placement page is to be written while its generation differs from the committed one.
+//     Every change of a chunk raises the chunk's generation and that of its page.
+//   - Committed generations are those of records as they were written. What changes while a
+//     batch is in progress stays to be written.
+//   - A chunk is on at most one page: from its first change until its job leaves the model.
+type writeBehind struct {
+	dirtyJobs      []int32 // indices of jobs that may be done, or are to be dropped
+	placementPages placementPages
+	admissionPages admissionPages
+}
+
+func newWriteBehind(limits writeLimits) writeBehind {
+	return writeBehind{placementPages: placementPages{limits: limits}, admissionPages: admissionPages{}}
+}
+
+// markJob queues a job, of which something may be to be written.
+func (w *writeBehind) markJob(j *Job) {
+	if !j.dirty {
+		j.dirty = true
+		w.dirtyJobs = append(w.dirtyJobs, j.Index)
+	}
+}
+
+// filterJobs calls keep for each queued job, in the order in which they were queued, and
+// removes those for which it returns false.
+func (w *writeBehind) filterJobs(keep func(index int32) bool) {
+	w.dirtyJobs = slices.DeleteFunc(w.dirtyJobs, func(index int32) bool { return !keep(index) })
+}
+
+// changeChunk records that the chunk which a task belongs to has changed.
+func (w *writeBehind) changeChunk(j *Job, task int32) *Chunk {
+	n := int(task) / jobstore.ChunkSize
+	c := &j.Chunks[n]
+	c.Generation++
+	if c.page == nil {
+		w.placementPages.assign(j, n)
+	}
+	c.page.generation++
+	w.markJob(j)
+	return c
+}
+
+// recordPlacement records that a task has been placed. It may be launched once the chunk is
+// committed in this generation.
+func (w *writeBehind) recordPlacement(j *Job, task int32) {
+	c := w.changeChunk(j, task)
+	c.PlacedGen = c.Generation
+	j.Tasks[task].Placement.chunkGeneration = c.Generation
+}
+
+// writeLimits are what the key-value store accepts.
+type writeLimits struct{ state *config.StateLimits }
 
-// maxGuards is how many conditions a transaction may have, the leader key's and
-// the plan's left out.
-func (m *Model) maxGuards() int {
-	ops := m.settings.Cluster.State.TxnOps
+// guards is how many conditions a transaction may have, besides those on the leader key and
+// the plan head.
+func (l writeLimits) guards() int {
+	ops := l.state.TxnOps
 	if ops <= 0 {
 		ops = 12
 	}
 	return 4*ops - 2
 }
 
+// valueBytes bounds a value, with a margin.
+func (l writeLimits) valueBytes() int {
+	kb := l.state.ValueKB
+	if kb <= 0 {
+		kb = 16
+	}
+	return int(kb*1024) - 256
+}
+
 // PendingWrites returns how many puts and deletes are needed to write all changes; 1 if
 // there is nothing to write but finished jobs are to be dropped from the model.
 func (m *Model) PendingWrites() int {
 	n := 0
-	for _, idx := range m.dirtyJobs {
-		if j := m.Jobs[idx]; j != nil && j.awaitsFinalRecord() {
+	for _, index := range m.writes.dirtyJobs {
+		if j := m.Jobs[index]; j != nil && j.awaitsFinalRecord() {
 			n += 2
 		}
 	}
-	for _, p := range m.pages {
-		if p.generation != p.committedGeneration {
-			n++
-		}
-	}
-	if n == 0 && len(m.dirtyJobs) > 0 {
+	n += m.writes.placementPages.pending()
+	if n == 0 && len(m.writes.dirtyJobs) > 0 {
 		return 1 // nothing to write, but jobs to be dropped
 	}
 	return n
@@ -68,7 +107,7 @@
 // they are committed, finished jobs only until they are in a batch.
 func (m *Model) NothingToWrite() bool { return m.PendingWrites() == 0 }
 
-// awaitsFinalRecord says whether a job is done and its end is to be committed.
+// awaitsFinalRecord reports whether a job is done and its end is to be committed.
 func (j *Job) awaitsFinalRecord() bool {
 	return j.DoneTasks == len(j.Tasks) && !j.Cancelled && !j.Finished
 }
@@ -78,37 +117,19 @@
 // wait for the former and idle machines for the latter.
 func (m *Model) NextBatch(maxOps int) *WriteBatch {
 	b := &WriteBatch{placementPages: map[string]*placementPage{}, jobs: map[string]*Job{}}
-	fresh, other := m.changedPages()
-	dones := maxOps
-	if len(fresh) > 0 {
-		dones = maxFinalsWithPlacements
-	}
-	left := m.dirtyJobs[:0]
-	for _, idx := range m.dirtyJobs {
-		j := m.Jobs[idx]
-		switch {
-		case j == nil:
-			continue
-		case j.Finished || j.Cancelled && j.PlacedTasks == 0:
-			m.dropJob(j)
-			continue
-		case j.awaitsFinalRecord():
-			if dones == 0 || len(b.Ops)+2 > maxOps || len(b.Guards)+2 > m.maxGuards() || !m.addFinalRecord(b, j) {
-				left = append(left, idx)
-				continue
-			}
-			dones--
-		}
-		j.dirty = false
+	placing, others := m.writes.placementPages.changed()
+	maxFinals := maxOps
+	if len(placing) > 0 {
+		maxFinals = maxFinalsWithPlacements
 	}
-	m.dirtyJobs = left
-	for _, p := range append(fresh, other...) {
+	m.addFinalRecords(b, maxOps, maxFinals)
+	for _, p := range append(placing, others...) {
 		if len(b.Ops) >= maxOps {
 			break
 		}
-		m.addPlacementPage(b, p)
+		m.writes.placementPages.addTo(b, p)
 	}
-	m.nextPageToWrite++
+	m.writes.placementPages.rotate()
 	b.fillAdmissionRemovals()
 	if len(b.Ops) == 0 {
 		return nil
@@ -121,14 +142,32 @@
 	return b
 }
 
-// runCommitHooks takes in that a batch is in the store.
-func (b *WriteBatch) runCommitHooks(rev uint64, now time.Time) {
-	for _, f := range b.commitHooks {
-		f(rev, now)
-	}
+// addFinalRecords goes through the queued jobs: it drops those that are over from the model,
+// and adds the final records of those that are done, maxFinals at most. Jobs whose final
+// records do not fit stay queued.
+func (m *Model) addFinalRecords(b *WriteBatch, maxOps, maxFinals int) {
+	m.writes.filterJobs(func(index int32) (keep bool) {
+		j := m.Jobs[index]
+		switch {
+		case j == nil:
+			return false
+		case j.Finished || j.Cancelled && j.PlacedTasks == 0:
+			m.dropJob(j)
+			return false
+		case j.awaitsFinalRecord():
+			if maxFinals == 0 || len(b.Ops)+2 > maxOps || len(b.Guards)+2 > m.writes.placementPages.limits.guards() || !m.addFinalRecord(b, j) {
+				return true
+			}
+			maxFinals--
+		}
+		j.dirty = false
+		return false
+	})
 }
 
-// addFinalRecord ends a job, if its page fits in beside what is there already.
+// addFinalRecord adds the final record of a job and the removal of its active one. It
+// returns false if the job's admission page does not fit beside what the batch holds
+// already.
 func (m *Model) addFinalRecord(b *WriteBatch, j *Job) bool {
 	rec := jobstore.JobRecord{Job: j.Spec, AcceptedAtMs: j.AcceptedAt.UnixMilli(), State: wire.JobDone, Outcomes: j.endedTasks(0, len(j.Tasks)), FinishedAtMs: m.completionTimeMs(j)}
 	if j.reservation != nil {
@@ -145,7 +184,7 @@
 	b.Guards = append(b.Guards, wire.Guard{Key: jobstore.FinalKey(j.ID)})
 	b.Ops = append(b.Ops, wire.Op{Put: jobstore.FinalKey(j.ID), Value: rec})
 	b.jobs[jobstore.JobKey(j.ID)] = j
-	b.bytes += 1000
+	b.bytes += finalRecordBytes
 	b.commitHooks = append(b.commitHooks, func(_ uint64, now time.Time) {
 		j.Finished = true
 		m.log.Info("job completed", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
@@ -158,7 +197,7 @@
 // no such call: they count as changed until a commit.
 func (m *Model) RequeueBatch(b *WriteBatch) {
 	for _, j := range b.jobs {
-		m.markDirty(j)
+		m.writes.markJob(j)
 	}
 }
 
@@ -171,19 +210,14 @@
 		p.version = version
 		p.generation++ // also where it was to be deleted
 	}
-	if x := b.notes[key]; x != nil {
+	if x := b.planRecords[key]; x != nil {
 		x.version = version
 	}
 }
 
-// IsJobKey reports whether a key holds an active job or a page of them.
-func (b *WriteBatch) IsJobKey(key string) bool {
-	_, ok := jobstore.ParseJobKey(key)
-	return ok || jobstore.IsJobPageKey(key)
-}
-
-// dropJob drops a job that is over. Its records leave their pages with the
-// pages' next change; a leader that finds them sees that the job is over.
+// dropJob removes a job that is over from the model, unless a task of it may still be on a
+// machine. Its placement records leave their pages when these are written next; a leader
+// that finds them before that sees that the job is over.
 func (m *Model) dropJob(j *Job) {
 	if m.Jobs[j.Index] == nil || j.PlacedTasks > 0 {
 		return
@@ -192,24 +226,8 @@
 		m.recordWindowCompletion(j)
 	}
 	for n := range j.Chunks {
-		m.takeOffPlacementPage(&j.Chunks[n])
+		m.writes.placementPages.remove(&j.Chunks[n])
 	}
 	m.Jobs[j.Index] = nil
 	delete(m.names.jobs, j.ID)
 }
-
-// sortedRefs lists refs in an order that does not depend on the map's.
-func sortedRefs(set map[TaskRef]bool) []TaskRef { return sortRefs(set, make([]TaskRef, 0, len(set))) }
-
-func sortRefs(set map[TaskRef]bool, out []TaskRef) []TaskRef {
-	for r := range set {
-		out = append(out, r)
-	}
-	slices.SortFunc(out, func(a, b TaskRef) int {
-		if a.Job != b.Job {
-			return int(a.Job - b.Job)
-		}
-		return int(a.Task - b.Task)
-	})
-	return out
-}
