--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -195,8 +195,8 @@
 
 func stallLeader(w *fake.Cluster) func() {
 	i := w.Leader()
-	w.PauseNode(i, true)
-	return func() { w.PauseNode(i, false) }
+	w.PauseNode(i)
+	return func() { w.ResumeNode(i) }
 }
 
 func crashLeader(w *fake.Cluster) func() {
@@ -207,8 +207,8 @@
 
 func partitionLeaderFromStore(w *fake.Cluster) func() {
 	i := w.Leader()
-	w.PartitionNode(i, true, "state")
-	return func() { w.PartitionNode(i, false, "state") }
+	w.PartitionNode(i, "state")
+	return func() { w.HealNode(i, "state") }
 }
 
 func storeOutage(w *fake.Cluster) func() {
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -294,11 +294,11 @@
 		case 0:
 			w.KillNode(leader)
 		case 1:
-			w.PauseNode(leader, true)
+			w.PauseNode(leader)
 		case 2:
-			w.Store.Refuse(w.Nodes()[leader], true)
+			w.Store.RefuseNode(w.Nodes()[leader])
 		case 3:
-			w.IsolateToWorkers(leader, true)
+			w.IsolateToWorkers(leader)
 		}
 		wg.Wait()
 		changed := scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool {
@@ -310,11 +310,11 @@
 		case 0:
 			w.StartNode(leader)
 		case 1:
-			w.PauseNode(leader, false)
+			w.ResumeNode(leader)
 		case 2:
-			w.Store.Refuse(w.Nodes()[leader], false)
+			w.Store.AcceptNode(w.Nodes()[leader])
 		case 3:
-			w.IsolateToWorkers(leader, false)
+			w.HealNodeIsolation(leader)
 		}
 		coming.Wait()
 		time.Sleep(45 * time.Second) // the world watches for tasks past cancel_s
--- a/controller/fault_interactions_test.go
+++ b/controller/fault_interactions_test.go
@@ -80,13 +80,26 @@
 	return dead
 }
 
+// machineFault is a fault that a machine can have: begin and end take its name.
+type machineFault struct{ begin, end func(machine string) }
+
+// machineFaults are the faults by which a machine can't be asked.
+func machineFaults(w *fake.Cluster) []machineFault {
+	return []machineFault{
+		{w.PartitionMachine, w.HealMachine},
+		{w.HangMachine, w.ResumeMachine},
+		{w.BlockRepliesTo, w.UnblockRepliesTo},
+		{w.BlockHeartbeats, w.UnblockHeartbeats},
+	}
+}
+
 // healMachines ends what has been done to machines.
 func healMachines(w *fake.Cluster) {
 	for _, m := range w.Cloud.Machines() {
-		w.HangMachine(m, false)
-		w.BlockRepliesTo(m, false)
-		w.BlockHeartbeats(m, false)
-		w.PartitionMachine(m, false)
+		w.ResumeMachine(m)
+		w.UnblockRepliesTo(m)
+		w.UnblockHeartbeats(m)
+		w.HealMachine(m)
 	}
 }
 
@@ -107,9 +120,9 @@
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		hang := rnd.IntN(2) == 0
-		trouble := w.PartitionMachine
+		trouble := machineFault{w.PartitionMachine, w.HealMachine}
 		if hang {
-			trouble = w.HangMachine
+			trouble = machineFault{w.HangMachine, w.ResumeMachine}
 		}
 		var ids, names []string
 		for _, n := range []int{101, 102 + rnd.IntN(3), 201, 202 + rnd.IntN(3)} {
@@ -120,7 +133,7 @@
 		slices.Sort(names)
 		names = slices.Compact(names)
 		for _, m := range names {
-			trouble(m, true)
+			trouble.begin(m)
 		}
 		time.Sleep(randomDuration(rnd, 0, 3*time.Second))
 		before := w.FencingToken()
@@ -154,7 +167,7 @@
 		}
 		time.Sleep(randomDuration(rnd, 0, 35*time.Second))
 		for _, m := range names {
-			trouble(m, false)
+			trouble.end(m)
 		}
 		healAndCheckStarvation(t, w)
 	})
@@ -175,13 +188,13 @@
 		}
 		slices.Sort(names)
 		names = slices.Compact(names)
-		ways := []func(string, bool){w.PartitionMachine, w.HangMachine, w.BlockRepliesTo, w.BlockHeartbeats}
+		ways := machineFaults(w)
 		trouble := ways[rnd.IntN(len(ways))]
 		before, dead := w.FencingToken(), w.Leader()
 		w.KillNode(dead)
 		time.Sleep(randomDuration(rnd, 3*time.Second, 4500*time.Millisecond)) // users go to other nodes
 		for _, m := range names {
-			trouble(m, true)
+			trouble.begin(m)
 		}
 		time.Sleep(randomDuration(rnd, 0, time.Second))
 		for _, id := range ids {
@@ -205,7 +218,7 @@
 		}
 		time.Sleep(randomDuration(rnd, 0, 35*time.Second))
 		for _, m := range names {
-			trouble(m, false)
+			trouble.end(m)
 		}
 		healAndCheckStarvation(t, w)
 	})
@@ -221,7 +234,7 @@
 		id := job(101+rnd.IntN(4), nil).ID
 		names := machinesRunningJob(w, wire.Job{ID: id, Tasks: 2})
 		for _, m := range names {
-			w.BlockHeartbeats(m, true)
+			w.BlockHeartbeats(m)
 		}
 		silent := time.Now()
 		time.Sleep(randomDuration(rnd, 0, 8*time.Second))
@@ -257,7 +270,7 @@
 		}
 		time.Sleep(randomDuration(rnd, 0, 35*time.Second))
 		for _, m := range names {
-			w.BlockHeartbeats(m, false)
+			w.UnblockHeartbeats(m)
 		}
 		if late {
 			time.Sleep(randomDuration(rnd, 0, 5*time.Second))
@@ -289,7 +302,7 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 		for _, m := range names {
-			w.BlockRepliesTo(m, true)
+			w.BlockRepliesTo(m)
 		}
 		// Stopped now, its tasks are reported as gone at once, and launches are in
 		// the answer.
@@ -305,18 +318,20 @@
 		}
 		hang := rnd.IntN(2) == 0
 		for _, m := range names { // what was held up arrives at machines that hang
-			w.HangMachine(m, hang)
 			if hang {
-				w.BlockRepliesTo(m, false)
+				w.HangMachine(m)
+				w.UnblockRepliesTo(m)
+			} else {
+				w.ResumeMachine(m)
 			}
 		}
 		time.Sleep(randomDuration(rnd, 400*time.Millisecond, 1700*time.Millisecond))
 		for _, m := range names {
 			for _, n := range w.Nodes() {
-				w.Network.SetOneWayBlock(m, n, true) // nobody hears that they go on
+				w.Network.BlockOneWay(m, n) // nobody hears that they go on
 			}
-			w.HangMachine(m, false)
-			w.BlockRepliesTo(m, false)
+			w.ResumeMachine(m)
+			w.UnblockRepliesTo(m)
 		}
 		time.Sleep(randomDuration(rnd, 0, time.Second))
 		change := rnd.IntN(2) == 0
@@ -327,7 +342,7 @@
 		for _, m := range names {
 			late += w.LateReplies(m)
 			for _, n := range w.Nodes() {
-				w.Network.SetOneWayBlock(m, n, false)
+				w.Network.UnblockOneWay(m, n)
 			}
 		}
 		if late == 0 {
@@ -362,7 +377,8 @@
 			w.CaptureReport(m) // lists no task
 		}
 		fillTeams(t, w)
-		ways := []func(string, bool){w.PartitionMachine, w.HangMachine, w.BlockHeartbeats, w.BlockRepliesTo}
+		ways := machineFaults(w)
+		ways[2], ways[3] = ways[3], ways[2] // the last is the one that lets reports arrive
 		way := rnd.IntN(len(ways))
 		trouble := ways[way]
 		before, started, on := w.FencingToken(), w.Started(), w.TasksPerMachine()
@@ -376,7 +392,7 @@
 			time.Sleep(randomDuration(rnd, 0, time.Second))
 		}
 		for _, m := range names {
-			trouble(m, true)
+			trouble.begin(m)
 		}
 		from := time.Now()
 		if !late {
@@ -412,7 +428,7 @@
 		}
 		lasted := time.Since(from)
 		for _, m := range names {
-			trouble(m, false)
+			trouble.end(m)
 		}
 		healAndCheckStarvation(t, w)
 		if !scenario.Eventually(time.Minute, time.Second, func() bool { return teamsAtQuota(w) }) {
@@ -457,7 +473,7 @@
 		if len(those) == 0 {
 			t.Fatal("no job has a task in the zone that is cut off")
 		}
-		w.IsolateZone(zone, true)
+		w.IsolateZone(zone)
 		time.Sleep(randomDuration(rnd, 0, 20*time.Second))
 		if there == 0 || !teamsAtQuota(w) {
 			t.Errorf("%d tasks in the zone that is cut off, teams at their limits: %v", there, teamsAtQuota(w))
@@ -485,7 +501,7 @@
 		if k := w.FencingToken(); inside == (k == before) {
 			t.Errorf("the leader was cut off: %v; it has changed: %v", inside, k != before)
 		}
-		w.IsolateZone(zone, false)
+		w.HealZoneIsolation(zone)
 		healAndCheckStarvation(t, w)
 	})
 }
@@ -515,7 +531,7 @@
 		// it does not know in which zone they are. At some seeds nor does the cloud say.
 		if rnd.IntN(3) > 0 {
 			for _, m := range rest {
-				w.PartitionMachine(m, true)
+				w.PartitionMachine(m)
 			}
 			w.Cloud.SetOutage(rnd.IntN(3) > 0)
 		}
@@ -533,7 +549,7 @@
 		time.Sleep(randomDuration(rnd, 0, 40*time.Second))
 		w.Cloud.SetOutage(false)
 		for _, m := range rest {
-			w.PartitionMachine(m, false)
+			w.HealMachine(m)
 		}
 		healAndCheckStarvation(t, w)
 		mustFinish(t, w, 20*time.Minute, 1, 2)
@@ -589,7 +605,7 @@
 // are cancelled, machines can't be asked in one way or another, and leaders change.
 func TestInteractionsAtRandom(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
-		ways := []func(string, bool){w.PartitionMachine, w.HangMachine, w.BlockRepliesTo, w.BlockHeartbeats}
+		ways := machineFaults(w)
 		var ids, asked, troubled []string
 		submitted := 0
 		more := func() {
@@ -624,13 +640,13 @@
 			switch rnd.IntN(9) {
 			case 0, 1:
 				for _, m := range troubled {
-					for _, end := range ways {
-						end(m, false)
+					for _, way := range ways {
+						way.end(m)
 					}
 				}
 				troubled = nil
 			case 2, 3, 4:
-				ways[rnd.IntN(len(ways))](at, true)
+				ways[rnd.IntN(len(ways))].begin(at)
 				troubled = append(troubled, at)
 			case 5:
 				w.HoldDirectCommands(at)
@@ -695,7 +711,7 @@
 		}
 		at := w.Cloud.Machines()[0]
 		w.LaunchWithoutLeader(at, "wk-000001/0")
-		w.HangMachine(at, true)
+		w.HangMachine(at)
 		if n := w.StartedAfterCancel(); n != 1 {
 			t.Errorf("%d starts after the cancellation", n)
 		}
@@ -703,7 +719,7 @@
 		if got := w.Violations(); len(got) != 1 || !strings.Contains(got[0], "which hangs") {
 			t.Errorf("a cancelled task is on a machine that hangs, and the checker said %v", got)
 		}
-		w.HangMachine(at, false)
+		w.ResumeMachine(at)
 		time.Sleep(10 * time.Second) // what the machine had is gone
 		if ids := w.Starved(90 * time.Second); len(ids) > 0 {
 			t.Errorf("%v are said to wait, and nothing does", ids)
@@ -748,7 +764,7 @@
 			t.Fatalf("%v were cancelled, and no other long task is on a machine", ids)
 		}
 		at := w.MachinesRunning(left[0])[0]
-		w.BlockHeartbeats(at, true)
+		w.BlockHeartbeats(at)
 		from, direct := time.Now(), w.DirectCommandsExecuted(at)
 		time.Sleep(5 * time.Second)
 		if n := w.Unanswered(from.Add(time.Second)); n != 1 {
--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -99,7 +99,9 @@
 		w.Store.SetLatency(g.slow)
 		w.Store.DelayReplies(g.slowAnswers)
 		w.Store.DelayRepliesTo(name, g.slowToLeader)
-		w.Store.SilenceWatches(name, g.hush)
+		if g.hush {
+			w.Store.SilenceWatches(name)
+		}
 		if g.slow+g.slowAnswers+g.slowToLeader > 0 {
 			time.Sleep(5 * time.Second)
 		}
@@ -109,12 +111,9 @@
 				w.HoldDirectCommands(m)
 			}
 		}
-		refuse := func(on bool) {
-			if g.cut {
-				w.IsolateToWorkers(l, on)
-			} else {
-				w.Store.Refuse(name, on)
-			}
+		refuse, accept := func() { w.Store.RefuseNode(name) }, func() { w.Store.AcceptNode(name) }
+		if g.cut {
+			refuse, accept = func() { w.IsolateToWorkers(l) }, func() { w.HealNodeIsolation(l) }
 		}
 		var wg sync.WaitGroup
 		asked := time.Now().Add(6*time.Second + g.wait) // when the users cancel
@@ -133,14 +132,14 @@
 			})
 		}
 		refused := asked.Add(g.refuse)
-		at(g.refuse, func() { refuse(true) })
+		at(g.refuse, refuse)
 		if g.again > 0 {
-			at(g.refuse+g.again, func() { refuse(false) })
-			at(g.refuse+g.again+300*time.Millisecond, func() { refuse(true) })
+			at(g.refuse+g.again, accept)
+			at(g.refuse+g.again+300*time.Millisecond, refuse)
 		}
 		if g.hangFor > 0 {
-			at(g.hangAt, func() { w.HangMachine(hung, true) })
-			at(g.hangAt+g.hangFor, func() { w.HangMachine(hung, false) })
+			at(g.hangAt, func() { w.HangMachine(hung) })
+			at(g.hangAt+g.hangFor, func() { w.ResumeMachine(hung) })
 		}
 		time.Sleep(time.Until(asked))
 		var confirming sync.WaitGroup
@@ -200,8 +199,8 @@
 			}()
 		}
 		if g.stopFor > 0 {
-			at(latest.Add(g.stopAt).Sub(asked), func() { w.PauseNode(l, true) })
-			at(latest.Add(g.stopAt+g.stopFor).Sub(asked), func() { w.PauseNode(l, false) })
+			at(latest.Add(g.stopAt).Sub(asked), func() { w.PauseNode(l) })
+			at(latest.Add(g.stopAt+g.stopFor).Sub(asked), func() { w.ResumeNode(l) })
 		}
 		var out, back time.Time
 		var led []byte
@@ -214,10 +213,10 @@
 			w.Store.SetLatency(0)
 			w.Store.DelayReplies(0)
 			w.Store.DelayRepliesTo(name, 0)
-			w.Store.SilenceWatches(name, false)
+			w.Store.ResumeWatches(name)
 			w.Store.SetOutage(false)
 		})
-		at(end.Add(g.stays).Sub(asked), func() { refuse(false) })
+		at(end.Add(g.stays).Sub(asked), accept)
 		for time.Now().Before(end) || time.Since(latest) < cancelS {
 			recordLastRunning(w, jobs, last)
 			time.Sleep(50 * time.Millisecond)
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -93,7 +93,7 @@
 	slices.Sort(hung)
 	hung = slices.Compact(hung)
 	hung = hung[:min(2, len(hung))]
-	w.BlockHeartbeats(silent, true)
+	w.BlockHeartbeats(silent)
 	time.Sleep(randomDuration(rnd, 0, 2*time.Second))
 	before := w.FencingToken()
 	w.MarkInteraction()
@@ -101,7 +101,7 @@
 		w.Cancel(id)
 	}
 	for _, m := range hung {
-		w.HangMachine(m, true)
+		w.HangMachine(m)
 	}
 	time.Sleep(randomDuration(rnd, 0, time.Second))
 	dead := stopLeader(w, rnd)
@@ -111,10 +111,10 @@
 	}
 	time.Sleep(randomDuration(rnd, 0, 4*time.Second))
 	for _, m := range hung {
-		w.HangMachine(m, false)
+		w.ResumeMachine(m)
 	}
 	time.Sleep(randomDuration(rnd, 0, 9*time.Second))
-	w.BlockHeartbeats(silent, false)
+	w.UnblockHeartbeats(silent)
 	w.StartNode(dead)
 }
 
@@ -138,7 +138,7 @@
 			}
 			// It saves for 8 s, counts all the while, and starts nowhere else.
 			time.Sleep(randomDuration(rnd, 1500*time.Millisecond, 3*time.Second))
-			w.BlockHeartbeats(at, true)
+			w.BlockHeartbeats(at)
 			w.DelayDirectCommands(1, rnd.Uint64())
 			w.MarkInteraction()
 			for _, id := range ids {
@@ -146,7 +146,7 @@
 			}
 			time.Sleep(16 * time.Second)
 			w.DelayDirectCommands(0, 0)
-			w.BlockHeartbeats(at, false)
+			w.UnblockHeartbeats(at)
 			time.Sleep(15 * time.Second) // the machine is gone
 			met = w.DelayedCommands()
 		}
@@ -171,14 +171,14 @@
 			}
 			running := runningOf(w, ids)
 			at := machinesRunningJob(w, wire.Job{ID: running[0], Tasks: 2})[0]
-			w.BlockHeartbeats(at, true)
+			w.BlockHeartbeats(at)
 			time.Sleep(randomDuration(rnd, 7*time.Second, 10*time.Second)) // most of its lease
 			w.MarkInteraction()
 			for _, id := range running {
 				w.Cancel(id)
 			}
 			time.Sleep(randomDuration(rnd, 6*time.Second, 12*time.Second))
-			w.BlockHeartbeats(at, false)
+			w.UnblockHeartbeats(at)
 			for _, id := range ids {
 				w.Cancel(id)
 			}
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -88,7 +88,7 @@
 		at := w.Cloud.Machines()[rnd.IntN(4)]
 		w.CaptureReport(at)
 		time.Sleep(randomMillis(rnd, 0, 2000))
-		w.HangMachine(at, true)
+		w.HangMachine(at)
 		was := w.Leader()
 		w.KillNode(was)
 		if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
@@ -106,7 +106,7 @@
 			t.Errorf("it was answered %d as it came again, while it is the newest", status)
 		}
 		time.Sleep(randomMillis(rnd, 1000, 40_000))
-		w.HangMachine(at, false)
+		w.ResumeMachine(at)
 		w.StartNode(was)
 		time.Sleep(4 * time.Second) // it has reported itself, or nothing of it counts any more
 		if status := w.ReplayReport(at, w.Leader()); status == 200 {
@@ -130,7 +130,7 @@
 		time.Sleep(randomMillis(rnd, 3000, 8000))
 		w.DelayCopiesUntilFailover(0) // what is kept is of the sessions that end now
 		zone := fake.Zones[rnd.IntN(2)]
-		w.PartitionZone(zone, true)
+		w.PartitionZone(zone)
 		time.Sleep(randomMillis(rnd, 13_000, 25_000)) // their leases end, and what was there goes on elsewhere
 		changeLeader(t, w)
 		time.Sleep(4 * time.Second)
@@ -138,7 +138,7 @@
 		if met.First == 0 || met.EarlierSession == 0 || met.EarlierAttempt == 0 {
 			t.Errorf("copies met %+v", met)
 		}
-		w.PartitionZone(zone, false)
+		w.HealZonePartition(zone)
 		numbers = append(numbers, submitGangAndArrays(t, w, 11, rnd)...)
 		for range 8 {
 			time.Sleep(randomMillis(rnd, 500, 4000))
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -274,11 +274,11 @@
 			node := fmt.Sprintf("n-%d", l)
 			switch n {
 			case 1, 7:
-				w.Store.Refuse(node, true)
+				w.Store.RefuseNode(node)
 				awaitLeader(t, w, 15*time.Second, func(i int) bool { return i != l })
 				// For longer than leases last that the next one counts from its takeover.
 				time.Sleep(randomDuration(rnd, 14*time.Second, 18*time.Second))
-				w.Store.Refuse(node, false)
+				w.Store.AcceptNode(node)
 			case 4: // inside an outage
 				w.Store.SetOutage(true)
 				time.Sleep(randomDuration(rnd, 200*time.Millisecond, 2*time.Second))
@@ -287,13 +287,13 @@
 				w.Store.SetOutage(false)
 				outages++
 			case 6: // it stands still, and goes on beside the next one
-				w.PauseNode(l, true)
+				w.PauseNode(l)
 				awaitLeader(t, w, 15*time.Second, func(i int) bool { return i != l })
-				w.PauseNode(l, false)
+				w.ResumeNode(l)
 			case 9: // cut off alone, and back
-				w.PartitionNode(l, true, everything...)
+				w.PartitionNode(l, everything...)
 				awaitLeader(t, w, 15*time.Second, func(i int) bool { return i != l })
-				w.PartitionNode(l, false, everything...)
+				w.HealNode(l, everything...)
 			default:
 				w.PowerCycleNode(l, randomDuration(rnd, 0, 900*time.Millisecond))
 			}
@@ -331,9 +331,9 @@
 			if n%2 == 0 {
 				w.PowerCycleNode(l, randomDuration(rnd, 0, 900*time.Millisecond))
 			} else {
-				w.Store.Refuse(fmt.Sprintf("n-%d", l), true)
+				w.Store.RefuseNode(fmt.Sprintf("n-%d", l))
 				time.Sleep(randomDuration(rnd, 2*time.Second, 20*time.Second))
-				w.Store.Refuse(fmt.Sprintf("n-%d", l), false)
+				w.Store.AcceptNode(fmt.Sprintf("n-%d", l))
 			}
 		}
 		w.Store.DelayLeaseRequests(0, 0)
@@ -437,10 +437,10 @@
 			t.Fatal("no election is on its way")
 		}
 		time.Sleep(1900 * time.Millisecond)
-		w.Store.Refuse(node, true)
+		w.Store.RefuseNode(node)
 		came := scenario.Eventually(6*time.Second, 10*time.Millisecond, func() bool { return w.Store.PendingTransactions() == 0 })
 		found := w.Leader()
-		w.Store.Refuse(node, false)
+		w.Store.AcceptNode(node)
 		if !came || found != l {
 			t.Fatalf("the late election came: %v, leader %d", came, found)
 		}
--- a/controller/paused_process_test.go
+++ b/controller/paused_process_test.go
@@ -37,7 +37,7 @@
 					time.Sleep(4 * time.Second)
 					which := c.which(w.Leader())
 					for _, i := range which {
-						w.PauseNode(i, true)
+						w.PauseNode(i)
 					}
 					begun := time.Now()
 					if len(which) == 1 && d > 5*time.Second {
@@ -48,7 +48,7 @@
 					}
 					time.Sleep(d - time.Since(begun))
 					for _, i := range which {
-						w.PauseNode(i, false)
+						w.ResumeNode(i)
 					}
 					mustSubmit(t, w, job(4, nil))
 					mustReach(t, w, "wk-000004", wire.JobDone, 2*time.Minute)
@@ -74,9 +74,9 @@
 		mustReach(t, w, "wk-000001", wire.JobRunning, 20*time.Second)
 		time.Sleep(5 * time.Second)
 		l := w.Leader()
-		w.PauseNode((l+2)%5, true)
+		w.PauseNode((l + 2) % 5)
 		time.Sleep(8 * time.Second)
-		w.PauseNode(l, true)
+		w.PauseNode(l)
 		mustReach(t, w, "wk-000001", wire.JobDone, 3*time.Minute)
 		if n := w.Started(); n != 16 {
 			t.Errorf("%d starts of 16 tasks", n)
@@ -90,9 +90,9 @@
 	runScenario(t, fake.Options{Machines: 2, Nodes: 4}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		a := (w.Leader() + 1) % 4
-		w.Store.Refuse(fmt.Sprintf("n-%d", a), true)
+		w.Store.RefuseNode(fmt.Sprintf("n-%d", a))
 		for i := range 2 {
-			w.PauseNode((a+1+i)%4, true)
+			w.PauseNode((a + 1 + i) % 4)
 		}
 		time.Sleep(2 * time.Second)
 		if status := w.PostSubmission(a, job(1, nil)); status != 201 {
--- a/controller/priorities_test.go
+++ b/controller/priorities_test.go
@@ -113,13 +113,13 @@
 		{"is cut off from the state service", partitionLeaderFromStore},
 		{"is refused by it", func(w *fake.Cluster) func() {
 			l := w.Leader()
-			w.Store.Refuse(fmt.Sprintf("n-%d", l), true)
-			return func() { w.Store.Refuse(fmt.Sprintf("n-%d", l), false) }
+			w.Store.RefuseNode(fmt.Sprintf("n-%d", l))
+			return func() { w.Store.AcceptNode(fmt.Sprintf("n-%d", l)) }
 		}},
 		{"is cut off from all", func(w *fake.Cluster) func() {
 			l := w.Leader()
-			w.PartitionNode(l, true, everything...)
-			return func() { w.PartitionNode(l, false, everything...) }
+			w.PartitionNode(l, everything...)
+			return func() { w.HealNode(l, everything...) }
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -163,16 +163,16 @@
 		do   func(w *fake.Cluster, l int) (end func())
 	}{
 		{"is cut off from the state service", func(w *fake.Cluster, l int) func() {
-			w.PartitionNode(l, true, "state")
-			return func() { w.PartitionNode(l, false, "state") }
+			w.PartitionNode(l, "state")
+			return func() { w.HealNode(l, "state") }
 		}},
 		{"is refused by it", func(w *fake.Cluster, l int) func() {
-			w.Store.Refuse(fmt.Sprintf("n-%d", l), true)
-			return func() { w.Store.Refuse(fmt.Sprintf("n-%d", l), false) }
+			w.Store.RefuseNode(fmt.Sprintf("n-%d", l))
+			return func() { w.Store.AcceptNode(fmt.Sprintf("n-%d", l)) }
 		}},
 		{"stands still for a moment", func(w *fake.Cluster, l int) func() {
-			w.PauseNode(l, true)
-			time.AfterFunc(4*time.Second, func() { w.PauseNode(l, false) })
+			w.PauseNode(l)
+			time.AfterFunc(4*time.Second, func() { w.ResumeNode(l) })
 			return func() {}
 		}},
 		{"finds the key-value store slow", func(w *fake.Cluster, _ int) func() {
@@ -259,7 +259,7 @@
 				time.Sleep(10 * time.Second)
 				mustSubmit(t, w, wholeMachineJob(2, "craft", 20), wholeMachineJob(3, "school", 20), wholeMachineJob(4, "clinic", 20))
 				for i, next := range []string{tierPlan("school", "clinic", "craft"), tierPlan("craft", "school", "clinic"), tierPlan("clinic", "school", "craft")} {
-					w.PartitionNode(i, true, "state", "nodes")
+					w.PartitionNode(i, "state", "nodes")
 					applyPlan(t, w, i+1, next)
 					time.Sleep(3 * time.Second)
 				}
@@ -269,7 +269,7 @@
 					}
 				}
 				for i := range 3 {
-					w.PartitionNode(i, false, "state", "nodes")
+					w.HealNode(i, "state", "nodes")
 					w.StartNode(i)
 				}
 				if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003", "wk-000004"); got != "wk-000004" {
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -175,9 +175,9 @@
 	w.Cloud.SetBootTimes(nil)
 	w.Cloud.SetReplyDelay(0)
 	for i := range 3 {
-		w.PauseNode(i, false)
-		w.Store.Refuse(fmt.Sprintf("n-%d", i), false)
-		w.PartitionNode(i, false, everything...)
+		w.ResumeNode(i)
+		w.Store.AcceptNode(fmt.Sprintf("n-%d", i))
+		w.HealNode(i, everything...)
 		w.StartNode(i)
 	}
 	w.DuplicateReports(0)
@@ -230,20 +230,29 @@
 	case 5, 6:
 		w.Store.SetOutage(false)
 	case 7:
-		w.PartitionNode(n, true, everything[rnd.IntN(len(everything))])
+		w.PartitionNode(n, everything[rnd.IntN(len(everything))])
 	case 8:
-		w.PartitionNode(n, false, everything...)
+		w.HealNode(n, everything...)
 	case 9:
 		w.Store.DelayNextTransaction(time.Duration(1+rnd.IntN(40)) * time.Second)
 	case 10:
-		w.Store.Refuse(fmt.Sprintf("n-%d", n), rnd.IntN(2) == 0)
+		if rnd.IntN(2) == 0 {
+			w.Store.RefuseNode(fmt.Sprintf("n-%d", n))
+		} else {
+			w.Store.AcceptNode(fmt.Sprintf("n-%d", n))
+		}
 	case 11:
 		if machine != "" && rnd.IntN(2) == 0 {
 			w.KillMachine(machine)
 		}
 	case 12:
-		if machine != "" {
-			w.HangMachine(machine, rnd.IntN(2) == 0)
+		if machine == "" {
+			break
+		}
+		if rnd.IntN(2) == 0 {
+			w.HangMachine(machine)
+		} else {
+			w.ResumeMachine(machine)
 		}
 	case 13:
 		if machine != "" && rnd.IntN(2) == 0 {
@@ -257,10 +266,10 @@
 	case 15:
 		w.Cloud.SetOutage(rnd.IntN(2) == 0)
 	case 16, 17:
-		w.PauseNode(n, true)
+		w.PauseNode(n)
 	case 18:
 		for i := range 3 {
-			w.PauseNode(i, false)
+			w.ResumeNode(i)
 		}
 	case 19:
 		boots := []time.Duration{-1, 100 * time.Millisecond, 25 * time.Second, 10 * time.Second}
@@ -268,13 +277,22 @@
 		w.Cloud.SetBootTimes(func(n int) time.Duration { return boots[(n+shift)%4] })
 		w.Cloud.SetReplyDelay(time.Duration(rnd.IntN(4)) * time.Second)
 	case 20, 21:
-		if machine != "" {
-			w.BlockRepliesTo(machine, rnd.IntN(3) > 0)
+		if machine == "" {
+			break
+		}
+		if rnd.IntN(3) > 0 {
+			w.BlockRepliesTo(machine)
+		} else {
+			w.UnblockRepliesTo(machine)
 		}
 	case 22:
 		w.DuplicateReports(rnd.IntN(4))
 	case 23:
-		w.IsolateToWorkers(n, rnd.IntN(2) == 0)
+		if rnd.IntN(2) == 0 {
+			w.IsolateToWorkers(n)
+		} else {
+			w.HealNodeIsolation(n)
+		}
 	case 24:
 		w.PowerCycleNode(n, time.Duration(rnd.IntN(900))*time.Millisecond)
 	}
@@ -299,8 +317,14 @@
 	case 0:
 		cancelled, _ = w.CancelRunning(1+rnd.IntN(3), time.Duration(rnd.IntN(3)*rnd.IntN(8000))*time.Millisecond)
 	case 1, 2:
-		if ms := w.Cloud.Machines(); len(ms) > 0 {
-			w.BlockHeartbeats(ms[rnd.IntN(len(ms))], rnd.IntN(3) > 0)
+		ms := w.Cloud.Machines()
+		if len(ms) == 0 {
+			break
+		}
+		if machine := ms[rnd.IntN(len(ms))]; rnd.IntN(3) > 0 {
+			w.BlockHeartbeats(machine)
+		} else {
+			w.UnblockHeartbeats(machine)
 		}
 	}
 	return cancelled
@@ -323,10 +347,10 @@
 	case 7:
 		w.CancelOnCompletion(0, 0)
 	case 8:
-		w.PartitionZone(fake.Zones[rnd.IntN(len(fake.Zones))], true)
+		w.PartitionZone(fake.Zones[rnd.IntN(len(fake.Zones))])
 	case 9, 10:
 		for _, zone := range fake.Zones {
-			w.PartitionZone(zone, false)
+			w.HealZonePartition(zone)
 		}
 	case 11:
 		if rnd.IntN(2) == 0 {
--- a/controller/reachability_test.go
+++ b/controller/reachability_test.go
@@ -28,7 +28,7 @@
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 3)
 		at := w.Cloud.Machines()[0]
-		w.BlockRepliesTo(at, true)
+		w.BlockRepliesTo(at)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 3, 10 }))
 		// Two rounds of 10 s, and at worst one wait of 4 s for an answer.
 		mustReach(t, w, "wk-000001", wire.JobDone, 35*time.Second)
@@ -42,7 +42,7 @@
 		if n := w.TasksPerMachine()[at]; n > 0 {
 			t.Errorf("%d tasks on the mute machine", n)
 		}
-		w.BlockRepliesTo(at, false)
+		w.UnblockRepliesTo(at)
 		if !scenario.Eventually(10*time.Second, 100*time.Millisecond, func() bool { return w.TasksPerMachine()[at] > 0 }) {
 			t.Error("10 s after it hears again it has no task")
 		}
@@ -57,7 +57,7 @@
 	runScenario(t, fake.Options{Machines: 3, Capacity: 4, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 3)
 		at := w.Cloud.Machines()[0]
-		w.BlockRepliesTo(at, true)
+		w.BlockRepliesTo(at)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 3, 5 }))
 		time.Sleep(time.Second)
 		w.KillNode(w.Leader())
@@ -77,7 +77,7 @@
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 2)
 		at := w.Cloud.Machines()[0]
-		w.BlockRepliesTo(at, true)
+		w.BlockRepliesTo(at)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 3, 600 }))
 		time.Sleep(2*time.Minute + 30*time.Second)
 		if all := w.Cloud.Machines(); len(all) != 2 || all[0] == at {
@@ -150,16 +150,16 @@
 				switch name {
 				case "all but one":
 					l := w.Leader()
-					w.IsolateToWorkers(l, true)
-					w.IsolateToWorkers((l+1)%3, true)
+					w.IsolateToWorkers(l)
+					w.IsolateToWorkers((l + 1) % 3)
 				case "one by another":
 					for i := range 3 {
-						w.IsolateToWorkers(i, true)
+						w.IsolateToWorkers(i)
 						time.Sleep(15 * time.Second)
-						w.IsolateToWorkers(i, false)
+						w.HealNodeIsolation(i)
 					}
 				default:
-					w.IsolateToWorkers(which(w), true)
+					w.IsolateToWorkers(which(w))
 				}
 				at := time.Now()
 				time.Sleep(20 * time.Second)
@@ -167,7 +167,7 @@
 					t.Errorf("%d workers have no answer, %d leases ended", n, w.ExpiredLeases())
 				}
 				for i := range 3 {
-					w.IsolateToWorkers(i, false)
+					w.HealNodeIsolation(i)
 				}
 				mustSubmit(t, w, job(1, nil))
 				mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
@@ -190,11 +190,11 @@
 				w.PowerCycleNode((round+i)%3, after*time.Millisecond/2)
 			}
 			for _, m := range w.Cloud.Machines() {
-				w.HangMachine(m, true)
+				w.HangMachine(m)
 			}
 			time.Sleep(300 * time.Millisecond)
 			for _, m := range w.Cloud.Machines() {
-				w.HangMachine(m, false)
+				w.ResumeMachine(m)
 			}
 			id := job(1+round, nil).ID
 			mustSubmit(t, w, job(1+round, nil))
--- a/controller/scenarios_test.go
+++ b/controller/scenarios_test.go
@@ -96,11 +96,11 @@
 		mustReach(t, w, "wk-000001", wire.JobRunning, 30*time.Second)
 		time.Sleep(3 * time.Second)
 		name := w.MachinesRunning("wk-000001/0")[0]
-		w.HangMachine(name, true)
+		w.HangMachine(name)
 		w.Cancel("wk-000001")
 		time.Sleep(9 * time.Second)
 		mustSubmit(t, w, job(2, func(j *wire.Job) { j.Tasks = 4; j.CPUs = 4 }))
-		w.HangMachine(name, false) // the stops it was sent are executed now
+		w.ResumeMachine(name) // the stops it was sent are executed now
 		mustReach(t, w, "wk-000002", wire.JobDone, 2*time.Minute)
 	})
 }
@@ -124,16 +124,19 @@
 
 func TestLeaderPartitionedFromTheKeyValueStore(t *testing.T) {
 	for _, c := range []struct {
-		name string
-		do   func(w *fake.Cluster, leader int, on bool)
+		name       string
+		begin, end func(w *fake.Cluster, leader int)
 	}{
-		{"cut from the state service", func(w *fake.Cluster, l int, on bool) { w.PartitionNode(l, on, "state") }},
-		{"refused by it alone", func(w *fake.Cluster, l int, on bool) { w.Store.Refuse(fmt.Sprintf("n-%d", l), on) }},
-		{"cut from the workers", func(w *fake.Cluster, l int, on bool) { w.PartitionNode(l, on, "workers") }},
-		{"cut from everything", func(w *fake.Cluster, l int, on bool) {
-			w.PartitionNode(l, on, "state", "workers", "nodes", "cloud", "user")
-		}},
-		{"outage for all", func(w *fake.Cluster, _ int, on bool) { w.Store.SetOutage(on) }},
+		{"cut from the state service", func(w *fake.Cluster, l int) { w.PartitionNode(l, "state") },
+			func(w *fake.Cluster, l int) { w.HealNode(l, "state") }},
+		{"refused by it alone", func(w *fake.Cluster, l int) { w.Store.RefuseNode(fmt.Sprintf("n-%d", l)) },
+			func(w *fake.Cluster, l int) { w.Store.AcceptNode(fmt.Sprintf("n-%d", l)) }},
+		{"cut from the workers", func(w *fake.Cluster, l int) { w.PartitionNode(l, "workers") },
+			func(w *fake.Cluster, l int) { w.HealNode(l, "workers") }},
+		{"cut from everything", func(w *fake.Cluster, l int) { w.PartitionNode(l, "state", "workers", "nodes", "cloud", "user") },
+			func(w *fake.Cluster, l int) { w.HealNode(l, "state", "workers", "nodes", "cloud", "user") }},
+		{"outage for all", func(w *fake.Cluster, _ int) { w.Store.SetOutage(true) },
+			func(w *fake.Cluster, _ int) { w.Store.SetOutage(false) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
@@ -141,9 +144,9 @@
 					job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.EstimateS = 50 }))
 				time.Sleep(8 * time.Second)
 				leader := w.Leader()
-				c.do(w, leader, true)
+				c.begin(w, leader)
 				time.Sleep(18 * time.Second)
-				c.do(w, leader, false)
+				c.end(w, leader)
 				mustSubmit(t, w, job(3, nil))
 				for _, id := range []string{"wk-000001", "wk-000002", "wk-000003"} {
 					mustReach(t, w, id, wire.JobDone, 3*time.Minute)
@@ -156,7 +159,7 @@
 func TestNodeRefusedByTheKeyValueStoreStillServesUsers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster) {
 		f := (w.Leader() + 1) % 3
-		w.Store.Refuse(fmt.Sprintf("n-%d", f), true)
+		w.Store.RefuseNode(fmt.Sprintf("n-%d", f))
 		time.Sleep(2 * time.Second)
 		if status := w.PostSubmission(f, job(1, nil)); status != 201 {
 			t.Errorf("submission through the refused node answered %d", status)
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -76,7 +76,7 @@
 	runInteraction(t, 3, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		w.Store.SetLatency(time.Duration(rnd.IntN(40)) * time.Millisecond)
 		refused := rnd.IntN(3)
-		w.Store.Refuse(w.Nodes()[refused], true)
+		w.Store.RefuseNode(w.Nodes()[refused])
 		time.Sleep(6 * time.Second) // it may have led
 		over := make(chan struct{})
 		var stands, wg sync.WaitGroup
@@ -87,9 +87,9 @@
 					return
 				case <-time.After(300 * time.Millisecond):
 				}
-				w.PauseNode((refused+1+i%2)%3, true)
+				w.PauseNode((refused + 1 + i%2) % 3)
 				time.Sleep(time.Duration(100+100*(i%4)) * time.Millisecond)
-				w.PauseNode((refused+1+i%2)%3, false)
+				w.ResumeNode((refused + 1 + i%2) % 3)
 			}
 		})
 		var byWay, looks atomic.Int64
@@ -127,7 +127,7 @@
 		wg.Wait()
 		close(over)
 		stands.Wait()
-		w.Store.Refuse(w.Nodes()[refused], false)
+		w.Store.AcceptNode(w.Nodes()[refused])
 		if looks.Load() < 100 {
 			t.Errorf("%d answers in all", looks.Load())
 		}
@@ -378,7 +378,7 @@
 				mustSubmit(t, w, j)
 				// Its leader hears of nothing but by the barriers of its renewals.
 				node := w.Nodes()[awaitLeader(t, w, 10*time.Second, anyNode)]
-				w.Store.SilenceWatches(node, true)
+				w.Store.SilenceWatches(node)
 				onItsWay := eventually(10*time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
 				started := w.Started()
 				got := w.CancelAt(w.AnyNodeAddr(), j.ID)
@@ -387,7 +387,7 @@
 				}
 				come()
 				time.Sleep(randomDuration(rnd, 4*time.Second, 6*time.Second))
-				w.Store.SilenceWatches(node, false)
+				w.Store.ResumeWatches(node)
 				if n := w.Started() - started; n > 0 || len(w.MachinesRunning(j.ID+"/0")) > 0 {
 					t.Errorf("%s, which is cancelled, was started %d times", j.ID, n)
 				}
@@ -442,10 +442,10 @@
 		close(over)
 		calm.Wait()
 		refused := rnd.IntN(3)
-		w.Store.Refuse(w.Nodes()[refused], true)
+		w.Store.RefuseNode(w.Nodes()[refused])
 		time.Sleep(time.Duration(rnd.IntN(2000)) * time.Millisecond)
 		odd("one node is refused", 3)
-		w.Store.Refuse(w.Nodes()[refused], false)
+		w.Store.AcceptNode(w.Nodes()[refused])
 		w.Store.SetOutage(true)
 		time.Sleep(time.Duration(rnd.IntN(2000)) * time.Millisecond)
 		odd("an outage", 0)
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -90,9 +90,9 @@
 		},
 		"its task is elsewhere": func(t *testing.T, w *fake.Cluster, at string) {
 			t.Helper()
-			w.HangMachine(at, true)
+			w.HangMachine(at)
 			mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
-			w.HangMachine(at, false)
+			w.ResumeMachine(at)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -149,9 +149,9 @@
 		m := w.Cloud.Machines()[0]
 		w.HoldDirectCommands(m)
 		mustSubmit(t, w, singleTaskJob(1, 30))
-		w.HangMachine(m, true)
+		w.HangMachine(m)
 		time.Sleep(40 * time.Second)
-		w.HangMachine(m, false)
+		w.ResumeMachine(m)
 		time.Sleep(time.Second)
 		if _, refused := w.DeliverHeldCommands(m); refused == 0 {
 			t.Error("the summons of the ended session was not refused")
@@ -179,9 +179,9 @@
 					if at < 0 {
 						t.Fatal("no leader")
 					}
-					w.PauseNode(at, true)
+					w.PauseNode(at)
 					time.Sleep(stop)
-					w.PauseNode(at, false)
+					w.ResumeNode(at)
 					mustReach(t, w, job(n, nil).ID, wire.JobDone, 2*time.Minute)
 					time.Sleep(10 * time.Second)
 				}
@@ -208,9 +208,9 @@
 				}
 				time.Sleep(150 * time.Millisecond) // its report is there, its answer not yet
 				m := w.Cloud.Machines()[0]
-				w.HangMachine(m, true)
+				w.HangMachine(m)
 				time.Sleep(hang)
-				w.HangMachine(m, false)
+				w.ResumeMachine(m)
 				mustFinish(t, w, 3*time.Minute, 1, 2, 3)
 			})
 		})
--- a/controller/warm_pools_test.go
+++ b/controller/warm_pools_test.go
@@ -263,8 +263,8 @@
 		lose func(w *fake.Cluster, name string)
 	}{
 		{"dies", func(w *fake.Cluster, n string) { w.KillMachine(n) }},
-		{"hangs", func(w *fake.Cluster, n string) { w.HangMachine(n, true) }},
-		{"is mute", func(w *fake.Cluster, n string) { w.BlockRepliesTo(n, true) }},
+		{"hangs", func(w *fake.Cluster, n string) { w.HangMachine(n) }},
+		{"is mute", func(w *fake.Cluster, n string) { w.BlockRepliesTo(n) }},
 		{"is taken back", func(w *fake.Cluster, n string) {
 			w.SendInterruptionNotice(n, 8*time.Second)
 			time.AfterFunc(8*time.Second, func() {
@@ -522,8 +522,8 @@
 						restartLeader(w)
 					case 1:
 						i := rnd.IntN(5)
-						w.PartitionNode(i, true, "state", "workers")
-						time.AfterFunc(15*time.Second, func() { w.PartitionNode(i, false, "state", "workers") })
+						w.PartitionNode(i, "state", "workers")
+						time.AfterFunc(15*time.Second, func() { w.HealNode(i, "state", "workers") })
 					case 2:
 						w.Store.SetOutage(true)
 						time.Sleep(8 * time.Second)
--- a/internal/fake/kvstore_faults.go
+++ b/internal/fake/kvstore_faults.go
@@ -48,19 +48,33 @@
 	s.wakeWatches()
 }
 
-// Refuse makes one node get 503, or ends that.
-func (s *KVStore) Refuse(node string, on bool) {
+// RefuseNode answers each request of a node with 503, until AcceptNode.
+func (s *KVStore) RefuseNode(node string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refusedNodes[node] = on
+	s.refusedNodes[node] = true
+}
+
+// AcceptNode ends what RefuseNode began.
+func (s *KVStore) AcceptNode(node string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.refusedNodes, node)
 }
 
 // SilenceWatches makes watches of a node bring nothing while all else is answered, as
-// where their connection hangs, or ends that.
-func (s *KVStore) SilenceWatches(node string, on bool) {
+// where their connection hangs, until ResumeWatches.
+func (s *KVStore) SilenceWatches(node string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.silentWatches[node] = true
+}
+
+// ResumeWatches ends what SilenceWatches began.
+func (s *KVStore) ResumeWatches(node string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silentWatches[node] = on
+	delete(s.silentWatches, node)
 }
 
 // SetLatency makes every answer take that much longer than usual.
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -72,19 +72,19 @@
 func (n *Network) faulty(hosts map[string]bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	between := func(ends [2]string) bool { return hosts[ends[0]] && hosts[ends[1]] }
-	for ends, cut := range n.cuts {
-		if cut && between(ends) {
+	between := func(a, b string) bool { return hosts[a] && hosts[b] }
+	for cut := range n.cuts {
+		if between(cut.a, cut.b) {
 			return true
 		}
 	}
-	for ends, closed := range n.outgoingBlocks {
-		if closed && between(ends) {
+	for way := range n.outgoingBlocks {
+		if between(way.from, way.to) {
 			return true
 		}
 	}
-	for ends := range n.oneWayBlocks {
-		if between(ends) {
+	for way := range n.oneWayBlocks {
+		if between(way.from, way.to) {
 			return true
 		}
 	}
@@ -100,23 +100,13 @@
 func (s *KVStore) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, on := range s.refusedNodes {
-		if on {
-			return true
-		}
-	}
-	for _, on := range s.silentWatches {
-		if on {
-			return true
-		}
-	}
 	for _, by := range s.replyDelayTo {
 		if by > 0 {
 			return true
 		}
 	}
 	d := &s.delays
-	return s.outage || s.latency > 0 || s.replyDelay > 0 || s.delayNext.by > 0 || s.holdNext.release != nil || s.corrupted.Load() ||
+	return s.outage || len(s.refusedNodes) > 0 || len(s.silentWatches) > 0 || s.latency > 0 || s.replyDelay > 0 || s.delayNext.by > 0 || s.holdNext.release != nil || s.corrupted.Load() ||
 		d.lateShare > 0 || d.lostReplyShare > 0 || d.leaseShare > 0 || d.waiting > 0
 }
 
--- a/internal/fake/liveness_test.go
+++ b/internal/fake/liveness_test.go
@@ -175,38 +175,33 @@
 }
 
 func TestEachFaultIsSeen(t *testing.T) {
-	for name, set := range map[string]func(w *Cluster, machine string, on bool){
-		"outage of the state service": func(w *Cluster, _ string, on bool) { w.Store.SetOutage(on) },
-		"refused node":                func(w *Cluster, _ string, on bool) { w.Store.Refuse("n-1", on) },
-		"cut node":                    func(w *Cluster, _ string, on bool) { w.PartitionNode(1, on, "state") },
-		"cut machine":                 func(w *Cluster, m string, on bool) { w.PartitionMachine(m, on) },
-		"mute machine":                func(w *Cluster, m string, on bool) { w.BlockRepliesTo(m, on) },
-		"silent machine":              func(w *Cluster, m string, on bool) { w.BlockHeartbeats(m, on) },
-		"hung machine":                func(w *Cluster, m string, on bool) { w.HangMachine(m, on) },
-		"node that stands still":      func(w *Cluster, _ string, on bool) { w.PauseNode(1, on) },
-		"outage of the cloud":         func(w *Cluster, _ string, on bool) { w.Cloud.SetOutage(on) },
-		"silent cloud":                func(w *Cluster, _ string, on bool) { w.Cloud.SetDropReplies(on) },
-		"late commands": func(w *Cluster, _ string, on bool) {
-			w.DelayDirectCommands(map[bool]float64{true: 0.1}[on], 1)
-		},
-		"copied reports": func(w *Cluster, _ string, on bool) { w.DuplicateReports(map[bool]int{true: 2}[on]) },
-		"lost answers": func(w *Cluster, _ string, on bool) {
-			w.Store.DropReplies(0, map[bool]float64{true: 0.1}[on], 1)
-		},
-		"slow answers": func(w *Cluster, _ string, on bool) {
-			w.Store.DelayReplies(map[bool]time.Duration{true: time.Second}[on])
-		},
+	type change func(w *Cluster, machine string)
+	for name, fault := range map[string]struct{ begin, end change }{
+		"outage of the state service": {func(w *Cluster, _ string) { w.Store.SetOutage(true) }, func(w *Cluster, _ string) { w.Store.SetOutage(false) }},
+		"refused node":                {func(w *Cluster, _ string) { w.Store.RefuseNode("n-1") }, func(w *Cluster, _ string) { w.Store.AcceptNode("n-1") }},
+		"cut node":                    {func(w *Cluster, _ string) { w.PartitionNode(1, "state") }, func(w *Cluster, _ string) { w.HealNode(1, "state") }},
+		"cut machine":                 {(*Cluster).PartitionMachine, (*Cluster).HealMachine},
+		"mute machine":                {(*Cluster).BlockRepliesTo, (*Cluster).UnblockRepliesTo},
+		"silent machine":              {(*Cluster).BlockHeartbeats, (*Cluster).UnblockHeartbeats},
+		"hung machine":                {(*Cluster).HangMachine, (*Cluster).ResumeMachine},
+		"node that stands still":      {func(w *Cluster, _ string) { w.PauseNode(1) }, func(w *Cluster, _ string) { w.ResumeNode(1) }},
+		"outage of the cloud":         {func(w *Cluster, _ string) { w.Cloud.SetOutage(true) }, func(w *Cluster, _ string) { w.Cloud.SetOutage(false) }},
+		"silent cloud":                {func(w *Cluster, _ string) { w.Cloud.SetDropReplies(true) }, func(w *Cluster, _ string) { w.Cloud.SetDropReplies(false) }},
+		"late commands":               {func(w *Cluster, _ string) { w.DelayDirectCommands(0.1, 1) }, func(w *Cluster, _ string) { w.DelayDirectCommands(0, 1) }},
+		"copied reports":              {func(w *Cluster, _ string) { w.DuplicateReports(2) }, func(w *Cluster, _ string) { w.DuplicateReports(0) }},
+		"lost answers":                {func(w *Cluster, _ string) { w.Store.DropReplies(0, 0.1, 1) }, func(w *Cluster, _ string) { w.Store.DropReplies(0, 0, 1) }},
+		"slow answers":                {func(w *Cluster, _ string) { w.Store.DelayReplies(time.Second) }, func(w *Cluster, _ string) { w.Store.DelayReplies(0) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			checkedWorld(t, func(w *Cluster, m *machine, _ *job) {
 				if w.FaultActive() {
 					t.Error("a fault is seen before there is one")
 				}
-				set(w, m.name, true)
+				fault.begin(w, m.name)
 				if !w.FaultActive() {
 					t.Error("the fault is not seen")
 				}
-				set(w, m.name, false)
+				fault.end(w, m.name)
 				if w.FaultActive() {
 					t.Error("a fault is seen after it has ended")
 				}
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -109,7 +109,7 @@
 		delete(m.w.fetching, m.name)
 	}
 	m.w.mu.Unlock()
-	m.w.Network.SetDown(m.name, true)
+	m.w.Network.PowerOff(m.name)
 	m.end()
 }
 
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -1,6 +1,12 @@
-// Package fake is a small world in memory: a network, a key-value store, a
-// cloud, machines with workers, users, and a checker of the protocol's rules.
-// Scenarios run controllers against it, in simulated time.
+// Package fake is a cluster's surroundings in memory: a network, a key-value store, a
+// cloud, machines with workers, users, and a checker of the protocol's rules. Scenarios
+// run controllers against it, in simulated time (testing/synctest), and inject faults;
+// real processes can be attached to it as well.
+//
+// A Cluster has a lock that guards what workers, users and the checker know; Network,
+// KVStore and Cloud have their own. Where two are held, the cloud's is taken before the
+// cluster's, and that before the network's; the key-value store's is held when a
+// violation is reported, which takes the cluster's.
 package fake
 
 import (
@@ -15,186 +21,241 @@
 
 // Network is a network of hosts, named by the part of an address before the colon.
 type Network struct {
-	mu             sync.Mutex
-	listeners      map[string]*listener
-	conns          map[*conn]bool
-	cuts           map[[2]string]bool
-	oneWayBlocks   map[[2]string]chan struct{} // what the first sends the second waits, until closed
-	outgoingBlocks map[[2]string]bool          // the first can open no connection to the second
-	down           map[string]bool
-	paused         map[string]chan struct{} // hosts whose processes are paused, until closed
-	most           map[string]int           // sockets that a host has, if limited
-	open           map[string]int           // sockets that it has open
-	peak           map[string]int           // and had at once
+	mu        sync.Mutex // guards all that follows
+	listeners map[string]*listener
+	conns     map[*conn]bool
+
+	cuts           map[link]bool
+	oneWayBlocks   map[direction]chan struct{} // closed when what was held back is delivered
+	outgoingBlocks map[direction]bool          // no connection can be opened
+	down           map[string]bool             // hosts without power
+	paused         map[string]chan struct{}    // hosts whose processes are paused, until closed
+
+	socketLimit map[string]int // 0: none
+	openSockets map[string]int
+	peakSockets map[string]int // of a limited host, at once
 }
 
+// link is the link between two hosts, in the order of their names.
+type link struct{ a, b string }
+
+// direction is one direction between two hosts: who sends, or opens connections, and to whom.
+type direction struct{ from, to string }
+
 // NewNetwork makes an empty network.
 func NewNetwork() *Network {
-	return &Network{listeners: map[string]*listener{}, conns: map[*conn]bool{},
-		cuts: map[[2]string]bool{}, oneWayBlocks: map[[2]string]chan struct{}{}, outgoingBlocks: map[[2]string]bool{}, down: map[string]bool{}, paused: map[string]chan struct{}{},
-		most: map[string]int{}, open: map[string]int{}, peak: map[string]int{}}
+	return &Network{
+		listeners:      map[string]*listener{},
+		conns:          map[*conn]bool{},
+		cuts:           map[link]bool{},
+		oneWayBlocks:   map[direction]chan struct{}{},
+		outgoingBlocks: map[direction]bool{},
+		down:           map[string]bool{},
+		paused:         map[string]chan struct{}{},
+		socketLimit:    map[string]int{},
+		openSockets:    map[string]int{},
+		peakSockets:    map[string]int{},
+	}
 }
 
+// host is the host of an address.
 func host(addr string) string { h, _, _ := strings.Cut(addr, ":"); return h }
 
-func pair(a, b string) [2]string {
+func linkOf(a, b string) link {
 	if a > b {
 		a, b = b, a
 	}
-	return [2]string{a, b}
+	return link{a, b}
+}
+
+// connsThat lists the connections that match; the lock is held.
+func (n *Network) connsThat(match func(c *conn) bool) []*conn {
+	var matching []*conn
+	for c := range n.conns {
+		if match(c) {
+			matching = append(matching, c)
+		}
+	}
+	return matching
+}
+
+// breakConns breaks connections; the lock is not held.
+func breakConns(conns []*conn) {
+	for _, c := range conns {
+		c.breakOff()
+	}
 }
 
 // Cut breaks what connects two hosts; new connections hang.
-func (n *Network) Cut(a, b string) { n.setCut(a, b, true) }
+func (n *Network) Cut(a, b string) {
+	n.mu.Lock()
+	n.cuts[linkOf(a, b)] = true
+	cut := n.connsThat(func(c *conn) bool { return linkOf(c.from, c.to) == linkOf(a, b) })
+	n.mu.Unlock()
+	breakConns(cut)
+}
 
 // Heal ends a cut.
-func (n *Network) Heal(a, b string) { n.setCut(a, b, false) }
+func (n *Network) Heal(a, b string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.cuts, linkOf(a, b))
+}
 
-func (n *Network) setCut(a, b string, cut bool) {
+// BlockOneWay holds back what a host sends to another: on connections that are open it
+// waits, also after they have been given up, and connections that the first opens do not
+// come about.
+func (n *Network) BlockOneWay(from, to string) {
 	n.mu.Lock()
-	n.cuts[pair(a, b)] = cut
-	var hit []*conn
-	for c := range n.conns {
-		if cut && pair(c.from, c.to) == pair(a, b) {
-			hit = append(hit, c)
-		}
-	}
-	n.mu.Unlock()
-	for _, c := range hit {
-		c.cut()
-	}
+	defer n.mu.Unlock()
+	n.deliver(direction{from, to})
+	n.oneWayBlocks[direction{from, to}] = make(chan struct{})
 }
 
-// SetOneWayBlock holds back what a host sends to another, or delivers it: on connections
-// that are open it waits, also after they have been given up, and connections that
-// the first opens do not come about.
-func (n *Network) SetOneWayBlock(from, to string, on bool) {
+// UnblockOneWay delivers what BlockOneWay has held back.
+func (n *Network) UnblockOneWay(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	way := [2]string{from, to}
+	n.deliver(direction{from, to})
+}
+
+// deliver ends a block in one direction, if there is one; the lock is held.
+func (n *Network) deliver(way direction) {
 	if c := n.oneWayBlocks[way]; c != nil {
 		close(c)
 		delete(n.oneWayBlocks, way)
 	}
-	if on {
-		n.oneWayBlocks[way] = make(chan struct{})
-	}
 }
 
-// SetOutgoingBlocked breaks the connections that a host has opened to another, and lets it
-// open none, or ends that. What the other opens to it works all the while.
-func (n *Network) SetOutgoingBlocked(from, to string, on bool) {
-	n.mu.Lock()
-	n.outgoingBlocks[[2]string{from, to}] = on
-	var hit []*conn
-	for c := range n.conns {
-		if on && c.from == from && c.to == to {
-			hit = append(hit, c)
-		}
-	}
-	n.mu.Unlock()
-	for _, c := range hit {
-		c.cut()
-	}
-}
-
-// deliverAll ends every one-way cut.
+// deliverAll ends every block in one direction.
 func (n *Network) deliverAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for way, c := range n.oneWayBlocks {
-		close(c)
-		delete(n.oneWayBlocks, way)
+	for way := range n.oneWayBlocks {
+		n.deliver(way)
 	}
 }
 
-// pass waits while what is sent that way is held back, or until stop.
-func (n *Network) pass(from, to string, stop <-chan struct{}) {
-	for {
+// awaitDelivery waits while what is sent in a direction is held back, or until stop.
+func (n *Network) awaitDelivery(way direction, stop <-chan struct{}) {
+	awaitAbsence(stop, func() <-chan struct{} {
 		n.mu.Lock()
-		c := n.oneWayBlocks[[2]string{from, to}]
-		n.mu.Unlock()
-		if c == nil {
-			return
-		}
-		select {
-		case <-c:
-		case <-stop:
-			return
-		}
-	}
+		defer n.mu.Unlock()
+		return n.oneWayBlocks[way]
+	})
 }
 
-// SetDown takes a host's power away, or gives it back.
-func (n *Network) SetDown(h string, down bool) {
+// BlockOutgoing breaks the connections that a host has opened to another, and lets it
+// open none. What the other opens to it works all the while.
+func (n *Network) BlockOutgoing(from, to string) {
 	n.mu.Lock()
-	n.down[h] = down
-	var hit []*conn
-	for c := range n.conns {
-		if down && (c.from == h || c.to == h) {
-			hit = append(hit, c)
-		}
-	}
-	var ls []*listener
-	for a, l := range n.listeners {
-		if down && host(a) == h {
-			ls = append(ls, l)
+	n.outgoingBlocks[direction{from, to}] = true
+	cut := n.connsThat(func(c *conn) bool { return c.from == from && c.to == to })
+	n.mu.Unlock()
+	breakConns(cut)
+}
+
+// UnblockOutgoing ends what BlockOutgoing began.
+func (n *Network) UnblockOutgoing(from, to string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	delete(n.outgoingBlocks, direction{from, to})
+}
+
+// PowerOff takes a host's power away, with its connections and listeners.
+func (n *Network) PowerOff(h string) {
+	n.mu.Lock()
+	n.down[h] = true
+	cut := n.connsThat(func(c *conn) bool { return c.from == h || c.to == h })
+	var listeners []*listener
+	for address, l := range n.listeners {
+		if host(address) == h {
+			listeners = append(listeners, l)
 		}
 	}
 	n.mu.Unlock()
-	for _, c := range hit {
-		c.cut()
-	}
-	for _, l := range ls {
+	breakConns(cut)
+	for _, l := range listeners {
 		_ = l.Close() // never fails
 	}
 }
 
-// SetPaused makes a host's process pause, or go on: it takes connections
-// and neither reads nor writes, nor sees what it has read.
-func (n *Network) SetPaused(h string, on bool) {
+// PowerOn gives a host's power back.
+func (n *Network) PowerOn(h string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
+	delete(n.down, h)
+}
+
+// Pause makes a host's process pause: it takes connections and neither reads nor writes,
+// nor sees what it has read.
+func (n *Network) Pause(h string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.endPause(h)
+	n.paused[h] = make(chan struct{})
+}
+
+// Resume lets a host's process go on.
+func (n *Network) Resume(h string) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.endPause(h)
+}
+
+// endPause ends a pause, if there is one; the lock is held.
+func (n *Network) endPause(h string) {
 	if c := n.paused[h]; c != nil {
 		close(c)
 		delete(n.paused, h)
 	}
-	if on {
-		n.paused[h] = make(chan struct{})
-	}
 }
 
-// await waits while a host's process stands still, or until stop.
-func (n *Network) await(h string, stop <-chan struct{}) {
-	for {
+// awaitResume waits while a host's process is paused, or until stop.
+func (n *Network) awaitResume(h string, stop <-chan struct{}) {
+	awaitAbsence(stop, func() <-chan struct{} {
 		n.mu.Lock()
-		c := n.paused[h]
-		n.mu.Unlock()
-		if c == nil {
+		defer n.mu.Unlock()
+		return n.paused[h]
+	})
+}
+
+// awaitAbsence waits until there is no block, or until stop. A block is a channel that is
+// closed as it ends, and may be followed by another.
+func awaitAbsence(stop <-chan struct{}, block func() <-chan struct{}) {
+	for {
+		ended := block()
+		if ended == nil {
 			return
 		}
 		select {
-		case <-c:
+		case <-ended:
 		case <-stop:
 			return
 		}
 	}
 }
 
-func (n *Network) blocked(a, b string) bool {
+// blocked says whether a host can't open connections to another.
+func (n *Network) blocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.cuts[pair(a, b)] || n.oneWayBlocks[[2]string{a, b}] != nil || n.outgoingBlocks[[2]string{a, b}] || n.down[a] || n.down[b]
+	way := direction{from, to}
+	return n.cuts[linkOf(from, to)] || n.oneWayBlocks[way] != nil || n.outgoingBlocks[way] || n.down[from] || n.down[to]
 }
 
 var errRefused = errors.New("connection refused")
 
+// dialTimeout is how long a connection to a host that can't be reached takes to fail.
+const dialTimeout = 2 * time.Second
+
 // Dial opens a connection from a host.
 func (n *Network) Dial(from string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
-		n.await(from, ctx.Done())
-		if n.blocked(from, host(addr)) {
-			ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		n.awaitResume(from, ctx.Done())
+		to := host(addr)
+		if n.blocked(from, to) {
+			ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
 			<-ctx.Done()
 			return nil, fmt.Errorf("dial %s: i/o timeout", addr)
@@ -206,8 +267,8 @@
 			return nil, fmt.Errorf("dial %s: %w", addr, errRefused)
 		}
 		a, b := net.Pipe()
-		ca, cb := n.end(a, from, host(addr), from), n.end(b, from, host(addr), host(addr))
-		if !n.take(from, host(addr), ca, cb) {
+		ca, cb := n.newConn(a, direction{from, to}, from), n.newConn(b, direction{from, to}, to)
+		if !n.openConn(ca, cb) {
 			_ = ca.Close() // never fails
 			_ = cb.Close()
 			return nil, fmt.Errorf("dial %s: %w", addr, errRefused)
@@ -225,45 +286,56 @@
 }
 
 // LimitSockets gives a host so many sockets.
-func (n *Network) LimitSockets(h string, most int) {
+func (n *Network) LimitSockets(h string, limit int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.most[h] = most
+	n.socketLimit[h] = limit
 }
 
-// Open is how many sockets a host has open.
-func (n *Network) Open(h string) int {
+// OpenSockets is how many sockets a host has open.
+func (n *Network) OpenSockets(h string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.open[h]
+	return n.openSockets[h]
 }
 
-// Peak is how many sockets a limited host has had open at once.
-func (n *Network) Peak(h string) int {
+// PeakSockets is how many sockets a limited host has had open at once.
+func (n *Network) PeakSockets(h string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.peak[h]
+	return n.peakSockets[h]
 }
 
-// take gives a connection's ends their sockets, if both hosts have one left.
-func (n *Network) take(from, to string, a, b *conn) bool {
+// openConn gives both ends of a connection their sockets, if both hosts have one left.
+func (n *Network) openConn(a, b *conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, h := range []string{from, to} {
-		if n.most[h] == 0 {
+	for _, h := range []string{a.from, a.to} {
+		limit := n.socketLimit[h]
+		if limit == 0 {
 			continue
 		}
-		if n.open[h] >= n.most[h] {
+		if n.openSockets[h] >= limit {
 			return false
 		}
-		n.peak[h] = max(n.peak[h], n.open[h]+1)
+		n.peakSockets[h] = max(n.peakSockets[h], n.openSockets[h]+1)
 	}
 	n.conns[a], n.conns[b] = true, true
-	n.open[from]++
-	n.open[to]++
+	n.openSockets[a.from]++
+	n.openSockets[a.to]++
 	return true
 }
 
+// closeConn gives the socket of a connection's end back.
+func (n *Network) closeConn(c *conn) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.conns[c] {
+		n.openSockets[c.side]--
+	}
+	delete(n.conns, c)
+}
+
 // Listen opens a listener on an address.
 func (n *Network) Listen(_, addr string) (net.Listener, error) {
 	n.mu.Lock()
@@ -275,139 +347,3 @@
 	n.listeners[addr] = l
 	return l, nil
 }
-
-type listener struct {
-	n      *Network
-	addr   string
-	accept chan net.Conn
-	closed chan struct{}
-	once   sync.Once
-}
-
-func (l *listener) Accept() (net.Conn, error) {
-	select {
-	case c := <-l.accept:
-		return c, nil
-	case <-l.closed:
-		return nil, net.ErrClosed
-	}
-}
-
-func (l *listener) Close() error {
-	l.once.Do(func() {
-		close(l.closed)
-		l.n.mu.Lock()
-		if l.n.listeners[l.addr] == l {
-			delete(l.n.listeners, l.addr)
-		}
-		l.n.mu.Unlock()
-	})
-	return nil
-}
-
-func (l *listener) Addr() net.Addr { return addr(l.addr) }
-
-type addr string
-
-func (addr) Network() string  { return "fake" }
-func (a addr) String() string { return string(a) }
-
-type conn struct {
-	net.Conn
-	n        *Network
-	from, to string
-	side     string // whose end it is
-	closed   chan struct{}
-	broken   chan struct{} // closed when all that is under way is lost
-	once     sync.Once
-	breaks   sync.Once
-	out      chan []byte
-}
-
-// socketBuffer is how many writes a connection takes that nobody has read yet.
-const socketBuffer = 4096
-
-// end makes an end of a connection. As with sockets, what is written waits in
-// the connection, and is there for a process that was paused.
-func (n *Network) end(c net.Conn, from, to, side string) *conn {
-	e := &conn{Conn: c, n: n, from: from, to: to, side: side, closed: make(chan struct{}), broken: make(chan struct{}), out: make(chan []byte, socketBuffer)}
-	go e.pump()
-	return e
-}
-
-func (c *conn) pump() {
-	defer c.Conn.Close()
-	peer := c.to
-	if c.side == c.to {
-		peer = c.from
-	}
-	write := func(b []byte) error {
-		c.n.pass(c.side, peer, c.broken)
-		_, err := c.Conn.Write(b)
-		return err
-	}
-	for {
-		select {
-		case b := <-c.out:
-			if write(b) != nil {
-				return
-			}
-			continue
-		default:
-		}
-		select {
-		case b := <-c.out:
-			if write(b) != nil {
-				return
-			}
-		case <-c.closed:
-			if len(c.out) == 0 {
-				return
-			}
-		}
-	}
-}
-
-func (c *conn) Read(b []byte) (int, error) {
-	c.n.await(c.side, c.closed)
-	k, err := c.Conn.Read(b)
-	c.n.await(c.side, c.closed)
-	return k, err
-}
-
-func (c *conn) Write(b []byte) (int, error) {
-	c.n.await(c.side, c.closed)
-	select {
-	case <-c.closed:
-		return 0, net.ErrClosed
-	default:
-	}
-	select {
-	case c.out <- append([]byte(nil), b...):
-		return len(b), nil
-	case <-c.closed:
-		return 0, net.ErrClosed
-	}
-}
-
-// Close lets what was written arrive, and ends the reading here at once.
-func (c *conn) Close() error {
-	c.once.Do(func() {
-		close(c.closed)
-		c.n.mu.Lock()
-		if c.n.conns[c] {
-			c.n.open[c.side]--
-		}
-		delete(c.n.conns, c)
-		c.n.mu.Unlock()
-		_ = c.SetReadDeadline(time.Unix(1, 0)) // fails only where the other end is closed
-	})
-	return nil
-}
-
-// cut ends the connection with all that is under way.
-func (c *conn) cut() {
-	c.breaks.Do(func() { close(c.broken) })
-	_ = c.Close()
-	_ = c.Conn.Close()
-}
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -13,7 +13,21 @@
 	"github.com/umberdeal/umberdeal/yarn"
 )
 
-// This file starts and stops the controllers, and cuts them off.
+// This file starts, stops and pauses the controllers.
+
+type node struct {
+	name string
+	bind string
+	cfg  *config.Settings
+
+	// Guarded by the cluster's lock: copies of reports are sent by goroutines of their own.
+	end    context.CancelFunc // nil while no process runs
+	done   chan struct{}      // closed once the process has ended
+	killed *atomic.Bool       // its process was ended on purpose
+	down   time.Time          // when its power was cut; zero: it is up
+
+	olderSchema bool // reads the form of records before
+}
 
 // UpgradeSchema makes a node's next process read the newest form of records.
 func (w *Cluster) UpgradeSchema(i int) { w.nodes[i].olderSchema = false }
@@ -24,8 +38,8 @@
 	if w.nodeRuns(n) {
 		return
 	}
-	w.Network.SetDown(n.name, false)
-	gated := call.WithGate(w.ctx, func(ctx context.Context) { w.Network.await(n.name, ctx.Done()) })
+	w.Network.PowerOn(n.name)
+	gated := call.WithGate(w.ctx, func(ctx context.Context) { w.Network.awaitResume(n.name, ctx.Done()) })
 	ctx, end := context.WithCancel(gated)
 	done, dies := make(chan struct{}), &atomic.Bool{}
 	w.mu.Lock()
@@ -67,8 +81,8 @@
 	n.down = time.Now()
 	end, done := n.end, n.done
 	w.mu.Unlock()
-	w.Network.SetDown(n.name, true)
-	w.Network.SetPaused(n.name, false)
+	w.Network.PowerOff(n.name)
+	w.Network.Resume(n.name)
 	end()
 	<-done
 	w.mu.Lock()
@@ -97,9 +111,11 @@
 	}
 }
 
-// PauseNode makes a controller's process pause while its clocks run on, or lets
-// it go on.
-func (w *Cluster) PauseNode(i int, on bool) { w.Network.SetPaused(w.nodes[i].name, on) }
+// PauseNode makes a controller's process pause while its clocks run on.
+func (w *Cluster) PauseNode(i int) { w.Network.Pause(w.nodes[i].name) }
+
+// ResumeNode lets a controller's process go on.
+func (w *Cluster) ResumeNode(i int) { w.Network.Resume(w.nodes[i].name) }
 
 // Nodes are the controllers' names.
 func (w *Cluster) Nodes() []string {
@@ -118,32 +134,6 @@
 	return slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == leader })
 }
 
-// PartitionNode cuts a node off from hosts: "state", "cloud", "user", "workers",
-// "nodes".
-func (w *Cluster) PartitionNode(i int, on bool, what ...string) {
-	name := w.nodes[i].name
-	for _, h := range what {
-		switch h {
-		case "workers":
-			for _, m := range w.Cloud.Machines() {
-				w.Network.setCut(name, m, on)
-			}
-		case "nodes":
-			for k, o := range w.nodes {
-				if k != i {
-					w.Network.setCut(name, o.name, on)
-				}
-			}
-		default:
-			w.Network.setCut(name, h, on)
-		}
-	}
-}
-
-// IsolateToWorkers cuts a node off from the key-value store and the other nodes, but
-// not from workers, or ends that.
-func (w *Cluster) IsolateToWorkers(i int, on bool) { w.PartitionNode(i, on, "state", "nodes") }
-
 // PowerCycleNode takes a node's power away and gives it back so soon after.
 func (w *Cluster) PowerCycleNode(i int, after time.Duration) {
 	w.KillNode(i)
--- /dev/null
+++ b/internal/fake/options.go
@@ -0,0 +1,107 @@
+package fake
+
+import (
+	"fmt"
+	"log/slog"
+
+	"github.com/umberdeal/umberdeal/config"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// This file has the options of a cluster, and the settings that its nodes are given.
+
+// Options shape a cluster.
+type Options struct {
+	Nodes           int
+	Machines        int // up at the start, alternating between the zones
+	Capacity        int
+	Types           []wire.MachineType
+	Teams           []config.Team
+	Seed            uint64
+	Log             *slog.Logger
+	ExternalNodes   bool    // the controllers are real processes: none is started
+	Metrics         bool    // each node has an operators' door at port 9464
+	NoWakeUps       bool    // launches wait for workers' reports
+	YARN            string  // settings of YARN's door, without its address; empty: none
+	Sockets         int     // of each node; 0 means 800, unenforced
+	ReportIntervalS float64 // seconds between reports; 0 means 1.5
+	LeaseS          float64 // seconds of a worker's lease; 0 means 12
+	OlderSchema     []int   // nodes that read the form of records before; see Upgrade
+	StateRPS        float64 // the key-value store's limit of requests a second; 0 means 200, unenforced
+	StateWPS        float64 // and of changes; 0 means 60, unenforced
+}
+
+// Zones of every cluster.
+var Zones = []string{"a", "b"}
+
+// DefaultType is the machine type of clusters that name none.
+var DefaultType = wire.MachineType{Name: "m8", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1,
+	Price: 1, SpotPrice: 0.4, BootS: 10, ZonesNamed: Zones}
+
+func (o *Options) setDefaults() {
+	if o.Nodes == 0 {
+		o.Nodes = 3
+	}
+	if len(o.Types) == 0 {
+		o.Types = []wire.MachineType{DefaultType}
+	}
+	if o.Capacity == 0 {
+		o.Capacity = o.Machines + 4
+	}
+	if o.Log == nil {
+		o.Log = slog.New(slog.DiscardHandler)
+	}
+	if len(o.Teams) == 0 {
+		o.Teams = []config.Team{{Name: "core"}}
+	}
+}
+
+// nodeSettings is the settings file of the i-th controller.
+func (o *Options) nodeSettings(i int) *config.Settings {
+	name := nodeName(i)
+	cfg := &config.Settings{Node: name, Zone: Zones[i%2], Bind: name + ":80", MeshListen: name + ":81",
+		Services: config.Services{Cloud: "cloud:1", State: "state:1"},
+		Cluster: config.Cluster{Size: o.Nodes, Zones: Zones, SkewMs: 5, Teams: o.Teams,
+			Workers: config.Workers{ReportS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
+			State:   config.StateLimits{RPS: 200, WriteRPS: 60, ValueKB: 16, TxnOps: 12},
+			Cloud:   config.CloudLimits{RPS: 4, ListLagS: 5},
+			Limits:  config.Limits{CPU: 0.2, MemMB: 100, Sockets: 800}}}
+	for k := range o.Nodes {
+		if k != i {
+			cfg.Siblings = append(cfg.Siblings, config.Sibling{Name: nodeName(k), Zone: Zones[k%2], Addr: nodeName(k) + ":81"})
+		}
+	}
+	return cfg
+}
+
+func nodeName(i int) string { return fmt.Sprintf("n-%d", i) }
+
+// setLimits applies the options that differ from the default settings, to the nodes'
+// settings and, where the option says so, to the fakes that enforce them.
+func (w *Cluster) setLimits(o Options) {
+	if o.StateRPS > 0 {
+		w.Store.LimitRequests(o.StateRPS)
+	}
+	if o.StateWPS > 0 {
+		w.Store.LimitWrites(o.StateWPS)
+	}
+	for _, n := range w.nodes {
+		c := &n.cfg.Cluster
+		if o.Sockets > 0 {
+			c.Limits.Sockets = o.Sockets
+			w.Network.LimitSockets(n.name, o.Sockets)
+		}
+		if o.ReportIntervalS > 0 {
+			c.Workers.ReportS = o.ReportIntervalS
+		}
+		if o.LeaseS > 0 {
+			c.Workers.LeaseS, c.Workers.CancelS = o.LeaseS, o.LeaseS+20
+		}
+		if o.StateRPS > 0 {
+			c.State.RPS = o.StateRPS
+		}
+		if o.StateWPS > 0 {
+			c.State.WriteRPS = o.StateWPS
+		}
+	}
+}
--- a/internal/fake/partitions.go
+++ b/internal/fake/partitions.go
@@ -1,95 +1,141 @@
 package fake
 
-import (
-	"time"
+// This file cuts machines, nodes and zones off from others, one way or both.
 
-	"github.com/umberdeal/umberdeal/wire"
-)
+// PartitionNode cuts a node off from hosts: "state", "cloud", "user", "workers" (all
+// machines that exist) and "nodes" (all others).
+func (w *Cluster) PartitionNode(i int, hosts ...string) {
+	w.eachHost(i, hosts, w.Network.Cut)
+}
 
-// This file cuts machines off one way or another, and reads what happened to them.
+// HealNode ends the cuts between a node and hosts, named as in PartitionNode.
+func (w *Cluster) HealNode(i int, hosts ...string) {
+	w.eachHost(i, hosts, w.Network.Heal)
+}
 
-// MarkInteraction notes that a scenario's troubles have met: rules broken from now on are said with
-// how long after.
-func (w *Cluster) MarkInteraction() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.interactionAt = time.Now()
+// eachHost does something to the links between a node and hosts.
+func (w *Cluster) eachHost(i int, hosts []string, do func(node, host string)) {
+	name := w.nodes[i].name
+	for _, h := range hosts {
+		switch h {
+		case "workers":
+			for _, m := range w.Cloud.Machines() {
+				do(name, m)
+			}
+		case "nodes":
+			for k, other := range w.nodes {
+				if k != i {
+					do(name, other.name)
+				}
+			}
+		default:
+			do(name, h)
+		}
+	}
 }
 
-// BlockHeartbeats lets a machine open no connection to any controller, while direct
-// commands reach it and are answered, or ends that.
-func (w *Cluster) BlockHeartbeats(name string, on bool) {
+// IsolateToWorkers cuts a node off from the key-value store and the other nodes, but
+// not from workers.
+func (w *Cluster) IsolateToWorkers(i int) { w.PartitionNode(i, "state", "nodes") }
+
+// HealNodeIsolation ends what IsolateToWorkers began.
+func (w *Cluster) HealNodeIsolation(i int) { w.HealNode(i, "state", "nodes") }
+
+// PartitionMachine cuts a machine off from every node.
+func (w *Cluster) PartitionMachine(name string) {
 	for _, n := range w.nodes {
-		w.Network.SetOutgoingBlocked(name, n.name, on)
+		w.Network.Cut(n.name, name)
 	}
 }
 
-// PartitionMachine cuts a machine off from every controller, or ends that.
-func (w *Cluster) PartitionMachine(name string, on bool) {
+// HealMachine ends the cuts between a machine and the nodes.
+func (w *Cluster) HealMachine(name string) {
 	for _, n := range w.nodes {
-		w.Network.setCut(n.name, name, on)
+		w.Network.Heal(n.name, name)
 	}
 }
 
-// IsolateZone cuts the controllers and the machines of a zone off from all that is not
-// in it, or ends that. Users, cloud and state service belong to no zone.
-func (w *Cluster) IsolateZone(zone string, on bool) {
-	var in []string
-	out := []string{"state", "cloud", "user"}
-	place := func(name, z string) {
-		if z == zone {
-			in = append(in, name)
-		} else {
-			out = append(out, name)
-		}
+// BlockHeartbeats lets a machine open no connection to any node, while direct
+// commands reach it and are answered.
+func (w *Cluster) BlockHeartbeats(name string) {
+	for _, n := range w.nodes {
+		w.Network.BlockOutgoing(name, n.name)
 	}
+}
+
+// UnblockHeartbeats ends what BlockHeartbeats began.
+func (w *Cluster) UnblockHeartbeats(name string) {
 	for _, n := range w.nodes {
-		place(n.name, n.cfg.Zone)
+		w.Network.UnblockOutgoing(name, n.name)
 	}
-	for _, name := range w.Cloud.Machines() {
-		place(name, w.ZoneOf(name))
+}
+
+// BlockRepliesTo lets a machine's reports arrive while nothing reaches it from the nodes.
+func (w *Cluster) BlockRepliesTo(name string) {
+	for _, n := range w.nodes {
+		w.Network.BlockOneWay(n.name, name)
 	}
-	for _, a := range in {
-		for _, b := range out {
-			w.Network.setCut(a, b, on)
-		}
+}
+
+// UnblockRepliesTo ends what BlockRepliesTo began. What was sent meanwhile arrives now,
+// where it is still awaited.
+func (w *Cluster) UnblockRepliesTo(name string) {
+	for _, n := range w.nodes {
+		w.Network.UnblockOneWay(n.name, name)
 	}
 }
 
-// FencingToken is the token of the leader whose key is in the key-value store; 0: there is
-// none.
-func (w *Cluster) FencingToken() uint64 {
-	w.Store.mu.Lock()
-	defer w.Store.mu.Unlock()
-	return w.Store.leaderToken()
+// PartitionZone cuts the machines of a zone off from every node.
+func (w *Cluster) PartitionZone(zone string) {
+	for _, name := range w.machinesIn(zone) {
+		w.PartitionMachine(name)
+	}
 }
 
-// DirectCommandsExecuted is how many direct commands a machine has carried out, those that
-// DeliverHeldCommands delivered left out.
-func (w *Cluster) DirectCommandsExecuted(name string) int {
-	m := w.Cloud.machine(name)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return m.direct
+// HealZonePartition ends what PartitionZone began.
+func (w *Cluster) HealZonePartition(zone string) {
+	for _, name := range w.machinesIn(zone) {
+		w.HealMachine(name)
+	}
 }
 
-// LateReplies is how many answers a machine has taken more than a second after it
-// sent its report.
-func (w *Cluster) LateReplies(name string) int {
-	m := w.Cloud.machine(name)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return m.late
+// machinesIn lists the machines of a zone.
+func (w *Cluster) machinesIn(zone string) (names []string) {
+	for _, name := range w.Cloud.Machines() {
+		if w.ZoneOf(name) == zone {
+			names = append(names, name)
+		}
+	}
+	return names
 }
 
-// CPUsInUse is what a team's tasks use.
-func (w *Cluster) CPUsInUse(team string) (cpus float64) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for name, ms := range w.tasksWithImage {
-		if id, _, _ := wire.SplitTask(name); w.jobs[id].spec.Team == team {
-			cpus += w.jobs[id].spec.CPUs * float64(len(ms))
+// IsolateZone cuts the nodes and the machines of a zone off from all that is not
+// in it. Users, cloud and key-value store belong to no zone.
+func (w *Cluster) IsolateZone(zone string) { w.eachLinkOut(zone, w.Network.Cut) }
+
+// HealZoneIsolation ends what IsolateZone began.
+func (w *Cluster) HealZoneIsolation(zone string) { w.eachLinkOut(zone, w.Network.Heal) }
+
+// eachLinkOut does something to the links between what is in a zone and what is not.
+func (w *Cluster) eachLinkOut(zone string, do func(inside, outside string)) {
+	var inside []string
+	outside := []string{"state", "cloud", "user"}
+	place := func(name, z string) {
+		if z == zone {
+			inside = append(inside, name)
+		} else {
+			outside = append(outside, name)
+		}
+	}
+	for _, n := range w.nodes {
+		place(n.name, n.cfg.Zone)
+	}
+	for _, name := range w.Cloud.Machines() {
+		place(name, w.ZoneOf(name))
+	}
+	for _, a := range inside {
+		for _, b := range outside {
+			do(a, b)
 		}
 	}
-	return cpus
 }
--- a/routing/fleet_plan_test.go
+++ b/routing/fleet_plan_test.go
@@ -99,12 +99,12 @@
 			case 0:
 				w.KillNode(w.Leader())
 			case 1:
-				w.PauseNode(w.Leader(), true)
+				w.PauseNode(w.Leader())
 				time.Sleep(9 * time.Second)
 			case 2:
 				l := w.Leader()
-				w.IsolateToWorkers(l, true)
-				time.AfterFunc(30*time.Second, func() { w.IsolateToWorkers(l, false) })
+				w.IsolateToWorkers(l)
+				time.AfterFunc(30*time.Second, func() { w.HealNodeIsolation(l) })
 			case 3:
 				w.Store.SetOutage(true)
 				time.Sleep(8 * time.Second)
@@ -112,8 +112,8 @@
 			case 4:
 				for i := range 100 {
 					m := all[(n*97+i*3)%len(all)]
-					w.BlockRepliesTo(m, true)
-					time.AfterFunc(40*time.Second, func() { w.BlockRepliesTo(m, false) })
+					w.BlockRepliesTo(m)
+					time.AfterFunc(40*time.Second, func() { w.UnblockRepliesTo(m) })
 				}
 			case 5:
 				for range 10 {
@@ -129,14 +129,14 @@
 			time.Sleep(time.Duration(2+rnd.IntN(8)) * time.Second)
 			for i := range 7 {
 				if rnd.IntN(2) == 0 {
-					w.PauseNode(i, false)
+					w.ResumeNode(i)
 					w.StartNode(i)
 				}
 			}
 		}
 		w.DuplicateReports(0)
 		for i := range 7 {
-			w.PauseNode(i, false)
+			w.ResumeNode(i)
 			w.StartNode(i)
 		}
 		for _, id := range accepted {
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -40,7 +40,7 @@
 		time.Sleep(20 * time.Second) // moved to where they belong
 		play(t, w)
 		for i := range len(w.Nodes()) {
-			if n := w.Network.Peak(w.Nodes()[i]); n > o.Sockets {
+			if n := w.Network.PeakSockets(w.Nodes()[i]); n > o.Sockets {
 				t.Errorf("node %d had %d sockets of %d", i, n, o.Sockets)
 			}
 		}
@@ -69,7 +69,7 @@
 	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		at := time.Now()
 		allAnswered(t, w, at, 10*time.Second)
-		if n := w.Network.Open(w.Nodes()[w.Leader()]); n > fleetSockets*6/10 {
+		if n := w.Network.OpenSockets(w.Nodes()[w.Leader()]); n > fleetSockets*6/10 {
 			t.Errorf("the leader holds %d of its %d sockets", n, fleetSockets)
 		}
 		if w.Cancel("wk-000001") != wire.JobCancelled {
@@ -99,12 +99,12 @@
 	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		half := w.Cloud.Machines()[:fleetMachines/2]
 		for _, m := range half {
-			w.HangMachine(m, true)
+			w.HangMachine(m)
 		}
 		time.Sleep(14 * time.Second)
 		at := time.Now()
 		for _, m := range half {
-			w.HangMachine(m, false)
+			w.ResumeMachine(m)
 		}
 		allAnswered(t, w, at, 9*time.Second)
 		noneLost(t, w, fleetMachines)
@@ -116,12 +116,12 @@
 func TestZoneReturnsAfterItsLeasesExpireWhileTheCloudRefuses(t *testing.T) {
 	fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		w.Cloud.SetOutage(true)
-		w.PartitionZone("b", true)
+		w.PartitionZone("b")
 		time.Sleep(40 * time.Second)
 		if n := w.ExpiredLeases(); n != fleetMachines/2 {
 			t.Errorf("%d leases ended of the zone's %d", n, fleetMachines/2)
 		}
-		w.PartitionZone("b", false)
+		w.HealZonePartition("b")
 		at := time.Now()
 		allAnswered(t, w, at, 12*time.Second)
 		scenario.Eventually(40*time.Second, time.Second, func() bool { return w.Started() >= fleetMachines*3/2 })
@@ -143,13 +143,13 @@
 		name       string
 		begin, end func(w *fake.Cluster, relay int)
 	}{
-		{"stands still", func(w *fake.Cluster, r int) { w.PauseNode(r, true) }, func(w *fake.Cluster, r int) { w.PauseNode(r, false) }},
-		{"is cut from the others", func(w *fake.Cluster, r int) { w.PartitionNode(r, true, "nodes") }, func(w *fake.Cluster, r int) { w.PartitionNode(r, false, "nodes") }},
+		{"stands still", func(w *fake.Cluster, r int) { w.PauseNode(r) }, func(w *fake.Cluster, r int) { w.ResumeNode(r) }},
+		{"is cut from the others", func(w *fake.Cluster, r int) { w.PartitionNode(r, "nodes") }, func(w *fake.Cluster, r int) { w.HealNode(r, "nodes") }},
 		{"dies", func(w *fake.Cluster, r int) { w.KillNode(r) }, func(w *fake.Cluster, r int) { w.StartNode(r) }},
-		{"keeps only its workers", func(w *fake.Cluster, r int) { w.IsolateToWorkers(r, true) }, func(w *fake.Cluster, r int) { w.IsolateToWorkers(r, false) }},
+		{"keeps only its workers", func(w *fake.Cluster, r int) { w.IsolateToWorkers(r) }, func(w *fake.Cluster, r int) { w.HealNodeIsolation(r) }},
 		{"is back at once", func(w *fake.Cluster, r int) { w.PowerCycleNode(r, 200*time.Millisecond) }, func(w *fake.Cluster, r int) { w.PowerCycleNode(r, 900*time.Millisecond) }},
-		{"and the leader with it", func(w *fake.Cluster, r int) { w.KillNode(w.Leader()); w.PauseNode(r, true) },
-			func(w *fake.Cluster, r int) { w.PauseNode(r, false) }},
+		{"and the leader with it", func(w *fake.Cluster, r int) { w.KillNode(w.Leader()); w.PauseNode(r) },
+			func(w *fake.Cluster, r int) { w.ResumeNode(r) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			fleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
@@ -191,15 +191,15 @@
 		end  func(w *fake.Cluster, l int)
 	}{
 		{"dies", func(w *fake.Cluster, l int) { w.KillNode(l) }},
-		{"stands still", func(w *fake.Cluster, l int) { w.PauseNode(l, true) }},
-		{"is cut from the workers", func(w *fake.Cluster, l int) { w.PartitionNode(l, true, "workers") }},
-		{"keeps only its workers", func(w *fake.Cluster, l int) { w.IsolateToWorkers(l, true) }},
+		{"stands still", func(w *fake.Cluster, l int) { w.PauseNode(l) }},
+		{"is cut from the workers", func(w *fake.Cluster, l int) { w.PartitionNode(l, "workers") }},
+		{"keeps only its workers", func(w *fake.Cluster, l int) { w.IsolateToWorkers(l) }},
 		{"is back at once, and the next in the election", func(w *fake.Cluster, l int) {
 			w.PowerCycleNode(l, 100*time.Millisecond)
 			w.PowerCycleNode((l+1)%4, 300*time.Millisecond)
 			w.PowerCycleNode((l+2)%4, 700*time.Millisecond)
 		}},
-		{"is refused by the state service", func(w *fake.Cluster, l int) { w.Store.Refuse(fmt.Sprintf("n-%d", l), true) }},
+		{"is refused by the state service", func(w *fake.Cluster, l int) { w.Store.RefuseNode(fmt.Sprintf("n-%d", l)) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			fleet(t, fake.Options{Machines: fleetMachines, Nodes: 4}, func(t *testing.T, w *fake.Cluster) {
@@ -224,11 +224,11 @@
 		began := time.Now()
 		for range 10 {
 			for i := range w.Nodes() {
-				w.PauseNode(i, true)
+				w.PauseNode(i)
 			}
 			time.Sleep(time.Second)
 			for i := range w.Nodes() {
-				w.PauseNode(i, false)
+				w.ResumeNode(i)
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
@@ -310,7 +310,7 @@
 	scenario.Eventually(time.Minute, time.Second, func() bool { return w.Running() == len(all) })
 	w.DuplicateReports(20)
 	for i := range n {
-		w.BlockRepliesTo(all[i*len(all)/n], true)
+		w.BlockRepliesTo(all[i*len(all)/n])
 	}
 	whileMute()
 	before := w.Started()
@@ -329,7 +329,7 @@
 		t.Errorf("%d leases ended of %d", lost, n)
 	}
 	for i := range n {
-		w.BlockRepliesTo(all[i*len(all)/n], false)
+		w.UnblockRepliesTo(all[i*len(all)/n])
 	}
 	began = time.Now()
 	scenario.Eventually(time.Minute, 100*time.Millisecond, func() bool { return w.Running() == len(all)+hear })
--- a/yarn/door_test.go
+++ b/yarn/door_test.go
@@ -309,9 +309,9 @@
 		{"the state service is out", func(w *fake.Cluster) { w.Store.SetOutage(true); time.Sleep(30 * time.Second); w.Store.SetOutage(false) }},
 		{"a node stands still", func(w *fake.Cluster) {
 			l := w.Leader()
-			w.PauseNode(l, true)
+			w.PauseNode(l)
 			time.Sleep(20 * time.Second)
-			w.PauseNode(l, false)
+			w.ResumeNode(l)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -636,13 +636,13 @@
 						time.Sleep(time.Duration(1+rnd.IntN(6)) * time.Second)
 						w.StartNode(n)
 					case 1:
-						w.PauseNode(n, true)
+						w.PauseNode(n)
 						time.Sleep(time.Duration(1+rnd.IntN(9)) * time.Second)
-						w.PauseNode(n, false)
+						w.ResumeNode(n)
 					case 2:
-						w.PartitionNode(n, true, "state", "am")
+						w.PartitionNode(n, "state", "am")
 						time.Sleep(time.Duration(1+rnd.IntN(9)) * time.Second)
-						w.PartitionNode(n, false, "state", "am")
+						w.HealNode(n, "state", "am")
 					case 3:
 						w.Store.SetOutage(true)
 						time.Sleep(time.Duration(1+rnd.IntN(5)) * time.Second)
@@ -789,11 +789,11 @@
 			go func() {
 				time.Sleep(time.Duration(i) * 9 * time.Millisecond)
 				for k := range w.Nodes() {
-					w.Store.Refuse(w.Nodes()[k], true)
+					w.Store.RefuseNode(w.Nodes()[k])
 				}
 				time.Sleep(1500 * time.Millisecond)
 				for k := range w.Nodes() {
-					w.Store.Refuse(w.Nodes()[k], false)
+					w.Store.AcceptNode(w.Nodes()[k])
 				}
 			}()
 			y.run(m, 8*time.Second)
