--- a/placement/classes.go
+++ b/placement/classes.go
@@ -14,30 +14,30 @@
 
 // classKey is all that a search for room looks at.
 type classKey struct {
-	typ, zone, images, pool        int
-	spot, ready                    bool
-	free, coming, cap              Resources
-	eta, price, fetch, queue, slow float64
-	poolGB                         float64
+	machineType, zone, imageSet, pool            int
+	spot, ready                                  bool
+	free, releasing, capacity                    Resources
+	eta, price, fetchRate, fetchBacklog, penalty float64
+	poolSpareGB                                  float64
 }
 
 // class is the machines with one key.
 type class struct {
-	key classKey
-	set *roaring.Bitmap
+	key      classKey
+	machines *roaring.Bitmap
 }
 
 type classes struct {
-	byKey   map[classKey]*class
-	all     []*class
-	of      []*class       // of each machine
-	images  []int          // of each machine: its list, by number
-	imageNo map[string]int // lists of images
-	buf     []byte
+	byKey           map[classKey]*class
+	all             []*class
+	ofMachine       []*class       // of each machine
+	imageSets       []int          // of each machine: its list, by number
+	imageSetNumbers map[string]int // lists of images
+	buf             []byte
 }
 
 func newClasses(machines []Machine) *classes {
-	c := &classes{byKey: map[classKey]*class{}, imageNo: map[string]int{}}
+	c := &classes{byKey: map[classKey]*class{}, imageSetNumbers: map[string]int{}}
 	for i := range machines {
 		c.add(machines, i)
 	}
@@ -51,43 +51,43 @@
 		c.buf = binary.LittleEndian.AppendUint32(c.buf, uint32(im.Image))
 		c.buf = binary.LittleEndian.AppendUint64(c.buf, math.Float64bits(im.ReadyInSeconds))
 	}
-	n, ok := c.imageNo[string(c.buf)]
+	n, ok := c.imageSetNumbers[string(c.buf)]
 	if !ok {
-		n = len(c.imageNo)
-		c.imageNo[string(c.buf)] = n
+		n = len(c.imageSetNumbers)
+		c.imageSetNumbers[string(c.buf)] = n
 	}
-	c.images = append(c.images, n)
-	c.of = append(c.of, nil)
-	c.moved(machines, i)
+	c.imageSets = append(c.imageSets, n)
+	c.ofMachine = append(c.ofMachine, nil)
+	c.update(machines, i)
 }
 
 // moved takes in that a machine's room has changed.
-func (c *classes) moved(machines []Machine, i int) {
+func (c *classes) update(machines []Machine, i int) {
 	m := &machines[i]
-	key := classKey{typ: m.Type, zone: m.Zone, images: c.images[i], spot: m.Spot, ready: m.Ready, free: m.Free, coming: m.Releasing, cap: m.Capacity,
-		eta: m.ETA, price: m.Price, fetch: m.FetchRate, queue: m.FetchBacklogSeconds, slow: m.PenaltySeconds, pool: m.Pool, poolGB: m.PoolSpareGB}
-	old := c.of[i]
+	key := classKey{machineType: m.Type, zone: m.Zone, imageSet: c.imageSets[i], spot: m.Spot, ready: m.Ready, free: m.Free, releasing: m.Releasing, capacity: m.Capacity,
+		eta: m.ETA, price: m.Price, fetchRate: m.FetchRate, fetchBacklog: m.FetchBacklogSeconds, penalty: m.PenaltySeconds, pool: m.Pool, poolSpareGB: m.PoolSpareGB}
+	old := c.ofMachine[i]
 	if old != nil {
 		if old.key == key {
 			return
 		}
-		old.set.Remove(uint32(i))
+		old.machines.Remove(uint32(i))
 	}
 	to := c.byKey[key]
 	if to == nil {
-		to = &class{key: key, set: roaring.New()}
+		to = &class{key: key, machines: roaring.New()}
 		c.byKey[key] = to
 		c.all = append(c.all, to)
 	}
-	to.set.Add(uint32(i))
-	c.of[i] = to
+	to.machines.Add(uint32(i))
+	c.ofMachine[i] = to
 }
 
 // next is the first machine of a class from one on that the request does not
 // avoid and that has no entry of its own, or -1.
-func (k *class) next(from int, r *Request, own *roaring.Bitmap) int {
+func (k *class) nextMachine(from int, r *Request, own *roaring.Bitmap) int {
 	for {
-		n := k.set.NextValue(uint32(from))
+		n := k.machines.NextValue(uint32(from))
 		if n < 0 {
 			return -1
 		}
@@ -102,18 +102,18 @@
 // greedyByClass does what greedy does, for what depends on a machine's class
 // only: the same machines in the same order. Each class is judged by its first
 // machine; the others of it follow at the same cost, in their order.
-func (p *planner) greedyByClass(r *Request, n int, judge func(i int) (float64, bool), take func(i int) bool) int {
+func (p *planner) takeCheapestByClass(r *Request, n int, judge func(i int) (float64, bool), take func(i int) bool) int {
 	own := roaring.New() // machines that have an entry of their own, or none any more
 	q := p.queue[:0]
 	for _, k := range p.classes.all {
-		if i := k.next(0, r, own); i >= 0 {
+		if i := k.nextMachine(0, r, own); i >= 0 {
 			if c, ok := judge(i); ok {
 				q = append(q, entry{c, i, k})
 			}
 		}
 	}
-	return p.draw(q, n, judge, take, func(k *class, i int) int {
+	return p.drawCheapest(q, n, judge, take, func(k *class, i int) int {
 		own.Add(uint32(i))
-		return k.next(i+1, r, own)
+		return k.nextMachine(i+1, r, own)
 	})
 }
--- a/placement/hold.go
+++ b/placement/hold.go
@@ -4,17 +4,17 @@
 
 // holdWithin is how soon a machine must have room for it to be kept from
 // smaller tasks until then, in seconds, where the request does not say.
-const holdWithin = 45
+const defaultHoldSeconds = 45
 
 // hold keeps the machines that will have room soonest from later requests:
 // where small tasks take every bit that comes free, a large one never fits.
-func (p *planner) hold(r *Request, tasks []int32) {
+func (p *planner) holdMachines(r *Request, tasks []int32) {
 	zone := r.Zone
 	if r.OneZone && zone < 0 {
 		most, first := 0, 0.0
-		for z := 0; z < p.zones; z++ {
-			held, in := p.holdIn(r, len(tasks), z)
-			p.undo(r, held)
+		for z := 0; z < p.numZones; z++ {
+			held, in := p.holdInZone(r, len(tasks), z)
+			p.unreserve(r, held)
 			if n := len(held); n > most || n == most && n > 0 && in < first {
 				zone, most, first = z, n, in
 			}
@@ -23,27 +23,27 @@
 			return
 		}
 	}
-	p.holdIn(r, len(tasks), zone)
+	p.holdInZone(r, len(tasks), zone)
 }
 
 // holdIn holds machines for n tasks in a zone, for a gang all or none, and says
 // after how long the last of them has room.
-func (p *planner) holdIn(r *Request, n, zone int) (held []Start, last float64) {
-	p.greedy(n, func(i int) (float64, bool) {
-		m := &p.in.Machines[i]
-		if !p.usable(m, i, r, soon) || zone >= 0 && m.Zone != zone {
+func (p *planner) holdInZone(r *Request, n, zone int) (held []Start, last float64) {
+	p.takeCheapest(n, func(i int) (float64, bool) {
+		m := &p.input.Machines[i]
+		if !p.passesFilter(m, i, r, freeSoon) || zone >= 0 && m.Zone != zone {
 			return 0, false
 		}
-		in, ok := p.roomIn(r, m)
-		return in, ok && in <= max(holdWithin, r.HoldSeconds)
+		in, ok := p.secondsUntilFits(r, m)
+		return in, ok && in <= max(defaultHoldSeconds, r.HoldSeconds)
 	}, func(i int) bool {
-		last, _ = p.roomIn(r, &p.in.Machines[i])
-		p.book(r, i, 1)
+		last, _ = p.secondsUntilFits(r, &p.input.Machines[i])
+		p.reserve(r, i, 1)
 		held = append(held, Start{Machine: i})
 		return true
 	})
 	if r.Gang && len(held) < n {
-		p.undo(r, held)
+		p.unreserve(r, held)
 		return nil, 0
 	}
 	return held, last
@@ -51,8 +51,8 @@
 
 // roomIn is after how long the tasks of a machine that end by themselves leave
 // room for one of the request's.
-func (p *planner) roomIn(r *Request, m *Machine) (float64, bool) {
-	free := room(m, soon)
+func (p *planner) secondsUntilFits(r *Request, m *Machine) (float64, bool) {
+	free := availableRoom(m, freeSoon)
 	if r.Need.Fits(free) {
 		return 0, true
 	}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -6,11 +6,11 @@
 // Resources is an amount of each resource.
 type Resources struct{ CPU, GPU, Mem float64 }
 
-const eps = 1e-6
+const tolerance = 1e-6
 
 // Fits says whether r fits into free.
 func (r Resources) Fits(free Resources) bool {
-	return r.CPU <= free.CPU+eps && r.GPU <= free.GPU+eps && r.Mem <= free.Mem+eps
+	return r.CPU <= free.CPU+tolerance && r.GPU <= free.GPU+tolerance && r.Mem <= free.Mem+tolerance
 }
 
 // Add returns r plus n times o.
@@ -148,16 +148,16 @@
 }
 
 type planner struct {
-	in      *Input
-	plan    Plan
-	rented  []int // offer of each machine appended to the input
-	stopped map[Task]bool
-	queue   queue
-	vain    [modes][]vain
-	zones   int
-	classes *classes // nil: every machine is judged, in tests
+	input             *Input
+	plan              Plan
+	offerOfNewMachine []int // offer of each machine appended to the input
+	stopped           map[Task]bool
+	queue             queue
+	failedSearches    [numRoomKinds][]failedSearch
+	numZones          int
+	classes           *classes // nil: every machine is judged, in tests
 
-	lastTier int // of all that is on machines
+	lowestTier int // of all that is on machines
 }
 
 // Compute makes a plan. Requests are served in their order. The input's machines are
@@ -167,16 +167,16 @@
 }
 
 func makePlan(in *Input, c *classes) Plan {
-	p := &planner{in: in, stopped: map[Task]bool{}, classes: c}
+	p := &planner{input: in, stopped: map[Task]bool{}, classes: c}
 	p.plan.ScaleOut = map[int]int{}
 	for i := range in.Machines {
-		p.zones = max(p.zones, in.Machines[i].Zone+1)
+		p.numZones = max(p.numZones, in.Machines[i].Zone+1)
 		for k := range in.Machines[i].Tasks {
-			p.lastTier = max(p.lastTier, in.Machines[i].Tasks[k].Tier)
+			p.lowestTier = max(p.lowestTier, in.Machines[i].Tasks[k].Tier)
 		}
 	}
 	for i := range in.Requests {
-		p.serve(i)
+		p.serveRequest(i)
 	}
 	return p.plan
 }
@@ -190,7 +190,7 @@
 	t := teams[r.Team]
 	limit := func(need, used, most float64) {
 		if most > 0 && need > 0 {
-			n = min(n, int((most-used+eps)/need))
+			n = min(n, int((most-used+tolerance)/need))
 		}
 	}
 	limit(r.Need.CPU, t.Used.CPU, t.Max.CPU)
@@ -198,66 +198,66 @@
 	return max(n, 0)
 }
 
-func (p *planner) serve(i int) {
-	r := &p.in.Requests[i]
-	n := TasksWithinLimit(r, p.in.Teams)
+func (p *planner) serveRequest(i int) {
+	r := &p.input.Requests[i]
+	n := TasksWithinLimit(r, p.input.Teams)
 	if n == 0 || r.Gang && n < len(r.Tasks) {
 		return
 	}
 	rest := r.Tasks[:n]
 	if r.Provision {
-		p.rentAhead(r)
+		p.provision(r)
 		return
 	}
 	if r.PreferredTypes != nil {
 		first := *r // searches in vain are remembered with the types they were for
 		first.Types = r.PreferredTypes
-		rest = p.start(&first, i, rest)
+		rest = p.startTasks(&first, i, rest)
 		rest = p.preempt(&first, rest)
 	}
-	rest = p.start(r, i, rest)
+	rest = p.startTasks(r, i, rest)
 	if len(rest) == 0 || r.FreeRoomOnly {
 		return
 	}
 	if r.Reserve {
-		p.hold(r, rest)
+		p.holdMachines(r, rest)
 		return
 	}
 	if r.Headroom {
-		got := p.try(r, rest, booting)
-		p.rent(r, rest[len(got):])
+		got := p.reserveTasks(r, rest, onBooting)
+		p.scaleOut(r, rest[len(got):])
 		return
 	}
 	p.plan.Waiting = append(p.plan.Waiting, i)
 	// Room that is about to be there: keep it for this request, so that later
 	// ones do not take it.
-	if got := p.try(r, rest, soon); len(got) > 0 {
+	if got := p.reserveTasks(r, rest, freeSoon); len(got) > 0 {
 		rest = rest[len(got):]
 	}
-	if len(rest) > 0 && p.in.AllowPreemption {
+	if len(rest) > 0 && p.input.AllowPreemption {
 		rest = p.preempt(r, rest)
 	}
 	if len(rest) > 0 && r.Hold {
-		p.hold(r, rest)
+		p.holdMachines(r, rest)
 	}
 	if len(rest) > 0 {
-		got := p.try(r, rest, booting)
+		got := p.reserveTasks(r, rest, onBooting)
 		rest = rest[len(got):]
 	}
 	if len(rest) > 0 {
-		p.rent(r, rest)
+		p.scaleOut(r, rest)
 	}
 }
 
 // start places what fits now and returns what is left.
-func (p *planner) start(r *Request, i int, tasks []int32) []int32 {
-	placed := p.try(r, tasks, readyNow)
+func (p *planner) startTasks(r *Request, i int, tasks []int32) []int32 {
+	placed := p.reserveTasks(r, tasks, freeNow)
 	for _, s := range placed {
 		s.Request = i
 		p.plan.Starts = append(p.plan.Starts, s)
 	}
 	if r.Team >= 0 {
-		t := &p.in.Teams[r.Team]
+		t := &p.input.Teams[r.Team]
 		t.Used = t.Used.Add(r.Need, float64(len(placed)))
 	}
 	return tasks[len(placed):]
--- a/placement/pools.go
+++ b/placement/pools.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	lentCost = 60   // seconds of delay that borrowing counts for
-	lastCost = 1000 // more than any boot: another machine is taken if one is up
-	ownGain  = 2    // of two machines with the weights, the pool's is taken
+	borrowScore     = 60   // seconds of delay that borrowing counts for
+	lastResortScore = 1000 // more than any boot: another machine is taken if one is up
+	ownerBonus      = 2    // of two machines with the weights, the pool's is taken
 )
 
-func (m *Machine) use(r *Request) PoolAccess {
+func (m *Machine) poolAccess(r *Request) PoolAccess {
 	if m.Pool > len(r.PoolAccess) {
 		return NoAccess
 	}
@@ -28,11 +28,11 @@
 }
 
 // admits says whether the request may use the machine as far as pools go.
-func admits(m *Machine, r *Request) bool {
+func poolAdmits(m *Machine, r *Request) bool {
 	if m.Pool == 0 {
 		return true
 	}
-	switch m.use(r) {
+	switch m.poolAccess(r) {
 	case OwnerAccess, LastResortAccess:
 		return true
 	case BorrowAccess:
@@ -45,29 +45,29 @@
 // PoolRefuses says whether a warm pool keeps the request from the machine, altogether
 // or for its image, which would evict the pool's weights.
 func (m *Machine) PoolRefuses(r *Request) (pool, image bool) {
-	if admits(m, r) {
+	if poolAdmits(m, r) {
 		return false, false
 	}
-	lent := m.use(r) == BorrowAccess
+	lent := m.poolAccess(r) == BorrowAccess
 	return !lent, lent
 }
 
-func poolCost(m *Machine, r *Request) float64 {
+func poolScore(m *Machine, r *Request) float64 {
 	if m.Pool == 0 {
 		return 0
 	}
-	switch m.use(r) {
+	switch m.poolAccess(r) {
 	case OwnerAccess:
-		return -ownGain
+		return -ownerBonus
 	case BorrowAccess:
-		return lentCost
+		return borrowScore
 	}
-	return lastCost
+	return lastResortScore
 }
 
 // bookPool books what a borrower's image takes beside the weights.
-func bookPool(m *Machine, r *Request, sign float64) {
-	if m.Pool == 0 || m.use(r) != BorrowAccess {
+func reservePoolSpace(m *Machine, r *Request, sign float64) {
+	if m.Pool == 0 || m.poolAccess(r) != BorrowAccess {
 		return
 	}
 	if _, there := m.ImageReadyIn(r.Image); !there {
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -5,7 +5,7 @@
 // This file makes room by stopping others.
 
 // victim says whether the request may stop the occupant.
-func victim(r *Request, o *Occupant) bool {
+func mayPreempt(r *Request, o *Occupant) bool {
 	if o.NonPreemptible {
 		return false
 	}
@@ -18,10 +18,10 @@
 // tierLoss is what stopping work counts for each tier that it stands before the
 // last: more than any work that is lost, so that what may be
 // stopped of a later tier goes first wherever it is.
-const tierLoss = 1e6
+const tierLossSeconds = 1e6
 
 // lessLoss says whether stopping one occupant comes before stopping another.
-func lessLoss(a, b *Occupant) bool {
+func preemptedBefore(a, b *Occupant) bool {
 	if a.Tier != b.Tier {
 		return a.Tier > b.Tier
 	}
@@ -30,7 +30,7 @@
 
 // stopLoss is what a stop costs beyond the lost work: saving, and starting
 // again, in seconds.
-const stopLoss = 8
+const restartLossSeconds = 8
 
 // preempt stops the tasks whose loss is least to make room, all of the
 // request's tasks or none for a gang. It returns the tasks left.
@@ -41,13 +41,13 @@
 	zone := r.Zone
 	if r.OneZone && zone < 0 {
 		bestN, bestLoss := 0, 0.0
-		for z := 0; z < p.zones; z++ {
-			made := p.preemptIn(r, tasks, z)
+		for z := 0; z < p.numZones; z++ {
+			made := p.preemptInZone(r, tasks, z)
 			n, loss := len(made), 0.0
 			for _, d := range made {
 				loss += d.loss
 			}
-			p.unmake(r, made)
+			p.undoPreemptions(r, made)
 			if n > bestN || n == bestN && n > 0 && loss < bestLoss {
 				zone, bestN, bestLoss = z, n, loss
 			}
@@ -56,65 +56,65 @@
 			return tasks
 		}
 	}
-	made := p.preemptIn(r, tasks, zone)
+	made := p.preemptInZone(r, tasks, zone)
 	for _, d := range made {
 		for _, k := range d.victims {
-			p.plan.Preemptions = append(p.plan.Preemptions, p.in.Machines[d.machine].Tasks[k].Task)
+			p.plan.Preemptions = append(p.plan.Preemptions, p.input.Machines[d.machine].Tasks[k].Task)
 		}
 	}
 	if len(made) > 0 {
 		// What was stopped may leave more room than was wanted.
-		p.vain[soon] = p.vain[soon][:0]
+		p.failedSearches[freeSoon] = p.failedSearches[freeSoon][:0]
 	}
 	return tasks[len(made):]
 }
 
 // made is room for one task, made on a machine by stopping some there.
-type made struct {
+type preemption struct {
 	machine int
 	victims []int
 	loss    float64
 }
 
-func (p *planner) preemptIn(r *Request, tasks []int32, zone int) []made {
+func (p *planner) preemptInZone(r *Request, tasks []int32, zone int) []preemption {
 	need := 1
 	if r.Gang {
 		need = len(tasks)
 	}
-	if p.inVain(byStopping, r, zone, need) {
+	if p.knownToFail(byPreempting, r, zone, need) {
 		return nil
 	}
-	var out []made
-	judge := func(i int) (made, bool) {
-		m := &p.in.Machines[i]
-		if !p.usable(m, i, r, soon) || zone >= 0 && m.Zone != zone || r.MaxPerZone > 0 && r.PlacedByZone[m.Zone] >= r.MaxPerZone {
-			return made{}, false
+	var out []preemption
+	judge := func(i int) (preemption, bool) {
+		m := &p.input.Machines[i]
+		if !p.passesFilter(m, i, r, freeSoon) || zone >= 0 && m.Zone != zone || r.MaxPerZone > 0 && r.PlacedByZone[m.Zone] >= r.MaxPerZone {
+			return preemption{}, false
 		}
-		chosen, loss, ok := p.cheapest(r, m)
-		return made{i, chosen, loss}, ok
+		chosen, loss, ok := p.cheapestVictims(r, m)
+		return preemption{i, chosen, loss}, ok
 	}
-	n := p.greedy(len(tasks), func(i int) (float64, bool) {
+	n := p.takeCheapest(len(tasks), func(i int) (float64, bool) {
 		d, ok := judge(i)
 		return d.loss, ok
 	}, func(i int) bool {
 		d, ok := judge(i)
 		if ok {
-			p.make(r, d, 1)
+			p.reservePreemption(r, d, 1)
 			out = append(out, d)
 		}
 		return ok
 	})
 	if n < need {
-		p.note(byStopping, r, zone, need)
-		p.unmake(r, out)
+		p.rememberFailure(byPreempting, r, zone, need)
+		p.undoPreemptions(r, out)
 		return nil
 	}
 	return out
 }
 
 // make books a task in room that stops make; sign -1 takes that back.
-func (p *planner) make(r *Request, d made, sign float64) {
-	m := &p.in.Machines[d.machine]
+func (p *planner) reservePreemption(r *Request, d preemption, sign float64) {
+	m := &p.input.Machines[d.machine]
 	for _, k := range d.victims {
 		o := &m.Tasks[k]
 		if sign > 0 {
@@ -124,25 +124,25 @@
 		}
 		m.Releasing = m.Releasing.Add(o.Need, sign)
 	}
-	p.book(r, d.machine, sign)
+	p.reserve(r, d.machine, sign)
 }
 
-func (p *planner) unmake(r *Request, done []made) {
+func (p *planner) undoPreemptions(r *Request, done []preemption) {
 	for _, d := range done {
-		p.make(r, d, -1)
+		p.reservePreemption(r, d, -1)
 	}
 }
 
 // cheapest picks the victims on a machine that free enough room at the least
 // loss: least loss first, then without those that turned out not to be needed.
-func (p *planner) cheapest(r *Request, m *Machine) ([]int, float64, bool) {
-	free := room(m, soon)
+func (p *planner) cheapestVictims(r *Request, m *Machine) ([]int, float64, bool) {
+	free := availableRoom(m, freeSoon)
 	if r.Need.Fits(free) {
 		return nil, m.PenaltySeconds, true
 	}
 	most := free
 	for k := range m.Tasks {
-		if o := &m.Tasks[k]; victim(r, o) && !p.stopped[o.Task] {
+		if o := &m.Tasks[k]; mayPreempt(r, o) && !p.stopped[o.Task] {
 			most = most.Add(o.Need, 1)
 		}
 	}
@@ -155,10 +155,10 @@
 		best := -1
 		for k := range m.Tasks {
 			o := &m.Tasks[k]
-			if taken[k] || p.stopped[o.Task] || !victim(r, o) {
+			if taken[k] || p.stopped[o.Task] || !mayPreempt(r, o) {
 				continue
 			}
-			if best < 0 || lessLoss(o, &m.Tasks[best]) {
+			if best < 0 || preemptedBefore(o, &m.Tasks[best]) {
 				best = k
 			}
 		}
@@ -179,7 +179,7 @@
 			continue
 		}
 		keep = append(keep, k)
-		loss += m.Tasks[k].LossSeconds + stopLoss + tierLoss*float64(p.lastTier-m.Tasks[k].Tier)
+		loss += m.Tasks[k].LossSeconds + restartLossSeconds + tierLossSeconds*float64(p.lowestTier-m.Tasks[k].Tier)
 	}
 	return keep, loss, true
 }
--- a/placement/rent.go
+++ b/placement/rent.go
@@ -3,11 +3,11 @@
 // This file orders machines.
 
 // rent adds machines for the tasks that fit nowhere, the cheapest way first.
-func (p *planner) rent(r *Request, tasks []int32) {
-	for len(tasks) > 0 && len(p.rented) < p.in.MaxScaleOut {
+func (p *planner) scaleOut(r *Request, tasks []int32) {
+	for len(tasks) > 0 && len(p.offerOfNewMachine) < p.input.MaxScaleOut {
 		best, bestCost := -1, 0.0
-		for i := range p.in.Offers {
-			o := &p.in.Offers[i]
+		for i := range p.input.Offers {
+			o := &p.input.Offers[i]
 			if !r.Types[o.Type] || r.Zone >= 0 && r.Zone != o.Zone || o.Spot && !r.Spot || !r.Need.Fits(o.Machine.Capacity) {
 				continue
 			}
@@ -25,35 +25,35 @@
 		if best < 0 {
 			return
 		}
-		o := &p.in.Offers[best]
+		o := &p.input.Offers[best]
 		m := o.Machine
 		m.Free = m.Capacity
-		p.in.Machines = append(p.in.Machines, m)
+		p.input.Machines = append(p.input.Machines, m)
 		if p.classes != nil {
-			p.classes.add(p.in.Machines, len(p.in.Machines)-1)
+			p.classes.add(p.input.Machines, len(p.input.Machines)-1)
 		}
-		p.rented = append(p.rented, best)
+		p.offerOfNewMachine = append(p.offerOfNewMachine, best)
 		p.plan.ScaleOut[best]++
-		idx := len(p.in.Machines) - 1
+		idx := len(p.input.Machines) - 1
 		n := 0
-		for n < len(tasks) && r.Need.Fits(p.in.Machines[idx].Free) && (r.MaxPerZone <= 0 || r.PlacedByZone[o.Zone] < r.MaxPerZone) {
-			p.book(r, idx, 1)
+		for n < len(tasks) && r.Need.Fits(p.input.Machines[idx].Free) && (r.MaxPerZone <= 0 || r.PlacedByZone[o.Zone] < r.MaxPerZone) {
+			p.reserve(r, idx, 1)
 			n++
 		}
 		if n == 0 {
 			return
 		}
 		tasks = tasks[n:]
-		p.vain[booting] = p.vain[booting][:0]
+		p.failedSearches[onBooting] = p.failedSearches[onBooting][:0]
 	}
 }
 
 // rentAhead adds machines for places that are lacking beyond those there are; what
 // is rented for others that wait counts.
-func (p *planner) rentAhead(r *Request) {
+func (p *planner) provision(r *Request) {
 	n := len(r.Tasks)
-	for _, o := range p.rented {
-		m := &p.in.Offers[o].Machine
+	for _, o := range p.offerOfNewMachine {
+		m := &p.input.Offers[o].Machine
 		if !r.Types[m.Type] || m.Spot && !r.Spot || r.Zone >= 0 && r.Zone != m.Zone {
 			continue
 		}
@@ -61,5 +61,5 @@
 			n--
 		}
 	}
-	p.rent(r, r.Tasks[:n])
+	p.scaleOut(r, r.Tasks[:n])
 }
--- a/placement/search.go
+++ b/placement/search.go
@@ -8,21 +8,21 @@
 // This file searches the machines for room.
 
 // Modes of try: which machines count, and which of their room.
-type mode int
+type roomKind int
 
 const (
-	readyNow mode = iota
-	soon
-	booting
-	byStopping // not of try: room made by stopping others
-	modes
+	freeNow roomKind = iota
+	freeSoon
+	onBooting
+	byPreempting // not of try: room made by stopping others
+	numRoomKinds
 )
 
 // entry is a machine and what it costs to use it next.
 type entry struct {
-	cost float64
-	idx  int
-	of   *class // it stands for the rest of its class as well; nil: for itself
+	score   float64
+	machine int
+	class   *class // it stands for the rest of its class as well; nil: for itself
 }
 
 // queue has the cheapest machine first, and the first of those that cost the
@@ -32,7 +32,7 @@
 func (q queue) Len() int { return len(q) }
 
 func (q queue) Less(a, b int) bool {
-	return q[a].cost < q[b].cost || q[a].cost == q[b].cost && q[a].idx < q[b].idx
+	return q[a].score < q[b].score || q[a].score == q[b].score && q[a].machine < q[b].machine
 }
 
 func (q queue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
@@ -51,25 +51,25 @@
 // again only when it is taken: with hundreds of machines, judging all of them
 // anew for each task was most of a leader's processor time. take says whether
 // the machine could be used. greedy returns how often one could.
-func (p *planner) greedy(n int, judge func(i int) (float64, bool), take func(i int) bool) int {
+func (p *planner) takeCheapest(n int, judge func(i int) (float64, bool), take func(i int) bool) int {
 	q := p.queue[:0]
-	for i := range p.in.Machines {
+	for i := range p.input.Machines {
 		if c, ok := judge(i); ok {
 			q = append(q, entry{c, i, nil})
 		}
 	}
-	return p.draw(q, n, judge, take, nil)
+	return p.drawCheapest(q, n, judge, take, nil)
 }
 
 // draw takes the cheapest entry up to n times. Where one stands for its class,
 // next gives the class's machine after one that was drawn, or -1: it costs what
 // that one did.
-func (p *planner) draw(q queue, n int, judge func(i int) (float64, bool), take func(i int) bool, next func(k *class, i int) int) int {
+func (p *planner) drawCheapest(q queue, n int, judge func(i int) (float64, bool), take func(i int) bool, next func(k *class, i int) int) int {
 	p.queue = q
 	heap.Init(&q)
 	got := 0
 	for got < n && len(q) > 0 {
-		i, of := q[0].idx, q[0].of
+		i, of := q[0].machine, q[0].class
 		cost, ok := 0.0, take(i)
 		if ok {
 			got++
@@ -77,7 +77,7 @@
 		}
 		if of != nil {
 			if j := next(of, i); j >= 0 {
-				q[0].idx = j
+				q[0].machine = j
 				heap.Fix(&q, 0)
 			} else {
 				heap.Pop(&q)
@@ -91,7 +91,7 @@
 			heap.Pop(&q)
 			continue
 		}
-		q[0].cost = cost
+		q[0].score = cost
 		heap.Fix(&q, 0)
 	}
 	return got
@@ -100,21 +100,21 @@
 // vain is a search that found no room. As room only shrinks while planning,
 // whoever wants as much or more searches in vain too: among hundreds of
 // waiting jobs most are alike.
-type vain struct {
-	r    *Request
-	zone int
-	n    int
+type failedSearch struct {
+	request *Request
+	zone    int
+	tasks   int
 }
 
 // inVain says whether a search for n tasks is known to be in vain.
-func (p *planner) inVain(md mode, r *Request, zone, n int) bool {
-	for i := range p.vain[md] {
-		v := &p.vain[md][i]
-		o := v.r
-		if v.n > n || v.zone >= 0 && v.zone != zone || r.Spot && !o.Spot || !o.Need.Fits(r.Need) {
+func (p *planner) knownToFail(md roomKind, r *Request, zone, n int) bool {
+	for i := range p.failedSearches[md] {
+		v := &p.failedSearches[md][i]
+		o := v.request
+		if v.tasks > n || v.zone >= 0 && v.zone != zone || r.Spot && !o.Spot || !o.Need.Fits(r.Need) {
 			continue
 		}
-		if md == byStopping && (o.Priority > r.Priority || r.WithinGuarantee && (!o.WithinGuarantee || o.Team != r.Team)) {
+		if md == byPreempting && (o.Priority > r.Priority || r.WithinGuarantee && (!o.WithinGuarantee || o.Team != r.Team)) {
 			continue
 		}
 		if slices.Equal(o.Types, r.Types) && slices.Equal(o.PoolAccess, r.PoolAccess) {
@@ -126,22 +126,22 @@
 
 // note remembers a search for n tasks that was in vain, unless it was for
 // reasons of that request alone.
-func (p *planner) note(md mode, r *Request, zone, n int) {
-	if len(r.Avoid) > 0 || r.MaxPerZone > 0 || len(p.vain[md]) >= 64 {
+func (p *planner) rememberFailure(md roomKind, r *Request, zone, n int) {
+	if len(r.Avoid) > 0 || r.MaxPerZone > 0 || len(p.failedSearches[md]) >= 64 {
 		return
 	}
-	p.vain[md] = append(p.vain[md], vain{r, zone, n})
+	p.failedSearches[md] = append(p.failedSearches[md], failedSearch{r, zone, n})
 }
 
-func (p *planner) usable(m *Machine, idx int, r *Request, md mode) bool {
-	if (md == booting) == m.Ready {
+func (p *planner) passesFilter(m *Machine, idx int, r *Request, md roomKind) bool {
+	if (md == onBooting) == m.Ready {
 		return false
 	}
-	return r.Types[m.Type] && (r.Zone < 0 || r.Zone == m.Zone) && (!m.Spot || r.Spot) && !r.Avoid[idx] && admits(m, r)
+	return r.Types[m.Type] && (r.Zone < 0 || r.Zone == m.Zone) && (!m.Spot || r.Spot) && !r.Avoid[idx] && poolAdmits(m, r)
 }
 
-func room(m *Machine, md mode) Resources {
-	if md == readyNow {
+func availableRoom(m *Machine, md roomKind) Resources {
+	if md == freeNow {
 		return m.Free
 	}
 	return m.Free.Add(m.Releasing, 1)
@@ -149,8 +149,8 @@
 
 // cost ranks the machines that fit, in seconds: what the start is delayed by,
 // and what it takes away from others.
-func cost(m *Machine, r *Request, free Resources) float64 {
-	c := m.PenaltySeconds + m.ETA + poolCost(m, r)
+func score(m *Machine, r *Request, free Resources) float64 {
+	c := m.PenaltySeconds + m.ETA + poolScore(m, r)
 	if left, ok := m.ImageReadyIn(r.Image); ok {
 		c += left
 	} else if m.FetchRate > 0 {
@@ -179,15 +179,15 @@
 }
 
 // try books as many of the tasks as fit, all or none for a gang.
-func (p *planner) try(r *Request, tasks []int32, md mode) []Start {
+func (p *planner) reserveTasks(r *Request, tasks []int32, md roomKind) []Start {
 	if !r.OneZone || r.Zone >= 0 {
-		got, _ := p.fill(r, tasks, md, r.Zone)
+		got, _ := p.reserveInZone(r, tasks, md, r.Zone)
 		return got
 	}
 	best, bestN, bestCost := -1, 0, 0.0
-	for z := 0; z < p.zones; z++ {
-		got, c := p.fill(r, tasks, md, z)
-		p.undo(r, got)
+	for z := 0; z < p.numZones; z++ {
+		got, c := p.reserveInZone(r, tasks, md, z)
+		p.unreserve(r, got)
 		if n := len(got); n > bestN || n == bestN && n > 0 && c < bestCost {
 			best, bestN, bestCost = z, n, c
 		}
@@ -195,30 +195,30 @@
 	if best < 0 {
 		return nil
 	}
-	got, _ := p.fill(r, tasks, md, best)
+	got, _ := p.reserveInZone(r, tasks, md, best)
 	return got
 }
 
-func (p *planner) fill(r *Request, tasks []int32, md mode, zone int) ([]Start, float64) {
+func (p *planner) reserveInZone(r *Request, tasks []int32, md roomKind, zone int) ([]Start, float64) {
 	need := 1
 	if r.Gang {
 		need = len(tasks)
 	}
-	if p.inVain(md, r, zone, need) {
+	if p.knownToFail(md, r, zone, need) {
 		return nil, 0
 	}
 	var got []Start
 	total := 0.0
 	judge := func(i int) (float64, bool) {
-		m := &p.in.Machines[i]
-		if !r.Need.Fits(room(m, md)) || !p.usable(m, i, r, md) || zone >= 0 && m.Zone != zone {
+		m := &p.input.Machines[i]
+		if !r.Need.Fits(availableRoom(m, md)) || !p.passesFilter(m, i, r, md) || zone >= 0 && m.Zone != zone {
 			return 0, false
 		}
-		return cost(m, r, room(m, md)), r.MaxPerZone <= 0 || r.PlacedByZone[m.Zone] < r.MaxPerZone
+		return score(m, r, availableRoom(m, md)), r.MaxPerZone <= 0 || r.PlacedByZone[m.Zone] < r.MaxPerZone
 	}
 	take := func(i int, t int32, c float64) {
-		got = append(got, Start{Task: t, Machine: i, FreeBefore: p.in.Machines[i].Free})
-		p.book(r, i, 1)
+		got = append(got, Start{Task: t, Machine: i, FreeBefore: p.input.Machines[i].Free})
+		p.reserve(r, i, 1)
 		total += c
 	}
 	rest := tasks
@@ -227,7 +227,7 @@
 		rest = make([]int32, 0, len(tasks))
 		for _, t := range tasks {
 			to, ok := r.PreferredMachines[t]
-			if ok && to < len(p.in.Machines) {
+			if ok && to < len(p.input.Machines) {
 				if c, ok := judge(to); ok {
 					take(to, t, c)
 					continue
@@ -245,38 +245,38 @@
 		return ok
 	}
 	if p.classes != nil {
-		p.greedyByClass(r, len(rest), judge, use)
+		p.takeCheapestByClass(r, len(rest), judge, use)
 	} else {
-		p.greedy(len(rest), judge, use)
+		p.takeCheapest(len(rest), judge, use)
 	}
 	if len(rest) > 0 && (r.Gang || len(got) == 0) {
-		p.note(md, r, zone, need)
+		p.rememberFailure(md, r, zone, need)
 	}
 	if r.Gang && len(rest) > 0 {
-		p.undo(r, got)
+		p.unreserve(r, got)
 		return nil, 0
 	}
 	return got, total
 }
 
-func (p *planner) book(r *Request, machine int, sign float64) {
-	m := &p.in.Machines[machine]
+func (p *planner) reserve(r *Request, machine int, sign float64) {
+	m := &p.input.Machines[machine]
 	m.Free = m.Free.Add(r.Need, -sign)
-	bookPool(m, r, sign)
+	reservePoolSpace(m, r, sign)
 	if r.PlacedByZone != nil {
 		r.PlacedByZone[m.Zone] += int(sign)
 	}
-	p.moved(machine)
+	p.updateClass(machine)
 }
 
-func (p *planner) moved(machine int) {
+func (p *planner) updateClass(machine int) {
 	if p.classes != nil {
-		p.classes.moved(p.in.Machines, machine)
+		p.classes.update(p.input.Machines, machine)
 	}
 }
 
-func (p *planner) undo(r *Request, got []Start) {
+func (p *planner) unreserve(r *Request, got []Start) {
 	for _, s := range got {
-		p.book(r, s.Machine, -1)
+		p.reserve(r, s.Machine, -1)
 	}
 }
