--- /dev/null
+++ b/placement/cheapest.go
@@ -0,0 +1,88 @@
+package placement
+
+import "container/heap"
+
+// This file chooses the machines with the lowest scores.
+
+// scoreFunc is a machine's score, if it can be used at all.
+type scoreFunc func(machine int) (float64, bool)
+
+// takeFunc uses a machine once, and says whether that could be done.
+type takeFunc func(machine int) bool
+
+// entry is a machine and the score of using it next.
+type entry struct {
+	score   float64
+	machine int
+	class   *class // the machine stands for the rest of its class as well; nil: for itself
+}
+
+// queue is a heap with the lowest score first, and the first machine of those that
+// have the same.
+type queue []entry
+
+func (q queue) Len() int { return len(q) }
+
+func (q queue) Less(a, b int) bool {
+	return q[a].score < q[b].score || q[a].score == q[b].score && q[a].machine < q[b].machine
+}
+
+func (q queue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
+
+func (q *queue) Push(x any) { *q = append(*q, x.(entry)) }
+
+func (q *queue) Pop() any {
+	old := *q
+	e := old[len(old)-1]
+	*q = old[:len(old)-1]
+	return e
+}
+
+// takeCheapest takes the machine with the lowest score up to n times, and returns how
+// often it could. Taking a machine changes its own score and no other's, so that each
+// is scored once and then again only when it is taken: with hundreds of machines,
+// scoring all of them anew for each task was most of a leader's processor time.
+func (p *planner) takeCheapest(n int, score scoreFunc, take takeFunc) int {
+	q := p.queue[:0]
+	for machine := range p.input.Machines {
+		if value, ok := score(machine); ok {
+			q = append(q, entry{value, machine, nil})
+		}
+	}
+	return p.takeQueued(q, n, score, take, nil)
+}
+
+// takeQueued takes the first entry's machine up to n times. Where an entry stands for
+// its class, next gives the class's machine after the one that was taken, or -1: its
+// score is the same.
+func (p *planner) takeQueued(q queue, n int, score scoreFunc, take takeFunc, next func(k *class, machine int) int) int {
+	p.queue = q
+	heap.Init(&q)
+	taken := 0
+	for taken < n && len(q) > 0 {
+		first := q[0]
+		value, ok := 0.0, take(first.machine)
+		if ok {
+			taken++
+			value, ok = score(first.machine)
+		}
+		switch {
+		case first.class != nil:
+			if following := next(first.class, first.machine); following >= 0 {
+				q[0].machine = following
+				heap.Fix(&q, 0)
+			} else {
+				heap.Pop(&q)
+			}
+			if ok {
+				heap.Push(&q, entry{value, first.machine, nil})
+			}
+		case ok:
+			q[0].score = value
+			heap.Fix(&q, 0)
+		default:
+			heap.Pop(&q)
+		}
+	}
+	return taken
+}
--- /dev/null
+++ b/placement/filter.go
@@ -0,0 +1,42 @@
+package placement
+
+// This file filters machines: which of them a request may use, and which of their room.
+
+// roomKind is the room that a search looks for.
+type roomKind int
+
+const (
+	freeNow      roomKind = iota // free on a machine that is up
+	freeSoon                     // the same, with what stopping tasks will release
+	onBooting                    // on a machine that is rented and not up yet
+	byPreempting                 // made by preempting tasks
+	numRoomKinds
+)
+
+// passesFilter says whether the request may use the machine, whether or not it has
+// room.
+func (p *planner) passesFilter(machine int, r *Request, kind roomKind) bool {
+	m := &p.input.Machines[machine]
+	if (kind == onBooting) == m.Ready {
+		return false
+	}
+	return r.accepts(m) && !r.Avoid[machine] && poolAdmits(m, r)
+}
+
+// accepts says whether the request may use machines of that type, zone and price.
+func (r *Request) accepts(m *Machine) bool {
+	return r.Types[m.Type] && (r.Zone < 0 || r.Zone == m.Zone) && (!m.Spot || r.Spot)
+}
+
+// zoneIsFull says whether the request has as many tasks in a zone as may be there.
+func (r *Request) zoneIsFull(zone int) bool {
+	return r.MaxPerZone > 0 && r.PlacedByZone[zone] >= r.MaxPerZone
+}
+
+// availableRoom is the room of a machine that a search of that kind counts.
+func availableRoom(m *Machine, kind roomKind) Resources {
+	if kind == freeNow {
+		return m.Free
+	}
+	return m.Free.Add(m.Releasing, 1)
+}
--- a/placement/hold.go
+++ b/placement/hold.go
@@ -1,45 +1,52 @@
 package placement
 
-// This file keeps machines from smaller tasks until a larger one fits.
+// This file holds machines: small tasks that come later are kept from them until a
+// large one fits. Where small tasks take all room that comes free, a large one never
+// fits.
 
-// holdWithin is how soon a machine must have room for it to be kept from
-// smaller tasks until then, in seconds, where the request does not say.
+// defaultHoldSeconds is how soon a machine must have room for the request to be held,
+// where the request does not say.
 const defaultHoldSeconds = 45
 
-// hold keeps the machines that will have room soonest from later requests:
-// where small tasks take every bit that comes free, a large one never fits.
+// holdMachines holds the machines that will have room soonest.
 func (p *planner) holdMachines(r *Request, tasks []int32) {
 	zone := r.Zone
 	if r.OneZone && zone < 0 {
-		most, first := 0, 0.0
-		for z := 0; z < p.numZones; z++ {
-			held, in := p.holdInZone(r, len(tasks), z)
-			p.unreserve(r, held)
-			if n := len(held); n > most || n == most && n > 0 && in < first {
-				zone, most, first = z, n, in
-			}
-		}
-		if zone < 0 {
+		if zone = p.soonestZoneToHold(r, len(tasks)); zone < 0 {
 			return
 		}
 	}
 	p.holdInZone(r, len(tasks), zone)
 }
 
-// holdIn holds machines for n tasks in a zone, for a gang all or none, and says
-// after how long the last of them has room.
+// soonestZoneToHold is the zone in which machines for most of n tasks can be held, and
+// of those the one that has room soonest; -1 where none can.
+func (p *planner) soonestZoneToHold(r *Request, n int) int {
+	best, most, soonest := -1, 0, 0.0
+	for zone := 0; zone < p.numZones; zone++ {
+		held, seconds := p.holdInZone(r, n, zone)
+		p.unreserve(r, held)
+		if count := len(held); count > most || count == most && count > 0 && seconds < soonest {
+			best, most, soonest = zone, count, seconds
+		}
+	}
+	return best
+}
+
+// holdInZone holds machines for n tasks in a zone, or in any if it is -1, for a gang
+// all or none. It says after how many seconds the last of them has room.
 func (p *planner) holdInZone(r *Request, n, zone int) (held []Start, last float64) {
-	p.takeCheapest(n, func(i int) (float64, bool) {
-		m := &p.input.Machines[i]
-		if !p.passesFilter(m, i, r, freeSoon) || zone >= 0 && m.Zone != zone {
+	p.takeCheapest(n, func(machine int) (float64, bool) {
+		m := &p.input.Machines[machine]
+		if !p.passesFilter(machine, r, freeSoon) || zone >= 0 && m.Zone != zone {
 			return 0, false
 		}
-		in, ok := p.secondsUntilFits(r, m)
-		return in, ok && in <= max(defaultHoldSeconds, r.HoldSeconds)
-	}, func(i int) bool {
-		last, _ = p.secondsUntilFits(r, &p.input.Machines[i])
-		p.reserve(r, i, 1)
-		held = append(held, Start{Machine: i})
+		seconds, ok := p.secondsUntilFits(r, m)
+		return seconds, ok && seconds <= max(defaultHoldSeconds, r.HoldSeconds)
+	}, func(machine int) bool {
+		last, _ = p.secondsUntilFits(r, &p.input.Machines[machine])
+		p.reserve(r, machine, reserving)
+		held = append(held, Start{Machine: machine})
 		return true
 	})
 	if r.Gang && len(held) < n {
@@ -49,8 +56,8 @@
 	return held, last
 }
 
-// roomIn is after how long the tasks of a machine that end by themselves leave
-// room for one of the request's.
+// secondsUntilFits is after how many seconds the tasks of a machine that end by
+// themselves leave room for one of the request's.
 func (p *planner) secondsUntilFits(r *Request, m *Machine) (float64, bool) {
 	free := availableRoom(m, freeSoon)
 	if r.Need.Fits(free) {
@@ -59,25 +66,36 @@
 	if !r.Need.Fits(m.Capacity) {
 		return 0, false
 	}
-	var few [16]bool
-	taken := few[:]
+	var few [16]bool // on the stack, as this is done for each machine
+	ended := few[:]
 	if len(m.Tasks) > len(few) {
-		taken = make([]bool, len(m.Tasks))
+		ended = make([]bool, len(m.Tasks))
 	}
-	in := 0.0
+	seconds := 0.0
 	for !r.Need.Fits(free) {
-		next := -1
-		for k := range m.Tasks {
-			if !taken[k] && !p.stopped[m.Tasks[k].Task] && !m.Tasks[k].Stopping && (next < 0 || m.Tasks[k].RemainingSeconds < m.Tasks[next].RemainingSeconds) {
-				next = k
-			}
-		}
+		next := p.nextToEnd(m, ended)
 		if next < 0 {
 			return 0, false
 		}
-		taken[next] = true
-		in = m.Tasks[next].RemainingSeconds
+		ended[next] = true
+		seconds = m.Tasks[next].RemainingSeconds
 		free = free.Add(m.Tasks[next].Need, 1)
 	}
-	return in, true
+	return seconds, true
+}
+
+// nextToEnd is the task on a machine that ends next, of those that have not ended and
+// are not being stopped, or -1.
+func (p *planner) nextToEnd(m *Machine, ended []bool) int {
+	next := -1
+	for k := range m.Tasks {
+		o := &m.Tasks[k]
+		if ended[k] || p.preempted[o.Task] || o.Stopping {
+			continue
+		}
+		if next < 0 || o.RemainingSeconds < m.Tasks[next].RemainingSeconds {
+			next = k
+		}
+	}
+	return next
 }
--- a/placement/pools.go
+++ b/placement/pools.go
@@ -6,7 +6,7 @@
 // PoolAccess says what a request may do with a pool's machines.
 type PoolAccess uint8
 
-// Uses.
+// What a request may do, from nothing to everything.
 const (
 	NoAccess         PoolAccess = iota // the room is the pool's
 	BorrowAccess                       // as long as the weights stay there, until the pool wants the room back
@@ -14,12 +14,14 @@
 	OwnerAccess                        // as what the pool is for
 )
 
+// Parts of a score, in seconds of delay that they stand for.
 const (
-	borrowScore     = 60   // seconds of delay that borrowing counts for
+	borrowScore     = 60   // for the risk that the pool wants its machine back
 	lastResortScore = 1000 // more than any boot: another machine is taken if one is up
 	ownerBonus      = 2    // of two machines with the weights, the pool's is taken
 )
 
+// poolAccess is what the request may do with a machine, which is of a pool.
 func (m *Machine) poolAccess(r *Request) PoolAccess {
 	if m.Pool > len(r.PoolAccess) {
 		return NoAccess
@@ -27,7 +29,7 @@
 	return r.PoolAccess[m.Pool-1]
 }
 
-// admits says whether the request may use the machine as far as pools go.
+// poolAdmits says whether the request may use the machine as far as pools go.
 func poolAdmits(m *Machine, r *Request) bool {
 	if m.Pool == 0 {
 		return true
@@ -48,10 +50,11 @@
 	if poolAdmits(m, r) {
 		return false, false
 	}
-	lent := m.poolAccess(r) == BorrowAccess
-	return !lent, lent
+	borrows := m.poolAccess(r) == BorrowAccess
+	return !borrows, borrows
 }
 
+// poolScore is the part of a machine's score that is due to its pool.
 func poolScore(m *Machine, r *Request) float64 {
 	if m.Pool == 0 {
 		return 0
@@ -65,12 +68,13 @@
 	return lastResortScore
 }
 
-// bookPool books what a borrower's image takes beside the weights.
-func reservePoolSpace(m *Machine, r *Request, sign float64) {
+// reservePoolSpace reserves what a borrower's image takes beside the weights, or undoes
+// that.
+func reservePoolSpace(m *Machine, r *Request, way direction) {
 	if m.Pool == 0 || m.poolAccess(r) != BorrowAccess {
 		return
 	}
 	if _, there := m.ImageReadyIn(r.Image); !there {
-		m.PoolSpareGB -= sign * r.ImageGB
+		m.PoolSpareGB -= float64(way) * r.ImageGB
 	}
 }
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -2,9 +2,18 @@
 
 import "slices"
 
-// This file makes room by stopping others.
+// This file makes room by preempting tasks.
 
-// victim says whether the request may stop the occupant.
+// restartLossSeconds is what a preemption costs beyond the work that is lost: saving
+// a checkpoint, and starting again.
+const restartLossSeconds = 8
+
+// tierLossSeconds is what preempting a task counts for each tier that lies below it:
+// more than any work that is lost, so that tasks of the lowest tiers are preempted
+// first, whatever machine they are on.
+const tierLossSeconds = 1e6
+
+// mayPreempt says whether the occupant may be preempted for the request.
 func mayPreempt(r *Request, o *Occupant) bool {
 	if o.NonPreemptible {
 		return false
@@ -15,12 +24,7 @@
 	return r.WithinGuarantee && o.OverGuarantee && o.Team != r.Team
 }
 
-// tierLoss is what stopping work counts for each tier that it stands before the
-// last: more than any work that is lost, so that what may be
-// stopped of a later tier goes first wherever it is.
-const tierLossSeconds = 1e6
-
-// lessLoss says whether stopping one occupant comes before stopping another.
+// preemptedBefore says whether one occupant of a machine is preempted before another.
 func preemptedBefore(a, b *Occupant) bool {
 	if a.Tier != b.Tier {
 		return a.Tier > b.Tier
@@ -28,31 +32,22 @@
 	return a.LossSeconds < b.LossSeconds
 }
 
-// stopLoss is what a stop costs beyond the lost work: saving, and starting
-// again, in seconds.
-const restartLossSeconds = 8
+// preemption is room for one task, made on a machine by preempting others there.
+type preemption struct {
+	machine int
+	victims []int // by their places among the machine's tasks
+	loss    float64
+}
 
-// preempt stops the tasks whose loss is least to make room, all of the
-// request's tasks or none for a gang. It returns the tasks left.
+// preempt makes room by preempting the tasks with the least loss, for a gang all of
+// its room or none. It returns the tasks that still have no room.
 func (p *planner) preempt(r *Request, tasks []int32) []int32 {
 	if len(tasks) == 0 {
 		return nil
 	}
 	zone := r.Zone
 	if r.OneZone && zone < 0 {
-		bestN, bestLoss := 0, 0.0
-		for z := 0; z < p.numZones; z++ {
-			made := p.preemptInZone(r, tasks, z)
-			n, loss := len(made), 0.0
-			for _, d := range made {
-				loss += d.loss
-			}
-			p.undoPreemptions(r, made)
-			if n > bestN || n == bestN && n > 0 && loss < bestLoss {
-				zone, bestN, bestLoss = z, n, loss
-			}
-		}
-		if zone < 0 {
+		if zone = p.cheapestZoneToPreempt(r, tasks); zone < 0 {
 			return tasks
 		}
 	}
@@ -63,123 +58,154 @@
 		}
 	}
 	if len(made) > 0 {
-		// What was stopped may leave more room than was wanted.
+		// What is preempted may leave more room than was wanted.
 		p.failedSearches[freeSoon] = p.failedSearches[freeSoon][:0]
 	}
 	return tasks[len(made):]
 }
 
-// made is room for one task, made on a machine by stopping some there.
-type preemption struct {
-	machine int
-	victims []int
-	loss    float64
+// cheapestZoneToPreempt is the zone in which room for most of the tasks can be made,
+// and of those the one with the least loss; -1 where it can be made in none.
+func (p *planner) cheapestZoneToPreempt(r *Request, tasks []int32) int {
+	best, most, leastLoss := -1, 0, 0.0
+	for zone := 0; zone < p.numZones; zone++ {
+		made := p.preemptInZone(r, tasks, zone)
+		n, loss := len(made), 0.0
+		for _, d := range made {
+			loss += d.loss
+		}
+		p.undoPreemptions(r, made)
+		if n > most || n == most && n > 0 && loss < leastLoss {
+			best, most, leastLoss = zone, n, loss
+		}
+	}
+	return best
 }
 
+// preemptInZone makes room for as many of the tasks as it can in one zone, or in any
+// if it is -1, and reserves it.
 func (p *planner) preemptInZone(r *Request, tasks []int32, zone int) []preemption {
-	need := 1
-	if r.Gang {
-		need = len(tasks)
-	}
-	if p.knownToFail(byPreempting, r, zone, need) {
+	least := r.leastTasks(tasks)
+	if p.knownToFail(byPreempting, r, zone, least) {
 		return nil
 	}
-	var out []preemption
-	judge := func(i int) (preemption, bool) {
-		m := &p.input.Machines[i]
-		if !p.passesFilter(m, i, r, freeSoon) || zone >= 0 && m.Zone != zone || r.MaxPerZone > 0 && r.PlacedByZone[m.Zone] >= r.MaxPerZone {
+	var made []preemption
+	cheapestOn := func(machine int) (preemption, bool) {
+		m := &p.input.Machines[machine]
+		if !p.passesFilter(machine, r, freeSoon) || zone >= 0 && m.Zone != zone || r.zoneIsFull(m.Zone) {
 			return preemption{}, false
 		}
-		chosen, loss, ok := p.cheapestVictims(r, m)
-		return preemption{i, chosen, loss}, ok
+		victims, loss, ok := p.cheapestVictims(r, m)
+		return preemption{machine, victims, loss}, ok
 	}
-	n := p.takeCheapest(len(tasks), func(i int) (float64, bool) {
-		d, ok := judge(i)
+	n := p.takeCheapest(len(tasks), func(machine int) (float64, bool) {
+		d, ok := cheapestOn(machine)
 		return d.loss, ok
-	}, func(i int) bool {
-		d, ok := judge(i)
+	}, func(machine int) bool {
+		d, ok := cheapestOn(machine)
 		if ok {
-			p.reservePreemption(r, d, 1)
-			out = append(out, d)
+			p.reservePreemption(r, d, reserving)
+			made = append(made, d)
 		}
 		return ok
 	})
-	if n < need {
-		p.rememberFailure(byPreempting, r, zone, need)
-		p.undoPreemptions(r, out)
+	if n < least {
+		p.rememberFailure(byPreempting, r, zone, least)
+		p.undoPreemptions(r, made)
 		return nil
 	}
-	return out
+	return made
 }
 
-// make books a task in room that stops make; sign -1 takes that back.
-func (p *planner) reservePreemption(r *Request, d preemption, sign float64) {
+// reservePreemption reserves the room that a preemption makes, or undoes that.
+func (p *planner) reservePreemption(r *Request, d preemption, way direction) {
 	m := &p.input.Machines[d.machine]
 	for _, k := range d.victims {
 		o := &m.Tasks[k]
-		if sign > 0 {
-			p.stopped[o.Task] = true
+		if way == reserving {
+			p.preempted[o.Task] = true
 		} else {
-			delete(p.stopped, o.Task)
+			delete(p.preempted, o.Task)
 		}
-		m.Releasing = m.Releasing.Add(o.Need, sign)
+		m.Releasing = m.Releasing.Add(o.Need, float64(way))
 	}
-	p.reserve(r, d.machine, sign)
+	p.reserve(r, d.machine, way)
 }
 
-func (p *planner) undoPreemptions(r *Request, done []preemption) {
-	for _, d := range done {
-		p.reservePreemption(r, d, -1)
+func (p *planner) undoPreemptions(r *Request, made []preemption) {
+	for _, d := range made {
+		p.reservePreemption(r, d, undoing)
 	}
 }
 
-// cheapest picks the victims on a machine that free enough room at the least
-// loss: least loss first, then without those that turned out not to be needed.
-func (p *planner) cheapestVictims(r *Request, m *Machine) ([]int, float64, bool) {
+// cheapestVictims picks the tasks on a machine whose preemption makes room for one of
+// the request's with the least loss, and says what the loss is. There are none where
+// room will be free without.
+func (p *planner) cheapestVictims(r *Request, m *Machine) (victims []int, loss float64, ok bool) {
 	free := availableRoom(m, freeSoon)
 	if r.Need.Fits(free) {
 		return nil, m.PenaltySeconds, true
 	}
-	most := free
-	for k := range m.Tasks {
-		if o := &m.Tasks[k]; mayPreempt(r, o) && !p.stopped[o.Task] {
-			most = most.Add(o.Need, 1)
-		}
-	}
-	if !r.Need.Fits(most) {
+	if !r.Need.Fits(p.roomWithoutVictims(r, m, free)) {
 		return nil, 0, false
 	}
-	var chosen []int
-	taken := make([]bool, len(m.Tasks))
+	chosen := make([]bool, len(m.Tasks))
 	for !r.Need.Fits(free) {
-		best := -1
-		for k := range m.Tasks {
-			o := &m.Tasks[k]
-			if taken[k] || p.stopped[o.Task] || !mayPreempt(r, o) {
-				continue
-			}
-			if best < 0 || preemptedBefore(o, &m.Tasks[best]) {
-				best = k
-			}
-		}
-		if best < 0 {
+		next := p.nextVictim(r, m, chosen)
+		if next < 0 {
 			return nil, 0, false
 		}
-		taken[best] = true
-		chosen = append(chosen, best)
-		free = free.Add(m.Tasks[best].Need, 1)
-	}
-	// What of earlier tiers turns out not to be needed is spared first.
-	slices.SortStableFunc(chosen, func(a, b int) int { return m.Tasks[a].Tier - m.Tasks[b].Tier })
-	loss := m.PenaltySeconds
-	keep := chosen[:0]
-	for _, k := range chosen {
-		if less := free.Add(m.Tasks[k].Need, -1); r.Need.Fits(less) {
-			free = less
+		chosen[next] = true
+		victims = append(victims, next)
+		free = free.Add(m.Tasks[next].Need, 1)
+	}
+	victims = spareUnneeded(r, m, victims, free)
+	loss = m.PenaltySeconds
+	for _, k := range victims {
+		loss += m.Tasks[k].LossSeconds + restartLossSeconds + tierLossSeconds*float64(p.lowestTier-m.Tasks[k].Tier)
+	}
+	return victims, loss, true
+}
+
+// roomWithoutVictims is a machine's room if all were preempted that may be. free is
+// its room with none of them preempted.
+func (p *planner) roomWithoutVictims(r *Request, m *Machine, free Resources) Resources {
+	for k := range m.Tasks {
+		if o := &m.Tasks[k]; mayPreempt(r, o) && !p.preempted[o.Task] {
+			free = free.Add(o.Need, 1)
+		}
+	}
+	return free
+}
+
+// nextVictim is the first task to be preempted of those on a machine that may be and
+// are not chosen yet, or -1.
+func (p *planner) nextVictim(r *Request, m *Machine, chosen []bool) int {
+	next := -1
+	for k := range m.Tasks {
+		o := &m.Tasks[k]
+		if chosen[k] || p.preempted[o.Task] || !mayPreempt(r, o) {
 			continue
 		}
-		keep = append(keep, k)
-		loss += m.Tasks[k].LossSeconds + restartLossSeconds + tierLossSeconds*float64(p.lowestTier-m.Tasks[k].Tier)
+		if next < 0 || preemptedBefore(o, &m.Tasks[next]) {
+			next = k
+		}
+	}
+	return next
+}
+
+// spareUnneeded leaves out victims without which the request fits as well, those of
+// higher tiers first. free is the machine's room with all of them preempted. The
+// list is changed in place.
+func spareUnneeded(r *Request, m *Machine, victims []int, free Resources) []int {
+	slices.SortStableFunc(victims, func(a, b int) int { return m.Tasks[a].Tier - m.Tasks[b].Tier })
+	needed := victims[:0]
+	for _, k := range victims {
+		if without := free.Add(m.Tasks[k].Need, -1); r.Need.Fits(without) {
+			free = without
+			continue
+		}
+		needed = append(needed, k)
 	}
-	return keep, loss, true
+	return needed
 }
--- a/placement/scaleout.go
+++ b/placement/scaleout.go
@@ -1,45 +1,23 @@
 package placement
 
-// This file orders machines.
+// This file plans which machines are rented.
 
-// rent adds machines for the tasks that fit nowhere, the cheapest way first.
+// Parts of an offer's score, besides the seconds until the machine is up.
+const (
+	offerPriceWeight = 2  // for the price
+	offerGPUPenalty  = 10 // other work takes a machine with GPUs only where others are much later or dearer
+)
+
+// scaleOut adds machines for the tasks that fit nowhere, the offers with the lowest
+// scores first.
 func (p *planner) scaleOut(r *Request, tasks []int32) {
 	for len(tasks) > 0 && len(p.offerOfNewMachine) < p.input.MaxScaleOut {
-		best, bestCost := -1, 0.0
-		for i := range p.input.Offers {
-			o := &p.input.Offers[i]
-			if !r.Types[o.Type] || r.Zone >= 0 && r.Zone != o.Zone || o.Spot && !r.Spot || !r.Need.Fits(o.Machine.Capacity) {
-				continue
-			}
-			if r.MaxPerZone > 0 && r.PlacedByZone[o.Zone] >= r.MaxPerZone {
-				continue
-			}
-			c := o.Machine.ETA + 2*o.Machine.Price
-			if o.Machine.Capacity.GPU > 0 && r.Need.GPU == 0 {
-				c += 10
-			}
-			if best < 0 || c < bestCost {
-				best, bestCost = i, c
-			}
-		}
-		if best < 0 {
+		offer := p.bestOffer(r)
+		if offer < 0 {
 			return
 		}
-		o := &p.input.Offers[best]
-		m := o.Machine
-		m.Free = m.Capacity
-		p.input.Machines = append(p.input.Machines, m)
-		if p.classes != nil {
-			p.classes.add(p.input.Machines, len(p.input.Machines)-1)
-		}
-		p.offerOfNewMachine = append(p.offerOfNewMachine, best)
-		p.plan.ScaleOut[best]++
-		idx := len(p.input.Machines) - 1
-		n := 0
-		for n < len(tasks) && r.Need.Fits(p.input.Machines[idx].Free) && (r.MaxPerZone <= 0 || r.PlacedByZone[o.Zone] < r.MaxPerZone) {
-			p.reserve(r, idx, 1)
-			n++
-		}
+		machine := p.addMachine(offer)
+		n := p.reserveOnNewMachine(r, len(tasks), machine)
 		if n == 0 {
 			return
 		}
@@ -48,18 +26,69 @@
 	}
 }
 
-// rentAhead adds machines for places that are lacking beyond those there are; what
-// is rented for others that wait counts.
+// bestOffer is the offer with the lowest score that the request may use, or -1.
+func (p *planner) bestOffer(r *Request) int {
+	best, lowest := -1, 0.0
+	for i := range p.input.Offers {
+		o := &p.input.Offers[i]
+		if !r.accepts(&o.Machine) || !r.Need.Fits(o.Machine.Capacity) || r.zoneIsFull(o.Machine.Zone) {
+			continue
+		}
+		if score := offerScore(r, o); best < 0 || score < lowest {
+			best, lowest = i, score
+		}
+	}
+	return best
+}
+
+// offerScore is how long the machine takes to be up, in seconds, with its price and
+// its use to others counted as such a delay.
+func offerScore(r *Request, o *Offer) float64 {
+	score := o.Machine.ETA + offerPriceWeight*o.Machine.Price
+	if o.Machine.Capacity.GPU > 0 && r.Need.GPU == 0 {
+		score += offerGPUPenalty
+	}
+	return score
+}
+
+// addMachine adds a machine to the plan as if it were rented and booting already, and
+// returns its place among the machines.
+func (p *planner) addMachine(offer int) int {
+	m := p.input.Offers[offer].Machine
+	m.Free = m.Capacity
+	machine := len(p.input.Machines)
+	p.input.Machines = append(p.input.Machines, m)
+	if p.classes != nil {
+		p.classes.add(p.input.Machines, machine)
+	}
+	p.offerOfNewMachine = append(p.offerOfNewMachine, offer)
+	p.plan.ScaleOut[offer]++
+	return machine
+}
+
+// reserveOnNewMachine reserves room on a machine for up to n of the request's tasks,
+// and returns for how many there was room.
+func (p *planner) reserveOnNewMachine(r *Request, n, machine int) int {
+	reserved := 0
+	for reserved < n && r.Need.Fits(p.input.Machines[machine].Free) && !r.zoneIsFull(p.input.Machines[machine].Zone) {
+		p.reserve(r, machine, reserving)
+		reserved++
+	}
+	return reserved
+}
+
+// provision adds machines for room that is lacking beyond what there is and will be.
+// Machines that are added for requests count.
 func (p *planner) provision(r *Request) {
-	n := len(r.Tasks)
-	for _, o := range p.offerOfNewMachine {
-		m := &p.input.Offers[o].Machine
-		if !r.Types[m.Type] || m.Spot && !r.Spot || r.Zone >= 0 && r.Zone != m.Zone {
+	lacking := len(r.Tasks)
+	for _, offer := range p.offerOfNewMachine {
+		m := &p.input.Offers[offer].Machine
+		if !r.accepts(m) {
 			continue
 		}
-		for room := m.Capacity; n > 0 && r.Need.Fits(room); room = room.Add(r.Need, -1) {
-			n--
+		for room := m.Capacity; lacking > 0 && r.Need.Fits(room); room = room.Add(r.Need, -1) {
+			lacking--
 		}
 	}
-	p.scaleOut(r, r.Tasks[:n])
+	p.scaleOut(r, r.Tasks[:lacking])
 }
