--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -122,113 +122,133 @@
 	return out
 }
 
-// promoteStarvedTiers moves what is owed to lower tiers to before the higher ones: the jobs
-// of a tier that has less than its share, and a beginning of those that have
-// waited their tier's longest wait; those for which waits have won enough go
-// before their own tier. What is not owed of a job stays behind, and
-// neither guarantees nor priorities nor the bound that holds for all are passed.
-func (m *Model) promoteStarvedTiers(line []*queued, now time.Time) []*queued {
-	o := m.tiers.policy
-	if o == nil {
-		return line
+// promoteStarvedTiers moves what is owed to lower tiers ahead of higher ones: jobs of a tier
+// that has less than its share, and some tasks of jobs that have waited for their tier's
+// longest wait, ahead of their own tier if waits alone have won enough. Tasks that are not owed
+// keep their position, and neither guarantees nor priorities nor the starvation bound are
+// bypassed.
+func (m *Model) promoteStarvedTiers(queue []*queued, now time.Time) []*queued {
+	if m.tiers.policy == nil {
+		return queue
 	}
 	fleet := m.schedulableCapacity(now)
 	if fleet == (placement.Resources{}) {
-		return line
-	}
-	waiting := make([]priority.PendingJob, len(line))
-	for i, k := range line {
-		waiting[i] = priority.PendingJob{Tier: k.req.Tier, Tasks: len(k.req.Tasks), Gang: k.req.Gang, TaskShare: dominantShare(k.req.Need, fleet),
-			WaitedSeconds: now.Sub(k.job.AcceptedAt).Seconds(), Placed: k.job.PlacedTasks, Started: k.job.DoneTasks > 0 || !k.job.FirstRunAt.IsZero()}
+		return queue
 	}
-	ahead := o.Promote(waiting, m.tierUsage(fleet))
-	out := make([]*queued, 0, len(line))
-	for lo := 0; lo < len(line); {
+	promotions := m.tiers.policy.Promote(pendingJobs(queue, fleet, now), m.tierUsage(fleet))
+	out := make([]*queued, 0, len(queue))
+	for lo := 0; lo < len(queue); {
 		hi := lo + 1
-		for hi < len(line) && line[hi].sameRank(line[lo]) {
+		for hi < len(queue) && queue[hi].sameRank(queue[lo]) {
 			hi++
 		}
-		if line[lo].req.Owed {
-			out = append(out, line[lo:hi]...) // in the order in which they must begin
-			lo = hi
-			continue
-		}
-		var first, rest []*queued
-		for i := lo; i < hi; i++ {
-			k, a := line[i], ahead[i]
-			if a.Tasks == 0 {
-				rest = append(rest, k)
-				continue
-			}
-			head, tail := k.split(a.Tasks)
-			head.req.PromotionCause = uint8(a.Cause)
-			head.req.Hold = head.req.Hold || a.Cause != priority.PromotedByShare
-			if a.Cause == priority.PromotedInTier {
-				rest = append(rest, head)
-			} else {
-				first = append(first, head)
-			}
-			if tail != nil {
-				rest = append(rest, tail)
-			}
+		if queue[lo].req.Owed {
+			out = append(out, queue[lo:hi]...) // in the order in which they must start
+		} else {
+			promoted, rest := splitPromoted(queue[lo:hi], promotions[lo:hi])
+			out = append(m.mergePromoted(out, promoted), rest...)
 		}
-		sort.SliceStable(first, func(a, b int) bool { return first[a].req.Tier < first[b].req.Tier })
-		turn := uint8(priority.PromotedInTier)
-		sort.SliceStable(rest, func(a, b int) bool {
-			x, y := &rest[a].req, &rest[b].req
-			return x.Tier < y.Tier || x.Tier == y.Tier && x.PromotionCause == turn && y.PromotionCause != turn
-		})
-		out = append(m.mergePromoted(out, first), rest...)
 		lo = hi
 	}
 	return out
 }
 
-// mergePromoted adds what is promoted behind what must begin by the bound. Those of a
-// tier whose longest wait is over take their place among these, by the moment at
-// which it was: where more comes than can be done, everything has to begin by the
-// bound in the end, and a wait that came after all of it would be none.
-func (m *Model) mergePromoted(out, promoted []*queued) []*queued {
-	var first []*queued
+// pendingJobs describes the queue to the policy.
+func pendingJobs(queue []*queued, fleet placement.Resources, now time.Time) []priority.PendingJob {
+	pending := make([]priority.PendingJob, len(queue))
+	for i, k := range queue {
+		pending[i] = priority.PendingJob{
+			Tier: k.req.Tier, Tasks: len(k.req.Tasks), Gang: k.req.Gang, TaskShare: dominantShare(k.req.Need, fleet),
+			WaitedSeconds: now.Sub(k.job.AcceptedAt).Seconds(), Placed: k.job.PlacedTasks,
+			Started: k.job.hasStarted(),
+		}
+	}
+	return pending
+}
+
+// splitPromoted splits the requests of one rank into what is promoted ahead of other tiers and
+// the rest, in which requests that are promoted within their tier come first. Both are sorted
+// by tier.
+func splitPromoted(group []*queued, promotions []priority.Promotion) (promoted, rest []*queued) {
+	for i, k := range group {
+		p := promotions[i]
+		if p.Tasks == 0 {
+			rest = append(rest, k)
+			continue
+		}
+		head, tail := k.split(p.Tasks)
+		head.req.PromotionCause = uint8(p.Cause)
+		head.req.Hold = head.req.Hold || p.Cause != priority.PromotedByShare
+		if p.Cause == priority.PromotedInTier {
+			rest = append(rest, head)
+		} else {
+			promoted = append(promoted, head)
+		}
+		if tail != nil {
+			rest = append(rest, tail)
+		}
+	}
+	sort.SliceStable(promoted, func(a, b int) bool { return promoted[a].req.Tier < promoted[b].req.Tier })
+	inTier := uint8(priority.PromotedInTier)
+	sort.SliceStable(rest, func(a, b int) bool {
+		x, y := &rest[a].req, &rest[b].req
+		return x.Tier < y.Tier || x.Tier == y.Tier && x.PromotionCause == inTier && y.PromotionCause != inTier
+	})
+	return promoted, rest
+}
+
+// mergePromoted appends promoted requests behind what must start by the starvation bound.
+// Requests whose tier's longest wait is over take a position among the latter, by the time at
+// which it was over: under overload all jobs must start by the bound in the end, and behind all
+// of them the longest wait would mean nothing.
+func (m *Model) mergePromoted(queue, promoted []*queued) []*queued {
+	var others []*queued
 	for _, k := range promoted {
 		if priority.PromotionCause(k.req.PromotionCause) != priority.PromotedByWait {
-			first = append(first, k)
+			others = append(others, k)
 			continue
 		}
-		over := k.job.AcceptedAt.Add(config.Seconds(m.tiers.policy.MaxWaitSeconds(k.req.Tier)))
-		at := len(out)
-		for at > 0 {
-			o := out[at-1]
-			if !o.req.Owed || o.withinQuota != k.withinQuota || o.job.Priority != k.job.Priority || o.job.start.mustFinish ||
-				!o.job.start.infeasible && !o.job.start.startBy.After(over) || priority.PromotionCause(o.req.PromotionCause) == priority.PromotedByWait {
-				break
-			}
+		waitOver := k.job.AcceptedAt.Add(config.Seconds(m.tiers.policy.MaxWaitSeconds(k.req.Tier)))
+		at := len(queue)
+		for at > 0 && k.passes(queue[at-1], waitOver) {
 			at--
 		}
 		k.req.Owed = true
-		out = slices.Insert(out, at, k)
+		queue = slices.Insert(queue, at, k)
+	}
+	return append(queue, others...)
+}
+
+// passes reports whether a request whose tier's longest wait was over at the given time takes
+// its position before o, which must start by the starvation bound if it is of the same rank.
+func (k *queued) passes(o *queued, waitOver time.Time) bool {
+	if !o.req.Owed || o.withinQuota != k.withinQuota || o.job.Priority != k.job.Priority {
+		return false
+	}
+	if o.job.start.mustFinish || priority.PromotionCause(o.req.PromotionCause) == priority.PromotedByWait {
+		return false
 	}
-	return append(out, first...)
+	return o.job.start.infeasible || o.job.start.startBy.After(waitOver)
 }
 
-// sameRank says whether only the order decides which of two is served first.
+// sameRank reports whether only priority tiers and objectives order two requests.
 func (k *queued) sameRank(o *queued) bool {
 	return k.withinQuota == o.withinQuota && k.job.Priority == o.job.Priority && k.req.Owed == o.req.Owed
 }
 
-// split parts the first n tasks of a request from the others. They count the same
-// zones; where a zone is still to be chosen for all of them, the others wait for
-// the next pass.
+// split splits off the first n tasks of a request. Both parts share the counts by zone. If one
+// zone is still to be chosen for all tasks, the tail is nil, and its tasks wait for the next
+// pass.
 func (k *queued) split(n int) (head, tail *queued) {
 	if n >= len(k.req.Tasks) {
 		return k, nil
 	}
-	h, t := *k, *k
-	h.req.Tasks, t.req.Tasks = k.req.Tasks[:n:n], k.req.Tasks[n:]
+	first, others := *k, *k
+	first.req.Tasks, others.req.Tasks = k.req.Tasks[:n:n], k.req.Tasks[n:]
 	if k.req.OneZone && k.req.Zone < 0 {
-		return &h, nil
+		return &first, nil
 	}
-	return &h, &t
+	return &first, &others
 }
 
 // outranksCompetitors reports whether classes of lower tiers compete with a job at the same
