--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"slices"
 	"sort"
 	"time"
 
@@ -22,9 +23,40 @@
 	hasWaitObjective bool        // an objective speaks of how soon its jobs start
 	runs             runTimeEstimator
 	spread           durationSpread
-	sizes            []int // numbers of tasks of the last maxSizes jobs; a ring buffer once full
-	oldestSize       int
-	largeFrom        int // least number of tasks of the largest jobs; 0 if not computed yet
+	sizes            jobSizes
+}
+
+const (
+	maxSizes        = 200 // recent jobs of a class whose sizes are remembered
+	largestFraction = 10  // one in so many jobs is among the largest of its class
+)
+
+// jobSizes are the numbers of tasks of the last maxSizes jobs of a class.
+type jobSizes struct {
+	tasks     []int // a ring buffer once it is full
+	oldest    int   // index in the full ring buffer
+	largeFrom int   // least number of tasks of the largest jobs; 0 if not computed yet
+}
+
+// add records the number of tasks of a job.
+func (s *jobSizes) add(tasks int) {
+	if len(s.tasks) < maxSizes {
+		s.tasks = append(s.tasks, tasks)
+	} else {
+		s.tasks[s.oldest] = tasks
+		s.oldest = (s.oldest + 1) % maxSizes
+	}
+	s.largeFrom = 0
+}
+
+// isLarge reports whether a job of so many tasks is among the largest.
+func (s *jobSizes) isLarge(tasks int) bool {
+	if s.largeFrom == 0 {
+		sorted := slices.Clone(s.tasks)
+		slices.Sort(sorted)
+		s.largeFrom = sorted[len(sorted)-max(1, len(sorted)/largestFraction)]
+	}
+	return tasks >= s.largeFrom
 }
 
 const (
@@ -58,7 +90,7 @@
 	}
 	c.lastJob, c.lastArrival = j, now
 	c.runs.addEstimate(j.Spec.EstimateS)
-	c.addSize(len(j.Tasks))
+	c.sizes.add(len(j.Tasks))
 	if now.Sub(j.AcceptedAt) < arrivalWindow && len(c.recent) < 1000 {
 		c.recent = append(c.recent, j.AcceptedAt)
 	}
--- a/cluster/completion_floor.go
+++ b/cluster/completion_floor.go
@@ -50,7 +50,7 @@
 	long := floorAfter * m.StarvationBound
 	old := map[string][]*queued{}
 	for _, k := range out {
-		k.job.start.mustFinish = false
+		k.job.start.setMustFinish(false)
 		if now.Sub(k.job.AcceptedAt) <= long {
 			continue
 		}
@@ -65,7 +65,7 @@
 		}
 		slices.SortStableFunc(jobs, func(a, b *queued) int { return a.job.AcceptedAt.Compare(b.job.AcceptedAt) })
 		for _, k := range jobs[:min(missing, len(jobs))] {
-			k.job.start.mustFinish = true
+			k.job.start.setMustFinish(true)
 		}
 	}
 }
--- /dev/null
+++ b/cluster/starvation_check.go
@@ -0,0 +1,156 @@
+package cluster
+
+import (
+	"math"
+	"sort"
+	"time"
+
+	"github.com/umberdeal/umberdeal/config"
+)
+
+// This file is the simulation by which the starvation bound decides which jobs of a class must
+// start now.
+
+// maxStartDelay bounds forecasts of when a job can start. It is beyond schedulingHorizon, so
+// that a job without places never counts as one that has to wait for them.
+const maxStartDelay = 2 * schedulingHorizon
+
+// startForecast is the result of a check of the bound for one job.
+type startForecast struct {
+	startBy, hardLimit time.Time
+	servedFirst        time.Duration // until it holds its resources if it is served first
+	servedInTurn       time.Duration // the same if it is served after the jobs that are due earlier
+	infeasible         bool          // it can't start in time beside the others
+}
+
+// hasNoCapacity reports whether there are never as many places as the job needs to start.
+func (f *startForecast) hasNoCapacity() bool { return f.servedFirst > schedulingHorizon }
+
+// boundCheck is a check of the bound for the unstarted jobs of one class. It simulates serving
+// them, earliest due first, as if nothing else were served from now on. Jobs that would be in
+// time, but with little slack, must be served now, and with them all that are due earlier.
+// Where a job would be late, the costliest job up to it is dropped from the simulation, the
+// largest ones of the class only if there are no others, so that as few jobs as possible are
+// late.
+type boundCheck struct {
+	model     *Model
+	now       time.Time
+	jobs      []*queued
+	forecasts []startForecast // of each job
+	order     []int           // indexes of the jobs, earliest due first
+}
+
+// checkClassBound checks the bound for the unstarted jobs of one class.
+func (m *Model) checkClassBound(jobs []*queued, now time.Time) {
+	places := m.zonePlacesFor(jobs[0].job, now)
+	c := &boundCheck{model: m, now: now, jobs: jobs, forecasts: make([]startForecast, len(jobs)), order: make([]int, len(jobs))}
+	c.forecastAlone(places)
+	c.dropLate(places)
+	c.decide()
+}
+
+// forecastAlone forecasts each job's start as if it were served before all others, and sorts
+// the jobs by when they are due.
+func (c *boundCheck) forecastAlone(places *zonePlaces) {
+	for i, k := range c.jobs {
+		f := &c.forecasts[i]
+		at, _ := places.earliest(k.job, k.job.placesToStart())
+		f.servedFirst = startDelayOf(at)
+		f.startBy, f.hardLimit = c.model.latestStart(k.job)
+		f.infeasible = f.hasNoCapacity() || c.now.Add(f.servedFirst).After(f.hardLimit)
+		c.order[i] = i
+	}
+	sort.SliceStable(c.order, func(a, b int) bool {
+		return c.forecasts[c.order[a]].startBy.Before(c.forecasts[c.order[b]].startBy)
+	})
+}
+
+// startDelayOf converts a forecast in seconds, which may be infinite.
+func startDelayOf(seconds float64) time.Duration {
+	return config.Seconds(min(seconds, maxStartDelay.Seconds()))
+}
+
+// dropLate marks jobs as infeasible until no other job is late. After maxInfeasibleRounds
+// simulations it drops the late jobs themselves, which takes fewer rounds.
+func (c *boundCheck) dropLate(places *zonePlaces) {
+	for drops := 0; ; drops++ {
+		dropped := c.simulate(places.clone())
+		if dropped < 0 {
+			return
+		}
+		if drops < maxInfeasibleRounds {
+			dropped = c.costliestUpTo(dropped)
+		}
+		c.forecasts[dropped].infeasible = true
+	}
+}
+
+// simulate serves the jobs that are not dropped, earliest due first, and returns the index of
+// the first one that would be late, or -1. It uses up the places.
+func (c *boundCheck) simulate(places *zonePlaces) int {
+	for _, i := range c.order {
+		k, f := c.jobs[i], &c.forecasts[i]
+		if f.infeasible {
+			f.servedInTurn = f.servedFirst
+			continue
+		}
+		n := k.job.placesToStart()
+		at, zone := places.earliest(k.job, n)
+		f.servedInTurn = startDelayOf(at)
+		if c.now.Add(f.servedInTurn).After(f.hardLimit) {
+			return i
+		}
+		places.occupy(zone, n, at+k.runSeconds)
+	}
+	return -1
+}
+
+// costliestUpTo returns the index of the job, among those up to the late one, that occupies
+// the most resources for the longest time. The largest jobs of the class are excepted; if
+// there are no others it is the late job itself.
+func (c *boundCheck) costliestUpTo(late int) int {
+	costliest, most := late, -1.0
+	for _, i := range c.order {
+		if k := c.jobs[i]; !c.forecasts[i].infeasible && !c.model.isLargeJob(k.job) {
+			if cost := float64(k.job.placesToStart()) * k.runSeconds; cost > most {
+				costliest, most = i, cost
+			}
+		}
+		if i == late {
+			break
+		}
+	}
+	return costliest
+}
+
+// decide records which jobs must start now. It goes from the job that is due last to the
+// first, since a job with little slack lets all that are due earlier be served now.
+func (c *boundCheck) decide() {
+	bound := c.model.StarvationBound
+	leastSlack := time.Duration(math.MaxInt64)
+	for o := len(c.order) - 1; o >= 0; o-- {
+		j, f := c.jobs[c.order[o]].job, &c.forecasts[c.order[o]]
+		slack := f.startBy.Sub(c.now) - f.servedInTurn
+		var mustStart bool
+		switch {
+		case !j.Gang() && len(j.Tasks) >= largeArrayTasks:
+			mustStart = slack <= time.Duration(largeArrayMargin*float64(bound))
+		case !f.infeasible:
+			leastSlack = min(leastSlack, slack)
+			mustStart = leastSlack <= sufficientSlack(f.servedInTurn)
+		case f.hasNoCapacity():
+			mustStart = f.startBy.Sub(c.now) <= lastCall
+		default:
+			// Serving it in time would make others late, so that it gets twice the
+			// time.
+			mustStart = f.startBy.Add(bound).Sub(c.now)-f.servedFirst <= sufficientSlack(f.servedFirst)
+		}
+		j.start.decide(f, mustStart)
+	}
+}
+
+// sufficientSlack returns the slack down to which a job need not be served by the bound, given
+// the predicted wait for its resources.
+func sufficientSlack(wait time.Duration) time.Duration {
+	return boundSlack + time.Duration(boundShare*float64(wait))
+}
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -7,16 +7,16 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file names the jobs that can't begin within the bound, and what stands in
-// the way of each.
+// This file finds the jobs that can't start within the starvation bound, and why each of them
+// can't.
 
 const (
-	explainInterval  = 10 * time.Second // what stands in the way is looked for, for each such job
-	relogInterval    = 30 * time.Second // a job is logged again, for another reason, not before
+	explainInterval  = 10 * time.Second // between two searches for the causes
+	relogInterval    = 30 * time.Second // least time until a job is logged with another cause
 	maxStarvedListed = 20               // jobs in a summary
 )
 
-// What stands in a job's way.
+// Causes for which a job can't start, as operators read them.
 const (
 	blockedByFailures          = "it fails wherever it starts"
 	blockedByUnreadableRecords = "its placements can't be read"
@@ -41,8 +41,8 @@
 	WaitedSeconds float64 // since it was accepted
 }
 
-// explainStarvation works out what stands in the way of each open job that can't begin
-// within the bound, and logs it where that is new.
+// explainStarvation determines for each open job that can't start within the bound why it
+// can't, and logs new causes.
 func (m *Model) explainStarvation(now time.Time) {
 	if now.Before(m.starvation.nextExplain) {
 		return
@@ -53,22 +53,19 @@
 		if j == nil {
 			continue
 		}
-		why := ""
+		cause := ""
 		if !j.Cancelled && !j.Finished && !j.hasStarted() && m.missesBound(j, now) {
-			why = m.starvationCause(j, now)
+			cause = m.starvationCause(j, now)
 		}
-		if why != "" && why != j.start.blockedBy && now.Sub(j.start.loggedAt) >= relogInterval {
-			j.start.loggedAt = now
+		if j.start.setCause(cause, now) {
 			m.log.Info("job can't begin in time", "id", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", len(j.Tasks),
-				"inTheWay", why, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
+				"inTheWay", cause, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		}
-		j.start.blockedBy = why
 	}
 }
 
-// missesBound says whether a job can't begin within the bound any more, as far as can
-// be foreseen: the places it needs are not there at all, or it is past the time
-// at which it should have had them.
+// missesBound reports whether a job is not expected to start within the bound: either there is
+// no capacity for it, or the time has passed by which it should hold its resources.
 func (m *Model) missesBound(j *Job, now time.Time) bool {
 	if j.PlacedTasks > 0 && !j.Gang() || j.PlacedTasks == len(j.Tasks) {
 		return now.Sub(j.AcceptedAt) > m.StarvationBound
@@ -79,7 +76,7 @@
 	return true
 }
 
-// starvationCause says what stands in the way of a job.
+// starvationCause determines why a job can't start in time.
 func (m *Model) starvationCause(j *Job, now time.Time) string {
 	switch {
 	case j.quarantined:
@@ -91,9 +88,9 @@
 	case !m.quotaAllows(j):
 		return blockedByQuota
 	}
-	up, coming := m.usableBy(j, now)
+	ready, coming := m.usableBy(j, now)
 	switch {
-	case up > 0:
+	case ready > 0:
 	case coming:
 		return blockedByScaleOut
 	case j.Zone >= 0:
@@ -116,7 +113,7 @@
 	return blockedByCompetition
 }
 
-// quotaAllows says whether the team's limit lets the job begin.
+// quotaAllows reports whether the team's limit allows the job to start.
 func (m *Model) quotaAllows(j *Job) bool {
 	if j.Team < 0 {
 		return true
@@ -127,30 +124,30 @@
 	return !over(want.CPU, j.Need.CPU, t.Max.CPU) && !over(want.GPU, j.Need.GPU, t.Max.GPU)
 }
 
-// usableBy counts the machines that are up on which a task of the job may be, and
-// says whether others are on their way or may be rented.
-func (m *Model) usableBy(j *Job, now time.Time) (up int, coming bool) {
+// usableBy counts the ready machines that the job may use, and reports whether further ones
+// are booting or may be rented.
+func (m *Model) usableBy(j *Job, now time.Time) (ready int, coming bool) {
 	for _, mc := range m.Machines {
 		if !j.mayUse(mc) || !j.allowsZone(mc.Zone) || !j.Need.Fits(m.MachineTypes[mc.Type].Capacity) {
 			continue
 		}
 		if m.Ready(mc, now) {
-			up++
+			ready++
 		} else if _, ok := m.bootTimeLeft(mc, now); ok {
 			coming = true
 		}
 	}
-	if !coming && up == 0 {
+	if !coming && ready == 0 {
 		offers, _ := m.offers(now)
 		coming = slices.ContainsFunc(offers, func(o placement.Offer) bool {
 			return j.AllowedTypes[o.Type] && j.allowsZone(o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity)
 		})
 	}
-	return up, coming
+	return ready, coming
 }
 
-// occupiedByHigherPriority says whether nothing but work of higher priority runs where the
-// job may.
+// occupiedByHigherPriority reports whether all tasks on the machines that the job may use are
+// of higher priority.
 func (m *Model) occupiedByHigherPriority(j *Job, now time.Time) bool {
 	higher := false
 	for _, mc := range m.Machines {
@@ -167,8 +164,8 @@
 	return higher
 }
 
-// starvedJobs lists the jobs that can't begin in time, those that wait for longest
-// first, and how many there are.
+// starvedJobs lists the jobs that can't start in time, those that have waited longest first,
+// and returns how many there are in all.
 func (m *Model) starvedJobs(now time.Time) (out []StarvedJob, all int) {
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -9,87 +9,138 @@
 // This file moves jobs that must start now, by the starvation bound, forward in the
 // queue of a scheduling pass.
 
-// prioritizeMustStart moves the jobs that must start now to the front of their priority. Of
-// an array only the first task moves; the others keep their position.
-func (m *Model) prioritizeMustStart(out []*queued, now time.Time) []*queued {
+// prioritizeMustStart moves the jobs that must start now to the front of their priority,
+// behind those that the completion floor protects. Of an array only the first task moves; the
+// others keep their position.
+func (m *Model) prioritizeMustStart(queue []*queued, now time.Time) []*queued {
 	if m.StarvationBound <= 0 {
-		return out
+		return queue
 	}
-	heads := 0
-	var list []*queued
-	for lo := 0; lo < len(out); {
+	promoted := 0
+	var out []*queued
+	for lo := 0; lo < len(queue); {
 		hi := lo + 1
-		for hi < len(out) && out[hi].withinQuota == out[lo].withinQuota && out[hi].job.Priority == out[lo].job.Priority {
+		for hi < len(queue) && queue[hi].withinQuota == queue[lo].withinQuota && queue[hi].job.Priority == queue[lo].job.Priority {
 			hi++
 		}
-		var first, floored, rest []*queued
-		for _, k := range out[lo:hi] {
-			tail := &rest
-			if k.job.start.mustFinish {
-				k.req.Owed = true
-				tail = &floored
-			}
-			if !k.job.start.mustStart || k.job.placesToStart() == 0 || heads >= maxMustStarts {
-				*tail = append(*tail, k)
-				continue
-			}
-			heads++
-			head := *k
-			head.mustStart, head.req.Owed = true, true
-			head.req.Hold, head.req.HoldSeconds = true, boundHoldSeconds
-			if !k.job.Gang() {
-				head.req.Tasks = k.req.Tasks[:1]
-				// A job with zone constraints can't be split: its two requests
-				// would be placed without regard to each other's zones.
-				if len(k.req.Tasks) > 1 && !k.job.Spec.OneZone && !k.job.Spec.Spread {
-					others := *k
-					others.req.Tasks = k.req.Tasks[1:]
-					others.req.PlacedByZone = slices.Clone(k.req.PlacedByZone)
-					*tail = append(*tail, &others)
-				}
-			}
-			first = append(first, &head)
-		}
-		sort.SliceStable(first, func(a, b int) bool {
-			x, y := first[a].job, first[b].job
-			if x.start.infeasible != y.start.infeasible {
-				return y.start.infeasible
-			}
-			return x.start.startBy.Before(y.start.startBy)
-		})
-		sort.SliceStable(floored, func(a, b int) bool { return floored[a].job.AcceptedAt.Before(floored[b].job.AcceptedAt) })
-		list = append(append(append(list, floored...), first...), rest...)
+		split := splitMustStart(queue[lo:hi], maxMustStarts-promoted)
+		promoted += len(split.mustStart)
+		out = split.appendTo(out)
 		lo = hi
 	}
-	return m.promoteLastCalls(list, now)
+	return m.promoteLastCalls(out, now)
+}
+
+// mustStartSplit is the queue of one priority, split by what the starvation bound and the
+// completion floor demand.
+type mustStartSplit struct {
+	mustFinish []*queued // protected by the completion floor
+	mustStart  []*queued // what of a job must start now
+	others     []*queued
+}
+
+// splitMustStart splits the queue of one priority. At most the given number of jobs are taken
+// as such that must start.
+func splitMustStart(group []*queued, limit int) mustStartSplit {
+	var s mustStartSplit
+	for _, k := range group {
+		rest := &s.others
+		if k.job.start.mustFinish {
+			k.req.Owed = true
+			rest = &s.mustFinish
+		}
+		if !k.job.start.mustStart || k.job.placesToStart() == 0 || len(s.mustStart) >= limit {
+			*rest = append(*rest, k)
+			continue
+		}
+		head, tail := k.splitFirstStart()
+		s.mustStart = append(s.mustStart, head)
+		if tail != nil {
+			*rest = append(*rest, tail)
+		}
+	}
+	return s
+}
+
+// splitFirstStart splits off what must be placed for a job to start: all tasks of a gang, the
+// first task of an array. Resources are held for it. The tail is nil if nothing is left.
+func (k *queued) splitFirstStart() (head, tail *queued) {
+	first := *k
+	first.mustStart, first.req.Owed = true, true
+	first.req.Hold, first.req.HoldSeconds = true, boundHoldSeconds
+	if k.job.Gang() {
+		return &first, nil
+	}
+	first.req.Tasks = k.req.Tasks[:1]
+	// The other tasks of a job with zone constraints wait for the next pass: two requests
+	// would be placed without regard to each other's zones.
+	if len(k.req.Tasks) == 1 || k.job.Spec.OneZone || k.job.Spec.Spread {
+		return &first, nil
+	}
+	others := *k
+	others.req.Tasks = k.req.Tasks[1:]
+	others.req.PlacedByZone = slices.Clone(k.req.PlacedByZone)
+	return &first, &others
+}
+
+// appendTo appends the queue of one priority in its new order.
+func (s *mustStartSplit) appendTo(queue []*queued) []*queued {
+	sort.SliceStable(s.mustStart, func(a, b int) bool {
+		x, y := &s.mustStart[a].job.start, &s.mustStart[b].job.start
+		if x.infeasible != y.infeasible {
+			return y.infeasible
+		}
+		return x.startBy.Before(y.startBy)
+	})
+	sort.SliceStable(s.mustFinish, func(a, b int) bool {
+		return s.mustFinish[a].job.AcceptedAt.Before(s.mustFinish[b].job.AcceptedAt)
+	})
+	return append(append(append(queue, s.mustFinish...), s.mustStart...), s.others...)
 }
 
 // truncateQueue cuts the queue to the given length, from its end, but never drops requests
 // that the starvation bound or the completion floor has moved forward.
-func truncateQueue(list []*queued, most int) []*queued {
-	cut := len(list) - most
-	if cut <= 0 {
-		return list
+func truncateQueue(queue []*queued, length int) []*queued {
+	excess := len(queue) - length
+	if excess <= 0 {
+		return queue
 	}
-	for i := len(list) - 1; i >= 0 && cut > 0; i-- {
-		if !list[i].req.Owed {
-			list = slices.Delete(list, i, i+1)
-			cut--
+	for i := len(queue) - 1; i >= 0 && excess > 0; i-- {
+		if !queue[i].req.Owed {
+			queue = slices.Delete(queue, i, i+1)
+			excess--
 		}
 	}
-	return list
+	return queue
 }
 
 // promoteLastCalls moves jobs that are about to miss the bound ahead of new starts of higher
 // priority, but behind all work within a quota. Nothing is preempted for them. Their number
 // is bounded to one place per lastCallMachines ready machines, or a single job, and includes
 // starts that are still protected.
-func (m *Model) promoteLastCalls(list []*queued, now time.Time) []*queued {
-	at := slices.IndexFunc(list, func(k *queued) bool { return !k.withinQuota })
-	if at < 0 || list[at].job.Priority == list[len(list)-1].job.Priority {
-		return list
+func (m *Model) promoteLastCalls(queue []*queued, now time.Time) []*queued {
+	beyondQuota := slices.IndexFunc(queue, func(k *queued) bool { return !k.withinQuota })
+	if beyondQuota < 0 || queue[beyondQuota].job.Priority == queue[len(queue)-1].job.Priority {
+		return queue
 	}
-	ready, settling := 0, 0
+	highest := queue[beyondQuota].job.Priority
+	places := m.lastCallPlaces(now)
+	var called, others []*queued
+	for _, k := range queue[beyondQuota:] {
+		tasks := len(k.req.Tasks)
+		if k.isLastCall(now) && k.job.Priority > highest && places > 0 && (tasks <= places || len(called) == 0) {
+			places -= tasks
+			called = append(called, k)
+		} else {
+			others = append(others, k)
+		}
+	}
+	return slices.Concat(queue[:beyondQuota], called, others)
+}
+
+// lastCallPlaces returns how many places last calls may take in this pass.
+func (m *Model) lastCallPlaces(now time.Time) int {
+	ready, protected := 0, 0
 	for _, mc := range m.Machines {
 		if !m.Ready(mc, now) {
 			continue
@@ -97,21 +148,15 @@
 		ready++
 		for ref := range mc.Tasks {
 			if m.isStartProtected(m.Jobs[ref.Job], now) {
-				settling++
+				protected++
 			}
 		}
 	}
-	places := max(1, ready/lastCallMachines) - settling
-	var called, others []*queued
-	for _, k := range list[at:] {
-		n, j := len(k.req.Tasks), k.job
-		late := k.mustStart && j.start.startBy.Sub(now) < lastCall+min(j.start.startDelay, boundHoldSeconds*time.Second)
-		if late && j.Priority > list[at].job.Priority && places > 0 && (n <= places || len(called) == 0) {
-			places -= n
-			called = append(called, k)
-		} else {
-			others = append(others, k)
-		}
-	}
-	return slices.Concat(list[:at], called, others)
+	return max(1, ready/lastCallMachines) - protected
+}
+
+// isLastCall reports whether a request is about to miss the starvation bound.
+func (k *queued) isLastCall(now time.Time) bool {
+	start := &k.job.start
+	return k.mustStart && start.startBy.Sub(now) < lastCall+min(start.startDelay, boundHoldSeconds*time.Second)
 }
