--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -22,80 +22,121 @@
 // the silence after which a machine gets no tasks, are shorter.
 const maxDigestAge = 60
 
+// digestWriter writes the parts of a digest of one model at one time.
+type digestWriter struct {
+	out   io.Writer
+	model *Model
+	base  DigestBase
+	now   time.Time
+}
+
 // Digest writes the part of the state that determines which commands and records the model
 // may produce, so that models with equal digests behave alike; the model check merges such
 // states. Times are written as ages in whole seconds, versions as current or not, sequence
 // numbers by their distance from the last one. What only affects which of several machines
 // is chosen is left out (estimates, speeds, images, boot times).
-func (m *Model) Digest(w io.Writer, ref DigestBase, now time.Time) {
-	age := func(t time.Time) int {
-		if t.IsZero() {
-			return -1
-		}
-		return int(min(now.Sub(t).Seconds(), maxDigestAge))
-	}
-	behind := func(name string, session, seq uint64) string {
-		s, q := ref.LastMessage(name)
-		if session != s {
-			return fmt.Sprintf("s%d", int64(s-session))
-		}
-		return fmt.Sprintf("q%d", int64(q-seq))
-	}
-	fmt.Fprintf(w, "t%d;%d|", m.FencingToken, age(m.ElectedAt))
+func (m *Model) Digest(w io.Writer, base DigestBase, now time.Time) {
+	d := &digestWriter{out: w, model: m, base: base, now: now}
+	d.printf("t%d;%d|", m.FencingToken, d.age(m.ElectedAt))
 	for _, mc := range m.Machines {
-		fmt.Fprintf(w, "M%s,%t,%t,%t,%t,%s,%d,%d,%d,%g", mc.Name, mc.alive, mc.tokenShown, mc.Gone, mc.scalingIn,
-			behind(mc.Name, mc.AgentEpoch, mc.Seq), age(mc.lastAnswered), age(mc.lastSeen), age(mc.interruptionAt), mc.orphaned.CPU)
-		names := make([]string, 0, len(mc.reportedExits))
-		for k, e := range mc.reportedExits {
-			committed := true
-			if j := m.Jobs[e.job]; j != nil {
-				committed = j.Chunks[e.chunk].CommittedGen >= e.generation
-			}
-			names = append(names, fmt.Sprintf("e%s.%d,%t", k.name, k.attempt, committed))
-		}
-		h := &mc.reachability
-		for _, k := range append(h.pendingForgets, h.pendingProbe) {
-			names = append(names, fmt.Sprintf("f%s.%d", k.name, k.attempt))
-		}
-		slices.Sort(names)
-		fmt.Fprint(w, names, h.answerPending, (heartbeatID{mc.AgentEpoch, mc.Seq}) == h.answeredTwice, h.tokenEverShown, mc.unreachable(), m.mayProveReachable(mc, now), m.unreachableTooLong(mc, now), "|")
+		d.machine(mc)
 	}
 	for _, j := range m.Jobs {
-		if j == nil {
-			continue
+		if j != nil {
+			d.job(j)
 		}
-		fmt.Fprintf(w, "J%s,%d,%t,%t,%t,%t,%t,%t,%t", j.ID, j.LastAttempt, j.Cancelled, j.Finished, j.GangStarted, j.GangEnding, j.dirty,
-			now.Before(j.NotBefore), j.isCurrent(ref))
-		for _, mc := range m.Machines {
-			if until, ok := j.avoidUntil[mc.Index]; ok && now.Before(until) {
-				fmt.Fprintf(w, "a%s%d", mc.Name, age(until))
-			}
+	}
+	for _, p := range m.writes.placementPages.pages {
+		d.placementPage(p)
+	}
+	d.printf("|%d,%d", len(m.directCommands.stops), len(m.directCommands.launches))
+}
+
+func (d *digestWriter) printf(format string, values ...any) { fmt.Fprintf(d.out, format, values...) }
+
+// age is the age of a time in whole seconds; -1 for the zero time.
+func (d *digestWriter) age(t time.Time) int {
+	if t.IsZero() {
+		return -1
+	}
+	return int(min(d.now.Sub(t).Seconds(), maxDigestAge))
+}
+
+// behind is the distance of a heartbeat of a machine from the worker's last one: in sequence
+// numbers within its current session, and in sessions otherwise.
+func (d *digestWriter) behind(machine string, session, seq uint64) string {
+	lastSession, lastSeq := d.base.LastMessage(machine)
+	if session != lastSession {
+		return fmt.Sprintf("s%d", int64(lastSession-session))
+	}
+	return fmt.Sprintf("q%d", int64(lastSeq-seq))
+}
+
+func (d *digestWriter) machine(mc *Machine) {
+	d.printf("M%s,%t,%t,%t,%t,%s,%d,%d,%d,%g", mc.Name, mc.alive, mc.tokenShown, mc.Gone, mc.scalingIn,
+		d.behind(mc.Name, mc.AgentEpoch, mc.Seq), d.age(mc.lastAnswered), d.age(mc.lastSeen), d.age(mc.interruptionAt), mc.orphaned.CPU)
+	h := &mc.reachability
+	fmt.Fprint(d.out, d.exits(mc), h.answerPending, (heartbeatID{mc.AgentEpoch, mc.Seq}) == h.answeredTwice, h.tokenEverShown,
+		mc.unreachable(), d.model.mayProveReachable(mc, d.now), d.model.unreachableTooLong(mc, d.now), "|")
+}
+
+// exits lists, in order, the exits that a machine has reported and those that its next
+// heartbeat must reflect.
+func (d *digestWriter) exits(mc *Machine) []string {
+	names := make([]string, 0, len(mc.reportedExits))
+	for k, e := range mc.reportedExits {
+		committed := true
+		if j := d.model.Jobs[e.job]; j != nil {
+			committed = j.Chunks[e.chunk].CommittedGen >= e.generation
 		}
-		for i := range j.Tasks {
-			t := &j.Tasks[i]
-			fmt.Fprintf(w, "T%d,%d,%t", t.Phase, t.Outcome, now.UnixMilli() < t.NotBefore)
-			if p := t.Placement; p != nil {
-				fmt.Fprintf(w, "g%tP%s,%d,%t,%t,%d,%t,%s", j.Chunks[i/jobstore.ChunkSize].CommittedGen >= p.chunkGeneration, p.machineName, p.Attempt, p.Inherited, p.LaunchSent, p.ReportedState, now.Sub(p.WokenAt) < wakeUpRetry,
-					behind(p.machineName, p.LaunchEpoch, p.LaunchSeq))
-				if p.LaunchSeq > 0 && (heartbeatID{p.LaunchEpoch, p.LaunchSeq}) == m.Machines[p.Machine].reachability.answeredTwice {
-					fmt.Fprint(w, "2")
-				}
-				if p.StopHeld {
-					fmt.Fprint(w, "H")
-				}
-				if p.Stop != nil {
-					fmt.Fprintf(w, "S%g,%t", p.Stop.Grace, p.Stop.PushedAt.IsZero())
-				}
-			}
+		names = append(names, fmt.Sprintf("e%s.%d,%t", k.name, k.attempt, committed))
+	}
+	h := &mc.reachability
+	for _, k := range append(h.pendingForgets, h.pendingProbe) {
+		names = append(names, fmt.Sprintf("f%s.%d", k.name, k.attempt))
+	}
+	slices.Sort(names)
+	return names
+}
+
+func (d *digestWriter) job(j *Job) {
+	d.printf("J%s,%d,%t,%t,%t,%t,%t,%t,%t", j.ID, j.LastAttempt, j.Cancelled, j.Finished, j.GangStarted, j.GangEnding, j.dirty,
+		d.now.Before(j.NotBefore), j.isCurrent(d.base))
+	for _, mc := range d.model.Machines {
+		if until, ok := j.avoidUntil[mc.Index]; ok && d.now.Before(until) {
+			d.printf("a%s%d", mc.Name, d.age(until))
 		}
-		for i := range j.Chunks {
-			c := &j.Chunks[i]
-			fmt.Fprintf(w, "C%t,%t", c.CommittedGen >= c.PlacedGen, c.CommittedGen >= c.Generation)
+	}
+	for i := range j.Tasks {
+		t := &j.Tasks[i]
+		d.printf("T%d,%d,%t", t.Phase, t.Outcome, d.now.UnixMilli() < t.NotBefore)
+		if t.Placement != nil {
+			d.placement(t.Placement, &j.Chunks[i/jobstore.ChunkSize])
 		}
 	}
-	for _, p := range m.writes.placementPages.pages {
-		// A page that was never written may be, once what is in the store is deleted.
-		fmt.Fprintf(w, "|p%d,%t,%t,%t", p.number, p.version == ref.Version(jobstore.PlacementPageKey(p.number)), p.version == 0, !p.isChanged())
+	for i := range j.Chunks {
+		c := &j.Chunks[i]
+		d.printf("C%t,%t", c.CommittedGen >= c.PlacedGen, c.CommittedGen >= c.Generation)
+	}
+}
+
+func (d *digestWriter) placement(p *Placement, c *Chunk) {
+	d.printf("g%tP%s,%d,%t,%t,%d,%t,%s", c.CommittedGen >= p.chunkGeneration, p.machineName, p.Attempt, p.Inherited, p.LaunchSent, p.ReportedState,
+		d.now.Sub(p.WokenAt) < wakeUpRetry, d.behind(p.machineName, p.LaunchEpoch, p.LaunchSeq))
+	if p.LaunchSeq > 0 && (heartbeatID{p.LaunchEpoch, p.LaunchSeq}) == d.model.Machines[p.Machine].reachability.answeredTwice {
+		d.printf("2")
 	}
-	fmt.Fprintf(w, "|%d,%d", len(m.directCommands.stops), len(m.directCommands.launches))
+	if p.StopHeld {
+		d.printf("H")
+	}
+	if p.Stop != nil {
+		d.printf("S%g,%t", p.Stop.Grace, p.Stop.PushedAt.IsZero())
+	}
+}
+
+// placementPage writes also whether a page was never written: it may be, once what is in the
+// store is deleted.
+func (d *digestWriter) placementPage(p *placementPage) {
+	current := p.version == d.base.Version(jobstore.PlacementPageKey(p.number))
+	d.printf("|p%d,%t,%t,%t", p.number, current, p.version == 0, !p.isChanged())
 }
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -20,68 +20,113 @@
 	Pools              []PoolSnapshot
 }
 
+// The states of machines in a Snapshot, as operators and metrics see them.
+const (
+	machineScalingIn   = "returning"
+	machineInterrupted = "noticed"
+	machineReady       = "up"
+	machineUnreachable = "mute"
+	machineSilent      = "silent"
+	machineBooting     = "booting"
+	machineUnknown     = "not heard of"
+)
+
+// The states of tasks in a Snapshot, as operators and metrics see them.
+const (
+	taskWaiting  = "waiting"
+	taskStopping = "stopping"
+	taskRunning  = "running"
+	taskStarting = "starting"
+	taskPlaced   = "placed"
+)
+
 // Snapshot computes the model's numbers. Its cost is proportional to the numbers of
 // machines and open tasks.
 func (m *Model) Snapshot(now time.Time) Snapshot {
 	s := Snapshot{Pools: m.poolSnapshots(), Machines: map[string]int{}, Tasks: map[string]int{}, LongestWait: map[string]float64{}, PriorityInversions: maps.Clone(m.tiers.inversions.Counts)}
-	least := -1.0
 	for _, mc := range m.Machines {
-		switch {
-		case mc.Gone:
-			continue
-		case mc.scalingIn:
-			s.Machines["returning"]++
-		case mc.alive && !mc.interruptionAt.IsZero():
-			s.Machines["noticed"]++
-		case mc.alive && m.Ready(mc, now):
-			s.Machines["up"]++
-		case mc.alive && mc.unreachable():
-			s.Machines["mute"]++
-		case mc.alive || len(mc.Tasks) > 0:
-			s.Machines["silent"]++
-		case mc.creationKnown:
-			s.Machines["booting"]++
-		default:
-			s.Machines["not heard of"]++
-		}
-		if left := m.leaseEnd(mc).Sub(now).Seconds(); mc.alive && (least < 0 || left < least) {
-			least = max(left, 0)
+		if !mc.Gone {
+			s.Machines[m.machineState(mc, now)]++
 		}
 	}
-	s.LeaseLeft = max(least, 0)
+	s.LeaseLeft = m.shortestLease(now)
 	s.Starved, s.StarvedTotal = m.starvedJobs(now)
 	for _, j := range m.Jobs {
-		if j == nil || j.Finished {
+		if j != nil && !j.Finished {
+			s.countJob(j, now)
+		}
+	}
+	return s
+}
+
+// machineState is the state of a machine that is not gone.
+func (m *Model) machineState(mc *Machine, now time.Time) string {
+	switch {
+	case mc.scalingIn:
+		return machineScalingIn
+	case mc.alive && !mc.interruptionAt.IsZero():
+		return machineInterrupted
+	case mc.alive && m.Ready(mc, now):
+		return machineReady
+	case mc.alive && mc.unreachable():
+		return machineUnreachable
+	case mc.alive || len(mc.Tasks) > 0:
+		return machineSilent
+	case mc.creationKnown:
+		return machineBooting
+	}
+	return machineUnknown
+}
+
+// shortestLease returns the seconds left of the machine lease that expires first; 0 if one
+// has expired or there is none.
+func (m *Model) shortestLease(now time.Time) float64 {
+	shortest := -1.0
+	for _, mc := range m.Machines {
+		if mc.Gone || !mc.alive {
 			continue
 		}
-		if !j.Cancelled {
-			s.Jobs++
-			if d := j.Spec.DeadlineS; d != nil && now.Sub(j.AcceptedAt).Seconds() > *d {
-				s.PastDeadline++
-			}
+		if left := m.leaseEnd(mc).Sub(now).Seconds(); shortest < 0 || left < shortest {
+			shortest = max(left, 0)
 		}
-		for i := range j.Tasks {
-			t := &j.Tasks[i]
-			switch p := t.Placement; {
-			case t.Phase == TaskDone:
-			case p == nil && j.Cancelled:
-			case p == nil:
-				s.Tasks["waiting"]++
-				if wait := now.Sub(j.AcceptedAt).Seconds(); wait > s.LongestWait[j.Spec.Class] {
-					s.LongestWait[j.Spec.Class] = wait
-				}
-			case p.Stop != nil:
-				s.Tasks["stopping"]++
-			case p.ReportedState >= reportedRunning:
-				s.Tasks["running"]++
-			case p.LaunchSent || p.Inherited:
-				s.Tasks["starting"]++
-			default:
-				s.Tasks["placed"]++
-			}
+	}
+	return max(shortest, 0)
+}
+
+// countJob counts a job that is not over, and its tasks.
+func (s *Snapshot) countJob(j *Job, now time.Time) {
+	waited := now.Sub(j.AcceptedAt).Seconds()
+	if !j.Cancelled {
+		s.Jobs++
+		if d := j.Spec.DeadlineS; d != nil && waited > *d {
+			s.PastDeadline++
 		}
 	}
-	return s
+	for i := range j.Tasks {
+		t := &j.Tasks[i]
+		if t.Phase == TaskDone || t.Placement == nil && j.Cancelled {
+			continue
+		}
+		s.Tasks[t.state()]++
+		if t.Placement == nil && waited > s.LongestWait[j.Spec.Class] {
+			s.LongestWait[j.Spec.Class] = waited
+		}
+	}
+}
+
+// state is the state of a task that is not done.
+func (t *Task) state() string {
+	switch p := t.Placement; {
+	case p == nil:
+		return taskWaiting
+	case p.Stop != nil:
+		return taskStopping
+	case p.ReportedState >= reportedRunning:
+		return taskRunning
+	case p.LaunchSent || p.Inherited:
+		return taskStarting
+	}
+	return taskPlaced
 }
 
 // Observer receives measurements of the model, for metrics: how long the steps of a task's
