--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -67,7 +67,7 @@
 	if age > m.bootCountsAsLate(mc) {
 		// A new leader has not received heartbeats from all running machines yet.
 		if !mc.bootLateLogged && len(mc.Tasks) == 0 && mc.cloudState != wire.MachineRunning {
-			mc.bootLateLogged = true
+			mc.markLateBootLogged()
 			m.log.Info("machine late", "machine", mc.Name, "type", mc.TypeName, "zone", m.Zones[mc.Zone], "spot", mc.Spot, "orderedS", age.Seconds())
 		}
 		return 0, false
--- a/cluster/cloudlist.go
+++ b/cluster/cloudlist.go
@@ -20,14 +20,12 @@
 		}
 		if !known {
 			m.log.Info("machine listed", "machine", l.Name, "type", l.Type, "zone", l.Zone, "spot", l.Spot, "state", l.State)
-			mc.createdAt = now.Add(-config.Seconds(l.AgeS))
-		}
-		if mc.Addr == "" {
-			mc.Addr = l.Addr
+			mc.recordAge(config.Seconds(l.AgeS), now)
 		}
+		mc.learnAddr(l.Addr)
 		if mc.Type < 0 || mc.Zone < 0 {
 			m.describe(mc, l.Type, l.Zone, l.Spot)
 		}
-		mc.cloudState, mc.cloudStateAt = l.State, now
+		mc.recordListing(l.State, now)
 	}
 }
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -24,6 +24,7 @@
 
 	machineErrorMemory = 10 * time.Minute // how long an error counts against a machine
 	machineErrorJobs   = 2                // jobs not at fault that must have failed there
+	machineErrorLimit  = 20               // errors remembered of a machine
 )
 
 // failureHistory is what is known of a job's failures. It outlives the job, because a
@@ -94,18 +95,29 @@
 	return max(0, faultProbes-j.PlacedTasks)
 }
 
-// recordTaskError remembers an error on a machine.
+// taskError is an error of a task on a machine.
+type taskError struct {
+	failures *failureHistory // of the task's job
+	at       time.Time
+}
+
+// recordTaskError records that a task of the job failed on a machine.
 func (m *Model) recordTaskError(j *Job, mc *Machine, now time.Time) {
 	before := mc.suspected(now)
-	mc.taskErrors = append(mc.taskErrors, taskError{j.failures, now})
-	if len(mc.taskErrors) > 20 {
-		mc.taskErrors = mc.taskErrors[1:]
-	}
+	mc.addTaskError(taskError{j.failures, now})
 	if !before && mc.suspected(now) {
 		m.log.Info("machine suspected", "machine", mc.Name)
 	}
 }
 
+// addTaskError records an error, and forgets the oldest ones beyond machineErrorLimit.
+func (mc *Machine) addTaskError(e taskError) {
+	mc.taskErrors = append(mc.taskErrors, e)
+	if len(mc.taskErrors) > machineErrorLimit {
+		mc.taskErrors = mc.taskErrors[1:]
+	}
+}
+
 // suspected reports whether several jobs that are not at fault have failed on a machine. The
 // result is not cached: that a job is at fault often shows only after it has failed on this
 // machine, and faulty jobs must not make one machine after another look faulty.
--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -25,28 +24,16 @@
 	m.updateReachability(mc, r, now)
 	if !mc.alive {
 		m.log.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Session)
-		mc.idleSince = now
 	}
-	if mc.AgentEpoch != r.Session {
-		mc.cachedImages = nil
-	}
-	mc.alive, mc.AgentEpoch, mc.Seq, mc.Addr, mc.lastSeen = true, r.Session, r.Seq, r.Addr, now
-	mc.tokenShown = r.Token == m.FencingToken
+	mc.recordHeartbeat(r, m.FencingToken, now)
 	m.describe(mc, r.Type, r.Zone, r.Spot)
-	if r.NoticeS == nil {
-		mc.interruptionAt = time.Time{} // the newest heartbeat counts, and it has no notice
-	} else if mc.interruptionAt.IsZero() {
-		mc.interruptionAt = now.Add(config.Seconds(*r.NoticeS))
+	if mc.recordInterruption(r.NoticeS, now) {
 		m.log.Info("spot interruption notice", "machine", mc.Name, "seconds", *r.NoticeS)
 	}
 	m.reconcile(mc, r, now)
 	return mc
 }
 
-func (mc *Machine) isNewer(session, seq uint64) bool {
-	return session > mc.AgentEpoch || session == mc.AgentEpoch && seq > mc.Seq
-}
-
 // IsNewerHeartbeat reports whether ApplyHeartbeat would apply a heartbeat with this
 // session and sequence number.
 func (m *Model) IsNewerHeartbeat(machine string, session, seq uint64) bool {
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -59,9 +59,7 @@
 	if mc == nil || mc.Gone || !mc.alive || mc.AgentEpoch != r.Session || mc.Seq != r.Seq {
 		return nil, false
 	}
-	if mc.lastAnswered.Before(mc.lastSeen) {
-		mc.lastAnswered = mc.lastSeen // the applied copy has not been answered (yet)
-	}
+	mc.recordRetryAnswer()
 	mc.answeredAgain(via)
 	return m.stopCommands(mc, r), true
 }
@@ -71,7 +69,7 @@
 // or not the answer arrives; the next heartbeat shows which of them were executed.
 func (m *Model) AnswerHeartbeat(mc *Machine, r *wire.Report, now time.Time) []wire.Command {
 	m.Observer.LeaseLeft(m.leaseEnd(mc).Sub(now).Seconds())
-	mc.lastAnswered = now
+	mc.recordAnswer(now)
 	mc.reachability.answered(r.Seq)
 	// Stops come first, so that they always fit: an answer renews the worker's lease, and
 	// a task whose stop was left out may keep running for another lease.
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -4,7 +4,6 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/placement"
 )
 
 // leaseEnd returns when a machine's lease expires: unless it is answered again, no task can
@@ -31,10 +30,7 @@
 			if mc.alive {
 				m.log.Info("machine silent past its lease", "machine", mc.Name, "tasks", len(mc.Tasks))
 			}
-			mc.alive, mc.tokenShown = false, false
-			mc.AgentEpoch++ // whatever the ended session still sends is old
-			mc.Seq = 0
-			mc.orphaned = placement.Resources{}
+			mc.expireLease()
 			m.loseTasksOn(mc, "its machine's lease is over", now)
 		}
 		if len(mc.Tasks) > 0 && !m.Ready(mc, now) {
@@ -91,7 +87,7 @@
 	if mc == nil || mc.Gone {
 		return
 	}
-	mc.Gone, mc.alive = true, false
+	mc.markGone()
 	m.log.Info("machine gone", "machine", name)
 	m.loseTasksOn(mc, "its machine is gone", now)
 }
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -3,78 +3,52 @@
 import (
 	"time"
 
-	"github.com/umberdeal/umberdeal/placement"
+	"github.com/umberdeal/umberdeal/config"
+	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is a machine, and the catalogue of types.
+// This file is a machine and the changes of its state. Each group of fields that change
+// together is a type of its own, and only its methods write it, so that what holds between
+// its fields holds everywhere.
 
 // Machine is a machine that is running, is expected to come up, or is gone.
 type Machine struct {
-	Index          int32
-	Name           string
-	Addr           string
-	Type           int
-	TypeName       string
-	Zone           int
-	Spot           bool
-	alive          bool // has sent this leader a heartbeat, and its lease has not expired
-	tokenShown     bool // its last heartbeat carried this leader's fencing token
-	Gone           bool // deleted, or no longer listed for good
-	AgentEpoch     uint64
-	Seq            uint64
-	lastAnswered   time.Time
-	lastSeen       time.Time
+	Index    int32 // in Model.Machines
+	Name     string
+	Addr     string // of its worker; empty until known
+	Type     int    // index in Model.MachineTypes; -1 until known
+	TypeName string
+	Zone     int // index in Model.Zones; -1 until known
+	Spot     bool
+	Gone     bool // its deletion is confirmed: final, later heartbeats are ignored
+
+	workerLease
+	cloudInstance
+	bookings
+
 	interruptionAt time.Time // when the cloud will reclaim it; zero without an interruption notice
-	createdAt      time.Time // when it was rented, as far as known
-	creationKnown  bool      // this leader rented it, so that its boot can be timed from createdAt
-	cloudState     string
-	cloudStateAt   time.Time
-	requestedHere  bool // named in the cloud's response to a scale-out request
-	scalingIn      bool
-	bootLateLogged bool // the operator has been told
-	Tasks          map[TaskRef]bool
-	Used           placement.Resources
-	idleSince      time.Time // when it came up or last ran out of tasks
-	headroomAt     time.Time // last kept, empty, as headroom
 	delayedAnswers int       // answers to its heartbeats that wait for a scheduling pass
 	reachability   reachability
+	cachedImages   imageCache
+	reportedExits  reportedExits
+	taskErrors     []taskError
+	slowness       float64 // average of run times over their estimates; 0: none has been measured
 
-	orphaned            placement.Resources // what tasks not in the model take
-	cachedImages        []int32             // most recently used last
-	reportedExits       map[exitKey]*reportedExit
-	taskErrors          []taskError
-	slowness            float64
 	pool                int       // 1 and more: the warm pool that it belongs to
-	hasHadTask          bool      // has had a task
 	unreadySince        time.Time // since when it could not be given tasks, as its pool saw
 	unfitUntil          time.Time // no pool takes it before: its fetch came to nothing
-	imagesRestoredEpoch uint64    // the session for which an earlier leader's word on its images was taken
-}
-
-type exitKey struct {
-	name    string
-	attempt uint64
-}
-
-type reportedExit struct {
-	job        int32
-	chunk      int
-	generation uint64
-}
-
-type taskError struct {
-	failures *failureHistory
-	at       time.Time
+	imagesRestoredEpoch uint64    // the agent epoch for which an earlier leader's record of its images was taken
 }
 
-// findOrAddMachine finds or makes a machine.
+// findOrAddMachine returns the machine of that name, which it adds if the model has none.
 func (m *Model) findOrAddMachine(name string, now time.Time) *Machine {
 	if mc := m.machineNamed(name); mc != nil {
 		return mc
 	}
 	mc := &Machine{
-		Index: int32(len(m.Machines)), Name: name, Type: -1, Zone: -1, Tasks: map[TaskRef]bool{},
-		reportedExits: map[exitKey]*reportedExit{}, idleSince: now, createdAt: now, lastSeen: now,
+		Index: int32(len(m.Machines)), Name: name, Type: -1, Zone: -1, reportedExits: reportedExits{},
+		workerLease: workerLease{lastSeen: now}, cloudInstance: cloudInstance{createdAt: now},
+		bookings: bookings{Tasks: map[TaskRef]bool{}, idleSince: now},
 	}
 	m.writes.placementPages.observeMachineName(name)
 	m.Machines = append(m.Machines, mc)
@@ -82,6 +56,8 @@
 	return mc
 }
 
+// describe records a machine's type, zone and market. Tasks that are placed there already
+// count for its zone from then on.
 func (m *Model) describe(mc *Machine, typ, zone string, spot bool) {
 	mc.TypeName, mc.Type, mc.Spot = typ, m.machineTypeIndex(typ), spot
 	z, ok := m.names.zones[zone]
@@ -105,12 +81,72 @@
 	}
 }
 
+// resolveType finds the type of a machine that was described before the catalogue listed
+// its type.
+func (m *Model) resolveType(mc *Machine) {
+	if mc.Type < 0 {
+		mc.Type = m.machineTypeIndex(mc.TypeName)
+	}
+}
+
+// learnAddr records the address of the machine's worker as the cloud lists it, if no
+// heartbeat has given it.
+func (mc *Machine) learnAddr(addr string) {
+	if mc.Addr == "" {
+		mc.Addr = addr
+	}
+}
+
+// recordHeartbeat records a heartbeat that is newer than the last one recorded. A machine
+// that was not alive is idle from now on, and one with a new agent epoch has an empty image
+// cache.
+func (mc *Machine) recordHeartbeat(r *wire.Report, token uint64, now time.Time) {
+	if !mc.alive {
+		mc.idleSince = now
+	}
+	if mc.AgentEpoch != r.Session {
+		mc.cachedImages = nil
+	}
+	mc.Addr = r.Addr
+	mc.renewLease(r, token, now)
+}
+
+// recordInterruption records the interruption notice of the newest heartbeat, the seconds
+// until the cloud reclaims the machine, or that it has none. It reports whether the notice
+// is new.
+func (mc *Machine) recordInterruption(noticeS *float64, now time.Time) bool {
+	if noticeS == nil {
+		mc.interruptionAt = time.Time{}
+		return false
+	}
+	if !mc.interruptionAt.IsZero() {
+		return false
+	}
+	mc.interruptionAt = now.Add(config.Seconds(*noticeS))
+	return true
+}
+
+// expireLease records that no task can be running on the machine any more.
+func (mc *Machine) expireLease() {
+	mc.endEpoch()
+	mc.resetOrphaned()
+}
+
+// markGone records that the machine's deletion is confirmed.
+func (mc *Machine) markGone() { mc.Gone, mc.alive = true, false }
+
+// recordRunTimeRatio adds a task's run time, as a multiple of its estimate, to the moving
+// average from which the machine's slowness is judged.
+func (mc *Machine) recordRunTimeRatio(ratio float64) {
+	if mc.slowness == 0 {
+		mc.slowness = 1
+	}
+	mc.slowness = 0.6*mc.slowness + 0.4*min(ratio, 5)
+}
+
 // DelayAnswer records that the answer to the machine's newest heartbeat waits for a
 // scheduling pass, so that it can carry what the pass launches. EndAnswerDelay must follow.
 func (mc *Machine) DelayAnswer() { mc.delayedAnswers++ }
 
 // EndAnswerDelay records that an answer recorded by DelayAnswer waits no longer.
 func (mc *Machine) EndAnswerDelay() { mc.delayedAnswers-- }
-
-// DiscountAnswers records that none of the answers so far has renewed the worker's lease.
-func (mc *Machine) DiscountAnswers() { mc.lastAnswered = time.Time{} }
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -191,12 +191,3 @@
 	}
 	v.Tasks = m.buffers.occupants[tasks:]
 }
-
-func (mc *Machine) hasImage(image int32) bool {
-	for _, im := range mc.cachedImages {
-		if im == image {
-			return true
-		}
-	}
-	return false
-}
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -46,9 +46,7 @@
 	}
 	m.windows.cancelProvision() // its job may be out of the model, and know none of the new types
 	for _, mc := range m.Machines {
-		if mc.Type < 0 {
-			mc.Type = m.machineTypeIndex(mc.TypeName)
-		}
+		m.resolveType(mc)
 	}
 	for _, j := range m.Jobs {
 		if j != nil {
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -21,6 +21,7 @@
 	placingPausedUntil time.Time       // nothing is placed before
 }
 
+// addJob records a job whose own records can't be read.
 func (q *quarantine) addJob(id string) {
 	if q.jobs == nil {
 		q.jobs = map[string]bool{}
@@ -28,6 +29,11 @@
 	q.jobs[id] = true
 }
 
+// addAdmissionPage records that an admission page can't be read, so that any unknown job
+// may be on it.
+func (q *quarantine) addAdmissionPage() { q.admissionPageLost = true }
+
+// addPlacementPage records the version of a placement page that can't be read.
 func (q *quarantine) addPlacementPage(version uint64) { q.newestPage = max(q.newestPage, version) }
 
 // pausePlacing keeps anything from being placed until then; it never shortens a pause.
@@ -59,7 +65,7 @@
 // and as with a cancelled job those are gone cancel_s later. Nothing is placed before that.
 func (m *Model) QuarantineAdmissionPage(key string, since time.Time, err error) {
 	m.log.Error("unreadable page of jobs: they are set aside", "key", key, "since", since, "err", err)
-	m.quarantine.admissionPageLost = true
+	m.quarantine.addAdmissionPage()
 	apart := time.Duration(2 * m.settings.Cluster.SkewMs * float64(time.Millisecond))
 	if since = since.Add(apart); since.Before(m.ElectedAt) {
 		m.pausePlacingFrom(since)
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -232,16 +232,3 @@
 		}
 	}
 }
-
-// measureSlowness compares how long a task ran with what its owner expected and
-// keeps the ratio's average for the machine.
-func (m *Model) measureSlowness(j *Job, mc *Machine, p *Placement, now time.Time) {
-	if j.Spec.EstimateS <= 0 || p.RunningSince.IsZero() || p.Inherited {
-		return
-	}
-	ratio := now.Sub(p.RunningSince).Seconds() / j.Spec.EstimateS
-	if mc.slowness == 0 {
-		mc.slowness = 1
-	}
-	mc.slowness = 0.6*mc.slowness + 0.4*min(ratio, 5)
-}
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/umberdeal/umberdeal/placement"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -28,7 +27,7 @@
 func (m *Model) applyListedTasks(mc *Machine, r *wire.Report, now time.Time) map[TaskRef]bool {
 	listed := make(map[TaskRef]bool, len(r.Tasks))
 	named := make(map[exitKey]bool, len(r.Tasks))
-	mc.orphaned = placement.Resources{}
+	mc.resetOrphaned()
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		named[exitKey{t.Task, t.Attempt}] = true
@@ -36,11 +35,7 @@
 			listed[ref] = true
 		}
 	}
-	for k := range mc.reportedExits {
-		if !named[k] {
-			delete(mc.reportedExits, k)
-		}
-	}
+	mc.reportedExits.retain(named)
 	return listed
 }
 
@@ -60,7 +55,7 @@
 		if t.State == wire.TaskExited {
 			m.applyUnplacedExit(j, int32(n), mc, t, now)
 		} else {
-			mc.orphaned = mc.orphaned.Add(j.Need, 1)
+			mc.addOrphaned(j.Need)
 		}
 		return TaskRef{}, false
 	}
@@ -142,25 +137,3 @@
 		m.applyExit(j, task, mc, p, t, now)
 	}
 }
-
-// recordImage makes an image a machine's most recently used one.
-func (m *Model) recordImage(mc *Machine, image int32) {
-	for i, im := range mc.cachedImages {
-		if im == image {
-			mc.cachedImages = append(mc.cachedImages[:i], mc.cachedImages[i+1:]...)
-			break
-		}
-	}
-	mc.cachedImages = append(mc.cachedImages, image)
-	if mc.Type < 0 {
-		return
-	}
-	total := 0.0
-	for _, im := range mc.cachedImages {
-		total += m.images.size(im)
-	}
-	for len(mc.cachedImages) > 1 && total > m.MachineTypes[mc.Type].CacheGB {
-		total -= m.images.size(mc.cachedImages[0])
-		mc.cachedImages = mc.cachedImages[1:]
-	}
-}
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -16,7 +16,7 @@
 // deletion may still be carried out, so that nothing must be placed on them.
 func (m *Model) ResumeScaleIn(names []string, now time.Time) {
 	for _, n := range names {
-		m.findOrAddMachine(n, now).scalingIn = true
+		m.findOrAddMachine(n, now).markScalingIn()
 	}
 }
 
@@ -50,7 +50,7 @@
 		}
 		why := m.scaleInReason(mc, now, idle)
 		if why != "" {
-			mc.scalingIn = true
+			mc.markScalingIn()
 			m.log.Info("scaling in machine", "machine", mc.Name, "why", why)
 			if why == reasonNeverUp {
 				m.refuseOfferOf(mc, now)
--- a/cluster/scaleout.go
+++ b/cluster/scaleout.go
@@ -61,9 +61,9 @@
 func (m *Model) ScaledOut(o Offer, names []string, now time.Time) {
 	for _, n := range names {
 		mc := m.findOrAddMachine(n, now)
-		mc.requestedHere = true
+		mc.recordScaleOut()
 		if !mc.alive && mc.AgentEpoch == 0 {
-			mc.creationKnown = true
+			mc.recordCreation()
 		}
 		m.describe(mc, o.Type, o.Zone, o.Spot)
 		m.log.Info("machine scaled out", "machine", n, "type", o.Type, "zone", o.Zone, "spot", o.Spot)
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -217,7 +217,7 @@
 			continue
 		}
 		if mc := p.model.Machines[p.machineIndexes[s.Machine]]; len(mc.Tasks) == 0 {
-			mc.headroomAt = p.now
+			mc.keepAsHeadroom(p.now)
 		}
 	}
 }
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -7,6 +7,33 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+// exitKey identifies an attempt that a worker lists as exited.
+type exitKey struct {
+	name    string
+	attempt uint64
+}
+
+// reportedExit is the chunk of a job that an exit has changed, and the chunk's generation
+// with that change. Once it is committed, the worker may forget the exit.
+type reportedExit struct {
+	job        int32
+	chunk      int
+	generation uint64
+}
+
+// reportedExits are the exits that a machine's worker lists and that have been applied.
+type reportedExits map[exitKey]*reportedExit
+
+// retain drops the exits that a heartbeat no longer lists.
+func (e reportedExits) retain(listed map[exitKey]bool) {
+	for k := range e {
+		if !listed[k] {
+			delete(e, k)
+		}
+	}
+}
+
+// rememberExit records that an exit has been applied.
 func (m *Model) rememberExit(j *Job, task int32, mc *Machine, t *wire.TaskReport) {
 	n := int(task) / jobstore.ChunkSize
 	mc.reportedExits[exitKey{t.Task, t.Attempt}] = &reportedExit{job: j.Index, chunk: n, generation: j.Chunks[n].Generation}
@@ -23,7 +50,7 @@
 	if t.Why == wire.WhyDone {
 		m.recordImage(mc, j.Image)
 		m.clearFault(j)
-		m.measureSlowness(j, mc, p, now)
+		m.recordSlowness(j, mc, p, now)
 		m.recordRunTime(j, task, p, now)
 		if j.Gang() {
 			// They complete together: if one task is done, all are.
@@ -125,3 +152,11 @@
 	}
 	j.avoidUntil[mc.Index] = until
 }
+
+// recordSlowness compares a task's run time with its owner's estimate.
+func (m *Model) recordSlowness(j *Job, mc *Machine, p *Placement, now time.Time) {
+	if j.Spec.EstimateS <= 0 || p.RunningSince.IsZero() || p.Inherited {
+		return
+	}
+	mc.recordRunTimeRatio(now.Sub(p.RunningSince).Seconds() / j.Spec.EstimateS)
+}
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"github.com/umberdeal/umberdeal/jobstore"
-	"github.com/umberdeal/umberdeal/placement"
 )
 
 // This file books tasks on machines, and takes them off.
@@ -15,10 +14,8 @@
 	t := &j.Tasks[task]
 	t.Phase = TaskPlaced
 	t.Placement = &Placement{Machine: mc.Index, Attempt: attempt, PlacedAt: now, machineName: mc.Name}
-	mc.Tasks[TaskRef{Job: j.Index, Task: task}] = true
+	mc.bookTask(TaskRef{Job: j.Index, Task: task}, j.Need)
 	m.directCommands.addLaunch(TaskRef{Job: j.Index, Task: task})
-	mc.Used = mc.Used.Add(j.Need, 1)
-	mc.hasHadTask = true
 	j.PlacedTasks++
 	j.Chunks[int(task)/jobstore.ChunkSize].PlacedTasks++
 	if mc.Zone >= 0 {
@@ -46,12 +43,7 @@
 	ref := TaskRef{Job: j.Index, Task: task}
 	t.Placement, t.Phase = nil, TaskIdle
 	m.PlacesFreed++
-	delete(mc.Tasks, ref)
-	mc.Used = mc.Used.Add(j.Need, -1)
-	if len(mc.Tasks) == 0 {
-		mc.Used = placement.Resources{}
-		mc.idleSince = now
-	}
+	mc.releaseTask(ref, j.Need, now)
 	j.PlacedTasks--
 	if j.PlacedTasks == 0 {
 		j.GangStarted, j.GangEnding = false, false
