--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -507,7 +507,7 @@
 		if n := len(w.Cloud.Machines()); n > 2 {
 			t.Errorf("%d machines are kept when all is done", n)
 		}
-		rented = w.Cloud.Rented
+		rented = w.Cloud.RentedMachines()
 	})
 	return out, rented, paid
 }
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -118,8 +118,8 @@
 		if !scenario.Eventually(10*time.Second, 50*time.Millisecond, func() bool { return w.Store.OvertakenTransactions().Older > 0 }) {
 			t.Fatal("the older record of returns has not come after the newer one")
 		}
-		if got := w.Cloud.Machines(); !both(got) || w.Cloud.Late > 0 {
-			t.Fatalf("%v are left, %d deletions carried out", got, w.Cloud.Late)
+		if got := w.Cloud.Machines(); !both(got) || w.Cloud.DelayedDeletes() > 0 {
+			t.Fatalf("%v are left, %d deletions carried out", got, w.Cloud.DelayedDeletes())
 		}
 		w.KillNode(w.Leader())
 		w.Cloud.DelayDeletes(0)
@@ -138,7 +138,7 @@
 		if n := w.Started(); n != 4 {
 			t.Errorf("%d starts for 4 tasks", n)
 		}
-		if w.Cloud.Late == 0 {
+		if w.Cloud.DelayedDeletes() == 0 {
 			t.Error("no deletion came late")
 		}
 	})
--- a/controller/machine_boot_test.go
+++ b/controller/machine_boot_test.go
@@ -18,11 +18,11 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 6, 90 }))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 20*time.Second)
 		time.Sleep(40 * time.Second)
-		if got := w.Cloud.Rented; got > 4 { // two, and room kept for what may come
+		if got := w.Cloud.RentedMachines(); got > 4 { // two, and room kept for what may come
 			t.Errorf("%d machines rented for two tasks", got)
 		}
-		if left := len(w.Cloud.Machines()); left != w.Cloud.Rented {
-			t.Errorf("%d of %d machines are left while the tasks run", left, w.Cloud.Rented)
+		if left := len(w.Cloud.Machines()); left != w.Cloud.RentedMachines() {
+			t.Errorf("%d of %d machines are left while the tasks run", left, w.Cloud.RentedMachines())
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
 	})
--- a/controller/scenarios_test.go
+++ b/controller/scenarios_test.go
@@ -112,7 +112,7 @@
 		time.Sleep(12 * time.Second)
 		w.Cloud.SetDropReplies(false)
 		mustReach(t, w, "wk-000001", wire.JobDone, 4*time.Minute)
-		if len(w.Cloud.Reused) == 0 {
+		if len(w.Cloud.RepeatedRentals()) == 0 {
 			t.Error("the unanswered request was not repeated under its name")
 		}
 		time.Sleep(2 * time.Minute)
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"io"
 	"net/http"
+	"slices"
 	"sort"
 	"strings"
 	"sync"
@@ -14,23 +15,50 @@
 
 // Cloud rents machines of the cluster.
 type Cloud struct {
-	w        *Cluster
-	mu       sync.Mutex
-	types    []wire.MachineType
-	capacity int
-	lag      time.Duration
-	answers  map[string][]string
-	machines map[string]*machine
-	next     int
-	outage   bool
-	silent   bool // what is asked is done, and not answered
-	Reused   []string
-	Rented   int                     // machines, ever
-	boots    func(int) time.Duration // of the machine of that number; negative: never up
-	slow     time.Duration           // until a rental is answered
-	later    time.Duration           // until a deletion is carried out, unanswered
-	Late     int                     // deletions carried out so
-	upFirst  int                     // machines whose worker had an answer before their rental had one
+	// Set before the cloud serves requests, and not changed afterwards.
+	w     *Cluster
+	types []wire.MachineType
+	lag   time.Duration // until a machine is listed as it is
+
+	mu sync.Mutex // guards all that follows
+
+	capacity int                 // machines at once
+	machines map[string]*machine // those that exist, by name
+	next     int                 // the number of the next machine
+	answers  map[string][]string // the machines that a request has made, by its id
+
+	outage bool
+	silent bool                    // what is asked is done, and not answered
+	boots  func(int) time.Duration // of the machine of that number; negative: never up
+	slow   time.Duration           // until a rental is answered
+	later  time.Duration           // until a deletion is carried out, unanswered
+
+	repeatedRentals []string // requests that came again
+	rented          int      // machines, ever
+	delayedDeletes  int      // deletions carried out late
+	upFirst         int      // machines whose worker had an answer before their rental had one
+}
+
+// RepeatedRentals lists the ids of rental requests that came again, after they had been carried
+// out: once for each time.
+func (c *Cloud) RepeatedRentals() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.repeatedRentals)
+}
+
+// RentedMachines is how many machines were rented, ever.
+func (c *Cloud) RentedMachines() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.rented
+}
+
+// DelayedDeletes is how many deletions were carried out late.
+func (c *Cloud) DelayedDeletes() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.delayedDeletes
 }
 
 // DelayDeletes leaves deletions unanswered and carries them out only so much later;
@@ -173,7 +201,7 @@
 	}
 	if by := c.later; by > 0 {
 		c.wait(by)
-		c.Late++
+		c.delayedDeletes++
 		w = discardedReply{w}
 	}
 	for _, name := range names.Machines {
@@ -202,7 +230,7 @@
 	}
 	names, again := c.answers[q.Request]
 	if again {
-		c.Reused = append(c.Reused, q.Request)
+		c.repeatedRentals = append(c.repeatedRentals, q.Request)
 	} else if names = c.rentFor(q); len(names) == 0 {
 		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 		return
@@ -222,7 +250,7 @@
 // rentFor makes the machines of a new request, as far as there is capacity; the lock is held.
 func (c *Cloud) rentFor(q wire.Rental) (names []string) {
 	for i := 0; i < q.Count && len(c.machines) < c.capacity; i++ {
-		c.Rented++
+		c.rented++
 		names = append(names, c.rent(q.Type, q.Zone, q.Spot, c.bootTime(q.Type)))
 	}
 	if len(names) > 0 {
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -92,7 +92,9 @@
 			w.StartNode(i)
 		}
 	}
+	w.mu.Lock()
 	w.faultSeen = time.Now() // the beginning is no better than a fault
+	w.mu.Unlock()
 	w.wg.Go(w.watchFaults)
 	return w
 }
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -21,16 +21,19 @@
 	cfg  *config.Settings
 
 	// Guarded by the cluster's lock: copies of reports are sent by goroutines of their own.
-	end    context.CancelFunc // nil while no process runs
-	done   chan struct{}      // closed once the process has ended
-	killed *atomic.Bool       // its process was ended on purpose
-	down   time.Time          // when its power was cut; zero: it is up
-
-	olderSchema bool // reads the form of records before
+	end         context.CancelFunc // nil while no process runs
+	done        chan struct{}      // closed once the process has ended
+	killed      *atomic.Bool       // its process was ended on purpose
+	down        time.Time          // when its power was cut; zero: it is up
+	olderSchema bool               // its next process reads records of the schema version before
 }
 
 // UpgradeSchema makes a node's next process read the newest form of records.
-func (w *Cluster) UpgradeSchema(i int) { w.nodes[i].olderSchema = false }
+func (w *Cluster) UpgradeSchema(i int) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.nodes[i].olderSchema = false
+}
 
 // StartNode starts a controller.
 func (w *Cluster) StartNode(i int) {
@@ -44,10 +47,11 @@
 	done, dies := make(chan struct{}), &atomic.Bool{}
 	w.mu.Lock()
 	n.down, n.end, n.done, n.killed = time.Time{}, end, done, dies
+	olderSchema := n.olderSchema
 	w.mu.Unlock()
 	tuning := config.DefaultTuning()
 	tuning.Launching.Summon = !w.noWakeUps
-	tuning.Ledger.Intake = !n.olderSchema
+	tuning.Ledger.Intake = !olderSchema
 	if w.metrics {
 		tuning.Metrics.Listen = n.name + ":9464"
 	}
