--- a/internal/fake/cancellations.go
+++ b/internal/fake/cancellations.go
@@ -154,6 +154,6 @@
 	if t.m.hung {
 		how = ", which hangs"
 	}
-	w.breaksLocked("ran_cancelled: %s is on %s%s", t.name, t.m.name, how)
+	w.violations.add("ran_cancelled: %s is on %s%s", t.name, t.m.name, how)
 	j.cancelled = now // said once for each cancel_s
 }
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -29,6 +29,7 @@
 	noWakeUps  bool
 	log        *slog.Logger
 	httpClient *http.Client
+	violations violationLog
 
 	mu                 sync.Mutex
 	duplicateOneIn     int                          // one in so many reports is copied; 0: none
@@ -50,13 +51,11 @@
 	knownJobsOnly      bool           // workers know users' jobs only
 	fetching           map[string]bool
 	// fetchedMost is on how many machines images were fetched at the same time.
-	fetchedMost   int
-	violations    []string
-	requestClock  uint64    // counts users' requests and the answers to them
-	unusualIDs    int       // ids of jobs that can't be accepted
-	afterCancel   int       // starts after the user was told that the job is cancelled
-	interactionAt time.Time // when a scenario's troubles met
-	faultSeen     time.Time // when a fault was last seen to be injected
+	fetchedMost  int
+	requestClock uint64    // counts users' requests and the answers to them
+	unusualIDs   int       // ids of jobs that can't be accepted
+	afterCancel  int       // starts after the user was told that the job is cancelled
+	faultSeen    time.Time // when a fault was last seen to be injected
 }
 
 // New makes a cluster whose controllers are running, unless they are external.
@@ -70,7 +69,7 @@
 		progress: map[string]float64{}, externalStarts: map[string]int{}, capturedReports: map[string][]byte{},
 		answeredReports: map[nodeAndMachine]time.Time{}, acceptedAnswers: map[nodeAndMachine]time.Time{}, fetching: map[string]bool{},
 	}
-	w.Store.reportViolation = w.breaks
+	w.Store.reportViolation = w.violations.add
 	w.Cloud = &Cloud{w: w, types: options.Types, capacity: options.Capacity, lag: 5 * time.Second,
 		answers: map[string][]string{}, machines: map[string]*machine{}}
 	w.serve("state:1", w.Store)
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -182,9 +182,9 @@
 		id, n, ok := wire.SplitTask(c.Task)
 		switch {
 		case c.Op == wire.OpForget:
-			w.breaksLocked("a forget of %s is sent directly", c.Task)
+			w.violations.add("a forget of %s is sent directly", c.Task)
 		case c.Op == wire.OpStart && ok && w.jobs[id] != nil && n < w.jobs[id].spec.Tasks:
-			w.breaksLocked("a launch of %s is sent directly", c.Task)
+			w.violations.add("a launch of %s is sent directly", c.Task)
 		}
 	}
 }
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -133,7 +133,7 @@
 		j.unanswered = now
 	}
 	if now.Sub(j.unanswered) >= forgottenAfter {
-		w.breaksLocked("forgotten: no question about %s is answered for %v without faults", id, forgottenAfter)
+		w.violations.add("forgotten: no question about %s is answered for %v without faults", id, forgottenAfter)
 		j.unanswered = now
 	}
 }
@@ -155,6 +155,6 @@
 		most = launchedWithin
 	}
 	if since > most {
-		w.breaksLocked("launched after its cancellation: %s, %.1f s later", task, since.Seconds())
+		w.violations.add("launched after its cancellation: %s, %.1f s later", task, since.Seconds())
 	}
 }
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -4,9 +4,9 @@
 // real processes can be attached to it as well.
 //
 // A Cluster has a lock that guards what workers, users and the checker know; Network,
-// KVStore and Cloud have their own. Where two are held, the cloud's is taken before the
-// cluster's, and that before the network's; the key-value store's is held when a
-// violation is reported, which takes the cluster's.
+// KVStore, Cloud and the list of violations have their own. Where several are held, they
+// are taken in this order: the cloud's, the cluster's, the key-value store's, and last
+// the network's or the list's.
 package fake
 
 import (
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -69,7 +69,7 @@
 		defer w.wg.Done()
 		defer close(done)
 		if err := c.Run(ctx); err != nil && !dies.Load() {
-			w.breaks("node %s ended: %v", n.name, err)
+			w.violations.add("node %s ended: %v", n.name, err)
 		}
 	}()
 }
--- a/internal/fake/placement.go
+++ b/internal/fake/placement.go
@@ -22,13 +22,13 @@
 		w.tasksWithImage[t.name] = on
 	}
 	if len(on) > 0 {
-		w.breaksLocked("ran_twice: %s starts on %s", t.name, t.m.name)
+		w.violations.add("ran_twice: %s starts on %s", t.name, t.m.name)
 	}
 	on[t.m], t.here = true, true
 	if j := w.jobs[t.job.ID]; !j.cancelled.IsZero() {
 		w.afterCancel++
 		if now.Sub(j.cancelled) > secs(w.Settings.Cluster.Workers.CancelS) {
-			w.breaksLocked("ran_cancelled: %s starts", t.name)
+			w.violations.add("ran_cancelled: %s starts", t.name)
 		}
 	}
 	w.checkPlace(t)
@@ -41,7 +41,7 @@
 // checkPlace checks that a task is on a machine and in a zone that its job allows.
 func (w *Cluster) checkPlace(t *task) {
 	if !t.m.allowedFor(t.job) {
-		w.breaksLocked("wrong_place: %s on %s", t.name, t.m.name)
+		w.violations.add("wrong_place: %s on %s", t.name, t.m.name)
 	}
 	j := t.job
 	same, others := 0, 0
@@ -55,7 +55,7 @@
 		}
 	}
 	if j.OneZone && others > 0 || j.Spread && same > mostInOneZone(j) {
-		w.breaksLocked("wrong_place: %s in zone %s, %d here and %d elsewhere", t.name, t.m.zone, same, others)
+		w.violations.add("wrong_place: %s in zone %s, %d here and %d elsewhere", t.name, t.m.zone, same, others)
 	}
 }
 
@@ -82,7 +82,7 @@
 			}
 		}
 		if exceedsQuota(team, cpus, gpus) {
-			w.breaksLocked("quota: team %s uses %g CPUs, %g GPUs", team.Name, cpus, gpus)
+			w.violations.add("quota: team %s uses %g CPUs, %g GPUs", team.Name, cpus, gpus)
 		}
 	}
 }
--- a/internal/fake/unusual_requests.go
+++ b/internal/fake/unusual_requests.go
@@ -143,7 +143,7 @@
 	case want:
 		*count++
 	default:
-		w.breaks("odd request %d of %s answered %d, not %d", u.kind, id, r.status, want)
+		w.violations.add("odd request %d of %s answered %d, not %d", u.kind, id, r.status, want)
 	}
 }
 
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -92,13 +92,13 @@
 	if r.status == http.StatusOK || r.status == http.StatusCreated {
 		var s wire.JobStatus
 		if wire.Unmarshal(out, &s) != nil || s.ID != id {
-			w.breaks("%s answered %d with %.80q", id, r.status, out)
+			w.violations.add("%s answered %d with %.80q", id, r.status, out)
 			return r
 		}
 		r.state = s.State
 	}
 	if r.shed() && resp.Header.Get("Retry-After") == "" {
-		w.breaks("%s answered %d without Retry-After", id, r.status)
+		w.violations.add("%s answered %d without Retry-After", id, r.status)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -151,21 +151,21 @@
 		// nothing is said
 	case http.StatusNotFound:
 		if j.acceptedBefore(r) {
-			w.breaksLocked("forgotten: %s answered 404", id)
+			w.violations.add("forgotten: %s answered 404", id)
 		}
 	case http.StatusBadRequest, http.StatusUnprocessableEntity:
 		if j.acceptedBefore(r) || kind != submission {
-			w.breaksLocked("forgotten: %s answered %d", id, r.status)
+			w.violations.add("forgotten: %s answered %d", id, r.status)
 		}
 	case http.StatusOK, http.StatusCreated:
 		if j == nil {
-			w.breaksLocked("invented: %s", id)
+			w.violations.add("invented: %s", id)
 			return
 		}
 		w.checkAccepted(j, r)
 		w.checkState(kind, j, r)
 	default:
-		w.breaksLocked("%s answered %d", id, r.status)
+		w.violations.add("%s answered %d", id, r.status)
 	}
 }
 
@@ -176,7 +176,7 @@
 	if !j.accepted {
 		j.accepted, j.answers.accepted = true, w.requestClock
 		if why := w.misfit(&j.spec); why != "" {
-			w.breaksLocked("accepted: %s, which %s", id, why)
+			w.violations.add("accepted: %s, which %s", id, why)
 		}
 	}
 	if r.status != http.StatusCreated {
@@ -185,7 +185,7 @@
 	j.answers.created++
 	again := j.answers.created > 1 || known && j.answers.accepted > 0
 	if again && !w.Store.corrupted.Load() {
-		w.breaksLocked("accepted twice: %s", id)
+		w.violations.add("accepted twice: %s", id)
 	}
 }
 
@@ -195,9 +195,9 @@
 	id, over := j.spec.ID, r.final()
 	switch {
 	case over && j.said != "" && r.state != j.said, !over && j.said != "" && j.answers.final <= r.sent:
-		w.breaksLocked("went_back: %s called %s after %s", id, r.state, j.said)
+		w.violations.add("went_back: %s called %s after %s", id, r.state, j.said)
 	case kind == cancellation && !over:
-		w.breaksLocked("cancelling %s is answered %q", id, r.state)
+		w.violations.add("cancelling %s is answered %q", id, r.state)
 	}
 	if over {
 		w.checkFinal(j, r)
@@ -209,11 +209,11 @@
 func (w *Cluster) checkFinal(j *job, r userReply) {
 	id := j.spec.ID
 	if r.state == wire.JobDone && len(j.done) < j.spec.Tasks {
-		w.breaksLocked("not_done: %s with %d of %d", id, len(j.done), j.spec.Tasks)
+		w.violations.add("not_done: %s with %d of %d", id, len(j.done), j.spec.Tasks)
 	}
 	if r.state == wire.JobCancelled {
 		if !j.asked {
-			w.breaksLocked("went_back: %s called cancelled unasked", id)
+			w.violations.add("went_back: %s called cancelled unasked", id)
 		}
 		if j.cancelled.IsZero() {
 			j.cancelled = time.Now()
--- a/internal/fake/user_requests_test.go
+++ b/internal/fake/user_requests_test.go
@@ -52,7 +52,7 @@
 			}
 			w.checkReply(s.kind, id, r)
 		}
-		if got := strings.Join(w.violations, "; "); (got == "") != (c.want == "") || !strings.HasPrefix(got, c.want) {
+		if got := strings.Join(w.Violations(), "; "); (got == "") != (c.want == "") || !strings.HasPrefix(got, c.want) {
 			t.Errorf("%s: %q, want %q", c.name, got, c.want)
 		}
 	}
