--- a/controller/yarn.go
+++ b/controller/yarn.go
@@ -20,7 +20,7 @@
 	n.jobs.TrackReservations()
 	n.yarnSettings = s
 	sl := n.cfg.Cluster.State
-	n.yarn = yarn.New(s, n.userKV, n.jobs, yarnCore{n}, n.log, sl.TxnOps, int(sl.ValueKB*1024)-512)
+	n.yarn = yarn.New(s, n.userKV, n.jobs, yarnController{n}, n.log, yarn.StoreLimits{TxnOps: sl.TxnOps, ValueBytes: int(sl.ValueKB*1024) - 512})
 }
 
 // serveYARN serves YARN's RPC protocols until ctx ends.
@@ -38,16 +38,16 @@
 	return n.serveHTTP(ctx, srv, "yarn: rest", n.yarnSettings.REST, n.yarnSettings.MaxConns)
 }
 
-// yarnCore is the node as package yarn sees it.
-type yarnCore struct{ node *Node }
+// yarnController is the node as package yarn sees it.
+type yarnController struct{ node *Node }
 
-func (c yarnCore) Judge(j *wire.Job) (int, error) { return c.node.checkFeasible(j) }
-func (c yarnCore) Types() []wire.MachineType      { return c.node.machineTypes() }
-func (c yarnCore) Leads() bool                    { return c.node.isLeader() }
+func (c yarnController) CheckFeasible(j *wire.Job) (int, error) { return c.node.checkFeasible(j) }
+func (c yarnController) MachineTypes() []wire.MachineType       { return c.node.machineTypes() }
+func (c yarnController) IsLeader() bool                         { return c.node.isLeader() }
 
 // Machines returns the machines as the leader sees them, from a peer unless this node
 // leads.
-func (c yarnCore) Machines(ctx context.Context) ([]yarn.Machine, error) {
+func (c yarnController) Machines(ctx context.Context) ([]yarn.Machine, error) {
 	if b := c.node.Machines(); b != nil {
 		return readMachines(b)
 	}
--- /dev/null
+++ b/yarn/allocation.go
@@ -0,0 +1,151 @@
+package yarn
+
+import (
+	"context"
+	"maps"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// allocateResponse returns what the master has not been told yet. That counts as told only
+// once the answer is complete: otherwise a master would never hear of containers whose answer
+// could not be made.
+func (f *Frontend) allocateResponse(ctx context.Context, snap *snapshot, s *session) (*pb.AllocateResponseProto, error) {
+	k, err := f.cachedKeyring(ctx)
+	if err != nil {
+		return nil, err
+	}
+	a := allocation{
+		frontend: f,
+		app:      snap.app,
+		keyring:  &k,
+		reported: s.reported.clone(),
+		nodes:    map[string]bool{},
+		out:      &pb.AllocateResponseProto{Limit: f.maximumCapability(), NumClusterNodes: proto.Int32(0)},
+	}
+	if err := a.addUnfinished(snap.jobs); err != nil {
+		return nil, err
+	}
+	if err := a.addFinished(ctx, snap.jobs); err != nil {
+		return nil, err
+	}
+	if err := a.addTokens(s.responseID); err != nil {
+		return nil, err
+	}
+	s.reported = a.reported
+	return a.out, nil
+}
+
+// allocation is the making of an answer to a heartbeat.
+type allocation struct {
+	frontend *Frontend
+	app      *application
+	keyring  *keyring
+	reported reportedContainers // as it is once the answer is complete
+	nodes    map[string]bool    // on which containers are allocated
+	out      *pb.AllocateResponseProto
+}
+
+// addUnfinished adds the containers of unfinished jobs that are allocated, about to be
+// preempted, or completed.
+func (a *allocation) addUnfinished(jobs []jobstore.ReservedJob) error {
+	var preempted []*pb.PreemptionContainerProto
+	for i := range jobs {
+		j := &jobs[i]
+		if j.ID == a.app.MasterJob {
+			continue
+		}
+		a.reported.openJobs[j.ID] = true
+		released := j.Record.Reservation.ReleaseRanges.BitSet(j.Record.Job.Tasks)
+		for _, task := range slices.Sorted(maps.Keys(j.Placements)) {
+			if released.Test(uint(task)) {
+				continue
+			}
+			if err := a.addAllocated(j, task); err != nil {
+				return err
+			}
+			if j.Stopping[task] {
+				preempted = append(preempted, &pb.PreemptionContainerProto{Id: a.app.containerID(jobSeq(j.ID), task)})
+			}
+		}
+		a.addCompleted(j)
+	}
+	if len(preempted) > 0 {
+		a.out.Preempt = &pb.PreemptionMessageProto{StrictContract: &pb.StrictPreemptionContractProto{Container: preempted}}
+	}
+	return nil
+}
+
+// addAllocated adds a placed task as a container unless the master knows of it.
+func (a *allocation) addAllocated(j *jobstore.ReservedJob, task int) error {
+	number := containerNumber(jobSeq(j.ID), task)
+	if a.reported.allocated[number] {
+		return nil
+	}
+	container, err := a.frontend.container(a.app, a.keyring, j, task)
+	if err != nil {
+		return err
+	}
+	a.reported.allocated[number] = true
+	a.out.AllocatedContainers = append(a.out.AllocatedContainers, container)
+	a.nodes[j.Placements[task].Machine] = true
+	return nil
+}
+
+// addCompleted adds the tasks of a job that have ended. What was given back before it was ever
+// allocated is no container.
+func (a *allocation) addCompleted(j *jobstore.ReservedJob) {
+	for _, task := range slices.Sorted(maps.Keys(j.Outcomes)) {
+		number, outcome := containerNumber(jobSeq(j.ID), task), j.Outcomes[task]
+		if a.reported.completed[number] || outcome == jobstore.OutcomeReleased && !a.reported.allocated[number] {
+			continue
+		}
+		a.reported.completed[number] = true
+		status := completedStatus(outcome)
+		status.ContainerId = a.app.containerID(jobSeq(j.ID), task)
+		a.out.CompletedContainerStatuses = append(a.out.CompletedContainerStatuses, status)
+	}
+}
+
+// addFinished adds the containers of jobs that were open and are not among the unfinished
+// ones any more.
+func (a *allocation) addFinished(ctx context.Context, unfinished []jobstore.ReservedJob) error {
+	isUnfinished := map[string]bool{}
+	for i := range unfinished {
+		isUnfinished[unfinished[i].ID] = true
+	}
+	for id := range a.reported.openJobs {
+		if isUnfinished[id] {
+			continue
+		}
+		j, found, err := a.frontend.jobs.FinishedReservation(ctx, id)
+		if err != nil {
+			return err
+		}
+		if found {
+			a.addCompleted(&j)
+		}
+		delete(a.reported.openJobs, id)
+	}
+	return nil
+}
+
+// masterTokenEvery is how many heartbeats there are to a new token for the master: so often
+// that it has the newest key's well before the key of its own is dropped.
+const masterTokenEvery = 64
+
+// addTokens adds the tokens for the nodes of new containers and, once in a while, the master's
+// own.
+func (a *allocation) addTokens(responseID int32) (err error) {
+	if a.out.NmTokens, err = a.frontend.nodeTokens(a.app, a.keyring, a.nodes); err != nil {
+		return err
+	}
+	if responseID%masterTokenEvery == 0 {
+		a.out.AmRmToken, err = a.keyring.issue(a.app.token(masterToken), a.frontend.settings.Advertise)
+	}
+	return err
+}
--- /dev/null
+++ b/yarn/application.go
@@ -0,0 +1,93 @@
+package yarn
+
+import (
+	"google.golang.org/protobuf/proto"
+
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// applicationState is an application's state, as its record has it.
+type applicationState string
+
+const (
+	stateAccepted applicationState = "accepted" // no master has registered yet
+	stateRunning  applicationState = "running"
+	stateFinished applicationState = "finished"
+	stateFailed   applicationState = "failed"
+	stateKilled   applicationState = "killed"
+)
+
+// published is the state that clients are told.
+func (s applicationState) published() pb.YarnApplicationStateProto {
+	switch s {
+	case stateAccepted:
+		return pb.YarnApplicationStateProto_ACCEPTED
+	case stateRunning:
+		return pb.YarnApplicationStateProto_RUNNING
+	case stateFinished:
+		return pb.YarnApplicationStateProto_FINISHED
+	case stateFailed:
+		return pb.YarnApplicationStateProto_FAILED
+	case stateKilled:
+		return pb.YarnApplicationStateProto_KILLED
+	}
+	return 0 // of a record that a later version has written
+}
+
+// application is an application's record. Once EndState is set its jobs are cancelled, and
+// then it moves to the final records.
+type application struct {
+	ID               int32            `msgpack:"n"`
+	ClusterTimestamp int64            `msgpack:"ts"`
+	Name             string           `msgpack:"name"`
+	User             string           `msgpack:"u"`
+	Queue            string           `msgpack:"q"` // its path
+	Type             string           `msgpack:"type"`
+	Tags             []string         `msgpack:"tags,omitempty"`
+	Priority         int32            `msgpack:"p"`
+	Unmanaged        bool             `msgpack:"um"` // its master runs elsewhere
+	State            applicationState `msgpack:"st"`
+	EndState         applicationState `msgpack:"end,omitempty"` // the state that it ends in
+	FinalStatus      int32            `msgpack:"fin"`
+	Diagnostics      string           `msgpack:"diag,omitempty"`
+	Attempt          int32            `msgpack:"a"`
+	MaxAttempts      int32            `msgpack:"max"`
+	Host             string           `msgpack:"h,omitempty"` // host, port and URL are its master's
+	RPCPort          int32            `msgpack:"port,omitempty"`
+	TrackingURL      string           `msgpack:"url,omitempty"`
+	StartedMs        int64            `msgpack:"ms"`
+	FinishedMs       int64            `msgpack:"fms,omitempty"`
+	NextJobSeq       int              `msgpack:"s"`
+	MasterJob        string           `msgpack:"am,omitempty"`    // of the current attempt, if it is managed
+	MasterContextKey string           `msgpack:"ctx,omitempty"`   // of the master's launch context
+	MasterRequest    containerRequest `msgpack:"amask,omitempty"` // what the master needs
+	Heartbeats       int              `msgpack:"b"`               // how many were recorded
+}
+
+func (a *application) name() string { return applicationName(a.ClusterTimestamp, a.ID) }
+func (a *application) key() string  { return applicationKey(a.name()) }
+
+func (a *application) protoID() *pb.ApplicationIdProto {
+	return &pb.ApplicationIdProto{Id: proto.Int32(a.ID), ClusterTimestamp: proto.Int64(a.ClusterTimestamp)}
+}
+
+func (a *application) attemptID() *pb.ApplicationAttemptIdProto {
+	return &pb.ApplicationAttemptIdProto{ApplicationId: a.protoID(), AttemptId: proto.Int32(a.Attempt)}
+}
+
+func (a *application) containerID(seq, task int) *pb.ContainerIdProto {
+	return &pb.ContainerIdProto{AppId: a.protoID(), AppAttemptId: a.attemptID(), Id: proto.Int64(containerNumber(seq, task))}
+}
+
+// token returns an unsigned token of the application's current attempt.
+func (a *application) token(kind tokenKind) token {
+	return token{kind: kind, clusterTimestamp: a.ClusterTimestamp, application: a.ID, attempt: a.Attempt}
+}
+
+// publishedState is the state that clients are told: an application that is ending is over.
+func (a *application) publishedState() pb.YarnApplicationStateProto {
+	if a.EndState != "" {
+		return a.EndState.published()
+	}
+	return a.State.published()
+}
--- /dev/null
+++ b/yarn/application_store.go
@@ -0,0 +1,230 @@
+package yarn
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/umberdeal/umberdeal/jobstore"
+	nwire "github.com/umberdeal/umberdeal/wire"
+	"github.com/umberdeal/umberdeal/yarn/wire"
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// Prefixes of keys. Unfinished applications have jobstore.AppPrefix.
+const (
+	finalPrefix   = "yf/" // records of applications that are over
+	contextPrefix = "yx/" // launch contexts
+)
+
+// snapshot is an application's record with its unfinished jobs, as of one moment.
+type snapshot struct {
+	app    *application
+	record jobstore.AppRecord
+	jobs   []jobstore.ReservedJob
+	final  bool // the record is among the final ones, and there are no jobs
+}
+
+// ended says whether the application is over, or has been marked as ending.
+func (s *snapshot) ended() bool { return s.final || s.app.EndState != "" }
+
+// readApplication reads an application and its jobs, as of a moment after the call.
+func (f *Frontend) readApplication(ctx context.Context, id *pb.ApplicationIdProto) (*snapshot, error) {
+	name := nameOf(id)
+	record, jobs, err := f.jobs.OwnedJobs(ctx, applicationKey(name))
+	if err != nil {
+		return nil, err
+	}
+	var app application
+	if record.Version != 0 {
+		if err := nwire.Unmarshal(record.Value, &app); err != nil {
+			return nil, err
+		}
+		return &snapshot{app: &app, record: record, jobs: jobs}, nil
+	}
+	// A record moves to the final ones in one transaction, and never back.
+	final, err := f.store.Get(ctx, finalPrefix+name)
+	if err != nil {
+		return nil, err
+	}
+	if final.Version == 0 {
+		return nil, wire.Errorf(wire.ClassNoApp, "Application with id '%s' doesn't exist", name)
+	}
+	if err := nwire.Unmarshal(final.Value, &app); err != nil {
+		return nil, err
+	}
+	return &snapshot{app: &app, record: record, final: true}, nil
+}
+
+// writeApplication replaces an application's record. It fails with a kvstore.ConflictError if
+// the record has changed since it was read.
+func (f *Frontend) writeApplication(ctx context.Context, s *snapshot) error {
+	version, err := f.store.CompareAndSwap(ctx,
+		[]nwire.Guard{{Key: s.record.Key, Version: s.record.Version}}, []nwire.Op{{Put: s.record.Key, Value: *s.app}})
+	if err == nil {
+		s.record.Version = version
+	}
+	return err
+}
+
+// endApplication marks an application as ending, and then ends it as far as can be done now;
+// the leader does the rest. It returns once the mark is committed.
+func (f *Frontend) endApplication(ctx context.Context, id *pb.ApplicationIdProto, state applicationState, change func(a *application)) error {
+	var s *snapshot
+	err := retry(ctx, func() error {
+		var err error
+		if s, err = f.readApplication(ctx, id); err != nil || s.ended() {
+			return err
+		}
+		s.app.EndState, s.app.FinishedMs = state, time.Now().UnixMilli()
+		change(s.app)
+		return f.writeApplication(ctx, s)
+	})
+	if err != nil {
+		return err
+	}
+	if err := f.finalize(ctx, id); err != nil {
+		f.log.Debug("yarn: application not finalized yet", "app", s.app.name(), "err", err)
+	}
+	return nil
+}
+
+// finalize cancels the jobs of an ending application and makes its record final. It may be
+// repeated, by any controller.
+func (f *Frontend) finalize(ctx context.Context, id *pb.ApplicationIdProto) error {
+	s, err := f.readApplication(ctx, id)
+	if err != nil || s.final || s.app.EndState == "" {
+		return err
+	}
+	if err := f.cancelJobs(ctx, s.jobs); err != nil {
+		return err
+	}
+	// No job is missed: one that was reserved at the same time was reserved under the
+	// record's version before the mark, so it was among those that were read.
+	app := s.app
+	app.State = app.EndState
+	_, err = f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: s.record.Key, Version: s.record.Version}},
+		[]nwire.Op{{Delete: s.record.Key}, {Put: finalPrefix + app.name(), Value: *app}})
+	if err != nil {
+		return err
+	}
+	f.mu.Lock()
+	delete(f.sessions, app.name())
+	f.mu.Unlock()
+	f.log.Info("yarn: application over", "app", app.name(), "state", app.State, "why", app.Diagnostics)
+	return f.deleteContexts(ctx, app)
+}
+
+func (f *Frontend) cancelJobs(ctx context.Context, jobs []jobstore.ReservedJob) error {
+	for _, j := range jobs {
+		if _, _, err := f.jobs.Cancel(ctx, j.ID); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// deleteContexts removes the launch contexts of an application that is over.
+func (f *Frontend) deleteContexts(ctx context.Context, a *application) error {
+	entries, _, err := f.store.List(ctx, contextPrefix+a.name()+"/")
+	if err != nil {
+		return err
+	}
+	for len(entries) > 0 {
+		n := min(len(entries), f.limits.TxnOps)
+		var ops []nwire.Op
+		for _, e := range entries[:n] {
+			ops = append(ops, nwire.Op{Delete: e.Key})
+		}
+		if _, err := f.store.CompareAndSwap(ctx, nil, ops); err != nil {
+			return err
+		}
+		entries = entries[n:]
+	}
+	return nil
+}
+
+// defaultJobClass is the class of jobs whose queue names none.
+const defaultJobClass = "yarn"
+
+// checkpointNever is more seconds than any container runs.
+const checkpointNever = 1e6
+
+// nativeJob returns the native job of a number of containers of one kind.
+func (f *Frontend) nativeJob(a *application, r *containerRequest, tasks int) (nwire.Job, error) {
+	queue, ok := f.settings.queue(a.Queue)
+	if !ok {
+		return nwire.Job{}, wire.Errorf(wire.ClassYarn, "there is no queue %q", a.Queue)
+	}
+	label, ok := f.settings.label(r.NodeLabel)
+	if !ok {
+		return nwire.Job{}, wire.Errorf(wire.ClassBadRequest, "Invalid resource request, node label %q is not known", r.NodeLabel)
+	}
+	j := nwire.Job{
+		ID:        jobID(a.ID, a.NextJobSeq),
+		Class:     queue.Class,
+		Team:      queue.Team,
+		Kind:      nwire.KindArray,
+		Priority:  f.settings.nativePriority(int(a.Priority)),
+		Tasks:     tasks,
+		CPUs:      float64(r.VCores),
+		GPUs:      float64(r.GPUs),
+		MemoryGB:  float64(r.MemoryMB) / 1024,
+		Image:     f.settings.Image,
+		ImageGB:   f.settings.ImageGB,
+		Types:     label.Types,
+		Zone:      label.Zone,
+		Spot:      label.Spot,
+		EstimateS: f.settings.EstimateS,
+	}
+	if j.Class == "" {
+		j.Class = defaultJobClass
+	}
+	if f.settings.PreemptGraceS > 0 {
+		// The time to save a checkpoint becomes the grace between the preemption message
+		// and the end; nothing is saved, since each container runs once.
+		j.CheckpointS, j.SaveS = checkpointNever, f.settings.PreemptGraceS
+	}
+	return j, nil
+}
+
+// feasibleJob returns the native job of a request, or why it can never run.
+func (f *Frontend) feasibleJob(a *application, r *containerRequest, tasks int) (nwire.Job, error) {
+	j, err := f.nativeJob(a, r, tasks)
+	if err != nil {
+		return nwire.Job{}, err
+	}
+	if status, err := f.controller.CheckFeasible(&j); err != nil {
+		return nwire.Job{}, refusal(status, err)
+	}
+	return j, nil
+}
+
+// refusal turns the refusal of a native job into the protocol's, with the same text.
+func refusal(status int, err error) error {
+	if status == http.StatusServiceUnavailable {
+		return wire.Errorf(wire.ClassRetriable, "%v", err)
+	}
+	return wire.Errorf(wire.ClassBadRequest, "%v", err)
+}
+
+// reserve commits one more job of an application, together with the application's record that
+// counts it. It returns the job's id.
+func (f *Frontend) reserve(ctx context.Context, s *snapshot, r *containerRequest, tasks int, reservation jobstore.Reservation) (string, error) {
+	j, err := f.feasibleJob(s.app, r, tasks)
+	if err != nil {
+		return "", err
+	}
+	reservation.Owner, reservation.OnlyMachines = s.app.key(), append(reservation.OnlyMachines, r.OnlyMachines...)
+	s.app.NextJobSeq++
+	version, known, err := f.jobs.Reserve(ctx, j, time.Now().UnixMilli(), reservation, s.record, *s.app)
+	if err != nil {
+		return "", err
+	}
+	if known {
+		return "", fmt.Errorf("yarn: job %s is known already", j.ID)
+	}
+	s.record.Version = version
+	return j.ID, nil
+}
--- /dev/null
+++ b/yarn/client_protocol.go
@@ -0,0 +1,169 @@
+package yarn
+
+import (
+	"context"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	nwire "github.com/umberdeal/umberdeal/wire"
+	"github.com/umberdeal/umberdeal/yarn/wire"
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// This file implements ApplicationClientProtocol as far as it changes applications.
+
+func (f *Frontend) getNewApplication(ctx context.Context, _ *wire.Caller, _ *pb.GetNewApplicationRequestProto) (*pb.GetNewApplicationResponseProto, error) {
+	clusterTimestamp, id, err := f.newApplicationID(ctx)
+	if err != nil {
+		return nil, err
+	}
+	return &pb.GetNewApplicationResponseProto{
+		ApplicationId:     &pb.ApplicationIdProto{Id: proto.Int32(id), ClusterTimestamp: proto.Int64(clusterTimestamp)},
+		MaximumCapability: f.maximumCapability(),
+	}, nil
+}
+
+// submitApplication accepts an application: once it is answered, the application is
+// committed. A repeated submission of the same id gets the same answer.
+func (f *Frontend) submitApplication(ctx context.Context, c *wire.Caller, in *pb.SubmitApplicationRequestProto) (*pb.SubmitApplicationResponseProto, error) {
+	submission := in.GetApplicationSubmissionContext()
+	id := submission.GetApplicationId()
+	known, err := f.isSubmitted(ctx, id)
+	if err != nil {
+		return nil, err
+	}
+	if known {
+		return &pb.SubmitApplicationResponseProto{}, nil
+	}
+	app, err := f.newApplication(ctx, c.User, submission)
+	if err != nil {
+		return nil, err
+	}
+	if err := f.commitSubmission(ctx, app, submission); err != nil {
+		return nil, err
+	}
+	if !app.Unmanaged {
+		if err := f.launchMaster(ctx, id); err != nil {
+			f.log.Debug("yarn: master not launched yet", "app", app.name(), "err", err)
+		}
+	}
+	return &pb.SubmitApplicationResponseProto{}, nil
+}
+
+// isSubmitted says whether an application is known already. An id that was not handed out is
+// refused.
+func (f *Frontend) isSubmitted(ctx context.Context, id *pb.ApplicationIdProto) (bool, error) {
+	k, _, err := f.readKeyring(ctx)
+	if err != nil {
+		return false, err
+	}
+	if id.GetClusterTimestamp() != k.ClusterTimestamp || id.GetId() < 1 || id.GetId() >= k.NextID {
+		return false, wire.Errorf(wire.ClassYarn, "application id %s was not given out here", nameOf(id))
+	}
+	_, err = f.readApplication(ctx, id)
+	if wire.IsClass(err, wire.ClassNoApp) {
+		return false, nil
+	}
+	return err == nil, err
+}
+
+// newApplication makes the record of a submitted application, or refuses the submission.
+func (f *Frontend) newApplication(ctx context.Context, user string, submission *pb.ApplicationSubmissionContextProto) (*application, error) {
+	id := submission.GetApplicationId()
+	queue, ok := f.settings.queue(submission.GetQueue())
+	if !ok {
+		return nil, wire.Errorf(wire.ClassYarn, "Failed to submit %s : there is no queue %q", nameOf(id), submission.GetQueue())
+	}
+	apps, err := f.jobs.ListApps(ctx)
+	if err != nil {
+		return nil, err
+	}
+	if len(apps) > f.settings.MaxApps { // one of the records is the keyring
+		return nil, wire.Errorf(wire.ClassYarn, "Failed to submit %s : %d applications are unfinished already", nameOf(id), f.settings.MaxApps)
+	}
+	app := &application{
+		ID:               id.GetId(),
+		ClusterTimestamp: id.GetClusterTimestamp(),
+		Name:             submission.GetApplicationName(),
+		User:             user,
+		Queue:            queue.Path,
+		Type:             submission.GetApplicationType(),
+		Tags:             submission.GetApplicationTags(),
+		Priority:         submission.GetPriority().GetPriority(),
+		Unmanaged:        submission.GetUnmanagedAm(),
+		State:            stateAccepted,
+		Attempt:          1,
+		MaxAttempts:      max(1, submission.GetMaxAppAttempts()),
+		StartedMs:        time.Now().UnixMilli(),
+	}
+	if app.Unmanaged {
+		return app, nil
+	}
+	app.MasterContextKey = contextPrefix + app.name() + "/master"
+	return app, f.setMasterRequest(app, submission)
+}
+
+// setMasterRequest sets what a managed application's master needs. A master that can never
+// run is refused in the words of a native job's refusal.
+func (f *Frontend) setMasterRequest(app *application, submission *pb.ApplicationSubmissionContextProto) error {
+	resource := submission.GetResource()
+	if requests := submission.GetAmContainerResourceRequest(); resource == nil && len(requests) > 0 {
+		resource = requests[0].GetCapability()
+	}
+	size, err := f.parseCapability(resource)
+	if err != nil {
+		return err
+	}
+	request := containerRequest{ResourceName: anyNode, NodeLabel: submission.GetNodeLabelExpression()}
+	request.setCapability(size)
+	if _, err := f.feasibleJob(app, &request, 1); err != nil {
+		return err
+	}
+	app.MasterRequest = request
+	return nil
+}
+
+// commitSubmission writes an application's record, and its master's launch context if it is
+// managed.
+func (f *Frontend) commitSubmission(ctx context.Context, app *application, submission *pb.ApplicationSubmissionContextProto) error {
+	guards := []nwire.Guard{{Key: app.key()}, {Key: finalPrefix + app.name()}}
+	ops := []nwire.Op{{Put: app.key(), Value: app}}
+	if !app.Unmanaged {
+		op, err := f.contextOp(app.MasterContextKey, submission.GetAmContainerSpec())
+		if err != nil {
+			return err
+		}
+		ops = append(ops, op)
+	}
+	return retry(ctx, func() error {
+		if _, err := f.store.CompareAndSwap(ctx, guards, ops); err != nil {
+			if _, readErr := f.readApplication(ctx, app.protoID()); readErr == nil {
+				return nil // another submission of the same id, or this one's answer was lost
+			}
+			return err
+		}
+		f.log.Info("yarn: application", "app", app.name(), "queue", app.Queue, "user", app.User, "unmanaged", app.Unmanaged)
+		return nil
+	})
+}
+
+func (f *Frontend) forceKillApplication(ctx context.Context, _ *wire.Caller, in *pb.KillApplicationRequestProto) (*pb.KillApplicationResponseProto, error) {
+	diagnostics := in.GetDiagnostics()
+	if diagnostics == "" {
+		diagnostics = "killed by its user"
+	}
+	err := f.endApplication(ctx, in.GetApplicationId(), stateKilled, func(a *application) {
+		a.Diagnostics, a.FinalStatus = diagnostics, int32(pb.FinalApplicationStatusProto_APP_KILLED)
+	})
+	if err != nil {
+		return nil, err
+	}
+	return &pb.KillApplicationResponseProto{IsKillCompleted: proto.Bool(true)}, nil
+}
+
+// moveApplicationAcrossQueues refuses: the jobs of an application belong to its team, and the
+// team's usage counts what it was accepted for.
+func (f *Frontend) moveApplicationAcrossQueues(context.Context, *wire.Caller, *pb.MoveApplicationAcrossQueuesRequestProto) (*pb.MoveApplicationAcrossQueuesResponseProto, error) {
+	return nil, wire.Errorf(wire.ClassUnsupported, "applications stay in their queue: what runs counts for its team")
+}
--- /dev/null
+++ b/yarn/container_protocol.go
@@ -0,0 +1,225 @@
+package yarn
+
+import (
+	"bytes"
+	"context"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/umberdeal/umberdeal/jobstore"
+	nwire "github.com/umberdeal/umberdeal/wire"
+	"github.com/umberdeal/umberdeal/yarn/wire"
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// This file implements ContainerManagementProtocol, for the containers of all machines.
+
+// containerStart is a container that is to be started.
+type containerStart struct {
+	id        *pb.ContainerIdProto
+	job       string
+	task      int
+	contextOp nwire.Op // keeps its launch context under its own key
+}
+
+// failure answers that a call failed for one container.
+func failure(id *pb.ContainerIdProto, err error) *pb.ContainerExceptionMapProto {
+	e := wire.AsError(err)
+	return &pb.ContainerExceptionMapProto{
+		ContainerId: id,
+		Exception:   &pb.SerializedExceptionProto{Message: &e.Text, ClassName: proto.String(string(e.Class))},
+	}
+}
+
+// startContainers lets containers be launched: their contexts are kept and their jobs are
+// marked, and the leader launches them with its next answer to the machine.
+func (f *Frontend) startContainers(ctx context.Context, c *wire.Caller, in *pb.StartContainersRequestProto) (*pb.StartContainersResponseProto, error) {
+	s, err := f.callerApplication(ctx, c, nodeToken)
+	if err != nil {
+		return nil, err
+	}
+	k, err := f.cachedKeyring(ctx)
+	if err != nil {
+		return nil, err
+	}
+	out := &pb.StartContainersResponseProto{}
+	byJob := map[string][]containerStart{}
+	var jobs []string
+	for _, request := range in.GetStartContainerRequest() {
+		start, err := f.checkStart(s.app, &k, request)
+		if err != nil {
+			out.FailedRequests = append(out.FailedRequests, failure(start.id, err))
+			continue
+		}
+		if byJob[start.job] == nil {
+			jobs = append(jobs, start.job)
+		}
+		byJob[start.job] = append(byJob[start.job], start)
+	}
+	for _, job := range jobs {
+		for _, starts := range f.splitByTransaction(byJob[job]) {
+			f.startTogether(ctx, s.app, job, starts, out)
+		}
+	}
+	return out, nil
+}
+
+// splitByTransaction splits the starts of one job so that each part fits one transaction,
+// which also changes the job. Starts with the same context need one change for all.
+func (f *Frontend) splitByTransaction(starts []containerStart) [][]containerStart {
+	var parts [][]containerStart
+	for len(starts) > 0 {
+		n := min(len(starts), f.limits.TxnOps-1)
+		if haveSameContext(starts) {
+			n = len(starts)
+		}
+		parts = append(parts, starts[:n])
+		starts = starts[n:]
+	}
+	return parts
+}
+
+// checkStart checks a container's token and reads what is to be started.
+func (f *Frontend) checkStart(a *application, k *keyring, request *pb.StartContainerRequestProto) (containerStart, error) {
+	t, err := parseToken(request.GetContainerToken().GetIdentifier())
+	if err != nil {
+		return containerStart{}, wire.Errorf(wire.ClassInvalidToken, "%v", err)
+	}
+	seq, task := splitContainerNumber(t.container)
+	start := containerStart{id: a.containerID(seq, task), job: jobID(a.ID, seq), task: task}
+	password, err := k.sign(t.key, t.String())
+	if err != nil || t.kind != containerToken || t.application != a.ID || t.clusterTimestamp != a.ClusterTimestamp || t.attempt != a.Attempt ||
+		!bytes.Equal(password, request.GetContainerToken().GetPassword()) {
+		return start, wire.Errorf(wire.ClassInvalidToken, "the container's token is not valid")
+	}
+	start.contextOp, err = f.contextOp(a.contextKey(start.job, task), request.GetContainerLaunchContext())
+	return start, err
+}
+
+// startTogether starts containers of one job in one transaction, and adds to the answer which
+// of them are started.
+func (f *Frontend) startTogether(ctx context.Context, a *application, job string, starts []containerStart, out *pb.StartContainersResponseProto) {
+	var started []containerStart
+	err := retry(ctx, func() (err error) {
+		started, err = f.markLaunched(ctx, a, job, starts)
+		return err
+	})
+	for _, start := range starts {
+		switch {
+		case err != nil:
+			out.FailedRequests = append(out.FailedRequests, failure(start.id, err))
+		case slices.ContainsFunc(started, func(s containerStart) bool { return s.task == start.task }):
+			out.SucceededRequests = append(out.SucceededRequests, start.id)
+		default:
+			gone := wire.Errorf(wire.ClassNoContainer, "%s has no place any more", ContainerName(start.id))
+			out.FailedRequests = append(out.FailedRequests, failure(start.id, gone))
+		}
+	}
+}
+
+// markLaunched commits that tasks of a job may be launched, with their contexts. It returns
+// the starts whose tasks still have a place.
+func (f *Frontend) markLaunched(ctx context.Context, a *application, job string, starts []containerStart) ([]containerStart, error) {
+	_, jobs, err := f.jobs.OwnedJobs(ctx, a.key())
+	if err != nil {
+		return nil, err
+	}
+	j := findJob(jobs, job)
+	if j == nil {
+		return nil, nil
+	}
+	tasks := j.Record.Job.Tasks
+	launched, released := j.Record.Reservation.LaunchRanges.BitSet(tasks), j.Record.Reservation.ReleaseRanges.BitSet(tasks)
+	var placed, fresh []containerStart
+	for _, start := range starts {
+		if _, ok := j.Placements[start.task]; !ok || released.Test(uint(start.task)) {
+			continue
+		}
+		placed = append(placed, start)
+		if !launched.Test(uint(start.task)) { // a repeated start changes nothing
+			launched.Set(uint(start.task))
+			fresh = append(fresh, start)
+		}
+	}
+	if len(fresh) == 0 {
+		return placed, nil
+	}
+	ops, refs := a.shareContexts(fresh, slices.Clone(j.Record.Reservation.SharedKeys), tasks)
+	return placed, f.jobs.UpdateReservation(ctx, j, func(r *jobstore.Reservation) {
+		r.LaunchRanges, r.SharedKeys = jobstore.RangesOf(launched), refs
+	}, ops...)
+}
+
+// findJob returns the job with an id, or nil.
+func findJob(jobs []jobstore.ReservedJob, id string) *jobstore.ReservedJob {
+	i := slices.IndexFunc(jobs, func(j jobstore.ReservedJob) bool { return j.ID == id })
+	if i < 0 {
+		return nil
+	}
+	return &jobs[i]
+}
+
+func (f *Frontend) stopContainers(ctx context.Context, c *wire.Caller, in *pb.StopContainersRequestProto) (*pb.StopContainersResponseProto, error) {
+	s, err := f.callerApplication(ctx, c, nodeToken)
+	if err != nil {
+		return nil, err
+	}
+	out := &pb.StopContainersResponseProto{}
+	for _, id := range in.GetContainerId() {
+		if err := f.releaseContainers(ctx, s, []*pb.ContainerIdProto{id}); err != nil {
+			out.FailedRequests = append(out.FailedRequests, failure(id, err))
+			continue
+		}
+		out.SucceededRequests = append(out.SucceededRequests, id)
+	}
+	return out, nil
+}
+
+func (f *Frontend) getContainerStatuses(ctx context.Context, c *wire.Caller, in *pb.GetContainerStatusesRequestProto) (*pb.GetContainerStatusesResponseProto, error) {
+	s, err := f.callerApplication(ctx, c, nodeToken)
+	if err != nil {
+		return nil, err
+	}
+	out := &pb.GetContainerStatusesResponseProto{}
+	for _, id := range in.GetContainerId() {
+		seq, task := splitContainerNumber(id.GetId())
+		status, err := f.containerStatus(ctx, s, jobID(s.app.ID, seq), task)
+		if err != nil {
+			out.FailedRequests = append(out.FailedRequests, failure(id, err))
+			continue
+		}
+		status.ContainerId = id
+		out.Status = append(out.Status, status)
+	}
+	return out, nil
+}
+
+// errNoSuchContainer is the answer to a question for a container that was never allocated.
+var errNoSuchContainer = wire.Errorf(wire.ClassNoContainer, "there is no such container")
+
+// containerStatus returns the status of a job's task, which may be over.
+func (f *Frontend) containerStatus(ctx context.Context, s *snapshot, job string, task int) (*pb.ContainerStatusProto, error) {
+	j := findJob(s.jobs, job)
+	if j == nil {
+		finished, found, err := f.jobs.FinishedReservation(ctx, job)
+		if err != nil {
+			return nil, err
+		}
+		if !found {
+			return nil, errNoSuchContainer
+		}
+		j = &finished
+	}
+	if outcome, ok := j.Outcomes[task]; ok {
+		return completedStatus(outcome), nil
+	}
+	if _, ok := j.Placements[task]; !ok {
+		return nil, errNoSuchContainer
+	}
+	state := pb.ContainerStateProto_C_NEW
+	if j.Record.Reservation.LaunchRanges.BitSet(j.Record.Job.Tasks).Test(uint(task)) {
+		state = pb.ContainerStateProto_C_RUNNING
+	}
+	return &pb.ContainerStatusProto{State: &state, Diagnostics: proto.String("")}, nil
+}
--- a/yarn/door_test.go
+++ b/yarn/door_test.go
@@ -112,11 +112,11 @@
 
 // run heartbeats for a while, starting what is allocated, and returns how
 // containers ended, by exit status, and how many were about to be preempted.
-func (y *yarnUser) run(m *client.ApplicationMaster, for_ time.Duration) (ends map[int32]int, warned int) {
+func (y *yarnUser) run(m *client.ApplicationMaster, duration time.Duration) (ends map[int32]int, warned int) {
 	y.t.Helper()
 	ends = map[int32]int{}
 	var todo []*pb.ContainerProto
-	for end := time.Now().Add(for_); time.Now().Before(end); time.Sleep(time.Second) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(time.Second) {
 		ctx, cancel := context.WithTimeout(y.ctx(), 90*time.Second)
 		update, err := m.Heartbeat(ctx)
 		todo = append(todo, update.Allocated...)
@@ -533,9 +533,9 @@
 	})
 }
 
-func mustLaunch(t *testing.T, w *fake.Cluster, task string) yarn.Context {
+func mustLaunch(t *testing.T, w *fake.Cluster, task string) yarn.LaunchContext {
 	t.Helper()
-	var c yarn.Context
+	var c yarn.LaunchContext
 	status, body := restCall(t, w, http.MethodGet, yarn.PathContext+task, "")
 	if status != http.StatusOK || json.Unmarshal(body, &c) != nil {
 		t.Fatalf("context of %s: %d %s", task, status, body)
--- a/yarn/encoding_test.go
+++ b/yarn/encoding_test.go
@@ -13,30 +13,30 @@
 func TestRecordsOfApplicationsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
-	a := golden.Hold[app](f, "application", stored)
-	golden.Hold[ask](f, "ask", stored)
+	a := golden.Hold[application](f, "application", stored)
+	golden.Hold[containerRequest](f, "ask", stored)
 	golden.Hold[keyring](f, "keys", stored)
-	golden.Hold[Context](f, "launch context", stored)
-	golden.Hold[Context](f, "launch context as JSON", golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal})
+	golden.Hold[LaunchContext](f, "launch context", stored)
+	golden.Hold[LaunchContext](f, "launch context as JSON", golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal})
 	f.Text("key of an application", a.key())
 	f.Text("key of the keys", keysKey)
-	f.Text("key of a launch context", a.contextKey(jobID(a.Num, 3), 4))
-	f.Text("prefix of final records", finalKey)
-	f.Text("prefix of launch contexts", ctxKey)
+	f.Text("key of a launch context", a.contextKey(jobID(a.ID, 3), 4))
+	f.Text("prefix of final records", finalPrefix)
+	f.Text("prefix of launch contexts", contextPrefix)
 	f.Text("id of a job", jobID(17, 23))
 	f.Number("its number", jobSeq(jobID(17, 23)))
-	f.Number("number of a container", int(containerNum(23, 41)))
-	f.Text("name of a container", ContainerName(a.container(23, 41)))
+	f.Number("number of a container", int(containerNumber(23, 41)))
+	f.Text("name of a container", ContainerName(a.containerID(23, 41)))
 	tok := golden.Filled[token]()
-	tok.kind, tok.stamp, tok.num, tok.attempt, tok.key, tok.c = tokContainer, 2, 3, 4, 5, 6
+	tok.kind, tok.clusterTimestamp, tok.application, tok.attempt, tok.key, tok.container = containerToken, 2, 3, 4, 5, 6
 	f.Text("token", tok.String())
 	if back, err := parseToken([]byte(tok.String())); err != nil || back != tok {
 		t.Errorf("the token is read as %+v, %v", back, err)
 	}
-	for name, state := range map[string]string{"accepted": stateAccepted, "running": stateRunning, "finished": stateFinished, "failed": stateFailed, "killed": stateKilled} {
-		f.Text("state "+name, state)
+	for name, state := range map[string]applicationState{"accepted": stateAccepted, "running": stateRunning, "finished": stateFinished, "failed": stateFailed, "killed": stateKilled} {
+		f.Text("state "+name, string(state))
 	}
-	for name, kind := range map[string]string{"master's": kindMaster, "node's": kindNode, "container's": kindContainer, "short master's": tokMaster, "short node's": tokNode} {
+	for name, kind := range map[string]string{"master's": publishedMasterToken, "node's": publishedNodeToken, "container's": publishedContainerToken, "short master's": string(masterToken), "short node's": string(nodeToken)} {
 		f.Text("kind of token, "+name, kind)
 	}
 }
--- /dev/null
+++ b/yarn/exit_status.go
@@ -0,0 +1,39 @@
+package yarn
+
+import (
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// Exit statuses of containers, as published (ContainerExitStatus).
+const (
+	ExitSuccess   = 0
+	ExitError     = 1
+	ExitAborted   = -100
+	ExitPreempted = -102
+	ExitByMaster  = -105
+	ExitAppOver   = -107
+)
+
+// exitStatus returns what a master is told of how a container ended.
+func exitStatus(outcome jobstore.TaskOutcome) (status int32, diagnostics string) {
+	switch outcome {
+	case jobstore.OutcomeDone:
+		return ExitSuccess, ""
+	case jobstore.OutcomeFailed:
+		return ExitError, "the container failed"
+	case jobstore.OutcomePreempted:
+		return ExitPreempted, "stopped for other work, a notice or a drain"
+	case jobstore.OutcomeReleased:
+		return ExitByMaster, "given back"
+	case jobstore.OutcomeRefused:
+		return ExitAborted, "its machine did not take it"
+	}
+	return ExitAborted, "its machine is lost"
+}
+
+// completedStatus returns the status of a container that has ended, without its id.
+func completedStatus(outcome jobstore.TaskOutcome) *pb.ContainerStatusProto {
+	status, diagnostics := exitStatus(outcome)
+	return &pb.ContainerStatusProto{State: pb.ContainerStateProto_C_COMPLETE.Enum(), ExitStatus: &status, Diagnostics: &diagnostics}
+}
--- /dev/null
+++ b/yarn/keyring.go
@@ -0,0 +1,85 @@
+package yarn
+
+import (
+	"crypto/hmac"
+	"crypto/rand"
+	"crypto/sha256"
+	"encoding/hex"
+	"errors"
+	"fmt"
+
+	"github.com/umberdeal/umberdeal/jobstore"
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// keysKey is the key of the keyring's record. It has the prefix of applications' records, so
+// that the store's readers follow it as well.
+const keysKey = jobstore.AppPrefix + "keys"
+
+// maxSigningKeys bounds the keyring: tokens that were signed with an older key are refused.
+const maxSigningKeys = 8
+
+// signingKeyBytes is the size of a signing key.
+const signingKeyBytes = 32
+
+// keyring is the record of the keys that sign tokens, and of the application ids that were
+// handed out.
+type keyring struct {
+	ClusterTimestamp int64        `msgpack:"ts"` // part of every application's id
+	NextID           int32        `msgpack:"next"`
+	Keys             []signingKey `msgpack:"keys"` // the newest is the last
+}
+
+// signingKey is one of the keys.
+type signingKey struct {
+	ID  int    `msgpack:"id"`
+	Hex string `msgpack:"k"`
+}
+
+func newSigningKey(id int) (signingKey, error) {
+	b := make([]byte, signingKeyBytes)
+	if _, err := rand.Read(b); err != nil {
+		return signingKey{}, fmt.Errorf("yarn: %w", err)
+	}
+	return signingKey{ID: id, Hex: hex.EncodeToString(b)}, nil
+}
+
+// newestID is the id of the key that signs new tokens; 0 without a key.
+func (k *keyring) newestID() int {
+	if len(k.Keys) == 0 {
+		return 0
+	}
+	return k.Keys[len(k.Keys)-1].ID
+}
+
+// errKeyDropped says that a token was signed with a key that is too old.
+var errKeyDropped = errors.New("signed with a key that is no longer kept")
+
+// sign returns the HMAC of a text under a key.
+func (k *keyring) sign(id int, text string) ([]byte, error) {
+	for _, key := range k.Keys {
+		if key.ID != id {
+			continue
+		}
+		raw, err := hex.DecodeString(key.Hex)
+		if err != nil {
+			return nil, fmt.Errorf("yarn: key %d: %w", id, err)
+		}
+		mac := hmac.New(sha256.New, raw)
+		mac.Write([]byte(text))
+		return mac.Sum(nil), nil
+	}
+	return nil, errKeyDropped
+}
+
+// issue signs a token with the newest key.
+func (k *keyring) issue(t token, service string) (*pb.TokenProto, error) {
+	t.key = k.newestID()
+	identifier := t.String()
+	password, err := k.sign(t.key, identifier)
+	if err != nil {
+		return nil, err
+	}
+	kind := t.kind.published()
+	return &pb.TokenProto{Identifier: []byte(identifier), Password: password, Kind: &kind, Service: &service}, nil
+}
--- /dev/null
+++ b/yarn/launch_context.go
@@ -0,0 +1,187 @@
+package yarn
+
+import (
+	"context"
+	"crypto/sha256"
+	"encoding/base64"
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/umberdeal/umberdeal/jobstore"
+	nwire "github.com/umberdeal/umberdeal/wire"
+	"github.com/umberdeal/umberdeal/yarn/wire"
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// LaunchContext is what a worker runs for a container.
+type LaunchContext struct {
+	Env    map[string]string `msgpack:"env" json:"env"`
+	Argv   []string          `msgpack:"cmd" json:"command"`
+	Tokens string            `msgpack:"tok,omitempty" json:"tokens,omitempty"` // base64
+}
+
+// Environment variables by which a managed master learns how to register.
+const (
+	envMasterAddress       = "UMBERDEAL_AM_ADDRESS"
+	envMasterTokenID       = "UMBERDEAL_AM_TOKEN_ID"
+	envMasterTokenPassword = "UMBERDEAL_AM_TOKEN_PASSWORD"
+)
+
+// contextOp returns the change that keeps a launch context.
+func (f *Frontend) contextOp(key string, in *pb.ContainerLaunchContextProto) (nwire.Op, error) {
+	c := LaunchContext{Env: map[string]string{}, Argv: in.GetCommand(), Tokens: base64.StdEncoding.EncodeToString(in.GetTokens())}
+	size := len(c.Tokens) + 256 // an upper bound of the encoded size
+	for _, variable := range in.GetEnvironment() {
+		c.Env[variable.GetKey()] = variable.GetValue()
+		size += 2*len(variable.GetKey()) + 2*len(variable.GetValue()) + 8
+	}
+	for _, arg := range c.Argv {
+		size += 2*len(arg) + 4
+	}
+	if size > f.limits.ValueBytes {
+		return nwire.Op{}, wire.Errorf(wire.ClassYarn, "the launch context takes %d bytes, and %d are kept", size, f.limits.ValueBytes)
+	}
+	return nwire.Op{Put: key, Value: c}, nil
+}
+
+// contextKey is the key of a container's own launch context.
+func (a *application) contextKey(job string, task int) string {
+	return fmt.Sprintf("%s%s/%d/%d", contextPrefix, a.name(), jobSeq(job), task)
+}
+
+// sharedContextKey is the key of a launch context that several containers have in common.
+func (a *application) sharedContextKey(fingerprint string) string {
+	return contextPrefix + a.name() + "/s/" + fingerprint
+}
+
+// maxSharedKeys bounds the shared contexts that a job's record refers to; further ones are
+// kept under the containers' own keys.
+const maxSharedKeys = 64
+
+// shareContexts keeps contexts that several containers of a job have in common under one key:
+// to start a whole job then takes two changes, and not one for each container. It returns the
+// changes, and the references to shared contexts with those that are new.
+func (a *application) shareContexts(starts []containerStart, refs []jobstore.SharedKey, tasks int) ([]nwire.Op, []jobstore.SharedKey) {
+	var ops []nwire.Op
+	for _, group := range groupByContext(starts) {
+		key := a.sharedContextKey(group[0].fingerprint())
+		at := slices.IndexFunc(refs, func(r jobstore.SharedKey) bool { return r.Key == key })
+		if at < 0 && (len(group) == 1 || len(refs) >= maxSharedKeys) {
+			for i := range group {
+				ops = append(ops, group[i].contextOp)
+			}
+			continue
+		}
+		if at < 0 {
+			refs = append(refs, jobstore.SharedKey{Key: key})
+			at = len(refs) - 1
+			ops = append(ops, nwire.Op{Put: key, Value: group[0].contextOp.Value})
+		}
+		set := refs[at].TaskRanges.BitSet(tasks)
+		for i := range group {
+			set.Set(uint(group[i].task))
+		}
+		refs[at].TaskRanges = jobstore.RangesOf(set)
+	}
+	return ops, refs
+}
+
+// groupByContext groups starts that have the same context, in the order of the first ones.
+func groupByContext(starts []containerStart) [][]containerStart {
+	var groups [][]containerStart
+	groupOf := map[string]int{}
+	for i := range starts {
+		fingerprint := starts[i].fingerprint()
+		at, ok := groupOf[fingerprint]
+		if !ok {
+			at = len(groups)
+			groupOf[fingerprint] = at
+			groups = append(groups, nil)
+		}
+		groups[at] = append(groups[at], starts[i])
+	}
+	return groups
+}
+
+// haveSameContext says whether all starts have the same context.
+func haveSameContext(starts []containerStart) bool {
+	first := starts[0].fingerprint()
+	return !slices.ContainsFunc(starts, func(s containerStart) bool { return s.fingerprint() != first })
+}
+
+// fingerprint tells contexts apart, whatever order their environments come in.
+func (s *containerStart) fingerprint() string {
+	b, err := json.Marshal(s.contextOp.Value) // sorts keys
+	if err != nil {
+		return fmt.Sprint(s.job, "/", s.task) // like no other
+	}
+	return fmt.Sprintf("%x", sha256.Sum256(b))
+}
+
+// LaunchContextOf returns what a worker runs for a task; for a managed master also its token.
+// An *wire.Error says that there is none.
+func (f *Frontend) LaunchContextOf(ctx context.Context, taskName string) (*LaunchContext, error) {
+	job, task, ok := nwire.SplitTask(taskName)
+	if !ok || nwire.ValidUserID(job) {
+		return nil, wire.Errorf(wire.ClassNoContainer, "%s is no container", taskName)
+	}
+	id, ok := jobApplication(job)
+	if !ok {
+		return nil, wire.Errorf(wire.ClassNoContainer, "%s is no container", taskName)
+	}
+	k, _, err := f.readKeyring(ctx)
+	if err != nil {
+		return nil, err
+	}
+	s, err := f.readApplication(ctx, &pb.ApplicationIdProto{Id: &id, ClusterTimestamp: proto.Int64(k.ClusterTimestamp)})
+	if err != nil {
+		return nil, err
+	}
+	if s.ended() {
+		return nil, wire.Errorf(wire.ClassNoContainer, "%s is over", s.app.name())
+	}
+	e, err := f.store.Get(ctx, s.contextKeyOf(job, task))
+	if err != nil {
+		return nil, err
+	}
+	if e.Version == 0 {
+		return nil, wire.Errorf(wire.ClassNoContainer, "%s has not been started", taskName)
+	}
+	var c LaunchContext
+	if err := nwire.Unmarshal(e.Value, &c); err != nil {
+		return nil, err
+	}
+	if job == s.app.MasterJob {
+		return &c, f.addMasterToken(&c, s.app, &k)
+	}
+	return &c, nil
+}
+
+// contextKeyOf returns the key of the context by which a task was started.
+func (s *snapshot) contextKeyOf(job string, task int) string {
+	key := s.app.contextKey(job, task)
+	if job == s.app.MasterJob {
+		key = s.app.MasterContextKey
+	}
+	for i := range s.jobs {
+		if shared, ok := s.jobs[i].Record.Reservation.SharedKeyOf(task); ok && s.jobs[i].ID == job {
+			key = shared
+		}
+	}
+	return key
+}
+
+// addMasterToken adds to a master's environment how it registers.
+func (f *Frontend) addMasterToken(c *LaunchContext, a *application, k *keyring) error {
+	t, err := k.issue(a.token(masterToken), f.settings.Advertise)
+	if err != nil {
+		return err
+	}
+	c.Env[envMasterAddress] = f.settings.Advertise
+	c.Env[envMasterTokenID] = string(t.Identifier)
+	c.Env[envMasterTokenPassword] = base64.StdEncoding.EncodeToString(t.Password)
+	return nil
+}
--- a/yarn/leader.go
+++ b/yarn/leader.go
@@ -2,274 +2,182 @@
 
 import (
 	"context"
-	"encoding/base64"
 	"fmt"
 	"time"
 
-	"google.golang.org/protobuf/proto"
-
 	"github.com/umberdeal/umberdeal/internal/call"
 	"github.com/umberdeal/umberdeal/jobstore"
 	nwire "github.com/umberdeal/umberdeal/wire"
-	"github.com/umberdeal/umberdeal/yarn/wire"
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file is what the leading node does for all applications. Everything is a
-// guarded change of records, so that a leader which is one no more, or two that
-// both believe it for a moment, do no harm.
+// This file is what the leader does for all applications. Every change is a compare-and-swap
+// on records, so that a former leader, or two controllers that believe to be the leader for a
+// moment, do no harm.
+
+// observation is what a leader has seen of an application. It is timed by the leader's
+// monotonic clock, since the time of day may step.
+type observation struct {
+	version   uint64
+	since     time.Time            // when the version was first seen
+	idleSince map[string]time.Time // containers that wait to be started, by task name
+}
 
-// watch is what a leader has seen of an application; it counts by its own steady
-// clock, since the time of day may step.
-type watch struct {
-	version uint64
-	since   time.Time
-	idle    map[string]time.Time // containers that wait to be started, by task name
+// maintenance is the state of the leader's loop in one leadership. A next leader begins anew,
+// so that every master and container has its full time again.
+type maintenance struct {
+	frontend  *Frontend
+	observed  map[string]*observation // by the application's key
+	keyRolled time.Time
 }
 
-// Run does the leader's duties until ctx ends.
+const (
+	maxMaintenanceInterval = 5 * time.Second
+	minMaintenanceInterval = 200 * time.Millisecond
+	// maintenancePerTimeout is how often applications are looked at within a timeout.
+	maintenancePerTimeout = 6
+)
+
+// Run maintains all applications while this controller is the leader, until ctx ends.
 func (f *Frontend) Run(ctx context.Context) {
-	every := min(5*time.Second, seconds(f.s.MasterS/6), seconds(f.s.StartS/6))
-	var seen map[string]*watch
-	var rolled time.Time
-	for call.Pause(ctx, max(every, 200*time.Millisecond)) {
-		if !f.core.Leads() {
-			seen = nil // a next leadership gives everybody their full time again
+	interval := min(maxMaintenanceInterval,
+		seconds(f.settings.MasterTimeoutS/maintenancePerTimeout), seconds(f.settings.StartTimeoutS/maintenancePerTimeout))
+	var m *maintenance
+	for call.Pause(ctx, max(interval, minMaintenanceInterval)) {
+		if !f.controller.IsLeader() {
+			m = nil
 			continue
 		}
-		if seen == nil {
-			seen, rolled = map[string]*watch{}, time.Now()
-		}
-		if time.Since(rolled) > seconds(f.s.KeyRollS) {
-			if err := f.roll(ctx); err != nil {
-				f.log.Info("yarn: key not rolled, retrying", "err", err)
-			} else {
-				rolled = time.Now()
-			}
+		if m == nil {
+			m = &maintenance{frontend: f, observed: map[string]*observation{}, keyRolled: time.Now()}
 		}
-		entries, err := f.led.ListApps(ctx)
-		if err != nil {
+		m.rollKeyIfDue(ctx)
+		if err := m.maintainAll(ctx); err != nil {
 			f.log.Debug("yarn: applications not read", "err", err)
-			continue
-		}
-		here := map[string]bool{}
-		for _, e := range entries {
-			var a app
-			if e.Key == keysKey {
-				continue
-			}
-			if err := nwire.Unmarshal(e.Value, &a); err != nil {
-				f.log.Error("yarn: unreadable record", "key", e.Key, "err", err)
-				continue
-			}
-			here[e.Key] = true
-			w := seen[e.Key]
-			if w == nil || w.version != e.Version {
-				w = &watch{version: e.Version, since: time.Now(), idle: idleOf(w)}
-				seen[e.Key] = w
-			}
-			if err := f.look(ctx, &a, w); err != nil {
-				f.log.Debug("yarn: duty", "app", a.name(), "err", err)
-			}
-		}
-		for key := range seen {
-			if !here[key] {
-				delete(seen, key)
-			}
 		}
 	}
 }
 
-func idleOf(w *watch) map[string]time.Time {
-	if w == nil {
-		return map[string]time.Time{}
+func (m *maintenance) rollKeyIfDue(ctx context.Context) {
+	if time.Since(m.keyRolled) <= seconds(m.frontend.settings.KeyRollIntervalS) {
+		return
+	}
+	if err := m.frontend.rollKey(ctx); err != nil {
+		m.frontend.log.Info("yarn: key not rolled, retrying", "err", err)
+		return
 	}
-	return w.idle
+	m.keyRolled = time.Now()
 }
 
-// look does what is due for one application.
-func (f *Frontend) look(ctx context.Context, a *app, w *watch) error {
-	if a.Ending != "" {
-		return f.settle(ctx, a.id())
-	}
-	if time.Since(w.since) > seconds(f.s.MasterS) {
-		return f.end(ctx, a.id(), stateFailed, func(a *app) {
-			a.Diag, a.Final = fmt.Sprintf("its master was not heard of for %g s", f.s.MasterS), int32(pb.FinalApplicationStatusProto_APP_FAILED)
-		})
-	}
-	_, jobs, err := f.led.OwnedJobs(ctx, a.key())
+// maintainAll does what is due for each unfinished application.
+func (m *maintenance) maintainAll(ctx context.Context) error {
+	entries, err := m.frontend.jobs.ListApps(ctx)
 	if err != nil {
 		return err
 	}
-	if !a.Unmanaged {
-		if err := f.keepMaster(ctx, a, jobs); err != nil {
-			return err
+	unfinished := map[string]bool{}
+	for _, e := range entries {
+		if e.Key == keysKey {
+			continue
 		}
-	}
-	return f.reclaim(ctx, a, jobs, w)
-}
-
-// reclaim takes back containers that nobody starts: they hold room.
-func (f *Frontend) reclaim(ctx context.Context, a *app, jobs []jobstore.ReservedJob, w *watch) error {
-	now := time.Now()
-	idle := map[string]time.Time{}
-	for i := range jobs {
-		j := &jobs[i]
-		goes := j.Record.Reservation.LaunchRanges.BitSet(j.Record.Job.Tasks)
-		var late []int
-		for t := range j.Placements {
-			if goes.Test(uint(t)) {
-				continue
-			}
-			name := nwire.TaskName(j.ID, t)
-			at, ok := w.idle[name]
-			if !ok {
-				at = now
-			}
-			idle[name] = at
-			if now.Sub(at) > seconds(f.s.StartS) {
-				late = append(late, t)
-			}
+		var app application
+		if err := nwire.Unmarshal(e.Value, &app); err != nil {
+			m.frontend.log.Error("yarn: unreadable record", "key", e.Key, "err", err)
+			continue
 		}
-		if len(late) > 0 {
-			f.log.Info("yarn: containers were not started in time", "app", a.name(), "job", j.ID, "count", len(late))
-			if err := f.drop(ctx, a, &view{jobs: jobs}, j.ID, late); err != nil {
-				return err
-			}
+		unfinished[e.Key] = true
+		if err := m.frontend.maintain(ctx, &app, m.observe(e)); err != nil {
+			m.frontend.log.Debug("yarn: application maintenance failed, retrying", "app", app.name(), "err", err)
+		}
+	}
+	for key := range m.observed {
+		if !unfinished[key] {
+			delete(m.observed, key)
 		}
 	}
-	w.idle = idle
 	return nil
 }
 
-// keepMaster launches a managed application's master, and a next attempt where
-// one has ended by itself.
-func (f *Frontend) keepMaster(ctx context.Context, a *app, jobs []jobstore.ReservedJob) error {
-	if a.MasterJob == "" {
-		return f.launchMaster(ctx, a.id())
-	}
-	for i := range jobs {
-		if jobs[i].ID == a.MasterJob {
-			return nil
-		}
-	}
-	over, found, err := f.led.FinishedReservation(ctx, a.MasterJob)
-	if err != nil || !found {
-		return err
-	}
-	status, why := exitStatus(over.Outcomes[0])
-	why = fmt.Sprintf("attempt %d: its master ended with status %d %s", a.Attempt, status, why)
-	if a.Attempt >= a.Attempts && over.Outcomes[0] != jobstore.OutcomePreempted && over.Outcomes[0] != jobstore.OutcomeLost {
-		return f.end(ctx, a.id(), stateFailed, func(a *app) {
-			a.Diag, a.Final = why, int32(pb.FinalApplicationStatusProto_APP_FAILED)
-		})
-	}
-	return f.nextAttempt(ctx, a, why)
+// observe returns the observation of an application, which starts again with each version of
+// its record.
+func (m *maintenance) observe(e jobstore.AppRecord) *observation {
+	o := m.observed[e.Key]
+	if o != nil && o.version == e.Version {
+		return o
+	}
+	idleSince := map[string]time.Time{}
+	if o != nil {
+		idleSince = o.idleSince
+	}
+	o = &observation{version: e.Version, since: time.Now(), idleSince: idleSince}
+	m.observed[e.Key] = o
+	return o
 }
 
-// nextAttempt ends what an attempt has left, and begins another: tokens of the
-// one before are refused from then on.
-func (f *Frontend) nextAttempt(ctx context.Context, old *app, why string) error {
-	a, e, jobs, over, err := f.read(ctx, old.id())
-	if err != nil || over || a.Ending != "" || a.Attempt != old.Attempt {
-		return err
+// maintain does what is due for one application.
+func (f *Frontend) maintain(ctx context.Context, a *application, o *observation) error {
+	if a.EndState != "" {
+		return f.finalize(ctx, a.protoID())
 	}
-	a.Attempt, a.MasterJob, a.State, a.Diag = a.Attempt+1, "", stateAccepted, why
-	if err := f.write(ctx, a, &e); err != nil {
+	if time.Since(o.since) > seconds(f.settings.MasterTimeoutS) {
+		return f.endFailed(ctx, a, fmt.Sprintf("its master was not heard of for %g s", f.settings.MasterTimeoutS))
+	}
+	_, jobs, err := f.jobs.OwnedJobs(ctx, a.key())
+	if err != nil {
 		return err
 	}
-	for _, j := range jobs {
-		if _, _, err := f.led.Cancel(ctx, j.ID); err != nil {
+	if !a.Unmanaged {
+		if err := f.keepMasterRunning(ctx, a, jobs); err != nil {
 			return err
 		}
 	}
-	return f.launchMaster(ctx, a.id())
+	return f.releaseIdle(ctx, a, jobs, o)
 }
 
-// launchMaster reserves a managed application's master and lets it go at once.
-func (f *Frontend) launchMaster(ctx context.Context, id *pb.ApplicationIdProto) error {
-	return retry(ctx, func() error {
-		a, e, _, over, err := f.read(ctx, id)
-		if err != nil || over || a.Ending != "" || a.MasterJob != "" {
-			return err
-		}
-		a.MasterJob = jobID(a.Num, a.Seq)
-		k := a.Master
-		k.Name = "master"
-		_, err = f.reserve(ctx, a, &e, k, 1, jobstore.Reservation{Tag: k.tag(), LaunchRanges: []int{0, 0}})
-		return err
+// endFailed ends an application as failed.
+func (f *Frontend) endFailed(ctx context.Context, a *application, diagnostics string) error {
+	return f.endApplication(ctx, a.protoID(), stateFailed, func(a *application) {
+		a.Diagnostics, a.FinalStatus = diagnostics, int32(pb.FinalApplicationStatusProto_APP_FAILED)
 	})
 }
 
-// roll adds a key. Those that sign nothing new any more stay for a while, and a
-// master that heartbeats meanwhile is given a token of the new one.
-func (f *Frontend) roll(ctx context.Context) error {
-	return retry(ctx, func() error {
-		k, version, err := f.keys(ctx)
-		if err != nil {
-			return err
+// releaseIdle gives back containers that were not started in time: they occupy machines.
+func (f *Frontend) releaseIdle(ctx context.Context, a *application, jobs []jobstore.ReservedJob, o *observation) error {
+	now := time.Now()
+	idleSince := map[string]time.Time{}
+	for i := range jobs {
+		j := &jobs[i]
+		late := f.lateTasks(j, o, idleSince, now)
+		if len(late) == 0 {
+			continue
 		}
-		s, err := newSecret(k.newest() + 1)
-		if err != nil {
+		f.log.Info("yarn: containers were not started in time", "app", a.name(), "job", j.ID, "count", len(late))
+		if err := f.releaseTasks(ctx, &snapshot{app: a, jobs: jobs}, j.ID, late); err != nil {
 			return err
 		}
-		k.Keys = append(k.Keys, s)
-		k.Keys = k.Keys[max(0, len(k.Keys)-keysKept):]
-		_, err = f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
-		return err
-	})
+	}
+	o.idleSince = idleSince
+	return nil
 }
 
-// Launch is what a worker runs for a task: its context, and a master's token. An
-// error says that there is none.
-func (f *Frontend) Launch(ctx context.Context, task string) (*Context, error) {
-	id, n, ok := nwire.SplitTask(task)
-	if !ok || nwire.ValidUserID(id) || len(id) < 13 {
-		return nil, wire.Errorf(wire.ClassNoContainer, "%s is no container", task)
-	}
-	var num int32
-	if _, err := fmt.Sscanf(id[len("wk-8"):len(id)-9], "%d", &num); err != nil {
-		return nil, wire.Errorf(wire.ClassNoContainer, "%s is no container", task)
-	}
-	k, _, err := f.keys(ctx)
-	if err != nil {
-		return nil, err
-	}
-	a, _, jobs, over, err := f.read(ctx, &pb.ApplicationIdProto{Id: &num, ClusterTimestamp: proto.Int64(k.Stamp)})
-	if err != nil {
-		return nil, err
-	}
-	if over || a.Ending != "" {
-		return nil, wire.Errorf(wire.ClassNoContainer, "%s is over", a.name())
-	}
-	key := a.contextKey(id, n)
-	if id == a.MasterJob {
-		key = a.Context
-	}
-	for i := range jobs {
-		if shared, ok := jobs[i].Record.Reservation.SharedKeyOf(n); ok && jobs[i].ID == id {
-			key = shared
+// lateTasks returns the tasks of a job that were not started in time. It adds to idleSince
+// those that wait to be started.
+func (f *Frontend) lateTasks(j *jobstore.ReservedJob, o *observation, idleSince map[string]time.Time, now time.Time) []int {
+	launched := j.Record.Reservation.LaunchRanges.BitSet(j.Record.Job.Tasks)
+	var late []int
+	for task := range j.Placements {
+		if launched.Test(uint(task)) {
+			continue
 		}
-	}
-	e, err := f.store.Get(ctx, key)
-	if err != nil {
-		return nil, err
-	}
-	if e.Version == 0 {
-		return nil, wire.Errorf(wire.ClassNoContainer, "%s has not been started", task)
-	}
-	var c Context
-	if err := nwire.Unmarshal(e.Value, &c); err != nil {
-		return nil, err
-	}
-	if id == a.MasterJob {
-		t, err := k.issue(token{kind: tokMaster, stamp: a.Stamp, num: a.Num, attempt: a.Attempt}, kindMaster, f.s.Advertise)
-		if err != nil {
-			return nil, err
+		name := nwire.TaskName(j.ID, task)
+		since, ok := o.idleSince[name]
+		if !ok {
+			since = now
+		}
+		idleSince[name] = since
+		if now.Sub(since) > seconds(f.settings.StartTimeoutS) {
+			late = append(late, task)
 		}
-		c.Env["UMBERDEAL_AM_ADDRESS"] = f.s.Advertise
-		c.Env["UMBERDEAL_AM_TOKEN_ID"] = string(t.Identifier)
-		c.Env["UMBERDEAL_AM_TOKEN_PASSWORD"] = base64.StdEncoding.EncodeToString(t.Password)
 	}
-	return &c, nil
+	return late
 }
--- /dev/null
+++ b/yarn/reports.go
@@ -0,0 +1,160 @@
+package yarn
+
+import (
+	"context"
+	"slices"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/umberdeal/umberdeal/jobstore"
+	nwire "github.com/umberdeal/umberdeal/wire"
+	"github.com/umberdeal/umberdeal/yarn/wire"
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+// This file implements what ApplicationClientProtocol tells of applications.
+
+// getApplicationReport returns an application's report. As published, the master of an
+// unmanaged application takes its token from there.
+func (f *Frontend) getApplicationReport(ctx context.Context, _ *wire.Caller, in *pb.GetApplicationReportRequestProto) (*pb.GetApplicationReportResponseProto, error) {
+	s, err := f.readApplication(ctx, in.GetApplicationId())
+	if err != nil {
+		return nil, err
+	}
+	report := f.report(s.app, s.jobs)
+	if s.app.Unmanaged && !s.ended() {
+		k, err := f.cachedKeyring(ctx)
+		if err != nil {
+			return nil, err
+		}
+		if report.AmRmToken, err = k.issue(s.app.token(masterToken), f.settings.Advertise); err != nil {
+			return nil, err
+		}
+	}
+	return &pb.GetApplicationReportResponseProto{ApplicationReport: report}, nil
+}
+
+func (f *Frontend) report(a *application, jobs []jobstore.ReservedJob) *pb.ApplicationReportProto {
+	return &pb.ApplicationReportProto{
+		ApplicationId:               a.protoID(),
+		User:                        &a.User,
+		Queue:                       proto.String(leafName(a.Queue)),
+		Name:                        &a.Name,
+		Host:                        &a.Host,
+		RpcPort:                     &a.RPCPort,
+		YarnApplicationState:        a.publishedState().Enum(),
+		TrackingUrl:                 &a.TrackingURL,
+		OriginalTrackingUrl:         &a.TrackingURL,
+		Diagnostics:                 &a.Diagnostics,
+		StartTime:                   &a.StartedMs,
+		FinishTime:                  &a.FinishedMs,
+		FinalApplicationStatus:      pb.FinalApplicationStatusProto(a.FinalStatus).Enum(),
+		CurrentApplicationAttemptId: a.attemptID(),
+		ApplicationType:             &a.Type,
+		ApplicationTags:             a.Tags,
+		UnmanagedApplication:        &a.Unmanaged,
+		Priority:                    &pb.PriorityProto{Priority: &a.Priority},
+		AppResource_Usage:           f.usageReport(jobs),
+	}
+}
+
+// usageReport adds up what the placed containers of jobs take.
+func (f *Frontend) usageReport(jobs []jobstore.ReservedJob) *pb.ApplicationResourceUsageReportProto {
+	var memoryGB, cpus, gpus float64
+	containers := 0
+	for i := range jobs {
+		job, placed := &jobs[i].Record.Job, len(jobs[i].Placements)
+		memoryGB += float64(placed) * job.MemoryGB
+		cpus += float64(placed) * job.CPUs
+		gpus += float64(placed) * job.GPUs
+		containers += placed
+	}
+	return &pb.ApplicationResourceUsageReportProto{
+		NumUsedContainers:     proto.Int32(int32(containers)),
+		NumReservedContainers: proto.Int32(0),
+		UsedResources:         f.resourceProto(capabilityOf(cpus, gpus, memoryGB)),
+	}
+}
+
+// applicationFilter narrows a list of applications. Empty fields match all.
+type applicationFilter struct {
+	types, users, queues, tags []string
+	states                     []pb.YarnApplicationStateProto
+	name                       string
+	limit                      int // 0 means maxListed
+}
+
+// maxListed bounds the applications in one list.
+const maxListed = 1000
+
+// unfinishedStates are the states of applications that are not over.
+var unfinishedStates = []pb.YarnApplicationStateProto{pb.YarnApplicationStateProto_ACCEPTED, pb.YarnApplicationStateProto_RUNNING}
+
+func (filter *applicationFilter) matches(a *application) bool {
+	return matchesAny(filter.types, a.Type) && matchesAny(filter.users, a.User) &&
+		(matchesAny(filter.queues, a.Queue) || matchesAny(filter.queues, leafName(a.Queue))) &&
+		matchesAny(filter.states, a.publishedState()) && (filter.name == "" || filter.name == a.Name) &&
+		(len(filter.tags) == 0 || slices.ContainsFunc(a.Tags, func(tag string) bool { return slices.Contains(filter.tags, tag) }))
+}
+
+func matchesAny[T comparable](allowed []T, value T) bool {
+	return len(allowed) == 0 || slices.Contains(allowed, value)
+}
+
+// matchesFinal says whether any application that is over can match.
+func (filter *applicationFilter) matchesFinal() bool {
+	return len(filter.states) == 0 || slices.ContainsFunc(filter.states, func(state pb.YarnApplicationStateProto) bool {
+		return state >= pb.YarnApplicationStateProto_FINISHED
+	})
+}
+
+// listApplications returns the reports of the applications that match, the unfinished ones
+// first.
+func (f *Frontend) listApplications(ctx context.Context, filter applicationFilter) ([]*pb.ApplicationReportProto, error) {
+	if filter.limit <= 0 || filter.limit > maxListed {
+		filter.limit = maxListed
+	}
+	entries, err := f.jobs.ListApps(ctx)
+	if err != nil {
+		return nil, err
+	}
+	var out []*pb.ApplicationReportProto
+	for _, e := range entries {
+		var a application
+		if e.Key == keysKey || nwire.Unmarshal(e.Value, &a) != nil || !filter.matches(&a) || len(out) >= filter.limit {
+			continue
+		}
+		_, jobs, err := f.jobs.OwnedJobs(ctx, e.Key)
+		if err != nil {
+			return nil, err
+		}
+		out = append(out, f.report(&a, jobs))
+	}
+	if len(out) >= filter.limit || !filter.matchesFinal() {
+		return out, nil
+	}
+	final, _, err := f.store.List(ctx, finalPrefix)
+	if err != nil {
+		return nil, err
+	}
+	for i := len(final) - 1; i >= 0 && len(out) < filter.limit; i-- { // the newest first
+		var a application
+		if nwire.Unmarshal(final[i].Value, &a) == nil && filter.matches(&a) {
+			out = append(out, f.report(&a, nil))
+		}
+	}
+	return out, nil
+}
+
+func (f *Frontend) getApplications(ctx context.Context, _ *wire.Caller, in *pb.GetApplicationsRequestProto) (*pb.GetApplicationsResponseProto, error) {
+	out, err := f.listApplications(ctx, applicationFilter{
+		types:  in.GetApplicationTypes(),
+		users:  in.GetUsers(),
+		queues: in.GetQueues(),
+		tags:   in.GetApplicationTags(),
+		states: in.GetApplicationStates(),
+		name:   in.GetName(),
+		limit:  int(min(in.GetLimit(), maxListed)),
+	})
+	return &pb.GetApplicationsResponseProto{Applications: out}, err
+}
--- a/yarn/settings_test.go
+++ b/yarn/settings_test.go
@@ -64,7 +64,7 @@
 		}
 	}
 	for prio, want := range map[int]string{-1: wire.PriorityNormal, 0: wire.PriorityLow, 9: wire.PriorityLow, 10: wire.PriorityHigh, 99: wire.PriorityHigh} {
-		if got := s.rank(prio); got != want {
+		if got := s.nativePriority(prio); got != want {
 			t.Errorf("priority %d is %s", prio, got)
 		}
 	}
@@ -78,14 +78,14 @@
 // What is written into records and tokens is read back as it was, and nothing
 // else is taken for it.
 func TestWhatIsWrittenIsReadBack(t *testing.T) {
-	k := ask{Priority: -3, ReqID: -1, Name: "/a", Relax: true, Label: "cheap", MemoryMB: 4096, VCores: 2, GPUs: 1, GPUName: "yarn.io/gpu"}
-	if got := parseTag(k.tag()); got.tag() != k.tag() || got.MemoryMB != 4096 || got.GPUs != 1 || !got.Relax {
+	k := containerRequest{Priority: -3, AllocationRequestID: -1, ResourceName: "/a", RelaxLocality: true, NodeLabel: "cheap", MemoryMB: 4096, VCores: 2, GPUs: 1, GPUName: "yarn.io/gpu"}
+	if got := parseTag(k.tag()); got.tag() != k.tag() || got.MemoryMB != 4096 || got.GPUs != 1 || !got.RelaxLocality {
 		t.Errorf("%+v", got)
 	}
 	for seq := range 3 {
-		for _, task := range []int{0, 1, jobTasks - 1} {
+		for _, task := range []int{0, 1, maxJobContainers - 1} {
 			id := jobID(7, seq)
-			if s, n := splitContainer(containerNum(seq, task)); s != seq || n != task || jobSeq(id) != seq {
+			if s, n := splitContainerNumber(containerNumber(seq, task)); s != seq || n != task || jobSeq(id) != seq {
 				t.Errorf("container %d/%d is read as %d/%d, job %s as %d", seq, task, s, n, id, jobSeq(id))
 			}
 			if wire.ValidUserID(id) || !wire.ValidID(id) {
@@ -93,17 +93,17 @@
 			}
 		}
 	}
-	sec, err := newSecret(3)
+	key, err := newSigningKey(3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ring := keyring{Keys: []secret{sec}}
-	tok, err := ring.issue(token{kind: tokMaster, stamp: 5, num: 6, attempt: 1}, kindMaster, "")
+	ring := keyring{Keys: []signingKey{key}}
+	tok, err := ring.issue(token{kind: masterToken, clusterTimestamp: 5, application: 6, attempt: 1}, "")
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := parseToken(tok.GetIdentifier())
-	if err != nil || got.num != 6 || got.key != 3 {
+	if err != nil || got.application != 6 || got.key != 3 {
 		t.Errorf("%+v, %v", got, err)
 	}
 	for _, bad := range []string{"", "am/5/6/1/3", "am/5/6/1/3/0/9", "am/5/06/1/3/0", "am/x/6/1/3/0"} {
--- /dev/null
+++ b/yarn/token.go
@@ -0,0 +1,81 @@
+package yarn
+
+import (
+	"errors"
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+// tokenKind says what a token is for. It is the first part of the token's identifier.
+type tokenKind string
+
+const (
+	masterToken    tokenKind = "am" // opens ApplicationMasterProtocol
+	nodeToken      tokenKind = "nm" // opens ContainerManagementProtocol
+	containerToken tokenKind = "ct" // starts one container
+)
+
+// Kinds of tokens, as published.
+const (
+	publishedMasterToken    = "YARN_AM_RM_TOKEN"
+	publishedNodeToken      = "NMToken"
+	publishedContainerToken = "ContainerToken"
+)
+
+// published is the name of the kind that clients know.
+func (k tokenKind) published() string {
+	switch k {
+	case masterToken:
+		return publishedMasterToken
+	case nodeToken:
+		return publishedNodeToken
+	}
+	return publishedContainerToken
+}
+
+// token is what a token's identifier says: which application and attempt it belongs to, which
+// key has signed it, and the container's number if it starts one.
+type token struct {
+	kind             tokenKind
+	clusterTimestamp int64
+	application      int32
+	attempt          int32
+	key              int
+	container        int64
+}
+
+// String returns the token's identifier.
+func (t token) String() string {
+	return fmt.Sprintf("%s/%d/%d/%d/%d/%d", t.kind, t.clusterTimestamp, t.application, t.attempt, t.key, t.container)
+}
+
+// errForeignToken says that an identifier is none of this service.
+var errForeignToken = errors.New("not a token of this service")
+
+// parseToken parses an identifier. What is not exactly as String writes it is refused.
+func parseToken(identifier []byte) (token, error) {
+	parts := strings.Split(string(identifier), "/")
+	var numbers [5]int64
+	if len(parts) != 1+len(numbers) {
+		return token{}, errForeignToken
+	}
+	for i := range numbers {
+		var err error
+		if numbers[i], err = strconv.ParseInt(parts[i+1], 10, 64); err != nil {
+			return token{}, errForeignToken
+		}
+	}
+	t := token{
+		kind:             tokenKind(parts[0]),
+		clusterTimestamp: numbers[0],
+		application:      int32(numbers[1]),
+		attempt:          int32(numbers[2]),
+		key:              int(numbers[3]),
+		container:        numbers[4],
+	}
+	if t.String() != string(identifier) {
+		return token{}, errForeignToken
+	}
+	return t, nil
+}
