--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -177,10 +177,7 @@
 		TaskCooldownUntilMs: pruneExpired(last.TaskCooldownUntilMs, ms),
 		QuarantineUntilMs:   pruneExpired(last.QuarantineUntilMs, ms),
 	}
-	group := rebalance.Group{Budget: m.RebalanceSettings.Budget, Wanted: wanted}
-	for _, p := range m.RebalanceSettings.Policies {
-		group.Policies = append(group.Policies, rebalance.Policy(p))
-	}
+	group := rebalance.Group{Policies: m.RebalanceSettings.Policies, MaxMoves: m.RebalanceSettings.Budget, Unplaced: wanted}
 	for _, mc := range machines {
 		group.Hosts = append(group.Hosts, m.rebalanceHost(mc, cycle, now))
 	}
@@ -198,7 +195,7 @@
 }
 
 func (m *Model) rebalanceHost(mc *Machine, rec jobstore.RebalanceCycle, now time.Time) rebalance.Host {
-	h := rebalance.Host{Cap: m.MachineTypes[mc.Type].Capacity, Used: mc.Used.Add(mc.orphaned, 1)}
+	h := rebalance.Host{Capacity: m.MachineTypes[mc.Type].Capacity, Used: mc.Used.Add(mc.orphaned, 1)}
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
@@ -206,7 +203,7 @@
 		movable := !j.Gang() && p.Stop == nil && !p.StopHeld && p.ReportedState == reportedRunning && j.Spec.CheckpointS > 0 &&
 			now.Sub(p.RunningSince).Seconds() < m.RebalanceSettings.LongS &&
 			rec.TaskCooldownUntilMs[name] == 0 && rec.QuarantineUntilMs[name] == 0 && !j.Spec.Spread
-		h.Tasks = append(h.Tasks, rebalance.Task{Ref: ref, Need: j.Need, Movable: movable, Spot: j.Spec.Spot})
+		h.Tasks = append(h.Tasks, rebalance.Task{ID: ref, Need: j.Need, Movable: movable, Spot: j.Spec.Spot})
 	}
 	h.Spot = mc.Spot
 	return h
--- a/config/tuning.go
+++ b/config/tuning.go
@@ -54,12 +54,22 @@
 	Policies    []Policy `toml:"policies"`
 }
 
-// Policy is one resource's part in the combined imbalance.
+// Resource is one that rebalancing looks at.
+type Resource string
+
+// Resources.
+const (
+	ResourceCPUs   Resource = "cpus"
+	ResourceGPUs   Resource = "gpus"
+	ResourceMemory Resource = "memory"
+)
+
+// Policy is one resource's part in the combined imbalance of a group of machines.
 type Policy struct {
-	Resource          string  `toml:"resource"`
-	Weight            float64 `toml:"weight"`
-	Threshold         float64 `toml:"threshold"`
-	CapacityThreshold float64 `toml:"capacity_threshold"`
+	Resource          Resource `toml:"resource"`
+	Weight            float64  `toml:"weight"`
+	Threshold         float64  `toml:"threshold"`
+	CapacityThreshold float64  `toml:"capacity_threshold"`
 }
 
 // Renting tunes how machines are rented and returned.
@@ -132,10 +142,10 @@
 		bad("rebalance.budget must be from 1 to 100")
 	}
 	sum := 0.0
-	seen := map[string]bool{}
+	seen := map[Resource]bool{}
 	for i, p := range r.Policies {
 		field := fmt.Sprintf("rebalance.policies[%d]", i)
-		if p.Resource != "cpus" && p.Resource != "gpus" && p.Resource != "memory" || seen[p.Resource] {
+		if p.Resource != ResourceCPUs && p.Resource != ResourceGPUs && p.Resource != ResourceMemory || seen[p.Resource] {
 			bad("%s.resource must be cpus, gpus or memory, each once", field)
 		}
 		seen[p.Resource] = true
--- a/rebalance/rebalance_test.go
+++ b/rebalance/rebalance_test.go
@@ -3,15 +3,16 @@
 import (
 	"testing"
 
+	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/placement"
 )
 
 var size = placement.Resources{CPU: 16, GPU: 2, Mem: 128}
 
 func host(n int, tasks ...Task) Host {
-	h := Host{Cap: size, Tasks: tasks}
+	h := Host{Capacity: size, Tasks: tasks}
 	for i := range tasks {
-		tasks[i].Ref = placement.Task{Job: int32(n), Task: int32(i)}
+		tasks[i].ID = placement.Task{Job: int32(n), Task: int32(i)}
 		h.Used = h.Used.Add(tasks[i].Need, 1)
 	}
 	return h
@@ -23,12 +24,13 @@
 
 func group(hosts ...Host) Group {
 	return Group{
-		Policies: []Policy{{"cpus", 0.4, 0.2, 1}, {"gpus", 0.4, 0.2, 1}, {"memory", 0.2, 0.2, 1}},
-		Hosts:    hosts, Budget: 2, Wanted: []placement.Resources{{CPU: 15, Mem: 26}},
+		Policies: []config.Policy{{Resource: "cpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1}, {Resource: "gpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1},
+			{Resource: "memory", Weight: 0.2, Threshold: 0.2, CapacityThreshold: 1}},
+		Hosts: hosts, MaxMoves: 2, Unplaced: []placement.Resources{{CPU: 15, Mem: 26}},
 	}
 }
 
-func TestColdestDrainsOntoTheFullest(t *testing.T) {
+func TestLeastUtilizedHostDrainsOntoFullest(t *testing.T) {
 	g := group(host(0, small(true)), host(1, small(true), small(true)), host(2, small(true)), host(3, Task{Need: placement.Resources{CPU: 2, Mem: 8}, Movable: true}))
 	moves := Plan(g)
 	if len(moves) != 1 || moves[0].From != 3 || moves[0].To != 1 {
@@ -36,13 +38,13 @@
 	}
 }
 
-func TestNoMoveWithoutWantedRoomImbalanceOrBudget(t *testing.T) {
+func TestNoMoveWithoutUnplacedTaskImbalanceOrMovesLeft(t *testing.T) {
 	hosts := func() []Host { return []Host{host(0, small(true)), host(1, small(true)), host(2)} }
 	if len(Plan(group(hosts()...))) != 1 {
 		t.Fatal("the ordinary case does not move")
 	}
 	g := group(hosts()...)
-	g.Wanted = nil
+	g.Unplaced = nil
 	if len(Plan(g)) > 0 {
 		t.Error("moved without wanted room")
 	}
@@ -52,13 +54,13 @@
 	}
 	g = group(host(0, small(true), small(true)), host(1), host(2))
 	g.Hosts[1] = host(1, small(true))
-	g.Budget = 0
+	g.MaxMoves = 0
 	if len(Plan(g)) > 0 {
 		t.Error("moved beyond the budget")
 	}
 }
 
-func TestAHostDrainsOnlyAsAWhole(t *testing.T) {
+func TestHostIsDrainedAsAWholeOrNotAtAll(t *testing.T) {
 	if moves := Plan(group(host(0, small(false)), host(1, small(false)), host(2))); len(moves) > 0 {
 		t.Errorf("moved tasks that stay put: %v", moves)
 	}
