--- a/placement/classes_test.go
+++ b/placement/classes_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// anyInput is machines of which many are alike, and requests of all kinds.
-func anyInput(rnd *rand.Rand) *Input {
+// randomInput is machines of which many are alike, and requests of all kinds.
+func randomInput(rnd *rand.Rand) *Input {
 	in := &Input{AllowPreemption: true, MaxScaleOut: 6, Teams: []Team{{Max: Resources{CPU: float64(100 + rnd.IntN(400))}}, {}}}
 	caps := []Resources{{CPU: 32, Mem: 64}, {CPU: 16, GPU: 2, Mem: 128}, {CPU: 4, Mem: 32}}
 	for i := range 20 + rnd.IntN(60) {
@@ -67,10 +67,10 @@
 
 // Keeping machines by class is a matter of speed: the plan is the one that
 // judging every machine makes.
-func TestClassesOfMachinesPlanAsEachMachineByItself(t *testing.T) {
+func TestPlanByClassIsPlanByMachine(t *testing.T) {
 	starts, stops, rents := 0, 0, 0
 	for seed := range uint64(400) {
-		one, other := anyInput(rand.New(rand.NewPCG(seed, 1))), anyInput(rand.New(rand.NewPCG(seed, 1)))
+		one, other := randomInput(rand.New(rand.NewPCG(seed, 1))), randomInput(rand.New(rand.NewPCG(seed, 1)))
 		got, want := Compute(one), makePlan(other, nil)
 		if !reflect.DeepEqual(got, want) {
 			t.Fatalf("seed %d: by class\n%+v\nby machine\n%+v", seed, got, want)
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -14,7 +14,7 @@
 	return r
 }
 
-func TestAGangInOneZoneIsPlacedWholeOrNotAtAll(t *testing.T) {
+func TestGangInOneZoneIsPlacedWholeOrNotAtAll(t *testing.T) {
 	r := request(3, Resources{CPU: 8})
 	r.Gang, r.OneZone = true, true
 	in := Input{Machines: []Machine{machine(0, Resources{CPU: 16}), machine(1, Resources{CPU: 16}), machine(1, Resources{CPU: 8})}, Requests: []Request{r}}
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestSpreadAndTeamLimitsHold(t *testing.T) {
+func TestStartsKeepToMaxPerZoneAndTeamLimit(t *testing.T) {
 	r := request(5, Resources{CPU: 1})
 	r.MaxPerZone, r.Team = 3, 0
 	in := Input{Machines: []Machine{machine(0, Resources{CPU: 16})}, Requests: []Request{r}, Teams: []Team{{}}}
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestPreemptionTakesTheCheapestLossAndOnlyWhatItMay(t *testing.T) {
+func TestPreemptionTakesLeastLossAndOnlyWhatItMay(t *testing.T) {
 	m := machine(0, Resources{})
 	m.Tasks = []Occupant{
 		{Task: Task{1, 0}, Need: Resources{CPU: 8}, Priority: 3, LossSeconds: 50},
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestALargeTaskGetsAMachineThatSmallOnesWouldKeepTaking(t *testing.T) {
+func TestHeldMachineIsNotGivenToLaterSmallTask(t *testing.T) {
 	m := machine(0, Resources{CPU: 10, GPU: 1, Mem: 80})
 	m.Tasks = []Occupant{{Task: Task{9, 0}, Need: Resources{CPU: 6, GPU: 1, Mem: 48}, Priority: 2, RemainingSeconds: 20}}
 	large, little := request(1, Resources{CPU: 15}), request(1, Resources{CPU: 6, GPU: 1})
@@ -89,7 +89,7 @@
 
 // A search that found nothing is not repeated for those that want as much or
 // more. It must not hide room from those that want less or elsewhere.
-func TestASearchInVainSpeaksOnlyForThoseThatWantAsMuch(t *testing.T) {
+func TestFailedSearchHidesNoRoomFromSmallerRequests(t *testing.T) {
 	large, little, gpu := request(1, Resources{CPU: 12}), request(1, Resources{CPU: 4}), request(1, Resources{CPU: 12})
 	gpu.Types = []bool{false, true}
 	other := machine(0, Resources{CPU: 16})
@@ -113,7 +113,7 @@
 
 // Machines held for a gang that must be in one zone are all of that zone, and
 // none are held where there are not enough.
-func TestAGangHoldsMachinesOfOneZone(t *testing.T) {
+func TestGangHoldsMachinesOfOneZone(t *testing.T) {
 	busy := func(zone int, left float64) Machine {
 		m := machine(zone, Resources{})
 		m.Tasks = []Occupant{{Task: Task{int32(left), 0}, Need: Resources{CPU: 16}, Priority: 2, RemainingSeconds: left}}
--- a/placement/pools_test.go
+++ b/placement/pools_test.go
@@ -9,7 +9,7 @@
 	return m
 }
 
-func TestAPoolsMachineIsKeptFromOtherWork(t *testing.T) {
+func TestPoolMachineIsKeptFromOtherWork(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		uses  []PoolAccess
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestAHigherTierTakesOtherRoomFirst(t *testing.T) {
+func TestLastResortAccessTakesOtherRoomFirst(t *testing.T) {
 	r := request(2, Resources{CPU: 16})
 	r.PoolAccess = []PoolAccess{LastResortAccess}
 	in := Input{Machines: []Machine{poolMachine(0), machine(1, Resources{CPU: 16})}, Requests: []Request{r}}
@@ -48,7 +48,7 @@
 }
 
 // A search in vain by one that may not use the pool says nothing of one that may.
-func TestASearchInVainDoesNotHideAPool(t *testing.T) {
+func TestFailedSearchDoesNotHidePool(t *testing.T) {
 	other, replica := request(1, Resources{CPU: 4}), request(1, Resources{CPU: 8})
 	replica.PoolAccess = []PoolAccess{OwnerAccess}
 	in := Input{Machines: []Machine{poolMachine(0)}, Requests: []Request{other, replica}}
