--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -3,33 +3,104 @@
 import (
 	"math"
 	"slices"
-	"sort"
 	"time"
+)
+
+// This file is what the leader has observed of each class of jobs.
+
+const (
+	maxClasses      = 64  // classes that are observed; later ones are not
+	maxSizes        = 200 // recent jobs of a class whose sizes are remembered
+	largestFraction = 10  // one in so many jobs is among the largest of its class
+
+	// arrivalWindow is the time over which arrivals are counted, and maxRecentArrivals bounds
+	// their number. reservationLead is the time for whose arrivals resources are reserved.
+	arrivalWindow     = 2 * time.Minute
+	maxRecentArrivals = 1000
+	reservationLead   = 20 * time.Second
 
-	"github.com/umberdeal/umberdeal/config"
-	"github.com/umberdeal/umberdeal/placement"
+	maxLargestTasks = 16 // bound of classStats.largestTasks
 )
 
-// This file keeps what has been seen of the classes of jobs, and the room that
-// is kept for jobs of theirs to come.
+// classRegistry has the classes of which jobs have arrived. Its methods are the only ones that
+// add classes.
+type classRegistry struct {
+	byName map[string]*classStats
+	names  []string // sorted
+}
+
+func newClassRegistry() classRegistry { return classRegistry{byName: map[string]*classStats{}} }
+
+// get returns a class, or nil if it is not observed.
+func (r *classRegistry) get(name string) *classStats { return r.byName[name] }
 
-// classStats is what has been seen of a class of jobs.
+// add starts to observe a class. It returns nil if there are too many already.
+func (r *classRegistry) add(name string) *classStats {
+	if len(r.byName) >= maxClasses {
+		return nil
+	}
+	c := &classStats{name: name}
+	r.byName[name] = c
+	at, _ := slices.BinarySearch(r.names, name)
+	r.names = slices.Insert(r.names, at, name)
+	return c
+}
+
+// sorted returns the classes in the order of their names.
+func (r *classRegistry) sorted() []*classStats {
+	classes := make([]*classStats, len(r.names))
+	for i, name := range r.names {
+		classes[i] = r.byName[name]
+	}
+	return classes
+}
+
+// countOpenTasks counts the unfinished tasks of each class. Jobs that fail wherever they run
+// do not count.
+func (r *classRegistry) countOpenTasks(openJobs []*Job) {
+	for _, c := range r.byName {
+		c.openTasks = 0
+	}
+	for _, j := range openJobs {
+		if c := r.get(j.Spec.Class); c != nil && !j.failures.atFault() {
+			c.openTasks += len(j.Tasks) - j.DoneTasks
+		}
+	}
+}
+
+// classStats is what has been observed of a class of jobs. A class has at least one job, and
+// lastJob is never nil; it may be out of the model.
 type classStats struct {
-	lastJob          *Job
-	largestTasks     int
-	openTasks        int // unfinished tasks
+	name             string
+	lastJob          *Job // stands for the jobs that are expected
+	largestTasks     int  // most tasks of a job, up to maxLargestTasks
+	openTasks        int  // unfinished tasks
 	lastArrival      time.Time
-	recent           []time.Time // arrivals of the last two minutes
-	hasWaitObjective bool        // an objective speaks of how soon its jobs start
+	recent           []time.Time // arrivals within arrivalWindow, earliest first
+	hasWaitObjective bool        // an objective bounds how long its jobs wait for their start
 	runs             runTimeEstimator
 	spread           durationSpread
 	sizes            jobSizes
 }
 
-const (
-	maxSizes        = 200 // recent jobs of a class whose sizes are remembered
-	largestFraction = 10  // one in so many jobs is among the largest of its class
-)
+// recordArrival records a job of the class that this leader has come to know.
+func (c *classStats) recordArrival(j *Job, now time.Time) {
+	c.lastJob, c.lastArrival = j, now
+	c.runs.addEstimate(j.Spec.EstimateS)
+	c.sizes.add(len(j.Tasks))
+	if now.Sub(j.AcceptedAt) < arrivalWindow && len(c.recent) < maxRecentArrivals {
+		c.recent = append(c.recent, j.AcceptedAt)
+	}
+	c.largestTasks = max(c.largestTasks, min(len(j.Tasks), maxLargestTasks))
+}
+
+// expectedArrivals returns how many jobs of the class are expected within reservationLead.
+func (c *classStats) expectedArrivals(now time.Time) int {
+	for len(c.recent) > 0 && now.Sub(c.recent[0]) > arrivalWindow {
+		c.recent = c.recent[1:]
+	}
+	return int(math.Ceil(float64(len(c.recent)) * reservationLead.Seconds() / arrivalWindow.Seconds()))
+}
 
 // jobSizes are the numbers of tasks of the last maxSizes jobs of a class.
 type jobSizes struct {
@@ -59,113 +130,29 @@
 	return tasks >= s.largeFrom
 }
 
-const (
-	arrivalWindow = 2 * time.Minute
-	reserveLead   = 20 * time.Second
-)
-
-// expectedArrivals is how many jobs of a class are likely to come in the time in which
-// its objective wants one started.
-func (c *classStats) expectedArrivals(now time.Time) int {
-	for len(c.recent) > 0 && now.Sub(c.recent[0]) > arrivalWindow {
-		c.recent = c.recent[1:]
-	}
-	return int(math.Ceil(float64(len(c.recent)) * reserveLead.Seconds() / arrivalWindow.Seconds()))
-}
-
+// recordArrival records a job that this leader has come to know for its class. Jobs that
+// prefetch images are not jobs of users, and nothing is concluded from them.
 func (m *Model) recordArrival(j *Job, now time.Time) {
 	if m.isPrefetch(j) {
-		return // nothing is to be expected of these
+		return
 	}
-	c := m.classes[j.Spec.Class]
+	c := m.classes.get(j.Spec.Class)
 	if c == nil {
-		if len(m.classes) >= 64 {
+		if c = m.classes.add(j.Spec.Class); c == nil {
 			return
 		}
-		c = &classStats{}
-		for _, o := range m.settings.Cluster.Objectives {
-			c.hasWaitObjective = c.hasWaitObjective || o.Kind == config.ObjectiveWait && o.Class == j.Spec.Class
-		}
-		m.classes[j.Spec.Class] = c
+		c.hasWaitObjective = m.classHasWaitObjective(c.name)
 	}
-	c.lastJob, c.lastArrival = j, now
-	c.runs.addEstimate(j.Spec.EstimateS)
-	c.sizes.add(len(j.Tasks))
-	if now.Sub(j.AcceptedAt) < arrivalWindow && len(c.recent) < 1000 {
-		c.recent = append(c.recent, j.AcceptedAt)
-	}
-	c.largestTasks = max(c.largestTasks, min(len(j.Tasks), 16))
+	c.recordArrival(j, now)
 }
 
-// hasCompetitors says whether classes that no objective wants started soon compete with a
-// job that may not stop their tasks.
+// hasCompetitors reports whether classes without an objective on the wait compete with a job
+// that can't preempt their tasks.
 func (m *Model) hasCompetitors(j *Job) bool {
-	for _, c := range m.classes {
+	for _, c := range m.classes.byName {
 		if !c.hasWaitObjective && c.lastJob.Priority == j.Priority && c.lastJob.Spec.Class != j.Spec.Class {
 			return true
 		}
 	}
 	return false
 }
-
-// backfillReservations are placeholders to be served before a request: for a class whose objective
-// is to start soon, and whose jobs may not stop those of the request's class,
-// room is kept for the jobs that are likely to come.
-func (m *Model) backfillReservations(k *queued, done map[string]bool, now time.Time) []placement.Request {
-	own := m.classes[k.job.Spec.Class]
-	if own == nil || k.withinQuota {
-		return nil
-	}
-	var out []placement.Request
-	for _, n := range m.classNames() {
-		c := m.classes[n]
-		if done[n] || !c.hasWaitObjective || c.lastJob.Priority != k.job.Priority || !m.reservesFor(c, k, own) {
-			continue
-		}
-		done[n] = true
-		if r := m.placeholder(c, c.expectedArrivals(now)); len(r.Tasks) > 0 {
-			r.Reserve = true
-			out = append(out, r)
-		}
-	}
-	return out
-}
-
-func (m *Model) classNames() []string {
-	names := make([]string, 0, len(m.classes))
-	for n := range m.classes {
-		names = append(names, n)
-	}
-	sort.Strings(names)
-	return names
-}
-
-// placeholder asks for room for n tasks like those of a class.
-func (m *Model) placeholder(c *classStats, n int) placement.Request {
-	j := c.lastJob
-	r := placement.Request{
-		Job: -1, Need: j.Need, Priority: 9, Team: -1, Image: j.Image, Zone: -1,
-		PlacedByZone: make([]int, len(m.Zones)), Types: j.AllowedTypes, Spot: j.Spec.Spot, Headroom: true,
-	}
-	for i := range n {
-		r.Tasks = append(r.Tasks, int32(i))
-	}
-	return r
-}
-
-// headroomRequests are requests that no job has made: room kept for jobs that are
-// likely to come, where no objective speaks of the price.
-func (m *Model) headroomRequests(jobs []*Job, now time.Time) []placement.Request {
-	if m.Headroom <= 0 || m.hasCostObjective() || len(jobs) == 0 {
-		return nil
-	}
-	var out []placement.Request
-	for _, n := range m.sortByTier(m.classNames()) {
-		c := m.classes[n]
-		if now.Sub(c.lastArrival) > 10*time.Minute {
-			continue
-		}
-		out = append(out, m.placeholder(c, min(64, c.largestTasks+int(m.Headroom*float64(c.openTasks)))))
-	}
-	return out
-}
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -104,37 +104,34 @@
 
 // Job is a job that is not over, or of which tasks may still be on a machine.
 type Job struct {
-	Index           int32
-	ID              string
-	Spec            wire.Job
-	Version         uint64
-	AcceptedAt      time.Time
-	Team            int
-	Priority        int
-	Need            placement.Resources
-	AllowedTypes    []bool
-	Zone            int
-	Image           int32
-	LastAttempt     uint64 // highest attempt ever used
-	Tasks           []Task
-	Chunks          []Chunk
-	DoneTasks       int
-	PlacedTasks     int
-	PlacedByZone    []int
-	Cancelled       bool
-	Finished        bool // committed as done
-	completedRuns   int  // tasks that completed in one go, and
-	completedRunSum float64
-	completedRunMax float64
-	estimateBasis   estimateBasis // of guess, which is how long a task should run
-	estimate        float64
-	triage          triageVerdict
-	start           startState // towards the starvation bound
-	GangStarted     bool       // gang: the current attempt was seen running
-	GangEnding      bool       // gang: the current attempt is being stopped, or can't complete
-	NotBefore       time.Time  // backoff of a job that fails on every machine
-	FirstRunAt      time.Time
-	tier            int // by the operators' order, 0 first
+	Index        int32
+	ID           string
+	Spec         wire.Job
+	Version      uint64
+	AcceptedAt   time.Time
+	Team         int
+	Priority     int
+	Need         placement.Resources
+	AllowedTypes []bool
+	Zone         int
+	Image        int32
+	LastAttempt  uint64 // highest attempt ever used
+	Tasks        []Task
+	Chunks       []Chunk
+	DoneTasks    int
+	PlacedTasks  int
+	PlacedByZone []int
+	Cancelled    bool
+	Finished     bool            // committed as done
+	runs         runStatistics   // of its completed tasks
+	runTime      runTimeEstimate // of its tasks that are not completed
+	triage       triageVerdict
+	start        startState // decided by the starvation bound
+	GangStarted  bool       // gang: the current attempt was seen running
+	GangEnding   bool       // gang: the current attempt is being stopped, or can't complete
+	NotBefore    time.Time  // backoff of a job that fails on every machine
+	FirstRunAt   time.Time
+	tier         int // priority tier, 0 is the highest; written by priorityTiers.assign
 
 	quarantined   bool           // its placements can't be read
 	admissionPage *admissionPage // the page that its record shares with others, if it does
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -58,7 +58,7 @@
 			j.Zone = z
 		}
 	}
-	m.setTier(j)
+	m.tiers.assign(j)
 	m.Jobs = append(m.Jobs, j)
 	m.openIndexes = append(m.openIndexes, j.Index)
 	m.names.jobs[id] = j.Index
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -55,7 +55,7 @@
 	}
 	// The last job of a class may be out of the model already, and so was not updated
 	// above. Its AllowedTypes is indexed by machine type and must cover the new ones.
-	for _, c := range m.classes {
+	for _, c := range m.classes.byName {
 		c.lastJob.AllowedTypes = m.allowedTypes(&c.lastJob.Spec)
 	}
 }
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -71,7 +71,7 @@
 	pools          warmPools
 	starvation     starvationBound
 	triage         triageState
-	classes        map[string]*classStats
+	classes        classRegistry
 	tiers          priorityTiers
 
 	buffers passBuffers
@@ -82,7 +82,7 @@
 	m := &Model{
 		FencingToken: token, ElectedAt: now, Zones: cfg.Cluster.Zones, settings: cfg, log: log, clockDrift: config.Drift,
 		names: newNameIndex(), images: newImageCatalog(), writes: newWriteBehind(writeLimits{&cfg.Cluster.State}),
-		refusedOffers: newOfferRefusals(), RebalanceCycles: map[string]*RebalanceCycle{}, classes: map[string]*classStats{},
+		refusedOffers: newOfferRefusals(), RebalanceCycles: map[string]*RebalanceCycle{}, classes: newClassRegistry(),
 		Observer: noObserver{},
 	}
 	for i, z := range cfg.Cluster.Zones {
--- a/cluster/objectives.go
+++ b/cluster/objectives.go
@@ -105,10 +105,18 @@
 // hasWaitObjective reports whether an objective bounds how long jobs of the job's class wait for
 // their start.
 func (m *Model) hasWaitObjective(j *Job) bool {
-	c := m.classes[j.Spec.Class]
+	c := m.classes.get(j.Spec.Class)
 	return c != nil && c.hasWaitObjective
 }
 
+// classHasWaitObjective reports whether an objective bounds how long jobs of a class, which it
+// names, wait for their start.
+func (m *Model) classHasWaitObjective(class string) bool {
+	return slices.ContainsFunc(m.settings.Cluster.Objectives, func(o config.Objective) bool {
+		return o.Kind == config.ObjectiveWait && o.Class == class
+	})
+}
+
 // hasCostObjective reports whether an objective of the deployment is on the price of machines.
 func (m *Model) hasCostObjective() bool {
 	for _, o := range m.settings.Cluster.Objectives {
--- /dev/null
+++ b/cluster/placeholders.go
@@ -0,0 +1,69 @@
+package cluster
+
+import (
+	"time"
+
+	"github.com/umberdeal/umberdeal/placement"
+)
+
+// This file makes placeholders: requests that no job has made, by which resources are kept for
+// jobs that are expected.
+
+const (
+	placeholderPriority = 9                // lower than any job's
+	maxHeadroomTasks    = 64               // for one class
+	headroomDuration    = 10 * time.Minute // after the last arrival of a class
+)
+
+// placeholder requests resources for n tasks like those of a job.
+func (m *Model) placeholder(j *Job, n int) placement.Request {
+	r := placement.Request{
+		Job: -1, Need: j.Need, Priority: placeholderPriority, Team: -1, Image: j.Image, Zone: -1,
+		PlacedByZone: make([]int, len(m.Zones)), Types: j.AllowedTypes, Spot: j.Spec.Spot, Headroom: true,
+	}
+	for i := range n {
+		r.Tasks = append(r.Tasks, int32(i))
+	}
+	return r
+}
+
+// backfillReservations returns the placeholders that are served before a request. They reserve
+// resources for the expected jobs of classes with an objective on the wait that can't preempt
+// tasks of the request's class. A class is reserved for once in a pass; done has the classes
+// for which this has happened.
+func (m *Model) backfillReservations(k *queued, done map[string]bool, now time.Time) []placement.Request {
+	own := m.classes.get(k.job.Spec.Class)
+	if own == nil || k.withinQuota {
+		return nil
+	}
+	var out []placement.Request
+	for _, name := range m.classes.names {
+		c := m.classes.get(name)
+		if done[name] || !c.hasWaitObjective || c.lastJob.Priority != k.job.Priority || !m.reservesFor(c, k, own) {
+			continue
+		}
+		done[name] = true
+		if r := m.placeholder(c.lastJob, c.expectedArrivals(now)); len(r.Tasks) > 0 {
+			r.Reserve = true
+			out = append(out, r)
+		}
+	}
+	return out
+}
+
+// headroomRequests returns placeholders for the expected jobs of all classes, for which
+// machines are rented. There are none if an objective is on the price of machines.
+func (m *Model) headroomRequests(jobs []*Job, now time.Time) []placement.Request {
+	if m.Headroom <= 0 || m.hasCostObjective() || len(jobs) == 0 {
+		return nil
+	}
+	var out []placement.Request
+	for _, c := range m.sortByTier(m.classes.sorted()) {
+		if now.Sub(c.lastArrival) > headroomDuration {
+			continue
+		}
+		tasks := min(maxHeadroomTasks, c.largestTasks+int(m.Headroom*float64(c.openTasks)))
+		out = append(out, m.placeholder(c.lastJob, tasks))
+	}
+	return out
+}
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -1,6 +1,7 @@
 package cluster
 
 import (
+	"cmp"
 	"slices"
 	"sort"
 	"time"
@@ -53,7 +54,8 @@
 	m.setPriorityPolicy(priority.New(&m.plan.Order))
 }
 
-// saveInversions has the priority inversions recorded, and what shares are counted of.
+// saveInversions has the log of priority inversions written, with the capacity of which shares
+// are computed, unless it was written recently.
 func (m *Model) saveInversions(now time.Time) {
 	t := &m.tiers
 	if !t.changed || now.Sub(t.savedAt) < inversionSaveInterval {
@@ -66,19 +68,20 @@
 }
 
 // setPriorityPolicy puts a policy in force; nil means that there are no tiers.
-func (m *Model) setPriorityPolicy(o *priority.Policy) {
-	m.tiers.policy = o
+func (m *Model) setPriorityPolicy(policy *priority.Policy) {
+	m.tiers.policy = policy
 	for _, idx := range m.openIndexes {
 		if j := m.Jobs[idx]; j != nil {
-			m.setTier(j)
+			m.tiers.assign(j)
 		}
 	}
-	for _, c := range m.classes {
-		m.setTier(c.lastJob) // the last job of a class may be out of the model
+	for _, c := range m.classes.byName {
+		m.tiers.assign(c.lastJob) // the last job of a class may be out of the model
 	}
 }
 
-func (m *Model) setTier(j *Job) { j.tier = m.tiers.policy.TierOf(j.Spec.Team, j.Spec.Class) }
+// assign determines the tier of a job by the policy in force.
+func (t *priorityTiers) assign(j *Job) { j.tier = t.policy.TierOf(j.Spec.Team, j.Spec.Class) }
 
 // schedulableCapacity is the capacity of the machines that can be given tasks.
 func (m *Model) schedulableCapacity(now time.Time) (total placement.Resources) {
@@ -94,8 +97,8 @@
 	return total
 }
 
-// dominantShare is how much of the fleet an amount is: of the resource of which it takes
-// the most.
+// dominantShare is the share of the fleet that an amount takes of the resource of which it takes
+// most.
 func dominantShare(need, fleet placement.Resources) float64 {
 	part := 0.0
 	for _, x := range [][2]float64{{need.CPU, fleet.CPU}, {need.GPU, fleet.GPU}, {need.Mem, fleet.Mem}} {
@@ -106,7 +109,7 @@
 	return part
 }
 
-// tierUsage is what each tier has of the fleet.
+// tierUsage returns the dominant share of the fleet that each tier has.
 func (m *Model) tierUsage(fleet placement.Resources) []float64 {
 	use := make([]placement.Resources, m.tiers.policy.NumTiers())
 	for _, idx := range m.openIndexes {
@@ -258,7 +261,7 @@
 	if m.tiers.policy == nil {
 		return false
 	}
-	for _, c := range m.classes {
+	for _, c := range m.classes.byName {
 		if c.lastJob.Priority == j.Priority && c.lastJob.tier > j.tier {
 			return true
 		}
@@ -277,12 +280,12 @@
 	return k.req.PromotionCause == 0 && !k.req.Owed && (t < k.req.Tier || t == k.req.Tier && !own.hasWaitObjective)
 }
 
-// sortByTier puts classes of earlier tiers first.
-func (m *Model) sortByTier(names []string) []string {
+// sortByTier sorts classes by tier, highest first, in place.
+func (m *Model) sortByTier(classes []*classStats) []*classStats {
 	if m.tiers.policy != nil {
-		sort.SliceStable(names, func(a, b int) bool { return m.classes[names[a]].lastJob.tier < m.classes[names[b]].lastJob.tier })
+		slices.SortStableFunc(classes, func(a, b *classStats) int { return cmp.Compare(a.lastJob.tier, b.lastJob.tier) })
 	}
-	return names
+	return classes
 }
 
 // recordInversions records the priority inversions of a pass. It must run before the pass's
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -69,14 +69,9 @@
 // buildQueue returns the queue: the requests of the waiting jobs, in the order in which they
 // are served. Jobs that fail wherever they run are at its end.
 func (m *Model) buildQueue(jobs []*Job, withinQuota map[int32]bool, now time.Time) []*queued {
-	for _, c := range m.classes {
-		c.openTasks = 0
-	}
+	m.classes.countOpenTasks(jobs)
 	var queue, faulty []*queued
 	for _, j := range jobs {
-		if c := m.classes[j.Spec.Class]; c != nil && !j.failures.atFault() {
-			c.openTasks += len(j.Tasks) - j.DoneTasks
-		}
 		r, ok := m.buildRequest(j, now)
 		if !ok {
 			continue
--- a/cluster/runtimeestimate.go
+++ b/cluster/runtimeestimate.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// runTimeEstimator learns how long a class's tasks run, given what their owners
-// expect. Owners' estimates are often wrong by half, and on some days mostly
-// too high or too low: the shortest of them are mostly too short, the longest
-// too long. In logarithms, the error is taken to be a line over the estimate,
-// a + c*(x - mean), fitted to the jobs that have completed and drawn towards
-// a = 0 and c = priorSlope, which is what is believed of a class whose jobs
-// have not completed yet.
+// This file estimates how long tasks run, from their owners' estimates and from the run times
+// of completed tasks.
+
+// runTimeEstimator learns how long the tasks of a class run, given their owners' estimates.
+// These are often wrong by half, and on some days mostly too high or too low; the shortest of
+// them are mostly too short, the longest too long. In logarithms, the error is modelled as a
+// linear function of the estimate, offset + slope*(estimate - mean). It is fitted to the
+// completed jobs by a regression that is regularized towards offset 0 and slope priorSlope,
+// which is what is assumed of a class of which no job has completed yet.
 type runTimeEstimator struct {
-	seen, sum           float64 // estimates of all jobs that came
-	n, x, d, xx, xd     float64 // jobs done: estimates and errors
-	lastN, lastSeen     float64 // of which a and c were worked out
+	seen, sum           float64 // of all jobs: their number, and the sum of the logarithms of their estimates
+	n, x, d, xx, xd     float64 // sums over the completed jobs; x is the estimate and d its error, as logarithms
+	lastN, lastSeen     float64 // what the fit below was computed from
 	offset, slope, mean float64
 }
 
 const (
 	priorSlope  = -0.3
-	priorWeight = 2.0 // jobs
-	priorSpread = 1.0 // of squared logarithms
-	maxError    = 1.4 // a factor of four
+	priorWeight = 2.0 // of the offset, in jobs
+	priorSpread = 1.0 // weight of the slope, as a sum of squared logarithms
+	maxError    = 1.4 // of an estimate, as a logarithm: a factor of four
 )
 
-// addEstimate takes in a job's estimate.
+// addEstimate records the estimate of a job that has arrived.
 func (e *runTimeEstimator) addEstimate(estimate float64) {
 	if estimate > 0 {
 		e.seen++
@@ -34,7 +36,7 @@
 	}
 }
 
-// addRunTime takes in a job whose tasks ran for so long on average.
+// addRunTime records how long the tasks of a completed job ran on average.
 func (e *runTimeEstimator) addRunTime(estimate, ran float64) {
 	if estimate <= 0 || ran <= 0 {
 		return
@@ -48,95 +50,153 @@
 	e.xd += x * d
 }
 
-// expect is how long a task of a job with this estimate should run.
+// expect returns how long a task of a job with this estimate is expected to run.
 func (e *runTimeEstimator) expect(estimate float64) float64 {
 	if estimate <= 0 || e.seen == 0 {
 		return estimate
 	}
 	if e.n != e.lastN || e.seen != e.lastSeen {
-		e.lastN, e.lastSeen = e.n, e.seen
-		e.mean = e.sum / e.seen
-		u := e.x - e.n*e.mean
-		uu := e.xx - 2*e.mean*e.x + e.n*e.mean*e.mean
-		ud := e.xd - e.mean*e.d
-		// (n+p) a + u c = d;  u a + (uu+s) c = ud + s c0
-		p, s := e.n+priorWeight, uu+priorSpread
-		r := ud + priorSpread*priorSlope
-		det := p*s - u*u
-		e.offset, e.slope = (e.d*s-u*r)/det, (p*r-u*e.d)/det
+		e.fit()
 	}
 	err := e.offset + e.slope*(math.Log(estimate)-e.mean)
 	return estimate * math.Exp(max(-maxError, min(maxError, err)))
 }
 
-// expectedRunTime is how long a task of the job should run from its beginning: what
-// its completed tasks took says most, then what is known of its class.
+// fit computes offset and slope from the sums.
+func (e *runTimeEstimator) fit() {
+	e.lastN, e.lastSeen = e.n, e.seen
+	e.mean = e.sum / e.seen
+	u := e.x - e.n*e.mean
+	uu := e.xx - 2*e.mean*e.x + e.n*e.mean*e.mean
+	ud := e.xd - e.mean*e.d
+	// (n+p) offset + u slope = d;  u offset + (uu+s) slope = ud + s priorSlope
+	p, s := e.n+priorWeight, uu+priorSpread
+	r := ud + priorSpread*priorSlope
+	det := p*s - u*u
+	e.offset, e.slope = (e.d*s-u*r)/det, (p*r-u*e.d)/det
+}
+
+// runStatistics are the run times of those tasks of a job that completed without interruption,
+// as seen by this leader. Only add writes its fields.
+type runStatistics struct {
+	count        int
+	sum, longest float64 // seconds
+}
+
+// add records the run time of a task.
+func (s *runStatistics) add(seconds float64) {
+	s.count++
+	s.sum += seconds
+	s.longest = max(s.longest, seconds)
+}
+
+// average returns the average run time. There must be at least one.
+func (s *runStatistics) average() float64 { return s.sum / float64(s.count) }
+
+// runTimeEstimate is a cached estimate of how long a task of a job runs. Only set writes it.
+type runTimeEstimate struct {
+	basis   estimateBasis
+	seconds float64 // 0 if it has not been computed
+}
+
+// estimateBasis is the state of what an estimate was computed from. While it is unchanged, so
+// is the estimate.
+type estimateBasis struct {
+	completedTasks          int     // of the job
+	completedJobs, seenJobs float64 // of its class
+}
+
+// validFor reports whether the cached estimate is still valid.
+func (e *runTimeEstimate) validFor(basis estimateBasis) bool {
+	return e.basis == basis && e.seconds > 0
+}
+
+// set caches an estimate.
+func (e *runTimeEstimate) set(basis estimateBasis, seconds float64) {
+	e.basis, e.seconds = basis, seconds
+}
+
+// expectedRunTime returns how many seconds a task of the job is expected to run from its
+// beginning. Most weight has what the job's completed tasks took, then what is known of its
+// class. A pass needs this for every task that runs or waits, so the result is cached.
 func (m *Model) expectedRunTime(j *Job) float64 {
-	est := j.Spec.EstimateS
-	c := m.classes[j.Spec.Class]
-	now := estimateBasis{ranN: j.completedRuns}
+	estimate := j.Spec.EstimateS
+	c := m.classes.get(j.Spec.Class)
+	basis := estimateBasis{completedTasks: j.runs.count}
 	if c != nil {
-		now.n, now.seen = c.runs.n, c.runs.seen
+		basis.completedJobs, basis.seenJobs = c.runs.n, c.runs.seen
 	}
-	if j.estimateBasis == now && j.estimate > 0 {
-		return j.estimate // a pass asks this of every task that runs or waits
+	if j.runTime.validFor(basis) {
+		return j.runTime.seconds
 	}
 	if c != nil {
-		est = c.runs.expect(est)
+		estimate = c.runs.expect(estimate)
 	}
-	if j.completedRuns > 0 && est > 0 {
-		w := 2 * float64(j.completedRuns)
-		est = math.Exp((math.Log(est) + w*math.Log(j.completedRunSum/float64(j.completedRuns))) / (1 + w))
+	if j.runs.count > 0 && estimate > 0 {
+		weight := 2 * float64(j.runs.count)
+		estimate = math.Exp((math.Log(estimate) + weight*math.Log(j.runs.average())) / (1 + weight))
 	}
-	j.estimateBasis, j.estimate = now, est
-	return est
-}
-
-// estimateBasis is what an expectation was worked out from.
-type estimateBasis struct {
-	ranN    int
-	n, seen float64
+	j.runTime.set(basis, estimate)
+	return estimate
 }
 
-// remainingRunTime is how long a waiting task should still run.
+// remainingRunTime returns how many seconds a waiting task is expected to run.
 func (m *Model) remainingRunTime(j *Job, task int32) float64 {
 	return remainingOf(m.expectedRunTime(j), &j.Tasks[task])
 }
 
-// remainingOf is what is left of a task's run time, given the whole.
-func remainingOf(est float64, t *Task) float64 {
-	return max(est-float64(t.Progress), min(est, 5))
+// minRemaining is the least that is expected to remain of a task's run time, in seconds, unless
+// the whole is expected to be shorter.
+const minRemaining = 5
+
+// remainingOf returns what remains of a task's run time, given the whole.
+func remainingOf(estimate float64, t *Task) float64 {
+	return max(estimate-float64(t.Progress), min(estimate, minRemaining))
 }
 
-// recordProgress takes in how far an attempt that did not complete has brought its
-// task. It leads to no decision but in which order things are served.
-func (j *Job) recordProgress(task int32, p *Placement, saved bool, now time.Time) {
-	if j.Spec.CheckpointS <= 0 || p.RunningSince.IsZero() {
-		return
+// recordSavedProgress records the progress of an attempt that saved a checkpoint when it
+// stopped. Progress affects only estimates and with them the order of the queue.
+func (j *Job) recordSavedProgress(task int32, p *Placement, now time.Time) {
+	if j.savesProgress(p) {
+		t := &j.Tasks[task]
+		t.Progress += p.ranUntilStop(now)
+		t.Resumed = true
 	}
-	t := &j.Tasks[task]
+}
+
+// recordLostProgress records the progress of an attempt that ended without saving a checkpoint.
+// What remains of it is the last of the regular checkpoints, which are at multiples of
+// CheckpointS of the task's progress.
+func (j *Job) recordLostProgress(task int32, p *Placement, now time.Time) {
+	if j.savesProgress(p) {
+		t := &j.Tasks[task]
+		interval := float32(j.Spec.CheckpointS)
+		checkpoints := math.Floor(float64((t.Progress + p.ranUntilStop(now)) / interval))
+		t.Progress = max(t.Progress, interval*float32(checkpoints))
+		t.Resumed = true
+	}
+}
+
+// savesProgress reports whether an attempt may have saved checkpoints.
+func (j *Job) savesProgress(p *Placement) bool {
+	return j.Spec.CheckpointS > 0 && !p.RunningSince.IsZero()
+}
+
+// ranUntilStop returns how many seconds an attempt ran until it was ordered to stop, or until
+// now if it was not.
+func (p *Placement) ranUntilStop(now time.Time) float32 {
 	end := now
 	if p.Stop != nil {
 		end = p.Stop.OrderedAt
 	}
-	ran := float32(max(0, end.Sub(p.RunningSince).Seconds()))
-	if !saved {
-		// Checkpoints are at multiples of the job's progress.
-		every := float32(j.Spec.CheckpointS)
-		t.Progress = max(t.Progress, every*float32(math.Floor(float64((t.Progress+ran)/every))))
-	} else {
-		t.Progress += ran
-	}
-	t.Resumed = true
+	return float32(max(0, end.Sub(p.RunningSince).Seconds()))
 }
 
-// recordRunTime takes in how long a task ran that completed in one go.
+// recordRunTime records how long a completed task ran, if all of its work was done by the
+// attempt that completed it and this leader saw it start.
 func (m *Model) recordRunTime(j *Job, task int32, p *Placement, now time.Time) {
 	if j.Tasks[task].Resumed || p.Inherited || p.RunningSince.IsZero() || j.Spec.EstimateS <= 0 {
 		return
 	}
-	j.completedRuns++
-	ran := now.Sub(p.RunningSince).Seconds()
-	j.completedRunSum += ran
-	j.completedRunMax = max(j.completedRunMax, ran)
+	j.runs.add(now.Sub(p.RunningSince).Seconds())
 }
--- a/cluster/runtimespread.go
+++ b/cluster/runtimespread.go
@@ -1,59 +1,72 @@
 package cluster
 
-// durationSpread learns of a class by how much a job's slowest task takes longer than
-// its average one, and how long a task takes from its placement until it runs.
-// A job is over when its last task is: with a dozen tasks or more, one that is
-// begun when its average task could just be in time is late.
-type durationSpread struct{ slowest, n, start, starts float64 }
+// This file learns how task durations vary within jobs, and how long tasks take to start.
+
+// durationSpread has what is known of a class about by how much the slowest task of a job
+// exceeds the average one, and how long a task takes from its placement until it runs. A job is
+// complete when its last task is: with a dozen tasks or more, a job that starts when an average
+// task would just be in time is late.
+type durationSpread struct {
+	slowest, n    float64 // moving average of the slowest task's excess over the average, as a share; number of jobs
+	start, starts float64 // moving average of seconds from placement to start; number of tasks
+}
 
 const (
-	priorSlowest = 0.15 // beyond the average, as a share of it
+	priorSlowest = 0.15 // excess of the slowest task over the average one, as a share
 	priorStart   = 3.0  // seconds
 	priorSpreads = 3.0  // jobs or tasks that the priors count for
-	spreadMemory = 50.0 // and how many are remembered
+	spreadMemory = 50.0 // jobs or tasks over which the moving averages extend
+
+	maxSlowest      = 3.0  // beyond which an excess is an outlier
+	maxStart        = 60.0 // beyond which a start is an outlier
+	fullSpreadTasks = 4    // further tasks with which the slowest shows the full excess
 )
 
-// spreadShare is how much of the difference shows in a job of n tasks.
-func spreadShare(n int) float64 { return min(1, float64(n-1)/4) }
+// spreadShare returns which share of the class's excess the slowest of n tasks shows.
+func spreadShare(n int) float64 { return min(1, float64(n-1)/fullSpreadTasks) }
 
+// addJob records the excess of the slowest of a job's tasks over the average one.
 func (s *durationSpread) addJob(slowest float64, tasks int) {
 	if tasks > 1 {
 		s.n = min(s.n+1, spreadMemory)
-		s.slowest += (min(slowest, 3)/spreadShare(tasks) - s.slowest) / s.n
+		s.slowest += (min(slowest, maxSlowest)/spreadShare(tasks) - s.slowest) / s.n
 	}
 }
 
-func (s *durationSpread) addStartDelay(after float64) {
+// addStartDelay records the seconds that a task took from its placement until it ran.
+func (s *durationSpread) addStartDelay(seconds float64) {
 	s.starts = min(s.starts+1, spreadMemory)
-	s.start += (min(after, 60) - s.start) / s.starts
+	s.start += (min(seconds, maxStart) - s.start) / s.starts
 }
 
-// startDelay is how long a task of the class should take from placement to running.
+// startDelay returns the seconds that a task of the class is expected to take from its
+// placement until it runs.
 func (s *durationSpread) startDelay() float64 {
 	return (s.starts*s.start + priorSpreads*priorStart) / (s.starts + priorSpreads)
 }
 
-// slowestTask is how long the last of n tasks should take to end, of which one takes
-// so long on average.
+// slowestTask returns how long the slowest of n tasks is expected to take, given the average.
 func (s *durationSpread) slowestTask(average float64, n int) float64 {
 	return average * (1 + spreadShare(n)*(s.n*s.slowest+priorSpreads*priorSlowest)/(s.n+priorSpreads))
 }
 
-// startupAndSpreadOf is what is known of a job's class.
+// startupAndSpreadOf returns what is known of a job's class; without a class, the priors.
 func (m *Model) startupAndSpreadOf(j *Job) *durationSpread {
-	if c := m.classes[j.Spec.Class]; c != nil {
+	if c := m.classes.get(j.Spec.Class); c != nil {
 		return &c.spread
 	}
 	return &durationSpread{}
 }
 
-// learnFromJob takes in a job that is done.
+// learnFromJob records the run times of a completed job for its class.
 func (m *Model) learnFromJob(j *Job) {
-	if c := m.classes[j.Spec.Class]; c != nil && j.completedRuns > 0 {
-		average := j.completedRunSum / float64(j.completedRuns)
-		c.runs.addRunTime(j.Spec.EstimateS, average)
-		if !j.Gang() {
-			c.spread.addJob(j.completedRunMax/average-1, j.completedRuns)
-		}
+	c := m.classes.get(j.Spec.Class)
+	if c == nil || j.runs.count == 0 {
+		return
+	}
+	average := j.runs.average()
+	c.runs.addRunTime(j.Spec.EstimateS, average)
+	if !j.Gang() {
+		c.spread.addJob(j.runs.longest/average-1, j.runs.count)
 	}
 }
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -112,7 +112,7 @@
 
 // isLargeJob reports whether the job is among the largest of its class.
 func (m *Model) isLargeJob(j *Job) bool {
-	c := m.classes[j.Spec.Class]
+	c := m.classes.get(j.Spec.Class)
 	return c != nil && c.sizes.isLarge(len(j.Tasks))
 }
 
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -88,7 +88,11 @@
 		j.GangEnding = true
 		how = stopReason(p)
 	}
-	j.recordProgress(task, p, t.Saved, now)
+	if t.Saved {
+		j.recordSavedProgress(task, p, now)
+	} else {
+		j.recordLostProgress(task, p, now)
+	}
 	m.removePlacement(j, task, now)
 	j.Tasks[task].NotBefore = now.Add(wait).UnixMilli()
 	m.finishOnlyAttempt(j, task, how, now)
@@ -113,7 +117,7 @@
 func (m *Model) taskLost(j *Job, task int32, why string, now time.Time) {
 	m.log.Info("task lost", "job", j.ID, "task", task, "why", why)
 	if p := j.Tasks[task].Placement; p != nil {
-		j.recordProgress(task, p, false, now)
+		j.recordLostProgress(task, p, now)
 	}
 	m.removePlacement(j, task, now)
 	m.finishOnlyAttempt(j, task, jobstore.OutcomeLost, now)
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -139,7 +139,7 @@
 	if lacking <= 0 {
 		return placement.Request{}, false
 	}
-	request := m.placeholder(&classStats{lastJob: provision.job}, lacking)
+	request := m.placeholder(provision.job, lacking)
 	request.Provision, request.Zone = true, provision.job.Zone
 	return request, true
 }
