--- a/calendar/encoding_test.go
+++ b/calendar/encoding_test.go
@@ -18,7 +18,7 @@
 	golden.Hold[Outcome](f, "outcome", stored)
 	golden.Hold[View](f, "nights as JSON", shown)
 	f.Text("name of the record", RecordName("north"))
-	for name, how := range map[string]string{"met": ResultMet, "late": ResultLate, "incomplete": ResultIncomplete, "withdrawn": ResultWithdrawn} {
-		f.Text(name, how)
+	for name, how := range map[string]Result{"met": ResultMet, "late": ResultLate, "incomplete": ResultIncomplete, "withdrawn": ResultWithdrawn} {
+		f.Text(name, string(how))
 	}
 }
--- /dev/null
+++ b/calendar/record.go
@@ -0,0 +1,119 @@
+package calendar
+
+import (
+	"fmt"
+	"time"
+)
+
+// Record is the committed state of a region's batch windows: the open ones, and the outcomes
+// of the last ones. Times are Unix milliseconds. The order of fields and the tags are those
+// of stored records and must not change.
+type Record struct {
+	Region              string       `msgpack:"r" json:"region"`
+	SavedAtMs           int64        `msgpack:"at" json:"at_ms"`
+	Windows             []OpenWindow `msgpack:"n" json:"nights"`
+	Past                []Outcome    `msgpack:"p" json:"past"`
+	LastClosedOpeningMs int64        `msgpack:"c" json:"closed_ms"` // the latest opening whose outcome is, or was, in Past
+}
+
+// OpenWindow is a batch window whose outcome is not decided.
+type OpenWindow struct {
+	Date                  string         `msgpack:"d" json:"date"`
+	StartMs               int64          `msgpack:"f" json:"from_ms"`
+	DeadlineMs            int64          `msgpack:"pm" json:"promise_ms"`
+	OpeningMs             int64          `msgpack:"o" json:"opening_ms"`
+	OpenJobs              []string       `msgpack:"j" json:"open"`  // ids of unfinished jobs, as many as there is room for
+	OpenJobsOmitted       int            `msgpack:"m" json:"more"`  // unfinished jobs that OpenJobs has no room for
+	Completed             int            `msgpack:"dn" json:"done"` // jobs whose completion is committed
+	CompletedAfterOpening int            `msgpack:"da" json:"after"`
+	LastCompletionMs      int64          `msgpack:"l" json:"last_ms"`
+	Cancelled             int            `msgpack:"x" json:"cancelled"`
+	Lost                  int            `msgpack:"u" json:"lost"`      // jobs that ended without a final record
+	LowerBound            bool           `msgpack:"al" json:"at_least"` // an earlier leader may have counted jobs that it did not record
+	Forecast              ForecastRecord `msgpack:"fc" json:"forecast"`
+	Reforecasts           []Reforecast   `msgpack:"rp" json:"replans"` // the last of them
+	ReforecastCount       int            `msgpack:"rn" json:"replanned"`
+}
+
+// ForecastRecord is the last forecast of a batch window.
+type ForecastRecord struct {
+	MadeAtMs      int64  `msgpack:"at" json:"at_ms"`
+	FinishMs      int64  `msgpack:"f" json:"finish_ms"` // 0: it can't finish as things are
+	LatestStartMs int64  `msgpack:"l" json:"latest_start_ms"`
+	AtRisk        bool   `msgpack:"r" json:"at_risk"`
+	Reason        string `msgpack:"w" json:"why,omitempty"`
+}
+
+// Reforecast is a forecast that something has changed, with its cause.
+type Reforecast struct {
+	AtMs     int64  `msgpack:"at" json:"at_ms"`
+	Cause    string `msgpack:"c" json:"cause"`
+	FinishMs int64  `msgpack:"f" json:"finish_ms"`
+	AtRisk   bool   `msgpack:"r" json:"at_risk"`
+	Machines int    `msgpack:"m" json:"machines"`
+	Jobs     int    `msgpack:"j" json:"jobs"` // all of the batch window
+}
+
+// Result says whether the deadline of a batch window was met.
+type Result string
+
+// Results of batch windows.
+const (
+	ResultMet        Result = "met"
+	ResultLate       Result = "late"       // completed before the opening, but after the deadline
+	ResultIncomplete Result = "incomplete" // not completed at the opening
+	ResultWithdrawn  Result = "withdrawn"  // a new plan has no such batch window
+)
+
+// Outcome is the result of a batch window with its numbers. It is decided once.
+type Outcome struct {
+	Date        string `msgpack:"d" json:"date"`
+	DeadlineMs  int64  `msgpack:"pm" json:"promise_ms"`
+	OpeningMs   int64  `msgpack:"o" json:"opening_ms"`
+	Result      Result `msgpack:"h" json:"how"`
+	LateMs      int64  `msgpack:"l" json:"late_ms"`
+	Completed   int    `msgpack:"dn" json:"done"` // by the opening
+	Jobs        int    `msgpack:"a" json:"all"`
+	LowerBound  bool   `msgpack:"al" json:"at_least"`
+	DecidedAtMs int64  `msgpack:"at" json:"decided_ms"`
+	DecidedBy   uint64 `msgpack:"by" json:"by"` // fencing token of the leader
+}
+
+// Limits of a record: with all of them reached it takes about 8 KB without the ids of open
+// jobs.
+const (
+	maxPastOutcomes = 20
+	maxReforecasts  = 8
+	maxOpenWindows  = 4
+)
+
+// RecordName is the name of a region's record among the records of the plan.
+func RecordName(region string) string { return "night." + region }
+
+// JobCount is how many jobs belong to the batch window, without the cancelled ones.
+func (w *OpenWindow) JobCount() int {
+	return len(w.OpenJobs) + w.OpenJobsOmitted + w.Completed + w.Lost
+}
+
+// addCounts adds the counts of a batch window that is merged into this one.
+func (w *OpenWindow) addCounts(other *OpenWindow) {
+	w.Completed += other.Completed
+	w.CompletedAfterOpening += other.CompletedAfterOpening
+	w.LastCompletionMs = max(w.LastCompletionMs, other.LastCompletionMs)
+	w.Cancelled += other.Cancelled
+	w.Lost += other.Lost
+	w.LowerBound = w.LowerBound || other.LowerBound
+}
+
+// String describes the outcome in one line, for operators.
+func (o *Outcome) String() string {
+	qualifier := ""
+	if o.LowerBound {
+		qualifier = "at least "
+	}
+	s := fmt.Sprintf("%s %s, %s%d of %d done", o.Date, o.Result, qualifier, o.Completed, o.Jobs)
+	if o.Result == ResultLate {
+		s += fmt.Sprintf(", %v late", (time.Duration(o.LateMs) * time.Millisecond).Round(time.Second))
+	}
+	return s
+}
--- a/calendar/schedule.go
+++ b/calendar/schedule.go
@@ -1,298 +1,234 @@
 package calendar
 
 import (
-	"fmt"
+	"cmp"
 	"slices"
 	"time"
 )
 
-// Record is what is committed of a region's nights: those under way and how the
-// last ones came out. Times are Unix milliseconds.
-type Record struct {
-	Region              string       `msgpack:"r" json:"region"`
-	SavedAtMs           int64        `msgpack:"at" json:"at_ms"`
-	Windows             []OpenWindow `msgpack:"n" json:"nights"`
-	Past                []Outcome    `msgpack:"p" json:"past"`
-	LastClosedOpeningMs int64        `msgpack:"c" json:"closed_ms"` // the latest opening whose outcome stands in Past, or did
-}
-
-// Held is a night under way.
-type OpenWindow struct {
-	Date                  string         `msgpack:"d" json:"date"`
-	StartMs               int64          `msgpack:"f" json:"from_ms"`
-	DeadlineMs            int64          `msgpack:"pm" json:"promise_ms"`
-	OpeningMs             int64          `msgpack:"o" json:"opening_ms"`
-	OpenJobs              []string       `msgpack:"j" json:"open"`   // jobs that are not whole, as far as there is room for them
-	OpenJobsOmitted       int            `msgpack:"m" json:"more"`   // and how many besides
-	Completed             int            `msgpack:"dn" json:"done"`  // jobs that are whole, and committed as that
-	CompletedAfterOpening int            `msgpack:"da" json:"after"` // of those, after the opening
-	LastCompletionMs      int64          `msgpack:"l" json:"last_ms"`
-	Cancelled             int            `msgpack:"x" json:"cancelled"`
-	Lost                  int            `msgpack:"u" json:"lost"`      // no record tells how they ended
-	LowerBound            bool           `msgpack:"al" json:"at_least"` // a leader may have ended more than it could note
-	Forecast              ForecastRecord `msgpack:"fc" json:"forecast"`
-	Reforecasts           []Reforecast   `msgpack:"rp" json:"replans"` // the last of them
-	ReforecastCount       int            `msgpack:"rn" json:"replanned"`
-}
-
-// Expected is a forecast as it was last made.
-type ForecastRecord struct {
-	MadeAtMs      int64  `msgpack:"at" json:"at_ms"`
-	FinishMs      int64  `msgpack:"f" json:"finish_ms"` // 0: never, as things are
-	LatestStartMs int64  `msgpack:"l" json:"latest_start_ms"`
-	AtRisk        bool   `msgpack:"r" json:"at_risk"`
-	Reason        string `msgpack:"w" json:"why,omitempty"`
-}
-
-// Replan is a forecast that was made again, and why.
-type Reforecast struct {
-	AtMs     int64  `msgpack:"at" json:"at_ms"`
-	Cause    string `msgpack:"c" json:"cause"`
-	FinishMs int64  `msgpack:"f" json:"finish_ms"`
-	AtRisk   bool   `msgpack:"r" json:"at_risk"`
-	Machines int    `msgpack:"m" json:"machines"`
-	Jobs     int    `msgpack:"j" json:"jobs"` // all of the night
-}
-
-// How a night came out.
-const (
-	ResultMet        = "met"
-	ResultLate       = "late"       // whole before the opening, but after what was promised
-	ResultIncomplete = "incomplete" // at the opening, not all was whole
-	ResultWithdrawn  = "withdrawn"  // a plan was applied that has no such night
-)
-
-// Outcome is how a night came out. It is decided once.
-type Outcome struct {
-	Date        string `msgpack:"d" json:"date"`
-	DeadlineMs  int64  `msgpack:"pm" json:"promise_ms"`
-	OpeningMs   int64  `msgpack:"o" json:"opening_ms"`
-	Result      string `msgpack:"h" json:"how"`
-	LateMs      int64  `msgpack:"l" json:"late_ms"`
-	Completed   int    `msgpack:"dn" json:"done"` // by the opening
-	Jobs        int    `msgpack:"a" json:"all"`
-	LowerBound  bool   `msgpack:"al" json:"at_least"`
-	DecidedAtMs int64  `msgpack:"at" json:"decided_ms"`
-	DecidedBy   uint64 `msgpack:"by" json:"by"` // the token of the leader that decided
-}
-
-// Bounds of a record: with all of them reached it takes about 8 KB, the ids of
-// open jobs left out.
-const (
-	maxPastOutcomes = 20
-	maxReforecasts  = 8
-	maxOpenWindows  = 4
-)
-
-// Book keeps a region's nights: what a leader knows of them beyond the record.
+// Schedule is a leader's state of a region's batch windows: the record, and the open jobs by
+// id. The leader reports what becomes of jobs, and commits Record whenever Generation has
+// grown. Invariant: openJobs has a set for each open window of the record, and no other.
 type Schedule struct {
 	record       Record
-	openJobs     map[string]map[string]bool // by date: jobs that are not whole, in the leader's model
-	unresolved   map[string]string          // jobs that an earlier leader left open, and that are over since: their nights' dates
+	openJobs     map[string]map[string]bool // ids of unfinished jobs in the leader's model, by date
+	unresolved   map[string]string          // jobs that an earlier leader left open and that are over: the dates of their windows
 	fencingToken uint64
 
 	settleDelay time.Duration
 	generation  uint64 // counts changes that are to be committed
 }
 
-// NewBook opens a region's book for the leader of a token. was is what earlier
-// leaders left; settle is for how long after a moment something accepted before
-// it may still come to be known.
-func NewSchedule(region string, was Record, token uint64, settle time.Duration) *Schedule {
-	was.Region, was.Windows, was.Past = region, slices.Clone(was.Windows), slices.Clone(was.Past)
-	b := &Schedule{record: was, openJobs: map[string]map[string]bool{}, unresolved: map[string]string{}, fencingToken: token, settleDelay: settle}
-	for i := range b.record.Windows {
-		n := &b.record.Windows[i]
-		n.LowerBound = true
-		b.openJobs[n.Date] = map[string]bool{}
-		for _, id := range n.OpenJobs {
-			b.unresolved[id] = n.Date
+// NewSchedule continues a region's schedule from the record that earlier leaders committed.
+// settleDelay is for how long after a time a job accepted before it may still become known;
+// no window is closed within it.
+func NewSchedule(region string, record Record, fencingToken uint64, settleDelay time.Duration) *Schedule {
+	record.Region, record.Windows, record.Past = region, slices.Clone(record.Windows), slices.Clone(record.Past)
+	s := &Schedule{record: record, openJobs: map[string]map[string]bool{}, unresolved: map[string]string{}, fencingToken: fencingToken, settleDelay: settleDelay}
+	for i := range s.record.Windows {
+		w := &s.record.Windows[i]
+		w.LowerBound = true
+		s.openJobs[w.Date] = map[string]bool{}
+		for _, id := range w.OpenJobs {
+			s.unresolved[id] = w.Date
 		}
 	}
-	return b
+	return s
 }
 
-// Gen grows with each change that is to be committed.
-func (b *Schedule) Generation() uint64 { return b.generation }
+// Generation grows with each change that is to be committed.
+func (s *Schedule) Generation() uint64 { return s.generation }
 
-// held finds the night of a date, or begins it. Nights that are decided, and those
-// before them, are never begun again.
-func (b *Schedule) findOrOpen(n Window) *OpenWindow {
-	if h := b.find(n.Date); h != nil {
-		return h
+// findOrOpen returns the open window of a batch window, which it opens if need be; nil if it
+// must not be opened: windows that are decided, and those before them, never open again.
+func (s *Schedule) findOrOpen(window Window) *OpenWindow {
+	if open := s.find(window.Date); open != nil {
+		return open
 	}
-	if n.Opening.UnixMilli() <= b.record.LastClosedOpeningMs || len(b.record.Windows) >= maxOpenWindows ||
-		slices.ContainsFunc(b.record.Past, func(o Outcome) bool { return o.Date == n.Date && o.Result != ResultWithdrawn }) {
+	if window.Opening.UnixMilli() <= s.record.LastClosedOpeningMs || len(s.record.Windows) >= maxOpenWindows ||
+		slices.ContainsFunc(s.record.Past, func(o Outcome) bool { return o.Date == window.Date && o.Result != ResultWithdrawn }) {
 		return nil
 	}
-	b.record.Windows = append(b.record.Windows, OpenWindow{Date: n.Date, StartMs: n.Start.UnixMilli(), DeadlineMs: n.Deadline.UnixMilli(), OpeningMs: n.Opening.UnixMilli()})
-	slices.SortFunc(b.record.Windows, func(x, y OpenWindow) int { return int(min(1, max(-1, x.OpeningMs-y.OpeningMs))) })
-	b.openJobs[n.Date] = map[string]bool{}
-	b.generation++
-	return b.find(n.Date)
+	s.record.Windows = append(s.record.Windows, OpenWindow{Date: window.Date, StartMs: window.Start.UnixMilli(),
+		DeadlineMs: window.Deadline.UnixMilli(), OpeningMs: window.Opening.UnixMilli()})
+	slices.SortFunc(s.record.Windows, func(x, y OpenWindow) int { return cmp.Compare(x.OpeningMs, y.OpeningMs) })
+	s.openJobs[window.Date] = map[string]bool{}
+	s.generation++
+	return s.find(window.Date)
 }
 
-func (b *Schedule) find(date string) *OpenWindow {
-	for i := range b.record.Windows {
-		if b.record.Windows[i].Date == date {
-			return &b.record.Windows[i]
+func (s *Schedule) find(date string) *OpenWindow {
+	for i := range s.record.Windows {
+		if s.record.Windows[i].Date == date {
+			return &s.record.Windows[i]
 		}
 	}
 	return nil
 }
 
-// See takes in which jobs are not whole now, by their nights. Those that were
-// there before, and have not ended by Ended, were cancelled, or belong elsewhere.
-func (b *Schedule) ObserveOpenJobs(jobs map[string]Window) {
-	for id, n := range jobs {
-		if b.findOrOpen(n) == nil {
+// ObserveOpenJobs sets the unfinished jobs, with the batch window of each. Jobs that were
+// open before and have not been passed to RecordCompletion have been cancelled, or belong to
+// another window now.
+func (s *Schedule) ObserveOpenJobs(jobs map[string]Window) {
+	for id, window := range jobs {
+		if s.findOrOpen(window) == nil {
 			continue
 		}
-		if open := b.openJobs[n.Date]; !open[id] {
+		if open := s.openJobs[window.Date]; !open[id] {
 			open[id] = true
-			b.generation++
+			s.generation++
 		}
-		delete(b.unresolved, id)
+		delete(s.unresolved, id)
 	}
-	for i := range b.record.Windows {
-		n := &b.record.Windows[i]
-		for id := range b.openJobs[n.Date] {
-			now, still := jobs[id]
-			if !still {
-				n.Cancelled++
-				b.generation++
+	for i := range s.record.Windows {
+		w := &s.record.Windows[i]
+		for id := range s.openJobs[w.Date] {
+			window, open := jobs[id]
+			if !open {
+				w.Cancelled++
+				s.generation++
 			}
-			if now.Date != n.Date {
-				delete(b.openJobs[n.Date], id)
+			if window.Date != w.Date {
+				delete(s.openJobs[w.Date], id)
 			}
 		}
 	}
 }
 
-// Ended takes in that a job is whole, and that this is committed.
-func (b *Schedule) RecordCompletion(id string, n Window, at time.Time) {
-	h := b.findOrOpen(n)
-	if h == nil {
+// RecordCompletion counts a job whose completion is committed.
+func (s *Schedule) RecordCompletion(id string, window Window, completedAt time.Time) {
+	w := s.findOrOpen(window)
+	if w == nil {
 		return
 	}
-	delete(b.openJobs[n.Date], id)
-	delete(b.unresolved, id)
-	b.countCompletion(h, at.UnixMilli())
-}
-
-func (b *Schedule) countCompletion(h *OpenWindow, atMs int64) {
-	h.Completed++
-	h.LastCompletionMs = max(h.LastCompletionMs, atMs)
-	if atMs > h.OpeningMs {
-		h.CompletedAfterOpening++
+	delete(s.openJobs[window.Date], id)
+	delete(s.unresolved, id)
+	w.Completed++
+	w.LastCompletionMs = max(w.LastCompletionMs, completedAt.UnixMilli())
+	if completedAt.UnixMilli() > w.OpeningMs {
+		w.CompletedAfterOpening++
 	}
-	b.generation++
+	s.generation++
 }
 
-// Unknown lists jobs that an earlier leader left open and that are over since: who
-// keeps the book must be told how they ended.
-func (b *Schedule) UnresolvedJobs() []string {
-	out := make([]string, 0, len(b.unresolved))
-	for id := range b.unresolved {
-		out = append(out, id)
+// UnresolvedJobs lists jobs that an earlier leader left open and that are over. The owner of
+// the schedule looks up how each has ended, and passes that to ResolveJob.
+func (s *Schedule) UnresolvedJobs() []string {
+	ids := make([]string, 0, len(s.unresolved))
+	for id := range s.unresolved {
+		ids = append(ids, id)
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(ids)
+	return ids
 }
 
-// How a job of which nothing was known has ended.
+// JobEnd is how an unresolved job has ended.
 type JobEnd int
 
-// Ends of jobs.
+// Ends of unresolved jobs.
 const (
 	EndCompleted JobEnd = iota
-	EndCancelled        // cancelled by its user
-	EndUnknown          // no record tells
+	EndCancelled
+	EndUnknown // there is no record of its end
 )
 
-// Told takes in how a job ended that was asked for: of one that is whole, to which
-// night of the region it belongs, if it still does, and when it ended.
-func (b *Schedule) ResolveJob(id string, how JobEnd, n Window, belongs bool, at time.Time) {
-	h := b.find(b.unresolved[id])
-	delete(b.unresolved, id)
-	b.generation++
+// ResolveJob sets how an unresolved job has ended. For a completed one, window is the batch
+// window of the region that it belongs to, the zero Window if it belongs to none, and endedAt
+// is when it ended.
+func (s *Schedule) ResolveJob(id string, end JobEnd, window Window, endedAt time.Time) {
+	w := s.find(s.unresolved[id])
+	delete(s.unresolved, id)
+	s.generation++
 	switch {
-	case how == EndCompleted && belongs:
-		b.RecordCompletion(id, n, at)
-	case h == nil:
-	case how == EndCancelled:
-		h.Cancelled++
-	case how == EndUnknown:
-		h.Lost++
+	case end == EndCompleted && !window.isNone():
+		s.RecordCompletion(id, window, endedAt)
+	case w == nil:
+	case end == EndCancelled:
+		w.Cancelled++
+	case end == EndUnknown:
+		w.Lost++
 	}
 }
 
-// Replan brings the nights in line with a region's new openings. A night keeps
-// its date where there is one, takes the one that its evening now leads to where
-// not, and is withdrawn where there is neither. Which jobs belong to each is to be
-// seen anew.
-func (b *Schedule) Reschedule(r *Region, now time.Time) {
-	was := b.record.Windows
-	b.record.Windows, b.openJobs = nil, map[string]map[string]bool{}
-	b.generation += uint64(len(was))
-	for i := range was {
-		h := was[i]
-		n, ok := Window{}, false
-		if r != nil {
-			if n, ok = r.WindowOn(h.Date); !ok {
-				n, ok = r.WindowAt(time.UnixMilli(h.StartMs))
-			}
-		}
+// Reschedule moves the open windows to a region's new openings. A window keeps its date if
+// that still has a window, takes the date of the window that its start is in now if not, and
+// is withdrawn if there is neither. The jobs of each are to be observed anew.
+func (s *Schedule) Reschedule(region *Region, now time.Time) {
+	previous := s.record.Windows
+	s.record.Windows, s.openJobs = nil, map[string]map[string]bool{}
+	s.generation += uint64(len(previous))
+	for i := range previous {
+		w := previous[i]
+		window, ok := rescheduled(&w, region)
 		if !ok {
-			b.closeWindow(&h, ResultWithdrawn, 0, now)
+			s.closeWindow(&w, ResultWithdrawn, 0, now)
 			continue
 		}
-		for id, date := range b.unresolved {
-			if date == h.Date {
-				b.unresolved[id] = n.Date
+		for id, date := range s.unresolved {
+			if date == w.Date {
+				s.unresolved[id] = window.Date
 			}
 		}
-		h.Date, h.StartMs, h.DeadlineMs, h.OpeningMs = n.Date, n.Start.UnixMilli(), n.Deadline.UnixMilli(), n.Opening.UnixMilli()
-		b.openJobs[h.Date] = map[string]bool{}
-		if into := b.find(h.Date); into != nil {
-			into.Completed, into.CompletedAfterOpening, into.LastCompletionMs = into.Completed+h.Completed, into.CompletedAfterOpening+h.CompletedAfterOpening, max(into.LastCompletionMs, h.LastCompletionMs)
-			into.Cancelled, into.Lost, into.LowerBound = into.Cancelled+h.Cancelled, into.Lost+h.Lost, into.LowerBound || h.LowerBound
+		w.Date, w.StartMs, w.DeadlineMs, w.OpeningMs = window.Date, window.Start.UnixMilli(), window.Deadline.UnixMilli(), window.Opening.UnixMilli()
+		s.openJobs[w.Date] = map[string]bool{}
+		if same := s.find(w.Date); same != nil {
+			same.addCounts(&w)
 			continue
 		}
-		b.record.Windows = append(b.record.Windows, h)
+		s.record.Windows = append(s.record.Windows, w)
+	}
+}
+
+// rescheduled returns the batch window that takes the place of an open one in a region with
+// new openings; false if there is none.
+func rescheduled(w *OpenWindow, region *Region) (Window, bool) {
+	if region == nil {
+		return Window{}, false
+	}
+	if window, ok := region.WindowOn(w.Date); ok {
+		return window, true
 	}
+	return region.WindowAt(time.UnixMilli(w.StartMs))
 }
 
-// flipsApart is how far apart changes between at risk and not are recorded that
-// nothing else has caused.
+// minRiskChangeInterval is the least time after the last reforecast for one whose only cause
+// is that the risk has changed.
 const minRiskChangeInterval = time.Minute
 
-// Expected takes a forecast of a night in. A cause says why it was made again, and
-// is recorded with it; without one it only shows what is expected now.
-func (b *Schedule) RecordForecast(date string, f Forecast, cause string, machines int, now time.Time) {
-	h := b.find(date)
-	if h == nil {
+// RecordForecast sets the forecast of a batch window. With a cause it is recorded as a
+// reforecast; with "" it only replaces the last forecast, unless the risk has changed.
+func (s *Schedule) RecordForecast(date string, forecast Forecast, cause string, machines int, now time.Time) {
+	w := s.find(date)
+	if w == nil {
 		return
 	}
-	was := h.Forecast
-	if b.openJobCount(h) == 0 {
-		// Nothing of it is left, as far as it has come.
-		f = Forecast{Finish: time.UnixMilli(h.LastCompletionMs), LatestStart: f.LatestStart}
+	wasAtRisk := w.Forecast.AtRisk
+	if s.openJobCount(w) == 0 {
+		// All that is known of it is done.
+		forecast = Forecast{Finish: time.UnixMilli(w.LastCompletionMs), LatestStart: forecast.LatestStart}
 	}
-	h.Forecast = ForecastRecord{MadeAtMs: now.UnixMilli(), FinishMs: unixMilliOrZero(f.Finish), LatestStartMs: unixMilliOrZero(f.LatestStart), AtRisk: f.AtRisk, Reason: f.Reason}
-	if k := len(h.Reforecasts); cause == "" && was.AtRisk != f.AtRisk && k > 0 && now.UnixMilli()-h.Reforecasts[k-1].AtMs > minRiskChangeInterval.Milliseconds() {
+	w.Forecast = ForecastRecord{MadeAtMs: now.UnixMilli(), FinishMs: unixMilliOrZero(forecast.Finish), LatestStartMs: unixMilliOrZero(forecast.LatestStart),
+		AtRisk: forecast.AtRisk, Reason: forecast.Reason}
+	if cause == "" && wasAtRisk != forecast.AtRisk && w.riskChangeDue(now) {
 		cause = "goes faster than expected"
-		if f.AtRisk {
+		if forecast.AtRisk {
 			cause = "goes slower than expected"
 		}
 	}
 	if cause == "" {
 		return
 	}
-	h.ReforecastCount++
-	h.Reforecasts = append(h.Reforecasts, Reforecast{AtMs: now.UnixMilli(), Cause: cause, FinishMs: h.Forecast.FinishMs, AtRisk: f.AtRisk, Machines: machines, Jobs: b.jobCount(h)})
-	h.Reforecasts = h.Reforecasts[max(0, len(h.Reforecasts)-maxReforecasts):]
-	b.generation++
+	w.ReforecastCount++
+	w.Reforecasts = append(w.Reforecasts, Reforecast{AtMs: now.UnixMilli(), Cause: cause, FinishMs: w.Forecast.FinishMs, AtRisk: forecast.AtRisk,
+		Machines: machines, Jobs: s.jobCount(w)})
+	w.Reforecasts = w.Reforecasts[max(0, len(w.Reforecasts)-maxReforecasts):]
+	s.generation++
+}
+
+// riskChangeDue reports whether the last reforecast is long enough ago.
+func (w *OpenWindow) riskChangeDue(now time.Time) bool {
+	k := len(w.Reforecasts)
+	return k > 0 && now.UnixMilli()-w.Reforecasts[k-1].AtMs > minRiskChangeInterval.Milliseconds()
 }
 
 func unixMilliOrZero(t time.Time) int64 {
@@ -302,140 +238,132 @@
 	return t.UnixMilli()
 }
 
-// left is how many jobs of a night are not known to be over.
-func (b *Schedule) openJobCount(h *OpenWindow) int {
-	n := len(b.openJobs[h.Date])
-	for _, date := range b.unresolved {
-		if date == h.Date {
-			n++
+// openJobCount is how many jobs of a batch window are not known to be over.
+func (s *Schedule) openJobCount(w *OpenWindow) int {
+	return len(s.openJobs[w.Date]) + s.unresolvedCount(w.Date)
+}
+
+func (s *Schedule) unresolvedCount(date string) int {
+	count := 0
+	for _, d := range s.unresolved {
+		if d == date {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-func (b *Schedule) jobCount(h *OpenWindow) int { return b.openJobCount(h) + h.Completed + h.Lost }
+func (s *Schedule) jobCount(w *OpenWindow) int { return s.openJobCount(w) + w.Completed + w.Lost }
 
-// Close decides the nights whose time has come, and returns those decided. It waits
-// for what it must be told first, and for what may still come to be known.
-func (b *Schedule) CloseDue(now time.Time) (out []Outcome) {
-	keep := b.record.Windows[:0]
-	for i := range b.record.Windows {
-		h := b.record.Windows[i]
-		if how, late, ok := b.decideResult(&h, now.Add(-b.settleDelay).UnixMilli()); ok {
-			out = append(out, b.closeWindow(&h, how, late, now))
+// CloseDue closes the batch windows whose result can be decided, and returns their outcomes.
+// It waits for the settle delay, and until no job of the window is unresolved.
+func (s *Schedule) CloseDue(now time.Time) (outcomes []Outcome) {
+	open := s.record.Windows[:0]
+	for i := range s.record.Windows {
+		w := s.record.Windows[i]
+		if result, lateMs, ok := s.decideResult(&w, now.Add(-s.settleDelay).UnixMilli()); ok {
+			outcomes = append(outcomes, s.closeWindow(&w, result, lateMs, now))
 			continue
 		}
-		keep = append(keep, h)
+		open = append(open, w)
 	}
-	b.record.Windows = keep
-	if len(out) > 0 {
-		b.generation++
+	s.record.Windows = open
+	if len(outcomes) > 0 {
+		s.generation++
 	}
-	return out
+	return outcomes
 }
 
-func (b *Schedule) decideResult(h *OpenWindow, nowMs int64) (how string, late int64, ok bool) {
-	if nowMs < h.DeadlineMs {
+// decideResult returns the result of a batch window, and by how much it is late; false if it
+// can't be decided yet. nowMs is the time up to which all accepted jobs are known.
+func (s *Schedule) decideResult(w *OpenWindow, nowMs int64) (result Result, lateMs int64, ok bool) {
+	if nowMs < w.DeadlineMs || s.unresolvedCount(w.Date) > 0 {
 		return "", 0, false
 	}
-	for _, date := range b.unresolved {
-		if date == h.Date {
-			return "", 0, false
-		}
-	}
-	open := b.openJobCount(h) + h.Lost
+	unfinished := s.openJobCount(w) + w.Lost
 	switch {
-	case open == 0 && h.LastCompletionMs <= h.DeadlineMs:
+	case unfinished == 0 && w.LastCompletionMs <= w.DeadlineMs:
 		return ResultMet, 0, true
-	case open == 0 && h.LastCompletionMs <= h.OpeningMs:
-		return ResultLate, h.LastCompletionMs - h.DeadlineMs, true
-	case open > 0 && nowMs < h.OpeningMs:
+	case unfinished == 0 && w.LastCompletionMs <= w.OpeningMs:
+		return ResultLate, w.LastCompletionMs - w.DeadlineMs, true
+	case unfinished > 0 && nowMs < w.OpeningMs:
 		return "", 0, false
 	}
 	return ResultIncomplete, 0, true
 }
 
-// close takes a night off the book. One to which nothing belonged leaves no trace.
-func (b *Schedule) closeWindow(h *OpenWindow, how string, late int64, now time.Time) Outcome {
-	o := Outcome{Date: h.Date, DeadlineMs: h.DeadlineMs, OpeningMs: h.OpeningMs, Result: how, LateMs: late,
-		Completed: h.Completed - h.CompletedAfterOpening, Jobs: b.jobCount(h), LowerBound: h.LowerBound, DecidedAtMs: now.UnixMilli(), DecidedBy: b.fencingToken}
-	delete(b.openJobs, h.Date)
-	if how != ResultWithdrawn {
-		b.record.LastClosedOpeningMs = max(b.record.LastClosedOpeningMs, h.OpeningMs)
+// closeWindow records the outcome of a batch window. One without jobs leaves none.
+func (s *Schedule) closeWindow(w *OpenWindow, result Result, lateMs int64, now time.Time) Outcome {
+	outcome := Outcome{Date: w.Date, DeadlineMs: w.DeadlineMs, OpeningMs: w.OpeningMs, Result: result, LateMs: lateMs,
+		Completed: w.Completed - w.CompletedAfterOpening, Jobs: s.jobCount(w), LowerBound: w.LowerBound, DecidedAtMs: now.UnixMilli(), DecidedBy: s.fencingToken}
+	delete(s.openJobs, w.Date)
+	if result != ResultWithdrawn {
+		s.record.LastClosedOpeningMs = max(s.record.LastClosedOpeningMs, w.OpeningMs)
 	}
-	if o.Jobs > 0 {
-		b.record.Past = append(b.record.Past, o)
-		b.record.Past = b.record.Past[max(0, len(b.record.Past)-maxPastOutcomes):]
+	if outcome.Jobs > 0 {
+		s.record.Past = append(s.record.Past, outcome)
+		s.record.Past = s.record.Past[max(0, len(s.record.Past)-maxPastOutcomes):]
 	}
-	return o
+	return outcome
 }
 
-// Record is the book as it is to be committed, a copy. The ids of open jobs take
-// at most so many bytes.
-func (b *Schedule) Record(now time.Time, most int) Record {
-	rec := b.record
-	rec.SavedAtMs = now.UnixMilli()
-	rec.Windows, rec.Past = slices.Clone(rec.Windows), slices.Clone(rec.Past)
-	for i := range rec.Windows {
-		n := &rec.Windows[i]
-		n.Reforecasts = slices.Clone(n.Reforecasts)
-		var ids []string
-		for id := range b.openJobs[n.Date] {
-			ids = append(ids, id)
-		}
-		for id, date := range b.unresolved {
-			if date == n.Date {
-				ids = append(ids, id)
-			}
-		}
-		slices.Sort(ids)
+// jobIDOverhead is how many bytes an id takes in a record besides its text.
+const jobIDOverhead = 3
+
+// Record returns a copy of the record, to be committed. The ids of open jobs take at most so
+// many bytes of it together.
+func (s *Schedule) Record(now time.Time, maxIDBytes int) Record {
+	record := s.record
+	record.SavedAtMs = now.UnixMilli()
+	record.Windows, record.Past = slices.Clone(record.Windows), slices.Clone(record.Past)
+	for i := range record.Windows {
+		w := &record.Windows[i]
+		w.Reforecasts = slices.Clone(w.Reforecasts)
+		ids := s.openJobIDs(w.Date)
 		fit := 0
-		for fit < len(ids) && len(ids[fit])+3 <= most {
-			most -= len(ids[fit]) + 3
+		for fit < len(ids) && len(ids[fit])+jobIDOverhead <= maxIDBytes {
+			maxIDBytes -= len(ids[fit]) + jobIDOverhead
 			fit++
 		}
-		n.OpenJobs, n.OpenJobsOmitted = ids[:fit], len(ids)-fit
+		w.OpenJobs, w.OpenJobsOmitted = ids[:fit], len(ids)-fit
 	}
-	return rec
+	return record
 }
 
-// All is how many jobs belong to the night, those cancelled left out.
-func (h *OpenWindow) JobCount() int {
-	return len(h.OpenJobs) + h.OpenJobsOmitted + h.Completed + h.Lost
-}
-
-// String says in a few words how a night came out.
-func (o *Outcome) String() string {
-	least := ""
-	if o.LowerBound {
-		least = "at least "
+// openJobIDs lists the jobs of a batch window that are not known to be over, sorted.
+func (s *Schedule) openJobIDs(date string) []string {
+	var ids []string
+	for id := range s.openJobs[date] {
+		ids = append(ids, id)
 	}
-	s := fmt.Sprintf("%s %s, %s%d of %d done", o.Date, o.Result, least, o.Completed, o.Jobs)
-	if o.Result == ResultLate {
-		s += fmt.Sprintf(", %v late", (time.Duration(o.LateMs) * time.Millisecond).Round(time.Second))
+	for id, d := range s.unresolved {
+		if d == date {
+			ids = append(ids, id)
+		}
 	}
-	return s
+	slices.Sort(ids)
+	return ids
 }
 
-// UnderWay says whether a night is not decided yet.
-func (b *Schedule) HasOpenWindows() bool { return len(b.record.Windows) > 0 }
+// HasOpenWindows reports whether a batch window is open.
+func (s *Schedule) HasOpenWindows() bool { return len(s.record.Windows) > 0 }
 
-// Promised lists the nights that are not decided yet.
-func (b *Schedule) OpenWindows() []Window {
-	var out []Window
-	for i := range b.record.Windows {
-		h := &b.record.Windows[i]
-		out = append(out, Window{Date: h.Date, Start: time.UnixMilli(h.StartMs), Deadline: time.UnixMilli(h.DeadlineMs), Opening: time.UnixMilli(h.OpeningMs)})
+// OpenWindows lists the open batch windows, earliest opening first.
+func (s *Schedule) OpenWindows() []Window {
+	var windows []Window
+	for i := range s.record.Windows {
+		w := &s.record.Windows[i]
+		windows = append(windows, Window{Date: w.Date, Start: time.UnixMilli(w.StartMs), Deadline: time.UnixMilli(w.DeadlineMs), Opening: time.UnixMilli(w.OpeningMs)})
 	}
-	return out
+	return windows
 }
 
-// Count is how many jobs are known of a night, those cancelled left out, and how
-// many of them are not known to be over.
-func (b *Schedule) JobCounts(date string) (all, left int) {
-	h := b.find(date)
-	if h == nil {
+// JobCounts returns how many jobs of a batch window are known, without the cancelled ones,
+// and how many of them are not known to be over.
+func (s *Schedule) JobCounts(date string) (all, open int) {
+	w := s.find(date)
+	if w == nil {
 		return 0, 0
 	}
-	return b.jobCount(h), b.openJobCount(h)
+	return s.jobCount(w), s.openJobCount(w)
 }
--- a/calendar/schedule_test.go
+++ b/calendar/schedule_test.go
@@ -51,7 +51,7 @@
 		name      string
 		ends      []float64 // hours after 22:00 UTC; 0: never
 		at        float64   // when it is decided
-		how       string
+		how       Result
 		late      time.Duration
 		done, all int
 	}{
@@ -104,9 +104,9 @@
 		ends := map[string]time.Time{"a": after(hour), "b": after(2 * hour), "c": after(8.75 * hour)}
 		for _, id := range b.UnresolvedJobs() {
 			if end, ok := ends[id]; ok {
-				b.ResolveJob(id, EndCompleted, n, true, end)
+				b.ResolveJob(id, EndCompleted, n, end)
 			} else {
-				b.ResolveJob(id, EndCancelled, Window{}, false, time.Time{})
+				b.ResolveJob(id, EndCancelled, Window{}, time.Time{})
 			}
 		}
 		out := b.CloseDue(after(8.9 * hour))
@@ -135,7 +135,7 @@
 	if ids := b.UnresolvedJobs(); !slices.Equal(ids, []string{"b"}) {
 		t.Fatalf("asks for %v", ids)
 	}
-	b.ResolveJob("b", EndUnknown, Window{}, false, time.Time{})
+	b.ResolveJob("b", EndUnknown, Window{}, time.Time{})
 	if out := b.CloseDue(after(9 * hour)); len(out) != 1 || out[0].Result != ResultIncomplete || out[0].Completed != 1 || out[0].Jobs != 2 || !out[0].LowerBound {
 		t.Errorf("%+v", out)
 	}
@@ -234,7 +234,7 @@
 // decides, the outcome is that of the jobs' real ends.
 func TestRandomWindowsDecideByActualJobEnds(t *testing.T) {
 	n := night(t, oneRegion(t, "", ""))
-	seen := map[string]int{}
+	seen := map[Result]int{}
 	for seed := range uint64(1000) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
 		b := NewSchedule("brussels", Record{}, 5, 0)
@@ -280,9 +280,9 @@
 				for _, id := range b.UnresolvedJobs() {
 					switch {
 					case cancelled[id]:
-						b.ResolveJob(id, EndCancelled, Window{}, false, now)
+						b.ResolveJob(id, EndCancelled, Window{}, now)
 					case !ends[id].IsZero():
-						b.ResolveJob(id, EndCompleted, n, true, ends[id])
+						b.ResolveJob(id, EndCompleted, n, ends[id])
 					}
 				}
 			case k == 7:
--- a/calendar/shortage.go
+++ b/calendar/shortage.go
@@ -6,165 +6,180 @@
 	"time"
 )
 
-// This file says how many places the nights lack, and until when more must be
-// ordered.
+// This file computes how many more places the batch windows need to meet their deadlines,
+// and until when these must be ordered.
 
-// Want is places, each room for the loads' usual task, that the nights lack.
+// Shortage is the number of places that are lacking, each with room for the loads' usual
+// task.
 type Shortage struct {
-	Places  int       // 0: they lack none, or more would not help
-	OrderBy time.Time // when so many must be ordered at the latest; after that, more are wanted
+	Places  int       // 0: none is lacking, or more would not help
+	OrderBy time.Time // the latest time at which so many suffice; after it, more are needed
 }
 
 const (
-	maxModelPlaces       = 256  // of more, several are followed as one
-	similarityRatio      = 1.25 // tasks that take as long within this are taken for alike
-	improvementTolerance = 0.05 // of what places can gain at all is let go for fewer of them
+	maxModelPlaces       = 256  // of more places, several are simulated as one unit
+	similarityRatio      = 1.25 // tasks are merged whose times differ by less than this factor
+	improvementTolerance = 0.05 // share of the possible improvement that is given up for fewer places
+	maxToleratedLateness = 20   // the tolerance is a share of at most this multiple of the lateness that stays
+	orderPrecision       = 1.0  // seconds to which the latest order is computed
+	closerLookRatio      = 4    // if fewer than 1/4 of the possible places are lacking, a finer model is used
 )
 
-// Ahead says how many places more keep the nights, if each is there boot seconds
-// after it is ordered; free is when each of the present ones can be had, in seconds
-// from now. At most so many are asked for. Of what can't be in time at all, it wants
-// what makes it the least late.
-func FindShortage(now time.Time, loads []Load, free []float64, boot float64, most int) Shortage {
+// FindShortage returns how many more places the loads need to meet their deadlines, if each
+// is there bootSeconds after it is ordered. free is when each of the present ones is free, in
+// seconds from now; at most maxPlaces are asked for. If the deadlines can't be met, the
+// shortage is what makes the lateness nearly as small as possible.
+func FindShortage(now time.Time, loads []Load, free []float64, bootSeconds float64, maxPlaces int) Shortage {
 	for {
-		a := newShortageModel(now, loads, free, boot, most)
-		w := a.shortage(now)
-		if a.placesPerUnit == 1 || w.Places == 0 || 4*w.Places > most {
-			return w
+		model := newShortageModel(now, loads, free, bootSeconds, maxPlaces)
+		shortage := model.shortage(now)
+		if model.placesPerUnit == 1 || shortage.Places == 0 || closerLookRatio*shortage.Places > maxPlaces {
+			return shortage
 		}
-		most = 2 * w.Places // looked at more closely
+		maxPlaces = 2 * shortage.Places // units are smaller in the next model
 	}
 }
 
-func (a *shortageModel) shortage(now time.Time) Shortage {
-	without := a.lateness(0, 0)
-	if without == 0 || a.maxUnits == 0 {
+// shortage searches for the smallest number of units that is good enough, and for the latest
+// time at which to order them.
+func (m *shortageModel) shortage(now time.Time) Shortage {
+	without := m.lateness(0, 0)
+	if without == 0 || m.maxUnits == 0 {
 		return Shortage{}
 	}
-	best := a.lateness(a.maxUnits, 0)
-	if best >= without {
+	accepted := m.lateness(m.maxUnits, 0)
+	if accepted >= without {
 		return Shortage{}
 	}
-	if best > 0 {
-		best += improvementTolerance * min(without-best, 20*best)
+	if accepted > 0 {
+		accepted += improvementTolerance * min(without-accepted, maxToleratedLateness*accepted)
 	}
-	low, high := 0, a.maxUnits // lacking, enough
-	for high-low > 1 {
-		if k := (low + high) / 2; a.lateness(k, 0) <= best {
-			high = k
+	tooFew, enough := 0, m.maxUnits
+	for enough-tooFew > 1 {
+		if units := (tooFew + enough) / 2; m.lateness(units, 0) <= accepted {
+			enough = units
 		} else {
-			low = k
+			tooFew = units
 		}
 	}
-	w := Shortage{Places: high * a.placesPerUnit, OrderBy: now}
-	if best > 0 {
-		return w // it is late as it is
+	shortage := Shortage{Places: enough * m.placesPerUnit, OrderBy: now}
+	if accepted > 0 {
+		return shortage // late even if ordered now
 	}
-	in, late := 0.0, a.lastDeadline
-	for late-in > 1 {
-		if d := (in + late) / 2; a.lateness(high, d) == 0 {
-			in = d
+	inTime, tooLate := 0.0, m.lastDeadline
+	for tooLate-inTime > orderPrecision {
+		if delay := (inTime + tooLate) / 2; m.lateness(enough, delay) == 0 {
+			inTime = delay
 		} else {
-			late = d
+			tooLate = delay
 		}
 	}
-	w.OrderBy = now.Add(seconds(in))
-	return w
+	shortage.OrderBy = now.Add(seconds(inTime))
+	return shortage
 }
 
-// aheads is nights' loads made small enough to be played a few dozen times: each
-// place stands for so many.
+// shortageModel is the loads of batch windows, made small enough to be simulated a few dozen
+// times. A unit is some places that are simulated as one.
 type shortageModel struct {
-	loads         []modelLoad // by what is promised
-	free          placeHeap
+	loads         []modelLoad // by deadline
+	free          placeHeap   // when each unit is free, sorted
 	bootSeconds   float64
 	placesPerUnit int
-	maxUnits      int     // places more, of that size
-	lastDeadline  float64 // until the last promise
+	maxUnits      int     // that may be added
+	lastDeadline  float64 // seconds from now
 }
 
+// modelLoad is a load with its batches in units.
 type modelLoad struct {
 	deadline float64 // seconds from now
-	running  float64
+	running  float64 // seconds until the last running task ends
 	batches  []Batch
 }
 
-func newShortageModel(now time.Time, loads []Load, free []float64, boot float64, most int) *shortageModel {
-	a := &shortageModel{bootSeconds: boot}
-	tasks := 0.0
+func newShortageModel(now time.Time, loads []Load, free []float64, bootSeconds float64, maxPlaces int) *shortageModel {
+	m := &shortageModel{bootSeconds: bootSeconds}
+	maxPlaces = min(maxPlaces, int(min(usefulPlaces(loads), math.MaxInt32)))
+	m.placesPerUnit = (len(free)+maxPlaces)/maxModelPlaces + 1
+	m.maxUnits = (maxPlaces + m.placesPerUnit - 1) / m.placesPerUnit
+	sorted := slices.Clone(free)
+	slices.Sort(sorted)
+	for i := m.placesPerUnit - 1; i < len(sorted); i += m.placesPerUnit {
+		m.free = append(m.free, sorted[i])
+	}
+	for i := range loads {
+		l := modelLoad{deadline: loads[i].Deadline.Sub(now).Seconds(), running: loads[i].RunningSeconds, batches: m.mergeSimilar(loads[i].Batches)}
+		m.lastDeadline = max(m.lastDeadline, l.deadline)
+		m.loads = append(m.loads, l)
+	}
+	// Loads whose deadlines differ by less than a second keep their order.
+	slices.SortStableFunc(m.loads, func(x, y modelLoad) int { return int(min(1, max(-1, x.deadline-y.deadline))) })
+	return m
+}
+
+// usefulPlaces is with how many places all tasks of the loads could run at the same time.
+func usefulPlaces(loads []Load) float64 {
+	places := 0.0
 	for i := range loads {
 		for _, b := range loads[i].Batches {
 			if !b.Blocked {
-				tasks += float64(b.Tasks) * max(1, math.Ceil(b.PlacesPerTask-0.01))
+				places += float64(b.Tasks) * max(1, wholePlaces(b.PlacesPerTask))
 			}
 		}
 	}
-	most = min(most, int(min(tasks, math.MaxInt32)))
-	a.placesPerUnit = (len(free)+most)/maxModelPlaces + 1
-	a.maxUnits = (most + a.placesPerUnit - 1) / a.placesPerUnit
-	sorted := slices.Clone(free)
-	slices.Sort(sorted)
-	for i := a.placesPerUnit - 1; i < len(sorted); i += a.placesPerUnit {
-		a.free = append(a.free, sorted[i])
-	}
-	for i := range loads {
-		l := modelLoad{deadline: loads[i].Deadline.Sub(now).Seconds(), running: loads[i].RunningSeconds, batches: a.mergeSimilar(loads[i].Batches)}
-		a.lastDeadline = max(a.lastDeadline, l.deadline)
-		a.loads = append(a.loads, l)
-	}
-	slices.SortStableFunc(a.loads, func(x, y modelLoad) int { return int(min(1, max(-1, x.deadline-y.deadline))) })
-	return a
+	return places
 }
 
-// alike puts batches together that take about as long.
-func (a *shortageModel) mergeSimilar(batches []Batch) []Batch {
-	type key struct{ wide, step int }
-	sums := map[key]*Batch{}
-	var keys []key
+// mergeSimilar merges batches of tasks that take about as long and as many places, and
+// converts them to units.
+func (m *shortageModel) mergeSimilar(batches []Batch) []Batch {
+	type similarity struct{ width, duration int }
+	sums := map[similarity]*Batch{}
+	var keys []similarity
 	for _, b := range batches {
 		if b.Blocked || b.Tasks == 0 {
 			continue
 		}
-		k := key{int(math.Ceil(b.PlacesPerTask - 0.01)), int(math.Log(max(b.Seconds, 1)) / math.Log(similarityRatio))}
-		s := sums[k]
-		if s == nil {
-			s = &Batch{}
-			sums[k], keys = s, append(keys, k)
+		key := similarity{int(wholePlaces(b.PlacesPerTask)), int(math.Log(max(b.Seconds, 1)) / math.Log(similarityRatio))}
+		sum := sums[key]
+		if sum == nil {
+			sum = &Batch{}
+			sums[key], keys = sum, append(keys, key)
 		}
-		n, m := float64(s.Tasks), float64(b.Tasks)
-		s.Seconds, s.PlacesPerTask = (s.Seconds*n+b.Seconds*m)/(n+m), (s.PlacesPerTask*n+b.PlacesPerTask*m)/(n+m)
-		s.Tasks += b.Tasks
+		before, added := float64(sum.Tasks), float64(b.Tasks)
+		sum.Seconds = (sum.Seconds*before + b.Seconds*added) / (before + added)
+		sum.PlacesPerTask = (sum.PlacesPerTask*before + b.PlacesPerTask*added) / (before + added)
+		sum.Tasks += b.Tasks
 	}
-	out := make([]Batch, 0, len(keys))
-	for _, k := range keys {
-		b := *sums[k]
-		if wide := math.Ceil(b.PlacesPerTask - 0.01); wide > 1 && a.placesPerUnit > 1 {
-			// A few of the places that stand for several have room for it.
-			b.Tasks, b.PlacesPerTask = int(math.Ceil(float64(b.Tasks)*wide/float64(a.placesPerUnit))), 1
+	merged := make([]Batch, 0, len(keys))
+	for _, key := range keys {
+		b := *sums[key]
+		if width := wholePlaces(b.PlacesPerTask); width > 1 && m.placesPerUnit > 1 {
+			// A few units have room for the task.
+			b.Tasks, b.PlacesPerTask = int(math.Ceil(float64(b.Tasks)*width/float64(m.placesPerUnit))), 1
 		} else {
-			b.Tasks = (b.Tasks + a.placesPerUnit - 1) / a.placesPerUnit
+			b.Tasks = (b.Tasks + m.placesPerUnit - 1) / m.placesPerUnit
 		}
-		out = append(out, b)
+		merged = append(merged, b)
 	}
-	return out
+	return merged
 }
 
-// late is by how many seconds the nights are late in all that can't be risked, with
-// so many places more that are ordered after a delay.
-func (a *shortageModel) lateness(more int, delay float64) float64 {
-	p := make(placeHeap, 0, len(a.free)+more)
-	p = append(p, a.free...)
-	for range more {
-		p = append(p, a.bootSeconds+delay)
+// lateness is by how many seconds the loads miss their deadlines together, the risk margin
+// included, with so many more units that are ordered after a delay.
+func (m *shortageModel) lateness(moreUnits int, delaySeconds float64) float64 {
+	places := make(placeHeap, 0, len(m.free)+moreUnits)
+	places = append(places, m.free...)
+	for range moreUnits {
+		places = append(places, m.bootSeconds+delaySeconds)
 	}
-	slices.Sort(p)
+	slices.Sort(places)
 	sum := 0.0
-	for i := range a.loads {
-		l := &a.loads[i]
-		if len(p) == 0 && len(l.batches) > 0 {
+	for i := range m.loads {
+		l := &m.loads[i]
+		if len(places) == 0 && len(l.batches) > 0 {
 			return math.Inf(1)
 		}
-		sum += max(0, max(l.running, p.serve(l.batches))*(1+riskMargin)-l.deadline)
+		sum += max(0, max(l.running, places.serve(l.batches))*(1+riskMargin)-l.deadline)
 	}
 	return sum
 }
--- a/calendar/view.go
+++ b/calendar/view.go
@@ -7,101 +7,116 @@
 	"time"
 )
 
-// View is what an operator is shown of a region.
+// View is a region's record as operators see it.
 type View struct {
 	Record
 	Zone          string `json:"zone"`
-	NextOpeningMs int64  `json:"next_opening_ms"` // 0: none within two months
-	Stale         bool   `json:"stale"`           // a night is under way, and nobody has looked after the record lately
+	NextOpeningMs int64  `json:"next_opening_ms"` // 0: none within the horizon
+	Stale         bool   `json:"stale"`           // a batch window is open, but no leader has updated the record lately
 }
 
-// NoteOf names a region's record among those of the plan's parts.
-func RecordName(region string) string { return "night." + region }
-
-// staleAfter is longer than a leader that leads leaves a night's record as it is,
-// also where records are written slowly.
+// staleAfter is longer than a leader leaves the record of an open batch window unchanged,
+// also while writes are slow.
 const staleAfter = 3 * time.Minute
 
-// View shows a record of the region's as it is now.
-func (r *Region) View(rec Record, now time.Time) View {
-	rec.Region = r.Name
-	v := View{Record: rec, Zone: r.loc.String()}
-	if n, ok := r.NextWindow(now); ok {
-		v.NextOpeningMs = n.Opening.UnixMilli()
+// View returns the view of the region's record at a time.
+func (r *Region) View(record Record, now time.Time) View {
+	record.Region = r.Name
+	v := View{Record: record, Zone: r.location.String()}
+	if next, ok := r.NextWindow(now); ok {
+		v.NextOpeningMs = next.Opening.UnixMilli()
 	}
-	v.Stale = len(rec.Windows) > 0 && now.Sub(time.UnixMilli(rec.SavedAtMs)) > staleAfter
+	v.Stale = len(record.Windows) > 0 && now.Sub(time.UnixMilli(record.SavedAtMs)) > staleAfter
 	return v
 }
 
-// Print writes regions as a table: of each, the nights under way and the last ones.
-func Print(out io.Writer, views []View, past int) error {
+// Print writes views as a table: of each region the open batch windows, and at most so many
+// past outcomes.
+func Print(out io.Writer, views []View, maxPast int) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for i := range views {
 		v := &views[i]
-		loc, err := time.LoadLocation(v.Zone)
+		location, err := time.LoadLocation(v.Zone)
 		if err != nil {
-			loc = time.UTC
-		}
-		clock := func(ms int64) string { return time.UnixMilli(ms).In(loc).Format("Mon 02 Jan 15:04 MST") }
-		head, opens := v.Region, "does not open within two months"
-		if v.NextOpeningMs != 0 {
-			opens = "opens " + clock(v.NextOpeningMs)
-		}
-		if v.Stale {
-			opens += "; STALE: as of " + time.UnixMilli(v.SavedAtMs).In(loc).Format(time.RFC3339) + ", nobody looks after it"
+			location = time.UTC
 		}
-		if len(v.Windows) == 0 {
-			opens += ", nothing is waited for"
-		}
-		fmt.Fprintf(w, "%s\t%s\n", head, opens)
+		p := regionPrinter{out: w, location: location}
+		p.printHead(v)
 		for k := range v.Windows {
-			n := &v.Windows[k]
-			fmt.Fprintf(w, "\t%s: opens %s, promised for %s: %s\n", n.Date, clock(n.OpeningMs), clock(n.DeadlineMs), n.counts())
-			fmt.Fprintf(w, "\t  %s\n", n.Forecast.format(clock))
-			for _, r := range n.Reforecasts {
-				finish := "never, as things are"
-				if r.FinishMs != 0 {
-					finish = clock(r.FinishMs)
-				}
-				fmt.Fprintf(w, "\t  %s %s: finish %s; jobs %d, machines %d\n", clock(r.AtMs), r.Cause, finish, r.Jobs, r.Machines)
-			}
-			if more := n.ReforecastCount - len(n.Reforecasts); more > 0 {
-				fmt.Fprintf(w, "\t  %d earlier forecasts are not kept\n", more)
-			}
+			p.printWindow(&v.Windows[k])
 		}
-		for _, o := range v.Past[max(0, len(v.Past)-past):] {
+		for _, o := range v.Past[max(0, len(v.Past)-maxPast):] {
 			fmt.Fprintf(w, "\t%s\n", o.String())
 		}
 	}
 	return w.Flush()
 }
 
-// counts says how much of a night is whole.
-func (n *OpenWindow) counts() string {
-	least := ""
-	if n.LowerBound {
-		least = "at least "
+// regionPrinter prints a region with times in its zone.
+type regionPrinter struct {
+	out      io.Writer
+	location *time.Location
+}
+
+func (p *regionPrinter) format(ms int64) string {
+	return time.UnixMilli(ms).In(p.location).Format("Mon 02 Jan 15:04 MST")
+}
+
+func (p *regionPrinter) printHead(v *View) {
+	opens := "does not open within two months"
+	if v.NextOpeningMs != 0 {
+		opens = "opens " + p.format(v.NextOpeningMs)
 	}
-	s := fmt.Sprintf("%s%d of %d jobs done", least, n.Completed, n.JobCount())
-	if n.Lost > 0 {
-		s += fmt.Sprintf(", %d lost", n.Lost)
+	if v.Stale {
+		opens += "; STALE: as of " + time.UnixMilli(v.SavedAtMs).In(p.location).Format(time.RFC3339) + ", nobody looks after it"
 	}
-	return s
+	if len(v.Windows) == 0 {
+		opens += ", nothing is waited for"
+	}
+	fmt.Fprintf(p.out, "%s\t%s\n", v.Region, opens)
 }
 
-func (e *ForecastRecord) format(clock func(int64) string) string {
+func (p *regionPrinter) printWindow(w *OpenWindow) {
+	fmt.Fprintf(p.out, "\t%s: opens %s, promised for %s: %s\n", w.Date, p.format(w.OpeningMs), p.format(w.DeadlineMs), w.countsText())
+	fmt.Fprintf(p.out, "\t  %s\n", p.forecastText(&w.Forecast))
+	for _, r := range w.Reforecasts {
+		finish := "never, as things are"
+		if r.FinishMs != 0 {
+			finish = p.format(r.FinishMs)
+		}
+		fmt.Fprintf(p.out, "\t  %s %s: finish %s; jobs %d, machines %d\n", p.format(r.AtMs), r.Cause, finish, r.Jobs, r.Machines)
+	}
+	if more := w.ReforecastCount - len(w.Reforecasts); more > 0 {
+		fmt.Fprintf(p.out, "\t  %d earlier forecasts are not kept\n", more)
+	}
+}
+
+func (p *regionPrinter) forecastText(f *ForecastRecord) string {
 	switch {
-	case e.MadeAtMs == 0:
+	case f.MadeAtMs == 0:
 		return "no forecast yet"
-	case e.FinishMs == 0:
-		return "AT RISK: " + e.Reason
+	case f.FinishMs == 0:
+		return "AT RISK: " + f.Reason
 	}
-	s := "finish " + clock(e.FinishMs)
-	if e.LatestStartMs != 0 {
-		s += ", latest start " + clock(e.LatestStartMs)
+	s := "finish " + p.format(f.FinishMs)
+	if f.LatestStartMs != 0 {
+		s += ", latest start " + p.format(f.LatestStartMs)
+	}
+	if f.AtRisk {
+		s = "AT RISK: " + s + ": " + f.Reason
+	}
+	return s
+}
+
+// countsText says how many jobs of the batch window are done.
+func (w *OpenWindow) countsText() string {
+	qualifier := ""
+	if w.LowerBound {
+		qualifier = "at least "
 	}
-	if e.AtRisk {
-		s = "AT RISK: " + s + ": " + e.Reason
+	s := fmt.Sprintf("%s%d of %d jobs done", qualifier, w.Completed, w.JobCount())
+	if w.Lost > 0 {
+		s += fmt.Sprintf(", %d lost", w.Lost)
 	}
 	return s
 }
--- a/calendar/view_test.go
+++ b/calendar/view_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("called stale after a minute:\n%s", fresh)
 	}
 	has(shown(rec, hour+staleAfter.Seconds()+1), "STALE: as of 2027-01-13T00:00:00+01:00")
-	b.ResolveJob("b", EndCompleted, n, true, n.Deadline.Add(90*time.Second))
+	b.ResolveJob("b", EndCompleted, n, n.Deadline.Add(90*time.Second))
 	if out := b.CloseDue(n.Opening); len(out) != 1 {
 		t.Fatalf("%+v", out)
 	}
--- a/calendar/window.go
+++ b/calendar/window.go
@@ -8,36 +8,39 @@
 	"github.com/rickar/cal/v2"
 )
 
-// Calendar is settings made ready. It remembers the holidays that it has worked
-// out, and so belongs to one goroutine at a time.
+// Calendar is made from checked settings. It caches the holidays of the years that it was
+// asked about, and so belongs to one goroutine at a time.
 type Calendar struct{ Regions []*Region }
 
 // Region is a region of a calendar.
 type Region struct {
 	Name string
 
-	loc        *time.Location
-	weekly     map[time.Weekday]timeOfDay
-	exceptions map[string]*timeOfDay // nil: closed
-	holidays   []*cal.Holiday
-	closed     map[string]bool // by date
-	years      map[int]bool    // whose holidays are in closed
-	evening    timeOfDay
-	margin     time.Duration
-	work       []Work
+	location       *time.Location
+	weeklyOpenings map[time.Weekday]timeOfDay
+	exceptions     map[string]*timeOfDay // by date; nil: closed
+	holidays       []*cal.Holiday
+	holidayDates   map[string]bool // of the years in holidayYears
+	holidayYears   map[int]bool
+	evening        timeOfDay
+	margin         time.Duration
+	work           []Work
 }
 
-// Night is the time before an opening in which that opening's work comes. Date is
-// the opening's in its region, and names the night.
+// Window is a batch window: the time before an opening in which jobs for that opening are
+// accepted. Date is the date of the opening in its region, and identifies the window.
 type Window struct {
 	Date                     string
 	Start, Deadline, Opening time.Time
 }
 
-// horizon is over how many days openings are looked for.
+// isNone reports whether a window is the zero value, which stands for no window.
+func (w Window) isNone() bool { return w.Date == "" }
+
+// openingHorizonDays is over how many days the next and the last opening are searched.
 const openingHorizonDays = 62
 
-// New makes settings ready, which must have been checked.
+// New makes a calendar from settings that Check has accepted.
 func New(s *Settings) (*Calendar, error) {
 	c := &Calendar{}
 	for i := range s.Regions {
@@ -51,34 +54,34 @@
 }
 
 func newRegion(s *RegionSettings) (*Region, error) {
-	loc, err := time.LoadLocation(s.Zone)
+	location, err := time.LoadLocation(s.Zone)
 	if err != nil {
 		return nil, err
 	}
-	r := &Region{Name: s.Name, loc: loc, weekly: map[time.Weekday]timeOfDay{}, exceptions: map[string]*timeOfDay{}, holidays: holidaysByCountry[s.Holidays],
-		closed: map[string]bool{}, years: map[int]bool{}, margin: time.Duration(s.MarginS * float64(time.Second)), work: s.Work}
+	r := &Region{Name: s.Name, location: location, weeklyOpenings: map[time.Weekday]timeOfDay{}, exceptions: map[string]*timeOfDay{},
+		holidays: holidaysByCountry[s.Holidays], holidayDates: map[string]bool{}, holidayYears: map[int]bool{}, margin: s.margin(), work: s.Work}
 	if r.evening, err = parseTimeOfDay(s.Evening); err != nil {
 		return nil, err
 	}
-	for day, at := range s.Open {
-		if r.weekly[weekdays[day]], err = parseTimeOfDay(at); err != nil {
+	for weekday, opening := range s.Open {
+		if r.weeklyOpenings[weekdays[weekday]], err = parseTimeOfDay(opening); err != nil {
 			return nil, err
 		}
 	}
 	for _, e := range s.Exceptions {
 		r.exceptions[e.Date] = nil
 		if e.Open != "" {
-			at, err := parseTimeOfDay(e.Open)
+			opening, err := parseTimeOfDay(e.Open)
 			if err != nil {
 				return nil, err
 			}
-			r.exceptions[e.Date] = &at
+			r.exceptions[e.Date] = &opening
 		}
 	}
 	return r, nil
 }
 
-// Region finds a region by its name.
+// Region finds a region by its name; nil if there is none.
 func (c *Calendar) Region(name string) *Region {
 	if i := slices.IndexFunc(c.Regions, func(r *Region) bool { return r.Name == name }); i >= 0 {
 		return c.Regions[i]
@@ -86,134 +89,146 @@
 	return nil
 }
 
-// Of finds the night to which a job belongs that was accepted then: that of a
-// region which it is work of, and the one promised first where it is work of
-// several. It depends on nothing else, so that every leader finds the same.
-func (c *Calendar) WindowFor(at time.Time, class, team, zone, image string) (*Region, Window, bool) {
-	var in *Region
-	var night Window
+// WindowFor returns the batch window that a job belongs to, with its region; false if there
+// is none. Of several regions whose work it is, the one with the earliest deadline counts.
+// The result depends on nothing but the arguments and the settings, so that every leader
+// finds the same.
+func (c *Calendar) WindowFor(acceptedAt time.Time, job JobAttributes) (*Region, Window, bool) {
+	var region *Region
+	var window Window
 	for _, r := range c.Regions {
-		if !slices.ContainsFunc(r.work, func(w Work) bool { return w.Matches(class, team, zone, image) }) {
+		if !slices.ContainsFunc(r.work, func(w Work) bool { return w.Matches(job) }) {
 			continue
 		}
-		if n, ok := r.WindowAt(at); ok && (in == nil || n.Deadline.Before(night.Deadline)) {
-			in, night = r, n
+		if w, ok := r.WindowAt(acceptedAt); ok && (region == nil || w.Deadline.Before(window.Deadline)) {
+			region, window = r, w
 		}
 	}
-	return in, night, in != nil
+	return region, window, region != nil
 }
 
-// Night is the night that a moment falls into: from the evening hour after an
-// opening until what is promised for the next. What comes later than that is
-// too late for this opening, and too early for the next.
+// WindowAt returns the batch window that a time is in; false if it is in none, which is so
+// from a deadline until the evening after its opening: too late for this opening, too early
+// for the next.
 func (r *Region) WindowAt(t time.Time) (Window, bool) {
-	day := r.localDate(t)
+	date := r.localDate(t)
 	for range openingHorizonDays {
-		open, ok := r.opening(day)
-		if !ok || !open.After(t) {
-			day = day.AddDate(0, 0, 1)
+		opening, ok := r.opening(date)
+		if !ok || !opening.After(t) {
+			date = date.AddDate(0, 0, 1)
 			continue
 		}
-		n, ok := r.windowBefore(day, open)
-		return n, ok && !t.Before(n.Start) && t.Before(n.Deadline)
+		w, ok := r.windowBefore(date, opening)
+		return w, ok && !t.Before(w.Start) && t.Before(w.Deadline)
 	}
 	return Window{}, false
 }
 
-// On is the night before the opening on a date.
+// WindowOn returns the batch window before the opening on a date; false if there is none.
 func (r *Region) WindowOn(date string) (Window, bool) {
-	day, err := time.Parse(dateLayout, date)
+	parsed, err := time.Parse(dateLayout, date)
 	if err != nil {
 		return Window{}, false
 	}
-	open, ok := r.opening(day)
+	opening, ok := r.opening(parsed)
 	if !ok {
 		return Window{}, false
 	}
-	return r.windowBefore(day, open)
+	return r.windowBefore(parsed, opening)
 }
 
-// Next is the night of the next opening that has one.
+// NextWindow returns the batch window of the next opening that has one; false if there is
+// none within the horizon.
 func (r *Region) NextWindow(t time.Time) (Window, bool) {
-	day := r.localDate(t)
+	date := r.localDate(t)
 	for k := range openingHorizonDays {
-		if n, ok := r.WindowOn(day.AddDate(0, 0, k).Format(dateLayout)); ok && n.Opening.After(t) {
-			return n, true
+		if w, ok := r.WindowOn(date.AddDate(0, 0, k).Format(dateLayout)); ok && w.Opening.After(t) {
+			return w, true
 		}
 	}
 	return Window{}, false
 }
 
-// before is the night of an opening: it begins at the first evening hour after the
-// opening before, on a Friday as a rule where Monday's is the next.
-func (r *Region) windowBefore(day time.Time, open time.Time) (Window, bool) {
-	n := Window{Date: day.Format(dateLayout), Deadline: open.Add(-r.margin), Opening: open}
-	first := day.AddDate(0, 0, -openingHorizonDays)
-	n.Start = r.localTime(first, r.evening)
+// windowBefore returns the batch window of an opening on a date. It starts at the first
+// evening after the opening before: on a Friday, as a rule, for a Monday's opening. It is
+// false if the deadline would not be after the start.
+func (r *Region) windowBefore(date time.Time, opening time.Time) (Window, bool) {
+	w := Window{Date: date.Format(dateLayout), Deadline: opening.Add(-r.margin), Opening: opening}
+	w.Start = r.localTime(date.AddDate(0, 0, -openingHorizonDays), r.evening)
 	for k := 1; k < openingHorizonDays; k++ {
-		last := day.AddDate(0, 0, -k)
-		was, ok := r.opening(last)
+		earlier := date.AddDate(0, 0, -k)
+		previous, ok := r.opening(earlier)
 		if !ok {
 			continue
 		}
-		if n.Start = r.localTime(last, r.evening); n.Start.Before(was) {
-			n.Start = r.localTime(last.AddDate(0, 0, 1), r.evening)
+		if w.Start = r.localTime(earlier, r.evening); w.Start.Before(previous) {
+			w.Start = r.localTime(earlier.AddDate(0, 0, 1), r.evening)
 		}
 		break
 	}
-	return n, n.Start.Before(n.Deadline)
+	return w, w.Start.Before(w.Deadline)
 }
 
-// opening is when the office opens on a day.
-func (r *Region) opening(day time.Time) (time.Time, bool) {
-	date := day.Format(dateLayout)
-	if at, ok := r.exceptions[date]; ok {
-		if at == nil {
+// opening returns when the office opens on a date; false if it is closed.
+func (r *Region) opening(date time.Time) (time.Time, bool) {
+	name := date.Format(dateLayout)
+	if opening, ok := r.exceptions[name]; ok {
+		if opening == nil {
 			return time.Time{}, false
 		}
-		return r.localTime(day, *at), true
+		return r.localTime(date, *opening), true
 	}
-	if !r.years[day.Year()] {
-		r.years[day.Year()] = true
-		for _, h := range r.holidays {
-			if _, on := h.Calc(day.Year()); !on.IsZero() {
-				r.closed[on.Format(dateLayout)] = true
-			}
-		}
-	}
-	at, ok := r.weekly[day.Weekday()]
-	if !ok || r.closed[date] {
+	r.loadHolidays(date.Year())
+	opening, ok := r.weeklyOpenings[date.Weekday()]
+	if !ok || r.holidayDates[name] {
 		return time.Time{}, false
 	}
-	return r.localTime(day, at), true
+	return r.localTime(date, opening), true
+}
+
+// loadHolidays computes the holidays of a year once.
+func (r *Region) loadHolidays(year int) {
+	if r.holidayYears[year] {
+		return
+	}
+	r.holidayYears[year] = true
+	for _, h := range r.holidays {
+		if _, observed := h.Calc(year); !observed.IsZero() {
+			r.holidayDates[observed.Format(dateLayout)] = true
+		}
+	}
 }
 
-// day is the date in the region, as midnight UTC: days are counted there, where
-// each has 24 hours.
+// localDate returns the date of a time in the region, as midnight UTC: dates are counted in
+// UTC, where each day has 24 hours.
 func (r *Region) localDate(t time.Time) time.Time {
-	y, m, d := t.In(r.loc).Date()
+	y, m, d := t.In(r.location).Date()
 	return time.Date(y, m, d, 0, 0, 0, 0, time.UTC)
 }
 
-// at is the moment at which clocks in the region show a time. One that they show
-// twice is taken for the first, and one that they skip for when they do: an
-// office never opens before its night's promise is due.
-func (r *Region) localTime(day time.Time, c timeOfDay) time.Time {
-	wall := day.Add(time.Duration(c))
-	var first, skip time.Time
-	for _, near := range []time.Time{wall.Add(-26 * time.Hour), wall.Add(26 * time.Hour)} {
-		_, offset := near.In(r.loc).Zone()
+// offsetProbe is how far before and after a local time the offsets from UTC are looked up:
+// more than a day, since a time zone is up to 14 hours away from UTC.
+const offsetProbe = 26 * time.Hour
+
+// localTime returns when clocks in the region show a time of day. Of a time that they show
+// twice it is the first, and for one that they skip the moment of the change: an office
+// never opens before the deadline of its batch window.
+func (r *Region) localTime(date time.Time, clock timeOfDay) time.Time {
+	wall := date.Add(time.Duration(clock))
+	var first, skipped time.Time
+	for _, near := range []time.Time{wall.Add(-offsetProbe), wall.Add(offsetProbe)} {
+		_, offset := near.In(r.location).Zone()
 		t := wall.Add(-time.Duration(offset) * time.Second)
-		_, there := t.In(r.loc).Zone()
-		if there == offset && (first.IsZero() || t.Before(first)) {
+		_, actual := t.In(r.location).Zone()
+		if actual == offset && (first.IsZero() || t.Before(first)) {
 			first = t
 		}
-		if skip.IsZero() || t.Before(skip) {
-			skip = t
+		if skipped.IsZero() || t.Before(skipped) {
+			skipped = t
 		}
 	}
 	if first.IsZero() {
-		_, first = skip.In(r.loc).ZoneBounds()
+		_, first = skipped.In(r.location).ZoneBounds()
 	}
 	return first.UTC()
 }
--- a/calendar/window_test.go
+++ b/calendar/window_test.go
@@ -128,7 +128,7 @@
 		{"maps", "sfax", "", "x", "tunis"},
 		{"maps", "core", "b", "tiles-7", ""},
 	} {
-		r, _, ok := c.WindowFor(parseTime(t, "2027-01-12T21:00:00Z"), tc.class, tc.team, tc.zone, tc.image)
+		r, _, ok := c.WindowFor(parseTime(t, "2027-01-12T21:00:00Z"), JobAttributes{tc.class, tc.team, tc.zone, tc.image})
 		if ok != (tc.want != "") || ok && r.Name != tc.want {
 			t.Errorf("%+v: %v, %v", tc, r, ok)
 		}
--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -119,6 +119,11 @@
 	return &windowSchedule{Schedule: calendar.NewSchedule(region, record, m.FencingToken, settleDelay)}
 }
 
+// calendarAttributes are the properties of a job by which the calendar matches it.
+func calendarAttributes(job *wire.Job) calendar.JobAttributes {
+	return calendar.JobAttributes{Class: job.Class, Team: job.Team, Zone: job.Zone, Image: job.Image}
+}
+
 // windowOf returns the batch window that a job belongs to, and its schedule; nil if there is
 // none. It follows from the job's record and the plan alone, so that every leader finds the
 // same.
@@ -129,7 +134,7 @@
 	}
 	if j.window.calendarGeneration != windows.calendarGeneration {
 		found := jobWindow{calendarGeneration: windows.calendarGeneration}
-		if region, window, ok := windows.calendar.WindowFor(j.AcceptedAt, j.Spec.Class, j.Spec.Team, j.Spec.Zone, j.Spec.Image); ok {
+		if region, window, ok := windows.calendar.WindowFor(j.AcceptedAt, calendarAttributes(&j.Spec)); ok {
 			found.schedule, found.window = windows.schedules[slices.Index(windows.calendar.Regions, region)], window
 		}
 		j.setWindow(found)
@@ -215,7 +220,7 @@
 		schedule.ObserveOpenJobs(schedule.openJobs)
 		for _, id := range schedule.UnresolvedJobs() {
 			if j := m.Job(id); j != nil && !j.Cancelled {
-				schedule.ResolveJob(id, calendar.EndCompleted, calendar.Window{}, false, now) // it has moved to another region
+				schedule.ResolveJob(id, calendar.EndCompleted, calendar.Window{}, now) // it has moved to another region
 			}
 		}
 	}
@@ -286,7 +291,7 @@
 			continue
 		}
 		if record == nil {
-			schedule.ResolveJob(id, calendar.EndUnknown, calendar.Window{}, false, now)
+			schedule.ResolveJob(id, calendar.EndUnknown, calendar.Window{}, now)
 			continue
 		}
 		end, endedAt := calendar.EndCompleted, now
@@ -296,9 +301,11 @@
 		if record.FinishedAtMs > 0 {
 			endedAt = time.UnixMilli(record.FinishedAtMs)
 		}
-		spec := &record.Job
-		region, window, ok := m.windows.calendar.WindowFor(time.UnixMilli(record.AcceptedAtMs), spec.Class, spec.Team, spec.Zone, spec.Image)
-		schedule.ResolveJob(id, end, window, ok && region == schedule.region, endedAt)
+		region, window, ok := m.windows.calendar.WindowFor(time.UnixMilli(record.AcceptedAtMs), calendarAttributes(&record.Job))
+		if !ok || region != schedule.region {
+			window = calendar.Window{}
+		}
+		schedule.ResolveJob(id, end, window, endedAt)
 	}
 }
 
--- a/cluster/batch_window_test.go
+++ b/cluster/batch_window_test.go
@@ -173,7 +173,7 @@
 		end       float64 // of the last job
 		lost      float64 // when the first leader is
 		noted     bool    // its last record is committed
-		how       string
+		how       calendar.Result
 		late      int64
 		done, all int
 	}{
--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -157,7 +157,7 @@
 		name   string
 		ends   string // about when the last layer's tasks end
 		begin  func(w *fake.Cluster) (end func())
-		how    string
+		how    calendar.Result
 		done   int
 		within time.Duration // it is late by that at most
 	}{
@@ -521,7 +521,7 @@
 	for _, c := range []struct {
 		name    string
 		room    int
-		how     string
+		how     calendar.Result
 		trouble func(w *fake.Cluster)
 		extra   int // machines rented beyond those of the night untroubled
 	}{
