--- a/calendar/schedule_test.go
+++ b/calendar/schedule_test.go
@@ -11,8 +11,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// oneRegion is a calendar of a region, changed as a test needs it.
-func oneRegion(t *testing.T, old, replacement string) *Region {
+// newTestRegion is a region of which a part of the settings is replaced.
+func newTestRegion(t *testing.T, old, replacement string) *Region {
 	t.Helper()
 	return newTestCalendar(t, strings.Replace(`
 [[regions]]
@@ -25,8 +25,9 @@
 `, old, replacement, 1)).Regions[0]
 }
 
-// night is what follows 22:00 UTC (t0): promised for 06:30 UTC, opening at 07:00.
-func night(t *testing.T, r *Region) Window {
+// windowAtT0 is the batch window at t0 (22:00 UTC): its deadline is 06:30 UTC, the opening
+// 07:00.
+func windowAtT0(t *testing.T, r *Region) Window {
 	t.Helper()
 	n, ok := r.WindowAt(t0)
 	if !ok {
@@ -35,7 +36,8 @@
 	return n
 }
 
-func open(n Window, ids ...string) map[string]Window {
+// jobsIn are unfinished jobs of a batch window.
+func jobsIn(n Window, ids ...string) map[string]Window {
 	out := map[string]Window{}
 	for _, id := range ids {
 		out[id] = n
@@ -46,7 +48,7 @@
 const hour = 3600
 
 func TestCloseDueDecidesEachResult(t *testing.T) {
-	n := night(t, oneRegion(t, "", ""))
+	n := windowAtT0(t, newTestRegion(t, "", ""))
 	for _, tc := range []struct {
 		name      string
 		ends      []float64 // hours after 22:00 UTC; 0: never
@@ -62,15 +64,15 @@
 		{"one layer after the opening", []float64{3, 9.5}, 9, ResultIncomplete, 0, 1, 2},
 	} {
 		b := NewSchedule("brussels", Record{}, 5, 0)
-		b.ObserveOpenJobs(open(n, "a", "b"))
+		b.ObserveOpenJobs(jobsIn(n, "a", "b"))
 		var decided []Outcome
 		for h := 0.25; h < 12; h += 0.25 {
 			for i, end := range tc.ends {
 				if end == h {
-					b.RecordCompletion([]string{"a", "b"}[i], n, after(h*hour))
+					b.RecordCompletion([]string{"a", "b"}[i], n, afterT0(h*hour))
 				}
 			}
-			for _, o := range b.CloseDue(after(h * hour)) {
+			for _, o := range b.CloseDue(afterT0(h * hour)) {
 				if h != tc.at {
 					t.Errorf("%s: decided after %v h", tc.name, h)
 				}
@@ -83,25 +85,25 @@
 	}
 }
 
-// Leaders follow one another at any moment, each with what was last committed:
-// whoever decides, it is decided once, and nothing is counted twice.
+// After a failover at any time, the next leader continues from the record that was committed
+// last: the result is decided once, and no job is counted twice.
 func TestFailoverCountsEachJobOnce(t *testing.T) {
-	n := night(t, oneRegion(t, "", ""))
+	n := windowAtT0(t, newTestRegion(t, "", ""))
 	for lose := range 6 { // how many changes the first leader made and could not commit
 		b := NewSchedule("brussels", Record{}, 5, 0)
 		var committed []Record
 		step := func(f func()) { f(); committed = append(committed, b.Record(t0, 4000)) }
-		step(func() { b.ObserveOpenJobs(open(n, "a", "b", "c")) })
-		step(func() { b.RecordCompletion("a", n, after(hour)) })
-		step(func() { b.RecordCompletion("b", n, after(2*hour)) })
-		step(func() { b.ObserveOpenJobs(open(n, "c", "d")) })
-		step(func() { b.ObserveOpenJobs(open(n, "c")) }) // d was cancelled
-		step(func() { b.RecordCompletion("c", n, after(8.75*hour)) })
+		step(func() { b.ObserveOpenJobs(jobsIn(n, "a", "b", "c")) })
+		step(func() { b.RecordCompletion("a", n, afterT0(hour)) })
+		step(func() { b.RecordCompletion("b", n, afterT0(2*hour)) })
+		step(func() { b.ObserveOpenJobs(jobsIn(n, "c", "d")) })
+		step(func() { b.ObserveOpenJobs(jobsIn(n, "c")) }) // d was cancelled
+		step(func() { b.RecordCompletion("c", n, afterT0(8.75*hour)) })
 		b = NewSchedule("brussels", committed[len(committed)-1-lose], 6, 0)
-		if out := b.CloseDue(after(8.9 * hour)); len(out) > 0 && lose > 0 {
+		if out := b.CloseDue(afterT0(8.9 * hour)); len(out) > 0 && lose > 0 {
 			t.Fatalf("%d lost: decided before it was known: %v", lose, out)
 		}
-		ends := map[string]time.Time{"a": after(hour), "b": after(2 * hour), "c": after(8.75 * hour)}
+		ends := map[string]time.Time{"a": afterT0(hour), "b": afterT0(2 * hour), "c": afterT0(8.75 * hour)}
 		for _, id := range b.UnresolvedJobs() {
 			if end, ok := ends[id]; ok {
 				b.ResolveJob(id, EndCompleted, n, end)
@@ -109,47 +111,47 @@
 				b.ResolveJob(id, EndCancelled, Window{}, time.Time{})
 			}
 		}
-		out := b.CloseDue(after(8.9 * hour))
+		out := b.CloseDue(afterT0(8.9 * hour))
 		if lose == 0 {
 			out = append(out, b.record.Past...)
 		}
 		if len(out) != 1 || out[0].Result != ResultLate || out[0].LateMs != (15*time.Minute).Milliseconds() || out[0].Completed != 3 || out[0].Jobs != 3 {
 			t.Errorf("%d lost: %+v", lose, out)
 		}
-		// The next leader's clock is behind: nothing is decided again, and a job
-		// of that night which comes to be known now does not begin it anew.
+		// The next leader's clock is behind: nothing is decided again, and a job of that
+		// window that becomes known only now does not open it again.
 		b = NewSchedule("brussels", b.Record(t0, 4000), 7, 0)
-		b.ObserveOpenJobs(open(n, "late"))
-		if out := b.CloseDue(after(8.4 * hour)); len(out) > 0 || len(b.record.Windows) > 0 || len(b.CloseDue(after(10*hour))) > 0 {
+		b.ObserveOpenJobs(jobsIn(n, "late"))
+		if out := b.CloseDue(afterT0(8.4 * hour)); len(out) > 0 || len(b.record.Windows) > 0 || len(b.CloseDue(afterT0(10*hour))) > 0 {
 			t.Errorf("%d lost: decided twice: %+v", lose, out)
 		}
 	}
 }
 
 func TestJobWithoutFinalRecordMakesWindowIncomplete(t *testing.T) {
-	n := night(t, oneRegion(t, "", ""))
+	n := windowAtT0(t, newTestRegion(t, "", ""))
 	b := NewSchedule("brussels", Record{}, 5, 0)
-	b.ObserveOpenJobs(open(n, "a", "b"))
-	b.RecordCompletion("a", n, after(hour))
+	b.ObserveOpenJobs(jobsIn(n, "a", "b"))
+	b.RecordCompletion("a", n, afterT0(hour))
 	b = NewSchedule("brussels", b.Record(t0, 4000), 6, 0)
 	if ids := b.UnresolvedJobs(); !slices.Equal(ids, []string{"b"}) {
 		t.Fatalf("asks for %v", ids)
 	}
 	b.ResolveJob("b", EndUnknown, Window{}, time.Time{})
-	if out := b.CloseDue(after(9 * hour)); len(out) != 1 || out[0].Result != ResultIncomplete || out[0].Completed != 1 || out[0].Jobs != 2 || !out[0].LowerBound {
+	if out := b.CloseDue(afterT0(9 * hour)); len(out) != 1 || out[0].Result != ResultIncomplete || out[0].Completed != 1 || out[0].Jobs != 2 || !out[0].LowerBound {
 		t.Errorf("%+v", out)
 	}
 }
 
-// What comes at the last moment may be known only after it.
+// A job that is accepted just before the deadline may become known only after it.
 func TestCloseDueWaitsForSettleDelay(t *testing.T) {
-	n := night(t, oneRegion(t, "", ""))
+	n := windowAtT0(t, newTestRegion(t, "", ""))
 	b := NewSchedule("brussels", Record{}, 5, 3*time.Second)
-	b.RecordCompletion("a", n, after(hour))
+	b.RecordCompletion("a", n, afterT0(hour))
 	if out := b.CloseDue(n.Deadline.Add(2 * time.Second)); len(out) > 0 {
 		t.Fatalf("%+v", out)
 	}
-	b.ObserveOpenJobs(open(n, "b"))
+	b.ObserveOpenJobs(jobsIn(n, "b"))
 	if out := b.CloseDue(n.Deadline.Add(4 * time.Second)); len(out) > 0 {
 		t.Errorf("%+v", out)
 	}
@@ -159,8 +161,8 @@
 }
 
 func TestRescheduleMovesOpenWindows(t *testing.T) {
-	r := oneRegion(t, "", "")
-	n := night(t, r)
+	r := newTestRegion(t, "", "")
+	n := windowAtT0(t, r)
 	for _, tc := range []struct {
 		name, old, new string
 		opens          string // "": withdrawn
@@ -172,10 +174,10 @@
 			`exceptions = [ { date = "2027-04-13", open = "08:00" } ]`, ""},
 	} {
 		b := NewSchedule("brussels", Record{}, 5, 0)
-		b.ObserveOpenJobs(open(n, "a"))
-		b.RecordCompletion("b", n, after(hour))
-		moved := oneRegion(t, tc.old, tc.new)
-		b.Reschedule(moved, after(4*hour))
+		b.ObserveOpenJobs(jobsIn(n, "a"))
+		b.RecordCompletion("b", n, afterT0(hour))
+		moved := newTestRegion(t, tc.old, tc.new)
+		b.Reschedule(moved, afterT0(4*hour))
 		if tc.opens == "" {
 			if p := b.record.Past; len(b.record.Windows) > 0 || len(p) != 1 || p[0].Result != ResultWithdrawn {
 				t.Errorf("%s: %+v", tc.name, b.record)
@@ -186,7 +188,7 @@
 		if !ok || !now.Opening.Equal(parseTime(t, tc.opens)) || len(b.record.Windows) != 1 {
 			t.Fatalf("%s: %+v (%v), %+v", tc.name, now, ok, b.record)
 		}
-		b.ObserveOpenJobs(open(now, "a"))
+		b.ObserveOpenJobs(jobsIn(now, "a"))
 		h := b.record.Windows[0]
 		if h.DeadlineMs != now.Deadline.UnixMilli() || h.Completed != 1 || h.Cancelled != 0 || b.jobCount(&h) != 2 {
 			t.Errorf("%s: %+v", tc.name, h)
@@ -195,7 +197,7 @@
 }
 
 func TestRecordSizeIsBounded(t *testing.T) {
-	r := oneRegion(t, "", "")
+	r := newTestRegion(t, "", "")
 	b := NewSchedule("brussels", Record{}, 5, 0)
 	at := t0
 	for range 60 {
@@ -229,11 +231,11 @@
 	}
 }
 
-// Random nights: jobs come, end or are cancelled, records are committed now and
-// then, leaders are lost at any moment and their successors look late. Whoever
-// decides, the outcome is that of the jobs' real ends.
+// Random windows: jobs are added, end or are cancelled, records are committed now and then,
+// and leaders fail over at any time. Whichever leader decides, the result is that of the
+// jobs' actual ends.
 func TestRandomWindowsDecideByActualJobEnds(t *testing.T) {
-	n := night(t, oneRegion(t, "", ""))
+	n := windowAtT0(t, newTestRegion(t, "", ""))
 	seen := map[Result]int{}
 	for seed := range uint64(1000) {
 		rnd := rand.New(rand.NewPCG(seed, 3))
@@ -256,13 +258,13 @@
 		}
 		lost := false
 		for s := 0.0; s < 10*hour; s += 200 + rnd.Float64()*400 {
-			now := after(s)
+			now := afterT0(s)
 			switch k := rnd.IntN(10); {
 			case k < 3 && now.Before(n.Deadline) && len(open) < 6:
 				id := fmt.Sprintf("wk-%06d", int(s))
 				open[id] = true
 				lookAt(now)
-				commit(now) // what comes and ends unnoted is not counted
+				commit(now) // a job that starts and ends between two records is not counted
 			case k < 6 && len(open) > 0:
 				for id := range open {
 					if delete(open, id); rnd.IntN(5) == 0 && now.Before(n.Opening) {
--- a/calendar/shortage_test.go
+++ b/calendar/shortage_test.go
@@ -14,16 +14,16 @@
 		want  int
 		by    float64 // seconds from now
 	}{
-		{"in time as it is", []Load{{Deadline: after(700), Batches: work}}, make([]float64, 10), 0, 0},
-		// Nine rounds of 60 s on the ten places, a tenth of all left over, and five on others.
-		{"one round less", []Load{{Deadline: after(600), Batches: work}}, make([]float64, 10), 3, 163},
+		{"in time as it is", []Load{{Deadline: afterT0(700), Batches: work}}, make([]float64, 10), 0, 0},
+		// Nine rounds of 60 s on the ten places with the risk margin, and five on others.
+		{"one round less", []Load{{Deadline: afterT0(600), Batches: work}}, make([]float64, 10), 3, 163},
 		// After 100 s of boot there is time for one round, and one on the ten before it.
-		{"nearly too late", []Load{{Deadline: after(180), Batches: work}}, make([]float64, 10), 80, 3},
-		{"no place at all", []Load{{Deadline: after(1000), Batches: work}}, nil, 8, 1000/1.1 - 12.5*60 - 100},
-		{"too late, but less so", []Load{{Deadline: after(60), Batches: work}}, make([]float64, 10), 70, 0},
-		{"nothing helps", []Load{{Deadline: after(60), RunningSeconds: 500}}, make([]float64, 10), 0, 0},
-		{"nothing would go on", []Load{{Deadline: after(60), Batches: []Batch{{100, 60, 1, true}}}}, make([]float64, 10), 0, 0},
-		{"two nights", []Load{{Deadline: after(600), Batches: work}, {Deadline: after(300), Batches: work}}, make([]float64, 20), 10, 52},
+		{"nearly too late", []Load{{Deadline: afterT0(180), Batches: work}}, make([]float64, 10), 80, 3},
+		{"no place at all", []Load{{Deadline: afterT0(1000), Batches: work}}, nil, 8, 1000/1.1 - 12.5*60 - 100},
+		{"too late, but less so", []Load{{Deadline: afterT0(60), Batches: work}}, make([]float64, 10), 70, 0},
+		{"nothing helps", []Load{{Deadline: afterT0(60), RunningSeconds: 500}}, make([]float64, 10), 0, 0},
+		{"nothing would go on", []Load{{Deadline: afterT0(60), Batches: []Batch{{100, 60, 1, true}}}}, make([]float64, 10), 0, 0},
+		{"two nights", []Load{{Deadline: afterT0(600), Batches: work}, {Deadline: afterT0(300), Batches: work}}, make([]float64, 20), 10, 52},
 	} {
 		w := FindShortage(t0, tc.loads, tc.free, 100, 1000)
 		if by := w.OrderBy.Sub(t0).Seconds(); w.Places != tc.want || tc.want > 0 && (by < tc.by-6 || by > tc.by+6) {
@@ -32,9 +32,9 @@
 	}
 }
 
-// Whatever the work: with the places that are asked for, ordered when they must be
-// at the latest, the nights are kept, but for what is lost where several places are
-// followed as one; and with half of them they would not be.
+// For random loads: with the places that are asked for, ordered as late as allowed, the
+// deadlines are met, but for the inaccuracy of simulating several places as one; with half of
+// them they are not.
 func TestRandomShortagesAreSufficientAndNecessary(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(3, 4))
 	wanted := 0
@@ -42,7 +42,7 @@
 		free := make([]float64, rnd.IntN(400))
 		var loads []Load
 		for n := range 1 + rnd.IntN(3) {
-			l := Load{Deadline: after(float64(2000 * (n + 1)))}
+			l := Load{Deadline: afterT0(float64(2000 * (n + 1)))}
 			for range 1 + rnd.IntN(20) {
 				l.Batches = append(l.Batches, Batch{Tasks: 1 + rnd.IntN(300), Seconds: 20 + 200*rnd.Float64(), PlacesPerTask: 1})
 			}
@@ -82,12 +82,12 @@
 	}
 }
 
-// BenchmarkAhead is a night of a large fleet that is at risk.
+// BenchmarkFindShortage is a large cluster whose deadlines are at risk.
 func BenchmarkFindShortage(b *testing.B) {
 	rnd := rand.New(rand.NewPCG(5, 6))
 	var loads []Load
 	for n := range 3 {
-		l := Load{Deadline: after(float64(1000 * (n + 1)))}
+		l := Load{Deadline: afterT0(float64(1000 * (n + 1)))}
 		for range 700 {
 			l.Batches = append(l.Batches, Batch{Tasks: 20, Seconds: 20 + 600*rnd.Float64(), PlacesPerTask: 1})
 		}
--- a/calendar/view_test.go
+++ b/calendar/view_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// What nobody looks after any more is called stale, what may be counted too low
-// says so, and what stands in the way is named.
+// A record that no leader updates is marked as stale, counts that are lower bounds say so,
+// and the reason of a risk is named.
 func TestPrintMarksStaleAndIncompleteRecords(t *testing.T) {
-	r := oneRegion(t, "", "")
-	n := night(t, r)
+	r := newTestRegion(t, "", "")
+	n := windowAtT0(t, r)
 	b := NewSchedule("brussels", Record{}, 5, 0)
-	b.ObserveOpenJobs(open(n, "a", "b"))
-	b.RecordCompletion("a", n, after(hour))
-	b.RecordForecast(n.Date, Forecast{AtRisk: true, Reason: "no machine can take it"}, "machines lost", 0, after(hour))
-	b = NewSchedule("brussels", b.Record(after(hour), 4000), 6, 0)
-	rec := b.Record(after(hour), 4000)
+	b.ObserveOpenJobs(jobsIn(n, "a", "b"))
+	b.RecordCompletion("a", n, afterT0(hour))
+	b.RecordForecast(n.Date, Forecast{AtRisk: true, Reason: "no machine can take it"}, "machines lost", 0, afterT0(hour))
+	b = NewSchedule("brussels", b.Record(afterT0(hour), 4000), 6, 0)
+	rec := b.Record(afterT0(hour), 4000)
 	shown := func(rec Record, at float64) string {
 		var out strings.Builder
-		if err := Print(&out, []View{r.View(rec, after(at))}, 3); err != nil {
+		if err := Print(&out, []View{r.View(rec, afterT0(at))}, 3); err != nil {
 			t.Fatal(err)
 		}
 		return out.String()
--- a/calendar/window_test.go
+++ b/calendar/window_test.go
@@ -74,7 +74,7 @@
 		// Ascension Day is a holiday, the Friday after it an exception.
 		{"brussels", "2027-05-06T09:00:00+02:00", "2027-05-07", "2027-05-05T18:00:00+02:00", "2027-05-07T07:30:00+02:00"},
 		{"brussels", "2027-05-14T09:00:00+02:00", "2027-05-18", "2027-05-13T18:00:00+02:00", "2027-05-18T07:30:00+02:00"},
-		// Daylight saving begins in this night: 02:30 is skipped, so that the opening is when it begins.
+		// Daylight saving begins in this window: 02:30 is skipped, so that the opening is when it begins.
 		{"brussels", "2027-03-27T20:00:00+01:00", "2027-03-28", "2027-03-26T18:00:00+01:00", "2027-03-28T02:30:00+02:00"},
 		// It ends in this one: the first 02:30 counts.
 		{"brussels", "2027-10-30T20:00:00+02:00", "2027-10-31", "2027-10-29T18:00:00+02:00", "2027-10-31T02:00:00+02:00"},
@@ -96,8 +96,8 @@
 	}
 }
 
-// Whenever it is, a night is found by its date as well, moments of one night all
-// find the same, and openings follow one another.
+// At any hour, a window is found by its date as well, all times within a window find the same
+// one, and openings follow one another.
 func TestEveryHourBelongsToOneWindowAtMost(t *testing.T) {
 	c := newTestCalendar(t, offices)
 	for _, r := range c.Regions {
