--- /dev/null
+++ b/yarn/scenario_test.go
@@ -0,0 +1,171 @@
+package yarn_test
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"github.com/umberdeal/umberdeal/internal/fake"
+	"github.com/umberdeal/umberdeal/internal/scenario"
+	"github.com/umberdeal/umberdeal/yarn"
+	"github.com/umberdeal/umberdeal/yarn/client"
+	"github.com/umberdeal/umberdeal/yarn/wire/pb"
+)
+
+const yarnSettings = `
+master_s = 40.0
+start_s = 30.0
+estimate_s = 60.0
+grace_s = 3.0
+[[queues]]
+path = "root.core"
+team = "core"
+[[priorities]]
+at_least = 0
+native = "normal"
+[[labels]]
+name = "zone-b"
+zone = "b"
+`
+
+// yarnWorld plays a story with YARN's door open at every node.
+func yarnWorld(t *testing.T, o fake.Options, play func(t *testing.T, w *fake.Cluster, y *yarnUser)) {
+	t.Helper()
+	o.YARN = yarnSettings
+	scenario.Run(t, o, func(t *testing.T, w *fake.Cluster) {
+		var addrs []string
+		for _, n := range w.Nodes() {
+			addrs = append(addrs, n+":8032")
+		}
+		y := &yarnUser{t: t, cfg: client.Config{Addrs: addrs, Dial: w.Network.Dial("am"), User: "ann", Timeout: 3 * time.Second}}
+		y.c = client.New(y.cfg)
+		defer y.c.Close()
+		play(t, w, y)
+		if n := w.RanMoreThanOnce(); n != 0 {
+			t.Errorf("%d containers ran more than once", n)
+		}
+	})
+}
+
+type yarnUser struct {
+	t   *testing.T
+	cfg client.Config
+	c   *client.Client
+}
+
+func (y *yarnUser) ctx() context.Context { return y.t.Context() }
+
+// app submits an unmanaged application and returns its registered master.
+func (y *yarnUser) app() (*pb.ApplicationIdProto, *client.ApplicationMaster) {
+	y.t.Helper()
+	id, _, err := y.c.NewApplication(y.ctx())
+	if err != nil {
+		y.t.Fatal(err)
+	}
+	if err := y.c.Submit(y.ctx(), &pb.ApplicationSubmissionContextProto{ApplicationId: id, Queue: proto.String("core"), UnmanagedAm: proto.Bool(true)}); err != nil {
+		y.t.Fatal(err)
+	}
+	r, err := y.c.Report(y.ctx(), id)
+	if err != nil {
+		y.t.Fatal(err)
+	}
+	m := client.NewApplicationMaster(y.cfg, r.GetAmRmToken())
+	if _, err := m.Register(y.ctx()); err != nil {
+		y.t.Fatal(err)
+	}
+	return id, m
+}
+
+func (y *yarnUser) state(id *pb.ApplicationIdProto) pb.YarnApplicationStateProto {
+	y.t.Helper()
+	r, err := y.c.Report(y.ctx(), id)
+	if err != nil {
+		y.t.Fatal(err)
+	}
+	return r.GetYarnApplicationState()
+}
+
+// two CPUs, four GB.
+func small(prio int32) client.ContainerRequest {
+	return client.ContainerRequest{Priority: prio, ResourceName: "*", RelaxLocality: true, MemoryMB: 4096, VCores: 2}
+}
+
+var launch = &pb.ContainerLaunchContextProto{Command: []string{"render --tile 7"}, Environment: []*pb.StringStringMapProto{
+	{Key: proto.String("LAYER"), Value: proto.String("parcels")}, {Key: proto.String("SHEET"), Value: proto.String("12")},
+	{Key: proto.String("HALL"), Value: proto.String("a")}, {Key: proto.String("ZOOM"), Value: proto.String("9")}}}
+
+// run heartbeats for a while, starting what is allocated, and returns how
+// containers ended, by exit status, and how many were about to be preempted.
+func (y *yarnUser) run(m *client.ApplicationMaster, duration time.Duration) (ends map[int32]int, warned int) {
+	y.t.Helper()
+	ends = map[int32]int{}
+	var todo []*pb.ContainerProto
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(time.Second) {
+		ctx, cancel := context.WithTimeout(y.ctx(), 90*time.Second)
+		update, err := m.Heartbeat(ctx)
+		todo = append(todo, update.Allocated...)
+		if err == nil && len(todo) > 0 {
+			var failed map[int64]string
+			failed, err = m.Start(ctx, launch, todo...)
+			// What could not be started now is tried again.
+			todo = slices.DeleteFunc(todo, func(c *pb.ContainerProto) bool { return failed[c.GetId().GetId()] == "" })
+		}
+		cancel()
+		if err != nil {
+			y.t.Fatalf("heartbeat: %v", err)
+		}
+		warned += len(update.Preempting)
+		for _, s := range update.Completed {
+			ends[s.GetExitStatus()]++
+		}
+		if update.Shutdown {
+			break
+		}
+	}
+	return ends, warned
+}
+
+func noRecords(t *testing.T, w *fake.Cluster) {
+	t.Helper()
+	for _, k := range append(w.Store.JobKeys(), w.Store.Keys("yx/")...) {
+		if strings.HasPrefix(k, "w/j/") || strings.HasPrefix(k, "yx/") || strings.HasPrefix(k, "w/y/application") {
+			t.Errorf("record left: %s", k)
+		}
+	}
+}
+
+func mustLaunch(t *testing.T, w *fake.Cluster, task string) yarn.LaunchContext {
+	t.Helper()
+	var c yarn.LaunchContext
+	status, body := restCall(t, w, http.MethodGet, yarn.PathContext+task, "")
+	if status != http.StatusOK || json.Unmarshal(body, &c) != nil {
+		t.Fatalf("context of %s: %d %s", task, status, body)
+	}
+	return c
+}
+
+func restCall(t *testing.T, w *fake.Cluster, method, path, body string) (int, []byte) {
+	t.Helper()
+	hc := &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("am"), DisableKeepAlives: true}}
+	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+w.Nodes()[0]+":8088"+path, strings.NewReader(body))
+	if err != nil {
+		t.Fatal(err)
+	}
+	resp, err := hc.Do(req)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	b, err := io.ReadAll(resp.Body)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return resp.StatusCode, b
+}
