--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -76,7 +76,7 @@
 		return
 	}
 	if r.atFault() {
-		m.log.Info("job no longer taken to fail everywhere", "id", j.ID)
+		m.log.Info("job no longer considered at fault", "id", j.ID)
 	}
 	r.proven = true
 	j.NotBefore = time.Time{}
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -28,7 +28,7 @@
 		}
 		if (mc.alive || len(mc.Tasks) > 0) && now.After(m.leaseEnd(mc)) && !m.recoveringFromStall(now) {
 			if mc.alive {
-				m.log.Info("machine silent past its lease", "machine", mc.Name, "tasks", len(mc.Tasks))
+				m.log.Info("machine lease expired", "machine", mc.Name, "tasks", len(mc.Tasks))
 			}
 			mc.expireLease()
 			m.loseTasksOn(mc, "its machine's lease is over", now)
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -53,7 +53,7 @@
 // record is readable again or its user cancels it. Its placement records are preserved, so
 // that no attempt number is reused if the record becomes readable.
 func (m *Model) QuarantineJob(key, id string, err error) {
-	m.log.Error("unreadable job record: the job is set aside", "key", key, "id", id, "err", err)
+	m.log.Error("unreadable job record, job quarantined", "key", key, "id", id, "err", err)
 	m.quarantine.addJob(id)
 	m.pausePlacing()
 }
@@ -64,7 +64,7 @@
 // of the node that recorded it: from then on workers are told to stop the tasks of its jobs,
 // and as with a cancelled job those are gone cancel_s later. Nothing is placed before that.
 func (m *Model) QuarantineAdmissionPage(key string, since time.Time, err error) {
-	m.log.Error("unreadable page of jobs: they are set aside", "key", key, "since", since, "err", err)
+	m.log.Error("unreadable job page, its jobs quarantined", "key", key, "since", since, "err", err)
 	m.quarantine.addAdmissionPage()
 	apart := time.Duration(2 * m.settings.Cluster.SkewMs * float64(time.Millisecond))
 	if since = since.Add(apart); since.Before(m.ElectedAt) {
@@ -90,7 +90,7 @@
 // placements on it.
 func (m *Model) QuarantinePlacementPage(n int, version uint64, err error) {
 	key := jobstore.PlacementPageKey(n)
-	m.log.Error("unreadable page of placements: jobs that it may speak of are set aside", "key", key, "err", err)
+	m.log.Error("unreadable placement page, jobs that may be on it quarantined", "key", key, "err", err)
 	m.writes.placementPages.markUnreadable(n, version)
 	m.quarantine.addPlacementPage(version)
 	m.pausePlacing()
@@ -109,7 +109,7 @@
 // be read, because placements of it are left. Since it is not known which resources its
 // tasks use, placing is paused until they are gone.
 func (m *Model) QuarantineFinishedJob(key, id string, err error) {
-	m.log.Error("unreadable record of a job that is over: its tasks are stopped", "key", key, "id", id, "err", err)
+	m.log.Error("unreadable record of a finished job, stopping its tasks", "key", key, "id", id, "err", err)
 	m.LoadCancelledJob(id, jobstore.JobRecord{Job: wire.Job{ID: id, Tasks: wire.MaxTasks, Kind: wire.KindArray}})
 	m.pausePlacing()
 }
@@ -129,7 +129,7 @@
 		for i := range j.Chunks {
 			if j.Chunks[i].page == nil {
 				j.quarantined = true
-				m.log.Error("job set aside: where its tasks are can't be read", "id", j.ID)
+				m.log.Error("job quarantined, its placements are unreadable", "id", j.ID)
 				break
 			}
 		}
--- a/metrics/troubles.go
+++ b/metrics/troubles.go
@@ -17,7 +17,7 @@
 
 // troubleMessages are the messages that count; errors always do.
 var troubleMessages = []string{
-	"process stalled", "machine silent past its lease", "no heartbeats reach this leader, resigning",
+	"process stalled", "machine lease expired", "no heartbeats reach this leader, resigning",
 	"key-value store unreachable, retrying", "key-value store reachable again", "leader unresponsive",
 	"leader responsive again", "leadership ended", "elected", "job fails everywhere", "machine suspected",
 	"machine types not loaded, retrying", "machine late", "scale in failed, retrying", "lease valid again",
