--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -266,7 +266,7 @@
 	clear(d.own)
 	m := New(d.cfg, token, now, slog.New(slog.DiscardHandler))
 	m.RebalanceSettings, m.Headroom, m.StarvationBound = config.DefaultTuning().Rebalance, 0.05, 240*time.Second
-	m.RebalanceSettings.EveryS, m.RebalanceSettings.CooldownS, m.RebalanceSettings.RestS = 9, 30, 60
+	m.RebalanceSettings.EveryS, m.RebalanceSettings.CooldownS, m.RebalanceSettings.TaskCooldownS = 9, 30, 60
 	m.SetMachineTypes([]wire.MachineType{
 		{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, Price: 2, SpotPrice: 1, BootS: 20, ZonesNamed: []string{"a", "b"}},
 		{Name: "l", CPUs: 16, MemoryGB: 128, CacheGB: 30, FetchGBPS: 0.5, Price: 3, SpotPrice: 1.2, BootS: 30, ZonesNamed: []string{"b", "a"}}})
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -80,7 +80,7 @@
 // New makes an empty model for the leadership with the given fencing token.
 func New(cfg *config.Settings, token uint64, now time.Time, log *slog.Logger) *Model {
 	m := &Model{
-		FencingToken: token, ElectedAt: now, Zones: cfg.Cluster.Zones, settings: cfg, log: log, clockDrift: config.Drift,
+		FencingToken: token, ElectedAt: now, Zones: cfg.Cluster.Zones, settings: cfg, log: log, clockDrift: config.ClockDrift,
 		names: newNameIndex(), images: newImageCatalog(), writes: newWriteBehind(writeLimits{&cfg.Cluster.State}),
 		refusedOffers: newOfferRefusals(), RebalanceCycles: map[string]*RebalanceCycle{}, classes: newClassRegistry(),
 		Observer: noObserver{},
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -188,7 +188,7 @@
 			Task: name, Attempt: j.Tasks[mv.Task.Task].Placement.Attempt,
 			From: machines[mv.From].Name, To: machines[mv.To].Name,
 		})
-		cycle.TaskCooldownUntilMs[name] = now.Add(config.Seconds(m.RebalanceSettings.RestS)).UnixMilli()
+		cycle.TaskCooldownUntilMs[name] = now.Add(config.Seconds(m.RebalanceSettings.TaskCooldownS)).UnixMilli()
 	}
 	cycle.CooldownUntilMs = now.Add(config.Seconds(m.RebalanceSettings.CooldownS)).UnixMilli()
 	return cycle
@@ -201,7 +201,7 @@
 		p := j.Tasks[ref.Task].Placement
 		name := j.ID + "/" + strconv.Itoa(int(ref.Task))
 		movable := !j.Gang() && p.Stop == nil && !p.StopHeld && p.ReportedState == reportedRunning && j.Spec.CheckpointS > 0 &&
-			now.Sub(p.RunningSince).Seconds() < m.RebalanceSettings.LongS &&
+			now.Sub(p.RunningSince).Seconds() < m.RebalanceSettings.LongRunningS &&
 			rec.TaskCooldownUntilMs[name] == 0 && rec.QuarantineUntilMs[name] == 0 && !j.Spec.Spread
 		h.Tasks = append(h.Tasks, rebalance.Task{ID: ref, Need: j.Need, Movable: movable, Spot: j.Spec.Spot})
 	}
--- a/config/config.go
+++ b/config/config.go
@@ -14,17 +14,17 @@
 
 // Settings is the platform's file. Unknown fields are ignored.
 type Settings struct {
-	Node       string    `toml:"node_name"`
-	Zone       string    `toml:"location"`
-	Bind       string    `toml:"bind"`
-	MeshListen string    `toml:"mesh_addr"`
-	Siblings   []Sibling `toml:"siblings"`
-	Services   Services  `toml:"services"`
-	Cluster    Cluster   `toml:"cluster"`
+	Node       string   `toml:"node_name"`
+	Zone       string   `toml:"location"`
+	Bind       string   `toml:"bind"`
+	PeerListen string   `toml:"mesh_addr"`
+	Peers      []Peer   `toml:"siblings"`
+	Services   Services `toml:"services"`
+	Cluster    Cluster  `toml:"cluster"`
 }
 
 // Sibling is another controller node.
-type Sibling struct {
+type Peer struct {
 	Name string `toml:"node_name"`
 	Zone string `toml:"location"`
 	Addr string `toml:"addr"`
@@ -147,7 +147,7 @@
 	need(s.Node != "", "must not be empty", "node_name")
 	need(s.Zone != "", "must not be empty", "location")
 	need(s.Bind != "", "must not be empty", "bind")
-	need(s.MeshListen != "", "must not be empty", "mesh_addr")
+	need(s.PeerListen != "", "must not be empty", "mesh_addr")
 	need(s.Services.Cloud != "", "must not be empty", "services", "cloud")
 	need(s.Services.State != "", "must not be empty", "services", "state")
 	need(s.Cluster.Size >= 1, "must be at least 1", "cluster", "size")
@@ -159,7 +159,7 @@
 	positive(w.GangWaitS, "cluster", "workers", "gang_wait_s")
 	positive(w.GangPeerS, "cluster", "workers", "gang_peer_s")
 	need(w.CancelS > w.LeaseS, "must be above lease_s", "cluster", "workers", "cancel_s")
-	if err := w.checkGap(); w.CancelS > w.LeaseS && err != nil {
+	if err := w.checkCancelTime(); w.CancelS > w.LeaseS && err != nil {
 		errs = append(errs, fmt.Errorf("settings: cluster.workers.cancel_s %w", err))
 	}
 	st := s.Cluster.State
@@ -188,7 +188,7 @@
 			}
 		}
 	}
-	for i, p := range s.Siblings {
+	for i, p := range s.Peers {
 		if p.Name == "" || p.Addr == "" || p.Name == s.Node {
 			errs = append(errs, fmt.Errorf("settings: siblings[%d] needs a node_name of its own and an addr", i))
 		}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Metrics.Listen == "" || !got.Launching.Summon {
+	if got.Metrics.Listen == "" || !got.Launches.WakeWorkers {
 		t.Errorf("%+v", got)
 	}
 }
--- a/config/gap.go
+++ b/config/leases.go
@@ -6,24 +6,24 @@
 // "The gap", argues them.
 
 // Drift is how far two steady clocks drift apart, as a share.
-const Drift = 0.0005
+const ClockDrift = 0.0005
 
 // outlast is how long an outage of the state service workers should survive, in
 // seconds; findNext is how long a worker that loses its leader looks for the
 // next one: a node that answers nothing costs it 4 s of its lease.
 const (
-	outlast  = 32
-	findNext = 3.5
+	storeOutageS = 32
+	findLeaderS  = 3.5
 )
 
 const (
 	// leaderLeaseLeast is the shortest lease that a leader can keep, in seconds: it
 	// is renewed every fifth of it, with a barrier, and the state service takes a
 	// few hundred milliseconds now and then.
-	leaderLeaseLeast = 1.0
+	minLeaderLeaseS = 1.0
 	// endS is what a worker may take to notice that its lease is over and to kill
 	// what it has, in seconds.
-	endS = 0.3
+	killS = 0.3
 )
 
 // LeaderLeaseS is the time of the leader's lease, in seconds. At most, it leaves the
@@ -33,26 +33,26 @@
 // leader is gone without a word loses its own lease meanwhile; and else as short
 // as can be, since it is what a change of leader costs.
 func (w Workers) LeaderLeaseS() float64 {
-	most := min((w.CancelS-w.LeaseS)/2, w.LeaseS-w.ReportS-findNext)
-	return min((w.CancelS-w.LeaseS)/2, max(5, min(most, outlast+w.ReportS-w.LeaseS)))
+	most := min((w.CancelS-w.LeaseS)/2, w.LeaseS-w.ReportS-findLeaderS)
+	return min((w.CancelS-w.LeaseS)/2, max(5, min(most, storeOutageS+w.ReportS-w.LeaseS)))
 }
 
-// GoneWithinS is how long after a user was told that a job is cancelled its tasks
+// CancelledGoneWithinS is how long after a user was told that a job is cancelled its tasks
 // are gone at the latest, in seconds, whoever reaches whom: a leader that has not
 // learnt of it is sure of leading for no longer than its lease from then, the last
 // report that it answers was sent before that, and the worker's lease counts from
 // that report. Each lease is counted by a clock that may be slow.
-func (w Workers) GoneWithinS() float64 {
-	return (w.LeaderLeaseS()+w.LeaseS)*(1+Drift) + endS
+func (w Workers) CancelledGoneWithinS() float64 {
+	return (w.LeaderLeaseS()+w.LeaseS)*(1+ClockDrift) + killS
 }
 
-// checkGap says why these times can't keep the rule.
-func (w Workers) checkGap() error {
-	if w.LeaderLeaseS() < leaderLeaseLeast {
+// checkCancelTime says why these times can't keep the rule.
+func (w Workers) checkCancelTime() error {
+	if w.LeaderLeaseS() < minLeaderLeaseS {
 		return fmt.Errorf("must be %g s above lease_s at least: half of what lies between is the leader's lease, and it can't keep one of %g s",
-			2*leaderLeaseLeast, w.LeaderLeaseS())
+			2*minLeaderLeaseS, w.LeaderLeaseS())
 	}
-	if gone := w.GoneWithinS(); gone > w.CancelS {
+	if gone := w.CancelledGoneWithinS(); gone > w.CancelS {
 		return fmt.Errorf("is too near to lease_s: a leader that has not heard of a cancellation may answer for %g s, so that tasks may be there for %.2f s",
 			w.LeaderLeaseS(), gone)
 	}
--- a/config/gap_test.go
+++ b/config/leases_test.go
@@ -27,8 +27,8 @@
 			continue
 		}
 		w := s.Cluster.Workers
-		if w.LeaderLeaseS() != c.leader || math.Abs(w.GoneWithinS()-c.gone) > 0.01 {
-			t.Errorf("%+v: the leader's lease is %g s, tasks are gone within %.3f s", c, w.LeaderLeaseS(), w.GoneWithinS())
+		if w.LeaderLeaseS() != c.leader || math.Abs(w.CancelledGoneWithinS()-c.gone) > 0.01 {
+			t.Errorf("%+v: the leader's lease is %g s, tasks are gone within %.3f s", c, w.LeaderLeaseS(), w.CancelledGoneWithinS())
 		}
 	}
 }
--- a/config/tuning.go
+++ b/config/tuning.go
@@ -13,28 +13,28 @@
 // Tuning is the operators' own file; every field has a default.
 type Tuning struct {
 	Rebalance Rebalance `toml:"rebalance"`
-	Renting   Renting   `toml:"renting"`
+	ScaleOut  ScaleOut  `toml:"renting"`
 	Metrics   Metrics   `toml:"metrics"`
-	Launching Launching `toml:"launching"`
-	Ledger    Ledger    `toml:"ledger"`
+	Launches  Launches  `toml:"launching"`
+	JobStore  JobStore  `toml:"ledger"`
 	Serving   Serving   `toml:"serving"`
 }
 
 // Serving tunes in which order jobs are served.
 type Serving struct {
-	// BeginWithinS is how soon after its acceptance every job begins for which
+	// StarvationBoundS is how soon after its acceptance every job begins for which
 	// there is room, in seconds, whatever the aims. 0: there is no such bound.
-	BeginWithinS float64 `toml:"begin_within_s"`
+	StarvationBoundS float64 `toml:"begin_within_s"`
 }
 
 // Ledger tunes how records are kept.
-type Ledger struct {
-	Intake bool `toml:"intake"` // users' jobs share keys, once every node can read that
+type JobStore struct {
+	SharedPages bool `toml:"intake"` // users' jobs share keys, once every node can read that
 }
 
 // Launching tunes how launches reach workers.
-type Launching struct {
-	Summon bool `toml:"summon"` // workers are told to report when a launch is ready
+type Launches struct {
+	WakeWorkers bool `toml:"summon"` // workers are told to report when a launch is ready
 }
 
 // Metrics says where the operators watch a node.
@@ -44,14 +44,14 @@
 
 // Rebalance tunes the rebalancer.
 type Rebalance struct {
-	Enabled     bool     `toml:"enabled"`
-	EveryS      float64  `toml:"every_s"`
-	Budget      int      `toml:"budget"`
-	CooldownS   float64  `toml:"cooldown_s"`
-	RestS       float64  `toml:"rest_s"`
-	QuarantineS float64  `toml:"quarantine_s"`
-	LongS       float64  `toml:"long_running_s"`
-	Policies    []Policy `toml:"policies"`
+	Enabled       bool     `toml:"enabled"`
+	EveryS        float64  `toml:"every_s"`
+	Budget        int      `toml:"budget"`
+	CooldownS     float64  `toml:"cooldown_s"`
+	TaskCooldownS float64  `toml:"rest_s"`
+	QuarantineS   float64  `toml:"quarantine_s"`
+	LongRunningS  float64  `toml:"long_running_s"`
+	Policies      []Policy `toml:"policies"`
 }
 
 // Resource is one that rebalancing looks at.
@@ -73,7 +73,7 @@
 }
 
 // Renting tunes how machines are rented and returned.
-type Renting struct {
+type ScaleOut struct {
 	IdleS    float64 `toml:"idle_s"`
 	Headroom float64 `toml:"headroom"`
 }
@@ -82,17 +82,17 @@
 func DefaultTuning() Tuning {
 	return Tuning{
 		Rebalance: Rebalance{
-			Enabled: true, EveryS: 3, Budget: 3, CooldownS: 30, RestS: 120, QuarantineS: 300, LongS: 600,
+			Enabled: true, EveryS: 3, Budget: 3, CooldownS: 30, TaskCooldownS: 120, QuarantineS: 300, LongRunningS: 600,
 			Policies: []Policy{
 				{Resource: "cpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1},
 				{Resource: "gpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1},
 				{Resource: "memory", Weight: 0.2, Threshold: 0.2, CapacityThreshold: 1},
 			},
 		},
-		Renting:   Renting{IdleS: 240, Headroom: 0.35},
-		Launching: Launching{Summon: true},
-		Ledger:    Ledger{Intake: true},
-		Serving:   Serving{BeginWithinS: 240},
+		ScaleOut: ScaleOut{IdleS: 240, Headroom: 0.35},
+		Launches: Launches{WakeWorkers: true},
+		JobStore: JobStore{SharedPages: true},
+		Serving:  Serving{StarvationBoundS: 240},
 	}
 }
 
@@ -132,8 +132,8 @@
 	for _, f := range []struct {
 		name string
 		v    float64
-	}{{"every_s", r.EveryS}, {"cooldown_s", r.CooldownS}, {"rest_s", r.RestS},
-		{"quarantine_s", r.QuarantineS}, {"long_running_s", r.LongS}} {
+	}{{"every_s", r.EveryS}, {"cooldown_s", r.CooldownS}, {"rest_s", r.TaskCooldownS},
+		{"quarantine_s", r.QuarantineS}, {"long_running_s", r.LongRunningS}} {
 		if !(f.v > 0) {
 			bad("rebalance.%s must be above 0", f.name)
 		}
@@ -163,13 +163,13 @@
 	if math.Abs(sum-1) > 1e-6 {
 		bad("rebalance.policies: the weights sum to %g, not to 1.0", sum)
 	}
-	if !(t.Renting.IdleS > 0) {
+	if !(t.ScaleOut.IdleS > 0) {
 		bad("renting.idle_s must be above 0")
 	}
-	if !(t.Renting.Headroom >= 0 && t.Renting.Headroom <= 5) {
+	if !(t.ScaleOut.Headroom >= 0 && t.ScaleOut.Headroom <= 5) {
 		bad("renting.headroom must be from 0 to 5")
 	}
-	if b := t.Serving.BeginWithinS; b != 0 && !(b >= 30 && b <= 86400) {
+	if b := t.Serving.StarvationBoundS; b != 0 && !(b >= 30 && b <= 86400) {
 		bad("serving.begin_within_s must be 0, or from 30 to 86400")
 	}
 	if l := t.Metrics.Listen; l != "" {
--- a/controller/direct_commands.go
+++ b/controller/direct_commands.go
@@ -49,7 +49,7 @@
 	// removes launched tasks from its list.
 	most := 0
 	l.mu.Lock()
-	if l.node.tuning.Launching.Summon {
+	if l.node.tuning.Launches.WakeWorkers {
 		most = cap(l.wakeUpSlots) - len(l.wakeUpSlots)
 	}
 	batch := l.model.WakeUps(most, time.Now())
--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -251,13 +251,13 @@
 			if !g.heard && !g.next && took < 2*time.Second {
 				t.Errorf("no meeting: all tasks of %s were gone %v after it was confirmed: the leader has learnt of it", j.ID, took)
 			}
-			if took > time.Duration(times.GoneWithinS()*float64(time.Second)) {
+			if took > time.Duration(times.CancelledGoneWithinS()*float64(time.Second)) {
 				t.Errorf("%s was on a machine %v after it was confirmed cancelled: more than %.2f s (cancel_s is %g)",
-					j.ID, took, times.GoneWithinS(), times.CancelS)
+					j.ID, took, times.CancelledGoneWithinS(), times.CancelS)
 			}
 		}
 		t.Logf("the last cancelled task was there for %.2f s of %.2f s (cancel_s %g); the old leader answered %d machines, %d of them with 200; %d leases ended",
-			most.Seconds(), times.GoneWithinS(), times.CancelS, answered, kept, w.ExpiredLeases())
+			most.Seconds(), times.CancelledGoneWithinS(), times.CancelS, answered, kept, w.ExpiredLeases())
 		for _, m := range w.Cloud.Machines() {
 			w.DeliverHeldCommands(m)
 		}
@@ -423,7 +423,7 @@
 				if survive := 0.8*w.LeaderLeaseS() + w.LeaseS - 1.25*w.ReportS - 3; before+out < survive && ended > 0 {
 					t.Errorf("%d tasks ended in an outage that their leases outlast by %.1f s", ended, survive-before-out)
 				}
-				if before+out > w.GoneWithinS()+1 && ended != gapOthers {
+				if before+out > w.CancelledGoneWithinS()+1 && ended != gapOthers {
 					t.Errorf("%d of %d tasks ended: all of their leases were over", ended, gapOthers)
 				}
 			})
--- a/controller/load.go
+++ b/controller/load.go
@@ -83,8 +83,8 @@
 func (l *leadership) newModel(now time.Time) *cluster.Model {
 	tuning := l.node.tuning
 	m := cluster.New(l.node.cfg, l.lease.FencingToken, now, l.log)
-	m.RebalanceSettings, m.Headroom = tuning.Rebalance, tuning.Renting.Headroom
-	m.StarvationBound = config.Seconds(tuning.Serving.BeginWithinS)
+	m.RebalanceSettings, m.Headroom = tuning.Rebalance, tuning.ScaleOut.Headroom
+	m.StarvationBound = config.Seconds(tuning.Serving.StarvationBoundS)
 	if l.node.metrics != nil {
 		m.Observer = latencyMetrics{l.node.metrics}
 	}
--- a/controller/node.go
+++ b/controller/node.go
@@ -153,7 +153,7 @@
 	n.setUpJobStore()
 	n.setUpPeers()
 	n.elector = election.New(election.Config{
-		Store: n.kv, Node: cfg.Node, LeaseTTL: config.Seconds(cfg.Cluster.Workers.LeaderLeaseS()), ClockDrift: config.Drift, Log: n.log,
+		Store: n.kv, Node: cfg.Node, LeaseTTL: config.Seconds(cfg.Cluster.Workers.LeaderLeaseS()), ClockDrift: config.ClockDrift, Log: n.log,
 		Lead: n.runLeader, ReadBarrier: n.readBarrier, OnChange: n.onLeaderChange,
 	})
 	return n
@@ -191,7 +191,7 @@
 
 // setUpPeers makes the clients of the other controllers.
 func (n *Node) setUpPeers() {
-	for _, s := range n.cfg.Siblings {
+	for _, s := range n.cfg.Peers {
 		n.peers = append(n.peers, peerrpc.NewPeer(s.Name, s.Addr, n.network.Dial))
 		n.peerStreams = append(n.peerStreams, peerrpc.NewHeartbeatStream(s.Name, s.Addr, n.network.Dial, max(64, n.cfg.Cluster.Limits.Sockets/2)))
 	}
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -34,7 +34,7 @@
 		l.mu.Lock()
 		l.node.stalls.Observe(time.Now())
 		l.model.ResumeAfterStall(l.node.stalls.LastStall())
-		back := l.model.SelectScaleIn(time.Now(), config.Seconds(l.node.tuning.Renting.IdleS))
+		back := l.model.SelectScaleIn(time.Now(), config.Seconds(l.node.tuning.ScaleOut.IdleS))
 		l.mu.Unlock()
 		if len(back) > 0 {
 			l.scaleIn(ctx, back[:min(len(back), cloud.MaxDelete)])
--- a/controller/schema.go
+++ b/controller/schema.go
@@ -23,7 +23,7 @@
 
 // schemaVersion returns the newest schema that this node allows to be written.
 func (n *Node) schemaVersion() int {
-	if !n.tuning.Ledger.Intake {
+	if !n.tuning.JobStore.SharedPages {
 		return jobstore.SchemaJobKeys
 	}
 	return jobstore.LatestSchema
--- a/controller/server.go
+++ b/controller/server.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return fmt.Errorf("bind: %w", err)
 	}
-	peerListener, err := n.network.Listen("tcp", n.cfg.MeshListen)
+	peerListener, err := n.network.Listen("tcp", n.cfg.PeerListen)
 	if err != nil {
 		listener.Close()
 		return fmt.Errorf("mesh_addr: %w", err)
--- a/internal/cmd/devcluster/main.go
+++ b/internal/cmd/devcluster/main.go
@@ -40,7 +40,7 @@
 	defer stop()
 	w := fake.New(fake.Options{Nodes: 1, Machines: c.Machines, ExternalNodes: true})
 	s := *w.Settings
-	s.Bind, s.MeshListen = bind, meshAddr
+	s.Bind, s.PeerListen = bind, meshAddr
 	s.Services.State, s.Services.Cloud = stateAddr, cloudAddr
 	if err := os.MkdirAll(c.Dir, 0o755); err != nil {
 		return err
--- a/internal/cmd/yarntrial/main.go
+++ b/internal/cmd/yarntrial/main.go
@@ -131,14 +131,14 @@
 
 func (t *trial) settings(i int, state, cloud string) error {
 	s := *t.w.Settings
-	s.Node, s.Zone, s.Siblings = fmt.Sprintf("n-%d", i), fake.Zones[i%2], nil
-	s.Bind, s.MeshListen = t.addr(i, 0), t.addr(i, 1)
+	s.Node, s.Zone, s.Peers = fmt.Sprintf("n-%d", i), fake.Zones[i%2], nil
+	s.Bind, s.PeerListen = t.addr(i, 0), t.addr(i, 1)
 	s.Services.State, s.Services.Cloud = state, cloud
 	s.Cluster.State = config.StateLimits{RPS: 250, WriteRPS: 90, ValueKB: 16, TxnOps: 12}
 	s.Cluster.Limits.MemMB = 300
 	for k := range nodes {
 		if k != i {
-			s.Siblings = append(s.Siblings, config.Sibling{Name: fmt.Sprintf("n-%d", k), Zone: fake.Zones[k%2], Addr: t.addr(k, 1)})
+			s.Peers = append(s.Peers, config.Peer{Name: fmt.Sprintf("n-%d", k), Zone: fake.Zones[k%2], Addr: t.addr(k, 1)})
 		}
 	}
 	f, err := os.Create(filepath.Join(t.Dir, s.Node+".toml"))
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -50,8 +50,8 @@
 	olderSchema := n.olderSchema
 	w.mu.Unlock()
 	tuning := config.DefaultTuning()
-	tuning.Launching.Summon = !w.noWakeUps
-	tuning.Ledger.Intake = !olderSchema
+	tuning.Launches.WakeWorkers = !w.noWakeUps
+	tuning.JobStore.SharedPages = !olderSchema
 	if w.metrics {
 		tuning.Metrics.Listen = n.name + ":9464"
 	}
--- a/internal/fake/options.go
+++ b/internal/fake/options.go
@@ -59,7 +59,7 @@
 // nodeSettings is the settings file of the i-th controller.
 func (o *Options) nodeSettings(i int) *config.Settings {
 	name := nodeName(i)
-	cfg := &config.Settings{Node: name, Zone: Zones[i%2], Bind: name + ":80", MeshListen: name + ":81",
+	cfg := &config.Settings{Node: name, Zone: Zones[i%2], Bind: name + ":80", PeerListen: name + ":81",
 		Services: config.Services{Cloud: "cloud:1", State: "state:1"},
 		Cluster: config.Cluster{Size: o.Nodes, Zones: Zones, SkewMs: 5, Teams: o.Teams,
 			Workers: config.Workers{ReportS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
@@ -68,7 +68,7 @@
 			Limits:  config.Limits{CPU: 0.2, MemMB: 100, Sockets: 800}}}
 	for k := range o.Nodes {
 		if k != i {
-			cfg.Siblings = append(cfg.Siblings, config.Sibling{Name: nodeName(k), Zone: Zones[k%2], Addr: nodeName(k) + ":81"})
+			cfg.Peers = append(cfg.Peers, config.Peer{Name: nodeName(k), Zone: Zones[k%2], Addr: nodeName(k) + ":81"})
 		}
 	}
 	return cfg
