--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -11,83 +11,83 @@
 // cache is what images a machine has, the most recently used last, and what it is
 // fetching. The cluster's lock guards it.
 type cache struct {
-	order   []string
-	size    map[string]float64
-	fetches map[string]float64 // GB left, by image
-	last    time.Time          // when fetches last went on
+	images      []string
+	sizes       map[string]float64
+	fetchesLeft map[string]float64 // GB left, by image
+	fetchedAt   time.Time          // when fetches last went on
 }
 
-func (c *cache) has(image string) bool { return slices.Contains(c.order, image) }
+func (c *cache) has(image string) bool { return slices.Contains(c.images, image) }
 
 // use makes an image the most recently used, and evicts what no longer fits
 // beside it and is not in use.
 func (c *cache) use(image string, gb, limit float64, inUse func(string) bool) {
-	if c.size == nil {
-		c.size = map[string]float64{}
+	if c.sizes == nil {
+		c.sizes = map[string]float64{}
 	}
-	c.size[image] = gb
-	c.order = append(slices.DeleteFunc(c.order, func(i string) bool { return i == image }), image)
+	c.sizes[image] = gb
+	c.images = append(slices.DeleteFunc(c.images, func(i string) bool { return i == image }), image)
 	total := 0.0
-	for _, i := range c.order {
-		total += c.size[i]
+	for _, i := range c.images {
+		total += c.sizes[i]
 	}
-	for _, i := range slices.Clone(c.order) {
+	for _, i := range slices.Clone(c.images) {
 		if total <= limit {
 			return
 		}
 		if i != image && !inUse(i) {
-			total -= c.size[i]
-			delete(c.size, i)
-			c.order = slices.DeleteFunc(c.order, func(o string) bool { return o == i })
+			total -= c.sizes[i]
+			delete(c.sizes, i)
+			c.images = slices.DeleteFunc(c.images, func(o string) bool { return o == i })
 		}
 	}
 }
 
 // fetch begins a fetch, unless the image is there or on its way.
 func (c *cache) fetch(image string, gb float64) {
-	if c.fetches == nil {
-		c.fetches = map[string]float64{}
+	if c.fetchesLeft == nil {
+		c.fetchesLeft = map[string]float64{}
 	}
-	if _, ok := c.fetches[image]; !ok && !c.has(image) {
-		c.fetches[image] = gb
+	if _, ok := c.fetchesLeft[image]; !ok && !c.has(image) {
+		c.fetchesLeft[image] = gb
 	}
 }
 
-// fetchOn lets fetches go on: those under way share the machine's rate, and one
+// advanceFetches lets fetches go on: those under way share the machine's rate, and one
 // that no task waits for is given up. The cluster's lock is held.
-func (m *machine) fetchOn(now time.Time) {
+func (m *machine) advanceFetches(now time.Time) {
 	wanted := map[string]bool{}
 	for _, t := range m.tasks {
 		if t.state == wire.TaskFetching && t.job != nil {
 			wanted[t.job.Image] = true
 		}
 	}
-	for image := range m.cache.fetches {
+	for image := range m.cache.fetchesLeft {
 		if !wanted[image] {
-			delete(m.cache.fetches, image)
+			delete(m.cache.fetchesLeft, image)
 		}
 	}
-	took := now.Sub(m.cache.last).Seconds()
-	m.cache.last = now
-	n := len(m.cache.fetches)
+	took := now.Sub(m.cache.fetchedAt).Seconds()
+	m.cache.fetchedAt = now
+	n := len(m.cache.fetchesLeft)
 	if n > 0 {
-		m.w.fetching[m.name] = true
+		m.cluster.fetchingMachines[m.name] = true
 	} else {
-		delete(m.w.fetching, m.name)
+		delete(m.cluster.fetchingMachines, m.name)
 	}
-	m.w.fetchedMost = max(m.w.fetchedMost, len(m.w.fetching))
-	for image := range m.cache.fetches {
-		m.cache.fetches[image] -= took * math.Max(m.typ.FetchGBPS, 0.1) / float64(n)
+	m.cluster.peakFetching = max(m.cluster.peakFetching, len(m.cluster.fetchingMachines))
+	for image := range m.cache.fetchesLeft {
+		m.cache.fetchesLeft[image] -= took * math.Max(m.machineType.FetchGBPS, 0.1) / float64(n)
 	}
 }
 
-// fetched says whether a task's image is there now, and notes that it is used.
-func (m *machine) fetched(t *task) bool {
-	if !m.cache.has(t.job.Image) && m.cache.fetches[t.job.Image] > 1e-9 {
+// takeFetchedImage says whether a task's image is there now, and notes that it is used.
+func (m *machine) takeFetchedImage(t *task) bool {
+	if !m.cache.has(t.job.Image) && m.cache.fetchesLeft[t.job.Image] > 1e-9 {
 		return false
 	}
-	delete(m.cache.fetches, t.job.Image)
-	m.cache.use(t.job.Image, t.job.ImageGB, m.typ.CacheGB, func(image string) bool {
+	delete(m.cache.fetchesLeft, t.job.Image)
+	m.cache.use(t.job.Image, t.job.ImageGB, m.machineType.CacheGB, func(image string) bool {
 		for _, o := range m.tasks {
 			if o.job != nil && o.job.Image == image && o.state != wire.TaskExited {
 				return true
@@ -103,7 +103,7 @@
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	m.typ.FetchGBPS /= 10
+	m.machineType.FetchGBPS /= 10
 }
 
 // PeakImageFetches is on how many machines images were fetched at the same time, at
@@ -111,7 +111,7 @@
 func (w *Cluster) PeakImageFetches() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.fetchedMost
+	return w.peakFetching
 }
 
 // MachinesWithImage lists the machines that have an image.
--- a/internal/fake/cancellations.go
+++ b/internal/fake/cancellations.go
@@ -15,9 +15,9 @@
 // becomes of the tasks of cancelled jobs.
 
 const (
-	longToGo  = 30.0                   // seconds
-	cancelsIn = 200 * time.Millisecond // all that CancelNow asks for
-	hangsMost = 8                      // machines
+	minRemaining = 30.0                   // seconds
+	cancelSpread = 200 * time.Millisecond // all that CancelNow asks for
+	maxHung      = 8                      // machines
 )
 
 // CancelRunning cancels so many jobs, within a fifth of a second, that run and have
@@ -36,7 +36,7 @@
 	w.mu.Unlock()
 	for i, id := range ids {
 		w.wg.Go(func() {
-			if call.Pause(w.ctx, cancelsIn*time.Duration(i)/time.Duration(len(ids))) {
+			if call.Pause(w.ctx, cancelSpread*time.Duration(i)/time.Duration(len(ids))) {
 				w.Cancel(id)
 			}
 		})
@@ -63,12 +63,12 @@
 	for name, ms := range w.tasksWithImage {
 		id, _, _ := wire.SplitTask(name)
 		j := w.jobs[id]
-		if !j.accepted || j.asked {
+		if !j.accepted || j.cancelRequested {
 			continue
 		}
 		for m := range ms {
 			for _, t := range m.tasks {
-				if t.name == name && t.here && w.hasLongToGo(t, now) {
+				if t.name == name && t.present && w.hasLongToGo(t, now) {
 					machinesOf[id] = append(machinesOf[id], m)
 				}
 			}
@@ -79,7 +79,7 @@
 
 // hasLongToGo says whether a task that is on its machine has long to go.
 func (w *Cluster) hasLongToGo(t *task, now time.Time) bool {
-	return t.job.Kind == wire.KindService || t.job.EstimateS-w.progress[t.name]-now.Sub(t.waiting).Seconds() > longToGo
+	return t.job.Kind == wire.KindService || t.job.EstimateS-w.progress[t.name]-now.Sub(t.presentSince).Seconds() > minRemaining
 }
 
 // hangSome makes machines of the jobs hang, a few at most; the lock is held.
@@ -87,7 +87,7 @@
 	for _, id := range ids {
 		slices.SortFunc(machinesOf[id], func(a, b *machine) int { return cmp.Compare(a.name, b.name) })
 		for _, m := range machinesOf[id] {
-			if len(hung) < hangsMost && !m.hung {
+			if len(hung) < maxHung && !m.hung {
 				m.hung = true
 				hung = append(hung, m)
 			}
@@ -98,9 +98,9 @@
 
 // completionCancel has jobs cancelled as their last task ends. The cluster's lock guards it.
 type completionCancel struct {
-	share float64
-	rnd   *rand.Rand
-	asked []string
+	share     float64
+	random    *rand.Rand
+	requested []string
 }
 
 // CancelOnCompletion has the users of a share of the jobs that end cancel them at that moment; 0
@@ -108,29 +108,29 @@
 func (w *Cluster) CancelOnCompletion(share float64, seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.completionCancel.share, w.completionCancel.rnd = share, rand.New(rand.NewPCG(seed, 43))
+	w.completionCancel.share, w.completionCancel.random = share, rand.New(rand.NewPCG(seed, 43))
 }
 
 // CancelledOnCompletion lists the jobs whose users have asked so.
 func (w *Cluster) CancelledOnCompletion() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return slices.Clone(w.completionCancel.asked)
+	return slices.Clone(w.completionCancel.requested)
 }
 
-// taskDone takes in that a task has completed, as the last of its job or not; the lock is
+// noteCompletion takes in that a task has completed, as the last of its job or not; the lock is
 // held.
-func (w *Cluster) taskDone(j *job, task int) {
+func (w *Cluster) noteCompletion(j *job, task int) {
 	if j.done[task] {
 		return
 	}
 	j.done[task] = true
-	if len(j.done) < j.spec.Tasks || j.asked || !wire.ValidUserID(j.spec.ID) ||
-		w.completionCancel.share == 0 || w.completionCancel.rnd.Float64() >= w.completionCancel.share {
+	if len(j.done) < j.spec.Tasks || j.cancelRequested || !wire.ValidUserID(j.spec.ID) ||
+		w.completionCancel.share == 0 || w.completionCancel.random.Float64() >= w.completionCancel.share {
 		return
 	}
-	j.asked = true
-	w.completionCancel.asked = append(w.completionCancel.asked, j.spec.ID)
+	j.cancelRequested = true
+	w.completionCancel.requested = append(w.completionCancel.requested, j.spec.ID)
 	w.wg.Go(func() { w.Cancel(j.spec.ID) })
 }
 
@@ -140,20 +140,20 @@
 func (w *Cluster) StartedAfterCancel() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.afterCancel
+	return w.startedAfterCancel
 }
 
-// checkCancelled sees to it that what is on a machine is not of a job cancelled
+// checkCancelledTask sees to it that what is on a machine is not of a job cancelled
 // more than cancel_s ago. The lock is held.
-func (w *Cluster) checkCancelled(t *task, now time.Time) {
+func (w *Cluster) checkCancelledTask(t *task, now time.Time) {
 	j := w.jobs[t.job.ID]
-	if j.cancelled.IsZero() || now.Sub(j.cancelled) <= secs(w.Settings.Cluster.Workers.CancelS) {
+	if j.cancelConfirmedAt.IsZero() || now.Sub(j.cancelConfirmedAt) <= secs(w.Settings.Cluster.Workers.CancelS) {
 		return
 	}
 	how := ""
-	if t.m.hung {
+	if t.machine.hung {
 		how = ", which hangs"
 	}
-	w.violations.add("ran_cancelled: %s is on %s%s", t.name, t.m.name, how)
-	j.cancelled = now // said once for each cancel_s
+	w.violations.add("ran_cancelled: %s is on %s%s", t.name, t.machine.name, how)
+	j.cancelConfirmedAt = now // said once for each cancel_s
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -16,27 +16,27 @@
 // Cloud rents machines of the cluster.
 type Cloud struct {
 	// Set before the cloud serves requests, and not changed afterwards.
-	w     *Cluster
-	types []wire.MachineType
-	lag   time.Duration // until a machine is listed as it is
+	cluster    *Cluster
+	types      []wire.MachineType
+	listingLag time.Duration // until a machine is listed as it is
 
 	mu sync.Mutex // guards all that follows
 
-	capacity int                 // machines at once
-	machines map[string]*machine // those that exist, by name
-	next     int                 // the number of the next machine
-	answers  map[string][]string // the machines that a request has made, by its id
-
-	outage bool
-	silent bool                    // what is asked is done, and not answered
-	boots  func(int) time.Duration // of the machine of that number; negative: never up
-	slow   time.Duration           // until a rental is answered
-	later  time.Duration           // until a deletion is carried out, unanswered
-
-	repeatedRentals []string // requests that came again
-	rented          int      // machines, ever
-	delayedDeletes  int      // deletions carried out late
-	upFirst         int      // machines whose worker had an answer before their rental had one
+	capacity    int                 // machines at once
+	machines    map[string]*machine // those that exist, by name
+	nextMachine int                 // the number of the next machine
+	rentals     map[string][]string // the machines that a request has made, by its id
+
+	outage      bool
+	dropReplies bool                    // what is asked is done, and not answered
+	bootTimes   func(int) time.Duration // of the machine of that number; negative: never up
+	replyDelay  time.Duration           // until a rental is answered
+	deleteDelay time.Duration           // until a deletion is carried out, unanswered
+
+	repeatedRentals  []string // requests that came again
+	rented           int      // machines, ever
+	delayedDeletes   int      // deletions carried out late
+	readyBeforeReply int      // machines whose worker had an answer before their rental had one
 }
 
 // RepeatedRentals lists the ids of rental requests that came again, after they had been carried
@@ -66,7 +66,7 @@
 func (c *Cloud) DelayDeletes(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.later = by
+	c.deleteDelay = by
 }
 
 // ReadyBeforeRentalReply is how many machines' workers were answered before the rental was that
@@ -74,7 +74,7 @@
 func (c *Cloud) ReadyBeforeRentalReply() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.upFirst
+	return c.readyBeforeReply
 }
 
 // SetBootTimes says how long machines take to come up, by their number since the
@@ -82,7 +82,7 @@
 func (c *Cloud) SetBootTimes(f func(n int) time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.boots = f
+	c.bootTimes = f
 }
 
 // SetReplyDelay makes rentals take so long to be answered, after the machines have
@@ -90,7 +90,7 @@
 func (c *Cloud) SetReplyDelay(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.slow = d
+	c.replyDelay = d
 }
 
 // SetOutage begins or ends an outage of the cloud's interface.
@@ -104,10 +104,10 @@
 func (c *Cloud) SetDropReplies(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent = on
+	c.dropReplies = on
 }
 
-func (c *Cloud) typ(name string) *wire.MachineType {
+func (c *Cloud) machineType(name string) *wire.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
 			return &c.types[i]
@@ -118,9 +118,9 @@
 
 // rent adds a machine; c.mu must be held.
 func (c *Cloud) rent(typ, zone string, spot bool, boot time.Duration) string {
-	name := fmt.Sprintf("host-%06d", c.next)
-	c.next++
-	m := newMachine(c.w, name, *c.typ(typ), zone, spot, boot)
+	name := fmt.Sprintf("host-%06d", c.nextMachine)
+	c.nextMachine++
+	m := newMachine(c.cluster, name, *c.machineType(typ), zone, spot, boot)
 	c.machines[name] = m
 	return name
 }
@@ -180,7 +180,7 @@
 	case r.URL.Path == "/machines" && r.Method == http.MethodPost:
 		c.serveRental(w, body)
 	case r.URL.Path == "/machines":
-		c.list(w, r.URL.Query().Get("after"))
+		c.serveList(w, r.URL.Query().Get("after"))
 	default:
 		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 	}
@@ -199,7 +199,7 @@
 		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
-	if by := c.later; by > 0 {
+	if by := c.deleteDelay; by > 0 {
 		c.wait(by)
 		c.delayedDeletes++
 		w = discardedReply{w}
@@ -224,22 +224,22 @@
 // lock is held, but not while the answer is delayed.
 func (c *Cloud) serveRental(w http.ResponseWriter, body []byte) {
 	var q wire.Rental
-	if wire.Unmarshal(body, &q) != nil || c.typ(q.Type) == nil || q.Count < 1 || q.Count > maxRentals {
+	if wire.Unmarshal(body, &q) != nil || c.machineType(q.Type) == nil || q.Count < 1 || q.Count > maxRentals {
 		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
-	names, again := c.answers[q.Request]
+	names, again := c.rentals[q.Request]
 	if again {
 		c.repeatedRentals = append(c.repeatedRentals, q.Request)
 	} else if names = c.rentFor(q); len(names) == 0 {
 		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 		return
 	}
-	if c.silent {
+	if c.dropReplies {
 		c.wait(silence)
 	}
-	if c.slow > 0 {
-		c.wait(c.slow)
+	if c.replyDelay > 0 {
+		c.wait(c.replyDelay)
 	}
 	if !again {
 		c.countReady(names)
@@ -254,17 +254,17 @@
 		names = append(names, c.rent(q.Type, q.Zone, q.Spot, c.bootTime(q.Type)))
 	}
 	if len(names) > 0 {
-		c.answers[q.Request] = names
+		c.rentals[q.Request] = names
 	}
 	return names
 }
 
 // bootTime is how long the next machine takes to come up.
 func (c *Cloud) bootTime(typ string) time.Duration {
-	if c.boots == nil {
-		return secs(c.typ(typ).BootS)
+	if c.bootTimes == nil {
+		return secs(c.machineType(typ).BootS)
 	}
-	if boot := c.boots(c.next); boot >= 0 {
+	if boot := c.bootTimes(c.nextMachine); boot >= 0 {
 		return boot
 	}
 	return neverBoots
@@ -272,11 +272,11 @@
 
 // countReady counts those of newly rented machines whose worker has had an answer already.
 func (c *Cloud) countReady(names []string) {
-	c.w.mu.Lock()
-	defer c.w.mu.Unlock()
+	c.cluster.mu.Lock()
+	defer c.cluster.mu.Unlock()
 	for _, name := range names {
 		if m := c.machines[name]; m != nil && m.token > 0 {
-			c.upFirst++
+			c.readyBeforeReply++
 		}
 	}
 }
@@ -288,17 +288,17 @@
 	c.mu.Lock()
 }
 
-func (c *Cloud) list(w http.ResponseWriter, after string) {
+func (c *Cloud) serveList(w http.ResponseWriter, after string) {
 	var l wire.MachineList
 	now := time.Now()
 	for name, m := range c.machines {
-		age := now.Sub(m.born)
-		if name <= after || age < c.lag {
+		age := now.Sub(m.createdAt)
+		if name <= after || age < c.listingLag {
 			continue
 		}
-		e := wire.ListedMachine{Name: name, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot,
-			State: wire.MachineRunning, AgeS: (age - c.lag).Seconds()}
-		if age-c.lag < m.boot {
+		e := wire.ListedMachine{Name: name, Addr: m.addr, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
+			State: wire.MachineRunning, AgeS: (age - c.listingLag).Seconds()}
+		if age-c.listingLag < m.bootTime {
 			e.State = wire.MachineBooting
 		}
 		if m.isDead() {
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -38,7 +38,7 @@
 	answeredReports    map[nodeAndMachine]time.Time // when a machine last sent a report that a node answered
 	acceptedAnswers    map[nodeAndMachine]time.Time // and one whose 200 it took
 	failoverCopies     failoverCopies
-	commands           commandDelay
+	commandDelay       commandDelay
 	completionCancel   completionCancel
 	random             *rand.Rand
 	jobs               map[string]*job
@@ -47,15 +47,15 @@
 	progress           map[string]float64 // saved, by task, or by job for gangs
 	started            int
 	externalStarts     map[string]int // starts of tasks of other doors' jobs, each of which runs once
-	expired            int            // workers' leases that ended, with tasks
+	expiredLeases      int            // workers' leases that ended, with tasks
 	knownJobsOnly      bool           // workers know users' jobs only
-	fetching           map[string]bool
+	fetchingMachines   map[string]bool
 	// fetchedMost is on how many machines images were fetched at the same time.
-	fetchedMost  int
-	requestClock uint64    // counts users' requests and the answers to them
-	unusualIDs   int       // ids of jobs that can't be accepted
-	afterCancel  int       // starts after the user was told that the job is cancelled
-	faultSeen    time.Time // when a fault was last seen to be injected
+	peakFetching       int
+	requestClock       uint64    // counts users' requests and the answers to them
+	unusualIDs         int       // ids of jobs that can't be accepted
+	startedAfterCancel int       // starts after the user was told that the job is cancelled
+	lastFaultAt        time.Time // when a fault was last seen to be injected
 }
 
 // New makes a cluster whose controllers are running, unless they are external.
@@ -67,17 +67,17 @@
 		metrics: options.Metrics, noWakeUps: options.NoWakeUps, random: rand.New(rand.NewPCG(options.Seed, 7)),
 		jobs: map[string]*job{}, tasksWithImage: map[string]map[*machine]bool{}, gangs: map[taskKey]*gang{},
 		progress: map[string]float64{}, externalStarts: map[string]int{}, capturedReports: map[string][]byte{},
-		answeredReports: map[nodeAndMachine]time.Time{}, acceptedAnswers: map[nodeAndMachine]time.Time{}, fetching: map[string]bool{},
+		answeredReports: map[nodeAndMachine]time.Time{}, acceptedAnswers: map[nodeAndMachine]time.Time{}, fetchingMachines: map[string]bool{},
 	}
 	w.Store.reportViolation = w.violations.add
-	w.Cloud = &Cloud{w: w, types: options.Types, capacity: options.Capacity, lag: 5 * time.Second,
-		answers: map[string][]string{}, machines: map[string]*machine{}}
+	w.Cloud = &Cloud{cluster: w, types: options.Types, capacity: options.Capacity, listingLag: 5 * time.Second,
+		rentals: map[string][]string{}, machines: map[string]*machine{}}
 	w.serve("state:1", w.Store)
 	w.serve("cloud:1", w.Cloud)
 	w.httpClient = &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("user"), DisableKeepAlives: true}}
 	for i := range options.Nodes {
 		cfg := options.nodeSettings(i)
-		w.nodes = append(w.nodes, &node{name: cfg.Node, bind: cfg.Bind, cfg: cfg, olderSchema: slices.Contains(options.OlderSchema, i)})
+		w.nodes = append(w.nodes, &node{name: cfg.Node, addr: cfg.Bind, cfg: cfg, olderSchema: slices.Contains(options.OlderSchema, i)})
 	}
 	w.setLimits(options)
 	w.Settings = w.nodes[0].cfg
@@ -92,9 +92,9 @@
 		}
 	}
 	w.mu.Lock()
-	w.faultSeen = time.Now() // the beginning is no better than a fault
+	w.lastFaultAt = time.Now() // the beginning is no better than a fault
 	w.mu.Unlock()
-	w.wg.Go(w.watchFaults)
+	w.wg.Go(w.monitorFaults)
 	return w
 }
 
@@ -117,7 +117,7 @@
 
 type fromKey struct{}
 
-func nodeOf(r *http.Request) string {
+func senderOf(r *http.Request) string {
 	s, _ := r.Context().Value(fromKey{}).(string)
 	return s
 }
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -21,9 +21,9 @@
 // commandDelay is the share of direct commands that is held up. The cluster's lock guards
 // it.
 type commandDelay struct {
-	share float64
-	rnd   *rand.Rand
-	seen  DelayedCommands
+	share  float64
+	random *rand.Rand
+	counts DelayedCommands
 }
 
 // DelayedCommands counts what became of direct commands that were held up.
@@ -46,15 +46,15 @@
 func (w *Cluster) DelayDirectCommands(share float64, seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.commands.share = share
-	w.commands.rnd = rand.New(rand.NewPCG(seed, 41))
+	w.commandDelay.share = share
+	w.commandDelay.random = rand.New(rand.NewPCG(seed, 41))
 }
 
 // DelayedCommands returns what became of the commands that were held up so far.
 func (w *Cluster) DelayedCommands() DelayedCommands {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.commands.seen
+	return w.commandDelay.counts
 }
 
 // delayedBatch is a batch of direct commands that is held up.
@@ -66,68 +66,68 @@
 
 // delay draws whether a batch is held up, and for how long; the lock is held.
 func (f *commandDelay) delay() (time.Duration, bool) {
-	if f.share == 0 || f.rnd.Float64() >= f.share {
+	if f.share == 0 || f.random.Float64() >= f.share {
 		return 0, false
 	}
 	span := int64(mostCommandDelay - leastCommandDelay)
-	return leastCommandDelay + time.Duration(f.rnd.Int64N(span)), true
+	return leastCommandDelay + time.Duration(f.random.Int64N(span)), true
 }
 
-// serveCommands answers a request with direct commands; held says that it is held up, and
+// receiveCommands answers a request with direct commands; held says that it is held up, and
 // gets no answer. The cluster's lock is held.
-func (m *machine) serveCommands(body []byte) (status int, held bool) {
+func (m *machine) receiveCommands(body []byte) (status int, held bool) {
 	var d wire.DirectCommands
 	if wire.Unmarshal(body, &d) != nil || d.Session == 0 {
 		return http.StatusBadRequest, false
 	}
-	m.w.checkDirect(d.Commands)
-	if m.holding {
-		m.held = append(m.held, d)
+	m.cluster.checkDirectCommands(d.Commands)
+	if m.holdCommands {
+		m.heldCommands = append(m.heldCommands, d)
 		return 0, true
 	}
-	m.batches++
-	if by, late := m.w.commands.delay(); late {
-		m.w.commands.seen.Held++
-		batch := delayedBatch{DirectCommands: d, sent: time.Now(), order: m.batches}
-		m.w.wg.Go(func() { m.deliverLate(batch, by) })
+	m.batchesSent++
+	if by, late := m.cluster.commandDelay.delay(); late {
+		m.cluster.commandDelay.counts.Held++
+		batch := delayedBatch{DirectCommands: d, sent: time.Now(), order: m.batchesSent}
+		m.cluster.wg.Go(func() { m.deliverDelayed(batch, by) })
 		return 0, true
 	}
 	if d.Token < m.token || d.Session != m.session {
 		return http.StatusConflict, false
 	}
-	m.newestBatch = m.batches
+	m.newestBatchExecuted = m.batchesSent
 	m.executeDirect(d)
-	m.direct += len(d.Commands)
+	m.directExecuted += len(d.Commands)
 	return http.StatusOK, false
 }
 
 func (m *machine) executeDirect(d wire.DirectCommands) {
 	now := time.Now()
-	m.sawToken(d.Token, now)
+	m.noteToken(d.Token, now)
 	m.execute(d.Commands, now)
 }
 
-// deliverLate carries a batch out that was held up. One that finds its machine hanging
+// deliverDelayed carries a batch out that was held up. One that finds its machine hanging
 // waits until that resumes.
-func (m *machine) deliverLate(b delayedBatch, by time.Duration) {
+func (m *machine) deliverDelayed(b delayedBatch, by time.Duration) {
 	if !call.Pause(m.ctx, by) {
 		return
 	}
 	hung := false
-	for m.hangs() {
+	for m.isHung() {
 		hung = true
-		if !call.Pause(m.ctx, stepEvery) {
+		if !call.Pause(m.ctx, stepInterval) {
 			return
 		}
 	}
-	leader := m.w.FencingToken() // before the cluster's lock, as everywhere
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
+	leader := m.cluster.FencingToken() // before the cluster's lock, as everywhere
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
 	if m.dead {
 		return
 	}
-	seen := &m.w.commands.seen
-	if m.newestBatch > b.order {
+	seen := &m.cluster.commandDelay.counts
+	if m.newestBatchExecuted > b.order {
 		seen.Overtaken++
 	}
 	switch {
@@ -145,20 +145,20 @@
 	if b.Token != leader {
 		seen.FormerLeader++
 	}
-	m.noteStops(b)
+	m.countDelayedStops(b)
 	m.executeDirect(b.DirectCommands)
-	m.dirty = true
+	m.reportDue = true
 }
 
-// noteStops counts what late stops are about to meet; the lock is held.
-func (m *machine) noteStops(b delayedBatch) {
-	seen := &m.w.commands.seen
+// countDelayedStops counts what late stops are about to meet; the lock is held.
+func (m *machine) countDelayedStops(b delayedBatch) {
+	seen := &m.cluster.commandDelay.counts
 	for _, c := range b.Commands {
 		t := m.tasks[taskKey{c.Task, c.Attempt}]
 		if c.Op != wire.OpStop || t == nil || t.state == wire.TaskExited {
 			continue
 		}
-		if t.launched.After(b.sent) {
+		if t.launchedAt.After(b.sent) {
 			seen.NewerStart++
 		}
 		if t.state == wire.TaskSaving && graceOf(c) == 0 {
@@ -167,17 +167,17 @@
 	}
 }
 
-func (m *machine) hangs() bool {
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
+func (m *machine) isHung() bool {
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
 	return m.hung && !m.dead
 }
 
-// checkDirect checks what a node sends directly, since it may be carried out minutes
+// checkDirectCommands checks what a node sends directly, since it may be carried out minutes
 // later: stops, which name an attempt, and launches of tasks that their jobs do not have,
 // which only wake the worker. A launch could start a task that runs elsewhere by then, and
 // a forget could remove an outcome that is not recorded. The lock is held.
-func (w *Cluster) checkDirect(commands []wire.Command) {
+func (w *Cluster) checkDirectCommands(commands []wire.Command) {
 	for _, c := range commands {
 		id, n, ok := wire.SplitTask(c.Task)
 		switch {
@@ -194,7 +194,7 @@
 	m := w.Cloud.machine(name) // before the cluster's lock, as everywhere
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	m.holding = true
+	m.holdCommands = true
 }
 
 // DeliverHeldCommands delivers what was held back, whether its sender still waits or
@@ -208,15 +208,15 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	m.holding = false
-	for _, d := range m.held {
+	m.holdCommands = false
+	for _, d := range m.heldCommands {
 		if d.Token < m.token || d.Session != m.session {
 			refused++
 			continue
 		}
 		executed++
 		m.executeDirect(d)
-		m.dirty = true
+		m.reportDue = true
 	}
 	return executed, refused
 }
--- a/internal/fake/duplicate_reports.go
+++ b/internal/fake/duplicate_reports.go
@@ -9,8 +9,8 @@
 
 // This file copies reports of workers and holds them back.
 
-// maxCopies bounds the copies of reports on their way.
-const maxCopies = 100
+// maxDuplicates bounds the copies of reports on their way.
+const maxDuplicates = 100
 
 // DuplicateReports makes the network copy one in so many reports, to arrive at any
 // node 1 s to 5 leases later, whatever becomes of the machine; 0 ends that.
@@ -20,9 +20,9 @@
 	w.duplicateOneIn = oneIn
 }
 
-// mayCopy copies a report if it is its turn; the lock is held.
-func (w *Cluster) mayCopy(r wire.Report) {
-	if w.duplicateOneIn == 0 || w.duplicatesInFlight >= maxCopies || w.pick(w.duplicateOneIn) > 0 {
+// maybeDuplicate copies a report if it is its turn; the lock is held.
+func (w *Cluster) maybeDuplicate(r wire.Report) {
+	if w.duplicateOneIn == 0 || w.duplicatesInFlight >= maxDuplicates || w.pick(w.duplicateOneIn) > 0 {
 		return
 	}
 	w.duplicatesInFlight++
@@ -32,7 +32,7 @@
 	go func() {
 		defer w.wg.Done()
 		if call.Pause(w.ctx, in) {
-			w.post(w.nodes[to].bind, wire.PathReport, r)
+			w.post(w.nodes[to].addr, wire.PathReport, r)
 		}
 		w.mu.Lock()
 		w.duplicatesInFlight--
@@ -55,6 +55,6 @@
 	var r wire.Report
 	_ = wire.Unmarshal(w.capturedReports[name], &r)
 	w.mu.Unlock()
-	status, _ = w.post(w.nodes[node].bind, wire.PathReport, r)
+	status, _ = w.post(w.nodes[node].addr, wire.PathReport, r)
 	return status
 }
--- a/internal/fake/jobs.go
+++ b/internal/fake/jobs.go
@@ -11,20 +11,20 @@
 
 // job is what the users and the checker know of a job.
 type job struct {
-	spec      wire.Job
-	accepted  bool
-	cancelled time.Time // when its user was told
-	asked     bool      // its user has asked to cancel it
-	done      map[int]bool
-	said      string // the last final state any node gave
-	answers   answerLog
+	spec              wire.Job
+	accepted          bool
+	cancelConfirmedAt time.Time // when its user was told
+	cancelRequested   bool      // its user has asked to cancel it
+	done              map[int]bool
+	finalState        string // the last final state any node gave
+	answers           answerLog
 	// unanswered is since when no question about it has been answered, without faults.
-	unanswered time.Time
+	unansweredSince time.Time
 }
 
-// reserved is a job of another door, whose description workers find in its record;
+// jobOf is a job of another door, whose description workers find in its record;
 // the lock is held.
-func (w *Cluster) reserved(id string) *job {
+func (w *Cluster) jobOf(id string) *job {
 	if j := w.jobs[id]; j != nil || wire.ValidUserID(id) || w.knownJobsOnly {
 		return j
 	}
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -150,7 +150,7 @@
 func (s *KVStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.mu.Lock()
-	latency, replyDelay := s.latency, s.replyDelay+s.replyDelayTo[nodeOf(r)]
+	latency, replyDelay := s.latency, s.replyDelay+s.replyDelayTo[senderOf(r)]
 	s.mu.Unlock()
 	time.Sleep(usualLatency + latency)
 	if replyDelay == 0 {
@@ -167,7 +167,7 @@
 func (s *KVStore) serve(w http.ResponseWriter, r *http.Request, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.outage || s.refusedNodes[nodeOf(r)] {
+	if s.outage || s.refusedNodes[senderOf(r)] {
 		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "trouble"})
 		return
 	}
@@ -258,7 +258,7 @@
 	for {
 		s.expireLeases()
 		events := wire.Events{Revision: s.revision, Log: s.eventsAfter(after, q.Get("prefix"))}
-		silent := s.outage || s.refusedNodes[nodeOf(r)] || block > 0 && s.silentWatches[nodeOf(r)]
+		silent := s.outage || s.refusedNodes[senderOf(r)] || block > 0 && s.silentWatches[senderOf(r)]
 		left := time.Until(end)
 		if !silent && (len(events.Log) > 0 || left <= 0) {
 			reply(w, http.StatusOK, events)
--- a/internal/fake/kvstore_transactions.go
+++ b/internal/fake/kvstore_transactions.go
@@ -106,7 +106,7 @@
 		reply(w, http.StatusTooManyRequests, wire.Error{Error: "too many changes"})
 		return
 	}
-	arrival := s.noteArrival(t, nodeOf(r))
+	arrival := s.noteArrival(t, senderOf(r))
 	s.delayIfNext(t, &arrival)
 	s.holdIfNext(t, &arrival)
 	if by, unanswered := s.delays.draw(len(t.Then)); unanswered {
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -13,18 +13,18 @@
 const (
 	// faultCheckEvery is how often the cluster looks for faults that are injected.
 	faultCheckEvery = 200 * time.Millisecond
-	// forgottenAfter is for how long questions about a job may go unanswered without
+	// forgottenTimeout is for how long questions about a job may go unanswered without
 	// faults: after that it counts as forgotten.
-	forgottenAfter = 75 * time.Second
-	// settledAfter is for how long there must have been no fault before a cancellation,
+	forgottenTimeout = 75 * time.Second
+	// settleTime is for how long there must have been no fault before a cancellation,
 	// for its job's launches to end with it.
-	settledAfter = 20 * time.Second
-	// launchedWithin is how long after such a cancellation a launch may arrive.
-	launchedWithin = 2 * time.Second
+	settleTime = 20 * time.Second
+	// launchGrace is how long after such a cancellation a launch may arrive.
+	launchGrace = 2 * time.Second
 )
 
-// watchFaults notes when a fault was last seen to be injected.
-func (w *Cluster) watchFaults() {
+// monitorFaults notes when a fault was last seen to be injected.
+func (w *Cluster) monitorFaults() {
 	for call.Pause(w.ctx, faultCheckEvery) {
 		w.noteFaults()
 	}
@@ -36,7 +36,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.faultSeen = time.Now()
+	w.lastFaultAt = time.Now()
 }
 
 // FaultActive says whether any fault is injected at the moment.
@@ -54,7 +54,7 @@
 	hung := false
 	for name := range hosts {
 		if m := w.Cloud.machine(name); m != nil {
-			hung = hung || m.hangs()
+			hung = hung || m.isHung()
 		}
 	}
 	w.mu.Lock()
@@ -62,9 +62,9 @@
 	down := false
 	for _, n := range w.nodes {
 		hosts[n.name] = true
-		down = down || !n.down.IsZero()
+		down = down || !n.downSince.IsZero()
 	}
-	return hung || down || w.duplicateOneIn > 0 || w.duplicatesInFlight > 0 || w.failoverCopies.oneIn > 0 || w.failoverCopies.ahead > 0 || w.commands.share > 0
+	return hung || down || w.duplicateOneIn > 0 || w.duplicatesInFlight > 0 || w.failoverCopies.oneIn > 0 || w.failoverCopies.overtakeOneIn > 0 || w.commandDelay.share > 0
 }
 
 // faulty says whether messages between hosts that are there are lost or held up, or one
@@ -114,7 +114,7 @@
 func (c *Cloud) faulty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.outage || c.silent || c.slow > 0 || c.later > 0
+	return c.outage || c.dropReplies || c.replyDelay > 0 || c.deleteDelay > 0
 }
 
 // checkAnswered takes in whether a question about a job was answered. Without faults, one
@@ -126,15 +126,15 @@
 	}
 	now := time.Now()
 	if r.answered() {
-		j.unanswered = time.Time{}
+		j.unansweredSince = time.Time{}
 		return
 	}
-	if j.unanswered.IsZero() || !j.unanswered.After(w.faultSeen) {
-		j.unanswered = now
+	if j.unansweredSince.IsZero() || !j.unansweredSince.After(w.lastFaultAt) {
+		j.unansweredSince = now
 	}
-	if now.Sub(j.unanswered) >= forgottenAfter {
-		w.violations.add("forgotten: no question about %s is answered for %v without faults", id, forgottenAfter)
-		j.unanswered = now
+	if now.Sub(j.unansweredSince) >= forgottenTimeout {
+		w.violations.add("forgotten: no question about %s is answered for %v without faults", id, forgottenTimeout)
+		j.unansweredSince = now
 	}
 }
 
@@ -146,13 +146,13 @@
 func (w *Cluster) checkLaunch(task string, now time.Time) {
 	id, n, _ := wire.SplitTask(task)
 	j := w.jobs[id]
-	if j == nil || n >= j.spec.Tasks || j.cancelled.IsZero() {
+	if j == nil || n >= j.spec.Tasks || j.cancelConfirmedAt.IsZero() {
 		return
 	}
-	since := now.Sub(j.cancelled)
-	most := secs(w.Settings.Cluster.Workers.LeaderLeaseS()) + dropsAfter
-	if j.cancelled.Sub(w.faultSeen) > settledAfter {
-		most = launchedWithin
+	since := now.Sub(j.cancelConfirmedAt)
+	most := secs(w.Settings.Cluster.Workers.LeaderLeaseS()) + replyTimeout
+	if j.cancelConfirmedAt.Sub(w.lastFaultAt) > settleTime {
+		most = launchGrace
 	}
 	if since > most {
 		w.violations.add("launched after its cancellation: %s, %.1f s later", task, since.Seconds())
--- a/internal/fake/liveness_test.go
+++ b/internal/fake/liveness_test.go
@@ -49,7 +49,7 @@
 				t.Fatal(err)
 			}
 			w.mu.Lock()
-			status, held := m.serveCommands(body)
+			status, held := m.receiveCommands(body)
 			w.mu.Unlock()
 			if status != http.StatusOK || held {
 				t.Errorf("%+v: status %d, held %t", c.command, status, held)
@@ -70,18 +70,18 @@
 	} {
 		checkedWorld(t, func(w *Cluster, m *machine, _ *job) {
 			w.mu.Lock()
-			m.token, m.session, m.renewed = 5, 1, time.Now()
+			m.token, m.session, m.leaseRenewedAt = 5, 1, time.Now()
 			m.execute([]wire.Command{{Op: wire.OpStart, Task: "wk-000001/0", Attempt: 1}}, time.Now())
 			body, err := wire.Marshal(wire.DirectCommands{Token: c.token, Session: c.session,
 				Commands: []wire.Command{{Op: wire.OpStop, Task: "wk-000001/0", Attempt: 1}}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			w.commands.share = 1
+			w.commandDelay.share = 1
 			w.mu.Unlock()
 			w.DelayDirectCommands(1, 7)
 			w.mu.Lock()
-			_, held := m.serveCommands(body)
+			_, held := m.receiveCommands(body)
 			w.mu.Unlock()
 			if !held {
 				t.Fatal("the command is not held up")
@@ -93,7 +93,7 @@
 			for range int(mostCommandDelay / time.Second) { // within its lease all the while
 				time.Sleep(time.Second)
 				w.mu.Lock()
-				m.renewed = time.Now()
+				m.leaseRenewedAt = time.Now()
 				w.mu.Unlock()
 			}
 			if met := w.DelayedCommands(); met != c.want {
@@ -124,11 +124,11 @@
 				w.Store.SetOutage(c.fault)
 				time.Sleep(time.Second)
 				w.mu.Lock()
-				j.cancelled = time.Now()
+				j.cancelConfirmedAt = time.Now()
 				w.mu.Unlock()
 				time.Sleep(c.after(secs(w.Settings.Cluster.Workers.LeaderLeaseS())))
 				w.mu.Lock()
-				m.renewed = time.Now()
+				m.leaseRenewedAt = time.Now()
 				// It lasts for an instant only.
 				m.execute([]wire.Command{{Op: wire.OpStart, Task: "wk-000001/0", Attempt: 1}, {Op: wire.OpStop, Task: "wk-000001/0", Attempt: 1}}, time.Now())
 				w.mu.Unlock()
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -14,14 +14,14 @@
 // BrokenClass is the class of jobs that fail on every machine.
 const BrokenClass = "broken"
 
-// dropsAfter is when a worker gives an answer to its report up.
-const dropsAfter = 4 * time.Second
+// replyTimeout is when a worker gives an answer to its report up.
+const replyTimeout = 4 * time.Second
 
 // maxReply is the most that is read of an answer, in bytes.
 const maxReply = 1 << 20
 
-// stepEvery is how finely machines are simulated.
-const stepEvery = 100 * time.Millisecond
+// stepInterval is how finely machines are simulated.
+const stepInterval = 100 * time.Millisecond
 
 type taskKey struct {
 	name    string
@@ -31,179 +31,179 @@
 // task is a task on a machine. The cluster's lock guards it.
 type task struct {
 	taskKey
-	m        *machine
-	job      *wire.Job
-	idx      int
-	state    string
-	why      string
-	saved    bool
-	launched time.Time
-	ready    time.Time // when its image is there
-	waiting  time.Time
-	stopAt   time.Time // when a stop ends it
-	saving   bool
-	here     bool // has its image and has not exited
+	machine      *machine
+	job          *wire.Job
+	index        int
+	state        string
+	exitReason   string
+	saved        bool
+	launchedAt   time.Time
+	readyAt      time.Time // when its image is there
+	presentSince time.Time
+	stopsAt      time.Time // when a stop ends it
+	saving       bool
+	present      bool // has its image and has not exited
 }
 
 // machine is a machine with its worker.
 type machine struct {
-	w    *Cluster
-	name string
-	addr string
-	typ  wire.MachineType
-	zone string
-	spot bool
-	born time.Time
-	boot time.Duration
-	hc   *http.Client
-	ctx  context.Context
-	end  context.CancelFunc
+	cluster     *Cluster
+	name        string
+	addr        string
+	machineType wire.MachineType
+	zone        string
+	spot        bool
+	createdAt   time.Time
+	bootTime    time.Duration
+	client      *http.Client
+	ctx         context.Context
+	stop        context.CancelFunc
 
 	// guarded by the cluster's lock
-	dead    bool
-	hung    bool
-	faulty  bool // its tasks fail
-	session uint64
-	seq     uint64
-	token   uint64
-	tasks   map[taskKey]*task
-	order   []taskKey
-	cache   cache
-	renewed time.Time
-	node    int
-	dirty   bool
-	notice  *float64
-	tokenAt time.Time
-	holding bool // direct commands are held back
-	held    []wire.DirectCommands
-	batches int // batches of direct commands that were sent to it
+	dead               bool
+	hung               bool
+	faulty             bool // its tasks fail
+	session            uint64
+	lastSeq            uint64
+	token              uint64
+	tasks              map[taskKey]*task
+	order              []taskKey
+	cache              cache
+	leaseRenewedAt     time.Time
+	reportsTo          int
+	reportDue          bool
+	interruptionNotice *float64
+	tokenChangedAt     time.Time
+	holdCommands       bool // direct commands are held back
+	heldCommands       []wire.DirectCommands
+	batchesSent        int // batches of direct commands that were sent to it
 	// newestBatch is the newest of them, in the order of sending, that was executed at once.
-	newestBatch int
-	direct      int            // direct commands carried out
-	late        int            // answers taken more than a second after their reports
-	took        answeredReport // the last report of its own that was answered 200, and by whom
+	newestBatchExecuted int
+	directExecuted      int            // direct commands carried out
+	lateReplies         int            // answers taken more than a second after their reports
+	lastAnswered        answeredReport // the last report of its own that was answered 200, and by whom
 }
 
 func newMachine(w *Cluster, name string, typ wire.MachineType, zone string, spot bool, boot time.Duration) *machine {
 	ctx, end := context.WithCancel(w.ctx)
-	m := &machine{w: w, name: name, addr: name + ":9000", typ: typ, zone: zone, spot: spot, born: time.Now(),
-		boot: boot, ctx: ctx, end: end, session: 1, tasks: map[taskKey]*task{}}
-	m.hc = call.NewClient(w.Network.Dial(name), 2, 2)
+	m := &machine{cluster: w, name: name, addr: name + ":9000", machineType: typ, zone: zone, spot: spot, createdAt: time.Now(),
+		bootTime: boot, ctx: ctx, stop: end, session: 1, tasks: map[taskKey]*task{}}
+	m.client = call.NewClient(w.Network.Dial(name), 2, 2)
 	w.wg.Add(1)
 	go func() { defer w.wg.Done(); m.run() }()
 	return m
 }
 
 func (m *machine) isDead() bool {
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
 	return m.dead
 }
 
 // kill ends the machine and all that is on it.
 func (m *machine) kill() {
-	m.w.mu.Lock()
+	m.cluster.mu.Lock()
 	if !m.dead {
 		m.dead = true
-		m.clear()
-		delete(m.w.fetching, m.name)
+		m.clearTasks()
+		delete(m.cluster.fetchingMachines, m.name)
 	}
-	m.w.mu.Unlock()
-	m.w.Network.PowerOff(m.name)
-	m.end()
+	m.cluster.mu.Unlock()
+	m.cluster.Network.PowerOff(m.name)
+	m.stop()
 }
 
-// clear kills and forgets all tasks; the cluster's lock is held.
-func (m *machine) clear() {
+// clearTasks kills and forgets all tasks; the cluster's lock is held.
+func (m *machine) clearTasks() {
 	for _, k := range m.order {
-		m.w.leave(m.tasks[k])
+		m.cluster.loseTask(m.tasks[k])
 	}
 	m.tasks, m.order = map[taskKey]*task{}, nil
 }
 
 func (m *machine) run() {
-	if !call.Pause(m.ctx, m.boot) {
+	if !call.Pause(m.ctx, m.bootTime) {
 		return
 	}
-	l, err := m.w.Network.Listen("tcp", m.addr)
+	l, err := m.cluster.Network.Listen("tcp", m.addr)
 	if err != nil {
 		return
 	}
 	srv := &http.Server{Handler: m}
-	m.w.wg.Add(1)
-	go func() { defer m.w.wg.Done(); _ = srv.Serve(l) }()
+	m.cluster.wg.Add(1)
+	go func() { defer m.cluster.wg.Done(); _ = srv.Serve(l) }()
 	defer func() { _ = srv.Close() }() // the machine is gone: its listener too
-	defer m.hc.CloseIdleConnections()
-	m.w.mu.Lock()
-	m.renewed = time.Now()
-	m.node = m.w.pick(len(m.w.nodes))
-	m.w.mu.Unlock()
-	m.w.wg.Add(1)
-	go func() { defer m.w.wg.Done(); m.steps() }()
-	m.reports()
+	defer m.client.CloseIdleConnections()
+	m.cluster.mu.Lock()
+	m.leaseRenewedAt = time.Now()
+	m.reportsTo = m.cluster.pick(len(m.cluster.nodes))
+	m.cluster.mu.Unlock()
+	m.cluster.wg.Add(1)
+	go func() { defer m.cluster.wg.Done(); m.runTasks() }()
+	m.sendReports()
 }
 
-func (m *machine) steps() {
-	for call.Pause(m.ctx, stepEvery) {
-		m.w.mu.Lock()
+func (m *machine) runTasks() {
+	for call.Pause(m.ctx, stepInterval) {
+		m.cluster.mu.Lock()
 		// A machine that hangs resumes within its lease or not at all with
 		// what it had.
-		if now := time.Now(); !m.dead && !m.expire(now) {
-			m.outlived(now)
+		if now := time.Now(); !m.dead && !m.expireLease(now) {
+			m.checkCancelledTasks(now)
 			if !m.hung {
-				m.step(now)
+				m.stepTasks(now)
 			}
 		}
-		m.w.mu.Unlock()
+		m.cluster.mu.Unlock()
 	}
 }
 
-// expire kills and forgets all tasks once the lease is over.
-func (m *machine) expire(now time.Time) bool {
-	if now.Sub(m.renewed) <= secs(m.w.Settings.Cluster.Workers.LeaseS) {
+// expireLease kills and forgets all tasks once the lease is over.
+func (m *machine) expireLease(now time.Time) bool {
+	if now.Sub(m.leaseRenewedAt) <= secs(m.cluster.Settings.Cluster.Workers.LeaseS) {
 		return false
 	}
 	if len(m.order) > 0 {
-		m.w.expired++
+		m.cluster.expiredLeases++
 	}
-	m.clear()
+	m.clearTasks()
 	m.session++
-	m.renewed = now
-	m.dirty = true
+	m.leaseRenewedAt = now
+	m.reportDue = true
 	return true
 }
 
-// outlived checks what is on the machine of jobs that are cancelled. A machine
+// checkCancelledTasks checks what is on the machine of jobs that are cancelled. A machine
 // that hangs has it all the same, and may go on with it.
-func (m *machine) outlived(now time.Time) {
+func (m *machine) checkCancelledTasks(now time.Time) {
 	for _, k := range m.order {
-		if t := m.tasks[k]; t.here {
-			m.w.checkCancelled(t, now)
+		if t := m.tasks[k]; t.present {
+			m.cluster.checkCancelledTask(t, now)
 		}
 	}
 }
 
-// step lets the time pass for what is on the machine.
-func (m *machine) step(now time.Time) {
-	m.fetchOn(now)
+// stepTasks lets the time pass for what is on the machine.
+func (m *machine) stepTasks(now time.Time) {
+	m.advanceFetches(now)
 	for _, k := range append([]taskKey(nil), m.order...) {
 		t := m.tasks[k]
 		if t == nil || t.state == wire.TaskExited {
 			continue
 		}
-		if t.state == wire.TaskFetching && !now.Before(t.ready) && m.fetched(t) {
-			t.state, t.waiting = wire.TaskRunning, now
+		if t.state == wire.TaskFetching && !now.Before(t.readyAt) && m.takeFetchedImage(t) {
+			t.state, t.presentSince = wire.TaskRunning, now
 			if t.job.Kind == wire.KindGang {
 				t.state = wire.TaskWaiting
 			}
-			m.dirty = true
-			m.w.arrive(t, now)
+			m.reportDue = true
+			m.cluster.startTask(t, now)
 			if m.faulty || t.job.Class == BrokenClass {
 				m.exit(t, wire.WhyError, false)
 				continue
 			}
 		}
-		m.w.advance(t, now)
+		m.cluster.advanceTask(t, now)
 	}
 }
 
@@ -211,38 +211,38 @@
 	if t.state == wire.TaskExited {
 		return
 	}
-	t.state, t.why, t.saved = wire.TaskExited, why, saved
-	m.dirty = true
+	t.state, t.exitReason, t.saved = wire.TaskExited, why, saved
+	m.reportDue = true
 	if why == wire.WhyDone {
-		m.w.complete(t)
+		m.cluster.completeTask(t)
 	} else {
-		m.w.leave(t)
+		m.cluster.loseTask(t)
 	}
 }
 
 // report is the worker's message; the cluster's lock is held.
 func (m *machine) report() wire.Report {
-	m.seq++
-	r := wire.Report{Machine: m.name, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot,
-		Session: m.session, Seq: m.seq, Token: m.token, NoticeS: m.notice}
+	m.lastSeq++
+	r := wire.Report{Machine: m.name, Addr: m.addr, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
+		Session: m.session, Seq: m.lastSeq, Token: m.token, NoticeS: m.interruptionNotice}
 	for _, k := range m.order {
 		t := m.tasks[k]
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.why, Saved: t.saved})
+		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason, Saved: t.saved})
 	}
 	return r
 }
 
-func (m *machine) reports() {
-	w := m.w.Settings.Cluster.Workers
+func (m *machine) sendReports() {
+	w := m.cluster.Settings.Cluster.Workers
 	last := time.Time{}
 	for m.ctx.Err() == nil {
-		m.w.mu.Lock()
-		interval := secs(w.ReportS * (0.75 + 0.5*m.w.random.Float64()))
-		hung, changed := m.hung, m.dirty
-		m.w.mu.Unlock()
+		m.cluster.mu.Lock()
+		interval := secs(w.ReportS * (0.75 + 0.5*m.cluster.random.Float64()))
+		hung, changed := m.hung, m.reportDue
+		m.cluster.mu.Unlock()
 		since := time.Since(last)
 		if hung || since < interval && (!changed || since < 500*time.Millisecond) {
-			if !call.Pause(m.ctx, stepEvery) {
+			if !call.Pause(m.ctx, stepInterval) {
 				return
 			}
 			continue
@@ -259,27 +259,27 @@
 	r, node, overtaken := m.nextReport()
 	copied := uint64(0)
 	if overtaken {
-		copied = m.w.overtake(r)
+		copied = m.cluster.sendCopiesAhead(r)
 	}
-	ctx, cancel := context.WithTimeout(m.ctx, dropsAfter)
+	ctx, cancel := context.WithTimeout(m.ctx, replyTimeout)
 	defer cancel()
-	status, body, err := call.Do(ctx, m.hc, http.MethodPost, "http://"+node.bind+wire.PathReport, r, maxReply)
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
+	status, body, err := call.Do(ctx, m.client, http.MethodPost, "http://"+node.addr+wire.PathReport, r, maxReply)
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
 	m.awaitResume(at)
 	if m.dead {
 		return true
 	}
 	if err == nil {
-		m.w.answeredReports[nodeAndMachine{node.name, m.name}] = at
-		m.w.overtook(r, copied, status)
+		m.cluster.answeredReports[nodeAndMachine{node.name, m.name}] = at
+		m.cluster.countOvertaken(r, copied, status)
 	}
 	if err != nil || status != http.StatusOK {
-		m.dirty = true
+		m.reportDue = true
 		if err == nil && m.redirect(status, body) {
 			return true
 		}
-		m.node = (m.node + 1) % len(m.w.nodes)
+		m.reportsTo = (m.reportsTo + 1) % len(m.cluster.nodes)
 		return false
 	}
 	m.takeAnswer(r, node, body, at)
@@ -289,14 +289,14 @@
 // nextReport composes a report, chooses the node that it is sent to, and draws whether
 // copies of it go ahead.
 func (m *machine) nextReport() (r wire.Report, to *node, overtaken bool) {
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
-	m.dirty = false
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	m.reportDue = false
 	r = m.report()
-	m.w.mayCopy(r)
-	m.w.keepForNext(r)
-	to = m.w.nodes[m.node%len(m.w.nodes)]
-	overtaken = m.w.failoverCopies.ahead > 0 && m.w.pick(m.w.failoverCopies.ahead) == 0
+	m.cluster.maybeDuplicate(r)
+	m.cluster.keepForFailover(r)
+	to = m.cluster.nodes[m.reportsTo%len(m.cluster.nodes)]
+	overtaken = m.cluster.failoverCopies.overtakeOneIn > 0 && m.cluster.pick(m.cluster.failoverCopies.overtakeOneIn) == 0
 	return r, to, overtaken
 }
 
@@ -304,10 +304,10 @@
 // report that it sent at a time: what came while it hung is there when it goes on. The
 // cluster's lock is held, but not while it waits.
 func (m *machine) awaitResume(sent time.Time) {
-	for m.hung && !m.dead && time.Since(sent) < dropsAfter {
-		m.w.mu.Unlock()
-		time.Sleep(stepEvery)
-		m.w.mu.Lock()
+	for m.hung && !m.dead && time.Since(sent) < replyTimeout {
+		m.cluster.mu.Unlock()
+		time.Sleep(stepInterval)
+		m.cluster.mu.Lock()
 	}
 }
 
@@ -318,9 +318,9 @@
 	if status != http.StatusMisdirectedRequest || wire.Unmarshal(body, &to) != nil {
 		return false
 	}
-	for i, n := range m.w.nodes {
-		if n.name == to.Leader && i != m.node {
-			m.node = i
+	for i, n := range m.cluster.nodes {
+		if n.name == to.Leader && i != m.reportsTo {
+			m.reportsTo = i
 			return true
 		}
 	}
@@ -331,24 +331,24 @@
 // the answer is late, or of a former leader or session; the cluster's lock is held.
 func (m *machine) takeAnswer(r wire.Report, from *node, body []byte, sent time.Time) {
 	var a wire.ReportAnswer
-	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || r.Session != m.session || m.hung || time.Since(sent) >= dropsAfter {
+	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || r.Session != m.session || m.hung || time.Since(sent) >= replyTimeout {
 		return
 	}
 	if time.Since(sent) > time.Second {
-		m.late++
+		m.lateReplies++
 	}
-	m.took = answeredReport{m.name, r.Session, r.Seq, a.Token}
-	m.sawToken(a.Token, sent)
-	m.renewed = sent
-	m.w.acceptedAnswers[nodeAndMachine{from.name, m.name}] = sent
+	m.lastAnswered = answeredReport{m.name, r.Session, r.Seq, a.Token}
+	m.noteToken(a.Token, sent)
+	m.leaseRenewedAt = sent
+	m.cluster.acceptedAnswers[nodeAndMachine{from.name, m.name}] = sent
 	m.execute(a.Commands, time.Now())
 }
 
-func (m *machine) sawToken(token uint64, now time.Time) {
+func (m *machine) noteToken(token uint64, now time.Time) {
 	if token > m.token {
 		m.token = token
-		if now.Sub(m.tokenAt) > secs(m.w.Settings.Cluster.Workers.LeaseS/2) {
-			m.dirty, m.tokenAt = true, now
+		if now.Sub(m.tokenChangedAt) > secs(m.cluster.Settings.Cluster.Workers.LeaseS/2) {
+			m.reportDue, m.tokenChangedAt = true, now
 		}
 	}
 }
@@ -360,12 +360,12 @@
 		t := m.tasks[k]
 		switch {
 		case c.Op == wire.OpStart && t == nil:
-			m.w.checkLaunch(k.name, now)
+			m.cluster.checkLaunch(k.name, now)
 			m.launch(k, now)
 		case c.Op == wire.OpForget && t != nil && t.state == wire.TaskExited:
 			m.forget(k)
 		case c.Op == wire.OpStop && t != nil && t.state != wire.TaskExited:
-			m.w.stop(t, graceOf(c), now)
+			m.cluster.stopTask(t, graceOf(c), now)
 		}
 	}
 }
@@ -389,16 +389,16 @@
 // launch takes a task in, which then fetches its image, unless it is unknown, runs here
 // already, or has no room.
 func (m *machine) launch(k taskKey, now time.Time) {
-	t := &task{taskKey: k, m: m, state: wire.TaskFetching, launched: now}
+	t := &task{taskKey: k, machine: m, state: wire.TaskFetching, launchedAt: now}
 	m.tasks[k] = t
 	m.order = append(m.order, k)
 	id, n, ok := wire.SplitTask(k.name)
-	job := m.w.reserved(id)
+	job := m.cluster.jobOf(id)
 	if !ok || job == nil || n >= job.spec.Tasks {
 		m.exit(t, wire.WhyUnknown, false)
 		return
 	}
-	t.job, t.idx = &job.spec, n
+	t.job, t.index = &job.spec, n
 	var used resources
 	for _, o := range m.tasks {
 		if o != t && o.name == k.name && o.state != wire.TaskExited {
@@ -409,32 +409,32 @@
 			used = used.plus(o.job)
 		}
 	}
-	if !used.fitIn(resourcesOf(m.typ)) {
+	if !used.fitIn(resourcesOf(m.machineType)) {
 		m.exit(t, wire.WhyNoRoom, false)
 		return
 	}
-	t.ready = now.Add(100 * time.Millisecond)
+	t.readyAt = now.Add(100 * time.Millisecond)
 	m.cache.fetch(t.job.Image, t.job.ImageGB)
-	m.dirty = true
+	m.reportDue = true
 }
 
 // ServeHTTP takes direct commands.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
 	for m.hung && !m.dead {
-		m.w.mu.Unlock()
-		time.Sleep(stepEvery)
-		m.w.mu.Lock()
+		m.cluster.mu.Unlock()
+		time.Sleep(stepInterval)
+		m.cluster.mu.Lock()
 	}
 	status := http.StatusOK
 	if r.URL.Path == wire.PathCommands {
 		held := false
-		if status, held = m.serveCommands(body); held {
-			m.w.mu.Unlock()
+		if status, held = m.receiveCommands(body); held {
+			m.cluster.mu.Unlock()
 			<-r.Context().Done()
-			m.w.mu.Lock()
+			m.cluster.mu.Lock()
 			return
 		}
 	}
--- a/internal/fake/machine_faults.go
+++ b/internal/fake/machine_faults.go
@@ -46,15 +46,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if id, _, ok := wire.SplitTask(task); ok && w.jobs[id] != nil {
-		m.cache.use(w.jobs[id].spec.Image, w.jobs[id].spec.ImageGB, m.typ.CacheGB, func(string) bool { return true })
+		m.cache.use(w.jobs[id].spec.Image, w.jobs[id].spec.ImageGB, m.machineType.CacheGB, func(string) bool { return true })
 	}
 	// At once, before any controller can notice: what the checker sees must not
 	// depend on who is faster.
 	now := time.Now()
 	m.launch(taskKey{task, 1 << 40}, now)
 	if t := m.tasks[taskKey{task, 1 << 40}]; t.state == wire.TaskFetching {
-		t.ready = now
-		m.step(now)
+		t.readyAt = now
+		m.stepTasks(now)
 	}
 }
 
@@ -63,7 +63,7 @@
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	s := in.Seconds()
-	m.notice, m.dirty = &s, true
+	m.interruptionNotice, m.reportDue = &s, true
 	w.mu.Unlock()
 	w.wg.Add(1)
 	go func() {
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -17,15 +17,15 @@
 
 type node struct {
 	name string
-	bind string
+	addr string
 	cfg  *config.Settings
 
 	// Guarded by the cluster's lock: copies of reports are sent by goroutines of their own.
-	end         context.CancelFunc // nil while no process runs
-	done        chan struct{}      // closed once the process has ended
-	killed      *atomic.Bool       // its process was ended on purpose
-	down        time.Time          // when its power was cut; zero: it is up
-	olderSchema bool               // its next process reads records of the schema version before
+	stop            context.CancelFunc // nil while no process runs
+	done            chan struct{}      // closed once the process has ended
+	killedOnPurpose *atomic.Bool       // its process was ended on purpose
+	downSince       time.Time          // when its power was cut; zero: it is up
+	olderSchema     bool               // its next process reads records of the schema version before
 }
 
 // UpgradeSchema makes a node's next process read the newest form of records.
@@ -46,7 +46,7 @@
 	ctx, end := context.WithCancel(gated)
 	done, dies := make(chan struct{}), &atomic.Bool{}
 	w.mu.Lock()
-	n.down, n.end, n.done, n.killed = time.Time{}, end, done, dies
+	n.downSince, n.stop, n.done, n.killedOnPurpose = time.Time{}, end, done, dies
 	olderSchema := n.olderSchema
 	w.mu.Unlock()
 	tuning := config.DefaultTuning()
@@ -81,16 +81,16 @@
 		return
 	}
 	w.mu.Lock()
-	n.killed.Store(true)
-	n.down = time.Now()
-	end, done := n.end, n.done
+	n.killedOnPurpose.Store(true)
+	n.downSince = time.Now()
+	end, done := n.stop, n.done
 	w.mu.Unlock()
 	w.Network.PowerOff(n.name)
 	w.Network.Resume(n.name)
 	end()
 	<-done
 	w.mu.Lock()
-	n.end = nil
+	n.stop = nil
 	w.mu.Unlock()
 }
 
@@ -98,7 +98,7 @@
 func (w *Cluster) nodeRuns(n *node) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return n.end != nil
+	return n.stop != nil
 }
 
 // KillAll ends every controller.
--- a/internal/fake/observations.go
+++ b/internal/fake/observations.go
@@ -76,7 +76,7 @@
 func (w *Cluster) ExpiredLeases() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.expired
+	return w.expiredLeases
 }
 
 // Unanswered is how many living machines have had no answer since then.
@@ -89,7 +89,7 @@
 	defer w.mu.Unlock()
 	n := 0
 	for _, m := range all {
-		if !m.dead && !m.hung && m.renewed.Before(since) {
+		if !m.dead && !m.hung && m.leaseRenewedAt.Before(since) {
 			n++
 		}
 	}
@@ -131,7 +131,7 @@
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return m.direct
+	return m.directExecuted
 }
 
 // LateReplies is how many answers a machine has taken more than a second after it
@@ -140,7 +140,7 @@
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return m.late
+	return m.lateReplies
 }
 
 // CPUsInUse is what a team's tasks use.
--- a/internal/fake/placement.go
+++ b/internal/fake/placement.go
@@ -9,9 +9,9 @@
 
 // This file tracks which tasks are on which machines, and checks the rules at each start.
 
-// arrive takes in that a task has its image: from now on it is on its machine,
+// startTask takes in that a task has its image: from now on it is on its machine,
 // and the rules are checked. The lock is held.
-func (w *Cluster) arrive(t *task, now time.Time) {
+func (w *Cluster) startTask(t *task, now time.Time) {
 	w.started++
 	if !wire.ValidUserID(t.job.ID) {
 		w.externalStarts[t.name]++
@@ -22,32 +22,32 @@
 		w.tasksWithImage[t.name] = on
 	}
 	if len(on) > 0 {
-		w.violations.add("ran_twice: %s starts on %s", t.name, t.m.name)
+		w.violations.add("ran_twice: %s starts on %s", t.name, t.machine.name)
 	}
-	on[t.m], t.here = true, true
-	if j := w.jobs[t.job.ID]; !j.cancelled.IsZero() {
-		w.afterCancel++
-		if now.Sub(j.cancelled) > secs(w.Settings.Cluster.Workers.CancelS) {
+	on[t.machine], t.present = true, true
+	if j := w.jobs[t.job.ID]; !j.cancelConfirmedAt.IsZero() {
+		w.startedAfterCancel++
+		if now.Sub(j.cancelConfirmedAt) > secs(w.Settings.Cluster.Workers.CancelS) {
 			w.violations.add("ran_cancelled: %s starts", t.name)
 		}
 	}
-	w.checkPlace(t)
+	w.checkConstraints(t)
 	w.checkQuota(t)
 	if t.job.Kind == wire.KindGang {
 		w.joinGang(t, now)
 	}
 }
 
-// checkPlace checks that a task is on a machine and in a zone that its job allows.
-func (w *Cluster) checkPlace(t *task) {
-	if !t.m.allowedFor(t.job) {
-		w.violations.add("wrong_place: %s on %s", t.name, t.m.name)
+// checkConstraints checks that a task is on a machine and in a zone that its job allows.
+func (w *Cluster) checkConstraints(t *task) {
+	if !t.machine.allowedFor(t.job) {
+		w.violations.add("wrong_place: %s on %s", t.name, t.machine.name)
 	}
 	j := t.job
 	same, others := 0, 0
 	for i := range j.Tasks {
 		for m := range w.tasksWithImage[wire.TaskName(j.ID, i)] {
-			if m.zone == t.m.zone {
+			if m.zone == t.machine.zone {
 				same++
 			} else {
 				others++
@@ -55,13 +55,13 @@
 		}
 	}
 	if j.OneZone && others > 0 || j.Spread && same > mostInOneZone(j) {
-		w.violations.add("wrong_place: %s in zone %s, %d here and %d elsewhere", t.name, t.m.zone, same, others)
+		w.violations.add("wrong_place: %s in zone %s, %d here and %d elsewhere", t.name, t.machine.zone, same, others)
 	}
 }
 
 // allowedFor says whether a job allows a machine by its type, zone and price.
 func (m *machine) allowedFor(j *wire.Job) bool {
-	return (len(j.Types) == 0 || slices.Contains(j.Types, m.typ.Name)) && (j.Zone == "" || j.Zone == m.zone) && (!m.spot || j.Spot)
+	return (len(j.Types) == 0 || slices.Contains(j.Types, m.machineType.Name)) && (j.Zone == "" || j.Zone == m.zone) && (!m.spot || j.Spot)
 }
 
 // mostInOneZone is how many tasks of a job that spreads may be in one zone.
@@ -87,31 +87,31 @@
 	}
 }
 
-// leave takes in that a task is on its machine no more, and has not completed. The lock is
+// loseTask takes in that a task is on its machine no more, and has not completed. The lock is
 // held.
-func (w *Cluster) leave(t *task) {
-	if !t.here {
+func (w *Cluster) loseTask(t *task) {
+	if !t.present {
 		return
 	}
-	w.remove(t)
+	w.removeTask(t)
 	if t.job.Kind == wire.KindGang {
 		w.breakGang(w.gangOf(t), t.job)
 	}
 }
 
-// complete takes in that a task has completed, and is on its machine no more. The lock is
+// completeTask takes in that a task has completed, and is on its machine no more. The lock is
 // held.
-func (w *Cluster) complete(t *task) {
-	if t.here {
-		w.remove(t)
+func (w *Cluster) completeTask(t *task) {
+	if t.present {
+		w.removeTask(t)
 	}
-	w.taskDone(w.jobs[t.job.ID], t.idx)
+	w.noteCompletion(w.jobs[t.job.ID], t.index)
 }
 
-// remove takes a task off its machine.
-func (w *Cluster) remove(t *task) {
-	t.here = false
-	delete(w.tasksWithImage[t.name], t.m)
+// removeTask takes a task off its machine.
+func (w *Cluster) removeTask(t *task) {
+	t.present = false
+	delete(w.tasksWithImage[t.name], t.machine)
 	if t.job.Kind == wire.KindGang {
 		w.gangOf(t).remove(t)
 	}
--- a/internal/fake/progress.go
+++ b/internal/fake/progress.go
@@ -8,33 +8,33 @@
 
 // This file simulates the progress of tasks on machines: completion, saving and stops.
 
-// advance lets a task go on. The lock is held.
-func (w *Cluster) advance(t *task, now time.Time) {
+// advanceTask lets a task go on. The lock is held.
+func (w *Cluster) advanceTask(t *task, now time.Time) {
 	switch {
-	case !t.here:
-		if !t.stopAt.IsZero() {
-			t.m.exit(t, wire.WhyStopped, false)
+	case !t.present:
+		if !t.stopsAt.IsZero() {
+			t.machine.exit(t, wire.WhyStopped, false)
 		}
 	case t.job.Kind == wire.KindGang:
 		w.advanceGang(t, now)
-	case !t.stopAt.IsZero():
-		if !now.Before(t.stopAt) {
-			t.m.exit(t, wire.WhyStopped, t.saving)
+	case !t.stopsAt.IsZero():
+		if !now.Before(t.stopsAt) {
+			t.machine.exit(t, wire.WhyStopped, t.saving)
 		}
 	case w.completes(t, now):
-		t.m.exit(t, wire.WhyDone, false)
+		t.machine.exit(t, wire.WhyDone, false)
 	}
 }
 
 // completes says whether a task's work is done, by this attempt or one before. Services go
 // on until they are stopped.
 func (w *Cluster) completes(t *task, now time.Time) bool {
-	return w.jobs[t.job.ID].done[t.idx] || t.job.Kind == wire.KindArray && w.progress[t.name]+now.Sub(t.waiting).Seconds() >= t.job.EstimateS
+	return w.jobs[t.job.ID].done[t.index] || t.job.Kind == wire.KindArray && w.progress[t.name]+now.Sub(t.presentSince).Seconds() >= t.job.EstimateS
 }
 
-// stop takes in that a task is told to stop, with so many seconds to save. The lock is held.
-func (w *Cluster) stop(t *task, grace float64, now time.Time) {
-	t.m.dirty = true
+// stopTask takes in that a task is told to stop, with so many seconds to save. The lock is held.
+func (w *Cluster) stopTask(t *task, grace float64, now time.Time) {
+	t.machine.reportDue = true
 	if t.job != nil && t.job.Kind == wire.KindGang {
 		w.stopGangTask(t, grace, now)
 		return
@@ -43,10 +43,10 @@
 		w.beginSaving(t, now)
 		return
 	}
-	if t.here && t.job.CheckpointS > 0 && !t.saving {
-		w.progress[t.name] = lastCheckpoint(w.progress[t.name]+now.Sub(t.waiting).Seconds(), t.job.CheckpointS)
+	if t.present && t.job.CheckpointS > 0 && !t.saving {
+		w.progress[t.name] = lastCheckpoint(w.progress[t.name]+now.Sub(t.presentSince).Seconds(), t.job.CheckpointS)
 	}
-	t.m.exit(t, wire.WhyStopped, false)
+	t.machine.exit(t, wire.WhyStopped, false)
 }
 
 // beginSaving lets a task save its progress, unless it does so already.
@@ -55,13 +55,13 @@
 		return
 	}
 	t.saving, t.state = true, wire.TaskSaving
-	t.stopAt = now.Add(secs(t.job.SaveS))
-	w.progress[t.name] += now.Sub(t.waiting).Seconds()
+	t.stopsAt = now.Add(secs(t.job.SaveS))
+	w.progress[t.name] += now.Sub(t.presentSince).Seconds()
 }
 
 // saves says whether a task saves its progress when it has so many seconds until it ends.
 func (t *task) saves(grace float64) bool {
-	return t.here && t.job.CheckpointS > 0 && grace >= t.job.SaveS
+	return t.present && t.job.CheckpointS > 0 && grace >= t.job.SaveS
 }
 
 // lastCheckpoint is the progress of the last checkpoint, of which there is one every so
--- a/internal/fake/report_copies.go
+++ b/internal/fake/report_copies.go
@@ -15,19 +15,19 @@
 // is as old as they are, and it is the first that a leader which has just begun hears
 // of their machines.
 
-// copiesEach bounds the copies that are kept of a machine's reports.
-const copiesEach = 3
+// copiesPerMachine bounds the copies that are kept of a machine's reports.
+const copiesPerMachine = 3
 
 // failoverCopies is what is kept. The cluster's lock guards it.
 type failoverCopies struct {
-	oneIn    int
-	watching bool
-	copies   map[string][]wire.Report
-	first    map[answeredReport]bool
-	met      CopyStats
-
-	ahead  int // one in so many reports is overtaken by its copies
-	outrun OvertakenReports
+	oneIn         int
+	watching      bool
+	copies        map[string][]wire.Report
+	answeredFirst map[answeredReport]bool
+	stats         CopyStats
+
+	overtakeOneIn int // one in so many reports is overtaken by its copies
+	overtaken     OvertakenReports
 }
 
 // answeredReport is a report and the token of a leader that has answered it.
@@ -79,17 +79,17 @@
 	}()
 }
 
-// keepForNext keeps a report's copy if it is its turn; the lock is held.
-func (w *Cluster) keepForNext(r wire.Report) {
+// keepForFailover keeps a report's copy if it is its turn; the lock is held.
+func (w *Cluster) keepForFailover(r wire.Report) {
 	if w.failoverCopies.oneIn == 0 || w.pick(w.failoverCopies.oneIn) > 0 {
 		return
 	}
 	kept := w.failoverCopies.copies[r.Machine]
-	if len(kept) < copiesEach {
+	if len(kept) < copiesPerMachine {
 		w.failoverCopies.copies[r.Machine] = append(kept, r)
 		return
 	}
-	kept[w.pick(copiesEach)] = r
+	kept[w.pick(copiesPerMachine)] = r
 }
 
 // DeliverDelayedCopies sends every copy that is kept to every node, and goes on at once.
@@ -99,22 +99,22 @@
 	for _, name := range slices.Sorted(maps.Keys(w.failoverCopies.copies)) {
 		for _, r := range w.failoverCopies.copies[name] {
 			for _, n := range w.nodes {
-				if n.end == nil {
+				if n.stop == nil {
 					continue
 				}
 				w.wg.Add(1)
 				go func() {
 					defer w.wg.Done()
-					status, body := w.post(n.bind, wire.PathReport, r)
-					w.meet(r, status, body)
+					status, body := w.post(n.addr, wire.PathReport, r)
+					w.countCopy(r, status, body)
 				}()
 			}
 		}
 	}
 }
 
-// meet takes in how a copy was answered.
-func (w *Cluster) meet(r wire.Report, status int, body []byte) {
+// countCopy takes in how a copy was answered.
+func (w *Cluster) countCopy(r wire.Report, status int, body []byte) {
 	m := w.Cloud.machine(r.Machine)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -123,21 +123,21 @@
 	}
 	var a wire.ReportAnswer
 	switch {
-	case status == http.StatusServiceUnavailable && (m.session > r.Session || m.seq > r.Seq):
-		w.failoverCopies.met.Older++
+	case status == http.StatusServiceUnavailable && (m.session > r.Session || m.lastSeq > r.Seq):
+		w.failoverCopies.stats.Older++
 		return
 	case status != http.StatusOK || wire.Unmarshal(body, &a) != nil || a.Token <= r.Token:
 		return
 	}
 	first := answeredReport{r.Machine, r.Session, r.Seq, a.Token}
-	if w.failoverCopies.first[first] || m.took == first {
+	if w.failoverCopies.answeredFirst[first] || m.lastAnswered == first {
 		return // not the first that this leader has heard
 	}
-	if w.failoverCopies.first == nil {
-		w.failoverCopies.first = map[answeredReport]bool{}
+	if w.failoverCopies.answeredFirst == nil {
+		w.failoverCopies.answeredFirst = map[answeredReport]bool{}
 	}
-	w.failoverCopies.first[first] = true
-	met := &w.failoverCopies.met
+	w.failoverCopies.answeredFirst[first] = true
+	met := &w.failoverCopies.stats
 	met.First++
 	if m.session > r.Session {
 		met.EarlierSession++
@@ -154,7 +154,7 @@
 func (w *Cluster) CopyStats() CopyStats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.failoverCopies.met
+	return w.failoverCopies.stats
 }
 
 // OvertakenReports is what became of reports that their own copies have overtaken.
@@ -165,41 +165,41 @@
 	Refused int // or got a 503; others were sent to the node where their worker belongs
 }
 
-// overtakeMost is how long a report waits for its copies to be answered; nodes keep
+// overtakeTimeout is how long a report waits for its copies to be answered; nodes keep
 // reports for 2.5 s while nobody leads, and the worker gives its own up after 4 s.
-const overtakeMost = 3 * time.Second
+const overtakeTimeout = 3 * time.Second
 
 // OvertakeReports has one in so many reports overtaken by its own copies: every node has
 // one, and a leader has answered it, before the report itself is sent; 0 ends that.
 func (w *Cluster) OvertakeReports(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.failoverCopies.ahead = oneIn
+	w.failoverCopies.overtakeOneIn = oneIn
 }
 
 // OvertakenReports is what has become of such reports.
 func (w *Cluster) OvertakenReports() OvertakenReports {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.failoverCopies.outrun
+	return w.failoverCopies.overtaken
 }
 
-// overtake sends a report's copies ahead of it, and returns the token by which one of
+// sendCopiesAhead sends a report's copies ahead of it, and returns the token by which one of
 // them was answered 200, or 0.
-func (w *Cluster) overtake(r wire.Report) uint64 {
+func (w *Cluster) sendCopiesAhead(r wire.Report) uint64 {
 	heard := make(chan uint64, len(w.nodes))
 	for _, n := range w.nodes {
 		w.wg.Add(1)
 		go func() {
 			defer w.wg.Done()
 			var a wire.ReportAnswer
-			if status, body := w.post(n.bind, wire.PathReport, r); status != http.StatusOK || wire.Unmarshal(body, &a) != nil {
+			if status, body := w.post(n.addr, wire.PathReport, r); status != http.StatusOK || wire.Unmarshal(body, &a) != nil {
 				a.Token = 0
 			}
 			heard <- a.Token
 		}()
 	}
-	late := time.NewTimer(overtakeMost)
+	late := time.NewTimer(overtakeTimeout)
 	defer late.Stop()
 	for range w.nodes {
 		select {
@@ -214,13 +214,13 @@
 	return 0
 }
 
-// overtook takes in how a report was answered that its copies have overtaken; the lock
+// countOvertaken takes in how a report was answered that its copies have overtaken; the lock
 // is held.
-func (w *Cluster) overtook(r wire.Report, token uint64, status int) {
+func (w *Cluster) countOvertaken(r wire.Report, token uint64, status int) {
 	if token == 0 {
 		return
 	}
-	o := &w.failoverCopies.outrun
+	o := &w.failoverCopies.overtaken
 	o.Ahead++
 	if token > r.Token {
 		o.Next++
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -50,7 +50,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id, j := range w.jobs {
-		if !wire.ValidUserID(id) || !j.accepted || j.asked || j.spec.Class == BrokenClass {
+		if !wire.ValidUserID(id) || !j.accepted || j.cancelRequested || j.spec.Class == BrokenClass {
 			continue
 		}
 		inZone := unfinishedPerZone(j, all)
@@ -68,7 +68,7 @@
 	zones := map[string]int{}
 	for _, m := range all {
 		for _, t := range m.tasks {
-			if t.job == &j.spec && t.state != wire.TaskExited && !j.done[t.idx] {
+			if t.job == &j.spec && t.state != wire.TaskExited && !j.done[t.index] {
 				zones[m.zone]++
 			}
 		}
@@ -144,14 +144,14 @@
 // works says whether a machine takes tasks and lets them run; one whose last answer is old
 // may not. The cluster's lock is held.
 func (m *machine) works() bool {
-	return !m.dead && !m.hung && !m.faulty && m.notice == nil &&
-		time.Since(m.renewed) <= secs(m.w.Settings.Cluster.Workers.LeaseS)/2
+	return !m.dead && !m.hung && !m.faulty && m.interruptionNotice == nil &&
+		time.Since(m.leaseRenewedAt) <= secs(m.cluster.Settings.Cluster.Workers.LeaseS)/2
 }
 
 // roomFor is how many tasks of a job fit on a machine beside those that it has, so many at
 // most. The cluster's lock is held.
 func (m *machine) roomFor(j *wire.Job, most int) (n int) {
-	free := resourcesOf(m.typ)
+	free := resourcesOf(m.machineType)
 	for _, t := range m.tasks {
 		if t.job != nil && t.state != wire.TaskExited {
 			free = free.minus(t.job)
--- a/internal/fake/unusual_requests.go
+++ b/internal/fake/unusual_requests.go
@@ -68,7 +68,7 @@
 	for id, j := range w.jobs {
 		if wire.ValidUserID(id) && j.accepted {
 			known = append(known, id)
-			if j.said == wire.JobDone {
+			if j.finalState == wire.JobDone {
 				done = append(done, id)
 			}
 		}
@@ -103,7 +103,7 @@
 	var r userReply
 	var want int
 	count, j, id := &sent.Refused, u.job, u.job.ID
-	submit := func(body any) userReply { return w.ask(submission, j.ID, n.bind, body, 5*time.Second) }
+	submit := func(body any) userReply { return w.ask(submission, j.ID, n.addr, body, 5*time.Second) }
 	switch {
 	case u.kind == repeatedSubmission && u.known:
 		count, want = &sent.Known, http.StatusOK
@@ -113,7 +113,7 @@
 		r = submit(damaged(u))
 	case u.kind == cancellationOfDone && u.done != "":
 		count, want, id = &sent.Known, http.StatusOK, u.done
-		r = w.ask(cancellation, id, n.bind, nil, 5*time.Second)
+		r = w.ask(cancellation, id, n.addr, nil, 5*time.Second)
 	case u.kind == submissionTooLarge:
 		want = http.StatusUnprocessableEntity
 		j.CPUs = 1e6
@@ -123,10 +123,10 @@
 		r = submit(damaged(u))
 	case u.kind == unknownQuestion:
 		count, want = &sent.Unknown, http.StatusNotFound
-		r = w.ask(question, j.ID, n.bind, nil, 2*time.Second)
+		r = w.ask(question, j.ID, n.addr, nil, 2*time.Second)
 	case u.kind == unknownCancellation:
 		count, want = &sent.Unknown, http.StatusNotFound
-		r = w.ask(cancellation, j.ID, n.bind, nil, 5*time.Second)
+		r = w.ask(cancellation, j.ID, n.addr, nil, 5*time.Second)
 	case u.kind == submissionOfNoTeam:
 		want = http.StatusUnprocessableEntity
 		j.Team = "nobody"
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -49,14 +49,14 @@
 
 // answerLog are when a user first had which answer, by the cluster's count; 0: not yet.
 type answerLog struct {
-	accepted uint64 // that the job is known
-	final    uint64 // that it is over
-	created  int    // how often it was newly accepted
+	acceptedAt   uint64 // that the job is known
+	finalAt      uint64 // that it is over
+	timesCreated int    // how often it was newly accepted
 }
 
 // userReply is what came of a user's request.
 type userReply struct {
-	sent   uint64
+	sentAt uint64
 	status int    // 0: no answer
 	state  string // of a 200 or 201
 }
@@ -70,7 +70,7 @@
 	w.noteFaults()
 	w.mu.Lock()
 	w.requestClock++
-	r.sent = w.requestClock
+	r.sentAt = w.requestClock
 	w.mu.Unlock()
 	if kind == question {
 		defer func() {
@@ -138,7 +138,7 @@
 
 // acceptedBefore says whether a user knew that a job is accepted before sending a request.
 func (j *job) acceptedBefore(r userReply) bool {
-	return j != nil && j.accepted && j.answers.accepted <= r.sent
+	return j != nil && j.accepted && j.answers.acceptedAt <= r.sentAt
 }
 
 // checkReply checks a node's answer against the rules and what the user was told before;
@@ -174,16 +174,16 @@
 func (w *Cluster) checkAccepted(j *job, r userReply) {
 	id, known := j.spec.ID, j.acceptedBefore(r)
 	if !j.accepted {
-		j.accepted, j.answers.accepted = true, w.requestClock
-		if why := w.misfit(&j.spec); why != "" {
+		j.accepted, j.answers.acceptedAt = true, w.requestClock
+		if why := w.cannotRun(&j.spec); why != "" {
 			w.violations.add("accepted: %s, which %s", id, why)
 		}
 	}
 	if r.status != http.StatusCreated {
 		return
 	}
-	j.answers.created++
-	again := j.answers.created > 1 || known && j.answers.accepted > 0
+	j.answers.timesCreated++
+	again := j.answers.timesCreated > 1 || known && j.answers.acceptedAt > 0
 	if again && !w.Store.corrupted.Load() {
 		w.violations.add("accepted twice: %s", id)
 	}
@@ -194,8 +194,8 @@
 func (w *Cluster) checkState(kind requestKind, j *job, r userReply) {
 	id, over := j.spec.ID, r.final()
 	switch {
-	case over && j.said != "" && r.state != j.said, !over && j.said != "" && j.answers.final <= r.sent:
-		w.violations.add("went_back: %s called %s after %s", id, r.state, j.said)
+	case over && j.finalState != "" && r.state != j.finalState, !over && j.finalState != "" && j.answers.finalAt <= r.sentAt:
+		w.violations.add("went_back: %s called %s after %s", id, r.state, j.finalState)
 	case kind == cancellation && !over:
 		w.violations.add("cancelling %s is answered %q", id, r.state)
 	}
@@ -212,21 +212,21 @@
 		w.violations.add("not_done: %s with %d of %d", id, len(j.done), j.spec.Tasks)
 	}
 	if r.state == wire.JobCancelled {
-		if !j.asked {
+		if !j.cancelRequested {
 			w.violations.add("went_back: %s called cancelled unasked", id)
 		}
-		if j.cancelled.IsZero() {
-			j.cancelled = time.Now()
+		if j.cancelConfirmedAt.IsZero() {
+			j.cancelConfirmedAt = time.Now()
 		}
 	}
-	if j.said == "" {
-		j.answers.final = w.requestClock
+	if j.finalState == "" {
+		j.answers.finalAt = w.requestClock
 	}
-	j.said = r.state
+	j.finalState = r.state
 }
 
-// misfit says why a job can never run; "" if it can. The lock is held.
-func (w *Cluster) misfit(j *wire.Job) string {
+// cannotRun says why a job can never run; "" if it can. The lock is held.
+func (w *Cluster) cannotRun(j *wire.Job) string {
 	tasks := 1.0
 	if j.Kind != wire.KindArray {
 		tasks = float64(j.Tasks)
@@ -249,13 +249,13 @@
 
 // SubmitTo sends a job to a node once, and returns the status and the state it is told.
 func (w *Cluster) SubmitTo(node int, j wire.Job) (status int, state string) {
-	r := w.sendSubmission(w.nodes[node].bind, j)
+	r := w.sendSubmission(w.nodes[node].addr, j)
 	return r.status, r.state
 }
 
 // QueryStatus asks a node for a job once, and returns the status.
 func (w *Cluster) QueryStatus(node int, id string) int {
-	return w.ask(question, id, w.nodes[node].bind, nil, 2*time.Second).status
+	return w.ask(question, id, w.nodes[node].addr, nil, 2*time.Second).status
 }
 
 // QueryConcurrently asks for a job at all nodes within milliseconds, that often, and
@@ -278,7 +278,7 @@
 		}
 		wg.Go(func() {
 			time.Sleep(time.Duration(i/(2*len(w.nodes)))*6*time.Millisecond + waits[i])
-			if a := w.ask(kind, id, w.nodes[n].bind, body, 5*time.Second); a.state != "" {
+			if a := w.ask(kind, id, w.nodes[n].addr, body, 5*time.Second); a.state != "" {
 				mu.Lock()
 				told[n]++
 				mu.Unlock()
--- a/internal/fake/user_requests_test.go
+++ b/internal/fake/user_requests_test.go
@@ -44,11 +44,11 @@
 	} {
 		w := &Cluster{Settings: &config.Settings{Cluster: config.Cluster{Teams: []config.Team{{Name: "core"}}}},
 			Store: NewKVStore(12), Cloud: &Cloud{types: []wire.MachineType{DefaultType}},
-			jobs: map[string]*job{id: {spec: wire.Job{ID: id, Team: c.team, Kind: wire.KindArray, Tasks: 1, CPUs: 1}, asked: true, done: map[int]bool{0: true}, cancelled: time.Time{}}}}
+			jobs: map[string]*job{id: {spec: wire.Job{ID: id, Team: c.team, Kind: wire.KindArray, Tasks: 1, CPUs: 1}, cancelRequested: true, done: map[int]bool{0: true}, cancelConfirmedAt: time.Time{}}}}
 		for _, s := range c.steps {
-			r := userReply{sent: w.requestClock, status: s.status, state: s.state}
+			r := userReply{sentAt: w.requestClock, status: s.status, state: s.state}
 			if s.early {
-				r.sent = 0
+				r.sentAt = 0
 			}
 			w.checkReply(s.kind, id, r)
 		}
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -23,10 +23,10 @@
 	return status, body
 }
 
-// missedFor is for how long the load balancer gives new connections to a node whose
+// unnoticedFor is for how long the load balancer gives new connections to a node whose
 // power has been cut. With users who ask it for ever, one job in some thousand was
 // told to nobody for 20 s.
-const missedFor = 3 * time.Second
+const unnoticedFor = 3 * time.Second
 
 // AnyNodeAddr draws a node's address, as a load balancer would.
 func (w *Cluster) AnyNodeAddr() string {
@@ -34,28 +34,28 @@
 	defer w.mu.Unlock()
 	var up []*node
 	for _, n := range w.nodes {
-		if n.down.IsZero() || time.Since(n.down) < missedFor {
+		if n.downSince.IsZero() || time.Since(n.downSince) < unnoticedFor {
 			up = append(up, n)
 		}
 	}
 	if len(up) == 0 {
 		up = w.nodes
 	}
-	return up[w.pick(len(up))].bind
+	return up[w.pick(len(up))].addr
 }
 
 // NodeAddr is a node's address.
-func (w *Cluster) NodeAddr(i int) string { return w.nodes[i].bind }
+func (w *Cluster) NodeAddr(i int) string { return w.nodes[i].addr }
 
 // PostSubmission sends any body as a submission and returns the status.
 func (w *Cluster) PostSubmission(node int, v any) int {
-	status, _ := w.post(w.nodes[node].bind, wire.PathJobs, v)
+	status, _ := w.post(w.nodes[node].addr, wire.PathJobs, v)
 	return status
 }
 
 // SubmitRefused sends a submission and returns the status and the words of the answer.
 func (w *Cluster) SubmitRefused(node int, j wire.Job) (int, string) {
-	status, body := w.post(w.nodes[node].bind, wire.PathJobs, j)
+	status, body := w.post(w.nodes[node].addr, wire.PathJobs, j)
 	var e wire.Error
 	if wire.Unmarshal(body, &e) != nil {
 		return status, ""
@@ -113,7 +113,7 @@
 func (w *Cluster) CancelAt(addr, id string) string {
 	w.mu.Lock()
 	if j := w.jobs[id]; j != nil {
-		j.asked = true
+		j.cancelRequested = true
 	}
 	w.mu.Unlock()
 	return w.ask(cancellation, id, addr, nil, 5*time.Second).state
@@ -124,7 +124,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if j := w.jobs[id]; j != nil {
-		return j.cancelled
+		return j.cancelConfirmedAt
 	}
 	return time.Time{}
 }
