--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -8,13 +8,16 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+// minFetchGBPS is the least rate at which a machine fetches images.
+const minFetchGBPS = 0.1
+
 // cache is what images a machine has, the most recently used last, and what it is
 // fetching. The cluster's lock guards it.
 type cache struct {
 	images      []string
-	sizes       map[string]float64
+	sizes       map[string]float64 // GB, by image
 	fetchesLeft map[string]float64 // GB left, by image
-	fetchedAt   time.Time          // when fetches last went on
+	fetchedAt   time.Time          // when fetchesLeft was last advanced
 }
 
 func (c *cache) has(image string) bool { return slices.Contains(c.images, image) }
@@ -53,7 +56,7 @@
 	}
 }
 
-// advanceFetches lets fetches go on: those under way share the machine's rate, and one
+// advanceFetches advances the fetches: those under way share the machine's rate, and one
 // that no task waits for is given up. The cluster's lock is held.
 func (m *machine) advanceFetches(now time.Time) {
 	wanted := map[string]bool{}
@@ -67,7 +70,7 @@
 			delete(m.cache.fetchesLeft, image)
 		}
 	}
-	took := now.Sub(m.cache.fetchedAt).Seconds()
+	elapsed := now.Sub(m.cache.fetchedAt).Seconds()
 	m.cache.fetchedAt = now
 	n := len(m.cache.fetchesLeft)
 	if n > 0 {
@@ -77,11 +80,11 @@
 	}
 	m.cluster.peakFetching = max(m.cluster.peakFetching, len(m.cluster.fetchingMachines))
 	for image := range m.cache.fetchesLeft {
-		m.cache.fetchesLeft[image] -= took * math.Max(m.machineType.FetchGBPS, 0.1) / float64(n)
+		m.cache.fetchesLeft[image] -= elapsed * math.Max(m.machineType.FetchGBPS, minFetchGBPS) / float64(n)
 	}
 }
 
-// takeFetchedImage says whether a task's image is there now, and notes that it is used.
+// takeFetchedImage reports whether a task's image is there now, and marks it as used.
 func (m *machine) takeFetchedImage(t *task) bool {
 	if !m.cache.has(t.job.Image) && m.cache.fetchesLeft[t.job.Image] > 1e-9 {
 		return false
--- a/internal/fake/cancellations.go
+++ b/internal/fake/cancellations.go
@@ -15,14 +15,14 @@
 // becomes of the tasks of cancelled jobs.
 
 const (
-	minRemaining = 30.0                   // seconds
-	cancelSpread = 200 * time.Millisecond // all that CancelNow asks for
-	maxHung      = 8                      // machines
+	minRemaining = 30.0                   // seconds that a task with long to go runs on, at least
+	cancelSpread = 200 * time.Millisecond // from the first request of CancelRunning to the last
+	maxHung      = 8                      // machines that CancelRunning makes hang
 )
 
-// CancelRunning cancels so many jobs, within a fifth of a second, that run and have
-// long to go. With hang some of their machines hang for so long, from before the
-// first is asked for. It does not wait for the answers.
+// CancelRunning cancels n jobs, within a fifth of a second, that run and have long to go.
+// If hang is not 0, some of their machines hang for that long, from before the first
+// request. It does not wait for the answers.
 func (w *Cluster) CancelRunning(n int, hang time.Duration) (ids, hung []string) {
 	w.mu.Lock()
 	machinesOf := w.jobsWithLongToGo(time.Now())
@@ -77,7 +77,7 @@
 	return machinesOf
 }
 
-// hasLongToGo says whether a task that is on its machine has long to go.
+// hasLongToGo reports whether a task that is on its machine has long to go.
 func (w *Cluster) hasLongToGo(t *task, now time.Time) bool {
 	return t.job.Kind == wire.KindService || t.job.EstimateS-w.progress[t.name]-now.Sub(t.presentSince).Seconds() > minRemaining
 }
@@ -118,7 +118,7 @@
 	return slices.Clone(w.completionCancel.requested)
 }
 
-// noteCompletion takes in that a task has completed, as the last of its job or not; the lock is
+// noteCompletion records that a task has completed, as the last of its job or not; the lock is
 // held.
 func (w *Cluster) noteCompletion(j *job, task int) {
 	if j.done[task] {
@@ -143,7 +143,7 @@
 	return w.startedAfterCancel
 }
 
-// checkCancelledTask sees to it that what is on a machine is not of a job cancelled
+// checkCancelledTask checks that what is on a machine is not of a job cancelled
 // more than cancel_s ago. The lock is held.
 func (w *Cluster) checkCancelledTask(t *task, now time.Time) {
 	j := w.jobs[t.job.ID]
@@ -155,5 +155,5 @@
 		how = ", which hangs"
 	}
 	w.violations.add("ran_cancelled: %s is on %s%s", t.name, t.machine.name, how)
-	j.cancelConfirmedAt = now // said once for each cancel_s
+	j.cancelConfirmedAt = now // reported once for each cancel_s
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -13,7 +13,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Cloud rents machines of the cluster.
+// Cloud rents machines to the cluster.
 type Cloud struct {
 	// Set before the cloud serves requests, and not changed afterwards.
 	cluster    *Cluster
@@ -107,6 +107,7 @@
 	c.dropReplies = on
 }
 
+// machineType is the machine type of a name; nil: there is none.
 func (c *Cloud) machineType(name string) *wire.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
@@ -156,16 +157,20 @@
 	delete(c.machines, name)
 }
 
+// machine is the machine of a name; nil: it does not exist any more.
 func (c *Cloud) machine(name string) *machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machines[name]
 }
 
-// ServeHTTP implements the interface.
+// requestTime is how long the cloud takes for a request.
+const requestTime = 50 * time.Millisecond
+
+// ServeHTTP implements the cloud's protocol.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
-	time.Sleep(50 * time.Millisecond)
+	time.Sleep(requestTime)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.outage {
@@ -288,6 +293,7 @@
 	c.mu.Lock()
 }
 
+// serveList answers with the machines after a name, as they were a while ago; the lock is held.
 func (c *Cloud) serveList(w http.ResponseWriter, after string) {
 	var l wire.MachineList
 	now := time.Now()
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -20,42 +20,49 @@
 	Cloud    *Cloud
 	Settings *config.Settings // of the first node
 
+	// Set by New, and not changed afterwards.
 	ctx        context.Context
 	cancel     context.CancelFunc
-	wg         sync.WaitGroup
 	nodes      []*node
 	yarn       string
 	metrics    bool
 	noWakeUps  bool
 	log        *slog.Logger
 	httpClient *http.Client
+
+	wg         sync.WaitGroup // all goroutines of the cluster
 	violations violationLog
 
-	mu                 sync.Mutex
-	duplicateOneIn     int                          // one in so many reports is copied; 0: none
-	duplicatesInFlight int                          // on their way
-	capturedReports    map[string][]byte            // a report of each machine, for scenarios of late ones
-	answeredReports    map[nodeAndMachine]time.Time // when a machine last sent a report that a node answered
-	acceptedAnswers    map[nodeAndMachine]time.Time // and one whose 200 it took
+	mu     sync.Mutex // guards all that follows, and what machines, tasks, jobs and gangs hold
+	random *rand.Rand
+
+	// What runs where.
+	jobs             map[string]*job
+	knownJobsOnly    bool                         // workers know users' jobs only
+	tasksWithImage   map[string]map[*machine]bool // tasks that have their image, by name
+	gangs            map[taskKey]*gang
+	progress         map[string]float64 // checkpointed seconds, by task, or by job for gangs
+	fetchingMachines map[string]bool    // machines that fetch images
+
+	// Faults in messages of workers.
+	duplicateOneIn     int // one in so many reports is copied; 0: none
+	duplicatesInFlight int
+	capturedReports    map[string][]byte // a report of each machine, for scenarios of late ones
 	failoverCopies     failoverCopies
 	commandDelay       commandDelay
 	completionCancel   completionCancel
-	random             *rand.Rand
-	jobs               map[string]*job
-	tasksWithImage     map[string]map[*machine]bool // tasks that have their image, by name
-	gangs              map[taskKey]*gang
-	progress           map[string]float64 // saved, by task, or by job for gangs
-	started            int
-	externalStarts     map[string]int // starts of tasks of other doors' jobs, each of which runs once
-	expiredLeases      int            // workers' leases that ended, with tasks
-	knownJobsOnly      bool           // workers know users' jobs only
-	fetchingMachines   map[string]bool
-	// fetchedMost is on how many machines images were fetched at the same time.
-	peakFetching       int
-	requestClock       uint64    // counts users' requests and the answers to them
-	unusualIDs         int       // ids of jobs that can't be accepted
-	startedAfterCancel int       // starts after the user was told that the job is cancelled
-	lastFaultAt        time.Time // when a fault was last seen to be injected
+
+	// What was observed.
+	answeredReports    map[nodeAndMachine]time.Time // when a machine last sent a report that a node answered
+	acceptedAnswers    map[nodeAndMachine]time.Time // and one whose 200 it accepted
+	started            int                          // task starts
+	externalStarts     map[string]int               // by task, of jobs of other frontends, each of which runs once
+	startedAfterCancel int                          // task starts after the user was told that the job is cancelled
+	expiredLeases      int                          // of workers that had tasks
+	peakFetching       int                          // most machines that fetched images at the same time
+	requestClock       uint64                       // counts users' requests and the answers to them
+	unusualIDs         int                          // ids used for jobs that can't be accepted
+	lastFaultAt        time.Time                    // when a fault was last seen to be injected
 }
 
 // New makes a cluster whose controllers are running, unless they are external.
@@ -63,14 +70,27 @@
 	options.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Cluster{
-		Network: NewNetwork(), Store: NewKVStore(12), ctx: ctx, cancel: cancel, log: options.Log, yarn: options.YARN,
-		metrics: options.Metrics, noWakeUps: options.NoWakeUps, random: rand.New(rand.NewPCG(options.Seed, 7)),
-		jobs: map[string]*job{}, tasksWithImage: map[string]map[*machine]bool{}, gangs: map[taskKey]*gang{},
-		progress: map[string]float64{}, externalStarts: map[string]int{}, capturedReports: map[string][]byte{},
-		answeredReports: map[nodeAndMachine]time.Time{}, acceptedAnswers: map[nodeAndMachine]time.Time{}, fetchingMachines: map[string]bool{},
+		Network:          NewNetwork(),
+		Store:            NewKVStore(transactionOps),
+		ctx:              ctx,
+		cancel:           cancel,
+		log:              options.Log,
+		yarn:             options.YARN,
+		metrics:          options.Metrics,
+		noWakeUps:        options.NoWakeUps,
+		random:           rand.New(rand.NewPCG(options.Seed, 7)),
+		jobs:             map[string]*job{},
+		tasksWithImage:   map[string]map[*machine]bool{},
+		gangs:            map[taskKey]*gang{},
+		progress:         map[string]float64{},
+		fetchingMachines: map[string]bool{},
+		capturedReports:  map[string][]byte{},
+		answeredReports:  map[nodeAndMachine]time.Time{},
+		acceptedAnswers:  map[nodeAndMachine]time.Time{},
+		externalStarts:   map[string]int{},
 	}
 	w.Store.reportViolation = w.violations.add
-	w.Cloud = &Cloud{cluster: w, types: options.Types, capacity: options.Capacity, listingLag: 5 * time.Second,
+	w.Cloud = &Cloud{cluster: w, types: options.Types, capacity: options.Capacity, listingLag: secs(cloudListingLagS),
 		rentals: map[string][]string{}, machines: map[string]*machine{}}
 	w.serve("state:1", w.Store)
 	w.serve("cloud:1", w.Cloud)
@@ -115,24 +135,26 @@
 	time.Sleep(time.Minute)
 }
 
-type fromKey struct{}
+// senderKey is the key of a request's context under which its sender stands.
+type senderKey struct{}
 
+// senderOf is the host that a request comes from.
 func senderOf(r *http.Request) string {
-	s, _ := r.Context().Value(fromKey{}).(string)
+	s, _ := r.Context().Value(senderKey{}).(string)
 	return s
 }
 
+// serve runs a server at an address until the cluster ends.
 func (w *Cluster) serve(at string, h http.Handler) {
 	l, err := w.Network.Listen("tcp", at)
 	if err != nil {
 		panic(err) // a cluster is made wrong
 	}
 	srv := &http.Server{Handler: h, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-		return context.WithValue(ctx, fromKey{}, c.(*conn).from)
+		return context.WithValue(ctx, senderKey{}, c.(*conn).from)
 	}}
-	w.wg.Add(2)
-	go func() { defer w.wg.Done(); _ = srv.Serve(l) }()
-	go func() { defer w.wg.Done(); <-w.ctx.Done(); _ = srv.Close() }()
+	w.wg.Go(func() { _ = srv.Serve(l) })
+	w.wg.Go(func() { <-w.ctx.Done(); _ = srv.Close() })
 }
 
 // pick draws a number below n; the lock is held.
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -3,6 +3,7 @@
 import (
 	"math/rand/v2"
 	"net/http"
+	"slices"
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
@@ -14,8 +15,8 @@
 
 // How late a command that is held up is carried out.
 const (
-	leastCommandDelay = 2 * time.Second
-	mostCommandDelay  = 16 * time.Second
+	minCommandDelay = 2 * time.Second
+	maxCommandDelay = 16 * time.Second
 )
 
 // commandDelay is the share of direct commands that is held up. The cluster's lock guards
@@ -64,13 +65,13 @@
 	order int // among all batches that were sent to the machine
 }
 
-// delay draws whether a batch is held up, and for how long; the lock is held.
-func (f *commandDelay) delay() (time.Duration, bool) {
-	if f.share == 0 || f.random.Float64() >= f.share {
+// draw draws whether a batch is held up, and for how long; the lock is held.
+func (d *commandDelay) draw() (time.Duration, bool) {
+	if d.share == 0 || d.random.Float64() >= d.share {
 		return 0, false
 	}
-	span := int64(mostCommandDelay - leastCommandDelay)
-	return leastCommandDelay + time.Duration(f.random.Int64N(span)), true
+	span := int64(maxCommandDelay - minCommandDelay)
+	return minCommandDelay + time.Duration(d.random.Int64N(span)), true
 }
 
 // receiveCommands answers a request with direct commands; held says that it is held up, and
@@ -86,7 +87,7 @@
 		return 0, true
 	}
 	m.batchesSent++
-	if by, late := m.cluster.commandDelay.delay(); late {
+	if by, late := m.cluster.commandDelay.draw(); late {
 		m.cluster.commandDelay.counts.Held++
 		batch := delayedBatch{DirectCommands: d, sent: time.Now(), order: m.batchesSent}
 		m.cluster.wg.Go(func() { m.deliverDelayed(batch, by) })
@@ -101,12 +102,78 @@
 	return http.StatusOK, false
 }
 
+// executeDirect carries a batch of direct commands out; the cluster's lock is held.
 func (m *machine) executeDirect(d wire.DirectCommands) {
 	now := time.Now()
 	m.noteToken(d.Token, now)
 	m.execute(d.Commands, now)
 }
 
+// execute carries commands out in their order.
+func (m *machine) execute(cmds []wire.Command, now time.Time) {
+	for _, c := range cmds {
+		k := taskKey{c.Task, c.Attempt}
+		t := m.tasks[k]
+		switch {
+		case c.Op == wire.OpStart && t == nil:
+			m.cluster.checkLaunch(k.name, now)
+			m.launch(k, now)
+		case c.Op == wire.OpForget && t != nil && t.state == wire.TaskExited:
+			m.forget(k)
+		case c.Op == wire.OpStop && t != nil && t.state != wire.TaskExited:
+			m.cluster.stopTask(t, graceOf(c), now)
+		}
+	}
+}
+
+// graceOf is how many seconds a stop leaves its task to save.
+func graceOf(c wire.Command) float64 {
+	if c.GraceS == nil {
+		return 0
+	}
+	return *c.GraceS
+}
+
+// forget drops the outcome of a task that has exited.
+func (m *machine) forget(k taskKey) {
+	delete(m.tasks, k)
+	if i := slices.Index(m.order, k); i >= 0 {
+		m.order = slices.Delete(m.order, i, i+1)
+	}
+}
+
+// launch takes a task in, which then fetches its image, unless it is unknown, runs here
+// already, or has no room.
+func (m *machine) launch(k taskKey, now time.Time) {
+	t := &task{taskKey: k, machine: m, state: wire.TaskFetching, launchedAt: now}
+	m.tasks[k] = t
+	m.order = append(m.order, k)
+	id, n, ok := wire.SplitTask(k.name)
+	job := m.cluster.jobOf(id)
+	if !ok || job == nil || n >= job.spec.Tasks {
+		m.exit(t, wire.WhyUnknown, false)
+		return
+	}
+	t.job, t.index = &job.spec, n
+	var used resources
+	for _, o := range m.tasks {
+		if o != t && o.name == k.name && o.state != wire.TaskExited {
+			m.exit(t, wire.WhyBusy, false)
+			return
+		}
+		if o.job != nil && o.state != wire.TaskExited {
+			used = used.plus(o.job)
+		}
+	}
+	if !used.fitIn(resourcesOf(m.machineType)) {
+		m.exit(t, wire.WhyNoRoom, false)
+		return
+	}
+	t.readyAt = now.Add(100 * time.Millisecond)
+	m.cache.fetch(t.job.Image, t.job.ImageGB)
+	m.reportDue = true
+}
+
 // deliverDelayed carries a batch out that was held up. One that finds its machine hanging
 // waits until that resumes.
 func (m *machine) deliverDelayed(b delayedBatch, by time.Duration) {
@@ -126,24 +193,24 @@
 	if m.dead {
 		return
 	}
-	seen := &m.cluster.commandDelay.counts
+	counts := &m.cluster.commandDelay.counts
 	if m.newestBatchExecuted > b.order {
-		seen.Overtaken++
+		counts.Overtaken++
 	}
 	switch {
 	case b.Session != m.session:
-		seen.RefusedSession++
+		counts.RefusedSession++
 		return
 	case b.Token < m.token:
-		seen.RefusedToken++
+		counts.RefusedToken++
 		return
 	}
-	seen.Executed++
+	counts.Executed++
 	if hung {
-		seen.AfterHang++
+		counts.AfterHang++
 	}
 	if b.Token != leader {
-		seen.FormerLeader++
+		counts.FormerLeader++
 	}
 	m.countDelayedStops(b)
 	m.executeDirect(b.DirectCommands)
@@ -152,21 +219,22 @@
 
 // countDelayedStops counts what late stops are about to meet; the lock is held.
 func (m *machine) countDelayedStops(b delayedBatch) {
-	seen := &m.cluster.commandDelay.counts
+	counts := &m.cluster.commandDelay.counts
 	for _, c := range b.Commands {
 		t := m.tasks[taskKey{c.Task, c.Attempt}]
 		if c.Op != wire.OpStop || t == nil || t.state == wire.TaskExited {
 			continue
 		}
 		if t.launchedAt.After(b.sent) {
-			seen.NewerStart++
+			counts.NewerStart++
 		}
 		if t.state == wire.TaskSaving && graceOf(c) == 0 {
-			seen.EndedSaving++
+			counts.EndedSaving++
 		}
 	}
 }
 
+// isHung reports whether the machine hangs and has not ended.
 func (m *machine) isHung() bool {
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
--- a/internal/fake/delayed_transactions.go
+++ b/internal/fake/delayed_transactions.go
@@ -61,10 +61,10 @@
 	Stale   int // of a leader whose leadership was over, overtaken by whomever
 }
 
-// isNode says whether a host is a controller, by its name.
+// isNode reports whether a host is a controller, by its name.
 func isNode(host string) bool { return strings.HasPrefix(host, "n-") }
 
-// noteArrival takes in that a transaction has come; the lock is held.
+// noteArrival records that a transaction has come; the lock is held.
 func (s *KVStore) noteArrival(t *transaction, node string) transactionArrival {
 	s.delays.arrived++
 	return transactionArrival{order: s.delays.arrived, node: node, token: s.tokenOf(t, node), revision: s.revision}
--- a/internal/fake/duplicate_reports.go
+++ b/internal/fake/duplicate_reports.go
@@ -26,18 +26,16 @@
 		return
 	}
 	w.duplicatesInFlight++
-	most := int(5 * w.Settings.Cluster.Workers.LeaseS * 1000)
-	in, to := time.Duration(1000+w.pick(most-1000))*time.Millisecond, w.pick(len(w.nodes))
-	w.wg.Add(1)
-	go func() {
-		defer w.wg.Done()
-		if call.Pause(w.ctx, in) {
+	maxDelayMs := int(5 * w.Settings.Cluster.Workers.LeaseS * 1000)
+	delay, to := time.Duration(1000+w.pick(maxDelayMs-1000))*time.Millisecond, w.pick(len(w.nodes))
+	w.wg.Go(func() {
+		if call.Pause(w.ctx, delay) {
 			w.post(w.nodes[to].addr, wire.PathReport, r)
 		}
 		w.mu.Lock()
 		w.duplicatesInFlight--
 		w.mu.Unlock()
-	}()
+	})
 }
 
 // CaptureReport remembers a worker's report of this moment; ReplayReport sends it
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -34,7 +34,7 @@
 	return g
 }
 
-// joinGang takes in that a task is on its machine, and lets the gang run if it is the last.
+// joinGang records that a task is on its machine, and lets the gang run if it is the last.
 func (w *Cluster) joinGang(t *task, now time.Time) {
 	g := w.gangOf(t)
 	if g.over {
@@ -49,7 +49,7 @@
 	}
 }
 
-// remove takes in that a task is on its machine no more.
+// remove records that a task is on its machine no more.
 func (g *gang) remove(t *task) {
 	if g.tasks[t.index] == t {
 		delete(g.tasks, t.index)
@@ -59,7 +59,7 @@
 	}
 }
 
-// breakGang takes in that a task of a gang was lost. If the gang ran, its job keeps the
+// breakGang records that a task of a gang was lost. If the gang ran, its job keeps the
 // progress of the last checkpoint.
 func (w *Cluster) breakGang(g *gang, j *wire.Job) {
 	if !g.running || !g.brokenAt.IsZero() || !g.savingSince.IsZero() {
@@ -88,7 +88,7 @@
 	}
 }
 
-// gangCompletes says whether a gang's work is done, by this attempt or one before.
+// gangCompletes reports whether a gang's work is done, by this attempt or one before.
 func (w *Cluster) gangCompletes(g *gang, t *task, now time.Time) bool {
 	runs := g.running && g.brokenAt.IsZero() && g.savingSince.IsZero()
 	return w.jobs[t.job.ID].done[t.index] || runs && g.progressBefore+now.Sub(g.runningSince).Seconds() >= t.job.EstimateS
--- a/internal/fake/jobs.go
+++ b/internal/fake/jobs.go
@@ -9,21 +9,21 @@
 
 // This file has what users and workers know of jobs.
 
-// job is what the users and the checker know of a job.
+// job is what the users and the checker know of a job. The cluster's lock guards it.
 type job struct {
-	spec              wire.Job
-	accepted          bool
-	cancelConfirmedAt time.Time // when its user was told
+	spec     wire.Job
+	accepted bool         // its user was told that it is accepted
+	done     map[int]bool // the tasks that have completed, by index
+
 	cancelRequested   bool      // its user has asked to cancel it
-	done              map[int]bool
-	finalState        string // the last final state any node gave
+	cancelConfirmedAt time.Time // when its user was told that it is cancelled; zero: not yet
+	finalState        string    // the last final state that any node gave; "": none yet
 	answers           answerLog
-	// unanswered is since when no question about it has been answered, without faults.
-	unansweredSince time.Time
+	unansweredSince   time.Time // since when no question about it has been answered, without faults
 }
 
-// jobOf is a job of another door, whose description workers find in its record;
-// the lock is held.
+// jobOf is a job that workers are to run. The description of one that came by another
+// frontend is looked up in its record. The lock is held.
 func (w *Cluster) jobOf(id string) *job {
 	if j := w.jobs[id]; j != nil || wire.ValidUserID(id) || w.knownJobsOnly {
 		return j
@@ -36,7 +36,7 @@
 	return w.jobs[id]
 }
 
-// RejectUnknownJobs makes workers know users' jobs only, not those of other doors.
+// RejectUnknownJobs makes workers know users' jobs only, not those of other frontends.
 func (w *Cluster) RejectUnknownJobs() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fake/kvstore_transactions.go
+++ b/internal/fake/kvstore_transactions.go
@@ -57,12 +57,12 @@
 	return out
 }
 
-// changes says whether a transaction changes a key with a prefix.
+// changes reports whether a transaction changes a key with a prefix.
 func (t *transaction) changes(prefix string) bool {
 	return slices.ContainsFunc(t.keys(), func(key string) bool { return strings.HasPrefix(key, prefix) })
 }
 
-// guards says whether a transaction has a guard on a key.
+// guards reports whether a transaction has a guard on a key.
 func (t *transaction) guards(key string) bool {
 	return slices.ContainsFunc(t.If, func(g wire.Guard) bool { return g.Key == key })
 }
@@ -228,7 +228,7 @@
 	}
 }
 
-// writtenByLeadersOnly says whether a key is written by leaders alone.
+// writtenByLeadersOnly reports whether a key is written by leaders alone.
 func writtenByLeadersOnly(key string) bool {
 	_, page := jobstore.ParsePlacementPageKey(key)
 	return page || strings.HasPrefix(key, jobstore.RebalanceCyclePrefix) || strings.HasPrefix(key, jobstore.ScaleOutPrefix) || key == jobstore.ScaleInKey
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -39,7 +39,7 @@
 	w.lastFaultAt = time.Now()
 }
 
-// FaultActive says whether any fault is injected at the moment.
+// FaultActive reports whether any fault is injected at the moment.
 func (w *Cluster) FaultActive() bool {
 	hosts := map[string]bool{"state": true, "cloud": true, "user": true}
 	for _, name := range w.Cloud.Machines() {
@@ -48,7 +48,7 @@
 	return w.nodesFaulty(hosts) || w.Network.faulty(hosts) || w.Store.faulty() || w.Cloud.faulty()
 }
 
-// nodesFaulty says whether a node is down, a machine hangs, or messages of workers are
+// nodesFaulty reports whether a node is down, a machine hangs, or messages of workers are
 // copied or held up. It adds the nodes to the hosts that are there.
 func (w *Cluster) nodesFaulty(hosts map[string]bool) bool {
 	hung := false
@@ -67,7 +67,7 @@
 	return hung || down || w.duplicateOneIn > 0 || w.duplicatesInFlight > 0 || w.failoverCopies.oneIn > 0 || w.failoverCopies.overtakeOneIn > 0 || w.commandDelay.share > 0
 }
 
-// faulty says whether messages between hosts that are there are lost or held up, or one
+// faulty reports whether messages between hosts that are there are lost or held up, or one
 // of them stands still.
 func (n *Network) faulty(hosts map[string]bool) bool {
 	n.mu.Lock()
@@ -96,7 +96,7 @@
 	return false
 }
 
-// faulty says whether the key-value store refuses, delays or does not answer requests.
+// faulty reports whether the key-value store refuses, delays or does not answer requests.
 func (s *KVStore) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,14 +110,14 @@
 		d.lateShare > 0 || d.lostReplyShare > 0 || d.leaseShare > 0 || d.waiting > 0
 }
 
-// faulty says whether the cloud refuses, delays or does not answer requests.
+// faulty reports whether the cloud refuses, delays or does not answer requests.
 func (c *Cloud) faulty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.outage || c.dropReplies || c.replyDelay > 0 || c.deleteDelay > 0
 }
 
-// checkAnswered takes in whether a question about a job was answered. Without faults, one
+// checkAnswered records whether a question about a job was answered. Without faults, one
 // about which no question is answered for a while counts as forgotten. The lock is held.
 func (w *Cluster) checkAnswered(id string, r userReply) {
 	j := w.jobs[id]
--- a/internal/fake/liveness_test.go
+++ b/internal/fake/liveness_test.go
@@ -86,11 +86,11 @@
 			if !held {
 				t.Fatal("the command is not held up")
 			}
-			time.Sleep(leastCommandDelay - 100*time.Millisecond)
+			time.Sleep(minCommandDelay - 100*time.Millisecond)
 			if met := w.DelayedCommands(); met != (DelayedCommands{Held: 1}) {
 				t.Errorf("too early: %+v", met)
 			}
-			for range int(mostCommandDelay / time.Second) { // within its lease all the while
+			for range int(maxCommandDelay / time.Second) { // within its lease all the while
 				time.Sleep(time.Second)
 				w.mu.Lock()
 				m.leaseRenewedAt = time.Now()
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -4,7 +4,6 @@
 	"context"
 	"io"
 	"net/http"
-	"slices"
 	"time"
 
 	"github.com/umberdeal/umberdeal/internal/call"
@@ -14,15 +13,10 @@
 // BrokenClass is the class of jobs that fail on every machine.
 const BrokenClass = "broken"
 
-// replyTimeout is when a worker gives an answer to its report up.
-const replyTimeout = 4 * time.Second
-
-// maxReply is the most that is read of an answer, in bytes.
-const maxReply = 1 << 20
-
 // stepInterval is how finely machines are simulated.
 const stepInterval = 100 * time.Millisecond
 
+// taskKey is an attempt of a task.
 type taskKey struct {
 	name    string
 	attempt uint64
@@ -32,65 +26,68 @@
 type task struct {
 	taskKey
 	machine      *machine
-	job          *wire.Job
-	index        int
-	state        string
-	exitReason   string
-	saved        bool
+	job          *wire.Job // nil: unknown
+	index        int       // in its job
+	state        string    // one of the wire.Task constants
+	exitReason   string    // one of the wire.Why constants, once it has exited
+	saved        bool      // it saved its progress before it exited
 	launchedAt   time.Time
-	readyAt      time.Time // when its image is there
+	readyAt      time.Time // its image is there no earlier
+	present      bool      // it has its image and has not exited
 	presentSince time.Time
-	stopsAt      time.Time // when a stop ends it
+	stopsAt      time.Time // when a stop ends it; zero: none
 	saving       bool
-	present      bool // has its image and has not exited
 }
 
 // machine is a machine with its worker.
 type machine struct {
-	cluster     *Cluster
-	name        string
-	addr        string
+	// Set by newMachine, and not changed afterwards.
+	cluster   *Cluster
+	name      string
+	addr      string
+	zone      string
+	spot      bool
+	createdAt time.Time
+	bootTime  time.Duration
+	client    *http.Client
+	ctx       context.Context // ends with the machine
+	stop      context.CancelFunc
+
+	// The cluster's lock guards all that follows. Of machineType only the rate of fetches
+	// changes; the rest of it is read without the lock.
 	machineType wire.MachineType
-	zone        string
-	spot        bool
-	createdAt   time.Time
-	bootTime    time.Duration
-	client      *http.Client
-	ctx         context.Context
-	stop        context.CancelFunc
-
-	// guarded by the cluster's lock
-	dead               bool
-	hung               bool
-	faulty             bool // its tasks fail
-	session            uint64
-	lastSeq            uint64
-	token              uint64
-	tasks              map[taskKey]*task
-	order              []taskKey
-	cache              cache
+	dead        bool
+	hung        bool
+	faulty      bool // its tasks fail
+	tasks       map[taskKey]*task
+	order       []taskKey // the tasks in the order of their launches
+	cache       cache
+
+	session            uint64 // changes when a lease expires
+	lastSeq            uint64 // of its reports
+	token              uint64 // the highest fencing token that it has seen
+	tokenChangedAt     time.Time
 	leaseRenewedAt     time.Time
-	reportsTo          int
-	reportDue          bool
+	reportsTo          int  // the index of the node that its next report is sent to
+	reportDue          bool // something has changed since its last report
 	interruptionNotice *float64
-	tokenChangedAt     time.Time
-	holdCommands       bool // direct commands are held back
-	heldCommands       []wire.DirectCommands
-	batchesSent        int // batches of direct commands that were sent to it
-	// newestBatch is the newest of them, in the order of sending, that was executed at once.
-	newestBatchExecuted int
-	directExecuted      int            // direct commands carried out
-	lateReplies         int            // answers taken more than a second after their reports
-	lastAnswered        answeredReport // the last report of its own that was answered 200, and by whom
+	lateReplies        int            // answers accepted more than a second after their reports
+	lastAnswered       answeredReport // the last report of its own that was answered 200, and by whom
+
+	holdCommands        bool // direct commands are held back
+	heldCommands        []wire.DirectCommands
+	batchesSent         int // batches of direct commands that were sent to it
+	newestBatchExecuted int // the newest of them, in the order of sending, that was executed at once
+	directExecuted      int // direct commands carried out
 }
 
+// newMachine makes a machine, which comes up after its boot time.
 func newMachine(w *Cluster, name string, typ wire.MachineType, zone string, spot bool, boot time.Duration) *machine {
-	ctx, end := context.WithCancel(w.ctx)
+	ctx, stop := context.WithCancel(w.ctx)
 	m := &machine{cluster: w, name: name, addr: name + ":9000", machineType: typ, zone: zone, spot: spot, createdAt: time.Now(),
-		bootTime: boot, ctx: ctx, stop: end, session: 1, tasks: map[taskKey]*task{}}
+		bootTime: boot, ctx: ctx, stop: stop, session: 1, tasks: map[taskKey]*task{}}
 	m.client = call.NewClient(w.Network.Dial(name), 2, 2)
-	w.wg.Add(1)
-	go func() { defer w.wg.Done(); m.run() }()
+	w.wg.Go(m.run)
 	return m
 }
 
@@ -121,6 +118,7 @@
 	m.tasks, m.order = map[taskKey]*task{}, nil
 }
 
+// run boots the machine, and then runs its worker until the machine ends.
 func (m *machine) run() {
 	if !call.Pause(m.ctx, m.bootTime) {
 		return
@@ -130,19 +128,18 @@
 		return
 	}
 	srv := &http.Server{Handler: m}
-	m.cluster.wg.Add(1)
-	go func() { defer m.cluster.wg.Done(); _ = srv.Serve(l) }()
+	m.cluster.wg.Go(func() { _ = srv.Serve(l) })
 	defer func() { _ = srv.Close() }() // the machine is gone: its listener too
 	defer m.client.CloseIdleConnections()
 	m.cluster.mu.Lock()
 	m.leaseRenewedAt = time.Now()
 	m.reportsTo = m.cluster.pick(len(m.cluster.nodes))
 	m.cluster.mu.Unlock()
-	m.cluster.wg.Add(1)
-	go func() { defer m.cluster.wg.Done(); m.runTasks() }()
+	m.cluster.wg.Go(m.runTasks)
 	m.sendReports()
 }
 
+// runTasks simulates what is on the machine, step by step.
 func (m *machine) runTasks() {
 	for call.Pause(m.ctx, stepInterval) {
 		m.cluster.mu.Lock()
@@ -158,7 +155,7 @@
 	}
 }
 
-// expireLease kills and forgets all tasks once the lease is over.
+// expireLease kills and forgets all tasks once the lease is over, and reports whether it is.
 func (m *machine) expireLease(now time.Time) bool {
 	if now.Sub(m.leaseRenewedAt) <= secs(m.cluster.Settings.Cluster.Workers.LeaseS) {
 		return false
@@ -183,7 +180,7 @@
 	}
 }
 
-// stepTasks lets the time pass for what is on the machine.
+// stepTasks advances what is on the machine; the cluster's lock is held.
 func (m *machine) stepTasks(now time.Time) {
 	m.advanceFetches(now)
 	for _, k := range append([]taskKey(nil), m.order...) {
@@ -207,6 +204,7 @@
 	}
 }
 
+// exit ends a task; the cluster's lock is held.
 func (m *machine) exit(t *task, why string, saved bool) {
 	if t.state == wire.TaskExited {
 		return
@@ -220,204 +218,6 @@
 	}
 }
 
-// report is the worker's message; the cluster's lock is held.
-func (m *machine) report() wire.Report {
-	m.lastSeq++
-	r := wire.Report{Machine: m.name, Addr: m.addr, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
-		Session: m.session, Seq: m.lastSeq, Token: m.token, NoticeS: m.interruptionNotice}
-	for _, k := range m.order {
-		t := m.tasks[k]
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason, Saved: t.saved})
-	}
-	return r
-}
-
-func (m *machine) sendReports() {
-	w := m.cluster.Settings.Cluster.Workers
-	last := time.Time{}
-	for m.ctx.Err() == nil {
-		m.cluster.mu.Lock()
-		interval := secs(w.ReportS * (0.75 + 0.5*m.cluster.random.Float64()))
-		hung, changed := m.hung, m.reportDue
-		m.cluster.mu.Unlock()
-		since := time.Since(last)
-		if hung || since < interval && (!changed || since < 500*time.Millisecond) {
-			if !call.Pause(m.ctx, stepInterval) {
-				return
-			}
-			continue
-		}
-		last = time.Now()
-		if !m.send(last) && !call.Pause(m.ctx, time.Second) {
-			return
-		}
-	}
-}
-
-// send makes one report; false says that another node is to be tried.
-func (m *machine) send(at time.Time) bool {
-	r, node, overtaken := m.nextReport()
-	copied := uint64(0)
-	if overtaken {
-		copied = m.cluster.sendCopiesAhead(r)
-	}
-	ctx, cancel := context.WithTimeout(m.ctx, replyTimeout)
-	defer cancel()
-	status, body, err := call.Do(ctx, m.client, http.MethodPost, "http://"+node.addr+wire.PathReport, r, maxReply)
-	m.cluster.mu.Lock()
-	defer m.cluster.mu.Unlock()
-	m.awaitResume(at)
-	if m.dead {
-		return true
-	}
-	if err == nil {
-		m.cluster.answeredReports[nodeAndMachine{node.name, m.name}] = at
-		m.cluster.countOvertaken(r, copied, status)
-	}
-	if err != nil || status != http.StatusOK {
-		m.reportDue = true
-		if err == nil && m.redirect(status, body) {
-			return true
-		}
-		m.reportsTo = (m.reportsTo + 1) % len(m.cluster.nodes)
-		return false
-	}
-	m.takeAnswer(r, node, body, at)
-	return true
-}
-
-// nextReport composes a report, chooses the node that it is sent to, and draws whether
-// copies of it go ahead.
-func (m *machine) nextReport() (r wire.Report, to *node, overtaken bool) {
-	m.cluster.mu.Lock()
-	defer m.cluster.mu.Unlock()
-	m.reportDue = false
-	r = m.report()
-	m.cluster.maybeDuplicate(r)
-	m.cluster.keepForFailover(r)
-	to = m.cluster.nodes[m.reportsTo%len(m.cluster.nodes)]
-	overtaken = m.cluster.failoverCopies.overtakeOneIn > 0 && m.cluster.pick(m.cluster.failoverCopies.overtakeOneIn) == 0
-	return r, to, overtaken
-}
-
-// awaitResume waits while the machine hangs, at most until it drops the answer to the
-// report that it sent at a time: what came while it hung is there when it goes on. The
-// cluster's lock is held, but not while it waits.
-func (m *machine) awaitResume(sent time.Time) {
-	for m.hung && !m.dead && time.Since(sent) < replyTimeout {
-		m.cluster.mu.Unlock()
-		time.Sleep(stepInterval)
-		m.cluster.mu.Lock()
-	}
-}
-
-// redirect makes the machine report to the leader that a node has named, and says whether
-// it has named another.
-func (m *machine) redirect(status int, body []byte) bool {
-	var to wire.Redirect
-	if status != http.StatusMisdirectedRequest || wire.Unmarshal(body, &to) != nil {
-		return false
-	}
-	for i, n := range m.cluster.nodes {
-		if n.name == to.Leader && i != m.reportsTo {
-			m.reportsTo = i
-			return true
-		}
-	}
-	return false
-}
-
-// takeAnswer renews the lease and carries out what a node has answered to a report, unless
-// the answer is late, or of a former leader or session; the cluster's lock is held.
-func (m *machine) takeAnswer(r wire.Report, from *node, body []byte, sent time.Time) {
-	var a wire.ReportAnswer
-	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || r.Session != m.session || m.hung || time.Since(sent) >= replyTimeout {
-		return
-	}
-	if time.Since(sent) > time.Second {
-		m.lateReplies++
-	}
-	m.lastAnswered = answeredReport{m.name, r.Session, r.Seq, a.Token}
-	m.noteToken(a.Token, sent)
-	m.leaseRenewedAt = sent
-	m.cluster.acceptedAnswers[nodeAndMachine{from.name, m.name}] = sent
-	m.execute(a.Commands, time.Now())
-}
-
-func (m *machine) noteToken(token uint64, now time.Time) {
-	if token > m.token {
-		m.token = token
-		if now.Sub(m.tokenChangedAt) > secs(m.cluster.Settings.Cluster.Workers.LeaseS/2) {
-			m.reportDue, m.tokenChangedAt = true, now
-		}
-	}
-}
-
-// execute carries commands out in their order.
-func (m *machine) execute(cmds []wire.Command, now time.Time) {
-	for _, c := range cmds {
-		k := taskKey{c.Task, c.Attempt}
-		t := m.tasks[k]
-		switch {
-		case c.Op == wire.OpStart && t == nil:
-			m.cluster.checkLaunch(k.name, now)
-			m.launch(k, now)
-		case c.Op == wire.OpForget && t != nil && t.state == wire.TaskExited:
-			m.forget(k)
-		case c.Op == wire.OpStop && t != nil && t.state != wire.TaskExited:
-			m.cluster.stopTask(t, graceOf(c), now)
-		}
-	}
-}
-
-// graceOf is how many seconds a stop leaves its task to save.
-func graceOf(c wire.Command) float64 {
-	if c.GraceS == nil {
-		return 0
-	}
-	return *c.GraceS
-}
-
-// forget drops the outcome of a task that has exited.
-func (m *machine) forget(k taskKey) {
-	delete(m.tasks, k)
-	if i := slices.Index(m.order, k); i >= 0 {
-		m.order = slices.Delete(m.order, i, i+1)
-	}
-}
-
-// launch takes a task in, which then fetches its image, unless it is unknown, runs here
-// already, or has no room.
-func (m *machine) launch(k taskKey, now time.Time) {
-	t := &task{taskKey: k, machine: m, state: wire.TaskFetching, launchedAt: now}
-	m.tasks[k] = t
-	m.order = append(m.order, k)
-	id, n, ok := wire.SplitTask(k.name)
-	job := m.cluster.jobOf(id)
-	if !ok || job == nil || n >= job.spec.Tasks {
-		m.exit(t, wire.WhyUnknown, false)
-		return
-	}
-	t.job, t.index = &job.spec, n
-	var used resources
-	for _, o := range m.tasks {
-		if o != t && o.name == k.name && o.state != wire.TaskExited {
-			m.exit(t, wire.WhyBusy, false)
-			return
-		}
-		if o.job != nil && o.state != wire.TaskExited {
-			used = used.plus(o.job)
-		}
-	}
-	if !used.fitIn(resourcesOf(m.machineType)) {
-		m.exit(t, wire.WhyNoRoom, false)
-		return
-	}
-	t.readyAt = now.Add(100 * time.Millisecond)
-	m.cache.fetch(t.job.Image, t.job.ImageGB)
-	m.reportDue = true
-}
-
 // ServeHTTP takes direct commands.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
@@ -441,4 +241,5 @@
 	reply(w, status, m.report())
 }
 
+// secs is a duration of a number of seconds.
 func secs(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/fake/machine_faults.go
+++ b/internal/fake/machine_faults.go
@@ -39,6 +39,9 @@
 	m.faulty = true
 }
 
+// rogueAttempt is an attempt that no leader gets to.
+const rogueAttempt = 1 << 40
+
 // LaunchWithoutLeader makes a worker launch a task behind the controllers' backs, for
 // scenarios that show that the checker sees it.
 func (w *Cluster) LaunchWithoutLeader(name, task string) {
@@ -51,8 +54,9 @@
 	// At once, before any controller can notice: what the checker sees must not
 	// depend on who is faster.
 	now := time.Now()
-	m.launch(taskKey{task, 1 << 40}, now)
-	if t := m.tasks[taskKey{task, 1 << 40}]; t.state == wire.TaskFetching {
+	key := taskKey{task, rogueAttempt}
+	m.launch(key, now)
+	if t := m.tasks[key]; t.state == wire.TaskFetching {
 		t.readyAt = now
 		m.stepTasks(now)
 	}
@@ -62,17 +66,15 @@
 func (w *Cluster) SendInterruptionNotice(name string, in time.Duration) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
-	s := in.Seconds()
-	m.interruptionNotice, m.reportDue = &s, true
+	seconds := in.Seconds()
+	m.interruptionNotice, m.reportDue = &seconds, true
 	w.mu.Unlock()
-	w.wg.Add(1)
-	go func() {
-		defer w.wg.Done()
+	w.wg.Go(func() {
 		if call.Pause(m.ctx, in) {
 			m.kill()
 			w.Cloud.mu.Lock()
 			delete(w.Cloud.machines, name)
 			w.Cloud.mu.Unlock()
 		}
-	}()
+	})
 }
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -236,7 +236,7 @@
 	}
 }
 
-// blocked says whether a host can't open connections to another.
+// blocked reports whether a host can't open connections to another.
 func (n *Network) blocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -15,20 +15,21 @@
 
 // This file starts, stops and pauses the controllers.
 
+// node is a controller.
 type node struct {
 	name string
-	addr string
+	addr string // where it serves users and workers
 	cfg  *config.Settings
 
 	// Guarded by the cluster's lock: copies of reports are sent by goroutines of their own.
-	stop            context.CancelFunc // nil while no process runs
-	done            chan struct{}      // closed once the process has ended
-	killedOnPurpose *atomic.Bool       // its process was ended on purpose
-	downSince       time.Time          // when its power was cut; zero: it is up
-	olderSchema     bool               // its next process reads records of the schema version before
+	stop        context.CancelFunc // nil while no process runs
+	done        chan struct{}      // closed once the process has ended
+	killed      *atomic.Bool       // its process was ended on purpose
+	downSince   time.Time          // when its power was cut; zero: it is up
+	olderSchema bool               // its next process reads records of the schema version before
 }
 
-// UpgradeSchema makes a node's next process read the newest form of records.
+// UpgradeSchema makes a node's next process read records of the newest schema version.
 func (w *Cluster) UpgradeSchema(i int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -43,10 +44,10 @@
 	}
 	w.Network.PowerOn(n.name)
 	gated := call.WithGate(w.ctx, func(ctx context.Context) { w.Network.awaitResume(n.name, ctx.Done()) })
-	ctx, end := context.WithCancel(gated)
-	done, dies := make(chan struct{}), &atomic.Bool{}
+	ctx, stop := context.WithCancel(gated)
+	done, killed := make(chan struct{}), &atomic.Bool{}
 	w.mu.Lock()
-	n.downSince, n.stop, n.done, n.killedOnPurpose = time.Time{}, end, done, dies
+	n.downSince, n.stop, n.done, n.killed = time.Time{}, stop, done, killed
 	olderSchema := n.olderSchema
 	w.mu.Unlock()
 	tuning := config.DefaultTuning()
@@ -64,14 +65,12 @@
 		}
 		c.OpenYARN(s)
 	}
-	w.wg.Add(1)
-	go func() {
-		defer w.wg.Done()
+	w.wg.Go(func() {
 		defer close(done)
-		if err := c.Run(ctx); err != nil && !dies.Load() {
+		if err := c.Run(ctx); err != nil && !killed.Load() {
 			w.violations.add("node %s ended: %v", n.name, err)
 		}
-	}()
+	})
 }
 
 // KillNode ends a controller as if its power were cut.
@@ -81,20 +80,20 @@
 		return
 	}
 	w.mu.Lock()
-	n.killedOnPurpose.Store(true)
+	n.killed.Store(true)
 	n.downSince = time.Now()
-	end, done := n.stop, n.done
+	stop, done := n.stop, n.done
 	w.mu.Unlock()
 	w.Network.PowerOff(n.name)
 	w.Network.Resume(n.name)
-	end()
+	stop()
 	<-done
 	w.mu.Lock()
 	n.stop = nil
 	w.mu.Unlock()
 }
 
-// nodeRuns says whether a controller has been started and not ended since.
+// nodeRuns reports whether a controller has been started and not killed since.
 func (w *Cluster) nodeRuns(n *node) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -138,7 +137,7 @@
 	return slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == leader })
 }
 
-// PowerCycleNode takes a node's power away and gives it back so soon after.
+// PowerCycleNode takes a node's power away and gives it back after a while.
 func (w *Cluster) PowerCycleNode(i int, after time.Duration) {
 	w.KillNode(i)
 	time.Sleep(after)
--- a/internal/fake/observations.go
+++ b/internal/fake/observations.go
@@ -32,7 +32,7 @@
 	return w.started
 }
 
-// RanMoreThanOnce is how many tasks of other doors' jobs ran more than once.
+// RanMoreThanOnce is how many tasks of jobs of other frontends ran more than once.
 func (w *Cluster) RanMoreThanOnce() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fake/placement.go
+++ b/internal/fake/placement.go
@@ -9,7 +9,7 @@
 
 // This file tracks which tasks are on which machines, and checks the rules at each start.
 
-// startTask takes in that a task has its image: from now on it is on its machine,
+// startTask records that a task has its image: from now on it is on its machine,
 // and the rules are checked. The lock is held.
 func (w *Cluster) startTask(t *task, now time.Time) {
 	w.started++
@@ -59,7 +59,7 @@
 	}
 }
 
-// allowedFor says whether a job allows a machine by its type, zone and price.
+// allowedFor reports whether a job allows a machine by its type, zone and price.
 func (m *machine) allowedFor(j *wire.Job) bool {
 	return (len(j.Types) == 0 || slices.Contains(j.Types, m.machineType.Name)) && (j.Zone == "" || j.Zone == m.zone) && (!m.spot || j.Spot)
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-// loseTask takes in that a task is on its machine no more, and has not completed. The lock is
+// loseTask records that a task is on its machine no more, and has not completed. The lock is
 // held.
 func (w *Cluster) loseTask(t *task) {
 	if !t.present {
@@ -99,7 +99,7 @@
 	}
 }
 
-// completeTask takes in that a task has completed, and is on its machine no more. The lock is
+// completeTask records that a task has completed, and is on its machine no more. The lock is
 // held.
 func (w *Cluster) completeTask(t *task) {
 	if t.present {
--- a/internal/fake/progress.go
+++ b/internal/fake/progress.go
@@ -26,13 +26,13 @@
 	}
 }
 
-// completes says whether a task's work is done, by this attempt or one before. Services go
+// completes reports whether a task's work is done, by this attempt or one before. Services go
 // on until they are stopped.
 func (w *Cluster) completes(t *task, now time.Time) bool {
 	return w.jobs[t.job.ID].done[t.index] || t.job.Kind == wire.KindArray && w.progress[t.name]+now.Sub(t.presentSince).Seconds() >= t.job.EstimateS
 }
 
-// stopTask takes in that a task is told to stop, with so many seconds to save. The lock is held.
+// stopTask records that a task is told to stop, with so many seconds to save. The lock is held.
 func (w *Cluster) stopTask(t *task, grace float64, now time.Time) {
 	t.machine.reportDue = true
 	if t.job != nil && t.job.Kind == wire.KindGang {
@@ -59,7 +59,7 @@
 	w.progress[t.name] += now.Sub(t.presentSince).Seconds()
 }
 
-// saves says whether a task saves its progress when it has so many seconds until it ends.
+// saves reports whether a task saves its progress when it has so many seconds until it ends.
 func (t *task) saves(grace float64) bool {
 	return t.present && t.job.CheckpointS > 0 && grace >= t.job.SaveS
 }
--- a/internal/fake/report_copies.go
+++ b/internal/fake/report_copies.go
@@ -20,10 +20,10 @@
 
 // failoverCopies is what is kept. The cluster's lock guards it.
 type failoverCopies struct {
-	oneIn         int
+	oneIn         int // one in so many reports is kept; 0: none
 	watching      bool
-	copies        map[string][]wire.Report
-	answeredFirst map[answeredReport]bool
+	copies        map[string][]wire.Report // by machine
+	answeredFirst map[answeredReport]bool  // copies that were the first that a leader heard
 	stats         CopyStats
 
 	overtakeOneIn int // one in so many reports is overtaken by its copies
@@ -36,7 +36,7 @@
 	session, seq, token uint64
 }
 
-// CopyStats is what copies have met so far. One that is answered 200 was the newest
+// CopyStats counts what has become of copies so far. One that is answered 200 was the newest
 // that its leader had heard of the machine, and its worker's own report was not
 // answered by that leader before.
 type CopyStats struct {
@@ -58,25 +58,24 @@
 	}
 	w.failoverCopies.watching, w.failoverCopies.copies = true, map[string][]wire.Report{}
 	last := w.Store.Versions(election.LeaderKey)[election.LeaderKey]
-	w.wg.Add(1)
-	go func() {
-		defer w.wg.Done()
+	w.wg.Go(func() {
 		for call.Pause(w.ctx, 10*time.Millisecond) {
 			if v := w.Store.Versions(election.LeaderKey)[election.LeaderKey]; v != 0 && v != last {
 				last = v
-				w.wg.Add(1)
-				go func() {
-					defer w.wg.Done()
-					for _, after := range []time.Duration{0, 50, 100, 200, 2000} {
-						if !call.Pause(w.ctx, after*time.Millisecond) {
-							return
-						}
-						w.DeliverDelayedCopies()
-					}
-				}()
+				w.wg.Go(w.deliverCopiesRepeatedly)
 			}
 		}
-	}()
+	})
+}
+
+// deliverCopiesRepeatedly delivers the copies at once and again until a new leader has begun.
+func (w *Cluster) deliverCopiesRepeatedly() {
+	for _, after := range []time.Duration{0, 50, 100, 200, 2000} {
+		if !call.Pause(w.ctx, after*time.Millisecond) {
+			return
+		}
+		w.DeliverDelayedCopies()
+	}
 }
 
 // keepForFailover keeps a report's copy if it is its turn; the lock is held.
@@ -102,18 +101,16 @@
 				if n.stop == nil {
 					continue
 				}
-				w.wg.Add(1)
-				go func() {
-					defer w.wg.Done()
+				w.wg.Go(func() {
 					status, body := w.post(n.addr, wire.PathReport, r)
 					w.countCopy(r, status, body)
-				}()
+				})
 			}
 		}
 	}
 }
 
-// countCopy takes in how a copy was answered.
+// countCopy counts how a copy was answered.
 func (w *Cluster) countCopy(r wire.Report, status int, body []byte) {
 	m := w.Cloud.machine(r.Machine)
 	w.mu.Lock()
@@ -137,20 +134,20 @@
 		w.failoverCopies.answeredFirst = map[answeredReport]bool{}
 	}
 	w.failoverCopies.answeredFirst[first] = true
-	met := &w.failoverCopies.stats
-	met.First++
+	stats := &w.failoverCopies.stats
+	stats.First++
 	if m.session > r.Session {
-		met.EarlierSession++
+		stats.EarlierSession++
 	}
 	for _, t := range r.Tasks {
 		if on := m.tasks[taskKey{t.Task, t.Attempt}]; t.State != wire.TaskExited && (on == nil || on.state == wire.TaskExited) {
-			met.EarlierAttempt++
+			stats.EarlierAttempt++
 			break
 		}
 	}
 }
 
-// CopyStats is what the copies have met.
+// CopyStats returns what has become of the copies so far.
 func (w *Cluster) CopyStats() CopyStats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -187,23 +184,21 @@
 // sendCopiesAhead sends a report's copies ahead of it, and returns the token by which one of
 // them was answered 200, or 0.
 func (w *Cluster) sendCopiesAhead(r wire.Report) uint64 {
-	heard := make(chan uint64, len(w.nodes))
+	tokens := make(chan uint64, len(w.nodes))
 	for _, n := range w.nodes {
-		w.wg.Add(1)
-		go func() {
-			defer w.wg.Done()
+		w.wg.Go(func() {
 			var a wire.ReportAnswer
 			if status, body := w.post(n.addr, wire.PathReport, r); status != http.StatusOK || wire.Unmarshal(body, &a) != nil {
 				a.Token = 0
 			}
-			heard <- a.Token
-		}()
+			tokens <- a.Token
+		})
 	}
 	late := time.NewTimer(overtakeTimeout)
 	defer late.Stop()
 	for range w.nodes {
 		select {
-		case token := <-heard:
+		case token := <-tokens:
 			if token > 0 {
 				return token
 			}
@@ -214,21 +209,21 @@
 	return 0
 }
 
-// countOvertaken takes in how a report was answered that its copies have overtaken; the lock
-// is held.
+// countOvertaken counts how a report was answered that its copies have overtaken; token is
+// that by which a copy was answered. The lock is held.
 func (w *Cluster) countOvertaken(r wire.Report, token uint64, status int) {
 	if token == 0 {
 		return
 	}
-	o := &w.failoverCopies.overtaken
-	o.Ahead++
+	counts := &w.failoverCopies.overtaken
+	counts.Ahead++
 	if token > r.Token {
-		o.Next++
+		counts.Next++
 	}
 	switch status {
 	case http.StatusOK:
-		o.Kept++
+		counts.Kept++
 	case http.StatusServiceUnavailable:
-		o.Refused++
+		counts.Refused++
 	}
 }
--- /dev/null
+++ b/internal/fake/reports.go
@@ -0,0 +1,157 @@
+package fake
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"github.com/umberdeal/umberdeal/internal/call"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// This file sends workers' reports and receives the answers to them.
+
+const (
+	// replyTimeout is how long after its report a worker accepts the answer.
+	replyTimeout = 4 * time.Second
+	// maxReply is the most that is read of an answer, in bytes.
+	maxReply = 1 << 20
+	// minReportInterval is the least between two reports, also where something has changed.
+	minReportInterval = 500 * time.Millisecond
+)
+
+// report is the worker's message; the cluster's lock is held.
+func (m *machine) report() wire.Report {
+	m.lastSeq++
+	r := wire.Report{Machine: m.name, Addr: m.addr, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
+		Session: m.session, Seq: m.lastSeq, Token: m.token, NoticeS: m.interruptionNotice}
+	for _, k := range m.order {
+		t := m.tasks[k]
+		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason, Saved: t.saved})
+	}
+	return r
+}
+
+// sendReports sends a report at each interval, and sooner where something has changed, until
+// the machine ends.
+func (m *machine) sendReports() {
+	last := time.Time{}
+	for m.ctx.Err() == nil {
+		m.cluster.mu.Lock()
+		interval := secs(m.cluster.Settings.Cluster.Workers.ReportS * (0.75 + 0.5*m.cluster.random.Float64()))
+		hung, changed := m.hung, m.reportDue
+		m.cluster.mu.Unlock()
+		since := time.Since(last)
+		if hung || since < interval && (!changed || since < minReportInterval) {
+			if !call.Pause(m.ctx, stepInterval) {
+				return
+			}
+			continue
+		}
+		last = time.Now()
+		if !m.send(last) && !call.Pause(m.ctx, time.Second) {
+			return
+		}
+	}
+}
+
+// send makes one report; false says that another node is to be tried.
+func (m *machine) send(at time.Time) bool {
+	r, node, overtaken := m.nextReport()
+	copied := uint64(0)
+	if overtaken {
+		copied = m.cluster.sendCopiesAhead(r)
+	}
+	ctx, cancel := context.WithTimeout(m.ctx, replyTimeout)
+	defer cancel()
+	status, body, err := call.Do(ctx, m.client, http.MethodPost, "http://"+node.addr+wire.PathReport, r, maxReply)
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	m.awaitResume(at)
+	if m.dead {
+		return true
+	}
+	if err == nil {
+		m.cluster.answeredReports[nodeAndMachine{node.name, m.name}] = at
+		m.cluster.countOvertaken(r, copied, status)
+	}
+	if err != nil || status != http.StatusOK {
+		m.reportDue = true
+		if err == nil && m.redirect(status, body) {
+			return true
+		}
+		m.reportsTo = (m.reportsTo + 1) % len(m.cluster.nodes)
+		return false
+	}
+	m.takeAnswer(r, node, body, at)
+	return true
+}
+
+// nextReport composes a report, chooses the node that it is sent to, and draws whether
+// copies of it go ahead.
+func (m *machine) nextReport() (r wire.Report, to *node, overtaken bool) {
+	m.cluster.mu.Lock()
+	defer m.cluster.mu.Unlock()
+	m.reportDue = false
+	r = m.report()
+	m.cluster.maybeDuplicate(r)
+	m.cluster.keepForFailover(r)
+	to = m.cluster.nodes[m.reportsTo%len(m.cluster.nodes)]
+	overtaken = m.cluster.failoverCopies.overtakeOneIn > 0 && m.cluster.pick(m.cluster.failoverCopies.overtakeOneIn) == 0
+	return r, to, overtaken
+}
+
+// awaitResume waits while the machine hangs, at most until it drops the answer to the
+// report that it sent at a time: what came while it hung is there when it goes on. The
+// cluster's lock is held, but not while it waits.
+func (m *machine) awaitResume(sent time.Time) {
+	for m.hung && !m.dead && time.Since(sent) < replyTimeout {
+		m.cluster.mu.Unlock()
+		time.Sleep(stepInterval)
+		m.cluster.mu.Lock()
+	}
+}
+
+// redirect makes the machine report to the leader that a node has named, and reports whether
+// it has named another.
+func (m *machine) redirect(status int, body []byte) bool {
+	var to wire.Redirect
+	if status != http.StatusMisdirectedRequest || wire.Unmarshal(body, &to) != nil {
+		return false
+	}
+	for i, n := range m.cluster.nodes {
+		if n.name == to.Leader && i != m.reportsTo {
+			m.reportsTo = i
+			return true
+		}
+	}
+	return false
+}
+
+// takeAnswer renews the lease and carries out what a node has answered to a report, unless
+// the answer is late, or of a former leader or session; the cluster's lock is held.
+func (m *machine) takeAnswer(r wire.Report, from *node, body []byte, sent time.Time) {
+	var a wire.ReportAnswer
+	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || r.Session != m.session || m.hung || time.Since(sent) >= replyTimeout {
+		return
+	}
+	if time.Since(sent) > time.Second {
+		m.lateReplies++
+	}
+	m.lastAnswered = answeredReport{m.name, r.Session, r.Seq, a.Token}
+	m.noteToken(a.Token, sent)
+	m.leaseRenewedAt = sent
+	m.cluster.acceptedAnswers[nodeAndMachine{from.name, m.name}] = sent
+	m.execute(a.Commands, time.Now())
+}
+
+// noteToken records a fencing token that the worker has seen. A new leader is to learn soon
+// that it has, so that a report is due.
+func (m *machine) noteToken(token uint64, now time.Time) {
+	if token > m.token {
+		m.token = token
+		if now.Sub(m.tokenChangedAt) > secs(m.cluster.Settings.Cluster.Workers.LeaseS/2) {
+			m.reportDue, m.tokenChangedAt = true, now
+		}
+	}
+}
--- a/internal/fake/resources.go
+++ b/internal/fake/resources.go
@@ -23,12 +23,12 @@
 	return resources{r.cpus - j.CPUs, r.gpus - j.GPUs, r.memoryGB - j.MemoryGB}
 }
 
-// fitIn says whether these are no more than what there is.
+// fitIn reports whether these are no more than what there is.
 func (r resources) fitIn(there resources) bool {
 	return r.cpus <= there.cpus+tolerance && r.gpus <= there.gpus+tolerance && r.memoryGB <= there.memoryGB+tolerance
 }
 
-// exceedsQuota says whether a team would use more than it may; a limit of 0 is none.
+// exceedsQuota reports whether a team would use more than it may; a limit of 0 is none.
 func exceedsQuota(team config.Team, cpus, gpus float64) bool {
 	return team.CPUsMax > 0 && cpus > team.CPUsMax+tolerance || team.GPUsMax > 0 && gpus > team.GPUsMax+tolerance
 }
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -94,7 +94,7 @@
 	return waiting
 }
 
-// quotaAllows says whether a team's limit leaves room for so many more tasks; the lock
+// quotaAllows reports whether a team's limit leaves room for so many more tasks; the lock
 // is held. What fetches its image counts.
 func (w *Cluster) quotaAllows(j *wire.Job, n int, all []*machine) bool {
 	cpus, gpus := j.CPUs*float64(n), j.GPUs*float64(n)
@@ -141,7 +141,7 @@
 	return total
 }
 
-// works says whether a machine takes tasks and lets them run; one whose last answer is old
+// works reports whether a machine takes tasks and lets them run; one whose last answer is old
 // may not. The cluster's lock is held.
 func (m *machine) works() bool {
 	return !m.dead && !m.hung && !m.faulty && m.interruptionNotice == nil &&
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -123,20 +123,20 @@
 	return req
 }
 
-// answered says whether a question got an answer: 404 is one.
+// answered reports whether a question got an answer: 404 is one.
 func (r userReply) answered() bool {
 	return r.status == http.StatusOK || r.status == http.StatusNotFound
 }
 
-// shed says whether a node refused a request for the time being.
+// shed reports whether a node refused a request for the time being.
 func (r userReply) shed() bool {
 	return r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable
 }
 
-// final says whether an answer tells that a job is over.
+// final reports whether an answer tells that a job is over.
 func (r userReply) final() bool { return r.state == wire.JobDone || r.state == wire.JobCancelled }
 
-// acceptedBefore says whether a user knew that a job is accepted before sending a request.
+// acceptedBefore reports whether a user knew that a job is accepted before sending a request.
 func (j *job) acceptedBefore(r userReply) bool {
 	return j != nil && j.accepted && j.answers.acceptedAt <= r.sentAt
 }
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -63,7 +63,7 @@
 	return status, e.Error
 }
 
-// Submit submits a job until it is accepted, for a minute, and says whether it
+// Submit submits a job until it is accepted, for a minute, and reports whether it
 // was.
 func (w *Cluster) Submit(j wire.Job) bool {
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); {
