--- a/yarn/encoding_test.go
+++ b/yarn/encoding_test.go
@@ -8,9 +8,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Applications outlive the program that recorded them, and workers read launch
-// contexts: records, keys, ids and tokens keep their form.
-func TestRecordsOfApplicationsKeepTheirBytes(t *testing.T) {
+// Records of applications outlive the version that wrote them, and workers read launch
+// contexts: the encodings of records, keys, ids and tokens must not change.
+func TestRecordEncodingsAreStable(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
 	a := golden.Hold[application](f, "application", stored)
--- a/yarn/failures_test.go
+++ b/yarn/failures_test.go
@@ -19,15 +19,15 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// A client that is gone leaves nothing behind: containers end when its time is
-// over, those that it never started as well, and none runs twice.
-func TestAMasterThatIsGoneLeavesNoOrphan(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
-		id, m := y.app()
-		m.Request(small(1), 4)
-		y.run(m, 12*time.Second)
-		m.Request(small(2), 3)
-		for range 4 { // allocated and told, and never started
+// An application whose master sends no heartbeat for master_s fails: its containers end, also
+// those that were never started, and none runs twice.
+func TestLostMasterLeavesNoContainers(t *testing.T) {
+	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, user *testClient) {
+		id, m := user.startApplication()
+		m.Request(smallContainer(1), 4)
+		user.runMaster(m, 12*time.Second)
+		m.Request(smallContainer(2), 3)
+		for range 4 { // allocated and never started
 			if _, err := m.Heartbeat(t.Context()); err != nil {
 				t.Fatal(err)
 			}
@@ -38,19 +38,19 @@
 			t.Fatalf("%d started, %d had", w.Started(), len(m.Containers()))
 		}
 		time.Sleep(70 * time.Second)
-		if st := y.state(id); st != pb.YarnApplicationStateProto_FAILED {
+		if st := user.mustReadState(id); st != pb.YarnApplicationStateProto_FAILED {
 			t.Errorf("it is %v", st)
 		}
 		if n := w.Running(); n != 0 || w.Started() != 4 {
 			t.Errorf("%d still run, %d were started", n, w.Started())
 		}
-		noRecords(t, w)
+		assertNoRecords(t, w)
 	})
 }
 
-// Whatever falls, masters find their session again, containers go on, and no id
-// comes twice.
-func TestMastersOutliveWhatFalls(t *testing.T) {
+// While the leader, all controllers or the key-value store fail, masters register again,
+// containers go on running, and no id is used twice.
+func TestMastersSurviveFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		fall func(w *fake.Cluster)
@@ -70,23 +70,23 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			yarnWorld(t, fake.Options{Machines: 4, ReportIntervalS: 5, LeaseS: 27}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
-				id, m := y.app()
+			runScenario(t, fake.Options{Machines: 4, ReportIntervalS: 5, LeaseS: 27}, func(t *testing.T, w *fake.Cluster, user *testClient) {
+				id, m := user.startApplication()
 				defer m.Close()
-				m.Request(small(1), 5)
-				y.run(m, 14*time.Second)
-				m.Request(small(2), 30) // more than there is room for: it stays asked for
-				y.run(m, 3*time.Second)
+				m.Request(smallContainer(1), 5)
+				user.runMaster(m, 14*time.Second)
+				m.Request(smallContainer(2), 30) // more than fit: the rest stays pending
+				user.runMaster(m, 3*time.Second)
 				before := w.Started()
 				var wg sync.WaitGroup
 				wg.Add(1)
 				go func() { defer wg.Done(); c.fall(w) }()
-				ends, _ := y.run(m, 32*time.Second)
+				ends, _ := user.runMaster(m, 32*time.Second)
 				wg.Wait()
 				if n := len(ends) - min(1, ends[yarn.ExitSuccess]); n != 0 || before < 5 {
 					t.Errorf("ended amid the fall: %v; %d were started before", ends, before)
 				}
-				more, _ := y.run(m, 200*time.Second)
+				more, _ := user.runMaster(m, 200*time.Second)
 				for k, n := range more {
 					ends[k] += n
 				}
@@ -100,7 +100,7 @@
 					}
 					seen[ct.GetId().GetId()] = true
 				}
-				other, _, err := y.c.NewApplication(t.Context())
+				other, _, err := user.client.NewApplication(t.Context())
 				if err != nil || other.GetId() == id.GetId() {
 					t.Errorf("application %v after %v, %v", other, id, err)
 				}
@@ -109,22 +109,22 @@
 	}
 }
 
-// Keys that can't be read come back from a node that remembers them when the next
-// leader takes over. Where nobody does they are made anew: masters of before are
-// refused, and applications that come get ids that nobody had.
-func TestKeysThatCannotBeReadAreMended(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
-		id, m := y.app()
-		y.run(m, 5*time.Second)
+// An unreadable keyring is restored from a controller that remembers it when the next leader
+// takes over. If none does it is created anew: masters that had registered are refused, and new
+// applications get ids that were never used.
+func TestUnreadableKeyringIsRepaired(t *testing.T) {
+	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, user *testClient) {
+		id, m := user.startApplication()
+		user.runMaster(m, 5*time.Second)
 		for i := range w.Nodes() {
-			w.PollState(w.NodeAddr(i), "wk-000001") // by which each node reads what there is
+			w.PollState(w.NodeAddr(i), "wk-000001") // which makes each controller read the records
 		}
 		w.Store.Corrupt("w/y/keys")
 		l := w.Leader()
 		w.KillNode(l)
 		time.Sleep(12 * time.Second)
 		w.StartNode(l)
-		y.run(m, 5*time.Second)
+		user.runMaster(m, 5*time.Second)
 		m.Close()
 		for i := range w.Nodes() {
 			w.KillNode(i)
@@ -135,33 +135,33 @@
 		}
 		for range 4 {
 			time.Sleep(10 * time.Second)
-			_, _, _ = y.c.NewApplication(t.Context()) // refused for a while
+			_, _, _ = user.client.NewApplication(t.Context()) // refused for a while
 		}
-		other, m := y.app()
+		other, m := user.startApplication()
 		defer m.Close()
 		if other.GetId() <= id.GetId()+50 || other.GetClusterTimestamp() != id.GetClusterTimestamp() {
 			t.Errorf("%v after %v", other, id)
 		}
-		m.Request(small(1), 2)
-		y.run(m, 20*time.Second)
+		m.Request(smallContainer(1), 2)
+		user.runMaster(m, 20*time.Second)
 		if len(m.Containers()) == 0 && w.Started() == 0 {
 			t.Error("it runs nothing")
 		}
 	})
 }
 
-// A managed application's master runs as a task. When it ends, another attempt
-// is begun and the token of the one before is worth nothing; killed, all goes.
-func TestAManagedMasterIsLaunchedAgain(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
-		id, _, err := y.c.NewApplication(t.Context())
+// A managed application's master runs as a task. When it ends without having registered, it is
+// launched once more, and after the last attempt the application fails.
+func TestManagedMasterIsRestarted(t *testing.T) {
+	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster, user *testClient) {
+		id, _, err := user.client.NewApplication(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
 		sub := &pb.ApplicationSubmissionContextProto{ApplicationId: id, Queue: proto.String("core"), MaxAppAttempts: proto.Int32(2),
-			Resource: &pb.ResourceProto{Memory: proto.Int64(1024), VirtualCores: proto.Int32(1)}, AmContainerSpec: launch}
-		for range 2 { // whoever submits twice has one application
-			if err := y.c.Submit(t.Context(), sub); err != nil {
+			Resource: &pb.ResourceProto{Memory: proto.Int64(1024), VirtualCores: proto.Int32(1)}, AmContainerSpec: launchContext}
+		for range 2 { // a repeated submission is the same application
+			if err := user.client.Submit(t.Context(), sub); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -173,43 +173,43 @@
 		for _, k := range w.Store.Keys("w/j/") {
 			task = strings.TrimPrefix(k, "w/j/") + "/0"
 		}
-		first := mustLaunch(t, w, task)
-		if first.Argv[0] != launch.Command[0] || first.Env["UMBERDEAL_AM_TOKEN_ID"] == "" {
+		first := mustReadLaunchContext(t, w, task)
+		if first.Argv[0] != launchContext.Command[0] || first.Env["UMBERDEAL_AM_TOKEN_ID"] == "" {
 			t.Errorf("its context is %+v", first)
 		}
 		time.Sleep(65 * time.Second) // the master ends without having registered
-		if st := y.state(id); st != pb.YarnApplicationStateProto_ACCEPTED && st != pb.YarnApplicationStateProto_FAILED {
+		if st := user.mustReadState(id); st != pb.YarnApplicationStateProto_ACCEPTED && st != pb.YarnApplicationStateProto_FAILED {
 			t.Errorf("it is %v", st)
 		}
 		time.Sleep(70 * time.Second)
-		if st := y.state(id); st != pb.YarnApplicationStateProto_FAILED || w.Started() > 2 {
+		if st := user.mustReadState(id); st != pb.YarnApplicationStateProto_FAILED || w.Started() > 2 {
 			t.Errorf("it is %v after %d masters", st, w.Started())
 		}
-		noRecords(t, w)
+		assertNoRecords(t, w)
 	})
 }
 
-// Masters and native jobs go on together while nodes are killed, cut off and
-// stopped at random: nothing runs twice, nothing is left, the limit holds.
-func TestRandomFallsWithBothDoors(t *testing.T) {
+// Masters and native jobs run while controllers are killed, paused and partitioned and the
+// key-value store fails at random: no container runs twice, and none is left at the end.
+func TestRandomFailuresWithYARNAndNativeJobs(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			teams := []config.Team{{Name: "core", CPUsMax: 40}}
-			yarnWorld(t, fake.Options{Machines: 6, Capacity: 8, Teams: teams, Seed: seed}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
+			runScenario(t, fake.Options{Machines: 6, Capacity: 8, Teams: teams, Seed: seed}, func(t *testing.T, w *fake.Cluster, user *testClient) {
 				rnd := rand.New(rand.NewPCG(seed, 14))
 				var wg sync.WaitGroup
 				var ended atomic.Int64
 				over := time.Now().Add(150 * time.Second)
 				for k := range 3 {
-					_, m := y.app()
+					_, m := user.startApplication()
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
 						defer m.Close()
-						m.Request(small(int32(k)), 8)
-						ends, _ := y.run(m, time.Until(over)-time.Duration(k)*10*time.Second)
+						m.Request(smallContainer(int32(k)), 8)
+						ends, _ := user.runMaster(m, time.Until(over)-time.Duration(k)*10*time.Second)
 						ended.Add(int64(ends[yarn.ExitSuccess]))
-						if k > 0 { // one master just goes away
+						if k > 0 { // the first master is lost
 							if err := m.Finish(t.Context(), pb.FinalApplicationStatusProto_APP_SUCCEEDED, ""); err != nil {
 								t.Errorf("finish: %v", err)
 							}
@@ -248,7 +248,7 @@
 				if n := w.Running(); n != 0 {
 					t.Errorf("%d containers are left", n)
 				}
-				noRecords(t, w)
+				assertNoRecords(t, w)
 			})
 		})
 	}
--- a/yarn/heartbeat_test.go
+++ b/yarn/heartbeat_test.go
@@ -12,17 +12,17 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// A response that was lost is repeated for the same id, by whatever connection
-// it is asked for; an older id gets the answer to begin anew.
-func TestAResponseIsRepeatedAndAnOldIdResyncs(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
-		id, m := y.app()
+// A heartbeat with the response id of the last one gets the same response again, also on
+// another connection; one with an older id is answered AM_RESYNC.
+func TestLostResponseIsRepeatedAndOldResponseIDResyncs(t *testing.T) {
+	runScenario(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster, user *testClient) {
+		id, m := user.startApplication()
 		m.Close()
-		r, err := y.c.Report(t.Context(), id)
+		r, err := user.client.Report(t.Context(), id)
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg := y.cfg
+		cfg := user.cfg
 		cfg.Addrs = cfg.Addrs[:1]
 		raw := func() *ywire.Conn {
 			c, err := ywire.Dial(t.Context(), cfg.Dial, cfg.Addrs[0], client.ProtoMaster, "ann", r.GetAmRmToken())
@@ -73,14 +73,14 @@
 	})
 }
 
-// A heartbeat whose ask was taken and whose answer could not be made comes again:
-// it is served once, and what was placed meanwhile is told.
-func TestAnAskThatComesAgainIsServedOnce(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
-		_, m := y.app()
+// A heartbeat is repeated because the key-value store refused a request after its container
+// requests were committed: they are served once, and all containers are reported.
+func TestRepeatedRequestIsServedOnce(t *testing.T) {
+	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, user *testClient) {
+		_, m := user.startApplication()
 		defer m.Close()
 		for i := range 6 {
-			m.Request(small(int32(i)), 2)
+			m.Request(smallContainer(int32(i)), 2)
 			go func() {
 				time.Sleep(time.Duration(i) * 9 * time.Millisecond)
 				for k := range w.Nodes() {
@@ -91,9 +91,9 @@
 					w.Store.AcceptNode(w.Nodes()[k])
 				}
 			}()
-			y.run(m, 8*time.Second)
+			user.runMaster(m, 8*time.Second)
 		}
-		y.run(m, 10*time.Second)
+		user.runMaster(m, 10*time.Second)
 		if n := len(m.Containers()); n != 12 || w.Started() != 12 || m.Pending() != 0 {
 			t.Errorf("%d had and %d started of 12, %d still wanted", n, w.Started(), m.Pending())
 		}
--- a/yarn/load_test.go
+++ b/yarn/load_test.go
@@ -12,17 +12,17 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// Applications are asked for at YARN's door while a crowd polls at the other one, and
-// all nodes are restarted: each is answered soon, and none is forgotten.
-func TestApplicationsAreAnsweredAmidACrowdOfPolls(t *testing.T) {
+// All controllers are restarted while many native clients poll: reports of applications are
+// still answered in time, and no application is lost.
+func TestReportsAreAnsweredUnderPollLoad(t *testing.T) {
 	many := 500
 	if scenario.UnderRace {
 		many = 90
 	}
-	yarnWorld(t, fake.Options{Machines: 2, Capacity: 2, StateRPS: 30, Sockets: 260}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
+	runScenario(t, fake.Options{Machines: 2, Capacity: 2, StateRPS: 30, Sockets: 260}, func(t *testing.T, w *fake.Cluster, user *testClient) {
 		var apps []*pb.ApplicationIdProto
 		for range 4 {
-			id, _ := y.app()
+			id, _ := user.startApplication()
 			apps = append(apps, id)
 		}
 		var wg sync.WaitGroup
@@ -50,8 +50,8 @@
 			wg.Go(func() {
 				answered, longest := time.Now(), time.Duration(0)
 				for time.Now().Before(end) {
-					ctx, cancel := context.WithTimeout(y.ctx(), 5*time.Second)
-					r, err := y.c.Report(ctx, id)
+					ctx, cancel := context.WithTimeout(user.ctx(), 5*time.Second)
+					r, err := user.client.Report(ctx, id)
 					cancel()
 					longest = max(longest, time.Since(answered))
 					if err == nil {
--- a/yarn/rest_test.go
+++ b/yarn/rest_test.go
@@ -11,8 +11,8 @@
 	"github.com/umberdeal/umberdeal/yarn"
 )
 
-func TestRESTAnswersAsPublished(t *testing.T) {
-	yarnWorld(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster, y *yarnUser) {
+func TestREST(t *testing.T) {
+	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster, _ *testClient) {
 		status, body := restCall(t, w, http.MethodPost, yarn.PathREST+"/apps/new-application", "")
 		var fresh struct {
 			ID string `json:"application-id"`
@@ -42,7 +42,7 @@
 		if status, _ := restCall(t, w, http.MethodPost, yarn.PathREST+"/apps", `{"application-id":"application_1_0001"}`); status != http.StatusBadRequest {
 			t.Errorf("an id that was not given out: %d", status)
 		}
-		// Native users know nothing of other doors' jobs.
+		// Containers' jobs are not visible to native users.
 		if got := w.PollState(w.NodeAddr(0), "wk-80000000001000000000"); got != "" {
 			t.Errorf("a native poll of a container's job is answered %q", got)
 		}
--- a/yarn/scenario_test.go
+++ b/yarn/scenario_test.go
@@ -35,8 +35,8 @@
 zone = "b"
 `
 
-// yarnWorld plays a story with YARN's door open at every node.
-func yarnWorld(t *testing.T, o fake.Options, play func(t *testing.T, w *fake.Cluster, y *yarnUser)) {
+// runScenario runs a scenario in a cluster whose controllers all serve YARN's clients.
+func runScenario(t *testing.T, o fake.Options, play func(t *testing.T, w *fake.Cluster, user *testClient)) {
 	t.Helper()
 	o.YARN = yarnSettings
 	scenario.Run(t, o, func(t *testing.T, w *fake.Cluster) {
@@ -44,82 +44,84 @@
 		for _, n := range w.Nodes() {
 			addrs = append(addrs, n+":8032")
 		}
-		y := &yarnUser{t: t, cfg: client.Config{Addrs: addrs, Dial: w.Network.Dial("am"), User: "ann", Timeout: 3 * time.Second}}
-		y.c = client.New(y.cfg)
-		defer y.c.Close()
-		play(t, w, y)
+		user := &testClient{t: t, cfg: client.Config{Addrs: addrs, Dial: w.Network.Dial("am"), User: "ann", Timeout: 3 * time.Second}}
+		user.client = client.New(user.cfg)
+		defer user.client.Close()
+		play(t, w, user)
 		if n := w.RanMoreThanOnce(); n != 0 {
 			t.Errorf("%d containers ran more than once", n)
 		}
 	})
 }
 
-type yarnUser struct {
-	t   *testing.T
-	cfg client.Config
-	c   *client.Client
+// testClient is a YARN client of the cluster.
+type testClient struct {
+	t      *testing.T
+	cfg    client.Config
+	client *client.Client
 }
 
-func (y *yarnUser) ctx() context.Context { return y.t.Context() }
+func (user *testClient) ctx() context.Context { return user.t.Context() }
 
-// app submits an unmanaged application and returns its registered master.
-func (y *yarnUser) app() (*pb.ApplicationIdProto, *client.ApplicationMaster) {
-	y.t.Helper()
-	id, _, err := y.c.NewApplication(y.ctx())
+// startApplication submits an unmanaged application and returns its registered master.
+func (user *testClient) startApplication() (*pb.ApplicationIdProto, *client.ApplicationMaster) {
+	user.t.Helper()
+	id, _, err := user.client.NewApplication(user.ctx())
 	if err != nil {
-		y.t.Fatal(err)
+		user.t.Fatal(err)
 	}
-	if err := y.c.Submit(y.ctx(), &pb.ApplicationSubmissionContextProto{ApplicationId: id, Queue: proto.String("core"), UnmanagedAm: proto.Bool(true)}); err != nil {
-		y.t.Fatal(err)
+	if err := user.client.Submit(user.ctx(), &pb.ApplicationSubmissionContextProto{ApplicationId: id, Queue: proto.String("core"), UnmanagedAm: proto.Bool(true)}); err != nil {
+		user.t.Fatal(err)
 	}
-	r, err := y.c.Report(y.ctx(), id)
+	r, err := user.client.Report(user.ctx(), id)
 	if err != nil {
-		y.t.Fatal(err)
+		user.t.Fatal(err)
 	}
-	m := client.NewApplicationMaster(y.cfg, r.GetAmRmToken())
-	if _, err := m.Register(y.ctx()); err != nil {
-		y.t.Fatal(err)
+	m := client.NewApplicationMaster(user.cfg, r.GetAmRmToken())
+	if _, err := m.Register(user.ctx()); err != nil {
+		user.t.Fatal(err)
 	}
 	return id, m
 }
 
-func (y *yarnUser) state(id *pb.ApplicationIdProto) pb.YarnApplicationStateProto {
-	y.t.Helper()
-	r, err := y.c.Report(y.ctx(), id)
+func (user *testClient) mustReadState(id *pb.ApplicationIdProto) pb.YarnApplicationStateProto {
+	user.t.Helper()
+	r, err := user.client.Report(user.ctx(), id)
 	if err != nil {
-		y.t.Fatal(err)
+		user.t.Fatal(err)
 	}
 	return r.GetYarnApplicationState()
 }
 
-// two CPUs, four GB.
-func small(prio int32) client.ContainerRequest {
+// smallContainer is a container of two CPUs and four GB that may be on any node.
+func smallContainer(prio int32) client.ContainerRequest {
 	return client.ContainerRequest{Priority: prio, ResourceName: "*", RelaxLocality: true, MemoryMB: 4096, VCores: 2}
 }
 
-var launch = &pb.ContainerLaunchContextProto{Command: []string{"render --tile 7"}, Environment: []*pb.StringStringMapProto{
+// launchContext is what all containers run.
+var launchContext = &pb.ContainerLaunchContextProto{Command: []string{"render --tile 7"}, Environment: []*pb.StringStringMapProto{
 	{Key: proto.String("LAYER"), Value: proto.String("parcels")}, {Key: proto.String("SHEET"), Value: proto.String("12")},
 	{Key: proto.String("HALL"), Value: proto.String("a")}, {Key: proto.String("ZOOM"), Value: proto.String("9")}}}
 
-// run heartbeats for a while, starting what is allocated, and returns how
-// containers ended, by exit status, and how many were about to be preempted.
-func (y *yarnUser) run(m *client.ApplicationMaster, duration time.Duration) (ends map[int32]int, warned int) {
-	y.t.Helper()
+// runMaster sends heartbeats for a while and starts what is allocated. It returns how many
+// containers have completed, by exit status, and how many preemption messages there were.
+func (user *testClient) runMaster(m *client.ApplicationMaster, duration time.Duration) (ends map[int32]int, warned int) {
+	user.t.Helper()
 	ends = map[int32]int{}
 	var todo []*pb.ContainerProto
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(time.Second) {
-		ctx, cancel := context.WithTimeout(y.ctx(), 90*time.Second)
+		ctx, cancel := context.WithTimeout(user.ctx(), 90*time.Second)
 		update, err := m.Heartbeat(ctx)
 		todo = append(todo, update.Allocated...)
 		if err == nil && len(todo) > 0 {
 			var failed map[int64]string
-			failed, err = m.Start(ctx, launch, todo...)
+			failed, err = m.Start(ctx, launchContext, todo...)
 			// What could not be started now is tried again.
 			todo = slices.DeleteFunc(todo, func(c *pb.ContainerProto) bool { return failed[c.GetId().GetId()] == "" })
 		}
 		cancel()
 		if err != nil {
-			y.t.Fatalf("heartbeat: %v", err)
+			user.t.Fatalf("heartbeat: %v", err)
 		}
 		warned += len(update.Preempting)
 		for _, s := range update.Completed {
@@ -132,7 +134,8 @@
 	return ends, warned
 }
 
-func noRecords(t *testing.T, w *fake.Cluster) {
+// assertNoRecords checks that no record of an application, its jobs or containers is left.
+func assertNoRecords(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	for _, k := range append(w.Store.JobKeys(), w.Store.Keys("yx/")...) {
 		if strings.HasPrefix(k, "w/j/") || strings.HasPrefix(k, "yx/") || strings.HasPrefix(k, "w/y/application") {
@@ -141,7 +144,8 @@
 	}
 }
 
-func mustLaunch(t *testing.T, w *fake.Cluster, task string) yarn.LaunchContext {
+// mustReadLaunchContext reads the launch context of a task as a worker does.
+func mustReadLaunchContext(t *testing.T, w *fake.Cluster, task string) yarn.LaunchContext {
 	t.Helper()
 	var c yarn.LaunchContext
 	status, body := restCall(t, w, http.MethodGet, yarn.PathContext+task, "")
@@ -151,6 +155,7 @@
 	return c
 }
 
+// restCall sends a request to the REST interface of the first controller.
 func restCall(t *testing.T, w *fake.Cluster, method, path, body string) (int, []byte) {
 	t.Helper()
 	hc := &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("am"), DisableKeepAlives: true}}
--- a/yarn/settings_test.go
+++ b/yarn/settings_test.go
@@ -11,7 +11,7 @@
 
 var platform = &config.Settings{Cluster: config.Cluster{Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "core"}}}}
 
-func TestEachBadFieldIsNamed(t *testing.T) {
+func TestParseSettingsNamesEveryBadField(t *testing.T) {
 	_, err := ParseSettings(`
 listen = "nowhere"
 rest = "also:no:where"
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestNamesLeadToNativeOnes(t *testing.T) {
+func TestSettingsMapQueuesPrioritiesAndAddresses(t *testing.T) {
 	s, err := ParseSettings(`
 listen = "127.0.0.1:8032"
 networks = ["10.1.0.0/16", "127.0.0.1/32"]
@@ -75,9 +75,8 @@
 	}
 }
 
-// What is written into records and tokens is read back as it was, and nothing
-// else is taken for it.
-func TestWhatIsWrittenIsReadBack(t *testing.T) {
+// Tags, ids and tokens are parsed as they were written, and malformed tokens are refused.
+func TestTagsIDsAndTokensRoundTrip(t *testing.T) {
 	k := containerRequest{Priority: -3, AllocationRequestID: -1, ResourceName: "/a", RelaxLocality: true, NodeLabel: "cheap", MemoryMB: 4096, VCores: 2, GPUs: 1, GPUName: "yarn.io/gpu"}
 	if got := parseTag(k.tag()); got.tag() != k.tag() || got.MemoryMB != 4096 || got.GPUs != 1 || !got.RelaxLocality {
 		t.Errorf("%+v", got)
