--- a/cluster/reachability_test.go
+++ b/cluster/reachability_test.go
@@ -7,18 +7,18 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A launch that the next report does not show is taken back, and no more goes
-// there until a probe, whose launch is refused and listed, shows that it hears.
-func TestAMachineThatMissedALaunchGetsNoMoreUntilItShowsThatItHears(t *testing.T) {
+// A launch that the next heartbeat does not list is revoked. No further task is placed on the
+// machine until a probe, which its worker refuses and lists, proves that it receives answers.
+func TestMissedLaunchMakesMachineUnreachableUntilProbeIsReported(t *testing.T) {
 	m := placed(t, 2)
 	mc := m.Machines[0]
 	cmds := answer(t, m, rep(3, 5), at(7)) // as after 4 s without an answer
 	if m.Ready(mc, at(7)) || len(cmds) != 1 || cmds[0].Task != wire.TaskName("wk-000001", NoSuchTask) {
-		t.Fatalf("ready, or told %v", cmds)
+		t.Fatalf("ready, or sent %v", cmds)
 	}
 	m.Tick(at(7.2))
 	if len(mc.Tasks) > 0 {
-		t.Error("its launches wait there")
+		t.Error("its launches are still pending there")
 	}
 	m.Schedule(at(7.5), 0)
 	if len(mc.Tasks) > 0 {
@@ -26,21 +26,21 @@
 	}
 	probe := wire.TaskReport{Task: cmds[0].Task, Attempt: cmds[0].Attempt, State: wire.TaskExited, Why: wire.WhyUnknown}
 	if _, _, forgets := ops(answer(t, m, rep(4, 5, probe), at(8))); forgets != 1 {
-		t.Error("the probe is not forgotten")
+		t.Error("the exit of the probe is not forgotten")
 	}
 	if !m.Ready(mc, at(8)) {
-		t.Error("it has shown that it hears")
+		t.Error("not ready although it has proved that it receives answers")
 	}
-	// The same again is no news: the answer with the forget was missed.
+	// The same exit is listed again, so that the answer with the forget was missed.
 	answer(t, m, rep(5, 5, probe), at(13))
 	if m.Ready(mc, at(13)) {
-		t.Error("it has not heard that the probe is to be forgotten")
+		t.Error("ready although it missed the command to forget the probe")
 	}
 }
 
-// A reserved place is promised, and kept while its machine may hear again, but not
-// past the end of its lease.
-func TestAReservedPlaceIsGivenUpOnceAMuteMachinesLeaseHasEnded(t *testing.T) {
+// A reserved placement is kept while its machine may become reachable again, but not past
+// the expiry of the machine's lease.
+func TestReservedPlacementOnUnreachableMachineEndsWithItsLease(t *testing.T) {
 	m := newModel(5)
 	rec := arrayJob("wk-000001", 1)
 	rec.Reservation = &jobstore.Reservation{Owner: "w/y/a", LaunchRanges: []int{0, 0}}
@@ -63,25 +63,26 @@
 	}
 }
 
-// A worker stays where it was answered.
-func TestTheNextReportComesToAnotherNode(t *testing.T) {
+// A worker stays with the node that answered it. If its next heartbeat arrives at another
+// one, the answer was lost.
+func TestNextHeartbeatAtAnotherNodeMakesMachineUnreachable(t *testing.T) {
 	m := newModel(5)
 	for i, c := range []struct {
-		via  string
-		seq  uint64
-		hear bool
+		via       string
+		seq       uint64
+		reachable bool
 	}{{"a", 1, true}, {"a", 2, true}, {"b", 4, true}, {"b", 5, true}, {"a", 6, false}} {
 		mc := m.ApplyHeartbeat(rep(c.seq, 5), at(float64(i)))
 		m.RecordReceivingNode(mc, c.via, at(float64(i)))
 		m.AnswerHeartbeat(mc, rep(c.seq, 5), at(float64(i)))
-		if mc.unreachable() == c.hear {
-			t.Errorf("report %d by way of %s: hears %t", c.seq, c.via, !mc.unreachable())
+		if mc.unreachable() == c.reachable {
+			t.Errorf("heartbeat %d by way of %s: reachable %t", c.seq, c.via, !mc.unreachable())
 		}
 	}
 }
 
-// takenOver is a new leader's model, in which an earlier one has placed a task.
-func takenOver() *Model {
+// modelAfterFailover returns a new leader's model, in which an earlier leader has placed a task.
+func modelAfterFailover() *Model {
 	m := newModel(9)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 1,
@@ -90,20 +91,20 @@
 	return m
 }
 
-// A machine that is mute through a change of leader never shows the new token. Its
-// reports are answered all the same, and that must not keep its lease alive.
-func TestAnswersThatWereNotHeardKeepNoLease(t *testing.T) {
-	next := takenOver()
+// A machine that receives no answers through a failover never shows the new leader's token.
+// Its heartbeats are answered all the same, which must not extend its lease.
+func TestAnswersNotReceivedAfterFailoverDoNotExtendLease(t *testing.T) {
+	next := modelAfterFailover()
 	for seq, s := uint64(3), 1.0; s < 12; seq, s = seq+1, s+5 {
 		answer(t, next, rep(seq, 5), at(s))
 		next.Tick(at(s + 0.1))
 		if next.Job("wk-000001").Tasks[0].Placement == nil {
-			t.Fatalf("given up at %v s, the lease is not over", s)
+			t.Fatalf("given up at %v s, before the lease has expired", s)
 		}
 	}
 	answer(t, next, rep(9, 5), at(13))
 	if next.Job("wk-000001").Tasks[0].Placement != nil {
-		t.Error("still waited for")
+		t.Error("not given up after the lease has expired")
 	}
 	next.Schedule(at(14), 0)
 	if next.Job("wk-000001").Tasks[0].Placement != nil {
@@ -111,31 +112,33 @@
 	}
 }
 
-// The first that a new leader hears of a machine may be a late copy. A gang's task
-// that was refused then is tried again with the same attempt, and may be there.
-func TestARefusalInAReportWithoutTheTokenFreesNothing(t *testing.T) {
-	next := takenOver()
+// The first heartbeat that a new leader receives from a machine may be a delayed copy. A
+// gang's task that the worker refused then is launched again with the same attempt number,
+// and may be on the machine by now.
+func TestRefusedLaunchWithoutFencingTokenKeepsPlacement(t *testing.T) {
+	next := modelAfterFailover()
 	exit := wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.WhyNoRoom}
 	cmds := answer(t, next, rep(3, 5, exit), at(1))
 	if _, _, forgets := ops(cmds); forgets > 0 || next.Job("wk-000001").Tasks[0].Placement == nil {
-		t.Errorf("freed, or told %v", cmds)
+		t.Errorf("placement removed, or sent %v", cmds)
 	}
 	answer(t, next, rep(4, 9, exit), at(2))
 	if next.Job("wk-000001").Tasks[0].Placement != nil {
-		t.Error("this report shows the token: the task is not there")
+		t.Error("placement kept although a heartbeat with the token lists the refusal")
 	}
 }
 
-func TestANewerReportWithoutANoticeEndsAnOlderOne(t *testing.T) {
+// The newest heartbeat counts: one without an interruption notice ends an earlier notice.
+func TestHeartbeatWithoutInterruptionNoticeClearsIt(t *testing.T) {
 	m := newModel(5)
 	r, s := rep(1, 5), 30.0
 	r.NoticeS = &s
 	answer(t, m, r, at(0))
 	if m.Ready(m.Machines[0], at(0)) {
-		t.Error("it is about to be taken")
+		t.Error("ready although it is about to be interrupted")
 	}
 	answer(t, m, rep(2, 5), at(1))
 	if !m.Ready(m.Machines[0], at(1)) {
-		t.Error("what was known of a notice came with an older message")
+		t.Error("not ready although the newest heartbeat has no notice")
 	}
 }
--- a/cluster/stopcommands_test.go
+++ b/cluster/stopcommands_test.go
@@ -8,10 +8,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// An answer renews the lease of all that is on the machine. With 300 outcomes to be
-// forgotten, or as many other stops, before them, tasks of a cancelled job were left
-// running for another lease, and for good if no answer followed.
-func TestAnAnswerStopsAllThatIsToStop(t *testing.T) {
+// An answer renews the lease of every task on the machine. Stops that were left out of an
+// answer, because 300 forgets or other stops came before them, once kept tasks of a cancelled
+// job running for another lease, and for good if no answer followed.
+func TestAnswerStopsAllTasksBeforeForgettingExits(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
@@ -25,10 +25,10 @@
 	for i := range 400 {
 		tasks = append(tasks, wire.TaskReport{Task: fmt.Sprintf("wk-000002/%d", i), Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone})
 	}
-	for i := range 600 { // of a job that an earlier leader has seen the end of
+	for i := range 600 { // of a job that finished under an earlier leader
 		tasks = append(tasks, wire.TaskReport{Task: fmt.Sprintf("wk-999999/%d", 90_000+i), Attempt: 1_000_000, State: wire.TaskRunning})
 	}
-	// One of the job's own is listed last; the launch of the other was not heard.
+	// One task of the cancelled job is listed last; the launch of the other was missed.
 	tasks = append(tasks, wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
 	cmds := answer(t, m, rep(3, 5, tasks...), at(4))
 	stopped := map[string]bool{}
@@ -40,15 +40,15 @@
 	if len(stopped) != 601 || !stopped["wk-000001/0"] {
 		t.Errorf("%d of 601 tasks are stopped", len(stopped))
 	}
-	// What remains is forgotten by the answers that follow.
+	// The following answers forget the remaining exits.
 	cmds = answer(t, m, rep(4, 5, tasks[:400]...), at(5))
 	if _, _, forgets := ops(cmds); forgets < 298 {
 		t.Errorf("%d forgotten", forgets)
 	}
 }
 
-// As many stops as an answer may have, with the longest names, fit into 64 KiB.
-func TestTheMostStopsFitIntoAnAnswer(t *testing.T) {
+// The maximum number of stops in an answer, with the longest names, fits into 64 KiB.
+func TestMaxStopsFitIntoOneAnswer(t *testing.T) {
 	m := newModel(5)
 	var tasks []wire.TaskReport
 	for i := range 2000 {
