--- /dev/null
+++ b/config/check.go
@@ -0,0 +1,80 @@
+package config
+
+import (
+	"errors"
+	"fmt"
+	"math"
+)
+
+// This file has how the files' fields are checked: all that is wrong is reported at
+// once, each problem with the name of its field.
+
+// ErrMissing says that a field which has no default is not in the file.
+var ErrMissing = errors.New("is missing")
+
+// FieldError says what is wrong with one field of a file.
+type FieldError struct {
+	File  string // "settings" or "tuning"
+	Field string // with the tables that it is in, as cluster.workers.lease_s
+	Err   error
+}
+
+// Error names the field, and says what is wrong with it.
+func (e *FieldError) Error() string { return e.File + ": " + e.Field + " " + e.Err.Error() }
+
+// Unwrap returns what is wrong with the field.
+func (e *FieldError) Unwrap() error { return e.Err }
+
+// check is what a field was found to be; problem is nil if it is valid.
+type check struct {
+	field   string
+	problem error
+}
+
+// problems are the errors of the checks that failed.
+func problems(file string, checks []check) []error {
+	var errs []error
+	for _, c := range checks {
+		if c.problem != nil {
+			errs = append(errs, &FieldError{File: file, Field: c.field, Err: c.problem})
+		}
+	}
+	return errs
+}
+
+func notEmpty(field, text string) check {
+	if text == "" {
+		return check{field, errors.New("must not be empty")}
+	}
+	return check{field: field}
+}
+
+// positive wants a finite number above 0.
+func positive(field string, v float64) check {
+	if !(v > 0 && !math.IsInf(v, 0)) {
+		return check{field, errors.New("must be above 0")}
+	}
+	return check{field: field}
+}
+
+func notNegative(field string, v float64) check {
+	if !(v >= 0) { // not a number is neither
+		return check{field, errors.New("must not be negative")}
+	}
+	return check{field: field}
+}
+
+func atLeast(field string, v, least int) check {
+	if v < least {
+		return check{field, fmt.Errorf("must be at least %d", least)}
+	}
+	return check{field: field}
+}
+
+// within wants a number between two, which are allowed themselves.
+func within(field string, v, least, most float64) check {
+	if !(v >= least && v <= most) {
+		return check{field, fmt.Errorf("must be from %g to %g", least, most)}
+	}
+	return check{field: field}
+}
--- a/config/config.go
+++ b/config/config.go
@@ -1,18 +1,21 @@
-// Package config reads what a node needs to know: the settings file the
-// platform hands over, and the operators' own tuning file.
+// Package config reads and checks a node's two files: the settings that the platform
+// hands over (Settings), and the operators' own tuning (Tuning). Both are TOML; what
+// is wrong in them is reported by the names that the fields have there.
 package config
 
 import (
 	"errors"
 	"fmt"
-	"math"
 	"os"
+	"slices"
+	"strings"
 	"time"
 
 	"github.com/BurntSushi/toml"
 )
 
-// Settings is the platform's file. Unknown fields are ignored.
+// Settings is the platform's file. Fields that are not known are ignored, since the
+// platform may be newer than this program.
 type Settings struct {
 	Node       string   `toml:"node_name"`
 	Zone       string   `toml:"location"`
@@ -23,7 +26,7 @@
 	Cluster    Cluster  `toml:"cluster"`
 }
 
-// Sibling is another controller node.
+// Peer is another controller.
 type Peer struct {
 	Name string `toml:"node_name"`
 	Zone string `toml:"location"`
@@ -49,7 +52,7 @@
 	Limits     Limits      `toml:"limits"`
 }
 
-// Team has a guarantee and a limit; 0 means none.
+// Team has a guarantee and a limit (CPUsMax, GPUsMax); 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -82,13 +85,13 @@
 	Times   float64       `toml:"times"`    // for deadlines: a multiple of the job's own deadline
 }
 
-// Workers holds the workers' timers, in seconds.
+// Workers holds the workers' times, in seconds.
 type Workers struct {
-	ReportS   float64 `toml:"report_s"`
-	LeaseS    float64 `toml:"lease_s"`
-	GangWaitS float64 `toml:"gang_wait_s"`
-	GangPeerS float64 `toml:"gang_peer_s"`
-	CancelS   float64 `toml:"cancel_s"`
+	ReportS   float64 `toml:"report_s"`    // between heartbeats
+	LeaseS    float64 `toml:"lease_s"`     // after its last answered heartbeat a worker ends its tasks
+	GangWaitS float64 `toml:"gang_wait_s"` // for how long a gang's task waits for the others
+	GangPeerS float64 `toml:"gang_peer_s"` // after which a gang's task ends that lost another
+	CancelS   float64 `toml:"cancel_s"`    // after which a cancelled job's tasks are gone
 }
 
 // StateLimits are the state service's limits.
@@ -112,10 +115,10 @@
 	Sockets int     `toml:"sockets"`
 }
 
-// Seconds turns a number of seconds into a duration.
+// Seconds is a duration of so many seconds.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads and checks the platform's file.
+// Load reads and checks a settings file.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -124,97 +127,106 @@
 	return Parse(string(text))
 }
 
-// Parse checks the text of a settings file. The error names every field that
-// is missing or invalid.
+// Limits below which a node can't work.
+const (
+	minTxnOps  = 3
+	minSockets = 32
+)
+
+// Parse reads and checks the text of a settings file. The error has a FieldError for
+// every field that is missing or invalid.
 func Parse(text string) (*Settings, error) {
 	var s Settings
 	md, err := toml.Decode(text, &s)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	var errs []error
-	need := func(ok bool, reason string, path ...string) {
-		switch {
-		case !md.IsDefined(path...):
-			errs = append(errs, fmt.Errorf("settings: %s is missing", dotted(path)))
-		case !ok:
-			errs = append(errs, fmt.Errorf("settings: %s %s", dotted(path), reason))
+	required := s.checkRequired()
+	for i, c := range required {
+		if !md.IsDefined(strings.Split(c.field, ".")...) {
+			required[i].problem = ErrMissing
 		}
 	}
-	positive := func(v float64, path ...string) {
-		need(v > 0 && !math.IsInf(v, 0), "must be above 0", path...)
+	checks := slices.Concat(required, checkTeams(s.Cluster.Teams), s.checkPeers())
+	if errs := problems("settings", checks); len(errs) > 0 {
+		return nil, errors.Join(errs...)
+	}
+	return &s, nil
+}
+
+// checkRequired checks the fields that every settings file has.
+func (s *Settings) checkRequired() []check {
+	zones := check{field: "cluster.zones"}
+	if len(s.Cluster.Zones) == 0 {
+		zones.problem = errors.New("must name a zone")
 	}
-	need(s.Node != "", "must not be empty", "node_name")
-	need(s.Zone != "", "must not be empty", "location")
-	need(s.Bind != "", "must not be empty", "bind")
-	need(s.PeerListen != "", "must not be empty", "mesh_addr")
-	need(s.Services.Cloud != "", "must not be empty", "services", "cloud")
-	need(s.Services.State != "", "must not be empty", "services", "state")
-	need(s.Cluster.Size >= 1, "must be at least 1", "cluster", "size")
-	need(len(s.Cluster.Zones) > 0, "must name a zone", "cluster", "zones")
-	need(s.Cluster.SkewMs >= 0, "must not be negative", "cluster", "skew_ms")
-	w := s.Cluster.Workers
-	positive(w.ReportS, "cluster", "workers", "report_s")
-	positive(w.LeaseS, "cluster", "workers", "lease_s")
-	positive(w.GangWaitS, "cluster", "workers", "gang_wait_s")
-	positive(w.GangPeerS, "cluster", "workers", "gang_peer_s")
-	need(w.CancelS > w.LeaseS, "must be above lease_s", "cluster", "workers", "cancel_s")
-	if err := w.checkCancelTime(); w.CancelS > w.LeaseS && err != nil {
-		errs = append(errs, fmt.Errorf("settings: cluster.workers.cancel_s %w", err))
+	workers, store := s.Cluster.Workers, s.Cluster.State
+	return []check{
+		notEmpty("node_name", s.Node),
+		notEmpty("location", s.Zone),
+		notEmpty("bind", s.Bind),
+		notEmpty("mesh_addr", s.PeerListen),
+		notEmpty("services.cloud", s.Services.Cloud),
+		notEmpty("services.state", s.Services.State),
+		atLeast("cluster.size", s.Cluster.Size, 1),
+		zones,
+		notNegative("cluster.skew_ms", s.Cluster.SkewMs),
+		positive("cluster.workers.report_s", workers.ReportS),
+		positive("cluster.workers.lease_s", workers.LeaseS),
+		positive("cluster.workers.gang_wait_s", workers.GangWaitS),
+		positive("cluster.workers.gang_peer_s", workers.GangPeerS),
+		{"cluster.workers.cancel_s", workers.checkCancelTime()},
+		positive("cluster.state.rps", store.RPS),
+		positive("cluster.state.write_rps", store.WriteRPS),
+		positive("cluster.state.value_kb", store.ValueKB),
+		atLeast("cluster.state.txn_ops", store.TxnOps, minTxnOps),
+		positive("cluster.cloud.rps", s.Cluster.Cloud.RPS),
+		notNegative("cluster.cloud.list_lag_s", s.Cluster.Cloud.ListLagS),
+		positive("cluster.limits.cpu", s.Cluster.Limits.CPU),
+		positive("cluster.limits.mem_mb", s.Cluster.Limits.MemMB),
+		atLeast("cluster.limits.sockets", s.Cluster.Limits.Sockets, minSockets),
 	}
-	st := s.Cluster.State
-	positive(st.RPS, "cluster", "state", "rps")
-	positive(st.WriteRPS, "cluster", "state", "write_rps")
-	positive(st.ValueKB, "cluster", "state", "value_kb")
-	need(st.TxnOps >= 3, "must be at least 3", "cluster", "state", "txn_ops")
-	positive(s.Cluster.Cloud.RPS, "cluster", "cloud", "rps")
-	need(s.Cluster.Cloud.ListLagS >= 0, "must not be negative", "cluster", "cloud", "list_lag_s")
-	positive(s.Cluster.Limits.CPU, "cluster", "limits", "cpu")
-	positive(s.Cluster.Limits.MemMB, "cluster", "limits", "mem_mb")
-	need(s.Cluster.Limits.Sockets >= 32, "must be at least 32", "cluster", "limits", "sockets")
+}
+
+func checkTeams(teams []Team) []check {
+	var checks []check
 	seen := map[string]bool{}
-	for i, t := range s.Cluster.Teams {
+	for i, t := range teams {
 		field := fmt.Sprintf("cluster.teams[%d]", i)
 		if t.Name == "" || seen[t.Name] {
-			errs = append(errs, fmt.Errorf("settings: %s.name must be set and unique", field))
+			checks = append(checks, check{field + ".name", errors.New("must be set and unique")})
 		}
 		seen[t.Name] = true
-		for _, f := range []struct {
-			name string
-			v    float64
-		}{{"cpus", t.CPUs}, {"cpus_max", t.CPUsMax}, {"gpus", t.GPUs}, {"gpus_max", t.GPUsMax}} {
-			if !(f.v >= 0) {
-				errs = append(errs, fmt.Errorf("settings: %s.%s must not be negative", field, f.name))
-			}
-		}
+		checks = append(checks,
+			notNegative(field+".cpus", t.CPUs),
+			notNegative(field+".cpus_max", t.CPUsMax),
+			notNegative(field+".gpus", t.GPUs),
+			notNegative(field+".gpus_max", t.GPUsMax))
 	}
+	return checks
+}
+
+func (s *Settings) checkPeers() []check {
+	var checks []check
 	for i, p := range s.Peers {
 		if p.Name == "" || p.Addr == "" || p.Name == s.Node {
-			errs = append(errs, fmt.Errorf("settings: siblings[%d] needs a node_name of its own and an addr", i))
+			checks = append(checks, check{fmt.Sprintf("siblings[%d]", i), errors.New("needs a node_name of its own and an addr")})
 		}
 	}
-	if len(errs) > 0 {
-		return nil, errors.Join(errs...)
-	}
-	return &s, nil
+	return checks
 }
 
-func dotted(path []string) string {
-	out := path[0]
-	for _, p := range path[1:] {
-		out += "." + p
-	}
-	return out
-}
-
-// GCPercent is how much of what lives may be added to it before it is collected,
-// in percent. Go's own, 100, collects a fleet's leader several times a second
-// with four fifths of its memory unused; what lives is small, and near the limit
-// the runtime collects sooner by itself.
+// GCPercent is how much may be allocated between garbage collections, in percent of
+// what is live. With Go's default of 100, the leader of a large fleet collects several
+// times a second with four fifths of its memory unused; what is live is small, and
+// near the memory limit the runtime collects sooner by itself.
 const GCPercent = 300
 
-// MemoryLimit is what the Go runtime should keep to: the rest of the machine's
-// limit is for what the runtime does not count.
+// goMemoryShare is the Go runtime's share of a node's memory: the rest is for what the
+// runtime does not count.
+const goMemoryShare = 0.6
+
+// MemoryLimit is how much memory the Go runtime should keep to, in bytes.
 func (s *Settings) MemoryLimit() int64 {
-	return int64(s.Cluster.Limits.MemMB * 0.6 * (1 << 20))
+	return int64(s.Cluster.Limits.MemMB * goMemoryShare * (1 << 20))
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -38,7 +38,7 @@
 sockets = 800
 `
 
-func TestSettingsNameTheFieldThatIsWrong(t *testing.T) {
+func TestParseNamesInvalidField(t *testing.T) {
 	if _, err := Parse(good); err != nil {
 		t.Fatalf("good settings with an unknown field: %v", err)
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestTuningIsRefusedRatherThanGuessed(t *testing.T) {
+func TestParseTuningNamesInvalidField(t *testing.T) {
 	if _, err := ParseTuning("[rebalance]\nbudget = 2\n"); err != nil {
 		t.Fatal(err)
 	}
@@ -79,7 +79,7 @@
 }
 
 // What stands in deploy/ for operators is read without complaint.
-func TestTheOperatorsExampleIsGood(t *testing.T) {
+func TestExampleTuningIsValid(t *testing.T) {
 	got, err := LoadTuning("../deploy/operations.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/config/leases_test.go
+++ b/config/leases_test.go
@@ -14,7 +14,7 @@
 }
 
 // The deployments there are stay accepted, with the leases that they have had.
-func TestTimesOfTheDeployments(t *testing.T) {
+func TestLeasesOfKnownDeployments(t *testing.T) {
 	for _, c := range []struct{ report, lease, cancel, leader, gone float64 }{
 		{1.5, 12, 32, 7, 19.31},
 		{4, 22, 42, 10, 32.32},
@@ -36,7 +36,7 @@
 // Whatever is accepted keeps the rule, by a sum made here a second time: a renewal
 // counts from when it was sent, the worker's last report comes before the leader's
 // last answer, and both clocks are slow.
-func TestWhateverIsAcceptedKeepsTheRule(t *testing.T) {
+func TestAcceptedTimesLetCancelledTasksBeGoneInTime(t *testing.T) {
 	accepted, refused := 0, 0
 	for _, report := range []float64{0.05, 0.5, 1.5, 4, 30, 100} {
 		for _, lease := range []float64{0.1, 1, 3, 4, 5, 12, 22, 27, 120, 1200, 3600, 40000} {
--- a/config/tuning.go
+++ b/config/tuning.go
@@ -20,21 +20,22 @@
 	Serving   Serving   `toml:"serving"`
 }
 
-// Serving tunes in which order jobs are served.
+// Serving tunes the order in which jobs are served.
 type Serving struct {
 	// StarvationBoundS is how soon after its acceptance every job begins for which
-	// there is room, in seconds, whatever the aims. 0: there is no such bound.
+	// there is room, in seconds, whatever the service-level objectives. 0: there is no
+	// such bound.
 	StarvationBoundS float64 `toml:"begin_within_s"`
 }
 
-// Ledger tunes how records are kept.
+// JobStore tunes how jobs are recorded.
 type JobStore struct {
-	SharedPages bool `toml:"intake"` // users' jobs share keys, once every node can read that
+	SharedPages bool `toml:"intake"` // jobs share pages (jobstore.JobPage), once every node reads these
 }
 
-// Launching tunes how launches reach workers.
+// Launches tunes how launches reach workers.
 type Launches struct {
-	WakeWorkers bool `toml:"summon"` // workers are told to report when a launch is ready
+	WakeWorkers bool `toml:"summon"` // a worker is told to send its heartbeat when a launch is ready for it
 }
 
 // Metrics says where the operators watch a node.
@@ -42,22 +43,22 @@
 	Listen string `toml:"listen"` // host:port; empty: nowhere
 }
 
-// Rebalance tunes the rebalancer.
+// Rebalance tunes rebalancing.
 type Rebalance struct {
 	Enabled       bool     `toml:"enabled"`
-	EveryS        float64  `toml:"every_s"`
-	Budget        int      `toml:"budget"`
-	CooldownS     float64  `toml:"cooldown_s"`
-	TaskCooldownS float64  `toml:"rest_s"`
-	QuarantineS   float64  `toml:"quarantine_s"`
-	LongRunningS  float64  `toml:"long_running_s"`
+	EveryS        float64  `toml:"every_s"`        // between cycles
+	Budget        int      `toml:"budget"`         // moves in a cycle
+	CooldownS     float64  `toml:"cooldown_s"`     // after moves, of the group of machines
+	TaskCooldownS float64  `toml:"rest_s"`         // after its move, of a task
+	QuarantineS   float64  `toml:"quarantine_s"`   // of a task, after its move failed
+	LongRunningS  float64  `toml:"long_running_s"` // tasks that have run for as long stay
 	Policies      []Policy `toml:"policies"`
 }
 
-// Resource is one that rebalancing looks at.
+// Resource names a resource that rebalancing looks at.
 type Resource string
 
-// Resources.
+// Resources that rebalancing looks at.
 const (
 	ResourceCPUs   Resource = "cpus"
 	ResourceGPUs   Resource = "gpus"
@@ -68,25 +69,26 @@
 type Policy struct {
 	Resource          Resource `toml:"resource"`
 	Weight            float64  `toml:"weight"`
-	Threshold         float64  `toml:"threshold"`
-	CapacityThreshold float64  `toml:"capacity_threshold"`
+	Threshold         float64  `toml:"threshold"`          // difference of booked shares above which tasks are moved
+	CapacityThreshold float64  `toml:"capacity_threshold"` // booked share up to which a machine takes tasks
 }
 
-// Renting tunes how machines are rented and returned.
+// ScaleOut tunes how machines are rented and returned.
 type ScaleOut struct {
-	IdleS    float64 `toml:"idle_s"`
-	Headroom float64 `toml:"headroom"`
+	IdleS    float64 `toml:"idle_s"`   // after which an idle machine is returned
+	Headroom float64 `toml:"headroom"` // room for jobs to come, as a share of the open tasks of each class
 }
 
-// DefaultTuning is what holds without an operators' file.
+// DefaultTuning is what holds without an operators' file, and for fields that are not
+// in it.
 func DefaultTuning() Tuning {
 	return Tuning{
 		Rebalance: Rebalance{
 			Enabled: true, EveryS: 3, Budget: 3, CooldownS: 30, TaskCooldownS: 120, QuarantineS: 300, LongRunningS: 600,
 			Policies: []Policy{
-				{Resource: "cpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1},
-				{Resource: "gpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1},
-				{Resource: "memory", Weight: 0.2, Threshold: 0.2, CapacityThreshold: 1},
+				{Resource: ResourceCPUs, Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1},
+				{Resource: ResourceGPUs, Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1},
+				{Resource: ResourceMemory, Weight: 0.2, Threshold: 0.2, CapacityThreshold: 1},
 			},
 		},
 		ScaleOut: ScaleOut{IdleS: 240, Headroom: 0.35},
@@ -108,12 +110,12 @@
 	return ParseTuning(string(text))
 }
 
-// ParseTuning checks the text of an operators' file. A misspelt field is an
-// error here, since nobody but the operators writes this file.
+// ParseTuning reads and checks the text of an operators' file. A field that is not known
+// is an error here: nobody but the operators writes this file, so it is misspelt.
 func ParseTuning(text string) (Tuning, error) {
 	t := DefaultTuning()
 	defaults := t.Rebalance.Policies
-	t.Rebalance.Policies = nil
+	t.Rebalance.Policies = nil // the file's replace the defaults as a whole
 	md, err := toml.Decode(text, &t)
 	if err != nil {
 		return Tuning{}, fmt.Errorf("tuning: %w", err)
@@ -121,64 +123,91 @@
 	if !md.IsDefined("rebalance", "policies") {
 		t.Rebalance.Policies = defaults
 	}
-	var errs []error
-	bad := func(format string, args ...any) {
-		errs = append(errs, fmt.Errorf("tuning: "+format, args...))
-	}
-	for _, k := range md.Undecoded() {
-		bad("%s is not a setting", k)
-	}
-	r := t.Rebalance
-	for _, f := range []struct {
-		name string
-		v    float64
-	}{{"every_s", r.EveryS}, {"cooldown_s", r.CooldownS}, {"rest_s", r.TaskCooldownS},
-		{"quarantine_s", r.QuarantineS}, {"long_running_s", r.LongRunningS}} {
-		if !(f.v > 0) {
-			bad("rebalance.%s must be above 0", f.name)
+	var checks []check
+	for _, key := range md.Undecoded() {
+		checks = append(checks, check{key.String(), errUnknown})
+	}
+	checks = append(checks, t.Rebalance.check()...)
+	checks = append(checks, t.check()...)
+	if errs := problems("tuning", checks); len(errs) > 0 {
+		return Tuning{}, errors.Join(errs...)
+	}
+	return t, nil
+}
+
+var errUnknown = errors.New("is not a setting")
+
+// Bounds of what operators may set.
+const (
+	maxRebalanceBudget = 100
+	maxHeadroom        = 5
+	minStarvationBound = 30
+	maxStarvationBound = 86400
+	weightTolerance    = 1e-6
+)
+
+// check checks all but the rebalancer's fields.
+func (t *Tuning) check() []check {
+	checks := []check{
+		above0("renting.idle_s", t.ScaleOut.IdleS),
+		within("renting.headroom", t.ScaleOut.Headroom, 0, maxHeadroom),
+	}
+	if bound := t.Serving.StarvationBoundS; bound != 0 && !(bound >= minStarvationBound && bound <= maxStarvationBound) {
+		checks = append(checks, check{"serving.begin_within_s", fmt.Errorf("must be 0, or from %d to %d", minStarvationBound, maxStarvationBound)})
+	}
+	if t.Metrics.Listen != "" {
+		if _, _, err := net.SplitHostPort(t.Metrics.Listen); err != nil {
+			checks = append(checks, check{"metrics.listen", fmt.Errorf("must be a host and a port: %w", err)})
 		}
 	}
-	if r.Budget < 1 || r.Budget > 100 {
-		bad("rebalance.budget must be from 1 to 100")
+	return checks
+}
+
+func (r *Rebalance) check() []check {
+	checks := []check{
+		above0("rebalance.every_s", r.EveryS),
+		above0("rebalance.cooldown_s", r.CooldownS),
+		above0("rebalance.rest_s", r.TaskCooldownS),
+		above0("rebalance.quarantine_s", r.QuarantineS),
+		above0("rebalance.long_running_s", r.LongRunningS),
+		within("rebalance.budget", float64(r.Budget), 1, maxRebalanceBudget),
 	}
 	sum := 0.0
 	seen := map[Resource]bool{}
 	for i, p := range r.Policies {
 		field := fmt.Sprintf("rebalance.policies[%d]", i)
-		if p.Resource != ResourceCPUs && p.Resource != ResourceGPUs && p.Resource != ResourceMemory || seen[p.Resource] {
-			bad("%s.resource must be cpus, gpus or memory, each once", field)
+		if !p.Resource.known() || seen[p.Resource] {
+			checks = append(checks, check{field + ".resource", errors.New("must be cpus, gpus or memory, each once")})
 		}
 		seen[p.Resource] = true
-		if !(p.Weight >= 0 && p.Weight <= 1) {
-			bad("%s.weight must be from 0 to 1", field)
-		}
-		if !(p.Threshold >= 0 && p.Threshold <= 1) {
-			bad("%s.threshold must be from 0 to 1", field)
-		}
-		if !(p.CapacityThreshold > 0 && p.CapacityThreshold <= 1) {
-			bad("%s.capacity_threshold must be above 0 and at most 1", field)
-		}
+		checks = append(checks, p.check(field)...)
 		sum += p.Weight
 	}
-	if math.Abs(sum-1) > 1e-6 {
-		bad("rebalance.policies: the weights sum to %g, not to 1.0", sum)
-	}
-	if !(t.ScaleOut.IdleS > 0) {
-		bad("renting.idle_s must be above 0")
-	}
-	if !(t.ScaleOut.Headroom >= 0 && t.ScaleOut.Headroom <= 5) {
-		bad("renting.headroom must be from 0 to 5")
+	if math.Abs(sum-1) > weightTolerance {
+		checks = append(checks, check{"rebalance.policies", fmt.Errorf("have weights that sum to %g, not to 1.0", sum)})
 	}
-	if b := t.Serving.StarvationBoundS; b != 0 && !(b >= 30 && b <= 86400) {
-		bad("serving.begin_within_s must be 0, or from 30 to 86400")
+	return checks
+}
+
+func (r Resource) known() bool {
+	return r == ResourceCPUs || r == ResourceGPUs || r == ResourceMemory
+}
+
+func (p *Policy) check(field string) []check {
+	checks := []check{
+		within(field+".weight", p.Weight, 0, 1),
+		within(field+".threshold", p.Threshold, 0, 1),
 	}
-	if l := t.Metrics.Listen; l != "" {
-		if _, _, err := net.SplitHostPort(l); err != nil {
-			bad("metrics.listen must be a host and a port: %v", err)
-		}
+	if !(p.CapacityThreshold > 0 && p.CapacityThreshold <= 1) {
+		checks = append(checks, check{field + ".capacity_threshold", errors.New("must be above 0 and at most 1")})
 	}
-	if len(errs) > 0 {
-		return Tuning{}, errors.Join(errs...)
+	return checks
+}
+
+// above0 wants a number above 0, which may be infinite: never.
+func above0(field string, v float64) check {
+	if !(v > 0) {
+		return check{field, errors.New("must be above 0")}
 	}
-	return t, nil
+	return check{field: field}
 }
