--- /dev/null
+++ b/cluster/attempt.go
@@ -0,0 +1,119 @@
+package cluster
+
+import "time"
+
+// ReportedState is the state of a task as its machine last reported it in a heartbeat. The
+// states are in the order in which a task passes through them.
+type ReportedState uint8
+
+const (
+	notReported      ReportedState = iota
+	reportedFetching               // its image is being fetched
+	reportedWaiting                // for the other tasks of its gang
+	reportedRunning
+	reportedSaving // a checkpoint, before it stops
+)
+
+// StopReason is why a task was ordered to stop. It is logged.
+type StopReason string
+
+// The reasons to stop a task.
+const (
+	StopPreempted      StopReason = "preempted"            // by waiting work of a higher rank
+	StopMoved          StopReason = "move"                 // by a rebalance cycle
+	StopMoveResumed    StopReason = "move taken over"      // by a rebalance cycle of an earlier leader
+	StopCancelled      StopReason = "cancelled"            // by the job's user
+	StopReleased       StopReason = "released"             // a reserved task is given back
+	StopInterruption   StopReason = "notice"               // the cloud is about to reclaim its machine
+	StopGangIncomplete StopReason = "its gang lost a task" // the rest of the gang can't go on
+)
+
+// Placement is an attempt of a task on a machine. It exists from the decision to place the
+// task until there is proof that the attempt is not on the machine.
+//
+// Only its methods, and placeTask and writeBehind, which make it, change its fields. They
+// keep these invariants:
+//   - A launch is sent at most once at a time: again only after proof that the one before
+//     was not executed and never will be (launchLost).
+//   - A stop order is never withdrawn, and its grace period only becomes shorter.
+//   - A placement that was never launched and is not inherited is certainly not on its
+//     machine, and may be removed without any proof.
+type Placement struct {
+	Machine       int32
+	Attempt       uint64
+	PlacedAt      time.Time
+	Inherited     bool // recorded by an earlier leader, which may have sent the launch
+	LaunchSent    bool // this leader has sent the launch
+	LaunchSentAt  time.Time
+	LaunchEpoch   uint64
+	LaunchSeq     uint64 // of the heartbeat whose answer carried the launch
+	ReportedState ReportedState
+	RunningSince  time.Time // when it was first seen running
+	Stop          *StopOrder
+	StopHeld      bool      // a stop is held back until the plan is confirmed
+	WokenAt       time.Time // when a wake-up was last sent to its machine
+
+	machineName     string // of the machine
+	chunkGeneration uint64 // the chunk's change that placed it
+}
+
+// StopOrder is an order to stop a task.
+type StopOrder struct {
+	Grace     float64
+	Reason    StopReason
+	OrderedAt time.Time
+	PushedAt  time.Time // when it was last sent directly
+}
+
+// mayBeOnMachine reports whether the task may be on its machine: a launch of it may have
+// been executed.
+func (p *Placement) mayBeOnMachine() bool { return p.LaunchSent || p.Inherited }
+
+// launch records that the answer to a heartbeat carries the launch.
+func (p *Placement) launch(heartbeat heartbeatID, now time.Time) {
+	p.LaunchSent, p.LaunchSentAt = true, now
+	p.LaunchEpoch, p.LaunchSeq = heartbeat.session, heartbeat.seq
+}
+
+// launchLost applies the proof that no launch was executed and none ever will be: it is to
+// be sent (again).
+func (p *Placement) launchLost() { p.LaunchSent, p.Inherited = false, false }
+
+// inherit marks the placement as one that an earlier leader recorded and may have launched.
+func (p *Placement) inherit() { p.Inherited = true }
+
+// listed records that a heartbeat lists the attempt, so that a launch has arrived.
+func (p *Placement) listed() { p.LaunchSent = true }
+
+// report records the state in which a heartbeat lists the attempt. It returns true if the
+// attempt runs and did not according to the last heartbeat.
+func (p *Placement) report(state ReportedState, now time.Time) (started bool) {
+	started = state == reportedRunning && p.ReportedState != reportedRunning
+	p.ReportedState = state
+	if started {
+		p.RunningSince = now
+	}
+	return started
+}
+
+// orderStop orders the attempt to stop. It returns false, and changes nothing, if it has been
+// ordered to stop already within that grace period or a shorter one.
+func (p *Placement) orderStop(grace float64, why StopReason, now time.Time) bool {
+	if p.Stop != nil && p.Stop.Grace <= grace {
+		return false
+	}
+	p.Stop = &StopOrder{Grace: grace, Reason: why, OrderedAt: now}
+	return true
+}
+
+// holdStop marks the attempt as one that is to stop once the plan is confirmed.
+func (p *Placement) holdStop() { p.StopHeld = true }
+
+// releaseStop removes the mark of holdStop.
+func (p *Placement) releaseStop() { p.StopHeld = false }
+
+// wake records that a wake-up is sent to the machine.
+func (p *Placement) wake(now time.Time) { p.WokenAt = now }
+
+// push records that the order is sent directly to the worker.
+func (o *StopOrder) push(now time.Time) { o.PushedAt = now }
--- /dev/null
+++ b/cluster/chunk.go
@@ -0,0 +1,34 @@
+package cluster
+
+// Chunk is the placement record of jobstore.ChunkSize consecutive tasks of a job. It is
+// stored on a placement page from when its first task is placed until its job is over and
+// none of the job's tasks can be on a machine.
+//
+// Its changes are numbered: of the changes up to generation, those up to committed are in
+// the store, and the one numbered placed is the last that placed a task.
+type Chunk struct {
+	generation uint64
+	committed  uint64
+	placed     uint64
+
+	page *placementPage
+	size int // the most bytes that it takes on its page
+}
+
+// change records a change.
+func (c *Chunk) change() { c.generation++ }
+
+// recordPlacement records that the last change placed a task.
+func (c *Chunk) recordPlacement(p *Placement) {
+	c.placed = c.generation
+	p.chunkGeneration = c.generation
+}
+
+// commit records that the chunk is in the store as of a generation.
+func (c *Chunk) commit(generation uint64) { c.committed = max(c.committed, generation) }
+
+// isCommitted reports whether the change of that number is in the store.
+func (c *Chunk) isCommitted(generation uint64) bool { return c.committed >= generation }
+
+// HasNewPlacements reports whether placements of the chunk are not in the store yet.
+func (c *Chunk) HasNewPlacements() bool { return !c.isCommitted(c.placed) }
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -87,7 +87,7 @@
 	for k, e := range mc.reportedExits {
 		committed := true
 		if j := d.model.Jobs[e.job]; j != nil {
-			committed = j.Chunks[e.chunk].CommittedGen >= e.generation
+			committed = j.Chunks[e.chunk].isCommitted(e.generation)
 		}
 		names = append(names, fmt.Sprintf("e%s.%d,%t", k.name, k.attempt, committed))
 	}
@@ -116,12 +116,12 @@
 	}
 	for i := range j.Chunks {
 		c := &j.Chunks[i]
-		d.printf("C%t,%t", c.CommittedGen >= c.PlacedGen, c.CommittedGen >= c.Generation)
+		d.printf("C%t,%t", !c.HasNewPlacements(), c.isCommitted(c.generation))
 	}
 }
 
 func (d *digestWriter) placement(p *Placement, c *Chunk) {
-	d.printf("g%tP%s,%d,%t,%t,%d,%t,%s", c.CommittedGen >= p.chunkGeneration, p.machineName, p.Attempt, p.Inherited, p.LaunchSent, p.ReportedState,
+	d.printf("g%tP%s,%d,%t,%t,%d,%t,%s", c.isCommitted(p.chunkGeneration), p.machineName, p.Attempt, p.Inherited, p.LaunchSent, p.ReportedState,
 		d.now.Sub(p.WokenAt) < wakeUpRetry, d.behind(p.machineName, p.LaunchEpoch, p.LaunchSeq))
 	if p.LaunchSeq > 0 && (heartbeatID{p.LaunchEpoch, p.LaunchSeq}) == d.model.Machines[p.Machine].reachability.answeredTwice {
 		d.printf("2")
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -31,13 +31,12 @@
 	}
 	ch := &j.Chunks[c.Chunk]
 	m.writes.placementPages.put(p, j, c.Chunk)
-	ch.CommittedGen = ch.Generation
-	j.LastAttempt = max(j.LastAttempt, c.MaxAttempt)
+	ch.commit(ch.generation)
+	j.observeAttempt(c.MaxAttempt)
 	for i := 0; i+1 < len(c.DoneRanges); i += 2 {
 		for t := max(c.DoneRanges[i], 0); t <= c.DoneRanges[i+1] && t < len(j.Tasks); t++ {
 			if j.Tasks[t].Phase != TaskDone {
-				j.Tasks[t].Phase = TaskDone
-				j.DoneTasks++
+				j.completeTask(int32(t))
 			}
 		}
 	}
@@ -47,12 +46,13 @@
 			continue
 		}
 		mc := m.findOrAddMachine(p.Machine, now)
-		j.LastAttempt = max(j.LastAttempt, p.Attempt)
+		j.observeAttempt(p.Attempt)
 		m.placeTask(j, int32(p.Task), mc, p.Attempt, now)
-		// What waits to be asked for has not been launched by anybody: only what
-		// stands in the job's record may be, and that was read after this
-		// leader was elected.
-		j.Tasks[p.Task].Placement.Inherited = !j.awaitsLaunch(p.Task)
+		// A reserved task whose launch has not been requested was launched by nobody. The
+		// job's record, which says so, was read after this leader was elected.
+		if !j.awaitsLaunch(p.Task) {
+			j.Tasks[p.Task].Placement.inherit()
+		}
 	}
 }
 
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -27,10 +26,10 @@
 		// Only the change that placed this task must be committed, not later changes
 		// of its chunk: a chunk whose tasks are placed one after the other would
 		// otherwise have uncommitted changes all the time, and launch none of them.
-		return j.Chunks[int(task)/jobstore.ChunkSize].CommittedGen >= j.Tasks[task].Placement.chunkGeneration
+		return j.chunkOf(task).isCommitted(j.Tasks[task].Placement.chunkGeneration)
 	}
 	for i := range j.Chunks {
-		if c := &j.Chunks[i]; c.CommittedGen < c.PlacedGen {
+		if j.Chunks[i].HasNewPlacements() {
 			return false
 		}
 	}
@@ -104,7 +103,7 @@
 		e := mc.reportedExits[exitKey{t.Task, t.Attempt}]
 		if e != nil {
 			o := m.Jobs[e.job]
-			if o != nil && !o.Finished && !o.Cancelled && o.Chunks[e.chunk].CommittedGen < e.generation {
+			if o != nil && !o.Finished && !o.Cancelled && !o.Chunks[e.chunk].isCommitted(e.generation) {
 				continue // the outcome is not committed yet
 			}
 		}
@@ -129,9 +128,9 @@
 		}
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
-		if p.Stop == nil && !p.LaunchSent && !p.Inherited && launchable(j, ref.Task) && mc.interruptionAt.IsZero() && !mc.unreachable() {
+		if p.Stop == nil && !p.mayBeOnMachine() && launchable(j, ref.Task) && mc.interruptionAt.IsZero() && !mc.unreachable() {
 			name := wire.TaskName(j.ID, int(ref.Task))
-			p.LaunchSent, p.LaunchSentAt, p.LaunchEpoch, p.LaunchSeq = true, now, r.Session, r.Seq
+			p.launch(heartbeatID{r.Session, r.Seq}, now)
 			m.Observer.Launched(now.Sub(p.PlacedAt).Seconds())
 			out = append(out, wire.Command{Op: wire.OpStart, Task: name, Attempt: p.Attempt})
 			m.log.Debug("task launch sent", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
--- a/cluster/heldstops.go
+++ b/cluster/heldstops.go
@@ -35,7 +35,7 @@
 }
 
 func (s *heldStops) hold(h heldStop) {
-	h.placement.StopHeld = true
+	h.placement.holdStop()
 	s.stops = append(s.stops, h)
 }
 
@@ -48,7 +48,7 @@
 // drop discards all stops.
 func (s *heldStops) drop() {
 	for _, h := range s.stops {
-		h.placement.StopHeld = false
+		h.placement.releaseStop()
 	}
 	s.stops = s.stops[:0]
 }
@@ -67,7 +67,7 @@
 	p := j.Tasks[ref.Task].Placement
 	switch {
 	case p == nil || p.StopHeld:
-	case !m.planExpected && m.plan.HeadVersion == 0, !p.LaunchSent && !p.Inherited, p.Stop != nil:
+	case !m.planExpected && m.plan.HeadVersion == 0, !p.mayBeOnMachine(), p.Stop != nil:
 		m.StopTask(ref, why, now)
 	default:
 		m.heldStops.hold(heldStop{ref: ref, job: j, placement: p, why: why, at: now})
@@ -107,7 +107,7 @@
 func (m *Model) releaseHeldStops(held []heldStop, now time.Time) {
 	for _, h := range held {
 		if h.stillHeld() {
-			h.placement.StopHeld = false
+			h.placement.releaseStop()
 			m.Observer.PreemptionHeld(now.Sub(h.at).Seconds())
 			m.StopTask(h.ref, h.why, now)
 		}
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -20,61 +20,6 @@
 	TaskDone                    // completed, or, if it is reserved, ended otherwise
 )
 
-// ReportedState is the state of a task as its machine last reported it in a heartbeat. The
-// states are in the order in which a task passes through them.
-type ReportedState uint8
-
-const (
-	notReported      ReportedState = iota
-	reportedFetching               // its image is being fetched
-	reportedWaiting                // for the other tasks of its gang
-	reportedRunning
-	reportedSaving // a checkpoint, before it stops
-)
-
-// StopReason is why a task was ordered to stop. It is logged.
-type StopReason string
-
-// The reasons to stop a task.
-const (
-	StopPreempted      StopReason = "preempted"            // by waiting work of a higher rank
-	StopMoved          StopReason = "move"                 // by a rebalance cycle
-	StopMoveResumed    StopReason = "move taken over"      // by a rebalance cycle of an earlier leader
-	StopCancelled      StopReason = "cancelled"            // by the job's user
-	StopReleased       StopReason = "released"             // a reserved task is given back
-	StopInterruption   StopReason = "notice"               // the cloud is about to reclaim its machine
-	StopGangIncomplete StopReason = "its gang lost a task" // the rest of the gang can't go on
-)
-
-// Placement is an attempt of a task on a machine. It exists from the decision to place the
-// task until there is proof that the attempt is not on the machine.
-type Placement struct {
-	Machine       int32
-	Attempt       uint64
-	PlacedAt      time.Time
-	Inherited     bool // recorded by an earlier leader, which may have sent the launch
-	LaunchSent    bool // this leader has sent the launch
-	LaunchSentAt  time.Time
-	LaunchEpoch   uint64
-	LaunchSeq     uint64 // of the heartbeat whose answer carried the launch
-	ReportedState ReportedState
-	RunningSince  time.Time // when it was first seen running
-	Stop          *StopOrder
-	StopHeld      bool      // a stop is held back until the plan is confirmed
-	WokenAt       time.Time // when a wake-up was last sent to its machine
-
-	machineName     string // of the machine
-	chunkGeneration uint64 // the chunk's change that placed it
-}
-
-// StopOrder is an order to stop a task.
-type StopOrder struct {
-	Grace     float64
-	Reason    StopReason
-	OrderedAt time.Time
-	PushedAt  time.Time // when it was last sent directly
-}
-
 // Task is one task of a job.
 type Task struct {
 	Phase     TaskPhase
@@ -86,23 +31,25 @@
 	Placement *Placement
 }
 
-// Chunk is the placement record of jobstore.ChunkSize consecutive tasks of a job. It is
-// stored on a placement page from when its first task is placed until its job is over and
-// none of the job's tasks can be on a machine.
-type Chunk struct {
-	Generation   uint64 // counts changes
-	CommittedGen uint64 // the last change that is in the store
-	PlacedGen    uint64 // the last change that placed a task
-	PlacedTasks  int
+// place puts a task that is not placed on a machine.
+func (t *Task) place(p *Placement) { t.Phase, t.Placement = TaskPlaced, p }
 
-	page *placementPage
-	size int // the most bytes that it takes on its page
-}
+// unplace applies the proof that the task is on no machine: it may be placed again.
+func (t *Task) unplace() { t.Phase, t.Placement = TaskIdle, nil }
 
-// hasNewPlacements reports whether placements of the chunk are not in the store yet.
-func (c *Chunk) hasNewPlacements() bool { return c.PlacedGen > c.CommittedGen }
+// delayUntil keeps the task from being placed before then.
+func (t *Task) delayUntil(then time.Time) { t.NotBefore = then.UnixMilli() }
 
 // Job is a job that is not over, or of which tasks may still be on a machine.
+//
+// Its methods keep these invariants:
+//   - A task has a placement exactly while it is in phase TaskPlaced. PlacedTasks counts
+//     these, and PlacedByZone those on machines whose zone is known.
+//   - DoneTasks counts the tasks in phase TaskDone, which never leave it.
+//   - LastAttempt is no less than any attempt that a record or a machine may know of, and
+//     only grows.
+//   - GangStarted and GangEnding describe the attempt that is placed: neither is set while
+//     no task is placed.
 type Job struct {
 	Index        int32
 	ID           string
@@ -146,3 +93,74 @@
 
 // Gang reports whether the job is a gang: all its tasks run at the same time, or none does.
 func (j *Job) Gang() bool { return j.Spec.Kind == wire.KindGang }
+
+// chunkOf returns the chunk that a task belongs to.
+func (j *Job) chunkOf(task int32) *Chunk { return &j.Chunks[int(task)/jobstore.ChunkSize] }
+
+// nextAttempt returns the number of a new attempt.
+func (j *Job) nextAttempt() uint64 {
+	j.LastAttempt++
+	return j.LastAttempt
+}
+
+// observeAttempt records that a number may have been used for an attempt.
+func (j *Job) observeAttempt(attempt uint64) { j.LastAttempt = max(j.LastAttempt, attempt) }
+
+// placeTask places a task on a machine in a zone; the zone is -1 if it is not known.
+func (j *Job) placeTask(task int32, zone int, p *Placement) {
+	j.Tasks[task].place(p)
+	j.PlacedTasks++
+	if zone >= 0 {
+		j.PlacedByZone[zone]++
+	}
+}
+
+// unplaceTask removes the placement of a task on a machine in a zone.
+func (j *Job) unplaceTask(task int32, zone int) {
+	j.Tasks[task].unplace()
+	j.PlacedTasks--
+	if j.PlacedTasks == 0 {
+		j.resetGang()
+	}
+	if zone >= 0 {
+		j.PlacedByZone[zone]--
+	}
+	j.cursor = min(j.cursor, int(task))
+}
+
+// changeZone counts a placed task for the zone of its machine, which has become known or has
+// changed.
+func (j *Job) changeZone(from, to int) {
+	j.PlacedByZone[to]++
+	if from >= 0 {
+		j.PlacedByZone[from]--
+	}
+}
+
+// completeTask records that a task without a placement is done.
+func (j *Job) completeTask(task int32) {
+	j.Tasks[task].Phase = TaskDone
+	j.DoneTasks++
+}
+
+// markStarted records that a task of the job runs. It returns true if it is the first.
+func (j *Job) markStarted(now time.Time) (first bool) {
+	j.GangStarted = true
+	if !j.FirstRunAt.IsZero() {
+		return false
+	}
+	j.FirstRunAt = now
+	return true
+}
+
+// endGang records that the gang's attempt is being stopped or can't complete.
+func (j *Job) endGang() { j.GangEnding = true }
+
+// resetGang makes the gang ready for another attempt.
+func (j *Job) resetGang() { j.GangStarted, j.GangEnding = false, false }
+
+// finish records that the final record of the job is committed.
+func (j *Job) finish() { j.Finished = true }
+
+// cancel records that the job's user has cancelled it. No task of it is launched any more.
+func (j *Job) cancel() { j.Cancelled = true }
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -73,7 +73,7 @@
 		return
 	}
 	if j.DoneTasks == len(j.Tasks) {
-		j.Finished = true
+		j.finish()
 		m.writes.markJob(j)
 		return
 	}
@@ -82,7 +82,7 @@
 }
 
 func (m *Model) cancel(j *Job, now time.Time) {
-	j.Cancelled = true
+	j.cancel()
 	for i := range j.Tasks {
 		if j.Tasks[i].Placement != nil {
 			m.stopPlacedTask(j, int32(i), 0, StopCancelled, now)
@@ -98,5 +98,5 @@
 		return
 	}
 	j := m.addJob(id, rec)
-	j.Cancelled = true
+	j.cancel()
 }
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -50,7 +50,7 @@
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
 		// A reserved place is promised: it is kept while its machine may return.
-		if p := j.Tasks[ref.Task].Placement; p != nil && !p.LaunchSent && !p.Inherited && j.reservation == nil {
+		if p := j.Tasks[ref.Task].Placement; p != nil && !p.mayBeOnMachine() && j.reservation == nil {
 			m.log.Debug("unlaunched task revoked", "job", j.ID, "task", ref.Task, "machine", mc.Name)
 			m.removePlacement(j, ref.Task, now)
 		}
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -73,11 +73,7 @@
 	old := mc.Zone
 	mc.Zone = z
 	for ref := range mc.Tasks {
-		j := m.Jobs[ref.Job]
-		j.PlacedByZone[z]++
-		if old >= 0 {
-			j.PlacedByZone[old]--
-		}
+		m.Jobs[ref.Job].changeZone(old, z)
 	}
 }
 
--- a/cluster/placementpages.go
+++ b/cluster/placementpages.go
@@ -32,7 +32,7 @@
 // hasNewPlacements reports whether the page is to be written with placements that are not in
 // the store yet.
 func (p *placementPage) hasNewPlacements() bool {
-	return slices.ContainsFunc(p.chunks, func(r chunkRef) bool { return r.get().hasNewPlacements() })
+	return slices.ContainsFunc(p.chunks, func(r chunkRef) bool { return r.get().HasNewPlacements() })
 }
 
 // unreadablePageSize is the size that a page counts with if it can't be read, so that no
--- a/cluster/placementpagewrite.go
+++ b/cluster/placementpagewrite.go
@@ -59,9 +59,9 @@
 		c := r.get()
 		record := r.job.chunkRecord(r.chunk)
 		w.record.Chunks = append(w.record.Chunks, record)
-		w.chunks = append(w.chunks, chunkWrite{c, c.Generation})
+		w.chunks = append(w.chunks, chunkWrite{c, c.generation})
 		w.bytes += 60 + len(r.job.ID) + (20+s.longestMachineName)*len(record.Placements) + 5*len(record.DoneRanges)
-		if c.hasNewPlacements() {
+		if c.HasNewPlacements() {
 			w.placesTasks = true
 			w.guardJob(b, r.job)
 		}
@@ -111,7 +111,7 @@
 		w.page.version = 0 // deleted
 	}
 	for _, c := range w.chunks {
-		c.chunk.CommittedGen = max(c.chunk.CommittedGen, c.generation)
+		c.chunk.commit(c.generation)
 	}
 }
 
--- a/cluster/plan_records.go
+++ b/cluster/plan_records.go
@@ -56,7 +56,7 @@
 		}
 		for i := range j.Tasks {
 			p := j.Tasks[i].Placement
-			if p != nil && !p.LaunchSent && !p.Inherited && p.chunkGeneration > j.Chunks[i/jobstore.ChunkSize].CommittedGen {
+			if p != nil && !p.mayBeOnMachine() && !j.chunkOf(int32(i)).isCommitted(p.chunkGeneration) {
 				m.removePlacement(j, int32(i), now)
 				n++
 			}
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -179,7 +179,7 @@
 func (m *Model) releaseReservedPlacements(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
-		if p := j.Tasks[ref.Task].Placement; p != nil && !p.LaunchSent && !p.Inherited && j.reservation != nil {
+		if p := j.Tasks[ref.Task].Placement; p != nil && !p.mayBeOnMachine() && j.reservation != nil {
 			m.taskLost(j, ref.Task, "its machine does not hear", now)
 		}
 	}
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -83,7 +83,7 @@
 		// In its first session the worker's lease has never expired, and a worker
 		// lists every task it ever received until told to forget it. So the launch
 		// never reached it.
-		p.Inherited, p.LaunchSent = false, false
+		p.launchLost()
 		return
 	case p.Inherited:
 	case !p.LaunchSent:
@@ -93,7 +93,7 @@
 	case p.LaunchEpoch == r.Session && p.ReportedState == notReported && p.Stop == nil:
 		// The answer with the launch was lost, and can't be executed any more, since
 		// the worker has sent a newer heartbeat.
-		p.LaunchSent = false
+		p.launchLost()
 		if (heartbeatID{p.LaunchEpoch, p.LaunchSeq}) != mc.reachability.answeredTwice {
 			m.markUnreachable(mc, "launch", now)
 		}
@@ -104,16 +104,15 @@
 
 // applyTaskState applies the state that a heartbeat lists for a task placed on the machine.
 func (m *Model) applyTaskState(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
-	p.LaunchSent = true
+	p.listed()
 	switch t.State {
 	case wire.TaskFetching:
-		p.ReportedState = reportedFetching
+		p.report(reportedFetching, now)
 	case wire.TaskWaiting:
-		p.ReportedState = reportedWaiting
+		p.report(reportedWaiting, now)
 		m.recordImage(mc, j.Image)
 	case wire.TaskRunning:
-		if p.ReportedState != reportedRunning {
-			p.ReportedState, p.RunningSince = reportedRunning, now
+		if p.report(reportedRunning, now) {
 			if !p.LaunchSentAt.IsZero() {
 				m.Observer.Running(now.Sub(p.LaunchSentAt).Seconds())
 			}
@@ -125,14 +124,12 @@
 		if now.Sub(p.RunningSince).Seconds() >= provenAfterSeconds {
 			m.clearFault(j)
 		}
-		if j.FirstRunAt.IsZero() {
-			j.FirstRunAt = now
+		if j.markStarted(now) {
 			m.log.Info("job started", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		}
-		j.GangStarted = true
 		m.recordImage(mc, j.Image)
 	case wire.TaskSaving:
-		p.ReportedState = reportedSaving
+		p.report(reportedSaving, now)
 	case wire.TaskExited:
 		m.applyExit(j, task, mc, p, t, now)
 	}
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -184,7 +184,7 @@
 		attempt, ok := attempts[j.Index]
 		if !ok {
 			if !j.Gang() || j.PlacedTasks == 0 {
-				j.LastAttempt++
+				j.nextAttempt()
 			}
 			attempt = j.LastAttempt
 			attempts[j.Index] = attempt
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -123,7 +123,7 @@
 		return taskStopping
 	case p.ReportedState >= reportedRunning:
 		return taskRunning
-	case p.LaunchSent || p.Inherited:
+	case p.mayBeOnMachine():
 		return taskStarting
 	}
 	return taskPlaced
--- a/cluster/stoppush.go
+++ b/cluster/stoppush.go
@@ -28,7 +28,7 @@
 		if mc.Addr == "" || !mc.alive {
 			continue
 		}
-		p.Stop.PushedAt = now
+		p.Stop.push(now)
 		d := byMachine[mc.Index]
 		if d == nil {
 			d = &Push{Machine: mc.Name, Addr: mc.Addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch}}
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -36,7 +36,7 @@
 // rememberExit records that an exit has been applied.
 func (m *Model) rememberExit(j *Job, task int32, mc *Machine, t *wire.TaskReport) {
 	n := int(task) / jobstore.ChunkSize
-	mc.reportedExits[exitKey{t.Task, t.Attempt}] = &reportedExit{job: j.Index, chunk: n, generation: j.Chunks[n].Generation}
+	mc.reportedExits[exitKey{t.Task, t.Attempt}] = &reportedExit{job: j.Index, chunk: n, generation: j.Chunks[n].generation}
 }
 
 // applyExit applies the end of a task's attempt that its worker has listed.
@@ -82,10 +82,10 @@
 		wait = 3 * time.Second
 		failed = t.Why
 	case wire.WhyAlone:
-		j.GangEnding = true
+		j.endGang()
 		wait = time.Second
 	case wire.WhyPeers, wire.WhyStopped:
-		j.GangEnding = true
+		j.endGang()
 		how = stopReason(p)
 	}
 	if t.Saved {
@@ -94,7 +94,7 @@
 		j.recordLostProgress(task, p, now)
 	}
 	m.removePlacement(j, task, now)
-	j.Tasks[task].NotBefore = now.Add(wait).UnixMilli()
+	j.Tasks[task].delayUntil(now.Add(wait))
 	m.finishOnlyAttempt(j, task, how, now)
 	m.rememberExit(j, task, mc, t)
 	m.quarantineFailedMove(ref, failed, now)
@@ -133,7 +133,7 @@
 		return
 	}
 	if j.PlacedTasks == 0 {
-		j.GangStarted, j.GangEnding = false, false
+		j.resetGang()
 		return
 	}
 	stopping := false
@@ -147,7 +147,7 @@
 	if stopping || !j.GangStarted && !j.GangEnding && !j.failures.atFault() {
 		return
 	}
-	m.stopAllTasks(j, 0, StopGangIncomplete, now)
+	m.stopGang(j, 0, StopGangIncomplete, now)
 }
 
 func (m *Model) avoidMachine(j *Job, mc *Machine, until time.Time) {
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -3,24 +3,16 @@
 import (
 	"slices"
 	"time"
-
-	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// This file books tasks on machines, and takes them off.
+// This file places tasks on machines, stops them there and removes their placements, and
+// keeps what machines and teams use consistent with that.
 
-// placeTask books a task on a machine; it is launched once that is committed.
+// placeTask places a task on a machine. It is launched once that is committed.
 func (m *Model) placeTask(j *Job, task int32, mc *Machine, attempt uint64, now time.Time) {
-	t := &j.Tasks[task]
-	t.Phase = TaskPlaced
-	t.Placement = &Placement{Machine: mc.Index, Attempt: attempt, PlacedAt: now, machineName: mc.Name}
+	j.placeTask(task, mc.Zone, &Placement{Machine: mc.Index, Attempt: attempt, PlacedAt: now, machineName: mc.Name})
 	mc.bookTask(TaskRef{Job: j.Index, Task: task}, j.Need)
 	m.directCommands.addLaunch(TaskRef{Job: j.Index, Task: task})
-	j.PlacedTasks++
-	j.Chunks[int(task)/jobstore.ChunkSize].PlacedTasks++
-	if mc.Zone >= 0 {
-		j.PlacedByZone[mc.Zone]++
-	}
 	if j.Team >= 0 {
 		m.teams[j.Team].Used = m.teams[j.Team].Used.Add(j.Need, 1)
 	}
@@ -35,32 +27,20 @@
 	return nil
 }
 
-// removePlacement takes in that a task is certainly on no machine.
+// removePlacement applies the proof that a task is on no machine.
 func (m *Model) removePlacement(j *Job, task int32, now time.Time) {
-	t := &j.Tasks[task]
-	p := t.Placement
-	mc := m.Machines[p.Machine]
+	mc := m.Machines[j.Tasks[task].Placement.Machine]
 	ref := TaskRef{Job: j.Index, Task: task}
-	t.Placement, t.Phase = nil, TaskIdle
+	j.unplaceTask(task, mc.Zone)
 	m.PlacesFreed++
 	mc.releaseTask(ref, j.Need, now)
-	j.PlacedTasks--
-	if j.PlacedTasks == 0 {
-		j.GangStarted, j.GangEnding = false, false
-	}
-	j.Chunks[int(task)/jobstore.ChunkSize].PlacedTasks--
-	if mc.Zone >= 0 {
-		j.PlacedByZone[mc.Zone]--
-	}
 	if j.Team >= 0 {
 		m.teams[j.Team].Used = m.teams[j.Team].Used.Add(j.Need, -1)
 	}
-	if j.cursor > int(task) {
-		j.cursor = int(task)
-	}
 	m.writes.changeChunk(j, task)
 }
 
+// markDone records that a task is done, and what its job teaches once all its tasks are.
 func (m *Model) markDone(j *Job, task int32, now time.Time) {
 	t := &j.Tasks[task]
 	if t.Phase == TaskDone {
@@ -69,8 +49,7 @@
 	if t.Placement != nil {
 		m.removePlacement(j, task, now)
 	}
-	t.Phase = TaskDone
-	j.DoneTasks++
+	j.completeTask(task)
 	m.writes.changeChunk(j, task)
 	if j.DoneTasks == len(j.Tasks) {
 		m.learnFromJob(j)
@@ -79,31 +58,30 @@
 	}
 }
 
-// stopPlacedTask orders a task to stop, or takes it back if its launch never left.
+// stopPlacedTask orders a task to stop, or removes its placement if it was never launched.
 func (m *Model) stopPlacedTask(j *Job, task int32, grace float64, why StopReason, now time.Time) {
 	t := &j.Tasks[task]
 	p := t.Placement
 	if p == nil {
 		return
 	}
-	if !p.LaunchSent && !p.Inherited {
+	if !p.mayBeOnMachine() {
 		m.removePlacement(j, task, now)
 		m.finishOnlyAttempt(j, task, endForStop(why), now)
 		return
 	}
-	if p.Stop != nil && p.Stop.Grace <= grace {
+	if !p.orderStop(grace, why, now) {
 		return
 	}
-	p.Stop = &StopOrder{Grace: grace, Reason: why, OrderedAt: now}
 	if j.reservation != nil {
-		m.writes.changeChunk(j, task) // its door tells that it is leaving
+		m.writes.changeChunk(j, task) // the record of a reserved task shows that it is stopping
 	}
 	m.directCommands.addStop(TaskRef{Job: j.Index, Task: task})
 }
 
-// stopAllTasks orders all placed tasks of a job to stop.
-func (m *Model) stopAllTasks(j *Job, grace float64, why StopReason, now time.Time) {
-	j.GangEnding = j.Gang()
+// stopGang orders all placed tasks of a gang to stop.
+func (m *Model) stopGang(j *Job, grace float64, why StopReason, now time.Time) {
+	j.endGang()
 	for i := range j.Tasks {
 		if j.Tasks[i].Placement != nil {
 			m.stopPlacedTask(j, int32(i), grace, why, now)
@@ -125,7 +103,7 @@
 	}
 	m.log.Info("stopping task", "job", j.ID, "task", ref.Task, "why", why, "machine", m.Machines[j.Tasks[ref.Task].Placement.Machine].Name)
 	if j.Gang() {
-		m.stopAllTasks(j, grace, why, now)
+		m.stopGang(j, grace, why, now)
 		return
 	}
 	m.stopPlacedTask(j, ref.Task, grace, why, now)
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -29,16 +29,16 @@
 	called := map[int32]bool{}
 	m.directCommands.filterLaunches(func(ref TaskRef) bool {
 		p := m.placementAt(ref)
-		if p == nil || p.LaunchSent || p.Inherited || p.Stop != nil {
+		if p == nil || p.mayBeOnMachine() || p.Stop != nil {
 			return false
 		}
 		j, mc := m.Jobs[ref.Job], m.Machines[p.Machine]
 		if called[mc.Index] {
-			p.WokenAt = now // one wake-up serves all launches of its machine
+			p.wake(now) // one wake-up serves all launches of its machine
 			return true
 		}
 		if len(out) < most && mc.canBeWoken() && now.Sub(p.WokenAt) >= wakeUpRetry && launchable(j, ref.Task) {
-			p.WokenAt = now
+			p.wake(now)
 			called[mc.Index] = true
 			out = append(out, m.wakeUp(mc, j, p.Attempt))
 		}
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -46,11 +46,10 @@
 
 // changeChunk records that the chunk which a task belongs to has changed.
 func (w *writeBehind) changeChunk(j *Job, task int32) *Chunk {
-	n := int(task) / jobstore.ChunkSize
-	c := &j.Chunks[n]
-	c.Generation++
+	c := j.chunkOf(task)
+	c.change()
 	if c.page == nil {
-		w.placementPages.assign(j, n)
+		w.placementPages.assign(j, int(task)/jobstore.ChunkSize)
 	}
 	c.page.generation++
 	w.markJob(j)
@@ -60,9 +59,7 @@
 // recordPlacement records that a task has been placed. It may be launched once the chunk is
 // committed in this generation.
 func (w *writeBehind) recordPlacement(j *Job, task int32) {
-	c := w.changeChunk(j, task)
-	c.PlacedGen = c.Generation
-	j.Tasks[task].Placement.chunkGeneration = c.Generation
+	w.changeChunk(j, task).recordPlacement(j.Tasks[task].Placement)
 }
 
 // writeLimits are what the key-value store accepts.
@@ -186,7 +183,7 @@
 	b.jobs[jobstore.JobKey(j.ID)] = j
 	b.bytes += finalRecordBytes
 	b.commitHooks = append(b.commitHooks, func(_ uint64, now time.Time) {
-		j.Finished = true
+		j.finish()
 		m.log.Info("job completed", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		m.dropJob(j)
 	})
--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -94,7 +94,7 @@
 					continue
 				}
 				chunk := &job.Chunks[i/jobstore.ChunkSize]
-				attempt := placedAttempt{attemptKey{wire.TaskName(job.ID, i), placement.Attempt}, placement, chunk.CommittedGen >= chunk.PlacedGen}
+				attempt := placedAttempt{attemptKey{wire.TaskName(job.ID, i), placement.Attempt}, placement, !chunk.HasNewPlacements()}
 				if !yield(attempt) {
 					return
 				}
