--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -246,7 +246,7 @@
 			if i == lost {
 				continue
 			}
-			v := getOverview(t, w, i).Fleet.Nights
+			v := getOverview(t, w, i).Cluster.BatchWindows
 			if len(v) != 2 || v[0].Region != "here" || v[0].Stale || v[0].Windows[0].DeadlineMs != n[0].DeadlineMs || v[0].Windows[0].Completed != 1 || len(v[1].Windows) > 0 {
 				t.Errorf("node %d shows %+v", i, v)
 			}
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -42,7 +42,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), 3500*time.Millisecond)
 	defer cancel()
 	if err := n.heartbeatLimiter.Acquire(ctx, n.workerLeaseLeft(who.Machine, -1)); err != nil {
-		n.metrics.Refused("too many reports")
+		n.metrics.CountRefusal("too many reports")
 		w.Header().Set("Connection", "close")
 		writeError(w, http.StatusServiceUnavailable, "too many reports under way", 1)
 		return
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -242,7 +242,7 @@
 		fillMachines(t, w, 1)
 		at, other := -1, -1
 		for i := range w.Nodes() {
-			if getOverview(t, w, i).Reports.Served > 0 {
+			if getOverview(t, w, i).Heartbeats.WorkersServed > 0 {
 				at = i
 			} else {
 				other = i
@@ -258,7 +258,7 @@
 				t.Fatalf("copy %d was answered %d", i, status)
 			}
 		}
-		if n := getOverview(t, w, other).Reports.Served; n != 0 {
+		if n := getOverview(t, w, other).Heartbeats.WorkersServed; n != 0 {
 			t.Errorf("%d workers count as answered at a node that only had copies", n)
 		}
 	})
--- a/controller/node.go
+++ b/controller/node.go
@@ -92,8 +92,8 @@
 	loadedPlan       atomic.Pointer[cluster.Plan]   // the operators'; nil before it is read
 	cachedPriorities atomic.Pointer[planPriorities] // derived from loadedPlan
 
-	metrics      *metrics.Set      // nil unless the operators' address is set
-	recentErrors *metrics.Troubles // nil likewise
+	metrics      *metrics.Set          // nil unless the operators' address is set
+	recentErrors *metrics.RecentErrors // nil likewise
 
 	yarn         *yarn.Frontend // nil unless YARN clients are served
 	yarnSettings *yarn.Settings
--- a/controller/node_metrics.go
+++ b/controller/node_metrics.go
@@ -18,7 +18,7 @@
 	if n.tuning.Metrics.Listen == "" {
 		return
 	}
-	n.recentErrors = metrics.NewTroubles(n.log.Handler())
+	n.recentErrors = metrics.NewRecentErrors(n.log.Handler())
 	n.log = slog.New(n.recentErrors)
 	n.metrics = metrics.New(n.cfg.Node)
 	n.registerConnectionMetrics(n.metrics)
@@ -35,11 +35,11 @@
 		"connections_workers": admission.KindWorker,
 		"connections_other":   admission.KindUnknown,
 	} {
-		m.Gauge(name, "Open connections.", func() float64 { return float64(n.connLimiter.Count(kind)) })
+		m.RegisterGauge(name, "Open connections.", func() float64 { return float64(n.connLimiter.Count(kind)) })
 	}
-	m.Counter("connections_closed_total", "Connections closed for want of room.", func() float64 { return float64(n.connLimiter.Rejected()) })
-	m.Counter("reports_shed_total", "Reports turned away for want of room.", func() float64 { return float64(n.heartbeatLimiter.Rejected()) })
-	m.Gauge("reports_waiting", "Reports that wait for their turn.", func() float64 { return float64(n.heartbeatLimiter.Waiting()) })
+	m.RegisterCounter("connections_closed_total", "Connections closed for want of room.", func() float64 { return float64(n.connLimiter.Rejected()) })
+	m.RegisterCounter("reports_shed_total", "Reports turned away for want of room.", func() float64 { return float64(n.heartbeatLimiter.Rejected()) })
+	m.RegisterGauge("reports_waiting", "Reports that wait for their turn.", func() float64 { return float64(n.heartbeatLimiter.Waiting()) })
 }
 
 // registerForwardingMetrics registers what this node does with heartbeats while another
@@ -50,7 +50,7 @@
 		"reports_pass_failed_total": func(c forwardingCounts) uint64 { return c.failed },
 		"workers_moved_total":       func(c forwardingCounts) uint64 { return c.redirected },
 	} {
-		m.Counter(name, "Of workers that report here while another node leads.", func() float64 {
+		m.RegisterCounter(name, "Of workers that report here while another node leads.", func() float64 {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			return float64(read(n.forwarding))
@@ -60,15 +60,15 @@
 
 // registerLeaderMetrics registers whether this node leads, and the lease that ends first.
 func (n *Node) registerLeaderMetrics(m *metrics.Set) {
-	m.Gauge("leading", "1 while this node leads and is sure of it.", func() float64 {
+	m.RegisterGauge("leading", "1 while this node leads and is sure of it.", func() float64 {
 		if n.isLeader() {
 			return 1
 		}
 		return 0
 	})
-	m.Gauge("least_lease_left_seconds", "Of the worker whose lease is nearest its end; the leader's.", func() float64 {
+	m.RegisterGauge("least_lease_left_seconds", "Of the worker whose lease is nearest its end; the leader's.", func() float64 {
 		if f := n.fleetView(time.Now()); f != nil {
-			return f.LeaseLeftS
+			return f.LeastLeaseLeftSeconds
 		}
 		return 0
 	})
@@ -77,16 +77,16 @@
 // registerWarmPoolMetrics registers sums over all warm pools; each pool by itself is in
 // the overview.
 func (n *Node) registerWarmPoolMetrics(m *metrics.Set) {
-	for name, read := range map[string]func(metrics.Pool) float64{
-		"pool_machines_wanted":  func(p metrics.Pool) float64 { return float64(p.Aim) },
-		"pool_machines_held":    func(p metrics.Pool) float64 { return float64(p.Held) },
-		"pool_machines_warm":    func(p metrics.Pool) float64 { return float64(p.Warm) },
-		"pool_machines_filling": func(p metrics.Pool) float64 { return float64(p.Filling) },
-		"pool_hits":             func(p metrics.Pool) float64 { return float64(p.Hits) },
-		"pool_misses":           func(p metrics.Pool) float64 { return float64(p.Misses) },
-		"pool_ceded":            func(p metrics.Pool) float64 { return float64(p.Ceded) },
+	for name, read := range map[string]func(metrics.WarmPool) float64{
+		"pool_machines_wanted":  func(p metrics.WarmPool) float64 { return float64(p.Target) },
+		"pool_machines_held":    func(p metrics.WarmPool) float64 { return float64(p.Held) },
+		"pool_machines_warm":    func(p metrics.WarmPool) float64 { return float64(p.Warm) },
+		"pool_machines_filling": func(p metrics.WarmPool) float64 { return float64(p.Fetching) },
+		"pool_hits":             func(p metrics.WarmPool) float64 { return float64(p.Hits) },
+		"pool_misses":           func(p metrics.WarmPool) float64 { return float64(p.Misses) },
+		"pool_ceded":            func(p metrics.WarmPool) float64 { return float64(p.Preemptions) },
 	} {
-		m.Gauge(name, "Of all warm pools together; the leader's.", func() float64 {
+		m.RegisterGauge(name, "Of all warm pools together; the leader's.", func() float64 {
 			sum := 0.0
 			if f := n.fleetView(time.Now()); f != nil {
 				for _, p := range f.Pools {
@@ -130,7 +130,7 @@
 			return count
 		},
 	} {
-		m.Gauge(name, "Of the calendar's regions together; the leader's. Of past nights, the last of each region are counted.", func() (sum float64) {
+		m.RegisterGauge(name, "Of the calendar's regions together; the leader's. Of past nights, the last of each region are counted.", func() (sum float64) {
 			views := n.batchWindows(time.Now())
 			for i := range views {
 				sum += read(&views[i])
@@ -143,9 +143,9 @@
 // latencyMetrics passes the model's latencies on to the metrics.
 type latencyMetrics struct{ *metrics.Set }
 
-func (t latencyMetrics) Placed(s float64)   { t.Took(metrics.Placed, s) }
-func (t latencyMetrics) Launched(s float64) { t.Took(metrics.Launched, s) }
-func (t latencyMetrics) Running(s float64)  { t.Took(metrics.Running, s) }
+func (t latencyMetrics) Placed(s float64)   { t.ObserveStep(metrics.StepPlaced, s) }
+func (t latencyMetrics) Launched(s float64) { t.ObserveStep(metrics.StepLaunched, s) }
+func (t latencyMetrics) Running(s float64)  { t.ObserveStep(metrics.StepRunning, s) }
 
 // onLeaderChange is called when another leader is seen, or none, and when this node has
 // become sure that it leads.
@@ -156,7 +156,7 @@
 	n.lastSeenLeader = leader
 	n.mu.Unlock()
 	if changed {
-		n.metrics.LeaderChanged()
+		n.metrics.CountLeaderChange()
 	}
 	n.broadcastLeaderChange()
 }
--- a/controller/operator_plan_test.go
+++ b/controller/operator_plan_test.go
@@ -19,9 +19,9 @@
 		o := getOverview(t, w, i)
 		if !scenario.Eventually(30*time.Second, 500*time.Millisecond, func() bool {
 			o = getOverview(t, w, i)
-			return o.Orders != nil && o.Orders.Version == version && !o.Orders.Lost
+			return o.Plan != nil && o.Plan.Version == version && !o.Plan.Unreadable
 		}) {
-			t.Fatalf("node %d knows %+v, not version %d", i, o.Orders, version)
+			t.Fatalf("node %d knows %+v, not version %d", i, o.Plan, version)
 		}
 	}
 }
@@ -106,8 +106,8 @@
 		if len(w.MachinesRunning("wk-000002/0"))+len(w.MachinesRunning("wk-000002/1")) > 0 || w.Started() > 2 {
 			t.Errorf("%d tasks were started by a plan that nobody can read", w.Started())
 		}
-		if o := getOverview(t, w, 0); o.Orders == nil || !o.Orders.Lost {
-			t.Errorf("status says %+v", o.Orders)
+		if o := getOverview(t, w, 0); o.Plan == nil || !o.Plan.Unreadable {
+			t.Errorf("status says %+v", o.Plan)
 		}
 		applyPlan(t, w, 1, `note = "two"`)
 		mustFinish(t, w, 2*time.Minute, 2)
@@ -122,8 +122,8 @@
 		if _, err := scenario.TryPlan(w, 0, `note = "one"`, time.Minute); !errors.Is(err, jobstore.ErrPlanUnsupported) {
 			t.Fatalf("with a node that reads no plans: %v", err)
 		}
-		if o := getOverview(t, w, 0); o.Orders != nil {
-			t.Fatalf("refused, and known: %+v", o.Orders)
+		if o := getOverview(t, w, 0); o.Plan != nil {
+			t.Fatalf("refused, and known: %+v", o.Plan)
 		}
 		w.KillNode(2)
 		w.UpgradeSchema(2)
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -47,7 +47,7 @@
 func (n *Node) clusterOverview(ctx context.Context) metrics.Overview {
 	now := time.Now()
 	o := n.localOverview(now)
-	if o.Fleet != nil {
+	if o.Cluster != nil {
 		return o
 	}
 	leader := n.peerNamed(n.elector.Leader())
@@ -57,39 +57,39 @@
 	encoded, err := leader.Overview(ctx)
 	var theirs metrics.Overview
 	if err == nil && json.Unmarshal(encoded, &theirs) == nil {
-		o.Fleet, o.Plan = theirs.Fleet, theirs.Plan
+		o.Cluster, o.Routing = theirs.Cluster, theirs.Routing
 	}
 	return o
 }
 
 // localOverview returns what this node knows by itself.
 func (n *Node) localOverview(now time.Time) metrics.Overview {
-	o := metrics.Overview{At: now, Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.ready(), StateServed: n.kvReachable(),
-		Leader: n.elector.Leader(), Troubles: n.recentErrors.Last(), Fleet: n.fleetView(now)}
+	o := metrics.Overview{At: now, Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.ready(), StoreReachable: n.kvReachable(),
+		Leader: n.elector.Leader(), RecentErrors: n.recentErrors.List(), Cluster: n.fleetView(now)}
 	if l := n.connLimiter; l != nil {
 		o.Connections = metrics.Connections{Users: l.Count(admission.KindUser), Workers: l.Count(admission.KindWorker),
-			Other: l.Count(admission.KindUnknown), Most: n.cfg.Cluster.Limits.Sockets, Closed: l.Rejected()}
+			Other: l.Count(admission.KindUnknown), Limit: n.cfg.Cluster.Limits.Sockets, ClosedOverLimit: l.Rejected()}
 	}
 	n.mu.Lock()
 	c := n.forwarding
 	n.mu.Unlock()
-	o.Reports = metrics.Reports{Passed: c.forwarded, Failed: c.failed, Moved: c.redirected, Waiting: n.heartbeatLimiter.Waiting(),
-		Refused: n.heartbeatLimiter.Rejected(), Served: n.lastAnswered.CountWithin(now, config.Seconds(n.cfg.Cluster.Workers.LeaseS))}
+	o.Heartbeats = metrics.Heartbeats{Forwarded: c.forwarded, Failed: c.failed, Redirected: c.redirected, Waiting: n.heartbeatLimiter.Waiting(),
+		Refused: n.heartbeatLimiter.Rejected(), WorkersServed: n.lastAnswered.CountWithin(now, config.Seconds(n.cfg.Cluster.Workers.LeaseS))}
 	if p := n.operatorPlan(); p.HeadVersion > 0 {
-		o.Orders = &metrics.Orders{Version: p.Number, Lost: p.Unreadable}
+		o.Plan = &metrics.PlanVersion{Version: p.Number, Unreadable: p.Unreadable}
 	}
-	if o.Fleet != nil {
-		o.Fleet.Nights = n.batchWindows(now)
+	if o.Cluster != nil {
+		o.Cluster.BatchWindows = n.batchWindows(now)
 	}
 	if p := n.currentRoutingPlan(o.Leader); p != nil {
-		o.Plan = routingPlanView(&p.Plan)
+		o.Routing = routingPlanView(&p.Plan)
 	}
 	return o
 }
 
 // routingPlanView returns the routing plan as operators are shown it.
-func routingPlanView(p *routing.Plan) *metrics.Plan {
-	out := &metrics.Plan{Workers: p.Workers, Direct: p.Direct}
+func routingPlanView(p *routing.Plan) *metrics.Routing {
+	out := &metrics.Routing{Workers: p.Workers, Direct: p.Direct}
 	for _, r := range p.Relays {
 		out.Relays = append(out.Relays, r.Name)
 	}
@@ -97,7 +97,7 @@
 }
 
 // fleetView returns the cluster as the leader sees it, nil unless this node leads.
-func (n *Node) fleetView(now time.Time) *metrics.Fleet {
+func (n *Node) fleetView(now time.Time) *metrics.Cluster {
 	l := n.activeLeadership()
 	if l == nil {
 		return nil
@@ -109,11 +109,11 @@
 	for _, job := range s.Starved {
 		starved = append(starved, metrics.StarvedJob(job))
 	}
-	return &metrics.Fleet{
-		Unbegun: starved, UnbegunAll: s.StarvedTotal,
-		Node: n.cfg.Node, Token: l.lease.FencingToken, Since: l.lease.ElectedAt, Sure: l.lease.Valid(),
-		Machines: s.Machines, Tasks: s.Tasks, Jobs: s.Jobs, Late: s.PastDeadline, LongestS: s.LongestWait,
-		LeaseLeftS: s.LeaseLeft, Departures: s.PriorityInversions, Pools: warmPoolViews(s.Pools),
+	return &metrics.Cluster{
+		StarvedJobs: starved, StarvedJobCount: s.StarvedTotal,
+		Node: n.cfg.Node, FencingToken: l.lease.FencingToken, LeaderSince: l.lease.ElectedAt, LeaseValid: l.lease.Valid(),
+		Machines: s.Machines, Tasks: s.Tasks, Jobs: s.Jobs, LateJobs: s.PastDeadline, LongestWaitSeconds: s.LongestWait,
+		LeastLeaseLeftSeconds: s.LeaseLeft, PriorityInversions: s.PriorityInversions, Pools: warmPoolViews(s.Pools),
 	}
 }
 
@@ -127,15 +127,15 @@
 }
 
 // warmPoolViews returns the warm pools as operators are shown them.
-func warmPoolViews(from []cluster.PoolSnapshot) []metrics.Pool {
-	var out []metrics.Pool
+func warmPoolViews(from []cluster.PoolSnapshot) []metrics.WarmPool {
+	var out []metrics.WarmPool
 	for _, p := range from {
 		cost := map[string]float64{}
 		for t, c := range p.Teams {
 			cost[t] = float64(c.Micros) / microsPerUnit
 		}
-		out = append(out, metrics.Pool{Name: p.Name, Aim: p.Target, Held: p.Held, Warm: p.Warm, Filling: p.Fetching, Hits: p.Hits,
-			Misses: p.Misses, Ceded: p.Preemptions, Limited: p.CostLimited, Refused: p.FetchRefused, Cost: cost})
+		out = append(out, metrics.WarmPool{Name: p.Name, Target: p.Target, Held: p.Held, Warm: p.Warm, Fetching: p.Fetching, Hits: p.Hits,
+			Misses: p.Misses, Preemptions: p.Preemptions, CostLimited: p.CostLimited, FetchRefused: p.FetchRefused, Cost: cost})
 	}
 	return out
 }
--- a/controller/operators_test.go
+++ b/controller/operators_test.go
@@ -46,11 +46,11 @@
 		leader := w.Leader()
 		for i := range w.Nodes() {
 			o := getOverview(t, w, i)
-			f := o.Fleet
-			if f == nil || f.Node != w.Nodes()[leader] || !f.Sure || f.Machines["up"] < 4 || f.Tasks["running"] != w.Running() || f.Jobs != 2 {
+			f := o.Cluster
+			if f == nil || f.Node != w.Nodes()[leader] || !f.LeaseValid || f.Machines["up"] < 4 || f.Tasks["running"] != w.Running() || f.Jobs != 2 {
 				t.Fatalf("node %d: %+v, %+v", i, o, f)
 			}
-			if o.Leader != w.Nodes()[leader] || !o.Ready || f.LeaseLeftS <= 0 {
+			if o.Leader != w.Nodes()[leader] || !o.Ready || f.LeastLeaseLeftSeconds <= 0 {
 				t.Errorf("node %d: %+v", i, o)
 			}
 		}
@@ -64,15 +64,15 @@
 		w.KillNode(leader)
 		time.Sleep(15 * time.Second)
 		o := getOverview(t, w, (leader+1)%3)
-		if o.Fleet != nil || o.StateServed {
-			t.Errorf("shown without a leader: %+v", o.Fleet)
+		if o.Cluster != nil || o.StoreReachable {
+			t.Errorf("shown without a leader: %+v", o.Cluster)
 		}
 		told := false
-		for _, tr := range o.Troubles {
+		for _, tr := range o.RecentErrors {
 			told = told || strings.Contains(tr.Text, "key-value store unreachable")
 		}
 		if !told {
-			t.Errorf("its last troubles are %v", o.Troubles)
+			t.Errorf("its last troubles are %v", o.RecentErrors)
 		}
 		var b strings.Builder
 		if err := o.Print(&b); err != nil || !strings.Contains(b.String(), "no leader has answered") {
--- a/controller/polls.go
+++ b/controller/polls.go
@@ -36,7 +36,7 @@
 	err := n.pollLimiter.Acquire(queued, n.pollTurns.Priority(id, now))
 	done()
 	if err != nil {
-		n.metrics.Refused("too many users' polls")
+		n.metrics.CountRefusal("too many users' polls")
 		writeError(w, http.StatusTooManyRequests, "too many polls under way", n.pollTurns.RetryAfterS(id, now))
 		return
 	}
--- a/controller/priorities_test.go
+++ b/controller/priorities_test.go
@@ -386,7 +386,7 @@
 		t.Logf("%d of %d began, the last after %v", len(began), len(came), worst)
 		time.Sleep(40 * time.Second) // the last node that was killed is back, and one leads
 		counted := uint64(0)
-		for _, o := range getOverview(t, w, w.Leader()).Fleet.Departures {
+		for _, o := range getOverview(t, w, w.Leader()).Cluster.PriorityInversions {
 			counted += o
 		}
 		if len(began) < 12 || counted < uint64(len(began))/2 {
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -88,7 +88,7 @@
 	// Passes take longer in larger clusters. A delay in proportion leaves most of the
 	// CPU time to heartbeats, lease renewals and users' requests.
 	took := time.Since(now)
-	l.node.metrics.Pass(took.Seconds())
+	l.node.metrics.ObserveSchedulingPass(took.Seconds())
 	result.delay = max(minPassDelay+time.Duration(len(l.model.Machines))*passDelayPerMachine, passIdleFactor*took)
 	return result, true
 }
--- a/controller/users.go
+++ b/controller/users.go
@@ -74,7 +74,7 @@
 	case n.userSlots <- struct{}{}:
 		defer func() { <-n.userSlots }()
 	default:
-		n.metrics.Refused("too many users' requests")
+		n.metrics.CountRefusal("too many users' requests")
 		writeError(w, http.StatusTooManyRequests, "too many requests under way", limitRetryAfterS)
 		return
 	}
@@ -94,7 +94,7 @@
 	began := time.Now()
 	a := n.serveUserRequest(ctx, req)
 	if op == opSubmit && a.Status == http.StatusCreated {
-		n.metrics.Took(metrics.Accepted, time.Since(began).Seconds())
+		n.metrics.ObserveStep(metrics.StepAccepted, time.Since(began).Seconds())
 	}
 	n.countRefusal(op, a)
 	writeAnswer(w, a)
@@ -103,6 +103,6 @@
 // countRefusal counts answers that refuse a request; unknown ids are no refusals.
 func (n *Node) countRefusal(op string, a peerrpc.Answer) {
 	if a.Status >= http.StatusBadRequest && a.Status != http.StatusNotFound {
-		n.metrics.Refused(op + " " + strconv.Itoa(a.Status))
+		n.metrics.CountRefusal(op + " " + strconv.Itoa(a.Status))
 	}
 }
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -306,12 +306,12 @@
 // renamed there.
 func TestFaultsKeptForOperatorsAreLogged(t *testing.T) {
 	s := readSources(t)
-	if len(s.troubles) < 10 {
-		t.Errorf("%d messages in metrics.troubleMessages, want 10 at least", len(s.troubles))
+	if len(s.notable) < 10 {
+		t.Errorf("%d messages in metrics.notableMessages, want 10 at least", len(s.notable))
 	}
-	for _, message := range s.troubles {
+	for _, message := range s.notable {
 		if !s.logged[message] {
-			t.Errorf("metrics.troubleMessages: nothing logs %q", message)
+			t.Errorf("metrics.notableMessages: nothing logs %q", message)
 		}
 	}
 }
--- a/docs/sources_test.go
+++ b/docs/sources_test.go
@@ -27,7 +27,7 @@
 	tests    map[string][]string        // test functions, with the packages that have them
 	literals map[string]bool            // string literals outside tests
 	logged   map[string]bool            // messages of log calls outside tests
-	troubles []string                   // the messages that package metrics keeps for operators
+	notable  []string                   // the messages that package metrics keeps for operators
 }
 
 // readSources parses every Go file of the module once.
@@ -153,7 +153,7 @@
 	case *ast.ValueSpec:
 		for i, name := range spec.Names {
 			s.names[dir+"."+name.Name] = true
-			if dir+"."+name.Name == "metrics.troubleMessages" && i < len(spec.Values) {
+			if dir+"."+name.Name == "metrics.notableMessages" && i < len(spec.Values) {
 				s.addTroubles(spec.Values[i])
 			}
 		}
@@ -184,7 +184,7 @@
 	}
 	for _, element := range composite.Elts {
 		if message, ok := literal(element); ok {
-			s.troubles = append(s.troubles, message)
+			s.notable = append(s.notable, message)
 		}
 	}
 }
--- a/metrics/overview_test.go
+++ b/metrics/overview_test.go
@@ -10,7 +10,7 @@
 
 // Operators' programs read the overview as JSON, and operators as a table; nodes of
 // different versions show one another theirs.
-func TestTheOverviewKeepsItsForm(t *testing.T) {
+func TestOverviewFormatsAreStable(t *testing.T) {
 	f := golden.Open(t, "overview.golden")
 	shown := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}
 	o := golden.Hold[Overview](f, "JSON", shown)
--- a/metrics/troubles.go
+++ b/metrics/recent_errors.go
@@ -10,13 +10,13 @@
 )
 
 // Trouble is a line of the log that an operator would want to see again.
-type Trouble struct {
+type RecentError struct {
 	At   time.Time `json:"at"`
 	Text string    `json:"text"`
 }
 
 // troubleMessages are the messages that count; errors always do.
-var troubleMessages = []string{
+var notableMessages = []string{
 	"process stalled", "machine lease expired", "no heartbeats reach this leader, resigning",
 	"key-value store unreachable, retrying", "key-value store reachable again", "leader unresponsive",
 	"leader responsive again", "leadership ended", "elected", "job fails everywhere", "machine suspected",
@@ -24,32 +24,34 @@
 	"records not loaded, retrying", "watch fell behind, resigning",
 }
 
-const troublesKept = 64
+const maxRecentErrors = 64
 
 // Troubles is a log handler that passes everything on and keeps the last
 // troubles.
-type Troubles struct {
+type RecentErrors struct {
 	slog.Handler
-	kept  *kept
-	attrs []slog.Attr
+	buffer *errorBuffer
+	attrs  []slog.Attr
 }
 
-type kept struct {
-	mu   sync.Mutex
-	last []Trouble
+type errorBuffer struct {
+	mu      sync.Mutex
+	entries []RecentError
 }
 
 // NewTroubles wraps a handler.
-func NewTroubles(h slog.Handler) *Troubles { return &Troubles{Handler: h, kept: &kept{}} }
+func NewRecentErrors(h slog.Handler) *RecentErrors {
+	return &RecentErrors{Handler: h, buffer: &errorBuffer{}}
+}
 
 // Enabled keeps info lines coming where the log itself shows errors only.
-func (t *Troubles) Enabled(ctx context.Context, l slog.Level) bool {
+func (t *RecentErrors) Enabled(ctx context.Context, l slog.Level) bool {
 	return l >= slog.LevelInfo || t.Handler.Enabled(ctx, l)
 }
 
 // Handle implements slog.Handler.
-func (t *Troubles) Handle(ctx context.Context, r slog.Record) error {
-	if r.Level >= slog.LevelError || slices.Contains(troubleMessages, r.Message) {
+func (t *RecentErrors) Handle(ctx context.Context, r slog.Record) error {
+	if r.Level >= slog.LevelError || slices.Contains(notableMessages, r.Message) {
 		var b strings.Builder
 		b.WriteString(r.Message)
 		say := func(a slog.Attr) bool {
@@ -60,12 +62,12 @@
 			say(a)
 		}
 		r.Attrs(say)
-		t.kept.mu.Lock()
-		t.kept.last = append(t.kept.last, Trouble{At: r.Time, Text: b.String()})
-		if n := len(t.kept.last); n > troublesKept {
-			t.kept.last = slices.Clone(t.kept.last[n-troublesKept:])
+		t.buffer.mu.Lock()
+		t.buffer.entries = append(t.buffer.entries, RecentError{At: r.Time, Text: b.String()})
+		if n := len(t.buffer.entries); n > maxRecentErrors {
+			t.buffer.entries = slices.Clone(t.buffer.entries[n-maxRecentErrors:])
 		}
-		t.kept.mu.Unlock()
+		t.buffer.mu.Unlock()
 	}
 	if !t.Handler.Enabled(ctx, r.Level) {
 		return nil
@@ -74,21 +76,21 @@
 }
 
 // WithAttrs implements slog.Handler.
-func (t *Troubles) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &Troubles{Handler: t.Handler.WithAttrs(attrs), kept: t.kept, attrs: append(slices.Clone(t.attrs), attrs...)}
+func (t *RecentErrors) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &RecentErrors{Handler: t.Handler.WithAttrs(attrs), buffer: t.buffer, attrs: append(slices.Clone(t.attrs), attrs...)}
 }
 
 // WithGroup implements slog.Handler.
-func (t *Troubles) WithGroup(name string) slog.Handler {
-	return &Troubles{Handler: t.Handler.WithGroup(name), kept: t.kept, attrs: t.attrs}
+func (t *RecentErrors) WithGroup(name string) slog.Handler {
+	return &RecentErrors{Handler: t.Handler.WithGroup(name), buffer: t.buffer, attrs: t.attrs}
 }
 
 // Last is what was kept, oldest first.
-func (t *Troubles) Last() []Trouble {
+func (t *RecentErrors) List() []RecentError {
 	if t == nil {
 		return nil
 	}
-	t.kept.mu.Lock()
-	defer t.kept.mu.Unlock()
-	return slices.Clone(t.kept.last)
+	t.buffer.mu.Lock()
+	defer t.buffer.mu.Unlock()
+	return slices.Clone(t.buffer.entries)
 }
