--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"time"
 
 	"github.com/umberdeal/umberdeal/placement"
@@ -35,40 +36,46 @@
 // nearestShown bounds Explanation.Nearest.
 const nearestShown = 20
 
-// Explain says why a job is pending. It returns false if the model has no such job, which is
-// so for jobs that are over.
+// Explain returns why a job is pending. It returns false if the model has no such job, as for
+// jobs that are completed or cancelled.
 func (m *Model) Explain(id string, now time.Time) (Explanation, bool) {
 	j := m.Job(id)
 	if j == nil {
 		return Explanation{}, false
 	}
-	w := Explanation{ID: id, Tier: m.tiers.policy.TierName(j.tier), WaitedSeconds: now.Sub(j.AcceptedAt).Seconds(), Tasks: len(j.Tasks), Done: j.DoneTasks, Placed: j.PlacedTasks,
-		AheadByReason: map[string]int{}, Inversions: m.tiers.inversions.PassingOver(id)}
+	e := Explanation{
+		ID: id, Tier: m.tiers.policy.TierName(j.tier), WaitedSeconds: now.Sub(j.AcceptedAt).Seconds(),
+		Tasks: len(j.Tasks), Done: j.DoneTasks, Placed: j.PlacedTasks,
+		AheadByReason: map[string]int{}, Inversions: m.tiers.inversions.PassingOver(id),
+	}
 	jobs := m.openJobs()
-	line := m.buildQueue(jobs, m.jobsWithinQuota(jobs), now)
-	for i, k := range line {
-		if k.job != j {
+	queue := m.buildQueue(jobs, m.jobsWithinQuota(jobs), now)
+	// A job may have several requests; the first of them is explained.
+	position := slices.IndexFunc(queue, func(k *queued) bool { return k.job == j })
+	if position < 0 {
+		e.PendingReasons = outsideQueueReasons(j)
+		return e, true
+	}
+	e.PendingReasons = m.pendingReasons(queue[position])
+	m.explainPosition(&e, queue[:position], queue[position])
+	return e, true
+}
+
+// explainPosition adds the requests ahead of a request in the queue to its explanation.
+func (m *Model) explainPosition(e *Explanation, ahead []*queued, k *queued) {
+	for _, o := range slices.Backward(ahead) {
+		if o.job == k.job {
 			continue
 		}
-		w.PendingReasons = m.lacks(k)
-		for b := i - 1; b >= 0; b-- {
-			o := line[b]
-			if o.job == j {
-				continue
-			}
-			why := k.behindReason(o)
-			w.AheadByReason[why]++
-			if len(w.Nearest) < nearestShown {
-				w.Nearest = append(w.Nearest, JobAhead{o.job.ID, m.tiers.policy.TierName(o.job.tier), why})
-			}
+		reason := k.behindReason(o)
+		e.AheadByReason[reason]++
+		if len(e.Nearest) < nearestShown {
+			e.Nearest = append(e.Nearest, JobAhead{o.job.ID, m.tiers.policy.TierName(o.job.tier), reason})
 		}
-		return w, true // its part that is served first
 	}
-	w.PendingReasons = outsideQueueReasons(j)
-	return w, true
 }
 
-// behindReason says why another request is ahead of this one in the queue.
+// behindReason returns why another request is ahead of this one in the queue.
 func (k *queued) behindReason(o *queued) string {
 	switch {
 	case k.req.FreeRoomOnly:
@@ -95,8 +102,8 @@
 	return "due sooner"
 }
 
-// lacks lists what a request in the queue waits for.
-func (m *Model) lacks(k *queued) (out []string) {
+// pendingReasons lists what a request in the queue waits for.
+func (m *Model) pendingReasons(k *queued) (out []string) {
 	r, j := &k.req, k.job
 	if n := placement.TasksWithinLimit(r, m.teams); n == 0 || r.Gang && n < len(r.Tasks) {
 		t := m.teams[r.Team]
@@ -119,7 +126,7 @@
 	return append(out, fmt.Sprintf("room for %d tasks of %g CPUs, %g GPUs and %g GB", len(r.Tasks), j.Need.CPU, j.Need.GPU, j.Need.Mem))
 }
 
-// outsideQueueReasons says why a job has no request in the queue.
+// outsideQueueReasons returns why a job has no request in the queue; nil if no task of it waits.
 func outsideQueueReasons(j *Job) []string {
 	switch {
 	case j.Cancelled:
--- a/cluster/gpu_machines.go
+++ b/cluster/gpu_machines.go
@@ -9,50 +9,54 @@
 
 // This file keeps machines with GPUs free for work that needs GPUs.
 
-// keepGPUMachinesFree keeps work that needs no GPU away from machines that have them
-// while other work waits for GPUs: jobs that no objective speaks of altogether, those
-// that no objective wants started soon as long as what waits is of no lower priority,
-// and the others as long as stopping such jobs elsewhere makes room for them.
-// Otherwise a guest's tasks take the machines without GPUs for minutes, and
-// everybody else's those with GPUs; and thousands of small tasks refill the CPUs
-// beside the GPUs one by one, so that a task which needs both never finds them.
-func (m *Model) keepGPUMachinesFree(out []*queued, jobs []*Job) {
-	gpus := slices.ContainsFunc(out, func(k *queued) bool { return k.job.Need.GPU > 0 })
-	plain := make([]bool, len(m.MachineTypes))
+// keepGPUMachinesFree keeps requests that need no GPU away from machines that have GPUs while
+// other requests wait for GPUs. Requests without an objective get no such machine. Neither do
+// those without an objective on the wait, as long as a request of the same or a higher priority
+// waits for GPUs. All others prefer other machines if tasks without an objective can be
+// preempted there.
+//
+// Otherwise tasks without an objective occupy the machines without GPUs for minutes, so that
+// all others need those with GPUs; and thousands of small tasks take the CPUs beside the GPUs
+// one at a time, so that a task that needs both never finds enough of them.
+func (m *Model) keepGPUMachinesFree(queue []*queued, jobs []*Job) {
+	gpusWanted := slices.ContainsFunc(queue, func(k *queued) bool { return k.job.Need.GPU > 0 })
+	withoutGPUs := make([]bool, len(m.MachineTypes))
 	for i := range m.MachineTypes {
-		plain[i] = m.MachineTypes[i].Capacity.GPU == 0
+		withoutGPUs[i] = m.MachineTypes[i].Capacity.GPU == 0
 	}
-	if !gpus || !slices.Contains(plain, true) {
+	if !gpusWanted || !slices.Contains(withoutGPUs, true) {
 		return
 	}
-	aimless := slices.ContainsFunc(jobs, func(j *Job) bool { return j.PlacedTasks > 0 && j.Need.GPU == 0 && !m.hasObjective(j) })
-	first := m.highestPriorityForGPUs(out)
-	for _, k := range out {
-		if k.job.Need.GPU > 0 || !slices.ContainsFunc(m.fittingTypes(k.job), func(ti int) bool { return plain[ti] }) {
+	preemptible := slices.ContainsFunc(jobs, func(j *Job) bool { return j.PlacedTasks > 0 && j.Need.GPU == 0 && !m.hasObjective(j) })
+	highest := m.highestPriorityForGPUs(queue)
+	for _, k := range queue {
+		if k.job.Need.GPU > 0 || !slices.ContainsFunc(m.fittingTypes(k.job), func(i int) bool { return withoutGPUs[i] }) {
 			continue
 		}
 		switch {
-		case !m.hasObjective(k.job) && !k.withinQuota, !k.withinQuota && !k.mustStart && k.job.Priority >= first && !m.hasWaitObjective(k.job):
-			k.req.Types = intersect(k.req.Types, plain)
-		case aimless:
-			k.req.PreferredTypes = intersect(k.req.Types, plain)
+		case !k.withinQuota && (!m.hasObjective(k.job) || !k.mustStart && k.job.Priority >= highest && !m.hasWaitObjective(k.job)):
+			k.req.Types = intersect(k.req.Types, withoutGPUs)
+		case preemptible:
+			k.req.PreferredTypes = intersect(k.req.Types, withoutGPUs)
 		}
 	}
 }
 
-// highestPriorityForGPUs is the highest priority, the lowest number, of what waits for GPUs and not
-// for its team's limit; above all of them if nothing does.
-func (m *Model) highestPriorityForGPUs(out []*queued) int {
-	first := math.MaxInt
-	for _, k := range out {
-		if k.job.Need.GPU > 0 && k.job.Priority < first && placement.TasksWithinLimit(&k.req, m.teams) > 0 {
-			first = k.job.Priority
+// highestPriorityForGPUs returns the highest priority, which is the lowest number, of the
+// requests that wait for GPUs and not for their team's limit. It returns a number above all
+// priorities if there are none.
+func (m *Model) highestPriorityForGPUs(queue []*queued) int {
+	highest := math.MaxInt
+	for _, k := range queue {
+		if k.job.Need.GPU > 0 && k.job.Priority < highest && placement.TasksWithinLimit(&k.req, m.teams) > 0 {
+			highest = k.job.Priority
 		}
 	}
-	return first
+	return highest
 }
 
-// fittingTypes lists the types on which a task of the job fits.
+// fittingTypes lists the machine types that the job allows and that have the capacity for one of
+// its tasks.
 func (m *Model) fittingTypes(j *Job) (out []int) {
 	for i := range m.MachineTypes {
 		if j.AllowedTypes[i] && j.Need.Fits(m.MachineTypes[i].Capacity) {
@@ -62,6 +66,7 @@
 	return out
 }
 
+// intersect returns the set of machine types that are in both sets.
 func intersect(a, b []bool) []bool {
 	out := make([]bool, len(a))
 	for i := range a {
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -41,7 +41,7 @@
 		if raw, ok := m.loadedPlanRecord(inversionRecordName); ok {
 			var rec priority.InversionLog
 			if err := wire.Unmarshal(raw, &rec); err != nil {
-				m.log.Error("the record of departures can't be read: they are counted anew", "err", err)
+				m.log.Error("unreadable priority inversion record, counting anew", "err", err)
 			} else {
 				m.tiers.inversions.Merge(rec)
 			}
@@ -291,21 +291,25 @@
 // recordInversions records the priority inversions of a pass. It must run before the pass's
 // placements are applied to the model, since it compares them with the state that the pass
 // decided on.
-func (m *Model) recordInversions(plan *placement.Plan, in *placement.Input, job []*Job, now time.Time) {
-	o := m.tiers.policy
-	if o == nil {
+func (m *Model) recordInversions(plan *placement.Plan, in *placement.Input, requestJobs []*Job, now time.Time) {
+	policy := m.tiers.policy
+	if policy == nil {
 		return
 	}
-	for _, d := range priority.FindInversions(in.Requests, m.teams, plan.Starts, in.Machines) {
-		low, high := job[d.Start.Request], job[d.PassedOver]
+	for _, inversion := range priority.FindInversions(in.Requests, m.teams, plan.Starts, in.Machines) {
+		started, passedOver := requestJobs[inversion.Start.Request], requestJobs[inversion.PassedOver]
+		reason := inversion.Reason
 		m.tiers.changed = true
-		m.Observer.PriorityInversion(o.TierName(high.tier), d.Reason.String())
-		m.tiers.inversions.Add(priority.InversionEvent{AtMs: now.UnixMilli(), Job: low.ID, Tier: o.TierName(low.tier), PassedOver: high.ID, PassedOverTier: o.TierName(high.tier), Reason: d.Reason.String()})
-		if d.Reason == priority.Unexplained {
-			m.log.Error("a lower tier was served first without a reason", "job", low.ID, "over", high.ID, "need", high.Need, "room", d.Start.FreeBefore)
+		m.Observer.PriorityInversion(policy.TierName(passedOver.tier), reason.String())
+		m.tiers.inversions.Add(priority.InversionEvent{
+			AtMs: now.UnixMilli(), Job: started.ID, Tier: policy.TierName(started.tier),
+			PassedOver: passedOver.ID, PassedOverTier: policy.TierName(passedOver.tier), Reason: reason.String(),
+		})
+		if reason == priority.Unexplained {
+			m.log.Error("unexplained priority inversion", "job", started.ID, "over", passedOver.ID, "need", passedOver.Need, "room", inversion.Start.FreeBefore)
 			continue
 		}
-		m.log.Debug("departure from the order", "job", low.ID, "over", high.ID, "reason", d.Reason)
+		m.log.Debug("priority inversion", "job", started.ID, "over", passedOver.ID, "reason", reason)
 	}
 	m.saveInversions(now)
 }
--- a/cluster/request.go
+++ b/cluster/request.go
@@ -8,6 +8,8 @@
 
 // This file turns the waiting tasks of a job into a request to package placement.
 
+// buildRequest makes the request for the tasks of a job that wait. It returns false if no task
+// may be placed now.
 func (m *Model) buildRequest(j *Job, now time.Time) (placement.Request, bool) {
 	r := placement.Request{
 		Job: j.Index, Gang: j.Gang(), Need: j.Need, Priority: j.Priority, Team: j.Team,
@@ -17,83 +19,86 @@
 	if j.Gang() && j.PlacedTasks > 0 && (j.GangStarted || j.GangEnding) {
 		return r, false
 	}
+	r.Tasks = j.placeableTasks(now)
+	if len(r.Tasks) == 0 || !j.constrainZones(&r) {
+		return r, false
+	}
+	r.Avoid = j.avoidedMachines(now)
+	m.applyMachineRestrictions(j, &r)
+	return r, true
+}
+
+// placeableTasks lists the waiting tasks that may be placed now, at most maxRequestTasks of an
+// array. It lists none of a gang of which a task has to wait.
+func (j *Job) placeableTasks(now time.Time) []int32 {
 	limit := maxRequestTasks
 	if j.Gang() {
 		limit = len(j.Tasks)
 	}
-	if limit = j.requestableTasks(limit, now); limit == 0 {
-		return r, false
+	limit = j.requestableTasks(limit, now)
+	if limit == 0 {
+		return nil
 	}
-	ms := now.UnixMilli()
 	for j.cursor < len(j.Tasks) && j.Tasks[j.cursor].Phase != TaskIdle {
 		j.cursor++
 	}
-	for i := j.cursor; i < len(j.Tasks) && len(r.Tasks) < limit; i++ {
-		t := &j.Tasks[i]
-		if t.Phase != TaskIdle {
-			continue
-		}
-		if t.NotBefore > ms {
-			if j.Gang() {
-				return r, false
-			}
-			continue
+	var tasks []int32
+	ms := now.UnixMilli()
+	for i := j.cursor; i < len(j.Tasks) && len(tasks) < limit; i++ {
+		switch t := &j.Tasks[i]; {
+		case t.Phase != TaskIdle:
+		case t.NotBefore <= ms:
+			tasks = append(tasks, int32(i))
+		case j.Gang():
+			return nil
 		}
-		r.Tasks = append(r.Tasks, int32(i))
 	}
-	if len(r.Tasks) == 0 {
-		return r, false
-	}
-	if !m.constrainZones(j, &r) {
-		return r, false
-	}
-	r.Avoid = j.avoidedMachines(now)
-	m.applyMachineRestrictions(j, &r)
-	return r, true
+	return tasks
 }
 
-// constrainZones says in which zones the request may be placed, given where the job's other
-// tasks may still be; false where that is not known yet.
-func (m *Model) constrainZones(j *Job, r *placement.Request) bool {
+// constrainZones restricts a request to the zones that the job's zone constraints allow, given
+// where its other tasks may still be. It returns false if the zone of one of them is not known
+// yet, which holds the request back.
+func (j *Job) constrainZones(r *placement.Request) bool {
 	if j.Spec.OneZone && r.Zone < 0 && j.PlacedTasks > 0 {
-		// Whatever may still be on a machine pins the others to its zone. A
-		// task recorded on a machine whose zone is not known yet pins them all.
-		known := 0
-		for z, n := range j.PlacedByZone {
-			known += n
-			if n > 0 {
-				r.Zone = z
+		for zone, tasks := range j.PlacedByZone {
+			if tasks > 0 {
+				r.Zone = zone
 			}
 		}
-		if known < j.PlacedTasks {
+		if !j.knowsZones() {
 			return false
 		}
 	}
 	if j.Spec.Spread {
 		r.MaxPerZone = (len(j.Tasks) + 1) / 2
-		known := 0
-		for _, n := range j.PlacedByZone {
-			known += n
-		}
-		if known < j.PlacedTasks {
-			return false
-		}
+		return j.knowsZones()
 	}
 	return true
 }
 
-// avoidedMachines lists the machines that the job stays away from.
+// knowsZones reports whether the zones of all placed tasks are known. That of a task is not if
+// it was recorded by an earlier leader on a machine of which nothing has been heard since.
+func (j *Job) knowsZones() bool {
+	known := 0
+	for _, tasks := range j.PlacedByZone {
+		known += tasks
+	}
+	return known >= j.PlacedTasks
+}
+
+// avoidedMachines lists the machines that the job avoids for now, by index.
 func (j *Job) avoidedMachines(now time.Time) map[int]bool {
-	var out map[int]bool
+	var avoided map[int]bool
 	for idx, until := range j.avoidUntil {
 		if now.After(until) {
 			delete(j.avoidUntil, idx)
 			continue
 		}
-		if out == nil {
-			out = map[int]bool{}
+		if avoided == nil {
+			avoided = map[int]bool{}
 		}
-		out[int(idx)] = true
+		avoided[int(idx)] = true
 	}
-	return out
+	return avoided
 }
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -58,7 +58,7 @@
 			cause = m.starvationCause(j, now)
 		}
 		if j.start.setCause(cause, now) {
-			m.log.Info("job can't begin in time", "id", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", len(j.Tasks),
+			m.log.Info("job can't start within the starvation bound", "id", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", len(j.Tasks),
 				"inTheWay", cause, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		}
 	}
--- a/cluster/utilization.go
+++ b/cluster/utilization.go
@@ -29,7 +29,7 @@
 	}
 	for i := range m.MachineTypes {
 		u := m.utilizationOf(i, now)
-		m.log.Debug("room", "type", m.MachineTypes[i].Name, "ready", u.ready, "booting", u.booting,
+		m.log.Debug("machine type utilization", "type", m.MachineTypes[i].Name, "ready", u.ready, "booting", u.booting,
 			"cpus", u.capacity.CPU, "cpusUsed", u.used.CPU, "gpus", u.capacity.GPU, "gpusUsed", u.used.GPU,
 			"cpusNotRunning", u.notRunning.CPU, "gpusNotRunning", u.notRunning.GPU,
 			"withoutGPUTasks", u.withoutGPUTasks, "waiting", waiting)
