--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -92,9 +92,9 @@
 	w.Store.reportViolation = w.violations.add
 	w.Cloud = &Cloud{cluster: w, types: options.Types, capacity: options.Capacity, listingLag: secs(cloudListingLagS),
 		rentals: map[string][]string{}, machines: map[string]*machine{}}
-	w.serve("state:1", w.Store)
-	w.serve("cloud:1", w.Cloud)
-	w.httpClient = &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("user"), DisableKeepAlives: true}}
+	w.serve(stateAddr, w.Store)
+	w.serve(cloudAddr, w.Cloud)
+	w.httpClient = &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial(userHost), DisableKeepAlives: true}}
 	for i := range options.Nodes {
 		cfg := options.nodeSettings(i)
 		w.nodes = append(w.nodes, &node{name: cfg.Node, addr: cfg.Bind, cfg: cfg, olderSchema: slices.Contains(options.OlderSchema, i)})
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -217,7 +217,7 @@
 	m.reportDue = true
 }
 
-// countDelayedStops counts what late stops are about to meet; the lock is held.
+// countDelayedStops counts the states in which late stops find their tasks; the lock is held.
 func (m *machine) countDelayedStops(b delayedBatch) {
 	counts := &m.cluster.commandDelay.counts
 	for _, c := range b.Commands {
--- a/internal/fake/delayed_transactions.go
+++ b/internal/fake/delayed_transactions.go
@@ -31,9 +31,9 @@
 	random         *rand.Rand
 
 	unanswered        int // transactions that were not answered
-	carriedOut        int // and so many of them have been gone through by now
+	carriedOut        int // those of them that have been carried out, or refused, by now
 	leasesLate        int // requests about leases that were carried out late
-	leasesOfOtherTerm int // and so many of these while the leader held another lease
+	leasesOfOtherTerm int // those of them that came while the leader held another lease
 
 	waiting   int                           // late transactions that are still to come
 	delayed   int                           // late transactions so far, come or not
@@ -56,8 +56,8 @@
 type OvertakenTransactions struct {
 	ByNode  int // by any of the node's
 	InTerm  int // by one of the same leadership, while that lasted: the token does not stop them
-	Refused int // so many of these failed, by another condition
-	Older   int // so many would have changed a key back
+	Refused int // of these, failed by another guard
+	Older   int // of these, would have changed a key back
 	Stale   int // of a leader whose leadership was over, overtaken by whomever
 }
 
@@ -169,7 +169,7 @@
 	}
 }
 
-// draw draws whether a transaction with so many changes is left without an answer, and
+// draw draws whether a transaction with a number of changes is left without an answer, and
 // how long after its request it is carried out.
 func (d *transactionDelays) draw(changes int) (by time.Duration, unanswered bool) {
 	if changes == 0 || d.lateShare+d.lostReplyShare == 0 {
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// advanceGang lets a task of a gang go on that is on its machine. The lock is held.
+// advanceGang advances a task of a gang that is on its machine. The lock is held.
 func (w *Cluster) advanceGang(t *task, now time.Time) {
 	g, workers := w.gangOf(t), w.Settings.Cluster.Workers
 	switch {
@@ -105,7 +105,7 @@
 	}
 }
 
-// advanceSavingGang lets a task go on whose gang saves: once all of its tasks do, they end
+// advanceSavingGang advances a task whose gang saves: once all of its tasks do, they end
 // with what they have saved. If some don't in time, nothing is saved.
 func (w *Cluster) advanceSavingGang(g *gang, t *task, now time.Time) {
 	switch {
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -55,7 +55,7 @@
 	delays        transactionDelays
 }
 
-// NewKVStore makes an empty store whose transactions have so many operations at most.
+// NewKVStore makes an empty store whose transactions have maxOps operations at most.
 func NewKVStore(maxOps int) *KVStore {
 	return &KVStore{
 		maxOps:        maxOps,
--- a/internal/fake/kvstore_faults.go
+++ b/internal/fake/kvstore_faults.go
@@ -14,15 +14,15 @@
 // limits, delays and damaged records. Transactions whose answers are lost are in
 // delayed_transactions.go.
 
-// LimitRequests makes the store refuse what is more than so many requests a
-// second, of all nodes together.
+// LimitRequests makes the store refuse requests beyond a rate per second, of all nodes
+// together.
 func (s *KVStore) LimitRequests(rps float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requestLimit = rate.NewLimiter(rate.Limit(rps), int(rps))
 }
 
-// LimitWrites makes the store refuse what is more than so many puts and deletes a second.
+// LimitWrites makes the store refuse puts and deletes beyond a rate per second.
 func (s *KVStore) LimitWrites(rps float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -11,8 +11,8 @@
 // are answered, and what is cancelled is not launched.
 
 const (
-	// faultCheckEvery is how often the cluster looks for faults that are injected.
-	faultCheckEvery = 200 * time.Millisecond
+	// faultCheckInterval is how often the cluster looks for faults that are injected.
+	faultCheckInterval = 200 * time.Millisecond
 	// forgottenTimeout is for how long questions about a job may go unanswered without
 	// faults: after that it counts as forgotten.
 	forgottenTimeout = 75 * time.Second
@@ -23,13 +23,14 @@
 	launchGrace = 2 * time.Second
 )
 
-// monitorFaults notes when a fault was last seen to be injected.
+// monitorFaults records when a fault was last seen to be injected, until the cluster ends.
 func (w *Cluster) monitorFaults() {
-	for call.Pause(w.ctx, faultCheckEvery) {
+	for call.Pause(w.ctx, faultCheckInterval) {
 		w.noteFaults()
 	}
 }
 
+// noteFaults records that a fault is injected now, if one is.
 func (w *Cluster) noteFaults() {
 	if !w.FaultActive() {
 		return
@@ -41,7 +42,7 @@
 
 // FaultActive reports whether any fault is injected at the moment.
 func (w *Cluster) FaultActive() bool {
-	hosts := map[string]bool{"state": true, "cloud": true, "user": true}
+	hosts := map[string]bool{stateHost: true, cloudHost: true, userHost: true}
 	for _, name := range w.Cloud.Machines() {
 		hosts[name] = true
 	}
@@ -64,11 +65,12 @@
 		hosts[n.name] = true
 		down = down || !n.downSince.IsZero()
 	}
-	return hung || down || w.duplicateOneIn > 0 || w.duplicatesInFlight > 0 || w.failoverCopies.oneIn > 0 || w.failoverCopies.overtakeOneIn > 0 || w.commandDelay.share > 0
+	return hung || down || w.duplicateOneIn > 0 || w.duplicatesInFlight > 0 ||
+		w.failoverCopies.oneIn > 0 || w.failoverCopies.overtakeOneIn > 0 || w.commandDelay.share > 0
 }
 
 // faulty reports whether messages between hosts that are there are lost or held up, or one
-// of them stands still.
+// of them is paused.
 func (n *Network) faulty(hosts map[string]bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -106,7 +108,8 @@
 		}
 	}
 	d := &s.delays
-	return s.outage || len(s.refusedNodes) > 0 || len(s.silentWatches) > 0 || s.latency > 0 || s.replyDelay > 0 || s.delayNext.by > 0 || s.holdNext.release != nil || s.corrupted.Load() ||
+	return s.outage || len(s.refusedNodes) > 0 || len(s.silentWatches) > 0 || s.latency > 0 || s.replyDelay > 0 ||
+		s.delayNext.by > 0 || s.holdNext.release != nil || s.corrupted.Load() ||
 		d.lateShare > 0 || d.lostReplyShare > 0 || d.leaseShare > 0 || d.waiting > 0
 }
 
@@ -150,11 +153,11 @@
 		return
 	}
 	since := now.Sub(j.cancelConfirmedAt)
-	most := secs(w.Settings.Cluster.Workers.LeaderLeaseS()) + replyTimeout
+	limit := secs(w.Settings.Cluster.Workers.LeaderLeaseS()) + replyTimeout
 	if j.cancelConfirmedAt.Sub(w.lastFaultAt) > settleTime {
-		most = launchGrace
+		limit = launchGrace
 	}
-	if since > most {
+	if since > limit {
 		w.violations.add("launched after its cancellation: %s, %.1f s later", task, since.Seconds())
 	}
 }
--- a/internal/fake/liveness_test.go
+++ b/internal/fake/liveness_test.go
@@ -10,9 +10,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// checkedWorld is a cluster with a machine and a job that the checks know of, and no nodes:
-// what they would answer and command is played by the tests.
-func checkedWorld(t *testing.T, test func(w *Cluster, m *machine, j *job)) {
+// withCheckedCluster runs a test on a cluster with a machine and a job that the checks know
+// of, and no nodes: the test simulates what they would answer and command.
+func withCheckedCluster(t *testing.T, test func(w *Cluster, m *machine, j *job)) {
 	t.Helper()
 	synctest.Test(t, func(_ *testing.T) {
 		w := New(Options{Nodes: 3, Machines: 1, Capacity: 1, ExternalNodes: true})
@@ -24,8 +24,9 @@
 	})
 }
 
-// wantBroken fails unless the checker names just what is wanted; "" is nothing.
-func wantBroken(t *testing.T, w *Cluster, want string) {
+// wantViolation fails the test unless the checker has found just the violation that is wanted;
+// "" is none.
+func wantViolation(t *testing.T, w *Cluster, want string) {
 	t.Helper()
 	got := w.Violations()
 	if want == "" && len(got) > 0 || want != "" && (len(got) != 1 || !strings.Contains(got[0], want)) {
@@ -33,7 +34,7 @@
 	}
 }
 
-func TestDirectCommandsThatDoHarmWhenLateAreFound(t *testing.T) {
+func TestDirectCommandThatHarmsWhenLateIsAViolation(t *testing.T) {
 	for _, c := range []struct {
 		command wire.Command
 		broken  string
@@ -43,7 +44,7 @@
 		{wire.Command{Op: wire.OpStart, Task: "wk-000001/0", Attempt: 1}, "a launch of wk-000001/0 is sent directly"},
 		{wire.Command{Op: wire.OpForget, Task: "wk-000001/0", Attempt: 1}, "a forget of wk-000001/0 is sent directly"},
 	} {
-		checkedWorld(t, func(w *Cluster, m *machine, _ *job) {
+		withCheckedCluster(t, func(w *Cluster, m *machine, _ *job) {
 			body, err := wire.Marshal(wire.DirectCommands{Token: 1, Session: 1, Commands: []wire.Command{c.command}})
 			if err != nil {
 				t.Fatal(err)
@@ -54,12 +55,12 @@
 			if status != http.StatusOK || held {
 				t.Errorf("%+v: status %d, held %t", c.command, status, held)
 			}
-			wantBroken(t, w, c.broken)
+			wantViolation(t, w, c.broken)
 		})
 	}
 }
 
-func TestLateCommandsAreCarriedOutOnceIfTokenAndSessionMatch(t *testing.T) {
+func TestDelayedCommandIsExecutedOnceIfTokenAndSessionMatch(t *testing.T) {
 	for _, c := range []struct {
 		token, session uint64
 		want           DelayedCommands
@@ -68,7 +69,7 @@
 		{4, 1, DelayedCommands{Held: 1, RefusedToken: 1}},
 		{5, 2, DelayedCommands{Held: 1, RefusedSession: 1}},
 	} {
-		checkedWorld(t, func(w *Cluster, m *machine, _ *job) {
+		withCheckedCluster(t, func(w *Cluster, m *machine, _ *job) {
 			w.mu.Lock()
 			m.token, m.session, m.leaseRenewedAt = 5, 1, time.Now()
 			m.execute([]wire.Command{{Op: wire.OpStart, Task: "wk-000001/0", Attempt: 1}}, time.Now())
@@ -106,7 +107,7 @@
 	}
 }
 
-func TestLaunchesAfterACancellationAreFound(t *testing.T) {
+func TestLaunchAfterCancellationIsAViolation(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		fault  bool
@@ -119,7 +120,7 @@
 		{"later than any leader may go on", true, func(lease time.Duration) time.Duration { return lease + 5*time.Second }, "launched after its cancellation: wk-000001/0"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			checkedWorld(t, func(w *Cluster, m *machine, j *job) {
+			withCheckedCluster(t, func(w *Cluster, m *machine, j *job) {
 				time.Sleep(30 * time.Second)
 				w.Store.SetOutage(c.fault)
 				time.Sleep(time.Second)
@@ -132,13 +133,13 @@
 				// It lasts for an instant only.
 				m.execute([]wire.Command{{Op: wire.OpStart, Task: "wk-000001/0", Attempt: 1}, {Op: wire.OpStop, Task: "wk-000001/0", Attempt: 1}}, time.Now())
 				w.mu.Unlock()
-				wantBroken(t, w, c.broken)
+				wantViolation(t, w, c.broken)
 			})
 		})
 	}
 }
 
-func TestQuestionsThatGoUnansweredAreFound(t *testing.T) {
+func TestUnansweredQuestionsWithoutFaultsAreAViolation(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(w *Cluster, second int)
@@ -157,7 +158,7 @@
 		}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			checkedWorld(t, func(w *Cluster, _ *machine, _ *job) {
+			withCheckedCluster(t, func(w *Cluster, _ *machine, _ *job) {
 				for second := range 90 { // nobody is there to answer
 					c.change(w, second)
 					w.noteFaults()
@@ -168,13 +169,13 @@
 					}
 					time.Sleep(time.Second)
 				}
-				wantBroken(t, w, c.broken)
+				wantViolation(t, w, c.broken)
 			})
 		})
 	}
 }
 
-func TestEachFaultIsSeen(t *testing.T) {
+func TestEachFaultIsActiveUntilItEnds(t *testing.T) {
 	type change func(w *Cluster, machine string)
 	for name, fault := range map[string]struct{ begin, end change }{
 		"outage of the state service": {func(w *Cluster, _ string) { w.Store.SetOutage(true) }, func(w *Cluster, _ string) { w.Store.SetOutage(false) }},
@@ -193,7 +194,7 @@
 		"slow answers":                {func(w *Cluster, _ string) { w.Store.DelayReplies(time.Second) }, func(w *Cluster, _ string) { w.Store.DelayReplies(0) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			checkedWorld(t, func(w *Cluster, m *machine, _ *job) {
+			withCheckedCluster(t, func(w *Cluster, m *machine, _ *job) {
 				if w.FaultActive() {
 					t.Error("a fault is seen before there is one")
 				}
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -11,7 +11,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file joins a cluster to real processes on this machine's loopback.
+// This file connects a cluster to real processes on this machine's loopback.
 
 // Bridge copies what comes in on a listener to connections opened by dial, until
 // ctx ends.
@@ -42,11 +42,12 @@
 	}
 }
 
-// AttachProcess lets a real process at addr stand for a node, and real processes reach
-// the cluster's service at state and cloud, if those are not empty.
+// AttachProcess makes a real process at addr take the place of a node, and serves the
+// key-value store and the cloud to real processes at state and cloud, if those are not
+// empty.
 func (w *Cluster) AttachProcess(ctx context.Context, node, addr, state, cloud string) error {
 	inner := w.Network.Dial(node)
-	for outside, inside := range map[string]string{state: "state:1", cloud: "cloud:1"} {
+	for outside, inside := range map[string]string{state: stateAddr, cloud: cloudAddr} {
 		if outside == "" {
 			continue
 		}
@@ -64,8 +65,7 @@
 	return nil
 }
 
-// LearnJobs hands the workers the descriptions of the jobs that were accepted,
-// until ctx ends.
+// LearnJobs keeps the workers informed of the descriptions of accepted jobs until ctx ends.
 func (w *Cluster) LearnJobs(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, key := range w.Store.Keys(jobstore.JobKey("")) {
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -171,7 +171,7 @@
 }
 
 // checkCancelledTasks checks what is on the machine of jobs that are cancelled. A machine
-// that hangs has it all the same, and may go on with it.
+// that hangs has it all the same, and may resume with it.
 func (m *machine) checkCancelledTasks(now time.Time) {
 	for _, k := range m.order {
 		if t := m.tasks[k]; t.present {
--- a/internal/fake/machine_faults.go
+++ b/internal/fake/machine_faults.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// ResumeMachine lets a machine go on that hangs.
+// ResumeMachine ends what HangMachine began.
 func (w *Cluster) ResumeMachine(name string) {
 	if m := w.Cloud.machine(name); m != nil {
 		w.mu.Lock()
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -196,7 +196,7 @@
 	n.paused[h] = make(chan struct{})
 }
 
-// Resume lets a host's process go on.
+// Resume ends a host's pause.
 func (n *Network) Resume(h string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -285,7 +285,7 @@
 	}
 }
 
-// LimitSockets gives a host so many sockets.
+// LimitSockets limits how many sockets a host may have open.
 func (n *Network) LimitSockets(h string, limit int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -117,7 +117,7 @@
 // PauseNode makes a controller's process pause while its clocks run on.
 func (w *Cluster) PauseNode(i int) { w.Network.Pause(w.nodes[i].name) }
 
-// ResumeNode lets a controller's process go on.
+// ResumeNode ends what PauseNode began.
 func (w *Cluster) ResumeNode(i int) { w.Network.Resume(w.nodes[i].name) }
 
 // Nodes are the controllers' names.
--- a/internal/fake/options.go
+++ b/internal/fake/options.go
@@ -56,6 +56,12 @@
 	}
 }
 
+// Where the fakes serve.
+const (
+	stateAddr = stateHost + ":1"
+	cloudAddr = cloudHost + ":1"
+)
+
 // Limits that the nodes' settings state and the fakes enforce.
 const (
 	transactionOps   = 12  // operations of one transaction
@@ -66,7 +72,7 @@
 func (o *Options) nodeSettings(i int) *config.Settings {
 	name := nodeName(i)
 	cfg := &config.Settings{Node: name, Zone: Zones[i%2], Bind: name + ":80", PeerListen: name + ":81",
-		Services: config.Services{Cloud: "cloud:1", State: "state:1"},
+		Services: config.Services{Cloud: cloudAddr, State: stateAddr},
 		Cluster: config.Cluster{Size: o.Nodes, Zones: Zones, SkewMs: 5, Teams: o.Teams,
 			Workers: config.Workers{ReportS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
 			State:   config.StateLimits{RPS: 200, WriteRPS: 60, ValueKB: 16, TxnOps: transactionOps},
--- a/internal/fake/partitions.go
+++ b/internal/fake/partitions.go
@@ -2,6 +2,19 @@
 
 // This file cuts machines, nodes and zones off from others, one way or both.
 
+// Names of hosts besides nodes and machines.
+const (
+	stateHost = "state" // the key-value store
+	cloudHost = "cloud"
+	userHost  = "user"
+)
+
+// Names that PartitionNode takes for several hosts.
+const (
+	allWorkers = "workers"
+	allNodes   = "nodes"
+)
+
 // PartitionNode cuts a node off from hosts: "state", "cloud", "user", "workers" (all
 // machines that exist) and "nodes" (all others).
 func (w *Cluster) PartitionNode(i int, hosts ...string) {
@@ -18,11 +31,11 @@
 	name := w.nodes[i].name
 	for _, h := range hosts {
 		switch h {
-		case "workers":
+		case allWorkers:
 			for _, m := range w.Cloud.Machines() {
 				do(name, m)
 			}
-		case "nodes":
+		case allNodes:
 			for k, other := range w.nodes {
 				if k != i {
 					do(name, other.name)
@@ -36,10 +49,10 @@
 
 // IsolateToWorkers cuts a node off from the key-value store and the other nodes, but
 // not from workers.
-func (w *Cluster) IsolateToWorkers(i int) { w.PartitionNode(i, "state", "nodes") }
+func (w *Cluster) IsolateToWorkers(i int) { w.PartitionNode(i, stateHost, allNodes) }
 
 // HealNodeIsolation ends what IsolateToWorkers began.
-func (w *Cluster) HealNodeIsolation(i int) { w.HealNode(i, "state", "nodes") }
+func (w *Cluster) HealNodeIsolation(i int) { w.HealNode(i, stateHost, allNodes) }
 
 // PartitionMachine cuts a machine off from every node.
 func (w *Cluster) PartitionMachine(name string) {
@@ -119,7 +132,7 @@
 // eachLinkOut does something to the links between what is in a zone and what is not.
 func (w *Cluster) eachLinkOut(zone string, do func(inside, outside string)) {
 	var inside []string
-	outside := []string{"state", "cloud", "user"}
+	outside := []string{stateHost, cloudHost, userHost}
 	place := func(name, z string) {
 		if z == zone {
 			inside = append(inside, name)
--- a/internal/fake/progress.go
+++ b/internal/fake/progress.go
@@ -8,7 +8,7 @@
 
 // This file simulates the progress of tasks on machines: completion, saving and stops.
 
-// advanceTask lets a task go on. The lock is held.
+// advanceTask simulates the progress of a task up to now. The lock is held.
 func (w *Cluster) advanceTask(t *task, now time.Time) {
 	switch {
 	case !t.present:
@@ -32,7 +32,7 @@
 	return w.jobs[t.job.ID].done[t.index] || t.job.Kind == wire.KindArray && w.progress[t.name]+now.Sub(t.presentSince).Seconds() >= t.job.EstimateS
 }
 
-// stopTask records that a task is told to stop, with so many seconds to save. The lock is held.
+// stopTask records that a task is told to stop, with grace seconds to save. The lock is held.
 func (w *Cluster) stopTask(t *task, grace float64, now time.Time) {
 	t.machine.reportDue = true
 	if t.job != nil && t.job.Kind == wire.KindGang {
@@ -59,7 +59,7 @@
 	w.progress[t.name] += now.Sub(t.presentSince).Seconds()
 }
 
-// saves reports whether a task saves its progress when it has so many seconds until it ends.
+// saves reports whether a task saves its progress when it has grace seconds until it ends.
 func (t *task) saves(grace float64) bool {
 	return t.present && t.job.CheckpointS > 0 && grace >= t.job.SaveS
 }
--- a/internal/fake/report_copies.go
+++ b/internal/fake/report_copies.go
@@ -91,7 +91,7 @@
 	kept[w.pick(copiesPerMachine)] = r
 }
 
-// DeliverDelayedCopies sends every copy that is kept to every node, and goes on at once.
+// DeliverDelayedCopies sends every copy that is kept to every node, and does not wait for the answers.
 func (w *Cluster) DeliverDelayedCopies() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fake/reports.go
+++ b/internal/fake/reports.go
@@ -102,7 +102,7 @@
 }
 
 // awaitResume waits while the machine hangs, at most until it drops the answer to the
-// report that it sent at a time: what came while it hung is there when it goes on. The
+// report that it sent at a time: what came while it hung is there when it resumes. The
 // cluster's lock is held, but not while it waits.
 func (m *machine) awaitResume(sent time.Time) {
 	for m.hung && !m.dead && time.Since(sent) < replyTimeout {
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -94,7 +94,7 @@
 	return waiting
 }
 
-// quotaAllows reports whether a team's limit leaves room for so many more tasks; the lock
+// quotaAllows reports whether a team's limit leaves room for n more tasks; the lock
 // is held. What fetches its image counts.
 func (w *Cluster) quotaAllows(j *wire.Job, n int, all []*machine) bool {
 	cpus, gpus := j.CPUs*float64(n), j.GPUs*float64(n)
@@ -148,8 +148,8 @@
 		time.Since(m.leaseRenewedAt) <= secs(m.cluster.Settings.Cluster.Workers.LeaseS)/2
 }
 
-// roomFor is how many tasks of a job fit on a machine beside those that it has, so many at
-// most. The cluster's lock is held.
+// roomFor is how many tasks of a job fit on a machine beside those that it has, up to
+// a number. The cluster's lock is held.
 func (m *machine) roomFor(j *wire.Job, most int) (n int) {
 	free := resourcesOf(m.machineType)
 	for _, t := range m.tasks {
--- a/internal/fake/unusual_requests.go
+++ b/internal/fake/unusual_requests.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"net/http"
 	"slices"
-	"time"
 
 	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/wire"
@@ -48,7 +47,7 @@
 	cutOff  bool     // it is cut off after the id instead
 }
 
-// SendUnusualRequests sends each node so many requests that users seldom send: submissions
+// SendUnusualRequests sends each node a number of requests that users seldom send: submissions
 // of known jobs again, as they were or damaged, cancellations of jobs that are
 // done, jobs that can't be accepted, and ids that nobody has used.
 func (w *Cluster) SendUnusualRequests(each int) (sent UnusualRequests) {
@@ -103,7 +102,7 @@
 	var r userReply
 	var want int
 	count, j, id := &sent.Refused, u.job, u.job.ID
-	submit := func(body any) userReply { return w.ask(submission, j.ID, n.addr, body, 5*time.Second) }
+	submit := func(body any) userReply { return w.ask(submission, j.ID, n.addr, body, requestTimeout) }
 	switch {
 	case u.kind == repeatedSubmission && u.known:
 		count, want = &sent.Known, http.StatusOK
@@ -113,7 +112,7 @@
 		r = submit(damaged(u))
 	case u.kind == cancellationOfDone && u.done != "":
 		count, want, id = &sent.Known, http.StatusOK, u.done
-		r = w.ask(cancellation, id, n.addr, nil, 5*time.Second)
+		r = w.ask(cancellation, id, n.addr, nil, requestTimeout)
 	case u.kind == submissionTooLarge:
 		want = http.StatusUnprocessableEntity
 		j.CPUs = 1e6
@@ -123,10 +122,10 @@
 		r = submit(damaged(u))
 	case u.kind == unknownQuestion:
 		count, want = &sent.Unknown, http.StatusNotFound
-		r = w.ask(question, j.ID, n.addr, nil, 2*time.Second)
+		r = w.ask(question, j.ID, n.addr, nil, pollTimeout)
 	case u.kind == unknownCancellation:
 		count, want = &sent.Unknown, http.StatusNotFound
-		r = w.ask(cancellation, j.ID, n.addr, nil, 5*time.Second)
+		r = w.ask(cancellation, j.ID, n.addr, nil, requestTimeout)
 	case u.kind == submissionOfNoTeam:
 		want = http.StatusUnprocessableEntity
 		j.Team = "nobody"
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -13,11 +13,11 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file has what users are told checked for each of them across all nodes: no
-// answer may be older than one that the user had before sending the request. Which
-// came first is counted and not timed, since much happens in one simulated moment.
-// An answer to a request that was under way when a newer one came is not blamed:
-// the node may have read before.
+// This file sends users' requests about single jobs, and checks that the answers of all
+// nodes together are linearizable: none may be older than one that the user had before
+// sending the request. The order is that of a counter and not of time, since much happens
+// in one simulated instant. An answer to a request that was under way when a newer answer
+// came may be older: the node may have read before.
 
 // requestKind is what a user asks.
 type requestKind int
@@ -47,7 +47,7 @@
 	return http.MethodPost
 }
 
-// answerLog are when a user first had which answer, by the cluster's count; 0: not yet.
+// answerLog is when a user first had which answer, by Cluster.requestClock; 0: not yet.
 type answerLog struct {
 	acceptedAt   uint64 // that the job is known
 	finalAt      uint64 // that it is over
@@ -56,15 +56,15 @@
 
 // userReply is what came of a user's request.
 type userReply struct {
-	sentAt uint64
+	sentAt uint64 // by Cluster.requestClock
 	status int    // 0: no answer
 	state  string // of a 200 or 201
 }
 
 // ask sends a user's request to a node once, and checks the answer. A body that is
 // a wire.Raw is sent as it is.
-func (w *Cluster) ask(kind requestKind, id, addr string, body any, limit time.Duration) (r userReply) {
-	ctx, cancel := context.WithTimeout(w.ctx, limit)
+func (w *Cluster) ask(kind requestKind, id, addr string, body any, timeout time.Duration) (r userReply) {
+	ctx, cancel := context.WithTimeout(w.ctx, timeout)
 	defer cancel()
 	req := newUserRequest(ctx, kind, id, addr, body)
 	w.noteFaults()
@@ -148,7 +148,7 @@
 	j := w.jobs[id]
 	switch r.status {
 	case 0, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		// nothing is said
+		// no answer about the job
 	case http.StatusNotFound:
 		if j.acceptedBefore(r) {
 			w.violations.add("forgotten: %s answered 404", id)
@@ -255,20 +255,20 @@
 
 // QueryStatus asks a node for a job once, and returns the status.
 func (w *Cluster) QueryStatus(node int, id string) int {
-	return w.ask(question, id, w.nodes[node].addr, nil, 2*time.Second).status
+	return w.ask(question, id, w.nodes[node].addr, nil, pollTimeout).status
 }
 
-// QueryConcurrently asks for a job at all nodes within milliseconds, that often, and
+// QueryConcurrently asks each node for a job a number of times within milliseconds, and
 // repeats its submission. It returns how many answers came by way of each node.
-func (w *Cluster) QueryConcurrently(id string, often int) []int {
+func (w *Cluster) QueryConcurrently(id string, times int) []int {
 	w.mu.Lock()
 	spec := w.jobs[id].spec
-	waits := make([]time.Duration, 2*often*len(w.nodes))
+	waits := make([]time.Duration, 2*times*len(w.nodes))
 	for i := range waits {
 		waits[i] = time.Duration(w.pick(6000)) * time.Microsecond
 	}
 	w.mu.Unlock()
-	told := make([]int, len(w.nodes))
+	answers := make([]int, len(w.nodes))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range waits {
@@ -278,13 +278,13 @@
 		}
 		wg.Go(func() {
 			time.Sleep(time.Duration(i/(2*len(w.nodes)))*6*time.Millisecond + waits[i])
-			if a := w.ask(kind, id, w.nodes[n].addr, body, 5*time.Second); a.state != "" {
+			if r := w.ask(kind, id, w.nodes[n].addr, body, requestTimeout); r.state != "" {
 				mu.Lock()
-				told[n]++
+				answers[n]++
 				mu.Unlock()
 			}
 		})
 	}
 	wg.Wait()
-	return told
+	return answers
 }
--- a/internal/fake/user_requests_test.go
+++ b/internal/fake/user_requests_test.go
@@ -11,7 +11,7 @@
 )
 
 // An answer is older than another only if its request was sent after the other came.
-func TestWhatIsHeardIsJudgedByWhenItWasAsked(t *testing.T) {
+func TestReplyIsComparedOnlyWithRepliesBeforeItsRequest(t *testing.T) {
 	const id = "wk-000001"
 	type step struct {
 		kind   requestKind
