--- a/internal/cmd/yarntrial/main.go
+++ b/internal/cmd/yarntrial/main.go
@@ -1,7 +1,7 @@
-// Command yarntrial runs real controller processes on this machine's loopback
-// among stand-ins (state service, cloud, workers), with application masters that
-// speak YARN's API, and either kills processes again and again and counts what is
-// left behind (--kills), or measures heartbeats (--apps, --containers).
+// Command yarntrial runs real controller processes on this machine's loopback with emulated
+// services (key-value store, cloud, workers) and application masters that speak YARN's API. It
+// either kills processes again and again and counts what is left behind (--kills), or measures
+// heartbeats (--apps, --containers).
 package main
 
 import (
@@ -48,7 +48,7 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(&c, kong.Description("YARN's door among stand-ins, on loopback."))
+	k := kong.Parse(&c, kong.Description("YARN's front end among emulated services, on loopback."))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	k.FatalIfErrorf(run(ctx, c))
--- a/yarn/allocation.go
+++ b/yarn/allocation.go
@@ -11,9 +11,9 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// allocateResponse returns what the master has not been told yet. That counts as told only
-// once the answer is complete: otherwise a master would never hear of containers whose answer
-// could not be made.
+// allocateResponse returns what has not been reported to the master yet. It counts as reported
+// only once the response is complete: containers of a response that could not be completed
+// would never be reported otherwise.
 func (f *Frontend) allocateResponse(ctx context.Context, snap *snapshot, s *session) (*pb.AllocateResponseProto, error) {
 	k, err := f.cachedKeyring(ctx)
 	if err != nil {
@@ -40,12 +40,12 @@
 	return a.out, nil
 }
 
-// allocation is the making of an answer to a heartbeat.
+// allocation builds the response to a heartbeat.
 type allocation struct {
 	frontend *Frontend
 	app      *application
 	keyring  *keyring
-	reported reportedContainers // as it is once the answer is complete
+	reported reportedContainers // as it is once the response is complete
 	nodes    map[string]bool    // on which containers are allocated
 	out      *pb.AllocateResponseProto
 }
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// addAllocated adds a placed task as a container unless the master knows of it.
+// addAllocated adds a placed task as a container unless that was reported before.
 func (a *allocation) addAllocated(j *jobstore.ReservedJob, task int) error {
 	number := containerNumber(jobSeq(j.ID), task)
 	if a.reported.allocated[number] {
@@ -134,8 +134,8 @@
 	return nil
 }
 
-// masterTokenEvery is how many heartbeats there are to a new token for the master: so often
-// that it has the newest key's well before the key of its own is dropped.
+// masterTokenEvery is the number of heartbeats after which a master gets a new token. It must be
+// so small that the master has one of a newer key long before the key of its own is dropped.
 const masterTokenEvery = 64
 
 // addTokens adds the tokens for the nodes of new containers and, once in a while, the master's
--- a/yarn/application.go
+++ b/yarn/application.go
@@ -17,7 +17,7 @@
 	stateKilled   applicationState = "killed"
 )
 
-// published is the state that clients are told.
+// published returns the state as clients know it.
 func (s applicationState) published() pb.YarnApplicationStateProto {
 	switch s {
 	case stateAccepted:
@@ -84,7 +84,7 @@
 	return token{kind: kind, clusterTimestamp: a.ClusterTimestamp, application: a.ID, attempt: a.Attempt}
 }
 
-// publishedState is the state that clients are told: an application that is ending is over.
+// publishedState returns the state as clients know it: an application that is ending is over.
 func (a *application) publishedState() pb.YarnApplicationStateProto {
 	if a.EndState != "" {
 		return a.EndState.published()
--- a/yarn/application_store.go
+++ b/yarn/application_store.go
@@ -201,7 +201,7 @@
 	return j, nil
 }
 
-// refusal turns the refusal of a native job into the protocol's, with the same text.
+// refusal converts the refusal of a native job to the protocol's, with the same text.
 func refusal(status int, err error) error {
 	if status == http.StatusServiceUnavailable {
 		return wire.Errorf(wire.ClassRetriable, "%v", err)
--- a/yarn/client/application_master.go
+++ b/yarn/client/application_master.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Close ends the master's connections. The service is not told.
+// Close ends the master's connections. The application goes on until its timeout.
 func (m *ApplicationMaster) Close() {
 	m.resourceManager.close()
 	m.nodeManager.close()
@@ -101,9 +101,8 @@
 	return out, err
 }
 
-// startSession registers the master. It also returns the containers that the service lists
-// and the master did not know: they were allocated in an answer that was lost, and are not
-// asked for any more.
+// startSession registers the master. It also returns the containers that the service lists and
+// the master did not know of: the response that allocated them was lost.
 func (m *ApplicationMaster) startSession(ctx context.Context) (*pb.RegisterApplicationMasterResponseProto, []*pb.ContainerProto, error) {
 	var out pb.RegisterApplicationMasterResponseProto
 	in := &pb.RegisterApplicationMasterRequestProto{Host: proto.String(""), RpcPort: proto.Int32(-1)}
@@ -314,7 +313,7 @@
 
 // Finish ends the application with a final status. If the token is refused, the application
 // has ended already: by an earlier attempt whose answer was lost, or for another reason,
-// which the application's report tells.
+// which is in the application's report.
 func (m *ApplicationMaster) Finish(ctx context.Context, status pb.FinalApplicationStatusProto, diagnostics string) error {
 	in := &pb.FinishApplicationMasterRequestProto{Diagnostics: &diagnostics, FinalApplicationStatus: &status}
 	var out pb.FinishApplicationMasterResponseProto
--- a/yarn/client_protocol.go
+++ b/yarn/client_protocol.go
@@ -11,7 +11,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements ApplicationClientProtocol as far as it changes applications.
+// This file implements the calls of ApplicationClientProtocol that change applications.
 
 func (f *Frontend) getNewApplication(ctx context.Context, _ *wire.Caller, _ *pb.GetNewApplicationRequestProto) (*pb.GetNewApplicationResponseProto, error) {
 	clusterTimestamp, id, err := f.newApplicationID(ctx)
--- a/yarn/cluster_info.go
+++ b/yarn/cluster_info.go
@@ -9,7 +9,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements what ApplicationClientProtocol tells of the cluster: nodes and queues.
+// This file implements the calls of ApplicationClientProtocol that inspect nodes and queues.
 
 // machines returns the machines as the leader sees them.
 func (f *Frontend) machines(ctx context.Context) ([]Machine, error) {
--- a/yarn/container_protocol.go
+++ b/yarn/container_protocol.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// startContainers lets containers be launched: their contexts are kept and their jobs are
-// marked, and the leader launches them with its next answer to the machine.
+// startContainers stores the containers' launch contexts and marks them as to be launched in
+// their jobs' records; the leader launches them with its next response to the machine.
 func (f *Frontend) startContainers(ctx context.Context, c *wire.Caller, in *pb.StartContainersRequestProto) (*pb.StartContainersResponseProto, error) {
 	s, err := f.callerApplication(ctx, c, nodeToken)
 	if err != nil {
@@ -195,7 +195,7 @@
 	return out, nil
 }
 
-// errNoSuchContainer is the answer to a question for a container that was never allocated.
+// errNoSuchContainer is returned for a container that was never allocated.
 var errNoSuchContainer = wire.Errorf(wire.ClassNoContainer, "there is no such container")
 
 // containerStatus returns the status of a job's task, which may be over.
--- a/yarn/doc.go
+++ b/yarn/doc.go
@@ -4,7 +4,7 @@
 //
 // Frontend serves ApplicationClientProtocol, ApplicationMasterProtocol,
 // ContainerManagementProtocol and the ResourceManager's REST interface at one controller.
-// What is known of an application is in the key-value store, so that any controller may serve
-// it; only what a master has been told is in the memory of the controller that it talks to.
+// An application's state is in the key-value store, so that any controller may serve it. Only
+// which containers were reported to a master is in the memory of the controller that serves it.
 // docs/yarn.md explains the decisions behind this.
 package yarn
--- a/yarn/exit_status.go
+++ b/yarn/exit_status.go
@@ -15,7 +15,7 @@
 	ExitAppOver   = -107
 )
 
-// exitStatus returns what a master is told of how a container ended.
+// exitStatus returns the exit status and diagnostics of a container that has ended.
 func exitStatus(outcome jobstore.TaskOutcome) (status int32, diagnostics string) {
 	switch outcome {
 	case jobstore.OutcomeDone:
--- a/yarn/failures_test.go
+++ b/yarn/failures_test.go
@@ -53,16 +53,16 @@
 func TestMastersSurviveFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		fall func(w *fake.Cluster)
+		fail func(w *fake.Cluster)
 	}{
-		{"the leader dies", func(w *fake.Cluster) { l := w.Leader(); w.KillNode(l); time.Sleep(8 * time.Second); w.StartNode(l) }},
-		{"all nodes die", func(w *fake.Cluster) {
+		{"leader killed", func(w *fake.Cluster) { l := w.Leader(); w.KillNode(l); time.Sleep(8 * time.Second); w.StartNode(l) }},
+		{"all controllers killed", func(w *fake.Cluster) {
 			w.KillAll()
 			time.Sleep(5 * time.Second)
 			w.StartAll()
 		}},
-		{"the state service is out", func(w *fake.Cluster) { w.Store.SetOutage(true); time.Sleep(30 * time.Second); w.Store.SetOutage(false) }},
-		{"a node stands still", func(w *fake.Cluster) {
+		{"key-value store outage", func(w *fake.Cluster) { w.Store.SetOutage(true); time.Sleep(30 * time.Second); w.Store.SetOutage(false) }},
+		{"leader paused", func(w *fake.Cluster) {
 			l := w.Leader()
 			w.PauseNode(l)
 			time.Sleep(20 * time.Second)
@@ -80,7 +80,7 @@
 				before := w.Started()
 				var wg sync.WaitGroup
 				wg.Add(1)
-				go func() { defer wg.Done(); c.fall(w) }()
+				go func() { defer wg.Done(); c.fail(w) }()
 				ends, _ := user.runMaster(m, 32*time.Second)
 				wg.Wait()
 				if n := len(ends) - min(1, ends[yarn.ExitSuccess]); n != 0 || before < 5 {
--- a/yarn/launch_context.go
+++ b/yarn/launch_context.go
@@ -112,7 +112,8 @@
 	return !slices.ContainsFunc(starts, func(s containerStart) bool { return s.fingerprint() != first })
 }
 
-// fingerprint tells contexts apart, whatever order their environments come in.
+// fingerprint returns a hash of the context, which does not depend on the order of its
+// environment.
 func (s *containerStart) fingerprint() string {
 	b, err := json.Marshal(s.contextOp.Value) // sorts keys
 	if err != nil {
--- a/yarn/leader.go
+++ b/yarn/leader.go
@@ -23,8 +23,8 @@
 	idleSince map[string]time.Time // containers that wait to be started, by task name
 }
 
-// maintenance is the state of the leader's loop in one leadership. A next leader begins anew,
-// so that every master and container has its full time again.
+// maintenance is the state of the leader's loop in one leadership. The next leader starts with
+// an empty one, so that every master and container has its full timeout again.
 type maintenance struct {
 	frontend  *Frontend
 	observed  map[string]*observation // by the application's key
--- a/yarn/master_protocol.go
+++ b/yarn/master_protocol.go
@@ -15,8 +15,8 @@
 
 // This file implements ApplicationMasterProtocol.
 
-// registerApplicationMaster begins a master's session, anew if there was one: the containers
-// that have a place are listed, and everything that has ended is told again.
+// registerApplicationMaster begins a master's session and replaces an earlier one. The response
+// lists the containers that are placed; completed ones are reported again with heartbeats.
 func (f *Frontend) registerApplicationMaster(ctx context.Context, c *wire.Caller, in *pb.RegisterApplicationMasterRequestProto) (*pb.RegisterApplicationMasterResponseProto, error) {
 	var snap *snapshot
 	err := retry(ctx, func() (err error) {
@@ -49,7 +49,7 @@
 	return out, nil
 }
 
-// listRunning adds to the answer to a registration the containers that have a place, and the
+// listRunning adds to the response to a registration the containers that are placed, and the
 // tokens for their nodes.
 func (f *Frontend) listRunning(ctx context.Context, snap *snapshot, reported *reportedContainers, out *pb.RegisterApplicationMasterResponseProto) error {
 	k, err := f.cachedKeyring(ctx)
--- a/yarn/reports.go
+++ b/yarn/reports.go
@@ -12,7 +12,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements what ApplicationClientProtocol tells of applications.
+// This file implements the calls of ApplicationClientProtocol that inspect applications.
 
 // getApplicationReport returns an application's report. As published, the master of an
 // unmanaged application takes its token from there.
--- a/yarn/rest_applications.go
+++ b/yarn/rest_applications.go
@@ -16,9 +16,9 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file is what the REST interface tells of applications and does with them.
+// This file implements the requests of the REST interface for applications.
 
-// applicationObject returns a report as the REST interface tells it.
+// applicationObject returns a report in the REST interface's form.
 func applicationObject(a *pb.ApplicationReportProto) jsonObject {
 	usage := a.GetAppResource_Usage()
 	return jsonObject{
@@ -135,7 +135,7 @@
 	return jsonObject{"containers": jsonObject{"container": out}}, nil
 }
 
-// containerObject returns a job's task as the REST interface tells it.
+// containerObject returns a job's task in the REST interface's form.
 func containerObject(a *application, j *jobstore.ReservedJob, task int) jsonObject {
 	object := jsonObject{
 		"id":         ContainerName(a.containerID(jobSeq(j.ID), task)),
--- a/yarn/rest_cluster.go
+++ b/yarn/rest_cluster.go
@@ -8,7 +8,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file is what the REST interface tells of the cluster.
+// This file implements the requests of the REST interface for the cluster.
 
 func (f *Frontend) restInfo(r *http.Request) (any, error) {
 	k, _, err := f.readKeyring(r.Context())
--- a/yarn/session.go
+++ b/yarn/session.go
@@ -14,9 +14,9 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// session is what a controller remembers of a master that it serves: what the master has been
-// told. It is nowhere else: a master that comes to another controller, or to this one after a
-// restart, is told to register again, and is then told everything.
+// session is a master's session at the controller that serves it. It is in memory only: a master
+// that goes to another controller, or to this one after a restart, has to register again, and
+// everything is then reported to it again.
 type session struct {
 	mu           sync.Mutex
 	attempt      int32
@@ -27,7 +27,7 @@
 	recordedAt   time.Time       // when a heartbeat was last written to the record
 }
 
-// reportedContainers are the containers that a master has been told of.
+// reportedContainers are the containers that were reported to a master.
 type reportedContainers struct {
 	allocated map[int64]bool
 	completed map[int64]bool
@@ -54,9 +54,9 @@
 	}
 }
 
-// unreported returns how many containers of a job have a place that their master has not been
-// told of. They are part of what the master still asks for: without them, a request that was
-// repeated because its answer got lost would be served twice.
+// unreported returns how many containers of a job are placed and not reported yet. They are part
+// of what the master still asks for: if they were not counted, a request that is repeated
+// because its response was lost would be served twice.
 func (r *reportedContainers) unreported(j *jobstore.ReservedJob) int {
 	n := 0
 	for task := range j.Placements {
