--- a/cluster/attempt.go
+++ b/cluster/attempt.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// ReportedState is the state of a task as its machine last reported it in a heartbeat. The
+// reportedState is the state of a task as its machine last reported it in a heartbeat. The
 // states are in the order in which a task passes through them.
-type ReportedState uint8
+type reportedState uint8
 
 const (
-	notReported      ReportedState = iota
+	notReported      reportedState = iota
 	reportedFetching               // its image is being fetched
 	reportedWaiting                // for the other tasks of its gang
 	reportedRunning
@@ -41,17 +41,17 @@
 type Placement struct {
 	Machine       int32
 	Attempt       uint64
-	PlacedAt      time.Time
+	placedAt      time.Time
 	Inherited     bool // recorded by an earlier leader, which may have sent the launch
-	LaunchSent    bool // this leader has sent the launch
-	LaunchSentAt  time.Time
-	LaunchEpoch   uint64
-	LaunchSeq     uint64 // of the heartbeat whose answer carried the launch
-	ReportedState ReportedState
-	RunningSince  time.Time // when it was first seen running
+	launchSent    bool // this leader has sent the launch
+	launchSentAt  time.Time
+	launchSession uint64
+	launchSeq     uint64 // of the heartbeat whose answer carried the launch
+	reportedState reportedState
+	runningSince  time.Time // when it was first seen running
 	Stop          *StopOrder
 	StopHeld      bool      // a stop is held back until the plan is confirmed
-	WokenAt       time.Time // when a wake-up was last sent to its machine
+	wokenAt       time.Time // when a wake-up was last sent to its machine
 
 	machineName     string // of the machine
 	chunkGeneration uint64 // the chunk's change that placed it
@@ -61,37 +61,37 @@
 type StopOrder struct {
 	Grace     float64
 	Reason    StopReason
-	OrderedAt time.Time
-	PushedAt  time.Time // when it was last sent directly
+	orderedAt time.Time
+	pushedAt  time.Time // when it was last sent directly
 }
 
 // mayBeOnMachine reports whether the task may be on its machine: a launch of it may have
 // been executed.
-func (p *Placement) mayBeOnMachine() bool { return p.LaunchSent || p.Inherited }
+func (p *Placement) mayBeOnMachine() bool { return p.launchSent || p.Inherited }
 
 // launch records that the answer to a heartbeat carries the launch.
 func (p *Placement) launch(heartbeat heartbeatID, now time.Time) {
-	p.LaunchSent, p.LaunchSentAt = true, now
-	p.LaunchEpoch, p.LaunchSeq = heartbeat.session, heartbeat.seq
+	p.launchSent, p.launchSentAt = true, now
+	p.launchSession, p.launchSeq = heartbeat.session, heartbeat.seq
 }
 
 // launchLost applies the proof that no launch was executed and none ever will be: it is to
 // be sent (again).
-func (p *Placement) launchLost() { p.LaunchSent, p.Inherited = false, false }
+func (p *Placement) launchLost() { p.launchSent, p.Inherited = false, false }
 
 // inherit marks the placement as one that an earlier leader recorded and may have launched.
 func (p *Placement) inherit() { p.Inherited = true }
 
 // listed records that a heartbeat lists the attempt, so that a launch has arrived.
-func (p *Placement) listed() { p.LaunchSent = true }
+func (p *Placement) listed() { p.launchSent = true }
 
 // report records the state in which a heartbeat lists the attempt. It returns true if the
 // attempt runs and did not according to the last heartbeat.
-func (p *Placement) report(state ReportedState, now time.Time) (started bool) {
-	started = state == reportedRunning && p.ReportedState != reportedRunning
-	p.ReportedState = state
+func (p *Placement) report(state reportedState, now time.Time) (started bool) {
+	started = state == reportedRunning && p.reportedState != reportedRunning
+	p.reportedState = state
 	if started {
-		p.RunningSince = now
+		p.runningSince = now
 	}
 	return started
 }
@@ -102,7 +102,7 @@
 	if p.Stop != nil && p.Stop.Grace <= grace {
 		return false
 	}
-	p.Stop = &StopOrder{Grace: grace, Reason: why, OrderedAt: now}
+	p.Stop = &StopOrder{Grace: grace, Reason: why, orderedAt: now}
 	return true
 }
 
@@ -113,7 +113,7 @@
 func (p *Placement) releaseStop() { p.StopHeld = false }
 
 // wake records that a wake-up is sent to the machine.
-func (p *Placement) wake(now time.Time) { p.WokenAt = now }
+func (p *Placement) wake(now time.Time) { p.wokenAt = now }
 
 // push records that the order is sent directly to the worker.
-func (o *StopOrder) push(now time.Time) { o.PushedAt = now }
+func (o *StopOrder) push(now time.Time) { o.pushedAt = now }
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -109,7 +109,7 @@
 	}
 	for _, ref := range m.directCommands.launches {
 		if p := m.Jobs[ref.Job].Tasks[ref.Task].Placement; p != nil {
-			p.LaunchSent, p.ReportedState, p.RunningSince = true, reportedRunning, now
+			p.launchSent, p.reportedState, p.runningSince = true, reportedRunning, now
 		}
 	}
 	m.directCommands.launches = m.directCommands.launches[:0]
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -100,7 +100,7 @@
 }
 
 func (d *digestWriter) job(j *Job) {
-	d.printf("J%s,%d,%t,%t,%t,%t,%t,%t,%t", j.ID, j.LastAttempt, j.Cancelled, j.Finished, j.GangStarted, j.GangEnding, j.dirty,
+	d.printf("J%s,%d,%t,%t,%t,%t,%t,%t,%t", j.ID, j.lastAttempt, j.Cancelled, j.Finished, j.gangStarted, j.gangEnding, j.dirty,
 		d.now.Before(j.NotBefore), j.isCurrent(d.base))
 	for _, mc := range d.model.Machines {
 		if until, ok := j.avoidUntil[mc.Index]; ok && d.now.Before(until) {
@@ -121,16 +121,16 @@
 }
 
 func (d *digestWriter) placement(p *Placement, c *Chunk) {
-	d.printf("g%tP%s,%d,%t,%t,%d,%t,%s", c.isCommitted(p.chunkGeneration), p.machineName, p.Attempt, p.Inherited, p.LaunchSent, p.ReportedState,
-		d.now.Sub(p.WokenAt) < wakeUpRetry, d.behind(p.machineName, p.LaunchEpoch, p.LaunchSeq))
-	if p.LaunchSeq > 0 && (heartbeatID{p.LaunchEpoch, p.LaunchSeq}) == d.model.Machines[p.Machine].reachability.answeredTwice {
+	d.printf("g%tP%s,%d,%t,%t,%d,%t,%s", c.isCommitted(p.chunkGeneration), p.machineName, p.Attempt, p.Inherited, p.launchSent, p.reportedState,
+		d.now.Sub(p.wokenAt) < wakeUpRetry, d.behind(p.machineName, p.launchSession, p.launchSeq))
+	if p.launchSeq > 0 && (heartbeatID{p.launchSession, p.launchSeq}) == d.model.Machines[p.Machine].reachability.answeredTwice {
 		d.printf("2")
 	}
 	if p.StopHeld {
 		d.printf("H")
 	}
 	if p.Stop != nil {
-		d.printf("S%g,%t", p.Stop.Grace, p.Stop.PushedAt.IsZero())
+		d.printf("S%g,%t", p.Stop.Grace, p.Stop.pushedAt.IsZero())
 	}
 }
 
--- a/cluster/gpu_machines.go
+++ b/cluster/gpu_machines.go
@@ -59,7 +59,7 @@
 // its tasks.
 func (m *Model) fittingTypes(j *Job) (out []int) {
 	for i := range m.MachineTypes {
-		if j.AllowedTypes[i] && j.Need.Fits(m.MachineTypes[i].Capacity) {
+		if j.allowedTypes[i] && j.Need.Fits(m.MachineTypes[i].Capacity) {
 			out = append(out, i)
 		}
 	}
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -131,9 +131,9 @@
 		if p.Stop == nil && !p.mayBeOnMachine() && launchable(j, ref.Task) && mc.interruptionAt.IsZero() && !mc.unreachable() {
 			name := wire.TaskName(j.ID, int(ref.Task))
 			p.launch(heartbeatID{r.Session, r.Seq}, now)
-			m.Observer.Launched(now.Sub(p.PlacedAt).Seconds())
+			m.Observer.Launched(now.Sub(p.placedAt).Seconds())
 			out = append(out, wire.Command{Op: wire.OpStart, Task: name, Attempt: p.Attempt})
-			m.log.Debug("task launch sent", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
+			m.log.Debug("task launch sent", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.placedAt).Seconds())
 		}
 	}
 	return out, false
@@ -174,13 +174,13 @@
 		}
 		if p := m.placementOf(mc, t); p == nil {
 			stop(t.Task, t.Attempt, 0)
-		} else if p.Stop != nil && (p.ReportedState != reportedSaving || p.Stop.Grace == 0) {
+		} else if p.Stop != nil && (p.reportedState != reportedSaving || p.Stop.Grace == 0) {
 			stop(t.Task, t.Attempt, p.Stop.Grace)
 		}
 	}
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
-		if p := j.Tasks[ref.Task].Placement; p.Stop != nil && p.ReportedState == notReported {
+		if p := j.Tasks[ref.Task].Placement; p.Stop != nil && p.reportedState == notReported {
 			stop(wire.TaskName(j.ID, int(ref.Task)), p.Attempt, p.Stop.Grace)
 		}
 	}
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -24,7 +24,7 @@
 type Task struct {
 	Phase     TaskPhase
 	Failures  uint8
-	Resumed   bool                 // an earlier attempt has run
+	resumed   bool                 // an earlier attempt has run
 	Progress  float32              // seconds of work that earlier attempts have saved
 	Outcome   jobstore.TaskOutcome // of a reserved task that is over: how it ended
 	NotBefore int64                // Unix milliseconds
@@ -46,9 +46,9 @@
 //   - A task has a placement exactly while it is in phase TaskPlaced. PlacedTasks counts
 //     these, and PlacedByZone those on machines whose zone is known.
 //   - DoneTasks counts the tasks in phase TaskDone, which never leave it.
-//   - LastAttempt is no less than any attempt that a record or a machine may know of, and
+//   - lastAttempt is no less than any attempt that a record or a machine may know of, and
 //     only grows.
-//   - GangStarted and GangEnding describe the attempt that is placed: neither is set while
+//   - gangStarted and gangEnding describe the attempt that is placed: neither is set while
 //     no task is placed.
 type Job struct {
 	Index        int32
@@ -59,10 +59,10 @@
 	Team         int
 	Priority     int
 	Need         placement.Resources
-	AllowedTypes []bool
+	allowedTypes []bool
 	Zone         int
 	Image        int32
-	LastAttempt  uint64 // highest attempt ever used
+	lastAttempt  uint64 // highest attempt ever used
 	Tasks        []Task
 	Chunks       []Chunk
 	DoneTasks    int
@@ -74,10 +74,10 @@
 	runTime      runTimeEstimate // of its tasks that are not completed
 	triage       triageVerdict
 	start        startState // decided by the starvation bound
-	GangStarted  bool       // gang: the current attempt was seen running
-	GangEnding   bool       // gang: the current attempt is being stopped, or can't complete
+	gangStarted  bool       // gang: the current attempt was seen running
+	gangEnding   bool       // gang: the current attempt is being stopped, or can't complete
 	NotBefore    time.Time  // backoff of a job that fails on every machine
-	FirstRunAt   time.Time
+	firstRunAt   time.Time
 	tier         int // priority tier, 0 is the highest; written by priorityTiers.assign
 
 	quarantined   bool           // its placements can't be read
@@ -99,12 +99,12 @@
 
 // nextAttempt returns the number of a new attempt.
 func (j *Job) nextAttempt() uint64 {
-	j.LastAttempt++
-	return j.LastAttempt
+	j.lastAttempt++
+	return j.lastAttempt
 }
 
 // observeAttempt records that a number may have been used for an attempt.
-func (j *Job) observeAttempt(attempt uint64) { j.LastAttempt = max(j.LastAttempt, attempt) }
+func (j *Job) observeAttempt(attempt uint64) { j.lastAttempt = max(j.lastAttempt, attempt) }
 
 // placeTask places a task on a machine in a zone; the zone is -1 if it is not known.
 func (j *Job) placeTask(task int32, zone int, p *Placement) {
@@ -145,19 +145,19 @@
 
 // markStarted records that a task of the job runs. It returns true if it is the first.
 func (j *Job) markStarted(now time.Time) (first bool) {
-	j.GangStarted = true
-	if !j.FirstRunAt.IsZero() {
+	j.gangStarted = true
+	if !j.firstRunAt.IsZero() {
 		return false
 	}
-	j.FirstRunAt = now
+	j.firstRunAt = now
 	return true
 }
 
 // endGang records that the gang's attempt is being stopped or can't complete.
-func (j *Job) endGang() { j.GangEnding = true }
+func (j *Job) endGang() { j.gangEnding = true }
 
 // resetGang makes the gang ready for another attempt.
-func (j *Job) resetGang() { j.GangStarted, j.GangEnding = false, false }
+func (j *Job) resetGang() { j.gangStarted, j.gangEnding = false, false }
 
 // finish records that the final record of the job is committed.
 func (j *Job) finish() { j.Finished = true }
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -44,7 +44,7 @@
 	j := &Job{
 		Index: int32(len(m.Jobs)), ID: id, Spec: s, AcceptedAt: time.UnixMilli(rec.AcceptedAtMs), Team: -1,
 		Priority: priorities[s.Priority], Need: placement.Resources{CPU: s.CPUs, GPU: s.GPUs, Mem: s.MemoryGB},
-		AllowedTypes: m.allowedTypes(&s), Zone: -1, Image: m.images.intern(s.Image, s.ImageGB),
+		allowedTypes: m.allowedTypes(&s), Zone: -1, Image: m.images.intern(s.Image, s.ImageGB),
 		Tasks: make([]Task, s.Tasks), Chunks: make([]Chunk, (s.Tasks+jobstore.ChunkSize-1)/jobstore.ChunkSize),
 		PlacedByZone: make([]int, len(m.Zones)), failures: &failureHistory{},
 		reservation: newReservation(rec.Reservation, s.Tasks),
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -73,7 +73,7 @@
 		if p == nil || p.Stop != nil {
 			continue
 		}
-		if p.ReportedState >= reportedRunning && j.Spec.CheckpointS <= 0 {
+		if p.reportedState >= reportedRunning && j.Spec.CheckpointS <= 0 {
 			continue // nothing to save: it may just finish in time
 		}
 		m.StopTask(ref, StopInterruption, now)
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -67,7 +67,7 @@
 		for ref := range mc.Tasks {
 			j := m.Jobs[ref.Job]
 			if j.Team >= 0 && !without[j.Index] {
-				byTeam[j.Team] = append(byTeam[j.Team], placedTask{ref, j.Tasks[ref.Task].Placement.PlacedAt})
+				byTeam[j.Team] = append(byTeam[j.Team], placedTask{ref, j.Tasks[ref.Task].Placement.placedAt})
 			}
 		}
 	}
@@ -106,12 +106,12 @@
 // preemptionLoss estimates the seconds of work that stopping a task throws away.
 func (m *Model) preemptionLoss(j *Job, p *Placement, now time.Time) float64 {
 	switch {
-	case p.ReportedState < reportedRunning:
+	case p.reportedState < reportedRunning:
 		return 2
 	case j.Spec.CheckpointS > 0:
 		return j.Spec.SaveS
 	}
-	return now.Sub(p.RunningSince).Seconds()
+	return now.Sub(p.runningSince).Seconds()
 }
 
 // secondsLeft estimates the seconds until a task ends by itself.
@@ -120,10 +120,10 @@
 		return 1e9
 	}
 	p, more := j.Tasks[task].Placement, m.remainingRunTime(j, task)
-	if p.ReportedState < reportedRunning || p.RunningSince.IsZero() {
+	if p.reportedState < reportedRunning || p.runningSince.IsZero() {
 		return 5 + more
 	}
-	ran := now.Sub(p.RunningSince).Seconds()
+	ran := now.Sub(p.runningSince).Seconds()
 	// One that has run past what was expected is likely to run on for a while.
 	return max(5, ran/5, more-ran)
 }
@@ -172,8 +172,8 @@
 	for _, ref := range m.buffers.taskRefs {
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
-		if p.ReportedState < reportedWaiting && v.FetchRate > 0 && !mc.hasImage(j.Image) {
-			left := max(0.5, j.Spec.ImageGB/v.FetchRate-now.Sub(p.PlacedAt).Seconds())
+		if p.reportedState < reportedWaiting && v.FetchRate > 0 && !mc.hasImage(j.Image) {
+			left := max(0.5, j.Spec.ImageGB/v.FetchRate-now.Sub(p.placedAt).Seconds())
 			if !slices.ContainsFunc(m.buffers.images[images:], func(im placement.ImageAt) bool { return im.Image == j.Image }) {
 				m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: j.Image, ReadyInSeconds: left})
 				v.FetchBacklogSeconds += left
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -50,13 +50,13 @@
 	}
 	for _, j := range m.Jobs {
 		if j != nil {
-			j.AllowedTypes = m.allowedTypes(&j.Spec)
+			j.allowedTypes = m.allowedTypes(&j.Spec)
 		}
 	}
 	// The last job of a class may be out of the model already, and so was not updated
-	// above. Its AllowedTypes is indexed by machine type and must cover the new ones.
+	// above. Its allowedTypes is indexed by machine type and must cover the new ones.
 	for _, c := range m.classes.byName {
-		c.lastJob.AllowedTypes = m.allowedTypes(&c.lastJob.Spec)
+		c.lastJob.allowedTypes = m.allowedTypes(&c.lastJob.Spec)
 	}
 }
 
--- a/cluster/objectives.go
+++ b/cluster/objectives.go
@@ -29,7 +29,7 @@
 // addWait adds an objective on how long a job waits for its start. startup is the time from
 // its placement to its start. A job that has started needs no such objective.
 func (d *startDeadlines) addWait(j *Job, o *config.Objective, startup time.Duration, now time.Time) {
-	if !j.FirstRunAt.IsZero() {
+	if !j.firstRunAt.IsZero() {
 		return
 	}
 	latest := j.AcceptedAt.Add(config.Seconds(o.WithinS) - startup)
--- a/cluster/placeholders.go
+++ b/cluster/placeholders.go
@@ -19,7 +19,7 @@
 func (m *Model) placeholder(j *Job, n int) placement.Request {
 	r := placement.Request{
 		Job: -1, Need: j.Need, Priority: placeholderPriority, Team: -1, Image: j.Image, Zone: -1,
-		PlacedByZone: make([]int, len(m.Zones)), Types: j.AllowedTypes, Spot: j.Spec.Spot, Headroom: true,
+		PlacedByZone: make([]int, len(m.Zones)), Types: j.allowedTypes, Spot: j.Spec.Spot, Headroom: true,
 	}
 	for i := range n {
 		r.Tasks = append(r.Tasks, int32(i))
--- a/cluster/placementpages_test.go
+++ b/cluster/placementpages_test.go
@@ -128,9 +128,9 @@
 	}
 	for _, j := range m.Jobs {
 		got := next.Job(j.ID)
-		if got.PlacedTasks != j.PlacedTasks || got.DoneTasks != j.DoneTasks || got.LastAttempt != j.LastAttempt {
+		if got.PlacedTasks != j.PlacedTasks || got.DoneTasks != j.DoneTasks || got.lastAttempt != j.lastAttempt {
 			t.Errorf("%s: %d placed, %d done, attempt %d; was %d, %d, %d", j.ID,
-				got.PlacedTasks, got.DoneTasks, got.LastAttempt, j.PlacedTasks, j.DoneTasks, j.LastAttempt)
+				got.PlacedTasks, got.DoneTasks, got.lastAttempt, j.PlacedTasks, j.DoneTasks, j.lastAttempt)
 		}
 	}
 	if n := next.PendingWrites(); n != 0 {
--- a/cluster/placementpagewrite.go
+++ b/cluster/placementpagewrite.go
@@ -117,7 +117,7 @@
 
 // chunkRecord makes the record of a chunk: where its tasks are placed, and which are done.
 func (j *Job) chunkRecord(n int) jobstore.PlacementChunk {
-	rec := jobstore.PlacementChunk{Job: j.ID, Chunk: n, MaxAttempt: j.LastAttempt}
+	rec := jobstore.PlacementChunk{Job: j.ID, Chunk: n, MaxAttempt: j.lastAttempt}
 	lo := n * jobstore.ChunkSize
 	hi := min(lo+jobstore.ChunkSize, len(j.Tasks))
 	rec.Reserved, rec.Outcomes, rec.Stopping = j.reservation != nil, j.endedTasks(lo, hi), j.stoppingTasks(lo, hi)
--- a/cluster/places.go
+++ b/cluster/places.go
@@ -40,7 +40,7 @@
 // mayUse reports whether the job's constraints on machine types and spot machines allow the
 // machine.
 func (j *Job) mayUse(mc *Machine) bool {
-	return mc.Type >= 0 && j.AllowedTypes[mc.Type] && (!mc.Spot || j.Spec.Spot)
+	return mc.Type >= 0 && j.allowedTypes[mc.Type] && (!mc.Spot || j.Spec.Spot)
 }
 
 // allowsZone reports whether the job's zone constraint allows a zone.
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -200,8 +200,8 @@
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
 		name := j.ID + "/" + strconv.Itoa(int(ref.Task))
-		movable := !j.Gang() && p.Stop == nil && !p.StopHeld && p.ReportedState == reportedRunning && j.Spec.CheckpointS > 0 &&
-			now.Sub(p.RunningSince).Seconds() < m.RebalanceSettings.LongRunningS &&
+		movable := !j.Gang() && p.Stop == nil && !p.StopHeld && p.reportedState == reportedRunning && j.Spec.CheckpointS > 0 &&
+			now.Sub(p.runningSince).Seconds() < m.RebalanceSettings.LongRunningS &&
 			rec.TaskCooldownUntilMs[name] == 0 && rec.QuarantineUntilMs[name] == 0 && !j.Spec.Spread
 		h.Tasks = append(h.Tasks, rebalance.Task{ID: ref, Need: j.Need, Movable: movable, Spot: j.Spec.Spot})
 	}
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -66,7 +66,7 @@
 		// machine by now.
 		return ref, true
 	}
-	if p.LaunchSent && p.ReportedState == notReported && p.LaunchEpoch == r.Session {
+	if p.launchSent && p.reportedState == notReported && p.launchSession == r.Session {
 		m.markReachable(mc, now)
 	}
 	m.applyTaskState(j, int32(n), mc, p, t, now)
@@ -86,15 +86,15 @@
 		p.launchLost()
 		return
 	case p.Inherited:
-	case !p.LaunchSent:
+	case !p.launchSent:
 		return // not launched yet
-	case p.LaunchEpoch == r.Session && p.LaunchSeq >= r.Seq:
+	case p.launchSession == r.Session && p.launchSeq >= r.Seq:
 		return
-	case p.LaunchEpoch == r.Session && p.ReportedState == notReported && p.Stop == nil:
+	case p.launchSession == r.Session && p.reportedState == notReported && p.Stop == nil:
 		// The answer with the launch was lost, and can't be executed any more, since
 		// the worker has sent a newer heartbeat.
 		p.launchLost()
-		if (heartbeatID{p.LaunchEpoch, p.LaunchSeq}) != mc.reachability.answeredTwice {
+		if (heartbeatID{p.launchSession, p.launchSeq}) != mc.reachability.answeredTwice {
 			m.markUnreachable(mc, "launch", now)
 		}
 		return
@@ -113,15 +113,15 @@
 		m.recordImage(mc, j.Image)
 	case wire.TaskRunning:
 		if p.report(reportedRunning, now) {
-			if !p.LaunchSentAt.IsZero() {
-				m.Observer.Running(now.Sub(p.LaunchSentAt).Seconds())
+			if !p.launchSentAt.IsZero() {
+				m.Observer.Running(now.Sub(p.launchSentAt).Seconds())
 			}
 			if !p.Inherited && !j.failures.atFault() {
-				m.startupAndSpreadOf(j).addStartDelay(now.Sub(p.PlacedAt).Seconds())
+				m.startupAndSpreadOf(j).addStartDelay(now.Sub(p.placedAt).Seconds())
 			}
-			m.log.Debug("task started", "task", t.Task, "attempt", t.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.PlacedAt).Seconds())
+			m.log.Debug("task started", "task", t.Task, "attempt", t.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.placedAt).Seconds())
 		}
-		if now.Sub(p.RunningSince).Seconds() >= provenAfterSeconds {
+		if now.Sub(p.runningSince).Seconds() >= provenAfterSeconds {
 			m.clearFault(j)
 		}
 		if j.markStarted(now) {
--- a/cluster/request.go
+++ b/cluster/request.go
@@ -14,9 +14,9 @@
 	r := placement.Request{
 		Job: j.Index, Gang: j.Gang(), Need: j.Need, Priority: j.Priority, Team: j.Team,
 		Image: j.Image, ImageGB: j.Spec.ImageGB, Zone: j.Zone, OneZone: j.Spec.OneZone,
-		PlacedByZone: append([]int(nil), j.PlacedByZone...), Types: j.AllowedTypes, Spot: j.Spec.Spot, Precedence: placement.Precedence{Tier: j.tier},
+		PlacedByZone: append([]int(nil), j.PlacedByZone...), Types: j.allowedTypes, Spot: j.Spec.Spot, Precedence: placement.Precedence{Tier: j.tier},
 	}
-	if j.Gang() && j.PlacedTasks > 0 && (j.GangStarted || j.GangEnding) {
+	if j.Gang() && j.PlacedTasks > 0 && (j.gangStarted || j.gangEnding) {
 		return r, false
 	}
 	r.Tasks = j.placeableTasks(now)
--- a/cluster/runtimeestimate.go
+++ b/cluster/runtimeestimate.go
@@ -160,7 +160,7 @@
 	if j.savesProgress(p) {
 		t := &j.Tasks[task]
 		t.Progress += p.ranUntilStop(now)
-		t.Resumed = true
+		t.resumed = true
 	}
 }
 
@@ -173,13 +173,13 @@
 		interval := float32(j.Spec.CheckpointS)
 		checkpoints := math.Floor(float64((t.Progress + p.ranUntilStop(now)) / interval))
 		t.Progress = max(t.Progress, interval*float32(checkpoints))
-		t.Resumed = true
+		t.resumed = true
 	}
 }
 
 // savesProgress reports whether an attempt may have saved checkpoints.
 func (j *Job) savesProgress(p *Placement) bool {
-	return j.Spec.CheckpointS > 0 && !p.RunningSince.IsZero()
+	return j.Spec.CheckpointS > 0 && !p.runningSince.IsZero()
 }
 
 // ranUntilStop returns how many seconds an attempt ran until it was ordered to stop, or until
@@ -187,16 +187,16 @@
 func (p *Placement) ranUntilStop(now time.Time) float32 {
 	end := now
 	if p.Stop != nil {
-		end = p.Stop.OrderedAt
+		end = p.Stop.orderedAt
 	}
-	return float32(max(0, end.Sub(p.RunningSince).Seconds()))
+	return float32(max(0, end.Sub(p.runningSince).Seconds()))
 }
 
 // recordRunTime records how long a completed task ran, if all of its work was done by the
 // attempt that completed it and this leader saw it start.
 func (m *Model) recordRunTime(j *Job, task int32, p *Placement, now time.Time) {
-	if j.Tasks[task].Resumed || p.Inherited || p.RunningSince.IsZero() || j.Spec.EstimateS <= 0 {
+	if j.Tasks[task].resumed || p.Inherited || p.runningSince.IsZero() || j.Spec.EstimateS <= 0 {
 		return
 	}
-	j.runs.add(now.Sub(p.RunningSince).Seconds())
+	j.runs.add(now.Sub(p.runningSince).Seconds())
 }
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -186,7 +186,7 @@
 			if !j.Gang() || j.PlacedTasks == 0 {
 				j.nextAttempt()
 			}
-			attempt = j.LastAttempt
+			attempt = j.lastAttempt
 			attempts[j.Index] = attempt
 		}
 		p.bindStart(j, s, attempt)
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -121,7 +121,7 @@
 		return taskWaiting
 	case p.Stop != nil:
 		return taskStopping
-	case p.ReportedState >= reportedRunning:
+	case p.reportedState >= reportedRunning:
 		return taskRunning
 	case p.mayBeOnMachine():
 		return taskStarting
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -86,9 +86,9 @@
 	return log
 }
 
-// hasStarted reports whether a task of the job has run. FirstRunAt does not suffice: a task
+// hasStarted reports whether a task of the job has run. firstRunAt does not suffice: a task
 // may have run and completed under an earlier leader.
-func (j *Job) hasStarted() bool { return !j.FirstRunAt.IsZero() || j.DoneTasks > 0 }
+func (j *Job) hasStarted() bool { return !j.firstRunAt.IsZero() || j.DoneTasks > 0 }
 
 // placesToStart returns how many tasks must be placed for the job to start: all tasks of a
 // gang, one of any other job, 0 if it has started or is placed already.
@@ -107,7 +107,7 @@
 // isStartProtected reports whether the job's only placed task must not be preempted yet
 // because the bound started it: being preempted at once would not count as a start.
 func (m *Model) isStartProtected(j *Job, now time.Time) bool {
-	return m.StarvationBound > 0 && j.start.mustStart && !j.Gang() && j.PlacedTasks == 1 && (j.FirstRunAt.IsZero() || now.Sub(j.FirstRunAt) < startProtection)
+	return m.StarvationBound > 0 && j.start.mustStart && !j.Gang() && j.PlacedTasks == 1 && (j.firstRunAt.IsZero() || now.Sub(j.firstRunAt) < startProtection)
 }
 
 // isLargeJob reports whether the job is among the largest of its class.
@@ -147,7 +147,7 @@
 func (m *Model) latestStart(j *Job) (should, must time.Time) {
 	fetch := math.Inf(1)
 	for i := range m.MachineTypes {
-		if t := &m.MachineTypes[i]; j.AllowedTypes[i] && t.FetchRate > 0 {
+		if t := &m.MachineTypes[i]; j.allowedTypes[i] && t.FetchRate > 0 {
 			fetch = min(fetch, j.Spec.ImageGB/t.FetchRate)
 		}
 	}
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -140,7 +140,7 @@
 	if !coming && ready == 0 {
 		offers, _ := m.offers(now)
 		coming = slices.ContainsFunc(offers, func(o placement.Offer) bool {
-			return j.AllowedTypes[o.Type] && j.allowsZone(o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity)
+			return j.allowedTypes[o.Type] && j.allowsZone(o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity)
 		})
 	}
 	return ready, coming
--- a/cluster/starvation_test.go
+++ b/cluster/starvation_test.go
@@ -171,8 +171,8 @@
 				}
 			}
 			// A start that is stopped within 30 s is none.
-			if j := s.m.Job("wk-000001"); j != nil && (j.PlacedTasks+j.DoneTasks > c.served || j.FirstRunAt.IsZero()) {
-				t.Errorf("%d of its tasks were served, first at %v", j.PlacedTasks+j.DoneTasks, j.FirstRunAt)
+			if j := s.m.Job("wk-000001"); j != nil && (j.PlacedTasks+j.DoneTasks > c.served || j.firstRunAt.IsZero()) {
+				t.Errorf("%d of its tasks were served, first at %v", j.PlacedTasks+j.DoneTasks, j.firstRunAt)
 			}
 		})
 	}
@@ -198,7 +198,7 @@
 				continue
 			}
 			s.m.ApplyJobRecord(j.ID, jobstore.JobRecord{AcceptedAtMs: j.AcceptedAt.UnixMilli(), Job: j.Spec}, 1, at(100))
-			c := jobstore.PlacementChunk{Job: j.ID, MaxAttempt: j.LastAttempt}
+			c := jobstore.PlacementChunk{Job: j.ID, MaxAttempt: j.lastAttempt}
 			for i := range j.Tasks {
 				if p := j.Tasks[i].Placement; p != nil {
 					c.Placements = append(c.Placements, jobstore.Placement{Task: i, Attempt: p.Attempt, Machine: p.machineName})
@@ -280,10 +280,10 @@
 					continue
 				}
 				var b strings.Builder
-				fmt.Fprint(&b, j.ID, j.LastAttempt, j.DoneTasks, j.FirstRunAt)
+				fmt.Fprint(&b, j.ID, j.lastAttempt, j.DoneTasks, j.firstRunAt)
 				for i := range j.Tasks {
 					if p := j.Tasks[i].Placement; p != nil {
-						fmt.Fprint(&b, " ", i, p.machineName, p.PlacedAt)
+						fmt.Fprint(&b, " ", i, p.machineName, p.placedAt)
 					}
 				}
 				out = append(out, b.String())
--- a/cluster/stoppush.go
+++ b/cluster/stoppush.go
@@ -21,7 +21,7 @@
 	var order []int32
 	for _, ref := range m.directCommands.takeStops() {
 		p := m.placementAt(ref)
-		if p == nil || p.Stop == nil || !p.Stop.PushedAt.IsZero() {
+		if p == nil || p.Stop == nil || !p.Stop.pushedAt.IsZero() {
 			continue
 		}
 		mc := m.Machines[p.Machine]
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -42,8 +42,8 @@
 // applyExit applies the end of a task's attempt that its worker has listed.
 func (m *Model) applyExit(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
 	ran := 0.0
-	if !p.RunningSince.IsZero() {
-		ran = now.Sub(p.RunningSince).Seconds()
+	if !p.runningSince.IsZero() {
+		ran = now.Sub(p.runningSince).Seconds()
 	}
 	m.log.Debug("task exited", "task", t.Task, "attempt", t.Attempt, "why", t.Why, "saved", t.Saved, "ran", ran, "machine", mc.Name)
 	ref := TaskRef{Job: j.Index, Task: task}
@@ -144,7 +144,7 @@
 	}
 	// The rest of a gang that fails on every machine is stopped as well: its tasks would
 	// otherwise occupy their places, waiting in vain for the others.
-	if stopping || !j.GangStarted && !j.GangEnding && !j.failures.atFault() {
+	if stopping || !j.gangStarted && !j.gangEnding && !j.failures.atFault() {
 		return
 	}
 	m.stopGang(j, 0, StopGangIncomplete, now)
@@ -159,8 +159,8 @@
 
 // recordSlowness compares a task's run time with its owner's estimate.
 func (m *Model) recordSlowness(j *Job, mc *Machine, p *Placement, now time.Time) {
-	if j.Spec.EstimateS <= 0 || p.RunningSince.IsZero() || p.Inherited {
+	if j.Spec.EstimateS <= 0 || p.runningSince.IsZero() || p.Inherited {
 		return
 	}
-	mc.recordRunTimeRatio(now.Sub(p.RunningSince).Seconds() / j.Spec.EstimateS)
+	mc.recordRunTimeRatio(now.Sub(p.runningSince).Seconds() / j.Spec.EstimateS)
 }
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -65,12 +65,12 @@
 	m := placed(t, 1)
 	j := m.Job("wk-000001")
 	p := j.Tasks[0].Placement
-	p.ReportedState, p.RunningSince, p.Stop = reportedRunning, at(5), &StopOrder{OrderedAt: at(45)}
+	p.reportedState, p.runningSince, p.Stop = reportedRunning, at(5), &StopOrder{orderedAt: at(45)}
 	j.recordSavedProgress(0, p, at(48))
 	if left := m.remainingRunTime(j, 0); left < 10 || left > 30 {
 		t.Errorf("%v s left of 60 after 40 s were saved", left)
 	}
-	j.recordLostProgress(0, &Placement{RunningSince: at(50)}, at(58))
+	j.recordLostProgress(0, &Placement{runningSince: at(50)}, at(58))
 	if j.Tasks[0].Progress != 40 {
 		t.Errorf("progress %v after 8 s of work without a checkpoint", j.Tasks[0].Progress)
 	}
--- a/cluster/utilization.go
+++ b/cluster/utilization.go
@@ -63,7 +63,7 @@
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
 		needsGPU = needsGPU || j.Need.GPU != 0
-		if j.Tasks[ref.Task].Placement.ReportedState < reportedRunning {
+		if j.Tasks[ref.Task].Placement.reportedState < reportedRunning {
 			u.notRunning = u.notRunning.Add(j.Need, 1)
 		}
 	}
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -37,7 +37,7 @@
 			p.wake(now) // one wake-up serves all launches of its machine
 			return true
 		}
-		if len(out) < most && mc.canBeWoken() && now.Sub(p.WokenAt) >= wakeUpRetry && launchable(j, ref.Task) {
+		if len(out) < most && mc.canBeWoken() && now.Sub(p.wokenAt) >= wakeUpRetry && launchable(j, ref.Task) {
 			p.wake(now)
 			called[mc.Index] = true
 			out = append(out, m.wakeUp(mc, j, p.Attempt))
--- a/cluster/warm_pool_members.go
+++ b/cluster/warm_pool_members.go
@@ -149,7 +149,7 @@
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
 		place := j.Tasks[ref.Task].Placement
-		if j.Image == image && place.ReportedState < reportedWaiting {
+		if j.Image == image && place.reportedState < reportedWaiting {
 			seen.Fetching = true
 		}
 		seen.Serving = seen.Serving && j.Image == image && p.AllowsTeam(j.Spec.Team)
@@ -166,7 +166,7 @@
 	limit := config.Seconds(stuckFetchFactor*weightsGB/m.MachineTypes[mc.Type].FetchRate) + time.Minute
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
-		if place := j.Tasks[ref.Task].Placement; j.Image == image && place.ReportedState < reportedWaiting && now.Sub(place.PlacedAt) > limit {
+		if place := j.Tasks[ref.Task].Placement; j.Image == image && place.reportedState < reportedWaiting && now.Sub(place.placedAt) > limit {
 			return true
 		}
 	}
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -87,7 +87,7 @@
 	least := 0.0
 	for i := range m.MachineTypes {
 		t := &m.MachineTypes[i]
-		if !j.AllowedTypes[i] || !j.Need.Fits(t.Capacity) {
+		if !j.allowedTypes[i] || !j.Need.Fits(t.Capacity) {
 			continue
 		}
 		cost := t.BootTime.Seconds() + bootSecondsPerPrice*t.Price
@@ -121,7 +121,7 @@
 func (m *Model) anyOfferFits(j *Job, offers []placement.Offer) bool {
 	for i := range offers {
 		o := &offers[i]
-		if j.AllowedTypes[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity) {
+		if j.allowedTypes[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity) {
 			return true
 		}
 	}
