--- a/controller/node_metrics.go
+++ b/controller/node_metrics.go
@@ -89,7 +89,7 @@
 		m.RegisterGauge(name, "Of all warm pools together; the leader's.", func() float64 {
 			sum := 0.0
 			if f := n.fleetView(time.Now()); f != nil {
-				for _, p := range f.Pools {
+				for _, p := range f.WarmPools {
 					sum += read(p)
 				}
 			}
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -113,7 +113,7 @@
 		StarvedJobs: starved, StarvedJobCount: s.StarvedTotal,
 		Node: n.cfg.Node, FencingToken: l.lease.FencingToken, LeaderSince: l.lease.ElectedAt, LeaseValid: l.lease.Valid(),
 		Machines: s.Machines, Tasks: s.Tasks, Jobs: s.Jobs, LateJobs: s.PastDeadline, LongestWaitSeconds: s.LongestWait,
-		LeastLeaseLeftSeconds: s.LeaseLeft, PriorityInversions: s.PriorityInversions, Pools: warmPoolViews(s.Pools),
+		LeastLeaseLeftSeconds: s.LeaseLeft, PriorityInversions: s.PriorityInversions, WarmPools: warmPoolViews(s.Pools),
 	}
 }
 
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,7 +1,11 @@
-// Package metrics is what a node tells those who watch it: counters, gauges and
-// histograms in Prometheus' text format, the last troubles, and an overview. It
-// decides nothing, and a nil Set takes everything in and keeps nothing, so that
-// a node without an operators' address pays nothing for it.
+// Package metrics is what a node shows to operators: counters, gauges and histograms in
+// Prometheus' text format (Set), the recent errors of its log (RecentErrors), and the overview
+// of `umberdeal status` (Overview).
+//
+// It is used by package controller and by the command line, and decides nothing. The
+// measuring methods of a nil Set and List of nil RecentErrors do nothing, so that a node
+// without an address for operators needs no special case. Names of metrics, JSON fields and the texts of
+// the table are an interface for operators' programs and stay as they are.
 package metrics
 
 import (
@@ -12,21 +16,21 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Step is a part of a job's or task's way from its submission until it runs.
+// Step is a part of the time from a job's submission until its tasks run.
 type Step int
 
-// Steps, each measured from the one before, in seconds.
+// Steps, each measured from the end of the one before.
 const (
-	StepAccepted Step = iota // from a submission's arrival here to its answer
+	StepAccepted Step = iota // from a submission's arrival at this node to its answer
 	StepPlaced               // from a job's acceptance to a task's placement
-	StepLaunched             // from its placement to the answer with its launch
-	StepRunning              // from its launch to the report that it runs
+	StepLaunched             // from the placement to the heartbeat answer with the launch
+	StepRunning              // from the launch to the heartbeat that shows the task running
 	stepCount
 )
 
 var stepMetricNames = [stepCount]string{"submission_to_acceptance", "acceptance_to_placement", "placement_to_launch", "launch_to_running"}
 
-// Set is a node's instruments.
+// Set holds the metrics of a node. Its methods are safe for concurrent use.
 type Set struct {
 	registry              *prometheus.Registry
 	stepSeconds           [stepCount]prometheus.Histogram
@@ -38,16 +42,16 @@
 	priorityInversions    *prometheus.CounterVec
 }
 
-// New makes a node's instruments.
+// New makes the metrics of a node.
 func New(node string) *Set {
-	reg := prometheus.NewRegistry()
-	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	in := prometheus.WrapRegistererWith(prometheus.Labels{"node": node}, reg)
-	s := &Set{registry: reg}
+	registry := prometheus.NewRegistry()
+	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	labelled := prometheus.WrapRegistererWith(prometheus.Labels{"node": node}, registry)
+	s := &Set{registry: registry}
 	for i, name := range stepMetricNames {
 		s.stepSeconds[i] = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "umberdeal_" + name + "_seconds",
 			Help: "Time of this step of a submission or a task.", Buckets: prometheus.ExponentialBuckets(0.01, 2, 16)})
-		in.MustRegister(s.stepSeconds[i])
+		labelled.MustRegister(s.stepSeconds[i])
 	}
 	s.leaseLeftSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "umberdeal_lease_left_seconds",
 		Help: "What a worker's lease had left when its report was answered.", Buckets: prometheus.LinearBuckets(0, 2, 20)})
@@ -61,72 +65,75 @@
 		Help: "Requests that were given a final answer other than what they asked for, by reason."}, []string{"why"})
 	s.priorityInversions = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "umberdeal_order_departures_total",
 		Help: "Tasks placed on room that a waiting job of a higher tier could have had, by that tier and reason."}, []string{"tier", "why"})
-	in.MustRegister(s.leaseLeftSeconds, s.passSeconds, s.preemptionHeldSeconds, s.leaderChanges, s.refusals, s.priorityInversions)
+	labelled.MustRegister(s.leaseLeftSeconds, s.passSeconds, s.preemptionHeldSeconds, s.leaderChanges, s.refusals, s.priorityInversions)
 	return s
 }
 
-// Gauge adds a value that is read when somebody asks.
+// RegisterGauge adds a gauge whose value is read at each scrape.
 func (s *Set) RegisterGauge(name, help string, read func() float64) {
 	if s != nil {
 		s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "umberdeal_" + name, Help: help}, read))
 	}
 }
 
-// Counter adds a value that only grows and is read when somebody asks.
+// RegisterCounter adds a counter whose value is read at each scrape.
 func (s *Set) RegisterCounter(name, help string, read func() float64) {
 	if s != nil {
 		s.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "umberdeal_" + name, Help: help}, read))
 	}
 }
 
-// Took takes in how long a step took.
+// ObserveStep measures how long a step took.
 func (s *Set) ObserveStep(step Step, seconds float64) {
 	if s != nil {
 		s.stepSeconds[step].Observe(max(seconds, 0))
 	}
 }
 
-// LeaseLeft takes in how many seconds a worker's lease had left.
+// LeaseLeft measures how many seconds of a worker's lease were left when its heartbeat was
+// answered.
 func (s *Set) LeaseLeft(seconds float64) {
 	if s != nil {
 		s.leaseLeftSeconds.Observe(max(seconds, 0))
 	}
 }
 
-// PreemptionHeld takes in how long a stop waited until the plan was compared.
+// PreemptionHeld measures how long a stop waited until the plan it was decided by was
+// confirmed.
 func (s *Set) PreemptionHeld(seconds float64) {
 	if s != nil {
 		s.preemptionHeldSeconds.Observe(max(seconds, 0))
 	}
 }
 
-// Pass takes in the length of a scheduling pass.
+// ObserveSchedulingPass measures the length of a scheduling pass.
 func (s *Set) ObserveSchedulingPass(seconds float64) {
 	if s != nil {
 		s.passSeconds.Observe(seconds)
 	}
 }
 
-// LeaderChanged counts a change of leader.
+// CountLeaderChange counts a change of leader.
 func (s *Set) CountLeaderChange() {
 	if s != nil {
 		s.leaderChanges.Inc()
 	}
 }
 
-// Refused counts a request that was refused or shed.
+// CountRefusal counts a request that was refused or shed.
 func (s *Set) CountRefusal(why string) {
 	if s != nil {
 		s.refusals.WithLabelValues(why).Inc()
 	}
 }
 
-// PriorityInversion counts a departure from the operators' order.
+// PriorityInversion counts a task that was placed on resources which a waiting job of a
+// higher tier could have used.
 func (s *Set) PriorityInversion(tier, why string) {
 	if s != nil {
 		s.priorityInversions.WithLabelValues(tier, why).Inc()
 	}
 }
 
-// Handler serves the text format.
+// Handler serves the metrics in Prometheus' text format.
 func (s *Set) Handler() http.Handler { return promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{}) }
--- a/metrics/recent_errors.go
+++ b/metrics/recent_errors.go
@@ -9,13 +9,14 @@
 	"time"
 )
 
-// Trouble is a line of the log that an operator would want to see again.
+// RecentError is a line of the log that operators are shown again.
 type RecentError struct {
 	At   time.Time `json:"at"`
 	Text string    `json:"text"`
 }
 
-// troubleMessages are the messages that count; errors always do.
+// notableMessages are the messages that are kept whatever their level. Errors are kept
+// whatever their message.
 var notableMessages = []string{
 	"process stalled", "machine lease expired", "no heartbeats reach this leader, resigning",
 	"key-value store unreachable, retrying", "key-value store reachable again", "leader unresponsive",
@@ -24,73 +25,86 @@
 	"records not loaded, retrying", "watch fell behind, resigning",
 }
 
+// maxRecentErrors is how many lines are kept.
 const maxRecentErrors = 64
 
-// Troubles is a log handler that passes everything on and keeps the last
-// troubles.
+// RecentErrors is a log handler that passes every line on to another handler, and keeps the
+// last errors and notable lines. It is safe for concurrent use.
 type RecentErrors struct {
 	slog.Handler
-	buffer *errorBuffer
+	buffer *errorBuffer // shared by the handlers that are made of this one
 	attrs  []slog.Attr
 }
 
+// errorBuffer holds the lines kept, oldest first.
 type errorBuffer struct {
 	mu      sync.Mutex
 	entries []RecentError
 }
 
-// NewTroubles wraps a handler.
+// add adds a line, and drops the oldest over the limit.
+func (b *errorBuffer) add(e RecentError) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.entries = append(b.entries, e)
+	if n := len(b.entries); n > maxRecentErrors {
+		b.entries = slices.Clone(b.entries[n-maxRecentErrors:])
+	}
+}
+
+// NewRecentErrors wraps a handler.
 func NewRecentErrors(h slog.Handler) *RecentErrors {
 	return &RecentErrors{Handler: h, buffer: &errorBuffer{}}
 }
 
-// Enabled keeps info lines coming where the log itself shows errors only.
-func (t *RecentErrors) Enabled(ctx context.Context, l slog.Level) bool {
-	return l >= slog.LevelInfo || t.Handler.Enabled(ctx, l)
+// Enabled implements slog.Handler. Lines of level info are handled even if the wrapped
+// handler does not want them, since notable ones are among them.
+func (r *RecentErrors) Enabled(ctx context.Context, level slog.Level) bool {
+	return level >= slog.LevelInfo || r.Handler.Enabled(ctx, level)
 }
 
 // Handle implements slog.Handler.
-func (t *RecentErrors) Handle(ctx context.Context, r slog.Record) error {
-	if r.Level >= slog.LevelError || slices.Contains(notableMessages, r.Message) {
-		var b strings.Builder
-		b.WriteString(r.Message)
-		say := func(a slog.Attr) bool {
-			b.WriteString(" " + a.Key + "=" + a.Value.String())
-			return true
-		}
-		for _, a := range t.attrs {
-			say(a)
-		}
-		r.Attrs(say)
-		t.buffer.mu.Lock()
-		t.buffer.entries = append(t.buffer.entries, RecentError{At: r.Time, Text: b.String()})
-		if n := len(t.buffer.entries); n > maxRecentErrors {
-			t.buffer.entries = slices.Clone(t.buffer.entries[n-maxRecentErrors:])
-		}
-		t.buffer.mu.Unlock()
+func (r *RecentErrors) Handle(ctx context.Context, record slog.Record) error {
+	if record.Level >= slog.LevelError || slices.Contains(notableMessages, record.Message) {
+		r.buffer.add(RecentError{At: record.Time, Text: r.text(record)})
 	}
-	if !t.Handler.Enabled(ctx, r.Level) {
+	if !r.Handler.Enabled(ctx, record.Level) {
 		return nil
 	}
-	return t.Handler.Handle(ctx, r)
+	return r.Handler.Handle(ctx, record)
+}
+
+// text is a line's message with its attributes, those of the handler first.
+func (r *RecentErrors) text(record slog.Record) string {
+	var text strings.Builder
+	text.WriteString(record.Message)
+	write := func(a slog.Attr) bool {
+		text.WriteString(" " + a.Key + "=" + a.Value.String())
+		return true
+	}
+	for _, a := range r.attrs {
+		write(a)
+	}
+	record.Attrs(write)
+	return text.String()
 }
 
 // WithAttrs implements slog.Handler.
-func (t *RecentErrors) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return &RecentErrors{Handler: t.Handler.WithAttrs(attrs), buffer: t.buffer, attrs: append(slices.Clone(t.attrs), attrs...)}
+func (r *RecentErrors) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return &RecentErrors{Handler: r.Handler.WithAttrs(attrs), buffer: r.buffer, attrs: append(slices.Clone(r.attrs), attrs...)}
 }
 
 // WithGroup implements slog.Handler.
-func (t *RecentErrors) WithGroup(name string) slog.Handler {
-	return &RecentErrors{Handler: t.Handler.WithGroup(name), buffer: t.buffer, attrs: t.attrs}
+func (r *RecentErrors) WithGroup(name string) slog.Handler {
+	return &RecentErrors{Handler: r.Handler.WithGroup(name), buffer: r.buffer, attrs: r.attrs}
 }
 
-// Last is what was kept, oldest first.
-func (t *RecentErrors) List() []RecentError {
-	if t == nil {
+// List returns the lines kept, oldest first; nil for nil RecentErrors.
+func (r *RecentErrors) List() []RecentError {
+	if r == nil {
 		return nil
 	}
-	t.buffer.mu.Lock()
-	defer t.buffer.mu.Unlock()
-	return slices.Clone(t.buffer.entries)
+	r.buffer.mu.Lock()
+	defer r.buffer.mu.Unlock()
+	return slices.Clone(r.buffer.entries)
 }
