--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -862,10 +862,10 @@
 
 func (d *driver) launch(w *simWorker, c wire.Command) *simTask {
 	t := &simTask{TaskReport: wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}}
-	id, n, _ := wire.SplitTask(c.Task)
+	id, n, _ := wire.ParseTaskName(c.Task)
 	j := d.m.Job(id)
 	if j == nil || n >= len(j.Tasks) {
-		t.State, t.Why = wire.TaskExited, wire.WhyUnknown
+		t.State, t.Why = wire.TaskExited, wire.ExitUnknown
 		return t
 	}
 	t.image = j.Spec.Image
@@ -875,7 +875,7 @@
 	}
 	if d.chance(5) {
 		d.met["start refused"]++
-		t.refuse = []string{wire.WhyNoRoom, wire.WhyBusy, wire.WhyError, wire.WhyUnknown}[d.rnd.IntN(4)]
+		t.refuse = []string{wire.ExitNoRoom, wire.ExitBusy, wire.ExitError, wire.ExitUnknown}[d.rnd.IntN(4)]
 	}
 	if j.Gang() {
 		d.met["gang"]++
@@ -887,12 +887,12 @@
 }
 
 func (d *driver) stop(t *simTask, c wire.Command) {
-	id, _, _ := wire.SplitTask(t.Task)
+	id, _, _ := wire.ParseTaskName(t.Task)
 	if j := d.m.Job(id); c.GraceS != nil && *c.GraceS > 0 && t.State == wire.TaskRunning && j != nil && j.Spec.CheckpointS > 0 {
 		t.State, t.until = wire.TaskSaving, d.seconds()+min(*c.GraceS, j.Spec.SaveS)
 		return
 	}
-	t.State, t.Why = wire.TaskExited, wire.WhyStopped
+	t.State, t.Why = wire.TaskExited, wire.ExitStopped
 }
 
 // run lets a worker's tasks go on.
@@ -902,7 +902,7 @@
 		if now < t.until || t.State == wire.TaskExited {
 			continue
 		}
-		id, _, _ := wire.SplitTask(t.Task)
+		id, _, _ := wire.ParseTaskName(t.Task)
 		j := d.m.Job(id)
 		switch t.State {
 		case wire.TaskFetching:
@@ -918,12 +918,12 @@
 			}
 		case wire.TaskWaiting:
 			if j == nil || now-t.until > d.cfg.Cluster.Workers.GangWaitS {
-				t.State, t.Why = wire.TaskExited, wire.WhyAlone
+				t.State, t.Why = wire.TaskExited, wire.ExitAlone
 			}
 		case wire.TaskRunning:
-			t.State, t.Why = wire.TaskExited, wire.WhyDone
+			t.State, t.Why = wire.TaskExited, wire.ExitDone
 		case wire.TaskSaving:
-			t.State, t.Why, t.Saved = wire.TaskExited, wire.WhyStopped, true
+			t.State, t.Why, t.Saved = wire.TaskExited, wire.ExitStopped, true
 		}
 	}
 }
@@ -933,7 +933,7 @@
 	var all []*simTask
 	for _, w := range d.workers {
 		for _, o := range w.tasks {
-			if id, _, _ := wire.SplitTask(o.Task); id == j.ID && o.Attempt == t.Attempt && o.State == wire.TaskWaiting {
+			if id, _, _ := wire.ParseTaskName(o.Task); id == j.ID && o.Attempt == t.Attempt && o.State == wire.TaskWaiting {
 				all = append(all, o)
 			}
 		}
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -62,7 +62,7 @@
 		// backoff.
 		j.NotBefore = now.Add(min(firstFaultWait<<min(r.round, 10), lastFaultWait))
 		r.round++
-		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(r.machines), "lastReason", wire.WhyError,
+		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(r.machines), "lastReason", wire.ExitError,
 			"nextTryInS", j.NotBefore.Sub(now).Seconds())
 	}
 	return 0
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -142,7 +142,7 @@
 // placementOf returns the placement of an attempt that a heartbeat lists, or nil if that
 // attempt is not placed on this machine.
 func (m *Model) placementOf(mc *Machine, t *wire.TaskReport) *Placement {
-	id, n, ok := wire.SplitTask(t.Task)
+	id, n, ok := wire.ParseTaskName(t.Task)
 	if !ok {
 		return nil
 	}
--- a/cluster/heartbeatretry_test.go
+++ b/cluster/heartbeatretry_test.go
@@ -26,7 +26,7 @@
 func TestDuplicateOfNewestHeartbeatIsAnsweredWithoutNewCommands(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
-	exit := wire.TaskReport{Task: wire.TaskName("wk-000001", NoSuchTask), Attempt: 1, State: wire.TaskExited, Why: wire.WhyUnknown}
+	exit := wire.TaskReport{Task: wire.TaskName("wk-000001", NoSuchTask), Attempt: 1, State: wire.TaskExited, Why: wire.ExitUnknown}
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	commit(t, m, at(1))
--- a/cluster/model_test.go
+++ b/cluster/model_test.go
@@ -145,7 +145,7 @@
 
 func TestForgetOnlyAfterTheOutcomeIsCommitted(t *testing.T) {
 	m := placed(t, 2)
-	done := wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.WhyDone}
+	done := wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitDone}
 	other := wire.TaskReport{Task: "wk-000001/1", Attempt: 1, State: wire.TaskRunning}
 	if _, _, f := ops(answer(t, m, rep(3, 5, done, other), at(3))); f != 0 {
 		t.Fatal("forgotten before the commit")
@@ -157,7 +157,7 @@
 }
 
 func TestRefusedStartsBackOffAndGoElsewhere(t *testing.T) {
-	for _, why := range []string{wire.WhyNoRoom, wire.WhyBusy, wire.WhyUnknown, wire.WhyError} {
+	for _, why := range []string{wire.ExitNoRoom, wire.ExitBusy, wire.ExitUnknown, wire.ExitError} {
 		m := newModel(5)
 		m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 		answer(t, m, rep(1, 5), at(0))
@@ -179,7 +179,7 @@
 		m.Schedule(at(7.1), 0)
 		if task.Placement == nil || task.Placement.Attempt != 2 {
 			t.Errorf("%s: not started again later under a higher attempt", why)
-		} else if why == wire.WhyError && m.Machines[task.Placement.Machine].Name != "host-2" {
+		} else if why == wire.ExitError && m.Machines[task.Placement.Machine].Name != "host-2" {
 			t.Errorf("%s: back on the same machine", why)
 		}
 	}
@@ -227,7 +227,7 @@
 	second := rep(1, 9)
 	second.Machine = "host-2"
 	answer(t, m, second, at(1))
-	exited := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskExited, Why: wire.WhyStopped, Saved: true}
+	exited := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskExited, Why: wire.ExitStopped, Saved: true}
 	answer(t, m, rep(2, 9, exited), at(4))
 	m.Schedule(at(4.1), 0)
 	p := m.Job("wk-000001").Tasks[0].Placement
@@ -242,7 +242,7 @@
 	second.Seq = 2
 	answer(t, m, second, at(4.5))
 	second.Seq = 3
-	second.Tasks = []wire.TaskReport{{Task: "wk-000001/0", Attempt: 4, State: wire.TaskExited, Why: wire.WhyError}}
+	second.Tasks = []wire.TaskReport{{Task: "wk-000001/0", Attempt: 4, State: wire.TaskExited, Why: wire.ExitError}}
 	answer(t, m, second, at(6))
 	if m.RebalanceCycles["a/m"].Record.QuarantineUntilMs["wk-000001/0"] == 0 {
 		t.Error("not quarantined")
--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -43,7 +43,7 @@
 				running[c.Task] = wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
 			case wire.OpStop:
 				stops++
-				running[c.Task] = wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, Why: wire.WhyStopped}
+				running[c.Task] = wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, Why: wire.ExitStopped}
 			case wire.OpForget:
 				delete(running, c.Task)
 			}
--- a/cluster/priority_tiers_test.go
+++ b/cluster/priority_tiers_test.go
@@ -79,7 +79,7 @@
 		slices.Sort(names)
 		for _, name := range names {
 			if t := on[name]; t.State == wire.TaskRunning && p.now >= t.until {
-				t.State, t.Why = wire.TaskExited, wire.WhyDone
+				t.State, t.Why = wire.TaskExited, wire.ExitDone
 			}
 			r.Tasks = append(r.Tasks, on[name].TaskReport)
 		}
@@ -90,14 +90,14 @@
 			t := on[c.Task]
 			switch {
 			case c.Op == wire.OpStart && t == nil:
-				id, _, _ := wire.SplitTask(c.Task)
+				id, _, _ := wire.ParseTaskName(c.Task)
 				if _, ok := p.began[id]; !ok {
 					p.began[id] = p.now - p.came[id]
 				}
 				p.log = append(p.log, fmt.Sprint(p.now, " ", c.Task, " on ", i))
 				on[c.Task] = &playTask{wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, p.now + p.took[id]}
 			case c.Op == wire.OpStop && t != nil && t.State == wire.TaskRunning:
-				t.State, t.Why = wire.TaskExited, wire.WhyStopped
+				t.State, t.Why = wire.TaskExited, wire.ExitStopped
 				p.log = append(p.log, fmt.Sprint(p.now, " ", c.Task, " stopped"))
 			case c.Op == wire.OpForget:
 				delete(on, c.Task)
--- a/cluster/reachability_test.go
+++ b/cluster/reachability_test.go
@@ -24,7 +24,7 @@
 	if len(mc.Tasks) > 0 {
 		t.Error("placed there again")
 	}
-	probe := wire.TaskReport{Task: cmds[0].Task, Attempt: cmds[0].Attempt, State: wire.TaskExited, Why: wire.WhyUnknown}
+	probe := wire.TaskReport{Task: cmds[0].Task, Attempt: cmds[0].Attempt, State: wire.TaskExited, Why: wire.ExitUnknown}
 	if _, _, forgets := ops(answer(t, m, rep(4, 5, probe), at(8))); forgets != 1 {
 		t.Error("the exit of the probe is not forgotten")
 	}
@@ -117,7 +117,7 @@
 // and may be on the machine by now.
 func TestRefusedLaunchWithoutFencingTokenKeepsPlacement(t *testing.T) {
 	next := modelAfterFailover()
-	exit := wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.WhyNoRoom}
+	exit := wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitNoRoom}
 	cmds := answer(t, next, rep(3, 5, exit), at(1))
 	if _, _, forgets := ops(cmds); forgets > 0 || next.Job("wk-000001").Tasks[0].Placement == nil {
 		t.Errorf("placement removed, or sent %v", cmds)
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -44,7 +44,7 @@
 }
 
 func (m *Model) taskOfMove(mv jobstore.Move) (TaskRef, *Placement) {
-	id, n, ok := wire.SplitTask(mv.Task)
+	id, n, ok := wire.ParseTaskName(mv.Task)
 	if !ok {
 		return TaskRef{}, nil
 	}
@@ -86,7 +86,7 @@
 }
 
 func ownTask(j *Job, name string) bool {
-	id, _, ok := wire.SplitTask(name)
+	id, _, ok := wire.ParseTaskName(name)
 	return ok && id == j.ID
 }
 
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -42,7 +42,7 @@
 // applyListedTask applies the state of a task that a heartbeat lists. It returns the task if
 // it is placed on the machine with the attempt listed.
 func (m *Model) applyListedTask(mc *Machine, r *wire.Report, t *wire.TaskReport, now time.Time) (ref TaskRef, placed bool) {
-	id, n, ok := wire.SplitTask(t.Task)
+	id, n, ok := wire.ParseTaskName(t.Task)
 	if !ok {
 		return TaskRef{}, false
 	}
@@ -60,7 +60,7 @@
 		return TaskRef{}, false
 	}
 	ref = TaskRef{Job: j.Index, Task: int32(n)}
-	if t.State == wire.TaskExited && t.Why != wire.WhyDone && p.Inherited && !mc.tokenShown {
+	if t.State == wire.TaskExited && t.Why != wire.ExitDone && p.Inherited && !mc.tokenShown {
 		// Without the token this may be a delayed copy. A gang's task that the worker
 		// refused is launched again with the same attempt number, and may be on the
 		// machine by now.
--- a/cluster/starvation_test.go
+++ b/cluster/starvation_test.go
@@ -77,9 +77,9 @@
 	h.rep.Tasks = nil
 	for _, name := range slices.Sorted(maps.Keys(h.runs)) {
 		r := h.runs[name]
-		id, _, _ := wire.SplitTask(name)
+		id, _, _ := wire.ParseTaskName(name)
 		if j := s.m.Job(id); j != nil && r.State == wire.TaskRunning && now >= h.from[name]+j.Spec.EstimateS {
-			r.State, r.Why = wire.TaskExited, wire.WhyDone
+			r.State, r.Why = wire.TaskExited, wire.ExitDone
 		}
 		h.rep.Tasks = append(h.rep.Tasks, *r)
 	}
@@ -88,13 +88,13 @@
 		case wire.OpStart:
 			h.runs[c.Task] = &wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
 			h.from[c.Task] = now
-			if id, _, _ := wire.SplitTask(c.Task); s.began[id] == 0 {
+			if id, _, _ := wire.ParseTaskName(c.Task); s.began[id] == 0 {
 				s.began[id] = now
 			}
 		case wire.OpStop:
 			s.stops = append(s.stops, c.Task)
 			if r := h.runs[c.Task]; r != nil {
-				r.State, r.Why = wire.TaskExited, wire.WhyStopped
+				r.State, r.Why = wire.TaskExited, wire.ExitStopped
 			}
 		case wire.OpForget:
 			delete(h.runs, c.Task)
@@ -166,7 +166,7 @@
 				return s
 			})
 			for _, name := range s.stops {
-				if id, _, _ := wire.SplitTask(name); id != "wk-000001" || !c.stopped {
+				if id, _, _ := wire.ParseTaskName(name); id != "wk-000001" || !c.stopped {
 					t.Errorf("%s was stopped for it", name)
 				}
 			}
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -47,7 +47,7 @@
 	}
 	m.log.Debug("task exited", "task", t.Task, "attempt", t.Attempt, "why", t.Why, "saved", t.Saved, "ran", ran, "machine", mc.Name)
 	ref := TaskRef{Job: j.Index, Task: task}
-	if t.Why == wire.WhyDone {
+	if t.Why == wire.ExitDone {
 		m.recordImage(mc, j.Image)
 		m.clearFault(j)
 		m.recordSlowness(j, mc, p, now)
@@ -68,23 +68,23 @@
 	failed := ""
 	how := jobstore.OutcomeRefused
 	switch t.Why {
-	case wire.WhyError:
+	case wire.ExitError:
 		how = jobstore.OutcomeFailed
 		if j.reservation == nil { // what such a job runs differs from task to task
 			wait = m.taskFailed(j, task, mc, now)
 		}
 		failed = "error"
-	case wire.WhyNoRoom, wire.WhyBusy:
+	case wire.ExitNoRoom, wire.ExitBusy:
 		wait = time.Second
 		m.avoidMachine(j, mc, now.Add(5*time.Second))
 		failed = t.Why
-	case wire.WhyUnknown:
+	case wire.ExitUnknown:
 		wait = 3 * time.Second
 		failed = t.Why
-	case wire.WhyAlone:
+	case wire.ExitAlone:
 		j.endGang()
 		wait = time.Second
-	case wire.WhyPeers, wire.WhyStopped:
+	case wire.ExitPeers, wire.ExitStopped:
 		j.endGang()
 		how = stopReason(p)
 	}
@@ -107,7 +107,7 @@
 	if mc.reportedExits[exitKey{t.Task, t.Attempt}] != nil {
 		return
 	}
-	if t.Why == wire.WhyDone && !j.Cancelled && j.Tasks[task].Phase == TaskIdle {
+	if t.Why == wire.ExitDone && !j.Cancelled && j.Tasks[task].Phase == TaskIdle {
 		m.markDone(j, task, now)
 	}
 	m.rememberExit(j, task, mc, t)
--- a/cluster/wakeup_test.go
+++ b/cluster/wakeup_test.go
@@ -59,7 +59,7 @@
 		t.Errorf("%d wake-ups after one without effect", len(again))
 	}
 	// The exit that the worker lists is forgotten, and nothing else follows.
-	r := rep(2, 5, wire.TaskReport{Task: "wk-000001/100000", Attempt: 1, State: wire.TaskExited, Why: wire.WhyUnknown})
+	r := rep(2, 5, wire.TaskReport{Task: "wk-000001/100000", Attempt: 1, State: wire.TaskExited, Why: wire.ExitUnknown})
 	cmds := m.AnswerHeartbeat(m.ApplyHeartbeat(r, at(3.1)), r, at(3.1))
 	if len(cmds) != 2 || cmds[0].Op != wire.OpForget || cmds[1].Op != wire.OpStart || cmds[1].Task != "wk-000001/0" {
 		t.Errorf("commands %+v, wanted a forget and the launch", cmds)
--- a/internal/fake/cancellations.go
+++ b/internal/fake/cancellations.go
@@ -61,7 +61,7 @@
 func (w *Cluster) jobsWithLongToGo(now time.Time) map[string][]*machine {
 	machinesOf := map[string][]*machine{}
 	for name, ms := range w.tasksWithImage {
-		id, _, _ := wire.SplitTask(name)
+		id, _, _ := wire.ParseTaskName(name)
 		j := w.jobs[id]
 		if !j.accepted || j.cancelRequested {
 			continue
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -148,17 +148,17 @@
 	t := &task{taskKey: k, machine: m, state: wire.TaskFetching, launchedAt: now}
 	m.tasks[k] = t
 	m.order = append(m.order, k)
-	id, n, ok := wire.SplitTask(k.name)
+	id, n, ok := wire.ParseTaskName(k.name)
 	job := m.cluster.jobOf(id)
 	if !ok || job == nil || n >= job.spec.Tasks {
-		m.exit(t, wire.WhyUnknown, false)
+		m.exit(t, wire.ExitUnknown, false)
 		return
 	}
 	t.job, t.index = &job.spec, n
 	var used resources
 	for _, o := range m.tasks {
 		if o != t && o.name == k.name && o.state != wire.TaskExited {
-			m.exit(t, wire.WhyBusy, false)
+			m.exit(t, wire.ExitBusy, false)
 			return
 		}
 		if o.job != nil && o.state != wire.TaskExited {
@@ -166,7 +166,7 @@
 		}
 	}
 	if !used.fitIn(resourcesOf(m.machineType)) {
-		m.exit(t, wire.WhyNoRoom, false)
+		m.exit(t, wire.ExitNoRoom, false)
 		return
 	}
 	t.readyAt = now.Add(100 * time.Millisecond)
@@ -247,7 +247,7 @@
 // a forget could remove an outcome that is not recorded. The lock is held.
 func (w *Cluster) checkDirectCommands(commands []wire.Command) {
 	for _, c := range commands {
-		id, n, ok := wire.SplitTask(c.Task)
+		id, n, ok := wire.ParseTaskName(c.Task)
 		switch {
 		case c.Op == wire.OpForget:
 			w.violations.add("a forget of %s is sent directly", c.Task)
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -77,12 +77,12 @@
 	switch {
 	case w.gangCompletes(g, t, now):
 		for _, o := range g.inOrder() {
-			o.machine.exit(o, wire.WhyDone, false)
+			o.machine.exit(o, wire.ExitDone, false)
 		}
 	case !g.running:
-		exitAfter(t, wire.WhyAlone, now.Sub(t.presentSince), secs(workers.GangWaitS))
+		exitAfter(t, wire.ExitAlone, now.Sub(t.presentSince), secs(workers.GangWaitS))
 	case !g.brokenAt.IsZero():
-		exitAfter(t, wire.WhyPeers, now.Sub(g.brokenAt), secs(workers.GangPeerS))
+		exitAfter(t, wire.ExitPeers, now.Sub(g.brokenAt), secs(workers.GangPeerS))
 	case !g.savingSince.IsZero():
 		w.advanceSavingGang(g, t, now)
 	}
@@ -99,7 +99,7 @@
 func exitAfter(t *task, why string, waited, limit time.Duration) {
 	switch {
 	case !t.stopsAt.IsZero():
-		t.machine.exit(t, wire.WhyStopped, false)
+		t.machine.exit(t, wire.ExitStopped, false)
 	case waited > limit:
 		t.machine.exit(t, why, false)
 	}
@@ -112,13 +112,13 @@
 	case len(g.saving) == t.job.Tasks:
 		if !t.stopsAt.IsZero() && !now.Before(t.stopsAt) {
 			w.progress[t.job.ID] = g.progressBefore + g.savingSince.Sub(g.runningSince).Seconds()
-			t.machine.exit(t, wire.WhyStopped, true)
+			t.machine.exit(t, wire.ExitStopped, true)
 		}
 	case now.Sub(g.savingSince) <= secs(w.Settings.Cluster.Workers.GangPeerS):
 	case g.saving[t.index]:
-		t.machine.exit(t, wire.WhyStopped, false)
+		t.machine.exit(t, wire.ExitStopped, false)
 	default:
-		t.machine.exit(t, wire.WhyPeers, false)
+		t.machine.exit(t, wire.ExitPeers, false)
 	}
 }
 
@@ -126,7 +126,7 @@
 func (w *Cluster) stopGangTask(t *task, grace float64, now time.Time) {
 	g := w.gangOf(t)
 	if !t.saves(grace) || !g.running || !g.brokenAt.IsZero() {
-		t.machine.exit(t, wire.WhyStopped, false)
+		t.machine.exit(t, wire.ExitStopped, false)
 		return
 	}
 	if g.savingSince.IsZero() {
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -147,7 +147,7 @@
 // faults leaders learn of it at once. Starts that last for an instant count. The lock is
 // held.
 func (w *Cluster) checkLaunch(task string, now time.Time) {
-	id, n, _ := wire.SplitTask(task)
+	id, n, _ := wire.ParseTaskName(task)
 	j := w.jobs[id]
 	if j == nil || n >= j.spec.Tasks || j.cancelConfirmedAt.IsZero() {
 		return
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -196,7 +196,7 @@
 			m.reportDue = true
 			m.cluster.startTask(t, now)
 			if m.faulty || t.job.Class == BrokenClass {
-				m.exit(t, wire.WhyError, false)
+				m.exit(t, wire.ExitError, false)
 				continue
 			}
 		}
@@ -211,7 +211,7 @@
 	}
 	t.state, t.exitReason, t.saved = wire.TaskExited, why, saved
 	m.reportDue = true
-	if why == wire.WhyDone {
+	if why == wire.ExitDone {
 		m.cluster.completeTask(t)
 	} else {
 		m.cluster.loseTask(t)
--- a/internal/fake/machine_faults.go
+++ b/internal/fake/machine_faults.go
@@ -48,7 +48,7 @@
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if id, _, ok := wire.SplitTask(task); ok && w.jobs[id] != nil {
+	if id, _, ok := wire.ParseTaskName(task); ok && w.jobs[id] != nil {
 		m.cache.use(w.jobs[id].spec.Image, w.jobs[id].spec.ImageGB, m.machineType.CacheGB, func(string) bool { return true })
 	}
 	// At once, before any controller can notice: what the checker sees must not
--- a/internal/fake/observations.go
+++ b/internal/fake/observations.go
@@ -148,7 +148,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for name, ms := range w.tasksWithImage {
-		if id, _, _ := wire.SplitTask(name); w.jobs[id].spec.Team == team {
+		if id, _, _ := wire.ParseTaskName(name); w.jobs[id].spec.Team == team {
 			cpus += w.jobs[id].spec.CPUs * float64(len(ms))
 		}
 	}
--- a/internal/fake/placement.go
+++ b/internal/fake/placement.go
@@ -75,7 +75,7 @@
 		}
 		cpus, gpus := 0.0, 0.0
 		for name, ms := range w.tasksWithImage {
-			id, _, _ := wire.SplitTask(name)
+			id, _, _ := wire.ParseTaskName(name)
 			if j := w.jobs[id]; j.spec.Team == team.Name {
 				cpus += j.spec.CPUs * float64(len(ms))
 				gpus += j.spec.GPUs * float64(len(ms))
--- a/internal/fake/progress.go
+++ b/internal/fake/progress.go
@@ -13,16 +13,16 @@
 	switch {
 	case !t.present:
 		if !t.stopsAt.IsZero() {
-			t.machine.exit(t, wire.WhyStopped, false)
+			t.machine.exit(t, wire.ExitStopped, false)
 		}
 	case t.job.Kind == wire.KindGang:
 		w.advanceGang(t, now)
 	case !t.stopsAt.IsZero():
 		if !now.Before(t.stopsAt) {
-			t.machine.exit(t, wire.WhyStopped, t.saving)
+			t.machine.exit(t, wire.ExitStopped, t.saving)
 		}
 	case w.completes(t, now):
-		t.machine.exit(t, wire.WhyDone, false)
+		t.machine.exit(t, wire.ExitDone, false)
 	}
 }
 
@@ -46,7 +46,7 @@
 	if t.present && t.job.CheckpointS > 0 && !t.saving {
 		w.progress[t.name] = lastCheckpoint(w.progress[t.name]+now.Sub(t.presentSince).Seconds(), t.job.CheckpointS)
 	}
-	t.machine.exit(t, wire.WhyStopped, false)
+	t.machine.exit(t, wire.ExitStopped, false)
 }
 
 // beginSaving lets a task save its progress, unless it does so already.
--- a/modelcheck/mutation.go
+++ b/modelcheck/mutation.go
@@ -109,7 +109,7 @@
 	}
 	for i := range commands {
 		c := &commands[i]
-		if id, _, _ := wire.SplitTask(c.Task); c.Op == wire.OpStart {
+		if id, _, _ := wire.ParseTaskName(c.Task); c.Op == wire.OpStart {
 			c.Task = wire.TaskName(id, 0)
 		}
 	}
--- a/modelcheck/store.go
+++ b/modelcheck/store.go
@@ -92,7 +92,7 @@
 // outcomeRecorded says whether the store has the record that a task is done, or that its job
 // is over.
 func (s *System) outcomeRecorded(taskName string) bool {
-	id, number, _ := wire.SplitTask(taskName)
+	id, number, _ := wire.ParseTaskName(taskName)
 	if _, ok := s.store[jobstore.FinalKey(id)]; ok {
 		return true
 	}
--- a/modelcheck/worker.go
+++ b/modelcheck/worker.go
@@ -17,7 +17,7 @@
 	attemptKey
 	jobIndex   int    // in the scenario; -1 if the worker does not know the task
 	state      string // wire.TaskFetching and so on
-	exitReason string // wire.WhyDone and so on
+	exitReason string // wire.ExitDone and so on
 }
 
 // occupiesMachine says whether the task counts as being on its machine.
@@ -63,7 +63,7 @@
 		case i < 0:
 			// Not known here: nothing to stop or to forget.
 		case c.Op == wire.OpStop && w.tasks[i].state != wire.TaskExited:
-			s.exitTask(w.tasks[i], wire.WhyStopped)
+			s.exitTask(w.tasks[i], wire.ExitStopped)
 		case c.Op == wire.OpForget && w.tasks[i].state == wire.TaskExited:
 			s.forgetTask(w, i)
 		}
@@ -86,14 +86,14 @@
 
 // jobIndexOf returns the index of a task's job in the scenario; -1 if it has no such task.
 func (s *System) jobIndexOf(taskName string) int {
-	id, number, _ := wire.SplitTask(taskName)
+	id, number, _ := wire.ParseTaskName(taskName)
 	return slices.IndexFunc(s.scenario.Jobs, func(j wire.Job) bool { return j.ID == id && number < j.Tasks })
 }
 
 // startRefusal returns why a worker refuses a start; empty: it does not.
 func (s *System) startRefusal(w *worker, t *task) string {
 	if t.jobIndex < 0 {
-		return wire.WhyUnknown
+		return wire.ExitUnknown
 	}
 	used := 0.0
 	for _, other := range w.tasks {
@@ -101,12 +101,12 @@
 			continue
 		}
 		if other.name == t.name {
-			return wire.WhyBusy
+			return wire.ExitBusy
 		}
 		used += s.jobOf(other).CPUs
 	}
 	if used+s.jobOf(t).CPUs > s.scenario.Capacity {
-		return wire.WhyNoRoom
+		return wire.ExitNoRoom
 	}
 	return ""
 }
@@ -114,7 +114,7 @@
 // refuseStart has a worker refuse the first task whose image it is fetching.
 func (s *System) refuseStart(i int) {
 	s.refusedStarts++
-	s.exitTask(s.workers[i].firstInState(wire.TaskFetching), wire.WhyNoRoom)
+	s.exitTask(s.workers[i].firstInState(wire.TaskFetching), wire.ExitNoRoom)
 }
 
 // imageFetched has a worker start the first task whose image it is fetching. A gang's tasks
@@ -124,7 +124,7 @@
 	t := w.firstInState(wire.TaskFetching)
 	s.checkStart(w, t)
 	if s.completed[t.name] {
-		s.exitTask(t, wire.WhyDone) // its result is kept
+		s.exitTask(t, wire.ExitDone) // its result is kept
 		return
 	}
 	if !s.isGang(t) {
@@ -143,11 +143,11 @@
 func (s *System) completeTask(i int) {
 	t := s.workers[i].firstInState(wire.TaskRunning)
 	if !s.isGang(t) {
-		s.exitTask(t, wire.WhyDone)
+		s.exitTask(t, wire.ExitDone)
 		return
 	}
 	for _, member := range s.gangInState(t, wire.TaskRunning) {
-		s.exitTask(member, wire.WhyDone)
+		s.exitTask(member, wire.ExitDone)
 	}
 }
 
@@ -157,7 +157,7 @@
 	wasRunning := t.state == wire.TaskRunning
 	t.state, t.exitReason = wire.TaskExited, reason
 	switch {
-	case reason == wire.WhyDone:
+	case reason == wire.ExitDone:
 		s.completed[t.name] = true
 	case wasRunning && s.isGang(t):
 		s.exitGangPeers(t)
@@ -168,7 +168,7 @@
 func (s *System) exitGangPeers(t *task) {
 	for _, peer := range s.gangInState(t, wire.TaskRunning) {
 		if peer != t {
-			peer.state, peer.exitReason = wire.TaskExited, wire.WhyPeers
+			peer.state, peer.exitReason = wire.TaskExited, wire.ExitPeers
 		}
 	}
 }
@@ -176,7 +176,7 @@
 // forgetTask takes an exited task off its worker's list.
 func (s *System) forgetTask(w *worker, i int) {
 	t := w.tasks[i]
-	if t.exitReason == wire.WhyDone {
+	if t.exitReason == wire.ExitDone {
 		s.checkOutcomeRecorded(t)
 		if s.scenario.MaxDelayedCommits > 0 {
 			s.forgotten[t.name] = true
--- a/wire/encoding_test.go
+++ b/wire/encoding_test.go
@@ -97,8 +97,8 @@
 		"job pending": JobPending, "job running": JobRunning, "job done": JobDone, "job cancelled": JobCancelled,
 		"path of jobs": PathJobs, "path of readiness": PathReady, "path of reports": PathReport, "path of commands": PathCommands, "path of inspection": PathInspect,
 		"task fetching": TaskFetching, "task waiting": TaskWaiting, "task running": TaskRunning, "task saving": TaskSaving, "task exited": TaskExited,
-		"exit done": WhyDone, "exit stopped": WhyStopped, "exit peers": WhyPeers, "exit alone": WhyAlone, "exit error": WhyError, "exit no room": WhyNoRoom,
-		"exit busy": WhyBusy, "exit unknown": WhyUnknown, "op start": OpStart, "op stop": OpStop, "op forget": OpForget,
+		"exit done": ExitDone, "exit stopped": ExitStopped, "exit peers": ExitPeers, "exit alone": ExitAlone, "exit error": ExitError, "exit no room": ExitNoRoom,
+		"exit busy": ExitBusy, "exit unknown": ExitUnknown, "op start": OpStart, "op stop": OpStop, "op forget": OpForget,
 		"machine booting": MachineBooting, "machine running": MachineRunning, "machine failed": MachineFailed,
 	} {
 		f.Text(name, word)
--- a/wire/whole.go
+++ b/wire/scan.go
@@ -10,10 +10,10 @@
 // This file walks through a message without decoding it.
 
 // errDamaged says that a message ends before what it claims to hold.
-var errDamaged = errors.New("decode: the message is cut off or claims more than it has")
+var errIncomplete = errors.New("decode: the message is cut off or claims more than it has")
 
 // deepest is how deep lists and maps may lie in one another.
-const deepest = 64
+const maxNesting = 64
 
 // JSONSize is how long a message is as JSON, at most: sizes are counted in that
 // form (PROTOCOL). What can't be read counts as if every byte were a long number.
@@ -28,14 +28,14 @@
 // whole says whether a message holds what it claims to: the decoder makes room for
 // as many elements as a list claims, so that five bytes were enough to have it
 // ask for 86 GB and end the process.
-func whole(b []byte) bool {
+func isComplete(b []byte) bool {
 	_, _, ok := walk(b, 0, false)
 	return ok
 }
 
 // walk goes through the first value of b, and measures it if it is to be sized.
 func walk(b []byte, depth int, sized bool) (n int, rest []byte, ok bool) {
-	if len(b) == 0 || depth > deepest {
+	if len(b) == 0 || depth > maxNesting {
 		return 0, nil, false
 	}
 	c := b[0]
--- a/wire/whole_test.go
+++ b/wire/scan_test.go
@@ -23,7 +23,7 @@
 		"nothing":             "",
 	} {
 		var r Report
-		if err := Unmarshal([]byte(b), &r); !errors.Is(err, errDamaged) {
+		if err := Unmarshal([]byte(b), &r); !errors.Is(err, errIncomplete) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -43,7 +43,7 @@
 		f.Add(b)
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if !whole(b) {
+		if !isComplete(b) {
 			return
 		}
 		var v any
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -23,13 +23,13 @@
 
 // ValidID says whether an id has the form that all job ids have: the prefix
 // and six or more digits.
-func ValidID(id string) bool { return validID(id, 20) }
+func ValidID(id string) bool { return hasIDForm(id, 20) }
 
 // ValidUserID says whether an id may be one of a user's: those of more digits belong
 // to jobs of other doors.
-func ValidUserID(id string) bool { return validID(id, 18) }
+func ValidUserID(id string) bool { return hasIDForm(id, 18) }
 
-func validID(id string, most int) bool {
+func hasIDForm(id string, most int) bool {
 	digits, ok := strings.CutPrefix(id, JobPrefix)
 	if !ok || len(digits) < 6 || len(digits) > most {
 		return false
@@ -45,8 +45,8 @@
 // TaskName is how a task is called on the wire.
 func TaskName(id string, task int) string { return id + "/" + strconv.Itoa(task) }
 
-// SplitTask takes a task's name apart.
-func SplitTask(name string) (id string, task int, ok bool) {
+// ParseTaskName takes a task's name apart.
+func ParseTaskName(name string) (id string, task int, ok bool) {
 	id, num, found := strings.Cut(name, "/")
 	if !found {
 		return "", 0, false
@@ -62,11 +62,11 @@
 // the same if it could be read, since a known id is never refused.
 func DecodeJob(body []byte) (Job, error) {
 	if len(body) > MaxBody {
-		return Job{ID: salvageID(body)}, fmt.Errorf("%w: body over 64 KiB", ErrMalformed)
+		return Job{ID: findID(body)}, fmt.Errorf("%w: body over 64 KiB", ErrMalformed)
 	}
 	m, err := decodeFields(body)
 	if err != nil {
-		return Job{ID: salvageID(body)}, fmt.Errorf("%w: not a MessagePack map with text keys: %w", ErrMalformed, err)
+		return Job{ID: findID(body)}, fmt.Errorf("%w: not a MessagePack map with text keys: %w", ErrMalformed, err)
 	}
 	f := fields{m: m}
 	var j Job
@@ -107,7 +107,7 @@
 
 // salvageID finds the id in a body that can't be decoded whole; "" where there is
 // none. A job that is accepted stays so whatever a repeated submission looks like.
-func salvageID(body []byte) string {
+func findID(body []byte) string {
 	for {
 		_, rest, found := bytes.Cut(body, []byte("\xa6nameId"))
 		if !found {
@@ -128,8 +128,8 @@
 }
 
 const (
-	maxDepth = 8 // of what an unknown field may hold
-	maxTypes = 1000
+	maxFieldNesting = 8 // of what an unknown field may hold
+	maxListLength   = 1000
 )
 
 var errShape = errors.New("unexpected shape")
@@ -154,7 +154,7 @@
 		if err != nil {
 			return nil, err
 		}
-		v, err := decodeValue(d, r, maxDepth)
+		v, err := decodeValue(d, r, maxFieldNesting)
 		if err != nil {
 			return nil, err
 		}
@@ -167,7 +167,7 @@
 }
 
 // nested stands for a map within the map, which no field of a job has.
-type nested struct{}
+type nestedMap struct{}
 
 func decodeValue(d *msgpack.Decoder, r *bytes.Reader, depth int) (any, error) {
 	code, err := d.PeekCode()
@@ -189,7 +189,7 @@
 				return nil, err
 			}
 		}
-		return nested{}, nil
+		return nestedMap{}, nil
 	case isList:
 		n, err := d.DecodeArrayLen()
 		if err != nil || n > r.Len() {
@@ -201,7 +201,7 @@
 			if err != nil {
 				return nil, err
 			}
-			if len(list) <= maxTypes {
+			if len(list) <= maxListLength {
 				list = append(list, v)
 			}
 		}
@@ -300,7 +300,7 @@
 		return nil
 	}
 	list, ok := v.([]any)
-	if !ok || len(list) == 0 || len(list) > maxTypes {
+	if !ok || len(list) == 0 || len(list) > maxListLength {
 		f.fail(name, "must be null or a list of 1 to 1000 texts")
 		return nil
 	}
--- a/wire/submission_test.go
+++ b/wire/submission_test.go
@@ -8,10 +8,10 @@
 			t.Errorf("ValidID(%q) is %v", id, !want)
 		}
 	}
-	if id, n, ok := SplitTask(TaskName("wk-000412", 3)); id != "wk-000412" || n != 3 || !ok {
+	if id, n, ok := ParseTaskName(TaskName("wk-000412", 3)); id != "wk-000412" || n != 3 || !ok {
 		t.Errorf("%s %d %v", id, n, ok)
 	}
-	if _, _, ok := SplitTask("wk-000412/-1"); ok {
+	if _, _, ok := ParseTaskName("wk-000412/-1"); ok {
 		t.Error("a negative task was taken")
 	}
 }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -31,8 +31,8 @@
 // Unmarshal decodes a message, ignoring unknown fields. One that claims more than
 // it has is refused before room is made for it.
 func Unmarshal(b []byte, v any) error {
-	if !whole(b) {
-		return errDamaged
+	if !isComplete(b) {
+		return errIncomplete
 	}
 	if err := msgpack.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("decode: %w", err)
@@ -123,14 +123,14 @@
 
 // Reasons of an exit.
 const (
-	WhyDone    = "done"
-	WhyStopped = "stopped"
-	WhyPeers   = "peers"
-	WhyAlone   = "alone"
-	WhyError   = "error"
-	WhyNoRoom  = "no_room"
-	WhyBusy    = "in_use"
-	WhyUnknown = "unknown"
+	ExitDone    = "done"
+	ExitStopped = "stopped"
+	ExitPeers   = "peers"
+	ExitAlone   = "alone"
+	ExitError   = "error"
+	ExitNoRoom  = "no_room"
+	ExitBusy    = "in_use"
+	ExitUnknown = "unknown"
 )
 
 // Report is what a worker says of itself.
--- a/yarn/launch_context.go
+++ b/yarn/launch_context.go
@@ -125,7 +125,7 @@
 // LaunchContextOf returns what a worker runs for a task; for a managed master also its token.
 // An *wire.Error says that there is none.
 func (f *Frontend) LaunchContextOf(ctx context.Context, taskName string) (*LaunchContext, error) {
-	job, task, ok := nwire.SplitTask(taskName)
+	job, task, ok := nwire.ParseTaskName(taskName)
 	if !ok || nwire.ValidUserID(job) {
 		return nil, wire.Errorf(wire.ClassNoContainer, "%s is no container", taskName)
 	}
