--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -7,30 +7,32 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file keeps what is known of machines that are ordered and not up yet.
+// This file estimates when machines that have been requested will come up.
 
-// bootEstimator is how long machines of a type have taken to come up lately, as a
-// multiple of what the catalogue says.
+// bootEstimator estimates how long machines of a type take to come up, as a multiple of the
+// boot time in the catalogue, from the slowest recent ones.
 type bootEstimator struct{ slowest float64 }
 
 const (
-	usualBootRatio = 1.5 // most take no longer than this
-	maxBootRatio   = 3.0 // what is learnt goes no further
-	bootRatioDecay = 0.9 // of what the slowest took is kept with each that is faster
-	lateMargin     = 1.3 // beyond the slowest before a machine counts as late
-	lostMargin     = 1.4 // and before it is given up
+	usualBootRatio = 1.5 // most machines take no longer; lower bound of the estimate
+	maxBootRatio   = 3.0 // upper bound of the estimate
+	bootRatioDecay = 0.9 // factor applied to the slowest ratio with each faster machine
+	lateMargin     = 1.3 // of the estimate, after which a machine counts as late
+	lostMargin     = 1.4 // of the estimate, after which a machine is given up
 )
 
+// observe records the ratio of a machine that came up.
 func (b *bootEstimator) observe(ratio float64) {
 	b.slowest = min(maxBootRatio, max(ratio, bootRatioDecay*b.slowest))
 }
 
+// expectedRatio returns the ratio that few machines exceed.
 func (b *bootEstimator) expectedRatio() float64 { return max(usualBootRatio, b.slowest) }
 
 // learnBootTime updates the boot time of a machine's type from its first heartbeat.
 func (m *Model) learnBootTime(mc *Machine, now time.Time) {
 	if !mc.creationKnown || mc.createdAt.Before(m.ElectedAt) || mc.Type < 0 || m.MachineTypes[mc.Type].BootTime <= 0 {
-		return // up before its rental's answer, or ordered before this leader's time
+		return // up before the response to its request, or requested by an earlier leader
 	}
 	took := now.Sub(mc.createdAt)
 	m.MachineTypes[mc.Type].bootTimes.observe(float64(took) / float64(m.MachineTypes[mc.Type].BootTime))
@@ -39,29 +41,30 @@
 	}
 }
 
-// bootCountsAsLate is after how long a machine that has not come up is not counted on
-// any more: what waits for it may order another.
+// bootCountsAsLate returns how long after its creation a machine that has not come up counts
+// as late. A late machine is not expected any more, and may be replaced.
 func (m *Model) bootCountsAsLate(mc *Machine) time.Duration {
 	t := &m.MachineTypes[mc.Type]
 	return time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()*lateMargin) + config.Seconds(m.settings.Cluster.Workers.ReportS)
 }
 
-// bootLimit is after how long a machine that has not come up is given up. It is
-// long against what is usual: a late machine that is returned and replaced is
-// paid for twice, and its replacement boots as long.
+// bootLimit returns how long after its creation a machine that has not come up is deleted. It
+// is long compared with usual boots, because a late machine that is deleted and replaced is
+// paid for twice, and its replacement takes as long to boot.
 func (m *Model) bootLimit(mc *Machine) time.Duration {
 	t := &m.MachineTypes[mc.Type]
 	return time.Duration(float64(t.BootTime)*max(2.5, t.bootTimes.expectedRatio()*lostMargin)) + 15*time.Second
 }
 
-// bootTimeLeft says how long until a machine that is not up yet should be.
+// bootTimeLeft returns the seconds until a machine that has not come up is expected to. It
+// returns false if the machine has come up, or is not expected to in time.
 func (m *Model) bootTimeLeft(mc *Machine, now time.Time) (float64, bool) {
 	if mc.alive || mc.Gone || mc.scalingIn || mc.AgentEpoch > 0 || mc.Type < 0 || mc.Zone < 0 {
 		return 0, false
 	}
 	age := now.Sub(mc.createdAt)
 	lag := config.Seconds(2*m.settings.Cluster.Cloud.ListLagS + 10)
-	if mc.cloudState == "" && age > lag || mc.cloudState == failedState || age > m.bootLimit(mc) {
+	if mc.cloudState == "" && age > lag || mc.cloudState == wire.MachineFailed || age > m.bootLimit(mc) {
 		return 0, false
 	}
 	if age > m.bootCountsAsLate(mc) {
@@ -75,8 +78,8 @@
 	return max(3, (m.MachineTypes[mc.Type].BootTime - age).Seconds()), true
 }
 
-// refuseOfferOf takes in that a machine never came up: for a while, others are
-// ordered elsewhere where that serves.
+// refuseOfferOf makes scale-outs avoid the offer of a machine that never came up for a while,
+// so that its replacement is requested elsewhere if possible.
 func (m *Model) refuseOfferOf(mc *Machine, now time.Time) {
 	if mc.cloudState != wire.MachineFailed && mc.Zone >= 0 {
 		m.refusedOffers.refuse(offerKey{mc.Type, mc.Zone, mc.Spot}, now.Add(offerRefusalTime))
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -11,8 +11,8 @@
 
 const (
 	// faultMachines is on how many machines a job must have failed, without any success,
-	// to be considered at fault. The low number costs little if it is wrong: the verdict
-	// is revised as soon as one of its tasks keeps running.
+	// to be considered at fault. The number can be low because the judgement is revised as
+	// soon as one of its tasks keeps running.
 	faultMachines = 2
 	// provenAfterSeconds is how long a task must run to prove that its job is not at fault.
 	provenAfterSeconds = 20
@@ -31,8 +31,8 @@
 // machine's errors are judged by whether the jobs that had them are at fault.
 type failureHistory struct {
 	machines map[int32]bool // machines on which a task failed by itself
-	proven   bool           // a task has completed or lasted
-	round    int
+	proven   bool           // a task has completed, or run for provenAfterSeconds
+	round    int            // of the backoff
 }
 
 // atFault reports whether the job has failed on several machines and succeeded on none.
@@ -68,8 +68,8 @@
 	return 0
 }
 
-// clearFault takes in that a task of the job has completed or run for long: what
-// failed before was the machines' fault.
+// clearFault records that a task of the job has completed or has run for long, so that its
+// earlier failures were the machines' fault.
 func (m *Model) clearFault(j *Job) {
 	r := j.failures
 	if r.proven {
@@ -82,7 +82,8 @@
 	j.NotBefore = time.Time{}
 }
 
-// requestableTasks says how many tasks a job may ask room for now, of those that wait.
+// requestableTasks returns how many of its waiting tasks a job may request places for now, at
+// most limit.
 func (j *Job) requestableTasks(limit int, now time.Time) int {
 	switch {
 	case !j.failures.atFault():
--- a/cluster/imagecatalog.go
+++ b/cluster/imagecatalog.go
@@ -1,8 +1,8 @@
 package cluster
 
-// imageCatalog gives each image name an index and remembers its size. Machines'
-// caches and jobs refer to images by index. An index is never reused, and the size
-// is the one that the newest job named.
+// imageCatalog assigns an index to each image name and holds the image's size. The caches of
+// machines and jobs refer to images by index. An index is never reused, and the size is the
+// one that the newest job stated.
 type imageCatalog struct {
 	index  map[string]int32
 	sizeGB []float64 // by index
@@ -22,5 +22,5 @@
 	return i
 }
 
-// size is an image's size in GB.
+// size returns an image's size in GB.
 func (c *imageCatalog) size(image int32) float64 { return c.sizeGB[image] }
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -31,7 +31,7 @@
 				m.log.Info("machine lease expired", "machine", mc.Name, "tasks", len(mc.Tasks))
 			}
 			mc.expireLease()
-			m.loseTasksOn(mc, "its machine's lease is over", now)
+			m.loseTasksOn(mc, lossLeaseExpired, now)
 		}
 		if len(mc.Tasks) > 0 && !m.Ready(mc, now) {
 			m.revokeUnlaunched(mc, now)
@@ -43,13 +43,13 @@
 	m.tickPools(now)
 }
 
-// revokeUnlaunched takes back what was placed on a machine that has fallen silent and
-// was never launched: it is certainly not there, and need not wait for the
-// machine's lease.
+// revokeUnlaunched removes the placements on a machine that is not ready whose launches were
+// never sent. Such tasks are certainly not on the machine, so that they need not wait for its
+// lease to expire.
 func (m *Model) revokeUnlaunched(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
-		// A reserved place is promised: it is kept while its machine may return.
+		// A reservation promises its places: they are kept while the machine may return.
 		if p := j.Tasks[ref.Task].Placement; p != nil && !p.mayBeOnMachine() && j.reservation == nil {
 			m.log.Debug("unlaunched task revoked", "job", j.ID, "task", ref.Task, "machine", mc.Name)
 			m.removePlacement(j, ref.Task, now)
@@ -57,7 +57,8 @@
 	}
 }
 
-func (m *Model) loseTasksOn(mc *Machine, why string, now time.Time) {
+// loseTasksOn removes the placements of all tasks on a machine, which are proved to be gone.
+func (m *Model) loseTasksOn(mc *Machine, why lossReason, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		if j := m.Jobs[ref.Job]; j.Tasks[ref.Task].Placement != nil {
 			m.taskLost(j, ref.Task, why, now)
@@ -65,7 +66,8 @@
 	}
 }
 
-// evacuate stops what can save on a machine that is about to be taken.
+// evacuate stops the tasks on a machine with an interruption notice, so that they save
+// checkpoints. Running tasks without checkpoints go on, since they may finish in time.
 func (m *Model) evacuate(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
@@ -74,7 +76,7 @@
 			continue
 		}
 		if p.reportedState >= reportedRunning && j.Spec.CheckpointS <= 0 {
-			continue // nothing to save: it may just finish in time
+			continue
 		}
 		m.StopTask(ref, StopInterruption, now)
 	}
@@ -89,5 +91,5 @@
 	}
 	mc.markGone()
 	m.log.Info("machine gone", "machine", name)
-	m.loseTasksOn(mc, "its machine is gone", now)
+	m.loseTasksOn(mc, lossMachineGone, now)
 }
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -85,6 +85,12 @@
 	}
 }
 
+// accepting reports whether tasks may be placed on the machine, apart from whether its worker
+// is alive and reachable: it is not about to go, and its type and zone are known.
+func (mc *Machine) accepting() bool {
+	return !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() && mc.Type >= 0 && mc.Zone >= 0
+}
+
 // learnAddr records the address of the machine's worker as the cloud lists it, if no
 // heartbeat has given it.
 func (mc *Machine) learnAddr(addr string) {
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -16,8 +16,7 @@
 	quiet := config.Seconds(min(w.ReportS*2.5+2, w.LeaseS/2))
 	// A machine that has not shown this leader's token may not receive answers, or may be
 	// gone, its heartbeats being delayed copies.
-	return mc.alive && mc.tokenShown && !mc.unreachable() && !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() && mc.Type >= 0 && mc.Zone >= 0 &&
-		m.silentFor(mc, now) < quiet
+	return mc.alive && mc.tokenShown && !mc.unreachable() && mc.accepting() && m.silentFor(mc, now) < quiet
 }
 
 // ExpectedMachines returns how many machines should be sending heartbeats. A leader that
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -12,12 +12,12 @@
 type MachineType struct {
 	Name      string
 	Capacity  placement.Resources
-	CacheGB   float64
-	FetchRate float64
-	Price     float64
-	SpotPrice float64
+	CacheGB   float64 // size of the image cache
+	FetchRate float64 // of images, in GB per second
+	Price     float64 // per hour, on demand
+	SpotPrice float64 // per hour, as a spot machine
 	BootTime  time.Duration
-	Zones     []bool
+	Zones     []bool // by zone, whether the type is offered there
 
 	bootTimes bootEstimator
 }
@@ -60,6 +60,7 @@
 	}
 }
 
+// machineTypeIndex returns the index of a machine type, or -1 if it is not in the catalogue.
 func (m *Model) machineTypeIndex(name string) int {
 	if i, ok := m.names.machineTypes[name]; ok {
 		return i
@@ -67,6 +68,7 @@
 	return -1
 }
 
+// allowedTypes returns, by machine type, whether a job may use it.
 func (m *Model) allowedTypes(s *wire.Job) []bool {
 	out := make([]bool, len(m.MachineTypes))
 	for i := range m.MachineTypes {
--- a/cluster/offerrefusals.go
+++ b/cluster/offerrefusals.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// offerKey names what the cloud can be asked for.
+// offerKey identifies an offer of the cloud.
 type offerKey struct {
 	machineType, zone int
 	spot              bool
 }
 
-// offerRefusals remembers what the cloud lately had nothing of, or gave machines of
-// that never came up, so that the next scale-out tries elsewhere.
+// offerRefusals holds the offers which the cloud has lately had no capacity for, or whose
+// machines never came up, so that the next scale-out tries others.
 type offerRefusals struct {
 	until map[offerKey]time.Time
 }
 
 func newOfferRefusals() offerRefusals { return offerRefusals{until: map[offerKey]time.Time{}} }
 
-// refuse keeps an offer from being used until then.
+// refuse excludes an offer until the given time.
 func (r *offerRefusals) refuse(key offerKey, until time.Time) { r.until[key] = until }
 
-// refused says whether an offer is not to be used now.
+// refused reports whether an offer is excluded now.
 func (r *offerRefusals) refused(key offerKey, now time.Time) bool {
 	until, ok := r.until[key]
 	return ok && now.Before(until)
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -12,13 +12,13 @@
 // contents are not guessed: the jobs concerned are logged and not scheduled, and all others
 // go on.
 
-// quarantine is what is known of records that can't be read. It only grows: a leader
-// that can read them again starts with a new model.
+// quarantine is what is known of records that can't be read. It only grows: a leader that
+// can read them again starts with a new model.
 type quarantine struct {
 	jobs               map[string]bool // whose own records can't be read
 	admissionPageLost  bool            // an admission page can't be read: any unknown job may be on it
-	newestPage         uint64          // the newest version of an unreadable placement page; 0: none
-	placingPausedUntil time.Time       // nothing is placed before
+	newestPage         uint64          // the newest version of an unreadable placement page; 0 if there is none
+	placingPausedUntil time.Time       // no task is placed before
 }
 
 // addJob records a job whose own records can't be read.
@@ -36,17 +36,18 @@
 // addPlacementPage records the version of a placement page that can't be read.
 func (q *quarantine) addPlacementPage(version uint64) { q.newestPage = max(q.newestPage, version) }
 
-// pausePlacing keeps anything from being placed until then; it never shortens a pause.
+// pausePlacing stops all placing until the given time. It never shortens a pause.
 func (q *quarantine) pausePlacing(until time.Time) {
 	if until.After(q.placingPausedUntil) {
 		q.placingPausedUntil = until
 	}
 }
 
+// pausesPlacing reports whether placing is stopped now.
 func (q *quarantine) pausesPlacing(now time.Time) bool { return now.Before(q.placingPausedUntil) }
 
-// mayHold says whether a job that the model does not have may still be active, its
-// record being one that can't be read.
+// mayHold reports whether a job that the model does not have may still be active, because
+// its record may be one that can't be read.
 func (q *quarantine) mayHold(id string) bool { return q.jobs[id] || q.admissionPageLost }
 
 // QuarantineJob quarantines a job whose record can't be read: it is not scheduled until its
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -56,14 +56,28 @@
 // answers to them.
 func (mc *Machine) unreachable() bool { return !mc.reachability.unreachableSince.IsZero() }
 
-func (m *Model) markUnreachable(mc *Machine, what string, now time.Time) {
+// unreachableSign is what showed that a machine did not receive an answer, for the log.
+type unreachableSign string
+
+const (
+	signTokenMissing    unreachableSign = "token"   // the fencing token of the answer is not shown
+	signNewSession      unreachableSign = "session" // a new session although the lease was renewed
+	signLaunchMissing   unreachableSign = "launch"  // a task whose launch was in the answer is not listed
+	signExitListedAgain unreachableSign = "forget"  // an exit that the answer told the worker to forget is listed
+	signOtherNode       unreachableSign = "node"    // the worker has changed to another node
+)
+
+// markUnreachable records that a machine has missed an answer. Until its heartbeats prove
+// otherwise, no task is placed or launched there.
+func (m *Model) markUnreachable(mc *Machine, sign unreachableSign, now time.Time) {
 	if !mc.unreachable() {
-		m.log.Info("machine receives no answers", "machine", mc.Name, "session", mc.AgentEpoch, "sign", what)
+		m.log.Info("machine receives no answers", "machine", mc.Name, "session", mc.AgentEpoch, "sign", sign)
 		mc.reachability.unreachableSince = now
 	}
 	mc.reachability.reportingSince = time.Time{}
 }
 
+// markReachable records a proof that a machine receives answers.
 func (m *Model) markReachable(mc *Machine, now time.Time) {
 	if mc.unreachable() {
 		m.log.Info("machine receives answers again", "machine", mc.Name, "after", now.Sub(mc.reachability.unreachableSince).Seconds())
@@ -109,7 +123,7 @@
 	if r.Session != mc.AgentEpoch {
 		// A new session although an answer was sent: its lease expired all the same.
 		if expected.answered && now.Sub(mc.lastAnswered) < config.Seconds(m.settings.Cluster.Workers.LeaseS/2) {
-			m.markUnreachable(mc, "session", now)
+			m.markUnreachable(mc, signNewSession, now)
 			m.releaseReservedPlacements(mc, now)
 		}
 		return
@@ -124,10 +138,10 @@
 func (m *Model) applyMissingToken(mc *Machine, expected expectedEffects, now time.Time) {
 	mc.DiscountAnswers()
 	if expected.answered {
-		m.markUnreachable(mc, "token", now)
+		m.markUnreachable(mc, signTokenMissing, now)
 	}
 	if (mc.alive || len(mc.Tasks) > 0) && now.After(m.leaseEnd(mc)) {
-		m.loseTasksOn(mc, "its machine's lease is over", now)
+		m.loseTasksOn(mc, lossLeaseExpired, now)
 	}
 }
 
@@ -146,7 +160,7 @@
 		if !listed[k] {
 			m.markReachable(mc, now)
 		} else if (heartbeatID{mc.AgentEpoch, mc.Seq}) != mc.reachability.answeredTwice {
-			m.markUnreachable(mc, "forget", now)
+			m.markUnreachable(mc, signExitListedAgain, now)
 		}
 	}
 }
@@ -169,7 +183,7 @@
 func (m *Model) RecordReceivingNode(mc *Machine, via string, now time.Time) {
 	h := &mc.reachability
 	if h.receivingNode != "" && h.receivingNode != via && mc.Seq == h.answeredSeq+1 {
-		m.markUnreachable(mc, "node", now)
+		m.markUnreachable(mc, signOtherNode, now)
 	}
 	h.receivingNode = via
 }
@@ -180,7 +194,7 @@
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
 		if p := j.Tasks[ref.Task].Placement; p != nil && !p.mayBeOnMachine() && j.reservation != nil {
-			m.taskLost(j, ref.Task, "its machine does not hear", now)
+			m.taskLost(j, ref.Task, lossMachineUnreachable, now)
 		}
 	}
 }
@@ -207,12 +221,12 @@
 // its next one should show whether it receives answers.
 func (m *Model) mayProveReachable(mc *Machine, now time.Time) bool {
 	within := config.Seconds(1.25*m.settings.Cluster.Workers.ReportS + 1)
-	return mc.alive && !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() &&
-		mc.Type >= 0 && mc.Zone >= 0 && now.Sub(mc.reachability.reportingSince) < within
+	return mc.alive && mc.accepting() && now.Sub(mc.reachability.reportingSince) < within
 }
 
 // unreachableTooLong reports whether a machine has been unreachable for so long that it
 // should be replaced.
 func (m *Model) unreachableTooLong(mc *Machine, now time.Time) bool {
-	return mc.unreachable() && !m.mayProveReachable(mc, now) && mc.alive && now.Sub(mc.reachability.unreachableSince) > config.Seconds(m.settings.Cluster.Workers.LeaseS)+unreachableKeep
+	limit := config.Seconds(m.settings.Cluster.Workers.LeaseS) + unreachableKeep
+	return mc.unreachable() && !m.mayProveReachable(mc, now) && mc.alive && now.Sub(mc.reachability.unreachableSince) > limit
 }
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -43,6 +43,7 @@
 	}
 }
 
+// taskOfMove returns the task of a move and its placement, which is nil if there is none.
 func (m *Model) taskOfMove(mv jobstore.Move) (TaskRef, *Placement) {
 	id, n, ok := wire.ParseTaskName(mv.Task)
 	if !ok {
@@ -55,11 +56,13 @@
 	return TaskRef{Job: j.Index, Task: int32(n)}, j.Tasks[n].Placement
 }
 
-// Groups never cross zones or machine types.
+// groupName names the rebalancing group of a type and zone. Tasks are never moved between
+// groups.
 func groupName(typ, zone string) string { return zone + "/" + typ }
 
-// moveTargets says where moved tasks of a job should start.
-func (m *Model) moveTargets(j *Job, fwd map[int]int) map[int32]int {
+// moveTargets returns the machines on which moved tasks of a job should start, by task and
+// as positions in a pass's input, which positions maps indices of machines to.
+func (m *Model) moveTargets(j *Job, positions map[int]int) map[int32]int {
 	if j.Gang() {
 		return nil
 	}
@@ -74,7 +77,7 @@
 			if !ok {
 				continue
 			}
-			if v, ok := fwd[int(to)]; ok {
+			if v, ok := positions[int(to)]; ok {
 				if out == nil {
 					out = map[int32]int{}
 				}
@@ -85,13 +88,14 @@
 	return out
 }
 
+// ownTask reports whether a task name is of the job.
 func ownTask(j *Job, name string) bool {
 	id, _, ok := wire.ParseTaskName(name)
 	return ok && id == j.ID
 }
 
-// quarantineFailedMove takes in how a moved task's attempt ended. A start on the target
-// that fails for reasons of the task quarantines it.
+// quarantineFailedMove applies the end of an attempt of a task that was being moved. If the
+// start on the target failed, the task is not moved again for some time.
 func (m *Model) quarantineFailedMove(ref TaskRef, failed string, now time.Time) {
 	if failed == "" {
 		return
@@ -194,6 +198,8 @@
 	return cycle
 }
 
+// rebalanceHost returns a machine as rebalancing sees it. Only tasks that can continue from a
+// checkpoint are movable.
 func (m *Model) rebalanceHost(mc *Machine, rec jobstore.RebalanceCycle, now time.Time) rebalance.Host {
 	h := rebalance.Host{Capacity: m.MachineTypes[mc.Type].Capacity, Used: mc.Used.Add(mc.orphaned, 1)}
 	for _, ref := range sortedRefs(mc.Tasks) {
@@ -209,6 +215,8 @@
 	return h
 }
 
+// pruneExpired returns the entries that end after the given time, at most 200 of them, to bound
+// the size of the record.
 func pruneExpired(old map[string]int64, ms int64) map[string]int64 {
 	out := map[string]int64{}
 	for k, v := range old {
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -95,11 +95,11 @@
 		// the worker has sent a newer heartbeat.
 		p.launchLost()
 		if (heartbeatID{p.launchSession, p.launchSeq}) != mc.reachability.answeredTwice {
-			m.markUnreachable(mc, "launch", now)
+			m.markUnreachable(mc, signLaunchMissing, now)
 		}
 		return
 	}
-	m.taskLost(j, ref.Task, "not on its machine", now)
+	m.taskLost(j, ref.Task, lossNotListed, now)
 }
 
 // applyTaskState applies the state that a heartbeat lists for a task placed on the machine.
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -7,28 +7,47 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-const reasonNeverUp = "never came up"
+// scaleInReason says why a machine is deleted, for the log.
+type scaleInReason string
 
-// maxScaleIn bounds the machines that one request deletes.
-const maxScaleIn = 50
+const (
+	scaleInNone        scaleInReason = "" // it is not deleted
+	scaleInFailed      scaleInReason = "failed"
+	scaleInNeverUp     scaleInReason = "never came up"
+	scaleInSilent      scaleInReason = "silent" // its lease expired long ago
+	scaleInPoolRelease scaleInReason = "pool"   // its warm pool has released it
+	scaleInIdle        scaleInReason = "idle"
+	scaleInUnreachable scaleInReason = "mute" // it receives no answers
+)
+
+const (
+	// maxScaleIn bounds the machines that one request deletes.
+	maxScaleIn = 50
+	// silentKeep is how long after its lease an empty silent machine is kept.
+	silentKeep = 40 * time.Second
+	// idleWithoutJobs is how long an idle machine is kept at most while no job is open.
+	idleWithoutJobs = 20 * time.Second
+	// A new leader has not received heartbeats from all machines yet. neverUpPatience and
+	// idlePatience are how long after its election it deletes none for that reason.
+	neverUpPatience = 20 * time.Second
+	idlePatience    = 30 * time.Second
+)
 
-// ResumeScaleIn marks machines that an earlier leader asked the cloud to delete. The
-// deletion may still be carried out, so that nothing must be placed on them.
+// ResumeScaleIn marks machines whose deletion an earlier leader requested. It may still be
+// carried out, so that no task must be placed on them.
 func (m *Model) ResumeScaleIn(names []string, now time.Time) {
 	for _, n := range names {
 		m.findOrAddMachine(n, now).markScalingIn()
 	}
 }
 
-const failedState = wire.MachineFailed
-
 // SelectScaleIn selects machines to delete: failed ones, those that never came up, those
 // that have been silent or unreachable for long, and those that have been idle for the
-// given time. It marks them, so that nothing is placed on them any more.
+// given time. It marks them, so that no task is placed on them any more.
 func (m *Model) SelectScaleIn(now time.Time, idle time.Duration) []string {
 	if len(m.openJobs()) == 0 {
 		// Without any open job, machines need not be kept for long.
-		idle = min(idle, 20*time.Second)
+		idle = min(idle, idleWithoutJobs)
 	}
 	var out []string
 	// Deletions that were requested before and are not confirmed come first, because
@@ -49,10 +68,10 @@
 			continue
 		}
 		why := m.scaleInReason(mc, now, idle)
-		if why != "" {
+		if why != scaleInNone {
 			mc.markScalingIn()
 			m.log.Info("scaling in machine", "machine", mc.Name, "why", why)
-			if why == reasonNeverUp {
+			if why == scaleInNeverUp {
 				m.refuseOfferOf(mc, now)
 			}
 			out = append(out, mc.Name)
@@ -61,23 +80,26 @@
 	return out
 }
 
-// scaleInReason says why a machine is to be deleted; empty where it stays.
-func (m *Model) scaleInReason(mc *Machine, now time.Time, idle time.Duration) string {
+// scaleInReason returns why a machine is to be deleted, or scaleInNone.
+func (m *Model) scaleInReason(mc *Machine, now time.Time, idle time.Duration) scaleInReason {
+	if len(mc.Tasks) > 0 || mc.orphaned != (placement.Resources{}) {
+		return scaleInNone
+	}
 	listed := !mc.cloudStateAt.IsZero() && now.Sub(mc.cloudStateAt) < time.Minute
+	sinceElection := now.Sub(m.ElectedAt)
 	switch {
-	case len(mc.Tasks) > 0 || mc.orphaned != (placement.Resources{}):
-	case mc.cloudState == failedState && listed && !mc.alive:
-		return "failed"
-	case !mc.alive && mc.AgentEpoch == 0 && mc.Type >= 0 && now.Sub(mc.createdAt) > m.bootLimit(mc) && (listed || mc.requestedHere) && now.Sub(m.ElectedAt) > 20*time.Second:
-		return reasonNeverUp
-	case !mc.alive && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseEnd(mc)) > 40*time.Second:
-		return "silent"
+	case mc.cloudState == wire.MachineFailed && listed && !mc.alive:
+		return scaleInFailed
+	case !mc.alive && mc.AgentEpoch == 0 && mc.Type >= 0 && now.Sub(mc.createdAt) > m.bootLimit(mc) && (listed || mc.requestedHere) && sinceElection > neverUpPatience:
+		return scaleInNeverUp
+	case !mc.alive && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseEnd(mc)) > silentKeep:
+		return scaleInSilent
 	case mc.alive && mc.tokenShown && m.releasedByPool(mc):
-		return "pool"
-	case mc.alive && mc.tokenShown && now.Sub(mc.idleSince) > idle && now.Sub(mc.headroomAt) > idle && now.Sub(m.ElectedAt) > 30*time.Second && !m.keptByPool(mc):
-		return "idle"
-	case m.unreachableTooLong(mc, now) && now.Sub(m.ElectedAt) > 30*time.Second:
-		return "mute"
+		return scaleInPoolRelease
+	case mc.alive && mc.tokenShown && now.Sub(mc.idleSince) > idle && now.Sub(mc.headroomAt) > idle && sinceElection > idlePatience && !m.keptByPool(mc):
+		return scaleInIdle
+	case m.unreachableTooLong(mc, now) && sinceElection > idlePatience:
+		return scaleInUnreachable
 	}
-	return ""
+	return scaleInNone
 }
--- a/cluster/scaleout.go
+++ b/cluster/scaleout.go
@@ -6,9 +6,9 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file selects what can be rented from the cloud, and applies the results of rentals.
+// This file lists the offers that a scale-out may use and applies the results of scale-outs.
 
-// Offer is a kind of machine that could be rented from the cloud.
+// Offer is a type, zone and market in which machines can be requested from the cloud.
 type Offer struct {
 	Type string
 	Zone string
@@ -17,12 +17,15 @@
 }
 
 const (
+	// offerRefusalTime is how long an offer is excluded.
 	offerRefusalTime = 15 * time.Second
-	// maxScaleOut bounds the machines that a pass wants rented, to a few requests of
-	// the largest size that the cloud accepts.
+	// maxScaleOut bounds the machines that a pass requests, to a few requests of the largest
+	// size that the cloud accepts.
 	maxScaleOut = 200
 )
 
+// offers returns the offers that may be used now, as the planner sees them and by name, in
+// the same order.
 func (m *Model) offers(now time.Time) ([]placement.Offer, []Offer) {
 	var out []placement.Offer
 	var names []Offer
--- a/cluster/stallrecovery.go
+++ b/cluster/stallrecovery.go
@@ -6,20 +6,20 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// stallRecovery remembers the last pause of the leader's process. While it lasted
-// the clocks ran on and heartbeats piled up unread, so that silence within it says
-// nothing about a machine.
+// stallRecovery is the last stall of the leader's process. Meanwhile clocks ran on and
+// heartbeats queued up unread, so that silence during the stall proves nothing about a
+// machine.
 type stallRecovery struct {
-	ended  time.Time // zero: there was none
+	ended  time.Time // zero if there was none
 	lasted time.Duration
 }
 
-// recovering says whether a stall has ended within this time.
+// recovering reports whether the stall ended less than the given time ago.
 func (s *stallRecovery) recovering(now time.Time, within time.Duration) bool {
 	return !s.ended.IsZero() && now.Sub(s.ended) < within
 }
 
-// silence is the time since a heartbeat, without the stall if it came after it.
+// silence returns the time since a heartbeat, not counting a stall after it.
 func (s *stallRecovery) silence(lastSeen, now time.Time) time.Duration {
 	d := now.Sub(lastSeen)
 	if lastSeen.Before(s.ended) {
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -113,8 +113,18 @@
 	m.rememberExit(j, task, mc, t)
 }
 
+// lossReason says by what proof a task is gone, for the log.
+type lossReason string
+
+const (
+	lossLeaseExpired       lossReason = "its machine's lease expired"
+	lossMachineGone        lossReason = "its machine is gone"
+	lossMachineUnreachable lossReason = "its machine is unreachable" // and its reserved placement was never launched
+	lossNotListed          lossReason = "not on its machine"         // missing from a newer heartbeat
+)
+
 // taskLost removes the placement of a task that is proved to be gone, its outcome unknown.
-func (m *Model) taskLost(j *Job, task int32, why string, now time.Time) {
+func (m *Model) taskLost(j *Job, task int32, why lossReason, now time.Time) {
 	m.log.Info("task lost", "job", j.ID, "task", task, "why", why)
 	if p := j.Tasks[task].Placement; p != nil {
 		j.recordLostProgress(task, p, now)
@@ -150,6 +160,7 @@
 	m.stopGang(j, 0, StopGangIncomplete, now)
 }
 
+// avoidMachine keeps a job's tasks from being placed on a machine until the given time.
 func (m *Model) avoidMachine(j *Job, mc *Machine, until time.Time) {
 	if j.avoidUntil == nil {
 		j.avoidUntil = map[int32]time.Time{}
