--- a/cluster/priority_tiers_test.go
+++ b/cluster/priority_tiers_test.go
@@ -142,7 +142,7 @@
 // Where all work is of one tier, an order decides nothing: what is placed and
 // stopped, where and when is what it is without, also where stops wait for the plan
 // to be compared.
-func TestAnOrderChangesNothingAmongWorkOfOneTier(t *testing.T) {
+func TestPolicyWithASingleTierChangesNoDecision(t *testing.T) {
 	one := priority.New(&priority.Settings{Tiers: []priority.Tier{{Name: "all", Classes: []string{"slicing", "lesson", "print"}}}})
 	for seed := range uint64(3) {
 		var logs [3][]string
@@ -162,7 +162,7 @@
 }
 
 // However work comes, each departure that a leader's passes make has a reason.
-func TestLeadersDepartFromTheOrderWithAReasonOnly(t *testing.T) {
+func TestRandomLoadCausesNoUnexplainedPriorityInversion(t *testing.T) {
 	all := map[string]uint64{}
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFleetPlay(rapid.IntRange(1, 6).Draw(t, "machines"), clinicFirst())
@@ -185,7 +185,7 @@
 // Clinic work comes faster than it can be done. Schools still get their share and
 // every job of theirs its beginning within their longest wait, and so do crafts
 // and what no tier names.
-func TestAnEndlessStreamOfClinicWorkStarvesNobody(t *testing.T) {
+func TestOverloadByTheHighestTierStarvesNoLowerTier(t *testing.T) {
 	p := newFleetPlay(8, clinicFirst())
 	lessons := 0
 	for n, k := 1, 0; p.now < 900; p.step() {
@@ -219,7 +219,7 @@
 }
 
 // Work of the last tier is stopped first, and only what a higher priority may stop.
-func TestTheFirstTierIsStoppedLast(t *testing.T) {
+func TestPreemptionStopsTheLowerTierFirst(t *testing.T) {
 	p := newFleetPlay(2, clinicFirst())
 	low := func(j *wire.Job) { j.Priority, j.CPUs = wire.PriorityLow, 4 }
 	school, clinic := p.submit(1, "lesson", 2, 500, low), p.submit(2, "slicing", 2, 500, low)
@@ -241,7 +241,7 @@
 
 // A day at 1.3 times what the fleet can do: clinic work begins sooner by far, and
 // the others no later than their longest wait and what the start takes.
-func TestClinicWorkBeginsFirstOnACrowdedDay(t *testing.T) {
+func TestHighestTierWaitsLeastUnderOverload(t *testing.T) {
 	waits := func(o *priority.Policy) map[string][]float64 {
 		p := newFleetPlay(20, o)
 		rnd := rand.New(rand.NewPCG(3, 3))
--- a/cluster/runtimeestimate_test.go
+++ b/cluster/runtimeestimate_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestEstimatesAreCorrectedByWhatRan(t *testing.T) {
+func TestRunTimeEstimatesAreCorrectedByCompletedJobs(t *testing.T) {
 	var e runTimeEstimator
 	if got := e.expect(60); got != 60 {
 		t.Errorf("nothing known: %v for 60", got)
@@ -29,7 +29,7 @@
 
 // An array ends with its slowest task. Begun when an average one could just be
 // in time, most arrays of a dozen tasks came half a minute late.
-func TestAJobIsDueByItsSlowestTask(t *testing.T) {
+func TestSlowestTaskAndStartDelayAreLearned(t *testing.T) {
 	var s durationSpread
 	if got := s.slowestTask(100, 1); got != 100 {
 		t.Errorf("a single task: %v", got)
--- a/cluster/starvation_test.go
+++ b/cluster/starvation_test.go
@@ -143,7 +143,7 @@
 
 // A large array that is put off, a gang that needs room in one zone, and work of
 // lower priority each begin by the bound amid a crowd, and stop nothing of others'.
-func TestWhatACrowdPutsOffBeginsByTheBound(t *testing.T) {
+func TestPostponedJobStartsWithinTheStarvationBoundUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
 		machines, every, tasks int
@@ -180,7 +180,7 @@
 
 // What the bound asks for depends on when a job was accepted and on where tasks
 // are, which the next leader is told.
-func TestTheBoundOutlivesItsLeader(t *testing.T) {
+func TestStarvationBoundHoldsAcrossAFailover(t *testing.T) {
 	beganBy(t, "wk-000001", func(bound time.Duration) *shop {
 		s := newShop(t, 2, bound)
 		aims := []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
@@ -221,7 +221,7 @@
 
 // Jobs that can't begin are named, each with what stands in its way; those that
 // can are not.
-func TestJobsThatCannotBeginAreNamedWithTheReason(t *testing.T) {
+func TestStarvedJobsAreListedWithTheirCause(t *testing.T) {
 	s := newShop(t, 1, bound) // of zone a
 	s.m.teams[0].Max.CPU = 8
 	offer := func() {
@@ -255,7 +255,7 @@
 
 // The bound changes nothing until a job must begin: with one that is far away, all
 // decisions are those made without any.
-func TestWithNothingDueDecisionsAreThoseWithoutABound(t *testing.T) {
+func TestDistantStarvationBoundChangesNoDecision(t *testing.T) {
 	for seed := range uint64(8) {
 		play := func(bound time.Duration) (out []string) {
 			rnd := rand.New(rand.NewPCG(seed, 3))
@@ -298,7 +298,7 @@
 
 // Where more comes than can ever be done, what is old is done in the end, at
 // least half of a team's.
-func TestHalfOfATeamsJobsAreDoneWhateverComes(t *testing.T) {
+func TestCompletionFloorCompletesHalfOfATeamsJobsUnderOverload(t *testing.T) {
 	story := func(bound time.Duration) (done, all int) {
 		s := newShop(t, 4, bound)
 		s.m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
@@ -328,7 +328,7 @@
 
 // More gangs than can begin in time: the largest do, and as few as possible of
 // the others don't.
-func TestTheLargestAreTheLastToBeLate(t *testing.T) {
+func TestStarvationBoundPrefersTheLargestJobsUnderOverload(t *testing.T) {
 	s := newShop(t, 6, bound)
 	for i := range 45 {
 		s.put(fmt.Sprintf("wk-1%05d", i), 0, []int{1, 2, 3, 1, 2, 3, 1, 2, 5}[i%9], func(j *wire.Job) { j.Kind = wire.KindGang })
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -29,7 +29,7 @@
 	return ids, late
 }
 
-func TestTheLargestIsPutOffWhereNotAllCanBeInTime(t *testing.T) {
+func TestTriageDefersTheLargestJobWhenNotAllMeetTheirDeadline(t *testing.T) {
 	m := newModel(5)
 	m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
 	answer(t, m, rep(1, 5), at(0)) // a machine with room for two tasks
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestPlacesThatAreTakenCountFromWhenTheyWillBeFree(t *testing.T) {
+func TestTriageCountsOccupiedPlacesFromWhenTheyBecomeFree(t *testing.T) {
 	m := newModel(5)
 	m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 3}}
 	answer(t, m, rep(1, 5), at(0))
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestWorkThatWasSavedIsNotExpectedAgain(t *testing.T) {
+func TestSavedProgressReducesTheRemainingRunTime(t *testing.T) {
 	m := placed(t, 1)
 	j := m.Job("wk-000001")
 	p := j.Tasks[0].Placement
@@ -78,7 +78,7 @@
 
 // Playing on from where the lists begin to differ gives what playing all of it
 // gives, whatever is taken out and put in.
-func TestPlayingOnIsPlayingAgain(t *testing.T) {
+func TestSimulationFromACheckpointEqualsAFullSimulation(t *testing.T) {
 	m := crowded(4, 60)
 	rnd := rand.New(rand.NewPCG(7, 7))
 	random := func() *queued {
@@ -120,7 +120,7 @@
 
 // Where teams are guaranteed GPUs only, work that needs none is within no guarantee, and
 // does not come before all other work. It counts for nothing that GPU work is guaranteed.
-func TestWorkThatNeedsNothingGuaranteedIsWithinNoGuarantee(t *testing.T) {
+func TestJobThatNeedsNoGuaranteedResourceIsNotWithinQuota(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		guarantee placement.Resources
@@ -152,7 +152,7 @@
 
 // Small tasks that need no GPU, and that no aim wants started soon, keep off machines with
 // GPUs while other work waits for these: they would refill the CPUs beside the GPUs.
-func TestWorkWithoutGPUsKeepsOffThemWhileOthersWait(t *testing.T) {
+func TestJobWithoutGPUsAvoidsGPUMachinesWhileGPUJobsWait(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		aim     config.ObjectiveKind // on the class without GPUs
