--- a/cluster/gpu_machines_test.go
+++ b/cluster/gpu_machines_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"github.com/umberdeal/umberdeal/config"
 	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
@@ -34,3 +35,44 @@
 		t.Errorf("%d tasks on the machine without GPUs", n)
 	}
 }
+
+// Small tasks that need no GPU, and that no aim wants started soon, keep off machines with
+// GPUs while other work waits for these: they would refill the CPUs beside the GPUs.
+func TestJobWithoutGPUsAvoidsGPUMachinesWhileGPUJobsWait(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		aim     config.ObjectiveKind // on the class without GPUs
+		gpus    float64
+		waiting string // priority of the work with GPUs
+		limit   float64
+		keeps   bool
+	}{
+		{"others wait", "deadline", 1, wire.PriorityNormal, 0, true},
+		{"others of a higher priority wait", "deadline", 1, wire.PriorityHigh, 0, true},
+		{"others of a lower priority wait", "deadline", 1, wire.PriorityLow, 0, false},
+		{"others wait for their team's limit", "deadline", 1, wire.PriorityNormal, 0.5, false},
+		{"nobody waits for GPUs", "deadline", 0, wire.PriorityNormal, 0, false},
+		{"it is to start soon itself", "wait", 1, wire.PriorityNormal, 0, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			m := newModel(5)
+			m.teams[0].Max.GPU = c.limit
+			m.settings.Cluster.Objectives = []config.Objective{{Kind: c.aim, Class: "small", WithinS: 40, Share: 0.9}, {Kind: "finished", Class: "c", WithinS: 150, Share: 0.9}}
+			m.SetMachineTypes([]wire.MachineType{
+				{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}},
+				{Name: "plain", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}}})
+			small, deadline := arrayJob("wk-000001", 4), 100.0
+			small.Job.Class, small.Job.DeadlineS = "small", &deadline
+			m.ApplyJobRecord(small.Job.ID, small, 1, at(0))
+			other := arrayJob("wk-000002", 1)
+			other.Job.GPUs, other.Job.Priority = c.gpus, c.waiting
+			m.ApplyJobRecord(other.Job.ID, other, 1, at(0))
+			jobs := m.openJobs()
+			for _, k := range m.buildQueue(jobs, m.jobsWithinQuota(jobs), at(1)) {
+				if k.job.Spec.Class == "small" && k.req.Types[m.names.machineTypes["m"]] == c.keeps {
+					t.Errorf("may go to a machine with GPUs: %t", !c.keeps)
+				}
+			}
+		})
+	}
+}
--- a/cluster/runtimeestimate_test.go
+++ b/cluster/runtimeestimate_test.go
@@ -27,24 +27,17 @@
 	}
 }
 
-// An array ends with its slowest task. Begun when an average one could just be
-// in time, most arrays of a dozen tasks came half a minute late.
-func TestSlowestTaskAndStartDelayAreLearned(t *testing.T) {
-	var s durationSpread
-	if got := s.slowestTask(100, 1); got != 100 {
-		t.Errorf("a single task: %v", got)
-	}
-	for range 20 {
-		s.addJob(0.3, 16)
-		s.addStartDelay(9)
-	}
-	if got := s.slowestTask(100, 16); got < 125 || got > 130 {
-		t.Errorf("the last of 16 tasks after %v", got)
-	}
-	if got := s.slowestTask(100, 2); got > 110 {
-		t.Errorf("the last of 2 tasks after %v", got)
-	}
-	if got := s.startDelay(); got < 7 || got > 9 {
-		t.Errorf("a task runs %v after its placement", got)
+func TestSavedProgressReducesTheRemainingRunTime(t *testing.T) {
+	m := placed(t, 1)
+	j := m.Job("wk-000001")
+	p := j.Tasks[0].Placement
+	p.reportedState, p.runningSince, p.Stop = reportedRunning, at(5), &StopOrder{orderedAt: at(45)}
+	j.recordSavedProgress(0, p, at(48))
+	if left := m.remainingRunTime(j, 0); left < 10 || left > 30 {
+		t.Errorf("%v s left of 60 after 40 s were saved", left)
+	}
+	j.recordLostProgress(0, &Placement{runningSince: at(50)}, at(58))
+	if j.Tasks[0].Progress != 40 {
+		t.Errorf("progress %v after 8 s of work without a checkpoint", j.Tasks[0].Progress)
 	}
 }
--- /dev/null
+++ b/cluster/runtimespread_test.go
@@ -0,0 +1,25 @@
+package cluster
+
+import "testing"
+
+// An array ends with its slowest task. Begun when an average one could just be
+// in time, most arrays of a dozen tasks came half a minute late.
+func TestSlowestTaskAndStartDelayAreLearned(t *testing.T) {
+	var s durationSpread
+	if got := s.slowestTask(100, 1); got != 100 {
+		t.Errorf("a single task: %v", got)
+	}
+	for range 20 {
+		s.addJob(0.3, 16)
+		s.addStartDelay(9)
+	}
+	if got := s.slowestTask(100, 16); got < 125 || got > 130 {
+		t.Errorf("the last of 16 tasks after %v", got)
+	}
+	if got := s.slowestTask(100, 2); got > 110 {
+		t.Errorf("the last of 2 tasks after %v", got)
+	}
+	if got := s.startDelay(); got < 7 || got > 9 {
+		t.Errorf("a task runs %v after its placement", got)
+	}
+}
--- /dev/null
+++ b/cluster/starvation_explain_test.go
@@ -0,0 +1,42 @@
+package cluster
+
+import (
+	"maps"
+	"testing"
+
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// Jobs that can't begin are named, each with what stands in its way; those that
+// can are not.
+func TestStarvedJobsAreListedWithTheirCause(t *testing.T) {
+	s := newShop(t, 1, bound) // of zone a
+	s.m.teams[0].Max.CPU = 8
+	offer := func() {
+		for ti := range s.m.MachineTypes {
+			for z := range s.m.Zones {
+				for _, spot := range []bool{false, true} {
+					s.m.refusedOffers.refuse(offerKey{ti, z, spot}, at(1000))
+				}
+			}
+		}
+	}
+	offer()
+	s.put("wk-000001", 0, 1, func(j *wire.Job) { j.Zone = "b"; j.Team = "" })
+	s.put("wk-000002", 0, 3, func(j *wire.Job) { j.Kind, j.CPUs, j.Team = wire.KindGang, 4, "" })
+	s.put("wk-000003", 0, 1, func(j *wire.Job) { j.EstimateS = 2000 })
+	s.put("wk-000004", 0, 1, func(j *wire.Job) { j.EstimateS = 2000 })
+	s.run(0, 50)
+	s.put("wk-000005", 50, 1, func(j *wire.Job) { j.Types = []string{"none"}; j.Team = "" })
+	s.put("wk-000006", 50, 1, nil)
+	s.run(50, 300)
+	got := map[string]string{}
+	sum := s.m.Snapshot(at(300))
+	for _, u := range sum.Starved {
+		got[u.ID] = u.BlockedBy
+	}
+	want := map[string]string{"wk-000001": blockedByZone, "wk-000002": blockedByGangSize, "wk-000005": blockedByNoMachines, "wk-000006": blockedByQuota}
+	if !maps.Equal(got, want) || sum.StarvedTotal != len(want) {
+		t.Errorf("named: %v", got)
+	}
+}
--- /dev/null
+++ b/cluster/tier_scenario_test.go
@@ -0,0 +1,135 @@
+package cluster
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"strings"
+
+	"github.com/umberdeal/umberdeal/priority"
+	"github.com/umberdeal/umberdeal/wire"
+)
+
+// clinicFirst is clinics before schools before crafts before the rest.
+func clinicFirst() *priority.Policy {
+	return priority.New(&priority.Settings{Tiers: []priority.Tier{
+		{Name: "clinic", Classes: []string{"slicing"}}, {Name: "school", Classes: []string{"lesson"}, Share: 0.1, LongestWaitS: 100},
+		{Name: "craft", Classes: []string{"print"}, LongestWaitS: 150},
+	}})
+}
+
+// fleetPlay is machines that do what the model commands, and tasks that take as
+// long as they take.
+type fleetPlay struct {
+	m        *Model
+	now      float64
+	rev, seq uint64
+	on       []map[string]*playTask
+	took     map[string]float64 // by job, of a task
+	began    map[string]float64 // by job, after its acceptance
+	came     map[string]float64
+	log      []string
+}
+
+type playTask struct {
+	wire.TaskReport
+	until float64
+}
+
+func newFleetPlay(machines int, o *priority.Policy) *fleetPlay {
+	p := &fleetPlay{m: newModel(5), rev: 100, took: map[string]float64{}, began: map[string]float64{}, came: map[string]float64{}}
+	p.m.setPriorityPolicy(o)
+	for range machines {
+		p.on = append(p.on, map[string]*playTask{})
+	}
+	return p
+}
+
+func (p *fleetPlay) submit(n int, class string, tasks int, took float64, change func(*wire.Job)) string {
+	id := fmt.Sprintf("wk-%06d", n)
+	rec := arrayJob(id, tasks)
+	rec.AcceptedAtMs = at(p.now).UnixMilli()
+	rec.Job.Class, rec.Job.EstimateS = class, took
+	if change != nil {
+		change(&rec.Job)
+	}
+	p.rev++
+	p.m.ApplyJobRecord(id, rec, p.rev, at(p.now))
+	p.took[id], p.came[id] = took, p.now
+	return id
+}
+
+// step is a report of each machine, and passes between.
+func (p *fleetPlay) step() {
+	p.now += 1.5
+	p.seq++
+	now := at(p.now)
+	for i, on := range p.on {
+		r := rep(p.seq, 5)
+		r.Machine, r.Zone = fmt.Sprintf("host-%06d", i), []string{"a", "b"}[i%2]
+		names := make([]string, 0, len(on))
+		for name := range on {
+			names = append(names, name)
+		}
+		slices.Sort(names)
+		for _, name := range names {
+			if t := on[name]; t.State == wire.TaskRunning && p.now >= t.until {
+				t.State, t.Why = wire.TaskExited, wire.ExitDone
+			}
+			r.Tasks = append(r.Tasks, on[name].TaskReport)
+		}
+		mc := p.m.ApplyHeartbeat(r, now)
+		cmds := p.m.AnswerHeartbeat(mc, r, now)
+		sortCommands(cmds)
+		for _, c := range cmds {
+			t := on[c.Task]
+			switch {
+			case c.Op == wire.OpStart && t == nil:
+				id, _, _ := wire.ParseTaskName(c.Task)
+				if _, ok := p.began[id]; !ok {
+					p.began[id] = p.now - p.came[id]
+				}
+				p.log = append(p.log, fmt.Sprint(p.now, " ", c.Task, " on ", i))
+				on[c.Task] = &playTask{wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, p.now + p.took[id]}
+			case c.Op == wire.OpStop && t != nil && t.State == wire.TaskRunning:
+				t.State, t.Why = wire.TaskExited, wire.ExitStopped
+				p.log = append(p.log, fmt.Sprint(p.now, " ", c.Task, " stopped"))
+			case c.Op == wire.OpForget:
+				delete(on, c.Task)
+			}
+		}
+	}
+	p.m.Schedule(now, 0)
+	for b := p.m.NextBatch(12); b != nil; b = p.m.NextBatch(12) {
+		p.rev++
+		b.OnCommit(p.rev, now)
+	}
+	if b := p.m.PlanCheckBatch(); b != nil {
+		b.OnCommit(p.rev, now)
+	}
+}
+
+func sortCommands(cmds []wire.Command) {
+	slices.SortStableFunc(cmds, func(a, b wire.Command) int { return strings.Compare(a.Task, b.Task) })
+}
+
+// day plays work that comes at random, more than the fleet can do.
+func (p *fleetPlay) day(seed uint64, seconds float64, class func(r *rand.Rand) string) {
+	rnd := rand.New(rand.NewPCG(seed, 5))
+	for n := 1; p.now < seconds; p.step() {
+		for rnd.IntN(2) == 0 {
+			p.submit(n, class(rnd), 1+rnd.IntN(6), float64(20+rnd.IntN(60)), func(j *wire.Job) {
+				j.CPUs = float64(1 + rnd.IntN(6))
+				j.OneZone = rnd.IntN(3) == 0
+				j.Spread = !j.OneZone && rnd.IntN(4) == 0
+				if rnd.IntN(5) == 0 {
+					j.Kind = wire.KindGang
+				}
+				if rnd.IntN(6) == 0 {
+					j.Priority = wire.PriorityHigh
+				}
+			})
+			n++
+		}
+	}
+}
--- /dev/null
+++ b/cluster/triage_simulation_test.go
@@ -0,0 +1,51 @@
+package cluster
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"github.com/umberdeal/umberdeal/placement"
+)
+
+// Playing on from where the lists begin to differ gives what playing all of it
+// gives, whatever is taken out and put in.
+func TestSimulationFromACheckpointEqualsAFullSimulation(t *testing.T) {
+	m := crowded(4, 60)
+	rnd := rand.New(rand.NewPCG(7, 7))
+	random := func() *queued {
+		j := m.Jobs[rnd.IntN(len(m.Jobs))]
+		return &queued{job: j, runSeconds: 1 + 60*rnd.Float64(), due: at(rnd.Float64() * 700), req: placement.Request{Tasks: make([]int32, 1+rnd.IntN(150))}}
+	}
+	places := make(placeTimes, 400)
+	for i := range places {
+		places[i] = float64(i / 4)
+	}
+	var jobs []*queued
+	for range 90 {
+		jobs = append(jobs, random())
+	}
+	p := m.newSimulation(places, at(0))
+	p.run(jobs, 0)
+	ends, differ := 0, 0
+	for range 500 {
+		k := rnd.IntN(len(jobs))
+		if rnd.IntN(3) == 0 || len(jobs) < 40 {
+			jobs = slices.Insert(slices.Clone(jobs), k, random())
+		} else {
+			jobs = slices.Delete(slices.Clone(jobs), k, k+1)
+		}
+		got, want := p.run(jobs, k), m.newSimulation(places, at(0)).run(jobs, 0)
+		if got != want {
+			t.Fatalf("changed from %d of %d on: %d, played anew: %d", k, len(jobs), got, want)
+		}
+		if got < 0 {
+			ends++
+		} else {
+			differ++
+		}
+	}
+	if differ < 50 {
+		t.Errorf("%d lists had a late job, %d had none", differ, ends)
+	}
+}
