--- a/calendar/schedule_test.go
+++ b/calendar/schedule_test.go
@@ -58,10 +58,10 @@
 		done, all int
 	}{
 		{"in time", []float64{3, 5}, 8.5, ResultMet, 0, 2, 2},
-		{"on the second", []float64{3, 8.5}, 8.5, ResultMet, 0, 2, 2},
+		{"on the deadline", []float64{3, 8.5}, 8.5, ResultMet, 0, 2, 2},
 		{"late", []float64{3, 8.75}, 8.75, ResultLate, 15 * time.Minute, 2, 2},
-		{"one layer missing", []float64{3, 0}, 9, ResultIncomplete, 0, 1, 2},
-		{"one layer after the opening", []float64{3, 9.5}, 9, ResultIncomplete, 0, 1, 2},
+		{"one job unfinished", []float64{3, 0}, 9, ResultIncomplete, 0, 1, 2},
+		{"one job after the opening", []float64{3, 9.5}, 9, ResultIncomplete, 0, 1, 2},
 	} {
 		b := NewSchedule("brussels", Record{}, 5, 0)
 		b.ObserveOpenJobs(jobsIn(n, "a", "b"))
@@ -168,9 +168,9 @@
 		opens          string // "": withdrawn
 	}{
 		{"earlier", `wed = "08:00"`, `wed = "04:30"`, "2027-01-13T04:30:00+01:00"},
-		{"closed that day", `evening`, "exceptions = [ { date = \"2027-01-13\" } ]\nevening", "2027-01-14T08:00:00+01:00"},
+		{"closed on that date", `evening`, "exceptions = [ { date = \"2027-01-13\" } ]\nevening", "2027-01-14T08:00:00+01:00"},
 		{"in another zone", "Europe/Brussels", "Africa/Tunis", "2027-01-13T08:00:00+01:00"},
-		{"never open until spring", `open = { mon = "08:00", tue = "08:00", wed = "08:00", thu = "08:00", fri = "08:00" }`,
+		{"no opening within the horizon", `open = { mon = "08:00", tue = "08:00", wed = "08:00", thu = "08:00", fri = "08:00" }`,
 			`exceptions = [ { date = "2027-04-13", open = "08:00" } ]`, ""},
 	} {
 		b := NewSchedule("brussels", Record{}, 5, 0)
--- a/calendar/shortage_test.go
+++ b/calendar/shortage_test.go
@@ -14,16 +14,16 @@
 		want  int
 		by    float64 // seconds from now
 	}{
-		{"in time as it is", []Load{{Deadline: afterT0(700), Batches: work}}, make([]float64, 10), 0, 0},
+		{"in time without more", []Load{{Deadline: afterT0(700), Batches: work}}, make([]float64, 10), 0, 0},
 		// Nine rounds of 60 s on the ten places with the risk margin, and five on others.
 		{"one round less", []Load{{Deadline: afterT0(600), Batches: work}}, make([]float64, 10), 3, 163},
 		// After 100 s of boot there is time for one round, and one on the ten before it.
 		{"nearly too late", []Load{{Deadline: afterT0(180), Batches: work}}, make([]float64, 10), 80, 3},
-		{"no place at all", []Load{{Deadline: afterT0(1000), Batches: work}}, nil, 8, 1000/1.1 - 12.5*60 - 100},
-		{"too late, but less so", []Load{{Deadline: afterT0(60), Batches: work}}, make([]float64, 10), 70, 0},
+		{"no places", []Load{{Deadline: afterT0(1000), Batches: work}}, nil, 8, 1000/1.1 - 12.5*60 - 100},
+		{"too late, but less late with more", []Load{{Deadline: afterT0(60), Batches: work}}, make([]float64, 10), 70, 0},
 		{"nothing helps", []Load{{Deadline: afterT0(60), RunningSeconds: 500}}, make([]float64, 10), 0, 0},
-		{"nothing would go on", []Load{{Deadline: afterT0(60), Batches: []Batch{{100, 60, 1, true}}}}, make([]float64, 10), 0, 0},
-		{"two nights", []Load{{Deadline: afterT0(600), Batches: work}, {Deadline: afterT0(300), Batches: work}}, make([]float64, 20), 10, 52},
+		{"all tasks blocked", []Load{{Deadline: afterT0(60), Batches: []Batch{{100, 60, 1, true}}}}, make([]float64, 10), 0, 0},
+		{"two windows", []Load{{Deadline: afterT0(600), Batches: work}, {Deadline: afterT0(300), Batches: work}}, make([]float64, 20), 10, 52},
 	} {
 		w := FindShortage(t0, tc.loads, tc.free, 100, 1000)
 		if by := w.OrderBy.Sub(t0).Seconds(); w.Places != tc.want || tc.want > 0 && (by < tc.by-6 || by > tc.by+6) {
--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -161,10 +161,10 @@
 	}
 }
 
-// compareByWindow orders two jobs of which at least one belongs to a batch window: jobs of
+// lessByWindow orders two jobs of which at least one belongs to a batch window: jobs of
 // batch windows before other work of their priority, earlier deadlines first, and then the
 // longest job first, since a batch window is met as a whole or not at all.
-func compareByWindow(x, y *queued) bool {
+func lessByWindow(x, y *queued) bool {
 	switch {
 	case x.inWindow != y.inWindow:
 		return x.inWindow
--- a/cluster/batch_window_test.go
+++ b/cluster/batch_window_test.go
@@ -172,18 +172,18 @@
 		name      string
 		end       float64 // of the last job
 		lost      float64 // when the first leader is
-		noted     bool    // its last record is committed
+		committed bool    // its last plan record
 		how       calendar.Result
 		late      int64
 		done, all int
 	}{
-		{"before the promise", brusselsDeadline - 100, brusselsDeadline - 50, true, calendar.ResultMet, 0, 2, 2},
-		{"before the promise, not noted", brusselsDeadline - 60, brusselsDeadline - 59, false, calendar.ResultMet, 0, 2, 2},
+		{"before the deadline", brusselsDeadline - 100, brusselsDeadline - 50, true, calendar.ResultMet, 0, 2, 2},
+		{"before the deadline, record not committed", brusselsDeadline - 60, brusselsDeadline - 59, false, calendar.ResultMet, 0, 2, 2},
 		{"after the outcome", brusselsDeadline - 60, brusselsDeadline + 4, true, calendar.ResultMet, 0, 2, 2},
-		{"after the outcome, not noted", brusselsDeadline - 60, brusselsDeadline + 4, false, calendar.ResultMet, 0, 2, 2},
-		{"late, not noted", brusselsDeadline + 60, brusselsDeadline + 61, false, calendar.ResultLate, 60_000, 2, 2},
+		{"after the outcome, record not committed", brusselsDeadline - 60, brusselsDeadline + 4, false, calendar.ResultMet, 0, 2, 2},
+		{"late, record not committed", brusselsDeadline + 60, brusselsDeadline + 61, false, calendar.ResultLate, 60_000, 2, 2},
 		{"after the opening", brusselsOpening + 60, brusselsOpening + 61, true, calendar.ResultIncomplete, 0, 1, 2},
-		{"after the opening, not noted", brusselsOpening + 1, brusselsOpening + 2, false, calendar.ResultIncomplete, 0, 1, 2},
+		{"after the opening, record not committed", brusselsOpening + 1, brusselsOpening + 2, false, calendar.ResultIncomplete, 0, 1, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := &leaderSequence{t: t, planRecords: map[string]wire.Raw{}, finalRecords: map[string]jobstore.JobRecord{}}
@@ -198,7 +198,7 @@
 				if s == tc.end {
 					l.finish("wk-000002", at(s))
 				}
-				if tc.noted {
+				if tc.committed {
 					l.commitAll(at(s))
 				} else if j := l.model.NextBatch(12); j != nil { // the end is committed, the plan record is not
 					for _, op := range j.Ops {
@@ -209,7 +209,7 @@
 					j.OnCommit(9, at(s))
 				}
 			}
-			if tc.noted {
+			if tc.committed {
 				l.model.Tick(at(tc.lost + 3))
 				l.commitPlanRecords(at(tc.lost + 3))
 			}
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -131,7 +131,7 @@
 	case k.req.Tier != o.req.Tier:
 		return k.req.Tier < o.req.Tier
 	case k.inWindow || o.inWindow:
-		return compareByWindow(k, o)
+		return lessByWindow(k, o)
 	case k.missed != o.missed:
 		return o.missed
 	}
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -120,7 +120,7 @@
 		x, y := group[a], group[b]
 		switch {
 		case x.inWindow || y.inWindow:
-			return compareByWindow(x, y)
+			return lessByWindow(x, y)
 		case x.missed != y.missed:
 			return y.missed
 		case x.deferred != y.deferred:
