--- a/cluster/failoverload_test.go
+++ b/cluster/failoverload_test.go
@@ -9,8 +9,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Whatever a page of placements holds, taking it in and going on ends, and what
-// is written afterwards can be read.
+// Whatever a placement page holds, a model that loads it gets to the end of its writes, and
+// its counts of tasks stay within the job's.
 func FuzzLoadPage(f *testing.F) {
 	add := func(rec jobstore.PlacementPage) {
 		b, err := wire.Marshal(rec)
@@ -48,8 +48,8 @@
 	})
 }
 
-// What a next leader does with the records that it has read, by how many tasks
-// there are that are not over. Jobs that are over are not read.
+// BenchmarkTakeover measures how long a new leader takes to load records, by the number of
+// unfinished tasks. Finished jobs are not loaded.
 func BenchmarkTakeover(b *testing.B) {
 	for _, tasks := range []int{1_000, 10_000, 100_000} {
 		const each = 20
@@ -111,9 +111,10 @@
 	}
 }
 
-// A job whose record has marks changes its version with each: it may be older than
-// a page that can't be read was.
-func TestOnlyWhatCameAfterADamagedPageIsNotSetAside(t *testing.T) {
+// The version of a job's record shows that the job is newer than an unreadable page, and so
+// has no placements on it. That does not hold for a job with a reservation, whose record
+// changes after the job was accepted.
+func TestJobsNewerThanUnreadablePlacementPageAreNotQuarantined(t *testing.T) {
 	m := newModel(5)
 	marked := arrayJob("wk-000003", 4)
 	marked.Reservation = &jobstore.Reservation{Owner: "w/y/a"}
--- a/cluster/model_test.go
+++ b/cluster/model_test.go
@@ -33,7 +33,7 @@
 		Priority: wire.PriorityNormal, Tasks: n, CPUs: 2, Image: "i", ImageGB: 1, EstimateS: 60, CheckpointS: 10, SaveS: 2}}
 }
 
-// commit writes whatever is to be written.
+// commit commits batches until there is nothing to write.
 func commit(t *testing.T, m *Model, now time.Time) {
 	t.Helper()
 	for rev := uint64(100); ; rev++ {
@@ -45,8 +45,8 @@
 	}
 }
 
-// placed gives the first job n tasks, which the first machine is told to start
-// with its second report.
+// placed returns a model with one job of n tasks, whose launches are in the answer to the
+// second heartbeat of its one machine.
 func placed(t *testing.T, n int) *Model {
 	t.Helper()
 	m := newModel(5)
@@ -72,7 +72,7 @@
 	return launches, stops, forgets
 }
 
-// answer observes a report and answers it.
+// answer applies a heartbeat and returns the commands that answer it.
 func answer(t *testing.T, m *Model, r *wire.Report, now time.Time) []wire.Command {
 	t.Helper()
 	mc := m.ApplyHeartbeat(r, now)
@@ -82,7 +82,7 @@
 	return m.AnswerHeartbeat(mc, r, now)
 }
 
-func TestNothingIsLaunchedBeforeItsRecordIsCommitted(t *testing.T) {
+func TestTaskLaunchesOnlyAfterItsPlacementIsCommitted(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestAbsenceProvesNothingWithoutThisLeadersToken(t *testing.T) {
+func TestHeartbeatWithoutLeadersTokenDoesNotProveTaskGone(t *testing.T) {
 	m := newModel(9)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3,
@@ -122,14 +122,14 @@
 	}
 }
 
-func TestSilentMachineKeepsItsTasksUntilItsLeaseIsOver(t *testing.T) {
+func TestSilentMachineKeepsTasksUntilItsLeaseExpires(t *testing.T) {
 	m := placed(t, 1)
 	task := &m.Job("wk-000001").Tasks[0]
 	m.Tick(at(13.9))
 	if task.Phase != TaskPlaced {
 		t.Fatal("given up within the lease")
 	}
-	// A list that no longer names the machine is no proof either.
+	// That the cloud's list no longer names the machine is no proof either.
 	m.ApplyCloudList(nil, at(13.9))
 	if task.Phase != TaskPlaced {
 		t.Fatal("a lagging list was believed")
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestForgetOnlyAfterTheOutcomeIsCommitted(t *testing.T) {
+func TestExitIsForgottenOnlyAfterItsOutcomeIsCommitted(t *testing.T) {
 	m := placed(t, 2)
 	done := wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitDone}
 	other := wire.TaskReport{Task: "wk-000001/1", Attempt: 1, State: wire.TaskRunning}
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestRefusedStartsBackOffAndGoElsewhere(t *testing.T) {
+func TestFailedLaunchIsRetriedLaterAndAfterErrorElsewhere(t *testing.T) {
 	for _, why := range []string{wire.ExitNoRoom, wire.ExitBusy, wire.ExitUnknown, wire.ExitError} {
 		m := newModel(5)
 		m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
@@ -185,7 +185,7 @@
 	}
 }
 
-func TestUnlaunchedTasksAreTakenBackFromASilentMachine(t *testing.T) {
+func TestUnlaunchedPlacementOnSilentMachineIsRemovedWithinLease(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestConflictWithALostTransactionOfOnesOwn(t *testing.T) {
+func TestConflictWithOwnUnansweredTransactionAdoptsItsVersion(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	answer(t, m, rep(1, 5), at(0))
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestMovesSurviveAChangeOfLeader(t *testing.T) {
+func TestNewLeaderContinuesRecordedRebalanceMoves(t *testing.T) {
 	m := newModel(9)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3,
@@ -249,9 +249,9 @@
 	}
 }
 
-// A record of moves whose transaction was carried out late names moves that were never
-// begun. Once the group's cooldown is over, the next leader does not begin them.
-func TestMovesOfAnOldRecordAreNotBegun(t *testing.T) {
+// The transaction of a rebalance cycle may be applied late, so that its moves were never
+// begun. After the group's cooldown the next leader must not begin them.
+func TestRebalanceMovesAreNotBegunAfterTheirCooldown(t *testing.T) {
 	for _, c := range []struct {
 		coolUntil time.Time
 		stops     int
--- a/cluster/placementpages_test.go
+++ b/cluster/placementpages_test.go
@@ -11,7 +11,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// grown is a model with many jobs placed on many machines, all of it written.
+// grown returns a model with many jobs placed on many machines, and its placement pages, all
+// of which are committed.
 func grown(t *testing.T, jobs, tasks int) (*Model, map[string]jobstore.PlacementPage) {
 	t.Helper()
 	m := newModel(5)
@@ -30,9 +31,9 @@
 	return m, stored
 }
 
-// write commits all that is to be written, and checks the limits that hold for
-// it: 12 changes and 48 conditions a transaction, 64 KiB of text in all and 16
-// a value.
+// write commits batches until there is nothing to write, and returns the number of changes.
+// It checks the limits of the key-value service: 12 changes and 48 conditions in a
+// transaction, 64 KiB in all and 16 KiB in a value.
 func write(t *testing.T, m *Model, stored map[string]jobstore.PlacementPage) (changes int) {
 	t.Helper()
 	for rev := uint64(100); m.PendingWrites() > 0; rev++ {
@@ -84,9 +85,9 @@
 	return len(text)
 }
 
-// Each job's placements had a key of their own. With dozens of jobs whose tasks
-// start and end each second that was more changes than the service takes.
-func TestPlacementsOfManyJobsShareAPage(t *testing.T) {
+// With a key for each job, dozens of jobs whose tasks start and end each second would take
+// more changes than the service accepts.
+func TestPlacementsOfManyJobsShareFewPages(t *testing.T) {
 	m, stored := grown(t, 120, 20)
 	if len(stored) > 12 {
 		t.Errorf("%d pages for 120 jobs", len(stored))
@@ -100,7 +101,7 @@
 	if placed < 1000 {
 		t.Fatalf("only %d tasks are recorded", placed)
 	}
-	// One task of each job ends: all that is written is those pages.
+	// When one task of each job ends, only these pages are written.
 	for _, j := range m.Jobs {
 		m.markDone(j, 0, at(3))
 	}
@@ -109,9 +110,9 @@
 	}
 }
 
-// A leader that takes over finds on the pages exactly what was placed, and goes
-// on from the attempts that were used.
-func TestANewLeaderReadsThePages(t *testing.T) {
+// A new leader loads exactly the placements that were committed, and continues from the
+// attempt numbers that were used.
+func TestNewLeaderLoadsPlacementPages(t *testing.T) {
 	m, stored := grown(t, 30, 10)
 	m.markDone(m.Jobs[3], 4, at(3))
 	write(t, m, stored)
@@ -138,9 +139,9 @@
 	}
 }
 
-// The record of a job that is over leaves its page with the page's next change.
-// A page that nothing stands on any more is removed.
-func TestWhatIsOverLeavesThePages(t *testing.T) {
+// The placement record of a finished job is removed from its page with the page's next
+// change, and a page without records is deleted.
+func TestFinishedJobsLeavePlacementPages(t *testing.T) {
 	m, stored := grown(t, 10, 4)
 	for _, j := range append([]*Job(nil), m.Jobs...) {
 		for i := range j.Tasks {
