--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -142,15 +142,11 @@
 // placementOf returns the placement of an attempt that a heartbeat lists, or nil if that
 // attempt is not placed on this machine.
 func (m *Model) placementOf(mc *Machine, t *wire.TaskReport) *Placement {
-	id, n, ok := wire.ParseTaskName(t.Task)
-	if !ok {
+	j, task := m.taskNamed(t.Task)
+	if j == nil {
 		return nil
 	}
-	j := m.Job(id)
-	if j == nil || n >= len(j.Tasks) {
-		return nil
-	}
-	if p := j.Tasks[n].Placement; p != nil && p.Machine == mc.Index && p.Attempt == t.Attempt {
+	if p := j.Tasks[task].Placement; p != nil && p.Machine == mc.Index && p.Attempt == t.Attempt {
 		return p
 	}
 	return nil
--- a/cluster/names.go
+++ b/cluster/names.go
@@ -1,5 +1,7 @@
 package cluster
 
+import "github.com/umberdeal/umberdeal/wire"
+
 // nameIndex finds zones, teams, machine types, machines and jobs by their names. Its values
 // are indices into the slices of the model that hold them; an index is never reused.
 type nameIndex struct {
@@ -25,6 +27,20 @@
 	return nil
 }
 
+// taskNamed finds a task by the name that it has on the wire. It returns a nil job if the
+// model has no such task.
+func (m *Model) taskNamed(name string) (j *Job, task int32) {
+	id, n, ok := wire.ParseTaskName(name)
+	if !ok {
+		return nil, 0
+	}
+	j = m.Job(id)
+	if j == nil || n >= len(j.Tasks) {
+		return nil, 0
+	}
+	return j, int32(n)
+}
+
 // machineNamed finds a machine by its name; nil if the model has never heard of it.
 func (m *Model) machineNamed(name string) *Machine {
 	if i, ok := m.names.machines[name]; ok {
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -45,15 +45,11 @@
 
 // taskOfMove returns the task of a move and its placement, which is nil if there is none.
 func (m *Model) taskOfMove(mv jobstore.Move) (TaskRef, *Placement) {
-	id, n, ok := wire.ParseTaskName(mv.Task)
-	if !ok {
-		return TaskRef{}, nil
-	}
-	j := m.Job(id)
-	if j == nil || n >= len(j.Tasks) {
+	j, task := m.taskNamed(mv.Task)
+	if j == nil {
 		return TaskRef{}, nil
 	}
-	return TaskRef{Job: j.Index, Task: int32(n)}, j.Tasks[n].Placement
+	return TaskRef{Job: j.Index, Task: task}, j.Tasks[task].Placement
 }
 
 // groupName names the rebalancing group of a type and zone. Tasks are never moved between
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -42,24 +42,20 @@
 // applyListedTask applies the state of a task that a heartbeat lists. It returns the task if
 // it is placed on the machine with the attempt listed.
 func (m *Model) applyListedTask(mc *Machine, r *wire.Report, t *wire.TaskReport, now time.Time) (ref TaskRef, placed bool) {
-	id, n, ok := wire.ParseTaskName(t.Task)
-	if !ok {
+	j, task := m.taskNamed(t.Task)
+	if j == nil {
 		return TaskRef{}, false
 	}
-	j := m.Job(id)
-	if j == nil || n >= len(j.Tasks) {
-		return TaskRef{}, false
-	}
-	p := j.Tasks[n].Placement
+	p := j.Tasks[task].Placement
 	if p == nil || p.Machine != mc.Index || p.Attempt != t.Attempt {
 		if t.State == wire.TaskExited {
-			m.applyUnplacedExit(j, int32(n), mc, t, now)
+			m.applyUnplacedExit(j, task, mc, t, now)
 		} else {
 			mc.addOrphaned(j.Need)
 		}
 		return TaskRef{}, false
 	}
-	ref = TaskRef{Job: j.Index, Task: int32(n)}
+	ref = TaskRef{Job: j.Index, Task: task}
 	if t.State == wire.TaskExited && t.Why != wire.ExitDone && p.Inherited && !mc.tokenShown {
 		// Without the token this may be a delayed copy. A gang's task that the worker
 		// refused is launched again with the same attempt number, and may be on the
@@ -69,7 +65,7 @@
 	if p.launchSent && p.reportedState == notReported && p.launchSession == r.Session {
 		m.markReachable(mc, now)
 	}
-	m.applyTaskState(j, int32(n), mc, p, t, now)
+	m.applyTaskState(j, task, mc, p, t, now)
 	return ref, true
 }
 
