--- a/wire/encoding_test.go
+++ b/wire/encoding_test.go
@@ -12,7 +12,7 @@
 
 // Users, workers, the cloud and the state service are other programs: every message
 // keeps its bytes.
-func TestMessagesKeepTheirBytes(t *testing.T) {
+func TestMessagesEncodeAsRecorded(t *testing.T) {
 	f := golden.Open(t, "messages.golden")
 	golden.Hold[Job](f, "user: submission", msgpackCodec)
 	golden.Hold[Job](f, "user: submission without a zone", msgpackCodec, func(j *Job) { j.Zone, j.DeadlineS, j.Types = "", nil, nil })
@@ -44,7 +44,7 @@
 }
 
 // A submission is read field by field, and not by the decoder of the other messages.
-func TestSubmissionsAreReadAsTheyAreWritten(t *testing.T) {
+func TestSubmissionsDecodeAsRecorded(t *testing.T) {
 	f := golden.Open(t, "submissions.golden")
 	deadline := 90.5
 	full := Job{ID: "wk-000412", Class: "class", Team: "team", Kind: KindGang, Priority: PriorityHigh, Tasks: 3, CPUs: 1.5, GPUs: 2, MemoryGB: 3.5, Image: "image:v1",
@@ -88,7 +88,7 @@
 }
 
 // Words and paths on the wire are the protocol's.
-func TestWordsOnTheWire(t *testing.T) {
+func TestConstantsAreAsRecorded(t *testing.T) {
 	f := golden.Open(t, "words.golden")
 	for name, word := range map[string]string{
 		"content type": ContentType, "prefix of ids": JobPrefix, "name of a task": TaskName("wk-000412", 7),
--- /dev/null
+++ b/wire/ids_test.go
@@ -0,0 +1,17 @@
+package wire
+
+import "testing"
+
+func TestIDsAndTaskNames(t *testing.T) {
+	for id, want := range map[string]bool{"wk-000412": true, "wk-1234567": true, "wk-12": false, "wk-00041a": false, "000412": false, "": false} {
+		if ValidID(id) != want {
+			t.Errorf("ValidID(%q) is %v", id, !want)
+		}
+	}
+	if id, n, ok := ParseTaskName(TaskName("wk-000412", 3)); id != "wk-000412" || n != 3 || !ok {
+		t.Errorf("%s %d %v", id, n, ok)
+	}
+	if _, _, ok := ParseTaskName("wk-000412/-1"); ok {
+		t.Error("a negative task was taken")
+	}
+}
--- a/wire/scan.go
+++ b/wire/scan.go
@@ -5,141 +5,235 @@
 	"errors"
 	"math"
 	"strconv"
+
+	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// This file walks through a message without decoding it.
+// This file scans a message without decoding it.
 
-// errDamaged says that a message ends before what it claims to hold.
+// errIncomplete says that a message ends before what it claims to hold.
 var errIncomplete = errors.New("decode: the message is cut off or claims more than it has")
 
-// deepest is how deep lists and maps may lie in one another.
+// maxNesting is how deep lists and maps may lie in one another.
 const maxNesting = 64
 
-// JSONSize is how long a message is as JSON, at most: sizes are counted in that
-// form (PROTOCOL). What can't be read counts as if every byte were a long number.
+// Lengths of values as JSON, in bytes. Where a value's own length isn't known, it is the
+// longest that there can be.
+const (
+	jsonQuotes    = 3  // around a text, and the comma or colon after it
+	jsonBrackets  = 3  // around a list or map, and the comma after it
+	jsonEscape    = 5  // what an escaped character is longer by
+	jsonLiteral   = 6  // null, true or false
+	jsonSmallInt  = 5  // a number of one byte
+	jsonFloat     = 4  // besides its digits
+	jsonBinary    = 8  // besides two for each byte
+	jsonExtension = 40 // besides two for each byte
+	jsonLongest   = 21 // the longest number
+)
+
+// JSONSize is how long a message is as JSON, at most: sizes are counted in that form
+// (PROTOCOL). What can't be read counts as if every byte were a long number.
 func JSONSize(b []byte) int {
-	n, rest, ok := walk(b, 0, true)
+	s := scanner{measure: true}
+	size, rest, ok := s.value(b, 0)
 	if !ok || len(rest) > 0 {
-		return 21 * len(b)
+		return jsonLongest * len(b)
 	}
-	return n
+	return size
 }
 
-// whole says whether a message holds what it claims to: the decoder makes room for
-// as many elements as a list claims, so that five bytes were enough to have it
-// ask for 86 GB and end the process.
+// isComplete says whether a message holds what it claims to. The decoder makes room for
+// as many elements as a list claims, so that without this check a message of five bytes
+// could have it ask for 86 GB, and end the process.
 func isComplete(b []byte) bool {
-	_, _, ok := walk(b, 0, false)
+	var s scanner
+	_, _, ok := s.value(b, 0)
 	return ok
 }
 
-// walk goes through the first value of b, and measures it if it is to be sized.
-func walk(b []byte, depth int, sized bool) (n int, rest []byte, ok bool) {
+// valueKind is what a scan does with a value.
+type valueKind uint8
+
+const (
+	kindInvalid valueKind = iota
+	kindFixed             // a fixed number of bytes
+	kindFloat
+	kindText
+	kindBinary
+	kindExtension
+	kindList
+	kindMap
+)
+
+// format is what a value's first byte says of it.
+type format struct {
+	kind     valueKind
+	bytes    uint8 // after the first, for kindFixed and kindFloat
+	width    uint8 // of the length that comes after the first byte, for other kinds
+	length   uint8 // for other kinds with no such length: elements, or bytes of a text
+	jsonSize uint8 // for kindFixed
+}
+
+// formats are what each first byte says. Small, so that a scan costs little: every
+// message that comes is scanned.
+var formats = formatTable(map[byte]format{
+	msgpcode.Nil:    {kind: kindFixed, jsonSize: jsonLiteral},
+	msgpcode.False:  {kind: kindFixed, jsonSize: jsonLiteral},
+	msgpcode.True:   {kind: kindFixed, jsonSize: jsonLiteral},
+	msgpcode.Float:  {kind: kindFloat, bytes: 4},
+	msgpcode.Double: {kind: kindFloat, bytes: 8},
+
+	msgpcode.Uint8:  {kind: kindFixed, bytes: 1, jsonSize: 4},
+	msgpcode.Uint16: {kind: kindFixed, bytes: 2, jsonSize: 6},
+	msgpcode.Uint32: {kind: kindFixed, bytes: 4, jsonSize: 11},
+	msgpcode.Uint64: {kind: kindFixed, bytes: 8, jsonSize: jsonLongest},
+	msgpcode.Int8:   {kind: kindFixed, bytes: 1, jsonSize: 5},
+	msgpcode.Int16:  {kind: kindFixed, bytes: 2, jsonSize: 7},
+	msgpcode.Int32:  {kind: kindFixed, bytes: 4, jsonSize: 12},
+	msgpcode.Int64:  {kind: kindFixed, bytes: 8, jsonSize: jsonLongest},
+
+	msgpcode.Str8:  {kind: kindText, width: 1},
+	msgpcode.Str16: {kind: kindText, width: 2},
+	msgpcode.Str32: {kind: kindText, width: 4},
+	msgpcode.Bin8:  {kind: kindBinary, width: 1},
+	msgpcode.Bin16: {kind: kindBinary, width: 2},
+	msgpcode.Bin32: {kind: kindBinary, width: 4},
+
+	msgpcode.Array16: {kind: kindList, width: 2},
+	msgpcode.Array32: {kind: kindList, width: 4},
+	msgpcode.Map16:   {kind: kindMap, width: 2},
+	msgpcode.Map32:   {kind: kindMap, width: 4},
+
+	msgpcode.Ext8:     {kind: kindExtension, width: 1},
+	msgpcode.Ext16:    {kind: kindExtension, width: 2},
+	msgpcode.Ext32:    {kind: kindExtension, width: 4},
+	msgpcode.FixExt1:  {kind: kindFixed, bytes: 1 + 1, jsonSize: jsonExtension + 2*1},
+	msgpcode.FixExt2:  {kind: kindFixed, bytes: 1 + 2, jsonSize: jsonExtension + 2*2},
+	msgpcode.FixExt4:  {kind: kindFixed, bytes: 1 + 4, jsonSize: jsonExtension + 2*4},
+	msgpcode.FixExt8:  {kind: kindFixed, bytes: 1 + 8, jsonSize: jsonExtension + 2*8},
+	msgpcode.FixExt16: {kind: kindFixed, bytes: 1 + 16, jsonSize: jsonExtension + 2*16},
+})
+
+// formatTable adds the codes that hold a small value, or its length, themselves.
+func formatTable(others map[byte]format) (table [256]format) {
+	for i := range table {
+		code := byte(i)
+		switch {
+		case msgpcode.IsFixedNum(code):
+			table[i] = format{kind: kindFixed, jsonSize: jsonSmallInt}
+		case msgpcode.IsFixedMap(code):
+			table[i] = format{kind: kindMap, length: code & msgpcode.FixedMapMask}
+		case msgpcode.IsFixedArray(code):
+			table[i] = format{kind: kindList, length: code & msgpcode.FixedArrayMask}
+		case msgpcode.IsFixedString(code):
+			table[i] = format{kind: kindText, length: code & msgpcode.FixedStrMask}
+		default:
+			table[i] = others[code] // kindInvalid where there is none
+		}
+	}
+	return table
+}
+
+// scanner goes through a message, and measures it as JSON if it is asked to.
+type scanner struct{ measure bool }
+
+// value goes through the first value of b. It returns the value's size, and what comes
+// after it.
+func (s *scanner) value(b []byte, depth int) (size int, rest []byte, ok bool) {
 	if len(b) == 0 || depth > maxNesting {
 		return 0, nil, false
 	}
-	c := b[0]
-	take := func(head, body, size int) (int, []byte, bool) {
-		if body < 0 || len(b) < head+body {
+	f := &formats[b[0]]
+	head, length := 1+int(f.width), int(f.length)
+	if f.width > 0 {
+		if length, ok = readLength(b[1:], int(f.width)); !ok {
 			return 0, nil, false
 		}
-		return size, b[head+body:], true
 	}
-	uintAt := func(width int) int {
-		v := uint64(0)
-		if len(b) < 1+width {
-			return -1
-		}
-		for _, x := range b[1 : 1+width] {
-			v = v<<8 | uint64(x)
-		}
-		if v > math.MaxInt32 {
-			return -1
-		}
-		return int(v)
+	switch f.kind {
+	case kindFixed:
+		return skip(b, 1+int(f.bytes), int(f.jsonSize))
+	case kindFloat:
+		return skip(b, 1+int(f.bytes), s.floatSize(b[1:], int(f.bytes)))
+	case kindText:
+		return skip(b, head+length, s.textSize(b, head, length))
+	case kindBinary:
+		return skip(b, head+length, jsonBinary+2*length)
+	case kindExtension:
+		return skip(b, head+1+length, jsonExtension+2*length) // with a byte for its type
+	case kindList:
+		return s.elements(b, head, length, depth)
+	case kindMap:
+		return s.elements(b, head, 2*length, depth)
 	}
-	text := func(head, length int) (int, []byte, bool) {
-		if length < 0 || len(b) < head+length {
-			return 0, nil, false
-		}
-		size := 3 + length
-		if !sized {
-			return size, b[head+length:], true
-		}
-		for _, x := range b[head : head+length] {
-			if x < 0x20 || x == '"' || x == '\\' || x == '<' || x == '>' || x == '&' || x >= 0x80 {
-				size += 5 // as an escape
-			}
-		}
-		return size, b[head+length:], true
+	return 0, nil, false
+}
+
+// readLength reads the length that stands at the beginning of b.
+func readLength(b []byte, width int) (int, bool) {
+	if len(b) < width {
+		return 0, false
+	}
+	length := uint64(0)
+	for _, x := range b[:width] {
+		length = length<<8 | uint64(x)
 	}
-	many := func(head, count int) (int, []byte, bool) {
-		if count < 0 || len(b) < head || count > len(b) {
+	return int(length), length <= math.MaxInt32
+}
+
+// skip passes over n bytes, if there are so many.
+func skip(b []byte, n, size int) (int, []byte, bool) {
+	if len(b) < n {
+		return 0, nil, false
+	}
+	return size, b[n:], true
+}
+
+// elements goes through so many values after a head.
+func (s *scanner) elements(b []byte, head, count, depth int) (size int, rest []byte, ok bool) {
+	if count > len(b) {
+		return 0, nil, false
+	}
+	size, rest = jsonBrackets, b[head:]
+	for range count {
+		var element int
+		if element, rest, ok = s.value(rest, depth+1); !ok {
 			return 0, nil, false
 		}
-		size, rest := 3, b[head:]
-		for range count {
-			var one int
-			if one, rest, ok = walk(rest, depth+1, sized); !ok {
-				return 0, nil, false
-			}
-			size += one
-		}
-		return size, rest, true
+		size += element
 	}
-	switch {
-	case c < 0x80 || c >= 0xe0:
-		return take(1, 0, 5)
-	case c < 0x90:
-		return many(1, 2*int(c&0x0f))
-	case c < 0xa0:
-		return many(1, int(c&0x0f))
-	case c < 0xc0:
-		return text(1, int(c&0x1f))
+	return size, rest, true
+}
+
+// textSize is the size of a text of so many bytes after a head. The text may be cut off.
+func (s *scanner) textSize(b []byte, head, length int) int {
+	size := jsonQuotes + length
+	if !s.measure || len(b) < head+length {
+		return size
 	}
-	switch c {
-	case 0xc0, 0xc2, 0xc3:
-		return take(1, 0, 6)
-	case 0xca, 0xcb:
-		width := 4 << (c - 0xca)
-		if len(b) < 1+width || !sized {
-			return take(1, width, 0)
-		}
-		v := 0.0
-		if width == 4 {
-			v = float64(math.Float32frombits(binary.BigEndian.Uint32(b[1:])))
-		} else {
-			v = math.Float64frombits(binary.BigEndian.Uint64(b[1:]))
+	for _, x := range b[head : head+length] {
+		if isEscaped(x) {
+			size += jsonEscape
 		}
-		return take(1, width, 4+len(strconv.AppendFloat(make([]byte, 0, 32), v, 'f', -1, 64)))
-	case 0xcc, 0xcd, 0xce, 0xcf:
-		width := 1 << (c - 0xcc)
-		return take(1, width, []int{4, 6, 11, 21}[c-0xcc])
-	case 0xd0, 0xd1, 0xd2, 0xd3:
-		width := 1 << (c - 0xd0)
-		return take(1, width, []int{5, 7, 12, 21}[c-0xd0])
-	case 0xc4, 0xc5, 0xc6: // binary
-		width := 1 << (c - 0xc4)
-		return take(1+width, uintAt(width), 8+2*max(uintAt(width), 0))
-	case 0xc7, 0xc8, 0xc9: // extensions
-		width := 1 << (c - 0xc7)
-		return take(2+width, uintAt(width), 40+2*max(uintAt(width), 0))
-	case 0xd4, 0xd5, 0xd6, 0xd7, 0xd8:
-		width := 1 << (c - 0xd4)
-		return take(2, width, 40+2*width)
-	case 0xd9, 0xda, 0xdb:
-		width := 1 << (c - 0xd9)
-		return text(1+width, uintAt(width))
-	case 0xdc, 0xdd:
-		width := 2 << (c - 0xdc)
-		return many(1+width, uintAt(width))
-	case 0xde, 0xdf:
-		width := 2 << (c - 0xde)
-		count := uintAt(width)
-		if count < 0 {
-			return 0, nil, false
-		}
-		return many(1+width, 2*count)
 	}
-	return 0, nil, false
+	return size
+}
+
+// isEscaped says whether a byte of a text may be part of an escape in JSON.
+func isEscaped(x byte) bool {
+	return x < 0x20 || x == '"' || x == '\\' || x == '<' || x == '>' || x == '&' || x >= 0x80
+}
+
+// floatSize is the size of the number at the beginning of b, which may be cut off.
+func (s *scanner) floatSize(b []byte, width int) int {
+	if !s.measure || len(b) < width {
+		return 0
+	}
+	var v float64
+	if width == 4 {
+		v = float64(math.Float32frombits(binary.BigEndian.Uint32(b)))
+	} else {
+		v = math.Float64frombits(binary.BigEndian.Uint64(b))
+	}
+	return jsonFloat + len(strconv.AppendFloat(make([]byte, 0, 32), v, 'f', -1, 64))
 }
--- a/wire/scan_test.go
+++ b/wire/scan_test.go
@@ -11,7 +11,7 @@
 
 // A list that claims billions of elements was room for billions of elements: a
 // report or a record of a few bytes ended the process for memory.
-func TestWhatClaimsMoreThanItHasIsRefused(t *testing.T) {
+func TestUnmarshalRefusesIncompleteMessages(t *testing.T) {
 	for name, b := range map[string]string{
 		"a report's tasks":    "\x81\xa6pieces\xdd\xff\xff\xff\xff",
 		"a map":               "\xdf\xff\xff\xff\xff",
--- a/wire/submission_test.go
+++ b/wire/submission_test.go
@@ -2,20 +2,6 @@
 
 import "testing"
 
-func TestIDsAndTaskNames(t *testing.T) {
-	for id, want := range map[string]bool{"wk-000412": true, "wk-1234567": true, "wk-12": false, "wk-00041a": false, "000412": false, "": false} {
-		if ValidID(id) != want {
-			t.Errorf("ValidID(%q) is %v", id, !want)
-		}
-	}
-	if id, n, ok := ParseTaskName(TaskName("wk-000412", 3)); id != "wk-000412" || n != 3 || !ok {
-		t.Errorf("%s %d %v", id, n, ok)
-	}
-	if _, _, ok := ParseTaskName("wk-000412/-1"); ok {
-		t.Error("a negative task was taken")
-	}
-}
-
 func FuzzDecodeJob(f *testing.F) {
 	good, err := Marshal(Job{ID: "wk-000412", Class: "c", Team: "t", Kind: KindGang, Priority: PriorityNormal, Tasks: 2, CPUs: 1, Image: "i"})
 	if err != nil {
@@ -36,7 +22,7 @@
 }
 
 // A body that can't be decoded whole still says whose it is.
-func TestAnIDIsFoundInWhatCannotBeDecoded(t *testing.T) {
+func TestDecodeJobFindsIDInUndecodableBody(t *testing.T) {
 	good, err := Marshal(Job{ID: "wk-000412", Class: "c", Team: "t", Kind: KindGang, Priority: PriorityNormal, Tasks: 2, CPUs: 1, Image: "i"})
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/wire/workers.go
@@ -0,0 +1,80 @@
+package wire
+
+// This file has the messages of workers.
+
+// Task states in heartbeats.
+const (
+	TaskFetching = "pulling"
+	TaskWaiting  = "gathering"
+	TaskRunning  = "running"
+	TaskSaving   = "flushing"
+	TaskExited   = "exited"
+)
+
+// Reasons of an exit.
+const (
+	ExitDone    = "done"
+	ExitStopped = "stopped"
+	ExitPeers   = "peers"
+	ExitAlone   = "alone"
+	ExitError   = "error"
+	ExitNoRoom  = "no_room"
+	ExitBusy    = "in_use"
+	ExitUnknown = "unknown"
+)
+
+// Report is a worker's heartbeat: what it is, and the status of its tasks.
+type Report struct {
+	Machine string       `msgpack:"poste"`
+	Addr    string       `msgpack:"addr"`
+	Type    string       `msgpack:"gamme"`
+	Zone    string       `msgpack:"halle"`
+	Spot    bool         `msgpack:"pretes"`
+	Session uint64       `msgpack:"quart"` // agent epoch
+	Seq     uint64       `msgpack:"numero"`
+	Token   uint64       `msgpack:"sceau"`    // the highest fencing token that it has seen
+	NoticeS *float64     `msgpack:"preavisS"` // after an interruption notice: seconds until the machine is gone
+	Tasks   []TaskReport `msgpack:"pieces"`
+}
+
+// TaskReport is the status of one task on a machine.
+type TaskReport struct {
+	Task    string `msgpack:"piece"`
+	Attempt uint64 `msgpack:"essai"`
+	State   string `msgpack:"etat"`
+	Why     string `msgpack:"motif"`
+	Saved   bool   `msgpack:"stored"`
+}
+
+// Command operations.
+const (
+	OpStart  = "launch"
+	OpStop   = "halt"
+	OpForget = "forget"
+)
+
+// Command is what the leader tells a worker to do.
+type Command struct {
+	Op      string   `msgpack:"geste"`
+	Task    string   `msgpack:"piece"`
+	Attempt uint64   `msgpack:"essai"`
+	GraceS  *float64 `msgpack:"repitS,omitempty"`
+}
+
+// ReportAnswer answers a heartbeat with 200.
+type ReportAnswer struct {
+	Token    uint64    `msgpack:"sceau"`
+	Commands []Command `msgpack:"consignes"`
+}
+
+// Redirect answers a heartbeat with 421.
+type Redirect struct {
+	Leader string `msgpack:"contremaitre,omitempty"`
+}
+
+// DirectCommands is sent to a worker's own address.
+type DirectCommands struct {
+	Token    uint64    `msgpack:"sceau"`
+	Session  uint64    `msgpack:"quart"`
+	Commands []Command `msgpack:"consignes"`
+}
