--- a/cluster/batch_window_test.go
+++ b/cluster/batch_window_test.go
@@ -58,7 +58,7 @@
 	deadline := 3600.0
 	put(6, "tiles", 50, 60, func(j *wire.Job) { j.DeadlineS = &deadline }) // tighter than any opening
 	put(7, "halls", 60, 60, func(j *wire.Job) { j.Kind = wire.KindService })
-	ids, _ := inOrder(m, 100)
+	ids, _ := queueOrder(m, 100)
 	want := []string{"wk-000005", "wk-000006", "wk-000004", "wk-000003", "wk-000002", "wk-000001", "wk-000007"}
 	if !slices.Equal(ids, want) {
 		t.Errorf("in order %v, want %v", ids, want)
@@ -68,7 +68,7 @@
 	}
 	// Without a calendar, as before.
 	m.SetPlan(Plan{Plan: &plan.Plan{}, Number: 2, HeadVersion: 2}, at(100))
-	if ids, _ := inOrder(m, 100); ids[1] != "wk-000001" {
+	if ids, _ := queueOrder(m, 100); ids[1] != "wk-000001" {
 		t.Errorf("without a calendar in order %v", ids)
 	}
 }
--- a/cluster/gpu_machines_test.go
+++ b/cluster/gpu_machines_test.go
@@ -36,12 +36,12 @@
 	}
 }
 
-// Small tasks that need no GPU, and that no aim wants started soon, keep off machines with
-// GPUs while other work waits for these: they would refill the CPUs beside the GPUs.
+// Tasks that need no GPU and have no objective on the wait avoid machines with GPUs while other
+// jobs wait for GPUs: they would occupy the CPUs beside the GPUs.
 func TestJobWithoutGPUsAvoidsGPUMachinesWhileGPUJobsWait(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		aim     config.ObjectiveKind // on the class without GPUs
+		kind    config.ObjectiveKind // of the objective on the class without GPUs
 		gpus    float64
 		waiting string // priority of the work with GPUs
 		limit   float64
@@ -57,7 +57,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			m := newModel(5)
 			m.teams[0].Max.GPU = c.limit
-			m.settings.Cluster.Objectives = []config.Objective{{Kind: c.aim, Class: "small", WithinS: 40, Share: 0.9}, {Kind: "finished", Class: "c", WithinS: 150, Share: 0.9}}
+			m.settings.Cluster.Objectives = []config.Objective{{Kind: c.kind, Class: "small", WithinS: 40, Share: 0.9}, {Kind: "finished", Class: "c", WithinS: 150, Share: 0.9}}
 			m.SetMachineTypes([]wire.MachineType{
 				{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}},
 				{Name: "plain", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}}})
--- a/cluster/guarantee_test.go
+++ b/cluster/guarantee_test.go
@@ -7,8 +7,8 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// Where teams are guaranteed GPUs only, work that needs none is within no guarantee, and
-// does not come before all other work. It counts for nothing that GPU work is guaranteed.
+// Where teams are guaranteed GPUs only, a job that needs none is within no guarantee, so that it
+// does not precede all other jobs, and it does not use up the guarantee of jobs with GPUs.
 func TestJobThatNeedsNoGuaranteedResourceIsNotWithinQuota(t *testing.T) {
 	for _, c := range []struct {
 		name      string
--- a/cluster/runtimeestimate_test.go
+++ b/cluster/runtimeestimate_test.go
@@ -13,7 +13,7 @@
 	if short, long := e.expect(30), e.expect(400); short <= 30 || long >= 400 {
 		t.Errorf("extreme estimates should be drawn towards the others: %v, %v", short, long)
 	}
-	// On this day all take twice as long as said.
+	// All tasks take twice as long as estimated.
 	for range 4 {
 		for _, est := range []float64{30, 60, 100, 200, 400} {
 			e.addEstimate(est)
--- a/cluster/runtimespread_test.go
+++ b/cluster/runtimespread_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// An array ends with its slowest task. Begun when an average one could just be
-// in time, most arrays of a dozen tasks came half a minute late.
+// An array is complete when its slowest task is. When arrays were started so late that an average
+// task would just be in time, most of those with a dozen tasks were half a minute late.
 func TestSlowestTaskAndStartDelayAreLearned(t *testing.T) {
 	var s durationSpread
 	if got := s.slowestTask(100, 1); got != 100 {
--- a/cluster/starvation_explain_test.go
+++ b/cluster/starvation_explain_test.go
@@ -7,10 +7,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Jobs that can't begin are named, each with what stands in its way; those that
-// can are not.
+// Jobs that can't start are listed, each with the cause; jobs that can are not.
 func TestStarvedJobsAreListedWithTheirCause(t *testing.T) {
-	s := newShop(t, 1, bound) // of zone a
+	s := newSimulatedCluster(t, 1, bound) // of zone a
 	s.m.teams[0].Max.CPU = 8
 	offer := func() {
 		for ti := range s.m.MachineTypes {
@@ -22,13 +21,13 @@
 		}
 	}
 	offer()
-	s.put("wk-000001", 0, 1, func(j *wire.Job) { j.Zone = "b"; j.Team = "" })
-	s.put("wk-000002", 0, 3, func(j *wire.Job) { j.Kind, j.CPUs, j.Team = wire.KindGang, 4, "" })
-	s.put("wk-000003", 0, 1, func(j *wire.Job) { j.EstimateS = 2000 })
-	s.put("wk-000004", 0, 1, func(j *wire.Job) { j.EstimateS = 2000 })
+	s.submit("wk-000001", 0, 1, func(j *wire.Job) { j.Zone = "b"; j.Team = "" })
+	s.submit("wk-000002", 0, 3, func(j *wire.Job) { j.Kind, j.CPUs, j.Team = wire.KindGang, 4, "" })
+	s.submit("wk-000003", 0, 1, func(j *wire.Job) { j.EstimateS = 2000 })
+	s.submit("wk-000004", 0, 1, func(j *wire.Job) { j.EstimateS = 2000 })
 	s.run(0, 50)
-	s.put("wk-000005", 50, 1, func(j *wire.Job) { j.Types = []string{"none"}; j.Team = "" })
-	s.put("wk-000006", 50, 1, nil)
+	s.submit("wk-000005", 50, 1, func(j *wire.Job) { j.Types = []string{"none"}; j.Team = "" })
+	s.submit("wk-000006", 50, 1, nil)
 	s.run(50, 300)
 	got := map[string]string{}
 	sum := s.m.Snapshot(at(300))
@@ -37,6 +36,6 @@
 	}
 	want := map[string]string{"wk-000001": blockedByZone, "wk-000002": blockedByGangSize, "wk-000005": blockedByNoMachines, "wk-000006": blockedByQuota}
 	if !maps.Equal(got, want) || sum.StarvedTotal != len(want) {
-		t.Errorf("named: %v", got)
+		t.Errorf("starved jobs: %v", got)
 	}
 }
--- a/cluster/starvation_scenario_test.go
+++ b/cluster/starvation_scenario_test.go
@@ -10,38 +10,38 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// shop is a few machines that report every second and run what they are told to
-// for as long as its owner expects.
-type shop struct {
-	t     *testing.T
-	m     *Model
-	hosts []*host
-	began map[string]float64
-	stops []string
-	comes func(now float64) // jobs that come in this second
+// simulatedCluster is a model and a few machines. These send a heartbeat every second and run
+// each task for as long as its owner estimates.
+type simulatedCluster struct {
+	t        *testing.T
+	m        *Model
+	machines []*simulatedMachine
+	started  map[string]float64 // by job, when its first task started
+	stops    []string           // tasks that were ordered to stop
+	arrivals func(now float64)  // submits the jobs that arrive in this second
 }
 
-type host struct {
-	rep  *wire.Report
-	runs map[string]*wire.TaskReport
-	from map[string]float64
+type simulatedMachine struct {
+	heartbeat *wire.Report
+	tasks     map[string]*wire.TaskReport
+	startedAt map[string]float64
 }
 
-// newShop is a shop with machines of 8 CPUs in zones a and b, in turn.
-func newShop(t *testing.T, machines int, bound time.Duration) *shop {
+// newSimulatedCluster makes a cluster with machines of 8 CPUs in zones a and b, in turn.
+func newSimulatedCluster(t *testing.T, machines int, bound time.Duration) *simulatedCluster {
 	t.Helper()
-	s := &shop{t: t, m: newModel(5), began: map[string]float64{}}
+	s := &simulatedCluster{t: t, m: newModel(5), started: map[string]float64{}}
 	s.m.StarvationBound = bound
 	for i := range machines {
 		r := rep(0, 5)
 		r.Machine, r.Addr, r.Zone = fmt.Sprintf("host-%d", i), fmt.Sprintf("h:%d", i), []string{"a", "b"}[i%2]
-		s.hosts = append(s.hosts, &host{rep: r, runs: map[string]*wire.TaskReport{}, from: map[string]float64{}})
+		s.machines = append(s.machines, &simulatedMachine{heartbeat: r, tasks: map[string]*wire.TaskReport{}, startedAt: map[string]float64{}})
 	}
 	return s
 }
 
-// put submits a job of the test's class with so many tasks, changed by with.
-func (s *shop) put(id string, now float64, tasks int, with func(j *wire.Job)) {
+// submit submits a job of class "c" with so many tasks, changed by with.
+func (s *simulatedCluster) submit(id string, now float64, tasks int, with func(j *wire.Job)) {
 	rec := arrayJob(id, tasks)
 	rec.AcceptedAtMs = at(now).UnixMilli()
 	rec.Job.CPUs, rec.Job.ImageGB = 4, 0
@@ -51,13 +51,13 @@
 	s.m.ApplyJobRecord(id, rec, 1, at(now))
 }
 
-// run lets time pass, second by second.
-func (s *shop) run(from, to float64) {
+// run runs the cluster from one second to another.
+func (s *simulatedCluster) run(from, to float64) {
 	for now := from; now < to; now++ {
-		if s.comes != nil {
-			s.comes(now)
+		if s.arrivals != nil {
+			s.arrivals(now)
 		}
-		for _, h := range s.hosts {
+		for _, h := range s.machines {
 			s.report(h, now)
 		}
 		s.m.Tick(at(now))
@@ -66,66 +66,68 @@
 	}
 }
 
-func (s *shop) report(h *host, now float64) {
-	h.rep.Seq++
-	h.rep.Token = s.m.FencingToken
-	h.rep.Tasks = nil
-	for _, name := range slices.Sorted(maps.Keys(h.runs)) {
-		r := h.runs[name]
+// report sends a machine's heartbeat and carries out the commands in the answer.
+func (s *simulatedCluster) report(h *simulatedMachine, now float64) {
+	h.heartbeat.Seq++
+	h.heartbeat.Token = s.m.FencingToken
+	h.heartbeat.Tasks = nil
+	for _, name := range slices.Sorted(maps.Keys(h.tasks)) {
+		r := h.tasks[name]
 		id, _, _ := wire.ParseTaskName(name)
-		if j := s.m.Job(id); j != nil && r.State == wire.TaskRunning && now >= h.from[name]+j.Spec.EstimateS {
+		if j := s.m.Job(id); j != nil && r.State == wire.TaskRunning && now >= h.startedAt[name]+j.Spec.EstimateS {
 			r.State, r.Why = wire.TaskExited, wire.ExitDone
 		}
-		h.rep.Tasks = append(h.rep.Tasks, *r)
+		h.heartbeat.Tasks = append(h.heartbeat.Tasks, *r)
 	}
-	for _, c := range answer(s.t, s.m, h.rep, at(now)) {
+	for _, c := range answer(s.t, s.m, h.heartbeat, at(now)) {
 		switch c.Op {
 		case wire.OpStart:
-			h.runs[c.Task] = &wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
-			h.from[c.Task] = now
-			if id, _, _ := wire.ParseTaskName(c.Task); s.began[id] == 0 {
-				s.began[id] = now
+			h.tasks[c.Task] = &wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
+			h.startedAt[c.Task] = now
+			if id, _, _ := wire.ParseTaskName(c.Task); s.started[id] == 0 {
+				s.started[id] = now
 			}
 		case wire.OpStop:
 			s.stops = append(s.stops, c.Task)
-			if r := h.runs[c.Task]; r != nil {
+			if r := h.tasks[c.Task]; r != nil {
 				r.State, r.Why = wire.TaskExited, wire.ExitStopped
 			}
 		case wire.OpForget:
-			delete(h.runs, c.Task)
+			delete(h.tasks, c.Task)
 		}
 	}
 }
 
+// bound is the starvation bound of the tests.
 const bound = 240 * time.Second
 
-// beganBy plays a story without the bound and with it: without, the job must not
-// have begun by then, or the story shows nothing.
-func beganBy(t *testing.T, id string, story func(bound time.Duration) *shop) *shop {
+// startsWithinBound runs a scenario without the bound and with it, and checks that the job
+// starts in time with the bound only; otherwise the scenario would show nothing.
+func startsWithinBound(t *testing.T, id string, scenario func(bound time.Duration) *simulatedCluster) *simulatedCluster {
 	t.Helper()
-	if s := story(0); s.began[id] > 0 && s.began[id] <= bound.Seconds() {
-		t.Fatalf("without the bound the job has begun after %v s", s.began[id])
+	if s := scenario(0); s.started[id] > 0 && s.started[id] <= bound.Seconds() {
+		t.Fatalf("without the bound the job started after %v s", s.started[id])
 	}
-	s := story(bound)
-	if b := s.began[id]; b == 0 || b > bound.Seconds() {
-		t.Errorf("the job began after %v s", b)
+	s := scenario(bound)
+	if b := s.started[id]; b == 0 || b > bound.Seconds() {
+		t.Errorf("the job started after %v s", b)
 	}
 	return s
 }
 
-// crowd is small jobs that fill the machines to begin with and keep coming, a
-// little faster than they can be done.
-func crowd(s *shop, every int, with func(j *wire.Job)) func(now float64) {
+// overload submits small jobs: at first as many as fill the machines, and then new ones a
+// little faster than they can be completed.
+func overload(s *simulatedCluster, every int, with func(j *wire.Job)) func(now float64) {
 	return func(now float64) {
 		n := 0
 		if int(now)%every == 0 {
 			n = 1
 		}
 		if now == 0 {
-			n = 3 * len(s.hosts)
+			n = 3 * len(s.machines)
 		}
 		for i := range n {
-			s.put(fmt.Sprintf("wk-%d%05d", 1+i, int(now)), now, 1, func(j *wire.Job) {
+			s.submit(fmt.Sprintf("wk-%d%05d", 1+i, int(now)), now, 1, func(j *wire.Job) {
 				d := 150.0
 				j.DeadlineS, j.EstimateS = &d, 40
 				if with != nil {
--- a/cluster/starvation_test.go
+++ b/cluster/starvation_test.go
@@ -13,14 +13,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A large array that is put off, a gang that needs room in one zone, and work of
-// lower priority each begin by the bound amid a crowd, and stop nothing of others'.
+// A large array that triage postpones, a gang that needs one zone, and a job of lower priority
+// each start within the bound under overload, and no other task is preempted for them.
 func TestPostponedJobStartsWithinTheStarvationBoundUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		name                   string
 		machines, every, tasks int
 		with                   func(j *wire.Job)
-		served                 int // tasks at most, before others' aims
+		served                 int // most tasks that may precede others' objectives
 		stopped                bool
 	}{
 		{"a large array", 2, 8, 30, func(j *wire.Job) { d := 100.0; j.DeadlineS = &d }, 10, false},
@@ -28,12 +28,12 @@
 		{"of lower priority", 2, 5, 4, func(j *wire.Job) { j.Priority, j.Class = wire.PriorityLow, "low" }, 4, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			s := beganBy(t, "wk-000001", func(bound time.Duration) *shop {
-				s := newShop(t, c.machines, bound)
+			s := startsWithinBound(t, "wk-000001", func(bound time.Duration) *simulatedCluster {
+				s := newSimulatedCluster(t, c.machines, bound)
 				s.m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
-				s.comes = crowd(s, c.every, nil)
+				s.arrivals = overload(s, c.every, nil)
 				s.run(0, 1)
-				s.put("wk-000001", 1, c.tasks, c.with)
+				s.submit("wk-000001", 1, c.tasks, c.with)
 				s.run(1, 400)
 				return s
 			})
@@ -42,7 +42,7 @@
 					t.Errorf("%s was stopped for it", name)
 				}
 			}
-			// A start that is stopped within 30 s is none.
+			// A start that is preempted within 30 s does not count.
 			if j := s.m.Job("wk-000001"); j != nil && (j.PlacedTasks+j.DoneTasks > c.served || j.firstRunAt.IsZero()) {
 				t.Errorf("%d of its tasks were served, first at %v", j.PlacedTasks+j.DoneTasks, j.firstRunAt)
 			}
@@ -50,20 +50,20 @@
 	}
 }
 
-// What the bound asks for depends on when a job was accepted and on where tasks
-// are, which the next leader is told.
+// What the bound decides depends only on when jobs were accepted and on where their tasks are,
+// which the next leader loads.
 func TestStarvationBoundHoldsAcrossAFailover(t *testing.T) {
-	beganBy(t, "wk-000001", func(bound time.Duration) *shop {
-		s := newShop(t, 2, bound)
-		aims := []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
-		s.m.settings.Cluster.Objectives = aims
-		s.comes = crowd(s, 8, nil)
+	startsWithinBound(t, "wk-000001", func(bound time.Duration) *simulatedCluster {
+		s := newSimulatedCluster(t, 2, bound)
+		objectives := []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
+		s.m.settings.Cluster.Objectives = objectives
+		s.arrivals = overload(s, 8, nil)
 		s.run(0, 1)
-		s.put("wk-000001", 1, 30, func(j *wire.Job) { d := 100.0; j.DeadlineS = &d })
+		s.submit("wk-000001", 1, 30, func(j *wire.Job) { d := 100.0; j.DeadlineS = &d })
 		s.run(1, 100)
 		old := s.m
 		s.m = newModel(6)
-		s.m.ElectedAt, s.m.StarvationBound, s.m.settings.Cluster.Objectives = at(100), bound, aims
+		s.m.ElectedAt, s.m.StarvationBound, s.m.settings.Cluster.Objectives = at(100), bound, objectives
 		var page jobstore.PlacementPage
 		for _, j := range old.Jobs {
 			if j == nil || j.Finished || j.DoneTasks == len(j.Tasks) {
@@ -83,7 +83,7 @@
 		s.run(100, 103)
 		for _, j := range s.m.Jobs {
 			if j.PlacedTasks > 0 && !j.hasStarted() {
-				t.Errorf("%s runs, and the next leader takes it for one that has not begun", j.ID)
+				t.Errorf("%s runs, but the next leader counts it as not started", j.ID)
 			}
 		}
 		s.run(103, 400)
@@ -91,17 +91,17 @@
 	})
 }
 
-// The bound changes nothing until a job must begin: with one that is far away, all
-// decisions are those made without any.
+// The bound changes nothing until a job must start: with a distant bound all decisions are those
+// without a bound.
 func TestDistantStarvationBoundChangesNoDecision(t *testing.T) {
 	for seed := range uint64(8) {
 		play := func(bound time.Duration) (out []string) {
 			rnd := rand.New(rand.NewPCG(seed, 3))
-			s := newShop(t, 4, bound)
+			s := newSimulatedCluster(t, 4, bound)
 			s.m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "wait", Class: "gangs", WithinS: 50}}
-			s.comes = func(now float64) {
+			s.arrivals = func(now float64) {
 				if rnd.IntN(4) == 0 {
-					s.put(fmt.Sprintf("wk-1%05d", int(now)), now, 1+rnd.IntN(12), func(j *wire.Job) {
+					s.submit(fmt.Sprintf("wk-1%05d", int(now)), now, 1+rnd.IntN(12), func(j *wire.Job) {
 						d := 100 + 100*rnd.Float64()
 						j.DeadlineS, j.EstimateS = &d, 10+60*rnd.Float64()
 						j.Priority = []string{wire.PriorityHigh, wire.PriorityNormal, wire.PriorityLow}[rnd.IntN(3)]
@@ -134,23 +134,23 @@
 	}
 }
 
-// More gangs than can begin in time: the largest do, and as few as possible of
-// the others don't.
+// Where more gangs wait than can start in time, the largest do, and as few as possible of the
+// others don't.
 func TestStarvationBoundPrefersTheLargestJobsUnderOverload(t *testing.T) {
-	s := newShop(t, 6, bound)
+	s := newSimulatedCluster(t, 6, bound)
 	for i := range 45 {
-		s.put(fmt.Sprintf("wk-1%05d", i), 0, []int{1, 2, 3, 1, 2, 3, 1, 2, 5}[i%9], func(j *wire.Job) { j.Kind = wire.KindGang })
+		s.submit(fmt.Sprintf("wk-1%05d", i), 0, []int{1, 2, 3, 1, 2, 3, 1, 2, 5}[i%9], func(j *wire.Job) { j.Kind = wire.KindGang })
 	}
 	s.run(0, 600)
 	late := map[int]int{}
 	for i := range 45 {
 		id := fmt.Sprintf("wk-1%05d", i)
-		if b, tasks := s.began[id], []int{1, 2, 3, 1, 2, 3, 1, 2, 5}[i%9]; b == 0 && i > 0 || b > bound.Seconds() {
+		if b, tasks := s.started[id], []int{1, 2, 3, 1, 2, 3, 1, 2, 5}[i%9]; b == 0 && i > 0 || b > bound.Seconds() {
 			late[tasks]++
 		}
 	}
-	// 100 places are asked for, of which 48 can be had in time at best: those of
-	// the largest, 25, and of the small ones.
+	// The gangs need 100 places, of which at most 48 become free in time: enough for the
+	// largest gangs, which need 25, and for small ones.
 	if late[5] > 0 || late[1] > 5 || late[3] == 0 {
 		t.Errorf("late, by tasks: %v", late)
 	}
--- a/cluster/tier_scenario_test.go
+++ b/cluster/tier_scenario_test.go
@@ -10,42 +10,42 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// clinicFirst is clinics before schools before crafts before the rest.
-func clinicFirst() *priority.Policy {
+// clinicFirstPolicy is clinics before schools before crafts before the rest.
+func clinicFirstPolicy() *priority.Policy {
 	return priority.New(&priority.Settings{Tiers: []priority.Tier{
 		{Name: "clinic", Classes: []string{"slicing"}}, {Name: "school", Classes: []string{"lesson"}, Share: 0.1, LongestWaitS: 100},
 		{Name: "craft", Classes: []string{"print"}, LongestWaitS: 150},
 	}})
 }
 
-// fleetPlay is machines that do what the model commands, and tasks that take as
-// long as they take.
-type fleetPlay struct {
-	m        *Model
-	now      float64
-	rev, seq uint64
-	on       []map[string]*playTask
-	took     map[string]float64 // by job, of a task
-	began    map[string]float64 // by job, after its acceptance
-	came     map[string]float64
-	log      []string
+// fleetSimulation is a model and machines that carry out its commands. It logs starts and stops
+// of tasks.
+type fleetSimulation struct {
+	m              *Model
+	now            float64
+	revision, seq  uint64
+	tasksByMachine []map[string]*simulatedTask // by machine and task name
+	runSeconds     map[string]float64          // by job, of each task
+	startWaits     map[string]float64          // by job, seconds from its acceptance to its first start
+	acceptedAt     map[string]float64          // by job
+	log            []string
 }
 
-type playTask struct {
+type simulatedTask struct {
 	wire.TaskReport
 	until float64
 }
 
-func newFleetPlay(machines int, o *priority.Policy) *fleetPlay {
-	p := &fleetPlay{m: newModel(5), rev: 100, took: map[string]float64{}, began: map[string]float64{}, came: map[string]float64{}}
+func newFleetSimulation(machines int, o *priority.Policy) *fleetSimulation {
+	p := &fleetSimulation{m: newModel(5), revision: 100, runSeconds: map[string]float64{}, startWaits: map[string]float64{}, acceptedAt: map[string]float64{}}
 	p.m.setPriorityPolicy(o)
 	for range machines {
-		p.on = append(p.on, map[string]*playTask{})
+		p.tasksByMachine = append(p.tasksByMachine, map[string]*simulatedTask{})
 	}
 	return p
 }
 
-func (p *fleetPlay) submit(n int, class string, tasks int, took float64, change func(*wire.Job)) string {
+func (p *fleetSimulation) submit(n int, class string, tasks int, took float64, change func(*wire.Job)) string {
 	id := fmt.Sprintf("wk-%06d", n)
 	rec := arrayJob(id, tasks)
 	rec.AcceptedAtMs = at(p.now).UnixMilli()
@@ -53,18 +53,18 @@
 	if change != nil {
 		change(&rec.Job)
 	}
-	p.rev++
-	p.m.ApplyJobRecord(id, rec, p.rev, at(p.now))
-	p.took[id], p.came[id] = took, p.now
+	p.revision++
+	p.m.ApplyJobRecord(id, rec, p.revision, at(p.now))
+	p.runSeconds[id], p.acceptedAt[id] = took, p.now
 	return id
 }
 
-// step is a report of each machine, and passes between.
-func (p *fleetPlay) step() {
+// step lets 1.5 s pass, in which each machine sends a heartbeat, and runs a scheduling pass.
+func (p *fleetSimulation) step() {
 	p.now += 1.5
 	p.seq++
 	now := at(p.now)
-	for i, on := range p.on {
+	for i, on := range p.tasksByMachine {
 		r := rep(p.seq, 5)
 		r.Machine, r.Zone = fmt.Sprintf("host-%06d", i), []string{"a", "b"}[i%2]
 		names := make([]string, 0, len(on))
@@ -86,11 +86,11 @@
 			switch {
 			case c.Op == wire.OpStart && t == nil:
 				id, _, _ := wire.ParseTaskName(c.Task)
-				if _, ok := p.began[id]; !ok {
-					p.began[id] = p.now - p.came[id]
+				if _, ok := p.startWaits[id]; !ok {
+					p.startWaits[id] = p.now - p.acceptedAt[id]
 				}
 				p.log = append(p.log, fmt.Sprint(p.now, " ", c.Task, " on ", i))
-				on[c.Task] = &playTask{wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, p.now + p.took[id]}
+				on[c.Task] = &simulatedTask{wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, p.now + p.runSeconds[id]}
 			case c.Op == wire.OpStop && t != nil && t.State == wire.TaskRunning:
 				t.State, t.Why = wire.TaskExited, wire.ExitStopped
 				p.log = append(p.log, fmt.Sprint(p.now, " ", c.Task, " stopped"))
@@ -101,11 +101,11 @@
 	}
 	p.m.Schedule(now, 0)
 	for b := p.m.NextBatch(12); b != nil; b = p.m.NextBatch(12) {
-		p.rev++
-		b.OnCommit(p.rev, now)
+		p.revision++
+		b.OnCommit(p.revision, now)
 	}
 	if b := p.m.PlanCheckBatch(); b != nil {
-		b.OnCommit(p.rev, now)
+		b.OnCommit(p.revision, now)
 	}
 }
 
@@ -113,8 +113,8 @@
 	slices.SortStableFunc(cmds, func(a, b wire.Command) int { return strings.Compare(a.Task, b.Task) })
 }
 
-// day plays work that comes at random, more than the fleet can do.
-func (p *fleetPlay) day(seed uint64, seconds float64, class func(r *rand.Rand) string) {
+// runRandomLoad submits random jobs, more than the fleet can complete.
+func (p *fleetSimulation) runRandomLoad(seed uint64, seconds float64, class func(r *rand.Rand) string) {
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	for n := 1; p.now < seconds; p.step() {
 		for rnd.IntN(2) == 0 {
--- a/cluster/triage_simulation_test.go
+++ b/cluster/triage_simulation_test.go
@@ -8,8 +8,8 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// Playing on from where the lists begin to differ gives what playing all of it
-// gives, whatever is taken out and put in.
+// Running only what differs from the run before gives the result of a full run, whichever jobs
+// are removed and inserted.
 func TestSimulationFromACheckpointEqualsAFullSimulation(t *testing.T) {
 	m := crowded(4, 60)
 	rnd := rand.New(rand.NewPCG(7, 7))
@@ -37,7 +37,7 @@
 		}
 		got, want := p.run(jobs, k), m.newSimulation(places, at(0)).run(jobs, 0)
 		if got != want {
-			t.Fatalf("changed from %d of %d on: %d, played anew: %d", k, len(jobs), got, want)
+			t.Fatalf("changed from %d of %d on: %d, in a full run: %d", k, len(jobs), got, want)
 		}
 		if got < 0 {
 			ends++
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -7,15 +7,16 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// due makes a job of the test's class that is to be done within its deadline.
-func due(m *Model, id string, tasks int, deadline float64, came float64) {
+// submitWithDeadline submits a job of class "c" with a deadline.
+func submitWithDeadline(m *Model, id string, tasks int, deadline float64, came float64) {
 	rec := arrayJob(id, tasks)
 	rec.AcceptedAtMs = at(came).UnixMilli()
 	rec.Job.CPUs, rec.Job.DeadlineS = 4, &deadline
 	m.ApplyJobRecord(id, rec, 1, at(came))
 }
 
-func inOrder(m *Model, now float64) (ids []string, late int) {
+// queueOrder returns the queue's jobs in order, and how many of them can meet no objective.
+func queueOrder(m *Model, now float64) (ids []string, late int) {
 	for _, r := range m.buildQueue(m.openJobs(), nil, at(now)) {
 		ids = append(ids, r.job.ID)
 		if r.missed {
@@ -28,15 +29,15 @@
 func TestTriageDefersTheLargestJobWhenNotAllMeetTheirDeadline(t *testing.T) {
 	m := newModel(5)
 	m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
-	answer(t, m, rep(1, 5), at(0)) // a machine with room for two tasks
-	due(m, "wk-000001", 4, 150, 0)
+	answer(t, m, rep(1, 5), at(0)) // a machine with two places
+	submitWithDeadline(m, "wk-000001", 4, 150, 0)
 	for i := range 3 {
-		due(m, fmt.Sprintf("wk-00001%d", i), 1, 160, 0)
+		submitWithDeadline(m, fmt.Sprintf("wk-00001%d", i), 1, 160, 0)
 	}
-	// Two places, 60 s a task: by 160 s there is time for four tasks, not for seven.
-	ids, late := inOrder(m, 1)
+	// On two places, 60 s a task, four tasks can be completed by 160 s, but not seven.
+	ids, late := queueOrder(m, 1)
 	if late != 1 || ids[3] != "wk-000001" {
-		t.Fatalf("%d put off, in order %v", late, ids)
+		t.Fatalf("%d missed, in order %v", late, ids)
 	}
 }
 
@@ -44,13 +45,13 @@
 	m := newModel(5)
 	m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 3}}
 	answer(t, m, rep(1, 5), at(0))
-	due(m, "wk-000001", 2, 600, 0)
+	submitWithDeadline(m, "wk-000001", 2, 600, 0)
 	m.Schedule(at(1), 0)
 	commit(t, m, at(1))
 	answer(t, m, rep(2, 5), at(2))
-	// Both places are taken for about a minute, so that this one can't be in time;
-	// it is served for three times its deadline.
-	due(m, "wk-000002", 1, 80, 2)
+	// Both places are occupied for about a minute, so that this job can't meet its deadline;
+	// it is served for the objective of three times its deadline.
+	submitWithDeadline(m, "wk-000002", 1, 80, 2)
 	reqs := m.buildQueue(m.openJobs(), nil, at(3))
 	if len(reqs) != 1 || reqs[0].missed || reqs[0].due.Before(at(150)) {
 		t.Fatalf("%d wait; missed %v, due %v", len(reqs), reqs[0].missed, reqs[0].due.Sub(t0))
