--- a/cluster/job.go
+++ b/cluster/job.go
@@ -51,44 +51,55 @@
 //   - gangStarted and gangEnding describe the attempt that is placed: neither is set while
 //     no task is placed.
 type Job struct {
-	Index        int32
-	ID           string
-	Spec         wire.Job
-	Version      uint64
-	AcceptedAt   time.Time
-	Team         int
-	Priority     int
+	Index      int32
+	ID         string
+	Spec       wire.Job
+	Version    uint64 // of its active record in the store
+	AcceptedAt time.Time
+
+	// What its specification means in this cluster.
+	Team         int // -1 if the team is not configured
+	Priority     int // 0 is the highest
 	Need         placement.Resources
-	allowedTypes []bool
-	Zone         int
+	Zone         int // -1 if any will do
 	Image        int32
-	lastAttempt  uint64 // highest attempt ever used
+	allowedTypes []bool // by machine type
+	tier         int    // priority tier, 0 is the highest; written by priorityTiers.assign
+
+	// Its tasks.
 	Tasks        []Task
 	Chunks       []Chunk
 	DoneTasks    int
 	PlacedTasks  int
 	PlacedByZone []int
-	Cancelled    bool
-	Finished     bool            // committed as done
-	runs         runStatistics   // of its completed tasks
-	runTime      runTimeEstimate // of its tasks that are not completed
-	triage       triageVerdict
-	start        startState // decided by the starvation bound
-	gangStarted  bool       // gang: the current attempt was seen running
-	gangEnding   bool       // gang: the current attempt is being stopped, or can't complete
-	NotBefore    time.Time  // backoff of a job that fails on every machine
-	firstRunAt   time.Time
-	tier         int // priority tier, 0 is the highest; written by priorityTiers.assign
-
+	lastAttempt  uint64 // the highest attempt number ever used
+	cursor       int    // no task before it is in phase TaskIdle
+
+	// Its life.
+	Cancelled     bool
+	Finished      bool // its final record is committed
+	gangStarted   bool // gang: the current attempt was seen running
+	gangEnding    bool // gang: the current attempt is being stopped, or can't complete
+	firstRunAt    time.Time
+	completedAtMs int64        // when its end was last written, if it is a job of a batch window
+	reservation   *reservation // nil unless its tasks are reserved first
+
+	// What is known of failures.
+	NotBefore  time.Time           // backoff of a job that fails on every machine
+	avoidUntil map[int32]time.Time // machines on which it has failed lately
+	failures   *failureHistory
+
+	// What scheduling passes remember.
+	runs    runStatistics   // of its completed tasks
+	runTime runTimeEstimate // of its tasks that are not completed
+	triage  triageVerdict
+	start   startState // decided by the starvation bound
+	window  jobWindow
+
+	// Its records.
 	quarantined   bool           // its placements can't be read
 	admissionPage *admissionPage // the page that its record shares with others, if it does
-	window        jobWindow
-	completedAtMs int64 // when its end was last written, of a night's job
-	cursor        int
-	dirty         bool
-	avoidUntil    map[int32]time.Time
-	failures      *failureHistory // of its failures
-	reservation   *reservation    // nil unless its tasks are reserved first
+	dirty         bool           // in writeBehind.dirtyJobs
 }
 
 // Gang reports whether the job is a gang: all its tasks run at the same time, or none does.
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -32,49 +32,56 @@
 // own is a type in a file of its own; Model ties them together. It is not safe for
 // concurrent use.
 type Model struct {
-	FencingToken      uint64
-	ElectedAt         time.Time
-	Machines          []*Machine
-	Jobs              []*Job // nil once a job is out of the model
-	MachineTypes      []MachineType
-	Zones             []string
-	RebalanceCycles   map[string]*RebalanceCycle
+	FencingToken uint64
+	ElectedAt    time.Time
+
+	Machines     []*Machine
+	Jobs         []*Job // nil once a job is out of the model
+	MachineTypes []MachineType
+	Zones        []string
+	names        nameIndex
+	openIndexes  []int32 // jobs that may be in the model
+	teams        []placement.Team
+	guarantees   []placement.Resources // by team
+	images       imageCatalog
+
+	// Settings.
+	settings          *config.Settings
 	RebalanceSettings config.Rebalance
 	Headroom          float64
 	// StarvationBound is how long a job may wait from its acceptance to its start; 0 means
 	// that there is no such bound.
 	StarvationBound time.Duration
-	PlacesFreed     uint64 // counts placements removed, each of which frees resources
-	Observer        Observer
-
-	loadFinished bool // an earlier leader's records
-
-	stall stallRecovery
+	clockDrift      float64
 
-	settings       *config.Settings
-	log            *slog.Logger
-	clockDrift     float64
-	teams          []placement.Team
-	guarantees     []placement.Resources
-	names          nameIndex
-	images         imageCatalog
-	openIndexes    []int32     // jobs that may be in the model
-	writes         writeBehind // what is to be written to the store
-	quarantine     quarantine
+	// What goes out, besides the answers to heartbeats.
+	writes         writeBehind
 	directCommands directCommandQueue
-	refusedOffers  offerRefusals
-	plan           Plan
-	planExpected   bool      // there may be a plan
 	heldStops      heldStops // until the plan is confirmed
-	windows        batchWindows
-	planRecords    planRecords
-	pools          warmPools
-	starvation     starvationBound
-	triage         triageState
-	classes        classRegistry
-	tiers          priorityTiers
+	Observer       Observer
+	log            *slog.Logger
+
+	// The operators' plan, and its parts.
+	plan         Plan
+	planExpected bool // there may be a plan
+	planRecords  planRecords
+	tiers        priorityTiers
+	windows      batchWindows
+	pools        warmPools
+
+	// What scheduling passes rest on.
+	classes         classRegistry
+	triage          triageState
+	starvation      starvationBound
+	RebalanceCycles map[string]*RebalanceCycle
+	refusedOffers   offerRefusals
+	PlacesFreed     uint64 // counts placements removed, each of which frees resources
+	buffers         passBuffers
 
-	buffers passBuffers
+	// Loading and recovery.
+	loadFinished bool // the records of earlier leaders are loaded
+	quarantine   quarantine
+	stall        stallRecovery
 }
 
 // New makes an empty model for the leadership with the given fencing token.
--- a/cluster/plan_records.go
+++ b/cluster/plan_records.go
@@ -47,7 +47,7 @@
 	m.reloadPools(now)
 }
 
-// unplaceUncommitted takes placements back that are not committed, and says how many.
+// unplaceUncommitted removes the placements that are not committed and returns their number.
 func (m *Model) unplaceUncommitted(now time.Time) int {
 	n := 0
 	for _, j := range m.Jobs {
@@ -73,71 +73,85 @@
 	return wire.Guard{Key: jobstore.PlanHeadKey, Version: m.plan.HeadVersion}
 }
 
-// planRecords are what the plan's parts record for the next leader and the operators:
-// one key each, of which only the last value counts.
+// planRecords are the records that the parts of the plan keep for the next leader and for
+// operators: one key each, of which only the last value counts.
 type planRecords struct {
 	byName map[string]*planRecord
 	names  []string // in the order in which they are written next
 }
 
 type planRecord struct {
-	value     any
-	gen       uint64 // counts changes
-	committed uint64 // the last one that is in the store
-	version   uint64
-	raw       wire.Raw // as committed
+	value      any
+	generation uint64   // counts changes
+	committed  uint64   // the last change that is in the store
+	version    uint64   // of the key
+	raw        wire.Raw // as committed
 }
 
-func (n *planRecords) at(name string) *planRecord {
-	if n.byName == nil {
-		n.byName = map[string]*planRecord{}
+// isChanged reports whether the record is to be written.
+func (r *planRecord) isChanged() bool { return r.generation != r.committed }
+
+// commit applies the commit of a value of the given generation.
+func (r *planRecord) commit(version, generation uint64, raw wire.Raw) {
+	r.version, r.committed, r.raw = version, max(r.committed, generation), raw
+}
+
+func (s *planRecords) findOrAdd(name string) *planRecord {
+	if s.byName == nil {
+		s.byName = map[string]*planRecord{}
 	}
-	x := n.byName[name]
-	if x == nil {
-		x = &planRecord{}
-		n.byName[name] = x
-		n.names = append(n.names, name)
+	r := s.byName[name]
+	if r == nil {
+		r = &planRecord{}
+		s.byName[name] = r
+		s.names = append(s.names, name)
 	}
-	return x
+	return r
+}
+
+// moveToEnd makes a name the last in the order of writing, so that those which are left out
+// of a batch come first in the next one.
+func (s *planRecords) moveToEnd(name string) {
+	s.names = append(slices.DeleteFunc(s.names, func(n string) bool { return n == name }), name)
 }
 
-// savePlanRecord has a record of that name written, soon: all of the parts' records
-// together are few changes a second, and of several values only the last is
-// written. rec must not change before it is kept again, and must fit into a value.
-func (m *Model) savePlanRecord(name string, rec any) {
-	x := m.planRecords.at(name)
-	x.value = rec
-	x.gen++
+// savePlanRecord queues a record of that name to be written soon. All of these records
+// together take few changes a second, and of several values only the last is written. The
+// record must not change before it is saved again, and must fit into a value.
+func (m *Model) savePlanRecord(name string, record any) {
+	r := m.planRecords.findOrAdd(name)
+	r.value = record
+	r.generation++
 }
 
-// loadedPlanRecord is the committed record of that name, an earlier leader's or this one's;
-// false where there is none.
+// loadedPlanRecord returns the committed record of that name, of an earlier leader or of this
+// one; false if there is none.
 func (m *Model) loadedPlanRecord(name string) (wire.Raw, bool) {
-	x := m.planRecords.byName[name]
-	if x == nil || x.raw == nil {
+	r := m.planRecords.byName[name]
+	if r == nil || r.raw == nil {
 		return nil, false
 	}
-	return x.raw, true
+	return r.raw, true
 }
 
-// planRecordPending says whether the last value of that name waits to be committed.
+// planRecordPending reports whether the last value of that name waits to be committed.
 func (m *Model) planRecordPending(name string) bool {
-	x := m.planRecords.byName[name]
-	return x != nil && x.gen != x.committed
+	r := m.planRecords.byName[name]
+	return r != nil && r.isChanged()
 }
 
 // LoadPlanRecord loads a record that an earlier leader wrote for a part of the plan. It must
 // be called before the plan and the jobs are loaded, which read these records.
 func (m *Model) LoadPlanRecord(key string, value wire.Raw, version uint64) {
-	x := m.planRecords.at(key[len(jobstore.PlanStatePrefix):])
-	x.raw, x.version = value, version
+	r := m.planRecords.findOrAdd(key[len(jobstore.PlanStatePrefix):])
+	r.raw, r.version = value, version
 }
 
 // PendingPlanRecords returns how many records of the plan's parts wait to be written.
 func (m *Model) PendingPlanRecords() int {
 	n := 0
-	for _, x := range m.planRecords.byName {
-		if x.gen != x.committed {
+	for _, r := range m.planRecords.byName {
+		if r.isChanged() {
 			n++
 		}
 	}
@@ -152,33 +166,30 @@
 func (m *Model) PlanRecordBatch(maxOps int) *WriteBatch {
 	b := &WriteBatch{Guards: []wire.Guard{m.PlanGuard()}, planRecords: map[string]*planRecord{}}
 	for _, name := range slices.Clone(m.planRecords.names) {
-		x := m.planRecords.byName[name]
-		if x.gen == x.committed || len(b.Ops) >= maxOps {
+		r := m.planRecords.byName[name]
+		if !r.isChanged() || len(b.Ops) >= maxOps {
 			continue
 		}
-		raw, err := wire.Marshal(x.value)
+		raw, err := wire.Marshal(r.value)
 		size := wire.JSONSize(raw)
-		if err == nil && size > m.writes.placementPages.limits.valueBytes() {
+		if err == nil && size > m.writes.limits().valueBytes() {
 			err = fmt.Errorf("%d bytes: %w", size, errPlanRecordSize)
 		}
 		if err != nil {
 			m.log.Error("a record of the plan's can't be written", "name", name, "err", err)
-			x.committed = x.gen
+			r.committed = r.generation
 			continue
 		}
 		if len(b.Ops) > 0 && b.bytes+size > maxBatchBytes {
 			break
 		}
-		// Those that are left out go first the next time.
-		m.planRecords.names = append(slices.DeleteFunc(m.planRecords.names, func(n string) bool { return n == name }), name)
-		key, gen := jobstore.PlanStatePrefix+name, x.gen
-		b.Guards = append(b.Guards, wire.Guard{Key: key, Version: x.version})
+		m.planRecords.moveToEnd(name)
+		key, generation := jobstore.PlanStatePrefix+name, r.generation
+		b.Guards = append(b.Guards, wire.Guard{Key: key, Version: r.version})
 		b.Ops = append(b.Ops, wire.Op{Put: key, Value: wire.Raw(raw)})
-		b.planRecords[key] = x
+		b.planRecords[key] = r
 		b.bytes += size
-		b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) {
-			x.version, x.committed, x.raw = rev, max(x.committed, gen), raw
-		})
+		b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) { r.commit(rev, generation, raw) })
 	}
 	if len(b.Ops) == 0 {
 		return nil
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -30,6 +30,9 @@
 	return writeBehind{placementPages: placementPages{limits: limits}, admissionPages: admissionPages{}}
 }
 
+// limits returns what the key-value store accepts.
+func (w *writeBehind) limits() writeLimits { return w.placementPages.limits }
+
 // markJob queues a job, of which something may be to be written.
 func (w *writeBehind) markJob(j *Job) {
 	if !j.dirty {
@@ -152,7 +155,7 @@
 			m.dropJob(j)
 			return false
 		case j.awaitsFinalRecord():
-			if maxFinals == 0 || len(b.Ops)+2 > maxOps || len(b.Guards)+2 > m.writes.placementPages.limits.guards() || !m.addFinalRecord(b, j) {
+			if maxFinals == 0 || len(b.Ops)+2 > maxOps || len(b.Guards)+2 > m.writes.limits().guards() || !m.addFinalRecord(b, j) {
 				return true
 			}
 			maxFinals--
