--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -31,11 +31,11 @@
 
 // learnBootTime updates the boot time of a machine's type from its first heartbeat.
 func (m *Model) learnBootTime(mc *Machine, now time.Time) {
-	if !mc.creationKnown || mc.createdAt.Before(m.ElectedAt) || mc.Type < 0 || m.MachineTypes[mc.Type].BootTime <= 0 {
+	if !mc.creationKnown || mc.createdAt.Before(m.ElectedAt) || mc.typeIndex < 0 || m.MachineTypes[mc.typeIndex].BootTime <= 0 {
 		return // up before the response to its request, or requested by an earlier leader
 	}
 	took := now.Sub(mc.createdAt)
-	m.MachineTypes[mc.Type].bootTimes.observe(float64(took) / float64(m.MachineTypes[mc.Type].BootTime))
+	m.MachineTypes[mc.typeIndex].bootTimes.observe(float64(took) / float64(m.MachineTypes[mc.typeIndex].BootTime))
 	if mc.bootLateLogged {
 		m.log.Info("late machine up", "machine", mc.Name, "type", mc.TypeName, "bootS", took.Seconds())
 	}
@@ -44,7 +44,7 @@
 // bootCountsAsLate returns how long after its creation a machine that has not come up counts
 // as late. A late machine is not expected any more, and may be replaced.
 func (m *Model) bootCountsAsLate(mc *Machine) time.Duration {
-	t := &m.MachineTypes[mc.Type]
+	t := &m.MachineTypes[mc.typeIndex]
 	return time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()*lateMargin) + config.Seconds(m.settings.Cluster.Workers.ReportS)
 }
 
@@ -52,14 +52,14 @@
 // is long compared with usual boots, because a late machine that is deleted and replaced is
 // paid for twice, and its replacement takes as long to boot.
 func (m *Model) bootLimit(mc *Machine) time.Duration {
-	t := &m.MachineTypes[mc.Type]
+	t := &m.MachineTypes[mc.typeIndex]
 	return time.Duration(float64(t.BootTime)*max(2.5, t.bootTimes.expectedRatio()*lostMargin)) + 15*time.Second
 }
 
 // bootTimeLeft returns the seconds until a machine that has not come up is expected to. It
 // returns false if the machine has come up, or is not expected to in time.
 func (m *Model) bootTimeLeft(mc *Machine, now time.Time) (float64, bool) {
-	if mc.alive || mc.Gone || mc.scalingIn || mc.AgentEpoch > 0 || mc.Type < 0 || mc.Zone < 0 {
+	if mc.alive || mc.Gone || mc.scalingIn || mc.AgentEpoch > 0 || mc.typeIndex < 0 || mc.Zone < 0 {
 		return 0, false
 	}
 	age := now.Sub(mc.createdAt)
@@ -75,13 +75,13 @@
 		}
 		return 0, false
 	}
-	return max(3, (m.MachineTypes[mc.Type].BootTime - age).Seconds()), true
+	return max(3, (m.MachineTypes[mc.typeIndex].BootTime - age).Seconds()), true
 }
 
 // refuseOfferOf makes scale-outs avoid the offer of a machine that never came up for a while,
 // so that its replacement is requested elsewhere if possible.
 func (m *Model) refuseOfferOf(mc *Machine, now time.Time) {
 	if mc.cloudState != wire.MachineFailed && mc.Zone >= 0 {
-		m.refusedOffers.refuse(offerKey{mc.Type, mc.Zone, mc.Spot}, now.Add(offerRefusalTime))
+		m.refusedOffers.refuse(offerKey{mc.typeIndex, mc.Zone, mc.Spot}, now.Add(offerRefusalTime))
 	}
 }
--- a/cluster/cloudlist.go
+++ b/cluster/cloudlist.go
@@ -23,7 +23,7 @@
 			mc.recordAge(config.Seconds(l.AgeS), now)
 		}
 		mc.learnAddr(l.Addr)
-		if mc.Type < 0 || mc.Zone < 0 {
+		if mc.typeIndex < 0 || mc.Zone < 0 {
 			m.describe(mc, l.Type, l.Zone, l.Spot)
 		}
 		mc.recordListing(l.State, now)
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -103,7 +103,7 @@
 	d.printf("J%s,%d,%t,%t,%t,%t,%t,%t,%t", j.ID, j.lastAttempt, j.Cancelled, j.Finished, j.gangStarted, j.gangEnding, j.dirty,
 		d.now.Before(j.NotBefore), j.isCurrent(d.base))
 	for _, mc := range d.model.Machines {
-		if until, ok := j.avoidUntil[mc.Index]; ok && d.now.Before(until) {
+		if until, ok := j.avoidUntil[mc.index]; ok && d.now.Before(until) {
 			d.printf("a%s%d", mc.Name, d.age(until))
 		}
 	}
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -45,7 +45,7 @@
 	if r.machines == nil {
 		r.machines = map[int32]bool{}
 	}
-	r.machines[mc.Index] = true
+	r.machines[mc.index] = true
 	tk := &j.Tasks[task]
 	tk.Failures = min(tk.Failures+1, 10)
 	wait := min(500*time.Millisecond<<tk.Failures, 60*time.Second)
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -146,7 +146,7 @@
 	if j == nil {
 		return nil
 	}
-	if p := j.Tasks[task].Placement; p != nil && p.Machine == mc.Index && p.Attempt == t.Attempt {
+	if p := j.Tasks[task].Placement; p != nil && p.Machine == mc.index && p.Attempt == t.Attempt {
 		return p
 	}
 	return nil
--- a/cluster/imagecache.go
+++ b/cluster/imagecache.go
@@ -34,7 +34,7 @@
 // recordImage makes an image a machine's most recently used one.
 func (m *Model) recordImage(mc *Machine, image int32) {
 	mc.cachedImages.use(image)
-	if mc.Type >= 0 {
-		mc.cachedImages.evict(&m.images, m.MachineTypes[mc.Type].CacheGB)
+	if mc.typeIndex >= 0 {
+		mc.cachedImages.evict(&m.images, m.MachineTypes[mc.typeIndex].CacheGB)
 	}
 }
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -13,14 +13,14 @@
 
 // Machine is a machine that is running, is expected to come up, or is gone.
 type Machine struct {
-	Index    int32 // in Model.Machines
-	Name     string
-	Addr     string // of its worker; empty until known
-	Type     int    // index in Model.MachineTypes; -1 until known
-	TypeName string
-	Zone     int // index in Model.Zones; -1 until known
-	Spot     bool
-	Gone     bool // its deletion is confirmed: final, later heartbeats are ignored
+	index     int32 // in Model.Machines
+	Name      string
+	addr      string // of its worker; empty until known
+	typeIndex int    // in Model.MachineTypes; -1 until known
+	TypeName  string
+	Zone      int // index in Model.Zones; -1 until known
+	Spot      bool
+	Gone      bool // its deletion is confirmed: final, later heartbeats are ignored
 
 	workerLease
 	cloudInstance
@@ -46,20 +46,20 @@
 		return mc
 	}
 	mc := &Machine{
-		Index: int32(len(m.Machines)), Name: name, Type: -1, Zone: -1, reportedExits: reportedExits{},
+		index: int32(len(m.Machines)), Name: name, typeIndex: -1, Zone: -1, reportedExits: reportedExits{},
 		workerLease: workerLease{lastSeen: now}, cloudInstance: cloudInstance{createdAt: now},
 		bookings: bookings{Tasks: map[TaskRef]bool{}, idleSince: now},
 	}
 	m.writes.placementPages.observeMachineName(name)
 	m.Machines = append(m.Machines, mc)
-	m.names.machines[name] = mc.Index
+	m.names.machines[name] = mc.index
 	return mc
 }
 
 // describe records a machine's type, zone and market. Tasks that are placed there already
 // count for its zone from then on.
 func (m *Model) describe(mc *Machine, typ, zone string, spot bool) {
-	mc.TypeName, mc.Type, mc.Spot = typ, m.machineTypeIndex(typ), spot
+	mc.TypeName, mc.typeIndex, mc.Spot = typ, m.machineTypeIndex(typ), spot
 	z, ok := m.names.zones[zone]
 	if !ok {
 		mc.Zone = -1
@@ -80,22 +80,22 @@
 // resolveType finds the type of a machine that was described before the catalogue listed
 // its type.
 func (m *Model) resolveType(mc *Machine) {
-	if mc.Type < 0 {
-		mc.Type = m.machineTypeIndex(mc.TypeName)
+	if mc.typeIndex < 0 {
+		mc.typeIndex = m.machineTypeIndex(mc.TypeName)
 	}
 }
 
 // accepting reports whether tasks may be placed on the machine, apart from whether its worker
 // is alive and reachable: it is not about to go, and its type and zone are known.
 func (mc *Machine) accepting() bool {
-	return !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() && mc.Type >= 0 && mc.Zone >= 0
+	return !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() && mc.typeIndex >= 0 && mc.Zone >= 0
 }
 
 // learnAddr records the address of the machine's worker as the cloud lists it, if no
 // heartbeat has given it.
 func (mc *Machine) learnAddr(addr string) {
-	if mc.Addr == "" {
-		mc.Addr = addr
+	if mc.addr == "" {
+		mc.addr = addr
 	}
 }
 
@@ -109,7 +109,7 @@
 	if mc.AgentEpoch != r.Session {
 		mc.cachedImages = nil
 	}
-	mc.Addr = r.Addr
+	mc.addr = r.Addr
 	mc.renewLease(r, token, now)
 }
 
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -131,7 +131,7 @@
 // that can't be given tasks and is not expected to be soon. The images and tasks of the view
 // are slices of the model's buffers, and hold until the next pass.
 func (m *Model) machineView(mc *Machine, over map[TaskRef]bool, now time.Time) (placement.Machine, bool) {
-	v := placement.Machine{Name: mc.Name, Type: mc.Type, Zone: mc.Zone, Spot: mc.Spot}
+	v := placement.Machine{Name: mc.Name, Type: mc.typeIndex, Zone: mc.Zone, Spot: mc.Spot}
 	if m.Ready(mc, now) {
 		v.Ready = true
 	} else if m.mayProveReachable(mc, now) {
@@ -141,7 +141,7 @@
 	} else {
 		return v, false
 	}
-	t := &m.MachineTypes[mc.Type]
+	t := &m.MachineTypes[mc.typeIndex]
 	v.Capacity, v.Price, v.FetchRate = t.Capacity, t.Price, t.FetchRate
 	if mc.Spot {
 		v.Price = t.SpotPrice
--- a/cluster/places.go
+++ b/cluster/places.go
@@ -40,7 +40,7 @@
 // mayUse reports whether the job's constraints on machine types and spot machines allow the
 // machine.
 func (j *Job) mayUse(mc *Machine) bool {
-	return mc.Type >= 0 && j.allowedTypes[mc.Type] && (!mc.Spot || j.Spec.Spot)
+	return mc.typeIndex >= 0 && j.allowedTypes[mc.typeIndex] && (!mc.Spot || j.Spec.Spot)
 }
 
 // allowsZone reports whether the job's zone constraint allows a zone.
@@ -59,7 +59,7 @@
 		if m.Ready(mc, now) {
 			places = m.appendReadyPlaces(places, mc, j, now)
 		} else if eta, boots := m.bootTimeLeft(mc, now); boots {
-			for range tasksThatFit(j.Need, m.MachineTypes[mc.Type].Capacity) {
+			for range tasksThatFit(j.Need, m.MachineTypes[mc.typeIndex].Capacity) {
 				places = append(places, eta)
 			}
 		}
@@ -76,7 +76,7 @@
 // appendReadyPlaces appends the places that a ready machine has for tasks of the job: those
 // that are free now, and those that tasks of the same priority free when they end.
 func (m *Model) appendReadyPlaces(places []float64, mc *Machine, j *Job, now time.Time) []float64 {
-	free := m.MachineTypes[mc.Type].Capacity
+	free := m.MachineTypes[mc.typeIndex].Capacity
 	var ends []taskEnd
 	for ref := range mc.Tasks {
 		occupant := m.Jobs[ref.Job]
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -87,7 +87,7 @@
 func (m *Model) schedulableCapacity(now time.Time) (total placement.Resources) {
 	for _, mc := range m.Machines {
 		if m.Ready(mc, now) {
-			total = total.Add(m.MachineTypes[mc.Type].Capacity, 1)
+			total = total.Add(m.MachineTypes[mc.typeIndex].Capacity, 1)
 		}
 	}
 	if f := m.tiers.inversions.Capacity; total == (placement.Resources{}) {
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -147,7 +147,7 @@
 	groups := map[string][]*Machine{}
 	for _, mc := range m.Machines {
 		if m.Ready(mc, now) && !m.keptByPool(mc) {
-			name := groupName(m.MachineTypes[mc.Type].Name, m.Zones[mc.Zone])
+			name := groupName(m.MachineTypes[mc.typeIndex].Name, m.Zones[mc.Zone])
 			groups[name] = append(groups[name], mc)
 		}
 	}
@@ -159,7 +159,7 @@
 	var needs []placement.Resources
 	for i := range wanted {
 		r := &wanted[i]
-		if r.Types[group[0].Type] && (r.Zone < 0 || r.Zone == group[0].Zone) {
+		if r.Types[group[0].typeIndex] && (r.Zone < 0 || r.Zone == group[0].Zone) {
 			needs = append(needs, r.Need)
 		}
 	}
@@ -197,7 +197,7 @@
 // rebalanceHost returns a machine as rebalancing sees it. Only tasks that can continue from a
 // checkpoint are movable.
 func (m *Model) rebalanceHost(mc *Machine, rec jobstore.RebalanceCycle, now time.Time) rebalance.Host {
-	h := rebalance.Host{Capacity: m.MachineTypes[mc.Type].Capacity, Used: mc.Used.Add(mc.orphaned, 1)}
+	h := rebalance.Host{Capacity: m.MachineTypes[mc.typeIndex].Capacity, Used: mc.Used.Add(mc.orphaned, 1)}
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -47,7 +47,7 @@
 		return TaskRef{}, false
 	}
 	p := j.Tasks[task].Placement
-	if p == nil || p.Machine != mc.Index || p.Attempt != t.Attempt {
+	if p == nil || p.Machine != mc.index || p.Attempt != t.Attempt {
 		if t.State == wire.TaskExited {
 			m.applyUnplacedExit(j, task, mc, t, now)
 		} else {
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -101,7 +101,7 @@
 		}
 		for _, mc := range m.Machines {
 			if !mc.Gone && !only[mc.Name] {
-				avoid[int(mc.Index)] = true
+				avoid[int(mc.index)] = true
 			}
 		}
 		r.FreeRoomOnly = true // no other machine would do, rented or not
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -90,9 +90,9 @@
 		if !ok {
 			continue
 		}
-		p.inputPositions[int(mc.Index)] = len(p.input.Machines)
+		p.inputPositions[int(mc.index)] = len(p.input.Machines)
 		p.input.Machines = append(p.input.Machines, view)
-		p.machineIndexes = append(p.machineIndexes, mc.Index)
+		p.machineIndexes = append(p.machineIndexes, mc.index)
 	}
 	m.buffers.indexes = p.machineIndexes
 }
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -128,7 +128,7 @@
 // are booting or may be rented.
 func (m *Model) usableBy(j *Job, now time.Time) (ready int, coming bool) {
 	for _, mc := range m.Machines {
-		if !j.mayUse(mc) || !j.allowsZone(mc.Zone) || !j.Need.Fits(m.MachineTypes[mc.Type].Capacity) {
+		if !j.mayUse(mc) || !j.allowsZone(mc.Zone) || !j.Need.Fits(m.MachineTypes[mc.typeIndex].Capacity) {
 			continue
 		}
 		if m.Ready(mc, now) {
--- a/cluster/stoppush.go
+++ b/cluster/stoppush.go
@@ -25,15 +25,15 @@
 			continue
 		}
 		mc := m.Machines[p.Machine]
-		if mc.Addr == "" || !mc.alive {
+		if mc.addr == "" || !mc.alive {
 			continue
 		}
 		p.Stop.push(now)
-		d := byMachine[mc.Index]
+		d := byMachine[mc.index]
 		if d == nil {
-			d = &Push{Machine: mc.Name, Addr: mc.Addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch}}
-			byMachine[mc.Index] = d
-			order = append(order, mc.Index)
+			d = &Push{Machine: mc.Name, Addr: mc.addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch}}
+			byMachine[mc.index] = d
+			order = append(order, mc.index)
 		}
 		grace := p.Stop.Grace
 		d.Commands.Commands = append(d.Commands.Commands,
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -165,7 +165,7 @@
 	if j.avoidUntil == nil {
 		j.avoidUntil = map[int32]time.Time{}
 	}
-	j.avoidUntil[mc.Index] = until
+	j.avoidUntil[mc.index] = until
 }
 
 // recordSlowness compares a task's run time with its owner's estimate.
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -10,7 +10,7 @@
 
 // placeTask places a task on a machine. It is launched once that is committed.
 func (m *Model) placeTask(j *Job, task int32, mc *Machine, attempt uint64, now time.Time) {
-	j.placeTask(task, mc.Zone, &Placement{Machine: mc.Index, Attempt: attempt, placedAt: now, machineName: mc.Name})
+	j.placeTask(task, mc.Zone, &Placement{Machine: mc.index, Attempt: attempt, placedAt: now, machineName: mc.Name})
 	mc.bookTask(TaskRef{Job: j.Index, Task: task}, j.Need)
 	m.directCommands.addLaunch(TaskRef{Job: j.Index, Task: task})
 	if j.Team >= 0 {
--- a/cluster/utilization.go
+++ b/cluster/utilization.go
@@ -40,7 +40,7 @@
 func (m *Model) utilizationOf(machineType int, now time.Time) typeUtilization {
 	var u typeUtilization
 	for _, mc := range m.Machines {
-		if mc.Type != machineType {
+		if mc.typeIndex != machineType {
 			continue
 		}
 		if !m.Ready(mc, now) {
@@ -57,7 +57,7 @@
 // addReadyMachine adds a machine that can start tasks to the utilization of its type.
 func (m *Model) addReadyMachine(u *typeUtilization, mc *Machine) {
 	u.ready++
-	u.capacity = u.capacity.Add(m.MachineTypes[mc.Type].Capacity, 1)
+	u.capacity = u.capacity.Add(m.MachineTypes[mc.typeIndex].Capacity, 1)
 	u.used = u.used.Add(mc.Used, 1)
 	needsGPU := false
 	for ref := range mc.Tasks {
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -33,13 +33,13 @@
 			return false
 		}
 		j, mc := m.Jobs[ref.Job], m.Machines[p.Machine]
-		if called[mc.Index] {
+		if called[mc.index] {
 			p.wake(now) // one wake-up serves all launches of its machine
 			return true
 		}
 		if len(out) < most && mc.canBeWoken() && now.Sub(p.wokenAt) >= wakeUpRetry && launchable(j, ref.Task) {
 			p.wake(now)
-			called[mc.Index] = true
+			called[mc.index] = true
 			out = append(out, m.wakeUp(mc, j, p.Attempt))
 		}
 		return true
@@ -50,10 +50,10 @@
 // canBeWoken reports whether a wake-up sent to a machine now would have an effect that the
 // answer to its next heartbeat does not have anyway.
 func (mc *Machine) canBeWoken() bool {
-	return mc.delayedAnswers == 0 && mc.Addr != "" && mc.alive && !mc.unreachable() && mc.interruptionAt.IsZero()
+	return mc.delayedAnswers == 0 && mc.addr != "" && mc.alive && !mc.unreachable() && mc.interruptionAt.IsZero()
 }
 
 func (m *Model) wakeUp(mc *Machine, j *Job, attempt uint64) Push {
-	return Push{Machine: mc.Name, Addr: mc.Addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch,
+	return Push{Machine: mc.Name, Addr: mc.addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch,
 		Commands: []wire.Command{{Op: wire.OpStart, Task: wire.TaskName(j.ID, NoSuchTask), Attempt: attempt}}}}
 }
--- a/cluster/warm_pool_effects.go
+++ b/cluster/warm_pool_effects.go
@@ -22,7 +22,7 @@
 		return false
 	}
 	member := p.member(mc)
-	return member != nil && member.Leaving && !m.planRecordPending(warmpool.ShardName(p.Name, p.shardOf[mc.Index]))
+	return member != nil && member.Leaving && !m.planRecordPending(warmpool.ShardName(p.Name, p.shardOf[mc.index]))
 }
 
 // poolView sets a machine's pool for placement, and the room for images beside the weights:
@@ -37,7 +37,7 @@
 	}
 	v.Pool = mc.pool
 	weights := m.poolImage(p)
-	v.PoolSpareGB = m.MachineTypes[mc.Type].CacheGB - p.record.WeightsGB
+	v.PoolSpareGB = m.MachineTypes[mc.typeIndex].CacheGB - p.record.WeightsGB
 	for k := len(mc.cachedImages) - 1; k >= 0 && mc.cachedImages[k] != weights; k-- {
 		v.PoolSpareGB -= m.images.size(mc.cachedImages[k])
 	}
@@ -80,7 +80,7 @@
 	for i, p := range m.pools.all {
 		if !p.Serves(j.Spec.Image) || !p.AllowsTeam(j.Spec.Team) {
 			if p == machinePool && m.poolAccess(j)[i] == placement.LastResortAccess {
-				shard := p.shardOf[mc.Index]
+				shard := p.shardOf[mc.index]
 				p.shards[shard].Preemptions++
 				p.shards[shard].LastPreemption = fmt.Sprintf("%s/%d of %s, tier %q, %s, took room on %s", j.ID, task, j.Spec.Team, m.tiers.policy.TierName(j.tier), j.Spec.Priority, mc.Name)
 				p.changed[shard] = true
@@ -88,7 +88,7 @@
 			}
 			continue
 		}
-		shard := p.shardOf[mc.Index] // 0 for machines of no pool
+		shard := p.shardOf[mc.index] // 0 for machines of no pool
 		if mc.hasImage(j.Image) {
 			p.shards[shard].Hits++
 		} else {
--- a/cluster/warm_pool_members.go
+++ b/cluster/warm_pool_members.go
@@ -34,7 +34,7 @@
 		if p.updateWarmth(mc, member, image) {
 			p.changed[shard] = true
 		}
-		if mc.Type < 0 || mc.Zone < 0 {
+		if mc.typeIndex < 0 || mc.Zone < 0 {
 			continue // its price and its users are as recorded
 		}
 		if p.shards[shard].SetShares(member, m.teamShares(mc), m.hourlyRate(mc), now.UnixMilli(), p.Payer) {
@@ -95,7 +95,7 @@
 			used[j.Team] = used[j.Team].Add(j.Need, 1)
 		}
 	}
-	capacity := m.MachineTypes[mc.Type].Capacity
+	capacity := m.MachineTypes[mc.typeIndex].Capacity
 	var shares []warmpool.TeamShare
 	for team, u := range used {
 		share := 0.0
@@ -116,7 +116,7 @@
 	prefetched := m.pendingPrefetches(p, now)
 	var own []warmpool.Observation
 	for _, mc := range m.Machines {
-		if mc.Gone || mc.Type < 0 || mc.Zone < 0 {
+		if mc.Gone || mc.typeIndex < 0 || mc.Zone < 0 {
 			continue
 		}
 		member := p.member(mc)
@@ -131,7 +131,7 @@
 		}
 		seen := m.observeMachine(p, mc, image, now)
 		seen.Leaving = member.Leaving
-		seen.Fetching = !seen.Warm && (seen.Fetching || prefetched[mc.Name] || now.Sub(p.fetchRequestedAt[mc.Index]) < fetchRetryInterval)
+		seen.Fetching = !seen.Warm && (seen.Fetching || prefetched[mc.Name] || now.Sub(p.fetchRequestedAt[mc.index]) < fetchRetryInterval)
 		own = append(own, seen)
 	}
 	return own
@@ -160,10 +160,10 @@
 // fetchStuck reports whether a machine has been fetching the weights for much longer than
 // that takes: it does not receive answers, or its fetches fail.
 func (m *Model) fetchStuck(mc *Machine, image int32, weightsGB float64, now time.Time) bool {
-	if mc.hasImage(image) || m.MachineTypes[mc.Type].FetchRate <= 0 {
+	if mc.hasImage(image) || m.MachineTypes[mc.typeIndex].FetchRate <= 0 {
 		return false
 	}
-	limit := config.Seconds(stuckFetchFactor*weightsGB/m.MachineTypes[mc.Type].FetchRate) + time.Minute
+	limit := config.Seconds(stuckFetchFactor*weightsGB/m.MachineTypes[mc.typeIndex].FetchRate) + time.Minute
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
 		if place := j.Tasks[ref.Task].Placement; j.Image == image && place.reportedState < reportedWaiting && now.Sub(place.placedAt) > limit {
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -78,7 +78,7 @@
 			if m.poolOf(mc) != p {
 				continue
 			}
-			p.fetchRequestedAt[mc.Index] = now
+			p.fetchRequestedAt[mc.index] = now
 			m.pools.prefetchCount++
 			id := prefetchID(m.FencingToken, m.pools.prefetchCount)
 			prefetches = append(prefetches, Prefetch{ID: id, Record: jobstore.JobRecord{
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -99,10 +99,10 @@
 // joinCandidates observes the machines that may join a pool.
 func (m *Model) joinCandidates(p *warmPool, image int32, terms *poolTerms, now time.Time) (candidates []warmpool.Observation) {
 	for _, mc := range m.Machines {
-		if mc.Gone || mc.Type < 0 || mc.Zone < 0 {
+		if mc.Gone || mc.typeIndex < 0 || mc.Zone < 0 {
 			continue
 		}
-		if mc.inPool() || mc.scalingIn || !terms.types[mc.Type] || !terms.zones[mc.Zone] || mc.Spot && !p.Spot || now.Before(mc.unfitUntil) {
+		if mc.inPool() || mc.scalingIn || !terms.types[mc.typeIndex] || !terms.zones[mc.Zone] || mc.Spot && !p.Spot || now.Before(mc.unfitUntil) {
 			continue
 		}
 		seen := m.observeMachine(p, mc, image, now)
--- a/cluster/warm_pool_records.go
+++ b/cluster/warm_pool_records.go
@@ -66,7 +66,7 @@
 	p.shards, p.changed = append(p.shards, &shard), append(p.changed, false)
 	for k := range shard.Members {
 		mc := m.findOrAddMachine(shard.Members[k].Machine, now)
-		p.shardOf[mc.Index] = n
+		p.shardOf[mc.index] = n
 	}
 }
 
--- a/cluster/warm_pools.go
+++ b/cluster/warm_pools.go
@@ -158,7 +158,7 @@
 // member is a machine's entry in the pool, nil if it has none; it is valid until the pool's
 // members change.
 func (p *warmPool) member(mc *Machine) *warmpool.Member {
-	shard, ok := p.shardOf[mc.Index]
+	shard, ok := p.shardOf[mc.index]
 	if !ok {
 		return nil
 	}
@@ -187,18 +187,18 @@
 		since = mc.createdAt
 	}
 	p.shards[shard].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), HourlyRate: m.hourlyRate(mc)})
-	p.shardOf[mc.Index], p.changed[shard] = shard, true
+	p.shardOf[mc.index], p.changed[shard] = shard, true
 	mc.enterPool(index)
 	m.log.Info("machine joined warm pool", "pool", p.Name, "machine", mc.Name, "warm", mc.hasImage(m.poolImage(p)), "paidSince", since)
 }
 
 // leavePool ends a machine's membership in a pool.
 func (m *Model) leavePool(p *warmPool, mc *Machine, now time.Time) {
-	shard := p.shardOf[mc.Index]
+	shard := p.shardOf[mc.index]
 	p.shards[shard].Leave(mc.Name, now.UnixMilli(), p.Payer)
 	p.changed[shard] = true
-	delete(p.shardOf, mc.Index)
-	delete(p.fetchRequestedAt, mc.Index)
+	delete(p.shardOf, mc.index)
+	delete(p.fetchRequestedAt, mc.index)
 	mc.exitPool()
 	m.log.Info("machine left warm pool", "pool", p.Name, "machine", mc.Name, "gone", mc.Gone)
 }
@@ -208,18 +208,18 @@
 	mc := m.machineNamed(name)
 	if member := p.member(mc); member != nil {
 		member.Leaving = leaving
-		p.changed[p.shardOf[mc.Index]] = true
+		p.changed[p.shardOf[mc.index]] = true
 		m.log.Info("machine release from warm pool changed", "pool", p.Name, "machine", name, "leaving", leaving)
 	}
 }
 
 // hourlyRate is the price of a machine for an hour, in millionths.
 func (m *Model) hourlyRate(mc *Machine) int64 {
-	if mc.Type < 0 {
+	if mc.typeIndex < 0 {
 		return 0
 	}
 	if mc.Spot {
-		return warmpool.ToMicros(m.MachineTypes[mc.Type].SpotPrice)
+		return warmpool.ToMicros(m.MachineTypes[mc.typeIndex].SpotPrice)
 	}
-	return warmpool.ToMicros(m.MachineTypes[mc.Type].Price)
+	return warmpool.ToMicros(m.MachineTypes[mc.typeIndex].Price)
 }
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -239,11 +239,11 @@
 func (m *Model) placesOnMachines(j *Job, now time.Time, counts func(*Machine) bool) int {
 	places := 0
 	for _, mc := range m.Machines {
-		if mc.Type < 0 || !j.allowedTypes[mc.Type] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone {
+		if mc.typeIndex < 0 || !j.allowedTypes[mc.typeIndex] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone {
 			continue
 		}
 		if _, boots := m.bootTimeLeft(mc, now); boots || counts(mc) {
-			places += tasksThatFit(j.Need, m.MachineTypes[mc.Type].Capacity)
+			places += tasksThatFit(j.Need, m.MachineTypes[mc.typeIndex].Capacity)
 		}
 	}
 	return places
