--- a/cmd/umberdeal/json.go
+++ b/cmd/umberdeal/json.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// answerMost bounds what is read of an answer.
-const answerMost = 64 << 20
+// maxAnswerBytes bounds what is read of an answer.
+const maxAnswerBytes = 64 << 20
 
 // getJSON asks an operators' address. The answer is read whatever the status.
 func getJSON(at, path string, out any) (status int, err error) {
@@ -26,7 +26,7 @@
 		return 0, err
 	}
 	defer resp.Body.Close()
-	if err := json.NewDecoder(io.LimitReader(resp.Body, answerMost)).Decode(out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswerBytes)).Decode(out); err != nil {
 		return resp.StatusCode, fmt.Errorf("status %s, unreadable answer: %w", resp.Status, err)
 	}
 	return resp.StatusCode, nil
--- a/cmd/umberdeal/main.go
+++ b/cmd/umberdeal/main.go
@@ -45,34 +45,42 @@
 	YARN   string `name:"yarn" placeholder:"FILE" help:"Serve YARN's clients as this file says (TOML)."`
 }
 
-func (f *settingsFlags) load() (*config.Settings, config.Tuning, *yarn.Settings, error) {
-	s, serr := config.Load(f.Config)
-	t, terr := config.LoadTuning(f.Tuning)
-	var y *yarn.Settings
-	var yerr error
-	if f.YARN != "" && serr == nil {
-		y, yerr = yarn.LoadSettings(f.YARN, s)
+// nodeSettings is what a node's files say.
+type nodeSettings struct {
+	platform *config.Settings
+	tuning   config.Tuning
+	yarn     *yarn.Settings // nil: YARN's clients are not served
+}
+
+// load reads all files, and reports what is wrong in any of them.
+func (f *settingsFlags) load() (nodeSettings, error) {
+	var s nodeSettings
+	var platformErr, tuningErr, yarnErr error
+	s.platform, platformErr = config.Load(f.Config)
+	s.tuning, tuningErr = config.LoadTuning(f.Tuning)
+	if f.YARN != "" && platformErr == nil {
+		s.yarn, yarnErr = yarn.LoadSettings(f.YARN, s.platform)
 	}
-	return s, t, y, errors.Join(serr, terr, yerr)
+	return s, errors.Join(platformErr, tuningErr, yarnErr)
 }
 
 type serveCmd struct{ settingsFlags }
 
 func (c *serveCmd) Run() error {
-	s, t, y, err := c.load()
+	s, err := c.load()
 	if err != nil {
 		return err
 	}
-	debug.SetMemoryLimit(s.MemoryLimit())
+	debug.SetMemoryLimit(s.platform.MemoryLimit())
 	if os.Getenv("GOGC") == "" {
 		debug.SetGCPercent(config.GCPercent) // the limit above is what bounds the heap
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()}))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	n := controller.New(s, t, log, controller.RealNetwork())
-	if y != nil {
-		n.OpenYARN(y)
+	n := controller.New(s.platform, s.tuning, log, controller.RealNetwork())
+	if s.yarn != nil {
+		n.OpenYARN(s.yarn)
 	}
 	return n.Run(ctx)
 }
@@ -90,11 +98,11 @@
 type checkCmd struct{ settingsFlags }
 
 func (c *checkCmd) Run() error {
-	s, _, _, err := c.load()
+	s, err := c.load()
 	if err != nil {
 		return err
 	}
-	fmt.Printf("settings of node %s are valid\n", s.Node)
+	fmt.Printf("settings of node %s are valid\n", s.platform.Node)
 	return nil
 }
 
--- a/cmd/umberdeal/nights.go
+++ b/cmd/umberdeal/nights.go
@@ -19,13 +19,14 @@
 
 // Run shows what is committed: also where no controller runs, and then called stale.
 func (c *planNightsCmd) Run() error {
-	ctx, stop, _, st, err := c.open()
+	_, store, err := c.open()
 	if err != nil {
 		return err
 	}
+	ctx, stop := commandContext()
 	defer stop()
 	var p *plan.Plan
-	state, err := jobstore.LoadPlan(ctx, st, func(text string) error {
+	state, err := jobstore.LoadPlan(ctx, store, func(text string) error {
 		p, err = plan.Parse(text)
 		return err
 	})
@@ -42,7 +43,7 @@
 	now := time.Now()
 	var views []calendar.View
 	for _, r := range cal.Regions {
-		e, err := st.Get(ctx, jobstore.PlanStatePrefix+calendar.RecordName(r.Name))
+		e, err := store.Get(ctx, jobstore.PlanStatePrefix+calendar.RecordName(r.Name))
 		if err != nil {
 			return err
 		}
--- a/cmd/umberdeal/plan.go
+++ b/cmd/umberdeal/plan.go
@@ -27,22 +27,33 @@
 	Pools   planPoolsCmd   `cmd:"" help:"Show each warm pool as recorded: machines, holds, hits, misses, cost by team."`
 }
 
-// stateFlags lead to the state service by way of a node's settings.
+// stateFlags lead to the key-value store by way of a node's settings.
 type stateFlags struct {
 	Config string `required:"" placeholder:"FILE" help:"The platform's settings file (TOML)."`
 }
 
-// open reads the settings and makes a client; stop ends the context.
-func (f *stateFlags) open() (ctx context.Context, stop func(), s *config.Settings, c *kvstore.Client, err error) {
-	s, err = config.Load(f.Config)
+// operatorRateShare is the share of the key-value store's rate that these commands take:
+// the rest is the controllers'.
+const operatorRateShare = 0.1
+
+// commandTimeout is how long these commands try to reach the key-value store.
+const commandTimeout = time.Minute
+
+// open reads the settings and makes a client of the key-value store.
+func (f *stateFlags) open() (*config.Settings, *kvstore.Client, error) {
+	s, err := config.Load(f.Config)
 	if err != nil {
-		return nil, nil, nil, nil, err
+		return nil, nil, err
 	}
-	sl := s.Cluster.State
-	c = kvstore.New(call.Dialer(), s.Services.State, sl.RPS*0.1, sl.WriteRPS)
-	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
+	limits := s.Cluster.State
+	return s, kvstore.New(call.Dialer(), s.Services.State, limits.RPS*operatorRateShare, limits.WriteRPS), nil
+}
+
+// commandContext ends when the command is interrupted, or has taken too long.
+func commandContext() (context.Context, context.CancelFunc) {
+	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	ctx, release := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
-	return ctx, func() { release(); cancel() }, s, c, nil
+	return ctx, func() { release(); cancel() }
 }
 
 // readPlan reads and checks a plan for a deployment.
@@ -99,10 +110,11 @@
 }
 
 func (c *planApplyCmd) Run() error {
-	ctx, stop, s, st, err := c.open()
+	s, store, err := c.open()
 	if err != nil {
 		return err
 	}
+	ctx, stop := commandContext()
 	defer stop()
 	text, p, err := readPlan(c.File, s)
 	if err != nil {
@@ -114,8 +126,8 @@
 			by = u.Username
 		}
 	}
-	sl := s.Cluster.State
-	v, err := jobstore.ApplyPlan(ctx, st, jobstore.Limits{TxnOps: sl.TxnOps, ValueKB: sl.ValueKB},
+	limits := s.Cluster.State
+	v, err := jobstore.ApplyPlan(ctx, store, jobstore.Limits{TxnOps: limits.TxnOps, ValueKB: limits.ValueKB},
 		jobstore.PlanChange{Base: c.Base, Text: text, By: by, Note: p.Note, At: time.Now()})
 	if err != nil {
 		return err
@@ -124,22 +136,14 @@
 	return nil
 }
 
-// readHead opens the state service and reads which versions there are, and says so
-// if that can't be read as it was written.
-func (f *stateFlags) readHead() (ctx context.Context, stop func(), st *kvstore.Client, h jobstore.PlanHead, err error) {
-	ctx, stop, _, st, err = f.open()
-	if err != nil {
-		return nil, nil, nil, h, err
-	}
-	head, err := jobstore.ReadPlanHead(ctx, st)
+// readPlanHead reads which versions there are, and tells the operator if that can't be
+// read as it was written.
+func readPlanHead(ctx context.Context, store *kvstore.Client) (jobstore.PlanHead, error) {
+	head, err := jobstore.ReadPlanHead(ctx, store)
 	if head.Warning != nil {
 		fmt.Fprintln(os.Stderr, head.Warning)
 	}
-	if err != nil {
-		stop()
-		return nil, nil, nil, h, err
-	}
-	return ctx, stop, st, head.PlanHead, nil
+	return head.PlanHead, err
 }
 
 type planShowCmd struct {
@@ -148,19 +152,24 @@
 }
 
 func (c *planShowCmd) Run() error {
-	ctx, stop, st, h, err := c.readHead()
+	_, store, err := c.open()
 	if err != nil {
 		return err
 	}
+	ctx, stop := commandContext()
 	defer stop()
-	v, ok := h.Find(c.Version)
+	head, err := readPlanHead(ctx, store)
+	if err != nil {
+		return err
+	}
+	v, ok := head.Find(c.Version)
 	if !ok && c.Version == 0 {
 		return jobstore.ErrNoPlan
 	}
 	if !ok {
-		return fmt.Errorf("version %d is not kept any more: the oldest is %d", c.Version, h.Versions[len(h.Versions)-1].Number)
+		return fmt.Errorf("version %d is not kept any more: the oldest is %d", c.Version, head.Versions[len(head.Versions)-1].Number)
 	}
-	text, err := jobstore.ReadPlanText(ctx, st, v)
+	text, err := jobstore.ReadPlanText(ctx, store, v)
 	if err != nil {
 		return err
 	}
@@ -171,18 +180,23 @@
 type planHistoryCmd struct{ stateFlags }
 
 func (c *planHistoryCmd) Run() error {
-	ctx, stop, st, h, err := c.readHead()
+	_, store, err := c.open()
 	if err != nil {
 		return err
 	}
+	ctx, stop := commandContext()
 	defer stop()
-	if len(h.Versions) == 0 {
+	head, err := readPlanHead(ctx, store)
+	if err != nil {
+		return err
+	}
+	if len(head.Versions) == 0 {
 		return jobstore.ErrNoPlan
 	}
 	before, known := "", false
-	for i := len(h.Versions) - 1; i >= 0; i-- {
-		v := h.Versions[i]
-		text, err := jobstore.ReadPlanText(ctx, st, v)
+	for i := len(head.Versions) - 1; i >= 0; i-- {
+		v := head.Versions[i]
+		text, err := jobstore.ReadPlanText(ctx, store, v)
 		by := v.By
 		if by == "" {
 			by = "not known"
--- a/cmd/umberdeal/pools.go
+++ b/cmd/umberdeal/pools.go
@@ -22,92 +22,125 @@
 }
 
 func (c *planPoolsCmd) Run() error {
-	ctx, stop, _, st, err := c.open()
+	_, store, err := c.open()
 	if err != nil {
 		return err
 	}
+	ctx, stop := commandContext()
 	defer stop()
-	items, _, err := st.List(ctx, jobstore.PlanStatePrefix)
+	items, _, err := store.List(ctx, jobstore.PlanStatePrefix)
 	if err != nil {
 		return err
 	}
-	notes := map[string]wire.Raw{}
-	for _, it := range items {
-		notes[strings.TrimPrefix(it.Key, jobstore.PlanStatePrefix)] = it.Value
+	records := map[string]wire.Raw{}
+	for _, item := range items {
+		records[strings.TrimPrefix(item.Key, jobstore.PlanStatePrefix)] = item.Value
 	}
-	all, bad := warmpool.ReadStates(notes)
-	for _, name := range bad {
+	pools, unreadable := warmpool.ReadStates(records)
+	for _, name := range unreadable {
 		fmt.Fprintf(os.Stderr, "%s can't be read\n", name)
 	}
-	if len(all) == 0 {
+	if len(pools) == 0 {
 		return errors.New("no pool is recorded: a plan with pools is to be applied first, and a leader takes half a minute")
 	}
-	return printPools(os.Stdout, all, c.Machines, time.Now())
+	table := poolTable{pools: pools, withMachines: c.Machines, now: time.Now()}
+	return table.print(os.Stdout)
 }
 
 // staleAfter is how old a pool's record may be; a leader writes it every five
 // minutes at least.
 const staleAfter = 7 * time.Minute
 
-// printPools writes pools as a table.
-func printPools(to io.Writer, all []warmpool.State, machines bool, now time.Time) error {
+// poolTable shows pools to the operator.
+type poolTable struct {
+	pools        []warmpool.State
+	withMachines bool
+	now          time.Time
+}
+
+func (t *poolTable) print(to io.Writer) error {
 	w := tabwriter.NewWriter(to, 0, 4, 2, ' ', 0)
-	for i := range all {
-		s := &all[i]
-		n := &s.Record
-		at := time.UnixMilli(n.AtMs)
-		stale := ""
-		if now.Sub(at) > staleAfter {
-			stale = ", STALE: no leader has written it since"
-		}
-		fmt.Fprintf(w, "pool %s\tas of %s%s\n", s.Name, at.UTC().Format(time.RFC3339), stale)
-		fmt.Fprintf(w, "  weights\t%s, %g GB\n", n.Image, n.WeightsGB)
-		fmt.Fprintf(w, "  machines\t%d of %d held, %d with weights, %d fetch\n", n.Held, n.Target, n.Warm, n.Fetching)
-		if n.CostLimited {
-			fmt.Fprintf(w, "  limit\tno more may be paid for\n")
-		}
-		if n.FetchRefused != "" {
-			fmt.Fprintf(w, "  fetches\t%s\n", n.FetchRefused)
+	for i := range t.pools {
+		pool := &t.pools[i]
+		printPool(w, pool, t.now)
+		printPoolUse(w, pool.Shards)
+		printPoolCost(w, pool)
+		if t.withMachines {
+			printPoolMachines(w, pool)
 		}
-		fmt.Fprintf(w, "  this hour\t%d replicas wanted at once so far\n", n.CurrentPeak)
-		var hits, misses, ceded int64
-		why := ""
-		for _, sh := range s.Shards {
-			hits, misses, ceded = hits+sh.Hits, misses+sh.Misses, ceded+sh.Preemptions
-			if sh.LastPreemption != "" {
-				why = "; lately: " + sh.LastPreemption
-			}
-		}
-		fmt.Fprintf(w, "  replicas\t%d found their weights, %d did not\n", hits, misses)
-		fmt.Fprintf(w, "  ceded\t%d tasks of higher tiers took room%s\n", ceded, why)
-		teams, all := warmpool.Totals(s.Shards)
-		for _, t := range slices.Sorted(maps.Keys(teams)) {
-			role := "borrowed"
-			if t == n.Payer {
-				role = "pays"
-			}
-			fmt.Fprintf(w, "  cost\t%s (%s) %.2f for %.1f machine hours\n", t, role, float64(teams[t].Micros)/1e6, float64(teams[t].Ms)/3.6e6)
+	}
+	return w.Flush()
+}
+
+func printPool(w io.Writer, pool *warmpool.State, now time.Time) {
+	r := &pool.Record
+	recorded := time.UnixMilli(r.AtMs)
+	stale := ""
+	if now.Sub(recorded) > staleAfter {
+		stale = ", STALE: no leader has written it since"
+	}
+	fmt.Fprintf(w, "pool %s\tas of %s%s\n", pool.Name, recorded.UTC().Format(time.RFC3339), stale)
+	fmt.Fprintf(w, "  weights\t%s, %g GB\n", r.Image, r.WeightsGB)
+	fmt.Fprintf(w, "  machines\t%d of %d held, %d with weights, %d fetch\n", r.Held, r.Target, r.Warm, r.Fetching)
+	if r.CostLimited {
+		fmt.Fprintf(w, "  limit\tno more may be paid for\n")
+	}
+	if r.FetchRefused != "" {
+		fmt.Fprintf(w, "  fetches\t%s\n", r.FetchRefused)
+	}
+	fmt.Fprintf(w, "  this hour\t%d replicas wanted at once so far\n", r.CurrentPeak)
+}
+
+// printPoolUse writes what the pool was of use for, over all of its shards.
+func printPoolUse(w io.Writer, shards []warmpool.Shard) {
+	var hits, misses, preemptions int64
+	last := ""
+	for _, shard := range shards {
+		hits, misses, preemptions = hits+shard.Hits, misses+shard.Misses, preemptions+shard.Preemptions
+		if shard.LastPreemption != "" {
+			last = "; lately: " + shard.LastPreemption
 		}
-		fmt.Fprintf(w, "  cost\tall machines %.2f for %.1f machine hours\n", float64(all.Micros)/1e6, float64(all.Ms)/3.6e6)
-		if !machines {
-			continue
+	}
+	fmt.Fprintf(w, "  replicas\t%d found their weights, %d did not\n", hits, misses)
+	fmt.Fprintf(w, "  ceded\t%d tasks of higher tiers took room%s\n", preemptions, last)
+}
+
+func printPoolCost(w io.Writer, pool *warmpool.State) {
+	teams, total := warmpool.Totals(pool.Shards)
+	for _, team := range slices.Sorted(maps.Keys(teams)) {
+		role := "borrowed"
+		if team == pool.Record.Payer {
+			role = "pays"
 		}
-		for _, sh := range s.Shards {
-			for _, m := range sh.Members {
-				state := "no weights"
-				if m.WarmVersion == n.ImageVersion {
-					state = "weights"
-				}
-				if m.Leaving {
-					state = "let go"
-				}
-				var by []string
-				for _, p := range m.Shares {
-					by = append(by, fmt.Sprintf("%s %.1f%%", p.Team, float64(p.PerMille)/10))
-				}
-				fmt.Fprintf(w, "  %s\t%s, %s, since %s %s\n", m.Machine, m.Zone, state, time.UnixMilli(m.SinceMs).UTC().Format(time.RFC3339), strings.Join(by, ", "))
+		fmt.Fprintf(w, "  cost\t%s (%s) %s\n", team, role, costText(teams[team].Micros, teams[team].Ms))
+	}
+	fmt.Fprintf(w, "  cost\tall machines %s\n", costText(total.Micros, total.Ms))
+}
+
+// costText is a cost, which is counted in millionths, for a time in milliseconds.
+func costText(micros, ms int64) string {
+	return fmt.Sprintf("%.2f for %.1f machine hours", float64(micros)/1e6, float64(ms)/3.6e6)
+}
+
+func printPoolMachines(w io.Writer, pool *warmpool.State) {
+	for _, shard := range pool.Shards {
+		for _, m := range shard.Members {
+			var shares []string
+			for _, share := range m.Shares {
+				shares = append(shares, fmt.Sprintf("%s %.1f%%", share.Team, float64(share.PerMille)/10))
 			}
+			fmt.Fprintf(w, "  %s\t%s, %s, since %s %s\n", m.Machine, m.Zone, memberState(m.Leaving, m.WarmVersion == pool.Record.ImageVersion),
+				time.UnixMilli(m.SinceMs).UTC().Format(time.RFC3339), strings.Join(shares, ", "))
 		}
 	}
-	return w.Flush()
+}
+
+func memberState(leaving, warm bool) string {
+	switch {
+	case leaving:
+		return "let go"
+	case warm:
+		return "weights"
+	}
+	return "no weights"
 }
--- a/cmd/umberdeal/state.go
+++ b/cmd/umberdeal/state.go
@@ -120,9 +120,9 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	sl := s.Cluster.State
-	to := kvstore.New(call.Dialer(), s.Services.State, sl.RPS, sl.WriteRPS)
-	n, err := snapshot.Restore(ctx, to, h, all, max(1, sl.TxnOps))
+	limits := s.Cluster.State
+	to := kvstore.New(call.Dialer(), s.Services.State, limits.RPS, limits.WriteRPS)
+	n, err := snapshot.Restore(ctx, to, h, all, max(1, limits.TxnOps))
 	if err != nil {
 		return err
 	}
--- a/cmd/umberdeal/why.go
+++ b/cmd/umberdeal/why.go
@@ -28,8 +28,8 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	st := kvstore.New(call.Dialer(), s.Services.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
-	why, over, err := controller.WhyWaiting(ctx, s, st, c.ID, time.Now())
+	store := kvstore.New(call.Dialer(), s.Services.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
+	why, over, err := controller.WhyWaiting(ctx, s, store, c.ID, time.Now())
 	switch {
 	case err != nil:
 		return err
