--- a/cluster/completion_floor.go
+++ b/cluster/completion_floor.go
@@ -18,8 +18,29 @@
 	// floorMemory bounds how many completed jobs count for a group, and with it how many
 	// old jobs of the group may be postponed before one must be completed.
 	floorMemory = 1000
+	// maxFloorGroups bounds the groups for which completed jobs are counted.
+	maxFloorGroups = 1000
 )
 
+// completionCounts has the number of completed jobs of each floor group, up to floorMemory.
+type completionCounts struct{ byGroup map[string]int }
+
+// add counts a completed job for a group.
+func (c *completionCounts) add(group string) {
+	if c.byGroup == nil {
+		c.byGroup = map[string]int{}
+	}
+	if c.byGroup[group] < floorMemory && len(c.byGroup) < maxFloorGroups {
+		c.byGroup[group]++
+	}
+}
+
+// missing returns how many of a group's old jobs must be completed next so that at least half
+// of the group's jobs are completed.
+func (c *completionCounts) missing(group string, oldJobs int) int {
+	return max(0, (oldJobs-c.byGroup[group]+1)/2)
+}
+
 // floorGroups returns the groups in which a job counts towards the floor.
 func (m *Model) floorGroups(j *Job) []string {
 	out := []string{"class " + j.Spec.Class, "team " + j.Spec.Team}
@@ -34,33 +55,28 @@
 	if m.StarvationBound <= 0 {
 		return
 	}
-	if m.starvation.completed == nil {
-		m.starvation.completed = map[string]int{}
-	}
-	for _, g := range m.floorGroups(j) {
-		if m.starvation.completed[g] < floorMemory && len(m.starvation.completed) < 1000 {
-			m.starvation.completed[g]++
-		}
+	for _, group := range m.floorGroups(j) {
+		m.starvation.completed.add(group)
 	}
 }
 
 // enforceCompletionFloor marks the jobs that must not be postponed any longer: in each group
 // of which less than half is completed, the oldest of its old jobs, as many as are missing.
-func (m *Model) enforceCompletionFloor(out []*queued, now time.Time) {
-	long := floorAfter * m.StarvationBound
-	old := map[string][]*queued{}
-	for _, k := range out {
+func (m *Model) enforceCompletionFloor(queue []*queued, now time.Time) {
+	oldAge := floorAfter * m.StarvationBound
+	oldJobs := map[string][]*queued{}
+	for _, k := range queue {
 		k.job.start.setMustFinish(false)
-		if now.Sub(k.job.AcceptedAt) <= long {
+		if now.Sub(k.job.AcceptedAt) <= oldAge {
 			continue
 		}
-		for _, g := range m.floorGroups(k.job) {
-			old[g] = append(old[g], k)
+		for _, group := range m.floorGroups(k.job) {
+			oldJobs[group] = append(oldJobs[group], k)
 		}
 	}
-	for g, jobs := range old {
-		missing := (len(jobs) - m.starvation.completed[g] + 1) / 2
-		if missing <= 0 {
+	for group, jobs := range oldJobs {
+		missing := m.starvation.completed.missing(group, len(jobs))
+		if missing == 0 {
 			continue
 		}
 		slices.SortStableFunc(jobs, func(a, b *queued) int { return a.job.AcceptedAt.Compare(b.job.AcceptedAt) })
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -47,9 +47,9 @@
 // (Model.StarvationBound is the limit; 0 switches all of this off). Only the
 // starvation*.go files and completion_floor.go write its fields.
 type starvationBound struct {
-	nextCheck   time.Time      // verdicts of the last check stand until then
-	nextExplain time.Time      // causes are not worked out before
-	completed   map[string]int // completed jobs by floor group, each up to floorMemory
+	nextCheck   time.Time // verdicts of the last check stand until then
+	nextExplain time.Time // causes are not worked out before
+	completed   completionCounts
 }
 
 // startState is what the starvation bound's last check decided about a job that has not
