--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -125,7 +125,7 @@
 	return false
 }
 
-// applyAdmissionEntry takes in that a job stands on a page.
+// applyAdmissionEntry applies the entry of a job on a page.
 func (m *Model) applyAdmissionEntry(p *admissionPage, e jobstore.JobPageEntry, now time.Time) {
 	j := m.Job(e.ID)
 	if j == nil {
@@ -140,14 +140,15 @@
 	j.admissionPage, j.Version = p, p.version
 }
 
-// admissionRemoval is a page that a batch takes jobs from.
+// admissionRemoval is the removal of jobs from an admission page by a batch.
 type admissionRemoval struct {
-	op      int // which of the batch's
+	op      int // index of the write in the batch
 	version uint64
 	ids     map[string]bool
 }
 
-// removeFromAdmissionPage takes a job from its page, if the page fits into the batch.
+// removeFromAdmissionPage removes a job from its admission page. It returns false if the page
+// does not fit into the batch.
 func (b *WriteBatch) removeFromAdmissionPage(j *Job) bool {
 	p := j.admissionPage
 	l := b.admissionRemovals[p]
@@ -168,7 +169,8 @@
 	return true
 }
 
-// fillAdmissionRemovals fills in what is left of the pages that the batch takes jobs from.
+// fillAdmissionRemovals makes the records of the admission pages from which the batch removes
+// jobs, once it is known which jobs these are.
 func (b *WriteBatch) fillAdmissionRemovals() {
 	for p, l := range b.admissionRemovals {
 		rec := p.rec.Without(l.ids)
@@ -181,7 +183,7 @@
 	}
 }
 
-// isCurrent says whether what the model has of a job's record is what the store
+// isCurrent reports whether the model has the version of the job's record that the store
 // has.
 func (j *Job) isCurrent(ref DigestBase) bool {
 	if j.admissionPage != nil {
--- a/cluster/attempt.go
+++ b/cluster/attempt.go
@@ -23,7 +23,7 @@
 	StopMoved          StopReason = "move"                 // by a rebalance cycle
 	StopMoveResumed    StopReason = "move taken over"      // by a rebalance cycle of an earlier leader
 	StopCancelled      StopReason = "cancelled"            // by the job's user
-	StopReleased       StopReason = "released"             // a reserved task is given back
+	StopReleased       StopReason = "released"             // a reserved task is not needed any more
 	StopInterruption   StopReason = "notice"               // the cloud is about to reclaim its machine
 	StopGangIncomplete StopReason = "its gang lost a task" // the rest of the gang can't go on
 )
--- a/cluster/decisions_events_test.go
+++ b/cluster/decisions_events_test.go
@@ -13,10 +13,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is what users, operators and accidents do to the fleet that decisions_test.go
-// drives.
+// This file is what users, operators and faults do to the cluster that decisions_test.go
+// simulates.
 
-// events lets users, operators and accidents happen.
+// events makes users, operators and faults act.
 func (d *driver) events() {
 	if d.step < decisionSteps*4/5 {
 		for d.chance(35) {
@@ -60,8 +60,7 @@
 	}
 }
 
-// submit has a user submit a job: under a key of its own, or on a page that jobs
-// share.
+// submit submits a job: under a key of its own, or on a shared admission page.
 func (d *driver) submit() {
 	d.nextJob++
 	j := wire.Job{ID: fmt.Sprintf("wk-%06d", d.nextJob), Class: []string{"arrays", "gangs", "chat", "other"}[d.rnd.IntN(4)], Team: []string{"core", "core", "edge"}[d.rnd.IntN(3)],
@@ -126,7 +125,7 @@
 	d.write(append(ops, wire.Op{Put: key, Value: head})...)
 }
 
-// cancel has a user cancel a job, unless it is over.
+// cancel cancels a job as its user, unless it is over.
 func (d *driver) cancel(id string) {
 	d.met["cancellation"]++
 	for _, key := range slices.Sorted(maps.Keys(d.store)) {
@@ -159,7 +158,7 @@
 	}
 }
 
-// cancelOneOf has a user cancel a job that a batch is about, so that it fails.
+// cancelOneOf cancels a job that a batch writes, so that the batch fails.
 func (d *driver) cancelOneOf(b *WriteBatch) {
 	for _, g := range b.Guards {
 		id, ok := jobstore.ParseJobKey(g.Key)
@@ -174,8 +173,8 @@
 	}
 }
 
-// setPlan has operators apply the next version of a plan: a night for arrays that ends
-// after six minutes, tiers whose order changes, and a pool whose size does.
+// setPlan applies the next version of the operators' plan: a batch window for arrays that
+// ends after six minutes, tiers whose order changes, and a warm pool whose size changes.
 func (d *driver) setPlan() {
 	d.met["plan"]++
 	d.plans++
@@ -203,7 +202,7 @@
 	}
 }
 
-// takePlan has the leader decide by the newest plan.
+// takePlan makes the leader follow the newest plan.
 func (d *driver) takePlan() {
 	d.told = d.plan.HeadVersion
 	d.m.SetPlan(d.plan, d.now())
--- a/cluster/decisions_fleet_test.go
+++ b/cluster/decisions_fleet_test.go
@@ -11,7 +11,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is the cloud and the workers of the fleet that decisions_test.go drives.
+// This file is the cloud and the workers of the cluster that decisions_test.go simulates.
 
 func (d *driver) addMachine(zone, typ string, spot bool, boots float64) *simWorker {
 	d.named++
@@ -30,7 +30,7 @@
 	return n
 }
 
-// rent asks for machines, as a leader does.
+// rent scales out, as a leader does.
 func (d *driver) rent(wants map[Offer]int) {
 	offers := slices.Collect(maps.Keys(wants))
 	slices.SortFunc(offers, func(a, b Offer) int {
@@ -70,7 +70,7 @@
 	}
 }
 
-// runCloud returns machines and reads the cloud's list.
+// runCloud scales in, and applies the cloud's list of machines.
 func (d *driver) runCloud() {
 	now := d.now()
 	back := d.m.SelectScaleIn(now, 25*time.Second)
@@ -105,7 +105,7 @@
 
 // Workers.
 
-// report is a worker's report and its answer.
+// report sends a heartbeat of a worker and executes the answer.
 func (d *driver) report(w *simWorker) {
 	now := d.seconds()
 	if w.gone || now < w.boots {
@@ -161,7 +161,7 @@
 	d.execute(w, cmds)
 }
 
-// handle gives a report to the leader, as a node does.
+// handle passes a heartbeat to the leader, as a node does.
 func (d *driver) handle(w *simWorker, r *wire.Report) ([]wire.Command, bool) {
 	now, via := d.now(), []string{"n-1", "n-2"}[d.rnd.IntN(2)]
 	if d.chance(80) {
@@ -182,8 +182,8 @@
 		d.m.RecordReceivingNode(mc, via, now)
 		cmds = d.m.AnswerHeartbeat(mc, r, now)
 	}
-	// What a machine's tasks are told comes in the order of a map: of several of one
-	// kind, which follow each other, it is that of their names here.
+	// Commands for the tasks of a machine are in the order of a map. Here successive
+	// commands of one kind are sorted by the names of the tasks.
 	sortKinds(cmds)
 	d.note(how, w.name, news, d.plain(cmds))
 	return cmds, true
@@ -200,7 +200,7 @@
 	}
 }
 
-// execute is what a worker does with commands.
+// execute executes commands as a worker does.
 func (d *driver) execute(w *simWorker, cmds []wire.Command) {
 	for _, c := range cmds {
 		i := slices.IndexFunc(w.tasks, func(t *simTask) bool { return t.Task == c.Task && t.Attempt == c.Attempt })
@@ -259,7 +259,7 @@
 	t.State, t.Why = wire.TaskExited, wire.ExitStopped
 }
 
-// run lets a worker's tasks go on.
+// run advances the tasks of a worker.
 func (d *driver) run(w *simWorker) {
 	now := d.seconds()
 	for _, t := range w.tasks {
@@ -292,7 +292,7 @@
 	}
 }
 
-// gather starts a gang once all its tasks wait.
+// gather starts a gang once all its tasks are waiting.
 func (d *driver) gather(j *Job, t *simTask, now float64) {
 	var all []*simTask
 	for _, w := range d.workers {
--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -13,9 +13,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is the leader of the fleet that decisions_test.go drives.
+// This file is the leader of the cluster that decisions_test.go simulates.
 
-// lead makes the next leader's model from the records, as a node does.
+// lead loads the model of the next leader from the records, as a node does.
 func (d *driver) lead() {
 	now := d.now()
 	token := d.rev + 1
@@ -98,7 +98,7 @@
 	})
 }
 
-// learn is the leader's watch: it takes in what has changed.
+// learn applies what has changed in the store, as the leader's watch does.
 func (d *driver) learn() {
 	now := d.now()
 	pages := map[string]AdmissionPage{}
@@ -138,7 +138,7 @@
 	d.log, d.seen = d.log[:0], d.rev
 }
 
-// play is a step of everything.
+// play runs one step of the simulation.
 func (d *driver) play() {
 	d.events()
 	d.learn()
@@ -160,7 +160,7 @@
 	}
 }
 
-// pass is a scheduling pass.
+// pass runs a scheduling pass.
 func (d *driver) pass() {
 	now := d.now()
 	if d.chance(1) {
@@ -187,7 +187,7 @@
 	}
 }
 
-// put writes a record that leaders alone write.
+// put writes a record that only leaders write.
 func (d *driver) put(key string, rec any, more ...wire.Guard) bool {
 	guards := append([]wire.Guard{{Key: key, Version: d.store[key].version}}, more...)
 	ops := []wire.Op{{Put: key, Value: rec}}
@@ -202,15 +202,16 @@
 	}
 }
 
-// writeRecords writes what is to be written, as far as the share goes.
+// writeRecords commits batches until nothing is to be written or their share of the step is
+// used up.
 func (d *driver) writeRecords() {
 	now := d.now()
 	for range 1 + d.rnd.IntN(4) {
 		d.m.SetCompletionTime(now)
 		most := 4 + d.rnd.IntN(9)
 		if d.careful || d.told != d.plan.HeadVersion {
-			// Where several jobs end with a batch that fails, a map says in which order
-			// they are written next. With three changes at most one job ends.
+			// If several jobs end in a batch that fails, they are written next in the
+			// order of a map. With three changes at most one job ends.
 			most = 3
 		}
 		b := d.m.NextBatch(most)
@@ -253,7 +254,7 @@
 	}
 }
 
-// metOps counts what a batch is of, and returns how many jobs it ends.
+// metOps counts the kinds of writes in a batch, and returns how many jobs it ends.
 func (d *driver) metOps(b *WriteBatch) (ends int) {
 	for _, o := range b.Ops {
 		if _, ok := jobstore.ParseFinalKey(o.Put); ok {
@@ -270,7 +271,7 @@
 	return ends
 }
 
-// settle is for a batch whose conditions failed.
+// settle handles a batch of which conditions have failed.
 func (d *driver) settle(b *WriteBatch, failed []string) {
 	for _, key := range failed {
 		switch {
@@ -285,7 +286,7 @@
 	d.m.RequeueBatch(b)
 }
 
-// compare has the plan compared for stops that wait for that.
+// compare commits the check of the plan that releases held stops.
 func (d *driver) compare() {
 	b := d.m.PlanCheckBatch()
 	if b == nil {
@@ -329,7 +330,7 @@
 	}
 }
 
-// fetchWeights records the fetches of pools' weights.
+// fetchWeights submits the jobs that prefetch the weights of warm pools.
 func (d *driver) fetchWeights() {
 	for _, f := range d.m.NextPrefetches(4, d.now()) {
 		d.met["fetch"]++
@@ -340,11 +341,11 @@
 	}
 }
 
-// direct sends what goes to workers' own addresses.
+// direct sends the commands for workers' own addresses.
 func (d *driver) direct() {
 	now := d.now()
 	stops := d.m.StopPushes(now)
-	// Several machines' stops come in the order of a map where a job's tasks are stopped.
+	// The stops of several machines may be in the order of a map.
 	slices.SortFunc(stops, func(a, b Push) int { return strings.Compare(a.Machine, b.Machine) })
 	for _, s := range stops {
 		sortKinds(s.Commands.Commands)
@@ -366,7 +367,7 @@
 	d.execute(w, s.Commands.Commands)
 }
 
-// explain has the views for operators count.
+// explain adds the explanations for operators to the hash.
 func (d *driver) explain() {
 	now := d.now()
 	s := d.m.Snapshot(now)
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -21,11 +21,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file drives the model through some minutes of a busy fleet, from a seed and
-// with a fixed clock, and holds all that comes out of it against what the recorded
-// version driver: commands, transactions, rentals, returns, moves, explanations.
-// Workers, the cloud and the state service are written here; they draw from the seed
-// and from nothing else.
+// This test simulates some minutes of a busy cluster with a seed and a fixed clock, and
+// compares all outputs of the model with recorded hashes: commands, transactions, scaling
+// out and in, rebalancing moves and explanations. The workers, the cloud and the key-value
+// store are simulated here, and depend on nothing but the seed.
 
 var traceDir = flag.String("decisions", "", "directory to write each seed's decisions to, to see where two versions part")
 
@@ -33,13 +32,12 @@
 	decisionSeeds = 6
 	decisionSteps = 420
 	decisionStepS = 1.5
-	// decisionMark is after how many steps the decisions so far are recorded.
+	// decisionMark is the number of steps after which the hash so far is recorded.
 	decisionMark = 20
 )
 
-// A change of the code that is meant to change no decision leaves every hash as it
-// is. Where one differs, run this on both versions with -decisions and compare the
-// files.
+// A change that is not meant to change any decision must leave every hash as it is. If one
+// differs, run this test on both versions with -decisions and compare the files.
 func TestDecisionsAreTheRecordedOnes(t *testing.T) {
 	f := golden.Open(t, "decisions.golden")
 	met := map[string]int{}
@@ -67,13 +65,13 @@
 	}
 }
 
-// storedValue is a value of the state service.
+// storedValue is a value of the key-value store.
 type storedValue struct {
 	raw     wire.Raw
 	version uint64
 }
 
-// driver is a fleet, its state service and the leader's model.
+// driver is a simulated cluster, its key-value store and the leader's model.
 type driver struct {
 	t     *testing.T
 	rnd   *rand.Rand
@@ -104,7 +102,7 @@
 	named   int // machines so far
 }
 
-// simWorker is a worker.
+// simWorker is a simulated worker.
 type simWorker struct {
 	name, zone, typ string
 	spot            bool
@@ -170,12 +168,12 @@
 func (d *driver) chance(percent int) bool  { return d.rnd.IntN(100) < percent }
 func (d *driver) between(a, b int) float64 { return float64(a + d.rnd.IntN(b-a)) }
 
-// note has a decision count.
+// note adds a decision to the hash.
 func (d *driver) note(what string, values ...any) {
 	fmt.Fprintf(d.out, "%d %s %v\n", d.step, what, values)
 }
 
-// plain is a value as its encoding has it, with the keys of maps in order.
+// plain converts a value to its encoded form, with the keys of maps in order.
 func (d *driver) plain(v any) any {
 	raw, err := wire.Marshal(v)
 	if err != nil {
@@ -197,9 +195,10 @@
 	return out
 }
 
-// The state service.
+// The key-value store.
 
-// commit carries a transaction out, if its conditions hold.
+// commit applies a transaction if its conditions hold, and returns the keys of those that
+// do not.
 func (d *driver) commit(guards []wire.Guard, ops []wire.Op) (failed []string) {
 	for _, g := range guards {
 		if d.store[g.Key].version != g.Version {
@@ -229,7 +228,7 @@
 	}
 }
 
-// noteTxn has a transaction count.
+// noteTxn adds a transaction to the hash.
 func (d *driver) noteTxn(what string, guards []wire.Guard, ops []wire.Op) {
 	for _, g := range guards {
 		d.note(what+" if", g.Key, g.Version)
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -6,7 +6,7 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// This file takes in what an earlier leader recorded.
+// This file loads what earlier leaders recorded.
 
 // LoadPlacementPage loads a page of placement records that an earlier leader wrote. Its
 // jobs must have been loaded before, including those that are over and only have
@@ -26,7 +26,7 @@
 		return
 	}
 	if j == nil || c.Chunk < 0 || c.Chunk >= len(j.Chunks) {
-		p.generation++ // of a job that is over: the page is to be written without it
+		p.generation++ // its job is over: the page is to be written without it
 		return
 	}
 	ch := &j.Chunks[c.Chunk]
@@ -63,7 +63,7 @@
 	m.loadFinished = true
 	m.quarantineUnaccountedJobs()
 	for _, j := range m.Jobs {
-		m.releaseMarked(j, now)
+		m.releaseTasks(j, now)
 		if j.Cancelled {
 			m.cancel(j, now)
 		}
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -9,7 +9,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file takes jobs in, and out.
+// This file applies the records of jobs: accepted, changed, cancelled and finished.
 
 var priorities = map[string]int{
 	wire.PriorityProduction: 0, wire.PriorityHigh: 1, wire.PriorityNormal: 2, wire.PriorityLow: 3,
@@ -29,7 +29,7 @@
 	j.Version = version
 	m.recordArrival(j, now)
 	if m.loadFinished {
-		m.releaseMarked(j, now)
+		m.releaseTasks(j, now)
 	}
 	s, deadline := &j.Spec, 0.0
 	if s.DeadlineS != nil {
@@ -53,7 +53,7 @@
 		j.Team = t
 	}
 	if s.Zone != "" {
-		j.Zone = math.MaxInt32 // a zone that is not there fits nothing
+		j.Zone = math.MaxInt32 // no machine is in an unknown zone
 		if z, ok := m.names.zones[s.Zone]; ok {
 			j.Zone = z
 		}
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -10,14 +10,16 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file is about jobs whose tasks are placed first and launched when they are
-// asked for, each once (jobstore.Reservation). Until then a placement holds its room
-// and counts like any other; that a task has not been asked for stands in the
-// job's record, so that the next leader, too, knows that it is nowhere.
+// This file is about jobs whose tasks are placed first and launched later, each on request
+// and only once (jobstore.Reservation). Until its launch is requested, a placement holds its
+// resources and counts like any other. The requests are in the job's record, so that the
+// next leader, too, knows which tasks can't be on a machine.
 
+// reservation is the reservation of a job. Its sets hold task numbers.
 type reservation struct {
 	jobstore.Reservation
-	launchable, released *bitset.BitSet
+	launchable *bitset.BitSet // tasks whose launch has been requested
+	released   *bitset.BitSet // tasks that are not needed any more
 }
 
 func newReservation(r *jobstore.Reservation, tasks int) *reservation {
@@ -27,22 +29,22 @@
 	return &reservation{Reservation: *r, launchable: r.LaunchRanges.BitSet(tasks), released: r.ReleaseRanges.BitSet(tasks)}
 }
 
-// awaitsLaunch says whether a task must not be launched yet.
+// awaitsLaunch reports whether a task must not be launched yet.
 func (j *Job) awaitsLaunch(task int) bool {
 	return j.reservation != nil && !j.reservation.launchable.Test(uint(task))
 }
 
-// updateReservation takes a reserved job's marks in.
+// updateReservation applies a newer version of a job's reservation.
 func (m *Model) updateReservation(j *Job, r *jobstore.Reservation, now time.Time) {
 	if j.reservation == nil || r == nil {
 		return
 	}
 	j.reservation = newReservation(r, len(j.Tasks))
-	m.releaseMarked(j, now)
+	m.releaseTasks(j, now)
 }
 
-// releaseMarked ends the tasks of a reserved job that are marked as given back.
-func (m *Model) releaseMarked(j *Job, now time.Time) {
+// releaseTasks ends the tasks of a reserved job that are released.
+func (m *Model) releaseTasks(j *Job, now time.Time) {
 	if j.reservation == nil || j.Cancelled || j.Finished {
 		return
 	}
@@ -56,16 +58,16 @@
 	}
 }
 
-// endForStop is how a task that was stopped for that reason ended.
-func endForStop(why StopReason) jobstore.TaskOutcome {
+// outcome is the outcome of a reserved task that was stopped for that reason.
+func (why StopReason) outcome() jobstore.TaskOutcome {
 	if why == StopReleased {
 		return jobstore.OutcomeReleased
 	}
 	return jobstore.OutcomePreempted
 }
 
-// finishOnlyAttempt takes in that a task's only attempt has ended. For other jobs, whose
-// tasks start again, it does nothing.
+// finishOnlyAttempt records the outcome of a reserved task, which has only one attempt. It
+// does nothing for other jobs, whose tasks are placed again.
 func (m *Model) finishOnlyAttempt(j *Job, task int32, how jobstore.TaskOutcome, now time.Time) {
 	t := &j.Tasks[task]
 	if j.reservation == nil || t.Phase != TaskIdle || j.Cancelled {
@@ -76,16 +78,16 @@
 	m.markDone(j, task, now)
 }
 
-// stopReason is the outcome of a task that its worker lists as stopped.
-func stopReason(p *Placement) jobstore.TaskOutcome {
+// outcomeIfStopped is the outcome of a reserved task whose worker lists it as stopped.
+func (p *Placement) outcomeIfStopped() jobstore.TaskOutcome {
 	if p.Stop == nil {
 		return jobstore.OutcomePreempted
 	}
-	return endForStop(p.Stop.Reason)
+	return p.Stop.Reason.outcome()
 }
 
-// applyMachineRestrictions keeps a request to the machines that its job names, and away from
-// those that it shuns; the indices are the model's.
+// applyMachineRestrictions restricts a request to the machines that its job's reservation
+// names, and keeps it away from those that it excludes.
 func (m *Model) applyMachineRestrictions(j *Job, r *placement.Request) {
 	if j.reservation == nil || len(j.reservation.OnlyMachines) == 0 && len(j.reservation.AvoidMachines) == 0 {
 		return
@@ -114,7 +116,8 @@
 	r.Avoid = avoid
 }
 
-// endedTasks lists how the ended tasks from lo to hi ended: task, how, task, how.
+// endedTasks lists the ended tasks of a reserved job from lo to hi, each followed by its
+// outcome.
 func (j *Job) endedTasks(lo, hi int) []int {
 	if j.reservation == nil {
 		return nil
@@ -128,7 +131,7 @@
 	return out
 }
 
-// stoppingTasks lists the tasks from lo to hi that have been ordered to stop.
+// stoppingTasks lists the tasks of a reserved job from lo to hi that are ordered to stop.
 func (j *Job) stoppingTasks(lo, hi int) []int {
 	if j.reservation == nil {
 		return nil
@@ -142,7 +145,8 @@
 	return out
 }
 
-// loadEndedTasks takes in how tasks of an earlier leader's time ended.
+// loadEndedTasks applies the outcomes that an earlier leader recorded, in the form of
+// endedTasks.
 func (j *Job) loadEndedTasks(pairs []int) {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if t := pairs[i]; t >= 0 && t < len(j.Tasks) && pairs[i+1] >= 0 && pairs[i+1] <= math.MaxUint8 {
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -86,7 +86,7 @@
 		wait = time.Second
 	case wire.ExitPeers, wire.ExitStopped:
 		j.endGang()
-		how = stopReason(p)
+		how = p.outcomeIfStopped()
 	}
 	if t.Saved {
 		j.recordSavedProgress(task, p, now)
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -67,7 +67,7 @@
 	}
 	if !p.mayBeOnMachine() {
 		m.removePlacement(j, task, now)
-		m.finishOnlyAttempt(j, task, endForStop(why), now)
+		m.finishOnlyAttempt(j, task, why.outcome(), now)
 		return
 	}
 	if !p.orderStop(grace, why, now) {
