--- a/cluster/guarantee.go
+++ b/cluster/guarantee.go
@@ -1,8 +1,15 @@
 package cluster
 
-import "github.com/umberdeal/umberdeal/placement"
+import (
+	"slices"
+	"sort"
+	"time"
 
-// This file determines which jobs are within the quota that is guaranteed to their team.
+	"github.com/umberdeal/umberdeal/placement"
+)
+
+// This file determines which jobs are within the quota that is guaranteed to their team, and
+// which placed tasks are beyond it.
 
 // quotaTolerance is by how much resources may exceed a quota, to allow for rounding errors of
 // sums.
@@ -40,3 +47,68 @@
 	return (guarantee.CPU == 0 || used.CPU <= guarantee.CPU+quotaTolerance) &&
 		(guarantee.GPU == 0 || used.GPU <= guarantee.GPU+quotaTolerance)
 }
+
+// placedTask is a placed task with when it was placed.
+type placedTask struct {
+	ref      TaskRef
+	placedAt time.Time
+}
+
+// beyondQuota returns the tasks that run beyond their teams' guarantees, chosen from the
+// last one placed on. Tasks of the jobs in within, which are inside the guarantee, are never
+// among them: two teams that each have work inside and beyond theirs would otherwise
+// preempt each other's tasks in turn, over and over.
+func (m *Model) beyondQuota(within map[int32]bool) map[TaskRef]bool {
+	over := map[TaskRef]bool{}
+	if !slices.ContainsFunc(m.guarantees, func(g placement.Resources) bool { return g != placement.Resources{} }) {
+		return over // nobody may claim anything
+	}
+	for team, tasks := range m.placedTasksByTeam(within) {
+		sortLatestFirst(tasks)
+		m.addBeyondGuarantee(over, team, tasks)
+	}
+	return over
+}
+
+// placedTasksByTeam returns the placed tasks of each team, without those of the given jobs.
+func (m *Model) placedTasksByTeam(without map[int32]bool) [][]placedTask {
+	byTeam := make([][]placedTask, len(m.teams))
+	for _, mc := range m.Machines {
+		for ref := range mc.Tasks {
+			j := m.Jobs[ref.Job]
+			if j.Team >= 0 && !without[j.Index] {
+				byTeam[j.Team] = append(byTeam[j.Team], placedTask{ref, j.Tasks[ref.Task].Placement.placedAt})
+			}
+		}
+	}
+	return byTeam
+}
+
+// sortLatestFirst sorts tasks by when they were placed, the last one first. Tasks placed at
+// the same time are sorted by their references, so that the order does not depend on that of
+// the maps which they come from.
+func sortLatestFirst(tasks []placedTask) {
+	sort.Slice(tasks, func(a, b int) bool {
+		if !tasks[a].placedAt.Equal(tasks[b].placedAt) {
+			return tasks[a].placedAt.After(tasks[b].placedAt)
+		}
+		if tasks[a].ref.Job != tasks[b].ref.Job {
+			return tasks[a].ref.Job > tasks[b].ref.Job
+		}
+		return tasks[a].ref.Task > tasks[b].ref.Task
+	})
+}
+
+// addBeyondGuarantee adds to over as many of a team's tasks, in the given order, as make up
+// what the team uses beyond its guarantee.
+func (m *Model) addBeyondGuarantee(over map[TaskRef]bool, team int, tasks []placedTask) {
+	guarantee := m.guarantees[team]
+	excess := m.teams[team].Used.Add(guarantee, -1)
+	for _, t := range tasks {
+		need := m.Jobs[t.ref.Job].Need
+		if need.GPU > 0 && guarantee.GPU > 0 && excess.GPU > quotaTolerance || need.CPU > 0 && excess.CPU > quotaTolerance {
+			over[t.ref] = true
+			excess = excess.Add(need, -1)
+		}
+	}
+}
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -2,7 +2,6 @@
 
 import (
 	"slices"
-	"sort"
 	"time"
 
 	"github.com/umberdeal/umberdeal/config"
@@ -37,71 +36,6 @@
 	return n
 }
 
-// placedTask is a placed task with when it was placed.
-type placedTask struct {
-	ref      TaskRef
-	placedAt time.Time
-}
-
-// beyondQuota returns the tasks that run beyond their teams' guarantees, chosen from the
-// last one placed on. Tasks of the jobs in within, which are inside the guarantee, are never
-// among them: two teams that each have work inside and beyond theirs would otherwise
-// preempt each other's tasks in turn, over and over.
-func (m *Model) beyondQuota(within map[int32]bool) map[TaskRef]bool {
-	over := map[TaskRef]bool{}
-	if !slices.ContainsFunc(m.guarantees, func(g placement.Resources) bool { return g != placement.Resources{} }) {
-		return over // nobody may claim anything
-	}
-	for team, tasks := range m.placedTasksByTeam(within) {
-		sortLatestFirst(tasks)
-		m.addBeyondGuarantee(over, team, tasks)
-	}
-	return over
-}
-
-// placedTasksByTeam returns the placed tasks of each team, without those of the given jobs.
-func (m *Model) placedTasksByTeam(without map[int32]bool) [][]placedTask {
-	byTeam := make([][]placedTask, len(m.teams))
-	for _, mc := range m.Machines {
-		for ref := range mc.Tasks {
-			j := m.Jobs[ref.Job]
-			if j.Team >= 0 && !without[j.Index] {
-				byTeam[j.Team] = append(byTeam[j.Team], placedTask{ref, j.Tasks[ref.Task].Placement.placedAt})
-			}
-		}
-	}
-	return byTeam
-}
-
-// sortLatestFirst sorts tasks by when they were placed, the last one first. Tasks placed at
-// the same time are sorted by their references, so that the order does not depend on that of
-// the maps which they come from.
-func sortLatestFirst(tasks []placedTask) {
-	sort.Slice(tasks, func(a, b int) bool {
-		if !tasks[a].placedAt.Equal(tasks[b].placedAt) {
-			return tasks[a].placedAt.After(tasks[b].placedAt)
-		}
-		if tasks[a].ref.Job != tasks[b].ref.Job {
-			return tasks[a].ref.Job > tasks[b].ref.Job
-		}
-		return tasks[a].ref.Task > tasks[b].ref.Task
-	})
-}
-
-// addBeyondGuarantee adds to over as many of a team's tasks, in the given order, as make up
-// what the team uses beyond its guarantee.
-func (m *Model) addBeyondGuarantee(over map[TaskRef]bool, team int, tasks []placedTask) {
-	guarantee := m.guarantees[team]
-	excess := m.teams[team].Used.Add(guarantee, -1)
-	for _, t := range tasks {
-		need := m.Jobs[t.ref.Job].Need
-		if need.GPU > 0 && guarantee.GPU > 0 && excess.GPU > 1e-6 || need.CPU > 0 && excess.CPU > 1e-6 {
-			over[t.ref] = true
-			excess = excess.Add(need, -1)
-		}
-	}
-}
-
 // preemptionLoss estimates the seconds of work that stopping a task throws away.
 func (m *Model) preemptionLoss(j *Job, p *Placement, now time.Time) float64 {
 	switch {
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -102,6 +102,7 @@
 // stop tasks that the model does not have; workers that are not answered lose their leases.
 func (m *Model) pausePlacing() { m.pausePlacingFrom(m.ElectedAt) }
 
+// pausePlacingFrom stops all placing until tasks that were told to stop at t are gone.
 func (m *Model) pausePlacingFrom(t time.Time) {
 	m.quarantine.pausePlacing(t.Add(config.Seconds(m.settings.Cluster.Workers.CancelS)))
 }
