--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -15,9 +15,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A cancellation, a question or a submission that is repeated comes after a job's
-// last task has completed and before that is recorded. The first to be committed
-// holds, at all nodes and for good.
+// A cancellation, a status query or a repeated submission arrives after a job's last task has
+// completed and before the completion is committed. Whichever outcome is committed first holds, at
+// all nodes and for good.
 func TestCancellationRacesWithTheLastCompletion(t *testing.T) {
 	t.Run("the job has a key of its own", cancelDuringCompletionOfOneJob)
 	t.Run("the job is on a page with others", cancelDuringCompletionsOnSharedPages)
@@ -63,7 +63,8 @@
 	t.Log("ends:", ends)
 }
 
-// jobPageOf is the key of the intake page on which a job stands; empty: it is on none.
+// jobPageOf returns the key of the page of accepted jobs that has an entry for a job, or "" if no
+// page has one.
 func jobPageOf(w *fake.Cluster, id string) string {
 	for _, key := range w.Store.Keys(jobstore.JobPrefix) {
 		if !jobstore.IsJobPageKey(key) {
@@ -77,15 +78,16 @@
 	return ""
 }
 
-// headPageOpen says whether the head of a page's bucket is open.
+// headPageOpen reports whether the head page of a page's bucket is open, so that jobs are still
+// added to it.
 func headPageOpen(w *fake.Cluster, page string) bool {
 	bucket, _, ok := jobstore.ParseJobPageKey(page)
 	head, err := jobstore.DecodeJobPage(w.Store.Value(jobstore.HeadPageKey(bucket)))
 	return ok && err == nil && !head.Closed
 }
 
-// submitConcurrently submits so many jobs at once at one node that the heads of the intake open,
-// and those that come once they are share their pages.
+// submitConcurrently submits so many jobs at once at one node that head pages are opened, and the
+// jobs that follow share pages.
 func submitConcurrently(t *testing.T, w *fake.Cluster, node int, jobs []wire.Job) {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -103,8 +105,8 @@
 	wg.Wait()
 }
 
-// The jobs of several rounds share pages, which their ends, cancellations and
-// submissions change all the time, each on condition that nobody else has.
+// The jobs of several rounds share pages. Completions, cancellations and submissions change these
+// pages all the time, each by a compare-and-swap that fails if the page has changed in between.
 func cancelDuringCompletionsOnSharedPages(t *testing.T) {
 	ends := map[string]int{}
 	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
@@ -167,10 +169,9 @@
 	t.Log("ends:", ends)
 }
 
-// Jobs are cancelled in the seconds in which a controller's work changes hands: just
-// before, while nobody leads, and while the next leader reads what there is. Their
-// tasks, of which some run, some are on their way and some are just being placed, are
-// gone in time, and stay so when the leader before comes back.
+// Jobs are cancelled during a failover: just before it, while there is no leader, and while the
+// next leader loads the model. Some of the jobs' tasks run, some are being launched and some are
+// just being placed. All are gone within cancel_s, and stay so when the former leader comes back.
 func TestCancellationsDuringFailover(t *testing.T) {
 	for way, name := range []string{"it dies", "it stands still", "the state service refuses it", "it keeps only its workers"} {
 		t.Run(name, func(t *testing.T) { cancelDuringFailover(t, way, false) })
@@ -178,16 +179,17 @@
 	}
 }
 
-// cancelDuringFailover has jobs cancelled in one way of handing over. With open
-// heads most of them share pages, of which the heads stay open, since crowds of
-// other jobs go on to come: those and the cancellations change the same pages.
+// cancelDuringFailover cancels jobs during a failover that is brought about in the given way: the
+// leader is killed, paused, refused by the key-value store, or isolated from all but its workers.
+// With heads set, most of the jobs share pages whose bucket's head page stays open because other
+// jobs keep coming; those submissions and the cancellations change the same pages.
 //
 //nolint:revive // flag-parameter: the variants of the test differ in it
 func cancelDuringFailover(t *testing.T, way int, heads bool) {
 	t.Helper()
 	machines := 6
 	if heads {
-		machines = 12 // so that the crowds have room as well
+		machines = 12 // room for the jobs that keep coming as well
 	}
 	runInteraction(t, 2, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		rnd = rand.New(rand.NewPCG(rnd.Uint64(), uint64(way)))
@@ -279,7 +281,7 @@
 				switch {
 				case got != wire.JobCancelled:
 				case began.Load() && (sent == 0 || sent == before):
-					between++ // who placed its tasks is in trouble, and nobody has followed yet
+					between++ // the leader that placed its tasks has failed, and no other has taken over yet
 					if open {
 						onPages++
 					}
@@ -317,8 +319,8 @@
 			w.HealNodeIsolation(leader)
 		}
 		coming.Wait()
-		time.Sleep(45 * time.Second) // the world watches for tasks past cancel_s
-		for n := range come {        // what came meanwhile is not lost
+		time.Sleep(45 * time.Second) // the checker of fake.Cluster reports tasks that outlast cancel_s
+		for n := range come {        // jobs accepted meanwhile are not lost
 			mustReach(t, w, shortJob(300+n).ID, wire.JobDone, 2*time.Minute)
 		}
 		for n := range jobs {
@@ -345,9 +347,9 @@
 	})
 }
 
-// So many submissions come at every node that they share pages, and fill what the
-// state service takes of changes: cancellations, each of which changes a page under
-// the condition that nobody else has, come through all the same.
+// Submissions at every node are so many that jobs share pages and the limit on writes to the
+// key-value store (25 a second) is used up. Cancellations, each of which changes a page by a
+// compare-and-swap that fails if anybody else has changed it, must still be committed in time.
 func TestManyPollsDoNotDelayCancellations(t *testing.T) {
 	runInteraction(t, 2, fake.Options{Machines: 6, Capacity: 6, StateRPS: 200, StateWPS: 25}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		var mu sync.Mutex
@@ -378,7 +380,7 @@
 			time.Sleep(time.Duration(rnd.IntN(100)) * time.Millisecond)
 		}
 		wg.Wait()
-		for k := range n { // each is what it was, or has gone on
+		for k := range n { // every accepted job is still known, whatever has become of it
 			if status := w.QueryStatus(k%3, shortJob(k+1).ID); status == http.StatusNotFound {
 				t.Errorf("%s, which was accepted, is not known", shortJob(k+1).ID)
 			}
--- a/controller/fault_interactions_test.go
+++ b/controller/fault_interactions_test.go
@@ -15,9 +15,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Scenarios of faults that interact. Each checks that they did: one in which the faults
-// miss each other shows nothing, and fails. The times of the faults are drawn anew for
-// each seed, within the window in which they interact.
+// Scenarios of fault interactions: two or more faults are injected so that they overlap. Each
+// scenario asserts that they did overlap: one in which the faults miss each other proves nothing,
+// and fails. The times of the faults are drawn anew for each seed, from the window in which they
+// can interact.
 
 // machinesRunningJob lists the machines that have tasks of a job.
 func machinesRunningJob(w *fake.Cluster, j wire.Job) (out []string) {
@@ -28,8 +29,8 @@
 	return slices.Compact(out)
 }
 
-// awaitLeaderChange has another leader come, in one way or another, and returns when its key
-// is there; before is the token until then.
+// awaitLeaderChange waits for a failover, however it came about, and returns when the key of the
+// new leader is in the store; before is the fencing token until then.
 func awaitLeaderChange(t *testing.T, w *fake.Cluster, before uint64) {
 	t.Helper()
 	if !scenario.Eventually(25*time.Second, 50*time.Millisecond, func() bool { k := w.FencingToken(); return k != 0 && k != before }) {
@@ -37,7 +38,8 @@
 	}
 }
 
-// stopLeader ends the leader: for good, or for a fraction of a second.
+// stopLeader stops the leader: for good (killed), or for a fraction of a second (power-cycled). It
+// returns the index of the stopped node.
 func stopLeader(w *fake.Cluster, rnd *rand.Rand) (dead int) {
 	dead = max(0, w.Leader())
 	if rnd.IntN(2) == 0 {
@@ -51,7 +53,8 @@
 // machineFault is a fault that a machine can have: begin and end take its name.
 type machineFault struct{ begin, end func(machine string) }
 
-// machineFaults are the faults by which a machine can't be asked.
+// machineFaults are the faults that keep the controllers from learning what runs on a machine: a
+// partition, a hung agent, replies that don't reach it, heartbeats that don't leave it.
 func machineFaults(w *fake.Cluster) []machineFault {
 	return []machineFault{
 		{w.PartitionMachine, w.HealMachine},
@@ -61,7 +64,7 @@
 	}
 }
 
-// healMachines ends what has been done to machines.
+// healMachines ends every fault that was injected on a machine.
 func healMachines(w *fake.Cluster) {
 	for _, m := range w.Cloud.Machines() {
 		w.ResumeMachine(m)
@@ -71,7 +74,8 @@
 	}
 }
 
-// healAndCheckStarvation sees to it that what waits runs, now that all is over.
+// healAndCheckStarvation ends all faults and asserts that no job starves: whatever has room and is
+// under its team's quota must run within 90 s.
 func healAndCheckStarvation(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	w.StartAll()
@@ -81,17 +85,17 @@
 	}
 }
 
-// A leader ends while machines with long tasks can't be reached, or don't hear the
-// next one's answers: a task is on one machine only, and goes on there if its
-// machine is back within its lease. Copies of old reports show nothing.
+// The leader fails while machines with long tasks are unreachable, or don't receive the next
+// leader's replies. Each task stays on one machine only, and goes on there if its machine is back
+// within its lease. Stale duplicates of heartbeats must not be taken as evidence of what runs.
 func TestInteractionLongTasksAndFailover(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		for _, m := range w.Cloud.Machines() {
-			w.CaptureReport(m) // lists no task
+			w.CaptureReport(m) // captured while the machine is empty: lists no task
 		}
 		fillTeams(t, w)
 		ways := machineFaults(w)
-		ways[2], ways[3] = ways[3], ways[2] // the last is the one that lets reports arrive
+		ways[2], ways[3] = ways[3], ways[2] // BlockRepliesTo goes last: the only one of them that lets heartbeats arrive
 		way := rnd.IntN(len(ways))
 		trouble := ways[way]
 		before, started, on := w.FencingToken(), w.Started(), w.TasksPerMachine()
@@ -125,14 +129,15 @@
 		if tasks == 0 || w.ExpiredLeases() > 0 {
 			t.Errorf("%d tasks on machines in trouble as the leader changes, of %v, %d leases over", tasks, on, w.ExpiredLeases())
 		}
-		// The first that the next leader hears of them is what was reported long ago.
-		// (From those whose reports arrive it has heard since.)
+		// The first heartbeat that the next leader gets from each of these machines is the stale
+		// one captured at the start. (With BlockRepliesTo, index 3, heartbeats still arrive, so the
+		// leader has newer ones already.)
 		for _, m := range names {
 			if way < 3 && !scenario.Eventually(10*time.Second, 500*time.Millisecond, func() bool { return w.ReplayReport(m, max(0, w.Leader())) == 200 }) {
 				t.Errorf("the next leader takes no late copy of a report of %s", m)
 			}
 		}
-		// Within the 30 s of a lease, or well beyond it.
+		// The fault ends within the 30 s of a worker's lease, or well beyond it.
 		short := rnd.IntN(2) == 0
 		if short {
 			time.Sleep(randomDuration(rnd, 0, 3*time.Second))
@@ -155,14 +160,14 @@
 	})
 }
 
-// Jobs bound to one zone, arrays and gangs, lose a machine while the leader changes:
-// what starts again does so in the zone where their other tasks still may be.
+// Single-zone jobs, an array and a gang, each lose a machine during a failover. Tasks that start
+// again must do so in the zone in which other tasks of their job may still run.
 func TestInteractionSingleZoneJobsAndLostMachines(t *testing.T) {
 	o := twoLimitedTeams()
 	o.Teams = nil
 	runSeeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
-		// Three of the array's tasks run, in the one zone, and two wait. There would
-		// be room for them in the other.
+		// Three of the array's tasks run, all in one zone, and two wait although the other zone
+		// would have room for them.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 5, 5, 90 }))
 		mustSubmit(t, w, job(2, func(j *wire.Job) { gang(j); j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 3, 3, 90 }))
 		if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.Running() == 6 }) {
@@ -170,14 +175,15 @@
 		}
 		time.Sleep(randomDuration(rnd, time.Second, 10*time.Second))
 		before := w.FencingToken()
-		var lost, rest []string // one machine of each job, and those of their other tasks
+		var lost, rest []string // a machine of each job to kill, and the machines of their other tasks
 		for n := 1; n <= 2; n++ {
 			on := machinesRunningJob(w, wire.Job{ID: job(n, nil).ID, Tasks: 5})
 			k := rnd.IntN(len(on))
 			lost, rest = append(lost, on[k]), append(rest, slices.Delete(on, k, k+1)...)
 		}
-		// The one is gone, and the others can't be asked when the next leader comes:
-		// it does not know in which zone they are. At some seeds nor does the cloud say.
+		// One machine of each job is killed. At two seeds of three the others are partitioned when
+		// the next leader comes, so it can't learn from them in which zone they are; at some of
+		// these seeds the cloud's API is out as well.
 		if rnd.IntN(3) > 0 {
 			for _, m := range rest {
 				w.PartitionMachine(m)
@@ -208,14 +214,14 @@
 	})
 }
 
-// Tasks of a small job end far apart, and the leader changes between: what is done
-// stays done, and the job is done with its last task.
+// Tasks of a small job complete far apart, with a failover after each. Completed tasks stay
+// completed, and the job is done only with its last task.
 func TestInteractionStaggeredTaskEndsAndFailover(t *testing.T) {
 	o := twoLimitedTeams()
 	o.Teams = []config.Team{{Name: "core", CPUsMax: 5}}
 	runSeeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		tasks := 2 + rnd.IntN(2)
-		// One after another, as the team's limit lets them.
+		// The team's quota of 5 CPUs lets the tasks run one at a time only.
 		j := job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = tasks, 5, float64(20+rnd.IntN(30)) })
 		mustSubmit(t, w, j)
 		for done := 1; done < tasks; done++ {
@@ -223,7 +229,8 @@
 				t.Fatalf("%d tasks run", w.Running())
 			}
 			before := w.FencingToken()
-			// At some seeds the outcome is reported, and can't be committed.
+			// At some seeds the store is out when the outcome is reported, so it can't be committed
+			// before the failover.
 			time.Sleep(time.Duration(j.EstimateS-1) * time.Second)
 			w.Store.SetOutage(rnd.IntN(2) == 0)
 			if !scenario.Eventually(20*time.Second, 50*time.Millisecond, func() bool { return w.FinishedTasks(j.ID) == done }) {
@@ -250,15 +257,16 @@
 	})
 }
 
-// Everything meets: teams are kept at their limits by jobs of all kinds, while some
-// are cancelled, machines can't be asked in one way or another, and leaders change.
+// All faults at random: teams are kept at their quota by jobs of all kinds, while jobs are
+// cancelled, machines become unreachable in various ways, direct commands are delayed, and leaders
+// change.
 func TestInteractionsAtRandom(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		ways := machineFaults(w)
 		var ids, asked, troubled []string
 		submitted := 0
 		more := func() {
-			submitted++ // one that is not known to be accepted may be all the same
+			submitted++ // numbers are never reused: a submission without an answer may have been accepted all the same
 			j := job(submitted, func(j *wire.Job) {
 				j.Team, j.Tasks, j.CPUs = []string{"core", "edge"}[rnd.IntN(2)], 1+rnd.IntN(4), float64(1+rnd.IntN(4))
 				j.EstimateS = float64(10 + rnd.IntN(2)*60)
@@ -309,7 +317,7 @@
 			if rnd.IntN(2) == 0 {
 				now, hung := w.CancelRunning(1+rnd.IntN(2), randomDuration(rnd, 0, 25*time.Second)*time.Duration(rnd.IntN(2)))
 				asked = append(asked, now...)
-				full := w.CPUsInUse("core") > teamMax-4 || w.CPUsInUse("edge") > teamMax-4 // no room for one of the largest tasks
+				full := w.CPUsInUse("core") > teamMax-4 || w.CPUsInUse("edge") > teamMax-4 // less than the largest task's 4 CPUs is left under a team's quota
 				for _, id := range now {
 					for _, m := range machinesRunningJob(w, wire.Job{ID: id, Tasks: 4}) {
 						if full && (slices.Contains(troubled, m) || slices.Contains(hung, m)) {
@@ -343,7 +351,8 @@
 	})
 }
 
-// The checks that these stories rest on can fail.
+// The checks that these scenarios rest on must be able to fail: a cancelled task that keeps
+// running, and jobs that starve, are detected.
 func TestCheckerDetectsUnstoppedAndStarvedJobs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := fake.New(fake.Options{Machines: 2, Capacity: 2, Teams: []config.Team{{Name: "core"}, {Name: "edge", CPUsMax: 2}}})
@@ -354,7 +363,7 @@
 		mustSubmit(t, w, job(1, one))
 		time.Sleep(5 * time.Second)
 		w.Cancel("wk-000001")
-		time.Sleep(31 * time.Second) // of the 32 s that a cancelled job's tasks have
+		time.Sleep(31 * time.Second) // a cancelled job's tasks must be gone after 32 s
 		if n := w.StartedAfterCancel(); n > 0 || len(w.Violations()) > 0 {
 			t.Fatalf("before anything went wrong: %d starts after the cancellation, broken: %v", n, w.Violations())
 		}
@@ -369,12 +378,12 @@
 			t.Errorf("a cancelled task is on a machine that hangs, and the checker said %v", got)
 		}
 		w.ResumeMachine(at)
-		time.Sleep(10 * time.Second) // what the machine had is gone
+		time.Sleep(10 * time.Second) // the tasks of the machine have been stopped
 		if ids := w.Starved(90 * time.Second); len(ids) > 0 {
 			t.Errorf("%v are said to wait, and nothing does", ids)
 		}
-		// Nobody has told the controllers of these. There is room for all but the
-		// last, which is beyond its team's limit, and the gang, of which one does not fit.
+		// These jobs are registered with the checker only, so no controller places them. There is
+		// room for 2 and 3; 5 is beyond its team's quota, and of the gang 4 one task does not fit.
 		w.RegisterJob(job(2, one))
 		w.RegisterJob(job(3, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs = 2, 3 }))
 		w.RegisterJob(job(4, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs = 3, 3 }))
@@ -385,7 +394,8 @@
 	})
 }
 
-// The steps of random stories do what they say.
+// The steps that random scenarios use (CancelRunning, BlockHeartbeats, Unanswered,
+// DirectCommandsExecuted) have the effects that they report.
 func TestConcurrentCancellationsAndASilentMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 4)
@@ -406,8 +416,9 @@
 			}
 		}
 		time.Sleep(8 * time.Second)
-		// Which three were cancelled is drawn. Of those left one is on a machine for long:
-		// the short one ends by itself, and its machine then has nothing to stop.
+		// Which three jobs were cancelled is random. One of the tasks left is a long one on a
+		// machine; the short job is no use here, since it completes by itself and its machine would
+		// have nothing to stop.
 		left := slices.DeleteFunc([]string{"wk-000001/0", "wk-000002/0", "wk-000003/0", "wk-000004/0"}, func(task string) bool { return len(w.MachinesRunning(task)) != 1 })
 		if len(left) == 0 {
 			t.Fatalf("%v were cancelled, and no other long task is on a machine", ids)
--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -15,43 +15,43 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Stories of the gap: the state service refuses the leader alone, another node
-// confirms cancellations, and then the service is out for all, longer than cancel_s,
-// while workers go on reporting to the leader that has not heard of them.
+// Scenarios of the cancellation gap: the key-value store refuses only the leader, another node
+// confirms cancellations, and then the store is out for everybody for longer than cancel_s, while
+// workers go on sending heartbeats to the leader that has not learnt of the cancellations.
 
-// cancellationGap is one meeting of these troubles.
+// cancellationGap describes one interaction of these faults.
 type cancellationGap struct {
-	report, lease float64 // of the workers; cancel_s lies 20 s above the lease
+	report, lease float64 // report interval and lease of the workers in seconds; cancel_s is 20 s above the lease
 
-	refuse time.Duration // when the leader is refused, from when the jobs are cancelled
-	again  time.Duration // if set, it is served for 300 ms this long after that, and refused again
-	outage time.Duration // when the service is out, from the last confirmation; with next from when the old leader's key is gone
-	beyond time.Duration // by how much the outage is longer than cancel_s
-	cut    bool          // the leader is cut from the service and the nodes instead of refused
+	refuse time.Duration // when the store begins to refuse the leader, relative to the cancellations
+	again  time.Duration // if set, the store accepts the leader for 300 ms this long after the refusal began, then refuses it again
+	outage time.Duration // when the store's outage begins, counted from the last confirmation; with next, from when the old leader's key is gone
+	beyond time.Duration // by how much the outage exceeds cancel_s
+	cut    bool          // the leader is partitioned from the store and the other nodes, instead of refused by the store
 
-	stopAt, stopFor time.Duration // when the leader stands still, from the last confirmation, and for how long
-	hangAt, hangFor time.Duration // when a machine hangs, from when the jobs are cancelled, and for how long
-	late            time.Duration // how long before they are cancelled one more job is submitted; 0: none
-	hold            bool          // direct commands are held back, and come when all is over
-	slow            time.Duration // that much longer until the service carries a request out
-	slowAnswers     time.Duration // and from then until it answers
+	stopAt, stopFor time.Duration // when the leader's process is paused, from the last confirmation, and for how long
+	hangAt, hangFor time.Duration // when a machine's agent hangs, from the cancellations, and for how long
+	late            time.Duration // how long before the cancellations one more job is submitted, whose launches may be in flight; 0: none
+	hold            bool          // direct commands are delayed until the end of the scenario
+	slow            time.Duration // latency added before the store carries a request out
+	slowAnswers     time.Duration // latency added to its replies
 
-	slowToLeader time.Duration // the same, for the leader alone
-	wait         time.Duration // how much later all of this is
-	hush         bool          // the leader's watches bring nothing, before it is refused as well
-	stays        time.Duration // for how long the leader is refused after the outage
+	slowToLeader time.Duration // latency added to replies to the leader alone
+	wait         time.Duration // delay of the whole sequence, which shifts it against the leader's renewals
+	hush         bool          // the leader's watches deliver nothing, already before it is refused
+	stays        time.Duration // for how long the leader stays refused after the outage
 
-	heard bool // the leader may have heard of the cancellations before it was refused
-	next  bool // the old leader's lease ends before the outage begins
+	heard bool // the leader may have learnt of the cancellations before it was refused
+	next  bool // the old leader's lease expires before the outage begins
 }
 
 const (
-	gapTasks  = 4 // of the array that is cancelled
-	gapOthers = 4 // of the job that nobody cancels
+	gapTasks  = 4 // tasks of the array that is cancelled
+	gapOthers = 4 // tasks of the job that is not cancelled
 )
 
-// jobsForGap are the jobs that are cancelled: an array, a gang that would save, and one
-// whose launches may be under way.
+// jobsForGap returns the jobs that are cancelled: an array, a gang whose tasks would save a
+// checkpoint, and with late set one whose launches may be in flight.
 func jobsForGap(g cancellationGap) []wire.Job {
 	jobs := []wire.Job{
 		job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = gapTasks, 2, 3600 }),
@@ -63,7 +63,7 @@
 	return jobs
 }
 
-// recordLastRunning notes when each of the jobs was last seen with a task on a machine.
+// recordLastRunning updates, for each of the jobs, when a task of it was last seen on a machine.
 func recordLastRunning(w *fake.Cluster, jobs []wire.Job, last map[string]time.Time) {
 	for _, j := range jobs {
 		for i := range j.Tasks {
@@ -74,7 +74,8 @@
 	}
 }
 
-// run tells the story; others is how many tasks ended that nobody had cancelled.
+// run runs the scenario; others is how many tasks were lost (and started again) that nobody had
+// cancelled.
 func (g cancellationGap) run(t *testing.T, seed uint64) (others int) {
 	t.Helper()
 	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, ReportIntervalS: g.report, LeaseS: g.lease}
@@ -116,7 +117,7 @@
 			refuse, accept = func() { w.IsolateToWorkers(l) }, func() { w.HealNodeIsolation(l) }
 		}
 		var wg sync.WaitGroup
-		asked := time.Now().Add(6*time.Second + g.wait) // when the users cancel
+		asked := time.Now().Add(6*time.Second + g.wait) // when the jobs are cancelled
 		at := func(when time.Duration, do func()) {
 			wg.Add(1)
 			go func() {
@@ -155,8 +156,8 @@
 			}()
 		}
 		confirming.Wait()
-		// From here on by this story's own clock: the checker's begins anew with
-		// each breach.
+		// From here on the scenario measures for itself: the checker's clock begins anew with each
+		// violation.
 		confirmed, last := map[string]time.Time{}, map[string]time.Time{}
 		var latest time.Time
 		for _, j := range jobs {
@@ -182,11 +183,11 @@
 		if g.next && !scenario.Eventually(15*time.Second, 5*time.Millisecond, func() bool { return !bytes.Equal(w.Store.Value("ctl/leader"), key) }) {
 			t.Fatal("no meeting: the refused leader's key stays")
 		}
-		whole := time.Since(latest) + g.outage // from the confirmations until the outage
+		whole := time.Since(latest) + g.outage // from the last confirmation to the start of the outage
 		if !g.next {
 			whole = g.outage
 		}
-		// Users ask all nodes, the old leader as well; the checker sees to what they say.
+		// Clients poll all nodes, the old leader as well; the checker verifies the answers.
 		end := latest.Add(whole + cancelS + g.beyond)
 		for i := range 3 {
 			wg.Add(1)
@@ -232,8 +233,9 @@
 		if answered == 0 {
 			t.Error("no meeting: no worker reported to the old leader after the confirmations")
 		}
-		// Renewed at the latest a fifth of its lease before it was refused, it is sure
-		// for half of its lease more at least, if nothing holds it up.
+		// The leader's lease was renewed at most a fifth of its length before the refusal, so the
+		// leader is sure of it for at least half of its length more, unless latency or a pause is
+		// injected.
 		half := time.Duration(times.LeaderLeaseS() / 2 * float64(time.Second))
 		if g.slow+g.slowAnswers+g.slowToLeader+g.stopFor == 0 && latest.Sub(refused)+time.Duration(1.25*times.ReportS*float64(time.Second)) < half && kept == 0 {
 			t.Error("no meeting: the old leader answered no worker after the confirmations")
@@ -271,7 +273,7 @@
 		}
 		others = w.Started() - started - 2
 		if g.late > 0 {
-			others -= jobs[2].Tasks // each of them started once at most
+			others -= jobs[2].Tasks // each of them started at most once
 		}
 		if others > gapOthers {
 			t.Errorf("%d starts of %d tasks that nobody cancelled: each starts again once at most", others, gapOthers)
@@ -282,10 +284,11 @@
 
 const ms = time.Millisecond
 
-// deployments are the workers' times of the users' sites.
+// deployments are the report intervals and leases of the users' sites.
 var deployments = []struct{ report, lease float64 }{{1.5, 12}, {4, 22}, {5, 27}}
 
-// The moments that matter, one by one.
+// The moments at which the faults' order matters, one case each. Cancelled tasks must be gone
+// within the bound that follows from the workers' settings.
 func TestGapCancelledTasksAreGoneInTime(t *testing.T) {
 	_, many := seedCount()
 	for i, c := range []struct {
@@ -322,7 +325,7 @@
 	} {
 		for k, d := range deployments {
 			if k != i%len(deployments) && !many {
-				continue // all of them with STORY_SEEDS
+				continue // all deployments only with STORY_SEEDS
 			}
 			g := c.g
 			g.report, g.lease = d.report, d.lease
@@ -331,9 +334,9 @@
 	}
 }
 
-// The answers to the leader are as late as it waits for them, and the cancellation
-// comes anywhere between two renewals: how long the leader is sure counts from when
-// it asked, not from when it was answered.
+// The store's replies to the leader are nearly as late as the leader waits for them, and the
+// cancellation falls anywhere between two renewals: the time for which the leader is sure of its
+// lease counts from when it sent the renewal, not from the reply.
 func TestGapCancelledDuringALateRenewalAnswer(t *testing.T) {
 	step := 500 * ms
 	if _, many := seedCount(); many {
@@ -346,7 +349,7 @@
 	}
 }
 
-// The same, around each moment in steps of a fraction of a second.
+// The same interactions with times drawn at random, in steps of 10 ms around each of these moments.
 func TestGapCancelledAtRandomMoments(t *testing.T) {
 	seeds := uint64(6)
 	if n, many := seedCount(); many {
@@ -367,8 +370,8 @@
 	}
 	d := deployments[rnd.IntN(len(deployments))]
 	g := cancellationGap{report: d.report, lease: d.lease}
-	// The leader stays the leader: its lease of 7 s or 10 s was renewed at most 2 s
-	// before it was refused.
+	// The leader keeps its leadership until the outage: its lease of 7 s or 10 s was renewed at
+	// most 2 s before it was refused.
 	g.refuse, g.outage = within(-2500*ms, 300*ms), within(0, 1800*ms)
 	g.heard = g.refuse > -20*ms
 	g.beyond = within(-time.Second, 40*time.Second)
@@ -384,7 +387,8 @@
 		g.hangAt, g.hangFor = within(-time.Second, 8*time.Second), within(time.Second, 14*time.Second)
 	}
 	if rnd.IntN(3) == 0 && !g.cut {
-		// A node that is cut off would keep its user waiting until the old leader's lease is over.
+		// A partitioned node would keep its client waiting until the old leader's lease has
+		// expired.
 		g.late = within(50*ms, 1500*ms)
 	}
 	if rnd.IntN(4) == 0 && g.refuse < 0 {
@@ -402,8 +406,8 @@
 	return g
 }
 
-// How many tasks that nobody cancelled the same outage ends: none while the old
-// leader's lease and the workers' outlast it, and beyond that each of them, once.
+// How many tasks that nobody cancelled are lost to the same outage: none while the old leader's
+// lease and then the workers' leases outlast it; if the outage is longer, each of them, once.
 func TestGapCostsOfUncancelledTasks(t *testing.T) {
 	outages := []float64{8, 20, 32, 50}
 	if _, many := seedCount(); many {
@@ -413,13 +417,14 @@
 		w := config.Workers{ReportS: d.report, LeaseS: d.lease, CancelS: d.lease + 20}
 		for _, out := range outages {
 			t.Run(fmt.Sprintf("lease %g s, out for %g s", d.lease, out), func(t *testing.T) {
-				const before = 1.1 // from the refusal to the outage
+				const before = 1.1 // seconds from the refusal to the outage
 				ended := cancellationGap{report: d.report, lease: d.lease, refuse: -100 * ms, outage: time.Second,
 					beyond: config.Seconds(out - w.CancelS)}.run(t, 1)
 				t.Logf("%d of %d tasks that nobody cancelled ended", ended, gapOthers)
-				// The last renewal came a fifth of the leader's lease before it was refused
-				// at worst, the last report that it answered the longest interval before it
-				// became unsure; after the outage a worker finds it within 3 s.
+				// At worst the last renewal came a fifth of the leader's lease before the refusal,
+				// and the last heartbeat that the leader answered one longest report interval
+				// before it became unsure of its lease; after the outage a worker finds the new
+				// leader within 3 s.
 				if survive := 0.8*w.LeaderLeaseS() + w.LeaseS - 1.25*w.ReportS - 3; before+out < survive && ended > 0 {
 					t.Errorf("%d tasks ended in an outage that their leases outlast by %.1f s", ended, survive-before-out)
 				}
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -16,11 +16,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Stories in which a leader's own late transactions, and changes of leader, meet
-// each other and everything else. Each says that the meeting took place: a story in
-// which the troubles miss one another fails.
+// Scenarios in which a leader's own delayed transactions and failovers interact with each other and
+// with other faults. Each asserts that the interaction took place: a scenario in which the faults
+// miss one another fails.
 
-// recordLeaderTokens notes each version of the leader key until it is stopped.
+// recordLeaderTokens records each version of the leader key, i.e. each fencing token, until stop is
+// called.
 func recordLeaderTokens(w *fake.Cluster) (stop func() []uint64) {
 	end, done := make(chan struct{}), make(chan struct{})
 	var seen []uint64
@@ -40,7 +41,7 @@
 	return sync.OnceValue(func() []uint64 { close(end); <-done; return seen })
 }
 
-// awaitLeader waits until a node of that kind holds the leader key, and says which.
+// awaitLeader waits until a node that satisfies ok holds the leader key, and returns its index.
 func awaitLeader(t *testing.T, w *fake.Cluster, most time.Duration, ok func(i int) bool) int {
 	t.Helper()
 	if !scenario.Eventually(most, 20*time.Millisecond, func() bool { l := w.Leader(); return l >= 0 && ok(l) }) {
@@ -49,13 +50,14 @@
 	return w.Leader()
 }
 
-// pageKeys is what the keys of placement records begin with.
+// pageKeys is the common prefix of the keys of placement pages.
 var pageKeys = strings.TrimSuffix(jobstore.PlacementPageKey(0), "0")
 
 func anyNode(int) bool { return true }
 
-// A leader's transactions have no answer and are carried out after its newer ones,
-// while it places, stops, ends and cancels. Then another reads what they have left.
+// Some of the leader's transactions get no reply and are carried out after its newer ones, while it
+// places, preempts, completes and cancels. Then the leader is killed and another loads what they
+// have left.
 func TestOwnTransactionsArriveAfterNewerOnes(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 5, Capacity: 7}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -74,7 +76,7 @@
 				w.Cancel(j.ID)
 			}
 		}
-		w.KillNode(w.Leader()) // with some still on their way
+		w.KillNode(w.Leader()) // some transactions are still in flight
 		w.Store.DropReplies(0, 0, 0)
 		time.Sleep(15 * time.Second)
 		sent, carriedOut := w.Store.UnansweredTransactions()
@@ -91,15 +93,15 @@
 	})
 }
 
-// The record of what is being returned comes late, over a newer one that names more,
-// and the deletion itself later still. The next leader must know of all that goes:
-// what it places there is taken away with its machine.
+// The scale-in record (which machines are being returned) is carried out late, after a newer one
+// that names more machines, and the deletion itself is later still. The next leader must know all
+// machines that will go: a task placed there would be lost with its machine.
 func TestOlderScaleInRecordArrivesLate(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 2, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		all := w.Cloud.Machines()
-		// Each fills its machine, and the second ends within the 2 s for which the
-		// first one's return waits for its answer.
+		// Each job fills its machine. The second ends within the 2 s for which the first machine's
+		// return waits for the reply to its transaction.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 6, 20 }),
 			job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 6, 21.2 }))
 		mustReach(t, w, "wk-000002", wire.JobRunning, 10*time.Second)
@@ -114,7 +116,8 @@
 		if !scenario.Eventually(2*time.Minute, 50*time.Millisecond, func() bool { return both(returns().Machines) }) {
 			t.Fatalf("returned: %v", returns().Machines)
 		}
-		// Until the first record has come, and the deletion has not.
+		// The failover is to come after the first record has been carried out and before the
+		// deletion.
 		if !scenario.Eventually(10*time.Second, 50*time.Millisecond, func() bool { return w.Store.OvertakenTransactions().Older > 0 }) {
 			t.Fatal("the older record of returns has not come after the newer one")
 		}
@@ -123,7 +126,7 @@
 		}
 		w.KillNode(w.Leader())
 		w.Cloud.DelayDeletes(0)
-		w.Cloud.SetOutage(true) // else the next leader returns them at once
+		w.Cloud.SetOutage(true) // otherwise the next leader returns them at once
 		mustSubmit(t, w, job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 6, 60 }))
 		for range 150 {
 			time.Sleep(100 * time.Millisecond)
@@ -144,13 +147,13 @@
 	})
 }
 
-// The record of moves has no answer and comes after the one that was written in its
-// place, whose moves have begun.
+// The record of a rebalancing cycle gets no reply and is carried out after the one that was written
+// in its place, whose moves have begun.
 func TestOlderRebalanceRecordArrivesLate(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
-		// One machine of a zone has 5 CPUs taken, the other 2: nothing has 7 left, unless
-		// that task moves.
+		// In zone a one machine has 5 CPUs in use and the other 2 once job 3 is cancelled: no
+		// machine has the 7 that job 5 needs unless a task moves.
 		long := func(n, tasks int, cpus float64, zone string) wire.Job {
 			return job(n, func(j *wire.Job) {
 				j.Tasks, j.CPUs, j.Zone, j.EstimateS, j.CheckpointS, j.SaveS = tasks, cpus, zone, 200, 5, 1
@@ -175,8 +178,8 @@
 	})
 }
 
-// Machines are up before their rental is answered, and have work at once while
-// writes lag. Then their leader ends, before it has recorded their names.
+// Machines boot before the reply to their rental arrives, and get tasks at once while writes to the
+// store are delayed. Then the leader is killed before it has recorded the machines' names.
 func TestLeaderEndsJustAfterItsMachinesBootedAndGotTasks(t *testing.T) {
 	t.Run("up within a second", func(t *testing.T) {
 		runLeaderEndsAfterBoots(t, 200*time.Millisecond, time.Second, 4200*time.Millisecond)
@@ -186,8 +189,8 @@
 	})
 }
 
-// runLeaderEndsAfterBoots has machines come up within a window, and rentals answered
-// so long after they were asked for at least: what comes up later has work later.
+// runLeaderEndsAfterBoots has machines boot within the window from least to most, and replies to
+// rentals arrive at the earliest after answered: machines that boot later get tasks later.
 func runLeaderEndsAfterBoots(t *testing.T, least, most, answered time.Duration) {
 	t.Helper()
 	runSeeded(t, 31, fake.Options{Machines: 0, Capacity: 60}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
@@ -210,15 +213,15 @@
 			}
 			return busy
 		}
-		// Where a placement's own answer is lost, the rental's comes first: another job
-		// comes, for which there are two machines too few.
+		// Where the reply to a placement is lost, the rental's reply may come first and there is no
+		// interaction; then another job is submitted, for which there are two machines too few.
 		jobs, tasks, met := 0, 0, false
 		for jobs < 15 && !met {
 			jobs++
 			more := max(2, len(w.Cloud.Machines())-tasks+2)
 			tasks += more
-			// The placement has no answer, and comes in the next leader's time. It is
-			// committed again before anything is launched.
+			// The placement's transaction gets no reply and is carried out only under the next
+			// leader. The leader commits the placement again before it launches anything.
 			w.Store.DelayNextTransactionOn(pageKeys, randomDuration(rnd, 20*time.Second, 30*time.Second))
 			mustSubmit(t, w, job(jobs, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = more, 6, 60, 0.1 }))
 			met = scenario.Eventually(6*time.Second, 20*time.Millisecond, func() bool { return len(unnamed()) > 0 && w.Store.PendingTransactions() > 0 })
@@ -238,8 +241,8 @@
 		for n := range jobs {
 			mustFinish(t, w, 2*time.Minute, n+1)
 		}
-		// Each machine has one task. Where the next leader's own answers are lost, it
-		// may be late for a lease or two: those tasks start again, and no other.
+		// Each machine has one task. Where replies to the next leader are lost too, it may be late
+		// for a lease or two: those tasks start again, and no others.
 		if n := w.Started(); n != tasks+w.ExpiredLeases() || most <= time.Second && w.ExpiredLeases() > 0 {
 			t.Errorf("%d starts for %d tasks, %d leases ended", n, tasks, w.ExpiredLeases())
 		} else if w.ExpiredLeases() > 0 {
@@ -252,8 +255,8 @@
 	})
 }
 
-// Leaders change ten times in two minutes, each time in another way, one of them
-// inside an outage of the state service, while some of their writes lag.
+// Ten failovers in two minutes, each brought about in another way, one of them inside an outage of
+// the key-value store, while some writes are delayed.
 func TestTenFailoversInTwoMinutes(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -276,21 +279,22 @@
 			case 1, 7:
 				w.Store.RefuseNode(node)
 				awaitLeader(t, w, 15*time.Second, func(i int) bool { return i != l })
-				// For longer than leases last that the next one counts from its takeover.
+				// For longer than the workers' leases, which the next leader counts from its
+				// failover.
 				time.Sleep(randomDuration(rnd, 14*time.Second, 18*time.Second))
 				w.Store.AcceptNode(node)
-			case 4: // inside an outage
+			case 4: // during an outage of the store
 				w.Store.SetOutage(true)
 				time.Sleep(randomDuration(rnd, 200*time.Millisecond, 2*time.Second))
 				w.PowerCycleNode(l, randomDuration(rnd, 0, time.Second))
 				time.Sleep(randomDuration(rnd, 200*time.Millisecond, 2*time.Second))
 				w.Store.SetOutage(false)
 				outages++
-			case 6: // it stands still, and goes on beside the next one
+			case 6: // its process is paused, and resumed beside the next leader
 				w.PauseNode(l)
 				awaitLeader(t, w, 15*time.Second, func(i int) bool { return i != l })
 				w.ResumeNode(l)
-			case 9: // cut off alone, and back
+			case 9: // partitioned alone, and healed
 				w.PartitionNode(l, everything...)
 				awaitLeader(t, w, 15*time.Second, func(i int) bool { return i != l })
 				w.HealNode(l, everything...)
@@ -299,7 +303,7 @@
 			}
 		}
 		took := time.Since(begun)
-		time.Sleep(15 * time.Second) // what is on its way comes
+		time.Sleep(15 * time.Second) // transactions in flight are carried out
 		led := stop()
 		w.Store.DropReplies(0, 0, 0)
 		if len(led) < 11 || took > 2*time.Minute || outages == 0 {
@@ -314,8 +318,8 @@
 	})
 }
 
-// Requests that take, renew and end leases come late, while leaders change: a lease
-// that was given up is renewed or ended in the time of the next one.
+// Requests that grant, renew and revoke leases are delayed across failovers: a lease that its node
+// has given up is renewed or revoked during the next leadership.
 func TestLateLeaseRenewalsAndReleases(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -348,9 +352,9 @@
 	})
 }
 
-// The leadership goes to another node and back, all end, and one returns, within a
-// second or after some; each leader leaves a change of placements that comes as soon as
-// the next term has begun, before its leader has changed anything.
+// The leadership passes to another node and back, then all nodes are killed and one returns, within
+// a second or more. Each leader leaves a placement transaction in flight that is carried out as
+// soon as the next leadership has begun, before its leader has changed anything.
 func TestFailoverAndBackWhileANodeReturns(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -360,8 +364,8 @@
 		first := awaitLeader(t, w, 10*time.Second, anyNode)
 		var late sync.WaitGroup
 		defer late.Wait()
-		leave := func(n int) { // a placement under way as the leader ends
-			before := w.Store.DelayedTransactions() // an earlier one may come meanwhile
+		leave := func(n int) { // a placement is in flight as the leader fails
+			before := w.Store.DelayedTransactions() // an earlier one may be carried out meanwhile
 			term := func() uint64 { return w.Store.Versions(election.LeaderKey)[election.LeaderKey] }
 			from, come := term(), w.Store.HoldNextTransactionOn(pageKeys)
 			late.Go(func() {
@@ -375,8 +379,8 @@
 			time.Sleep(randomDuration(rnd, 0, 400*time.Millisecond))
 		}
 		leave(1)
-		// A node that is back within a second ends its earlier process's lease, and
-		// stands beside the others.
+		// A node that is back within a second revokes its earlier process's lease and is a
+		// candidate beside the others.
 		over := func(from int) int {
 			for range 20 {
 				w.PowerCycleNode(from, randomDuration(rnd, 0, 900*time.Millisecond))
@@ -389,7 +393,7 @@
 			return -1
 		}
 		second := over(first)
-		w.KillNode(3 - first - second) // so that it goes back
+		w.KillNode(3 - first - second) // so that the leadership goes back to the first
 		leave(2)
 		if got := over(second); got != first {
 			t.Fatalf("%d leads, and neither %d nor %d", got, first, second)
@@ -417,8 +421,9 @@
 	})
 }
 
-// An election's own transaction has no answer, the release of its lease is refused,
-// and it comes when its node has given it up: a key under a lease that nobody renews.
+// The transaction of an election gets no reply, the release of its lease is refused, and it is
+// carried out after its node has given that lease up: the leader key then hangs on a lease that
+// nobody renews.
 func TestLateElection(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -458,8 +463,8 @@
 	})
 }
 
-// All controllers are away for longer than workers' leases last, a placement of
-// theirs comes when they are back, and the workers' later sessions have nothing.
+// All controllers are down for longer than the workers' leases, a placement of theirs is carried
+// out when they are back, and the workers' new agent epochs have no tasks.
 func TestAllNodesAreDownForLongerThanALease(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -498,8 +503,8 @@
 	})
 }
 
-// There is more work than room, urgent and not, over a slow link to the state
-// service; room is made by stops while the leader changes.
+// More work than room, with and without high priority, over a slow connection to the key-value
+// store; tasks are preempted to make room while the leader changes.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
--- a/controller/quota_interactions_test.go
+++ b/controller/quota_interactions_test.go
@@ -12,9 +12,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Scenarios of faults that interact while teams are at their limits and jobs are cancelled.
+// Scenarios of faults that interact while teams are at their quotas and jobs are cancelled.
 
-// twoLimitedTeams are two teams of 16 CPUs each, of the 48 that six machines have.
+// twoLimitedTeams configures two teams with a quota of 16 CPUs each, of the 48 CPUs of six
+// machines.
 func twoLimitedTeams() fake.Options {
 	return fake.Options{Machines: 6, Capacity: 6, LeaseS: 30,
 		Teams: []config.Team{{Name: "core", CPUsMax: 16}, {Name: "edge", CPUsMax: 16}}}
@@ -22,9 +23,9 @@
 
 const teamMax = 16.0
 
-// fillTeams brings both teams to their limits with long jobs of two tasks, 101 and on of
-// one team and 201 and on of the other, and has as much again of each wait, 111 and
-// 211 and on, that takes 15 s.
+// fillTeams brings both teams to their quotas with long jobs of two tasks each (numbers from 101
+// and from 201), and submits as many short ones of 15 s (from 111 and from 211) that have to wait
+// for room under the quota.
 func fillTeams(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	for base, team := range map[int]string{100: "core", 200: "edge"} {
@@ -46,9 +47,10 @@
 	return w.CPUsInUse("core") == teamMax && w.CPUsInUse("edge") == teamMax
 }
 
-// Every team is at its limit when jobs are cancelled whose machines are cut off or
-// hang, and the leader changes. What is cancelled counts for its team until it is
-// gone, at the next leader as well, which has not heard of those machines.
+// Both teams are at their quotas when jobs are cancelled whose machines are partitioned or hang,
+// and the leader fails before or after that. A cancelled task counts against its team's quota until
+// it is known to be gone, at the next leader as well, which has had no heartbeat from those
+// machines.
 func TestInteractionQuotaCancellationsAndFailover(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
@@ -106,12 +108,12 @@
 	})
 }
 
-// A team is at its limit when the leader is gone. A cancellation falls into the
-// spell without one, and machines of the cancelled job can't be asked, some not
-// even named: the next leader learns of the tasks from the job's final record.
+// Both teams are at their quotas when the leader is killed. Jobs are cancelled while there is no
+// leader, and their machines are unreachable, at some seeds in a way that also keeps their
+// heartbeats from the next leader: it learns of the tasks from the job's final record.
 func TestInteractionFailoverAndCancellation(t *testing.T) {
 	o := twoLimitedTeams()
-	o.LeaseS = 22 // the leader's is 10 s then, and so is the spell without one
+	o.LeaseS = 22 // the leader's lease is 10 s then, and so is the time without a leader
 	runSeeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		var names []string
@@ -125,7 +127,7 @@
 		trouble := ways[rnd.IntN(len(ways))]
 		before, dead := w.FencingToken(), w.Leader()
 		w.KillNode(dead)
-		time.Sleep(randomDuration(rnd, 3*time.Second, 4500*time.Millisecond)) // users go to other nodes
+		time.Sleep(randomDuration(rnd, 3*time.Second, 4500*time.Millisecond)) // clients have switched to other nodes by now
 		for _, m := range names {
 			trouble.begin(m)
 		}
@@ -157,10 +159,10 @@
 	})
 }
 
-// Workers can open no connection to any controller, while direct commands reach
-// them: what a cancelled job has there is stopped at once, and counts until it is
-// known to be gone. At some seeds the leader changes, and the next one has never
-// heard of these machines.
+// Workers can't open connections to any controller, while direct commands still reach them
+// (asymmetric partition): tasks of a cancelled job there are stopped at once, and count against the
+// quota until they are known to be gone. At some seeds the leader changes, and the next one has had
+// no heartbeat from these machines.
 func TestInteractionSilentMachinesAndCancellations(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
@@ -175,7 +177,7 @@
 		direct, started, before := w.DirectCommandsExecuted(at), w.Started(), w.FencingToken()
 		late := rnd.IntN(2) == 0
 		if late {
-			w.HoldDirectCommands(at) // the stop comes when the task's room may be another's
+			w.HoldDirectCommands(at) // the stop arrives when the task's resources may have been given to another task
 		}
 		if s := w.Cancel(id); s != wire.JobCancelled {
 			t.Fatalf("cancel answered %q", s)
@@ -215,30 +217,31 @@
 	})
 }
 
-// Answers with launches are held up for seconds, their job is cancelled meanwhile,
-// and the machine then goes on: the launches are executed, count for the team, and
-// are gone in time.
+// Heartbeat replies with launches are delayed for seconds, the launched jobs are cancelled
+// meanwhile, and the machines then go on: the launches are executed although their jobs are
+// cancelled, count against the team's quota, and are gone within the deadline.
 func TestInteractionDelayedAnswersAndCancellations(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		id := job(101+rnd.IntN(4), nil).ID
-		// Its room is what the next job fits into best: launches go to its machines, and
-		// later ones, of which the others hear, to all.
+		// The job's resources are the best fit for the next job, so the new launches go to its
+		// machines; later launches go to all machines, and those whose replies aren't blocked
+		// receive theirs.
 		names, late := machinesRunningJob(w, wire.Job{ID: id, Tasks: 2}), 0
 		for _, m := range names {
 			late -= w.LateReplies(m)
 			w.HoldDirectCommands(m)
 		}
 		before := w.FencingToken()
-		if s := w.Cancel(id); s != wire.JobCancelled { // so that there is room under the limit
+		if s := w.Cancel(id); s != wire.JobCancelled { // frees room under the quota
 			t.Fatalf("cancel answered %q", s)
 		}
 		time.Sleep(50 * time.Millisecond)
 		for _, m := range names {
 			w.BlockRepliesTo(m)
 		}
-		// Stopped now, its tasks are reported as gone at once, and launches are in
-		// the answer.
+		// The stops are delivered now, so the next heartbeat reports the tasks as gone, and its
+		// (blocked) reply carries the launches.
 		for _, m := range names {
 			w.DeliverHeldCommands(m)
 			w.HoldDirectCommands(m)
@@ -246,11 +249,11 @@
 		time.Sleep(randomDuration(rnd, 1200*time.Millisecond, 1600*time.Millisecond))
 		w.MarkInteraction()
 		started := w.Started()
-		for i := 1; i <= 1+rnd.IntN(2); i++ { // the others want the room
+		for i := 1; i <= 1+rnd.IntN(2); i++ { // cancels the jobs just launched; others wait for the resources
 			w.Cancel(job(110+i, nil).ID)
 		}
 		hang := rnd.IntN(2) == 0
-		for _, m := range names { // what was held up arrives at machines that hang
+		for _, m := range names { // at some seeds the delayed replies arrive while the agent hangs
 			if hang {
 				w.HangMachine(m)
 				w.UnblockRepliesTo(m)
@@ -261,7 +264,7 @@
 		time.Sleep(randomDuration(rnd, 400*time.Millisecond, 1700*time.Millisecond))
 		for _, m := range names {
 			for _, n := range w.Nodes() {
-				w.Network.BlockOneWay(m, n) // nobody hears that they go on
+				w.Network.BlockOneWay(m, n) // no heartbeat shows that the machines go on
 			}
 			w.ResumeMachine(m)
 			w.UnblockRepliesTo(m)
@@ -301,14 +304,14 @@
 	})
 }
 
-// A zone with workers and a controller is cut off from all else for longer than a
-// worker's lease. Its workers go on for as long as a controller there answers them
-// with a valid token; then what they had starts elsewhere, and once only.
+// A zone with workers and a controller is partitioned from everything else for longer than a
+// worker's lease. Its workers keep their tasks for as long as a controller inside answers them
+// under a valid fencing token; after that the tasks start in another zone, once only.
 func TestInteractionZonePartitionAndQuota(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		zone, before := fake.Zones[w.Leader()%2], w.FencingToken()
-		inside := rnd.IntN(3) > 0 // the leader is in that zone
+		inside := rnd.IntN(3) > 0 // the leader is in the partitioned zone
 		if !inside {
 			zone = fake.Zones[1-w.Leader()%2]
 		}
@@ -318,8 +321,8 @@
 				there += n
 			}
 		}
-		// Of all that both teams have, which leaves no zone without any, a job that has
-		// tasks there is cancelled.
+		// A job with a task in the partitioned zone is cancelled; it is drawn from the long jobs of
+		// both teams, which between them have tasks in every zone.
 		inZone := func(j wire.Job) bool {
 			return slices.ContainsFunc(machinesRunningJob(w, j), func(m string) bool { return w.ZoneOf(m) == zone })
 		}
@@ -338,7 +341,8 @@
 			t.Errorf("%d tasks in the zone that is cut off, teams at their limits: %v", there, teamsAtQuota(w))
 		}
 		j := those[rnd.IntN(len(those))]
-		// At a node that users reach: they may ask the others for longer than a lease.
+		// At a node outside of the zone: clients of nodes inside may have to wait for longer than a
+		// lease.
 		said := ""
 		for i := range w.Nodes() {
 			if fake.Zones[i%2] != zone && said == "" {
@@ -352,7 +356,7 @@
 			t.Errorf("%s is cancelled, and has no task in the zone that is cut off", j.ID)
 		}
 		w.MarkInteraction()
-		// A leader in the zone answers for as long as its own lease lasts.
+		// A leader inside the zone answers its workers until its own lease expires.
 		time.Sleep(randomDuration(rnd, 42*time.Second, time.Minute))
 		if w.ExpiredLeases() == 0 {
 			t.Error("no lease ended in the zone")
