--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -29,7 +29,7 @@
 	job          *wire.Job // nil: unknown
 	index        int       // in its job
 	state        string    // one of the wire.Task constants
-	exitReason   string    // one of the wire.Why constants, once it has exited
+	exitReason   string    // one of the wire.Exit constants, once it has exited
 	saved        bool      // it saved its progress before it exited
 	launchedAt   time.Time
 	readyAt      time.Time // its image is there no earlier
