--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -39,11 +39,11 @@
 	if !m.tiers.loaded {
 		m.tiers.loaded = true
 		if raw, ok := m.loadedPlanRecord(inversionRecordName); ok {
-			var rec priority.InversionLog
-			if err := wire.Unmarshal(raw, &rec); err != nil {
+			var recorded priority.InversionLog
+			if err := wire.Unmarshal(raw, &recorded); err != nil {
 				m.log.Error("unreadable priority inversion record, counting anew", "err", err)
 			} else {
-				m.tiers.inversions.Merge(rec)
+				m.tiers.inversions.Merge(recorded)
 			}
 		}
 	}
@@ -83,46 +83,47 @@
 // assign determines the tier of a job by the policy in force.
 func (t *priorityTiers) assign(j *Job) { j.tier = t.policy.TierOf(j.Spec.Team, j.Spec.Class) }
 
-// schedulableCapacity is the capacity of the machines that can be given tasks.
+// schedulableCapacity returns the capacity of the machines that can be given tasks, as last
+// recorded if no machine is known.
 func (m *Model) schedulableCapacity(now time.Time) (total placement.Resources) {
 	for _, mc := range m.Machines {
 		if m.Ready(mc, now) {
 			total = total.Add(m.MachineTypes[mc.typeIndex].Capacity, 1)
 		}
 	}
-	if f := m.tiers.inversions.Capacity; total == (placement.Resources{}) {
-		// None has reported yet, or this model leads nothing and is only asked.
-		total = placement.Resources{CPU: f[0], GPU: f[1], Mem: f[2]}
+	if total != (placement.Resources{}) {
+		return total
 	}
-	return total
+	// No machine has sent a heartbeat yet, or this model was loaded for inspection.
+	recorded := m.tiers.inversions.Capacity
+	return placement.Resources{CPU: recorded[0], GPU: recorded[1], Mem: recorded[2]}
 }
 
 // dominantShare is the share of the fleet that an amount takes of the resource of which it takes
 // most.
 func dominantShare(need, fleet placement.Resources) float64 {
-	part := 0.0
+	share := 0.0
 	for _, x := range [][2]float64{{need.CPU, fleet.CPU}, {need.GPU, fleet.GPU}, {need.Mem, fleet.Mem}} {
 		if x[1] > 0 {
-			part = max(part, x[0]/x[1])
+			share = max(share, x[0]/x[1])
 		}
 	}
-	return part
+	return share
 }
 
 // tierUsage returns the dominant share of the fleet that each tier has.
 func (m *Model) tierUsage(fleet placement.Resources) []float64 {
-	use := make([]placement.Resources, m.tiers.policy.NumTiers())
+	used := make([]placement.Resources, m.tiers.policy.NumTiers())
 	for _, idx := range m.openIndexes {
 		if j := m.Jobs[idx]; j != nil && j.PlacedTasks > 0 {
-			t := j.tier
-			use[t] = use[t].Add(j.Need, float64(j.PlacedTasks))
+			used[j.tier] = used[j.tier].Add(j.Need, float64(j.PlacedTasks))
 		}
 	}
-	out := make([]float64, len(use))
-	for t := range use {
-		out[t] = dominantShare(use[t], fleet)
+	shares := make([]float64, len(used))
+	for tier := range used {
+		shares[tier] = dominantShare(used[tier], fleet)
 	}
-	return out
+	return shares
 }
 
 // promoteStarvedTiers moves what is owed to lower tiers ahead of higher ones: jobs of a tier
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -200,30 +200,30 @@
 	if m.StarvationBound <= 0 {
 		return jobs
 	}
-	var out []*queued
+	var others []*queued
 	for _, k := range jobs {
-		n := k.job.placesToStart()
-		if !k.job.start.mustStart || n == 0 {
-			out = append(out, k)
+		needed := k.job.placesToStart()
+		if !k.job.start.mustStart || needed == 0 {
+			others = append(others, k)
 			continue
 		}
-		for range min(n, triageTasks) {
+		for range min(needed, triageTasks) {
 			places.occupyEarliest(k.runSeconds + m.startupAndSpreadOf(k.job).startDelay())
 		}
 	}
-	return out
+	return others
 }
 
 // remainingWork is how many seconds the unfinished tasks of a job would take one after another.
 func (m *Model) remainingWork(j *Job, now time.Time) float64 {
-	sum, est := 0.0, m.expectedRunTime(j)
+	seconds, estimate := 0.0, m.expectedRunTime(j)
 	for i := range j.Tasks {
 		switch t := &j.Tasks[i]; t.Phase {
 		case TaskIdle:
-			sum += remainingOf(est, t)
+			seconds += remainingOf(estimate, t)
 		case TaskPlaced:
-			sum += m.secondsLeft(j, int32(i), now)
+			seconds += m.secondsLeft(j, int32(i), now)
 		}
 	}
-	return sum
+	return seconds
 }
