--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -137,7 +137,7 @@
 		m.ApplyJobRecord(e.ID, rec, p.version, now)
 		j = m.Job(e.ID)
 	}
-	j.admissionPage, j.Version = p, p.version
+	j.recordedOn(p)
 }
 
 // admissionRemoval is the removal of jobs from an admission page by a batch.
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -46,21 +46,19 @@
 		r.machines = map[int32]bool{}
 	}
 	r.machines[mc.index] = true
-	tk := &j.Tasks[task]
-	tk.Failures = min(tk.Failures+1, 10)
-	wait := min(500*time.Millisecond<<tk.Failures, 60*time.Second)
+	wait := j.Tasks[task].countFailure()
 	m.recordTaskError(j, mc, now)
 	if !r.atFault() {
-		m.avoidMachine(j, mc, now.Add(10*time.Minute))
+		j.avoidMachine(mc.index, now.Add(10*time.Minute))
 		return wait
 	}
 	// The machines are not at fault. Those that have the image already are best for
 	// another try, because it then takes no fetch bandwidth from healthy jobs.
-	j.avoidUntil = nil
+	j.avoidNoMachines()
 	if !now.Before(j.NotBefore) {
 		// The errors of one round arrive together; only the first one begins a new
 		// backoff.
-		j.NotBefore = now.Add(min(firstFaultWait<<min(r.round, 10), lastFaultWait))
+		j.backOffUntil(now.Add(min(firstFaultWait<<min(r.round, 10), lastFaultWait)))
 		r.round++
 		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(r.machines), "lastReason", wire.ExitError,
 			"nextTryInS", j.NotBefore.Sub(now).Seconds())
@@ -79,7 +77,7 @@
 		m.log.Info("job no longer considered at fault", "id", j.ID)
 	}
 	r.proven = true
-	j.NotBefore = time.Time{}
+	j.backOffUntil(time.Time{})
 }
 
 // requestableTasks returns how many of its waiting tasks a job may request places for now, at
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -37,6 +37,22 @@
 // unplace applies the proof that the task is on no machine: it may be placed again.
 func (t *Task) unplace() { t.Phase, t.Placement = TaskIdle, nil }
 
+// end records how a task of a reserved job has ended.
+func (t *Task) end(outcome jobstore.TaskOutcome) { t.Outcome = outcome }
+
+// The backoff of a task that fails doubles with each failure.
+const (
+	firstTaskBackoff   = time.Second
+	longestTaskBackoff = time.Minute
+	maxCountedFailures = 10
+)
+
+// countFailure counts a failure of the task and returns the backoff before it is tried again.
+func (t *Task) countFailure() time.Duration {
+	t.Failures = min(t.Failures+1, maxCountedFailures)
+	return min(firstTaskBackoff<<(t.Failures-1), longestTaskBackoff)
+}
+
 // delayUntil keeps the task from being placed before then.
 func (t *Task) delayUntil(then time.Time) { t.NotBefore = then.UnixMilli() }
 
@@ -175,3 +191,23 @@
 
 // cancel records that the job's user has cancelled it. No task of it is launched any more.
 func (j *Job) cancel() { j.Cancelled = true }
+
+// backOffUntil keeps the whole job from being placed before then.
+func (j *Job) backOffUntil(then time.Time) { j.NotBefore = then }
+
+// avoidMachine keeps the job's tasks from being placed on a machine until the given time.
+func (j *Job) avoidMachine(machine int32, until time.Time) {
+	if j.avoidUntil == nil {
+		j.avoidUntil = map[int32]time.Time{}
+	}
+	j.avoidUntil[machine] = until
+}
+
+// avoidNoMachines allows the job's tasks to be placed on any machine again.
+func (j *Job) avoidNoMachines() { j.avoidUntil = nil }
+
+// quarantine keeps the job from being scheduled, because its placements can't be read.
+func (j *Job) quarantine() { j.quarantined = true }
+
+// recordedOn records that the job's active record is on an admission page.
+func (j *Job) recordedOn(p *admissionPage) { j.admissionPage, j.Version = p, p.version }
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -130,7 +130,7 @@
 		}
 		for i := range j.Chunks {
 			if j.Chunks[i].page == nil {
-				j.quarantined = true
+				j.quarantine()
 				m.log.Error("job quarantined, its placements are unreadable", "id", j.ID)
 				break
 			}
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -76,7 +76,7 @@
 		failed = "error"
 	case wire.ExitNoRoom, wire.ExitBusy:
 		wait = time.Second
-		m.avoidMachine(j, mc, now.Add(5*time.Second))
+		j.avoidMachine(mc.index, now.Add(5*time.Second))
 		failed = t.Why
 	case wire.ExitUnknown:
 		wait = 3 * time.Second
@@ -160,14 +160,6 @@
 	m.stopGang(j, 0, StopGangIncomplete, now)
 }
 
-// avoidMachine keeps a job's tasks from being placed on a machine until the given time.
-func (m *Model) avoidMachine(j *Job, mc *Machine, until time.Time) {
-	if j.avoidUntil == nil {
-		j.avoidUntil = map[int32]time.Time{}
-	}
-	j.avoidUntil[mc.index] = until
-}
-
 // recordSlowness compares a task's run time with its owner's estimate.
 func (m *Model) recordSlowness(j *Job, mc *Machine, p *Placement, now time.Time) {
 	if j.Spec.EstimateS <= 0 || p.runningSince.IsZero() || p.Inherited {
