--- a/controller/answer_checker_test.go
+++ b/controller/answer_checker_test.go
@@ -10,8 +10,8 @@
 	"github.com/umberdeal/umberdeal/internal/fake"
 )
 
-// What the world checks of users' answers can fail: here nodes lose what they have
-// promised, since all records are wiped or written by hand.
+// The checks that fake.Cluster makes of answers to users must be able to fail: here the nodes lose
+// what they have promised, since all records are wiped.
 func TestCheckerDetectsAnswersThatGoBackInTime(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
@@ -44,7 +44,7 @@
 	}
 }
 
-// loseAllRecords has all nodes forget all jobs.
+// loseAllRecords wipes the store while all nodes are down, so that they have no record of any job.
 func loseAllRecords(w *fake.Cluster) {
 	w.KillAll()
 	w.Store.Clear()
--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -20,15 +20,15 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Nights in these stories are minutes long. Simulated time begins at midnight UTC,
-// 1 January 2000, a Saturday.
+// Batch windows in these scenarios are minutes long. Simulated time begins at midnight UTC, 1
+// January 2000, a Saturday.
 
 const nightHours = `fri = "23:30", sat = "00:12", sun = "08:00"`
 
 var nightPlan = plans.Region("here", nightHours, "00:00", 120, `class = "tiles"`) +
 	plans.Region("empty", nightHours, "00:00", 120, `class = "nobody's"`)
 
-// windowRecord is what is committed of a region.
+// windowRecord decodes the committed schedule record of a region.
 func windowRecord(t *testing.T, w *fake.Cluster, region string) (rec calendar.Record) {
 	t.Helper()
 	if raw := w.Store.Value(jobstore.PlanStatePrefix + calendar.RecordName(region)); raw != nil {
@@ -39,17 +39,17 @@
 	return rec
 }
 
-// sleepUntilClock waits until a time of the first day.
+// sleepUntilClock waits until a time of the first simulated day.
 func sleepUntilClock(s string) {
 	at, err := time.Parse("2006-01-02 15:04:05", "2000-01-01 "+s)
 	if err != nil {
-		panic(err) // a story is told wrong
+		panic(err) // a mistake in the test itself
 	}
 	time.Sleep(time.Until(at))
 }
 
-// awaitWindowOutcome waits until a night's outcome is committed, and looks whether it stays
-// the only one.
+// awaitWindowOutcome waits until the outcome of a batch window is committed, and checks that it
+// stays the only one.
 func awaitWindowOutcome(t *testing.T, w *fake.Cluster) calendar.Outcome {
 	t.Helper()
 	for end := time.Now().Add(15 * time.Minute); len(windowRecord(t, w, "here").Past) == 0; {
@@ -73,7 +73,7 @@
 	})
 }
 
-// awaitAllDone is when the last of some jobs is done.
+// awaitAllDone waits until all of the jobs are done, and returns the time.
 func awaitAllDone(t *testing.T, w *fake.Cluster, ids ...string) time.Time {
 	t.Helper()
 	for _, id := range ids {
@@ -82,8 +82,8 @@
 	return time.Now()
 }
 
-// runBatchWindow plays a night of 24 layers on four machines, with as much day work of
-// the same priority that was there before, and says when it was finished.
+// runBatchWindow runs a batch window of 24 layers on four machines, beside as much day work of the
+// same priority that was submitted before, and returns how long it took to finish.
 func runBatchWindow(t *testing.T, trouble func(w *fake.Cluster)) (finish time.Duration) {
 	t.Helper()
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
@@ -130,9 +130,9 @@
 	return finish
 }
 
-// All controllers are replaced one by one while the night's work is under way: the
-// same promises, no work repeated, and the finish that of a night untroubled but
-// for the time in which there was no leader.
+// All controllers are restarted one by one during a batch window: the deadlines stay the same, no
+// work is repeated, and it finishes when an undisturbed window does, but for the time without a
+// leader.
 func TestAllControllersAreReplacedDuringABatchWindow(t *testing.T) {
 	calm := runBatchWindow(t, func(*fake.Cluster) {})
 	replaced := runBatchWindow(t, func(w *fake.Cluster) {
@@ -142,24 +142,24 @@
 		}
 	})
 	t.Logf("finished after %v, and with all controllers replaced after %v (simulated)", calm, replaced)
-	// Without a leader for a few seconds, or by the phase of workers' reports, what is
-	// left at the end may need one round of tasks more: it is two finishes that come,
-	// 46 s apart.
+	// After a few seconds without a leader, or by the phase of the workers' heartbeats, the work
+	// left at the end may need one more round of tasks: there are two possible finishes, 46 s
+	// apart.
 	if replaced > calm+time.Minute {
 		t.Errorf("finished after %v, and untroubled after %v", replaced, calm)
 	}
 }
 
-// The leader stands still across the opening, crashes before it, or nobody can
-// write: the outcome is decided once, by when layers were whole and known to be.
+// The leader is paused across the opening, crashes before it, or nobody can write to the store: the
+// outcome is decided once, by when layers were complete and known to be.
 func TestWindowOutcomeIsDecidedOnceUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		ends   string // about when the last layer's tasks end
+		ends   string // when the last layer's tasks end, roughly
 		begin  func(w *fake.Cluster) (end func())
 		how    calendar.Result
 		done   int
-		within time.Duration // it is late by that at most
+		within time.Duration // the lateness is at most this
 	}{
 		{"the leader stands still, all was done", "00:07:00", stallLeader, calendar.ResultMet, 3, 0},
 		{"the leader stands still, not all is done", "00:14:00", stallLeader, calendar.ResultIncomplete, 2, 0},
@@ -216,8 +216,8 @@
 	return func() { w.Store.SetOutage(false) }
 }
 
-// A plan is applied in the night that makes the opening earlier, and the leader
-// crashes: what counts is the new promise.
+// A plan applied during the batch window makes the opening earlier, and the leader crashes: the new
+// deadline counts.
 func TestPlanChangeMakesAWindowEndEarlier(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
@@ -260,8 +260,8 @@
 	})
 }
 
-// Half of the machines are gone at once, and with them the leader: the forecast is
-// made again and says so, and the night's work is done first on what is left.
+// Half of the machines are lost at once, and the leader with them: a reforecast is recorded with
+// its cause, and the window's jobs go first on the machines that are left.
 func TestHalfOfTheMachinesAreLost(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
@@ -296,12 +296,12 @@
 	})
 }
 
-// Nights of special dates, each with all controllers replaced one by one across
-// the opening.
+// Batch windows at special dates (daylight saving changes and the like), each with all controllers
+// restarted one by one across the opening.
 func TestBatchWindowsOfSpecialDates(t *testing.T) {
 	for _, c := range []struct {
 		name, begin, zone, region string
-		want                      string // the opening, or none that night
+		want                      string // the opening, or none in this window
 	}{
 		{"daylight saving begins", "2000-03-26T00:40:00Z", "Europe/Brussels", `open = { sat = "23:00", sun = "03:05" }
 evening = "01:40"`, "2000-03-26T03:05:00+02:00"},
@@ -360,9 +360,8 @@
 	return at
 }
 
-// Nights that are seeded differently, with day work of the same priority coming all
-// night long, together somewhat more than the machines can do. STORY_SEEDS sets how
-// many are played.
+// Batch windows with different seeds, with day work of the same priority arriving all the time,
+// together somewhat more than the machines can do. STORY_SEEDS sets how many are run.
 func TestBatchDeadlinesAreMetBesideOtherJobs(t *testing.T) {
 	seeds := uint64(2)
 	if n, err := strconv.ParseUint(os.Getenv("STORY_SEEDS"), 10, 64); err == nil {
@@ -387,10 +386,10 @@
 type mixedWindowResult struct {
 	met, day, begun int
 	longest, finish time.Duration
-	changes         int // of the state service
+	changes         int // changes in the key-value store
 }
 
-// runMixedWindow plays a night in which two leaders crash.
+// runMixedWindow runs a batch window during which two leaders crash.
 func runMixedWindow(t *testing.T, seed uint64, text string) (got mixedWindowResult) {
 	t.Helper()
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4, Seed: seed}, func(t *testing.T, w *fake.Cluster) {
@@ -444,7 +443,7 @@
 	return got
 }
 
-// watch takes note of which of the day's jobs have begun.
+// watch records which of the day's jobs have begun.
 func (x *mixedWindowResult) watch(w *fake.Cluster, came map[string]time.Time) {
 	for id, at := range came {
 		began := w.FinishedTasks(id) > 0
@@ -464,16 +463,16 @@
 	}
 }
 
-// runScaleOutAheadWindow plays a night of a layer of so many tasks of a minute, on machines for
-// eight of them that take a minute to boot, of which one is there. It says how it
-// came out, how many machines were rented, and for how many seconds machines were paid.
+// runScaleOutAheadWindow runs a batch window with a layer of that many tasks of a minute each, on
+// machines with room for eight of them that take a minute to boot; one is there from the start. It
+// returns the outcome, how many machines were rented, and for how many seconds machines were paid.
 func runScaleOutAheadWindow(t *testing.T, o fake.Options, tasks int, opens string, trouble func(w *fake.Cluster)) (out calendar.Outcome, rented, paid int) {
 	t.Helper()
 	big := fake.DefaultType
 	big.CPUs, big.MemoryGB, big.BootS = 32, 256, 60
 	o.Types, o.Machines = []wire.MachineType{big}, 1
 	runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
-		sleepUntilClock("00:00:40") // the leader knows its machines
+		sleepUntilClock("00:00:40") // by now the leader knows its machines
 		applyPlan(t, w, 0, strings.ReplaceAll(nightPlan, "00:12", opens))
 		mustSubmit(t, w, tileJob(1, tasks, 60))
 		go trouble(w)
@@ -491,7 +490,8 @@
 		}()
 		if o.Capacity == 1 {
 			sleepUntilClock("00:01:00")
-			// The cloud is asked again and again: a forecast made just then says that room is rented.
+			// Rentals are retried all the time: a forecast made just after a request assumes that
+			// the machines are coming.
 			if !scenario.Eventually(4*time.Minute, time.Second, func() bool {
 				n := windowRecord(t, w, "here").Windows
 				return len(n) == 1 && strings.Contains(n[0].Forecast.Reason, "no machines are to be had")
@@ -512,10 +512,10 @@
 	return out, rented, paid
 }
 
-// A layer of more tasks than a pass asks room for: without machines rented ahead, a
-// boot's time brings room for 64 tasks more, and the night is late. What is rented
-// is the same when the leader dies over it, and when machines are lost they are
-// replaced in time. Where there are none, the forecast says so.
+// A layer of more tasks than one scheduling pass requests room for: without scaling out ahead, each
+// boot time brings room for 64 more tasks only, and the window is late. The same number of machines
+// is rented when the leader crashes in between, and lost machines are replaced in time. Where the
+// cloud has no machines, the forecast says so.
 func TestBatchWindowsScaleOutAhead(t *testing.T) {
 	plain := 0
 	for _, c := range []struct {
@@ -523,7 +523,7 @@
 		room    int
 		how     calendar.Result
 		trouble func(w *fake.Cluster)
-		extra   int // machines rented beyond those of the night untroubled
+		extra   int // machines rented beyond those of the undisturbed window
 	}{
 		{"untroubled", 200, calendar.ResultMet, func(*fake.Cluster) {}, 0},
 		{"the leader dies between record and rental", 200, calendar.ResultMet, func(w *fake.Cluster) {
--- a/controller/encoding_test.go
+++ b/controller/encoding_test.go
@@ -7,7 +7,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// The part of a report that every node reads.
+// The header of a heartbeat, which every node decodes.
 func TestSenderOfAHeartbeatIsReadFromTheRecordedBytes(t *testing.T) {
 	f := golden.Open(t, "encoding.golden")
 	golden.Hold[heartbeatHeader](f, "sender", golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }})
--- a/controller/grown_test.go
+++ b/controller/grown_test.go
@@ -13,11 +13,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A grown cluster records far more placements each second than the state
-// service takes changes, unless many share a key; and when all controllers have
-// crashed, hundreds of workers come back at once and must be answered within
-// their leases. The service refuses 25 changes a second and more, and values
-// and transactions over their limits.
+// A large cluster commits far more placements each second than the key-value store takes changes,
+// unless many share a key; and when all controllers have crashed, hundreds of workers reconnect at
+// once and must be answered within their leases. The store refuses more than 25 changes a second,
+// and values and transactions over their size limits.
 func TestGrownClusterSurvivesCrashOfAllNodes(t *testing.T) {
 	const machines, jobs = grownMachines, grownJobs
 	runScenario(t, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster) {
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -11,23 +11,23 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// These scenarios hold direct commands up on their way: they get no answer and are
-// carried out seconds later, if token and session still match. Each asserts what the late
-// commands met. The fake world checks the protocol's rules, and that nothing is sent
-// directly that does harm when it is late.
+// These scenarios delay direct commands in flight: the sender gets no reply, and the command is
+// carried out seconds later if its fencing token and agent epoch still match. Each scenario asserts
+// which states the late commands found. The checker of fake.Cluster verifies the protocol's rules,
+// and that nothing is sent as a direct command that does harm when it is late.
 
-// lateCommandRounds bounds how often a scenario is repeated until its faults have met.
+// lateCommandRounds bounds how often a scenario is repeated until its faults have interacted.
 const lateCommandRounds = 20
 
-// delayedLimited is the two limited teams with leases of 12 s.
+// delayedLimited is twoLimitedTeams with worker leases of 12 s.
 func delayedLimited() fake.Options {
 	o := twoLimitedTeams()
 	o.LeaseS = 12
 	return o
 }
 
-// submitSavingJobs submits jobs that fill a team's limit, and as many again that wait.
-// Their tasks save when they are stopped, which takes 8 s.
+// submitSavingJobs submits jobs that use up a team's quota, and as many again that wait. Their
+// tasks save a checkpoint when they are stopped, which takes 8 s.
 func submitSavingJobs(t *testing.T, w *fake.Cluster, first int, team string) (ids []string) {
 	t.Helper()
 	for i := range 8 {
@@ -40,15 +40,16 @@
 	return ids
 }
 
-// runningOf lists the jobs that have tasks on machines.
+// runningOf returns those of the jobs that have tasks on machines.
 func runningOf(w *fake.Cluster, ids []string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), func(id string) bool {
 		return len(machinesRunningJob(w, wire.Job{ID: id, Tasks: 2})) == 0
 	})
 }
 
-// Commands of a leader that has ended arrive after the next leader's, while every team is
-// at its limit, jobs are cancelled, one machine hangs and another reaches no controller.
+// Direct commands of a former leader arrive after those of the next one, while both teams are at
+// their quotas, jobs are cancelled, one or two machines hang and another can't open connections to
+// any controller.
 func TestLateCommandsArriveAfterTheNextLeaders(t *testing.T) {
 	runSeeded(t, 51, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -78,8 +79,8 @@
 	})
 }
 
-// cancelAcrossLeaders cancels jobs before and after a change of leader, while one of
-// their machines hangs and another opens no connection to any controller.
+// cancelAcrossLeaders cancels jobs before and after a failover, while some of their machines hang
+// and another can't open connections to any controller.
 func cancelAcrossLeaders(t *testing.T, w *fake.Cluster, rnd *rand.Rand, ids []string) {
 	t.Helper()
 	running := runningOf(w, ids)
@@ -118,8 +119,9 @@
 	w.StartNode(dead)
 }
 
-// A task is told to save, and cancelled while it saves, on a machine that only direct
-// commands reach: the second stop arrives late, and what it ends was cancelled.
+// A task is told to save a checkpoint (its machine has an interruption notice) and is cancelled
+// while it saves, on a machine that only direct commands reach. The second stop arrives late; it
+// may end the checkpointing, since the task was cancelled.
 func TestLateStopEndsATaskThatIsCheckpointing(t *testing.T) {
 	runSeeded(t, 52, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -132,11 +134,11 @@
 			running := runningOf(w, ids)
 			at := machinesRunningJob(w, wire.Job{ID: running[rnd.IntN(len(running))], Tasks: 2})[0]
 			saved := w.DirectCommandsExecuted(at)
-			w.SendInterruptionNotice(at, 30*time.Second) // what is there is told to save
+			w.SendInterruptionNotice(at, 30*time.Second) // its tasks are told to save a checkpoint
 			if !scenario.Eventually(5*time.Second, 20*time.Millisecond, func() bool { return w.DirectCommandsExecuted(at) > saved }) {
 				t.Fatal("nothing on the machine was told to save")
 			}
-			// It saves for 8 s, counts all the while, and starts nowhere else.
+			// It saves for 8 s. All the while it counts against the quota, and starts nowhere else.
 			time.Sleep(randomDuration(rnd, 1500*time.Millisecond, 3*time.Second))
 			w.BlockHeartbeats(at)
 			w.DelayDirectCommands(1, rnd.Uint64())
@@ -157,8 +159,8 @@
 	})
 }
 
-// Commands arrive after the session has ended for which they were sent: the worker
-// refuses them, and what runs there in its next session goes on.
+// Direct commands arrive after the agent epoch for which they were sent has ended: the worker
+// refuses them, and the tasks of its next epoch go on.
 func TestLateCommandsOfAnEndedAgentEpoch(t *testing.T) {
 	runSeeded(t, 53, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -193,9 +195,9 @@
 	})
 }
 
-// Urgent work preempts gangs and arrays while most of the stops are late, and each leader
-// returns under its own name within a second. A gang of which not all tasks were told to
-// save in time falls back to its last checkpoint, and is done in the end.
+// Jobs of high priority preempt gangs and arrays while most of the stops are late, and each
+// leader's process is back under its own name within a second. A gang of which not all tasks were
+// told to save in time falls back to its last checkpoint, and is done in the end.
 func TestLateStopsOfPreemptedGangsWhenALeaderIsReelected(t *testing.T) {
 	runSeeded(t, 54, fake.Options{Machines: 4, Capacity: 4, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -14,16 +14,16 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Stories of workers' reports that arrive late: at a leader that has just begun, at
-// one that has acted already, and after newer ones, of an earlier session and of
-// attempts that have ended. Each says that the meeting took place.
+// Scenarios of heartbeats that arrive late: at a leader that has just been elected, at one that has
+// already acted, and after newer ones, from an earlier agent epoch and about attempts that have
+// ended. Each asserts that the interaction took place.
 
-// randomMillis is a time between two, in milliseconds.
+// randomMillis draws a duration from the given range of milliseconds.
 func randomMillis(rnd *rand.Rand, least, most int) time.Duration {
 	return time.Duration(least+rnd.IntN(most-least)) * time.Millisecond
 }
 
-// changeLeader takes the leader's power, waits for the next one, and gives it back.
+// changeLeader kills the leader, waits for the next one, and starts the former leader's node again.
 func changeLeader(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	was := w.Leader()
@@ -38,8 +38,9 @@
 	w.StartNode(was)
 }
 
-// submitGangAndArrays submits a gang in one zone, an array, and an array of a team that is at its
-// limit; all of it takes machines that have room beside what is there.
+// submitGangAndArrays submits a single-zone gang, an array, and an array of a team at its quota,
+// and returns their numbers. Together they need machines that have room beside the tasks already
+// there.
 func submitGangAndArrays(t *testing.T, w *fake.Cluster, from int, rnd *rand.Rand) []int {
 	t.Helper()
 	mustSubmit(t, w,
@@ -54,8 +55,8 @@
 
 var smallTeams = []config.Team{{Name: "core"}, {Name: "edge", CPUs: 4, CPUsMax: 4}}
 
-// Copies of reports come to every node as a leader begins: they are the first that it
-// hears of their machines.
+// Duplicates of old heartbeats arrive at every node just after a failover: they are the first that
+// the new leader gets from these machines.
 func TestOldHeartbeatsReachEveryNodeDuringFailover(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 6, Capacity: 8, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -77,8 +78,8 @@
 	})
 }
 
-// A machine's report is held back until another leader has placed work, and comes to
-// it then; the machine itself is back later, within its lease or beyond it.
+// A machine's heartbeat is delayed until another leader has placed tasks, and arrives there then;
+// the machine itself hangs and is back later, within its lease or after its expiry.
 func TestHeartbeatIsDelayedUntilTheNextLeaderHasActed(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, LeaseS: 30}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -108,7 +109,7 @@
 		time.Sleep(randomMillis(rnd, 1000, 40_000))
 		w.ResumeMachine(at)
 		w.StartNode(was)
-		time.Sleep(4 * time.Second) // it has reported itself, or nothing of it counts any more
+		time.Sleep(4 * time.Second) // it has sent its own heartbeat, or its lease has expired
 		if status := w.ReplayReport(at, w.Leader()); status == 200 {
 			t.Error("the same report was answered 200 after newer ones")
 		}
@@ -119,8 +120,8 @@
 	})
 }
 
-// Reports of a session that has ended come to the next leader before any of the new
-// session, and again after these; what they list has another attempt elsewhere by then.
+// Heartbeats of an ended agent epoch arrive at the next leader before any of the new epoch, and
+// again after these. The tasks that they list have another attempt elsewhere by then.
 func TestOldHeartbeatsOfEarlierEpochsAndAttempts(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -128,10 +129,10 @@
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 3, 90 }))
 		numbers := submitGangAndArrays(t, w, 1, rnd)
 		time.Sleep(randomMillis(rnd, 3000, 8000))
-		w.DelayCopiesUntilFailover(0) // what is kept is of the sessions that end now
+		w.DelayCopiesUntilFailover(0) // the delayed duplicates are of the epochs that end now
 		zone := fake.Zones[rnd.IntN(2)]
 		w.PartitionZone(zone)
-		time.Sleep(randomMillis(rnd, 13_000, 25_000)) // their leases end, and what was there goes on elsewhere
+		time.Sleep(randomMillis(rnd, 13_000, 25_000)) // their leases expire, and their tasks start elsewhere
 		changeLeader(t, w)
 		time.Sleep(4 * time.Second)
 		met := w.CopyStats()
@@ -152,9 +153,9 @@
 	})
 }
 
-// Copies of the very reports that are being sent come to a new leader, and to the nodes
-// that pass reports on, before these. Refused, each worker went on to the next node, a
-// second of its lease later, and where that met it again and again its lease ended.
+// Duplicates of the very heartbeats that are being sent overtake them at a new leader and at the
+// relays. If the heartbeat itself was then refused as old, the worker went on to the next node, a
+// second of its lease later; where that happened again and again, its lease expired.
 func TestDuplicatesOvertakeTheirHeartbeatsDuringFailover(t *testing.T) {
 	runSeeded(t, 17, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -180,9 +181,9 @@
 	})
 }
 
-// Work is given out while half of the reports are overtaken by their copies, which take
-// the launches along: they are launched with a later answer, once, and no machine is
-// taken for one that does not hear for long.
+// Tasks are launched while half of the heartbeats are overtaken by their duplicates, so that the
+// launches go out in the reply to the duplicate and are lost. They are sent again in a later reply,
+// each task starts once, and no machine is taken for unreachable for long.
 func TestTasksAreLaunchedWhileDuplicatesOvertakeHeartbeats(t *testing.T) {
 	runSeeded(t, 18, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -201,8 +202,8 @@
 	})
 }
 
-// A machine dies just after a report, and copies of that come every second. What ran
-// there goes on elsewhere once its lease is over, and no later than without them.
+// A machine is killed just after a heartbeat, and duplicates of that heartbeat arrive every second.
+// Its tasks start elsewhere once its lease has expired, and no later than without the duplicates.
 func TestDuplicatesOfADeadMachinesLastHeartbeat(t *testing.T) {
 	runSeeded(t, 19, fake.Options{Machines: 3, Capacity: 3, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -234,8 +235,8 @@
 	})
 }
 
-// A copy of the newest report comes to another node than its worker's. It is answered, and
-// its worker does not count as answered there.
+// A duplicate of the newest heartbeat arrives at a node other than its worker's. It is answered,
+// and the worker isn't counted as served there.
 func TestDuplicateHeartbeatDoesNotCountAsAnswered(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
--- a/controller/machine_boot_test.go
+++ b/controller/machine_boot_test.go
@@ -8,8 +8,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A machine may report before its rental is answered and long before the list
-// shows it: it is the one that was ordered.
+// A machine may send its first heartbeat before the reply to its rental arrives, and long before
+// the cloud lists it: it is taken for the machine that was ordered.
 func TestMachinesThatBootAtOnceAreTakenAsRented(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 0, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -18,7 +18,7 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 6, 90 }))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 20*time.Second)
 		time.Sleep(40 * time.Second)
-		if got := w.Cloud.RentedMachines(); got > 4 { // two, and room kept for what may come
+		if got := w.Cloud.RentedMachines(); got > 4 { // two for the tasks, the others for headroom
 			t.Errorf("%d machines rented for two tasks", got)
 		}
 		if left := len(w.Cloud.Machines()); left != w.Cloud.RentedMachines() {
@@ -28,8 +28,8 @@
 	})
 }
 
-// One that never comes up ends in a deletion and another order; what waits is
-// not held for it until then.
+// A machine that never boots is deleted and another is ordered; waiting jobs are not held for it
+// until then.
 func TestPoolMachineThatNeverBootsIsReplaced(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -40,7 +40,8 @@
 			return 8 * time.Second
 		})
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs = 3, 6 }))
-		// All three that there can be are lost: only their return makes room.
+		// None of the three machines that the capacity allows boots: only their deletion makes room
+		// for others.
 		mustReach(t, w, "wk-000001", wire.JobDone, 3*time.Minute)
 		for _, n := range w.Cloud.Machines() {
 			if n < "host-000003" {
--- a/controller/operator_plan_test.go
+++ b/controller/operator_plan_test.go
@@ -12,7 +12,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// awaitPlanVersion waits until every node that is up knows a version of the plan.
+// awaitPlanVersion waits until each of the given nodes knows a version of the plan.
 func awaitPlanVersion(t *testing.T, w *fake.Cluster, version int, nodes ...int) {
 	t.Helper()
 	for _, i := range nodes {
@@ -26,9 +26,9 @@
 	}
 }
 
-// Each leader in turn is killed, stood still or cut off as a plan is applied, and a
-// transaction of one comes a minute late. The store's checker sees that nothing is
-// placed but on condition of the plan in force; every job is done, once.
+// Each leader in turn is killed, paused or partitioned from the store as a plan is applied, and a
+// transaction of one is carried out a minute late. The store's checker verifies that every
+// placement has the plan in force as a guard; every job is done, once.
 func TestPlansAreAppliedWhileLeadersFail(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Metrics: true, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		next := 1
@@ -40,7 +40,7 @@
 		}
 		submit(4)
 		time.Sleep(5 * time.Second)
-		applyPlan(t, w, 0, `note = "before"`) // the first one takes every node to be up
+		applyPlan(t, w, 0, `note = "before"`) // the first plan requires every node to be up
 		version := 1
 		for round, trouble := range []func(w *fake.Cluster) func(){crashLeader, stallLeader, partitionLeaderFromStore, func(w *fake.Cluster) func() {
 			w.Store.DelayNextTransaction(time.Minute)
@@ -49,7 +49,7 @@
 		}} {
 			submit(3)
 			end := trouble(w)
-			for range 2 { // twice, while it lasts
+			for range 2 { // twice, during the fault
 				applyPlan(t, w, version, fmt.Sprintf("note = \"round %d\"", round))
 				version++
 				submit(2)
@@ -69,8 +69,8 @@
 	})
 }
 
-// All nodes are killed at once just after a plan is applied: whoever leads next
-// reads it before it places anything, also where its newest record is damaged.
+// All nodes are killed at once just after a plan is applied: the next leader reads the plan before
+// it places anything, also where the newest record is damaged.
 func TestNewLeaderReadsThePlanBeforeItPlaces(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -89,8 +89,8 @@
 	})
 }
 
-// Where no version can be read any more, what runs goes on and submissions are
-// taken, but nothing is placed as if there were no plan, until one is applied.
+// When no version of the plan can be decoded any more, running tasks go on and submissions are
+// accepted, but nothing is placed as if there were no plan, until a plan is applied.
 func TestNothingIsPlacedUnderALostPlan(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
@@ -114,8 +114,9 @@
 	})
 }
 
-// As long as one node reads no plans none is applied. Once one is, the records have
-// a form by which that version does not lead: it would place by no order at all.
+// As long as one node's version does not support plans, none is applied. Once a plan is applied,
+// the records have a schema version under which such a node does not lead: it would place tasks
+// without the plan's tiers.
 func TestNoPlanIsAppliedBeforeEveryNodeReadsPlans(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true, OlderSchema: []int{2}}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
--- a/controller/operators_test.go
+++ b/controller/operators_test.go
@@ -37,8 +37,8 @@
 	return o
 }
 
-// Every node shows the leader's view, of that moment; without a leader it shows
-// none, rather than what was.
+// Every node shows the leader's status as of that moment; without a leader it shows none rather
+// than an outdated one.
 func TestStatusIsCurrent(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 6, 90 }), job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 20, 8, 90 }))
--- a/controller/paused_process_test.go
+++ b/controller/paused_process_test.go
@@ -9,14 +9,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// The longest and the shortest of what a stop can outlast: a user's poll (2 s),
-// a worker's wait (4 s), the leader's lease (7 s here), a worker's lease (12 s).
+// Pauses just below and just above the timeouts that a pause can outlast: a user's poll (2 s), a
+// worker's wait for a reply (4 s), the leader's lease (7 s here), a worker's lease (12 s).
 var stops = []time.Duration{time.Second, 3900 * time.Millisecond, 4100 * time.Millisecond, 6900 * time.Millisecond,
 	7100 * time.Millisecond, 11900 * time.Millisecond, 12100 * time.Millisecond, 25 * time.Second, time.Minute}
 
-// A process that stands still while its clocks run on acts afterwards on what it
-// knew before. The checker watches the rules; no task may be lost that a leader
-// could have kept, and users are served by the other nodes meanwhile.
+// A process that is paused while clocks run on acts afterwards on what it knew before. The checker
+// verifies the rules; no task may be lost that a leader could have kept, and users are served by
+// the other nodes meanwhile.
 func TestControllersStall(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -53,8 +53,8 @@
 					mustSubmit(t, w, job(4, nil))
 					mustReach(t, w, "wk-000004", wire.JobDone, 2*time.Minute)
 					mustReach(t, w, "wk-000002", wire.JobDone, 4*time.Minute)
-					// Whoever stood still, a worker finds a leader within its lease
-					// as long as there can be one.
+					// Whichever nodes were paused, a worker finds a leader within its lease as long
+					// as there can be one.
 					if n := w.Started(); n > 9 && (len(which) == 1 || d < 10*time.Second) {
 						t.Errorf("%d starts of 9 tasks", n)
 					}
@@ -64,9 +64,9 @@
 	}
 }
 
-// A leader that has no power any more, or stands still, takes connections and
-// answers nothing: each follower that sent a worker there cost it 4 s of a lease
-// of 12 s, and with another node down as well most tasks were killed.
+// A leader that is powered off or paused accepts connections and answers nothing: each follower
+// that sent a worker there cost that worker 4 s of its lease of 12 s, and with another node down as
+// well most tasks were killed.
 func TestWorkersStayWithTheNodeThatAnswersDuringFailover(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 8, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -84,8 +84,8 @@
 	})
 }
 
-// The state service refuses one node while another stands still: a user's
-// request goes past both within its time.
+// The key-value store refuses one node while others are paused: a user's request is forwarded past
+// all of them in time.
 func TestRequestIsForwardedAroundAStalledNode(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Nodes: 4}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -101,9 +101,9 @@
 	})
 }
 
-// Hundreds of users who poll made every node ask the state service as often as
-// it could; together that was several times what the service takes, and the
-// leader's renewals were refused along with the rest, for good.
+// Hundreds of polling users once made every node query the key-value store as often as it could.
+// Together that was several times what the store takes, and the leader's lease renewals were
+// rate-limited along with the rest, so that leadership was lost for good.
 func TestManyPollsDoNotEndLeadership(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Nodes: 5, StateRPS: 40}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
--- a/controller/poll_answers_test.go
+++ b/controller/poll_answers_test.go
@@ -13,16 +13,16 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// polledAnswers is what became of many users' polls.
+// polledAnswers collects the results of many clients' polls.
 type polledAnswers struct {
 	mu         sync.Mutex
-	unanswered time.Duration // the longest that one job was
-	last       string        // that job
+	unanswered time.Duration // longest time that any one job was without an answer
+	last       string        // id of that job
 	refused    int
 	polls      int
 }
 
-// poll asks for each job about every 5 s, for a while, at whichever node.
+// poll queries each job about every 5 s, for the given time, at any node.
 func (a *polledAnswers) poll(w *fake.Cluster, jobs []wire.Job, during time.Duration) {
 	var wg sync.WaitGroup
 	end := time.Now().Add(during)
@@ -55,10 +55,9 @@
 	wg.Wait()
 }
 
-// More users poll than the nodes answer, for jobs that wait, that are cancelled and
-// that are at fault, and all nodes are restarted after an outage of the state
-// service: once that is over every job is answered again and again, however many
-// are told to come later.
+// More clients poll than the nodes can answer, for jobs that wait, that are cancelled and that
+// fail, and all nodes are restarted during an outage of the key-value store. Once that is over
+// every job is answered again and again, however many polls are told to retry later.
 func TestEveryJobIsAnsweredHoweverManyPoll(t *testing.T) {
 	many := 1000
 	if scenario.UnderRace {
@@ -110,14 +109,14 @@
 	})
 }
 
-// A page on which many jobs stand can't be read any more. Whoever has started since
-// answers for those that still stand there, that are placed, or that another node
-// remembers, and calls none of them unknown; the others go on.
+// A page with the records of many jobs can't be decoded any more. Nodes that have started since
+// answer for the jobs that can still be read from it, that have a placement, or of which another
+// node holds a copy, and answer 404 for none; the other jobs go on.
 func TestJobsOfADamagedPageAreStillAnswered(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		scratch bool // most of the page still stands
-		stays   bool // one node goes on
+		scratch bool // most of the page can still be read
+		stays   bool // one node keeps running
 	}{{"in part", true, false}, {"wholly", false, false}, {"wholly, but a node remembers", false, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 3, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
@@ -176,8 +175,8 @@
 	}
 }
 
-// All nodes are restarted one after the other while the form of the records changes:
-// whichever of them a user reaches, each job is answered before, amid and after.
+// All nodes are restarted one after the other while the schema version changes: each job is
+// answered before, during and after that, whichever node a client uses.
 func TestEveryJobIsAnsweredWhileTheSchemaChanges(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, OlderSchema: []int{0, 1, 2}}, func(t *testing.T, w *fake.Cluster) {
 		var jobs []wire.Job
--- a/controller/priorities_test.go
+++ b/controller/priorities_test.go
@@ -29,7 +29,7 @@
 	return got, over
 }
 
-// What a job waits for is told from the records, also while no node is up.
+// The explanation of a waiting job is computed from the records, also while no node is up.
 func TestExplanationOfAWaitingJobWithoutALeader(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 8}, {Name: "edge"}}
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
@@ -65,7 +65,7 @@
 	})
 }
 
-// tierPlan is a plan by which work of the classes is served in that order.
+// tierPlan returns a plan with one priority tier for each of the classes, in that order.
 func tierPlan(classes ...string) string {
 	var out strings.Builder
 	for i, c := range classes {
@@ -77,12 +77,12 @@
 	return out.String()
 }
 
-// wholeMachineJob is a job that takes a whole machine.
+// wholeMachineJob returns a job with one task that takes a whole machine.
 func wholeMachineJob(n int, class string, seconds float64) wire.Job {
 	return job(n, func(j *wire.Job) { j.Class, j.Tasks, j.CPUs, j.EstimateS = class, 1, 8, seconds })
 }
 
-// awaitFirstRunning is the job of which task 0 is on a machine first.
+// awaitFirstRunning returns the first of the jobs whose task 0 is on a machine.
 func awaitFirstRunning(t *testing.T, w *fake.Cluster, within time.Duration, ids ...string) string {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
@@ -96,9 +96,9 @@
 	return ""
 }
 
-// A leader that has read an order, and is in trouble as another is applied, places
-// nothing by the older: neither itself, nor by a transaction that comes a minute
-// late, nor does the next one.
+// A leader that has read one version of the plan fails in some way while a newer version is
+// applied. Nothing is placed by the older tiers: not by that leader, not by a transaction of it
+// that is carried out a minute late, and not by the next leader.
 func TestNothingIsPlacedUnderAnOlderPlan(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -142,7 +142,7 @@
 	}
 }
 
-// awaitRunning waits until task 0 of each job is on a machine, and says on which.
+// awaitRunning waits until task 0 of each job is on a machine, and returns these machines.
 func awaitRunning(t *testing.T, w *fake.Cluster, ids ...string) (on []string) {
 	t.Helper()
 	for _, id := range ids {
@@ -152,9 +152,10 @@
 	return on
 }
 
-// A leader is in trouble as the order is turned round, and learns only then, from a
-// worker, that its team has room for urgent work again, which stops other work. It
-// stops none of what the older order would have stopped first.
+// The order of the tiers is reversed while the leader can't learn of it (partitioned, refused,
+// paused, or its store slow). Only then does a heartbeat show it that a team has quota again for a
+// job of high priority, which preempts other work. The leader must preempt nothing that only the
+// older order would have preempted first.
 func TestNoPreemptionUnderAnOlderPlan(t *testing.T) {
 	at := func(typ string) func(*wire.Job) { return func(j *wire.Job) { j.Types = []string{typ} } }
 	typ := func(name string) wire.MachineType { v := fake.DefaultType; v.Name = name; return v }
@@ -192,7 +193,7 @@
 				applyPlan(t, w, 0, tierPlan("craft", "clinic"))
 				mustSubmit(t, w, wholeMachineJob(2, "craft", 300), wholeMachineJob(3, "clinic", 300), urgent(1, 40, at("m9")))
 				on := awaitRunning(t, w, "wk-000002", "wk-000003", "wk-000001")
-				mustSubmit(t, w, urgent(4, 20, at("m8"))) // waits for its team's limit
+				mustSubmit(t, w, urgent(4, 20, at("m8"))) // waits: its team is at its quota
 				time.Sleep(37 * time.Second)
 				l := w.Leader()
 				end := c.do(w, l)
@@ -205,7 +206,7 @@
 						t.Fatal("clinic work is stopped, by the order before")
 					}
 				}
-				// The next leader may have heard of one machine only by then.
+				// A next leader may have had a heartbeat from one machine only by then.
 				if got := w.MachinesRunning("wk-000004/0")[0]; got != on[0] && w.Leader() == l {
 					t.Errorf("urgent work is on %s, not in the place of crafts' on %s", got, on[0])
 				}
@@ -215,8 +216,8 @@
 	}
 }
 
-// The order is changed twice while the transaction that places by the first one
-// hangs, and is applied a minute late, or not.
+// The plan is changed twice while the transaction that places tasks by its first version hangs; it
+// is carried out a minute late, with its leader still running or killed.
 func TestLateTransactionDoesNotPlaceUnderAnOlderPlan(t *testing.T) {
 	for _, dies := range []bool{false, true} {
 		t.Run(fmt.Sprint("the leader dies: ", dies), func(t *testing.T) {
@@ -225,8 +226,8 @@
 				applyPlan(t, w, 0, tierPlan("craft", "clinic"))
 				mustSubmit(t, w, wholeMachineJob(1, "other", 30))
 				mustReach(t, w, "wk-000001", wire.JobRunning, 30*time.Second)
-				// Jobs that come as the machine is free: the next transaction after
-				// theirs places.
+				// Jobs submitted just as the machine becomes free: the next transaction after their
+				// acceptance is the placement.
 				mustSubmit(t, w, wholeMachineJob(2, "craft", 20), wholeMachineJob(3, "clinic", 20))
 				for len(w.MachinesRunning("wk-000001/0")) > 0 {
 					time.Sleep(20 * time.Millisecond)
@@ -247,8 +248,8 @@
 	}
 }
 
-// Each node knows another version of the order, the newest none of them, and all
-// are back at once: with what they know in memory, and started anew.
+// Each node knows a different older version of the plan and none of them the newest, and all are
+// back at once: with the versions they hold in memory, or restarted.
 func TestNodesWithDifferentOlderPlansPlaceByTheNewest(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		t.Run(fmt.Sprint("restarted: ", restart), func(t *testing.T) {
@@ -281,7 +282,8 @@
 	}
 }
 
-// The newest order can't be read: the one before holds, never none.
+// The newest version of the plan can't be decoded: the version before stays in force; the leader
+// never acts as if there were no plan.
 func TestDamagedPlanLeavesThePreviousOneInForce(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -304,9 +306,9 @@
 	})
 }
 
-// The records say that an order is in force in a form that a later version has
-// written. Nodes of this one that are started again don't lead by what they know
-// of it: nothing is placed until the later version is back.
+// The schema record says that a plan is in force in a form written by a later version. Restarted
+// nodes of this version don't lead by what they know of it: nothing is placed until the schema
+// version is one that they can read.
 func TestVersionThatCannotReadThePlanDoesNotLead(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -338,9 +340,9 @@
 	})
 }
 
-// Clinic work comes without end while leaders are killed in turn. Every other job
-// begins within the bound, and the departures that takes are counted by whoever
-// leads.
+// Jobs of the highest tier arrive without end while leaders are killed in turn. Every other job
+// begins within the bound, and the priority inversions that this takes are counted by whichever
+// node leads.
 func TestEndlessUrgentJobsStarveNobodyDuringFailovers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -375,7 +377,7 @@
 				}
 			}
 		}
-		const most = 180 * time.Second // the longest wait, those before it, and changes of leader
+		const most = 180 * time.Second // the tier's longest wait, jobs that waited before it, and failovers
 		worst := time.Duration(0)
 		for id, at := range came {
 			worst = max(worst, began[id])
@@ -384,7 +386,7 @@
 			}
 		}
 		t.Logf("%d of %d began, the last after %v", len(began), len(came), worst)
-		time.Sleep(40 * time.Second) // the last node that was killed is back, and one leads
+		time.Sleep(40 * time.Second) // the last killed node is back, and there is a leader
 		counted := uint64(0)
 		for _, o := range getOverview(t, w, w.Leader()).Cluster.PriorityInversions {
 			counted += o
--- a/controller/race_test.go
+++ b/controller/race_test.go
@@ -2,7 +2,7 @@
 
 package controller_test
 
-// The race detector's runtime doesn't bear the thousands of goroutines of a
-// grown world: it ended by itself in one run of three. Under it the grown story
-// is played in a smaller world; .ci/run plays the large one without it.
+// The race detector's runtime can't cope with the thousands of goroutines of the large cluster: it
+// aborted in one run of three. Under it the scenario runs on a smaller cluster; .ci/run runs the
+// large one without it.
 const grownMachines, grownJobs = 40, 8
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -16,9 +16,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// TestRulesHoldUnderRandomFailures plays seeded stories of jobs and failures;
-// the fake world checks the protocol's rules on its own. Every accepted job
-// must be over in the end.
+// TestRulesHoldUnderRandomFailures runs seeded scenarios of random jobs and failures; the checker
+// of fake.Cluster verifies the protocol's rules by itself. Every accepted job must have ended at
+// the end.
 func TestRulesHoldUnderRandomFailures(t *testing.T) {
 	seeds := uint64(8)
 	if n, many := seedCount(); many {
@@ -37,8 +37,9 @@
 	})
 }
 
-// randomPlan is a plan of every part, which one goes by its number: who comes first,
-// when the region opens, and how many machines a pool holds.
+// randomPlan returns a plan with every part: priority tiers, a region with a batch window, and a
+// warm pool. Random are which team comes first, when the region opens, and how many machines the
+// pool holds.
 func randomPlan(rnd *rand.Rand) string {
 	first, second := "core", "edge"
 	if rnd.IntN(2) == 0 {
@@ -58,8 +59,8 @@
 		plans.Pool("warm", "img-1", 5, "m8", rnd.IntN(3), 3, 2, "core", `borrowers = ["edge"]`)
 }
 
-// randomScenario runs random faults on a cluster that many times as large; planned says
-// that a plan is in force, and another one now and then.
+// randomScenario injects random faults on a cluster of 6*size machines; with planned, a plan is in
+// force and is replaced now and then.
 //
 //nolint:revive // flag-parameter: the variants of the test differ in it
 func randomScenario(t *testing.T, seed uint64, size int, planned bool) {
@@ -73,14 +74,14 @@
 	w := fake.New(o)
 	defer w.Close()
 	time.Sleep(3 * time.Second)
-	// The other draws stay as they were.
+	// Generators of their own, so that their draws don't change those of rnd.
 	users, machines := rand.New(rand.NewPCG(seed, 23)), rand.New(rand.NewPCG(seed, 24))
 	storage, copies := rand.New(rand.NewPCG(seed, 25)), rand.New(rand.NewPCG(seed, 26))
 	var ids, asked []string
 	cancelled, broken := map[string]bool{}, map[string]bool{}
 	faults := rand.New(rand.NewPCG(seed, 27))
 	plan := scenario.Plans{World: w}
-	next := "" // the plan that is to be applied
+	next := "" // the plan that is yet to be applied
 	if planned {
 		plan.Apply(randomPlan(rnd), time.Minute)
 	}
@@ -104,8 +105,8 @@
 		if planned && step%6 == 5 {
 			next = randomPlan(rnd)
 		}
-		// Operators try again: at some seeds the state service was out each time at which
-		// another plan was due, and tried once each, none was ever applied.
+		// Operators retry: at some seeds the key-value store was out each time that a plan was due,
+		// and with a single attempt each no plan was ever applied.
 		if next != "" && plan.Apply(next, 3*time.Second) {
 			next = ""
 		}
@@ -126,12 +127,12 @@
 	if next != "" && !plan.Apply(next, time.Minute) {
 		t.Error("a plan can't be applied though nothing is wrong any more")
 	}
-	if planned && !plan.Apply("", time.Minute) { // what a plan keeps machines for may leave others waiting
+	if planned && !plan.Apply("", time.Minute) { // jobs may starve because of machines that a plan reserves
 		t.Error("the plan can't be withdrawn though nothing is wrong any more")
 	}
 	asked = append(asked, w.CancelledOnCompletion()...)
 	for _, id := range asked {
-		// Asked again, it is answered as it was.
+		// A repeated cancellation gets the answer of the first.
 		cancelled[id] = w.Cancel(id) == wire.JobCancelled
 	}
 	if starved := w.Starved(90 * time.Second); len(starved) > 0 {
@@ -139,15 +140,15 @@
 	}
 	for _, id := range ids {
 		if broken[id] && !cancelled[id] {
-			// It stays as it is until its user has had enough.
+			// It never completes, so its user cancels it.
 			cancelled[id] = w.Cancel(id) == wire.JobCancelled
 		}
 		want := wire.JobDone
 		if cancelled[id] {
 			want = wire.JobCancelled
 		}
-		// What is left shares what machines there are; that some job does not
-		// end at all is what this looks for.
+		// The jobs left share the machines there are, which may take long; the check is for a job
+		// that never ends.
 		if !w.Await(id, want, 25*time.Minute) {
 			t.Errorf("%s is not %s in the end", id, want)
 		}
@@ -158,14 +159,14 @@
 	if planned && plan.Version < 2 {
 		t.Errorf("only version %d of the plan was ever applied", plan.Version)
 	}
-	// However much went wrong, all is well in the end.
+	// Whatever went wrong, the cluster works normally in the end.
 	last := randomJob(rnd, 999, size)
 	if !w.Submit(last) || !w.Await(last.ID, wire.JobDone, 10*time.Minute) {
 		t.Error("a job submitted after all failures is not done")
 	}
 }
 
-// endFaults undoes everything that random failures do.
+// endFaults ends all faults that the random steps inject.
 func endFaults(w *fake.Cluster) {
 	w.Store.SetOutage(false)
 	w.Store.DropReplies(0, 0, 0)
@@ -205,15 +206,15 @@
 	})
 }
 
-// randomCopies keeps copies of reports for the next leaders from now on, or none any
-// more.
+// randomCopies turns on, or off, delayed duplicates of heartbeats that are delivered to the next
+// leaders.
 func randomCopies(rnd *rand.Rand, w *fake.Cluster) {
 	if rnd.IntN(10) == 0 {
 		w.DelayCopiesUntilFailover(rnd.IntN(4))
 	}
 }
 
-// randomFailure does one thing that goes wrong, or undoes one.
+// randomFailure injects one fault, or ends one.
 func randomFailure(rnd *rand.Rand, w *fake.Cluster) {
 	n := rnd.IntN(3)
 	machine := ""
@@ -298,7 +299,8 @@
 	}
 }
 
-// randomUsers has users ask what the nodes find hard to answer alike.
+// randomUsers has clients query all nodes concurrently, or send unusual requests, which nodes might
+// answer differently.
 func randomUsers(rnd *rand.Rand, w *fake.Cluster, ids []string) {
 	switch rnd.IntN(6) {
 	case 0, 1:
@@ -310,8 +312,8 @@
 	}
 }
 
-// randomMachines does at times one thing to machines that have something to lose.
-// It returns the jobs that it has cancelled, without waiting for the answers.
+// randomMachines at times injects a fault on machines with running tasks, or ends one. It returns
+// the jobs that it has cancelled, without waiting for the answers.
 func randomMachines(rnd *rand.Rand, w *fake.Cluster) (cancelled []string) {
 	switch rnd.IntN(16) {
 	case 0:
@@ -330,8 +332,9 @@
 	return cancelled
 }
 
-// randomDelays holds direct commands or the state service's answers up, has jobs cancelled
-// as they end, cuts a zone's machines off, or ends all nodes for a while; or it ends that.
+// randomDelays delays direct commands or the key-value store's replies, has jobs cancelled as they
+// complete, partitions a zone's machines, or stops all nodes for a while; or it ends one of these
+// faults.
 func randomDelays(rnd *rand.Rand, w *fake.Cluster) {
 	switch rnd.IntN(20) {
 	case 0, 1:
@@ -361,8 +364,8 @@
 	}
 }
 
-// randomStorage makes transactions late or their answers lost, machines come up at
-// once, and deletions late, or ends that; mostly it leaves things as they are.
+// randomStorage has transactions carried out late or their replies lost, machines boot at once, or
+// deletions delayed, or ends one of these faults; mostly it changes nothing.
 func randomStorage(rnd *rand.Rand, w *fake.Cluster) {
 	switch rnd.IntN(12) {
 	case 0:
--- a/controller/reachability_test.go
+++ b/controller/reachability_test.go
@@ -10,10 +10,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Stories of machines that do not hear, of reports that come twice, of nodes that
-// keep only their workers, and of what is back within a fraction of a second.
+// Scenarios of machines that send but don't receive (asymmetric partition), of duplicate
+// heartbeats, of nodes that can reach only their workers, and of restarts within a fraction of a
+// second.
 
-// fillMachines fills every machine but for 3 of its 8 CPUs, so that none is returned.
+// fillMachines uses 5 of the 8 CPUs of every machine by a long job, so that no machine is idle and
+// scaled in; 3 CPUs are left.
 func fillMachines(t *testing.T, w *fake.Cluster, machines int) {
 	t.Helper()
 	mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = machines, 5, 3600 }))
@@ -22,8 +24,9 @@
 	}
 }
 
-// Launches went to a mute machine with every answer, and waited there for as long
-// as it was mute.
+// Replies to a machine are lost while its heartbeats arrive. Launches used to be sent to it with
+// every reply, and its tasks waited for as long as the fault lasted; they must run on other
+// machines.
 func TestNothingWaitsForAnUnreachableMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 3)
@@ -32,7 +35,7 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 3, 10 }))
 		// Two rounds of 10 s, and at worst one wait of 4 s for an answer.
 		mustReach(t, w, "wk-000001", wire.JobDone, 35*time.Second)
-		time.Sleep(35 * time.Second) // its lease is over, and it is empty
+		time.Sleep(35 * time.Second) // its lease has expired, and it has no tasks
 		before := w.Started()
 		mustSubmit(t, w, job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 6, 3, 10 }))
 		time.Sleep(3 * time.Second)
@@ -50,9 +53,10 @@
 	})
 }
 
-// What the last leader had placed on a mute machine, launched or not, goes on
-// elsewhere once that machine's lease is over. It never shows the next one's
-// token, and each of its reports was answered: tasks waited without end.
+// A machine's replies are lost across a failover. What the former leader had placed there, launched
+// or not, starts elsewhere once the machine's lease has expired. The machine never shows the next
+// leader's fencing token, yet each of its heartbeats was answered, which renewed its lease: its
+// tasks waited without end.
 func TestUnreachableMachineDuringFailover(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 4, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 3)
@@ -72,7 +76,7 @@
 	})
 }
 
-// A machine that stays mute is returned, and another rented.
+// A machine that stays unreachable is scaled in, and another one is rented.
 func TestMachineThatStaysUnreachableIsReplaced(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 2)
@@ -89,8 +93,8 @@
 	})
 }
 
-// Copies of reports of a machine that is gone come to a leader that has never
-// heard of it. It looked alive, and tasks were launched there.
+// Duplicates of heartbeats of a deleted machine arrive at a leader that has never had a heartbeat
+// from it. The machine looked alive, and tasks were launched there.
 func TestDuplicateHeartbeatsOfADeletedMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 3)
@@ -105,7 +109,8 @@
 			// The two machines that are left have room for two of its tasks at a time.
 			id := job(1+i, nil).ID
 			mustSubmit(t, w, job(1+i, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 3, 2 }))
-			// By what is committed: a user who asks the dead node again and again learns it late.
+			// The final record is what counts: a client that asks the killed node again and again
+			// learns of it late.
 			if !scenario.Eventually(20*time.Second, 500*time.Millisecond, func() bool { return len(w.Store.Keys(jobstore.FinalKey(id))) > 0 }) {
 				t.Errorf("%s is not done within 20 s: it waits for the machine that is gone", id)
 			}
@@ -117,7 +122,7 @@
 	})
 }
 
-// Copies of all machines' reports come all the time, up to five leases late.
+// Duplicates of all machines' heartbeats arrive all the time, up to five leases late.
 func TestDuplicateHeartbeatsChangeNothing(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		w.DuplicateReports(2)
@@ -134,9 +139,9 @@
 	})
 }
 
-// A node that has lost the state service and the other nodes answers no worker
-// for longer than its lease of the leadership lasts, and sends them on at once:
-// the next leader answers them all before their leases end.
+// A node that can reach neither the key-value store nor the other nodes answers no worker beyond
+// its own leader lease, and redirects its workers at once: the next leader answers all of them
+// before their leases expire.
 func TestNodeKeepsOnlyItsWorkersConnections(t *testing.T) {
 	for name, which := range map[string]func(w *fake.Cluster) int{
 		"the leader":     func(w *fake.Cluster) int { return w.Leader() },
@@ -176,8 +181,8 @@
 	}
 }
 
-// Nodes are back within a fraction of a second, one after another and at once,
-// and so in the middle of the elections that this brings about.
+// Nodes restart within a fraction of a second, one after another and all at once, and so in the
+// middle of the elections that this causes.
 func TestNodesRestartWithinAFractionOfASecond(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 8, Capacity: 8}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 8)
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -15,14 +15,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// damaged are the keys of the state service by what hangs on them, and what becomes
-// of the jobs that were accepted before they were damaged.
+// damaged lists kinds of records in the key-value store to be corrupted, and what is then expected
+// of the jobs that were accepted before.
 var damaged = []struct {
 	name   string
 	is     func(key string) bool
-	sealed bool // whether heads are closed before
-	stuck  bool // of the jobs before no more is asked than that they are answered
-	rare   bool // there may be no such key
+	sealed bool // whether head pages are closed before the corruption
+	stuck  bool // jobs accepted before need only be answered, not run
+	rare   bool // there may be no key of this kind
 }{
 	{name: "heads", is: jobstore.IsHeadPageKey},
 	{name: "sealed pages", is: func(k string) bool { return jobstore.IsJobPageKey(k) && !jobstore.IsHeadPageKey(k) }, sealed: true},
@@ -46,7 +46,7 @@
 	}
 }
 
-// jobsOfAllKinds are jobs of all kinds, from a number on; the last is cancelled by its user.
+// jobsOfAllKinds returns jobs of all kinds, numbered from the given number on.
 func jobsOfAllKinds(from int, seconds float64) (jobs []wire.Job) {
 	for n := range 45 {
 		jobs = append(jobs, job(from+n, func(j *wire.Job) {
@@ -57,7 +57,7 @@
 			case 1:
 				j.Tasks, j.Class = 5, "tiles"
 			case 2:
-				j.Types = []string{"m8", strings.Repeat("x", 5000)} // a key of its own
+				j.Types = []string{"m8", strings.Repeat("x", 5000)} // too large for a page: it gets a key of its own
 			}
 		}))
 	}
@@ -77,8 +77,8 @@
 	wg.Wait()
 }
 
-// submitOpenPages submits jobs at once, so that they share open heads, and has these sealed, if
-// wanted, by a few more that come one by one.
+// submitOpenPages submits jobs at once, so that they share open head pages, and if sealed is set
+// has these pages closed and sealed by a few more jobs that come one by one.
 //
 //nolint:revive // flag-parameter: the variants of the test differ in it
 func submitOpenPages(t *testing.T, w *fake.Cluster, jobs []wire.Job, sealed bool) {
@@ -95,9 +95,9 @@
 	}
 }
 
-// Each kind of key of the state service is damaged in turn, as text or as nothing at
-// all, and then the leader is killed, while the others remember what they have
-// read. Jobs before and after are accepted, answered and run; what is over stays so.
+// Records of each kind are corrupted in turn, overwritten by a string that is no record or by a
+// msgpack nil, and then the leader is killed while the other nodes still hold what they have read.
+// Jobs submitted before and after are accepted, answered and run; what is final stays so.
 func TestServiceContinuesWithAnyDamagedRecord(t *testing.T) {
 	for i, c := range damaged {
 		if scenario.UnderRace && i%3 > 0 {
@@ -158,10 +158,10 @@
 	}
 }
 
-// No node remembers a page of jobs any more that can't be read. It is set aside, and
-// the service goes on: what comes is accepted and runs, under this leader and the
-// next, and no job of the page is called unknown. Ids that were on it may come again:
-// each runs once.
+// No node holds a copy of a corrupted page any more, since all were restarted. The page is
+// quarantined, and the service goes on: new jobs are accepted and run, under this leader and the
+// next, and no job of the page is answered with 404. Its ids may be submitted again: each runs
+// once.
 func TestRecordsWithoutACopyAreQuarantined(t *testing.T) {
 	for _, c := range damaged[:3] {
 		t.Run(c.name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 				for n := range w.Nodes() {
 					w.StartNode(n)
 				}
-				submitAll(t, w, before[10:]) // again, as they were
+				submitAll(t, w, before[10:]) // again, unchanged
 				for _, j := range slices.Concat(after, before) {
 					for n := range w.Nodes() {
 						w.PollState(w.NodeAddr(n), j.ID) // no 404
@@ -201,10 +201,10 @@
 	}
 }
 
-// Pages of jobs are damaged again and again, in place and by a write, while users
-// submit the same ids at all nodes, cancel some, and nodes are killed. No id stands
-// in two places that can be read, nothing is done twice, nobody is told 404, and in
-// the end what is submitted runs.
+// Job pages are corrupted again and again, in place and by an overwriting write, while clients
+// submit the same ids at all nodes, cancel some of them, and nodes are killed. No id has two
+// readable records, no task is done twice, no client gets 404, and in the end what is submitted
+// runs.
 func TestPagesAreDamagedDuringOtherFaults(t *testing.T) {
 	seeds := uint64(4)
 	if scenario.UnderRace {
@@ -236,7 +236,7 @@
 						first.Wait()
 						time.Sleep(later)
 						if cancel {
-							w.Cancel(j.ID) // before, an answer that was on its way might seem to be late
+							w.Cancel(j.ID) // no earlier: the reply to a submission in flight might then look out of date
 						}
 						w.Submit(j)
 					})
@@ -258,7 +258,7 @@
 				case n == 2:
 					fall = []int{rnd.IntN(3)}
 				default:
-					fall = []int{0, 1, 2} // nobody remembers anything
+					fall = []int{0, 1, 2} // no node holds a copy of anything
 				}
 				for _, n := range fall {
 					w.KillNode(n)
--- a/controller/scenarios_test.go
+++ b/controller/scenarios_test.go
@@ -12,7 +12,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Stories are told in other packages as well.
+// The scenario helpers are shared with the tests of other packages.
 var (
 	runScenario = scenario.Run
 	job         = scenario.Job
@@ -50,7 +50,7 @@
 		w.StartAll()
 		mustReach(t, w, "wk-000002", wire.JobDone, 2*time.Minute)
 		mustReach(t, w, "wk-000001", wire.JobCancelled, 5*time.Second)
-		time.Sleep(40 * time.Second) // the checker watches for tasks past cancel_s
+		time.Sleep(40 * time.Second) // the checker reports tasks that outlast cancel_s
 		if keys := w.Store.JobKeys(); len(keys) > 0 {
 			t.Errorf("records left of jobs that are over: %v", keys)
 		}
@@ -59,8 +59,8 @@
 
 func TestLateTransactionOfADeadLeaderFails(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
-		// The placement's commit hangs and is applied long after its leader
-		// has died: the guard on the leader key must refuse it.
+		// The transaction that commits the placement hangs and is carried out long after its leader
+		// was killed: the guard on the leader key must refuse it.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		time.Sleep(3 * time.Second)
 		w.Store.DelayNextTransaction(40 * time.Second)
@@ -74,7 +74,7 @@
 func TestLateHeartbeatIsIgnored(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Nodes: 1}, func(t *testing.T, w *fake.Cluster) {
 		name := w.Cloud.Machines()[0]
-		w.CaptureReport(name) // lists no task
+		w.CaptureReport(name) // captured while the machine is empty: lists no task
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		time.Sleep(8 * time.Second)
 		if len(w.MachinesRunning("wk-000001/0")) != 1 {
@@ -100,7 +100,7 @@
 		w.Cancel("wk-000001")
 		time.Sleep(9 * time.Second)
 		mustSubmit(t, w, job(2, func(j *wire.Job) { j.Tasks = 4; j.CPUs = 4 }))
-		w.ResumeMachine(name) // the stops it was sent are executed now
+		w.ResumeMachine(name) // the stops that were sent to it are executed now
 		mustReach(t, w, "wk-000002", wire.JobDone, 2*time.Minute)
 	})
 }
@@ -187,8 +187,8 @@
 		time.Sleep(25 * time.Second)
 		w.SendInterruptionNotice(w.MachinesRunning("wk-000001/0")[0], 8*time.Second)
 		time.Sleep(8 * time.Second)
-		// The first checkpoint would be at 50 s: without an orderly stop there
-		// would be nothing.
+		// The first regular checkpoint would come at 50 s: without a graceful eviction there would
+		// be no saved progress.
 		if got := w.CheckpointedProgress("wk-000001"); got < 10 {
 			t.Errorf("saved progress %g s", got)
 		}
@@ -258,8 +258,8 @@
 				t.Errorf("a node that is up answered %d", status)
 			}
 			time.Sleep(5 * time.Second)
-			// A node back this early ends its own lease, so that the next
-			// leader answers workers well within theirs: no task starts twice.
+			// A node that is back this early revokes its own former lease, so that the next leader
+			// answers workers well within their leases: no task starts twice.
 			w.StartNode(i)
 			mustSubmit(t, w, job(10+i, nil))
 		}
--- a/controller/schema_test.go
+++ b/controller/schema_test.go
@@ -19,7 +19,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// countOwnAndSharedRecords counts the jobs that have a key of their own, and those that share one.
+// countOwnAndSharedRecords counts the jobs that have a record of their own, and those that share a
+// page.
 func countOwnAndSharedRecords(w *fake.Cluster) (own, shared int) {
 	for _, k := range w.Store.Keys(jobstore.JobPrefix) {
 		var page jobstore.JobPage
@@ -32,15 +33,15 @@
 	return own, shared
 }
 
-// While one node reads the form of records before, that is what is written, under
-// whichever leader; once it has been restarted as the newer version, jobs share
-// pages, and those that have keys of their own go on.
+// While one node reads only the previous schema version, records are written in that version under
+// whichever leader; once it has been restarted as the newer version, jobs share pages, and jobs
+// with keys of their own go on.
 func TestRollingRestartRaisesTheSchemaVersionAtItsEnd(t *testing.T) {
 	for older := range 3 {
 		runScenario(t, fake.Options{Machines: 4, OlderSchema: []int{older}}, func(t *testing.T, w *fake.Cluster) {
 			long := func(j *wire.Job) { j.EstimateS = 90 }
 			mustSubmit(t, w, job(1, long), job(2, nil))
-			// A change of leader in each direction.
+			// Two failovers, so that leadership moves in either direction between the nodes.
 			for n := range 2 {
 				l := w.Leader()
 				w.KillNode(l)
@@ -78,8 +79,8 @@
 	}
 }
 
-// What the version before has written, as it wrote it, is read: its jobs run, what
-// was over stays so, and repeats are known.
+// Records written by the previous version, byte for byte, are read: its jobs run, its finished jobs
+// stay finished, and repeated submissions are recognized.
 func TestRecordsOfThePreviousSchemaAreRead(t *testing.T) {
 	f, err := os.Open("testdata/form1.snapshot")
 	if err != nil {
@@ -134,7 +135,8 @@
 		if keys := w.Store.JobKeys(); len(keys) > 0 {
 			t.Errorf("records left: %v", keys)
 		}
-		// What was done before is done, though no machine of this world has run it.
+		// Jobs that were done in the snapshot are done although no machine of this cluster has run
+		// them, which the checker takes for a violation.
 		broken := slices.DeleteFunc(w.Violations(), func(b string) bool {
 			return strings.Contains(b, "wk-000501") || strings.Contains(b, "wk-000502") || strings.Contains(b, "wk-000506")
 		})
@@ -144,8 +146,9 @@
 	})
 }
 
-// A burst of submissions at 25 changes a second while all nodes are restarted: all
-// are accepted within their users' minute, by few changes, and none is forgotten.
+// A burst of submissions with the store limited to 25 changes a second while all nodes are
+// restarted: all are accepted within the minute for which their clients wait, in few changes, and
+// none is lost.
 func TestBurstOfJobsWhileAllNodesRestart(t *testing.T) {
 	burst := 2000
 	if scenario.UnderRace {
@@ -188,8 +191,8 @@
 	})
 }
 
-// How long submissions wait at 25 changes a second, by how many come a second, with
-// the form of records before and with this one. -v prints the figures.
+// How long submissions wait at 25 changes a second, by the number of submissions a second, with the
+// previous schema version and with this one. -v prints the figures.
 func TestSubmissionsPerSecond(t *testing.T) {
 	rates := []int{1, 20, 300, 500}
 	if scenario.UnderRace {
@@ -198,7 +201,7 @@
 	for _, older := range [][]int{{0, 1, 2}, nil} {
 		for _, rate := range rates {
 			if older != nil && rate > 100 {
-				continue // they come for longer than their users wait
+				continue // they arrive for longer than their clients wait
 			}
 			runScenario(t, fake.Options{Machines: 4, OlderSchema: older}, func(t *testing.T, w *fake.Cluster) {
 				w.Store.LimitWrites(25)
@@ -235,9 +238,9 @@
 	}
 }
 
-// A record that can't be read is named, and the jobs that depend on it are quarantined: they are
-// neither forgotten nor started again, their users can cancel them, and the other jobs
-// go on under the next leader.
+// A record that can't be decoded is named in the log, and the jobs that depend on it are
+// quarantined: they are neither lost nor started again, their users can cancel them, and the other
+// jobs go on under the next leader.
 func TestDamagedRecordsAreQuarantinedAndTheOthersContinue(t *testing.T) {
 	for _, c := range []struct{ name, key string }{
 		{"a job", jobstore.JobKey("wk-000001")}, {"a page of placements", jobstore.PlacementPageKey(0)},
@@ -264,9 +267,9 @@
 					t.Errorf("%d tasks were started, the two others have 4", got)
 				}
 				last := w.Leader()
-				w.KillNode(last) // it stays so under the next
+				w.KillNode(last) // the job stays quarantined under the next leader
 				time.Sleep(time.Minute)
-				w.StartNode(last) // users may come to any node
+				w.StartNode(last) // clients may use any node
 				time.Sleep(5 * time.Second)
 				if got := w.PollState(w.AnyNodeAddr(), "wk-000001"); got != wire.JobPending && got != wire.JobRunning {
 					t.Errorf("the quarantined job is %q", got)
@@ -285,7 +288,7 @@
 	}
 }
 
-// logBuffer is a log in memory.
+// logBuffer collects log output in memory.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
--- a/controller/seeds_test.go
+++ b/controller/seeds_test.go
@@ -11,14 +11,15 @@
 	"github.com/umberdeal/umberdeal/internal/fake"
 )
 
-// seedCount says how many seeds are asked for instead of those that are always played.
+// seedCount returns how many seeds STORY_SEEDS asks for; many is false if it is not set, and the
+// default number of seeds is run.
 func seedCount() (n uint64, many bool) {
 	n, err := strconv.ParseUint(os.Getenv("STORY_SEEDS"), 10, 64)
 	return n, err == nil
 }
 
-// runSeeded plays a story a few times, or as often as STORY_SEEDS says, with other times
-// within the same window: they are drawn from the seed and the story's own number.
+// runSeeded runs a scenario a few times, or as often as STORY_SEEDS says. The times of its faults
+// are drawn, within the same windows, from the seed and the scenario's own number.
 func runSeeded(t *testing.T, number uint64, o fake.Options, tell func(t *testing.T, w *fake.Cluster, rnd *rand.Rand)) {
 	t.Helper()
 	seeds, many := seedCount()
@@ -33,7 +34,7 @@
 	}
 }
 
-// randomDuration draws a time from a window.
+// randomDuration draws a duration from a window.
 func randomDuration(rnd *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(rnd.Int64N(int64(to-from)))
 }
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -18,13 +18,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Stories in which troubles meet at the users' door. Each sees to it that they do
-// meet: one in which they miss one another fails. docs/fault-interactions.md lists them with
-// the guards that keep the rules.
+// Scenarios of faults that interact in what users see: submissions, status queries and
+// cancellations. Each asserts that the faults overlapped, and fails if not.
+// docs/fault-interactions.md lists them with the guards that keep the rules.
 
-// runInteraction plays a story for a few seeds, or for as many as STORY_SEEDS says, and says
-// how often its troubles met. Where both sides of a race must win now and then, it goes
-// on until they have: in a single seed chance alone leaves one of them out.
+// runInteraction runs a scenario for a few seeds, or for as many as STORY_SEEDS says, and logs how
+// often its faults interacted. Where both sides of a race must win now and then, it goes on until
+// they have: in a single seed one of them may be missing by chance.
 func runInteraction(t *testing.T, seeds uint64, o fake.Options, play func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int, both ...func() bool) {
 	t.Helper()
 	if n, many := seedCount(); many {
@@ -49,17 +49,19 @@
 	}
 }
 
-// bothOutcomesOccurred says whether some jobs ended as done and some as cancelled.
+// bothOutcomesOccurred returns a function that reports whether some jobs ended as done and some as
+// cancelled.
 func bothOutcomesOccurred(ends map[string]int) func() bool {
 	return func() bool { return ends[wire.JobDone] > 0 && ends[wire.JobCancelled] > 0 }
 }
 
-// shortJob is a job of one task of 2 s.
+// shortJob returns a job of one task of 2 s.
 func shortJob(n int) wire.Job {
 	return job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 2, 0.1 })
 }
 
-// eventually waits for what will be so at any moment, and says whether it was.
+// eventually waits for a condition that may hold for a moment only, checking every millisecond, and
+// reports whether it held.
 func eventually(within time.Duration, ok func() bool) bool {
 	return scenario.Eventually(within, time.Millisecond, ok)
 }
@@ -68,16 +70,16 @@
 	return w.Store.Value(key) != nil
 }
 
-// Users look at all nodes within milliseconds, and submit once more, just after
-// their job was accepted, was done or was cancelled. One node is refused by the state
-// service and asks the others, and nodes stand still for a moment again and again. No
-// answer is older than one that the user had before asking.
+// Clients query all nodes within milliseconds, and submit once more, just after their job was
+// accepted, was done or was cancelled. The key-value store refuses one node, which asks the others,
+// and nodes are paused for a moment again and again. No answer is older than one that the client
+// had before it asked.
 func TestAllPeersAreQueriedConcurrently(t *testing.T) {
 	runInteraction(t, 3, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		w.Store.SetLatency(time.Duration(rnd.IntN(40)) * time.Millisecond)
 		refused := rnd.IntN(3)
 		w.Store.RefuseNode(w.Nodes()[refused])
-		time.Sleep(6 * time.Second) // it may have led
+		time.Sleep(6 * time.Second) // it may have been the leader
 		over := make(chan struct{})
 		var stands, wg sync.WaitGroup
 		stands.Go(func() {
@@ -135,9 +137,9 @@
 	})
 }
 
-// A node's transaction is carried out at once and only its answer is lost: others
-// read it, and act on it, before its sender knows. Whatever the sender says then is
-// not older than what they have said.
+// A node's transaction is carried out at once and only its reply is lost: other nodes read the
+// change, and act on it, before its sender knows of it. What the sender answers then must not be
+// older than what they have answered.
 func TestPeersReadCommitsUnknownToTheirSender(t *testing.T) {
 	lose := func(w *fake.Cluster, rnd *rand.Rand, key string) bool {
 		w.Store.DropReplies(0, 1, rnd.Uint64())
@@ -219,7 +221,7 @@
 				if sent, _ := w.Store.UnansweredTransactions(); sent > met {
 					met++
 				}
-				// Its leader has no answer for 2 s.
+				// The leader gets no reply for 2 s.
 				if got := w.CancelAt(w.NodeAddr(rnd.IntN(3)), j.ID); got != wire.JobDone {
 					t.Errorf("cancelling %s, which is done, is answered %q", j.ID, got)
 				}
@@ -245,7 +247,7 @@
 				if got := w.CancelAt(w.NodeAddr(rnd.IntN(3)), j.ID); got != wire.JobCancelled {
 					t.Errorf("cancelling %s is answered %q", j.ID, got)
 				}
-				// The placement is in the store, and the leader does not know it.
+				// The placement is committed, and the leader doesn't know it.
 				if sent, done := w.Store.UnansweredTransactions(); sent > had && done == sent && len(w.Store.Keys(strings.TrimSuffix(jobstore.PlacementPageKey(0), "0"))) > 0 {
 					met++
 				}
@@ -260,8 +262,8 @@
 	})
 }
 
-// A transaction has no answer because it is still on its way, and comes when its sender
-// has long gone on: whoever takes it for carried out is wrong.
+// A transaction has no reply because it is still in flight, and is carried out long after its
+// sender has given up on it: taking it for carried out before then is wrong.
 func TestUnansweredRequestsWereNotExecuted(t *testing.T) {
 	t.Run("a cancellation", func(t *testing.T) {
 		ends := map[string]int{}
@@ -283,7 +285,7 @@
 				var state string
 				wg.Go(func() { state = w.CancelAt(w.NodeAddr(a), j.ID); knows.Store(true) })
 				onItsWay := eventually(time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
-				// Its sender asks the store again after 2 s: by then the job may have ended.
+				// Its sender reads the store again after 2 s: by then the job may have ended.
 				ended := eventually(10*time.Second, func() bool { return knows.Load() || keyExists(w, jobstore.FinalKey(j.ID)) })
 				if onItsWay && ended && !knows.Load() {
 					met++
@@ -353,7 +355,7 @@
 				if w.Store.PendingTransactions() > 0 {
 					met++
 				}
-				// Whoever leads next knows of it what the store says.
+				// The next leader knows only what the store says.
 				l := awaitLeader(t, w, 10*time.Second, anyNode)
 				w.KillNode(l)
 				awaitLeader(t, w, 20*time.Second, func(i int) bool { return i != l })
@@ -376,7 +378,7 @@
 				come := w.Store.HoldNextTransactionOn(pageKeys)
 				defer come()
 				mustSubmit(t, w, j)
-				// Its leader hears of nothing but by the barriers of its renewals.
+				// The leader learns of changes only by the read barriers of its renewals.
 				node := w.Nodes()[awaitLeader(t, w, 10*time.Second, anyNode)]
 				w.Store.SilenceWatches(node)
 				onItsWay := eventually(10*time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
@@ -397,9 +399,9 @@
 	})
 }
 
-// Requests that users seldom send come to every node while all is well, while many
-// submissions come, while the state service refuses one node, while it is out, and
-// after all nodes have begun anew: each is answered as it must be, or not for good.
+// Unusual requests arrive at every node while all is well, while many jobs are submitted, while the
+// key-value store refuses one node, while it is out, and after all nodes have been restarted: each
+// gets its proper answer, or a temporary refusal.
 func TestUnusualRequestsDuringFaults(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 20}, {Name: "edge"}}
 	runInteraction(t, 3, fake.Options{Machines: 4, Capacity: 4, Teams: teams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
@@ -462,9 +464,9 @@
 	})
 }
 
-// A node's acceptance hangs, and nobody knows whether it will be: meanwhile the other
-// nodes know nothing of the job and say so at once. It is carried out late, beside its
-// user's next submission or instead of it, and once.
+// The transaction that accepts a job hangs, and nobody knows whether it will be carried out:
+// meanwhile the other nodes don't know the job and say so at once. It is carried out late, beside
+// the client's next submission or instead of it, and the job is accepted once.
 func TestAcceptanceIsNeverConfirmedToItsUser(t *testing.T) {
 	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 		for n := range 6 {
@@ -501,10 +503,10 @@
 	})
 }
 
-// Jobs of one task come four a second for minutes, a quarter of them is cancelled, and
-// users ask meanwhile: submissions and cancellations are answered, ends are recorded as
-// fast as they come, and nothing is left. Where that is more than the state service
-// takes, the leader's own writes wait, and users don't.
+// Four single-task jobs a second are submitted for minutes, a quarter of them is cancelled, and
+// clients poll meanwhile: submissions and cancellations are answered, final records are written as
+// fast as jobs end, and no record is left over. Where that is more than the key-value store takes,
+// the leader's own writes wait, and users don't.
 func TestManySmallJobsForMinutes(t *testing.T) {
 	t.Run("enough changes a second", func(t *testing.T) {
 		manySmallJobs(t, 3*time.Minute, 25, 60, 2*time.Second, 2*time.Second, 3*time.Second)
@@ -514,8 +516,9 @@
 	})
 }
 
-// manySmallJobs lets jobs come while the state service takes so many changes a second.
-// No more keys of unfinished jobs than that are there at once, and nothing takes longer.
+// manySmallJobs submits jobs while the key-value store takes the given number of changes a second,
+// and asserts that there are at most so many keys of unfinished jobs at once, and that nothing
+// takes longer than its bound.
 //
 //nolint:revive // argument-limit: each is a bound of the variant, read at its call
 func manySmallJobs(t *testing.T, during time.Duration, changes float64, keys int, accept, cancel, end time.Duration) {
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -9,27 +9,27 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Stories of the summons: the direct command by which a worker reports at once,
-// and so gets a launch that is ready for it.
+// Scenarios of wake-ups: the direct command that makes a worker send its heartbeat at once, and so
+// receive a launch that is ready for it.
 
-// slowHeartbeats is a deployment whose workers report every 4 s.
+// slowHeartbeats is a deployment whose workers send a heartbeat every 4 s.
 func slowHeartbeats(machines int) fake.Options {
 	return fake.Options{Machines: machines, Capacity: machines, ReportIntervalS: 4, LeaseS: 22}
 }
 
-// singleTaskJob is a job with one task that fills a machine.
+// singleTaskJob returns a job with one task that fills a machine.
 func singleTaskJob(n int, seconds float64) wire.Job {
 	return job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, seconds })
 }
 
-// Machines reported every 4 s, and a launch waited for the next report: 2 s on
-// average, and a gang for the last of its machines.
+// Workers send a heartbeat every 4 s. Without wake-ups a launch waited for the next heartbeat, 2 s
+// on average, and a gang for that of the last of its machines.
 func TestLaunchDoesNotWaitForTheNextHeartbeat(t *testing.T) {
 	runScenario(t, slowHeartbeats(8), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		time.Sleep(20 * time.Second)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.ImageGB = 8, 8, 1 }))
-		time.Sleep(2500 * time.Millisecond) // of which the image takes 1 s
+		time.Sleep(2500 * time.Millisecond) // the image fetch takes 1 s of it
 		if n := w.Running(); n != 8 {
 			t.Errorf("%d of the gang's 8 tasks run", n)
 		}
@@ -38,7 +38,7 @@
 	})
 }
 
-// The operators may switch it off: launches wait for reports, as they did.
+// Operators may switch wake-ups off: launches then wait for heartbeats, as they did before.
 func TestWithoutWakeUpsLaunchesGoWithTheNextHeartbeats(t *testing.T) {
 	o := slowHeartbeats(8)
 	o.NoWakeUps = true
@@ -62,7 +62,7 @@
 	})
 }
 
-// checkNoWakeUpListed fails where a worker still lists what a summons left.
+// checkNoWakeUpListed asserts that no worker still lists the pseudo-task that a wake-up leaves.
 func checkNoWakeUpListed(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	time.Sleep(12 * time.Second)
@@ -73,9 +73,10 @@
 	}
 }
 
-// A summons whose connection is held for two minutes is executed then, since
-// token and session still match. By then its job is over, or elsewhere; it is
-// delivered twice, as after a forget, and starts nothing.
+// A wake-up whose connection is held for two minutes is executed then, since its fencing token and
+// agent epoch still match. By then its job has ended, or its task runs on another machine. The
+// wake-up is delivered twice, as if the worker had been told to forget it in between, and starts
+// nothing.
 func TestWakeUpThatArrivesMinutesLateStartsNothing(t *testing.T) {
 	for name, meanwhile := range map[string]func(t *testing.T, w *fake.Cluster, at string){
 		"its job was cancelled": func(t *testing.T, w *fake.Cluster, _ string) {
@@ -98,7 +99,7 @@
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, slowHeartbeats(3), func(t *testing.T, w *fake.Cluster) {
 				t.Helper()
-				// So that no machine is idle, and returned.
+				// Keeps every machine busy, so that none is scaled in.
 				mustSubmit(t, w, job(9, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 5, 900 }))
 				time.Sleep(20 * time.Second)
 				all := w.Cloud.Machines()
@@ -140,8 +141,8 @@
 	}
 }
 
-// The worker's session ends while its summons is under way: it is refused, and
-// the task runs once.
+// The worker's agent epoch ends while a wake-up is in flight: the wake-up is refused, and the task
+// runs once.
 func TestEndedAgentEpochRefusesItsWakeUp(t *testing.T) {
 	runScenario(t, slowHeartbeats(1), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -164,8 +165,8 @@
 	})
 }
 
-// The leader stands still somewhere between accepting a job, committing its
-// place and sending the summons, and goes on within its lease or past it.
+// The leader is paused somewhere between accepting a job, committing its placement and sending the
+// wake-up, and goes on before or after its lease has expired.
 func TestLeaderThatEndsBeforeItsWakeUpsStartsNothingTwice(t *testing.T) {
 	for _, stop := range []time.Duration{3 * time.Second, 25 * time.Second} {
 		t.Run(stop.String(), func(t *testing.T) {
@@ -193,8 +194,8 @@
 	}
 }
 
-// A machine hangs while the answer to the report of its task's end is held back
-// for what comes next there. What it was to run runs, once, there or elsewhere.
+// A machine hangs while the reply to the heartbeat that reports its task's completion is held open
+// for the next launch there. What was to run there runs, once, there or on another machine.
 func TestMachineHangsWhileItsHeartbeatAnswerIsDelayed(t *testing.T) {
 	for _, hang := range []time.Duration{2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		t.Run(hang.String(), func(t *testing.T) {
@@ -206,7 +207,7 @@
 						break
 					}
 				}
-				time.Sleep(150 * time.Millisecond) // its report is there, its answer not yet
+				time.Sleep(150 * time.Millisecond) // its heartbeat has arrived and has no reply yet
 				m := w.Cloud.Machines()[0]
 				w.HangMachine(m)
 				time.Sleep(hang)
--- a/controller/warm_pools_measure_test.go
+++ b/controller/warm_pools_measure_test.go
@@ -19,19 +19,19 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// burst is a burst of replicas on a fleet whose machines are full of other work.
+// burst is a burst of service replicas on a fleet whose machines are busy with other work.
 type burst struct {
 	fleet, replicas int
 	gb              float64
-	mode            string // "bare": empty machines and nothing to fetch; "none", "fixed", "hours"
+	mode            string // "bare": idle machines and no image to fetch; "none", "fixed", "hours": without a pool, with a pool of fixed size, with a pool sized by hourly demand
 }
 
-// machineRate is what a machine costs an hour.
+// machineRate is the price of a machine per hour.
 const machineRate = 12
 
-// play plays a burst minutes after one o'clock; the pool "hours" has seen two
-// such weeks. It returns after how long each replica ran, in order, and what the
-// pool's machines had cost by then.
+// play runs a burst some minutes after one o'clock; in mode "hours" the pool has a record of two
+// weeks with the same demand. It returns how long each replica took to run, in order, and the cost
+// of the pool's machines up to then.
 func (b burst) play(t *testing.T) (ran []time.Duration, cost float64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -41,12 +41,12 @@
 			Burst: warmpool.Burst{Replicas: b.replicas, WithinS: 10}, MaxHourlyCost: 1e6, Payer: "speech"}
 		after := 5 * time.Minute
 		if b.fleet >= 1000 {
-			after, p.ConcurrentFetches = time.Minute, b.replicas/2 // less time to play
+			after, p.ConcurrentFetches = time.Minute, b.replicas/2 // keeps the run short
 		}
 		lead := p.LeadTime(b.replicas, 45*time.Second, 1)
 		begin := hour.Add(-lead - 3*time.Minute)
 		if b.mode == "bare" {
-			begin = hour.Add(after - 3*time.Minute) // idle machines are returned after four
+			begin = hour.Add(after - 3*time.Minute) // idle machines are scaled in after four minutes
 		}
 		time.Sleep(time.Until(begin))
 		o := fake.Options{Machines: b.fleet, Capacity: b.fleet + b.replicas + 20, Types: []wire.MachineType{typ}, ReportIntervalS: 5, LeaseS: 30,
@@ -106,7 +106,7 @@
 			t.Errorf("%+v: %d replicas never ran", b, len(waiting))
 		}
 		if b.mode == "hours" {
-			time.Sleep(70 * time.Second) // until the account is recorded
+			time.Sleep(70 * time.Second) // until the charges are recorded
 			s := poolState(t, w)
 			checkChargesAddUp(t, s)
 			_, machines := warmpool.Totals(s.Shards)
@@ -117,7 +117,7 @@
 	return ran, cost
 }
 
-// remember records two weeks in which the hour brought what it is to bring.
+// remember writes a demand record of two weeks in which the hour had the burst's demand.
 func (b burst) remember(t *testing.T, w *fake.Cluster, hour time.Time) {
 	t.Helper()
 	week := &warmpool.WeeklyDemand{}
@@ -130,13 +130,12 @@
 	if _, err := st.CompareAndSwap(context.Background(), nil, []wire.Op{{Put: jobstore.PlanStatePrefix + warmpool.DayName("llm", d), Value: week.EncodeDay(d)}}); err != nil {
 		t.Fatal(err)
 	}
-	restartLeader(w) // the next one reads it
+	restartLeader(w) // the next leader reads the record
 }
 
-// TestMeasureBursts prints the table of docs/results.md. POOLS_MEASURE lists cases,
-// as FLEET:REPLICAS:GB with commas between; without it, one small case is played.
-// POOLS_MODES lists which of "none,fixed,hours" are: 400 replicas on 1,300 machines
-// take a core minutes in each.
+// TestMeasureBursts prints the table of docs/results.md. POOLS_MEASURE lists cases, as
+// FLEET:REPLICAS:GB separated by commas; without it, one small case is run. POOLS_MODES lists which
+// of "none,fixed,hours" are run: 400 replicas on 1,300 machines take minutes of one core in each.
 func TestMeasureBursts(t *testing.T) {
 	cases := "20:8:80"
 	if s := os.Getenv("POOLS_MEASURE"); s != "" {
@@ -161,12 +160,12 @@
 			}
 			day := map[string]float64{"fixed": float64(n) * 24 * machineRate}[mode]
 			if mode == "hours" {
-				// The rest of the hour, and until they are returned.
+				// The rest of the hour, until the machines are scaled in.
 				day = cost + float64(n)*machineRate*(57*time.Minute-ran[n-1]).Hours()
 			}
 			t.Logf("%4d machines, %3d replicas of %3g GB, %-5s: half %6.1f s, p90 %6.1f s, all %6.1f s; without a fetch p90 %.1f s; a day costs %.0f of %.0f",
 				f, n, gb, mode, ran[n/2].Seconds(), ran[n*9/10].Seconds(), ran[n-1].Seconds(), bare[n*9/10].Seconds(), day, float64(n)*24*machineRate)
-			// A worker that has just reported waits half a second for its next report.
+			// A worker that has just sent a heartbeat waits half a second before its next one.
 			if mode == "hours" && (ran[n*9/10] > bare[n*9/10]*11/10+500*time.Millisecond || day > float64(n)*12*machineRate) {
 				t.Errorf("%+v: p90 %v, %v without a fetch; %.0f a day", b, ran[n*9/10], bare[n*9/10], day)
 			}
@@ -174,8 +173,9 @@
 	}
 }
 
-// countPlanRecordWrites counts the changes of the parts' records, by part, while a plan of
-// all of them holds on that many machines, half of them in pools.
+// countPlanRecordWrites counts the writes of the records of the plan's parts (tiers, batch windows,
+// warm pools), by part, while a plan with all of them is in force on that many machines, half of
+// them in pools.
 func countPlanRecordWrites(t *testing.T, machines int, during time.Duration) (by map[string]int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -198,14 +198,14 @@
 		for end, n := time.Now().Add(during), 1; time.Now().Before(end); n++ {
 			mustSubmit(t, w, job(n, func(j *wire.Job) {
 				j.Class, j.Image, j.ImageGB = []string{"tiles", "slicing"}[n%2], []string{"north", "east", "south"}[n%3], 1
-				j.Tasks, j.CPUs, j.EstimateS = max(2, machines/40), 8, 60 // more than there is room for
+				j.Tasks, j.CPUs, j.EstimateS = max(2, machines/40), 8, 60 // more than the machines have room for
 			}))
-			if n%20 == 0 { // what is booked on pools' machines changes as well
+			if n%20 == 0 { // usage booked on the pools' machines changes as well
 				mustSubmit(t, w, job(10000+n, func(j *wire.Job) {
 					j.Team, j.Image, j.ImageGB, j.Tasks, j.CPUs, j.EstimateS = "speech", fmt.Sprintf("llm%d:v1", n/20%3), 5, max(2, machines/20), 2, 15
 				}))
 			}
-			for range 4 { // a key is written every half a second at most
+			for range 4 { // a key is written at most every half a second
 				time.Sleep(250 * time.Millisecond)
 				for key, v := range w.Store.Versions(jobstore.PlanStatePrefix) {
 					if versions[key] != v {
@@ -221,9 +221,9 @@
 	return by
 }
 
-// TestMeasurePlanRecords prints how often the parts' records are written; NOTES_MEASURE is
-// the number of machines. All of them together keep to their share, whatever there is
-// to write.
+// TestMeasurePlanRecords prints how often the records of the plan's parts are written;
+// NOTES_MEASURE is the number of machines. Together they keep within their share of writes,
+// whatever there is to write.
 func TestMeasurePlanRecords(t *testing.T) {
 	machines, during := 24, 90*time.Second
 	if s := os.Getenv("NOTES_MEASURE"); s != "" {
@@ -239,7 +239,7 @@
 			t.Errorf("nothing is recorded by %q: %v", part, by)
 		}
 	}
-	const share = 0.02 * 60 // of the world's changes a second
+	const share = 0.02 * 60 // of the cluster's changes a second
 	each := float64(sum) / during.Seconds()
 	t.Logf("%d machines, %v: %v, %.2f changes a second of %.2f", machines, during, by, each, share)
 	if each > share*1.05 {
--- a/controller/warm_pools_test.go
+++ b/controller/warm_pools_test.go
@@ -17,7 +17,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// poolCluster has machines with a cache of 100 GB; an image of 40 GB takes 40 s.
+// poolCluster has machines with an image cache of 100 GB; fetching an image of 40 GB takes 40 s.
 func poolCluster(machines, capacity int) fake.Options {
 	typ := fake.DefaultType
 	typ.CacheGB = 100
@@ -25,12 +25,12 @@
 		Teams: []config.Team{{Name: "core"}, {Name: "speech"}, {Name: "clinic"}}}
 }
 
-// poolPlan is a plan with one pool of that many machines.
+// poolPlan returns a plan with one warm pool of between least and most machines.
 func poolPlan(least, most int, more string) string {
 	return plans.Pool("llm", "llm:v1", 40, "m8", least, most, 4, "speech", "borrowers = [\"core\"]\n"+more)
 }
 
-// poolState reads what is recorded of the pool.
+// poolState decodes the pool's state from its records.
 func poolState(t *testing.T, w *fake.Cluster) warmpool.State {
 	t.Helper()
 	notes := map[string]wire.Raw{}
@@ -42,12 +42,12 @@
 		t.Fatalf("%d pools recorded, unreadable: %v", len(all), bad)
 	}
 	if len(all) == 0 {
-		return warmpool.State{Shards: make([]warmpool.Shard, 1)} // not yet
+		return warmpool.State{Shards: make([]warmpool.Shard, 1)} // not recorded yet
 	}
 	return all[0]
 }
 
-// checkChargesAddUp checks that what the teams owe is what the machines cost.
+// checkChargesAddUp asserts that what the teams are charged adds up to the cost of the machines.
 func checkChargesAddUp(t *testing.T, s warmpool.State) {
 	t.Helper()
 	for _, why := range s.Audit() {
@@ -58,7 +58,7 @@
 	}
 }
 
-// awaitWarm waits until so many machines have an image.
+// awaitWarm waits until that many machines hold an image.
 func awaitWarm(t *testing.T, w *fake.Cluster, image string, n int, within time.Duration) {
 	t.Helper()
 	for end := time.Now().Add(within); len(w.MachinesWithImage(image)) < n; time.Sleep(time.Second) {
@@ -113,7 +113,7 @@
 	})
 }
 
-// awaitPool waits until what is recorded of the pool is as wanted.
+// awaitPool waits until the recorded state of the pool satisfies ok.
 func awaitPool(t *testing.T, w *fake.Cluster, what string, within time.Duration, ok func(s warmpool.State) bool) warmpool.State {
 	t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(500 * time.Millisecond) {
@@ -131,7 +131,7 @@
 	return func(s warmpool.State) bool { return s.Record.Held == n && s.Record.Warm == n }
 }
 
-// restartLeader ends the leader, and starts its node again a while later.
+// restartLeader kills the leader, and starts its node again 12 s later.
 func restartLeader(w *fake.Cluster) {
 	i := w.Leader()
 	w.KillNode(i)
@@ -186,7 +186,7 @@
 				if w.PeakImageFetches() > 2 {
 					t.Errorf("%d machines fetched at the same time", w.PeakImageFetches())
 				}
-				time.Sleep(8 * time.Minute) // what was rented twice is returned
+				time.Sleep(8 * time.Minute) // machines rented twice are scaled in
 				if n := len(w.Cloud.Machines()); n != 4 {
 					t.Errorf("%d machines", n)
 				}
@@ -268,7 +268,7 @@
 		{"is taken back", func(w *fake.Cluster, n string) {
 			w.SendInterruptionNotice(n, 8*time.Second)
 			time.AfterFunc(8*time.Second, func() {
-				if slices.Contains(w.Cloud.Machines(), n) { // not returned by then
+				if slices.Contains(w.Cloud.Machines(), n) { // it has not been scaled in by then
 					w.KillMachine(n)
 				}
 			})
@@ -327,7 +327,7 @@
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
-		// The plan names v1; what comes is v2.
+		// The plan names v1; the jobs that arrive use v2.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { *j = replicas(1, 1); j.Image = "llm:v2" }))
 		restartLeader(w)
 		awaitWarm(t, w, "llm:v2", 4, 8*time.Minute)
@@ -355,8 +355,8 @@
 	})
 }
 
-// Clinic work is of a higher tier by the plan's order, or of a higher priority
-// where the plan gives none.
+// Clinic jobs preempt borrowers: they are of a higher tier by the plan's order, or of a higher
+// priority where the plan has no order.
 func TestUrgentJobsPreemptPoolBorrowers(t *testing.T) {
 	for _, c := range []struct{ name, order, rank, not string }{
 		{"by its priority", "", wire.PriorityHigh, wire.PriorityNormal},
@@ -389,8 +389,8 @@
 			t.Errorf("recorded: %+v", s.Shards[0])
 		}
 		checkChargesAddUp(t, s)
-		// The plan keeps the pool's machines from it for as long as the plan holds, although
-		// they have room: its user gives it up before the end, where nothing may wait so.
+		// While the plan is in force it keeps the pool's machines from this job, although they have
+		// room: it is cancelled before the end of the scenario, where no job may wait like that.
 		w.Cancel(long.ID)
 	})
 }
@@ -462,7 +462,7 @@
 		if s := w.Cancel("wk-000001"); s != wire.JobCancelled {
 			t.Fatal(s)
 		}
-		// The hour's peak was four, and four are kept for the rest of it.
+		// The hour's peak demand was four, and four machines are kept for the rest of the hour.
 		time.Sleep(10 * time.Minute)
 		s := poolState(t, w)
 		if n := len(w.MachinesWithImage("llm:v1")); n < 2 || s.Record.Warm != n {
@@ -503,8 +503,8 @@
 	})
 }
 
-// Pools under everything at once: afterwards the pool is whole, every machine has
-// been paid for once, and no rule was broken.
+// A warm pool under all faults at once: afterwards the pool is complete, every machine has been
+// charged once, and no rule was violated.
 func TestWarmPoolsSurviveFailovers(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -581,12 +581,12 @@
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		before := awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 		w.KillAll()
-		time.Sleep(9 * time.Second) // their leases outlast it
+		time.Sleep(9 * time.Second) // their leases outlast the outage
 		applyPlan(t, w, 1, strings.Replace(poolPlan(4, 4, ""), `payer = "speech"`, `payer = "clinic"`, 1))
 		back := time.Now()
 		w.StartAll()
-		// An account is committed once a minute, so that how much of the time
-		// since is in it hangs on when the next leader began.
+		// The charges are committed once a minute, so that how much of the time since then they
+		// include depends on when the next leader began.
 		s := awaitPool(t, w, "charged", 3*time.Minute, func(s warmpool.State) bool {
 			return s.Record.Payer == "clinic" && s.Shards[0].AtMs >= back.Add(50*time.Second).UnixMilli()
 		})
