--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -120,8 +120,8 @@
 }
 
 // A task is told to save a checkpoint (its machine has an interruption notice) and is cancelled
-// while it saves, on a machine that only direct commands reach. The second stop arrives late; it
-// may end the checkpointing, since the task was cancelled.
+// while it saves, on a machine that only direct commands reach. The second stop arrives late and
+// ends the checkpointing, which does no harm: the task was cancelled.
 func TestLateStopEndsATaskThatIsCheckpointing(t *testing.T) {
 	runSeeded(t, 52, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
--- a/controller/quota_interactions_test.go
+++ b/controller/quota_interactions_test.go
@@ -249,7 +249,7 @@
 		time.Sleep(randomDuration(rnd, 1200*time.Millisecond, 1600*time.Millisecond))
 		w.MarkInteraction()
 		started := w.Started()
-		for i := 1; i <= 1+rnd.IntN(2); i++ { // cancels the jobs just launched; others wait for the resources
+		for i := 1; i <= 1+rnd.IntN(2); i++ { // cancels the jobs just launched; others wait for the room under the quota
 			w.Cancel(job(110+i, nil).ID)
 		}
 		hang := rnd.IntN(2) == 0
--- a/controller/reachability_test.go
+++ b/controller/reachability_test.go
@@ -55,8 +55,8 @@
 
 // A machine's replies are lost across a failover. What the former leader had placed there, launched
 // or not, starts elsewhere once the machine's lease has expired. The machine never shows the next
-// leader's fencing token, yet each of its heartbeats was answered, which renewed its lease: its
-// tasks waited without end.
+// leader's fencing token, yet each of its heartbeats used to be answered, and tasks waited for it
+// without end.
 func TestUnreachableMachineDuringFailover(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 4, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 3)
