--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -101,7 +101,7 @@
 
 func (d *digestWriter) job(j *Job) {
 	d.printf("J%s,%d,%t,%t,%t,%t,%t,%t,%t", j.ID, j.lastAttempt, j.Cancelled, j.Finished, j.gangStarted, j.gangEnding, j.dirty,
-		d.now.Before(j.NotBefore), j.isCurrent(d.base))
+		d.now.Before(j.notBefore), j.isCurrent(d.base))
 	for _, mc := range d.model.Machines {
 		if until, ok := j.avoidUntil[mc.index]; ok && d.now.Before(until) {
 			d.printf("a%s%d", mc.Name, d.age(until))
@@ -109,7 +109,7 @@
 	}
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
-		d.printf("T%d,%d,%t", t.Phase, t.Outcome, d.now.UnixMilli() < t.NotBefore)
+		d.printf("T%d,%d,%t", t.Phase, t.Outcome, d.now.UnixMilli() < t.notBefore)
 		if t.Placement != nil {
 			d.placement(t.Placement, &j.Chunks[i/jobstore.ChunkSize])
 		}
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -55,13 +55,13 @@
 	// The machines are not at fault. Those that have the image already are best for
 	// another try, because it then takes no fetch bandwidth from healthy jobs.
 	j.avoidNoMachines()
-	if !now.Before(j.NotBefore) {
+	if !now.Before(j.notBefore) {
 		// The errors of one round arrive together; only the first one begins a new
 		// backoff.
 		j.backOffUntil(now.Add(min(firstFaultWait<<min(r.round, 10), lastFaultWait)))
 		r.round++
 		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(r.machines), "lastReason", wire.ExitError,
-			"nextTryInS", j.NotBefore.Sub(now).Seconds())
+			"nextTryInS", j.notBefore.Sub(now).Seconds())
 	}
 	return 0
 }
@@ -86,7 +86,7 @@
 	switch {
 	case !j.failures.atFault():
 		return limit
-	case now.Before(j.NotBefore):
+	case now.Before(j.notBefore):
 		return 0
 	case j.Gang():
 		return limit // all or none
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -23,11 +23,11 @@
 // Task is one task of a job.
 type Task struct {
 	Phase     TaskPhase
-	Failures  uint8
+	failures  uint8
 	resumed   bool                 // an earlier attempt has run
-	Progress  float32              // seconds of work that earlier attempts have saved
+	progress  float32              // seconds of work that earlier attempts have saved
 	Outcome   jobstore.TaskOutcome // of a reserved task that is over: how it ended
-	NotBefore int64                // Unix milliseconds
+	notBefore int64                // not to be placed before; Unix milliseconds
 	Placement *Placement
 }
 
@@ -49,12 +49,12 @@
 
 // countFailure counts a failure of the task and returns the backoff before it is tried again.
 func (t *Task) countFailure() time.Duration {
-	t.Failures = min(t.Failures+1, maxCountedFailures)
-	return min(firstTaskBackoff<<(t.Failures-1), longestTaskBackoff)
+	t.failures = min(t.failures+1, maxCountedFailures)
+	return min(firstTaskBackoff<<(t.failures-1), longestTaskBackoff)
 }
 
 // delayUntil keeps the task from being placed before then.
-func (t *Task) delayUntil(then time.Time) { t.NotBefore = then.UnixMilli() }
+func (t *Task) delayUntil(then time.Time) { t.notBefore = then.UnixMilli() }
 
 // Job is a job that is not over, or of which tasks may still be on a machine.
 //
@@ -101,7 +101,7 @@
 	reservation   *reservation // nil unless its tasks are reserved first
 
 	// What is known of failures.
-	NotBefore  time.Time           // backoff of a job that fails on every machine
+	notBefore  time.Time           // backoff of a job that fails on every machine
 	avoidUntil map[int32]time.Time // machines on which it has failed lately
 	failures   *failureHistory
 
@@ -193,7 +193,7 @@
 func (j *Job) cancel() { j.Cancelled = true }
 
 // backOffUntil keeps the whole job from being placed before then.
-func (j *Job) backOffUntil(then time.Time) { j.NotBefore = then }
+func (j *Job) backOffUntil(then time.Time) { j.notBefore = then }
 
 // avoidMachine keeps the job's tasks from being placed on a machine until the given time.
 func (j *Job) avoidMachine(machine int32, until time.Time) {
--- a/cluster/request.go
+++ b/cluster/request.go
@@ -47,7 +47,7 @@
 	for i := j.cursor; i < len(j.Tasks) && len(tasks) < limit; i++ {
 		switch t := &j.Tasks[i]; {
 		case t.Phase != TaskIdle:
-		case t.NotBefore <= ms:
+		case t.notBefore <= ms:
 			tasks = append(tasks, int32(i))
 		case j.Gang():
 			return nil
--- a/cluster/runtimeestimate.go
+++ b/cluster/runtimeestimate.go
@@ -151,7 +151,7 @@
 
 // remainingOf returns what remains of a task's run time, given the whole.
 func remainingOf(estimate float64, t *Task) float64 {
-	return max(estimate-float64(t.Progress), min(estimate, minRemaining))
+	return max(estimate-float64(t.progress), min(estimate, minRemaining))
 }
 
 // recordSavedProgress records the progress of an attempt that saved a checkpoint when it
@@ -159,7 +159,7 @@
 func (j *Job) recordSavedProgress(task int32, p *Placement, now time.Time) {
 	if j.savesProgress(p) {
 		t := &j.Tasks[task]
-		t.Progress += p.ranUntilStop(now)
+		t.progress += p.ranUntilStop(now)
 		t.resumed = true
 	}
 }
@@ -171,8 +171,8 @@
 	if j.savesProgress(p) {
 		t := &j.Tasks[task]
 		interval := float32(j.Spec.CheckpointS)
-		checkpoints := math.Floor(float64((t.Progress + p.ranUntilStop(now)) / interval))
-		t.Progress = max(t.Progress, interval*float32(checkpoints))
+		checkpoints := math.Floor(float64((t.progress + p.ranUntilStop(now)) / interval))
+		t.progress = max(t.progress, interval*float32(checkpoints))
 		t.resumed = true
 	}
 }
--- a/cluster/runtimeestimate_test.go
+++ b/cluster/runtimeestimate_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("%v s left of 60 after 40 s were saved", left)
 	}
 	j.recordLostProgress(0, &Placement{runningSince: at(50)}, at(58))
-	if j.Tasks[0].Progress != 40 {
-		t.Errorf("progress %v after 8 s of work without a checkpoint", j.Tasks[0].Progress)
+	if j.Tasks[0].progress != 40 {
+		t.Errorf("progress %v after 8 s of work without a checkpoint", j.Tasks[0].progress)
 	}
 }
