--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -15,9 +15,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// BenchmarkSchedule is a pass over machines that are full and waiting jobs, of
-// which most can't be in time: what a leader does several times a second at
-// worst, at the size that the service began with and at the size it grew to.
+// BenchmarkSchedule measures a scheduling pass with full machines and waiting jobs, most of
+// which can't meet their objectives: the worst that a leader does several times a second. It
+// is run at the size of the first clusters and at that of the largest.
 func BenchmarkSchedule(b *testing.B) {
 	for _, size := range []struct{ machines, jobs int }{{36, 150}, {300, 150}, {1000, 400}} {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", size.machines, size.jobs), func(b *testing.B) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// BenchmarkBurst is a pass that places what a day begins with.
+// BenchmarkBurst measures the first scheduling pass, which fills empty machines.
 func BenchmarkBurst(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
@@ -40,7 +40,7 @@
 	}
 }
 
-// crowded is a model whose machines are soon full: gangs in one zone, and
+// crowded returns a model with more work than its machines can hold: gangs in one zone, and
 // arrays of lower priority with a deadline.
 func crowded(machines, jobs int) *Model {
 	m := newModel(5)
@@ -68,8 +68,9 @@
 	return m
 }
 
-// planned are a plan's parts by name, for a crowded fleet of that size: a night for
-// arrays, gangs before arrays, and pools that hold a fifth of the machines.
+// planned returns plans by the names of their parts, for a crowded cluster of that size: a
+// batch window for arrays, gangs in a tier before arrays, and warm pools that hold a fifth of
+// the machines.
 func planned(m *Model, machines int) map[string]*plan.Plan {
 	night, tiers, held := &plan.Plan{}, &plan.Plan{}, &plan.Plan{}
 	for _, r := range []struct{ name, class string }{{"north", "arrays"}, {"south", "gangs"}} {
@@ -85,7 +86,7 @@
 		"all": {Calendar: night.Calendar, Order: tiers.Order, Pools: held.Pools}}
 }
 
-// full is a crowded model with a plan, whose machines run what they were given.
+// full returns a crowded model with a plan, whose machines run what is placed on them.
 func full(machines, jobs int, name string) *Model {
 	m := crowded(machines, jobs)
 	m.SetPlan(Plan{Plan: planned(m, machines)[name], Number: 1, HeadVersion: 1}, at(0))
@@ -95,7 +96,7 @@
 	return m
 }
 
-// run is a pass and what a leader does around it, with all that is placed running.
+// run runs a scheduling pass and commits its writes; all placed tasks are then running.
 func run(m *Model, s float64) {
 	now := at(s)
 	markAllHeartbeats(m, now)
@@ -115,8 +116,8 @@
 	m.directCommands.launches = m.directCommands.launches[:0]
 }
 
-// threadTime is the processor time that this thread has taken, in all: unlike the
-// clock's, it says the same on a machine that others use as well.
+// threadTime returns the processor time that this thread has used so far. Unlike elapsed time
+// it does not depend on what else the machine does.
 func threadTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(1, &u); err != nil { // RUSAGE_THREAD
@@ -125,8 +126,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkPass is a leader's whole pass on a large full fleet, twice a second, with
-// and without a plan: what its parts do now and then is in the mean of 20 s.
+// BenchmarkPass measures the passes of a leader in a large full cluster, two a second, with
+// and without a plan. The mean over 20 s includes what the plan's parts do less often.
 func BenchmarkPass(b *testing.B) {
 	for _, name := range []string{"none", "calendar", "order", "pools", "all"} {
 		b.Run(name, func(b *testing.B) {
@@ -151,8 +152,8 @@
 	}
 }
 
-// BenchmarkReports is what the reports of a large full fleet take, each of them
-// heard and answered once.
+// BenchmarkReports measures one heartbeat of each machine of a large full cluster: applying
+// and answering it.
 func BenchmarkReports(b *testing.B) {
 	for _, name := range []string{"none", "all"} {
 		b.Run(name, func(b *testing.B) {
