--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -256,9 +256,9 @@
 	return jobs
 }
 
-// saveWindowRecord has a region's record written: at once if it has an outcome, within
-// seconds for other changes, and once a minute while a batch window is open, which shows
-// that a leader still updates it.
+// saveWindowRecord queues a region's record to be written: at once if a batch window has been
+// closed, within seconds for other changes, and once a minute while a batch window is open,
+// which shows that a leader still updates it.
 func (m *Model) saveWindowRecord(schedule *windowSchedule, now time.Time) {
 	sinceSaved := now.Sub(schedule.savedAt)
 	changed := schedule.Generation() != schedule.savedGeneration
--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -17,8 +17,8 @@
 	usualBootRatio = 1.5 // most machines take no longer; lower bound of the estimate
 	maxBootRatio   = 3.0 // upper bound of the estimate
 	bootRatioDecay = 0.9 // factor applied to the slowest ratio with each faster machine
-	lateMargin     = 1.3 // of the estimate, after which a machine counts as late
-	lostMargin     = 1.4 // of the estimate, after which a machine is given up
+	lateMargin     = 1.3 // factor on the estimate, after which a machine counts as late
+	lostMargin     = 1.4 // factor on the estimate, after which a machine is deleted
 )
 
 // observe records the ratio of a machine that came up.
--- a/cluster/imagecatalog.go
+++ b/cluster/imagecatalog.go
@@ -2,7 +2,7 @@
 
 // imageCatalog assigns an index to each image name and holds the image's size. The caches of
 // machines and jobs refer to images by index. An index is never reused, and the size is the
-// one that the newest job stated.
+// one that was stated last, by a job or by a warm pool.
 type imageCatalog struct {
 	index  map[string]int32
 	sizeGB []float64 // by index
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -7,9 +7,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is a machine and the changes of its state. Each group of fields that change
-// together is a type of its own, and only its methods write it, so that what holds between
-// its fields holds everywhere.
+// This file holds the state of a machine and the methods that change it. Fields that change
+// together are grouped in types of their own: workerLease, cloudInstance, bookings and
+// reachability.
 
 // Machine is a machine that is running, is expected to come up, or is gone.
 type Machine struct {
@@ -32,12 +32,12 @@
 	cachedImages   imageCache
 	reportedExits  reportedExits
 	taskErrors     []taskError
-	slowness       float64 // average of run times over their estimates; 0: none has been measured
+	slowness       float64 // moving average of run times as multiples of their estimates; 0 if none was measured
 
-	pool                int       // 1 and more: the warm pool that it belongs to
-	unreadySince        time.Time // since when it could not be given tasks, as its pool saw
-	unfitUntil          time.Time // no pool takes it before: its fetch came to nothing
-	imagesRestoredEpoch uint64    // the agent epoch for which an earlier leader's record of its images was taken
+	pool                int       // its warm pool's index in warmPools.all plus 1; 0 if it is in no pool
+	unreadySince        time.Time // since when its warm pool has found it not ready; zero if it is ready
+	unfitUntil          time.Time // no warm pool accepts it before, because it failed to fetch weights
+	imagesRestoredEpoch uint64    // the last agent epoch for which restoreWeights has run
 }
 
 // findOrAddMachine returns the machine of that name, which it adds if the model has none.
@@ -56,8 +56,7 @@
 	return mc
 }
 
-// describe records a machine's type, zone and market. Tasks that are placed there already
-// count for its zone from then on.
+// describe records a machine's type, its zone, and whether it is a spot machine.
 func (m *Model) describe(mc *Machine, typ, zone string, spot bool) {
 	mc.TypeName, mc.typeIndex, mc.Spot = typ, m.machineTypeIndex(typ), spot
 	z, ok := m.names.zones[zone]
--- a/cluster/machine_bookings.go
+++ b/cluster/machine_bookings.go
@@ -6,12 +6,12 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// bookings is what the tasks on a machine take. Used is the sum of the needs of Tasks, and
-// exactly zero without tasks, so that rounding errors don't add up.
+// bookings are the tasks on a machine and the resources that they use. Used is the sum of the
+// needs of Tasks, and exactly zero without tasks, so that rounding errors don't add up.
 type bookings struct {
 	Tasks      map[TaskRef]bool // placed on the machine
 	Used       placement.Resources
-	orphaned   placement.Resources // what running tasks take that are listed but not placed here
+	orphaned   placement.Resources // used by tasks that the last heartbeat lists and that are not placed here
 	idleSince  time.Time           // when the machine came up or last ran out of tasks
 	headroomAt time.Time           // when it was last kept, empty, as headroom
 	hasHadTask bool
@@ -34,11 +34,11 @@
 	}
 }
 
-// resetOrphaned forgets what tasks that are not placed on the machine take, before a newer
-// heartbeat lists them.
+// resetOrphaned resets the resources of listed tasks that are not placed on the machine: a
+// newer heartbeat is about to list them, or none can be running.
 func (b *bookings) resetOrphaned() { b.orphaned = placement.Resources{} }
 
-// addOrphaned adds what a task takes that is listed but not placed on the machine.
+// addOrphaned adds the resources of a task that is listed but not placed on the machine.
 func (b *bookings) addOrphaned(need placement.Resources) { b.orphaned = b.orphaned.Add(need, 1) }
 
 // keepAsHeadroom records that a pass kept the empty machine for jobs to come.
--- a/cluster/machine_cloud.go
+++ b/cluster/machine_cloud.go
@@ -11,7 +11,7 @@
 	cloudState     string    // as last listed; empty until then
 	cloudStateAt   time.Time // when it was last listed
 	scalingIn      bool      // its deletion has been or is about to be requested; never taken back
-	bootLateLogged bool      // the operator has been told that it is late
+	bootLateLogged bool      // that it is late has been logged
 }
 
 // recordScaleOut records that the cloud named the machine in its response to a scale-out
@@ -32,5 +32,5 @@
 // markScalingIn keeps tasks from being placed on the machine, since it may be deleted.
 func (c *cloudInstance) markScalingIn() { c.scalingIn = true }
 
-// markLateBootLogged records that the operator has been told that the machine is late.
+// markLateBootLogged records that the late boot of the machine has been logged.
 func (c *cloudInstance) markLateBootLogged() { c.bootLateLogged = true }
--- a/cluster/machine_lease.go
+++ b/cluster/machine_lease.go
@@ -7,14 +7,15 @@
 )
 
 // workerLease is what heartbeats and the answers to them have established about the lease
-// of a machine's worker. AgentEpoch and Seq identify the newest heartbeat applied and never
-// go back; a machine whose token is shown is alive unless it is gone.
+// of a machine's worker. AgentEpoch and Seq are those of the newest heartbeat applied or,
+// after a lease expiry, the next agent epoch and 0; together they never go back. A machine
+// whose token is shown is alive unless it is gone.
 type workerLease struct {
 	alive        bool // has sent this leader a heartbeat, and its lease has not expired
 	tokenShown   bool // its last heartbeat carried this leader's fencing token
 	AgentEpoch   uint64
 	Seq          uint64    // of the last heartbeat applied, within the agent epoch
-	lastAnswered time.Time // from when the worker may count its lease
+	lastAnswered time.Time // from when this leader counts the lease
 	lastSeen     time.Time // when the last heartbeat was applied
 }
 
@@ -29,7 +30,8 @@
 	l.tokenShown = r.Token == token
 }
 
-// endEpoch ends the lease and with it the agent epoch. Whatever the ended agent epoch still sends is old from now on.
+// endEpoch ends the lease and with it the agent epoch, whose heartbeats are not newer than the
+// last one applied from now on.
 func (l *workerLease) endEpoch() {
 	l.alive, l.tokenShown = false, false
 	l.AgentEpoch++
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -63,7 +63,7 @@
 
 // machineView returns a machine as a scheduling pass sees it. It returns false for a machine
 // that can't be given tasks and is not expected to be soon. The images and tasks of the view
-// are slices of the model's buffers, and hold until the next pass.
+// are slices of the model's buffers, and valid until the next pass.
 func (m *Model) machineView(mc *Machine, over map[TaskRef]bool, now time.Time) (placement.Machine, bool) {
 	v := placement.Machine{Name: mc.Name, Type: mc.typeIndex, Zone: mc.Zone, Spot: mc.Spot}
 	if m.Ready(mc, now) {
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -29,7 +29,7 @@
 // reachability is what the heartbeats of a machine have shown of whether it receives the
 // answers to them.
 type reachability struct {
-	reportingSince   time.Time   // when its current run of heartbeats began
+	reportingSince   time.Time   // when its current run of heartbeats began; zero once it has missed an answer
 	tokenEverShown   bool        // a heartbeat carried this leader's token, possibly before its lease expired
 	unreachableSince time.Time   // since when it misses answers; zero if it is not known to miss any
 	receivingNode    string      // the node that received its last heartbeat
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -56,8 +56,9 @@
 // groups.
 func groupName(typ, zone string) string { return zone + "/" + typ }
 
-// moveTargets returns the machines on which moved tasks of a job should start, by task and
-// as positions in a pass's input, which positions maps indices of machines to.
+// moveTargets returns, by task, the machines on which moved tasks of a job should start. They
+// are given by their positions in the input of a scheduling pass, which positions holds by
+// machine index.
 func (m *Model) moveTargets(j *Job, positions map[int]int) map[int32]int {
 	if j.Gang() {
 		return nil
@@ -90,8 +91,9 @@
 	return ok && id == j.ID
 }
 
-// quarantineFailedMove applies the end of an attempt of a task that was being moved. If the
-// start on the target failed, the task is not moved again for some time.
+// quarantineFailedMove applies the end of a task's attempt to the move of the task, if it has
+// one. failed says why the attempt failed; it is empty if it did not fail. A task whose attempt
+// failed is not moved again for some time.
 func (m *Model) quarantineFailedMove(ref TaskRef, failed string, now time.Time) {
 	if failed == "" {
 		return
@@ -194,8 +196,9 @@
 	return cycle
 }
 
-// rebalanceHost returns a machine as rebalancing sees it. Only tasks that can continue from a
-// checkpoint are movable.
+// rebalanceHost returns a machine as rebalancing sees it. Movable are only running tasks that
+// can continue from a checkpoint, have not run for long, and are neither in their cooldown
+// after a move nor quarantined.
 func (m *Model) rebalanceHost(mc *Machine, rec jobstore.RebalanceCycle, now time.Time) rebalance.Host {
 	h := rebalance.Host{Capacity: m.MachineTypes[mc.typeIndex].Capacity, Used: mc.Used.Add(mc.orphaned, 1)}
 	for _, ref := range sortedRefs(mc.Tasks) {
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -82,10 +82,11 @@
 		p.launchLost()
 		return
 	case p.Inherited:
+		// The token is shown, so that no launch of the earlier leader can arrive any more.
 	case !p.launchSent:
 		return // not launched yet
 	case p.launchSession == r.Session && p.launchSeq >= r.Seq:
-		return
+		return // the heartbeat is not newer than the launch
 	case p.launchSession == r.Session && p.reportedState == notReported && p.Stop == nil:
 		// The answer with the launch was lost, and can't be executed any more, since
 		// the worker has sent a newer heartbeat.
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -23,12 +23,13 @@
 const (
 	// maxScaleIn bounds the machines that one request deletes.
 	maxScaleIn = 50
-	// silentKeep is how long after its lease an empty silent machine is kept.
+	// silentKeep is how long an empty silent machine is kept after its lease has expired.
 	silentKeep = 40 * time.Second
 	// idleWithoutJobs is how long an idle machine is kept at most while no job is open.
 	idleWithoutJobs = 20 * time.Second
-	// A new leader has not received heartbeats from all machines yet. neverUpPatience and
-	// idlePatience are how long after its election it deletes none for that reason.
+	// A new leader has not received heartbeats from all machines yet. For neverUpPatience
+	// after its election it deletes no machine for never having come up, and for idlePatience
+	// none for being idle or unreachable.
 	neverUpPatience = 20 * time.Second
 	idlePatience    = 30 * time.Second
 )
--- a/cluster/scaleout.go
+++ b/cluster/scaleout.go
@@ -17,15 +17,15 @@
 }
 
 const (
-	// offerRefusalTime is how long an offer is excluded.
+	// offerRefusalTime is how long an offer is excluded after a refusal.
 	offerRefusalTime = 15 * time.Second
 	// maxScaleOut bounds the machines that a pass requests, to a few requests of the largest
 	// size that the cloud accepts.
 	maxScaleOut = 200
 )
 
-// offers returns the offers that may be used now, as the planner sees them and by name, in
-// the same order.
+// offers returns the offers that may be used now, in the form that package placement takes
+// and, in the same order, with the names of their types and zones.
 func (m *Model) offers(now time.Time) ([]placement.Offer, []Offer) {
 	var out []placement.Offer
 	var names []Offer
--- a/cluster/stallrecovery.go
+++ b/cluster/stallrecovery.go
@@ -6,9 +6,8 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// stallRecovery is the last stall of the leader's process. Meanwhile clocks ran on and
-// heartbeats queued up unread, so that silence during the stall proves nothing about a
-// machine.
+// stallRecovery is the last stall of the leader's process. During a stall clocks run on and
+// heartbeats queue up unread, so that silence proves nothing about a machine.
 type stallRecovery struct {
 	ended  time.Time // zero if there was none
 	lasted time.Duration
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -70,7 +70,7 @@
 	switch t.Why {
 	case wire.ExitError:
 		how = jobstore.OutcomeFailed
-		if j.reservation == nil { // what such a job runs differs from task to task
+		if j.reservation == nil { // the tasks of a reserved job run different things: no error is the job's
 			wait = m.taskFailed(j, task, mc, now)
 		}
 		failed = "error"
@@ -160,7 +160,8 @@
 	m.stopGang(j, 0, StopGangIncomplete, now)
 }
 
-// recordSlowness compares a task's run time with its owner's estimate.
+// recordSlowness records a completed task's run time, compared with its owner's estimate, for
+// the slowness of its machine.
 func (m *Model) recordSlowness(j *Job, mc *Machine, p *Placement, now time.Time) {
 	if j.Spec.EstimateS <= 0 || p.runningSince.IsZero() || p.Inherited {
 		return
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -47,8 +47,8 @@
 	return out
 }
 
-// canBeWoken reports whether a wake-up sent to a machine now would have an effect that the
-// answer to its next heartbeat does not have anyway.
+// canBeWoken reports whether a wake-up of a machine can bring about a launch now: its worker
+// can be reached, launches may be sent to it, and no answer that could carry them is delayed.
 func (mc *Machine) canBeWoken() bool {
 	return mc.delayedAnswers == 0 && mc.addr != "" && mc.alive && !mc.unreachable() && mc.interruptionAt.IsZero()
 }
--- a/cluster/warm_pool_effects.go
+++ b/cluster/warm_pool_effects.go
@@ -25,8 +25,9 @@
 	return member != nil && member.Leaving && !m.planRecordPending(warmpool.ShardName(p.Name, p.shardOf[mc.index]))
 }
 
-// poolView sets a machine's pool for placement, and the room for images beside the weights:
-// without what was cached after them, which would be evicted after them.
+// poolView sets a machine's pool in its view, and how many GB of further images its cache
+// takes before the weights are evicted. The cache evicts the least recently used image first,
+// so that images which were used after the weights, or are being fetched, reduce that.
 func (m *Model) poolView(mc *Machine, v *placement.Machine) {
 	p := m.poolOf(mc)
 	if p == nil {
--- a/cluster/warm_pool_members.go
+++ b/cluster/warm_pool_members.go
@@ -84,7 +84,8 @@
 	return keys
 }
 
-// teamShares returns how much of a machine each team uses, by its scarcest resource.
+// teamShares returns how much of a machine each team uses: the largest of its shares of the
+// machine's resources.
 func (m *Model) teamShares(mc *Machine) []warmpool.TeamShare {
 	if len(mc.Tasks) == 0 {
 		return nil
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -28,8 +28,8 @@
 	return j.reservation != nil && strings.HasPrefix(j.reservation.Owner, prefetchOwnerPrefix)
 }
 
-// pendingPrefetches returns the machines that a pool's unfinished prefetches are for, and
-// ends those that are obsolete.
+// pendingPrefetches returns the machines that a pool's unfinished prefetches are for. It ends
+// those that are obsolete, and those not placed yet whose machine has the weights.
 func (m *Model) pendingPrefetches(p *warmPool, now time.Time) map[string]bool {
 	pending := map[string]bool{}
 	owner, image := prefetchOwner(p.Name), m.poolImage(p)
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -151,7 +151,7 @@
 }
 
 // addPoolScaleOut adds the machines that the pools lack to the scale-out of a scheduling
-// pass, which may have at most so many machines.
+// pass. most bounds the machines of the whole scale-out.
 func (m *Model) addPoolScaleOut(scaleOut map[Offer]int, offers []Offer, most int) {
 	for _, n := range scaleOut {
 		most -= n
@@ -170,7 +170,7 @@
 	}
 }
 
-// cheapestPoolOffer is the cheapest offer for a pool that lacks a machine in a zone: of
+// cheapestPoolOffer is the cheapest offer for a pool that lacks a machine in a zone. It is in
 // another zone only if there is none in this one; false if there is none at all.
 func (m *Model) cheapestPoolOffer(p *warmPool, offers []Offer, zone int) (Offer, bool) {
 	best, least := -1, 0.0
@@ -183,7 +183,7 @@
 			price = m.MachineTypes[o.key.machineType].SpotPrice
 		}
 		if o.key.zone != zone {
-			price += otherZonePenalty // the zone has refused lately
+			price += otherZonePenalty // chosen only if the offers in the zone have been refused lately
 		}
 		if best < 0 || price < least {
 			best, least = k, price
--- a/cluster/warm_pool_records.go
+++ b/cluster/warm_pool_records.go
@@ -36,7 +36,7 @@
 		m.loadShard(p, n, now)
 	}
 	if previous := p.record.Payer; previous != "" && previous != settings.Payer {
-		p.Payer = previous // charged to who paid then
+		p.Payer = previous // to whom the costs up to now are charged
 		p.settle(now)
 		p.Payer = settings.Payer
 	}
@@ -70,7 +70,8 @@
 	}
 }
 
-// savePool has what has changed of a pool written, and its accounts now and then.
+// savePool queues a pool's changed records to be written. Accounts of shards with members and
+// the pool's own record are queued from time to time even if nothing has changed.
 func (m *Model) savePool(p *warmPool, now time.Time) {
 	nowMs := now.UnixMilli()
 	for n, shard := range p.shards {
--- a/cluster/warm_pools.go
+++ b/cluster/warm_pools.go
@@ -112,8 +112,8 @@
 	m.pools.nextTick = time.Time{}
 }
 
-// changeSettings applies the plan's new settings. The time so far is charged to who paid
-// then.
+// changeSettings applies the plan's new settings. If the payer changes, the costs up to now
+// are charged to the previous one.
 func (p *warmPool) changeSettings(s warmpool.Pool, now time.Time) {
 	if p.Payer != s.Payer {
 		p.settle(now)
@@ -121,8 +121,8 @@
 	p.Pool = s
 }
 
-// dissolvePool settles the account of a pool that the plan no longer has, and lets its
-// machines go.
+// dissolvePool settles the account of a pool that the plan no longer has, and ends the
+// membership of its machines.
 func (m *Model) dissolvePool(p *warmPool, now time.Time) {
 	p.settle(now)
 	for idx := range p.shardOf {
@@ -174,8 +174,8 @@
 }
 
 // joinPool makes a machine a member of a pool. One that has just come up and has never had a
-// task was rented for the pool, which pays for its boot as well. Headroom was paid by nobody
-// before it joined.
+// task counts as rented for the pool, which then pays from its creation on, its boot included.
+// For all others, such as headroom, the pool pays from now on.
 func (m *Model) joinPool(index int, mc *Machine, now time.Time) {
 	p := m.pools.all[index]
 	shard := slices.IndexFunc(p.shards, func(s *warmpool.Shard) bool { return len(s.Members) < warmpool.ShardSize })
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -11,7 +11,8 @@
 )
 
 // This file makes the forecasts of open batch windows: it estimates the work that is left
-// of each and the places there are for it. Package calendar computes the finish from both.
+// in each and the places there are for it. From both, package calendar computes when each
+// will be finished.
 
 const (
 	forecastInterval   = 10 * time.Second // between two rounds of forecasts
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -10,11 +10,11 @@
 )
 
 // This file scales out for the calendar's batch windows ahead of their deadlines: package
-// calendar says how many places they lack, and until when these must be ordered.
+// calendar says how many places they lack, and until when these must be requested.
 
 // windowProvision is the scale-out that the batch windows need. It is decided anew with each
-// forecast, by the machines there are then, whoever rented them: a new leader needs no
-// record of it.
+// forecast by all machines that there are then, also those that an earlier leader rented, so
+// that a new leader needs no record of it.
 type windowProvision struct {
 	job          *Job // a place has room for one of its tasks; nil: nothing is to be rented now
 	targetPlaces int  // places there should be, with all machines empty
@@ -24,7 +24,7 @@
 
 const (
 	provisionTTL         = 3 * forecastInterval                  // a decision that is not renewed ends after it
-	provisionMargin      = 2*forecastInterval + offerRefusalTime // ordered earlier by it: a forecast may be late, an offer refused
+	provisionMargin      = 2*forecastInterval + offerRefusalTime // machines are requested earlier by it, as a forecast may be late and an offer refused
 	maxProvisionMachines = maxScaleOut                           // machines wanted at a time
 	unlimitedPlaces      = 1 << 30                               // without a quota
 )
@@ -32,8 +32,8 @@
 // cancelProvision drops the decided scale-out; the next forecast decides anew.
 func (w *batchWindows) cancelProvision() { w.provision = windowProvision{} }
 
-// planWindowProvision decides what is rented for the batch windows, and returns what a
-// forecast that is at risk says of it. A place has room for a task of the job usual.
+// planWindowProvision decides what is rented for the batch windows. It returns a note on that
+// for the reasons of forecasts that are at risk. A place has room for a task of the job usual.
 func (m *Model) planWindowProvision(loads []calendar.Load, usual *Job, free []float64, now time.Time) string {
 	windows := &m.windows
 	previous := windows.provision.shortage
@@ -67,9 +67,9 @@
 	return fmt.Sprintf("; room for %d tasks more is rented", shortage.Places)
 }
 
-// provisionGracePeriod is how long after takeover a machine without a heartbeat counts as
-// booting at most: by then workers have come back within their lease, and what an earlier
-// leader rented shows in the cloud's list.
+// provisionGracePeriod is how long after its election a leader rents nothing for batch
+// windows. By then it has had heartbeats from all machines whose leases have not expired, and
+// the cloud's list shows what an earlier leader rented.
 func (m *Model) provisionGracePeriod() time.Duration {
 	workers := m.settings.Cluster.Workers
 	return max(config.Seconds(workers.LeaseS), config.Seconds(2*m.settings.Cluster.Cloud.ListLagS+10)) + config.Seconds(workers.ReportS)
@@ -128,8 +128,8 @@
 	return false
 }
 
-// provisionRequest asks for the places that are lacking now, as a placeholder that is served
-// after all that waits; false if none is lacking.
+// provisionRequest returns a placeholder for the places that are lacking now, which is served
+// after the requests of all waiting jobs; false if none is lacking.
 func (m *Model) provisionRequest(now time.Time) (placement.Request, bool) {
 	provision := &m.windows.provision
 	if provision.job == nil || now.Sub(provision.decidedAt) > provisionTTL || m.recoveringFromStall(now) {
