--- a/calendar/encoding_test.go
+++ b/calendar/encoding_test.go
@@ -8,7 +8,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A region's record is stored for the next leader, and shown to operators as JSON.
+// A region's record is stored for the next leader, and shown to operators as JSON: neither
+// encoding may change.
 func TestRecordEncodingsAreStable(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
--- a/calendar/forecast.go
+++ b/calendar/forecast.go
@@ -5,38 +5,39 @@
 	"time"
 )
 
-// Batch is tasks of a batch window that are alike. A place has room for one task of the kind
-// that the windows have most work of; other kinds take more or less than one.
+// Batch is a number of tasks of a batch window that are alike. A place has room for one task of
+// the kind that the windows have most work of; a task of another kind takes more or less than
+// one place.
 type Batch struct {
 	Tasks         int
-	Seconds       float64 // that each task still takes
+	Seconds       float64 // run time that each task still needs
 	PlacesPerTask float64
 	Blocked       bool // the tasks can't proceed, however many places there are
 }
 
-// Load is what is left to do of a batch window.
+// Load is the remaining work of a batch window.
 type Load struct {
 	Deadline       time.Time
-	Batches        []Batch // of tasks that do not run
-	RunningSeconds float64 // until the last of its running tasks ends
+	Batches        []Batch // tasks that are not placed yet
+	RunningSeconds float64 // until the last of its placed tasks ends
 	BlockedReason  string  // why some of its tasks can't proceed; "" if all can
 }
 
-// Forecast is what is expected of a batch window.
+// Forecast says when a batch window's work is expected to be completed.
 type Forecast struct {
 	Finish      time.Time // zero: it can't finish as things are
-	LatestStart time.Time // if it had all places to itself, and so had the later windows from their latest starts
+	LatestStart time.Time // at which it can start and be in time, if it and then each later window has all places to itself
 	AtRisk      bool
 	Reason      string // of the risk
 }
 
-// riskMargin is the share of the time until the finish by which it may slip before the
-// deadline is at risk. Owners' estimates are wrong by more, but what is learnt of a class
-// mostly isn't.
+// riskMargin is by how much longer the work may take than expected, as a share of the
+// expected time, without missing a deadline that is not at risk. Users' estimates of run times
+// are off by more; the times learnt from completed jobs of a class mostly are not.
 const riskMargin = 0.1
 
 // ForecastLoads makes a forecast of each load. Loads share the places, earliest deadline
-// first; free is when each place is free, in seconds from now.
+// first. free has, for each place, the seconds from now until it is free.
 func ForecastLoads(now time.Time, loads []Load, free []float64) []Forecast {
 	byDeadline := make([]int, len(loads))
 	for i := range byDeadline {
@@ -52,8 +53,8 @@
 	for _, i := range byDeadline {
 		forecasts[i] = loads[i].forecast(now, places, firstFree)
 	}
-	// Backwards: a load must be done by its deadline, and by when the next one must have
-	// all places to itself.
+	// From the last deadline to the first: a load must be completed by its own deadline, and
+	// by the latest start of the load after it.
 	end := time.Time{}
 	for _, i := range slices.Backward(byDeadline) {
 		load := &loads[i]
@@ -68,11 +69,12 @@
 	return forecasts
 }
 
-// forecast puts the load on the places that earlier loads have left, and says when it is
-// done. firstFree is when the first place was free before any load.
+// forecast assigns the load's tasks to places, after those of the loads with earlier deadlines,
+// and returns when they end. firstFree is the seconds from now until the first place is free,
+// before any load is assigned.
 func (l *Load) forecast(now time.Time, places placeHeap, firstFree float64) Forecast {
 	if l.BlockedReason != "" || len(places) == 0 && len(l.Batches) > 0 {
-		places.serve(l.Batches) // the part that can proceed comes before later loads
+		places.serve(l.Batches) // what can proceed takes places before the later loads do
 		reason := l.BlockedReason
 		if reason == "" {
 			reason = "no machine can take it"
@@ -97,7 +99,7 @@
 	return forecast
 }
 
-// durationAlone is how many seconds the load takes with so many places to itself.
+// durationAlone is how many seconds the load takes if it has a number of free places to itself.
 func (l *Load) durationAlone(places int) float64 {
 	return max(l.RunningSeconds, newPlaceHeap(make([]float64, places)).serve(l.Batches))
 }
--- a/calendar/places.go
+++ b/calendar/places.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// placeHeap is a simulation of places: a heap of the seconds from now at which each of them
-// is free.
+// placeHeap simulates the use of places: a min-heap with, for each place, the seconds from now
+// until it is free.
 type placeHeap []float64
 
 func newPlaceHeap(free []float64) placeHeap {
@@ -16,21 +16,22 @@
 	return p
 }
 
-// Bounds of the simulation: of more tasks that are alike, only the average load that they
-// put on the places is computed.
+// Bounds of the simulation. The tasks of a batch beyond them are not simulated one by one: all
+// places become free later by the average time that these tasks take of a place.
 const (
 	simulatedRounds       = 4  // tasks simulated on each place, one after the other
 	maxSimulatedWideTasks = 32 // tasks simulated that take several places
 )
 
-// placeTolerance is by how much a task may need more than a whole number of places.
+// placeTolerance is by how much a task's need may exceed a whole number of places without
+// taking one place more.
 const placeTolerance = 0.01
 
-// wholePlaces is how many places a task takes that needs so much of one.
+// wholePlaces rounds the places that a task needs up to a whole number.
 func wholePlaces(placesPerTask float64) float64 { return math.Ceil(placesPerTask - placeTolerance) }
 
-// serve puts batches on the places, longest tasks first, and returns when the last task
-// ends; 0 without places.
+// serve assigns the tasks of batches to places, longest tasks first, and returns the seconds
+// from now until the last one ends; 0 without places.
 func (p placeHeap) serve(batches []Batch) (lastEnd float64) {
 	if len(p) == 0 {
 		return 0
@@ -43,8 +44,8 @@
 	return lastEnd
 }
 
-// serveBatch puts the tasks of a batch on the places, and returns when the last of those
-// that are simulated ends; 0 if there are none.
+// serveBatch assigns the tasks of a batch to places, and returns the seconds from now until
+// the last of those that are simulated ends; 0 if there are none.
 func (p placeHeap) serveBatch(b *Batch) (lastEnd float64) {
 	tasks, width := b.Tasks, min(len(p), int(wholePlaces(b.PlacesPerTask)))
 	simulated := simulatedRounds * len(p)
@@ -54,7 +55,7 @@
 	if surplus := tasks - simulated; surplus > 0 {
 		average := float64(surplus) * b.Seconds * b.PlacesPerTask / float64(len(p))
 		for i := range p {
-			p[i] += average // the heap's order stays
+			p[i] += average // the same for all, so it remains a heap
 		}
 		tasks -= surplus
 	}
@@ -69,8 +70,8 @@
 	return lastEnd
 }
 
-// occupy starts a task that takes several places, once so many are free, and returns when it
-// ends.
+// occupy starts a task that takes several places as soon as that many are free, and returns
+// the seconds from now until it ends.
 func (p placeHeap) occupy(width int, seconds float64) float64 {
 	slices.Sort(p)
 	end := p[width-1] + seconds
--- a/calendar/record.go
+++ b/calendar/record.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Record is the committed state of a region's batch windows: the open ones, and the outcomes
-// of the last ones. Times are Unix milliseconds. The order of fields and the tags are those
+// Record is the committed state of a region's batch windows: the open ones, and the most
+// recent outcomes. Times are Unix milliseconds. The order of fields and the tags are those
 // of stored records and must not change.
 type Record struct {
 	Region              string       `msgpack:"r" json:"region"`
@@ -22,20 +22,20 @@
 	StartMs               int64          `msgpack:"f" json:"from_ms"`
 	DeadlineMs            int64          `msgpack:"pm" json:"promise_ms"`
 	OpeningMs             int64          `msgpack:"o" json:"opening_ms"`
-	OpenJobs              []string       `msgpack:"j" json:"open"`  // ids of unfinished jobs, as many as there is room for
-	OpenJobsOmitted       int            `msgpack:"m" json:"more"`  // unfinished jobs that OpenJobs has no room for
+	OpenJobs              []string       `msgpack:"j" json:"open"`  // ids of unfinished jobs, as many as fit
+	OpenJobsOmitted       int            `msgpack:"m" json:"more"`  // unfinished jobs that are not in OpenJobs
 	Completed             int            `msgpack:"dn" json:"done"` // jobs whose completion is committed
 	CompletedAfterOpening int            `msgpack:"da" json:"after"`
 	LastCompletionMs      int64          `msgpack:"l" json:"last_ms"`
 	Cancelled             int            `msgpack:"x" json:"cancelled"`
-	Lost                  int            `msgpack:"u" json:"lost"`      // jobs that ended without a final record
-	LowerBound            bool           `msgpack:"al" json:"at_least"` // an earlier leader may have counted jobs that it did not record
+	Lost                  int            `msgpack:"u" json:"lost"`      // jobs that are over and have no final record
+	LowerBound            bool           `msgpack:"al" json:"at_least"` // the counts may lack jobs that an earlier leader had not committed yet
 	Forecast              ForecastRecord `msgpack:"fc" json:"forecast"`
-	Reforecasts           []Reforecast   `msgpack:"rp" json:"replans"` // the last of them
+	Reforecasts           []Reforecast   `msgpack:"rp" json:"replans"` // the most recent ones, at most maxReforecasts
 	ReforecastCount       int            `msgpack:"rn" json:"replanned"`
 }
 
-// ForecastRecord is the last forecast of a batch window.
+// ForecastRecord is the most recent forecast of a batch window.
 type ForecastRecord struct {
 	MadeAtMs      int64  `msgpack:"at" json:"at_ms"`
 	FinishMs      int64  `msgpack:"f" json:"finish_ms"` // 0: it can't finish as things are
@@ -44,14 +44,14 @@
 	Reason        string `msgpack:"w" json:"why,omitempty"`
 }
 
-// Reforecast is a forecast that something has changed, with its cause.
+// Reforecast is a forecast that is recorded because something has changed it, with the cause.
 type Reforecast struct {
 	AtMs     int64  `msgpack:"at" json:"at_ms"`
 	Cause    string `msgpack:"c" json:"cause"`
 	FinishMs int64  `msgpack:"f" json:"finish_ms"`
 	AtRisk   bool   `msgpack:"r" json:"at_risk"`
 	Machines int    `msgpack:"m" json:"machines"`
-	Jobs     int    `msgpack:"j" json:"jobs"` // all of the batch window
+	Jobs     int    `msgpack:"j" json:"jobs"` // of the batch window, completed ones included
 }
 
 // Result says whether the deadline of a batch window was met.
@@ -60,12 +60,12 @@
 // Results of batch windows.
 const (
 	ResultMet        Result = "met"
-	ResultLate       Result = "late"       // completed before the opening, but after the deadline
+	ResultLate       Result = "late"       // completed after the deadline, but by the opening
 	ResultIncomplete Result = "incomplete" // not completed at the opening
-	ResultWithdrawn  Result = "withdrawn"  // a new plan has no such batch window
+	ResultWithdrawn  Result = "withdrawn"  // a new plan of the operators has no such batch window
 )
 
-// Outcome is the result of a batch window with its numbers. It is decided once.
+// Outcome is the result of a batch window with its counts. It is decided once.
 type Outcome struct {
 	Date        string `msgpack:"d" json:"date"`
 	DeadlineMs  int64  `msgpack:"pm" json:"promise_ms"`
@@ -79,18 +79,18 @@
 	DecidedBy   uint64 `msgpack:"by" json:"by"` // fencing token of the leader
 }
 
-// Limits of a record: with all of them reached it takes about 8 KB without the ids of open
-// jobs.
+// Limits of a record. One that reaches all of them takes about 8 KB, the ids of open jobs not
+// counted.
 const (
 	maxPastOutcomes = 20
 	maxReforecasts  = 8
 	maxOpenWindows  = 4
 )
 
-// RecordName is the name of a region's record among the records of the plan.
+// RecordName is the name under which a region's record is stored, beside the operators' plan.
 func RecordName(region string) string { return "night." + region }
 
-// JobCount is how many jobs belong to the batch window, without the cancelled ones.
+// JobCount is how many jobs belong to the batch window, cancelled ones not counted.
 func (w *OpenWindow) JobCount() int {
 	return len(w.OpenJobs) + w.OpenJobsOmitted + w.Completed + w.Lost
 }
--- a/calendar/schedule.go
+++ b/calendar/schedule.go
@@ -7,12 +7,13 @@
 )
 
 // Schedule is a leader's state of a region's batch windows: the record, and the open jobs by
-// id. The leader reports what becomes of jobs, and commits Record whenever Generation has
-// grown. Invariant: openJobs has a set for each open window of the record, and no other.
+// id. The leader reports which jobs are open and how jobs end, and commits Record whenever
+// Generation has grown. Invariant: openJobs has a set for each open window of the record, and
+// no other.
 type Schedule struct {
 	record       Record
 	openJobs     map[string]map[string]bool // ids of unfinished jobs in the leader's model, by date
-	unresolved   map[string]string          // jobs that an earlier leader left open and that are over: the dates of their windows
+	unresolved   map[string]string          // jobs that are open in an earlier leader's record and not seen open by this one: the dates of their windows
 	fencingToken uint64
 
 	settleDelay time.Duration
@@ -20,8 +21,8 @@
 }
 
 // NewSchedule continues a region's schedule from the record that earlier leaders committed.
-// settleDelay is for how long after a time a job accepted before it may still become known;
-// no window is closed within it.
+// A job becomes known to the leader at most settleDelay after its acceptance; a window's result
+// is decided only that long after its deadline or opening.
 func NewSchedule(region string, record Record, fencingToken uint64, settleDelay time.Duration) *Schedule {
 	record.Region, record.Windows, record.Past = region, slices.Clone(record.Windows), slices.Clone(record.Past)
 	s := &Schedule{record: record, openJobs: map[string]map[string]bool{}, unresolved: map[string]string{}, fencingToken: fencingToken, settleDelay: settleDelay}
@@ -39,8 +40,9 @@
 // Generation grows with each change that is to be committed.
 func (s *Schedule) Generation() uint64 { return s.generation }
 
-// findOrOpen returns the open window of a batch window, which it opens if need be; nil if it
-// must not be opened: windows that are decided, and those before them, never open again.
+// findOrOpen returns the state of an open batch window. It opens the window if it is not open
+// yet; nil if that is not allowed: maxOpenWindows are open, or the window, or one with a later
+// opening, has been decided. A withdrawn window may open again.
 func (s *Schedule) findOrOpen(window Window) *OpenWindow {
 	if open := s.find(window.Date); open != nil {
 		return open
@@ -66,9 +68,9 @@
 	return nil
 }
 
-// ObserveOpenJobs sets the unfinished jobs, with the batch window of each. Jobs that were
-// open before and have not been passed to RecordCompletion have been cancelled, or belong to
-// another window now.
+// ObserveOpenJobs sets all unfinished jobs, with the batch window of each. A job that was open
+// before, is not among them and was not passed to RecordCompletion counts as cancelled. One
+// whose batch window has changed is moved.
 func (s *Schedule) ObserveOpenJobs(jobs map[string]Window) {
 	for id, window := range jobs {
 		if s.findOrOpen(window) == nil {
@@ -111,8 +113,9 @@
 	s.generation++
 }
 
-// UnresolvedJobs lists jobs that an earlier leader left open and that are over. The owner of
-// the schedule looks up how each has ended, and passes that to ResolveJob.
+// UnresolvedJobs lists the jobs that are open in an earlier leader's record and were not passed
+// to ObserveOpenJobs or RecordCompletion since. Once all open jobs have been observed, these are
+// over: the owner of the schedule looks up how each has ended, and passes that to ResolveJob.
 func (s *Schedule) UnresolvedJobs() []string {
 	ids := make([]string, 0, len(s.unresolved))
 	for id := range s.unresolved {
@@ -150,9 +153,10 @@
 	}
 }
 
-// Reschedule moves the open windows to a region's new openings. A window keeps its date if
-// that still has a window, takes the date of the window that its start is in now if not, and
-// is withdrawn if there is neither. The jobs of each are to be observed anew.
+// Reschedule adapts the open windows to a region's new openings. A window keeps its date if the
+// region still has a batch window on that date. If not, it becomes the window that its start
+// falls into now, merged with that one if it is open; if there is none either, it is withdrawn.
+// No jobs are known to be open afterwards: the caller has to call ObserveOpenJobs.
 func (s *Schedule) Reschedule(region *Region, now time.Time) {
 	previous := s.record.Windows
 	s.record.Windows, s.openJobs = nil, map[string]map[string]bool{}
@@ -180,7 +184,7 @@
 }
 
 // rescheduled returns the batch window that takes the place of an open one in a region with
-// new openings; false if there is none.
+// new openings; false if there is none. region is nil if the new plan does not have it.
 func rescheduled(w *OpenWindow, region *Region) (Window, bool) {
 	if region == nil {
 		return Window{}, false
@@ -191,12 +195,13 @@
 	return region.WindowAt(time.UnixMilli(w.StartMs))
 }
 
-// minRiskChangeInterval is the least time after the last reforecast for one whose only cause
-// is that the risk has changed.
+// minRiskChangeInterval is the shortest time between a reforecast and a following one whose
+// only cause is that the deadline has come to be at risk, or no longer is.
 const minRiskChangeInterval = time.Minute
 
 // RecordForecast sets the forecast of a batch window. With a cause it is recorded as a
-// reforecast; with "" it only replaces the last forecast, unless the risk has changed.
+// reforecast as well. With "" that is so only if AtRisk has changed, and the last reforecast is
+// more than minRiskChangeInterval ago.
 func (s *Schedule) RecordForecast(date string, forecast Forecast, cause string, machines int, now time.Time) {
 	w := s.find(date)
 	if w == nil {
@@ -204,7 +209,7 @@
 	}
 	wasAtRisk := w.Forecast.AtRisk
 	if s.openJobCount(w) == 0 {
-		// All that is known of it is done.
+		// All jobs that are known are over.
 		forecast = Forecast{Finish: time.UnixMilli(w.LastCompletionMs), LatestStart: forecast.LatestStart}
 	}
 	w.Forecast = ForecastRecord{MadeAtMs: now.UnixMilli(), FinishMs: unixMilliOrZero(forecast.Finish), LatestStartMs: unixMilliOrZero(forecast.LatestStart),
@@ -225,7 +230,8 @@
 	s.generation++
 }
 
-// riskChangeDue reports whether the last reforecast is long enough ago.
+// riskChangeDue reports whether there was a reforecast, and the last one is long enough ago for
+// a change of the risk alone to be recorded.
 func (w *OpenWindow) riskChangeDue(now time.Time) bool {
 	k := len(w.Reforecasts)
 	return k > 0 && now.UnixMilli()-w.Reforecasts[k-1].AtMs > minRiskChangeInterval.Milliseconds()
@@ -255,8 +261,9 @@
 
 func (s *Schedule) jobCount(w *OpenWindow) int { return s.openJobCount(w) + w.Completed + w.Lost }
 
-// CloseDue closes the batch windows whose result can be decided, and returns their outcomes.
-// It waits for the settle delay, and until no job of the window is unresolved.
+// CloseDue closes the batch windows whose result can be decided, and returns their outcomes,
+// also of windows without jobs. A window is decided only after the settle delay, and when no job
+// of it is unresolved.
 func (s *Schedule) CloseDue(now time.Time) (outcomes []Outcome) {
 	open := s.record.Windows[:0]
 	for i := range s.record.Windows {
@@ -275,7 +282,7 @@
 }
 
 // decideResult returns the result of a batch window, and by how much it is late; false if it
-// can't be decided yet. nowMs is the time up to which all accepted jobs are known.
+// can't be decided yet. All jobs that were accepted up to nowMs are known.
 func (s *Schedule) decideResult(w *OpenWindow, nowMs int64) (result Result, lateMs int64, ok bool) {
 	if nowMs < w.DeadlineMs || s.unresolvedCount(w.Date) > 0 {
 		return "", 0, false
@@ -292,7 +299,8 @@
 	return ResultIncomplete, 0, true
 }
 
-// closeWindow records the outcome of a batch window. One without jobs leaves none.
+// closeWindow returns the outcome of a batch window, and adds it to the record unless the window
+// had no jobs.
 func (s *Schedule) closeWindow(w *OpenWindow, result Result, lateMs int64, now time.Time) Outcome {
 	outcome := Outcome{Date: w.Date, DeadlineMs: w.DeadlineMs, OpeningMs: w.OpeningMs, Result: result, LateMs: lateMs,
 		Completed: w.Completed - w.CompletedAfterOpening, Jobs: s.jobCount(w), LowerBound: w.LowerBound, DecidedAtMs: now.UnixMilli(), DecidedBy: s.fencingToken}
@@ -307,11 +315,11 @@
 	return outcome
 }
 
-// jobIDOverhead is how many bytes an id takes in a record besides its text.
+// jobIDOverhead is how many bytes an id takes in an encoded record besides its text.
 const jobIDOverhead = 3
 
-// Record returns a copy of the record, to be committed. The ids of open jobs take at most so
-// many bytes of it together.
+// Record returns a copy of the record, to be committed. The ids of open jobs, of all windows
+// together, take at most maxIDBytes of it; the rest are only counted.
 func (s *Schedule) Record(now time.Time, maxIDBytes int) Record {
 	record := s.record
 	record.SavedAtMs = now.UnixMilli()
@@ -358,8 +366,8 @@
 	return windows
 }
 
-// JobCounts returns how many jobs of a batch window are known, without the cancelled ones,
-// and how many of them are not known to be over.
+// JobCounts returns how many jobs of a batch window are known, cancelled ones not counted, and
+// how many of them are not known to be over.
 func (s *Schedule) JobCounts(date string) (all, open int) {
 	w := s.find(date)
 	if w == nil {
--- a/calendar/schedule_test.go
+++ b/calendar/schedule_test.go
@@ -11,7 +11,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// newTestRegion is a region of which a part of the settings is replaced.
+// newTestRegion makes a region from test settings in which a part of the text is replaced.
 func newTestRegion(t *testing.T, old, replacement string) *Region {
 	t.Helper()
 	return newTestCalendar(t, strings.Replace(`
@@ -89,7 +89,7 @@
 // last: the result is decided once, and no job is counted twice.
 func TestFailoverCountsEachJobOnce(t *testing.T) {
 	n := windowAtT0(t, newTestRegion(t, "", ""))
-	for lose := range 6 { // how many changes the first leader made and could not commit
+	for lose := range 6 { // how many of its last changes the first leader could not commit
 		b := NewSchedule("brussels", Record{}, 5, 0)
 		var committed []Record
 		step := func(f func()) { f(); committed = append(committed, b.Record(t0, 4000)) }
--- a/calendar/settings.go
+++ b/calendar/settings.go
@@ -1,10 +1,11 @@
-// Package calendar computes the batch windows of a calendar of office openings: which window
-// a job belongs to, until when the window's work must be done (its deadline), when it is
-// expected to be done, how many more places it needs, and whether the deadline was met.
+// Package calendar computes batch windows: the times before an office's openings in which jobs
+// for that opening are accepted. It says which window a job belongs to, by when the window's
+// jobs must be completed (its deadline), when they are expected to be, how many more places
+// (free resources for one task each) that takes, and whether the deadline was met.
 //
-// The package does no input or output and never reads the clock: times are passed in. Its
-// user is the leader's model (package cluster), which stores each region's Record and hands
-// it to the next leader; the tools for operators read the same records. A Calendar and a
+// The package does no I/O, apart from Print, and never reads the clock: times are passed in. It
+// is used by the leader's model (package cluster); the leader stores each region's Record, from
+// which the next one continues, and the tools for operators read the same records. A Calendar and a
 // Schedule belong to one goroutine at a time. docs/calendar.md has the reasons for its rules.
 package calendar
 
@@ -16,20 +17,20 @@
 	_ "time/tzdata" // a node's machine may have no time zone database
 )
 
-// Settings is the calendar as operators write it.
+// Settings is the calendar in the operators' plan.
 type Settings struct {
 	Regions []RegionSettings `toml:"regions"`
 }
 
-// RegionSettings is one region's office, and the work that must be done when it opens.
+// RegionSettings is one region's office, and the work that must be completed before it opens.
 type RegionSettings struct {
 	Name       string            `toml:"name"`
 	Zone       string            `toml:"zone"`       // IANA time zone
 	Open       map[string]string `toml:"open"`       // "mon" to "sun": local time of the opening, "08:00"; closed on missing days
-	Holidays   string            `toml:"holidays"`   // closed on this country's; empty: none
-	Exceptions []Exception       `toml:"exceptions"` // take precedence over both
+	Holidays   string            `toml:"holidays"`   // country code; closed on its public holidays; empty: none
+	Exceptions []Exception       `toml:"exceptions"` // take precedence over Open and Holidays
 	Evening    string            `toml:"evening"`    // local time at which a batch window begins
-	MarginS    float64           `toml:"margin_s"`   // from the deadline to the opening
+	MarginS    float64           `toml:"margin_s"`   // seconds from the deadline to the opening
 	Work       []Work            `toml:"work"`       // a job belongs to the region if one of them matches it
 }
 
--- a/calendar/settings_check.go
+++ b/calendar/settings_check.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Limits of a calendar, which bound its records as well.
+// Limits of a calendar. They also bound how many records there are.
 const (
 	maxRegions    = 16
 	maxWork       = 32
@@ -21,7 +21,7 @@
 var regionName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,31}$`)
 
 // Check returns all errors of the settings, each with the path of its field. zones and teams
-// are those of the platform's settings.
+// are the names in the platform's settings (config.Settings).
 func (s *Settings) Check(zones, teams []string) []error {
 	c := &checker{zones: zones, teams: teams}
 	c.limit("calendar.regions", len(s.Regions), maxRegions)
@@ -105,8 +105,8 @@
 	}
 }
 
-// openingCheck checks the openings of a region: between the evening before and the deadline
-// there must be time for a batch window.
+// openingCheck checks the openings of a region: the deadline must be after the evening before,
+// at which the batch window starts.
 type openingCheck struct {
 	checker *checker
 	field   string // of the region
@@ -119,7 +119,7 @@
 // newOpeningCheck checks the evening and the margin of a region.
 func (c *checker) newOpeningCheck(field string, r *RegionSettings) *openingCheck {
 	evening, usable := c.checkTimeOfDay(field+".evening", r.Evening)
-	if !(r.MarginS >= 0 && r.MarginS < day.Seconds()) { // not so for NaN either
+	if !(r.MarginS >= 0 && r.MarginS < day.Seconds()) { // the negation refuses NaN as well
 		c.fail(field+".margin_s", "%v is not between 0 and a day", r.MarginS)
 		usable = false
 	}
@@ -143,8 +143,8 @@
 	}
 }
 
-// checkWork checks a region's work. fields has the field of each work seen so far, in any
-// region.
+// checkWork checks a region's work. fields has the field of each Work seen so far, in any
+// region, to find duplicates.
 func (c *checker) checkWork(field string, r *RegionSettings, fields map[string]string) {
 	if len(r.Work) == 0 {
 		c.fail(field+".work", "nothing belongs to the region")
--- a/calendar/shortage.go
+++ b/calendar/shortage.go
@@ -7,28 +7,27 @@
 )
 
 // This file computes how many more places the batch windows need to meet their deadlines,
-// and until when these must be ordered.
+// and by when machines for them must be ordered.
 
-// Shortage is the number of places that are lacking, each with room for the loads' usual
-// task.
+// Shortage is the number of places that are lacking (see Batch).
 type Shortage struct {
 	Places  int       // 0: none is lacking, or more would not help
 	OrderBy time.Time // the latest time at which so many suffice; after it, more are needed
 }
 
 const (
-	maxModelPlaces       = 256  // of more places, several are simulated as one unit
-	similarityRatio      = 1.25 // tasks are merged whose times differ by less than this factor
-	improvementTolerance = 0.05 // share of the possible improvement that is given up for fewer places
-	maxToleratedLateness = 20   // the tolerance is a share of at most this multiple of the lateness that stays
-	orderPrecision       = 1.0  // seconds to which the latest order is computed
-	closerLookRatio      = 4    // if fewer than 1/4 of the possible places are lacking, a finer model is used
+	maxModelPlaces       = 256  // if there are more, several are simulated as one unit
+	similarityRatio      = 1.25 // tasks whose times differ by less than this factor are merged
+	improvementTolerance = 0.05 // share of the possible improvement in lateness that is given up for fewer places
+	maxToleratedLateness = 20   // the improvement counts for that up to this multiple of the lateness that remains
+	orderPrecision       = 1.0  // seconds to which the latest time to order is computed
+	closerLookRatio      = 4    // if at most 1/4 of the possible places are lacking, a model with smaller units is used
 )
 
-// FindShortage returns how many more places the loads need to meet their deadlines, if each
-// is there bootSeconds after it is ordered. free is when each of the present ones is free, in
-// seconds from now; at most maxPlaces are asked for. If the deadlines can't be met, the
-// shortage is what makes the lateness nearly as small as possible.
+// FindShortage returns how many more places the loads need to meet their deadlines, at most
+// maxPlaces, if each is usable bootSeconds after it is ordered. free has, for each present
+// place, the seconds from now until it is free. If the deadlines can't be met, the shortage is
+// what makes the total lateness nearly as small as possible.
 func FindShortage(now time.Time, loads []Load, free []float64, bootSeconds float64, maxPlaces int) Shortage {
 	for {
 		model := newShortageModel(now, loads, free, bootSeconds, maxPlaces)
@@ -64,7 +63,7 @@
 	}
 	shortage := Shortage{Places: enough * m.placesPerUnit, OrderBy: now}
 	if accepted > 0 {
-		return shortage // late even if ordered now
+		return shortage // some load is late even if ordered now
 	}
 	inTime, tooLate := 0.0, m.lastDeadline
 	for tooLate-inTime > orderPrecision {
@@ -78,11 +77,11 @@
 	return shortage
 }
 
-// shortageModel is the loads of batch windows, made small enough to be simulated a few dozen
-// times. A unit is some places that are simulated as one.
+// shortageModel has the loads of batch windows, reduced so that they can be simulated a few
+// dozen times. A unit is a number of places that are simulated as one.
 type shortageModel struct {
 	loads         []modelLoad // by deadline
-	free          placeHeap   // when each unit is free, sorted
+	free          placeHeap   // seconds from now until each unit is free, sorted
 	bootSeconds   float64
 	placesPerUnit int
 	maxUnits      int     // that may be added
@@ -116,7 +115,8 @@
 	return m
 }
 
-// usefulPlaces is with how many places all tasks of the loads could run at the same time.
+// usefulPlaces is how many places the loads can use at once: with them, all tasks that are not
+// blocked run at the same time.
 func usefulPlaces(loads []Load) float64 {
 	places := 0.0
 	for i := range loads {
@@ -129,8 +129,8 @@
 	return places
 }
 
-// mergeSimilar merges batches of tasks that take about as long and as many places, and
-// converts them to units.
+// mergeSimilar merges batches whose tasks take the same number of places and about as long, and
+// converts them to units. Blocked batches are left out.
 func (m *shortageModel) mergeSimilar(batches []Batch) []Batch {
 	type similarity struct{ width, duration int }
 	sums := map[similarity]*Batch{}
@@ -154,7 +154,8 @@
 	for _, key := range keys {
 		b := *sums[key]
 		if width := wholePlaces(b.PlacesPerTask); width > 1 && m.placesPerUnit > 1 {
-			// A few units have room for the task.
+			// Tasks that take several places become tasks of one unit each, as many as
+			// their places together fill.
 			b.Tasks, b.PlacesPerTask = int(math.Ceil(float64(b.Tasks)*width/float64(m.placesPerUnit))), 1
 		} else {
 			b.Tasks = (b.Tasks + m.placesPerUnit - 1) / m.placesPerUnit
@@ -164,8 +165,8 @@
 	return merged
 }
 
-// lateness is by how many seconds the loads miss their deadlines together, the risk margin
-// included, with so many more units that are ordered after a delay.
+// lateness is the sum of the seconds by which loads miss their deadlines, the risk margin
+// included, if a number of units more is ordered after a delay.
 func (m *shortageModel) lateness(moreUnits int, delaySeconds float64) float64 {
 	places := make(placeHeap, 0, len(m.free)+moreUnits)
 	places = append(places, m.free...)
--- a/calendar/view.go
+++ b/calendar/view.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// View is a region's record as operators see it.
+// View is a region's record as it is shown to operators.
 type View struct {
 	Record
 	Zone          string `json:"zone"`
-	NextOpeningMs int64  `json:"next_opening_ms"` // 0: none within the horizon
+	NextOpeningMs int64  `json:"next_opening_ms"` // 0: none within openingHorizonDays
 	Stale         bool   `json:"stale"`           // a batch window is open, but no leader has updated the record lately
 }
 
-// staleAfter is longer than a leader leaves the record of an open batch window unchanged,
-// also while writes are slow.
+// staleAfter is longer than the time between a leader's writes of the record of an open batch
+// window, even if they are slow.
 const staleAfter = 3 * time.Minute
 
 // View returns the view of the region's record at a time.
@@ -30,7 +30,7 @@
 	return v
 }
 
-// Print writes views as a table: of each region the open batch windows, and at most so many
+// Print writes views as a table: for each region the open batch windows, and at most maxPast
 // past outcomes.
 func Print(out io.Writer, views []View, maxPast int) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
@@ -52,7 +52,7 @@
 	return w.Flush()
 }
 
-// regionPrinter prints a region with times in its zone.
+// regionPrinter prints a region with times in its time zone.
 type regionPrinter struct {
 	out      io.Writer
 	location *time.Location
@@ -108,7 +108,7 @@
 	return s
 }
 
-// countsText says how many jobs of the batch window are done.
+// countsText says how many jobs of the batch window are completed, and how many are lost.
 func (w *OpenWindow) countsText() string {
 	qualifier := ""
 	if w.LowerBound {
--- a/calendar/window.go
+++ b/calendar/window.go
@@ -8,8 +8,8 @@
 	"github.com/rickar/cal/v2"
 )
 
-// Calendar is made from checked settings. It caches the holidays of the years that it was
-// asked about, and so belongs to one goroutine at a time.
+// Calendar finds the batch windows of all regions. Lookups cache the holidays of the years that
+// they need, so a Calendar may be used by one goroutine at a time only.
 type Calendar struct{ Regions []*Region }
 
 // Region is a region of a calendar.
@@ -37,7 +37,7 @@
 // isNone reports whether a window is the zero value, which stands for no window.
 func (w Window) isNone() bool { return w.Date == "" }
 
-// openingHorizonDays is over how many days the next and the last opening are searched.
+// openingHorizonDays is within how many days the next and the previous opening are searched for.
 const openingHorizonDays = 62
 
 // New makes a calendar from settings that Check has accepted.
@@ -90,9 +90,9 @@
 }
 
 // WindowFor returns the batch window that a job belongs to, with its region; false if there
-// is none. Of several regions whose work it is, the one with the earliest deadline counts.
-// The result depends on nothing but the arguments and the settings, so that every leader
-// finds the same.
+// is none. If the work of several regions matches the job, the earliest deadline decides.
+// The result depends only on the arguments and the settings, so that every leader finds the
+// same.
 func (c *Calendar) WindowFor(acceptedAt time.Time, job JobAttributes) (*Region, Window, bool) {
 	var region *Region
 	var window Window
@@ -107,9 +107,8 @@
 	return region, window, region != nil
 }
 
-// WindowAt returns the batch window that a time is in; false if it is in none, which is so
-// from a deadline until the evening after its opening: too late for this opening, too early
-// for the next.
+// WindowAt returns the batch window that a time is in; false if it is in none, as between a
+// deadline and the evening after its opening.
 func (r *Region) WindowAt(t time.Time) (Window, bool) {
 	date := r.localDate(t)
 	for range openingHorizonDays {
@@ -149,9 +148,9 @@
 	return Window{}, false
 }
 
-// windowBefore returns the batch window of an opening on a date. It starts at the first
-// evening after the opening before: on a Friday, as a rule, for a Monday's opening. It is
-// false if the deadline would not be after the start.
+// windowBefore returns the batch window of an opening on a date. It starts at the first evening
+// after the previous opening, such as Friday's for an opening on Monday, or openingHorizonDays
+// before if there is none. The result is false if the deadline would not be after the start.
 func (r *Region) windowBefore(date time.Time, opening time.Time) (Window, bool) {
 	w := Window{Date: date.Format(dateLayout), Deadline: opening.Add(-r.margin), Opening: opening}
 	w.Start = r.localTime(date.AddDate(0, 0, -openingHorizonDays), r.evening)
@@ -199,20 +198,21 @@
 	}
 }
 
-// localDate returns the date of a time in the region, as midnight UTC: dates are counted in
-// UTC, where each day has 24 hours.
+// localDate returns the date of a time in the region, as midnight UTC: calculations with dates
+// are made in UTC, where each day has 24 hours.
 func (r *Region) localDate(t time.Time) time.Time {
 	y, m, d := t.In(r.location).Date()
 	return time.Date(y, m, d, 0, 0, 0, 0, time.UTC)
 }
 
-// offsetProbe is how far before and after a local time the offsets from UTC are looked up:
-// more than a day, since a time zone is up to 14 hours away from UTC.
+// offsetProbe is how far before and after a local time, taken as if it were UTC, the zone's
+// offsets are looked up. Offsets are up to 14 hours, so these are moments before and after the
+// local time in any zone.
 const offsetProbe = 26 * time.Hour
 
-// localTime returns when clocks in the region show a time of day. Of a time that they show
-// twice it is the first, and for one that they skip the moment of the change: an office
-// never opens before the deadline of its batch window.
+// localTime returns the moment of a local time in the region. A time that occurs twice because
+// of a change of the zone's offset is the first of both; one that is skipped is the moment of
+// the change.
 func (r *Region) localTime(date time.Time, clock timeOfDay) time.Time {
 	wall := date.Add(time.Duration(clock))
 	var first, skipped time.Time
--- a/calendar/window_test.go
+++ b/calendar/window_test.go
@@ -65,8 +65,8 @@
 	for _, tc := range []struct{ region, at, date, from, promise string }{
 		{"brussels", "2027-01-12T21:00:00+01:00", "2027-01-13", "2027-01-12T18:00:00+01:00", "2027-01-13T07:30:00+01:00"},
 		{"brussels", "2027-01-12T18:00:00+01:00", "2027-01-13", "2027-01-12T18:00:00+01:00", "2027-01-13T07:30:00+01:00"},
-		{"brussels", "2027-01-12T17:59:59+01:00", "", "", ""}, // still day
-		{"brussels", "2027-01-13T07:30:00+01:00", "", "", ""}, // too late to be promised
+		{"brussels", "2027-01-12T17:59:59+01:00", "", "", ""}, // before the evening
+		{"brussels", "2027-01-13T07:30:00+01:00", "", "", ""}, // at the deadline
 		// From Friday's evening to Monday.
 		{"brussels", "2027-01-16T12:00:00+01:00", "2027-01-18", "2027-01-15T18:00:00+01:00", "2027-01-18T07:30:00+01:00"},
 		// New Year's Day is a Friday, and then comes a weekend.
