--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -2,10 +2,10 @@
 // Prometheus' text format (Set), the recent errors of its log (RecentErrors), and the overview
 // of `umberdeal status` (Overview).
 //
-// It is used by package controller and by the command line, and decides nothing. The
-// measuring methods of a nil Set and List of nil RecentErrors do nothing, so that a node
-// without an address for operators needs no special case. Names of metrics, JSON fields and the texts of
-// the table are an interface for operators' programs and stay as they are.
+// It is used by package controller and by the command line, and decides nothing. The methods
+// of a nil Set, except Handler, do nothing, and List of nil RecentErrors returns nothing, so
+// that a node without an address for operators needs no special case. Names of metrics, JSON
+// fields and the texts of the table are read by operators' programs and must not change.
 package metrics
 
 import (
@@ -19,7 +19,7 @@
 // Step is a part of the time from a job's submission until its tasks run.
 type Step int
 
-// Steps, each measured from the end of the one before.
+// Steps of a submission, each measured from the end of the one before.
 const (
 	StepAccepted Step = iota // from a submission's arrival at this node to its answer
 	StepPlaced               // from a job's acceptance to a task's placement
@@ -83,14 +83,14 @@
 	}
 }
 
-// ObserveStep measures how long a step took.
+// ObserveStep records how long a step took.
 func (s *Set) ObserveStep(step Step, seconds float64) {
 	if s != nil {
 		s.stepSeconds[step].Observe(max(seconds, 0))
 	}
 }
 
-// LeaseLeft measures how many seconds of a worker's lease were left when its heartbeat was
+// LeaseLeft records how many seconds of a worker's lease were left when its heartbeat was
 // answered.
 func (s *Set) LeaseLeft(seconds float64) {
 	if s != nil {
@@ -98,15 +98,15 @@
 	}
 }
 
-// PreemptionHeld measures how long a stop waited until the plan it was decided by was
-// confirmed.
+// PreemptionHeld records how long a preemption was held back until the version of the operators'
+// plan by which it was decided was confirmed to be the current one.
 func (s *Set) PreemptionHeld(seconds float64) {
 	if s != nil {
 		s.preemptionHeldSeconds.Observe(max(seconds, 0))
 	}
 }
 
-// ObserveSchedulingPass measures the length of a scheduling pass.
+// ObserveSchedulingPass records how long a scheduling pass took.
 func (s *Set) ObserveSchedulingPass(seconds float64) {
 	if s != nil {
 		s.passSeconds.Observe(seconds)
@@ -120,7 +120,7 @@
 	}
 }
 
-// CountRefusal counts a request that was refused or shed.
+// CountRefusal counts a request that was refused, by reason; refusals for overload count too.
 func (s *Set) CountRefusal(why string) {
 	if s != nil {
 		s.refusals.WithLabelValues(why).Inc()
--- a/metrics/overview.go
+++ b/metrics/overview.go
@@ -7,10 +7,9 @@
 )
 
 // Overview is the state of a node, and of the cluster if a leader answers, as `umberdeal
-// status` shows it. Everything in it is of the time At: Cluster and Routing are missing
-// where no leader answers, rather than shown as they were before. The order of fields and the
-// JSON names are read by operators' programs and by nodes of other versions, and must not
-// change.
+// status` shows it. Everything in it is as of the time At: if no leader answers, Cluster and
+// Routing are nil rather than out of date. Operators' programs and nodes of other versions
+// read the JSON, so the names and the order of fields must not change.
 type Overview struct {
 	At             time.Time     `json:"at"`
 	Node           string        `json:"node"`
@@ -75,8 +74,8 @@
 	LeastLeaseLeftSeconds float64            `json:"least_lease_left_s"` // of all workers' leases
 	WarmPools             []WarmPool         `json:"pools,omitempty"`
 	PriorityInversions    map[string]uint64  `json:"departures,omitempty"` // tasks, by tier and reason
-	// Jobs that can't start within the starvation bound: the ones with the longest waits, and
-	// how many there are.
+	// Jobs that can't start within the starvation bound: those that have waited longest, and
+	// how many there are in all.
 	StarvedJobs     []StarvedJob `json:"unbegun"`
 	StarvedJobCount int          `json:"unbegun_all"`
 }
--- a/metrics/print.go
+++ b/metrics/print.go
@@ -35,7 +35,7 @@
 	return calendar.Print(out, o.Cluster.BatchWindows, maxPastWindows)
 }
 
-// tablePrinter prints rows of a name and a text.
+// tablePrinter prints the rows of a table, each with a name and a text.
 type tablePrinter struct{ out io.Writer }
 
 func (p tablePrinter) row(name, format string, args ...any) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// text describes the pool in one line.
+// text describes the warm pool in one line.
 func (p *WarmPool) text() string {
 	var costs []string
 	for _, team := range slices.Sorted(maps.Keys(p.Cost)) {
@@ -124,7 +124,7 @@
 	return s
 }
 
-// formatCounts lists counts by name.
+// formatCounts lists counts, sorted by name.
 func formatCounts[N int | uint64](counts map[string]N) string {
 	var parts []string
 	for _, name := range slices.Sorted(maps.Keys(counts)) {
--- a/metrics/recent_errors.go
+++ b/metrics/recent_errors.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// RecentError is a line of the log that operators are shown again.
+// RecentError is a line of the log that an Overview shows.
 type RecentError struct {
 	At   time.Time `json:"at"`
 	Text string    `json:"text"`
 }
 
-// notableMessages are the messages that are kept whatever their level. Errors are kept
-// whatever their message.
+// notableMessages are the messages of log lines that are kept whatever their level. Lines of
+// level error are kept whatever their message.
 var notableMessages = []string{
 	"process stalled", "machine lease expired", "no heartbeats reach this leader, resigning",
 	"key-value store unreachable, retrying", "key-value store reachable again", "leader unresponsive",
@@ -25,14 +25,14 @@
 	"records not loaded, retrying", "watch fell behind, resigning",
 }
 
-// maxRecentErrors is how many lines are kept.
+// maxRecentErrors bounds the lines that are kept.
 const maxRecentErrors = 64
 
 // RecentErrors is a log handler that passes every line on to another handler, and keeps the
 // last errors and notable lines. It is safe for concurrent use.
 type RecentErrors struct {
 	slog.Handler
-	buffer *errorBuffer // shared by the handlers that are made of this one
+	buffer *errorBuffer // shared with the handlers that WithAttrs and WithGroup derive
 	attrs  []slog.Attr
 }
 
@@ -42,7 +42,7 @@
 	entries []RecentError
 }
 
-// add adds a line, and drops the oldest over the limit.
+// add adds a line, and drops the oldest ones beyond the limit.
 func (b *errorBuffer) add(e RecentError) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,13 +52,13 @@
 	}
 }
 
-// NewRecentErrors wraps a handler.
+// NewRecentErrors returns a handler that passes lines on to h.
 func NewRecentErrors(h slog.Handler) *RecentErrors {
 	return &RecentErrors{Handler: h, buffer: &errorBuffer{}}
 }
 
-// Enabled implements slog.Handler. Lines of level info are handled even if the wrapped
-// handler does not want them, since notable ones are among them.
+// Enabled implements slog.Handler. Lines from level info up are handled even if the wrapped
+// handler ignores them, since notable ones may be among them.
 func (r *RecentErrors) Enabled(ctx context.Context, level slog.Level) bool {
 	return level >= slog.LevelInfo || r.Handler.Enabled(ctx, level)
 }
@@ -74,7 +74,7 @@
 	return r.Handler.Handle(ctx, record)
 }
 
-// text is a line's message with its attributes, those of the handler first.
+// text is a line's message with its attributes, those of the handler first. Groups are left out.
 func (r *RecentErrors) text(record slog.Record) string {
 	var text strings.Builder
 	text.WriteString(record.Message)
