--- a/config/check.go
+++ b/config/check.go
@@ -6,10 +6,10 @@
 	"math"
 )
 
-// This file has how the files' fields are checked: all that is wrong is reported at
-// once, each problem with the name of its field.
+// This file has the checks of single fields. All problems of a file are reported at once, each
+// with the name of its field.
 
-// ErrMissing says that a field which has no default is not in the file.
+// ErrMissing is the problem of a required field that is not in the file.
 var ErrMissing = errors.New("is missing")
 
 // FieldError says what is wrong with one field of a file.
@@ -25,7 +25,7 @@
 // Unwrap returns what is wrong with the field.
 func (e *FieldError) Unwrap() error { return e.Err }
 
-// check is what a field was found to be; problem is nil if it is valid.
+// check is the result of checking a field; problem is nil if it is valid.
 type check struct {
 	field   string
 	problem error
@@ -49,7 +49,7 @@
 	return check{field: field}
 }
 
-// positive wants a finite number above 0.
+// positive checks that a number is above 0 and finite.
 func positive(field string, v float64) check {
 	if !(v > 0 && !math.IsInf(v, 0)) {
 		return check{field, errors.New("must be above 0")}
@@ -58,7 +58,7 @@
 }
 
 func notNegative(field string, v float64) check {
-	if !(v >= 0) { // not a number is neither
+	if !(v >= 0) { // the negation refuses NaN as well
 		return check{field, errors.New("must not be negative")}
 	}
 	return check{field: field}
@@ -71,7 +71,7 @@
 	return check{field: field}
 }
 
-// within wants a number between two, which are allowed themselves.
+// within checks that a number is between least and most, both included.
 func within(field string, v, least, most float64) check {
 	if !(v >= least && v <= most) {
 		return check{field, fmt.Errorf("must be from %g to %g", least, most)}
--- a/config/config.go
+++ b/config/config.go
@@ -1,6 +1,6 @@
 // Package config reads and checks a node's two files: the settings that the platform
-// hands over (Settings), and the operators' own tuning (Tuning). Both are TOML; what
-// is wrong in them is reported by the names that the fields have there.
+// hands over (Settings), and the operators' own tuning (Tuning). Both are TOML, and errors
+// name fields as the files do.
 package config
 
 import (
@@ -33,7 +33,7 @@
 	Addr string `toml:"addr"`
 }
 
-// Services are the addresses of the regional services.
+// Services are the addresses of the cloud's API and of the key-value store (State).
 type Services struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
@@ -52,7 +52,7 @@
 	Limits     Limits      `toml:"limits"`
 }
 
-// Team has a guarantee and a limit (CPUsMax, GPUsMax); 0 means none.
+// Team is a team's guarantee (CPUs, GPUs) and limit (CPUsMax, GPUsMax); 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -67,12 +67,12 @@
 
 // Kinds of service-level objectives.
 const (
-	ObjectiveWait      ObjectiveKind = "wait"      // a job starts within some time of its acceptance
-	ObjectiveGuarantee ObjectiveKind = "guarantee" // the same, where its team's guarantee covers it
-	ObjectiveFinished  ObjectiveKind = "finished"  // a job is done within some time of its acceptance
-	ObjectiveDeadline  ObjectiveKind = "deadline"  // a job is done by its deadline, or a multiple of that
+	ObjectiveWait      ObjectiveKind = "wait"      // a job starts within WithinS of its acceptance
+	ObjectiveGuarantee ObjectiveKind = "guarantee" // the same, for jobs that their team's guarantee covers
+	ObjectiveFinished  ObjectiveKind = "finished"  // a job is completed within WithinS of its acceptance
+	ObjectiveDeadline  ObjectiveKind = "deadline"  // a job is completed by its deadline, or within Times that time
 	ObjectivePrice     ObjectiveKind = "price"     // what machines cost
-	ObjectiveCost      ObjectiveKind = "cost"      // the same, as other settings call it
+	ObjectiveCost      ObjectiveKind = "cost"      // another name for price in settings
 )
 
 // Objective is one service-level objective of the deployment, for the jobs of a
@@ -85,16 +85,16 @@
 	Times   float64       `toml:"times"`    // for deadlines: a multiple of the job's own deadline
 }
 
-// Workers holds the workers' times, in seconds.
+// Workers holds the intervals and timeouts of workers, in seconds.
 type Workers struct {
 	ReportS   float64 `toml:"report_s"`    // between heartbeats
-	LeaseS    float64 `toml:"lease_s"`     // after its last answered heartbeat a worker ends its tasks
-	GangWaitS float64 `toml:"gang_wait_s"` // for how long a gang's task waits for the others
-	GangPeerS float64 `toml:"gang_peer_s"` // after which a gang's task ends that lost another
-	CancelS   float64 `toml:"cancel_s"`    // after which a cancelled job's tasks are gone
+	LeaseS    float64 `toml:"lease_s"`     // after sending the last heartbeat that was answered, until a worker kills its tasks
+	GangWaitS float64 `toml:"gang_wait_s"` // how long a task of a gang waits for the others to start
+	GangPeerS float64 `toml:"gang_peer_s"` // after a gang has lost a task, until the others have ended
+	CancelS   float64 `toml:"cancel_s"`    // after a confirmed cancellation, until the job's tasks must be gone
 }
 
-// StateLimits are the state service's limits.
+// StateLimits are the key-value store's limits.
 type StateLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
@@ -102,20 +102,21 @@
 	TxnOps   int     `toml:"txn_ops"`
 }
 
-// CloudLimits are the cloud's limits.
+// CloudLimits are the limits of the cloud's API. A change may show in its list only after
+// ListLagS seconds.
 type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits are the machine's.
+// Limits are the resources that a node may use.
 type Limits struct {
 	CPU     float64 `toml:"cpu"`
 	MemMB   float64 `toml:"mem_mb"`
 	Sockets int     `toml:"sockets"`
 }
 
-// Seconds is a duration of so many seconds.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Load reads and checks a settings file.
@@ -216,17 +217,17 @@
 	return checks
 }
 
-// GCPercent is how much may be allocated between garbage collections, in percent of
-// what is live. With Go's default of 100, the leader of a large fleet collects several
-// times a second with four fifths of its memory unused; what is live is small, and
-// near the memory limit the runtime collects sooner by itself.
+// GCPercent is how much may be allocated between garbage collections, in percent of the
+// live heap. With Go's default of 100, the leader of a large cluster collects several times
+// a second with four fifths of its memory unused. The live heap is small, and near the memory
+// limit (MemoryLimit) the runtime collects more often by itself.
 const GCPercent = 300
 
-// goMemoryShare is the Go runtime's share of a node's memory: the rest is for what the
-// runtime does not count.
+// goMemoryShare is the Go runtime's share of a node's memory: the rest is for memory that the
+// runtime's limit does not cover.
 const goMemoryShare = 0.6
 
-// MemoryLimit is how much memory the Go runtime should keep to, in bytes.
+// MemoryLimit is the soft memory limit to set in the Go runtime, in bytes.
 func (s *Settings) MemoryLimit() int64 {
 	return int64(s.Cluster.Limits.MemMB * goMemoryShare * (1 << 20))
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -78,7 +78,7 @@
 	}
 }
 
-// What stands in deploy/ for operators is read without complaint.
+// The example file for operators in deploy/ is valid.
 func TestExampleTuningIsValid(t *testing.T) {
 	got, err := LoadTuning("../deploy/operations.toml")
 	if err != nil {
--- a/config/leases.go
+++ b/config/leases.go
@@ -5,53 +5,54 @@
 	"fmt"
 )
 
-// This file has the leader's lease, and when the tasks of a cancelled job are gone.
-// docs/design.md, "The gap", has the reasoning.
+// This file has the length of the leader's lease, and when the tasks of a cancelled job are
+// gone. docs/design.md, "The gap", has the reasoning.
 
-// ClockDrift is how far two steady clocks drift apart, as a share.
+// ClockDrift bounds by how much two monotonic clocks drift apart, as a share of the time.
 const ClockDrift = 0.0005
 
-// Times in seconds that the lengths of leases rest on.
+// Times in seconds from which the leader's lease is computed.
 const (
-	// storeOutageS is how long an outage of the key-value store workers should survive.
+	// storeOutageS is for how long an outage of the key-value store should cost no tasks.
 	storeOutageS = 32
-	// findLeaderS is how long a worker that has lost its leader looks for the next one:
-	// a node that does not answer costs it 4 s of its lease.
+	// findLeaderS is how much of a worker's lease is set aside for finding the next leader
+	// once a dead leader's lease has expired.
 	findLeaderS = 3.5
-	// preferredLeaderLeaseS is what a leader's lease is at least, if the other times
-	// leave room for it.
+	// preferredLeaderLeaseS is the least length of a leader's lease, unless tasks of
+	// cancelled jobs could not be gone in time then.
 	preferredLeaderLeaseS = 5
-	// minLeaderLeaseS is the shortest lease that a leader can keep: it is renewed every
-	// fifth of it, with a read barrier, and the key-value store takes a few hundred
-	// milliseconds now and then.
+	// minLeaderLeaseS is the shortest lease that settings may lead to. A lease is renewed
+	// each time a fifth of it has passed, with a read barrier, and the key-value store
+	// occasionally takes a few hundred milliseconds to answer.
 	minLeaderLeaseS = 1.0
 	// killS is what a worker may take to notice that its lease has expired, and to kill
 	// its tasks.
 	killS = 0.3
 )
 
-// LeaderLeaseS is the time of the leader's lease, in seconds. It is short, since it is
-// what a failover costs; but it is as long as lets workers outlast an outage of the
-// key-value store: their last answer comes when the leader's lease expires, and their
-// last answered heartbeat up to an interval before. It is never so long that the tasks
-// of a cancelled job could not end in time, nor that a worker whose leader is gone
-// without a word would lose its own lease before it finds the next one.
+// LeaderLeaseS is the length of the leader's lease, in seconds. It is short, since a failover
+// takes as long; but it is long enough for tasks to survive an outage of the key-value store
+// of storeOutageS: workers get their last answer when the leader's lease expires, and sent the
+// last heartbeat that was answered up to a heartbeat interval before. It is never so long that
+// the tasks of a cancelled job could not end in time. Beyond preferredLeaderLeaseS, it is
+// also never so long that a worker's lease would expire before it finds the next leader, if
+// the leader has crashed.
 func (w Workers) LeaderLeaseS() float64 {
 	cancelInTime := (w.CancelS - w.LeaseS) / 2
 	most := min(cancelInTime, w.LeaseS-w.ReportS-findLeaderS)
 	return min(cancelInTime, max(preferredLeaderLeaseS, min(most, storeOutageS+w.ReportS-w.LeaseS)))
 }
 
-// CancelledGoneWithinS is how long after a user was told that a job is cancelled its
-// tasks are gone at the latest, in seconds, whoever reaches whom. A leader that has not
-// learnt of the cancellation is sure of leading for no longer than its lease from then;
-// the last heartbeat that it answers was sent before that, and the worker's lease counts
-// from that heartbeat. Each lease is counted by a clock that may be slow.
+// CancelledGoneWithinS is by when, in seconds after a cancellation was confirmed to a user, the
+// job's tasks are gone, whichever nodes and workers can reach each other. A leader that has
+// not learnt of the cancellation holds a valid lease for no longer than its length from then.
+// The last heartbeat that it answers was sent before that, and the worker's lease counts from
+// when it was sent. Each lease is measured by a clock that may be slow.
 func (w Workers) CancelledGoneWithinS() float64 {
 	return (w.LeaderLeaseS()+w.LeaseS)*(1+ClockDrift) + killS
 }
 
-// checkCancelTime says why tasks of cancelled jobs could not be gone within cancel_s.
+// checkCancelTime returns an error if tasks of cancelled jobs could not be gone within CancelS.
 func (w Workers) checkCancelTime() error {
 	if !(w.CancelS > w.LeaseS) {
 		return errors.New("must be above lease_s")
--- a/config/leases_test.go
+++ b/config/leases_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// with is the good settings with other times of the workers.
+// with returns valid settings with other times of the workers.
 func with(report, lease, cancel float64) string {
 	return strings.NewReplacer("report_s = 1.5", fmt.Sprintf("report_s = %.3f", report),
 		"lease_s = 12.0", fmt.Sprintf("lease_s = %.3f", lease), "cancel_s = 32.0", fmt.Sprintf("cancel_s = %.3f", cancel)).Replace(good)
 }
 
-// The deployments there are stay accepted, with the leases that they have had.
+// The settings of existing deployments are accepted, and lead to the same leases as before.
 func TestLeasesOfKnownDeployments(t *testing.T) {
 	for _, c := range []struct{ report, lease, cancel, leader, gone float64 }{
 		{1.5, 12, 32, 7, 19.31},
@@ -33,9 +33,9 @@
 	}
 }
 
-// Whatever is accepted keeps the rule, by a sum made here a second time: a renewal
-// counts from when it was sent, the worker's last report comes before the leader's
-// last answer, and both clocks are slow.
+// With all accepted settings, tasks of a cancelled job are gone within cancel_s. The test computes
+// this independently of CancelledGoneWithinS: a renewal counts from when it was sent, a worker's
+// last heartbeat comes before the leader's last answer, and both clocks are slow.
 func TestAcceptedTimesLetCancelledTasksBeGoneInTime(t *testing.T) {
 	accepted, refused := 0, 0
 	for _, report := range []float64{0.05, 0.5, 1.5, 4, 30, 100} {
@@ -57,7 +57,7 @@
 				if w.LeaderLeaseS() < 1 {
 					t.Errorf("%+v: a leader's lease of %g s", w, w.LeaderLeaseS())
 				}
-				answered := w.LeaderLeaseS() * 1.0005 // after the confirmation, the last answer at the latest
+				answered := w.LeaderLeaseS() * 1.0005 // the leader's last answer, in seconds after the confirmation
 				if killed := answered + w.LeaseS*1.0005; killed > w.CancelS-0.29 {
 					t.Errorf("%+v: tasks may be there %.3f s after the confirmation", w, killed)
 				}
--- a/config/tuning.go
+++ b/config/tuning.go
@@ -22,15 +22,15 @@
 
 // Serving tunes the order in which jobs are served.
 type Serving struct {
-	// StarvationBoundS is how soon after its acceptance every job begins for which
-	// there is room, in seconds, whatever the service-level objectives. 0: there is no
-	// such bound.
+	// StarvationBoundS is within how many seconds of its acceptance every job starts for
+	// which there are resources at all, whatever the service-level objectives. 0: there is
+	// no such bound.
 	StarvationBoundS float64 `toml:"begin_within_s"`
 }
 
 // JobStore tunes how jobs are recorded.
 type JobStore struct {
-	SharedPages bool `toml:"intake"` // jobs share pages (jobstore.JobPage), once every node reads these
+	SharedPages bool `toml:"intake"` // jobs share records (jobstore.JobPage), once every node can read these
 }
 
 // Launches tunes how launches reach workers.
@@ -38,49 +38,49 @@
 	WakeWorkers bool `toml:"summon"` // a worker is told to send its heartbeat when a launch is ready for it
 }
 
-// Metrics says where the operators watch a node.
+// Metrics says where a node serves its metrics.
 type Metrics struct {
-	Listen string `toml:"listen"` // host:port; empty: nowhere
+	Listen string `toml:"listen"` // host:port; empty: they are not served
 }
 
 // Rebalance tunes rebalancing.
 type Rebalance struct {
 	Enabled       bool     `toml:"enabled"`
-	EveryS        float64  `toml:"every_s"`        // between cycles
-	Budget        int      `toml:"budget"`         // moves in a cycle
-	CooldownS     float64  `toml:"cooldown_s"`     // after moves, of the group of machines
-	TaskCooldownS float64  `toml:"rest_s"`         // after its move, of a task
-	QuarantineS   float64  `toml:"quarantine_s"`   // of a task, after its move failed
-	LongRunningS  float64  `toml:"long_running_s"` // tasks that have run for as long stay
+	EveryS        float64  `toml:"every_s"`        // seconds between cycles
+	Budget        int      `toml:"budget"`         // most moves in a cycle
+	CooldownS     float64  `toml:"cooldown_s"`     // how long a group of machines is left alone after moves in it
+	TaskCooldownS float64  `toml:"rest_s"`         // how long a task is left alone after its move
+	QuarantineS   float64  `toml:"quarantine_s"`   // how long a task is left alone after its move failed
+	LongRunningS  float64  `toml:"long_running_s"` // tasks that have run this long are not moved
 	Policies      []Policy `toml:"policies"`
 }
 
-// Resource names a resource that rebalancing looks at.
+// Resource names a resource that rebalancing considers.
 type Resource string
 
-// Resources that rebalancing looks at.
+// Resources that rebalancing considers.
 const (
 	ResourceCPUs   Resource = "cpus"
 	ResourceGPUs   Resource = "gpus"
 	ResourceMemory Resource = "memory"
 )
 
-// Policy is one resource's part in the combined imbalance of a group of machines.
+// Policy is how one resource counts in rebalancing a group of machines.
 type Policy struct {
 	Resource          Resource `toml:"resource"`
 	Weight            float64  `toml:"weight"`
-	Threshold         float64  `toml:"threshold"`          // difference of booked shares above which tasks are moved
-	CapacityThreshold float64  `toml:"capacity_threshold"` // booked share up to which a machine takes tasks
+	Threshold         float64  `toml:"threshold"`          // difference between the highest and the lowest booked share above which tasks are moved
+	CapacityThreshold float64  `toml:"capacity_threshold"` // booked share up to which a machine may receive tasks
 }
 
 // ScaleOut tunes how machines are rented and returned.
 type ScaleOut struct {
-	IdleS    float64 `toml:"idle_s"`   // after which an idle machine is returned
-	Headroom float64 `toml:"headroom"` // room for jobs to come, as a share of the open tasks of each class
+	IdleS    float64 `toml:"idle_s"`   // how long a machine is idle before it is returned
+	Headroom float64 `toml:"headroom"` // resources kept free for expected jobs, as a share of the open tasks of each class
 }
 
-// DefaultTuning is what holds without an operators' file, and for fields that are not
-// in it.
+// DefaultTuning returns the values of fields that the operators' file leaves out, and of all
+// fields if there is no file.
 func DefaultTuning() Tuning {
 	return Tuning{
 		Rebalance: Rebalance{
@@ -110,12 +110,12 @@
 	return ParseTuning(string(text))
 }
 
-// ParseTuning reads and checks the text of an operators' file. A field that is not known
-// is an error here: nobody but the operators writes this file, so it is misspelt.
+// ParseTuning reads and checks the text of an operators' file. Unlike in Settings, a field that
+// is not known is an error: only operators write this file, so it must be misspelt.
 func ParseTuning(text string) (Tuning, error) {
 	t := DefaultTuning()
 	defaults := t.Rebalance.Policies
-	t.Rebalance.Policies = nil // the file's replace the defaults as a whole
+	t.Rebalance.Policies = nil // a list in the file replaces the default list as a whole
 	md, err := toml.Decode(text, &t)
 	if err != nil {
 		return Tuning{}, fmt.Errorf("tuning: %w", err)
@@ -137,7 +137,7 @@
 
 var errUnknown = errors.New("is not a setting")
 
-// Bounds of what operators may set.
+// Bounds of the fields.
 const (
 	maxRebalanceBudget = 100
 	maxHeadroom        = 5
@@ -204,7 +204,7 @@
 	return checks
 }
 
-// above0 wants a number above 0, which may be infinite: never.
+// above0 checks that a number is above 0. It may be infinite, which for a time means never.
 func above0(field string, v float64) check {
 	if !(v > 0) {
 		return check{field, errors.New("must be above 0")}
