--- a/placement/cheapest.go
+++ b/placement/cheapest.go
@@ -7,18 +7,18 @@
 // scoreFunc is a machine's score, if it can be used at all.
 type scoreFunc func(machine int) (float64, bool)
 
-// takeFunc uses a machine once, and says whether that could be done.
+// takeFunc uses a machine once more, and says whether that was possible.
 type takeFunc func(machine int) bool
 
-// entry is a machine and the score of using it next.
+// entry is a machine and its score for the next use.
 type entry struct {
 	score   float64
 	machine int
-	class   *class // the machine stands for the rest of its class as well; nil: for itself
+	class   *class // the entry represents the rest of the machine's class as well; nil: the machine alone
 }
 
-// queue is a heap with the lowest score first, and the first machine of those that
-// have the same.
+// queue is a min-heap by score; of equal scores, the machine that is first in the input comes
+// first.
 type queue []entry
 
 func (q queue) Len() int { return len(q) }
@@ -38,10 +38,10 @@
 	return e
 }
 
-// takeCheapest takes the machine with the lowest score up to n times, and returns how
-// often it could. Taking a machine changes its own score and no other's, so that each
-// is scored once and then again only when it is taken: with hundreds of machines,
-// scoring all of them anew for each task was most of a leader's processor time.
+// takeCheapest takes the machine with the lowest score up to n times, and returns how often it
+// was taken. Taking a machine changes its own score and no other's, so each is scored once,
+// and again only when it has been taken: with hundreds of machines, scoring all of them anew
+// for each task took most of a leader's CPU time.
 func (p *planner) takeCheapest(n int, score scoreFunc, take takeFunc) int {
 	q := p.queue[:0]
 	for machine := range p.input.Machines {
@@ -52,9 +52,9 @@
 	return p.takeQueued(q, n, score, take, nil)
 }
 
-// takeQueued takes the first entry's machine up to n times. Where an entry stands for
-// its class, next gives the class's machine after the one that was taken, or -1: its
-// score is the same.
+// takeQueued takes the first entry's machine up to n times. If the entry represents a class,
+// next returns the machine of the class that replaces the taken one in the entry, or -1; its
+// score is the same. The taken machine gets an entry of its own.
 func (p *planner) takeQueued(q queue, n int, score scoreFunc, take takeFunc, next func(k *class, machine int) int) int {
 	p.queue = q
 	heap.Init(&q)
--- a/placement/classes.go
+++ b/placement/classes.go
@@ -7,12 +7,12 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// This file keeps machines by equivalence class. Machines of one type and zone with the
-// same room, the same images there or on their way and the same prospects have the same
-// score for a request. A fleet that starts, or comes back, has a thousand machines and
-// few classes, and each class is scored once for a request.
+// This file groups machines by equivalence class. Machines that agree in all fields of classKey
+// have the same score for a request, so that only one machine of each class has to be scored.
+// A cluster that has just started, or comes back, has a thousand machines and few classes.
 
-// classKey is all of a machine that a search for room looks at.
+// classKey has all properties of a machine on which its score depends, and whether a request
+// may use it; Request.Avoid is checked by machine.
 type classKey struct {
 	machineType, zone, imageSet, pool            int
 	spot, ready                                  bool
@@ -30,9 +30,9 @@
 // classes are the equivalence classes of a plan's machines.
 type classes struct {
 	byKey           map[classKey]*class
-	all             []*class       // in the order in which they came up
+	all             []*class       // in the order of their creation; some may be empty
 	ofMachine       []*class       // by machine
-	imageSets       []int          // by machine: the number of its list of images
+	imageSets       []int          // by machine: number of its list of images, see imageSetNumber
 	imageSetNumbers map[string]int // by the list's encoding
 	encodeBuffer    []byte
 }
@@ -45,14 +45,14 @@
 	return c
 }
 
-// add takes in a machine, which is the last.
+// add adds a machine, which must be the last one of the list.
 func (c *classes) add(machines []Machine, machine int) {
 	c.imageSets = append(c.imageSets, c.imageSetNumber(machines[machine].Images))
 	c.ofMachine = append(c.ofMachine, nil)
 	c.update(machines, machine)
 }
 
-// imageSetNumber numbers the different lists of images.
+// imageSetNumber returns the number of a list of images; equal lists have the same.
 func (c *classes) imageSetNumber(images []ImageAt) int {
 	c.encodeBuffer = c.encodeBuffer[:0]
 	for _, image := range images {
@@ -67,7 +67,7 @@
 	return number
 }
 
-// update moves a machine to the class that it is of now, after its room has changed.
+// update moves a machine to the class that it belongs to now, after its resources have changed.
 func (c *classes) update(machines []Machine, machine int) {
 	m := &machines[machine]
 	key := classKey{machineType: m.Type, zone: m.Zone, imageSet: c.imageSets[machine], spot: m.Spot, ready: m.Ready,
@@ -90,8 +90,8 @@
 	c.ofMachine[machine] = now
 }
 
-// nextMachine is the first machine of a class, from one on, that the request does not
-// avoid and that is not among the excluded, or -1.
+// nextMachine returns the first machine of a class, from a number on, that the request does not
+// avoid and that is not excluded, or -1.
 func (k *class) nextMachine(from int, r *Request, excluded *roaring.Bitmap) int {
 	for {
 		next := k.machines.NextValue(uint32(from))
@@ -106,11 +106,11 @@
 	}
 }
 
-// takeCheapestByClass does what takeCheapest does, where the score depends on a
-// machine's class only: it takes the same machines in the same order. Each class is
-// scored by its first machine; the others follow at the same score, in their order.
+// takeCheapestByClass takes the same machines as takeCheapest in the same order, if the score
+// depends on a machine's class only. Of each class the first machine is scored; the others
+// follow in their order, with the same score.
 func (p *planner) takeCheapestByClass(r *Request, n int, score scoreFunc, take takeFunc) int {
-	apart := roaring.New() // machines that have an entry of their own, or none any more
+	apart := roaring.New() // machines that were taken: they have entries of their own, or none
 	q := p.queue[:0]
 	for _, k := range p.classes.all {
 		if machine := k.nextMachine(0, r, apart); machine >= 0 {
--- a/placement/classes_test.go
+++ b/placement/classes_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// randomInput is machines of which many are alike, and requests of all kinds.
+// randomInput returns machines of which many are alike, and requests of all kinds.
 func randomInput(rnd *rand.Rand) *Input {
 	in := &Input{AllowPreemption: true, MaxScaleOut: 6, Teams: []Team{{Max: Resources{CPU: float64(100 + rnd.IntN(400))}}, {}}}
 	caps := []Resources{{CPU: 32, Mem: 64}, {CPU: 16, GPU: 2, Mem: 128}, {CPU: 4, Mem: 32}}
@@ -65,8 +65,8 @@
 	return in
 }
 
-// Keeping machines by class is a matter of speed: the plan is the one that
-// judging every machine makes.
+// Grouping machines by class only saves time: the plan is the same as if every machine were
+// scored.
 func TestPlanByClassIsPlanByMachine(t *testing.T) {
 	starts, stops, rents := 0, 0, 0
 	for seed := range uint64(400) {
--- a/placement/failed_search.go
+++ b/placement/failed_search.go
@@ -2,15 +2,17 @@
 
 import "slices"
 
-// This file remembers searches that found no room, so that none like them is made.
+// This file remembers searches that found no room, so that searches which must fail as well are
+// skipped.
 
-// maxFailedSearches bounds what is remembered of a kind, and so the time that looking
-// through it takes.
+// maxFailedSearches bounds the searches that are remembered of one kind, and with it the time
+// to compare a new search with them.
 const maxFailedSearches = 64
 
-// failedSearch is a search that found no room. As room only shrinks while a plan is
-// made, one for as much or more fails too: among hundreds of waiting jobs most are
-// alike.
+// failedSearch is a search that found no room. While a plan is made, room only shrinks, apart
+// from preemptions and new machines, after which the failures of freeSoon and of onBooting are
+// forgotten. So a later search for as much or more fails too. This saves time because most of
+// hundreds of waiting jobs are alike.
 type failedSearch struct {
 	request *Request
 	zone    int // -1: any
@@ -34,8 +36,9 @@
 	return false
 }
 
-// findsAllThat says whether a search for one task of the request finds each room that
-// a search for one of the other finds.
+// findsAllThat says whether a search for one task of the request succeeds on each machine on
+// which one for the other request does. Zones are compared by the caller. Images are not
+// compared, although BorrowAccess depends on them.
 func (r *Request) findsAllThat(other *Request) bool {
 	if other.Spot && !r.Spot || !r.Need.Fits(other.Need) {
 		return false
@@ -43,8 +46,8 @@
 	return slices.Equal(r.Types, other.Types) && slices.Equal(r.PoolAccess, other.PoolAccess)
 }
 
-// mayPreemptAllThat says whether each task may be preempted for the request that may be
-// for the other.
+// mayPreemptAllThat says whether each task that may be preempted for the other request may be
+// preempted for this one.
 func (r *Request) mayPreemptAllThat(other *Request) bool {
 	if r.Priority > other.Priority {
 		return false
@@ -52,8 +55,8 @@
 	return !other.WithinGuarantee || r.WithinGuarantee && r.Team == other.Team
 }
 
-// rememberFailure remembers a search for room for n tasks that failed, unless that was
-// for reasons of this request alone.
+// rememberFailure remembers a search for room for n tasks that failed, unless the reason may
+// concern this request alone.
 func (p *planner) rememberFailure(kind roomKind, r *Request, zone, n int) {
 	if len(r.Avoid) > 0 || r.MaxPerZone > 0 || len(p.failedSearches[kind]) >= maxFailedSearches {
 		return
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -1,20 +1,19 @@
 package placement
 
-// This file filters machines: which of them a request may use, and which of their room.
+// This file filters machines: which of them a request may use, and which of their resources.
 
-// roomKind is the room that a search looks for.
+// roomKind says which resources a search counts as available.
 type roomKind int
 
 const (
 	freeNow      roomKind = iota // free on a machine that is up
-	freeSoon                     // the same, with what stopping tasks will release
+	freeSoon                     // the same, with what tasks that are being stopped will release
 	onBooting                    // on a machine that is rented and not up yet
-	byPreempting                 // made by preempting tasks
+	byPreempting                 // as freeSoon, with what preempting tasks would release
 	numRoomKinds
 )
 
-// passesFilter says whether the request may use the machine, whether or not it has
-// room.
+// passesFilter says whether the request may use the machine, apart from whether its task fits.
 func (p *planner) passesFilter(machine int, r *Request, kind roomKind) bool {
 	m := &p.input.Machines[machine]
 	if (kind == onBooting) == m.Ready {
@@ -23,17 +22,19 @@
 	return r.accepts(m) && !r.Avoid[machine] && poolAdmits(m, r)
 }
 
-// accepts says whether the request may use machines of that type, zone and price.
+// accepts says whether the request may use machines of that type and zone, and spot instances
+// if the machine is one.
 func (r *Request) accepts(m *Machine) bool {
 	return r.Types[m.Type] && (r.Zone < 0 || r.Zone == m.Zone) && (!m.Spot || r.Spot)
 }
 
-// zoneIsFull says whether the request has as many tasks in a zone as may be there.
+// zoneIsFull says whether the request has as many tasks in a zone as MaxPerZone allows.
 func (r *Request) zoneIsFull(zone int) bool {
 	return r.MaxPerZone > 0 && r.PlacedByZone[zone] >= r.MaxPerZone
 }
 
-// availableRoom is the room of a machine that a search of that kind counts.
+// availableRoom returns the resources of a machine that a search of that kind counts as
+// available.
 func availableRoom(m *Machine, kind roomKind) Resources {
 	if kind == freeNow {
 		return m.Free
--- a/placement/hold.go
+++ b/placement/hold.go
@@ -1,14 +1,14 @@
 package placement
 
-// This file holds machines: small tasks that come later are kept from them until a
-// large one fits. Where small tasks take all room that comes free, a large one never
-// fits.
+// This file holds machines for large tasks: it reserves resources that are still in use on
+// machines where a large task will soon fit. Otherwise small tasks of later requests would take
+// all that becomes free there, and the large one would never fit.
 
-// defaultHoldSeconds is how soon a machine must have room for the request to be held,
-// where the request does not say.
+// defaultHoldSeconds is within how many seconds a machine must have room for the request's task
+// to be held. A request may set a longer time (Request.HoldSeconds).
 const defaultHoldSeconds = 45
 
-// holdMachines holds the machines that will have room soonest.
+// holdMachines holds the machines that will have room for the tasks soonest.
 func (p *planner) holdMachines(r *Request, tasks []int32) {
 	zone := r.Zone
 	if r.OneZone && zone < 0 {
@@ -19,8 +19,8 @@
 	p.holdInZone(r, len(tasks), zone)
 }
 
-// soonestZoneToHold is the zone in which machines for most of n tasks can be held, and
-// of those the one that has room soonest; -1 where none can.
+// soonestZoneToHold returns the zone in which machines can be held for most of n tasks, of
+// several such zones the one that has room soonest; -1 if there is none.
 func (p *planner) soonestZoneToHold(r *Request, n int) int {
 	best, most, soonest := -1, 0, 0.0
 	for zone := 0; zone < p.numZones; zone++ {
@@ -33,8 +33,8 @@
 	return best
 }
 
-// holdInZone holds machines for n tasks in a zone, or in any if it is -1, for a gang
-// all or none. It says after how many seconds the last of them has room.
+// holdInZone holds machines for up to n tasks in a zone, or in any if it is -1; for a gang for
+// all tasks or none. It also returns after how many seconds the last one has room.
 func (p *planner) holdInZone(r *Request, n, zone int) (held []Start, last float64) {
 	p.takeCheapest(n, func(machine int) (float64, bool) {
 		m := &p.input.Machines[machine]
@@ -56,8 +56,8 @@
 	return held, last
 }
 
-// secondsUntilFits is after how many seconds the tasks of a machine that end by
-// themselves leave room for one of the request's.
+// secondsUntilFits returns after how many seconds one of the request's tasks fits on a machine,
+// as tasks there are expected to end by themselves; false if it never fits.
 func (p *planner) secondsUntilFits(r *Request, m *Machine) (float64, bool) {
 	free := availableRoom(m, freeSoon)
 	if r.Need.Fits(free) {
@@ -66,7 +66,7 @@
 	if !r.Need.Fits(m.Capacity) {
 		return 0, false
 	}
-	var few [16]bool // on the stack, as this is done for each machine
+	var few [16]bool // saves an allocation for each machine
 	ended := few[:]
 	if len(m.Tasks) > len(few) {
 		ended = make([]bool, len(m.Tasks))
@@ -84,8 +84,8 @@
 	return seconds, true
 }
 
-// nextToEnd is the task on a machine that ends next, of those that have not ended and
-// are not being stopped, or -1.
+// nextToEnd returns the task on a machine that is expected to end next, or -1. Tasks that are
+// preempted or being stopped are left out: their resources count as Releasing already.
 func (p *planner) nextToEnd(m *Machine, ended []bool) int {
 	next := -1
 	for k := range m.Tasks {
--- a/placement/input.go
+++ b/placement/input.go
@@ -1,12 +1,12 @@
 package placement
 
-// This file has what a plan depends on. Jobs, tasks, teams, machine types, zones and
-// images are numbers here, which the caller gives out from 0 on.
+// This file has what a plan depends on. Jobs, tasks, teams, machine types, zones and images are
+// numbers here, from 0 on, that the caller assigns.
 
 // Resources is an amount of each resource.
 type Resources struct{ CPU, GPU, Mem float64 }
 
-// tolerance is what sums of resources may be off by, as they are sums of fractions.
+// tolerance bounds the rounding error of sums of resources.
 const tolerance = 1e-6
 
 // Fits says whether r fits into free.
@@ -22,18 +22,18 @@
 // Task names a task of a job.
 type Task struct{ Job, Task int32 }
 
-// Occupant is a task that may be on a machine.
+// Occupant is a task that is placed on a machine, whether or not it runs already.
 type Occupant struct {
 	Task
 	Need             Resources
 	Priority         int // 0 is the highest
 	Team             int
-	OverGuarantee    bool    // it runs beyond its team's guarantee
-	LossSeconds      float64 // work that is lost if it is preempted
+	OverGuarantee    bool    // it is not covered by its team's guarantee
+	LossSeconds      float64 // seconds of work that are lost if it is preempted
 	RemainingSeconds float64 // until it should end by itself
 	NonPreemptible   bool
 	Tier             int  // priority tier, 0 is the highest: tasks of the lowest are preempted first
-	Stopping         bool // it is being stopped: its room is among what the machine is releasing
+	Stopping         bool // it is being stopped: its resources are part of the machine's Releasing
 }
 
 // Machine is a machine, or one that may be rented.
@@ -45,16 +45,16 @@
 	Ready               bool    // it can start tasks now
 	ETA                 float64 // seconds until it is up, if it is not ready
 	Free                Resources
-	Releasing           Resources // more room, once stopping tasks are gone
+	Releasing           Resources // what tasks that are being stopped will release, beyond Free
 	Capacity            Resources
 	Price               float64
 	FetchRate           float64    // GB of images a second
-	FetchBacklogSeconds float64    // image fetches under way
-	Images              []ImageAt  // images that are there or on their way
-	PenaltySeconds      float64    // what using it counts for if it is suspect
-	Tasks               []Occupant // of equal ones, the first is chosen
+	FetchBacklogSeconds float64    // until the image fetches under way are done
+	Images              []ImageAt  // images that it has or is fetching
+	PenaltySeconds      float64    // added to its score if it is suspected of being faulty
+	Tasks               []Occupant // of tasks equally good to preempt, the first is chosen
 	Pool                int        // the warm pool that it belongs to, from 1 on; 0: none
-	PoolSpareGB         float64    // images that fit beside the pool's weights without evicting them
+	PoolSpareGB         float64    // GB of images that fit beside the pool's weights without evicting them
 }
 
 // ImageAt is an image that a machine has, or will have.
@@ -63,8 +63,8 @@
 	ReadyInSeconds float64 // 0: it is there
 }
 
-// ImageReadyIn says after how many seconds a machine has an image, if it is there or
-// on its way.
+// ImageReadyIn returns after how many seconds a machine has an image; false if the machine
+// neither has it nor is fetching it.
 func (m *Machine) ImageReadyIn(image int32) (float64, bool) {
 	for i := range m.Images {
 		if m.Images[i].Image == image {
@@ -74,7 +74,7 @@
 	return 0, false
 }
 
-// Request is a job that wants tasks started, or room that is wanted for no job of now
+// Request asks for the start of a job's tasks, or for resources that no present job uses
 // (Headroom, Provision and Reserve).
 type Request struct {
 	Job               int32
@@ -86,30 +86,30 @@
 	WithinGuarantee   bool // its team's guarantee covers it
 	Image             int32
 	ImageGB           float64
-	Zone              int   // -1: any
-	OneZone           bool  // all of its tasks are in one zone
-	MaxPerZone        int   // tasks in a zone; 0: no limit
-	PlacedByZone      []int // its tasks that have a machine
-	Types             []bool
-	Spot              bool         // spot instances may be used
-	Avoid             map[int]bool // machines that it stays away from for now
-	PreferredMachines map[int32]int
-	Headroom          bool         // room for jobs that are likely to come
-	Provision         bool         // machines are rented for so many tasks more than there will be room for
-	Reserve           bool         // room is kept from later requests, and nothing is rented
-	Hold              bool         // machines are held until they have room for it
-	HoldSeconds       float64      // with Hold: how far ahead; 0: defaultHoldSeconds
-	FreeRoomOnly      bool         // it takes free room; nothing is held, preempted or rented for it
-	PreferredTypes    []bool       // types that are tried first, with preemption there
-	PoolAccess        []PoolAccess // to each pool's machines, from pool 1 on; none to those that are missing
+	Zone              int           // -1: any
+	OneZone           bool          // all of its tasks are in one zone
+	MaxPerZone        int           // tasks in a zone; 0: no limit
+	PlacedByZone      []int         // by zone: its tasks that have a machine
+	Types             []bool        // by machine type: it may be used
+	Spot              bool          // spot instances may be used
+	Avoid             map[int]bool  // machines that must not be used for now
+	PreferredMachines map[int32]int // by task: the machine to which rebalancing moves it
+	Headroom          bool          // resources for expected jobs: machines are rented for them
+	Provision         bool          // machines are rented for all its tasks, less those that fit on the machines rented for earlier requests
+	Reserve           bool          // backfill reservation: resources are kept from later requests, and nothing is rented
+	Hold              bool          // machines on which it will fit soon are kept from later requests
+	HoldSeconds       float64       // with Hold or Reserve: how far ahead; at least defaultHoldSeconds
+	FreeRoomOnly      bool          // it uses what is free now; nothing is held, preempted or rented for it
+	PreferredTypes    []bool        // by machine type: those that are tried first, also with preemption; nil: none
+	PoolAccess        []PoolAccess  // to each warm pool's machines, from pool 1 on; NoAccess to pools beyond its end
 	Precedence
 }
 
-// Precedence is what bears on a request's place in the queue, besides its priority and
-// its team's guarantee.
+// Precedence is what determines a request's position in the queue besides its priority and its
+// team's guarantee. The planner itself does not use it.
 type Precedence struct {
 	Tier           int   // priority tier, 0 is the highest
-	Owed           bool  // it has to begin now, by the starvation bound
+	Owed           bool  // it has to start now, by the starvation bound
 	PromotionCause uint8 // why it is served before higher tiers (priority.PromotionCause); 0: it is not
 }
 
@@ -117,10 +117,10 @@
 type Offer struct {
 	Type, Zone int
 	Spot       bool
-	Machine    Machine // as it would be
+	Machine    Machine // as it would be when it is rented
 }
 
-// Team is a team's use and limits; 0 means no limit.
+// Team is what a team uses and its quota; 0 means no limit.
 type Team struct{ Used, Max Resources }
 
 // Input is all that a plan depends on.
@@ -130,5 +130,5 @@
 	Teams           []Team
 	Offers          []Offer
 	AllowPreemption bool
-	MaxScaleOut     int // machines
+	MaxScaleOut     int // most machines to rent
 }
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -2,11 +2,12 @@
 // which tasks are preempted to make room, and which machines are rented.
 //
 // For each request, in the order of the queue, machines are filtered (may the request
-// use it, does a task fit) and scored (what would the start be delayed by there, and
+// use it, does a task fit) and scored (by how much would the start be delayed there, and
 // what would it take from others); the machine with the lowest score gets the task.
-// What finds no free room is tried with room that is about to be free, by preemption,
-// on machines that are booting, and by scaling out, in this order. Room that a request
-// has reserved is not there for later ones.
+// "Room" is free resources on a machine. For tasks that find none, room is reserved that is
+// about to be free, made by preemption, held on machines where tasks will end soon, reserved
+// on machines that are booting, and rented, in this order. What one request has reserved is
+// not available to later ones.
 //
 // The package is pure: it keeps no state, does no I/O, and the same input gives the
 // same plan. Package cluster makes the input from its model and carries the plan out.
@@ -14,34 +15,34 @@
 
 // Start puts a task on a machine.
 type Start struct {
-	Request    int // by its place in the input
+	Request    int // index in Input.Requests
 	Task       int32
-	Machine    int       // by its place in the input
-	FreeBefore Resources // the machine's room before
+	Machine    int       // index in Input.Machines
+	FreeBefore Resources // of the machine, without the task
 }
 
 // Plan is what to do.
 type Plan struct {
 	Starts      []Start
 	Preemptions []Task
-	ScaleOut    map[int]int // machines to rent, by the place of their offer in the input
-	Waiting     []int       // requests with tasks that have no free room, by their places in the input
+	ScaleOut    map[int]int // how many machines to rent, by the offer's index in Input.Offers
+	Waiting     []int       // indices in Input.Requests of those with tasks that could not start
 }
 
 // planner makes one plan.
 type planner struct {
 	input             *Input
 	plan              Plan
-	offerOfNewMachine []int // for each machine that was added to the input's
+	offerOfNewMachine []int // for each machine that was added to the input's: index of its offer
 	preempted         map[Task]bool
-	queue             queue // its memory is used again
+	queue             queue // empty between searches; its memory is reused
 	failedSearches    [numRoomKinds][]failedSearch
 	numZones          int
 	classes           *classes // nil in tests: every machine is scored
 	lowestTier        int      // of all tasks that are on machines
 }
 
-// Compute makes a plan. The input's machines and teams are changed on the way.
+// Compute makes a plan. It changes the input's machines, teams and requests (PlacedByZone).
 func Compute(in *Input) Plan {
 	return makePlan(in, newClasses(in.Machines))
 }
@@ -61,7 +62,8 @@
 	return p.plan
 }
 
-// TasksWithinLimit is how many more tasks of the request its team's limit lets start.
+// TasksWithinLimit returns how many of the request's tasks its team's quota of CPUs and GPUs
+// allows to start.
 func TasksWithinLimit(r *Request, teams []Team) int {
 	n := len(r.Tasks)
 	if r.Team < 0 {
@@ -78,7 +80,7 @@
 	return max(n, 0)
 }
 
-// serveRequest plans for the request at place i.
+// serveRequest plans for request i.
 func (p *planner) serveRequest(i int) {
 	r := &p.input.Requests[i]
 	n := TasksWithinLimit(r, p.input.Teams)
@@ -124,8 +126,8 @@
 	return tasks[len(starts):]
 }
 
-// makeRoom reserves room for tasks that can't start yet, so that later requests do not
-// take it, and makes what is lacking.
+// makeRoom reserves room for tasks that can't start yet, so that later requests do not take it,
+// and preempts tasks or rents machines for what is lacking.
 func (p *planner) makeRoom(r *Request, tasks []int32) {
 	tasks = p.reserveLater(r, tasks, freeSoon)
 	if p.input.AllowPreemption {
@@ -138,8 +140,7 @@
 	p.scaleOut(r, tasks)
 }
 
-// reserveLater reserves room that is not there yet, and returns the tasks that are
-// left.
+// reserveLater reserves room that is not free yet, and returns the tasks that are left.
 func (p *planner) reserveLater(r *Request, tasks []int32, kind roomKind) []int32 {
 	if len(tasks) == 0 {
 		return nil
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// A search that found nothing is not repeated for those that want as much or
-// more. It must not hide room from those that want less or elsewhere.
+// A search that found nothing is not repeated for requests of as much or more. It must not
+// hide room from requests of less, or in another zone.
 func TestFailedSearchHidesNoRoomFromSmallerRequests(t *testing.T) {
 	large, little, gpu := request(1, Resources{CPU: 12}), request(1, Resources{CPU: 4}), request(1, Resources{CPU: 12})
 	gpu.Types = []bool{false, true}
@@ -102,7 +102,7 @@
 	if len(p.Starts) != 2 || p.Starts[0].Request != 2 || p.Starts[1].Request != 3 {
 		t.Errorf("started %v", p.Starts)
 	}
-	// Room that stops make for one is there for the next.
+	// Room that preemptions for one request leave over is available to the next.
 	m := machine(0, Resources{})
 	m.Tasks = []Occupant{{Task: Task{9, 0}, Need: Resources{CPU: 16}, Priority: 3}}
 	in = Input{Machines: []Machine{m}, Requests: []Request{request(1, Resources{CPU: 8}), request(1, Resources{CPU: 8})}, AllowPreemption: true}
--- a/placement/pools.go
+++ b/placement/pools.go
@@ -1,27 +1,26 @@
 package placement
 
-// This file is about machines of warm pools, which hold a model's weights for work
-// that is to come.
+// This file handles machines of warm pools, which hold a model's weights ahead of demand.
 
 // PoolAccess says what a request may do with a pool's machines.
 type PoolAccess uint8
 
-// What a request may do, from nothing to everything.
+// Kinds of access, from none to full.
 const (
-	NoAccess         PoolAccess = iota // the room is the pool's
-	BorrowAccess                       // as long as the weights stay there, until the pool wants the room back
-	LastResortAccess                   // where there is no other room, whatever becomes of the weights
-	OwnerAccess                        // as what the pool is for
+	NoAccess         PoolAccess = iota // the request may not use the machines
+	BorrowAccess                       // it may until the pool needs them, if its image does not evict the weights
+	LastResortAccess                   // it may if there is no other room, even if that evicts the weights
+	OwnerAccess                        // it is work for which the pool is kept
 )
 
-// Parts of a score, in seconds of delay that they stand for.
+// Parts of a machine's score, as equivalent seconds of delay.
 const (
-	borrowScore     = 60   // for the risk that the pool wants its machine back
-	lastResortScore = 1000 // more than any boot: another machine is taken if one is up
-	ownerBonus      = 2    // of two machines with the weights, the pool's is taken
+	borrowScore     = 60   // for the risk that the pool needs its machine back
+	lastResortScore = 1000 // longer than any boot: any other machine with room is taken first
+	ownerBonus      = 2    // of two machines with the weights, the one in the pool is taken
 )
 
-// poolAccess is what the request may do with a machine, which is of a pool.
+// poolAccess returns what the request may do with a machine, which must belong to a pool.
 func (m *Machine) poolAccess(r *Request) PoolAccess {
 	if m.Pool > len(r.PoolAccess) {
 		return NoAccess
@@ -29,7 +28,7 @@
 	return r.PoolAccess[m.Pool-1]
 }
 
-// poolAdmits says whether the request may use the machine as far as pools go.
+// poolAdmits says whether the machine's pool, if it has one, lets the request use it.
 func poolAdmits(m *Machine, r *Request) bool {
 	if m.Pool == 0 {
 		return true
@@ -44,8 +43,8 @@
 	return false
 }
 
-// PoolRefuses says whether a warm pool keeps the request from the machine, altogether
-// or for its image, which would evict the pool's weights.
+// PoolRefuses says whether the machine's warm pool does not let the request use it: pool if it
+// has no access, image if its image would evict the pool's weights.
 func (m *Machine) PoolRefuses(r *Request) (pool, image bool) {
 	if poolAdmits(m, r) {
 		return false, false
@@ -54,7 +53,7 @@
 	return !borrows, borrows
 }
 
-// poolScore is the part of a machine's score that is due to its pool.
+// poolScore is the part of a machine's score that depends on its pool.
 func poolScore(m *Machine, r *Request) float64 {
 	if m.Pool == 0 {
 		return 0
--- a/placement/pools_test.go
+++ b/placement/pools_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// A search in vain by one that may not use the pool says nothing of one that may.
+// A failed search for a request without access to the pool says nothing about one with access.
 func TestFailedSearchDoesNotHidePool(t *testing.T) {
 	other, replica := request(1, Resources{CPU: 4}), request(1, Resources{CPU: 8})
 	replica.PoolAccess = []PoolAccess{OwnerAccess}
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -4,13 +4,13 @@
 
 // This file makes room by preempting tasks.
 
-// restartLossSeconds is what a preemption costs beyond the work that is lost: saving
-// a checkpoint, and starting again.
+// restartLossSeconds is the loss by a preemption in addition to LossSeconds: the time to save
+// a checkpoint, and to start again.
 const restartLossSeconds = 8
 
-// tierLossSeconds is what preempting a task counts for each tier that lies below it:
-// more than any work that is lost, so that tasks of the lowest tiers are preempted
-// first, whatever machine they are on.
+// tierLossSeconds is added to the loss by preempting a task for each priority tier below the
+// task's: more than the work of any task, so that machines are chosen where tasks of the
+// lowest tiers are preempted.
 const tierLossSeconds = 1e6
 
 // mayPreempt says whether the occupant may be preempted for the request.
@@ -24,7 +24,7 @@
 	return r.WithinGuarantee && o.OverGuarantee && o.Team != r.Team
 }
 
-// preemptedBefore says whether one occupant of a machine is preempted before another.
+// preemptedBefore says whether a is preempted before b, of two occupants of a machine.
 func preemptedBefore(a, b *Occupant) bool {
 	if a.Tier != b.Tier {
 		return a.Tier > b.Tier
@@ -35,12 +35,12 @@
 // preemption is room for one task, made on a machine by preempting others there.
 type preemption struct {
 	machine int
-	victims []int // by their places among the machine's tasks
+	victims []int // indices in the machine's Tasks
 	loss    float64
 }
 
-// preempt makes room by preempting the tasks with the least loss, for a gang all of
-// its room or none. It returns the tasks that still have no room.
+// preempt makes room for tasks by preempting others with the least loss; for a gang it makes room
+// for all its tasks or none. It returns the tasks that still have no room.
 func (p *planner) preempt(r *Request, tasks []int32) []int32 {
 	if len(tasks) == 0 {
 		return nil
@@ -64,8 +64,8 @@
 	return tasks[len(made):]
 }
 
-// cheapestZoneToPreempt is the zone in which room for most of the tasks can be made,
-// and of those the one with the least loss; -1 where it can be made in none.
+// cheapestZoneToPreempt returns the zone in which room can be made for most of the tasks, of
+// several such zones the one with the least loss; -1 if there is none.
 func (p *planner) cheapestZoneToPreempt(r *Request, tasks []int32) int {
 	best, most, leastLoss := -1, 0, 0.0
 	for zone := 0; zone < p.numZones; zone++ {
@@ -82,8 +82,8 @@
 	return best
 }
 
-// preemptInZone makes room for as many of the tasks as it can in one zone, or in any
-// if it is -1, and reserves it.
+// preemptInZone makes room in one zone, or in any if it is -1, for as many of the tasks as
+// possible, and reserves it. For a gang that is for all or none.
 func (p *planner) preemptInZone(r *Request, tasks []int32, zone int) []preemption {
 	least := r.leastTasks(tasks)
 	if p.knownToFail(byPreempting, r, zone, least) {
@@ -138,9 +138,9 @@
 	}
 }
 
-// cheapestVictims picks the tasks on a machine whose preemption makes room for one of
-// the request's with the least loss, and says what the loss is. There are none where
-// room will be free without.
+// cheapestVictims chooses the tasks on a machine to be preempted, so that one of the request's
+// fits, and returns the loss. It prefers tasks of low tiers and with little loss. There are no
+// victims if the task fits without; the result is false if it can't be made to fit.
 func (p *planner) cheapestVictims(r *Request, m *Machine) (victims []int, loss float64, ok bool) {
 	free := availableRoom(m, freeSoon)
 	if r.Need.Fits(free) {
@@ -167,8 +167,8 @@
 	return victims, loss, true
 }
 
-// roomWithoutVictims is a machine's room if all were preempted that may be. free is
-// its room with none of them preempted.
+// roomWithoutVictims returns a machine's room if all tasks were preempted that may be for the
+// request. free is its room with none of them preempted.
 func (p *planner) roomWithoutVictims(r *Request, m *Machine, free Resources) Resources {
 	for k := range m.Tasks {
 		if o := &m.Tasks[k]; mayPreempt(r, o) && !p.preempted[o.Task] {
@@ -178,8 +178,8 @@
 	return free
 }
 
-// nextVictim is the first task to be preempted of those on a machine that may be and
-// are not chosen yet, or -1.
+// nextVictim returns the task on a machine that is to be preempted first, of those that may be
+// and are not chosen yet, or -1.
 func (p *planner) nextVictim(r *Request, m *Machine, chosen []bool) int {
 	next := -1
 	for k := range m.Tasks {
@@ -194,9 +194,9 @@
 	return next
 }
 
-// spareUnneeded leaves out victims without which the request fits as well, those of
-// higher tiers first. free is the machine's room with all of them preempted. The
-// list is changed in place.
+// spareUnneeded leaves out victims that need not be preempted for the request's task to fit;
+// those of higher tiers are left out first. free is the machine's room with all of them
+// preempted. The list is changed in place.
 func spareUnneeded(r *Request, m *Machine, victims []int, free Resources) []int {
 	slices.SortStableFunc(victims, func(a, b int) int { return m.Tasks[a].Tier - m.Tasks[b].Tier })
 	needed := victims[:0]
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -1,9 +1,9 @@
 package placement
 
-// This file reserves room on machines for a request's tasks. What is reserved is not
-// there for requests that are served later.
+// This file reserves room on machines for a request's tasks. What is reserved is not available
+// to requests that are served later.
 
-// direction says whether room is reserved or a reservation is undone.
+// direction says whether room is reserved or a reservation is undone: the sign of the change.
 type direction float64
 
 const (
@@ -22,7 +22,7 @@
 	p.updateClass(machine)
 }
 
-// updateClass moves a machine whose room has changed to the class that it is of now.
+// updateClass moves a machine whose resources have changed to the class that it belongs to now.
 func (p *planner) updateClass(machine int) {
 	if p.classes != nil {
 		p.classes.update(p.input.Machines, machine)
@@ -36,9 +36,9 @@
 	}
 }
 
-// reserveTasks reserves room for as many of the tasks as fit, for a gang all or none.
-// Where all have to be in one zone and any will do, it is the one in which most fit,
-// and of those the one with the lowest scores.
+// reserveTasks reserves room for as many of the tasks as fit; for a gang for all or none. If all
+// have to be in one zone and the request names none, it is the zone in which most fit, of
+// several such zones the one with the lowest total score.
 func (p *planner) reserveTasks(r *Request, tasks []int32, kind roomKind) []Start {
 	if !r.OneZone || r.Zone >= 0 {
 		starts, _ := p.reserveInZone(r, tasks, kind, r.Zone)
@@ -103,7 +103,7 @@
 	totalScore float64
 }
 
-// scoreFor is a machine's score, if one more of the tasks may and can go there.
+// scoreFor returns a machine's score; false if no more of the tasks may be placed or fit there.
 func (p *planner) scoreFor(s *reservation, machine int) (float64, bool) {
 	m, r := &p.input.Machines[machine], s.request
 	room := availableRoom(m, s.kind)
@@ -113,8 +113,8 @@
 	return machineScore(m, r, room), !r.zoneIsFull(m.Zone)
 }
 
-// reservePreferred sends the tasks that rebalancing moves where the move was to bring
-// them, as far as there is room.
+// reservePreferred reserves room for tasks that rebalancing moves on the machines to which it
+// moves them, as far as they fit.
 func (p *planner) reservePreferred(s *reservation) {
 	if len(s.request.PreferredMachines) == 0 {
 		return
@@ -140,8 +140,8 @@
 	return ok
 }
 
-// reserveNext reserves room on a machine for the next task, and says whether it could:
-// the zone may be full by now.
+// reserveNext reserves room on a machine for the next task. It returns false if that is not
+// possible any more, since the zone has become full.
 func (p *planner) reserveNext(s *reservation, machine int) bool {
 	score, ok := p.scoreFor(s, machine)
 	if ok {
--- a/placement/scaleout.go
+++ b/placement/scaleout.go
@@ -2,14 +2,14 @@
 
 // This file plans which machines are rented.
 
-// Parts of an offer's score, besides the seconds until the machine is up.
+// Parts of an offer's score, as equivalent seconds, besides the seconds until the machine is up.
 const (
-	offerPriceWeight = 2  // for the price
-	offerGPUPenalty  = 10 // other work takes a machine with GPUs only where others are much later or dearer
+	offerPriceWeight = 2  // for each unit of the price
+	offerGPUPenalty  = 10 // keeps work without GPUs from machines with them unless others are much later or dearer
 )
 
-// scaleOut adds machines for the tasks that fit nowhere, the offers with the lowest
-// scores first.
+// scaleOut rents machines for the tasks that fit nowhere, up to Input.MaxScaleOut in a plan, by
+// the offers with the lowest scores.
 func (p *planner) scaleOut(r *Request, tasks []int32) {
 	for len(tasks) > 0 && len(p.offerOfNewMachine) < p.input.MaxScaleOut {
 		offer := p.bestOffer(r)
@@ -26,7 +26,7 @@
 	}
 }
 
-// bestOffer is the offer with the lowest score that the request may use, or -1.
+// bestOffer returns the offer with the lowest score that the request may use, or -1.
 func (p *planner) bestOffer(r *Request) int {
 	best, lowest := -1, 0.0
 	for i := range p.input.Offers {
@@ -41,8 +41,8 @@
 	return best
 }
 
-// offerScore is how long the machine takes to be up, in seconds, with its price and
-// its use to others counted as such a delay.
+// offerScore is how long the machine takes to be up, in seconds, plus its price, and GPUs that
+// the request does not use, as equivalent seconds.
 func offerScore(r *Request, o *Offer) float64 {
 	score := o.Machine.ETA + offerPriceWeight*o.Machine.Price
 	if o.Machine.Capacity.GPU > 0 && r.Need.GPU == 0 {
@@ -52,7 +52,7 @@
 }
 
 // addMachine adds a machine to the plan as if it were rented and booting already, and
-// returns its place among the machines.
+// returns its index in the input's machines.
 func (p *planner) addMachine(offer int) int {
 	m := p.input.Offers[offer].Machine
 	m.Free = m.Capacity
@@ -66,8 +66,8 @@
 	return machine
 }
 
-// reserveOnNewMachine reserves room on a machine for up to n of the request's tasks,
-// and returns for how many there was room.
+// reserveOnNewMachine reserves room on a machine for up to n of the request's tasks, and returns
+// how many fit.
 func (p *planner) reserveOnNewMachine(r *Request, n, machine int) int {
 	reserved := 0
 	for reserved < n && r.Need.Fits(p.input.Machines[machine].Free) && !r.zoneIsFull(p.input.Machines[machine].Zone) {
@@ -77,8 +77,9 @@
 	return reserved
 }
 
-// provision adds machines for room that is lacking beyond what there is and will be.
-// Machines that are added for requests count.
+// provision rents machines for as many tasks as the request has. It does not look for room on
+// present or booting machines: the caller has subtracted it. Machines that this plan rents for
+// earlier requests count with their whole capacity.
 func (p *planner) provision(r *Request) {
 	lacking := len(r.Tasks)
 	for _, offer := range p.offerOfNewMachine {
--- a/placement/score.go
+++ b/placement/score.go
@@ -3,16 +3,16 @@
 // This file scores machines for a request: the one with the lowest score is used
 // first.
 
-// Parts of a score, in seconds of delay that they stand for.
+// Parts of a machine's score, as equivalent seconds of delay.
 const (
-	gpuMachinePenalty = 30  // other work takes a machine with GPUs only where nothing else is free
-	spotBonus         = 3   // of equal machines, the spot instance is used
-	priceWeight       = 0.5 // for the price of a CPU
-	freeShareWeight   = 2   // for the share of the machine that stays free, so that full ones fill up first
+	gpuMachinePenalty = 30  // keeps work without GPUs from machines with them unless others start it much later
+	spotBonus         = 3   // of otherwise equal machines, a spot instance is used
+	priceWeight       = 0.5 // for the price per CPU
+	freeShareWeight   = 2   // for the share of the machine that stays free, so that fuller ones fill up first
 )
 
-// machineScore is how long the start would be delayed on a machine, in seconds, and what it
-// would take away from others, counted as such a delay. free is the machine's room.
+// machineScore is by how many seconds the start would be delayed on a machine, plus what it
+// would take from others as equivalent seconds. free is what is available on the machine.
 func machineScore(m *Machine, r *Request, free Resources) float64 {
 	sum := m.PenaltySeconds + m.ETA + poolScore(m, r)
 	if seconds, ok := m.ImageReadyIn(r.Image); ok {
