--- a/rebalance/rebalance.go
+++ b/rebalance/rebalance.go
@@ -1,6 +1,7 @@
 // Package rebalance plans the moves of one cycle of rebalancing, within one group of
-// like machines. It packs: the least booked hosts are drained onto the fullest ones,
-// so that a host is free for work that fits nowhere.
+// like machines, here called hosts. It packs: the hosts with the lowest utilization are
+// drained onto those with the highest, so that a host becomes free for a waiting task that
+// fits nowhere.
 //
 // It is pure: the same input gives the same moves. Package cluster makes the groups,
 // and carries the moves out with checkpoints.
@@ -14,8 +15,8 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// roundingError is by how much a booked share may pass a threshold, as it is computed
-// from sums of fractions.
+// roundingError is by how much a booked share may exceed a threshold, since it is computed from
+// sums of fractions.
 const roundingError = 1e-9
 
 // Task is a task on a host.
@@ -23,7 +24,7 @@
 	ID      placement.Task
 	Need    placement.Resources
 	Movable bool
-	Spot    bool // may run on spot machines
+	Spot    bool // may run on spot instances
 }
 
 // Host is a machine of the group.
@@ -34,7 +35,7 @@
 	Tasks    []Task
 }
 
-// Group is what a cycle looks at.
+// Group is the input of a cycle.
 type Group struct {
 	Policies []config.Policy
 	Hosts    []Host
@@ -42,13 +43,13 @@
 	Unplaced []placement.Resources // needs of waiting tasks that fit nowhere
 }
 
-// Move takes a task from one host to another, by their places in the group.
+// Move moves a task from one host to another; From and To are indices in Group.Hosts.
 type Move struct {
 	Task     placement.Task
 	From, To int
 }
 
-// amountOf is the amount of one resource.
+// amountOf returns the amount of one resource.
 func amountOf(resource config.Resource, r placement.Resources) float64 {
 	switch resource {
 	case config.ResourceCPUs:
@@ -59,7 +60,7 @@
 	return r.Mem
 }
 
-// bookedShare is how much of a policy's resource is booked, as a share of the capacity.
+// bookedShare returns which share of the capacity of a policy's resource is used by tasks.
 func bookedShare(p *config.Policy, capacity, used placement.Resources) float64 {
 	total := amountOf(p.Resource, capacity)
 	if total <= 0 {
@@ -68,9 +69,9 @@
 	return amountOf(p.Resource, used) / total
 }
 
-// Imbalance is the combined imbalance, and whether that of any policy is above its
-// threshold. The imbalance of a policy is the difference between the hosts with the
-// highest and the lowest booked share.
+// Imbalance returns the combined imbalance of a group, weighted by policy, and whether that of
+// any policy is above its threshold. The imbalance of a policy is the difference between the
+// highest and the lowest booked share of a host.
 func Imbalance(g *Group) (combined float64, above bool) {
 	for i := range g.Policies {
 		p := &g.Policies[i]
@@ -90,7 +91,7 @@
 	return combined, above
 }
 
-// utilization is the sum of all policies' booked shares by their weights.
+// utilization is the sum of the policies' booked shares, weighted.
 func (g *Group) utilization(capacity, used placement.Resources) float64 {
 	sum := 0.0
 	for i := range g.Policies {
@@ -99,8 +100,9 @@
 	return sum
 }
 
-// Plan returns the moves of a cycle. A host is drained only as a whole, and only where
-// a waiting task fits there afterwards that fits nowhere now.
+// Plan returns the moves of a cycle; none if the imbalance of every policy is within its
+// threshold. A host is drained only as a whole, and only if a waiting task that fits nowhere
+// now will fit there.
 func Plan(g Group) []Move {
 	if len(g.Hosts) < 2 || len(g.Unplaced) == 0 {
 		return nil
@@ -118,7 +120,7 @@
 	return p.moves
 }
 
-// leastUtilizedFirst are the hosts by their utilization.
+// leastUtilizedFirst returns the hosts in the order of their utilization.
 func (g *Group) leastUtilizedFirst() []int {
 	order := make([]int, len(g.Hosts))
 	for i := range order {
@@ -134,10 +136,10 @@
 // planner collects the moves of one cycle.
 type planner struct {
 	group     *Group
-	used      []placement.Resources // of each host, with the moves so far
+	used      []placement.Resources // by host, after the moves so far
 	drained   []bool                // hosts that tasks are moved from
 	receiving []bool                // hosts that tasks are moved to
-	unplaced  []placement.Resources // needs that no host has been drained for yet
+	unplaced  []placement.Resources // needs for which no host is drained yet
 	moves     []Move
 }
 
@@ -152,8 +154,9 @@
 	return p
 }
 
-// tryDrain drains a host if that makes room for a need that is still unplaced, if it
-// takes no more moves than are left, and if all of the host's tasks find a place.
+// tryDrain drains a host if that makes room for a need that is still unplaced, takes no more
+// moves than are left, and there is a host for each of its tasks. A host to which tasks are
+// moved is not drained.
 func (p *planner) tryDrain(host int) {
 	h := &p.group.Hosts[host]
 	if len(h.Tasks) == 0 || p.receiving[host] || len(h.Tasks) > p.group.MaxMoves-len(p.moves) {
@@ -176,8 +179,8 @@
 	p.unplaced = slices.Delete(p.unplaced, fitting, fitting+1)
 }
 
-// movesToDrain finds a place for every task of a host, or returns no moves. With them
-// it returns what would be used of each host.
+// movesToDrain finds another host for each task of a host, or returns no moves. It also returns
+// what would be used of each host after the moves.
 func (p *planner) movesToDrain(host int) ([]Move, []placement.Resources) {
 	g, h := p.group, &p.group.Hosts[host]
 	tasks := slices.Clone(h.Tasks)
@@ -202,8 +205,8 @@
 	return moves, after
 }
 
-// fullestThatFits is the host with the highest utilization that has room for a task
-// below every capacity threshold, or -1. used is what is used of each host.
+// fullestThatFits returns the host with the highest utilization on which a task fits without
+// exceeding a capacity threshold, or -1. used is what is used of each host.
 func (p *planner) fullestThatFits(t *Task, from int, used []placement.Resources) int {
 	best, highest := -1, 0.0
 	for to := range p.group.Hosts {
@@ -222,7 +225,7 @@
 	return best
 }
 
-// withinThresholds says whether every booked share keeps to its capacity threshold.
+// withinThresholds says whether every booked share is within its policy's capacity threshold.
 func (g *Group) withinThresholds(capacity, used placement.Resources) bool {
 	for i := range g.Policies {
 		p := &g.Policies[i]
