--- a/cluster/completion_floor.go
+++ b/cluster/completion_floor.go
@@ -22,7 +22,8 @@
 	maxFloorGroups = 1000
 )
 
-// completionCounts has the number of completed jobs of each floor group, up to floorMemory.
+// completionCounts has the number of jobs of each floor group that were completed under this
+// leader, up to floorMemory.
 type completionCounts struct{ byGroup map[string]int }
 
 // add counts a completed job for a group.
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -37,7 +37,7 @@
 const nearestShown = 20
 
 // Explain returns why a job is pending. It returns false if the model has no such job, as for
-// jobs that are completed or cancelled.
+// jobs whose end is recorded. It changes the model (see buildQueue).
 func (m *Model) Explain(id string, now time.Time) (Explanation, bool) {
 	j := m.Job(id)
 	if j == nil {
--- a/cluster/gpu_machines.go
+++ b/cluster/gpu_machines.go
@@ -10,10 +10,14 @@
 // This file keeps machines with GPUs free for work that needs GPUs.
 
 // keepGPUMachinesFree keeps requests that need no GPU away from machines that have GPUs while
-// other requests wait for GPUs. Requests without an objective get no such machine. Neither do
-// those without an objective on the wait, as long as a request of the same or a higher priority
-// waits for GPUs. All others prefer other machines if tasks without an objective can be
-// preempted there.
+// other requests wait for GPUs. It applies to jobs that fit on a machine type without GPUs:
+//
+//   - Those without an objective get no machine with GPUs, nor do those without an objective on
+//     the wait as long as a request of the same or a higher priority waits for GPUs. Excepted
+//     are requests within a quota and, from the second rule, those that must start by the
+//     starvation bound.
+//   - All others prefer machines without GPUs if any tasks without an objective and without
+//     GPUs are placed, since these may be preempted.
 //
 // Otherwise tasks without an objective occupy the machines without GPUs for minutes, so that
 // all others need those with GPUs; and thousands of small tasks take the CPUs beside the GPUs
--- a/cluster/guarantee.go
+++ b/cluster/guarantee.go
@@ -100,7 +100,8 @@
 }
 
 // addBeyondGuarantee adds to over as many of a team's tasks, in the given order, as make up
-// what the team uses beyond its guarantee.
+// what the team uses beyond its guarantee. GPUs count only if the team is guaranteed some. CPUs
+// always count: all CPUs of a team that is guaranteed none are beyond its guarantee.
 func (m *Model) addBeyondGuarantee(over map[TaskRef]bool, team int, tasks []placedTask) {
 	guarantee := m.guarantees[team]
 	excess := m.teams[team].Used.Add(guarantee, -1)
--- a/cluster/objectives.go
+++ b/cluster/objectives.go
@@ -13,7 +13,7 @@
 // meet, earliest first.
 type startDeadlines struct {
 	latest       []time.Time
-	earliestWait time.Time // the earliest of them that belongs to an objective on the wait; zero: none
+	earliestWait time.Time // the earliest of them that belongs to an objective on the wait or on guaranteed work; zero: none
 	missed       int       // number of objectives that can't be met any more
 }
 
@@ -89,7 +89,8 @@
 	return o.Times
 }
 
-// hasObjective reports whether any objective applies to the class of the job by name.
+// hasObjective reports whether an objective on the wait, the completion or the deadline names
+// the job's class. Objectives on all classes don't count, nor do those on guaranteed work.
 func (m *Model) hasObjective(j *Job) bool {
 	for _, o := range m.settings.Cluster.Objectives {
 		switch o.Kind {
--- a/cluster/places.go
+++ b/cluster/places.go
@@ -47,7 +47,7 @@
 func (j *Job) allowsZone(zone int) bool { return j.Zone < 0 || j.Zone == zone }
 
 // placesFor returns for each place for a task of the job in a zone, or in all zones if zone is
-// negative, the seconds until it is free. Places that tasks of higher priority occupy are not
+// negative, the seconds until it is free, unsorted. Places that tasks of higher priority occupy are not
 // counted, since more tasks like them are likely to follow; those of tasks of lower priority
 // count as free, since these can be preempted.
 func (m *Model) placesFor(j *Job, zone int, now time.Time) []float64 {
@@ -117,7 +117,7 @@
 }
 
 // zonePlaces lists, for each place for a task, the seconds until it is free, by zone, or in
-// one list where the class's jobs have no zone constraint.
+// one list if the job that it was made for has no zone constraint. One job stands for its class.
 type zonePlaces struct {
 	byZone  []placeTimes
 	anyZone bool // one list for all zones
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -83,8 +83,8 @@
 // assign determines the tier of a job by the policy in force.
 func (t *priorityTiers) assign(j *Job) { j.tier = t.policy.TierOf(j.Spec.Team, j.Spec.Class) }
 
-// schedulableCapacity returns the capacity of the machines that can be given tasks, as last
-// recorded if no machine is known.
+// schedulableCapacity returns the capacity of the machines that can be given tasks. If there
+// are none, it returns the capacity that was recorded last.
 func (m *Model) schedulableCapacity(now time.Time) (total placement.Resources) {
 	for _, mc := range m.Machines {
 		if m.Ready(mc, now) {
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -12,9 +12,9 @@
 
 const (
 	maxRequestTasks = 64  // of one job in one pass
-	maxRequests     = 400 // in one pass
-	// noObjectiveDue is when a job is due that has no objective left, from now on: after
-	// nearly all that have one.
+	maxRequests     = 400 // in one pass, apart from those that truncateQueue keeps and those of faulty jobs
+	// noObjectiveDue is how long from now a job is due that has no objective left. It lies
+	// beyond the due times of nearly all jobs that have one.
 	noObjectiveDue = time.Hour
 )
 
@@ -67,7 +67,9 @@
 }
 
 // buildQueue returns the queue: the requests of the waiting jobs, in the order in which they
-// are served. Jobs that fail wherever they run are at its end.
+// are served. Jobs that fail wherever they run are at its end. It updates the state of triage
+// and of the starvation bound, so that Explain, which calls it too, is for models that no
+// leader uses.
 func (m *Model) buildQueue(jobs []*Job, withinQuota map[int32]bool, now time.Time) []*queued {
 	m.classes.countOpenTasks(jobs)
 	var queue, faulty []*queued
--- a/cluster/request.go
+++ b/cluster/request.go
@@ -28,8 +28,9 @@
 	return r, true
 }
 
-// placeableTasks lists the waiting tasks that may be placed now, at most maxRequestTasks of an
-// array. It lists none of a gang of which a task has to wait.
+// placeableTasks lists the waiting tasks that may be placed now: all tasks of a gang or none,
+// at most maxRequestTasks of any other job. It lists none of a gang of which a task is backing
+// off. As a side effect it moves j.cursor, before which no task is idle.
 func (j *Job) placeableTasks(now time.Time) []int32 {
 	limit := maxRequestTasks
 	if j.Gang() {
@@ -87,7 +88,8 @@
 	return known >= j.PlacedTasks
 }
 
-// avoidedMachines lists the machines that the job avoids for now, by index.
+// avoidedMachines lists the machines that the job avoids for now, by index. It deletes the
+// entries that have expired.
 func (j *Job) avoidedMachines(now time.Time) map[int]bool {
 	var avoided map[int]bool
 	for idx, until := range j.avoidUntil {
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -12,12 +12,12 @@
 // plan that results is bound, which means that it is applied to the model. The write-behind
 // commits what was bound before any task is launched.
 
-// Decisions is the result of a scheduling pass. Placements and stops are applied to the
-// model already; scaling out is left to the caller.
+// Decisions is the result of a scheduling pass. Placements and preemptions are applied to
+// the model already; scaling out is left to the caller.
 type Decisions struct {
 	Started  int
 	ScaleOut map[Offer]int       // machines to rent
-	Unplaced []placement.Request // requests that no machine has enough free resources for
+	Unplaced []placement.Request // of jobs, with tasks for which no machine has enough free resources now
 }
 
 // passBuffers are slices that each scheduling pass reuses, so that a pass over thousands of
@@ -31,7 +31,9 @@
 }
 
 // Schedule runs a scheduling pass: it places waiting tasks, orders preemptions and decides
-// which machines to rent. renting is how many machines are being rented already.
+// which machines to rent. renting is how many machines are being rented already. It decides
+// nothing while placing is paused because of unreadable records, or while the operators' plan
+// is unreadable.
 func (m *Model) Schedule(now time.Time, renting int) Decisions {
 	if m.quarantine.pausesPlacing(now) || m.plan.Unreadable {
 		return Decisions{}
@@ -172,7 +174,8 @@
 }
 
 // bindStarts places the tasks that a plan starts and returns how many there are. The tasks of
-// a job that one pass places share one attempt number.
+// a job that one pass places share one attempt number. It is a new one, except for a gang of
+// which tasks are placed already: these and the new ones are the same attempt.
 func (p *schedulingPass) bindStarts(starts []placement.Start) int {
 	started := 0
 	attempts := map[int32]uint64{}
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -14,8 +14,9 @@
 // start in time; from then on the job precedes the objectives of its priority. It preempts
 // nothing that could not be preempted otherwise.
 //
-// It depends only on when a job was accepted, whether it has started, and where tasks are,
-// all of which a new leader loads or learns from heartbeats.
+// It depends on when a job was accepted, whether it has started, and where tasks are, all of
+// which a new leader loads or learns from heartbeats. What the forecasts use besides (run times,
+// start delays and job sizes of a class) each leader learns anew.
 
 const (
 	boundInterval = 2 * time.Second  // between two checks; verdicts stand until the next one
@@ -36,11 +37,11 @@
 	maxInfeasibleRounds = 50        // simulations of a class from which the costliest job is dropped
 	schedulingHorizon   = time.Hour // resources that become free later count as never free
 	// lastCall is how long before the time by which it must hold its resources a job
-	// precedes new starts of higher priority. One place in lastCallMachines machines may
-	// be used for such jobs at a time.
+	// precedes new starts of higher priority. For every lastCallMachines ready machines one
+	// place may be used for such jobs at a time.
 	lastCall         = 20 * time.Second
 	lastCallMachines = 10
-	startProtection  = 30 * time.Second
+	startProtection  = 30 * time.Second // after its start, in which a job's only placed task is not preempted
 )
 
 // starvationBound limits how long any job waits for its first start
@@ -117,7 +118,8 @@
 }
 
 // checkStarvationBound marks the waiting jobs that must hold resources now in order to start
-// in time. It runs every boundInterval; jobs that arrive in between wait for the next check.
+// in time, and those that the completion floor protects. It runs every boundInterval; jobs that
+// arrive in between wait for the next check.
 func (m *Model) checkStarvationBound(queue []*queued, now time.Time) {
 	if m.StarvationBound <= 0 || now.Before(m.starvation.nextCheck) {
 		return
--- a/cluster/starvation_check.go
+++ b/cluster/starvation_check.go
@@ -40,7 +40,8 @@
 	order     []int           // indexes of the jobs, earliest due first
 }
 
-// checkClassBound checks the bound for the unstarted jobs of one class.
+// checkClassBound checks the bound for the unstarted jobs of one class. The places are counted
+// for the resources and the zone constraint of the first job, which stands for all of them.
 func (m *Model) checkClassBound(jobs []*queued, now time.Time) {
 	places := m.zonePlacesFor(jobs[0].job, now)
 	c := &boundCheck{model: m, now: now, jobs: jobs, forecasts: make([]startForecast, len(jobs)), order: make([]int, len(jobs))}
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -146,8 +146,8 @@
 	return ready, coming
 }
 
-// occupiedByHigherPriority reports whether all tasks on the machines that the job may use are
-// of higher priority.
+// occupiedByHigherPriority reports whether there are tasks on the machines that the job may
+// use, and all of them are of higher priority.
 func (m *Model) occupiedByHigherPriority(j *Job, now time.Time) bool {
 	higher := false
 	for _, mc := range m.Machines {
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -99,7 +99,8 @@
 }
 
 // truncateQueue cuts the queue to the given length, from its end, but never drops requests
-// that the starvation bound or the completion floor has moved forward.
+// that are owed: moved forward by the starvation bound, by the completion floor, or because
+// their tier's longest wait is over.
 func truncateQueue(queue []*queued, length int) []*queued {
 	excess := len(queue) - length
 	if excess <= 0 {
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -135,6 +135,8 @@
 }
 
 // triageClass simulates the jobs of a class and marks those that can't meet their objectives.
+// The places are counted for the resources and the zone of the first job, which stands for all
+// of them. Without any place no job is marked.
 func (m *Model) triageClass(jobs []*queued, now time.Time) {
 	places := placeTimes(m.placesFor(jobs[0].job, jobs[0].job.Zone, now))
 	if len(places) == 0 {
--- a/cluster/utilization.go
+++ b/cluster/utilization.go
@@ -54,7 +54,7 @@
 	return u
 }
 
-// addReadyMachine adds a machine that can start tasks to the utilization of its type.
+// addReadyMachine adds a machine that can be given tasks to the utilization of its type.
 func (m *Model) addReadyMachine(u *typeUtilization, mc *Machine) {
 	u.ready++
 	u.capacity = u.capacity.Add(m.MachineTypes[mc.typeIndex].Capacity, 1)
