--- a/controller/encoding_test.go
+++ b/controller/encoding_test.go
@@ -10,7 +10,7 @@
 // The header of a heartbeat, which every node decodes.
 func TestSenderOfAHeartbeatIsReadFromTheRecordedBytes(t *testing.T) {
 	f := golden.Open(t, "encoding.golden")
-	golden.Hold[heartbeatHeader](f, "sender", golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }})
+	golden.CheckEncoding[heartbeatHeader](f, "sender", golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }})
 	f.Text("path of the metrics", PathMetrics)
 	f.Text("path of the overview", PathStatus)
 }
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -56,7 +56,7 @@
 share = 0.1
 longest_wait_s = 100
 `, first, second) + plans.Region("here", fmt.Sprintf(`fri = "23:50", sat = "00:%02d", sun = "08:00"`, 2+rnd.IntN(10)), "00:00", 30, `images = ["img-0"]`) +
-		plans.Pool("warm", "img-1", 5, "m8", rnd.IntN(3), 3, 2, "core", `borrowers = ["edge"]`)
+		plans.Pool{Name: "warm", Model: "img-1", WeightsGB: 5, MachineType: "m8", Min: rnd.IntN(3), Max: 3, Replicas: 2, Payer: "core", More: `borrowers = ["edge"]`}.TOML()
 }
 
 // randomScenario injects random faults on a cluster of 6*size machines; with planned, a plan is in
@@ -80,7 +80,7 @@
 	var ids, asked []string
 	cancelled, broken := map[string]bool{}, map[string]bool{}
 	faults := rand.New(rand.NewPCG(seed, 27))
-	plan := scenario.Plans{World: w}
+	plan := scenario.Plans{Cluster: w}
 	next := "" // the plan that is yet to be applied
 	if planned {
 		plan.Apply(randomPlan(rnd), time.Minute)
--- a/controller/warm_pools_measure_test.go
+++ b/controller/warm_pools_measure_test.go
@@ -71,7 +71,7 @@
 			b.remember(t, w, hour)
 		}
 		if b.mode == "fixed" || b.mode == "hours" {
-			applyPlan(t, w, 0, plans.Pool("llm", "llm:v1", b.gb, "g8", least, b.replicas, b.replicas, "speech", fmt.Sprint("fetch_at_once = ", p.ConcurrentFetches)))
+			applyPlan(t, w, 0, plans.Pool{Name: "llm", Model: "llm:v1", WeightsGB: b.gb, MachineType: "g8", Min: least, Max: b.replicas, Replicas: b.replicas, Payer: "speech", More: fmt.Sprint("fetch_at_once = ", p.ConcurrentFetches)}.TOML())
 		}
 		time.Sleep(time.Until(hour.Add(after)))
 		if b.mode == "fixed" || b.mode == "hours" {
@@ -190,7 +190,7 @@
 			text += plans.Region(region, nightHours, "00:00", 120, fmt.Sprintf("images = [%q]", region))
 		}
 		for i := range 3 {
-			text += plans.Pool(fmt.Sprint("llm", i), fmt.Sprintf("llm%d:v1", i), 5, "m8", machines/6, machines/6, 8, "speech", "fetch_at_once = 100")
+			text += plans.Pool{Name: fmt.Sprint("llm", i), Model: fmt.Sprintf("llm%d:v1", i), WeightsGB: 5, MachineType: "m8", Min: machines / 6, Max: machines / 6, Replicas: 8, Payer: "speech", More: "fetch_at_once = 100"}.TOML()
 		}
 		applyPlan(t, w, 0, text)
 		by = map[string]int{}
--- a/controller/warm_pools_test.go
+++ b/controller/warm_pools_test.go
@@ -27,7 +27,7 @@
 
 // poolPlan returns a plan with one warm pool of between least and most machines.
 func poolPlan(least, most int, more string) string {
-	return plans.Pool("llm", "llm:v1", 40, "m8", least, most, 4, "speech", "borrowers = [\"core\"]\n"+more)
+	return plans.Pool{Name: "llm", Model: "llm:v1", WeightsGB: 40, MachineType: "m8", Min: least, Max: most, Replicas: 4, Payer: "speech", More: "borrowers = [\"core\"]\n" + more}.TOML()
 }
 
 // poolState decodes the pool's state from its records.
@@ -513,7 +513,7 @@
 			runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
 				rnd := rand.New(rand.NewPCG(seed, 11))
 				applyPlan(t, w, 0, poolPlan(3, 6, ""))
-				plan, next, running := scenario.Plans{World: w, Version: 1}, 1, []string{}
+				plan, next, running := scenario.Plans{Cluster: w, Version: 1}, 1, []string{}
 				for range 60 {
 					time.Sleep(time.Duration(5+rnd.IntN(15)) * time.Second)
 					machines := w.Cloud.Machines()
--- a/internal/golden/server.go
+++ b/internal/golden/server.go
@@ -26,11 +26,11 @@
 }
 
 // Serve starts a server that ends with the test.
-func Serve(t testing.TB, answers ...Answer) *Server {
-	t.Helper()
+func Serve(tb testing.TB, answers ...Answer) *Server {
+	tb.Helper()
 	s := &Server{answers: answers}
 	s.srv = httptest.NewServer(s)
-	t.Cleanup(s.srv.Close)
+	tb.Cleanup(s.srv.Close)
 	return s
 }
 
--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -1,11 +1,11 @@
-// Package plans writes parts of plans for tests. It knows no other package, so
-// that tests of any can use it.
+// Package plans writes parts of the operators' plans for tests. It imports no other
+// package of the module, so that tests of any can use it.
 package plans
 
 import "fmt"
 
-// Region is a region of a calendar that opens as said by weekdays; work is one
-// entry of its list.
+// Region is a region of a calendar, as a table of a plan: open has its opening times by
+// weekdays, and work is one entry of the list of its work.
 func Region(name, open, evening string, marginS int, work string) string {
 	return fmt.Sprintf(`
 [[calendar.regions]]
@@ -18,9 +18,20 @@
 `, name, open, evening, marginS, work)
 }
 
-// Pool is a pool of a model's replicas on machines of one type in both of the
-// usual zones; more is what is written besides.
-func Pool(name, model string, gb float64, typ string, least, most, replicas int, payer, more string) string {
+// Pool is a warm pool of a model's replicas, on machines of one type in both of the usual
+// zones.
+type Pool struct {
+	Name, Model string
+	WeightsGB   float64
+	MachineType string
+	Min, Max    int // machines
+	Replicas    int // that may start at once
+	Payer       string
+	More        string // other lines of the pool's table
+}
+
+// TOML is the pool's table in a plan.
+func (p Pool) TOML() string {
 	return fmt.Sprintf(`
 [[pools]]
 name = %q
@@ -34,5 +45,5 @@
 cost_an_hour = 1e6
 payer = %q
 %s
-`, name, model, gb, typ, least, most, replicas, payer, more)
+`, p.Name, p.Model, p.WeightsGB, p.MachineType, p.Min, p.Max, p.Replicas, p.Payer, p.More)
 }
--- a/internal/scenario/plans.go
+++ b/internal/scenario/plans.go
@@ -31,14 +31,14 @@
 
 // Plans applies one plan after another, also where answers are lost.
 type Plans struct {
-	World   *fake.Cluster
+	Cluster *fake.Cluster
 	Version int // the one in force as far as is known
 }
 
 // Apply applies a plan on the version that is known, and says whether that is told
 // to have worked. Where another version is in force, that one is known from now on.
 func (p *Plans) Apply(text string, within time.Duration) bool {
-	n, err := TryPlan(p.World, p.Version, text, within)
+	n, err := TryPlan(p.Cluster, p.Version, text, within)
 	var moved *jobstore.PlanConflictError
 	if err == nil {
 		p.Version = n
--- a/internal/scenario/subprocess_test.go
+++ b/internal/scenario/subprocess_test.go
@@ -9,14 +9,14 @@
 	"testing"
 )
 
-func TestOnlyTheRaceDetectorsOwnExitIsAccepted(t *testing.T) {
+func TestOnlyExitsOfTheRaceDetectorAreRetried(t *testing.T) {
 	fn := func(name string, at, size uint64) elf.Symbol {
 		return elf.Symbol{Name: name, Info: byte(elf.STT_FUNC), Value: at, Size: size}
 	}
 	symbols := []elf.Symbol{fn("_ZN6__tsan8SlotLockEPNS_11ThreadStateE", 0x41c700, 0x40), fn("main.main", 0x41c740, 0x40),
 		{Name: "_ZN6__tsanL8main_thrE", Info: byte(elf.STT_OBJECT), Value: 0x41c780, Size: 0x40}}
 	for pc, want := range map[uint64]bool{0x41c729: true, 0x41c73f: true, 0x41c740: false, 0x41c781: false, 0x41c6ff: false} {
-		if got := within(symbols, pc); got != want {
+		if got := inDetector(symbols, pc); got != want {
 			t.Errorf("%#x: %v", pc, got)
 		}
 	}
@@ -32,7 +32,7 @@
 		"panic: runtime error: invalid memory address\n[signal SIGSEGV: segmentation violation]":      false,
 		"SIGSEGV: segmentation violation\nPC=0x1 m=3 sigcode=1 addr=0x0":                              false,
 	} {
-		if got := detectorEnded(os.Args[0], []byte(text)); got != want {
+		if got := endedInDetector(os.Args[0], []byte(text)); got != want {
 			t.Errorf("%q: %v", text, got)
 		}
 	}
@@ -40,7 +40,7 @@
 
 // A shell script plays the test binary: what it says and how it ends is what the
 // package says and how it ends.
-func TestSubprocessResultsBecomeThePackagesResult(t *testing.T) {
+func TestSubprocessResultsAreThePackagesResult(t *testing.T) {
 	dir := t.TempDir()
 	exe := filepath.Join(dir, "tests")
 	script := `#!/bin/sh
@@ -65,7 +65,7 @@
 		{[]string{"TestAlways"}, 1, "FAIL\n"},
 	} {
 		var out bytes.Buffer
-		if code := apart(exe, c.names, &out); code != c.code || !strings.Contains(out.String(), c.says) {
+		if code := runInSubprocesses(exe, c.names, &out); code != c.code || !strings.Contains(out.String(), c.says) {
 			t.Errorf("%v: exit %d, %q", c.names, code, out.String())
 		}
 	}
--- a/metrics/overview_test.go
+++ b/metrics/overview_test.go
@@ -13,7 +13,7 @@
 func TestOverviewFormatsAreStable(t *testing.T) {
 	f := golden.Open(t, "overview.golden")
 	shown := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}
-	o := golden.Hold[Overview](f, "JSON", shown)
+	o := golden.CheckEncoding[Overview](f, "JSON", shown)
 	for label, o := range map[string]Overview{"table": o, "table, empty": {}} {
 		var out bytes.Buffer
 		if err := o.Print(&out); err != nil {
--- a/priority/encoding_test.go
+++ b/priority/encoding_test.go
@@ -11,7 +11,7 @@
 func TestInversionRecordsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
-	golden.Hold[InversionLog](f, "departures", stored)
-	p := golden.Hold[InversionEvent](f, "departure", stored)
+	golden.CheckEncoding[InversionLog](f, "departures", stored)
+	p := golden.CheckEncoding[InversionEvent](f, "departure", stored)
 	f.Text("counted under", p.Key())
 }
--- a/routing/fleet_plan_test.go
+++ b/routing/fleet_plan_test.go
@@ -41,7 +41,7 @@
 %sshare = 0.1
 longest_wait_s = 100
 `, number, tiers[0], tiers[1]) + plans.Region("here", fmt.Sprintf("fri = \"23:50\", sat = %q, sun = \"08:00\"", open), "00:00", 60, `class = "tiles"`) +
-		plans.Pool("llm", "llm:v1", 20, "m8", 5+number%3*5, 30, 20, "core", `borrowers = ["edge"]`)
+		plans.Pool{Name: "llm", Model: "llm:v1", WeightsGB: 20, MachineType: "m8", Min: 5 + number%3*5, Max: 30, Replicas: 20, Payer: "core", More: `borrowers = ["edge"]`}.TOML()
 }
 
 // fleetMinutes is how long everything goes wrong, in minutes; FLEET_MINUTES sets it.
@@ -67,7 +67,7 @@
 	scenario.Run(t, o, func(t *testing.T, w *fake.Cluster) {
 		rnd := rand.New(rand.NewPCG(3, 17))
 		time.Sleep(15 * time.Second)
-		plan := scenario.Plans{World: w}
+		plan := scenario.Plans{Cluster: w}
 		apply := func() bool { return plan.Apply(fleetPlan(plan.Version+1, minutes+3), 10*time.Second) }
 		for plan.Version == 0 {
 			apply()
--- a/snapshot/encoding_test.go
+++ b/snapshot/encoding_test.go
@@ -14,9 +14,9 @@
 func TestSnapshotsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "snapshot.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
-	h := golden.Hold[Header](f, "header", stored)
-	golden.Hold[KeyValue](f, "pair", stored)
-	golden.Hold[trailer](f, "end", stored)
+	h := golden.CheckEncoding[Header](f, "header", stored)
+	golden.CheckEncoding[KeyValue](f, "pair", stored)
+	golden.CheckEncoding[trailer](f, "end", stored)
 	f.Text("begins with", string(magic))
 	f.Text("key while restoring", importMarkKey)
 	pairs := []KeyValue{{Key: "a", Value: wire.Raw("\xa3one")}, {Key: "b", Value: wire.Raw("\xa3two")}, {Key: "c", Value: wire.Raw("\x81\xa1k\x07")}}
--- a/warmpool/encoding_test.go
+++ b/warmpool/encoding_test.go
@@ -11,10 +11,10 @@
 func TestPoolRecordsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
-	golden.Hold[Record](f, "pool", stored)
-	golden.Hold[Shard](f, "shard", stored)
-	golden.Hold[Member](f, "member", stored)
-	golden.Hold[Pool](f, "pool of a plan", stored)
+	golden.CheckEncoding[Record](f, "pool", stored)
+	golden.CheckEncoding[Shard](f, "shard", stored)
+	golden.CheckEncoding[Member](f, "member", stored)
+	golden.CheckEncoding[Pool](f, "pool of a plan", stored)
 	f.Text("name of a pool's record", RecordName("llm"))
 	f.Text("name of a day", DayName("llm", 3))
 	f.Text("name of a shard", ShardName("llm", 4))
--- a/yarn/encoding_test.go
+++ b/yarn/encoding_test.go
@@ -13,11 +13,11 @@
 func TestRecordEncodingsAreStable(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
-	a := golden.Hold[application](f, "application", stored)
-	golden.Hold[containerRequest](f, "ask", stored)
-	golden.Hold[keyring](f, "keys", stored)
-	golden.Hold[LaunchContext](f, "launch context", stored)
-	golden.Hold[LaunchContext](f, "launch context as JSON", golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal})
+	a := golden.CheckEncoding[application](f, "application", stored)
+	golden.CheckEncoding[containerRequest](f, "ask", stored)
+	golden.CheckEncoding[keyring](f, "keys", stored)
+	golden.CheckEncoding[LaunchContext](f, "launch context", stored)
+	golden.CheckEncoding[LaunchContext](f, "launch context as JSON", golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal})
 	f.Text("key of an application", a.key())
 	f.Text("key of the keys", keysKey)
 	f.Text("key of a launch context", a.contextKey(jobID(a.ID, 3), 4))
