--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -9,9 +9,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Two teams with work within and beyond their guarantees on one machine once
-// stopped each other's tasks every few seconds: the task started last counted
-// as beyond the guarantee, whichever job it was of.
+// Two teams that both have tasks within and beyond their guarantees on one machine don't preempt
+// each other's tasks in turn. They did every few seconds when the task placed last counted as
+// beyond the guarantee, whichever job it belonged to.
 func TestTeamsDoNotStopEachOthersWorkInTurn(t *testing.T) {
 	m := newModel(5)
 	m.names.teams = map[string]int{"one": 0, "two": 1}
