--- a/placement/cheapest.go
+++ b/placement/cheapest.go
@@ -7,7 +7,7 @@
 // scoreFunc is a machine's score, if it can be used at all.
 type scoreFunc func(machine int) (float64, bool)
 
-// takeFunc uses a machine once more, and says whether that was possible.
+// takeFunc uses a machine once more, and reports whether that was possible.
 type takeFunc func(machine int) bool
 
 // entry is a machine and its score for the next use.
--- a/placement/classes.go
+++ b/placement/classes.go
@@ -10,6 +10,7 @@
 // This file groups machines by equivalence class. Machines that agree in all fields of classKey
 // have the same score for a request, so that only one machine of each class has to be scored.
 // A cluster that has just started, or comes back, has a thousand machines and few classes.
+// Preemption and holding depend on the machines' tasks as well, and score every machine.
 
 // classKey has all properties of a machine on which its score depends, and whether a request
 // may use it; Request.Avoid is checked by machine.
--- a/placement/failed_search.go
+++ b/placement/failed_search.go
@@ -19,7 +19,7 @@
 	tasks   int
 }
 
-// knownToFail says whether a search for room for n tasks is known to fail.
+// knownToFail reports whether a search for room for n tasks is known to fail.
 func (p *planner) knownToFail(kind roomKind, r *Request, zone, n int) bool {
 	for i := range p.failedSearches[kind] {
 		f := &p.failedSearches[kind][i]
@@ -36,7 +36,7 @@
 	return false
 }
 
-// findsAllThat says whether a search for one task of the request succeeds on each machine on
+// findsAllThat reports whether a search for one task of the request succeeds on each machine on
 // which one for the other request does. Zones are compared by the caller. Images are not
 // compared, although BorrowAccess depends on them.
 func (r *Request) findsAllThat(other *Request) bool {
@@ -46,7 +46,7 @@
 	return slices.Equal(r.Types, other.Types) && slices.Equal(r.PoolAccess, other.PoolAccess)
 }
 
-// mayPreemptAllThat says whether each task that may be preempted for the other request may be
+// mayPreemptAllThat reports whether each task that may be preempted for the other request may be
 // preempted for this one.
 func (r *Request) mayPreemptAllThat(other *Request) bool {
 	if r.Priority > other.Priority {
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -13,7 +13,7 @@
 	numRoomKinds
 )
 
-// passesFilter says whether the request may use the machine, apart from whether its task fits.
+// passesFilter reports whether the request may use the machine, apart from whether its task fits.
 func (p *planner) passesFilter(machine int, r *Request, kind roomKind) bool {
 	m := &p.input.Machines[machine]
 	if (kind == onBooting) == m.Ready {
@@ -22,13 +22,13 @@
 	return r.accepts(m) && !r.Avoid[machine] && poolAdmits(m, r)
 }
 
-// accepts says whether the request may use machines of that type and zone, and spot instances
+// accepts reports whether the request may use machines of that type and zone, and spot instances
 // if the machine is one.
 func (r *Request) accepts(m *Machine) bool {
 	return r.Types[m.Type] && (r.Zone < 0 || r.Zone == m.Zone) && (!m.Spot || r.Spot)
 }
 
-// zoneIsFull says whether the request has as many tasks in a zone as MaxPerZone allows.
+// zoneIsFull reports whether the request has as many tasks in a zone as MaxPerZone allows.
 func (r *Request) zoneIsFull(zone int) bool {
 	return r.MaxPerZone > 0 && r.PlacedByZone[zone] >= r.MaxPerZone
 }
--- a/placement/input.go
+++ b/placement/input.go
@@ -9,7 +9,7 @@
 // tolerance bounds the rounding error of sums of resources.
 const tolerance = 1e-6
 
-// Fits says whether r fits into free.
+// Fits reports whether r fits into free.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPU <= free.CPU+tolerance && r.GPU <= free.GPU+tolerance && r.Mem <= free.Mem+tolerance
 }
@@ -51,7 +51,7 @@
 	FetchRate           float64    // GB of images a second
 	FetchBacklogSeconds float64    // until the image fetches under way are done
 	Images              []ImageAt  // images that it has or is fetching
-	PenaltySeconds      float64    // added to its score if it is suspected of being faulty
+	PenaltySeconds      float64    // added to its score if it is suspected of being faulty, or is slow
 	Tasks               []Occupant // of tasks equally good to preempt, the first is chosen
 	Pool                int        // the warm pool that it belongs to, from 1 on; 0: none
 	PoolSpareGB         float64    // GB of images that fit beside the pool's weights without evicting them
@@ -94,7 +94,7 @@
 	Spot              bool          // spot instances may be used
 	Avoid             map[int]bool  // machines that must not be used for now
 	PreferredMachines map[int32]int // by task: the machine to which rebalancing moves it
-	Headroom          bool          // resources for expected jobs: machines are rented for them
+	Headroom          bool          // a placeholder for expected jobs, also with Provision or Reserve; without these, machines are rented for what does not fit
 	Provision         bool          // machines are rented for all its tasks, less those that fit on the machines rented for earlier requests
 	Reserve           bool          // backfill reservation: resources are kept from later requests, and nothing is rented
 	Hold              bool          // machines on which it will fit soon are kept from later requests
@@ -109,7 +109,7 @@
 // team's guarantee. The planner itself does not use it.
 type Precedence struct {
 	Tier           int   // priority tier, 0 is the highest
-	Owed           bool  // it has to start now, by the starvation bound
+	Owed           bool  // it has to start now, by the starvation bound, the completion floor or its tier's longest wait
 	PromotionCause uint8 // why it is served before higher tiers (priority.PromotionCause); 0: it is not
 }
 
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -26,7 +26,7 @@
 	Starts      []Start
 	Preemptions []Task
 	ScaleOut    map[int]int // how many machines to rent, by the offer's index in Input.Offers
-	Waiting     []int       // indices in Input.Requests of those with tasks that could not start
+	Waiting     []int       // indices in Input.Requests of those that lack free resources, apart from placeholders and FreeRoomOnly
 }
 
 // planner makes one plan.
@@ -35,14 +35,15 @@
 	plan              Plan
 	offerOfNewMachine []int // for each machine that was added to the input's: index of its offer
 	preempted         map[Task]bool
-	queue             queue // empty between searches; its memory is reused
+	queue             queue // a buffer that all searches use
 	failedSearches    [numRoomKinds][]failedSearch
 	numZones          int
 	classes           *classes // nil in tests: every machine is scored
-	lowestTier        int      // of all tasks that are on machines
+	lowestTier        int      // the highest tier number of all tasks that are on machines
 }
 
-// Compute makes a plan. It changes the input's machines, teams and requests (PlacedByZone).
+// Compute makes a plan. It changes the input's machines, to which it appends those that are
+// rented, its teams and its requests (PlacedByZone).
 func Compute(in *Input) Plan {
 	return makePlan(in, newClasses(in.Machines))
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// Machines held for a gang that must be in one zone are all of that zone, and
-// none are held where there are not enough.
+// Machines held for a gang that must be in one zone are all of that zone, and none are held
+// if there are not enough.
 func TestGangHoldsMachinesOfOneZone(t *testing.T) {
 	busy := func(zone int, left float64) Machine {
 		m := machine(zone, Resources{})
--- a/placement/pools.go
+++ b/placement/pools.go
@@ -28,7 +28,7 @@
 	return r.PoolAccess[m.Pool-1]
 }
 
-// poolAdmits says whether the machine's pool, if it has one, lets the request use it.
+// poolAdmits reports whether the machine's pool, if it has one, lets the request use it.
 func poolAdmits(m *Machine, r *Request) bool {
 	if m.Pool == 0 {
 		return true
@@ -43,7 +43,7 @@
 	return false
 }
 
-// PoolRefuses says whether the machine's warm pool does not let the request use it: pool if it
+// PoolRefuses reports whether the machine's warm pool does not let the request use it: pool if it
 // has no access, image if its image would evict the pool's weights.
 func (m *Machine) PoolRefuses(r *Request) (pool, image bool) {
 	if poolAdmits(m, r) {
--- a/placement/pools_test.go
+++ b/placement/pools_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// poolMachine is one of pool 1, with its weights and 10 GB beside them.
+// poolMachine returns a machine of pool 1 that has the pool's weights and space for 10 GB of
+// other images.
 func poolMachine(zone int) Machine {
 	m := machine(zone, Resources{CPU: 16, GPU: 2, Mem: 128})
 	m.Pool, m.PoolSpareGB, m.Images = 1, 10, []ImageAt{{Image: 7}}
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -13,7 +13,7 @@
 // lowest tiers are preempted.
 const tierLossSeconds = 1e6
 
-// mayPreempt says whether the occupant may be preempted for the request.
+// mayPreempt reports whether the occupant may be preempted for the request.
 func mayPreempt(r *Request, o *Occupant) bool {
 	if o.NonPreemptible {
 		return false
@@ -24,7 +24,7 @@
 	return r.WithinGuarantee && o.OverGuarantee && o.Team != r.Team
 }
 
-// preemptedBefore says whether a is preempted before b, of two occupants of a machine.
+// preemptedBefore reports whether a is preempted before b, of two occupants of a machine.
 func preemptedBefore(a, b *Occupant) bool {
 	if a.Tier != b.Tier {
 		return a.Tier > b.Tier
