--- a/yarn/client/application_master.go
+++ b/yarn/client/application_master.go
@@ -12,10 +12,10 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// AnyNode is the resource name of containers that may be on any node.
+// AnyNode is the resource name of containers that may run on any node.
 const AnyNode = "*"
 
-// ContainerRequest is one kind of container.
+// ContainerRequest describes one kind of container: its resources, and where it may run.
 type ContainerRequest struct {
 	Priority      int32
 	ResourceName  string // AnyNode, "/rack" or a node
@@ -27,7 +27,7 @@
 	GPUName       string
 }
 
-// resourceRequest asks for a number of such containers.
+// resourceRequest returns a request for a number of such containers.
 func (r ContainerRequest) resourceRequest(count int) *pb.ResourceRequestProto {
 	capability := &pb.ResourceProto{Memory: proto.Int64(r.MemoryMB), VirtualCores: proto.Int32(r.VCores)}
 	if r.GPUs > 0 {
@@ -46,30 +46,31 @@
 	return out
 }
 
-// matches says whether a container may be one of those that were asked for.
+// matches says whether an allocated container may be of this kind. GPUs and locality are not
+// compared.
 func (r ContainerRequest) matches(c *pb.ContainerProto) bool {
 	return r.Priority == c.GetPriority().GetPriority() &&
 		r.MemoryMB == c.GetResource().GetMemory() && r.VCores == c.GetResource().GetVirtualCores()
 }
 
-// Update is what a heartbeat brought.
+// Update is what has changed by a heartbeat.
 type Update struct {
 	Allocated  []*pb.ContainerProto
 	Completed  []*pb.ContainerStatusProto
 	Preempting []*pb.ContainerIdProto
-	Resynced   bool // the master has registered again; its containers go on running
-	Shutdown   bool // the application is over
+	Resynced   bool // the master has registered again; its containers keep running
+	Shutdown   bool // the application, or this attempt, has ended
 }
 
-// ApplicationMaster runs an application's containers. It remembers the containers that it
-// asks for and those that it has, and carries both over when the service asks it to register
-// again. Its methods may be called at the same time, but for Heartbeat and Run.
+// ApplicationMaster runs an application's containers. It keeps account of the containers that it
+// has requested and of those that it has, also when the service makes it register again. Its
+// methods may be called concurrently, but only one of Register, Heartbeat and Run at a time.
 type ApplicationMaster struct {
 	resourceManager, nodeManager *failoverConn
 
 	mu         sync.Mutex
 	responseID int32
-	pending    map[ContainerRequest]int  // containers that are asked for and not allocated yet
+	pending    map[ContainerRequest]int  // how many containers are requested and not allocated yet
 	unsent     map[ContainerRequest]bool // requests that the next heartbeat has to carry
 	releases   []*pb.ContainerIdProto
 	blacklist  *pb.ResourceBlacklistRequestProto
@@ -77,7 +78,7 @@
 	completed  map[int64]bool
 }
 
-// NewApplicationMaster makes a master that authenticates itself by its token.
+// NewApplicationMaster returns a master that authenticates itself with a token.
 func NewApplicationMaster(cfg Config, token *pb.TokenProto) *ApplicationMaster {
 	return &ApplicationMaster{
 		resourceManager: newFailoverConn(cfg, ProtoMaster, token),
@@ -89,7 +90,7 @@
 	}
 }
 
-// Close ends the master's connections. The application goes on until its timeout.
+// Close closes the master's connections. The application goes on until its master's timeout.
 func (m *ApplicationMaster) Close() {
 	m.resourceManager.close()
 	m.nodeManager.close()
@@ -102,7 +103,7 @@
 }
 
 // startSession registers the master. It also returns the containers that the service lists and
-// the master did not know of: the response that allocated them was lost.
+// of which the master did not know, since the response that allocated them was lost.
 func (m *ApplicationMaster) startSession(ctx context.Context) (*pb.RegisterApplicationMasterResponseProto, []*pb.ContainerProto, error) {
 	var out pb.RegisterApplicationMasterResponseProto
 	in := &pb.RegisterApplicationMasterRequestProto{Host: proto.String(""), RpcPort: proto.Int32(-1)}
@@ -127,7 +128,7 @@
 	return &out, unknown, nil
 }
 
-// addContainer adds an allocated container; it returns false if the master has or had it.
+// addContainer adds an allocated container; it returns false if it was added before.
 func (m *ApplicationMaster) addContainer(c *pb.ContainerProto) bool {
 	id := c.GetId().GetId()
 	if m.containers[id] != nil || m.completed[id] {
@@ -143,14 +144,15 @@
 	return true
 }
 
-// Request sets how many more containers of a kind are asked for.
+// Request sets how many containers of a kind are wanted in addition to those allocated. It
+// replaces an earlier number, and is sent with the next heartbeat.
 func (m *ApplicationMaster) Request(request ContainerRequest, count int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.pending[request], m.unsent[request] = count, true
 }
 
-// Pending returns how many containers are asked for and not allocated yet.
+// Pending returns how many containers are requested and not allocated yet.
 func (m *ApplicationMaster) Pending() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -161,7 +163,7 @@
 	return total
 }
 
-// Release gives a container back with the next heartbeat.
+// Release releases a container with the next heartbeat.
 func (m *ApplicationMaster) Release(id *pb.ContainerIdProto) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -169,7 +171,7 @@
 }
 
 // UpdateBlacklist changes the blacklist with the next heartbeat: no container is allocated on
-// the nodes that are in it.
+// the nodes that are in it. A change that was not sent yet is replaced.
 func (m *ApplicationMaster) UpdateBlacklist(additions, removals []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -187,8 +189,8 @@
 	return out
 }
 
-// Heartbeat sends what has changed and returns what the service answers. If the service does
-// not know the session any more, the master registers again and repeats what it asks for.
+// Heartbeat sends what has changed and returns what is new in the answer. If the service does
+// not know the master's session any more, the master registers again and repeats its requests.
 func (m *ApplicationMaster) Heartbeat(ctx context.Context) (Update, error) {
 	var update Update
 	for {
@@ -212,7 +214,7 @@
 	}
 }
 
-// needsResync says whether a heartbeat was answered that the session is not known.
+// needsResync says whether the answer to a heartbeat is that the session is not known.
 func needsResync(out *pb.AllocateResponseProto, err error) bool {
 	if err != nil {
 		return wire.IsClass(err, wire.ClassNotReg)
@@ -220,8 +222,8 @@
 	return out.AMCommand != nil && out.GetAMCommand() == pb.AMCommandProto_AM_RESYNC
 }
 
-// allocateRequest returns what the next heartbeat sends, which is only what has changed, and
-// the container requests in it.
+// allocateRequest returns the next heartbeat, which has only what has changed, and the container
+// requests in it.
 func (m *ApplicationMaster) allocateRequest() (*pb.AllocateRequestProto, []ContainerRequest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -236,8 +238,8 @@
 	return in, sent
 }
 
-// applyResponse applies the answer to a heartbeat to the master's state, and adds to the
-// update what is new. An answer may repeat what an earlier one said.
+// applyResponse applies the answer to a heartbeat to the master's state, and adds what is new to
+// the update. An answer may repeat parts of earlier ones.
 func (m *ApplicationMaster) applyResponse(out *pb.AllocateResponseProto, in *pb.AllocateRequestProto, sent []ContainerRequest, update *Update) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -278,8 +280,8 @@
 	}
 }
 
-// Start starts containers. It returns the reasons of those that could not be started, by the
-// containers' numbers.
+// Start starts containers. For those that could not be started it returns the reason, by
+// container number.
 func (m *ApplicationMaster) Start(ctx context.Context, launch *pb.ContainerLaunchContextProto, containers ...*pb.ContainerProto) (map[int64]string, error) {
 	in := &pb.StartContainersRequestProto{}
 	for _, c := range containers {
@@ -308,12 +310,12 @@
 	return out.GetStatus(), err
 }
 
-// ErrNotUnregistered says that the service did not end the application.
+// ErrNotUnregistered is returned by Finish if the service did not end the application.
 var ErrNotUnregistered = errors.New("yarn client: not unregistered")
 
-// Finish ends the application with a final status. If the token is refused, the application
-// has ended already: by an earlier attempt whose answer was lost, or for another reason,
-// which is in the application's report.
+// Finish ends the application with a final status. It also returns nil if the token is refused:
+// the application has ended already, by an earlier call whose answer was lost, or for another
+// reason, which is in the application's report.
 func (m *ApplicationMaster) Finish(ctx context.Context, status pb.FinalApplicationStatusProto, diagnostics string) error {
 	in := &pb.FinishApplicationMasterRequestProto{Diagnostics: &diagnostics, FinalApplicationStatus: &status}
 	var out pb.FinishApplicationMasterResponseProto
@@ -330,8 +332,8 @@
 	return nil
 }
 
-// Run sends a heartbeat every interval and calls handle with what it brings, until handle
-// returns false, the application is over, or ctx ends.
+// Run sends a heartbeat every interval and calls handle with its Update, until handle returns
+// false, the application has ended, a heartbeat fails, or ctx ends.
 func (m *ApplicationMaster) Run(ctx context.Context, interval time.Duration, handle func(Update) bool) error {
 	for {
 		update, err := m.Heartbeat(ctx)
--- a/yarn/client/failover.go
+++ b/yarn/client/failover.go
@@ -14,20 +14,20 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// Config says where the service is.
+// Config has the addresses of the service, and how to connect to it.
 type Config struct {
 	Addrs   []string // of the nodes
 	Dial    wire.DialFunc
 	User    string
-	Timeout time.Duration // of one attempt at one node; 0 means 5 s
+	Timeout time.Duration // of one attempt at one node; 0 means defaultTimeout
 }
 
 const defaultTimeout = 5 * time.Second
 
-// ErrNoAddress says that the configuration names no node.
+// ErrNoAddress is the error of a call if the configuration has no address.
 var ErrNoAddress = errors.New("yarn client: no address")
 
-// failoverConn is one protocol's connection to whichever node answers.
+// failoverConn is a connection for one protocol to any node that answers.
 type failoverConn struct {
 	cfg      Config
 	protocol string
@@ -38,7 +38,7 @@
 	conn  *wire.Conn
 }
 
-// newFailoverConn begins at a random node, so that clients spread over all.
+// newFailoverConn starts with a random node, so that clients are spread over all of them.
 func newFailoverConn(cfg Config, protocol string, token *pb.TokenProto) *failoverConn {
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = defaultTimeout
@@ -46,7 +46,8 @@
 	return &failoverConn{cfg: cfg, protocol: protocol, token: token, node: rand.IntN(max(1, len(cfg.Addrs)))}
 }
 
-// connect returns the open connection, or opens one.
+// connect returns the open connection, or opens one. If that fails, the next attempt goes to the
+// next node.
 func (f *failoverConn) connect(ctx context.Context) (*wire.Conn, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -78,7 +79,7 @@
 	}
 }
 
-// setToken sets the token of connections to come.
+// setToken sets the token for future connections.
 func (f *failoverConn) setToken(token *pb.TokenProto) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,13 +94,14 @@
 	}
 }
 
-// isRetriable says whether a call may succeed when it is repeated.
+// isRetriable says whether a call may succeed when it is repeated: unless the server has answered
+// with an exception that is final.
 func isRetriable(err error) bool {
 	var remote *wire.Error
 	return !errors.As(err, &remote) || remote.Class == wire.ClassRetriable || remote.Class == wire.ClassStandby
 }
 
-// call makes a call, and retries it over all nodes until it is answered or ctx ends.
+// call makes a call, and retries it at all nodes in turn until it is answered or ctx ends.
 func (f *failoverConn) call(ctx context.Context, method string, in, out proto.Message) error {
 	for attempt := 0; ; attempt++ {
 		err := f.attempt(ctx, method, in, out)
@@ -116,7 +118,7 @@
 	}
 }
 
-// attempt makes a call at one node.
+// attempt makes a call at the present node.
 func (f *failoverConn) attempt(ctx context.Context, method string, in, out proto.Message) error {
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.Timeout)
 	defer cancel()
@@ -133,7 +135,8 @@
 	return err
 }
 
-// backoff is the jittered pause after an attempt, which grows to 50 to 1650 ms.
+// backoff returns the pause after an attempt: random, from 50 ms to an upper bound that doubles
+// its distance from that with each attempt, from 150 ms up to 1650 ms.
 func backoff(attempt int) time.Duration {
 	return time.Duration(50+rand.IntN(100<<min(attempt, 4))) * time.Millisecond
 }
