--- a/yarn/wire/client.go
+++ b/yarn/wire/client.go
@@ -18,22 +18,21 @@
 // DialFunc opens connections.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// ErrLost says that a connection ended during a call, which may or may not have been
-// executed.
+// ErrLost is the error of a call that was not answered, since the connection or the call's
+// context ended. It may or may not have been executed.
 var ErrLost = errors.New("yarn: connection lost")
 
 const (
-	// dialTimeout bounds the opening of a connection, and each write.
+	// dialTimeout bounds the opening of a connection, authentication included, and each write.
 	dialTimeout = 5 * time.Second
 	// maxResponseBytes is the largest frame that a client reads.
 	maxResponseBytes = 64 << 20
 	clientIDBytes    = 16
-	// protocolVersion is that of all of YARN's protocols.
+	// protocolVersion is the version of each of YARN's protocols.
 	protocolVersion = 1
 )
 
-// Conn is a client's connection, for calls of one protocol. Calls may be made at the same
-// time.
+// Conn is a client's connection, for calls of one protocol. It is safe for concurrent use.
 type Conn struct {
 	conn     net.Conn
 	protocol string
@@ -47,13 +46,14 @@
 	err        error
 }
 
-// response is the outcome of a call: an error, or what follows the response's header.
+// response is the outcome of a call: an error, or the part of the frame after the response's
+// header.
 type response struct {
 	rest *bytes.Reader
 	err  error
 }
 
-// Dial opens a connection. With a token, client and server authenticate each other by it.
+// Dial opens a connection. With a token, client and server authenticate each other with it.
 func Dial(ctx context.Context, dial DialFunc, addr, protocol, user string, token *pb.TokenProto) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -76,7 +76,8 @@
 	return c, nil
 }
 
-// open sends what a connection begins with: magic and version, SASL, connection context.
+// open performs the opening of a connection: magic and version, SASL if there is a token, and
+// the connection context.
 func (c *Conn) open(user string, token *pb.TokenProto) error {
 	auth := byte(authNone)
 	if token != nil {
@@ -142,7 +143,7 @@
 	return fmt.Errorf("%w: the server takes no tokens", ErrAuth)
 }
 
-// exchangeSASL sends a SASL message and reads the answer.
+// exchangeSASL sends a SASL message and reads the answer. An *Error is the server's.
 func (c *Conn) exchangeSASL(message *pb.RpcSaslProto) (*pb.RpcSaslProto, error) {
 	if err := c.write(callSasl, message); err != nil {
 		return nil, err
@@ -159,8 +160,8 @@
 	return &out, readMessage(rest, &out)
 }
 
-// readResponseHeader reads a response's header. An error that the header carries is
-// returned along with the header; of one that can't be read there is no header.
+// readResponseHeader reads a response's header. If the header carries an exception, that is
+// returned as an *Error along with the header. If it can't be read, the header is nil.
 func readResponseHeader(rest *bytes.Reader) (*pb.RpcResponseHeaderProto, error) {
 	var header pb.RpcResponseHeaderProto
 	if err := readMessage(rest, &header); err != nil {
@@ -172,7 +173,7 @@
 	return &header, nil
 }
 
-// readResponses hands responses to the calls that wait for them, until the connection ends.
+// readResponses passes responses to the calls that wait for them, until the connection ends.
 func (c *Conn) readResponses() {
 	for {
 		frame, err := ReadFrame(c.conn, maxResponseBytes)
@@ -219,7 +220,7 @@
 	}
 }
 
-// addPending makes up the id of a new call, whose response will be sent to the channel.
+// addPending assigns an id to a new call, whose response will be sent to the channel.
 func (c *Conn) addPending(waiting chan<- response) (callID int32, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -231,10 +232,10 @@
 	return c.lastCallID, nil
 }
 
-// Call makes a call. An *Error is the server's answer; ErrLost leaves open whether the call
-// was executed.
+// Call makes a call. An *Error is the server's answer; after ErrLost it is not known whether the
+// call was executed.
 func (c *Conn) Call(ctx context.Context, method string, in, out proto.Message) error {
-	waiting := make(chan response, 1) // so that a late response blocks nobody
+	waiting := make(chan response, 1) // buffered, so that a late response does not block readResponses
 	id, err := c.addPending(waiting)
 	if err != nil {
 		return err
@@ -260,12 +261,12 @@
 	}
 }
 
-// Err says why the connection has ended; nil while it is open.
+// Err returns why the connection has ended; nil while it is open.
 func (c *Conn) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// Close ends the connection.
+// Close closes the connection; calls that wait for their answers fail.
 func (c *Conn) Close() { c.fail(net.ErrClosed) }
--- a/yarn/wire/errors.go
+++ b/yarn/wire/errors.go
@@ -5,11 +5,11 @@
 	"fmt"
 )
 
-// ExceptionClass is the name of a Java exception class, by which Hadoop RPC tells errors
-// apart.
+// ExceptionClass is the name of a Java exception class, by which clients of Hadoop RPC
+// distinguish errors.
 type ExceptionClass string
 
-// Exception classes that clients know, as published.
+// Exception classes of Hadoop and YARN.
 const (
 	ClassRuntime      ExceptionClass = "java.lang.RuntimeException"
 	ClassUnsupported  ExceptionClass = "java.lang.UnsupportedOperationException"
@@ -31,7 +31,7 @@
 	ClassNoContainer  ExceptionClass = "org.apache.hadoop.yarn.exceptions.ContainerNotFoundException"
 )
 
-// Error is a remote exception: what a server answers in place of a response.
+// Error is a remote exception: what a server answers if a call fails.
 type Error struct {
 	Class ExceptionClass
 	Text  string
@@ -39,13 +39,13 @@
 
 func (e *Error) Error() string { return string(e.Class) + ": " + e.Text }
 
-// Errorf makes an Error.
+// Errorf returns an *Error with a formatted text.
 func Errorf(class ExceptionClass, format string, args ...any) error {
 	return &Error{Class: class, Text: fmt.Sprintf(format, args...)}
 }
 
-// AsError returns the Error in err's chain. Any other error becomes one by which the client
-// tries again.
+// AsError returns the Error in err's chain. If there is none, it returns one with err's text that
+// makes the client retry.
 func AsError(err error) *Error {
 	var remote *Error
 	if errors.As(err, &remote) {
@@ -54,7 +54,7 @@
 	return &Error{Class: ClassRetriable, Text: err.Error()}
 }
 
-// IsClass says whether an error is of a class.
+// IsClass says whether there is an Error of a class in err's chain.
 func IsClass(err error, class ExceptionClass) bool {
 	var remote *Error
 	return errors.As(err, &remote) && remote.Class == class
--- a/yarn/wire/frame.go
+++ b/yarn/wire/frame.go
@@ -17,11 +17,11 @@
 const (
 	// Version of Hadoop RPC.
 	Version = 9
-	// MaxFrame is the largest frame that a server reads, in bytes.
+	// MaxFrame is the largest frame that a server reads by default, in bytes.
 	MaxFrame = 4 << 20
 )
 
-// The opening of a connection: magic, then one byte each for version, service class and
+// The first bytes of a connection: magic, then one byte each for version, service class and
 // authentication.
 const (
 	openingBytes = 7
@@ -30,30 +30,30 @@
 
 	serviceClass = 0
 	authNone     = 0
-	authSasl     = 0xdf // -33
+	authSasl     = 0xdf // -33 as a signed byte
 )
 
 var magic = []byte("hrpc")
 
-// Call ids of frames that are no calls.
+// Call ids of frames that are not calls.
 const (
 	callContext = -3
 	callPing    = -4
 	callSasl    = -33
 )
 
-// ErrFrame says that input is not a valid frame of Hadoop RPC.
+// ErrFrame is the error for input that is not valid Hadoop RPC.
 var ErrFrame = errors.New("yarn: malformed frame")
 
 // lengthBytes is the size of the length that precedes a frame.
 const lengthBytes = 4
 
-// frameStep is how much memory is allocated for a frame at a time, in bytes: a client that
-// announces a long frame and does not send it takes no more than this.
+// frameStep is how much of a frame is read at a time, in bytes: if a client announces a long frame
+// and does not send it, little more memory is allocated than for what has arrived.
 const frameStep = 16 << 10
 
-// ReadFrame reads one frame: its length, and that many bytes. A frame of more than maxBytes
-// is an ErrFrame.
+// ReadFrame reads one frame: its length, and that many bytes. It fails with ErrFrame if the
+// length is less than 1 or more than maxBytes.
 func ReadFrame(r io.Reader, maxBytes int) ([]byte, error) {
 	var head [lengthBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -78,7 +78,7 @@
 	return buf.Bytes(), nil
 }
 
-// Frame makes a frame of messages, each preceded by its length.
+// Frame returns a frame with messages, each preceded by its length.
 func Frame(messages ...proto.Message) ([]byte, error) {
 	out := make([]byte, lengthBytes, 256)
 	for _, message := range messages {
@@ -92,7 +92,7 @@
 	return out, nil
 }
 
-// readMessage reads the next message of a frame. Unknown fields are kept, and no error.
+// readMessage reads the next message of a frame. Unknown fields are kept, and are not an error.
 func readMessage(rest *bytes.Reader, message proto.Message) error {
 	if err := (protodelim.UnmarshalOptions{MaxSize: int64(rest.Len())}).UnmarshalFrom(rest, message); err != nil {
 		// io.EOF is not wrapped: the message is malformed, which is not the end of the connection.
@@ -104,11 +104,12 @@
 // Request is a received request.
 type Request struct {
 	Header *pb.RpcRequestHeaderProto
-	Method *pb.RequestHeaderProto // nil unless it is a call
+	Method *pb.RequestHeaderProto // nil if the request is not a call
 	rest   *bytes.Reader
 }
 
-// ParseRequest parses a request's frame as far as its method.
+// ParseRequest parses a request's frame up to its method; Body reads the rest. If only the method
+// is invalid, the request is returned with the error, for its call id.
 func ParseRequest(frame []byte) (*Request, error) {
 	r := &Request{Header: &pb.RpcRequestHeaderProto{}, rest: bytes.NewReader(frame)}
 	if err := readMessage(r.rest, r.Header); err != nil {
@@ -124,5 +125,5 @@
 	return r, readMessage(r.rest, r.Method)
 }
 
-// Body reads the request's parameters, or the message of a request that is no call.
+// Body reads the parameters of a call, or the message of a request that is not a call.
 func (r *Request) Body(message proto.Message) error { return readMessage(r.rest, message) }
--- a/yarn/wire/sasl.go
+++ b/yarn/wire/sasl.go
@@ -11,9 +11,9 @@
 	"strings"
 )
 
-// SASL's DIGEST-MD5 (RFC 2831) in the one form that Hadoop's tokens use: username and
-// password are the token's identifier and password in base64, the realm is "default", and
-// the quality of protection is authentication only.
+// SASL's DIGEST-MD5 (RFC 2831) in the only form that Hadoop's tokens use: username and password
+// are the token's identifier and password in base64, the realm is "default", and the quality
+// of protection is authentication only.
 const (
 	saslMethodToken  = "TOKEN"
 	saslMethodSimple = "SIMPLE"
@@ -23,16 +23,16 @@
 	saslNonceCount   = "00000001" // a nonce is used once
 )
 
-// What the digest of a client's response begins with; that of the server's is empty.
+// Methods in the digests of the client's response and of the server's proof.
 const (
 	clientDigestMethod = "AUTHENTICATE"
 	serverDigestMethod = ""
 )
 
-// ErrAuth says that a token was not accepted.
+// ErrAuth is the error of an authentication that has failed.
 var ErrAuth = errors.New("yarn: not authenticated")
 
-// newNonce returns a random nonce. Server and client each contribute one.
+// newNonce returns a random nonce. Server and client make one each (nonce and cnonce).
 func newNonce() (string, error) {
 	b := make([]byte, 24)
 	if _, err := rand.Read(b); err != nil {
@@ -46,14 +46,14 @@
 	return []byte(fmt.Sprintf(`realm="%s",nonce="%s",qop="auth",charset=utf-8,algorithm=md5-sess`, saslRealm, nonce))
 }
 
-// digest is what a response value is computed from, by the names of RFC 2831.
+// digest has the inputs of a response value, named as in RFC 2831.
 type digest struct {
 	username, realm, password string
 	nonce, cnonce, nonceCount string
 	uri                       string
 }
 
-// response computes a response value: whoever made it knows the password.
+// response computes the response value, which proves knowledge of the password.
 func (d *digest) response(method string) string {
 	a1 := string(md5Sum(d.username+":"+d.realm+":"+d.password)) + ":" + d.nonce + ":" + d.cnonce
 	a2 := method + ":" + d.uri
@@ -67,13 +67,13 @@
 
 func hexMD5(s string) string { return hex.EncodeToString(md5Sum(s)) }
 
-// serverProof is the message by which the server proves in turn that it knows the password.
+// serverProof returns the message with which the server proves that it knows the password too.
 func (d *digest) serverProof() string { return "rspauth=" + d.response(serverDigestMethod) }
 
-// errMalformedDirectives is what input is answered that is no list of key=value pairs.
+// errMalformedDirectives is the error for input that is not a list of key=value pairs.
 var errMalformedDirectives = fmt.Errorf("%w: malformed directives", ErrAuth)
 
-// parseDirectives parses key=value pairs, quoted or not. No key may occur twice.
+// parseDirectives parses key=value pairs, with quoted or plain values. No key may occur twice.
 func parseDirectives(b []byte) (map[string]string, error) {
 	out := map[string]string{}
 	s := string(b)
@@ -117,8 +117,8 @@
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
 }
 
-// respond returns a client's digest-response to a challenge, and the proof that the server
-// has to answer it with.
+// respond returns a client's digest-response to a challenge, and the proof that it must expect in
+// the server's answer.
 func respond(challenge, identifier, password []byte) (response []byte, expected string, err error) {
 	directives, err := parseDirectives(challenge)
 	if err != nil {
@@ -145,12 +145,13 @@
 	return []byte(out), d.serverProof(), nil
 }
 
-// passwordOf finds the password of a token. An *Error says why the token is not valid; any
-// other error says that this can't be found out now.
+// passwordOf returns the password of a token. An *Error means that the token is not valid; with
+// any other error it is not known whether it is.
 type passwordOf func(identifier []byte) ([]byte, error)
 
 // verify checks a client's digest-response to the challenge with the given nonce. It returns
-// the token's identifier and the server's own proof.
+// the token's identifier and the server's proof. It fails with ErrAuth unless the password
+// could not be looked up.
 func verify(response []byte, nonce string, password passwordOf) (identifier, proof []byte, err error) {
 	directives, err := parseDirectives(response)
 	if err != nil {
@@ -167,7 +168,7 @@
 	if err != nil {
 		var invalid *Error
 		if !errors.As(err, &invalid) {
-			return nil, nil, err // says nothing about the token
+			return nil, nil, err // whether the token is valid is not known
 		}
 		return nil, nil, fmt.Errorf("%w: %v", ErrAuth, err) //nolint:errorlint // ErrAuth is what is answered, not the class of the cause
 	}
@@ -186,7 +187,7 @@
 	return identifier, []byte(d.serverProof()), nil
 }
 
-// answersChallenge says whether a response is to the challenge with this nonce.
+// answersChallenge says whether a response belongs to the challenge with this nonce.
 func answersChallenge(directives map[string]string, nonce string) bool {
 	return directives["nonce"] == nonce && directives["realm"] == saslRealm && directives["qop"] == "auth" &&
 		directives["nc"] == saslNonceCount && directives["digest-uri"] == saslURI && directives["cnonce"] != ""
--- a/yarn/wire/server.go
+++ b/yarn/wire/server.go
@@ -13,20 +13,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Caller is whom a connection belongs to.
+// Caller is the client of a connection.
 type Caller struct {
 	User       string
 	Protocol   string
-	Identifier []byte // of the token by which it has authenticated itself; nil without
+	Identifier []byte // of the token with which it has authenticated itself; nil if it has not
 }
 
-// Method serves one kind of call.
+// Method is a method of a protocol, made by Handle.
 type Method struct {
 	newRequest func() proto.Message
 	call       func(ctx context.Context, c *Caller, in proto.Message) (proto.Message, error)
 }
 
-// Handle makes a method of a function.
+// Handle returns a Method that a typed function serves.
 func Handle[In, Out any, PI interface {
 	*In
 	proto.Message
@@ -49,30 +49,31 @@
 // Protocol is a set of methods by name.
 type Protocol struct {
 	Methods   map[string]Method
-	NeedToken bool // only a caller that has authenticated itself by a token is served
+	NeedToken bool // only callers that have authenticated themselves with a token are served
 }
 
-// Server serves Hadoop RPC. A client can take no more than a bounded buffer, a bounded
-// number of calls and a limited time, so that none can harm the others.
+// Server serves Hadoop RPC. Each client's memory, number of calls and time are limited, so that
+// no client can impair the others.
 type Server struct {
 	Protocols map[string]Protocol
-	// Password finds the password of a token; an *Error says why the token is not
-	// valid, any other that this can't be found out now. It is called for each connection.
+	// Password returns the password of a token. An *Error means that the token is not valid;
+	// with any other error it is not known whether it is, and the client retries. It is
+	// called once for each connection that uses a token.
 	Password        func(ctx context.Context, identifier []byte) ([]byte, error)
 	Allow           func(net.Addr) bool // which addresses may connect; nil: all
 	Log             *slog.Logger
 	MaxConns        int
-	MaxCallsPerConn int           // of one connection at once
-	MaxCalls        int           // of all connections at once; beyond it calls are refused, to be tried again
+	MaxCallsPerConn int           // of one connection at once; further frames are not read until one has ended
+	MaxCalls        int           // of all connections at once; further ones are refused with ClassRetriable
 	CallTimeout     time.Duration // of one call
-	FrameTimeout    time.Duration // for a frame to be complete, and for the opening of a connection
+	FrameTimeout    time.Duration // for one frame to be received or sent, and for the first bytes of a connection
 	IdleTimeout     time.Duration // without a frame; clients ping once a minute
 	MaxFrameBytes   int           // 0 means MaxFrame
 
 	callSlots chan struct{}
 }
 
-// What a Server's fields are where they are not set.
+// Defaults of a Server's fields.
 const (
 	defaultMaxConns        = 256
 	defaultMaxCallsPerConn = 16
@@ -82,7 +83,7 @@
 	defaultIdleTimeout     = 3 * time.Minute
 )
 
-// setDefault sets what is not set yet.
+// setDefault sets a field that is not set.
 func setDefault[N int | time.Duration](n *N, value N) {
 	if *n <= 0 {
 		*n = value
@@ -100,10 +101,11 @@
 	s.callSlots = make(chan struct{}, s.MaxCalls)
 }
 
-// acceptRetryDelay is the pause after a connection that could not be accepted.
+// acceptRetryDelay is the pause after accepting a connection has failed.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// Serve serves until ctx ends.
+// Serve accepts and serves connections until ctx ends, and waits for those that are open. It
+// returns an error if the listener was closed otherwise.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	s.setDefaults()
 	stop := context.AfterFunc(ctx, func() { l.Close() })
@@ -141,7 +143,7 @@
 	}
 }
 
-// serveAndClose serves one connection until it ends, or ctx does.
+// serveAndClose serves one connection until it or ctx ends.
 func (s *Server) serveAndClose(ctx context.Context, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
--- a/yarn/wire/server_conn.go
+++ b/yarn/wire/server_conn.go
@@ -16,10 +16,10 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// noCallID is the call id of an answer that belongs to no call.
+// noCallID is the call id of an answer to no particular call.
 const noCallID = -1
 
-// readBufferBytes is how much is read from a connection at once.
+// readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 8 << 10
 
 // serverConn is the server's side of one connection.
@@ -29,11 +29,11 @@
 	reader *bufio.Reader
 	caller Caller
 
-	writeMu sync.Mutex // answers of calls that run at the same time go out one by one
+	writeMu sync.Mutex // answers to concurrent calls are written one at a time
 }
 
-// serveConn reads the opening of a connection, authenticates its caller where it asks for
-// that, and serves its calls.
+// serveConn reads the first bytes of a connection, authenticates the caller if these ask for it,
+// and serves its calls.
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -62,8 +62,8 @@
 	return c.serveCalls(ctx)
 }
 
-// readFrame reads a frame. It may be idle for long before the frame begins, but not within
-// the frame.
+// readFrame reads a frame, which has to begin within idle, and to be complete within FrameTimeout
+// from then.
 func (c *serverConn) readFrame(idle time.Duration) ([]byte, error) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(idle))
 	if _, err := c.reader.Peek(1); err != nil {
@@ -86,12 +86,12 @@
 	return err
 }
 
-// sendFatal answers with an error after which the connection ends.
+// sendFatal sends an error after which the caller has to close the connection.
 func (c *serverConn) sendFatal(callID int32, code pb.RpcResponseHeaderProto_RpcErrorCodeProto, err error) error {
 	return c.send(errorHeader(callID, pb.RpcResponseHeaderProto_FATAL, code, err))
 }
 
-// errorHeader is the header of an answer that is an error.
+// errorHeader returns the header of an answer with an error.
 func errorHeader(callID int32, status pb.RpcResponseHeaderProto_RpcStatusProto, code pb.RpcResponseHeaderProto_RpcErrorCodeProto, err error) *pb.RpcResponseHeaderProto {
 	e := AsError(err)
 	return &pb.RpcResponseHeaderProto{
@@ -104,8 +104,8 @@
 	}
 }
 
-// serveCalls reads requests until the connection ends, and serves calls at the same time up
-// to the limit; beyond it, the client's frames wait in its connection.
+// serveCalls reads requests until the connection ends, and serves calls concurrently, up to
+// MaxCallsPerConn. If there are more, it stops reading until one has ended.
 func (c *serverConn) serveCalls(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -146,7 +146,8 @@
 	}
 }
 
-// readRequest reads a request; one that is malformed is answered, and ends the connection.
+// readRequest reads a request. A malformed one is answered with a fatal error, and ends the
+// connection.
 func (c *serverConn) readRequest() (*Request, error) {
 	frame, err := c.readFrame(c.server.IdleTimeout)
 	if err != nil {
@@ -163,7 +164,7 @@
 	return req, nil
 }
 
-// readContext learns from the connection context who calls, and which protocol.
+// readContext reads the caller's user and protocol from the connection context.
 func (c *serverConn) readContext(req *Request) error {
 	var m pb.IpcConnectionContextProto
 	if err := req.Body(&m); err != nil {
@@ -173,7 +174,7 @@
 	return nil
 }
 
-// serveCall serves one call and answers it.
+// serveCall executes one call and sends the answer. It fails only if that can't be sent.
 func (c *serverConn) serveCall(ctx context.Context, req *Request) error {
 	out, failure := c.execute(ctx, req)
 	if failure != nil {
@@ -188,7 +189,7 @@
 	}, out)
 }
 
-// callFailure is why a call was not served, with the code by which the protocol names it.
+// callFailure is the error of a call, with the error code of Hadoop RPC for it.
 type callFailure struct {
 	code pb.RpcResponseHeaderProto_RpcErrorCodeProto
 	err  error
--- a/yarn/wire/server_sasl.go
+++ b/yarn/wire/server_sasl.go
@@ -10,14 +10,14 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// maxSASLMessages bounds what a client may send until it is authenticated.
+// maxSASLMessages bounds the messages that a client may send until it is authenticated.
 const maxSASLMessages = 4
 
-// saslCallID is callSasl as answers carry it, without a sign.
+// saslCallID is callSasl as an unsigned number, as answers have it.
 const saslCallID = uint32(0xffffffff + callSasl + 1)
 
-// authenticate negotiates by SASL with which authentication the caller goes on, a token or
-// none, and verifies the token.
+// authenticate performs the SASL negotiation: the caller chooses to authenticate itself with a
+// token, which is verified, or not at all (SIMPLE).
 func (c *serverConn) authenticate(ctx context.Context) error {
 	nonce, err := newNonce()
 	if err != nil {
@@ -45,7 +45,7 @@
 	return ErrAuth
 }
 
-// negotiation offers tokens, with the challenge, and simple authentication.
+// negotiation returns the offer of authentication methods: token, with its challenge, and simple.
 func negotiation(nonce string) *pb.RpcSaslProto {
 	return &pb.RpcSaslProto{State: pb.RpcSaslProto_NEGOTIATE.Enum(), Auths: []*pb.RpcSaslProto_SaslAuth{
 		{
@@ -68,8 +68,8 @@
 		return errors.Join(err, c.sendFatal(callSasl, pb.RpcResponseHeaderProto_FATAL_UNAUTHORIZED, Errorf(ClassInvalidToken, "%s", err)))
 	}
 	if err != nil {
-		// An application master whose token is called invalid gives up for good, so an
-		// overloaded key-value store must not lead to that answer.
+		// An application master gives up for good if its token is called invalid, so that must not
+		// be the answer if the password could not be looked up, such as by overload.
 		return errors.Join(err, c.sendFatal(callSasl, pb.RpcResponseHeaderProto_FATAL_UNKNOWN, Errorf(ClassRetriable, "%s", err)))
 	}
 	c.caller.Identifier = identifier
--- a/yarn/wire/wire_test.go
+++ b/yarn/wire/wire_test.go
@@ -22,8 +22,8 @@
 
 const testProtocol = "org.example.Test"
 
-// startServer starts a server for the time of the test. Its method waits for as many
-// seconds as the application's id says.
+// startServer starts a server for the duration of the test. Its method waits for the number of
+// seconds that is given as the application's id.
 func startServer(t *testing.T, change func(s *Server)) *memnet.Listener {
 	t.Helper()
 	echo := Handle(func(ctx context.Context, c *Caller, in *pb.KillApplicationRequestProto) (*pb.KillApplicationResponseProto, error) {
@@ -127,8 +127,8 @@
 				t.Errorf("%s: let in", name)
 			}
 		}
-		// An application master whose token is called invalid gives up for good, so an
-		// error of the lookup must not lead to that answer.
+		// An application master gives up for good if its token is called invalid, so that must not
+		// be the answer if the password could not be looked up.
 		if _, err := Dial(t.Context(), p.Dial, "", "closed", "ann", token("busy", "pw of busy")); !IsClass(err, ClassRetriable) {
 			t.Errorf("while the token can't be checked: %v", err)
 		}
