--- a/yarn/allocation.go
+++ b/yarn/allocation.go
@@ -11,9 +11,9 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// allocateResponse returns what has not been reported to the master yet. It counts as reported
-// only once the response is complete: containers of a response that could not be completed
-// would never be reported otherwise.
+// allocateResponse returns the containers that have been allocated or completed and were not
+// reported to the master yet. They count as reported only once the response is complete:
+// otherwise, after an error on the way, they would never be reported.
 func (f *Frontend) allocateResponse(ctx context.Context, snap *snapshot, s *session) (*pb.AllocateResponseProto, error) {
 	k, err := f.cachedKeyring(ctx)
 	if err != nil {
@@ -46,7 +46,7 @@
 	app      *application
 	keyring  *keyring
 	reported reportedContainers // as it is once the response is complete
-	nodes    map[string]bool    // on which containers are allocated
+	nodes    map[string]bool    // on which newly reported containers are allocated
 	out      *pb.AllocateResponseProto
 }
 
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// addCompleted adds the tasks of a job that have ended. What was given back before it was ever
-// allocated is no container.
+// addCompleted adds the tasks of a job that have ended. A task that was released before it was
+// reported as allocated is left out, since it never was a container for the master.
 func (a *allocation) addCompleted(j *jobstore.ReservedJob) {
 	for _, task := range slices.Sorted(maps.Keys(j.Outcomes)) {
 		number, outcome := containerNumber(jobSeq(j.ID), task), j.Outcomes[task]
@@ -111,8 +111,8 @@
 	}
 }
 
-// addFinished adds the containers of jobs that were open and are not among the unfinished
-// ones any more.
+// addFinished adds the completed containers of jobs that were open at the last heartbeat and are
+// finished now.
 func (a *allocation) addFinished(ctx context.Context, unfinished []jobstore.ReservedJob) error {
 	isUnfinished := map[string]bool{}
 	for i := range unfinished {
@@ -135,11 +135,12 @@
 }
 
 // masterTokenEvery is the number of heartbeats after which a master gets a new token. It must be
-// so small that the master has one of a newer key long before the key of its own is dropped.
+// small enough for the master to have a token signed by a newer key long before the key of its
+// present one is dropped.
 const masterTokenEvery = 64
 
-// addTokens adds the tokens for the nodes of new containers and, once in a while, the master's
-// own.
+// addTokens adds the tokens for the nodes of new containers and, every masterTokenEvery
+// heartbeats, a new token of the master.
 func (a *allocation) addTokens(responseID int32) (err error) {
 	if a.out.NmTokens, err = a.frontend.nodeTokens(a.app, a.keyring, a.nodes); err != nil {
 		return err
--- a/yarn/application.go
+++ b/yarn/application.go
@@ -6,7 +6,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// applicationState is an application's state, as its record has it.
+// applicationState is an application's state, as stored in its record.
 type applicationState string
 
 const (
@@ -17,7 +17,7 @@
 	stateKilled   applicationState = "killed"
 )
 
-// published returns the state as clients know it.
+// published returns the state in YARN's API.
 func (s applicationState) published() pb.YarnApplicationStateProto {
 	switch s {
 	case stateAccepted:
@@ -31,11 +31,11 @@
 	case stateKilled:
 		return pb.YarnApplicationStateProto_KILLED
 	}
-	return 0 // of a record that a later version has written
+	return 0 // unknown: the record was written by a later version
 }
 
-// application is an application's record. Once EndState is set its jobs are cancelled, and
-// then it moves to the final records.
+// application is an application's record. Once EndState is set, its jobs are cancelled, and
+// then the record moves from jobstore.AppPrefix to finalPrefix.
 type application struct {
 	ID               int32            `msgpack:"n"`
 	ClusterTimestamp int64            `msgpack:"ts"`
@@ -52,7 +52,7 @@
 	Diagnostics      string           `msgpack:"diag,omitempty"`
 	Attempt          int32            `msgpack:"a"`
 	MaxAttempts      int32            `msgpack:"max"`
-	Host             string           `msgpack:"h,omitempty"` // host, port and URL are its master's
+	Host             string           `msgpack:"h,omitempty"` // host, port and URL as registered by its master
 	RPCPort          int32            `msgpack:"port,omitempty"`
 	TrackingURL      string           `msgpack:"url,omitempty"`
 	StartedMs        int64            `msgpack:"ms"`
@@ -60,8 +60,8 @@
 	NextJobSeq       int              `msgpack:"s"`
 	MasterJob        string           `msgpack:"am,omitempty"`    // of the current attempt, if it is managed
 	MasterContextKey string           `msgpack:"ctx,omitempty"`   // of the master's launch context
-	MasterRequest    containerRequest `msgpack:"amask,omitempty"` // what the master needs
-	Heartbeats       int              `msgpack:"b"`               // how many were recorded
+	MasterRequest    containerRequest `msgpack:"amask,omitempty"` // resources of the master's container
+	Heartbeats       int              `msgpack:"b"`               // how many were recorded; the change shows that the master is alive
 }
 
 func (a *application) name() string { return applicationName(a.ClusterTimestamp, a.ID) }
@@ -84,7 +84,7 @@
 	return token{kind: kind, clusterTimestamp: a.ClusterTimestamp, application: a.ID, attempt: a.Attempt}
 }
 
-// publishedState returns the state as clients know it: an application that is ending is over.
+// publishedState returns the state in YARN's API: an application with an EndState counts as ended.
 func (a *application) publishedState() pb.YarnApplicationStateProto {
 	if a.EndState != "" {
 		return a.EndState.published()
--- a/yarn/application_store.go
+++ b/yarn/application_store.go
@@ -12,24 +12,25 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// Prefixes of keys. Unfinished applications have jobstore.AppPrefix.
+// Prefixes of keys. Records of unfinished applications have jobstore.AppPrefix.
 const (
 	finalPrefix   = "yf/" // records of applications that are over
 	contextPrefix = "yx/" // launch contexts
 )
 
-// snapshot is an application's record with its unfinished jobs, as of one moment.
+// snapshot is an application's record with its unfinished jobs, read at the same time.
 type snapshot struct {
 	app    *application
 	record jobstore.AppRecord
 	jobs   []jobstore.ReservedJob
-	final  bool // the record is among the final ones, and there are no jobs
+	final  bool // the record has finalPrefix, and there are no unfinished jobs
 }
 
 // ended says whether the application is over, or has been marked as ending.
 func (s *snapshot) ended() bool { return s.final || s.app.EndState != "" }
 
-// readApplication reads an application and its jobs, as of a moment after the call.
+// readApplication reads an application and its unfinished jobs. What was committed before the
+// call is seen.
 func (f *Frontend) readApplication(ctx context.Context, id *pb.ApplicationIdProto) (*snapshot, error) {
 	name := nameOf(id)
 	record, jobs, err := f.jobs.OwnedJobs(ctx, applicationKey(name))
@@ -43,7 +44,7 @@
 		}
 		return &snapshot{app: &app, record: record, jobs: jobs}, nil
 	}
-	// A record moves to the final ones in one transaction, and never back.
+	// A record moves to finalPrefix in one transaction and never back, so it can't be missed.
 	final, err := f.store.Get(ctx, finalPrefix+name)
 	if err != nil {
 		return nil, err
@@ -68,8 +69,8 @@
 	return err
 }
 
-// endApplication marks an application as ending, and then ends it as far as can be done now;
-// the leader does the rest. It returns once the mark is committed.
+// endApplication commits an application's EndState, and then tries to finalize it. If that
+// fails, the leader does it later, and the call succeeds nevertheless.
 func (f *Frontend) endApplication(ctx context.Context, id *pb.ApplicationIdProto, state applicationState, change func(a *application)) error {
 	var s *snapshot
 	err := retry(ctx, func() error {
@@ -90,8 +91,8 @@
 	return nil
 }
 
-// finalize cancels the jobs of an ending application and makes its record final. It may be
-// repeated, by any controller.
+// finalize cancels the jobs of an application whose EndState is set, and moves its record to
+// finalPrefix. Any controller may call it, and repeat it.
 func (f *Frontend) finalize(ctx context.Context, id *pb.ApplicationIdProto) error {
 	s, err := f.readApplication(ctx, id)
 	if err != nil || s.final || s.app.EndState == "" {
@@ -100,8 +101,8 @@
 	if err := f.cancelJobs(ctx, s.jobs); err != nil {
 		return err
 	}
-	// No job is missed: one that was reserved at the same time was reserved under the
-	// record's version before the mark, so it was among those that were read.
+	// No job is missed: a job is reserved only if the record's version has not changed since
+	// it was read, so all were reserved before EndState was set, and were read here.
 	app := s.app
 	app.State = app.EndState
 	_, err = f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: s.record.Key, Version: s.record.Version}},
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// deleteContexts removes the launch contexts of an application that is over.
+// deleteContexts deletes the launch contexts of an application that has ended.
 func (f *Frontend) deleteContexts(ctx context.Context, a *application) error {
 	entries, _, err := f.store.List(ctx, contextPrefix+a.name()+"/")
 	if err != nil {
@@ -151,7 +152,7 @@
 // checkpointNever is more seconds than any container runs.
 const checkpointNever = 1e6
 
-// nativeJob returns the native job of a number of containers of one kind.
+// nativeJob returns the native job whose tasks are a number of containers of one kind.
 func (f *Frontend) nativeJob(a *application, r *containerRequest, tasks int) (nwire.Job, error) {
 	queue, ok := f.settings.queue(a.Queue)
 	if !ok {
@@ -182,14 +183,14 @@
 		j.Class = defaultJobClass
 	}
 	if f.settings.PreemptGraceS > 0 {
-		// The time to save a checkpoint becomes the grace between the preemption message
-		// and the end; nothing is saved, since each container runs once.
+		// A task that is stopped is given time to save a checkpoint. Containers have none, since
+		// each runs once: the time serves as the grace period after the preemption message.
 		j.CheckpointS, j.SaveS = checkpointNever, f.settings.PreemptGraceS
 	}
 	return j, nil
 }
 
-// feasibleJob returns the native job of a request, or why it can never run.
+// feasibleJob returns the native job of a request, or an error if it can never run.
 func (f *Frontend) feasibleJob(a *application, r *containerRequest, tasks int) (nwire.Job, error) {
 	j, err := f.nativeJob(a, r, tasks)
 	if err != nil {
@@ -201,7 +202,7 @@
 	return j, nil
 }
 
-// refusal converts the refusal of a native job to the protocol's, with the same text.
+// refusal converts the refusal of a native job to one of YARN's API, with the same text.
 func refusal(status int, err error) error {
 	if status == http.StatusServiceUnavailable {
 		return wire.Errorf(wire.ClassRetriable, "%v", err)
@@ -209,8 +210,8 @@
 	return wire.Errorf(wire.ClassBadRequest, "%v", err)
 }
 
-// reserve commits one more job of an application, together with the application's record that
-// counts it. It returns the job's id.
+// reserve commits a new job of an application, in one transaction with the application's record,
+// whose NextJobSeq counts it. It returns the job's id.
 func (f *Frontend) reserve(ctx context.Context, s *snapshot, r *containerRequest, tasks int, reservation jobstore.Reservation) (string, error) {
 	j, err := f.feasibleJob(s.app, r, tasks)
 	if err != nil {
--- a/yarn/client_protocol.go
+++ b/yarn/client_protocol.go
@@ -24,8 +24,8 @@
 	}, nil
 }
 
-// submitApplication accepts an application: once it is answered, the application is
-// committed. A repeated submission of the same id gets the same answer.
+// submitApplication accepts an application, which is committed before the answer. A repeated
+// submission with the same id gets the same answer, and changes nothing.
 func (f *Frontend) submitApplication(ctx context.Context, c *wire.Caller, in *pb.SubmitApplicationRequestProto) (*pb.SubmitApplicationResponseProto, error) {
 	submission := in.GetApplicationSubmissionContext()
 	id := submission.GetApplicationId()
@@ -51,8 +51,8 @@
 	return &pb.SubmitApplicationResponseProto{}, nil
 }
 
-// isSubmitted says whether an application is known already. An id that was not handed out is
-// refused.
+// isSubmitted says whether an application was submitted already. An id that was not issued by
+// getNewApplication is refused.
 func (f *Frontend) isSubmitted(ctx context.Context, id *pb.ApplicationIdProto) (bool, error) {
 	k, _, err := f.readKeyring(ctx)
 	if err != nil {
@@ -104,8 +104,8 @@
 	return app, f.setMasterRequest(app, submission)
 }
 
-// setMasterRequest sets what a managed application's master needs. A master that can never
-// run is refused in the words of a native job's refusal.
+// setMasterRequest sets the resources of a managed application's master. A master that can never
+// run is refused with the text of a native job's refusal.
 func (f *Frontend) setMasterRequest(app *application, submission *pb.ApplicationSubmissionContextProto) error {
 	resource := submission.GetResource()
 	if requests := submission.GetAmContainerResourceRequest(); resource == nil && len(requests) > 0 {
@@ -162,8 +162,8 @@
 	return &pb.KillApplicationResponseProto{IsKillCompleted: proto.Bool(true)}, nil
 }
 
-// moveApplicationAcrossQueues refuses: the jobs of an application belong to its team, and the
-// team's usage counts what it was accepted for.
+// moveApplicationAcrossQueues is not supported: a queue stands for a team, and an application's
+// jobs are charged to the team for which they were accepted.
 func (f *Frontend) moveApplicationAcrossQueues(context.Context, *wire.Caller, *pb.MoveApplicationAcrossQueuesRequestProto) (*pb.MoveApplicationAcrossQueuesResponseProto, error) {
 	return nil, wire.Errorf(wire.ClassUnsupported, "applications stay in their queue: what runs counts for its team")
 }
--- a/yarn/cluster_info.go
+++ b/yarn/cluster_info.go
@@ -39,8 +39,8 @@
 	}}, nil
 }
 
-// managerPort is the port in a node's id. Clients connect to the address in the token for the
-// node, which is this front end's.
+// managerPort is the port in a node's id. It is not connected to: clients use the address in the
+// token for the node, which is this front end's.
 const managerPort = 8041
 
 func nodeID(machine string) *pb.NodeIdProto {
@@ -130,7 +130,7 @@
 	return &pb.GetQueueInfoResponseProto{QueueInfo: info}, err
 }
 
-// rootQueueInfo returns the root, with all queues below it if the request asks for them.
+// rootQueueInfo returns the root queue, with all queues below it if the request asks for them.
 func (f *Frontend) rootQueueInfo(ctx context.Context, in *pb.GetQueueInfoRequestProto) (*pb.QueueInfoProto, error) {
 	root := &pb.QueueInfoProto{
 		QueueName:       proto.String(rootQueue),
--- a/yarn/container_protocol.go
+++ b/yarn/container_protocol.go
@@ -13,7 +13,8 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements ContainerManagementProtocol, for the containers of all machines.
+// This file implements ContainerManagementProtocol. In Hadoop each machine's NodeManager serves
+// it; here a front end serves it for the containers on all machines.
 
 // containerStart is a container that is to be started.
 type containerStart struct {
@@ -23,7 +24,7 @@
 	contextOp nwire.Op // keeps its launch context under its own key
 }
 
-// failure answers that a call failed for one container.
+// failure returns the part of an answer that says that a call failed for one container.
 func failure(id *pb.ContainerIdProto, err error) *pb.ContainerExceptionMapProto {
 	e := wire.AsError(err)
 	return &pb.ContainerExceptionMapProto{
@@ -32,8 +33,8 @@
 	}
 }
 
-// startContainers stores the containers' launch contexts and marks them as to be launched in
-// their jobs' records; the leader launches them with its next response to the machine.
+// startContainers stores the containers' launch contexts and marks them in their jobs' records as
+// to be launched; the leader launches them with its next answer to the worker's heartbeat.
 func (f *Frontend) startContainers(ctx context.Context, c *wire.Caller, in *pb.StartContainersRequestProto) (*pb.StartContainersResponseProto, error) {
 	s, err := f.callerApplication(ctx, c, nodeToken)
 	if err != nil {
@@ -65,8 +66,9 @@
 	return out, nil
 }
 
-// splitByTransaction splits the starts of one job so that each part fits one transaction,
-// which also changes the job. Starts with the same context need one change for all.
+// splitByTransaction splits the starts of one job into parts that fit into one transaction each;
+// one change in it is that of the job's record. Starts with the same context need one change
+// together.
 func (f *Frontend) splitByTransaction(starts []containerStart) [][]containerStart {
 	var parts [][]containerStart
 	for len(starts) > 0 {
@@ -97,8 +99,8 @@
 	return start, err
 }
 
-// startTogether starts containers of one job in one transaction, and adds to the answer which
-// of them are started.
+// startTogether starts containers of one job in one transaction, and adds the result for each of
+// them to the answer.
 func (f *Frontend) startTogether(ctx context.Context, a *application, job string, starts []containerStart, out *pb.StartContainersResponseProto) {
 	var started []containerStart
 	err := retry(ctx, func() (err error) {
@@ -119,7 +121,7 @@
 }
 
 // markLaunched commits that tasks of a job may be launched, with their contexts. It returns
-// the starts whose tasks still have a place.
+// the starts whose tasks are still placed on a machine, and were not released.
 func (f *Frontend) markLaunched(ctx context.Context, a *application, job string, starts []containerStart) ([]containerStart, error) {
 	_, jobs, err := f.jobs.OwnedJobs(ctx, a.key())
 	if err != nil {
@@ -198,7 +200,7 @@
 // errNoSuchContainer is returned for a container that was never allocated.
 var errNoSuchContainer = wire.Errorf(wire.ClassNoContainer, "there is no such container")
 
-// containerStatus returns the status of a job's task, which may be over.
+// containerStatus returns the status of a job's task, which may have ended.
 func (f *Frontend) containerStatus(ctx context.Context, s *snapshot, job string, task int) (*pb.ContainerStatusProto, error) {
 	j := findJob(s.jobs, job)
 	if j == nil {
--- a/yarn/demand.go
+++ b/yarn/demand.go
@@ -14,14 +14,15 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// demand is one kind of container and how many of it are still wanted, as published an
-// absolute number.
+// demand is how many containers of one kind a master still wants. As YARN's API has it, a request
+// replaces the previous number; it is not added to it.
 type demand struct {
 	containerRequest
 	count int
 }
 
-// applyRequests makes the tasks that wait for a place as many as the master asks for.
+// applyRequests reserves or releases tasks until as many wait to be placed as the master wants
+// containers.
 func (f *Frontend) applyRequests(ctx context.Context, c *wire.Caller, s *session, in []*pb.ResourceRequestProto) error {
 	demands, err := f.parseRequests(ctx, in)
 	if err != nil {
@@ -50,8 +51,8 @@
 	})
 }
 
-// requestGroup is what requests have in common that together describe where one kind of
-// container may be.
+// requestGroup identifies the requests that together describe on which nodes one kind of
+// container may run.
 type requestGroup struct {
 	priority            int32
 	allocationRequestID int64
@@ -59,8 +60,8 @@
 	size                string
 }
 
-// parseRequests parses a heartbeat's requests. Those of one group become one demand, or one
-// for each place that is asked for strictly.
+// parseRequests parses a heartbeat's requests. Those of one group become one demand, or, with
+// strict locality, one for each node or rack that is named.
 func (f *Frontend) parseRequests(ctx context.Context, in []*pb.ResourceRequestProto) ([]demand, error) {
 	groups := map[requestGroup][]demand{}
 	var order []requestGroup
@@ -108,9 +109,9 @@
 	return demand{r, int(in.GetNumContainers())}, nil
 }
 
-// resolveLocality resolves where the containers of one group may be. With any node allowed,
-// names are preferences, which this service does not trade room for; otherwise the named nodes
-// or racks are the only ones.
+// resolveLocality returns the demands of one group with the machines that they may use. If the
+// request for any node relaxes locality, the named nodes and racks are only preferences, which
+// are ignored here. Otherwise the named nodes and racks are the only ones allowed.
 func (f *Frontend) resolveLocality(ctx context.Context, group []demand) ([]demand, error) {
 	var anywhere *demand
 	var named []demand
@@ -136,7 +137,8 @@
 }
 
 // strictDemands returns the demands for named nodes and racks, with the machines that each
-// allows. Where a rack is named strictly and a node in it as well, the node counts.
+// allows. A rack with strict locality is left out if a node in it is named as well: the node's
+// demand counts.
 func strictDemands(named []demand, machines []Machine) []demand {
 	var out []demand
 	for _, d := range named {
@@ -170,8 +172,9 @@
 	return names
 }
 
-// adjust reserves what is wanted beyond the tasks that wait, or gives back tasks that wait
-// beyond what is wanted.
+// adjust reserves more tasks if fewer wait to be placed than the master wants, and releases
+// waiting tasks if there are more. Containers that were allocated and not reported yet count as
+// waiting.
 func (f *Frontend) adjust(ctx context.Context, snap *snapshot, s *session, d *demand) error {
 	tag := d.tag()
 	have := 0
@@ -197,7 +200,7 @@
 		if err != nil {
 			var conflict *kvstore.ConflictError
 			if errors.As(err, &conflict) {
-				snap.app.NextJobSeq-- // read again before it is tried again
+				snap.app.NextJobSeq-- // the reservation was not committed
 			}
 			return err
 		}
@@ -207,7 +210,7 @@
 	return nil
 }
 
-// releasePending gives back a number of tasks that wait, the newest first.
+// releasePending releases a number of tasks that wait to be placed, the newest first.
 func (f *Frontend) releasePending(ctx context.Context, snap *snapshot, jobs []*jobstore.ReservedJob, count int) error {
 	for i := len(jobs) - 1; i >= 0 && count > 0; i-- {
 		pending := pendingTasks(jobs[i])
@@ -220,7 +223,7 @@
 	return nil
 }
 
-// pendingTasks returns the tasks of a job that wait for a place and were not given back.
+// pendingTasks returns the tasks of a job that wait to be placed and were not released.
 func pendingTasks(j *jobstore.ReservedJob) []int {
 	released := j.Record.Reservation.ReleaseRanges.BitSet(j.Record.Job.Tasks)
 	var out []int
--- a/yarn/doc.go
+++ b/yarn/doc.go
@@ -5,6 +5,7 @@
 // Frontend serves ApplicationClientProtocol, ApplicationMasterProtocol,
 // ContainerManagementProtocol and the ResourceManager's REST interface at one controller.
 // An application's state is in the key-value store, so that any controller may serve it. Only
-// which containers were reported to a master is in the memory of the controller that serves it.
+// a master's session, with the containers that were reported to it, is in the memory of the
+// controller to which it is connected. In comments, "master" is an ApplicationMaster.
 // docs/yarn.md explains the decisions behind this.
 package yarn
--- a/yarn/exit_status.go
+++ b/yarn/exit_status.go
@@ -5,7 +5,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// Exit statuses of containers, as published (ContainerExitStatus).
+// Exit statuses of containers in YARN's API (ContainerExitStatus).
 const (
 	ExitSuccess   = 0
 	ExitError     = 1
--- a/yarn/failures_test.go
+++ b/yarn/failures_test.go
@@ -19,8 +19,8 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// An application whose master sends no heartbeat for master_s fails: its containers end, also
-// those that were never started, and none runs twice.
+// An application whose master sends no heartbeat for master_s fails: all its containers end,
+// also those that were never started, and none runs twice.
 func TestLostMasterLeavesNoContainers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, user *testClient) {
 		id, m := user.startApplication()
--- a/yarn/frontend.go
+++ b/yarn/frontend.go
@@ -15,14 +15,14 @@
 	"github.com/umberdeal/umberdeal/yarn/wire"
 )
 
-// Store is the key-value store, in which the front end keeps records of its own.
+// Store is the key-value store, in which the front end has records of its own.
 type Store interface {
 	Get(ctx context.Context, key string) (nwire.Entry, error)
 	List(ctx context.Context, prefix string) ([]nwire.Entry, uint64, error)
 	CompareAndSwap(ctx context.Context, guards []nwire.Guard, ops []nwire.Op) (uint64, error)
 }
 
-// JobStore is what the front end needs of the jobs' records.
+// JobStore is the part of jobstore.Store that the front end uses.
 type JobStore interface {
 	OwnedJobs(ctx context.Context, owner string) (jobstore.AppRecord, []jobstore.ReservedJob, error)
 	FinishedReservation(ctx context.Context, id string) (jobstore.ReservedJob, bool, error)
@@ -35,8 +35,8 @@
 
 // Controller is the controller that the front end belongs to.
 type Controller interface {
-	// CheckFeasible says whether a job can ever run, as for native ones: 0, or the HTTP
-	// status and the text of the refusal.
+	// CheckFeasible says whether a job can ever run, by the same rules as for native jobs: 0
+	// and nil, or the HTTP status and the text of the refusal.
 	CheckFeasible(j *nwire.Job) (int, error)
 	MachineTypes() []nwire.MachineType
 	Machines(ctx context.Context) ([]Machine, error)
@@ -77,8 +77,8 @@
 	keyring  keyringCache
 }
 
-// minTxnOps is assumed where the limit is lower: a start of containers changes a job and
-// writes at least one launch context.
+// minTxnOps is the least limit of changes in a transaction that is assumed: starting containers
+// changes a job's record and writes at least one launch context.
 const minTxnOps = 3
 
 // New makes a front end.
@@ -95,7 +95,7 @@
 	}
 }
 
-// The published names of the protocols.
+// Names of the protocols in Hadoop RPC.
 const (
 	protoClient  = "org.apache.hadoop.yarn.api.ApplicationClientProtocolPB"
 	protoMaster  = "org.apache.hadoop.yarn.api.ApplicationMasterProtocolPB"
@@ -136,13 +136,15 @@
 	}
 }
 
-// errRecordChanged is the answer to a call that has lost every race for a record.
+// errRecordChanged is the answer to a call that has failed because of concurrent changes of a
+// record in all its attempts. Clients retry it.
 var errRecordChanged = wire.Errorf(wire.ClassRetriable, "the record has changed meanwhile, come again")
 
 // maxRetries bounds the attempts of retry.
 const maxRetries = 6
 
-// retry repeats an attempt that lost a race against another change of the same record.
+// retry repeats an attempt that failed because of a concurrent change of the same record, or
+// whose outcome is unknown. The attempt must read the record again.
 func retry(ctx context.Context, attempt func() error) error {
 	var err error
 	for try := range maxRetries {
@@ -156,8 +158,8 @@
 	return errors.Join(errRecordChanged, err)
 }
 
-// lostRace says whether a transaction was refused because a record had changed, or may have
-// been committed by an attempt whose answer was lost.
+// lostRace says whether a transaction was refused because a record had changed, or its answer
+// was lost, so that it may have been committed.
 func lostRace(err error) bool {
 	var conflict *kvstore.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, kvstore.ErrOutcomeUnknown)
--- a/yarn/heartbeat_test.go
+++ b/yarn/heartbeat_test.go
@@ -73,8 +73,9 @@
 	})
 }
 
-// A heartbeat is repeated because the key-value store refused a request after its container
-// requests were committed: they are served once, and all containers are reported.
+// The key-value store refuses requests while heartbeats are served, so that heartbeats are repeated
+// of which the container requests were committed already: these are served once, and all
+// containers are reported.
 func TestRepeatedRequestIsServedOnce(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, user *testClient) {
 		_, m := user.startApplication()
--- a/yarn/ids.go
+++ b/yarn/ids.go
@@ -11,27 +11,27 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// maxJobContainers is the largest number of containers in one job. A container's id has room
-// for containersPerJobID, so that the limit may be raised.
+// maxJobContainers is the largest number of containers in one job. Container numbers leave space
+// for containersPerJobID in each job, so that the limit may be raised.
 const (
 	maxJobContainers   = 512
 	containersPerJobID = 1024
 )
 
-// applicationName is an application's id as text, as published.
+// applicationName returns an application's id as text, in YARN's format.
 func applicationName(clusterTimestamp int64, id int32) string {
 	return fmt.Sprintf("application_%d_%04d", clusterTimestamp, id)
 }
 
-// nameOf is the id as text.
+// nameOf returns an application's id as text, in YARN's format.
 func nameOf(id *pb.ApplicationIdProto) string {
 	return applicationName(id.GetClusterTimestamp(), id.GetId())
 }
 
-// applicationKey is the key of an unfinished application's record.
+// applicationKey returns the key of an unfinished application's record.
 func applicationKey(name string) string { return jobstore.AppPrefix + name }
 
-// parseApplicationName parses an application's id.
+// parseApplicationName is the inverse of applicationName; false if the text is not such an id.
 func parseApplicationName(name string) (*pb.ApplicationIdProto, bool) {
 	numbers, ok := strings.CutPrefix(name, "application_")
 	if !ok {
@@ -52,8 +52,8 @@
 	jobSeqDigits = 9
 )
 
-// jobID returns the native id of an application's job. It has more digits than users' ids may
-// have, so that neither can be taken for the other.
+// jobID returns the native id of an application's job. It has more digits than ids of users' jobs
+// may have, so that they can't be confused.
 func jobID(application int32, seq int) string {
 	return fmt.Sprintf(jobIDPrefix+"%010d%0*d", application, jobSeqDigits, seq)
 }
@@ -79,8 +79,8 @@
 	return application, err == nil
 }
 
-// containerNumber returns a container's number, which is never used again within its
-// application.
+// containerNumber returns the number in a container's id. It is never reused within its
+// application, since job numbers and tasks are not.
 func containerNumber(seq, task int) int64 { return int64(seq)*containersPerJobID + int64(task) + 1 }
 
 // splitContainerNumber is the inverse of containerNumber.
@@ -88,7 +88,7 @@
 	return int((n - 1) / containersPerJobID), int((n - 1) % containersPerJobID)
 }
 
-// ContainerName returns a container's id as text, as published.
+// ContainerName returns a container's id as text, in YARN's format.
 func ContainerName(id *pb.ContainerIdProto) string {
 	attempt := id.GetAppAttemptId()
 	application := attempt.GetApplicationId()
--- a/yarn/keyring.go
+++ b/yarn/keyring.go
@@ -13,7 +13,7 @@
 )
 
 // keysKey is the key of the keyring's record. It has the prefix of applications' records, so
-// that the store's readers follow it as well.
+// that the job store's cache covers it as well (JobStore.CachedApp).
 const keysKey = jobstore.AppPrefix + "keys"
 
 // maxSigningKeys bounds the keyring: tokens that were signed with an older key are refused.
@@ -22,8 +22,8 @@
 // signingKeyBytes is the size of a signing key.
 const signingKeyBytes = 32
 
-// keyring is the record of the keys that sign tokens, and of the application ids that were
-// handed out.
+// keyring is the record of the keys that sign tokens, and of the application ids that controllers
+// have taken.
 type keyring struct {
 	ClusterTimestamp int64        `msgpack:"ts"` // part of every application's id
 	NextID           int32        `msgpack:"next"`
@@ -44,7 +44,7 @@
 	return signingKey{ID: id, Hex: hex.EncodeToString(b)}, nil
 }
 
-// newestID is the id of the key that signs new tokens; 0 without a key.
+// newestID returns the id of the key that signs new tokens; 0 if there is none.
 func (k *keyring) newestID() int {
 	if len(k.Keys) == 0 {
 		return 0
@@ -52,7 +52,7 @@
 	return k.Keys[len(k.Keys)-1].ID
 }
 
-// errKeyDropped says that a token was signed with a key that is too old.
+// errKeyDropped is the error for a token that was signed with a key that is not in the keyring.
 var errKeyDropped = errors.New("signed with a key that is no longer kept")
 
 // sign returns the HMAC of a text under a key.
--- a/yarn/keyring_store.go
+++ b/yarn/keyring_store.go
@@ -7,7 +7,7 @@
 	nwire "github.com/umberdeal/umberdeal/wire"
 )
 
-// applicationIDs are ids that this controller may hand out: no other one does.
+// applicationIDs are the application ids that this controller has taken and not issued yet.
 type applicationIDs struct {
 	clusterTimestamp int64
 	ids              []int32
@@ -16,7 +16,7 @@
 // idBlock is the number of ids that a controller takes at once.
 const idBlock = 50
 
-// keyringCache is what a controller remembers of the keyring, for the case that its record
+// keyringCache is a controller's copy of the keyring, from which the record is repaired if it
 // becomes unreadable.
 type keyringCache struct {
 	last        keyring // as last read, in the version lastVersion
@@ -27,15 +27,17 @@
 }
 
 const (
-	// keyringRepairDelay is how long an unreadable keyring is left to whoever remembers it:
-	// another controller, or a leader that takes over and asks all controllers.
+	// keyringRepairDelay is for how long an unreadable keyring is not replaced by a new one,
+	// so that a controller with a copy, or a new leader that asks all controllers for
+	// theirs, can repair it.
 	keyringRepairDelay = 20 * time.Second
-	// idsBeyond is more than the number of ids that were handed out and not used.
+	// idsBeyond is the distance of a new keyring's ids from the highest one of a known
+	// application: more than the ids that were issued and not submitted.
 	idsBeyond = 1 << 20
 )
 
-// readKeyring reads the keyring from the store. The first controller that needs it creates
-// it, and one that is unreadable is repaired.
+// readKeyring reads the keyring from the store. It creates the record if there is none, and
+// repairs it if it is unreadable.
 func (f *Frontend) readKeyring(ctx context.Context) (keyring, uint64, error) {
 	for range 3 {
 		e, err := f.store.Get(ctx, keysKey)
@@ -72,7 +74,7 @@
 	return err
 }
 
-// decodeKeyring decodes the keyring, and remembers it.
+// decodeKeyring decodes the keyring, and copies it to the cache.
 func (f *Frontend) decodeKeyring(raw nwire.Raw, version uint64) (k keyring, ok bool) {
 	if version == 0 || nwire.Unmarshal(raw, &k) != nil || k.ClusterTimestamp == 0 || len(k.Keys) == 0 {
 		return keyring{}, false
@@ -85,9 +87,9 @@
 	return k, true
 }
 
-// repairedKeyring returns what replaces a keyring that is unreadable: what this controller has
-// read of the same version, or one without keys. The latter's ids are beyond all that were
-// handed out, as far as applications tell; masters' tokens are refused then, and their
+// repairedKeyring returns the replacement of an unreadable keyring: this controller's copy of the
+// same version, or, after keyringRepairDelay, one without keys. The ids of the latter are
+// beyond those of all known applications. Masters' tokens are refused then, and their
 // applications have to be submitted again.
 func (f *Frontend) repairedKeyring(ctx context.Context, version uint64) (keyring, error) {
 	if k, remembered, wait := f.rememberedKeyring(version); remembered {
@@ -110,8 +112,9 @@
 	return k, nil
 }
 
-// rememberedKeyring returns the keyring of an unreadable version if this controller has read
-// it. wait is true for as long as another controller may have.
+// rememberedKeyring returns this controller's copy of the keyring if it is of the version that is
+// unreadable. If not, wait says whether the keyringRepairDelay is not over yet, in which another
+// controller may repair it.
 func (f *Frontend) rememberedKeyring(version uint64) (k keyring, remembered, wait bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -144,9 +147,9 @@
 	return values, nil
 }
 
-// cachedKeyring returns the keyring as of the caller's last read barrier. Masters' heartbeats
-// share barriers; with a read of its own for each of them, they took the store's rate limit
-// away from native users.
+// cachedKeyring returns the keyring as of the last read barrier, which the caller has made by
+// reading an application. Heartbeats of several masters share a barrier; when each of them read
+// the keyring from the store, they used up the store's rate limit at native users' expense.
 func (f *Frontend) cachedKeyring(ctx context.Context) (keyring, error) {
 	e := f.jobs.CachedApp(keysKey)
 	if k, ok := f.decodeKeyring(e.Value, e.Version); ok {
@@ -156,7 +159,7 @@
 	return k, err
 }
 
-// newApplicationID returns an id that no controller has handed out before.
+// newApplicationID returns an id that no controller has issued before.
 func (f *Frontend) newApplicationID(ctx context.Context) (clusterTimestamp int64, id int32, err error) {
 	if clusterTimestamp, id, ok := f.takeFreeID(); ok {
 		return clusterTimestamp, id, nil
@@ -182,7 +185,7 @@
 	return clusterTimestamp, id, nil
 }
 
-// takeFreeID takes an id of the block that was read last.
+// takeFreeID takes an id of the blocks that this controller has taken; false if none is left.
 func (f *Frontend) takeFreeID() (clusterTimestamp int64, id int32, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -194,8 +197,8 @@
 	return f.freeIDs.clusterTimestamp, id, true
 }
 
-// rollKey adds a signing key. The older ones are valid for a while, in which masters that
-// heartbeat get a token that is signed with the new one.
+// rollKey adds a signing key and drops the oldest beyond maxSigningKeys. Masters get tokens signed
+// with the new key with their heartbeats, long before the older keys are dropped.
 func (f *Frontend) rollKey(ctx context.Context) error {
 	return retry(ctx, func() error {
 		k, version, err := f.readKeyring(ctx)
--- a/yarn/launch_context.go
+++ b/yarn/launch_context.go
@@ -30,7 +30,7 @@
 	envMasterTokenPassword = "UMBERDEAL_AM_TOKEN_PASSWORD"
 )
 
-// contextOp returns the change that keeps a launch context.
+// contextOp returns the change that stores a launch context.
 func (f *Frontend) contextOp(key string, in *pb.ContainerLaunchContextProto) (nwire.Op, error) {
 	c := LaunchContext{Env: map[string]string{}, Argv: in.GetCommand(), Tokens: base64.StdEncoding.EncodeToString(in.GetTokens())}
 	size := len(c.Tokens) + 256 // an upper bound of the encoded size
@@ -47,23 +47,24 @@
 	return nwire.Op{Put: key, Value: c}, nil
 }
 
-// contextKey is the key of a container's own launch context.
+// contextKey returns the key of a launch context that one container uses.
 func (a *application) contextKey(job string, task int) string {
 	return fmt.Sprintf("%s%s/%d/%d", contextPrefix, a.name(), jobSeq(job), task)
 }
 
-// sharedContextKey is the key of a launch context that several containers have in common.
+// sharedContextKey returns the key of a launch context that several containers share.
 func (a *application) sharedContextKey(fingerprint string) string {
 	return contextPrefix + a.name() + "/s/" + fingerprint
 }
 
 // maxSharedKeys bounds the shared contexts that a job's record refers to; further ones are
-// kept under the containers' own keys.
+// stored for each container.
 const maxSharedKeys = 64
 
-// shareContexts keeps contexts that several containers of a job have in common under one key:
-// to start a whole job then takes two changes, and not one for each container. It returns the
-// changes, and the references to shared contexts with those that are new.
+// shareContexts stores a launch context that several containers of a job have in common under one
+// key, so that starting a whole job takes two changes, and not one for each container. refs
+// are the job's references to shared contexts. It returns the changes, and refs with the new
+// references.
 func (a *application) shareContexts(starts []containerStart, refs []jobstore.SharedKey, tasks int) ([]nwire.Op, []jobstore.SharedKey) {
 	var ops []nwire.Op
 	for _, group := range groupByContext(starts) {
@@ -89,7 +90,7 @@
 	return ops, refs
 }
 
-// groupByContext groups starts that have the same context, in the order of the first ones.
+// groupByContext groups starts that have the same context, in the order of each group's first.
 func groupByContext(starts []containerStart) [][]containerStart {
 	var groups [][]containerStart
 	groupOf := map[string]int{}
@@ -117,13 +118,13 @@
 func (s *containerStart) fingerprint() string {
 	b, err := json.Marshal(s.contextOp.Value) // sorts keys
 	if err != nil {
-		return fmt.Sprint(s.job, "/", s.task) // like no other
+		return fmt.Sprint(s.job, "/", s.task) // unique, so the context is not shared
 	}
 	return fmt.Sprintf("%x", sha256.Sum256(b))
 }
 
-// LaunchContextOf returns what a worker runs for a task; for a managed master also its token.
-// An *wire.Error says that there is none.
+// LaunchContextOf returns what a worker runs for a task; for a managed master that includes its
+// token. The error is a *wire.Error if the task is no container, or is not to run.
 func (f *Frontend) LaunchContextOf(ctx context.Context, taskName string) (*LaunchContext, error) {
 	job, task, ok := nwire.ParseTaskName(taskName)
 	if !ok || nwire.ValidUserID(job) {
@@ -161,7 +162,7 @@
 	return &c, nil
 }
 
-// contextKeyOf returns the key of the context by which a task was started.
+// contextKeyOf returns the key of a task's launch context.
 func (s *snapshot) contextKeyOf(job string, task int) string {
 	key := s.app.contextKey(job, task)
 	if job == s.app.MasterJob {
@@ -175,7 +176,7 @@
 	return key
 }
 
-// addMasterToken adds to a master's environment how it registers.
+// addMasterToken adds the address and the token with which a master registers to its environment.
 func (f *Frontend) addMasterToken(c *LaunchContext, a *application, k *keyring) error {
 	t, err := k.issue(a.token(masterToken), f.settings.Advertise)
 	if err != nil {
--- a/yarn/leader.go
+++ b/yarn/leader.go
@@ -11,20 +11,19 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file is what the leader does for all applications. Every change is a compare-and-swap
-// on records, so that a former leader, or two controllers that believe to be the leader for a
-// moment, do no harm.
+// This file has the leader's maintenance of all applications. Every change is a compare-and-swap
+// on records, so that nothing goes wrong if a former leader goes on for a moment.
 
-// observation is what a leader has seen of an application. It is timed by the leader's
-// monotonic clock, since the time of day may step.
+// observation is what a leader has seen of an application, with times by its monotonic clock,
+// since the wall clock may be set.
 type observation struct {
 	version   uint64
 	since     time.Time            // when the version was first seen
-	idleSince map[string]time.Time // containers that wait to be started, by task name
+	idleSince map[string]time.Time // by task name: since when a placed container waits to be started
 }
 
-// maintenance is the state of the leader's loop in one leadership. The next leader starts with
-// an empty one, so that every master and container has its full timeout again.
+// maintenance is the state of the maintenance loop in one leadership. The next leader starts with
+// an empty one, so that the timeouts of all masters and containers start again.
 type maintenance struct {
 	frontend  *Frontend
 	observed  map[string]*observation // by the application's key
@@ -34,7 +33,7 @@
 const (
 	maxMaintenanceInterval = 5 * time.Second
 	minMaintenanceInterval = 200 * time.Millisecond
-	// maintenancePerTimeout is how often applications are looked at within a timeout.
+	// maintenancePerTimeout is how often applications are checked within a timeout.
 	maintenancePerTimeout = 6
 )
 
@@ -98,8 +97,8 @@
 	return nil
 }
 
-// observe returns the observation of an application, which starts again with each version of
-// its record.
+// observe returns the observation of an application. With each new version of its record the
+// master's timeout starts again; those of containers that wait to be started go on.
 func (m *maintenance) observe(e jobstore.AppRecord) *observation {
 	o := m.observed[e.Key]
 	if o != nil && o.version == e.Version {
@@ -141,7 +140,8 @@
 	})
 }
 
-// releaseIdle gives back containers that were not started in time: they occupy machines.
+// releaseIdle releases containers that their master did not start in time, since they hold
+// resources.
 func (f *Frontend) releaseIdle(ctx context.Context, a *application, jobs []jobstore.ReservedJob, o *observation) error {
 	now := time.Now()
 	idleSince := map[string]time.Time{}
@@ -160,8 +160,8 @@
 	return nil
 }
 
-// lateTasks returns the tasks of a job that were not started in time. It adds to idleSince
-// those that wait to be started.
+// lateTasks returns the placed tasks of a job that were not started in time. It adds all placed
+// tasks that wait to be started to idleSince.
 func (f *Frontend) lateTasks(j *jobstore.ReservedJob, o *observation, idleSince map[string]time.Time, now time.Time) []int {
 	launched := j.Record.Reservation.LaunchRanges.BitSet(j.Record.Job.Tasks)
 	var late []int
--- a/yarn/load_test.go
+++ b/yarn/load_test.go
@@ -12,7 +12,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// All controllers are restarted while many native clients poll: reports of applications are
+// All controllers are restarted while many native clients poll: calls for application reports are
 // still answered in time, and no application is lost.
 func TestReportsAreAnsweredUnderPollLoad(t *testing.T) {
 	many := 500
--- a/yarn/managed_master.go
+++ b/yarn/managed_master.go
@@ -8,11 +8,13 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// masterResourceName is the resource name in the tag of a managed master's job.
+// masterResourceName is the resource name in the tag of a managed master's job, so that the tag
+// differs from those of containers.
 const masterResourceName = "master"
 
 // keepMasterRunning launches a managed application's master, and begins the next attempt when
-// it has ended by itself.
+// the master has ended without having finished the application. After the last attempt the
+// application fails, unless the master was preempted or its machine was lost.
 func (f *Frontend) keepMasterRunning(ctx context.Context, a *application, jobs []jobstore.ReservedJob) error {
 	if a.MasterJob == "" {
 		return f.launchMaster(ctx, a.protoID())
@@ -34,8 +36,8 @@
 	return f.beginNextAttempt(ctx, a, diagnostics)
 }
 
-// beginNextAttempt begins an application's next attempt and cancels what is left of the one
-// before, whose tokens are refused from then on.
+// beginNextAttempt begins an application's next attempt and cancels the jobs of the previous one,
+// whose tokens are refused from then on.
 func (f *Frontend) beginNextAttempt(ctx context.Context, previous *application, diagnostics string) error {
 	s, err := f.readApplication(ctx, previous.protoID())
 	if err != nil || s.ended() || s.app.Attempt != previous.Attempt {
@@ -53,7 +55,7 @@
 }
 
 // launchMaster reserves the job of a managed application's master, which is launched as soon
-// as it has a place.
+// as it is placed.
 func (f *Frontend) launchMaster(ctx context.Context, id *pb.ApplicationIdProto) error {
 	return retry(ctx, func() error {
 		s, err := f.readApplication(ctx, id)
--- a/yarn/master_protocol.go
+++ b/yarn/master_protocol.go
@@ -15,8 +15,9 @@
 
 // This file implements ApplicationMasterProtocol.
 
-// registerApplicationMaster begins a master's session and replaces an earlier one. The response
-// lists the containers that are placed; completed ones are reported again with heartbeats.
+// registerApplicationMaster begins a master's session, which replaces an earlier one. The
+// response lists the containers that are placed. All completed ones are reported with the
+// following heartbeats, again if they were reported before.
 func (f *Frontend) registerApplicationMaster(ctx context.Context, c *wire.Caller, in *pb.RegisterApplicationMasterRequestProto) (*pb.RegisterApplicationMasterResponseProto, error) {
 	var snap *snapshot
 	err := retry(ctx, func() (err error) {
@@ -76,7 +77,8 @@
 	return err
 }
 
-// nodeTokens returns the tokens with which a master talks to nodes.
+// nodeTokens returns the tokens with which a master calls ContainerManagementProtocol, one for
+// each node.
 func (f *Frontend) nodeTokens(a *application, k *keyring, nodes map[string]bool) ([]*pb.NMTokenProto, error) {
 	var out []*pb.NMTokenProto
 	for _, node := range slices.Sorted(maps.Keys(nodes)) {
@@ -110,8 +112,8 @@
 	}, nil
 }
 
-// allocate is a master's heartbeat: it takes releases, blacklists and requests, and returns
-// the containers that were allocated or have completed.
+// allocate is a master's heartbeat: it applies releases, blacklist changes and container
+// requests, and returns the containers that were allocated or have completed.
 func (f *Frontend) allocate(ctx context.Context, c *wire.Caller, in *pb.AllocateRequestProto) (*pb.AllocateResponseProto, error) {
 	snap, err := f.callerApplication(ctx, c, masterToken)
 	if wire.IsClass(err, wire.ClassNoAttempt) {
@@ -128,7 +130,7 @@
 	defer s.mu.Unlock()
 	switch id := in.GetResponseId(); {
 	case id == s.responseID-1 && s.lastResponse != nil:
-		return s.lastResponse, nil // the master did not get it
+		return s.lastResponse, nil // the master did not receive it
 	case id != s.responseID:
 		return &pb.AllocateResponseProto{AMCommand: pb.AMCommandProto_AM_RESYNC.Enum(), ResponseId: proto.Int32(s.responseID)}, nil
 	}
@@ -152,7 +154,7 @@
 	return out, nil
 }
 
-// applyHeartbeat commits what a heartbeat asks for. It returns whether there was anything.
+// applyHeartbeat commits what a heartbeat asks for. It returns false if there is nothing.
 func (f *Frontend) applyHeartbeat(ctx context.Context, c *wire.Caller, s *session, snap *snapshot, in *pb.AllocateRequestProto) (changed bool, err error) {
 	if len(in.GetRelease()) > 0 {
 		if err := f.releaseContainers(ctx, snap, in.GetRelease()); err != nil {
@@ -176,12 +178,11 @@
 	return changed, nil
 }
 
-// recordedPerTimeout is how often heartbeats are recorded within the time that a master may be
-// silent for.
+// recordedPerTimeout is how often heartbeats are recorded within a master's timeout.
 const recordedPerTimeout = 3
 
-// recordHeartbeat writes to the application's record that its master is alive: any leader
-// counts from the last version that it has seen.
+// recordHeartbeat changes the application's record to show that its master is alive: the leader
+// measures the master's timeout from when it first saw the record's present version.
 func (f *Frontend) recordHeartbeat(ctx context.Context, snap *snapshot, s *session) {
 	if time.Since(s.recordedAt) < seconds(f.settings.MasterTimeoutS/recordedPerTimeout) {
 		return
@@ -194,7 +195,7 @@
 	s.recordedAt = time.Now()
 }
 
-// releaseContainers gives containers back.
+// releaseContainers marks containers as released. Ones of another application are refused.
 func (f *Frontend) releaseContainers(ctx context.Context, snap *snapshot, ids []*pb.ContainerIdProto) error {
 	tasksByJob := map[string][]int{}
 	for _, id := range ids {
@@ -213,7 +214,7 @@
 	return nil
 }
 
-// releaseTasks marks tasks of a job as given back. A job that is over needs nothing.
+// releaseTasks marks tasks of a job as released. If the job is finished, there is nothing to do.
 func (f *Frontend) releaseTasks(ctx context.Context, snap *snapshot, job string, tasks []int) error {
 	jobs, stale := snap.jobs, false
 	return retry(ctx, func() error {
@@ -234,7 +235,7 @@
 	})
 }
 
-// addTasks adds tasks to a set; what is no task of the job is left out.
+// addTasks adds tasks to a set; numbers that are no task of the job are left out.
 func addTasks(ranges jobstore.TaskRanges, tasks []int, jobTasks int) jobstore.TaskRanges {
 	set := ranges.BitSet(jobTasks)
 	for _, task := range tasks {
@@ -245,7 +246,7 @@
 	return jobstore.RangesOf(set)
 }
 
-// applyBlacklist writes the blacklist to the jobs that have tasks without a place.
+// applyBlacklist writes the blacklist to the jobs that have tasks which wait to be placed.
 func (f *Frontend) applyBlacklist(ctx context.Context, a *application, nodes []string) error {
 	return retry(ctx, func() error {
 		_, jobs, err := f.jobs.OwnedJobs(ctx, a.key())
@@ -265,8 +266,8 @@
 	})
 }
 
-// finishApplicationMaster ends the application as its master says. Repeated, it gets the same
-// answer.
+// finishApplicationMaster ends the application with the status that its master gives. A repeated
+// call on the same connection gets the same answer; a new connection's token is refused.
 func (f *Frontend) finishApplicationMaster(ctx context.Context, c *wire.Caller, in *pb.FinishApplicationMasterRequestProto) (*pb.FinishApplicationMasterResponseProto, error) {
 	t, err := callerToken(c, masterToken)
 	if err != nil {
--- a/yarn/reports.go
+++ b/yarn/reports.go
@@ -14,8 +14,8 @@
 
 // This file implements the calls of ApplicationClientProtocol that inspect applications.
 
-// getApplicationReport returns an application's report. As published, the master of an
-// unmanaged application takes its token from there.
+// getApplicationReport returns an application's report. As in YARN, the master of an unmanaged
+// application gets its token from there.
 func (f *Frontend) getApplicationReport(ctx context.Context, _ *wire.Caller, in *pb.GetApplicationReportRequestProto) (*pb.GetApplicationReportResponseProto, error) {
 	s, err := f.readApplication(ctx, in.GetApplicationId())
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// usageReport adds up what the placed containers of jobs take.
+// usageReport adds up the resources of the placed tasks of jobs.
 func (f *Frontend) usageReport(jobs []jobstore.ReservedJob) *pb.ApplicationResourceUsageReportProto {
 	var memoryGB, cpus, gpus float64
 	containers := 0
@@ -84,10 +84,10 @@
 	limit                      int // 0 means maxListed
 }
 
-// maxListed bounds the applications in one list.
+// maxListed bounds the applications in one answer.
 const maxListed = 1000
 
-// unfinishedStates are the states of applications that are not over.
+// unfinishedStates are the states of applications that have not ended.
 var unfinishedStates = []pb.YarnApplicationStateProto{pb.YarnApplicationStateProto_ACCEPTED, pb.YarnApplicationStateProto_RUNNING}
 
 func (filter *applicationFilter) matches(a *application) bool {
@@ -101,7 +101,7 @@
 	return len(allowed) == 0 || slices.Contains(allowed, value)
 }
 
-// matchesFinal says whether any application that is over can match.
+// matchesFinal says whether an application that has ended can match.
 func (filter *applicationFilter) matchesFinal() bool {
 	return len(filter.states) == 0 || slices.ContainsFunc(filter.states, func(state pb.YarnApplicationStateProto) bool {
 		return state >= pb.YarnApplicationStateProto_FINISHED
--- a/yarn/request.go
+++ b/yarn/request.go
@@ -10,11 +10,11 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// anyNode is the resource name of containers that may be on any node.
+// anyNode is the resource name of containers that may run on any node.
 const anyNode = "*"
 
-// containerRequest is what one kind of container needs, and where it may be. A master's is in
-// the application's record, the others are in their jobs' tags.
+// containerRequest is what one kind of container needs, and where it may run. A master's is
+// stored in the application's record, the others in their jobs' tags.
 type containerRequest struct {
 	Priority            int32    `msgpack:"p"`
 	AllocationRequestID int64    `msgpack:"r"`
@@ -25,26 +25,26 @@
 	VCores              int32    `msgpack:"c"`
 	GPUs                int64    `msgpack:"g,omitempty"`
 	GPUName             string   `msgpack:"gn,omitempty"`
-	OnlyMachines        []string `msgpack:"-"` // the only machines that are allowed, if there are any
+	OnlyMachines        []string `msgpack:"-"` // if not empty, the only machines to use
 }
 
 // tagSeparator separates the fields of a tag.
 const tagSeparator = "|"
 
-// tag returns how a request is written into its job's record. Requests of one kind have the
-// same tag.
+// tag encodes a request for its job's record (jobstore.Reservation.Tag). Requests for the same
+// kind of container have the same tag.
 func (r *containerRequest) tag() string {
 	return fmt.Sprintf("%d|%d|%s|%v|%s|%d|%d|%d|%s", r.Priority, r.AllocationRequestID, r.ResourceName, r.RelaxLocality, r.NodeLabel,
 		r.MemoryMB, r.VCores, r.GPUs, r.GPUName)
 }
 
-// parseTag is the inverse of tag; what is no tag is a request of nothing.
+// parseTag is the inverse of tag, without OnlyMachines; an invalid tag gives a zero request.
 func parseTag(tag string) (r containerRequest) {
 	fields := strings.Split(tag, tagSeparator)
 	if len(fields) != 9 {
 		return r
 	}
-	_, _ = fmt.Sscan(fields[0], &r.Priority) // written by tag
+	_, _ = fmt.Sscan(fields[0], &r.Priority) // valid, since tag wrote it
 	_, _ = fmt.Sscan(fields[1], &r.AllocationRequestID)
 	r.ResourceName, r.RelaxLocality, r.NodeLabel = fields[2], fields[3] == "true", fields[4]
 	_, _ = fmt.Sscan(fields[5], &r.MemoryMB)
@@ -59,7 +59,7 @@
 	memoryMB int64
 	vcores   int32
 	gpus     int64
-	gpuName  string // the resource by which the GPUs were asked for; empty: the settings' first
+	gpuName  string // name of the resource by which the GPUs were requested; empty: the first in the settings
 }
 
 func (r *containerRequest) capability() capability {
@@ -70,13 +70,13 @@
 	r.MemoryMB, r.VCores, r.GPUs, r.GPUName = c.memoryMB, c.vcores, c.gpus, c.gpuName
 }
 
-// Names of resources, as published.
+// Names of resources in YARN's API.
 const (
 	resourceMemory = "memory-mb"
 	resourceVCores = "vcores"
 )
 
-// maxVCores bounds what is read from a request.
+// maxVCores bounds the number of cores that is read from a request, to fit an int32.
 const maxVCores = 1 << 30
 
 // parseCapability reads the size of a container.
@@ -100,8 +100,8 @@
 	return c, nil
 }
 
-// addGPUs adds a resource that counts as GPUs; it returns false if the settings have none by
-// this name.
+// addGPUs adds the GPUs of a requested resource; it returns false if the settings have no
+// resource of this name.
 func (f *Frontend) addGPUs(c *capability, v *pb.ResourceInformationProto) bool {
 	known := false
 	for _, resource := range f.settings.Resources {
@@ -113,7 +113,7 @@
 	return known
 }
 
-// resourceProto returns a size as clients read it.
+// resourceProto returns a size in the form of YARN's API.
 func (f *Frontend) resourceProto(c capability) *pb.ResourceProto {
 	out := &pb.ResourceProto{
 		Memory:       proto.Int64(c.memoryMB),
@@ -138,7 +138,8 @@
 	return capability{memoryMB: int64(memoryGB * 1024), vcores: int32(cpus), gpus: int64(gpus)}
 }
 
-// maximumCapability is the largest container that fits any machine.
+// maximumCapability returns the most of each resource that any machine type has. A container
+// with all of it need not fit any single type.
 func (f *Frontend) maximumCapability() *pb.ResourceProto {
 	var memoryGB, cpus, gpus float64
 	for _, t := range f.controller.MachineTypes() {
--- a/yarn/rest.go
+++ b/yarn/rest.go
@@ -14,7 +14,7 @@
 
 // Paths of the REST interface.
 const (
-	PathREST    = "/ws/v1/cluster"            // the ResourceManager's, as published
+	PathREST    = "/ws/v1/cluster"            // that of YARN's ResourceManager
 	PathContext = "/ws/v1/umberdeal/context/" // followed by a task's name; for workers
 )
 
@@ -23,7 +23,7 @@
 	restTimeout      = 10 * time.Second
 )
 
-// jsonObject is an object of an answer, whose fields are as published.
+// jsonObject is an object in an answer, whose fields are named as in YARN's REST API.
 type jsonObject = map[string]any
 
 // restHandler serves a request, whose answer is encoded as JSON.
@@ -51,7 +51,8 @@
 	return mux
 }
 
-// serveJSON limits a request's body and time, and encodes the answer.
+// serveJSON returns an HTTP handler that checks the client's address, limits a request's body
+// and time, and encodes the answer.
 func (f *Frontend) serveJSON(handler restHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !f.allowed(r) {
@@ -81,7 +82,7 @@
 	return err == nil && f.settings.prefixes.Contains(a.Addr().Unmap())
 }
 
-// writeRESTError answers with the exception's class, as published.
+// writeRESTError answers with an exception in the form of YARN's REST API.
 func writeRESTError(w http.ResponseWriter, err error) {
 	e := wire.AsError(err)
 	status := http.StatusBadRequest
--- a/yarn/rest_applications.go
+++ b/yarn/rest_applications.go
@@ -58,8 +58,8 @@
 	return jsonObject{"apps": jsonObject{"app": out}}, nil
 }
 
-// queryFilter reads the filter from a request's query. A parameter may be repeated, and hold
-// values that are separated by commas.
+// queryFilter reads the filter from a request's query. Parameters with several values may be
+// repeated, or have their values separated by commas.
 func queryFilter(r *http.Request) (applicationFilter, error) {
 	query := r.URL.Query()
 	list := func(name string) []string {
@@ -76,7 +76,7 @@
 		tags:   list("applicationTags"),
 		name:   query.Get("name"),
 	}
-	filter.limit, _ = strconv.Atoi(query.Get("limit")) // without one, 0
+	filter.limit, _ = strconv.Atoi(query.Get("limit")) // 0 if it is missing or invalid
 	for _, state := range append(list("states"), list("state")...) {
 		n, ok := pb.YarnApplicationStateProto_value[strings.ToUpper(state)]
 		if !ok {
@@ -135,7 +135,7 @@
 	return jsonObject{"containers": jsonObject{"container": out}}, nil
 }
 
-// containerObject returns a job's task in the REST interface's form.
+// containerObject returns a job's task as a container in the REST interface's form.
 func containerObject(a *application, j *jobstore.ReservedJob, task int) jsonObject {
 	object := jsonObject{
 		"id":         ContainerName(a.containerID(jobSeq(j.ID), task)),
@@ -195,7 +195,7 @@
 	}, nil
 }
 
-// submission is a submission in JSON.
+// submission is an application's submission in JSON.
 type submission struct {
 	ID          string   `json:"application-id"`
 	Name        string   `json:"application-name"`
@@ -223,7 +223,7 @@
 	} `json:"am-container-spec"`
 }
 
-// submissionContext returns the submission as ApplicationClientProtocol has it.
+// submissionContext converts the submission to that of ApplicationClientProtocol.
 func (s *submission) submissionContext(id *pb.ApplicationIdProto) *pb.ApplicationSubmissionContextProto {
 	out := &pb.ApplicationSubmissionContextProto{
 		ApplicationId:   id,
@@ -250,7 +250,7 @@
 	return out
 }
 
-// anonymousUser is, as published, the user of requests that name none.
+// anonymousUser is the user of requests that name none, the same as Hadoop's default.
 const anonymousUser = "dr.who"
 
 func (f *Frontend) restSubmit(w http.ResponseWriter, r *http.Request) {
--- a/yarn/scenario_test.go
+++ b/yarn/scenario_test.go
@@ -93,7 +93,7 @@
 	return r.GetYarnApplicationState()
 }
 
-// smallContainer is a container of two CPUs and four GB that may be on any node.
+// smallContainer is a container of two CPUs and four GB that may run on any node.
 func smallContainer(prio int32) client.ContainerRequest {
 	return client.ContainerRequest{Priority: prio, ResourceName: "*", RelaxLocality: true, MemoryMB: 4096, VCores: 2}
 }
--- a/yarn/session.go
+++ b/yarn/session.go
@@ -14,9 +14,9 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// session is a master's session at the controller that serves it. It is in memory only: a master
-// that goes to another controller, or to this one after a restart, has to register again, and
-// everything is then reported to it again.
+// session is a master's session at the controller to which it is connected. It is in memory only:
+// a master that connects to another controller, or to this one after a restart, has to register
+// again, and all its containers are then reported to it again.
 type session struct {
 	mu           sync.Mutex
 	attempt      int32
@@ -27,11 +27,12 @@
 	recordedAt   time.Time       // when a heartbeat was last written to the record
 }
 
-// reportedContainers are the containers that were reported to a master.
+// reportedContainers are the containers that were reported to a master, by their numbers, and
+// the jobs that may have more to report.
 type reportedContainers struct {
 	allocated map[int64]bool
 	completed map[int64]bool
-	openJobs  map[string]bool // whose containers have not all been seen to end
+	openJobs  map[string]bool // by id: jobs of which containers may still have to be reported
 }
 
 func newReportedContainers() reportedContainers {
@@ -54,9 +55,9 @@
 	}
 }
 
-// unreported returns how many containers of a job are placed and not reported yet. They are part
-// of what the master still asks for: if they were not counted, a request that is repeated
-// because its response was lost would be served twice.
+// unreported returns how many containers of a job are placed and not reported yet. The number that
+// a master requests includes them: if they were not counted, a request that is repeated because
+// its response was lost would be served twice.
 func (r *reportedContainers) unreported(j *jobstore.ReservedJob) int {
 	n := 0
 	for task := range j.Placements {
@@ -78,7 +79,8 @@
 	return nil
 }
 
-// tokenPassword returns the password of a token that is valid and opens a connection.
+// tokenPassword returns the password of a master's or node token whose application's attempt is
+// the current one. Container tokens can't open a connection.
 func (f *Frontend) tokenPassword(ctx context.Context, identifier []byte) ([]byte, error) {
 	t, err := parseToken(identifier)
 	if err != nil {
@@ -101,8 +103,8 @@
 	return password, nil
 }
 
-// tokenApplication reads the application of a token, which must be of the current attempt and
-// not over.
+// tokenApplication reads the application of a token. It must not have ended, and the token must
+// be of the current attempt.
 func (f *Frontend) tokenApplication(ctx context.Context, t token) (*snapshot, error) {
 	s, err := f.readApplication(ctx, t.applicationID())
 	if err != nil {
@@ -117,8 +119,8 @@
 	return s, nil
 }
 
-// callerToken returns the token by which a caller has authenticated itself, which must be of
-// the kind that the protocol needs.
+// callerToken returns the token with which a caller has authenticated itself. It must be of the
+// kind that the protocol requires.
 func callerToken(c *wire.Caller, kind tokenKind) (token, error) {
 	t, err := parseToken(c.Identifier)
 	if err != nil || t.kind != kind {
--- a/yarn/settings.go
+++ b/yarn/settings.go
@@ -17,19 +17,19 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Settings is the operators' file for this interface.
+// Settings is the operators' file for YARN's protocols.
 type Settings struct {
 	Listen           string     `toml:"listen"`     // Hadoop RPC, all protocols
 	Advertise        string     `toml:"advertise"`  // where clients reach Listen, if that differs
 	REST             string     `toml:"rest"`       // the ResourceManager's REST interface; empty: none
-	Networks         []string   `toml:"networks"`   // prefixes that may connect; none: all
-	MasterTimeoutS   float64    `toml:"master_s"`   // without a heartbeat, until an application is given up
+	Networks         []string   `toml:"networks"`   // address prefixes from which clients may connect; none: all
+	MasterTimeoutS   float64    `toml:"master_s"`   // without a master's heartbeat, until its application fails
 	StartTimeoutS    float64    `toml:"start_s"`    // from a container's allocation until it must be started
-	KeyRollIntervalS float64    `toml:"key_roll_s"` // until a new key signs tokens
-	MaxApps          int        `toml:"max_apps"`   // unfinished applications
+	KeyRollIntervalS float64    `toml:"key_roll_s"` // between additions of a signing key
+	MaxApps          int        `toml:"max_apps"`   // most unfinished applications
 	MaxConns         int        `toml:"max_connections"`
-	MaxCalls         int        `toml:"max_calls"` // at the same time
-	Image            string     `toml:"image"`     // that containers' machines need
+	MaxCalls         int        `toml:"max_calls"` // most calls at the same time
+	Image            string     `toml:"image"`     // that a machine needs to run containers
 	ImageGB          float64    `toml:"image_gb"`
 	EstimateS        float64    `toml:"estimate_s"` // how long a container is expected to run
 	PreemptGraceS    float64    `toml:"grace_s"`    // between a preemption message and the container's end
@@ -45,10 +45,10 @@
 type Queue struct {
 	Path  string `toml:"path"`
 	Team  string `toml:"team"`
-	Class string `toml:"class"` // of the jobs; empty: "yarn"
+	Class string `toml:"class"` // of the jobs; empty: defaultJobClass
 }
 
-// Priority maps YARN's priorities from AtLeast on to a native one.
+// Priority maps YARN's priorities from AtLeast upward to a native one.
 type Priority struct {
 	AtLeast int    `toml:"at_least"`
 	Native  string `toml:"native"`
@@ -62,10 +62,10 @@
 	Spot  bool     `toml:"spot"`
 }
 
-// Resource names what counts as a GPU.
+// Resource names a resource of YARN's API whose units are GPUs.
 type Resource struct {
 	Name string `toml:"name"`
-	GPUs int    `toml:"gpus"` // for each unit
+	GPUs int    `toml:"gpus"` // in each unit
 }
 
 // DefaultSettings returns the values of fields that a file leaves out.
@@ -94,11 +94,11 @@
 	return ParseSettings(string(text), c)
 }
 
-// ParseSettings parses and checks a file's text. The error names every bad field.
+// ParseSettings parses and checks a file's text. The error names every invalid field.
 func ParseSettings(text string, c *config.Settings) (*Settings, error) {
 	s := DefaultSettings()
 	priorities, resources := s.Priorities, s.Resources
-	s.Priorities, s.Resources = nil, nil // a file's lists replace the defaults
+	s.Priorities, s.Resources = nil, nil // a list in the file replaces the default list as a whole
 	metadata, err := toml.Decode(text, &s)
 	if err != nil {
 		return nil, fmt.Errorf("yarn: %w", err)
@@ -124,14 +124,14 @@
 	return &s, nil
 }
 
-// leafName is the last part of a queue's path.
+// leafName returns the last part of a queue's path.
 func leafName(path string) string { return path[strings.LastIndexByte(path, '.')+1:] }
 
 // defaultQueue is the queue of submissions that name none.
 const defaultQueue = "default"
 
-// queue finds a queue by its path or the last part of it; an empty name or defaultQueue is the
-// first.
+// queue finds a queue by its path or the last part of it. An empty name, or defaultQueue if no
+// queue is called so, means the first queue.
 func (s *Settings) queue(name string) (*Queue, bool) {
 	for i := range s.Queues {
 		if q := &s.Queues[i]; q.Path == name || leafName(q.Path) == name {
@@ -144,8 +144,8 @@
 	return nil, false
 }
 
-// nativePriority maps a priority to the native one: of the thresholds that it reaches, the
-// highest counts.
+// nativePriority maps a priority to a native one: that of the highest AtLeast which it reaches,
+// or normal priority if it reaches none.
 func (s *Settings) nativePriority(priority int) string {
 	highest, native := math.MinInt32, wire.PriorityNormal
 	for _, p := range s.Priorities {
--- a/yarn/settings_check.go
+++ b/yarn/settings_check.go
@@ -12,10 +12,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// settingsCheck collects what is wrong with settings.
+// settingsCheck collects the errors of settings.
 type settingsCheck struct {
 	settings *Settings
-	prefixes *bart.Lite // what is valid in Networks
+	prefixes *bart.Lite // the valid ones of Networks
 	errs     []error
 }
 
@@ -23,7 +23,7 @@
 	c.errs = append(c.errs, fmt.Errorf("yarn: "+format, args...))
 }
 
-// run checks all fields, those that name teams and zones against the platform's settings.
+// run checks all fields; names of teams and zones are looked up in the platform's settings.
 func (c *settingsCheck) run(platform *config.Settings) {
 	c.checkAddresses()
 	c.checkNumbers()
@@ -132,7 +132,7 @@
 	}
 }
 
-// checkNetworks also builds the prefix table by which addresses are matched.
+// checkNetworks checks Networks, and builds the prefix table by which addresses are matched.
 func (c *settingsCheck) checkNetworks() {
 	c.prefixes = new(bart.Lite)
 	for i, network := range c.settings.Networks {
--- a/yarn/settings_test.go
+++ b/yarn/settings_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// Tags, ids and tokens are parsed as they were written, and malformed tokens are refused.
+// Parsing reverses the encoding of tags, ids and tokens, and malformed tokens are refused.
 func TestTagsIDsAndTokensRoundTrip(t *testing.T) {
 	k := containerRequest{Priority: -3, AllocationRequestID: -1, ResourceName: "/a", RelaxLocality: true, NodeLabel: "cheap", MemoryMB: 4096, VCores: 2, GPUs: 1, GPUName: "yarn.io/gpu"}
 	if got := parseTag(k.tag()); got.tag() != k.tag() || got.MemoryMB != 4096 || got.GPUs != 1 || !got.RelaxLocality {
--- a/yarn/token.go
+++ b/yarn/token.go
@@ -16,14 +16,14 @@
 	containerToken tokenKind = "ct" // starts one container
 )
 
-// Kinds of tokens, as published.
+// Kinds of tokens in YARN's API.
 const (
 	publishedMasterToken    = "YARN_AM_RM_TOKEN"
 	publishedNodeToken      = "NMToken"
 	publishedContainerToken = "ContainerToken"
 )
 
-// published is the name of the kind that clients know.
+// published returns the kind in YARN's API.
 func (k tokenKind) published() string {
 	switch k {
 	case masterToken:
@@ -34,8 +34,8 @@
 	return publishedContainerToken
 }
 
-// token is what a token's identifier says: which application and attempt it belongs to, which
-// key has signed it, and the container's number if it starts one.
+// token is the content of a token's identifier: the application and attempt that it belongs to,
+// the key that signs it, and the container's number if it starts one.
 type token struct {
 	kind             tokenKind
 	clusterTimestamp int64
@@ -50,10 +50,10 @@
 	return fmt.Sprintf("%s/%d/%d/%d/%d/%d", t.kind, t.clusterTimestamp, t.application, t.attempt, t.key, t.container)
 }
 
-// errForeignToken says that an identifier is none of this service.
+// errForeignToken is the error for an identifier that this service has not issued.
 var errForeignToken = errors.New("not a token of this service")
 
-// parseToken parses an identifier. What is not exactly as String writes it is refused.
+// parseToken parses an identifier. Any text that String would not return is refused.
 func parseToken(identifier []byte) (token, error) {
 	parts := strings.Split(string(identifier), "/")
 	var numbers [5]int64
