--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -189,5 +189,5 @@
 	if j.admissionPage != nil {
 		return j.admissionPage.version == ref.Version(j.admissionPage.key)
 	}
-	return j.Version == ref.Version(jobstore.JobKey(j.ID))
+	return j.version == ref.Version(jobstore.JobKey(j.ID))
 }
--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -150,7 +150,7 @@
 // that can't preempt their tasks.
 func (m *Model) hasCompetitors(j *Job) bool {
 	for _, c := range m.classes.byName {
-		if !c.hasWaitObjective && c.lastJob.Priority == j.Priority && c.lastJob.Spec.Class != j.Spec.Class {
+		if !c.hasWaitObjective && c.lastJob.priority == j.priority && c.lastJob.Spec.Class != j.Spec.Class {
 			return true
 		}
 	}
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -109,7 +109,7 @@
 	}
 	for i := range j.Tasks {
 		t := &j.Tasks[i]
-		d.printf("T%d,%d,%t", t.Phase, t.Outcome, d.now.UnixMilli() < t.notBefore)
+		d.printf("T%d,%d,%t", t.Phase, t.outcome, d.now.UnixMilli() < t.notBefore)
 		if t.Placement != nil {
 			d.placement(t.Placement, &j.Chunks[i/jobstore.ChunkSize])
 		}
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -82,7 +82,7 @@
 		return "fault"
 	case k.withinQuota != o.withinQuota:
 		return priority.WithinQuota.String()
-	case k.job.Priority != o.job.Priority:
+	case k.job.priority != o.job.priority:
 		return priority.HigherPriority.String()
 	case o.req.Owed:
 		return priority.StarvationBound.String()
@@ -113,7 +113,7 @@
 		out = append(out, "a machine type that it fits; none in the catalogue is allowed and large enough")
 	}
 	switch {
-	case r.Zone >= 0 && r.Zone < len(m.Zones) && j.Zone < 0:
+	case r.Zone >= 0 && r.Zone < len(m.Zones) && j.zone < 0:
 		out = append(out, "room in zone "+m.Zones[r.Zone]+", where its other tasks are")
 	case r.Zone >= 0 && r.Zone < len(m.Zones):
 		out = append(out, "room in zone "+m.Zones[r.Zone]+", the only one it allows")
--- a/cluster/gpu_machines.go
+++ b/cluster/gpu_machines.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		switch {
-		case !k.withinQuota && (!m.hasObjective(k.job) || !k.mustStart && k.job.Priority >= highest && !m.hasWaitObjective(k.job)):
+		case !k.withinQuota && (!m.hasObjective(k.job) || !k.mustStart && k.job.priority >= highest && !m.hasWaitObjective(k.job)):
 			k.req.Types = intersect(k.req.Types, withoutGPUs)
 		case preemptible:
 			k.req.PreferredTypes = intersect(k.req.Types, withoutGPUs)
@@ -52,8 +52,8 @@
 func (m *Model) highestPriorityForGPUs(queue []*queued) int {
 	highest := math.MaxInt
 	for _, k := range queue {
-		if k.job.Need.GPU > 0 && k.job.Priority < highest && placement.TasksWithinLimit(&k.req, m.teams) > 0 {
-			highest = k.job.Priority
+		if k.job.Need.GPU > 0 && k.job.priority < highest && placement.TasksWithinLimit(&k.req, m.teams) > 0 {
+			highest = k.job.priority
 		}
 	}
 	return highest
--- a/cluster/guarantee.go
+++ b/cluster/guarantee.go
@@ -22,11 +22,11 @@
 	within := map[int32]bool{}
 	used := make([]placement.Resources, len(m.teams))
 	for _, j := range jobs {
-		if j.Team < 0 {
+		if j.team < 0 {
 			continue
 		}
-		used[j.Team] = used[j.Team].Add(j.Need, float64(len(j.Tasks)-j.DoneTasks))
-		if g := m.guarantees[j.Team]; guaranteed(j.Need, g) && withinGuarantee(used[j.Team], g) {
+		used[j.team] = used[j.team].Add(j.Need, float64(len(j.Tasks)-j.DoneTasks))
+		if g := m.guarantees[j.team]; guaranteed(j.Need, g) && withinGuarantee(used[j.team], g) {
 			within[j.Index] = true
 		}
 	}
@@ -76,8 +76,8 @@
 	for _, mc := range m.Machines {
 		for ref := range mc.Tasks {
 			j := m.Jobs[ref.Job]
-			if j.Team >= 0 && !without[j.Index] {
-				byTeam[j.Team] = append(byTeam[j.Team], placedTask{ref, j.Tasks[ref.Task].Placement.placedAt})
+			if j.team >= 0 && !without[j.Index] {
+				byTeam[j.team] = append(byTeam[j.team], placedTask{ref, j.Tasks[ref.Task].Placement.placedAt})
 			}
 		}
 	}
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -26,7 +26,7 @@
 	failures  uint8
 	resumed   bool                 // an earlier attempt has run
 	progress  float32              // seconds of work that earlier attempts have saved
-	Outcome   jobstore.TaskOutcome // of a reserved task that is over: how it ended
+	outcome   jobstore.TaskOutcome // of a reserved task that is over: how it ended
 	notBefore int64                // not to be placed before; Unix milliseconds
 	Placement *Placement
 }
@@ -38,7 +38,7 @@
 func (t *Task) unplace() { t.Phase, t.Placement = TaskIdle, nil }
 
 // end records how a task of a reserved job has ended.
-func (t *Task) end(outcome jobstore.TaskOutcome) { t.Outcome = outcome }
+func (t *Task) end(outcome jobstore.TaskOutcome) { t.outcome = outcome }
 
 // The backoff of a task that fails doubles with each failure.
 const (
@@ -70,15 +70,15 @@
 	Index      int32
 	ID         string
 	Spec       wire.Job
-	Version    uint64 // of its active record in the store
+	version    uint64 // of its active record in the store
 	AcceptedAt time.Time
 
 	// What its specification means in this cluster.
-	Team         int // -1 if the team is not configured
-	Priority     int // 0 is the highest
+	team         int // -1 if the team is not configured
+	priority     int // 0 is the highest
 	Need         placement.Resources
-	Zone         int // -1 if any will do
-	Image        int32
+	zone         int // -1 if any will do
+	image        int32
 	allowedTypes []bool // by machine type
 	tier         int    // priority tier, 0 is the highest; written by priorityTiers.assign
 
@@ -87,7 +87,7 @@
 	Chunks       []Chunk
 	DoneTasks    int
 	PlacedTasks  int
-	PlacedByZone []int
+	placedByZone []int
 	lastAttempt  uint64 // the highest attempt number ever used
 	cursor       int    // no task before it is in phase TaskIdle
 
@@ -138,7 +138,7 @@
 	j.Tasks[task].place(p)
 	j.PlacedTasks++
 	if zone >= 0 {
-		j.PlacedByZone[zone]++
+		j.placedByZone[zone]++
 	}
 }
 
@@ -150,7 +150,7 @@
 		j.resetGang()
 	}
 	if zone >= 0 {
-		j.PlacedByZone[zone]--
+		j.placedByZone[zone]--
 	}
 	j.cursor = min(j.cursor, int(task))
 }
@@ -158,9 +158,9 @@
 // changeZone counts a placed task for the zone of its machine, which has become known or has
 // changed.
 func (j *Job) changeZone(from, to int) {
-	j.PlacedByZone[to]++
+	j.placedByZone[to]++
 	if from >= 0 {
-		j.PlacedByZone[from]--
+		j.placedByZone[from]--
 	}
 }
 
@@ -210,4 +210,4 @@
 func (j *Job) quarantine() { j.quarantined = true }
 
 // recordedOn records that the job's active record is on an admission page.
-func (j *Job) recordedOn(p *admissionPage) { j.admissionPage, j.Version = p, p.version }
+func (j *Job) recordedOn(p *admissionPage) { j.admissionPage, j.version = p, p.version }
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -19,14 +19,14 @@
 // newer version of the record, in which only the reservation may have changed.
 func (m *Model) ApplyJobRecord(id string, rec jobstore.JobRecord, version uint64, now time.Time) {
 	if j := m.Job(id); j != nil {
-		if version > j.Version {
-			j.Version = version
+		if version > j.version {
+			j.version = version
 			m.updateReservation(j, rec.Reservation, now)
 		}
 		return
 	}
 	j := m.addJob(id, rec)
-	j.Version = version
+	j.version = version
 	m.recordArrival(j, now)
 	if m.loadFinished {
 		m.releaseTasks(j, now)
@@ -42,20 +42,20 @@
 func (m *Model) addJob(id string, rec jobstore.JobRecord) *Job {
 	s := rec.Job
 	j := &Job{
-		Index: int32(len(m.Jobs)), ID: id, Spec: s, AcceptedAt: time.UnixMilli(rec.AcceptedAtMs), Team: -1,
-		Priority: priorities[s.Priority], Need: placement.Resources{CPU: s.CPUs, GPU: s.GPUs, Mem: s.MemoryGB},
-		allowedTypes: m.allowedTypes(&s), Zone: -1, Image: m.images.intern(s.Image, s.ImageGB),
+		Index: int32(len(m.Jobs)), ID: id, Spec: s, AcceptedAt: time.UnixMilli(rec.AcceptedAtMs), team: -1,
+		priority: priorities[s.Priority], Need: placement.Resources{CPU: s.CPUs, GPU: s.GPUs, Mem: s.MemoryGB},
+		allowedTypes: m.allowedTypes(&s), zone: -1, image: m.images.intern(s.Image, s.ImageGB),
 		Tasks: make([]Task, s.Tasks), Chunks: make([]Chunk, (s.Tasks+jobstore.ChunkSize-1)/jobstore.ChunkSize),
-		PlacedByZone: make([]int, len(m.Zones)), failures: &failureHistory{},
+		placedByZone: make([]int, len(m.Zones)), failures: &failureHistory{},
 		reservation: newReservation(rec.Reservation, s.Tasks),
 	}
 	if t, ok := m.names.teams[s.Team]; ok {
-		j.Team = t
+		j.team = t
 	}
 	if s.Zone != "" {
-		j.Zone = math.MaxInt32 // no machine is in an unknown zone
+		j.zone = math.MaxInt32 // no machine is in an unknown zone
 		if z, ok := m.names.zones[s.Zone]; ok {
-			j.Zone = z
+			j.zone = z
 		}
 	}
 	m.tiers.assign(j)
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -105,10 +105,10 @@
 	for _, ref := range m.buffers.taskRefs {
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
-		if p.reportedState < reportedWaiting && v.FetchRate > 0 && !mc.hasImage(j.Image) {
+		if p.reportedState < reportedWaiting && v.FetchRate > 0 && !mc.hasImage(j.image) {
 			left := max(0.5, j.Spec.ImageGB/v.FetchRate-now.Sub(p.placedAt).Seconds())
-			if !slices.ContainsFunc(m.buffers.images[images:], func(im placement.ImageAt) bool { return im.Image == j.Image }) {
-				m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: j.Image, ReadyInSeconds: left})
+			if !slices.ContainsFunc(m.buffers.images[images:], func(im placement.ImageAt) bool { return im.Image == j.image }) {
+				m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: j.image, ReadyInSeconds: left})
 				v.FetchBacklogSeconds += left
 			}
 		}
@@ -117,7 +117,7 @@
 			v.Releasing = v.Releasing.Add(j.Need, 1)
 		}
 		m.buffers.occupants = append(m.buffers.occupants, placement.Occupant{
-			Task: ref, Need: j.Need, Priority: j.Priority, Team: j.Team, OverGuarantee: over[ref], Tier: j.tier,
+			Task: ref, Need: j.Need, Priority: j.priority, Team: j.team, OverGuarantee: over[ref], Tier: j.tier,
 			LossSeconds: m.preemptionLoss(j, p, now), RemainingSeconds: m.secondsLeft(j, ref.Task, now), Stopping: stopping,
 			NonPreemptible: stopping || j.Gang() && len(j.Tasks) > 1 || m.isStartProtected(j, now),
 		})
--- a/cluster/placeholders.go
+++ b/cluster/placeholders.go
@@ -18,7 +18,7 @@
 // placeholder requests resources for n tasks like those of a job.
 func (m *Model) placeholder(j *Job, n int) placement.Request {
 	r := placement.Request{
-		Job: -1, Need: j.Need, Priority: placeholderPriority, Team: -1, Image: j.Image, Zone: -1,
+		Job: -1, Need: j.Need, Priority: placeholderPriority, Team: -1, Image: j.image, Zone: -1,
 		PlacedByZone: make([]int, len(m.Zones)), Types: j.allowedTypes, Spot: j.Spec.Spot, Headroom: true,
 	}
 	for i := range n {
@@ -39,7 +39,7 @@
 	var out []placement.Request
 	for _, name := range m.classes.names {
 		c := m.classes.get(name)
-		if done[name] || !c.hasWaitObjective || c.lastJob.Priority != k.job.Priority || !m.reservesFor(c, k, own) {
+		if done[name] || !c.hasWaitObjective || c.lastJob.priority != k.job.priority || !m.reservesFor(c, k, own) {
 			continue
 		}
 		done[name] = true
--- a/cluster/placementpagewrite.go
+++ b/cluster/placementpagewrite.go
@@ -77,7 +77,7 @@
 	if j.Cancelled || b.jobs[key] != nil || w.jobs[key] != nil {
 		return
 	}
-	guard := wire.Guard{Key: key, Version: j.Version}
+	guard := wire.Guard{Key: key, Version: j.version}
 	if j.admissionPage != nil {
 		guard = wire.Guard{Key: jobstore.FinalKey(j.ID)}
 	}
--- a/cluster/places.go
+++ b/cluster/places.go
@@ -44,7 +44,7 @@
 }
 
 // allowsZone reports whether the job's zone constraint allows a zone.
-func (j *Job) allowsZone(zone int) bool { return j.Zone < 0 || j.Zone == zone }
+func (j *Job) allowsZone(zone int) bool { return j.zone < 0 || j.zone == zone }
 
 // placesFor returns for each place for a task of the job in a zone, or in all zones if zone is
 // negative, the seconds until it is free, unsorted. Places that tasks of higher priority occupy are not
@@ -80,10 +80,10 @@
 	var ends []taskEnd
 	for ref := range mc.Tasks {
 		occupant := m.Jobs[ref.Job]
-		if occupant.Priority <= j.Priority {
+		if occupant.priority <= j.priority {
 			free = free.Add(occupant.Need, -1)
 		}
-		if occupant.Priority == j.Priority {
+		if occupant.priority == j.priority {
 			ends = append(ends, taskEnd{m.secondsLeft(occupant, ref.Task, now), occupant.Need})
 		}
 	}
@@ -125,7 +125,7 @@
 
 // zonePlacesFor forecasts the places for tasks of the job, each list sorted.
 func (m *Model) zonePlacesFor(j *Job, now time.Time) *zonePlaces {
-	r := &zonePlaces{anyZone: !j.Spec.OneZone && j.Zone < 0}
+	r := &zonePlaces{anyZone: !j.Spec.OneZone && j.zone < 0}
 	if r.anyZone {
 		r.byZone = []placeTimes{m.placesFor(j, -1, now)}
 	} else {
@@ -152,7 +152,7 @@
 func (r *zonePlaces) earliest(j *Job, n int) (at float64, zone int) {
 	at, zone = math.Inf(1), -1
 	for z, t := range r.byZone {
-		if !r.anyZone && j.Zone >= 0 && j.Zone != z || len(t) < n {
+		if !r.anyZone && j.zone >= 0 && j.zone != z || len(t) < n {
 			continue
 		}
 		if t[n-1] < at {
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -125,7 +125,7 @@
 		return
 	}
 	for _, j := range m.Jobs {
-		if j == nil || j.Cancelled || j.Finished || j.admissionPage == nil && j.reservation == nil && j.Version > m.quarantine.newestPage {
+		if j == nil || j.Cancelled || j.Finished || j.admissionPage == nil && j.reservation == nil && j.version > m.quarantine.newestPage {
 			continue
 		}
 		for i := range j.Chunks {
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -128,8 +128,8 @@
 	switch {
 	case k.withinQuota != o.withinQuota:
 		return k.withinQuota
-	case k.job.Priority != o.job.Priority:
-		return k.job.Priority < o.job.Priority
+	case k.job.priority != o.job.priority:
+		return k.job.priority < o.job.priority
 	case k.req.Tier != o.req.Tier:
 		return k.req.Tier < o.req.Tier
 	case k.inWindow || o.inWindow:
--- a/cluster/reachability_test.go
+++ b/cluster/reachability_test.go
@@ -58,8 +58,8 @@
 	}
 	r := rep(4, 5)
 	r.Session = 2
-	if answer(t, m, r, at(11)); task.Placement != nil || task.Outcome != jobstore.OutcomeLost {
-		t.Errorf("kept, or ended as %d", task.Outcome)
+	if answer(t, m, r, at(11)); task.Placement != nil || task.outcome != jobstore.OutcomeLost {
+		t.Errorf("kept, or ended as %d", task.outcome)
 	}
 }
 
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -107,7 +107,7 @@
 		p.report(reportedFetching, now)
 	case wire.TaskWaiting:
 		p.report(reportedWaiting, now)
-		m.recordImage(mc, j.Image)
+		m.recordImage(mc, j.image)
 	case wire.TaskRunning:
 		if p.report(reportedRunning, now) {
 			if !p.launchSentAt.IsZero() {
@@ -124,7 +124,7 @@
 		if j.markStarted(now) {
 			m.log.Info("job started", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		}
-		m.recordImage(mc, j.Image)
+		m.recordImage(mc, j.image)
 	case wire.TaskSaving:
 		p.report(reportedSaving, now)
 	case wire.TaskExited:
--- a/cluster/request.go
+++ b/cluster/request.go
@@ -12,9 +12,9 @@
 // may be placed now.
 func (m *Model) buildRequest(j *Job, now time.Time) (placement.Request, bool) {
 	r := placement.Request{
-		Job: j.Index, Gang: j.Gang(), Need: j.Need, Priority: j.Priority, Team: j.Team,
-		Image: j.Image, ImageGB: j.Spec.ImageGB, Zone: j.Zone, OneZone: j.Spec.OneZone,
-		PlacedByZone: append([]int(nil), j.PlacedByZone...), Types: j.allowedTypes, Spot: j.Spec.Spot, Precedence: placement.Precedence{Tier: j.tier},
+		Job: j.Index, Gang: j.Gang(), Need: j.Need, Priority: j.priority, Team: j.team,
+		Image: j.image, ImageGB: j.Spec.ImageGB, Zone: j.zone, OneZone: j.Spec.OneZone,
+		PlacedByZone: append([]int(nil), j.placedByZone...), Types: j.allowedTypes, Spot: j.Spec.Spot, Precedence: placement.Precedence{Tier: j.tier},
 	}
 	if j.Gang() && j.PlacedTasks > 0 && (j.gangStarted || j.gangEnding) {
 		return r, false
@@ -62,7 +62,7 @@
 // yet, which holds the request back.
 func (j *Job) constrainZones(r *placement.Request) bool {
 	if j.Spec.OneZone && r.Zone < 0 && j.PlacedTasks > 0 {
-		for zone, tasks := range j.PlacedByZone {
+		for zone, tasks := range j.placedByZone {
 			if tasks > 0 {
 				r.Zone = zone
 			}
@@ -82,7 +82,7 @@
 // it was recorded by an earlier leader on a machine of which nothing has been heard since.
 func (j *Job) knowsZones() bool {
 	known := 0
-	for _, tasks := range j.PlacedByZone {
+	for _, tasks := range j.placedByZone {
 		known += tasks
 	}
 	return known >= j.PlacedTasks
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -125,7 +125,7 @@
 	var out []int
 	for i := lo; i < hi; i++ {
 		if j.Tasks[i].Phase == TaskDone {
-			out = append(out, i, int(j.Tasks[i].Outcome))
+			out = append(out, i, int(j.Tasks[i].outcome))
 		}
 	}
 	return out
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -93,7 +93,7 @@
 	case ready > 0:
 	case coming:
 		return blockedByScaleOut
-	case j.Zone >= 0:
+	case j.zone >= 0:
 		return blockedByZone
 	default:
 		return blockedByNoMachines
@@ -115,10 +115,10 @@
 
 // quotaAllows reports whether the team's limit allows the job to start.
 func (m *Model) quotaAllows(j *Job) bool {
-	if j.Team < 0 {
+	if j.team < 0 {
 		return true
 	}
-	t := &m.teams[j.Team]
+	t := &m.teams[j.team]
 	want := t.Used.Add(j.Need, float64(j.placesToStart()))
 	over := func(want, need, most float64) bool { return most > 0 && need > 0 && want > most+1e-6 }
 	return !over(want.CPU, j.Need.CPU, t.Max.CPU) && !over(want.GPU, j.Need.GPU, t.Max.GPU)
@@ -155,7 +155,7 @@
 			continue
 		}
 		for ref := range mc.Tasks {
-			if m.Jobs[ref.Job].Priority >= j.Priority {
+			if m.Jobs[ref.Job].priority >= j.priority {
 				return false
 			}
 			higher = true
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -20,7 +20,7 @@
 	var out []*queued
 	for lo := 0; lo < len(queue); {
 		hi := lo + 1
-		for hi < len(queue) && queue[hi].withinQuota == queue[lo].withinQuota && queue[hi].job.Priority == queue[lo].job.Priority {
+		for hi < len(queue) && queue[hi].withinQuota == queue[lo].withinQuota && queue[hi].job.priority == queue[lo].job.priority {
 			hi++
 		}
 		split := splitMustStart(queue[lo:hi], maxMustStarts-promoted)
@@ -121,15 +121,15 @@
 // starts that are still protected.
 func (m *Model) promoteLastCalls(queue []*queued, now time.Time) []*queued {
 	beyondQuota := slices.IndexFunc(queue, func(k *queued) bool { return !k.withinQuota })
-	if beyondQuota < 0 || queue[beyondQuota].job.Priority == queue[len(queue)-1].job.Priority {
+	if beyondQuota < 0 || queue[beyondQuota].job.priority == queue[len(queue)-1].job.priority {
 		return queue
 	}
-	highest := queue[beyondQuota].job.Priority
+	highest := queue[beyondQuota].job.priority
 	places := m.lastCallPlaces(now)
 	var called, others []*queued
 	for _, k := range queue[beyondQuota:] {
 		tasks := len(k.req.Tasks)
-		if k.isLastCall(now) && k.job.Priority > highest && places > 0 && (tasks <= places || len(called) == 0) {
+		if k.isLastCall(now) && k.job.priority > highest && places > 0 && (tasks <= places || len(called) == 0) {
 			places -= tasks
 			called = append(called, k)
 		} else {
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -48,7 +48,7 @@
 	m.log.Debug("task exited", "task", t.Task, "attempt", t.Attempt, "why", t.Why, "saved", t.Saved, "ran", ran, "machine", mc.Name)
 	ref := TaskRef{Job: j.Index, Task: task}
 	if t.Why == wire.ExitDone {
-		m.recordImage(mc, j.Image)
+		m.recordImage(mc, j.image)
 		m.clearFault(j)
 		m.recordSlowness(j, mc, p, now)
 		m.recordRunTime(j, task, p, now)
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -13,8 +13,8 @@
 	j.placeTask(task, mc.Zone, &Placement{Machine: mc.index, Attempt: attempt, placedAt: now, machineName: mc.Name})
 	mc.bookTask(TaskRef{Job: j.Index, Task: task}, j.Need)
 	m.directCommands.addLaunch(TaskRef{Job: j.Index, Task: task})
-	if j.Team >= 0 {
-		m.teams[j.Team].Used = m.teams[j.Team].Used.Add(j.Need, 1)
+	if j.team >= 0 {
+		m.teams[j.team].Used = m.teams[j.team].Used.Add(j.Need, 1)
 	}
 }
 
@@ -34,8 +34,8 @@
 	j.unplaceTask(task, mc.Zone)
 	m.PlacesFreed++
 	mc.releaseTask(ref, j.Need, now)
-	if j.Team >= 0 {
-		m.teams[j.Team].Used = m.teams[j.Team].Used.Add(j.Need, -1)
+	if j.team >= 0 {
+		m.teams[j.team].Used = m.teams[j.team].Used.Add(j.Need, -1)
 	}
 	m.writes.changeChunk(j, task)
 }
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -111,7 +111,7 @@
 			missedTasks += len(k.req.Tasks)
 		}
 	}
-	m.log.Debug("triage", "priority", group[0].job.Priority, "jobs", len(group), "tasks", tasks, "givenUp", missed, "tasksGivenUp", missedTasks)
+	m.log.Debug("triage", "priority", group[0].job.priority, "jobs", len(group), "tasks", tasks, "givenUp", missed, "tasksGivenUp", missedTasks)
 }
 
 // sortTriaged puts jobs of one rank in the order in which they are served.
@@ -138,7 +138,7 @@
 // The places are counted for the resources and the zone of the first job, which stands for all
 // of them. Without any place no job is marked.
 func (m *Model) triageClass(jobs []*queued, now time.Time) {
-	places := placeTimes(m.placesFor(jobs[0].job, jobs[0].job.Zone, now))
+	places := placeTimes(m.placesFor(jobs[0].job, jobs[0].job.zone, now))
 	if len(places) == 0 {
 		return
 	}
--- a/cluster/warm_pool_demand.go
+++ b/cluster/warm_pool_demand.go
@@ -48,11 +48,11 @@
 // the smallest machine takes.
 func (d *replicaDemand) add(j *Job, replicasPerMachine int) {
 	if d.images == nil {
-		*d = replicaDemand{priority: j.Priority, class: j.Spec.Class, images: map[string]imageDemand{}}
+		*d = replicaDemand{priority: j.priority, class: j.Spec.Class, images: map[string]imageDemand{}}
 	}
 	replicas := len(j.Tasks) - j.DoneTasks
 	d.open += replicas
-	d.priority = min(d.priority, j.Priority)
+	d.priority = min(d.priority, j.priority)
 	image := d.images[j.Spec.Image]
 	image.replicas += replicas
 	image.weightsGB = j.Spec.ImageGB
--- a/cluster/warm_pool_effects.go
+++ b/cluster/warm_pool_effects.go
@@ -55,7 +55,7 @@
 		return nil
 	}
 	access := make([]placement.PoolAccess, len(m.pools.all))
-	workload := warmpool.Workload{Image: j.Spec.Image, Team: j.Spec.Team, Priority: j.Priority, Gang: j.Gang() && len(j.Tasks) > 1,
+	workload := warmpool.Workload{Image: j.Spec.Image, Team: j.Spec.Team, Priority: j.priority, Gang: j.Gang() && len(j.Tasks) > 1,
 		Tier: j.tier, CheckpointSeconds: j.Spec.SaveS, Checkpoints: j.Spec.CheckpointS > 0}
 	for i, p := range m.pools.all {
 		if m.isPrefetch(j) {
@@ -90,7 +90,7 @@
 			continue
 		}
 		shard := p.shardOf[mc.index] // 0 for machines of no pool
-		if mc.hasImage(j.Image) {
+		if mc.hasImage(j.image) {
 			p.shards[shard].Hits++
 		} else {
 			p.shards[shard].Misses++
--- a/cluster/warm_pool_members.go
+++ b/cluster/warm_pool_members.go
@@ -92,8 +92,8 @@
 	}
 	used := make([]placement.Resources, len(m.teams))
 	for ref := range mc.Tasks {
-		if j := m.Jobs[ref.Job]; j.Team >= 0 && !m.isPrefetch(j) {
-			used[j.Team] = used[j.Team].Add(j.Need, 1)
+		if j := m.Jobs[ref.Job]; j.team >= 0 && !m.isPrefetch(j) {
+			used[j.team] = used[j.team].Add(j.Need, 1)
 		}
 	}
 	capacity := m.MachineTypes[mc.typeIndex].Capacity
@@ -150,10 +150,10 @@
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
 		place := j.Tasks[ref.Task].Placement
-		if j.Image == image && place.reportedState < reportedWaiting {
+		if j.image == image && place.reportedState < reportedWaiting {
 			seen.Fetching = true
 		}
-		seen.Serving = seen.Serving && j.Image == image && p.AllowsTeam(j.Spec.Team)
+		seen.Serving = seen.Serving && j.image == image && p.AllowsTeam(j.Spec.Team)
 	}
 	return seen
 }
@@ -167,7 +167,7 @@
 	limit := config.Seconds(stuckFetchFactor*weightsGB/m.MachineTypes[mc.typeIndex].FetchRate) + time.Minute
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
-		if place := j.Tasks[ref.Task].Placement; j.Image == image && place.reportedState < reportedWaiting && now.Sub(place.placedAt) > limit {
+		if place := j.Tasks[ref.Task].Placement; j.image == image && place.reportedState < reportedWaiting && now.Sub(place.placedAt) > limit {
 			return true
 		}
 	}
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -47,7 +47,7 @@
 		if known && !m.Machines[i].Gone {
 			member = p.member(m.Machines[i])
 		}
-		obsolete := member == nil || member.Leaving || j.Image != image
+		obsolete := member == nil || member.Leaving || j.image != image
 		switch t := &j.Tasks[0]; {
 		case t.Phase == TaskIdle && (obsolete || m.Machines[i].hasImage(image)):
 			m.finishOnlyAttempt(j, 0, jobstore.OutcomeReleased, now)
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -202,7 +202,7 @@
 // placesWhenEmpty is Model.placesWhenEmpty, computed once for each of the first
 // maxTaskShapes kinds of tasks, since it looks at all machines; 0 for further kinds.
 func (e *loadEstimate) placesWhenEmpty(j *Job) float64 {
-	shape := taskShape{j.Need, fmt.Sprint(j.allowedTypes), j.Zone, j.Spec.Spot}
+	shape := taskShape{j.Need, fmt.Sprint(j.allowedTypes), j.zone, j.Spec.Spot}
 	places, counted := e.places[shape]
 	if !counted && len(e.places) < maxTaskShapes {
 		places = e.model.placesWhenEmpty(j, e.now)
@@ -240,7 +240,7 @@
 func (m *Model) placesOnMachines(j *Job, now time.Time, counts func(*Machine) bool) int {
 	places := 0
 	for _, mc := range m.Machines {
-		if mc.typeIndex < 0 || !j.allowedTypes[mc.typeIndex] || mc.Spot && !j.Spec.Spot || j.Zone >= 0 && j.Zone != mc.Zone {
+		if mc.typeIndex < 0 || !j.allowedTypes[mc.typeIndex] || mc.Spot && !j.Spec.Spot || j.zone >= 0 && j.zone != mc.Zone {
 			continue
 		}
 		if _, boots := m.bootTimeLeft(mc, now); boots || counts(mc) {
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -105,10 +105,10 @@
 // quotaPlacesLeft is how many places a job's team may use beyond those present.
 func (m *Model) quotaPlacesLeft(j *Job, present int) int {
 	places := unlimitedPlaces
-	if j.Team < 0 {
+	if j.team < 0 {
 		return places
 	}
-	limit := m.teams[j.Team].Max
+	limit := m.teams[j.team].Max
 	for _, resource := range []struct{ need, limit float64 }{{j.Need.CPU, limit.CPU}, {j.Need.GPU, limit.GPU}} {
 		if resource.need > 0 && resource.limit > 0 {
 			places = min(places, int(resource.limit/resource.need+1e-6)-present)
@@ -121,7 +121,7 @@
 func (m *Model) anyOfferFits(j *Job, offers []placement.Offer) bool {
 	for i := range offers {
 		o := &offers[i]
-		if j.allowedTypes[o.Type] && (j.Zone < 0 || j.Zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity) {
+		if j.allowedTypes[o.Type] && (j.zone < 0 || j.zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity) {
 			return true
 		}
 	}
@@ -140,7 +140,7 @@
 		return placement.Request{}, false
 	}
 	request := m.placeholder(provision.job, lacking)
-	request.Provision, request.Zone = true, provision.job.Zone
+	request.Provision, request.Zone = true, provision.job.zone
 	return request, true
 }
 
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -178,7 +178,7 @@
 			return false
 		}
 	} else {
-		b.Guards = append(b.Guards, wire.Guard{Key: jobstore.JobKey(j.ID), Version: j.Version})
+		b.Guards = append(b.Guards, wire.Guard{Key: jobstore.JobKey(j.ID), Version: j.version})
 		b.Ops = append(b.Ops, wire.Op{Delete: jobstore.JobKey(j.ID)})
 	}
 	b.Guards = append(b.Guards, wire.Guard{Key: jobstore.FinalKey(j.ID)})
