--- a/cluster/plan_records.go
+++ b/cluster/plan_records.go
@@ -34,7 +34,7 @@
 	m.plan = p
 	m.DropHeldStops()
 	if m.loadFinished {
-		m.log.Info("plan taken in", "version", p.Number, "lost", p.Unreadable, "takenBack", m.unplaceUncommitted(now))
+		m.log.Info("plan adopted", "version", p.Number, "unreadable", p.Unreadable, "unplacedTasks", m.unplaceUncommitted(now))
 	}
 	m.planChanged(now)
 }
