--- a/cluster/attempt.go
+++ b/cluster/attempt.go
@@ -43,7 +43,7 @@
 	Attempt       uint64
 	placedAt      time.Time
 	Inherited     bool // recorded by an earlier leader, which may have sent the launch
-	launchSent    bool // this leader has sent the launch
+	launchSent    bool // a launch was sent by this leader, or a heartbeat lists the attempt
 	launchSentAt  time.Time
 	launchSession uint64
 	launchSeq     uint64 // of the heartbeat whose answer carried the launch
--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -230,7 +230,7 @@
 			schedule.outcomeUnsaved = true
 			m.log.Info("batch window closed", "region", schedule.region.Name, "outcome", outcome.String())
 		}
-		m.saveWindowRecord(schedule, now)
+		m.queueWindowRecord(schedule, now)
 	}
 }
 
@@ -256,14 +256,14 @@
 	return jobs
 }
 
-// saveWindowRecord queues a region's record to be written: at once if a batch window has been
+// queueWindowRecord queues a region's record to be written: at once if a batch window has been
 // closed, within seconds for other changes, and once a minute while a batch window is open,
 // which shows that a leader still updates it.
-func (m *Model) saveWindowRecord(schedule *windowSchedule, now time.Time) {
+func (m *Model) queueWindowRecord(schedule *windowSchedule, now time.Time) {
 	sinceSaved := now.Sub(schedule.savedAt)
 	changed := schedule.Generation() != schedule.savedGeneration
 	if schedule.outcomeUnsaved || changed && sinceSaved >= windowSaveInterval || schedule.HasOpenWindows() && sinceSaved >= windowSaveMaxInterval {
-		m.savePlanRecord(calendar.RecordName(schedule.region.Name), schedule.Record(now, m.windowRecordIDBytes()))
+		m.queuePlanRecord(calendar.RecordName(schedule.region.Name), schedule.Record(now, m.windowRecordIDBytes()))
 		schedule.savedGeneration, schedule.savedAt, schedule.outcomeUnsaved = schedule.Generation(), now, false
 	}
 }
--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -17,8 +17,8 @@
 	usualBootRatio = 1.5 // most machines take no longer; lower bound of the estimate
 	maxBootRatio   = 3.0 // upper bound of the estimate
 	bootRatioDecay = 0.9 // factor applied to the slowest ratio with each faster machine
-	lateMargin     = 1.3 // factor on the estimate, after which a machine counts as late
-	lostMargin     = 1.4 // factor on the estimate, after which a machine is deleted
+	lateBootMargin = 1.3 // factor on the estimate, after which a machine counts as late
+	lostBootMargin = 1.4 // factor on the estimate, after which a machine is deleted
 )
 
 // observe records the ratio of a machine that came up.
@@ -41,33 +41,33 @@
 	}
 }
 
-// bootCountsAsLate returns how long after its creation a machine that has not come up counts
+// lateBootLimit returns how long after its creation a machine that has not come up counts
 // as late. A late machine is not expected any more, and may be replaced.
-func (m *Model) bootCountsAsLate(mc *Machine) time.Duration {
+func (m *Model) lateBootLimit(mc *Machine) time.Duration {
 	t := &m.MachineTypes[mc.typeIndex]
-	return time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()*lateMargin) + config.Seconds(m.settings.Cluster.Workers.ReportS)
+	return time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()*lateBootMargin) + config.Seconds(m.settings.Cluster.Workers.ReportS)
 }
 
-// bootLimit returns how long after its creation a machine that has not come up is deleted. It
+// lostBootLimit returns how long after its creation a machine that has not come up is deleted. It
 // is long compared with usual boots, because a late machine that is deleted and replaced is
 // paid for twice, and its replacement takes as long to boot.
-func (m *Model) bootLimit(mc *Machine) time.Duration {
+func (m *Model) lostBootLimit(mc *Machine) time.Duration {
 	t := &m.MachineTypes[mc.typeIndex]
-	return time.Duration(float64(t.BootTime)*max(2.5, t.bootTimes.expectedRatio()*lostMargin)) + 15*time.Second
+	return time.Duration(float64(t.BootTime)*max(2.5, t.bootTimes.expectedRatio()*lostBootMargin)) + 15*time.Second
 }
 
-// bootTimeLeft returns the seconds until a machine that has not come up is expected to. It
+// estimateBootTimeLeft returns the seconds until a machine that has not come up is expected to. It
 // returns false if the machine has come up, or is not expected to in time.
-func (m *Model) bootTimeLeft(mc *Machine, now time.Time) (float64, bool) {
+func (m *Model) estimateBootTimeLeft(mc *Machine, now time.Time) (float64, bool) {
 	if mc.alive || mc.Gone || mc.scalingIn || mc.AgentEpoch > 0 || mc.typeIndex < 0 || mc.Zone < 0 {
 		return 0, false
 	}
 	age := now.Sub(mc.createdAt)
 	lag := config.Seconds(2*m.settings.Cluster.Cloud.ListLagS + 10)
-	if mc.cloudState == "" && age > lag || mc.cloudState == wire.MachineFailed || age > m.bootLimit(mc) {
+	if mc.cloudState == "" && age > lag || mc.cloudState == wire.MachineFailed || age > m.lostBootLimit(mc) {
 		return 0, false
 	}
-	if age > m.bootCountsAsLate(mc) {
+	if age > m.lateBootLimit(mc) {
 		// A new leader has not received heartbeats from all running machines yet.
 		if !mc.bootLateLogged && len(mc.Tasks) == 0 && mc.cloudState != wire.MachineRunning {
 			mc.markLateBootLogged()
--- a/cluster/boottime_test.go
+++ b/cluster/boottime_test.go
@@ -18,18 +18,18 @@
 		m.ApplyHeartbeat(&wire.Report{Machine: name, Addr: "x", Type: "m", Zone: "a", Session: 1, Seq: 1}, at(s))
 	}
 	order("a", 10)
-	before := m.bootCountsAsLate(m.findOrAddMachine("a", at(10)))
-	if _, ok := m.bootTimeLeft(m.findOrAddMachine("a", at(10)), at(10).Add(before+time.Second)); ok {
+	before := m.lateBootLimit(m.findOrAddMachine("a", at(10)))
+	if _, ok := m.estimateBootTimeLeft(m.findOrAddMachine("a", at(10)), at(10).Add(before+time.Second)); ok {
 		t.Error("a late machine is still counted on")
 	}
 	up("a", 100) // three times what the catalogue says
 	order("b", 100)
-	if after := m.bootCountsAsLate(m.findOrAddMachine("b", at(100))); after < 90*time.Second || after > 200*time.Second {
+	if after := m.lateBootLimit(m.findOrAddMachine("b", at(100))); after < 90*time.Second || after > 200*time.Second {
 		t.Errorf("late after %v", after)
 	}
 	up("b", 2000)
 	order("c", 2000)
-	if limit := m.bootLimit(m.findOrAddMachine("c", at(2000))); limit > 4*time.Minute {
+	if limit := m.lostBootLimit(m.findOrAddMachine("c", at(2000))); limit > 4*time.Minute {
 		t.Errorf("given up only after %v, wanted a bound", limit)
 	}
 }
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -59,7 +59,7 @@
 		return nil, false
 	}
 	mc.recordRetryAnswer()
-	mc.answeredAgain(via)
+	mc.recordRepeatedAnswer(via)
 	return m.stopCommands(mc, r), true
 }
 
@@ -69,7 +69,7 @@
 func (m *Model) AnswerHeartbeat(mc *Machine, r *wire.Report, now time.Time) []wire.Command {
 	m.Observer.LeaseLeft(m.leaseEnd(mc).Sub(now).Seconds())
 	mc.recordAnswer(now)
-	mc.reachability.answered(r.Seq)
+	mc.reachability.recordAnswer(r.Seq)
 	// Stops come first, so that they always fit: an answer renews the worker's lease, and
 	// a task whose stop was left out may keep running for another lease.
 	out := m.stopCommands(mc, r)
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -36,7 +36,7 @@
 
 	pool                int       // its warm pool's index in warmPools.all plus 1; 0 if it is in no pool
 	unreadySince        time.Time // since when its warm pool has found it not ready; zero if it is ready
-	unfitUntil          time.Time // no warm pool accepts it before, because it failed to fetch weights
+	poolExclusionUntil  time.Time // no warm pool accepts it before, because it failed to fetch the image
 	imagesRestoredEpoch uint64    // the last agent epoch for which restoreWeights has run
 }
 
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -70,7 +70,7 @@
 		v.Ready = true
 	} else if m.mayProveReachable(mc, now) {
 		v.ETA = 1
-	} else if eta, ok := m.bootTimeLeft(mc, now); ok {
+	} else if eta, ok := m.estimateBootTimeLeft(mc, now); ok {
 		v.ETA = eta
 	} else {
 		return v, false
--- a/cluster/places.go
+++ b/cluster/places.go
@@ -58,7 +58,7 @@
 		}
 		if m.Ready(mc, now) {
 			places = m.appendReadyPlaces(places, mc, j, now)
-		} else if eta, boots := m.bootTimeLeft(mc, now); boots {
+		} else if eta, boots := m.estimateBootTimeLeft(mc, now); boots {
 			for range tasksThatFit(j.Need, m.MachineTypes[mc.typeIndex].Capacity) {
 				places = append(places, eta)
 			}
--- a/cluster/plan_records.go
+++ b/cluster/plan_records.go
@@ -115,10 +115,10 @@
 	s.names = append(slices.DeleteFunc(s.names, func(n string) bool { return n == name }), name)
 }
 
-// savePlanRecord queues a record of that name to be written soon. All of these records
+// queuePlanRecord queues a record of that name to be written soon. All of these records
 // together take few changes a second, and of several values only the last is written. The
 // record must not change before it is saved again, and must fit into a value.
-func (m *Model) savePlanRecord(name string, record any) {
+func (m *Model) queuePlanRecord(name string, record any) {
 	r := m.planRecords.findOrAdd(name)
 	r.value = record
 	r.generation++
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -64,7 +64,7 @@
 	fleet := m.schedulableCapacity(now)
 	t.changed, t.savedAt = false, now
 	t.inversions.PlanVersion, t.inversions.Capacity = m.plan.Number, [3]float64{fleet.CPU, fleet.GPU, fleet.Mem}
-	m.savePlanRecord(inversionRecordName, t.inversions.Clone())
+	m.queuePlanRecord(inversionRecordName, t.inversions.Clone())
 }
 
 // setPriorityPolicy puts a policy in force; nil means that there are no tiers.
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -41,9 +41,9 @@
 	pendingProbe   exitKey
 }
 
-// answered records that a heartbeat has been answered: the next one shows whether the
+// recordAnswer records that a heartbeat has been answered: the next one shows whether the
 // worker received the answer.
-func (h *reachability) answered(seq uint64) { h.answerPending, h.answeredSeq = true, seq }
+func (h *reachability) recordAnswer(seq uint64) { h.answerPending, h.answeredSeq = true, seq }
 
 // forgetSent records that an answer contains a command to forget an exit. The next
 // heartbeat lists that exit only if the answer was not received.
@@ -165,11 +165,11 @@
 	}
 }
 
-// answeredAgain records that a copy of the newest heartbeat is answered as well. The worker
+// recordRepeatedAnswer records that a copy of the newest heartbeat is answered as well. The worker
 // may accept either answer, so that neither a missing effect of the first one nor the node
 // that receives the next heartbeat shows any more that an answer was lost. The fencing
 // token still does, because both answers carry it.
-func (mc *Machine) answeredAgain(via string) {
+func (mc *Machine) recordRepeatedAnswer(via string) {
 	h := &mc.reachability
 	h.answeredTwice = heartbeatID{mc.AgentEpoch, mc.Seq}
 	if h.receivingNode != via {
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -91,7 +91,7 @@
 	switch {
 	case mc.cloudState == wire.MachineFailed && listed && !mc.alive:
 		return scaleInFailed
-	case !mc.alive && mc.AgentEpoch == 0 && mc.typeIndex >= 0 && now.Sub(mc.createdAt) > m.bootLimit(mc) && (listed || mc.requestedHere) && sinceElection > neverUpPatience:
+	case !mc.alive && mc.AgentEpoch == 0 && mc.typeIndex >= 0 && now.Sub(mc.createdAt) > m.lostBootLimit(mc) && (listed || mc.requestedHere) && sinceElection > neverUpPatience:
 		return scaleInNeverUp
 	case !mc.alive && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseEnd(mc)) > silentKeep:
 		return scaleInSilent
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -133,7 +133,7 @@
 		}
 		if m.Ready(mc, now) {
 			ready++
-		} else if _, ok := m.bootTimeLeft(mc, now); ok {
+		} else if _, ok := m.estimateBootTimeLeft(mc, now); ok {
 			coming = true
 		}
 	}
--- a/cluster/utilization.go
+++ b/cluster/utilization.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		if !m.Ready(mc, now) {
-			if _, boots := m.bootTimeLeft(mc, now); boots {
+			if _, boots := m.estimateBootTimeLeft(mc, now); boots {
 				u.booting++
 			}
 			continue
--- a/cluster/warm_pool_effects.go
+++ b/cluster/warm_pool_effects.go
@@ -84,7 +84,7 @@
 				shard := p.shardOf[mc.index]
 				p.shards[shard].Preemptions++
 				p.shards[shard].LastPreemption = fmt.Sprintf("%s/%d of %s, tier %q, %s, took room on %s", j.ID, task, j.Spec.Team, m.tiers.policy.TierName(j.tier), j.Spec.Priority, mc.Name)
-				p.changed[shard] = true
+				p.changedShards[shard] = true
 				m.log.Info("warm pool capacity preempted", "pool", p.Name, "machine", mc.Name, "job", j.ID, "task", task, "team", j.Spec.Team, "priority", j.Spec.Priority)
 			}
 			continue
@@ -95,7 +95,7 @@
 		} else {
 			p.shards[shard].Misses++
 		}
-		p.changed[shard] = true
+		p.changedShards[shard] = true
 	}
 }
 
--- a/cluster/warm_pool_members.go
+++ b/cluster/warm_pool_members.go
@@ -32,13 +32,13 @@
 			mc.markUnready(now)
 		}
 		if p.updateWarmth(mc, member, image) {
-			p.changed[shard] = true
+			p.changedShards[shard] = true
 		}
 		if mc.typeIndex < 0 || mc.Zone < 0 {
 			continue // its price and its users are as recorded
 		}
 		if p.shards[shard].SetShares(member, m.teamShares(mc), m.hourlyRate(mc), now.UnixMilli(), p.Payer) {
-			p.changed[shard] = true
+			p.changedShards[shard] = true
 		}
 	}
 }
@@ -46,7 +46,7 @@
 // memberNeverSeen reports whether a recorded member is missing: this leader has had no
 // heartbeat from it and has not seen it in the cloud's list for long.
 func (m *Model) memberNeverSeen(mc *Machine, now time.Time) bool {
-	_, boots := m.bootTimeLeft(mc, now)
+	_, boots := m.estimateBootTimeLeft(mc, now)
 	return !mc.alive && !boots && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > lostMachineAfter && now.Sub(mc.cloudStateAt) > lostMachineAfter
 }
 
@@ -127,7 +127,7 @@
 		if m.fetchStuck(mc, image, p.record.WeightsGB, now) {
 			m.log.Warn("machine failed to fetch model weights, leaving warm pool", "pool", p.Name, "machine", mc.Name)
 			m.leavePool(p, mc, now)
-			mc.excludeFromPools(now.Add(unfitCooldown))
+			mc.excludeFromPools(now.Add(poolExclusionTime))
 			continue
 		}
 		seen := m.observeMachine(p, mc, image, now)
@@ -145,7 +145,7 @@
 	// all machines are delayed when the leader is paused.
 	seen.Ready = mc.alive && !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() &&
 		(mc.unreadySince.IsZero() || now.Sub(mc.unreadySince) < config.Seconds(m.settings.Cluster.Workers.LeaseS))
-	_, seen.Booting = m.bootTimeLeft(mc, now)
+	_, seen.Booting = m.estimateBootTimeLeft(mc, now)
 	seen.Serving = len(mc.Tasks) > 0
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -23,7 +23,7 @@
 	for i, p := range m.pools.all {
 		m.followModelVersion(p, demands[i])
 		for _, d := range p.demand.Observe(demands[i].open, now) {
-			m.savePlanRecord(warmpool.DayName(p.Name, d), p.demand.EncodeDay(d))
+			m.queuePlanRecord(warmpool.DayName(p.Name, d), p.demand.EncodeDay(d))
 		}
 		p.record.CurrentHour, p.record.CurrentPeak = p.demand.Current()
 		m.updateMembers(p, now)
@@ -31,7 +31,7 @@
 		if now.Sub(m.ElectedAt) > poolGracePeriod && !m.recoveringFromStall(now) && !m.plan.Unreadable {
 			m.reconcilePool(i, p, now)
 		}
-		m.savePool(p, now)
+		m.queuePoolRecords(p, now)
 	}
 }
 
@@ -102,7 +102,7 @@
 		if mc.Gone || mc.typeIndex < 0 || mc.Zone < 0 {
 			continue
 		}
-		if mc.inPool() || mc.scalingIn || !terms.types[mc.typeIndex] || !terms.zones[mc.Zone] || mc.Spot && !p.Spot || now.Before(mc.unfitUntil) {
+		if mc.inPool() || mc.scalingIn || !terms.types[mc.typeIndex] || !terms.zones[mc.Zone] || mc.Spot && !p.Spot || now.Before(mc.poolExclusionUntil) {
 			continue
 		}
 		seen := m.observeMachine(p, mc, image, now)
--- a/cluster/warm_pool_records.go
+++ b/cluster/warm_pool_records.go
@@ -63,25 +63,25 @@
 	if !m.loadPoolRecord(warmpool.ShardName(p.Name, n), &shard) {
 		shard = warmpool.Shard{AtMs: now.UnixMilli()}
 	}
-	p.shards, p.changed = append(p.shards, &shard), append(p.changed, false)
+	p.shards, p.changedShards = append(p.shards, &shard), append(p.changedShards, false)
 	for k := range shard.Members {
 		mc := m.findOrAddMachine(shard.Members[k].Machine, now)
 		p.shardOf[mc.index] = n
 	}
 }
 
-// savePool queues a pool's changed records to be written. Accounts of shards with members and
+// queuePoolRecords queues a pool's changed records to be written. Accounts of shards with members and
 // the pool's own record are queued from time to time even if nothing has changed.
-func (m *Model) savePool(p *warmPool, now time.Time) {
+func (m *Model) queuePoolRecords(p *warmPool, now time.Time) {
 	nowMs := now.UnixMilli()
 	for n, shard := range p.shards {
 		if len(shard.Members) > 0 && nowMs-shard.AtMs > accountInterval.Milliseconds() {
-			p.changed[n] = true
+			p.changedShards[n] = true
 		}
-		if p.changed[n] {
+		if p.changedShards[n] {
 			shard.Settle(nowMs, p.Payer)
-			p.changed[n] = false
-			m.savePlanRecord(warmpool.ShardName(p.Name, n), shard.Clone())
+			p.changedShards[n] = false
+			m.queuePlanRecord(warmpool.ShardName(p.Name, n), shard.Clone())
 		}
 	}
 	last := p.savedRecord
@@ -89,6 +89,6 @@
 	if last != p.record || nowMs-p.record.AtMs > poolRecordInterval.Milliseconds() {
 		p.record.AtMs = nowMs
 		p.savedRecord = p.record
-		m.savePlanRecord(warmpool.RecordName(p.Name), p.record)
+		m.queuePlanRecord(warmpool.RecordName(p.Name), p.record)
 	}
 }
--- a/cluster/warm_pools.go
+++ b/cluster/warm_pools.go
@@ -29,7 +29,7 @@
 	savedRecord        warmpool.Record // as last recorded
 	demand             warmpool.WeeklyDemand
 	shards             []*warmpool.Shard
-	changed            []bool         // shards to be recorded
+	changedShards      []bool         // shards to be recorded
 	shardOf            map[int32]int  // index in shards, by machine
 	scaleOut           map[string]int // machines wanted, by zone, until the next tick
 	fetchQueue         []int32        // machines that are to fetch the weights
@@ -48,7 +48,7 @@
 	lostMachineAfter   = time.Minute      // a recorded member that no heartbeat and no list has shown is gone
 	maxScaleOutPerTick = 50               // of a pool in a zone
 	otherZonePenalty   = 1e6              // added to the price of a machine in another zone than wanted
-	unfitCooldown      = 10 * time.Minute // no pool accepts a machine that has failed to fetch
+	poolExclusionTime  = 10 * time.Minute // no pool accepts a machine that has failed to fetch its image
 	stuckFetchFactor   = 3                // a fetch has failed after this multiple of its time and a minute
 	prefetchCPUs       = 0.01             // what a prefetch reserves
 )
@@ -73,7 +73,7 @@
 }
 
 // excludeFromPools lets no pool accept the machine for a time.
-func (mc *Machine) excludeFromPools(until time.Time) { mc.unfitUntil = until }
+func (mc *Machine) excludeFromPools(until time.Time) { mc.poolExclusionUntil = until }
 
 // reloadPools applies the plan's pools. It may be called before any job or machine is known.
 func (m *Model) reloadPools(now time.Time) {
@@ -129,7 +129,7 @@
 		m.leavePool(p, m.Machines[idx], now)
 	}
 	p.record.Target, p.record.Held, p.record.Warm, p.record.Fetching = 0, 0, 0, 0
-	m.savePool(p, now)
+	m.queuePoolRecords(p, now)
 }
 
 // setImage makes an image the one whose weights the pool holds.
@@ -150,7 +150,7 @@
 	for i, shard := range p.shards {
 		if len(shard.Members) > 0 {
 			shard.Settle(now.UnixMilli(), p.Payer)
-			p.changed[i] = true
+			p.changedShards[i] = true
 		}
 	}
 }
@@ -187,7 +187,7 @@
 		since = mc.createdAt
 	}
 	p.shards[shard].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), HourlyRate: m.hourlyRate(mc)})
-	p.shardOf[mc.index], p.changed[shard] = shard, true
+	p.shardOf[mc.index], p.changedShards[shard] = shard, true
 	mc.enterPool(index)
 	m.log.Info("machine joined warm pool", "pool", p.Name, "machine", mc.Name, "warm", mc.hasImage(m.poolImage(p)), "paidSince", since)
 }
@@ -196,7 +196,7 @@
 func (m *Model) leavePool(p *warmPool, mc *Machine, now time.Time) {
 	shard := p.shardOf[mc.index]
 	p.shards[shard].Leave(mc.Name, now.UnixMilli(), p.Payer)
-	p.changed[shard] = true
+	p.changedShards[shard] = true
 	delete(p.shardOf, mc.index)
 	delete(p.fetchRequestedAt, mc.index)
 	mc.exitPool()
@@ -208,7 +208,7 @@
 	mc := m.machineNamed(name)
 	if member := p.member(mc); member != nil {
 		member.Leaving = leaving
-		p.changed[p.shardOf[mc.index]] = true
+		p.changedShards[p.shardOf[mc.index]] = true
 		m.log.Info("machine release from warm pool changed", "pool", p.Name, "machine", name, "leaving", leaving)
 	}
 }
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -243,7 +243,7 @@
 		if mc.typeIndex < 0 || !j.allowedTypes[mc.typeIndex] || mc.Spot && !j.Spec.Spot || j.zone >= 0 && j.zone != mc.Zone {
 			continue
 		}
-		if _, boots := m.bootTimeLeft(mc, now); boots || counts(mc) {
+		if _, boots := m.estimateBootTimeLeft(mc, now); boots || counts(mc) {
 			places += tasksThatFit(j.Need, m.MachineTypes[mc.typeIndex].Capacity)
 		}
 	}
