--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -3,7 +3,7 @@
 // This file reserves room on machines for a request's tasks. What is reserved is not available
 // to requests that are served later.
 
-// direction reports whether room is reserved or a reservation is undone: the sign of the change.
+// direction says whether room is reserved or a reservation is undone: the sign of the change.
 type direction float64
 
 const (
--- a/rebalance/rebalance.go
+++ b/rebalance/rebalance.go
@@ -225,7 +225,7 @@
 	return best
 }
 
-// withinThresholds says whether every booked share is within its policy's capacity threshold.
+// withinThresholds reports whether every booked share is within its policy's capacity threshold.
 func (g *Group) withinThresholds(capacity, used placement.Resources) bool {
 	for i := range g.Policies {
 		p := &g.Policies[i]
--- a/yarn/application_store.go
+++ b/yarn/application_store.go
@@ -26,7 +26,7 @@
 	final  bool // the record has finalPrefix, and there are no unfinished jobs
 }
 
-// ended says whether the application is over, or has been marked as ending.
+// ended reports whether the application is over, or has been marked as ending.
 func (s *snapshot) ended() bool { return s.final || s.app.EndState != "" }
 
 // readApplication reads an application and its unfinished jobs. What was committed before the
--- a/yarn/client/application_master.go
+++ b/yarn/client/application_master.go
@@ -46,7 +46,7 @@
 	return out
 }
 
-// matches says whether an allocated container may be of this kind. GPUs and locality are not
+// matches reports whether an allocated container may be of this kind. GPUs and locality are not
 // compared.
 func (r ContainerRequest) matches(c *pb.ContainerProto) bool {
 	return r.Priority == c.GetPriority().GetPriority() &&
@@ -214,7 +214,7 @@
 	}
 }
 
-// needsResync says whether the answer to a heartbeat is that the session is not known.
+// needsResync reports whether the answer to a heartbeat is that the session is not known.
 func needsResync(out *pb.AllocateResponseProto, err error) bool {
 	if err != nil {
 		return wire.IsClass(err, wire.ClassNotReg)
--- a/yarn/client/failover.go
+++ b/yarn/client/failover.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// isRetriable says whether a call may succeed when it is repeated: unless the server has answered
+// isRetriable reports whether a call may succeed when it is repeated: unless the server has answered
 // with an exception that is final.
 func isRetriable(err error) bool {
 	var remote *wire.Error
--- a/yarn/client_protocol.go
+++ b/yarn/client_protocol.go
@@ -51,7 +51,7 @@
 	return &pb.SubmitApplicationResponseProto{}, nil
 }
 
-// isSubmitted says whether an application was submitted already. An id that was not issued by
+// isSubmitted reports whether an application was submitted already. An id that was not issued by
 // getNewApplication is refused.
 func (f *Frontend) isSubmitted(ctx context.Context, id *pb.ApplicationIdProto) (bool, error) {
 	k, _, err := f.readKeyring(ctx)
--- a/yarn/containers_test.go
+++ b/yarn/containers_test.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// Containers that the queue's limits do not allow, or that fit no machine, are refused in the
-// words of a native job's refusal. Containers and native jobs of a team count together.
+// Containers that the quota of the queue's team does not allow, or that fit no machine, are refused
+// with the text of a native job's refusal. Containers and native jobs of a team count together.
 func TestRefusalsAndQuotasAreThoseOfNativeJobs(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 20}}
 	runScenario(t, fake.Options{Machines: 6, Teams: teams}, func(t *testing.T, w *fake.Cluster, user *testClient) {
@@ -90,7 +90,7 @@
 		defer m.Close()
 		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 4, 30 }))
 		for n := range 10 {
-			m.Request(smallContainer(int32(n)), 4) // 80 CPUs in pieces, beside 8 of the job's
+			m.Request(smallContainer(int32(n)), 4) // 80 CPUs in all, beside 8 of the job's
 			user.runMaster(m, 2*time.Second)
 		}
 		if got := len(m.Containers()); got != 6 && got != 10 {
@@ -136,7 +136,7 @@
 }
 
 // A native job of higher priority, an interruption notice and the loss of a machine end
-// containers as they end tasks; the exit status says which it was.
+// containers as they end tasks; the exit status shows whether the container was preempted or lost.
 func TestExitStatusesOfPreemptedAndLostContainers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster, user *testClient) {
 		_, m := user.startApplication()
@@ -173,11 +173,11 @@
 	})
 }
 
-// tasksPerMachine returns how many tasks the machines have, sorted: which of two equal machines
-// comes first depends on which has reported first.
+// tasksPerMachine returns how many tasks each machine has, sorted by number: the order of equal
+// machines depends on which has sent its heartbeat first.
 func tasksPerMachine(w *fake.Cluster) []int { return slices.Sorted(maps.Values(w.TasksPerMachine())) }
 
-// The same work is placed alike through YARN and as native jobs, and refused in the same words.
+// The same work is placed alike through YARN and as native jobs, and refused with the same text.
 func TestYARNAndNativeJobsArePlacedAlike(t *testing.T) {
 	type step struct {
 		n         int
--- a/yarn/demand.go
+++ b/yarn/demand.go
@@ -156,7 +156,7 @@
 	return out
 }
 
-// namesNodeInRack says whether any demand is for a node in the rack, which is a zone.
+// namesNodeInRack reports whether any demand is for a node in the rack, which is a zone.
 func namesNodeInRack(named []demand, machines []Machine, rack string) bool {
 	inRack := machinesInRack(machines, rack)
 	return slices.ContainsFunc(named, func(d demand) bool { return slices.Contains(inRack, d.ResourceName) })
--- a/yarn/failures_test.go
+++ b/yarn/failures_test.go
@@ -49,7 +49,7 @@
 }
 
 // While the leader, all controllers or the key-value store fail, masters register again,
-// containers go on running, and no id is used twice.
+// containers keep running, and no id is used twice.
 func TestMastersSurviveFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -109,8 +109,8 @@
 	}
 }
 
-// An unreadable keyring is restored from a controller that remembers it when the next leader
-// takes over. If none does it is created anew: masters that had registered are refused, and new
+// An unreadable keyring is restored from a controller's copy when the next leader takes over. If
+// no controller has one, it is created anew: masters that had registered are refused, and new
 // applications get ids that were never used.
 func TestUnreadableKeyringIsRepaired(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, user *testClient) {
--- a/yarn/frontend.go
+++ b/yarn/frontend.go
@@ -35,7 +35,7 @@
 
 // Controller is the controller that the front end belongs to.
 type Controller interface {
-	// CheckFeasible says whether a job can ever run, by the same rules as for native jobs: 0
+	// CheckFeasible reports whether a job can ever run, by the same rules as for native jobs: 0
 	// and nil, or the HTTP status and the text of the refusal.
 	CheckFeasible(j *nwire.Job) (int, error)
 	MachineTypes() []nwire.MachineType
@@ -158,7 +158,7 @@
 	return errors.Join(errRecordChanged, err)
 }
 
-// lostRace says whether a transaction was refused because a record had changed, or its answer
+// lostRace reports whether a transaction was refused because a record had changed, or its answer
 // was lost, so that it may have been committed.
 func lostRace(err error) bool {
 	var conflict *kvstore.ConflictError
--- a/yarn/launch_context.go
+++ b/yarn/launch_context.go
@@ -107,7 +107,7 @@
 	return groups
 }
 
-// haveSameContext says whether all starts have the same context.
+// haveSameContext reports whether all starts have the same context.
 func haveSameContext(starts []containerStart) bool {
 	first := starts[0].fingerprint()
 	return !slices.ContainsFunc(starts, func(s containerStart) bool { return s.fingerprint() != first })
--- a/yarn/leader.go
+++ b/yarn/leader.go
@@ -12,7 +12,7 @@
 )
 
 // This file has the leader's maintenance of all applications. Every change is a compare-and-swap
-// on records, so that nothing goes wrong if a former leader goes on for a moment.
+// on records, so that a former leader which still runs its loop for a moment does no harm.
 
 // observation is what a leader has seen of an application, with times by its monotonic clock,
 // since the wall clock may be set.
--- a/yarn/reports.go
+++ b/yarn/reports.go
@@ -101,7 +101,7 @@
 	return len(allowed) == 0 || slices.Contains(allowed, value)
 }
 
-// matchesFinal says whether an application that has ended can match.
+// matchesFinal reports whether an application that has ended can match.
 func (filter *applicationFilter) matchesFinal() bool {
 	return len(filter.states) == 0 || slices.ContainsFunc(filter.states, func(state pb.YarnApplicationStateProto) bool {
 		return state >= pb.YarnApplicationStateProto_FINISHED
--- a/yarn/rest.go
+++ b/yarn/rest.go
@@ -73,7 +73,7 @@
 
 var errAddressRefused = wire.Errorf(wire.ClassAccess, "not from this address")
 
-// allowed says whether a request comes from an address that may connect.
+// allowed reports whether a request comes from an address that may connect.
 func (f *Frontend) allowed(r *http.Request) bool {
 	if len(f.settings.Networks) == 0 {
 		return true
--- a/yarn/settings.go
+++ b/yarn/settings.go
@@ -169,7 +169,7 @@
 	return Label{}, false
 }
 
-// Allow says whether a client may connect from an address.
+// Allow reports whether a client may connect from an address.
 func (s *Settings) Allow(a net.Addr) bool {
 	if len(s.Networks) == 0 {
 		return true
--- a/yarn/wire/errors.go
+++ b/yarn/wire/errors.go
@@ -54,7 +54,7 @@
 	return &Error{Class: ClassRetriable, Text: err.Error()}
 }
 
-// IsClass says whether there is an Error of a class in err's chain.
+// IsClass reports whether there is an Error of a class in err's chain.
 func IsClass(err error, class ExceptionClass) bool {
 	var remote *Error
 	return errors.As(err, &remote) && remote.Class == class
--- a/yarn/wire/gen/main.go
+++ b/yarn/wire/gen/main.go
@@ -1,5 +1,5 @@
-// Command gen makes the Go code of the .proto files in yarn/wire/pb, without a
-// protoc: `go generate ./yarn/wire`.
+// Command gen generates the Go code of the .proto files in yarn/wire/pb without protoc. It is run
+// by `go generate ./yarn/wire`.
 package main
 
 import (
--- a/yarn/wire/sasl.go
+++ b/yarn/wire/sasl.go
@@ -187,7 +187,7 @@
 	return identifier, []byte(d.serverProof()), nil
 }
 
-// answersChallenge says whether a response belongs to the challenge with this nonce.
+// answersChallenge reports whether a response belongs to the challenge with this nonce.
 func answersChallenge(directives map[string]string, nonce string) bool {
 	return directives["nonce"] == nonce && directives["realm"] == saslRealm && directives["qop"] == "auth" &&
 		directives["nc"] == saslNonceCount && directives["digest-uri"] == saslURI && directives["cnonce"] != ""
