--- a/calendar/record.go
+++ b/calendar/record.go
@@ -54,7 +54,7 @@
 	Jobs     int    `msgpack:"j" json:"jobs"` // of the batch window, completed ones included
 }
 
-// Result reports whether the deadline of a batch window was met.
+// Result says whether the deadline of a batch window was met.
 type Result string
 
 // Results of batch windows.
