--- a/config/config.go
+++ b/config/config.go
@@ -116,7 +116,8 @@
 	Sockets int     `toml:"sockets"`
 }
 
-// Seconds converts a number of seconds to a duration.
+// Seconds converts a number of seconds to a duration. Its magnitude must be below 9.2e9, the range
+// of a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // Load reads and checks a settings file.
--- a/config/tuning.go
+++ b/config/tuning.go
@@ -204,7 +204,7 @@
 	return checks
 }
 
-// above0 checks that a number is above 0. It may be infinite, which for a time means never.
+// above0 checks that a number is above 0. Infinity is accepted.
 func above0(field string, v float64) check {
 	if !(v > 0) {
 		return check{field, errors.New("must be above 0")}
