--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -49,7 +49,7 @@
 		AheadByReason: map[string]int{}, Inversions: m.tiers.inversions.PassingOver(id),
 	}
 	jobs := m.openJobs()
-	queue := m.buildQueue(jobs, m.jobsWithinQuota(jobs), now)
+	queue := m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), now)
 	// A job may have several requests; the first of them is explained.
 	position := slices.IndexFunc(queue, func(k *queued) bool { return k.job == j })
 	if position < 0 {
@@ -78,9 +78,9 @@
 // behindReason returns why another request is ahead of this one in the queue.
 func (k *queued) behindReason(o *queued) string {
 	switch {
-	case k.req.FreeRoomOnly:
+	case k.req.FreeCapacityOnly:
 		return "fault"
-	case k.withinQuota != o.withinQuota:
+	case k.withinGuarantee != o.withinGuarantee:
 		return priority.WithinQuota.String()
 	case k.job.priority != o.job.priority:
 		return priority.HigherPriority.String()
--- a/cluster/gpu_machines.go
+++ b/cluster/gpu_machines.go
@@ -38,7 +38,7 @@
 			continue
 		}
 		switch {
-		case !k.withinQuota && (!m.hasObjective(k.job) || !k.mustStart && k.job.priority >= highest && !m.hasWaitObjective(k.job)):
+		case !k.withinGuarantee && (!m.hasObjective(k.job) || !k.mustStart && k.job.priority >= highest && !m.hasWaitObjective(k.job)):
 			k.req.Types = intersect(k.req.Types, withoutGPUs)
 		case preemptible:
 			k.req.PreferredTypes = intersect(k.req.Types, withoutGPUs)
--- a/cluster/guarantee.go
+++ b/cluster/guarantee.go
@@ -15,10 +15,10 @@
 // sums.
 const quotaTolerance = 1e-6
 
-// jobsWithinQuota returns the indexes of the jobs that are within their team's guarantee
+// jobsWithinGuarantee returns the indexes of the jobs that are within their team's guarantee
 // together with the team's earlier unfinished jobs. The jobs are in the order of their
 // acceptance.
-func (m *Model) jobsWithinQuota(jobs []*Job) map[int32]bool {
+func (m *Model) jobsWithinGuarantee(jobs []*Job) map[int32]bool {
 	within := map[int32]bool{}
 	used := make([]placement.Resources, len(m.teams))
 	for _, j := range jobs {
@@ -54,11 +54,11 @@
 	placedAt time.Time
 }
 
-// beyondQuota returns the tasks that run beyond their teams' guarantees, chosen from the
+// tasksBeyondGuarantee returns the tasks that run beyond their teams' guarantees, chosen from the
 // last one placed on. Tasks of the jobs in within, which are inside the guarantee, are never
 // among them: two teams that each have work inside and beyond theirs would otherwise
 // preempt each other's tasks in turn, over and over.
-func (m *Model) beyondQuota(within map[int32]bool) map[TaskRef]bool {
+func (m *Model) tasksBeyondGuarantee(within map[int32]bool) map[TaskRef]bool {
 	over := map[TaskRef]bool{}
 	if !slices.ContainsFunc(m.guarantees, func(g placement.Resources) bool { return g != placement.Resources{} }) {
 		return over // nobody may claim anything
--- a/cluster/guarantee_test.go
+++ b/cluster/guarantee_test.go
@@ -9,7 +9,7 @@
 
 // Where teams are guaranteed GPUs only, a job that needs none is within no guarantee, so that it
 // does not precede all other jobs, and it does not use up the guarantee of jobs with GPUs.
-func TestJobThatNeedsNoGuaranteedResourceIsNotWithinQuota(t *testing.T) {
+func TestJobThatNeedsNoGuaranteedResourceIsNotWithinGuarantee(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		guarantee placement.Resources
@@ -29,7 +29,7 @@
 				m.ApplyJobRecord(rec.Job.ID, rec, 1, at(float64(i)))
 			}
 			jobs := m.openJobs()
-			in := m.jobsWithinQuota(jobs)
+			in := m.jobsWithinGuarantee(jobs)
 			for i, j := range jobs {
 				if in[j.Index] != c.want[i] {
 					t.Errorf("%s is within the guarantee: %t", j.ID, in[j.Index])
--- a/cluster/objectives.go
+++ b/cluster/objectives.go
@@ -66,7 +66,7 @@
 		case config.ObjectiveGuarantee:
 			// A job that has missed this objective loses nothing by waiting longer:
 			// jobs that can still meet it precede it until its next objective is due.
-			if k.withinQuota {
+			if k.withinGuarantee {
 				deadlines.addWait(j, o, startup, now)
 			}
 		case config.ObjectiveFinished:
--- a/cluster/placeholders.go
+++ b/cluster/placeholders.go
@@ -33,7 +33,7 @@
 // for which this has happened.
 func (m *Model) backfillReservations(k *queued, done map[string]bool, now time.Time) []placement.Request {
 	own := m.classes.get(k.job.Spec.Class)
-	if own == nil || k.withinQuota {
+	if own == nil || k.withinGuarantee {
 		return nil
 	}
 	var out []placement.Request
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -226,7 +226,7 @@
 // passes reports whether a request whose tier's longest wait was over at the given time takes
 // its position before o, which must start by the starvation bound if it is of the same rank.
 func (k *queued) passes(o *queued, waitOver time.Time) bool {
-	if !o.req.Owed || o.withinQuota != k.withinQuota || o.job.priority != k.job.priority {
+	if !o.req.Owed || o.withinGuarantee != k.withinGuarantee || o.job.priority != k.job.priority {
 		return false
 	}
 	if o.job.start.mustFinish || priority.PromotionCause(o.req.PromotionCause) == priority.PromotedByWait {
@@ -237,7 +237,7 @@
 
 // sameRank reports whether only priority tiers and objectives order two requests.
 func (k *queued) sameRank(o *queued) bool {
-	return k.withinQuota == o.withinQuota && k.job.priority == o.job.priority && k.req.Owed == o.req.Owed
+	return k.withinGuarantee == o.withinGuarantee && k.job.priority == o.job.priority && k.req.Owed == o.req.Owed
 }
 
 // split splits off the first n tasks of a request. Both parts share the counts by zone. If one
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -21,16 +21,16 @@
 // queued is a job in the queue of a scheduling pass, with what determines its position. It
 // lives for one pass; what outlasts the pass is kept in the job (triageVerdict, startState).
 type queued struct {
-	job         *Job
-	withinQuota bool
-	due         time.Time   // latest start for the objective that it is served for
-	laterDue    []time.Time // latest starts for its later objectives, earliest first
-	missed      bool        // it can meet none of its objectives
-	deferred    bool        // triage has removed it from an objective that it could meet
-	mustStart   bool        // the starvation bound lets it precede the objectives of its priority
-	runSeconds  float64     // expected, of the longest of its waiting tasks
-	totalWork   float64     // remainingWork
-	req         placement.Request
+	job             *Job
+	withinGuarantee bool
+	due             time.Time   // latest start for the objective that it is served for
+	laterDue        []time.Time // latest starts for its later objectives, earliest first
+	missed          bool        // it can meet none of its objectives
+	deferred        bool        // triage has removed it from an objective that it could meet
+	mustStart       bool        // the starvation bound lets it precede the objectives of its priority
+	runSeconds      float64     // expected, of the longest of its waiting tasks
+	totalWork       float64     // remainingWork
+	req             placement.Request
 
 	windowRank
 }
@@ -70,7 +70,7 @@
 // are served. Jobs that fail wherever they run are at its end. It updates the state of triage
 // and of the starvation bound, so that Explain, which calls it too, is for models that no
 // leader uses.
-func (m *Model) buildQueue(jobs []*Job, withinQuota map[int32]bool, now time.Time) []*queued {
+func (m *Model) buildQueue(jobs []*Job, withinGuarantee map[int32]bool, now time.Time) []*queued {
 	m.classes.countOpenTasks(jobs)
 	var queue, faulty []*queued
 	for _, j := range jobs {
@@ -82,7 +82,7 @@
 			faulty = append(faulty, newFaultyQueued(j, r, now))
 			continue
 		}
-		k := &queued{job: j, withinQuota: withinQuota[j.Index], req: r}
+		k := &queued{job: j, withinGuarantee: withinGuarantee[j.Index], req: r}
 		m.rankByObjectives(k, now)
 		queue = append(queue, k)
 	}
@@ -101,7 +101,7 @@
 // those of healthy work.
 func newFaultyQueued(j *Job, r placement.Request, now time.Time) *queued {
 	k := &queued{job: j, missed: true, req: r}
-	k.req.FreeRoomOnly = true
+	k.req.FreeCapacityOnly = true
 	k.nextObjective(now)
 	return k
 }
@@ -118,7 +118,7 @@
 	k.laterDue, k.missed = deadlines.latest, deadlines.allMissed()
 	k.nextObjective(now)
 	m.applyWindowDeadline(k)
-	k.req.WithinGuarantee = k.withinQuota
+	k.req.WithinGuarantee = k.withinGuarantee
 	k.req.Hold = deadlines.waitIsNext() && m.hasCompetitors(j) || m.outranksCompetitors(j)
 }
 
@@ -126,8 +126,8 @@
 // changed the order.
 func (k *queued) precedes(o *queued) bool {
 	switch {
-	case k.withinQuota != o.withinQuota:
-		return k.withinQuota
+	case k.withinGuarantee != o.withinGuarantee:
+		return k.withinGuarantee
 	case k.job.priority != o.job.priority:
 		return k.job.priority < o.job.priority
 	case k.req.Tier != o.req.Tier:
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -106,7 +106,7 @@
 				avoid[int(mc.index)] = true
 			}
 		}
-		r.FreeRoomOnly = true // no other machine would do, rented or not
+		r.FreeCapacityOnly = true // no other machine would do, rented or not
 	}
 	for _, n := range j.reservation.AvoidMachines {
 		if i, ok := m.names.machines[n]; ok {
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -39,13 +39,13 @@
 		return Decisions{}
 	}
 	jobs := m.openJobs()
-	withinQuota := m.jobsWithinQuota(jobs)
-	queue := m.buildQueue(jobs, withinQuota, now)
+	withinGuarantee := m.jobsWithinGuarantee(jobs)
+	queue := m.buildQueue(jobs, withinGuarantee, now)
 
 	pass := &schedulingPass{model: m, now: now}
 	pass.input.AllowPreemption = true
 	pass.input.MaxScaleOut = max(0, maxScaleOut-renting)
-	pass.addMachines(m.beyondQuota(withinQuota))
+	pass.addMachines(m.tasksBeyondGuarantee(withinGuarantee))
 	pass.addQueue(queue)
 	pass.addPlaceholders(m.headroomRequests(jobs, now))
 	pass.addProvision()
@@ -80,15 +80,15 @@
 }
 
 // addMachines adds the machines that can be given tasks to the input, in the model's order.
-// beyondQuota are the tasks that may be preempted for work within a quota.
-func (p *schedulingPass) addMachines(beyondQuota map[TaskRef]bool) {
+// beyondGuarantee are the tasks that may be preempted for work within a guarantee.
+func (p *schedulingPass) addMachines(beyondGuarantee map[TaskRef]bool) {
 	m := p.model
 	p.input.Machines = m.buffers.machines[:0]
 	m.buffers.occupants, m.buffers.images = m.buffers.occupants[:0], m.buffers.images[:0]
 	p.machineIndexes = slices.Grow(m.buffers.indexes[:0], len(m.Machines))
 	p.inputPositions = make(map[int]int, len(m.Machines))
 	for _, mc := range m.Machines {
-		view, ok := m.machineView(mc, beyondQuota, p.now)
+		view, ok := m.machineView(mc, beyondGuarantee, p.now)
 		if !ok {
 			continue
 		}
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -85,7 +85,7 @@
 		return blockedByFailures
 	case j.PlacedTasks == len(j.Tasks) || j.PlacedTasks > 0 && !j.Gang():
 		return blockedByStart
-	case !m.quotaAllows(j):
+	case !m.teamLimitAllows(j):
 		return blockedByQuota
 	}
 	ready, coming := m.usableBy(j, now)
@@ -113,8 +113,8 @@
 	return blockedByCompetition
 }
 
-// quotaAllows reports whether the team's limit allows the job to start.
-func (m *Model) quotaAllows(j *Job) bool {
+// teamLimitAllows reports whether the team's limit allows the job to start.
+func (m *Model) teamLimitAllows(j *Job) bool {
 	if j.team < 0 {
 		return true
 	}
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -20,7 +20,7 @@
 	var out []*queued
 	for lo := 0; lo < len(queue); {
 		hi := lo + 1
-		for hi < len(queue) && queue[hi].withinQuota == queue[lo].withinQuota && queue[hi].job.priority == queue[lo].job.priority {
+		for hi < len(queue) && queue[hi].withinGuarantee == queue[lo].withinGuarantee && queue[hi].job.priority == queue[lo].job.priority {
 			hi++
 		}
 		split := splitMustStart(queue[lo:hi], maxMustStarts-promoted)
@@ -120,14 +120,14 @@
 // is bounded to one place per lastCallMachines ready machines, or a single job, and includes
 // starts that are still protected.
 func (m *Model) promoteLastCalls(queue []*queued, now time.Time) []*queued {
-	beyondQuota := slices.IndexFunc(queue, func(k *queued) bool { return !k.withinQuota })
-	if beyondQuota < 0 || queue[beyondQuota].job.priority == queue[len(queue)-1].job.priority {
+	beyondGuarantee := slices.IndexFunc(queue, func(k *queued) bool { return !k.withinGuarantee })
+	if beyondGuarantee < 0 || queue[beyondGuarantee].job.priority == queue[len(queue)-1].job.priority {
 		return queue
 	}
-	highest := queue[beyondQuota].job.priority
+	highest := queue[beyondGuarantee].job.priority
 	places := m.lastCallPlaces(now)
 	var called, others []*queued
-	for _, k := range queue[beyondQuota:] {
+	for _, k := range queue[beyondGuarantee:] {
 		tasks := len(k.req.Tasks)
 		if k.isLastCall(now) && k.job.priority > highest && places > 0 && (tasks <= places || len(called) == 0) {
 			places -= tasks
@@ -136,7 +136,7 @@
 			others = append(others, k)
 		}
 	}
-	return slices.Concat(queue[:beyondQuota], called, others)
+	return slices.Concat(queue[:beyondGuarantee], called, others)
 }
 
 // lastCallPlaces returns how many places last calls may take in this pass.
--- a/placement/failed_search.go
+++ b/placement/failed_search.go
@@ -20,7 +20,7 @@
 }
 
 // knownToFail reports whether a search for room for n tasks is known to fail.
-func (p *planner) knownToFail(kind roomKind, r *Request, zone, n int) bool {
+func (p *planner) knownToFail(kind capacityKind, r *Request, zone, n int) bool {
 	for i := range p.failedSearches[kind] {
 		f := &p.failedSearches[kind][i]
 		if f.tasks > n || f.zone >= 0 && f.zone != zone {
@@ -29,17 +29,17 @@
 		if kind == byPreempting && !f.request.mayPreemptAllThat(r) {
 			continue
 		}
-		if f.request.findsAllThat(r) {
+		if f.request.findsAllMachinesOf(r) {
 			return true
 		}
 	}
 	return false
 }
 
-// findsAllThat reports whether a search for one task of the request succeeds on each machine on
+// findsAllMachinesOf reports whether a search for one task of the request succeeds on each machine on
 // which one for the other request does. Zones are compared by the caller. Images are not
 // compared, although BorrowAccess depends on them.
-func (r *Request) findsAllThat(other *Request) bool {
+func (r *Request) findsAllMachinesOf(other *Request) bool {
 	if other.Spot && !r.Spot || !r.Need.Fits(other.Need) {
 		return false
 	}
@@ -57,7 +57,7 @@
 
 // rememberFailure remembers a search for room for n tasks that failed, unless the reason may
 // concern this request alone.
-func (p *planner) rememberFailure(kind roomKind, r *Request, zone, n int) {
+func (p *planner) rememberFailure(kind capacityKind, r *Request, zone, n int) {
 	if len(r.Avoid) > 0 || r.MaxPerZone > 0 || len(p.failedSearches[kind]) >= maxFailedSearches {
 		return
 	}
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -2,19 +2,19 @@
 
 // This file filters machines: which of them a request may use, and which of their resources.
 
-// roomKind says which resources a search counts as available.
-type roomKind int
+// capacityKind says which resources a search counts as available.
+type capacityKind int
 
 const (
-	freeNow      roomKind = iota // free on a machine that is up
-	freeSoon                     // the same, with what tasks that are being stopped will release
-	onBooting                    // on a machine that is rented and not up yet
-	byPreempting                 // as freeSoon, with what preempting tasks would release
+	freeNow      capacityKind = iota // free on a machine that is up
+	freeSoon                         // the same, with what tasks that are being stopped will release
+	onBooting                        // on a machine that is rented and not up yet
+	byPreempting                     // as freeSoon, with what preempting tasks would release
 	numRoomKinds
 )
 
 // passesFilter reports whether the request may use the machine, apart from whether its task fits.
-func (p *planner) passesFilter(machine int, r *Request, kind roomKind) bool {
+func (p *planner) passesFilter(machine int, r *Request, kind capacityKind) bool {
 	m := &p.input.Machines[machine]
 	if (kind == onBooting) == m.Ready {
 		return false
@@ -33,9 +33,9 @@
 	return r.MaxPerZone > 0 && r.PlacedByZone[zone] >= r.MaxPerZone
 }
 
-// availableRoom returns the resources of a machine that a search of that kind counts as
+// availableCapacity returns the resources of a machine that a search of that kind counts as
 // available.
-func availableRoom(m *Machine, kind roomKind) Resources {
+func availableCapacity(m *Machine, kind capacityKind) Resources {
 	if kind == freeNow {
 		return m.Free
 	}
--- a/placement/hold.go
+++ b/placement/hold.go
@@ -59,7 +59,7 @@
 // secondsUntilFits returns after how many seconds one of the request's tasks fits on a machine,
 // as tasks there are expected to end by themselves; false if it never fits.
 func (p *planner) secondsUntilFits(r *Request, m *Machine) (float64, bool) {
-	free := availableRoom(m, freeSoon)
+	free := availableCapacity(m, freeSoon)
 	if r.Need.Fits(free) {
 		return 0, true
 	}
--- a/placement/input.go
+++ b/placement/input.go
@@ -99,7 +99,7 @@
 	Reserve           bool          // backfill reservation: resources are kept from later requests, and nothing is rented
 	Hold              bool          // machines on which it will fit soon are kept from later requests
 	HoldSeconds       float64       // with Hold or Reserve: how far ahead; at least defaultHoldSeconds
-	FreeRoomOnly      bool          // it uses what is free now; nothing is held, preempted or rented for it
+	FreeCapacityOnly  bool          // it uses what is free now; nothing is held, preempted or rented for it
 	PreferredTypes    []bool        // by machine type: those that are tried first, also with preemption; nil: none
 	PoolAccess        []PoolAccess  // to each warm pool's machines, from pool 1 on; NoAccess to pools beyond its end
 	Precedence
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -26,7 +26,7 @@
 	Starts      []Start
 	Preemptions []Task
 	ScaleOut    map[int]int // how many machines to rent, by the offer's index in Input.Offers
-	Waiting     []int       // indices in Input.Requests of those that lack free resources, apart from placeholders and FreeRoomOnly
+	Waiting     []int       // indices in Input.Requests of those that lack free resources, apart from placeholders and FreeCapacityOnly
 }
 
 // planner makes one plan.
@@ -101,7 +101,7 @@
 	}
 	tasks = p.startTasks(r, i, tasks)
 	switch {
-	case len(tasks) == 0 || r.FreeRoomOnly:
+	case len(tasks) == 0 || r.FreeCapacityOnly:
 	case r.Reserve:
 		p.holdMachines(r, tasks)
 	case r.Headroom:
@@ -109,7 +109,7 @@
 		p.scaleOut(r, tasks)
 	default:
 		p.plan.Waiting = append(p.plan.Waiting, i)
-		p.makeRoom(r, tasks)
+		p.freeByPreemption(r, tasks)
 	}
 }
 
@@ -127,9 +127,9 @@
 	return tasks[len(starts):]
 }
 
-// makeRoom reserves room for tasks that can't start yet, so that later requests do not take it,
+// freeByPreemption reserves room for tasks that can't start yet, so that later requests do not take it,
 // and preempts tasks or rents machines for what is lacking.
-func (p *planner) makeRoom(r *Request, tasks []int32) {
+func (p *planner) freeByPreemption(r *Request, tasks []int32) {
 	tasks = p.reserveLater(r, tasks, freeSoon)
 	if p.input.AllowPreemption {
 		tasks = p.preempt(r, tasks)
@@ -142,7 +142,7 @@
 }
 
 // reserveLater reserves room that is not free yet, and returns the tasks that are left.
-func (p *planner) reserveLater(r *Request, tasks []int32, kind roomKind) []int32 {
+func (p *planner) reserveLater(r *Request, tasks []int32, kind capacityKind) []int32 {
 	if len(tasks) == 0 {
 		return nil
 	}
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -142,7 +142,7 @@
 // fits, and returns the loss. It prefers tasks of low tiers and with little loss. There are no
 // victims if the task fits without; the result is false if it can't be made to fit.
 func (p *planner) cheapestVictims(r *Request, m *Machine) (victims []int, loss float64, ok bool) {
-	free := availableRoom(m, freeSoon)
+	free := availableCapacity(m, freeSoon)
 	if r.Need.Fits(free) {
 		return nil, m.PenaltySeconds, true
 	}
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -39,7 +39,7 @@
 // reserveTasks reserves room for as many of the tasks as fit; for a gang for all or none. If all
 // have to be in one zone and the request names none, it is the zone in which most fit, of
 // several such zones the one with the lowest total score.
-func (p *planner) reserveTasks(r *Request, tasks []int32, kind roomKind) []Start {
+func (p *planner) reserveTasks(r *Request, tasks []int32, kind capacityKind) []Start {
 	if !r.OneZone || r.Zone >= 0 {
 		starts, _ := p.reserveInZone(r, tasks, kind, r.Zone)
 		return starts
@@ -61,7 +61,7 @@
 
 // reserveInZone reserves room in one zone, or in any if it is -1. It returns the sum
 // of the machines' scores as well.
-func (p *planner) reserveInZone(r *Request, tasks []int32, kind roomKind, zone int) ([]Start, float64) {
+func (p *planner) reserveInZone(r *Request, tasks []int32, kind capacityKind, zone int) ([]Start, float64) {
 	least := r.leastTasks(tasks)
 	if p.knownToFail(kind, r, zone, least) {
 		return nil, 0
@@ -96,7 +96,7 @@
 // reservation is a search for room for a request's tasks, and what it has found.
 type reservation struct {
 	request    *Request
-	kind       roomKind
+	kind       capacityKind
 	zone       int     // -1: any
 	pending    []int32 // tasks that have no machine yet
 	starts     []Start
@@ -106,7 +106,7 @@
 // scoreFor returns a machine's score; false if no more of the tasks may be placed or fit there.
 func (p *planner) scoreFor(s *reservation, machine int) (float64, bool) {
 	m, r := &p.input.Machines[machine], s.request
-	room := availableRoom(m, s.kind)
+	room := availableCapacity(m, s.kind)
 	if !r.Need.Fits(room) || !p.passesFilter(machine, r, s.kind) || s.zone >= 0 && m.Zone != s.zone {
 		return 0, false
 	}
--- a/priority/inversion.go
+++ b/priority/inversion.go
@@ -100,7 +100,7 @@
 	low, high := &reqs[s.Request], &reqs[h.request]
 	if s.Request < h.request {
 		switch {
-		case high.FreeRoomOnly && !low.FreeRoomOnly:
+		case high.FreeCapacityOnly && !low.FreeCapacityOnly:
 			return RepeatedFailure
 		case low.WithinGuarantee && !high.WithinGuarantee:
 			return WithinQuota
