--- a/calendar/shortage.go
+++ b/calendar/shortage.go
@@ -21,7 +21,7 @@
 	improvementTolerance = 0.05 // share of the possible improvement in lateness that is given up for fewer places
 	maxToleratedLateness = 20   // the improvement counts for that up to this multiple of the lateness that remains
 	orderPrecision       = 1.0  // seconds to which the latest time to order is computed
-	closerLookRatio      = 4    // if at most 1/4 of the possible places are lacking, a model with smaller units is used
+	refineRatio          = 4    // if at most 1/4 of the possible places are lacking, a model with smaller units is used
 )
 
 // FindShortage returns how many more places the loads need to meet their deadlines, at most
@@ -32,7 +32,7 @@
 	for {
 		model := newShortageModel(now, loads, free, bootSeconds, maxPlaces)
 		shortage := model.shortage(now)
-		if model.placesPerUnit == 1 || shortage.Places == 0 || closerLookRatio*shortage.Places > maxPlaces {
+		if model.placesPerUnit == 1 || shortage.Places == 0 || refineRatio*shortage.Places > maxPlaces {
 			return shortage
 		}
 		maxPlaces = 2 * shortage.Places // units are smaller in the next model
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -146,7 +146,7 @@
 	if r.Need.Fits(free) {
 		return nil, m.PenaltySeconds, true
 	}
-	if !r.Need.Fits(p.roomWithoutVictims(r, m, free)) {
+	if !r.Need.Fits(p.capacityIfAllPreempted(r, m, free)) {
 		return nil, 0, false
 	}
 	chosen := make([]bool, len(m.Tasks))
@@ -159,7 +159,7 @@
 		victims = append(victims, next)
 		free = free.Add(m.Tasks[next].Need, 1)
 	}
-	victims = spareUnneeded(r, m, victims, free)
+	victims = dropUnneededVictims(r, m, victims, free)
 	loss = m.PenaltySeconds
 	for _, k := range victims {
 		loss += m.Tasks[k].LossSeconds + restartLossSeconds + tierLossSeconds*float64(p.lowestTier-m.Tasks[k].Tier)
@@ -167,9 +167,9 @@
 	return victims, loss, true
 }
 
-// roomWithoutVictims returns a machine's room if all tasks were preempted that may be for the
+// capacityIfAllPreempted returns a machine's room if all tasks were preempted that may be for the
 // request. free is its room with none of them preempted.
-func (p *planner) roomWithoutVictims(r *Request, m *Machine, free Resources) Resources {
+func (p *planner) capacityIfAllPreempted(r *Request, m *Machine, free Resources) Resources {
 	for k := range m.Tasks {
 		if o := &m.Tasks[k]; mayPreempt(r, o) && !p.preempted[o.Task] {
 			free = free.Add(o.Need, 1)
@@ -194,10 +194,10 @@
 	return next
 }
 
-// spareUnneeded leaves out victims that need not be preempted for the request's task to fit;
+// dropUnneededVictims leaves out victims that need not be preempted for the request's task to fit;
 // those of higher tiers are left out first. free is the machine's room with all of them
 // preempted. The list is changed in place.
-func spareUnneeded(r *Request, m *Machine, victims []int, free Resources) []int {
+func dropUnneededVictims(r *Request, m *Machine, victims []int, free Resources) []int {
 	slices.SortStableFunc(victims, func(a, b int) int { return m.Tasks[a].Tier - m.Tasks[b].Tier })
 	needed := victims[:0]
 	for _, k := range victims {
