--- a/internal/cmd/yarntrial/main.go
+++ b/internal/cmd/yarntrial/main.go
@@ -124,7 +124,7 @@
 	}
 	t.cfg.Dial, t.cfg.User = new(net.Dialer).DialContext, "trial"
 	if c.Kills > 0 {
-		return t.killing(ctx)
+		return t.killProcesses(ctx)
 	}
 	return t.measure(ctx)
 }
@@ -235,69 +235,85 @@
 	return m.Finish(long, pb.FinalApplicationStatusProto_APP_SUCCEEDED, "over")
 }
 
-// killing kills nodes and masters in turn, and then waits for what may be left.
-func (t *trial) killing(ctx context.Context) error {
-	mctx, stop := context.WithCancel(ctx)
+// killProcesses kills nodes and masters in turn, and then wants nothing to be left behind.
+func (t *trial) killProcesses(ctx context.Context) error {
+	mastersCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var wg sync.WaitGroup
-	var errs sync.Map
-	dead := make(chan struct{}, 1)
+	die := make(chan struct{}, 1) // whichever master receives is gone without a word
+	var masters sync.WaitGroup
+	var failures sync.Map
 	for i := range t.Apps {
-		wg.Add(1)
-		go func() {
-			defer wg.Done()
-			for mctx.Err() == nil {
-				err := t.master(mctx, t.Containers, 500*time.Millisecond, func() bool {
-					select {
-					case <-dead:
-						return true
-					default:
-						return false
-					}
-				})
-				if err != nil {
-					errs.Store(fmt.Sprint(i, time.Now()), err)
-					return
-				}
+		masters.Go(func() {
+			if err := t.runMasters(mastersCtx, die); err != nil {
+				failures.Store(i, err)
 			}
-		}()
+		})
 	}
 	time.Sleep(8 * time.Second)
-	for k := range t.Kills {
+	for i := range t.Kills {
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if k%4 == 3 {
-			select {
-			case dead <- struct{}{}:
-			default:
-			}
-		} else {
-			i := rand.IntN(nodes)
-			t.kill(i)
-			time.Sleep(rand.N(400 * time.Millisecond))
-			if err := t.start(i); err != nil {
-				return err
-			}
+		if err := t.killOne(i, die); err != nil {
+			return err
 		}
 		time.Sleep(300*time.Millisecond + rand.N(700*time.Millisecond))
 	}
 	stop()
-	wg.Wait()
+	masters.Wait()
 	time.Sleep(75 * time.Second) // two expiries and a worker's lease
-	var left []string
-	for _, k := range t.w.Store.Keys("") {
-		if strings.HasPrefix(k, "w/j/") || strings.HasPrefix(k, "w/y/application") || strings.HasPrefix(k, "yx/") {
-			left = append(left, k)
+	return t.reportRemains(&failures)
+}
+
+// runMasters runs one application after the other until ctx ends or one fails.
+func (t *trial) runMasters(ctx context.Context, die <-chan struct{}) error {
+	for ctx.Err() == nil {
+		err := t.master(ctx, t.Containers, 500*time.Millisecond, func() bool {
+			select {
+			case <-die:
+				return true
+			default:
+				return false
+			}
+		})
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// killOne kills a node and starts it again or, each fourth time, kills a master.
+func (t *trial) killOne(i int, die chan<- struct{}) error {
+	if i%4 == 3 {
+		select {
+		case die <- struct{}{}:
+		default: // the one before is still to die
+		}
+		return nil
+	}
+	node := rand.IntN(nodes)
+	t.kill(node)
+	time.Sleep(rand.N(400 * time.Millisecond))
+	return t.start(node)
+}
+
+// reportRemains prints what the trial came to, and fails if anything is left behind, ran
+// more than once or broke a rule.
+func (t *trial) reportRemains(failures *sync.Map) error {
+	left := 0
+	for _, key := range t.w.Store.Keys("") {
+		if strings.HasPrefix(key, "w/j/") || strings.HasPrefix(key, "w/y/application") || strings.HasPrefix(key, "yx/") {
+			left++
 		}
 	}
 	failed := 0
-	errs.Range(func(_, v any) bool { fmt.Println("master:", v); failed++; return true })
+	failures.Range(func(_, err any) bool { fmt.Println("master:", err); failed++; return true })
 	apps := 0
 	t.ids.Range(func(_, _ any) bool { apps++; return true })
 	fmt.Printf("kills %d, masters gone without a word %d, applications %d, containers started %d, run more than once %d, still on machines %d, records left %d, rules broken %d, masters failed %d, heartbeats %v\n",
-		t.Kills, t.gone.Load(), apps, t.w.Started(), t.w.RanMoreThanOnce(), t.w.Running(), len(left), len(t.w.Violations()), failed, &t.beats)
-	if t.w.RanMoreThanOnce()+t.w.Running()+len(left)+len(t.w.Violations())+failed > 0 {
+		t.Kills, t.gone.Load(), apps, t.w.Started(), t.w.RanMoreThanOnce(), t.w.Running(), left, len(t.w.Violations()), failed, &t.beats)
+	if t.w.RanMoreThanOnce()+t.w.Running()+left+len(t.w.Violations())+failed > 0 {
 		return errors.New("something is left, ran twice or failed")
 	}
 	return nil
