--- a/modelcheck/mutation.go
+++ b/modelcheck/mutation.go
@@ -36,6 +36,8 @@
 	CountLeaseFromRenewalResponse          // the leader's lease counts from the renewal's response, not from its request
 	AcceptDuplicateAsTokenShown            // a duplicated heartbeat counts as having shown the fencing token
 	ForgetByPush                           // outcomes are forgotten by pushes as well as by responses
+
+	mutationCount // of the constants above
 )
 
 var mutationNames = map[Mutation]string{
--- a/modelcheck/mutation_test.go
+++ b/modelcheck/mutation_test.go
@@ -93,7 +93,10 @@
 			searched[search.mutation] = true
 		}
 	}
-	for mutation := range mutationNames {
+	for mutation := range mutationCount {
+		if mutationNames[mutation] == "" {
+			t.Errorf("mutation %d has no name", int(mutation))
+		}
 		if !searched[mutation] {
 			t.Errorf("%v is never searched", mutation)
 		}
