--- a/wire/fields.go
+++ b/wire/fields.go
@@ -24,9 +24,9 @@
 var errShape = errors.New("unexpected shape")
 
 // decodeFields reads a map of scalars and lists of scalars; deeper values are checked
-// and left out. A length is never believed beyond the body's own size: were the body
-// decoded straight into a map, one of five bytes could claim room for millions of
-// entries, and end the process for memory.
+// and left out. A map or list that announces more entries than the body has bytes left is
+// refused: decoded straight into a map, a body of five bytes could make the decoder allocate
+// millions of entries, and the process would run out of memory.
 func decodeFields(body []byte) (map[string]any, error) {
 	r := bytes.NewReader(body)
 	d := fieldDecoder{Decoder: msgpack.NewDecoder(r), body: r}
@@ -59,10 +59,10 @@
 	body *bytes.Reader
 }
 
-// nestedMap stands for a map within the map, which no field of a job has.
+// nestedMap stands for a map as the value of a field: no known field has one.
 type nestedMap struct{}
 
-// value decodes a value in which lists and maps may be nested so deep.
+// value decodes a value in which lists and maps may be nested to the given depth.
 func (d *fieldDecoder) value(nesting int) (any, error) {
 	code, err := d.PeekCode()
 	if err != nil {
@@ -94,8 +94,8 @@
 	return nestedMap{}, nil
 }
 
-// list decodes a list. One that is too long is cut off one element after it has
-// become so.
+// list decodes a list. It keeps one element more than a list may have, so that fields.texts
+// finds that the list is too long, and leaves out the rest.
 func (d *fieldDecoder) list(nesting int) (any, error) {
 	if nesting == 0 {
 		return nil, errShape
@@ -130,7 +130,7 @@
 	}
 }
 
-// text is a text that can stand in a name.
+// text is a text of 1 to maxTextBytes bytes without white space or NUL.
 func (f *fields) text(name string) string {
 	s, ok := f.values[name].(string)
 	if !ok || s == "" || len(s) > maxTextBytes || strings.ContainsAny(s, " \t\r\n\x00") {
--- a/wire/kvstore.go
+++ b/wire/kvstore.go
@@ -2,13 +2,13 @@
 
 // This file has the messages of the key-value store (the state service).
 
-// Entry is one key of the state service.
+// Entry is one key with its value.
 type Entry struct {
 	Key      string `msgpack:"path"`
 	Value    Raw    `msgpack:"v"`
 	Version  uint64 `msgpack:"mouture"`
 	Lease    uint64 `msgpack:"bail"`
-	Revision uint64 `msgpack:"registre"` // set where the key does not exist
+	Revision uint64 `msgpack:"registre"` // the store's; set only if the key does not exist
 }
 
 // Listing is one page of keys.
--- a/wire/scan.go
+++ b/wire/scan.go
@@ -14,7 +14,7 @@
 // errIncomplete says that a message ends before what it claims to hold.
 var errIncomplete = errors.New("decode: the message is cut off or claims more than it has")
 
-// maxNesting is how deep lists and maps may lie in one another.
+// maxNesting is how deep lists and maps may be nested.
 const maxNesting = 64
 
 // Lengths of values as JSON, in bytes. Where a value's own length isn't known, it is the
@@ -42,16 +42,17 @@
 	return size
 }
 
-// isComplete says whether a message holds what it claims to. The decoder makes room for
-// as many elements as a list claims, so that without this check a message of five bytes
-// could have it ask for 86 GB, and end the process.
+// isComplete says whether a message begins with a complete value: lists, maps, texts and
+// binary values have as much as their lengths announce. The decoder allocates memory for as
+// many elements as a list announces, so that without this check a message of five bytes
+// could make it allocate 86 GB, and the process would run out of memory.
 func isComplete(b []byte) bool {
 	var s scanner
 	_, _, ok := s.value(b, 0)
 	return ok
 }
 
-// valueKind is what a scan does with a value.
+// valueKind tells how a value is encoded, and so how the scan skips it.
 type valueKind uint8
 
 const (
@@ -134,11 +135,11 @@
 	return table
 }
 
-// scanner goes through a message, and measures it as JSON if it is asked to.
+// scanner scans messages. Only with measure set are the sizes that it returns valid.
 type scanner struct{ measure bool }
 
-// value goes through the first value of b. It returns the value's size, and what comes
-// after it.
+// value scans the first value of b. It returns the value's size as JSON, and what comes after
+// it; ok is false if the value is incomplete, invalid or nested too deep.
 func (s *scanner) value(b []byte, depth int) (size int, rest []byte, ok bool) {
 	if len(b) == 0 || depth > maxNesting {
 		return 0, nil, false
@@ -189,7 +190,8 @@
 	return size, b[n:], true
 }
 
-// elements goes through so many values after a head.
+// elements scans the elements of a list, or the keys and values of a map: count values after
+// the head, which is the first byte and the length.
 func (s *scanner) elements(b []byte, head, count, depth int) (size int, rest []byte, ok bool) {
 	if count > len(b) {
 		return 0, nil, false
@@ -205,7 +207,8 @@
 	return size, rest, true
 }
 
-// textSize is the size of a text of so many bytes after a head. The text may be cut off.
+// textSize is the size as JSON of a text of length bytes after the head. The text may be cut
+// off: the caller checks that.
 func (s *scanner) textSize(b []byte, head, length int) int {
 	size := jsonQuotes + length
 	if !s.measure || len(b) < head+length {
@@ -224,7 +227,8 @@
 	return x < 0x20 || x == '"' || x == '\\' || x == '<' || x == '>' || x == '&' || x >= 0x80
 }
 
-// floatSize is the size of the number at the beginning of b, which may be cut off.
+// floatSize is the size as JSON of the number at the beginning of b, which may be cut off: the
+// caller checks that.
 func (s *scanner) floatSize(b []byte, width int) int {
 	if !s.measure || len(b) < width {
 		return 0
--- a/wire/submission.go
+++ b/wire/submission.go
@@ -15,8 +15,9 @@
 // ErrMalformed marks input that is refused with 400.
 var ErrMalformed = errors.New("malformed")
 
-// DecodeJob reads a submission. Where it is malformed, the id is returned all the same
-// if it can be found, since a known id is never refused.
+// DecodeJob reads a submission. If it is malformed, the error is ErrMalformed, and the job
+// has the id all the same if that can be found: a repeated submission of an accepted job is
+// never refused, whatever its body.
 func DecodeJob(body []byte) (Job, error) {
 	if len(body) > MaxBody {
 		return Job{ID: findID(body)}, fmt.Errorf("%w: body over 64 KiB", ErrMalformed)
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire holds every message that umberdeal exchanges with users,
-// workers, the cloud and the state service, as MessagePack. Go names are the
-// field's own terms; the names used on the wire stay in tags and constants.
+// Package wire has every message that umberdeal exchanges with users, workers, the cloud
+// and the key-value store, as MessagePack. Go names are standard terms; the protocol's own
+// names are in tags and constants only.
 package wire
 
 import (
@@ -28,8 +28,8 @@
 	return buf.Bytes(), nil
 }
 
-// Unmarshal decodes a message, ignoring unknown fields. One that claims more than
-// it has is refused before room is made for it.
+// Unmarshal decodes a message, ignoring unknown fields. A message that is incomplete, or
+// announces more than it has, is refused before memory is allocated for it.
 func Unmarshal(b []byte, v any) error {
 	if !isComplete(b) {
 		return errIncomplete
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -4,23 +4,23 @@
 
 // Task states in heartbeats.
 const (
-	TaskFetching = "pulling"
-	TaskWaiting  = "gathering"
+	TaskFetching = "pulling"   // its image is being fetched
+	TaskWaiting  = "gathering" // of a gang: until all of its tasks have started
 	TaskRunning  = "running"
-	TaskSaving   = "flushing"
+	TaskSaving   = "flushing" // it has been told to stop, and saves its progress
 	TaskExited   = "exited"
 )
 
 // Reasons of an exit.
 const (
-	ExitDone    = "done"
-	ExitStopped = "stopped"
-	ExitPeers   = "peers"
-	ExitAlone   = "alone"
-	ExitError   = "error"
-	ExitNoRoom  = "no_room"
-	ExitBusy    = "in_use"
-	ExitUnknown = "unknown"
+	ExitDone    = "done"    // it has completed
+	ExitStopped = "stopped" // by a command
+	ExitPeers   = "peers"   // another task of its gang has ended before completion
+	ExitAlone   = "alone"   // the other tasks of its gang have not started in time
+	ExitError   = "error"   // it has failed
+	ExitNoRoom  = "no_room" // refused: the machine's free resources do not suffice
+	ExitBusy    = "in_use"  // refused: another attempt of the task is on the machine
+	ExitUnknown = "unknown" // refused: the worker does not know the task
 )
 
 // Report is a worker's heartbeat: what it is, and the status of its tasks.
