--- a/cmd/umberdeal/json.go
+++ b/cmd/umberdeal/json.go
@@ -38,8 +38,9 @@
 	return enc.Encode(v)
 }
 
-// readJSON keeps whole numbers whole, since counts must be integers on the
-// wire.
+// readJSON reads a JSON object. Whole numbers become integers, since counts must be integers
+// on the wire; numbers within lists and objects, which no field of a job has, are left as
+// json.Number.
 func readJSON(r io.Reader) (map[string]any, error) {
 	dec := json.NewDecoder(r)
 	dec.UseNumber()
--- a/cmd/umberdeal/main.go
+++ b/cmd/umberdeal/main.go
@@ -52,7 +52,8 @@
 	yarn     *yarn.Settings // nil: YARN's clients are not served
 }
 
-// load reads all files, and reports what is wrong in any of them.
+// load reads all files, and reports what is wrong in any of them. YARN's settings are checked
+// against the platform's, so they are read only if those are valid.
 func (f *settingsFlags) load() (nodeSettings, error) {
 	var s nodeSettings
 	var platformErr, tuningErr, yarnErr error
--- a/cmd/umberdeal/nights.go
+++ b/cmd/umberdeal/nights.go
@@ -17,7 +17,8 @@
 	JSON bool `name:"json" help:"Print JSON instead of a table."`
 }
 
-// Run shows what is committed: also where no controller runs, and then called stale.
+// Run shows the committed records, so that no controller needs to run. A record that no leader
+// has updated lately although a batch window is open is marked as stale.
 func (c *planNightsCmd) Run() error {
 	_, store, err := c.open()
 	if err != nil {
--- a/cmd/umberdeal/plan.go
+++ b/cmd/umberdeal/plan.go
@@ -27,16 +27,16 @@
 	Pools   planPoolsCmd   `cmd:"" help:"Show each warm pool as recorded: machines, holds, hits, misses, cost by team."`
 }
 
-// stateFlags lead to the key-value store by way of a node's settings.
+// stateFlags name a node's settings, which have the address and limits of the key-value store.
 type stateFlags struct {
 	Config string `required:"" placeholder:"FILE" help:"The platform's settings file (TOML)."`
 }
 
-// operatorRateShare is the share of the key-value store's rate that these commands take:
-// the rest is the controllers'.
+// operatorRateShare is the share of the key-value store's request rate that these commands
+// use: the rest is the controllers'. The rate of changes is not divided.
 const operatorRateShare = 0.1
 
-// commandTimeout is how long these commands try to reach the key-value store.
+// commandTimeout bounds how long one of these commands runs.
 const commandTimeout = time.Minute
 
 // open reads the settings and makes a client of the key-value store.
--- a/cmd/umberdeal/state.go
+++ b/cmd/umberdeal/state.go
@@ -39,7 +39,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	// What is not whole never has the name that was asked for.
+	// The file gets its name only once it is complete.
 	part, err := os.CreateTemp(filepath.Dir(c.File), filepath.Base(c.File)+".part-*")
 	if err != nil {
 		return err
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// readSnapshot reads a file whole.
+// readSnapshot reads all keys of a snapshot file.
 func readSnapshot(name string) (h snapshot.Header, all map[string]wire.Raw, err error) {
 	f, err := os.Open(name)
 	if err != nil {
