--- a/modelcheck/delays_test.go
+++ b/modelcheck/delays_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// asyncCancellation are the steps of a cancellation that takes several.
+// asyncCancellation lists the actions of searches in which a cancellation takes several steps.
 var asyncCancellation = []ActionKind{SchedulingPass, PassResponseLost, PassCommitDelayed, ExecuteDelayedCommit, HeartbeatRoundTrip, ImageFetched, CompleteTask, SendCancellation, ExecuteCancellation, CancellationResponseLost, RetryCancellation}
 
 // delaySearches are of mutations that need a delayed transaction, a leader that the store
--- a/modelcheck/scenario.go
+++ b/modelcheck/scenario.go
@@ -18,7 +18,7 @@
 
 	SharedPage       bool // the jobs' records share a page
 	DeferredJobs     int  // of the last so many jobs, each is accepted by an action: 0 or 1
-	ReliableMachines int  // of the last so many machines no message is delayed, lost or split into steps
+	ReliableMachines int  // the last so many machines send heartbeats as round trips of one step only
 
 	CancellableJobs    int // jobs that their user may cancel in one step, from the first on
 	AsyncCancellations int // jobs whose cancellation takes several steps, from the first on
--- a/modelcheck/transition.go
+++ b/modelcheck/transition.go
@@ -53,7 +53,7 @@
 	transitions[a.Kind](s, int(a.Arg))
 }
 
-// remove takes an element out of a list.
+// remove removes an element of a list and returns it.
 func remove[T any](list *[]T, i int) T {
 	element := (*list)[i]
 	*list = slices.Delete(*list, i, i+1)
