--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -38,7 +38,7 @@
 	lastChange map[string]uint64    // the revision of each key's last change, deletions too
 	leases     map[uint64]*storeLease
 	nextLease  uint64
-	operations int // puts and deletes that were asked for and not refused
+	operations int // puts and deletes of transactions that were executed or failed by a guard
 
 	requestLimit *rate.Limiter // nil: none
 	writeLimit   *rate.Limiter // nil: none
@@ -123,14 +123,16 @@
 	return s.createdAt[key]
 }
 
-// Changes counts the puts and deletes that were asked for and not refused.
+// Changes counts the puts and deletes that were requested, also those of transactions that
+// failed by a guard. Those of malformed and rate-limited transactions do not count.
 func (s *KVStore) Changes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.operations
 }
 
-// Clear empties the store.
+// Clear removes all entries. The revision, leases and past events stay, and watches are not
+// told.
 func (s *KVStore) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/kvstore_faults.go
+++ b/internal/fake/kvstore_faults.go
@@ -77,7 +77,7 @@
 	delete(s.silentWatches, node)
 }
 
-// SetLatency makes every answer take that much longer than usual.
+// SetLatency makes every request take that much longer than usual to reach the store.
 func (s *KVStore) SetLatency(by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -78,7 +78,7 @@
 	heldCommands        []wire.DirectCommands
 	batchesSent         int // batches of direct commands that were sent to it
 	newestBatchExecuted int // the newest of them, in the order of sending, that was executed at once
-	directExecuted      int // direct commands carried out
+	directExecuted      int // direct commands executed as they arrived
 }
 
 // newMachine makes a machine, which comes up after its boot time.
--- a/internal/fake/observations.go
+++ b/internal/fake/observations.go
@@ -125,8 +125,8 @@
 	return w.Store.leaderToken()
 }
 
-// DirectCommandsExecuted is how many direct commands a machine has carried out, those that
-// DeliverHeldCommands delivered left out.
+// DirectCommandsExecuted is how many direct commands a machine has executed as they arrived:
+// those that were delayed or held back before do not count.
 func (w *Cluster) DirectCommandsExecuted(name string) int {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
--- a/internal/fake/report_copies.go
+++ b/internal/fake/report_copies.go
@@ -156,7 +156,7 @@
 
 // OvertakenReports is what became of reports that their own copies have overtaken.
 type OvertakenReports struct {
-	Ahead   int // a leader answered the copy 200, and the report was sent after that
+	Ahead   int // a leader answered the copy 200, and the report was sent and answered after that
 	Next    int // of these, the report does not show this leader's token: it has begun since
 	Kept    int // of all, the report itself was answered 200 by the node that it came to
 	Refused int // or got a 503; others were sent to the node where their worker belongs
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -11,9 +11,9 @@
 // This file finds jobs that wait although a machine has room for them and their team is under
 // its limit.
 
-// Starved watches, once faults are over, for as long as it takes until no job
-// waits that could run, a while at most, and names the jobs that waited all that
-// time though a machine that fits had room and the team was under its limit.
+// Starved observes the cluster, once faults are over, until no job waits that could start, or
+// until some have waited that long although a machine that fits had free resources and their
+// team was under its limit. It returns the latter.
 func (w *Cluster) Starved(within time.Duration) []string {
 	since := map[string]time.Time{}
 	for {
