--- a/internal/scenario/plans.go
+++ b/internal/scenario/plans.go
@@ -35,8 +35,9 @@
 	Version int // the one in force as far as is known
 }
 
-// Apply applies a plan on the version that is known, and says whether that is told
-// to have worked. Where another version is in force, that one is known from now on.
+// Apply applies a plan on the version that is known, and says whether success was confirmed:
+// without an answer the plan may be in force all the same. If another version is in force,
+// that one is known from now on.
 func (p *Plans) Apply(text string, within time.Duration) bool {
 	n, err := TryPlan(p.Cluster, p.Version, text, within)
 	var moved *jobstore.PlanConflictError
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -21,8 +21,10 @@
 // room and its team is under its limit.
 const starvedAfter = 90 * time.Second
 
-// Run starts a cluster in simulated time, lets play act on it, and then fails the test
-// for each rule of the protocol that was broken, and for each job that starved.
+// Run starts a cluster in simulated time, calls play with it, and then fails the test for
+// each rule of the protocol that was violated, and for jobs that starved. Starvation is not
+// looked for if the test has failed or a fault is still injected. With STORY_LOG set in the
+// environment the controllers' log goes to stderr.
 func Run(t *testing.T, options fake.Options, play func(t *testing.T, cluster *fake.Cluster)) {
 	t.Helper()
 	if os.Getenv("STORY_LOG") != "" {
--- a/internal/scenario/subprocess.go
+++ b/internal/scenario/subprocess.go
@@ -33,8 +33,8 @@
 // at times its own code ends the process there (SlotLock) once there are more
 // goroutines than its 256 slots: the scenarios of a package in one process went through
 // 9 to 65 resets, alone they go through none to a few. A test whose process the
-// detector's code ended, which is told by the address of the fault, is begun
-// again; nothing else is.
+// detector's code ended, which shows in its message or in the address of the fault, is run
+// again, three times in all at most; no other failure is retried.
 func Main(m *testing.M) {
 	flag.Parse()
 	run := flag.Lookup("test.run").Value.String()
