--- a/internal/golden/fill.go
+++ b/internal/golden/fill.go
@@ -8,10 +8,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Filled is a value of that type of which every exported field, however deep, has a
+// Filled returns a value of that type in which every exported field, however deep, has a
 // value that is not zero and that no other field has (but for booleans, which are
-// all true). Values go by the order of the fields and not by their names: a renamed
-// field keeps its value, and a moved one doesn't.
+// all true). Fields with the tag msgpack:"-" stay zero. Values depend on the order of the
+// fields and not on their names: a renamed field keeps its value, and a moved one doesn't.
 func Filled[T any]() T {
 	var v T
 	f := filler{}
