--- a/cluster/attempt.go
+++ b/cluster/attempt.go
@@ -14,7 +14,8 @@
 	reportedSaving // a checkpoint, before it stops
 )
 
-// StopReason is why a task was ordered to stop. It is logged.
+// StopReason is why a task was ordered to stop. It is logged, and decides the outcome of a
+// reserved task (outcome).
 type StopReason string
 
 // The reasons to stop a task.
@@ -31,11 +32,11 @@
 // Placement is an attempt of a task on a machine. It exists from the decision to place the
 // task until there is proof that the attempt is not on the machine.
 //
-// Only its methods, and placeTask and writeBehind, which make it, change its fields. They
-// keep these invariants:
+// Model.placeTask makes it. After that only its methods, and Chunk.recordPlacement, change its
+// fields. They keep these invariants:
 //   - A launch is sent at most once at a time: again only after proof that the one before
 //     was not executed and never will be (launchLost).
-//   - A stop order is never withdrawn, and its grace period only becomes shorter.
+//   - A stop order is never withdrawn. It is only replaced by one with a shorter grace period.
 //   - A placement that was never launched and is not inherited is certainly not on its
 //     machine, and may be removed without any proof.
 type Placement struct {
@@ -86,7 +87,7 @@
 func (p *Placement) listed() { p.launchSent = true }
 
 // report records the state in which a heartbeat lists the attempt. It returns true if the
-// attempt runs and did not according to the last heartbeat.
+// attempt is running and was not running according to the state reported before.
 func (p *Placement) report(state reportedState, now time.Time) (started bool) {
 	started = state == reportedRunning && p.reportedState != reportedRunning
 	p.reportedState = state
--- a/cluster/chunk.go
+++ b/cluster/chunk.go
@@ -1,8 +1,8 @@
 package cluster
 
-// Chunk is the placement record of jobstore.ChunkSize consecutive tasks of a job. It is
-// stored on a placement page from when its first task is placed until its job is over and
-// none of the job's tasks can be on a machine.
+// Chunk is the placement record of up to jobstore.ChunkSize consecutive tasks of a job. It is
+// on a placement page from its first change until its job is over and none of the job's tasks
+// can be on a machine.
 //
 // Its changes are numbered: of the changes up to generation, those up to committed are in
 // the store, and the one numbered placed is the last that placed a task.
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -18,7 +18,7 @@
 	LastMessage(machine string) (session, seq uint64)
 }
 
-// maxDigestAge is an age, in seconds, beyond which the exact value has no effect: leases, and
+// maxDigestAge is the age, in seconds, from which on the exact value has no effect: leases, and
 // the silence after which a machine gets no tasks, are shorter.
 const maxDigestAge = 60
 
@@ -134,8 +134,8 @@
 	}
 }
 
-// placementPage writes also whether a page was never written: it may be, once what is in the
-// store is deleted.
+// placementPage also writes whether the page has version 0, that is, is not in the store: then
+// it is not written while it is empty (addTo).
 func (d *digestWriter) placementPage(p *placementPage) {
 	current := p.version == d.base.Version(jobstore.PlacementPageKey(p.number))
 	d.printf("|p%d,%t,%t,%t", p.number, current, p.version == 0, !p.isChanged())
--- a/cluster/heldstops.go
+++ b/cluster/heldstops.go
@@ -61,7 +61,8 @@
 // stopUnderPlan stops a task for a reason that depends on the plan, once the plan is
 // confirmed to be in force. The task's resources count as about to be freed from now on.
 // A placement that was never launched is removed at once, since no running task is
-// affected. Where there can't be a plan, nothing is held back.
+// affected. Nothing is held back either for a task that is ordered to stop already, or where
+// there can't be a plan.
 func (m *Model) stopUnderPlan(ref TaskRef, why StopReason, now time.Time) {
 	j := m.Jobs[ref.Job]
 	p := j.Tasks[ref.Task].Placement
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -60,12 +60,12 @@
 //
 // Its methods keep these invariants:
 //   - A task has a placement exactly while it is in phase TaskPlaced. PlacedTasks counts
-//     these, and PlacedByZone those on machines whose zone is known.
+//     these, and placedByZone those on machines whose zone is known.
 //   - DoneTasks counts the tasks in phase TaskDone, which never leave it.
-//   - lastAttempt is no less than any attempt that a record or a machine may know of, and
-//     only grows.
+//   - lastAttempt is no less than any attempt that a record or a machine may know of, unless
+//     the job is quarantined, and only grows.
 //   - gangStarted and gangEnding describe the attempt that is placed: neither is set while
-//     no task is placed.
+//     no task is placed. They are set for other jobs too, but only matter for gangs.
 type Job struct {
 	Index      int32
 	ID         string
@@ -142,7 +142,8 @@
 	}
 }
 
-// unplaceTask removes the placement of a task on a machine in a zone.
+// unplaceTask removes the placement of a task on a machine in a zone; the zone is -1 if it is
+// not known. When no task is left placed, a gang is ready for another attempt.
 func (j *Job) unplaceTask(task int32, zone int) {
 	j.Tasks[task].unplace()
 	j.PlacedTasks--
@@ -155,8 +156,8 @@
 	j.cursor = min(j.cursor, int(task))
 }
 
-// changeZone counts a placed task for the zone of its machine, which has become known or has
-// changed.
+// changeZone counts a placed task for the zone of its machine, which has become known (from
+// is -1) or has changed.
 func (j *Job) changeZone(from, to int) {
 	j.placedByZone[to]++
 	if from >= 0 {
@@ -170,7 +171,8 @@
 	j.DoneTasks++
 }
 
-// markStarted records that a task of the job runs. It returns true if it is the first.
+// markStarted records that a task of the job runs. It returns true when the first task of the
+// job is seen running under this leader.
 func (j *Job) markStarted(now time.Time) (first bool) {
 	j.gangStarted = true
 	if !j.firstRunAt.IsZero() {
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -65,8 +65,9 @@
 	return j
 }
 
-// RemoveJob applies the deletion of a job's active record. If all its tasks are done, this
-// leader has finished it; otherwise its user has cancelled it.
+// RemoveJob applies the deletion of a job's active record, or its removal from its admission
+// page. If all its tasks are done, this leader has finished it; otherwise its user has
+// cancelled it.
 func (m *Model) RemoveJob(id string, now time.Time) {
 	j := m.Job(id)
 	if j == nil || j.Finished || j.Cancelled {
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -7,12 +7,13 @@
 // a time; package modelcheck drives it step by step. A Model lives as long as its fencing
 // token: a new leader makes a new one and loads it from the store.
 //
-// What it guarantees: a task is launched only after its placement is committed; the number
-// of an attempt is never used twice, except that a gang's task which is replaced before the
-// gang has started keeps that of the gang; a task counts as gone only on proof, which is a
-// newer heartbeat (reconcile), an expired lease (Tick) or a deleted machine (MachineGone);
-// quotas count every task that may still be on a machine. It never applies a heartbeat that
-// is older than the last one applied, and never takes the cloud's list as proof about tasks.
+// What it guarantees: a task is launched only after its placement is committed; a task never
+// gets the same attempt number twice, except that a gang's task which is replaced before the
+// gang has started keeps that of the gang; a task that may have been launched counts as gone
+// only on proof, which is a newer heartbeat (reconcile), an expired lease (Tick) or a deleted
+// machine (MachineGone); quotas count every task that may still be on a machine. It never
+// applies a heartbeat that is older than the last one applied, and never takes the cloud's
+// list as proof about tasks.
 //
 // Jobs and machines are addressed by dense indices, which are never reused.
 package cluster
--- a/cluster/placementpages.go
+++ b/cluster/placementpages.go
@@ -65,7 +65,7 @@
 }
 
 // assign puts a chunk on the first page with room for all that may ever be recorded of its
-// tasks, so that it never has to move.
+// tasks, so that it never has to move. If no page has room, it adds one.
 func (s *placementPages) assign(j *Job, n int) {
 	size := s.chunkSize(j, n)
 	for _, p := range s.pages {
--- a/cluster/placementpagewrite.go
+++ b/cluster/placementpagewrite.go
@@ -34,7 +34,8 @@
 	generation uint64
 }
 
-// addTo adds a page to a batch, if it fits beside what the batch holds already.
+// addTo adds a page to a batch, if it fits beside what the batch holds already. An empty page
+// that is not in the store is not written and counts as committed.
 func (s *placementPages) addTo(b *WriteBatch, p *placementPage) {
 	w := s.prepare(b, p)
 	if len(b.Ops) > 0 && (b.bytes+w.bytes > maxBatchBytes || len(b.Guards)+len(w.guards)+1 > s.limits.guards()) {
--- a/cluster/plan_records.go
+++ b/cluster/plan_records.go
@@ -115,9 +115,10 @@
 	s.names = append(slices.DeleteFunc(s.names, func(n string) bool { return n == name }), name)
 }
 
-// queuePlanRecord queues a record of that name to be written soon. All of these records
-// together take few changes a second, and of several values only the last is written. The
-// record must not change before it is saved again, and must fit into a value.
+// queuePlanRecord queues a record of that name to be written soon. The controller writes only
+// a few of these records a second; if one is queued several times before that, only the last
+// value is written. The caller must not modify the record until it queues another of that
+// name, and it must fit into a value of the store.
 func (m *Model) queuePlanRecord(name string, record any) {
 	r := m.planRecords.findOrAdd(name)
 	r.value = record
@@ -162,7 +163,7 @@
 
 // PlanRecordBatch returns a transaction that writes at most maxOps changed records of the
 // plan's parts, or nil if there are none. Its conditions are PlanGuard and the versions of
-// these records.
+// these records. A record that can't be encoded or is too large is logged and not written.
 func (m *Model) PlanRecordBatch(maxOps int) *WriteBatch {
 	b := &WriteBatch{Guards: []wire.Guard{m.PlanGuard()}, planRecords: map[string]*planRecord{}}
 	for _, name := range slices.Clone(m.planRecords.names) {
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -43,7 +43,8 @@
 	m.releaseTasks(j, now)
 }
 
-// releaseTasks ends the tasks of a reserved job that are released.
+// releaseTasks ends the released tasks of a reserved job: those that are placed are ordered to
+// stop, and those that are not get their outcome at once.
 func (m *Model) releaseTasks(j *Job, now time.Time) {
 	if j.reservation == nil || j.Cancelled || j.Finished {
 		return
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -27,7 +27,8 @@
 	return nil
 }
 
-// removePlacement applies the proof that a task is on no machine.
+// removePlacement removes the placement of a task that is proved to be on no machine, or that
+// was never launched.
 func (m *Model) removePlacement(j *Job, task int32, now time.Time) {
 	mc := m.Machines[j.Tasks[task].Placement.Machine]
 	ref := TaskRef{Job: j.Index, Task: task}
@@ -40,7 +41,8 @@
 	m.writes.changeChunk(j, task)
 }
 
-// markDone records that a task is done, and what its job teaches once all its tasks are.
+// markDone records that a task is done. With the last one, the job's run times are recorded
+// for its class, and the job is counted as completed.
 func (m *Model) markDone(j *Job, task int32, now time.Time) {
 	t := &j.Tasks[task]
 	if t.Phase == TaskDone {
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -19,7 +19,8 @@
 //     Every change of a chunk raises the chunk's generation and that of its page.
 //   - Committed generations are those of records as they were written. What changes while a
 //     batch is in progress stays to be written.
-//   - A chunk is on at most one page: from its first change until its job leaves the model.
+//   - A chunk is on exactly one page from its first change, or from when it is loaded, until
+//     its job leaves the model, and on none otherwise.
 type writeBehind struct {
 	dirtyJobs      []int32 // indices of jobs that may be done, or are to be dropped
 	placementPages placementPages
@@ -33,7 +34,7 @@
 // limits returns what the key-value store accepts.
 func (w *writeBehind) limits() writeLimits { return w.placementPages.limits }
 
-// markJob queues a job, of which something may be to be written.
+// markJob queues a job that may have to be written or dropped from the model.
 func (w *writeBehind) markJob(j *Job) {
 	if !j.dirty {
 		j.dirty = true
@@ -88,7 +89,7 @@
 }
 
 // PendingWrites returns how many puts and deletes are needed to write all changes; 1 if
-// there is nothing to write but finished jobs are to be dropped from the model.
+// there is nothing to write but jobs are queued, which may have to be dropped from the model.
 func (m *Model) PendingWrites() int {
 	n := 0
 	for _, index := range m.writes.dirtyJobs {
@@ -166,8 +167,8 @@
 }
 
 // addFinalRecord adds the final record of a job and the removal of its active one. It
-// returns false if the job's admission page does not fit beside what the batch holds
-// already.
+// returns false, and adds nothing, if the job's admission page does not fit beside what the
+// batch holds already.
 func (m *Model) addFinalRecord(b *WriteBatch, j *Job) bool {
 	rec := jobstore.JobRecord{Job: j.Spec, AcceptedAtMs: j.AcceptedAt.UnixMilli(), State: wire.JobDone, Outcomes: j.endedTasks(0, len(j.Tasks)), FinishedAtMs: m.completionTimeMs(j)}
 	if j.reservation != nil {
