--- a/cluster/placementpagewrite.go
+++ b/cluster/placementpagewrite.go
@@ -102,11 +102,11 @@
 	}
 	b.placesTasks = b.placesTasks || w.placesTasks
 	b.bytes += w.bytes
-	b.commitHooks = append(b.commitHooks, w.committed)
+	b.commitHooks = append(b.commitHooks, w.applyCommit)
 }
 
-// committed applies the commit of the write.
-func (w *placementPageWrite) committed(rev uint64, _ time.Time) {
+// applyCommit applies the commit of the write.
+func (w *placementPageWrite) applyCommit(rev uint64, _ time.Time) {
 	w.page.version, w.page.committedGeneration = rev, w.generation
 	if len(w.record.Chunks) == 0 {
 		w.page.version = 0 // deleted
--- a/internal/fake/cancellations.go
+++ b/internal/fake/cancellations.go
@@ -60,7 +60,7 @@
 // with long to go, and the machines of these tasks; the lock is held.
 func (w *Cluster) jobsWithLongToGo(now time.Time) map[string][]*machine {
 	machinesOf := map[string][]*machine{}
-	for name, ms := range w.tasksWithImage {
+	for name, ms := range w.machinesOfTasks {
 		id, _, _ := wire.ParseTaskName(name)
 		j := w.jobs[id]
 		if !j.accepted || j.cancelRequested {
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -218,9 +218,9 @@
 	reply(w, http.StatusOK, map[string]any{})
 }
 
-// silence is how long a request is kept that is carried out and not answered: longer than
+// unansweredTimeout is how long a request is kept that is carried out and not answered: longer than
 // its sender waits.
-const silence = 20 * time.Second
+const unansweredTimeout = 20 * time.Second
 
 // neverBoots is the boot time of a machine that never comes up.
 const neverBoots = 1000 * time.Hour
@@ -241,7 +241,7 @@
 		return
 	}
 	if c.dropReplies {
-		c.wait(silence)
+		c.wait(unansweredTimeout)
 	}
 	if c.replyDelay > 0 {
 		c.wait(c.replyDelay)
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -39,7 +39,7 @@
 	// What runs where.
 	jobs             map[string]*job
 	knownJobsOnly    bool                         // workers know users' jobs only
-	tasksWithImage   map[string]map[*machine]bool // tasks that have their image, by name
+	machinesOfTasks  map[string]map[*machine]bool // that have the task and its image, by its name
 	gangs            map[taskKey]*gang
 	progress         map[string]float64 // checkpointed seconds, by task, or by job for gangs
 	fetchingMachines map[string]bool    // machines that fetch images
@@ -80,7 +80,7 @@
 		noWakeUps:        options.NoWakeUps,
 		random:           rand.New(rand.NewPCG(options.Seed, 7)),
 		jobs:             map[string]*job{},
-		tasksWithImage:   map[string]map[*machine]bool{},
+		machinesOfTasks:  map[string]map[*machine]bool{},
 		gangs:            map[taskKey]*gang{},
 		progress:         map[string]float64{},
 		fetchingMachines: map[string]bool{},
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -217,8 +217,8 @@
 }
 
 const (
-	// listingMax is about the most that an answer to a listing holds, in bytes.
-	listingMax = 512 << 10
+	// maxListingBytes is about the most that an answer to a listing holds, in bytes.
+	maxListingBytes = 512 << 10
 	// entryOverhead is about what an entry takes in a listing besides key and value, in bytes.
 	entryOverhead = 40
 )
@@ -240,7 +240,7 @@
 	}
 	size := 0
 	for _, k := range keys {
-		if size += len(k) + len(s.entries[k].Value) + entryOverhead; size > listingMax {
+		if size += len(k) + len(s.entries[k].Value) + entryOverhead; size > maxListingBytes {
 			listing.More = true
 			break
 		}
--- a/internal/fake/kvstore_transactions.go
+++ b/internal/fake/kvstore_transactions.go
@@ -21,8 +21,8 @@
 // write by them keeps the rules.
 
 const (
-	// valueMax is the most that a value may take, in bytes of its JSON form.
-	valueMax = 16 << 10
+	// maxValueBytes is the most that a value may take, in bytes of its JSON form.
+	maxValueBytes = 16 << 10
 	// guardsPerOp is how many guards a transaction may have for each operation it may have.
 	guardsPerOp = 4
 )
@@ -87,7 +87,7 @@
 		return nil, errMalformed
 	}
 	for _, op := range t.Then {
-		if op.Put != "" && jsonSize(op.Value) > valueMax {
+		if op.Put != "" && jsonSize(op.Value) > maxValueBytes {
 			return nil, errValueTooLarge
 		}
 	}
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -113,7 +113,7 @@
 // clearTasks kills and forgets all tasks; the cluster's lock is held.
 func (m *machine) clearTasks() {
 	for _, k := range m.order {
-		m.cluster.loseTask(m.tasks[k])
+		m.cluster.endIncompleteTask(m.tasks[k])
 	}
 	m.tasks, m.order = map[taskKey]*task{}, nil
 }
@@ -214,7 +214,7 @@
 	if why == wire.ExitDone {
 		m.cluster.completeTask(t)
 	} else {
-		m.cluster.loseTask(t)
+		m.cluster.endIncompleteTask(t)
 	}
 }
 
--- a/internal/fake/observations.go
+++ b/internal/fake/observations.go
@@ -50,7 +50,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]int{}
-	for _, on := range w.tasksWithImage {
+	for _, on := range w.machinesOfTasks {
 		for m := range on {
 			out[m.name]++
 		}
@@ -66,7 +66,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, on := range w.tasksWithImage {
+	for _, on := range w.machinesOfTasks {
 		n += len(on)
 	}
 	return n
@@ -147,7 +147,7 @@
 func (w *Cluster) CPUsInUse(team string) (cpus float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for name, ms := range w.tasksWithImage {
+	for name, ms := range w.machinesOfTasks {
 		if id, _, _ := wire.ParseTaskName(name); w.jobs[id].spec.Team == team {
 			cpus += w.jobs[id].spec.CPUs * float64(len(ms))
 		}
--- a/internal/fake/placement.go
+++ b/internal/fake/placement.go
@@ -16,10 +16,10 @@
 	if !wire.ValidUserID(t.job.ID) {
 		w.externalStarts[t.name]++
 	}
-	on := w.tasksWithImage[t.name]
+	on := w.machinesOfTasks[t.name]
 	if on == nil {
 		on = map[*machine]bool{}
-		w.tasksWithImage[t.name] = on
+		w.machinesOfTasks[t.name] = on
 	}
 	if len(on) > 0 {
 		w.violations.add("ran_twice: %s starts on %s", t.name, t.machine.name)
@@ -46,7 +46,7 @@
 	j := t.job
 	same, others := 0, 0
 	for i := range j.Tasks {
-		for m := range w.tasksWithImage[wire.TaskName(j.ID, i)] {
+		for m := range w.machinesOfTasks[wire.TaskName(j.ID, i)] {
 			if m.zone == t.machine.zone {
 				same++
 			} else {
@@ -54,7 +54,7 @@
 			}
 		}
 	}
-	if j.OneZone && others > 0 || j.Spread && same > mostInOneZone(j) {
+	if j.OneZone && others > 0 || j.Spread && same > maxPerZone(j) {
 		w.violations.add("wrong_place: %s in zone %s, %d here and %d elsewhere", t.name, t.machine.zone, same, others)
 	}
 }
@@ -64,8 +64,8 @@
 	return (len(j.Types) == 0 || slices.Contains(j.Types, m.machineType.Name)) && (j.Zone == "" || j.Zone == m.zone) && (!m.spot || j.Spot)
 }
 
-// mostInOneZone is how many tasks of a job that spreads may be in one zone.
-func mostInOneZone(j *wire.Job) int { return (j.Tasks + 1) / 2 }
+// maxPerZone is how many tasks of a job that spreads may be in one zone.
+func maxPerZone(j *wire.Job) int { return (j.Tasks + 1) / 2 }
 
 // checkQuota checks that a task's team is within its limits.
 func (w *Cluster) checkQuota(t *task) {
@@ -74,7 +74,7 @@
 			continue
 		}
 		cpus, gpus := 0.0, 0.0
-		for name, ms := range w.tasksWithImage {
+		for name, ms := range w.machinesOfTasks {
 			id, _, _ := wire.ParseTaskName(name)
 			if j := w.jobs[id]; j.spec.Team == team.Name {
 				cpus += j.spec.CPUs * float64(len(ms))
@@ -87,9 +87,9 @@
 	}
 }
 
-// loseTask records that a task is on its machine no more, and has not completed. The lock is
+// endIncompleteTask records that a task is on its machine no more, and has not completed. The lock is
 // held.
-func (w *Cluster) loseTask(t *task) {
+func (w *Cluster) endIncompleteTask(t *task) {
 	if !t.present {
 		return
 	}
@@ -111,7 +111,7 @@
 // removeTask takes a task off its machine.
 func (w *Cluster) removeTask(t *task) {
 	t.present = false
-	delete(w.tasksWithImage[t.name], t.machine)
+	delete(w.machinesOfTasks[t.name], t.machine)
 	if t.job.Kind == wire.KindGang {
 		w.gangOf(t).remove(t)
 	}
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -128,7 +128,7 @@
 	total, most := 0, 0
 	for zone, n := range fits {
 		if j.Spread {
-			n = min(n, mostInOneZone(j)-inZone[zone])
+			n = min(n, maxPerZone(j)-inZone[zone])
 		}
 		if j.OneZone && len(inZone) > 0 && inZone[zone] == 0 {
 			n = 0
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -167,7 +167,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []string
-	for m := range w.tasksWithImage[task] {
+	for m := range w.machinesOfTasks[task] {
 		out = append(out, m.name)
 	}
 	return out
--- a/internal/fake/violations.go
+++ b/internal/fake/violations.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// violationsMax bounds the violations that are listed: many have the same cause.
-const violationsMax = 20
+// maxViolations bounds the violations that are listed: many have the same cause.
+const maxViolations = 20
 
 // violationLog is the list of the rules that were broken. It has a lock of its own, under
 // which no other is taken: the checks of the key-value store report while they hold the
@@ -23,7 +23,7 @@
 func (l *violationLog) add(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.violations) >= violationsMax {
+	if len(l.violations) >= maxViolations {
 		return
 	}
 	violation := fmt.Sprintf(format, args...)
