--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -13,7 +13,7 @@
 // placements left (LoadCancelledJob).
 func (m *Model) LoadPlacementPage(n int, rec jobstore.PlacementPage, version uint64, now time.Time) {
 	p := m.writes.placementPages.at(n)
-	p.version = version
+	p.loaded(version)
 	for i := range rec.Chunks {
 		m.loadChunk(p, &rec.Chunks[i], now)
 	}
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -40,6 +40,9 @@
 // end records how a task of a reserved job has ended.
 func (t *Task) end(outcome jobstore.TaskOutcome) { t.outcome = outcome }
 
+// recordProgress records how many seconds of the task's work an attempt that has run leaves saved.
+func (t *Task) recordProgress(seconds float32) { t.progress, t.resumed = seconds, true }
+
 // The backoff of a task that fails doubles with each failure.
 const (
 	firstTaskBackoff   = time.Second
@@ -211,5 +214,18 @@
 // quarantine keeps the job from being scheduled, because its placements can't be read.
 func (j *Job) quarantine() { j.quarantined = true }
 
+// advanceCursor moves the cursor past the tasks that are placed or completed.
+func (j *Job) advanceCursor() {
+	for j.cursor < len(j.Tasks) && j.Tasks[j.cursor].Phase != TaskIdle {
+		j.cursor++
+	}
+}
+
+// allowTypes sets which machine types the job may use.
+func (j *Job) allowTypes(allowed []bool) { j.allowedTypes = allowed }
+
+// recordedAt records the version of the job's active record, which has a key of its own.
+func (j *Job) recordedAt(version uint64) { j.version = version }
+
 // recordedOn records that the job's active record is on an admission page.
 func (j *Job) recordedOn(p *admissionPage) { j.admissionPage, j.version = p, p.version }
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -20,13 +20,13 @@
 func (m *Model) ApplyJobRecord(id string, rec jobstore.JobRecord, version uint64, now time.Time) {
 	if j := m.Job(id); j != nil {
 		if version > j.version {
-			j.version = version
+			j.recordedAt(version)
 			m.updateReservation(j, rec.Reservation, now)
 		}
 		return
 	}
 	j := m.addJob(id, rec)
-	j.version = version
+	j.recordedAt(version)
 	m.recordArrival(j, now)
 	if m.loadFinished {
 		m.releaseTasks(j, now)
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -50,7 +50,7 @@
 	}
 	for _, j := range m.Jobs {
 		if j != nil {
-			j.allowedTypes = m.allowedTypes(&j.Spec)
+			j.allowTypes(m.allowedTypes(&j.Spec))
 		}
 	}
 	// The last job of a class may be out of the model already, and so was not updated
--- a/cluster/placementpages.go
+++ b/cluster/placementpages.go
@@ -18,6 +18,16 @@
 	size                int                       // the most bytes that its records take
 }
 
+// loaded records the version at which the page was read from the store.
+func (p *placementPage) loaded(version uint64) { p.version = version }
+
+// resolveConflict records the version that the page's key turned out to have after a conflict. The
+// page is to be written again, also where it was to be deleted.
+func (p *placementPage) resolveConflict(version uint64) {
+	p.version = version
+	p.generation++
+}
+
 // chunkRef is a chunk of a job, by its number.
 type chunkRef struct {
 	job   *Job
--- a/cluster/request.go
+++ b/cluster/request.go
@@ -40,9 +40,7 @@
 	if limit == 0 {
 		return nil
 	}
-	for j.cursor < len(j.Tasks) && j.Tasks[j.cursor].Phase != TaskIdle {
-		j.cursor++
-	}
+	j.advanceCursor()
 	var tasks []int32
 	ms := now.UnixMilli()
 	for i := j.cursor; i < len(j.Tasks) && len(tasks) < limit; i++ {
--- a/cluster/runtimeestimate.go
+++ b/cluster/runtimeestimate.go
@@ -159,8 +159,7 @@
 func (j *Job) recordSavedProgress(task int32, p *Placement, now time.Time) {
 	if j.savesProgress(p) {
 		t := &j.Tasks[task]
-		t.progress += p.ranUntilStop(now)
-		t.resumed = true
+		t.recordProgress(t.progress + p.ranUntilStop(now))
 	}
 }
 
@@ -172,8 +171,7 @@
 		t := &j.Tasks[task]
 		interval := float32(j.Spec.CheckpointS)
 		checkpoints := math.Floor(float64((t.progress + p.ranUntilStop(now)) / interval))
-		t.progress = max(t.progress, interval*float32(checkpoints))
-		t.resumed = true
+		t.recordProgress(max(t.progress, interval*float32(checkpoints)))
 	}
 }
 
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -208,8 +208,7 @@
 // and is written again.
 func (m *Model) ResolveConflict(b *WriteBatch, key string, version uint64) {
 	if p := b.placementPages[key]; p != nil {
-		p.version = version
-		p.generation++ // also where it was to be deleted
+		p.resolveConflict(version)
 	}
 	if x := b.planRecords[key]; x != nil {
 		x.version = version
