--- a/cluster/heldstops.go
+++ b/cluster/heldstops.go
@@ -39,10 +39,11 @@
 	s.stops = append(s.stops, h)
 }
 
-// pending returns a copy of the stops that are still held, and forgets the others.
+// pending returns the stops that are still held, and forgets the others. The result is valid
+// until the next call of a method.
 func (s *heldStops) pending() []heldStop {
 	s.stops = slices.DeleteFunc(s.stops, func(h heldStop) bool { return !h.stillHeld() })
-	return slices.Clone(s.stops)
+	return s.stops
 }
 
 // drop discards all stops.
@@ -92,7 +93,7 @@
 // addPlanCheck makes the commit of a batch release the held stops. A stop may be in several
 // batches; the first commit releases it.
 func (m *Model) addPlanCheck(b *WriteBatch) {
-	held := m.heldStops.pending()
+	held := slices.Clone(m.heldStops.pending()) // the hook below outlives later changes
 	if len(held) == 0 {
 		return
 	}
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -240,7 +240,7 @@
 func (m *Model) placesOnMachines(j *Job, now time.Time, counts func(*Machine) bool) int {
 	places := 0
 	for _, mc := range m.Machines {
-		if mc.typeIndex < 0 || !j.allowedTypes[mc.typeIndex] || mc.Spot && !j.Spec.Spot || j.zone >= 0 && j.zone != mc.Zone {
+		if !j.mayUse(mc) || !j.allowsZone(mc.Zone) {
 			continue
 		}
 		if _, boots := m.estimateBootTimeLeft(mc, now); boots || counts(mc) {
