--- a/cluster/scaleout.go
+++ b/cluster/scaleout.go
@@ -44,7 +44,7 @@
 				if spot {
 					price = t.SpotPrice
 				}
-				out = append(out, placement.Offer{Type: ti, Zone: z, Spot: spot, Machine: placement.Machine{
+				out = append(out, placement.Offer{Machine: placement.Machine{
 					Type: ti, Zone: z, Spot: spot, ETA: t.BootTime.Seconds(), Capacity: t.Capacity, Price: price, FetchRate: t.FetchRate,
 				}})
 				names = append(names, Offer{Type: t.Name, Zone: m.Zones[z], Spot: spot, key: key})
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -3,8 +3,6 @@
 import (
 	"slices"
 	"time"
-
-	"github.com/umberdeal/umberdeal/placement"
 )
 
 // This file finds the jobs that can't start within the starvation bound, and why each of them
@@ -139,9 +137,7 @@
 	}
 	if !coming && ready == 0 {
 		offers, _ := m.offers(now)
-		coming = slices.ContainsFunc(offers, func(o placement.Offer) bool {
-			return j.allowedTypes[o.Type] && j.allowsZone(o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity)
-		})
+		coming = m.anyOfferFits(j, offers)
 	}
 	return ready, coming
 }
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -120,8 +120,8 @@
 // anyOfferFits reports whether one of the machines on offer can take a task of a job.
 func (m *Model) anyOfferFits(j *Job, offers []placement.Offer) bool {
 	for i := range offers {
-		o := &offers[i]
-		if j.allowedTypes[o.Type] && (j.zone < 0 || j.zone == o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Machine.Capacity) {
+		o := &offers[i].Machine
+		if j.allowedTypes[o.Type] && j.allowsZone(o.Zone) && (!o.Spot || j.Spec.Spot) && j.Need.Fits(o.Capacity) {
 			return true
 		}
 	}
--- a/placement/classes_test.go
+++ b/placement/classes_test.go
@@ -60,7 +60,7 @@
 		in.Requests = append(in.Requests, r)
 	}
 	for typ := range 3 {
-		in.Offers = append(in.Offers, Offer{Type: typ, Zone: typ % 2, Machine: Machine{Type: typ, Zone: typ % 2, ETA: 40, Capacity: caps[typ], Price: float64(1 + typ), FetchRate: 1}})
+		in.Offers = append(in.Offers, Offer{Machine: Machine{Type: typ, Zone: typ % 2, ETA: 40, Capacity: caps[typ], Price: float64(1 + typ), FetchRate: 1}})
 	}
 	return in
 }
--- a/placement/input.go
+++ b/placement/input.go
@@ -115,9 +115,7 @@
 
 // Offer is a kind of machine that may be rented.
 type Offer struct {
-	Type, Zone int
-	Spot       bool
-	Machine    Machine // as it would be when it is rented
+	Machine Machine // as it would be when it is rented
 }
 
 // Team is what a team uses and its quota; 0 means no limit.
