--- a/cluster/attempt.go
+++ b/cluster/attempt.go
@@ -46,7 +46,7 @@
 	Inherited     bool // recorded by an earlier leader, which may have sent the launch
 	launchSent    bool // a launch was sent by this leader, or a heartbeat lists the attempt
 	launchSentAt  time.Time
-	launchSession uint64
+	launchEpoch   uint64
 	launchSeq     uint64 // of the heartbeat whose answer carried the launch
 	reportedState reportedState
 	runningSince  time.Time // when it was first seen running
@@ -73,7 +73,7 @@
 // launch records that the answer to a heartbeat carries the launch.
 func (p *Placement) launch(heartbeat heartbeatID, now time.Time) {
 	p.launchSent, p.launchSentAt = true, now
-	p.launchSession, p.launchSeq = heartbeat.session, heartbeat.seq
+	p.launchEpoch, p.launchSeq = heartbeat.epoch, heartbeat.seq
 }
 
 // launchLost applies the proof that no launch was executed and none ever will be: it is to
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -154,17 +154,17 @@
 
 // BenchmarkReports measures one heartbeat of each machine of a large full cluster: applying
 // and answering it.
-func BenchmarkReports(b *testing.B) {
+func BenchmarkHeartbeats(b *testing.B) {
 	for _, name := range []string{"none", "all"} {
 		b.Run(name, func(b *testing.B) {
 			m := full(1300, 400, name)
-			var reps []*wire.Report
+			var reps []*wire.Heartbeat
 			for _, mc := range m.Machines {
 				r := rep(1, 5)
 				r.Machine, r.Zone = mc.Name, m.Zones[mc.Zone]
 				for _, ref := range sortedRefs(mc.Tasks) {
 					j := m.Jobs[ref.Job]
-					r.Tasks = append(r.Tasks, wire.TaskReport{Task: wire.TaskName(j.ID, int(ref.Task)), Attempt: j.Tasks[ref.Task].Placement.Attempt, State: wire.TaskRunning})
+					r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(j.ID, int(ref.Task)), Attempt: j.Tasks[ref.Task].Placement.Attempt, State: wire.TaskRunning})
 				}
 				reps = append(reps, r)
 			}
--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -45,7 +45,7 @@
 // as late. A late machine is not expected any more, and may be replaced.
 func (m *Model) lateBootLimit(mc *Machine) time.Duration {
 	t := &m.MachineTypes[mc.typeIndex]
-	return time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()*lateBootMargin) + config.Seconds(m.settings.Cluster.Workers.ReportS)
+	return time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()*lateBootMargin) + config.Seconds(m.settings.Cluster.Workers.HeartbeatS)
 }
 
 // lostBootLimit returns how long after its creation a machine that has not come up is deleted. It
--- a/cluster/boottime_test.go
+++ b/cluster/boottime_test.go
@@ -15,7 +15,7 @@
 		m.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{name}, at(s))
 	}
 	up := func(name string, s float64) {
-		m.ApplyHeartbeat(&wire.Report{Machine: name, Addr: "x", Type: "m", Zone: "a", Session: 1, Seq: 1}, at(s))
+		m.ApplyHeartbeat(&wire.Heartbeat{Machine: name, Addr: "x", Type: "m", Zone: "a", AgentEpoch: 1, Seq: 1}, at(s))
 	}
 	order("a", 10)
 	before := m.lateBootLimit(m.findOrAddMachine("a", at(10)))
--- a/cluster/decisions_fleet_test.go
+++ b/cluster/decisions_fleet_test.go
@@ -15,7 +15,7 @@
 
 func (d *driver) addMachine(zone, typ string, spot bool, boots float64) *simWorker {
 	d.named++
-	w := &simWorker{name: fmt.Sprintf("host-%06d", d.named), zone: zone, typ: typ, spot: spot, boots: boots, session: 1, renewed: boots, images: map[string]bool{}}
+	w := &simWorker{name: fmt.Sprintf("host-%06d", d.named), zone: zone, typ: typ, spot: spot, boots: boots, epoch: 1, renewed: boots, images: map[string]bool{}}
 	d.workers = append(d.workers, w)
 	d.byName[w.name] = w
 	return w
@@ -106,7 +106,7 @@
 // Workers.
 
 // report sends a heartbeat of a worker and executes the answer.
-func (d *driver) report(w *simWorker) {
+func (d *driver) heartbeat(w *simWorker) {
 	now := d.seconds()
 	if w.gone || now < w.boots {
 		return
@@ -119,7 +119,7 @@
 	if w.dead {
 		if w.backAt > 0 && now >= w.backAt {
 			w.dead, w.backAt, w.deafTo, w.renewed = false, 0, 0, now
-			w.session++
+			w.epoch++
 			w.seq, w.tasks = 0, nil
 			clear(w.images)
 		}
@@ -127,14 +127,14 @@
 	}
 	if now-w.renewed >= d.cfg.Cluster.Workers.LeaseS {
 		d.met["lease expiry"]++
-		w.session++
+		w.epoch++
 		w.seq, w.tasks, w.renewed = 0, nil, now
 	}
 	d.run(w)
 	w.seq++
-	r := &wire.Report{Machine: w.name, Addr: w.name + ":90", Type: w.typ, Zone: w.zone, Spot: w.spot, Session: w.session, Seq: w.seq, Token: w.token}
+	r := &wire.Heartbeat{Machine: w.name, Addr: w.name + ":90", Type: w.typ, Zone: w.zone, Spot: w.spot, AgentEpoch: w.epoch, Seq: w.seq, Token: w.token}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, t.TaskReport)
+		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	if w.notice > 0 {
 		left := w.notice - now
@@ -162,12 +162,12 @@
 }
 
 // handle passes a heartbeat to the leader, as a node does.
-func (d *driver) handle(w *simWorker, r *wire.Report) ([]wire.Command, bool) {
+func (d *driver) handle(w *simWorker, r *wire.Heartbeat) ([]wire.Command, bool) {
 	now, via := d.now(), []string{"n-1", "n-2"}[d.rnd.IntN(2)]
 	if d.chance(80) {
 		via = "n-1"
 	}
-	news := d.m.IsNewerHeartbeat(r.Machine, r.Session, r.Seq)
+	news := d.m.IsNewerHeartbeat(r.Machine, r.AgentEpoch, r.Seq)
 	mc := d.m.ApplyHeartbeat(r, now)
 	var cmds []wire.Command
 	how := "answer"
@@ -225,7 +225,7 @@
 }
 
 func (d *driver) launch(w *simWorker, c wire.Command) *simTask {
-	t := &simTask{TaskReport: wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}}
+	t := &simTask{TaskStatus: wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}}
 	id, n, _ := wire.ParseTaskName(c.Task)
 	j := d.m.Job(id)
 	if j == nil || n >= len(j.Tasks) {
--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -143,7 +143,7 @@
 	d.events()
 	d.learn()
 	for _, w := range d.workers {
-		d.report(w)
+		d.heartbeat(w)
 	}
 	d.pass()
 	d.writeRecords()
@@ -361,7 +361,7 @@
 func (d *driver) sendDirect(what string, s Push) {
 	d.note(what, s.Machine, s.Addr, d.plain(s.Commands))
 	w := d.byName[s.Machine]
-	if w == nil || w.dead || w.gone || w.session != s.Commands.Session || s.Commands.Token < w.token || d.chance(30) {
+	if w == nil || w.dead || w.gone || w.epoch != s.Commands.AgentEpoch || s.Commands.Token < w.token || d.chance(30) {
 		return
 	}
 	d.execute(w, s.Commands.Commands)
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -107,7 +107,7 @@
 	name, zone, typ string
 	spot            bool
 	boots           float64 // it reports from then on
-	session, seq    uint64
+	epoch, seq      uint64
 	token           uint64
 	renewed         float64 // when its last answered report was sent
 	dead            bool
@@ -117,11 +117,11 @@
 	notice          float64 // when the cloud takes it, 0: never
 	images          map[string]bool
 	tasks           []*simTask
-	last            *wire.Report // its last report
+	last            *wire.Heartbeat // its last report
 }
 
 type simTask struct {
-	wire.TaskReport
+	wire.TaskStatus
 	image  string
 	until  float64 // of the state that it is in
 	refuse string  // it exits for that instead of running
@@ -142,7 +142,7 @@
 	d.cfg = &config.Settings{Cluster: config.Cluster{Zones: []string{"a", "b"},
 		Teams:      []config.Team{{Name: "core", CPUs: 40, CPUsMax: 110, GPUs: 4}, {Name: "edge"}},
 		Objectives: []config.Objective{{Kind: "wait", Class: "gangs", WithinS: 50}, {Kind: "finished", Class: "gangs", WithinS: 300}, {Kind: "deadline", Class: "arrays", Times: 1}},
-		Workers:    config.Workers{ReportS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
+		Workers:    config.Workers{HeartbeatS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
 		Cloud:      config.CloudLimits{RPS: 4, ListLagS: 5}}}
 	for i := range 14 {
 		d.addMachine([]string{"a", "b"}[i%2], []string{"m", "m", "l"}[i%3], i%5 == 0, 0)
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -122,8 +122,8 @@
 
 func (d *digestWriter) placement(p *Placement, c *Chunk) {
 	d.printf("g%tP%s,%d,%t,%t,%d,%t,%s", c.isCommitted(p.chunkGeneration), p.machineName, p.Attempt, p.Inherited, p.launchSent, p.reportedState,
-		d.now.Sub(p.wokenAt) < wakeUpRetry, d.behind(p.machineName, p.launchSession, p.launchSeq))
-	if p.launchSeq > 0 && (heartbeatID{p.launchSession, p.launchSeq}) == d.model.Machines[p.Machine].reachability.answeredTwice {
+		d.now.Sub(p.wokenAt) < wakeUpRetry, d.behind(p.machineName, p.launchEpoch, p.launchSeq))
+	if p.launchSeq > 0 && (heartbeatID{p.launchEpoch, p.launchSeq}) == d.model.Machines[p.Machine].reachability.answeredTwice {
 		d.printf("2")
 	}
 	if p.StopHeld {
--- a/cluster/gpu_machines_test.go
+++ b/cluster/gpu_machines_test.go
@@ -17,7 +17,7 @@
 		{Name: "plain", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}},
 		{Name: "gpu", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
 	for _, name := range []string{"plain", "gpu"} {
-		m.ApplyHeartbeat(&wire.Report{Machine: "h-" + name, Addr: "x", Type: name, Zone: "a", Session: 1, Seq: 1, Token: 5}, at(1))
+		m.ApplyHeartbeat(&wire.Heartbeat{Machine: "h-" + name, Addr: "x", Type: name, Zone: "a", AgentEpoch: 1, Seq: 1, Token: 5}, at(1))
 	}
 	put := func(id string, gpus float64, tasks int) {
 		m.ApplyJobRecord(id, jobstore.JobRecord{Job: wire.Job{ID: id, Class: id, Kind: wire.KindArray, Priority: wire.PriorityLow, Tasks: tasks,
--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -9,13 +9,13 @@
 // ApplyHeartbeat applies a worker's heartbeat to the model and returns its machine. It
 // returns nil, and applies nothing, if the heartbeat is not newer than the last one
 // applied or if the machine is gone.
-func (m *Model) ApplyHeartbeat(r *wire.Report, now time.Time) *Machine {
+func (m *Model) ApplyHeartbeat(r *wire.Heartbeat, now time.Time) *Machine {
 	mc := m.findOrAddMachine(r.Machine, now)
 	if mc.Gone {
 		return nil
 	}
 	// A delayed or duplicated heartbeat describes an earlier state of the machine.
-	if !mc.isNewer(r.Session, r.Seq) {
+	if !mc.isNewer(r.AgentEpoch, r.Seq) {
 		return nil
 	}
 	if mc.AgentEpoch == 0 {
@@ -23,7 +23,7 @@
 	}
 	m.updateReachability(mc, r, now)
 	if !mc.alive {
-		m.log.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.Session)
+		m.log.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.AgentEpoch)
 	}
 	mc.recordHeartbeat(r, m.FencingToken, now)
 	m.describe(mc, r.Type, r.Zone, r.Spot)
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -53,9 +53,9 @@
 // copy that was applied. A worker accepts at most one of the two answers, and neither once
 // it has sent its next heartbeat, so that a launch which that heartbeat does not list was
 // not executed, and never will be.
-func (m *Model) AnswerRetry(r *wire.Report, via string) (cmds []wire.Command, ok bool) {
+func (m *Model) AnswerRetry(r *wire.Heartbeat, via string) (cmds []wire.Command, ok bool) {
 	mc := m.machineNamed(r.Machine)
-	if mc == nil || mc.Gone || !mc.alive || mc.AgentEpoch != r.Session || mc.Seq != r.Seq {
+	if mc == nil || mc.Gone || !mc.alive || mc.AgentEpoch != r.AgentEpoch || mc.Seq != r.Seq {
 		return nil, false
 	}
 	mc.recordRetryAnswer()
@@ -66,7 +66,7 @@
 // AnswerHeartbeat returns the commands that answer the heartbeat last applied for mc, and
 // counts the machine's lease from now. Launches among them are recorded as sent, whether
 // or not the answer arrives; the next heartbeat shows which of them were executed.
-func (m *Model) AnswerHeartbeat(mc *Machine, r *wire.Report, now time.Time) []wire.Command {
+func (m *Model) AnswerHeartbeat(mc *Machine, r *wire.Heartbeat, now time.Time) []wire.Command {
 	m.Observer.LeaseLeft(m.leaseEnd(mc).Sub(now).Seconds())
 	mc.recordAnswer(now)
 	mc.reachability.recordAnswer(r.Seq)
@@ -91,7 +91,7 @@
 
 // addForgets adds the commands to forget reported exits whose outcome is committed, so
 // that the worker stops listing them. full means that the answer holds no more commands.
-func (m *Model) addForgets(out []wire.Command, mc *Machine, r *wire.Report) (cmds []wire.Command, full bool) {
+func (m *Model) addForgets(out []wire.Command, mc *Machine, r *wire.Heartbeat) (cmds []wire.Command, full bool) {
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		if t.State != wire.TaskExited {
@@ -121,7 +121,7 @@
 // addLaunches adds the launches of tasks whose placements on the machine are committed,
 // and records them as sent with this answer. full means that the answer holds no more
 // commands.
-func (m *Model) addLaunches(out []wire.Command, mc *Machine, r *wire.Report, now time.Time) (cmds []wire.Command, full bool) {
+func (m *Model) addLaunches(out []wire.Command, mc *Machine, r *wire.Heartbeat, now time.Time) (cmds []wire.Command, full bool) {
 	for ref := range mc.Tasks {
 		if len(out) >= maxCommands {
 			return out, true
@@ -130,7 +130,7 @@
 		p := j.Tasks[ref.Task].Placement
 		if p.Stop == nil && !p.mayBeOnMachine() && launchable(j, ref.Task) && mc.interruptionAt.IsZero() && !mc.unreachable() {
 			name := wire.TaskName(j.ID, int(ref.Task))
-			p.launch(heartbeatID{r.Session, r.Seq}, now)
+			p.launch(heartbeatID{r.AgentEpoch, r.Seq}, now)
 			m.Observer.Launched(now.Sub(p.placedAt).Seconds())
 			out = append(out, wire.Command{Op: wire.OpStart, Task: name, Attempt: p.Attempt})
 			m.log.Debug("task launch sent", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.placedAt).Seconds())
@@ -141,7 +141,7 @@
 
 // placementOf returns the placement of an attempt that a heartbeat lists, or nil if that
 // attempt is not placed on this machine.
-func (m *Model) placementOf(mc *Machine, t *wire.TaskReport) *Placement {
+func (m *Model) placementOf(mc *Machine, t *wire.TaskStatus) *Placement {
 	j, task := m.taskNamed(t.Task)
 	if j == nil {
 		return nil
@@ -156,7 +156,7 @@
 // placed on this machine, for listed attempts that are to stop and are not saving a
 // checkpoint already, and for attempts that are to stop but were never listed, since their
 // launch may still arrive.
-func (m *Model) stopCommands(mc *Machine, r *wire.Report) []wire.Command {
+func (m *Model) stopCommands(mc *Machine, r *wire.Heartbeat) []wire.Command {
 	var out []wire.Command
 	stop := func(name string, attempt uint64, grace float64) {
 		if len(out) < maxStops {
--- a/cluster/heartbeatretry_test.go
+++ b/cluster/heartbeatretry_test.go
@@ -8,7 +8,7 @@
 )
 
 // answerDuplicate answers a heartbeat that has been applied already.
-func answerDuplicate(t *testing.T, m *Model, r *wire.Report, via string, now time.Time) []wire.Command {
+func answerDuplicate(t *testing.T, m *Model, r *wire.Heartbeat, via string, now time.Time) []wire.Command {
 	t.Helper()
 	if m.ApplyHeartbeat(r, now) != nil {
 		t.Fatal("applied a second time")
@@ -26,7 +26,7 @@
 func TestDuplicateOfNewestHeartbeatIsAnsweredWithoutNewCommands(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
-	exit := wire.TaskReport{Task: wire.TaskName("wk-000001", NoSuchTask), Attempt: 1, State: wire.TaskExited, Why: wire.ExitUnknown}
+	exit := wire.TaskStatus{Task: wire.TaskName("wk-000001", NoSuchTask), Attempt: 1, State: wire.TaskExited, Why: wire.ExitUnknown}
 	answer(t, m, rep(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	commit(t, m, at(1))
@@ -67,7 +67,7 @@
 // The answer to a duplicate renews the lease as any other, and so carries all pending stops.
 func TestDuplicateHeartbeatIsAnsweredWithAllStops(t *testing.T) {
 	m := placed(t, 2)
-	runs := rep(3, 5, wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
+	runs := rep(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
 	answer(t, m, runs, at(3))
 	m.RemoveJob("wk-000001", at(3.5))
 	if _, stops, _ := ops(answerDuplicate(t, m, runs, "", at(4))); stops != 1 {
@@ -78,7 +78,7 @@
 // Duplicates of a dead machine's last heartbeat keep arriving. Its lease expires as long after
 // the heartbeat as without them; its tasks once waited for as long as duplicates arrived.
 func TestDuplicatesOfDeadMachinesLastHeartbeatDoNotExtendLease(t *testing.T) {
-	last := rep(3, 5, wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
+	last := rep(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
 	for _, unanswered := range []bool{false, true} {
 		m := placed(t, 1)
 		if unanswered { // the leader could not prove its own lease just then
@@ -107,7 +107,7 @@
 // heartbeat, once a duplicate of it is answered.
 func TestDelayedAnswerToAppliedHeartbeatExtendsLease(t *testing.T) {
 	m := placed(t, 1)
-	last := rep(3, 5, wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
+	last := rep(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
 	m.ApplyHeartbeat(last, at(10))
 	answerDuplicate(t, m, last, "", at(11))
 	if m.Tick(at(21.9)); m.Job("wk-000001").Tasks[0].Placement == nil {
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -101,11 +101,11 @@
 // recordHeartbeat records a heartbeat that is newer than the last one recorded. A machine
 // that was not alive is idle from now on, and one with a new agent epoch has an empty image
 // cache.
-func (mc *Machine) recordHeartbeat(r *wire.Report, token uint64, now time.Time) {
+func (mc *Machine) recordHeartbeat(r *wire.Heartbeat, token uint64, now time.Time) {
 	if !mc.alive {
 		mc.idleSince = now
 	}
-	if mc.AgentEpoch != r.Session {
+	if mc.AgentEpoch != r.AgentEpoch {
 		mc.cachedImages = nil
 	}
 	mc.addr = r.Addr
--- a/cluster/machine_lease.go
+++ b/cluster/machine_lease.go
@@ -25,8 +25,8 @@
 }
 
 // renewLease records a newer heartbeat.
-func (l *workerLease) renewLease(r *wire.Report, token uint64, now time.Time) {
-	l.alive, l.AgentEpoch, l.Seq, l.lastSeen = true, r.Session, r.Seq, now
+func (l *workerLease) renewLease(r *wire.Heartbeat, token uint64, now time.Time) {
+	l.alive, l.AgentEpoch, l.Seq, l.lastSeen = true, r.AgentEpoch, r.Seq, now
 	l.tokenShown = r.Token == token
 }
 
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -12,7 +12,7 @@
 // Ready reports whether tasks can be placed on a machine now.
 func (m *Model) Ready(mc *Machine, now time.Time) bool {
 	w := m.settings.Cluster.Workers
-	quiet := config.Seconds(min(w.ReportS*2.5+2, w.LeaseS/2))
+	quiet := config.Seconds(min(w.HeartbeatS*2.5+2, w.LeaseS/2))
 	// A machine that has not shown this leader's token may not receive answers, or may be
 	// gone, its heartbeats being delayed copies.
 	return mc.alive && mc.tokenShown && !mc.unreachable() && mc.accepting() && m.silentFor(mc, now) < quiet
--- a/cluster/model_test.go
+++ b/cluster/model_test.go
@@ -16,7 +16,7 @@
 
 func newModel(token uint64) *Model {
 	cfg := &config.Settings{Cluster: config.Cluster{Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "core"}},
-		Workers: config.Workers{ReportS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
+		Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
 		Cloud:   config.CloudLimits{RPS: 4, ListLagS: 5}}}
 	m := New(cfg, token, t0, slog.New(slog.DiscardHandler))
 	m.RebalanceSettings = config.DefaultTuning().Rebalance
@@ -24,8 +24,8 @@
 	return m
 }
 
-func rep(seq, token uint64, tasks ...wire.TaskReport) *wire.Report {
-	return &wire.Report{Machine: "host-1", Addr: "h:1", Type: "m", Zone: "a", Session: 1, Seq: seq, Token: token, Tasks: tasks}
+func rep(seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	return &wire.Heartbeat{Machine: "host-1", Addr: "h:1", Type: "m", Zone: "a", AgentEpoch: 1, Seq: seq, Token: token, Tasks: tasks}
 }
 
 func arrayJob(id string, n int) jobstore.JobRecord {
@@ -73,7 +73,7 @@
 }
 
 // answer applies a heartbeat and returns the commands that answer it.
-func answer(t *testing.T, m *Model, r *wire.Report, now time.Time) []wire.Command {
+func answer(t *testing.T, m *Model, r *wire.Heartbeat, now time.Time) []wire.Command {
 	t.Helper()
 	mc := m.ApplyHeartbeat(r, now)
 	if mc == nil {
@@ -145,8 +145,8 @@
 
 func TestExitIsForgottenOnlyAfterItsOutcomeIsCommitted(t *testing.T) {
 	m := placed(t, 2)
-	done := wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitDone}
-	other := wire.TaskReport{Task: "wk-000001/1", Attempt: 1, State: wire.TaskRunning}
+	done := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitDone}
+	other := wire.TaskStatus{Task: "wk-000001/1", Attempt: 1, State: wire.TaskRunning}
 	if _, _, f := ops(answer(t, m, rep(3, 5, done, other), at(3))); f != 0 {
 		t.Fatal("forgotten before the commit")
 	}
@@ -164,7 +164,7 @@
 		m.Schedule(at(1), 0)
 		commit(t, m, at(1))
 		answer(t, m, rep(2, 5), at(2))
-		answer(t, m, rep(3, 5, wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: why}), at(3))
+		answer(t, m, rep(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: why}), at(3))
 		m.Schedule(at(3.1), 0)
 		task := &m.Job("wk-000001").Tasks[0]
 		if task.Phase != TaskIdle {
@@ -220,14 +220,14 @@
 		Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
 	m.LoadRebalanceCycle("a/m", jobstore.RebalanceCycle{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
 		CooldownUntilMs: at(60).UnixMilli()}, at(0))
-	running := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
+	running := wire.TaskStatus{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
 	if _, s, _ := ops(answer(t, m, rep(1, 9, running), at(1))); s != 1 {
 		t.Fatal("the recorded move's stop was not repeated")
 	}
 	second := rep(1, 9)
 	second.Machine = "host-2"
 	answer(t, m, second, at(1))
-	exited := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskExited, Why: wire.ExitStopped, Saved: true}
+	exited := wire.TaskStatus{Task: "wk-000001/0", Attempt: 3, State: wire.TaskExited, Why: wire.ExitStopped, Saved: true}
 	answer(t, m, rep(2, 9, exited), at(4))
 	m.Schedule(at(4.1), 0)
 	p := m.Job("wk-000001").Tasks[0].Placement
@@ -242,7 +242,7 @@
 	second.Seq = 2
 	answer(t, m, second, at(4.5))
 	second.Seq = 3
-	second.Tasks = []wire.TaskReport{{Task: "wk-000001/0", Attempt: 4, State: wire.TaskExited, Why: wire.ExitError}}
+	second.Tasks = []wire.TaskStatus{{Task: "wk-000001/0", Attempt: 4, State: wire.TaskExited, Why: wire.ExitError}}
 	answer(t, m, second, at(6))
 	if m.RebalanceCycles["a/m"].Record.QuarantineUntilMs["wk-000001/0"] == 0 {
 		t.Error("not quarantined")
@@ -262,7 +262,7 @@
 			Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
 		m.LoadRebalanceCycle("a/m", jobstore.RebalanceCycle{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
 			CooldownUntilMs: c.coolUntil.UnixMilli(), TaskCooldownUntilMs: map[string]int64{"wk-000001/0": at(90).UnixMilli()}}, at(0))
-		running := wire.TaskReport{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
+		running := wire.TaskStatus{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
 		if _, s, _ := ops(answer(t, m, rep(1, 9, running), at(1))); s != c.stops {
 			t.Errorf("cooling until %v: %d stops, want %d", c.coolUntil, s, c.stops)
 		}
--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -27,23 +27,23 @@
 	put("wk-000004", "two", 3) // beyond, once the third is there
 	stops := 0
 	now := 4.0
-	running := map[string]wire.TaskReport{}
+	running := map[string]wire.TaskStatus{}
 	for seq := uint64(1); seq <= 60; seq++ {
 		if seq == 5 { // these come back after a loss, and start last
 			put("wk-000001", "one", 0)
 			put("wk-000003", "two", 2)
 		}
-		var tasks []wire.TaskReport
+		var tasks []wire.TaskStatus
 		for _, r := range running {
 			tasks = append(tasks, r)
 		}
 		for _, c := range answer(t, m, rep(seq, 5, tasks...), at(now)) {
 			switch c.Op {
 			case wire.OpStart:
-				running[c.Task] = wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
+				running[c.Task] = wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
 			case wire.OpStop:
 				stops++
-				running[c.Task] = wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, Why: wire.ExitStopped}
+				running[c.Task] = wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, Why: wire.ExitStopped}
 			case wire.OpForget:
 				delete(running, c.Task)
 			}
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -29,7 +29,7 @@
 // reachability is what the heartbeats of a machine have shown of whether it receives the
 // answers to them.
 type reachability struct {
-	reportingSince   time.Time   // when its current run of heartbeats began; zero once it has missed an answer
+	heardSince       time.Time   // when its current run of heartbeats began; zero once it has missed an answer
 	tokenEverShown   bool        // a heartbeat carried this leader's token, possibly before its lease expired
 	unreachableSince time.Time   // since when it misses answers; zero if it is not known to miss any
 	receivingNode    string      // the node that received its last heartbeat
@@ -50,7 +50,7 @@
 func (h *reachability) forgetSent(exit exitKey) { h.pendingForgets = append(h.pendingForgets, exit) }
 
 // heartbeatID identifies a heartbeat of one machine.
-type heartbeatID struct{ session, seq uint64 }
+type heartbeatID struct{ epoch, seq uint64 }
 
 // unreachable reports whether the machine's heartbeats show that it does not receive the
 // answers to them.
@@ -61,7 +61,7 @@
 
 const (
 	signTokenMissing    unreachableSign = "token"   // the fencing token of the answer is not shown
-	signNewSession      unreachableSign = "session" // a new session although the lease was renewed
+	signNewEpoch        unreachableSign = "session" // a new session although the lease was renewed
 	signLaunchMissing   unreachableSign = "launch"  // a task whose launch was in the answer is not listed
 	signExitListedAgain unreachableSign = "forget"  // an exit that the answer told the worker to forget is listed
 	signOtherNode       unreachableSign = "node"    // the worker has changed to another node
@@ -74,7 +74,7 @@
 		m.log.Info("machine receives no answers", "machine", mc.Name, "session", mc.AgentEpoch, "sign", sign)
 		mc.reachability.unreachableSince = now
 	}
-	mc.reachability.reportingSince = time.Time{}
+	mc.reachability.heardSince = time.Time{}
 }
 
 // markReachable records a proof that a machine receives answers.
@@ -103,11 +103,11 @@
 
 // updateReachability derives from a new heartbeat whether the machine received the answer
 // to the previous one. It must run before the heartbeat changes mc.
-func (m *Model) updateReachability(mc *Machine, r *wire.Report, now time.Time) {
+func (m *Model) updateReachability(mc *Machine, r *wire.Heartbeat, now time.Time) {
 	h := &mc.reachability
 	expected := h.takeExpectedEffects()
 	if !mc.alive {
-		h.reportingSince = now
+		h.heardSince = now
 		if h.tokenEverShown && !mc.unreachable() {
 			h.unreachableSince = now // silent for a lease: earlier proofs no longer count
 		}
@@ -120,10 +120,10 @@
 		h.tokenEverShown = true
 		m.markReachable(mc, now)
 	}
-	if r.Session != mc.AgentEpoch {
+	if r.AgentEpoch != mc.AgentEpoch {
 		// A new session although an answer was sent: its lease expired all the same.
 		if expected.answered && now.Sub(mc.lastAnswered) < config.Seconds(m.settings.Cluster.Workers.LeaseS/2) {
-			m.markUnreachable(mc, signNewSession, now)
+			m.markUnreachable(mc, signNewEpoch, now)
 			m.releaseReservedPlacements(mc, now)
 		}
 		return
@@ -147,7 +147,7 @@
 
 // checkExpectedEffects derives from a heartbeat of the same session whether the last answer
 // was received: the exit of its probe is listed, and the exits that it forgot are not.
-func (m *Model) checkExpectedEffects(mc *Machine, r *wire.Report, expected expectedEffects, now time.Time) {
+func (m *Model) checkExpectedEffects(mc *Machine, r *wire.Heartbeat, expected expectedEffects, now time.Time) {
 	listed := make(map[exitKey]bool, len(expected.forgets))
 	for i := range r.Tasks {
 		k := exitKey{r.Tasks[i].Task, r.Tasks[i].Attempt}
@@ -220,8 +220,8 @@
 // mayProveReachable reports whether a machine began to send heartbeats so recently that
 // its next one should show whether it receives answers.
 func (m *Model) mayProveReachable(mc *Machine, now time.Time) bool {
-	within := config.Seconds(1.25*m.settings.Cluster.Workers.ReportS + 1)
-	return mc.alive && mc.accepting() && now.Sub(mc.reachability.reportingSince) < within
+	within := config.Seconds(1.25*m.settings.Cluster.Workers.HeartbeatS + 1)
+	return mc.alive && mc.accepting() && now.Sub(mc.reachability.heardSince) < within
 }
 
 // unreachableTooLong reports whether a machine has been unreachable for so long that it
--- a/cluster/reachability_test.go
+++ b/cluster/reachability_test.go
@@ -24,7 +24,7 @@
 	if len(mc.Tasks) > 0 {
 		t.Error("placed there again")
 	}
-	probe := wire.TaskReport{Task: cmds[0].Task, Attempt: cmds[0].Attempt, State: wire.TaskExited, Why: wire.ExitUnknown}
+	probe := wire.TaskStatus{Task: cmds[0].Task, Attempt: cmds[0].Attempt, State: wire.TaskExited, Why: wire.ExitUnknown}
 	if _, _, forgets := ops(answer(t, m, rep(4, 5, probe), at(8))); forgets != 1 {
 		t.Error("the exit of the probe is not forgotten")
 	}
@@ -57,7 +57,7 @@
 		t.Fatal("not kept")
 	}
 	r := rep(4, 5)
-	r.Session = 2
+	r.AgentEpoch = 2
 	if answer(t, m, r, at(11)); task.Placement != nil || task.outcome != jobstore.OutcomeLost {
 		t.Errorf("kept, or ended as %d", task.outcome)
 	}
@@ -117,7 +117,7 @@
 // and may be on the machine by now.
 func TestRefusedLaunchWithoutFencingTokenKeepsPlacement(t *testing.T) {
 	next := modelAfterFailover()
-	exit := wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitNoRoom}
+	exit := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitNoRoom}
 	cmds := answer(t, next, rep(3, 5, exit), at(1))
 	if _, _, forgets := ops(cmds); forgets > 0 || next.Job("wk-000001").Tasks[0].Placement == nil {
 		t.Errorf("placement removed, or sent %v", cmds)
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -122,7 +122,7 @@
 // requests. It returns the records by group and changes nothing: each must be committed
 // before BeginMoves starts its moves.
 func (m *Model) PlanMoves(wanted []placement.Request, now time.Time) map[string]jobstore.RebalanceCycle {
-	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(m.settings.Cluster.Workers.ReportS*3) {
+	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(m.settings.Cluster.Workers.HeartbeatS*3) {
 		return nil
 	}
 	cycles := map[string]jobstore.RebalanceCycle{}
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -8,7 +8,7 @@
 
 // reconcile updates the model from a new heartbeat: first from the tasks that it lists, and
 // then from the absence of tasks that the model has on the machine, where that is a proof.
-func (m *Model) reconcile(mc *Machine, r *wire.Report, now time.Time) {
+func (m *Model) reconcile(mc *Machine, r *wire.Heartbeat, now time.Time) {
 	listed := m.applyListedTasks(mc, r, now)
 	if !mc.tokenShown {
 		// An answer of an earlier leader may still be on its way to a worker
@@ -24,7 +24,7 @@
 
 // applyListedTasks applies the state of each task that a heartbeat lists, and returns those
 // that are placed on the machine.
-func (m *Model) applyListedTasks(mc *Machine, r *wire.Report, now time.Time) map[TaskRef]bool {
+func (m *Model) applyListedTasks(mc *Machine, r *wire.Heartbeat, now time.Time) map[TaskRef]bool {
 	listed := make(map[TaskRef]bool, len(r.Tasks))
 	named := make(map[exitKey]bool, len(r.Tasks))
 	mc.resetOrphaned()
@@ -41,7 +41,7 @@
 
 // applyListedTask applies the state of a task that a heartbeat lists. It returns the task if
 // it is placed on the machine with the attempt listed.
-func (m *Model) applyListedTask(mc *Machine, r *wire.Report, t *wire.TaskReport, now time.Time) (ref TaskRef, placed bool) {
+func (m *Model) applyListedTask(mc *Machine, r *wire.Heartbeat, t *wire.TaskStatus, now time.Time) (ref TaskRef, placed bool) {
 	j, task := m.taskNamed(t.Task)
 	if j == nil {
 		return TaskRef{}, false
@@ -62,7 +62,7 @@
 		// machine by now.
 		return ref, true
 	}
-	if p.launchSent && p.reportedState == notReported && p.launchSession == r.Session {
+	if p.launchSent && p.reportedState == notReported && p.launchEpoch == r.AgentEpoch {
 		m.markReachable(mc, now)
 	}
 	m.applyTaskState(j, task, mc, p, t, now)
@@ -71,11 +71,11 @@
 
 // applyAbsence handles a task that is placed on a machine but missing from its heartbeat: it
 // has not been launched yet, its launch was lost, or it is gone.
-func (m *Model) applyAbsence(mc *Machine, ref TaskRef, r *wire.Report, now time.Time) {
+func (m *Model) applyAbsence(mc *Machine, ref TaskRef, r *wire.Heartbeat, now time.Time) {
 	j := m.Jobs[ref.Job]
 	p := j.Tasks[ref.Task].Placement
 	switch {
-	case p.Inherited && p.Stop == nil && j.reservation != nil && r.Session == 1:
+	case p.Inherited && p.Stop == nil && j.reservation != nil && r.AgentEpoch == 1:
 		// In its first session the worker's lease has never expired, and a worker
 		// lists every task it ever received until told to forget it. So the launch
 		// never reached it.
@@ -85,13 +85,13 @@
 		// The token is shown, so that no launch of the earlier leader can arrive any more.
 	case !p.launchSent:
 		return // not launched yet
-	case p.launchSession == r.Session && p.launchSeq >= r.Seq:
+	case p.launchEpoch == r.AgentEpoch && p.launchSeq >= r.Seq:
 		return // the heartbeat is not newer than the launch
-	case p.launchSession == r.Session && p.reportedState == notReported && p.Stop == nil:
+	case p.launchEpoch == r.AgentEpoch && p.reportedState == notReported && p.Stop == nil:
 		// The answer with the launch was lost, and can't be executed any more, since
 		// the worker has sent a newer heartbeat.
 		p.launchLost()
-		if (heartbeatID{p.launchSession, p.launchSeq}) != mc.reachability.answeredTwice {
+		if (heartbeatID{p.launchEpoch, p.launchSeq}) != mc.reachability.answeredTwice {
 			m.markUnreachable(mc, signLaunchMissing, now)
 		}
 		return
@@ -100,7 +100,7 @@
 }
 
 // applyTaskState applies the state that a heartbeat lists for a task placed on the machine.
-func (m *Model) applyTaskState(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
+func (m *Model) applyTaskState(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskStatus, now time.Time) {
 	p.listed()
 	switch t.State {
 	case wire.TaskFetching:
--- a/cluster/stallrecovery.go
+++ b/cluster/stallrecovery.go
@@ -38,7 +38,7 @@
 // recently that heartbeats which arrived during the pause may still be unread: until they
 // are read, no machine is treated as silent.
 func (m *Model) recoveringFromStall(now time.Time) bool {
-	return m.stall.recovering(now, config.Seconds(m.settings.Cluster.Workers.ReportS)+time.Second)
+	return m.stall.recovering(now, config.Seconds(m.settings.Cluster.Workers.HeartbeatS)+time.Second)
 }
 
 // silentFor returns the time since a machine's last heartbeat, not counting a pause of the
--- a/cluster/starvation_scenario_test.go
+++ b/cluster/starvation_scenario_test.go
@@ -22,8 +22,8 @@
 }
 
 type simulatedMachine struct {
-	heartbeat *wire.Report
-	tasks     map[string]*wire.TaskReport
+	heartbeat *wire.Heartbeat
+	tasks     map[string]*wire.TaskStatus
 	startedAt map[string]float64
 }
 
@@ -35,7 +35,7 @@
 	for i := range machines {
 		r := rep(0, 5)
 		r.Machine, r.Addr, r.Zone = fmt.Sprintf("host-%d", i), fmt.Sprintf("h:%d", i), []string{"a", "b"}[i%2]
-		s.machines = append(s.machines, &simulatedMachine{heartbeat: r, tasks: map[string]*wire.TaskReport{}, startedAt: map[string]float64{}})
+		s.machines = append(s.machines, &simulatedMachine{heartbeat: r, tasks: map[string]*wire.TaskStatus{}, startedAt: map[string]float64{}})
 	}
 	return s
 }
@@ -58,7 +58,7 @@
 			s.arrivals(now)
 		}
 		for _, h := range s.machines {
-			s.report(h, now)
+			s.heartbeat(h, now)
 		}
 		s.m.Tick(at(now))
 		s.m.Schedule(at(now), 1000)
@@ -67,7 +67,7 @@
 }
 
 // report sends a machine's heartbeat and carries out the commands in the answer.
-func (s *simulatedCluster) report(h *simulatedMachine, now float64) {
+func (s *simulatedCluster) heartbeat(h *simulatedMachine, now float64) {
 	h.heartbeat.Seq++
 	h.heartbeat.Token = s.m.FencingToken
 	h.heartbeat.Tasks = nil
@@ -82,7 +82,7 @@
 	for _, c := range answer(s.t, s.m, h.heartbeat, at(now)) {
 		switch c.Op {
 		case wire.OpStart:
-			h.tasks[c.Task] = &wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
+			h.tasks[c.Task] = &wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
 			h.startedAt[c.Task] = now
 			if id, _, _ := wire.ParseTaskName(c.Task); s.started[id] == 0 {
 				s.started[id] = now
--- a/cluster/stopcommands_test.go
+++ b/cluster/stopcommands_test.go
@@ -21,15 +21,15 @@
 		t.Fatalf("%d launches", launches)
 	}
 	m.RemoveJob("wk-000001", at(3))
-	var tasks []wire.TaskReport
+	var tasks []wire.TaskStatus
 	for i := range 400 {
-		tasks = append(tasks, wire.TaskReport{Task: fmt.Sprintf("wk-000002/%d", i), Attempt: 1, State: wire.TaskExited, Why: wire.ExitDone})
+		tasks = append(tasks, wire.TaskStatus{Task: fmt.Sprintf("wk-000002/%d", i), Attempt: 1, State: wire.TaskExited, Why: wire.ExitDone})
 	}
 	for i := range 600 { // of a job that finished under an earlier leader
-		tasks = append(tasks, wire.TaskReport{Task: fmt.Sprintf("wk-999999/%d", 90_000+i), Attempt: 1_000_000, State: wire.TaskRunning})
+		tasks = append(tasks, wire.TaskStatus{Task: fmt.Sprintf("wk-999999/%d", 90_000+i), Attempt: 1_000_000, State: wire.TaskRunning})
 	}
 	// One task of the cancelled job is listed last; the launch of the other was missed.
-	tasks = append(tasks, wire.TaskReport{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
+	tasks = append(tasks, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
 	cmds := answer(t, m, rep(3, 5, tasks...), at(4))
 	stopped := map[string]bool{}
 	for _, c := range cmds {
@@ -50,9 +50,9 @@
 // The maximum number of stops in an answer, with the longest names, fits into 64 KiB.
 func TestMaxStopsFitIntoOneAnswer(t *testing.T) {
 	m := newModel(5)
-	var tasks []wire.TaskReport
+	var tasks []wire.TaskStatus
 	for i := range 2000 {
-		tasks = append(tasks, wire.TaskReport{Task: fmt.Sprintf("wk-999999/%d", 90_000+i), Attempt: 1_000_000, State: wire.TaskRunning})
+		tasks = append(tasks, wire.TaskStatus{Task: fmt.Sprintf("wk-999999/%d", 90_000+i), Attempt: 1_000_000, State: wire.TaskRunning})
 	}
 	var out []map[string]any
 	for _, c := range answer(t, m, rep(1, 5, tasks...), at(0)) {
--- a/cluster/stoppush.go
+++ b/cluster/stoppush.go
@@ -31,7 +31,7 @@
 		p.Stop.push(now)
 		d := byMachine[mc.index]
 		if d == nil {
-			d = &Push{Machine: mc.Name, Addr: mc.addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch}}
+			d = &Push{Machine: mc.Name, Addr: mc.addr, Commands: wire.DirectCommands{Token: m.FencingToken, AgentEpoch: mc.AgentEpoch}}
 			byMachine[mc.index] = d
 			order = append(order, mc.index)
 		}
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -34,13 +34,13 @@
 }
 
 // rememberExit records that an exit has been applied.
-func (m *Model) rememberExit(j *Job, task int32, mc *Machine, t *wire.TaskReport) {
+func (m *Model) rememberExit(j *Job, task int32, mc *Machine, t *wire.TaskStatus) {
 	n := int(task) / jobstore.ChunkSize
 	mc.reportedExits[exitKey{t.Task, t.Attempt}] = &reportedExit{job: j.Index, chunk: n, generation: j.Chunks[n].generation}
 }
 
 // applyExit applies the end of a task's attempt that its worker has listed.
-func (m *Model) applyExit(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskReport, now time.Time) {
+func (m *Model) applyExit(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskStatus, now time.Time) {
 	ran := 0.0
 	if !p.runningSince.IsZero() {
 		ran = now.Sub(p.runningSince).Seconds()
@@ -103,7 +103,7 @@
 
 // applyUnplacedExit applies an exit without a placement: its outcome is known already, or
 // the model had given the attempt up as lost.
-func (m *Model) applyUnplacedExit(j *Job, task int32, mc *Machine, t *wire.TaskReport, now time.Time) {
+func (m *Model) applyUnplacedExit(j *Job, task int32, mc *Machine, t *wire.TaskStatus, now time.Time) {
 	if mc.reportedExits[exitKey{t.Task, t.Attempt}] != nil {
 		return
 	}
--- a/cluster/tier_scenario_test.go
+++ b/cluster/tier_scenario_test.go
@@ -32,7 +32,7 @@
 }
 
 type simulatedTask struct {
-	wire.TaskReport
+	wire.TaskStatus
 	until float64
 }
 
@@ -76,7 +76,7 @@
 			if t := on[name]; t.State == wire.TaskRunning && p.now >= t.until {
 				t.State, t.Why = wire.TaskExited, wire.ExitDone
 			}
-			r.Tasks = append(r.Tasks, on[name].TaskReport)
+			r.Tasks = append(r.Tasks, on[name].TaskStatus)
 		}
 		mc := p.m.ApplyHeartbeat(r, now)
 		cmds := p.m.AnswerHeartbeat(mc, r, now)
@@ -90,7 +90,7 @@
 					p.startWaits[id] = p.now - p.acceptedAt[id]
 				}
 				p.log = append(p.log, fmt.Sprint(p.now, " ", c.Task, " on ", i))
-				on[c.Task] = &simulatedTask{wire.TaskReport{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, p.now + p.runSeconds[id]}
+				on[c.Task] = &simulatedTask{wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, p.now + p.runSeconds[id]}
 			case c.Op == wire.OpStop && t != nil && t.State == wire.TaskRunning:
 				t.State, t.Why = wire.TaskExited, wire.ExitStopped
 				p.log = append(p.log, fmt.Sprint(p.now, " ", c.Task, " stopped"))
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -55,6 +55,6 @@
 
 // wakeUp returns the wake-up of a machine for a job's attempt.
 func (m *Model) wakeUp(mc *Machine, j *Job, attempt uint64) Push {
-	return Push{Machine: mc.Name, Addr: mc.addr, Commands: wire.DirectCommands{Token: m.FencingToken, Session: mc.AgentEpoch,
+	return Push{Machine: mc.Name, Addr: mc.addr, Commands: wire.DirectCommands{Token: m.FencingToken, AgentEpoch: mc.AgentEpoch,
 		Commands: []wire.Command{{Op: wire.OpStart, Task: wire.TaskName(j.ID, NoSuchTask), Attempt: attempt}}}}
 }
--- a/cluster/wakeup_test.go
+++ b/cluster/wakeup_test.go
@@ -45,7 +45,7 @@
 func TestWakeUpLaunchesATaskThatNoJobHas(t *testing.T) {
 	m := taskOnEachOfTwoMachines(t)
 	got := m.WakeUps(10, at(1.3))
-	if len(got) != 1 || got[0].Machine != "host-1" || got[0].Commands.Token != 5 || got[0].Commands.Session != 1 {
+	if len(got) != 1 || got[0].Machine != "host-1" || got[0].Commands.Token != 5 || got[0].Commands.AgentEpoch != 1 {
 		t.Fatalf("wake-ups %+v, wanted one to the machine with a committed placement", got)
 	}
 	c := got[0].Commands.Commands
@@ -59,7 +59,7 @@
 		t.Errorf("%d wake-ups after one without effect", len(again))
 	}
 	// The exit that the worker lists is forgotten, and nothing else follows.
-	r := rep(2, 5, wire.TaskReport{Task: "wk-000001/100000", Attempt: 1, State: wire.TaskExited, Why: wire.ExitUnknown})
+	r := rep(2, 5, wire.TaskStatus{Task: "wk-000001/100000", Attempt: 1, State: wire.TaskExited, Why: wire.ExitUnknown})
 	cmds := m.AnswerHeartbeat(m.ApplyHeartbeat(r, at(3.1)), r, at(3.1))
 	if len(cmds) != 2 || cmds[0].Op != wire.OpForget || cmds[1].Op != wire.OpStart || cmds[1].Task != "wk-000001/0" {
 		t.Errorf("commands %+v, wanted a forget and the launch", cmds)
--- a/cluster/warm_pool_members.go
+++ b/cluster/warm_pool_members.go
@@ -53,7 +53,7 @@
 // restoreWeights adds the weights to a machine's images if an earlier leader recorded them
 // there, once for each agent epoch: heartbeats don't list images.
 func (m *Model) restoreWeights(p *warmPool, mc *Machine, member *warmpool.Member, image int32) {
-	recorded := member.WarmVersion == p.record.ImageVersion && member.Session == mc.AgentEpoch && mc.AgentEpoch > 0
+	recorded := member.WarmVersion == p.record.ImageVersion && member.AgentEpoch == mc.AgentEpoch && mc.AgentEpoch > 0
 	if recorded && mc.imagesRestoredEpoch < mc.AgentEpoch && !mc.hasImage(image) {
 		m.recordImage(mc, image)
 	}
@@ -67,10 +67,10 @@
 	if mc.hasImage(image) {
 		warm = p.record.ImageVersion
 	}
-	if mc.AgentEpoch == 0 || member.WarmVersion == warm && member.Session == mc.AgentEpoch {
+	if mc.AgentEpoch == 0 || member.WarmVersion == warm && member.AgentEpoch == mc.AgentEpoch {
 		return false
 	}
-	member.WarmVersion, member.Session = warm, mc.AgentEpoch
+	member.WarmVersion, member.AgentEpoch = warm, mc.AgentEpoch
 	return true
 }
 
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -38,7 +38,7 @@
 // places.
 func (m *Model) forecastWindows(jobs []*Job, now time.Time) {
 	windows := &m.windows
-	knownAfter := config.Seconds(takeoverHeartbeats * m.settings.Cluster.Workers.ReportS)
+	knownAfter := config.Seconds(takeoverHeartbeats * m.settings.Cluster.Workers.HeartbeatS)
 	if now.Sub(windows.lastForecast) < forecastInterval || now.Sub(m.ElectedAt) < knownAfter || m.recoveringFromStall(now) {
 		return
 	}
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -72,7 +72,7 @@
 // the cloud's list shows what an earlier leader rented.
 func (m *Model) provisionGracePeriod() time.Duration {
 	workers := m.settings.Cluster.Workers
-	return max(config.Seconds(workers.LeaseS), config.Seconds(2*m.settings.Cluster.Cloud.ListLagS+10)) + config.Seconds(workers.ReportS)
+	return max(config.Seconds(workers.LeaseS), config.Seconds(2*m.settings.Cluster.Cloud.ListLagS+10)) + config.Seconds(workers.HeartbeatS)
 }
 
 // Penalties that bootTimeFor adds to a type's boot time, as the placement of scale-out does.
@@ -96,7 +96,7 @@
 		}
 		if perMachine == 0 || cost < least {
 			least, perMachine = cost, tasksThatFit(j.Need, t.Capacity)
-			boot = time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()) + config.Seconds(m.settings.Cluster.Workers.ReportS)
+			boot = time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()) + config.Seconds(m.settings.Cluster.Workers.HeartbeatS)
 		}
 	}
 	return boot, perMachine
--- a/config/config.go
+++ b/config/config.go
@@ -87,11 +87,11 @@
 
 // Workers holds the intervals and timeouts of workers, in seconds.
 type Workers struct {
-	ReportS   float64 `toml:"report_s"`    // between heartbeats
-	LeaseS    float64 `toml:"lease_s"`     // after sending the last heartbeat that was answered, until a worker kills its tasks
-	GangWaitS float64 `toml:"gang_wait_s"` // how long a task of a gang waits for the others to start
-	GangPeerS float64 `toml:"gang_peer_s"` // after a gang has lost a task, until the others have ended
-	CancelS   float64 `toml:"cancel_s"`    // after a confirmed cancellation, until the job's tasks must be gone
+	HeartbeatS float64 `toml:"report_s"`    // between heartbeats
+	LeaseS     float64 `toml:"lease_s"`     // after sending the last heartbeat that was answered, until a worker kills its tasks
+	GangWaitS  float64 `toml:"gang_wait_s"` // how long a task of a gang waits for the others to start
+	GangPeerS  float64 `toml:"gang_peer_s"` // after a gang has lost a task, until the others have ended
+	CancelS    float64 `toml:"cancel_s"`    // after a confirmed cancellation, until the job's tasks must be gone
 }
 
 // StateLimits are the key-value store's limits.
@@ -173,7 +173,7 @@
 		atLeast("cluster.size", s.Cluster.Size, 1),
 		zones,
 		notNegative("cluster.skew_ms", s.Cluster.SkewMs),
-		positive("cluster.workers.report_s", workers.ReportS),
+		positive("cluster.workers.report_s", workers.HeartbeatS),
 		positive("cluster.workers.lease_s", workers.LeaseS),
 		positive("cluster.workers.gang_wait_s", workers.GangWaitS),
 		positive("cluster.workers.gang_peer_s", workers.GangPeerS),
--- a/config/leases.go
+++ b/config/leases.go
@@ -39,8 +39,8 @@
 // the leader has crashed.
 func (w Workers) LeaderLeaseS() float64 {
 	cancelInTime := (w.CancelS - w.LeaseS) / 2
-	most := min(cancelInTime, w.LeaseS-w.ReportS-findLeaderS)
-	return min(cancelInTime, max(preferredLeaderLeaseS, min(most, storeOutageS+w.ReportS-w.LeaseS)))
+	most := min(cancelInTime, w.LeaseS-w.HeartbeatS-findLeaderS)
+	return min(cancelInTime, max(preferredLeaderLeaseS, min(most, storeOutageS+w.HeartbeatS-w.LeaseS)))
 }
 
 // CancelledGoneWithinS is by when, in seconds after a cancellation was confirmed to a user, the
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -350,7 +350,7 @@
 // Submissions at every node are so many that jobs share pages and the limit on writes to the
 // key-value store (25 a second) is used up. Cancellations, each of which changes a page by a
 // compare-and-swap that fails if anybody else has changed it, must still be committed in time.
-func TestManyPollsDoNotDelayCancellations(t *testing.T) {
+func TestManySubmissionsDoNotDelayCancellations(t *testing.T) {
 	runInteraction(t, 2, fake.Options{Machines: 6, Capacity: 6, StateRPS: 200, StateWPS: 25}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
--- a/controller/fault_interactions_test.go
+++ b/controller/fault_interactions_test.go
@@ -91,7 +91,7 @@
 func TestInteractionLongTasksAndFailover(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		for _, m := range w.Cloud.Machines() {
-			w.CaptureReport(m) // captured while the machine is empty: lists no task
+			w.CaptureHeartbeat(m) // captured while the machine is empty: lists no task
 		}
 		fillTeams(t, w)
 		ways := machineFaults(w)
@@ -133,7 +133,7 @@
 		// one captured at the start. (With BlockRepliesTo, index 3, heartbeats still arrive, so the
 		// leader has newer ones already.)
 		for _, m := range names {
-			if way < 3 && !scenario.Eventually(10*time.Second, 500*time.Millisecond, func() bool { return w.ReplayReport(m, max(0, w.Leader())) == 200 }) {
+			if way < 3 && !scenario.Eventually(10*time.Second, 500*time.Millisecond, func() bool { return w.ReplayHeartbeat(m, max(0, w.Leader())) == 200 }) {
 				t.Errorf("the next leader takes no late copy of a report of %s", m)
 			}
 		}
--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -78,7 +78,7 @@
 // cancelled.
 func (g cancellationGap) run(t *testing.T, seed uint64) (others int) {
 	t.Helper()
-	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, ReportIntervalS: g.report, LeaseS: g.lease}
+	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, HeartbeatIntervalS: g.report, LeaseS: g.lease}
 	runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
 		times := w.Settings.Cluster.Workers
 		cancelS := time.Duration(times.CancelS * float64(time.Second))
@@ -93,7 +93,7 @@
 		l := w.Leader()
 		other, name := (l+1)%3, fmt.Sprintf("n-%d", l)
 		key := bytes.Clone(w.Store.Value("ctl/leader"))
-		if _, kept := w.ReportsAnswered(l, time.Now().Add(-2*time.Duration(times.ReportS*float64(time.Second)))); kept != 4 {
+		if _, kept := w.HeartbeatsAnswered(l, time.Now().Add(-2*time.Duration(times.HeartbeatS*float64(time.Second)))); kept != 4 {
 			t.Fatalf("%d of 4 machines report to the leader", kept)
 		}
 		started := w.Started()
@@ -229,7 +229,7 @@
 		if g.beyond >= 0 && back.Sub(out) < cancelS {
 			t.Errorf("no meeting: the outage lasted %v", back.Sub(out))
 		}
-		answered, kept := w.ReportsAnswered(l, latest)
+		answered, kept := w.HeartbeatsAnswered(l, latest)
 		if answered == 0 {
 			t.Error("no meeting: no worker reported to the old leader after the confirmations")
 		}
@@ -237,7 +237,7 @@
 		// leader is sure of it for at least half of its length more, unless latency or a pause is
 		// injected.
 		half := time.Duration(times.LeaderLeaseS() / 2 * float64(time.Second))
-		if g.slow+g.slowAnswers+g.slowToLeader+g.stopFor == 0 && latest.Sub(refused)+time.Duration(1.25*times.ReportS*float64(time.Second)) < half && kept == 0 {
+		if g.slow+g.slowAnswers+g.slowToLeader+g.stopFor == 0 && latest.Sub(refused)+time.Duration(1.25*times.HeartbeatS*float64(time.Second)) < half && kept == 0 {
 			t.Error("no meeting: the old leader answered no worker after the confirmations")
 		}
 		most := time.Duration(0)
@@ -414,7 +414,7 @@
 		outages = []float64{4, 8, 12, 16, 20, 24, 28, 32, 36, 40, 50}
 	}
 	for _, d := range deployments {
-		w := config.Workers{ReportS: d.report, LeaseS: d.lease, CancelS: d.lease + 20}
+		w := config.Workers{HeartbeatS: d.report, LeaseS: d.lease, CancelS: d.lease + 20}
 		for _, out := range outages {
 			t.Run(fmt.Sprintf("lease %g s, out for %g s", d.lease, out), func(t *testing.T) {
 				const before = 1.1 // seconds from the refusal to the outage
@@ -425,7 +425,7 @@
 				// and the last heartbeat that the leader answered one longest report interval
 				// before it became unsure of its lease; after the outage a worker finds the new
 				// leader within 3 s.
-				if survive := 0.8*w.LeaderLeaseS() + w.LeaseS - 1.25*w.ReportS - 3; before+out < survive && ended > 0 {
+				if survive := 0.8*w.LeaderLeaseS() + w.LeaseS - 1.25*w.HeartbeatS - 3; before+out < survive && ended > 0 {
 					t.Errorf("%d tasks ended in an outage that their leases outlast by %.1f s", ended, survive-before-out)
 				}
 				if before+out > w.CancelledGoneWithinS()+1 && ended != gapOthers {
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -19,9 +19,9 @@
 // session and the sequence number within it. The tags are the protocol's field names.
 // Only the leader decodes the rest.
 type heartbeatHeader struct {
-	Machine string `msgpack:"poste"`
-	Session uint64 `msgpack:"quart"`
-	Seq     uint64 `msgpack:"numero"`
+	Machine    string `msgpack:"poste"`
+	AgentEpoch uint64 `msgpack:"quart"`
+	Seq        uint64 `msgpack:"numero"`
 }
 
 func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
@@ -114,7 +114,7 @@
 func (l *leadership) isCurrent(who heartbeatHeader) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.model.IsNewerHeartbeat(who.Machine, who.Session, who.Seq)
+	return l.model.IsNewerHeartbeat(who.Machine, who.AgentEpoch, who.Seq)
 }
 
 // answeredRecently reports whether this node answered a worker so recently that its
@@ -122,5 +122,5 @@
 func (n *Node) answeredRecently(machine string) bool {
 	w := n.cfg.Cluster.Workers
 	ago, ok := n.lastAnswered.Since(machine, time.Now())
-	return ok && ago < config.Seconds(min(2*w.ReportS+0.5, w.LeaseS/2))
+	return ok && ago < config.Seconds(min(2*w.HeartbeatS+0.5, w.LeaseS/2))
 }
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -20,8 +20,8 @@
 	if !l.lease.Valid() {
 		return unsure
 	}
-	var r wire.Report
-	if err := wire.Unmarshal(body, &r); err != nil || r.Machine == "" || r.Session == 0 {
+	var r wire.Heartbeat
+	if err := wire.Unmarshal(body, &r); err != nil || r.Machine == "" || r.AgentEpoch == 0 {
 		l.log.Info("malformed heartbeat", "err", err)
 		return newAnswer(http.StatusBadRequest, wire.Error{Error: "malformed report"}, 0)
 	}
@@ -65,7 +65,7 @@
 	// Check the leader lease as late as possible: the model counts the worker's lease
 	// from this answer. A worker that has sent a newer heartbeat while this one waited
 	// no longer waits for this answer.
-	if mc == nil || mc.Seq != r.Seq || mc.AgentEpoch != r.Session || !l.lease.Valid() {
+	if mc == nil || mc.Seq != r.Seq || mc.AgentEpoch != r.AgentEpoch || !l.lease.Valid() {
 		l.mu.Unlock()
 		return unsure
 	}
@@ -82,14 +82,14 @@
 	if cmds == nil {
 		cmds = []wire.Command{}
 	}
-	return newAnswer(http.StatusOK, wire.ReportAnswer{Token: l.lease.FencingToken, Commands: cmds}, 0)
+	return newAnswer(http.StatusOK, wire.HeartbeatAnswer{Token: l.lease.FencingToken, Commands: cmds}, 0)
 }
 
 // maxResponseDelay is how long an answer may be delayed so that it can carry launches
 // for the resources that its heartbeat has freed. Waiting pays off more where the next
 // heartbeat is further away. Workers time out after 4 s.
 func (l *leadership) maxResponseDelay() time.Duration {
-	return config.Seconds(min(max(0.4, l.node.cfg.Cluster.Workers.ReportS/4), 1.5))
+	return config.Seconds(min(max(0.4, l.node.cfg.Cluster.Workers.HeartbeatS/4), 1.5))
 }
 
 // awaitSchedulingPass delays an answer, for maxResponseDelay at most, until a scheduling
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -166,7 +166,7 @@
 		t.Helper()
 		w.DelayDirectCommands(1, rnd.Uint64())
 		met := fake.DelayedCommands{}
-		for round := 0; round < lateCommandRounds && met.RefusedSession == 0; round++ {
+		for round := 0; round < lateCommandRounds && met.RefusedEpoch == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
 			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUsInUse("core") == teamMax }) {
 				t.Fatalf("the team uses %g CPUs", w.CPUsInUse("core"))
@@ -188,7 +188,7 @@
 			met = w.DelayedCommands()
 		}
 		w.DelayDirectCommands(0, 0)
-		if met.RefusedSession == 0 {
+		if met.RefusedEpoch == 0 {
 			t.Errorf("late commands met %+v: none came after its session had ended", met)
 		}
 		healAndCheckStarvation(t, w)
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -87,7 +87,7 @@
 		numbers := submitGangAndArrays(t, w, 1, rnd)
 		time.Sleep(randomMillis(rnd, 500, 4000))
 		at := w.Cloud.Machines()[rnd.IntN(4)]
-		w.CaptureReport(at)
+		w.CaptureHeartbeat(at)
 		time.Sleep(randomMillis(rnd, 0, 2000))
 		w.HangMachine(at)
 		was := w.Leader()
@@ -100,17 +100,17 @@
 		if !scenario.Eventually(20*time.Second, 50*time.Millisecond, func() bool { return fmt.Sprint(w.Store.Versions(jobstore.PlacementPageKey(0))) != pages }) {
 			t.Fatal("the next leader has placed nothing")
 		}
-		if status := w.ReplayReport(at, w.Leader()); status != 200 {
+		if status := w.ReplayHeartbeat(at, w.Leader()); status != 200 {
 			t.Errorf("the report held back was answered %d: it is not the first that the leader hears of its machine", status)
 		}
-		if status := w.ReplayReport(at, w.Leader()); status != 200 {
+		if status := w.ReplayHeartbeat(at, w.Leader()); status != 200 {
 			t.Errorf("it was answered %d as it came again, while it is the newest", status)
 		}
 		time.Sleep(randomMillis(rnd, 1000, 40_000))
 		w.ResumeMachine(at)
 		w.StartNode(was)
 		time.Sleep(4 * time.Second) // it has sent its own heartbeat, or its lease has expired
-		if status := w.ReplayReport(at, w.Leader()); status == 200 {
+		if status := w.ReplayHeartbeat(at, w.Leader()); status == 200 {
 			t.Error("the same report was answered 200 after newer ones")
 		}
 		mustFinish(t, w, 3*time.Minute, numbers...)
@@ -136,7 +136,7 @@
 		changeLeader(t, w)
 		time.Sleep(4 * time.Second)
 		met := w.CopyStats()
-		if met.First == 0 || met.EarlierSession == 0 || met.EarlierAttempt == 0 {
+		if met.First == 0 || met.EarlierEpoch == 0 || met.EarlierAttempt == 0 {
 			t.Errorf("copies met %+v", met)
 		}
 		w.HealZonePartition(zone)
@@ -163,11 +163,11 @@
 		time.Sleep(randomMillis(rnd, 0, 2000))
 		started, was := w.Started(), w.Leader()
 		w.KillNode(was)
-		w.OvertakeReports(1)
+		w.DeliverCopiesFirst(1)
 		time.Sleep(45 * time.Second) // more than three leases
-		w.OvertakeReports(0)
+		w.DeliverCopiesFirst(0)
 		w.StartNode(was)
-		met := w.OvertakenReports()
+		met := w.OvertakenHeartbeats()
 		if met.Next < 6 || met.Ahead < 60 {
 			t.Errorf("reports overtaken %+v", met)
 		}
@@ -187,7 +187,7 @@
 func TestTasksAreLaunchedWhileDuplicatesOvertakeHeartbeats(t *testing.T) {
 	runSeeded(t, 18, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
-		w.OvertakeReports(2)
+		w.DeliverCopiesFirst(2)
 		for round := range 3 {
 			numbers := submitGangAndArrays(t, w, 10*round+1, rnd)
 			time.Sleep(randomMillis(rnd, 500, 9000))
@@ -196,7 +196,7 @@
 			}
 			mustFinish(t, w, time.Minute, numbers...)
 		}
-		if met := w.OvertakenReports(); met.Ahead < 20 || w.ExpiredLeases() > 0 {
+		if met := w.OvertakenHeartbeats(); met.Ahead < 20 || w.ExpiredLeases() > 0 {
 			t.Errorf("reports overtaken %+v, %d leases ended", met, w.ExpiredLeases())
 		}
 	})
@@ -214,11 +214,11 @@
 		time.Sleep(randomMillis(rnd, 0, 3000))
 		load := w.TasksPerMachine()
 		dead := slices.MaxFunc(w.Cloud.Machines(), func(a, b string) int { return load[a] - load[b] })
-		w.CaptureReport(dead)
+		w.CaptureHeartbeat(dead)
 		w.KillMachine(dead)
 		at, answered, back := time.Now(), 0, time.Duration(0)
 		for time.Since(at) < 40*time.Second && back == 0 {
-			if w.ReplayReport(dead, max(0, w.Leader())) == 200 {
+			if w.ReplayHeartbeat(dead, max(0, w.Leader())) == 200 {
 				answered++
 			}
 			time.Sleep(time.Second)
@@ -253,9 +253,9 @@
 			t.Fatalf("node %d has answered the worker, and node %d has not", at, other)
 		}
 		name := w.Cloud.Machines()[0]
-		w.CaptureReport(name)
+		w.CaptureHeartbeat(name)
 		for i, node := range []int{at, other, other} {
-			if status := w.ReplayReport(name, node); status != 200 {
+			if status := w.ReplayHeartbeat(name, node); status != 200 {
 				t.Fatalf("copy %d was answered %d", i, status)
 			}
 		}
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -181,7 +181,7 @@
 		w.HealNode(i, everything...)
 		w.StartNode(i)
 	}
-	w.DuplicateReports(0)
+	w.DuplicateHeartbeats(0)
 	w.DelayDirectCommands(0, 0)
 	w.CancelOnCompletion(0, 0)
 	healMachines(w)
@@ -261,8 +261,8 @@
 		}
 	case 14:
 		if machine != "" {
-			w.CaptureReport(machine)
-			w.ReplayReport(machine, n)
+			w.CaptureHeartbeat(machine)
+			w.ReplayHeartbeat(machine, n)
 		}
 	case 15:
 		w.Cloud.SetOutage(rnd.IntN(2) == 0)
@@ -287,7 +287,7 @@
 			w.UnblockRepliesTo(machine)
 		}
 	case 22:
-		w.DuplicateReports(rnd.IntN(4))
+		w.DuplicateHeartbeats(rnd.IntN(4))
 	case 23:
 		if rnd.IntN(2) == 0 {
 			w.IsolateToWorkers(n)
--- a/controller/reachability_test.go
+++ b/controller/reachability_test.go
@@ -99,9 +99,9 @@
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 3)
 		gone := w.Cloud.Machines()[0]
-		w.DuplicateReports(1)
+		w.DuplicateHeartbeats(1)
 		time.Sleep(20 * time.Second)
-		w.DuplicateReports(0)
+		w.DuplicateHeartbeats(0)
 		w.Cloud.Remove(gone)
 		w.KillNode(w.Leader())
 		time.Sleep(8 * time.Second)
@@ -125,7 +125,7 @@
 // Duplicates of all machines' heartbeats arrive all the time, up to five leases late.
 func TestDuplicateHeartbeatsChangeNothing(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
-		w.DuplicateReports(2)
+		w.DuplicateHeartbeats(2)
 		fillMachines(t, w, 6)
 		before := w.Started()
 		for i := range 6 {
--- a/controller/scenarios_test.go
+++ b/controller/scenarios_test.go
@@ -74,13 +74,13 @@
 func TestLateHeartbeatIsIgnored(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Nodes: 1}, func(t *testing.T, w *fake.Cluster) {
 		name := w.Cloud.Machines()[0]
-		w.CaptureReport(name) // captured while the machine is empty: lists no task
+		w.CaptureHeartbeat(name) // captured while the machine is empty: lists no task
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		time.Sleep(8 * time.Second)
 		if len(w.MachinesRunning("wk-000001/0")) != 1 {
 			t.Fatal("task 0 does not run")
 		}
-		if status := w.ReplayReport(name, 0); status == 200 {
+		if status := w.ReplayHeartbeat(name, 0); status == 200 {
 			t.Error("a report older than the last one was answered 200")
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -122,7 +122,7 @@
 // long, although some are expected, that another node should lead. The caller holds l.mu.
 func (l *leadership) workersUnreachable(now time.Time) bool {
 	w := l.node.cfg.Cluster.Workers
-	quiet := config.Seconds(max(3*w.ReportS, w.LeaseS/4) + 2)
+	quiet := config.Seconds(max(3*w.HeartbeatS, w.LeaseS/4) + 2)
 	since := l.lastDirectHeartbeat
 	if since.Before(l.model.ElectedAt) {
 		since = l.model.ElectedAt
--- a/controller/users.go
+++ b/controller/users.go
@@ -38,7 +38,7 @@
 	mux.HandleFunc("POST "+wire.PathJobs, func(w http.ResponseWriter, r *http.Request) { n.handleUserWrite(w, r, opSubmit) })
 	mux.HandleFunc("GET "+wire.PathJobs+"/{id}", n.handlePoll)
 	mux.HandleFunc("POST "+wire.PathJobs+"/{id}/cancel", func(w http.ResponseWriter, r *http.Request) { n.handleUserWrite(w, r, opCancel) })
-	mux.HandleFunc("POST "+wire.PathReport, n.serveHeartbeat)
+	mux.HandleFunc("POST "+wire.PathHeartbeat, n.serveHeartbeat)
 	return mux
 }
 
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -14,7 +14,7 @@
 
 // slowHeartbeats is a deployment whose workers send a heartbeat every 4 s.
 func slowHeartbeats(machines int) fake.Options {
-	return fake.Options{Machines: machines, Capacity: machines, ReportIntervalS: 4, LeaseS: 22}
+	return fake.Options{Machines: machines, Capacity: machines, HeartbeatIntervalS: 4, LeaseS: 22}
 }
 
 // singleTaskJob returns a job with one task that fills a machine.
--- a/controller/warm_pools_measure_test.go
+++ b/controller/warm_pools_measure_test.go
@@ -49,7 +49,7 @@
 			begin = hour.Add(after - 3*time.Minute) // idle machines are scaled in after four minutes
 		}
 		time.Sleep(time.Until(begin))
-		o := fake.Options{Machines: b.fleet, Capacity: b.fleet + b.replicas + 20, Types: []wire.MachineType{typ}, ReportIntervalS: 5, LeaseS: 30,
+		o := fake.Options{Machines: b.fleet, Capacity: b.fleet + b.replicas + 20, Types: []wire.MachineType{typ}, HeartbeatIntervalS: 5, LeaseS: 30,
 			Teams: []config.Team{{Name: "core"}, {Name: "speech"}}}
 		if b.mode == "bare" {
 			o.Machines += b.replicas
@@ -181,7 +181,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		typ := fake.DefaultType
 		typ.CacheGB = 100
-		w := fake.New(fake.Options{Machines: machines, Capacity: machines, Types: []wire.MachineType{typ}, ReportIntervalS: 5, LeaseS: 30,
+		w := fake.New(fake.Options{Machines: machines, Capacity: machines, Types: []wire.MachineType{typ}, HeartbeatIntervalS: 5, LeaseS: 30,
 			Teams: []config.Team{{Name: "core"}, {Name: "speech"}}})
 		defer w.Close()
 		time.Sleep(8 * time.Second)
--- a/internal/cmd/yarntrial/main.go
+++ b/internal/cmd/yarntrial/main.go
@@ -99,7 +99,7 @@
 	}
 	types := fake.DefaultType
 	types.CPUs, types.MemoryGB = 64, 256
-	t.w = fake.New(fake.Options{Nodes: nodes, Machines: c.Machines, Capacity: c.Machines, ExternalNodes: true, Sockets: 2600, ReportIntervalS: 4, LeaseS: 22,
+	t.w = fake.New(fake.Options{Nodes: nodes, Machines: c.Machines, Capacity: c.Machines, ExternalNodes: true, Sockets: 2600, HeartbeatIntervalS: 4, LeaseS: 22,
 		Types: []wire.MachineType{types}})
 	state, cloud := t.addr(9, 0), t.addr(9, 1)
 	for i := range nodes {
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -47,13 +47,13 @@
 	// Faults in messages of workers.
 	duplicateOneIn     int // one in so many reports is copied; 0: none
 	duplicatesInFlight int
-	capturedReports    map[string][]byte // a report of each machine, for scenarios of late ones
+	capturedHeartbeats map[string][]byte // a report of each machine, for scenarios of late ones
 	failoverCopies     failoverCopies
 	commandDelay       commandDelay
 	completionCancel   completionCancel
 
 	// What was observed.
-	answeredReports    map[nodeAndMachine]time.Time // when a machine last sent a report that a node answered
+	answeredHeartbeats map[nodeAndMachine]time.Time // when a machine last sent a report that a node answered
 	acceptedAnswers    map[nodeAndMachine]time.Time // and one whose 200 it accepted
 	started            int                          // task starts
 	externalStarts     map[string]int               // by task, of jobs of other frontends, each of which runs once
@@ -70,24 +70,24 @@
 	options.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &Cluster{
-		Network:          NewNetwork(),
-		Store:            NewKVStore(transactionOps),
-		ctx:              ctx,
-		cancel:           cancel,
-		log:              options.Log,
-		yarn:             options.YARN,
-		metrics:          options.Metrics,
-		noWakeUps:        options.NoWakeUps,
-		random:           rand.New(rand.NewPCG(options.Seed, 7)),
-		jobs:             map[string]*job{},
-		machinesOfTasks:  map[string]map[*machine]bool{},
-		gangs:            map[taskKey]*gang{},
-		progress:         map[string]float64{},
-		fetchingMachines: map[string]bool{},
-		capturedReports:  map[string][]byte{},
-		answeredReports:  map[nodeAndMachine]time.Time{},
-		acceptedAnswers:  map[nodeAndMachine]time.Time{},
-		externalStarts:   map[string]int{},
+		Network:            NewNetwork(),
+		Store:              NewKVStore(transactionOps),
+		ctx:                ctx,
+		cancel:             cancel,
+		log:                options.Log,
+		yarn:               options.YARN,
+		metrics:            options.Metrics,
+		noWakeUps:          options.NoWakeUps,
+		random:             rand.New(rand.NewPCG(options.Seed, 7)),
+		jobs:               map[string]*job{},
+		machinesOfTasks:    map[string]map[*machine]bool{},
+		gangs:              map[taskKey]*gang{},
+		progress:           map[string]float64{},
+		fetchingMachines:   map[string]bool{},
+		capturedHeartbeats: map[string][]byte{},
+		answeredHeartbeats: map[nodeAndMachine]time.Time{},
+		acceptedAnswers:    map[nodeAndMachine]time.Time{},
+		externalStarts:     map[string]int{},
 	}
 	w.Store.reportViolation = w.violations.add
 	w.Cloud = &Cloud{cluster: w, types: options.Types, capacity: options.Capacity, listingLag: secs(cloudListingLagS),
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -29,10 +29,10 @@
 
 // DelayedCommands counts what became of direct commands that were held up.
 type DelayedCommands struct {
-	Held           int // batches on their way or arrived
-	Executed       int // batches that were carried out
-	RefusedToken   int // batches refused because the worker had seen a higher token
-	RefusedSession int // batches refused because the worker's session had ended
+	Held         int // batches on their way or arrived
+	Executed     int // batches that were carried out
+	RefusedToken int // batches refused because the worker had seen a higher token
+	RefusedEpoch int // batches refused because the worker's session had ended
 
 	FormerLeader int // executed although the leader that sent them led no more
 	Overtaken    int // arrived after a command that was sent to the same machine later
@@ -78,7 +78,7 @@
 // gets no answer. The cluster's lock is held.
 func (m *machine) receiveCommands(body []byte) (status int, held bool) {
 	var d wire.DirectCommands
-	if wire.Unmarshal(body, &d) != nil || d.Session == 0 {
+	if wire.Unmarshal(body, &d) != nil || d.AgentEpoch == 0 {
 		return http.StatusBadRequest, false
 	}
 	m.cluster.checkDirectCommands(d.Commands)
@@ -93,7 +93,7 @@
 		m.cluster.wg.Go(func() { m.deliverDelayed(batch, by) })
 		return 0, true
 	}
-	if d.Token < m.token || d.Session != m.session {
+	if d.Token < m.token || d.AgentEpoch != m.epoch {
 		return http.StatusConflict, false
 	}
 	m.newestBatchExecuted = m.batchesSent
@@ -171,7 +171,7 @@
 	}
 	t.readyAt = now.Add(100 * time.Millisecond)
 	m.cache.fetch(t.job.Image, t.job.ImageGB)
-	m.reportDue = true
+	m.heartbeatDue = true
 }
 
 // deliverDelayed carries a batch out that was held up. One that finds its machine hanging
@@ -198,8 +198,8 @@
 		counts.Overtaken++
 	}
 	switch {
-	case b.Session != m.session:
-		counts.RefusedSession++
+	case b.AgentEpoch != m.epoch:
+		counts.RefusedEpoch++
 		return
 	case b.Token < m.token:
 		counts.RefusedToken++
@@ -214,7 +214,7 @@
 	}
 	m.countDelayedStops(b)
 	m.executeDirect(b.DirectCommands)
-	m.reportDue = true
+	m.heartbeatDue = true
 }
 
 // countDelayedStops counts the states in which late stops find their tasks; the lock is held.
@@ -278,13 +278,13 @@
 	defer w.mu.Unlock()
 	m.holdCommands = false
 	for _, d := range m.heldCommands {
-		if d.Token < m.token || d.Session != m.session {
+		if d.Token < m.token || d.AgentEpoch != m.epoch {
 			refused++
 			continue
 		}
 		executed++
 		m.executeDirect(d)
-		m.reportDue = true
+		m.heartbeatDue = true
 	}
 	return executed, refused
 }
--- a/internal/fake/duplicate_reports.go
+++ b/internal/fake/duplicate_reports.go
@@ -14,14 +14,14 @@
 
 // DuplicateReports makes the network copy one in so many reports, to arrive at any
 // node 1 s to 5 leases later, whatever becomes of the machine; 0 ends that.
-func (w *Cluster) DuplicateReports(oneIn int) {
+func (w *Cluster) DuplicateHeartbeats(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.duplicateOneIn = oneIn
 }
 
 // maybeDuplicate copies a report if it is its turn; the lock is held.
-func (w *Cluster) maybeDuplicate(r wire.Report) {
+func (w *Cluster) maybeDuplicate(r wire.Heartbeat) {
 	if w.duplicateOneIn == 0 || w.duplicatesInFlight >= maxDuplicates || w.pick(w.duplicateOneIn) > 0 {
 		return
 	}
@@ -30,7 +30,7 @@
 	delay, to := time.Duration(1000+w.pick(maxDelayMs-1000))*time.Millisecond, w.pick(len(w.nodes))
 	w.wg.Go(func() {
 		if call.Pause(w.ctx, delay) {
-			w.post(w.nodes[to].addr, wire.PathReport, r)
+			w.post(w.nodes[to].addr, wire.PathHeartbeat, r)
 		}
 		w.mu.Lock()
 		w.duplicatesInFlight--
@@ -40,19 +40,19 @@
 
 // CaptureReport remembers a worker's report of this moment; ReplayReport sends it
 // to a node as if a cut had held it back.
-func (w *Cluster) CaptureReport(name string) {
+func (w *Cluster) CaptureHeartbeat(name string) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.capturedReports[name], _ = wire.Marshal(m.report())
+	w.capturedHeartbeats[name], _ = wire.Marshal(m.heartbeat())
 }
 
 // ReplayReport sends what CaptureReport kept.
-func (w *Cluster) ReplayReport(name string, node int) (status int) {
+func (w *Cluster) ReplayHeartbeat(name string, node int) (status int) {
 	w.mu.Lock()
-	var r wire.Report
-	_ = wire.Unmarshal(w.capturedReports[name], &r)
+	var r wire.Heartbeat
+	_ = wire.Unmarshal(w.capturedHeartbeats[name], &r)
 	w.mu.Unlock()
-	status, _ = w.post(w.nodes[node].addr, wire.PathReport, r)
+	status, _ = w.post(w.nodes[node].addr, wire.PathHeartbeat, r)
 	return status
 }
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -44,7 +44,7 @@
 	if len(g.tasks) == t.job.Tasks && !g.running {
 		g.running, g.runningSince, g.progressBefore = true, now, w.progress[t.job.ID]
 		for _, o := range g.tasks {
-			o.state, o.machine.reportDue = wire.TaskRunning, true
+			o.state, o.machine.heartbeatDue = wire.TaskRunning, true
 		}
 	}
 }
--- a/internal/fake/liveness_test.go
+++ b/internal/fake/liveness_test.go
@@ -45,7 +45,7 @@
 		{wire.Command{Op: wire.OpForget, Task: "wk-000001/0", Attempt: 1}, "a forget of wk-000001/0 is sent directly"},
 	} {
 		withCheckedCluster(t, func(w *Cluster, m *machine, _ *job) {
-			body, err := wire.Marshal(wire.DirectCommands{Token: 1, Session: 1, Commands: []wire.Command{c.command}})
+			body, err := wire.Marshal(wire.DirectCommands{Token: 1, AgentEpoch: 1, Commands: []wire.Command{c.command}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -60,20 +60,20 @@
 	}
 }
 
-func TestDelayedCommandIsExecutedOnceIfTokenAndSessionMatch(t *testing.T) {
+func TestDelayedCommandIsExecutedOnceIfTokenAndEpochMatch(t *testing.T) {
 	for _, c := range []struct {
 		token, session uint64
 		want           DelayedCommands
 	}{
 		{5, 1, DelayedCommands{Held: 1, Executed: 1, FormerLeader: 1}},
 		{4, 1, DelayedCommands{Held: 1, RefusedToken: 1}},
-		{5, 2, DelayedCommands{Held: 1, RefusedSession: 1}},
+		{5, 2, DelayedCommands{Held: 1, RefusedEpoch: 1}},
 	} {
 		withCheckedCluster(t, func(w *Cluster, m *machine, _ *job) {
 			w.mu.Lock()
-			m.token, m.session, m.leaseRenewedAt = 5, 1, time.Now()
+			m.token, m.epoch, m.leaseRenewedAt = 5, 1, time.Now()
 			m.execute([]wire.Command{{Op: wire.OpStart, Task: "wk-000001/0", Attempt: 1}}, time.Now())
-			body, err := wire.Marshal(wire.DirectCommands{Token: c.token, Session: c.session,
+			body, err := wire.Marshal(wire.DirectCommands{Token: c.token, AgentEpoch: c.session,
 				Commands: []wire.Command{{Op: wire.OpStop, Task: "wk-000001/0", Attempt: 1}}})
 			if err != nil {
 				t.Fatal(err)
@@ -189,7 +189,7 @@
 		"outage of the cloud":         {func(w *Cluster, _ string) { w.Cloud.SetOutage(true) }, func(w *Cluster, _ string) { w.Cloud.SetOutage(false) }},
 		"silent cloud":                {func(w *Cluster, _ string) { w.Cloud.SetDropReplies(true) }, func(w *Cluster, _ string) { w.Cloud.SetDropReplies(false) }},
 		"late commands":               {func(w *Cluster, _ string) { w.DelayDirectCommands(0.1, 1) }, func(w *Cluster, _ string) { w.DelayDirectCommands(0, 1) }},
-		"copied reports":              {func(w *Cluster, _ string) { w.DuplicateReports(2) }, func(w *Cluster, _ string) { w.DuplicateReports(0) }},
+		"copied reports":              {func(w *Cluster, _ string) { w.DuplicateHeartbeats(2) }, func(w *Cluster, _ string) { w.DuplicateHeartbeats(0) }},
 		"lost answers":                {func(w *Cluster, _ string) { w.Store.DropReplies(0, 0.1, 1) }, func(w *Cluster, _ string) { w.Store.DropReplies(0, 0, 1) }},
 		"slow answers":                {func(w *Cluster, _ string) { w.Store.DelayReplies(time.Second) }, func(w *Cluster, _ string) { w.Store.DelayReplies(0) }},
 	} {
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -63,16 +63,16 @@
 	order       []taskKey // the tasks in the order of their launches
 	cache       cache
 
-	session            uint64 // changes when a lease expires
+	epoch              uint64 // changes when a lease expires
 	lastSeq            uint64 // of its reports
 	token              uint64 // the highest fencing token that it has seen
 	tokenChangedAt     time.Time
 	leaseRenewedAt     time.Time
-	reportsTo          int  // the index of the node that its next report is sent to
-	reportDue          bool // something has changed since its last report
+	heartbeatsTo       int  // the index of the node that its next report is sent to
+	heartbeatDue       bool // something has changed since its last report
 	interruptionNotice *float64
-	lateReplies        int            // answers accepted more than a second after their reports
-	lastAnswered       answeredReport // the last report of its own that was answered 200, and by whom
+	lateReplies        int               // answers accepted more than a second after their reports
+	lastAnswered       answeredHeartbeat // the last report of its own that was answered 200, and by whom
 
 	holdCommands        bool // direct commands are held back
 	heldCommands        []wire.DirectCommands
@@ -85,7 +85,7 @@
 func newMachine(w *Cluster, name string, typ wire.MachineType, zone string, spot bool, boot time.Duration) *machine {
 	ctx, stop := context.WithCancel(w.ctx)
 	m := &machine{cluster: w, name: name, addr: name + ":9000", machineType: typ, zone: zone, spot: spot, createdAt: time.Now(),
-		bootTime: boot, ctx: ctx, stop: stop, session: 1, tasks: map[taskKey]*task{}}
+		bootTime: boot, ctx: ctx, stop: stop, epoch: 1, tasks: map[taskKey]*task{}}
 	m.client = call.NewClient(w.Network.Dial(name), 2, 2)
 	w.wg.Go(m.run)
 	return m
@@ -133,10 +133,10 @@
 	defer m.client.CloseIdleConnections()
 	m.cluster.mu.Lock()
 	m.leaseRenewedAt = time.Now()
-	m.reportsTo = m.cluster.pick(len(m.cluster.nodes))
+	m.heartbeatsTo = m.cluster.pick(len(m.cluster.nodes))
 	m.cluster.mu.Unlock()
 	m.cluster.wg.Go(m.runTasks)
-	m.sendReports()
+	m.sendHeartbeats()
 }
 
 // runTasks simulates what is on the machine, step by step.
@@ -164,9 +164,9 @@
 		m.cluster.expiredLeases++
 	}
 	m.clearTasks()
-	m.session++
+	m.epoch++
 	m.leaseRenewedAt = now
-	m.reportDue = true
+	m.heartbeatDue = true
 	return true
 }
 
@@ -193,7 +193,7 @@
 			if t.job.Kind == wire.KindGang {
 				t.state = wire.TaskWaiting
 			}
-			m.reportDue = true
+			m.heartbeatDue = true
 			m.cluster.startTask(t, now)
 			if m.faulty || t.job.Class == BrokenClass {
 				m.exit(t, wire.ExitError, false)
@@ -210,7 +210,7 @@
 		return
 	}
 	t.state, t.exitReason, t.saved = wire.TaskExited, why, saved
-	m.reportDue = true
+	m.heartbeatDue = true
 	if why == wire.ExitDone {
 		m.cluster.completeTask(t)
 	} else {
@@ -238,7 +238,7 @@
 			return
 		}
 	}
-	reply(w, status, m.report())
+	reply(w, status, m.heartbeat())
 }
 
 // secs is a duration of a number of seconds.
--- a/internal/fake/machine_faults.go
+++ b/internal/fake/machine_faults.go
@@ -67,7 +67,7 @@
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
 	seconds := in.Seconds()
-	m.interruptionNotice, m.reportDue = &seconds, true
+	m.interruptionNotice, m.heartbeatDue = &seconds, true
 	w.mu.Unlock()
 	w.wg.Go(func() {
 		if call.Pause(m.ctx, in) {
--- a/internal/fake/observations.go
+++ b/internal/fake/observations.go
@@ -101,10 +101,10 @@
 
 // ReportsAnswered is how many machines a node has answered since then, and how many of them
 // have taken a 200 of it: reports that were sent since.
-func (w *Cluster) ReportsAnswered(i int, since time.Time) (answered, kept int) {
+func (w *Cluster) HeartbeatsAnswered(i int, since time.Time) (answered, kept int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for r, at := range w.answeredReports {
+	for r, at := range w.answeredHeartbeats {
 		if r.node == w.nodes[i].name && at.After(since) {
 			answered++
 		}
--- a/internal/fake/options.go
+++ b/internal/fake/options.go
@@ -12,23 +12,23 @@
 
 // Options shape a cluster.
 type Options struct {
-	Nodes           int                // 0 means 3
-	Machines        int                // up at the start, alternating between the zones
-	Capacity        int                // machines that the cloud has; 0 means four more than at the start
-	Types           []wire.MachineType // empty means DefaultType
-	Teams           []config.Team      // empty means one, core, without limits
-	Seed            uint64             // of what is drawn at random
-	Log             *slog.Logger       // of the nodes; nil discards it
-	ExternalNodes   bool               // the controllers are real processes: none is started
-	Metrics         bool               // each node serves its metrics at port 9464
-	NoWakeUps       bool               // launches wait for workers' reports
-	YARN            string             // settings of the YARN frontend, without its address; empty: none
-	Sockets         int                // of each node; 0 means 800, unenforced
-	ReportIntervalS float64            // seconds between reports; 0 means 1.5
-	LeaseS          float64            // seconds of a worker's lease; 0 means 12
-	OlderSchema     []int              // nodes that read records of the schema version before; see UpgradeSchema
-	StateRPS        float64            // the key-value store's limit of requests a second; 0 means 200, unenforced
-	StateWPS        float64            // and of changes; 0 means 60, unenforced
+	Nodes              int                // 0 means 3
+	Machines           int                // up at the start, alternating between the zones
+	Capacity           int                // machines that the cloud has; 0 means four more than at the start
+	Types              []wire.MachineType // empty means DefaultType
+	Teams              []config.Team      // empty means one, core, without limits
+	Seed               uint64             // of what is drawn at random
+	Log                *slog.Logger       // of the nodes; nil discards it
+	ExternalNodes      bool               // the controllers are real processes: none is started
+	Metrics            bool               // each node serves its metrics at port 9464
+	NoWakeUps          bool               // launches wait for workers' reports
+	YARN               string             // settings of the YARN frontend, without its address; empty: none
+	Sockets            int                // of each node; 0 means 800, unenforced
+	HeartbeatIntervalS float64            // seconds between reports; 0 means 1.5
+	LeaseS             float64            // seconds of a worker's lease; 0 means 12
+	OlderSchema        []int              // nodes that read records of the schema version before; see UpgradeSchema
+	StateRPS           float64            // the key-value store's limit of requests a second; 0 means 200, unenforced
+	StateWPS           float64            // and of changes; 0 means 60, unenforced
 }
 
 // Zones of every cluster.
@@ -74,7 +74,7 @@
 	cfg := &config.Settings{Node: name, Zone: Zones[i%2], Bind: name + ":80", PeerListen: name + ":81",
 		Services: config.Services{Cloud: cloudAddr, State: stateAddr},
 		Cluster: config.Cluster{Size: o.Nodes, Zones: Zones, SkewMs: 5, Teams: o.Teams,
-			Workers: config.Workers{ReportS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
+			Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
 			State:   config.StateLimits{RPS: 200, WriteRPS: 60, ValueKB: 16, TxnOps: transactionOps},
 			Cloud:   config.CloudLimits{RPS: 4, ListLagS: cloudListingLagS},
 			Limits:  config.Limits{CPU: 0.2, MemMB: 100, Sockets: 800}}}
@@ -103,8 +103,8 @@
 			c.Limits.Sockets = o.Sockets
 			w.Network.LimitSockets(n.name, o.Sockets)
 		}
-		if o.ReportIntervalS > 0 {
-			c.Workers.ReportS = o.ReportIntervalS
+		if o.HeartbeatIntervalS > 0 {
+			c.Workers.HeartbeatS = o.HeartbeatIntervalS
 		}
 		if o.LeaseS > 0 {
 			c.Workers.LeaseS, c.Workers.CancelS = o.LeaseS, o.LeaseS+20
--- a/internal/fake/progress.go
+++ b/internal/fake/progress.go
@@ -34,7 +34,7 @@
 
 // stopTask records that a task is told to stop, with grace seconds to save. The lock is held.
 func (w *Cluster) stopTask(t *task, grace float64, now time.Time) {
-	t.machine.reportDue = true
+	t.machine.heartbeatDue = true
 	if t.job != nil && t.job.Kind == wire.KindGang {
 		w.stopGangTask(t, grace, now)
 		return
--- a/internal/fake/report_copies.go
+++ b/internal/fake/report_copies.go
@@ -22,18 +22,18 @@
 type failoverCopies struct {
 	oneIn         int // one in so many reports is kept; 0: none
 	watching      bool
-	copies        map[string][]wire.Report // by machine
-	answeredFirst map[answeredReport]bool  // copies that were the first that a leader heard
+	copies        map[string][]wire.Heartbeat // by machine
+	answeredFirst map[answeredHeartbeat]bool  // copies that were the first that a leader heard
 	stats         CopyStats
 
 	overtakeOneIn int // one in so many reports is overtaken by its copies
-	overtaken     OvertakenReports
+	overtaken     OvertakenHeartbeats
 }
 
 // answeredReport is a report and the token of a leader that has answered it.
-type answeredReport struct {
-	machine             string
-	session, seq, token uint64
+type answeredHeartbeat struct {
+	machine           string
+	epoch, seq, token uint64
 }
 
 // CopyStats counts what has become of copies so far. One that is answered 200 was the newest
@@ -41,7 +41,7 @@
 // answered by that leader before.
 type CopyStats struct {
 	First          int // answered by a leader that began after the copy was made, the first time
-	EarlierSession int // of these, of a session that has ended since
+	EarlierEpoch   int // of these, of a session that has ended since
 	EarlierAttempt int // and of these, with an attempt that is not on the machine any more
 	Older          int // came after newer reports, and were not answered 200
 }
@@ -56,7 +56,7 @@
 	if w.failoverCopies.watching || oneIn == 0 {
 		return
 	}
-	w.failoverCopies.watching, w.failoverCopies.copies = true, map[string][]wire.Report{}
+	w.failoverCopies.watching, w.failoverCopies.copies = true, map[string][]wire.Heartbeat{}
 	last := w.Store.Versions(election.LeaderKey)[election.LeaderKey]
 	w.wg.Go(func() {
 		for call.Pause(w.ctx, 10*time.Millisecond) {
@@ -79,7 +79,7 @@
 }
 
 // keepForFailover keeps a report's copy if it is its turn; the lock is held.
-func (w *Cluster) keepForFailover(r wire.Report) {
+func (w *Cluster) keepForFailover(r wire.Heartbeat) {
 	if w.failoverCopies.oneIn == 0 || w.pick(w.failoverCopies.oneIn) > 0 {
 		return
 	}
@@ -102,7 +102,7 @@
 					continue
 				}
 				w.wg.Go(func() {
-					status, body := w.post(n.addr, wire.PathReport, r)
+					status, body := w.post(n.addr, wire.PathHeartbeat, r)
 					w.countCopy(r, status, body)
 				})
 			}
@@ -111,33 +111,33 @@
 }
 
 // countCopy counts how a copy was answered.
-func (w *Cluster) countCopy(r wire.Report, status int, body []byte) {
+func (w *Cluster) countCopy(r wire.Heartbeat, status int, body []byte) {
 	m := w.Cloud.machine(r.Machine)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if m == nil {
 		return
 	}
-	var a wire.ReportAnswer
+	var a wire.HeartbeatAnswer
 	switch {
-	case status == http.StatusServiceUnavailable && (m.session > r.Session || m.lastSeq > r.Seq):
+	case status == http.StatusServiceUnavailable && (m.epoch > r.AgentEpoch || m.lastSeq > r.Seq):
 		w.failoverCopies.stats.Older++
 		return
 	case status != http.StatusOK || wire.Unmarshal(body, &a) != nil || a.Token <= r.Token:
 		return
 	}
-	first := answeredReport{r.Machine, r.Session, r.Seq, a.Token}
+	first := answeredHeartbeat{r.Machine, r.AgentEpoch, r.Seq, a.Token}
 	if w.failoverCopies.answeredFirst[first] || m.lastAnswered == first {
 		return // not the first that this leader has heard
 	}
 	if w.failoverCopies.answeredFirst == nil {
-		w.failoverCopies.answeredFirst = map[answeredReport]bool{}
+		w.failoverCopies.answeredFirst = map[answeredHeartbeat]bool{}
 	}
 	w.failoverCopies.answeredFirst[first] = true
 	stats := &w.failoverCopies.stats
 	stats.First++
-	if m.session > r.Session {
-		stats.EarlierSession++
+	if m.epoch > r.AgentEpoch {
+		stats.EarlierEpoch++
 	}
 	for _, t := range r.Tasks {
 		if on := m.tasks[taskKey{t.Task, t.Attempt}]; t.State != wire.TaskExited && (on == nil || on.state == wire.TaskExited) {
@@ -155,7 +155,7 @@
 }
 
 // OvertakenReports is what became of reports that their own copies have overtaken.
-type OvertakenReports struct {
+type OvertakenHeartbeats struct {
 	Ahead   int // a leader answered the copy 200, and the report was sent and answered after that
 	Next    int // of these, the report does not show this leader's token: it has begun since
 	Kept    int // of all, the report itself was answered 200 by the node that it came to
@@ -168,14 +168,14 @@
 
 // OvertakeReports has one in so many reports overtaken by its own copies: every node has
 // one, and a leader has answered it, before the report itself is sent; 0 ends that.
-func (w *Cluster) OvertakeReports(oneIn int) {
+func (w *Cluster) DeliverCopiesFirst(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failoverCopies.overtakeOneIn = oneIn
 }
 
 // OvertakenReports is what has become of such reports.
-func (w *Cluster) OvertakenReports() OvertakenReports {
+func (w *Cluster) OvertakenHeartbeats() OvertakenHeartbeats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.failoverCopies.overtaken
@@ -183,12 +183,12 @@
 
 // sendCopiesAhead sends a report's copies ahead of it, and returns the token by which one of
 // them was answered 200, or 0.
-func (w *Cluster) sendCopiesAhead(r wire.Report) uint64 {
+func (w *Cluster) sendCopiesAhead(r wire.Heartbeat) uint64 {
 	tokens := make(chan uint64, len(w.nodes))
 	for _, n := range w.nodes {
 		w.wg.Go(func() {
-			var a wire.ReportAnswer
-			if status, body := w.post(n.addr, wire.PathReport, r); status != http.StatusOK || wire.Unmarshal(body, &a) != nil {
+			var a wire.HeartbeatAnswer
+			if status, body := w.post(n.addr, wire.PathHeartbeat, r); status != http.StatusOK || wire.Unmarshal(body, &a) != nil {
 				a.Token = 0
 			}
 			tokens <- a.Token
@@ -211,7 +211,7 @@
 
 // countOvertaken counts how a report was answered that its copies have overtaken; token is
 // that by which a copy was answered. The lock is held.
-func (w *Cluster) countOvertaken(r wire.Report, token uint64, status int) {
+func (w *Cluster) countOvertaken(r wire.Heartbeat, token uint64, status int) {
 	if token == 0 {
 		return
 	}
--- a/internal/fake/report_copies_test.go
+++ b/internal/fake/report_copies_test.go
@@ -17,7 +17,7 @@
 		time.Sleep(5 * time.Second)
 		machine := w.Cloud.Machines()[0]
 		w.mu.Lock()
-		w.failoverCopies.copies = map[string][]wire.Report{machine: {{Machine: machine}}}
+		w.failoverCopies.copies = map[string][]wire.Heartbeat{machine: {{Machine: machine}}}
 		w.mu.Unlock()
 		delivering := make(chan struct{})
 		w.wg.Go(func() {
--- a/internal/fake/reports.go
+++ b/internal/fake/reports.go
@@ -17,32 +17,32 @@
 	// maxReply is the most that is read of an answer, in bytes.
 	maxReply = 1 << 20
 	// minReportInterval is the least between two reports, also where something has changed.
-	minReportInterval = 500 * time.Millisecond
+	minHeartbeatInterval = 500 * time.Millisecond
 )
 
 // report is the worker's message; the cluster's lock is held.
-func (m *machine) report() wire.Report {
+func (m *machine) heartbeat() wire.Heartbeat {
 	m.lastSeq++
-	r := wire.Report{Machine: m.name, Addr: m.addr, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
-		Session: m.session, Seq: m.lastSeq, Token: m.token, NoticeS: m.interruptionNotice}
+	r := wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
+		AgentEpoch: m.epoch, Seq: m.lastSeq, Token: m.token, NoticeS: m.interruptionNotice}
 	for _, k := range m.order {
 		t := m.tasks[k]
-		r.Tasks = append(r.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason, Saved: t.saved})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason, Saved: t.saved})
 	}
 	return r
 }
 
 // sendReports sends a report at each interval, and sooner where something has changed, until
 // the machine ends.
-func (m *machine) sendReports() {
+func (m *machine) sendHeartbeats() {
 	last := time.Time{}
 	for m.ctx.Err() == nil {
 		m.cluster.mu.Lock()
-		interval := secs(m.cluster.Settings.Cluster.Workers.ReportS * (0.75 + 0.5*m.cluster.random.Float64()))
-		hung, changed := m.hung, m.reportDue
+		interval := secs(m.cluster.Settings.Cluster.Workers.HeartbeatS * (0.75 + 0.5*m.cluster.random.Float64()))
+		hung, changed := m.hung, m.heartbeatDue
 		m.cluster.mu.Unlock()
 		since := time.Since(last)
-		if hung || since < interval && (!changed || since < minReportInterval) {
+		if hung || since < interval && (!changed || since < minHeartbeatInterval) {
 			if !call.Pause(m.ctx, stepInterval) {
 				return
 			}
@@ -57,14 +57,14 @@
 
 // send makes one report; false says that another node is to be tried.
 func (m *machine) send(at time.Time) bool {
-	r, node, overtaken := m.nextReport()
+	r, node, overtaken := m.nextHeartbeat()
 	copied := uint64(0)
 	if overtaken {
 		copied = m.cluster.sendCopiesAhead(r)
 	}
 	ctx, cancel := context.WithTimeout(m.ctx, replyTimeout)
 	defer cancel()
-	status, body, err := call.Do(ctx, m.client, http.MethodPost, "http://"+node.addr+wire.PathReport, r, maxReply)
+	status, body, err := call.Do(ctx, m.client, http.MethodPost, "http://"+node.addr+wire.PathHeartbeat, r, maxReply)
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
 	m.awaitResume(at)
@@ -72,15 +72,15 @@
 		return true
 	}
 	if err == nil {
-		m.cluster.answeredReports[nodeAndMachine{node.name, m.name}] = at
+		m.cluster.answeredHeartbeats[nodeAndMachine{node.name, m.name}] = at
 		m.cluster.countOvertaken(r, copied, status)
 	}
 	if err != nil || status != http.StatusOK {
-		m.reportDue = true
+		m.heartbeatDue = true
 		if err == nil && m.redirect(status, body) {
 			return true
 		}
-		m.reportsTo = (m.reportsTo + 1) % len(m.cluster.nodes)
+		m.heartbeatsTo = (m.heartbeatsTo + 1) % len(m.cluster.nodes)
 		return false
 	}
 	m.takeAnswer(r, node, body, at)
@@ -89,14 +89,14 @@
 
 // nextReport composes a report, chooses the node that it is sent to, and draws whether
 // copies of it go ahead.
-func (m *machine) nextReport() (r wire.Report, to *node, overtaken bool) {
+func (m *machine) nextHeartbeat() (r wire.Heartbeat, to *node, overtaken bool) {
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
-	m.reportDue = false
-	r = m.report()
+	m.heartbeatDue = false
+	r = m.heartbeat()
 	m.cluster.maybeDuplicate(r)
 	m.cluster.keepForFailover(r)
-	to = m.cluster.nodes[m.reportsTo%len(m.cluster.nodes)]
+	to = m.cluster.nodes[m.heartbeatsTo%len(m.cluster.nodes)]
 	overtaken = m.cluster.failoverCopies.overtakeOneIn > 0 && m.cluster.pick(m.cluster.failoverCopies.overtakeOneIn) == 0
 	return r, to, overtaken
 }
@@ -120,8 +120,8 @@
 		return false
 	}
 	for i, n := range m.cluster.nodes {
-		if n.name == to.Leader && i != m.reportsTo {
-			m.reportsTo = i
+		if n.name == to.Leader && i != m.heartbeatsTo {
+			m.heartbeatsTo = i
 			return true
 		}
 	}
@@ -130,15 +130,15 @@
 
 // takeAnswer renews the lease and carries out what a node has answered to a report, unless
 // the answer is late, or of a former leader or session; the cluster's lock is held.
-func (m *machine) takeAnswer(r wire.Report, from *node, body []byte, sent time.Time) {
-	var a wire.ReportAnswer
-	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || r.Session != m.session || m.hung || time.Since(sent) >= replyTimeout {
+func (m *machine) takeAnswer(r wire.Heartbeat, from *node, body []byte, sent time.Time) {
+	var a wire.HeartbeatAnswer
+	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || r.AgentEpoch != m.epoch || m.hung || time.Since(sent) >= replyTimeout {
 		return
 	}
 	if time.Since(sent) > time.Second {
 		m.lateReplies++
 	}
-	m.lastAnswered = answeredReport{m.name, r.Session, r.Seq, a.Token}
+	m.lastAnswered = answeredHeartbeat{m.name, r.AgentEpoch, r.Seq, a.Token}
 	m.noteToken(a.Token, sent)
 	m.leaseRenewedAt = sent
 	m.cluster.acceptedAnswers[nodeAndMachine{from.name, m.name}] = sent
@@ -151,7 +151,7 @@
 	if token > m.token {
 		m.token = token
 		if now.Sub(m.tokenChangedAt) > secs(m.cluster.Settings.Cluster.Workers.LeaseS/2) {
-			m.reportDue, m.tokenChangedAt = true, now
+			m.heartbeatDue, m.tokenChangedAt = true, now
 		}
 	}
 }
--- a/modelcheck/digest.go
+++ b/modelcheck/digest.go
@@ -77,15 +77,15 @@
 		s.digestHeartbeat(out, h)
 	}
 	for _, p := range s.pushes {
-		fmt.Fprintf(out, "D%d,%d,%d", p.worker, p.batch.Token, s.workers[p.worker].epoch-p.batch.Session)
+		fmt.Fprintf(out, "D%d,%d,%d", p.worker, p.batch.Token, s.workers[p.worker].epoch-p.batch.AgentEpoch)
 		digestCommands(out, p.batch.Commands)
 	}
 }
 
 func (s *System) digestHeartbeat(out io.Writer, h *heartbeat) {
 	w := s.workers[h.worker]
-	fmt.Fprintf(out, "r%d,%d,%d,%d,%d,%t,%d", h.worker, s.step-h.sentAt, w.epoch-h.report.Session, w.seq-h.report.Seq, h.report.Token, h.received, h.token)
-	for _, t := range h.report.Tasks {
+	fmt.Fprintf(out, "r%d,%d,%d,%d,%d,%t,%d", h.worker, s.step-h.sentAt, w.epoch-h.message.AgentEpoch, w.seq-h.message.Seq, h.message.Token, h.received, h.token)
+	for _, t := range h.message.Tasks {
 		fmt.Fprintf(out, ";%s.%d%s%s", t.Task, t.Attempt, t.State, t.Why)
 	}
 	digestCommands(out, h.commands)
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -228,10 +228,10 @@
 	if !s.leaseValid() {
 		return // responds with 503
 	}
-	if h.report.Token > leader.FencingToken {
+	if h.message.Token > leader.FencingToken {
 		return // resigns
 	}
-	report := s.reportUnderMutation(h, leader.FencingToken)
+	report := s.heartbeatUnderMutation(h, leader.FencingToken)
 	machine := leader.ApplyHeartbeat(&report, s.now())
 	if machine == nil {
 		s.respondToRetry(h, &report, leader)
@@ -246,7 +246,7 @@
 
 // respondToRetry responds to a heartbeat that the leader has had already, if it is the
 // newest one.
-func (s *System) respondToRetry(h *heartbeat, report *wire.Report, leader *cluster.Model) {
+func (s *System) respondToRetry(h *heartbeat, report *wire.Heartbeat, leader *cluster.Model) {
 	commands, ok := leader.AnswerRetry(report, "")
 	if !ok {
 		return // refused
--- a/modelcheck/mutation.go
+++ b/modelcheck/mutation.go
@@ -91,9 +91,9 @@
 }
 
 // reportUnderMutation returns the status that the leader is given of a heartbeat.
-func (s *System) reportUnderMutation(h *heartbeat, fencingToken uint64) wire.Report {
+func (s *System) heartbeatUnderMutation(h *heartbeat, fencingToken uint64) wire.Heartbeat {
 	const ahead = 1000 // beyond any sequence number of a worker
-	report, duplicate := h.report, s.isDuplicate(h)
+	report, duplicate := h.message, s.isDuplicate(h)
 	if s.mutation == AcceptStaleHeartbeats || s.mutation == AcceptDuplicatesAsNewest && duplicate {
 		report.Seq += ahead * s.revision
 		s.revision++
@@ -124,7 +124,7 @@
 	case ForgetByPush:
 		s.forgetByPush(h)
 	case ForgetBeforeCommit:
-		for _, t := range h.report.Tasks {
+		for _, t := range h.message.Tasks {
 			if t.State == wire.TaskExited {
 				h.commands = append(h.commands, wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
 			}
@@ -143,7 +143,7 @@
 	if len(forgets) == 0 || len(s.pushes) >= maxPushes {
 		return
 	}
-	batch := wire.DirectCommands{Token: h.token, Session: h.report.Session, Commands: forgets}
+	batch := wire.DirectCommands{Token: h.token, AgentEpoch: h.message.AgentEpoch, Commands: forgets}
 	s.pushes = append(s.pushes, push{h.worker, batch, s.workers[h.worker].launchCount})
 }
 
--- a/modelcheck/network.go
+++ b/modelcheck/network.go
@@ -9,7 +9,7 @@
 // heartbeat is a worker's heartbeat and the response to it.
 type heartbeat struct {
 	worker   int // index
-	report   wire.Report
+	message  wire.Heartbeat
 	sentAt   int  // step
 	received bool // by a leader, which may have refused it
 	token    uint64
@@ -48,11 +48,11 @@
 func (s *System) sendHeartbeat(i int) *heartbeat {
 	w := s.workers[i]
 	w.seq++
-	h := &heartbeat{worker: i, sentAt: s.step, report: wire.Report{
-		Machine: w.name, Addr: w.name, Type: machineTypeName, Zone: w.zone, Session: w.epoch, Seq: w.seq, Token: w.token,
+	h := &heartbeat{worker: i, sentAt: s.step, message: wire.Heartbeat{
+		Machine: w.name, Addr: w.name, Type: machineTypeName, Zone: w.zone, AgentEpoch: w.epoch, Seq: w.seq, Token: w.token,
 	}}
 	for _, t := range w.tasks {
-		h.report.Tasks = append(h.report.Tasks, wire.TaskReport{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason})
+		h.message.Tasks = append(h.message.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason})
 	}
 	w.pending = h
 	if s.duplicateCount < s.scenario.MaxDuplicates {
@@ -68,7 +68,7 @@
 		w.pending = nil
 	}
 	responded := h.token != 0
-	if !responded || h.token < w.token || h.report.Session != w.epoch {
+	if !responded || h.token < w.token || h.message.AgentEpoch != w.epoch {
 		return
 	}
 	w.token, w.renewedAt = h.token, h.sentAt
@@ -138,14 +138,14 @@
 // worker.
 func (s *System) noteDuplicate(h *heartbeat) {
 	w := s.workers[h.worker]
-	if s.failovers == 0 || h.report.Token >= s.leader.FencingToken || w.reachedToken == s.fencingToken {
+	if s.failovers == 0 || h.message.Token >= s.leader.FencingToken || w.reachedToken == s.fencingToken {
 		return
 	}
 	s.Events = append(s.Events, EventDuplicateAtNextLeader)
-	if h.report.Session < w.epoch {
+	if h.message.AgentEpoch < w.epoch {
 		s.Events = append(s.Events, EventDuplicateOfEarlierEpoch)
 	}
-	for _, t := range h.report.Tasks {
+	for _, t := range h.message.Tasks {
 		if t.State != wire.TaskExited && !w.has(attemptKey{t.Task, t.Attempt}) {
 			s.Events = append(s.Events, EventDuplicateOfEarlierAttempt)
 		}
@@ -157,7 +157,7 @@
 	w := s.workers[p.worker]
 	w.seq++
 	switch {
-	case p.batch.Session != w.epoch:
+	case p.batch.AgentEpoch != w.epoch:
 		s.Events = append(s.Events, EventPushRefusedForEpoch)
 		return
 	case p.batch.Token < w.token:
--- a/modelcheck/system.go
+++ b/modelcheck/system.go
@@ -130,7 +130,7 @@
 	return &config.Settings{Cluster: config.Cluster{
 		Zones:   slices.Compact(slices.Sorted(slices.Values(scenario.Zones))),
 		Teams:   []config.Team{{Name: teamName, CPUs: scenario.TeamLimit, CPUsMax: scenario.TeamLimit}},
-		Workers: config.Workers{ReportS: 4, LeaseS: leaseSeconds, GangWaitS: 1000, GangPeerS: 6, CancelS: 2 * leaseSeconds},
+		Workers: config.Workers{HeartbeatS: 4, LeaseS: leaseSeconds, GangWaitS: 1000, GangPeerS: 6, CancelS: 2 * leaseSeconds},
 		Cloud:   config.CloudLimits{RPS: 4, ListLagS: 5},
 	}}
 }
--- a/routing/fleet_plan_test.go
+++ b/routing/fleet_plan_test.go
@@ -62,7 +62,7 @@
 		t.Skip("played without the race detector by .ci/run")
 	}
 	minutes := fleetMinutes()
-	o := fake.Options{Nodes: 7, Machines: fleetMachines, Capacity: fleetMachines + 100, Sockets: fleetSockets, ReportIntervalS: 4, LeaseS: 22, Seed: 3,
+	o := fake.Options{Nodes: 7, Machines: fleetMachines, Capacity: fleetMachines + 100, Sockets: fleetSockets, HeartbeatIntervalS: 4, LeaseS: 22, Seed: 3,
 		Teams: []config.Team{{Name: "core", CPUs: 400, CPUsMax: 5000}, {Name: "edge"}}}
 	scenario.Run(t, o, func(t *testing.T, w *fake.Cluster) {
 		rnd := rand.New(rand.NewPCG(3, 17))
@@ -90,7 +90,7 @@
 			j.Class, j.Team, j.Kind, j.Image, j.ImageGB, j.Tasks, j.CPUs, j.EstimateS = "chat", "core", wire.KindService, "llm:v1", 20, 10, 2, 0
 		})
 		scenario.MustSubmit(t, w, service)
-		w.DuplicateReports(50)
+		w.DuplicateHeartbeats(50)
 		end := time.Now().Add(time.Duration(minutes) * time.Minute)
 		for time.Now().Before(end) {
 			n := rnd.IntN(7)
@@ -134,7 +134,7 @@
 				}
 			}
 		}
-		w.DuplicateReports(0)
+		w.DuplicateHeartbeats(0)
 		for i := range 7 {
 			w.ResumeNode(i)
 			w.StartNode(i)
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -30,7 +30,7 @@
 	if o.Sockets == 0 {
 		o.Sockets = fleetSockets
 	}
-	o.ReportIntervalS, o.LeaseS = 4, 22
+	o.HeartbeatIntervalS, o.LeaseS = 4, 22
 	scenario.Run(t, o, func(t *testing.T, w *fake.Cluster) {
 		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = o.Machines, 8, 400 }))
 		scenario.Eventually(time.Minute, time.Second, func() bool { return w.Started() == o.Machines })
@@ -308,7 +308,7 @@
 	// A task on each machine leaves room for another.
 	scenario.MustSubmit(t, w, scenario.Job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = len(all), 5, 900 }))
 	scenario.Eventually(time.Minute, time.Second, func() bool { return w.Running() == len(all) })
-	w.DuplicateReports(20)
+	w.DuplicateHeartbeats(20)
 	for i := range n {
 		w.BlockRepliesTo(all[i*len(all)/n])
 	}
--- a/warmpool/accounting.go
+++ b/warmpool/accounting.go
@@ -36,7 +36,7 @@
 	SinceMs     int64       `msgpack:"s"`           // when it joined
 	HourlyRate  int64       `msgpack:"r"`           // millionths an hour, in the open span
 	Shares      []TeamShare `msgpack:"b,omitempty"` // in the open span
-	Session     uint64      `msgpack:"v,omitempty"` // of its worker when it was last seen with weights
+	AgentEpoch  uint64      `msgpack:"v,omitempty"` // of its worker when it was last seen with weights
 	WarmVersion int         `msgpack:"i,omitempty"` // number of the pool's image whose weights it has; 0: none
 	Leaving     bool        `msgpack:"l,omitempty"` // no more wanted: to be returned, unless it is used first
 	Cost        Charge      `msgpack:"c"`           // of its spans that are over
--- a/wire/encoding_test.go
+++ b/wire/encoding_test.go
@@ -18,10 +18,10 @@
 	golden.CheckEncoding[Job](f, "user: submission without a zone", msgpackCodec, func(j *Job) { j.Zone, j.DeadlineS, j.Types = "", nil, nil })
 	golden.CheckEncoding[JobStatus](f, "user: answer", msgpackCodec)
 	golden.CheckEncoding[Error](f, "error", msgpackCodec)
-	golden.CheckEncoding[Report](f, "worker: report", msgpackCodec)
-	golden.CheckEncoding[TaskReport](f, "worker: task in a report", msgpackCodec)
+	golden.CheckEncoding[Heartbeat](f, "worker: report", msgpackCodec)
+	golden.CheckEncoding[TaskStatus](f, "worker: task in a report", msgpackCodec)
 	golden.CheckEncoding[Command](f, "worker: command", msgpackCodec)
-	golden.CheckEncoding[ReportAnswer](f, "worker: answer", msgpackCodec)
+	golden.CheckEncoding[HeartbeatAnswer](f, "worker: answer", msgpackCodec)
 	golden.CheckEncoding[Redirect](f, "worker: redirection", msgpackCodec)
 	golden.CheckEncoding[DirectCommands](f, "worker: direct commands", msgpackCodec)
 	golden.CheckEncoding[Types](f, "cloud: machine types", msgpackCodec)
@@ -95,7 +95,7 @@
 		"kind array": KindArray, "kind gang": KindGang, "kind service": KindService,
 		"priority production": PriorityProduction, "priority high": PriorityHigh, "priority normal": PriorityNormal, "priority low": PriorityLow,
 		"job pending": JobPending, "job running": JobRunning, "job done": JobDone, "job cancelled": JobCancelled,
-		"path of jobs": PathJobs, "path of readiness": PathReady, "path of reports": PathReport, "path of commands": PathCommands, "path of inspection": PathInspect,
+		"path of jobs": PathJobs, "path of readiness": PathReady, "path of reports": PathHeartbeat, "path of commands": PathCommands, "path of inspection": PathInspect,
 		"task fetching": TaskFetching, "task waiting": TaskWaiting, "task running": TaskRunning, "task saving": TaskSaving, "task exited": TaskExited,
 		"exit done": ExitDone, "exit stopped": ExitStopped, "exit peers": ExitPeers, "exit alone": ExitAlone, "exit error": ExitError, "exit no room": ExitNoRoom,
 		"exit busy": ExitBusy, "exit unknown": ExitUnknown, "op start": OpStart, "op stop": OpStop, "op forget": OpForget,
--- a/wire/scan_test.go
+++ b/wire/scan_test.go
@@ -22,12 +22,12 @@
 		"a key without value": "\x81\xa5quart",
 		"nothing":             "",
 	} {
-		var r Report
+		var r Heartbeat
 		if err := Unmarshal([]byte(b), &r); !errors.Is(err, errIncomplete) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	var r Report
+	var r Heartbeat
 	if err := Unmarshal([]byte("\x83\xa5poste\xa1a\xa5other\xc4\x02ab\xa4more\xd6\x05abcd"), &r); err != nil || r.Machine != "a" {
 		t.Errorf("fields of kinds that nobody needs are to be passed over: %v, %q", err, r.Machine)
 	}
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -45,9 +45,9 @@
 
 // Paths of the controllers' interface, and of a worker's.
 const (
-	PathJobs     = "/v1/jobs"
-	PathReady    = "/ready"
-	PathReport   = "/checkin"
-	PathCommands = "/commands"
-	PathInspect  = "/inspect"
+	PathJobs      = "/v1/jobs"
+	PathReady     = "/ready"
+	PathHeartbeat = "/checkin"
+	PathCommands  = "/commands"
+	PathInspect   = "/inspect"
 )
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -24,21 +24,21 @@
 )
 
 // Report is a worker's heartbeat: what it is, and the status of its tasks.
-type Report struct {
-	Machine string       `msgpack:"poste"`
-	Addr    string       `msgpack:"addr"`
-	Type    string       `msgpack:"gamme"`
-	Zone    string       `msgpack:"halle"`
-	Spot    bool         `msgpack:"pretes"`
-	Session uint64       `msgpack:"quart"` // agent epoch
-	Seq     uint64       `msgpack:"numero"`
-	Token   uint64       `msgpack:"sceau"`    // the highest fencing token that it has seen
-	NoticeS *float64     `msgpack:"preavisS"` // after an interruption notice: seconds until the machine is gone
-	Tasks   []TaskReport `msgpack:"pieces"`
+type Heartbeat struct {
+	Machine    string       `msgpack:"poste"`
+	Addr       string       `msgpack:"addr"`
+	Type       string       `msgpack:"gamme"`
+	Zone       string       `msgpack:"halle"`
+	Spot       bool         `msgpack:"pretes"`
+	AgentEpoch uint64       `msgpack:"quart"` // agent epoch
+	Seq        uint64       `msgpack:"numero"`
+	Token      uint64       `msgpack:"sceau"`    // the highest fencing token that it has seen
+	NoticeS    *float64     `msgpack:"preavisS"` // after an interruption notice: seconds until the machine is gone
+	Tasks      []TaskStatus `msgpack:"pieces"`
 }
 
 // TaskReport is the status of one task on a machine.
-type TaskReport struct {
+type TaskStatus struct {
 	Task    string `msgpack:"piece"`
 	Attempt uint64 `msgpack:"essai"`
 	State   string `msgpack:"etat"`
@@ -62,7 +62,7 @@
 }
 
 // ReportAnswer answers a heartbeat with 200.
-type ReportAnswer struct {
+type HeartbeatAnswer struct {
 	Token    uint64    `msgpack:"sceau"`
 	Commands []Command `msgpack:"consignes"`
 }
@@ -74,7 +74,7 @@
 
 // DirectCommands is sent to a worker's own address.
 type DirectCommands struct {
-	Token    uint64    `msgpack:"sceau"`
-	Session  uint64    `msgpack:"quart"`
-	Commands []Command `msgpack:"consignes"`
+	Token      uint64    `msgpack:"sceau"`
+	AgentEpoch uint64    `msgpack:"quart"`
+	Commands   []Command `msgpack:"consignes"`
 }
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -34,17 +34,17 @@
 // Command sends commands to a worker's address. It returns the worker's heartbeat, and
 // whether the commands were executed: the worker refuses those with an old fencing token
 // or for another session.
-func (c *Client) Command(ctx context.Context, addr string, commands wire.DirectCommands) (wire.Report, bool, error) {
+func (c *Client) Command(ctx context.Context, addr string, commands wire.DirectCommands) (wire.Heartbeat, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	status, body, err := call.Do(ctx, c.httpClient, http.MethodPost, "http://"+addr+wire.PathCommands, commands, maxResponseBytes)
 	if err != nil {
-		return wire.Report{}, false, fmt.Errorf("command worker %s: %w", addr, err)
+		return wire.Heartbeat{}, false, fmt.Errorf("command worker %s: %w", addr, err)
 	}
 	if status != http.StatusOK && status != http.StatusConflict {
-		return wire.Report{}, false, fmt.Errorf("command worker %s: status %d", addr, status)
+		return wire.Heartbeat{}, false, fmt.Errorf("command worker %s: status %d", addr, status)
 	}
-	var heartbeat wire.Report
+	var heartbeat wire.Heartbeat
 	if err := wire.Unmarshal(body, &heartbeat); err != nil {
 		return heartbeat, false, fmt.Errorf("command worker %s: decode the response: %w", addr, err)
 	}
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -14,7 +14,7 @@
 // it has executed them.
 func TestDirectCommandsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "requests.golden")
-	report := golden.Filled[wire.Report]()
+	report := golden.Filled[wire.Heartbeat]()
 	answer, err := wire.Marshal(report)
 	if err != nil {
 		t.Fatal(err)
--- a/yarn/failures_test.go
+++ b/yarn/failures_test.go
@@ -70,7 +70,7 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			runScenario(t, fake.Options{Machines: 4, ReportIntervalS: 5, LeaseS: 27}, func(t *testing.T, w *fake.Cluster, user *testClient) {
+			runScenario(t, fake.Options{Machines: 4, HeartbeatIntervalS: 5, LeaseS: 27}, func(t *testing.T, w *fake.Cluster, user *testClient) {
 				id, m := user.startApplication()
 				defer m.Close()
 				m.Request(smallContainer(1), 5)
