--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// BenchmarkReports measures one heartbeat of each machine of a large full cluster: applying
+// BenchmarkHeartbeats measures one heartbeat of each machine of a large full cluster: applying
 // and answering it.
 func BenchmarkHeartbeats(b *testing.B) {
 	for _, name := range []string{"none", "all"} {
--- a/cluster/decisions_fleet_test.go
+++ b/cluster/decisions_fleet_test.go
@@ -105,7 +105,7 @@
 
 // Workers.
 
-// report sends a heartbeat of a worker and executes the answer.
+// heartbeat sends a heartbeat of a worker and executes the answer.
 func (d *driver) heartbeat(w *simWorker) {
 	now := d.seconds()
 	if w.gone || now < w.boots {
@@ -143,7 +143,7 @@
 	stale := w.last
 	w.last = r
 	if d.chance(3) {
-		return // the report is lost
+		return // the heartbeat is lost
 	}
 	cmds, ok := d.handle(w, r)
 	if stale != nil && d.chance(3) {
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -106,18 +106,18 @@
 type simWorker struct {
 	name, zone, typ string
 	spot            bool
-	boots           float64 // it reports from then on
+	boots           float64 // it sends heartbeats from then on
 	epoch, seq      uint64
 	token           uint64
-	renewed         float64 // when its last answered report was sent
+	renewed         float64 // when its last answered heartbeat was sent
 	dead            bool
 	gone            bool
 	deafTo          float64 // it hears no answers until then
-	backAt          float64 // a dead worker begins another session then; 0: never
+	backAt          float64 // a dead worker begins another epoch then; 0: never
 	notice          float64 // when the cloud takes it, 0: never
 	images          map[string]bool
 	tasks           []*simTask
-	last            *wire.Heartbeat // its last report
+	last            *wire.Heartbeat // its last heartbeat
 }
 
 type simTask struct {
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -14,8 +14,8 @@
 type DigestBase interface {
 	// Version returns the version of a key in the key-value store; 0 if there is none.
 	Version(key string) uint64
-	// LastMessage returns the worker's current session and its last sequence number.
-	LastMessage(machine string) (session, seq uint64)
+	// LastMessage returns the worker's current epoch and its last sequence number.
+	LastMessage(machine string) (epoch, seq uint64)
 }
 
 // maxDigestAge is the age, in seconds, from which on the exact value has no effect: leases, and
@@ -63,11 +63,11 @@
 }
 
 // behind is the distance of a heartbeat of a machine from the worker's last one: in sequence
-// numbers within its current session, and in sessions otherwise.
-func (d *digestWriter) behind(machine string, session, seq uint64) string {
-	lastSession, lastSeq := d.base.LastMessage(machine)
-	if session != lastSession {
-		return fmt.Sprintf("s%d", int64(lastSession-session))
+// numbers within its current epoch, and in epochs otherwise.
+func (d *digestWriter) behind(machine string, epoch, seq uint64) string {
+	lastEpoch, lastSeq := d.base.LastMessage(machine)
+	if epoch != lastEpoch {
+		return fmt.Sprintf("s%d", int64(lastEpoch-epoch))
 	}
 	return fmt.Sprintf("q%d", int64(lastSeq-seq))
 }
--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -23,7 +23,7 @@
 	}
 	m.updateReachability(mc, r, now)
 	if !mc.alive {
-		m.log.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "session", r.AgentEpoch)
+		m.log.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "epoch", r.AgentEpoch)
 	}
 	mc.recordHeartbeat(r, m.FencingToken, now)
 	m.describe(mc, r.Type, r.Zone, r.Spot)
@@ -35,8 +35,8 @@
 }
 
 // IsNewerHeartbeat reports whether ApplyHeartbeat would apply a heartbeat with this
-// session and sequence number.
-func (m *Model) IsNewerHeartbeat(machine string, session, seq uint64) bool {
+// epoch and sequence number.
+func (m *Model) IsNewerHeartbeat(machine string, epoch, seq uint64) bool {
 	mc := m.machineNamed(machine)
-	return mc == nil || !mc.Gone && mc.isNewer(session, seq)
+	return mc == nil || !mc.Gone && mc.isNewer(epoch, seq)
 }
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -37,7 +37,7 @@
 }
 
 // AnswerRetry answers a heartbeat that ApplyHeartbeat has not applied. ok is true only if
-// it has the session and sequence number of the last heartbeat applied, that is, if both
+// it has the epoch and sequence number of the last heartbeat applied, that is, if both
 // are copies of one message, and the machine is up. The worker may be waiting for the
 // answer to either copy; if this one were refused because the other was faster, it would
 // try the next node and lose about a second of its lease. The caller must hold a valid
--- a/cluster/model_test.go
+++ b/cluster/model_test.go
@@ -94,7 +94,7 @@
 	if l, _, _ := ops(answer(t, m, rep(3, 5), at(3))); l != 1 {
 		t.Fatal("not launched after the commit")
 	}
-	// The answer was lost: the next report proves that it was not executed.
+	// The answer was lost: the next heartbeat proves that it was not executed.
 	if l, _, _ := ops(answer(t, m, rep(4, 5), at(4.5))); l != 1 {
 		t.Fatal("a lost launch was not repeated")
 	}
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -60,18 +60,18 @@
 type unreachableSign string
 
 const (
-	signTokenMissing    unreachableSign = "token"   // the fencing token of the answer is not shown
-	signNewEpoch        unreachableSign = "session" // a new session although the lease was renewed
-	signLaunchMissing   unreachableSign = "launch"  // a task whose launch was in the answer is not listed
-	signExitListedAgain unreachableSign = "forget"  // an exit that the answer told the worker to forget is listed
-	signOtherNode       unreachableSign = "node"    // the worker has changed to another node
+	signTokenMissing    unreachableSign = "token"  // the fencing token of the answer is not shown
+	signNewEpoch        unreachableSign = "epoch"  // a new epoch although the lease was renewed
+	signLaunchMissing   unreachableSign = "launch" // a task whose launch was in the answer is not listed
+	signExitListedAgain unreachableSign = "forget" // an exit that the answer told the worker to forget is listed
+	signOtherNode       unreachableSign = "node"   // the worker has changed to another node
 )
 
 // markUnreachable records that a machine has missed an answer. Until its heartbeats prove
 // otherwise, no task is placed or launched there.
 func (m *Model) markUnreachable(mc *Machine, sign unreachableSign, now time.Time) {
 	if !mc.unreachable() {
-		m.log.Info("machine receives no answers", "machine", mc.Name, "session", mc.AgentEpoch, "sign", sign)
+		m.log.Info("machine receives no answers", "machine", mc.Name, "epoch", mc.AgentEpoch, "sign", sign)
 		mc.reachability.unreachableSince = now
 	}
 	mc.reachability.heardSince = time.Time{}
@@ -121,7 +121,7 @@
 		m.markReachable(mc, now)
 	}
 	if r.AgentEpoch != mc.AgentEpoch {
-		// A new session although an answer was sent: its lease expired all the same.
+		// A new epoch although an answer was sent: its lease expired all the same.
 		if expected.answered && now.Sub(mc.lastAnswered) < config.Seconds(m.settings.Cluster.Workers.LeaseS/2) {
 			m.markUnreachable(mc, signNewEpoch, now)
 			m.releaseReservedPlacements(mc, now)
@@ -145,7 +145,7 @@
 	}
 }
 
-// checkExpectedEffects derives from a heartbeat of the same session whether the last answer
+// checkExpectedEffects derives from a heartbeat of the same epoch whether the last answer
 // was received: the exit of its probe is listed, and the exits that it forgot are not.
 func (m *Model) checkExpectedEffects(mc *Machine, r *wire.Heartbeat, expected expectedEffects, now time.Time) {
 	listed := make(map[exitKey]bool, len(expected.forgets))
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -76,7 +76,7 @@
 	p := j.Tasks[ref.Task].Placement
 	switch {
 	case p.Inherited && p.Stop == nil && j.reservation != nil && r.AgentEpoch == 1:
-		// In its first session the worker's lease has never expired, and a worker
+		// In its first epoch the worker's lease has never expired, and a worker
 		// lists every task it ever received until told to forget it. So the launch
 		// never reached it.
 		p.launchLost()
--- a/cluster/starvation_scenario_test.go
+++ b/cluster/starvation_scenario_test.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// report sends a machine's heartbeat and carries out the commands in the answer.
+// heartbeat sends a machine's heartbeat and carries out the commands in the answer.
 func (s *simulatedCluster) heartbeat(h *simulatedMachine, now float64) {
 	h.heartbeat.Seq++
 	h.heartbeat.Token = s.m.FencingToken
--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -21,7 +21,7 @@
 
 // cancellationGap describes one interaction of these faults.
 type cancellationGap struct {
-	report, lease float64 // report interval and lease of the workers in seconds; cancel_s is 20 s above the lease
+	report, lease float64 // heartbeat interval and lease of the workers in seconds; cancel_s is 20 s above the lease
 
 	refuse time.Duration // when the store begins to refuse the leader, relative to the cancellations
 	again  time.Duration // if set, the store accepts the leader for 300 ms this long after the refusal began, then refuses it again
@@ -284,7 +284,7 @@
 
 const ms = time.Millisecond
 
-// deployments are the report intervals and leases of the users' sites.
+// deployments are the heartbeat intervals and leases of the users' sites.
 var deployments = []struct{ report, lease float64 }{{1.5, 12}, {4, 22}, {5, 27}}
 
 // The moments at which the faults' order matters, one case each. Cancelled tasks must be gone
@@ -422,7 +422,7 @@
 					beyond: config.Seconds(out - w.CancelS)}.run(t, 1)
 				t.Logf("%d of %d tasks that nobody cancelled ended", ended, gapOthers)
 				// At worst the last renewal came a fifth of the leader's lease before the refusal,
-				// and the last heartbeat that the leader answered one longest report interval
+				// and the last heartbeat that the leader answered one longest heartbeat interval
 				// before it became unsure of its lease; after the outage a worker finds the new
 				// leader within 3 s.
 				if survive := 0.8*w.LeaderLeaseS() + w.LeaseS - 1.25*w.HeartbeatS - 3; before+out < survive && ended > 0 {
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -16,7 +16,7 @@
 // a worker should send them; heartbeat_response.go makes the leader's answers.
 
 // heartbeatHeader holds the fields of a heartbeat that every node needs: the sender, its
-// session and the sequence number within it. The tags are the protocol's field names.
+// epoch and the sequence number within it. The tags are the protocol's field names.
 // Only the leader decodes the rest.
 type heartbeatHeader struct {
 	Machine    string `msgpack:"poste"`
--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -118,11 +118,11 @@
 func TestGoNamesAreRecognized(t *testing.T) {
 	s := readSources(t)
 	for name, exists := range map[string]bool{
-		"config.Load":          true,
-		"config.Loads":         false,
-		"wire.Report.Session":  true,
-		"wire.Report.Sessions": false,
-		"wires.Report.Session": false,
+		"config.Load":         true,
+		"config.Loads":        false,
+		"wire.Heartbeat.Seq":  true,
+		"wire.Heartbeat.Seqs": false,
+		"wires.Heartbeat.Seq": false,
 	} {
 		if s.names[name] != exists {
 			t.Errorf("%s: exists %v, want %v", name, s.names[name], exists)
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -45,9 +45,9 @@
 	fetchingMachines map[string]bool    // machines that fetch images
 
 	// Faults in messages of workers.
-	duplicateOneIn     int // one in so many reports is copied; 0: none
+	duplicateOneIn     int // one in so many heartbeats is copied; 0: none
 	duplicatesInFlight int
-	capturedHeartbeats map[string][]byte // a report of each machine, for scenarios of late ones
+	capturedHeartbeats map[string][]byte // a heartbeat of each machine, for scenarios of late ones
 	failoverCopies     failoverCopies
 	commandDelay       commandDelay
 	completionCancel   completionCancel
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -32,7 +32,7 @@
 	Held         int // batches on their way or arrived
 	Executed     int // batches that were carried out
 	RefusedToken int // batches refused because the worker had seen a higher token
-	RefusedEpoch int // batches refused because the worker's session had ended
+	RefusedEpoch int // batches refused because the worker's epoch had ended
 
 	FormerLeader int // executed although the leader that sent them led no more
 	Overtaken    int // arrived after a command that was sent to the same machine later
@@ -42,7 +42,7 @@
 }
 
 // DelayDirectCommands holds up a share of the direct commands: they get no answer and are
-// carried out once, 2 s to 16 s later, if token and session still match. 0 ends that for
+// carried out once, 2 s to 16 s later, if token and epoch still match. 0 ends that for
 // commands that are sent from now on.
 func (w *Cluster) DelayDirectCommands(share float64, seed uint64) {
 	w.mu.Lock()
--- a/internal/fake/duplicate_reports.go
+++ b/internal/fake/duplicate_heartbeats.go
@@ -7,12 +7,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file copies reports of workers and holds them back.
+// This file copies heartbeats of workers and holds them back.
 
-// maxDuplicates bounds the copies of reports on their way.
+// maxDuplicates bounds the copies of heartbeats on their way.
 const maxDuplicates = 100
 
-// DuplicateReports makes the network copy one in so many reports, to arrive at any
+// DuplicateHeartbeats makes the network copy one in so many heartbeats, to arrive at any
 // node 1 s to 5 leases later, whatever becomes of the machine; 0 ends that.
 func (w *Cluster) DuplicateHeartbeats(oneIn int) {
 	w.mu.Lock()
@@ -38,7 +38,7 @@
 	})
 }
 
-// CaptureReport remembers a worker's report of this moment; ReplayReport sends it
+// CaptureHeartbeat remembers a worker's heartbeat of this moment; ReplayHeartbeat sends it
 // to a node as if a cut had held it back.
 func (w *Cluster) CaptureHeartbeat(name string) {
 	m := w.Cloud.machine(name)
@@ -47,7 +47,7 @@
 	w.capturedHeartbeats[name], _ = wire.Marshal(m.heartbeat())
 }
 
-// ReplayReport sends what CaptureReport kept.
+// ReplayHeartbeat sends what CaptureHeartbeat kept.
 func (w *Cluster) ReplayHeartbeat(name string, node int) (status int) {
 	w.mu.Lock()
 	var r wire.Heartbeat
--- a/internal/fake/report_copies.go
+++ b/internal/fake/heartbeat_copies.go
@@ -11,42 +11,42 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file keeps copies of workers' reports for the next leader: whatever they tell
+// This file keeps copies of workers' heartbeats for the next leader: whatever they tell
 // is as old as they are, and it is the first that a leader which has just begun hears
 // of their machines.
 
-// copiesPerMachine bounds the copies that are kept of a machine's reports.
+// copiesPerMachine bounds the copies that are kept of a machine's heartbeats.
 const copiesPerMachine = 3
 
 // failoverCopies is what is kept. The cluster's lock guards it.
 type failoverCopies struct {
-	oneIn         int // one in so many reports is kept; 0: none
+	oneIn         int // one in so many heartbeats is kept; 0: none
 	watching      bool
 	copies        map[string][]wire.Heartbeat // by machine
 	answeredFirst map[answeredHeartbeat]bool  // copies that were the first that a leader heard
 	stats         CopyStats
 
-	overtakeOneIn int // one in so many reports is overtaken by its copies
+	overtakeOneIn int // one in so many heartbeats is overtaken by its copies
 	overtaken     OvertakenHeartbeats
 }
 
-// answeredReport is a report and the token of a leader that has answered it.
+// answeredHeartbeat is a heartbeat and the token of a leader that has answered it.
 type answeredHeartbeat struct {
 	machine           string
 	epoch, seq, token uint64
 }
 
 // CopyStats counts what has become of copies so far. One that is answered 200 was the newest
-// that its leader had heard of the machine, and its worker's own report was not
+// that its leader had heard of the machine, and its worker's own heartbeat was not
 // answered by that leader before.
 type CopyStats struct {
 	First          int // answered by a leader that began after the copy was made, the first time
-	EarlierEpoch   int // of these, of a session that has ended since
+	EarlierEpoch   int // of these, of an epoch that has ended since
 	EarlierAttempt int // and of these, with an attempt that is not on the machine any more
-	Older          int // came after newer reports, and were not answered 200
+	Older          int // came after newer heartbeats, and were not answered 200
 }
 
-// DelayCopiesUntilFailover keeps a copy of one in so many reports, to be delivered to all nodes
+// DelayCopiesUntilFailover keeps a copy of one in so many heartbeats, to be delivered to all nodes
 // when a leader's key is committed, as it begins, and again a moment later; 0 ends
 // the keeping, and what is kept goes to the next leaders all the same.
 func (w *Cluster) DelayCopiesUntilFailover(oneIn int) {
@@ -78,7 +78,7 @@
 	}
 }
 
-// keepForFailover keeps a report's copy if it is its turn; the lock is held.
+// keepForFailover keeps a heartbeat's copy if it is its turn; the lock is held.
 func (w *Cluster) keepForFailover(r wire.Heartbeat) {
 	if w.failoverCopies.oneIn == 0 || w.pick(w.failoverCopies.oneIn) > 0 {
 		return
@@ -154,34 +154,34 @@
 	return w.failoverCopies.stats
 }
 
-// OvertakenReports is what became of reports that their own copies have overtaken.
+// OvertakenHeartbeats is what became of heartbeats that their own copies have overtaken.
 type OvertakenHeartbeats struct {
-	Ahead   int // a leader answered the copy 200, and the report was sent and answered after that
-	Next    int // of these, the report does not show this leader's token: it has begun since
-	Kept    int // of all, the report itself was answered 200 by the node that it came to
+	Ahead   int // a leader answered the copy 200, and the heartbeat was sent and answered after that
+	Next    int // of these, the heartbeat does not show this leader's token: it has begun since
+	Kept    int // of all, the heartbeat itself was answered 200 by the node that it came to
 	Refused int // or got a 503; others were sent to the node where their worker belongs
 }
 
-// overtakeTimeout is how long a report waits for its copies to be answered; nodes keep
-// reports for 2.5 s while nobody leads, and the worker gives its own up after 4 s.
+// overtakeTimeout is how long a heartbeat waits for its copies to be answered; nodes keep
+// heartbeats for 2.5 s while nobody leads, and the worker gives its own up after 4 s.
 const overtakeTimeout = 3 * time.Second
 
-// OvertakeReports has one in so many reports overtaken by its own copies: every node has
-// one, and a leader has answered it, before the report itself is sent; 0 ends that.
+// DeliverCopiesFirst has one in so many heartbeats overtaken by its own copies: every node has
+// one, and a leader has answered it, before the heartbeat itself is sent; 0 ends that.
 func (w *Cluster) DeliverCopiesFirst(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failoverCopies.overtakeOneIn = oneIn
 }
 
-// OvertakenReports is what has become of such reports.
+// OvertakenHeartbeats is what has become of such heartbeats.
 func (w *Cluster) OvertakenHeartbeats() OvertakenHeartbeats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.failoverCopies.overtaken
 }
 
-// sendCopiesAhead sends a report's copies ahead of it, and returns the token by which one of
+// sendCopiesAhead sends a heartbeat's copies ahead of it, and returns the token by which one of
 // them was answered 200, or 0.
 func (w *Cluster) sendCopiesAhead(r wire.Heartbeat) uint64 {
 	tokens := make(chan uint64, len(w.nodes))
@@ -209,7 +209,7 @@
 	return 0
 }
 
-// countOvertaken counts how a report was answered that its copies have overtaken; token is
+// countOvertaken counts how a heartbeat was answered that its copies have overtaken; token is
 // that by which a copy was answered. The lock is held.
 func (w *Cluster) countOvertaken(r wire.Heartbeat, token uint64, status int) {
 	if token == 0 {
--- a/internal/fake/reports.go
+++ b/internal/fake/heartbeats.go
@@ -9,18 +9,18 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file sends workers' reports and receives the answers to them.
+// This file sends workers' heartbeats and receives the answers to them.
 
 const (
-	// replyTimeout is how long after its report a worker accepts the answer.
+	// replyTimeout is how long after its heartbeat a worker accepts the answer.
 	replyTimeout = 4 * time.Second
 	// maxReply is the most that is read of an answer, in bytes.
 	maxReply = 1 << 20
-	// minReportInterval is the least between two reports, also where something has changed.
+	// minHeartbeatInterval is the least between two heartbeats, also where something has changed.
 	minHeartbeatInterval = 500 * time.Millisecond
 )
 
-// report is the worker's message; the cluster's lock is held.
+// heartbeat is the worker's message; the cluster's lock is held.
 func (m *machine) heartbeat() wire.Heartbeat {
 	m.lastSeq++
 	r := wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
@@ -32,7 +32,7 @@
 	return r
 }
 
-// sendReports sends a report at each interval, and sooner where something has changed, until
+// sendHeartbeats sends a heartbeat at each interval, and sooner where something has changed, until
 // the machine ends.
 func (m *machine) sendHeartbeats() {
 	last := time.Time{}
@@ -55,7 +55,7 @@
 	}
 }
 
-// send makes one report; false says that another node is to be tried.
+// send makes one heartbeat; false says that another node is to be tried.
 func (m *machine) send(at time.Time) bool {
 	r, node, overtaken := m.nextHeartbeat()
 	copied := uint64(0)
@@ -87,7 +87,7 @@
 	return true
 }
 
-// nextReport composes a report, chooses the node that it is sent to, and draws whether
+// nextHeartbeat composes a heartbeat, chooses the node that it is sent to, and draws whether
 // copies of it go ahead.
 func (m *machine) nextHeartbeat() (r wire.Heartbeat, to *node, overtaken bool) {
 	m.cluster.mu.Lock()
@@ -128,8 +128,8 @@
 	return false
 }
 
-// takeAnswer renews the lease and carries out what a node has answered to a report, unless
-// the answer is late, or of a former leader or session; the cluster's lock is held.
+// takeAnswer renews the lease and carries out what a node has answered to a heartbeat, unless
+// the answer is late, or of a former leader or epoch; the cluster's lock is held.
 func (m *machine) takeAnswer(r wire.Heartbeat, from *node, body []byte, sent time.Time) {
 	var a wire.HeartbeatAnswer
 	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || r.AgentEpoch != m.epoch || m.hung || time.Since(sent) >= replyTimeout {
@@ -146,7 +146,7 @@
 }
 
 // noteToken records a fencing token that the worker has seen. A new leader is to learn soon
-// that it has, so that a report is due.
+// that it has, so that a heartbeat is due.
 func (m *machine) noteToken(token uint64, now time.Time) {
 	if token > m.token {
 		m.token = token
--- a/internal/fake/liveness_test.go
+++ b/internal/fake/liveness_test.go
@@ -62,8 +62,8 @@
 
 func TestDelayedCommandIsExecutedOnceIfTokenAndEpochMatch(t *testing.T) {
 	for _, c := range []struct {
-		token, session uint64
-		want           DelayedCommands
+		token, epoch uint64
+		want         DelayedCommands
 	}{
 		{5, 1, DelayedCommands{Held: 1, Executed: 1, FormerLeader: 1}},
 		{4, 1, DelayedCommands{Held: 1, RefusedToken: 1}},
@@ -73,7 +73,7 @@
 			w.mu.Lock()
 			m.token, m.epoch, m.leaseRenewedAt = 5, 1, time.Now()
 			m.execute([]wire.Command{{Op: wire.OpStart, Task: "wk-000001/0", Attempt: 1}}, time.Now())
-			body, err := wire.Marshal(wire.DirectCommands{Token: c.token, AgentEpoch: c.session,
+			body, err := wire.Marshal(wire.DirectCommands{Token: c.token, AgentEpoch: c.epoch,
 				Commands: []wire.Command{{Op: wire.OpStop, Task: "wk-000001/0", Attempt: 1}}})
 			if err != nil {
 				t.Fatal(err)
@@ -98,10 +98,10 @@
 				w.mu.Unlock()
 			}
 			if met := w.DelayedCommands(); met != c.want {
-				t.Errorf("token %d, session %d: %+v, want %+v", c.token, c.session, met, c.want)
+				t.Errorf("token %d, epoch %d: %+v, want %+v", c.token, c.epoch, met, c.want)
 			}
 			if n, want := w.Running(), 1-c.want.Executed; n != want {
-				t.Errorf("token %d, session %d: %d tasks run, want %d", c.token, c.session, n, want)
+				t.Errorf("token %d, epoch %d: %d tasks run, want %d", c.token, c.epoch, n, want)
 			}
 		})
 	}
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -64,15 +64,15 @@
 	cache       cache
 
 	epoch              uint64 // changes when a lease expires
-	lastSeq            uint64 // of its reports
+	lastSeq            uint64 // of its heartbeats
 	token              uint64 // the highest fencing token that it has seen
 	tokenChangedAt     time.Time
 	leaseRenewedAt     time.Time
-	heartbeatsTo       int  // the index of the node that its next report is sent to
-	heartbeatDue       bool // something has changed since its last report
+	heartbeatsTo       int  // the index of the node that its next heartbeat is sent to
+	heartbeatDue       bool // something has changed since its last heartbeat
 	interruptionNotice *float64
-	lateReplies        int               // answers accepted more than a second after their reports
-	lastAnswered       answeredHeartbeat // the last report of its own that was answered 200, and by whom
+	lateReplies        int               // answers accepted more than a second after their heartbeats
+	lastAnswered       answeredHeartbeat // the last heartbeat of its own that was answered 200, and by whom
 
 	holdCommands        bool // direct commands are held back
 	heldCommands        []wire.DirectCommands
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -21,7 +21,7 @@
 	addr string // where it serves users and workers
 	cfg  *config.Settings
 
-	// Guarded by the cluster's lock: copies of reports are sent by goroutines of their own.
+	// Guarded by the cluster's lock: copies of heartbeats are sent by goroutines of their own.
 	stop        context.CancelFunc // nil while no process runs
 	done        chan struct{}      // closed once the process has ended
 	killed      *atomic.Bool       // its process was ended on purpose
--- a/internal/fake/observations.go
+++ b/internal/fake/observations.go
@@ -6,7 +6,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file reads what has become of tasks, machines and reports, for scenarios.
+// This file reads what has become of tasks, machines and heartbeats, for scenarios.
 
 // FinishedTasks is how many tasks of a job have really completed.
 func (w *Cluster) FinishedTasks(id string) int {
@@ -96,10 +96,10 @@
 	return n
 }
 
-// nodeAndMachine is a node and a machine that reports to it.
+// nodeAndMachine is a node and a machine that sends it heartbeats.
 type nodeAndMachine struct{ node, machine string }
 
-// ReportsAnswered is how many machines a node has answered since then, and how many of them
+// HeartbeatsAnswered is how many machines a node has answered since then, and how many of them
 // have taken a 200 of it: reports that were sent since.
 func (w *Cluster) HeartbeatsAnswered(i int, since time.Time) (answered, kept int) {
 	w.mu.Lock()
@@ -135,7 +135,7 @@
 }
 
 // LateReplies is how many answers a machine has taken more than a second after it
-// sent its report.
+// sent its heartbeat.
 func (w *Cluster) LateReplies(name string) int {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
--- a/internal/fake/options.go
+++ b/internal/fake/options.go
@@ -21,10 +21,10 @@
 	Log                *slog.Logger       // of the nodes; nil discards it
 	ExternalNodes      bool               // the controllers are real processes: none is started
 	Metrics            bool               // each node serves its metrics at port 9464
-	NoWakeUps          bool               // launches wait for workers' reports
+	NoWakeUps          bool               // launches wait for workers' heartbeats
 	YARN               string             // settings of the YARN frontend, without its address; empty: none
 	Sockets            int                // of each node; 0 means 800, unenforced
-	HeartbeatIntervalS float64            // seconds between reports; 0 means 1.5
+	HeartbeatIntervalS float64            // seconds between heartbeats; 0 means 1.5
 	LeaseS             float64            // seconds of a worker's lease; 0 means 12
 	OlderSchema        []int              // nodes that read records of the schema version before; see UpgradeSchema
 	StateRPS           float64            // the key-value store's limit of requests a second; 0 means 200, unenforced
--- a/internal/fake/partitions.go
+++ b/internal/fake/partitions.go
@@ -83,7 +83,7 @@
 	}
 }
 
-// BlockRepliesTo lets a machine's reports arrive while nothing reaches it from the nodes.
+// BlockRepliesTo lets a machine's heartbeats arrive while nothing reaches it from the nodes.
 func (w *Cluster) BlockRepliesTo(name string) {
 	for _, n := range w.nodes {
 		w.Network.BlockOneWay(n.name, name)
--- a/modelcheck/digest.go
+++ b/modelcheck/digest.go
@@ -15,7 +15,7 @@
 func (s *System) Version(key string) uint64 { return s.store[key].version }
 
 // LastMessage implements cluster.DigestBase.
-func (s *System) LastMessage(machine string) (session, seq uint64) {
+func (s *System) LastMessage(machine string) (epoch, seq uint64) {
 	for _, w := range s.workers {
 		if w.name == machine {
 			return w.epoch, w.seq
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -231,13 +231,13 @@
 	if h.message.Token > leader.FencingToken {
 		return // resigns
 	}
-	report := s.heartbeatUnderMutation(h, leader.FencingToken)
-	machine := leader.ApplyHeartbeat(&report, s.now())
+	message := s.heartbeatUnderMutation(h, leader.FencingToken)
+	machine := leader.ApplyHeartbeat(&message, s.now())
 	if machine == nil {
-		s.respondToRetry(h, &report, leader)
+		s.respondToRetry(h, &message, leader)
 		return
 	}
-	s.respond(h, leader.AnswerHeartbeat(machine, &report, s.now()), leader)
+	s.respond(h, leader.AnswerHeartbeat(machine, &message, s.now()), leader)
 	if s.mutation == TreatResponsesAsUnreceived && len(machine.Tasks) > 0 {
 		machine.DiscountAnswers()
 	}
@@ -246,8 +246,8 @@
 
 // respondToRetry responds to a heartbeat that the leader has had already, if it is the
 // newest one.
-func (s *System) respondToRetry(h *heartbeat, report *wire.Heartbeat, leader *cluster.Model) {
-	commands, ok := leader.AnswerRetry(report, "")
+func (s *System) respondToRetry(h *heartbeat, message *wire.Heartbeat, leader *cluster.Model) {
+	commands, ok := leader.AnswerRetry(message, "")
 	if !ok {
 		return // refused
 	}
@@ -256,7 +256,7 @@
 		return
 	}
 	s.Events = append(s.Events, EventRetryAfterDuplicate)
-	if report.Token < leader.FencingToken {
+	if message.Token < leader.FencingToken {
 		s.Events = append(s.Events, EventRetryAtNextLeader)
 	}
 }
--- a/modelcheck/mutation.go
+++ b/modelcheck/mutation.go
@@ -93,15 +93,15 @@
 // reportUnderMutation returns the status that the leader is given of a heartbeat.
 func (s *System) heartbeatUnderMutation(h *heartbeat, fencingToken uint64) wire.Heartbeat {
 	const ahead = 1000 // beyond any sequence number of a worker
-	report, duplicate := h.message, s.isDuplicate(h)
+	message, duplicate := h.message, s.isDuplicate(h)
 	if s.mutation == AcceptStaleHeartbeats || s.mutation == AcceptDuplicatesAsNewest && duplicate {
-		report.Seq += ahead * s.revision
+		message.Seq += ahead * s.revision
 		s.revision++
 	}
 	if s.mutation == AssumeTokenShown || s.mutation == AcceptDuplicateAsTokenShown && duplicate {
-		report.Token = fencingToken
+		message.Token = fencingToken
 	}
-	return report
+	return message
 }
 
 // mutatePush makes a wake-up launch its task.
--- a/routing/fleet_plan_test.go
+++ b/routing/fleet_plan_test.go
@@ -54,7 +54,7 @@
 
 // Seven nodes and hundreds of machines: leaders are killed, stand still or keep only
 // their workers, the state service is out, a hundred machines are mute, others die,
-// reports are copied, and the plan changes all the while. No rule breaks; then
+// heartbeats are copied, and the plan changes all the while. No rule breaks; then
 // everything accepted is done, the night has one outcome, and another version can
 // be applied.
 func TestFleetUnderAPlanSurvivesCombinedFaults(t *testing.T) {
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -136,7 +136,7 @@
 	})
 }
 
-// A node that passes reports on stands still, is cut from the leader, or dies:
+// A node that passes heartbeats on stands still, is cut from the leader, or dies:
 // its workers go elsewhere in time.
 func TestRelayNodeIsLost(t *testing.T) {
 	for _, c := range []struct {
@@ -167,7 +167,7 @@
 }
 
 // More workers than all nodes have sockets: each needs one only while it
-// reports.
+// heartbeats.
 func TestMoreWorkersThanSockets(t *testing.T) {
 	fleet(t, fake.Options{Machines: fleetMachines, Sockets: fleetMachines / 4}, func(t *testing.T, w *fake.Cluster) {
 		at := time.Now()
@@ -214,7 +214,7 @@
 }
 
 // All tasks of the fleet end within seconds of one another, and as many wait:
-// the answer to each machine's report is held until what comes next there is
+// the answer to each machine's heartbeat is held until what comes next there is
 // recorded. The nodes are slow meanwhile, and stand still for a second again and
 // again. No worker is left without an answer, and nothing starts twice.
 func TestAnswersToTheWholeFleetAreDelayedWhileAllNodesAreSlow(t *testing.T) {
@@ -275,8 +275,8 @@
 	return out
 }
 
-// Many machines do not hear, all at once, while their reports come by way of all
-// nodes, and copies of reports arrive late. What is submitted then starts on the
+// Many machines do not hear, all at once, while their heartbeats come by way of all
+// nodes, and copies of heartbeats arrive late. What is submitted then starts on the
 // others at once, and when they hear again they have work within seconds.
 func TestManyMachinesAreUnreachableAtOnce(t *testing.T) {
 	for _, n := range unreachableCounts() {
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -17,8 +17,8 @@
 func worker(i int) string { return fmt.Sprintf("host-%06d", i) }
 
 // A leader of 2,600 workers keeps a quarter of its sockets for them, and the
-// others share the rest; where there are few workers, or nobody to pass reports
-// on, all report to it.
+// others share the rest; where there are few workers, or nobody to pass heartbeats
+// on, all send theirs to it.
 func TestLeaderKeepsItsShareAndRelaysDivideTheRest(t *testing.T) {
 	p := plan(2600, "c", "b")
 	got := map[string]int{}
@@ -39,7 +39,7 @@
 }
 
 // A worker's home must not change whenever another machine boots or a node goes:
-// each move costs it a report.
+// each move costs it a heartbeat.
 func TestPlanChangeMovesFewWorkers(t *testing.T) {
 	p, more, less := plan(2600, "b", "c"), plan(2650, "b", "c"), plan(2600, "b")
 	moved, orphans, strays := 0, 0, 0
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -23,21 +23,21 @@
 	ExitUnknown = "unknown" // refused: the worker does not know the task
 )
 
-// Report is a worker's heartbeat: what it is, and the status of its tasks.
+// Heartbeat is a worker's report to the leader: what it is, and the status of its tasks.
 type Heartbeat struct {
 	Machine    string       `msgpack:"poste"`
 	Addr       string       `msgpack:"addr"`
 	Type       string       `msgpack:"gamme"`
 	Zone       string       `msgpack:"halle"`
 	Spot       bool         `msgpack:"pretes"`
-	AgentEpoch uint64       `msgpack:"quart"` // agent epoch
+	AgentEpoch uint64       `msgpack:"quart"`
 	Seq        uint64       `msgpack:"numero"`
 	Token      uint64       `msgpack:"sceau"`    // the highest fencing token that it has seen
 	NoticeS    *float64     `msgpack:"preavisS"` // after an interruption notice: seconds until the machine is gone
 	Tasks      []TaskStatus `msgpack:"pieces"`
 }
 
-// TaskReport is the status of one task on a machine.
+// TaskStatus is the status of one task on a machine.
 type TaskStatus struct {
 	Task    string `msgpack:"piece"`
 	Attempt uint64 `msgpack:"essai"`
@@ -61,7 +61,7 @@
 	GraceS  *float64 `msgpack:"repitS,omitempty"`
 }
 
-// ReportAnswer answers a heartbeat with 200.
+// HeartbeatAnswer answers a heartbeat with 200.
 type HeartbeatAnswer struct {
 	Token    uint64    `msgpack:"sceau"`
 	Commands []Command `msgpack:"consignes"`
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -33,7 +33,7 @@
 
 // Command sends commands to a worker's address. It returns the worker's heartbeat, and
 // whether the commands were executed: the worker refuses those with an old fencing token
-// or for another session.
+// or for another epoch.
 func (c *Client) Command(ctx context.Context, addr string, commands wire.DirectCommands) (wire.Heartbeat, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
