--- a/cluster/model_test.go
+++ b/cluster/model_test.go
@@ -77,7 +77,7 @@
 	t.Helper()
 	mc := m.ApplyHeartbeat(r, now)
 	if mc == nil {
-		t.Fatal("report not accepted")
+		t.Fatal("heartbeat not accepted")
 	}
 	return m.AnswerHeartbeat(mc, r, now)
 }
@@ -139,7 +139,7 @@
 		t.Fatal("not given up after the lease")
 	}
 	if m.ApplyHeartbeat(rep(3, 5), at(15)) != nil {
-		t.Fatal("a late report of the ended session was accepted")
+		t.Fatal("a late heartbeat of the ended agent epoch was accepted")
 	}
 }
 
--- a/cluster/window_provision_test.go
+++ b/cluster/window_provision_test.go
@@ -67,7 +67,7 @@
 		t.Errorf("the next leader wants %d more when all are up", more)
 	}
 	if more := wants(1147, 1154, 8); more > 32 { // their leases are not over
-		t.Errorf("%d more are wanted when reports are late", more)
+		t.Errorf("%d more are wanted when heartbeats are late", more)
 	}
 	if more := wants(1155, 1900, 8); more < n/2 {
 		t.Errorf("%d more are wanted when %d are lost", more, n)
--- a/controller/fault_interactions_test.go
+++ b/controller/fault_interactions_test.go
@@ -134,7 +134,7 @@
 		// leader has newer ones already.)
 		for _, m := range names {
 			if way < 3 && !scenario.Eventually(10*time.Second, 500*time.Millisecond, func() bool { return w.ReplayHeartbeat(m, max(0, w.Leader())) == 200 }) {
-				t.Errorf("the next leader takes no late copy of a report of %s", m)
+				t.Errorf("the next leader takes no late copy of a heartbeat of %s", m)
 			}
 		}
 		// The fault ends within the 30 s of a worker's lease, or well beyond it.
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -189,7 +189,7 @@
 		}
 		w.DelayDirectCommands(0, 0)
 		if met.RefusedEpoch == 0 {
-			t.Errorf("late commands met %+v: none came after its session had ended", met)
+			t.Errorf("late commands met %+v: none came after its agent epoch had ended", met)
 		}
 		healAndCheckStarvation(t, w)
 	})
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -68,12 +68,12 @@
 			changeLeader(t, w)
 			time.Sleep(4 * time.Second)
 			if now := w.CopyStats(); now.First == met.First {
-				t.Errorf("round %d: no copy came to the new leader before its worker's next report", round)
+				t.Errorf("round %d: no copy came to the new leader before its worker's next heartbeat", round)
 			}
 			mustFinish(t, w, 2*time.Minute, numbers...)
 		}
 		if met := w.CopyStats(); met.Older == 0 || w.ExpiredLeases() > 0 {
-			t.Errorf("copies met %+v: none came after newer reports, or %d leases ended", met, w.ExpiredLeases())
+			t.Errorf("copies met %+v: none came after newer heartbeats, or %d leases ended", met, w.ExpiredLeases())
 		}
 	})
 }
@@ -101,7 +101,7 @@
 			t.Fatal("the next leader has placed nothing")
 		}
 		if status := w.ReplayHeartbeat(at, w.Leader()); status != 200 {
-			t.Errorf("the report held back was answered %d: it is not the first that the leader hears of its machine", status)
+			t.Errorf("the heartbeat held back was answered %d: it is not the first that the leader hears of its machine", status)
 		}
 		if status := w.ReplayHeartbeat(at, w.Leader()); status != 200 {
 			t.Errorf("it was answered %d as it came again, while it is the newest", status)
@@ -111,7 +111,7 @@
 		w.StartNode(was)
 		time.Sleep(4 * time.Second) // it has sent its own heartbeat, or its lease has expired
 		if status := w.ReplayHeartbeat(at, w.Leader()); status == 200 {
-			t.Error("the same report was answered 200 after newer ones")
+			t.Error("the same heartbeat was answered 200 after newer ones")
 		}
 		mustFinish(t, w, 3*time.Minute, numbers...)
 		if !scenario.Eventually(100*time.Second, time.Second, func() bool { return w.Running() == 4 }) {
@@ -147,7 +147,7 @@
 		}
 		time.Sleep(time.Second)
 		if now := w.CopyStats(); now.Older <= met.Older {
-			t.Errorf("copies met %+v, and before %+v: none came after newer reports", now, met)
+			t.Errorf("copies met %+v, and before %+v: none came after newer heartbeats", now, met)
 		}
 		mustFinish(t, w, 3*time.Minute, append(numbers, 900)...)
 	})
@@ -169,10 +169,10 @@
 		w.StartNode(was)
 		met := w.OvertakenHeartbeats()
 		if met.Next < 6 || met.Ahead < 60 {
-			t.Errorf("reports overtaken %+v", met)
+			t.Errorf("heartbeats overtaken %+v", met)
 		}
 		if met.Refused > 0 || w.ExpiredLeases() > 0 {
-			t.Errorf("reports overtaken %+v: their workers leave their nodes; %d leases ended", met, w.ExpiredLeases())
+			t.Errorf("heartbeats overtaken %+v: their workers leave their nodes; %d leases ended", met, w.ExpiredLeases())
 		}
 		if n := w.Started() - started; n > 0 {
 			t.Errorf("%d tasks started again", n)
@@ -197,7 +197,7 @@
 			mustFinish(t, w, time.Minute, numbers...)
 		}
 		if met := w.OvertakenHeartbeats(); met.Ahead < 20 || w.ExpiredLeases() > 0 {
-			t.Errorf("reports overtaken %+v, %d leases ended", met, w.ExpiredLeases())
+			t.Errorf("heartbeats overtaken %+v, %d leases ended", met, w.ExpiredLeases())
 		}
 	})
 }
@@ -227,7 +227,7 @@
 			}
 		}
 		if answered < 8 {
-			t.Errorf("%d copies of the last report were answered 200", answered)
+			t.Errorf("%d copies of the last heartbeat were answered 200", answered)
 		}
 		if back == 0 || back > 20*time.Second {
 			t.Errorf("what ran there runs again after %v (0: not within 40 s)", back)
--- a/controller/scenarios_test.go
+++ b/controller/scenarios_test.go
@@ -81,7 +81,7 @@
 			t.Fatal("task 0 does not run")
 		}
 		if status := w.ReplayHeartbeat(name, 0); status == 200 {
-			t.Error("a report older than the last one was answered 200")
+			t.Error("a heartbeat older than the last one was answered 200")
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
 		if n := w.Started(); n != 2 {
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -155,12 +155,12 @@
 		w.ResumeMachine(m)
 		time.Sleep(time.Second)
 		if _, refused := w.DeliverHeldCommands(m); refused == 0 {
-			t.Error("the summons of the ended session was not refused")
+			t.Error("the wake-up of the ended agent epoch was not refused")
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
 		checkNoWakeUpListed(t, w)
 		if n := w.Started(); n != 1 {
-			t.Errorf("%d starts of a task that was not launched in the first session", n)
+			t.Errorf("%d starts of a task that was not launched in the first agent epoch", n)
 		}
 	})
 }
