--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -56,14 +56,14 @@
 // startState is what the starvation bound's last check decided about a job that has not
 // started. Only its methods write it. A job that can't start in time has a cause in blockedBy.
 type startState struct {
-	mustStart  bool          // has to hold its places now in order to start in time
-	infeasible bool          // can't start in time beside the others of its class
-	startBy    time.Time     // when it should hold its places
-	startDelay time.Duration // until it would hold them if it were served first
-	noCapacity bool          // there are never as many places as it needs to start
-	mustFinish bool          // the completion floor lets it not be postponed any longer
-	blockedBy  string        // why it can't start in time; "" if it can
-	loggedAt   time.Time     // when blockedBy was last logged
+	mustStart  bool            // has to hold its places now in order to start in time
+	infeasible bool            // can't start in time beside the others of its class
+	startBy    time.Time       // when it should hold its places
+	startDelay time.Duration   // until it would hold them if it were served first
+	noCapacity bool            // there are never as many places as it needs to start
+	mustFinish bool            // the completion floor lets it not be postponed any longer
+	blockedBy  starvationCause // why it can't start in time; notBlocked if it can
+	loggedAt   time.Time       // when blockedBy was last logged
 }
 
 // decide records the result of a check of the bound.
@@ -76,10 +76,10 @@
 // setMustFinish records whether the completion floor protects the job.
 func (s *startState) setMustFinish(mustFinish bool) { s.mustFinish = mustFinish }
 
-// setCause records why the job can't start in time, "" if it can. It reports whether the cause
-// is to be logged: if it is another one than before, and the job was not logged recently.
-func (s *startState) setCause(cause string, now time.Time) bool {
-	log := cause != "" && cause != s.blockedBy && now.Sub(s.loggedAt) >= relogInterval
+// setCause records why the job can't start in time, notBlocked if it can. It reports whether the
+// cause is to be logged: if it is another one than before, and the job was not logged recently.
+func (s *startState) setCause(cause starvationCause, now time.Time) bool {
+	log := cause != notBlocked && cause != s.blockedBy && now.Sub(s.loggedAt) >= relogInterval
 	if log {
 		s.loggedAt = now
 	}
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -14,19 +14,22 @@
 	maxStarvedListed = 20               // jobs in a summary
 )
 
-// Causes for which a job can't start, as operators read them.
+// starvationCause is the cause for which a job can't start in time, as operators read it.
+type starvationCause string
+
 const (
-	blockedByFailures          = "it fails wherever it starts"
-	blockedByUnreadableRecords = "its placements can't be read"
-	blockedByQuota             = "its team's limit"
-	blockedByZone              = "no machine of its zone answers"
-	blockedByNoMachines        = "no machine that it may use answers, and none is to be had"
-	blockedByScaleOut          = "machines that it may use are still to come"
-	blockedByGangSize          = "no zone or fleet with room for all of its tasks at once"
-	blockedByStart             = "its tasks are placed and have not started"
-	blockedByBackoff           = "its tasks failed and wait to be tried again"
-	blockedByHigherPriority    = "work of higher priority has the room"
-	blockedByCompetition       = "others that are due have the room"
+	notBlocked                 starvationCause = ""
+	blockedByFailures          starvationCause = "it fails wherever it starts"
+	blockedByUnreadableRecords starvationCause = "its placements can't be read"
+	blockedByQuota             starvationCause = "its team's limit"
+	blockedByZone              starvationCause = "no machine of its zone answers"
+	blockedByNoMachines        starvationCause = "no machine that it may use answers, and none is to be had"
+	blockedByScaleOut          starvationCause = "machines that it may use are still to come"
+	blockedByGangSize          starvationCause = "no zone or fleet with room for all of its tasks at once"
+	blockedByStart             starvationCause = "its tasks are placed and have not started"
+	blockedByBackoff           starvationCause = "its tasks failed and wait to be tried again"
+	blockedByHigherPriority    starvationCause = "work of higher priority has the room"
+	blockedByCompetition       starvationCause = "others that are due have the room"
 )
 
 // StarvedJob is a job that has not started within the starvation bound, or can't.
@@ -35,7 +38,7 @@
 	Class         string
 	Team          string
 	Tasks         int
-	BlockedBy     string  // what prevents its start
+	BlockedBy     string  // what prevents its start: the text of a starvationCause
 	WaitedSeconds float64 // since it was accepted
 }
 
@@ -51,13 +54,13 @@
 		if j == nil {
 			continue
 		}
-		cause := ""
+		cause := notBlocked
 		if !j.Cancelled && !j.Finished && !j.hasStarted() && m.missesBound(j, now) {
-			cause = m.starvationCause(j, now)
+			cause = m.diagnoseStarvation(j, now)
 		}
 		if j.start.setCause(cause, now) {
 			m.log.Info("job can't start within the starvation bound", "id", j.ID, "class", j.Spec.Class, "team", j.Spec.Team, "tasks", len(j.Tasks),
-				"inTheWay", cause, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
+				"inTheWay", string(cause), "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		}
 	}
 }
@@ -74,8 +77,8 @@
 	return true
 }
 
-// starvationCause determines why a job can't start in time.
-func (m *Model) starvationCause(j *Job, now time.Time) string {
+// diagnoseStarvation determines why a job can't start in time.
+func (m *Model) diagnoseStarvation(j *Job, now time.Time) starvationCause {
 	switch {
 	case j.quarantined:
 		return blockedByUnreadableRecords
@@ -165,11 +168,11 @@
 func (m *Model) starvedJobs(now time.Time) (out []StarvedJob, all int) {
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
-		if j == nil || j.start.blockedBy == "" || j.Cancelled || j.Finished || j.hasStarted() {
+		if j == nil || j.start.blockedBy == notBlocked || j.Cancelled || j.Finished || j.hasStarted() {
 			continue
 		}
 		all++
-		out = append(out, StarvedJob{ID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), BlockedBy: j.start.blockedBy, WaitedSeconds: now.Sub(j.AcceptedAt).Seconds()})
+		out = append(out, StarvedJob{ID: j.ID, Class: j.Spec.Class, Team: j.Spec.Team, Tasks: len(j.Tasks), BlockedBy: string(j.start.blockedBy), WaitedSeconds: now.Sub(j.AcceptedAt).Seconds()})
 	}
 	slices.SortStableFunc(out, func(a, b StarvedJob) int { return int(1000 * (b.WaitedSeconds - a.WaitedSeconds)) })
 	return out[:min(len(out), maxStarvedListed)], all
--- a/cluster/starvation_explain_test.go
+++ b/cluster/starvation_explain_test.go
@@ -29,12 +29,12 @@
 	s.submit("wk-000005", 50, 1, func(j *wire.Job) { j.Types = []string{"none"}; j.Team = "" })
 	s.submit("wk-000006", 50, 1, nil)
 	s.run(50, 300)
-	got := map[string]string{}
+	got := map[string]starvationCause{}
 	sum := s.m.Snapshot(at(300))
 	for _, u := range sum.Starved {
-		got[u.ID] = u.BlockedBy
+		got[u.ID] = starvationCause(u.BlockedBy)
 	}
-	want := map[string]string{"wk-000001": blockedByZone, "wk-000002": blockedByGangSize, "wk-000005": blockedByNoMachines, "wk-000006": blockedByQuota}
+	want := map[string]starvationCause{"wk-000001": blockedByZone, "wk-000002": blockedByGangSize, "wk-000005": blockedByNoMachines, "wk-000006": blockedByQuota}
 	if !maps.Equal(got, want) || sum.StarvedTotal != len(want) {
 		t.Errorf("starved jobs: %v", got)
 	}
