--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -278,7 +278,7 @@
 		case key == jobstore.PlanHeadKey:
 			d.m.DropHeldStops()
 			d.takePlan()
-		case !b.IsJobKey(key):
+		case !jobstore.IsActiveJobKey(key):
 			d.m.ResolveConflict(b, key, d.store[key].version)
 		}
 	}
--- a/cluster/writebatch.go
+++ b/cluster/writebatch.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/umberdeal/umberdeal/jobstore"
 	"github.com/umberdeal/umberdeal/wire"
 )
 
@@ -41,9 +40,3 @@
 		f(rev, now)
 	}
 }
-
-// IsJobKey reports whether a key holds an active job or a page of them.
-func (b *WriteBatch) IsJobKey(key string) bool {
-	_, ok := jobstore.ParseJobKey(key)
-	return ok || jobstore.IsJobPageKey(key)
-}
--- a/controller/committer.go
+++ b/controller/committer.go
@@ -182,7 +182,7 @@
 			l.lease.Resign()
 			break
 		}
-		if b.IsJobKey(key) {
+		if jobstore.IsActiveJobKey(key) {
 			continue // the watch delivers the change of the job
 		}
 		if key == jobstore.PlanHeadKey {
--- a/jobstore/keys.go
+++ b/jobstore/keys.go
@@ -75,6 +75,9 @@
 // IsJobPageKey reports whether a key is that of a head page or of a sealed page.
 func IsJobPageKey(key string) bool { return strings.HasPrefix(key, jobPagePrefix) }
 
+// IsActiveJobKey reports whether a key is that of an unfinished job or of a job page.
+func IsActiveJobKey(key string) bool { return strings.HasPrefix(key, JobPrefix) }
+
 // IsHeadPageKey reports whether a key is that of a bucket's head page.
 func IsHeadPageKey(key string) bool {
 	return IsJobPageKey(key) && !strings.Contains(key[len(jobPagePrefix):], ".")
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -184,7 +184,7 @@
 func (s *System) resolveConflicts(batch *cluster.WriteBatch, failed []string) {
 	s.reloadPlanOnConflict(failed)
 	for _, key := range failed {
-		if !batch.IsJobKey(key) {
+		if !jobstore.IsActiveJobKey(key) {
 			s.leader.ResolveConflict(batch, key, s.store[key].version)
 		}
 	}
