--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -155,7 +155,7 @@
 			k.deadline = own
 		}
 	}
-	startup := m.startupAndSpreadOf(k.job)
+	startup := m.startupAndStragglersOf(k.job)
 	if due := k.deadline.Add(-config.Seconds(startup.slowestTask(k.runSeconds, len(k.req.Tasks)) + startup.startDelay())); due.Before(k.due) {
 		k.due = due
 	}
--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -71,16 +71,16 @@
 // classStats is what has been observed of a class of jobs. A class has at least one job, and
 // lastJob is never nil; it may be out of the model.
 type classStats struct {
-	name             string
-	lastJob          *Job // stands for the jobs that are expected
-	largestTasks     int  // most tasks of a job, up to maxLargestTasks
-	openTasks        int  // unfinished tasks
-	lastArrival      time.Time
-	recent           []time.Time // arrivals within arrivalWindow, earliest first
-	hasWaitObjective bool        // an objective bounds how long its jobs wait for their start
-	runs             runTimeEstimator
-	spread           durationSpread
-	sizes            jobSizes
+	name                 string
+	lastJob              *Job // stands for the jobs that are expected
+	largestTasks         int  // most tasks of a job, up to maxLargestTasks
+	openTasks            int  // unfinished tasks
+	lastArrival          time.Time
+	recent               []time.Time // arrivals within arrivalWindow, earliest first
+	hasWaitObjective     bool        // an objective bounds how long its jobs wait for their start
+	runs                 runTimeEstimator
+	startupAndStragglers startupAndStragglerStats
+	sizes                jobSizes
 }
 
 // recordArrival records a job of the class that this leader has come to know.
--- a/cluster/objectives.go
+++ b/cluster/objectives.go
@@ -51,7 +51,7 @@
 // as far as it can still meet them.
 func (m *Model) latestStarts(k *queued, now time.Time) startDeadlines {
 	j := k.job
-	learned := m.startupAndSpreadOf(j)
+	learned := m.startupAndStragglersOf(j)
 	startup := config.Seconds(learned.startDelay())
 	duration := config.Seconds(learned.slowestTask(k.runSeconds, len(k.req.Tasks))) + startup
 	var deadlines startDeadlines
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -114,7 +114,7 @@
 				m.Observer.Running(now.Sub(p.launchSentAt).Seconds())
 			}
 			if !p.Inherited && !j.failures.atFault() {
-				m.startupAndSpreadOf(j).addStartDelay(now.Sub(p.placedAt).Seconds())
+				m.startupAndStragglersOf(j).addStartDelay(now.Sub(p.placedAt).Seconds())
 			}
 			m.log.Debug("task started", "task", t.Task, "attempt", t.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.placedAt).Seconds())
 		}
--- a/cluster/runtimespread_test.go
+++ b/cluster/startup_stragglers_test.go
@@ -5,7 +5,7 @@
 // An array is complete when its slowest task is. When arrays were started so late that an average
 // task would just be in time, most of those with a dozen tasks were half a minute late.
 func TestSlowestTaskAndStartDelayAreLearned(t *testing.T) {
-	var s durationSpread
+	var s startupAndStragglerStats
 	if got := s.slowestTask(100, 1); got != 100 {
 		t.Errorf("a single task: %v", got)
 	}
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -20,7 +20,7 @@
 
 const (
 	boundInterval = 2 * time.Second  // between two checks; verdicts stand until the next one
-	boundMargin   = 10 * time.Second // by which a job should be early
+	startMargin   = 10 * time.Second // by which a job should be early
 	// largestMargin is the share of the bound by which the largest jobs of a class
 	// should be earlier still, since their waits are the hardest to predict.
 	largestMargin = 0.1
@@ -28,10 +28,10 @@
 	// at least largeArrayTasks tasks is early: delaying a single task saves nothing.
 	largeArrayMargin = 0.5
 	largeArrayTasks  = 8
-	// boundSlack and boundShare make up the slack at which a job is served by the bound:
+	// minStartSlack and startSlackShare make up the slack at which a job is served by the bound:
 	// a constant, and a share of the predicted wait for its resources.
-	boundSlack          = 10 * time.Second
-	boundShare          = 0.25
+	minStartSlack       = 10 * time.Second
+	startSlackShare     = 0.25
 	boundHoldSeconds    = 150       // how far ahead resources are held for a job that must start
 	maxMustStarts       = 100       // jobs served by the bound in one pass
 	maxInfeasibleRounds = 50        // simulations of a class from which the costliest job is dropped
@@ -156,8 +156,8 @@
 	if math.IsInf(fetch, 1) {
 		fetch = 0
 	}
-	must = j.AcceptedAt.Add(m.StarvationBound - config.Seconds(fetch+m.startupAndSpreadOf(j).startDelay()))
-	should = must.Add(-boundMargin)
+	must = j.AcceptedAt.Add(m.StarvationBound - config.Seconds(fetch+m.startupAndStragglersOf(j).startDelay()))
+	should = must.Add(-startMargin)
 	if m.isLargeJob(j) {
 		should = should.Add(-time.Duration(largestMargin * float64(m.StarvationBound)))
 	}
--- a/cluster/starvation_check.go
+++ b/cluster/starvation_check.go
@@ -153,5 +153,5 @@
 // sufficientSlack returns the slack down to which a job need not be served by the bound, given
 // the predicted wait for its resources.
 func sufficientSlack(wait time.Duration) time.Duration {
-	return boundSlack + time.Duration(boundShare*float64(wait))
+	return minStartSlack + time.Duration(startSlackShare*float64(wait))
 }
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -210,7 +210,7 @@
 			continue
 		}
 		for range min(needed, triageTasks) {
-			places.occupyEarliest(k.runSeconds + m.startupAndSpreadOf(k.job).startDelay())
+			places.occupyEarliest(k.runSeconds + m.startupAndStragglersOf(k.job).startDelay())
 		}
 	}
 	return others
--- a/cluster/triage_simulation.go
+++ b/cluster/triage_simulation.go
@@ -52,7 +52,7 @@
 // serve occupies places for the tasks of a job and returns the seconds until its last task
 // starts.
 func (s *simulation) serve(k *queued) float64 {
-	startup := s.model.startupAndSpreadOf(k.job).startDelay()
+	startup := s.model.startupAndStragglersOf(k.job).startDelay()
 	tasks := len(k.req.Tasks)
 	last := 0.0
 	for range min(tasks, triageTasks) {
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -157,7 +157,7 @@
 	if reason := e.blockedReason(j); reason != "" {
 		e.blocked[load] = append(e.blocked[load], reason)
 	}
-	startup := e.model.startupAndSpreadOf(j)
+	startup := e.model.startupAndStragglersOf(j)
 	batch := calendar.Batch{Tasks: idle, Seconds: seconds/float64(idle) + startup.startDelay(), PlacesPerTask: 1,
 		Blocked: j.quarantined || j.failures.atFault()}
 	if j.Gang() {
