--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -57,7 +57,8 @@
 }
 
 // estimateBootTimeLeft returns the seconds until a machine that has not come up is expected to. It
-// returns false if the machine has come up, or is not expected to in time.
+// returns false if the machine has come up, or is not expected to in time. Where it finds a
+// machine late, it also logs that, once for each machine.
 func (m *Model) estimateBootTimeLeft(mc *Machine, now time.Time) (float64, bool) {
 	if mc.alive || mc.Gone || mc.scalingIn || mc.AgentEpoch > 0 || mc.typeIndex < 0 || mc.Zone < 0 {
 		return 0, false
@@ -68,16 +69,22 @@
 		return 0, false
 	}
 	if age > m.lateBootLimit(mc) {
-		// A new leader has not received heartbeats from all running machines yet.
-		if !mc.bootLateLogged && len(mc.Tasks) == 0 && mc.cloudState != wire.MachineRunning {
-			mc.markLateBootLogged()
-			m.log.Info("machine late", "machine", mc.Name, "type", mc.TypeName, "zone", m.Zones[mc.Zone], "spot", mc.Spot, "orderedS", age.Seconds())
-		}
+		m.logLateBoot(mc, age)
 		return 0, false
 	}
 	return max(3, (m.MachineTypes[mc.typeIndex].BootTime - age).Seconds()), true
 }
 
+// logLateBoot logs that a machine is late, unless it was logged before or the machine may be
+// running: a new leader has not received heartbeats from all running machines yet.
+func (m *Model) logLateBoot(mc *Machine, age time.Duration) {
+	if mc.bootLateLogged || len(mc.Tasks) > 0 || mc.cloudState == wire.MachineRunning {
+		return
+	}
+	mc.markLateBootLogged()
+	m.log.Info("machine late", "machine", mc.Name, "type", mc.TypeName, "zone", m.Zones[mc.Zone], "spot", mc.Spot, "orderedS", age.Seconds())
+}
+
 // refuseOfferOf makes scale-outs avoid the offer of a machine that never came up for a while,
 // so that its replacement is requested elsewhere if possible.
 func (m *Model) refuseOfferOf(mc *Machine, now time.Time) {
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -69,7 +69,9 @@
 		if forecast.AtRisk {
 			forecast.Reason += note
 		}
-		schedule.RecordForecast(date, forecast, schedule.forecastCause(date, machines, now), machines, now)
+		cause := schedule.forecastCause(date, machines, now)
+		schedule.updateForecastBasis(date, cause, machines, now)
+		schedule.RecordForecast(date, forecast, cause, machines, now)
 	}
 	for _, schedule := range windows.schedules {
 		schedule.reforecastCause = ""
@@ -81,26 +83,33 @@
 func (s *windowSchedule) forecastCause(date string, machines int, now time.Time) string {
 	last, recorded := s.forecastBases[date]
 	jobs, open := s.JobCounts(date)
-	current := forecastBasis{machines: machines, jobs: jobs, madeAt: now}
-	cause := ""
 	switch {
 	case s.reforecastCause != "":
-		cause = s.reforecastCause
+		return s.reforecastCause
 	case !recorded:
-		cause = "the night began"
+		return "the night began"
 	case open == 0: // machines make no difference any more
 	case machines < last.machines:
-		cause = fmt.Sprintf("machines lost: %d of %d are left", machines, last.machines)
+		return fmt.Sprintf("machines lost: %d of %d are left", machines, last.machines)
 	case jobs > last.jobs && now.Sub(last.madeAt) >= reforecastInterval:
-		cause = fmt.Sprintf("more came: %d jobs, and were %d", jobs, last.jobs)
+		return fmt.Sprintf("more came: %d jobs, and were %d", jobs, last.jobs)
 	}
-	if cause != "" {
-		s.forecastBases[date] = current
-	} else if machines > last.machines {
-		last.machines = machines
-		s.forecastBases[date] = last
+	return ""
+}
+
+// updateForecastBasis keeps what a forecast of a batch window is based on if it is recorded for
+// a cause. If it is not (the cause is ""), only machines that were added are taken over, so that
+// their loss is noticed.
+func (s *windowSchedule) updateForecastBasis(date, cause string, machines int, now time.Time) {
+	basis := s.forecastBases[date]
+	switch {
+	case cause != "":
+		jobs, _ := s.JobCounts(date)
+		s.forecastBases[date] = forecastBasis{machines: machines, jobs: jobs, madeAt: now}
+	case machines > basis.machines:
+		basis.machines = machines
+		s.forecastBases[date] = basis
 	}
-	return cause
 }
 
 // taskShape is what the number of places for a task depends on.
