--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -84,7 +84,7 @@
 		return priority.WithinQuota.String()
 	case k.job.priority != o.job.priority:
 		return priority.HigherPriority.String()
-	case o.req.Owed:
+	case o.req.StartDue:
 		return priority.StarvationBound.String()
 	case o.req.PromotionCause == uint8(priority.PromotedByWait):
 		return priority.MaxWait.String()
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -126,10 +126,10 @@
 	return shares
 }
 
-// promoteStarvedTiers moves what is owed to lower tiers ahead of higher ones: jobs of a tier
-// that has less than its share, and some tasks of jobs that have waited for their tier's
-// longest wait, ahead of their own tier if waits alone have won enough. Tasks that are not owed
-// keep their position, and neither guarantees nor priorities nor the starvation bound are
+// promoteStarvedTiers moves work of lower tiers ahead of higher ones: jobs of a tier that has
+// less than its share, and some tasks of jobs that have waited for their tier's longest wait,
+// ahead of their own tier if waits alone have won enough. Tasks that are not promoted keep
+// their position, and neither guarantees nor priorities nor the starvation bound are
 // bypassed.
 func (m *Model) promoteStarvedTiers(queue []*queued, now time.Time) []*queued {
 	if m.tiers.policy == nil {
@@ -146,7 +146,7 @@
 		for hi < len(queue) && queue[hi].sameRank(queue[lo]) {
 			hi++
 		}
-		if queue[lo].req.Owed {
+		if queue[lo].req.StartDue {
 			out = append(out, queue[lo:hi]...) // in the order in which they must start
 		} else {
 			promoted, rest := splitPromoted(queue[lo:hi], promotions[lo:hi])
@@ -217,7 +217,7 @@
 		for at > 0 && k.passes(queue[at-1], waitOver) {
 			at--
 		}
-		k.req.Owed = true
+		k.req.StartDue = true
 		queue = slices.Insert(queue, at, k)
 	}
 	return append(queue, others...)
@@ -226,7 +226,7 @@
 // passes reports whether a request whose tier's longest wait was over at the given time takes
 // its position before o, which must start by the starvation bound if it is of the same rank.
 func (k *queued) passes(o *queued, waitOver time.Time) bool {
-	if !o.req.Owed || o.withinGuarantee != k.withinGuarantee || o.job.priority != k.job.priority {
+	if !o.req.StartDue || o.withinGuarantee != k.withinGuarantee || o.job.priority != k.job.priority {
 		return false
 	}
 	if o.job.start.mustFinish || priority.PromotionCause(o.req.PromotionCause) == priority.PromotedByWait {
@@ -237,7 +237,7 @@
 
 // sameRank reports whether only priority tiers and objectives order two requests.
 func (k *queued) sameRank(o *queued) bool {
-	return k.withinGuarantee == o.withinGuarantee && k.job.priority == o.job.priority && k.req.Owed == o.req.Owed
+	return k.withinGuarantee == o.withinGuarantee && k.job.priority == o.job.priority && k.req.StartDue == o.req.StartDue
 }
 
 // split splits off the first n tasks of a request. Both parts share the counts by zone. If one
@@ -278,7 +278,7 @@
 		return !own.hasWaitObjective
 	}
 	t := c.lastJob.tier
-	return k.req.PromotionCause == 0 && !k.req.Owed && (t < k.req.Tier || t == k.req.Tier && !own.hasWaitObjective)
+	return k.req.PromotionCause == 0 && !k.req.StartDue && (t < k.req.Tier || t == k.req.Tier && !own.hasWaitObjective)
 }
 
 // sortByTier sorts classes by tier, highest first, in place.
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -46,7 +46,7 @@
 	for _, k := range group {
 		rest := &s.others
 		if k.job.start.mustFinish {
-			k.req.Owed = true
+			k.req.StartDue = true
 			rest = &s.mustFinish
 		}
 		if !k.job.start.mustStart || k.job.placesToStart() == 0 || len(s.mustStart) >= limit {
@@ -66,7 +66,7 @@
 // first task of an array. Resources are held for it. The tail is nil if nothing is left.
 func (k *queued) splitFirstStart() (head, tail *queued) {
 	first := *k
-	first.mustStart, first.req.Owed = true, true
+	first.mustStart, first.req.StartDue = true, true
 	first.req.Hold, first.req.HoldSeconds = true, boundHoldSeconds
 	if k.job.Gang() {
 		return &first, nil
@@ -99,7 +99,7 @@
 }
 
 // truncateQueue cuts the queue to the given length, from its end, but never drops requests
-// that are owed: moved forward by the starvation bound, by the completion floor, or because
+// whose start is due: moved forward by the starvation bound, by the completion floor, or because
 // their tier's longest wait is over.
 func truncateQueue(queue []*queued, length int) []*queued {
 	excess := len(queue) - length
@@ -107,7 +107,7 @@
 		return queue
 	}
 	for i := len(queue) - 1; i >= 0 && excess > 0; i-- {
-		if !queue[i].req.Owed {
+		if !queue[i].req.StartDue {
 			queue = slices.Delete(queue, i, i+1)
 			excess--
 		}
--- a/placement/input.go
+++ b/placement/input.go
@@ -109,7 +109,7 @@
 // team's guarantee. The planner itself does not use it.
 type Precedence struct {
 	Tier           int   // priority tier, 0 is the highest
-	Owed           bool  // it has to start now, by the starvation bound, the completion floor or its tier's longest wait
+	StartDue       bool  // it has to start now, by the starvation bound, the completion floor or its tier's longest wait
 	PromotionCause uint8 // why it is served before higher tiers (priority.PromotionCause); 0: it is not
 }
 
--- a/priority/inversion.go
+++ b/priority/inversion.go
@@ -107,12 +107,12 @@
 		case low.Priority < high.Priority && low.WithinGuarantee == high.WithinGuarantee:
 			return HigherPriority
 		case low.WithinGuarantee == high.WithinGuarantee && low.Priority == high.Priority && low.PromotionCause == uint8(PromotedByWait):
-			return MaxWait // among those that are owed their beginning by the bound, or not
-		case low.Owed:
+			return MaxWait // among those whose start is due by the bound, or not
+		case low.StartDue:
 			// Before all of its priority, and at last before higher ones; of two
-			// that are owed, the one whose time is nearer.
+			// whose start is due, the one whose time is nearer.
 			return StarvationBound
-		case low.WithinGuarantee != high.WithinGuarantee, low.Priority != high.Priority, high.Owed:
+		case low.WithinGuarantee != high.WithinGuarantee, low.Priority != high.Priority, high.StartDue:
 			return Unexplained
 		case low.PromotionCause == uint8(PromotedByShare):
 			return FairShare
--- a/priority/policy.go
+++ b/priority/policy.go
@@ -96,11 +96,12 @@
 // tier has of the fleet, from 0 to 1. It rests on what is booked and when jobs
 // came, and on nothing that a leader would have to remember.
 //
-// A wait is owed a beginning: an array begins with its first task, a gang needs
-// all its places. A share is owed as many tasks as it lacks. Where more comes than
-// can ever be done, everything has waited for long at last; so that the order is
-// not turned round then, waits bring a tier on only while it and those after it
-// have less than half of the fleet, the next less than a quarter, and so on.
+// A job that has waited too long is due to start: an array starts with its first
+// task, a gang needs all its places. A tier below its share is due as many tasks
+// as it lacks. Where more comes than can ever be done, everything has waited for
+// long at last; so that the order is not turned round then, waits bring a tier on
+// only while it and those after it have less than half of the fleet, the next less
+// than a quarter, and so on.
 func (o *Policy) Promote(waiting []PendingJob, booked []float64) []Promotion {
 	out := make([]Promotion, len(waiting))
 	if o == nil {
--- a/priority/policy_test.go
+++ b/priority/policy_test.go
@@ -56,7 +56,7 @@
 		if n("avoid", 0, 3) == 0 {
 			r.Avoid = map[int]bool{0: true}
 		}
-		r.Precedence = placement.Precedence{Tier: f.o.TierOf("any", fmt.Sprint("c", n("class", 0, 3))), Owed: n("owed", 0, 5) == 0}
+		r.Precedence = placement.Precedence{Tier: f.o.TierOf("any", fmt.Sprint("c", n("class", 0, 3))), StartDue: n("start due", 0, 5) == 0}
 		f.in.Requests = append(f.in.Requests, r)
 		f.waiting = append(f.waiting, PendingJob{Tier: r.Tier, Tasks: len(r.Tasks), Gang: r.Gang, TaskShare: r.Need.CPU / 64, WaitedSeconds: float64(n("waited", 0, 300)), Started: rapid.Bool().Draw(t, "begun")})
 	}
@@ -87,8 +87,8 @@
 			return sign[x.WithinGuarantee]
 		case x.Priority != y.Priority:
 			return x.Priority - y.Priority
-		case x.Owed != y.Owed:
-			return sign[x.Owed]
+		case x.StartDue != y.StartDue:
+			return sign[x.StartDue]
 		}
 		return rank(x) - rank(y)
 	})
@@ -164,7 +164,7 @@
 			case a.Tasks > 0 && w.Tier == 0, a.Tasks > w.Tasks, w.Gang && a.Tasks != 0 && a.Tasks != w.Tasks:
 				t.Fatalf("%+v: %+v", w, a)
 			case due && (a.Tasks == 0 || a.Cause == PromotedInTier && sumFrom(has, w.Tier) < maxWaitShare(w.Tier)):
-				t.Fatalf("%+v has waited for its %g s and is not owed a beginning", w, tier.LongestWaitS)
+				t.Fatalf("%+v has waited for its %g s and is not due to start", w, tier.LongestWaitS)
 			case !due && a.Tasks > 0 && f.booked[w.Tier] >= tier.Share:
 				t.Fatalf("%+v has its share and is given %+v", w, a)
 			case !due && a.Tasks > 0 && !w.Gang && has[w.Tier] > 2*tier.Share+w.TaskShare && float64(a.Tasks-1)*w.TaskShare > tier.Share:
