--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -62,8 +62,13 @@
 	runSeeded(t, 31, fake.Options{Machines: 5, Capacity: 7}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		w.Store.DropReplies(0.3, 0.15, rnd.Uint64())
-		end := time.Now().Add(time.Minute)
-		for n := 1; time.Now().Before(end); n++ {
+		begun := time.Now()
+		// Which transactions are overtaken is chance: a minute brings too few now and then.
+		enoughOvertaken := func() bool {
+			over := w.Store.OvertakenTransactions()
+			return over.InTerm >= 4 && over.Older >= 3
+		}
+		for n := 1; time.Since(begun) < time.Minute || !enoughOvertaken() && time.Since(begun) < 4*time.Minute; n++ {
 			j := job(n, func(j *wire.Job) {
 				j.Tasks, j.CPUs, j.EstimateS, j.CheckpointS, j.SaveS = 1+rnd.IntN(4), float64(1+rnd.IntN(4)), float64(3+rnd.IntN(15)), 5, 1
 				if rnd.IntN(3) == 0 {
