--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -156,7 +156,7 @@
 		}
 	}
 	startup := m.startupAndStragglersOf(k.job)
-	if due := k.deadline.Add(-config.Seconds(startup.slowestTask(k.runSeconds, len(k.req.Tasks)) + startup.startDelay())); due.Before(k.due) {
+	if due := k.deadline.Add(-config.Seconds(startup.slowestTaskSeconds(k.runSeconds, len(k.req.Tasks)) + startup.startDelaySeconds())); due.Before(k.due) {
 		k.due = due
 	}
 }
--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -10,8 +10,8 @@
 
 const (
 	maxClasses      = 64  // classes that are observed; later ones are not
-	maxSizes        = 200 // recent jobs of a class whose sizes are remembered
-	largestFraction = 10  // one in so many jobs is among the largest of its class
+	jobSizeHistory  = 200 // recentArrivals jobs of a class whose sizes are remembered
+	jobsPerLargeJob = 10  // one in so many jobs is among the largest of its class
 
 	// arrivalWindow is the time over which arrivals are counted, and maxRecentArrivals bounds
 	// their number. reservationLead is the time for whose arrivals resources are reserved.
@@ -76,7 +76,7 @@
 	largestTasks         int  // most tasks of a job, up to maxLargestTasks
 	openTasks            int  // unfinished tasks
 	lastArrival          time.Time
-	recent               []time.Time // arrivals within arrivalWindow, earliest first
+	recentArrivals       []time.Time // arrivals within arrivalWindow, earliest first
 	hasWaitObjective     bool        // an objective bounds how long its jobs wait for their start
 	runs                 runTimeEstimator
 	startupAndStragglers startupAndStragglerStats
@@ -88,21 +88,21 @@
 	c.lastJob, c.lastArrival = j, now
 	c.runs.addEstimate(j.Spec.EstimateS)
 	c.sizes.add(len(j.Tasks))
-	if now.Sub(j.AcceptedAt) < arrivalWindow && len(c.recent) < maxRecentArrivals {
-		c.recent = append(c.recent, j.AcceptedAt)
+	if now.Sub(j.AcceptedAt) < arrivalWindow && len(c.recentArrivals) < maxRecentArrivals {
+		c.recentArrivals = append(c.recentArrivals, j.AcceptedAt)
 	}
 	c.largestTasks = max(c.largestTasks, min(len(j.Tasks), maxLargestTasks))
 }
 
 // expectedArrivals returns how many jobs of the class are expected within reservationLead.
 func (c *classStats) expectedArrivals(now time.Time) int {
-	for len(c.recent) > 0 && now.Sub(c.recent[0]) > arrivalWindow {
-		c.recent = c.recent[1:]
+	for len(c.recentArrivals) > 0 && now.Sub(c.recentArrivals[0]) > arrivalWindow {
+		c.recentArrivals = c.recentArrivals[1:]
 	}
-	return int(math.Ceil(float64(len(c.recent)) * reservationLead.Seconds() / arrivalWindow.Seconds()))
+	return int(math.Ceil(float64(len(c.recentArrivals)) * reservationLead.Seconds() / arrivalWindow.Seconds()))
 }
 
-// jobSizes are the numbers of tasks of the last maxSizes jobs of a class.
+// jobSizes are the numbers of tasks of the last jobSizeHistory jobs of a class.
 type jobSizes struct {
 	tasks     []int // a ring buffer once it is full
 	oldest    int   // index in the full ring buffer
@@ -111,11 +111,11 @@
 
 // add records the number of tasks of a job.
 func (s *jobSizes) add(tasks int) {
-	if len(s.tasks) < maxSizes {
+	if len(s.tasks) < jobSizeHistory {
 		s.tasks = append(s.tasks, tasks)
 	} else {
 		s.tasks[s.oldest] = tasks
-		s.oldest = (s.oldest + 1) % maxSizes
+		s.oldest = (s.oldest + 1) % jobSizeHistory
 	}
 	s.largeFrom = 0
 }
@@ -125,7 +125,7 @@
 	if s.largeFrom == 0 {
 		sorted := slices.Clone(s.tasks)
 		slices.Sort(sorted)
-		s.largeFrom = sorted[len(sorted)-max(1, len(sorted)/largestFraction)]
+		s.largeFrom = sorted[len(sorted)-max(1, len(sorted)/jobsPerLargeJob)]
 	}
 	return tasks >= s.largeFrom
 }
--- a/cluster/completion_floor.go
+++ b/cluster/completion_floor.go
@@ -11,19 +11,19 @@
 // kinds, would still never complete.
 
 const (
-	// floorAfter is the age, in multiples of the starvation bound, from which the floor
+	// floorAgeFactor is the age, in multiples of the starvation bound, from which the floor
 	// counts a job. Younger jobs are ordered by the objectives alone: most jobs that are
 	// postponed for a while complete when the load falls.
-	floorAfter = 3
-	// floorMemory bounds how many completed jobs count for a group, and with it how many
+	floorAgeFactor = 3
+	// maxCountedCompletions bounds how many completed jobs count for a group, and with it how many
 	// old jobs of the group may be postponed before one must be completed.
-	floorMemory = 1000
+	maxCountedCompletions = 1000
 	// maxFloorGroups bounds the groups for which completed jobs are counted.
 	maxFloorGroups = 1000
 )
 
 // completionCounts has the number of jobs of each floor group that were completed under this
-// leader, up to floorMemory.
+// leader, up to maxCountedCompletions.
 type completionCounts struct{ byGroup map[string]int }
 
 // add counts a completed job for a group.
@@ -31,7 +31,7 @@
 	if c.byGroup == nil {
 		c.byGroup = map[string]int{}
 	}
-	if c.byGroup[group] < floorMemory && len(c.byGroup) < maxFloorGroups {
+	if c.byGroup[group] < maxCountedCompletions && len(c.byGroup) < maxFloorGroups {
 		c.byGroup[group]++
 	}
 }
@@ -64,7 +64,7 @@
 // enforceCompletionFloor marks the jobs that must not be postponed any longer: in each group
 // of which less than half is completed, the oldest of its old jobs, as many as are missing.
 func (m *Model) enforceCompletionFloor(queue []*queued, now time.Time) {
-	oldAge := floorAfter * m.StarvationBound
+	oldAge := floorAgeFactor * m.StarvationBound
 	oldJobs := map[string][]*queued{}
 	for _, k := range queue {
 		k.job.start.setMustFinish(false)
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -33,8 +33,8 @@
 	Reason string
 }
 
-// nearestShown bounds Explanation.Nearest.
-const nearestShown = 20
+// maxNearestShown bounds Explanation.Nearest.
+const maxNearestShown = 20
 
 // Explain returns why a job is pending. It returns false if the model has no such job, as for
 // jobs whose end is recorded. It changes the model (see buildQueue).
@@ -69,7 +69,7 @@
 		}
 		reason := k.behindReason(o)
 		e.AheadByReason[reason]++
-		if len(e.Nearest) < nearestShown {
+		if len(e.Nearest) < maxNearestShown {
 			e.Nearest = append(e.Nearest, JobAhead{o.job.ID, m.tiers.policy.TierName(o.job.tier), reason})
 		}
 	}
--- a/cluster/objectives.go
+++ b/cluster/objectives.go
@@ -52,8 +52,8 @@
 func (m *Model) latestStarts(k *queued, now time.Time) startDeadlines {
 	j := k.job
 	learned := m.startupAndStragglersOf(j)
-	startup := config.Seconds(learned.startDelay())
-	duration := config.Seconds(learned.slowestTask(k.runSeconds, len(k.req.Tasks))) + startup
+	startup := config.Seconds(learned.startDelaySeconds())
+	duration := config.Seconds(learned.slowestTaskSeconds(k.runSeconds, len(k.req.Tasks))) + startup
 	var deadlines startDeadlines
 	for i := range m.settings.Cluster.Objectives {
 		o := &m.settings.Cluster.Objectives[i]
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -13,9 +13,9 @@
 const (
 	maxRequestTasks = 64  // of one job in one pass
 	maxRequests     = 400 // in one pass, apart from those that truncateQueue keeps and those of faulty jobs
-	// noObjectiveDue is how long from now a job is due that has no objective left. It lies
+	// noObjectiveDueIn is how long from now a job is due that has no objective left. It lies
 	// beyond the due times of nearly all jobs that have one.
-	noObjectiveDue = time.Hour
+	noObjectiveDueIn = time.Hour
 )
 
 // queued is a job in the queue of a scheduling pass, with what determines its position. It
@@ -38,7 +38,7 @@
 // nextObjective makes the job due for the next of its later objectives.
 func (k *queued) nextObjective(now time.Time) {
 	if len(k.laterDue) == 0 {
-		k.due = now.Add(noObjectiveDue)
+		k.due = now.Add(noObjectiveDueIn)
 		return
 	}
 	k.due, k.laterDue = k.laterDue[0], k.laterDue[1:]
@@ -79,7 +79,7 @@
 			continue
 		}
 		if j.failures.atFault() {
-			faulty = append(faulty, newFaultyQueued(j, r, now))
+			faulty = append(faulty, newFaultyEntry(j, r, now))
 			continue
 		}
 		k := &queued{job: j, withinGuarantee: withinGuarantee[j.Index], req: r}
@@ -96,10 +96,10 @@
 	return append(queue, faulty...)
 }
 
-// newFaultyQueued queues a job that fails wherever it runs. It gets free resources only:
+// newFaultyEntry queues a job that fails wherever it runs. It gets free resources only:
 // nothing is reserved, preempted or rented for it, and no image is fetched for it before
 // those of healthy work.
-func newFaultyQueued(j *Job, r placement.Request, now time.Time) *queued {
+func newFaultyEntry(j *Job, r placement.Request, now time.Time) *queued {
 	k := &queued{job: j, missed: true, req: r}
 	k.req.FreeCapacityOnly = true
 	k.nextObjective(now)
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -52,9 +52,9 @@
 	return TaskRef{Job: j.Index, Task: task}, j.Tasks[task].Placement
 }
 
-// groupName names the rebalancing group of a type and zone. Tasks are never moved between
+// rebalanceGroupName names the rebalancing group of a type and zone. Tasks are never moved between
 // groups.
-func groupName(typ, zone string) string { return zone + "/" + typ }
+func rebalanceGroupName(typ, zone string) string { return zone + "/" + typ }
 
 // moveTargets returns, by task, the machines on which moved tasks of a job should start. They
 // are given by their positions in the input of a scheduling pass, which positions holds by
@@ -67,7 +67,7 @@
 	for _, c := range m.RebalanceCycles {
 		for _, mv := range c.Record.Moves {
 			ref, p := m.taskOfMove(mv)
-			if p != nil || ref.Job != j.Index || m.Jobs[ref.Job] != j || !ownTask(j, mv.Task) {
+			if p != nil || ref.Job != j.Index || m.Jobs[ref.Job] != j || !isTaskOf(j, mv.Task) {
 				continue
 			}
 			to, ok := m.names.machines[mv.To]
@@ -85,8 +85,8 @@
 	return out
 }
 
-// ownTask reports whether a task name is of the job.
-func ownTask(j *Job, name string) bool {
+// isTaskOf reports whether a task name is of the job.
+func isTaskOf(j *Job, name string) bool {
 	id, _, ok := wire.ParseTaskName(name)
 	return ok && id == j.ID
 }
@@ -136,7 +136,7 @@
 		if now.UnixMilli() < last.CooldownUntilMs {
 			continue
 		}
-		if cycle := m.planCycle(machines, wantedIn(machines, wanted), last, now); len(cycle.Moves) > 0 {
+		if cycle := m.planCycle(machines, servableWaiting(machines, wanted), last, now); len(cycle.Moves) > 0 {
 			cycles[name] = cycle
 		}
 	}
@@ -149,15 +149,15 @@
 	groups := map[string][]*Machine{}
 	for _, mc := range m.Machines {
 		if m.Ready(mc, now) && !m.keptByPool(mc) {
-			name := groupName(m.MachineTypes[mc.typeIndex].Name, m.Zones[mc.Zone])
+			name := rebalanceGroupName(m.MachineTypes[mc.typeIndex].Name, m.Zones[mc.Zone])
 			groups[name] = append(groups[name], mc)
 		}
 	}
 	return groups
 }
 
-// wantedIn returns the requests that the machines of a group can serve, as tasks that wait for room.
-func wantedIn(group []*Machine, wanted []placement.Request) []rebalance.Waiting {
+// servableWaiting returns the requests that the machines of a group can serve, as tasks that wait for room.
+func servableWaiting(group []*Machine, wanted []placement.Request) []rebalance.Waiting {
 	var waiting []rebalance.Waiting
 	for i := range wanted {
 		r := &wanted[i]
--- a/cluster/runtimeestimate.go
+++ b/cluster/runtimeestimate.go
@@ -15,24 +15,25 @@
 // completed jobs by a regression that is regularized towards offset 0 and slope priorSlope,
 // which is what is assumed of a class of which no job has completed yet.
 type runTimeEstimator struct {
-	seen, sum           float64 // of all jobs: their number, and the sum of the logarithms of their estimates
-	n, x, d, xx, xd     float64 // sums over the completed jobs; x is the estimate and d its error, as logarithms
-	lastN, lastSeen     float64 // what the fit below was computed from
-	offset, slope, mean float64
+	seenJobs, sumLogEstimates float64 // number of all jobs, and the sum of the logarithms of their estimates
+	// Sums over the completed jobs. X is the logarithm of the estimate, Err that of its error.
+	completedJobs, sumX, sumErr, sumXX, sumXErr float64
+	fittedCompletedJobs, fittedSeenJobs         float64 // job counts that the fit below was computed from
+	offset, slope, mean                         float64
 }
 
 const (
-	priorSlope  = -0.3
-	priorWeight = 2.0 // of the offset, in jobs
-	priorSpread = 1.0 // weight of the slope, as a sum of squared logarithms
-	maxError    = 1.4 // of an estimate, as a logarithm: a factor of four
+	priorSlope        = -0.3
+	priorOffsetWeight = 2.0 // of the offset, in jobs
+	priorSlopeWeight  = 1.0 // weight of the slope, as a sum of squared logarithms
+	maxLogError       = 1.4 // of an estimate, as a logarithm: a factor of four
 )
 
 // addEstimate records the estimate of a job that has arrived.
 func (e *runTimeEstimator) addEstimate(estimate float64) {
 	if estimate > 0 {
-		e.seen++
-		e.sum += math.Log(estimate)
+		e.seenJobs++
+		e.sumLogEstimates += math.Log(estimate)
 	}
 }
 
@@ -42,38 +43,38 @@
 		return
 	}
 	x := math.Log(estimate)
-	d := max(-maxError, min(maxError, math.Log(ran)-x))
-	e.n++
-	e.x += x
-	e.d += d
-	e.xx += x * x
-	e.xd += x * d
+	d := max(-maxLogError, min(maxLogError, math.Log(ran)-x))
+	e.completedJobs++
+	e.sumX += x
+	e.sumErr += d
+	e.sumXX += x * x
+	e.sumXErr += x * d
 }
 
 // expect returns how long a task of a job with this estimate is expected to run.
 func (e *runTimeEstimator) expect(estimate float64) float64 {
-	if estimate <= 0 || e.seen == 0 {
+	if estimate <= 0 || e.seenJobs == 0 {
 		return estimate
 	}
-	if e.n != e.lastN || e.seen != e.lastSeen {
+	if e.completedJobs != e.fittedCompletedJobs || e.seenJobs != e.fittedSeenJobs {
 		e.fit()
 	}
 	err := e.offset + e.slope*(math.Log(estimate)-e.mean)
-	return estimate * math.Exp(max(-maxError, min(maxError, err)))
+	return estimate * math.Exp(max(-maxLogError, min(maxLogError, err)))
 }
 
 // fit computes offset and slope from the sums.
 func (e *runTimeEstimator) fit() {
-	e.lastN, e.lastSeen = e.n, e.seen
-	e.mean = e.sum / e.seen
-	u := e.x - e.n*e.mean
-	uu := e.xx - 2*e.mean*e.x + e.n*e.mean*e.mean
-	ud := e.xd - e.mean*e.d
+	e.fittedCompletedJobs, e.fittedSeenJobs = e.completedJobs, e.seenJobs
+	e.mean = e.sumLogEstimates / e.seenJobs
+	u := e.sumX - e.completedJobs*e.mean
+	uu := e.sumXX - 2*e.mean*e.sumX + e.completedJobs*e.mean*e.mean
+	ud := e.sumXErr - e.mean*e.sumErr
 	// (n+p) offset + u slope = d;  u offset + (uu+s) slope = ud + s priorSlope
-	p, s := e.n+priorWeight, uu+priorSpread
-	r := ud + priorSpread*priorSlope
+	p, s := e.completedJobs+priorOffsetWeight, uu+priorSlopeWeight
+	r := ud + priorSlopeWeight*priorSlope
 	det := p*s - u*u
-	e.offset, e.slope = (e.d*s-u*r)/det, (p*r-u*e.d)/det
+	e.offset, e.slope = (e.sumErr*s-u*r)/det, (p*r-u*e.sumErr)/det
 }
 
 // runStatistics are the run times of those tasks of a job that completed without interruption,
@@ -124,7 +125,7 @@
 	c := m.classes.get(j.Spec.Class)
 	basis := estimateBasis{completedTasks: j.runs.count}
 	if c != nil {
-		basis.completedJobs, basis.seenJobs = c.runs.n, c.runs.seen
+		basis.completedJobs, basis.seenJobs = c.runs.completedJobs, c.runs.seenJobs
 	}
 	if j.runTime.validFor(basis) {
 		return j.runTime.seconds
@@ -145,13 +146,13 @@
 	return remainingOf(m.expectedRunTime(j), &j.Tasks[task])
 }
 
-// minRemaining is the least that is expected to remain of a task's run time, in seconds, unless
+// minRemainingSeconds is the least that is expected to remain of a task's run time, in seconds, unless
 // the whole is expected to be shorter.
-const minRemaining = 5
+const minRemainingSeconds = 5
 
 // remainingOf returns what remains of a task's run time, given the whole.
 func remainingOf(estimate float64, t *Task) float64 {
-	return max(estimate-float64(t.progress), min(estimate, minRemaining))
+	return max(estimate-float64(t.progress), min(estimate, minRemainingSeconds))
 }
 
 // recordSavedProgress records the progress of an attempt that saved a checkpoint when it
--- a/cluster/startup_stragglers_test.go
+++ b/cluster/startup_stragglers_test.go
@@ -6,20 +6,20 @@
 // task would just be in time, most of those with a dozen tasks were half a minute late.
 func TestSlowestTaskAndStartDelayAreLearned(t *testing.T) {
 	var s startupAndStragglerStats
-	if got := s.slowestTask(100, 1); got != 100 {
+	if got := s.slowestTaskSeconds(100, 1); got != 100 {
 		t.Errorf("a single task: %v", got)
 	}
 	for range 20 {
 		s.addJob(0.3, 16)
 		s.addStartDelay(9)
 	}
-	if got := s.slowestTask(100, 16); got < 125 || got > 130 {
+	if got := s.slowestTaskSeconds(100, 16); got < 125 || got > 130 {
 		t.Errorf("the last of 16 tasks after %v", got)
 	}
-	if got := s.slowestTask(100, 2); got > 110 {
+	if got := s.slowestTaskSeconds(100, 2); got > 110 {
 		t.Errorf("the last of 2 tasks after %v", got)
 	}
-	if got := s.startDelay(); got < 7 || got > 9 {
+	if got := s.startDelaySeconds(); got < 7 || got > 9 {
 		t.Errorf("a task runs %v after its placement", got)
 	}
 }
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -19,29 +19,29 @@
 // start delays and job sizes of a class) each leader learns anew.
 
 const (
-	boundInterval = 2 * time.Second  // between two checks; verdicts stand until the next one
-	startMargin   = 10 * time.Second // by which a job should be early
-	// largestMargin is the share of the bound by which the largest jobs of a class
+	boundCheckInterval = 2 * time.Second  // between two checks; verdicts stand until the next one
+	startMargin        = 10 * time.Second // by which a job should be early
+	// largeJobMarginShare is the share of the bound by which the largest jobs of a class
 	// should be earlier still, since their waits are the hardest to predict.
-	largestMargin = 0.1
-	// largeArrayMargin is the share of the bound by which the first task of an array of
-	// at least largeArrayTasks tasks is early: delaying a single task saves nothing.
-	largeArrayMargin = 0.5
-	largeArrayTasks  = 8
+	largeJobMarginShare = 0.1
+	// largeArrayMarginShare is the share of the bound by which the first task of an array of
+	// at least minLargeArrayTasks tasks is early: delaying a single task saves nothing.
+	largeArrayMarginShare = 0.5
+	minLargeArrayTasks    = 8
 	// minStartSlack and startSlackShare make up the slack at which a job is served by the bound:
 	// a constant, and a share of the predicted wait for its resources.
-	minStartSlack       = 10 * time.Second
-	startSlackShare     = 0.25
-	boundHoldSeconds    = 150       // how far ahead resources are held for a job that must start
-	maxMustStarts       = 100       // jobs served by the bound in one pass
-	maxInfeasibleRounds = 50        // simulations of a class from which the costliest job is dropped
-	schedulingHorizon   = time.Hour // resources that become free later count as never free
-	// lastCall is how long before the time by which it must hold its resources a job
-	// precedes new starts of higher priority. For every lastCallMachines ready machines one
+	minStartSlack          = 10 * time.Second
+	startSlackShare        = 0.25
+	boundHoldSeconds       = 150       // how far ahead resources are held for a job that must start
+	maxMustStarts          = 100       // jobs served by the bound in one pass
+	maxCostliestDropRounds = 50        // simulations of a class from which the costliest job is dropped
+	schedulingHorizon      = time.Hour // resources that become free later count as never free
+	// escalationLead is how long before the time by which it must hold its resources a job
+	// precedes new starts of higher priority. For every machinesPerEscalation ready machines one
 	// place may be used for such jobs at a time.
-	lastCall         = 20 * time.Second
-	lastCallMachines = 10
-	startProtection  = 30 * time.Second // after its start, in which a job's only placed task is not preempted
+	escalationLead        = 20 * time.Second
+	machinesPerEscalation = 10
+	startProtection       = 30 * time.Second // after its start, in which a job's only placed task is not preempted
 )
 
 // starvationBound limits how long any job waits for its first start
@@ -69,7 +69,7 @@
 // decide records the result of a check of the bound.
 func (s *startState) decide(f *startForecast, mustStart bool) {
 	s.mustStart = mustStart
-	s.startBy, s.startDelay = f.startBy, f.servedFirst
+	s.startBy, s.startDelay = f.startBy, f.delayServedFirst
 	s.infeasible, s.noCapacity = f.infeasible, f.hasNoCapacity()
 }
 
@@ -118,13 +118,13 @@
 }
 
 // checkStarvationBound marks the waiting jobs that must hold resources now in order to start
-// in time, and those that the completion floor protects. It runs every boundInterval; jobs that
+// in time, and those that the completion floor protects. It runs every boundCheckInterval; jobs that
 // arrive in between wait for the next check.
 func (m *Model) checkStarvationBound(queue []*queued, now time.Time) {
 	if m.StarvationBound <= 0 || now.Before(m.starvation.nextCheck) {
 		return
 	}
-	m.starvation.nextCheck = now.Add(boundInterval)
+	m.starvation.nextCheck = now.Add(boundCheckInterval)
 	byClass := map[string][]*queued{}
 	var classes []string // in the order in which they appear in the queue
 	for _, k := range queue {
@@ -156,10 +156,10 @@
 	if math.IsInf(fetch, 1) {
 		fetch = 0
 	}
-	must = j.AcceptedAt.Add(m.StarvationBound - config.Seconds(fetch+m.startupAndStragglersOf(j).startDelay()))
+	must = j.AcceptedAt.Add(m.StarvationBound - config.Seconds(fetch+m.startupAndStragglersOf(j).startDelaySeconds()))
 	should = must.Add(-startMargin)
 	if m.isLargeJob(j) {
-		should = should.Add(-time.Duration(largestMargin * float64(m.StarvationBound)))
+		should = should.Add(-time.Duration(largeJobMarginShare * float64(m.StarvationBound)))
 	}
 	return should, must
 }
--- a/cluster/starvation_check.go
+++ b/cluster/starvation_check.go
@@ -18,13 +18,13 @@
 // startForecast is the result of a check of the bound for one job.
 type startForecast struct {
 	startBy, hardLimit time.Time
-	servedFirst        time.Duration // until it holds its resources if it is served first
-	servedInTurn       time.Duration // the same if it is served after the jobs that are due earlier
+	delayServedFirst   time.Duration // until it holds its resources if it is served first
+	delayServedInTurn  time.Duration // the same if it is served after the jobs that are due earlier
 	infeasible         bool          // it can't start in time beside the others
 }
 
 // hasNoCapacity reports whether there are never as many places as the job needs to start.
-func (f *startForecast) hasNoCapacity() bool { return f.servedFirst > schedulingHorizon }
+func (f *startForecast) hasNoCapacity() bool { return f.delayServedFirst > schedulingHorizon }
 
 // boundCheck is a check of the bound for the unstarted jobs of one class. It simulates serving
 // them, earliest due first, as if nothing else were served from now on. Jobs that would be in
@@ -56,9 +56,9 @@
 	for i, k := range c.jobs {
 		f := &c.forecasts[i]
 		at, _ := places.earliest(k.job, k.job.placesToStart())
-		f.servedFirst = startDelayOf(at)
+		f.delayServedFirst = startDelayOf(at)
 		f.startBy, f.hardLimit = c.model.latestStart(k.job)
-		f.infeasible = f.hasNoCapacity() || c.now.Add(f.servedFirst).After(f.hardLimit)
+		f.infeasible = f.hasNoCapacity() || c.now.Add(f.delayServedFirst).After(f.hardLimit)
 		c.order[i] = i
 	}
 	sort.SliceStable(c.order, func(a, b int) bool {
@@ -71,7 +71,7 @@
 	return config.Seconds(min(seconds, maxStartDelay.Seconds()))
 }
 
-// dropLate marks jobs as infeasible until no other job is late. After maxInfeasibleRounds
+// dropLate marks jobs as infeasible until no other job is late. After maxCostliestDropRounds
 // simulations it drops the late jobs themselves, which takes fewer rounds.
 func (c *boundCheck) dropLate(places *zonePlaces) {
 	for drops := 0; ; drops++ {
@@ -79,7 +79,7 @@
 		if dropped < 0 {
 			return
 		}
-		if drops < maxInfeasibleRounds {
+		if drops < maxCostliestDropRounds {
 			dropped = c.costliestUpTo(dropped)
 		}
 		c.forecasts[dropped].infeasible = true
@@ -92,13 +92,13 @@
 	for _, i := range c.order {
 		k, f := c.jobs[i], &c.forecasts[i]
 		if f.infeasible {
-			f.servedInTurn = f.servedFirst
+			f.delayServedInTurn = f.delayServedFirst
 			continue
 		}
 		n := k.job.placesToStart()
 		at, zone := places.earliest(k.job, n)
-		f.servedInTurn = startDelayOf(at)
-		if c.now.Add(f.servedInTurn).After(f.hardLimit) {
+		f.delayServedInTurn = startDelayOf(at)
+		if c.now.Add(f.delayServedInTurn).After(f.hardLimit) {
 			return i
 		}
 		places.occupy(zone, n, at+k.runSeconds)
@@ -131,20 +131,20 @@
 	leastSlack := time.Duration(math.MaxInt64)
 	for o := len(c.order) - 1; o >= 0; o-- {
 		j, f := c.jobs[c.order[o]].job, &c.forecasts[c.order[o]]
-		slack := f.startBy.Sub(c.now) - f.servedInTurn
+		slack := f.startBy.Sub(c.now) - f.delayServedInTurn
 		var mustStart bool
 		switch {
-		case !j.Gang() && len(j.Tasks) >= largeArrayTasks:
-			mustStart = slack <= time.Duration(largeArrayMargin*float64(bound))
+		case !j.Gang() && len(j.Tasks) >= minLargeArrayTasks:
+			mustStart = slack <= time.Duration(largeArrayMarginShare*float64(bound))
 		case !f.infeasible:
 			leastSlack = min(leastSlack, slack)
-			mustStart = leastSlack <= sufficientSlack(f.servedInTurn)
+			mustStart = leastSlack <= sufficientSlack(f.delayServedInTurn)
 		case f.hasNoCapacity():
-			mustStart = f.startBy.Sub(c.now) <= lastCall
+			mustStart = f.startBy.Sub(c.now) <= escalationLead
 		default:
 			// Serving it in time would make others late, so that it gets twice the
 			// time.
-			mustStart = f.startBy.Add(bound).Sub(c.now)-f.servedFirst <= sufficientSlack(f.servedFirst)
+			mustStart = f.startBy.Add(bound).Sub(c.now)-f.delayServedFirst <= sufficientSlack(f.delayServedFirst)
 		}
 		j.start.decide(f, mustStart)
 	}
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -28,7 +28,7 @@
 		out = split.appendTo(out)
 		lo = hi
 	}
-	return m.promoteLastCalls(out, now)
+	return m.escalateNearBound(out, now)
 }
 
 // mustStartSplit is the queue of one priority, split by what the starvation bound and the
@@ -115,21 +115,21 @@
 	return queue
 }
 
-// promoteLastCalls moves jobs that are about to miss the bound ahead of new starts of higher
+// escalateNearBound moves jobs that are about to miss the bound ahead of new starts of higher
 // priority, but behind all work within a quota. Nothing is preempted for them. Their number
-// is bounded to one place per lastCallMachines ready machines, or a single job, and includes
+// is bounded to one place per machinesPerEscalation ready machines, or a single job, and includes
 // starts that are still protected.
-func (m *Model) promoteLastCalls(queue []*queued, now time.Time) []*queued {
+func (m *Model) escalateNearBound(queue []*queued, now time.Time) []*queued {
 	beyondGuarantee := slices.IndexFunc(queue, func(k *queued) bool { return !k.withinGuarantee })
 	if beyondGuarantee < 0 || queue[beyondGuarantee].job.priority == queue[len(queue)-1].job.priority {
 		return queue
 	}
 	highest := queue[beyondGuarantee].job.priority
-	places := m.lastCallPlaces(now)
+	places := m.escalationPlaces(now)
 	var called, others []*queued
 	for _, k := range queue[beyondGuarantee:] {
 		tasks := len(k.req.Tasks)
-		if k.isLastCall(now) && k.job.priority > highest && places > 0 && (tasks <= places || len(called) == 0) {
+		if k.needsEscalation(now) && k.job.priority > highest && places > 0 && (tasks <= places || len(called) == 0) {
 			places -= tasks
 			called = append(called, k)
 		} else {
@@ -139,8 +139,8 @@
 	return slices.Concat(queue[:beyondGuarantee], called, others)
 }
 
-// lastCallPlaces returns how many places last calls may take in this pass.
-func (m *Model) lastCallPlaces(now time.Time) int {
+// escalationPlaces returns how many places last calls may take in this pass.
+func (m *Model) escalationPlaces(now time.Time) int {
 	ready, protected := 0, 0
 	for _, mc := range m.Machines {
 		if !m.Ready(mc, now) {
@@ -153,11 +153,11 @@
 			}
 		}
 	}
-	return max(1, ready/lastCallMachines) - protected
+	return max(1, ready/machinesPerEscalation) - protected
 }
 
-// isLastCall reports whether a request is about to miss the starvation bound.
-func (k *queued) isLastCall(now time.Time) bool {
+// needsEscalation reports whether a request is about to miss the starvation bound.
+func (k *queued) needsEscalation(now time.Time) bool {
 	start := &k.job.start
-	return k.mustStart && start.startBy.Sub(now) < lastCall+min(start.startDelay, boundHoldSeconds*time.Second)
+	return k.mustStart && start.startBy.Sub(now) < escalationLead+min(start.startDelay, boundHoldSeconds*time.Second)
 }
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -11,13 +11,13 @@
 // postponed.
 
 const (
-	triageJobs  = 1000 // jobs of a class that are simulated
-	triageTasks = 128  // tasks of a job that are simulated one by one
+	maxTriageJobs  = 1000 // jobs of a class that are simulated
+	maxTriageTasks = 128  // tasks of a job that are simulated one by one
 
-	// triagePerTask is how long verdicts stand per waiting task, since the simulation takes
-	// longer the more tasks wait. triageMaxInterval bounds the product.
-	triagePerTask     = 500 * time.Microsecond
-	triageMaxInterval = 2 * time.Second
+	// triageIntervalPerTask is how long verdicts stand per waiting task, since the simulation takes
+	// longer the more tasks wait. maxTriageInterval bounds the product.
+	triageIntervalPerTask = 500 * time.Microsecond
+	maxTriageInterval     = 2 * time.Second
 )
 
 // triageState is when triage runs next, and a buffer that it reuses. Only triage.go and
@@ -64,7 +64,7 @@
 		for _, k := range queue {
 			tasks += len(k.req.Tasks)
 		}
-		m.triage.nextRun = now.Add(min(time.Duration(tasks)*triagePerTask, triageMaxInterval))
+		m.triage.nextRun = now.Add(min(time.Duration(tasks)*triageIntervalPerTask, maxTriageInterval))
 	}
 	for lo := 0; lo < len(queue); {
 		hi := lo + 1
@@ -95,7 +95,7 @@
 	byClass := map[string][]*queued{}
 	for _, k := range group {
 		k.totalWork = m.remainingWork(k.job, now)
-		if c := k.job.Spec.Class; !k.missed && len(byClass[c]) < triageJobs {
+		if c := k.job.Spec.Class; !k.missed && len(byClass[c]) < maxTriageJobs {
 			byClass[c] = append(byClass[c], k)
 		}
 	}
@@ -209,8 +209,8 @@
 			others = append(others, k)
 			continue
 		}
-		for range min(needed, triageTasks) {
-			places.occupyEarliest(k.runSeconds + m.startupAndStragglersOf(k.job).startDelay())
+		for range min(needed, maxTriageTasks) {
+			places.occupyEarliest(k.runSeconds + m.startupAndStragglersOf(k.job).startDelaySeconds())
 		}
 	}
 	return others
--- a/cluster/triage_simulation.go
+++ b/cluster/triage_simulation.go
@@ -52,15 +52,15 @@
 // serve occupies places for the tasks of a job and returns the seconds until its last task
 // starts.
 func (s *simulation) serve(k *queued) float64 {
-	startup := s.model.startupAndStragglersOf(k.job).startDelay()
+	startup := s.model.startupAndStragglersOf(k.job).startDelaySeconds()
 	tasks := len(k.req.Tasks)
 	last := 0.0
-	for range min(tasks, triageTasks) {
+	for range min(tasks, maxTriageTasks) {
 		last = s.free[0]
 		s.free.occupyEarliest(k.runSeconds + startup)
 	}
-	if tasks > triageTasks {
-		last += float64(tasks-triageTasks) * k.runSeconds / float64(len(s.free))
+	if tasks > maxTriageTasks {
+		last += float64(tasks-maxTriageTasks) * k.runSeconds / float64(len(s.free))
 	}
 	return last
 }
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -38,8 +38,8 @@
 // places.
 func (m *Model) forecastWindows(jobs []*Job, now time.Time) {
 	windows := &m.windows
-	knownAfter := config.Seconds(takeoverHeartbeats * m.settings.Cluster.Workers.HeartbeatS)
-	if now.Sub(windows.lastForecast) < forecastInterval || now.Sub(m.ElectedAt) < knownAfter || m.recoveringFromStall(now) {
+	machinesKnownAfter := config.Seconds(takeoverHeartbeats * m.settings.Cluster.Workers.HeartbeatS)
+	if now.Sub(windows.lastForecast) < forecastInterval || now.Sub(m.ElectedAt) < machinesKnownAfter || m.recoveringFromStall(now) {
 		return
 	}
 	windows.lastForecast = now
@@ -167,7 +167,7 @@
 		e.blocked[load] = append(e.blocked[load], reason)
 	}
 	startup := e.model.startupAndStragglersOf(j)
-	batch := calendar.Batch{Tasks: idle, Seconds: seconds/float64(idle) + startup.startDelay(), PlacesPerTask: 1,
+	batch := calendar.Batch{Tasks: idle, Seconds: seconds/float64(idle) + startup.startDelaySeconds(), PlacesPerTask: 1,
 		Blocked: j.quarantined || j.failures.atFault()}
 	if j.Gang() {
 		batch.Tasks, batch.PlacesPerTask = 1, float64(idle)
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -23,7 +23,7 @@
 }
 
 const (
-	provisionTTL         = 3 * forecastInterval                  // a decision that is not renewed ends after it
+	provisionDecisionTTL = 3 * forecastInterval                  // a decision that is not renewed ends after it
 	provisionMargin      = 2*forecastInterval + offerRefusalTime // machines are requested earlier by it, as a forecast may be late and an offer refused
 	maxProvisionMachines = maxScaleOut                           // machines wanted at a time
 	unlimitedPlaces      = 1 << 30                               // without a quota
@@ -132,7 +132,7 @@
 // after the requests of all waiting jobs; false if none is lacking.
 func (m *Model) provisionRequest(now time.Time) (placement.Request, bool) {
 	provision := &m.windows.provision
-	if provision.job == nil || now.Sub(provision.decidedAt) > provisionTTL || m.recoveringFromStall(now) {
+	if provision.job == nil || now.Sub(provision.decidedAt) > provisionDecisionTTL || m.recoveringFromStall(now) {
 		return placement.Request{}, false
 	}
 	lacking := provision.targetPlaces - m.placesExpected(provision.job, now)
