--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -144,27 +144,27 @@
 
 // applyWindowDeadline makes a batch window's job due by the earlier of its own deadline and
 // that of the batch window.
-func (m *Model) applyWindowDeadline(k *queued) {
-	schedule, window := m.windowOf(k.job)
+func (m *Model) applyWindowDeadline(entry *queueEntry) {
+	schedule, window := m.windowOf(entry.job)
 	if schedule == nil {
 		return
 	}
-	k.inWindow, k.deadline = true, window.Deadline
-	if seconds := k.job.Spec.DeadlineS; seconds != nil {
-		if own := k.job.AcceptedAt.Add(config.Seconds(*seconds)); own.Before(k.deadline) {
-			k.deadline = own
+	entry.inWindow, entry.deadline = true, window.Deadline
+	if seconds := entry.job.Spec.DeadlineS; seconds != nil {
+		if own := entry.job.AcceptedAt.Add(config.Seconds(*seconds)); own.Before(entry.deadline) {
+			entry.deadline = own
 		}
 	}
-	startup := m.startupAndStragglersOf(k.job)
-	if due := k.deadline.Add(-config.Seconds(startup.slowestTaskSeconds(k.runSeconds, len(k.req.Tasks)) + startup.startDelaySeconds())); due.Before(k.due) {
-		k.due = due
+	startup := m.startupAndStragglersOf(entry.job)
+	if due := entry.deadline.Add(-config.Seconds(startup.slowestTaskSeconds(entry.runSeconds, len(entry.req.Tasks)) + startup.startDelaySeconds())); due.Before(entry.due) {
+		entry.due = due
 	}
 }
 
 // lessByWindow orders two jobs of which at least one belongs to a batch window: jobs of
 // batch windows before other work of their priority, earlier deadlines first, and then the
 // longest job first, since a batch window is met as a whole or not at all.
-func lessByWindow(x, y *queued) bool {
+func lessByWindow(x, y *queueEntry) bool {
 	switch {
 	case x.inWindow != y.inWindow:
 		return x.inWindow
--- a/cluster/completion_floor.go
+++ b/cluster/completion_floor.go
@@ -63,16 +63,16 @@
 
 // enforceCompletionFloor marks the jobs that must not be postponed any longer: in each group
 // of which less than half is completed, the oldest of its old jobs, as many as are missing.
-func (m *Model) enforceCompletionFloor(queue []*queued, now time.Time) {
+func (m *Model) enforceCompletionFloor(queue []*queueEntry, now time.Time) {
 	oldAge := floorAgeFactor * m.StarvationBound
-	oldJobs := map[string][]*queued{}
-	for _, k := range queue {
-		k.job.start.setMustFinish(false)
-		if now.Sub(k.job.AcceptedAt) <= oldAge {
+	oldJobs := map[string][]*queueEntry{}
+	for _, entry := range queue {
+		entry.job.start.setMustFinish(false)
+		if now.Sub(entry.job.AcceptedAt) <= oldAge {
 			continue
 		}
-		for _, group := range m.floorGroups(k.job) {
-			oldJobs[group] = append(oldJobs[group], k)
+		for _, group := range m.floorGroups(entry.job) {
+			oldJobs[group] = append(oldJobs[group], entry)
 		}
 	}
 	for group, jobs := range oldJobs {
@@ -80,9 +80,9 @@
 		if missing == 0 {
 			continue
 		}
-		slices.SortStableFunc(jobs, func(a, b *queued) int { return a.job.AcceptedAt.Compare(b.job.AcceptedAt) })
-		for _, k := range jobs[:min(missing, len(jobs))] {
-			k.job.start.setMustFinish(true)
+		slices.SortStableFunc(jobs, func(a, b *queueEntry) int { return a.job.AcceptedAt.Compare(b.job.AcceptedAt) })
+		for _, entry := range jobs[:min(missing, len(jobs))] {
+			entry.job.start.setMustFinish(true)
 		}
 	}
 }
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -51,7 +51,7 @@
 	jobs := m.openJobs()
 	queue := m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), now)
 	// A job may have several requests; the first of them is explained.
-	position := slices.IndexFunc(queue, func(k *queued) bool { return k.job == j })
+	position := slices.IndexFunc(queue, func(entry *queueEntry) bool { return entry.job == j })
 	if position < 0 {
 		e.PendingReasons = outsideQueueReasons(j)
 		return e, true
@@ -62,49 +62,49 @@
 }
 
 // explainPosition adds the requests ahead of a request in the queue to its explanation.
-func (m *Model) explainPosition(e *Explanation, ahead []*queued, k *queued) {
-	for _, o := range slices.Backward(ahead) {
-		if o.job == k.job {
+func (m *Model) explainPosition(e *Explanation, ahead []*queueEntry, entry *queueEntry) {
+	for _, other := range slices.Backward(ahead) {
+		if other.job == entry.job {
 			continue
 		}
-		reason := k.behindReason(o)
+		reason := entry.behindReason(other)
 		e.AheadByReason[reason]++
 		if len(e.Nearest) < maxNearestShown {
-			e.Nearest = append(e.Nearest, JobAhead{o.job.ID, m.tiers.policy.TierName(o.job.tier), reason})
+			e.Nearest = append(e.Nearest, JobAhead{other.job.ID, m.tiers.policy.TierName(other.job.tier), reason})
 		}
 	}
 }
 
 // behindReason returns why another request is ahead of this one in the queue.
-func (k *queued) behindReason(o *queued) string {
+func (entry *queueEntry) behindReason(other *queueEntry) string {
 	switch {
-	case k.req.FreeCapacityOnly:
+	case entry.req.FreeCapacityOnly:
 		return "fault"
-	case k.withinGuarantee != o.withinGuarantee:
+	case entry.withinGuarantee != other.withinGuarantee:
 		return priority.WithinQuota.String()
-	case k.job.priority != o.job.priority:
+	case entry.job.priority != other.job.priority:
 		return priority.HigherPriority.String()
-	case o.req.StartDue:
+	case other.req.StartDue:
 		return priority.StarvationBound.String()
-	case o.req.PromotionCause == uint8(priority.PromotedByWait):
+	case other.req.PromotionCause == uint8(priority.PromotedByWait):
 		return priority.MaxWait.String()
-	case o.req.PromotionCause == uint8(priority.PromotedByShare):
+	case other.req.PromotionCause == uint8(priority.PromotedByShare):
 		return priority.FairShare.String()
-	case k.req.Tier != o.req.Tier:
+	case entry.req.Tier != other.req.Tier:
 		return "tier"
-	case o.req.PromotionCause == uint8(priority.PromotedInTier):
+	case other.req.PromotionCause == uint8(priority.PromotedInTier):
 		return priority.MaxWait.String()
-	case k.inWindow != o.inWindow:
+	case entry.inWindow != other.inWindow:
 		return "a night's work"
-	case k.missed != o.missed && !k.inWindow:
+	case entry.missed != other.missed && !entry.inWindow:
 		return "can still meet its aim"
 	}
 	return "due sooner"
 }
 
 // pendingReasons lists what a request in the queue waits for.
-func (m *Model) pendingReasons(k *queued) (out []string) {
-	r, j := &k.req, k.job
+func (m *Model) pendingReasons(entry *queueEntry) (out []string) {
+	r, j := &entry.req, entry.job
 	if n := placement.TasksWithinLimit(r, m.teams); n == 0 || r.Gang && n < len(r.Tasks) {
 		t := m.teams[r.Team]
 		out = append(out, fmt.Sprintf("its team's limit: %g of %g CPUs and %g of %g GPUs are in use (0: no limit)", t.Used.CPU, t.Max.CPU, t.Used.GPU, t.Max.GPU))
--- a/cluster/gpu_machines.go
+++ b/cluster/gpu_machines.go
@@ -22,8 +22,8 @@
 // Otherwise tasks without an objective occupy the machines without GPUs for minutes, so that
 // all others need those with GPUs; and thousands of small tasks take the CPUs beside the GPUs
 // one at a time, so that a task that needs both never finds enough of them.
-func (m *Model) keepGPUMachinesFree(queue []*queued, jobs []*Job) {
-	gpusWanted := slices.ContainsFunc(queue, func(k *queued) bool { return k.job.Need.GPU > 0 })
+func (m *Model) keepGPUMachinesFree(queue []*queueEntry, jobs []*Job) {
+	gpusWanted := slices.ContainsFunc(queue, func(entry *queueEntry) bool { return entry.job.Need.GPU > 0 })
 	withoutGPUs := make([]bool, len(m.MachineTypes))
 	for i := range m.MachineTypes {
 		withoutGPUs[i] = m.MachineTypes[i].Capacity.GPU == 0
@@ -33,15 +33,15 @@
 	}
 	preemptible := slices.ContainsFunc(jobs, func(j *Job) bool { return j.PlacedTasks > 0 && j.Need.GPU == 0 && !m.hasObjective(j) })
 	highest := m.highestPriorityForGPUs(queue)
-	for _, k := range queue {
-		if k.job.Need.GPU > 0 || !slices.ContainsFunc(m.fittingTypes(k.job), func(i int) bool { return withoutGPUs[i] }) {
+	for _, entry := range queue {
+		if entry.job.Need.GPU > 0 || !slices.ContainsFunc(m.fittingTypes(entry.job), func(i int) bool { return withoutGPUs[i] }) {
 			continue
 		}
 		switch {
-		case !k.withinGuarantee && (!m.hasObjective(k.job) || !k.mustStart && k.job.priority >= highest && !m.hasWaitObjective(k.job)):
-			k.req.Types = intersect(k.req.Types, withoutGPUs)
+		case !entry.withinGuarantee && (!m.hasObjective(entry.job) || !entry.mustStart && entry.job.priority >= highest && !m.hasWaitObjective(entry.job)):
+			entry.req.Types = intersect(entry.req.Types, withoutGPUs)
 		case preemptible:
-			k.req.PreferredTypes = intersect(k.req.Types, withoutGPUs)
+			entry.req.PreferredTypes = intersect(entry.req.Types, withoutGPUs)
 		}
 	}
 }
@@ -49,11 +49,11 @@
 // highestPriorityForGPUs returns the highest priority, which is the lowest number, of the
 // requests that wait for GPUs and not for their team's limit. It returns a number above all
 // priorities if there are none.
-func (m *Model) highestPriorityForGPUs(queue []*queued) int {
+func (m *Model) highestPriorityForGPUs(queue []*queueEntry) int {
 	highest := math.MaxInt
-	for _, k := range queue {
-		if k.job.Need.GPU > 0 && k.job.priority < highest && placement.TasksWithinLimit(&k.req, m.teams) > 0 {
-			highest = k.job.priority
+	for _, entry := range queue {
+		if entry.job.Need.GPU > 0 && entry.job.priority < highest && placement.TasksWithinLimit(&entry.req, m.teams) > 0 {
+			highest = entry.job.priority
 		}
 	}
 	return highest
--- a/cluster/gpu_machines_test.go
+++ b/cluster/gpu_machines_test.go
@@ -68,8 +68,8 @@
 			other.Job.GPUs, other.Job.Priority = c.gpus, c.waiting
 			m.ApplyJobRecord(other.Job.ID, other, 1, at(0))
 			jobs := m.openJobs()
-			for _, k := range m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), at(1)) {
-				if k.job.Spec.Class == "small" && k.req.Types[m.names.machineTypes["m"]] == c.keeps {
+			for _, entry := range m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), at(1)) {
+				if entry.job.Spec.Class == "small" && entry.req.Types[m.names.machineTypes["m"]] == c.keeps {
 					t.Errorf("may go to a machine with GPUs: %t", !c.keeps)
 				}
 			}
--- a/cluster/objectives.go
+++ b/cluster/objectives.go
@@ -49,11 +49,11 @@
 
 // latestStarts returns by when a queued job must start to meet the objectives of its class,
 // as far as it can still meet them.
-func (m *Model) latestStarts(k *queued, now time.Time) startDeadlines {
-	j := k.job
+func (m *Model) latestStarts(entry *queueEntry, now time.Time) startDeadlines {
+	j := entry.job
 	learned := m.startupAndStragglersOf(j)
 	startup := config.Seconds(learned.startDelaySeconds())
-	duration := config.Seconds(learned.slowestTaskSeconds(k.runSeconds, len(k.req.Tasks))) + startup
+	duration := config.Seconds(learned.slowestTaskSeconds(entry.runSeconds, len(entry.req.Tasks))) + startup
 	var deadlines startDeadlines
 	for i := range m.settings.Cluster.Objectives {
 		o := &m.settings.Cluster.Objectives[i]
@@ -66,7 +66,7 @@
 		case config.ObjectiveGuarantee:
 			// A job that has missed this objective loses nothing by waiting longer:
 			// jobs that can still meet it precede it until its next objective is due.
-			if k.withinGuarantee {
+			if entry.withinGuarantee {
 				deadlines.addWait(j, o, startup, now)
 			}
 		case config.ObjectiveFinished:
--- a/cluster/placeholders.go
+++ b/cluster/placeholders.go
@@ -31,15 +31,15 @@
 // resources for the expected jobs of classes with an objective on the wait that can't preempt
 // tasks of the request's class. A class is reserved for once in a pass; done has the classes
 // for which this has happened.
-func (m *Model) backfillReservations(k *queued, done map[string]bool, now time.Time) []placement.Request {
-	own := m.classes.get(k.job.Spec.Class)
-	if own == nil || k.withinGuarantee {
+func (m *Model) backfillReservations(entry *queueEntry, done map[string]bool, now time.Time) []placement.Request {
+	own := m.classes.get(entry.job.Spec.Class)
+	if own == nil || entry.withinGuarantee {
 		return nil
 	}
 	var out []placement.Request
 	for _, name := range m.classes.names {
 		c := m.classes.get(name)
-		if done[name] || !c.hasWaitObjective || c.lastJob.priority != k.job.priority || !m.reservesFor(c, k, own) {
+		if done[name] || !c.hasWaitObjective || c.lastJob.priority != entry.job.priority || !m.reservesFor(c, entry, own) {
 			continue
 		}
 		done[name] = true
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -131,7 +131,7 @@
 // ahead of their own tier if waits alone have won enough. Tasks that are not promoted keep
 // their position, and neither guarantees nor priorities nor the starvation bound are
 // bypassed.
-func (m *Model) promoteStarvedTiers(queue []*queued, now time.Time) []*queued {
+func (m *Model) promoteStarvedTiers(queue []*queueEntry, now time.Time) []*queueEntry {
 	if m.tiers.policy == nil {
 		return queue
 	}
@@ -140,7 +140,7 @@
 		return queue
 	}
 	promotions := m.tiers.policy.Promote(pendingJobs(queue, fleet, now), m.tierUsage(fleet))
-	out := make([]*queued, 0, len(queue))
+	out := make([]*queueEntry, 0, len(queue))
 	for lo := 0; lo < len(queue); {
 		hi := lo + 1
 		for hi < len(queue) && queue[hi].sameRank(queue[lo]) {
@@ -158,13 +158,13 @@
 }
 
 // pendingJobs describes the queue to the policy.
-func pendingJobs(queue []*queued, fleet placement.Resources, now time.Time) []priority.PendingJob {
+func pendingJobs(queue []*queueEntry, fleet placement.Resources, now time.Time) []priority.PendingJob {
 	pending := make([]priority.PendingJob, len(queue))
-	for i, k := range queue {
+	for i, entry := range queue {
 		pending[i] = priority.PendingJob{
-			Tier: k.req.Tier, Tasks: len(k.req.Tasks), Gang: k.req.Gang, TaskShare: dominantShare(k.req.Need, fleet),
-			WaitedSeconds: now.Sub(k.job.AcceptedAt).Seconds(), Placed: k.job.PlacedTasks,
-			Started: k.job.hasStarted(),
+			Tier: entry.req.Tier, Tasks: len(entry.req.Tasks), Gang: entry.req.Gang, TaskShare: dominantShare(entry.req.Need, fleet),
+			WaitedSeconds: now.Sub(entry.job.AcceptedAt).Seconds(), Placed: entry.job.PlacedTasks,
+			Started: entry.job.hasStarted(),
 		}
 	}
 	return pending
@@ -173,14 +173,14 @@
 // splitPromoted splits the requests of one rank into what is promoted ahead of other tiers and
 // the rest, in which requests that are promoted within their tier come first. Both are sorted
 // by tier.
-func splitPromoted(group []*queued, promotions []priority.Promotion) (promoted, rest []*queued) {
-	for i, k := range group {
+func splitPromoted(group []*queueEntry, promotions []priority.Promotion) (promoted, rest []*queueEntry) {
+	for i, entry := range group {
 		p := promotions[i]
 		if p.Tasks == 0 {
-			rest = append(rest, k)
+			rest = append(rest, entry)
 			continue
 		}
-		head, tail := k.split(p.Tasks)
+		head, tail := entry.split(p.Tasks)
 		head.req.PromotionCause = uint8(p.Cause)
 		head.req.Hold = head.req.Hold || p.Cause != priority.PromotedByShare
 		if p.Cause == priority.PromotedInTier {
@@ -205,51 +205,51 @@
 // Requests whose tier's longest wait is over take a position among the latter, by the time at
 // which it was over: under overload all jobs must start by the bound in the end, and behind all
 // of them the longest wait would mean nothing.
-func (m *Model) mergePromoted(queue, promoted []*queued) []*queued {
-	var others []*queued
-	for _, k := range promoted {
-		if priority.PromotionCause(k.req.PromotionCause) != priority.PromotedByWait {
-			others = append(others, k)
+func (m *Model) mergePromoted(queue, promoted []*queueEntry) []*queueEntry {
+	var others []*queueEntry
+	for _, entry := range promoted {
+		if priority.PromotionCause(entry.req.PromotionCause) != priority.PromotedByWait {
+			others = append(others, entry)
 			continue
 		}
-		waitOver := k.job.AcceptedAt.Add(config.Seconds(m.tiers.policy.MaxWaitSeconds(k.req.Tier)))
+		waitOver := entry.job.AcceptedAt.Add(config.Seconds(m.tiers.policy.MaxWaitSeconds(entry.req.Tier)))
 		at := len(queue)
-		for at > 0 && k.passes(queue[at-1], waitOver) {
+		for at > 0 && entry.overtakesMustStart(queue[at-1], waitOver) {
 			at--
 		}
-		k.req.StartDue = true
-		queue = slices.Insert(queue, at, k)
+		entry.req.StartDue = true
+		queue = slices.Insert(queue, at, entry)
 	}
 	return append(queue, others...)
 }
 
-// passes reports whether a request whose tier's longest wait was over at the given time takes
-// its position before o, which must start by the starvation bound if it is of the same rank.
-func (k *queued) passes(o *queued, waitOver time.Time) bool {
-	if !o.req.StartDue || o.withinGuarantee != k.withinGuarantee || o.job.priority != k.job.priority {
+// overtakesMustStart reports whether a request whose tier's longest wait was over at the given time takes
+// its position before other, which must start by the starvation bound if it is of the same rank.
+func (entry *queueEntry) overtakesMustStart(other *queueEntry, waitOver time.Time) bool {
+	if !other.req.StartDue || other.withinGuarantee != entry.withinGuarantee || other.job.priority != entry.job.priority {
 		return false
 	}
-	if o.job.start.mustFinish || priority.PromotionCause(o.req.PromotionCause) == priority.PromotedByWait {
+	if other.job.start.mustFinish || priority.PromotionCause(other.req.PromotionCause) == priority.PromotedByWait {
 		return false
 	}
-	return o.job.start.infeasible || o.job.start.startBy.After(waitOver)
+	return other.job.start.infeasible || other.job.start.startBy.After(waitOver)
 }
 
 // sameRank reports whether only priority tiers and objectives order two requests.
-func (k *queued) sameRank(o *queued) bool {
-	return k.withinGuarantee == o.withinGuarantee && k.job.priority == o.job.priority && k.req.StartDue == o.req.StartDue
+func (entry *queueEntry) sameRank(other *queueEntry) bool {
+	return entry.withinGuarantee == other.withinGuarantee && entry.job.priority == other.job.priority && entry.req.StartDue == other.req.StartDue
 }
 
 // split splits off the first n tasks of a request. Both parts share the counts by zone. If one
 // zone is still to be chosen for all tasks, the tail is nil, and its tasks wait for the next
 // pass.
-func (k *queued) split(n int) (head, tail *queued) {
-	if n >= len(k.req.Tasks) {
-		return k, nil
+func (entry *queueEntry) split(n int) (head, tail *queueEntry) {
+	if n >= len(entry.req.Tasks) {
+		return entry, nil
 	}
-	first, others := *k, *k
-	first.req.Tasks, others.req.Tasks = k.req.Tasks[:n:n], k.req.Tasks[n:]
-	if k.req.OneZone && k.req.Zone < 0 {
+	first, others := *entry, *entry
+	first.req.Tasks, others.req.Tasks = entry.req.Tasks[:n:n], entry.req.Tasks[n:]
+	if entry.req.OneZone && entry.req.Zone < 0 {
 		return &first, nil
 	}
 	return &first, &others
@@ -271,14 +271,14 @@
 }
 
 // reservesFor reports whether resources are reserved for expected jobs of class c before
-// request k is served: always if c is of a higher tier, by the rule without tiers if it is of
-// the same one, and never if k was promoted.
-func (m *Model) reservesFor(c *classStats, k *queued, own *classStats) bool {
+// request entry is served: always if c is of a higher tier, by the rule without tiers if it is of
+// the same one, and never if entry was promoted.
+func (m *Model) reservesFor(c *classStats, entry *queueEntry, own *classStats) bool {
 	if m.tiers.policy == nil {
 		return !own.hasWaitObjective
 	}
 	t := c.lastJob.tier
-	return k.req.PromotionCause == 0 && !k.req.StartDue && (t < k.req.Tier || t == k.req.Tier && !own.hasWaitObjective)
+	return entry.req.PromotionCause == 0 && !entry.req.StartDue && (t < entry.req.Tier || t == entry.req.Tier && !own.hasWaitObjective)
 }
 
 // sortByTier sorts classes by tier, highest first, in place.
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -18,9 +18,9 @@
 	noObjectiveDueIn = time.Hour
 )
 
-// queued is a job in the queue of a scheduling pass, with what determines its position. It
+// queueEntry is a job in the queue of a scheduling pass, with what determines its position. It
 // lives for one pass; what outlasts the pass is kept in the job (triageVerdict, startState).
-type queued struct {
+type queueEntry struct {
 	job             *Job
 	withinGuarantee bool
 	due             time.Time   // latest start for the objective that it is served for
@@ -36,12 +36,12 @@
 }
 
 // nextObjective makes the job due for the next of its later objectives.
-func (k *queued) nextObjective(now time.Time) {
-	if len(k.laterDue) == 0 {
-		k.due = now.Add(noObjectiveDueIn)
+func (entry *queueEntry) nextObjective(now time.Time) {
+	if len(entry.laterDue) == 0 {
+		entry.due = now.Add(noObjectiveDueIn)
 		return
 	}
-	k.due, k.laterDue = k.laterDue[0], k.laterDue[1:]
+	entry.due, entry.laterDue = entry.laterDue[0], entry.laterDue[1:]
 }
 
 // openJobs lists the jobs that have unfinished tasks and may be scheduled, in the order in
@@ -70,9 +70,9 @@
 // are served. Jobs that fail wherever they run are at its end. It updates the state of triage
 // and of the starvation bound, so that Explain, which calls it too, is for models that no
 // leader uses.
-func (m *Model) buildQueue(jobs []*Job, withinGuarantee map[int32]bool, now time.Time) []*queued {
+func (m *Model) buildQueue(jobs []*Job, withinGuarantee map[int32]bool, now time.Time) []*queueEntry {
 	m.classes.countOpenTasks(jobs)
-	var queue, faulty []*queued
+	var queue, faulty []*queueEntry
 	for _, j := range jobs {
 		r, ok := m.buildRequest(j, now)
 		if !ok {
@@ -82,9 +82,9 @@
 			faulty = append(faulty, newFaultyEntry(j, r, now))
 			continue
 		}
-		k := &queued{job: j, withinGuarantee: withinGuarantee[j.Index], req: r}
-		m.rankByObjectives(k, now)
-		queue = append(queue, k)
+		entry := &queueEntry{job: j, withinGuarantee: withinGuarantee[j.Index], req: r}
+		m.rankByObjectives(entry, now)
+		queue = append(queue, entry)
 	}
 	sort.SliceStable(queue, func(a, b int) bool { return queue[a].precedes(queue[b]) })
 	m.runTriage(queue, now)
@@ -99,43 +99,43 @@
 // newFaultyEntry queues a job that fails wherever it runs. It gets free resources only:
 // nothing is reserved, preempted or rented for it, and no image is fetched for it before
 // those of healthy work.
-func newFaultyEntry(j *Job, r placement.Request, now time.Time) *queued {
-	k := &queued{job: j, missed: true, req: r}
-	k.req.FreeCapacityOnly = true
-	k.nextObjective(now)
-	return k
+func newFaultyEntry(j *Job, r placement.Request, now time.Time) *queueEntry {
+	entry := &queueEntry{job: j, missed: true, req: r}
+	entry.req.FreeCapacityOnly = true
+	entry.nextObjective(now)
+	return entry
 }
 
 // rankByObjectives determines by when a queued job must start, and whether resources are held
 // for it.
-func (m *Model) rankByObjectives(k *queued, now time.Time) {
-	j := k.job
+func (m *Model) rankByObjectives(entry *queueEntry, now time.Time) {
+	j := entry.job
 	estimate := m.expectedRunTime(j)
-	for _, t := range k.req.Tasks {
-		k.runSeconds = max(k.runSeconds, remainingOf(estimate, &j.Tasks[t]))
+	for _, t := range entry.req.Tasks {
+		entry.runSeconds = max(entry.runSeconds, remainingOf(estimate, &j.Tasks[t]))
 	}
-	deadlines := m.latestStarts(k, now)
-	k.laterDue, k.missed = deadlines.latest, deadlines.allMissed()
-	k.nextObjective(now)
-	m.applyWindowDeadline(k)
-	k.req.WithinGuarantee = k.withinGuarantee
-	k.req.Hold = deadlines.waitIsNext() && m.hasCompetitors(j) || m.outranksCompetitors(j)
+	deadlines := m.latestStarts(entry, now)
+	entry.laterDue, entry.missed = deadlines.latest, deadlines.allMissed()
+	entry.nextObjective(now)
+	m.applyWindowDeadline(entry)
+	entry.req.WithinGuarantee = entry.withinGuarantee
+	entry.req.Hold = deadlines.waitIsNext() && m.hasCompetitors(j) || m.outranksCompetitors(j)
 }
 
-// precedes reports whether k is served before o, before triage and the starvation bound have
+// precedes reports whether entry is served before other, before triage and the starvation bound have
 // changed the order.
-func (k *queued) precedes(o *queued) bool {
+func (entry *queueEntry) precedes(other *queueEntry) bool {
 	switch {
-	case k.withinGuarantee != o.withinGuarantee:
-		return k.withinGuarantee
-	case k.job.priority != o.job.priority:
-		return k.job.priority < o.job.priority
-	case k.req.Tier != o.req.Tier:
-		return k.req.Tier < o.req.Tier
-	case k.inWindow || o.inWindow:
-		return lessByWindow(k, o)
-	case k.missed != o.missed:
-		return o.missed
+	case entry.withinGuarantee != other.withinGuarantee:
+		return entry.withinGuarantee
+	case entry.job.priority != other.job.priority:
+		return entry.job.priority < other.job.priority
+	case entry.req.Tier != other.req.Tier:
+		return entry.req.Tier < other.req.Tier
+	case entry.inWindow || other.inWindow:
+		return lessByWindow(entry, other)
+	case entry.missed != other.missed:
+		return other.missed
 	}
-	return k.due.Before(o.due)
+	return entry.due.Before(other.due)
 }
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -101,25 +101,25 @@
 
 // addQueue adds the queued requests to the input, in the queue's order, and before each the
 // backfill reservations that take precedence over it.
-func (p *schedulingPass) addQueue(queue []*queued) {
+func (p *schedulingPass) addQueue(queue []*queueEntry) {
 	reservedClasses := map[string]bool{}
 	p.requestJobs = make([]*Job, 0, len(queue)+4)
-	for _, k := range queue {
-		if !k.mustStart { // the starvation bound takes precedence over reservations
-			p.addPlaceholders(p.model.backfillReservations(k, reservedClasses, p.now))
+	for _, entry := range queue {
+		if !entry.mustStart { // the starvation bound takes precedence over reservations
+			p.addPlaceholders(p.model.backfillReservations(entry, reservedClasses, p.now))
 		}
-		p.addRequest(k)
+		p.addRequest(entry)
 	}
 }
 
 // addRequest adds a queued request to the input.
-func (p *schedulingPass) addRequest(k *queued) {
-	r := k.req
+func (p *schedulingPass) addRequest(entry *queueEntry) {
+	r := entry.req
 	r.Avoid = p.avoidedPositions(r.Avoid)
-	r.PreferredMachines = p.model.moveTargets(k.job, p.inputPositions)
-	r.PoolAccess = p.model.poolAccess(k.job)
+	r.PreferredMachines = p.model.moveTargets(entry.job, p.inputPositions)
+	r.PoolAccess = p.model.poolAccess(entry.job)
 	p.input.Requests = append(p.input.Requests, r)
-	p.requestJobs = append(p.requestJobs, k.job)
+	p.requestJobs = append(p.requestJobs, entry.job)
 }
 
 // avoidedPositions translates the model's machines that a request avoids into positions in
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -120,22 +120,22 @@
 // checkStarvationBound marks the waiting jobs that must hold resources now in order to start
 // in time, and those that the completion floor protects. It runs every boundCheckInterval; jobs that
 // arrive in between wait for the next check.
-func (m *Model) checkStarvationBound(queue []*queued, now time.Time) {
+func (m *Model) checkStarvationBound(queue []*queueEntry, now time.Time) {
 	if m.StarvationBound <= 0 || now.Before(m.starvation.nextCheck) {
 		return
 	}
 	m.starvation.nextCheck = now.Add(boundCheckInterval)
-	byClass := map[string][]*queued{}
+	byClass := map[string][]*queueEntry{}
 	var classes []string // in the order in which they appear in the queue
-	for _, k := range queue {
-		if k.job.placesToStart() == 0 {
+	for _, entry := range queue {
+		if entry.job.placesToStart() == 0 {
 			continue
 		}
-		class := k.job.Spec.Class
+		class := entry.job.Spec.Class
 		if byClass[class] == nil {
 			classes = append(classes, class)
 		}
-		byClass[class] = append(byClass[class], k)
+		byClass[class] = append(byClass[class], entry)
 	}
 	for _, class := range classes {
 		m.checkClassBound(byClass[class], now)
--- a/cluster/starvation_check.go
+++ b/cluster/starvation_check.go
@@ -35,14 +35,14 @@
 type boundCheck struct {
 	model     *Model
 	now       time.Time
-	jobs      []*queued
+	jobs      []*queueEntry
 	forecasts []startForecast // of each job
 	order     []int           // indexes of the jobs, earliest due first
 }
 
 // checkClassBound checks the bound for the unstarted jobs of one class. The places are counted
 // for the resources and the zone constraint of the first job, which stands for all of them.
-func (m *Model) checkClassBound(jobs []*queued, now time.Time) {
+func (m *Model) checkClassBound(jobs []*queueEntry, now time.Time) {
 	places := m.zonePlacesFor(jobs[0].job, now)
 	c := &boundCheck{model: m, now: now, jobs: jobs, forecasts: make([]startForecast, len(jobs)), order: make([]int, len(jobs))}
 	c.forecastAlone(places)
@@ -53,11 +53,11 @@
 // forecastAlone forecasts each job's start as if it were served before all others, and sorts
 // the jobs by when they are due.
 func (c *boundCheck) forecastAlone(places *zonePlaces) {
-	for i, k := range c.jobs {
+	for i, entry := range c.jobs {
 		f := &c.forecasts[i]
-		at, _ := places.earliest(k.job, k.job.placesToStart())
+		at, _ := places.earliest(entry.job, entry.job.placesToStart())
 		f.delayServedFirst = startDelayOf(at)
-		f.startBy, f.hardLimit = c.model.latestStart(k.job)
+		f.startBy, f.hardLimit = c.model.latestStart(entry.job)
 		f.infeasible = f.hasNoCapacity() || c.now.Add(f.delayServedFirst).After(f.hardLimit)
 		c.order[i] = i
 	}
@@ -90,18 +90,18 @@
 // the first one that would be late, or -1. It uses up the places.
 func (c *boundCheck) simulate(places *zonePlaces) int {
 	for _, i := range c.order {
-		k, f := c.jobs[i], &c.forecasts[i]
+		entry, f := c.jobs[i], &c.forecasts[i]
 		if f.infeasible {
 			f.delayServedInTurn = f.delayServedFirst
 			continue
 		}
-		n := k.job.placesToStart()
-		at, zone := places.earliest(k.job, n)
+		n := entry.job.placesToStart()
+		at, zone := places.earliest(entry.job, n)
 		f.delayServedInTurn = startDelayOf(at)
 		if c.now.Add(f.delayServedInTurn).After(f.hardLimit) {
 			return i
 		}
-		places.occupy(zone, n, at+k.runSeconds)
+		places.occupy(zone, n, at+entry.runSeconds)
 	}
 	return -1
 }
@@ -112,8 +112,8 @@
 func (c *boundCheck) costliestUpTo(late int) int {
 	costliest, most := late, -1.0
 	for _, i := range c.order {
-		if k := c.jobs[i]; !c.forecasts[i].infeasible && !c.model.isLargeJob(k.job) {
-			if cost := float64(k.job.placesToStart()) * k.runSeconds; cost > most {
+		if entry := c.jobs[i]; !c.forecasts[i].infeasible && !c.model.isLargeJob(entry.job) {
+			if cost := float64(entry.job.placesToStart()) * entry.runSeconds; cost > most {
 				costliest, most = i, cost
 			}
 		}
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -12,12 +12,12 @@
 // prioritizeMustStart moves the jobs that must start now to the front of their priority,
 // behind those that the completion floor protects. Of an array only the first task moves; the
 // others keep their position.
-func (m *Model) prioritizeMustStart(queue []*queued, now time.Time) []*queued {
+func (m *Model) prioritizeMustStart(queue []*queueEntry, now time.Time) []*queueEntry {
 	if m.StarvationBound <= 0 {
 		return queue
 	}
 	promoted := 0
-	var out []*queued
+	var out []*queueEntry
 	for lo := 0; lo < len(queue); {
 		hi := lo + 1
 		for hi < len(queue) && queue[hi].withinGuarantee == queue[lo].withinGuarantee && queue[hi].job.priority == queue[lo].job.priority {
@@ -34,26 +34,26 @@
 // mustStartSplit is the queue of one priority, split by what the starvation bound and the
 // completion floor demand.
 type mustStartSplit struct {
-	mustFinish []*queued // protected by the completion floor
-	mustStart  []*queued // what of a job must start now
-	others     []*queued
+	mustFinish []*queueEntry // protected by the completion floor
+	mustStart  []*queueEntry // what of a job must start now
+	others     []*queueEntry
 }
 
 // splitMustStart splits the queue of one priority. At most the given number of jobs are taken
 // as such that must start.
-func splitMustStart(group []*queued, limit int) mustStartSplit {
+func splitMustStart(group []*queueEntry, limit int) mustStartSplit {
 	var s mustStartSplit
-	for _, k := range group {
+	for _, entry := range group {
 		rest := &s.others
-		if k.job.start.mustFinish {
-			k.req.StartDue = true
+		if entry.job.start.mustFinish {
+			entry.req.StartDue = true
 			rest = &s.mustFinish
 		}
-		if !k.job.start.mustStart || k.job.placesToStart() == 0 || len(s.mustStart) >= limit {
-			*rest = append(*rest, k)
+		if !entry.job.start.mustStart || entry.job.placesToStart() == 0 || len(s.mustStart) >= limit {
+			*rest = append(*rest, entry)
 			continue
 		}
-		head, tail := k.splitFirstStart()
+		head, tail := entry.splitFirstStart()
 		s.mustStart = append(s.mustStart, head)
 		if tail != nil {
 			*rest = append(*rest, tail)
@@ -64,27 +64,27 @@
 
 // splitFirstStart splits off what must be placed for a job to start: all tasks of a gang, the
 // first task of an array. Resources are held for it. The tail is nil if nothing is left.
-func (k *queued) splitFirstStart() (head, tail *queued) {
-	first := *k
+func (entry *queueEntry) splitFirstStart() (head, tail *queueEntry) {
+	first := *entry
 	first.mustStart, first.req.StartDue = true, true
 	first.req.Hold, first.req.HoldSeconds = true, boundHoldSeconds
-	if k.job.Gang() {
+	if entry.job.Gang() {
 		return &first, nil
 	}
-	first.req.Tasks = k.req.Tasks[:1]
+	first.req.Tasks = entry.req.Tasks[:1]
 	// The other tasks of a job with zone constraints wait for the next pass: two requests
 	// would be placed without regard to each other's zones.
-	if len(k.req.Tasks) == 1 || k.job.Spec.OneZone || k.job.Spec.Spread {
+	if len(entry.req.Tasks) == 1 || entry.job.Spec.OneZone || entry.job.Spec.Spread {
 		return &first, nil
 	}
-	others := *k
-	others.req.Tasks = k.req.Tasks[1:]
-	others.req.PlacedByZone = slices.Clone(k.req.PlacedByZone)
+	others := *entry
+	others.req.Tasks = entry.req.Tasks[1:]
+	others.req.PlacedByZone = slices.Clone(entry.req.PlacedByZone)
 	return &first, &others
 }
 
 // appendTo appends the queue of one priority in its new order.
-func (s *mustStartSplit) appendTo(queue []*queued) []*queued {
+func (s *mustStartSplit) appendTo(queue []*queueEntry) []*queueEntry {
 	sort.SliceStable(s.mustStart, func(a, b int) bool {
 		x, y := &s.mustStart[a].job.start, &s.mustStart[b].job.start
 		if x.infeasible != y.infeasible {
@@ -101,7 +101,7 @@
 // truncateQueue cuts the queue to the given length, from its end, but never drops requests
 // whose start is due: moved forward by the starvation bound, by the completion floor, or because
 // their tier's longest wait is over.
-func truncateQueue(queue []*queued, length int) []*queued {
+func truncateQueue(queue []*queueEntry, length int) []*queueEntry {
 	excess := len(queue) - length
 	if excess <= 0 {
 		return queue
@@ -119,21 +119,21 @@
 // priority, but behind all work within a quota. Nothing is preempted for them. Their number
 // is bounded to one place per machinesPerEscalation ready machines, or a single job, and includes
 // starts that are still protected.
-func (m *Model) escalateNearBound(queue []*queued, now time.Time) []*queued {
-	beyondGuarantee := slices.IndexFunc(queue, func(k *queued) bool { return !k.withinGuarantee })
+func (m *Model) escalateNearBound(queue []*queueEntry, now time.Time) []*queueEntry {
+	beyondGuarantee := slices.IndexFunc(queue, func(entry *queueEntry) bool { return !entry.withinGuarantee })
 	if beyondGuarantee < 0 || queue[beyondGuarantee].job.priority == queue[len(queue)-1].job.priority {
 		return queue
 	}
 	highest := queue[beyondGuarantee].job.priority
 	places := m.escalationPlaces(now)
-	var called, others []*queued
-	for _, k := range queue[beyondGuarantee:] {
-		tasks := len(k.req.Tasks)
-		if k.needsEscalation(now) && k.job.priority > highest && places > 0 && (tasks <= places || len(called) == 0) {
+	var called, others []*queueEntry
+	for _, entry := range queue[beyondGuarantee:] {
+		tasks := len(entry.req.Tasks)
+		if entry.needsEscalation(now) && entry.job.priority > highest && places > 0 && (tasks <= places || len(called) == 0) {
 			places -= tasks
-			called = append(called, k)
+			called = append(called, entry)
 		} else {
-			others = append(others, k)
+			others = append(others, entry)
 		}
 	}
 	return slices.Concat(queue[:beyondGuarantee], called, others)
@@ -157,7 +157,7 @@
 }
 
 // needsEscalation reports whether a request is about to miss the starvation bound.
-func (k *queued) needsEscalation(now time.Time) bool {
-	start := &k.job.start
-	return k.mustStart && start.startBy.Sub(now) < escalationLead+min(start.startDelay, boundHoldSeconds*time.Second)
+func (entry *queueEntry) needsEscalation(now time.Time) bool {
+	start := &entry.job.start
+	return entry.mustStart && start.startBy.Sub(now) < escalationLead+min(start.startDelay, boundHoldSeconds*time.Second)
 }
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -37,15 +37,15 @@
 }
 
 // record keeps the verdict of a run, which the run has left in the queue.
-func (v *triageVerdict) record(k *queued) {
-	*v = triageVerdict{missed: k.missed, deferred: k.deferred, due: k.due}
+func (v *triageVerdict) record(entry *queueEntry) {
+	*v = triageVerdict{missed: entry.missed, deferred: entry.deferred, due: entry.due}
 }
 
 // applyTo applies the verdict to the queue of a later pass.
-func (v *triageVerdict) applyTo(k *queued) {
-	k.missed, k.deferred = k.missed || v.missed, v.deferred
+func (v *triageVerdict) applyTo(entry *queueEntry) {
+	entry.missed, entry.deferred = entry.missed || v.missed, v.deferred
 	if !v.due.IsZero() {
-		k.due = v.due
+		entry.due = v.due
 	}
 }
 
@@ -57,12 +57,12 @@
 // removed, so that as many jobs as possible meet their objectives (the Moore-Hodgson
 // algorithm). A removed job is served for a later objective if it can meet one without making
 // others late, and otherwise after all others, those that run longest first.
-func (m *Model) runTriage(queue []*queued, now time.Time) {
+func (m *Model) runTriage(queue []*queueEntry, now time.Time) {
 	fresh := !now.Before(m.triage.nextRun)
 	if fresh {
 		tasks := 0
-		for _, k := range queue {
-			tasks += len(k.req.Tasks)
+		for _, entry := range queue {
+			tasks += len(entry.req.Tasks)
 		}
 		m.triage.nextRun = now.Add(min(time.Duration(tasks)*triageIntervalPerTask, maxTriageInterval))
 	}
@@ -84,38 +84,38 @@
 
 // applyLastTriage applies the last run's verdicts to the jobs of one rank. Jobs that have
 // arrived since count as in time.
-func applyLastTriage(group []*queued) {
-	for _, k := range group {
-		k.job.triage.applyTo(k)
+func applyLastTriage(group []*queueEntry) {
+	for _, entry := range group {
+		entry.job.triage.applyTo(entry)
 	}
 }
 
 // triageGroup runs triage on the jobs of one rank, class by class, and keeps the verdicts.
-func (m *Model) triageGroup(group []*queued, now time.Time) {
-	byClass := map[string][]*queued{}
-	for _, k := range group {
-		k.totalWork = m.remainingWork(k.job, now)
-		if c := k.job.Spec.Class; !k.missed && len(byClass[c]) < maxTriageJobs {
-			byClass[c] = append(byClass[c], k)
+func (m *Model) triageGroup(group []*queueEntry, now time.Time) {
+	byClass := map[string][]*queueEntry{}
+	for _, entry := range group {
+		entry.totalWork = m.remainingWork(entry.job, now)
+		if c := entry.job.Spec.Class; !entry.missed && len(byClass[c]) < maxTriageJobs {
+			byClass[c] = append(byClass[c], entry)
 		}
 	}
 	for _, jobs := range byClass { // the classes' results don't depend on one another
 		m.triageClass(jobs, now)
 	}
 	missed, missedTasks, tasks := 0, 0, 0
-	for _, k := range group {
-		k.job.triage.record(k)
-		tasks += len(k.req.Tasks)
-		if k.missed {
+	for _, entry := range group {
+		entry.job.triage.record(entry)
+		tasks += len(entry.req.Tasks)
+		if entry.missed {
 			missed++
-			missedTasks += len(k.req.Tasks)
+			missedTasks += len(entry.req.Tasks)
 		}
 	}
 	m.log.Debug("triage", "priority", group[0].job.priority, "jobs", len(group), "tasks", tasks, "givenUp", missed, "tasksGivenUp", missedTasks)
 }
 
 // sortTriaged puts jobs of one rank in the order in which they are served.
-func sortTriaged(group []*queued) {
+func sortTriaged(group []*queueEntry) {
 	sort.SliceStable(group, func(a, b int) bool {
 		x, y := group[a], group[b]
 		switch {
@@ -137,7 +137,7 @@
 // triageClass simulates the jobs of a class and marks those that can't meet their objectives.
 // The places are counted for the resources and the zone of the first job, which stands for all
 // of them. Without any place no job is marked.
-func (m *Model) triageClass(jobs []*queued, now time.Time) {
+func (m *Model) triageClass(jobs []*queueEntry, now time.Time) {
 	places := placeTimes(m.placesFor(jobs[0].job, jobs[0].job.zone, now))
 	if len(places) == 0 {
 		return
@@ -152,7 +152,7 @@
 
 // removeLate removes jobs until none of the others is late: each time one is, the job with
 // the most work up to it. Jobs of batch windows are not removed.
-func (s *simulation) removeLate(jobs []*queued) (inTime, removed []*queued) {
+func (s *simulation) removeLate(jobs []*queueEntry) (inTime, removed []*queueEntry) {
 	for unchanged := 0; ; {
 		late := s.run(jobs, unchanged)
 		if late < 0 {
@@ -165,31 +165,31 @@
 			}
 		}
 		removed = append(removed, jobs[largest])
-		jobs = append(append([]*queued(nil), jobs[:largest]...), jobs[largest+1:]...)
+		jobs = append(append([]*queueEntry(nil), jobs[:largest]...), jobs[largest+1:]...)
 		unchanged = largest
 	}
 }
 
 // tryLaterObjectives finds for each removed job, the smallest first, the earliest of its later
 // objectives that it can meet without making any of the others late.
-func (s *simulation) tryLaterObjectives(inTime, removed []*queued) {
+func (s *simulation) tryLaterObjectives(inTime, removed []*queueEntry) {
 	windowJobs := 0 // they precede the others, whatever these are due for
 	for windowJobs < len(inTime) && inTime[windowJobs].inWindow {
 		windowJobs++
 	}
 	unchanged := len(inTime) // since the last run, from the first job on
 	sort.SliceStable(removed, func(a, b int) bool { return removed[a].totalWork < removed[b].totalWork })
-	for _, k := range removed {
-		k.deferred, k.missed = true, true
-		for k.missed && len(k.laterDue) > 0 {
-			k.nextObjective(s.now)
+	for _, entry := range removed {
+		entry.deferred, entry.missed = true, true
+		for entry.missed && len(entry.laterDue) > 0 {
+			entry.nextObjective(s.now)
 			others := inTime[windowJobs:]
-			at := windowJobs + sort.Search(len(others), func(i int) bool { return others[i].due.After(k.due) })
-			candidate := append(append(append([]*queued(nil), inTime[:at]...), k), inTime[at:]...)
+			at := windowJobs + sort.Search(len(others), func(i int) bool { return others[i].due.After(entry.due) })
+			candidate := append(append(append([]*queueEntry(nil), inTime[:at]...), entry), inTime[at:]...)
 			late := s.run(candidate, min(at, unchanged))
 			unchanged = at
 			if late < 0 {
-				inTime, unchanged, k.missed = candidate, len(candidate), false
+				inTime, unchanged, entry.missed = candidate, len(candidate), false
 			}
 		}
 	}
@@ -198,19 +198,19 @@
 // afterMustStart lets the jobs that must start by the starvation bound occupy their places and
 // returns the other jobs, which get the rest. Otherwise the same places would be counted for
 // both.
-func (m *Model) afterMustStart(jobs []*queued, places placeTimes) []*queued {
+func (m *Model) afterMustStart(jobs []*queueEntry, places placeTimes) []*queueEntry {
 	if m.StarvationBound <= 0 {
 		return jobs
 	}
-	var others []*queued
-	for _, k := range jobs {
-		needed := k.job.placesToStart()
-		if !k.job.start.mustStart || needed == 0 {
-			others = append(others, k)
+	var others []*queueEntry
+	for _, entry := range jobs {
+		needed := entry.job.placesToStart()
+		if !entry.job.start.mustStart || needed == 0 {
+			others = append(others, entry)
 			continue
 		}
 		for range min(needed, maxTriageTasks) {
-			places.occupyEarliest(k.runSeconds + m.startupAndStragglersOf(k.job).startDelaySeconds())
+			places.occupyEarliest(entry.runSeconds + m.startupAndStragglersOf(entry.job).startDelaySeconds())
 		}
 	}
 	return others
--- a/cluster/triage_simulation.go
+++ b/cluster/triage_simulation.go
@@ -29,7 +29,7 @@
 // run serves the jobs in the given order. The first so many jobs, unchanged, must be those of
 // the run before. It returns the index of the first job whose last task would start later
 // than the job is due, or -1.
-func (s *simulation) run(jobs []*queued, unchanged int) int {
+func (s *simulation) run(jobs []*queueEntry, unchanged int) int {
 	from := min(unchanged/checkpointInterval, len(s.checkpoints)-1)
 	s.checkpoints = s.checkpoints[:from+1]
 	s.free = append(s.free[:0], s.checkpoints[from]...)
@@ -40,9 +40,9 @@
 		}
 		// A job that is due already is not given up for a place that is free now. A job
 		// of a batch window keeps its position, whether or not it meets its own objectives.
-		k := jobs[i]
-		due := max(k.due.Sub(s.now).Seconds(), 0)
-		if last := s.serve(k); !k.inWindow && last > due+latenessTolerance {
+		entry := jobs[i]
+		due := max(entry.due.Sub(s.now).Seconds(), 0)
+		if last := s.serve(entry); !entry.inWindow && last > due+latenessTolerance {
 			return i
 		}
 	}
@@ -51,16 +51,16 @@
 
 // serve occupies places for the tasks of a job and returns the seconds until its last task
 // starts.
-func (s *simulation) serve(k *queued) float64 {
-	startup := s.model.startupAndStragglersOf(k.job).startDelaySeconds()
-	tasks := len(k.req.Tasks)
+func (s *simulation) serve(entry *queueEntry) float64 {
+	startup := s.model.startupAndStragglersOf(entry.job).startDelaySeconds()
+	tasks := len(entry.req.Tasks)
 	last := 0.0
 	for range min(tasks, maxTriageTasks) {
 		last = s.free[0]
-		s.free.occupyEarliest(k.runSeconds + startup)
+		s.free.occupyEarliest(entry.runSeconds + startup)
 	}
 	if tasks > maxTriageTasks {
-		last += float64(tasks-maxTriageTasks) * k.runSeconds / float64(len(s.free))
+		last += float64(tasks-maxTriageTasks) * entry.runSeconds / float64(len(s.free))
 	}
 	return last
 }
--- a/cluster/triage_simulation_test.go
+++ b/cluster/triage_simulation_test.go
@@ -13,15 +13,15 @@
 func TestSimulationFromACheckpointEqualsAFullSimulation(t *testing.T) {
 	m := crowded(4, 60)
 	rnd := rand.New(rand.NewPCG(7, 7))
-	random := func() *queued {
+	random := func() *queueEntry {
 		j := m.Jobs[rnd.IntN(len(m.Jobs))]
-		return &queued{job: j, runSeconds: 1 + 60*rnd.Float64(), due: at(rnd.Float64() * 700), req: placement.Request{Tasks: make([]int32, 1+rnd.IntN(150))}}
+		return &queueEntry{job: j, runSeconds: 1 + 60*rnd.Float64(), due: at(rnd.Float64() * 700), req: placement.Request{Tasks: make([]int32, 1+rnd.IntN(150))}}
 	}
 	places := make(placeTimes, 400)
 	for i := range places {
 		places[i] = float64(i / 4)
 	}
-	var jobs []*queued
+	var jobs []*queueEntry
 	for range 90 {
 		jobs = append(jobs, random())
 	}
