--- a/cluster/guarantee.go
+++ b/cluster/guarantee.go
@@ -59,15 +59,15 @@
 // among them: two teams that each have work inside and beyond theirs would otherwise
 // preempt each other's tasks in turn, over and over.
 func (m *Model) tasksBeyondGuarantee(within map[int32]bool) map[TaskRef]bool {
-	over := map[TaskRef]bool{}
+	beyond := map[TaskRef]bool{}
 	if !slices.ContainsFunc(m.guarantees, func(g placement.Resources) bool { return g != placement.Resources{} }) {
-		return over // nobody may claim anything
+		return beyond // nobody may claim anything
 	}
 	for team, tasks := range m.placedTasksByTeam(within) {
 		sortLatestFirst(tasks)
-		m.addBeyondGuarantee(over, team, tasks)
+		m.addBeyondGuarantee(beyond, team, tasks)
 	}
-	return over
+	return beyond
 }
 
 // placedTasksByTeam returns the placed tasks of each team, without those of the given jobs.
@@ -99,16 +99,16 @@
 	})
 }
 
-// addBeyondGuarantee adds to over as many of a team's tasks, in the given order, as make up
+// addBeyondGuarantee adds to beyond as many of a team's tasks, in the given order, as make up
 // what the team uses beyond its guarantee. GPUs count only if the team is guaranteed some. CPUs
 // always count: all CPUs of a team that is guaranteed none are beyond its guarantee.
-func (m *Model) addBeyondGuarantee(over map[TaskRef]bool, team int, tasks []placedTask) {
+func (m *Model) addBeyondGuarantee(beyond map[TaskRef]bool, team int, tasks []placedTask) {
 	guarantee := m.guarantees[team]
 	excess := m.teams[team].Used.Add(guarantee, -1)
 	for _, t := range tasks {
 		need := m.Jobs[t.ref.Job].Need
 		if need.GPU > 0 && guarantee.GPU > 0 && excess.GPU > quotaTolerance || need.CPU > 0 && excess.CPU > quotaTolerance {
-			over[t.ref] = true
+			beyond[t.ref] = true
 			excess = excess.Add(need, -1)
 		}
 	}
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -32,20 +32,20 @@
 	if now.UnixMilli() >= rec.CooldownUntilMs {
 		return
 	}
-	for _, mv := range rec.Moves {
-		ref, p := m.taskOfMove(mv)
-		if p == nil || p.Attempt != mv.Attempt {
+	for _, move := range rec.Moves {
+		ref, p := m.taskOfMove(move)
+		if p == nil || p.Attempt != move.Attempt {
 			continue
 		}
-		if i, ok := m.names.machines[mv.From]; ok && p.Machine == i {
+		if i, ok := m.names.machines[move.From]; ok && p.Machine == i {
 			m.StopTask(ref, StopMoveResumed, now)
 		}
 	}
 }
 
 // taskOfMove returns the task of a move and its placement, which is nil if there is none.
-func (m *Model) taskOfMove(mv jobstore.Move) (TaskRef, *Placement) {
-	j, task := m.taskNamed(mv.Task)
+func (m *Model) taskOfMove(move jobstore.Move) (TaskRef, *Placement) {
+	j, task := m.taskNamed(move.Task)
 	if j == nil {
 		return TaskRef{}, nil
 	}
@@ -65,12 +65,12 @@
 	}
 	var out map[int32]int
 	for _, c := range m.RebalanceCycles {
-		for _, mv := range c.Record.Moves {
-			ref, p := m.taskOfMove(mv)
-			if p != nil || ref.Job != j.Index || m.Jobs[ref.Job] != j || !isTaskOf(j, mv.Task) {
+		for _, move := range c.Record.Moves {
+			ref, p := m.taskOfMove(move)
+			if p != nil || ref.Job != j.Index || m.Jobs[ref.Job] != j || !isTaskOf(j, move.Task) {
 				continue
 			}
-			to, ok := m.names.machines[mv.To]
+			to, ok := m.names.machines[move.To]
 			if !ok {
 				continue
 			}
@@ -104,8 +104,8 @@
 	}
 	name := wire.TaskName(j.ID, int(ref.Task))
 	for _, c := range m.RebalanceCycles {
-		for i, mv := range c.Record.Moves {
-			if mv.Task == name {
+		for i, move := range c.Record.Moves {
+			if move.Task == name {
 				if c.Record.QuarantineUntilMs == nil {
 					c.Record.QuarantineUntilMs = map[string]int64{}
 				}
@@ -183,12 +183,12 @@
 	for _, mc := range machines {
 		group.Hosts = append(group.Hosts, m.rebalanceHost(mc, cycle, now))
 	}
-	for _, mv := range rebalance.Plan(group) {
-		j := m.Jobs[mv.Task.Job]
-		name := wire.TaskName(j.ID, int(mv.Task.Task))
+	for _, move := range rebalance.Plan(group) {
+		j := m.Jobs[move.Task.Job]
+		name := wire.TaskName(j.ID, int(move.Task.Task))
 		cycle.Moves = append(cycle.Moves, jobstore.Move{
-			Task: name, Attempt: j.Tasks[mv.Task.Task].Placement.Attempt,
-			From: machines[mv.From].Name, To: machines[mv.To].Name,
+			Task: name, Attempt: j.Tasks[move.Task.Task].Placement.Attempt,
+			From: machines[move.From].Name, To: machines[move.To].Name,
 		})
 		cycle.TaskCooldownUntilMs[name] = now.Add(config.Seconds(m.RebalanceSettings.TaskCooldownS)).UnixMilli()
 	}
@@ -230,8 +230,8 @@
 // to move.
 func (m *Model) BeginMoves(group string, rec jobstore.RebalanceCycle, now time.Time) {
 	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
-	for _, mv := range rec.Moves {
-		if ref, p := m.taskOfMove(mv); p != nil && p.Attempt == mv.Attempt && p.Stop == nil {
+	for _, move := range rec.Moves {
+		if ref, p := m.taskOfMove(move); p != nil && p.Attempt == move.Attempt && p.Stop == nil {
 			m.StopTask(ref, StopMoved, now)
 		}
 	}
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -56,14 +56,14 @@
 	if len(loads) == 0 {
 		return
 	}
-	usual, free := m.estimateWindowLoads(jobs, loads, loadIndex, now)
+	referenceJob, free := m.estimateWindowLoads(jobs, loads, loadIndex, now)
 	machines := 0
 	for _, mc := range m.Machines {
 		if m.Ready(mc, now) {
 			machines++
 		}
 	}
-	note := m.planWindowProvision(loads, usual, free, now)
+	note := m.planWindowProvision(loads, referenceJob, free, now)
 	for i, forecast := range calendar.ForecastLoads(now, loads, free) {
 		schedule, date := keys[i].schedule, keys[i].date
 		if forecast.AtRisk {
@@ -223,10 +223,10 @@
 // fillLoads writes the batches and the blocked jobs to their loads. Batches are scaled to
 // places of the largest job's tasks.
 func (e *loadEstimate) fillLoads() {
-	usual := e.placesWhenEmpty(e.largestJob)
+	referencePlaces := e.placesWhenEmpty(e.largestJob)
 	for _, b := range e.batches {
-		if places := e.placesWhenEmpty(b.job); places >= 1 && usual >= 1 {
-			b.batch.PlacesPerTask *= usual / places
+		if places := e.placesWhenEmpty(b.job); places >= 1 && referencePlaces >= 1 {
+			b.batch.PlacesPerTask *= referencePlaces / places
 		}
 		e.loads[b.load].Batches = append(e.loads[b.load].Batches, b.batch)
 	}
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -33,21 +33,21 @@
 func (w *batchWindows) cancelProvision() { w.provision = windowProvision{} }
 
 // planWindowProvision decides what is rented for the batch windows. It returns a note on that
-// for the reasons of forecasts that are at risk. A place has room for a task of the job usual.
-func (m *Model) planWindowProvision(loads []calendar.Load, usual *Job, free []float64, now time.Time) string {
+// for the reasons of forecasts that are at risk. A place has room for a task of the job referenceJob.
+func (m *Model) planWindowProvision(loads []calendar.Load, referenceJob *Job, free []float64, now time.Time) string {
 	windows := &m.windows
 	previous := windows.provision.shortage
 	windows.cancelProvision()
-	if usual == nil || now.Sub(m.ElectedAt) < m.provisionGracePeriod() {
+	if referenceJob == nil || now.Sub(m.ElectedAt) < m.provisionGracePeriod() {
 		return ""
 	}
-	boot, perMachine := m.bootTimeFor(usual)
+	boot, perMachine := m.bootTimeFor(referenceJob)
 	if perMachine == 0 {
 		return "" // no machine type can take it
 	}
 	shortage := calendar.FindShortage(now, loads, free, boot.Seconds(), maxProvisionMachines*perMachine)
-	present := int(m.placesWhenEmpty(usual, now))
-	shortage.Places = min(shortage.Places, m.quotaPlacesLeft(usual, present))
+	present := int(m.placesWhenEmpty(referenceJob, now))
+	shortage.Places = min(shortage.Places, m.quotaPlacesLeft(referenceJob, present))
 	if shortage.Places <= 0 {
 		return ""
 	}
@@ -60,8 +60,8 @@
 	if shortage.OrderBy.Sub(now) > provisionMargin {
 		return fmt.Sprintf("; room for %d tasks more is to be rented until %s", shortage.Places, shortage.OrderBy.UTC().Format(time.RFC3339))
 	}
-	windows.provision = windowProvision{job: usual, targetPlaces: present + shortage.Places, decidedAt: now, shortage: shortage}
-	if offers, _ := m.offers(now); !m.anyOfferFits(usual, offers) {
+	windows.provision = windowProvision{job: referenceJob, targetPlaces: present + shortage.Places, decidedAt: now, shortage: shortage}
+	if offers, _ := m.offers(now); !m.anyOfferFits(referenceJob, offers) {
 		return fmt.Sprintf("; room for %d tasks more is wanted, and no machines are to be had", shortage.Places)
 	}
 	return fmt.Sprintf("; room for %d tasks more is rented", shortage.Places)
