--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -1,3 +1,6 @@
+// Builds the queue of a scheduling pass: the requests of all waiting jobs in the order in which
+// they are served.
+
 package cluster
 
 import (
@@ -7,35 +10,36 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file builds the queue of a scheduling pass: the requests of all waiting jobs, in the
-// order in which they are served.
-
 const (
-	maxRequestTasks = 64  // of one job in one pass
-	maxRequests     = 400 // in one pass, apart from those that truncateQueue keeps and those of faulty jobs
-	// noObjectiveDueIn is how long from now a job is due that has no objective left. It lies
-	// beyond the due times of nearly all jobs that have one.
+	maxRequestTasks = 64 // tasks of one job that one pass requests
+	// maxRequests is the length to which truncateQueue cuts the queue of a pass. Requests that
+	// are due to start and requests of faulty jobs may exceed it.
+	maxRequests = 400
+	// noObjectiveDueIn is the time from now until a job without any remaining objective is due.
+	// Nearly all jobs with an objective are due earlier.
 	noObjectiveDueIn = time.Hour
 )
 
-// queueEntry is a job in the queue of a scheduling pass, with what determines its position. It
-// lives for one pass; what outlasts the pass is kept in the job (triageVerdict, startState).
+// queueEntry is a job's request in the queue of a scheduling pass, with the properties that
+// determine its position. A job has several entries if its request was split. An entry exists
+// for one pass only. State that outlasts the pass is kept in the job (triageVerdict, startState).
 type queueEntry struct {
 	job             *Job
 	withinGuarantee bool
-	due             time.Time   // latest start for the objective that it is served for
-	laterDue        []time.Time // latest starts for its later objectives, earliest first
-	missed          bool        // it can meet none of its objectives
-	deferred        bool        // triage has removed it from an objective that it could meet
-	mustStart       bool        // the starvation bound lets it precede the objectives of its priority
-	runSeconds      float64     // expected, of the longest of its waiting tasks
-	totalWork       float64     // remainingWork
+	due             time.Time   // latest start that meets the objective it is served for
+	laterDue        []time.Time // latest starts that meet its later objectives, earliest first
+	missed          bool        // the job can meet none of its objectives
+	deferred        bool        // triage has given up an objective that the job could meet
+	mustStart       bool        // the starvation bound puts it ahead of the objectives of its priority
+	runSeconds      float64     // expected run time of the longest of its waiting tasks
+	totalWork       float64     // result of remainingWork, in seconds
 	req             placement.Request
 
 	windowRank
 }
 
-// nextObjective makes the job due for the next of its later objectives.
+// nextObjective makes the job due for its next objective. Without one it is due after
+// noObjectiveDueIn.
 func (entry *queueEntry) nextObjective(now time.Time) {
 	if len(entry.laterDue) == 0 {
 		entry.due = now.Add(noObjectiveDueIn)
@@ -44,11 +48,11 @@
 	entry.due, entry.laterDue = entry.laterDue[0], entry.laterDue[1:]
 }
 
-// openJobs lists the jobs that have unfinished tasks and may be scheduled, in the order in
-// which they were accepted.
+// openJobs returns the jobs that have unfinished tasks and may be scheduled, in the order of
+// their acceptance.
 func (m *Model) openJobs() []*Job {
-	// Over a leadership far more jobs come and go than are in the model at once, so the
-	// indexes of those that have left it are dropped here.
+	// Far more jobs pass through the model during a leadership than it holds at once, so the
+	// indexes of removed jobs are dropped here.
 	live := m.openIndexes[:0]
 	for _, idx := range m.openIndexes {
 		if m.Jobs[idx] != nil {
@@ -66,10 +70,10 @@
 	return jobs
 }
 
-// buildQueue returns the queue: the requests of the waiting jobs, in the order in which they
-// are served. Jobs that fail wherever they run are at its end. It updates the state of triage
-// and of the starvation bound, so that Explain, which calls it too, is for models that no
-// leader uses.
+// buildQueue returns the requests of the waiting jobs in the order in which they are served.
+// Jobs that fail wherever they run come last. withinGuarantee holds the indexes of the jobs
+// within their team's guaranteed quota. buildQueue updates the state of triage and of the
+// starvation bound. Explain calls it too and is therefore only for models that no leader uses.
 func (m *Model) buildQueue(jobs []*Job, withinGuarantee map[int32]bool, now time.Time) []*queueEntry {
 	m.classes.countOpenTasks(jobs)
 	var queue, faulty []*queueEntry
@@ -96,9 +100,9 @@
 	return append(queue, faulty...)
 }
 
-// newFaultyEntry queues a job that fails wherever it runs. It gets free resources only:
-// nothing is reserved, preempted or rented for it, and no image is fetched for it before
-// those of healthy work.
+// newFaultyEntry returns the queue entry of a job that fails wherever it runs. The job gets free
+// resources only: nothing is reserved, preempted or rented for it, and images of healthy jobs
+// are fetched before its own.
 func newFaultyEntry(j *Job, r placement.Request, now time.Time) *queueEntry {
 	entry := &queueEntry{job: j, missed: true, req: r}
 	entry.req.FreeCapacityOnly = true
@@ -106,8 +110,8 @@
 	return entry
 }
 
-// rankByObjectives determines by when a queued job must start, and whether resources are held
-// for it.
+// rankByObjectives determines the time by which a queued job must start, and whether resources
+// are held for it.
 func (m *Model) rankByObjectives(entry *queueEntry, now time.Time) {
 	j := entry.job
 	estimate := m.expectedRunTime(j)
@@ -122,8 +126,8 @@
 	entry.req.Hold = deadlines.waitIsNext() && m.hasCompetitors(j) || m.outranksCompetitors(j)
 }
 
-// precedes reports whether entry is served before other, before triage and the starvation bound have
-// changed the order.
+// precedes reports whether the entry is served before another one. Triage and the starvation
+// bound change this order afterwards.
 func (entry *queueEntry) precedes(other *queueEntry) bool {
 	switch {
 	case entry.withinGuarantee != other.withinGuarantee:
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -1,3 +1,8 @@
+// Runs a scheduling pass in three stages. The first builds the queue of waiting requests. In the
+// second, package placement filters and scores machines and reserves them for the requests. The
+// third binds the resulting plan, that is, applies it to the model. The write-behind commits the
+// bound placements before any task is launched.
+
 package cluster
 
 import (
@@ -7,33 +12,28 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file is the scheduling pass. A pass has three stages: the queue of waiting requests is
-// built, package placement filters, scores and reserves machines for the requests, and the
-// plan that results is bound, which means that it is applied to the model. The write-behind
-// commits what was bound before any task is launched.
-
-// Decisions is the result of a scheduling pass. Placements and preemptions are applied to
-// the model already; scaling out is left to the caller.
+// Decisions is the result of a scheduling pass. Placements and preemptions have already been
+// applied to the model. The caller scales out.
 type Decisions struct {
-	Started  int
-	ScaleOut map[Offer]int       // machines to rent
-	Unplaced []placement.Request // of jobs, with tasks for which no machine has enough free resources now
+	Started  int                 // number of tasks placed
+	ScaleOut map[Offer]int       // number of machines to rent, by offer
+	Unplaced []placement.Request // requests of jobs with tasks that fit on no machine now
 }
 
-// passBuffers are slices that each scheduling pass reuses, so that a pass over thousands of
-// machines does not allocate them anew. What they hold is valid until the next pass.
+// passBuffers holds slices that each scheduling pass reuses, which saves a pass over thousands of
+// machines from allocating them anew. Their contents are valid until the next pass.
 type passBuffers struct {
 	machines  []placement.Machine
-	occupants []placement.Occupant // of all machines, one after another
-	images    []placement.ImageAt  // of all machines, one after another
-	taskRefs  []TaskRef            // of one machine
-	indexes   []int32              // of machines
+	occupants []placement.Occupant // of all machines, concatenated
+	images    []placement.ImageAt  // of all machines, concatenated
+	taskRefs  []TaskRef            // tasks of one machine
+	indexes   []int32              // machine indexes
 }
 
 // Schedule runs a scheduling pass: it places waiting tasks, orders preemptions and decides
-// which machines to rent. renting is how many machines are being rented already. It decides
-// nothing while placing is paused because of unreadable records, or while the operators' plan
-// is unreadable.
+// which machines to rent. renting is the number of machines that are being rented already.
+// Schedule returns empty Decisions while placing is paused because of unreadable records, and
+// while the operators' plan is unreadable.
 func (m *Model) Schedule(now time.Time, renting int) Decisions {
 	if m.quarantine.pausesPlacing(now) || m.plan.Unreadable {
 		return Decisions{}
@@ -62,25 +62,25 @@
 }
 
 // schedulingPass is the state of one scheduling pass. Package placement addresses machines
-// and requests by their positions in its input; a pass translates between these positions and
-// the model's machines and jobs.
+// and requests by their positions in its input. The pass translates between these positions
+// and the model's machines and jobs.
 type schedulingPass struct {
 	model *Model
 	now   time.Time
 	input placement.Input
-	// requestJobs has the job of each request of the input, nil for a placeholder, which
-	// is a request that no job has made.
+	// requestJobs holds the job of each request of the input. It is nil for a placeholder,
+	// that is, a request that no job has made.
 	requestJobs []*Job
-	// machineIndexes has the model's index of each machine of the input; inputPositions
+	// machineIndexes holds the model's index of each machine of the input, and inputPositions
 	// is its inverse. A machine that can't be given tasks has no position.
 	machineIndexes []int32
 	inputPositions map[int]int
-	// offers has the model's name of each offer of the input.
+	// offers holds the model's offer for each offer of the input.
 	offers []Offer
 }
 
 // addMachines adds the machines that can be given tasks to the input, in the model's order.
-// beyondGuarantee are the tasks that may be preempted for work within a guarantee.
+// beyondGuarantee holds the tasks that may be preempted for work within a guaranteed quota.
 func (p *schedulingPass) addMachines(beyondGuarantee map[TaskRef]bool) {
 	m := p.model
 	p.input.Machines = m.buffers.machines[:0]
@@ -99,8 +99,8 @@
 	m.buffers.indexes = p.machineIndexes
 }
 
-// addQueue adds the queued requests to the input, in the queue's order, and before each the
-// backfill reservations that take precedence over it.
+// addQueue adds the queued requests to the input in the queue's order. Backfill reservations
+// that take precedence over a request are added before it.
 func (p *schedulingPass) addQueue(queue []*queueEntry) {
 	reservedClasses := map[string]bool{}
 	p.requestJobs = make([]*Job, 0, len(queue)+4)
@@ -122,8 +122,8 @@
 	p.requestJobs = append(p.requestJobs, entry.job)
 }
 
-// avoidedPositions translates the model's machines that a request avoids into positions in
-// the input.
+// avoidedPositions translates the indexes of the machines that a request avoids into positions
+// in the input.
 func (p *schedulingPass) avoidedPositions(machines map[int]bool) map[int]bool {
 	if len(machines) == 0 {
 		return machines
@@ -137,7 +137,7 @@
 	return positions
 }
 
-// addPlaceholders adds requests that no job has made to the input.
+// addPlaceholders adds requests without a job to the input.
 func (p *schedulingPass) addPlaceholders(requests []placement.Request) {
 	for i := range requests {
 		p.input.Requests = append(p.input.Requests, requests[i])
@@ -145,8 +145,8 @@
 	}
 }
 
-// addProvision adds the placeholder for which machines are rented ahead of a batch window, if
-// there is one.
+// addProvision adds the placeholder that rents machines ahead of a batch window, if there is
+// one.
 func (p *schedulingPass) addProvision() {
 	if r, ok := p.model.provisionRequest(p.now); ok {
 		p.input.Requests = append(p.input.Requests, r)
@@ -173,9 +173,9 @@
 	return decisions
 }
 
-// bindStarts places the tasks that a plan starts and returns how many there are. The tasks of
-// a job that one pass places share one attempt number. It is a new one, except for a gang of
-// which tasks are placed already: these and the new ones are the same attempt.
+// bindStarts places the tasks that a plan starts and returns their number. All tasks of a job
+// that are placed in one pass share an attempt number. The number is new, unless the job is a
+// gang with placed tasks: the new tasks then join the attempt of the placed ones.
 func (p *schedulingPass) bindStarts(starts []placement.Start) int {
 	started := 0
 	attempts := map[int32]uint64{}
@@ -210,12 +210,12 @@
 	m.log.Debug("placed", "job", j.ID, "task", s.Task, "attempt", attempt, "machine", mc.Name, "waited", waited)
 }
 
-// markHeadroom marks the machines without tasks on which placeholders were placed, so that
-// they are not scaled in as idle. A warm pool may have such a machine all the same; the
-// headroom is then rented anew.
+// markHeadroom marks the machines without tasks that placeholders were placed on, so that they
+// are not scaled in as idle. A warm pool may still take such a machine, and the headroom is then
+// rented anew.
 func (p *schedulingPass) markHeadroom(starts []placement.Start) {
 	for _, s := range starts {
-		// Positions beyond those of the model's machines are machines to be rented.
+		// Positions after those of the model's machines are machines to be rented.
 		if p.requestJobs[s.Request] != nil || s.Machine >= len(p.machineIndexes) {
 			continue
 		}
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -1,3 +1,15 @@
+// Decides which jobs the starvation bound applies to now.
+//
+// The bound lets every job start within Model.StarvationBound of its acceptance, provided that the
+// cluster has the capacity. Without it, triage and the ordering by objectives would postpone the
+// most expensive jobs again and again. The bound estimates when a job must hold its resources in
+// order to start in time. From then on the job precedes the objectives of its priority. It still
+// preempts only what it could preempt without the bound.
+//
+// The decision depends on when a job was accepted, whether it has started, and where its tasks
+// are. A new leader loads this state or learns it from heartbeats. The forecasts also use run
+// times, start delays and job sizes of a class, which each leader learns anew.
+
 package cluster
 
 import (
@@ -7,62 +19,51 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// This file decides which jobs the starvation bound applies to now. The bound lets every job
-// start within Model.StarvationBound of its acceptance, provided that the cluster has the
-// capacity. Triage and the ordering by objectives alone would postpone the most expensive
-// jobs again and again. The bound estimates when a job must hold its resources in order to
-// start in time; from then on the job precedes the objectives of its priority. It preempts
-// nothing that could not be preempted otherwise.
-//
-// It depends on when a job was accepted, whether it has started, and where tasks are, all of
-// which a new leader loads or learns from heartbeats. What the forecasts use besides (run times,
-// start delays and job sizes of a class) each leader learns anew.
-
 const (
-	boundCheckInterval = 2 * time.Second  // between two checks; verdicts stand until the next one
-	startMargin        = 10 * time.Second // by which a job should be early
+	boundCheckInterval = 2 * time.Second  // between two checks of the bound
+	startMargin        = 10 * time.Second // by which a job should start before the bound
 	// largeJobMarginShare is the share of the bound by which the largest jobs of a class
-	// should be earlier still, since their waits are the hardest to predict.
+	// should start still earlier, since their waits are the hardest to predict.
 	largeJobMarginShare = 0.1
 	// largeArrayMarginShare is the share of the bound by which the first task of an array of
-	// at least minLargeArrayTasks tasks is early: delaying a single task saves nothing.
+	// at least minLargeArrayTasks tasks is early, since delaying a single task saves nothing.
 	largeArrayMarginShare = 0.5
 	minLargeArrayTasks    = 8
-	// minStartSlack and startSlackShare make up the slack at which a job is served by the bound:
-	// a constant, and a share of the predicted wait for its resources.
+	// A job is served by the bound when its slack is down to minStartSlack plus
+	// startSlackShare of the predicted wait for its resources.
 	minStartSlack          = 10 * time.Second
 	startSlackShare        = 0.25
-	boundHoldSeconds       = 150       // how far ahead resources are held for a job that must start
-	maxMustStarts          = 100       // jobs served by the bound in one pass
-	maxCostliestDropRounds = 50        // simulations of a class from which the costliest job is dropped
+	boundHoldSeconds       = 150       // time for which resources are held for a job that must start
+	maxMustStarts          = 100       // maximum of jobs served by the bound in one pass
+	maxCostliestDropRounds = 50        // maximum of simulations of a class that drop its costliest job
 	schedulingHorizon      = time.Hour // resources that become free later count as never free
-	// escalationLead is how long before the time by which it must hold its resources a job
-	// precedes new starts of higher priority. For every machinesPerEscalation ready machines one
-	// place may be used for such jobs at a time.
+	// A job that must hold its resources within escalationLead precedes new starts of higher
+	// priority. Such jobs may use one place at a time for every machinesPerEscalation ready
+	// machines.
 	escalationLead        = 20 * time.Second
 	machinesPerEscalation = 10
-	startProtection       = 30 * time.Second // after its start, in which a job's only placed task is not preempted
+	startProtection       = 30 * time.Second // time after its start in which a job's only placed task is not preempted
 )
 
-// starvationBound limits how long any job waits for its first start
-// (Model.StarvationBound is the limit; 0 switches all of this off). Only the
-// starvation*.go files and completion_floor.go write its fields.
+// starvationBound is the state of the limit on how long any job waits for its first start.
+// Model.StarvationBound is the limit; 0 disables it. Only the starvation*.go files and
+// completion_floor.go write the fields.
 type starvationBound struct {
-	nextCheck   time.Time // verdicts of the last check stand until then
-	nextExplain time.Time // causes are not worked out before
-	completed   completionCounts
+	nextCheck   time.Time        // the results of the last check hold until then
+	nextExplain time.Time        // time of the next search for the causes of starvation
+	completed   completionCounts // jobs completed under this leader, for the completion floor
 }
 
-// startState is what the starvation bound's last check decided about a job that has not
-// started. Only its methods write it. A job that can't start in time has a cause in blockedBy.
+// startState is the result of the starvation bound's last check for a job that has not started.
+// Only its methods write it.
 type startState struct {
-	mustStart  bool            // has to hold its places now in order to start in time
-	infeasible bool            // can't start in time beside the others of its class
-	startBy    time.Time       // when it should hold its places
-	startDelay time.Duration   // until it would hold them if it were served first
-	noCapacity bool            // there are never as many places as it needs to start
-	mustFinish bool            // the completion floor lets it not be postponed any longer
-	blockedBy  starvationCause // why it can't start in time; notBlocked if it can
+	mustStart  bool            // the job has to hold its places now in order to start in time
+	infeasible bool            // the job can't start in time together with the others of its class
+	startBy    time.Time       // time by which the job should hold its places
+	startDelay time.Duration   // time until the job would hold its places if it were served first
+	noCapacity bool            // there are never as many places as the job needs to start
+	mustFinish bool            // the completion floor forbids postponing the job any longer
+	blockedBy  starvationCause // why the job can't start in time; notBlocked if it can
 	loggedAt   time.Time       // when blockedBy was last logged
 }
 
@@ -76,8 +77,9 @@
 // setMustFinish records whether the completion floor protects the job.
 func (s *startState) setMustFinish(mustFinish bool) { s.mustFinish = mustFinish }
 
-// setCause records why the job can't start in time, notBlocked if it can. It reports whether the
-// cause is to be logged: if it is another one than before, and the job was not logged recently.
+// setCause records why the job can't start in time; notBlocked means that it can. It reports
+// whether the cause is to be logged, which is so if the cause is new and no cause of the job was
+// logged within relogInterval.
 func (s *startState) setCause(cause starvationCause, now time.Time) bool {
 	log := cause != notBlocked && cause != s.blockedBy && now.Sub(s.loggedAt) >= relogInterval
 	if log {
@@ -87,12 +89,12 @@
 	return log
 }
 
-// hasStarted reports whether a task of the job has run. firstRunAt does not suffice: a task
-// may have run and completed under an earlier leader.
+// hasStarted reports whether a task of the job has run. firstRunAt is not enough to tell, since
+// a task may have run and completed under an earlier leader.
 func (j *Job) hasStarted() bool { return !j.firstRunAt.IsZero() || j.DoneTasks > 0 }
 
 // placesToStart returns how many tasks must be placed for the job to start: all tasks of a
-// gang, one of any other job, 0 if it has started or is placed already.
+// gang, or one task of any other job. It returns 0 if the job has started or is placed already.
 func (j *Job) placesToStart() int {
 	switch {
 	case j.hasStarted():
@@ -105,8 +107,8 @@
 	return 1
 }
 
-// isStartProtected reports whether the job's only placed task must not be preempted yet
-// because the bound started it: being preempted at once would not count as a start.
+// isStartProtected reports whether the job's only placed task must not be preempted yet because
+// the bound started it. A start that is preempted at once would not count.
 func (m *Model) isStartProtected(j *Job, now time.Time) bool {
 	return m.StarvationBound > 0 && j.start.mustStart && !j.Gang() && j.PlacedTasks == 1 && (j.firstRunAt.IsZero() || now.Sub(j.firstRunAt) < startProtection)
 }
@@ -118,15 +120,15 @@
 }
 
 // checkStarvationBound marks the waiting jobs that must hold resources now in order to start
-// in time, and those that the completion floor protects. It runs every boundCheckInterval; jobs that
-// arrive in between wait for the next check.
+// in time, and those that the completion floor protects. It does so every boundCheckInterval.
+// Jobs that arrive in between wait for the next check.
 func (m *Model) checkStarvationBound(queue []*queueEntry, now time.Time) {
 	if m.StarvationBound <= 0 || now.Before(m.starvation.nextCheck) {
 		return
 	}
 	m.starvation.nextCheck = now.Add(boundCheckInterval)
 	byClass := map[string][]*queueEntry{}
-	var classes []string // in the order in which they appear in the queue
+	var classes []string // in the order of the queue
 	for _, entry := range queue {
 		if entry.job.placesToStart() == 0 {
 			continue
@@ -144,8 +146,8 @@
 	m.explainStarvation(now)
 }
 
-// latestStart returns when a job should, and when it must at the latest, hold its resources
-// in order to start in time, allowing for the image fetch and the startup that follow.
+// latestStart returns the time by which a job should hold its resources in order to start in
+// time, and the time by which it must. Both allow for the image fetch and the startup that follow.
 func (m *Model) latestStart(j *Job) (should, must time.Time) {
 	fetch := math.Inf(1)
 	for i := range m.MachineTypes {
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -1,3 +1,6 @@
+// Moves jobs that must start now, by the starvation bound, forward in the queue of a scheduling
+// pass.
+
 package cluster
 
 import (
@@ -6,12 +9,9 @@
 	"time"
 )
 
-// This file moves jobs that must start now, by the starvation bound, forward in the
-// queue of a scheduling pass.
-
 // prioritizeMustStart moves the jobs that must start now to the front of their priority,
-// behind those that the completion floor protects. Of an array only the first task moves; the
-// others keep their position.
+// behind those that the completion floor protects. Only the first task of an array moves. Its
+// other tasks keep their position.
 func (m *Model) prioritizeMustStart(queue []*queueEntry, now time.Time) []*queueEntry {
 	if m.StarvationBound <= 0 {
 		return queue
@@ -31,16 +31,15 @@
 	return m.escalateNearBound(out, now)
 }
 
-// mustStartSplit is the queue of one priority, split by what the starvation bound and the
-// completion floor demand.
+// mustStartSplit is the queue of one priority, split by the demands of the starvation bound and
+// the completion floor.
 type mustStartSplit struct {
 	mustFinish []*queueEntry // protected by the completion floor
-	mustStart  []*queueEntry // what of a job must start now
+	mustStart  []*queueEntry // the tasks of each job that must start now
 	others     []*queueEntry
 }
 
-// splitMustStart splits the queue of one priority. At most the given number of jobs are taken
-// as such that must start.
+// splitMustStart splits the queue of one priority. At most limit jobs go into mustStart.
 func splitMustStart(group []*queueEntry, limit int) mustStartSplit {
 	var s mustStartSplit
 	for _, entry := range group {
@@ -62,8 +61,9 @@
 	return s
 }
 
-// splitFirstStart splits off what must be placed for a job to start: all tasks of a gang, the
-// first task of an array. Resources are held for it. The tail is nil if nothing is left.
+// splitFirstStart splits off the tasks that must be placed for a job to start: all tasks of a
+// gang, or the first task of an array. Resources are held for them. The tail is nil if no task
+// is left, or if the other tasks wait for the next pass.
 func (entry *queueEntry) splitFirstStart() (head, tail *queueEntry) {
 	first := *entry
 	first.mustStart, first.req.StartDue = true, true
@@ -72,8 +72,8 @@
 		return &first, nil
 	}
 	first.req.Tasks = entry.req.Tasks[:1]
-	// The other tasks of a job with zone constraints wait for the next pass: two requests
-	// would be placed without regard to each other's zones.
+	// The other tasks of a job with zone constraints wait for the next pass, since placement
+	// would not coordinate the zones of two requests.
 	if len(entry.req.Tasks) == 1 || entry.job.Spec.OneZone || entry.job.Spec.Spread {
 		return &first, nil
 	}
@@ -98,9 +98,9 @@
 	return append(append(append(queue, s.mustFinish...), s.mustStart...), s.others...)
 }
 
-// truncateQueue cuts the queue to the given length, from its end, but never drops requests
-// whose start is due: moved forward by the starvation bound, by the completion floor, or because
-// their tier's longest wait is over.
+// truncateQueue cuts the queue from its end to the given length. It keeps all requests with
+// StartDue set, which the starvation bound, the completion floor or the longest wait of their tier
+// has moved forward, so the queue may stay longer.
 func truncateQueue(queue []*queueEntry, length int) []*queueEntry {
 	excess := len(queue) - length
 	if excess <= 0 {
@@ -116,9 +116,9 @@
 }
 
 // escalateNearBound moves jobs that are about to miss the bound ahead of new starts of higher
-// priority, but behind all work within a quota. Nothing is preempted for them. Their number
-// is bounded to one place per machinesPerEscalation ready machines, or a single job, and includes
-// starts that are still protected.
+// priority, but behind all work within a guaranteed quota. Nothing is preempted for them. They
+// may use one place per machinesPerEscalation ready machines, or run a single job. Starts that are
+// still protected count against that limit.
 func (m *Model) escalateNearBound(queue []*queueEntry, now time.Time) []*queueEntry {
 	beyondGuarantee := slices.IndexFunc(queue, func(entry *queueEntry) bool { return !entry.withinGuarantee })
 	if beyondGuarantee < 0 || queue[beyondGuarantee].job.priority == queue[len(queue)-1].job.priority {
@@ -126,20 +126,21 @@
 	}
 	highest := queue[beyondGuarantee].job.priority
 	places := m.escalationPlaces(now)
-	var called, others []*queueEntry
+	var escalated, others []*queueEntry
 	for _, entry := range queue[beyondGuarantee:] {
 		tasks := len(entry.req.Tasks)
-		if entry.needsEscalation(now) && entry.job.priority > highest && places > 0 && (tasks <= places || len(called) == 0) {
+		if entry.needsEscalation(now) && entry.job.priority > highest && places > 0 && (tasks <= places || len(escalated) == 0) {
 			places -= tasks
-			called = append(called, entry)
+			escalated = append(escalated, entry)
 		} else {
 			others = append(others, entry)
 		}
 	}
-	return slices.Concat(queue[:beyondGuarantee], called, others)
+	return slices.Concat(queue[:beyondGuarantee], escalated, others)
 }
 
-// escalationPlaces returns how many places last calls may take in this pass.
+// escalationPlaces returns how many places escalated jobs may take in this pass. The result may
+// be negative.
 func (m *Model) escalationPlaces(now time.Time) int {
 	ready, protected := 0, 0
 	for _, mc := range m.Machines {
