--- a/cluster/objectives.go
+++ b/cluster/objectives.go
@@ -1,3 +1,5 @@
+// Derives from the service-level objectives the time by which a job must start.
+
 package cluster
 
 import (
@@ -7,17 +9,15 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// This file derives from the service-level objectives by when a job must start.
-
-// startDeadlines are the latest starts by which a job meets the objectives that it can still
-// meet, earliest first.
+// startDeadlines holds the latest starts by which a job meets the objectives that it can still
+// meet.
 type startDeadlines struct {
-	latest       []time.Time
-	earliestWait time.Time // the earliest of them that belongs to an objective on the wait or on guaranteed work; zero: none
-	missed       int       // number of objectives that can't be met any more
+	latest       []time.Time // earliest first
+	earliestWait time.Time   // earliest of them that belongs to an objective on the wait or on guaranteed work; zero if none
+	missed       int         // number of objectives that can't be met any more
 }
 
-// add adds an objective that is met if the job starts by the given time.
+// add adds an objective that is met if the job starts by the time latest.
 func (d *startDeadlines) add(latest, now time.Time) {
 	if latest.Before(now) {
 		d.missed++
@@ -27,7 +27,7 @@
 }
 
 // addWait adds an objective on how long a job waits for its start. startup is the time from
-// its placement to its start. A job that has started needs no such objective.
+// its placement to its start. addWait does nothing if the job has started.
 func (d *startDeadlines) addWait(j *Job, o *config.Objective, startup time.Duration, now time.Time) {
 	if !j.firstRunAt.IsZero() {
 		return
@@ -47,8 +47,7 @@
 	return len(d.latest) > 0 && d.latest[0].Equal(d.earliestWait)
 }
 
-// latestStarts returns by when a queued job must start to meet the objectives of its class,
-// as far as it can still meet them.
+// latestStarts returns the latest starts by which a queued job meets the objectives of its class.
 func (m *Model) latestStarts(entry *queueEntry, now time.Time) startDeadlines {
 	j := entry.job
 	learned := m.startupAndStragglersOf(j)
@@ -81,7 +80,7 @@
 	return deadlines
 }
 
-// deadlineFactor is the multiple of a job's own deadline that a deadline objective grants.
+// deadlineFactor returns the multiple of a job's own deadline that a deadline objective grants.
 func deadlineFactor(o *config.Objective) float64 {
 	if o.Times <= 0 {
 		return 1
@@ -90,7 +89,7 @@
 }
 
 // hasObjective reports whether an objective on the wait, the completion or the deadline names
-// the job's class. Objectives on all classes don't count, nor do those on guaranteed work.
+// the job's class. Objectives on all classes or on guaranteed work don't count.
 func (m *Model) hasObjective(j *Job) bool {
 	for _, o := range m.settings.Cluster.Objectives {
 		switch o.Kind {
@@ -104,14 +103,14 @@
 }
 
 // hasWaitObjective reports whether an objective bounds how long jobs of the job's class wait for
-// their start.
+// their start. It returns false for a class that is not observed (classRegistry).
 func (m *Model) hasWaitObjective(j *Job) bool {
 	c := m.classes.get(j.Spec.Class)
 	return c != nil && c.hasWaitObjective
 }
 
-// classHasWaitObjective reports whether an objective bounds how long jobs of a class, which it
-// names, wait for their start.
+// classHasWaitObjective reports whether an objective names the class and bounds how long its jobs
+// wait for their start.
 func (m *Model) classHasWaitObjective(class string) bool {
 	return slices.ContainsFunc(m.settings.Cluster.Objectives, func(o config.Objective) bool {
 		return o.Kind == config.ObjectiveWait && o.Class == class
--- a/cluster/starvation_check.go
+++ b/cluster/starvation_check.go
@@ -1,3 +1,6 @@
+// Simulates the starts of a class's jobs. The starvation bound decides by this simulation which
+// jobs must start now.
+
 package cluster
 
 import (
@@ -8,30 +11,26 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// This file is the simulation by which the starvation bound decides which jobs of a class must
-// start now.
-
-// maxStartDelay bounds forecasts of when a job can start. It is beyond schedulingHorizon, so
-// that a job without places never counts as one that has to wait for them.
+// maxStartDelay bounds forecasts of when a job can start. It exceeds schedulingHorizon, so that
+// a job for which there are never enough places is told apart from a job that waits for them.
 const maxStartDelay = 2 * schedulingHorizon
 
 // startForecast is the result of a check of the bound for one job.
 type startForecast struct {
-	startBy, hardLimit time.Time
-	delayServedFirst   time.Duration // until it holds its resources if it is served first
+	startBy, hardLimit time.Time     // times by which the job should and must hold its resources
+	delayServedFirst   time.Duration // time until the job holds its resources if it is served first
 	delayServedInTurn  time.Duration // the same if it is served after the jobs that are due earlier
-	infeasible         bool          // it can't start in time beside the others
+	infeasible         bool          // the job can't start in time together with the others
 }
 
-// hasNoCapacity reports whether there are never as many places as the job needs to start.
+// hasNoCapacity reports whether the job's places are not expected within schedulingHorizon.
 func (f *startForecast) hasNoCapacity() bool { return f.delayServedFirst > schedulingHorizon }
 
 // boundCheck is a check of the bound for the unstarted jobs of one class. It simulates serving
-// them, earliest due first, as if nothing else were served from now on. Jobs that would be in
-// time, but with little slack, must be served now, and with them all that are due earlier.
-// Where a job would be late, the costliest job up to it is dropped from the simulation, the
-// largest ones of the class only if there are no others, so that as few jobs as possible are
-// late.
+// them, earliest due first, as if nothing else were served from now on. A job that would start in
+// time, but with little slack, must be served now, together with all jobs that are due earlier.
+// If a job would be late, the simulation drops the costliest job up to it. The largest jobs of the
+// class are dropped only if there are no others. This keeps the number of late jobs low.
 type boundCheck struct {
 	model     *Model
 	now       time.Time
@@ -41,7 +40,7 @@
 }
 
 // checkClassBound checks the bound for the unstarted jobs of one class. The places are counted
-// for the resources and the zone constraint of the first job, which stands for all of them.
+// for the resources and the zone constraint of the first job, which represents all of them.
 func (m *Model) checkClassBound(jobs []*queueEntry, now time.Time) {
 	places := m.zonePlacesFor(jobs[0].job, now)
 	c := &boundCheck{model: m, now: now, jobs: jobs, forecasts: make([]startForecast, len(jobs)), order: make([]int, len(jobs))}
@@ -51,7 +50,7 @@
 }
 
 // forecastAlone forecasts each job's start as if it were served before all others, and sorts
-// the jobs by when they are due.
+// the jobs by their due times.
 func (c *boundCheck) forecastAlone(places *zonePlaces) {
 	for i, entry := range c.jobs {
 		f := &c.forecasts[i]
@@ -66,13 +65,14 @@
 	})
 }
 
-// startDelayOf converts a forecast in seconds, which may be infinite.
+// startDelayOf converts a forecast in seconds, which may be infinite, to a duration of at most
+// maxStartDelay.
 func startDelayOf(seconds float64) time.Duration {
 	return config.Seconds(min(seconds, maxStartDelay.Seconds()))
 }
 
-// dropLate marks jobs as infeasible until no other job is late. After maxCostliestDropRounds
-// simulations it drops the late jobs themselves, which takes fewer rounds.
+// dropLate marks jobs as infeasible until none of the other jobs is late. After
+// maxCostliestDropRounds simulations it drops the late jobs themselves, which takes fewer rounds.
 func (c *boundCheck) dropLate(places *zonePlaces) {
 	for drops := 0; ; drops++ {
 		dropped := c.simulate(places.clone())
@@ -86,8 +86,8 @@
 	}
 }
 
-// simulate serves the jobs that are not dropped, earliest due first, and returns the index of
-// the first one that would be late, or -1. It uses up the places.
+// simulate serves the jobs that are not dropped, earliest due first. It returns the index of the
+// first job that would be late, or -1 if there is none. It modifies places.
 func (c *boundCheck) simulate(places *zonePlaces) int {
 	for _, i := range c.order {
 		entry, f := c.jobs[i], &c.forecasts[i]
@@ -106,9 +106,9 @@
 	return -1
 }
 
-// costliestUpTo returns the index of the job, among those up to the late one, that occupies
-// the most resources for the longest time. The largest jobs of the class are excepted; if
-// there are no others it is the late job itself.
+// costliestUpTo returns the index of the job up to the late one with the highest product of places and
+// run time. The largest jobs of the class don't count. If there are no others, costliestUpTo
+// returns the late job itself.
 func (c *boundCheck) costliestUpTo(late int) int {
 	costliest, most := late, -1.0
 	for _, i := range c.order {
@@ -124,8 +124,8 @@
 	return costliest
 }
 
-// decide records which jobs must start now. It goes from the job that is due last to the
-// first, since a job with little slack lets all that are due earlier be served now.
+// decide records which jobs must start now. It goes from the job that is due last to the first,
+// since a job with little slack makes all jobs that are due earlier be served now.
 func (c *boundCheck) decide() {
 	bound := c.model.StarvationBound
 	leastSlack := time.Duration(math.MaxInt64)
@@ -142,16 +142,15 @@
 		case f.hasNoCapacity():
 			mustStart = f.startBy.Sub(c.now) <= escalationLead
 		default:
-			// Serving it in time would make others late, so that it gets twice the
-			// time.
+			// Serving the job in time would make others late, so it gets twice the time.
 			mustStart = f.startBy.Add(bound).Sub(c.now)-f.delayServedFirst <= sufficientSlack(f.delayServedFirst)
 		}
 		j.start.decide(f, mustStart)
 	}
 }
 
-// sufficientSlack returns the slack down to which a job need not be served by the bound, given
-// the predicted wait for its resources.
+// sufficientSlack returns the slack above which a job is not served by the bound yet, given the
+// predicted wait for its resources.
 func sufficientSlack(wait time.Duration) time.Duration {
 	return minStartSlack + time.Duration(startSlackShare*float64(wait))
 }
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -1,3 +1,5 @@
+// Finds the jobs that can't start within the starvation bound, and the cause for each of them.
+
 package cluster
 
 import (
@@ -5,16 +7,13 @@
 	"time"
 )
 
-// This file finds the jobs that can't start within the starvation bound, and why each of them
-// can't.
-
 const (
-	explainInterval  = 10 * time.Second // between two searches for the causes
-	relogInterval    = 30 * time.Second // least time until a job is logged with another cause
-	maxStarvedListed = 20               // jobs in a summary
+	explainInterval  = 10 * time.Second // time between two searches for causes
+	relogInterval    = 30 * time.Second // minimum time between two logged causes of a job
+	maxStarvedListed = 20               // maximum of jobs listed in a snapshot
 )
 
-// starvationCause is the cause for which a job can't start in time, as operators read it.
+// starvationCause is the reason why a job can't start in time, as shown to operators.
 type starvationCause string
 
 const (
@@ -42,8 +41,8 @@
 	WaitedSeconds float64 // since it was accepted
 }
 
-// explainStarvation determines for each open job that can't start within the bound why it
-// can't, and logs new causes.
+// explainStarvation determines the cause for each open job that can't start within the bound, and
+// logs new causes. It does so every explainInterval.
 func (m *Model) explainStarvation(now time.Time) {
 	if now.Before(m.starvation.nextExplain) {
 		return
@@ -65,8 +64,9 @@
 	}
 }
 
-// missesBound reports whether a job is not expected to start within the bound: either there is
-// no capacity for it, or the time has passed by which it should hold its resources.
+// missesBound reports whether a job is not expected to start within the bound. This is so if there
+// is no capacity for the job, or if the time has passed by which it should hold its resources. A
+// placed job misses the bound only once its wait exceeds it.
 func (m *Model) missesBound(j *Job, now time.Time) bool {
 	if j.PlacedTasks > 0 && !j.Gang() || j.PlacedTasks == len(j.Tasks) {
 		return now.Sub(j.AcceptedAt) > m.StarvationBound
@@ -125,8 +125,8 @@
 	return !over(want.CPU, j.Need.CPU, t.Max.CPU) && !over(want.GPU, j.Need.GPU, t.Max.GPU)
 }
 
-// usableBy counts the ready machines that the job may use, and reports whether further ones
-// are booting or may be rented.
+// usableBy returns the number of ready machines that the job may use. coming reports whether such
+// machines are booting or, if none is ready, may be rented.
 func (m *Model) usableBy(j *Job, now time.Time) (ready int, coming bool) {
 	for _, mc := range m.Machines {
 		if !j.mayUse(mc) || !j.allowsZone(mc.Zone) || !j.Need.Fits(m.MachineTypes[mc.typeIndex].Capacity) {
@@ -145,8 +145,8 @@
 	return ready, coming
 }
 
-// occupiedByHigherPriority reports whether there are tasks on the machines that the job may
-// use, and all of them are of higher priority.
+// occupiedByHigherPriority reports whether the machines that the job may use have tasks, all of
+// which are of higher priority.
 func (m *Model) occupiedByHigherPriority(j *Job, now time.Time) bool {
 	higher := false
 	for _, mc := range m.Machines {
@@ -163,8 +163,8 @@
 	return higher
 }
 
-// starvedJobs lists the jobs that can't start in time, those that have waited longest first,
-// and returns how many there are in all.
+// starvedJobs returns at most maxStarvedListed jobs that can't start in time, longest wait first,
+// and the number of all such jobs.
 func (m *Model) starvedJobs(now time.Time) (out []StarvedJob, all int) {
 	for _, idx := range m.openIndexes {
 		j := m.Jobs[idx]
--- a/cluster/triage.go
+++ b/cluster/triage.go
@@ -1,3 +1,6 @@
+// Triage is deadline-aware admission. When not all waiting jobs can meet their objectives, triage
+// decides which jobs are served for their objectives and which are postponed.
+
 package cluster
 
 import (
@@ -6,42 +9,38 @@
 	"time"
 )
 
-// This file is triage, which is deadline-aware admission: where not all waiting jobs can meet
-// their objectives, it decides which of them are served for their objectives and which are
-// postponed.
-
 const (
 	maxTriageJobs  = 1000 // jobs of a class that are simulated
 	maxTriageTasks = 128  // tasks of a job that are simulated one by one
 
-	// triageIntervalPerTask is how long verdicts stand per waiting task, since the simulation takes
-	// longer the more tasks wait. maxTriageInterval bounds the product.
+	// The interval between two runs grows by triageIntervalPerTask for each waiting task, up to
+	// maxTriageInterval, since the simulation takes longer the more tasks wait.
 	triageIntervalPerTask = 500 * time.Microsecond
 	maxTriageInterval     = 2 * time.Second
 )
 
-// triageState is when triage runs next, and a buffer that it reuses. Only triage.go and
-// triage_simulation.go write its fields.
+// triageState is the state of triage between runs. Only triage.go and triage_simulation.go write
+// its fields.
 type triageState struct {
-	nextRun time.Time  // verdicts of the last run stand until then
-	buffer  placeTimes // of the simulation
+	nextRun time.Time  // the verdicts of the last run hold until then
+	buffer  placeTimes // reused by simulations
 }
 
-// triageVerdict is what the last run of triage decided about a job. It stands until the next
-// run; the zero value is a job that triage has not seen and counts as in time. Only record
+// triageVerdict is the result of the last run of triage for a job. It holds until the next run.
+// The zero value belongs to a job that triage has not seen, which counts as in time. Only record
 // writes it.
 type triageVerdict struct {
-	missed   bool      // no objective can be met beside the jobs that are served
-	deferred bool      // removed from its first objective for the sake of others
-	due      time.Time // latest start for the objective it is served for; zero: not judged
+	missed   bool      // the job can meet no objective together with the jobs that are served
+	deferred bool      // triage gave up the job's first objective in favor of other jobs
+	due      time.Time // latest start for the objective it is served for; zero if triage has not seen it
 }
 
-// record keeps the verdict of a run, which the run has left in the queue.
+// record saves the verdict of a run from the job's queue entry.
 func (v *triageVerdict) record(entry *queueEntry) {
 	*v = triageVerdict{missed: entry.missed, deferred: entry.deferred, due: entry.due}
 }
 
-// applyTo applies the verdict to the queue of a later pass.
+// applyTo applies the verdict to the job's queue entry in a later pass.
 func (v *triageVerdict) applyTo(entry *queueEntry) {
 	entry.missed, entry.deferred = entry.missed || v.missed, v.deferred
 	if !v.due.IsZero() {
@@ -50,13 +49,13 @@
 }
 
 // runTriage decides which jobs of the queue are served for their objectives (deadline, waiting
-// time, completion) when not all of them can be met, and sorts the jobs of each rank by that.
+// time, completion) when not all of them can be met, and sorts the jobs of each rank accordingly.
 //
 // The jobs of a class are simulated in the order in which they would be served, on the places
-// that are or become free. Whenever a job would be late, the one with the most work so far is
-// removed, so that as many jobs as possible meet their objectives (the Moore-Hodgson
+// that are free or become free. Whenever a job would be late, the job with the most work up to it
+// is removed, so that as many jobs as possible meet their objectives (the Moore-Hodgson
 // algorithm). A removed job is served for a later objective if it can meet one without making
-// others late, and otherwise after all others, those that run longest first.
+// others late. Otherwise it is served after all others, and the longest of these jobs come first.
 func (m *Model) runTriage(queue []*queueEntry, now time.Time) {
 	fresh := !now.Before(m.triage.nextRun)
 	if fresh {
@@ -83,14 +82,14 @@
 }
 
 // applyLastTriage applies the last run's verdicts to the jobs of one rank. Jobs that have
-// arrived since count as in time.
+// arrived since that run count as in time.
 func applyLastTriage(group []*queueEntry) {
 	for _, entry := range group {
 		entry.job.triage.applyTo(entry)
 	}
 }
 
-// triageGroup runs triage on the jobs of one rank, class by class, and keeps the verdicts.
+// triageGroup runs triage on the jobs of one rank, class by class, and records the verdicts.
 func (m *Model) triageGroup(group []*queueEntry, now time.Time) {
 	byClass := map[string][]*queueEntry{}
 	for _, entry := range group {
@@ -99,7 +98,7 @@
 			byClass[c] = append(byClass[c], entry)
 		}
 	}
-	for _, jobs := range byClass { // the classes' results don't depend on one another
+	for _, jobs := range byClass { // any order: the classes are independent
 		m.triageClass(jobs, now)
 	}
 	missed, missedTasks, tasks := 0, 0, 0
@@ -126,8 +125,8 @@
 		case x.deferred != y.deferred:
 			return y.deferred
 		case x.missed:
-			// What remains is to complete all work soon, for which the longest jobs
-			// must not be the last to start.
+			// These jobs meet no objective. The longest ones start first, so that all
+			// work is completed early.
 			return x.runSeconds > y.runSeconds
 		}
 		return x.due.Before(y.due)
@@ -135,8 +134,8 @@
 }
 
 // triageClass simulates the jobs of a class and marks those that can't meet their objectives.
-// The places are counted for the resources and the zone of the first job, which stands for all
-// of them. Without any place no job is marked.
+// The places are counted for the resources and the zone of the first job, which represents all
+// of them. No job is marked if there are no places.
 func (m *Model) triageClass(jobs []*queueEntry, now time.Time) {
 	places := placeTimes(m.placesFor(jobs[0].job, jobs[0].job.zone, now))
 	if len(places) == 0 {
@@ -150,8 +149,8 @@
 	s.tryLaterObjectives(inTime, removed)
 }
 
-// removeLate removes jobs until none of the others is late: each time one is, the job with
-// the most work up to it. Jobs of batch windows are not removed.
+// removeLate removes jobs until none of the others is late. For each late job it removes the job
+// with the most work up to it. Jobs of batch windows are never removed.
 func (s *simulation) removeLate(jobs []*queueEntry) (inTime, removed []*queueEntry) {
 	for unchanged := 0; ; {
 		late := s.run(jobs, unchanged)
@@ -170,14 +169,14 @@
 	}
 }
 
-// tryLaterObjectives finds for each removed job, the smallest first, the earliest of its later
-// objectives that it can meet without making any of the others late.
+// tryLaterObjectives finds the earliest later objective that each removed job can meet without
+// making any of the others late. Jobs with the least work come first.
 func (s *simulation) tryLaterObjectives(inTime, removed []*queueEntry) {
-	windowJobs := 0 // they precede the others, whatever these are due for
+	windowJobs := 0 // jobs of batch windows precede all others
 	for windowJobs < len(inTime) && inTime[windowJobs].inWindow {
 		windowJobs++
 	}
-	unchanged := len(inTime) // since the last run, from the first job on
+	unchanged := len(inTime) // number of leading jobs that are as in the last run
 	sort.SliceStable(removed, func(a, b int) bool { return removed[a].totalWork < removed[b].totalWork })
 	for _, entry := range removed {
 		entry.deferred, entry.missed = true, true
@@ -195,9 +194,8 @@
 	}
 }
 
-// afterMustStart lets the jobs that must start by the starvation bound occupy their places and
-// returns the other jobs, which get the rest. Otherwise the same places would be counted for
-// both.
+// afterMustStart occupies the places of the jobs that must start by the starvation bound, and
+// returns the other jobs. Otherwise the same places would be counted for both.
 func (m *Model) afterMustStart(jobs []*queueEntry, places placeTimes) []*queueEntry {
 	if m.StarvationBound <= 0 {
 		return jobs
@@ -216,7 +214,7 @@
 	return others
 }
 
-// remainingWork is how many seconds the unfinished tasks of a job would take one after another.
+// remainingWork returns the expected run time, in seconds, of a job's unfinished tasks together.
 func (m *Model) remainingWork(j *Job, now time.Time) float64 {
 	seconds, estimate := 0.0, m.expectedRunTime(j)
 	for i := range j.Tasks {
--- a/cluster/triage_simulation.go
+++ b/cluster/triage_simulation.go
@@ -1,34 +1,34 @@
+// Simulates serving the jobs of a class one after another on the places that are free or become
+// free. Triage decides by this simulation.
+
 package cluster
 
 import "time"
 
-// This file is the simulation by which triage decides: it serves the jobs of a class one after
-// another on the places that are or become free.
-
 // checkpointInterval is the number of jobs between two checkpoints of a simulation. Triage
-// simulates nearly the same list of jobs again and again; without checkpoints this took nine
-// tenths of a pass that places the 400 jobs of a burst.
+// simulates nearly the same list of jobs again and again. Without checkpoints this takes nine
+// tenths of a pass that places a burst of 400 jobs.
 const checkpointInterval = 16
 
-// latenessTolerance is how many seconds late a job may start and still count as in time.
-const latenessTolerance = 0.5
+// latenessToleranceSeconds is how late a job may start and still count as in time.
+const latenessToleranceSeconds = 0.5
 
-// simulation serves the jobs of a class on places. It can be run any number of times, and runs
-// only what differs from the run before.
+// simulation serves the jobs of a class on places. It can be run any number of times, and
+// continues from the last checkpoint before the first difference from the previous run.
 type simulation struct {
 	model       *Model
 	now         time.Time
 	checkpoints []placeTimes // element n is the state before job n*checkpointInterval
-	free        placeTimes   // the state of the current run; a buffer
+	free        placeTimes   // state of the current run; a reused buffer
 }
 
 func (m *Model) newSimulation(places placeTimes, now time.Time) *simulation {
 	return &simulation{model: m, now: now, checkpoints: []placeTimes{places}, free: m.triage.buffer}
 }
 
-// run serves the jobs in the given order. The first so many jobs, unchanged, must be those of
-// the run before. It returns the index of the first job whose last task would start later
-// than the job is due, or -1.
+// run serves the jobs in the given order. unchanged is the number of leading jobs that are the
+// same as in the previous run. run returns the index of the first job whose last task would start
+// after the job's due time, or -1 if there is none.
 func (s *simulation) run(jobs []*queueEntry, unchanged int) int {
 	from := min(unchanged/checkpointInterval, len(s.checkpoints)-1)
 	s.checkpoints = s.checkpoints[:from+1]
@@ -38,11 +38,11 @@
 		if i%checkpointInterval == 0 && i/checkpointInterval == len(s.checkpoints) {
 			s.checkpoints = append(s.checkpoints, append(placeTimes(nil), s.free...))
 		}
-		// A job that is due already is not given up for a place that is free now. A job
-		// of a batch window keeps its position, whether or not it meets its own objectives.
+		// A job that is already due is not late if it gets a place that is free now. A job
+		// of a batch window keeps its position even if it misses its own objectives.
 		entry := jobs[i]
 		due := max(entry.due.Sub(s.now).Seconds(), 0)
-		if last := s.serve(entry); !entry.inWindow && last > due+latenessTolerance {
+		if last := s.serve(entry); !entry.inWindow && last > due+latenessToleranceSeconds {
 			return i
 		}
 	}
@@ -50,7 +50,7 @@
 }
 
 // serve occupies places for the tasks of a job and returns the seconds until its last task
-// starts.
+// starts. The tasks after the first maxTriageTasks are estimated together.
 func (s *simulation) serve(entry *queueEntry) float64 {
 	startup := s.model.startupAndStragglersOf(entry.job).startDelaySeconds()
 	tasks := len(entry.req.Tasks)
