--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -1,3 +1,8 @@
+// Tracks the batch windows of the plan's calendar: which jobs belong to them, in which order they
+// are served, and whether their deadlines were met. Package calendar holds the rules
+// (docs/calendar.md). window_forecast.go makes forecasts, and window_provision.go scales out ahead
+// of deadlines.
+
 package cluster
 
 import (
@@ -10,41 +15,38 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file tracks the batch windows of the plan's calendar: which jobs belong to them, in
-// which order they are served, and whether their deadlines were met. Package calendar
-// decides (docs/calendar.md); forecasts are in window_forecast.go, scale-out ahead of
-// deadlines is in window_provision.go.
-
 const (
-	windowScanInterval    = time.Second     // between two scans of the open jobs
-	windowSaveInterval    = 2 * time.Second // least time between two records of a region
-	windowSaveMaxInterval = time.Minute     // most time between them while a batch window is open
-	submissionDelay       = 2 * time.Second // longest time from a job's acceptance until the leader knows it
+	windowScanInterval    = time.Second     // time between two scans of the open jobs
+	windowSaveInterval    = 2 * time.Second // minimum time between two records of a region
+	windowSaveMaxInterval = time.Minute     // maximum time between them while a batch window is open
+	submissionDelay       = 2 * time.Second // maximum time from a job's acceptance until the leader knows it
 )
 
 // batchWindows is the leader's state of the calendar's batch windows. Only batch_window.go,
-// window_forecast.go and window_provision.go write its fields. Invariants: calendar is nil
-// if and only if schedules is empty; schedules[i] is the schedule of calendar.Regions[i]; a
-// job's cached window is valid only if its calendarGeneration is the current one.
+// window_forecast.go and window_provision.go write its fields. It has these invariants:
+//
+//   - calendar is nil if and only if schedules is empty.
+//   - schedules[i] is the schedule of calendar.Regions[i].
+//   - A job's cached window is valid only if its calendarGeneration is the current one.
 type batchWindows struct {
 	calendar           *calendar.Calendar
 	schedules          []*windowSchedule // by region, in the calendar's order
-	calendarGeneration int               // counts loaded calendars
-	now                time.Time         // of the last Tick or SetCompletionTime
+	calendarGeneration int               // number of calendars loaded so far
+	now                time.Time         // time of the last Tick or SetCompletionTime
 	lastScan           time.Time
 	lastForecast       time.Time
 	provision          windowProvision
 }
 
-// windowSchedule is the schedule of a region's batch windows, with what its recorded
-// forecasts were based on.
+// windowSchedule is the schedule of a region's batch windows, with the inputs of its recorded
+// forecasts.
 type windowSchedule struct {
 	*calendar.Schedule
 	region          *calendar.Region
 	forecastBases   map[string]forecastBasis   // by the date of the batch window
 	openJobs        map[string]calendar.Window // unfinished jobs of the last scan, by id
-	reforecastCause string                     // why all forecasts must be recorded anew; "" if they need not
-	savedGeneration uint64                     // of the schedule, as last recorded
+	reforecastCause string                     // why all forecasts must be recorded anew; "" if none must be
+	savedGeneration uint64                     // generation of the schedule when last recorded
 	savedAt         time.Time
 	outcomeUnsaved  bool // a batch window has been closed since the last record
 }
@@ -59,18 +61,17 @@
 // setWindow caches the batch window that the job belongs to.
 func (j *Job) setWindow(window jobWindow) { j.window = window }
 
-// setCompletionTime sets when the job's end was written.
+// setCompletionTime sets the time that the job's final record has as its end.
 func (j *Job) setCompletionTime(at time.Time) { j.completedAtMs = at.UnixMilli() }
 
-// windowRank is the position of a job by the calendar.
+// windowRank determines the position of a job by the calendar.
 type windowRank struct {
 	inWindow bool      // the job belongs to a batch window
-	deadline time.Time // of the batch window, or the job's own if that is earlier
+	deadline time.Time // the earlier of the batch window's deadline and the job's own
 }
 
-// reloadCalendar applies the plan's calendar. Schedules of regions that were known before
-// are moved to the new openings; those of other regions continue from what an earlier
-// leader committed.
+// reloadCalendar applies the plan's calendar. Schedules of known regions are moved to the new
+// openings. Schedules of other regions continue from the records of an earlier leader.
 func (m *Model) reloadCalendar(now time.Time) {
 	windows := &m.windows
 	windows.calendarGeneration++
@@ -104,7 +105,7 @@
 	windows.lastScan, windows.lastForecast = time.Time{}, time.Time{}
 }
 
-// loadWindowSchedule makes a region's schedule from what earlier leaders recorded. An
+// loadWindowSchedule returns a region's schedule, built from the record of earlier leaders. An
 // unreadable record must not stop the region: its batch windows are counted anew from the
 // open jobs.
 func (m *Model) loadWindowSchedule(region string) *windowSchedule {
@@ -119,14 +120,14 @@
 	return &windowSchedule{Schedule: calendar.NewSchedule(region, record, m.FencingToken, settleDelay)}
 }
 
-// calendarAttributes are the properties of a job by which the calendar matches it.
+// calendarAttributes returns the properties of a job by which the calendar matches it.
 func calendarAttributes(job *wire.Job) calendar.JobAttributes {
 	return calendar.JobAttributes{Class: job.Class, Team: job.Team, Zone: job.Zone, Image: job.Image}
 }
 
-// windowOf returns the batch window that a job belongs to, and its schedule; nil if there is
-// none. It follows from the job's record and the plan alone, so that every leader finds the
-// same.
+// windowOf returns the batch window that a job belongs to, and its schedule. The schedule is nil if
+// there is none. The result depends only on the job's record and the plan, so every leader gets the
+// same one.
 func (m *Model) windowOf(j *Job) (*windowSchedule, calendar.Window) {
 	windows := &m.windows
 	if windows.calendar == nil || j.Spec.Kind == wire.KindService {
@@ -142,8 +143,8 @@
 	return j.window.schedule, j.window.window
 }
 
-// applyWindowDeadline makes a batch window's job due by the earlier of its own deadline and
-// that of the batch window.
+// applyWindowDeadline makes a batch window's job due in time for the earlier of its own deadline
+// and the batch window's. It does nothing for other jobs.
 func (m *Model) applyWindowDeadline(entry *queueEntry) {
 	schedule, window := m.windowOf(entry.job)
 	if schedule == nil {
@@ -161,9 +162,9 @@
 	}
 }
 
-// lessByWindow orders two jobs of which at least one belongs to a batch window: jobs of
-// batch windows before other work of their priority, earlier deadlines first, and then the
-// longest job first, since a batch window is met as a whole or not at all.
+// lessByWindow reports whether x is served before y. At least one of them must belong to a batch
+// window. Jobs of batch windows precede other work of their priority. Among them, earlier deadlines
+// come first, and then longer jobs, since a batch window is met only if all its jobs complete.
 func lessByWindow(x, y *queueEntry) bool {
 	switch {
 	case x.inWindow != y.inWindow:
@@ -174,9 +175,9 @@
 	return x.runSeconds > y.runSeconds
 }
 
-// completionTimeMs is the time that a job's final record gets as its end, in Unix
-// milliseconds, so that a later leader can tell whether its batch window was met; 0 for jobs
-// of no batch window.
+// completionTimeMs returns the end time for a job's final record, in Unix milliseconds. A later
+// leader needs it to tell whether the batch window was met. It returns 0 if the job belongs to no
+// batch window.
 func (m *Model) completionTimeMs(j *Job) int64 {
 	if schedule, _ := m.windowOf(j); schedule == nil {
 		return 0
@@ -186,10 +187,11 @@
 }
 
 // SetCompletionTime sets the time that the next batch records as the end of jobs. The time of
-// the last Tick won't do: after an outage or a pause of the process it is far in the past.
+// the last Tick can't be used, since it is far in the past after an outage or a pause of the
+// process.
 func (m *Model) SetCompletionTime(now time.Time) { m.windows.now = now }
 
-// recordWindowCompletion counts a job whose end is committed in its batch window.
+// recordWindowCompletion records in its batch window a job whose end has been committed.
 func (m *Model) recordWindowCompletion(j *Job) {
 	schedule, window := m.windowOf(j)
 	if schedule == nil {
@@ -202,8 +204,8 @@
 	schedule.RecordCompletion(j.ID, window, completedAt)
 }
 
-// tickWindows scans the jobs of batch windows, makes forecasts, closes the batch windows
-// whose time has come, and records what has changed. It is called with each tick.
+// tickWindows scans the jobs of batch windows, makes forecasts, closes the batch windows that are
+// due, and records changes. Tick calls it each time, and it acts every windowScanInterval.
 func (m *Model) tickWindows(now time.Time) {
 	windows := &m.windows
 	windows.now = now
@@ -220,7 +222,7 @@
 		schedule.ObserveOpenJobs(schedule.openJobs)
 		for _, id := range schedule.UnresolvedJobs() {
 			if j := m.Job(id); j != nil && !j.Cancelled {
-				schedule.ResolveJob(id, calendar.EndCompleted, calendar.Window{}, now) // it has moved to another region
+				schedule.ResolveJob(id, calendar.EndCompleted, calendar.Window{}, now) // the job has moved to another region
 			}
 		}
 	}
@@ -234,7 +236,7 @@
 	}
 }
 
-// observeOpenWindowJobs lists the unfinished jobs that belong to batch windows, and sets
+// observeOpenWindowJobs returns the unfinished jobs that belong to batch windows, and sets
 // them as the open jobs of their schedules.
 func (m *Model) observeOpenWindowJobs() []*Job {
 	var jobs []*Job
@@ -256,9 +258,9 @@
 	return jobs
 }
 
-// queueWindowRecord queues a region's record to be written: at once if a batch window has been
-// closed, within seconds for other changes, and once a minute while a batch window is open,
-// which shows that a leader still updates it.
+// queueWindowRecord queues a region's record to be written. It does so at once if a batch window
+// has been closed, and after windowSaveInterval for other changes. While a batch window is open the
+// record is written at least every windowSaveMaxInterval, which shows that a leader still updates it.
 func (m *Model) queueWindowRecord(schedule *windowSchedule, now time.Time) {
 	sinceSaved := now.Sub(schedule.savedAt)
 	changed := schedule.Generation() != schedule.savedGeneration
@@ -268,23 +270,23 @@
 	}
 }
 
-// windowRecordIDBytes is how many bytes the ids of open jobs may take in a region's record.
+// windowRecordIDBytes returns how many bytes the ids of open jobs may take in a region's record.
 func (m *Model) windowRecordIDBytes() int { return m.writes.limits().valueBytes() / 3 }
 
-// UnresolvedWindowJobs lists jobs, at most as many as given, that the records of batch windows
-// have as open but that have ended since, unseen by a leader. The caller reads their final
-// records and passes them to ResolveWindowJob.
-func (m *Model) UnresolvedWindowJobs(most int) []string {
+// UnresolvedWindowJobs returns the sorted ids of at most limit jobs that the records of batch
+// windows list as open, but that have ended without a leader seeing it. The caller reads their
+// final records and passes them to ResolveWindowJob.
+func (m *Model) UnresolvedWindowJobs(limit int) []string {
 	var ids []string
 	for _, schedule := range m.windows.schedules {
 		ids = append(ids, schedule.UnresolvedJobs()...)
 	}
 	slices.Sort(ids)
-	return ids[:min(most, len(ids))]
+	return ids[:min(limit, len(ids))]
 }
 
-// ResolveWindowJob applies the final record of a job that UnresolvedWindowJobs has listed, nil
-// if there is none, to the outcome of its batch window.
+// ResolveWindowJob applies the final record of a job from UnresolvedWindowJobs to the outcome of
+// its batch window. record is nil if the job has no final record.
 func (m *Model) ResolveWindowJob(id string, record *jobstore.JobRecord, now time.Time) {
 	for _, schedule := range m.windows.schedules {
 		if !slices.Contains(schedule.UnresolvedJobs(), id) {
@@ -309,8 +311,8 @@
 	}
 }
 
-// BatchWindows returns a view of each region's batch windows for operators, in the order of
-// the calendar.
+// BatchWindows returns a view of each region's batch windows for operators, in the calendar's
+// order.
 func (m *Model) BatchWindows(now time.Time) []calendar.View {
 	var views []calendar.View
 	for _, schedule := range m.windows.schedules {
--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -1,3 +1,5 @@
+// Tracks the leader's observations of each class of jobs.
+
 package cluster
 
 import (
@@ -6,23 +8,19 @@
 	"time"
 )
 
-// This file is what the leader has observed of each class of jobs.
-
 const (
-	maxClasses      = 64  // classes that are observed; later ones are not
-	jobSizeHistory  = 200 // recentArrivals jobs of a class whose sizes are remembered
-	jobsPerLargeJob = 10  // one in so many jobs is among the largest of its class
+	maxClasses      = 64  // maximum of observed classes; further classes are ignored
+	jobSizeHistory  = 200 // recent jobs of a class whose sizes are kept
+	jobsPerLargeJob = 10  // one in this many recent jobs of a class counts as large
 
-	// arrivalWindow is the time over which arrivals are counted, and maxRecentArrivals bounds
-	// their number. reservationLead is the time for whose arrivals resources are reserved.
-	arrivalWindow     = 2 * time.Minute
-	maxRecentArrivals = 1000
-	reservationLead   = 20 * time.Second
+	arrivalWindow     = 2 * time.Minute  // time over which arrivals are counted
+	maxRecentArrivals = 1000             // maximum of arrivals counted in it
+	reservationLead   = 20 * time.Second // resources are reserved for the arrivals expected in this time
 
-	maxLargestTasks = 16 // bound of classStats.largestTasks
+	maxLargestTasks = 16 // upper bound of classStats.largestTasks
 )
 
-// classRegistry has the classes of which jobs have arrived. Its methods are the only ones that
+// classRegistry holds the classes of which jobs have arrived, up to maxClasses. Only its methods
 // add classes.
 type classRegistry struct {
 	byName map[string]*classStats
@@ -31,10 +29,10 @@
 
 func newClassRegistry() classRegistry { return classRegistry{byName: map[string]*classStats{}} }
 
-// get returns a class, or nil if it is not observed.
+// get returns a class, or nil if the class is not observed.
 func (r *classRegistry) get(name string) *classStats { return r.byName[name] }
 
-// add starts to observe a class. It returns nil if there are too many already.
+// add starts to observe a class. It returns nil if maxClasses are observed already.
 func (r *classRegistry) add(name string) *classStats {
 	if len(r.byName) >= maxClasses {
 		return nil
@@ -46,7 +44,7 @@
 	return c
 }
 
-// sorted returns the classes in the order of their names.
+// sorted returns the classes sorted by name.
 func (r *classRegistry) sorted() []*classStats {
 	classes := make([]*classStats, len(r.names))
 	for i, name := range r.names {
@@ -68,12 +66,12 @@
 	}
 }
 
-// classStats is what has been observed of a class of jobs. A class has at least one job, and
-// lastJob is never nil; it may be out of the model.
+// classStats holds the observations of a class of jobs. A class has at least one job, so lastJob
+// is never nil. The last job may have left the model.
 type classStats struct {
 	name                 string
-	lastJob              *Job // stands for the jobs that are expected
-	largestTasks         int  // most tasks of a job, up to maxLargestTasks
+	lastJob              *Job // represents the jobs that are expected
+	largestTasks         int  // tasks of the largest job, up to maxLargestTasks
 	openTasks            int  // unfinished tasks
 	lastArrival          time.Time
 	recentArrivals       []time.Time // arrivals within arrivalWindow, earliest first
@@ -83,7 +81,7 @@
 	sizes                jobSizes
 }
 
-// recordArrival records a job of the class that this leader has come to know.
+// recordArrival records a job of the class that is new to this leader.
 func (c *classStats) recordArrival(j *Job, now time.Time) {
 	c.lastJob, c.lastArrival = j, now
 	c.runs.addEstimate(j.Spec.EstimateS)
@@ -102,11 +100,11 @@
 	return int(math.Ceil(float64(len(c.recentArrivals)) * reservationLead.Seconds() / arrivalWindow.Seconds()))
 }
 
-// jobSizes are the numbers of tasks of the last jobSizeHistory jobs of a class.
+// jobSizes holds the numbers of tasks of the last jobSizeHistory jobs of a class.
 type jobSizes struct {
 	tasks     []int // a ring buffer once it is full
-	oldest    int   // index in the full ring buffer
-	largeFrom int   // least number of tasks of the largest jobs; 0 if not computed yet
+	oldest    int   // index of the oldest entry in the full ring buffer
+	largeFrom int   // number of tasks from which a job counts as large; 0 if not computed yet
 }
 
 // add records the number of tasks of a job.
@@ -120,7 +118,8 @@
 	s.largeFrom = 0
 }
 
-// isLarge reports whether a job of so many tasks is among the largest.
+// isLarge reports whether a job with this number of tasks is among the largest. At least one job
+// must have been added.
 func (s *jobSizes) isLarge(tasks int) bool {
 	if s.largeFrom == 0 {
 		sorted := slices.Clone(s.tasks)
@@ -130,8 +129,8 @@
 	return tasks >= s.largeFrom
 }
 
-// recordArrival records a job that this leader has come to know for its class. Jobs that
-// prefetch images are not jobs of users, and nothing is concluded from them.
+// recordArrival records, for its class, a job that is new to this leader. Jobs that prefetch
+// images are ignored, since they are not jobs of users.
 func (m *Model) recordArrival(j *Job, now time.Time) {
 	if m.isPrefetch(j) {
 		return
@@ -146,8 +145,8 @@
 	c.recordArrival(j, now)
 }
 
-// hasCompetitors reports whether classes without an objective on the wait compete with a job
-// that can't preempt their tasks.
+// hasCompetitors reports whether other classes without an objective on the wait have the job's
+// priority. The job can't preempt their tasks.
 func (m *Model) hasCompetitors(j *Job) bool {
 	for _, c := range m.classes.byName {
 		if !c.hasWaitObjective && c.lastJob.priority == j.priority && c.lastJob.Spec.Class != j.Spec.Class {
--- a/cluster/completion_floor.go
+++ b/cluster/completion_floor.go
@@ -1,3 +1,8 @@
+// Enforces the completion floor: at least half of the old jobs of each class, of each team, and of
+// the largest jobs of each class are completed. The starvation bound only lets a job start. Under
+// lasting overload triage keeps giving up the same kinds of jobs, which would never complete
+// without the floor.
+
 package cluster
 
 import (
@@ -5,28 +10,23 @@
 	"time"
 )
 
-// This file enforces the completion floor: at least half of the old jobs of each class, of
-// each team, and of the largest jobs of each class are completed. The starvation bound only
-// lets a job start. Under lasting overload the jobs that triage gives up, always the same
-// kinds, would still never complete.
-
 const (
-	// floorAgeFactor is the age, in multiples of the starvation bound, from which the floor
-	// counts a job. Younger jobs are ordered by the objectives alone: most jobs that are
-	// postponed for a while complete when the load falls.
+	// floorAgeFactor is the age, in multiples of the starvation bound, above which a job counts
+	// as old. Younger jobs are ordered by the objectives alone, since most postponed jobs
+	// complete when the load falls.
 	floorAgeFactor = 3
-	// maxCountedCompletions bounds how many completed jobs count for a group, and with it how many
-	// old jobs of the group may be postponed before one must be completed.
+	// maxCountedCompletions bounds the completed jobs that count for a group. It thereby bounds
+	// how many old jobs of the group may be postponed before one must be completed.
 	maxCountedCompletions = 1000
 	// maxFloorGroups bounds the groups for which completed jobs are counted.
 	maxFloorGroups = 1000
 )
 
-// completionCounts has the number of jobs of each floor group that were completed under this
-// leader, up to maxCountedCompletions.
+// completionCounts holds, by floor group, the number of jobs that were completed under this
+// leader, up to maxCountedCompletions. The zero value is empty and ready to use.
 type completionCounts struct{ byGroup map[string]int }
 
-// add counts a completed job for a group.
+// add counts a completed job for a group. New groups are ignored once there are maxFloorGroups.
 func (c *completionCounts) add(group string) {
 	if c.byGroup == nil {
 		c.byGroup = map[string]int{}
@@ -36,13 +36,13 @@
 	}
 }
 
-// missing returns how many of a group's old jobs must be completed next so that at least half
-// of the group's jobs are completed.
+// missing returns how many of a group's waiting old jobs must be completed next, so that at least
+// half of its old and completed jobs are completed.
 func (c *completionCounts) missing(group string, oldJobs int) int {
 	return max(0, (oldJobs-c.byGroup[group]+1)/2)
 }
 
-// floorGroups returns the groups in which a job counts towards the floor.
+// floorGroups returns the names of the groups in which a job counts towards the floor.
 func (m *Model) floorGroups(j *Job) []string {
 	out := []string{"class " + j.Spec.Class, "team " + j.Spec.Team}
 	if m.isLargeJob(j) {
@@ -61,8 +61,8 @@
 	}
 }
 
-// enforceCompletionFloor marks the jobs that must not be postponed any longer: in each group
-// of which less than half is completed, the oldest of its old jobs, as many as are missing.
+// enforceCompletionFloor marks the jobs that must not be postponed any longer. In each group below
+// the floor, these are the oldest jobs, as many as are missing from the floor.
 func (m *Model) enforceCompletionFloor(queue []*queueEntry, now time.Time) {
 	oldAge := floorAgeFactor * m.StarvationBound
 	oldJobs := map[string][]*queueEntry{}
--- a/cluster/placeholders.go
+++ b/cluster/placeholders.go
@@ -1,3 +1,6 @@
+// Creates placeholders, which are requests that no job has made. They keep resources for jobs that
+// are expected.
+
 package cluster
 
 import (
@@ -6,16 +9,13 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file makes placeholders: requests that no job has made, by which resources are kept for
-// jobs that are expected.
-
 const (
-	placeholderPriority = 9                // lower than any job's
-	maxHeadroomTasks    = 64               // for one class
-	headroomDuration    = 10 * time.Minute // after the last arrival of a class
+	placeholderPriority = 9                // lower than the priority of any job
+	maxHeadroomTasks    = 64               // maximum of placeholder tasks of one class
+	headroomDuration    = 10 * time.Minute // time after the last arrival of a class that headroom is kept
 )
 
-// placeholder requests resources for n tasks like those of a job.
+// placeholder returns a request for the resources of n tasks like those of a job.
 func (m *Model) placeholder(j *Job, n int) placement.Request {
 	r := placement.Request{
 		Job: -1, Need: j.Need, Priority: placeholderPriority, Team: -1, Image: j.image, Zone: -1,
@@ -28,9 +28,9 @@
 }
 
 // backfillReservations returns the placeholders that are served before a request. They reserve
-// resources for the expected jobs of classes with an objective on the wait that can't preempt
-// tasks of the request's class. A class is reserved for once in a pass; done has the classes
-// for which this has happened.
+// resources for the expected jobs of classes that have an objective on the wait and can't preempt
+// tasks of the request's class. Each class gets one reservation in a pass. done holds the classes
+// that have theirs, and backfillReservations adds to it.
 func (m *Model) backfillReservations(entry *queueEntry, done map[string]bool, now time.Time) []placement.Request {
 	own := m.classes.get(entry.job.Spec.Class)
 	if own == nil || entry.withinGuarantee {
@@ -51,8 +51,9 @@
 	return out
 }
 
-// headroomRequests returns placeholders for the expected jobs of all classes, for which
-// machines are rented. There are none if an objective is on the price of machines.
+// headroomRequests returns placeholders for the expected jobs of all classes. Machines are rented
+// for them. It returns nil if headroom is disabled, no job is open, or an objective is on the price
+// of machines.
 func (m *Model) headroomRequests(jobs []*Job, now time.Time) []placement.Request {
 	if m.Headroom <= 0 || m.hasCostObjective() || len(jobs) == 0 {
 		return nil
--- a/cluster/places.go
+++ b/cluster/places.go
@@ -1,3 +1,6 @@
+// Forecasts when places for tasks become free. A place is enough free resources on one machine for
+// one task of a given job.
+
 package cluster
 
 import (
@@ -9,32 +12,30 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file forecasts when places for tasks become free. A place is enough free resources on
-// one machine for one task of a given job.
-
-// placeTimes has for each place the seconds from now until it is free. The simulations keep it
-// as a binary min-heap; a sorted list is one.
+// placeTimes holds, for each place, the seconds from now until it is free. Triage keeps it as a
+// binary min-heap. A sorted list is such a heap.
 type placeTimes []float64
 
-// occupyEarliest occupies the place that is free first for the given number of seconds more.
-// Triage spends most of its time here, and container/heap takes four times as long for it.
-func (t placeTimes) occupyEarliest(by float64) {
-	x, i := t[0]+by, 0
+// occupyEarliest occupies the place that is free first for another number of seconds. There must be
+// at least one place. Triage spends most of its time here, and container/heap takes four times as
+// long.
+func (t placeTimes) occupyEarliest(seconds float64) {
+	freeAt, i := t[0]+seconds, 0
 	for {
-		k := 2*i + 1
-		if k >= len(t) {
+		child := 2*i + 1
+		if child >= len(t) {
 			break
 		}
-		if k+1 < len(t) && t[k+1] < t[k] {
-			k++
+		if child+1 < len(t) && t[child+1] < t[child] {
+			child++
 		}
-		if x <= t[k] {
+		if freeAt <= t[child] {
 			break
 		}
-		t[i] = t[k]
-		i = k
+		t[i] = t[child]
+		i = child
 	}
-	t[i] = x
+	t[i] = freeAt
 }
 
 // mayUse reports whether the job's constraints on machine types and spot machines allow the
@@ -43,13 +44,13 @@
 	return mc.typeIndex >= 0 && j.allowedTypes[mc.typeIndex] && (!mc.Spot || j.Spec.Spot)
 }
 
-// allowsZone reports whether the job's zone constraint allows a zone.
+// allowsZone reports whether the job's zone constraint allows a zone, given by its index.
 func (j *Job) allowsZone(zone int) bool { return j.zone < 0 || j.zone == zone }
 
-// placesFor returns for each place for a task of the job in a zone, or in all zones if zone is
-// negative, the seconds until it is free, unsorted. Places that tasks of higher priority occupy are not
-// counted, since more tasks like them are likely to follow; those of tasks of lower priority
-// count as free, since these can be preempted.
+// placesFor returns, for each place for a task of the job, the seconds until it is free, unsorted.
+// It counts the places in one zone, or in all zones if zone is negative. Places occupied by tasks of
+// higher priority don't count, since more tasks like them are likely to follow. Places occupied by
+// tasks of lower priority count as free, since these tasks can be preempted.
 func (m *Model) placesFor(j *Job, zone int, now time.Time) []float64 {
 	var places []float64
 	for _, mc := range m.Machines {
@@ -67,14 +68,14 @@
 	return places
 }
 
-// taskEnd is when a task is expected to end, in seconds from now, and what it frees then.
+// taskEnd is the expected end of a task.
 type taskEnd struct {
-	after float64
-	need  placement.Resources
+	afterSeconds float64             // from now
+	freed        placement.Resources // resources that become free
 }
 
-// appendReadyPlaces appends the places that a ready machine has for tasks of the job: those
-// that are free now, and those that tasks of the same priority free when they end.
+// appendReadyPlaces appends the places that a ready machine has for tasks of the job. These are the
+// places that are free now and those that become free when tasks of the same priority end.
 func (m *Model) appendReadyPlaces(places []float64, mc *Machine, j *Job, now time.Time) []float64 {
 	free := m.MachineTypes[mc.typeIndex].Capacity
 	var ends []taskEnd
@@ -91,18 +92,17 @@
 	for range count {
 		places = append(places, 0)
 	}
-	slices.SortFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.after, b.after) })
+	slices.SortFunc(ends, func(a, b taskEnd) int { return cmp.Compare(a.afterSeconds, b.afterSeconds) })
 	for _, end := range ends {
-		free = free.Add(end.need, 1)
+		free = free.Add(end.freed, 1)
 		for fit := tasksThatFit(j.Need, free); count < fit; count++ {
-			places = append(places, end.after)
+			places = append(places, end.afterSeconds)
 		}
 	}
 	return places
 }
 
-// maxTasksThatFit bounds the places that are counted on one machine for tasks that need
-// next to nothing.
+// maxTasksThatFit bounds the places that are counted on one machine for very small tasks.
 const maxTasksThatFit = 1000
 
 // tasksThatFit returns how many tasks fit into free resources, at most maxTasksThatFit.
@@ -116,59 +116,59 @@
 	return int(max(n, 0))
 }
 
-// zonePlaces lists, for each place for a task, the seconds until it is free, by zone, or in
-// one list if the job that it was made for has no zone constraint. One job stands for its class.
+// zonePlaces holds the places for tasks of a job by zone. One job represents its class.
 type zonePlaces struct {
-	byZone  []placeTimes
-	anyZone bool // one list for all zones
+	byZone  []placeTimes // each list sorted
+	anyZone bool         // the job has no zone constraint, and byZone has one list for all zones
 }
 
-// zonePlacesFor forecasts the places for tasks of the job, each list sorted.
+// zonePlacesFor forecasts the places for tasks of the job.
 func (m *Model) zonePlacesFor(j *Job, now time.Time) *zonePlaces {
-	r := &zonePlaces{anyZone: !j.Spec.OneZone && j.zone < 0}
-	if r.anyZone {
-		r.byZone = []placeTimes{m.placesFor(j, -1, now)}
+	places := &zonePlaces{anyZone: !j.Spec.OneZone && j.zone < 0}
+	if places.anyZone {
+		places.byZone = []placeTimes{m.placesFor(j, -1, now)}
 	} else {
-		for z := range m.Zones {
-			r.byZone = append(r.byZone, m.placesFor(j, z, now))
+		for zone := range m.Zones {
+			places.byZone = append(places.byZone, m.placesFor(j, zone, now))
 		}
 	}
-	for _, t := range r.byZone {
-		slices.Sort(t)
+	for _, times := range places.byZone {
+		slices.Sort(times)
 	}
-	return r
+	return places
 }
 
-func (r *zonePlaces) clone() *zonePlaces {
-	out := &zonePlaces{anyZone: r.anyZone}
-	for _, t := range r.byZone {
-		out.byZone = append(out.byZone, slices.Clone(t))
+func (p *zonePlaces) clone() *zonePlaces {
+	out := &zonePlaces{anyZone: p.anyZone}
+	for _, times := range p.byZone {
+		out.byZone = append(out.byZone, slices.Clone(times))
 	}
 	return out
 }
 
-// earliest returns the seconds until a job has n places at the same time, and in which zone.
-// It returns infinity if there are never so many.
-func (r *zonePlaces) earliest(j *Job, n int) (at float64, zone int) {
-	at, zone = math.Inf(1), -1
-	for z, t := range r.byZone {
-		if !r.anyZone && j.zone >= 0 && j.zone != z || len(t) < n {
+// earliest returns the seconds until a job has n places at the same time, and the index of their
+// list in byZone. It returns infinity and -1 if there are never that many.
+func (p *zonePlaces) earliest(j *Job, n int) (afterSeconds float64, zone int) {
+	afterSeconds, zone = math.Inf(1), -1
+	for z, times := range p.byZone {
+		if !p.anyZone && j.zone >= 0 && j.zone != z || len(times) < n {
 			continue
 		}
-		if t[n-1] < at {
-			at, zone = t[n-1], z
+		if times[n-1] < afterSeconds {
+			afterSeconds, zone = times[n-1], z
 		}
 	}
-	return at, zone
+	return afterSeconds, zone
 }
 
-// occupy takes the first n places of a zone until the given second.
-func (r *zonePlaces) occupy(zone, n int, until float64) {
-	t := r.byZone[zone]
-	at, _ := slices.BinarySearch(t, until)
-	at = max(at, n) // its places are the first, and free again no sooner than that
-	copy(t, t[n:at])
-	for i := at - n; i < at; i++ {
-		t[i] = until
+// occupy takes the first n places of a list of byZone until the given second from now. The list
+// stays sorted.
+func (p *zonePlaces) occupy(zone, n int, untilSecond float64) {
+	times := p.byZone[zone]
+	end, _ := slices.BinarySearch(times, untilSecond)
+	end = max(end, n) // untilSecond is not before the n-th place is free
+	copy(times, times[n:end])
+	for i := end - n; i < end; i++ {
+		times[i] = untilSecond
 	}
 }
