--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -1,3 +1,7 @@
+// Applies the operators' priority tiers (package priority). Tiers order jobs of the same priority.
+// A pass that places a lower tier first is recorded as a priority inversion. Without tiers this
+// file has no effect.
+
 package cluster
 
 import (
@@ -12,29 +16,23 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file applies the operators' priority tiers (package priority): they order jobs of the
-// same priority, and a pass that places a lower tier first is recorded as a priority
-// inversion. Without tiers this file has no effect.
-
-// priorityTiers is the policy in force, and the priority inversions under it. Only
+// priorityTiers holds the policy in force and the priority inversions under it. Only
 // priority_tiers.go writes its fields.
 type priorityTiers struct {
 	policy     *priority.Policy // nil if the plan defines no tiers
 	inversions priority.InversionLog
-	loaded     bool      // earlier leaders' inversions are in the log
+	loaded     bool      // the log includes the inversions of earlier leaders
 	changed    bool      // the log has changed since it was last saved
 	savedAt    time.Time // when the log was last saved
 }
 
-// inversionRecordName is the name of the plan record that holds the log of priority
-// inversions, and inversionSaveInterval the least time between two writes of it.
 const (
-	inversionRecordName   = "order"
-	inversionSaveInterval = 10 * time.Second
+	inversionRecordName   = "order"          // plan record that holds the log of priority inversions
+	inversionSaveInterval = 10 * time.Second // minimum time between two writes of the log
 )
 
-// reloadPriorityPolicy makes the tiers of the current plan the policy in force. If the plan
-// can't be read there is no policy, and nothing is placed (Model.Schedule).
+// reloadPriorityPolicy puts the tiers of the current plan in force. If the plan can't be read,
+// there is no policy, and nothing is placed (Model.Schedule).
 func (m *Model) reloadPriorityPolicy() {
 	if !m.tiers.loaded {
 		m.tiers.loaded = true
@@ -54,8 +52,9 @@
 	m.setPriorityPolicy(priority.New(&m.plan.Order))
 }
 
-// saveInversions has the log of priority inversions written, with the capacity of which shares
-// are computed, unless it was written recently.
+// saveInversions queues the log of priority inversions to be written if it has changed and was not
+// written within inversionSaveInterval. The log includes the fleet's capacity, from which shares
+// are computed.
 func (m *Model) saveInversions(now time.Time) {
 	t := &m.tiers
 	if !t.changed || now.Sub(t.savedAt) < inversionSaveInterval {
@@ -67,7 +66,7 @@
 	m.queuePlanRecord(inversionRecordName, t.inversions.Clone())
 }
 
-// setPriorityPolicy puts a policy in force; nil means that there are no tiers.
+// setPriorityPolicy puts a policy in force. A nil policy means that there are no tiers.
 func (m *Model) setPriorityPolicy(policy *priority.Policy) {
 	m.tiers.policy = policy
 	for _, idx := range m.openIndexes {
@@ -76,15 +75,15 @@
 		}
 	}
 	for _, c := range m.classes.byName {
-		m.tiers.assign(c.lastJob) // the last job of a class may be out of the model
+		m.tiers.assign(c.lastJob) // the last job of a class may have left the model
 	}
 }
 
-// assign determines the tier of a job by the policy in force.
+// assign sets the tier of a job by the policy in force.
 func (t *priorityTiers) assign(j *Job) { j.tier = t.policy.TierOf(j.Spec.Team, j.Spec.Class) }
 
-// schedulableCapacity returns the capacity of the machines that can be given tasks. If there
-// are none, it returns the capacity that was recorded last.
+// schedulableCapacity returns the total capacity of the machines that can be given tasks. If there
+// are none, it returns the capacity that was last recorded.
 func (m *Model) schedulableCapacity(now time.Time) (total placement.Resources) {
 	for _, mc := range m.Machines {
 		if m.Ready(mc, now) {
@@ -99,19 +98,19 @@
 	return placement.Resources{CPU: recorded[0], GPU: recorded[1], Mem: recorded[2]}
 }
 
-// dominantShare is the share of the fleet that an amount takes of the resource of which it takes
-// most.
+// dominantShare returns the largest of the shares of the fleet's CPUs, GPUs and memory that the
+// needed resources take, as a fraction.
 func dominantShare(need, fleet placement.Resources) float64 {
 	share := 0.0
-	for _, x := range [][2]float64{{need.CPU, fleet.CPU}, {need.GPU, fleet.GPU}, {need.Mem, fleet.Mem}} {
-		if x[1] > 0 {
-			share = max(share, x[0]/x[1])
+	for _, resource := range []struct{ need, total float64 }{{need.CPU, fleet.CPU}, {need.GPU, fleet.GPU}, {need.Mem, fleet.Mem}} {
+		if resource.total > 0 {
+			share = max(share, resource.need/resource.total)
 		}
 	}
 	return share
 }
 
-// tierUsage returns the dominant share of the fleet that each tier has.
+// tierUsage returns, by tier, the dominant share of the fleet that the tier's placed tasks use.
 func (m *Model) tierUsage(fleet placement.Resources) []float64 {
 	used := make([]placement.Resources, m.tiers.policy.NumTiers())
 	for _, idx := range m.openIndexes {
@@ -126,11 +125,11 @@
 	return shares
 }
 
-// promoteStarvedTiers moves work of lower tiers ahead of higher ones: jobs of a tier that has
-// less than its share, and some tasks of jobs that have waited for their tier's longest wait,
-// ahead of their own tier if waits alone have won enough. Tasks that are not promoted keep
-// their position, and neither guarantees nor priorities nor the starvation bound are
-// bypassed.
+// promoteStarvedTiers moves work of lower tiers ahead of higher tiers. It promotes jobs of a tier
+// that has less than its share, and some tasks of jobs that have waited for their tier's longest
+// wait. If waits alone have gained a tier enough, such tasks move only ahead of their own tier.
+// Tasks that are not promoted keep their position. Guaranteed quotas, priorities and the
+// starvation bound still take precedence.
 func (m *Model) promoteStarvedTiers(queue []*queueEntry, now time.Time) []*queueEntry {
 	if m.tiers.policy == nil {
 		return queue
@@ -147,7 +146,7 @@
 			hi++
 		}
 		if queue[lo].req.StartDue {
-			out = append(out, queue[lo:hi]...) // in the order in which they must start
+			out = append(out, queue[lo:hi]...) // they keep the order in which they must start
 		} else {
 			promoted, rest := splitPromoted(queue[lo:hi], promotions[lo:hi])
 			out = append(m.mergePromoted(out, promoted), rest...)
@@ -157,7 +156,7 @@
 	return out
 }
 
-// pendingJobs describes the queue to the policy.
+// pendingJobs converts the queue to the policy's input.
 func pendingJobs(queue []*queueEntry, fleet placement.Resources, now time.Time) []priority.PendingJob {
 	pending := make([]priority.PendingJob, len(queue))
 	for i, entry := range queue {
@@ -170,9 +169,9 @@
 	return pending
 }
 
-// splitPromoted splits the requests of one rank into what is promoted ahead of other tiers and
-// the rest, in which requests that are promoted within their tier come first. Both are sorted
-// by tier.
+// splitPromoted splits the requests of one rank into those that are promoted ahead of other tiers
+// and the rest. Both are sorted by tier. In the rest, requests that are promoted within their tier
+// come first in it.
 func splitPromoted(group []*queueEntry, promotions []priority.Promotion) (promoted, rest []*queueEntry) {
 	for i, entry := range group {
 		p := promotions[i]
@@ -201,10 +200,10 @@
 	return promoted, rest
 }
 
-// mergePromoted appends promoted requests behind what must start by the starvation bound.
-// Requests whose tier's longest wait is over take a position among the latter, by the time at
-// which it was over: under overload all jobs must start by the bound in the end, and behind all
-// of them the longest wait would mean nothing.
+// mergePromoted appends promoted requests behind those that must start by the starvation bound.
+// Requests whose tier's longest wait is over are inserted among the latter, by the time at which
+// the wait was over. Under overload all jobs must eventually start by the bound, and the longest
+// wait would have no effect behind them.
 func (m *Model) mergePromoted(queue, promoted []*queueEntry) []*queueEntry {
 	var others []*queueEntry
 	for _, entry := range promoted {
@@ -223,8 +222,9 @@
 	return append(queue, others...)
 }
 
-// overtakesMustStart reports whether a request whose tier's longest wait was over at the given time takes
-// its position before other, which must start by the starvation bound if it is of the same rank.
+// overtakesMustStart reports whether a request whose tier's longest wait was over at waitOver is
+// placed before other, a request of the same rank that must start by the starvation bound. It
+// returns false for any other kind of request.
 func (entry *queueEntry) overtakesMustStart(other *queueEntry, waitOver time.Time) bool {
 	if !other.req.StartDue || other.withinGuarantee != entry.withinGuarantee || other.job.priority != entry.job.priority {
 		return false
@@ -235,14 +235,15 @@
 	return other.job.start.infeasible || other.job.start.startBy.After(waitOver)
 }
 
-// sameRank reports whether only priority tiers and objectives order two requests.
+// sameRank reports whether two requests have the same rank, in which only priority tiers and
+// objectives order them.
 func (entry *queueEntry) sameRank(other *queueEntry) bool {
 	return entry.withinGuarantee == other.withinGuarantee && entry.job.priority == other.job.priority && entry.req.StartDue == other.req.StartDue
 }
 
-// split splits off the first n tasks of a request. Both parts share the counts by zone. If one
-// zone is still to be chosen for all tasks, the tail is nil, and its tasks wait for the next
-// pass.
+// split splits off the first n tasks of a request. Both parts share the counts by zone. The tail is
+// nil if no tasks are left. It is also nil if a zone is still to be chosen for all tasks, and the
+// other tasks then wait for the next pass.
 func (entry *queueEntry) split(n int) (head, tail *queueEntry) {
 	if n >= len(entry.req.Tasks) {
 		return entry, nil
@@ -255,9 +256,9 @@
 	return &first, &others
 }
 
-// outranksCompetitors reports whether classes of lower tiers compete with a job at the same
-// priority, which it can't preempt. Resources are then held for the job, because smaller
-// tasks would otherwise take whatever becomes free.
+// outranksCompetitors reports whether classes of lower tiers have the job's priority, so that it
+// can't preempt their tasks. Resources are then held for the job, because smaller tasks would
+// otherwise take whatever becomes free.
 func (m *Model) outranksCompetitors(j *Job) bool {
 	if m.tiers.policy == nil {
 		return false
@@ -270,18 +271,20 @@
 	return false
 }
 
-// reservesFor reports whether resources are reserved for expected jobs of class c before
-// request entry is served: always if c is of a higher tier, by the rule without tiers if it is of
-// the same one, and never if entry was promoted.
+// reservesFor reports whether resources are reserved for expected jobs of class c before a request
+// of class own is served. Without tiers they are if own has no objective on the wait. The same rule
+// applies within a tier. Higher tiers always get reservations, and lower tiers never do. A promoted
+// request gives way to no reservation.
 func (m *Model) reservesFor(c *classStats, entry *queueEntry, own *classStats) bool {
 	if m.tiers.policy == nil {
 		return !own.hasWaitObjective
 	}
-	t := c.lastJob.tier
-	return entry.req.PromotionCause == 0 && !entry.req.StartDue && (t < entry.req.Tier || t == entry.req.Tier && !own.hasWaitObjective)
+	tier := c.lastJob.tier
+	return entry.req.PromotionCause == 0 && !entry.req.StartDue && (tier < entry.req.Tier || tier == entry.req.Tier && !own.hasWaitObjective)
 }
 
-// sortByTier sorts classes by tier, highest first, in place.
+// sortByTier sorts classes by tier, highest first, in place and returns them. Without tiers it
+// keeps their order.
 func (m *Model) sortByTier(classes []*classStats) []*classStats {
 	if m.tiers.policy != nil {
 		slices.SortStableFunc(classes, func(a, b *classStats) int { return cmp.Compare(a.lastJob.tier, b.lastJob.tier) })
@@ -290,8 +293,8 @@
 }
 
 // recordInversions records the priority inversions of a pass. It must run before the pass's
-// placements are applied to the model, since it compares them with the state that the pass
-// decided on.
+// placements are applied to the model, since it compares them with the state on which the pass
+// based its decisions.
 func (m *Model) recordInversions(plan *placement.Plan, in *placement.Input, requestJobs []*Job, now time.Time) {
 	policy := m.tiers.policy
 	if policy == nil {
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -1,3 +1,6 @@
+// Rebalances groups of machines by moving running tasks, so that waiting requests fit. Package
+// rebalance plans the moves.
+
 package cluster
 
 import (
@@ -13,7 +16,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// RebalanceCycle is the last rebalance cycle of a group, that is, of the machines of one
+// maxCooldowns bounds the tasks in each list of a cycle's record, and with it the record's size.
+const maxCooldowns = 200
+
+// RebalanceCycle is the last rebalance cycle of a group. A group consists of the machines of one
 // type in one zone.
 type RebalanceCycle struct {
 	Record jobstore.RebalanceCycle
@@ -21,12 +27,12 @@
 
 // LoadRebalanceCycle loads the record of a cycle that an earlier leader committed, and
 // continues its moves. Tasks that are still on their old machine are stopped again, since
-// the earlier leader may have sent the stop; tasks that have stopped already are waiting,
-// and start on their target like any other.
+// the earlier leader may have sent the stop. Tasks that have stopped already are waiting and
+// start on their target like any other.
 //
-// The transaction of the record may have been applied late, without its leader knowing, so
-// that its moves never began. They are not continued once the group's cooldown has passed,
-// because the reasons for them may no longer hold.
+// The record's transaction may have been applied late, without its leader knowing, so that its
+// moves never began. The moves are not continued once the group's cooldown has passed, because
+// the reasons for them may no longer hold.
 func (m *Model) LoadRebalanceCycle(group string, rec jobstore.RebalanceCycle, now time.Time) {
 	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
 	if now.UnixMilli() >= rec.CooldownUntilMs {
@@ -43,7 +49,8 @@
 	}
 }
 
-// taskOfMove returns the task of a move and its placement, which is nil if there is none.
+// taskOfMove returns the task of a move and its placement. The placement is nil if the task is
+// unknown or not placed.
 func (m *Model) taskOfMove(move jobstore.Move) (TaskRef, *Placement) {
 	j, task := m.taskNamed(move.Task)
 	if j == nil {
@@ -52,13 +59,13 @@
 	return TaskRef{Job: j.Index, Task: task}, j.Tasks[task].Placement
 }
 
-// rebalanceGroupName names the rebalancing group of a type and zone. Tasks are never moved between
-// groups.
-func rebalanceGroupName(typ, zone string) string { return zone + "/" + typ }
+// rebalanceGroupName returns the name of the rebalancing group of a machine type and zone. Tasks
+// are never moved between groups.
+func rebalanceGroupName(machineType, zone string) string { return zone + "/" + machineType }
 
-// moveTargets returns, by task, the machines on which moved tasks of a job should start. They
-// are given by their positions in the input of a scheduling pass, which positions holds by
-// machine index.
+// moveTargets returns, by task, the machines on which moved tasks of a job should start, as
+// positions in the input of a scheduling pass. positions maps machine indexes to these positions.
+// moveTargets returns nil if no task of the job is being moved.
 func (m *Model) moveTargets(j *Job, positions map[int]int) map[int32]int {
 	if j.Gang() {
 		return nil
@@ -74,28 +81,28 @@
 			if !ok {
 				continue
 			}
-			if v, ok := positions[int(to)]; ok {
+			if position, ok := positions[int(to)]; ok {
 				if out == nil {
 					out = map[int32]int{}
 				}
-				out[ref.Task] = v
+				out[ref.Task] = position
 			}
 		}
 	}
 	return out
 }
 
-// isTaskOf reports whether a task name is of the job.
+// isTaskOf reports whether name is the name of a task of the job.
 func isTaskOf(j *Job, name string) bool {
 	id, _, ok := wire.ParseTaskName(name)
 	return ok && id == j.ID
 }
 
-// quarantineFailedMove applies the end of a task's attempt to the move of the task, if it has
-// one. failed says why the attempt failed; it is empty if it did not fail. A task whose attempt
-// failed is not moved again for some time.
-func (m *Model) quarantineFailedMove(ref TaskRef, failed string, now time.Time) {
-	if failed == "" {
+// quarantineFailedMove applies the end of a task's attempt to the task's move, if it has one.
+// failure says why the attempt failed and is empty if it did not. If it failed, the task is not
+// moved again for QuarantineS.
+func (m *Model) quarantineFailedMove(ref TaskRef, failure string, now time.Time) {
+	if failure == "" {
 		return
 	}
 	j := m.Jobs[ref.Job]
@@ -111,7 +118,7 @@
 				}
 				c.Record.QuarantineUntilMs[name] = now.Add(config.Seconds(m.RebalanceSettings.QuarantineS)).UnixMilli()
 				c.Record.Moves = append(c.Record.Moves[:i:i], c.Record.Moves[i+1:]...)
-				m.log.Info("rebalancing move failed: task quarantined", "task", name, "why", failed)
+				m.log.Info("rebalancing move failed: task quarantined", "task", name, "why", failure)
 				break
 			}
 		}
@@ -119,8 +126,9 @@
 }
 
 // PlanMoves plans a cycle for every group in which moving tasks would make room for wanted
-// requests. It returns the records by group and changes nothing: each must be committed
-// before BeginMoves starts its moves.
+// requests. It returns the cycles' records by group and does not change the model. Each record
+// must be committed before BeginMoves starts its moves. The result is nil if rebalancing is
+// disabled, nothing is wanted, or the leader was elected too recently to know its machines.
 func (m *Model) PlanMoves(wanted []placement.Request, now time.Time) map[string]jobstore.RebalanceCycle {
 	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(m.settings.Cluster.Workers.HeartbeatS*3) {
 		return nil
@@ -143,8 +151,8 @@
 	return cycles
 }
 
-// rebalanceGroups returns the machines that take part in rebalancing by their groups, each
-// in the order of the model.
+// rebalanceGroups returns the machines that take part in rebalancing, by group. Each group is in
+// the model's order.
 func (m *Model) rebalanceGroups(now time.Time) map[string][]*Machine {
 	groups := map[string][]*Machine{}
 	for _, mc := range m.Machines {
@@ -156,7 +164,7 @@
 	return groups
 }
 
-// servableWaiting returns the requests that the machines of a group can serve, as tasks that wait for room.
+// servableWaiting returns the requests that the machines of a group may serve, as waiting tasks.
 func servableWaiting(group []*Machine, wanted []placement.Request) []rebalance.Waiting {
 	var waiting []rebalance.Waiting
 	for i := range wanted {
@@ -168,16 +176,16 @@
 	return waiting
 }
 
-// planCycle plans the cycle after the last one of a group of machines. The cycle has no
-// moves if moving tasks makes no room for what is wanted.
+// planCycle plans the cycle of a group of machines that follows its last one. The cycle has no
+// moves if moving tasks makes no room for the wanted tasks.
 func (m *Model) planCycle(machines []*Machine, wanted []rebalance.Waiting, last jobstore.RebalanceCycle, now time.Time) jobstore.RebalanceCycle {
 	if len(wanted) == 0 {
 		return jobstore.RebalanceCycle{}
 	}
-	ms := now.UnixMilli()
+	nowMs := now.UnixMilli()
 	cycle := jobstore.RebalanceCycle{
-		TaskCooldownUntilMs: pruneExpired(last.TaskCooldownUntilMs, ms),
-		QuarantineUntilMs:   pruneExpired(last.QuarantineUntilMs, ms),
+		TaskCooldownUntilMs: pruneExpired(last.TaskCooldownUntilMs, nowMs),
+		QuarantineUntilMs:   pruneExpired(last.QuarantineUntilMs, nowMs),
 	}
 	group := rebalance.Group{Policies: m.RebalanceSettings.Policies, MaxMoves: m.RebalanceSettings.Budget, Unplaced: wanted}
 	for _, mc := range machines {
@@ -196,9 +204,9 @@
 	return cycle
 }
 
-// rebalanceHost returns a machine as rebalancing sees it. Movable are only running tasks that
-// can continue from a checkpoint, have not run for long, and are neither in their cooldown
-// after a move nor quarantined.
+// rebalanceHost converts a machine to the input of package rebalance. A task is movable if it is
+// running, can continue from a checkpoint, has not run for long, and is neither in its cooldown
+// after a move nor quarantined. Tasks of gangs and of jobs with a spread constraint are not movable.
 func (m *Model) rebalanceHost(mc *Machine, rec jobstore.RebalanceCycle, now time.Time) rebalance.Host {
 	h := rebalance.Host{Capacity: m.MachineTypes[mc.typeIndex].Capacity, Used: mc.Used.Add(mc.orphaned, 1)}
 	for _, ref := range sortedRefs(mc.Tasks) {
@@ -214,20 +222,18 @@
 	return h
 }
 
-// pruneExpired returns the entries that end after the given time, at most 200 of them, to bound
-// the size of the record.
-func pruneExpired(old map[string]int64, ms int64) map[string]int64 {
+// pruneExpired returns the entries of untilMs that end after nowMs, at most maxCooldowns of them.
+func pruneExpired(untilMs map[string]int64, nowMs int64) map[string]int64 {
 	out := map[string]int64{}
-	for k, v := range old {
-		if v > ms && len(out) < 200 {
-			out[k] = v
+	for task, until := range untilMs {
+		if until > nowMs && len(out) < maxCooldowns {
+			out[task] = until
 		}
 	}
 	return out
 }
 
-// BeginMoves starts a cycle whose record has been committed, by stopping the tasks that are
-// to move.
+// BeginMoves starts a cycle whose record has been committed. It stops the tasks that are to move.
 func (m *Model) BeginMoves(group string, rec jobstore.RebalanceCycle, now time.Time) {
 	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
 	for _, move := range rec.Moves {
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -1,3 +1,8 @@
+// Handles jobs with a reservation (jobstore.Reservation). Their tasks are placed first and launched
+// later, each on request and only once. Until its launch is requested, a placement holds its
+// resources and counts like any other. The requests are in the job's record, so that the next leader
+// knows which tasks have not been launched on any machine.
+
 package cluster
 
 import (
@@ -10,18 +15,15 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file is about jobs whose tasks are placed first and launched later, each on request
-// and only once (jobstore.Reservation). Until its launch is requested, a placement holds its
-// resources and counts like any other. The requests are in the job's record, so that the
-// next leader, too, knows which tasks can't be on a machine.
-
-// reservation is the reservation of a job. Its sets hold task numbers.
+// reservation is the reservation of a job. Its sets contain task numbers.
 type reservation struct {
 	jobstore.Reservation
 	launchable *bitset.BitSet // tasks whose launch has been requested
 	released   *bitset.BitSet // tasks that are not needed any more
 }
 
+// newReservation returns the reservation of a job with the given number of tasks. It returns nil if
+// r is nil.
 func newReservation(r *jobstore.Reservation, tasks int) *reservation {
 	if r == nil {
 		return nil
@@ -29,12 +31,13 @@
 	return &reservation{Reservation: *r, launchable: r.LaunchRanges.BitSet(tasks), released: r.ReleaseRanges.BitSet(tasks)}
 }
 
-// awaitsLaunch reports whether a task must not be launched yet.
+// awaitsLaunch reports whether the launch of a reserved task has not been requested yet.
 func (j *Job) awaitsLaunch(task int) bool {
 	return j.reservation != nil && !j.reservation.launchable.Test(uint(task))
 }
 
-// updateReservation applies a newer version of a job's reservation.
+// updateReservation applies a newer version of a job's reservation. It does nothing if either
+// version is missing.
 func (m *Model) updateReservation(j *Job, r *jobstore.Reservation, now time.Time) {
 	if j.reservation == nil || r == nil {
 		return
@@ -43,8 +46,8 @@
 	m.releaseTasks(j, now)
 }
 
-// releaseTasks ends the released tasks of a reserved job: those that are placed are ordered to
-// stop, and those that are not get their outcome at once.
+// releaseTasks ends the released tasks of a reserved job. Placed tasks are ordered to stop. Idle
+// tasks get their outcome at once.
 func (m *Model) releaseTasks(j *Job, now time.Time) {
 	if j.reservation == nil || j.Cancelled || j.Finished {
 		return
@@ -59,7 +62,7 @@
 	}
 }
 
-// outcome is the outcome of a reserved task that was stopped for that reason.
+// outcome returns the outcome of a reserved task that was stopped for the given reason.
 func (why StopReason) outcome() jobstore.TaskOutcome {
 	if why == StopReleased {
 		return jobstore.OutcomeReleased
@@ -69,17 +72,18 @@
 
 // finishOnlyAttempt records the outcome of a reserved task, which has only one attempt. It
 // does nothing for other jobs, whose tasks are placed again.
-func (m *Model) finishOnlyAttempt(j *Job, task int32, how jobstore.TaskOutcome, now time.Time) {
+func (m *Model) finishOnlyAttempt(j *Job, task int32, outcome jobstore.TaskOutcome, now time.Time) {
 	t := &j.Tasks[task]
 	if j.reservation == nil || t.Phase != TaskIdle || j.Cancelled {
 		return
 	}
-	t.end(how)
-	m.prefetchEnded(j, how, now)
+	t.end(outcome)
+	m.prefetchEnded(j, outcome, now)
 	m.markDone(j, task, now)
 }
 
-// outcomeIfStopped is the outcome of a reserved task whose worker lists it as stopped.
+// outcomeIfStopped returns the outcome of a reserved task that its worker reports as stopped.
+// Without a stop order the task counts as preempted.
 func (p *Placement) outcomeIfStopped() jobstore.TaskOutcome {
 	if p.Stop == nil {
 		return jobstore.OutcomePreempted
@@ -88,7 +92,7 @@
 }
 
 // applyMachineRestrictions restricts a request to the machines that its job's reservation
-// names, and keeps it away from those that it excludes.
+// names, and keeps it off the machines that the reservation excludes.
 func (m *Model) applyMachineRestrictions(j *Job, r *placement.Request) {
 	if j.reservation == nil || len(j.reservation.OnlyMachines) == 0 && len(j.reservation.AvoidMachines) == 0 {
 		return
@@ -107,7 +111,7 @@
 				avoid[int(mc.index)] = true
 			}
 		}
-		r.FreeCapacityOnly = true // no other machine would do, rented or not
+		r.FreeCapacityOnly = true // a rented machine would not be one of those named
 	}
 	for _, n := range j.reservation.AvoidMachines {
 		if i, ok := m.names.machines[n]; ok {
@@ -117,8 +121,8 @@
 	r.Avoid = avoid
 }
 
-// endedTasks lists the ended tasks of a reserved job from lo to hi, each followed by its
-// outcome.
+// endedTasks returns the ended tasks of a reserved job in [lo, hi), each followed by its outcome. It
+// returns nil for other jobs.
 func (j *Job) endedTasks(lo, hi int) []int {
 	if j.reservation == nil {
 		return nil
@@ -132,7 +136,8 @@
 	return out
 }
 
-// stoppingTasks lists the tasks of a reserved job from lo to hi that are ordered to stop.
+// stoppingTasks returns the tasks of a reserved job in [lo, hi) that are ordered to stop. It returns
+// nil for other jobs.
 func (j *Job) stoppingTasks(lo, hi int) []int {
 	if j.reservation == nil {
 		return nil
@@ -146,8 +151,8 @@
 	return out
 }
 
-// loadEndedTasks applies the outcomes that an earlier leader recorded, in the form of
-// endedTasks.
+// loadEndedTasks applies the outcomes that an earlier leader recorded in the format of endedTasks.
+// Invalid pairs are ignored.
 func (j *Job) loadEndedTasks(pairs []int) {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if t := pairs[i]; t >= 0 && t < len(j.Tasks) && pairs[i+1] >= 0 && pairs[i+1] <= math.MaxUint8 {
