--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -1,3 +1,5 @@
+// Writes digests of a model's state, by which the model check recognizes equivalent states.
+
 package cluster
 
 import (
@@ -9,18 +11,18 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// DigestBase supplies the current values of counters that only ever grow. A digest contains
-// such counters relative to them, so that equivalent states at different counts are equal.
+// DigestBase supplies the current values of counters that only grow. A digest contains such
+// counters relative to these values, so that equivalent states at different counts are equal.
 type DigestBase interface {
-	// Version returns the version of a key in the key-value store; 0 if there is none.
+	// Version returns the version of a key in the key-value store, or 0 if the key does not exist.
 	Version(key string) uint64
 	// LastMessage returns the worker's current epoch and its last sequence number.
 	LastMessage(machine string) (epoch, seq uint64)
 }
 
-// maxDigestAge is the age, in seconds, from which on the exact value has no effect: leases, and
-// the silence after which a machine gets no tasks, are shorter.
-const maxDigestAge = 60
+// maxDigestAgeSeconds is the age above which the exact value has no effect. Leases are shorter,
+// and so is the silence after which a machine gets no tasks.
+const maxDigestAgeSeconds = 60
 
 // digestWriter writes the parts of a digest of one model at one time.
 type digestWriter struct {
@@ -31,10 +33,10 @@
 }
 
 // Digest writes the part of the state that determines which commands and records the model
-// may produce, so that models with equal digests behave alike; the model check merges such
-// states. Times are written as ages in whole seconds, versions as current or not, sequence
-// numbers by their distance from the last one. What only affects which of several machines
-// is chosen is left out (estimates, speeds, images, boot times).
+// may produce. Models with equal digests behave alike, and the model check merges such states.
+// Times are written as ages in whole seconds, versions as current or not, and sequence numbers
+// as distances from the last one. State that only affects the choice between machines is left out
+// (estimates, speeds, images, boot times).
 func (m *Model) Digest(w io.Writer, base DigestBase, now time.Time) {
 	d := &digestWriter{out: w, model: m, base: base, now: now}
 	d.printf("t%d;%d|", m.FencingToken, d.age(m.ElectedAt))
@@ -54,16 +56,17 @@
 
 func (d *digestWriter) printf(format string, values ...any) { fmt.Fprintf(d.out, format, values...) }
 
-// age is the age of a time in whole seconds; -1 for the zero time.
+// age returns the age of a time in whole seconds, at most maxDigestAgeSeconds. It returns -1 for
+// the zero time.
 func (d *digestWriter) age(t time.Time) int {
 	if t.IsZero() {
 		return -1
 	}
-	return int(min(d.now.Sub(t).Seconds(), maxDigestAge))
+	return int(min(d.now.Sub(t).Seconds(), maxDigestAgeSeconds))
 }
 
-// behind is the distance of a heartbeat of a machine from the worker's last one: in sequence
-// numbers within its current epoch, and in epochs otherwise.
+// behind returns the distance of a machine's heartbeat from the worker's last one. The distance is
+// in sequence numbers within the current epoch, and in epochs otherwise.
 func (d *digestWriter) behind(machine string, epoch, seq uint64) string {
 	lastEpoch, lastSeq := d.base.LastMessage(machine)
 	if epoch != lastEpoch {
@@ -80,8 +83,8 @@
 		mc.unreachable(), d.model.mayProveReachable(mc, d.now), d.model.unreachableTooLong(mc, d.now), "|")
 }
 
-// exits lists, in order, the exits that a machine has reported and those that its next
-// heartbeat must reflect.
+// exits returns, sorted, the exits that a machine has reported and those that its next heartbeat
+// must reflect.
 func (d *digestWriter) exits(mc *Machine) []string {
 	names := make([]string, 0, len(mc.reportedExits))
 	for k, e := range mc.reportedExits {
@@ -134,8 +137,8 @@
 	}
 }
 
-// placementPage also writes whether the page has version 0, that is, is not in the store: then
-// it is not written while it is empty (addTo).
+// placementPage also writes whether the page has version 0, which means that it is not in the
+// store. Such a page is not written while it is empty (addTo).
 func (d *digestWriter) placementPage(p *placementPage) {
 	current := p.version == d.base.Version(jobstore.PlacementPageKey(p.number))
 	d.printf("|p%d,%t,%t,%t", p.number, current, p.version == 0, !p.isChanged())
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -1,3 +1,6 @@
+// Explains to operators why a job is pending. It uses stored records only, so that it works on a
+// model that was loaded for inspection and belongs to no leader.
+
 package cluster
 
 import (
@@ -9,35 +12,32 @@
 	"github.com/umberdeal/umberdeal/priority"
 )
 
-// This file explains to operators why a job is pending. It uses stored records only, so that
-// it works on a model that was loaded for inspection and belongs to no leader.
-
 // Explanation says why the tasks of a job are pending.
 type Explanation struct {
 	ID             string
-	Tier           string // "" if the plan defines no priority tiers
-	WaitedSeconds  float64
-	Tasks          int // of the job
-	Done           int
-	Placed         int
-	PendingReasons []string                  // what the job waits for, most important first; empty if for nothing
-	AheadByReason  map[string]int            // how many requests are ahead of it in the queue, by reason
-	Nearest        []JobAhead                // the nearest of them, nearest first; bounded
-	Inversions     []priority.InversionEvent // lower-tier tasks placed on resources that it could have used
+	Tier           string                    // "" if the plan defines no priority tiers
+	WaitedSeconds  float64                   // time since the job was accepted
+	Tasks          int                       // number of all tasks of the job
+	Done           int                       // number of ended tasks
+	Placed         int                       // number of placed tasks
+	PendingReasons []string                  // what the job waits for, most important first; empty if no task waits
+	AheadByReason  map[string]int            // number of requests ahead of the job in the queue, by reason
+	Nearest        []JobAhead                // the nearest requests ahead, nearest first, at most maxNearestShown
+	Inversions     []priority.InversionEvent // lower-tier tasks placed on resources that the job could have used
 }
 
 // JobAhead is a job that is ahead of another in the queue.
 type JobAhead struct {
 	ID     string
-	Tier   string
-	Reason string
+	Tier   string // "" if the plan defines no priority tiers
+	Reason string // why it is ahead, as in Explanation.AheadByReason
 }
 
 // maxNearestShown bounds Explanation.Nearest.
 const maxNearestShown = 20
 
-// Explain returns why a job is pending. It returns false if the model has no such job, as for
-// jobs whose end is recorded. It changes the model (see buildQueue).
+// Explain returns why a job is pending. It returns false if the job is not in the model, which is
+// so for jobs whose end is recorded. It changes the model (see buildQueue).
 func (m *Model) Explain(id string, now time.Time) (Explanation, bool) {
 	j := m.Job(id)
 	if j == nil {
@@ -50,7 +50,7 @@
 	}
 	jobs := m.openJobs()
 	queue := m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), now)
-	// A job may have several requests; the first of them is explained.
+	// If a job has several requests, the first of them is explained.
 	position := slices.IndexFunc(queue, func(entry *queueEntry) bool { return entry.job == j })
 	if position < 0 {
 		e.PendingReasons = outsideQueueReasons(j)
@@ -61,7 +61,8 @@
 	return e, true
 }
 
-// explainPosition adds the requests ahead of a request in the queue to its explanation.
+// explainPosition adds the requests ahead of a queue entry to its explanation. Other requests of
+// the same job don't count.
 func (m *Model) explainPosition(e *Explanation, ahead []*queueEntry, entry *queueEntry) {
 	for _, other := range slices.Backward(ahead) {
 		if other.job == entry.job {
@@ -75,7 +76,7 @@
 	}
 }
 
-// behindReason returns why another request is ahead of this one in the queue.
+// behindReason returns why another request, which must be ahead in the queue, is ahead of this one.
 func (entry *queueEntry) behindReason(other *queueEntry) string {
 	switch {
 	case entry.req.FreeCapacityOnly:
@@ -102,7 +103,7 @@
 	return "due sooner"
 }
 
-// pendingReasons lists what a request in the queue waits for.
+// pendingReasons returns what a request in the queue waits for.
 func (m *Model) pendingReasons(entry *queueEntry) (out []string) {
 	r, j := &entry.req, entry.job
 	if n := placement.TasksWithinLimit(r, m.teams); n == 0 || r.Gang && n < len(r.Tasks) {
@@ -126,7 +127,8 @@
 	return append(out, fmt.Sprintf("room for %d tasks of %g CPUs, %g GPUs and %g GB", len(r.Tasks), j.Need.CPU, j.Need.GPU, j.Need.Mem))
 }
 
-// outsideQueueReasons returns why a job has no request in the queue; nil if no task of it waits.
+// outsideQueueReasons returns why a job has no request in the queue. It returns nil if no task of
+// the job waits.
 func outsideQueueReasons(j *Job) []string {
 	switch {
 	case j.Cancelled:
--- a/cluster/gpu_machines.go
+++ b/cluster/gpu_machines.go
@@ -1,3 +1,5 @@
+// Keeps machines with GPUs free for tasks that need GPUs.
+
 package cluster
 
 import (
@@ -7,21 +9,21 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file keeps machines with GPUs free for work that needs GPUs.
-
-// keepGPUMachinesFree keeps requests that need no GPU away from machines that have GPUs while
-// other requests wait for GPUs. It applies to jobs that fit on a machine type without GPUs:
+// keepGPUMachinesFree keeps requests that need no GPU off machines with GPUs while other requests
+// wait for GPUs. It applies to jobs that fit on a machine type without GPUs:
+//
+//   - Jobs without an objective get no machine with GPUs.
+//   - Jobs without an objective on the wait get none while a request of the same or a higher
+//     priority waits for GPUs. Requests that must start by the starvation bound are exempt.
+//   - All others prefer machines without GPUs if tasks without an objective and without GPUs are
+//     placed, since these may be preempted.
 //
-//   - Those without an objective get no machine with GPUs, nor do those without an objective on
-//     the wait as long as a request of the same or a higher priority waits for GPUs. Excepted
-//     are requests within a quota and, from the second rule, those that must start by the
-//     starvation bound.
-//   - All others prefer machines without GPUs if any tasks without an objective and without
-//     GPUs are placed, since these may be preempted.
+// Requests within a guaranteed quota are exempt from the first two rules.
 //
-// Otherwise tasks without an objective occupy the machines without GPUs for minutes, so that
-// all others need those with GPUs; and thousands of small tasks take the CPUs beside the GPUs
-// one at a time, so that a task that needs both never finds enough of them.
+// These rules prevent two faults. Tasks without an objective would occupy the machines without GPUs
+// for minutes, so that all other tasks would need machines with GPUs. Thousands of small tasks would
+// take the CPUs of GPU machines one at a time, so that a task that needs GPUs and CPUs would never
+// find enough CPUs.
 func (m *Model) keepGPUMachinesFree(queue []*queueEntry, jobs []*Job) {
 	gpusWanted := slices.ContainsFunc(queue, func(entry *queueEntry) bool { return entry.job.Need.GPU > 0 })
 	withoutGPUs := make([]bool, len(m.MachineTypes))
@@ -46,9 +48,9 @@
 	}
 }
 
-// highestPriorityForGPUs returns the highest priority, which is the lowest number, of the
-// requests that wait for GPUs and not for their team's limit. It returns a number above all
-// priorities if there are none.
+// highestPriorityForGPUs returns the highest priority, which is the lowest number, of the requests
+// that wait for GPUs. Requests that wait for their team's limit don't count. It returns math.MaxInt
+// if there are none.
 func (m *Model) highestPriorityForGPUs(queue []*queueEntry) int {
 	highest := math.MaxInt
 	for _, entry := range queue {
@@ -59,8 +61,8 @@
 	return highest
 }
 
-// fittingTypes lists the machine types that the job allows and that have the capacity for one of
-// its tasks.
+// fittingTypes returns the indexes of the machine types that the job allows and that have the
+// capacity for one of its tasks.
 func (m *Model) fittingTypes(j *Job) (out []int) {
 	for i := range m.MachineTypes {
 		if j.allowedTypes[i] && j.Need.Fits(m.MachineTypes[i].Capacity) {
@@ -70,7 +72,7 @@
 	return out
 }
 
-// intersect returns the set of machine types that are in both sets.
+// intersect returns the machine types that are in both sets, which are indexed by type.
 func intersect(a, b []bool) []bool {
 	out := make([]bool, len(a))
 	for i := range a {
--- a/cluster/startup_stragglers.go
+++ b/cluster/startup_stragglers.go
@@ -1,34 +1,35 @@
-package cluster
+// Learns how much longer the slowest tasks of jobs (stragglers) run than average tasks, and how long
+// tasks take to start.
 
-// This file learns by how much the slowest tasks of jobs, the stragglers, exceed the average
-// ones, and how long tasks take to start.
+package cluster
 
-// startupAndStragglerStats is what is known of a class about by how much the slowest task of a job
-// exceeds the average one, and how long a task takes from its placement until it runs. A job is
-// complete when its last task is: with a dozen tasks or more, a job that starts when an average
-// task would just be in time is late.
+// startupAndStragglerStats holds two moving averages of a class: the excess of a job's slowest task
+// over its average task, and the delay from a task's placement until it runs. A job is complete only
+// when its last task is. With a dozen tasks or more, a job is late if it starts when an average task
+// would just be in time. The zero value yields the priors.
 type startupAndStragglerStats struct {
-	excessShare  float64 // moving average of the slowest task's excess over the average one, as a share
-	excessJobs   float64 // that excessShare is the average of, up to observationMemory
-	delaySeconds float64 // moving average of the seconds from placement to start
-	delayStarts  float64 // tasks that delaySeconds is the average of, up to observationMemory
+	excessShare  float64 // average excess of the slowest task, as a share of the average run time
+	excessJobs   float64 // number of jobs in excessShare, up to observationMemory
+	delaySeconds float64 // average time from placement to start
+	delayStarts  float64 // number of tasks in delaySeconds, up to observationMemory
 }
 
 const (
-	priorExcessShare       = 0.15 // excess of the slowest task over the average one, as a share
-	priorStartDelaySeconds = 3.0  // seconds
-	priorObservations      = 3.0  // jobs or tasks that the priors count for
-	observationMemory      = 50.0 // jobs or tasks over which the moving averages extend
+	priorExcessShare       = 0.15 // assumed excess of the slowest task, as a share of the average run time
+	priorStartDelaySeconds = 3.0  // assumed time from placement to start
+	priorObservations      = 3.0  // number of jobs or tasks that a prior counts as
+	observationMemory      = 50.0 // number of jobs or tasks in a moving average
 
-	maxExcessShare              = 3.0  // beyond which an excess is an outlier
-	maxLearnedStartDelaySeconds = 60.0 // beyond which a start is an outlier
-	fullExcessTasks             = 4    // further tasks with which the slowest shows the full excess
+	maxExcessShare              = 3.0  // limit of a recorded excess; more is an outlier
+	maxLearnedStartDelaySeconds = 60.0 // limit of a recorded start delay; more is an outlier
+	fullExcessTasks             = 4    // number of other tasks from which the slowest task has the full excess
 )
 
-// excessFraction returns which share of the class's excess the slowest of n tasks shows.
+// excessFraction returns the fraction of the class's excess that the slowest of n tasks has.
 func excessFraction(n int) float64 { return min(1, float64(n-1)/fullExcessTasks) }
 
-// addJob records the excess of the slowest of a job's tasks over the average one.
+// addJob records the excess of the slowest of a job's tasks, as a share of the average run time.
+// Jobs with one task are ignored.
 func (s *startupAndStragglerStats) addJob(excessShare float64, tasks int) {
 	if tasks > 1 {
 		s.excessJobs = min(s.excessJobs+1, observationMemory)
@@ -42,18 +43,20 @@
 	s.delaySeconds += (min(seconds, maxLearnedStartDelaySeconds) - s.delaySeconds) / s.delayStarts
 }
 
-// startDelaySeconds returns the seconds that a task of the class is expected to take from its
-// placement until it runs.
+// startDelaySeconds returns the expected time from the placement of a task of the class until it
+// runs.
 func (s *startupAndStragglerStats) startDelaySeconds() float64 {
 	return (s.delayStarts*s.delaySeconds + priorObservations*priorStartDelaySeconds) / (s.delayStarts + priorObservations)
 }
 
-// slowestTaskSeconds returns how long the slowest of n tasks is expected to take, given the average.
+// slowestTaskSeconds returns the expected run time of the slowest of n tasks, given the average run
+// time in seconds.
 func (s *startupAndStragglerStats) slowestTaskSeconds(average float64, n int) float64 {
 	return average * (1 + excessFraction(n)*(s.excessJobs*s.excessShare+priorObservations*priorExcessShare)/(s.excessJobs+priorObservations))
 }
 
-// startupAndStragglersOf returns what is known of a job's class; without a class, the priors.
+// startupAndStragglersOf returns the statistics of a job's class. For a class that is not observed
+// they are empty and yield the priors.
 func (m *Model) startupAndStragglersOf(j *Job) *startupAndStragglerStats {
 	if c := m.classes.get(j.Spec.Class); c != nil {
 		return &c.startupAndStragglers
--- a/cluster/utilization.go
+++ b/cluster/utilization.go
@@ -1,3 +1,5 @@
+// Logs the utilization of each machine type.
+
 package cluster
 
 import (
@@ -8,17 +10,17 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// typeUtilization is how much of the machines of one type is in use.
+// typeUtilization is the utilization of the machines of one type.
 type typeUtilization struct {
-	ready, booting  int // machines
-	withoutGPUTasks int // ready machines that have tasks, none of which needs a GPU
-	capacity        placement.Resources
-	used            placement.Resources
-	notRunning      placement.Resources // of used: held by tasks that were not reported as running
+	ready, booting  int                 // number of machines
+	withoutGPUTasks int                 // number of ready machines that have tasks, none of which needs a GPU
+	capacity        placement.Resources // total of the ready machines
+	used            placement.Resources // part of capacity that tasks use
+	notRunning      placement.Resources // part of used that is held by tasks not reported as running
 }
 
-// LogUtilization logs, at debug level, how many resources of each machine type are in use
-// and how many tasks wait.
+// LogUtilization logs, at debug level, the resources in use on each machine type and the number of
+// waiting tasks. wanted holds the requests that a pass left unplaced.
 func (m *Model) LogUtilization(wanted []placement.Request, now time.Time) {
 	if !m.log.Enabled(context.Background(), slog.LevelDebug) {
 		return
@@ -36,7 +38,7 @@
 	}
 }
 
-// utilizationOf adds up the machines of a type, given by its index.
+// utilizationOf returns the utilization of a machine type, given by its index.
 func (m *Model) utilizationOf(machineType int, now time.Time) typeUtilization {
 	var u typeUtilization
 	for _, mc := range m.Machines {
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -1,3 +1,6 @@
+// Forecasts the completion of open batch windows. It estimates the remaining work of each batch
+// window and the places for it. Package calendar computes from both when each will complete.
+
 package cluster
 
 import (
@@ -10,21 +13,17 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file makes the forecasts of open batch windows: it estimates the work that is left
-// in each and the places there are for it. From both, package calendar computes when each
-// will be finished.
-
 const (
-	forecastInterval   = 10 * time.Second // between two rounds of forecasts
-	reforecastInterval = 30 * time.Second // least time between two that are recorded because jobs were added
-	maxTaskShapes      = 24               // kinds of tasks whose places are counted
+	forecastInterval   = 10 * time.Second // time between two rounds of forecasts
+	reforecastInterval = 30 * time.Second // minimum time between two forecasts recorded because jobs were added
+	maxTaskShapes      = 24               // maximum of task shapes whose places are counted
 	takeoverHeartbeats = 3                // heartbeat intervals until a new leader knows its machines
-	maxBlockedShown    = 3                // blocked jobs of a batch window that a forecast names
+	maxBlockedShown    = 3                // maximum of blocked jobs that a forecast names
 )
 
-// forecastBasis is what a recorded forecast of a batch window was based on.
+// forecastBasis holds the inputs of a recorded forecast of a batch window.
 type forecastBasis struct {
-	machines, jobs int
+	machines, jobs int // numbers of ready machines and of the batch window's jobs
 	madeAt         time.Time
 }
 
@@ -34,8 +33,8 @@
 	date     string
 }
 
-// forecastWindows makes the forecasts of all open batch windows together, since they share
-// places.
+// forecastWindows makes the forecasts of all open batch windows together, since the windows share
+// places. It does so every forecastInterval, but not while the leader may not know its machines yet.
 func (m *Model) forecastWindows(jobs []*Job, now time.Time) {
 	windows := &m.windows
 	machinesKnownAfter := config.Seconds(takeoverHeartbeats * m.settings.Cluster.Workers.HeartbeatS)
@@ -78,8 +77,8 @@
 	}
 }
 
-// forecastCause says what has changed since the last recorded forecast of a batch window;
-// "" if nothing has, so that no new one is recorded.
+// forecastCause returns what has changed since the last recorded forecast of a batch window. It
+// returns "" if nothing has changed, so that no new forecast is recorded.
 func (s *windowSchedule) forecastCause(date string, machines int, now time.Time) string {
 	last, recorded := s.forecastBases[date]
 	jobs, open := s.JobCounts(date)
@@ -88,7 +87,7 @@
 		return s.reforecastCause
 	case !recorded:
 		return "the night began"
-	case open == 0: // machines make no difference any more
+	case open == 0: // no open jobs that machines could serve
 	case machines < last.machines:
 		return fmt.Sprintf("machines lost: %d of %d are left", machines, last.machines)
 	case jobs > last.jobs && now.Sub(last.madeAt) >= reforecastInterval:
@@ -97,9 +96,9 @@
 	return ""
 }
 
-// updateForecastBasis keeps what a forecast of a batch window is based on if it is recorded for
-// a cause. If it is not (the cause is ""), only machines that were added are taken over, so that
-// their loss is noticed.
+// updateForecastBasis stores the inputs of a forecast that is recorded for a cause. If the cause is
+// "", the forecast is not recorded, and only a higher number of machines is stored, so that the
+// loss of added machines is noticed.
 func (s *windowSchedule) updateForecastBasis(date, cause string, machines int, now time.Time) {
 	basis := s.forecastBases[date]
 	switch {
@@ -112,7 +111,7 @@
 	}
 }
 
-// taskShape is what the number of places for a task depends on.
+// taskShape holds the properties of a task that determine the number of places for it.
 type taskShape struct {
 	need         placement.Resources
 	allowedTypes string
@@ -120,29 +119,29 @@
 	spot         bool
 }
 
-// jobBatch is the batch of a job's idle tasks, with the index of the load it belongs to.
+// jobBatch is the batch of a job's idle tasks.
 type jobBatch struct {
-	load  int
+	load  int // index of the load that the batch belongs to
 	job   *Job
 	batch calendar.Batch
 }
 
-// loadEstimate collects what is left of the open batch windows, job by job.
+// loadEstimate collects the remaining work of the open batch windows, job by job.
 type loadEstimate struct {
 	model       *Model
 	now         time.Time
 	loads       []calendar.Load
 	batches     []jobBatch
-	largestJob  *Job    // with most work waiting; nil if nothing waits
-	largestWork float64 // CPU seconds
-	blocked     map[int][]string
-	places      map[taskShape]float64 // with all machines empty
+	largestJob  *Job                  // job with the most waiting work; nil if no task waits
+	largestWork float64               // its waiting work, in CPU seconds
+	blocked     map[int][]string      // reasons why jobs are blocked, by the index of their load
+	places      map[taskShape]float64 // number of places if all machines were empty
 }
 
-// estimateWindowLoads fills in what is left of the batch windows, and lists when each place
-// is free. A place has room for one task of the returned job, which has most work waiting;
-// nil if nothing waits.
-func (m *Model) estimateWindowLoads(jobs []*Job, loads []calendar.Load, loadIndex map[windowKey]int, now time.Time) (*Job, []float64) {
+// estimateWindowLoads fills in the remaining work of the batch windows. It returns the job with the
+// most waiting work and, for each place for one of its tasks, the seconds until the place is free.
+// Both results are nil if no task waits.
+func (m *Model) estimateWindowLoads(jobs []*Job, loads []calendar.Load, loadIndex map[windowKey]int, now time.Time) (referenceJob *Job, freeAfterSeconds []float64) {
 	estimate := &loadEstimate{model: m, now: now, loads: loads, blocked: map[int][]string{}, places: map[taskShape]float64{}}
 	for _, j := range jobs {
 		if load, open := loadIndex[windowKey{j.window.schedule, j.window.window.Date}]; open {
@@ -156,8 +155,8 @@
 	return estimate.largestJob, m.placesFor(estimate.largestJob, -1, now)
 }
 
-// addJob adds a job's idle tasks as a batch, and extends the load's running time by its
-// placed ones.
+// addJob adds a job's idle tasks to a load as a batch, and extends the load's running time to the
+// end of the job's placed tasks.
 func (e *loadEstimate) addJob(load int, j *Job) {
 	seconds, idle := e.remainingWork(load, j)
 	if idle == 0 {
@@ -178,8 +177,8 @@
 	}
 }
 
-// remainingWork returns the expected seconds of a job's idle tasks together, and their
-// number. The load runs on at least until the last of the job's placed tasks ends.
+// remainingWork returns the expected run time of a job's idle tasks together, and their number. It
+// extends the load's running time to the end of the job's placed tasks.
 func (e *loadEstimate) remainingWork(load int, j *Job) (seconds float64, idle int) {
 	runTime := e.model.expectedRunTime(j)
 	for t := range j.Tasks {
@@ -194,7 +193,8 @@
 	return seconds, idle
 }
 
-// blockedReason says why a job can't proceed whatever is free; "" if it can.
+// blockedReason returns why a job can't proceed even if all machines are free. It returns "" if the
+// job can.
 func (e *loadEstimate) blockedReason(j *Job) string {
 	places := e.placesWhenEmpty(j)
 	switch {
@@ -208,8 +208,8 @@
 	return ""
 }
 
-// placesWhenEmpty is Model.placesWhenEmpty, computed once for each of the first
-// maxTaskShapes kinds of tasks, since it looks at all machines; 0 for further kinds.
+// placesWhenEmpty returns the cached result of Model.placesWhenEmpty for a job's task shape, since
+// computing it visits all machines. It returns 0 for shapes after the first maxTaskShapes.
 func (e *loadEstimate) placesWhenEmpty(j *Job) float64 {
 	shape := taskShape{j.Need, fmt.Sprint(j.allowedTypes), j.zone, j.Spec.Spot}
 	places, counted := e.places[shape]
@@ -220,8 +220,8 @@
 	return places
 }
 
-// fillLoads writes the batches and the blocked jobs to their loads. Batches are scaled to
-// places of the largest job's tasks.
+// fillLoads adds the batches and the blocked jobs to their loads. The places of each batch are
+// converted to places for tasks of the largest job.
 func (e *loadEstimate) fillLoads() {
 	referencePlaces := e.placesWhenEmpty(e.largestJob)
 	for _, b := range e.batches {
@@ -238,21 +238,21 @@
 	}
 }
 
-// placesWhenEmpty is how many tasks like a job's the machines could take that are up
-// or will be, if they had nothing else to do.
+// placesWhenEmpty returns how many of a job's tasks the ready and booting machines could take if
+// they were empty.
 func (m *Model) placesWhenEmpty(j *Job, now time.Time) float64 {
 	return float64(m.placesOnMachines(j, now, func(mc *Machine) bool { return m.Ready(mc, now) }))
 }
 
-// placesOnMachines is how many tasks like a job's the machines could take if they were
-// empty: those that are booting, and those that counts accepts.
-func (m *Model) placesOnMachines(j *Job, now time.Time, counts func(*Machine) bool) int {
+// placesOnMachines returns how many of a job's tasks the machines could take if they were empty. It
+// counts the booting machines and those for which include returns true.
+func (m *Model) placesOnMachines(j *Job, now time.Time, include func(*Machine) bool) int {
 	places := 0
 	for _, mc := range m.Machines {
 		if !j.mayUse(mc) || !j.allowsZone(mc.Zone) {
 			continue
 		}
-		if _, boots := m.estimateBootTimeLeft(mc, now); boots || counts(mc) {
+		if _, boots := m.estimateBootTimeLeft(mc, now); boots || include(mc) {
 			places += tasksThatFit(j.Need, m.MachineTypes[mc.typeIndex].Capacity)
 		}
 	}
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -1,3 +1,6 @@
+// Scales out for the calendar's batch windows ahead of their deadlines. Package calendar computes
+// how many places they lack, and by when these must be requested.
+
 package cluster
 
 import (
@@ -9,31 +12,29 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file scales out for the calendar's batch windows ahead of their deadlines: package
-// calendar says how many places they lack, and until when these must be requested.
-
-// windowProvision is the scale-out that the batch windows need. It is decided anew with each
-// forecast by all machines that there are then, also those that an earlier leader rented, so
-// that a new leader needs no record of it.
+// windowProvision is the scale-out that the batch windows need. Each forecast decides it anew from
+// all present machines, including those that an earlier leader rented. A new leader therefore needs
+// no record of it.
 type windowProvision struct {
-	job          *Job // a place has room for one of its tasks; nil: nothing is to be rented now
-	targetPlaces int  // places there should be, with all machines empty
+	job          *Job // a place holds one of its tasks; nil if nothing is to be rented now
+	targetPlaces int  // required number of places, with all machines empty
 	decidedAt    time.Time
-	shortage     calendar.Shortage // as last computed
+	shortage     calendar.Shortage // last computed shortage
 }
 
 const (
-	provisionDecisionTTL = 3 * forecastInterval                  // a decision that is not renewed ends after it
-	provisionMargin      = 2*forecastInterval + offerRefusalTime // machines are requested earlier by it, as a forecast may be late and an offer refused
-	maxProvisionMachines = maxScaleOut                           // machines wanted at a time
-	unlimitedPlaces      = 1 << 30                               // without a quota
+	provisionDecisionTTL = 3 * forecastInterval                  // lifetime of a decision that is not renewed
+	provisionMargin      = 2*forecastInterval + offerRefusalTime // extra lead time, since a forecast may be late and an offer refused
+	maxProvisionMachines = maxScaleOut                           // maximum of machines requested at a time
+	unlimitedPlaces      = 1 << 30                               // number of places without a quota
 )
 
-// cancelProvision drops the decided scale-out; the next forecast decides anew.
+// cancelProvision drops the decided scale-out. The next forecast decides anew.
 func (w *batchWindows) cancelProvision() { w.provision = windowProvision{} }
 
-// planWindowProvision decides what is rented for the batch windows. It returns a note on that
-// for the reasons of forecasts that are at risk. A place has room for a task of the job referenceJob.
+// planWindowProvision decides what is rented for the batch windows. It returns a note on the
+// decision, which is appended to the reasons of forecasts that are at risk, or "". A place holds one
+// task of referenceJob, which is nil if no task waits. free has the seconds until each place is free.
 func (m *Model) planWindowProvision(loads []calendar.Load, referenceJob *Job, free []float64, now time.Time) string {
 	windows := &m.windows
 	previous := windows.provision.shortage
@@ -43,7 +44,7 @@
 	}
 	boot, perMachine := m.bootTimeFor(referenceJob)
 	if perMachine == 0 {
-		return "" // no machine type can take it
+		return "" // the job fits on no machine type
 	}
 	shortage := calendar.FindShortage(now, loads, free, boot.Seconds(), maxProvisionMachines*perMachine)
 	present := int(m.placesWhenEmpty(referenceJob, now))
@@ -52,8 +53,8 @@
 		return ""
 	}
 	if previous.Places > 0 && shortage.Places >= previous.Places && previous.OrderBy.Before(shortage.OrderBy) {
-		// While work goes slower than expected, a few more places each time would
-		// postpone the order again and again.
+		// If work progresses slower than expected, each forecast lacks a few more places.
+		// Without this, the order would be postponed each time.
 		shortage.OrderBy = previous.OrderBy
 	}
 	windows.provision.shortage = shortage
@@ -67,22 +68,24 @@
 	return fmt.Sprintf("; room for %d tasks more is rented", shortage.Places)
 }
 
-// provisionGracePeriod is how long after its election a leader rents nothing for batch
-// windows. By then it has had heartbeats from all machines whose leases have not expired, and
-// the cloud's list shows what an earlier leader rented.
+// provisionGracePeriod returns the time after its election in which a leader rents nothing for
+// batch windows. Afterwards it has received heartbeats from all machines whose leases have not
+// expired, and the cloud's list shows the machines that an earlier leader rented.
 func (m *Model) provisionGracePeriod() time.Duration {
 	workers := m.settings.Cluster.Workers
 	return max(config.Seconds(workers.LeaseS), config.Seconds(2*m.settings.Cluster.Cloud.ListLagS+10)) + config.Seconds(workers.HeartbeatS)
 }
 
-// Penalties that bootTimeFor adds to a type's boot time, as the placement of scale-out does.
+// Penalties, in seconds, that bootTimeFor adds to a type's boot time. Package placement adds the
+// same when it scales out.
 const (
 	bootSecondsPerPrice = 2  // per unit of the hourly price
 	unusedGPUSeconds    = 10 // for a type with GPUs that the job doesn't need
 )
 
-// bootTimeFor returns how long the machine that would be rented for a job takes to be up, by
-// the boot times seen so far, and how many of the job's tasks it takes; 0 if there is none.
+// bootTimeFor returns the expected time until the machine that would be rented for a job is ready,
+// and how many of the job's tasks it holds. The boot time follows from those observed so far.
+// perMachine is 0 if the job fits on no machine type.
 func (m *Model) bootTimeFor(j *Job) (boot time.Duration, perMachine int) {
 	least := 0.0
 	for i := range m.MachineTypes {
@@ -102,7 +105,8 @@
 	return boot, perMachine
 }
 
-// quotaPlacesLeft is how many places a job's team may use beyond those present.
+// quotaPlacesLeft returns how many places a job's team may use in addition to those present. The
+// result may be negative, and is unlimitedPlaces for a job without a team.
 func (m *Model) quotaPlacesLeft(j *Job, present int) int {
 	places := unlimitedPlaces
 	if j.team < 0 {
@@ -117,7 +121,7 @@
 	return places
 }
 
-// anyOfferFits reports whether one of the machines on offer can take a task of a job.
+// anyOfferFits reports whether a task of the job fits on a machine of one of the offers.
 func (m *Model) anyOfferFits(j *Job, offers []placement.Offer) bool {
 	for i := range offers {
 		o := &offers[i].Machine
@@ -128,8 +132,8 @@
 	return false
 }
 
-// provisionRequest returns a placeholder for the places that are lacking now, which is served
-// after the requests of all waiting jobs; false if none is lacking.
+// provisionRequest returns a placeholder for the places that are lacking now. It is served after
+// the requests of all waiting jobs. provisionRequest returns false if no place is lacking.
 func (m *Model) provisionRequest(now time.Time) (placement.Request, bool) {
 	provision := &m.windows.provision
 	if provision.job == nil || now.Sub(provision.decidedAt) > provisionDecisionTTL || m.recoveringFromStall(now) {
@@ -144,8 +148,8 @@
 	return request, true
 }
 
-// placesExpected is like placesWhenEmpty, but counts machines whose heartbeats are late as
-// well: they are replaced only when their leases have expired.
+// placesExpected is like placesWhenEmpty, but also counts machines whose heartbeats are late. Such
+// machines are replaced only after their leases have expired.
 func (m *Model) placesExpected(j *Job, now time.Time) int {
 	return m.placesOnMachines(j, now, func(mc *Machine) bool { return mc.alive && !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() })
 }
