--- a/cluster/decisions_events_test.go
+++ b/cluster/decisions_events_test.go
@@ -16,15 +16,15 @@
 // This file is what users, operators and faults do to the cluster that decisions_test.go
 // simulates.
 
-// events makes users, operators and faults act.
-func (d *driver) events() {
+// injectEvents makes users, operators and faults act.
+func (d *driver) injectEvents() {
 	if d.step < decisionSteps*4/5 {
 		for d.chance(35) {
 			d.submit()
 		}
 	}
 	if len(d.jobs) > 0 && d.chance(5) {
-		i := d.rnd.IntN(len(d.jobs))
+		i := d.rng.IntN(len(d.jobs))
 		d.cancel(d.jobs[i])
 		d.jobs = slices.Delete(d.jobs, i, i+1)
 	}
@@ -32,30 +32,30 @@
 		d.setPlan()
 	}
 	if d.step%97 == 96 {
-		d.met["failover"]++
-		d.lead()
+		d.eventCounts["failover"]++
+		d.startLeader()
 	}
-	d.accident()
+	d.injectFault()
 }
 
-func (d *driver) accident() {
-	w := d.workers[d.rnd.IntN(len(d.workers))]
-	if w.gone || w.dead || d.seconds() < w.boots || !d.chance(12) {
+func (d *driver) injectFault() {
+	w := d.workers[d.rng.IntN(len(d.workers))]
+	if w.gone || w.dead || d.seconds() < w.readyAt || !d.chance(12) {
 		return
 	}
-	switch d.rnd.IntN(4) {
+	switch d.rng.IntN(4) {
 	case 0:
 		w.dead = true
 		if d.chance(75) {
-			w.backAt = d.seconds() + d.between(5, 40)
+			w.restartAt = d.seconds() + d.between(5, 40)
 		}
 	case 1, 2:
-		d.met["mute"]++
-		w.deafTo = d.seconds() + d.between(5, 25)
+		d.eventCounts["mute"]++
+		w.deafUntil = d.seconds() + d.between(5, 25)
 	case 3:
 		if w.spot {
-			d.met["interruption"]++
-			w.notice = d.seconds() + d.between(15, 30)
+			d.eventCounts["interruption"]++
+			w.interruptedAt = d.seconds() + d.between(15, 30)
 		}
 	}
 }
@@ -63,15 +63,15 @@
 // submit submits a job: under a key of its own, or on a shared admission page.
 func (d *driver) submit() {
 	d.nextJob++
-	j := wire.Job{ID: fmt.Sprintf("wk-%06d", d.nextJob), Class: []string{"arrays", "gangs", "chat", "other"}[d.rnd.IntN(4)], Team: []string{"core", "core", "edge"}[d.rnd.IntN(3)],
-		Kind: wire.KindArray, Priority: []string{wire.PriorityProduction, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityNormal, wire.PriorityLow}[d.rnd.IntN(5)],
-		Tasks: 1 + d.rnd.IntN(6), CPUs: d.between(1, 6), MemoryGB: d.between(1, 8), Image: fmt.Sprint("i", d.rnd.IntN(6)), ImageGB: d.between(1, 5),
+	j := wire.Job{ID: fmt.Sprintf("wk-%06d", d.nextJob), Class: []string{"arrays", "gangs", "chat", "other"}[d.rng.IntN(4)], Team: []string{"core", "core", "edge"}[d.rng.IntN(3)],
+		Kind: wire.KindArray, Priority: []string{wire.PriorityProduction, wire.PriorityHigh, wire.PriorityNormal, wire.PriorityNormal, wire.PriorityLow}[d.rng.IntN(5)],
+		Tasks: 1 + d.rng.IntN(6), CPUs: d.between(1, 6), MemoryGB: d.between(1, 8), Image: fmt.Sprint("i", d.rng.IntN(6)), ImageGB: d.between(1, 5),
 		EstimateS: d.between(10, 80), CheckpointS: 10, SaveS: 2, Spot: d.chance(60), OneZone: d.chance(15)}
 	switch {
 	case j.Class == "gangs":
-		j.Kind, j.Tasks = wire.KindGang, 2+d.rnd.IntN(4)
+		j.Kind, j.Tasks = wire.KindGang, 2+d.rng.IntN(4)
 	case j.Class == "chat":
-		j.Kind, j.Image, j.ImageGB, j.Tasks, j.EstimateS, j.Priority = wire.KindService, "llm:v1", 8, 1+d.rnd.IntN(4), 0, wire.PriorityHigh
+		j.Kind, j.Image, j.ImageGB, j.Tasks, j.EstimateS, j.Priority = wire.KindService, "llm:v1", 8, 1+d.rng.IntN(4), 0, wire.PriorityHigh
 	case d.chance(20):
 		deadline := d.between(60, 200)
 		j.DeadlineS = &deadline
@@ -93,19 +93,19 @@
 		j.Tasks, j.CPUs, j.Kind, j.Class, j.EstimateS = 130, 1, wire.KindArray, "arrays", 10
 	}
 	d.jobs = append(d.jobs, j.ID)
-	d.lasts[j.ID] = j.EstimateS * (0.5 + d.rnd.Float64())
+	d.taskSeconds[j.ID] = j.EstimateS * (0.5 + d.rng.Float64())
 	if j.Kind == wire.KindService {
-		d.lasts[j.ID] = 1e9
+		d.taskSeconds[j.ID] = 1e9
 	}
 	rec := jobstore.JobRecord{Job: j, AcceptedAtMs: d.now().UnixMilli()}
 	if d.chance(50) {
 		d.write(wire.Op{Put: jobstore.JobKey(j.ID), Value: rec})
 		return
 	}
-	d.addToHead(rec)
+	d.addToHeadPage(rec)
 }
 
-func (d *driver) addToHead(rec jobstore.JobRecord) {
+func (d *driver) addToHeadPage(rec jobstore.JobRecord) {
 	raw, err := wire.Marshal(rec)
 	if err != nil {
 		d.t.Fatal(err)
@@ -127,7 +127,7 @@
 
 // cancel cancels a job as its user, unless it is over.
 func (d *driver) cancel(id string) {
-	d.met["cancellation"]++
+	d.eventCounts["cancellation"]++
 	for _, key := range slices.Sorted(maps.Keys(d.store)) {
 		if key == jobstore.JobKey(id) {
 			rec := read[jobstore.JobRecord](d, key)
@@ -176,7 +176,7 @@
 // setPlan applies the next version of the operators' plan: a batch window for arrays that
 // ends after six minutes, tiers whose order changes, and a warm pool whose size changes.
 func (d *driver) setPlan() {
-	d.met["plan"]++
+	d.eventCounts["plan"]++
 	d.plans++
 	p := &plan.Plan{}
 	p.Calendar.Regions = []calendar.RegionSettings{{Name: "north", Zone: "UTC", Evening: "18:00", MarginS: 60,
@@ -191,19 +191,19 @@
 	if d.plans%5 == 4 {
 		p.Pools = nil
 	}
-	if err := p.Check(d.cfg.Cluster.Zones, []string{"core", "edge"}); err != nil {
+	if err := p.Check(d.settings.Cluster.Zones, []string{"core", "edge"}); err != nil {
 		d.t.Fatal(err)
 	}
 	d.write(wire.Op{Put: jobstore.PlanHeadKey, Value: d.plans})
-	d.plan = Plan{Plan: p, Number: d.plans, HeadVersion: d.rev}
+	d.plan = Plan{Plan: p, Number: d.plans, HeadVersion: d.revision}
 	if d.chance(70) { // else the leader learns of it by a condition that fails
-		d.m.ExpectPlan()
-		d.takePlan()
+		d.model.ExpectPlan()
+		d.applyLatestPlan()
 	}
 }
 
-// takePlan makes the leader follow the newest plan.
-func (d *driver) takePlan() {
-	d.told = d.plan.HeadVersion
-	d.m.SetPlan(d.plan, d.now())
+// applyLatestPlan makes the leader follow the newest plan.
+func (d *driver) applyLatestPlan() {
+	d.knownPlanVersion = d.plan.HeadVersion
+	d.model.SetPlan(d.plan, d.now())
 }
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -26,7 +26,7 @@
 // out and in, rebalancing moves and explanations. The workers, the cloud and the key-value
 // store are simulated here, and depend on nothing but the seed.
 
-var traceDir = flag.String("decisions", "", "directory to write each seed's decisions to, to see where two versions part")
+var traceDir = flag.String("decisions", "", "directory for each seed's decisions, to find where two versions differ")
 
 const (
 	decisionSeeds = 6
@@ -40,27 +40,27 @@
 // differs, run this test on both versions with -decisions and compare the files.
 func TestDecisionsAreTheRecordedOnes(t *testing.T) {
 	f := golden.Open(t, "decisions.golden")
-	met := map[string]int{}
+	eventCounts := map[string]int{}
 	for seed := range uint64(decisionSeeds) {
 		d := newDriver(t, seed)
 		for d.step = 1; d.step <= decisionSteps; d.step++ {
-			d.play()
+			d.runStep()
 			if d.step%decisionMark == 0 {
 				f.Text(fmt.Sprintf("seed %d, %03d steps", seed, d.step), fmt.Sprintf("%016x", d.sum.Sum64()))
 			}
 		}
 		d.close()
-		for k, n := range d.met {
-			met[k] += n
+		for event, n := range d.eventCounts {
+			eventCounts[event] += n
 		}
 	}
-	t.Log(met)
-	for _, what := range []string{"launch", "stop", "forget", "direct stop", "wake-up", "rental", "refused rental", "machine rented", "return", "machine returned",
+	t.Log(eventCounts)
+	for _, event := range []string{"launch", "stop", "forget", "direct stop", "wake-up", "rental", "refused rental", "machine rented", "return", "machine returned",
 		"moves", "job ended", "cancellation", "conflict", "answer lost", "placement page", "plan", "failover", "fetch", "note", "note of pools/", "note of night.",
 		"note of order", "outcome of a night", "held stop", "repeated report", "stale report", "lease expiry", "machine lost", "interruption", "mute", "start refused",
 		"reserved task", "gang", "shared page", "batch refused"} {
-		if met[what] == 0 {
-			t.Errorf("no %s was met", what)
+		if eventCounts[event] == 0 {
+			t.Errorf("no event %q occurred", event)
 		}
 	}
 }
@@ -73,73 +73,74 @@
 
 // driver is a simulated cluster, its key-value store and the leader's model.
 type driver struct {
-	t     *testing.T
-	rnd   *rand.Rand
-	out   io.Writer
-	sum   hash.Hash64
-	trace *os.File
-	met   map[string]int
-
-	cfg     *config.Settings
-	m       *Model
-	plan    Plan
-	plans   int
-	told    uint64 // the plan's version that the leader has been told
-	step    int
-	rev     uint64
-	seen    uint64 // the revision up to which the model knows of changes
-	store   map[string]storedValue
-	log     []wire.Event
-	own     map[string]uint64 // versions of records that the leader alone writes
-	jobs    []string          // that users have submitted and not cancelled
-	lasts   map[string]float64
-	nextJob int
-	bons    int
-	careful bool // a transaction has failed, and others may for the same reason
-
-	workers []*simWorker
-	byName  map[string]*simWorker
-	named   int // machines so far
+	t           *testing.T
+	rng         *rand.Rand
+	decisions   io.Writer // receives the decisions
+	sum         hash.Hash64
+	trace       *os.File       // nil without -decisions
+	eventCounts map[string]int // by event
+
+	settings           *config.Settings
+	model              *Model
+	plan               Plan
+	plans              int    // number of plans so far
+	knownPlanVersion   uint64 // version of the plan that the leader follows
+	step               int
+	revision           uint64 // of the key-value store
+	seenRevision       uint64 // revision up to which the model knows the changes
+	store              map[string]storedValue
+	watchEvents        []wire.Event       // changes that the leader has not seen yet
+	leaderOnlyVersions map[string]uint64  // versions of records that only the leader writes
+	jobs               []string           // jobs that users have submitted and not cancelled
+	taskSeconds        map[string]float64 // run time of each task, by job
+	nextJob            int
+	scaleOutRecords    int
+	smallBatches       bool // a transaction has failed, and others may fail for the same reason
+
+	workers         []*simWorker
+	byName          map[string]*simWorker
+	machinesCreated int
 }
 
 // simWorker is a simulated worker.
 type simWorker struct {
 	name, zone, typ string
 	spot            bool
-	boots           float64 // it sends heartbeats from then on
+	readyAt         float64 // it sends heartbeats from this time on
 	epoch, seq      uint64
 	token           uint64
-	renewed         float64 // when its last answered heartbeat was sent
-	dead            bool
-	gone            bool
-	deafTo          float64 // it hears no answers until then
-	backAt          float64 // a dead worker begins another epoch then; 0: never
-	notice          float64 // when the cloud takes it, 0: never
+	leaseRenewedAt  float64 // when its last answered heartbeat was sent
+	dead            bool    // its process has ended
+	gone            bool    // its machine has left the cloud
+	deafUntil       float64 // it receives no answers until this time
+	restartAt       float64 // when a dead worker starts a new epoch; 0 if it does not
+	interruptedAt   float64 // when the cloud reclaims the machine; 0 if it does not
 	images          map[string]bool
 	tasks           []*simTask
-	last            *wire.Heartbeat // its last heartbeat
+	lastHeartbeat   *wire.Heartbeat
 }
 
+// simTask is a task on a simulated worker.
 type simTask struct {
 	wire.TaskStatus
-	image  string
-	until  float64 // of the state that it is in
-	refuse string  // it exits for that instead of running
+	image      string
+	until      float64 // end of its current state
+	exitReason string  // if not "", the task exits for this reason instead of running
 }
 
 func newDriver(t *testing.T, seed uint64) *driver {
 	t.Helper()
-	d := &driver{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), sum: xxhash.New(), met: map[string]int{}, store: map[string]storedValue{}, own: map[string]uint64{},
-		lasts: map[string]float64{}, byName: map[string]*simWorker{}}
-	d.out = d.sum
+	d := &driver{t: t, rng: rand.New(rand.NewPCG(seed, 7)), sum: xxhash.New(), eventCounts: map[string]int{}, store: map[string]storedValue{}, leaderOnlyVersions: map[string]uint64{},
+		taskSeconds: map[string]float64{}, byName: map[string]*simWorker{}}
+	d.decisions = d.sum
 	if *traceDir != "" {
 		var err error
 		if d.trace, err = os.Create(filepath.Join(*traceDir, fmt.Sprintf("seed-%d.txt", seed))); err != nil {
 			t.Fatal(err)
 		}
-		d.out = io.MultiWriter(d.sum, d.trace)
+		d.decisions = io.MultiWriter(d.sum, d.trace)
 	}
-	d.cfg = &config.Settings{Cluster: config.Cluster{Zones: []string{"a", "b"},
+	d.settings = &config.Settings{Cluster: config.Cluster{Zones: []string{"a", "b"},
 		Teams:      []config.Team{{Name: "core", CPUs: 40, CPUsMax: 110, GPUs: 4}, {Name: "edge"}},
 		Objectives: []config.Objective{{Kind: "wait", Class: "gangs", WithinS: 50}, {Kind: "finished", Class: "gangs", WithinS: 300}, {Kind: "deadline", Class: "arrays", Times: 1}},
 		Workers:    config.Workers{HeartbeatS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
@@ -147,11 +148,11 @@
 	for i := range 14 {
 		d.addMachine([]string{"a", "b"}[i%2], []string{"m", "m", "l"}[i%3], i%5 == 0, 0)
 	}
-	d.rev = 10
+	d.revision = 10
 	if seed%2 == 1 {
 		d.write(wire.Op{Put: jobstore.SchemaKey, Value: jobstore.SchemaRecord{Version: jobstore.SchemaPlans, Buckets: 1}})
 	}
-	d.lead()
+	d.startLeader()
 	return d
 }
 
@@ -165,24 +166,24 @@
 
 func (d *driver) seconds() float64         { return float64(d.step) * decisionStepS }
 func (d *driver) now() time.Time           { return at(d.seconds()) }
-func (d *driver) chance(percent int) bool  { return d.rnd.IntN(100) < percent }
-func (d *driver) between(a, b int) float64 { return float64(a + d.rnd.IntN(b-a)) }
+func (d *driver) chance(percent int) bool  { return d.rng.IntN(100) < percent }
+func (d *driver) between(a, b int) float64 { return float64(a + d.rng.IntN(b-a)) }
 
-// note adds a decision to the hash.
-func (d *driver) note(what string, values ...any) {
-	fmt.Fprintf(d.out, "%d %s %v\n", d.step, what, values)
+// recordDecision adds a decision to the hash.
+func (d *driver) recordDecision(what string, values ...any) {
+	fmt.Fprintf(d.decisions, "%d %s %v\n", d.step, what, values)
 }
 
-// plain converts a value to its encoded form, with the keys of maps in order.
-func (d *driver) plain(v any) any {
+// decoded converts a value to its encoded form, with the keys of maps in order.
+func (d *driver) decoded(v any) any {
 	raw, err := wire.Marshal(v)
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	return d.plainRaw(raw)
+	return d.decodedRaw(raw)
 }
 
-func (d *driver) plainRaw(raw []byte) any {
+func (d *driver) decodedRaw(raw []byte) any {
 	if len(raw) == 0 {
 		return nil
 	}
@@ -212,29 +213,29 @@
 }
 
 func (d *driver) write(ops ...wire.Op) {
-	d.rev++
+	d.revision++
 	for _, o := range ops {
 		if o.Delete != "" {
 			delete(d.store, o.Delete)
-			d.log = append(d.log, wire.Event{Delete: o.Delete, Version: d.rev})
+			d.watchEvents = append(d.watchEvents, wire.Event{Delete: o.Delete, Version: d.revision})
 			continue
 		}
 		raw, err := wire.Marshal(o.Value)
 		if err != nil {
 			d.t.Fatal(err)
 		}
-		d.store[o.Put] = storedValue{raw, d.rev}
-		d.log = append(d.log, wire.Event{Put: o.Put, Value: raw, Version: d.rev})
+		d.store[o.Put] = storedValue{raw, d.revision}
+		d.watchEvents = append(d.watchEvents, wire.Event{Put: o.Put, Value: raw, Version: d.revision})
 	}
 }
 
-// noteTxn adds a transaction to the hash.
-func (d *driver) noteTxn(what string, guards []wire.Guard, ops []wire.Op) {
+// recordTransaction adds a transaction to the hash.
+func (d *driver) recordTransaction(what string, guards []wire.Guard, ops []wire.Op) {
 	for _, g := range guards {
-		d.note(what+" if", g.Key, g.Version)
+		d.recordDecision(what+" if", g.Key, g.Version)
 	}
 	for _, o := range ops {
-		d.note(what+" then", o.Put, o.Delete, o.Lease, d.plain(o.Value))
+		d.recordDecision(what+" then", o.Put, o.Delete, o.Lease, d.decoded(o.Value))
 	}
 }
 
