--- a/cluster/decisions_events_test.go
+++ b/cluster/decisions_events_test.go
@@ -1,3 +1,5 @@
+// Simulates the actions of users and operators, and faults, for decisions_test.go.
+
 package cluster
 
 import (
@@ -13,10 +15,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is what users, operators and faults do to the cluster that decisions_test.go
-// simulates.
-
-// injectEvents makes users, operators and faults act.
+// injectEvents runs the user actions, operator actions and faults of a step.
 func (d *driver) injectEvents() {
 	if d.step < decisionSteps*4/5 {
 		for d.chance(35) {
@@ -38,6 +37,7 @@
 	d.injectFault()
 }
 
+// injectFault lets a worker die, lose the answers to its heartbeats, or be interrupted.
 func (d *driver) injectFault() {
 	w := d.workers[d.rng.IntN(len(d.workers))]
 	if w.gone || w.dead || d.seconds() < w.readyAt || !d.chance(12) {
@@ -50,7 +50,7 @@
 			w.restartAt = d.seconds() + d.between(5, 40)
 		}
 	case 1, 2:
-		d.eventCounts["mute"]++
+		d.eventCounts["lost answers"]++
 		w.deafUntil = d.seconds() + d.between(5, 25)
 	case 3:
 		if w.spot {
@@ -60,7 +60,7 @@
 	}
 }
 
-// submit submits a job: under a key of its own, or on a shared admission page.
+// submit submits a job under its own key or on a shared admission page.
 func (d *driver) submit() {
 	d.nextJob++
 	j := wire.Job{ID: fmt.Sprintf("wk-%06d", d.nextJob), Class: []string{"arrays", "gangs", "chat", "other"}[d.rng.IntN(4)], Team: []string{"core", "core", "edge"}[d.rng.IntN(3)],
@@ -105,6 +105,7 @@
 	d.addToHeadPage(rec)
 }
 
+// addToHeadPage adds a job to the head admission page, and seals the page first if it is full.
 func (d *driver) addToHeadPage(rec jobstore.JobRecord) {
 	raw, err := wire.Marshal(rec)
 	if err != nil {
@@ -125,7 +126,7 @@
 	d.write(append(ops, wire.Op{Put: key, Value: head})...)
 }
 
-// cancel cancels a job as its user, unless it is over.
+// cancel cancels a job on behalf of its user, unless the job has ended.
 func (d *driver) cancel(id string) {
 	d.eventCounts["cancellation"]++
 	for _, key := range slices.Sorted(maps.Keys(d.store)) {
@@ -196,13 +197,13 @@
 	}
 	d.write(wire.Op{Put: jobstore.PlanHeadKey, Value: d.plans})
 	d.plan = Plan{Plan: p, Number: d.plans, HeadVersion: d.revision}
-	if d.chance(70) { // else the leader learns of it by a condition that fails
+	if d.chance(70) { // otherwise a failed condition tells the leader
 		d.model.ExpectPlan()
 		d.applyLatestPlan()
 	}
 }
 
-// applyLatestPlan makes the leader follow the newest plan.
+// applyLatestPlan makes the leader follow the latest plan.
 func (d *driver) applyLatestPlan() {
 	d.knownPlanVersion = d.plan.HeadVersion
 	d.model.SetPlan(d.plan, d.now())
--- a/cluster/decisions_fleet_test.go
+++ b/cluster/decisions_fleet_test.go
@@ -1,3 +1,5 @@
+// Simulates the cloud and the workers for decisions_test.go.
+
 package cluster
 
 import (
@@ -11,8 +13,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is the cloud and the workers of the cluster that decisions_test.go simulates.
-
+// addMachine adds a machine whose worker sends heartbeats from readyAt on.
 func (d *driver) addMachine(zone, typ string, spot bool, readyAt float64) *simWorker {
 	d.machinesCreated++
 	w := &simWorker{name: fmt.Sprintf("host-%06d", d.machinesCreated), zone: zone, typ: typ, spot: spot, readyAt: readyAt, epoch: 1, leaseRenewedAt: readyAt, images: map[string]bool{}}
@@ -21,6 +22,7 @@
 	return w
 }
 
+// machineCount returns the number of machines in the cloud.
 func (d *driver) machineCount() (n int) {
 	for _, w := range d.workers {
 		if !w.gone {
@@ -76,7 +78,7 @@
 	back := d.model.SelectScaleIn(now, 25*time.Second)
 	d.recordDecision("returnable", back)
 	if len(back) > 0 {
-		d.eventCounts["return"]++
+		d.eventCounts["scale-in"]++
 		if d.writeLeaderRecord(jobstore.ScaleInKey, jobstore.ScaleInRecord{Machines: back}) && !d.chance(20) {
 			for _, name := range back {
 				d.eventCounts["machine returned"]++
@@ -147,11 +149,11 @@
 	}
 	cmds, ok := d.handle(w, r)
 	if stale != nil && d.chance(3) {
-		d.eventCounts["stale report"]++
+		d.eventCounts["stale heartbeat"]++
 		d.handle(w, stale)
 	}
 	if d.chance(3) {
-		d.eventCounts["repeated report"]++
+		d.eventCounts["repeated heartbeat"]++
 		d.handle(w, r)
 	}
 	if !ok || now < w.deafUntil || d.chance(3) {
@@ -161,7 +163,8 @@
 	d.execute(w, cmds)
 }
 
-// handle passes a heartbeat to the leader, as a node does.
+// handle passes a heartbeat to the leader as a node does. It returns false if the leader gives no
+// answer.
 func (d *driver) handle(w *simWorker, r *wire.Heartbeat) ([]wire.Command, bool) {
 	now, via := d.now(), []string{"n-1", "n-2"}[d.rng.IntN(2)]
 	if d.chance(80) {
@@ -224,6 +227,7 @@
 	}
 }
 
+// launch returns the task that a start command launches on a worker.
 func (d *driver) launch(w *simWorker, c wire.Command) *simTask {
 	t := &simTask{TaskStatus: wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskFetching}}
 	id, n, _ := wire.ParseTaskName(c.Task)
@@ -250,6 +254,7 @@
 	return t
 }
 
+// stop stops a task. Within its grace period a running task may save a checkpoint first.
 func (d *driver) stop(t *simTask, c wire.Command) {
 	id, _, _ := wire.ParseTaskName(t.Task)
 	if j := d.model.Job(id); c.GraceS != nil && *c.GraceS > 0 && t.State == wire.TaskRunning && j != nil && j.Spec.CheckpointS > 0 {
@@ -292,7 +297,7 @@
 	}
 }
 
-// startGang starts a gang once all its tasks are waiting.
+// startGang starts a gang once all its tasks wait for each other.
 func (d *driver) startGang(j *Job, t *simTask, now float64) {
 	var waiting []*simTask
 	for _, w := range d.workers {
--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -1,3 +1,5 @@
+// Simulates the leader for decisions_test.go.
+
 package cluster
 
 import (
@@ -13,9 +15,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is the leader of the cluster that decisions_test.go simulates.
-
-// startLeader loads the model of the next leader from the records, as a node does.
+// startLeader elects the next leader and loads its model from the records as a node does.
 func (d *driver) startLeader() {
 	now := d.now()
 	token := d.revision + 1
@@ -57,6 +57,7 @@
 	d.watchEvents = d.watchEvents[:0]
 }
 
+// loadJobs loads the records of jobs and the placement pages.
 func (d *driver) loadJobs(each func(prefix string, load func(key string, v storedValue)), now time.Time) {
 	var pages []AdmissionPage
 	each(jobstore.JobPrefix, func(key string, v storedValue) {
@@ -98,7 +99,7 @@
 	})
 }
 
-// applyWatchEvents applies what has changed in the store, as the leader's watch does.
+// applyWatchEvents applies the changes of the store as the leader's watch does.
 func (d *driver) applyWatchEvents() {
 	now := d.now()
 	pages := map[string]AdmissionPage{}
@@ -187,7 +188,7 @@
 	}
 }
 
-// writeLeaderRecord writes a record that only leaders write.
+// writeLeaderRecord writes a record that only leaders write. It reports whether the write succeeded.
 func (d *driver) writeLeaderRecord(key string, rec any, more ...wire.Guard) bool {
 	guards := append([]wire.Guard{{Key: key, Version: d.store[key].version}}, more...)
 	ops := []wire.Op{{Put: key, Value: rec}}
@@ -195,15 +196,16 @@
 	return d.commit(guards, ops) == nil
 }
 
+// startMoves commits the record of a rebalance cycle and starts its moves.
 func (d *driver) startMoves(group string, rec jobstore.RebalanceCycle) {
-	d.eventCounts["moves"] += len(rec.Moves)
+	d.eventCounts["rebalancing move"] += len(rec.Moves)
 	if d.writeLeaderRecord(jobstore.RebalanceCyclePrefix+group, rec, d.model.RebalanceGuards()...) && !d.chance(10) {
 		d.model.BeginMoves(group, rec, d.now())
 	}
 }
 
-// writeRecords commits batches until nothing is to be written or their share of the step is
-// used up.
+// writeRecords commits batches until nothing is left to write, or a random limit of the step is
+// reached.
 func (d *driver) writeRecords() {
 	now := d.now()
 	for range 1 + d.rng.IntN(4) {
@@ -228,7 +230,7 @@
 		if fault < 3 {
 			d.eventCounts["batch refused"]++
 			d.smallBatches = true
-			d.model.RequeueBatch(b) // 503: it was not carried out
+			d.model.RequeueBatch(b) // status 503: the batch was not applied
 			continue
 		}
 		if fault < 7 {
@@ -254,7 +256,7 @@
 	}
 }
 
-// countWrites counts the kinds of writes in a batch, and returns how many jobs it ends.
+// countWrites counts the kinds of writes in a batch, and returns the number of jobs that it ends.
 func (d *driver) countWrites(b *WriteBatch) (ends int) {
 	for _, o := range b.Ops {
 		if _, ok := jobstore.ParseFinalKey(o.Put); ok {
@@ -265,13 +267,13 @@
 			d.eventCounts["placement page"]++
 		}
 		if jobstore.IsJobPageKey(o.Put + o.Delete) {
-			d.eventCounts["shared page"]++
+			d.eventCounts["admission page"]++
 		}
 	}
 	return ends
 }
 
-// handleConflict handles a batch of which conditions have failed.
+// handleConflict handles a batch with failed conditions, given by their keys.
 func (d *driver) handleConflict(b *WriteBatch, failed []string) {
 	for _, key := range failed {
 		switch {
@@ -286,7 +288,7 @@
 	d.model.RequeueBatch(b)
 }
 
-// commitPlanCheck commits the check of the plan that releases held stops.
+// commitPlanCheck commits the check of the plan's version, which releases held stops.
 func (d *driver) commitPlanCheck() {
 	b := d.model.PlanCheckBatch()
 	if b == nil {
@@ -301,6 +303,7 @@
 	b.OnCommit(d.revision, d.now())
 }
 
+// writePlanRecords commits a batch of plan records.
 func (d *driver) writePlanRecords() {
 	d.recordDecision("notes", d.model.PendingPlanRecords())
 	b := d.model.PlanRecordBatch(1 + d.rng.IntN(6))
@@ -309,10 +312,10 @@
 	}
 	d.recordTransaction("notes", b.Guards, b.Ops)
 	for _, o := range b.Ops {
-		d.eventCounts["note"]++
+		d.eventCounts["plan record"]++
 		for _, kind := range []string{"pools/", "night.", "order"} {
 			if strings.HasPrefix(o.Put, jobstore.PlanStatePrefix+kind) {
-				d.eventCounts["note of "+kind]++
+				d.eventCounts["plan record "+kind]++
 			}
 		}
 	}
@@ -321,19 +324,19 @@
 	case failed != nil:
 		d.handleConflict(b, failed)
 	case d.chance(5):
-		d.model.RequeueBatch(b) // it was carried out, and the answer is lost
+		d.model.RequeueBatch(b) // the batch was applied, but the answer is lost
 	default:
 		b.OnCommit(d.revision, d.now())
 	}
 	if raw := d.store[jobstore.PlanStatePrefix+calendar.RecordName("north")].raw; raw != nil {
-		d.eventCounts["outcome of a night"] += len(read[calendar.Record](d, jobstore.PlanStatePrefix+calendar.RecordName("north")).Past)
+		d.eventCounts["batch window outcome"] += len(read[calendar.Record](d, jobstore.PlanStatePrefix+calendar.RecordName("north")).Past)
 	}
 }
 
 // submitPrefetches submits the jobs that prefetch the weights of warm pools.
 func (d *driver) submitPrefetches() {
 	for _, f := range d.model.NextPrefetches(4, d.now()) {
-		d.eventCounts["fetch"]++
+		d.eventCounts["prefetch"]++
 		guards := []wire.Guard{d.model.PlanGuard(), {Key: jobstore.JobKey(f.ID)}, {Key: jobstore.FinalKey(f.ID)}}
 		ops := []wire.Op{{Put: jobstore.JobKey(f.ID), Value: f.Record}}
 		d.recordTransaction("fetch", guards, ops)
@@ -341,11 +344,11 @@
 	}
 }
 
-// sendDirectCommands sends the commands for workers' own addresses.
+// sendDirectCommands sends stops and wake-ups to the workers' addresses.
 func (d *driver) sendDirectCommands() {
 	now := d.now()
 	stops := d.model.StopPushes(now)
-	// The stops of several machines may be in the order of a map.
+	// The stops of several machines may be in the iteration order of a map.
 	slices.SortFunc(stops, func(a, b Push) int { return strings.Compare(a.Machine, b.Machine) })
 	for _, s := range stops {
 		sortWithinOps(s.Commands.Commands)
@@ -358,6 +361,7 @@
 	}
 }
 
+// sendDirect delivers commands to a worker unless they are stale or get lost.
 func (d *driver) sendDirect(what string, s Push) {
 	d.recordDecision(what, s.Machine, s.Addr, d.decoded(s.Commands))
 	w := d.byName[s.Machine]
@@ -367,7 +371,7 @@
 	d.execute(w, s.Commands.Commands)
 }
 
-// explain adds the explanations for operators to the hash.
+// explain adds the snapshot and the explanations for operators to the hash.
 func (d *driver) explain() {
 	now := d.now()
 	s := d.model.Snapshot(now)
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -1,3 +1,9 @@
+// Simulates a busy cluster for some minutes with a seed and a fixed clock, and compares all outputs
+// of the model with recorded hashes: commands, transactions, scaling out and in, rebalancing moves
+// and explanations. The workers, the cloud and the key-value store are simulated, and depend only on
+// the seed. decisions_events_test.go holds the events, decisions_fleet_test.go the cloud and the
+// workers, and decisions_leader_test.go the leader.
+
 package cluster
 
 import (
@@ -21,23 +27,17 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This test simulates some minutes of a busy cluster with a seed and a fixed clock, and
-// compares all outputs of the model with recorded hashes: commands, transactions, scaling
-// out and in, rebalancing moves and explanations. The workers, the cloud and the key-value
-// store are simulated here, and depend on nothing but the seed.
-
 var traceDir = flag.String("decisions", "", "directory for each seed's decisions, to find where two versions differ")
 
 const (
 	decisionSeeds = 6
 	decisionSteps = 420
 	decisionStepS = 1.5
-	// decisionMark is the number of steps after which the hash so far is recorded.
-	decisionMark = 20
+	decisionMark  = 20 // number of steps between two recorded hashes
 )
 
-// A change that is not meant to change any decision must leave every hash as it is. If one
-// differs, run this test on both versions with -decisions and compare the files.
+// Guards against unintended changes of decisions: every hash must stay as it is. If a hash differs,
+// run this test on both versions with -decisions and compare the files.
 func TestDecisionsAreTheRecordedOnes(t *testing.T) {
 	f := golden.Open(t, "decisions.golden")
 	eventCounts := map[string]int{}
@@ -55,17 +55,17 @@
 		}
 	}
 	t.Log(eventCounts)
-	for _, event := range []string{"launch", "stop", "forget", "direct stop", "wake-up", "rental", "refused rental", "machine rented", "return", "machine returned",
-		"moves", "job ended", "cancellation", "conflict", "answer lost", "placement page", "plan", "failover", "fetch", "note", "note of pools/", "note of night.",
-		"note of order", "outcome of a night", "held stop", "repeated report", "stale report", "lease expiry", "machine lost", "interruption", "mute", "start refused",
-		"reserved task", "gang", "shared page", "batch refused"} {
+	for _, event := range []string{"launch", "stop", "forget", "direct stop", "wake-up", "rental", "refused rental", "machine rented", "scale-in", "machine returned",
+		"rebalancing move", "job ended", "cancellation", "conflict", "answer lost", "placement page", "plan", "failover", "prefetch", "plan record", "plan record pools/", "plan record night.",
+		"plan record order", "batch window outcome", "held stop", "repeated heartbeat", "stale heartbeat", "lease expiry", "machine lost", "interruption", "lost answers", "start refused",
+		"reserved task", "gang", "admission page", "batch refused"} {
 		if eventCounts[event] == 0 {
 			t.Errorf("no event %q occurred", event)
 		}
 	}
 }
 
-// storedValue is a value of the key-value store.
+// storedValue is a value of the key-value store and its version.
 type storedValue struct {
 	raw     wire.Raw
 	version uint64
@@ -174,7 +174,8 @@
 	fmt.Fprintf(d.decisions, "%d %s %v\n", d.step, what, values)
 }
 
-// decoded converts a value to its encoded form, with the keys of maps in order.
+// decoded encodes a value and decodes it into basic types, which are printed with the keys of maps
+// in order.
 func (d *driver) decoded(v any) any {
 	raw, err := wire.Marshal(v)
 	if err != nil {
@@ -198,8 +199,8 @@
 
 // The key-value store.
 
-// commit applies a transaction if its conditions hold, and returns the keys of those that
-// do not.
+// commit applies a transaction if its conditions hold. It returns the keys of the conditions that
+// do not hold.
 func (d *driver) commit(guards []wire.Guard, ops []wire.Op) (failed []string) {
 	for _, g := range guards {
 		if d.store[g.Key].version != g.Version {
@@ -239,7 +240,7 @@
 	}
 }
 
-// read decodes a record.
+// read returns the decoded record of a key.
 func read[T any](d *driver, key string) (v T) {
 	d.t.Helper()
 	if err := wire.Unmarshal(d.store[key].raw, &v); err != nil {
