--- a/cluster/batch_window_test.go
+++ b/cluster/batch_window_test.go
@@ -169,13 +169,13 @@
 func TestFailoverToSlowClockDecidesOutcomeOnce(t *testing.T) {
 	a, b := windowJob("wk-000001", "tiles", 1, 10, 60), windowJob("wk-000002", "tiles", 1, 20, 60)
 	for _, tc := range []struct {
-		name      string
-		end       float64 // of the last job
-		lost      float64 // when the first leader is
-		committed bool    // its last plan record
-		how       calendar.Result
-		late      int64
-		done, all int
+		name                    string
+		endSecond               float64 // end of the last job
+		lossSecond              float64 // loss of the first leader
+		isCommitted             bool    // the first leader's last plan record
+		wantResult              calendar.Result
+		wantLateMs              int64
+		wantCompleted, wantJobs int
 	}{
 		{"before the deadline", brusselsDeadline - 100, brusselsDeadline - 50, true, calendar.ResultMet, 0, 2, 2},
 		{"before the deadline, record not committed", brusselsDeadline - 60, brusselsDeadline - 59, false, calendar.ResultMet, 0, 2, 2},
@@ -193,30 +193,30 @@
 			l.commitAll(at(3600))
 			l.model.Tick(at(3610))
 			l.commitPlanRecords(at(3610))
-			for s := tc.end - 10; s <= tc.lost; s++ {
+			for s := tc.endSecond - 10; s <= tc.lossSecond; s++ {
 				l.model.Tick(at(s))
-				if s == tc.end {
+				if s == tc.endSecond {
 					l.finish("wk-000002", at(s))
 				}
-				if tc.committed {
+				if tc.isCommitted {
 					l.commitAll(at(s))
-				} else if j := l.model.NextBatch(12); j != nil { // the end is committed, the plan record is not
-					for _, op := range j.Ops {
+				} else if batch := l.model.NextBatch(12); batch != nil { // the end is committed, the plan record is not
+					for _, op := range batch.Ops {
 						if id, ok := jobstore.ParseFinalKey(op.Put); ok {
 							l.finalRecords[id] = op.Value.(jobstore.JobRecord)
 						}
 					}
-					j.OnCommit(9, at(s))
+					batch.OnCommit(9, at(s))
 				}
 			}
-			if tc.committed {
-				l.model.Tick(at(tc.lost + 3))
-				l.commitPlanRecords(at(tc.lost + 3))
+			if tc.isCommitted {
+				l.model.Tick(at(tc.lossSecond + 3))
+				l.commitPlanRecords(at(tc.lossSecond + 3))
 			}
-			behind := tc.lost + 5 - 1 // its clock is behind by a second
-			l.failover(6, at(behind), twoRegions)
-			l.resolveJobs(at(behind))
-			for s := behind; s < brusselsOpening+120; s += 7 {
+			takeover := tc.lossSecond + 5 - 1 // its clock is behind by a second
+			l.failover(6, at(takeover), twoRegions)
+			l.resolveJobs(at(takeover))
+			for s := takeover; s < brusselsOpening+120; s += 7 {
 				l.model.Tick(at(s))
 				l.commitPlanRecords(at(s))
 			}
@@ -224,7 +224,7 @@
 			if len(rec.Past) != 1 || len(rec.Windows) > 0 {
 				t.Fatalf("%+v", rec)
 			}
-			if o := rec.Past[0]; o.Result != tc.how || o.LateMs != tc.late || o.Completed != tc.done || o.Jobs != tc.all {
+			if o := rec.Past[0]; o.Result != tc.wantResult || o.LateMs != tc.wantLateMs || o.Completed != tc.wantCompleted || o.Jobs != tc.wantJobs {
 				t.Errorf("%+v", o)
 			}
 		})
@@ -234,29 +234,29 @@
 func TestReforecastsRecordTheirCause(t *testing.T) {
 	l := &leaderSequence{t: t, planRecords: map[string]wire.Raw{}, finalRecords: map[string]jobstore.JobRecord{}}
 	l.failover(5, at(0), twoRegions, windowJob("wk-000001", "tiles", 100, 10, 600))
-	up := func(n int, from float64) {
+	sendHeartbeats := func(n int, from float64) {
 		for s := from; s < from+40; s += 2 {
-			for k := range n {
+			for i := range n {
 				r := rep(uint64(s), 5)
-				r.Machine, r.Addr = fmt.Sprintf("host-%d", k), fmt.Sprintf("h-%d:1", k)
+				r.Machine, r.Addr = fmt.Sprintf("host-%d", i), fmt.Sprintf("h-%d:1", i)
 				answer(t, l.model, r, at(s))
 			}
 			l.model.Tick(at(s))
 		}
 	}
-	has := func(cause string, atRisk bool) {
+	checkLastForecast := func(cause string, atRisk bool) {
 		t.Helper()
 		v := l.model.BatchWindows(at(400))[0]
 		if len(v.Windows) != 1 {
 			t.Fatalf("%+v", v)
 		}
-		h := v.Windows[0]
-		last := h.Reforecasts[len(h.Reforecasts)-1]
-		if !strings.Contains(last.Cause, cause) || h.Forecast.AtRisk != atRisk {
-			t.Errorf("%+v; %+v, want %s", last, h.Forecast, cause)
+		window := v.Windows[0]
+		last := window.Reforecasts[len(window.Reforecasts)-1]
+		if !strings.Contains(last.Cause, cause) || window.Forecast.AtRisk != atRisk {
+			t.Errorf("%+v; %+v, want %s", last, window.Forecast, cause)
 		}
 	}
-	up(8, 20) // 16 places for 100 tasks of ten minutes
+	sendHeartbeats(8, 20) // 16 places for 100 tasks of ten minutes
 	v := l.model.BatchWindows(at(60))[0].Windows[0]
 	if finish := time.UnixMilli(v.Forecast.FinishMs).Sub(t0).Hours(); finish < 1 || finish > 1.5 || v.Forecast.AtRisk {
 		t.Errorf("finished after %v h, %+v", finish, v)
@@ -264,19 +264,19 @@
 	if latest := time.UnixMilli(v.Forecast.LatestStartMs).Sub(t0).Hours(); latest < 6 || latest > 6.5 {
 		t.Errorf("latest start after %v h", latest)
 	}
-	up(4, 100)
+	sendHeartbeats(4, 100)
 	if c := l.model.BatchWindows(at(140))[0].Windows[0].Reforecasts; !strings.Contains(c[len(c)-1].Cause, "machines lost: 4 of 8") {
 		t.Errorf("%+v", c)
 	}
 	more := windowJob("wk-000002", "tiles", 400, 200, 600)
 	l.model.ApplyJobRecord("wk-000002", more, 1, at(200))
-	up(4, 200)
+	sendHeartbeats(4, 200)
 	if f := l.model.BatchWindows(at(240))[0].Windows[0]; !strings.Contains(f.Reforecasts[len(f.Reforecasts)-1].Cause, "more came") || !f.Forecast.AtRisk || f.Forecast.Reason == "" {
 		t.Errorf("%+v", f)
 	}
 	applyPlan(t, l.model, 2, strings.Replace(twoRegions, `thu = "08:00"`, `thu = "23:00"`, 1), at(250))
-	up(4, 260)
-	has("the plan changed", false)
+	sendHeartbeats(4, 260)
+	checkLastForecast("the plan changed", false)
 	l.commitPlanRecords(at(300))
 	l.failover(6, at(310), strings.Replace(twoRegions, `thu = "08:00"`, `thu = "23:00"`, 1), windowJob("wk-000001", "tiles", 100, 10, 600), more)
 	for s := 310.0; s < 340; s += 2 {
@@ -284,7 +284,7 @@
 		answer(t, l.model, r, at(s))
 		l.model.Tick(at(s))
 	}
-	has("another leader leads", true)
+	checkLastForecast("another leader leads", true)
 }
 
 // An unreadable record affects nothing else: the batch window is counted anew from the jobs
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -21,7 +21,7 @@
 func BenchmarkSchedule(b *testing.B) {
 	for _, size := range []struct{ machines, jobs int }{{36, 150}, {300, 150}, {1000, 400}} {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", size.machines, size.jobs), func(b *testing.B) {
-			m := crowded(size.machines, size.jobs)
+			m := overloadedModel(size.machines, size.jobs)
 			m.Schedule(at(1), 1000)
 			for b.Loop() {
 				m.Schedule(at(2), 1000)
@@ -34,15 +34,15 @@
 func BenchmarkBurst(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		m := crowded(1000, 400)
+		m := overloadedModel(1000, 400)
 		b.StartTimer()
 		m.Schedule(at(1), 1000)
 	}
 }
 
-// crowded returns a model with more work than its machines can hold: gangs in one zone, and
+// overloadedModel returns a model with more work than its machines can hold: gangs in one zone, and
 // arrays of lower priority with a deadline.
-func crowded(machines, jobs int) *Model {
+func overloadedModel(machines, jobs int) *Model {
 	m := newModel(5)
 	m.settings.Cluster.Objectives = []config.Objective{
 		{Kind: "wait", Class: "gangs", WithinS: 50}, {Kind: "finished", Class: "gangs", WithinS: 300},
@@ -68,36 +68,36 @@
 	return m
 }
 
-// planned returns plans by the names of their parts, for a crowded cluster of that size: a
+// benchmarkPlans returns plans by the names of their parts, for an overloaded cluster of that size: a
 // batch window for arrays, gangs in a tier before arrays, and warm pools that hold a fifth of
 // the machines.
-func planned(m *Model, machines int) map[string]*plan.Plan {
-	night, tiers, held := &plan.Plan{}, &plan.Plan{}, &plan.Plan{}
+func benchmarkPlans(m *Model, machines int) map[string]*plan.Plan {
+	windows, tiers, pools := &plan.Plan{}, &plan.Plan{}, &plan.Plan{}
 	for _, r := range []struct{ name, class string }{{"north", "arrays"}, {"south", "gangs"}} {
-		night.Calendar.Regions = append(night.Calendar.Regions, calendar.RegionSettings{Name: r.name, Zone: "UTC", Evening: "18:00", MarginS: 1800,
+		windows.Calendar.Regions = append(windows.Calendar.Regions, calendar.RegionSettings{Name: r.name, Zone: "UTC", Evening: "18:00", MarginS: 1800,
 			Open: map[string]string{"wed": "07:00", "thu": "07:00", "fri": "07:00"}, Work: []calendar.Work{{Class: r.class}}})
 	}
 	tiers.Order.Tiers = []priority.Tier{{Name: "first", Classes: []string{"gangs"}}, {Name: "second", Classes: []string{"arrays"}, Share: 0.2, LongestWaitS: 60}}
 	for i := range 3 {
-		held.Pools = append(held.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), WeightsGB: 20, Types: []string{m.MachineTypes[0].Name}, Zones: m.Zones,
+		pools.Pools = append(pools.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), WeightsGB: 20, Types: []string{m.MachineTypes[0].Name}, Zones: m.Zones,
 			MinMachines: machines / 15, MaxMachines: machines / 15, Burst: warmpool.Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1e9, Payer: m.settings.Cluster.Teams[0].Name})
 	}
-	return map[string]*plan.Plan{"none": nil, "calendar": night, "order": tiers, "pools": held,
-		"all": {Calendar: night.Calendar, Order: tiers.Order, Pools: held.Pools}}
+	return map[string]*plan.Plan{"none": nil, "calendar": windows, "order": tiers, "pools": pools,
+		"all": {Calendar: windows.Calendar, Order: tiers.Order, Pools: pools.Pools}}
 }
 
-// full returns a crowded model with a plan, whose machines run what is placed on them.
-func full(machines, jobs int, name string) *Model {
-	m := crowded(machines, jobs)
-	m.SetPlan(Plan{Plan: planned(m, machines)[name], Number: 1, HeadVersion: 1}, at(0))
+// fullModel returns an overloaded model with a plan, whose machines run what is placed on them.
+func fullModel(machines, jobs int, name string) *Model {
+	m := overloadedModel(machines, jobs)
+	m.SetPlan(Plan{Plan: benchmarkPlans(m, machines)[name], Number: 1, HeadVersion: 1}, at(0))
 	for s := 1.0; s < 36; s++ { // until pools have joined machines
-		run(m, s)
+		runPass(m, s)
 	}
 	return m
 }
 
-// run runs a scheduling pass and commits its writes; all placed tasks are then running.
-func run(m *Model, s float64) {
+// runPass runs a scheduling pass and commits its writes; all placed tasks are then running.
+func runPass(m *Model, s float64) {
 	now := at(s)
 	markAllHeartbeats(m, now)
 	m.Tick(now)
@@ -116,9 +116,9 @@
 	m.directCommands.launches = m.directCommands.launches[:0]
 }
 
-// threadTime returns the processor time that this thread has used so far. Unlike elapsed time
+// threadCPUTime returns the processor time that this thread has used so far. Unlike elapsed time
 // it does not depend on what else the machine does.
-func threadTime() time.Duration {
+func threadCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(1, &u); err != nil { // RUSAGE_THREAD
 		panic(err)
@@ -131,23 +131,23 @@
 func BenchmarkPass(b *testing.B) {
 	for _, name := range []string{"none", "calendar", "order", "pools", "all"} {
 		b.Run(name, func(b *testing.B) {
-			m := full(1300, 400, name)
-			var sum, most time.Duration
+			m := fullModel(1300, 400, name)
+			var total, longest time.Duration
 			runtime.LockOSThread()
 			defer runtime.UnlockOSThread()
 			for b.Loop() {
 				for s := 40.0; s < 60; s += 0.5 {
 					markAllHeartbeats(m, at(s))
-					began := threadTime()
+					began := threadCPUTime()
 					m.Tick(at(s))
 					m.Schedule(at(s), 1000)
-					took := threadTime() - began
-					sum, most = sum+took, max(most, took)
+					took := threadCPUTime() - began
+					total, longest = total+took, max(longest, took)
 				}
 				m.windows.lastScan, m.windows.lastForecast, m.pools.nextTick, m.triage.nextRun, m.starvation.nextCheck = time.Time{}, time.Time{}, time.Time{}, time.Time{}, time.Time{}
 			}
-			b.ReportMetric(sum.Seconds()*1e3/40/float64(b.N), "cpu-ms/pass")
-			b.ReportMetric(most.Seconds()*1e3, "cpu-ms-most")
+			b.ReportMetric(total.Seconds()*1e3/40/float64(b.N), "cpu-ms/pass")
+			b.ReportMetric(longest.Seconds()*1e3, "cpu-ms-most")
 		})
 	}
 }
@@ -157,8 +157,8 @@
 func BenchmarkHeartbeats(b *testing.B) {
 	for _, name := range []string{"none", "all"} {
 		b.Run(name, func(b *testing.B) {
-			m := full(1300, 400, name)
-			var reps []*wire.Heartbeat
+			m := fullModel(1300, 400, name)
+			var heartbeats []*wire.Heartbeat
 			for _, mc := range m.Machines {
 				r := rep(1, 5)
 				r.Machine, r.Zone = mc.Name, m.Zones[mc.Zone]
@@ -166,18 +166,18 @@
 					j := m.Jobs[ref.Job]
 					r.Tasks = append(r.Tasks, wire.TaskStatus{Task: wire.TaskName(j.ID, int(ref.Task)), Attempt: j.Tasks[ref.Task].Placement.Attempt, State: wire.TaskRunning})
 				}
-				reps = append(reps, r)
+				heartbeats = append(heartbeats, r)
 			}
 			runtime.LockOSThread()
 			defer runtime.UnlockOSThread()
-			began := threadTime()
+			began := threadCPUTime()
 			for s := 40.0; b.Loop(); s += 1.5 {
-				for _, r := range reps {
+				for _, r := range heartbeats {
 					r.Seq++
 					m.AnswerHeartbeat(m.ApplyHeartbeat(r, at(s)), r, at(s))
 				}
 			}
-			b.ReportMetric((threadTime()-began).Seconds()*1e6/float64(b.N*len(reps)), "cpu-us/report")
+			b.ReportMetric((threadCPUTime()-began).Seconds()*1e6/float64(b.N*len(heartbeats)), "cpu-us/report")
 		})
 	}
 }
--- a/cluster/gpu_machines_test.go
+++ b/cluster/gpu_machines_test.go
@@ -40,12 +40,12 @@
 // jobs wait for GPUs: they would occupy the CPUs beside the GPUs.
 func TestJobWithoutGPUsAvoidsGPUMachinesWhileGPUJobsWait(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		kind    config.ObjectiveKind // of the objective on the class without GPUs
-		gpus    float64
-		waiting string // priority of the work with GPUs
-		limit   float64
-		keeps   bool
+		name           string
+		kind           config.ObjectiveKind // of the objective on the class without GPUs
+		gpusNeeded     float64              // by the waiting job
+		gpuJobPriority string               // priority of the waiting job
+		gpuLimit       float64              // of the team
+		wantAvoided    bool
 	}{
 		{"others wait", "deadline", 1, wire.PriorityNormal, 0, true},
 		{"others of a higher priority wait", "deadline", 1, wire.PriorityHigh, 0, true},
@@ -56,7 +56,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newModel(5)
-			m.teams[0].Max.GPU = c.limit
+			m.teams[0].Max.GPU = c.gpuLimit
 			m.settings.Cluster.Objectives = []config.Objective{{Kind: c.kind, Class: "small", WithinS: 40, Share: 0.9}, {Kind: "finished", Class: "c", WithinS: 150, Share: 0.9}}
 			m.SetMachineTypes([]wire.MachineType{
 				{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}},
@@ -65,12 +65,12 @@
 			small.Job.Class, small.Job.DeadlineS = "small", &deadline
 			m.ApplyJobRecord(small.Job.ID, small, 1, at(0))
 			other := arrayJob("wk-000002", 1)
-			other.Job.GPUs, other.Job.Priority = c.gpus, c.waiting
+			other.Job.GPUs, other.Job.Priority = c.gpusNeeded, c.gpuJobPriority
 			m.ApplyJobRecord(other.Job.ID, other, 1, at(0))
 			jobs := m.openJobs()
 			for _, entry := range m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), at(1)) {
-				if entry.job.Spec.Class == "small" && entry.req.Types[m.names.machineTypes["m"]] == c.keeps {
-					t.Errorf("may go to a machine with GPUs: %t", !c.keeps)
+				if entry.job.Spec.Class == "small" && entry.req.Types[m.names.machineTypes["m"]] == c.wantAvoided {
+					t.Errorf("may go to a machine with GPUs: %t", !c.wantAvoided)
 				}
 			}
 		})
--- a/cluster/guarantee_test.go
+++ b/cluster/guarantee_test.go
@@ -29,10 +29,10 @@
 				m.ApplyJobRecord(rec.Job.ID, rec, 1, at(float64(i)))
 			}
 			jobs := m.openJobs()
-			in := m.jobsWithinGuarantee(jobs)
+			within := m.jobsWithinGuarantee(jobs)
 			for i, j := range jobs {
-				if in[j.Index] != c.want[i] {
-					t.Errorf("%s is within the guarantee: %t", j.ID, in[j.Index])
+				if within[j.Index] != c.want[i] {
+					t.Errorf("%s is within the guarantee: %t", j.ID, within[j.Index])
 				}
 			}
 		})
--- a/cluster/priority_tiers_test.go
+++ b/cluster/priority_tiers_test.go
@@ -21,14 +21,14 @@
 	one := priority.New(&priority.Settings{Tiers: []priority.Tier{{Name: "all", Classes: []string{"slicing", "lesson", "print"}}}})
 	for seed := range uint64(3) {
 		var logs [3][]string
-		for i, o := range []*priority.Policy{nil, one, one} {
-			p := newFleetSimulation(6, o)
+		for i, policy := range []*priority.Policy{nil, one, one} {
+			sim := newFleetSimulation(6, policy)
 			if i == 2 {
-				p.m.ExpectPlan()
+				sim.m.ExpectPlan()
 			}
-			p.m.settings.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "slicing", WithinS: 30}, {Kind: "finished", Class: "lesson", WithinS: 200}}
-			p.runRandomLoad(seed, 300, func(r *rand.Rand) string { return []string{"slicing", "lesson", "print"}[r.IntN(3)] })
-			logs[i] = p.log
+			sim.m.settings.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "slicing", WithinS: 30}, {Kind: "finished", Class: "lesson", WithinS: 200}}
+			sim.runRandomLoad(seed, 300, func(r *rand.Rand) string { return []string{"slicing", "lesson", "print"}[r.IntN(3)] })
+			logs[i] = sim.log
 		}
 		if len(logs[0]) < 100 || !strings.Contains(strings.Join(logs[0], ","), "stopped") || !slices.Equal(logs[0], logs[1]) || !slices.Equal(logs[0], logs[2]) {
 			t.Fatalf("seed %d: %d starts and stops without a policy, %d with one of a single tier, and they differ", seed, len(logs[0]), len(logs[1]))
@@ -40,14 +40,14 @@
 func TestRandomLoadCausesNoUnexplainedPriorityInversion(t *testing.T) {
 	all := map[string]uint64{}
 	rapid.Check(t, func(t *rapid.T) {
-		p := newFleetSimulation(rapid.IntRange(1, 6).Draw(t, "machines"), clinicFirstPolicy())
-		p.m.settings.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "slicing", WithinS: 30}}
-		p.m.guarantees[0] = placement.Resources{CPU: rapid.Float64Range(0, 30).Draw(t, "guarantee")}
-		p.m.teams[0].Max = placement.Resources{CPU: 25}
-		p.runRandomLoad(rapid.Uint64().Draw(t, "day"), 120, func(r *rand.Rand) string { return []string{"slicing", "lesson", "print", "else"}[r.IntN(4)] })
-		for k, n := range p.m.tiers.inversions.Counts {
+		sim := newFleetSimulation(rapid.IntRange(1, 6).Draw(t, "machines"), clinicFirstPolicy())
+		sim.m.settings.Cluster.Objectives = []config.Objective{{Kind: "wait", Class: "slicing", WithinS: 30}}
+		sim.m.guarantees[0] = placement.Resources{CPU: rapid.Float64Range(0, 30).Draw(t, "guarantee")}
+		sim.m.teams[0].Max = placement.Resources{CPU: 25}
+		sim.runRandomLoad(rapid.Uint64().Draw(t, "day"), 120, func(r *rand.Rand) string { return []string{"slicing", "lesson", "print", "else"}[r.IntN(4)] })
+		for k, n := range sim.m.tiers.inversions.Counts {
 			if all[k] += n; strings.HasSuffix(k, priority.Unexplained.String()) {
-				t.Fatalf("%d times %s: %v", n, k, p.m.tiers.inversions.Recent)
+				t.Fatalf("%d times %s: %v", n, k, sim.m.tiers.inversions.Recent)
 			}
 		}
 	})
@@ -60,53 +60,53 @@
 // Jobs of the highest tier arrive faster than they can be completed. The second tier still gets
 // its share, and all jobs of lower tiers and of none start within the bound.
 func TestOverloadByTheHighestTierStarvesNoLowerTier(t *testing.T) {
-	p := newFleetSimulation(8, clinicFirstPolicy())
-	lessons := 0
-	for n, k := 1, 0; p.now < 900; p.step() {
+	sim := newFleetSimulation(8, clinicFirstPolicy())
+	stepsWithShare := 0
+	for n, steps := 1, 0; sim.now < 900; sim.step() {
 		for range 3 {
-			p.submit(n, "slicing", 2, 30, nil)
+			sim.submit(n, "slicing", 2, 30, nil)
 			n++
 		}
-		if k++; k%8 == 1 {
+		if steps++; steps%8 == 1 {
 			for _, c := range []string{"lesson", "print", "else"} {
-				p.submit(n, c, 2, 40, nil)
+				sim.submit(n, c, 2, 40, nil)
 				n++
 			}
 		}
-		if b := p.m.tierUsage(p.m.schedulableCapacity(at(p.now))); p.now > 120 && b[1] >= 0.05 {
-			lessons++
+		if usage := sim.m.tierUsage(sim.m.schedulableCapacity(at(sim.now))); sim.now > 120 && usage[1] >= 0.05 {
+			stepsWithShare++
 		}
 	}
 	late := map[string]int{}
-	for id, came := range p.acceptedAt {
+	for id, acceptedAt := range sim.acceptedAt {
 		class := "else"
-		if j := p.m.Job(id); j != nil {
+		if j := sim.m.Job(id); j != nil {
 			class = j.Spec.Class
 		}
-		if _, ok := p.startWaits[id]; !ok && class != "slicing" && p.now-came > priority.StarvationBoundSeconds {
+		if _, ok := sim.startWaits[id]; !ok && class != "slicing" && sim.now-acceptedAt > priority.StarvationBoundSeconds {
 			late[class]++
 		}
 	}
-	if len(late) > 0 || lessons < 400 {
-		t.Errorf("not started within the bound: %v; lessons had half their share in %d of 520 steps", late, lessons)
+	if len(late) > 0 || stepsWithShare < 400 {
+		t.Errorf("not started within the bound: %v; lessons had half their share in %d of 520 steps", late, stepsWithShare)
 	}
 }
 
 // Tasks of the lower tier are preempted first, and only by jobs of a higher priority.
 func TestPreemptionStopsTheLowerTierFirst(t *testing.T) {
-	p := newFleetSimulation(2, clinicFirstPolicy())
+	sim := newFleetSimulation(2, clinicFirstPolicy())
 	low := func(j *wire.Job) { j.Priority, j.CPUs = wire.PriorityLow, 4 }
-	school, clinic := p.submit(1, "lesson", 2, 500, low), p.submit(2, "slicing", 2, 500, low)
+	school, clinic := sim.submit(1, "lesson", 2, 500, low), sim.submit(2, "slicing", 2, 500, low)
 	for range 6 {
-		p.step()
+		sim.step()
 	}
-	p.submit(3, "print", 2, 20, func(j *wire.Job) { j.CPUs = 4 })
-	p.submit(4, "slicing", 2, 20, low) // of the same priority: it stops nobody
+	sim.submit(3, "print", 2, 20, func(j *wire.Job) { j.CPUs = 4 })
+	sim.submit(4, "slicing", 2, 20, low) // of the same priority: it stops nobody
 	for range 4 {
-		p.step()
+		sim.step()
 	}
 	stopped := func(id string) int {
-		return len(slices.DeleteFunc(slices.Clone(p.log), func(s string) bool { return !strings.Contains(s, id) || !strings.HasSuffix(s, "stopped") }))
+		return len(slices.DeleteFunc(slices.Clone(sim.log), func(s string) bool { return !strings.Contains(s, id) || !strings.HasSuffix(s, "stopped") }))
 	}
 	if stopped(school) != 2 || stopped(clinic) != 0 {
 		t.Errorf("stopped: %d tasks of the school's, %d of the clinic's", stopped(school), stopped(clinic))
@@ -116,14 +116,14 @@
 // At a load of 1.3 times the fleet's capacity jobs of the highest tier start much sooner, and the
 // others no later than after their longest wait and the startup.
 func TestHighestTierWaitsLeastUnderOverload(t *testing.T) {
-	waits := func(o *priority.Policy) map[string][]float64 {
-		p := newFleetSimulation(20, o)
+	waits := func(policy *priority.Policy) map[string][]float64 {
+		sim := newFleetSimulation(20, policy)
 		rnd := rand.New(rand.NewPCG(3, 3))
 		class := map[string]string{}
-		for n := 1; p.now < 1500; p.step() {
+		for n := 1; sim.now < 1500; sim.step() {
 			for range 1 + rnd.IntN(2) {
 				c := []string{"slicing", "lesson", "print", "print", "lesson", "lesson"}[rnd.IntN(6)]
-				if id := p.submit(n, c, 1+rnd.IntN(4), float64(20+rnd.IntN(40)), nil); p.now < 1200 {
+				if id := sim.submit(n, c, 1+rnd.IntN(4), float64(20+rnd.IntN(40)), nil); sim.now < 1200 {
 					class[id] = c
 				}
 				n++
@@ -131,16 +131,16 @@
 		}
 		out := map[string][]float64{}
 		for id, c := range class {
-			w, ok := p.startWaits[id]
+			w, ok := sim.startWaits[id]
 			if !ok {
-				w = p.now - p.acceptedAt[id]
+				w = sim.now - sim.acceptedAt[id]
 			}
 			out[c] = append(out[c], w)
 		}
 		for c := range out {
 			slices.Sort(out[c])
 			n := len(out[c])
-			t.Logf("policy %t, %s: %d jobs, p50 %.1f s, p99 %.1f s", o != nil, c, n, out[c][n/2], out[c][n*99/100])
+			t.Logf("policy %t, %s: %d jobs, p50 %.1f s, p99 %.1f s", policy != nil, c, n, out[c][n/2], out[c][n*99/100])
 		}
 		return out
 	}
@@ -149,9 +149,9 @@
 	if a, b := with["slicing"][n*99/100], without["slicing"][n/2]; a > b/4 {
 		t.Errorf("p99 of the clinic's waits %.1f s with the policy, p50 %.1f s without", a, b)
 	}
-	for c, most := range map[string]float64{"lesson": 100, "print": 150} {
-		if w := with[c]; w[len(w)-1] > most+60 {
-			t.Errorf("a job of class %s started after %.1f s, its longest wait is %g s", c, w[len(w)-1], most)
+	for c, longestWait := range map[string]float64{"lesson": 100, "print": 150} {
+		if w := with[c]; w[len(w)-1] > longestWait+60 {
+			t.Errorf("a job of class %s started after %.1f s, its longest wait is %g s", c, w[len(w)-1], longestWait)
 		}
 	}
 }
--- a/cluster/starvation_explain_test.go
+++ b/cluster/starvation_explain_test.go
@@ -11,7 +11,7 @@
 func TestStarvedJobsAreListedWithTheirCause(t *testing.T) {
 	s := newSimulatedCluster(t, 1, bound) // of zone a
 	s.m.teams[0].Max.CPU = 8
-	offer := func() {
+	refuseAllOffers := func() {
 		for ti := range s.m.MachineTypes {
 			for z := range s.m.Zones {
 				for _, spot := range []bool{false, true} {
@@ -20,7 +20,7 @@
 			}
 		}
 	}
-	offer()
+	refuseAllOffers()
 	s.submit("wk-000001", 0, 1, func(j *wire.Job) { j.Zone = "b"; j.Team = "" })
 	s.submit("wk-000002", 0, 3, func(j *wire.Job) { j.Kind, j.CPUs, j.Team = wire.KindGang, 4, "" })
 	s.submit("wk-000003", 0, 1, func(j *wire.Job) { j.EstimateS = 2000 })
--- a/cluster/starvation_scenario_test.go
+++ b/cluster/starvation_scenario_test.go
@@ -40,13 +40,13 @@
 	return s
 }
 
-// submit submits a job of class "c" with so many tasks, changed by with.
-func (s *simulatedCluster) submit(id string, now float64, tasks int, with func(j *wire.Job)) {
+// submit submits a job of class "c" with the given number of tasks, changed by change.
+func (s *simulatedCluster) submit(id string, now float64, tasks int, change func(j *wire.Job)) {
 	rec := arrayJob(id, tasks)
 	rec.AcceptedAtMs = at(now).UnixMilli()
 	rec.Job.CPUs, rec.Job.ImageGB = 4, 0
-	if with != nil {
-		with(&rec.Job)
+	if change != nil {
+		change(&rec.Job)
 	}
 	s.m.ApplyJobRecord(id, rec, 1, at(now))
 }
@@ -57,8 +57,8 @@
 		if s.arrivals != nil {
 			s.arrivals(now)
 		}
-		for _, h := range s.machines {
-			s.heartbeat(h, now)
+		for _, machine := range s.machines {
+			s.heartbeat(machine, now)
 		}
 		s.m.Tick(at(now))
 		s.m.Schedule(at(now), 1000)
@@ -67,33 +67,33 @@
 }
 
 // heartbeat sends a machine's heartbeat and carries out the commands in the answer.
-func (s *simulatedCluster) heartbeat(h *simulatedMachine, now float64) {
-	h.heartbeat.Seq++
-	h.heartbeat.Token = s.m.FencingToken
-	h.heartbeat.Tasks = nil
-	for _, name := range slices.Sorted(maps.Keys(h.tasks)) {
-		r := h.tasks[name]
+func (s *simulatedCluster) heartbeat(machine *simulatedMachine, now float64) {
+	machine.heartbeat.Seq++
+	machine.heartbeat.Token = s.m.FencingToken
+	machine.heartbeat.Tasks = nil
+	for _, name := range slices.Sorted(maps.Keys(machine.tasks)) {
+		r := machine.tasks[name]
 		id, _, _ := wire.ParseTaskName(name)
-		if j := s.m.Job(id); j != nil && r.State == wire.TaskRunning && now >= h.startedAt[name]+j.Spec.EstimateS {
+		if j := s.m.Job(id); j != nil && r.State == wire.TaskRunning && now >= machine.startedAt[name]+j.Spec.EstimateS {
 			r.State, r.Why = wire.TaskExited, wire.ExitDone
 		}
-		h.heartbeat.Tasks = append(h.heartbeat.Tasks, *r)
+		machine.heartbeat.Tasks = append(machine.heartbeat.Tasks, *r)
 	}
-	for _, c := range answer(s.t, s.m, h.heartbeat, at(now)) {
+	for _, c := range answer(s.t, s.m, machine.heartbeat, at(now)) {
 		switch c.Op {
 		case wire.OpStart:
-			h.tasks[c.Task] = &wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
-			h.startedAt[c.Task] = now
+			machine.tasks[c.Task] = &wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
+			machine.startedAt[c.Task] = now
 			if id, _, _ := wire.ParseTaskName(c.Task); s.started[id] == 0 {
 				s.started[id] = now
 			}
 		case wire.OpStop:
 			s.stops = append(s.stops, c.Task)
-			if r := h.tasks[c.Task]; r != nil {
+			if r := machine.tasks[c.Task]; r != nil {
 				r.State, r.Why = wire.TaskExited, wire.ExitStopped
 			}
 		case wire.OpForget:
-			delete(h.tasks, c.Task)
+			delete(machine.tasks, c.Task)
 		}
 	}
 }
@@ -117,10 +117,10 @@
 
 // overload submits small jobs: at first as many as fill the machines, and then new ones a
 // little faster than they can be completed.
-func overload(s *simulatedCluster, every int, with func(j *wire.Job)) func(now float64) {
+func overload(s *simulatedCluster, periodSeconds int, change func(j *wire.Job)) func(now float64) {
 	return func(now float64) {
 		n := 0
-		if int(now)%every == 0 {
+		if int(now)%periodSeconds == 0 {
 			n = 1
 		}
 		if now == 0 {
@@ -130,8 +130,8 @@
 			s.submit(fmt.Sprintf("wk-%d%05d", 1+i, int(now)), now, 1, func(j *wire.Job) {
 				d := 150.0
 				j.DeadlineS, j.EstimateS = &d, 40
-				if with != nil {
-					with(j)
+				if change != nil {
+					change(j)
 				}
 			})
 		}
--- a/cluster/starvation_test.go
+++ b/cluster/starvation_test.go
@@ -17,11 +17,11 @@
 // each start within the bound under overload, and no other task is preempted for them.
 func TestPostponedJobStartsWithinTheStarvationBoundUnderOverload(t *testing.T) {
 	for _, c := range []struct {
-		name                   string
-		machines, every, tasks int
-		with                   func(j *wire.Job)
-		served                 int // most tasks that may precede others' objectives
-		stopped                bool
+		name                            string
+		machines, arrivalSeconds, tasks int
+		change                          func(j *wire.Job)
+		maxServed                       int  // tasks that may precede the objectives of others
+		mayBeStopped                    bool // the job itself may be preempted
 	}{
 		{"a large array", 2, 8, 30, func(j *wire.Job) { d := 100.0; j.DeadlineS = &d }, 10, false},
 		{"a gang", 6, 3, 3, func(j *wire.Job) { j.Kind, j.CPUs, j.OneZone, j.Class = wire.KindGang, 8, true, "gangs" }, 3, false},
@@ -31,19 +31,19 @@
 			s := startsWithinBound(t, "wk-000001", func(bound time.Duration) *simulatedCluster {
 				s := newSimulatedCluster(t, c.machines, bound)
 				s.m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
-				s.arrivals = overload(s, c.every, nil)
+				s.arrivals = overload(s, c.arrivalSeconds, nil)
 				s.run(0, 1)
-				s.submit("wk-000001", 1, c.tasks, c.with)
+				s.submit("wk-000001", 1, c.tasks, c.change)
 				s.run(1, 400)
 				return s
 			})
 			for _, name := range s.stops {
-				if id, _, _ := wire.ParseTaskName(name); id != "wk-000001" || !c.stopped {
+				if id, _, _ := wire.ParseTaskName(name); id != "wk-000001" || !c.mayBeStopped {
 					t.Errorf("%s was stopped for it", name)
 				}
 			}
 			// A start that is preempted within 30 s does not count.
-			if j := s.m.Job("wk-000001"); j != nil && (j.PlacedTasks+j.DoneTasks > c.served || j.firstRunAt.IsZero()) {
+			if j := s.m.Job("wk-000001"); j != nil && (j.PlacedTasks+j.DoneTasks > c.maxServed || j.firstRunAt.IsZero()) {
 				t.Errorf("%d of its tasks were served, first at %v", j.PlacedTasks+j.DoneTasks, j.firstRunAt)
 			}
 		})
@@ -95,7 +95,7 @@
 // without a bound.
 func TestDistantStarvationBoundChangesNoDecision(t *testing.T) {
 	for seed := range uint64(8) {
-		play := func(bound time.Duration) (out []string) {
+		decisionsWith := func(bound time.Duration) (out []string) {
 			rnd := rand.New(rand.NewPCG(seed, 3))
 			s := newSimulatedCluster(t, 4, bound)
 			s.m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "wait", Class: "gangs", WithinS: 50}}
@@ -128,7 +128,7 @@
 			}
 			return out
 		}
-		if without, with := play(0), play(24*time.Hour); !reflect.DeepEqual(without, with) {
+		if without, with := decisionsWith(0), decisionsWith(24*time.Hour); !reflect.DeepEqual(without, with) {
 			t.Errorf("seed %d: decisions differ", seed)
 		}
 	}
--- a/cluster/tier_scenario_test.go
+++ b/cluster/tier_scenario_test.go
@@ -36,76 +36,76 @@
 	until float64
 }
 
-func newFleetSimulation(machines int, o *priority.Policy) *fleetSimulation {
-	p := &fleetSimulation{m: newModel(5), revision: 100, runSeconds: map[string]float64{}, startWaits: map[string]float64{}, acceptedAt: map[string]float64{}}
-	p.m.setPriorityPolicy(o)
+func newFleetSimulation(machines int, policy *priority.Policy) *fleetSimulation {
+	sim := &fleetSimulation{m: newModel(5), revision: 100, runSeconds: map[string]float64{}, startWaits: map[string]float64{}, acceptedAt: map[string]float64{}}
+	sim.m.setPriorityPolicy(policy)
 	for range machines {
-		p.tasksByMachine = append(p.tasksByMachine, map[string]*simulatedTask{})
+		sim.tasksByMachine = append(sim.tasksByMachine, map[string]*simulatedTask{})
 	}
-	return p
+	return sim
 }
 
-func (p *fleetSimulation) submit(n int, class string, tasks int, took float64, change func(*wire.Job)) string {
+func (sim *fleetSimulation) submit(n int, class string, tasks int, runSeconds float64, change func(*wire.Job)) string {
 	id := fmt.Sprintf("wk-%06d", n)
 	rec := arrayJob(id, tasks)
-	rec.AcceptedAtMs = at(p.now).UnixMilli()
-	rec.Job.Class, rec.Job.EstimateS = class, took
+	rec.AcceptedAtMs = at(sim.now).UnixMilli()
+	rec.Job.Class, rec.Job.EstimateS = class, runSeconds
 	if change != nil {
 		change(&rec.Job)
 	}
-	p.revision++
-	p.m.ApplyJobRecord(id, rec, p.revision, at(p.now))
-	p.runSeconds[id], p.acceptedAt[id] = took, p.now
+	sim.revision++
+	sim.m.ApplyJobRecord(id, rec, sim.revision, at(sim.now))
+	sim.runSeconds[id], sim.acceptedAt[id] = runSeconds, sim.now
 	return id
 }
 
 // step lets 1.5 s pass, in which each machine sends a heartbeat, and runs a scheduling pass.
-func (p *fleetSimulation) step() {
-	p.now += 1.5
-	p.seq++
-	now := at(p.now)
-	for i, on := range p.tasksByMachine {
-		r := rep(p.seq, 5)
+func (sim *fleetSimulation) step() {
+	sim.now += 1.5
+	sim.seq++
+	now := at(sim.now)
+	for i, tasks := range sim.tasksByMachine {
+		r := rep(sim.seq, 5)
 		r.Machine, r.Zone = fmt.Sprintf("host-%06d", i), []string{"a", "b"}[i%2]
-		names := make([]string, 0, len(on))
-		for name := range on {
+		names := make([]string, 0, len(tasks))
+		for name := range tasks {
 			names = append(names, name)
 		}
 		slices.Sort(names)
 		for _, name := range names {
-			if t := on[name]; t.State == wire.TaskRunning && p.now >= t.until {
+			if t := tasks[name]; t.State == wire.TaskRunning && sim.now >= t.until {
 				t.State, t.Why = wire.TaskExited, wire.ExitDone
 			}
-			r.Tasks = append(r.Tasks, on[name].TaskStatus)
+			r.Tasks = append(r.Tasks, tasks[name].TaskStatus)
 		}
-		mc := p.m.ApplyHeartbeat(r, now)
-		cmds := p.m.AnswerHeartbeat(mc, r, now)
+		mc := sim.m.ApplyHeartbeat(r, now)
+		cmds := sim.m.AnswerHeartbeat(mc, r, now)
 		sortCommands(cmds)
 		for _, c := range cmds {
-			t := on[c.Task]
+			t := tasks[c.Task]
 			switch {
 			case c.Op == wire.OpStart && t == nil:
 				id, _, _ := wire.ParseTaskName(c.Task)
-				if _, ok := p.startWaits[id]; !ok {
-					p.startWaits[id] = p.now - p.acceptedAt[id]
+				if _, ok := sim.startWaits[id]; !ok {
+					sim.startWaits[id] = sim.now - sim.acceptedAt[id]
 				}
-				p.log = append(p.log, fmt.Sprint(p.now, " ", c.Task, " on ", i))
-				on[c.Task] = &simulatedTask{wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, p.now + p.runSeconds[id]}
+				sim.log = append(sim.log, fmt.Sprint(sim.now, " ", c.Task, " on ", i))
+				tasks[c.Task] = &simulatedTask{wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, sim.now + sim.runSeconds[id]}
 			case c.Op == wire.OpStop && t != nil && t.State == wire.TaskRunning:
 				t.State, t.Why = wire.TaskExited, wire.ExitStopped
-				p.log = append(p.log, fmt.Sprint(p.now, " ", c.Task, " stopped"))
+				sim.log = append(sim.log, fmt.Sprint(sim.now, " ", c.Task, " stopped"))
 			case c.Op == wire.OpForget:
-				delete(on, c.Task)
+				delete(tasks, c.Task)
 			}
 		}
 	}
-	p.m.Schedule(now, 0)
-	for b := p.m.NextBatch(12); b != nil; b = p.m.NextBatch(12) {
-		p.revision++
-		b.OnCommit(p.revision, now)
+	sim.m.Schedule(now, 0)
+	for b := sim.m.NextBatch(12); b != nil; b = sim.m.NextBatch(12) {
+		sim.revision++
+		b.OnCommit(sim.revision, now)
 	}
-	if b := p.m.PlanCheckBatch(); b != nil {
-		b.OnCommit(p.revision, now)
+	if b := sim.m.PlanCheckBatch(); b != nil {
+		b.OnCommit(sim.revision, now)
 	}
 }
 
@@ -114,11 +114,11 @@
 }
 
 // runRandomLoad submits random jobs, more than the fleet can complete.
-func (p *fleetSimulation) runRandomLoad(seed uint64, seconds float64, class func(r *rand.Rand) string) {
+func (sim *fleetSimulation) runRandomLoad(seed uint64, seconds float64, class func(r *rand.Rand) string) {
 	rnd := rand.New(rand.NewPCG(seed, 5))
-	for n := 1; p.now < seconds; p.step() {
+	for n := 1; sim.now < seconds; sim.step() {
 		for rnd.IntN(2) == 0 {
-			p.submit(n, class(rnd), 1+rnd.IntN(6), float64(20+rnd.IntN(60)), func(j *wire.Job) {
+			sim.submit(n, class(rnd), 1+rnd.IntN(6), float64(20+rnd.IntN(60)), func(j *wire.Job) {
 				j.CPUs = float64(1 + rnd.IntN(6))
 				j.OneZone = rnd.IntN(3) == 0
 				j.Spread = !j.OneZone && rnd.IntN(4) == 0
--- a/cluster/triage_simulation_test.go
+++ b/cluster/triage_simulation_test.go
@@ -11,7 +11,7 @@
 // Running only what differs from the run before gives the result of a full run, whichever jobs
 // are removed and inserted.
 func TestSimulationFromACheckpointEqualsAFullSimulation(t *testing.T) {
-	m := crowded(4, 60)
+	m := overloadedModel(4, 60)
 	rnd := rand.New(rand.NewPCG(7, 7))
 	random := func() *queueEntry {
 		j := m.Jobs[rnd.IntN(len(m.Jobs))]
@@ -25,27 +25,27 @@
 	for range 90 {
 		jobs = append(jobs, random())
 	}
-	p := m.newSimulation(places, at(0))
-	p.run(jobs, 0)
-	ends, differ := 0, 0
+	sim := m.newSimulation(places, at(0))
+	sim.run(jobs, 0)
+	withoutLate, withLate := 0, 0
 	for range 500 {
-		k := rnd.IntN(len(jobs))
+		changedAt := rnd.IntN(len(jobs))
 		if rnd.IntN(3) == 0 || len(jobs) < 40 {
-			jobs = slices.Insert(slices.Clone(jobs), k, random())
+			jobs = slices.Insert(slices.Clone(jobs), changedAt, random())
 		} else {
-			jobs = slices.Delete(slices.Clone(jobs), k, k+1)
+			jobs = slices.Delete(slices.Clone(jobs), changedAt, changedAt+1)
 		}
-		got, want := p.run(jobs, k), m.newSimulation(places, at(0)).run(jobs, 0)
+		got, want := sim.run(jobs, changedAt), m.newSimulation(places, at(0)).run(jobs, 0)
 		if got != want {
-			t.Fatalf("changed from %d of %d on: %d, in a full run: %d", k, len(jobs), got, want)
+			t.Fatalf("changed from %d of %d on: %d, in a full run: %d", changedAt, len(jobs), got, want)
 		}
 		if got < 0 {
-			ends++
+			withoutLate++
 		} else {
-			differ++
+			withLate++
 		}
 	}
-	if differ < 50 {
-		t.Errorf("%d lists had a late job, %d had none", differ, ends)
+	if withLate < 50 {
+		t.Errorf("%d lists had a late job, %d had none", withLate, withoutLate)
 	}
 }
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -8,22 +8,22 @@
 )
 
 // submitWithDeadline submits a job of class "c" with a deadline.
-func submitWithDeadline(m *Model, id string, tasks int, deadline float64, came float64) {
+func submitWithDeadline(m *Model, id string, tasks int, deadline float64, acceptedAt float64) {
 	rec := arrayJob(id, tasks)
-	rec.AcceptedAtMs = at(came).UnixMilli()
+	rec.AcceptedAtMs = at(acceptedAt).UnixMilli()
 	rec.Job.CPUs, rec.Job.DeadlineS = 4, &deadline
-	m.ApplyJobRecord(id, rec, 1, at(came))
+	m.ApplyJobRecord(id, rec, 1, at(acceptedAt))
 }
 
 // queueOrder returns the queue's jobs in order, and how many of them can meet no objective.
-func queueOrder(m *Model, now float64) (ids []string, late int) {
-	for _, r := range m.buildQueue(m.openJobs(), nil, at(now)) {
-		ids = append(ids, r.job.ID)
-		if r.missed {
-			late++
+func queueOrder(m *Model, now float64) (ids []string, missed int) {
+	for _, entry := range m.buildQueue(m.openJobs(), nil, at(now)) {
+		ids = append(ids, entry.job.ID)
+		if entry.missed {
+			missed++
 		}
 	}
-	return ids, late
+	return ids, missed
 }
 
 func TestTriageDefersTheLargestJobWhenNotAllMeetTheirDeadline(t *testing.T) {
@@ -35,9 +35,9 @@
 		submitWithDeadline(m, fmt.Sprintf("wk-00001%d", i), 1, 160, 0)
 	}
 	// On two places, 60 s a task, four tasks can be completed by 160 s, but not seven.
-	ids, late := queueOrder(m, 1)
-	if late != 1 || ids[3] != "wk-000001" {
-		t.Fatalf("%d missed, in order %v", late, ids)
+	ids, missed := queueOrder(m, 1)
+	if missed != 1 || ids[3] != "wk-000001" {
+		t.Fatalf("%d missed, in order %v", missed, ids)
 	}
 }
 
@@ -52,8 +52,8 @@
 	// Both places are occupied for about a minute, so that this job can't meet its deadline;
 	// it is served for the objective of three times its deadline.
 	submitWithDeadline(m, "wk-000002", 1, 80, 2)
-	reqs := m.buildQueue(m.openJobs(), nil, at(3))
-	if len(reqs) != 1 || reqs[0].missed || reqs[0].due.Before(at(150)) {
-		t.Fatalf("%d wait; missed %v, due %v", len(reqs), reqs[0].missed, reqs[0].due.Sub(t0))
+	queue := m.buildQueue(m.openJobs(), nil, at(3))
+	if len(queue) != 1 || queue[0].missed || queue[0].due.Before(at(150)) {
+		t.Fatalf("%d wait; missed %v, due %v", len(queue), queue[0].missed, queue[0].due.Sub(t0))
 	}
 }
--- a/cluster/warm_pools_test.go
+++ b/cluster/warm_pools_test.go
@@ -11,7 +11,7 @@
 
 // newPoolModel makes a crowded model with warm pools that hold half of its machines.
 func newPoolModel(machines, jobs int) *Model {
-	m := crowded(machines, jobs)
+	m := overloadedModel(machines, jobs)
 	p := &plan.Plan{}
 	for i := range 3 {
 		p.Pools = append(p.Pools, warmpool.Pool{Name: fmt.Sprint("p", i), Model: fmt.Sprint("llm", i), WeightsGB: 20, Types: []string{m.MachineTypes[0].Name}, Zones: m.Zones,
