--- a/cluster/batch_window_test.go
+++ b/cluster/batch_window_test.go
@@ -15,11 +15,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// twoRegions has batch windows until 08:00 and 07:00 on 1 January 2026, a Thursday; t0 is
-// its midnight.
+// twoRegions has batch windows until 08:00 and 07:00 on 1 January 2026, a Thursday. t0 is the
+// midnight at the start of that day.
 var twoRegions = plans.Region("brussels", `wed = "08:00", thu = "08:00", fri = "08:00"`, "18:00", 1800, `class = "tiles"`) +
 	plans.Region("tunis", `wed = "07:00", thu = "07:00", fri = "07:00"`, "18:00", 1800, `class = "halls"`)
 
+// applyPlan parses and checks a plan and applies it to the model.
 func applyPlan(t *testing.T, m *Model, head uint64, text string, now time.Time) {
 	t.Helper()
 	p, err := plan.Parse(text)
@@ -32,7 +33,7 @@
 	m.SetPlan(Plan{Plan: p, Number: int(head), HeadVersion: head}, now)
 }
 
-// windowJob is a record of a job of a class, accepted so many seconds after midnight.
+// windowJob returns the record of an array job. acceptedAt is in seconds after midnight.
 func windowJob(id, class string, tasks int, acceptedAt, estimate float64) jobstore.JobRecord {
 	rec := arrayJob(id, tasks)
 	rec.AcceptedAtMs, rec.Job.Class, rec.Job.EstimateS, rec.Job.CPUs = at(acceptedAt).UnixMilli(), class, estimate, 4
@@ -56,25 +57,25 @@
 	put(4, "halls", 30, 60, nil)
 	put(5, "day", 40, 60, func(j *wire.Job) { j.Priority = wire.PriorityHigh })
 	deadline := 3600.0
-	put(6, "tiles", 50, 60, func(j *wire.Job) { j.DeadlineS = &deadline }) // tighter than any opening
+	put(6, "tiles", 50, 60, func(j *wire.Job) { j.DeadlineS = &deadline }) // earlier than the deadline of any batch window
 	put(7, "halls", 60, 60, func(j *wire.Job) { j.Kind = wire.KindService })
 	ids, _ := queueOrder(m, 100)
 	want := []string{"wk-000005", "wk-000006", "wk-000004", "wk-000003", "wk-000002", "wk-000001", "wk-000007"}
 	if !slices.Equal(ids, want) {
-		t.Errorf("in order %v, want %v", ids, want)
+		t.Errorf("queue order: got %v, want %v", ids, want)
 	}
 	if w, ok := m.Explain("wk-000001", at(100)); !ok || w.AheadByReason["a night's work"] != 4 || w.AheadByReason["priority"] != 1 {
-		t.Errorf("it waits for %+v", w)
+		t.Errorf("jobs ahead: got %+v, want 4 of a batch window and 1 of higher priority", w)
 	}
-	// Without a calendar, as before.
+	// Without a calendar the objectives alone determine the order.
 	m.SetPlan(Plan{Plan: &plan.Plan{}, Number: 2, HeadVersion: 2}, at(100))
 	if ids, _ := queueOrder(m, 100); ids[1] != "wk-000001" {
-		t.Errorf("without a calendar in order %v", ids)
+		t.Errorf("queue order without a calendar: got %v, want wk-000001 second", ids)
 	}
 }
 
-// leaderSequence stands for the key-value store across leaders: it keeps the plan records
-// and the final records of jobs that they have committed.
+// leaderSequence simulates the key-value store across leaders. It keeps the plan records and the
+// final records of jobs that they have committed.
 type leaderSequence struct {
 	t            *testing.T
 	planRecords  map[string]wire.Raw
@@ -82,8 +83,7 @@
 	model        *Model
 }
 
-// failover makes a new leader's model from what was committed and from the given jobs that
-// are not over.
+// failover creates a new leader's model from the committed records and the given unfinished jobs.
 func (l *leaderSequence) failover(token uint64, now time.Time, text string, open ...jobstore.JobRecord) {
 	l.t.Helper()
 	m := newModel(token)
@@ -99,7 +99,7 @@
 	l.model = m
 }
 
-// commitAll commits all that the leader wants written.
+// commitAll commits everything that the leader has to write.
 func (l *leaderSequence) commitAll(now time.Time) {
 	for range 20 {
 		l.model.SetCompletionTime(now)
@@ -117,6 +117,7 @@
 	l.commitPlanRecords(now)
 }
 
+// commitPlanRecords commits the plan records that the leader has to write.
 func (l *leaderSequence) commitPlanRecords(now time.Time) {
 	for b := l.model.PlanRecordBatch(12); b != nil; b = l.model.PlanRecordBatch(12) {
 		for _, op := range b.Ops {
@@ -126,6 +127,7 @@
 	}
 }
 
+// record returns a region's committed record, or an empty one.
 func (l *leaderSequence) record(region string) (rec calendar.Record) {
 	l.t.Helper()
 	if raw, ok := l.planRecords[jobstore.PlanStatePrefix+calendar.RecordName(region)]; ok {
@@ -136,7 +138,7 @@
 	return rec
 }
 
-// finish marks a job's tasks as done, so that its end can be committed.
+// finish marks a job's tasks as done, so that the job's end can be committed.
 func (l *leaderSequence) finish(id string, now time.Time) {
 	j := l.model.Job(id)
 	for i := range j.Tasks {
@@ -147,6 +149,8 @@
 	l.model.Tick(now)
 }
 
+// resolveJobs resolves the jobs that ended without a leader seeing it, as the caller of
+// UnresolvedWindowJobs does.
 func (l *leaderSequence) resolveJobs(now time.Time) {
 	for _, id := range l.model.UnresolvedWindowJobs(100) {
 		if rec, ok := l.finalRecords[id]; ok {
@@ -160,12 +164,13 @@
 }
 
 const (
-	brusselsDeadline = 7.5 * 3600 // brussels
-	brusselsOpening  = 8 * 3600
+	brusselsDeadline = 7.5 * 3600 // seconds after midnight
+	brusselsOpening  = 8 * 3600   // seconds after midnight
 )
 
-// The leader is lost around the opening, and the next one's clock is behind by the largest
-// clock skew allowed: the outcome is decided once, by the times at which jobs ended.
+// Guards against outcomes that are decided twice or by the wrong clock. The leader is lost around the
+// opening, and the next one's clock is behind by the maximum clock skew. The outcome must be decided
+// once, by the times at which the jobs ended.
 func TestFailoverToSlowClockDecidesOutcomeOnce(t *testing.T) {
 	a, b := windowJob("wk-000001", "tiles", 1, 10, 60), windowJob("wk-000002", "tiles", 1, 20, 60)
 	for _, tc := range []struct {
@@ -200,7 +205,7 @@
 				}
 				if tc.isCommitted {
 					l.commitAll(at(s))
-				} else if batch := l.model.NextBatch(12); batch != nil { // the end is committed, the plan record is not
+				} else if batch := l.model.NextBatch(12); batch != nil { // the job's end is committed, but not the plan record
 					for _, op := range batch.Ops {
 						if id, ok := jobstore.ParseFinalKey(op.Put); ok {
 							l.finalRecords[id] = op.Value.(jobstore.JobRecord)
@@ -222,15 +227,17 @@
 			}
 			rec := l.record("brussels")
 			if len(rec.Past) != 1 || len(rec.Windows) > 0 {
-				t.Fatalf("%+v", rec)
+				t.Fatalf("record: got %+v, want one past batch window and no open one", rec)
 			}
 			if o := rec.Past[0]; o.Result != tc.wantResult || o.LateMs != tc.wantLateMs || o.Completed != tc.wantCompleted || o.Jobs != tc.wantJobs {
-				t.Errorf("%+v", o)
+				t.Errorf("outcome: got %+v, want %v, %d ms late, %d of %d completed", o, tc.wantResult, tc.wantLateMs, tc.wantCompleted, tc.wantJobs)
 			}
 		})
 	}
 }
 
+// Each change that makes a forecast worth recording anew must be recorded as its cause: lost machines,
+// more jobs, a new plan, and another leader.
 func TestReforecastsRecordTheirCause(t *testing.T) {
 	l := &leaderSequence{t: t, planRecords: map[string]wire.Raw{}, finalRecords: map[string]jobstore.JobRecord{}}
 	l.failover(5, at(0), twoRegions, windowJob("wk-000001", "tiles", 100, 10, 600))
@@ -253,16 +260,16 @@
 		window := v.Windows[0]
 		last := window.Reforecasts[len(window.Reforecasts)-1]
 		if !strings.Contains(last.Cause, cause) || window.Forecast.AtRisk != atRisk {
-			t.Errorf("%+v; %+v, want %s", last, window.Forecast, cause)
+			t.Errorf("last reforecast: got %+v with %+v, want cause %q, at risk %t", last, window.Forecast, cause, atRisk)
 		}
 	}
-	sendHeartbeats(8, 20) // 16 places for 100 tasks of ten minutes
+	sendHeartbeats(8, 20) // 16 places for 100 tasks of 10 minutes
 	v := l.model.BatchWindows(at(60))[0].Windows[0]
 	if finish := time.UnixMilli(v.Forecast.FinishMs).Sub(t0).Hours(); finish < 1 || finish > 1.5 || v.Forecast.AtRisk {
-		t.Errorf("finished after %v h, %+v", finish, v)
+		t.Errorf("forecast: got completion after %v h (%+v), want 1 h to 1.5 h and no risk", finish, v)
 	}
 	if latest := time.UnixMilli(v.Forecast.LatestStartMs).Sub(t0).Hours(); latest < 6 || latest > 6.5 {
-		t.Errorf("latest start after %v h", latest)
+		t.Errorf("latest start: got %v h after midnight, want 6 h to 6.5 h", latest)
 	}
 	sendHeartbeats(4, 100)
 	if c := l.model.BatchWindows(at(140))[0].Windows[0].Reforecasts; !strings.Contains(c[len(c)-1].Cause, "machines lost: 4 of 8") {
@@ -287,8 +294,8 @@
 	checkLastForecast("another leader leads", true)
 }
 
-// An unreadable record affects nothing else: the batch window is counted anew from the jobs
-// that are not over, and its outcome is decided.
+// An unreadable record must not stop a batch window. The window is counted anew from the unfinished
+// jobs, and its outcome is decided.
 func TestUnreadableWindowRecordIsRebuiltFromOpenJobs(t *testing.T) {
 	job := windowJob("wk-000001", "tiles", 1, 10, 60)
 	l := &leaderSequence{t: t, planRecords: map[string]wire.Raw{jobstore.PlanStatePrefix + calendar.RecordName("brussels"): {0x81, 0xa1, 'n', 0x91, 0x81}}, finalRecords: map[string]jobstore.JobRecord{}}
@@ -298,11 +305,11 @@
 	l.commitAll(at(3700))
 	l.resolveJobs(at(brusselsDeadline + 10))
 	if rec := l.record("brussels"); len(rec.Past) != 1 || rec.Past[0].Result != calendar.ResultMet || rec.Past[0].Completed != 1 {
-		t.Errorf("%+v", rec)
+		t.Errorf("record: got %+v, want one batch window that was met with one completed job", rec)
 	}
 }
 
-// Regions that no job belongs to get no record.
+// A region without jobs must get no record.
 func TestRegionWithoutJobsWritesNoRecord(t *testing.T) {
 	l := &leaderSequence{t: t, planRecords: map[string]wire.Raw{}, finalRecords: map[string]jobstore.JobRecord{}}
 	l.failover(5, at(0), twoRegions, windowJob("wk-000001", "tiles", 1, 10, 60), windowJob("wk-000002", "day", 1, 10, 60))
@@ -311,7 +318,7 @@
 		l.commitPlanRecords(at(s))
 	}
 	if _, ok := l.planRecords[jobstore.PlanStatePrefix+calendar.RecordName("tunis")]; ok || len(l.planRecords) != 1 {
-		t.Errorf("%d records", len(l.planRecords))
+		t.Errorf("got %d plan records, want only that of brussels", len(l.planRecords))
 	}
 	v := l.model.BatchWindows(at(brusselsOpening + 600))
 	if v[1].Region != "tunis" || len(v[1].Windows)+len(v[1].Past) > 0 || v[1].NextOpeningMs != at(31*3600).UnixMilli() {
@@ -319,8 +326,8 @@
 	}
 }
 
-// BenchmarkBatchWindows measures what batch windows cost the leader of a large cluster: a
-// scan every second, a forecast every ten.
+// BenchmarkBatchWindows measures the cost of batch windows for the leader of a large cluster, which
+// scans jobs every second and makes forecasts every ten seconds.
 func BenchmarkBatchWindows(b *testing.B) {
 	for _, forecast := range []bool{false, true} {
 		b.Run(fmt.Sprintf("forecast %v", forecast), func(b *testing.B) {
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -1,3 +1,5 @@
+// Benchmarks the leader: scheduling passes and heartbeats in large clusters.
+
 package cluster
 
 import (
@@ -16,8 +18,8 @@
 )
 
 // BenchmarkSchedule measures a scheduling pass with full machines and waiting jobs, most of
-// which can't meet their objectives: the worst that a leader does several times a second. It
-// is run at the size of the first clusters and at that of the largest.
+// which can't meet their objectives. This is the most expensive work that a leader does several
+// times a second. The sizes range from small clusters to the largest.
 func BenchmarkSchedule(b *testing.B) {
 	for _, size := range []struct{ machines, jobs int }{{36, 150}, {300, 150}, {1000, 400}} {
 		b.Run(fmt.Sprintf("machines=%d/jobs=%d", size.machines, size.jobs), func(b *testing.B) {
@@ -40,8 +42,8 @@
 	}
 }
 
-// overloadedModel returns a model with more work than its machines can hold: gangs in one zone, and
-// arrays of lower priority with a deadline.
+// overloadedModel returns a model with more work than its machines can hold. The work consists of
+// gangs in one zone, and arrays of lower priority with a deadline.
 func overloadedModel(machines, jobs int) *Model {
 	m := newModel(5)
 	m.settings.Cluster.Objectives = []config.Objective{
@@ -68,9 +70,9 @@
 	return m
 }
 
-// benchmarkPlans returns plans by the names of their parts, for an overloaded cluster of that size: a
-// batch window for arrays, gangs in a tier before arrays, and warm pools that hold a fifth of
-// the machines.
+// benchmarkPlans returns plans by the names of their parts, for an overloaded cluster of the given
+// size. The parts are batch windows, a tier of gangs above a tier of arrays, and warm pools that
+// hold a fifth of the machines.
 func benchmarkPlans(m *Model, machines int) map[string]*plan.Plan {
 	windows, tiers, pools := &plan.Plan{}, &plan.Plan{}, &plan.Plan{}
 	for _, r := range []struct{ name, class string }{{"north", "arrays"}, {"south", "gangs"}} {
@@ -86,7 +88,7 @@
 		"all": {Calendar: windows.Calendar, Order: tiers.Order, Pools: pools.Pools}}
 }
 
-// fullModel returns an overloaded model with a plan, whose machines run what is placed on them.
+// fullModel returns an overloaded model with a plan, whose machines run the placed tasks.
 func fullModel(machines, jobs int, name string) *Model {
 	m := overloadedModel(machines, jobs)
 	m.SetPlan(Plan{Plan: benchmarkPlans(m, machines)[name], Number: 1, HeadVersion: 1}, at(0))
@@ -96,7 +98,7 @@
 	return m
 }
 
-// runPass runs a scheduling pass and commits its writes; all placed tasks are then running.
+// runPass runs a scheduling pass and commits its writes. Afterwards all placed tasks are running.
 func runPass(m *Model, s float64) {
 	now := at(s)
 	markAllHeartbeats(m, now)
@@ -116,8 +118,8 @@
 	m.directCommands.launches = m.directCommands.launches[:0]
 }
 
-// threadCPUTime returns the processor time that this thread has used so far. Unlike elapsed time
-// it does not depend on what else the machine does.
+// threadCPUTime returns the CPU time that this thread has used so far. Unlike elapsed time, it does
+// not depend on other load of the machine.
 func threadCPUTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(1, &u); err != nil { // RUSAGE_THREAD
@@ -127,7 +129,7 @@
 }
 
 // BenchmarkPass measures the passes of a leader in a large full cluster, two a second, with
-// and without a plan. The mean over 20 s includes what the plan's parts do less often.
+// and without a plan. The mean over 20 s includes the less frequent work for the plan's parts.
 func BenchmarkPass(b *testing.B) {
 	for _, name := range []string{"none", "calendar", "order", "pools", "all"} {
 		b.Run(name, func(b *testing.B) {
@@ -152,8 +154,8 @@
 	}
 }
 
-// BenchmarkHeartbeats measures one heartbeat of each machine of a large full cluster: applying
-// and answering it.
+// BenchmarkHeartbeats measures applying and answering one heartbeat of each machine of a large full
+// cluster.
 func BenchmarkHeartbeats(b *testing.B) {
 	for _, name := range []string{"none", "all"} {
 		b.Run(name, func(b *testing.B) {
--- a/cluster/completion_floor_test.go
+++ b/cluster/completion_floor_test.go
@@ -9,7 +9,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Under lasting overload at least half of a team's old jobs are completed.
+// Guards against a team whose jobs never complete. Under lasting overload triage always gives up its
+// large jobs, of which the completion floor must complete at least half.
 func TestCompletionFloorCompletesHalfOfATeamsJobsUnderOverload(t *testing.T) {
 	scenario := func(bound time.Duration) (done, all int) {
 		s := newSimulatedCluster(t, 4, bound)
@@ -31,9 +32,9 @@
 		return done, all
 	}
 	if done, all := scenario(0); 2*done >= all {
-		t.Fatalf("without the bound %d of %d are completed: the scenario shows nothing", done, all)
+		t.Fatalf("without the bound %d of %d jobs are completed, want less than half: the scenario does not overload the cluster", done, all)
 	}
 	if done, all := scenario(30 * time.Second); 2*done < all {
-		t.Errorf("%d of %d are completed", done, all)
+		t.Errorf("%d of %d jobs are completed, want at least half", done, all)
 	}
 }
--- a/cluster/gpu_machines_test.go
+++ b/cluster/gpu_machines_test.go
@@ -8,9 +8,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Tasks without GPUs leave the GPU machines to tasks that wait for GPUs. Those of a class
-// without an objective once filled all other machines, so that everybody else's took the GPU
-// machines while thousands of tasks waited for GPUs.
+// Tasks without GPUs must leave the GPU machines to tasks that wait for GPUs. Otherwise tasks of a
+// class without an objective fill all other machines, and the remaining tasks without GPUs take the
+// GPU machines while thousands of tasks wait for GPUs.
 func TestTasksWithoutGPUsAvoidGPUMachinesThatOthersWaitFor(t *testing.T) {
 	m := newModel(5)
 	m.SetMachineTypes([]wire.MachineType{
@@ -24,20 +24,20 @@
 			CPUs: 4, GPUs: gpus, Image: "i", EstimateS: 100}}, 1, at(1))
 	}
 	put("wk-000001", 0, 8)
-	put("wk-000002", 1, 4) // two of them wait
+	put("wk-000002", 1, 4) // two of them have to wait
 	m.Schedule(at(2), 0)
 	for ref := range m.machineNamed("h-gpu").Tasks {
 		if m.Jobs[ref.Job].Need.GPU == 0 {
-			t.Error("a task without GPUs took the place of one that waits for them")
+			t.Error("a task without GPUs is placed on the machine with GPUs while another task waits for GPUs")
 		}
 	}
 	if n := len(m.machineNamed("h-plain").Tasks); n != 2 {
-		t.Errorf("%d tasks on the machine without GPUs", n)
+		t.Errorf("got %d tasks on the machine without GPUs, want 2", n)
 	}
 }
 
-// Tasks that need no GPU and have no objective on the wait avoid machines with GPUs while other
-// jobs wait for GPUs: they would occupy the CPUs beside the GPUs.
+// Tasks that need no GPU and have no objective on the wait must avoid machines with GPUs while other
+// jobs wait for GPUs. Otherwise they occupy the CPUs of these machines.
 func TestJobWithoutGPUsAvoidsGPUMachinesWhileGPUJobsWait(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -70,7 +70,7 @@
 			jobs := m.openJobs()
 			for _, entry := range m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), at(1)) {
 				if entry.job.Spec.Class == "small" && entry.req.Types[m.names.machineTypes["m"]] == c.wantAvoided {
-					t.Errorf("may go to a machine with GPUs: %t", !c.wantAvoided)
+					t.Errorf("small job may use machines with GPUs: got %t, want %t", c.wantAvoided, !c.wantAvoided)
 				}
 			}
 		})
--- a/cluster/guarantee_test.go
+++ b/cluster/guarantee_test.go
@@ -7,13 +7,13 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// Where teams are guaranteed GPUs only, a job that needs none is within no guarantee, so that it
-// does not precede all other jobs, and it does not use up the guarantee of jobs with GPUs.
+// If teams are guaranteed only GPUs, a job that needs none must be within no guarantee. Otherwise it
+// would precede all other jobs. It must not use up the guarantee of jobs with GPUs either.
 func TestJobThatNeedsNoGuaranteedResourceIsNotWithinGuarantee(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		guarantee placement.Resources
-		want      []bool // of three jobs of 2 CPUs, of which the second and the third need a GPU as well
+		want      []bool // by job: each needs 2 CPUs, and the second and third need a GPU as well
 	}{
 		{"GPUs", placement.Resources{GPU: 1}, []bool{false, true, false}},
 		{"CPUs", placement.Resources{CPU: 4}, []bool{true, true, false}},
@@ -32,7 +32,7 @@
 			within := m.jobsWithinGuarantee(jobs)
 			for i, j := range jobs {
 				if within[j.Index] != c.want[i] {
-					t.Errorf("%s is within the guarantee: %t", j.ID, within[j.Index])
+					t.Errorf("%s within the guarantee: got %t, want %t", j.ID, within[j.Index], c.want[i])
 				}
 			}
 		})
--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -9,9 +9,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Two teams that both have tasks within and beyond their guarantees on one machine don't preempt
-// each other's tasks in turn. They did every few seconds when the task placed last counted as
-// beyond the guarantee, whichever job it belonged to.
+// Two teams that both have tasks within and beyond their guarantees on one machine must not preempt
+// each other's tasks in turn. This happens every few seconds if the latest placed task counts as
+// beyond the guarantee although its job is within it.
 func TestTeamsDoNotStopEachOthersWorkInTurn(t *testing.T) {
 	m := newModel(5)
 	m.names.teams = map[string]int{"one": 0, "two": 1}
@@ -23,13 +23,13 @@
 		m.ApplyJobRecord(id, rec, 1, at(atS))
 	}
 	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 12, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
-	put("wk-000002", "one", 1) // beyond, once the first is there
-	put("wk-000004", "two", 3) // beyond, once the third is there
+	put("wk-000002", "one", 1) // beyond the guarantee once wk-000001 is there
+	put("wk-000004", "two", 3) // beyond the guarantee once wk-000003 is there
 	stops := 0
 	now := 4.0
 	running := map[string]wire.TaskStatus{}
 	for seq := uint64(1); seq <= 60; seq++ {
-		if seq == 5 { // these come back after a loss, and start last
+		if seq == 5 { // these jobs are placed again after a loss, and start last
 			put("wk-000001", "one", 0)
 			put("wk-000003", "two", 2)
 		}
@@ -53,11 +53,11 @@
 		now += config.Seconds(1.5).Seconds()
 	}
 	if stops > 2 {
-		t.Errorf("%d stops among four jobs where one stop makes the room", stops)
+		t.Errorf("got %d stops, want at most 2: one stop frees enough resources", stops)
 	}
 	for _, id := range []string{"wk-000001/0", "wk-000003/0"} {
 		if _, ok := running[id]; !ok {
-			t.Errorf("%s is within its team's guarantee and does not run", id)
+			t.Errorf("%s does not run, although it is within its team's guarantee", id)
 		}
 	}
 }
--- a/cluster/priority_tiers_test.go
+++ b/cluster/priority_tiers_test.go
@@ -14,8 +14,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A policy with a single tier changes nothing: the same tasks are placed and stopped, on the same
-// machines and at the same times, as without it, also where stops are held until the plan is
+// A policy with a single tier must not change any decision. The same tasks are placed and stopped on
+// the same machines and at the same times as without it, even if stops are held until the plan is
 // confirmed.
 func TestPolicyWithASingleTierChangesNoDecision(t *testing.T) {
 	one := priority.New(&priority.Settings{Tiers: []priority.Tier{{Name: "all", Classes: []string{"slicing", "lesson", "print"}}}})
@@ -31,12 +31,13 @@
 			logs[i] = sim.log
 		}
 		if len(logs[0]) < 100 || !strings.Contains(strings.Join(logs[0], ","), "stopped") || !slices.Equal(logs[0], logs[1]) || !slices.Equal(logs[0], logs[2]) {
-			t.Fatalf("seed %d: %d starts and stops without a policy, %d with one of a single tier, and they differ", seed, len(logs[0]), len(logs[1]))
+			t.Fatalf("seed %d: %d starts and stops without a policy, %d with a single tier: want equal ones, at least 100 with a stop", seed, len(logs[0]), len(logs[1]))
 		}
 	}
 }
 
-// Whatever jobs arrive, each priority inversion has a reason.
+// Each priority inversion must have a reason under random load. An unexplained one is a fault in the
+// order of the queue or in the search for inversions.
 func TestRandomLoadCausesNoUnexplainedPriorityInversion(t *testing.T) {
 	all := map[string]uint64{}
 	rapid.Check(t, func(t *rapid.T) {
@@ -47,18 +48,19 @@
 		sim.runRandomLoad(rapid.Uint64().Draw(t, "day"), 120, func(r *rand.Rand) string { return []string{"slicing", "lesson", "print", "else"}[r.IntN(4)] })
 		for k, n := range sim.m.tiers.inversions.Counts {
 			if all[k] += n; strings.HasSuffix(k, priority.Unexplained.String()) {
-				t.Fatalf("%d times %s: %v", n, k, sim.m.tiers.inversions.Recent)
+				t.Fatalf("got %d inversions %s, want none: %v", n, k, sim.m.tiers.inversions.Recent)
 			}
 		}
 	})
 	t.Log(all)
 	if len(all) < 5 {
-		t.Errorf("few kinds of priority inversions: %v", all)
+		t.Errorf("got %d kinds of priority inversions, want at least 5: %v", len(all), all)
 	}
 }
 
-// Jobs of the highest tier arrive faster than they can be completed. The second tier still gets
-// its share, and all jobs of lower tiers and of none start within the bound.
+// Guards against starvation of lower tiers. Jobs of the highest tier arrive faster than they can be
+// completed. The second tier must still get its share, and all jobs of lower tiers and of no tier
+// must start within the bound.
 func TestOverloadByTheHighestTierStarvesNoLowerTier(t *testing.T) {
 	sim := newFleetSimulation(8, clinicFirstPolicy())
 	stepsWithShare := 0
@@ -88,11 +90,11 @@
 		}
 	}
 	if len(late) > 0 || stepsWithShare < 400 {
-		t.Errorf("not started within the bound: %v; lessons had half their share in %d of 520 steps", late, stepsWithShare)
+		t.Errorf("jobs not started within the bound: got %v, want none; lessons had half their share in %d of 520 steps, want 400", late, stepsWithShare)
 	}
 }
 
-// Tasks of the lower tier are preempted first, and only by jobs of a higher priority.
+// Tasks of the lower tier must be preempted first, and only by jobs of a higher priority.
 func TestPreemptionStopsTheLowerTierFirst(t *testing.T) {
 	sim := newFleetSimulation(2, clinicFirstPolicy())
 	low := func(j *wire.Job) { j.Priority, j.CPUs = wire.PriorityLow, 4 }
@@ -101,7 +103,7 @@
 		sim.step()
 	}
 	sim.submit(3, "print", 2, 20, func(j *wire.Job) { j.CPUs = 4 })
-	sim.submit(4, "slicing", 2, 20, low) // of the same priority: it stops nobody
+	sim.submit(4, "slicing", 2, 20, low) // of the same priority: it preempts no task
 	for range 4 {
 		sim.step()
 	}
@@ -109,12 +111,12 @@
 		return len(slices.DeleteFunc(slices.Clone(sim.log), func(s string) bool { return !strings.Contains(s, id) || !strings.HasSuffix(s, "stopped") }))
 	}
 	if stopped(school) != 2 || stopped(clinic) != 0 {
-		t.Errorf("stopped: %d tasks of the school's, %d of the clinic's", stopped(school), stopped(clinic))
+		t.Errorf("stopped tasks: got %d of the school and %d of the clinic, want 2 and 0", stopped(school), stopped(clinic))
 	}
 }
 
-// At a load of 1.3 times the fleet's capacity jobs of the highest tier start much sooner, and the
-// others no later than after their longest wait and the startup.
+// At a load of 1.3 times the fleet's capacity the policy must make jobs of the highest tier start
+// much sooner. The other jobs must start within their longest wait plus the startup.
 func TestHighestTierWaitsLeastUnderOverload(t *testing.T) {
 	waits := func(policy *priority.Policy) map[string][]float64 {
 		sim := newFleetSimulation(20, policy)
@@ -147,7 +149,7 @@
 	without, with := waits(nil), waits(clinicFirstPolicy())
 	n := len(with["slicing"])
 	if a, b := with["slicing"][n*99/100], without["slicing"][n/2]; a > b/4 {
-		t.Errorf("p99 of the clinic's waits %.1f s with the policy, p50 %.1f s without", a, b)
+		t.Errorf("the clinic's waits: got p99 %.1f s with the policy and p50 %.1f s without, want at most a quarter of the latter", a, b)
 	}
 	for c, longestWait := range map[string]float64{"lesson": 100, "print": 150} {
 		if w := with[c]; w[len(w)-1] > longestWait+60 {
--- a/cluster/starvation_explain_test.go
+++ b/cluster/starvation_explain_test.go
@@ -7,9 +7,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Jobs that can't start are listed, each with the cause; jobs that can are not.
+// Jobs that can't start within the bound must be listed with the right cause. Jobs that can must not
+// be listed.
 func TestStarvedJobsAreListedWithTheirCause(t *testing.T) {
-	s := newSimulatedCluster(t, 1, bound) // of zone a
+	s := newSimulatedCluster(t, 1, bound) // one machine, in zone a
 	s.m.teams[0].Max.CPU = 8
 	refuseAllOffers := func() {
 		for ti := range s.m.MachineTypes {
@@ -36,6 +37,6 @@
 	}
 	want := map[string]starvationCause{"wk-000001": blockedByZone, "wk-000002": blockedByGangSize, "wk-000005": blockedByNoMachines, "wk-000006": blockedByQuota}
 	if !maps.Equal(got, want) || sum.StarvedTotal != len(want) {
-		t.Errorf("starved jobs: %v", got)
+		t.Errorf("starved jobs: got %v, want %v", got, want)
 	}
 }
--- a/cluster/starvation_scenario_test.go
+++ b/cluster/starvation_scenario_test.go
@@ -1,3 +1,5 @@
+// Simulates a cluster for the tests of the starvation bound.
+
 package cluster
 
 import (
@@ -10,15 +12,15 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// simulatedCluster is a model and a few machines. These send a heartbeat every second and run
-// each task for as long as its owner estimates.
+// simulatedCluster is a model and a few machines. The machines send a heartbeat every second and run
+// each task for its estimated run time.
 type simulatedCluster struct {
 	t        *testing.T
 	m        *Model
 	machines []*simulatedMachine
-	started  map[string]float64 // by job, when its first task started
+	started  map[string]float64 // second in which the first task started, by job
 	stops    []string           // tasks that were ordered to stop
-	arrivals func(now float64)  // submits the jobs that arrive in this second
+	arrivals func(now float64)  // submits the jobs that arrive in a second; may be nil
 }
 
 type simulatedMachine struct {
@@ -27,7 +29,8 @@
 	startedAt map[string]float64
 }
 
-// newSimulatedCluster makes a cluster with machines of 8 CPUs in zones a and b, in turn.
+// newSimulatedCluster returns a cluster whose machines have 8 CPUs and alternate between zones a and
+// b.
 func newSimulatedCluster(t *testing.T, machines int, bound time.Duration) *simulatedCluster {
 	t.Helper()
 	s := &simulatedCluster{t: t, m: newModel(5), started: map[string]float64{}}
@@ -51,7 +54,7 @@
 	s.m.ApplyJobRecord(id, rec, 1, at(now))
 }
 
-// run runs the cluster from one second to another.
+// run simulates the seconds from up to, but not including, to.
 func (s *simulatedCluster) run(from, to float64) {
 	for now := from; now < to; now++ {
 		if s.arrivals != nil {
@@ -101,22 +104,22 @@
 // bound is the starvation bound of the tests.
 const bound = 240 * time.Second
 
-// startsWithinBound runs a scenario without the bound and with it, and checks that the job
-// starts in time with the bound only; otherwise the scenario would show nothing.
+// startsWithinBound runs a scenario without and with the bound. It checks that the job starts in time
+// only with the bound, since the scenario would prove nothing otherwise.
 func startsWithinBound(t *testing.T, id string, scenario func(bound time.Duration) *simulatedCluster) *simulatedCluster {
 	t.Helper()
 	if s := scenario(0); s.started[id] > 0 && s.started[id] <= bound.Seconds() {
-		t.Fatalf("without the bound the job started after %v s", s.started[id])
+		t.Fatalf("without the bound the job started after %v s, want later than the bound", s.started[id])
 	}
 	s := scenario(bound)
 	if b := s.started[id]; b == 0 || b > bound.Seconds() {
-		t.Errorf("the job started after %v s", b)
+		t.Errorf("the job started after %v s (0: never), want within %v", b, bound)
 	}
 	return s
 }
 
-// overload submits small jobs: at first as many as fill the machines, and then new ones a
-// little faster than they can be completed.
+// overload returns a function that submits small jobs. At second 0 they exceed the capacity of the
+// machines. Afterwards one arrives every periodSeconds, a little faster than jobs can be completed.
 func overload(s *simulatedCluster, periodSeconds int, change func(j *wire.Job)) func(now float64) {
 	return func(now float64) {
 		n := 0
--- a/cluster/starvation_test.go
+++ b/cluster/starvation_test.go
@@ -13,8 +13,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A large array that triage postpones, a gang that needs one zone, and a job of lower priority
-// each start within the bound under overload, and no other task is preempted for them.
+// Guards against starvation under overload. A large array that triage postpones, a gang that needs one
+// zone, and a job of lower priority must each start within the bound. No other task may be preempted
+// for them.
 func TestPostponedJobStartsWithinTheStarvationBoundUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		name                            string
@@ -39,19 +40,19 @@
 			})
 			for _, name := range s.stops {
 				if id, _, _ := wire.ParseTaskName(name); id != "wk-000001" || !c.mayBeStopped {
-					t.Errorf("%s was stopped for it", name)
+					t.Errorf("%s was stopped for wk-000001", name)
 				}
 			}
-			// A start that is preempted within 30 s does not count.
+			// A start that is preempted within startProtection does not count.
 			if j := s.m.Job("wk-000001"); j != nil && (j.PlacedTasks+j.DoneTasks > c.maxServed || j.firstRunAt.IsZero()) {
-				t.Errorf("%d of its tasks were served, first at %v", j.PlacedTasks+j.DoneTasks, j.firstRunAt)
+				t.Errorf("got %d served tasks, the first at %v, want at most %d and a first start", j.PlacedTasks+j.DoneTasks, j.firstRunAt, c.maxServed)
 			}
 		})
 	}
 }
 
-// What the bound decides depends only on when jobs were accepted and on where their tasks are,
-// which the next leader loads.
+// The bound must hold across a failover. Its decisions depend on when jobs were accepted and on where
+// their tasks are, and the next leader loads both.
 func TestStarvationBoundHoldsAcrossAFailover(t *testing.T) {
 	startsWithinBound(t, "wk-000001", func(bound time.Duration) *simulatedCluster {
 		s := newSimulatedCluster(t, 2, bound)
@@ -83,7 +84,7 @@
 		s.run(100, 103)
 		for _, j := range s.m.Jobs {
 			if j.PlacedTasks > 0 && !j.hasStarted() {
-				t.Errorf("%s runs, but the next leader counts it as not started", j.ID)
+				t.Errorf("%s has a running task, but the next leader counts it as not started", j.ID)
 			}
 		}
 		s.run(103, 400)
@@ -91,8 +92,8 @@
 	})
 }
 
-// The bound changes nothing until a job must start: with a distant bound all decisions are those
-// without a bound.
+// The bound must not change any decision until a job must start. With a distant bound all decisions
+// equal those without a bound.
 func TestDistantStarvationBoundChangesNoDecision(t *testing.T) {
 	for seed := range uint64(8) {
 		decisionsWith := func(bound time.Duration) (out []string) {
@@ -114,7 +115,7 @@
 			s.run(0, 150)
 			for _, j := range s.m.Jobs {
 				if j == nil {
-					out = append(out, "over")
+					out = append(out, "ended")
 					continue
 				}
 				var b strings.Builder
@@ -129,13 +130,13 @@
 			return out
 		}
 		if without, with := decisionsWith(0), decisionsWith(24*time.Hour); !reflect.DeepEqual(without, with) {
-			t.Errorf("seed %d: decisions differ", seed)
+			t.Errorf("seed %d: decisions differ with a distant bound", seed)
 		}
 	}
 }
 
-// Where more gangs wait than can start in time, the largest do, and as few as possible of the
-// others don't.
+// If more gangs wait than can start in time, the largest must start, and as few others as possible
+// may be late.
 func TestStarvationBoundPrefersTheLargestJobsUnderOverload(t *testing.T) {
 	s := newSimulatedCluster(t, 6, bound)
 	for i := range 45 {
@@ -152,6 +153,6 @@
 	// The gangs need 100 places, of which at most 48 become free in time: enough for the
 	// largest gangs, which need 25, and for small ones.
 	if late[5] > 0 || late[1] > 5 || late[3] == 0 {
-		t.Errorf("late, by tasks: %v", late)
+		t.Errorf("late gangs by number of tasks: got %v, want none of 5, at most 5 of 1, and some of 3", late)
 	}
 }
--- a/cluster/tier_scenario_test.go
+++ b/cluster/tier_scenario_test.go
@@ -1,3 +1,5 @@
+// Simulates a fleet for the tests of priority tiers.
+
 package cluster
 
 import (
@@ -10,7 +12,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// clinicFirstPolicy is clinics before schools before crafts before the rest.
+// clinicFirstPolicy returns a policy with the tiers clinic, school and craft, highest first. All
+// other classes have the lowest tier.
 func clinicFirstPolicy() *priority.Policy {
 	return priority.New(&priority.Settings{Tiers: []priority.Tier{
 		{Name: "clinic", Classes: []string{"slicing"}}, {Name: "school", Classes: []string{"lesson"}, Share: 0.1, LongestWaitS: 100},
@@ -18,15 +21,15 @@
 	}})
 }
 
-// fleetSimulation is a model and machines that carry out its commands. It logs starts and stops
-// of tasks.
+// fleetSimulation is a model and machines that execute its commands. It logs starts and stops of
+// tasks.
 type fleetSimulation struct {
 	m              *Model
 	now            float64
 	revision, seq  uint64
 	tasksByMachine []map[string]*simulatedTask // by machine and task name
-	runSeconds     map[string]float64          // by job, of each task
-	startWaits     map[string]float64          // by job, seconds from its acceptance to its first start
+	runSeconds     map[string]float64          // run time of each task, by job
+	startWaits     map[string]float64          // seconds from acceptance to first start, by job
 	acceptedAt     map[string]float64          // by job
 	log            []string
 }
@@ -59,7 +62,8 @@
 	return id
 }
 
-// step lets 1.5 s pass, in which each machine sends a heartbeat, and runs a scheduling pass.
+// step advances the simulation by 1.5 s. Each machine sends a heartbeat, and then a scheduling pass
+// runs.
 func (sim *fleetSimulation) step() {
 	sim.now += 1.5
 	sim.seq++
@@ -113,7 +117,7 @@
 	slices.SortStableFunc(cmds, func(a, b wire.Command) int { return strings.Compare(a.Task, b.Task) })
 }
 
-// runRandomLoad submits random jobs, more than the fleet can complete.
+// runRandomLoad submits more random jobs than the fleet can complete, until the given second.
 func (sim *fleetSimulation) runRandomLoad(seed uint64, seconds float64, class func(r *rand.Rand) string) {
 	rnd := rand.New(rand.NewPCG(seed, 5))
 	for n := 1; sim.now < seconds; sim.step() {
--- a/cluster/triage_simulation_test.go
+++ b/cluster/triage_simulation_test.go
@@ -8,8 +8,8 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// Running only what differs from the run before gives the result of a full run, whichever jobs
-// are removed and inserted.
+// A run that continues from a checkpoint must give the result of a full run, whichever jobs are
+// removed and inserted.
 func TestSimulationFromACheckpointEqualsAFullSimulation(t *testing.T) {
 	m := overloadedModel(4, 60)
 	rnd := rand.New(rand.NewPCG(7, 7))
@@ -37,7 +37,7 @@
 		}
 		got, want := sim.run(jobs, changedAt), m.newSimulation(places, at(0)).run(jobs, 0)
 		if got != want {
-			t.Fatalf("changed from %d of %d on: %d, in a full run: %d", changedAt, len(jobs), got, want)
+			t.Fatalf("changed from job %d of %d on: got %d, want %d as in a full run", changedAt, len(jobs), got, want)
 		}
 		if got < 0 {
 			withoutLate++
@@ -46,6 +46,6 @@
 		}
 	}
 	if withLate < 50 {
-		t.Errorf("%d lists had a late job, %d had none", withLate, withoutLate)
+		t.Errorf("got %d lists with a late job and %d without, want at least 50 with one", withLate, withoutLate)
 	}
 }
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -7,7 +7,7 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// submitWithDeadline submits a job of class "c" with a deadline.
+// submitWithDeadline submits a job of class "c". The deadline is in seconds after its acceptance.
 func submitWithDeadline(m *Model, id string, tasks int, deadline float64, acceptedAt float64) {
 	rec := arrayJob(id, tasks)
 	rec.AcceptedAtMs = at(acceptedAt).UnixMilli()
@@ -15,7 +15,7 @@
 	m.ApplyJobRecord(id, rec, 1, at(acceptedAt))
 }
 
-// queueOrder returns the queue's jobs in order, and how many of them can meet no objective.
+// queueOrder returns the ids of the queue's jobs in order, and how many can meet no objective.
 func queueOrder(m *Model, now float64) (ids []string, missed int) {
 	for _, entry := range m.buildQueue(m.openJobs(), nil, at(now)) {
 		ids = append(ids, entry.job.ID)
@@ -26,21 +26,24 @@
 	return ids, missed
 }
 
+// If not all jobs can meet their deadline, triage must give up the one with the most work, so that the
+// others are in time.
 func TestTriageDefersTheLargestJobWhenNotAllMeetTheirDeadline(t *testing.T) {
 	m := newModel(5)
 	m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
-	answer(t, m, rep(1, 5), at(0)) // a machine with two places
+	answer(t, m, rep(1, 5), at(0)) // one machine with two places
 	submitWithDeadline(m, "wk-000001", 4, 150, 0)
 	for i := range 3 {
 		submitWithDeadline(m, fmt.Sprintf("wk-00001%d", i), 1, 160, 0)
 	}
-	// On two places, 60 s a task, four tasks can be completed by 160 s, but not seven.
+	// At 60 s a task, two places complete four tasks by 160 s, but not seven.
 	ids, missed := queueOrder(m, 1)
 	if missed != 1 || ids[3] != "wk-000001" {
-		t.Fatalf("%d missed, in order %v", missed, ids)
+		t.Fatalf("got %d missed jobs in order %v, want 1 with wk-000001 last", missed, ids)
 	}
 }
 
+// Triage must not count occupied places as free, or it would promise deadlines that can't be met.
 func TestTriageCountsOccupiedPlacesFromWhenTheyBecomeFree(t *testing.T) {
 	m := newModel(5)
 	m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 3}}
@@ -49,11 +52,11 @@
 	m.Schedule(at(1), 0)
 	commit(t, m, at(1))
 	answer(t, m, rep(2, 5), at(2))
-	// Both places are occupied for about a minute, so that this job can't meet its deadline;
-	// it is served for the objective of three times its deadline.
+	// Both places are occupied for about a minute, so this job can't meet its deadline. It is
+	// served for the objective of three times its deadline.
 	submitWithDeadline(m, "wk-000002", 1, 80, 2)
 	queue := m.buildQueue(m.openJobs(), nil, at(3))
 	if len(queue) != 1 || queue[0].missed || queue[0].due.Before(at(150)) {
-		t.Fatalf("%d wait; missed %v, due %v", len(queue), queue[0].missed, queue[0].due.Sub(t0))
+		t.Fatalf("got %d queued jobs, missed %v, due after %v, want 1 that is not missed and due after 150 s", len(queue), queue[0].missed, queue[0].due.Sub(t0))
 	}
 }
--- a/cluster/window_provision_test.go
+++ b/cluster/window_provision_test.go
@@ -8,12 +8,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A batch window needs more places than waiting tasks ask for. They are rented once across
-// leaders: not before a new leader knows its machines, not again while they boot or their
-// heartbeats are late, and again once they are lost.
+// Guards against renting the machines for a batch window several times. The window needs more places
+// than the waiting tasks request. Across leaders they must be rented once: not before a new leader
+// knows its machines, and not again while the machines boot or their heartbeats are late. They must
+// be rented again once they are lost.
 func TestProvisionScalesOutOnceAcrossFailover(t *testing.T) {
 	l := &leaderSequence{t: t, planRecords: map[string]wire.Raw{}, finalRecords: map[string]jobstore.JobRecord{}}
-	tilesJob := windowJob("wk-000001", "tiles", 6000, 10, 600) // 3.6 million seconds, seven hours
+	tilesJob := windowJob("wk-000001", "tiles", 6000, 10, 600) // 3.6 million seconds of work until the deadline in seven hours
 	type rental struct {
 		name string
 		at   float64
@@ -26,7 +27,8 @@
 			answer(t, l.model, r, at(s))
 		}
 	}
-	// machinesWanted ticks the leader over a time, and returns how many machines it wants in the end.
+	// machinesWanted ticks the leader from one second to another while the given number of machines
+	// send heartbeats. It returns how many machines the leader wants to rent at the end.
 	machinesWanted := func(from, to float64, machines int) (n int) {
 		for s := from; s <= to; s++ {
 			sendHeartbeats(machines, s)
@@ -39,14 +41,14 @@
 	}
 	l.failover(5, at(100), twoRegions, tilesJob)
 	if n := machinesWanted(101, 110, 8); n > 32 {
-		t.Errorf("%d machines are wanted before the leader knows its own", n)
+		t.Errorf("got %d wanted machines before the leader knows its own, want at most 32", n)
 	}
 	if n := machinesWanted(111, 140, 8); n > 32 {
-		t.Errorf("%d machines are wanted minutes before they must be", n)
+		t.Errorf("got %d wanted machines minutes before they must be requested, want at most 32", n)
 	}
 	n := machinesWanted(141, 1100, 8)
 	if n < 55 || n > 90 {
-		t.Fatalf("%d machines are wanted beside eight, for 150 places", n)
+		t.Fatalf("got %d wanted machines in addition to 8, want 55 to 90 for 150 places", n)
 	}
 	for i := range n {
 		name := fmt.Sprintf("host-%d", 8+i)
@@ -54,27 +56,27 @@
 		l.model.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{name}, at(1100))
 	}
 	if more := machinesWanted(1101, 1111, 8); more > 0 {
-		t.Errorf("%d more are wanted while they boot", more)
+		t.Errorf("got %d more wanted machines while the rented ones boot, want 0", more)
 	}
 	l.failover(6, at(1112), twoRegions, tilesJob)
 	for _, r := range rented {
 		l.model.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{r.name}, at(r.at))
 	}
 	if more := machinesWanted(1113, 1120, 8); more > 0 {
-		t.Errorf("the next leader wants %d more while they boot", more)
+		t.Errorf("next leader: got %d more wanted machines while the rented ones boot, want 0", more)
 	}
 	if more := machinesWanted(1121, 1146, 8+n); more > 0 {
-		t.Errorf("the next leader wants %d more when all are up", more)
+		t.Errorf("next leader: got %d more wanted machines when all are ready, want 0", more)
 	}
-	if more := machinesWanted(1147, 1154, 8); more > 32 { // their leases are not over
-		t.Errorf("%d more are wanted when heartbeats are late", more)
+	if more := machinesWanted(1147, 1154, 8); more > 32 { // their leases have not expired
+		t.Errorf("got %d more wanted machines while heartbeats are late, want at most 32", more)
 	}
 	if more := machinesWanted(1155, 1900, 8); more < n/2 {
-		t.Errorf("%d more are wanted when %d are lost", more, n)
+		t.Errorf("got %d more wanted machines when %d are lost, want at least half", more, n)
 	}
-	// The plan is taken back.
+	// The plan is withdrawn.
 	applyPlan(t, l.model, 2, "", at(1901))
 	if more := machinesWanted(1902, 1910, 8); more > 40 {
-		t.Errorf("%d are wanted without a calendar", more)
+		t.Errorf("got %d wanted machines without a calendar, want at most 40", more)
 	}
 }
