--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -37,7 +37,7 @@
 	Class         string
 	Team          string
 	Tasks         int
-	BlockedBy     string  // what prevents its start: the text of a starvationCause
+	BlockedBy     string  // text of the starvationCause that prevents its start
 	WaitedSeconds float64 // since it was accepted
 }
 
