--- a/cluster/decisions_events_test.go
+++ b/cluster/decisions_events_test.go
@@ -50,7 +50,7 @@
 			w.restartAt = d.seconds() + d.between(5, 40)
 		}
 	case 1, 2:
-		d.eventCounts["lost answers"]++
+		d.eventCounts["worker misses answers"]++
 		w.deafUntil = d.seconds() + d.between(5, 25)
 	case 3:
 		if w.spot {
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -57,7 +57,7 @@
 	t.Log(eventCounts)
 	for _, event := range []string{"launch", "stop", "forget", "direct stop", "wake-up", "rental", "refused rental", "machine rented", "scale-in", "machine returned",
 		"rebalancing move", "job ended", "cancellation", "conflict", "answer lost", "placement page", "plan", "failover", "prefetch", "plan record", "plan record pools/", "plan record night.",
-		"plan record order", "batch window outcome", "held stop", "repeated heartbeat", "stale heartbeat", "lease expiry", "machine lost", "interruption", "lost answers", "start refused",
+		"plan record order", "batch window outcome", "held stop", "repeated heartbeat", "stale heartbeat", "lease expiry", "machine lost", "interruption", "worker misses answers", "start refused",
 		"reserved task", "gang", "admission page", "batch refused"} {
 		if eventCounts[event] == 0 {
 			t.Errorf("no event %q occurred", event)
