--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -1,3 +1,6 @@
+// Explains to operators why a job is pending. It uses stored records only, so that it works on a
+// model that was loaded for inspection and belongs to no leader.
+
 package cluster
 
 import (
@@ -9,35 +12,32 @@
 	"github.com/umberdeal/umberdeal/priority"
 )
 
-// This file explains to operators why a job is pending. It uses stored records only, so that
-// it works on a model that was loaded for inspection and belongs to no leader.
-
 // Explanation says why the tasks of a job are pending.
 type Explanation struct {
 	ID             string
-	Tier           string // "" if the plan defines no priority tiers
-	WaitedSeconds  float64
-	Tasks          int // of the job
-	Done           int
-	Placed         int
-	PendingReasons []string                  // what the job waits for, most important first; empty if for nothing
-	AheadByReason  map[string]int            // how many requests are ahead of it in the queue, by reason
-	Nearest        []JobAhead                // the nearest of them, nearest first; bounded
-	Inversions     []priority.InversionEvent // lower-tier tasks placed on resources that it could have used
+	Tier           string                    // "" if the plan defines no priority tiers
+	WaitedSeconds  float64                   // time since the job was accepted
+	Tasks          int                       // number of all tasks of the job
+	Done           int                       // number of ended tasks
+	Placed         int                       // number of placed tasks
+	PendingReasons []string                  // what the job waits for, most important first; empty if no task waits
+	AheadByReason  map[string]int            // number of requests ahead of the job in the queue, by reason
+	Nearest        []JobAhead                // the nearest requests ahead, nearest first, at most maxNearestShown
+	Inversions     []priority.InversionEvent // lower-tier tasks placed on resources that the job could have used
 }
 
 // JobAhead is a job that is ahead of another in the queue.
 type JobAhead struct {
 	ID     string
-	Tier   string
-	Reason string
+	Tier   string // "" if the plan defines no priority tiers
+	Reason string // why it is ahead, as in Explanation.AheadByReason
 }
 
-// nearestShown bounds Explanation.Nearest.
-const nearestShown = 20
+// maxNearestShown bounds Explanation.Nearest.
+const maxNearestShown = 20
 
-// Explain returns why a job is pending. It returns false if the model has no such job, as for
-// jobs whose end is recorded. It changes the model (see buildQueue).
+// Explain returns why a job is pending. It returns false if the job is not in the model, which is
+// so for jobs whose end is recorded. It changes the model (see buildQueue).
 func (m *Model) Explain(id string, now time.Time) (Explanation, bool) {
 	j := m.Job(id)
 	if j == nil {
@@ -50,8 +50,8 @@
 	}
 	jobs := m.openJobs()
 	queue := m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), now)
-	// A job may have several requests; the first of them is explained.
-	position := slices.IndexFunc(queue, func(k *queued) bool { return k.job == j })
+	// If a job has several requests, the first of them is explained.
+	position := slices.IndexFunc(queue, func(entry *queueEntry) bool { return entry.job == j })
 	if position < 0 {
 		e.PendingReasons = outsideQueueReasons(j)
 		return e, true
@@ -61,50 +61,51 @@
 	return e, true
 }
 
-// explainPosition adds the requests ahead of a request in the queue to its explanation.
-func (m *Model) explainPosition(e *Explanation, ahead []*queued, k *queued) {
-	for _, o := range slices.Backward(ahead) {
-		if o.job == k.job {
+// explainPosition adds the requests ahead of a queue entry to its explanation. Other requests of
+// the same job don't count.
+func (m *Model) explainPosition(e *Explanation, ahead []*queueEntry, entry *queueEntry) {
+	for _, other := range slices.Backward(ahead) {
+		if other.job == entry.job {
 			continue
 		}
-		reason := k.behindReason(o)
+		reason := entry.behindReason(other)
 		e.AheadByReason[reason]++
-		if len(e.Nearest) < nearestShown {
-			e.Nearest = append(e.Nearest, JobAhead{o.job.ID, m.tiers.policy.TierName(o.job.tier), reason})
+		if len(e.Nearest) < maxNearestShown {
+			e.Nearest = append(e.Nearest, JobAhead{other.job.ID, m.tiers.policy.TierName(other.job.tier), reason})
 		}
 	}
 }
 
-// behindReason returns why another request is ahead of this one in the queue.
-func (k *queued) behindReason(o *queued) string {
+// behindReason returns why another request, which must be ahead in the queue, is ahead of this one.
+func (entry *queueEntry) behindReason(other *queueEntry) string {
 	switch {
-	case k.req.FreeCapacityOnly:
+	case entry.req.FreeCapacityOnly:
 		return "fault"
-	case k.withinGuarantee != o.withinGuarantee:
+	case entry.withinGuarantee != other.withinGuarantee:
 		return priority.WithinQuota.String()
-	case k.job.priority != o.job.priority:
+	case entry.job.priority != other.job.priority:
 		return priority.HigherPriority.String()
-	case o.req.StartDue:
+	case other.req.StartDue:
 		return priority.StarvationBound.String()
-	case o.req.PromotionCause == uint8(priority.PromotedByWait):
+	case other.req.PromotionCause == uint8(priority.PromotedByWait):
 		return priority.MaxWait.String()
-	case o.req.PromotionCause == uint8(priority.PromotedByShare):
+	case other.req.PromotionCause == uint8(priority.PromotedByShare):
 		return priority.FairShare.String()
-	case k.req.Tier != o.req.Tier:
+	case entry.req.Tier != other.req.Tier:
 		return "tier"
-	case o.req.PromotionCause == uint8(priority.PromotedInTier):
+	case other.req.PromotionCause == uint8(priority.PromotedInTier):
 		return priority.MaxWait.String()
-	case k.inWindow != o.inWindow:
+	case entry.inWindow != other.inWindow:
 		return "a night's work"
-	case k.missed != o.missed && !k.inWindow:
+	case entry.missed != other.missed && !entry.inWindow:
 		return "can still meet its aim"
 	}
 	return "due sooner"
 }
 
-// pendingReasons lists what a request in the queue waits for.
-func (m *Model) pendingReasons(k *queued) (out []string) {
-	r, j := &k.req, k.job
+// pendingReasons returns what a request in the queue waits for.
+func (m *Model) pendingReasons(entry *queueEntry) (out []string) {
+	r, j := &entry.req, entry.job
 	if n := placement.TasksWithinLimit(r, m.teams); n == 0 || r.Gang && n < len(r.Tasks) {
 		t := m.teams[r.Team]
 		out = append(out, fmt.Sprintf("its team's limit: %g of %g CPUs and %g of %g GPUs are in use (0: no limit)", t.Used.CPU, t.Max.CPU, t.Used.GPU, t.Max.GPU))
@@ -126,7 +127,8 @@
 	return append(out, fmt.Sprintf("room for %d tasks of %g CPUs, %g GPUs and %g GB", len(r.Tasks), j.Need.CPU, j.Need.GPU, j.Need.Mem))
 }
 
-// outsideQueueReasons returns why a job has no request in the queue; nil if no task of it waits.
+// outsideQueueReasons returns why a job has no request in the queue. It returns nil if no task of
+// the job waits.
 func outsideQueueReasons(j *Job) []string {
 	switch {
 	case j.Cancelled:
