--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -95,7 +95,7 @@
 		m.writes.admissionPages.removeObsolete(p)
 	}
 	for _, e := range former {
-		if j := m.Job(e.id); j != nil && j.admissionPage == e.page && !e.page.has(e.id) {
+		if j := m.Job(e.id); j != nil && j.admissionPage == e.page && !e.page.contains(e.id) {
 			m.RemoveJob(e.id, now)
 		}
 	}
@@ -107,16 +107,16 @@
 	return m.writes.admissionPages.at(key, version) != nil
 }
 
-// written applies the commit of a record that replaces the given version of the page, unless
+// applyCommit applies the commit of a record that replaces the given version of the page, unless
 // the watch of the store has reported this change or a later one already.
-func (p *admissionPage) written(replaced, version uint64, rec jobstore.JobPage) {
+func (p *admissionPage) applyCommit(replaced, version uint64, rec jobstore.JobPage) {
 	if p.version == replaced {
 		p.version, p.rec, p.size = version, rec, rec.Size()
 	}
 }
 
-// has reports whether a job is on the page.
-func (p *admissionPage) has(id string) bool {
+// contains reports whether a job is on the page.
+func (p *admissionPage) contains(id string) bool {
 	for i := range p.rec.Entries {
 		if p.rec.Entries[i].ID == id {
 			return true
@@ -137,7 +137,7 @@
 		m.ApplyJobRecord(e.ID, rec, p.version, now)
 		j = m.Job(e.ID)
 	}
-	j.recordedOn(p)
+	j.setAdmissionPage(p)
 }
 
 // admissionRemoval is the removal of jobs from an admission page by a batch.
@@ -179,7 +179,7 @@
 			op = wire.Op{Delete: p.key}
 		}
 		b.Ops[l.op] = op
-		b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) { p.written(l.version, rev, rec) })
+		b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) { p.applyCommit(l.version, rev, rec) })
 	}
 }
 
--- a/cluster/attempt.go
+++ b/cluster/attempt.go
@@ -35,7 +35,7 @@
 // Model.placeTask makes it. After that only its methods, and Chunk.recordPlacement, change its
 // fields. They keep these invariants:
 //   - A launch is sent at most once at a time: again only after proof that the one before
-//     was not executed and never will be (launchLost).
+//     was not executed and never will be (clearLaunch).
 //   - A stop order is never withdrawn. It is only replaced by one with a shorter grace period.
 //   - A placement that was never launched and is not inherited is certainly not on its
 //     machine, and may be removed without any proof.
@@ -70,25 +70,25 @@
 // been executed.
 func (p *Placement) mayBeOnMachine() bool { return p.launchSent || p.Inherited }
 
-// launch records that the answer to a heartbeat carries the launch.
-func (p *Placement) launch(heartbeat heartbeatID, now time.Time) {
+// recordLaunch records that the answer to a heartbeat carries the launch.
+func (p *Placement) recordLaunch(heartbeat heartbeatID, now time.Time) {
 	p.launchSent, p.launchSentAt = true, now
 	p.launchEpoch, p.launchSeq = heartbeat.epoch, heartbeat.seq
 }
 
-// launchLost applies the proof that no launch was executed and none ever will be: it is to
+// clearLaunch applies the proof that no launch was executed and none ever will be: it is to
 // be sent (again).
-func (p *Placement) launchLost() { p.launchSent, p.Inherited = false, false }
+func (p *Placement) clearLaunch() { p.launchSent, p.Inherited = false, false }
 
-// inherit marks the placement as one that an earlier leader recorded and may have launched.
-func (p *Placement) inherit() { p.Inherited = true }
+// markInherited marks the placement as one that an earlier leader recorded and may have launched.
+func (p *Placement) markInherited() { p.Inherited = true }
 
-// listed records that a heartbeat lists the attempt, so that a launch has arrived.
-func (p *Placement) listed() { p.launchSent = true }
+// recordListed records that a heartbeat lists the attempt, so that a launch has arrived.
+func (p *Placement) recordListed() { p.launchSent = true }
 
-// report records the state in which a heartbeat lists the attempt. It returns true if the
+// recordState records the state in which a heartbeat lists the attempt. It returns true if the
 // attempt is running and was not running according to the state reported before.
-func (p *Placement) report(state reportedState, now time.Time) (started bool) {
+func (p *Placement) recordState(state reportedState, now time.Time) (started bool) {
 	started = state == reportedRunning && p.reportedState != reportedRunning
 	p.reportedState = state
 	if started {
@@ -113,8 +113,8 @@
 // releaseStop removes the mark of holdStop.
 func (p *Placement) releaseStop() { p.StopHeld = false }
 
-// wake records that a wake-up is sent to the machine.
-func (p *Placement) wake(now time.Time) { p.wokenAt = now }
+// recordWakeUp records that a wake-up is sent to the machine.
+func (p *Placement) recordWakeUp(now time.Time) { p.wokenAt = now }
 
-// push records that the order is sent directly to the worker.
-func (o *StopOrder) push(now time.Time) { o.pushedAt = now }
+// recordPush records that the order is sent directly to the worker.
+func (o *StopOrder) recordPush(now time.Time) { o.pushedAt = now }
--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -269,7 +269,7 @@
 }
 
 // windowRecordIDBytes is how many bytes the ids of open jobs may take in a region's record.
-func (m *Model) windowRecordIDBytes() int { return m.writes.limits().valueBytes() / 3 }
+func (m *Model) windowRecordIDBytes() int { return m.writes.limits().maxValueBytes() / 3 }
 
 // UnresolvedWindowJobs lists jobs, at most as many as given, that the records of batch windows
 // have as open but that have ended since, unseen by a leader. The caller reads their final
--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -29,8 +29,8 @@
 // expectedRatio returns the ratio that few machines exceed.
 func (b *bootEstimator) expectedRatio() float64 { return max(usualBootRatio, b.slowest) }
 
-// learnBootTime updates the boot time of a machine's type from its first heartbeat.
-func (m *Model) learnBootTime(mc *Machine, now time.Time) {
+// recordBootTime updates the boot time of a machine's type from its first heartbeat.
+func (m *Model) recordBootTime(mc *Machine, now time.Time) {
 	if !mc.creationKnown || mc.createdAt.Before(m.ElectedAt) || mc.typeIndex < 0 || m.MachineTypes[mc.typeIndex].BootTime <= 0 {
 		return // up before the response to its request, or requested by an earlier leader
 	}
@@ -85,9 +85,9 @@
 	m.log.Info("machine late", "machine", mc.Name, "type", mc.TypeName, "zone", m.Zones[mc.Zone], "spot", mc.Spot, "orderedS", age.Seconds())
 }
 
-// refuseOfferOf makes scale-outs avoid the offer of a machine that never came up for a while,
+// refuseMachineOffer makes scale-outs avoid the offer of a machine that never came up for a while,
 // so that its replacement is requested elsewhere if possible.
-func (m *Model) refuseOfferOf(mc *Machine, now time.Time) {
+func (m *Model) refuseMachineOffer(mc *Machine, now time.Time) {
 	if mc.cloudState != wire.MachineFailed && mc.Zone >= 0 {
 		m.refusedOffers.refuse(offerKey{mc.typeIndex, mc.Zone, mc.Spot}, now.Add(offerRefusalTime))
 	}
--- a/cluster/cloudlist.go
+++ b/cluster/cloudlist.go
@@ -22,9 +22,9 @@
 			m.log.Info("machine listed", "machine", l.Name, "type", l.Type, "zone", l.Zone, "spot", l.Spot, "state", l.State)
 			mc.recordAge(config.Seconds(l.AgeS), now)
 		}
-		mc.learnAddr(l.Addr)
+		mc.setListedAddr(l.Addr)
 		if mc.typeIndex < 0 || mc.Zone < 0 {
-			m.describe(mc, l.Type, l.Zone, l.Spot)
+			m.setTypeAndZone(mc, l.Type, l.Zone, l.Spot)
 		}
 		mc.recordListing(l.State, now)
 	}
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -13,7 +13,7 @@
 // placements left (LoadCancelledJob).
 func (m *Model) LoadPlacementPage(n int, rec jobstore.PlacementPage, version uint64, now time.Time) {
 	p := m.writes.placementPages.at(n)
-	p.loaded(version)
+	p.setVersion(version)
 	for i := range rec.Chunks {
 		m.loadChunk(p, &rec.Chunks[i], now)
 	}
@@ -21,7 +21,7 @@
 
 func (m *Model) loadChunk(p *placementPage, c *jobstore.PlacementChunk, now time.Time) {
 	j := m.Job(c.Job)
-	if j == nil && m.quarantine.mayHold(c.Job) {
+	if j == nil && m.quarantine.mayInclude(c.Job) {
 		m.writes.placementPages.preserve(p, c)
 		return
 	}
@@ -51,7 +51,7 @@
 		// A reserved task whose launch has not been requested was launched by nobody. The
 		// job's record, which says so, was read after this leader was elected.
 		if !j.awaitsLaunch(p.Task) {
-			j.Tasks[p.Task].Placement.inherit()
+			j.Tasks[p.Task].Placement.markInherited()
 		}
 	}
 }
@@ -65,7 +65,7 @@
 	for _, j := range m.Jobs {
 		m.releaseTasks(j, now)
 		if j.Cancelled {
-			m.cancel(j, now)
+			m.cancelJob(j, now)
 		}
 		if j.DoneTasks == len(j.Tasks) {
 			m.writes.markJob(j)
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -10,45 +10,47 @@
 // machine, on which every job fails. Workers report the same error for both.
 
 const (
-	// faultMachines is on how many machines a job must have failed, without any success,
+	// minFaultMachines is on how many machines a job must have failed, without any success,
 	// to be considered at fault. The number can be low because the judgement is revised as
 	// soon as one of its tasks keeps running.
-	faultMachines = 2
-	// provenAfterSeconds is how long a task must run to prove that its job is not at fault.
-	provenAfterSeconds = 20
+	minFaultMachines = 2
+	// healthyAfterSeconds is how long a task must run to prove that its job is not at fault.
+	healthyAfterSeconds = 20
 	// Bounds of the exponential backoff of a job at fault.
-	firstFaultWait = 10 * time.Second
-	lastFaultWait  = 2 * time.Minute
-	// faultProbes is how many tasks of an array at fault may be placed at a time.
-	faultProbes = 1
+	minFaultBackoff = 10 * time.Second
+	maxFaultBackoff = 2 * time.Minute
+	// maxFaultProbes is how many tasks of an array at fault may be placed at a time.
+	maxFaultProbes = 1
 
-	machineErrorMemory = 10 * time.Minute // how long an error counts against a machine
-	machineErrorJobs   = 2                // jobs not at fault that must have failed there
-	machineErrorLimit  = 20               // errors remembered of a machine
+	taskErrorRetention = 10 * time.Minute // how long an error counts against a machine
+	minSuspectJobs     = 2                // jobs not at fault that must have failed there
+	maxTaskErrors      = 20               // errors remembered of a machine
 )
 
 // failureHistory is what is known of a job's failures. It outlives the job, because a
 // machine's errors are judged by whether the jobs that had them are at fault.
 type failureHistory struct {
-	machines map[int32]bool // machines on which a task failed by itself
-	proven   bool           // a task has completed, or run for provenAfterSeconds
-	round    int            // of the backoff
+	machines      map[int32]bool // machines on which a task failed by itself
+	provenHealthy bool           // a task has completed, or run for healthyAfterSeconds
+	round         int            // of the backoff
 }
 
 // atFault reports whether the job has failed on several machines and succeeded on none.
-func (r *failureHistory) atFault() bool { return !r.proven && len(r.machines) >= faultMachines }
+func (h *failureHistory) atFault() bool {
+	return !h.provenHealthy && len(h.machines) >= minFaultMachines
+}
 
-// taskFailed records that a task of the job failed by itself on a machine. It returns the
+// recordTaskFailure records that a task of the job failed by itself on a machine. It returns the
 // backoff before the task is tried again.
-func (m *Model) taskFailed(j *Job, task int32, mc *Machine, now time.Time) time.Duration {
-	r := j.failures
-	if r.machines == nil {
-		r.machines = map[int32]bool{}
+func (m *Model) recordTaskFailure(j *Job, task int32, mc *Machine, now time.Time) time.Duration {
+	h := j.failures
+	if h.machines == nil {
+		h.machines = map[int32]bool{}
 	}
-	r.machines[mc.index] = true
+	h.machines[mc.index] = true
 	wait := j.Tasks[task].countFailure()
 	m.recordTaskError(j, mc, now)
-	if !r.atFault() {
+	if !h.atFault() {
 		j.avoidMachine(mc.index, now.Add(10*time.Minute))
 		return wait
 	}
@@ -58,9 +60,9 @@
 	if !now.Before(j.notBefore) {
 		// The errors of one round arrive together; only the first one begins a new
 		// backoff.
-		j.backOffUntil(now.Add(min(firstFaultWait<<min(r.round, 10), lastFaultWait)))
-		r.round++
-		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(r.machines), "lastReason", wire.ExitError,
+		j.backOffUntil(now.Add(min(minFaultBackoff<<min(h.round, 10), maxFaultBackoff)))
+		h.round++
+		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(h.machines), "lastReason", wire.ExitError,
 			"nextTryInS", j.notBefore.Sub(now).Seconds())
 	}
 	return 0
@@ -69,14 +71,14 @@
 // clearFault records that a task of the job has completed or has run for long, so that its
 // earlier failures were the machines' fault.
 func (m *Model) clearFault(j *Job) {
-	r := j.failures
-	if r.proven {
+	h := j.failures
+	if h.provenHealthy {
 		return
 	}
-	if r.atFault() {
+	if h.atFault() {
 		m.log.Info("job no longer considered at fault", "id", j.ID)
 	}
-	r.proven = true
+	h.provenHealthy = true
 	j.backOffUntil(time.Time{})
 }
 
@@ -91,7 +93,7 @@
 	case j.Gang():
 		return limit // all or none
 	}
-	return max(0, faultProbes-j.PlacedTasks)
+	return max(0, maxFaultProbes-j.PlacedTasks)
 }
 
 // taskError is an error of a task on a machine.
@@ -109,10 +111,10 @@
 	}
 }
 
-// addTaskError records an error, and forgets the oldest ones beyond machineErrorLimit.
+// addTaskError records an error, and forgets the oldest ones beyond maxTaskErrors.
 func (mc *Machine) addTaskError(e taskError) {
 	mc.taskErrors = append(mc.taskErrors, e)
-	if len(mc.taskErrors) > machineErrorLimit {
+	if len(mc.taskErrors) > maxTaskErrors {
 		mc.taskErrors = mc.taskErrors[1:]
 	}
 }
@@ -121,14 +123,14 @@
 // result is not cached: that a job is at fault often shows only after it has failed on this
 // machine, and faulty jobs must not make one machine after another look faulty.
 func (mc *Machine) suspected(now time.Time) bool {
-	if len(mc.taskErrors) < machineErrorJobs {
+	if len(mc.taskErrors) < minSuspectJobs {
 		return false
 	}
 	jobs := map[*failureHistory]bool{}
 	for _, e := range mc.taskErrors {
-		if now.Sub(e.at) < machineErrorMemory && !e.failures.atFault() {
+		if now.Sub(e.at) < taskErrorRetention && !e.failures.atFault() {
 			jobs[e.failures] = true
 		}
 	}
-	return len(jobs) >= machineErrorJobs
+	return len(jobs) >= minSuspectJobs
 }
--- a/cluster/failurehistory_test.go
+++ b/cluster/failurehistory_test.go
@@ -8,7 +8,7 @@
 
 // failTask reports to the model that a job's task failed on a machine.
 func failTask(m *Model, id string, task int32, machine string, now time.Time) {
-	m.taskFailed(m.Job(id), task, m.findOrAddMachine(machine, now), now)
+	m.recordTaskFailure(m.Job(id), task, m.findOrAddMachine(machine, now), now)
 }
 
 // Two jobs at fault that failed on the same machines one after the other once made all of
@@ -50,7 +50,7 @@
 	tries, last := 0, now
 	for now.Before(at(1200)) {
 		if j.requestableTasks(64, now) > 0 {
-			if tries > 2 && j.requestableTasks(64, now) > faultProbes {
+			if tries > 2 && j.requestableTasks(64, now) > maxFaultProbes {
 				t.Fatalf("%d tasks at a time of a job at fault", j.requestableTasks(64, now))
 			}
 			failTask(m, j.ID, int32(tries%50), fmt.Sprint("h", tries%7), now)
@@ -58,7 +58,7 @@
 		}
 		now = now.Add(500 * time.Millisecond)
 	}
-	if tries > 20 || now.Sub(last) > lastFaultWait+time.Second {
+	if tries > 20 || now.Sub(last) > maxFaultBackoff+time.Second {
 		t.Errorf("%d tries in 20 minutes, the last one %v ago", tries, now.Sub(last))
 	}
 	m.clearFault(j)
--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -9,28 +9,28 @@
 // ApplyHeartbeat applies a worker's heartbeat to the model and returns its machine. It
 // returns nil, and applies nothing, if the heartbeat is not newer than the last one
 // applied or if the machine is gone.
-func (m *Model) ApplyHeartbeat(r *wire.Heartbeat, now time.Time) *Machine {
-	mc := m.findOrAddMachine(r.Machine, now)
+func (m *Model) ApplyHeartbeat(heartbeat *wire.Heartbeat, now time.Time) *Machine {
+	mc := m.findOrAddMachine(heartbeat.Machine, now)
 	if mc.Gone {
 		return nil
 	}
 	// A delayed or duplicated heartbeat describes an earlier state of the machine.
-	if !mc.isNewer(r.AgentEpoch, r.Seq) {
+	if !mc.isNewer(heartbeat.AgentEpoch, heartbeat.Seq) {
 		return nil
 	}
 	if mc.AgentEpoch == 0 {
-		m.learnBootTime(mc, now)
+		m.recordBootTime(mc, now)
 	}
-	m.updateReachability(mc, r, now)
+	m.updateReachability(mc, heartbeat, now)
 	if !mc.alive {
-		m.log.Info("machine up", "machine", r.Machine, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "epoch", r.AgentEpoch)
+		m.log.Info("machine up", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot, "epoch", heartbeat.AgentEpoch)
 	}
-	mc.recordHeartbeat(r, m.FencingToken, now)
-	m.describe(mc, r.Type, r.Zone, r.Spot)
-	if mc.recordInterruption(r.NoticeS, now) {
-		m.log.Info("spot interruption notice", "machine", mc.Name, "seconds", *r.NoticeS)
+	mc.recordHeartbeat(heartbeat, m.FencingToken, now)
+	m.setTypeAndZone(mc, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
+	if mc.recordInterruption(heartbeat.NoticeS, now) {
+		m.log.Info("spot interruption notice", "machine", mc.Name, "seconds", *heartbeat.NoticeS)
 	}
-	m.reconcile(mc, r, now)
+	m.reconcile(mc, heartbeat, now)
 	return mc
 }
 
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -53,31 +53,31 @@
 // copy that was applied. A worker accepts at most one of the two answers, and neither once
 // it has sent its next heartbeat, so that a launch which that heartbeat does not list was
 // not executed, and never will be.
-func (m *Model) AnswerRetry(r *wire.Heartbeat, via string) (cmds []wire.Command, ok bool) {
-	mc := m.machineNamed(r.Machine)
-	if mc == nil || mc.Gone || !mc.alive || mc.AgentEpoch != r.AgentEpoch || mc.Seq != r.Seq {
+func (m *Model) AnswerRetry(heartbeat *wire.Heartbeat, via string) (cmds []wire.Command, ok bool) {
+	mc := m.machineNamed(heartbeat.Machine)
+	if mc == nil || mc.Gone || !mc.alive || mc.AgentEpoch != heartbeat.AgentEpoch || mc.Seq != heartbeat.Seq {
 		return nil, false
 	}
 	mc.recordRetryAnswer()
 	mc.recordRepeatedAnswer(via)
-	return m.stopCommands(mc, r), true
+	return m.stopCommands(mc, heartbeat), true
 }
 
 // AnswerHeartbeat returns the commands that answer the heartbeat last applied for mc, and
 // counts the machine's lease from now. Launches among them are recorded as sent, whether
 // or not the answer arrives; the next heartbeat shows which of them were executed.
-func (m *Model) AnswerHeartbeat(mc *Machine, r *wire.Heartbeat, now time.Time) []wire.Command {
+func (m *Model) AnswerHeartbeat(mc *Machine, heartbeat *wire.Heartbeat, now time.Time) []wire.Command {
 	m.Observer.LeaseLeft(m.leaseEnd(mc).Sub(now).Seconds())
 	mc.recordAnswer(now)
-	mc.reachability.recordAnswer(r.Seq)
+	mc.reachability.recordAnswer(heartbeat.Seq)
 	// Stops come first, so that they always fit: an answer renews the worker's lease, and
 	// a task whose stop was left out may keep running for another lease.
-	out := m.stopCommands(mc, r)
-	out, full := m.addForgets(out, mc, r)
+	out := m.stopCommands(mc, heartbeat)
+	out, full := m.addForgets(out, mc, heartbeat)
 	if full {
 		return out
 	}
-	out, full = m.addLaunches(out, mc, r, now)
+	out, full = m.addLaunches(out, mc, heartbeat, now)
 	if full {
 		return out
 	}
@@ -91,16 +91,16 @@
 
 // addForgets adds the commands to forget reported exits whose outcome is committed, so
 // that the worker stops listing them. full means that the answer holds no more commands.
-func (m *Model) addForgets(out []wire.Command, mc *Machine, r *wire.Heartbeat) (cmds []wire.Command, full bool) {
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		if t.State != wire.TaskExited {
+func (m *Model) addForgets(out []wire.Command, mc *Machine, heartbeat *wire.Heartbeat) (cmds []wire.Command, full bool) {
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		if status.State != wire.TaskExited {
 			continue
 		}
 		if len(out) >= maxCommands {
 			return out, true
 		}
-		e := mc.reportedExits[exitKey{t.Task, t.Attempt}]
+		e := mc.reportedExits[exitKey{status.Task, status.Attempt}]
 		if e != nil {
 			o := m.Jobs[e.job]
 			if o != nil && !o.Finished && !o.Cancelled && !o.Chunks[e.chunk].isCommitted(e.generation) {
@@ -108,12 +108,12 @@
 			}
 		}
 		if e == nil {
-			if p := m.placementOf(mc, t); p != nil {
+			if p := m.placementOf(mc, status); p != nil {
 				continue // its exit has not been applied yet
 			}
 		}
-		mc.reachability.forgetSent(exitKey{t.Task, t.Attempt})
-		out = append(out, wire.Command{Op: wire.OpForget, Task: t.Task, Attempt: t.Attempt})
+		mc.reachability.forgetSent(exitKey{status.Task, status.Attempt})
+		out = append(out, wire.Command{Op: wire.OpForget, Task: status.Task, Attempt: status.Attempt})
 	}
 	return out, false
 }
@@ -121,7 +121,7 @@
 // addLaunches adds the launches of tasks whose placements on the machine are committed,
 // and records them as sent with this answer. full means that the answer holds no more
 // commands.
-func (m *Model) addLaunches(out []wire.Command, mc *Machine, r *wire.Heartbeat, now time.Time) (cmds []wire.Command, full bool) {
+func (m *Model) addLaunches(out []wire.Command, mc *Machine, heartbeat *wire.Heartbeat, now time.Time) (cmds []wire.Command, full bool) {
 	for ref := range mc.Tasks {
 		if len(out) >= maxCommands {
 			return out, true
@@ -130,7 +130,7 @@
 		p := j.Tasks[ref.Task].Placement
 		if p.Stop == nil && !p.mayBeOnMachine() && launchable(j, ref.Task) && mc.interruptionAt.IsZero() && !mc.unreachable() {
 			name := wire.TaskName(j.ID, int(ref.Task))
-			p.launch(heartbeatID{r.AgentEpoch, r.Seq}, now)
+			p.recordLaunch(heartbeatID{heartbeat.AgentEpoch, heartbeat.Seq}, now)
 			m.Observer.Launched(now.Sub(p.placedAt).Seconds())
 			out = append(out, wire.Command{Op: wire.OpStart, Task: name, Attempt: p.Attempt})
 			m.log.Debug("task launch sent", "task", name, "attempt", p.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.placedAt).Seconds())
@@ -141,12 +141,12 @@
 
 // placementOf returns the placement of an attempt that a heartbeat lists, or nil if that
 // attempt is not placed on this machine.
-func (m *Model) placementOf(mc *Machine, t *wire.TaskStatus) *Placement {
-	j, task := m.taskNamed(t.Task)
+func (m *Model) placementOf(mc *Machine, status *wire.TaskStatus) *Placement {
+	j, task := m.taskNamed(status.Task)
 	if j == nil {
 		return nil
 	}
-	if p := j.Tasks[task].Placement; p != nil && p.Machine == mc.index && p.Attempt == t.Attempt {
+	if p := j.Tasks[task].Placement; p != nil && p.Machine == mc.index && p.Attempt == status.Attempt {
 		return p
 	}
 	return nil
@@ -156,22 +156,22 @@
 // placed on this machine, for listed attempts that are to stop and are not saving a
 // checkpoint already, and for attempts that are to stop but were never listed, since their
 // launch may still arrive.
-func (m *Model) stopCommands(mc *Machine, r *wire.Heartbeat) []wire.Command {
+func (m *Model) stopCommands(mc *Machine, heartbeat *wire.Heartbeat) []wire.Command {
 	var out []wire.Command
 	stop := func(name string, attempt uint64, grace float64) {
 		if len(out) < maxStops {
 			out = append(out, wire.Command{Op: wire.OpStop, Task: name, Attempt: attempt, GraceS: &grace})
 		}
 	}
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		if t.State == wire.TaskExited {
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		if status.State == wire.TaskExited {
 			continue
 		}
-		if p := m.placementOf(mc, t); p == nil {
-			stop(t.Task, t.Attempt, 0)
+		if p := m.placementOf(mc, status); p == nil {
+			stop(status.Task, status.Attempt, 0)
 		} else if p.Stop != nil && (p.reportedState != reportedSaving || p.Stop.Grace == 0) {
-			stop(t.Task, t.Attempt, p.Stop.Grace)
+			stop(status.Task, status.Attempt, p.Stop.Grace)
 		}
 	}
 	for ref := range mc.Tasks {
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -37,23 +37,23 @@
 // unplace applies the proof that the task is on no machine: it may be placed again.
 func (t *Task) unplace() { t.Phase, t.Placement = TaskIdle, nil }
 
-// end records how a task of a reserved job has ended.
-func (t *Task) end(outcome jobstore.TaskOutcome) { t.outcome = outcome }
+// setOutcome records how a task of a reserved job has ended.
+func (t *Task) setOutcome(outcome jobstore.TaskOutcome) { t.outcome = outcome }
 
 // recordProgress records how many seconds of the task's work an attempt that has run leaves saved.
 func (t *Task) recordProgress(seconds float32) { t.progress, t.resumed = seconds, true }
 
 // The backoff of a task that fails doubles with each failure.
 const (
-	firstTaskBackoff   = time.Second
-	longestTaskBackoff = time.Minute
+	minTaskBackoff     = time.Second
+	maxTaskBackoff     = time.Minute
 	maxCountedFailures = 10
 )
 
 // countFailure counts a failure of the task and returns the backoff before it is tried again.
 func (t *Task) countFailure() time.Duration {
 	t.failures = min(t.failures+1, maxCountedFailures)
-	return min(firstTaskBackoff<<(t.failures-1), longestTaskBackoff)
+	return min(minTaskBackoff<<(t.failures-1), maxTaskBackoff)
 }
 
 // delayUntil keeps the task from being placed before then.
@@ -187,17 +187,17 @@
 	return true
 }
 
-// endGang records that the gang's attempt is being stopped or can't complete.
-func (j *Job) endGang() { j.gangEnding = true }
+// markGangEnding records that the gang's attempt is being stopped or can't complete.
+func (j *Job) markGangEnding() { j.gangEnding = true }
 
 // resetGang makes the gang ready for another attempt.
 func (j *Job) resetGang() { j.gangStarted, j.gangEnding = false, false }
 
-// finish records that the final record of the job is committed.
-func (j *Job) finish() { j.Finished = true }
+// markFinished records that the final record of the job is committed.
+func (j *Job) markFinished() { j.Finished = true }
 
-// cancel records that the job's user has cancelled it. No task of it is launched any more.
-func (j *Job) cancel() { j.Cancelled = true }
+// markCancelled records that the job's user has cancelled it. No task of it is launched any more.
+func (j *Job) markCancelled() { j.Cancelled = true }
 
 // backOffUntil keeps the whole job from being placed before then.
 func (j *Job) backOffUntil(then time.Time) { j.notBefore = then }
@@ -213,8 +213,8 @@
 // avoidNoMachines allows the job's tasks to be placed on any machine again.
 func (j *Job) avoidNoMachines() { j.avoidUntil = nil }
 
-// quarantine keeps the job from being scheduled, because its placements can't be read.
-func (j *Job) quarantine() { j.quarantined = true }
+// markQuarantined keeps the job from being scheduled, because its placements can't be read.
+func (j *Job) markQuarantined() { j.quarantined = true }
 
 // advanceCursor moves the cursor past the tasks that are placed or completed.
 func (j *Job) advanceCursor() {
@@ -226,8 +226,8 @@
 // allowTypes sets which machine types the job may use.
 func (j *Job) allowTypes(allowed []bool) { j.allowedTypes = allowed }
 
-// recordedAt records the version of the job's active record, which has a key of its own.
-func (j *Job) recordedAt(version uint64) { j.version = version }
+// setRecordVersion records the version of the job's active record, which has a key of its own.
+func (j *Job) setRecordVersion(version uint64) { j.version = version }
 
-// recordedOn records that the job's active record is on an admission page.
-func (j *Job) recordedOn(p *admissionPage) { j.admissionPage, j.version = p, p.version }
+// setAdmissionPage records that the job's active record is on an admission page.
+func (j *Job) setAdmissionPage(p *admissionPage) { j.admissionPage, j.version = p, p.version }
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -20,13 +20,13 @@
 func (m *Model) ApplyJobRecord(id string, rec jobstore.JobRecord, version uint64, now time.Time) {
 	if j := m.Job(id); j != nil {
 		if version > j.version {
-			j.recordedAt(version)
+			j.setRecordVersion(version)
 			m.updateReservation(j, rec.Reservation, now)
 		}
 		return
 	}
 	j := m.addJob(id, rec)
-	j.recordedAt(version)
+	j.setRecordVersion(version)
 	m.recordArrival(j, now)
 	if m.loadFinished {
 		m.releaseTasks(j, now)
@@ -74,16 +74,16 @@
 		return
 	}
 	if j.DoneTasks == len(j.Tasks) {
-		j.finish()
+		j.markFinished()
 		m.writes.markJob(j)
 		return
 	}
 	m.log.Info("job cancelled", "id", id, "placed", j.PlacedTasks)
-	m.cancel(j, now)
+	m.cancelJob(j, now)
 }
 
-func (m *Model) cancel(j *Job, now time.Time) {
-	j.cancel()
+func (m *Model) cancelJob(j *Job, now time.Time) {
+	j.markCancelled()
 	for i := range j.Tasks {
 		if j.Tasks[i].Placement != nil {
 			m.stopPlacedTask(j, int32(i), 0, StopCancelled, now)
@@ -99,5 +99,5 @@
 		return
 	}
 	j := m.addJob(id, rec)
-	j.cancel()
+	j.markCancelled()
 }
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -34,7 +34,7 @@
 			m.loseTasksOn(mc, lossLeaseExpired, now)
 		}
 		if len(mc.Tasks) > 0 && !m.Ready(mc, now) {
-			m.revokeUnlaunched(mc, now)
+			m.removeUnlaunched(mc, now)
 		}
 		if !mc.interruptionAt.IsZero() && mc.alive {
 			m.evacuate(mc, now)
@@ -43,10 +43,10 @@
 	m.tickPools(now)
 }
 
-// revokeUnlaunched removes the placements on a machine that is not ready whose launches were
+// removeUnlaunched removes the placements on a machine that is not ready whose launches were
 // never sent. Such tasks are certainly not on the machine, so that they need not wait for its
 // lease to expire.
-func (m *Model) revokeUnlaunched(mc *Machine, now time.Time) {
+func (m *Model) removeUnlaunched(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
 		// A reservation promises its places: they are kept while the machine may return.
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -56,8 +56,8 @@
 	return mc
 }
 
-// describe records a machine's type, its zone, and whether it is a spot machine.
-func (m *Model) describe(mc *Machine, typ, zone string, spot bool) {
+// setTypeAndZone records a machine's type, its zone, and whether it is a spot machine.
+func (m *Model) setTypeAndZone(mc *Machine, typ, zone string, spot bool) {
 	mc.TypeName, mc.typeIndex, mc.Spot = typ, m.machineTypeIndex(typ), spot
 	z, ok := m.names.zones[zone]
 	if !ok {
@@ -83,15 +83,15 @@
 	}
 }
 
-// accepting reports whether tasks may be placed on the machine, apart from whether its worker
+// acceptsTasks reports whether tasks may be placed on the machine, apart from whether its worker
 // is alive and reachable: it is not about to go, and its type and zone are known.
-func (mc *Machine) accepting() bool {
+func (mc *Machine) acceptsTasks() bool {
 	return !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() && mc.typeIndex >= 0 && mc.Zone >= 0
 }
 
-// learnAddr records the address of the machine's worker as the cloud lists it, if no
+// setListedAddr records the address of the machine's worker as the cloud lists it, if no
 // heartbeat has given it.
-func (mc *Machine) learnAddr(addr string) {
+func (mc *Machine) setListedAddr(addr string) {
 	if mc.addr == "" {
 		mc.addr = addr
 	}
@@ -100,15 +100,15 @@
 // recordHeartbeat records a heartbeat that is newer than the last one recorded. A machine
 // that was not alive is idle from now on, and one with a new agent epoch has an empty image
 // cache.
-func (mc *Machine) recordHeartbeat(r *wire.Heartbeat, token uint64, now time.Time) {
+func (mc *Machine) recordHeartbeat(heartbeat *wire.Heartbeat, token uint64, now time.Time) {
 	if !mc.alive {
 		mc.idleSince = now
 	}
-	if mc.AgentEpoch != r.AgentEpoch {
+	if mc.AgentEpoch != heartbeat.AgentEpoch {
 		mc.cachedImages = nil
 	}
-	mc.addr = r.Addr
-	mc.renewLease(r, token, now)
+	mc.addr = heartbeat.Addr
+	mc.renewLease(heartbeat, token, now)
 }
 
 // recordInterruption records the interruption notice of the newest heartbeat, the seconds
--- a/cluster/machine_lease.go
+++ b/cluster/machine_lease.go
@@ -25,9 +25,9 @@
 }
 
 // renewLease records a newer heartbeat.
-func (l *workerLease) renewLease(r *wire.Heartbeat, token uint64, now time.Time) {
-	l.alive, l.AgentEpoch, l.Seq, l.lastSeen = true, r.AgentEpoch, r.Seq, now
-	l.tokenShown = r.Token == token
+func (l *workerLease) renewLease(heartbeat *wire.Heartbeat, token uint64, now time.Time) {
+	l.alive, l.AgentEpoch, l.Seq, l.lastSeen = true, heartbeat.AgentEpoch, heartbeat.Seq, now
+	l.tokenShown = heartbeat.Token == token
 }
 
 // endEpoch ends the lease and with it the agent epoch, whose heartbeats are not newer than the
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -15,7 +15,7 @@
 	quiet := config.Seconds(min(w.HeartbeatS*2.5+2, w.LeaseS/2))
 	// A machine that has not shown this leader's token may not receive answers, or may be
 	// gone, its heartbeats being delayed copies.
-	return mc.alive && mc.tokenShown && !mc.unreachable() && mc.accepting() && m.silentFor(mc, now) < quiet
+	return mc.alive && mc.tokenShown && !mc.unreachable() && mc.acceptsTasks() && m.silentFor(mc, now) < quiet
 }
 
 // ExpectedMachines returns how many machines should be sending heartbeats. A leader that
@@ -101,7 +101,7 @@
 // stopping will free. Images that the tasks wait for are appended to the image buffer.
 func (m *Model) addOccupants(mc *Machine, v *placement.Machine, over map[TaskRef]bool, now time.Time) {
 	images, tasks := len(m.buffers.images), len(m.buffers.occupants)
-	m.buffers.taskRefs = sortRefs(mc.Tasks, m.buffers.taskRefs[:0])
+	m.buffers.taskRefs = appendSortedRefs(mc.Tasks, m.buffers.taskRefs[:0])
 	for _, ref := range m.buffers.taskRefs {
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
--- a/cluster/placementpages.go
+++ b/cluster/placementpages.go
@@ -18,8 +18,8 @@
 	size                int                       // the most bytes that its records take
 }
 
-// loaded records the version at which the page was read from the store.
-func (p *placementPage) loaded(version uint64) { p.version = version }
+// setVersion records the version at which the page was read from the store.
+func (p *placementPage) setVersion(version uint64) { p.version = version }
 
 // resolveConflict records the version that the page's key turned out to have after a conflict. The
 // page is to be written again, also where it was to be deleted.
@@ -64,7 +64,9 @@
 
 // maxChunks bounds the chunks of a page, so that the conditions for all of them fit into one
 // transaction.
-func (s *placementPages) maxChunks() int { return s.limits.guards() - 1 - 2*maxFinalsWithPlacements }
+func (s *placementPages) maxChunks() int {
+	return s.limits.maxGuards() - 1 - 2*maxFinalRecordsWithPlacements
+}
 
 // at returns the page of that number and makes it if need be.
 func (s *placementPages) at(number int) *placementPage {
@@ -79,7 +81,7 @@
 func (s *placementPages) assign(j *Job, n int) {
 	size := s.chunkSize(j, n)
 	for _, p := range s.pages {
-		if p.size+size <= s.limits.valueBytes() && len(p.chunks)+len(p.unreadChunks) < s.maxChunks() {
+		if p.size+size <= s.limits.maxValueBytes() && len(p.chunks)+len(p.unreadChunks) < s.maxChunks() {
 			s.put(p, j, n)
 			return
 		}
--- a/cluster/placementpagewrite.go
+++ b/cluster/placementpagewrite.go
@@ -38,7 +38,7 @@
 // that is not in the store is not written and counts as committed.
 func (s *placementPages) addTo(b *WriteBatch, p *placementPage) {
 	w := s.prepare(b, p)
-	if len(b.Ops) > 0 && (b.bytes+w.bytes > maxBatchBytes || len(b.Guards)+len(w.guards)+1 > s.limits.guards()) {
+	if len(b.Ops) > 0 && (b.bytes+w.bytes > maxBatchBytes || len(b.Guards)+len(w.guards)+1 > s.limits.maxGuards()) {
 		return
 	}
 	if len(w.record.Chunks) == 0 && p.version == 0 {
--- a/cluster/plan_records.go
+++ b/cluster/plan_records.go
@@ -81,19 +81,19 @@
 }
 
 type planRecord struct {
-	value      any
-	generation uint64   // counts changes
-	committed  uint64   // the last change that is in the store
-	version    uint64   // of the key
-	raw        wire.Raw // as committed
+	value               any
+	generation          uint64   // counts changes
+	committedGeneration uint64   // the last change that is in the store
+	version             uint64   // of the key
+	raw                 wire.Raw // as committed
 }
 
 // isChanged reports whether the record is to be written.
-func (r *planRecord) isChanged() bool { return r.generation != r.committed }
+func (r *planRecord) isChanged() bool { return r.generation != r.committedGeneration }
 
 // commit applies the commit of a value of the given generation.
 func (r *planRecord) commit(version, generation uint64, raw wire.Raw) {
-	r.version, r.committed, r.raw = version, max(r.committed, generation), raw
+	r.version, r.committedGeneration, r.raw = version, max(r.committedGeneration, generation), raw
 }
 
 func (s *planRecords) findOrAdd(name string) *planRecord {
@@ -173,12 +173,12 @@
 		}
 		raw, err := wire.Marshal(r.value)
 		size := wire.JSONSize(raw)
-		if err == nil && size > m.writes.limits().valueBytes() {
+		if err == nil && size > m.writes.limits().maxValueBytes() {
 			err = fmt.Errorf("%d bytes: %w", size, errPlanRecordSize)
 		}
 		if err != nil {
 			m.log.Error("a record of the plan's can't be written", "name", name, "err", err)
-			r.committed = r.generation
+			r.committedGeneration = r.generation
 			continue
 		}
 		if len(b.Ops) > 0 && b.bytes+size > maxBatchBytes {
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -15,10 +15,10 @@
 // quarantine is what is known of records that can't be read. It only grows: a leader that
 // can read them again starts with a new model.
 type quarantine struct {
-	jobs               map[string]bool // whose own records can't be read
-	admissionPageLost  bool            // an admission page can't be read: any unknown job may be on it
-	newestPage         uint64          // the newest version of an unreadable placement page; 0 if there is none
-	placingPausedUntil time.Time       // no task is placed before
+	jobs                 map[string]bool // whose own records can't be read
+	admissionPageLost    bool            // an admission page can't be read: any unknown job may be on it
+	newestUnreadablePage uint64          // the newest version of an unreadable placement page; 0 if there is none
+	placementPausedUntil time.Time       // no task is placed before
 }
 
 // addJob records a job whose own records can't be read.
@@ -34,21 +34,23 @@
 func (q *quarantine) addAdmissionPage() { q.admissionPageLost = true }
 
 // addPlacementPage records the version of a placement page that can't be read.
-func (q *quarantine) addPlacementPage(version uint64) { q.newestPage = max(q.newestPage, version) }
+func (q *quarantine) addPlacementPage(version uint64) {
+	q.newestUnreadablePage = max(q.newestUnreadablePage, version)
+}
 
-// pausePlacing stops all placing until the given time. It never shortens a pause.
-func (q *quarantine) pausePlacing(until time.Time) {
-	if until.After(q.placingPausedUntil) {
-		q.placingPausedUntil = until
+// pausePlacement stops all placing until the given time. It never shortens a pause.
+func (q *quarantine) pausePlacement(until time.Time) {
+	if until.After(q.placementPausedUntil) {
+		q.placementPausedUntil = until
 	}
 }
 
-// pausesPlacing reports whether placing is stopped now.
-func (q *quarantine) pausesPlacing(now time.Time) bool { return now.Before(q.placingPausedUntil) }
+// placementPaused reports whether placing is stopped now.
+func (q *quarantine) placementPaused(now time.Time) bool { return now.Before(q.placementPausedUntil) }
 
-// mayHold reports whether a job that the model does not have may still be active, because
+// mayInclude reports whether a job that the model does not have may still be active, because
 // its record may be one that can't be read.
-func (q *quarantine) mayHold(id string) bool { return q.jobs[id] || q.admissionPageLost }
+func (q *quarantine) mayInclude(id string) bool { return q.jobs[id] || q.admissionPageLost }
 
 // QuarantineJob quarantines a job whose record can't be read: it is not scheduled until its
 // record is readable again or its user cancels it. Its placement records are preserved, so
@@ -56,7 +58,7 @@
 func (m *Model) QuarantineJob(key, id string, err error) {
 	m.log.Error("unreadable job record, job quarantined", "key", key, "id", id, "err", err)
 	m.quarantine.addJob(id)
-	m.pausePlacing()
+	m.pausePlacement()
 }
 
 // QuarantineAdmissionPage records that an admission page can't be read, so that it is not
@@ -69,10 +71,10 @@
 	m.quarantine.addAdmissionPage()
 	apart := time.Duration(2 * m.settings.Cluster.SkewMs * float64(time.Millisecond))
 	if since = since.Add(apart); since.Before(m.ElectedAt) {
-		m.pausePlacingFrom(since)
+		m.pausePlacementFrom(since)
 		return
 	}
-	m.pausePlacing()
+	m.pausePlacement()
 }
 
 // AdmissionEntries returns the jobs on an admission page in that version, so that a page
@@ -94,17 +96,17 @@
 	m.log.Error("unreadable placement page, jobs that may be on it quarantined", "key", key, "err", err)
 	m.writes.placementPages.markUnreadable(n, version)
 	m.quarantine.addPlacementPage(version)
-	m.pausePlacing()
+	m.pausePlacement()
 }
 
-// pausePlacing stops all placing until tasks that can't be accounted for are certainly
+// pausePlacement stops all placing until tasks that can't be accounted for are certainly
 // gone, since they may count against a team's limit. Workers that are answered are told to
 // stop tasks that the model does not have; workers that are not answered lose their leases.
-func (m *Model) pausePlacing() { m.pausePlacingFrom(m.ElectedAt) }
+func (m *Model) pausePlacement() { m.pausePlacementFrom(m.ElectedAt) }
 
-// pausePlacingFrom stops all placing until tasks that were told to stop at t are gone.
-func (m *Model) pausePlacingFrom(t time.Time) {
-	m.quarantine.pausePlacing(t.Add(config.Seconds(m.settings.Cluster.Workers.CancelS)))
+// pausePlacementFrom stops all placing until tasks that were told to stop at t are gone.
+func (m *Model) pausePlacementFrom(t time.Time) {
+	m.quarantine.pausePlacement(t.Add(config.Seconds(m.settings.Cluster.Workers.CancelS)))
 }
 
 // QuarantineFinishedJob loads, as cancelled, a job that is over and whose final record can't
@@ -113,7 +115,7 @@
 func (m *Model) QuarantineFinishedJob(key, id string, err error) {
 	m.log.Error("unreadable record of a finished job, stopping its tasks", "key", key, "id", id, "err", err)
 	m.LoadCancelledJob(id, jobstore.JobRecord{Job: wire.Job{ID: id, Tasks: wire.MaxTasks, Kind: wire.KindArray}})
-	m.pausePlacing()
+	m.pausePlacement()
 }
 
 // quarantineUnaccountedJobs quarantines the jobs that may have placements on an unreadable
@@ -121,16 +123,16 @@
 // the unreadable page. That exception does not hold for jobs with reservations or on shared
 // admission pages, whose records change after the job was accepted.
 func (m *Model) quarantineUnaccountedJobs() {
-	if m.quarantine.newestPage == 0 {
+	if m.quarantine.newestUnreadablePage == 0 {
 		return
 	}
 	for _, j := range m.Jobs {
-		if j == nil || j.Cancelled || j.Finished || j.admissionPage == nil && j.reservation == nil && j.version > m.quarantine.newestPage {
+		if j == nil || j.Cancelled || j.Finished || j.admissionPage == nil && j.reservation == nil && j.version > m.quarantine.newestUnreadablePage {
 			continue
 		}
 		for i := range j.Chunks {
 			if j.Chunks[i].page == nil {
-				j.quarantine()
+				j.markQuarantined()
 				m.log.Error("job quarantined, its placements are unreadable", "id", j.ID)
 				break
 			}
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -16,12 +16,12 @@
 // a heartbeat proves that it receives answers again.
 
 const (
-	// probeAttemptNumber is the attempt number in probes. Real attempts, which wake-ups
+	// probeAttempt is the attempt number in probes. Real attempts, which wake-ups
 	// name, never reach it, so that a probe can't be mistaken for a wake-up.
-	probeAttemptNumber = 1 << 40
-	// unreachableKeep is how long beyond a lease an empty unreachable machine is kept
+	probeAttempt = 1 << 40
+	// unreachableRetention is how long beyond a lease an empty unreachable machine is kept
 	// before it is deleted, the same as for a silent one.
-	unreachableKeep = 40 * time.Second
+	unreachableRetention = 40 * time.Second
 	// probeSearchLimit bounds the search for a job that a probe can name.
 	probeSearchLimit = 1000
 )
@@ -29,7 +29,7 @@
 // reachability is what the heartbeats of a machine have shown of whether it receives the
 // answers to them.
 type reachability struct {
-	heardSince       time.Time   // when its current run of heartbeats began; zero once it has missed an answer
+	heartbeatsSince  time.Time   // when its current run of heartbeats began; zero once it has missed an answer
 	tokenEverShown   bool        // a heartbeat carried this leader's token, possibly before its lease expired
 	unreachableSince time.Time   // since when it misses answers; zero if it is not known to miss any
 	receivingNode    string      // the node that received its last heartbeat
@@ -74,7 +74,7 @@
 		m.log.Info("machine receives no answers", "machine", mc.Name, "epoch", mc.AgentEpoch, "sign", sign)
 		mc.reachability.unreachableSince = now
 	}
-	mc.reachability.heardSince = time.Time{}
+	mc.reachability.heartbeatsSince = time.Time{}
 }
 
 // markReachable records a proof that a machine receives answers.
@@ -103,16 +103,16 @@
 
 // updateReachability derives from a new heartbeat whether the machine received the answer
 // to the previous one. It must run before the heartbeat changes mc.
-func (m *Model) updateReachability(mc *Machine, r *wire.Heartbeat, now time.Time) {
+func (m *Model) updateReachability(mc *Machine, heartbeat *wire.Heartbeat, now time.Time) {
 	h := &mc.reachability
 	expected := h.takeExpectedEffects()
 	if !mc.alive {
-		h.heardSince = now
+		h.heartbeatsSince = now
 		if h.tokenEverShown && !mc.unreachable() {
 			h.unreachableSince = now // silent for a lease: earlier proofs no longer count
 		}
 	}
-	if r.Token < m.FencingToken {
+	if heartbeat.Token < m.FencingToken {
 		m.applyMissingToken(mc, expected, now)
 		return
 	}
@@ -120,7 +120,7 @@
 		h.tokenEverShown = true
 		m.markReachable(mc, now)
 	}
-	if r.AgentEpoch != mc.AgentEpoch {
+	if heartbeat.AgentEpoch != mc.AgentEpoch {
 		// A new epoch although an answer was sent: its lease expired all the same.
 		if expected.answered && now.Sub(mc.lastAnswered) < config.Seconds(m.settings.Cluster.Workers.LeaseS/2) {
 			m.markUnreachable(mc, signNewEpoch, now)
@@ -128,7 +128,7 @@
 		}
 		return
 	}
-	m.checkExpectedEffects(mc, r, expected, now)
+	m.checkExpectedEffects(mc, heartbeat, expected, now)
 }
 
 // applyMissingToken applies a heartbeat without this leader's fencing token. The worker has
@@ -147,10 +147,10 @@
 
 // checkExpectedEffects derives from a heartbeat of the same epoch whether the last answer
 // was received: the exit of its probe is listed, and the exits that it forgot are not.
-func (m *Model) checkExpectedEffects(mc *Machine, r *wire.Heartbeat, expected expectedEffects, now time.Time) {
+func (m *Model) checkExpectedEffects(mc *Machine, heartbeat *wire.Heartbeat, expected expectedEffects, now time.Time) {
 	listed := make(map[exitKey]bool, len(expected.forgets))
-	for i := range r.Tasks {
-		k := exitKey{r.Tasks[i].Task, r.Tasks[i].Attempt}
+	for i := range heartbeat.Tasks {
+		k := exitKey{heartbeat.Tasks[i].Task, heartbeat.Tasks[i].Attempt}
 		if k == expected.probe {
 			m.markReachable(mc, now)
 		}
@@ -210,7 +210,7 @@
 	}
 	for i := len(m.Jobs) - 1; i >= max(0, len(m.Jobs)-probeSearchLimit); i-- {
 		if j := m.Jobs[i]; j != nil {
-			mc.reachability.pendingProbe = exitKey{wire.TaskName(j.ID, NoSuchTask), probeAttemptNumber}
+			mc.reachability.pendingProbe = exitKey{wire.TaskName(j.ID, NoSuchTask), probeAttempt}
 			return wire.Command{Op: wire.OpStart, Task: mc.reachability.pendingProbe.name, Attempt: mc.reachability.pendingProbe.attempt}, true
 		}
 	}
@@ -221,12 +221,12 @@
 // its next one should show whether it receives answers.
 func (m *Model) mayProveReachable(mc *Machine, now time.Time) bool {
 	within := config.Seconds(1.25*m.settings.Cluster.Workers.HeartbeatS + 1)
-	return mc.alive && mc.accepting() && now.Sub(mc.reachability.heardSince) < within
+	return mc.alive && mc.acceptsTasks() && now.Sub(mc.reachability.heartbeatsSince) < within
 }
 
 // unreachableTooLong reports whether a machine has been unreachable for so long that it
 // should be replaced.
 func (m *Model) unreachableTooLong(mc *Machine, now time.Time) bool {
-	limit := config.Seconds(m.settings.Cluster.Workers.LeaseS) + unreachableKeep
+	limit := config.Seconds(m.settings.Cluster.Workers.LeaseS) + unreachableRetention
 	return mc.unreachable() && !m.mayProveReachable(mc, now) && mc.alive && now.Sub(mc.reachability.unreachableSince) > limit
 }
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -8,8 +8,8 @@
 
 // reconcile updates the model from a new heartbeat: first from the tasks that it lists, and
 // then from the absence of tasks that the model has on the machine, where that is a proof.
-func (m *Model) reconcile(mc *Machine, r *wire.Heartbeat, now time.Time) {
-	listed := m.applyListedTasks(mc, r, now)
+func (m *Model) reconcile(mc *Machine, heartbeat *wire.Heartbeat, now time.Time) {
+	listed := m.applyListedTasks(mc, heartbeat, now)
 	if !mc.tokenShown {
 		// An answer of an earlier leader may still be on its way to a worker
 		// that has not shown this leader's token: absence proves nothing.
@@ -17,21 +17,21 @@
 	}
 	for ref := range mc.Tasks {
 		if !listed[ref] {
-			m.applyAbsence(mc, ref, r, now)
+			m.applyAbsence(mc, ref, heartbeat, now)
 		}
 	}
 }
 
 // applyListedTasks applies the state of each task that a heartbeat lists, and returns those
 // that are placed on the machine.
-func (m *Model) applyListedTasks(mc *Machine, r *wire.Heartbeat, now time.Time) map[TaskRef]bool {
-	listed := make(map[TaskRef]bool, len(r.Tasks))
-	named := make(map[exitKey]bool, len(r.Tasks))
+func (m *Model) applyListedTasks(mc *Machine, heartbeat *wire.Heartbeat, now time.Time) map[TaskRef]bool {
+	listed := make(map[TaskRef]bool, len(heartbeat.Tasks))
+	named := make(map[exitKey]bool, len(heartbeat.Tasks))
 	mc.resetOrphaned()
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		named[exitKey{t.Task, t.Attempt}] = true
-		if ref, placed := m.applyListedTask(mc, r, t, now); placed {
+	for i := range heartbeat.Tasks {
+		status := &heartbeat.Tasks[i]
+		named[exitKey{status.Task, status.Attempt}] = true
+		if ref, placed := m.applyListedTask(mc, heartbeat, status, now); placed {
 			listed[ref] = true
 		}
 	}
@@ -41,56 +41,56 @@
 
 // applyListedTask applies the state of a task that a heartbeat lists. It returns the task if
 // it is placed on the machine with the attempt listed.
-func (m *Model) applyListedTask(mc *Machine, r *wire.Heartbeat, t *wire.TaskStatus, now time.Time) (ref TaskRef, placed bool) {
-	j, task := m.taskNamed(t.Task)
+func (m *Model) applyListedTask(mc *Machine, heartbeat *wire.Heartbeat, status *wire.TaskStatus, now time.Time) (ref TaskRef, placed bool) {
+	j, task := m.taskNamed(status.Task)
 	if j == nil {
 		return TaskRef{}, false
 	}
 	p := j.Tasks[task].Placement
-	if p == nil || p.Machine != mc.index || p.Attempt != t.Attempt {
-		if t.State == wire.TaskExited {
-			m.applyUnplacedExit(j, task, mc, t, now)
+	if p == nil || p.Machine != mc.index || p.Attempt != status.Attempt {
+		if status.State == wire.TaskExited {
+			m.applyUnplacedExit(j, task, mc, status, now)
 		} else {
 			mc.addOrphaned(j.Need)
 		}
 		return TaskRef{}, false
 	}
 	ref = TaskRef{Job: j.Index, Task: task}
-	if t.State == wire.TaskExited && t.Why != wire.ExitDone && p.Inherited && !mc.tokenShown {
+	if status.State == wire.TaskExited && status.Why != wire.ExitDone && p.Inherited && !mc.tokenShown {
 		// Without the token this may be a delayed copy. A gang's task that the worker
 		// refused is launched again with the same attempt number, and may be on the
 		// machine by now.
 		return ref, true
 	}
-	if p.launchSent && p.reportedState == notReported && p.launchEpoch == r.AgentEpoch {
+	if p.launchSent && p.reportedState == notReported && p.launchEpoch == heartbeat.AgentEpoch {
 		m.markReachable(mc, now)
 	}
-	m.applyTaskState(j, task, mc, p, t, now)
+	m.applyTaskState(j, task, mc, p, status, now)
 	return ref, true
 }
 
 // applyAbsence handles a task that is placed on a machine but missing from its heartbeat: it
 // has not been launched yet, its launch was lost, or it is gone.
-func (m *Model) applyAbsence(mc *Machine, ref TaskRef, r *wire.Heartbeat, now time.Time) {
+func (m *Model) applyAbsence(mc *Machine, ref TaskRef, heartbeat *wire.Heartbeat, now time.Time) {
 	j := m.Jobs[ref.Job]
 	p := j.Tasks[ref.Task].Placement
 	switch {
-	case p.Inherited && p.Stop == nil && j.reservation != nil && r.AgentEpoch == 1:
+	case p.Inherited && p.Stop == nil && j.reservation != nil && heartbeat.AgentEpoch == 1:
 		// In its first epoch the worker's lease has never expired, and a worker
 		// lists every task it ever received until told to forget it. So the launch
 		// never reached it.
-		p.launchLost()
+		p.clearLaunch()
 		return
 	case p.Inherited:
 		// The token is shown, so that no launch of the earlier leader can arrive any more.
 	case !p.launchSent:
 		return // not launched yet
-	case p.launchEpoch == r.AgentEpoch && p.launchSeq >= r.Seq:
+	case p.launchEpoch == heartbeat.AgentEpoch && p.launchSeq >= heartbeat.Seq:
 		return // the heartbeat is not newer than the launch
-	case p.launchEpoch == r.AgentEpoch && p.reportedState == notReported && p.Stop == nil:
+	case p.launchEpoch == heartbeat.AgentEpoch && p.reportedState == notReported && p.Stop == nil:
 		// The answer with the launch was lost, and can't be executed any more, since
 		// the worker has sent a newer heartbeat.
-		p.launchLost()
+		p.clearLaunch()
 		if (heartbeatID{p.launchEpoch, p.launchSeq}) != mc.reachability.answeredTwice {
 			m.markUnreachable(mc, signLaunchMissing, now)
 		}
@@ -100,25 +100,25 @@
 }
 
 // applyTaskState applies the state that a heartbeat lists for a task placed on the machine.
-func (m *Model) applyTaskState(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskStatus, now time.Time) {
-	p.listed()
-	switch t.State {
+func (m *Model) applyTaskState(j *Job, task int32, mc *Machine, p *Placement, status *wire.TaskStatus, now time.Time) {
+	p.recordListed()
+	switch status.State {
 	case wire.TaskFetching:
-		p.report(reportedFetching, now)
+		p.recordState(reportedFetching, now)
 	case wire.TaskWaiting:
-		p.report(reportedWaiting, now)
+		p.recordState(reportedWaiting, now)
 		m.recordImage(mc, j.image)
 	case wire.TaskRunning:
-		if p.report(reportedRunning, now) {
+		if p.recordState(reportedRunning, now) {
 			if !p.launchSentAt.IsZero() {
 				m.Observer.Running(now.Sub(p.launchSentAt).Seconds())
 			}
 			if !p.Inherited && !j.failures.atFault() {
 				m.startupAndStragglersOf(j).addStartDelay(now.Sub(p.placedAt).Seconds())
 			}
-			m.log.Debug("task started", "task", t.Task, "attempt", t.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.placedAt).Seconds())
+			m.log.Debug("task started", "task", status.Task, "attempt", status.Attempt, "machine", mc.Name, "sincePlaced", now.Sub(p.placedAt).Seconds())
 		}
-		if now.Sub(p.runningSince).Seconds() >= provenAfterSeconds {
+		if now.Sub(p.runningSince).Seconds() >= healthyAfterSeconds {
 			m.clearFault(j)
 		}
 		if j.markStarted(now) {
@@ -126,8 +126,8 @@
 		}
 		m.recordImage(mc, j.image)
 	case wire.TaskSaving:
-		p.report(reportedSaving, now)
+		p.recordState(reportedSaving, now)
 	case wire.TaskExited:
-		m.applyExit(j, task, mc, p, t, now)
+		m.applyExit(j, task, mc, p, status, now)
 	}
 }
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -74,7 +74,7 @@
 	if j.reservation == nil || t.Phase != TaskIdle || j.Cancelled {
 		return
 	}
-	t.end(how)
+	t.setOutcome(how)
 	m.prefetchEnded(j, how, now)
 	m.markDone(j, task, now)
 }
@@ -151,7 +151,7 @@
 func (j *Job) loadEndedTasks(pairs []int) {
 	for i := 0; i+1 < len(pairs); i += 2 {
 		if t := pairs[i]; t >= 0 && t < len(j.Tasks) && pairs[i+1] >= 0 && pairs[i+1] <= math.MaxUint8 {
-			j.Tasks[t].end(jobstore.TaskOutcome(pairs[i+1]))
+			j.Tasks[t].setOutcome(jobstore.TaskOutcome(pairs[i+1]))
 		}
 	}
 }
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -23,15 +23,15 @@
 const (
 	// maxScaleIn bounds the machines that one request deletes.
 	maxScaleIn = 50
-	// silentKeep is how long an empty silent machine is kept after its lease has expired.
-	silentKeep = 40 * time.Second
-	// idleWithoutJobs is how long an idle machine is kept at most while no job is open.
-	idleWithoutJobs = 20 * time.Second
-	// A new leader has not received heartbeats from all machines yet. For neverUpPatience
-	// after its election it deletes no machine for never having come up, and for idlePatience
+	// silentRetention is how long an empty silent machine is kept after its lease has expired.
+	silentRetention = 40 * time.Second
+	// maxIdleWithoutJobs is how long an idle machine is kept at most while no job is open.
+	maxIdleWithoutJobs = 20 * time.Second
+	// A new leader has not received heartbeats from all machines yet. For neverUpGracePeriod
+	// after its election it deletes no machine for never having come up, and for idleGracePeriod
 	// none for being idle or unreachable.
-	neverUpPatience = 20 * time.Second
-	idlePatience    = 30 * time.Second
+	neverUpGracePeriod = 20 * time.Second
+	idleGracePeriod    = 30 * time.Second
 )
 
 // ResumeScaleIn marks machines whose deletion an earlier leader requested. It may still be
@@ -48,7 +48,7 @@
 func (m *Model) SelectScaleIn(now time.Time, idle time.Duration) []string {
 	if len(m.openJobs()) == 0 {
 		// Without any open job, machines need not be kept for long.
-		idle = min(idle, idleWithoutJobs)
+		idle = min(idle, maxIdleWithoutJobs)
 	}
 	var out []string
 	// Deletions that were requested before and are not confirmed come first, because
@@ -73,7 +73,7 @@
 			mc.markScalingIn()
 			m.log.Info("scaling in machine", "machine", mc.Name, "why", why)
 			if why == scaleInNeverUp {
-				m.refuseOfferOf(mc, now)
+				m.refuseMachineOffer(mc, now)
 			}
 			out = append(out, mc.Name)
 		}
@@ -91,15 +91,15 @@
 	switch {
 	case mc.cloudState == wire.MachineFailed && listed && !mc.alive:
 		return scaleInFailed
-	case !mc.alive && mc.AgentEpoch == 0 && mc.typeIndex >= 0 && now.Sub(mc.createdAt) > m.lostBootLimit(mc) && (listed || mc.requestedHere) && sinceElection > neverUpPatience:
+	case !mc.alive && mc.AgentEpoch == 0 && mc.typeIndex >= 0 && now.Sub(mc.createdAt) > m.lostBootLimit(mc) && (listed || mc.requestedHere) && sinceElection > neverUpGracePeriod:
 		return scaleInNeverUp
-	case !mc.alive && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseEnd(mc)) > silentKeep:
+	case !mc.alive && mc.AgentEpoch > 0 && listed && now.Sub(m.leaseEnd(mc)) > silentRetention:
 		return scaleInSilent
 	case mc.alive && mc.tokenShown && m.releasedByPool(mc):
 		return scaleInPoolRelease
-	case mc.alive && mc.tokenShown && now.Sub(mc.idleSince) > idle && now.Sub(mc.headroomAt) > idle && sinceElection > idlePatience && !m.keptByPool(mc):
+	case mc.alive && mc.tokenShown && now.Sub(mc.idleSince) > idle && now.Sub(mc.headroomAt) > idle && sinceElection > idleGracePeriod && !m.keptByPool(mc):
 		return scaleInIdle
-	case m.unreachableTooLong(mc, now) && sinceElection > idlePatience:
+	case m.unreachableTooLong(mc, now) && sinceElection > idleGracePeriod:
 		return scaleInUnreachable
 	}
 	return scaleInNone
--- a/cluster/scaleout.go
+++ b/cluster/scaleout.go
@@ -68,7 +68,7 @@
 		if !mc.alive && mc.AgentEpoch == 0 {
 			mc.recordCreation()
 		}
-		m.describe(mc, o.Type, o.Zone, o.Spot)
+		m.setTypeAndZone(mc, o.Type, o.Zone, o.Spot)
 		m.log.Info("machine scaled out", "machine", n, "type", o.Type, "zone", o.Zone, "spot", o.Spot)
 	}
 }
--- a/cluster/schedule.go
+++ b/cluster/schedule.go
@@ -35,7 +35,7 @@
 // nothing while placing is paused because of unreadable records, or while the operators' plan
 // is unreadable.
 func (m *Model) Schedule(now time.Time, renting int) Decisions {
-	if m.quarantine.pausesPlacing(now) || m.plan.Unreadable {
+	if m.quarantine.placementPaused(now) || m.plan.Unreadable {
 		return Decisions{}
 	}
 	jobs := m.openJobs()
--- a/cluster/stallrecovery.go
+++ b/cluster/stallrecovery.go
@@ -9,20 +9,20 @@
 // stallRecovery is the last stall of the leader's process. During a stall clocks run on and
 // heartbeats queue up unread, so that silence proves nothing about a machine.
 type stallRecovery struct {
-	ended  time.Time // zero if there was none
-	lasted time.Duration
+	endedAt  time.Time // zero if there was none
+	duration time.Duration
 }
 
 // recovering reports whether the stall ended less than the given time ago.
 func (s *stallRecovery) recovering(now time.Time, within time.Duration) bool {
-	return !s.ended.IsZero() && now.Sub(s.ended) < within
+	return !s.endedAt.IsZero() && now.Sub(s.endedAt) < within
 }
 
 // silence returns the time since a heartbeat, not counting a stall after it.
 func (s *stallRecovery) silence(lastSeen, now time.Time) time.Duration {
 	d := now.Sub(lastSeen)
-	if lastSeen.Before(s.ended) {
-		d -= s.lasted
+	if lastSeen.Before(s.endedAt) {
+		d -= s.duration
 	}
 	return d
 }
@@ -30,8 +30,8 @@
 // ResumeAfterStall records that the leader's process was paused for that long until
 // resumed, while its clocks ran on. Heartbeats that arrived meanwhile are still unread, so
 // that the pause does not count as silence of any machine.
-func (m *Model) ResumeAfterStall(resumed time.Time, stood time.Duration) {
-	m.stall = stallRecovery{ended: resumed, lasted: stood}
+func (m *Model) ResumeAfterStall(resumed time.Time, pause time.Duration) {
+	m.stall = stallRecovery{endedAt: resumed, duration: pause}
 }
 
 // recoveringFromStall reports whether the leader's process resumed after a pause so
--- a/cluster/stoppush.go
+++ b/cluster/stoppush.go
@@ -28,7 +28,7 @@
 		if mc.addr == "" || !mc.alive {
 			continue
 		}
-		p.Stop.push(now)
+		p.Stop.recordPush(now)
 		d := byMachine[mc.index]
 		if d == nil {
 			d = &Push{Machine: mc.Name, Addr: mc.addr, Commands: wire.DirectCommands{Token: m.FencingToken, AgentEpoch: mc.AgentEpoch}}
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -34,20 +34,20 @@
 }
 
 // rememberExit records that an exit has been applied.
-func (m *Model) rememberExit(j *Job, task int32, mc *Machine, t *wire.TaskStatus) {
+func (m *Model) rememberExit(j *Job, task int32, mc *Machine, status *wire.TaskStatus) {
 	n := int(task) / jobstore.ChunkSize
-	mc.reportedExits[exitKey{t.Task, t.Attempt}] = &reportedExit{job: j.Index, chunk: n, generation: j.Chunks[n].generation}
+	mc.reportedExits[exitKey{status.Task, status.Attempt}] = &reportedExit{job: j.Index, chunk: n, generation: j.Chunks[n].generation}
 }
 
 // applyExit applies the end of a task's attempt that its worker has listed.
-func (m *Model) applyExit(j *Job, task int32, mc *Machine, p *Placement, t *wire.TaskStatus, now time.Time) {
+func (m *Model) applyExit(j *Job, task int32, mc *Machine, p *Placement, status *wire.TaskStatus, now time.Time) {
 	ran := 0.0
 	if !p.runningSince.IsZero() {
 		ran = now.Sub(p.runningSince).Seconds()
 	}
-	m.log.Debug("task exited", "task", t.Task, "attempt", t.Attempt, "why", t.Why, "saved", t.Saved, "ran", ran, "machine", mc.Name)
+	m.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "why", status.Why, "saved", status.Saved, "ran", ran, "machine", mc.Name)
 	ref := TaskRef{Job: j.Index, Task: task}
-	if t.Why == wire.ExitDone {
+	if status.Why == wire.ExitDone {
 		m.recordImage(mc, j.image)
 		m.clearFault(j)
 		m.recordSlowness(j, mc, p, now)
@@ -61,34 +61,34 @@
 			m.markDone(j, task, now)
 		}
 		m.quarantineFailedMove(ref, "", now)
-		m.rememberExit(j, task, mc, t)
+		m.rememberExit(j, task, mc, status)
 		return
 	}
 	wait := time.Duration(0)
 	failed := ""
 	how := jobstore.OutcomeRefused
-	switch t.Why {
+	switch status.Why {
 	case wire.ExitError:
 		how = jobstore.OutcomeFailed
 		if j.reservation == nil { // the tasks of a reserved job run different things: no error is the job's
-			wait = m.taskFailed(j, task, mc, now)
+			wait = m.recordTaskFailure(j, task, mc, now)
 		}
 		failed = "error"
 	case wire.ExitNoRoom, wire.ExitBusy:
 		wait = time.Second
 		j.avoidMachine(mc.index, now.Add(5*time.Second))
-		failed = t.Why
+		failed = status.Why
 	case wire.ExitUnknown:
 		wait = 3 * time.Second
-		failed = t.Why
+		failed = status.Why
 	case wire.ExitAlone:
-		j.endGang()
+		j.markGangEnding()
 		wait = time.Second
 	case wire.ExitPeers, wire.ExitStopped:
-		j.endGang()
+		j.markGangEnding()
 		how = p.outcomeIfStopped()
 	}
-	if t.Saved {
+	if status.Saved {
 		j.recordSavedProgress(task, p, now)
 	} else {
 		j.recordLostProgress(task, p, now)
@@ -96,21 +96,21 @@
 	m.removePlacement(j, task, now)
 	j.Tasks[task].delayUntil(now.Add(wait))
 	m.finishOnlyAttempt(j, task, how, now)
-	m.rememberExit(j, task, mc, t)
+	m.rememberExit(j, task, mc, status)
 	m.quarantineFailedMove(ref, failed, now)
 	m.afterGangLoss(j, now)
 }
 
 // applyUnplacedExit applies an exit without a placement: its outcome is known already, or
 // the model had given the attempt up as lost.
-func (m *Model) applyUnplacedExit(j *Job, task int32, mc *Machine, t *wire.TaskStatus, now time.Time) {
-	if mc.reportedExits[exitKey{t.Task, t.Attempt}] != nil {
+func (m *Model) applyUnplacedExit(j *Job, task int32, mc *Machine, status *wire.TaskStatus, now time.Time) {
+	if mc.reportedExits[exitKey{status.Task, status.Attempt}] != nil {
 		return
 	}
-	if t.Why == wire.ExitDone && !j.Cancelled && j.Tasks[task].Phase == TaskIdle {
+	if status.Why == wire.ExitDone && !j.Cancelled && j.Tasks[task].Phase == TaskIdle {
 		m.markDone(j, task, now)
 	}
-	m.rememberExit(j, task, mc, t)
+	m.rememberExit(j, task, mc, status)
 }
 
 // lossReason says by what proof a task is gone, for the log.
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -83,7 +83,7 @@
 
 // stopGang orders all placed tasks of a gang to stop.
 func (m *Model) stopGang(j *Job, grace float64, why StopReason, now time.Time) {
-	j.endGang()
+	j.markGangEnding()
 	for i := range j.Tasks {
 		if j.Tasks[i].Placement != nil {
 			m.stopPlacedTask(j, int32(i), grace, why, now)
@@ -112,9 +112,11 @@
 }
 
 // sortedRefs lists refs in an order that does not depend on the map's.
-func sortedRefs(set map[TaskRef]bool) []TaskRef { return sortRefs(set, make([]TaskRef, 0, len(set))) }
+func sortedRefs(set map[TaskRef]bool) []TaskRef {
+	return appendSortedRefs(set, make([]TaskRef, 0, len(set)))
+}
 
-func sortRefs(set map[TaskRef]bool, out []TaskRef) []TaskRef {
+func appendSortedRefs(set map[TaskRef]bool, out []TaskRef) []TaskRef {
 	for r := range set {
 		out = append(out, r)
 	}
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -34,11 +34,11 @@
 		}
 		j, mc := m.Jobs[ref.Job], m.Machines[p.Machine]
 		if called[mc.index] {
-			p.wake(now) // one wake-up serves all launches of its machine
+			p.recordWakeUp(now) // one wake-up serves all launches of its machine
 			return true
 		}
 		if len(out) < most && mc.canBeWoken() && now.Sub(p.wokenAt) >= wakeUpRetry && launchable(j, ref.Task) {
-			p.wake(now)
+			p.recordWakeUp(now)
 			called[mc.index] = true
 			out = append(out, m.wakeUp(mc, j, p.Attempt))
 		}
--- a/cluster/warm_pool_members.go
+++ b/cluster/warm_pool_members.go
@@ -17,7 +17,7 @@
 // of the others have the weights and which teams use them.
 func (m *Model) updateMembers(p *warmPool, now time.Time) {
 	image := m.poolImage(p)
-	for _, idx := range sortedKeys(p.shardOf) {
+	for _, idx := range sortedMachineIndexes(p.shardOf) {
 		mc := m.Machines[idx]
 		shard := p.shardOf[idx]
 		member := p.shards[shard].Member(mc.Name)
@@ -47,7 +47,7 @@
 // heartbeat from it and has not seen it in the cloud's list for long.
 func (m *Model) memberNeverSeen(mc *Machine, now time.Time) bool {
 	_, boots := m.estimateBootTimeLeft(mc, now)
-	return !mc.alive && !boots && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > lostMachineAfter && now.Sub(mc.cloudStateAt) > lostMachineAfter
+	return !mc.alive && !boots && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > memberLostAfter && now.Sub(mc.cloudStateAt) > memberLostAfter
 }
 
 // restoreWeights adds the weights to a machine's images if an earlier leader recorded them
@@ -74,8 +74,8 @@
 	return true
 }
 
-// sortedKeys lists machines by index, so that members are always visited in the same order.
-func sortedKeys(shardOf map[int32]int) []int32 {
+// sortedMachineIndexes lists machines by index, so that members are always visited in the same order.
+func sortedMachineIndexes(shardOf map[int32]int) []int32 {
 	keys := make([]int32, 0, len(shardOf))
 	for k := range shardOf {
 		keys = append(keys, k)
--- a/cluster/warm_pools.go
+++ b/cluster/warm_pools.go
@@ -44,8 +44,8 @@
 	minIdleToJoin      = 4 * time.Second  // a machine that has just come up may be for waiting work
 	accountInterval    = time.Minute      // between two records of an account that nothing else changes
 	fetchRetryInterval = 20 * time.Second // until a fetch is requested again
-	recentlyStarted    = time.Minute      // a machine that has been idle for longer was not rented for a pool
-	lostMachineAfter   = time.Minute      // a recorded member that no heartbeat and no list has shown is gone
+	recentBootWindow   = time.Minute      // a machine that has been idle for longer was not rented for a pool
+	memberLostAfter    = time.Minute      // a recorded member that no heartbeat and no list has shown is gone
 	maxScaleOutPerTick = 50               // of a pool in a zone
 	otherZonePenalty   = 1e6              // added to the price of a machine in another zone than wanted
 	poolExclusionTime  = 10 * time.Minute // no pool accepts a machine that has failed to fetch its image
@@ -183,7 +183,7 @@
 		return
 	}
 	since := now
-	if mc.creationKnown && !mc.hasHadTask && mc.createdAt.Before(now) && now.Sub(mc.idleSince) < recentlyStarted {
+	if mc.creationKnown && !mc.hasHadTask && mc.createdAt.Before(now) && now.Sub(mc.idleSince) < recentBootWindow {
 		since = mc.createdAt
 	}
 	p.shards[shard].Join(warmpool.Member{Machine: mc.Name, Zone: m.Zones[mc.Zone], SinceMs: since.UnixMilli(), HourlyRate: m.hourlyRate(mc)})
--- a/cluster/writebatch.go
+++ b/cluster/writebatch.go
@@ -27,9 +27,9 @@
 const (
 	// maxBatchBytes keeps a transaction well below the service's limit of 64 KiB.
 	maxBatchBytes = 48 << 10
-	// maxFinalsWithPlacements bounds the jobs that are ended by a transaction that also
+	// maxFinalRecordsWithPlacements bounds the jobs that are ended by a transaction that also
 	// places tasks, so that the conditions of both fit.
-	maxFinalsWithPlacements = 4
+	maxFinalRecordsWithPlacements = 4
 	// finalRecordBytes is what is allowed for a job's final record in a batch.
 	finalRecordBytes = 1000
 )
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -69,9 +69,9 @@
 // writeLimits are what the key-value store accepts.
 type writeLimits struct{ state *config.StateLimits }
 
-// guards is how many conditions a transaction may have, besides those on the leader key and
+// maxGuards is how many conditions a transaction may have, besides those on the leader key and
 // the plan head.
-func (l writeLimits) guards() int {
+func (l writeLimits) maxGuards() int {
 	ops := l.state.TxnOps
 	if ops <= 0 {
 		ops = 12
@@ -79,8 +79,8 @@
 	return 4*ops - 2
 }
 
-// valueBytes bounds a value, with a margin.
-func (l writeLimits) valueBytes() int {
+// maxValueBytes bounds a value, with a margin.
+func (l writeLimits) maxValueBytes() int {
 	kb := l.state.ValueKB
 	if kb <= 0 {
 		kb = 16
@@ -121,7 +121,7 @@
 	placing, others := m.writes.placementPages.changed()
 	maxFinals := maxOps
 	if len(placing) > 0 {
-		maxFinals = maxFinalsWithPlacements
+		maxFinals = maxFinalRecordsWithPlacements
 	}
 	m.addFinalRecords(b, maxOps, maxFinals)
 	for _, p := range append(placing, others...) {
@@ -156,7 +156,7 @@
 			m.dropJob(j)
 			return false
 		case j.awaitsFinalRecord():
-			if maxFinals == 0 || len(b.Ops)+2 > maxOps || len(b.Guards)+2 > m.writes.limits().guards() || !m.addFinalRecord(b, j) {
+			if maxFinals == 0 || len(b.Ops)+2 > maxOps || len(b.Guards)+2 > m.writes.limits().maxGuards() || !m.addFinalRecord(b, j) {
 				return true
 			}
 			maxFinals--
@@ -187,7 +187,7 @@
 	b.jobs[jobstore.JobKey(j.ID)] = j
 	b.bytes += finalRecordBytes
 	b.commitHooks = append(b.commitHooks, func(_ uint64, now time.Time) {
-		j.finish()
+		j.markFinished()
 		m.log.Info("job completed", "id", j.ID, "sinceAccept", now.Sub(j.AcceptedAt).Round(time.Millisecond).Seconds())
 		m.dropJob(j)
 	})
