--- a/cluster/machine_bookings.go
+++ b/cluster/machine_bookings.go
@@ -6,15 +6,16 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// bookings are the tasks on a machine and the resources that they use. Used is the sum of the
-// needs of Tasks, and exactly zero without tasks, so that rounding errors don't add up.
+// bookings are the tasks placed on a machine and the resources that they use. Used is the sum
+// of the needs of Tasks. It is reset to exactly zero when no task is left, so that rounding
+// errors don't accumulate.
 type bookings struct {
-	Tasks      map[TaskRef]bool // placed on the machine
+	Tasks      map[TaskRef]bool
 	Used       placement.Resources
-	orphaned   placement.Resources // used by tasks that the last heartbeat lists and that are not placed here
-	idleSince  time.Time           // when the machine came up or last ran out of tasks
-	headroomAt time.Time           // when it was last kept, empty, as headroom
-	hasHadTask bool
+	orphaned   placement.Resources // used by tasks in the last heartbeat that are not placed on the machine
+	idleSince  time.Time           // when the machine came up or its last task was released
+	headroomAt time.Time           // when a pass last kept the empty machine as headroom
+	hasHadTask bool                // a task was placed on the machine at some time
 }
 
 // bookTask books a task on the machine.
@@ -24,7 +25,8 @@
 	b.hasHadTask = true
 }
 
-// releaseTask takes a booked task off the machine. One that has no other is idle from now on.
+// releaseTask removes a booked task from the machine. With the last task removed, the idle
+// time of the machine begins.
 func (b *bookings) releaseTask(ref TaskRef, need placement.Resources, now time.Time) {
 	delete(b.Tasks, ref)
 	b.Used = b.Used.Add(need, -1)
@@ -34,12 +36,13 @@
 	}
 }
 
-// resetOrphaned resets the resources of listed tasks that are not placed on the machine: a
-// newer heartbeat is about to list them, or none can be running.
+// resetOrphaned clears the resources of orphaned tasks. It is called before a newer heartbeat
+// is applied, which lists them again, or when no task can be running.
 func (b *bookings) resetOrphaned() { b.orphaned = placement.Resources{} }
 
-// addOrphaned adds the resources of a task that is listed but not placed on the machine.
+// addOrphaned adds the resources of a task that a heartbeat lists and that is not placed on
+// the machine.
 func (b *bookings) addOrphaned(need placement.Resources) { b.orphaned = b.orphaned.Add(need, 1) }
 
-// keepAsHeadroom records that a pass kept the empty machine for jobs to come.
+// keepAsHeadroom records that a scheduling pass kept the empty machine for future jobs.
 func (b *bookings) keepAsHeadroom(now time.Time) { b.headroomAt = now }
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -9,21 +9,22 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Ready reports whether tasks can be placed on a machine now.
+// Ready reports whether tasks can be placed on a machine now: its worker is alive, reachable
+// and not silent for long, and the machine accepts tasks.
 func (m *Model) Ready(mc *Machine, now time.Time) bool {
 	w := m.settings.Cluster.Workers
-	quiet := config.Seconds(min(w.HeartbeatS*2.5+2, w.LeaseS/2))
-	// A machine that has not shown this leader's token may not receive answers, or may be
-	// gone, its heartbeats being delayed copies.
-	return mc.alive && mc.tokenShown && !mc.unreachable() && mc.acceptsTasks() && m.silentFor(mc, now) < quiet
+	maxSilence := config.Seconds(min(w.HeartbeatS*2.5+2, w.LeaseS/2))
+	// A machine that has not shown this leader's token may not receive answers. It may also
+	// be gone, and its heartbeats may be delayed copies.
+	return mc.alive && mc.tokenShown && !mc.unreachable() && mc.acceptsTasks() && m.silentFor(mc, now) < maxSilence
 }
 
-// ExpectedMachines returns how many machines should be sending heartbeats. A leader that
-// expects some and receives none for a while concludes that workers can't reach it and
-// resigns. Counting machines that are gone would therefore make leaders resign in turn when
-// a cluster becomes idle. The cloud's list counts only while it is recent and not soon after
-// an election, because it lags behind deletions; heartbeats count only if they carry this
-// leader's token, because others may be delayed copies.
+// ExpectedMachines returns the number of machines that should be sending heartbeats. A leader
+// that expects some and receives none for a while concludes that workers can't reach it, and
+// resigns. If machines that are gone were counted, one leader after another would resign when
+// a cluster becomes idle. The cloud's list lags behind deletions. It counts only while it is
+// recent, and not soon after an election. Heartbeats count only if they carry this leader's
+// token, because others may be delayed copies.
 func (m *Model) ExpectedMachines(now time.Time) int {
 	n := 0
 	lag := config.Seconds(2*m.settings.Cluster.Cloud.ListLagS + 10)
@@ -36,7 +37,7 @@
 	return n
 }
 
-// preemptionLoss estimates the seconds of work that stopping a task throws away.
+// preemptionLoss estimates the seconds of work that are lost if a task is stopped.
 func (m *Model) preemptionLoss(j *Job, p *Placement, now time.Time) float64 {
 	switch {
 	case p.reportedState < reportedRunning:
@@ -47,24 +48,25 @@
 	return now.Sub(p.runningSince).Seconds()
 }
 
-// secondsLeft estimates the seconds until a task ends by itself.
+// secondsLeft estimates the seconds until a task ends without being stopped.
 func (m *Model) secondsLeft(j *Job, task int32, now time.Time) float64 {
 	if j.Spec.Kind == wire.KindService {
 		return 1e9
 	}
-	p, more := j.Tasks[task].Placement, m.remainingRunTime(j, task)
+	p, remaining := j.Tasks[task].Placement, m.remainingRunTime(j, task)
 	if p.reportedState < reportedRunning || p.runningSince.IsZero() {
-		return 5 + more
+		return 5 + remaining
 	}
 	ran := now.Sub(p.runningSince).Seconds()
-	// One that has run past what was expected is likely to run on for a while.
-	return max(5, ran/5, more-ran)
+	// A task that exceeds its estimate is likely to run for a while longer.
+	return max(5, ran/5, remaining-ran)
 }
 
-// machineView returns a machine as a scheduling pass sees it. It returns false for a machine
-// that can't be given tasks and is not expected to be soon. The images and tasks of the view
-// are slices of the model's buffers, and valid until the next pass.
-func (m *Model) machineView(mc *Machine, over map[TaskRef]bool, now time.Time) (placement.Machine, bool) {
+// machineView returns a machine in the form that a scheduling pass uses. It returns false for
+// a machine that neither accepts tasks now nor is expected to soon. The images and tasks of
+// the view are slices of the model's buffers and valid until the next pass.
+// overGuarantee holds the tasks beyond their teams' guarantees.
+func (m *Model) machineView(mc *Machine, overGuarantee map[TaskRef]bool, now time.Time) (placement.Machine, bool) {
 	v := placement.Machine{Name: mc.Name, Type: mc.typeIndex, Zone: mc.Zone, Spot: mc.Spot}
 	if m.Ready(mc, now) {
 		v.Ready = true
@@ -87,27 +89,27 @@
 	if mc.slowness > 1.5 {
 		v.PenaltySeconds += 20 * mc.slowness
 	}
-	images := len(m.buffers.images)
-	m.addOccupants(mc, &v, over, now)
+	firstImage := len(m.buffers.images)
+	m.addOccupants(mc, &v, overGuarantee, now)
 	for _, im := range mc.cachedImages {
 		m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: im})
 	}
-	v.Images = m.buffers.images[images:]
+	v.Images = m.buffers.images[firstImage:]
 	m.poolView(mc, &v)
 	return v, true
 }
 
-// addOccupants adds a machine's tasks to its view, with the resources that those which are
-// stopping will free. Images that the tasks wait for are appended to the image buffer.
-func (m *Model) addOccupants(mc *Machine, v *placement.Machine, over map[TaskRef]bool, now time.Time) {
-	images, tasks := len(m.buffers.images), len(m.buffers.occupants)
+// addOccupants adds a machine's tasks to its view, and the resources that its stopping tasks
+// will free. It appends images that are being fetched for the tasks to the image buffer.
+func (m *Model) addOccupants(mc *Machine, v *placement.Machine, overGuarantee map[TaskRef]bool, now time.Time) {
+	firstImage, firstOccupant := len(m.buffers.images), len(m.buffers.occupants)
 	m.buffers.taskRefs = appendSortedRefs(mc.Tasks, m.buffers.taskRefs[:0])
 	for _, ref := range m.buffers.taskRefs {
 		j := m.Jobs[ref.Job]
 		p := j.Tasks[ref.Task].Placement
 		if p.reportedState < reportedWaiting && v.FetchRate > 0 && !mc.hasImage(j.image) {
 			left := max(0.5, j.Spec.ImageGB/v.FetchRate-now.Sub(p.placedAt).Seconds())
-			if !slices.ContainsFunc(m.buffers.images[images:], func(im placement.ImageAt) bool { return im.Image == j.image }) {
+			if !slices.ContainsFunc(m.buffers.images[firstImage:], func(im placement.ImageAt) bool { return im.Image == j.image }) {
 				m.buffers.images = append(m.buffers.images, placement.ImageAt{Image: j.image, ReadyInSeconds: left})
 				v.FetchBacklogSeconds += left
 			}
@@ -117,10 +119,10 @@
 			v.Releasing = v.Releasing.Add(j.Need, 1)
 		}
 		m.buffers.occupants = append(m.buffers.occupants, placement.Occupant{
-			Task: ref, Need: j.Need, Priority: j.priority, Team: j.team, OverGuarantee: over[ref], Tier: j.tier,
+			Task: ref, Need: j.Need, Priority: j.priority, Team: j.team, OverGuarantee: overGuarantee[ref], Tier: j.tier,
 			LossSeconds: m.preemptionLoss(j, p, now), RemainingSeconds: m.secondsLeft(j, ref.Task, now), Stopping: stopping,
 			NonPreemptible: stopping || j.Gang() && len(j.Tasks) > 1 || m.isStartProtected(j, now),
 		})
 	}
-	v.Tasks = m.buffers.occupants[tasks:]
+	v.Tasks = m.buffers.occupants[firstOccupant:]
 }
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -8,7 +8,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// MachineType is a machine type of the cloud's catalogue.
+// MachineType is a machine type of the cloud's catalog.
 type MachineType struct {
 	Name      string
 	Capacity  placement.Resources
@@ -17,13 +17,13 @@
 	Price     float64 // per hour, on demand
 	SpotPrice float64 // per hour, as a spot machine
 	BootTime  time.Duration
-	Zones     []bool // by zone, whether the type is offered there
+	Zones     []bool // by index in Model.Zones, whether the type is offered there
 
 	bootTimes bootEstimator
 }
 
-// SetMachineTypes applies the cloud's catalogue of machine types. Known types keep their
-// indices, since machines refer to them; types that are no longer listed are kept.
+// SetMachineTypes applies the cloud's catalog of machine types. Known types keep their indices,
+// because machines refer to them. Types that are no longer listed are kept.
 func (m *Model) SetMachineTypes(types []wire.MachineType) {
 	for _, t := range types {
 		idx, ok := m.names.machineTypes[t.Name]
@@ -44,7 +44,9 @@
 			bootTimes: m.MachineTypes[idx].bootTimes,
 		}
 	}
-	m.windows.cancelProvision() // its job may be out of the model, and know none of the new types
+	// The job of the current provisioning may be out of the model. Its allowedTypes would not
+	// cover the new types.
+	m.windows.cancelProvision()
 	for _, mc := range m.Machines {
 		m.resolveType(mc)
 	}
@@ -53,14 +55,14 @@
 			j.allowTypes(m.allowedTypes(&j.Spec))
 		}
 	}
-	// The last job of a class may be out of the model already, and so was not updated
-	// above. Its allowedTypes is indexed by machine type and must cover the new ones.
+	// The last job of a class may be out of the model already, so that the loop above did not
+	// update it. Its allowedTypes is indexed by machine type and must cover the new types.
 	for _, c := range m.classes.byName {
 		c.lastJob.allowedTypes = m.allowedTypes(&c.lastJob.Spec)
 	}
 }
 
-// machineTypeIndex returns the index of a machine type, or -1 if it is not in the catalogue.
+// machineTypeIndex returns the index of a machine type, or -1 if it is not in the catalog.
 func (m *Model) machineTypeIndex(name string) int {
 	if i, ok := m.names.machineTypes[name]; ok {
 		return i
