--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -7,25 +7,24 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is about jobs whose records share pages (jobstore.JobPage).
-
-// admissionPage is such a page.
+// admissionPage is a stored page that holds the records of several jobs (jobstore.JobPage).
 type admissionPage struct {
 	key     string
 	version uint64
 	rec     jobstore.JobPage
-	size    int // in the form in which the service counts
+	size    int // bytes, as the key-value service counts them
 }
 
-// isObsolete reports whether the page is empty and stays so. Only head pages get new jobs.
+// isObsolete reports whether the page is empty for good. Only head pages get new jobs.
 func (p *admissionPage) isObsolete() bool {
 	return len(p.rec.Entries) == 0 && !jobstore.IsHeadPageKey(p.key)
 }
 
-// admissionPages are the admission pages that the model has, by their keys.
+// admissionPages are the admission pages in the model, by key.
 type admissionPages map[string]*admissionPage
 
-// at returns a page if the model has that version of it, and nil otherwise.
+// at returns the page with the given key if the model has exactly the given version of it, and
+// nil otherwise.
 func (s admissionPages) at(key string, version uint64) *admissionPage {
 	if p := s[key]; p != nil && p.version == version {
 		return p
@@ -33,7 +32,8 @@
 	return nil
 }
 
-// findOrAdd returns the page of that key, in any version.
+// findOrAdd returns the page with the given key, in any version. It adds an empty page if
+// there is none.
 func (s admissionPages) findOrAdd(key string) *admissionPage {
 	p := s[key]
 	if p == nil {
@@ -44,36 +44,36 @@
 }
 
 // apply applies a change of a page that the store reports. It returns false if the model has
-// it already.
+// this version or a later one already.
 func (s admissionPages) apply(p *admissionPage, change *AdmissionPage) bool {
 	if change.Version > p.version {
 		p.version, p.rec, p.size = change.Version, change.Record, change.Record.Size()
 		return true
 	}
 	if change.Version == p.version {
-		s.removeObsolete(p) // as this leader has written it
+		s.removeObsolete(p) // this leader wrote the version itself
 	}
 	return false
 }
 
-// removeObsolete forgets a page that never comes back.
+// removeObsolete removes the page from the model if it is obsolete.
 func (s admissionPages) removeObsolete(p *admissionPage) {
 	if p.isObsolete() {
 		delete(s, p.key)
 	}
 }
 
-// AdmissionPage is a stored page on which several accepted jobs share one key. The record
-// of a deleted page is empty.
+// AdmissionPage is a version of a stored page that holds several accepted jobs under one key.
+// The record of a deleted page is empty.
 type AdmissionPage struct {
 	Key     string
 	Version uint64
 	Record  jobstore.JobPage
 }
 
-// ApplyAdmissionPages applies changed admission pages. They must come together as of one
-// revision of the store, because a job may move between pages: a job that is on none of
-// them any more has ended, but one that has merely moved must not look that way.
+// ApplyAdmissionPages applies changed admission pages. All pages that changed in one revision
+// of the store must be passed in one call, because a job may move between pages. A job that is
+// removed from its page and is on no other one has ended.
 func (m *Model) ApplyAdmissionPages(pages []AdmissionPage, now time.Time) {
 	type formerEntry struct {
 		id   string
@@ -101,21 +101,21 @@
 	}
 }
 
-// WroteAdmissionPage reports whether the model already has that version of a page, as it
-// does if this leader wrote it.
+// WroteAdmissionPage reports whether the model already has the given version of a page. That
+// is the case if this leader wrote it.
 func (m *Model) WroteAdmissionPage(key string, version uint64) bool {
 	return m.writes.admissionPages.at(key, version) != nil
 }
 
-// applyCommit applies the commit of a record that replaces the given version of the page, unless
-// the watch of the store has reported this change or a later one already.
+// applyCommit applies the commit of a record that replaces the given version of the page. It
+// does nothing if the store's watch has reported this change or a later one already.
 func (p *admissionPage) applyCommit(replaced, version uint64, rec jobstore.JobPage) {
 	if p.version == replaced {
 		p.version, p.rec, p.size = version, rec, rec.Size()
 	}
 }
 
-// contains reports whether a job is on the page.
+// contains reports whether the job with the given id is on the page.
 func (p *admissionPage) contains(id string) bool {
 	for i := range p.rec.Entries {
 		if p.rec.Entries[i].ID == id {
@@ -125,7 +125,8 @@
 	return false
 }
 
-// applyAdmissionEntry applies the entry of a job on a page.
+// applyAdmissionEntry applies an entry of a page. It adds the job to the model if needed, and
+// quarantines the job if its record can't be read.
 func (m *Model) applyAdmissionEntry(p *admissionPage, e jobstore.JobPageEntry, now time.Time) {
 	j := m.Job(e.ID)
 	if j == nil {
@@ -140,51 +141,50 @@
 	j.setAdmissionPage(p)
 }
 
-// admissionRemoval is the removal of jobs from an admission page by a batch.
+// admissionRemoval is the removal of jobs from one admission page in a batch.
 type admissionRemoval struct {
 	op      int // index of the write in the batch
 	version uint64
 	ids     map[string]bool
 }
 
-// removeFromAdmissionPage removes a job from its admission page. It returns false if the page
-// does not fit into the batch.
+// removeFromAdmissionPage adds the removal of a job from its admission page to the batch. It
+// returns false, and adds nothing, if the page does not fit.
 func (b *WriteBatch) removeFromAdmissionPage(j *Job) bool {
 	p := j.admissionPage
-	l := b.admissionRemovals[p]
-	if l == nil {
+	removal := b.admissionRemovals[p]
+	if removal == nil {
 		if len(b.Ops) > 0 && b.bytes+p.size > maxBatchBytes {
 			return false
 		}
-		l = &admissionRemoval{op: len(b.Ops), version: p.version, ids: map[string]bool{}}
+		removal = &admissionRemoval{op: len(b.Ops), version: p.version, ids: map[string]bool{}}
 		if b.admissionRemovals == nil {
 			b.admissionRemovals = map[*admissionPage]*admissionRemoval{}
 		}
-		b.admissionRemovals[p] = l
+		b.admissionRemovals[p] = removal
 		b.Guards = append(b.Guards, wire.Guard{Key: p.key, Version: p.version})
 		b.Ops = append(b.Ops, wire.Op{Put: p.key})
 		b.bytes += p.size
 	}
-	l.ids[j.ID] = true
+	removal.ids[j.ID] = true
 	return true
 }
 
-// fillAdmissionRemovals makes the records of the admission pages from which the batch removes
-// jobs, once it is known which jobs these are.
+// fillAdmissionRemovals sets the values of the batch's admission page writes. It must run after
+// the last call of removeFromAdmissionPage.
 func (b *WriteBatch) fillAdmissionRemovals() {
-	for p, l := range b.admissionRemovals {
-		rec := p.rec.Without(l.ids)
+	for p, removal := range b.admissionRemovals {
+		rec := p.rec.Without(removal.ids)
 		op := wire.Op{Put: p.key, Value: rec}
 		if len(rec.Entries) == 0 && !jobstore.IsHeadPageKey(p.key) {
 			op = wire.Op{Delete: p.key}
 		}
-		b.Ops[l.op] = op
-		b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) { p.applyCommit(l.version, rev, rec) })
+		b.Ops[removal.op] = op
+		b.commitHooks = append(b.commitHooks, func(rev uint64, _ time.Time) { p.applyCommit(removal.version, rev, rec) })
 	}
 }
 
-// isCurrent reports whether the model has the version of the job's record that the store
-// has.
+// isCurrent reports whether the model has the same version of the job's record as the store.
 func (j *Job) isCurrent(ref DigestBase) bool {
 	if j.admissionPage != nil {
 		return j.admissionPage.version == ref.Version(j.admissionPage.key)
--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -7,58 +7,59 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file estimates when machines that have been requested will come up.
-
-// bootEstimator estimates how long machines of a type take to come up, as a multiple of the
-// boot time in the catalogue, from the slowest recent ones.
-type bootEstimator struct{ slowest float64 }
+// bootEstimator estimates how long machines of one type take to boot, from the slowest recent
+// boots. Its unit is the ratio of the boot time to the one in the catalog.
+type bootEstimator struct{ slowestRatio float64 }
 
 const (
-	usualBootRatio = 1.5 // most machines take no longer; lower bound of the estimate
+	usualBootRatio = 1.5 // lower bound of the estimate; most machines take no longer
 	maxBootRatio   = 3.0 // upper bound of the estimate
-	bootRatioDecay = 0.9 // factor applied to the slowest ratio with each faster machine
-	lateBootMargin = 1.3 // factor on the estimate, after which a machine counts as late
-	lostBootMargin = 1.4 // factor on the estimate, after which a machine is deleted
+	bootRatioDecay = 0.9 // factor applied to the slowest ratio with each boot
+	lateBootMargin = 1.3 // a machine is late after this multiple of the estimate
+	lostBootMargin = 1.4 // a machine is deleted after this multiple of the estimate
 )
 
-// observe records the ratio of a machine that came up.
+// observe records the boot ratio of a machine.
 func (b *bootEstimator) observe(ratio float64) {
-	b.slowest = min(maxBootRatio, max(ratio, bootRatioDecay*b.slowest))
+	b.slowestRatio = min(maxBootRatio, max(ratio, bootRatioDecay*b.slowestRatio))
 }
 
-// expectedRatio returns the ratio that few machines exceed.
-func (b *bootEstimator) expectedRatio() float64 { return max(usualBootRatio, b.slowest) }
+// expectedRatio returns a ratio that few machines exceed.
+func (b *bootEstimator) expectedRatio() float64 { return max(usualBootRatio, b.slowestRatio) }
 
-// recordBootTime updates the boot time of a machine's type from its first heartbeat.
+// recordBootTime updates the boot estimate of a machine's type when the machine sends its first
+// heartbeat. It ignores machines whose creation time this leader does not know exactly.
 func (m *Model) recordBootTime(mc *Machine, now time.Time) {
 	if !mc.creationKnown || mc.createdAt.Before(m.ElectedAt) || mc.typeIndex < 0 || m.MachineTypes[mc.typeIndex].BootTime <= 0 {
-		return // up before the response to its request, or requested by an earlier leader
+		// It came up before the response to its request, an earlier leader requested it, or
+		// its type has no known boot time.
+		return
 	}
-	took := now.Sub(mc.createdAt)
-	m.MachineTypes[mc.typeIndex].bootTimes.observe(float64(took) / float64(m.MachineTypes[mc.typeIndex].BootTime))
+	bootTime := now.Sub(mc.createdAt)
+	m.MachineTypes[mc.typeIndex].bootTimes.observe(float64(bootTime) / float64(m.MachineTypes[mc.typeIndex].BootTime))
 	if mc.bootLateLogged {
-		m.log.Info("late machine up", "machine", mc.Name, "type", mc.TypeName, "bootS", took.Seconds())
+		m.log.Info("late machine up", "machine", mc.Name, "type", mc.TypeName, "bootS", bootTime.Seconds())
 	}
 }
 
-// lateBootLimit returns how long after its creation a machine that has not come up counts
-// as late. A late machine is not expected any more, and may be replaced.
+// lateBootLimit returns the time after its creation from which a machine that has not come up
+// is late. A late machine is no longer expected and may be replaced.
 func (m *Model) lateBootLimit(mc *Machine) time.Duration {
 	t := &m.MachineTypes[mc.typeIndex]
 	return time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()*lateBootMargin) + config.Seconds(m.settings.Cluster.Workers.HeartbeatS)
 }
 
-// lostBootLimit returns how long after its creation a machine that has not come up is deleted. It
-// is long compared with usual boots, because a late machine that is deleted and replaced is
-// paid for twice, and its replacement takes as long to boot.
+// lostBootLimit returns the time after its creation from which a machine that has not come up
+// is deleted. The time is long compared with usual boots, because a deleted machine and its
+// replacement are both paid for, and the replacement has to boot too.
 func (m *Model) lostBootLimit(mc *Machine) time.Duration {
 	t := &m.MachineTypes[mc.typeIndex]
 	return time.Duration(float64(t.BootTime)*max(2.5, t.bootTimes.expectedRatio()*lostBootMargin)) + 15*time.Second
 }
 
-// estimateBootTimeLeft returns the seconds until a machine that has not come up is expected to. It
-// returns false if the machine has come up, or is not expected to in time. Where it finds a
-// machine late, it also logs that, once for each machine.
+// estimateBootTimeLeft returns the seconds until a booting machine is expected to be up. It
+// returns false if the machine came up already, is late, or will not come up. It logs a late
+// machine once.
 func (m *Model) estimateBootTimeLeft(mc *Machine, now time.Time) (float64, bool) {
 	if mc.alive || mc.Gone || mc.scalingIn || mc.AgentEpoch > 0 || mc.typeIndex < 0 || mc.Zone < 0 {
 		return 0, false
@@ -75,8 +76,9 @@
 	return max(3, (m.MachineTypes[mc.typeIndex].BootTime - age).Seconds()), true
 }
 
-// logLateBoot logs that a machine is late, unless it was logged before or the machine may be
-// running: a new leader has not received heartbeats from all running machines yet.
+// logLateBoot logs that a machine is late, unless that was logged before. It does not log
+// machines that may be running, because a new leader has not received heartbeats from all
+// running machines yet.
 func (m *Model) logLateBoot(mc *Machine, age time.Duration) {
 	if mc.bootLateLogged || len(mc.Tasks) > 0 || mc.cloudState == wire.MachineRunning {
 		return
@@ -85,8 +87,8 @@
 	m.log.Info("machine late", "machine", mc.Name, "type", mc.TypeName, "zone", m.Zones[mc.Zone], "spot", mc.Spot, "orderedS", age.Seconds())
 }
 
-// refuseMachineOffer makes scale-outs avoid the offer of a machine that never came up for a while,
-// so that its replacement is requested elsewhere if possible.
+// refuseMachineOffer excludes the offer of a machine that never came up from scale-outs for
+// offerRefusalTime, so that its replacement is requested from another offer if possible.
 func (m *Model) refuseMachineOffer(mc *Machine, now time.Time) {
 	if mc.cloudState != wire.MachineFailed && mc.Zone >= 0 {
 		m.refusedOffers.refuse(offerKey{mc.typeIndex, mc.Zone, mc.Spot}, now.Add(offerRefusalTime))
--- a/cluster/chunk.go
+++ b/cluster/chunk.go
@@ -4,33 +4,33 @@
 // on a placement page from its first change until its job is over and none of the job's tasks
 // can be on a machine.
 //
-// Its changes are numbered: of the changes up to generation, those up to committed are in
-// the store, and the one numbered placed is the last that placed a task.
+// Each change of the chunk increments generation. The store has the changes up to
+// committedGeneration.
 type Chunk struct {
 	generation          uint64
 	committedGeneration uint64
-	placementGeneration uint64
+	placementGeneration uint64 // of the last change that placed a task
 
-	page *placementPage
-	size int // the most bytes that it takes on its page
+	page *placementPage // nil while it is on no page
+	size int            // upper bound of the bytes that it takes on its page
 }
 
-// change records a change.
+// change increments the generation.
 func (c *Chunk) change() { c.generation++ }
 
-// recordPlacement records that the last change placed a task.
+// recordPlacement records that the last change added the given placement.
 func (c *Chunk) recordPlacement(p *Placement) {
 	c.placementGeneration = c.generation
 	p.chunkGeneration = c.generation
 }
 
-// commit records that the chunk is in the store as of a generation.
+// commit records that the store has the changes up to the given generation.
 func (c *Chunk) commit(generation uint64) {
 	c.committedGeneration = max(c.committedGeneration, generation)
 }
 
-// isCommitted reports whether the change of that number is in the store.
+// isCommitted reports whether the store has the changes up to the given generation.
 func (c *Chunk) isCommitted(generation uint64) bool { return c.committedGeneration >= generation }
 
-// HasNewPlacements reports whether placements of the chunk are not in the store yet.
+// HasNewPlacements reports whether the chunk has placements that are not committed yet.
 func (c *Chunk) HasNewPlacements() bool { return !c.isCommitted(c.placementGeneration) }
--- a/cluster/cloudlist.go
+++ b/cluster/cloudlist.go
@@ -7,25 +7,25 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// ApplyCloudList applies the cloud's list of machines. The list lags, and may be older than
-// the previous one, so that it proves nothing about tasks. It is used to learn of machines
-// that have not sent a heartbeat yet.
+// ApplyCloudList applies the cloud's list of machines. It adds machines that have not sent a
+// heartbeat yet. The list lags and may be older than the previous one, so that it proves
+// nothing about tasks.
 func (m *Model) ApplyCloudList(list []wire.ListedMachine, now time.Time) {
 	for i := range list {
-		l := &list[i]
-		known := m.machineNamed(l.Name) != nil
-		mc := m.findOrAddMachine(l.Name, now)
+		listed := &list[i]
+		known := m.machineNamed(listed.Name) != nil
+		mc := m.findOrAddMachine(listed.Name, now)
 		if mc.Gone {
 			continue
 		}
 		if !known {
-			m.log.Info("machine listed", "machine", l.Name, "type", l.Type, "zone", l.Zone, "spot", l.Spot, "state", l.State)
-			mc.recordAge(config.Seconds(l.AgeS), now)
+			m.log.Info("machine listed", "machine", listed.Name, "type", listed.Type, "zone", listed.Zone, "spot", listed.Spot, "state", listed.State)
+			mc.recordAge(config.Seconds(listed.AgeS), now)
 		}
-		mc.setListedAddr(l.Addr)
+		mc.setListedAddr(listed.Addr)
 		if mc.typeIndex < 0 || mc.Zone < 0 {
-			m.setTypeAndZone(mc, l.Type, l.Zone, l.Spot)
+			m.setTypeAndZone(mc, listed.Type, listed.Zone, listed.Spot)
 		}
-		mc.recordListing(l.State, now)
+		mc.recordListing(listed.State, now)
 	}
 }
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -6,11 +6,9 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// This file loads what earlier leaders recorded.
-
-// LoadPlacementPage loads a page of placement records that an earlier leader wrote. Its
-// jobs must have been loaded before, including those that are over and only have
-// placements left (LoadCancelledJob).
+// LoadPlacementPage loads placement page number n, which an earlier leader wrote. The jobs of
+// its records must be loaded before it. That includes jobs that are over and still have
+// placements (LoadCancelledJob).
 func (m *Model) LoadPlacementPage(n int, rec jobstore.PlacementPage, version uint64, now time.Time) {
 	p := m.writes.placementPages.at(n)
 	p.setVersion(version)
@@ -19,6 +17,8 @@
 	}
 }
 
+// loadChunk loads the record of a chunk on a page. The chunk stays on the page as read if the
+// record of its job can't be read.
 func (m *Model) loadChunk(p *placementPage, c *jobstore.PlacementChunk, now time.Time) {
 	j := m.Job(c.Job)
 	if j == nil && m.quarantine.mayInclude(c.Job) {
@@ -26,7 +26,7 @@
 		return
 	}
 	if j == nil || c.Chunk < 0 || c.Chunk >= len(j.Chunks) {
-		p.generation++ // its job is over: the page is to be written without it
+		p.generation++ // its job is over, so that the page is to be written without it
 		return
 	}
 	ch := &j.Chunks[c.Chunk]
@@ -48,17 +48,17 @@
 		mc := m.findOrAddMachine(p.Machine, now)
 		j.observeAttempt(p.Attempt)
 		m.placeTask(j, int32(p.Task), mc, p.Attempt, now)
-		// A reserved task whose launch has not been requested was launched by nobody. The
-		// job's record, which says so, was read after this leader was elected.
+		// No leader launched a reserved task whose launch has not been requested. The job's
+		// record, which shows that, was read after this leader was elected.
 		if !j.awaitsLaunch(p.Task) {
 			j.Tasks[p.Task].Placement.markInherited()
 		}
 	}
 }
 
-// FinishLoading completes a load after the last record. Only now is it known which jobs may
-// have placements on an unreadable page; it quarantines these, and continues cancellations
-// that an earlier leader began.
+// FinishLoading completes loading. It must be called after the last record is loaded. It
+// quarantines the jobs that may have placements on an unreadable page, and continues
+// cancellations that an earlier leader began.
 func (m *Model) FinishLoading(now time.Time) {
 	m.loadFinished = true
 	m.quarantineUnaccountedJobs()
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -6,33 +6,32 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file distinguishes a faulty job, whose tasks fail on every machine, from a faulty
-// machine, on which every job fails. Workers report the same error for both.
-
 const (
-	// minFaultMachines is on how many machines a job must have failed, without any success,
-	// to be considered at fault. The number can be low because the judgement is revised as
-	// soon as one of its tasks keeps running.
+	// minFaultMachines is the number of machines on which a job must have failed, without any
+	// success, to be at fault. It can be low because a single task that keeps running shows
+	// that the job is not at fault.
 	minFaultMachines = 2
-	// healthyAfterSeconds is how long a task must run to prove that its job is not at fault.
+	// healthyAfterSeconds is the run time of a task that proves its job to be not at fault.
 	healthyAfterSeconds = 20
-	// Bounds of the exponential backoff of a job at fault.
+	// minFaultBackoff and maxFaultBackoff bound the exponential backoff of a job at fault.
 	minFaultBackoff = 10 * time.Second
 	maxFaultBackoff = 2 * time.Minute
-	// maxFaultProbes is how many tasks of an array at fault may be placed at a time.
+	// maxFaultProbes bounds the tasks of an array at fault that are placed at the same time.
 	maxFaultProbes = 1
 
-	taskErrorRetention = 10 * time.Minute // how long an error counts against a machine
-	minSuspectJobs     = 2                // jobs not at fault that must have failed there
-	maxTaskErrors      = 20               // errors remembered of a machine
+	taskErrorRetention = 10 * time.Minute // time for which an error counts against its machine
+	minSuspectJobs     = 2                // jobs not at fault whose failures make their machine suspected
+	maxTaskErrors      = 20               // errors kept for each machine
 )
 
-// failureHistory is what is known of a job's failures. It outlives the job, because a
-// machine's errors are judged by whether the jobs that had them are at fault.
+// failureHistory records the failures of a job. It distinguishes a faulty job, whose tasks fail
+// on every machine, from a faulty machine, on which every job fails. Workers report the same
+// error for both. The history outlives the job, because errors count against a machine only if
+// their jobs are not at fault.
 type failureHistory struct {
-	machines      map[int32]bool // machines on which a task failed by itself
-	provenHealthy bool           // a task has completed, or run for healthyAfterSeconds
-	round         int            // of the backoff
+	machines      map[int32]bool // indexes of machines on which a task ended with an error
+	provenHealthy bool           // a task completed or ran for healthyAfterSeconds
+	round         int            // number of backoffs so far
 }
 
 // atFault reports whether the job has failed on several machines and succeeded on none.
@@ -40,26 +39,25 @@
 	return !h.provenHealthy && len(h.machines) >= minFaultMachines
 }
 
-// recordTaskFailure records that a task of the job failed by itself on a machine. It returns the
-// backoff before the task is tried again.
+// recordTaskFailure records that a task of the job ended with an error on a machine. It returns
+// the task's backoff. That is 0 if the job is at fault, because the whole job backs off then.
 func (m *Model) recordTaskFailure(j *Job, task int32, mc *Machine, now time.Time) time.Duration {
 	h := j.failures
 	if h.machines == nil {
 		h.machines = map[int32]bool{}
 	}
 	h.machines[mc.index] = true
-	wait := j.Tasks[task].countFailure()
+	taskBackoff := j.Tasks[task].countFailure()
 	m.recordTaskError(j, mc, now)
 	if !h.atFault() {
 		j.avoidMachine(mc.index, now.Add(10*time.Minute))
-		return wait
+		return taskBackoff
 	}
 	// The machines are not at fault. Those that have the image already are best for
-	// another try, because it then takes no fetch bandwidth from healthy jobs.
+	// another try, because they need no fetch bandwidth, which healthy jobs can use.
 	j.avoidNoMachines()
 	if !now.Before(j.notBefore) {
-		// The errors of one round arrive together; only the first one begins a new
-		// backoff.
+		// The errors of one round arrive together. Only the first one begins a new backoff.
 		j.backOffUntil(now.Add(min(minFaultBackoff<<min(h.round, 10), maxFaultBackoff)))
 		h.round++
 		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(h.machines), "lastReason", wire.ExitError,
@@ -68,8 +66,8 @@
 	return 0
 }
 
-// clearFault records that a task of the job has completed or has run for long, so that its
-// earlier failures were the machines' fault.
+// clearFault records that a task of the job completed or ran for healthyAfterSeconds. The
+// job's earlier failures count against the machines then.
 func (m *Model) clearFault(j *Job) {
 	h := j.failures
 	if h.provenHealthy {
@@ -82,8 +80,8 @@
 	j.backOffUntil(time.Time{})
 }
 
-// requestableTasks returns how many of its waiting tasks a job may request places for now, at
-// most limit.
+// requestableTasks returns how many waiting tasks the job may request placements for now. The
+// result is at most limit.
 func (j *Job) requestableTasks(limit int, now time.Time) int {
 	switch {
 	case !j.failures.atFault():
@@ -96,13 +94,14 @@
 	return max(0, maxFaultProbes-j.PlacedTasks)
 }
 
-// taskError is an error of a task on a machine.
+// taskError is an error with which a task ended on a machine.
 type taskError struct {
 	failures *failureHistory // of the task's job
 	at       time.Time
 }
 
-// recordTaskError records that a task of the job failed on a machine.
+// recordTaskError records an error of a job on a machine, and logs if the machine becomes
+// suspected.
 func (m *Model) recordTaskError(j *Job, mc *Machine, now time.Time) {
 	before := mc.suspected(now)
 	mc.addTaskError(taskError{j.failures, now})
@@ -111,7 +110,7 @@
 	}
 }
 
-// addTaskError records an error, and forgets the oldest ones beyond maxTaskErrors.
+// addTaskError records an error. It drops the oldest error beyond maxTaskErrors.
 func (mc *Machine) addTaskError(e taskError) {
 	mc.taskErrors = append(mc.taskErrors, e)
 	if len(mc.taskErrors) > maxTaskErrors {
@@ -119,9 +118,9 @@
 	}
 }
 
-// suspected reports whether several jobs that are not at fault have failed on a machine. The
-// result is not cached: that a job is at fault often shows only after it has failed on this
-// machine, and faulty jobs must not make one machine after another look faulty.
+// suspected reports whether several jobs that are not at fault failed on the machine lately.
+// The result is not cached. A job is often found to be at fault only after it failed on this
+// machine, and faulty jobs must not make one machine after another suspected.
 func (mc *Machine) suspected(now time.Time) bool {
 	if len(mc.taskErrors) < minSuspectJobs {
 		return false
--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -6,9 +6,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// ApplyHeartbeat applies a worker's heartbeat to the model and returns its machine. It
-// returns nil, and applies nothing, if the heartbeat is not newer than the last one
-// applied or if the machine is gone.
+// ApplyHeartbeat applies a worker's heartbeat to the model and returns its machine. It adds
+// the machine if the model has none of that name. It returns nil, and applies nothing, if the
+// heartbeat is not newer than the last one applied or if the machine is gone.
 func (m *Model) ApplyHeartbeat(heartbeat *wire.Heartbeat, now time.Time) *Machine {
 	mc := m.findOrAddMachine(heartbeat.Machine, now)
 	if mc.Gone {
