--- a/cluster/heldstops.go
+++ b/cluster/heldstops.go
@@ -7,46 +7,44 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file holds back stops that were decided by the operators' plan until a transaction
-// has confirmed that this plan is still in force. Stops are sent to workers and are not
-// transactions themselves: without the check, a leader that has missed a newer plan could
-// preempt tasks by an outdated one for as long as its lease is valid.
-
-// heldStop is a stop that was decided but not yet ordered. Its placement is marked as
-// StopHeld for as long as it is to be ordered.
+// heldStop is a stop that was decided but not ordered yet. Its placement has StopHeld set while
+// the stop is still to be ordered.
 type heldStop struct {
 	ref       TaskRef
 	job       *Job
 	placement *Placement
-	why       StopReason
-	at        time.Time
+	reason    StopReason
+	decidedAt time.Time
 }
 
-// stillHeld reports whether a stop is still to be ordered. It lapses when its placement is
-// removed or is no longer marked.
+// stillHeld reports whether the stop is still to be ordered. A stop lapses when its placement
+// is removed or StopHeld is reset.
 func (h *heldStop) stillHeld() bool {
 	return h.job.Tasks[h.ref.Task].Placement == h.placement && h.placement.StopHeld
 }
 
-// heldStops are the stops that wait for the plan to be confirmed, in the order in which they
-// were decided.
+// heldStops are the stops decided by the operators' plan that wait until a transaction confirms
+// that this plan is still in force, in the order in which they were decided. A stop is sent to a
+// worker and is no transaction itself. Without this check, a leader that missed a newer plan
+// could preempt tasks by an outdated plan for as long as its lease is valid.
 type heldStops struct {
 	stops []heldStop
 }
 
+// hold adds a stop and marks its placement.
 func (s *heldStops) hold(h heldStop) {
 	h.placement.holdStop()
 	s.stops = append(s.stops, h)
 }
 
-// pending returns the stops that are still held, and forgets the others. The result is valid
-// until the next call of a method.
+// pending returns the stops that are still held and drops the others. The result is valid until
+// the next call of a method of heldStops.
 func (s *heldStops) pending() []heldStop {
 	s.stops = slices.DeleteFunc(s.stops, func(h heldStop) bool { return !h.stillHeld() })
 	return s.stops
 }
 
-// drop discards all stops.
+// drop discards all held stops, so that their tasks keep running.
 func (s *heldStops) drop() {
 	for _, h := range s.stops {
 		h.placement.releaseStop()
@@ -54,33 +52,32 @@
 	s.stops = s.stops[:0]
 }
 
-// ExpectPlan records that there may be a plan from now on, so that stops are held back for
-// the check. A leader always learns of this before the first plan can be applied, because
-// that requires a schema version to which only the leader migrates.
+// ExpectPlan records that a plan may exist from now on, so that stops are held until the plan is
+// confirmed. A leader always calls it before the first plan can be applied, because plans need
+// a schema version to which only the leader migrates.
 func (m *Model) ExpectPlan() { m.planExpected = true }
 
-// stopUnderPlan stops a task for a reason that depends on the plan, once the plan is
-// confirmed to be in force. The task's resources count as about to be freed from now on.
-// A placement that was never launched is removed at once, since no running task is
-// affected. Nothing is held back either for a task that is ordered to stop already, or where
-// there can't be a plan.
-func (m *Model) stopUnderPlan(ref TaskRef, why StopReason, now time.Time) {
+// stopUnderPlan stops a task for a reason that depends on the plan. The stop is held until the
+// plan is confirmed to be in force, and the task counts as stopping from now on. The stop is
+// ordered at once if no plan can exist, or if the task is ordered to stop already. A placement
+// that was never launched is removed at once, because no running task is affected.
+func (m *Model) stopUnderPlan(ref TaskRef, reason StopReason, now time.Time) {
 	j := m.Jobs[ref.Job]
 	p := j.Tasks[ref.Task].Placement
 	switch {
 	case p == nil || p.StopHeld:
 	case !m.planExpected && m.plan.HeadVersion == 0, !p.mayBeOnMachine(), p.Stop != nil:
-		m.StopTask(ref, why, now)
+		m.StopTask(ref, reason, now)
 	default:
-		m.heldStops.hold(heldStop{ref: ref, job: j, placement: p, why: why, at: now})
+		m.heldStops.hold(heldStop{ref: ref, job: j, placement: p, reason: reason, decidedAt: now})
 	}
 }
 
-// HasHeldStops reports whether stops wait for a transaction to confirm the plan.
+// HasHeldStops reports whether stops wait until a transaction confirms the plan.
 func (m *Model) HasHeldStops() bool { return len(m.heldStops.pending()) > 0 }
 
-// PlanCheckBatch returns a transaction without changes whose condition is the plan's
-// version: committing it releases all held stops. It returns nil if there are none.
+// PlanCheckBatch returns a transaction that changes nothing and has the plan's version as its
+// condition. Its commit orders all held stops. The result is nil if no stop is held.
 func (m *Model) PlanCheckBatch() *WriteBatch {
 	if !m.HasHeldStops() {
 		return nil
@@ -90,10 +87,10 @@
 	return b
 }
 
-// addPlanCheck makes the commit of a batch release the held stops. A stop may be in several
-// batches; the first commit releases it.
+// addPlanCheck makes the commit of a batch order the held stops. A stop may be in several
+// batches. The first commit orders it.
 func (m *Model) addPlanCheck(b *WriteBatch) {
-	held := slices.Clone(m.heldStops.pending()) // the hook below outlives later changes
+	held := slices.Clone(m.heldStops.pending()) // the commit hook runs after later changes of the list
 	if len(held) == 0 {
 		return
 	}
@@ -105,24 +102,24 @@
 	b.OnCommit = b.runCommitHooks
 }
 
-// releaseHeldStops orders the stops, apart from those that have lapsed.
+// releaseHeldStops orders the given stops, except those that have lapsed.
 func (m *Model) releaseHeldStops(held []heldStop, now time.Time) {
 	for _, h := range held {
 		if h.stillHeld() {
 			h.placement.releaseStop()
-			m.Observer.PreemptionHeld(now.Sub(h.at).Seconds())
-			m.StopTask(h.ref, h.why, now)
+			m.Observer.PreemptionHeld(now.Sub(h.decidedAt).Seconds())
+			m.StopTask(h.ref, h.reason, now)
 		}
 	}
 }
 
-// DropHeldStops discards the held stops because the plan by which they were decided is no
-// longer in force. The next scheduling pass decides anew which tasks to stop.
+// DropHeldStops discards the held stops. It is called when the plan that decided them is no
+// longer in force. The next scheduling pass decides again which tasks to stop.
 func (m *Model) DropHeldStops() { m.heldStops.drop() }
 
-// RebalanceGuards returns the conditions of a rebalance cycle record besides the leader
-// key. They include the plan, because its priority order decides for which requests moves
-// make room.
+// RebalanceGuards returns the conditions for writing a rebalance cycle record, in addition to
+// the one on the leader key. They include the plan's version, because the plan's priority order
+// decides for which requests moves free resources. The result is nil if no plan can exist.
 func (m *Model) RebalanceGuards() []wire.Guard {
 	if !m.planExpected && m.plan.HeadVersion == 0 {
 		return nil
--- a/cluster/imagecache.go
+++ b/cluster/imagecache.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// imageCache holds the images that a machine has, as far as the leader can tell from the
-// tasks that it has listed, by their indices in the catalogue. The most recently used one is
-// the last.
+// imageCache is the leader's estimate of the images in a machine's cache, by index in the image
+// catalog. It is derived from the tasks in heartbeats, which don't list images. The most recently
+// used image is the last.
 type imageCache []int32
 
-// use makes an image the most recently used one.
+// use makes an image the most recently used one. It adds the image if needed.
 func (c *imageCache) use(image int32) {
 	if i := slices.Index(*c, image); i >= 0 {
 		*c = slices.Delete(*c, i, i+1)
@@ -15,8 +15,8 @@
 	*c = append(*c, image)
 }
 
-// evict drops the least recently used images until the rest, but at least one, fit into a
-// cache of that size.
+// evict removes the least recently used images until the rest fit into a cache of the given
+// size. It always keeps at least one image.
 func (c *imageCache) evict(catalog *imageCatalog, cacheGB float64) {
 	total := 0.0
 	for _, image := range *c {
@@ -28,10 +28,10 @@
 	}
 }
 
-// hasImage reports whether a machine has an image.
+// hasImage reports whether the machine has an image in its cache, as far as the leader knows.
 func (mc *Machine) hasImage(image int32) bool { return slices.Contains(mc.cachedImages, image) }
 
-// recordImage makes an image a machine's most recently used one.
+// recordImage records that a machine uses an image, and evicts images that no longer fit.
 func (m *Model) recordImage(mc *Machine, image int32) {
 	mc.cachedImages.use(image)
 	if mc.typeIndex >= 0 {
--- a/cluster/imagecatalog.go
+++ b/cluster/imagecatalog.go
@@ -1,8 +1,8 @@
 package cluster
 
-// imageCatalog assigns an index to each image name and holds the image's size. The caches of
-// machines and jobs refer to images by index. An index is never reused, and the size is the
-// one that was stated last, by a job or by a warm pool.
+// imageCatalog assigns an index to each image name and stores the image's size. Machine caches
+// and jobs refer to images by index. An index is never reused. The size is the one that a job
+// or warm pool stated last.
 type imageCatalog struct {
 	index  map[string]int32
 	sizeGB []float64 // by index
@@ -10,7 +10,7 @@
 
 func newImageCatalog() imageCatalog { return imageCatalog{index: map[string]int32{}} }
 
-// intern returns the index of an image and records its size.
+// intern returns the index of an image and sets its size. It adds the image if needed.
 func (c *imageCatalog) intern(name string, gb float64) int32 {
 	i, ok := c.index[name]
 	if !ok {
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -9,14 +9,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file applies the records of jobs: accepted, changed, cancelled and finished.
-
+// priorities maps the priorities of the wire protocol to ranks, of which 0 is the highest.
 var priorities = map[string]int{
 	wire.PriorityProduction: 0, wire.PriorityHigh: 1, wire.PriorityNormal: 2, wire.PriorityLow: 3,
 }
 
-// ApplyJobRecord adds the job of an active record. For a job that the model has, it applies a
-// newer version of the record, in which only the reservation may have changed.
+// ApplyJobRecord applies a version of a job's active record. It adds the job if the model does
+// not have it. Otherwise a newer version updates the reservation, because no other part of a
+// record changes.
 func (m *Model) ApplyJobRecord(id string, rec jobstore.JobRecord, version uint64, now time.Time) {
 	if j := m.Job(id); j != nil {
 		if version > j.version {
@@ -31,14 +31,16 @@
 	if m.loadFinished {
 		m.releaseTasks(j, now)
 	}
-	s, deadline := &j.Spec, 0.0
-	if s.DeadlineS != nil {
-		deadline = *s.DeadlineS
+	spec, deadline := &j.Spec, 0.0
+	if spec.DeadlineS != nil {
+		deadline = *spec.DeadlineS
 	}
-	m.log.Info("job accepted", "id", id, "class", s.Class, "team", s.Team, "kind", s.Kind, "tasks", s.Tasks, "cpus", s.CPUs, "gpus", s.GPUs,
-		"spot", s.Spot, "at", j.AcceptedAt, "estimate", s.EstimateS, "deadline", deadline)
+	m.log.Info("job accepted", "id", id, "class", spec.Class, "team", spec.Team, "kind", spec.Kind, "tasks", spec.Tasks, "cpus", spec.CPUs, "gpus", spec.GPUs,
+		"spot", spec.Spot, "at", j.AcceptedAt, "estimate", spec.EstimateS, "deadline", deadline)
 }
 
+// addJob adds the job of a record to the model. A team that is not configured counts as none. A
+// zone that is not configured matches no machine.
 func (m *Model) addJob(id string, rec jobstore.JobRecord) *Job {
 	s := rec.Job
 	j := &Job{
@@ -65,9 +67,9 @@
 	return j
 }
 
-// RemoveJob applies the deletion of a job's active record, or its removal from its admission
-// page. If all its tasks are done, this leader has finished it; otherwise its user has
-// cancelled it.
+// RemoveJob applies the deletion of a job's active record or its removal from its admission
+// page. If all tasks of the job are done, this leader has finished the job. Otherwise its user
+// has cancelled it.
 func (m *Model) RemoveJob(id string, now time.Time) {
 	j := m.Job(id)
 	if j == nil || j.Finished || j.Cancelled {
@@ -82,6 +84,7 @@
 	m.cancelJob(j, now)
 }
 
+// cancelJob marks a job as cancelled and stops its placed tasks without a grace period.
 func (m *Model) cancelJob(j *Job, now time.Time) {
 	j.markCancelled()
 	for i := range j.Tasks {
@@ -92,8 +95,8 @@
 	m.writes.markJob(j)
 }
 
-// LoadCancelledJob loads a job that is over, as cancelled, because placement records of it
-// are left: its remaining tasks are to be stopped.
+// LoadCancelledJob adds a job that is over and still has placement records. The job is added as
+// cancelled, so that its remaining tasks are stopped.
 func (m *Model) LoadCancelledJob(id string, rec jobstore.JobRecord) {
 	if m.Job(id) != nil {
 		return
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -6,20 +6,21 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// leaseEnd returns when a machine's lease expires: unless it is answered again, no task can
-// be running on it from then on. The lease counts from the last answer, or from the
-// election, before which another leader may have answered; clock drift is allowed for.
+// leaseEnd returns the time at which a machine's lease expires. From then on no task can be
+// running on the machine, unless a heartbeat of it is answered before. The lease begins with the
+// last answer, but not before the election, because an earlier leader may have answered until
+// then. The result includes a margin for clock drift.
 func (m *Model) leaseEnd(mc *Machine) time.Time {
-	last := mc.lastAnswered
-	if last.Before(m.ElectedAt) {
-		last = m.ElectedAt
+	start := mc.lastAnswered
+	if start.Before(m.ElectedAt) {
+		start = m.ElectedAt
 	}
-	lease := m.settings.Cluster.Workers.LeaseS
-	return last.Add(config.Seconds(lease*(1+4*m.clockDrift)) + 300*time.Millisecond)
+	leaseSeconds := m.settings.Cluster.Workers.LeaseS
+	return start.Add(config.Seconds(leaseSeconds*(1+4*m.clockDrift)) + 300*time.Millisecond)
 }
 
-// Tick applies the passage of time: expired leases, machines with interruption notices,
-// batch windows and warm pools.
+// Tick applies the passage of time to leases, machines with interruption notices, batch windows
+// and warm pools.
 func (m *Model) Tick(now time.Time) {
 	m.tickWindows(now)
 	for _, mc := range m.Machines {
@@ -43,13 +44,13 @@
 	m.tickPools(now)
 }
 
-// removeUnlaunched removes the placements on a machine that is not ready whose launches were
-// never sent. Such tasks are certainly not on the machine, so that they need not wait for its
-// lease to expire.
+// removeUnlaunched removes the placements on a machine that were never launched. It is called
+// for machines that are not ready. These tasks are certainly not on the machine, so that they
+// need not wait for its lease to expire.
 func (m *Model) removeUnlaunched(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
-		// A reservation promises its places: they are kept while the machine may return.
+		// Reserved placements are kept while the machine may become ready again.
 		if p := j.Tasks[ref.Task].Placement; p != nil && !p.mayBeOnMachine() && j.reservation == nil {
 			m.log.Debug("unlaunched task revoked", "job", j.ID, "task", ref.Task, "machine", mc.Name)
 			m.removePlacement(j, ref.Task, now)
@@ -57,17 +58,18 @@
 	}
 }
 
-// loseTasksOn removes the placements of all tasks on a machine, which are proved to be gone.
-func (m *Model) loseTasksOn(mc *Machine, why lossReason, now time.Time) {
+// loseTasksOn removes the placements of all tasks on a machine. The caller has proof that the
+// tasks are gone.
+func (m *Model) loseTasksOn(mc *Machine, reason lossReason, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		if j := m.Jobs[ref.Job]; j.Tasks[ref.Task].Placement != nil {
-			m.taskLost(j, ref.Task, why, now)
+			m.taskLost(j, ref.Task, reason, now)
 		}
 	}
 }
 
 // evacuate stops the tasks on a machine with an interruption notice, so that they save
-// checkpoints. Running tasks without checkpoints go on, since they may finish in time.
+// checkpoints. Running tasks without checkpoints continue, because they may finish in time.
 func (m *Model) evacuate(mc *Machine, now time.Time) {
 	for _, ref := range sortedRefs(mc.Tasks) {
 		j := m.Jobs[ref.Job]
@@ -82,8 +84,9 @@
 	}
 }
 
-// MachineGone applies proof that a machine is gone, that is, a deletion which the cloud has
-// confirmed. Unlike a lease expiry this is final: later heartbeats are ignored.
+// MachineGone applies a machine's deletion that the cloud has confirmed. It removes the
+// placements on the machine. Unlike a lease expiry it is final, and later heartbeats of the
+// machine are ignored.
 func (m *Model) MachineGone(name string, now time.Time) {
 	mc := m.machineNamed(name)
 	if mc == nil || mc.Gone {
--- a/cluster/names.go
+++ b/cluster/names.go
@@ -2,8 +2,8 @@
 
 import "github.com/umberdeal/umberdeal/wire"
 
-// nameIndex finds zones, teams, machine types, machines and jobs by their names. Its values
-// are indices into the slices of the model that hold them; an index is never reused.
+// nameIndex maps the names of zones, teams, machine types, machines and jobs to their indices
+// in the model's slices. An index is never reused.
 type nameIndex struct {
 	zones        map[string]int
 	teams        map[string]int
@@ -19,7 +19,7 @@
 	}
 }
 
-// Job finds a job by its id; nil if it is not in the model.
+// Job returns the job with the given id, or nil if it is not in the model.
 func (m *Model) Job(id string) *Job {
 	if i, ok := m.names.jobs[id]; ok {
 		return m.Jobs[i]
@@ -27,21 +27,21 @@
 	return nil
 }
 
-// taskNamed finds a task by the name that it has on the wire. It returns a nil job if the
-// model has no such task.
+// taskNamed returns the job and task number of a task name of the wire protocol. The job is nil
+// if the model has no such task.
 func (m *Model) taskNamed(name string) (j *Job, task int32) {
-	id, n, ok := wire.ParseTaskName(name)
+	id, number, ok := wire.ParseTaskName(name)
 	if !ok {
 		return nil, 0
 	}
 	j = m.Job(id)
-	if j == nil || n >= len(j.Tasks) {
+	if j == nil || number >= len(j.Tasks) {
 		return nil, 0
 	}
-	return j, int32(n)
+	return j, int32(number)
 }
 
-// machineNamed finds a machine by its name; nil if the model has never heard of it.
+// machineNamed returns the machine with the given name, or nil if the model never had one.
 func (m *Model) machineNamed(name string) *Machine {
 	if i, ok := m.names.machines[name]; ok {
 		return m.Machines[i]
--- a/cluster/offerrefusals.go
+++ b/cluster/offerrefusals.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// offerKey identifies an offer of the cloud.
+// offerKey identifies an offer of the cloud by the indices of its machine type and zone.
 type offerKey struct {
 	machineType, zone int
 	spot              bool
 }
 
-// offerRefusals holds the offers which the cloud has lately had no capacity for, or whose
-// machines never came up, so that the next scale-out tries others.
+// offerRefusals records the offers that scale-outs must not use for a while. The cloud recently
+// had no capacity for such an offer, or a machine of the offer never came up.
 type offerRefusals struct {
 	until map[offerKey]time.Time
 }
--- a/cluster/placementpages.go
+++ b/cluster/placementpages.go
@@ -6,69 +6,69 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// placementPage is a key of the key-value store that holds placement records of several
-// jobs.
+// placementPage is the value of one key of the key-value store. It holds placement records of
+// several jobs.
 type placementPage struct {
 	number              int
 	version             uint64 // of the key; 0 if it is not in the store
-	generation          uint64 // counts changes
+	generation          uint64 // number of changes
 	committedGeneration uint64 // the last change that is in the store
 	chunks              []chunkRef
-	unreadChunks        []jobstore.PlacementChunk // of jobs whose records can't be read
-	size                int                       // the most bytes that its records take
+	unreadChunks        []jobstore.PlacementChunk // of jobs whose records can't be read; kept as they are
+	size                int                       // upper bound of the bytes that its records take
 }
 
-// setVersion records the version at which the page was read from the store.
+// setVersion sets the version that the page has in the store.
 func (p *placementPage) setVersion(version uint64) { p.version = version }
 
-// resolveConflict records the version that the page's key turned out to have after a conflict. The
-// page is to be written again, also where it was to be deleted.
+// resolveConflict sets the version that the store reports for the page's key after a conflict.
+// The page is to be written again, or deleted again if it is empty.
 func (p *placementPage) resolveConflict(version uint64) {
 	p.version = version
 	p.generation++
 }
 
-// chunkRef is a chunk of a job, by its number.
+// chunkRef refers to a chunk of a job by its number.
 type chunkRef struct {
 	job   *Job
 	chunk int
 }
 
+// get returns the chunk.
 func (r chunkRef) get() *Chunk { return &r.job.Chunks[r.chunk] }
 
-// isChanged reports whether the page is to be written.
+// isChanged reports whether the page has uncommitted changes.
 func (p *placementPage) isChanged() bool { return p.generation != p.committedGeneration }
 
-// hasNewPlacements reports whether the page is to be written with placements that are not in
-// the store yet.
+// hasNewPlacements reports whether the page has placements that are not committed yet.
 func (p *placementPage) hasNewPlacements() bool {
 	return slices.ContainsFunc(p.chunks, func(r chunkRef) bool { return r.get().HasNewPlacements() })
 }
 
-// unreadablePageSize is the size that a page counts with if it can't be read, so that no
-// chunk is put on it.
+// unreadablePageSize is the assumed size of a page that can't be read. It is so large that no
+// chunk is put on the page.
 const unreadablePageSize = 1 << 30
 
-// placementPages are the pages of placement records, by their numbers.
+// placementPages are all pages of placement records.
 type placementPages struct {
 	limits             writeLimits
-	pages              []*placementPage
-	next               int // changed pages are written in turn from here on
-	longestMachineName int // bounds the size of placement records
+	pages              []*placementPage // by number
+	next               int              // page from which changed lists pages
+	longestMachineName int              // length in bytes; bounds the size of placement records
 }
 
-// observeMachineName takes a machine's name into account for the size of records.
+// observeMachineName updates longestMachineName.
 func (s *placementPages) observeMachineName(name string) {
 	s.longestMachineName = max(s.longestMachineName, len(name))
 }
 
-// maxChunks bounds the chunks of a page, so that the conditions for all of them fit into one
-// transaction.
+// maxChunks returns the most chunks that a page may have. The conditions for all chunks of a
+// page must fit into one transaction.
 func (s *placementPages) maxChunks() int {
 	return s.limits.maxGuards() - 1 - 2*maxFinalRecordsWithPlacements
 }
 
-// at returns the page of that number and makes it if need be.
+// at returns the page with the given number. It adds missing pages up to that number.
 func (s *placementPages) at(number int) *placementPage {
 	for len(s.pages) <= number {
 		s.pages = append(s.pages, &placementPage{number: len(s.pages)})
@@ -76,8 +76,8 @@
 	return s.pages[number]
 }
 
-// assign puts a chunk on the first page with room for all that may ever be recorded of its
-// tasks, so that it never has to move. If no page has room, it adds one.
+// assign puts chunk n of a job on the first page that has room for the chunk's maximal size, so
+// that the chunk never has to move. It adds a page if none has room.
 func (s *placementPages) assign(j *Job, n int) {
 	size := s.chunkSize(j, n)
 	for _, p := range s.pages {
@@ -89,7 +89,7 @@
 	s.put(s.at(len(s.pages)), j, n)
 }
 
-// put puts a chunk on a page, and takes it off the page that it is on.
+// put moves chunk n of a job to a page.
 func (s *placementPages) put(p *placementPage, j *Job, n int) {
 	c := &j.Chunks[n]
 	s.remove(c)
@@ -98,7 +98,7 @@
 	p.size += c.size
 }
 
-// remove takes a chunk off the page that it is on, if any.
+// remove removes a chunk from its page, if it is on one.
 func (s *placementPages) remove(c *Chunk) {
 	p := c.page
 	if p == nil {
@@ -110,32 +110,33 @@
 	c.page = nil
 }
 
-// preserve keeps a chunk on its page as it was read, because the record of its job can't be
-// read.
+// preserve keeps a chunk on its page exactly as it was read. It is used if the record of the
+// chunk's job can't be read.
 func (s *placementPages) preserve(p *placementPage, c *jobstore.PlacementChunk) {
 	p.unreadChunks = append(p.unreadChunks, *c)
 	p.size += s.unreadChunkSize(c)
 }
 
-// markUnreadable leaves a page that can't be read as it is in the store.
+// markUnreadable records that a page can't be read. The page is left unchanged in the store.
 func (s *placementPages) markUnreadable(number int, version uint64) {
 	p := s.at(number)
 	p.version, p.size = version, unreadablePageSize
 }
 
-// chunkSize is the most bytes that a chunk's record takes, in the form in which the
-// key-value service counts them.
+// chunkSize returns an upper bound of the size of a chunk's record, in bytes as the key-value
+// service counts them.
 func (s *placementPages) chunkSize(j *Job, n int) int {
 	tasks := min(jobstore.ChunkSize, len(j.Tasks)-n*jobstore.ChunkSize)
 	return 80 + len(j.ID) + tasks*(22+max(s.longestMachineName, 12))
 }
 
-// unreadChunkSize is about the most bytes that a preserved chunk takes, counted likewise.
+// unreadChunkSize returns an approximate upper bound of the size of a preserved chunk's record,
+// in the same unit as chunkSize.
 func (s *placementPages) unreadChunkSize(c *jobstore.PlacementChunk) int {
 	return 80 + len(c.Job) + (22+max(s.longestMachineName, 18))*len(c.Placements) + 8*len(c.DoneRanges)
 }
 
-// pending returns how many pages are to be written.
+// pending returns the number of pages that are to be written.
 func (s *placementPages) pending() int {
 	n := 0
 	for _, p := range s.pages {
@@ -146,7 +147,8 @@
 	return n
 }
 
-// changed lists the pages to be written: those with new placements, and the others.
+// changed returns the pages that are to be written, separated into those with new placements
+// and the others. Both lists begin with the page that rotate has chosen.
 func (s *placementPages) changed() (placing, others []*placementPage) {
 	for i := range s.pages {
 		p := s.pages[(i+s.next)%len(s.pages)]
@@ -161,6 +163,6 @@
 	return placing, others
 }
 
-// rotate makes changed begin with the next page, so that no page waits for long when not all
-// of them fit into a batch.
+// rotate advances the page from which changed lists pages. No page waits for long then, even if
+// the changed pages don't all fit into one batch.
 func (s *placementPages) rotate() { s.next++ }
--- a/cluster/placementpagewrite.go
+++ b/cluster/placementpagewrite.go
@@ -7,49 +7,47 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file writes placement pages: their records, and the conditions of these.
-
 const (
-	// placementPageBytes is what is allowed in a batch for a page without its chunks.
+	// placementPageBytes is the estimated size of a page's write without its chunks.
 	placementPageBytes = 200
-	// jobGuardBytes is what is allowed for the condition on a job's record.
+	// jobGuardBytes is the estimated size of the condition on a job's record.
 	jobGuardBytes = 60
 )
 
-// placementPageWrite is a placement page as it is about to be written.
+// placementPageWrite is the write of a placement page: its record, as of the given generations,
+// and the conditions for it.
 type placementPageWrite struct {
 	page        *placementPage
 	generation  uint64 // of the page
 	record      jobstore.PlacementPage
 	chunks      []chunkWrite
-	jobs        map[string]*Job // by keys: those on whose records the guards are
-	guards      []wire.Guard    // that the jobs of new placements are still active
-	placesTasks bool            // there are new placements
-	bytes       int
+	jobs        map[string]*Job // jobs that guards refer to, by key of their active records
+	guards      []wire.Guard    // conditions that the jobs of new placements are still active
+	placesTasks bool            // the record has new placements
+	bytes       int             // estimated size
 }
 
-// chunkWrite is a chunk as it is about to be written.
+// chunkWrite is a chunk in a placementPageWrite and its generation there.
 type chunkWrite struct {
 	chunk      *Chunk
 	generation uint64
 }
 
-// addTo adds a page to a batch, if it fits beside what the batch holds already. An empty page
-// that is not in the store is not written and counts as committed.
+// addTo adds the write of a page to a batch, if it fits. An empty page that is not in the store
+// is not written and counts as committed.
 func (s *placementPages) addTo(b *WriteBatch, p *placementPage) {
 	w := s.prepare(b, p)
 	if len(b.Ops) > 0 && (b.bytes+w.bytes > maxBatchBytes || len(b.Guards)+len(w.guards)+1 > s.limits.maxGuards()) {
 		return
 	}
 	if len(w.record.Chunks) == 0 && p.version == 0 {
-		p.committedGeneration = p.generation // it was never written
+		p.committedGeneration = p.generation
 		return
 	}
 	b.addPlacementPage(w)
 }
 
-// prepare makes the record of a page and its conditions, apart from those that the batch has
-// already.
+// prepare returns the write of a page, without conditions that the batch already has.
 func (s *placementPages) prepare(b *WriteBatch, p *placementPage) *placementPageWrite {
 	w := &placementPageWrite{page: p, generation: p.generation, jobs: map[string]*Job{}, bytes: placementPageBytes}
 	for i := range p.unreadChunks {
@@ -70,9 +68,9 @@
 	return w
 }
 
-// guardJob adds the condition that a job is still active, since a placement must not be
-// committed after the job's cancellation. An admission page changes with the other jobs on
-// it too, so that for a job on one the condition is that it has no final record.
+// guardJob adds the condition that a job is still active, because a placement must not be
+// committed after the job's cancellation. For a job on an admission page, the condition is that
+// the job has no final record, because the page also changes with the other jobs on it.
 func (w *placementPageWrite) guardJob(b *WriteBatch, j *Job) {
 	key := jobstore.JobKey(j.ID)
 	if j.Cancelled || b.jobs[key] != nil || w.jobs[key] != nil {
@@ -87,7 +85,7 @@
 	w.bytes += jobGuardBytes
 }
 
-// addPlacementPage adds the write of a page, or its deletion if nothing is left on it.
+// addPlacementPage adds the write of a page to the batch, or its deletion if the page is empty.
 func (b *WriteBatch) addPlacementPage(w *placementPageWrite) {
 	key := jobstore.PlacementPageKey(w.page.number)
 	op := wire.Op{Put: key, Value: w.record}
@@ -105,7 +103,7 @@
 	b.commitHooks = append(b.commitHooks, w.applyCommit)
 }
 
-// applyCommit applies the commit of the write.
+// applyCommit applies the commit of the write at the given revision.
 func (w *placementPageWrite) applyCommit(rev uint64, _ time.Time) {
 	w.page.version, w.page.committedGeneration = rev, w.generation
 	if len(w.record.Chunks) == 0 {
@@ -116,13 +114,13 @@
 	}
 }
 
-// chunkRecord makes the record of a chunk: where its tasks are placed, and which are done.
+// chunkRecord returns the record of chunk n: where its tasks are placed, and which are done.
 func (j *Job) chunkRecord(n int) jobstore.PlacementChunk {
 	rec := jobstore.PlacementChunk{Job: j.ID, Chunk: n, MaxAttempt: j.lastAttempt}
-	lo := n * jobstore.ChunkSize
-	hi := min(lo+jobstore.ChunkSize, len(j.Tasks))
-	rec.Reserved, rec.Outcomes, rec.Stopping = j.reservation != nil, j.endedTasks(lo, hi), j.stoppingTasks(lo, hi)
-	for i := lo; i < hi; i++ {
+	first := n * jobstore.ChunkSize
+	end := min(first+jobstore.ChunkSize, len(j.Tasks))
+	rec.Reserved, rec.Outcomes, rec.Stopping = j.reservation != nil, j.endedTasks(first, end), j.stoppingTasks(first, end)
+	for i := first; i < end; i++ {
 		switch t := &j.Tasks[i]; t.Phase {
 		case TaskDone:
 			if k := len(rec.DoneRanges); k > 0 && rec.DoneRanges[k-1] == i-1 {
@@ -131,12 +129,14 @@
 				rec.DoneRanges = append(rec.DoneRanges, i, i)
 			}
 		case TaskPlaced:
-			rec.Placements = append(rec.Placements, j.placement(i))
+			rec.Placements = append(rec.Placements, j.placementRecord(i))
 		}
 	}
 	return rec
 }
 
-func (j *Job) placement(i int) jobstore.Placement {
-	return jobstore.Placement{Task: i, Attempt: j.Tasks[i].Placement.Attempt, Machine: j.Tasks[i].Placement.machineName}
+// placementRecord returns the record of a placed task's placement.
+func (j *Job) placementRecord(task int) jobstore.Placement {
+	p := j.Tasks[task].Placement
+	return jobstore.Placement{Task: task, Attempt: p.Attempt, Machine: p.machineName}
 }
