--- a/cluster/request.go
+++ b/cluster/request.go
@@ -6,10 +6,8 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file turns the waiting tasks of a job into a request to package placement.
-
-// buildRequest makes the request for the tasks of a job that wait. It returns false if no task
-// may be placed now.
+// buildRequest returns the request to package placement for the waiting tasks of a job. It
+// returns false if no task of the job may be placed now.
 func (m *Model) buildRequest(j *Job, now time.Time) (placement.Request, bool) {
 	r := placement.Request{
 		Job: j.Index, Gang: j.Gang(), Need: j.Need, Priority: j.priority, Team: j.team,
@@ -28,9 +26,9 @@
 	return r, true
 }
 
-// placeableTasks lists the waiting tasks that may be placed now: all tasks of a gang or none,
-// at most maxRequestTasks of any other job. It lists none of a gang of which a task is backing
-// off. As a side effect it moves j.cursor, before which no task is idle.
+// placeableTasks returns the numbers of the waiting tasks that may be placed now. Of a gang it
+// returns all waiting tasks, or none if one of them is backing off. Of other jobs it returns at
+// most maxRequestTasks. It advances j.cursor.
 func (j *Job) placeableTasks(now time.Time) []int32 {
 	limit := maxRequestTasks
 	if j.Gang() {
@@ -42,11 +40,11 @@
 	}
 	j.advanceCursor()
 	var tasks []int32
-	ms := now.UnixMilli()
+	nowMillis := now.UnixMilli()
 	for i := j.cursor; i < len(j.Tasks) && len(tasks) < limit; i++ {
 		switch t := &j.Tasks[i]; {
 		case t.Phase != TaskIdle:
-		case t.notBefore <= ms:
+		case t.notBefore <= nowMillis:
 			tasks = append(tasks, int32(i))
 		case j.Gang():
 			return nil
@@ -55,9 +53,8 @@
 	return tasks
 }
 
-// constrainZones restricts a request to the zones that the job's zone constraints allow, given
-// where its other tasks may still be. It returns false if the zone of one of them is not known
-// yet, which holds the request back.
+// constrainZones applies the job's zone constraints to a request, with regard to the zones of its
+// placed tasks. It returns false if a needed zone is unknown, so that the request must wait.
 func (j *Job) constrainZones(r *placement.Request) bool {
 	if j.Spec.OneZone && r.Zone < 0 && j.PlacedTasks > 0 {
 		for zone, tasks := range j.placedByZone {
@@ -76,8 +73,9 @@
 	return true
 }
 
-// knowsZones reports whether the zones of all placed tasks are known. That of a task is not if
-// it was recorded by an earlier leader on a machine of which nothing has been heard since.
+// knowsZones reports whether the zones of all placed tasks are known. The zone of a task is
+// unknown, for example, if an earlier leader recorded it on a machine that nothing has been heard
+// of since.
 func (j *Job) knowsZones() bool {
 	known := 0
 	for _, tasks := range j.placedByZone {
@@ -86,19 +84,19 @@
 	return known >= j.PlacedTasks
 }
 
-// avoidedMachines lists the machines that the job avoids for now, by index. It deletes the
-// entries that have expired.
+// avoidedMachines returns the indices of the machines that the job avoids now, or nil if there
+// are none. It deletes expired entries of j.avoidUntil.
 func (j *Job) avoidedMachines(now time.Time) map[int]bool {
 	var avoided map[int]bool
-	for idx, until := range j.avoidUntil {
+	for machine, until := range j.avoidUntil {
 		if now.After(until) {
-			delete(j.avoidUntil, idx)
+			delete(j.avoidUntil, machine)
 			continue
 		}
 		if avoided == nil {
 			avoided = map[int]bool{}
 		}
-		avoided[int(idx)] = true
+		avoided[int(machine)] = true
 	}
 	return avoided
 }
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -7,52 +7,54 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// scaleInReason says why a machine is deleted, for the log.
+// scaleInReason is the reason for which a machine is deleted. It is logged.
 type scaleInReason string
 
 const (
-	scaleInNone        scaleInReason = "" // it is not deleted
+	scaleInNone        scaleInReason = "" // the machine is not deleted
 	scaleInFailed      scaleInReason = "failed"
 	scaleInNeverUp     scaleInReason = "never came up"
-	scaleInSilent      scaleInReason = "silent" // its lease expired long ago
-	scaleInPoolRelease scaleInReason = "pool"   // its warm pool has released it
+	scaleInSilent      scaleInReason = "silent" // its lease expired more than silentRetention ago
+	scaleInPoolRelease scaleInReason = "pool"   // its warm pool released it
 	scaleInIdle        scaleInReason = "idle"
 	scaleInUnreachable scaleInReason = "mute" // it receives no answers
 )
 
 const (
-	// maxScaleIn bounds the machines that one request deletes.
+	// maxScaleIn bounds the machines that one scale-in request deletes.
 	maxScaleIn = 50
-	// silentRetention is how long an empty silent machine is kept after its lease has expired.
+	// silentRetention is how long an empty silent machine is kept after its lease expired.
 	silentRetention = 40 * time.Second
-	// maxIdleWithoutJobs is how long an idle machine is kept at most while no job is open.
+	// maxIdleWithoutJobs bounds how long an idle machine is kept while no job is open.
 	maxIdleWithoutJobs = 20 * time.Second
-	// A new leader has not received heartbeats from all machines yet. For neverUpGracePeriod
-	// after its election it deletes no machine for never having come up, and for idleGracePeriod
-	// none for being idle or unreachable.
+	// neverUpGracePeriod is how long after its election a leader deletes no machine for never
+	// having come up. A new leader has not received heartbeats from all machines yet.
 	neverUpGracePeriod = 20 * time.Second
-	idleGracePeriod    = 30 * time.Second
+	// idleGracePeriod is how long after its election a leader deletes no machine for being idle
+	// or unreachable, for the same reason.
+	idleGracePeriod = 30 * time.Second
 )
 
-// ResumeScaleIn marks machines whose deletion an earlier leader requested. It may still be
-// carried out, so that no task must be placed on them.
+// ResumeScaleIn marks machines whose deletion an earlier leader requested. The cloud may still
+// delete them, so that no task must be placed on them.
 func (m *Model) ResumeScaleIn(names []string, now time.Time) {
-	for _, n := range names {
-		m.findOrAddMachine(n, now).markScalingIn()
+	for _, name := range names {
+		m.findOrAddMachine(name, now).markScalingIn()
 	}
 }
 
-// SelectScaleIn selects machines to delete: failed ones, those that never came up, those
-// that have been silent or unreachable for long, and those that have been idle for the
-// given time. It marks them, so that no task is placed on them any more.
-func (m *Model) SelectScaleIn(now time.Time, idle time.Duration) []string {
+// SelectScaleIn returns the names of machines to delete, at most maxScaleIn. It selects empty
+// machines that failed, never came up, have been silent or unreachable for long, were released
+// by their warm pool, or have been idle for longer than maxIdle. It marks them, so that no task
+// is placed on them any more. The result includes machines that were selected before and whose
+// deletion is not confirmed.
+func (m *Model) SelectScaleIn(now time.Time, maxIdle time.Duration) []string {
 	if len(m.openJobs()) == 0 {
-		// Without any open job, machines need not be kept for long.
-		idle = min(idle, maxIdleWithoutJobs)
+		maxIdle = min(maxIdle, maxIdleWithoutJobs)
 	}
 	var out []string
-	// Deletions that were requested before and are not confirmed come first, because
-	// the scale-in record holds the names of one request only.
+	// Unconfirmed deletions come first, because the scale-in record holds the names of one
+	// request only.
 	for _, mc := range m.Machines {
 		if mc.scalingIn && !mc.Gone && len(out) < maxScaleIn {
 			out = append(out, mc.Name)
@@ -68,11 +70,11 @@
 		if mc.Gone || mc.scalingIn {
 			continue
 		}
-		why := m.scaleInReason(mc, now, idle)
-		if why != scaleInNone {
+		reason := m.scaleInReason(mc, now, maxIdle)
+		if reason != scaleInNone {
 			mc.markScalingIn()
-			m.log.Info("scaling in machine", "machine", mc.Name, "why", why)
-			if why == scaleInNeverUp {
+			m.log.Info("scaling in machine", "machine", mc.Name, "why", reason)
+			if reason == scaleInNeverUp {
 				m.refuseMachineOffer(mc, now)
 			}
 			out = append(out, mc.Name)
@@ -81,8 +83,8 @@
 	return out
 }
 
-// scaleInReason returns why a machine is to be deleted, or scaleInNone.
-func (m *Model) scaleInReason(mc *Machine, now time.Time, idle time.Duration) scaleInReason {
+// scaleInReason returns the reason to delete a machine, or scaleInNone if it is to be kept.
+func (m *Model) scaleInReason(mc *Machine, now time.Time, maxIdle time.Duration) scaleInReason {
 	if len(mc.Tasks) > 0 || mc.orphaned != (placement.Resources{}) {
 		return scaleInNone
 	}
@@ -97,7 +99,7 @@
 		return scaleInSilent
 	case mc.alive && mc.tokenShown && m.releasedByPool(mc):
 		return scaleInPoolRelease
-	case mc.alive && mc.tokenShown && now.Sub(mc.idleSince) > idle && now.Sub(mc.headroomAt) > idle && sinceElection > idleGracePeriod && !m.keptByPool(mc):
+	case mc.alive && mc.tokenShown && now.Sub(mc.idleSince) > maxIdle && now.Sub(mc.headroomAt) > maxIdle && sinceElection > idleGracePeriod && !m.keptByPool(mc):
 		return scaleInIdle
 	case m.unreachableTooLong(mc, now) && sinceElection > idleGracePeriod:
 		return scaleInUnreachable
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// Snapshot is the model in numbers, for metrics and for operators.
+// Snapshot holds statistics of the model at one time, for metrics and for operators.
 type Snapshot struct {
 	Machines     map[string]int     // by state
 	Tasks        map[string]int     // by state
-	Jobs         int                // that are not over
-	PastDeadline int                // of those, past their deadline
-	LongestWait  map[string]float64 // seconds since acceptance of a job with waiting tasks, by class
+	Jobs         int                // jobs that are not over
+	PastDeadline int                // jobs among them that are past their deadline
+	LongestWait  map[string]float64 // by class, the most seconds since the acceptance of a job with waiting tasks
 	Starved      []StarvedJob       // jobs that can't start within the starvation bound, longest wait first; bounded
-	StarvedTotal int                // how many such jobs there are, listed in Starved or not
-	LeaseLeft    float64            // seconds left of the machine lease that expires first
+	StarvedTotal int                // number of all such jobs, in Starved or not
+	LeaseLeft    float64            // seconds left of the machine lease that expires first; 0 if there is none
 
-	PriorityInversions map[string]uint64 // by the tier that had to wait and the cause, summed over all leaders
+	PriorityInversions map[string]uint64 // by waiting tier and cause, summed over all leaders
 	Pools              []PoolSnapshot
 }
 
-// The states of machines in a Snapshot, as operators and metrics see them.
+// The states of machines in a Snapshot. Operators and metrics see these values.
 const (
 	machineScalingIn   = "returning"
 	machineInterrupted = "noticed"
@@ -31,7 +31,7 @@
 	machineUnknown     = "not heard of"
 )
 
-// The states of tasks in a Snapshot, as operators and metrics see them.
+// The states of tasks in a Snapshot. Operators and metrics see these values.
 const (
 	taskWaiting  = "waiting"
 	taskStopping = "stopping"
@@ -40,8 +40,8 @@
 	taskPlaced   = "placed"
 )
 
-// Snapshot computes the model's numbers. Its cost is proportional to the numbers of
-// machines and open tasks.
+// Snapshot computes the statistics. Its cost is proportional to the numbers of machines and open
+// tasks.
 func (m *Model) Snapshot(now time.Time) Snapshot {
 	s := Snapshot{Pools: m.poolSnapshots(), Machines: map[string]int{}, Tasks: map[string]int{}, LongestWait: map[string]float64{}, PriorityInversions: maps.Clone(m.tiers.inversions.Counts)}
 	for _, mc := range m.Machines {
@@ -59,7 +59,7 @@
 	return s
 }
 
-// machineState is the state of a machine that is not gone.
+// machineState returns the state of a machine that is not gone.
 func (m *Model) machineState(mc *Machine, now time.Time) string {
 	switch {
 	case mc.scalingIn:
@@ -78,8 +78,8 @@
 	return machineUnknown
 }
 
-// shortestLease returns the seconds left of the machine lease that expires first; 0 if one
-// has expired or there is none.
+// shortestLease returns the seconds left of the machine lease that expires first. It returns 0 if
+// a lease has expired or there is none.
 func (m *Model) shortestLease(now time.Time) float64 {
 	shortest := -1.0
 	for _, mc := range m.Machines {
@@ -114,7 +114,7 @@
 	}
 }
 
-// state is the state of a task that is not done.
+// state returns the state of a task that is not done.
 func (t *Task) state() string {
 	switch p := t.Placement; {
 	case p == nil:
@@ -129,15 +129,15 @@
 	return taskPlaced
 }
 
-// Observer receives measurements of the model, for metrics: how long the steps of a task's
-// life take, and priority inversions.
+// Observer receives measurements of the model for metrics. The model calls it from the goroutine
+// that uses the model. All durations are in seconds.
 type Observer interface {
 	Placed(seconds float64)             // from a job's acceptance to a task's placement
 	Launched(seconds float64)           // from the placement to the launch
 	Running(seconds float64)            // from the launch until the task is seen running
-	LeaseLeft(seconds float64)          // what was left of a machine's lease when it was answered
-	PriorityInversion(tier, why string) // a task of that tier waits while a lower tier's is placed
-	PreemptionHeld(seconds float64)     // how long a stop waited for the plan to be confirmed
+	LeaseLeft(seconds float64)          // time left of a machine's lease when its heartbeat is answered
+	PriorityInversion(tier, why string) // a task of the given tier waits while a task of a lower tier is placed; why is the cause
+	PreemptionHeld(seconds float64)     // from the decision of a held stop until the plan is confirmed
 }
 
 // noObserver discards all measurements.
--- a/cluster/stallrecovery.go
+++ b/cluster/stallrecovery.go
@@ -6,43 +6,43 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// stallRecovery is the last stall of the leader's process. During a stall clocks run on and
-// heartbeats queue up unread, so that silence proves nothing about a machine.
+// stallRecovery is the last stall of the leader's process, in which the process did not run.
+// During a stall clocks advance and heartbeats queue up unread, so that silence proves nothing
+// about a machine.
 type stallRecovery struct {
 	endedAt  time.Time // zero if there was none
 	duration time.Duration
 }
 
-// recovering reports whether the stall ended less than the given time ago.
+// recovering reports whether a stall ended less than the given time ago.
 func (s *stallRecovery) recovering(now time.Time, within time.Duration) bool {
 	return !s.endedAt.IsZero() && now.Sub(s.endedAt) < within
 }
 
-// silence returns the time since a heartbeat, not counting a stall after it.
+// silence returns the time since a heartbeat, without the duration of a stall after it.
 func (s *stallRecovery) silence(lastSeen, now time.Time) time.Duration {
-	d := now.Sub(lastSeen)
+	silence := now.Sub(lastSeen)
 	if lastSeen.Before(s.endedAt) {
-		d -= s.duration
+		silence -= s.duration
 	}
-	return d
+	return silence
 }
 
-// ResumeAfterStall records that the leader's process was paused for that long until
-// resumed, while its clocks ran on. Heartbeats that arrived meanwhile are still unread, so
+// ResumeAfterStall records that the leader's process did not run for the given pause, which ended
+// at resumed, while clocks advanced. Heartbeats that arrived in the pause are still unread, so
 // that the pause does not count as silence of any machine.
 func (m *Model) ResumeAfterStall(resumed time.Time, pause time.Duration) {
 	m.stall = stallRecovery{endedAt: resumed, duration: pause}
 }
 
-// recoveringFromStall reports whether the leader's process resumed after a pause so
-// recently that heartbeats which arrived during the pause may still be unread: until they
-// are read, no machine is treated as silent.
+// recoveringFromStall reports whether the leader's process resumed so recently that heartbeats
+// from the pause may still be unread. While it returns true, no machine is treated as silent.
 func (m *Model) recoveringFromStall(now time.Time) bool {
 	return m.stall.recovering(now, config.Seconds(m.settings.Cluster.Workers.HeartbeatS)+time.Second)
 }
 
-// silentFor returns the time since a machine's last heartbeat, not counting a pause of the
-// leader's process.
+// silentFor returns the time since a machine's last heartbeat, without a pause of the leader's
+// process.
 func (m *Model) silentFor(mc *Machine, now time.Time) time.Duration {
 	return m.stall.silence(mc.lastSeen, now)
 }
--- a/cluster/stoppush.go
+++ b/cluster/stoppush.go
@@ -6,16 +6,17 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Push is a set of commands to be sent directly to a worker's own address: stops, or a
+// Push is a set of commands to be sent directly to a worker's address. It holds stops or one
 // wake-up.
 type Push struct {
-	Machine  string
-	Addr     string
+	Machine  string // machine name
+	Addr     string // address of its worker
 	Commands wire.DirectCommands
 }
 
-// StopPushes returns the stops that have not been sent directly yet, by machine. A push
-// only speeds them up: answers to heartbeats repeat them until the tasks are gone.
+// StopPushes returns the stops that were not sent directly yet, one Push per machine, and records
+// them as sent. A push only speeds up a stop. The answers to heartbeats repeat the stop until the
+// task is gone.
 func (m *Model) StopPushes(now time.Time) []Push {
 	byMachine := map[int32]*Push{}
 	var order []int32
@@ -29,19 +30,19 @@
 			continue
 		}
 		p.Stop.recordPush(now)
-		d := byMachine[mc.index]
-		if d == nil {
-			d = &Push{Machine: mc.Name, Addr: mc.addr, Commands: wire.DirectCommands{Token: m.FencingToken, AgentEpoch: mc.AgentEpoch}}
-			byMachine[mc.index] = d
+		push := byMachine[mc.index]
+		if push == nil {
+			push = &Push{Machine: mc.Name, Addr: mc.addr, Commands: wire.DirectCommands{Token: m.FencingToken, AgentEpoch: mc.AgentEpoch}}
+			byMachine[mc.index] = push
 			order = append(order, mc.index)
 		}
 		grace := p.Stop.Grace
-		d.Commands.Commands = append(d.Commands.Commands,
+		push.Commands.Commands = append(push.Commands.Commands,
 			wire.Command{Op: wire.OpStop, Task: wire.TaskName(m.Jobs[ref.Job].ID, int(ref.Task)), Attempt: p.Attempt, GraceS: &grace})
 	}
 	out := make([]Push, 0, len(order))
-	for _, i := range order {
-		out = append(out, *byMachine[i])
+	for _, machine := range order {
+		out = append(out, *byMachine[machine])
 	}
 	return out
 }
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -13,18 +13,18 @@
 	attempt uint64
 }
 
-// reportedExit is the chunk of a job that an exit has changed, and the chunk's generation
-// with that change. Once it is committed, the worker may forget the exit.
+// reportedExit is the chunk that an exit changed, and the chunk's generation with that change.
+// Once this generation is committed, the worker may forget the exit.
 type reportedExit struct {
-	job        int32
+	job        int32 // index in Model.Jobs
 	chunk      int
 	generation uint64
 }
 
-// reportedExits are the exits that a machine's worker lists and that have been applied.
+// reportedExits are the exits that a machine's worker lists and that the model has applied.
 type reportedExits map[exitKey]*reportedExit
 
-// retain drops the exits that a heartbeat no longer lists.
+// retain removes the exits that are not in listed.
 func (e reportedExits) retain(listed map[exitKey]bool) {
 	for k := range e {
 		if !listed[k] {
@@ -33,19 +33,20 @@
 	}
 }
 
-// rememberExit records that an exit has been applied.
+// rememberExit records that the model has applied an exit. It must run after the exit's changes.
 func (m *Model) rememberExit(j *Job, task int32, mc *Machine, status *wire.TaskStatus) {
-	n := int(task) / jobstore.ChunkSize
-	mc.reportedExits[exitKey{status.Task, status.Attempt}] = &reportedExit{job: j.Index, chunk: n, generation: j.Chunks[n].generation}
+	chunk := int(task) / jobstore.ChunkSize
+	mc.reportedExits[exitKey{status.Task, status.Attempt}] = &reportedExit{job: j.Index, chunk: chunk, generation: j.Chunks[chunk].generation}
 }
 
-// applyExit applies the end of a task's attempt that its worker has listed.
+// applyExit applies the exit of a placed attempt that a heartbeat lists. A task that did not
+// complete is placed again later.
 func (m *Model) applyExit(j *Job, task int32, mc *Machine, p *Placement, status *wire.TaskStatus, now time.Time) {
-	ran := 0.0
+	ranSeconds := 0.0
 	if !p.runningSince.IsZero() {
-		ran = now.Sub(p.runningSince).Seconds()
+		ranSeconds = now.Sub(p.runningSince).Seconds()
 	}
-	m.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "why", status.Why, "saved", status.Saved, "ran", ran, "machine", mc.Name)
+	m.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "why", status.Why, "saved", status.Saved, "ran", ranSeconds, "machine", mc.Name)
 	ref := TaskRef{Job: j.Index, Task: task}
 	if status.Why == wire.ExitDone {
 		m.recordImage(mc, j.image)
@@ -53,7 +54,7 @@
 		m.recordSlowness(j, mc, p, now)
 		m.recordRunTime(j, task, p, now)
 		if j.Gang() {
-			// They complete together: if one task is done, all are.
+			// The tasks of a gang complete together. If one is done, all are done.
 			for i := range j.Tasks {
 				m.markDone(j, int32(i), now)
 			}
@@ -64,29 +65,31 @@
 		m.rememberExit(j, task, mc, status)
 		return
 	}
-	wait := time.Duration(0)
-	failed := ""
-	how := jobstore.OutcomeRefused
+	backoff := time.Duration(0)
+	moveFailure := "" // why the attempt failed, for the rebalance move of the task; empty if it did not fail
+	outcome := jobstore.OutcomeRefused
 	switch status.Why {
 	case wire.ExitError:
-		how = jobstore.OutcomeFailed
-		if j.reservation == nil { // the tasks of a reserved job run different things: no error is the job's
-			wait = m.recordTaskFailure(j, task, mc, now)
+		outcome = jobstore.OutcomeFailed
+		// The tasks of a reserved job run different programs, so that an error of one does not
+		// count against the job.
+		if j.reservation == nil {
+			backoff = m.recordTaskFailure(j, task, mc, now)
 		}
-		failed = "error"
+		moveFailure = "error"
 	case wire.ExitNoRoom, wire.ExitBusy:
-		wait = time.Second
+		backoff = time.Second
 		j.avoidMachine(mc.index, now.Add(5*time.Second))
-		failed = status.Why
+		moveFailure = status.Why
 	case wire.ExitUnknown:
-		wait = 3 * time.Second
-		failed = status.Why
+		backoff = 3 * time.Second
+		moveFailure = status.Why
 	case wire.ExitAlone:
 		j.markGangEnding()
-		wait = time.Second
+		backoff = time.Second
 	case wire.ExitPeers, wire.ExitStopped:
 		j.markGangEnding()
-		how = p.outcomeIfStopped()
+		outcome = p.outcomeIfStopped()
 	}
 	if status.Saved {
 		j.recordSavedProgress(task, p, now)
@@ -94,15 +97,15 @@
 		j.recordLostProgress(task, p, now)
 	}
 	m.removePlacement(j, task, now)
-	j.Tasks[task].delayUntil(now.Add(wait))
-	m.finishOnlyAttempt(j, task, how, now)
+	j.Tasks[task].delayUntil(now.Add(backoff))
+	m.finishOnlyAttempt(j, task, outcome, now)
 	m.rememberExit(j, task, mc, status)
-	m.quarantineFailedMove(ref, failed, now)
+	m.quarantineFailedMove(ref, moveFailure, now)
 	m.afterGangLoss(j, now)
 }
 
-// applyUnplacedExit applies an exit without a placement: its outcome is known already, or
-// the model had given the attempt up as lost.
+// applyUnplacedExit applies the exit of an attempt that is not placed on the machine. Either its
+// outcome was applied before, or the model counted the attempt as lost.
 func (m *Model) applyUnplacedExit(j *Job, task int32, mc *Machine, status *wire.TaskStatus, now time.Time) {
 	if mc.reportedExits[exitKey{status.Task, status.Attempt}] != nil {
 		return
@@ -113,19 +116,19 @@
 	m.rememberExit(j, task, mc, status)
 }
 
-// lossReason says by what proof a task is gone, for the log.
+// lossReason is the proof by which a task counts as gone. It is logged.
 type lossReason string
 
 const (
 	lossLeaseExpired       lossReason = "its machine's lease expired"
 	lossMachineGone        lossReason = "its machine is gone"
-	lossMachineUnreachable lossReason = "its machine is unreachable" // and its reserved placement was never launched
+	lossMachineUnreachable lossReason = "its machine is unreachable" // only for reserved placements that were never launched
 	lossNotListed          lossReason = "not on its machine"         // missing from a newer heartbeat
 )
 
-// taskLost removes the placement of a task that is proved to be gone, its outcome unknown.
-func (m *Model) taskLost(j *Job, task int32, why lossReason, now time.Time) {
-	m.log.Info("task lost", "job", j.ID, "task", task, "why", why)
+// taskLost removes the placement of a task that is proved to be gone and whose outcome is unknown.
+func (m *Model) taskLost(j *Job, task int32, reason lossReason, now time.Time) {
+	m.log.Info("task lost", "job", j.ID, "task", task, "why", reason)
 	if p := j.Tasks[task].Placement; p != nil {
 		j.recordLostProgress(task, p, now)
 	}
@@ -135,9 +138,9 @@
 	m.afterGangLoss(j, now)
 }
 
-// afterGangLoss decides what becomes of a gang that has lost a task. A gang that has not
-// started keeps its other places, and a replacement with the same attempt number completes
-// it. The rest of a gang that has started is stopped, unless stops are in progress already.
+// afterGangLoss handles the loss of a gang's task. A gang that has not started keeps its other
+// placements, and a replacement with the same attempt number completes it. The remaining tasks of
+// a gang that has started are stopped, unless stops are in progress already.
 func (m *Model) afterGangLoss(j *Job, now time.Time) {
 	if !j.Gang() {
 		return
@@ -152,16 +155,16 @@
 			stopping = true
 		}
 	}
-	// The rest of a gang that fails on every machine is stopped as well: its tasks would
-	// otherwise occupy their places, waiting in vain for the others.
+	// The remaining tasks of a gang that fails on every machine are stopped too. Otherwise they
+	// would hold resources while they wait for tasks that never start.
 	if stopping || !j.gangStarted && !j.gangEnding && !j.failures.atFault() {
 		return
 	}
 	m.stopGang(j, 0, StopGangIncomplete, now)
 }
 
-// recordSlowness records a completed task's run time, compared with its owner's estimate, for
-// the slowness of its machine.
+// recordSlowness updates the slowness of a machine from the run time of a completed task. It
+// ignores jobs without an estimate and tasks whose run time is not fully known.
 func (m *Model) recordSlowness(j *Job, mc *Machine, p *Placement, now time.Time) {
 	if j.Spec.EstimateS <= 0 || p.runningSince.IsZero() || p.Inherited {
 		return
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// This file places tasks on machines, stops them there and removes their placements, and
-// keeps what machines and teams use consistent with that.
-
-// placeTask places a task on a machine. It is launched once that is committed.
+// placeTask places a task on a machine, and adds its resources to the use of the machine and of
+// the job's team. The task is launched after the placement is committed. The caller queues a
+// new placement for writing (writeBehind.recordPlacement).
 func (m *Model) placeTask(j *Job, task int32, mc *Machine, attempt uint64, now time.Time) {
 	j.placeTask(task, mc.Zone, &Placement{Machine: mc.index, Attempt: attempt, placedAt: now, machineName: mc.Name})
 	mc.bookTask(TaskRef{Job: j.Index, Task: task}, j.Need)
@@ -18,8 +17,8 @@
 	}
 }
 
-// placementAt returns the placement of a task; nil if it is not placed or its job is out of
-// the model.
+// placementAt returns the placement of a task. It returns nil if the task is not placed or its
+// job is no longer in the model.
 func (m *Model) placementAt(ref TaskRef) *Placement {
 	if j := m.Jobs[ref.Job]; j != nil {
 		return j.Tasks[ref.Task].Placement
@@ -27,8 +26,9 @@
 	return nil
 }
 
-// removePlacement removes the placement of a task that is proved to be on no machine, or that
-// was never launched.
+// removePlacement removes the placement of a task, and subtracts its resources from the use of
+// the machine and of the job's team. The task must never have been launched, or there must be
+// proof that it is on no machine.
 func (m *Model) removePlacement(j *Job, task int32, now time.Time) {
 	mc := m.Machines[j.Tasks[task].Placement.Machine]
 	ref := TaskRef{Job: j.Index, Task: task}
@@ -41,8 +41,8 @@
 	m.writes.changeChunk(j, task)
 }
 
-// markDone records that a task is done. With the last one, the job's run times are recorded
-// for its class, and the job is counted as completed.
+// markDone records that a task is done. With the job's last task, it records the run times for
+// the job's class and counts the job as completed.
 func (m *Model) markDone(j *Job, task int32, now time.Time) {
 	t := &j.Tasks[task]
 	if t.Phase == TaskDone {
@@ -60,8 +60,9 @@
 	}
 }
 
-// stopPlacedTask orders a task to stop, or removes its placement if it was never launched.
-func (m *Model) stopPlacedTask(j *Job, task int32, grace float64, why StopReason, now time.Time) {
+// stopPlacedTask orders a task to stop within a grace period in seconds. If the task was never
+// launched, it removes the placement.
+func (m *Model) stopPlacedTask(j *Job, task int32, grace float64, reason StopReason, now time.Time) {
 	t := &j.Tasks[task]
 	p := t.Placement
 	if p == nil {
@@ -69,10 +70,10 @@
 	}
 	if !p.mayBeOnMachine() {
 		m.removePlacement(j, task, now)
-		m.finishOnlyAttempt(j, task, why.outcome(), now)
+		m.finishOnlyAttempt(j, task, reason.outcome(), now)
 		return
 	}
-	if !p.orderStop(grace, why, now) {
+	if !p.orderStop(grace, reason, now) {
 		return
 	}
 	if j.reservation != nil {
@@ -81,20 +82,20 @@
 	m.directCommands.addStop(TaskRef{Job: j.Index, Task: task})
 }
 
-// stopGang orders all placed tasks of a gang to stop.
-func (m *Model) stopGang(j *Job, grace float64, why StopReason, now time.Time) {
+// stopGang orders all placed tasks of a gang to stop within a grace period in seconds.
+func (m *Model) stopGang(j *Job, grace float64, reason StopReason, now time.Time) {
 	j.markGangEnding()
 	for i := range j.Tasks {
 		if j.Tasks[i].Placement != nil {
-			m.stopPlacedTask(j, int32(i), grace, why, now)
+			m.stopPlacedTask(j, int32(i), grace, reason, now)
 		}
 	}
 }
 
-// StopTask orders a task to stop, with a grace period in which it can save a checkpoint if
-// it supports that. A gang is stopped as a whole, since its tasks save together or not at
-// all.
-func (m *Model) StopTask(ref TaskRef, why StopReason, now time.Time) {
+// StopTask orders a task to stop. A task that supports checkpoints gets a grace period to save
+// one. A gang is stopped as a whole, because its tasks save checkpoints together or not at all.
+// StopTask does nothing if the task is not placed.
+func (m *Model) StopTask(ref TaskRef, reason StopReason, now time.Time) {
 	j := m.Jobs[ref.Job]
 	if j == nil || j.Tasks[ref.Task].Placement == nil {
 		return
@@ -103,19 +104,20 @@
 	if j.Spec.CheckpointS > 0 {
 		grace = j.Spec.SaveS + 1
 	}
-	m.log.Info("stopping task", "job", j.ID, "task", ref.Task, "why", why, "machine", m.Machines[j.Tasks[ref.Task].Placement.Machine].Name)
+	m.log.Info("stopping task", "job", j.ID, "task", ref.Task, "why", reason, "machine", m.Machines[j.Tasks[ref.Task].Placement.Machine].Name)
 	if j.Gang() {
-		m.stopGang(j, grace, why, now)
+		m.stopGang(j, grace, reason, now)
 		return
 	}
-	m.stopPlacedTask(j, ref.Task, grace, why, now)
+	m.stopPlacedTask(j, ref.Task, grace, reason, now)
 }
 
-// sortedRefs lists refs in an order that does not depend on the map's.
+// sortedRefs returns the members of a set, sorted by job and task.
 func sortedRefs(set map[TaskRef]bool) []TaskRef {
 	return appendSortedRefs(set, make([]TaskRef, 0, len(set)))
 }
 
+// appendSortedRefs appends the members of a set to out, and sorts out by job and task.
 func appendSortedRefs(set map[TaskRef]bool, out []TaskRef) []TaskRef {
 	for r := range set {
 		out = append(out, r)
