--- a/cluster/warm_pool_demand.go
+++ b/cluster/warm_pool_demand.go
@@ -8,26 +8,24 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file counts the replicas of each warm pool's model, and decides by them which version
-// of the model the pool holds.
-
-// replicaDemand is the demand of the jobs that a pool serves.
+// replicaDemand is the demand of the jobs that a warm pool serves.
 type replicaDemand struct {
-	open               int // replicas, placed or waiting
-	priority           int // highest of the jobs, 0 first
-	class              string
-	replicasPerMachine int
-	images             map[string]imageDemand
+	open               int                    // replicas that are not done, placed or waiting
+	priority           int                    // highest priority of the jobs; 0 is the highest
+	class              string                 // of the first job
+	replicasPerMachine int                    // least number that a machine of the pool has room for; 0 if unknown
+	images             map[string]imageDemand // by image name
 }
 
-// imageDemand is the demand for one version of a pool's model.
+// imageDemand is the demand for one version of a pool's model, which is an image.
 type imageDemand struct {
 	replicas  int
 	weightsGB float64
-	newestJob time.Time // when the newest of its jobs was accepted
+	newestJob time.Time // acceptance time of the newest job
 }
 
-// replicaDemands counts the demand for each pool.
+// replicaDemands returns the demand for each pool, in the order of warmPools.all. It skips jobs
+// at fault and prefetches.
 func (m *Model) replicaDemands() []replicaDemand {
 	demands := make([]replicaDemand, len(m.pools.all))
 	for _, idx := range m.openIndexes {
@@ -44,8 +42,8 @@
 	return demands
 }
 
-// add counts the tasks of a job that are not done. replicasPerMachine is how many of them
-// the smallest machine takes.
+// add adds the tasks of a job that are not done. replicasPerMachine is the result of
+// Model.replicasPerMachine for the job.
 func (d *replicaDemand) add(j *Job, replicasPerMachine int) {
 	if d.images == nil {
 		*d = replicaDemand{priority: j.priority, class: j.Spec.Class, images: map[string]imageDemand{}}
@@ -65,9 +63,11 @@
 	}
 }
 
-// replicasPerMachine is how many replicas the smallest machine of a pool takes.
+// replicasPerMachine returns how many replicas with the given need fit on the machine type of a
+// pool that has room for the fewest. Types without room for one are ignored. The result is 0 if no
+// type has room.
 func (m *Model) replicasPerMachine(p *warmPool, need placement.Resources) int {
-	least := 0
+	fewest := 0
 	for i := range m.MachineTypes {
 		t := &m.MachineTypes[i]
 		if !slices.Contains(p.Types, t.Name) || !need.Fits(t.Capacity) {
@@ -79,28 +79,29 @@
 				replicas = min(replicas, int(resource.capacity/resource.need+1e-6))
 			}
 		}
-		if least == 0 || replicas < least {
-			least = replicas
+		if fewest == 0 || replicas < fewest {
+			fewest = replicas
 		}
 	}
-	return least
+	return fewest
 }
 
-// followModelVersion makes a pool hold the version of its model that most replicas need; of
-// two with as many replicas, the one with the newer job.
-func (m *Model) followModelVersion(p *warmPool, d replicaDemand) {
-	if d.open == 0 {
+// followModelVersion sets the model version of a pool to the one that most replicas need. Of two
+// versions with equally many replicas, it chooses the one with the newer job. It changes nothing
+// without demand.
+func (m *Model) followModelVersion(p *warmPool, demand replicaDemand) {
+	if demand.open == 0 {
 		return
 	}
-	p.record.Priority, p.record.ReplicasPerMachine, p.record.Class = d.priority, max(d.replicasPerMachine, 1), d.class
+	p.record.Priority, p.record.ReplicasPerMachine, p.record.Class = demand.priority, max(demand.replicasPerMachine, 1), demand.class
 	best := p.record.Image
-	for name, image := range d.images {
-		most := d.images[best]
+	for name, image := range demand.images {
+		most := demand.images[best]
 		if image.replicas > most.replicas || image.replicas == most.replicas && image.newestJob.After(most.newestJob) {
 			best = name
 		}
 	}
-	if weightsGB := d.images[best].weightsGB; best != p.record.Image || weightsGB != p.record.WeightsGB {
+	if weightsGB := demand.images[best].weightsGB; best != p.record.Image || weightsGB != p.record.WeightsGB {
 		m.log.Info("warm pool model version changed", "pool", p.Name, "was", p.record.Image, "is", best)
 		p.setImage(best, weightsGB)
 	}
--- a/cluster/warm_pool_effects.go
+++ b/cluster/warm_pool_effects.go
@@ -7,15 +7,12 @@
 	"github.com/umberdeal/umberdeal/warmpool"
 )
 
-// This file is how warm pools affect the rest of the model: placement, scale-in, and the
-// snapshot for operators.
-
-// keptByPool reports whether an idle machine must not be scaled in because it is in a pool,
-// or may be, which is not known while the plan is unreadable.
+// keptByPool reports whether an idle machine must not be scaled in because it is in a warm pool.
+// While the plan is unreadable it returns true for all machines, because any may be in a pool.
 func (m *Model) keptByPool(mc *Machine) bool { return m.plan.Unreadable || m.poolOf(mc) != nil }
 
-// releasedByPool reports whether a machine's pool has released it, so that it is to be scaled
-// in at once; the release must be committed first.
+// releasedByPool reports whether a machine's pool has released it and the release is committed.
+// The machine is to be scaled in at once then.
 func (m *Model) releasedByPool(mc *Machine) bool {
 	p := m.poolOf(mc)
 	if p == nil {
@@ -25,9 +22,10 @@
 	return member != nil && member.Leaving && !m.planRecordPending(warmpool.ShardName(p.Name, p.shardOf[mc.index]))
 }
 
-// poolView sets a machine's pool in its view, and how many GB of further images its cache
-// takes before the weights are evicted. The cache evicts the least recently used image first,
-// so that images which were used after the weights, or are being fetched, reduce that.
+// poolView sets a machine's pool in its view, and PoolSpareGB: how many GB of other images its
+// cache can take before it evicts the weights. The cache evicts the least recently used image
+// first. Images that were used after the weights and images that are being fetched therefore
+// reduce PoolSpareGB.
 func (m *Model) poolView(mc *Machine, v *placement.Machine) {
 	p := m.poolOf(mc)
 	if p == nil {
@@ -49,7 +47,8 @@
 	}
 }
 
-// poolAccess returns how a job may use the machines of each pool; nil if there are no pools.
+// poolAccess returns how a job may use the machines of each pool, in the order of warmPools.all.
+// It returns nil if there are no pools.
 func (m *Model) poolAccess(j *Job) []placement.PoolAccess {
 	if len(m.pools.all) == 0 {
 		return nil
@@ -70,9 +69,9 @@
 	return access
 }
 
-// countPoolPlacement counts a placement for the pools: for those that serve the job, whether
-// the machine had the weights; for the pool of the machine, whether other work has preempted
-// its capacity.
+// countPoolPlacement updates the pools' counters for a placement. Each pool that serves the job
+// counts a hit if the machine had the weights, and a miss otherwise. The machine's own pool counts
+// a preemption if other work took its capacity as a last resort.
 func (m *Model) countPoolPlacement(j *Job, task int32, mc *Machine) {
 	if len(m.pools.all) == 0 || m.isPrefetch(j) {
 		return
@@ -89,7 +88,7 @@
 			}
 			continue
 		}
-		shard := p.shardOf[mc.index] // 0 for machines of no pool
+		shard := p.shardOf[mc.index] // 0 if the machine is not in this pool
 		if mc.hasImage(j.image) {
 			p.shards[shard].Hits++
 		} else {
@@ -99,22 +98,22 @@
 	}
 }
 
-// PoolSnapshot is the state of a warm pool in numbers.
+// PoolSnapshot holds statistics of a warm pool.
 type PoolSnapshot struct {
 	Name         string
 	Target       int                        // machines that the pool should hold
 	Held         int                        // machines that it holds
-	Warm         int                        // of those, machines that have the weights
-	Fetching     int                        // of those, machines that are fetching the weights
+	Warm         int                        // held machines that have the weights
+	Fetching     int                        // held machines that are fetching the weights
 	Hits         int64                      // replicas placed on a machine that had their weights
-	Misses       int64                      // replicas placed on one that had not
+	Misses       int64                      // replicas placed on a machine without their weights
 	Preemptions  int64                      // tasks of other work placed on the pool's machines as a last resort
-	CostLimited  bool                       // the target is bounded by what the pool may cost
-	FetchRefused string                     // why weights are not prefetched; "" if they are
+	CostLimited  bool                       // the pool's cost limit bounds the target
+	FetchRefused string                     // why weights are not prefetched; empty if they are
 	Teams        map[string]warmpool.Charge // what each team owes, as last recorded
 }
 
-// poolSnapshots returns the state of all pools, in the order of the plan.
+// poolSnapshots returns the statistics of all pools, in the order of the plan.
 func (m *Model) poolSnapshots() []PoolSnapshot {
 	var snapshots []PoolSnapshot
 	for _, p := range m.pools.all {
--- a/cluster/warm_pool_members.go
+++ b/cluster/warm_pool_members.go
@@ -10,11 +10,9 @@
 	"github.com/umberdeal/umberdeal/warmpool"
 )
 
-// This file observes the members of warm pools: whether they are there, ready and warm, and
-// which teams use them.
-
-// updateMembers updates a pool's members: it drops those that are gone, and records which
-// of the others have the weights and which teams use them.
+// updateMembers updates the members of a pool. Machines that are gone leave the pool, and so do
+// released machines that got tasks. For the others it records whether they are ready, whether they
+// have the weights and which teams use them.
 func (m *Model) updateMembers(p *warmPool, now time.Time) {
 	image := m.poolImage(p)
 	for _, idx := range sortedMachineIndexes(p.shardOf) {
@@ -35,7 +33,7 @@
 			p.changedShards[shard] = true
 		}
 		if mc.typeIndex < 0 || mc.Zone < 0 {
-			continue // its price and its users are as recorded
+			continue // its price is unknown; the recorded price and shares stay
 		}
 		if p.shards[shard].SetShares(member, m.teamShares(mc), m.hourlyRate(mc), now.UnixMilli(), p.Payer) {
 			p.changedShards[shard] = true
@@ -43,15 +41,17 @@
 	}
 }
 
-// memberNeverSeen reports whether a recorded member is missing: this leader has had no
-// heartbeat from it and has not seen it in the cloud's list for long.
+// memberNeverSeen reports whether a recorded member counts as lost. This leader has received no
+// heartbeat from it, the cloud has not listed it for memberLostAfter, and it is not booting. No member
+// counts as lost within memberLostAfter of the election.
 func (m *Model) memberNeverSeen(mc *Machine, now time.Time) bool {
-	_, boots := m.estimateBootTimeLeft(mc, now)
-	return !mc.alive && !boots && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > memberLostAfter && now.Sub(mc.cloudStateAt) > memberLostAfter
+	_, isBooting := m.estimateBootTimeLeft(mc, now)
+	return !mc.alive && !isBooting && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > memberLostAfter && now.Sub(mc.cloudStateAt) > memberLostAfter
 }
 
-// restoreWeights adds the weights to a machine's images if an earlier leader recorded them
-// there, once for each agent epoch: heartbeats don't list images.
+// restoreWeights adds the weights to a machine's image cache if an earlier leader recorded them
+// for the same agent epoch. It does so once per agent epoch. It is needed because heartbeats don't
+// list images.
 func (m *Model) restoreWeights(p *warmPool, mc *Machine, member *warmpool.Member, image int32) {
 	recorded := member.WarmVersion == p.record.ImageVersion && member.AgentEpoch == mc.AgentEpoch && mc.AgentEpoch > 0
 	if recorded && mc.imagesRestoredEpoch < mc.AgentEpoch && !mc.hasImage(image) {
@@ -60,32 +60,33 @@
 	mc.imagesRestoredEpoch = mc.AgentEpoch
 }
 
-// updateWarmth records whether a member has the weights, and in which agent epoch; true if
-// that has changed.
+// updateWarmth records whether a member has the weights, and in which agent epoch. It returns
+// whether the member's record changed.
 func (p *warmPool) updateWarmth(mc *Machine, member *warmpool.Member, image int32) bool {
-	warm := 0
+	warmVersion := 0
 	if mc.hasImage(image) {
-		warm = p.record.ImageVersion
+		warmVersion = p.record.ImageVersion
 	}
-	if mc.AgentEpoch == 0 || member.WarmVersion == warm && member.AgentEpoch == mc.AgentEpoch {
+	if mc.AgentEpoch == 0 || member.WarmVersion == warmVersion && member.AgentEpoch == mc.AgentEpoch {
 		return false
 	}
-	member.WarmVersion, member.AgentEpoch = warm, mc.AgentEpoch
+	member.WarmVersion, member.AgentEpoch = warmVersion, mc.AgentEpoch
 	return true
 }
 
-// sortedMachineIndexes lists machines by index, so that members are always visited in the same order.
+// sortedMachineIndexes returns the machines in shardOf in ascending order, so that members are
+// always visited in the same order.
 func sortedMachineIndexes(shardOf map[int32]int) []int32 {
-	keys := make([]int32, 0, len(shardOf))
-	for k := range shardOf {
-		keys = append(keys, k)
+	indexes := make([]int32, 0, len(shardOf))
+	for index := range shardOf {
+		indexes = append(indexes, index)
 	}
-	slices.Sort(keys)
-	return keys
+	slices.Sort(indexes)
+	return indexes
 }
 
-// teamShares returns how much of a machine each team uses: the largest of its shares of the
-// machine's resources.
+// teamShares returns the share of a machine that each team uses. A team's share is the largest of
+// its shares of CPU, GPU and memory. Teams without a share are left out.
 func (m *Model) teamShares(mc *Machine) []warmpool.TeamShare {
 	if len(mc.Tasks) == 0 {
 		return nil
@@ -112,10 +113,11 @@
 	return shares
 }
 
-// observeMembers observes the members of a pool. One whose fetch has failed leaves the pool.
+// observeMembers returns the observations of a pool's members. A member that failed to fetch the
+// weights leaves the pool.
 func (m *Model) observeMembers(p *warmPool, image int32, now time.Time) []warmpool.Observation {
 	prefetched := m.pendingPrefetches(p, now)
-	var own []warmpool.Observation
+	var members []warmpool.Observation
 	for _, mc := range m.Machines {
 		if mc.Gone || mc.typeIndex < 0 || mc.Zone < 0 {
 			continue
@@ -130,36 +132,37 @@
 			mc.excludeFromPools(now.Add(poolExclusionTime))
 			continue
 		}
-		seen := m.observeMachine(p, mc, image, now)
-		seen.Leaving = member.Leaving
-		seen.Fetching = !seen.Warm && (seen.Fetching || prefetched[mc.Name] || now.Sub(p.fetchRequestedAt[mc.index]) < fetchRetryInterval)
-		own = append(own, seen)
+		observation := m.observeMachine(p, mc, image, now)
+		observation.Leaving = member.Leaving
+		observation.Fetching = !observation.Warm && (observation.Fetching || prefetched[mc.Name] || now.Sub(p.fetchRequestedAt[mc.index]) < fetchRetryInterval)
+		members = append(members, observation)
 	}
-	return own
+	return members
 }
 
-// observeMachine is the state of a machine that is, or may become, a member of a pool.
+// observeMachine returns the observation of a machine that is a member of a pool or may join it.
 func (m *Model) observeMachine(p *warmPool, mc *Machine, image int32, now time.Time) warmpool.Observation {
-	seen := warmpool.Observation{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.hasImage(image), Busy: len(mc.Tasks) > 0 || mc.orphaned != (placement.Resources{})}
-	// A machine that has been silent for a short time is not replaced yet: heartbeats of
-	// all machines are delayed when the leader is paused.
-	seen.Ready = mc.alive && !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() &&
+	observation := warmpool.Observation{Machine: mc.Name, Zone: m.Zones[mc.Zone], Warm: mc.hasImage(image), Busy: len(mc.Tasks) > 0 || mc.orphaned != (placement.Resources{})}
+	// A machine that has been silent for less than a lease counts as ready and is not replaced.
+	// When the leader is paused, heartbeats of all machines are delayed.
+	observation.Ready = mc.alive && !mc.Gone && !mc.scalingIn && mc.interruptionAt.IsZero() &&
 		(mc.unreadySince.IsZero() || now.Sub(mc.unreadySince) < config.Seconds(m.settings.Cluster.Workers.LeaseS))
-	_, seen.Booting = m.estimateBootTimeLeft(mc, now)
-	seen.Serving = len(mc.Tasks) > 0
+	_, observation.Booting = m.estimateBootTimeLeft(mc, now)
+	observation.Serving = len(mc.Tasks) > 0
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
-		place := j.Tasks[ref.Task].Placement
-		if j.image == image && place.reportedState < reportedWaiting {
-			seen.Fetching = true
+		attempt := j.Tasks[ref.Task].Placement
+		if j.image == image && attempt.reportedState < reportedWaiting {
+			observation.Fetching = true
 		}
-		seen.Serving = seen.Serving && j.image == image && p.AllowsTeam(j.Spec.Team)
+		observation.Serving = observation.Serving && j.image == image && p.AllowsTeam(j.Spec.Team)
 	}
-	return seen
+	return observation
 }
 
-// fetchStuck reports whether a machine has been fetching the weights for much longer than
-// that takes: it does not receive answers, or its fetches fail.
+// fetchStuck reports whether a machine has been fetching the weights for stuckFetchFactor times
+// the expected duration and a minute. Such a machine does not receive answers, or its fetches
+// fail.
 func (m *Model) fetchStuck(mc *Machine, image int32, weightsGB float64, now time.Time) bool {
 	if mc.hasImage(image) || m.MachineTypes[mc.typeIndex].FetchRate <= 0 {
 		return false
@@ -167,7 +170,7 @@
 	limit := config.Seconds(stuckFetchFactor*weightsGB/m.MachineTypes[mc.typeIndex].FetchRate) + time.Minute
 	for ref := range mc.Tasks {
 		j := m.Jobs[ref.Job]
-		if place := j.Tasks[ref.Task].Placement; j.image == image && place.reportedState < reportedWaiting && now.Sub(place.placedAt) > limit {
+		if attempt := j.Tasks[ref.Task].Placement; j.image == image && attempt.reportedState < reportedWaiting && now.Sub(attempt.placedAt) > limit {
 			return true
 		}
 	}
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -10,26 +10,26 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file prefetches model weights: by reserved jobs of one task that does no work, on a
-// machine of a pool, for which the worker fetches the weights as the task's image.
+// prefetchOwnerPrefix begins the owners of all prefetch jobs.
+const prefetchOwnerPrefix = jobstore.PlanStatePrefix + "pools/"
 
+// Bounds of the exponential backoff of prefetches after a refusal.
 const (
-	prefetchOwnerPrefix = jobstore.PlanStatePrefix + "pools/"
-
-	minPrefetchPause = time.Minute // after the first refusal; doubled with each further one
+	minPrefetchPause = time.Minute
 	maxPrefetchPause = 32 * time.Minute
 )
 
-// prefetchOwner is the owner of the reserved jobs that prefetch a pool's weights.
+// prefetchOwner returns the owner of the reserved jobs that prefetch a pool's weights.
 func prefetchOwner(pool string) string { return prefetchOwnerPrefix + pool }
 
-// isPrefetch reports whether a job prefetches weights.
+// isPrefetch reports whether a job is a prefetch job.
 func (m *Model) isPrefetch(j *Job) bool {
 	return j.reservation != nil && strings.HasPrefix(j.reservation.Owner, prefetchOwnerPrefix)
 }
 
-// pendingPrefetches returns the machines that a pool's unfinished prefetches are for. It ends
-// those that are obsolete, and those not placed yet whose machine has the weights.
+// pendingPrefetches returns the names of the machines of a pool's unfinished prefetches. It ends
+// prefetches that are obsolete, and those that are not placed and whose machine has the weights
+// already.
 func (m *Model) pendingPrefetches(p *warmPool, now time.Time) map[string]bool {
 	pending := map[string]bool{}
 	owner, image := prefetchOwner(p.Name), m.poolImage(p)
@@ -42,14 +42,14 @@
 			continue
 		}
 		name := j.reservation.OnlyMachines[0]
-		i, known := m.names.machines[name]
+		index, known := m.names.machines[name]
 		var member *warmpool.Member
-		if known && !m.Machines[i].Gone {
-			member = p.member(m.Machines[i])
+		if known && !m.Machines[index].Gone {
+			member = p.member(m.Machines[index])
 		}
 		obsolete := member == nil || member.Leaving || j.image != image
 		switch t := &j.Tasks[0]; {
-		case t.Phase == TaskIdle && (obsolete || m.Machines[i].hasImage(image)):
+		case t.Phase == TaskIdle && (obsolete || m.Machines[index].hasImage(image)):
 			m.finishOnlyAttempt(j, 0, jobstore.OutcomeReleased, now)
 			continue
 		case obsolete && t.Placement != nil && t.Placement.Stop == nil:
@@ -61,14 +61,15 @@
 	return pending
 }
 
-// Prefetch is a job that the controller is to record. Its single task does no work; placing
-// it on a machine of a warm pool makes the worker fetch the model weights.
+// Prefetch is a reserved job that prefetches model weights. The controller is to record it. Its
+// single task does no work. When the task is launched on a machine of a warm pool, the worker
+// fetches the weights as the task's image.
 type Prefetch struct {
 	ID     string
 	Record jobstore.JobRecord
 }
 
-// NextPrefetches takes at most n prefetches off the queues of the warm pools.
+// NextPrefetches removes at most n prefetches from the queues of the warm pools and returns them.
 func (m *Model) NextPrefetches(n int, now time.Time) []Prefetch {
 	var prefetches []Prefetch
 	for _, p := range m.pools.all {
@@ -92,16 +93,16 @@
 	return prefetches
 }
 
-// prefetchID is the id of a leader's n-th prefetch job. No user's job, no other reserved job
-// and no prefetch of another leader has it.
+// prefetchID returns the id of a leader's n-th prefetch job. No job of a user, no other reserved
+// job and no prefetch of another leader has this id.
 func prefetchID(token uint64, n int) string {
 	return fmt.Sprintf("%s9%011d%08d", wire.JobPrefix, token%1e11, n%1e8)
 }
 
-// prefetchEnded pauses the prefetches of a pool whose prefetch job was refused or has failed:
-// its workers don't support such jobs.
-func (m *Model) prefetchEnded(j *Job, how jobstore.TaskOutcome, now time.Time) {
-	if how != jobstore.OutcomeRefused && how != jobstore.OutcomeFailed || !m.isPrefetch(j) {
+// prefetchEnded handles the end of a job. If the job is a prefetch that was refused or failed, the
+// workers don't support prefetches, and the pool's prefetches are paused.
+func (m *Model) prefetchEnded(j *Job, outcome jobstore.TaskOutcome, now time.Time) {
+	if outcome != jobstore.OutcomeRefused && outcome != jobstore.OutcomeFailed || !m.isPrefetch(j) {
 		return
 	}
 	for _, p := range m.pools.all {
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -8,12 +8,8 @@
 	"github.com/umberdeal/umberdeal/warmpool"
 )
 
-// This file compares each warm pool with its target size: which machines join and leave,
-// which fetch the weights, and what is scaled out. warm_pool_demand.go counts what the model
-// needs, warm_pool_members.go observes the members.
-
-// tickPools updates the pools and reconciles them with their targets. It is called with each
-// tick.
+// tickPools updates the warm pools and reconciles them with their target sizes, once per
+// poolInterval. Model.Tick calls it.
 func (m *Model) tickPools(now time.Time) {
 	if len(m.pools.all) == 0 || now.Before(m.pools.nextTick) || len(m.MachineTypes) == 0 {
 		return
@@ -35,30 +31,31 @@
 	}
 }
 
-// reconcilePool compares a pool with its target size: it lets machines join and leave, and
-// queues those that are to fetch the weights.
+// reconcilePool computes a pool's target size and plans how the pool reaches it: which machines
+// join and leave, which fetch the weights, and how many are scaled out. index is the pool's index
+// in warmPools.all.
 func (m *Model) reconcilePool(index int, p *warmPool, now time.Time) {
 	image := m.poolImage(p)
 	terms, ok := m.poolTerms(p)
 	if !ok {
-		return // none of its types is in the catalogue
+		return // none of its types is in the catalog
 	}
 	lead := p.LeadTime(p.PeakMachines(&p.demand, now, p.record.ReplicasPerMachine), terms.boot, terms.fetchGBPS)
 	p.record.Target = p.TargetSize(&p.demand, now, lead, p.record.ReplicasPerMachine, terms.price)
 	p.record.CostLimited = p.record.Target == p.Affordable(terms.price) && p.record.Target < p.MaxMachines
-	own := m.observeMembers(p, image, now)
+	members := m.observeMembers(p, image, now)
 	var candidates []warmpool.Observation
-	if warmpool.CountHeld(own) < p.record.Target {
+	if warmpool.CountHeld(members) < p.record.Target {
 		candidates = m.joinCandidates(p, image, &terms, now)
 	}
-	plan := p.PlanScaling(own, candidates, p.record.Target, p.Affordable(terms.price))
+	plan := p.PlanScaling(members, candidates, p.record.Target, p.Affordable(terms.price))
 	m.applyScalingPlan(index, p, &plan, now)
-	m.countMembers(p, own, len(plan.Join))
+	m.countMembers(p, members, len(plan.Join))
 	if now.Before(p.fetchesPausedUntil) {
 		return
 	}
 	p.record.FetchRefused = ""
-	for _, name := range p.NextFetches(own) {
+	for _, name := range p.NextFetches(members) {
 		idx := m.names.machines[name]
 		if member := p.member(m.Machines[idx]); member != nil && !member.Leaving {
 			p.fetchQueue = append(p.fetchQueue, idx)
@@ -66,16 +63,16 @@
 	}
 }
 
-// poolTerms are the machine types and zones that a pool may use, with the highest price, the
-// longest boot and the slowest fetch of the types.
+// poolTerms are the machine types and zones that a pool may use, and the highest price, longest
+// boot time and slowest fetch rate of these types.
 type poolTerms struct {
-	types, zones []bool        // by index in the catalogue and in Model.Zones
-	price        float64       // an hour
-	boot         time.Duration // until a machine is up
-	fetchGBPS    float64
+	types, zones []bool        // by index in Model.MachineTypes and in Model.Zones
+	price        float64       // per hour
+	boot         time.Duration // boot time
+	fetchGBPS    float64       // GB per second
 }
 
-// poolTerms looks up a pool's types in the catalogue; false if it has none of them.
+// poolTerms looks up a pool's types in the catalog. It returns false if none of them is listed.
 func (m *Model) poolTerms(p *warmPool) (poolTerms, bool) {
 	terms := poolTerms{types: make([]bool, len(m.MachineTypes)), zones: make([]bool, len(m.Zones)), fetchGBPS: math.Inf(1)}
 	for k := range m.MachineTypes {
@@ -96,7 +93,8 @@
 	return terms, slices.Contains(terms.types, true)
 }
 
-// joinCandidates observes the machines that may join a pool.
+// joinCandidates returns the observations of the machines that may join a pool. A machine that may
+// become ready soon counts as booting.
 func (m *Model) joinCandidates(p *warmPool, image int32, terms *poolTerms, now time.Time) (candidates []warmpool.Observation) {
 	for _, mc := range m.Machines {
 		if mc.Gone || mc.typeIndex < 0 || mc.Zone < 0 {
@@ -105,16 +103,16 @@
 		if mc.inPool() || mc.scalingIn || !terms.types[mc.typeIndex] || !terms.zones[mc.Zone] || mc.Spot && !p.Spot || now.Before(mc.poolExclusionUntil) {
 			continue
 		}
-		seen := m.observeMachine(p, mc, image, now)
-		if !seen.Busy && now.Sub(mc.idleSince) < minIdleToJoin || seen.Ready && !m.Ready(mc, now) {
-			seen.Ready, seen.Booting = false, true // it may be ready soon
+		observation := m.observeMachine(p, mc, image, now)
+		if !observation.Busy && now.Sub(mc.idleSince) < minIdleToJoin || observation.Ready && !m.Ready(mc, now) {
+			observation.Ready, observation.Booting = false, true
 		}
-		candidates = append(candidates, seen)
+		candidates = append(candidates, observation)
 	}
 	return candidates
 }
 
-// applyScalingPlan carries out a scaling plan; its scale-out waits for the next scheduling
+// applyScalingPlan carries out a scaling plan. Its scale-out is stored for the next scheduling
 // pass.
 func (m *Model) applyScalingPlan(index int, p *warmPool, plan *warmpool.ScalingPlan, now time.Time) {
 	for _, name := range plan.Join {
@@ -132,48 +130,49 @@
 	p.scaleOut = plan.ScaleOut
 }
 
-// countMembers records how many machines a pool holds, the ones that have just joined
-// included, and how many of them are warm.
-func (m *Model) countMembers(p *warmPool, own []warmpool.Observation, joined int) {
+// countMembers records how many machines a pool holds, and how many of them are warm or fetch the
+// weights. joined is the number of machines that joined after the observations.
+func (m *Model) countMembers(p *warmPool, members []warmpool.Observation, joined int) {
 	p.record.Held, p.record.Warm, p.record.Fetching = 0, 0, 0
-	for k := range own {
-		if member := p.member(m.machineNamed(own[k].Machine)); member == nil || member.Leaving {
+	for k := range members {
+		if member := p.member(m.machineNamed(members[k].Machine)); member == nil || member.Leaving {
 			continue
 		}
 		p.record.Held++
-		if own[k].Warm {
+		if members[k].Warm {
 			p.record.Warm++
-		} else if own[k].Fetching {
+		} else if members[k].Fetching {
 			p.record.Fetching++
 		}
 	}
 	p.record.Held += joined
 }
 
-// addPoolScaleOut adds the machines that the pools lack to the scale-out of a scheduling
-// pass. most bounds the machines of the whole scale-out.
-func (m *Model) addPoolScaleOut(scaleOut map[Offer]int, offers []Offer, most int) {
+// addPoolScaleOut adds the machines that the pools lack to the scale-out of a scheduling pass.
+// limit bounds the total number of machines in scaleOut.
+func (m *Model) addPoolScaleOut(scaleOut map[Offer]int, offers []Offer, limit int) {
 	for _, n := range scaleOut {
-		most -= n
+		limit -= n
 	}
 	for _, p := range m.pools.all {
 		for zone, name := range m.Zones {
-			n := min(p.scaleOut[name], most, maxScaleOutPerTick)
+			n := min(p.scaleOut[name], limit, maxScaleOutPerTick)
 			if n <= 0 {
 				continue
 			}
 			if offer, ok := m.cheapestPoolOffer(p, offers, zone); ok {
 				scaleOut[offer] += n
-				most -= n
+				limit -= n
 			}
 		}
 	}
 }
 
-// cheapestPoolOffer is the cheapest offer for a pool that lacks a machine in a zone. It is in
-// another zone only if there is none in this one; false if there is none at all.
+// cheapestPoolOffer returns the cheapest offer for a pool that lacks a machine in a zone. An offer
+// in another zone is returned only if there is none in this zone. The result is false if there is
+// no offer at all.
 func (m *Model) cheapestPoolOffer(p *warmPool, offers []Offer, zone int) (Offer, bool) {
-	best, least := -1, 0.0
+	best, lowestPrice := -1, 0.0
 	for k, o := range offers {
 		if o.Spot && !p.Spot || !slices.Contains(p.Types, o.Type) || !slices.Contains(p.Zones, o.Zone) {
 			continue
@@ -183,10 +182,10 @@
 			price = m.MachineTypes[o.key.machineType].SpotPrice
 		}
 		if o.key.zone != zone {
-			price += otherZonePenalty // chosen only if the offers in the zone have been refused lately
+			price += otherZonePenalty // chosen only if the offers in the zone were refused lately
 		}
-		if best < 0 || price < least {
-			best, least = k, price
+		if best < 0 || price < lowestPrice {
+			best, lowestPrice = k, price
 		}
 	}
 	if best < 0 {
--- a/cluster/warm_pool_records.go
+++ b/cluster/warm_pool_records.go
@@ -7,15 +7,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file reads and writes the records of warm pools: their state, the demand of each day
-// of the week, and the shards of their members with the accounts.
-
 const (
 	daysPerWeek        = 7
-	poolRecordInterval = 5 * accountInterval // between two records of a pool that has not changed
+	poolRecordInterval = 5 * accountInterval // between two writes of an unchanged pool record
 )
 
-// loadPool makes a pool from what earlier leaders recorded.
+// loadPool returns a pool with the given settings and the records of earlier leaders: the pool's
+// state, the demand of each day of the week, and the shards of its members with the accounts.
 func (m *Model) loadPool(settings warmpool.Pool, now time.Time) *warmPool {
 	p := &warmPool{Pool: settings, shardOf: map[int32]int{}, fetchRequestedAt: map[int32]time.Time{}}
 	p.record = warmpool.Record{ReplicasPerMachine: 1, Priority: priorities[wire.PriorityNormal], Image: settings.Model, WeightsGB: settings.WeightsGB, ImageVersion: 1}
@@ -36,27 +34,28 @@
 		m.loadShard(p, n, now)
 	}
 	if previous := p.record.Payer; previous != "" && previous != settings.Payer {
-		p.Payer = previous // to whom the costs up to now are charged
+		p.Payer = previous // charge the costs up to now to the previous payer
 		p.settle(now)
 		p.Payer = settings.Payer
 	}
 	return p
 }
 
-// loadPoolRecord decodes one of a pool's records; false if there is none that is readable.
-func (m *Model) loadPoolRecord(name string, to any) bool {
+// loadPoolRecord decodes the plan record with the given name into out. It returns false if there is
+// no such record or it can't be read. The latter is logged.
+func (m *Model) loadPoolRecord(name string, out any) bool {
 	raw, ok := m.loadedPlanRecord(name)
 	if !ok {
 		return false
 	}
-	if err := wire.Unmarshal(raw, to); err != nil {
+	if err := wire.Unmarshal(raw, out); err != nil {
 		m.log.Error("unreadable warm pool record", "name", name, "err", err)
 		return false
 	}
 	return true
 }
 
-// loadShard adds a pool's next shard with its members. One that is missing or unreadable
+// loadShard adds shard number n of a pool with its members. A shard that is missing or unreadable
 // starts empty.
 func (m *Model) loadShard(p *warmPool, n int, now time.Time) {
 	var shard warmpool.Shard
@@ -70,8 +69,9 @@
 	}
 }
 
-// queuePoolRecords queues a pool's changed records to be written. Accounts of shards with members and
-// the pool's own record are queued from time to time even if nothing has changed.
+// queuePoolRecords queues a pool's changed records to be written. Shards with members are also
+// queued after accountInterval, and the pool's own record after poolRecordInterval, even if they
+// are unchanged.
 func (m *Model) queuePoolRecords(p *warmPool, now time.Time) {
 	nowMs := now.UnixMilli()
 	for n, shard := range p.shards {
@@ -84,9 +84,9 @@
 			m.queuePlanRecord(warmpool.ShardName(p.Name, n), shard.Clone())
 		}
 	}
-	last := p.savedRecord
-	last.AtMs = p.record.AtMs
-	if last != p.record || nowMs-p.record.AtMs > poolRecordInterval.Milliseconds() {
+	saved := p.savedRecord
+	saved.AtMs = p.record.AtMs
+	if saved != p.record || nowMs-p.record.AtMs > poolRecordInterval.Milliseconds() {
 		p.record.AtMs = nowMs
 		p.savedRecord = p.record
 		m.queuePlanRecord(warmpool.RecordName(p.Name), p.record)
--- a/cluster/warm_pools.go
+++ b/cluster/warm_pools.go
@@ -7,50 +7,50 @@
 	"github.com/umberdeal/umberdeal/warmpool"
 )
 
-// This file holds the warm pools of the plan and their members. Package warmpool decides how
-// many machines a pool needs; warm_pool_reconcile.go compares that with what it has. What a
-// new leader needs is recorded (warm_pool_records.go). Without pools in the plan nothing
-// here has an effect.
-
-// warmPools holds the plan's warm pools. Only the warm_pool*.go files write its fields, those
-// of its pools, and the pool's fields of machines. Invariant: a machine whose pool field is
-// n > 0 is a member of all[n-1] and of no other pool.
+// warmPools holds the plan's warm pools. Without pools in the plan it has no effect. Package
+// warmpool decides how many machines a pool needs, and Model.reconcilePool compares that number
+// with the pool's members. State that a new leader needs is kept in plan records
+// (Model.queuePoolRecords).
+//
+// Only the warm_pool*.go files write the fields of warmPools, of its pools, and the pool fields of
+// machines. Invariant: a machine whose pool field is n > 0 is a member of all[n-1] and of no other
+// pool.
 type warmPools struct {
 	all           []*warmPool // in the order of the plan
-	nextTick      time.Time   // tickPools does nothing before
-	prefetchCount int         // prefetch jobs that this leader has created; makes their ids unique
+	nextTick      time.Time   // time before which tickPools does nothing
+	prefetchCount int         // number of prefetch jobs that this leader created; makes their ids unique
 }
 
-// warmPool is a pool of the plan with its members. Invariant: shardOf has exactly the
+// warmPool is a pool of the plan with its members. Invariant: the keys of shardOf are exactly the
 // machines that are members of one of the shards.
 type warmPool struct {
 	warmpool.Pool
 	record             warmpool.Record
-	savedRecord        warmpool.Record // as last recorded
+	savedRecord        warmpool.Record // record as last queued for writing
 	demand             warmpool.WeeklyDemand
 	shards             []*warmpool.Shard
-	changedShards      []bool         // shards to be recorded
-	shardOf            map[int32]int  // index in shards, by machine
-	scaleOut           map[string]int // machines wanted, by zone, until the next tick
-	fetchQueue         []int32        // machines that are to fetch the weights
-	fetchRequestedAt   map[int32]time.Time
-	fetchesPausedUntil time.Time     // workers have refused prefetches
-	fetchPause         time.Duration // length of the last pause
+	changedShards      []bool              // by shard, whether it is to be written
+	shardOf            map[int32]int       // by machine index, the index in shards
+	scaleOut           map[string]int      // by zone name, machines to be requested until the next tick
+	fetchQueue         []int32             // indices of machines that are to fetch the weights
+	fetchRequestedAt   map[int32]time.Time // by machine index
+	fetchesPausedUntil time.Time           // end of the pause after workers refused a prefetch
+	fetchPause         time.Duration       // length of the last pause
 }
 
 const (
 	poolInterval       = 2 * time.Second  // between two ticks of the pools
-	poolGracePeriod    = 25 * time.Second // after takeover: not all machines have sent a heartbeat
-	minIdleToJoin      = 4 * time.Second  // a machine that has just come up may be for waiting work
-	accountInterval    = time.Minute      // between two records of an account that nothing else changes
-	fetchRetryInterval = 20 * time.Second // until a fetch is requested again
-	recentBootWindow   = time.Minute      // a machine that has been idle for longer was not rented for a pool
-	memberLostAfter    = time.Minute      // a recorded member that no heartbeat and no list has shown is gone
-	maxScaleOutPerTick = 50               // of a pool in a zone
-	otherZonePenalty   = 1e6              // added to the price of a machine in another zone than wanted
-	poolExclusionTime  = 10 * time.Minute // no pool accepts a machine that has failed to fetch its image
-	stuckFetchFactor   = 3                // a fetch has failed after this multiple of its time and a minute
-	prefetchCPUs       = 0.01             // what a prefetch reserves
+	poolGracePeriod    = 25 * time.Second // after an election, while not all machines have sent a heartbeat
+	minIdleToJoin      = 4 * time.Second  // a machine that has just come up may be meant for waiting tasks
+	accountInterval    = time.Minute      // between two writes of an account that is otherwise unchanged
+	fetchRetryInterval = 20 * time.Second // between two requests of the same fetch
+	recentBootWindow   = time.Minute      // a machine that has been idle for longer does not count as rented for a pool
+	memberLostAfter    = time.Minute      // after which a recorded member without heartbeat and listing counts as lost
+	maxScaleOutPerTick = 50               // machines of one pool in one zone
+	otherZonePenalty   = 1e6              // added to the price of a machine in another zone than the wanted one
+	poolExclusionTime  = 10 * time.Minute // for a machine that failed to fetch the weights
+	stuckFetchFactor   = 3                // a fetch has failed after this multiple of its expected time, plus a minute
+	prefetchCPUs       = 0.01             // that a prefetch job reserves
 )
 
 // enterPool makes the machine a member of the pool at an index of warmPools.all.
@@ -72,25 +72,25 @@
 	}
 }
 
-// excludeFromPools lets no pool accept the machine for a time.
+// excludeFromPools prevents all pools from accepting the machine until the given time.
 func (mc *Machine) excludeFromPools(until time.Time) { mc.poolExclusionUntil = until }
 
-// reloadPools applies the plan's pools. It may be called before any job or machine is known.
+// reloadPools applies the plan's pools. It may be called before any job or machine is loaded.
 func (m *Model) reloadPools(now time.Time) {
 	if m.plan.Unreadable {
-		return // the pools known before stay
+		return // the current pools stay
 	}
 	var settings []warmpool.Pool
 	if m.plan.Plan != nil {
 		settings = m.plan.Pools
 	}
-	old := m.pools.all
+	remaining := m.pools.all // previous pools that the plan no longer has, after the loop
 	m.pools.all = nil
 	for _, s := range settings {
 		var p *warmPool
-		if i := slices.IndexFunc(old, func(p *warmPool) bool { return p.Name == s.Name }); i >= 0 {
-			p = old[i]
-			old = slices.Delete(old, i, i+1)
+		if i := slices.IndexFunc(remaining, func(p *warmPool) bool { return p.Name == s.Name }); i >= 0 {
+			p = remaining[i]
+			remaining = slices.Delete(remaining, i, i+1)
 			p.changeSettings(s, now)
 		} else {
 			p = m.loadPool(s, now)
@@ -101,7 +101,7 @@
 		}
 		m.pools.all = append(m.pools.all, p)
 	}
-	for _, p := range old {
+	for _, p := range remaining {
 		m.dissolvePool(p, now)
 	}
 	for i, p := range m.pools.all {
@@ -112,8 +112,8 @@
 	m.pools.nextTick = time.Time{}
 }
 
-// changeSettings applies the plan's new settings. If the payer changes, the costs up to now
-// are charged to the previous one.
+// changeSettings applies new settings of the plan. If the payer changes, the costs up to now are
+// charged to the previous payer.
 func (p *warmPool) changeSettings(s warmpool.Pool, now time.Time) {
 	if p.Payer != s.Payer {
 		p.settle(now)
@@ -121,8 +121,7 @@
 	p.Pool = s
 }
 
-// dissolvePool settles the account of a pool that the plan no longer has, and ends the
-// membership of its machines.
+// dissolvePool settles the account of a pool that the plan no longer has, and removes its members.
 func (m *Model) dissolvePool(p *warmPool, now time.Time) {
 	p.settle(now)
 	for idx := range p.shardOf {
@@ -132,7 +131,7 @@
 	m.queuePoolRecords(p, now)
 }
 
-// setImage makes an image the one whose weights the pool holds.
+// setImage sets the image whose weights the pool holds.
 func (p *warmPool) setImage(name string, weightsGB float64) {
 	if p.record.Image != name {
 		p.record.ImageVersion++
@@ -140,12 +139,12 @@
 	p.record.Image, p.record.WeightsGB = name, weightsGB
 }
 
-// poolImage is the index of the image whose weights a pool holds.
+// poolImage returns the index of the image whose weights a pool holds.
 func (m *Model) poolImage(p *warmPool) int32 {
 	return m.images.intern(p.record.Image, p.record.WeightsGB)
 }
 
-// settle charges everything up to now to the pool's payer.
+// settle charges the costs up to now to the pool's current payer.
 func (p *warmPool) settle(now time.Time) {
 	for i, shard := range p.shards {
 		if len(shard.Members) > 0 {
@@ -155,8 +154,8 @@
 	}
 }
 
-// member is a machine's entry in the pool, nil if it has none; it is valid until the pool's
-// members change.
+// member returns a machine's entry in the pool, or nil if it has none. The result is valid until
+// the pool's members change.
 func (p *warmPool) member(mc *Machine) *warmpool.Member {
 	shard, ok := p.shardOf[mc.index]
 	if !ok {
@@ -165,7 +164,7 @@
 	return p.shards[shard].Member(mc.Name)
 }
 
-// poolOf is the pool that a machine belongs to, nil if there is none.
+// poolOf returns the pool of a machine, or nil if it is in none.
 func (m *Model) poolOf(mc *Machine) *warmPool {
 	if mc.pool == 0 || mc.pool > len(m.pools.all) {
 		return nil
@@ -173,9 +172,10 @@
 	return m.pools.all[mc.pool-1]
 }
 
-// joinPool makes a machine a member of a pool. One that has just come up and has never had a
-// task counts as rented for the pool, which then pays from its creation on, its boot included.
-// For all others, such as headroom, the pool pays from now on.
+// joinPool makes a machine a member of the pool at an index of warmPools.all. A machine that just
+// came up and never had a task counts as rented for the pool. The pool pays for it from its
+// creation on, including its boot. For all other machines, such as headroom, the pool pays from
+// now on. joinPool does nothing if the machine is in a pool or all shards are full.
 func (m *Model) joinPool(index int, mc *Machine, now time.Time) {
 	p := m.pools.all[index]
 	shard := slices.IndexFunc(p.shards, func(s *warmpool.Shard) bool { return len(s.Members) < warmpool.ShardSize })
@@ -192,7 +192,7 @@
 	m.log.Info("machine joined warm pool", "pool", p.Name, "machine", mc.Name, "warm", mc.hasImage(m.poolImage(p)), "paidSince", since)
 }
 
-// leavePool ends a machine's membership in a pool.
+// leavePool removes a machine from its pool.
 func (m *Model) leavePool(p *warmPool, mc *Machine, now time.Time) {
 	shard := p.shardOf[mc.index]
 	p.shards[shard].Leave(mc.Name, now.UnixMilli(), p.Payer)
@@ -203,7 +203,7 @@
 	m.log.Info("machine left warm pool", "pool", p.Name, "machine", mc.Name, "gone", mc.Gone)
 }
 
-// setLeaving changes whether a member is to be scaled in once it is idle.
+// setLeaving sets whether a member is released, so that it is scaled in once it is idle.
 func (m *Model) setLeaving(p *warmPool, name string, leaving bool) {
 	mc := m.machineNamed(name)
 	if member := p.member(mc); member != nil {
@@ -213,7 +213,8 @@
 	}
 }
 
-// hourlyRate is the price of a machine for an hour, in millionths.
+// hourlyRate returns the price of a machine per hour in millionths. It returns 0 if the machine's
+// type is unknown.
 func (m *Model) hourlyRate(mc *Machine) int64 {
 	if mc.typeIndex < 0 {
 		return 0
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -9,20 +9,20 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// writeBehind is the queue of changes of the model that the key-value store does not have
-// yet. Decisions are applied to the model at once and written with a later batch (NextBatch);
-// what depends on a write, such as the launch of a task, waits for the commit.
+// writeBehind is the queue of changes of the model that are not in the key-value store yet.
+// Decisions are applied to the model at once and written with a later batch (NextBatch). Actions
+// that depend on a write, such as the launch of a task, wait for the commit.
 //
 // Only its methods, and those of its parts, change its fields. They keep these invariants:
 //   - A job of the model is in dirtyJobs, once, exactly while it is marked as dirty.
 //   - A placement page is to be written while its generation differs from the committed one.
-//     Every change of a chunk raises the chunk's generation and that of its page.
-//   - Committed generations are those of records as they were written. What changes while a
-//     batch is in progress stays to be written.
-//   - A chunk is on exactly one page from its first change, or from when it is loaded, until
-//     its job leaves the model, and on none otherwise.
+//     Every change of a chunk increments the chunk's generation and that of its page.
+//   - A committed generation is that of the record as it was written. A change that is made while
+//     a batch is in progress is written later.
+//   - A chunk is on exactly one page from its first change or from its loading until its job
+//     leaves the model. Otherwise it is on none.
 type writeBehind struct {
-	dirtyJobs      []int32 // indices of jobs that may be done, or are to be dropped
+	dirtyJobs      []int32 // indices of jobs that may have to be written or removed from the model
 	placementPages placementPages
 	admissionPages admissionPages
 }
@@ -34,7 +34,7 @@
 // limits returns what the key-value store accepts.
 func (w *writeBehind) limits() writeLimits { return w.placementPages.limits }
 
-// markJob queues a job that may have to be written or dropped from the model.
+// markJob queues a job that may have to be written or removed from the model.
 func (w *writeBehind) markJob(j *Job) {
 	if !j.dirty {
 		j.dirty = true
@@ -42,13 +42,14 @@
 	}
 }
 
-// filterJobs calls keep for each queued job, in the order in which they were queued, and
-// removes those for which it returns false.
+// filterJobs calls keep for each queued job, in the order in which they were queued. It removes
+// the jobs for which keep returns false.
 func (w *writeBehind) filterJobs(keep func(index int32) bool) {
 	w.dirtyJobs = slices.DeleteFunc(w.dirtyJobs, func(index int32) bool { return !keep(index) })
 }
 
-// changeChunk records that the chunk which a task belongs to has changed.
+// changeChunk records a change of the chunk of a task and returns the chunk. It assigns the chunk
+// to a page if needed.
 func (w *writeBehind) changeChunk(j *Job, task int32) *Chunk {
 	c := j.chunkOf(task)
 	c.change()
@@ -60,17 +61,17 @@
 	return c
 }
 
-// recordPlacement records that a task has been placed. It may be launched once the chunk is
-// committed in this generation.
+// recordPlacement records a new placement of a task. The task may be launched when the chunk is
+// committed in its generation after this change.
 func (w *writeBehind) recordPlacement(j *Job, task int32) {
 	w.changeChunk(j, task).recordPlacement(j.Tasks[task].Placement)
 }
 
-// writeLimits are what the key-value store accepts.
+// writeLimits are the limits of transactions and values in the key-value store.
 type writeLimits struct{ state *config.StateLimits }
 
-// maxGuards is how many conditions a transaction may have, besides those on the leader key and
-// the plan head.
+// maxGuards returns the most conditions that a transaction may have, in addition to those on the
+// leader key and the plan head.
 func (l writeLimits) maxGuards() int {
 	ops := l.state.TxnOps
 	if ops <= 0 {
@@ -79,43 +80,44 @@
 	return 4*ops - 2
 }
 
-// maxValueBytes bounds a value, with a margin.
+// maxValueBytes returns the maximal size of a value, less a safety margin.
 func (l writeLimits) maxValueBytes() int {
-	kb := l.state.ValueKB
-	if kb <= 0 {
-		kb = 16
+	kib := l.state.ValueKB
+	if kib <= 0 {
+		kib = 16
 	}
-	return int(kb*1024) - 256
+	return int(kib*1024) - 256
 }
 
-// PendingWrites returns how many puts and deletes are needed to write all changes; 1 if
-// there is nothing to write but jobs are queued, which may have to be dropped from the model.
+// PendingWrites returns the number of puts and deletes that are needed to write all changes. If
+// there is nothing to write and jobs are queued, which may have to be removed from the model, it
+// returns 1.
 func (m *Model) PendingWrites() int {
-	n := 0
+	pending := 0
 	for _, index := range m.writes.dirtyJobs {
 		if j := m.Jobs[index]; j != nil && j.awaitsFinalRecord() {
-			n += 2
+			pending += 2
 		}
 	}
-	n += m.writes.placementPages.pending()
-	if n == 0 && len(m.writes.dirtyJobs) > 0 {
-		return 1 // nothing to write, but jobs to be dropped
+	pending += m.writes.placementPages.pending()
+	if pending == 0 && len(m.writes.dirtyJobs) > 0 {
+		return 1
 	}
-	return n
+	return pending
 }
 
-// NothingToWrite reports whether the next batch would be empty. Changed pages count until
-// they are committed, finished jobs only until they are in a batch.
+// NothingToWrite reports whether PendingWrites is 0. Changed pages count as pending until they are
+// committed. Finished jobs count only until they are in a batch.
 func (m *Model) NothingToWrite() bool { return m.PendingWrites() == 0 }
 
-// awaitsFinalRecord reports whether a job is done and its end is to be committed.
+// awaitsFinalRecord reports whether a job is done and its final record is not committed yet.
 func (j *Job) awaitsFinalRecord() bool {
 	return j.DoneTasks == len(j.Tasks) && !j.Cancelled && !j.Finished
 }
 
-// NextBatch returns a transaction that writes at most maxOps changed records, or nil if
-// there is nothing to write. Finished jobs and new placements come first, because users
-// wait for the former and idle machines for the latter.
+// NextBatch returns a transaction that writes changed records with at most maxOps operations, or
+// nil if there is nothing to write. Final records and new placements come first, because users
+// wait for final records and idle machines wait for placements.
 func (m *Model) NextBatch(maxOps int) *WriteBatch {
 	b := &WriteBatch{placementPages: map[string]*placementPage{}, jobs: map[string]*Job{}}
 	placing, others := m.writes.placementPages.changed()
@@ -143,9 +145,9 @@
 	return b
 }
 
-// addFinalRecords goes through the queued jobs: it drops those that are over from the model,
-// and adds the final records of those that are done, maxFinals at most. Jobs whose final
-// records do not fit stay queued.
+// addFinalRecords processes the queued jobs. It removes jobs that are over from the model, and adds
+// at most maxFinals final records of jobs that are done to the batch. Jobs whose final records
+// don't fit stay queued.
 func (m *Model) addFinalRecords(b *WriteBatch, maxOps, maxFinals int) {
 	m.writes.filterJobs(func(index int32) (keep bool) {
 		j := m.Jobs[index]
@@ -166,9 +168,8 @@
 	})
 }
 
-// addFinalRecord adds the final record of a job and the removal of its active one. It
-// returns false, and adds nothing, if the job's admission page does not fit beside what the
-// batch holds already.
+// addFinalRecord adds the final record of a job and the removal of its active record to the batch.
+// It returns false, and adds nothing, if the job's admission page does not fit into the batch.
 func (m *Model) addFinalRecord(b *WriteBatch, j *Job) bool {
 	rec := jobstore.JobRecord{Job: j.Spec, AcceptedAtMs: j.AcceptedAt.UnixMilli(), State: wire.JobDone, Outcomes: j.endedTasks(0, len(j.Tasks)), FinishedAtMs: m.completionTimeMs(j)}
 	if j.reservation != nil {
@@ -194,30 +195,30 @@
 	return true
 }
 
-// RequeueBatch marks the jobs of a batch that was not committed as changed again. Pages need
-// no such call: they count as changed until a commit.
+// RequeueBatch queues the jobs of a batch that was not committed again. Pages need no requeuing,
+// because they count as changed until a commit.
 func (m *Model) RequeueBatch(b *WriteBatch) {
 	for _, j := range b.jobs {
 		m.writes.markJob(j)
 	}
 }
 
-// ResolveConflict applies the version that a key of a batch turned out to have after a
-// conflict. Only the leader writes placement records, so that an unexpected version is from
-// an earlier transaction of its own whose response was lost. The model is newer than that
-// and is written again.
+// ResolveConflict applies the version that the store reports for a key of a batch after a
+// conflict. Only the leader writes placement pages and plan records. An unexpected version is
+// therefore from an earlier transaction of this leader whose response was lost. The model is
+// newer and is written again.
 func (m *Model) ResolveConflict(b *WriteBatch, key string, version uint64) {
 	if p := b.placementPages[key]; p != nil {
 		p.resolveConflict(version)
 	}
-	if x := b.planRecords[key]; x != nil {
-		x.version = version
+	if r := b.planRecords[key]; r != nil {
+		r.version = version
 	}
 }
 
-// dropJob removes a job that is over from the model, unless a task of it may still be on a
-// machine. Its placement records leave their pages when these are written next; a leader
-// that finds them before that sees that the job is over.
+// dropJob removes a job that is over from the model, unless a task of the job may still be on a
+// machine. The job's placement records are removed from their pages with the next write. A new
+// leader that reads them before that finds that the job is over.
 func (m *Model) dropJob(j *Job) {
 	if m.Jobs[j.Index] == nil || j.PlacedTasks > 0 {
 		return
