--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -23,9 +23,9 @@
 // admissionPages are the admission pages in the model, by key.
 type admissionPages map[string]*admissionPage
 
-// at returns the page with the given key if the model has exactly the given version of it, and
+// atVersion returns the page with the given key if the model has exactly the given version of it, and
 // nil otherwise.
-func (s admissionPages) at(key string, version uint64) *admissionPage {
+func (s admissionPages) atVersion(key string, version uint64) *admissionPage {
 	if p := s[key]; p != nil && p.version == version {
 		return p
 	}
@@ -104,7 +104,7 @@
 // WroteAdmissionPage reports whether the model already has the given version of a page. That
 // is the case if this leader wrote it.
 func (m *Model) WroteAdmissionPage(key string, version uint64) bool {
-	return m.writes.admissionPages.at(key, version) != nil
+	return m.writes.admissionPages.atVersion(key, version) != nil
 }
 
 // applyCommit applies the commit of a record that replaces the given version of the page. It
--- a/cluster/batch_window_test.go
+++ b/cluster/batch_window_test.go
@@ -237,7 +237,7 @@
 	up := func(n int, from float64) {
 		for s := from; s < from+40; s += 2 {
 			for k := range n {
-				r := rep(uint64(s), 5)
+				r := newHeartbeat(uint64(s), 5)
 				r.Machine, r.Addr = fmt.Sprintf("host-%d", k), fmt.Sprintf("h-%d:1", k)
 				answer(t, l.model, r, at(s))
 			}
@@ -280,7 +280,7 @@
 	l.commitPlanRecords(at(300))
 	l.failover(6, at(310), strings.Replace(twoRegions, `thu = "08:00"`, `thu = "23:00"`, 1), windowJob("wk-000001", "tiles", 100, 10, 600), more)
 	for s := 310.0; s < 340; s += 2 {
-		r := rep(uint64(s), 6)
+		r := newHeartbeat(uint64(s), 6)
 		answer(t, l.model, r, at(s))
 		l.model.Tick(at(s))
 	}
@@ -335,7 +335,7 @@
 				m.ApplyJobRecord(id, windowJob(id, []string{"tiles", "halls", "day"}[i%3], 20, 0, 300), 1, at(0))
 			}
 			for i := range 1300 {
-				r := rep(1, 5)
+				r := newHeartbeat(1, 5)
 				r.Machine, r.Addr = fmt.Sprintf("host-%d", i), fmt.Sprintf("h-%d:1", i)
 				m.ApplyHeartbeat(r, at(1))
 			}
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -48,7 +48,7 @@
 		{Kind: "wait", Class: "gangs", WithinS: 50}, {Kind: "finished", Class: "gangs", WithinS: 300},
 		{Kind: "deadline", Class: "arrays", Times: 1}, {Kind: "deadline", Class: "arrays", Times: 1.5}}
 	for i := range machines {
-		r := rep(1, 5)
+		r := newHeartbeat(1, 5)
 		r.Machine, r.Zone = fmt.Sprintf("host-%06d", i), []string{"a", "b"}[i%2]
 		m.ApplyHeartbeat(r, at(0))
 	}
@@ -160,7 +160,7 @@
 			m := full(1300, 400, name)
 			var reps []*wire.Heartbeat
 			for _, mc := range m.Machines {
-				r := rep(1, 5)
+				r := newHeartbeat(1, 5)
 				r.Machine, r.Zone = mc.Name, m.Zones[mc.Zone]
 				for _, ref := range sortedRefs(mc.Tasks) {
 					j := m.Jobs[ref.Job]
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -10,7 +10,7 @@
 // its records must be loaded before it. That includes jobs that are over and still have
 // placements (LoadCancelledJob).
 func (m *Model) LoadPlacementPage(n int, rec jobstore.PlacementPage, version uint64, now time.Time) {
-	p := m.writes.placementPages.at(n)
+	p := m.writes.placementPages.findOrAdd(n)
 	p.setVersion(version)
 	for i := range rec.Chunks {
 		m.loadChunk(p, &rec.Chunks[i], now)
--- a/cluster/failoverload_test.go
+++ b/cluster/failoverload_test.go
@@ -31,7 +31,7 @@
 		m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 4), 1, at(0))
 		m.LoadPlacementPage(0, rec, 2, at(0))
 		m.FinishLoading(at(0))
-		r := rep(1, 5)
+		r := newHeartbeat(1, 5)
 		m.ApplyHeartbeat(r, at(1))
 		m.Schedule(at(2), 1000)
 		for range 20 {
--- a/cluster/heartbeatretry_test.go
+++ b/cluster/heartbeatretry_test.go
@@ -27,29 +27,29 @@
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
 	exit := wire.TaskStatus{Task: wire.TaskName("wk-000001", NoSuchTask), Attempt: 1, State: wire.TaskExited, Why: wire.ExitUnknown}
-	answer(t, m, rep(1, 5), at(0))
+	answer(t, m, newHeartbeat(1, 5), at(0))
 	m.Schedule(at(1), 0)
-	commit(t, m, at(1))
-	copied := rep(2, 5, exit)
+	commitAll(t, m, at(1))
+	copied := newHeartbeat(2, 5, exit)
 	mc := m.ApplyHeartbeat(copied, at(2))
 	m.RecordReceivingNode(mc, "a", at(2))
-	if launches, _, forgets := ops(m.AnswerHeartbeat(mc, copied, at(2))); launches != 2 || forgets != 1 {
+	if launches, _, forgets := countOps(m.AnswerHeartbeat(mc, copied, at(2))); launches != 2 || forgets != 1 {
 		t.Fatalf("%d launches and %d exits forgotten", launches, forgets)
 	}
-	if cmds := answerDuplicate(t, m, rep(2, 5, exit), "b", at(2.1)); len(cmds) > 0 {
+	if cmds := answerDuplicate(t, m, newHeartbeat(2, 5, exit), "b", at(2.1)); len(cmds) > 0 {
 		t.Errorf("commands to the duplicate: %v", cmds)
 	}
-	if _, ok := m.AnswerRetry(rep(1, 5), "a"); ok {
+	if _, ok := m.AnswerRetry(newHeartbeat(1, 5), "a"); ok {
 		t.Error("an older heartbeat is answered")
 	}
-	next := rep(3, 5, exit)
+	next := newHeartbeat(3, 5, exit)
 	mc = m.ApplyHeartbeat(next, at(4))
 	m.RecordReceivingNode(mc, "b", at(4))
-	if launches, _, forgets := ops(m.AnswerHeartbeat(mc, next, at(4))); mc.unreachable() || launches != 2 || forgets != 1 {
+	if launches, _, forgets := countOps(m.AnswerHeartbeat(mc, next, at(4))); mc.unreachable() || launches != 2 || forgets != 1 {
 		t.Errorf("unreachable %t, %d launches and %d exits forgotten", mc.unreachable(), launches, forgets)
 	}
 	// This heartbeat was answered once: an effect that the next one does not show was missed.
-	if answer(t, m, rep(4, 5, exit), at(6)); !mc.unreachable() {
+	if answer(t, m, newHeartbeat(4, 5, exit), at(6)); !mc.unreachable() {
 		t.Error("reachable although it has missed a launch")
 	}
 }
@@ -57,20 +57,20 @@
 // Both answers carry the fencing token, so that its absence still shows that none arrived.
 func TestMissingTokenAfterTwoAnswersMakesMachineUnreachable(t *testing.T) {
 	next := modelAfterFailover()
-	answer(t, next, rep(3, 5), at(1))
-	answerDuplicate(t, next, rep(3, 5), "b", at(1.1))
-	if answer(t, next, rep(4, 5), at(6)); !next.Machines[0].unreachable() {
+	answer(t, next, newHeartbeat(3, 5), at(1))
+	answerDuplicate(t, next, newHeartbeat(3, 5), "b", at(1.1))
+	if answer(t, next, newHeartbeat(4, 5), at(6)); !next.Machines[0].unreachable() {
 		t.Error("reachable although it has received neither answer")
 	}
 }
 
 // The answer to a duplicate renews the lease as any other, and so carries all pending stops.
 func TestDuplicateHeartbeatIsAnsweredWithAllStops(t *testing.T) {
-	m := placed(t, 2)
-	runs := rep(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
+	m := modelWithLaunchedJob(t, 2)
+	runs := newHeartbeat(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
 	answer(t, m, runs, at(3))
 	m.RemoveJob("wk-000001", at(3.5))
-	if _, stops, _ := ops(answerDuplicate(t, m, runs, "", at(4))); stops != 1 {
+	if _, stops, _ := countOps(answerDuplicate(t, m, runs, "", at(4))); stops != 1 {
 		t.Errorf("%d stops", stops)
 	}
 }
@@ -78,9 +78,9 @@
 // Duplicates of a dead machine's last heartbeat keep arriving. Its lease expires as long after
 // the heartbeat as without them; its tasks once waited for as long as duplicates arrived.
 func TestDuplicatesOfDeadMachinesLastHeartbeatDoNotExtendLease(t *testing.T) {
-	last := rep(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
+	last := newHeartbeat(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
 	for _, unanswered := range []bool{false, true} {
-		m := placed(t, 1)
+		m := modelWithLaunchedJob(t, 1)
 		if unanswered { // the leader could not prove its own lease just then
 			m.ApplyHeartbeat(last, at(4))
 		} else {
@@ -106,8 +106,8 @@
 // A worker whose heartbeat was applied but not answered counts its lease from when it sent the
 // heartbeat, once a duplicate of it is answered.
 func TestDelayedAnswerToAppliedHeartbeatExtendsLease(t *testing.T) {
-	m := placed(t, 1)
-	last := rep(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
+	m := modelWithLaunchedJob(t, 1)
+	last := newHeartbeat(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
 	m.ApplyHeartbeat(last, at(10))
 	answerDuplicate(t, m, last, "", at(11))
 	if m.Tick(at(21.9)); m.Job("wk-000001").Tasks[0].Placement == nil {
--- a/cluster/model_test.go
+++ b/cluster/model_test.go
@@ -24,7 +24,7 @@
 	return m
 }
 
-func rep(seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+func newHeartbeat(seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: "host-1", Addr: "h:1", Type: "m", Zone: "a", AgentEpoch: 1, Seq: seq, Token: token, Tasks: tasks}
 }
 
@@ -33,8 +33,8 @@
 		Priority: wire.PriorityNormal, Tasks: n, CPUs: 2, Image: "i", ImageGB: 1, EstimateS: 60, CheckpointS: 10, SaveS: 2}}
 }
 
-// commit commits batches until there is nothing to write.
-func commit(t *testing.T, m *Model, now time.Time) {
+// commitAll commits batches until there is nothing to write.
+func commitAll(t *testing.T, m *Model, now time.Time) {
 	t.Helper()
 	for rev := uint64(100); ; rev++ {
 		b := m.NextBatch(12)
@@ -45,20 +45,20 @@
 	}
 }
 
-// placed returns a model with one job of n tasks, whose launches are in the answer to the
+// modelWithLaunchedJob returns a model with one job of n tasks, whose launches are in the answer to the
 // second heartbeat of its one machine.
-func placed(t *testing.T, n int) *Model {
+func modelWithLaunchedJob(t *testing.T, n int) *Model {
 	t.Helper()
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", n), 1, at(0))
-	answer(t, m, rep(1, 5), at(0))
+	answer(t, m, newHeartbeat(1, 5), at(0))
 	m.Schedule(at(1), 0)
-	commit(t, m, at(1))
-	answer(t, m, rep(2, 5), at(2))
+	commitAll(t, m, at(1))
+	answer(t, m, newHeartbeat(2, 5), at(2))
 	return m
 }
 
-func ops(cmds []wire.Command) (launches, stops, forgets int) {
+func countOps(cmds []wire.Command) (launches, stops, forgets int) {
 	for _, c := range cmds {
 		switch c.Op {
 		case wire.OpStart:
@@ -85,17 +85,17 @@
 func TestTaskLaunchesOnlyAfterItsPlacementIsCommitted(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	answer(t, m, rep(1, 5), at(0))
+	answer(t, m, newHeartbeat(1, 5), at(0))
 	m.Schedule(at(1), 0)
-	if l, _, _ := ops(answer(t, m, rep(2, 5), at(1.5))); l != 0 {
+	if l, _, _ := countOps(answer(t, m, newHeartbeat(2, 5), at(1.5))); l != 0 {
 		t.Fatal("launched before the commit")
 	}
-	commit(t, m, at(2))
-	if l, _, _ := ops(answer(t, m, rep(3, 5), at(3))); l != 1 {
+	commitAll(t, m, at(2))
+	if l, _, _ := countOps(answer(t, m, newHeartbeat(3, 5), at(3))); l != 1 {
 		t.Fatal("not launched after the commit")
 	}
 	// The answer was lost: the next heartbeat proves that it was not executed.
-	if l, _, _ := ops(answer(t, m, rep(4, 5), at(4.5))); l != 1 {
+	if l, _, _ := countOps(answer(t, m, newHeartbeat(4, 5), at(4.5))); l != 1 {
 		t.Fatal("a lost launch was not repeated")
 	}
 }
@@ -108,11 +108,11 @@
 	m.FinishLoading(at(0))
 	task := &m.Job("wk-000001").Tasks[0]
 	// An answer of the earlier leader may still be on its way to this worker.
-	answer(t, m, rep(1, 4), at(1))
+	answer(t, m, newHeartbeat(1, 4), at(1))
 	if task.Phase != TaskPlaced {
 		t.Fatal("believed a report that had not shown the token")
 	}
-	answer(t, m, rep(2, 9), at(2))
+	answer(t, m, newHeartbeat(2, 9), at(2))
 	if task.Phase != TaskIdle {
 		t.Fatal("did not believe one that had")
 	}
@@ -123,7 +123,7 @@
 }
 
 func TestSilentMachineKeepsTasksUntilItsLeaseExpires(t *testing.T) {
-	m := placed(t, 1)
+	m := modelWithLaunchedJob(t, 1)
 	task := &m.Job("wk-000001").Tasks[0]
 	m.Tick(at(13.9))
 	if task.Phase != TaskPlaced {
@@ -138,20 +138,20 @@
 	if task.Phase != TaskIdle {
 		t.Fatal("not given up after the lease")
 	}
-	if m.ApplyHeartbeat(rep(3, 5), at(15)) != nil {
+	if m.ApplyHeartbeat(newHeartbeat(3, 5), at(15)) != nil {
 		t.Fatal("a late heartbeat of the ended agent epoch was accepted")
 	}
 }
 
 func TestExitIsForgottenOnlyAfterItsOutcomeIsCommitted(t *testing.T) {
-	m := placed(t, 2)
+	m := modelWithLaunchedJob(t, 2)
 	done := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitDone}
 	other := wire.TaskStatus{Task: "wk-000001/1", Attempt: 1, State: wire.TaskRunning}
-	if _, _, f := ops(answer(t, m, rep(3, 5, done, other), at(3))); f != 0 {
+	if _, _, f := countOps(answer(t, m, newHeartbeat(3, 5, done, other), at(3))); f != 0 {
 		t.Fatal("forgotten before the commit")
 	}
-	commit(t, m, at(3))
-	if _, _, f := ops(answer(t, m, rep(4, 5, done, other), at(4))); f != 1 {
+	commitAll(t, m, at(3))
+	if _, _, f := countOps(answer(t, m, newHeartbeat(4, 5, done, other), at(4))); f != 1 {
 		t.Fatal("not forgotten after the commit")
 	}
 }
@@ -160,20 +160,20 @@
 	for _, why := range []string{wire.ExitNoRoom, wire.ExitBusy, wire.ExitUnknown, wire.ExitError} {
 		m := newModel(5)
 		m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-		answer(t, m, rep(1, 5), at(0))
+		answer(t, m, newHeartbeat(1, 5), at(0))
 		m.Schedule(at(1), 0)
-		commit(t, m, at(1))
-		answer(t, m, rep(2, 5), at(2))
-		answer(t, m, rep(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: why}), at(3))
+		commitAll(t, m, at(1))
+		answer(t, m, newHeartbeat(2, 5), at(2))
+		answer(t, m, newHeartbeat(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: why}), at(3))
 		m.Schedule(at(3.1), 0)
 		task := &m.Job("wk-000001").Tasks[0]
 		if task.Phase != TaskIdle {
 			t.Errorf("%s: started again at once", why)
 		}
-		second := rep(1, 5)
+		second := newHeartbeat(1, 5)
 		second.Machine, second.Zone = "host-2", "b"
 		answer(t, m, second, at(3.2))
-		answer(t, m, rep(4, 5), at(6.9))
+		answer(t, m, newHeartbeat(4, 5), at(6.9))
 		second.Seq = 2
 		answer(t, m, second, at(7))
 		m.Schedule(at(7.1), 0)
@@ -188,7 +188,7 @@
 func TestUnlaunchedPlacementOnSilentMachineIsRemovedWithinLease(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	answer(t, m, rep(1, 5), at(0))
+	answer(t, m, newHeartbeat(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	m.Tick(at(9)) // silent, but within its lease
 	if m.Job("wk-000001").Tasks[0].Phase != TaskIdle {
@@ -199,7 +199,7 @@
 func TestConflictWithOwnUnansweredTransactionAdoptsItsVersion(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	answer(t, m, rep(1, 5), at(0))
+	answer(t, m, newHeartbeat(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	b := m.NextBatch(12)
 	key := jobstore.PlacementPageKey(0)
@@ -221,14 +221,14 @@
 	m.LoadRebalanceCycle("a/m", jobstore.RebalanceCycle{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
 		CooldownUntilMs: at(60).UnixMilli()}, at(0))
 	running := wire.TaskStatus{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
-	if _, s, _ := ops(answer(t, m, rep(1, 9, running), at(1))); s != 1 {
+	if _, s, _ := countOps(answer(t, m, newHeartbeat(1, 9, running), at(1))); s != 1 {
 		t.Fatal("the recorded move's stop was not repeated")
 	}
-	second := rep(1, 9)
+	second := newHeartbeat(1, 9)
 	second.Machine = "host-2"
 	answer(t, m, second, at(1))
 	exited := wire.TaskStatus{Task: "wk-000001/0", Attempt: 3, State: wire.TaskExited, Why: wire.ExitStopped, Saved: true}
-	answer(t, m, rep(2, 9, exited), at(4))
+	answer(t, m, newHeartbeat(2, 9, exited), at(4))
 	m.Schedule(at(4.1), 0)
 	p := m.Job("wk-000001").Tasks[0].Placement
 	if p == nil || m.Machines[p.Machine].Name != "host-2" || p.Attempt != 4 {
@@ -238,7 +238,7 @@
 		t.Error("the cooldown was lost")
 	}
 	// A start that fails there for reasons of the task quarantines it.
-	commit(t, m, at(4.2))
+	commitAll(t, m, at(4.2))
 	second.Seq = 2
 	answer(t, m, second, at(4.5))
 	second.Seq = 3
@@ -263,7 +263,7 @@
 		m.LoadRebalanceCycle("a/m", jobstore.RebalanceCycle{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
 			CooldownUntilMs: c.coolUntil.UnixMilli(), TaskCooldownUntilMs: map[string]int64{"wk-000001/0": at(90).UnixMilli()}}, at(0))
 		running := wire.TaskStatus{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
-		if _, s, _ := ops(answer(t, m, rep(1, 9, running), at(1))); s != c.stops {
+		if _, s, _ := countOps(answer(t, m, newHeartbeat(1, 9, running), at(1))); s != c.stops {
 			t.Errorf("cooling until %v: %d stops, want %d", c.coolUntil, s, c.stops)
 		}
 		if m.RebalanceCycles["a/m"].Record.TaskCooldownUntilMs["wk-000001/0"] == 0 {
--- a/cluster/placementpages.go
+++ b/cluster/placementpages.go
@@ -68,8 +68,8 @@
 	return s.limits.maxGuards() - 1 - 2*maxFinalRecordsWithPlacements
 }
 
-// at returns the page with the given number. It adds missing pages up to that number.
-func (s *placementPages) at(number int) *placementPage {
+// findOrAdd returns the page with the given number. It adds missing pages up to that number.
+func (s *placementPages) findOrAdd(number int) *placementPage {
 	for len(s.pages) <= number {
 		s.pages = append(s.pages, &placementPage{number: len(s.pages)})
 	}
@@ -86,7 +86,7 @@
 			return
 		}
 	}
-	s.put(s.at(len(s.pages)), j, n)
+	s.put(s.findOrAdd(len(s.pages)), j, n)
 }
 
 // put moves chunk n of a job to a page.
@@ -119,7 +119,7 @@
 
 // markUnreadable records that a page can't be read. The page is left unchanged in the store.
 func (s *placementPages) markUnreadable(number int, version uint64) {
-	p := s.at(number)
+	p := s.findOrAdd(number)
 	p.version, p.size = version, unreadablePageSize
 }
 
--- a/cluster/placementpages_test.go
+++ b/cluster/placementpages_test.go
@@ -11,13 +11,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// grown returns a model with many jobs placed on many machines, and its placement pages, all
+// modelWithPlacedJobs returns a model with many jobs placed on many machines, and its placement pages, all
 // of which are committed.
-func grown(t *testing.T, jobs, tasks int) (*Model, map[string]jobstore.PlacementPage) {
+func modelWithPlacedJobs(t *testing.T, jobs, tasks int) (*Model, map[string]jobstore.PlacementPage) {
 	t.Helper()
 	m := newModel(5)
 	for i := range jobs * tasks / 4 {
-		r := rep(1, 5)
+		r := newHeartbeat(1, 5)
 		r.Machine = fmt.Sprintf("host-%06d", i)
 		m.ApplyHeartbeat(r, at(0))
 	}
@@ -27,14 +27,14 @@
 	}
 	m.Schedule(at(1), 1000)
 	stored := map[string]jobstore.PlacementPage{}
-	write(t, m, stored)
+	writeAll(t, m, stored)
 	return m, stored
 }
 
-// write commits batches until there is nothing to write, and returns the number of changes.
+// writeAll commits batches until there is nothing to write, and returns the number of changes.
 // It checks the limits of the key-value service: 12 changes and 48 conditions in a
 // transaction, 64 KiB in all and 16 KiB in a value.
-func write(t *testing.T, m *Model, stored map[string]jobstore.PlacementPage) (changes int) {
+func writeAll(t *testing.T, m *Model, stored map[string]jobstore.PlacementPage) (changes int) {
 	t.Helper()
 	for rev := uint64(100); m.PendingWrites() > 0; rev++ {
 		if rev > 300 {
@@ -49,7 +49,7 @@
 		}
 		total := 0
 		for _, op := range b.Ops {
-			n := textSize(t, op.Value)
+			n := jsonSize(t, op.Value)
 			total += n
 			if n > 16<<10 {
 				t.Errorf("%s takes %d bytes", op.Put, n)
@@ -68,7 +68,7 @@
 	return changes
 }
 
-func textSize(t *testing.T, v any) int {
+func jsonSize(t *testing.T, v any) int {
 	t.Helper()
 	b, err := wire.Marshal(v)
 	if err != nil {
@@ -88,7 +88,7 @@
 // With a key for each job, dozens of jobs whose tasks start and end each second would take
 // more changes than the service accepts.
 func TestPlacementsOfManyJobsShareFewPages(t *testing.T) {
-	m, stored := grown(t, 120, 20)
+	m, stored := modelWithPlacedJobs(t, 120, 20)
 	if len(stored) > 12 {
 		t.Errorf("%d pages for 120 jobs", len(stored))
 	}
@@ -105,7 +105,7 @@
 	for _, j := range m.Jobs {
 		m.markDone(j, 0, at(3))
 	}
-	if n := write(t, m, stored); n > 12 {
+	if n := writeAll(t, m, stored); n > 12 {
 		t.Errorf("%d changes for a task's end in each job", n)
 	}
 }
@@ -113,9 +113,9 @@
 // A new leader loads exactly the placements that were committed, and continues from the
 // attempt numbers that were used.
 func TestNewLeaderLoadsPlacementPages(t *testing.T) {
-	m, stored := grown(t, 30, 10)
+	m, stored := modelWithPlacedJobs(t, 30, 10)
 	m.markDone(m.Jobs[3], 4, at(3))
-	write(t, m, stored)
+	writeAll(t, m, stored)
 	next := newModel(9)
 	for _, j := range m.Jobs {
 		next.ApplyJobRecord(j.ID, jobstore.JobRecord{Job: j.Spec, AcceptedAtMs: t0.UnixMilli()}, 1, at(5))
@@ -142,13 +142,13 @@
 // The placement record of a finished job is removed from its page with the page's next
 // change, and a page without records is deleted.
 func TestFinishedJobsLeavePlacementPages(t *testing.T) {
-	m, stored := grown(t, 10, 4)
+	m, stored := modelWithPlacedJobs(t, 10, 4)
 	for _, j := range append([]*Job(nil), m.Jobs...) {
 		for i := range j.Tasks {
 			m.markDone(j, int32(i), at(3))
 		}
 	}
-	write(t, m, stored)
+	writeAll(t, m, stored)
 	if len(stored) != 0 {
 		t.Errorf("still there: %v", stored)
 	}
--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -37,7 +37,7 @@
 		for _, r := range running {
 			tasks = append(tasks, r)
 		}
-		for _, c := range answer(t, m, rep(seq, 5, tasks...), at(now)) {
+		for _, c := range answer(t, m, newHeartbeat(seq, 5, tasks...), at(now)) {
 			switch c.Op {
 			case wire.OpStart:
 				running[c.Task] = wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
@@ -49,7 +49,7 @@
 			}
 		}
 		m.Schedule(at(now), 0)
-		commit(t, m, at(now))
+		commitAll(t, m, at(now))
 		now += config.Seconds(1.5).Seconds()
 	}
 	if stops > 2 {
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -79,7 +79,7 @@
 // unreadable can be recovered from this leader's memory. It returns false if the model does not
 // have exactly the given version of the page.
 func (m *Model) AdmissionEntries(key string, version uint64) ([]jobstore.JobPageEntry, bool) {
-	p := m.writes.admissionPages.at(key, version)
+	p := m.writes.admissionPages.atVersion(key, version)
 	if p == nil {
 		return nil, false
 	}
--- a/cluster/reachability_test.go
+++ b/cluster/reachability_test.go
@@ -10,9 +10,9 @@
 // A launch that the next heartbeat does not list is revoked. No further task is placed on the
 // machine until a probe, which its worker refuses and lists, proves that it receives answers.
 func TestMissedLaunchMakesMachineUnreachableUntilProbeIsReported(t *testing.T) {
-	m := placed(t, 2)
+	m := modelWithLaunchedJob(t, 2)
 	mc := m.Machines[0]
-	cmds := answer(t, m, rep(3, 5), at(7)) // as after 4 s without an answer
+	cmds := answer(t, m, newHeartbeat(3, 5), at(7)) // as after 4 s without an answer
 	if m.Ready(mc, at(7)) || len(cmds) != 1 || cmds[0].Task != wire.TaskName("wk-000001", NoSuchTask) {
 		t.Fatalf("ready, or sent %v", cmds)
 	}
@@ -25,14 +25,14 @@
 		t.Error("placed there again")
 	}
 	probe := wire.TaskStatus{Task: cmds[0].Task, Attempt: cmds[0].Attempt, State: wire.TaskExited, Why: wire.ExitUnknown}
-	if _, _, forgets := ops(answer(t, m, rep(4, 5, probe), at(8))); forgets != 1 {
+	if _, _, forgets := countOps(answer(t, m, newHeartbeat(4, 5, probe), at(8))); forgets != 1 {
 		t.Error("the exit of the probe is not forgotten")
 	}
 	if !m.Ready(mc, at(8)) {
 		t.Error("not ready although it has proved that it receives answers")
 	}
 	// The same exit is listed again, so that the answer with the forget was missed.
-	answer(t, m, rep(5, 5, probe), at(13))
+	answer(t, m, newHeartbeat(5, 5, probe), at(13))
 	if m.Ready(mc, at(13)) {
 		t.Error("ready although it missed the command to forget the probe")
 	}
@@ -45,18 +45,18 @@
 	rec := arrayJob("wk-000001", 1)
 	rec.Reservation = &jobstore.Reservation{Owner: "w/y/a", LaunchRanges: []int{0, 0}}
 	m.ApplyJobRecord("wk-000001", rec, 1, at(0))
-	answer(t, m, rep(1, 5), at(0))
+	answer(t, m, newHeartbeat(1, 5), at(0))
 	m.Schedule(at(1), 0)
-	commit(t, m, at(1))
-	if launches, _, _ := ops(answer(t, m, rep(2, 5), at(2))); launches != 1 {
+	commitAll(t, m, at(1))
+	if launches, _, _ := countOps(answer(t, m, newHeartbeat(2, 5), at(2))); launches != 1 {
 		t.Fatal("not launched")
 	}
 	task := &m.Job("wk-000001").Tasks[0]
-	answer(t, m, rep(3, 5), at(7))
+	answer(t, m, newHeartbeat(3, 5), at(7))
 	if m.Tick(at(8)); task.Placement == nil {
 		t.Fatal("not kept")
 	}
-	r := rep(4, 5)
+	r := newHeartbeat(4, 5)
 	r.AgentEpoch = 2
 	if answer(t, m, r, at(11)); task.Placement != nil || task.outcome != jobstore.OutcomeLost {
 		t.Errorf("kept, or ended as %d", task.outcome)
@@ -72,9 +72,9 @@
 		seq       uint64
 		reachable bool
 	}{{"a", 1, true}, {"a", 2, true}, {"b", 4, true}, {"b", 5, true}, {"a", 6, false}} {
-		mc := m.ApplyHeartbeat(rep(c.seq, 5), at(float64(i)))
+		mc := m.ApplyHeartbeat(newHeartbeat(c.seq, 5), at(float64(i)))
 		m.RecordReceivingNode(mc, c.via, at(float64(i)))
-		m.AnswerHeartbeat(mc, rep(c.seq, 5), at(float64(i)))
+		m.AnswerHeartbeat(mc, newHeartbeat(c.seq, 5), at(float64(i)))
 		if mc.unreachable() == c.reachable {
 			t.Errorf("heartbeat %d by way of %s: reachable %t", c.seq, c.via, !mc.unreachable())
 		}
@@ -96,13 +96,13 @@
 func TestAnswersNotReceivedAfterFailoverDoNotExtendLease(t *testing.T) {
 	next := modelAfterFailover()
 	for seq, s := uint64(3), 1.0; s < 12; seq, s = seq+1, s+5 {
-		answer(t, next, rep(seq, 5), at(s))
+		answer(t, next, newHeartbeat(seq, 5), at(s))
 		next.Tick(at(s + 0.1))
 		if next.Job("wk-000001").Tasks[0].Placement == nil {
 			t.Fatalf("given up at %v s, before the lease has expired", s)
 		}
 	}
-	answer(t, next, rep(9, 5), at(13))
+	answer(t, next, newHeartbeat(9, 5), at(13))
 	if next.Job("wk-000001").Tasks[0].Placement != nil {
 		t.Error("not given up after the lease has expired")
 	}
@@ -118,11 +118,11 @@
 func TestRefusedLaunchWithoutFencingTokenKeepsPlacement(t *testing.T) {
 	next := modelAfterFailover()
 	exit := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitNoRoom}
-	cmds := answer(t, next, rep(3, 5, exit), at(1))
-	if _, _, forgets := ops(cmds); forgets > 0 || next.Job("wk-000001").Tasks[0].Placement == nil {
+	cmds := answer(t, next, newHeartbeat(3, 5, exit), at(1))
+	if _, _, forgets := countOps(cmds); forgets > 0 || next.Job("wk-000001").Tasks[0].Placement == nil {
 		t.Errorf("placement removed, or sent %v", cmds)
 	}
-	answer(t, next, rep(4, 9, exit), at(2))
+	answer(t, next, newHeartbeat(4, 9, exit), at(2))
 	if next.Job("wk-000001").Tasks[0].Placement != nil {
 		t.Error("placement kept although a heartbeat with the token lists the refusal")
 	}
@@ -131,13 +131,13 @@
 // The newest heartbeat counts: one without an interruption notice ends an earlier notice.
 func TestHeartbeatWithoutInterruptionNoticeClearsIt(t *testing.T) {
 	m := newModel(5)
-	r, s := rep(1, 5), 30.0
+	r, s := newHeartbeat(1, 5), 30.0
 	r.NoticeS = &s
 	answer(t, m, r, at(0))
 	if m.Ready(m.Machines[0], at(0)) {
 		t.Error("ready although it is about to be interrupted")
 	}
-	answer(t, m, rep(2, 5), at(1))
+	answer(t, m, newHeartbeat(2, 5), at(1))
 	if !m.Ready(m.Machines[0], at(1)) {
 		t.Error("not ready although the newest heartbeat has no notice")
 	}
--- a/cluster/runtimeestimate_test.go
+++ b/cluster/runtimeestimate_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestSavedProgressReducesTheRemainingRunTime(t *testing.T) {
-	m := placed(t, 1)
+	m := modelWithLaunchedJob(t, 1)
 	j := m.Job("wk-000001")
 	p := j.Tasks[0].Placement
 	p.reportedState, p.runningSince, p.Stop = reportedRunning, at(5), &StopOrder{orderedAt: at(45)}
--- a/cluster/scalein_test.go
+++ b/cluster/scalein_test.go
@@ -9,10 +9,10 @@
 // lease. A later leader places nothing on the machines named in the scale-in record.
 func TestMachinesInScaleInOfEarlierLeaderGetNoTasks(t *testing.T) {
 	m := newModel(6)
-	name := rep(1, 6).Machine
+	name := newHeartbeat(1, 6).Machine
 	m.ResumeScaleIn([]string{name}, at(0))
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
-	m.ApplyHeartbeat(rep(1, 6), at(1))
+	m.ApplyHeartbeat(newHeartbeat(1, 6), at(1))
 	m.Schedule(at(2), 0)
 	if n := m.Job("wk-000001").PlacedTasks; n != 0 {
 		t.Error("a task was placed on a machine that is being scaled in")
--- a/cluster/starvation_scenario_test.go
+++ b/cluster/starvation_scenario_test.go
@@ -33,7 +33,7 @@
 	s := &simulatedCluster{t: t, m: newModel(5), started: map[string]float64{}}
 	s.m.StarvationBound = bound
 	for i := range machines {
-		r := rep(0, 5)
+		r := newHeartbeat(0, 5)
 		r.Machine, r.Addr, r.Zone = fmt.Sprintf("host-%d", i), fmt.Sprintf("h:%d", i), []string{"a", "b"}[i%2]
 		s.machines = append(s.machines, &simulatedMachine{heartbeat: r, tasks: map[string]*wire.TaskStatus{}, startedAt: map[string]float64{}})
 	}
@@ -62,7 +62,7 @@
 		}
 		s.m.Tick(at(now))
 		s.m.Schedule(at(now), 1000)
-		commit(s.t, s.m, at(now))
+		commitAll(s.t, s.m, at(now))
 	}
 }
 
--- a/cluster/stopcommands_test.go
+++ b/cluster/stopcommands_test.go
@@ -14,10 +14,10 @@
 func TestAnswerStopsAllTasksBeforeForgettingExits(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
-	answer(t, m, rep(1, 5), at(0))
+	answer(t, m, newHeartbeat(1, 5), at(0))
 	m.Schedule(at(1), 0)
-	commit(t, m, at(1))
-	if launches, _, _ := ops(answer(t, m, rep(2, 5), at(2))); launches != 2 {
+	commitAll(t, m, at(1))
+	if launches, _, _ := countOps(answer(t, m, newHeartbeat(2, 5), at(2))); launches != 2 {
 		t.Fatalf("%d launches", launches)
 	}
 	m.RemoveJob("wk-000001", at(3))
@@ -30,7 +30,7 @@
 	}
 	// One task of the cancelled job is listed last; the launch of the other was missed.
 	tasks = append(tasks, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
-	cmds := answer(t, m, rep(3, 5, tasks...), at(4))
+	cmds := answer(t, m, newHeartbeat(3, 5, tasks...), at(4))
 	stopped := map[string]bool{}
 	for _, c := range cmds {
 		if c.Op == wire.OpStop {
@@ -41,8 +41,8 @@
 		t.Errorf("%d of 601 tasks are stopped", len(stopped))
 	}
 	// The following answers forget the remaining exits.
-	cmds = answer(t, m, rep(4, 5, tasks[:400]...), at(5))
-	if _, _, forgets := ops(cmds); forgets < 298 {
+	cmds = answer(t, m, newHeartbeat(4, 5, tasks[:400]...), at(5))
+	if _, _, forgets := countOps(cmds); forgets < 298 {
 		t.Errorf("%d forgotten", forgets)
 	}
 }
@@ -55,7 +55,7 @@
 		tasks = append(tasks, wire.TaskStatus{Task: fmt.Sprintf("wk-999999/%d", 90_000+i), Attempt: 1_000_000, State: wire.TaskRunning})
 	}
 	var out []map[string]any
-	for _, c := range answer(t, m, rep(1, 5, tasks...), at(0)) {
+	for _, c := range answer(t, m, newHeartbeat(1, 5, tasks...), at(0)) {
 		out = append(out, map[string]any{"geste": "halt", "piece": c.Task, "essai": c.Attempt, "repitS": *c.GraceS})
 	}
 	b, err := json.Marshal(map[string]any{"sceau": 1 << 40, "consignes": out})
--- a/cluster/tier_scenario_test.go
+++ b/cluster/tier_scenario_test.go
@@ -65,7 +65,7 @@
 	p.seq++
 	now := at(p.now)
 	for i, on := range p.tasksByMachine {
-		r := rep(p.seq, 5)
+		r := newHeartbeat(p.seq, 5)
 		r.Machine, r.Zone = fmt.Sprintf("host-%06d", i), []string{"a", "b"}[i%2]
 		names := make([]string, 0, len(on))
 		for name := range on {
--- a/cluster/triage_test.go
+++ b/cluster/triage_test.go
@@ -29,7 +29,7 @@
 func TestTriageDefersTheLargestJobWhenNotAllMeetTheirDeadline(t *testing.T) {
 	m := newModel(5)
 	m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}}
-	answer(t, m, rep(1, 5), at(0)) // a machine with two places
+	answer(t, m, newHeartbeat(1, 5), at(0)) // a machine with two places
 	submitWithDeadline(m, "wk-000001", 4, 150, 0)
 	for i := range 3 {
 		submitWithDeadline(m, fmt.Sprintf("wk-00001%d", i), 1, 160, 0)
@@ -44,11 +44,11 @@
 func TestTriageCountsOccupiedPlacesFromWhenTheyBecomeFree(t *testing.T) {
 	m := newModel(5)
 	m.settings.Cluster.Objectives = []config.Objective{{Kind: "deadline", Class: "c", Times: 1}, {Kind: "deadline", Class: "c", Times: 3}}
-	answer(t, m, rep(1, 5), at(0))
+	answer(t, m, newHeartbeat(1, 5), at(0))
 	submitWithDeadline(m, "wk-000001", 2, 600, 0)
 	m.Schedule(at(1), 0)
-	commit(t, m, at(1))
-	answer(t, m, rep(2, 5), at(2))
+	commitAll(t, m, at(1))
+	answer(t, m, newHeartbeat(2, 5), at(2))
 	// Both places are occupied for about a minute, so that this job can't meet its deadline;
 	// it is served for the objective of three times its deadline.
 	submitWithDeadline(m, "wk-000002", 1, 80, 2)
--- a/cluster/wakeup_test.go
+++ b/cluster/wakeup_test.go
@@ -14,10 +14,10 @@
 	rec := arrayJob("wk-000001", 2)
 	rec.Job.CPUs = 8
 	m.ApplyJobRecord("wk-000001", rec, 1, at(0))
-	answer(t, m, rep(1, 5), at(0))
+	answer(t, m, newHeartbeat(1, 5), at(0))
 	m.Schedule(at(1), 0)
-	commit(t, m, at(1))
-	other := rep(1, 5)
+	commitAll(t, m, at(1))
+	other := newHeartbeat(1, 5)
 	other.Machine, other.Addr = "host-2", "h2:1"
 	answer(t, m, other, at(1))
 	m.Schedule(at(1.2), 0)
@@ -31,11 +31,11 @@
 // committed. Launches once waited until the whole chunk was committed, up to 5 s.
 func TestTaskLaunchesOnceItsOwnPlacementIsCommitted(t *testing.T) {
 	m := taskOnEachOfTwoMachines(t)
-	mc := m.ApplyHeartbeat(rep(2, 5), at(1.5))
-	if cmds := m.AnswerHeartbeat(mc, rep(2, 5), at(1.5)); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
+	mc := m.ApplyHeartbeat(newHeartbeat(2, 5), at(1.5))
+	if cmds := m.AnswerHeartbeat(mc, newHeartbeat(2, 5), at(1.5)); len(cmds) != 1 || cmds[0].Op != wire.OpStart {
 		t.Errorf("commands %v, wanted the launch of the committed placement", cmds)
 	}
-	other := rep(2, 5)
+	other := newHeartbeat(2, 5)
 	other.Machine, other.Addr = "host-2", "h2:1"
 	if cmds := m.AnswerHeartbeat(m.ApplyHeartbeat(other, at(1.5)), other, at(1.5)); len(cmds) != 0 {
 		t.Errorf("commands %v for a placement that is not committed", cmds)
@@ -59,7 +59,7 @@
 		t.Errorf("%d wake-ups after one without effect", len(again))
 	}
 	// The exit that the worker lists is forgotten, and nothing else follows.
-	r := rep(2, 5, wire.TaskStatus{Task: "wk-000001/100000", Attempt: 1, State: wire.TaskExited, Why: wire.ExitUnknown})
+	r := newHeartbeat(2, 5, wire.TaskStatus{Task: "wk-000001/100000", Attempt: 1, State: wire.TaskExited, Why: wire.ExitUnknown})
 	cmds := m.AnswerHeartbeat(m.ApplyHeartbeat(r, at(3.1)), r, at(3.1))
 	if len(cmds) != 2 || cmds[0].Op != wire.OpForget || cmds[1].Op != wire.OpStart || cmds[1].Task != "wk-000001/0" {
 		t.Errorf("commands %+v, wanted a forget and the launch", cmds)
@@ -91,7 +91,7 @@
 // bound.
 func TestLaunchedTasksLeaveWakeUpQueueWhenWakeUpsAreOff(t *testing.T) {
 	m := taskOnEachOfTwoMachines(t)
-	m.AnswerHeartbeat(m.ApplyHeartbeat(rep(2, 5), at(1.5)), rep(2, 5), at(1.5))
+	m.AnswerHeartbeat(m.ApplyHeartbeat(newHeartbeat(2, 5), at(1.5)), newHeartbeat(2, 5), at(1.5))
 	if m.WakeUps(0, at(2)); len(m.directCommands.launches) != 1 {
 		t.Errorf("%d placements await a wake-up, wanted the one that is not launched", len(m.directCommands.launches))
 	}
--- a/cluster/window_provision_test.go
+++ b/cluster/window_provision_test.go
@@ -21,7 +21,7 @@
 	var rented []rental
 	report := func(n int, s float64) {
 		for k := range n {
-			r := rep(uint64(s), l.model.FencingToken)
+			r := newHeartbeat(uint64(s), l.model.FencingToken)
 			r.Machine, r.Addr = fmt.Sprintf("host-%d", k), fmt.Sprintf("h-%d:1", k)
 			answer(t, l.model, r, at(s))
 		}
--- a/cluster/zone_test.go
+++ b/cluster/zone_test.go
@@ -12,7 +12,7 @@
 // the unknown one, for good if they ended meanwhile: `placedByZone` was [2 0] with no task placed. Limits
 // by zone (`apart`) and the zone of a job that wants all its tasks in one were decided on that.
 func TestTasksCountForTheZoneThatTheirMachineNames(t *testing.T) {
-	m := placed(t, 2)
+	m := modelWithLaunchedJob(t, 2)
 	j := m.Job("wk-000001")
 	seq := uint64(2)
 	running := []wire.TaskStatus{
@@ -21,7 +21,7 @@
 	}
 	name := func(zone string, tasks ...wire.TaskStatus) {
 		seq++
-		heartbeat := rep(seq, 5, tasks...)
+		heartbeat := newHeartbeat(seq, 5, tasks...)
 		heartbeat.Zone = zone
 		answer(t, m, heartbeat, at(float64(seq)))
 	}
