--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -23,8 +23,8 @@
 // admissionPages are the admission pages in the model, by key.
 type admissionPages map[string]*admissionPage
 
-// atVersion returns the page with the given key if the model has exactly the given version of it, and
-// nil otherwise.
+// atVersion returns the page with the given key if the model has exactly the given version of it,
+// and nil otherwise.
 func (s admissionPages) atVersion(key string, version uint64) *admissionPage {
 	if p := s[key]; p != nil && p.version == version {
 		return p
--- a/cluster/failoverload_test.go
+++ b/cluster/failoverload_test.go
@@ -9,19 +9,20 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Whatever a placement page holds, a model that loads it gets to the end of its writes, and
-// its counts of tasks stay within the job's.
+// A model must load any placement page that can be decoded. Afterwards it must finish its writes,
+// and its task counts must be within the job's number of tasks. Damaged pages could otherwise lead
+// to endless writes or wrong counts.
 func FuzzLoadPage(f *testing.F) {
-	add := func(rec jobstore.PlacementPage) {
+	addSeed := func(rec jobstore.PlacementPage) {
 		b, err := wire.Marshal(rec)
 		if err != nil {
 			f.Fatal(err)
 		}
 		f.Add(b)
 	}
-	add(jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3, DoneRanges: []int{1, 2}, Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-000001"}}}}})
-	add(jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", Chunk: -1}, {Job: "wk-000001", DoneRanges: []int{-5, 1 << 40, 3}}, {Job: "wk-000001", Placements: []jobstore.Placement{{Task: -1}, {Task: 4}}}}})
-	add(jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001"}, {Job: "wk-000001"}, {Job: "nobody", Placements: []jobstore.Placement{{}}}}})
+	addSeed(jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3, DoneRanges: []int{1, 2}, Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-000001"}}}}})
+	addSeed(jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", Chunk: -1}, {Job: "wk-000001", DoneRanges: []int{-5, 1 << 40, 3}}, {Job: "wk-000001", Placements: []jobstore.Placement{{Task: -1}, {Task: 4}}}}})
+	addSeed(jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001"}, {Job: "wk-000001"}, {Job: "nobody", Placements: []jobstore.Placement{{}}}}})
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var rec jobstore.PlacementPage
 		if wire.Unmarshal(b, &rec) != nil {
@@ -40,27 +41,27 @@
 			}
 		}
 		if m.PendingWrites() > 0 {
-			t.Error("writing does not end")
+			t.Error("writes are still pending after 20 batches")
 		}
 		if j := m.Job("wk-000001"); j != nil && (j.DoneTasks < 0 || j.DoneTasks > 4 || j.PlacedTasks < 0 || j.PlacedTasks > 4) {
-			t.Errorf("%d done, %d placed of 4", j.DoneTasks, j.PlacedTasks)
+			t.Errorf("%d tasks done, %d placed, of a job with 4", j.DoneTasks, j.PlacedTasks)
 		}
 	})
 }
 
-// BenchmarkTakeover measures how long a new leader takes to load records, by the number of
-// unfinished tasks. Finished jobs are not loaded.
+// BenchmarkTakeover measures how long a new leader takes to load records, by number of unfinished
+// tasks. Finished jobs are not loaded.
 func BenchmarkTakeover(b *testing.B) {
 	for _, tasks := range []int{1_000, 10_000, 100_000} {
-		const each = 20
+		const tasksPerJob = 20
 		var pages []jobstore.PlacementPage
 		var jobs []jobstore.JobRecord
-		for n := range tasks / each {
+		for n := range tasks / tasksPerJob {
 			id := fmt.Sprintf("wk-%06d", n)
-			jobs = append(jobs, arrayJob(id, each))
-			c := jobstore.PlacementChunk{Job: id, MaxAttempt: each}
-			for t := range each {
-				c.Placements = append(c.Placements, jobstore.Placement{Task: t, Attempt: uint64(t + 1), Machine: fmt.Sprintf("host-%06d", (n*each+t)/4)})
+			jobs = append(jobs, arrayJob(id, tasksPerJob))
+			c := jobstore.PlacementChunk{Job: id, MaxAttempt: tasksPerJob}
+			for t := range tasksPerJob {
+				c.Placements = append(c.Placements, jobstore.Placement{Task: t, Attempt: uint64(t + 1), Machine: fmt.Sprintf("host-%06d", (n*tasksPerJob+t)/4)})
 			}
 			if n%16 == 0 {
 				pages = append(pages, jobstore.PlacementPage{})
@@ -111,21 +112,21 @@
 	}
 }
 
-// The version of a job's record shows that the job is newer than an unreadable page, and so
-// has no placements on it. That does not hold for a job with a reservation, whose record
-// changes after the job was accepted.
+// A job whose record is newer than an unreadable page has no placements on that page, and must not
+// be quarantined. A job with a reservation must be, because its record changes after the job was
+// accepted.
 func TestJobsNewerThanUnreadablePlacementPageAreNotQuarantined(t *testing.T) {
 	m := newModel(5)
-	marked := arrayJob("wk-000003", 4)
-	marked.Reservation = &jobstore.Reservation{Owner: "w/y/a"}
+	reserved := arrayJob("wk-000003", 4)
+	reserved.Reservation = &jobstore.Reservation{Owner: "w/y/a"}
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 4), 4, at(0))
 	m.ApplyJobRecord("wk-000002", arrayJob("wk-000002", 4), 9, at(0))
-	m.ApplyJobRecord("wk-000003", marked, 9, at(0))
+	m.ApplyJobRecord("wk-000003", reserved, 9, at(0))
 	m.QuarantinePlacementPage(0, 5, errors.New("damaged"))
 	m.FinishLoading(at(0))
 	for id, want := range map[string]bool{"wk-000001": true, "wk-000002": false, "wk-000003": true} {
 		if got := m.Job(id).quarantined; got != want {
-			t.Errorf("%s set aside: %v", id, got)
+			t.Errorf("%s: quarantined = %v, want %v", id, got, want)
 		}
 	}
 }
--- a/cluster/heartbeatretry_test.go
+++ b/cluster/heartbeatretry_test.go
@@ -7,22 +7,23 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// answerDuplicate answers a heartbeat that has been applied already.
-func answerDuplicate(t *testing.T, m *Model, r *wire.Heartbeat, via string, now time.Time) []wire.Command {
+// answerDuplicate returns the commands that answer another copy of the newest heartbeat. node is the
+// node that received the copy. It fails the test if the copy is applied or not answered.
+func answerDuplicate(t *testing.T, m *Model, heartbeat *wire.Heartbeat, node string, now time.Time) []wire.Command {
 	t.Helper()
-	if m.ApplyHeartbeat(r, now) != nil {
-		t.Fatal("applied a second time")
+	if m.ApplyHeartbeat(heartbeat, now) != nil {
+		t.Fatal("the heartbeat is applied a second time")
 	}
-	cmds, ok := m.AnswerRetry(r, via)
+	cmds, ok := m.AnswerRetry(heartbeat, node)
 	if !ok {
-		t.Fatal("the duplicate of the newest heartbeat is refused")
+		t.Fatal("the duplicate of the newest heartbeat is not answered")
 	}
 	return cmds
 }
 
-// The first copy of a heartbeat is answered with the launches, and the second one, whose
-// answer the worker accepts, without any: it only renews the lease. The launches missing from
-// the next heartbeat are then no sign that the machine is unreachable.
+// Two copies of a heartbeat arrive. The answer to the first one carries the launches. The worker
+// accepts only the answer to the second one, which has no launches and only renews the lease. The
+// next heartbeat then lacks the launches. That must not make the machine unreachable.
 func TestDuplicateOfNewestHeartbeatIsAnsweredWithoutNewCommands(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
@@ -34,54 +35,57 @@
 	mc := m.ApplyHeartbeat(copied, at(2))
 	m.RecordReceivingNode(mc, "a", at(2))
 	if launches, _, forgets := countOps(m.AnswerHeartbeat(mc, copied, at(2))); launches != 2 || forgets != 1 {
-		t.Fatalf("%d launches and %d exits forgotten", launches, forgets)
+		t.Fatalf("got %d launches and %d forgets, want 2 and 1", launches, forgets)
 	}
 	if cmds := answerDuplicate(t, m, newHeartbeat(2, 5, exit), "b", at(2.1)); len(cmds) > 0 {
-		t.Errorf("commands to the duplicate: %v", cmds)
+		t.Errorf("the answer to the duplicate has commands %v, want none", cmds)
 	}
 	if _, ok := m.AnswerRetry(newHeartbeat(1, 5), "a"); ok {
-		t.Error("an older heartbeat is answered")
+		t.Error("an older heartbeat is answered, want no answer")
 	}
 	next := newHeartbeat(3, 5, exit)
 	mc = m.ApplyHeartbeat(next, at(4))
 	m.RecordReceivingNode(mc, "b", at(4))
 	if launches, _, forgets := countOps(m.AnswerHeartbeat(mc, next, at(4))); mc.unreachable() || launches != 2 || forgets != 1 {
-		t.Errorf("unreachable %t, %d launches and %d exits forgotten", mc.unreachable(), launches, forgets)
+		t.Errorf("got unreachable %t, %d launches and %d forgets, want false, 2 and 1", mc.unreachable(), launches, forgets)
 	}
-	// This heartbeat was answered once: an effect that the next one does not show was missed.
+	// The last heartbeat was answered once. Its launches are missing from the next one, so that the
+	// machine missed the answer.
 	if answer(t, m, newHeartbeat(4, 5, exit), at(6)); !mc.unreachable() {
-		t.Error("reachable although it has missed a launch")
+		t.Error("the machine is reachable although it missed a launch")
 	}
 }
 
-// Both answers carry the fencing token, so that its absence still shows that none arrived.
+// A heartbeat is answered twice, and the next one lacks the fencing token. Both answers carry the
+// token, so that the worker received neither, and the machine is unreachable.
 func TestMissingTokenAfterTwoAnswersMakesMachineUnreachable(t *testing.T) {
 	next := modelAfterFailover()
 	answer(t, next, newHeartbeat(3, 5), at(1))
 	answerDuplicate(t, next, newHeartbeat(3, 5), "b", at(1.1))
 	if answer(t, next, newHeartbeat(4, 5), at(6)); !next.Machines[0].unreachable() {
-		t.Error("reachable although it has received neither answer")
+		t.Error("the machine is reachable although it received neither answer")
 	}
 }
 
-// The answer to a duplicate renews the lease as any other, and so carries all pending stops.
+// The answer to a duplicate renews the lease like any other answer. If it lacked the pending stops,
+// tasks of a cancelled job could run for another lease.
 func TestDuplicateHeartbeatIsAnsweredWithAllStops(t *testing.T) {
 	m := modelWithLaunchedJob(t, 2)
-	runs := newHeartbeat(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
-	answer(t, m, runs, at(3))
+	heartbeat := newHeartbeat(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
+	answer(t, m, heartbeat, at(3))
 	m.RemoveJob("wk-000001", at(3.5))
-	if _, stops, _ := countOps(answerDuplicate(t, m, runs, "", at(4))); stops != 1 {
-		t.Errorf("%d stops", stops)
+	if _, stops, _ := countOps(answerDuplicate(t, m, heartbeat, "", at(4))); stops != 1 {
+		t.Errorf("got %d stops, want 1", stops)
 	}
 }
 
-// Duplicates of a dead machine's last heartbeat keep arriving. Its lease expires as long after
-// the heartbeat as without them; its tasks once waited for as long as duplicates arrived.
+// Duplicates of a dead machine's last heartbeat keep arriving and are answered. They must not extend
+// its lease. The restart of its tasks elsewhere was once delayed for as long as duplicates arrived.
 func TestDuplicatesOfDeadMachinesLastHeartbeatDoNotExtendLease(t *testing.T) {
 	last := newHeartbeat(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
 	for _, unanswered := range []bool{false, true} {
 		m := modelWithLaunchedJob(t, 1)
-		if unanswered { // the leader could not prove its own lease just then
+		if unanswered { // as when the leader can't prove its own lease
 			m.ApplyHeartbeat(last, at(4))
 		} else {
 			answer(t, m, last, at(4))
@@ -90,27 +94,28 @@
 			answerDuplicate(t, m, last, "", at(s))
 			m.Tick(at(s))
 		}
-		place := &m.Job("wk-000001").Tasks[0].Placement
-		if *place == nil {
-			t.Errorf("unanswered %t: given up before its lease has expired", unanswered)
+		placement := &m.Job("wk-000001").Tasks[0].Placement
+		if *placement == nil {
+			t.Errorf("unanswered %t: the task is lost before the lease expired", unanswered)
 		}
-		if m.Tick(at(16.4)); *place != nil {
-			t.Errorf("unanswered %t: not given up after its lease has expired", unanswered)
+		if m.Tick(at(16.4)); *placement != nil {
+			t.Errorf("unanswered %t: the task is not lost after the lease expired", unanswered)
 		}
 		if _, ok := m.AnswerRetry(last, ""); ok {
-			t.Errorf("unanswered %t: answered after its lease has expired", unanswered)
+			t.Errorf("unanswered %t: a duplicate is answered after the lease expired", unanswered)
 		}
 	}
 }
 
-// A worker whose heartbeat was applied but not answered counts its lease from when it sent the
-// heartbeat, once a duplicate of it is answered.
+// A heartbeat is applied and not answered, and later a duplicate of it is answered. The worker's
+// lease then begins when it sent the heartbeat. If the leader counted from an earlier answer, it
+// would restart the tasks while they still run.
 func TestDelayedAnswerToAppliedHeartbeatExtendsLease(t *testing.T) {
 	m := modelWithLaunchedJob(t, 1)
 	last := newHeartbeat(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
 	m.ApplyHeartbeat(last, at(10))
 	answerDuplicate(t, m, last, "", at(11))
 	if m.Tick(at(21.9)); m.Job("wk-000001").Tasks[0].Placement == nil {
-		t.Error("given up before the worker's lease has expired")
+		t.Error("the task is lost before the worker's lease expired")
 	}
 }
--- a/cluster/model_test.go
+++ b/cluster/model_test.go
@@ -10,10 +10,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+// t0 is the election of the leader in tests.
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func at(s float64) time.Time { return t0.Add(config.Seconds(s)) }
+// at returns the time that many seconds after t0.
+func at(seconds float64) time.Time { return t0.Add(config.Seconds(seconds)) }
 
+// newModel returns a model with zones a and b, team core and machine type m, which has room for four
+// tasks of arrayJob.
 func newModel(token uint64) *Model {
 	cfg := &config.Settings{Cluster: config.Cluster{Zones: []string{"a", "b"}, Teams: []config.Team{{Name: "core"}},
 		Workers: config.Workers{HeartbeatS: 1.5, LeaseS: 12, GangWaitS: 30, GangPeerS: 6, CancelS: 32},
@@ -24,13 +28,15 @@
 	return m
 }
 
+// newHeartbeat returns a heartbeat of machine host-1 in its first agent epoch.
 func newHeartbeat(seq, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	return &wire.Heartbeat{Machine: "host-1", Addr: "h:1", Type: "m", Zone: "a", AgentEpoch: 1, Seq: seq, Token: token, Tasks: tasks}
 }
 
-func arrayJob(id string, n int) jobstore.JobRecord {
+// arrayJob returns the record of a job of independent tasks.
+func arrayJob(id string, tasks int) jobstore.JobRecord {
 	return jobstore.JobRecord{AcceptedAtMs: t0.UnixMilli(), Job: wire.Job{ID: id, Class: "c", Team: "core", Kind: wire.KindArray,
-		Priority: wire.PriorityNormal, Tasks: n, CPUs: 2, Image: "i", ImageGB: 1, EstimateS: 60, CheckpointS: 10, SaveS: 2}}
+		Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 2, Image: "i", ImageGB: 1, EstimateS: 60, CheckpointS: 10, SaveS: 2}}
 }
 
 // commitAll commits batches until there is nothing to write.
@@ -45,12 +51,12 @@
 	}
 }
 
-// modelWithLaunchedJob returns a model with one job of n tasks, whose launches are in the answer to the
-// second heartbeat of its one machine.
-func modelWithLaunchedJob(t *testing.T, n int) *Model {
+// modelWithLaunchedJob returns a model with one machine and one job, wk-000001. The answer to the
+// machine's second heartbeat carries the launches of the job's tasks.
+func modelWithLaunchedJob(t *testing.T, tasks int) *Model {
 	t.Helper()
 	m := newModel(5)
-	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", n), 1, at(0))
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", tasks), 1, at(0))
 	answer(t, m, newHeartbeat(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	commitAll(t, m, at(1))
@@ -58,6 +64,7 @@
 	return m
 }
 
+// countOps counts commands by operation.
 func countOps(cmds []wire.Command) (launches, stops, forgets int) {
 	for _, c := range cmds {
 		switch c.Op {
@@ -73,33 +80,38 @@
 }
 
 // answer applies a heartbeat and returns the commands that answer it.
-func answer(t *testing.T, m *Model, r *wire.Heartbeat, now time.Time) []wire.Command {
+func answer(t *testing.T, m *Model, heartbeat *wire.Heartbeat, now time.Time) []wire.Command {
 	t.Helper()
-	mc := m.ApplyHeartbeat(r, now)
+	mc := m.ApplyHeartbeat(heartbeat, now)
 	if mc == nil {
-		t.Fatal("heartbeat not accepted")
+		t.Fatal("the heartbeat is not applied")
 	}
-	return m.AnswerHeartbeat(mc, r, now)
+	return m.AnswerHeartbeat(mc, heartbeat, now)
 }
 
+// A launch before the commit of its placement could be unknown to the next leader, which would
+// launch the task a second time. A launch that was lost with its answer must be sent again.
 func TestTaskLaunchesOnlyAfterItsPlacementIsCommitted(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 	answer(t, m, newHeartbeat(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	if l, _, _ := countOps(answer(t, m, newHeartbeat(2, 5), at(1.5))); l != 0 {
-		t.Fatal("launched before the commit")
+		t.Fatal("the task is launched before the commit")
 	}
 	commitAll(t, m, at(2))
 	if l, _, _ := countOps(answer(t, m, newHeartbeat(3, 5), at(3))); l != 1 {
-		t.Fatal("not launched after the commit")
+		t.Fatal("the task is not launched after the commit")
 	}
-	// The answer was lost: the next heartbeat proves that it was not executed.
+	// The next heartbeat does not list the task, so that the answer with the launch was lost.
 	if l, _, _ := countOps(answer(t, m, newHeartbeat(4, 5), at(4.5))); l != 1 {
-		t.Fatal("a lost launch was not repeated")
+		t.Fatal("a lost launch is not repeated")
 	}
 }
 
+// After a failover, a heartbeat without the new leader's token does not list a task. An answer of
+// the earlier leader with the launch may still be on its way, so that the task must stay placed. A
+// heartbeat with the token proves that the task is gone.
 func TestHeartbeatWithoutLeadersTokenDoesNotProveTaskGone(t *testing.T) {
 	m := newModel(9)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
@@ -107,55 +119,59 @@
 		Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
 	m.FinishLoading(at(0))
 	task := &m.Job("wk-000001").Tasks[0]
-	// An answer of the earlier leader may still be on its way to this worker.
 	answer(t, m, newHeartbeat(1, 4), at(1))
 	if task.Phase != TaskPlaced {
-		t.Fatal("believed a report that had not shown the token")
+		t.Fatal("a heartbeat without the token proves the task gone")
 	}
 	answer(t, m, newHeartbeat(2, 9), at(2))
 	if task.Phase != TaskIdle {
-		t.Fatal("did not believe one that had")
+		t.Fatal("a heartbeat with the token does not prove the task gone")
 	}
 	m.Schedule(at(3), 0)
 	if task.Placement == nil || task.Placement.Attempt <= 3 {
-		t.Fatal("the next attempt does not grow")
+		t.Fatal("the next attempt number is not higher than the last one")
 	}
 }
 
+// Tasks of a silent machine may still run until its lease expires. If they were restarted before,
+// two attempts of a task could run at the same time. The cloud's list is no proof, because it lags.
 func TestSilentMachineKeepsTasksUntilItsLeaseExpires(t *testing.T) {
 	m := modelWithLaunchedJob(t, 1)
 	task := &m.Job("wk-000001").Tasks[0]
 	m.Tick(at(13.9))
 	if task.Phase != TaskPlaced {
-		t.Fatal("given up within the lease")
+		t.Fatal("the task is lost before the lease expired")
 	}
-	// That the cloud's list no longer names the machine is no proof either.
 	m.ApplyCloudList(nil, at(13.9))
 	if task.Phase != TaskPlaced {
-		t.Fatal("a lagging list was believed")
+		t.Fatal("the task is lost because the cloud's list lacks the machine")
 	}
 	m.Tick(at(14.5))
 	if task.Phase != TaskIdle {
-		t.Fatal("not given up after the lease")
+		t.Fatal("the task is not lost after the lease expired")
 	}
 	if m.ApplyHeartbeat(newHeartbeat(3, 5), at(15)) != nil {
-		t.Fatal("a late heartbeat of the ended agent epoch was accepted")
+		t.Fatal("a late heartbeat of the ended agent epoch is applied")
 	}
 }
 
+// A worker lists an exit until it is told to forget it. If it forgot the exit before the outcome is
+// committed, the next leader would not learn of the outcome.
 func TestExitIsForgottenOnlyAfterItsOutcomeIsCommitted(t *testing.T) {
 	m := modelWithLaunchedJob(t, 2)
 	done := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitDone}
 	other := wire.TaskStatus{Task: "wk-000001/1", Attempt: 1, State: wire.TaskRunning}
 	if _, _, f := countOps(answer(t, m, newHeartbeat(3, 5, done, other), at(3))); f != 0 {
-		t.Fatal("forgotten before the commit")
+		t.Fatal("the exit is forgotten before the commit")
 	}
 	commitAll(t, m, at(3))
 	if _, _, f := countOps(answer(t, m, newHeartbeat(4, 5, done, other), at(4))); f != 1 {
-		t.Fatal("not forgotten after the commit")
+		t.Fatal("the exit is not forgotten after the commit")
 	}
 }
 
+// A task that was refused or failed must be retried after a delay and with a higher attempt number.
+// After an error it must be retried on another machine, because the first one may be faulty.
 func TestFailedLaunchIsRetriedLaterAndAfterErrorElsewhere(t *testing.T) {
 	for _, why := range []string{wire.ExitNoRoom, wire.ExitBusy, wire.ExitUnknown, wire.ExitError} {
 		m := newModel(5)
@@ -168,7 +184,7 @@
 		m.Schedule(at(3.1), 0)
 		task := &m.Job("wk-000001").Tasks[0]
 		if task.Phase != TaskIdle {
-			t.Errorf("%s: started again at once", why)
+			t.Errorf("%s: the task is placed again at once", why)
 		}
 		second := newHeartbeat(1, 5)
 		second.Machine, second.Zone = "host-2", "b"
@@ -178,13 +194,15 @@
 		answer(t, m, second, at(7))
 		m.Schedule(at(7.1), 0)
 		if task.Placement == nil || task.Placement.Attempt != 2 {
-			t.Errorf("%s: not started again later under a higher attempt", why)
+			t.Errorf("%s: the task is not placed again later as attempt 2", why)
 		} else if why == wire.ExitError && m.Machines[task.Placement.Machine].Name != "host-2" {
-			t.Errorf("%s: back on the same machine", why)
+			t.Errorf("%s: the task is placed on the same machine again", why)
 		}
 	}
 }
 
+// A task that was never launched is certainly not on a silent machine. It must not wait until the
+// machine's lease expires.
 func TestUnlaunchedPlacementOnSilentMachineIsRemovedWithinLease(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
@@ -192,10 +210,12 @@
 	m.Schedule(at(1), 0)
 	m.Tick(at(9)) // silent, but within its lease
 	if m.Job("wk-000001").Tasks[0].Phase != TaskIdle {
-		t.Fatal("a task that was never launched waits for the lease")
+		t.Fatal("a task that was never launched stays on a silent machine")
 	}
 }
 
+// A transaction is applied, and its response is lost. The repeated write then conflicts with the
+// leader's own write, and must continue from the version that the store reports.
 func TestConflictWithOwnUnansweredTransactionAdoptsItsVersion(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
@@ -204,15 +224,18 @@
 	b := m.NextBatch(12)
 	key := jobstore.PlacementPageKey(0)
 	m.RequeueBatch(b)
-	m.ResolveConflict(b, key, 77) // it had been applied after all
+	m.ResolveConflict(b, key, 77) // the first batch was applied
 	b = m.NextBatch(12)
 	for _, g := range b.Guards {
 		if g.Key == key && g.Version != 77 {
-			t.Fatalf("the repeated write expects version %d", g.Version)
+			t.Fatalf("the repeated write expects version %d, want 77", g.Version)
 		}
 	}
 }
 
+// A new leader finds a rebalance move that an earlier leader recorded. It must stop the task, start
+// it on the recorded target under a higher attempt number, and keep the cooldown. Otherwise a
+// failover would abandon moves halfway.
 func TestNewLeaderContinuesRecordedRebalanceMoves(t *testing.T) {
 	m := newModel(9)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
@@ -222,7 +245,7 @@
 		CooldownUntilMs: at(60).UnixMilli()}, at(0))
 	running := wire.TaskStatus{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
 	if _, s, _ := countOps(answer(t, m, newHeartbeat(1, 9, running), at(1))); s != 1 {
-		t.Fatal("the recorded move's stop was not repeated")
+		t.Fatal("the recorded move does not stop its task")
 	}
 	second := newHeartbeat(1, 9)
 	second.Machine = "host-2"
@@ -232,12 +255,12 @@
 	m.Schedule(at(4.1), 0)
 	p := m.Job("wk-000001").Tasks[0].Placement
 	if p == nil || m.Machines[p.Machine].Name != "host-2" || p.Attempt != 4 {
-		t.Fatal("the task did not start on its target under a higher attempt")
+		t.Fatal("the task is not placed on its target as attempt 4")
 	}
 	if rec := m.RebalanceCycles["a/m"].Record; rec.CooldownUntilMs != at(60).UnixMilli() {
-		t.Error("the cooldown was lost")
+		t.Error("the cooldown of the group is lost")
 	}
-	// A start that fails there for reasons of the task quarantines it.
+	// If the task fails on its target, it is excluded from moves for some time.
 	commitAll(t, m, at(4.2))
 	second.Seq = 2
 	answer(t, m, second, at(4.5))
@@ -245,29 +268,29 @@
 	second.Tasks = []wire.TaskStatus{{Task: "wk-000001/0", Attempt: 4, State: wire.TaskExited, Why: wire.ExitError}}
 	answer(t, m, second, at(6))
 	if m.RebalanceCycles["a/m"].Record.QuarantineUntilMs["wk-000001/0"] == 0 {
-		t.Error("not quarantined")
+		t.Error("the task is not quarantined after its failure")
 	}
 }
 
-// The transaction of a rebalance cycle may be applied late, so that its moves were never
-// begun. After the group's cooldown the next leader must not begin them.
+// The transaction of a rebalance cycle may be applied so late that its leader never began the moves.
+// After the group's cooldown the next leader must not begin them either.
 func TestRebalanceMovesAreNotBegunAfterTheirCooldown(t *testing.T) {
 	for _, c := range []struct {
-		coolUntil time.Time
-		stops     int
+		cooldownUntil time.Time
+		stops         int
 	}{{at(1), 1}, {at(0), 0}, {at(-60), 0}} {
 		m := newModel(9)
 		m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 1), 1, at(0))
 		m.LoadPlacementPage(0, jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{{Job: "wk-000001", MaxAttempt: 3,
 			Placements: []jobstore.Placement{{Task: 0, Attempt: 3, Machine: "host-1"}}}}}, 2, at(0))
 		m.LoadRebalanceCycle("a/m", jobstore.RebalanceCycle{Moves: []jobstore.Move{{Task: "wk-000001/0", Attempt: 3, From: "host-1", To: "host-2"}},
-			CooldownUntilMs: c.coolUntil.UnixMilli(), TaskCooldownUntilMs: map[string]int64{"wk-000001/0": at(90).UnixMilli()}}, at(0))
+			CooldownUntilMs: c.cooldownUntil.UnixMilli(), TaskCooldownUntilMs: map[string]int64{"wk-000001/0": at(90).UnixMilli()}}, at(0))
 		running := wire.TaskStatus{Task: "wk-000001/0", Attempt: 3, State: wire.TaskRunning}
 		if _, s, _ := countOps(answer(t, m, newHeartbeat(1, 9, running), at(1))); s != c.stops {
-			t.Errorf("cooling until %v: %d stops, want %d", c.coolUntil, s, c.stops)
+			t.Errorf("cooldown until %v: got %d stops, want %d", c.cooldownUntil, s, c.stops)
 		}
 		if m.RebalanceCycles["a/m"].Record.TaskCooldownUntilMs["wk-000001/0"] == 0 {
-			t.Error("the task's rest was lost")
+			t.Error("the cooldown of the task is lost")
 		}
 	}
 }
--- a/cluster/placementpages_test.go
+++ b/cluster/placementpages_test.go
@@ -11,8 +11,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// modelWithPlacedJobs returns a model with many jobs placed on many machines, and its placement pages, all
-// of which are committed.
+// modelWithPlacedJobs returns a model with jobs of the given number of tasks each, placed on enough
+// machines, and its placement pages by key. All pages are committed.
 func modelWithPlacedJobs(t *testing.T, jobs, tasks int) (*Model, map[string]jobstore.PlacementPage) {
 	t.Helper()
 	m := newModel(5)
@@ -31,28 +31,28 @@
 	return m, stored
 }
 
-// writeAll commits batches until there is nothing to write, and returns the number of changes.
-// It checks the limits of the key-value service: 12 changes and 48 conditions in a
-// transaction, 64 KiB in all and 16 KiB in a value.
+// writeAll commits batches until there is nothing to write, and applies them to stored. It returns
+// the number of changes. It checks the limits of the key-value service: 12 changes, 48 conditions
+// and 64 KiB per transaction, and 16 KiB per value.
 func writeAll(t *testing.T, m *Model, stored map[string]jobstore.PlacementPage) (changes int) {
 	t.Helper()
 	for rev := uint64(100); m.PendingWrites() > 0; rev++ {
 		if rev > 300 {
-			t.Fatal("writing does not end")
+			t.Fatal("writes are still pending after 200 batches")
 		}
 		b := m.NextBatch(12)
 		if b == nil {
 			continue
 		}
 		if len(b.Ops) > 12 || len(b.Guards)+1 > 48 {
-			t.Errorf("%d changes and %d conditions", len(b.Ops), len(b.Guards)+1)
+			t.Errorf("a transaction has %d changes and %d conditions, want at most 12 and 48", len(b.Ops), len(b.Guards)+1)
 		}
 		total := 0
 		for _, op := range b.Ops {
 			n := jsonSize(t, op.Value)
 			total += n
 			if n > 16<<10 {
-				t.Errorf("%s takes %d bytes", op.Put, n)
+				t.Errorf("the value of %s has %d bytes, want at most 16 KiB", op.Put, n)
 			}
 			if rec, ok := op.Value.(jobstore.PlacementPage); ok {
 				stored[op.Put] = rec
@@ -60,7 +60,7 @@
 			delete(stored, op.Delete)
 		}
 		if total > 60<<10 {
-			t.Errorf("a transaction takes %d bytes", total)
+			t.Errorf("a transaction has %d bytes, want at most 60 KiB", total)
 		}
 		changes += len(b.Ops)
 		b.OnCommit(rev, at(2))
@@ -68,6 +68,7 @@
 	return changes
 }
 
+// jsonSize returns the size of a value as JSON text, which is how the service counts it.
 func jsonSize(t *testing.T, v any) int {
 	t.Helper()
 	b, err := wire.Marshal(v)
@@ -85,12 +86,12 @@
 	return len(text)
 }
 
-// With a key for each job, dozens of jobs whose tasks start and end each second would take
-// more changes than the service accepts.
+// The placement records of many jobs must share few pages. With one key per job, dozens of jobs
+// whose tasks start and end each second would need more changes than the service accepts.
 func TestPlacementsOfManyJobsShareFewPages(t *testing.T) {
 	m, stored := modelWithPlacedJobs(t, 120, 20)
 	if len(stored) > 12 {
-		t.Errorf("%d pages for 120 jobs", len(stored))
+		t.Errorf("got %d pages for 120 jobs, want at most 12", len(stored))
 	}
 	placed := 0
 	for _, p := range stored {
@@ -99,19 +100,19 @@
 		}
 	}
 	if placed < 1000 {
-		t.Fatalf("only %d tasks are recorded", placed)
+		t.Fatalf("got %d recorded placements, want at least 1000", placed)
 	}
-	// When one task of each job ends, only these pages are written.
+	// When one task of each job ends, each page is written once.
 	for _, j := range m.Jobs {
 		m.markDone(j, 0, at(3))
 	}
 	if n := writeAll(t, m, stored); n > 12 {
-		t.Errorf("%d changes for a task's end in each job", n)
+		t.Errorf("got %d changes after a task of each job ended, want at most 12", n)
 	}
 }
 
-// A new leader loads exactly the placements that were committed, and continues from the
-// attempt numbers that were used.
+// A new leader must load exactly the committed placements and continue from the used attempt
+// numbers. Otherwise it would lose tasks, or give two attempts the same number.
 func TestNewLeaderLoadsPlacementPages(t *testing.T) {
 	m, stored := modelWithPlacedJobs(t, 30, 10)
 	m.markDone(m.Jobs[3], 4, at(3))
@@ -130,17 +131,17 @@
 	for _, j := range m.Jobs {
 		got := next.Job(j.ID)
 		if got.PlacedTasks != j.PlacedTasks || got.DoneTasks != j.DoneTasks || got.lastAttempt != j.lastAttempt {
-			t.Errorf("%s: %d placed, %d done, attempt %d; was %d, %d, %d", j.ID,
+			t.Errorf("%s: got %d placed, %d done, last attempt %d, want %d, %d, %d", j.ID,
 				got.PlacedTasks, got.DoneTasks, got.lastAttempt, j.PlacedTasks, j.DoneTasks, j.lastAttempt)
 		}
 	}
 	if n := next.PendingWrites(); n != 0 {
-		t.Errorf("%d changes to be written though nothing has changed", n)
+		t.Errorf("got %d pending writes after loading, want 0", n)
 	}
 }
 
-// The placement record of a finished job is removed from its page with the page's next
-// change, and a page without records is deleted.
+// The placement records of finished jobs must be removed from their pages, and empty pages must be
+// deleted. Otherwise the pages would fill up.
 func TestFinishedJobsLeavePlacementPages(t *testing.T) {
 	m, stored := modelWithPlacedJobs(t, 10, 4)
 	for _, j := range append([]*Job(nil), m.Jobs...) {
@@ -150,6 +151,6 @@
 	}
 	writeAll(t, m, stored)
 	if len(stored) != 0 {
-		t.Errorf("still there: %v", stored)
+		t.Errorf("got pages %v after all jobs finished, want none", stored)
 	}
 }
--- a/cluster/scalein_test.go
+++ b/cluster/scalein_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A deletion may be carried out a minute after the leader that requested it last checked its
-// lease. A later leader places nothing on the machines named in the scale-in record.
+// The cloud may carry out a deletion a minute after the requesting leader last checked its lease. A
+// later leader must not place tasks on the machines in the scale-in record, because these tasks
+// would be lost with the machine.
 func TestMachinesInScaleInOfEarlierLeaderGetNoTasks(t *testing.T) {
 	m := newModel(6)
 	name := newHeartbeat(1, 6).Machine
@@ -18,6 +19,6 @@
 		t.Error("a task was placed on a machine that is being scaled in")
 	}
 	if got := m.SelectScaleIn(at(3), time.Hour); len(got) != 1 || got[0] != name {
-		t.Errorf("to be scaled in: %v", got)
+		t.Errorf("SelectScaleIn = %v, want only %s", got, name)
 	}
 }
--- a/cluster/stopcommands_test.go
+++ b/cluster/stopcommands_test.go
@@ -8,9 +8,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// An answer renews the lease of every task on the machine. Stops that were left out of an
-// answer, because 300 forgets or other stops came before them, once kept tasks of a cancelled
-// job running for another lease, and for good if no answer followed.
+// An answer renews the lease of every task on the machine, so that it must carry all pending stops.
+// Stops were once left out of an answer because 300 forgets or other stops came before them. Tasks
+// of a cancelled job then kept running for another lease, and without end if no answer followed.
 func TestAnswerStopsAllTasksBeforeForgettingExits(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
@@ -18,17 +18,17 @@
 	m.Schedule(at(1), 0)
 	commitAll(t, m, at(1))
 	if launches, _, _ := countOps(answer(t, m, newHeartbeat(2, 5), at(2))); launches != 2 {
-		t.Fatalf("%d launches", launches)
+		t.Fatalf("got %d launches, want 2", launches)
 	}
 	m.RemoveJob("wk-000001", at(3))
 	var tasks []wire.TaskStatus
 	for i := range 400 {
 		tasks = append(tasks, wire.TaskStatus{Task: fmt.Sprintf("wk-000002/%d", i), Attempt: 1, State: wire.TaskExited, Why: wire.ExitDone})
 	}
-	for i := range 600 { // of a job that finished under an earlier leader
+	for i := range 600 { // tasks of a job that finished under an earlier leader
 		tasks = append(tasks, wire.TaskStatus{Task: fmt.Sprintf("wk-999999/%d", 90_000+i), Attempt: 1_000_000, State: wire.TaskRunning})
 	}
-	// One task of the cancelled job is listed last; the launch of the other was missed.
+	// The last one is a task of the cancelled job. The launch of the job's other task was missed.
 	tasks = append(tasks, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskRunning})
 	cmds := answer(t, m, newHeartbeat(3, 5, tasks...), at(4))
 	stopped := map[string]bool{}
@@ -38,16 +38,17 @@
 		}
 	}
 	if len(stopped) != 601 || !stopped["wk-000001/0"] {
-		t.Errorf("%d of 601 tasks are stopped", len(stopped))
+		t.Errorf("got stops for %d tasks, want 601 including wk-000001/0", len(stopped))
 	}
-	// The following answers forget the remaining exits.
+	// The next answer has room for forgets.
 	cmds = answer(t, m, newHeartbeat(4, 5, tasks[:400]...), at(5))
 	if _, _, forgets := countOps(cmds); forgets < 298 {
-		t.Errorf("%d forgotten", forgets)
+		t.Errorf("got %d forgets, want at least 298", forgets)
 	}
 }
 
-// The maximum number of stops in an answer, with the longest names, fits into 64 KiB.
+// An answer with maxStops stops and the longest names must fit into the limit of 64 KiB. Otherwise
+// it could not be sent.
 func TestMaxStopsFitIntoOneAnswer(t *testing.T) {
 	m := newModel(5)
 	var tasks []wire.TaskStatus
@@ -60,6 +61,6 @@
 	}
 	b, err := json.Marshal(map[string]any{"sceau": 1 << 40, "consignes": out})
 	if err != nil || len(out) != maxStops || len(b) > wire.MaxBody {
-		t.Errorf("%d commands are %d bytes (%v)", len(out), len(b), err)
+		t.Errorf("got %d commands of %d bytes (%v), want maxStops within wire.MaxBody", len(out), len(b), err)
 	}
 }
--- a/cluster/warm_pool_members.go
+++ b/cluster/warm_pool_members.go
@@ -42,8 +42,8 @@
 }
 
 // memberNeverSeen reports whether a recorded member counts as lost. This leader has received no
-// heartbeat from it, the cloud has not listed it for memberLostAfter, and it is not booting. No member
-// counts as lost within memberLostAfter of the election.
+// heartbeat from it, the cloud has not listed it for memberLostAfter, and it is not booting. No
+// member counts as lost within memberLostAfter of the election.
 func (m *Model) memberNeverSeen(mc *Machine, now time.Time) bool {
 	_, isBooting := m.estimateBootTimeLeft(mc, now)
 	return !mc.alive && !isBooting && mc.AgentEpoch == 0 && now.Sub(m.ElectedAt) > memberLostAfter && now.Sub(mc.cloudStateAt) > memberLostAfter
--- a/cluster/warm_pools_test.go
+++ b/cluster/warm_pools_test.go
@@ -9,7 +9,8 @@
 	"github.com/umberdeal/umberdeal/warmpool"
 )
 
-// newPoolModel makes a crowded model with warm pools that hold half of its machines.
+// newPoolModel returns a model of crowded with three warm pools, which together want half of its
+// machines.
 func newPoolModel(machines, jobs int) *Model {
 	m := crowded(machines, jobs)
 	p := &plan.Plan{}
@@ -21,14 +22,15 @@
 	return m
 }
 
-// markAllHeartbeats sets the last heartbeat of all machines to now.
+// markAllHeartbeats makes all machines look as if they had just sent a heartbeat and been answered.
 func markAllHeartbeats(m *Model, now time.Time) {
 	for _, mc := range m.Machines {
 		mc.lastSeen, mc.lastAnswered, mc.tokenShown = now, now, true
 	}
 }
 
-// BenchmarkTickPools measures what warm pools cost the leader every two seconds.
+// BenchmarkTickPools measures the time of one tick of the warm pools, which the leader runs once per
+// poolInterval.
 func BenchmarkTickPools(b *testing.B) {
 	m := newPoolModel(1300, 400)
 	now := at(40)
@@ -44,7 +46,7 @@
 	b.ReportMetric(float64(held), "machines")
 }
 
-// Machines of warm pools are not scaled in when they are idle; all others are.
+// Idle machines of warm pools must not be scaled in. All other idle machines must be.
 func TestScaleInKeepsPoolMembers(t *testing.T) {
 	m := newPoolModel(12, 0)
 	for s := 30.0; s < 40; s += 2 {
@@ -52,24 +54,24 @@
 		m.Tick(at(s))
 	}
 	markAllHeartbeats(m, at(1000))
-	kept := 0
+	members := 0
 	for _, mc := range m.Machines {
 		if mc.pool > 0 {
-			kept++
+			members++
 		}
 	}
-	if back := m.SelectScaleIn(at(1000), time.Minute); kept != 6 || len(back) != 6 {
-		t.Errorf("%d machines are the pools', %v are returned", kept, back)
+	if scaledIn := m.SelectScaleIn(at(1000), time.Minute); members != 6 || len(scaledIn) != 6 {
+		t.Errorf("got %d pool members and scale-in of %v, want 6 members and the 6 others", members, scaledIn)
 	}
 }
 
-// Headroom machines are idle, and marked anew with each scheduling pass: a warm pool that
-// lacks machines must not wait until they are unmarked, and pays for them only from when
-// they join.
+// Each scheduling pass marks idle machines as headroom again. A warm pool that lacks machines must
+// accept such machines and not wait until they are unmarked. It must pay for them only from the time
+// they join, because they were not rented for the pool.
 func TestPoolAcceptsHeadroomMachines(t *testing.T) {
 	m := newPoolModel(12, 0) // three pools of two machines
 	m.Headroom = 0.35
-	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 16), 1, at(0)) // four machines, and headroom of six
+	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 16), 1, at(0)) // needs four machines, and headroom of six
 	for _, mc := range m.Machines {
 		mc.creationKnown = true
 	}
@@ -79,25 +81,25 @@
 		m.Schedule(at(s), 0)
 		m.Tick(at(s))
 	}
-	kept := 0
+	headroom := 0
 	for _, mc := range m.Machines {
 		if mc.pool > 0 {
 			held++
-			if e := m.poolOf(mc).member(mc); e.SinceMs < at(90).UnixMilli() {
-				t.Errorf("%s was up for jobs to come, and the pool pays from %d on", mc.Name, e.SinceMs)
+			if member := m.poolOf(mc).member(mc); member.SinceMs < at(90).UnixMilli() {
+				t.Errorf("%s was headroom, and the pool pays from %d on, before it joined", mc.Name, member.SinceMs)
 			}
 		} else if !mc.headroomAt.IsZero() {
-			kept++
+			headroom++
 		}
 	}
-	if held != 6 || kept == 0 {
-		t.Errorf("the pools hold %d machines of 6, %d others are headroom", held, kept)
+	if held != 6 || headroom == 0 {
+		t.Errorf("the pools hold %d machines and %d others are headroom, want 6 and at least 1", held, headroom)
 	}
 	markAllHeartbeats(m, at(300))
 	m.Schedule(at(300), 0)
 	for _, name := range m.SelectScaleIn(at(301), time.Minute) {
 		if mc := m.machineNamed(name); !mc.headroomAt.IsZero() {
-			t.Errorf("%s is headroom, and returned", name)
+			t.Errorf("%s is headroom and is scaled in", name)
 		}
 	}
 }
--- a/cluster/zone_test.go
+++ b/cluster/zone_test.go
@@ -7,10 +7,11 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A machine's worker names a zone, then one that the settings don't have, as after a wrong change of its
-// settings, and then another. A job's tasks on the machine went on counting for the first zone once it named
-// the unknown one, for good if they ended meanwhile: `placedByZone` was [2 0] with no task placed. Limits
-// by zone (`apart`) and the zone of a job that wants all its tasks in one were decided on that.
+// A worker's zone changes to one that the settings don't have, as after a wrong change of the
+// worker's settings, and then to another one. Tasks on its machine once kept counting for the first
+// zone. If they ended while the zone was unknown, they counted forever: placedByZone was [2 0] with
+// no task placed. Limits by zone (`apart`) and the zone of jobs that need a single zone were based
+// on this count.
 func TestTasksCountForTheZoneThatTheirMachineNames(t *testing.T) {
 	m := modelWithLaunchedJob(t, 2)
 	j := m.Job("wk-000001")
@@ -19,7 +20,7 @@
 		{Task: wire.TaskName("wk-000001", 0), Attempt: j.Tasks[0].Placement.Attempt, State: wire.TaskRunning},
 		{Task: wire.TaskName("wk-000001", 1), Attempt: j.Tasks[1].Placement.Attempt, State: wire.TaskRunning},
 	}
-	name := func(zone string, tasks ...wire.TaskStatus) {
+	sendHeartbeat := func(zone string, tasks ...wire.TaskStatus) {
 		seq++
 		heartbeat := newHeartbeat(seq, 5, tasks...)
 		heartbeat.Zone = zone
@@ -28,18 +29,18 @@
 	check := func(when string, want ...int) {
 		t.Helper()
 		if !slices.Equal(j.placedByZone, want) {
-			t.Errorf("%s: tasks by zone %v, not %v", when, j.placedByZone, want)
+			t.Errorf("%s: got %v tasks by zone, want %v", when, j.placedByZone, want)
 		}
 	}
 	check("zone a", 2, 0)
-	name("elsewhere", running...)
-	check("a zone that the settings don't have", 0, 0)
-	name("b", running...)
+	sendHeartbeat("elsewhere", running...)
+	check("unknown zone", 0, 0)
+	sendHeartbeat("b", running...)
 	check("zone b", 0, 2)
-	name("elsewhere", running...)
+	sendHeartbeat("elsewhere", running...)
 	for i := range running {
 		running[i].State, running[i].Why = wire.TaskExited, wire.ExitDone
 	}
-	name("elsewhere", running...)
-	check("all tasks over", 0, 0)
+	sendHeartbeat("elsewhere", running...)
+	check("all tasks done", 0, 0)
 }
