--- a/cluster/job.go
+++ b/cluster/job.go
@@ -21,7 +21,7 @@
 // Task is one task of a job.
 type Task struct {
 	Phase     TaskPhase
-	failures  uint8
+	failures  uint8                // counted failures; determines the backoff
 	resumed   bool                 // an earlier attempt ran
 	progress  float32              // seconds of work that earlier attempts saved
 	outcome   jobstore.TaskOutcome // how a reserved task ended
@@ -73,8 +73,8 @@
 	Index      int32
 	ID         string
 	Spec       wire.Job
-	version    uint64 // of its active record or of its admission page in the store
-	AcceptedAt time.Time
+	version    uint64    // of its active record or of its admission page in the store
+	AcceptedAt time.Time // when its submission was accepted
 
 	// Values derived from Spec and the cluster's settings.
 	team         int                 // -1 if the team is not configured
@@ -86,8 +86,8 @@
 	tier         int    // priority tier, 0 is the highest; set by priorityTiers.assign
 
 	// Tasks.
-	Tasks        []Task
-	Chunks       []Chunk
+	Tasks        []Task  // by task number
+	Chunks       []Chunk // placement records of jobstore.ChunkSize tasks each
 	DoneTasks    int
 	PlacedTasks  int
 	placedByZone []int
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -14,10 +14,10 @@
 	Name      string
 	addr      string // of its worker; empty if unknown
 	typeIndex int    // in Model.MachineTypes; -1 if unknown
-	TypeName  string
-	Zone      int // index in Model.Zones; -1 if unknown
+	TypeName  string // empty if unknown
+	Zone      int    // index in Model.Zones; -1 if unknown
 	Spot      bool
-	Gone      bool // its deletion is confirmed; final, later heartbeats are ignored
+	Gone      bool   // its deletion is confirmed; final, later heartbeats are ignored
 
 	workerLease
 	cloudInstance
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -36,11 +36,11 @@
 // with state of its own is a type in a separate file, and Model combines these parts. It is
 // not safe for concurrent use.
 type Model struct {
-	FencingToken uint64
-	ElectedAt    time.Time
+	FencingToken uint64    // of the leadership
+	ElectedAt    time.Time // begin of the leadership
 
-	Machines     []*Machine
-	Jobs         []*Job // by Job.Index; nil once the job is removed from the model
+	Machines     []*Machine // by Machine.index
+	Jobs         []*Job     // by Job.Index; nil once the job is removed from the model
 	MachineTypes []MachineType
 	Zones        []string
 	names        nameIndex
@@ -52,20 +52,21 @@
 	// Settings.
 	settings          *config.Settings
 	RebalanceSettings config.Rebalance
-	Headroom          float64
+	// Headroom is the share of each class's open tasks for which resources are kept free.
+	Headroom float64
 	// StarvationBound is how long a job may wait from its acceptance to its start. 0 means
 	// no bound.
 	StarvationBound time.Duration
-	clockDrift      float64
+	clockDrift      float64 // config.ClockDrift
 
 	// Outputs, apart from the answers to heartbeats.
 	writes         writeBehind
 	directCommands directCommandQueue
 	heldStops      heldStops // stops that wait until the plan is confirmed
-	Observer       Observer
+	Observer       Observer  // receives measurements; never nil
 	log            *slog.Logger
 
-	// The operators' plan, and its parts.
+	// The operators' plan and its parts.
 	plan         Plan
 	planExpected bool // a plan may exist in the store
 	planRecords  planRecords
