--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -17,7 +17,7 @@
 	TypeName  string // empty if unknown
 	Zone      int    // index in Model.Zones; -1 if unknown
 	Spot      bool
-	Gone      bool   // its deletion is confirmed; final, later heartbeats are ignored
+	Gone      bool // its deletion is confirmed; final, later heartbeats are ignored
 
 	workerLease
 	cloudInstance
