--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -271,7 +271,7 @@
 }
 
 // windowRecordIDBytes returns how many bytes the ids of open jobs may take in a region's record.
-func (m *Model) windowRecordIDBytes() int { return m.writes.limits().valueBytes() / 3 }
+func (m *Model) windowRecordIDBytes() int { return m.writes.limits().maxValueBytes() / 3 }
 
 // UnresolvedWindowJobs returns the sorted ids of at most limit jobs that the records of batch
 // windows list as open, but that have ended without a leader seeing it. The caller reads their
--- a/cluster/runtimeestimate_test.go
+++ b/cluster/runtimeestimate_test.go
@@ -32,7 +32,7 @@
 // A checkpoint must reduce the remaining run time. Work after the last checkpoint is lost and must
 // not count.
 func TestSavedProgressReducesTheRemainingRunTime(t *testing.T) {
-	m := placed(t, 1)
+	m := modelWithLaunchedJob(t, 1)
 	j := m.Job("wk-000001")
 	p := j.Tasks[0].Placement
 	p.reportedState, p.runningSince, p.Stop = reportedRunning, at(5), &StopOrder{orderedAt: at(45)}
--- a/cluster/tier_scenario_test.go
+++ b/cluster/tier_scenario_test.go
@@ -69,7 +69,7 @@
 	sim.seq++
 	now := at(sim.now)
 	for i, tasks := range sim.tasksByMachine {
-		r := rep(sim.seq, 5)
+		r := newHeartbeat(sim.seq, 5)
 		r.Machine, r.Zone = fmt.Sprintf("host-%06d", i), []string{"a", "b"}[i%2]
 		names := make([]string, 0, len(tasks))
 		for name := range tasks {
--- a/cluster/window_provision_test.go
+++ b/cluster/window_provision_test.go
@@ -22,7 +22,7 @@
 	var rented []rental
 	sendHeartbeats := func(n int, s float64) {
 		for i := range n {
-			r := rep(uint64(s), l.model.FencingToken)
+			r := newHeartbeat(uint64(s), l.model.FencingToken)
 			r.Machine, r.Addr = fmt.Sprintf("host-%d", i), fmt.Sprintf("h-%d:1", i)
 			answer(t, l.model, r, at(s))
 		}
