--- a/controller/committer.go
+++ b/controller/committer.go
@@ -51,9 +51,9 @@
 	return err
 }
 
-// committerRateShare is the share of the key-value store's writes that bookkeeping
+// initialCommitRateShare is the share of the key-value store's writes that bookkeeping
 // begins with, before bookkeepingRate is known.
-const committerRateShare = 0.7
+const initialCommitRateShare = 0.7
 
 // minBatchChanges is the least size of a batch, however often larger ones were refused: enough for the end
 // of a job and a page of placements, so that neither holds up the other.
@@ -64,8 +64,8 @@
 // wait.
 func (l *leadership) runCommitter(ctx context.Context) {
 	store := l.node.cfg.Cluster.State
-	burst := max(minBatchChanges, min(store.TxnOps, int(store.WriteRPS*committerRateShare)))
-	limiter := rate.NewLimiter(rate.Limit(store.WriteRPS*committerRateShare), burst)
+	burst := max(minBatchChanges, min(store.TxnOps, int(store.WriteRPS*initialCommitRateShare)))
+	limiter := rate.NewLimiter(rate.Limit(store.WriteRPS*initialCommitRateShare), burst)
 	size := kvstore.NewBatchSize(minBatchChanges, burst)
 	for {
 		want := min(l.pendingWrites(), size.Limit())
--- a/controller/forwarding.go
+++ b/controller/forwarding.go
@@ -76,7 +76,7 @@
 		case a.RetryAfter != busyRetryAfterS:
 			// The owner's store connection fails, ours may not. Until it works again, all other nodes
 			// agree on the next owner, instead of each writing to the bucket itself.
-			n.noteUnservedPeer(owner.Name)
+			n.recordUnservedPeer(owner.Name)
 			return peerrpc.Answer{}, false
 		case !kvstore.PauseBeforeRetry(ctx) || !hasTimeLeft(ctx, minForwardTime):
 			return a, true
@@ -118,8 +118,8 @@
 	return nil
 }
 
-// noteUnservedPeer records that the key-value store does not serve a peer at present.
-func (n *Node) noteUnservedPeer(name string) {
+// recordUnservedPeer records that the key-value store does not serve a peer at present.
+func (n *Node) recordUnservedPeer(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.unservedPeers[name] = time.Now()
--- a/controller/health.go
+++ b/controller/health.go
@@ -133,8 +133,8 @@
 func (n *Node) monitorStalls(ctx context.Context) {
 	var reported time.Time
 	for {
-		n.stalls.Observe(time.Now())
-		if resumed, duration := n.stalls.LastStall(); resumed.After(reported) {
+		n.stallDetector.Observe(time.Now())
+		if resumed, duration := n.stallDetector.LastStall(); resumed.After(reported) {
 			reported = resumed
 			n.log.Info("process stalled", "seconds", duration.Round(time.Millisecond).Seconds(), "leading", n.activeLeadership() != nil)
 		}
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -86,7 +86,7 @@
 func (n *Node) answerOrForward(ctx context.Context, who heartbeatHeader, body []byte) peerrpc.Answer {
 	machine := who.Machine
 	if l := n.activeLeadership(); l != nil && l.lease.Valid() {
-		if l.isCurrent(who) { // a delayed duplicate must not redirect its worker
+		if l.isNewHeartbeat(who) { // a delayed duplicate must not redirect its worker
 			if to := n.routeAsLeader(machine); to != "" {
 				n.recordRedirect(machine, to)
 				return redirectTo(to)
@@ -109,9 +109,9 @@
 	return n.forwardHeartbeat(ctx, machine, leader, body)
 }
 
-// isCurrent reports whether a heartbeat is newer than the last one that the model has
+// isNewHeartbeat reports whether a heartbeat is newer than the last one that the model has
 // applied for its worker.
-func (l *leadership) isCurrent(who heartbeatHeader) bool {
+func (l *leadership) isNewHeartbeat(who heartbeatHeader) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.model.IsNewerHeartbeat(who.Machine, who.AgentEpoch, who.Seq)
--- a/controller/job_requests.go
+++ b/controller/job_requests.go
@@ -85,20 +85,20 @@
 }
 
 const (
-	// refusedRetries is how often a request that the key-value store refused is repeated,
-	// and rateLimitedRetries how often where it was refused for its rate.
-	refusedRetries     = 3
-	rateLimitedRetries = 1
+	// maxRefusedRetries is how often a request that the key-value store refused is repeated,
+	// and maxRateLimitedRetries how often where it was refused for its rate.
+	maxRefusedRetries     = 3
+	maxRateLimitedRetries = 1
 )
 
 // retryRefused repeats what the key-value store refused, while there is time.
 func retryRefused(ctx context.Context, f func() error) error {
 	for try := 0; ; try++ {
 		err := f()
-		if !errors.Is(err, kvstore.ErrRefused) || try >= refusedRetries {
+		if !errors.Is(err, kvstore.ErrRefused) || try >= maxRefusedRetries {
 			return err
 		}
-		if try >= rateLimitedRetries && errors.Is(err, kvstore.ErrRateLimited) {
+		if try >= maxRateLimitedRetries && errors.Is(err, kvstore.ErrRateLimited) {
 			return err
 		}
 		if !call.Pause(ctx, time.Duration(80+60*try)*time.Millisecond) {
@@ -124,7 +124,7 @@
 	return s
 }
 
-func (n *Node) lookup(ctx context.Context, id string) (job jobstore.JobStatus, found bool, err error) {
+func (n *Node) lookUpJob(ctx context.Context, id string) (job jobstore.JobStatus, found bool, err error) {
 	err = retryRefused(ctx, func() error {
 		job, found, err = n.jobs.Lookup(ctx, id)
 		return err
@@ -137,7 +137,7 @@
 	if !wire.ValidUserID(id) {
 		return noSuchJob(), nil
 	}
-	job, found, err := n.lookup(ctx, id)
+	job, found, err := n.lookUpJob(ctx, id)
 	if err != nil {
 		return peerrpc.Answer{}, err
 	}
@@ -201,7 +201,7 @@
 // says.
 func (n *Node) rejectSubmission(ctx context.Context, id string, status int, reason error) (peerrpc.Answer, error) {
 	if id != "" {
-		job, found, err := n.lookup(ctx, id)
+		job, found, err := n.lookUpJob(ctx, id)
 		if err != nil {
 			return peerrpc.Answer{}, err
 		}
@@ -236,7 +236,7 @@
 	if !duplicate {
 		return newAnswer(http.StatusCreated, wire.JobStatus{ID: job.ID, State: wire.JobPending}, 0), nil
 	}
-	accepted, found, err := n.lookup(ctx, job.ID)
+	accepted, found, err := n.lookUpJob(ctx, job.ID)
 	if err != nil {
 		return peerrpc.Answer{}, err
 	}
--- a/controller/leader_monitor.go
+++ b/controller/leader_monitor.go
@@ -73,7 +73,7 @@
 		if name := n.elector.Leader(); name != "" && !n.leaderDetector.Suspected(name) && (name != n.cfg.Node || n.isLeader()) {
 			return name
 		}
-		if n.connsCrowded() || n.isolated() {
+		if n.connsNearLimit() || n.isolated() {
 			return ""
 		}
 		select {
--- a/controller/load.go
+++ b/controller/load.go
@@ -13,9 +13,9 @@
 
 // This file rebuilds the model from what earlier leaders have committed.
 
-// rentalMemory is how long a recorded scale-out is assumed to be still in progress: after
+// rentalRecordTTL is how long a recorded scale-out is assumed to be still in progress: after
 // that its machines are in the cloud's list, or were never rented.
-const rentalMemory = 2 * time.Minute
+const rentalRecordTTL = 2 * time.Minute
 
 // storedRecords are all records that a new leader reads.
 type storedRecords struct {
@@ -116,7 +116,7 @@
 			l.log.Error("unreadable scale-out record skipped", "key", it.Key, "err", err)
 			continue
 		}
-		if at := time.UnixMilli(rec.AtMs); now.Sub(at) < rentalMemory {
+		if at := time.UnixMilli(rec.AtMs); now.Sub(at) < rentalRecordTTL {
 			m.ScaledOut(cluster.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, at)
 		}
 	}
--- a/controller/node.go
+++ b/controller/node.go
@@ -77,13 +77,13 @@
 	// Limits on what is served at once.
 	userSlots        chan struct{}              // held by submissions and cancellations in progress
 	pollLimiter      *admission.PriorityLimiter // of users' polls
-	pollTurns        admission.PollSchedule     // whose polls come first
+	pollSchedule     admission.PollSchedule     // whose polls come first
 	submissionTiers  *admission.TierLimiter     // the part of userSlots that each tier may take
 	heartbeatLimiter *admission.PriorityLimiter // the worker whose lease is nearest its end comes first
 	connLimiter      *admission.ConnLimiter     // set by Run before anybody is served
 
 	// Detectors with locks of their own.
-	stalls         liveness.StallDetector
+	stallDetector  liveness.StallDetector
 	leaderDetector liveness.FailureDetector
 
 	lastAnswered     *admission.ReplyTimes          // when workers were last answered here
@@ -113,7 +113,7 @@
 	everConnected   bool                 // the key-value store or another node has answered once
 	unservedPeers   map[string]time.Time // when a peer last said that the key-value store does not serve it
 	leaderChanged   chan struct{}        // closed and replaced whenever the leader may have changed
-	repairs         repairMemory
+	repairs         repairState
 }
 
 const (
@@ -123,10 +123,10 @@
 	// barrierRateShare is how many requests of a node's there may be for each
 	// barrier: submissions and final states need theirs.
 	barrierRateShare = 2.0
-	// pollRound is within what time each job's polls have their turn. A user asks
+	// pollPeriod is within what time each job's polls have their turn. A user asks
 	// every 5 s, so that up to four times as many polls as can be answered leave
 	// none out for longer than a round and a poll.
-	pollRound = 45 * time.Second
+	pollPeriod = 45 * time.Second
 )
 
 // New makes a node that does nothing yet but hold its clients and limits; Run
@@ -141,7 +141,7 @@
 		userSlots:        make(chan struct{}, max(32, sockets/8)),
 		submissionTiers:  admission.NewTierLimiter(max(32, sockets/8)),
 		pollLimiter:      admission.NewPriorityLimiter(max(32, sockets/8), max(32, sockets/8)),
-		pollTurns:        admission.PollSchedule{Period: pollRound},
+		pollSchedule:     admission.PollSchedule{Period: pollPeriod},
 		heartbeatLimiter: admission.NewPriorityLimiter(max(64, sockets/2), sockets/8),
 		lastAnswered:     admission.NewReplyTimes(maxTrackedWorkers),
 		moveLimiter:      newMoveLimiter(),
@@ -184,12 +184,12 @@
 			return config.Seconds(min(barrierRateShare/max(n.userKV.RequestRate(), 1), 0.6))
 		},
 		SubmissionTier:        func(team, class string) int { return n.priorities().TierOf(team, class) },
-		FinalReadOrder:        func(id string) float64 { return admission.PollSchedule{Period: pollRound}.Priority(id, time.Now()) },
+		FinalReadOrder:        func(id string) float64 { return admission.PollSchedule{Period: pollPeriod}.Priority(id, time.Now()) },
 		ObserveQueuedWrite:    n.observeQueuedWrite,
 		CountQueuedWriteRetry: func(kind jobstore.WriteKind) { n.metrics.CountQueuedWriteRetry(string(kind)) },
 		Log:                   n.log,
 	})
-	n.pollTurns.Tier = n.pollTier
+	n.pollSchedule.Tier = n.pollTier
 }
 
 // setUpPeers makes the clients of the other controllers.
--- a/controller/peer_recovery.go
+++ b/controller/peer_recovery.go
@@ -25,8 +25,8 @@
 	// maxRecoveredCopies bounds the copies that are preserved for the next leader, and
 	// the unreadable records reported by peers that wait to be processed.
 	maxRecoveredCopies = 16
-	// maxRepairAttempts bounds the memory of records for which this node has resigned.
-	maxRepairAttempts = 64 * maxRecoveredCopies
+	// maxTrackedRepairs bounds the memory of records for which this node has resigned.
+	maxTrackedRepairs = 64 * maxRecoveredCopies
 )
 
 // recordVersion identifies one version of a record. A key has one value in one
@@ -42,9 +42,9 @@
 	original recordVersion // before it was quarantined under another key
 }
 
-// repairMemory is what a node knows about unreadable records beyond one leadership.
+// repairState is what a node knows about unreadable records beyond one leadership.
 // It has a lock of its own and is safe for concurrent use.
-type repairMemory struct {
+type repairState struct {
 	mu         sync.Mutex                               // guards all fields below
 	reported   map[recordVersion]bool                   // peers can't read them
 	attempted  map[recordVersion]bool                   // a leader on this node has resigned for them
@@ -53,7 +53,7 @@
 }
 
 // report notes a record that a peer can't read, while there is room for it.
-func (m *repairMemory) report(record recordVersion) {
+func (m *repairState) report(record recordVersion) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if len(m.reported) >= maxRecoveredCopies {
@@ -67,14 +67,14 @@
 
 // takePending returns the records that peers have reported since the last call, and
 // those that the leader could not repair.
-func (m *repairMemory) takePending() (reported map[recordVersion]bool, unrepaired []unrepairedRecord) {
+func (m *repairState) takePending() (reported map[recordVersion]bool, unrepaired []unrepairedRecord) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	reported, m.reported = m.reported, nil
 	return reported, m.unrepaired
 }
 
-func (m *repairMemory) setUnrepaired(records []unrepairedRecord) {
+func (m *repairState) setUnrepaired(records []unrepairedRecord) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.unrepaired = records
@@ -82,7 +82,7 @@
 
 // copyOf returns the kept copy of a record, or of what it was before its quarantine;
 // nil if there is none.
-func (m *repairMemory) copyOf(record, original recordVersion) *jobstore.RecoveryCopy {
+func (m *repairState) copyOf(record, original recordVersion) *jobstore.RecoveryCopy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if c := m.copies[record]; c != nil {
@@ -92,7 +92,7 @@
 }
 
 // keepCopy keeps what a leader of this node knew of a page for the next leader.
-func (m *repairMemory) keepCopy(record recordVersion, c *jobstore.RecoveryCopy) {
+func (m *repairState) keepCopy(record recordVersion, c *jobstore.RecoveryCopy) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.copies == nil || len(m.copies) >= maxRecoveredCopies {
@@ -102,10 +102,10 @@
 }
 
 // beginAttempt notes that this node resigns for a record; false if it has before.
-func (m *repairMemory) beginAttempt(record recordVersion) bool {
+func (m *repairState) beginAttempt(record recordVersion) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.attempted == nil || len(m.attempted) >= maxRepairAttempts {
+	if m.attempted == nil || len(m.attempted) >= maxTrackedRepairs {
 		m.attempted = map[recordVersion]bool{}
 	}
 	before := m.attempted[record]
--- a/controller/plan_check.go
+++ b/controller/plan_check.go
@@ -94,8 +94,8 @@
 	return errors.As(err, &c) && slices.Contains(c.FailedKeys, key)
 }
 
-// rebalancingRejected handles the failure to commit a rebalance cycle record.
-func (l *leadership) rebalancingRejected(ctx context.Context, group string, err error) {
+// handleRebalanceCommitFailure handles the failure to commit a rebalance cycle record.
+func (l *leadership) handleRebalanceCommitFailure(ctx context.Context, group string, err error) {
 	l.log.Debug("rebalancing record not committed", "group", group, "err", err)
 	if conflictsOn(err, jobstore.PlanHeadKey) {
 		l.dropSupersededPlan(ctx)
--- a/controller/polls.go
+++ b/controller/polls.go
@@ -33,17 +33,17 @@
 	defer cancel()
 	now := time.Now()
 	queued, done := context.WithTimeout(ctx, pollQueueTimeout)
-	err := n.pollLimiter.Acquire(queued, n.pollTurns.Priority(id, now))
+	err := n.pollLimiter.Acquire(queued, n.pollSchedule.Priority(id, now))
 	done()
 	if err != nil {
 		n.metrics.CountRefusal("too many users' polls")
-		writeError(w, http.StatusTooManyRequests, "too many polls under way", n.pollTurns.RetryAfterS(id, now))
+		writeError(w, http.StatusTooManyRequests, "too many polls under way", n.pollSchedule.RetryAfterS(id, now))
 		return
 	}
 	defer n.pollLimiter.Release()
 	a := n.serveUserRequest(ctx, peerrpc.Request{Op: opStatus, ID: id})
 	if a.Status == http.StatusServiceUnavailable {
-		a.RetryAfter = n.pollTurns.RetryAfterS(id, now)
+		a.RetryAfter = n.pollSchedule.RetryAfterS(id, now)
 	}
 	n.countRefusal(opStatus, a)
 	writeAnswer(w, a)
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -18,9 +18,9 @@
 // before it becomes active. docs/jobstore.md ("Repair") argues why no interleaving loses
 // a job or accepts one twice.
 
-// repairAttempts is how often a new leader lists the records at most. It lists them again
+// maxRepairRounds is how often a new leader lists the records at most. It lists them again
 // after each repair, and after a repair that conflicted with another controller's change.
-const repairAttempts = 4
+const maxRepairRounds = 4
 
 // repairer repairs one listing of the active records. Every write is conditional on
 // the leader's fencing token and on the version of the record that it replaces.
@@ -52,7 +52,7 @@
 // listRepaired lists all active records after repairing those that can be repaired. The
 // listing that it returns was made after the last repair.
 func (l *leadership) listRepaired(ctx context.Context) (entries []wire.Entry, revision uint64, err error) {
-	for range repairAttempts {
+	for range maxRepairRounds {
 		if entries, revision, err = l.node.kv.List(ctx, jobstore.ActivePrefix); err != nil {
 			return nil, 0, err
 		}
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -32,8 +32,8 @@
 		}
 		l.scaleOut(ctx)
 		l.mu.Lock()
-		l.node.stalls.Observe(time.Now())
-		l.model.ResumeAfterStall(l.node.stalls.LastStall())
+		l.node.stallDetector.Observe(time.Now())
+		l.model.ResumeAfterStall(l.node.stallDetector.LastStall())
 		back := l.model.SelectScaleIn(time.Now(), config.Seconds(l.node.tuning.ScaleOut.IdleS))
 		l.mu.Unlock()
 		if len(back) > 0 {
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -64,8 +64,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	l.node.stalls.Observe(now)
-	l.model.ResumeAfterStall(l.node.stalls.LastStall())
+	l.node.stallDetector.Observe(now)
+	l.model.ResumeAfterStall(l.node.stallDetector.LastStall())
 	if l.workersUnreachable(now) {
 		return passResult{}, false
 	}
@@ -128,7 +128,7 @@
 		since = l.model.ElectedAt
 	}
 	// After a pause of the process, heartbeats that arrived during it are still unread.
-	if resumed, _ := l.node.stalls.LastStall(); since.Before(resumed) {
+	if resumed, _ := l.node.stallDetector.LastStall(); since.Before(resumed) {
 		since = resumed
 	}
 	return len(l.node.peers) > 0 && l.model.ExpectedMachines(now) >= 2 && now.Sub(since) > quiet
@@ -141,7 +141,7 @@
 	guards := l.model.RebalanceGuards()
 	l.mu.Unlock()
 	if err := l.putOwnRecord(ctx, jobstore.RebalanceCyclePrefix+group, rec, guards...); err != nil {
-		l.rebalancingRejected(ctx, group, err)
+		l.handleRebalanceCommitFailure(ctx, group, err)
 		return
 	}
 	l.log.Info("rebalancing", "group", group, "moves", len(rec.Moves))
--- a/controller/schema.go
+++ b/controller/schema.go
@@ -58,7 +58,7 @@
 func (m *schemaMigration) run(ctx context.Context) {
 	wait := schemaRetryMin
 	for ctx.Err() == nil {
-		done, err := m.step(ctx)
+		done, err := m.tryMigrate(ctx)
 		if done {
 			// The target is raised when an operator first requests a plan.
 			select {
@@ -93,9 +93,9 @@
 	return jobstore.SchemaJobPages, nil
 }
 
-// step raises the schema if that is possible now. Where done is true the stored schema
+// tryMigrate raises the schema if that is possible now. Where done is true the stored schema
 // is the target, whether or not its copy could be written as well.
-func (m *schemaMigration) step(ctx context.Context) (done bool, err error) {
+func (m *schemaMigration) tryMigrate(ctx context.Context) (done bool, err error) {
 	target, err := targetSchemaVersion(ctx, m.kv)
 	if err != nil {
 		return false, err
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -23,9 +23,9 @@
 	// routingPlanTTL is how long a routing plan, or a relay's last status request, stays
 	// valid.
 	routingPlanTTL = 2500 * time.Millisecond
-	// quietAfterElection is how long after a change of leader no worker is redirected to
+	// balancingPauseAfterElection is how long after a change of leader no worker is redirected to
 	// balance connections: until then, answering every worker takes precedence.
-	quietAfterElection = 10 * time.Second
+	balancingPauseAfterElection = 10 * time.Second
 	// maxTrackedWorkers bounds the memory for workers that were redirected.
 	maxTrackedWorkers = 20000
 )
@@ -158,7 +158,7 @@
 	}
 	// A worker that is already served here is moved only to balance connections. That can
 	// wait until no election is recent, the worker's lease is fresh and the rate allows it.
-	if time.Since(routingPlan.leaderSince) < quietAfterElection || !n.answeredRecently(machine) || !n.moveLimiter.Allow() {
+	if time.Since(routingPlan.leaderSince) < balancingPauseAfterElection || !n.answeredRecently(machine) || !n.moveLimiter.Allow() {
 		return "", true
 	}
 	n.countForwarding(func(c *forwardingCounts) { c.redirected++ })
@@ -169,7 +169,7 @@
 // a heartbeat directly, or "" to answer it here.
 func (n *Node) routeAsLeader(machine string) string {
 	p := n.currentRoutingPlan(n.cfg.Node)
-	if p == nil || n.connLimiter == nil || time.Since(p.leaderSince) < quietAfterElection {
+	if p == nil || n.connLimiter == nil || time.Since(p.leaderSince) < balancingPauseAfterElection {
 		return ""
 	}
 	to := routing.RedirectFromLeader(routing.LeaderInput{Worker: machine, Plan: &p.Plan, History: n.workerHistory(machine),
@@ -193,9 +193,9 @@
 	return n.connLimiter != nil && n.connLimiter.Count(admission.KindUser) > max(8, int(userConnShare*float64(n.cfg.Cluster.Limits.Sockets)))
 }
 
-// connsCrowded reports whether so many connections are open that heartbeats should be
+// connsNearLimit reports whether so many connections are open that heartbeats should be
 // refused rather than wait for a leader.
-func (n *Node) connsCrowded() bool {
+func (n *Node) connsNearLimit() bool {
 	return n.connLimiter != nil && n.connLimiter.Total() > int(waitingConnShare*float64(n.cfg.Cluster.Limits.Sockets))
 }
 
--- a/controller/yarn.go
+++ b/controller/yarn.go
@@ -49,7 +49,7 @@
 // leads.
 func (c yarnController) Machines(ctx context.Context) ([]yarn.Machine, error) {
 	if b := c.node.Machines(); b != nil {
-		return readMachines(b)
+		return decodeMachines(b)
 	}
 	leader := c.node.peerNamed(c.node.elector.Leader())
 	if leader == nil {
@@ -59,18 +59,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return readMachines(b)
+	return decodeMachines(b)
 }
 
 var (
-	errNoLeader     = errors.New("no leader is known")
-	errLeaderSilent = errors.New("the leader does not answer")
+	errNoLeader           = errors.New("no leader is known")
+	errLeaderUnresponsive = errors.New("the leader does not answer")
 )
 
-func readMachines(b []byte) ([]yarn.Machine, error) {
+func decodeMachines(b []byte) ([]yarn.Machine, error) {
 	var out []yarn.Machine
 	if len(b) == 0 {
-		return nil, errLeaderSilent
+		return nil, errLeaderUnresponsive
 	}
 	if err := json.Unmarshal(b, &out); err != nil {
 		return out, fmt.Errorf("decode the leader's machines: %w", err)
