--- a/controller/committer.go
+++ b/controller/committer.go
@@ -1,3 +1,5 @@
+// Asynchronous writes of the leader's records, each conditional on the fencing token.
+
 package controller
 
 import (
@@ -14,62 +16,63 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file writes the leader's records behind the model, each under the fencing token.
-
-// leaderGuard is a condition of every write: that this leadership has not ended.
+// leaderGuard returns the condition that this leadership has not ended. Every write of a
+// leader includes it.
 func (l *leadership) leaderGuard() wire.Guard {
 	return wire.Guard{Key: election.LeaderKey, Version: l.lease.FencingToken}
 }
 
-// putOwnRecord writes a record that only leaders write, conditional on its version as well
-// as on the fencing token. The token alone would not stop an earlier write of the same
-// leadership that got no response and is applied late: it would overwrite a newer record,
-// and the next leader would load it. Such records are never deleted, so that no version
-// number recurs; an unexpected version is from a write of this leader's whose response was
-// lost.
-func (l *leadership) putOwnRecord(ctx context.Context, key string, rec any, guards ...wire.Guard) error {
+// putOwnRecord writes a record that only leaders write. The write is conditional on the
+// record's version, on the fencing token and on guards. The token alone is not enough: a
+// write of the same leadership whose response was lost may be applied late, overwrite a
+// newer record and be loaded by the next leader. These records are never deleted, so a
+// version never occurs twice. An unexpected version comes from a write of this leader whose
+// response was lost.
+func (l *leadership) putOwnRecord(ctx context.Context, key string, record any, guards ...wire.Guard) error {
 	l.mu.Lock()
 	version, known := l.ownVersions[key]
 	l.mu.Unlock()
 	if !known {
-		e, err := l.node.kv.Get(ctx, key)
+		entry, err := l.node.kv.Get(ctx, key)
 		if err != nil {
 			return err
 		}
-		version = e.Version
+		version = entry.Version
 	}
-	rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard(), {Key: key, Version: version}}, guards...), []wire.Op{{Put: key, Value: rec}})
+	revision, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard(), {Key: key, Version: version}}, guards...), []wire.Op{{Put: key, Value: record}})
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if err == nil {
-		l.ownVersions[key] = rev
+		l.ownVersions[key] = revision
 	} else if conflictsOn(err, key) {
-		delete(l.ownVersions, key) // reread before the next write
+		delete(l.ownVersions, key) // read the version again before the next write
 	} else if !known {
-		l.ownVersions[key] = version // also for what has no answer: it may yet come
+		l.ownVersions[key] = version // a write without a response may still be applied
 	}
 	return err
 }
 
-// initialCommitRateShare is the share of the key-value store's writes that bookkeeping
-// begins with, before bookkeepingRate is known.
+// initialCommitRateShare is the share of the key-value store's write rate that the
+// committer may use before its rate is first set to bookkeepingRate. It also bounds the
+// size of a batch.
 const initialCommitRateShare = 0.7
 
-// minBatchChanges is the least size of a batch, however often larger ones were refused: enough for the end
-// of a job and a page of placements, so that neither holds up the other.
+// minBatchChanges is the least limit on the size of a batch, even if larger batches keep
+// being refused. It fits the end of a job together with a page of placements, so that
+// neither delays the other.
 const minBatchChanges = 3
 
-// runCommitter writes changed records to the store until ctx ends. It waits for the rate
-// limit before it collects a batch, so that the batch includes what changed during the
-// wait.
+// runCommitter writes changed records to the key-value store until ctx ends. It waits for
+// the rate limit before it collects a batch, so that the batch includes the changes made
+// during the wait.
 func (l *leadership) runCommitter(ctx context.Context) {
-	store := l.node.cfg.Cluster.State
-	burst := max(minBatchChanges, min(store.TxnOps, int(store.WriteRPS*initialCommitRateShare)))
-	limiter := rate.NewLimiter(rate.Limit(store.WriteRPS*initialCommitRateShare), burst)
-	size := kvstore.NewBatchSize(minBatchChanges, burst)
+	limits := l.node.cfg.Cluster.State
+	burst := max(minBatchChanges, min(limits.TxnOps, int(limits.WriteRPS*initialCommitRateShare)))
+	limiter := rate.NewLimiter(rate.Limit(limits.WriteRPS*initialCommitRateShare), burst)
+	batchSize := kvstore.NewBatchSize(minBatchChanges, burst)
 	for {
-		want := min(l.pendingWrites(), size.Limit())
-		if want == 0 {
+		count := min(l.pendingWrites(), batchSize.Limit())
+		if count == 0 {
 			select {
 			case <-ctx.Done():
 				return
@@ -78,15 +81,15 @@
 			continue
 		}
 		limiter.SetLimit(l.bookkeepingRate())
-		if err := limiter.WaitN(ctx, want); err != nil {
+		if err := limiter.WaitN(ctx, count); err != nil {
 			return
 		}
-		batch := l.nextBatch(want)
+		batch := l.nextBatch(count)
 		if batch == nil {
 			continue
 		}
 		err := l.commitBatch(ctx, batch)
-		size.Record(len(batch.Ops), err)
+		batchSize.Record(len(batch.Ops), err)
 		if err != nil {
 			if !kvstore.PauseBeforeRetry(ctx) {
 				return
@@ -101,7 +104,7 @@
 }
 
 // pendingWrites returns how many records are to be written. If there are none, it wakes
-// whoever waits for a commit, since no commit follows.
+// the goroutines that wait for a commit, because no commit follows.
 func (l *leadership) pendingWrites() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -113,38 +116,39 @@
 	return pending
 }
 
-// nextBatch collects at most so many writes, nil where nothing is left to be written.
-func (l *leadership) nextBatch(most int) *cluster.WriteBatch {
+// nextBatch collects at most maxWrites writes. It returns nil if there is nothing to write.
+func (l *leadership) nextBatch(maxWrites int) *cluster.WriteBatch {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.model.SetCompletionTime(time.Now())
-	batch := l.model.NextBatch(most)
+	batch := l.model.NextBatch(maxWrites)
 	l.committing = batch != nil
 	l.broadcastProgress()
 	return batch
 }
 
-// commitBatch commits a batch under the fencing token and tells the model the
-// result, one way or the other.
+// commitBatch commits a batch under the fencing token. It informs the model of the result,
+// both on success and on failure.
 func (l *leadership) commitBatch(ctx context.Context, batch *cluster.WriteBatch) error {
-	rev, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard()}, batch.Guards...), batch.Ops)
+	revision, err := l.node.kv.CompareAndSwap(ctx, append([]wire.Guard{l.leaderGuard()}, batch.Guards...), batch.Ops)
 	if err != nil {
 		l.handleCommitFailure(ctx, batch, err)
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	batch.OnCommit(rev, time.Now())
+	batch.OnCommit(revision, time.Now())
 	return nil
 }
 
-// userChangeWindowS is over how many seconds users' changes are averaged.
+// userChangeWindowS is the window in seconds over which the rate of users' changes is
+// averaged.
 const userChangeWindowS = 5
 
-// bookkeepingRate is how many changes a second are left for the leader's bookkeeping:
-// users' submissions and cancellations come first.
+// bookkeepingRate returns how many changes per second the leader's own records may take.
+// Users' submissions and cancellations take precedence.
 func (l *leadership) bookkeepingRate() rate.Limit {
-	w := l.node.cfg.Cluster.State.WriteRPS
+	writeRPS := l.node.cfg.Cluster.State.WriteRPS
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	recent := l.recentUserChanges[:0]
@@ -154,43 +158,43 @@
 		}
 	}
 	l.recentUserChanges = recent
-	return rate.Limit(max(0.4*w, 0.9*w-1.5*float64(len(recent))/userChangeWindowS))
+	return rate.Limit(max(0.4*writeRPS, 0.9*writeRPS-1.5*float64(len(recent))/userChangeWindowS))
 }
 
-// handleCommitFailure finds out why a batch was not committed, brings the model up to
-// date with what conflicted, and gives the batch's changes back to be written again.
-func (l *leadership) handleCommitFailure(ctx context.Context, b *cluster.WriteBatch, err error) {
-	l.log.Debug("commit failed", "err", err, "ops", len(b.Ops))
+// handleCommitFailure updates the model with the changes that a batch conflicted with, and
+// requeues the changes of the batch.
+func (l *leadership) handleCommitFailure(ctx context.Context, batch *cluster.WriteBatch, err error) {
+	l.log.Debug("commit failed", "err", err, "ops", len(batch.Ops))
 	var conflict *kvstore.ConflictError
 	switch {
 	case errors.As(err, &conflict):
-		l.resolveConflicts(ctx, b, conflict.FailedKeys)
+		l.resolveConflicts(ctx, batch, conflict.FailedKeys)
 	case errors.Is(err, kvstore.ErrInvalidRequest):
-		l.log.Error("key-value store rejected a transaction as malformed", "err", err, "ops", len(b.Ops))
+		l.log.Error("key-value store rejected a transaction as malformed", "err", err, "ops", len(batch.Ops))
 	}
 	l.mu.Lock()
-	l.model.RequeueBatch(b)
+	l.model.RequeueBatch(batch)
 	l.mu.Unlock()
 }
 
-// resolveConflicts rereads what others have changed. A lost leader key ends the
-// leadership.
-func (l *leadership) resolveConflicts(ctx context.Context, b *cluster.WriteBatch, keys []string) {
+// resolveConflicts updates the model with the current versions of the keys that made a
+// batch fail. It resigns if one of them is the leader key.
+func (l *leadership) resolveConflicts(ctx context.Context, batch *cluster.WriteBatch, keys []string) {
 	for _, key := range keys {
 		if key == election.LeaderKey {
 			l.lease.Resign()
 			break
 		}
 		if jobstore.IsActiveJobKey(key) {
-			continue // the watch delivers the change of the job
+			continue // the watch delivers the change
 		}
 		if key == jobstore.PlanHeadKey {
 			l.dropSupersededPlan(ctx)
 			continue
 		}
-		if e, err := l.node.kv.Get(ctx, key); err == nil {
+		if entry, err := l.node.kv.Get(ctx, key); err == nil {
 			l.mu.Lock()
-			l.model.ResolveConflict(b, key, e.Version)
+			l.model.ResolveConflict(batch, key, entry.Version)
 			l.mu.Unlock()
 		}
 	}
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -14,10 +14,10 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// leadership is one term of this node as the leader: the model, and the loops that apply
-// events to it, run scheduling passes on it and commit its changes. It exists from the
-// election until the lease is lost or resigned. The next term starts with a new one and
-// loads the records again, since another leader may have changed them.
+// leadership is one term of this node as the leader. It holds the model and the loops that
+// apply events to it, run scheduling passes on it and commit its changes. It exists from
+// the election until the leader lease is lost or resigned. Each term loads the records
+// again, because another leader may have changed them.
 type leadership struct {
 	node  *Node
 	lease *election.Lease
@@ -37,31 +37,31 @@
 
 	heartbeatLimiter *admission.PriorityLimiter
 
-	rentalRequests int // counts scale-out requests, to name them; used by the scaler only
+	rentalRequests int // number of scale-out requests, for their names; used by the scaler only
 
-	mu                  sync.Mutex // guards all that follows, the whole model included
+	mu                  sync.Mutex // guards all fields below, including the whole model
 	model               *cluster.Model
-	appliedRevision     uint64                // every stored change up to it is in the model
-	wantedMachines      map[cluster.Offer]int // that the last scheduling pass wants rented
+	appliedRevision     uint64                // the model includes all stored changes up to this revision
+	wantedMachines      map[cluster.Offer]int // machines to rent according to the last scheduling pass
 	scalingOut          bool                  // a scale-out for wantedMachines is in progress
-	passCount           uint64                // scheduling passes so far
+	passCount           uint64                // scheduling passes of this term
 	committing          bool                  // a batch is being committed
 	progress            chan struct{}         // closed and replaced when a pass or a commit ends
-	ownVersions         map[string]uint64     // of the records that putOwnRecord writes
-	recentUserChanges   []time.Time           // within userChangeWindowS
-	lastDirectHeartbeat time.Time             // when a worker last reached this node itself
+	ownVersions         map[string]uint64     // by key, of the records that putOwnRecord writes
+	recentUserChanges   []time.Time           // times of the changes within userChangeWindowS
+	lastDirectHeartbeat time.Time             // when this node last received a new heartbeat from a worker itself
 }
 
 const (
-	// concurrentHeartbeats is how many heartbeats a leader processes at once. The model's
-	// lock serializes them anyway; the others wait in heartbeatLimiter, where the worker
-	// whose lease expires first goes first.
+	// concurrentHeartbeats is how many heartbeats a leader processes at once. More would
+	// not help because the model's lock serializes them. The others wait in
+	// heartbeatLimiter, in the order in which the workers' leases expire.
 	concurrentHeartbeats = 4
-	// directStopsAtOnce bounds direct stops in progress. A stop that finds no free slot
-	// goes out with the response to the worker's next heartbeat.
-	directStopsAtOnce = 16
-	// abstainOnNewerSchema is how long a node that can't read the stored schema stays out
-	// of the election, so that a node with a newer program can win it.
+	// maxDirectStops bounds the direct stops in progress. If no slot is free, a stop is sent
+	// with the response to the worker's next heartbeat.
+	maxDirectStops = 16
+	// abstainOnNewerSchema is how long a node that can't read the stored schema does not
+	// stand for election, so that a node with a newer program can win.
 	abstainOnNewerSchema = 20 * time.Second
 	// loadRetryDelay is the pause between two attempts to load the records.
 	loadRetryDelay = 300 * time.Millisecond
@@ -75,7 +75,7 @@
 		committerWake:    make(chan struct{}, 1),
 		schemaWake:       make(chan struct{}, 1),
 		planCheckWake:    make(chan struct{}, 1),
-		stopSlots:        make(chan struct{}, directStopsAtOnce),
+		stopSlots:        make(chan struct{}, maxDirectStops),
 		wakeUpSlots:      make(chan struct{}, min(64, sockets/20)),
 		barrierSlot:      make(chan struct{}, 1),
 		heartbeatLimiter: admission.NewPriorityLimiter(concurrentHeartbeats, 2*sockets),
@@ -84,15 +84,16 @@
 	}
 }
 
-// wake makes the loop that waits for c run once more, without blocking.
-func wake(c chan struct{}) {
+// wake makes the loop that waits for signal run once more. It never blocks.
+func wake(signal chan struct{}) {
 	select {
-	case c <- struct{}{}:
+	case signal <- struct{}{}:
 	default:
 	}
 }
 
-// runLeader leads until ctx ends. It implements election.Config.Lead.
+// runLeader leads until ctx ends. It calls ready once the records are loaded. It
+// implements election.Config.Lead.
 func (n *Node) runLeader(ctx context.Context, lease *election.Lease, ready func()) error {
 	l := newLeadership(n, lease)
 	if err := l.loadWithRetry(ctx); err != nil {
@@ -105,9 +106,9 @@
 	return nil
 }
 
-// loadWithRetry retries loading the records until it succeeds or ctx ends. If their
-// schema is newer than this program reads, retrying can't help: the node resigns and
-// abstains from the election for a while.
+// loadWithRetry loads the records, and retries until it succeeds or ctx ends. If the stored
+// schema is newer than this program can read, it does not retry: the node resigns and does
+// not stand for election for abstainOnNewerSchema.
 func (l *leadership) loadWithRetry(ctx context.Context) error {
 	for {
 		err := l.loadModel(ctx)
@@ -127,8 +128,8 @@
 	}
 }
 
-// activate makes this the node's active leadership, and applies the machine types and
-// the operators' plan that the node has received while the records were loading.
+// activate makes l the node's active leadership. It then applies the machine types and the
+// operators' plan that the node received while the records were loading.
 func (l *leadership) activate() {
 	n := l.node
 	n.mu.Lock()
@@ -147,8 +148,8 @@
 	l.node.active = nil
 }
 
-// runLoops runs the leader's background loops until ctx ends, and waits for all of them,
-// so that none outlives its leadership.
+// runLoops runs the leader's background loops until ctx ends. It waits for all of them, so
+// that none runs after the end of the leadership.
 func (l *leadership) runLoops(ctx context.Context) {
 	loops := []func(context.Context){
 		l.followJobs,
--- a/controller/load.go
+++ b/controller/load.go
@@ -1,3 +1,5 @@
+// Loading of the model after an election, from the records that earlier leaders committed.
+
 package controller
 
 import (
@@ -11,16 +13,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file rebuilds the model from what earlier leaders have committed.
-
-// rentalRecordTTL is how long a recorded scale-out is assumed to be still in progress: after
-// that its machines are in the cloud's list, or were never rented.
+// rentalRecordTTL is how long a recorded scale-out counts as in progress. After this time
+// its machines are in the cloud's list or were never rented.
 const rentalRecordTTL = 2 * time.Minute
 
 // storedRecords are all records that a new leader reads.
 type storedRecords struct {
 	active          []wire.Entry // jobs, pages of jobs and of placements, the schema
-	revision        uint64       // of the listing of active
+	revision        uint64       // at which active was listed
 	rebalanceCycles []wire.Entry
 	scaleOuts       []wire.Entry
 	scaleIn         wire.Entry
@@ -28,8 +28,9 @@
 	operatorPlan    cluster.Plan
 }
 
-// loadModel reads the stored records, repairs unreadable ones where it can, and builds the
-// model of this leadership. The read barrier at its end applies what has changed since.
+// loadModel reads the stored records, repairs unreadable ones where possible, and builds
+// the model of this leadership. A read barrier at the end applies the changes that were
+// committed during the load.
 func (l *leadership) loadModel(ctx context.Context) error {
 	records, err := l.readRecords(ctx)
 	if err != nil {
@@ -37,8 +38,8 @@
 	}
 	now := time.Now()
 	model := l.newModel(now)
-	for _, it := range records.planRecords {
-		model.LoadPlanRecord(it.Key, it.Value, it.Version)
+	for _, record := range records.planRecords {
+		model.LoadPlanRecord(record.Key, record.Value, record.Version)
 	}
 	model.SetPlan(records.operatorPlan, now)
 	if err := loadJobs(model, records.active, now); err != nil {
@@ -59,27 +60,27 @@
 }
 
 func (l *leadership) readRecords(ctx context.Context) (records storedRecords, err error) {
-	st := l.node.kv
+	kv := l.node.kv
 	if records.active, records.revision, err = l.listRepaired(ctx); err != nil {
 		return records, err
 	}
-	if records.rebalanceCycles, _, err = st.List(ctx, jobstore.RebalanceCyclePrefix); err != nil {
+	if records.rebalanceCycles, _, err = kv.List(ctx, jobstore.RebalanceCyclePrefix); err != nil {
 		return records, err
 	}
-	if records.scaleOuts, _, err = st.List(ctx, jobstore.ScaleOutPrefix); err != nil {
+	if records.scaleOuts, _, err = kv.List(ctx, jobstore.ScaleOutPrefix); err != nil {
 		return records, err
 	}
-	if records.scaleIn, err = st.Get(ctx, jobstore.ScaleInKey); err != nil {
+	if records.scaleIn, err = kv.Get(ctx, jobstore.ScaleInKey); err != nil {
 		return records, err
 	}
-	if records.planRecords, _, err = st.List(ctx, jobstore.PlanStatePrefix); err != nil {
+	if records.planRecords, _, err = kv.List(ctx, jobstore.PlanStatePrefix); err != nil {
 		return records, err
 	}
 	records.operatorPlan, err = l.node.loadOperatorPlan(ctx)
 	return records, err
 }
 
-// newModel makes an empty model with this node's settings.
+// newModel returns an empty model with this node's settings.
 func (l *leadership) newModel(now time.Time) *cluster.Model {
 	tuning := l.node.tuning
 	m := cluster.New(l.node.cfg, l.lease.FencingToken, now, l.log)
@@ -95,76 +96,77 @@
 }
 
 // loadRebalanceCycles loads the rebalancing moves in progress. If a record can't be read,
-// its moves are dropped, and the tasks stay where they are.
+// its moves are abandoned and their tasks stay on their machines.
 func (l *leadership) loadRebalanceCycles(m *cluster.Model, entries []wire.Entry, now time.Time) {
-	for _, it := range entries {
-		var rec jobstore.RebalanceCycle
-		if err := wire.Unmarshal(it.Value, &rec); err != nil {
-			l.log.Error("unreadable rebalancing record skipped", "key", it.Key, "err", err)
+	for _, entry := range entries {
+		var record jobstore.RebalanceCycle
+		if err := wire.Unmarshal(entry.Value, &record); err != nil {
+			l.log.Error("unreadable rebalancing record skipped", "key", entry.Key, "err", err)
 			continue
 		}
-		m.LoadRebalanceCycle(it.Key[len(jobstore.RebalanceCyclePrefix):], rec, now)
+		m.LoadRebalanceCycle(entry.Key[len(jobstore.RebalanceCyclePrefix):], record, now)
 	}
 }
 
 // loadScaleOuts loads the machines that were rented recently, so that they are not rented
 // again.
 func (l *leadership) loadScaleOuts(m *cluster.Model, entries []wire.Entry, now time.Time) {
-	for _, it := range entries {
-		var rec jobstore.ScaleOutRecord
-		if err := wire.Unmarshal(it.Value, &rec); err != nil {
-			l.log.Error("unreadable scale-out record skipped", "key", it.Key, "err", err)
+	for _, entry := range entries {
+		var record jobstore.ScaleOutRecord
+		if err := wire.Unmarshal(entry.Value, &record); err != nil {
+			l.log.Error("unreadable scale-out record skipped", "key", entry.Key, "err", err)
 			continue
 		}
-		if at := time.UnixMilli(rec.AtMs); now.Sub(at) < rentalRecordTTL {
-			m.ScaledOut(cluster.Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, at)
+		if at := time.UnixMilli(record.AtMs); now.Sub(at) < rentalRecordTTL {
+			m.ScaledOut(cluster.Offer{Type: record.Type, Zone: record.Zone, Spot: record.Spot}, record.Machines, at)
 		}
 	}
 }
 
-// loadScaleIn loads the machines whose deletion the last leader requested: the cloud may
-// delete them at any moment, so that nothing must be placed on them.
+// loadScaleIn loads the machines whose deletion an earlier leader requested. No task may
+// be placed on them, because the cloud may delete them at any moment.
 func (l *leadership) loadScaleIn(m *cluster.Model, entry wire.Entry, now time.Time) {
 	if entry.Version == 0 {
 		return
 	}
-	var rec jobstore.ScaleInRecord
-	if err := wire.Unmarshal(entry.Value, &rec); err != nil {
+	var record jobstore.ScaleInRecord
+	if err := wire.Unmarshal(entry.Value, &record); err != nil {
 		l.log.Error("unreadable scale-in record, machines being returned may get tasks", "key", entry.Key, "err", err)
 	}
-	m.ResumeScaleIn(rec.Machines, now)
+	m.ResumeScaleIn(record.Machines, now)
 }
 
-// loadJobs loads the jobs that are not over. Unreadable records are quarantined and do not
-// keep the rest of the cluster from being loaded.
-func loadJobs(m *cluster.Model, items []wire.Entry, now time.Time) error {
+// loadJobs loads the unfinished jobs. Unreadable records are quarantined, and the rest of the
+// cluster is still loaded.
+func loadJobs(m *cluster.Model, entries []wire.Entry, now time.Time) error {
 	var pages []cluster.AdmissionPage
-	for _, it := range items {
-		if it.Key == jobstore.SchemaKey {
-			if err := loadSchema(m, it); err != nil {
+	for _, entry := range entries {
+		if entry.Key == jobstore.SchemaKey {
+			if err := loadSchema(m, entry); err != nil {
 				return err
 			}
 		}
-		if jobstore.IsJobPageKey(it.Key) {
-			if page, ok := loadJobPage(m, it, now); ok {
+		if jobstore.IsJobPageKey(entry.Key) {
+			if page, ok := loadJobPage(m, entry, now); ok {
 				pages = append(pages, page)
 			}
 		}
-		if id, ok := jobstore.ParseJobKey(it.Key); ok {
-			rec, err := jobstore.DecodeJob(id, it.Value)
+		if id, ok := jobstore.ParseJobKey(entry.Key); ok {
+			record, err := jobstore.DecodeJob(id, entry.Value)
 			if err != nil {
-				m.QuarantineJob(it.Key, id, err)
+				m.QuarantineJob(entry.Key, id, err)
 				continue
 			}
-			m.ApplyJobRecord(id, rec, it.Version, now)
+			m.ApplyJobRecord(id, record, entry.Version, now)
 		}
 	}
 	m.ApplyAdmissionPages(pages, now)
 	return nil
 }
 
-// loadSchema checks that the records are of a schema that this program reads. One
-// that can't be read counts as newer: the next leader repairs it before it loads.
+// loadSchema returns jobstore.ErrNewerSchema if the records are of a schema that this
+// program can't read. An unreadable schema record also counts as newer. The next leader
+// repairs it before it loads the records.
 func loadSchema(m *cluster.Model, entry wire.Entry) error {
 	schema, err := jobstore.DecodeSchema(entry.Value)
 	if err != nil || schema.Version > jobstore.LatestSchema {
@@ -176,12 +178,12 @@
 	return nil
 }
 
-// loadJobPage decodes a page of accepted jobs; ok is false for one that is
-// quarantined, or is to be.
+// loadJobPage decodes a page of accepted jobs. If the page is unreadable or already
+// quarantined, it quarantines the page in the model and returns false.
 func loadJobPage(m *cluster.Model, entry wire.Entry, now time.Time) (page cluster.AdmissionPage, ok bool) {
-	rec, err := jobstore.DecodeJobPage(entry.Value)
+	record, err := jobstore.DecodeJobPage(entry.Value)
 	if err == nil {
-		return cluster.AdmissionPage{Key: entry.Key, Version: entry.Version, Record: rec}, true
+		return cluster.AdmissionPage{Key: entry.Key, Version: entry.Version, Record: record}, true
 	}
 	since := now
 	if quarantined, ok := jobstore.DecodeQuarantinedPage(entry.Value); ok {
@@ -191,43 +193,43 @@
 	return page, false
 }
 
-// loadPlacements loads the placements of tasks, including those of jobs that are over,
-// which count against quotas until the tasks are proved gone.
-func loadPlacements(ctx context.Context, st *kvstore.Client, m *cluster.Model, items []wire.Entry, now time.Time) error {
-	for _, it := range items {
-		n, ok := jobstore.ParsePlacementPageKey(it.Key)
+// loadPlacements loads the placements of tasks. They include tasks of finished jobs, which
+// count against quotas until it is certain that they no longer run.
+func loadPlacements(ctx context.Context, kv *kvstore.Client, m *cluster.Model, entries []wire.Entry, now time.Time) error {
+	for _, entry := range entries {
+		pageNumber, ok := jobstore.ParsePlacementPageKey(entry.Key)
 		if !ok {
 			continue
 		}
-		rec, err := jobstore.DecodePlacementPage(it.Value)
+		record, err := jobstore.DecodePlacementPage(entry.Value)
 		if err != nil {
-			m.QuarantinePlacementPage(n, it.Version, err)
+			m.QuarantinePlacementPage(pageNumber, entry.Version, err)
 			continue
 		}
-		for _, c := range rec.Chunks {
-			if m.Job(c.Job) != nil || len(c.Placements) == 0 {
+		for _, chunk := range record.Chunks {
+			if m.Job(chunk.Job) != nil || len(chunk.Placements) == 0 {
 				continue
 			}
-			if err := loadFinishedJob(ctx, st, m, c.Job); err != nil {
+			if err := loadFinishedJob(ctx, kv, m, chunk.Job); err != nil {
 				return err
 			}
 		}
-		m.LoadPlacementPage(n, rec, it.Version, now)
+		m.LoadPlacementPage(pageNumber, record, entry.Version, now)
 	}
 	return nil
 }
 
-// loadFinishedJob loads a job that is over but of which tasks may still be on machines.
-func loadFinishedJob(ctx context.Context, st *kvstore.Client, m *cluster.Model, id string) error {
-	e, err := st.Get(ctx, jobstore.FinalKey(id))
+// loadFinishedJob loads a finished job whose tasks may still run on machines.
+func loadFinishedJob(ctx context.Context, kv *kvstore.Client, m *cluster.Model, id string) error {
+	entry, err := kv.Get(ctx, jobstore.FinalKey(id))
 	if err != nil {
 		return err
 	}
-	if e.Version == 0 {
+	if entry.Version == 0 {
 		return nil
 	}
-	if final, err := jobstore.DecodeFinal(e.Value); err != nil {
-		m.QuarantineFinishedJob(e.Key, id, err)
+	if final, err := jobstore.DecodeFinal(entry.Value); err != nil {
+		m.QuarantineFinishedJob(entry.Key, id, err)
 	} else {
 		m.LoadCancelledJob(id, final)
 	}
--- a/controller/node.go
+++ b/controller/node.go
@@ -1,23 +1,26 @@
-// Package controller is the controller process: it joins the leader's model
-// (package cluster) and the typed stores with sockets, clocks and goroutines, and
-// is the only package that does.
+// Package controller implements the controller process. It connects the in-memory model
+// (package cluster) and the typed stores to the network, the clock and goroutines. No other
+// package does this.
 //
 // A Node serves users (users.go), workers (heartbeat.go), operators (operators.go),
 // YARN clients (yarn.go) and other controllers (the methods that implement
-// peerrpc.Handler). It takes part in the election, and while it is elected it
-// has a leadership, which owns the cluster.Model: loaded at a failover (load.go),
-// kept up to date from the watch (job_events.go), advanced by the scheduler
-// (scheduler.go) and written behind to the key-value store (committer.go). Its commands
-// reach workers in responses to their heartbeats (heartbeat_response.go) and directly
-// (direct_commands.go). A follower forwards heartbeats to the leader or
-// redirects workers to it (worker_routing.go, heartbeat_forwarding.go), and watches
-// whether it responds (leader_monitor.go).
+// peerrpc.Handler). It also takes part in the leader election.
 //
-// What it guarantees rests on two rules. Every write of a leader is a
-// compare-and-swap under its fencing token (leadership.leaderGuard), so that a former
-// leader changes nothing. And a worker is answered 200, or sent a command, only
-// while the lease is certainly valid (election.Lease.Valid); a node that is not
-// sure refuses instead. docs/architecture.md has the way of each request.
+// An elected node has a leadership, which owns the cluster.Model. The model is loaded at a
+// failover (load.go), kept up to date from the watch (job_events.go) and advanced by the
+// scheduler (scheduler.go). Its changes are written behind to the key-value store
+// (committer.go). The leader's commands reach workers in the responses to their heartbeats
+// (heartbeat_response.go) or directly (direct_commands.go).
+//
+// A follower forwards heartbeats to the leader or redirects workers to other nodes
+// (worker_routing.go, heartbeat_forwarding.go). It also monitors whether the leader
+// responds (leader_monitor.go).
+//
+// Two rules ensure safety. Every write of a leader is a compare-and-swap under its fencing
+// token (leadership.leaderGuard), so a former leader can't change anything. A worker
+// receives a 200 or a command only while the leader lease is certainly valid
+// (election.Lease.Valid). Otherwise the node refuses the request. docs/architecture.md
+// describes the path of each request.
 package controller
 
 import (
@@ -45,19 +48,18 @@
 	"github.com/umberdeal/umberdeal/yarn"
 )
 
-// Network is how a node reaches others and is reached; tests hand in one in
-// memory.
+// Network opens the outgoing connections and the listeners of a node. Tests use an
+// in-memory implementation.
 type Network struct {
 	Dial   call.DialFunc
 	Listen func(network, addr string) (net.Listener, error)
 }
 
-// RealNetwork is that of the machine the process runs on.
+// RealNetwork returns the network of the operating system.
 func RealNetwork() Network { return Network{Dial: call.Dialer(), Listen: net.Listen} }
 
-// Node is one controller process. Every node serves users and workers; at most one
-// at a time also leads, and then has an active leadership. Make it with New, and
-// run it once with Run.
+// Node is one controller process. Every node serves users and workers. At most one node at
+// a time can write as the leader. A Node is created with New, and Run may be called once.
 type Node struct {
 	cfg     *config.Settings
 	tuning  config.Tuning
@@ -66,78 +68,79 @@
 
 	// Clients of other programs. All are safe for concurrent use.
 	kv           *kvstore.Client
-	userKV       *kvstore.Client // kv within the rate that users' requests may take
+	userKV       *kvstore.Client // kv limited to the request rate of users
 	cloud        *cloud.Client
 	workerClient *worker.Client
 	jobs         *jobstore.Store
 	elector      *election.Elector
 	peers        []*peerrpc.Peer
-	peerStreams  []*peerrpc.HeartbeatStream // to the same nodes, for heartbeats alone
+	peerStreams  []*peerrpc.HeartbeatStream // one to each peer, for heartbeats only
 
-	// Limits on what is served at once.
+	// Limits on concurrent requests.
 	userSlots        chan struct{}              // held by submissions and cancellations in progress
-	pollLimiter      *admission.PriorityLimiter // of users' polls
-	pollSchedule     admission.PollSchedule     // whose polls come first
-	submissionTiers  *admission.TierLimiter     // the part of userSlots that each tier may take
-	heartbeatLimiter *admission.PriorityLimiter // the worker whose lease is nearest its end comes first
-	connLimiter      *admission.ConnLimiter     // set by Run before anybody is served
+	pollLimiter      *admission.PriorityLimiter // polls in progress
+	pollSchedule     admission.PollSchedule     // order of polls under overload
+	submissionTiers  *admission.TierLimiter     // share of userSlots that each tier may take
+	heartbeatLimiter *admission.PriorityLimiter // the worker whose lease expires first has priority
+	connLimiter      *admission.ConnLimiter     // set by Run before the first connection is accepted
 
-	// Detectors with locks of their own.
+	// Detectors that are safe for concurrent use.
 	stallDetector  liveness.StallDetector
 	leaderDetector liveness.FailureDetector
 
-	lastAnswered     *admission.ReplyTimes          // when workers were last answered here
-	routingPlan      atomic.Pointer[adoptedPlan]    // where workers send their heartbeats
-	moveLimiter      *rate.Limiter                  // paces workers' moves to other nodes
-	loadedPlan       atomic.Pointer[cluster.Plan]   // the operators'; nil before it is read
+	lastAnswered     *admission.ReplyTimes          // when this node last answered each worker
+	routingPlan      atomic.Pointer[adoptedPlan]    // decides where heartbeats go; nil while none is adopted
+	moveLimiter      *rate.Limiter                  // limits the rate of redirects that balance connections
+	loadedPlan       atomic.Pointer[cluster.Plan]   // the operators' plan, nil before it is read
 	cachedPriorities atomic.Pointer[planPriorities] // derived from loadedPlan
 
-	metrics      *metrics.Set          // nil unless the operators' address is set
-	recentErrors *metrics.RecentErrors // nil likewise
+	metrics      *metrics.Set          // nil unless the address of the operators' interface is set
+	recentErrors *metrics.RecentErrors // nil if metrics is nil
 
 	yarn         *yarn.Frontend // nil unless YARN clients are served
 	yarnSettings *yarn.Settings
 
-	// directCommands are the requests to workers in progress. The node owns them, not
-	// the leadership, whose end must not wait for a worker that hangs.
+	// directCommands counts direct requests to workers in progress. It belongs to the node
+	// because the end of a leadership must not wait for a worker that hangs.
 	directCommands sync.WaitGroup
 
-	mu              sync.Mutex                // guards all that follows; taken before no other lock but a leadership's
+	mu              sync.Mutex                // guards all fields below; only a leadership's mu may be acquired while it is held
 	active          *leadership               // nil unless this node leads
 	types           []wire.MachineType        // nil before they are known
-	redirects       map[string]redirectRecord // by worker
-	relayCandidates map[string]relayCandidate // nodes that have asked this one for its status
+	redirects       map[string]redirectRecord // by worker name
+	relayCandidates map[string]relayCandidate // nodes that have requested this node's status, by name
 	forwarding      forwardingCounts
 	lastSeenLeader  string
-	lastPeerContact time.Time            // when another node last answered
-	everConnected   bool                 // the key-value store or another node has answered once
-	unservedPeers   map[string]time.Time // when a peer last said that the key-value store does not serve it
+	lastPeerContact time.Time            // when another node last answered a probe
+	everConnected   bool                 // the key-value store or another node has answered at least once
+	unservedPeers   map[string]time.Time // when a peer last reported that the key-value store does not serve it
 	leaderChanged   chan struct{}        // closed and replaced whenever the leader may have changed
 	repairs         repairState
 }
 
 const (
 	// userRateShare is the share of the key-value store's request rate that users'
-	// requests of all nodes together may take; the rest is for the leader.
+	// requests may take on all nodes together. The rest is reserved for the leader.
 	userRateShare = 0.5
-	// barrierRateShare is how many requests of a node's there may be for each
-	// barrier: submissions and final states need theirs.
-	barrierRateShare = 2.0
-	// pollPeriod is within what time each job's polls have their turn. A user asks
-	// every 5 s, so that up to four times as many polls as can be answered leave
-	// none out for longer than a round and a poll.
+	// requestsPerBarrier is the interval between read barriers, as the number of requests
+	// that the rate limit allows in this time. It leaves enough requests for submissions and
+	// final states.
+	requestsPerBarrier = 2.0
+	// pollPeriod is the time within which the polls of each job have priority once. Users
+	// poll every 5 s. With up to four times as many polls as can be answered, no job
+	// therefore goes without an answer for longer than one period and one poll interval.
 	pollPeriod = 45 * time.Second
 )
 
-// New makes a node that does nothing yet but hold its clients and limits; Run
-// starts it. Nothing is dialled here.
-func New(cfg *config.Settings, tuning config.Tuning, log *slog.Logger, nw Network) *Node {
+// New returns a node that is not running yet. It opens no connections and starts no
+// goroutines.
+func New(cfg *config.Settings, tuning config.Tuning, log *slog.Logger, network Network) *Node {
 	store, sockets := cfg.Cluster.State, cfg.Cluster.Limits.Sockets
 	n := &Node{
-		cfg: cfg, tuning: tuning, log: log, network: nw,
-		kv:               kvstore.New(nw.Dial, cfg.Services.State, store.RPS*0.6, store.WriteRPS),
-		cloud:            cloud.New(nw.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.9),
-		workerClient:     worker.New(nw.Dial, min(64, sockets/20)),
+		cfg: cfg, tuning: tuning, log: log, network: network,
+		kv:               kvstore.New(network.Dial, cfg.Services.State, store.RPS*0.6, store.WriteRPS),
+		cloud:            cloud.New(network.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.9),
+		workerClient:     worker.New(network.Dial, min(64, sockets/20)),
 		userSlots:        make(chan struct{}, max(32, sockets/8)),
 		submissionTiers:  admission.NewTierLimiter(max(32, sockets/8)),
 		pollLimiter:      admission.NewPriorityLimiter(max(32, sockets/8), max(32, sockets/8)),
@@ -150,7 +153,7 @@
 		relayCandidates:  map[string]relayCandidate{},
 		leaderChanged:    make(chan struct{}),
 	}
-	n.setUpMetrics() // first of all, since it wraps the log
+	n.setUpMetrics() // must come first because it replaces n.log
 	n.kv = n.kv.WithObserver(n.transactionObserver("node"))
 	n.logUnknownObjectives()
 	n.setUpJobStore()
@@ -162,26 +165,27 @@
 	return n
 }
 
-// logUnknownObjectives tells the operator which objectives of the settings have no
-// effect. Settings may be newer than the program, which serves what it knows.
+// logUnknownObjectives logs the objectives of the settings that have no effect because
+// this version of the program does not know their kind. Settings may be newer than the
+// program, so this is not an error.
 func (n *Node) logUnknownObjectives() {
-	for _, o := range n.cfg.Cluster.Objectives {
-		if !o.Kind.Known() {
-			n.log.Info("unknown kind of service-level objective ignored", "kind", o.Kind, "class", o.Class)
+	for _, objective := range n.cfg.Cluster.Objectives {
+		if !objective.Kind.Known() {
+			n.log.Info("unknown kind of service-level objective ignored", "kind", objective.Kind, "class", objective.Class)
 		}
 	}
 }
 
-// setUpJobStore opens the records of jobs through a client that is limited to the
-// users' share of the store's rate, so that users never starve the leader's writes.
+// setUpJobStore creates the job store. Its client is limited to the users' share of the
+// key-value store's request rate, so that users' requests never starve the leader's writes.
 func (n *Node) setUpJobStore() {
-	store := n.cfg.Cluster.State
-	n.userKV = n.kv.WithAdaptiveLimits(store.RPS*0.7, store.WriteRPS, userRateShare/float64(max(1, n.cfg.Cluster.Size))).
+	limits := n.cfg.Cluster.State
+	n.userKV = n.kv.WithAdaptiveLimits(limits.RPS*0.7, limits.WriteRPS, userRateShare/float64(max(1, n.cfg.Cluster.Size))).
 		WithObserver(n.transactionObserver("users"))
 	n.jobs = jobstore.New(n.userKV, jobstore.Config{
-		Limits: jobstore.Limits{TxnOps: store.TxnOps, ValueKB: store.ValueKB},
+		Limits: jobstore.Limits{TxnOps: limits.TxnOps, ValueKB: limits.ValueKB},
 		BarrierInterval: func() time.Duration {
-			return config.Seconds(min(barrierRateShare/max(n.userKV.RequestRate(), 1), 0.6))
+			return config.Seconds(min(requestsPerBarrier/max(n.userKV.RequestRate(), 1), 0.6))
 		},
 		SubmissionTier:        func(team, class string) int { return n.priorities().TierOf(team, class) },
 		FinalReadOrder:        func(id string) float64 { return admission.PollSchedule{Period: pollPeriod}.Priority(id, time.Now()) },
@@ -192,16 +196,16 @@
 	n.pollSchedule.Tier = n.pollTier
 }
 
-// setUpPeers makes the clients of the other controllers.
+// setUpPeers creates the clients for the other controllers.
 func (n *Node) setUpPeers() {
-	for _, s := range n.cfg.Peers {
-		n.peers = append(n.peers, peerrpc.NewPeer(s.Name, s.Addr, n.network.Dial))
-		n.peerStreams = append(n.peerStreams, peerrpc.NewHeartbeatStream(s.Name, s.Addr, n.network.Dial, max(64, n.cfg.Cluster.Limits.Sockets/2)))
+	for _, peer := range n.cfg.Peers {
+		n.peers = append(n.peers, peerrpc.NewPeer(peer.Name, peer.Addr, n.network.Dial))
+		n.peerStreams = append(n.peerStreams, peerrpc.NewHeartbeatStream(peer.Name, peer.Addr, n.network.Dial, max(64, n.cfg.Cluster.Limits.Sockets/2)))
 	}
 }
 
-// activeLeadership is this node's leadership, nil unless it leads. Whether it is
-// sure of its lease is another question: see isLeader.
+// activeLeadership returns this node's leadership, or nil if this node does not lead. The
+// leader lease of the returned leadership may be invalid; see isLeader.
 func (n *Node) activeLeadership() *leadership {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -1,3 +1,6 @@
+// The loop that rents and returns machines, and applies the cloud's list of machines to the
+// model.
+
 package controller
 
 import (
@@ -14,51 +17,48 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file scales the fleet out and in, and keeps the model in step with the cloud's
-// list of machines.
-
-// runScaler rents, returns and lists machines until ctx ends. One loop does all three,
-// one after the other, so that calls of the cloud never overtake one another.
+// runScaler rents, returns and lists machines until ctx ends. A single loop does all three,
+// so that calls to the cloud never overtake one another.
 func (l *leadership) runScaler(ctx context.Context) {
-	every := max(4*time.Second, time.Duration(4/l.node.cfg.Cluster.Cloud.RPS*float64(time.Second)))
-	var listed time.Time
-	typesKept := false
+	listInterval := max(4*time.Second, time.Duration(4/l.node.cfg.Cluster.Cloud.RPS*float64(time.Second)))
+	var lastListed time.Time
+	areTypesSaved := false
 	for call.Pause(ctx, 300*time.Millisecond) {
 		if !l.lease.Valid() {
 			continue
 		}
-		if !typesKept {
-			typesKept = l.saveMachineTypes(ctx)
+		if !areTypesSaved {
+			areTypesSaved = l.saveMachineTypes(ctx)
 		}
 		l.scaleOut(ctx)
 		l.mu.Lock()
 		l.node.stallDetector.Observe(time.Now())
 		l.model.ResumeAfterStall(l.node.stallDetector.LastStall())
-		back := l.model.SelectScaleIn(time.Now(), config.Seconds(l.node.tuning.ScaleOut.IdleS))
+		idle := l.model.SelectScaleIn(time.Now(), config.Seconds(l.node.tuning.ScaleOut.IdleS))
 		l.mu.Unlock()
-		if len(back) > 0 {
-			l.scaleIn(ctx, back[:min(len(back), cloud.MaxDelete)])
+		if len(idle) > 0 {
+			l.scaleIn(ctx, idle[:min(len(idle), cloud.MaxDelete)])
 		}
-		if time.Since(listed) < every {
+		if time.Since(lastListed) < listInterval {
 			continue
 		}
-		list, err := l.node.cloud.ListMachines(ctx)
+		machines, err := l.node.cloud.ListMachines(ctx)
 		if err != nil {
 			l.log.Debug("machine list not read", "err", err)
 			call.Pause(ctx, time.Second)
 			continue
 		}
-		listed = time.Now()
+		lastListed = time.Now()
 		l.mu.Lock()
-		l.model.ApplyCloudList(list, listed)
+		l.model.ApplyCloudList(machines, lastListed)
 		l.mu.Unlock()
 		wake(l.schedulerWake)
 	}
 }
 
-// scaleIn deletes machines. Their names are committed first, because the cloud may carry
-// the deletion out long after the leader lease was last checked: a leader elected in the
-// meantime would place tasks on these machines if it did not find the record.
+// scaleIn deletes machines. It commits their names first, because the cloud may perform the
+// deletion long after the leader lease was last checked. Without the record, a leader
+// elected in the meantime would place tasks on these machines.
 func (l *leadership) scaleIn(ctx context.Context, names []string) {
 	if err := l.putOwnRecord(ctx, jobstore.ScaleInKey, jobstore.ScaleInRecord{Machines: names}); err != nil {
 		l.log.Debug("scale-in record not committed", "err", err)
@@ -80,21 +80,22 @@
 }
 
 // scaleOut rents the machines that the last scheduling pass wanted. The name of each request
-// is committed before it is sent and never reused, so that sending it again is idempotent.
+// is committed before the request is sent, and is never reused. Sending a request again is
+// therefore idempotent.
 func (l *leadership) scaleOut(ctx context.Context) {
 	l.mu.Lock()
-	wants := l.wantedMachines
+	wanted := l.wantedMachines
 	l.wantedMachines = nil
-	l.scalingOut = len(wants) > 0
+	l.scalingOut = len(wanted) > 0
 	l.mu.Unlock()
-	if len(wants) == 0 {
+	if len(wanted) == 0 {
 		return
 	}
-	for o, count := range wants {
+	for offer, count := range wanted {
 		if ctx.Err() != nil || !l.lease.Valid() {
 			break
 		}
-		l.rentMachines(ctx, o, min(count, cloud.MaxCreate))
+		l.rentMachines(ctx, offer, min(count, cloud.MaxCreate))
 	}
 	l.mu.Lock()
 	l.scalingOut, l.wantedMachines = false, nil
@@ -102,40 +103,43 @@
 	wake(l.schedulerWake)
 }
 
-func (l *leadership) rentMachines(ctx context.Context, o cluster.Offer, count int) {
+// rentMachines requests count machines of an offer. It records the request before it calls
+// the cloud. Afterwards it adds the rented machines to the record, or deletes the record if
+// none was rented.
+func (l *leadership) rentMachines(ctx context.Context, offer cluster.Offer, count int) {
 	l.rentalRequests++
-	bon := fmt.Sprintf("r-%d-%d", l.lease.FencingToken, l.rentalRequests)
-	rec := jobstore.ScaleOutRecord{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count, AtMs: time.Now().UnixMilli()}
-	key := jobstore.ScaleOutPrefix + bon
+	requestName := fmt.Sprintf("r-%d-%d", l.lease.FencingToken, l.rentalRequests)
+	record := jobstore.ScaleOutRecord{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count, AtMs: time.Now().UnixMilli()}
+	key := jobstore.ScaleOutPrefix + requestName
 	l.mu.Lock()
-	byPlan := l.model.PlanGuard()
+	planGuard := l.model.PlanGuard()
 	l.mu.Unlock()
-	made, err := l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), byPlan, {Key: key}}, []wire.Op{{Put: key, Value: rec}})
+	version, err := l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), planGuard, {Key: key}}, []wire.Op{{Put: key, Value: record}})
 	if err != nil {
 		l.log.Debug("scale-out record not committed", "err", err)
 		return
 	}
-	names, err := l.node.cloud.CreateMachines(ctx, wire.Rental{Request: bon, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count})
+	names, err := l.node.cloud.CreateMachines(ctx, wire.Rental{Request: requestName, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count})
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
-		// The same request either rents now or names what it rented before.
-		names, err = l.node.cloud.CreateMachines(ctx, wire.Rental{Request: bon, Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: count})
+		// The cloud either rents the machines now or returns those it rented for the first call.
+		names, err = l.node.cloud.CreateMachines(ctx, wire.Rental{Request: requestName, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count})
 	}
 	now := time.Now()
 	l.mu.Lock()
 	if err != nil || len(names) < count {
-		l.model.OfferRefused(o, now)
+		l.model.OfferRefused(offer, now)
 	}
-	l.model.ScaledOut(o, names, now)
+	l.model.ScaledOut(offer, names, now)
 	l.mu.Unlock()
 	if err != nil {
-		l.log.Info("scale out refused", "request", bon, "type", o.Type, "zone", o.Zone, "spot", o.Spot, "count", count, "err", err)
+		l.log.Info("scale out refused", "request", requestName, "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "count", count, "err", err)
 	}
 	op := wire.Op{Delete: key}
 	if len(names) > 0 {
-		rec.Machines = names
-		op = wire.Op{Put: key, Value: rec}
+		record.Machines = names
+		op = wire.Op{Put: key, Value: record}
 	}
-	if _, err := l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: key, Version: made}}, []wire.Op{op}); err != nil {
+	if _, err := l.node.kv.CompareAndSwap(ctx, []wire.Guard{l.leaderGuard(), {Key: key, Version: version}}, []wire.Op{op}); err != nil {
 		l.log.Debug("scale-out record not committed", "err", err)
 	}
 }
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -1,3 +1,5 @@
+// The scheduling loop of a leader.
+
 package controller
 
 import (
@@ -10,19 +12,17 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// This file runs the scheduling passes of a leader.
-
 const (
-	// passInterval is the time between passes without an event: decisions also depend on
-	// time alone, through leases and deadlines.
+	// passInterval is the time between passes without an event. Leases and deadlines
+	// require passes even if nothing changes.
 	passInterval = 500 * time.Millisecond
-	// minPassDelay is the least pause after a pass, so that a burst of changes is
-	// served by one.
+	// minPassDelay is the least pause after a pass, so that one pass handles a burst of
+	// changes.
 	minPassDelay = 40 * time.Millisecond
 )
 
-// runScheduler runs a pass at once when something has changed, and each
-// passInterval otherwise, until ctx ends or the leader resigns.
+// runScheduler runs a scheduling pass after each wake-up signal, and otherwise every
+// passInterval. It returns when ctx ends or after it has resigned.
 func (l *leadership) runScheduler(ctx context.Context) {
 	tick := time.NewTicker(passInterval)
 	defer tick.Stop()
@@ -52,14 +52,16 @@
 	}
 }
 
-// passResult is what a scheduling pass leaves to be done without the lock.
+// passResult holds the results of a scheduling pass that are processed after l.mu is
+// released.
 type passResult struct {
-	moves map[string]jobstore.RebalanceCycle // by group; to be recorded, then begun
-	delay time.Duration                      // until the next pass may begin
+	moves map[string]jobstore.RebalanceCycle // by group; recorded before they begin
+	delay time.Duration                      // least time until the next pass
 }
 
-// runPass advances the model to now and decides what is placed, stopped, moved and
-// rented. ok is false, and nothing was decided, where no worker reaches this node.
+// runPass advances the model to the current time, and decides which tasks to place, stop
+// and move and which machines to rent. If workers can't reach this node, it decides nothing
+// and returns false.
 func (l *leadership) runPass(lastRebalance *time.Time) (result passResult, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -72,7 +74,7 @@
 	l.model.Tick(now)
 	rentalsInProgress := 0
 	if l.scalingOut {
-		rentalsInProgress = math.MaxInt32 // their outcome is not known yet, so request no more
+		rentalsInProgress = math.MaxInt32 // the outcome of these rentals is unknown, so request no more
 	}
 	decision := l.model.Schedule(now, rentalsInProgress)
 	l.passCount++
@@ -85,15 +87,15 @@
 		result.moves = l.model.PlanMoves(decision.Unplaced, now)
 		l.model.LogUtilization(decision.Unplaced, now)
 	}
-	// Passes take longer in larger clusters. A delay in proportion leaves most of the
-	// CPU time to heartbeats, lease renewals and users' requests.
+	// Passes take longer in larger clusters. A delay proportional to the duration of the
+	// pass leaves most of the CPU time for heartbeats, lease renewals and users' requests.
 	took := time.Since(now)
 	l.node.metrics.ObserveSchedulingPass(took.Seconds())
 	result.delay = max(minPassDelay+time.Duration(len(l.model.Machines))*passDelayPerMachine, passIdleFactor*took)
 	return result, true
 }
 
-// dispatch begins what a pass has decided: moves, stops, launches and writes.
+// dispatch starts the moves, stops, launches and writes that a pass has decided.
 func (l *leadership) dispatch(ctx context.Context, pass passResult) {
 	for group, cycle := range pass.moves {
 		l.startRebalancing(ctx, group, cycle)
@@ -107,45 +109,45 @@
 const (
 	// passIdleFactor is the least delay after a pass, as a multiple of the pass's duration.
 	passIdleFactor = 3
-	// passDelayPerMachine is the part of the least delay that grows with the number of
-	// machines. It bounds the cost of passes in a large cluster whatever the speed of the
-	// CPU (at 2,000 machines, 25 passes a second took a quarter of a core), where a tenth of
-	// a second more does not matter.
+	// passDelayPerMachine increases the least delay with the number of machines. It bounds
+	// the CPU time of passes in a large cluster on any CPU. At 2,000 machines, 25 passes a
+	// second took a quarter of a core. There, another tenth of a second does no harm.
 	passDelayPerMachine = 50 * time.Microsecond
 )
 
-// abstainAfterIsolation is how long a leader that workers could not reach stays out of the
-// election.
+// abstainAfterIsolation is how long a leader that workers could not reach does not stand
+// for election.
 const abstainAfterIsolation = 20 * time.Second
 
-// workersUnreachable reports whether no worker's heartbeat has reached this node for so
-// long, although some are expected, that another node should lead. The caller holds l.mu.
+// workersUnreachable reports whether this node has received no heartbeat directly from a
+// worker for so long that another node should lead. It returns false if the cluster has no
+// other node or fewer than two machines are expected. The caller holds l.mu.
 func (l *leadership) workersUnreachable(now time.Time) bool {
-	w := l.node.cfg.Cluster.Workers
-	quiet := config.Seconds(max(3*w.HeartbeatS, w.LeaseS/4) + 2)
-	since := l.lastDirectHeartbeat
-	if since.Before(l.model.ElectedAt) {
-		since = l.model.ElectedAt
+	workers := l.node.cfg.Cluster.Workers
+	maxSilence := config.Seconds(max(3*workers.HeartbeatS, workers.LeaseS/4) + 2)
+	lastContact := l.lastDirectHeartbeat
+	if lastContact.Before(l.model.ElectedAt) {
+		lastContact = l.model.ElectedAt
 	}
 	// After a pause of the process, heartbeats that arrived during it are still unread.
-	if resumed, _ := l.node.stallDetector.LastStall(); since.Before(resumed) {
-		since = resumed
+	if resumed, _ := l.node.stallDetector.LastStall(); lastContact.Before(resumed) {
+		lastContact = resumed
 	}
-	return len(l.node.peers) > 0 && l.model.ExpectedMachines(now) >= 2 && now.Sub(since) > quiet
+	return len(l.node.peers) > 0 && l.model.ExpectedMachines(now) >= 2 && now.Sub(lastContact) > maxSilence
 }
 
-// startRebalancing commits a cycle's record, so that a new leader knows of the
-// moves, and then begins them.
-func (l *leadership) startRebalancing(ctx context.Context, group string, rec jobstore.RebalanceCycle) {
+// startRebalancing commits a cycle's record, so that a new leader knows the moves, and then
+// begins the moves.
+func (l *leadership) startRebalancing(ctx context.Context, group string, cycle jobstore.RebalanceCycle) {
 	l.mu.Lock()
 	guards := l.model.RebalanceGuards()
 	l.mu.Unlock()
-	if err := l.putOwnRecord(ctx, jobstore.RebalanceCyclePrefix+group, rec, guards...); err != nil {
+	if err := l.putOwnRecord(ctx, jobstore.RebalanceCyclePrefix+group, cycle, guards...); err != nil {
 		l.handleRebalanceCommitFailure(ctx, group, err)
 		return
 	}
-	l.log.Info("rebalancing", "group", group, "moves", len(rec.Moves))
+	l.log.Info("rebalancing", "group", group, "moves", len(cycle.Moves))
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.model.BeginMoves(group, rec, time.Now())
+	l.model.BeginMoves(group, cycle, time.Now())
 }
