--- a/controller/leader_monitor.go
+++ b/controller/leader_monitor.go
@@ -73,7 +73,7 @@
 		if name := n.elector.Leader(); name != "" && !n.leaderDetector.Suspected(name) && (name != n.cfg.Node || n.isLeader()) {
 			return name
 		}
-		if n.connsNearLimit() || n.isolated() {
+		if n.connsNearLimit() || n.isIsolated() {
 			return ""
 		}
 		select {
@@ -84,10 +84,10 @@
 	}
 }
 
-// isolated reports whether this node reaches neither the key-value store nor any other
+// isIsolated reports whether this node reaches neither the key-value store nor any other
 // node. It can't learn of a leader then, so that workers should try another node rather
 // than wait here and lose that much of their leases.
-func (n *Node) isolated() bool {
+func (n *Node) isIsolated() bool {
 	if len(n.peers) == 0 || n.kvReachable() {
 		return false
 	}
--- a/controller/node_metrics.go
+++ b/controller/node_metrics.go
@@ -69,7 +69,7 @@
 		return 0
 	})
 	m.RegisterGauge("least_lease_left_seconds", "Of the worker whose lease is nearest its end; the leader's.", func() float64 {
-		if f := n.fleetView(time.Now()); f != nil {
+		if f := n.clusterView(time.Now()); f != nil {
 			return f.LeastLeaseLeftSeconds
 		}
 		return 0
@@ -90,7 +90,7 @@
 	} {
 		m.RegisterGauge(name, "Of all warm pools together; the leader's.", func() float64 {
 			sum := 0.0
-			if f := n.fleetView(time.Now()); f != nil {
+			if f := n.clusterView(time.Now()); f != nil {
 				for _, p := range f.WarmPools {
 					sum += read(p)
 				}
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -65,7 +65,7 @@
 // localOverview returns what this node knows by itself.
 func (n *Node) localOverview(now time.Time) metrics.Overview {
 	o := metrics.Overview{At: now, Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.ready(), StoreReachable: n.kvReachable(),
-		Leader: n.elector.Leader(), RecentErrors: n.recentErrors.List(), Cluster: n.fleetView(now)}
+		Leader: n.elector.Leader(), RecentErrors: n.recentErrors.List(), Cluster: n.clusterView(now)}
 	if l := n.connLimiter; l != nil {
 		o.Connections = metrics.Connections{Users: l.Count(admission.KindUser), Workers: l.Count(admission.KindWorker),
 			Other: l.Count(admission.KindUnknown), Limit: n.cfg.Cluster.Limits.Sockets, ClosedOverLimit: l.Rejected()}
@@ -96,8 +96,8 @@
 	return out
 }
 
-// fleetView returns the cluster as the leader sees it, nil unless this node leads.
-func (n *Node) fleetView(now time.Time) *metrics.Cluster {
+// clusterView returns the cluster as the leader sees it, nil unless this node leads.
+func (n *Node) clusterView(now time.Time) *metrics.Cluster {
 	l := n.activeLeadership()
 	if l == nil {
 		return nil
--- a/controller/peer_recovery.go
+++ b/controller/peer_recovery.go
@@ -101,8 +101,8 @@
 	m.copies[record] = c
 }
 
-// beginAttempt notes that this node resigns for a record; false if it has before.
-func (m *repairState) beginAttempt(record recordVersion) bool {
+// markAttempted notes that this node resigns for a record; false if it has before.
+func (m *repairState) markAttempted(record recordVersion) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.attempted == nil || len(m.attempted) >= maxTrackedRepairs {
@@ -180,7 +180,7 @@
 			if err != nil || e.Version != record.version || isReadable(e) {
 				continue
 			}
-			l.keepCopyOf(record)
+			l.preserveCopy(record)
 			if l.resignForRepair(record) {
 				return
 			}
@@ -193,8 +193,8 @@
 	}
 }
 
-// keepCopyOf leaves what this leader knows of a page to the next one.
-func (l *leadership) keepCopyOf(record recordVersion) {
+// preserveCopy leaves what this leader knows of a page to the next one.
+func (l *leadership) preserveCopy(record recordVersion) {
 	l.mu.Lock()
 	jobs, ok := l.model.AdmissionEntries(record.key, record.version)
 	l.mu.Unlock()
@@ -217,7 +217,7 @@
 // resignForRepair ends this leadership so that the next one repairs a record; false
 // if this node has already done so in vain.
 func (l *leadership) resignForRepair(record recordVersion) bool {
-	if !l.node.repairs.beginAttempt(record) {
+	if !l.node.repairs.markAttempted(record) {
 		return false
 	}
 	l.log.Error("resigning so that the next leader repairs an unreadable record", "key", record.key, "version", record.version)
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -146,7 +146,7 @@
 		return nil // no better than what is stored, and asking again would not help
 	}
 	r.log.Error("unreadable job record repaired from a recovered copy", "key", e.Key)
-	return r.commit(ctx, guardOf(e), wire.Op{Put: e.Key, Value: copied.Value})
+	return r.commit(ctx, versionGuard(e), wire.Op{Put: e.Key, Value: copied.Value})
 }
 
 func isJobRecord(id string, value wire.Raw) bool {
@@ -167,10 +167,10 @@
 		return nil
 	}
 	r.log.Error("unreadable YARN record repaired from a recovered copy", "key", e.Key)
-	return r.commit(ctx, guardOf(e), wire.Op{Put: e.Key, Value: copied.Value})
+	return r.commit(ctx, versionGuard(e), wire.Op{Put: e.Key, Value: copied.Value})
 }
 
-func guardOf(e wire.Entry) []wire.Guard { return []wire.Guard{{Key: e.Key, Version: e.Version}} }
+func versionGuard(e wire.Entry) []wire.Guard { return []wire.Guard{{Key: e.Key, Version: e.Version}} }
 
 // repairSchemaRecord writes the schema record and its stored copy again.
 func (r *repairer) repairSchemaRecord(ctx context.Context, e wire.Entry) error {
@@ -185,7 +185,7 @@
 		return jobstore.ErrNewerSchema
 	}
 	r.log.Error("unreadable schema record repaired", "key", e.Key, "schema", schema.Version, "buckets", schema.Buckets)
-	return r.commit(ctx, guardOf(e),
+	return r.commit(ctx, versionGuard(e),
 		wire.Op{Put: jobstore.SchemaKey, Value: schema}, wire.Op{Put: jobstore.SchemaCopyKey, Value: schema})
 }
 
@@ -250,11 +250,11 @@
 // in the transaction, so that readers of the change see it first.
 func (r *repairer) quarantine(ctx context.Context, e wire.Entry, bucket int, sequence uint64, page jobstore.QuarantinedPage) (key string, err error) {
 	if sequence > 0 {
-		return e.Key, r.commit(ctx, guardOf(e), wire.Op{Put: e.Key, Value: page})
+		return e.Key, r.commit(ctx, versionGuard(e), wire.Op{Put: e.Key, Value: page})
 	}
 	sequence = max(r.highestSequence(bucket), e.Version) + 1
 	key = jobstore.SealedPageKey(bucket, sequence)
-	err = r.commit(ctx, guardOf(e), wire.Op{Put: key, Value: page},
+	err = r.commit(ctx, versionGuard(e), wire.Op{Put: key, Value: page},
 		wire.Op{Put: e.Key, Value: jobstore.JobPage{LastSealed: sequence, Closed: true}})
 	return key, err
 }
