--- a/controller/forwarding.go
+++ b/controller/forwarding.go
@@ -1,3 +1,7 @@
+// Forwarding of users' requests between controllers. Writes are forwarded to the owner of
+// their bucket. While the key-value store does not serve this node, all requests are forwarded
+// to a peer.
+
 package controller
 
 import (
@@ -12,33 +16,29 @@
 	"github.com/umberdeal/umberdeal/peerrpc"
 )
 
-// This file forwards users' requests between controllers: writes to the owner of their
-// bucket, and everything to a peer while the key-value store does not serve this node.
-
 const (
-	// bucketOwnerTimeout is how long to wait for a bucket's owner, and
-	// forwardedWriteTimeout how long the owner works on a forwarded write. The latter is
-	// shorter, so that an overloaded owner can still respond that it is.
-	bucketOwnerTimeout    = 1600 * time.Millisecond
+	// bucketOwnerTimeout is how long to wait for the answer of a bucket's owner.
+	bucketOwnerTimeout = 1600 * time.Millisecond
+	// forwardedWriteTimeout is how long the owner works on a forwarded write. It is shorter
+	// than bucketOwnerTimeout, so that an overloaded owner can still answer that it is busy.
 	forwardedWriteTimeout = 1000 * time.Millisecond
-	// minForwardTime is what a write must have left to be forwarded again: the time in which
-	// the owner answers.
+	// minForwardTime is the time that must be left of a write's deadline for the write to be
+	// forwarded again. The owner answers within this time.
 	minForwardTime = forwardedWriteTimeout + 100*time.Millisecond
 	// unresponsivePeerBackoff is how long a peer owns no bucket after it last failed to
 	// answer, or answered that the key-value store does not serve it.
 	unresponsivePeerBackoff = 3 * time.Second
-	// peerRequestTimeout is how long to wait for one peer. A paused process still accepts
-	// connections but never responds, and the other peers must be tried before the user's
+	// peerRequestTimeout is how long to wait for one peer. A paused process accepts
+	// connections but never responds. The other peers must be tried before the user's
 	// request times out.
 	peerRequestTimeout = 700 * time.Millisecond
 )
 
-// forwardToBucketOwner forwards a submission or a cancellation to the owner of its
-// bucket, where several nodes would conflict on the bucket's head page. It returns false
-// where the request is to be served here. Ownership avoids conflicts but is not a lock:
-// any node may change any bucket, and the compare-and-swap on the version of the head
-// page keeps concurrent changes safe.
-func (n *Node) forwardToBucketOwner(ctx context.Context, id string, r peerrpc.Request) (peerrpc.Answer, bool) {
+// forwardToBucketOwner forwards a submission or a cancellation to the owner of its bucket,
+// because writes of several nodes conflict on the bucket's head page. It returns false if the
+// request is to be served here. Ownership is not a lock. Any node may change any bucket, and
+// the compare-and-swap on the version of the head page keeps concurrent changes safe.
+func (n *Node) forwardToBucketOwner(ctx context.Context, id string, request peerrpc.Request) (peerrpc.Answer, bool) {
 	schema := n.jobs.Schema()
 	if schema.Version < jobstore.SchemaJobPages {
 		return peerrpc.Answer{}, false
@@ -51,55 +51,59 @@
 	if owner == nil {
 		return peerrpc.Answer{}, false
 	}
-	r.From = n.cfg.Node
-	if a, ok := n.forwardWhileBusy(ctx, owner, r); ok || ctx.Err() != nil {
-		return a, ok
+	request.From = n.cfg.Node
+	if answer, ok := n.forwardWhileBusy(ctx, owner, request); ok || ctx.Err() != nil {
+		return answer, ok
 	}
 	if next := n.bucketOwner(bucket); next != nil && next != owner {
-		return n.forwardWhileBusy(ctx, next, r)
+		return n.forwardWhileBusy(ctx, next, request)
 	}
 	return peerrpc.Answer{}, false
 }
 
-// forwardWhileBusy forwards a write to the owner of its bucket, again and again while the owner answers
-// that the key-value store is busy: each answer shows that the owner works on it, and a user who was sent
-// away instead would come back to it later. It returns false if the write is to be served here.
-func (n *Node) forwardWhileBusy(ctx context.Context, owner *peerrpc.Peer, r peerrpc.Request) (peerrpc.Answer, bool) {
+// forwardWhileBusy forwards a write to the owner of its bucket, and repeats it while the owner
+// answers that the key-value store is busy. Each such answer shows that the owner is alive. A
+// user who was refused instead would retry and reach the same owner. It returns false if the
+// write is to be served here.
+func (n *Node) forwardWhileBusy(ctx context.Context, owner *peerrpc.Peer, request peerrpc.Request) (peerrpc.Answer, bool) {
 	for {
-		a, err := forwardOnce(ctx, owner, r)
+		answer, err := forwardOnce(ctx, owner, request)
 		switch {
 		case err != nil:
-			n.log.Debug("write not forwarded", "op", r.Op, "peer", owner.Name, "err", err)
+			n.log.Debug("write not forwarded", "op", request.Op, "peer", owner.Name, "err", err)
 			return peerrpc.Answer{}, false
-		case a.Status != http.StatusServiceUnavailable:
-			return a, true
-		case a.RetryAfter != busyRetryAfterS:
-			// The owner's store connection fails, ours may not. Until it works again, all other nodes
-			// agree on the next owner, instead of each writing to the bucket itself.
+		case answer.Status != http.StatusServiceUnavailable:
+			return answer, true
+		case answer.RetryAfter != busyRetryAfterS:
+			// The key-value store does not serve the owner, but it may serve this node.
+			// Until it serves the owner again, all other nodes use the next owner instead
+			// of writing to the bucket themselves.
 			n.recordUnservedPeer(owner.Name)
 			return peerrpc.Answer{}, false
 		case !kvstore.PauseBeforeRetry(ctx) || !hasTimeLeft(ctx, minForwardTime):
-			return a, true
+			return answer, true
 		}
 	}
 }
 
-// hasTimeLeft reports whether a context's deadline is at least so far away.
-func hasTimeLeft(ctx context.Context, least time.Duration) bool {
+// hasTimeLeft reports whether at least minimum is left until the deadline of ctx. It returns
+// true if ctx has no deadline.
+func hasTimeLeft(ctx context.Context, minimum time.Duration) bool {
 	deadline, ok := ctx.Deadline()
-	return !ok || time.Until(deadline) >= least
+	return !ok || time.Until(deadline) >= minimum
 }
 
-// forwardOnce forwards a write and waits for the answer, at most for bucketOwnerTimeout.
-func forwardOnce(ctx context.Context, owner *peerrpc.Peer, r peerrpc.Request) (peerrpc.Answer, error) {
+// forwardOnce forwards a write and waits for the answer for at most bucketOwnerTimeout.
+func forwardOnce(ctx context.Context, owner *peerrpc.Peer, request peerrpc.Request) (peerrpc.Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, bucketOwnerTimeout)
 	defer cancel()
-	return owner.ForwardUserRequest(ctx, r)
+	return owner.ForwardUserRequest(ctx, request)
 }
 
-// bucketOwner returns the node that should write to a bucket, or nil for this node. All
-// nodes are sorted by name; starting at the bucket's number, the first one that has not
-// failed recently is the owner. Nodes may disagree about that, which costs conflicts only.
+// bucketOwner returns the node that should write to a bucket, or nil if this is the local
+// node. It sorts all nodes by name and starts at the bucket's number. The first node that has
+// not failed recently is the owner. If nodes disagree about the owner, their writes may
+// conflict and are retried, but stay safe.
 func (n *Node) bucketOwner(bucket int) *peerrpc.Peer {
 	names := []string{n.cfg.Node}
 	for _, p := range n.peers {
@@ -125,7 +129,8 @@
 	n.unservedPeers[name] = time.Now()
 }
 
-// isUnservedPeer reports whether a peer has recently said that the key-value store does not serve it.
+// isUnservedPeer reports whether a peer has recently answered that the key-value store does
+// not serve it.
 func (n *Node) isUnservedPeer(name string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,53 +138,54 @@
 	return ok && time.Since(at) <= unresponsivePeerBackoff
 }
 
-// serveForwardedWrite serves a write that a peer has forwarded because this node owns
-// its bucket. The response distinguishes an overloaded owner from one that can't reach
-// the store: only in the latter case does the peer serve the write itself.
-func (n *Node) serveForwardedWrite(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
+// serveForwardedWrite serves a write that a peer has forwarded because this node owns its
+// bucket. The answer distinguishes an overloaded owner from an owner that the key-value store
+// does not serve. Only in the latter case does the peer serve the write itself.
+func (n *Node) serveForwardedWrite(ctx context.Context, request peerrpc.Request) peerrpc.Answer {
 	ctx, cancel := context.WithTimeout(ctx, forwardedWriteTimeout)
 	defer cancel()
-	a, err := n.serveLocally(ctx, r)
+	answer, err := n.serveLocally(ctx, request)
 	if err != nil {
-		n.log.Debug("forwarded write not served", "op", r.Op, "id", r.ID, "peer", r.From, "err", err)
+		n.log.Debug("forwarded write not served", "op", request.Op, "id", request.ID, "peer", request.From, "err", err)
 	}
 	switch {
 	case err == nil:
-		return a
+		return answer
 	case errors.Is(err, kvstore.ErrRateLimited) || ctx.Err() != nil:
 		return storeBusy()
 	}
 	return storeUnreachable()
 }
 
-// forwardToPeers forwards a user's request to one peer after the other, least recently
-// failed first, until one can serve it. Requests are idempotent, so that it is harmless
-// if two peers serve the same one.
-func (n *Node) forwardToPeers(ctx context.Context, r peerrpc.Request) (peerrpc.Answer, bool) {
+// forwardToPeers forwards a user's request to one peer after the other until one can serve
+// it. Peers that failed longest ago or never come first. Requests are idempotent, so it does
+// no harm if two peers serve the same request. It returns false if no peer can serve it.
+func (n *Node) forwardToPeers(ctx context.Context, request peerrpc.Request) (peerrpc.Answer, bool) {
 	peers := slices.Clone(n.peers)
 	slices.SortStableFunc(peers, func(a, b *peerrpc.Peer) int { return a.FailedAt().Compare(b.FailedAt()) })
 	for _, p := range peers {
 		if ctx.Err() != nil {
 			break
 		}
-		pctx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
-		a, err := p.ForwardUserRequest(pctx, r)
+		peerCtx, cancel := context.WithTimeout(ctx, peerRequestTimeout)
+		answer, err := p.ForwardUserRequest(peerCtx, request)
 		cancel()
-		if err == nil && a.Status != http.StatusServiceUnavailable {
-			return a, true
+		if err == nil && answer.Status != http.StatusServiceUnavailable {
+			return answer, true
 		}
 	}
 	return peerrpc.Answer{}, false
 }
 
-// HandleUserRequest implements peerrpc.Handler: it serves a request that a peer forwards.
-func (n *Node) HandleUserRequest(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
+// HandleUserRequest implements peerrpc.Handler. It serves a user's request that a peer
+// forwards. The answer is a 503 if the key-value store does not serve this node.
+func (n *Node) HandleUserRequest(ctx context.Context, request peerrpc.Request) peerrpc.Answer {
 	if n.kvReachable() {
-		if r.From != "" {
-			return n.serveForwardedWrite(ctx, r)
+		if request.From != "" {
+			return n.serveForwardedWrite(ctx, request)
 		}
-		if a, err := n.serveLocally(ctx, r); err == nil {
-			return a
+		if answer, err := n.serveLocally(ctx, request); err == nil {
+			return answer
 		}
 	}
 	return storeUnreachable()
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -1,3 +1,6 @@
+// The HTTP handler for workers' heartbeats. Package routing decides to which node a worker
+// should send heartbeats. The leader's answers are created in heartbeat_response.go.
+
 package controller
 
 import (
@@ -12,18 +15,16 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file serves workers' heartbeats over HTTP. Package routing decides to which node
-// a worker should send them; heartbeat_response.go makes the leader's answers.
-
-// heartbeatHeader holds the fields of a heartbeat that every node needs: the sender, its
-// epoch and the sequence number within it. The tags are the protocol's field names.
-// Only the leader decodes the rest.
+// heartbeatHeader holds the fields of a heartbeat that every node needs: the worker, the
+// epoch of its agent and the sequence number within the epoch. The tags are the protocol's
+// field names. Only the leader decodes the other fields.
 type heartbeatHeader struct {
 	Machine    string `msgpack:"poste"`
 	AgentEpoch uint64 `msgpack:"quart"`
 	Seq        uint64 `msgpack:"numero"`
 }
 
+// serveHeartbeat handles a heartbeat that a worker sends to this node.
 func (n *Node) serveHeartbeat(w http.ResponseWriter, r *http.Request) {
 	conn := admission.ConnFromContext(r.Context())
 	if conn != nil {
@@ -34,42 +35,42 @@
 		writeError(w, http.StatusBadRequest, "unreadable", 0)
 		return
 	}
-	var who heartbeatHeader
-	if err := wire.Unmarshal(body, &who); err != nil || who.Machine == "" {
+	var header heartbeatHeader
+	if err := wire.Unmarshal(body, &header); err != nil || header.Machine == "" {
 		writeError(w, http.StatusBadRequest, "malformed report", 0)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), 3500*time.Millisecond)
 	defer cancel()
-	if err := n.heartbeatLimiter.Acquire(ctx, n.workerLeaseLeft(who.Machine, -1)); err != nil {
+	if err := n.heartbeatLimiter.Acquire(ctx, n.workerLeaseLeft(header.Machine, -1)); err != nil {
 		n.metrics.CountRefusal("too many reports")
 		w.Header().Set("Connection", "close")
 		writeError(w, http.StatusServiceUnavailable, "too many reports under way", 1)
 		return
 	}
 	defer n.heartbeatLimiter.Release()
-	a := n.answerOrForward(ctx, who, body)
-	if a.Status == http.StatusOK && !a.Repeated {
-		// The answer to a duplicate does not prove that the worker receives this node's
-		// answers, so it is not recorded. If the duplicate overtook the original, the
-		// worker's lease looks shorter than it is, which only raises its priority.
-		n.lastAnswered.Record(who.Machine, time.Now())
+	answer := n.answerOrForward(ctx, header, body)
+	if answer.Status == http.StatusOK && !answer.Repeated {
+		// The answer to a duplicate is not recorded, because it does not prove that the
+		// worker receives this node's answers. If the duplicate overtook the original,
+		// the worker's lease is underestimated. This only raises the worker's priority.
+		n.lastAnswered.Record(header.Machine, time.Now())
 	}
 	if n.workerConnsFull() {
-		// A worker needs a connection only while it sends a heartbeat; idle ones
-		// would use up the sockets that this node needs for its own requests.
+		// A worker needs a connection only while it sends a heartbeat. Idle connections
+		// would take the sockets that this node needs for its own requests.
 		w.Header().Set("Connection", "close")
 	}
-	writeAnswer(w, a)
+	writeAnswer(w, answer)
 }
 
 // workerLeaseLeft estimates how many seconds are left of a worker's lease, from the most
-// recent answer that this node knows of. sinceAnswerS is the age of the last answer as another
-// node knows it, negative if it does not. A worker without a known answer counts as
-// having nothing left, so that it is served first.
+// recent known answer to the worker. sinceAnswerS is the time in seconds since the last answer
+// of the node that forwarded the heartbeat, negative if there is none. If no answer is known,
+// it returns 0, so that the worker is served first. An expired lease is negative.
 func (n *Node) workerLeaseLeft(machine string, sinceAnswerS float64) float64 {
-	if ago, ok := n.lastAnswered.Since(machine, time.Now()); ok && (sinceAnswerS < 0 || ago.Seconds() < sinceAnswerS) {
-		sinceAnswerS = ago.Seconds()
+	if age, ok := n.lastAnswered.Since(machine, time.Now()); ok && (sinceAnswerS < 0 || age.Seconds() < sinceAnswerS) {
+		sinceAnswerS = age.Seconds()
 	}
 	if sinceAnswerS < 0 {
 		return 0
@@ -77,19 +78,21 @@
 	return n.cfg.Cluster.Workers.LeaseS - sinceAnswerS
 }
 
-func redirectTo(leader string) peerrpc.Answer {
-	return newAnswer(http.StatusMisdirectedRequest, wire.Redirect{Leader: leader}, 0)
+// redirectTo returns the answer that redirects a worker to a node. If node is "", the answer
+// names no target.
+func redirectTo(node string) peerrpc.Answer {
+	return newAnswer(http.StatusMisdirectedRequest, wire.Redirect{Leader: node}, 0)
 }
 
-// answerOrForward serves a heartbeat: it answers it if this node leads, and otherwise
-// forwards it to the leader or redirects the worker to another node.
-func (n *Node) answerOrForward(ctx context.Context, who heartbeatHeader, body []byte) peerrpc.Answer {
-	machine := who.Machine
+// answerOrForward answers a heartbeat if this node leads. Otherwise it forwards the heartbeat
+// to the leader or redirects the worker to another node.
+func (n *Node) answerOrForward(ctx context.Context, header heartbeatHeader, body []byte) peerrpc.Answer {
+	machine := header.Machine
 	if l := n.activeLeadership(); l != nil && l.lease.Valid() {
-		if l.isNewHeartbeat(who) { // a delayed duplicate must not redirect its worker
-			if to := n.routeAsLeader(machine); to != "" {
-				n.recordRedirect(machine, to)
-				return redirectTo(to)
+		if l.isNewHeartbeat(header) { // a delayed duplicate must not redirect the worker
+			if target := n.routeAsLeader(machine); target != "" {
+				n.recordRedirect(machine, target)
+				return redirectTo(target)
 			}
 		}
 		return l.answerHeartbeat(ctx, body, -1, n.cfg.Node)
@@ -101,26 +104,26 @@
 	if leader == "" || leader == n.cfg.Node {
 		return redirectTo(n.fallbackNode(machine))
 	}
-	to, pass := n.routeAsFollower(machine, leader)
-	if !pass {
-		n.recordRedirect(machine, to)
-		return redirectTo(to)
+	target, forward := n.routeAsFollower(machine, leader)
+	if !forward {
+		n.recordRedirect(machine, target)
+		return redirectTo(target)
 	}
 	return n.forwardHeartbeat(ctx, machine, leader, body)
 }
 
 // isNewHeartbeat reports whether a heartbeat is newer than the last one that the model has
 // applied for its worker.
-func (l *leadership) isNewHeartbeat(who heartbeatHeader) bool {
+func (l *leadership) isNewHeartbeat(header heartbeatHeader) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.model.IsNewerHeartbeat(who.Machine, who.AgentEpoch, who.Seq)
+	return l.model.IsNewerHeartbeat(header.Machine, header.AgentEpoch, header.Seq)
 }
 
-// answeredRecently reports whether this node answered a worker so recently that its
-// lease survives a redirect which fails.
+// answeredRecently reports whether this node answered a worker so recently that the worker's
+// lease survives a failed redirect.
 func (n *Node) answeredRecently(machine string) bool {
-	w := n.cfg.Cluster.Workers
-	ago, ok := n.lastAnswered.Since(machine, time.Now())
-	return ok && ago < config.Seconds(min(2*w.HeartbeatS+0.5, w.LeaseS/2))
+	workers := n.cfg.Cluster.Workers
+	age, ok := n.lastAnswered.Since(machine, time.Now())
+	return ok && age < config.Seconds(min(2*workers.HeartbeatS+0.5, workers.LeaseS/2))
 }
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -1,3 +1,5 @@
+// The leader's responses to heartbeats.
+
 package controller
 
 import (
@@ -10,114 +12,112 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file makes the leader's responses to heartbeats.
-
-// answerHeartbeat applies a heartbeat and answers it as the leader. receivedBy is the node that
-// received it from the worker, and sinceAnswerS the seconds since that node last relayed an
-// answer to the worker, negative if it does not know.
+// answerHeartbeat applies a heartbeat to the model and answers it as the leader. receivedBy is
+// the node that received the heartbeat from the worker. sinceAnswerS is the time in seconds
+// since that node last relayed an answer to the worker, negative if unknown.
 func (l *leadership) answerHeartbeat(ctx context.Context, body []byte, sinceAnswerS float64, receivedBy string) peerrpc.Answer {
 	unsure := newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "not sure of leading"}, 1)
 	if !l.lease.Valid() {
 		return unsure
 	}
-	var r wire.Heartbeat
-	if err := wire.Unmarshal(body, &r); err != nil || r.Machine == "" || r.AgentEpoch == 0 {
+	var heartbeat wire.Heartbeat
+	if err := wire.Unmarshal(body, &heartbeat); err != nil || heartbeat.Machine == "" || heartbeat.AgentEpoch == 0 {
 		l.log.Info("malformed heartbeat", "err", err)
 		return newAnswer(http.StatusBadRequest, wire.Error{Error: "malformed report"}, 0)
 	}
-	if err := l.heartbeatLimiter.Acquire(ctx, l.node.workerLeaseLeft(r.Machine, sinceAnswerS)); err != nil {
+	if err := l.heartbeatLimiter.Acquire(ctx, l.node.workerLeaseLeft(heartbeat.Machine, sinceAnswerS)); err != nil {
 		return newAnswer(http.StatusServiceUnavailable, wire.Error{Error: "too many reports under way"}, 1)
 	}
 	l.mu.Lock()
 	now := time.Now()
-	if r.Token > l.model.FencingToken {
+	if heartbeat.Token > l.model.FencingToken {
 		l.mu.Unlock()
 		l.heartbeatLimiter.Release()
-		l.log.Info("worker has seen a higher fencing token", "machine", r.Machine, "token", r.Token)
+		l.log.Info("worker has seen a higher fencing token", "machine", heartbeat.Machine, "token", heartbeat.Token)
 		l.lease.Resign()
 		return redirectTo("")
 	}
-	freed := l.model.PlacesFreed
-	mc := l.model.ApplyHeartbeat(&r, now)
-	if mc == nil && l.lease.Valid() {
-		if cmds, ok := l.model.AnswerRetry(&r, receivedBy); ok {
+	placesFreedBefore := l.model.PlacesFreed
+	machine := l.model.ApplyHeartbeat(&heartbeat, now)
+	if machine == nil && l.lease.Valid() {
+		if commands, ok := l.model.AnswerRetry(&heartbeat, receivedBy); ok {
 			l.mu.Unlock()
 			l.heartbeatLimiter.Release()
-			a := l.commandResponse(cmds)
-			a.Repeated = true
-			return a
+			answer := l.commandResponse(commands)
+			answer.Repeated = true
+			return answer
 		}
 	}
-	if mc != nil {
-		l.model.RecordReceivingNode(mc, receivedBy, now)
+	if machine != nil {
+		l.model.RecordReceivingNode(machine, receivedBy, now)
 		if receivedBy == l.node.cfg.Node {
-			// Only a new heartbeat counts: a delayed duplicate does not prove that
+			// Only a new heartbeat counts. A delayed duplicate does not prove that
 			// workers can reach this node now.
 			l.lastDirectHeartbeat = now
 		}
 	}
 	l.heartbeatLimiter.Release()
-	if mc != nil && l.model.PlacesFreed != freed {
-		mc.DelayAnswer()
+	if machine != nil && l.model.PlacesFreed != placesFreedBefore {
+		machine.DelayAnswer()
 		l.awaitSchedulingPass()
-		mc.EndAnswerDelay()
+		machine.EndAnswerDelay()
 	}
-	// Check the leader lease as late as possible: the model counts the worker's lease
-	// from this answer. A worker that has sent a newer heartbeat while this one waited
-	// no longer waits for this answer.
-	if mc == nil || mc.Seq != r.Seq || mc.AgentEpoch != r.AgentEpoch || !l.lease.Valid() {
+	// Check the leader lease as late as possible, because the worker's lease in the model
+	// starts with this answer. A worker that has sent a newer heartbeat in the meantime no
+	// longer waits for this answer.
+	if machine == nil || machine.Seq != heartbeat.Seq || machine.AgentEpoch != heartbeat.AgentEpoch || !l.lease.Valid() {
 		l.mu.Unlock()
 		return unsure
 	}
-	cmds := l.model.AnswerHeartbeat(mc, &r, time.Now())
+	commands := l.model.AnswerHeartbeat(machine, &heartbeat, time.Now())
 	l.mu.Unlock()
 	wake(l.schedulerWake)
 	wake(l.committerWake)
-	return l.commandResponse(cmds)
+	return l.commandResponse(commands)
 }
 
-// commandResponse makes the 200 response that carries cmds. The caller must have checked
-// the leader lease when it made them.
-func (l *leadership) commandResponse(cmds []wire.Command) peerrpc.Answer {
-	if cmds == nil {
-		cmds = []wire.Command{}
+// commandResponse returns the 200 response that carries commands. The caller must have checked
+// the leader lease when the commands were created.
+func (l *leadership) commandResponse(commands []wire.Command) peerrpc.Answer {
+	if commands == nil {
+		commands = []wire.Command{}
 	}
-	return newAnswer(http.StatusOK, wire.HeartbeatAnswer{Token: l.lease.FencingToken, Commands: cmds}, 0)
+	return newAnswer(http.StatusOK, wire.HeartbeatAnswer{Token: l.lease.FencingToken, Commands: commands}, 0)
 }
 
-// maxResponseDelay is how long an answer may be delayed so that it can carry launches
-// for the resources that its heartbeat has freed. Waiting pays off more where the next
-// heartbeat is further away. Workers time out after 4 s.
+// maxResponseDelay returns how long an answer may be delayed so that it can carry launches
+// for the resources that its heartbeat has freed. The delay grows with the heartbeat interval,
+// because without it a launch waits for the next heartbeat. Workers time out after 4 s.
 func (l *leadership) maxResponseDelay() time.Duration {
 	return config.Seconds(min(max(0.4, l.node.cfg.Cluster.Workers.HeartbeatS/4), 1.5))
 }
 
-// awaitSchedulingPass delays an answer, for maxResponseDelay at most, until a scheduling
-// pass has used the resources that the heartbeat freed and its placements are committed.
-// The launch then goes out with this answer instead of the next one, a heartbeat interval
+// awaitSchedulingPass delays an answer, for at most maxResponseDelay, until a scheduling pass
+// has used the resources that the heartbeat freed and its placements are committed. A launch
+// is then sent with this answer instead of the next one, which comes a heartbeat interval
 // later. The caller holds l.mu, which is released during the wait.
 func (l *leadership) awaitSchedulingPass() {
-	target := l.passCount + 1
+	targetPass := l.passCount + 1
 	timer := time.NewTimer(l.maxResponseDelay())
 	defer timer.Stop()
 	wake(l.schedulerWake)
-	for l.passCount < target || l.committing || !l.model.NothingToWrite() {
-		turned := l.progress
+	for l.passCount < targetPass || l.committing || !l.model.NothingToWrite() {
+		progress := l.progress
 		l.mu.Unlock()
-		late := false
+		timedOut := false
 		select {
-		case <-turned:
+		case <-progress:
 		case <-timer.C:
-			late = true
+			timedOut = true
 		}
 		l.mu.Lock()
-		if late {
+		if timedOut {
 			return
 		}
 	}
 }
 
-// broadcastProgress wakes everyone who waits for a scheduling pass or a commit to end.
+// broadcastProgress wakes all goroutines that wait for the end of a scheduling pass or a commit.
 // The caller holds l.mu.
 func (l *leadership) broadcastProgress() {
 	close(l.progress)
--- a/controller/peer_recovery.go
+++ b/controller/peer_recovery.go
@@ -1,3 +1,6 @@
+// Recovery of unreadable records from the memory of the controllers. Each controller may have
+// read a record before it was damaged. repair.go writes the recovered records.
+
 package controller
 
 import (
@@ -12,25 +15,21 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file recovers unreadable records from the memory of the controllers: each of
-// them may have read a record before it was damaged. repair.go writes back what is
-// found here.
-
 const (
-	// repairRetryInterval is how often a leader asks again for copies of records that
-	// it could not repair: a controller that has one may have been unreachable.
+	// repairRetryInterval is how often a leader asks again for copies of records that it
+	// could not repair. A controller that has a copy may have been unreachable before.
 	repairRetryInterval = 5 * time.Second
-	// peerRecoveryTimeout bounds one request for a copy to all controllers.
+	// peerRecoveryTimeout bounds the search for a copy on all controllers.
 	peerRecoveryTimeout = 2 * time.Second
-	// maxRecoveredCopies bounds the copies that are preserved for the next leader, and
-	// the unreadable records reported by peers that wait to be processed.
+	// maxRecoveredCopies bounds the copies that are kept for the next leader. It also bounds
+	// the unprocessed reports of unreadable records from peers.
 	maxRecoveredCopies = 16
-	// maxTrackedRepairs bounds the memory of records for which this node has resigned.
+	// maxTrackedRepairs bounds the records for which this node remembers that it resigned.
 	maxTrackedRepairs = 64 * maxRecoveredCopies
 )
 
-// recordVersion identifies one version of a record. A key has one value in one
-// version, so whoever has read that version knows what was written.
+// recordVersion identifies one version of a record. The value of a version never changes, so
+// a controller that has read the version has the correct value.
 type recordVersion struct {
 	key     string
 	version uint64
@@ -39,20 +38,21 @@
 // unrepairedRecord is a record for which no controller had a copy.
 type unrepairedRecord struct {
 	recordVersion
-	original recordVersion // before it was quarantined under another key
+	original recordVersion // the record before it was quarantined under another key
 }
 
-// repairState is what a node knows about unreadable records beyond one leadership.
-// It has a lock of its own and is safe for concurrent use.
+// repairState holds what a node knows about unreadable records. It outlives the leaderships
+// of the node and is safe for concurrent use.
 type repairState struct {
 	mu         sync.Mutex                               // guards all fields below
-	reported   map[recordVersion]bool                   // peers can't read them
-	attempted  map[recordVersion]bool                   // a leader on this node has resigned for them
-	copies     map[recordVersion]*jobstore.RecoveryCopy // as a leader on this node knew them
-	unrepaired []unrepairedRecord                       // of the leader on this node
+	reported   map[recordVersion]bool                   // records that peers can't read
+	attempted  map[recordVersion]bool                   // records for which a leader on this node has resigned
+	copies     map[recordVersion]*jobstore.RecoveryCopy // copies from the model of a leader on this node
+	unrepaired []unrepairedRecord                       // records that the last leader on this node could not repair
 }
 
-// report notes a record that a peer can't read, while there is room for it.
+// report adds a record that a peer can't read. It drops the report if there are already
+// maxRecoveredCopies unprocessed ones.
 func (m *repairState) report(record recordVersion) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -65,8 +65,8 @@
 	m.reported[record] = true
 }
 
-// takePending returns the records that peers have reported since the last call, and
-// those that the leader could not repair.
+// takePending returns and clears the records that peers have reported since the last call.
+// It also returns the records that the leader could not repair, which it does not clear.
 func (m *repairState) takePending() (reported map[recordVersion]bool, unrepaired []unrepairedRecord) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,8 +80,8 @@
 	m.unrepaired = records
 }
 
-// copyOf returns the kept copy of a record, or of what it was before its quarantine;
-// nil if there is none.
+// copyOf returns the kept copy of a record or of its original before the quarantine, or nil
+// if there is none.
 func (m *repairState) copyOf(record, original recordVersion) *jobstore.RecoveryCopy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -91,7 +91,8 @@
 	return m.copies[original]
 }
 
-// keepCopy keeps what a leader of this node knew of a page for the next leader.
+// keepCopy keeps a copy of a page, from the model of a leader on this node, for the next
+// leader. If there are already maxRecoveredCopies, it drops those.
 func (m *repairState) keepCopy(record recordVersion, c *jobstore.RecoveryCopy) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,20 +102,21 @@
 	m.copies[record] = c
 }
 
-// markAttempted notes that this node resigns for a record; false if it has before.
+// markAttempted records that this node resigns for a record. It returns false if the node
+// has already resigned for this record.
 func (m *repairState) markAttempted(record recordVersion) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.attempted == nil || len(m.attempted) >= maxTrackedRepairs {
 		m.attempted = map[recordVersion]bool{}
 	}
-	before := m.attempted[record]
+	attemptedBefore := m.attempted[record]
 	m.attempted[record] = true
-	return !before
+	return !attemptedBefore
 }
 
-// recordUnreadable records that a peer can't read a record. Only a leader may still have its
-// value in memory and can repair it.
+// recordUnreadable records that a peer can't read a record. It does nothing unless this node
+// leads, because only a leader may have the value in its model.
 func (n *Node) recordUnreadable(key string, version uint64) {
 	if n.activeLeadership() == nil {
 		return
@@ -122,7 +124,7 @@
 	n.repairs.report(recordVersion{key, version})
 }
 
-// recoverLocally returns this node's copy of a record, nil if it has none.
+// recoverLocally returns this node's copy of a record, or nil if it has none.
 func (n *Node) recoverLocally(ctx context.Context, record, original recordVersion) *jobstore.RecoveryCopy {
 	if c := n.repairs.copyOf(record, original); c != nil {
 		return c
@@ -130,17 +132,19 @@
 	return n.jobs.RecoveryCopy(ctx, record.key, record.version)
 }
 
-// RecoverRecord implements peerrpc.Handler.
+// RecoverRecord implements peerrpc.Handler. It answers 200 with this node's copy of a record
+// as a jobstore.RecoveryCopy, or 404 if the node has none.
 func (n *Node) RecoverRecord(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
-	c := n.recoverLocally(ctx, recordVersion{r.ID, r.Version}, recordVersion{r.UnreadableKey, r.UnreadableVersion})
-	if c == nil {
+	found := n.recoverLocally(ctx, recordVersion{r.ID, r.Version}, recordVersion{r.UnreadableKey, r.UnreadableVersion})
+	if found == nil {
 		return peerrpc.Answer{Status: http.StatusNotFound}
 	}
-	return newAnswer(http.StatusOK, c, 0)
+	return newAnswer(http.StatusOK, found, 0)
 }
 
-// recoverCopy returns a copy of a record in one version of it, from this node or from
-// a peer; nil if no controller has one.
+// recoverCopy returns a copy of a version of a record, from this node or from a peer. It
+// returns nil if no controller answers with a copy within peerRecoveryTimeout. original is
+// the record before its quarantine, if any.
 func (n *Node) recoverCopy(ctx context.Context, record, original recordVersion) *jobstore.RecoveryCopy {
 	ctx, cancel := context.WithTimeout(ctx, peerRecoveryTimeout)
 	defer cancel()
@@ -168,16 +172,17 @@
 	}
 }
 
-// retryRepairs looks for copies of records that could not be repaired when this leader
-// was elected, and for records that peers can't read but this leader has in memory. If it
-// finds one it resigns, once for each record, because records are only repaired during the
-// load of a new leader: jobs must not be restored under an active leader.
+// retryRepairs looks for copies of the records that this leader could not repair when it was
+// elected. It also handles the records that peers can't read but this leader has in memory.
+// For each record that can now be repaired, the leader resigns once. Records are only
+// repaired during the load of a new leader, because jobs must not be restored under an active
+// leader.
 func (l *leadership) retryRepairs(ctx context.Context) {
 	for call.Pause(ctx, repairRetryInterval) {
 		reported, unrepaired := l.node.repairs.takePending()
 		for record := range reported {
-			e, err := l.node.kv.Get(ctx, record.key)
-			if err != nil || e.Version != record.version || isReadable(e) {
+			entry, err := l.node.kv.Get(ctx, record.key)
+			if err != nil || entry.Version != record.version || isReadable(entry) {
 				continue
 			}
 			l.preserveCopy(record)
@@ -193,7 +198,7 @@
 	}
 }
 
-// preserveCopy leaves what this leader knows of a page to the next one.
+// preserveCopy keeps the jobs of a page, as this leader's model has them, for the next leader.
 func (l *leadership) preserveCopy(record recordVersion) {
 	l.mu.Lock()
 	jobs, ok := l.model.AdmissionEntries(record.key, record.version)
@@ -203,7 +208,7 @@
 	}
 }
 
-// isReadable tells whether a page of jobs or the schema record can be decoded.
+// isReadable reports whether a page of jobs or the schema record can be decoded.
 func isReadable(e wire.Entry) bool {
 	var err error
 	if e.Key == jobstore.SchemaKey {
@@ -214,8 +219,8 @@
 	return err == nil
 }
 
-// resignForRepair ends this leadership so that the next one repairs a record; false
-// if this node has already done so in vain.
+// resignForRepair resigns so that the next leader repairs a record. It returns false and does
+// not resign if this node has already resigned for the record.
 func (l *leadership) resignForRepair(record recordVersion) bool {
 	if !l.node.repairs.markAttempted(record) {
 		return false
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -1,3 +1,7 @@
+// Repair of unreadable stored records, during the load of a new leader and before it becomes
+// active. docs/jobstore.md ("Repair") explains why no interleaving of requests loses a job or
+// accepts a job twice.
+
 package controller
 
 import (
@@ -14,23 +18,22 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file repairs stored records that can't be read, while a new leader loads them and
-// before it becomes active. docs/jobstore.md ("Repair") argues why no interleaving loses
-// a job or accepts one twice.
-
-// maxRepairRounds is how often a new leader lists the records at most. It lists them again
-// after each repair, and after a repair that conflicted with another controller's change.
+// maxRepairRounds bounds how often a new leader lists the records. It lists them again after
+// each round of repairs, whether these succeeded or conflicted with another controller's
+// changes.
 const maxRepairRounds = 4
 
 // repairer repairs one listing of the active records. Every write is conditional on
 // the leader's fencing token and on the version of the record that it replaces.
 type repairer struct {
-	kv            *kvstore.Client
-	leaderGuard   wire.Guard
-	limits        jobstore.Limits
-	controllers   int
-	findCopy      func(ctx context.Context, record, original recordVersion) *jobstore.RecoveryCopy
-	schemaVersion func(ctx context.Context) (int, error) // the schema to write if it can't be recovered
+	kv          *kvstore.Client
+	leaderGuard wire.Guard
+	limits      jobstore.Limits
+	controllers int
+	// findCopy returns a copy of a record; see Node.recoverCopy.
+	findCopy func(ctx context.Context, record, original recordVersion) *jobstore.RecoveryCopy
+	// schemaVersion returns the version to write if the schema can't be recovered.
+	schemaVersion func(ctx context.Context) (int, error)
 	log           *slog.Logger
 
 	entries    map[string]wire.Entry       // as listed, updated by each commit
@@ -49,8 +52,8 @@
 	}
 }
 
-// listRepaired lists all active records after repairing those that can be repaired. The
-// listing that it returns was made after the last repair.
+// listRepaired repairs the active records where possible. It returns a listing of all active
+// records that was made after the last repair, and the revision of this listing.
 func (l *leadership) listRepaired(ctx context.Context) (entries []wire.Entry, revision uint64, err error) {
 	for range maxRepairRounds {
 		if entries, revision, err = l.node.kv.List(ctx, jobstore.ActivePrefix); err != nil {
@@ -70,19 +73,19 @@
 	return nil, 0, fmt.Errorf("%w: repair of unreadable records: too many conflicts", kvstore.ErrRefused)
 }
 
-// repairAll repairs each unreadable record of a listing. One that the key-value store
-// refuses as invalid does not keep the others from being repaired.
+// repairAll repairs each unreadable record of a listing. If the key-value store rejects a
+// repair as invalid, it continues with the other records.
 func (r *repairer) repairAll(ctx context.Context, entries []wire.Entry) error {
-	for _, e := range entries {
-		r.entries[e.Key] = e
-		if page, err := jobstore.DecodeJobPage(e.Value); err == nil && jobstore.IsJobPageKey(e.Key) {
-			r.pages[e.Key] = page
+	for _, entry := range entries {
+		r.entries[entry.Key] = entry
+		if page, err := jobstore.DecodeJobPage(entry.Value); err == nil && jobstore.IsJobPageKey(entry.Key) {
+			r.pages[entry.Key] = page
 		}
 	}
-	for _, e := range entries {
-		err := r.repairEntry(ctx, e)
+	for _, entry := range entries {
+		err := r.repairEntry(ctx, entry)
 		if errors.Is(err, kvstore.ErrInvalidRequest) {
-			r.log.Error("repair of an unreadable record rejected", "key", e.Key, "err", err)
+			r.log.Error("repair of an unreadable record rejected", "key", entry.Key, "err", err)
 			continue
 		}
 		if err != nil {
@@ -92,25 +95,26 @@
 	return nil
 }
 
-// repairEntry repairs a record by its kind, if it can't be read.
-func (r *repairer) repairEntry(ctx context.Context, e wire.Entry) error {
-	id, isJob := jobstore.ParseJobKey(e.Key)
+// repairEntry repairs a record if it can't be read. Records of other kinds than schema, job,
+// YARN application and job page are left as they are.
+func (r *repairer) repairEntry(ctx context.Context, entry wire.Entry) error {
+	id, isJob := jobstore.ParseJobKey(entry.Key)
 	switch {
-	case e.Key == jobstore.SchemaKey:
-		return r.repairSchemaRecord(ctx, e)
+	case entry.Key == jobstore.SchemaKey:
+		return r.repairSchemaRecord(ctx, entry)
 	case isJob:
-		return r.repairJob(ctx, id, e)
-	case strings.HasPrefix(e.Key, jobstore.AppPrefix):
-		return r.repairYARNApp(ctx, e)
-	case jobstore.IsJobPageKey(e.Key):
-		if _, readable := r.pages[e.Key]; !readable {
-			return r.repairJobPage(ctx, e)
+		return r.repairJob(ctx, id, entry)
+	case strings.HasPrefix(entry.Key, jobstore.AppPrefix):
+		return r.repairYARNApp(ctx, entry)
+	case jobstore.IsJobPageKey(entry.Key):
+		if _, readable := r.pages[entry.Key]; !readable {
+			return r.repairJobPage(ctx, entry)
 		}
 	}
 	return nil
 }
 
-// commit writes under this leadership and applies what it has written to the listing.
+// commit writes under the fencing token and applies the changes to the listing.
 func (r *repairer) commit(ctx context.Context, guards []wire.Guard, ops ...wire.Op) error {
 	revision, err := r.kv.CompareAndSwap(ctx, append([]wire.Guard{r.leaderGuard}, guards...), ops)
 	if err != nil {
@@ -130,23 +134,23 @@
 	return nil
 }
 
-// repairJob replaces an unreadable job record by the copy that some controller still has
-// in memory, if there is one.
-func (r *repairer) repairJob(ctx context.Context, id string, e wire.Entry) error {
-	if isJobRecord(id, e.Value) {
+// repairJob replaces an unreadable job record by a copy from the memory of a controller. If
+// no controller has a copy, the record is added to unrepaired.
+func (r *repairer) repairJob(ctx context.Context, id string, entry wire.Entry) error {
+	if isJobRecord(id, entry.Value) {
 		return nil
 	}
-	record := recordVersion{e.Key, e.Version}
-	copied := r.findCopy(ctx, record, recordVersion{})
-	if copied == nil {
+	record := recordVersion{entry.Key, entry.Version}
+	found := r.findCopy(ctx, record, recordVersion{})
+	if found == nil {
 		r.unrepaired = append(r.unrepaired, unrepairedRecord{recordVersion: record})
 		return nil
 	}
-	if !isJobRecord(id, copied.Value) {
-		return nil // no better than what is stored, and asking again would not help
+	if !isJobRecord(id, found.Value) {
+		return nil // the copy is unreadable as well; asking again would not help
 	}
-	r.log.Error("unreadable job record repaired from a recovered copy", "key", e.Key)
-	return r.commit(ctx, versionGuard(e), wire.Op{Put: e.Key, Value: copied.Value})
+	r.log.Error("unreadable job record repaired from a recovered copy", "key", entry.Key)
+	return r.commit(ctx, versionGuard(entry), wire.Op{Put: entry.Key, Value: found.Value})
 }
 
 func isJobRecord(id string, value wire.Raw) bool {
@@ -154,46 +158,48 @@
 	return err == nil
 }
 
-// repairYARNApp replaces an unreadable record of the YARN interface by the copy that some
-// controller still has in memory, if there is one.
-func (r *repairer) repairYARNApp(ctx context.Context, e wire.Entry) error {
-	if jobstore.IsAppValue(e.Value) {
+// repairYARNApp replaces an unreadable record of the YARN interface by a copy from the memory
+// of a controller. If no controller has a readable copy, the record is added to unrepaired.
+func (r *repairer) repairYARNApp(ctx context.Context, entry wire.Entry) error {
+	if jobstore.IsAppValue(entry.Value) {
 		return nil
 	}
-	record := recordVersion{e.Key, e.Version}
-	copied := r.findCopy(ctx, record, recordVersion{})
-	if copied == nil || !jobstore.IsAppValue(copied.Value) {
+	record := recordVersion{entry.Key, entry.Version}
+	found := r.findCopy(ctx, record, recordVersion{})
+	if found == nil || !jobstore.IsAppValue(found.Value) {
 		r.unrepaired = append(r.unrepaired, unrepairedRecord{recordVersion: record})
 		return nil
 	}
-	r.log.Error("unreadable YARN record repaired from a recovered copy", "key", e.Key)
-	return r.commit(ctx, versionGuard(e), wire.Op{Put: e.Key, Value: copied.Value})
+	r.log.Error("unreadable YARN record repaired from a recovered copy", "key", entry.Key)
+	return r.commit(ctx, versionGuard(entry), wire.Op{Put: entry.Key, Value: found.Value})
 }
 
+// versionGuard returns the condition that an entry has not changed.
 func versionGuard(e wire.Entry) []wire.Guard { return []wire.Guard{{Key: e.Key, Version: e.Version}} }
 
-// repairSchemaRecord writes the schema record and its stored copy again.
-func (r *repairer) repairSchemaRecord(ctx context.Context, e wire.Entry) error {
-	if _, err := jobstore.DecodeSchema(e.Value); err == nil {
+// repairSchemaRecord rewrites an unreadable schema record and its stored copy. It returns
+// jobstore.ErrNewerSchema if the recovered schema is newer than this program can read.
+func (r *repairer) repairSchemaRecord(ctx context.Context, entry wire.Entry) error {
+	if _, err := jobstore.DecodeSchema(entry.Value); err == nil {
 		return nil
 	}
-	schema, err := r.recoverSchema(ctx, e)
+	schema, err := r.recoverSchema(ctx, entry)
 	if err != nil {
 		return err
 	}
 	if schema.Version > jobstore.LatestSchema {
 		return jobstore.ErrNewerSchema
 	}
-	r.log.Error("unreadable schema record repaired", "key", e.Key, "schema", schema.Version, "buckets", schema.Buckets)
-	return r.commit(ctx, versionGuard(e),
+	r.log.Error("unreadable schema record repaired", "key", entry.Key, "schema", schema.Version, "buckets", schema.Buckets)
+	return r.commit(ctx, versionGuard(entry),
 		wire.Op{Put: jobstore.SchemaKey, Value: schema}, wire.Op{Put: jobstore.SchemaCopyKey, Value: schema})
 }
 
-// recoverSchema returns the schema from the first source that has it: a controller's
-// memory, the stored copy, or an inference from the other records.
-func (r *repairer) recoverSchema(ctx context.Context, e wire.Entry) (jobstore.SchemaRecord, error) {
-	if copied := r.findCopy(ctx, recordVersion{e.Key, e.Version}, recordVersion{}); copied != nil {
-		if schema, err := jobstore.DecodeSchema(copied.Value); err == nil {
+// recoverSchema returns the schema from a controller's memory, or else from the stored copy.
+// If neither has it, the schema is inferred from the other records.
+func (r *repairer) recoverSchema(ctx context.Context, entry wire.Entry) (jobstore.SchemaRecord, error) {
+	if found := r.findCopy(ctx, recordVersion{entry.Key, entry.Version}, recordVersion{}); found != nil {
+		if schema, err := jobstore.DecodeSchema(found.Value); err == nil {
 			return schema, nil
 		}
 	}
@@ -204,8 +210,8 @@
 	if schema, err := jobstore.DecodeSchema(stored.Value); err == nil {
 		return schema, nil
 	}
-	// Without a readable copy the schema is not newer than this program's: any program
-	// with a newer schema also writes the copy.
+	// Any program with a newer schema also writes the stored copy. Without a readable copy,
+	// the schema is therefore not newer than this program's.
 	version, err := r.schemaVersion(ctx)
 	if err != nil {
 		return jobstore.SchemaRecord{}, err
@@ -213,64 +219,65 @@
 	return jobstore.SchemaRecord{Version: version, Buckets: jobstore.InferBuckets(r.pages, r.controllers)}, nil
 }
 
-// repairJobPage quarantines an unreadable page of jobs and restores the jobs that some
-// controller has a copy of.
-func (r *repairer) repairJobPage(ctx context.Context, e wire.Entry) error {
-	record := recordVersion{e.Key, e.Version}
-	quarantined, already := jobstore.DecodeQuarantinedPage(e.Value)
+// repairJobPage quarantines an unreadable page of jobs. If a controller has a copy of the
+// page, it restores the jobs from the copy. Otherwise the page is added to unrepaired.
+func (r *repairer) repairJobPage(ctx context.Context, entry wire.Entry) error {
+	record := recordVersion{entry.Key, entry.Version}
+	quarantined, isQuarantined := jobstore.DecodeQuarantinedPage(entry.Value)
 	original := recordVersion{quarantined.OriginalKey, quarantined.OriginalVersion}
-	if !already {
+	if !isQuarantined {
 		original = record
 	}
-	copied := r.findCopy(ctx, record, original)
-	key := e.Key
-	if !already {
-		bucket, sequence, ok := jobstore.ParseJobPageKey(e.Key)
+	found := r.findCopy(ctx, record, original)
+	key := entry.Key
+	if !isQuarantined {
+		bucket, sequence, ok := jobstore.ParseJobPageKey(entry.Key)
 		if !ok {
 			return nil // not a key of a job page
 		}
-		quarantined = jobstore.NewQuarantinedPage(e.Key, e.Version, time.Now().UnixMilli(), e.Value, r.limits)
-		r.log.Error("unreadable job page quarantined", "key", e.Key, "version", e.Version, "recoverable", copied != nil)
+		quarantined = jobstore.NewQuarantinedPage(entry.Key, entry.Version, time.Now().UnixMilli(), entry.Value, r.limits)
+		r.log.Error("unreadable job page quarantined", "key", entry.Key, "version", entry.Version, "recoverable", found != nil)
 		var err error
-		if key, err = r.quarantine(ctx, e, bucket, sequence, quarantined); err != nil {
+		if key, err = r.quarantine(ctx, entry, bucket, sequence, quarantined); err != nil {
 			return err
 		}
 	}
-	if copied == nil {
+	if found == nil {
 		r.unrepaired = append(r.unrepaired, unrepairedRecord{recordVersion{key, r.entries[key].Version}, original})
 		return nil
 	}
-	return r.restoreJobs(ctx, key, quarantined, copied.Entries)
+	return r.restoreJobs(ctx, key, quarantined, found.Entries)
 }
 
-// quarantine stores the quarantined form of a page and returns its key. A sealed page
-// keeps its key. A bucket's head page, which has no sequence number, moves to the key of
-// a new sealed page and is replaced by an empty, closed head. The new sequence number is
-// above all existing ones, so that no page is overwritten. The page comes before the head
-// in the transaction, so that readers of the change see it first.
-func (r *repairer) quarantine(ctx context.Context, e wire.Entry, bucket int, sequence uint64, page jobstore.QuarantinedPage) (key string, err error) {
+// quarantine stores the quarantined form of a page and returns its key. A sealed page keeps
+// its key. A bucket's head page has no sequence number. It moves to the key of a new sealed
+// page and is replaced by an empty, closed head. The new sequence number is above all
+// existing ones, so that no page is overwritten. In the transaction the sealed page precedes
+// the head, so that readers of the change see the page first.
+func (r *repairer) quarantine(ctx context.Context, entry wire.Entry, bucket int, sequence uint64, page jobstore.QuarantinedPage) (key string, err error) {
 	if sequence > 0 {
-		return e.Key, r.commit(ctx, versionGuard(e), wire.Op{Put: e.Key, Value: page})
+		return entry.Key, r.commit(ctx, versionGuard(entry), wire.Op{Put: entry.Key, Value: page})
 	}
-	sequence = max(r.highestSequence(bucket), e.Version) + 1
+	sequence = max(r.highestSequence(bucket), entry.Version) + 1
 	key = jobstore.SealedPageKey(bucket, sequence)
-	err = r.commit(ctx, versionGuard(e), wire.Op{Put: key, Value: page},
-		wire.Op{Put: e.Key, Value: jobstore.JobPage{LastSealed: sequence, Closed: true}})
+	err = r.commit(ctx, versionGuard(entry), wire.Op{Put: key, Value: page},
+		wire.Op{Put: entry.Key, Value: jobstore.JobPage{LastSealed: sequence, Closed: true}})
 	return key, err
 }
 
-// highestSequence returns the highest number of a bucket's sealed pages.
+// highestSequence returns the highest sequence number of a bucket's sealed pages, 0 if there
+// are none. It includes numbers that only the pages' LastSealed fields mention.
 func (r *repairer) highestSequence(bucket int) (highest uint64) {
 	for key := range r.entries {
-		if b, sequence, ok := jobstore.ParseJobPageKey(key); ok && b == bucket {
+		if pageBucket, sequence, ok := jobstore.ParseJobPageKey(key); ok && pageBucket == bucket {
 			highest = max(highest, sequence, r.pages[key].LastSealed)
 		}
 	}
 	return highest
 }
 
-// hasReadableRecord reports whether a job has a record of its own or an entry on a
-// readable page, so that it need not be restored.
+// hasReadableRecord reports whether a job has a record of its own or an entry on a readable
+// page. Such a job need not be restored.
 func (r *repairer) hasReadableRecord(id string) bool {
 	if _, ok := r.entries[jobstore.JobKey(id)]; ok {
 		return true
@@ -287,9 +294,9 @@
 
 // restoreJobs moves the jobs of a quarantined page to new readable pages, in batches that
 // fit into a transaction. Two conditions per job ensure that it has neither ended nor been
-// accepted again in the meantime. Every transaction also changes the quarantined page:
-// cancelling one of its jobs is conditional on the version of that page, and must conflict
-// with a restore.
+// accepted again in the meantime. Every transaction also changes the quarantined page,
+// because a concurrent cancellation of one of its jobs must conflict with the restore. A
+// cancellation is conditional on the version of the quarantined page.
 func (r *repairer) restoreJobs(ctx context.Context, key string, quarantined jobstore.QuarantinedPage, jobs []jobstore.JobPageEntry) error {
 	batchSize := (4*r.limits.TxnOps - 3) / 2
 	var rest []jobstore.JobPageEntry
@@ -321,8 +328,8 @@
 	}
 }
 
-// restoreBatch commits one batch of restored jobs, if there are any, on a new sealed page,
-// together with pageChange, the update or deletion of the quarantined page.
+// restoreBatch commits pageChange, the update or deletion of the quarantined page, together
+// with a new sealed page that holds the jobs of the batch. An empty batch adds no page.
 func (r *repairer) restoreBatch(ctx context.Context, key string, batch []jobstore.JobPageEntry, pageChange wire.Op) error {
 	bucket, _, _ := jobstore.ParseJobPageKey(key)
 	headKey := jobstore.HeadPageKey(bucket)
@@ -341,8 +348,8 @@
 	return r.commit(ctx, guards, append(ops, pageChange)...)
 }
 
-// withoutConflicts removes the jobs whose own conditions made a transaction fail: they
-// have ended or were accepted again, and need no restoring.
+// withoutConflicts returns jobs without those whose own conditions made the transaction
+// fail. These jobs have ended or were accepted again, so they need not be restored.
 func withoutConflicts(jobs []jobstore.JobPageEntry, err error) []jobstore.JobPageEntry {
 	var conflict *kvstore.ConflictError
 	if !errors.As(err, &conflict) {
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -1,3 +1,6 @@
+// The state on which the stateless package routing bases its decisions: the leader's routing
+// plan, the nodes that can forward heartbeats, and the latest redirects of workers.
+
 package controller
 
 import (
@@ -14,60 +17,68 @@
 	"github.com/umberdeal/umberdeal/routing"
 )
 
-// This file holds the state on which package routing, itself stateless, decides: the
-// leader's routing plan, which nodes can forward heartbeats, and which workers were
-// redirected where.
-
 const (
 	routingPlanInterval = 500 * time.Millisecond
 	// routingPlanTTL is how long a routing plan, or a relay's last status request, stays
 	// valid.
 	routingPlanTTL = 2500 * time.Millisecond
-	// balancingPauseAfterElection is how long after a change of leader no worker is redirected to
-	// balance connections: until then, answering every worker takes precedence.
+	// balancingPauseAfterElection is how long after a change of leader no worker is
+	// redirected to balance connections. During this time, answering all workers takes
+	// precedence.
 	balancingPauseAfterElection = 10 * time.Second
-	// maxTrackedWorkers bounds the memory for workers that were redirected.
+	// maxTrackedWorkers bounds the number of workers whose last redirect or answer is
+	// remembered.
 	maxTrackedWorkers = 20000
 )
 
-// Shares of a node's sockets. Users' connections beyond userConnShare are closed after
-// their response; what connShare leaves is reserved for the node's own requests.
+// Shares of a node's sockets.
 const (
+	// userConnShare is the share beyond which users' connections are closed after the
+	// response.
 	userConnShare = 0.25
-	connShare     = 0.8
-	// waitingConnShare is the share up to which a node lets heartbeats wait for a leader
-	// to be elected: beyond it, waiting ones would leave no socket for new connections.
+	// connShare bounds the accepted connections. The rest is reserved for the node's own
+	// requests.
+	connShare = 0.8
+	// waitingConnShare is the share up to which heartbeats may wait for the election of a
+	// leader. Beyond this share, waiting heartbeats would leave no socket for new
+	// connections.
 	waitingConnShare = 0.6
 )
 
+// redirectRecord is the last redirect of a worker.
 type redirectRecord struct {
-	node string
+	node string // the node that the worker was redirected to
 	at   time.Time
 }
 
+// relayCandidate is a node that offers to forward workers' heartbeats to the leader.
 type relayCandidate struct {
-	capacity int
-	at       time.Time
+	capacity int       // how many workers' connections it can hold
+	at       time.Time // of its last status request
 }
 
-// forwardingCounts counts what a node has done with workers' heartbeats since it started.
+// forwardingCounts counts heartbeats since the start of the node: those forwarded to the
+// leader, those that could not be forwarded, and the workers redirected to balance
+// connections.
 type forwardingCounts struct {
 	forwarded, failed, redirected uint64
 }
 
-func (n *Node) countForwarding(f func(*forwardingCounts)) {
+func (n *Node) countForwarding(update func(*forwardingCounts)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	f(&n.forwarding)
+	update(&n.forwarding)
 }
 
-// adoptedPlan is a routing plan together with when this node received it.
+// adoptedPlan is a routing plan with the time at which this node received it.
 type adoptedPlan struct {
 	routing.Plan
 	receivedAt  time.Time
-	leaderSince time.Time // when this node first saw its leader's token
+	leaderSince time.Time // when this node first saw the leader's fencing token
 }
 
+// newMoveLimiter returns the limiter of redirects per second that balance connections.
+// adoptRoutingPlan adjusts its rate to the number of workers.
 func newMoveLimiter() *rate.Limiter { return rate.NewLimiter(20, 20) }
 
 // publishRoutingPlan recomputes the routing plan periodically while this node leads, and
@@ -87,9 +98,9 @@
 		l.mu.Unlock()
 		var relays []routing.Node
 		n.mu.Lock()
-		for name, a := range n.relayCandidates {
-			if now.Sub(a.at) < routingPlanTTL && a.capacity > 0 {
-				relays = append(relays, routing.Node{Name: name, Room: a.capacity})
+		for name, candidate := range n.relayCandidates {
+			if now.Sub(candidate.at) < routingPlanTTL && candidate.capacity > 0 {
+				relays = append(relays, routing.Node{Name: name, Room: candidate.capacity})
 			}
 		}
 		n.mu.Unlock()
@@ -97,41 +108,44 @@
 	}
 }
 
-// adoptRoutingPlan makes a plan the current one. The rate of redirects follows the number
-// of workers: redirecting a whole large fleet takes about half a minute at least, so that
-// no node is flooded with new connections.
-func (n *Node) adoptRoutingPlan(p routing.Plan, now time.Time) {
+// adoptRoutingPlan makes a plan the current one. It sets the rate of redirects in proportion
+// to the number of workers. Redirecting all workers of a large cluster takes at least about
+// half a minute, so that no node is flooded with new connections.
+func (n *Node) adoptRoutingPlan(plan routing.Plan, now time.Time) {
 	since := now
-	if old := n.routingPlan.Load(); old != nil && old.Token == p.Token && old.Leader == p.Leader {
+	if old := n.routingPlan.Load(); old != nil && old.Token == plan.Token && old.Leader == plan.Leader {
 		since = old.leaderSince
 	}
-	n.moveLimiter.SetLimitAt(now, rate.Limit(max(20, float64(p.Workers)/30)))
-	n.routingPlan.Store(&adoptedPlan{Plan: p, receivedAt: now, leaderSince: since})
+	n.moveLimiter.SetLimitAt(now, rate.Limit(max(20, float64(plan.Workers)/30)))
+	n.routingPlan.Store(&adoptedPlan{Plan: plan, receivedAt: now, leaderSince: since})
 }
 
-// currentRoutingPlan returns the plan of the given leader, or nil if there is none or it
-// has expired.
+// currentRoutingPlan returns the routing plan of the given leader. It returns nil if there is
+// none or it has expired.
 func (n *Node) currentRoutingPlan(leader string) *adoptedPlan {
-	p := n.routingPlan.Load()
-	if p == nil || p.Leader != leader || time.Since(p.receivedAt) > routingPlanTTL {
+	plan := n.routingPlan.Load()
+	if plan == nil || plan.Leader != leader || time.Since(plan.receivedAt) > routingPlanTTL {
 		return nil
 	}
-	return p
+	return plan
 }
 
+// workerHistory returns what this node knows of its latest contacts with a worker.
 func (n *Node) workerHistory(machine string) routing.WorkerHistory {
-	var g routing.WorkerHistory
+	var history routing.WorkerHistory
 	now := time.Now()
 	n.mu.Lock()
-	if sent, ok := n.redirects[machine]; ok {
-		g.RedirectedTo, g.SinceRedirect = sent.node, now.Sub(sent.at)
+	if redirect, ok := n.redirects[machine]; ok {
+		history.RedirectedTo, history.SinceRedirect = redirect.node, now.Sub(redirect.at)
 	}
 	n.mu.Unlock()
 	ago, ok := n.lastAnswered.Since(machine, now)
-	g.ServedHere = ok && ago < config.Seconds(n.cfg.Cluster.Workers.LeaseS)
-	return g
+	history.ServedHere = ok && ago < config.Seconds(n.cfg.Cluster.Workers.LeaseS)
+	return history
 }
 
+// recordRedirect records that a worker is now redirected to the node named to. If
+// maxTrackedWorkers are recorded, it forgets all of them first.
 func (n *Node) recordRedirect(machine, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -141,8 +155,8 @@
 	n.redirects[machine] = redirectRecord{node: to, at: time.Now()}
 }
 
-// routeAsFollower decides what a follower does with a worker's heartbeat: forward it to
-// the leader, or redirect the worker to another node.
+// routeAsFollower decides whether a follower forwards a worker's heartbeat to the leader. If
+// forward is false, the worker is redirected to the node redirectTo.
 func (n *Node) routeAsFollower(machine, leader string) (redirectTo string, forward bool) {
 	stream := n.peerStream(leader)
 	routingPlan := n.currentRoutingPlan(leader)
@@ -156,8 +170,9 @@
 	if route.Forward || !history.ServedHere || plan == nil || !plan.UsesRelays() {
 		return route.RedirectTo, route.Forward
 	}
-	// A worker that is already served here is moved only to balance connections. That can
-	// wait until no election is recent, the worker's lease is fresh and the rate allows it.
+	// A worker that is already served here is only redirected to balance connections. This
+	// redirect is postponed after an election, if the worker's lease is not fresh, and if
+	// the rate limit is reached.
 	if time.Since(routingPlan.leaderSince) < balancingPauseAfterElection || !n.answeredRecently(machine) || !n.moveLimiter.Allow() {
 		return "", true
 	}
@@ -165,14 +180,14 @@
 	return route.RedirectTo, false
 }
 
-// routeAsLeader returns the node to which the leader redirects a worker that has sent it
-// a heartbeat directly, or "" to answer it here.
+// routeAsLeader returns the node to which the leader redirects a worker that has sent a
+// heartbeat to it directly. It returns "" if the leader is to answer the heartbeat itself.
 func (n *Node) routeAsLeader(machine string) string {
-	p := n.currentRoutingPlan(n.cfg.Node)
-	if p == nil || n.connLimiter == nil || time.Since(p.leaderSince) < balancingPauseAfterElection {
+	plan := n.currentRoutingPlan(n.cfg.Node)
+	if plan == nil || n.connLimiter == nil || time.Since(plan.leaderSince) < balancingPauseAfterElection {
 		return ""
 	}
-	to := routing.RedirectFromLeader(routing.LeaderInput{Worker: machine, Plan: &p.Plan, History: n.workerHistory(machine),
+	to := routing.RedirectFromLeader(routing.LeaderInput{Worker: machine, Plan: &plan.Plan, History: n.workerHistory(machine),
 		OpenConns: n.connLimiter.Count(admission.KindWorker), LeaseFresh: n.answeredRecently(machine)})
 	if to == "" || !n.moveLimiter.Allow() {
 		return ""
@@ -211,36 +226,37 @@
 }
 
 func (n *Node) peerStream(name string) *peerrpc.HeartbeatStream {
-	for _, l := range n.peerStreams {
-		if l.Name == name {
-			return l
+	for _, stream := range n.peerStreams {
+		if stream.Name == name {
+			return stream
 		}
 	}
 	return nil
 }
 
-// statusRequest is the request with which this node asks a peer for its status. It
-// offers the node as a relay with its capacity, and asks for help with a record that this
-// node can't read, if there is one.
+// statusRequest returns the request with which this node asks a peer for its status. The
+// request also offers this node as a relay with its capacity. If this node can't read a
+// record, the request reports this record to the peer.
 func (n *Node) statusRequest() peerrpc.Request {
-	lost, at := n.jobs.UnreadableKey()
-	return peerrpc.Request{From: n.cfg.Node, ConnCapacity: routing.MaxWorkerConns(n.cfg.Cluster.Limits.Sockets), UnreadableKey: lost, UnreadableVersion: at}
+	key, version := n.jobs.UnreadableKey()
+	return peerrpc.Request{From: n.cfg.Node, ConnCapacity: routing.MaxWorkerConns(n.cfg.Cluster.Limits.Sockets), UnreadableKey: key, UnreadableVersion: version}
 }
 
-// Status implements peerrpc.Handler. Besides answering, it records what the request says
-// of the asking node.
-func (n *Node) Status(asks peerrpc.Request) peerrpc.Status {
-	if asks.From != "" && n.peerStream(asks.From) != nil {
+// Status implements peerrpc.Handler. It returns this node's status, with the routing plan if
+// this node leads. It also records the relay capacity of the sender and the record that the
+// sender can't read.
+func (n *Node) Status(request peerrpc.Request) peerrpc.Status {
+	if request.From != "" && n.peerStream(request.From) != nil {
 		n.mu.Lock()
-		n.relayCandidates[asks.From] = relayCandidate{capacity: asks.ConnCapacity, at: time.Now()}
+		n.relayCandidates[request.From] = relayCandidate{capacity: request.ConnCapacity, at: time.Now()}
 		n.mu.Unlock()
 	}
-	if asks.UnreadableKey != "" {
-		n.recordUnreadable(asks.UnreadableKey, asks.UnreadableVersion)
+	if request.UnreadableKey != "" {
+		n.recordUnreadable(request.UnreadableKey, request.UnreadableVersion)
 	}
-	s := peerrpc.Status{Node: n.cfg.Node, Leader: n.elector.Leader(), StoreReachable: n.kvReachable(), SchemaVersion: n.schemaVersion()}
-	if p := n.currentRoutingPlan(n.cfg.Node); p != nil && n.isLeader() {
-		s.Plan = &p.Plan
+	status := peerrpc.Status{Node: n.cfg.Node, Leader: n.elector.Leader(), StoreReachable: n.kvReachable(), SchemaVersion: n.schemaVersion()}
+	if plan := n.currentRoutingPlan(n.cfg.Node); plan != nil && n.isLeader() {
+		status.Plan = &plan.Plan
 	}
-	return s
+	return status
 }
