--- a/controller/direct_commands.go
+++ b/controller/direct_commands.go
@@ -1,3 +1,5 @@
+// Commands that the leader sends directly to workers, between their heartbeats.
+
 package controller
 
 import (
@@ -5,9 +7,9 @@
 	"time"
 )
 
-// sendDirectStops sends stops to the workers' own addresses, so that they arrive before
-// the response to the next heartbeat. A direct command may be executed late, which is
-// safe for a stop.
+// sendDirectStops sends stops to the workers' own addresses, so that they arrive before the
+// response to the next heartbeat. A direct command may be executed late. For a stop this is
+// safe.
 func (l *leadership) sendDirectStops(ctx context.Context) {
 	if !l.lease.Valid() {
 		return
@@ -15,57 +17,57 @@
 	l.mu.Lock()
 	batch := l.model.StopPushes(time.Now())
 	l.mu.Unlock()
-	for _, d := range batch {
+	for _, push := range batch {
 		select {
 		case l.stopSlots <- struct{}{}:
 		default:
-			continue // the response to the next heartbeat carries them
+			continue // the response to the next heartbeat carries the stops
 		}
 		l.node.directCommands.Go(func() {
 			defer func() { <-l.stopSlots }()
-			r, done, err := l.node.workerClient.Command(ctx, d.Addr, d.Commands)
+			result, executed, err := l.node.workerClient.Command(ctx, push.Addr, push.Commands)
 			if err != nil {
-				l.log.Debug("direct stop failed", "machine", d.Machine, "err", err)
+				l.log.Debug("direct stop failed", "machine", push.Machine, "err", err)
 				return
 			}
-			l.log.Debug("direct stop sent", "machine", d.Machine, "executed", done, "seq", r.Seq)
+			l.log.Debug("direct stop sent", "machine", push.Machine, "executed", executed, "seq", result.Seq)
 		})
 	}
 }
 
-// wakeUpTimeout is how long a worker may take to answer a wake-up. A worker that hangs
-// must not occupy a slot for long; a wake-up that is executed later does no harm.
+// wakeUpTimeout is how long a worker may take to answer a wake-up, so that a worker that hangs
+// does not occupy a slot for long. A wake-up that is executed later does no harm.
 const wakeUpTimeout = time.Second
 
-// wakeWorkers makes workers for which launches are ready send a heartbeat now, since
-// launches travel only in responses to heartbeats. The number in progress is bounded by
-// wakeUpSlots; each one that ends starts the next, because dropping the excess would
-// leave much of a large burst waiting for regular heartbeats.
+// wakeWorkers makes workers for which launches are ready send a heartbeat now, because
+// launches are only sent in responses to heartbeats. wakeUpSlots bounds the wake-ups in
+// progress. When one ends, it starts others that are due. If the excess was dropped instead,
+// much of a large burst would wait for regular heartbeats.
 func (l *leadership) wakeWorkers(ctx context.Context) {
 	if !l.lease.Valid() {
 		return
 	}
-	// Where wake-ups are disabled the model is still asked, for none, because asking
-	// removes launched tasks from its list.
-	most := 0
+	// If wake-ups are disabled, the model is still called with a maximum of 0, because the
+	// call removes launched tasks from its list.
+	maxWakeUps := 0
 	l.mu.Lock()
 	if l.node.tuning.Launches.WakeWorkers {
-		most = cap(l.wakeUpSlots) - len(l.wakeUpSlots)
+		maxWakeUps = cap(l.wakeUpSlots) - len(l.wakeUpSlots)
 	}
-	batch := l.model.WakeUps(most, time.Now())
+	batch := l.model.WakeUps(maxWakeUps, time.Now())
 	for range batch {
-		// Never blocks: slots are taken under l.mu only, and len(batch) were free
-		// above. Taken outside the lock, two callers could count on the same slots,
-		// and the wake-ups left without one would wait for the model's retry delay.
+		// This never blocks. Slots are only acquired under l.mu, and len(batch) were
+		// free above. Without the lock, two callers could count the same free slots.
+		// The wake-ups left without a slot would wait for the model's retry delay.
 		l.wakeUpSlots <- struct{}{}
 	}
 	l.mu.Unlock()
-	for _, d := range batch {
+	for _, wakeUp := range batch {
 		l.node.directCommands.Go(func() {
-			within, cancel := context.WithTimeout(ctx, wakeUpTimeout)
+			wakeUpCtx, cancel := context.WithTimeout(ctx, wakeUpTimeout)
 			defer cancel()
-			if _, done, err := l.node.workerClient.Command(within, d.Addr, d.Commands); err != nil || !done {
-				l.log.Debug("wake-up not executed", "machine", d.Machine, "executed", done, "err", err)
+			if _, executed, err := l.node.workerClient.Command(wakeUpCtx, wakeUp.Addr, wakeUp.Commands); err != nil || !executed {
+				l.log.Debug("wake-up not executed", "machine", wakeUp.Machine, "executed", executed, "err", err)
 			}
 			<-l.wakeUpSlots
 			l.wakeWorkers(ctx)
--- a/controller/feasibility.go
+++ b/controller/feasibility.go
@@ -1,3 +1,5 @@
+// Rejection of submitted jobs that could never run.
+
 package controller
 
 import (
@@ -10,74 +12,73 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file refuses jobs that could never run.
-
-// Sums of quantities given as decimals differ a little from their limits although they
-// are meant to be equal.
+// Tolerances for rounding errors: a sum of decimal quantities may differ slightly from the
+// limit that it is meant to equal.
 const (
 	quotaTolerance    = 1e-6
 	capacityTolerance = 1e-9
 )
 
-// checkFeasible tells whether a job can ever run. Where it returns an error, the status
-// is 422 if the job can't, and 503 if that is not known yet.
-func (n *Node) checkFeasible(j *wire.Job) (status int, err error) {
-	if err := n.checkQuota(j); err != nil {
+// checkFeasible returns an error unless the job can run in this cluster. With an error, status
+// is 422 if the job can never run, and 503 if the machine types are not known yet. Without an
+// error, status is 0.
+func (n *Node) checkFeasible(job *wire.Job) (status int, err error) {
+	if err := n.checkQuota(job); err != nil {
 		return http.StatusUnprocessableEntity, err
 	}
 	types := n.machineTypes()
 	if types == nil {
 		return http.StatusServiceUnavailable, errors.New("the machine types are not known yet")
 	}
-	zones := zonesThatFit(types, j)
+	zones := zonesThatFit(types, job)
 	if zones == 0 {
 		return http.StatusUnprocessableEntity, errors.New("a task fits no allowed machine type")
 	}
 	// A spread job has at most half of its tasks, rounded up, in one zone.
-	if j.Spread && j.Kind != wire.KindArray && zones*int(math.Ceil(float64(j.Tasks)/2)) < j.Tasks {
+	if job.Spread && job.Kind != wire.KindArray && zones*int(math.Ceil(float64(job.Tasks)/2)) < job.Tasks {
 		return http.StatusUnprocessableEntity, errors.New("cannot be spread over the zones it may use")
 	}
 	return 0, nil
 }
 
-// checkQuota returns an error if the tasks that must run together exceed the limit of
-// their team, or if there is no such team. The tasks of an array run one by one.
-func (n *Node) checkQuota(j *wire.Job) error {
+// checkQuota returns an error if the tasks that must run at the same time exceed the limits of
+// the job's team, or if the team is unknown. The tasks of an array can run one at a time.
+func (n *Node) checkQuota(job *wire.Job) error {
 	known := false
-	for _, t := range n.cfg.Cluster.Teams {
-		if t.Name != j.Team {
+	for _, team := range n.cfg.Cluster.Teams {
+		if team.Name != job.Team {
 			continue
 		}
 		known = true
-		together := 1.0
-		if j.Kind != wire.KindArray {
-			together = float64(j.Tasks)
+		concurrentTasks := 1.0
+		if job.Kind != wire.KindArray {
+			concurrentTasks = float64(job.Tasks)
 		}
-		tooManyCPUs := t.CPUsMax > 0 && j.CPUs*together > t.CPUsMax+quotaTolerance
-		tooManyGPUs := t.GPUsMax > 0 && j.GPUs*together > t.GPUsMax+quotaTolerance
+		tooManyCPUs := team.CPUsMax > 0 && job.CPUs*concurrentTasks > team.CPUsMax+quotaTolerance
+		tooManyGPUs := team.GPUsMax > 0 && job.GPUs*concurrentTasks > team.GPUsMax+quotaTolerance
 		if tooManyCPUs || tooManyGPUs {
-			return fmt.Errorf("needs more than the limit of team %s", j.Team)
+			return fmt.Errorf("needs more than the limit of team %s", job.Team)
 		}
 	}
 	if !known {
-		return fmt.Errorf("unknown team %s", j.Team)
+		return fmt.Errorf("unknown team %s", job.Team)
 	}
 	return nil
 }
 
-// zonesThatFit counts the zones in which a job may run and that have a machine type on
-// which one of its tasks fits.
-func zonesThatFit(types []wire.MachineType, j *wire.Job) int {
+// zonesThatFit counts the zones that a job may use and that have an allowed machine type on
+// which a task of the job fits.
+func zonesThatFit(types []wire.MachineType, job *wire.Job) int {
 	zones := map[string]bool{}
 	for i := range types {
-		t := &types[i]
-		allowed := len(j.Types) == 0 || slices.Contains(j.Types, t.Name)
-		if !allowed || j.CPUs > t.CPUs+capacityTolerance || j.GPUs > t.GPUs+capacityTolerance || j.MemoryGB > t.MemoryGB+capacityTolerance {
+		machineType := &types[i]
+		allowed := len(job.Types) == 0 || slices.Contains(job.Types, machineType.Name)
+		if !allowed || job.CPUs > machineType.CPUs+capacityTolerance || job.GPUs > machineType.GPUs+capacityTolerance || job.MemoryGB > machineType.MemoryGB+capacityTolerance {
 			continue
 		}
-		for _, z := range t.ZonesNamed {
-			if j.Zone == "" || j.Zone == z {
-				zones[z] = true
+		for _, zone := range machineType.ZonesNamed {
+			if job.Zone == "" || job.Zone == zone {
+				zones[zone] = true
 			}
 		}
 	}
--- a/controller/health.go
+++ b/controller/health.go
@@ -1,3 +1,6 @@
+// Health checks: whether the key-value store and the peers respond, and whether this process
+// stalls.
+
 package controller
 
 import (
@@ -13,29 +16,31 @@
 	"github.com/umberdeal/umberdeal/peerrpc"
 )
 
-// kvReachable reports whether the key-value store serves this node: its last response was
-// successful and recent.
+// kvReachable reports whether the key-value store serves this node. This is the case if its
+// last response was successful and recent.
 func (n *Node) kvReachable() bool {
-	ok, bad := n.kv.LastOutcomes()
-	return ok.After(bad) && time.Since(ok) < 5*time.Second
+	lastSuccess, lastFailure := n.kv.LastOutcomes()
+	return lastSuccess.After(lastFailure) && time.Since(lastSuccess) < 5*time.Second
 }
 
 const (
 	kvProbeTimeout = 900 * time.Millisecond
-	// kvProbeRateShare is what all nodes' probes together take of the store's rate.
+	// kvProbeRateShare is the share of the key-value store's request rate that the probes of
+	// all nodes may take together.
 	kvProbeRateShare = 0.05
 	// kvRetryInterval is the probe interval while the store does not answer.
 	kvRetryInterval = time.Second
-	// failedPeerProbeInterval is the probe interval of a node that has not answered, and
-	// failedPeerProbeTimeout how long to wait for it. Together they are how long the other nodes write
-	// to its buckets after it answers again, beside the node itself.
+	// failedPeerProbeInterval is the pause between probes of a node that has not answered.
+	// failedPeerProbeTimeout is how long to wait for the answer to a probe. For the sum of
+	// both, after such a node recovers, other nodes may still write to its buckets and
+	// conflict with the node itself.
 	failedPeerProbeInterval = 300 * time.Millisecond
 	failedPeerProbeTimeout  = 500 * time.Millisecond
 )
 
-// monitorKV probes the key-value store, and the other nodes while the store fails. It logs
-// each change once, so that a wrong address or an outage is visible without flooding the
-// log.
+// monitorKV probes the key-value store until ctx ends. While the store fails, it also probes
+// the other nodes. It logs each change once, so that a wrong address or an outage is visible
+// but does not flood the log.
 func (n *Node) monitorKV(ctx context.Context) {
 	reachable := true
 	interval := config.Seconds(max(1, float64(n.cfg.Cluster.Size)/(kvProbeRateShare*n.cfg.Cluster.State.RPS)))
@@ -64,7 +69,8 @@
 	}
 }
 
-// probeKV asks the store once. A store that is there and busy is no failure.
+// probeKV sends one request to the key-value store. It returns nil if the store answers,
+// also if it answers that it is busy.
 func (n *Node) probeKV(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, kvProbeTimeout)
 	defer cancel()
@@ -75,8 +81,8 @@
 	return err
 }
 
-// probePeers asks all other nodes at once and waits for their answers, so that it
-// is known which of them could serve a user or a worker.
+// probePeers requests the status of all other nodes at once and waits for their answers. The
+// results show which nodes can serve users' requests and heartbeats.
 func (n *Node) probePeers(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, p := range n.peers {
@@ -91,8 +97,8 @@
 	wg.Wait()
 }
 
-// monitorFailedPeers asks each node that did not answer the last call again and again, until ctx ends or
-// the node answers, so that users' writes need not find out.
+// monitorFailedPeers repeatedly probes the nodes that did not answer their last call, until
+// ctx ends, so that no user's write has to wait for a node that is still down.
 func (n *Node) monitorFailedPeers(ctx context.Context) {
 	for call.Pause(ctx, failedPeerProbeInterval) {
 		var probes sync.WaitGroup
@@ -105,7 +111,8 @@
 	}
 }
 
-// probeFailedPeer asks a node once. The peer itself records whether it answered.
+// probeFailedPeer requests the status of a node once. The peerrpc.Peer records whether the
+// node answered.
 func (n *Node) probeFailedPeer(ctx context.Context, p *peerrpc.Peer) {
 	ctx, cancel := context.WithTimeout(ctx, failedPeerProbeTimeout)
 	defer cancel()
@@ -114,22 +121,22 @@
 	}
 }
 
-// ready says whether this node can take requests: the key-value store serves it,
-// or another node can be asked. During an outage of the store all nodes stay ready: taking
-// them out of service would not help users, and would prolong the outage for them.
+// ready reports whether this node can take requests, because the key-value store serves it or
+// another node answers. During an outage of the store all nodes stay ready. Taking them out of
+// service would not help users and would prolong the outage for them.
 func (n *Node) ready() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.everConnected && (n.kvReachable() || time.Since(n.lastPeerContact) < 4*time.Second)
 }
 
-// stallCheckInterval is how often the process is observed: several times within
-// liveness.StallThreshold, so that no stall goes unnoticed.
+// stallCheckInterval is the time between two checks for a stall. It is a fraction of
+// liveness.StallThreshold, so that no stall goes undetected.
 const stallCheckInterval = 250 * time.Millisecond
 
-// monitorStalls observes the process until ctx ends, and tells the operator of each
-// stall. The scheduler and the scaler observe as well, before they act on timeouts,
-// so that none of them acts between a stall and the next tick here.
+// monitorStalls checks for stalls of this process until ctx ends, and logs each one. The
+// scheduler and the scaler also check before they act on timeouts, because after a stall they
+// may run before the next check of this loop.
 func (n *Node) monitorStalls(ctx context.Context) {
 	var reported time.Time
 	for {
--- a/controller/job_requests.go
+++ b/controller/job_requests.go
@@ -1,3 +1,6 @@
+// Users' requests to the job store. Each request is idempotent. If it is repeated or served by
+// two nodes, the answer stays the same as the first time.
+
 package controller
 
 import (
@@ -14,10 +17,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file carries out users' requests against the job store. Each is idempotent: what
-// is repeated, or served by two nodes, has the answer of the first.
-
-// Operations of users, as they are named between controllers.
+// Users' operations, by their names in requests between controllers.
 const (
 	opSubmit = "submit"
 	opStatus = "show"
@@ -25,13 +25,13 @@
 )
 
 const (
-	// busyRetryAfterS is after how many seconds a user is to come back while the
-	// key-value store limits our rate.
+	// busyRetryAfterS is the Retry-After in seconds while the key-value store limits this
+	// node's request rate. Peers recognize a busy owner of a bucket by this value.
 	busyRetryAfterS = 2
-	// unreachableRetryAfterS is the same while the store is not reached: then another
-	// node may serve the user.
+	// unreachableRetryAfterS is the Retry-After in seconds while this node does not reach the
+	// key-value store. Another node may be able to serve the user.
 	unreachableRetryAfterS = 1
-	// typesRetryAfterS is the same while the machine types are not known.
+	// typesRetryAfterS is the Retry-After in seconds while the machine types are not known.
 	typesRetryAfterS = 2
 )
 
@@ -49,52 +49,55 @@
 
 // serveUserRequest serves a user's request here, or forwards it to a peer while the
 // key-value store does not serve this node.
-func (n *Node) serveUserRequest(ctx context.Context, r peerrpc.Request) peerrpc.Answer {
+func (n *Node) serveUserRequest(ctx context.Context, request peerrpc.Request) peerrpc.Answer {
 	reachable := n.kvReachable()
 	if reachable {
-		a, err := n.serveLocally(ctx, r)
+		answer, err := n.serveLocally(ctx, request)
 		if err == nil {
-			return a
+			return answer
 		}
-		n.log.Debug("user request not served", "op", r.Op, "id", r.ID, "err", err)
+		n.log.Debug("user request not served", "op", request.Op, "id", request.ID, "err", err)
 		if errors.Is(err, kvstore.ErrRateLimited) {
-			return storeBusy() // the peers are as busy, and asking them would make it worse
+			return storeBusy() // the peers are as busy; forwarding would add load
 		}
 	}
-	if a, ok := n.forwardToPeers(ctx, r); ok {
-		return a
+	if answer, ok := n.forwardToPeers(ctx, request); ok {
+		return answer
 	}
 	if !reachable {
-		if a, err := n.serveLocally(ctx, r); err == nil {
-			return a
+		if answer, err := n.serveLocally(ctx, request); err == nil {
+			return answer
 		}
 	}
 	return storeUnreachable()
 }
 
-func (n *Node) serveLocally(ctx context.Context, r peerrpc.Request) (peerrpc.Answer, error) {
-	switch r.Op {
+// serveLocally serves a user's request on this node. It returns an error if the job store does
+// not answer the request.
+func (n *Node) serveLocally(ctx context.Context, request peerrpc.Request) (peerrpc.Answer, error) {
+	switch request.Op {
 	case opSubmit:
-		return n.submit(ctx, r.Body, r.From)
+		return n.submit(ctx, request.Body, request.From)
 	case opStatus:
-		return n.jobStatus(ctx, r.ID)
+		return n.jobStatus(ctx, request.ID)
 	case opCancel:
-		return n.cancel(ctx, r.ID, r.From)
+		return n.cancel(ctx, request.ID, request.From)
 	}
 	return newAnswer(http.StatusNotFound, wire.Error{Error: "no such operation"}, 0), nil
 }
 
 const (
-	// maxRefusedRetries is how often a request that the key-value store refused is repeated,
-	// and maxRateLimitedRetries how often where it was refused for its rate.
+	// maxRefusedRetries is how often a request is retried that the key-value store refused.
+	// maxRateLimitedRetries is the limit if the request was refused because of its rate.
 	maxRefusedRetries     = 3
 	maxRateLimitedRetries = 1
 )
 
-// retryRefused repeats what the key-value store refused, while there is time.
-func retryRefused(ctx context.Context, f func() error) error {
+// retryRefused calls request, and retries with increasing pauses while the key-value store
+// refuses it. It returns the last error if ctx ends or the retries are used up.
+func retryRefused(ctx context.Context, request func() error) error {
 	for try := 0; ; try++ {
-		err := f()
+		err := request()
 		if !errors.Is(err, kvstore.ErrRefused) || try >= maxRefusedRetries {
 			return err
 		}
@@ -107,23 +110,24 @@
 	}
 }
 
-// statusOf returns the status of a job as users are shown it.
+// statusOf returns the status of a job in the form that is sent to users.
 func statusOf(job jobstore.JobStatus) wire.JobStatus {
-	s := wire.JobStatus{ID: job.Record.Job.ID, State: job.Record.State, Done: job.DoneTasks, Running: job.PlacedTasks}
+	status := wire.JobStatus{ID: job.Record.Job.ID, State: job.Record.State, Done: job.DoneTasks, Running: job.PlacedTasks}
 	if final := job.Version == 0; final {
-		s.Running = 0
-		if s.State == wire.JobDone {
-			s.Done = job.Record.Job.Tasks
+		status.Running = 0
+		if status.State == wire.JobDone {
+			status.Done = job.Record.Job.Tasks
 		}
-		return s
+		return status
 	}
-	s.State = wire.JobPending
+	status.State = wire.JobPending
 	if job.PlacedTasks > 0 {
-		s.State = wire.JobRunning
+		status.State = wire.JobRunning
 	}
-	return s
+	return status
 }
 
+// lookUpJob returns the status of a job. found is false if the job was never accepted.
 func (n *Node) lookUpJob(ctx context.Context, id string) (job jobstore.JobStatus, found bool, err error) {
 	err = retryRefused(ctx, func() error {
 		job, found, err = n.jobs.Lookup(ctx, id)
@@ -147,14 +151,15 @@
 	return newAnswer(http.StatusOK, statusOf(job), 0), nil
 }
 
-// cancel carries out a cancellation of a user, or one that a peer, from, has forwarded.
+// cancel cancels a job. from is the peer that forwarded the request, or "" if a user sent it to
+// this node.
 func (n *Node) cancel(ctx context.Context, id, from string) (peerrpc.Answer, error) {
 	if !wire.ValidUserID(id) {
 		return noSuchJob(), nil
 	}
 	if _, finished := n.jobs.CachedFinal(id); from == "" && !finished {
-		if a, ok := n.forwardToBucketOwner(ctx, id, peerrpc.Request{Op: opCancel, ID: id}); ok {
-			return a, nil
+		if answer, ok := n.forwardToBucketOwner(ctx, id, peerrpc.Request{Op: opCancel, ID: id}); ok {
+			return answer, nil
 		}
 	}
 	var final string
@@ -173,7 +178,8 @@
 	return newAnswer(http.StatusOK, wire.JobStatus{ID: id, State: final}, 0), nil
 }
 
-// submit carries out a submission of a user, or one that a peer, from, has forwarded.
+// submit accepts or rejects a submission. from is the peer that forwarded it, or "" if a user
+// sent it to this node.
 func (n *Node) submit(ctx context.Context, body []byte, from string) (peerrpc.Answer, error) {
 	job, rejection := wire.DecodeJob(body)
 	release, ok := n.admitSubmission(job.Team, job.Class)
@@ -189,16 +195,15 @@
 		return n.rejectSubmission(ctx, job.ID, status, rejection)
 	}
 	if from == "" {
-		if a, ok := n.forwardToBucketOwner(ctx, job.ID, peerrpc.Request{Op: opSubmit, Body: body}); ok {
-			return a, nil
+		if answer, ok := n.forwardToBucketOwner(ctx, job.ID, peerrpc.Request{Op: opSubmit, Body: body}); ok {
+			return answer, nil
 		}
 	}
 	return n.acceptJob(ctx, job)
 }
 
-// rejectSubmission answers a submission that can't be accepted. The id is looked up
-// first: a job that was accepted before is confirmed, whatever the repeated submission
-// says.
+// rejectSubmission answers a submission that can't be accepted. If a job with this id was
+// accepted before, it returns the status of this job instead of the rejection.
 func (n *Node) rejectSubmission(ctx context.Context, id string, status int, reason error) (peerrpc.Answer, error) {
 	if id != "" {
 		job, found, err := n.lookUpJob(ctx, id)
@@ -217,15 +222,15 @@
 	return newAnswer(status, wire.Error{Error: reason.Error()}, retryAfterS), nil
 }
 
-// acceptJob commits a submission, or returns the status of the job that already has its
-// id.
+// acceptJob commits a submission. If a job with this id exists already, it returns the status
+// of this job.
 func (n *Node) acceptJob(ctx context.Context, job wire.Job) (peerrpc.Answer, error) {
 	var duplicate bool
 	received := time.Now()
 	err := retryRefused(ctx, func() (err error) {
 		duplicate, err = n.jobs.Accept(ctx, job, received)
 		if errors.Is(err, kvstore.ErrOutcomeUnknown) && ctx.Err() == nil {
-			// The conditions of a second attempt tell whether the first was committed.
+			// The conditions of a second attempt show whether the first was committed.
 			duplicate, err = n.jobs.Accept(ctx, job, received)
 		}
 		return err
--- a/controller/leader_monitor.go
+++ b/controller/leader_monitor.go
@@ -1,3 +1,5 @@
+// Observation of the leader by the other nodes, and waiting for a leader.
+
 package controller
 
 import (
@@ -15,23 +17,23 @@
 	leaderProbeTimeout  = 900 * time.Millisecond
 )
 
-// monitorLeader probes the leader until ctx ends, feeds the failure detector, and takes
-// the leader's routing plan from its answers.
+// monitorLeader probes the leader until ctx ends. It passes the results to the failure detector
+// and adopts the routing plan from the leader's answers.
 func (n *Node) monitorLeader(ctx context.Context) {
 	for call.Pause(ctx, leaderProbeInterval) {
 		name := n.elector.Leader()
-		p := n.peerNamed(name)
-		if p == nil {
+		peer := n.peerNamed(name)
+		if peer == nil {
 			continue
 		}
-		actx, cancel := context.WithTimeout(ctx, leaderProbeTimeout)
-		said, err := p.Status(actx, n.statusRequest())
+		probeCtx, cancel := context.WithTimeout(ctx, leaderProbeTimeout)
+		status, err := peer.Status(probeCtx, n.statusRequest())
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
-		if err == nil && said.Plan != nil && said.Plan.Leader == name {
-			n.adoptRoutingPlan(*said.Plan, time.Now())
+		if err == nil && status.Plan != nil && status.Plan.Leader == name {
+			n.adoptRoutingPlan(*status.Plan, time.Now())
 		}
 		switch n.leaderDetector.Record(name, err) {
 		case liveness.BecameSuspected:
@@ -41,7 +43,7 @@
 			n.broadcastLeaderChange()
 		}
 		if n.leaderDetector.Suspected(name) {
-			n.probePeers(ctx) // to know where workers may be sent meanwhile
+			n.probePeers(ctx) // to find nodes for fallbackNode
 		}
 	}
 }
@@ -54,22 +56,23 @@
 	n.leaderChanged = make(chan struct{})
 }
 
-// leaderWaitTimeout is how long a worker's heartbeat waits for a leader to be known. The
-// worker times out after 4 s. Refused earlier, it would try the next node, and lose the
+// leaderWaitTimeout is how long a worker's heartbeat waits for a leader to be known. The worker
+// times out after 4 s. If it was refused earlier, it would try the next node, and lose the
 // whole timeout if that node is paused.
 const leaderWaitTimeout = 2500 * time.Millisecond
 
-// awaitLeader waits until a leader is known that is not suspected to be down. It returns ""
-// if there is none within leaderWaitTimeout.
+// awaitLeader waits until a leader is known that is not suspected to have failed, and returns
+// its name. It returns "" if there is none within leaderWaitTimeout, if connections are near
+// the limit, or if this node is isolated.
 func (n *Node) awaitLeader(ctx context.Context) string {
 	ctx, cancel := context.WithTimeout(ctx, leaderWaitTimeout)
 	defer cancel()
 	for {
 		n.mu.Lock()
-		news := n.leaderChanged
+		leaderChanged := n.leaderChanged
 		n.mu.Unlock()
 		// If this node was elected, wait until its records are loaded and its lease is
-		// valid: a worker redirected meanwhile may end up at a paused node.
+		// valid. A worker that is redirected earlier may reach a paused node.
 		if name := n.elector.Leader(); name != "" && !n.leaderDetector.Suspected(name) && (name != n.cfg.Node || n.isLeader()) {
 			return name
 		}
@@ -77,16 +80,16 @@
 			return ""
 		}
 		select {
-		case <-news:
+		case <-leaderChanged:
 		case <-ctx.Done():
 			return ""
 		}
 	}
 }
 
-// isIsolated reports whether this node reaches neither the key-value store nor any other
-// node. It can't learn of a leader then, so that workers should try another node rather
-// than wait here and lose that much of their leases.
+// isIsolated reports whether this node reaches neither the key-value store nor any other node.
+// It can't learn of a new leader then. Workers should try another node, because waiting here
+// would use up their leases.
 func (n *Node) isIsolated() bool {
 	if len(n.peers) == 0 || n.kvReachable() {
 		return false
@@ -99,27 +102,29 @@
 	return true
 }
 
-// isLeader says whether this node leads and is sure of it.
+// isLeader reports whether this node leads with a valid lease.
 func (n *Node) isLeader() bool {
 	l := n.activeLeadership()
 	return l != nil && l.lease.Valid()
 }
 
-// fallbackNode names a node that is there, for a worker to wait at.
+// fallbackNode returns the name of a responsive node other than the leader, to which a worker
+// is redirected while no leader answers. It spreads workers over these nodes. It returns "" if
+// there is none.
 func (n *Node) fallbackNode(machine string) string {
-	var there []string
+	var responsive []string
 	leader := n.elector.Leader()
 	for _, p := range n.peers {
 		if p.Name != leader && p.FailedAt().IsZero() {
-			there = append(there, p.Name)
+			responsive = append(responsive, p.Name)
 		}
 	}
-	if len(there) == 0 {
+	if len(responsive) == 0 {
 		return ""
 	}
-	h := fnv.New32a()
-	_, _ = h.Write([]byte(machine)) // never fails
-	return there[int(h.Sum32())%len(there)]
+	hash := fnv.New32a()
+	_, _ = hash.Write([]byte(machine)) // never fails
+	return responsive[int(hash.Sum32())%len(responsive)]
 }
 
 func (n *Node) peerNamed(name string) *peerrpc.Peer {
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -1,3 +1,5 @@
+// The catalogue of machine types, from the cloud or from its copy in the key-value store.
+
 package controller
 
 import (
@@ -14,8 +16,9 @@
 	typesRetryInterval   = 3 * time.Second
 )
 
-// refreshMachineTypes keeps the catalogue of machine types, from the cloud or else
-// from the copy that the leader leaves in the key-value store.
+// refreshMachineTypes keeps the catalogue of machine types up to date until ctx ends. It reads
+// the catalogue from the cloud. If the cloud fails before any catalogue is known, it reads the
+// leader's copy in the key-value store.
 func (n *Node) refreshMachineTypes(ctx context.Context) {
 	for {
 		wait := typesRefreshInterval
@@ -40,17 +43,19 @@
 	}
 }
 
-// storedMachineTypes is the leader's copy, nil where there is none or it can't be read.
+// storedMachineTypes returns the leader's copy of the catalogue, or nil if there is none or it
+// can't be read.
 func (n *Node) storedMachineTypes(ctx context.Context) []wire.MachineType {
-	e, err := n.kv.Get(ctx, jobstore.MachineTypesKey)
-	var t wire.Types
-	if err != nil || e.Version == 0 || wire.Unmarshal(e.Value, &t) != nil {
+	entry, err := n.kv.Get(ctx, jobstore.MachineTypesKey)
+	var stored wire.Types
+	if err != nil || entry.Version == 0 || wire.Unmarshal(entry.Value, &stored) != nil {
 		return nil
 	}
-	return t.Types
+	return stored.Types
 }
 
-// adoptMachineTypes makes types the node's, and the model's if this node leads.
+// adoptMachineTypes replaces the catalogue of the node, and that of the model if this node
+// leads.
 func (n *Node) adoptMachineTypes(types []wire.MachineType) {
 	n.mu.Lock()
 	n.types = types
@@ -61,7 +66,7 @@
 	}
 }
 
-// machineTypes is the catalogue as far as it is known, nil before it is.
+// machineTypes returns the catalogue, or nil if none is known yet.
 func (n *Node) machineTypes() []wire.MachineType {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -74,8 +79,8 @@
 	l.model.SetMachineTypes(types)
 }
 
-// saveMachineTypes leaves the catalogue where nodes find it during an outage of the
-// cloud.
+// saveMachineTypes copies the catalogue to the key-value store, where nodes find it during an
+// outage of the cloud. It reports whether it has written the copy.
 func (l *leadership) saveMachineTypes(ctx context.Context) bool {
 	types := l.node.machineTypes()
 	if types == nil {
--- a/controller/node_metrics.go
+++ b/controller/node_metrics.go
@@ -1,3 +1,5 @@
+// The metrics of a node. Gauges of the whole cluster have a value on the leader only.
+
 package controller
 
 import (
@@ -11,11 +13,8 @@
 	"github.com/umberdeal/umberdeal/metrics"
 )
 
-// This file registers a node's metrics. Gauges of the whole cluster have a value on the
-// leader only.
-
-// setUpMetrics registers the metrics, if there is an address to serve them on: without
-// one nothing is measured.
+// setUpMetrics registers the metrics and wraps n.log to keep recent errors. It does nothing if
+// there is no address to serve metrics on.
 func (n *Node) setUpMetrics() {
 	if n.tuning.Metrics.Listen == "" {
 		return
@@ -30,7 +29,8 @@
 	n.registerBatchWindowMetrics(n.metrics)
 }
 
-// registerConnectionMetrics registers what this node's limits let in and turn away.
+// registerConnectionMetrics registers the connections and heartbeats that this node's limits
+// admit, delay and refuse.
 func (n *Node) registerConnectionMetrics(m *metrics.Set) {
 	for name, kind := range map[string]admission.Kind{
 		"connections_users":   admission.KindUser,
@@ -44,8 +44,8 @@
 	m.RegisterGauge("reports_waiting", "Reports that wait for their turn.", func() float64 { return float64(n.heartbeatLimiter.Waiting()) })
 }
 
-// registerForwardingMetrics registers what this node does with heartbeats while another
-// node leads.
+// registerForwardingMetrics registers the counts of heartbeats that this node forwards or
+// redirects while another node leads.
 func (n *Node) registerForwardingMetrics(m *metrics.Set) {
 	for name, read := range map[string]func(forwardingCounts) uint64{
 		"reports_passed_total":      func(c forwardingCounts) uint64 { return c.forwarded },
@@ -60,7 +60,8 @@
 	}
 }
 
-// registerLeaderMetrics registers whether this node leads, and the lease that ends first.
+// registerLeaderMetrics registers whether this node leads, and the remaining time of the
+// worker lease that ends first.
 func (n *Node) registerLeaderMetrics(m *metrics.Set) {
 	m.RegisterGauge("leading", "1 while this node leads and is sure of it.", func() float64 {
 		if n.isLeader() {
@@ -69,15 +70,15 @@
 		return 0
 	})
 	m.RegisterGauge("least_lease_left_seconds", "Of the worker whose lease is nearest its end; the leader's.", func() float64 {
-		if f := n.clusterView(time.Now()); f != nil {
-			return f.LeastLeaseLeftSeconds
+		if view := n.clusterView(time.Now()); view != nil {
+			return view.LeastLeaseLeftSeconds
 		}
 		return 0
 	})
 }
 
-// registerWarmPoolMetrics registers sums over all warm pools; each pool by itself is in
-// the overview.
+// registerWarmPoolMetrics registers sums over all warm pools. The overview has the values of
+// each pool.
 func (n *Node) registerWarmPoolMetrics(m *metrics.Set) {
 	for name, read := range map[string]func(metrics.WarmPool) float64{
 		"pool_machines_wanted":  func(p metrics.WarmPool) float64 { return float64(p.Target) },
@@ -90,8 +91,8 @@
 	} {
 		m.RegisterGauge(name, "Of all warm pools together; the leader's.", func() float64 {
 			sum := 0.0
-			if f := n.clusterView(time.Now()); f != nil {
-				for _, p := range f.WarmPools {
+			if view := n.clusterView(time.Now()); view != nil {
+				for _, p := range view.WarmPools {
 					sum += read(p)
 				}
 			}
@@ -125,7 +126,7 @@
 		},
 		"nights_not_met": func(v *calendar.View) (count float64) {
 			for i := range v.Past {
-				if how := v.Past[i].Result; how == calendar.ResultLate || how == calendar.ResultIncomplete {
+				if result := v.Past[i].Result; result == calendar.ResultLate || result == calendar.ResultIncomplete {
 					count++
 				}
 			}
@@ -142,15 +143,15 @@
 	}
 }
 
-// latencyMetrics passes the model's latencies on to the metrics.
+// latencyMetrics records the model's latencies, in seconds, in the metrics.
 type latencyMetrics struct{ *metrics.Set }
 
-func (t latencyMetrics) Placed(s float64)   { t.ObserveStep(metrics.StepPlaced, s) }
-func (t latencyMetrics) Launched(s float64) { t.ObserveStep(metrics.StepLaunched, s) }
-func (t latencyMetrics) Running(s float64)  { t.ObserveStep(metrics.StepRunning, s) }
+func (m latencyMetrics) Placed(seconds float64)   { m.ObserveStep(metrics.StepPlaced, seconds) }
+func (m latencyMetrics) Launched(seconds float64) { m.ObserveStep(metrics.StepLaunched, seconds) }
+func (m latencyMetrics) Running(seconds float64)  { m.ObserveStep(metrics.StepRunning, seconds) }
 
-// onLeaderChange is called when another leader is seen, or none, and when this node has
-// become sure that it leads.
+// onLeaderChange implements election.Config.OnChange. It counts a change of the known leader
+// and wakes the heartbeats that wait for a leader.
 func (n *Node) onLeaderChange() {
 	leader := n.elector.Leader()
 	n.mu.Lock()
@@ -163,20 +164,22 @@
 	n.broadcastLeaderChange()
 }
 
-// transactionObserver returns what records the transactions of one of this node's clients of the
-// key-value store, by which the path of a write that took long can be read from metrics and log.
+// transactionObserver returns a function that records the transactions of one of this node's
+// clients of the key-value store in metrics and log. They show where a slow write spent its
+// time.
 func (n *Node) transactionObserver(client string) func(kvstore.Transaction) {
-	return func(t kvstore.Transaction) {
-		n.metrics.ObserveTransaction(metrics.Transaction{Client: client, Result: t.Result.String(), Changes: t.Changes,
-			LimiterSeconds: t.LimiterWait.Seconds(), ResponseSeconds: t.ResponseTime.Seconds()})
-		n.log.Debug("transaction ended", "client", client, "key", t.Key, "changes", t.Changes, "result", t.Result,
-			"limiter_wait", t.LimiterWait, "response_time", t.ResponseTime, "write_rate", t.WriteRate)
+	return func(transaction kvstore.Transaction) {
+		n.metrics.ObserveTransaction(metrics.Transaction{Client: client, Result: transaction.Result.String(), Changes: transaction.Changes,
+			LimiterSeconds: transaction.LimiterWait.Seconds(), ResponseSeconds: transaction.ResponseTime.Seconds()})
+		n.log.Debug("transaction ended", "client", client, "key", transaction.Key, "changes", transaction.Changes, "result", transaction.Result,
+			"limiter_wait", transaction.LimiterWait, "response_time", transaction.ResponseTime, "write_rate", transaction.WriteRate)
 	}
 }
 
-// observeQueuedWrite records a submission or a cancellation that has left its bucket's queue.
-func (n *Node) observeQueuedWrite(w jobstore.QueuedWrite) {
-	n.metrics.ObserveQueuedWrite(string(w.Kind), string(w.Result), w.Queued.Seconds())
-	n.log.Debug("queued write ended", "kind", w.Kind, "id", w.ID, "result", w.Result, "queued", w.Queued,
-		"transactions", w.Transactions, "shared", w.Shared)
+// observeQueuedWrite records a submission or a cancellation that has left the queue of its
+// bucket.
+func (n *Node) observeQueuedWrite(write jobstore.QueuedWrite) {
+	n.metrics.ObserveQueuedWrite(string(write.Kind), string(write.Result), write.Queued.Seconds())
+	n.log.Debug("queued write ended", "kind", write.Kind, "id", write.ID, "result", write.Result, "queued", write.Queued,
+		"transactions", write.Transactions, "shared", write.Shared)
 }
--- a/controller/operator_plan.go
+++ b/controller/operator_plan.go
@@ -1,3 +1,7 @@
+// Loading of the operators' plan, and writing of the records of its parts. Every node watches
+// the plan. A leader also reads the plan before it places anything. Every placement is
+// committed on condition of the plan's version, so safety does not depend on the watch.
+
 package controller
 
 import (
@@ -16,22 +20,18 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file follows the operators' plan, and writes the records of its parts. Every node
-// watches the plan, and a leader reads it before it places anything. Every placement is
-// committed on condition of the plan's version, so that safety does not depend on the
-// watch.
-
 const (
-	// planWatchTimeout is how long one watch of the plan is open.
+	// planWatchTimeout is how long one watch request waits for changes of the plan.
 	planWatchTimeout = 50 * time.Second
-	// planRecordWriteShare is the share of the store's write rate that the records of the
-	// plan's parts may take.
+	// planRecordWriteShare is the share of the key-value store's write rate that the records
+	// of the plan's parts may take.
 	planRecordWriteShare = 0.02
-	// planRecordInterval is how often these records are written.
+	// planRecordInterval is the pause between two writes of these records.
 	planRecordInterval = 500 * time.Millisecond
 )
 
-// operatorPlan returns the operators' plan as this node knows it.
+// operatorPlan returns the operators' plan that this node read last. It returns a zero Plan if
+// the node has not read one yet.
 func (n *Node) operatorPlan() cluster.Plan {
 	if p := n.loadedPlan.Load(); p != nil {
 		return *p
@@ -39,22 +39,22 @@
 	return cluster.Plan{}
 }
 
-// watchOperatorPlan reads new versions of the plan as they are applied.
+// watchOperatorPlan reads the plan, and reads it again whenever it changes, until ctx ends.
 func (n *Node) watchOperatorPlan(ctx context.Context) {
-	revision, known := uint64(0), false
+	revision, isRevisionKnown := uint64(0), false
 	for ctx.Err() == nil {
-		if !known {
-			at, err := n.startPlanWatch(ctx)
+		if !isRevisionKnown {
+			start, err := n.startPlanWatch(ctx)
 			if err != nil {
 				pauseBeforePlanRead(ctx)
 				continue
 			}
-			revision, known = at, true
+			revision, isRevisionKnown = start, true
 			n.requestSchemaMigration() // a plan may have been requested before this watch
 		}
 		events, err := n.kv.Watch(ctx, jobstore.PlanPrefix, revision, planWatchTimeout)
 		if errors.Is(err, kvstore.ErrCompacted) {
-			known = false
+			isRevisionKnown = false
 			continue
 		}
 		if err == nil {
@@ -68,8 +68,8 @@
 	}
 }
 
-// startPlanWatch reads the plan and returns a revision from which to watch it: one from
-// before the read, so that no change between the two is missed.
+// startPlanWatch reads the plan and returns the revision from which to watch it. The revision
+// is from before the read, so that the watch misses no change.
 func (n *Node) startPlanWatch(ctx context.Context) (revision uint64, err error) {
 	if _, revision, err = n.kv.List(ctx, jobstore.PlanHeadKey); err != nil {
 		return 0, err
@@ -78,7 +78,8 @@
 	return revision, err
 }
 
-// applyPlanEvents reads the plan again if anything has changed.
+// applyPlanEvents reads the plan again if there are events. If an operator has requested a
+// plan, it also requests a schema migration.
 func (n *Node) applyPlanEvents(ctx context.Context, events []wire.Event) error {
 	if len(events) == 0 {
 		return nil
@@ -94,16 +95,16 @@
 	return nil
 }
 
-// pauseBeforePlanRead waits a while, at random, so that the nodes don't retry together.
+// pauseBeforePlanRead waits for a random time, so that the nodes don't retry simultaneously.
 func pauseBeforePlanRead(ctx context.Context) {
 	call.Pause(ctx, time.Second+rand.N(time.Second))
 }
 
-// readOperatorPlan reads the plan that is in force. A plan of which no version can be
-// read is no error: it is returned as unreadable, and nothing is placed by it.
-func readOperatorPlan(ctx context.Context, s jobstore.Client) (cluster.Plan, jobstore.ActivePlan, error) {
+// readOperatorPlan reads the plan that is in force. If no version of the plan can be read, it
+// returns a plan that is marked as unreadable, under which nothing is placed, and no error.
+func readOperatorPlan(ctx context.Context, client jobstore.Client) (cluster.Plan, jobstore.ActivePlan, error) {
 	var parsed *plan.Plan
-	active, err := jobstore.LoadPlan(ctx, s, func(text string) error {
+	active, err := jobstore.LoadPlan(ctx, client, func(text string) error {
 		p, err := plan.Parse(text)
 		parsed = p
 		return err
@@ -112,49 +113,51 @@
 	if err != nil && !unreadable {
 		return cluster.Plan{}, active, err
 	}
-	p := cluster.Plan{Number: active.Number, HeadVersion: active.HeadVersion, Unreadable: unreadable}
+	result := cluster.Plan{Number: active.Number, HeadVersion: active.HeadVersion, Unreadable: unreadable}
 	if active.Number > 0 {
-		p.Plan = parsed
+		result.Plan = parsed
 	}
-	return p, active, nil
+	return result, active, nil
 }
 
-// loadOperatorPlan reads the plan and passes it to the model, if this node leads.
+// loadOperatorPlan reads and returns the plan that is in force. It passes the plan to the model
+// if this node leads. If the plan's record is unreadable, the plan that the node read before
+// stays in use. If a concurrent read has found a newer plan, it returns the newer plan.
 func (n *Node) loadOperatorPlan(ctx context.Context) (cluster.Plan, error) {
-	p, active, err := readOperatorPlan(ctx, n.kv)
+	current, active, err := readOperatorPlan(ctx, n.kv)
 	if err != nil {
 		return cluster.Plan{}, err
 	}
-	unreadable := p.Unreadable
+	unreadable := current.Unreadable
 	n.mu.Lock()
 	previous := n.operatorPlan()
 	if unreadable && previous.Plan != nil {
-		// The plan that this node read before is still in force: only its record is
+		// The plan that this node read before is still in force. Only its record is
 		// damaged.
-		p.Plan, p.Number, p.Unreadable = previous.Plan, previous.Number, false
+		current.Plan, current.Number, current.Unreadable = previous.Plan, previous.Number, false
 	}
-	if p.HeadVersion < previous.HeadVersion {
-		p = previous // a concurrent read has seen a newer plan
+	if current.HeadVersion < previous.HeadVersion {
+		current = previous // a concurrent read has seen a newer plan
 	}
-	n.loadedPlan.Store(&p)
+	n.loadedPlan.Store(&current)
 	l := n.active
 	n.mu.Unlock()
-	if p.HeadVersion != previous.HeadVersion {
+	if current.HeadVersion != previous.HeadVersion {
 		for _, warning := range active.Warnings {
-			n.log.Error("unreadable plan record", "version_in_force", p.Number, "err", warning)
+			n.log.Error("unreadable plan record", "version_in_force", current.Number, "err", warning)
 		}
 		if unreadable {
-			n.log.Error("unreadable plan record", "version_in_force", p.Number, "err", jobstore.ErrPlanUnreadable)
+			n.log.Error("unreadable plan record", "version_in_force", current.Number, "err", jobstore.ErrPlanUnreadable)
 		}
-		n.log.Info("plan loaded", "version", p.Number, "by", active.By, "note", active.Note)
+		n.log.Info("plan loaded", "version", current.Number, "by", active.By, "note", active.Note)
 	}
 	if l != nil {
-		l.setPlan(p)
+		l.setPlan(current)
 	}
-	return p, nil
+	return current, nil
 }
 
-// setPlan passes a plan to the model and has it applied at once.
+// setPlan passes a plan to the model and wakes the loops that apply it.
 func (l *leadership) setPlan(p cluster.Plan) {
 	l.mu.Lock()
 	l.model.SetPlan(p, time.Now())
@@ -163,50 +166,50 @@
 	wake(l.committerWake)
 }
 
-// reloadPlan is called when a transaction failed for the plan's version: this node's plan
-// is older than the one in force.
+// reloadPlan reads the plan again. It is called after a transaction failed because of the
+// plan's version, which shows that this node's plan is not the one in force.
 func (l *leadership) reloadPlan(ctx context.Context) {
 	if _, err := l.node.loadOperatorPlan(ctx); err != nil {
 		l.log.Debug("plan not reloaded", "err", err)
 	}
 }
 
-// markPlanRequested tells the model that there may be a plan, so that placements are
-// committed on condition of its version.
+// markPlanRequested informs the model that there may be a plan. Placements are then committed
+// on condition of the plan's version.
 func (l *leadership) markPlanRequested() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.model.ExpectPlan()
 }
 
-// requestSchemaMigration has the leader try to raise the schema to the one with plans, if
-// this node leads.
+// requestSchemaMigration wakes the schema migration if this node leads. The migration tries to
+// raise the schema to the one with plans.
 func (n *Node) requestSchemaMigration() {
 	if l := n.activeLeadership(); l != nil {
 		wake(l.schemaWake)
 	}
 }
 
-// writePlanRecords writes the records of the plan's parts, few a second.
+// writePlanRecords writes the records of the plan's parts until ctx ends, at a low rate.
 func (l *leadership) writePlanRecords(ctx context.Context) {
-	sl := l.node.cfg.Cluster.State
-	share := rate.NewLimiter(rate.Limit(planRecordWriteShare*sl.WriteRPS), max(1, min(sl.TxnOps, int(2*planRecordWriteShare*sl.WriteRPS))))
+	limits := l.node.cfg.Cluster.State
+	limiter := rate.NewLimiter(rate.Limit(planRecordWriteShare*limits.WriteRPS), max(1, min(limits.TxnOps, int(2*planRecordWriteShare*limits.WriteRPS))))
 	for call.Pause(ctx, planRecordInterval) {
 		l.mu.Lock()
-		want := min(l.model.PendingPlanRecords(), share.Burst())
+		count := min(l.model.PendingPlanRecords(), limiter.Burst())
 		l.mu.Unlock()
-		if want == 0 || !l.lease.Valid() {
+		if count == 0 || !l.lease.Valid() {
 			continue
 		}
-		if err := share.WaitN(ctx, want); err != nil {
+		if err := limiter.WaitN(ctx, count); err != nil {
 			return
 		}
 		l.mu.Lock()
-		b := l.model.PlanRecordBatch(want)
+		batch := l.model.PlanRecordBatch(count)
 		l.mu.Unlock()
-		if b == nil {
+		if batch == nil {
 			continue
 		}
-		_ = l.commitBatch(ctx, b) // a batch that failed is collected again
+		_ = l.commitBatch(ctx, batch) // the writes of a failed batch are collected again
 	}
 }
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -1,3 +1,7 @@
+// The HTTP interface for operators. It serves metrics and an overview of the node and the
+// cluster. It has an address of its own, so that operators have access even while users
+// overload the node.
+
 package controller
 
 import (
@@ -14,134 +18,131 @@
 	"github.com/umberdeal/umberdeal/routing"
 )
 
-// This file is the HTTP interface of operators: metrics, and an overview of the node and
-// the cluster. It has an address of its own, so that a crowd of users can't keep
-// operators out.
-
 // Paths of the operators' interface.
 const (
 	PathMetrics = "/metrics"
 	PathStatus  = "/status"
 )
 
-// maxOperatorConns bounds the connections of the interface.
+// maxOperatorConns bounds the connections to the operators' interface.
 const maxOperatorConns = 8
 
-// microsPerUnit is how many of the model's units of cost are one of the price list's.
+// microsPerUnit is the number of the model's cost units in one unit of the price list.
 const microsPerUnit = 1e6
 
-// serveOperators serves metrics and overviews until ctx ends.
+// serveOperators serves the operators' interface until ctx ends.
 func (n *Node) serveOperators(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.Handle("GET "+PathMetrics, n.metrics.Handler())
 	mux.HandleFunc("GET "+PathStatus, func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(n.clusterOverview(r.Context())) // whoever asked may be gone
+		_ = json.NewEncoder(w).Encode(n.clusterOverview(r.Context())) // the client may have disconnected
 	})
 	srv := &http.Server{Handler: mux, WriteTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second}
 	return n.serveHTTP(ctx, srv, "metrics.listen", n.tuning.Metrics.Listen, maxOperatorConns)
 }
 
-// clusterOverview returns this node's overview, with the leader's view of the cluster where a
-// leader answers. Without one there is none, rather than an earlier one.
+// clusterOverview returns this node's overview with the leader's view of the cluster. If no
+// leader answers, the view of the cluster is nil. It is never an outdated one.
 func (n *Node) clusterOverview(ctx context.Context) metrics.Overview {
 	now := time.Now()
-	o := n.localOverview(now)
-	if o.Cluster != nil {
-		return o
+	overview := n.localOverview(now)
+	if overview.Cluster != nil {
+		return overview
 	}
 	leader := n.peerNamed(n.elector.Leader())
 	if leader == nil {
-		return o
+		return overview
 	}
 	encoded, err := leader.Overview(ctx)
-	var theirs metrics.Overview
-	if err == nil && json.Unmarshal(encoded, &theirs) == nil {
-		o.Cluster, o.Routing = theirs.Cluster, theirs.Routing
+	var leaderOverview metrics.Overview
+	if err == nil && json.Unmarshal(encoded, &leaderOverview) == nil {
+		overview.Cluster, overview.Routing = leaderOverview.Cluster, leaderOverview.Routing
 	}
-	return o
+	return overview
 }
 
-// localOverview returns what this node knows by itself.
+// localOverview returns the overview that this node creates without asking the leader.
 func (n *Node) localOverview(now time.Time) metrics.Overview {
-	o := metrics.Overview{At: now, Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.ready(), StoreReachable: n.kvReachable(),
+	overview := metrics.Overview{At: now, Node: n.cfg.Node, Zone: n.cfg.Zone, Ready: n.ready(), StoreReachable: n.kvReachable(),
 		Leader: n.elector.Leader(), RecentErrors: n.recentErrors.List(), Cluster: n.clusterView(now)}
-	if l := n.connLimiter; l != nil {
-		o.Connections = metrics.Connections{Users: l.Count(admission.KindUser), Workers: l.Count(admission.KindWorker),
-			Other: l.Count(admission.KindUnknown), Limit: n.cfg.Cluster.Limits.Sockets, ClosedOverLimit: l.Rejected()}
+	if limiter := n.connLimiter; limiter != nil {
+		overview.Connections = metrics.Connections{Users: limiter.Count(admission.KindUser), Workers: limiter.Count(admission.KindWorker),
+			Other: limiter.Count(admission.KindUnknown), Limit: n.cfg.Cluster.Limits.Sockets, ClosedOverLimit: limiter.Rejected()}
 	}
 	n.mu.Lock()
-	c := n.forwarding
+	counts := n.forwarding
 	n.mu.Unlock()
-	o.Heartbeats = metrics.Heartbeats{Forwarded: c.forwarded, Failed: c.failed, Redirected: c.redirected, Waiting: n.heartbeatLimiter.Waiting(),
+	overview.Heartbeats = metrics.Heartbeats{Forwarded: counts.forwarded, Failed: counts.failed, Redirected: counts.redirected, Waiting: n.heartbeatLimiter.Waiting(),
 		Refused: n.heartbeatLimiter.Rejected(), WorkersServed: n.lastAnswered.CountWithin(now, config.Seconds(n.cfg.Cluster.Workers.LeaseS))}
 	if p := n.operatorPlan(); p.HeadVersion > 0 {
-		o.Plan = &metrics.PlanVersion{Version: p.Number, Unreadable: p.Unreadable}
+		overview.Plan = &metrics.PlanVersion{Version: p.Number, Unreadable: p.Unreadable}
 	}
-	if o.Cluster != nil {
-		o.Cluster.BatchWindows = n.batchWindows(now)
+	if overview.Cluster != nil {
+		overview.Cluster.BatchWindows = n.batchWindows(now)
 	}
-	if p := n.currentRoutingPlan(o.Leader); p != nil {
-		o.Routing = routingPlanView(&p.Plan)
+	if p := n.currentRoutingPlan(overview.Leader); p != nil {
+		overview.Routing = routingPlanView(&p.Plan)
 	}
-	return o
+	return overview
 }
 
-// routingPlanView returns the routing plan as operators are shown it.
-func routingPlanView(p *routing.Plan) *metrics.Routing {
-	out := &metrics.Routing{Workers: p.Workers, Direct: p.Direct}
-	for _, r := range p.Relays {
-		out.Relays = append(out.Relays, r.Name)
+// routingPlanView returns the routing plan in the form that is shown to operators.
+func routingPlanView(plan *routing.Plan) *metrics.Routing {
+	view := &metrics.Routing{Workers: plan.Workers, Direct: plan.Direct}
+	for _, relay := range plan.Relays {
+		view.Relays = append(view.Relays, relay.Name)
 	}
-	return out
+	return view
 }
 
-// clusterView returns the cluster as the leader sees it, nil unless this node leads.
+// clusterView returns the leader's view of the cluster, or nil if this node does not lead.
 func (n *Node) clusterView(now time.Time) *metrics.Cluster {
 	l := n.activeLeadership()
 	if l == nil {
 		return nil
 	}
 	l.mu.Lock()
-	s := l.model.Snapshot(now)
+	snapshot := l.model.Snapshot(now)
 	l.mu.Unlock()
 	var starved []metrics.StarvedJob
-	for _, job := range s.Starved {
+	for _, job := range snapshot.Starved {
 		starved = append(starved, metrics.StarvedJob(job))
 	}
 	return &metrics.Cluster{
-		StarvedJobs: starved, StarvedJobCount: s.StarvedTotal,
+		StarvedJobs: starved, StarvedJobCount: snapshot.StarvedTotal,
 		Node: n.cfg.Node, FencingToken: l.lease.FencingToken, LeaderSince: l.lease.ElectedAt, LeaseValid: l.lease.Valid(),
-		Machines: s.Machines, Tasks: s.Tasks, Jobs: s.Jobs, LateJobs: s.PastDeadline, LongestWaitSeconds: s.LongestWait,
-		LeastLeaseLeftSeconds: s.LeaseLeft, PriorityInversions: s.PriorityInversions, WarmPools: warmPoolViews(s.Pools),
+		Machines: snapshot.Machines, Tasks: snapshot.Tasks, Jobs: snapshot.Jobs, LateJobs: snapshot.PastDeadline, LongestWaitSeconds: snapshot.LongestWait,
+		LeastLeaseLeftSeconds: snapshot.LeaseLeft, PriorityInversions: snapshot.PriorityInversions, WarmPools: warmPoolViews(snapshot.Pools),
 	}
 }
 
-// Overview implements peerrpc.Handler.
+// Overview implements peerrpc.Handler. It returns this node's local overview as JSON, or nil if
+// it can't be encoded.
 func (n *Node) Overview() []byte {
 	b, err := json.Marshal(n.localOverview(time.Now()))
 	if err != nil {
-		return nil // whoever asked shows no fleet
+		return nil // the requester then shows no cluster
 	}
 	return b
 }
 
-// warmPoolViews returns the warm pools as operators are shown them.
-func warmPoolViews(from []cluster.PoolSnapshot) []metrics.WarmPool {
-	var out []metrics.WarmPool
-	for _, p := range from {
+// warmPoolViews returns the warm pools in the form that is shown to operators.
+func warmPoolViews(pools []cluster.PoolSnapshot) []metrics.WarmPool {
+	var views []metrics.WarmPool
+	for _, pool := range pools {
 		cost := map[string]float64{}
-		for t, c := range p.Teams {
-			cost[t] = float64(c.Micros) / microsPerUnit
+		for team, teamCost := range pool.Teams {
+			cost[team] = float64(teamCost.Micros) / microsPerUnit
 		}
-		out = append(out, metrics.WarmPool{Name: p.Name, Target: p.Target, Held: p.Held, Warm: p.Warm, Fetching: p.Fetching, Hits: p.Hits,
-			Misses: p.Misses, Preemptions: p.Preemptions, CostLimited: p.CostLimited, FetchRefused: p.FetchRefused, Cost: cost})
+		views = append(views, metrics.WarmPool{Name: pool.Name, Target: pool.Target, Held: pool.Held, Warm: pool.Warm, Fetching: pool.Fetching, Hits: pool.Hits,
+			Misses: pool.Misses, Preemptions: pool.Preemptions, CostLimited: pool.CostLimited, FetchRefused: pool.FetchRefused, Cost: cost})
 	}
-	return out
+	return views
 }
 
-// batchWindows returns the batch windows as the leader sees them, none unless this node
-// leads.
+// batchWindows returns the leader's view of the batch windows, or nil if this node does not
+// lead.
 func (n *Node) batchWindows(now time.Time) []calendar.View {
 	l := n.activeLeadership()
 	if l == nil {
--- a/controller/plan_check.go
+++ b/controller/plan_check.go
@@ -1,3 +1,6 @@
+// Confirmation that the operators' plan is still in force, before tasks are preempted
+// according to it.
+
 package controller
 
 import (
@@ -13,21 +16,19 @@
 	"github.com/umberdeal/umberdeal/kvstore"
 )
 
-// This file has the operators' plan confirmed before tasks are preempted by it.
-
 const (
-	// planCheckDelay is for how long stops wait for a transaction that is committed
-	// anyhow: it carries their condition without a request of its own.
+	// planCheckDelay is how long stops wait for a regular transaction that is due. This
+	// transaction also confirms the plan, so that no extra request is needed.
 	planCheckDelay = 60 * time.Millisecond
-	// planCheckRateShare is the share of the key-value store's requests that comparing may
-	// take.
+	// planCheckRateShare is the share of the key-value store's request rate that the extra
+	// requests may take.
 	planCheckRateShare = 0.03
 )
 
-// runPlanCheck releases the stops that depend on the operators' plan once the store has
-// confirmed that the plan by which they were decided is still in force: a leader that has
-// missed a newer plan must not preempt tasks by the old one. One request confirms all stops
-// that are held.
+// runPlanCheck releases the stops that depend on the operators' plan, until ctx ends. It first
+// lets the key-value store confirm that the plan on which the stops are based is still in
+// force. A leader that has missed a newer plan must not preempt tasks according to the old
+// one. One request confirms all held stops.
 func (l *leadership) runPlanCheck(ctx context.Context) {
 	limiter := rate.NewLimiter(rate.Limit(min(max(2, planCheckRateShare*l.node.cfg.Cluster.State.RPS), 10)), 2)
 	for {
@@ -55,32 +56,32 @@
 	}
 }
 
-// heldStops says whether stops wait for the plan's confirmation, and whether a
-// commit that would carry it is due anyhow.
+// heldStops reports whether stops wait for the plan's confirmation, and whether a regular
+// commit is due that confirms the plan as well.
 func (l *leadership) heldStops() (held, commitDue bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.model.HasHeldStops(), l.committing || l.model.PendingWrites() > 0
 }
 
-// confirmPlan compares the plan's version, and sends the stops where it holds. It
-// returns false where the comparison failed.
+// confirmPlan compares the plan's version with the stored one, and sends the held stops if both
+// are equal. It returns false if the transaction failed.
 func (l *leadership) confirmPlan(ctx context.Context) bool {
 	l.mu.Lock()
-	b := l.model.PlanCheckBatch()
+	batch := l.model.PlanCheckBatch()
 	l.mu.Unlock()
-	if b == nil {
-		return true // a commit has released them in the meantime
+	if batch == nil {
+		return true // a regular commit has released the stops in the meantime
 	}
-	if l.commitBatch(ctx, b) != nil {
+	if l.commitBatch(ctx, batch) != nil {
 		return false
 	}
 	l.sendDirectStops(ctx)
 	return true
 }
 
-// dropSupersededPlan handles the discovery that another plan is in force than the one in the
-// model: the stops that were held for the latter are dropped, and the current plan is read.
+// dropSupersededPlan is called when the plan in the model is found to be no longer in force. It
+// drops the stops that were held for this plan and reads the current plan.
 func (l *leadership) dropSupersededPlan(ctx context.Context) {
 	l.mu.Lock()
 	l.model.DropHeldStops()
@@ -88,13 +89,14 @@
 	l.reloadPlan(ctx)
 }
 
-// conflictsOn says whether a transaction failed for a key.
+// conflictsOn reports whether a transaction failed because of its condition on a key.
 func conflictsOn(err error, key string) bool {
-	var c *kvstore.ConflictError
-	return errors.As(err, &c) && slices.Contains(c.FailedKeys, key)
+	var conflict *kvstore.ConflictError
+	return errors.As(err, &conflict) && slices.Contains(conflict.FailedKeys, key)
 }
 
-// handleRebalanceCommitFailure handles the failure to commit a rebalance cycle record.
+// handleRebalanceCommitFailure logs that the record of a rebalancing cycle was not committed.
+// If the plan's version was the reason, it reads the current plan.
 func (l *leadership) handleRebalanceCommitFailure(ctx context.Context, group string, err error) {
 	l.log.Debug("rebalancing record not committed", "group", group, "err", err)
 	if conflictsOn(err, jobstore.PlanHeadKey) {
--- a/controller/polls.go
+++ b/controller/polls.go
@@ -1,3 +1,5 @@
+// Users' polls for the state of a job, with fair queueing between jobs.
+
 package controller
 
 import (
@@ -8,20 +10,18 @@
 	"github.com/umberdeal/umberdeal/peerrpc"
 )
 
-// This file serves users' polls, with fair queueing between jobs.
-
 const (
-	// pollTimeout is how long a poll may take: users wait 2 s for its answer.
+	// pollTimeout is how long a poll may take. Users wait 2 s for the answer.
 	pollTimeout = 1700 * time.Millisecond
-	// pollQueueTimeout is for how much of that a poll may wait in the queue. One that
-	// waits in vain is refused while its user has time to ask another node.
+	// pollQueueTimeout is the part of pollTimeout that a poll may wait in the queue. It is
+	// shorter, so that a refused user has time to ask another node.
 	pollQueueTimeout = 800 * time.Millisecond
 )
 
-// handlePoll answers a user's poll for the state of a job. Polls have a limit of their
-// own, apart from submissions. Under overload the queue is fair by job: those whose turn
-// is far are refused at once with the time to come again, so that no job is the one that
-// is refused every time.
+// handlePoll answers a user's poll for the state of a job. Polls have a limit of their own,
+// separate from submissions. Under overload the queue is fair between jobs. A poll of a job
+// whose turn is far away is refused with the time to retry, so that no job is refused every
+// time.
 func (n *Node) handlePoll(w http.ResponseWriter, r *http.Request) {
 	n.markUserConnection(w, r)
 	id := r.PathValue("id")
@@ -32,19 +32,19 @@
 	ctx, cancel := context.WithTimeout(r.Context(), pollTimeout)
 	defer cancel()
 	now := time.Now()
-	queued, done := context.WithTimeout(ctx, pollQueueTimeout)
-	err := n.pollLimiter.Acquire(queued, n.pollSchedule.Priority(id, now))
-	done()
+	queueCtx, cancelQueue := context.WithTimeout(ctx, pollQueueTimeout)
+	err := n.pollLimiter.Acquire(queueCtx, n.pollSchedule.Priority(id, now))
+	cancelQueue()
 	if err != nil {
 		n.metrics.CountRefusal("too many users' polls")
 		writeError(w, http.StatusTooManyRequests, "too many polls under way", n.pollSchedule.RetryAfterS(id, now))
 		return
 	}
 	defer n.pollLimiter.Release()
-	a := n.serveUserRequest(ctx, peerrpc.Request{Op: opStatus, ID: id})
-	if a.Status == http.StatusServiceUnavailable {
-		a.RetryAfter = n.pollSchedule.RetryAfterS(id, now)
+	answer := n.serveUserRequest(ctx, peerrpc.Request{Op: opStatus, ID: id})
+	if answer.Status == http.StatusServiceUnavailable {
+		answer.RetryAfter = n.pollSchedule.RetryAfterS(id, now)
 	}
-	n.countRefusal(opStatus, a)
-	writeAnswer(w, a)
+	n.countRefusal(opStatus, answer)
+	writeAnswer(w, answer)
 }
--- a/controller/priorities.go
+++ b/controller/priorities.go
@@ -1,3 +1,6 @@
+// Admission of users' requests by the priority tiers of the operators' plan, under overload.
+// Scheduling by priority is part of package cluster.
+
 package controller
 
 import (
@@ -5,33 +8,30 @@
 	"github.com/umberdeal/umberdeal/priority"
 )
 
-// This file admits users' requests by the priority tiers of the operators' plan, when
-// there are more than can be served. Scheduling by priority is the leader's (cluster).
-
-// planPriorities are the priorities of one plan, computed once.
+// planPriorities caches the priorities of one plan.
 type planPriorities struct {
 	plan       *plan.Plan
 	priorities *priority.Policy
 }
 
-// priorities returns the priorities of the plan as far as this node knows it, nil if
-// there is none. A node whose plan is a moment old only serves a request sooner or later
-// than it might have.
+// priorities returns the priorities of the plan that this node read last, or nil if there is
+// none. An outdated plan only affects how soon a request is served.
 func (n *Node) priorities() *priority.Policy {
-	p := n.operatorPlan().Plan
-	if p == nil {
+	current := n.operatorPlan().Plan
+	if current == nil {
 		return nil
 	}
 	cached := n.cachedPriorities.Load()
-	if cached == nil || cached.plan != p {
-		cached = &planPriorities{p, priority.New(&p.Order)}
+	if cached == nil || cached.plan != current {
+		cached = &planPriorities{current, priority.New(&current.Order)}
 		n.cachedPriorities.Store(cached)
 	}
 	return cached.priorities
 }
 
-// admitSubmission admits a submission by its tier; release is to be called once it is
-// answered. Without a plan, and while there is room for all, every submission is admitted.
+// admitSubmission admits a submission by its priority tier. It returns false if the submission
+// must be refused. Otherwise the caller must call release after the answer. Without a plan,
+// and while the limit is not reached, every submission is admitted.
 func (n *Node) admitSubmission(team, class string) (release func(), ok bool) {
 	p := n.priorities()
 	if p == nil {
@@ -44,8 +44,8 @@
 	return func() { n.submissionTiers.Release(tier, tiers) }, true
 }
 
-// pollTier returns the tier of polls for a job: that of the job, or the last one unless
-// the job is known to be unfinished.
+// pollTier returns the priority tier of polls for a job. This is the tier of the job if this
+// node knows the job as unfinished, and otherwise the last tier. Without a plan it is 0.
 func (n *Node) pollTier(id string) int {
 	p := n.priorities()
 	if p == nil {
--- a/controller/schema.go
+++ b/controller/schema.go
@@ -1,3 +1,6 @@
+// Migration of the stored records to a newer schema during a rolling upgrade; see
+// docs/jobstore.md.
+
 package controller
 
 import (
@@ -13,9 +16,6 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file migrates the stored records to a newer schema during a rolling upgrade
-// (docs/jobstore.md).
-
 const (
 	schemaRetryMin = 300 * time.Millisecond
 	schemaRetryMax = 5 * time.Second
@@ -29,10 +29,10 @@
 	return jobstore.LatestSchema
 }
 
-// schemaMigration raises the schema once every controller reads the newer one. While one
-// of them runs an earlier program, or can't be asked, the schema stays as it is, so that
-// the upgrade can be rolled back. It belongs to one leadership, and every write is
-// guarded by its fencing token.
+// schemaMigration raises the schema once every controller can read the newer one. While a
+// controller runs an earlier program or does not answer, the schema stays as it is, so that
+// the upgrade can be rolled back. A schemaMigration belongs to one leadership. Every write is
+// conditional on its fencing token.
 type schemaMigration struct {
 	kv           *kvstore.Client
 	leaderGuard  wire.Guard
@@ -43,7 +43,8 @@
 	log          *slog.Logger
 }
 
-// migrateSchema migrates the schema until ctx ends, where this node allows that.
+// migrateSchema migrates the schema until ctx ends. It does nothing if this node's settings
+// don't allow newer schemas.
 func (l *leadership) migrateSchema(ctx context.Context) {
 	if l.node.schemaVersion() < jobstore.SchemaJobPages {
 		return
@@ -79,9 +80,9 @@
 	}
 }
 
-// targetSchemaVersion returns the schema that records are to be written in. SchemaPlans
-// is used only after an operator has requested a plan: until then the schema stays one
-// that the previous program version reads too, so that an upgrade can be rolled back.
+// targetSchemaVersion returns the schema version that records are to be written in. It is
+// SchemaPlans only after an operator has requested a plan. Until then the previous program
+// version can read the schema too, so that an upgrade can be rolled back.
 func targetSchemaVersion(ctx context.Context, kv *kvstore.Client) (int, error) {
 	requested, err := kv.Get(ctx, jobstore.PlanRequestedKey)
 	if err != nil {
@@ -93,8 +94,8 @@
 	return jobstore.SchemaJobPages, nil
 }
 
-// tryMigrate raises the schema if that is possible now. Where done is true the stored schema
-// is the target, whether or not its copy could be written as well.
+// tryMigrate raises the schema if this is possible now. If done is true, the stored schema is
+// at least the target. err may still be set then, if its copy could not be written.
 func (m *schemaMigration) tryMigrate(ctx context.Context) (done bool, err error) {
 	target, err := targetSchemaVersion(ctx, m.kv)
 	if err != nil {
@@ -103,13 +104,13 @@
 	if err := m.checkPeers(ctx, target); err != nil {
 		return false, err
 	}
-	e, err := m.kv.Get(ctx, jobstore.SchemaKey)
+	entry, err := m.kv.Get(ctx, jobstore.SchemaKey)
 	if err != nil {
 		return false, err
 	}
 	var current jobstore.SchemaRecord
-	if e.Version != 0 {
-		if current, err = jobstore.DecodeSchema(e.Value); err != nil {
+	if entry.Version != 0 {
+		if current, err = jobstore.DecodeSchema(entry.Value); err != nil {
 			return false, err
 		}
 	}
@@ -117,13 +118,13 @@
 		m.onPlanSchema() // before the commit, which may succeed although its response is lost
 	}
 	if current.Version >= target {
-		return true, m.ensureCopy(ctx, current, e.Version)
+		return true, m.ensureCopy(ctx, current, entry.Version)
 	}
 	next := jobstore.SchemaRecord{Version: target, Buckets: max(1, len(m.peers)+1)}
 	if current.Buckets > 0 {
 		next.Buckets = current.Buckets
 	}
-	_, err = m.kv.CompareAndSwap(ctx, []wire.Guard{m.leaderGuard, {Key: jobstore.SchemaKey, Version: e.Version}},
+	_, err = m.kv.CompareAndSwap(ctx, []wire.Guard{m.leaderGuard, {Key: jobstore.SchemaKey, Version: entry.Version}},
 		[]wire.Op{{Put: jobstore.SchemaKey, Value: next}, {Put: jobstore.SchemaCopyKey, Value: next}})
 	if err != nil {
 		return false, err
@@ -146,17 +147,17 @@
 	return nil
 }
 
-// ensureCopy writes the schema record's stored copy, which the first program versions
-// with a schema did not write.
+// ensureCopy writes the stored copy of the schema record if it is missing or different. The
+// first program versions with a schema did not write the copy.
 func (m *schemaMigration) ensureCopy(ctx context.Context, schema jobstore.SchemaRecord, version uint64) error {
 	if version == 0 {
 		return nil
 	}
-	e, err := m.kv.Get(ctx, jobstore.SchemaCopyKey)
+	entry, err := m.kv.Get(ctx, jobstore.SchemaCopyKey)
 	if err != nil {
 		return err
 	}
-	if stored, err := jobstore.DecodeSchema(e.Value); err == nil && stored == schema {
+	if stored, err := jobstore.DecodeSchema(entry.Value); err == nil && stored == schema {
 		return nil
 	}
 	_, err = m.kv.CompareAndSwap(ctx, []wire.Guard{m.leaderGuard, {Key: jobstore.SchemaKey, Version: version}},
--- a/controller/server.go
+++ b/controller/server.go
@@ -1,3 +1,5 @@
+// Start and shutdown of a node's servers and background loops.
+
 package controller
 
 import (
@@ -15,22 +17,22 @@
 )
 
 const (
-	// maxServers is how many servers a node can have: users and workers, other
-	// controllers, operators, YARN's RPC and REST.
+	// maxServers is the largest number of servers of a node: for users and workers, other
+	// controllers, operators, YARN's RPC and YARN's REST interface.
 	maxServers = 5
-	// shutdownGrace is how long requests in progress may take to end.
+	// shutdownGrace is how long a shutdown waits for requests in progress.
 	shutdownGrace = time.Second
 )
 
-// goroutines are the long-lived ones of a node. Whoever makes it waits for them.
+// goroutines is the group of a node's long-lived goroutines. Its creator waits for all of them.
 type goroutines struct {
 	sync.WaitGroup
-	failed chan error // has room for every server's failure, so that none blocks
+	failed chan error // buffered for the errors of all servers, so that none blocks
 }
 
 func newGoroutines() *goroutines { return &goroutines{failed: make(chan error, maxServers)} }
 
-// serve runs a server whose failure ends the node.
+// serve starts a server whose failure ends the node.
 func (g *goroutines) serve(ctx context.Context, server func(context.Context) error) {
 	g.Go(func() {
 		if err := server(ctx); err != nil {
@@ -39,13 +41,13 @@
 	})
 }
 
-// run runs a loop that only ends with ctx.
+// run starts a loop that runs until ctx ends.
 func (g *goroutines) run(ctx context.Context, loop func(context.Context)) {
 	g.Go(func() { loop(ctx) })
 }
 
-// Run serves until ctx ends, which is no error, or until one of the servers fails.
-// All goroutines that the node has started have ended when it returns.
+// Run serves until ctx ends or one of the servers fails. It returns nil in the first case and
+// the server's error in the second. All goroutines of the node have ended when it returns.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -79,7 +81,7 @@
 	return err
 }
 
-// newHTTPServer makes the server of users and workers.
+// newHTTPServer returns the HTTP server for users and workers.
 func (n *Node) newHTTPServer(ctx context.Context) *http.Server {
 	return &http.Server{
 		Handler:           n.handler(),
@@ -94,7 +96,7 @@
 	}
 }
 
-// startServers starts whatever listens on an address.
+// startServers starts all servers of the node.
 func (n *Node) startServers(ctx context.Context, all *goroutines, srv *http.Server, peerListener net.Listener) {
 	if n.yarn != nil {
 		all.run(ctx, n.yarn.Run)
@@ -117,7 +119,7 @@
 	})
 }
 
-// startLoops starts what a node does whether it leads or not.
+// startLoops starts the loops that run on every node, whether it leads or not.
 func (n *Node) startLoops(ctx context.Context, all *goroutines) {
 	all.run(ctx, n.jobs.Run)
 	all.run(ctx, n.monitorKV)
@@ -130,11 +132,11 @@
 	all.run(ctx, n.elector.Run)
 }
 
-// shutDown lets requests in progress end for a moment, and closes the rest. Its
-// context is not the node's, which has ended by then.
+// shutDown waits up to shutdownGrace for requests in progress, and then closes the remaining
+// connections. It uses a context of its own, because the node's context has ended.
 func shutDown(srv *http.Server) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownGrace)
 	defer cancel()
-	_ = srv.Shutdown(ctx) // what is still open is closed next
-	_ = srv.Close()       // nothing is left to be done about a listener that fails to close
+	_ = srv.Shutdown(ctx) // open connections are closed next
+	_ = srv.Close()       // a listener that fails to close needs no further handling
 }
--- a/controller/users.go
+++ b/controller/users.go
@@ -1,3 +1,6 @@
+// The HTTP interface for users. It limits and reads requests and writes the answers. The
+// requests themselves are implemented in job_requests.go.
+
 package controller
 
 import (
@@ -13,19 +16,17 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file is the HTTP interface of users: it limits their requests, reads them and
-// writes the answers. What a request does is in job_requests.go.
-
 const (
 	// userWriteTimeout is how long a submission or a cancellation may take, so that the
 	// response arrives before users time out after 5 s.
 	userWriteTimeout = 3500 * time.Millisecond
-	// limitRetryAfterS is after how many seconds a user is to come back whom the limit of
-	// concurrent requests has turned away.
+	// limitRetryAfterS is the Retry-After in seconds for users who are refused because of the
+	// limit of concurrent requests.
 	limitRetryAfterS = 1
 )
 
-// handler serves users, and workers' heartbeats, on the node's main address.
+// handler returns the HTTP handler of the node's main address, for users and for workers'
+// heartbeats.
 func (n *Node) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+wire.PathReady, func(w http.ResponseWriter, _ *http.Request) {
@@ -43,24 +44,25 @@
 }
 
 // writeAnswer writes an answer as the response to an HTTP request.
-func writeAnswer(w http.ResponseWriter, a peerrpc.Answer) {
-	h := w.Header()
-	h.Set("Content-Type", wire.ContentType)
-	h.Set("Content-Length", strconv.Itoa(len(a.Body)))
-	if a.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(a.RetryAfter))
+func writeAnswer(w http.ResponseWriter, answer peerrpc.Answer) {
+	header := w.Header()
+	header.Set("Content-Type", wire.ContentType)
+	header.Set("Content-Length", strconv.Itoa(len(answer.Body)))
+	if answer.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.Itoa(answer.RetryAfter))
 	}
-	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body) // a client that went away needs no answer
+	w.WriteHeader(answer.Status)
+	_, _ = w.Write(answer.Body) // the client may have disconnected
 }
 
-// newAnswer encodes the body of an answer; retryAfterS is 0 where no Retry-After is sent.
+// newAnswer returns an answer with an encoded body. If retryAfterS is 0, no Retry-After is sent.
+// If the body can't be encoded, the status is 500.
 func newAnswer(status int, body any, retryAfterS int) peerrpc.Answer {
-	b, err := wire.Marshal(body)
+	encoded, err := wire.Marshal(body)
 	if err != nil {
 		return peerrpc.Answer{Status: http.StatusInternalServerError}
 	}
-	return peerrpc.Answer{Status: status, Body: b, RetryAfter: retryAfterS}
+	return peerrpc.Answer{Status: status, Body: encoded, RetryAfter: retryAfterS}
 }
 
 func writeError(w http.ResponseWriter, status int, text string, retryAfterS int) {
@@ -78,32 +80,32 @@
 		writeError(w, http.StatusTooManyRequests, "too many requests under way", limitRetryAfterS)
 		return
 	}
-	req := peerrpc.Request{Op: op, ID: r.PathValue("id")}
+	request := peerrpc.Request{Op: op, ID: r.PathValue("id")}
 	if op == opSubmit {
-		// One byte over the limit shows that a body is too large, which may yet be a
-		// repeated submission of a job that was accepted.
+		// Read one byte more than allowed, so that a body that is too large is recognized
+		// and rejected later. It may repeat the submission of an accepted job.
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, wire.MaxBody+1))
-		var large *http.MaxBytesError
-		if err != nil && !errors.As(err, &large) {
-			return // the client is gone
+		var tooLarge *http.MaxBytesError
+		if err != nil && !errors.As(err, &tooLarge) {
+			return // the client has disconnected
 		}
-		req.Body = body
+		request.Body = body
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), userWriteTimeout)
 	defer cancel()
-	began := time.Now()
-	a := n.serveUserRequest(ctx, req)
-	if op == opSubmit && a.Status == http.StatusCreated {
-		n.metrics.ObserveStep(metrics.StepAccepted, time.Since(began).Seconds())
+	start := time.Now()
+	answer := n.serveUserRequest(ctx, request)
+	if op == opSubmit && answer.Status == http.StatusCreated {
+		n.metrics.ObserveStep(metrics.StepAccepted, time.Since(start).Seconds())
 	}
-	n.countRefusal(op, a)
-	n.log.Debug("user request answered", "op", op, "id", req.ID, "status", a.Status, "retry_after_s", a.RetryAfter, "duration", time.Since(began))
-	writeAnswer(w, a)
+	n.countRefusal(op, answer)
+	n.log.Debug("user request answered", "op", op, "id", request.ID, "status", answer.Status, "retry_after_s", answer.RetryAfter, "duration", time.Since(start))
+	writeAnswer(w, answer)
 }
 
-// countRefusal counts answers that refuse a request; unknown ids are no refusals.
-func (n *Node) countRefusal(op string, a peerrpc.Answer) {
-	if a.Status >= http.StatusBadRequest && a.Status != http.StatusNotFound {
-		n.metrics.CountRefusal(op + " " + strconv.Itoa(a.Status))
+// countRefusal counts an answer that refuses a request. An unknown id is not a refusal.
+func (n *Node) countRefusal(op string, answer peerrpc.Answer) {
+	if answer.Status >= http.StatusBadRequest && answer.Status != http.StatusNotFound {
+		n.metrics.CountRefusal(op + " " + strconv.Itoa(answer.Status))
 	}
 }
--- a/controller/warm_pools.go
+++ b/controller/warm_pools.go
@@ -1,3 +1,5 @@
+// Recording of the jobs that fetch model weights for warm pools.
+
 package controller
 
 import (
@@ -11,13 +13,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// weightFetchInterval is how often the jobs that fill warm pools are recorded.
+// weightFetchInterval is the pause between two writes of jobs that fill warm pools.
 const weightFetchInterval = time.Second
 
-// recordWeightFetches records the jobs that fetch model weights onto the machines of warm
-// pools, as the model asks for them. Each is a reserved job of one task that does nothing,
-// on a machine of its own. Once recorded it is a job like any other, so that whoever leads
-// next finds it under way.
+// recordWeightFetches writes the records of the jobs that fetch model weights onto machines of
+// warm pools, as the model requests them. Each is a reserved job of one task that does nothing,
+// on a machine of its own. A recorded job is handled like any other job, so that the next
+// leader continues it.
 func (l *leadership) recordWeightFetches(ctx context.Context) {
 	maxJobs := max(1, l.node.cfg.Cluster.State.TxnOps/2)
 	for call.Pause(ctx, weightFetchInterval) {
@@ -32,15 +34,15 @@
 		}
 		guards := []wire.Guard{l.leaderGuard(), planGuard}
 		var ops []wire.Op
-		for _, j := range jobs {
-			guards = append(guards, wire.Guard{Key: jobstore.JobKey(j.ID)}, wire.Guard{Key: jobstore.FinalKey(j.ID)})
-			ops = append(ops, wire.Op{Put: jobstore.JobKey(j.ID), Value: j.Record})
+		for _, job := range jobs {
+			guards = append(guards, wire.Guard{Key: jobstore.JobKey(job.ID)}, wire.Guard{Key: jobstore.FinalKey(job.ID)})
+			ops = append(ops, wire.Op{Put: jobstore.JobKey(job.ID), Value: job.Record})
 		}
 		_, err := l.node.kv.CompareAndSwap(ctx, guards, ops)
 		if err == nil {
 			continue
 		}
-		// The model asks for those that were not recorded again under other ids.
+		// The model requests the jobs that were not recorded again, under other ids.
 		l.log.Debug("weight fetches not recorded", "count", len(jobs), "err", err)
 		var conflict *kvstore.ConflictError
 		if errors.As(err, &conflict) {
