--- a/controller/forwarding.go
+++ b/controller/forwarding.go
@@ -158,8 +158,9 @@
 }
 
 // forwardToPeers forwards a user's request to one peer after the other until one can serve
-// it. Peers that failed longest ago or never come first. Requests are idempotent, so it does
-// no harm if two peers serve the same request. It returns false if no peer can serve it.
+// it. It starts with the peers that are reachable or failed longest ago. Requests are
+// idempotent, so it does no harm if two peers serve the same request. It returns false if no
+// peer can serve the request.
 func (n *Node) forwardToPeers(ctx context.Context, request peerrpc.Request) (peerrpc.Answer, bool) {
 	peers := slices.Clone(n.peers)
 	slices.SortStableFunc(peers, func(a, b *peerrpc.Peer) int { return a.FailedAt().Compare(b.FailedAt()) })
--- a/controller/heartbeat_forwarding.go
+++ b/controller/heartbeat_forwarding.go
@@ -35,8 +35,8 @@
 	if answer.Status == http.StatusMisdirectedRequest && !n.workerHistory(machine).BouncedFrom(leader) {
 		// The leader has been elected but is still loading its records. After a 503 the
 		// worker would try the next node, possibly the failed old leader, and lose
-		// seconds of its lease. If it is redirected to the leader, its heartbeat waits
-		// there for the load.
+		// seconds of its lease. After a redirect to the leader, its heartbeat waits for the
+		// load.
 		n.recordRedirect(machine, leader)
 		return redirectTo(leader)
 	}
--- a/controller/load.go
+++ b/controller/load.go
@@ -83,34 +83,34 @@
 // newModel returns an empty model with this node's settings.
 func (l *leadership) newModel(now time.Time) *cluster.Model {
 	tuning := l.node.tuning
-	m := cluster.New(l.node.cfg, l.lease.FencingToken, now, l.log)
-	m.RebalanceSettings, m.Headroom = tuning.Rebalance, tuning.ScaleOut.Headroom
-	m.StarvationBound = config.Seconds(tuning.Serving.StarvationBoundS)
+	model := cluster.New(l.node.cfg, l.lease.FencingToken, now, l.log)
+	model.RebalanceSettings, model.Headroom = tuning.Rebalance, tuning.ScaleOut.Headroom
+	model.StarvationBound = config.Seconds(tuning.Serving.StarvationBoundS)
 	if l.node.metrics != nil {
-		m.Observer = latencyMetrics{l.node.metrics}
+		model.Observer = latencyMetrics{l.node.metrics}
 	}
 	if types := l.node.machineTypes(); types != nil {
-		m.SetMachineTypes(types)
+		model.SetMachineTypes(types)
 	}
-	return m
+	return model
 }
 
 // loadRebalanceCycles loads the rebalancing moves in progress. If a record can't be read,
 // its moves are abandoned and their tasks stay on their machines.
-func (l *leadership) loadRebalanceCycles(m *cluster.Model, entries []wire.Entry, now time.Time) {
+func (l *leadership) loadRebalanceCycles(model *cluster.Model, entries []wire.Entry, now time.Time) {
 	for _, entry := range entries {
 		var record jobstore.RebalanceCycle
 		if err := wire.Unmarshal(entry.Value, &record); err != nil {
 			l.log.Error("unreadable rebalancing record skipped", "key", entry.Key, "err", err)
 			continue
 		}
-		m.LoadRebalanceCycle(entry.Key[len(jobstore.RebalanceCyclePrefix):], record, now)
+		model.LoadRebalanceCycle(entry.Key[len(jobstore.RebalanceCyclePrefix):], record, now)
 	}
 }
 
 // loadScaleOuts loads the machines that were rented recently, so that they are not rented
 // again.
-func (l *leadership) loadScaleOuts(m *cluster.Model, entries []wire.Entry, now time.Time) {
+func (l *leadership) loadScaleOuts(model *cluster.Model, entries []wire.Entry, now time.Time) {
 	for _, entry := range entries {
 		var record jobstore.ScaleOutRecord
 		if err := wire.Unmarshal(entry.Value, &record); err != nil {
@@ -118,14 +118,14 @@
 			continue
 		}
 		if at := time.UnixMilli(record.AtMs); now.Sub(at) < rentalRecordTTL {
-			m.ScaledOut(cluster.Offer{Type: record.Type, Zone: record.Zone, Spot: record.Spot}, record.Machines, at)
+			model.ScaledOut(cluster.Offer{Type: record.Type, Zone: record.Zone, Spot: record.Spot}, record.Machines, at)
 		}
 	}
 }
 
 // loadScaleIn loads the machines whose deletion an earlier leader requested. No task may
 // be placed on them, because the cloud may delete them at any moment.
-func (l *leadership) loadScaleIn(m *cluster.Model, entry wire.Entry, now time.Time) {
+func (l *leadership) loadScaleIn(model *cluster.Model, entry wire.Entry, now time.Time) {
 	if entry.Version == 0 {
 		return
 	}
@@ -133,54 +133,54 @@
 	if err := wire.Unmarshal(entry.Value, &record); err != nil {
 		l.log.Error("unreadable scale-in record, machines being returned may get tasks", "key", entry.Key, "err", err)
 	}
-	m.ResumeScaleIn(record.Machines, now)
+	model.ResumeScaleIn(record.Machines, now)
 }
 
 // loadJobs loads the unfinished jobs. Unreadable records are quarantined, and the rest of the
 // cluster is still loaded.
-func loadJobs(m *cluster.Model, entries []wire.Entry, now time.Time) error {
+func loadJobs(model *cluster.Model, entries []wire.Entry, now time.Time) error {
 	var pages []cluster.AdmissionPage
 	for _, entry := range entries {
 		if entry.Key == jobstore.SchemaKey {
-			if err := loadSchema(m, entry); err != nil {
+			if err := loadSchema(model, entry); err != nil {
 				return err
 			}
 		}
 		if jobstore.IsJobPageKey(entry.Key) {
-			if page, ok := loadJobPage(m, entry, now); ok {
+			if page, ok := loadJobPage(model, entry, now); ok {
 				pages = append(pages, page)
 			}
 		}
 		if id, ok := jobstore.ParseJobKey(entry.Key); ok {
 			record, err := jobstore.DecodeJob(id, entry.Value)
 			if err != nil {
-				m.QuarantineJob(entry.Key, id, err)
+				model.QuarantineJob(entry.Key, id, err)
 				continue
 			}
-			m.ApplyJobRecord(id, record, entry.Version, now)
+			model.ApplyJobRecord(id, record, entry.Version, now)
 		}
 	}
-	m.ApplyAdmissionPages(pages, now)
+	model.ApplyAdmissionPages(pages, now)
 	return nil
 }
 
 // loadSchema returns jobstore.ErrNewerSchema if the records are of a schema that this
 // program can't read. An unreadable schema record also counts as newer. The next leader
 // repairs it before it loads the records.
-func loadSchema(m *cluster.Model, entry wire.Entry) error {
+func loadSchema(model *cluster.Model, entry wire.Entry) error {
 	schema, err := jobstore.DecodeSchema(entry.Value)
 	if err != nil || schema.Version > jobstore.LatestSchema {
 		return jobstore.ErrNewerSchema
 	}
 	if schema.Version >= jobstore.SchemaPlans {
-		m.ExpectPlan()
+		model.ExpectPlan()
 	}
 	return nil
 }
 
 // loadJobPage decodes a page of accepted jobs. If the page is unreadable or already
 // quarantined, it quarantines the page in the model and returns false.
-func loadJobPage(m *cluster.Model, entry wire.Entry, now time.Time) (page cluster.AdmissionPage, ok bool) {
+func loadJobPage(model *cluster.Model, entry wire.Entry, now time.Time) (page cluster.AdmissionPage, ok bool) {
 	record, err := jobstore.DecodeJobPage(entry.Value)
 	if err == nil {
 		return cluster.AdmissionPage{Key: entry.Key, Version: entry.Version, Record: record}, true
@@ -189,13 +189,13 @@
 	if quarantined, ok := jobstore.DecodeQuarantinedPage(entry.Value); ok {
 		since = time.UnixMilli(quarantined.QuarantinedAtMs)
 	}
-	m.QuarantineAdmissionPage(entry.Key, since, err)
+	model.QuarantineAdmissionPage(entry.Key, since, err)
 	return page, false
 }
 
 // loadPlacements loads the placements of tasks. They include tasks of finished jobs, which
 // count against quotas until it is certain that they no longer run.
-func loadPlacements(ctx context.Context, kv *kvstore.Client, m *cluster.Model, entries []wire.Entry, now time.Time) error {
+func loadPlacements(ctx context.Context, kv *kvstore.Client, model *cluster.Model, entries []wire.Entry, now time.Time) error {
 	for _, entry := range entries {
 		pageNumber, ok := jobstore.ParsePlacementPageKey(entry.Key)
 		if !ok {
@@ -203,24 +203,24 @@
 		}
 		record, err := jobstore.DecodePlacementPage(entry.Value)
 		if err != nil {
-			m.QuarantinePlacementPage(pageNumber, entry.Version, err)
+			model.QuarantinePlacementPage(pageNumber, entry.Version, err)
 			continue
 		}
 		for _, chunk := range record.Chunks {
-			if m.Job(chunk.Job) != nil || len(chunk.Placements) == 0 {
+			if model.Job(chunk.Job) != nil || len(chunk.Placements) == 0 {
 				continue
 			}
-			if err := loadFinishedJob(ctx, kv, m, chunk.Job); err != nil {
+			if err := loadFinishedJob(ctx, kv, model, chunk.Job); err != nil {
 				return err
 			}
 		}
-		m.LoadPlacementPage(pageNumber, record, entry.Version, now)
+		model.LoadPlacementPage(pageNumber, record, entry.Version, now)
 	}
 	return nil
 }
 
 // loadFinishedJob loads a finished job whose tasks may still run on machines.
-func loadFinishedJob(ctx context.Context, kv *kvstore.Client, m *cluster.Model, id string) error {
+func loadFinishedJob(ctx context.Context, kv *kvstore.Client, model *cluster.Model, id string) error {
 	entry, err := kv.Get(ctx, jobstore.FinalKey(id))
 	if err != nil {
 		return err
@@ -229,9 +229,9 @@
 		return nil
 	}
 	if final, err := jobstore.DecodeFinal(entry.Value); err != nil {
-		m.QuarantineFinishedJob(entry.Key, id, err)
+		model.QuarantineFinishedJob(entry.Key, id, err)
 	} else {
-		m.LoadCancelledJob(id, final)
+		model.LoadCancelledJob(id, final)
 	}
 	return nil
 }
--- a/controller/machine_types.go
+++ b/controller/machine_types.go
@@ -1,4 +1,4 @@
-// The catalogue of machine types, from the cloud or from its copy in the key-value store.
+// The catalog of machine types, from the cloud or from its copy in the key-value store.
 
 package controller
 
@@ -16,8 +16,8 @@
 	typesRetryInterval   = 3 * time.Second
 )
 
-// refreshMachineTypes keeps the catalogue of machine types up to date until ctx ends. It reads
-// the catalogue from the cloud. If the cloud fails before any catalogue is known, it reads the
+// refreshMachineTypes keeps the catalog of machine types up to date until ctx ends. It reads
+// the catalog from the cloud. If the cloud fails before any catalog is known, it reads the
 // leader's copy in the key-value store.
 func (n *Node) refreshMachineTypes(ctx context.Context) {
 	for {
@@ -43,7 +43,7 @@
 	}
 }
 
-// storedMachineTypes returns the leader's copy of the catalogue, or nil if there is none or it
+// storedMachineTypes returns the leader's copy of the catalog, or nil if there is none or it
 // can't be read.
 func (n *Node) storedMachineTypes(ctx context.Context) []wire.MachineType {
 	entry, err := n.kv.Get(ctx, jobstore.MachineTypesKey)
@@ -54,7 +54,7 @@
 	return stored.Types
 }
 
-// adoptMachineTypes replaces the catalogue of the node, and that of the model if this node
+// adoptMachineTypes replaces the catalog of the node, and that of the model if this node
 // leads.
 func (n *Node) adoptMachineTypes(types []wire.MachineType) {
 	n.mu.Lock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// machineTypes returns the catalogue, or nil if none is known yet.
+// machineTypes returns the catalog, or nil if none is known yet.
 func (n *Node) machineTypes() []wire.MachineType {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -79,7 +79,7 @@
 	l.model.SetMachineTypes(types)
 }
 
-// saveMachineTypes copies the catalogue to the key-value store, where nodes find it during an
+// saveMachineTypes copies the catalog to the key-value store, where nodes find it during an
 // outage of the cloud. It reports whether it has written the copy.
 func (l *leadership) saveMachineTypes(ctx context.Context) bool {
 	types := l.node.machineTypes()
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -348,8 +348,9 @@
 	return r.commit(ctx, guards, append(ops, pageChange)...)
 }
 
-// withoutConflicts returns jobs without those whose own conditions made the transaction
-// fail. These jobs have ended or were accepted again, so they need not be restored.
+// withoutConflicts returns the jobs whose own conditions did not make a transaction fail. err
+// is the transaction's error. The other jobs have ended or were accepted again, so they need
+// not be restored.
 func withoutConflicts(jobs []jobstore.JobPageEntry, err error) []jobstore.JobPageEntry {
 	var conflict *kvstore.ConflictError
 	if !errors.As(err, &conflict) {
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -57,9 +57,8 @@
 	at       time.Time // of its last status request
 }
 
-// forwardingCounts counts heartbeats since the start of the node: those forwarded to the
-// leader, those that could not be forwarded, and the workers redirected to balance
-// connections.
+// forwardingCounts counts the heartbeats forwarded to the leader, the heartbeats that could not
+// be forwarded and the workers redirected to balance connections, since the start of the node.
 type forwardingCounts struct {
 	forwarded, failed, redirected uint64
 }
