--- a/placement/cheapest.go
+++ b/placement/cheapest.go
@@ -10,28 +10,28 @@
 // takeFunc uses a machine once more, and reports whether that was possible.
 type takeFunc func(machine int) bool
 
-// entry is a machine and its score for the next use.
-type entry struct {
+// candidate is a machine and its score for the next use.
+type candidate struct {
 	score   float64
 	machine int
 	class   *class // the entry represents the rest of the machine's class as well; nil: the machine alone
 }
 
-// queue is a min-heap by score; of equal scores, the machine that is first in the input comes
+// candidateHeap is a min-heap by score; of equal scores, the machine that is first in the input comes
 // first.
-type queue []entry
+type candidateHeap []candidate
 
-func (q queue) Len() int { return len(q) }
+func (q candidateHeap) Len() int { return len(q) }
 
-func (q queue) Less(a, b int) bool {
+func (q candidateHeap) Less(a, b int) bool {
 	return q[a].score < q[b].score || q[a].score == q[b].score && q[a].machine < q[b].machine
 }
 
-func (q queue) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
+func (q candidateHeap) Swap(a, b int) { q[a], q[b] = q[b], q[a] }
 
-func (q *queue) Push(x any) { *q = append(*q, x.(entry)) }
+func (q *candidateHeap) Push(x any) { *q = append(*q, x.(candidate)) }
 
-func (q *queue) Pop() any {
+func (q *candidateHeap) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -43,10 +43,10 @@
 // and again only when it has been taken: with hundreds of machines, scoring all of them anew
 // for each task took most of a leader's CPU time.
 func (p *planner) takeCheapest(n int, score scoreFunc, take takeFunc) int {
-	q := p.queue[:0]
+	q := p.candidates[:0]
 	for machine := range p.input.Machines {
 		if value, ok := score(machine); ok {
-			q = append(q, entry{value, machine, nil})
+			q = append(q, candidate{value, machine, nil})
 		}
 	}
 	return p.takeQueued(q, n, score, take, nil)
@@ -55,8 +55,8 @@
 // takeQueued takes the first entry's machine up to n times. If the entry represents a class,
 // next returns the machine of the class that replaces the taken one in the entry, or -1; its
 // score is the same. The taken machine gets an entry of its own.
-func (p *planner) takeQueued(q queue, n int, score scoreFunc, take takeFunc, next func(k *class, machine int) int) int {
-	p.queue = q
+func (p *planner) takeQueued(q candidateHeap, n int, score scoreFunc, take takeFunc, next func(k *class, machine int) int) int {
+	p.candidates = q
 	heap.Init(&q)
 	taken := 0
 	for taken < n && len(q) > 0 {
@@ -75,7 +75,7 @@
 				heap.Pop(&q)
 			}
 			if ok {
-				heap.Push(&q, entry{value, first.machine, nil})
+				heap.Push(&q, candidate{value, first.machine, nil})
 			}
 		case ok:
 			q[0].score = value
--- a/placement/classes.go
+++ b/placement/classes.go
@@ -112,11 +112,11 @@
 // follow in their order, with the same score.
 func (p *planner) takeCheapestByClass(r *Request, n int, score scoreFunc, take takeFunc) int {
 	apart := roaring.New() // machines that were taken: they have entries of their own, or none
-	q := p.queue[:0]
+	q := p.candidates[:0]
 	for _, k := range p.classes.all {
 		if machine := k.nextMachine(0, r, apart); machine >= 0 {
 			if value, ok := score(machine); ok {
-				q = append(q, entry{value, machine, k})
+				q = append(q, candidate{value, machine, k})
 			}
 		}
 	}
--- a/placement/failed_search.go
+++ b/placement/failed_search.go
@@ -26,20 +26,20 @@
 		if f.tasks > n || f.zone >= 0 && f.zone != zone {
 			continue
 		}
-		if kind == byPreempting && !f.request.mayPreemptAllThat(r) {
+		if kind == byPreempting && !f.request.mayPreemptAllOf(r) {
 			continue
 		}
-		if f.request.findsAllMachinesOf(r) {
+		if f.request.fitsWherever(r) {
 			return true
 		}
 	}
 	return false
 }
 
-// findsAllMachinesOf reports whether a search for one task of the request succeeds on each machine on
+// fitsWherever reports whether a search for one task of the request succeeds on each machine on
 // which one for the other request does. Zones are compared by the caller. Images matter where a pool
 // lends its machines: only that depends on them.
-func (r *Request) findsAllMachinesOf(other *Request) bool {
+func (r *Request) fitsWherever(other *Request) bool {
 	if other.Spot && !r.Spot || !r.Need.Fits(other.Need) {
 		return false
 	}
@@ -50,9 +50,9 @@
 	return sameImage || !slices.Contains(r.PoolAccess, BorrowAccess)
 }
 
-// mayPreemptAllThat reports whether each task that may be preempted for the other request may be
+// mayPreemptAllOf reports whether each task that may be preempted for the other request may be
 // preempted for this one.
-func (r *Request) mayPreemptAllThat(other *Request) bool {
+func (r *Request) mayPreemptAllOf(other *Request) bool {
 	if r.Priority > other.Priority {
 		return false
 	}
--- a/placement/failed_search_test.go
+++ b/placement/failed_search_test.go
@@ -21,7 +21,7 @@
 		if rnd.IntN(2) == 0 {
 			m.Images = []ImageAt{{Image: rnd.Int32N(2)}}
 		}
-		if !requests[0].findsAllMachinesOf(&requests[1]) {
+		if !requests[0].fitsWherever(&requests[1]) {
 			continue
 		}
 		alike++
--- a/placement/filter.go
+++ b/placement/filter.go
@@ -10,7 +10,7 @@
 	freeSoon                         // the same, with what tasks that are being stopped will release
 	onBooting                        // on a machine that is rented and not up yet
 	byPreempting                     // as freeSoon, with what preempting tasks would release
-	numRoomKinds
+	numCapacityKinds
 )
 
 // passesFilter reports whether the request may use the machine, apart from whether its task fits.
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -35,8 +35,8 @@
 	plan              Plan
 	offerOfNewMachine []int // for each machine that was added to the input's: index of its offer
 	preempted         map[Task]bool
-	queue             queue // a buffer that all searches use
-	failedSearches    [numRoomKinds][]failedSearch
+	candidates        candidateHeap // a buffer that all searches use
+	failedSearches    [numCapacityKinds][]failedSearch
 	numZones          int
 	classes           *classes // nil in tests: every machine is scored
 	lowestTier        int      // the highest tier number of all tasks that are on machines
@@ -105,11 +105,11 @@
 	case r.Reserve:
 		p.holdMachines(r, tasks)
 	case r.Headroom:
-		tasks = p.reserveLater(r, tasks, onBooting)
+		tasks = p.reserveNotYetFree(r, tasks, onBooting)
 		p.scaleOut(r, tasks)
 	default:
 		p.plan.Waiting = append(p.plan.Waiting, i)
-		p.freeByPreemption(r, tasks)
+		p.reserveForWaiting(r, tasks)
 	}
 }
 
@@ -127,22 +127,22 @@
 	return tasks[len(starts):]
 }
 
-// freeByPreemption reserves room for tasks that can't start yet, so that later requests do not take it,
+// reserveForWaiting reserves room for tasks that can't start yet, so that later requests do not take it,
 // and preempts tasks or rents machines for what is lacking.
-func (p *planner) freeByPreemption(r *Request, tasks []int32) {
-	tasks = p.reserveLater(r, tasks, freeSoon)
+func (p *planner) reserveForWaiting(r *Request, tasks []int32) {
+	tasks = p.reserveNotYetFree(r, tasks, freeSoon)
 	if p.input.AllowPreemption {
 		tasks = p.preempt(r, tasks)
 	}
 	if len(tasks) > 0 && r.Hold {
 		p.holdMachines(r, tasks)
 	}
-	tasks = p.reserveLater(r, tasks, onBooting)
+	tasks = p.reserveNotYetFree(r, tasks, onBooting)
 	p.scaleOut(r, tasks)
 }
 
-// reserveLater reserves room that is not free yet, and returns the tasks that are left.
-func (p *planner) reserveLater(r *Request, tasks []int32, kind capacityKind) []int32 {
+// reserveNotYetFree reserves room that is not free yet, and returns the tasks that are left.
+func (p *planner) reserveNotYetFree(r *Request, tasks []int32, kind capacityKind) []int32 {
 	if len(tasks) == 0 {
 		return nil
 	}
--- a/placement/pools.go
+++ b/placement/pools.go
@@ -15,9 +15,9 @@
 
 // Parts of a machine's score, as equivalent seconds of delay.
 const (
-	borrowScore     = 60   // for the risk that the pool needs its machine back
-	lastResortScore = 1000 // longer than any boot: any other machine with room is taken first
-	ownerBonus      = 2    // of two machines with the weights, the one in the pool is taken
+	borrowPenaltySeconds     = 60   // for the risk that the pool needs its machine back
+	lastResortPenaltySeconds = 1000 // longer than any boot: any other machine with room is taken first
+	ownerBonusSeconds        = 2    // of two machines with the weights, the one in the pool is taken
 )
 
 // poolAccess returns what the request may do with a machine, which must belong to a pool.
@@ -60,20 +60,20 @@
 	}
 	switch m.poolAccess(r) {
 	case OwnerAccess:
-		return -ownerBonus
+		return -ownerBonusSeconds
 	case BorrowAccess:
-		return borrowScore
+		return borrowPenaltySeconds
 	}
-	return lastResortScore
+	return lastResortPenaltySeconds
 }
 
 // reservePoolSpace reserves what a borrower's image takes beside the weights, or undoes
 // that.
-func reservePoolSpace(m *Machine, r *Request, way direction) {
+func reservePoolSpace(m *Machine, r *Request, sign direction) {
 	if m.Pool == 0 || m.poolAccess(r) != BorrowAccess {
 		return
 	}
 	if _, there := m.ImageReadyIn(r.Image); !there {
-		m.PoolSpareGB -= float64(way) * r.ImageGB
+		m.PoolSpareGB -= float64(sign) * r.ImageGB
 	}
 }
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -34,9 +34,9 @@
 
 // preemption is room for one task, made on a machine by preempting others there.
 type preemption struct {
-	machine int
-	victims []int // indices in the machine's Tasks
-	loss    float64
+	machine     int
+	victims     []int // indices in the machine's Tasks
+	lossSeconds float64
 }
 
 // preempt makes room for tasks by preempting others with the least loss; for a gang it makes room
@@ -51,32 +51,32 @@
 			return tasks
 		}
 	}
-	made := p.preemptInZone(r, tasks, zone)
-	for _, d := range made {
-		for _, k := range d.victims {
-			p.plan.Preemptions = append(p.plan.Preemptions, p.input.Machines[d.machine].Tasks[k].Task)
+	preemptions := p.preemptInZone(r, tasks, zone)
+	for _, pr := range preemptions {
+		for _, k := range pr.victims {
+			p.plan.Preemptions = append(p.plan.Preemptions, p.input.Machines[pr.machine].Tasks[k].Task)
 		}
 	}
-	if len(made) > 0 {
+	if len(preemptions) > 0 {
 		// What is preempted may leave more room than was wanted.
 		p.failedSearches[freeSoon] = p.failedSearches[freeSoon][:0]
 	}
-	return tasks[len(made):]
+	return tasks[len(preemptions):]
 }
 
 // cheapestZoneToPreempt returns the zone in which room can be made for most of the tasks, of
 // several such zones the one with the least loss; -1 if there is none.
 func (p *planner) cheapestZoneToPreempt(r *Request, tasks []int32) int {
-	best, most, leastLoss := -1, 0, 0.0
+	best, most, leastLossSeconds := -1, 0, 0.0
 	for zone := 0; zone < p.numZones; zone++ {
-		made := p.preemptInZone(r, tasks, zone)
-		n, loss := len(made), 0.0
-		for _, d := range made {
-			loss += d.loss
+		preemptions := p.preemptInZone(r, tasks, zone)
+		n, lossSeconds := len(preemptions), 0.0
+		for _, pr := range preemptions {
+			lossSeconds += pr.lossSeconds
 		}
-		p.undoPreemptions(r, made)
-		if n > most || n == most && n > 0 && loss < leastLoss {
-			best, most, leastLoss = zone, n, loss
+		p.undoPreemptions(r, preemptions)
+		if n > most || n == most && n > 0 && lossSeconds < leastLossSeconds {
+			best, most, leastLossSeconds = zone, n, lossSeconds
 		}
 	}
 	return best
@@ -85,63 +85,63 @@
 // preemptInZone makes room in one zone, or in any if it is -1, for as many of the tasks as
 // possible, and reserves it. For a gang that is for all or none.
 func (p *planner) preemptInZone(r *Request, tasks []int32, zone int) []preemption {
-	least := r.leastTasks(tasks)
-	if p.knownToFail(byPreempting, r, zone, least) {
+	minTasks := r.minTasksToStart(tasks)
+	if p.knownToFail(byPreempting, r, zone, minTasks) {
 		return nil
 	}
-	var made []preemption
+	var preemptions []preemption
 	cheapestOn := func(machine int) (preemption, bool) {
 		m := &p.input.Machines[machine]
 		if !p.passesFilter(machine, r, freeSoon) || zone >= 0 && m.Zone != zone || r.zoneIsFull(m.Zone) {
 			return preemption{}, false
 		}
-		victims, loss, ok := p.cheapestVictims(r, m)
-		return preemption{machine, victims, loss}, ok
+		victims, lossSeconds, ok := p.cheapestVictims(r, m)
+		return preemption{machine, victims, lossSeconds}, ok
 	}
 	n := p.takeCheapest(len(tasks), func(machine int) (float64, bool) {
-		d, ok := cheapestOn(machine)
-		return d.loss, ok
+		pr, ok := cheapestOn(machine)
+		return pr.lossSeconds, ok
 	}, func(machine int) bool {
-		d, ok := cheapestOn(machine)
+		pr, ok := cheapestOn(machine)
 		if ok {
-			p.reservePreemption(r, d, reserving)
-			made = append(made, d)
+			p.reservePreemption(r, pr, reserving)
+			preemptions = append(preemptions, pr)
 		}
 		return ok
 	})
-	if n < least {
-		p.rememberFailure(byPreempting, r, zone, least)
-		p.undoPreemptions(r, made)
+	if n < minTasks {
+		p.rememberFailure(byPreempting, r, zone, minTasks)
+		p.undoPreemptions(r, preemptions)
 		return nil
 	}
-	return made
+	return preemptions
 }
 
 // reservePreemption reserves the room that a preemption makes, or undoes that.
-func (p *planner) reservePreemption(r *Request, d preemption, way direction) {
-	m := &p.input.Machines[d.machine]
-	for _, k := range d.victims {
+func (p *planner) reservePreemption(r *Request, pr preemption, sign direction) {
+	m := &p.input.Machines[pr.machine]
+	for _, k := range pr.victims {
 		o := &m.Tasks[k]
-		if way == reserving {
+		if sign == reserving {
 			p.preempted[o.Task] = true
 		} else {
 			delete(p.preempted, o.Task)
 		}
-		m.Releasing = m.Releasing.Add(o.Need, float64(way))
+		m.Releasing = m.Releasing.Add(o.Need, float64(sign))
 	}
-	p.reserve(r, d.machine, way)
+	p.reserve(r, pr.machine, sign)
 }
 
-func (p *planner) undoPreemptions(r *Request, made []preemption) {
-	for _, d := range made {
-		p.reservePreemption(r, d, undoing)
+func (p *planner) undoPreemptions(r *Request, preemptions []preemption) {
+	for _, pr := range preemptions {
+		p.reservePreemption(r, pr, undoing)
 	}
 }
 
 // cheapestVictims chooses the tasks on a machine to be preempted, so that one of the request's
 // fits, and returns the loss. It prefers tasks of low tiers and with little loss. There are no
 // victims if the task fits without; the result is false if it can't be made to fit.
-func (p *planner) cheapestVictims(r *Request, m *Machine) (victims []int, loss float64, ok bool) {
+func (p *planner) cheapestVictims(r *Request, m *Machine) (victims []int, lossSeconds float64, ok bool) {
 	free := availableCapacity(m, freeSoon)
 	if r.Need.Fits(free) {
 		return nil, m.PenaltySeconds, true
@@ -160,11 +160,11 @@
 		free = free.Add(m.Tasks[next].Need, 1)
 	}
 	victims = dropUnneededVictims(r, m, victims, free)
-	loss = m.PenaltySeconds
+	lossSeconds = m.PenaltySeconds
 	for _, k := range victims {
-		loss += m.Tasks[k].LossSeconds + restartLossSeconds + tierLossSeconds*float64(p.lowestTier-m.Tasks[k].Tier)
+		lossSeconds += m.Tasks[k].LossSeconds + restartLossSeconds + tierLossSeconds*float64(p.lowestTier-m.Tasks[k].Tier)
 	}
-	return victims, loss, true
+	return victims, lossSeconds, true
 }
 
 // capacityIfAllPreempted returns a machine's room if all tasks were preempted that may be for the
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -12,12 +12,12 @@
 )
 
 // reserve reserves room for one of the request's tasks on a machine, or undoes that.
-func (p *planner) reserve(r *Request, machine int, way direction) {
+func (p *planner) reserve(r *Request, machine int, sign direction) {
 	m := &p.input.Machines[machine]
-	m.Free = m.Free.Add(r.Need, -float64(way))
-	reservePoolSpace(m, r, way)
+	m.Free = m.Free.Add(r.Need, -float64(sign))
+	reservePoolSpace(m, r, sign)
 	if r.PlacedByZone != nil {
-		r.PlacedByZone[m.Zone] += int(way)
+		r.PlacedByZone[m.Zone] += int(sign)
 	}
 	p.updateClass(machine)
 }
@@ -62,39 +62,39 @@
 // reserveInZone reserves room in one zone, or in any if it is -1. It returns the sum
 // of the machines' scores as well.
 func (p *planner) reserveInZone(r *Request, tasks []int32, kind capacityKind, zone int) ([]Start, float64) {
-	least := r.leastTasks(tasks)
-	if p.knownToFail(kind, r, zone, least) {
+	minTasks := r.minTasksToStart(tasks)
+	if p.knownToFail(kind, r, zone, minTasks) {
 		return nil, 0
 	}
-	s := reservation{request: r, kind: kind, zone: zone, pending: tasks}
-	p.reservePreferred(&s)
-	score := func(machine int) (float64, bool) { return p.scoreFor(&s, machine) }
-	take := func(machine int) bool { return p.reserveNext(&s, machine) }
+	search := roomSearch{request: r, kind: kind, zone: zone, pending: tasks}
+	p.reservePreferred(&search)
+	score := func(machine int) (float64, bool) { return p.scoreFor(&search, machine) }
+	take := func(machine int) bool { return p.reserveNext(&search, machine) }
 	if p.classes != nil {
-		p.takeCheapestByClass(r, len(s.pending), score, take)
+		p.takeCheapestByClass(r, len(search.pending), score, take)
 	} else {
-		p.takeCheapest(len(s.pending), score, take)
+		p.takeCheapest(len(search.pending), score, take)
 	}
-	if len(s.pending) > 0 && (r.Gang || len(s.starts) == 0) {
-		p.rememberFailure(kind, r, zone, least)
+	if len(search.pending) > 0 && (r.Gang || len(search.starts) == 0) {
+		p.rememberFailure(kind, r, zone, minTasks)
 	}
-	if r.Gang && len(s.pending) > 0 {
-		p.unreserve(r, s.starts)
+	if r.Gang && len(search.pending) > 0 {
+		p.unreserve(r, search.starts)
 		return nil, 0
 	}
-	return s.starts, s.totalScore
+	return search.starts, search.totalScore
 }
 
-// leastTasks is how many of the tasks must find room for any to start.
-func (r *Request) leastTasks(tasks []int32) int {
+// minTasksToStart is how many of the tasks must find room for any to start.
+func (r *Request) minTasksToStart(tasks []int32) int {
 	if r.Gang {
 		return len(tasks)
 	}
 	return 1
 }
 
-// reservation is a search for room for a request's tasks, and what it has found.
-type reservation struct {
+// roomSearch is a search for room for a request's tasks, and what it has found.
+type roomSearch struct {
 	request    *Request
 	kind       capacityKind
 	zone       int     // -1: any
@@ -104,10 +104,10 @@
 }
 
 // scoreFor returns a machine's score; false if no more of the tasks may be placed or fit there.
-func (p *planner) scoreFor(s *reservation, machine int) (float64, bool) {
-	m, r := &p.input.Machines[machine], s.request
-	room := availableCapacity(m, s.kind)
-	if !r.Need.Fits(room) || !p.passesFilter(machine, r, s.kind) || s.zone >= 0 && m.Zone != s.zone {
+func (p *planner) scoreFor(search *roomSearch, machine int) (float64, bool) {
+	m, r := &p.input.Machines[machine], search.request
+	room := availableCapacity(m, search.kind)
+	if !r.Need.Fits(room) || !p.passesFilter(machine, r, search.kind) || search.zone >= 0 && m.Zone != search.zone {
 		return 0, false
 	}
 	return machineScore(m, r, room), !r.zoneIsFull(m.Zone)
@@ -115,44 +115,44 @@
 
 // reservePreferred reserves room for tasks that rebalancing moves on the machines to which it
 // moves them, as far as they fit.
-func (p *planner) reservePreferred(s *reservation) {
-	if len(s.request.PreferredMachines) == 0 {
+func (p *planner) reservePreferred(search *roomSearch) {
+	if len(search.request.PreferredMachines) == 0 {
 		return
 	}
-	others := make([]int32, 0, len(s.pending))
-	for _, task := range s.pending {
-		if !p.reserveOnPreferred(s, task) {
+	others := make([]int32, 0, len(search.pending))
+	for _, task := range search.pending {
+		if !p.reserveOnPreferred(search, task) {
 			others = append(others, task)
 		}
 	}
-	s.pending = others
+	search.pending = others
 }
 
-func (p *planner) reserveOnPreferred(s *reservation, task int32) bool {
-	machine, ok := s.request.PreferredMachines[task]
+func (p *planner) reserveOnPreferred(search *roomSearch, task int32) bool {
+	machine, ok := search.request.PreferredMachines[task]
 	if !ok || machine >= len(p.input.Machines) {
 		return false
 	}
-	score, ok := p.scoreFor(s, machine)
+	score, ok := p.scoreFor(search, machine)
 	if ok {
-		p.reserveFor(s, task, machine, score)
+		p.reserveFor(search, task, machine, score)
 	}
 	return ok
 }
 
 // reserveNext reserves room on a machine for the next task. It returns false if that is not
 // possible any more, since the zone has become full.
-func (p *planner) reserveNext(s *reservation, machine int) bool {
-	score, ok := p.scoreFor(s, machine)
+func (p *planner) reserveNext(search *roomSearch, machine int) bool {
+	score, ok := p.scoreFor(search, machine)
 	if ok {
-		p.reserveFor(s, s.pending[0], machine, score)
-		s.pending = s.pending[1:]
+		p.reserveFor(search, search.pending[0], machine, score)
+		search.pending = search.pending[1:]
 	}
 	return ok
 }
 
-func (p *planner) reserveFor(s *reservation, task int32, machine int, score float64) {
-	s.starts = append(s.starts, Start{Task: task, Machine: machine, FreeBefore: p.input.Machines[machine].Free})
-	p.reserve(s.request, machine, reserving)
-	s.totalScore += score
+func (p *planner) reserveFor(search *roomSearch, task int32, machine int, score float64) {
+	search.starts = append(search.starts, Start{Task: task, Machine: machine, FreeBefore: p.input.Machines[machine].Free})
+	p.reserve(search.request, machine, reserving)
+	search.totalScore += score
 }
--- a/placement/scaleout.go
+++ b/placement/scaleout.go
@@ -4,8 +4,8 @@
 
 // Parts of an offer's score, as equivalent seconds, besides the seconds until the machine is up.
 const (
-	offerPriceWeight = 2  // for each unit of the price
-	offerGPUPenalty  = 10 // keeps work without GPUs from machines with them unless others are much later or dearer
+	offerPriceWeightSeconds = 2  // for each unit of the price
+	offerGPUPenaltySeconds  = 10 // keeps work without GPUs from machines with them unless others are much later or dearer
 )
 
 // scaleOut rents machines for the tasks that fit nowhere, up to Input.MaxScaleOut in a plan, by
@@ -44,9 +44,9 @@
 // offerScore is how long the machine takes to be up, in seconds, plus its price, and GPUs that
 // the request does not use, as equivalent seconds.
 func offerScore(r *Request, o *Offer) float64 {
-	score := o.Machine.ETA + offerPriceWeight*o.Machine.Price
+	score := o.Machine.ETA + offerPriceWeightSeconds*o.Machine.Price
 	if o.Machine.Capacity.GPU > 0 && r.Need.GPU == 0 {
-		score += offerGPUPenalty
+		score += offerGPUPenaltySeconds
 	}
 	return score
 }
--- a/placement/score.go
+++ b/placement/score.go
@@ -5,10 +5,10 @@
 
 // Parts of a machine's score, as equivalent seconds of delay.
 const (
-	gpuMachinePenalty = 30  // keeps work without GPUs from machines with them unless others start it much later
-	spotBonus         = 3   // of otherwise equal machines, a spot instance is used
-	priceWeight       = 0.5 // for the price per CPU
-	freeShareWeight   = 2   // for the share of the machine that stays free, so that fuller ones fill up first
+	gpuMachinePenaltySeconds = 30  // keeps work without GPUs from machines with them unless others start it much later
+	spotBonusSeconds         = 3   // of otherwise equal machines, a spot instance is used
+	pricePerCPUWeightSeconds = 0.5 // for the price per CPU
+	freeShareWeightSeconds   = 2   // for the share of the machine that stays free, so that fuller ones fill up first
 )
 
 // machineScore is by how many seconds the start would be delayed on a machine, plus what it
@@ -21,12 +21,12 @@
 		sum += m.FetchBacklogSeconds + r.ImageGB/m.FetchRate
 	}
 	if m.Capacity.GPU > 0 && r.Need.GPU == 0 {
-		sum += gpuMachinePenalty
+		sum += gpuMachinePenaltySeconds
 	}
 	if m.Spot {
-		sum -= spotBonus
+		sum -= spotBonusSeconds
 	}
-	sum += priceWeight * m.Price / max(1, m.Capacity.CPU)
+	sum += pricePerCPUWeightSeconds * m.Price / max(1, m.Capacity.CPU)
 	left := free.Add(r.Need, -1)
 	freeShare := 0.0
 	if m.Capacity.CPU > 0 {
@@ -35,6 +35,6 @@
 	if m.Capacity.GPU > 0 {
 		freeShare += left.GPU / m.Capacity.GPU
 	}
-	sum += freeShareWeight * freeShare
+	sum += freeShareWeightSeconds * freeShare
 	return sum
 }
