--- a/placement/cheapest.go
+++ b/placement/cheapest.go
@@ -1,24 +1,24 @@
+// Selection of the machines with the lowest scores.
+
 package placement
 
 import "container/heap"
 
-// This file chooses the machines with the lowest scores.
-
-// scoreFunc is a machine's score, if it can be used at all.
+// scoreFunc returns a machine's score, and false if the machine can't be used.
 type scoreFunc func(machine int) (float64, bool)
 
-// takeFunc uses a machine once more, and reports whether that was possible.
+// takeFunc places one more task on a machine, and reports whether that was possible.
 type takeFunc func(machine int) bool
 
-// candidate is a machine and its score for the next use.
+// candidate is a machine with the score for placing the next task on it.
 type candidate struct {
 	score   float64
 	machine int
-	class   *class // the entry represents the rest of the machine's class as well; nil: the machine alone
+	class   *class // set if the candidate also represents the remaining machines of this class; nil: only this machine
 }
 
-// candidateHeap is a min-heap by score; of equal scores, the machine that is first in the input comes
-// first.
+// candidateHeap is a min-heap by score. Among equal scores, the machine with the lowest index
+// comes first.
 type candidateHeap []candidate
 
 func (q candidateHeap) Len() int { return len(q) }
@@ -38,10 +38,10 @@
 	return e
 }
 
-// takeCheapest takes the machine with the lowest score up to n times, and returns how often it
-// was taken. Taking a machine changes its own score and no other's, so each is scored once,
-// and again only when it has been taken: with hundreds of machines, scoring all of them anew
-// for each task took most of a leader's CPU time.
+// takeCheapest takes the machine with the lowest score up to n times, and returns how many times
+// a machine was taken. Taking a machine changes only its own score. Each machine is therefore
+// scored once, and again only after it has been taken. With hundreds of machines, scoring all of
+// them for each task used most of a leader's CPU time.
 func (p *planner) takeCheapest(n int, score scoreFunc, take takeFunc) int {
 	q := p.candidates[:0]
 	for machine := range p.input.Machines {
@@ -52,10 +52,11 @@
 	return p.takeQueued(q, n, score, take, nil)
 }
 
-// takeQueued takes the first entry's machine up to n times. If the entry represents a class,
-// next returns the machine of the class that replaces the taken one in the entry, or -1; its
-// score is the same. The taken machine gets an entry of its own.
-func (p *planner) takeQueued(q candidateHeap, n int, score scoreFunc, take takeFunc, next func(k *class, machine int) int) int {
+// takeQueued takes the machine of the first candidate up to n times, and returns how many times a
+// machine was taken. If a candidate represents a class, next returns the machine of the class that
+// replaces the taken one in the candidate, or -1 if there is none. The replacement has the same
+// score. The taken machine becomes a candidate of its own.
+func (p *planner) takeQueued(q candidateHeap, n int, score scoreFunc, take takeFunc, next func(c *class, machine int) int) int {
 	p.candidates = q
 	heap.Init(&q)
 	taken := 0
--- a/placement/classes.go
+++ b/placement/classes.go
@@ -1,3 +1,10 @@
+// Equivalence classes of machines.
+//
+// Machines that agree in all fields of classKey have the same score for a request, so only one
+// machine of each class has to be scored. A cluster that has just started or recovered may have a
+// thousand machines but few classes. Preemption and holding also depend on the tasks of each
+// machine, and therefore score every machine.
+
 package placement
 
 import (
@@ -7,13 +14,8 @@
 	"github.com/RoaringBitmap/roaring/v2"
 )
 
-// This file groups machines by equivalence class. Machines that agree in all fields of classKey
-// have the same score for a request, so that only one machine of each class has to be scored.
-// A cluster that has just started, or comes back, has a thousand machines and few classes.
-// Preemption and holding depend on the machines' tasks as well, and score every machine.
-
-// classKey has all properties of a machine on which its score depends, and whether a request
-// may use it; Request.Avoid is checked by machine.
+// classKey holds every property of a machine that determines its score and whether a request may
+// use it. Request.Avoid is not part of it, since it names individual machines.
 type classKey struct {
 	machineType, zone, imageSet, pool            int
 	spot, ready                                  bool
@@ -22,7 +24,7 @@
 	poolSpareGB                                  float64
 }
 
-// class is the machines that have the same key.
+// class is the set of machines that have the same key.
 type class struct {
 	key      classKey
 	machines *roaring.Bitmap
@@ -31,10 +33,10 @@
 // classes are the equivalence classes of a plan's machines.
 type classes struct {
 	byKey           map[classKey]*class
-	all             []*class       // in the order of their creation; some may be empty
+	all             []*class       // in the order of creation; some may be empty
 	ofMachine       []*class       // by machine
-	imageSets       []int          // by machine: number of its list of images, see imageSetNumber
-	imageSetNumbers map[string]int // by the list's encoding
+	imageSets       []int          // by machine: the number of its image list, see imageSetNumber
+	imageSetNumbers map[string]int // by the encoding of the image list
 	encodeBuffer    []byte
 }
 
@@ -53,7 +55,8 @@
 	c.update(machines, machine)
 }
 
-// imageSetNumber returns the number of a list of images; equal lists have the same.
+// imageSetNumber returns a number that identifies a list of images. Equal lists have the same
+// number.
 func (c *classes) imageSetNumber(images []ImageAt) int {
 	c.encodeBuffer = c.encodeBuffer[:0]
 	for _, image := range images {
@@ -68,7 +71,7 @@
 	return number
 }
 
-// update moves a machine to the class that it belongs to now, after its resources have changed.
+// update moves a machine to the class of its current properties.
 func (c *classes) update(machines []Machine, machine int) {
 	m := &machines[machine]
 	key := classKey{machineType: m.Type, zone: m.Zone, imageSet: c.imageSets[machine], spot: m.Spot, ready: m.Ready,
@@ -91,11 +94,11 @@
 	c.ofMachine[machine] = now
 }
 
-// nextMachine returns the first machine of a class, from a number on, that the request does not
-// avoid and that is not excluded, or -1.
-func (k *class) nextMachine(from int, r *Request, excluded *roaring.Bitmap) int {
+// nextMachine returns the first machine of the class with an index of at least from that the
+// request does not avoid and that is not excluded. It returns -1 if there is none.
+func (c *class) nextMachine(from int, r *Request, excluded *roaring.Bitmap) int {
 	for {
-		next := k.machines.NextValue(uint32(from))
+		next := c.machines.NextValue(uint32(from))
 		if next < 0 {
 			return -1
 		}
@@ -107,21 +110,21 @@
 	}
 }
 
-// takeCheapestByClass takes the same machines as takeCheapest in the same order, if the score
-// depends on a machine's class only. Of each class the first machine is scored; the others
-// follow in their order, with the same score.
+// takeCheapestByClass takes the same machines as takeCheapest, in the same order, provided that
+// the score depends only on a machine's class. It scores the first machine of each class. The
+// others follow in index order with the same score.
 func (p *planner) takeCheapestByClass(r *Request, n int, score scoreFunc, take takeFunc) int {
-	apart := roaring.New() // machines that were taken: they have entries of their own, or none
+	taken := roaring.New() // taken machines are no longer represented by their class
 	q := p.candidates[:0]
-	for _, k := range p.classes.all {
-		if machine := k.nextMachine(0, r, apart); machine >= 0 {
+	for _, c := range p.classes.all {
+		if machine := c.nextMachine(0, r, taken); machine >= 0 {
 			if value, ok := score(machine); ok {
-				q = append(q, candidate{value, machine, k})
+				q = append(q, candidate{value, machine, c})
 			}
 		}
 	}
-	return p.takeQueued(q, n, score, take, func(k *class, machine int) int {
-		apart.Add(uint32(machine))
-		return k.nextMachine(machine+1, r, apart)
+	return p.takeQueued(q, n, score, take, func(c *class, machine int) int {
+		taken.Add(uint32(machine))
+		return c.nextMachine(machine+1, r, taken)
 	})
 }
--- a/placement/failed_search.go
+++ b/placement/failed_search.go
@@ -1,25 +1,25 @@
+// Cache of searches that found no room. Later searches that must fail as well are skipped.
+
 package placement
 
 import "slices"
 
-// This file remembers searches that found no room, so that searches which must fail as well are
-// skipped.
-
-// maxFailedSearches bounds the searches that are remembered of one kind, and with it the time
-// to compare a new search with them.
+// maxFailedSearches bounds the remembered searches of each kind, and so the time to compare a new
+// search with them.
 const maxFailedSearches = 64
 
-// failedSearch is a search that found no room. While a plan is made, room only shrinks, apart
-// from preemptions and new machines, after which the failures of freeSoon and of onBooting are
-// forgotten. So a later search for as much or more fails too. This saves time because most of
-// hundreds of waiting jobs are alike.
+// failedSearch is a search that found no room. A later search for at least as much fails too,
+// because available room only shrinks while a plan is made. The exceptions are preemptions, after
+// which the failures of kind freeSoon are forgotten, and new machines, after which those of kind
+// onBooting are. The cache saves time because most of hundreds of waiting jobs are alike.
 type failedSearch struct {
 	request *Request
 	zone    int // -1: any
 	tasks   int
 }
 
-// knownToFail reports whether a search for room for n tasks is known to fail.
+// knownToFail reports whether a search for room for n tasks must fail because a recorded search
+// did. zone is -1 for any zone.
 func (p *planner) knownToFail(kind capacityKind, r *Request, zone, n int) bool {
 	for i := range p.failedSearches[kind] {
 		f := &p.failedSearches[kind][i]
@@ -36,9 +36,9 @@
 	return false
 }
 
-// fitsWherever reports whether a search for one task of the request succeeds on each machine on
-// which one for the other request does. Zones are compared by the caller. Images matter where a pool
-// lends its machines: only that depends on them.
+// fitsWherever reports whether one task of r finds room on every machine on which one task of
+// other does. It ignores zones, which the caller compares. Images matter only for borrowed
+// machines of warm pools.
 func (r *Request) fitsWherever(other *Request) bool {
 	if other.Spot && !r.Spot || !r.Need.Fits(other.Need) {
 		return false
@@ -50,8 +50,8 @@
 	return sameImage || !slices.Contains(r.PoolAccess, BorrowAccess)
 }
 
-// mayPreemptAllOf reports whether each task that may be preempted for the other request may be
-// preempted for this one.
+// mayPreemptAllOf reports whether every task that may be preempted for other may also be preempted
+// for r.
 func (r *Request) mayPreemptAllOf(other *Request) bool {
 	if r.Priority > other.Priority {
 		return false
@@ -59,8 +59,8 @@
 	return !other.WithinGuarantee || r.WithinGuarantee && r.Team == other.Team
 }
 
-// rememberFailure remembers a search for room for n tasks that failed, unless the reason may
-// concern this request alone.
+// rememberFailure records a failed search for room for n tasks, unless a restriction of this
+// request alone (Avoid, MaxPerZone) may be the reason.
 func (p *planner) rememberFailure(kind capacityKind, r *Request, zone, n int) {
 	if len(r.Avoid) > 0 || r.MaxPerZone > 0 || len(p.failedSearches[kind]) >= maxFailedSearches {
 		return
--- a/placement/hold.go
+++ b/placement/hold.go
@@ -1,11 +1,11 @@
-package placement
+// Holding machines for large tasks: resources that are still in use are reserved on machines where
+// a large task will soon fit. Otherwise small tasks of later requests would take whatever becomes
+// free there, and the large task would never fit.
 
-// This file holds machines for large tasks: it reserves resources that are still in use on
-// machines where a large task will soon fit. Otherwise small tasks of later requests would take
-// all that becomes free there, and the large one would never fit.
+package placement
 
-// defaultHoldSeconds is within how many seconds a machine must have room for the request's task
-// to be held. A request may set a longer time (Request.HoldSeconds).
+// defaultHoldSeconds is how far ahead machines are held: a machine is held only if it will have
+// room for the task within this time. Request.HoldSeconds may extend it.
 const defaultHoldSeconds = 45
 
 // holdMachines holds the machines that will have room for the tasks soonest.
@@ -19,8 +19,9 @@
 	p.holdInZone(r, len(tasks), zone)
 }
 
-// soonestZoneToHold returns the zone in which machines can be held for most of n tasks, of
-// several such zones the one that has room soonest; -1 if there is none.
+// soonestZoneToHold returns the zone in which machines can be held for the largest number of the n
+// tasks. Among equal zones it returns the one that has room soonest. It returns -1 if no machine
+// can be held.
 func (p *planner) soonestZoneToHold(r *Request, n int) int {
 	best, most, soonest := -1, 0, 0.0
 	for zone := 0; zone < p.numZones; zone++ {
@@ -33,8 +34,9 @@
 	return best
 }
 
-// holdInZone holds machines for up to n tasks in a zone, or in any if it is -1; for a gang for
-// all tasks or none. It also returns after how many seconds the last one has room.
+// holdInZone holds machines for up to n tasks in a zone, or in any zone if zone is -1. For a gang
+// it holds machines for all tasks or for none. It also returns the number of seconds until the
+// last machine has room.
 func (p *planner) holdInZone(r *Request, n, zone int) (held []Start, last float64) {
 	p.takeCheapest(n, func(machine int) (float64, bool) {
 		m := &p.input.Machines[machine]
@@ -56,8 +58,8 @@
 	return held, last
 }
 
-// secondsUntilFits returns after how many seconds one of the request's tasks fits on a machine,
-// as tasks there are expected to end by themselves; false if it never fits.
+// secondsUntilFits returns the number of seconds until one of the request's tasks fits on a
+// machine, given the expected ends of the tasks there. It returns false if the task never fits.
 func (p *planner) secondsUntilFits(r *Request, m *Machine) (float64, bool) {
 	free := availableCapacity(m, freeSoon)
 	if r.Need.Fits(free) {
@@ -66,9 +68,9 @@
 	if !r.Need.Fits(m.Capacity) {
 		return 0, false
 	}
-	var few [16]bool // saves an allocation for each machine
-	ended := few[:]
-	if len(m.Tasks) > len(few) {
+	var endedBuffer [16]bool // avoids an allocation for most machines
+	ended := endedBuffer[:]
+	if len(m.Tasks) > len(endedBuffer) {
 		ended = make([]bool, len(m.Tasks))
 	}
 	seconds := 0.0
@@ -84,8 +86,8 @@
 	return seconds, true
 }
 
-// nextToEnd returns the task on a machine that is expected to end next, or -1. Tasks that are
-// preempted or being stopped are left out: their resources count as Releasing already.
+// nextToEnd returns the index of the task on a machine that is expected to end next, or -1. It
+// skips tasks that are preempted or being stopped, since their resources are part of Releasing.
 func (p *planner) nextToEnd(m *Machine, ended []bool) int {
 	next := -1
 	for k := range m.Tasks {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,49 +1,55 @@
 // Package placement plans one scheduling pass: on which machines waiting tasks start,
 // which tasks are preempted to make room, and which machines are rented.
 //
-// For each request, in the order of the queue, machines are filtered (may the request
-// use it, does a task fit) and scored (by how much would the start be delayed there, and
-// what would it take from others); the machine with the lowest score gets the task.
-// "Room" is free resources on a machine. For tasks that find none, room is reserved that is
-// about to be free, made by preemption, held on machines where tasks will end soon, reserved
-// on machines that are booting, and rented, in this order. What one request has reserved is
-// not available to later ones.
+// Requests are served in the order of the queue. For each request, the planner filters the
+// machines (the request may use the machine, and a task fits) and scores the others by the
+// delay of the start and the cost to other work. The machine with the lowest score gets the
+// task. "Room" is free resources on a machine. For tasks that find no room, the planner tries
+// these steps in order:
+//
+//  1. reserve room that is about to become free,
+//  2. make room by preemption,
+//  3. hold machines where tasks will end soon,
+//  4. reserve room on machines that are booting,
+//  5. rent machines.
+//
+// Later requests can't use what an earlier one has reserved.
 //
 // The package is pure: it keeps no state, does no I/O, and the same input gives the
-// same plan. Package cluster makes the input from its model and carries the plan out.
+// same plan. Package cluster builds the input from its model and carries the plan out.
 package placement
 
-// Start puts a task on a machine.
+// Start is the decision to start a task on a machine.
 type Start struct {
 	Request    int // index in Input.Requests
 	Task       int32
 	Machine    int       // index in Input.Machines
-	FreeBefore Resources // of the machine, without the task
+	FreeBefore Resources // the machine's free resources before this start
 }
 
-// Plan is what to do.
+// Plan is the result of a scheduling pass.
 type Plan struct {
 	Starts      []Start
 	Preemptions []Task
-	ScaleOut    map[int]int // how many machines to rent, by the offer's index in Input.Offers
-	Waiting     []int       // indices in Input.Requests of those that lack free resources, apart from placeholders and FreeCapacityOnly
+	ScaleOut    map[int]int // number of machines to rent, by index in Input.Offers
+	Waiting     []int       // indices in Input.Requests of requests with tasks that can't start yet; without placeholders and FreeCapacityOnly requests
 }
 
 // planner makes one plan.
 type planner struct {
 	input             *Input
 	plan              Plan
-	offerOfNewMachine []int // for each machine that was added to the input's: index of its offer
+	offerOfNewMachine []int // by machine added to Input.Machines: index of its offer
 	preempted         map[Task]bool
-	candidates        candidateHeap // a buffer that all searches use
+	candidates        candidateHeap // buffer shared by all searches
 	failedSearches    [numCapacityKinds][]failedSearch
 	numZones          int
-	classes           *classes // nil in tests: every machine is scored
-	lowestTier        int      // the highest tier number of all tasks that are on machines
+	classes           *classes // nil: every machine is scored by itself, which tests use as the reference
+	lowestTier        int      // the highest tier number among the tasks on machines
 }
 
-// Compute makes a plan. It changes the input's machines, to which it appends those that are
-// rented, its teams and its requests (PlacedByZone).
+// Compute returns the plan of one scheduling pass. It modifies the input: it updates the machines
+// and appends the rented ones, and updates Team.Used and Request.PlacedByZone.
 func Compute(in *Input) Plan {
 	return makePlan(in, newClasses(in.Machines))
 }
@@ -63,17 +69,17 @@
 	return p.plan
 }
 
-// TasksWithinLimit returns how many of the request's tasks its team's quota of CPUs and GPUs
-// allows to start.
+// TasksWithinLimit returns how many of the request's tasks may start within its team's quota of
+// CPUs and GPUs. For a request without a team that is all of them.
 func TasksWithinLimit(r *Request, teams []Team) int {
 	n := len(r.Tasks)
 	if r.Team < 0 {
 		return n
 	}
 	t := teams[r.Team]
-	limit := func(need, used, most float64) {
-		if most > 0 && need > 0 {
-			n = min(n, int((most-used+tolerance)/need))
+	limit := func(need, used, quota float64) {
+		if quota > 0 && need > 0 {
+			n = min(n, int((quota-used+tolerance)/need))
 		}
 	}
 	limit(r.Need.CPU, t.Used.CPU, t.Max.CPU)
@@ -81,7 +87,7 @@
 	return max(n, 0)
 }
 
-// serveRequest plans for request i.
+// serveRequest adds the decisions for Input.Requests[i] to the plan.
 func (p *planner) serveRequest(i int) {
 	r := &p.input.Requests[i]
 	n := TasksWithinLimit(r, p.input.Teams)
@@ -94,7 +100,7 @@
 	}
 	tasks := r.Tasks[:n]
 	if r.PreferredTypes != nil {
-		preferred := *r // a copy, since failed searches are remembered by their requests
+		preferred := *r // a copy, because failed searches keep a pointer to their request
 		preferred.Types = r.PreferredTypes
 		tasks = p.startTasks(&preferred, i, tasks)
 		tasks = p.preempt(&preferred, tasks)
@@ -113,7 +119,7 @@
 	}
 }
 
-// startTasks starts what fits now, and returns the tasks that are left.
+// startTasks starts the tasks that fit now, and returns the others.
 func (p *planner) startTasks(r *Request, i int, tasks []int32) []int32 {
 	starts := p.reserveTasks(r, tasks, freeNow)
 	for _, s := range starts {
@@ -127,8 +133,8 @@
 	return tasks[len(starts):]
 }
 
-// reserveForWaiting reserves room for tasks that can't start yet, so that later requests do not take it,
-// and preempts tasks or rents machines for what is lacking.
+// reserveForWaiting reserves room for tasks that can't start yet, so that later requests do not
+// take it. If there is not enough, it preempts tasks, holds machines or rents new ones.
 func (p *planner) reserveForWaiting(r *Request, tasks []int32) {
 	tasks = p.reserveNotYetFree(r, tasks, freeSoon)
 	if p.input.AllowPreemption {
@@ -141,7 +147,8 @@
 	p.scaleOut(r, tasks)
 }
 
-// reserveNotYetFree reserves room that is not free yet, and returns the tasks that are left.
+// reserveNotYetFree reserves room of a kind that is not free yet, and returns the tasks that found
+// none.
 func (p *planner) reserveNotYetFree(r *Request, tasks []int32, kind capacityKind) []int32 {
 	if len(tasks) == 0 {
 		return nil
--- a/placement/pools.go
+++ b/placement/pools.go
@@ -1,26 +1,26 @@
-package placement
+// Machines of warm pools, which hold a model's weights ahead of demand.
 
-// This file handles machines of warm pools, which hold a model's weights ahead of demand.
+package placement
 
-// PoolAccess says what a request may do with a pool's machines.
+// PoolAccess is the access of a request to a warm pool's machines.
 type PoolAccess uint8
 
 // Kinds of access, from none to full.
 const (
 	NoAccess         PoolAccess = iota // the request may not use the machines
-	BorrowAccess                       // it may until the pool needs them, if its image does not evict the weights
-	LastResortAccess                   // it may if there is no other room, even if that evicts the weights
-	OwnerAccess                        // it is work for which the pool is kept
+	BorrowAccess                       // it may use them until the pool needs them, if its image does not evict the weights
+	LastResortAccess                   // it may use them if there is no other room, even if its image evicts the weights
+	OwnerAccess                        // the pool is kept for this work
 )
 
 // Parts of a machine's score, as equivalent seconds of delay.
 const (
-	borrowPenaltySeconds     = 60   // for the risk that the pool needs its machine back
-	lastResortPenaltySeconds = 1000 // longer than any boot: any other machine with room is taken first
-	ownerBonusSeconds        = 2    // of two machines with the weights, the one in the pool is taken
+	borrowPenaltySeconds     = 60   // for the risk that the pool needs the machine back
+	lastResortPenaltySeconds = 1000 // longer than any boot, so that any other machine with room is preferred
+	ownerBonusSeconds        = 2    // prefers the pool's machine among machines with the weights
 )
 
-// poolAccess returns what the request may do with a machine, which must belong to a pool.
+// poolAccess returns the request's access to the machine, which must belong to a pool.
 func (m *Machine) poolAccess(r *Request) PoolAccess {
 	if m.Pool > len(r.PoolAccess) {
 		return NoAccess
@@ -37,15 +37,16 @@
 	case OwnerAccess, LastResortAccess:
 		return true
 	case BorrowAccess:
-		_, there := m.ImageReadyIn(r.Image)
-		return there || r.ImageGB <= m.PoolSpareGB
+		_, present := m.ImageReadyIn(r.Image)
+		return present || r.ImageGB <= m.PoolSpareGB
 	}
 	return false
 }
 
-// PoolRefuses reports whether the machine's warm pool does not let the request use it: pool if it
-// has no access, image if its image would evict the pool's weights.
-func (m *Machine) PoolRefuses(r *Request) (pool, image bool) {
+// PoolRefuses reports whether and why the machine's warm pool refuses the request: noAccess if the
+// request may not use the pool, evictsWeights if it may borrow the machine but its image would
+// evict the pool's weights. Both are false if the request may use the machine.
+func (m *Machine) PoolRefuses(r *Request) (noAccess, evictsWeights bool) {
 	if poolAdmits(m, r) {
 		return false, false
 	}
@@ -67,13 +68,13 @@
 	return lastResortPenaltySeconds
 }
 
-// reservePoolSpace reserves what a borrower's image takes beside the weights, or undoes
-// that.
+// reservePoolSpace reserves the disk space of a borrower's image on a machine of a warm pool, or
+// releases it.
 func reservePoolSpace(m *Machine, r *Request, sign direction) {
 	if m.Pool == 0 || m.poolAccess(r) != BorrowAccess {
 		return
 	}
-	if _, there := m.ImageReadyIn(r.Image); !there {
+	if _, present := m.ImageReadyIn(r.Image); !present {
 		m.PoolSpareGB -= float64(sign) * r.ImageGB
 	}
 }
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -1,16 +1,16 @@
+// Making room by preempting tasks.
+
 package placement
 
 import "slices"
 
-// This file makes room by preempting tasks.
-
-// restartLossSeconds is the loss by a preemption in addition to LossSeconds: the time to save
-// a checkpoint, and to start again.
+// restartLossSeconds is the loss of a preemption in addition to LossSeconds: the time to save a
+// checkpoint and to start again.
 const restartLossSeconds = 8
 
-// tierLossSeconds is added to the loss by preempting a task for each priority tier below the
-// task's: more than the work of any task, so that machines are chosen where tasks of the
-// lowest tiers are preempted.
+// tierLossSeconds is added to the loss of preempting a task for each priority tier that exists
+// below the task's. It exceeds the work of any task, so that machines are preferred where tasks of
+// the lowest tiers are preempted.
 const tierLossSeconds = 1e6
 
 // mayPreempt reports whether the occupant may be preempted for the request.
@@ -24,7 +24,7 @@
 	return r.WithinGuarantee && o.OverGuarantee && o.Team != r.Team
 }
 
-// preemptedBefore reports whether a is preempted before b, of two occupants of a machine.
+// preemptedBefore reports whether a is preempted before b. Both are on the same machine.
 func preemptedBefore(a, b *Occupant) bool {
 	if a.Tier != b.Tier {
 		return a.Tier > b.Tier
@@ -32,15 +32,15 @@
 	return a.LossSeconds < b.LossSeconds
 }
 
-// preemption is room for one task, made on a machine by preempting others there.
+// preemption makes room for one task on a machine by preempting other tasks there.
 type preemption struct {
 	machine     int
 	victims     []int // indices in the machine's Tasks
 	lossSeconds float64
 }
 
-// preempt makes room for tasks by preempting others with the least loss; for a gang it makes room
-// for all its tasks or none. It returns the tasks that still have no room.
+// preempt makes room for tasks by preempting others with the least loss. For a gang it makes room
+// for all tasks or none. It returns the tasks that still have no room.
 func (p *planner) preempt(r *Request, tasks []int32) []int32 {
 	if len(tasks) == 0 {
 		return nil
@@ -58,14 +58,15 @@
 		}
 	}
 	if len(preemptions) > 0 {
-		// What is preempted may leave more room than was wanted.
+		// The preempted tasks may free more room than this request needs.
 		p.failedSearches[freeSoon] = p.failedSearches[freeSoon][:0]
 	}
 	return tasks[len(preemptions):]
 }
 
-// cheapestZoneToPreempt returns the zone in which room can be made for most of the tasks, of
-// several such zones the one with the least loss; -1 if there is none.
+// cheapestZoneToPreempt returns the zone in which room can be made for the largest number of the
+// tasks. Among equal zones it returns the one with the least loss. It returns -1 if no room can
+// be made.
 func (p *planner) cheapestZoneToPreempt(r *Request, tasks []int32) int {
 	best, most, leastLossSeconds := -1, 0, 0.0
 	for zone := 0; zone < p.numZones; zone++ {
@@ -82,8 +83,8 @@
 	return best
 }
 
-// preemptInZone makes room in one zone, or in any if it is -1, for as many of the tasks as
-// possible, and reserves it. For a gang that is for all or none.
+// preemptInZone makes room in one zone, or in any zone if zone is -1, for as many of the tasks as
+// possible, and reserves it. For a gang it makes room for all tasks or none.
 func (p *planner) preemptInZone(r *Request, tasks []int32, zone int) []preemption {
 	minTasks := r.minTasksToStart(tasks)
 	if p.knownToFail(byPreempting, r, zone, minTasks) {
@@ -117,7 +118,8 @@
 	return preemptions
 }
 
-// reservePreemption reserves the room that a preemption makes, or undoes that.
+// reservePreemption marks the victims of a preemption as preempted and reserves the room for the
+// request, or undoes both.
 func (p *planner) reservePreemption(r *Request, pr preemption, sign direction) {
 	m := &p.input.Machines[pr.machine]
 	for _, k := range pr.victims {
@@ -138,9 +140,10 @@
 	}
 }
 
-// cheapestVictims chooses the tasks on a machine to be preempted, so that one of the request's
-// fits, and returns the loss. It prefers tasks of low tiers and with little loss. There are no
-// victims if the task fits without; the result is false if it can't be made to fit.
+// cheapestVictims chooses the tasks to preempt on a machine so that one of the request's tasks
+// fits. It prefers tasks of low tiers and with little loss. It returns the indices of the victims,
+// which are none if the task fits anyway, and the total loss with the machine's PenaltySeconds. ok
+// is false if the task can't be made to fit.
 func (p *planner) cheapestVictims(r *Request, m *Machine) (victims []int, lossSeconds float64, ok bool) {
 	free := availableCapacity(m, freeSoon)
 	if r.Need.Fits(free) {
@@ -167,8 +170,8 @@
 	return victims, lossSeconds, true
 }
 
-// capacityIfAllPreempted returns a machine's room if all tasks were preempted that may be for the
-// request. free is its room with none of them preempted.
+// capacityIfAllPreempted returns the room on a machine if every task that may be preempted for the
+// request were preempted. free is the room without any preemption.
 func (p *planner) capacityIfAllPreempted(r *Request, m *Machine, free Resources) Resources {
 	for k := range m.Tasks {
 		if o := &m.Tasks[k]; mayPreempt(r, o) && !p.preempted[o.Task] {
@@ -178,8 +181,8 @@
 	return free
 }
 
-// nextVictim returns the task on a machine that is to be preempted first, of those that may be
-// and are not chosen yet, or -1.
+// nextVictim returns the index of the next task to preempt on a machine, or -1 if there is no other
+// task that may be preempted. It skips the chosen tasks.
 func (p *planner) nextVictim(r *Request, m *Machine, chosen []bool) int {
 	next := -1
 	for k := range m.Tasks {
@@ -194,9 +197,9 @@
 	return next
 }
 
-// dropUnneededVictims leaves out victims that need not be preempted for the request's task to fit;
-// those of higher tiers are left out first. free is the machine's room with all of them
-// preempted. The list is changed in place.
+// dropUnneededVictims returns victims without those whose preemption the request's task does not
+// need in order to fit. It drops victims of higher tiers first. free is the room on the machine with all
+// victims preempted. The list is changed in place.
 func dropUnneededVictims(r *Request, m *Machine, victims []int, free Resources) []int {
 	slices.SortStableFunc(victims, func(a, b int) int { return m.Tasks[a].Tier - m.Tasks[b].Tier })
 	needed := victims[:0]
--- a/placement/reserve.go
+++ b/placement/reserve.go
@@ -1,9 +1,9 @@
-package placement
+// Reservation of room on machines for a request's tasks. Requests that are served later can't use
+// reserved room.
 
-// This file reserves room on machines for a request's tasks. What is reserved is not available
-// to requests that are served later.
+package placement
 
-// direction says whether room is reserved or a reservation is undone: the sign of the change.
+// direction is the sign of a change to reservations: reserving or undoing.
 type direction float64
 
 const (
@@ -11,7 +11,8 @@
 	undoing   direction = -1
 )
 
-// reserve reserves room for one of the request's tasks on a machine, or undoes that.
+// reserve reserves room for one of the request's tasks on a machine, or undoes one such
+// reservation.
 func (p *planner) reserve(r *Request, machine int, sign direction) {
 	m := &p.input.Machines[machine]
 	m.Free = m.Free.Add(r.Need, -float64(sign))
@@ -22,23 +23,22 @@
 	p.updateClass(machine)
 }
 
-// updateClass moves a machine whose resources have changed to the class that it belongs to now.
+// updateClass assigns a machine whose resources have changed to its current class.
 func (p *planner) updateClass(machine int) {
 	if p.classes != nil {
 		p.classes.update(p.input.Machines, machine)
 	}
 }
 
-// unreserve undoes reservations.
 func (p *planner) unreserve(r *Request, starts []Start) {
 	for _, s := range starts {
 		p.reserve(r, s.Machine, undoing)
 	}
 }
 
-// reserveTasks reserves room for as many of the tasks as fit; for a gang for all or none. If all
-// have to be in one zone and the request names none, it is the zone in which most fit, of
-// several such zones the one with the lowest total score.
+// reserveTasks reserves room for as many of the tasks as fit, for a gang for all or none. If the
+// request needs a single zone but names none, it uses the zone in which most tasks fit. Among equal
+// zones it uses the one with the lowest total score.
 func (p *planner) reserveTasks(r *Request, tasks []int32, kind capacityKind) []Start {
 	if !r.OneZone || r.Zone >= 0 {
 		starts, _ := p.reserveInZone(r, tasks, kind, r.Zone)
@@ -59,8 +59,8 @@
 	return starts
 }
 
-// reserveInZone reserves room in one zone, or in any if it is -1. It returns the sum
-// of the machines' scores as well.
+// reserveInZone reserves room in one zone, or in any zone if zone is -1. It also returns the sum of
+// the machines' scores.
 func (p *planner) reserveInZone(r *Request, tasks []int32, kind capacityKind, zone int) ([]Start, float64) {
 	minTasks := r.minTasksToStart(tasks)
 	if p.knownToFail(kind, r, zone, minTasks) {
@@ -85,7 +85,7 @@
 	return search.starts, search.totalScore
 }
 
-// minTasksToStart is how many of the tasks must find room for any to start.
+// minTasksToStart returns how many of the tasks must find room so that any of them may start.
 func (r *Request) minTasksToStart(tasks []int32) int {
 	if r.Gang {
 		return len(tasks)
@@ -93,7 +93,7 @@
 	return 1
 }
 
-// roomSearch is a search for room for a request's tasks, and what it has found.
+// roomSearch is a search for room for a request's tasks, with its results so far.
 type roomSearch struct {
 	request    *Request
 	kind       capacityKind
@@ -103,7 +103,7 @@
 	totalScore float64
 }
 
-// scoreFor returns a machine's score; false if no more of the tasks may be placed or fit there.
+// scoreFor returns a machine's score, and false if no further task may be placed or fits there.
 func (p *planner) scoreFor(search *roomSearch, machine int) (float64, bool) {
 	m, r := &p.input.Machines[machine], search.request
 	room := availableCapacity(m, search.kind)
@@ -113,8 +113,8 @@
 	return machineScore(m, r, room), !r.zoneIsFull(m.Zone)
 }
 
-// reservePreferred reserves room for tasks that rebalancing moves on the machines to which it
-// moves them, as far as they fit.
+// reservePreferred reserves room for tasks that rebalancing moves. It uses the machines chosen by
+// rebalancing, as far as the tasks fit there.
 func (p *planner) reservePreferred(search *roomSearch) {
 	if len(search.request.PreferredMachines) == 0 {
 		return
@@ -140,8 +140,8 @@
 	return ok
 }
 
-// reserveNext reserves room on a machine for the next task. It returns false if that is not
-// possible any more, since the zone has become full.
+// reserveNext reserves room on a machine for the next pending task. It returns false if the
+// machine can't be used any more, because the zone has become full.
 func (p *planner) reserveNext(search *roomSearch, machine int) bool {
 	score, ok := p.scoreFor(search, machine)
 	if ok {
--- a/placement/scaleout.go
+++ b/placement/scaleout.go
@@ -1,15 +1,15 @@
-package placement
+// Scale-out: which machines are rented.
 
-// This file plans which machines are rented.
+package placement
 
-// Parts of an offer's score, as equivalent seconds, besides the seconds until the machine is up.
+// Parts of an offer's score, as equivalent seconds, added to the seconds until the machine is up.
 const (
-	offerPriceWeightSeconds = 2  // for each unit of the price
-	offerGPUPenaltySeconds  = 10 // keeps work without GPUs from machines with them unless others are much later or dearer
+	offerPriceWeightSeconds = 2  // per unit of the price
+	offerGPUPenaltySeconds  = 10 // keeps GPU machines free of work without GPUs, unless others are much later or more expensive
 )
 
-// scaleOut rents machines for the tasks that fit nowhere, up to Input.MaxScaleOut in a plan, by
-// the offers with the lowest scores.
+// scaleOut rents machines for tasks that fit nowhere. It takes the offers with the lowest scores,
+// up to Input.MaxScaleOut machines per plan.
 func (p *planner) scaleOut(r *Request, tasks []int32) {
 	for len(tasks) > 0 && len(p.offerOfNewMachine) < p.input.MaxScaleOut {
 		offer := p.bestOffer(r)
@@ -26,7 +26,7 @@
 	}
 }
 
-// bestOffer returns the offer with the lowest score that the request may use, or -1.
+// bestOffer returns the index of the offer with the lowest score that the request may use, or -1.
 func (p *planner) bestOffer(r *Request) int {
 	best, lowest := -1, 0.0
 	for i := range p.input.Offers {
@@ -41,8 +41,8 @@
 	return best
 }
 
-// offerScore is how long the machine takes to be up, in seconds, plus its price, and GPUs that
-// the request does not use, as equivalent seconds.
+// offerScore returns the number of seconds until the machine would be up. It adds, as equivalent
+// seconds, the price and a penalty for GPUs that the request does not use.
 func offerScore(r *Request, o *Offer) float64 {
 	score := o.Machine.ETA + offerPriceWeightSeconds*o.Machine.Price
 	if o.Machine.Capacity.GPU > 0 && r.Need.GPU == 0 {
@@ -51,8 +51,8 @@
 	return score
 }
 
-// addMachine adds a machine to the plan as if it were rented and booting already, and
-// returns its index in the input's machines.
+// addMachine adds a machine to the plan and to Input.Machines as if it were already booting. It
+// returns the machine's index.
 func (p *planner) addMachine(offer int) int {
 	m := p.input.Offers[offer].Machine
 	m.Free = m.Capacity
@@ -66,8 +66,8 @@
 	return machine
 }
 
-// reserveOnNewMachine reserves room on a machine for up to n of the request's tasks, and returns
-// how many fit.
+// reserveOnNewMachine reserves room on a machine for up to n of the request's tasks. It returns the
+// number of tasks that fit.
 func (p *planner) reserveOnNewMachine(r *Request, n, machine int) int {
 	reserved := 0
 	for reserved < n && r.Need.Fits(p.input.Machines[machine].Free) && !r.zoneIsFull(p.input.Machines[machine].Zone) {
@@ -77,19 +77,19 @@
 	return reserved
 }
 
-// provision rents machines for as many tasks as the request has. It does not look for room on
-// present or booting machines: the caller has subtracted it. Machines that this plan rents for
+// provision rents machines for all tasks of the request. It ignores room on running and booting
+// machines, which the caller of Compute has already subtracted. Machines that this plan rents for
 // earlier requests count with their whole capacity.
 func (p *planner) provision(r *Request) {
-	lacking := len(r.Tasks)
+	missing := len(r.Tasks)
 	for _, offer := range p.offerOfNewMachine {
 		m := &p.input.Offers[offer].Machine
 		if !r.accepts(m) {
 			continue
 		}
-		for room := m.Capacity; lacking > 0 && r.Need.Fits(room); room = room.Add(r.Need, -1) {
-			lacking--
+		for room := m.Capacity; missing > 0 && r.Need.Fits(room); room = room.Add(r.Need, -1) {
+			missing--
 		}
 	}
-	p.scaleOut(r, r.Tasks[:lacking])
+	p.scaleOut(r, r.Tasks[:missing])
 }
--- a/placement/score.go
+++ b/placement/score.go
@@ -1,18 +1,17 @@
-package placement
+// Scores of machines for a request. The machine with the lowest score is used first.
 
-// This file scores machines for a request: the one with the lowest score is used
-// first.
+package placement
 
 // Parts of a machine's score, as equivalent seconds of delay.
 const (
-	gpuMachinePenaltySeconds = 30  // keeps work without GPUs from machines with them unless others start it much later
-	spotBonusSeconds         = 3   // of otherwise equal machines, a spot instance is used
-	pricePerCPUWeightSeconds = 0.5 // for the price per CPU
-	freeShareWeightSeconds   = 2   // for the share of the machine that stays free, so that fuller ones fill up first
+	gpuMachinePenaltySeconds = 30  // keeps GPU machines free of work without GPUs, unless other machines start it much later
+	spotBonusSeconds         = 3   // prefers spot instances among otherwise equal machines
+	pricePerCPUWeightSeconds = 0.5 // per unit of the price per CPU
+	freeShareWeightSeconds   = 2   // for the share of the machine that stays free, so that fuller machines fill up first
 )
 
-// machineScore is by how many seconds the start would be delayed on a machine, plus what it
-// would take from others as equivalent seconds. free is what is available on the machine.
+// machineScore returns the delay in seconds of starting a task on a machine, plus the cost to
+// other work as equivalent seconds. free is the room on the machine before the task is placed.
 func machineScore(m *Machine, r *Request, free Resources) float64 {
 	sum := m.PenaltySeconds + m.ETA + poolScore(m, r)
 	if seconds, ok := m.ImageReadyIn(r.Image); ok {
