--- a/placement/classes_test.go
+++ b/placement/classes_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// randomInput returns machines of which many are alike, and requests of all kinds.
+// randomInput returns a random input: many machines are alike, and requests differ in every field
+// that the planner uses.
 func randomInput(rnd *rand.Rand) *Input {
 	in := &Input{AllowPreemption: true, MaxScaleOut: 6, Teams: []Team{{Max: Resources{CPU: float64(100 + rnd.IntN(400))}}, {}}}
 	caps := []Resources{{CPU: 32, Mem: 64}, {CPU: 16, GPU: 2, Mem: 128}, {CPU: 4, Mem: 32}}
@@ -65,19 +66,19 @@
 	return in
 }
 
-// Grouping machines by class only saves time: the plan is the same as if every machine were
-// scored.
+// Grouping machines by class is only an optimization. A class key that lacks a property, or a
+// machine left in its old class, would make the plan differ from one that scores every machine.
 func TestPlanByClassIsPlanByMachine(t *testing.T) {
-	starts, stops, rents := 0, 0, 0
+	starts, preemptions, offers := 0, 0, 0
 	for seed := range uint64(400) {
-		one, other := randomInput(rand.New(rand.NewPCG(seed, 1))), randomInput(rand.New(rand.NewPCG(seed, 1)))
-		got, want := Compute(one), makePlan(other, nil)
+		in, sameInput := randomInput(rand.New(rand.NewPCG(seed, 1))), randomInput(rand.New(rand.NewPCG(seed, 1)))
+		got, want := Compute(in), makePlan(sameInput, nil)
 		if !reflect.DeepEqual(got, want) {
-			t.Fatalf("seed %d: by class\n%+v\nby machine\n%+v", seed, got, want)
+			t.Fatalf("seed %d: got by class\n%+v\nwant as by machine\n%+v", seed, got, want)
 		}
-		starts, stops, rents = starts+len(got.Starts), stops+len(got.Preemptions), rents+len(got.ScaleOut)
+		starts, preemptions, offers = starts+len(got.Starts), preemptions+len(got.Preemptions), offers+len(got.ScaleOut)
 	}
-	if starts < 1000 || stops < 100 || rents < 100 {
-		t.Errorf("only %d starts, %d stops and %d kinds rented in all", starts, stops, rents)
+	if starts < 1000 || preemptions < 100 || offers < 100 {
+		t.Errorf("inputs too easy: only %d starts, %d preemptions and %d rented offers in all plans", starts, preemptions, offers)
 	}
 }
--- a/placement/failed_search_test.go
+++ b/placement/failed_search_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// A search is skipped if one that would find all its machines has failed. Whether a warm pool lends a machine
-// depends on the image: it must be there, or beside the weights. Images were not compared, so that
-// a job whose image was on a pool's machine waited because another job's image was not.
+// A search is skipped if a search that would find all its machines has failed. A warm pool lends a
+// machine only if the image is present or fits beside the weights. When images were not compared, a
+// job whose image was on a pool's machine kept waiting because another job's image was not.
 func TestKnownFailuresAreOfSearchesThatFindAllMachines(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 77))
-	alike := 0
+	comparable := 0
 	for range 20_000 {
 		var requests [2]Request
 		for i := range requests {
@@ -24,12 +24,12 @@
 		if !requests[0].fitsWherever(&requests[1]) {
 			continue
 		}
-		alike++
+		comparable++
 		if poolAdmits(&m, &requests[1]) && !poolAdmits(&m, &requests[0]) {
-			t.Fatalf("on %+v there is room for %+v, but not for %+v, which is taken to find all its machines", m, requests[1], requests[0])
+			t.Fatalf("%+v admits %+v but not %+v, although fitsWherever is true", m, requests[1], requests[0])
 		}
 	}
-	if alike < 1000 {
-		t.Errorf("only %d comparable pairs", alike)
+	if comparable < 1000 {
+		t.Errorf("only %d comparable pairs, want at least 1000", comparable)
 	}
 }
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -20,11 +20,11 @@
 	in := Input{Machines: []Machine{machine(0, Resources{CPU: 16}), machine(1, Resources{CPU: 16}), machine(1, Resources{CPU: 8})}, Requests: []Request{r}}
 	p := Compute(&in)
 	if len(p.Starts) != 3 {
-		t.Fatalf("%d starts", len(p.Starts))
+		t.Fatalf("got %d starts, want 3", len(p.Starts))
 	}
 	for _, s := range p.Starts {
 		if s.Machine == 0 {
-			t.Error("crossed zones")
+			t.Error("the gang is spread over two zones")
 		}
 	}
 	in = Input{Machines: []Machine{machine(0, Resources{CPU: 16}), machine(1, Resources{CPU: 8})}, Requests: []Request{r}}
@@ -38,13 +38,13 @@
 	r.MaxPerZone, r.Team = 3, 0
 	in := Input{Machines: []Machine{machine(0, Resources{CPU: 16})}, Requests: []Request{r}, Teams: []Team{{}}}
 	if p := Compute(&in); len(p.Starts) != 3 {
-		t.Errorf("%d tasks in one zone, at most 3 allowed", len(p.Starts))
+		t.Errorf("got %d starts in one zone, want MaxPerZone = 3", len(p.Starts))
 	}
 	r = request(5, Resources{CPU: 2})
 	r.Team = 0
 	in = Input{Machines: []Machine{machine(0, Resources{CPU: 16})}, Requests: []Request{r}, Teams: []Team{{Used: Resources{CPU: 3}, Max: Resources{CPU: 8}}}}
 	if p := Compute(&in); len(p.Starts) != 2 {
-		t.Errorf("%d starts within a limit that allows 2", len(p.Starts))
+		t.Errorf("got %d starts, want the 2 that the team's limit allows", len(p.Starts))
 	}
 }
 
@@ -56,67 +56,67 @@
 	}
 	in := Input{Machines: []Machine{m}, Requests: []Request{request(1, Resources{CPU: 8})}, AllowPreemption: true}
 	if p := Compute(&in); len(p.Preemptions) != 1 || p.Preemptions[0].Job != 2 {
-		t.Errorf("stops %v", p.Preemptions)
+		t.Errorf("preemptions %v: want only the task of job 2, which loses least", p.Preemptions)
 	}
 	m = machine(0, Resources{})
 	m.Tasks = []Occupant{{Task: Task{1, 0}, Need: Resources{CPU: 16}, Priority: 2, Team: 1, OverGuarantee: true}}
 	r := request(1, Resources{CPU: 8})
 	in = Input{Machines: []Machine{m}, Requests: []Request{r}, AllowPreemption: true}
 	if p := Compute(&in); len(p.Preemptions) != 0 {
-		t.Errorf("stopped work of the same priority: %v", p.Preemptions)
+		t.Errorf("preempted work of the same priority: %v", p.Preemptions)
 	}
 	r.WithinGuarantee = true
 	in = Input{Machines: []Machine{m}, Requests: []Request{r}, AllowPreemption: true}
 	if p := Compute(&in); len(p.Preemptions) != 1 {
-		t.Error("a guarantee did not get its room")
+		t.Error("work within its guarantee did not preempt work over another team's guarantee")
 	}
 }
 
 func TestHeldMachineIsNotGivenToLaterSmallTask(t *testing.T) {
 	m := machine(0, Resources{CPU: 10, GPU: 1, Mem: 80})
 	m.Tasks = []Occupant{{Task: Task{9, 0}, Need: Resources{CPU: 6, GPU: 1, Mem: 48}, Priority: 2, RemainingSeconds: 20}}
-	large, little := request(1, Resources{CPU: 15}), request(1, Resources{CPU: 6, GPU: 1})
-	in := Input{Machines: []Machine{m}, Requests: []Request{large, little}}
+	large, small := request(1, Resources{CPU: 15}), request(1, Resources{CPU: 6, GPU: 1})
+	in := Input{Machines: []Machine{m}, Requests: []Request{large, small}}
 	if p := Compute(&in); len(p.Starts) != 1 {
-		t.Fatal("without holding, the small task starts")
+		t.Fatal("the small task does not start although nothing is held")
 	}
 	large.Hold = true
-	in = Input{Machines: []Machine{m}, Requests: []Request{large, little}}
+	in = Input{Machines: []Machine{m}, Requests: []Request{large, small}}
 	if p := Compute(&in); len(p.Starts) != 0 {
-		t.Errorf("the held machine was given away: %v", p.Starts)
+		t.Errorf("a task started on the held machine: %v", p.Starts)
 	}
 }
 
-// A search that found nothing is not repeated for requests of as much or more. It must not
-// hide room from requests of less, or in another zone.
+// A failed search is not repeated for requests of the same size or larger ones. It must not hide
+// room from smaller requests or from requests for other machine types.
 func TestFailedSearchHidesNoRoomFromSmallerRequests(t *testing.T) {
-	large, little, gpu := request(1, Resources{CPU: 12}), request(1, Resources{CPU: 4}), request(1, Resources{CPU: 12})
+	large, small, gpu := request(1, Resources{CPU: 12}), request(1, Resources{CPU: 4}), request(1, Resources{CPU: 12})
 	gpu.Types = []bool{false, true}
 	other := machine(0, Resources{CPU: 16})
 	other.Type = 1
-	in := Input{Machines: []Machine{machine(0, Resources{CPU: 8}), other}, Requests: []Request{large, large, little, gpu}}
+	in := Input{Machines: []Machine{machine(0, Resources{CPU: 8}), other}, Requests: []Request{large, large, small, gpu}}
 	in.Requests[0].Types = []bool{true, false}
 	in.Requests[1].Types = []bool{true, false}
 	in.Requests[2].Types = []bool{true, false}
 	p := Compute(&in)
 	if len(p.Starts) != 2 || p.Starts[0].Request != 2 || p.Starts[1].Request != 3 {
-		t.Errorf("started %v", p.Starts)
+		t.Errorf("starts %v: want requests 2 and 3", p.Starts)
 	}
-	// Room that preemptions for one request leave over is available to the next.
+	// The next request may use room that preemptions for one request leave over.
 	m := machine(0, Resources{})
 	m.Tasks = []Occupant{{Task: Task{9, 0}, Need: Resources{CPU: 16}, Priority: 3}}
 	in = Input{Machines: []Machine{m}, Requests: []Request{request(1, Resources{CPU: 8}), request(1, Resources{CPU: 8})}, AllowPreemption: true}
 	if p := Compute(&in); len(p.Preemptions) != 1 || len(p.Waiting) != 2 {
-		t.Errorf("stops %v, waiting %v", p.Preemptions, p.Waiting)
+		t.Errorf("preemptions %v, waiting %v: want one preemption for both requests", p.Preemptions, p.Waiting)
 	}
 }
 
-// Machines held for a gang that must be in one zone are all of that zone, and none are held
-// if there are not enough.
+// All machines held for a gang that must be in one zone are in the same zone. No machine is held
+// if the zone has too few. Otherwise machines would stay idle for a gang that can't start.
 func TestGangHoldsMachinesOfOneZone(t *testing.T) {
-	busy := func(zone int, left float64) Machine {
+	busy := func(zone int, remainingSeconds float64) Machine {
 		m := machine(zone, Resources{})
-		m.Tasks = []Occupant{{Task: Task{int32(left), 0}, Need: Resources{CPU: 16}, Priority: 2, RemainingSeconds: left}}
+		m.Tasks = []Occupant{{Task: Task{int32(remainingSeconds), 0}, Need: Resources{CPU: 16}, Priority: 2, RemainingSeconds: remainingSeconds}}
 		return m
 	}
 	gang := request(2, Resources{CPU: 16})
@@ -124,7 +124,7 @@
 	in := Input{Machines: []Machine{busy(0, 5), busy(1, 20), busy(1, 30)}, Requests: []Request{gang}}
 	Compute(&in)
 	if in.Machines[0].Free.CPU != 0 || in.Machines[1].Free.CPU != -16 || in.Machines[2].Free.CPU != -16 {
-		t.Errorf("held: %v %v %v", in.Machines[0].Free, in.Machines[1].Free, in.Machines[2].Free)
+		t.Errorf("free resources %v %v %v: want only the machines of zone 1 held", in.Machines[0].Free, in.Machines[1].Free, in.Machines[2].Free)
 	}
 	in = Input{Machines: []Machine{busy(0, 5), busy(1, 20), busy(1, 90)}, Requests: []Request{gang}}
 	Compute(&in)
--- a/placement/pools_test.go
+++ b/placement/pools_test.go
@@ -12,28 +12,28 @@
 
 func TestPoolMachineIsKeptFromOtherWork(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		uses  []PoolAccess
-		gb    float64
-		tasks int
-		want  int
+		name    string
+		access  []PoolAccess
+		imageGB float64
+		jobs    int
+		want    int
 	}{
-		{"work that the plan does not speak of", nil, 2, 1, 0},
-		{"work that may not", []PoolAccess{NoAccess}, 2, 1, 0},
+		{"no access listed for the pool", nil, 2, 1, 0},
+		{"NoAccess", []PoolAccess{NoAccess}, 2, 1, 0},
 		{"a borrower", []PoolAccess{BorrowAccess}, 2, 1, 1},
 		{"a borrower whose image would evict the weights", []PoolAccess{BorrowAccess}, 11, 1, 0},
-		{"two whose images would do so together", []PoolAccess{BorrowAccess}, 6, 2, 1},
-		{"a higher tier, whatever its image evicts", []PoolAccess{LastResortAccess}, 50, 1, 1},
-		{"of another pool only", []PoolAccess{NoAccess, OwnerAccess}, 2, 1, 0},
+		{"two borrowers whose images together would evict the weights", []PoolAccess{BorrowAccess}, 6, 2, 1},
+		{"last resort access with an image that evicts the weights", []PoolAccess{LastResortAccess}, 50, 1, 1},
+		{"the owner of another pool only", []PoolAccess{NoAccess, OwnerAccess}, 2, 1, 0},
 	} {
 		in := Input{Machines: []Machine{poolMachine(0)}}
-		for range c.tasks {
+		for range c.jobs {
 			r := request(1, Resources{CPU: 1})
-			r.Image, r.ImageGB, r.PoolAccess = int32(len(in.Requests)), c.gb, c.uses
+			r.Image, r.ImageGB, r.PoolAccess = int32(len(in.Requests)), c.imageGB, c.access
 			in.Requests = append(in.Requests, r)
 		}
 		if p := Compute(&in); len(p.Starts) != c.want {
-			t.Errorf("%s: %d starts, not %d", c.name, len(p.Starts), c.want)
+			t.Errorf("%s: got %d starts, want %d", c.name, len(p.Starts), c.want)
 		}
 	}
 }
@@ -44,16 +44,17 @@
 	in := Input{Machines: []Machine{poolMachine(0), machine(1, Resources{CPU: 16})}, Requests: []Request{r}}
 	p := Compute(&in)
 	if len(p.Starts) != 2 || p.Starts[0].Machine != 1 {
-		t.Errorf("%+v", p.Starts)
+		t.Errorf("starts %+v: want two, the first on the machine outside the pool", p.Starts)
 	}
 }
 
-// A failed search for a request without access to the pool says nothing about one with access.
+// A failed search of a request without access to a pool must not make a request with access skip
+// its search.
 func TestFailedSearchDoesNotHidePool(t *testing.T) {
 	other, replica := request(1, Resources{CPU: 4}), request(1, Resources{CPU: 8})
 	replica.PoolAccess = []PoolAccess{OwnerAccess}
 	in := Input{Machines: []Machine{poolMachine(0)}, Requests: []Request{other, replica}}
 	if p := Compute(&in); len(p.Starts) != 1 || p.Starts[0].Request != 1 {
-		t.Errorf("%+v", p.Starts)
+		t.Errorf("starts %+v: want only the request with access to the pool", p.Starts)
 	}
 }
