--- a/placement/failed_search_test.go
+++ b/placement/failed_search_test.go
@@ -10,7 +10,7 @@
 // job whose image was on a pool's machine kept waiting because another job's image was not.
 func TestKnownFailuresAreOfSearchesThatFindAllMachines(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 77))
-	comparable := 0
+	comparablePairs := 0
 	for range 20_000 {
 		var requests [2]Request
 		for i := range requests {
@@ -24,12 +24,12 @@
 		if !requests[0].fitsWherever(&requests[1]) {
 			continue
 		}
-		comparable++
+		comparablePairs++
 		if poolAdmits(&m, &requests[1]) && !poolAdmits(&m, &requests[0]) {
 			t.Fatalf("%+v admits %+v but not %+v, although fitsWherever is true", m, requests[1], requests[0])
 		}
 	}
-	if comparable < 1000 {
-		t.Errorf("only %d comparable pairs, want at least 1000", comparable)
+	if comparablePairs < 1000 {
+		t.Errorf("only %d comparable pairs, want at least 1000", comparablePairs)
 	}
 }
