--- a/priority/inversion_log.go
+++ b/priority/inversion_log.go
@@ -5,86 +5,86 @@
 	"slices"
 )
 
-// This file is what is recorded of priority inversions.
-
-// InversionLog is how many priority inversions there were and why, counted by whoever
-// led, and the last of it. It is bounded.
+// InversionLog counts priority inversions by tier and reason, and keeps the most recent ones. Its
+// size is bounded. The leader saves it, and the next leader continues it.
 type InversionLog struct {
-	Counts      map[string]uint64 `msgpack:"n"` // by Passed.Key
+	Counts      map[string]uint64 `msgpack:"n"` // by InversionEvent.Key
 	Recent      []InversionEvent  `msgpack:"l"` // oldest first
-	PlanVersion int               `msgpack:"p"` // the version of the plan that was last departed from
-	Capacity    [3]float64        `msgpack:"f"` // what shares were counted of: CPUs, GPUs, memory in GB
+	PlanVersion int               `msgpack:"p"` // version of the plan when the log was saved
+	Capacity    [3]float64        `msgpack:"f"` // capacity of which shares are computed: CPUs, GPUs, memory in GB
 }
 
-// Clone is a copy that does not change with the record.
-func (r *InversionLog) Clone() InversionLog {
-	c := *r
-	c.Counts, c.Recent = maps.Clone(r.Counts), slices.Clone(r.Recent)
+// Clone returns a copy that later changes of the log do not affect.
+func (l *InversionLog) Clone() InversionLog {
+	c := *l
+	c.Counts, c.Recent = maps.Clone(l.Counts), slices.Clone(l.Recent)
 	return c
 }
 
-// InversionEvent is one priority inversion.
+// InversionEvent is a recorded priority inversion: Job, of tier Tier, started although PassedOver,
+// of the higher tier PassedOverTier, waited.
 type InversionEvent struct {
-	AtMs           int64  `msgpack:"at"`
+	AtMs           int64  `msgpack:"at"` // Unix time in milliseconds
 	Job            string `msgpack:"j"`
 	Tier           string `msgpack:"t"`
 	PassedOver     string `msgpack:"o"`
 	PassedOverTier string `msgpack:"ot"`
-	Reason         string `msgpack:"r"`
+	Reason         string `msgpack:"r"` // InversionReason.String
 }
 
 const (
-	maxRecent = 48
-	maxCounts = 400
+	maxRecentEvents = 48
+	maxCountedKeys  = 400
 )
 
-// Key is what an inversion is counted under: the tier passed over, and why.
-func (p *InversionEvent) Key() string { return p.PassedOverTier + ": " + p.Reason }
+// Key returns the key under which the inversion is counted: the tier passed over and the reason.
+func (e *InversionEvent) Key() string { return e.PassedOverTier + ": " + e.Reason }
 
-// Add counts an inversion and keeps the last ones, of each pair of jobs and
-// reason the latest only.
-func (r *InversionLog) Add(p InversionEvent) {
-	if r.Counts == nil {
-		r.Counts = map[string]uint64{}
+// Add counts an inversion and adds it to the recent ones. It replaces an earlier event with the
+// same jobs and reason. Once there are maxCountedKeys keys, inversions under new keys are not
+// counted.
+func (l *InversionLog) Add(e InversionEvent) {
+	if l.Counts == nil {
+		l.Counts = map[string]uint64{}
 	}
-	if _, ok := r.Counts[p.Key()]; ok || len(r.Counts) < maxCounts {
-		r.Counts[p.Key()]++
+	if _, ok := l.Counts[e.Key()]; ok || len(l.Counts) < maxCountedKeys {
+		l.Counts[e.Key()]++
 	}
-	r.Recent = slices.DeleteFunc(r.Recent, func(o InversionEvent) bool {
-		return o.Job == p.Job && o.PassedOver == p.PassedOver && o.Reason == p.Reason
+	l.Recent = slices.DeleteFunc(l.Recent, func(o InversionEvent) bool {
+		return o.Job == e.Job && o.PassedOver == e.PassedOver && o.Reason == e.Reason
 	})
-	r.Recent = append(r.Recent, p)
-	if n := len(r.Recent); n > maxRecent {
-		r.Recent = slices.Delete(r.Recent, 0, n-maxRecent)
+	l.Recent = append(l.Recent, e)
+	if n := len(l.Recent); n > maxRecentEvents {
+		l.Recent = slices.Delete(l.Recent, 0, n-maxRecentEvents)
 	}
 }
 
-// Merge takes in what earlier leaders counted.
-func (r *InversionLog) Merge(o InversionLog) {
-	if r.Capacity == ([3]float64{}) {
-		r.PlanVersion, r.Capacity = o.PlanVersion, o.Capacity
+// Merge adds the log of earlier leaders, whose events are older than those of l.
+func (l *InversionLog) Merge(earlier InversionLog) {
+	if l.Capacity == ([3]float64{}) {
+		l.PlanVersion, l.Capacity = earlier.PlanVersion, earlier.Capacity
 	}
-	last := r.Recent
-	r.Recent = slices.Clone(o.Recent)
-	r.Recent = append(r.Recent, last...)
-	if n := len(r.Recent); n > maxRecent {
-		r.Recent = slices.Delete(r.Recent, 0, n-maxRecent)
+	own := l.Recent
+	l.Recent = slices.Clone(earlier.Recent)
+	l.Recent = append(l.Recent, own...)
+	if n := len(l.Recent); n > maxRecentEvents {
+		l.Recent = slices.Delete(l.Recent, 0, n-maxRecentEvents)
 	}
-	for k, n := range o.Counts {
-		if r.Counts == nil {
-			r.Counts = map[string]uint64{}
+	for key, n := range earlier.Counts {
+		if l.Counts == nil {
+			l.Counts = map[string]uint64{}
 		}
-		if _, ok := r.Counts[k]; ok || len(r.Counts) < maxCounts {
-			r.Counts[k] += n
+		if _, ok := l.Counts[key]; ok || len(l.Counts) < maxCountedKeys {
+			l.Counts[key] += n
 		}
 	}
 }
 
-// PassingOver lists the last inversions at a job's cost.
-func (r *InversionLog) PassingOver(job string) (out []InversionEvent) {
-	for _, p := range r.Recent {
-		if p.PassedOver == job {
-			out = append(out, p)
+// PassingOver returns the recent inversions that passed over a job, oldest first.
+func (l *InversionLog) PassingOver(job string) (out []InversionEvent) {
+	for _, e := range l.Recent {
+		if e.PassedOver == job {
+			out = append(out, e)
 		}
 	}
 	return out
--- a/priority/policy.go
+++ b/priority/policy.go
@@ -1,12 +1,12 @@
-// Package priority decides who is served first where the operators' plan divides the
-// work into tiers by team and class. A Policy assigns jobs to tiers and promotes work
-// of lower tiers that has waited too long or has less than its share (Policy.Promote);
-// FindInversions compares what a scheduling pass started with what still waits, and
-// gives the reason of every priority inversion; InversionLog counts them.
+// Package priority decides which work is served first if the operators' plan divides work into
+// tiers by team and class. A Policy assigns jobs to tiers, and promotes work of lower tiers
+// that has waited too long or has less than its share (Policy.Promote). FindInversions
+// compares what a scheduling pass started with what still waits, and returns every priority
+// inversion with its reason. InversionLog counts them.
 //
-// The leader's model (package cluster) calls it once a pass and keeps the log. The
-// package is pure: the same input gives the same decision, the time is passed in, and
-// nothing has to be remembered from one leader to the next but the log.
+// The leader's model (package cluster) calls the package once per pass and keeps the log. The
+// package is pure: the same input gives the same decision, and the time is part of the
+// input. Apart from the log, a new leader needs nothing from earlier leaders.
 package priority
 
 import (
@@ -14,177 +14,177 @@
 	"slices"
 )
 
-// Policy is a checked list of tiers in force. The zero value and nil are no policy: all
-// work is of one tier.
+// Policy is the validated list of tiers in force. A nil *Policy means that there are no tiers:
+// all work is of one tier.
 type Policy struct {
 	tiers []Tier
 }
 
-// New makes an order of checked settings, nil if they hold none.
+// New returns the Policy of settings that passed Settings.Check, or nil if they define no tiers.
+// It appends a catch-all tier if the last tier is not one.
 func New(s *Settings) *Policy {
 	if s.Empty() {
 		return nil
 	}
-	o := &Policy{tiers: slices.Clone(s.Tiers)}
-	if last := &o.tiers[len(o.tiers)-1]; !last.isCatchAll() {
-		o.tiers = append(o.tiers, Tier{Name: catchAllName, LongestWaitS: catchAllWaitSeconds})
+	p := &Policy{tiers: slices.Clone(s.Tiers)}
+	if last := &p.tiers[len(p.tiers)-1]; !last.isCatchAll() {
+		p.tiers = append(p.tiers, Tier{Name: catchAllName, LongestWaitS: catchAllWaitSeconds})
 	}
-	return o
+	return p
 }
 
-// NumTiers is how many there are, the rest included; 1 without an order.
-func (o *Policy) NumTiers() int {
-	if o == nil {
+// NumTiers returns the number of tiers including the catch-all tier, or 1 for a nil Policy.
+func (p *Policy) NumTiers() int {
+	if p == nil {
 		return 1
 	}
-	return len(o.tiers)
+	return len(p.tiers)
 }
 
-// TierName is a tier's name.
-func (o *Policy) TierName(tier int) string {
-	if o == nil || tier < 0 || tier >= len(o.tiers) {
+// TierName returns the name of a tier, or "" if there is no such tier.
+func (p *Policy) TierName(tier int) string {
+	if p == nil || tier < 0 || tier >= len(p.tiers) {
 		return ""
 	}
-	return o.tiers[tier].Name
+	return p.tiers[tier].Name
 }
 
-// TierOf is the tier of a team's work of a class: the first that names it. 0 is
-// served first.
-func (o *Policy) TierOf(team, class string) int {
-	if o == nil {
+// TierOf returns the tier of a team's work of a class: the first tier that matches both. Tier 0 is
+// served first. It returns 0 for a nil Policy.
+func (p *Policy) TierOf(team, class string) int {
+	if p == nil {
 		return 0
 	}
-	for i := range o.tiers {
-		if o.tiers[i].matches(team, class) {
+	for i := range p.tiers {
+		if p.tiers[i].matches(team, class) {
 			return i
 		}
 	}
-	return len(o.tiers) - 1
+	return len(p.tiers) - 1
 }
 
 // PendingJob is a job that waits for room.
 type PendingJob struct {
 	Tier          int
-	Tasks         int     // that may start now
-	Gang          bool    // a gang: all of them or none
-	TaskShare     float64 // of a task, as a part of the fleet: of the resource it takes most of
-	WaitedSeconds float64 // seconds since it was accepted
-	Placed        int     // tasks that are on machines, or on their way there
-	Started       bool    // a task of it has run
+	Tasks         int     // number of tasks that may start now
+	Gang          bool    // either all tasks start or none
+	TaskShare     float64 // share of the fleet that one task takes, of the resource of which it takes most
+	WaitedSeconds float64 // since the job was accepted
+	Placed        int     // number of tasks that are assigned to machines
+	Started       bool    // at least one of its tasks has run
 }
 
-// PromotionCause is why a job, or some of its tasks, is served before higher tiers.
+// PromotionCause is the reason why tasks of a job are promoted, that is, served earlier than their
+// position in the queue.
 type PromotionCause uint8
 
-// Causes.
+// Causes of promotions.
 const (
-	NotPromoted     PromotionCause = iota // it is not: its tier decides
-	PromotedByShare                       // its tier has less than its share of the fleet
-	PromotedByWait                        // nothing of it runs, and it has waited its tier's longest wait
-	PromotedInTier                        // the same, but it goes before its own tier only: waits have won enough of the fleet
+	NotPromoted     PromotionCause = iota // the tier decides when it is served
+	PromotedByShare                       // ahead of higher tiers: its tier has less than its share of the fleet
+	PromotedByWait                        // ahead of higher tiers: none of its tasks is placed, and it has waited its tier's maximum wait
+	PromotedInTier                        // as PromotedByWait, but only ahead of its own tier, because promotions by wait have enough of the fleet
 )
 
-// Promotion is how many of a job's tasks are served before higher tiers, or before
-// their own (ByTurn), and why.
+// Promotion is the number of a job's tasks that are promoted, and the cause.
 type Promotion struct {
 	Tasks int
 	Cause PromotionCause
 }
 
-// Promote says what of the waiting work is served before higher tiers, for each
-// job in their order; within a tier the first have it first. booked is what each
-// tier has of the fleet, from 0 to 1. It rests on what is booked and when jobs
-// came, and on nothing that a leader would have to remember.
+// Promote returns the promotion of each waiting job. The jobs are in the order of the queue, in
+// which the jobs of a tier receive its promotions. booked is the share of the fleet that each tier
+// uses, from 0 to 1. For a nil Policy nothing is promoted.
 //
-// A job that has waited too long is due to start: an array starts with its first
-// task, a gang needs all its places. A tier below its share is due as many tasks
-// as it lacks. Where more comes than can ever be done, everything has waited for
-// long at last; so that the order is not turned round then, waits bring a tier on
-// only while it and those after it have less than half of the fleet, the next less
-// than a quarter, and so on.
-func (o *Policy) Promote(waiting []PendingJob, booked []float64) []Promotion {
-	out := make([]Promotion, len(waiting))
-	if o == nil {
-		return out
+// A job that has waited too long is promoted with its first task, or with all tasks if it is a
+// gang. A tier below its share is promoted with as many tasks as it lacks. Under lasting
+// overload all jobs eventually wait too long. To keep promotions by wait from inverting the order of the tiers
+// then, they are limited: tier 1 and later ones are promoted by wait only while they together
+// use less than half of the fleet, tier 2 and later ones less than a quarter, and so on.
+func (p *Policy) Promote(waiting []PendingJob, booked []float64) []Promotion {
+	promotions := make([]Promotion, len(waiting))
+	if p == nil {
+		return promotions
 	}
-	has := make([]float64, len(o.tiers))
-	copy(has, booked)
-	o.promoteByWait(waiting, has, out)
-	o.promoteByShare(waiting, has, out)
-	return out
+	tierShares := make([]float64, len(p.tiers))
+	copy(tierShares, booked)
+	p.promoteByWait(waiting, tierShares, promotions)
+	p.promoteByShare(waiting, tierShares, promotions)
+	return promotions
 }
 
-// promoteByWait promotes a beginning of each job that has waited its tier's longest
-// wait, and adds it to what the tiers have. What has not begun at all comes before what
-// only stands still.
-func (o *Policy) promoteByWait(waiting []PendingJob, has []float64, out []Promotion) {
-	for _, begun := range []bool{false, true} {
+// promoteByWait promotes the first task, or the whole gang, of each job that has waited its tier's
+// maximum wait, and adds the promoted tasks to tierShares. Jobs that have never started come
+// before jobs that have started but have no task placed now.
+func (p *Policy) promoteByWait(waiting []PendingJob, tierShares []float64, promotions []Promotion) {
+	for _, started := range []bool{false, true} {
 		for i := range waiting {
-			w := &waiting[i]
-			if w.Started != begun || !o.waitExceeded(w) {
+			job := &waiting[i]
+			if job.Started != started || !p.waitExceeded(job) {
 				continue
 			}
-			out[i] = Promotion{1, PromotedByWait}
-			if w.Gang {
-				out[i].Tasks = w.Tasks
+			promotions[i] = Promotion{1, PromotedByWait}
+			if job.Gang {
+				promotions[i].Tasks = job.Tasks
 			}
-			if sumFrom(has, w.Tier) >= maxWaitShare(w.Tier) {
-				out[i].Cause = PromotedInTier
+			if sumFrom(tierShares, job.Tier) >= maxWaitShare(job.Tier) {
+				promotions[i].Cause = PromotedInTier
 				continue
 			}
-			has[w.Tier] += float64(out[i].Tasks) * w.TaskShare
+			tierShares[job.Tier] += float64(promotions[i].Tasks) * job.TaskShare
 		}
 	}
 }
 
-// promoteByShare promotes as many tasks as each tier lacks to its share.
-func (o *Policy) promoteByShare(waiting []PendingJob, has []float64, out []Promotion) {
+// promoteByShare promotes as many tasks as each tier lacks to reach its share, and adds them to
+// tierShares.
+func (p *Policy) promoteByShare(waiting []PendingJob, tierShares []float64, promotions []Promotion) {
 	for i := range waiting {
-		w := &waiting[i]
-		if w.Tier <= 0 || w.Tier >= len(o.tiers) || w.TaskShare <= 0 {
+		job := &waiting[i]
+		if job.Tier <= 0 || job.Tier >= len(p.tiers) || job.TaskShare <= 0 {
 			continue
 		}
-		share, more := o.tiers[w.Tier].Share, w.Tasks
-		if out[i].Cause == PromotedByWait {
-			more -= out[i].Tasks
+		share, tasks := p.tiers[job.Tier].Share, job.Tasks
+		if promotions[i].Cause == PromotedByWait {
+			tasks -= promotions[i].Tasks
 		}
-		lacks := share - has[w.Tier]
-		if lacks <= 1e-9 || more <= 0 || w.Gang && float64(w.Tasks)*w.TaskShare > lacks+share {
-			continue // or a gang that would take far more than the share: its wait brings it on
+		lacking := share - tierShares[job.Tier]
+		if lacking <= shareTolerance || tasks <= 0 || job.Gang && float64(job.Tasks)*job.TaskShare > lacking+share {
+			continue // a gang that would far exceed the share is promoted only by its wait
 		}
-		if !w.Gang {
-			more = min(more, int(lacks/w.TaskShare)+1)
+		if !job.Gang {
+			tasks = min(tasks, int(lacking/job.TaskShare)+1)
 		}
-		has[w.Tier] += float64(more) * w.TaskShare
-		if out[i].Cause == PromotedByWait {
-			out[i].Tasks += more
+		tierShares[job.Tier] += float64(tasks) * job.TaskShare
+		if promotions[i].Cause == PromotedByWait {
+			promotions[i].Tasks += tasks
 			continue
 		}
-		out[i] = Promotion{more, PromotedByShare}
+		promotions[i] = Promotion{tasks, PromotedByShare}
 	}
 }
 
-// MaxWaitSeconds is after how many seconds a job of the tier goes before higher ones;
-// 0: it never does for having waited.
-func (o *Policy) MaxWaitSeconds(tier int) float64 { return o.tiers[tier].LongestWaitS }
+// MaxWaitSeconds returns after how many seconds a job of the tier is promoted ahead of higher
+// tiers; 0 means never.
+func (p *Policy) MaxWaitSeconds(tier int) float64 { return p.tiers[tier].LongestWaitS }
 
-// waitExceeded says whether a job has waited its tier's longest wait, with nothing of it
-// running.
-func (o *Policy) waitExceeded(w *PendingJob) bool {
-	if w.Tier <= 0 || w.Tier >= len(o.tiers) || w.Tasks <= 0 || w.Placed > 0 {
+// waitExceeded reports whether a job has waited its tier's maximum wait and has no task placed.
+func (p *Policy) waitExceeded(job *PendingJob) bool {
+	if job.Tier <= 0 || job.Tier >= len(p.tiers) || job.Tasks <= 0 || job.Placed > 0 {
 		return false
 	}
-	longest := o.tiers[w.Tier].LongestWaitS
-	return longest > 0 && w.WaitedSeconds >= longest
+	maxWaitSeconds := p.tiers[job.Tier].LongestWaitS
+	return maxWaitSeconds > 0 && job.WaitedSeconds >= maxWaitSeconds
 }
 
-// maxWaitShare is how much of the fleet waits may win for a tier and those after it.
+// maxWaitShare returns the share of the fleet up to which a tier and all later ones together are
+// promoted by wait.
 func maxWaitShare(tier int) float64 { return math.Pow(0.5, float64(tier)) }
 
-// sumFrom is what a tier and those after it have.
-func sumFrom(has []float64, tier int) (sum float64) {
-	for _, h := range has[tier:] {
-		sum += h
+// sumFrom returns the sum of the shares of a tier and all later ones.
+func sumFrom(tierShares []float64, tier int) (sum float64) {
+	for _, share := range tierShares[tier:] {
+		sum += share
 	}
 	return sum
 }
