--- a/priority/encoding_test.go
+++ b/priority/encoding_test.go
@@ -7,7 +7,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// What is counted of departures is recorded for the next leader.
+// The inversion log is stored for the next leader, which may run another version. A changed
+// encoding would lose the counts.
 func TestInversionRecordsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
--- a/priority/policy.go
+++ b/priority/policy.go
@@ -97,10 +97,11 @@
 // uses, from 0 to 1. For a nil Policy nothing is promoted.
 //
 // A job that has waited too long is promoted with its first task, or with all tasks if it is a
-// gang. A tier below its share is promoted with as many tasks as it lacks. Under lasting
-// overload all jobs eventually wait too long. To keep promotions by wait from inverting the order of the tiers
-// then, they are limited: tier 1 and later ones are promoted by wait only while they together
-// use less than half of the fleet, tier 2 and later ones less than a quarter, and so on.
+// gang. A tier below its share is promoted with as many tasks as it lacks. Under lasting overload
+// all jobs eventually wait too long, and promotions by wait would invert the order of the tiers.
+// They are therefore limited: tier 1 is promoted by wait only while tier 1 and the later ones
+// together use less than half of the fleet, tier 2 only while it and the later ones use less than
+// a quarter, and so on.
 func (p *Policy) Promote(waiting []PendingJob, booked []float64) []Promotion {
 	promotions := make([]Promotion, len(waiting))
 	if p == nil {
--- a/priority/policy_test.go
+++ b/priority/policy_test.go
@@ -11,21 +11,22 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// fleet is a random fleet, what runs on it and what waits.
+// fleet is a random input: a policy, machines with running tasks, and waiting jobs.
 type fleet struct {
-	o       *Policy
+	policy  *Policy
 	in      placement.Input
-	waiting []PendingJob
-	booked  []float64
+	waiting []PendingJob // by request
+	booked  []float64    // share of the fleet that each tier uses
 }
 
-func draw(t *rapid.T) *fleet {
+// drawFleet draws a random fleet.
+func drawFleet(t *rapid.T) *fleet {
 	n := func(label string, lo, hi int) int { return rapid.IntRange(lo, hi).Draw(t, label) }
-	f := &fleet{o: New(&Settings{Tiers: []Tier{{Name: "clinic", Classes: []string{"c0"}},
+	f := &fleet{policy: New(&Settings{Tiers: []Tier{{Name: "clinic", Classes: []string{"c0"}},
 		{Name: "school", Classes: []string{"c1"}, Share: float64(n("share", 0, 40)) / 100, LongestWaitS: 100},
 		{Name: "craft", Classes: []string{"c2"}, LongestWaitS: float64(n("wait", 100, StarvationBoundSeconds))}}})}
 	const zones, types, teams = 2, 2, 2
-	f.booked = make([]float64, f.o.NumTiers())
+	f.booked = make([]float64, f.policy.NumTiers())
 	for i := range n("machines", 1, 8) {
 		m := placement.Machine{Name: fmt.Sprint(i), Type: n("type", 0, types-1), Zone: n("zone", 0, zones-1), Spot: rapid.Bool().Draw(t, "spot"),
 			Ready: n("ready", 0, 5) > 0, Capacity: placement.Resources{CPU: 16, Mem: 64}, FetchRate: 1}
@@ -56,31 +57,31 @@
 		if n("avoid", 0, 3) == 0 {
 			r.Avoid = map[int]bool{0: true}
 		}
-		r.Precedence = placement.Precedence{Tier: f.o.TierOf("any", fmt.Sprint("c", n("class", 0, 3))), StartDue: n("start due", 0, 5) == 0}
+		r.Precedence = placement.Precedence{Tier: f.policy.TierOf("any", fmt.Sprint("c", n("class", 0, 3))), StartDue: n("start due", 0, 5) == 0}
 		f.in.Requests = append(f.in.Requests, r)
 		f.waiting = append(f.waiting, PendingJob{Tier: r.Tier, Tasks: len(r.Tasks), Gang: r.Gang, TaskShare: r.Need.CPU / 64, WaitedSeconds: float64(n("waited", 0, 300)), Started: rapid.Bool().Draw(t, "begun")})
 	}
 	return f
 }
 
-// line puts the requests in the order of service, as the leader does.
-func (f *fleet) line(tiers bool) {
-	ahead := f.o.Promote(f.waiting, f.booked)
-	idx := make([]int, len(f.in.Requests))
-	for i := range idx {
-		idx[i] = i
-		f.in.Requests[i].PromotionCause = uint8(ahead[i].Cause)
+// sortRequests sorts the requests as the leader does; without byTier it ignores the tiers.
+func (f *fleet) sortRequests(byTier bool) {
+	promotions := f.policy.Promote(f.waiting, f.booked)
+	order := make([]int, len(f.in.Requests))
+	for i := range order {
+		order[i] = i
+		f.in.Requests[i].PromotionCause = uint8(promotions[i].Cause)
 	}
 	rank := func(r *placement.Request) int {
 		switch {
-		case !tiers:
+		case !byTier:
 			return 0
 		case r.PromotionCause == uint8(PromotedByShare) || r.PromotionCause == uint8(PromotedByWait):
 			return -1
 		}
 		return r.Tier
 	}
-	slices.SortStableFunc(idx, func(a, b int) int {
+	slices.SortStableFunc(order, func(a, b int) int {
 		x, y := &f.in.Requests[a], &f.in.Requests[b]
 		switch {
 		case x.WithinGuarantee != y.WithinGuarantee:
@@ -94,42 +95,46 @@
 	})
 	reqs := f.in.Requests
 	f.in.Requests = nil
-	for _, i := range idx {
+	for _, i := range order {
 		f.in.Requests = append(f.in.Requests, reqs[i])
 	}
 }
 
-// sign is what a comparison returns for the one that is first, or is not.
+// sign is the result of a comparison in which only one side has a property. The key tells whether
+// the first side has it and so comes first.
 var sign = map[bool]int{true: -1, false: 1}
 
+// pass runs a scheduling pass and returns its priority inversions.
 func (f *fleet) pass() []Inversion {
 	teams := slices.Clone(f.in.Teams)
 	plan := placement.Compute(&f.in)
 	return FindInversions(f.in.Requests, teams, plan.Starts, f.in.Machines)
 }
 
-// Whatever the fleet, what waits and the order: each inversion has a reason.
+// Every priority inversion of a correctly sorted queue has a reason. An unexplained one means that
+// the planner starts work of a lower tier without cause, or that FindInversions lacks a reason.
 func TestEveryInversionHasAReason(t *testing.T) {
 	seen := map[InversionReason]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		f := draw(t)
-		f.line(true)
+		f := drawFleet(t)
+		f.sortRequests(true)
 		for _, d := range f.pass() {
 			seen[d.Reason]++
 			if d.Reason == Unexplained {
-				t.Fatalf("%+v before %+v on %+v", f.in.Requests[d.Start.Request], f.in.Requests[d.PassedOver], f.in.Machines[d.Start.Machine])
+				t.Fatalf("unexplained inversion: %+v started before %+v on %+v", f.in.Requests[d.Start.Request], f.in.Requests[d.PassedOver], f.in.Machines[d.Start.Machine])
 			}
 		}
 	})
 	t.Log(seen)
 }
 
-// Were the tiers left out of the line, that would be found.
+// If the queue is sorted without regard to tiers, some inversions must be unexplained. Otherwise
+// the check of every pass could not detect a wrong order.
 func TestInversionWithoutAReasonIsFound(t *testing.T) {
 	found := 0
 	for seed := range 200 {
-		f := rapid.Custom(draw).Example(seed)
-		f.line(false)
+		f := rapid.Custom(drawFleet).Example(seed)
+		f.sortRequests(false)
 		for _, d := range f.pass() {
 			if d.Reason == Unexplained {
 				found++
@@ -137,38 +142,38 @@
 		}
 	}
 	if found == 0 {
-		t.Error("work is served in no order, and every departure has a reason")
+		t.Error("no inversion is unexplained, although the queue ignores the tiers")
 	}
 }
 
-// What is served before higher tiers is no more than a share lacks, by one task,
-// and for a wait what it takes to begin.
+// Promotions are limited: by share, to the tasks that a tier lacks, rounded up to a whole task, and by
+// wait, to what a job needs in order to start. Larger promotions would invert the tiers.
 func TestSharesAndWaitsTakeNoMoreThanTheirEntitlement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := draw(t)
+		f := drawFleet(t)
 		for i := range f.booked {
 			f.booked[i] = rapid.Float64Range(0, 0.5).Draw(t, "booked")
 		}
-		ahead := f.o.Promote(f.waiting, f.booked)
-		has := slices.Clone(f.booked)
-		for i, a := range ahead {
-			if a.Cause != PromotedInTier {
-				has[f.waiting[i].Tier] += float64(a.Tasks) * f.waiting[i].TaskShare
+		promotions := f.policy.Promote(f.waiting, f.booked)
+		tierShares := slices.Clone(f.booked)
+		for i, promotion := range promotions {
+			if promotion.Cause != PromotedInTier {
+				tierShares[f.waiting[i].Tier] += float64(promotion.Tasks) * f.waiting[i].TaskShare
 			}
 		}
-		for i, a := range ahead {
-			w := &f.waiting[i]
-			tier := &f.o.tiers[w.Tier]
-			due := w.Tier > 0 && tier.LongestWaitS > 0 && w.WaitedSeconds >= tier.LongestWaitS && w.Placed == 0
+		for i, promotion := range promotions {
+			job := &f.waiting[i]
+			tier := &f.policy.tiers[job.Tier]
+			due := job.Tier > 0 && tier.LongestWaitS > 0 && job.WaitedSeconds >= tier.LongestWaitS && job.Placed == 0
 			switch {
-			case a.Tasks > 0 && w.Tier == 0, a.Tasks > w.Tasks, w.Gang && a.Tasks != 0 && a.Tasks != w.Tasks:
-				t.Fatalf("%+v: %+v", w, a)
-			case due && (a.Tasks == 0 || a.Cause == PromotedInTier && sumFrom(has, w.Tier) < maxWaitShare(w.Tier)):
-				t.Fatalf("%+v has waited for its %g s and is not due to start", w, tier.LongestWaitS)
-			case !due && a.Tasks > 0 && f.booked[w.Tier] >= tier.Share:
-				t.Fatalf("%+v has its share and is given %+v", w, a)
-			case !due && a.Tasks > 0 && !w.Gang && has[w.Tier] > 2*tier.Share+w.TaskShare && float64(a.Tasks-1)*w.TaskShare > tier.Share:
-				t.Fatalf("%+v is given %+v, its tier then has %g of %g", w, a, has[w.Tier], tier.Share)
+			case promotion.Tasks > 0 && job.Tier == 0, promotion.Tasks > job.Tasks, job.Gang && promotion.Tasks != 0 && promotion.Tasks != job.Tasks:
+				t.Fatalf("%+v: invalid promotion %+v", job, promotion)
+			case due && (promotion.Tasks == 0 || promotion.Cause == PromotedInTier && sumFrom(tierShares, job.Tier) < maxWaitShare(job.Tier)):
+				t.Fatalf("%+v has waited its tier's maximum of %g s but is not promoted by wait", job, tier.LongestWaitS)
+			case !due && promotion.Tasks > 0 && f.booked[job.Tier] >= tier.Share:
+				t.Fatalf("%+v is promoted by %+v although its tier has its share", job, promotion)
+			case !due && promotion.Tasks > 0 && !job.Gang && tierShares[job.Tier] > 2*tier.Share+job.TaskShare && float64(promotion.Tasks-1)*job.TaskShare > tier.Share:
+				t.Fatalf("%+v is promoted by %+v: its tier then has %g, its share is %g", job, promotion, tierShares[job.Tier], tier.Share)
 			}
 		}
 	})
@@ -193,21 +198,21 @@
 		"order.tiers[4] names neither", `order.tiers[5]: class "slicing" is in order.tiers[0]`, "order.tiers[5].classes[1] must not", "the shares sum to 1.1",
 	} {
 		if !slices.ContainsFunc(all, func(s string) bool { return strings.HasPrefix(s, want) || strings.Contains(s, want) }) {
-			t.Errorf("nothing says %q", want)
+			t.Errorf("no error contains %q", want)
 		}
 	}
 	if t.Failed() {
 		t.Log(strings.Join(all, "\n"))
 	}
-	good := &Settings{Tiers: []Tier{{Name: "clinic", Classes: []string{"slicing"}}, {Name: "school", Teams: []string{"north"}, Share: 0.2}}}
-	if errs := good.Check(nil, []string{"north"}); len(errs) > 0 {
-		t.Error(errs)
+	valid := &Settings{Tiers: []Tier{{Name: "clinic", Classes: []string{"slicing"}}, {Name: "school", Teams: []string{"north"}, Share: 0.2}}}
+	if errs := valid.Check(nil, []string{"north"}); len(errs) > 0 {
+		t.Errorf("valid settings are refused: %v", errs)
 	}
-	o := New(good)
-	if o.TierOf("north", "slicing") != 0 || o.TierOf("north", "print") != 1 || o.TierOf("guild", "print") != 2 || o.NumTiers() != 3 {
-		t.Error("work is not of the first tier that names it")
+	p := New(valid)
+	if p.TierOf("north", "slicing") != 0 || p.TierOf("north", "print") != 1 || p.TierOf("guild", "print") != 2 || p.NumTiers() != 3 {
+		t.Error("work is not assigned to the first tier that matches it")
 	}
 	if New(&Settings{}) != nil || (*Policy)(nil).TierOf("north", "slicing") != 0 {
-		t.Error("no settings are an order")
+		t.Error("empty settings define tiers")
 	}
 }
--- a/priority/settings.go
+++ b/priority/settings.go
@@ -72,7 +72,6 @@
 	return out
 }
 
-
 // Check returns an error for each invalid field, with its path, and for each contradiction between
 // tiers. teams are the deployment's teams. The zones, its first argument, are not used.
 func (s *Settings) Check(_, teams []string) []error {
