--- a/rebalance/rebalance.go
+++ b/rebalance/rebalance.go
@@ -1,9 +1,9 @@
-// Package rebalance plans the moves of one cycle of rebalancing, within one group of
-// like machines, here called hosts. It packs: the hosts with the lowest utilization are
+// Package rebalance plans the task moves of one rebalancing cycle, within one group of similar
+// machines, called hosts here. It uses bin packing: the hosts with the lowest utilization are
 // drained onto those with the highest, so that a host becomes free for a waiting task that
 // fits nowhere.
 //
-// It is pure: the same input gives the same moves. Package cluster makes the groups,
+// The package is pure: the same input gives the same moves. Package cluster forms the groups
 // and carries the moves out with checkpoints.
 package rebalance
 
@@ -15,15 +15,15 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// roundingError is by how much a booked share may exceed a threshold, since it is computed from
-// sums of fractions.
+// roundingError is the tolerance when a booked share, which is computed from sums of fractions, is
+// compared with a threshold.
 const roundingError = 1e-9
 
 // Task is a task on a host.
 type Task struct {
 	ID      placement.Task
 	Need    placement.Resources
-	Movable bool
+	Movable bool // may be stopped and restarted on another host
 	Spot    bool // may run on spot instances
 }
 
@@ -37,19 +37,19 @@
 
 // Group is the input of a cycle.
 type Group struct {
-	Policies []config.Policy
+	Policies []config.Policy // one per balanced resource
 	Hosts    []Host
-	MaxMoves int
-	Unplaced []Waiting // tasks that fit nowhere
+	MaxMoves int       // maximum number of moves in this cycle
+	Unplaced []Waiting // waiting tasks that fit nowhere
 }
 
-// Waiting is a task that waits for room.
+// Waiting is the requirement of a waiting task.
 type Waiting struct {
 	Need placement.Resources
 	Spot bool // may run on spot instances
 }
 
-// mayUse reports whether the task would have room on the host if that were empty.
+// mayUse reports whether the task would fit on the host if the host were empty.
 func (w Waiting) mayUse(h *Host) bool { return w.Need.Fits(h.Capacity) && (w.Spot || !h.Spot) }
 
 // Move moves a task from one host to another; From and To are indices in Group.Hosts.
@@ -69,7 +69,8 @@
 	return r.Mem
 }
 
-// bookedShare returns which share of the capacity of a policy's resource is used by tasks.
+// bookedShare returns the share of a policy's resource that tasks use, from 0 to 1. It is 0 for a
+// host without that resource.
 func bookedShare(p *config.Policy, capacity, used placement.Resources) float64 {
 	total := amountOf(p.Resource, capacity)
 	if total <= 0 {
@@ -78,9 +79,9 @@
 	return amountOf(p.Resource, used) / total
 }
 
-// Imbalance returns the combined imbalance of a group, weighted by policy, and whether that of
-// any policy is above its threshold. The imbalance of a policy is the difference between the
-// highest and the lowest booked share of a host.
+// Imbalance returns the weighted sum of the imbalances of a group's policies, and whether any
+// policy with a positive weight has an imbalance above its threshold. The imbalance of a policy is
+// the difference between the highest and the lowest booked share of a host.
 func Imbalance(g *Group) (combined float64, above bool) {
 	for i := range g.Policies {
 		p := &g.Policies[i]
@@ -100,7 +101,7 @@
 	return combined, above
 }
 
-// utilization is the sum of the policies' booked shares, weighted.
+// utilization returns the weighted sum of the policies' booked shares.
 func (g *Group) utilization(capacity, used placement.Resources) float64 {
 	sum := 0.0
 	for i := range g.Policies {
@@ -109,9 +110,9 @@
 	return sum
 }
 
-// Plan returns the moves of a cycle; none if the imbalance of every policy is within its
-// threshold. A host is drained only as a whole, and only if a waiting task that fits nowhere
-// now will fit there.
+// Plan returns the moves of a cycle. It returns none if the imbalance of every policy is within
+// its threshold. A host is only drained completely, and only if a waiting task that fits nowhere
+// will then fit there.
 func Plan(g Group) []Move {
 	if len(g.Hosts) < 2 || len(g.Unplaced) == 0 {
 		return nil
@@ -129,7 +130,7 @@
 	return p.moves
 }
 
-// leastUtilizedFirst returns the hosts in the order of their utilization.
+// leastUtilizedFirst returns the indices of the hosts, sorted by increasing utilization.
 func (g *Group) leastUtilizedFirst() []int {
 	order := make([]int, len(g.Hosts))
 	for i := range order {
@@ -146,9 +147,9 @@
 type planner struct {
 	group     *Group
 	used      []placement.Resources // by host, after the moves so far
-	drained   []bool                // hosts that tasks are moved from
-	receiving []bool                // hosts that tasks are moved to
-	unplaced  []Waiting             // for which no host is drained yet
+	drained   []bool                // by host: tasks are moved from it
+	receiving []bool                // by host: tasks are moved to it
+	unplaced  []Waiting             // waiting tasks for which no host is drained yet
 	moves     []Move
 }
 
@@ -163,9 +164,9 @@
 	return p
 }
 
-// tryDrain drains a host if that makes room for a task that is still unplaced, takes no more
-// moves than are left, and there is a host for each of its tasks. A host to which tasks are
-// moved is not drained.
+// tryDrain drains a host if an unplaced task would then fit there, the moves are within MaxMoves,
+// and every task of the host has another host to move to. A host that receives tasks in this cycle
+// is not drained.
 func (p *planner) tryDrain(host int) {
 	h := &p.group.Hosts[host]
 	if len(h.Tasks) == 0 || p.receiving[host] || len(h.Tasks) > p.group.MaxMoves-len(p.moves) {
@@ -188,8 +189,8 @@
 	p.unplaced = slices.Delete(p.unplaced, fitting, fitting+1)
 }
 
-// movesToDrain finds another host for each task of a host, or returns no moves. It also returns
-// what would be used of each host after the moves.
+// movesToDrain returns moves of all tasks of a host to other hosts, and the used resources of each
+// host after the moves. It returns nil if a task can't be moved.
 func (p *planner) movesToDrain(host int) ([]Move, []placement.Resources) {
 	g, h := p.group, &p.group.Hosts[host]
 	tasks := slices.Clone(h.Tasks)
@@ -214,8 +215,8 @@
 	return moves, after
 }
 
-// fullestThatFits returns the host with the highest utilization on which a task fits without
-// exceeding a capacity threshold, or -1. used is what is used of each host.
+// fullestThatFits returns the index of the host with the highest utilization on which a task fits
+// without exceeding a capacity threshold, or -1. used holds the used resources of each host.
 func (p *planner) fullestThatFits(t *Task, from int, used []placement.Resources) int {
 	best, highest := -1, 0.0
 	for to := range p.group.Hosts {
@@ -234,7 +235,8 @@
 	return best
 }
 
-// withinThresholds reports whether every booked share is within its policy's capacity threshold.
+// withinThresholds reports whether the booked shares of a host with the given capacity and usage
+// are within the capacity threshold of each policy.
 func (g *Group) withinThresholds(capacity, used placement.Resources) bool {
 	for i := range g.Policies {
 		p := &g.Policies[i]
--- a/rebalance/rebalance_test.go
+++ b/rebalance/rebalance_test.go
@@ -7,12 +7,12 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-var size = placement.Resources{CPU: 16, GPU: 2, Mem: 128}
+var hostCapacity = placement.Resources{CPU: 16, GPU: 2, Mem: 128}
 
-func host(n int, tasks ...Task) Host {
-	h := Host{Capacity: size, Tasks: tasks}
+func host(job int, tasks ...Task) Host {
+	h := Host{Capacity: hostCapacity, Tasks: tasks}
 	for i := range tasks {
-		tasks[i].ID = placement.Task{Job: int32(n), Task: int32(i)}
+		tasks[i].ID = placement.Task{Job: int32(job), Task: int32(i)}
 		h.Used = h.Used.Add(tasks[i].Need, 1)
 	}
 	return h
@@ -34,35 +34,35 @@
 	g := group(host(0, small(true)), host(1, small(true), small(true)), host(2, small(true)), host(3, Task{Need: placement.Resources{CPU: 2, Mem: 8}, Movable: true}))
 	moves := Plan(g)
 	if len(moves) != 1 || moves[0].From != 3 || moves[0].To != 1 {
-		t.Fatalf("moves %v: the least booked host should drain onto the fullest one", moves)
+		t.Fatalf("moves %v: want the task of host 3, the least utilized one, moved to host 1, the fullest", moves)
 	}
 }
 
 func TestNoMoveWithoutUnplacedTaskImbalanceOrMovesLeft(t *testing.T) {
 	hosts := func() []Host { return []Host{host(0, small(true)), host(1, small(true)), host(2)} }
 	if len(Plan(group(hosts()...))) != 1 {
-		t.Fatal("the ordinary case does not move")
+		t.Fatal("no single move although there are an unplaced task, an imbalance and moves left")
 	}
 	g := group(hosts()...)
 	g.Unplaced = nil
 	if len(Plan(g)) > 0 {
-		t.Error("moved without wanted room")
+		t.Error("moved although no task is unplaced")
 	}
 	g = group(host(0, small(true)), host(1, small(true)))
 	if len(Plan(g)) > 0 {
-		t.Error("moved below every threshold")
+		t.Error("moved although every imbalance is below its threshold")
 	}
 	g = group(host(0, small(true), small(true)), host(1), host(2))
 	g.Hosts[1] = host(1, small(true))
 	g.MaxMoves = 0
 	if len(Plan(g)) > 0 {
-		t.Error("moved beyond the budget")
+		t.Error("moved more tasks than MaxMoves")
 	}
 }
 
 func TestHostIsDrainedAsAWholeOrNotAtAll(t *testing.T) {
 	if moves := Plan(group(host(0, small(false)), host(1, small(false)), host(2))); len(moves) > 0 {
-		t.Errorf("moved tasks that stay put: %v", moves)
+		t.Errorf("moved tasks that are not movable: %v", moves)
 	}
 	g := group(host(0, small(true)), host(1, small(true)), host(2))
 	for i := range g.Policies {
@@ -73,8 +73,8 @@
 	}
 }
 
-// Room on a spot machine does not help a task that may not run there: tasks were stopped and restarted for
-// it, and it waited on.
+// Room on a spot machine is useless for a task that may not run there. Spot hosts were drained for
+// such tasks all the same: running tasks were restarted, and the waiting task kept waiting.
 func TestSpotHostIsNotDrainedForATaskThatMayNotUseIt(t *testing.T) {
 	spotHost := host(2, Task{Need: placement.Resources{CPU: 2, Mem: 8}, Movable: true, Spot: true})
 	spotHost.Spot = true
@@ -85,6 +85,6 @@
 	}
 	g.Unplaced = append(g.Unplaced, Waiting{Need: g.Unplaced[0].Need, Spot: true})
 	if moves := Plan(g); len(moves) != 1 || moves[0].From != 2 {
-		t.Errorf("moves %v: the spot machine should be drained for the task that may use it", moves)
+		t.Errorf("moves %v: want host 2, the spot machine, drained for the task that may use it", moves)
 	}
 }
