--- a/rebalance/rebalance_test.go
+++ b/rebalance/rebalance_test.go
@@ -18,7 +18,7 @@
 	return h
 }
 
-func small(movable bool) Task {
+func smallTask(movable bool) Task {
 	return Task{Need: placement.Resources{CPU: 6, GPU: 1, Mem: 48}, Movable: movable}
 }
 
@@ -31,7 +31,7 @@
 }
 
 func TestLeastUtilizedHostDrainsOntoFullest(t *testing.T) {
-	g := group(host(0, small(true)), host(1, small(true), small(true)), host(2, small(true)), host(3, Task{Need: placement.Resources{CPU: 2, Mem: 8}, Movable: true}))
+	g := group(host(0, smallTask(true)), host(1, smallTask(true), smallTask(true)), host(2, smallTask(true)), host(3, Task{Need: placement.Resources{CPU: 2, Mem: 8}, Movable: true}))
 	moves := Plan(g)
 	if len(moves) != 1 || moves[0].From != 3 || moves[0].To != 1 {
 		t.Fatalf("moves %v: want the task of host 3, the least utilized one, moved to host 1, the fullest", moves)
@@ -39,7 +39,7 @@
 }
 
 func TestNoMoveWithoutUnplacedTaskImbalanceOrMovesLeft(t *testing.T) {
-	hosts := func() []Host { return []Host{host(0, small(true)), host(1, small(true)), host(2)} }
+	hosts := func() []Host { return []Host{host(0, smallTask(true)), host(1, smallTask(true)), host(2)} }
 	if len(Plan(group(hosts()...))) != 1 {
 		t.Fatal("no single move although there are an unplaced task, an imbalance and moves left")
 	}
@@ -48,12 +48,12 @@
 	if len(Plan(g)) > 0 {
 		t.Error("moved although no task is unplaced")
 	}
-	g = group(host(0, small(true)), host(1, small(true)))
+	g = group(host(0, smallTask(true)), host(1, smallTask(true)))
 	if len(Plan(g)) > 0 {
 		t.Error("moved although every imbalance is below its threshold")
 	}
-	g = group(host(0, small(true), small(true)), host(1), host(2))
-	g.Hosts[1] = host(1, small(true))
+	g = group(host(0, smallTask(true), smallTask(true)), host(1), host(2))
+	g.Hosts[1] = host(1, smallTask(true))
 	g.MaxMoves = 0
 	if len(Plan(g)) > 0 {
 		t.Error("moved more tasks than MaxMoves")
@@ -61,10 +61,10 @@
 }
 
 func TestHostIsDrainedAsAWholeOrNotAtAll(t *testing.T) {
-	if moves := Plan(group(host(0, small(false)), host(1, small(false)), host(2))); len(moves) > 0 {
+	if moves := Plan(group(host(0, smallTask(false)), host(1, smallTask(false)), host(2))); len(moves) > 0 {
 		t.Errorf("moved tasks that are not movable: %v", moves)
 	}
-	g := group(host(0, small(true)), host(1, small(true)), host(2))
+	g := group(host(0, smallTask(true)), host(1, smallTask(true)), host(2))
 	for i := range g.Policies {
 		g.Policies[i].CapacityThreshold = 0.5
 	}
@@ -78,7 +78,7 @@
 func TestSpotHostIsNotDrainedForATaskThatMayNotUseIt(t *testing.T) {
 	spotHost := host(2, Task{Need: placement.Resources{CPU: 2, Mem: 8}, Movable: true, Spot: true})
 	spotHost.Spot = true
-	g := group(host(0, small(true)), host(1, small(true), small(true)), spotHost)
+	g := group(host(0, smallTask(true)), host(1, smallTask(true), smallTask(true)), spotHost)
 	g.Hosts[0].Tasks[0].Movable = false
 	if moves := Plan(g); len(moves) > 0 {
 		t.Errorf("moves %v for a task that needs an on-demand machine", moves)
--- a/routing/plan.go
+++ b/routing/plan.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// leaderConnFraction is the divisor of a leader's sockets that yields how many of
-	// them workers may hold while relays can take the rest. The other sockets are for
-	// its own calls, for users, and for workers that return when the relays fail.
-	leaderConnFraction = 4
-	// minLeaderWorkers is the number of workers up to which a leader serves them itself,
-	// as far as MaxWorkerConns allows: for so few, forwarding only adds a hop.
+	// leaderConnDivisor limits the connections of workers at a leader to one in so many of
+	// its sockets while relays can serve the other workers. The remaining sockets are for the
+	// leader's own calls, for users, and for workers that return when relays fail.
+	leaderConnDivisor = 4
+	// minLeaderWorkers is the number of workers that a leader serves itself in any case, as
+	// far as MaxWorkerConns allows. For a small fleet, forwarding would only add a hop.
 	minLeaderWorkers = 400
 	// workerConnShare is the fraction of a node's sockets for workers' persistent connections.
 	workerConnShare = 0.45
@@ -38,7 +38,7 @@
 // it to each other with gob, so its field names must not change.
 type Node struct {
 	Name string
-	Room int // capacity: how many workers' connections it can hold
+	Room int // number of workers whose connections it can hold
 }
 
 // Plan is the leader's distribution of workers over the nodes. Controllers send it to
@@ -47,20 +47,20 @@
 	Leader  string
 	Token   uint64 // the leader's fencing token
 	Workers int    // expected number of workers
-	Direct  int    // how many of them connect to the leader itself
+	Direct  int    // number of workers that connect to the leader itself
 	Relays  []Node // sorted by name
 }
 
 // MaxLeaderWorkerConns returns how many persistent connections of workers a leader with
 // the given number of sockets should hold while relays can take the rest.
 func MaxLeaderWorkerConns(sockets int) int {
-	return min(MaxWorkerConns(sockets), max(sockets/leaderConnFraction, minLeaderWorkers))
+	return min(MaxWorkerConns(sockets), max(sockets/leaderConnDivisor, minLeaderWorkers))
 }
 
 // MaxWorkerConns returns how many persistent connections of workers a node with the given
-// number of sockets holds. Beyond that it closes each connection after the answer. It
-// can still serve more workers than that, since each needs a connection only while its
-// heartbeat is being answered.
+// number of sockets holds. A node with more connections closes each one after the answer.
+// It can still serve more workers than that, since each worker needs a connection only
+// while its heartbeat is being answered.
 func MaxWorkerConns(sockets int) int {
 	return max(minWorkerConns, int(workerConnShare*float64(sockets)))
 }
@@ -90,10 +90,10 @@
 // UsesRelays reports whether the plan assigns any workers to relays.
 func (p *Plan) UsesRelays() bool { return len(p.Relays) > 0 && p.Workers > p.Direct }
 
-// NodeFor returns the name of the node that a worker should use. It is computed by
-// weighted rendezvous hashing, so that all nodes with the same plan agree without
-// coordination and a change of the plan moves few workers: each node has a score that
-// depends on both names and on its share of the workers, and the highest score wins.
+// NodeFor returns the name of the node that a worker should use. It uses weighted
+// rendezvous hashing: each node has a score that depends on both names and on its share of
+// the workers, and the node with the highest score is chosen. All nodes with the same plan
+// therefore agree without coordination, and a change of the plan moves few workers.
 func (p *Plan) NodeFor(worker string) string {
 	if !p.UsesRelays() {
 		return p.Leader
@@ -101,8 +101,8 @@
 	capacity := float64(max(p.relayCapacity(), 1))
 	best, node := rendezvousScore(p.Leader, worker, float64(p.Direct)), p.Leader
 	for _, r := range p.Relays {
-		part := float64(p.Workers-p.Direct) * float64(r.Room) / capacity
-		if score := rendezvousScore(r.Name, worker, part); score > best {
+		weight := float64(p.Workers-p.Direct) * float64(r.Room) / capacity
+		if score := rendezvousScore(r.Name, worker, weight); score > best {
 			best, node = score, r.Name
 		}
 	}
--- a/routing/route.go
+++ b/routing/route.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// returnWindow is the time after a redirection in which a worker's return is taken
-	// to mean that it can't reach the node it was redirected to.
+	// returnWindow is the time after a redirection within which the return of a worker
+	// indicates that it can't reach the node it was redirected to.
 	returnWindow = 20 * time.Second
-	// slackFraction is the divisor of Plan.Direct that yields how many connections beyond
-	// Plan.Direct a leader tolerates before it redirects workers.
-	slackFraction = 16
+	// connSlackDivisor determines how many connections more than Plan.Direct a leader
+	// tolerates before it redirects workers: Plan.Direct divided by it.
+	connSlackDivisor = 16
 )
 
 // WorkerHistory is what a node knows about its recent contact with a worker.
@@ -19,8 +19,8 @@
 }
 
 // BouncedFrom reports whether the worker, whose heartbeat has just arrived here, was
-// redirected to the given node less than returnWindow ago. It then presumably can't reach
-// that node. Where it returned for another reason, the cost is one additional hop.
+// redirected to the given node less than returnWindow ago. The worker then presumably
+// can't reach that node. If it returned for another reason, the cost is one additional hop.
 func (h WorkerHistory) BouncedFrom(node string) bool {
 	return h.RedirectedTo == node && h.SinceRedirect < returnWindow
 }
@@ -37,7 +37,7 @@
 	Worker          string
 	Plan            *Plan // nil if no recent plan is known: new or unreachable leader
 	History         WorkerHistory
-	ConnsFull       bool // this node holds more than MaxWorkerConns
+	ConnsFull       bool // this node holds more connections of workers than MaxWorkerConns
 	LeaderReachable bool // peerrpc.HeartbeatStream.Reachable of the stream to the leader
 }
 
@@ -64,7 +64,7 @@
 	// A worker that is new here is answered first and redirected only later, with a
 	// fresh lease. A machine whose incoming packets are lost gets no answer anywhere and
 	// keeps changing nodes. If each node redirected it, its heartbeats would rarely reach
-	// the leader, which would learn as late whether a launched task runs there.
+	// the leader, which would learn late whether a launched task runs there.
 	if !in.History.ServedHere && !in.ConnsFull {
 		return forward
 	}
@@ -77,14 +77,14 @@
 	Plan       *Plan
 	History    WorkerHistory
 	OpenConns  int  // open connections of workers at the leader
-	LeaseFresh bool // its lease would outlast a failed redirection
+	LeaseFresh bool // the worker's lease would outlast a failed redirection
 }
 
 // RedirectFromLeader returns the node to which the leader redirects a worker that sent its
 // heartbeat to the leader directly, or "" if the worker stays. Only workers with a fresh
 // lease are redirected, since a redirection that fails takes seconds of the lease.
 func RedirectFromLeader(in LeaderInput) string {
-	if !in.Plan.UsesRelays() || !in.LeaseFresh || in.OpenConns <= in.Plan.Direct+in.Plan.Direct/slackFraction {
+	if !in.Plan.UsesRelays() || !in.LeaseFresh || in.OpenConns <= in.Plan.Direct+in.Plan.Direct/connSlackDivisor {
 		return ""
 	}
 	home := in.Plan.NodeFor(in.Worker)
