--- a/routing/fleet_plan_test.go
+++ b/routing/fleet_plan_test.go
@@ -17,12 +17,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A fleet under a plan of every part, while the plan changes and everything else
-// goes wrong at once.
-
-// fleetPlan is a version of such a plan: which tier comes first, when the region
-// opens and how many machines the pool holds go by its number. Simulated time
-// begins at midnight UTC, 1 January 2000, a Saturday.
+// fleetPlan returns the text of a version of a plan that uses every part. The order of the tiers,
+// the opening of the region and the minimum size of the warm pool depend on the version number.
+// The region opens the given number of minutes after midnight, or one minute earlier. Simulated
+// time begins at midnight UTC on 1 January 2000, a Saturday.
 func fleetPlan(number, minutes int) string {
 	tiers := []string{`name = "clinic"
 classes = ["clinic"]
@@ -44,7 +42,7 @@
 		plans.Pool{Name: "llm", Model: "llm:v1", WeightsGB: 20, MachineType: "m8", Min: 5 + number%3*5, Max: 30, Replicas: 20, Payer: "core", More: `borrowers = ["edge"]`}.TOML()
 }
 
-// fleetMinutes is how long everything goes wrong, in minutes; FLEET_MINUTES sets it.
+// fleetMinutes returns for how many minutes faults are injected: 4, or the value of FLEET_MINUTES.
 func fleetMinutes() int {
 	if n, err := strconv.Atoi(os.Getenv("FLEET_MINUTES")); err == nil && n > 1 && n < 50 {
 		return n
@@ -52,14 +50,14 @@
 	return 4
 }
 
-// Seven nodes and hundreds of machines: leaders are killed, stand still or keep only
-// their workers, the state service is out, a hundred machines are mute, others die,
-// heartbeats are copied, and the plan changes all the while. No rule breaks; then
-// everything accepted is done, the night has one outcome, and another version can
-// be applied.
+// Faults of all kinds are combined on seven nodes and hundreds of machines: leaders are killed,
+// paused or isolated to their workers, the state service fails, a hundred machines receive no
+// answers, machines die and heartbeats are duplicated. Meanwhile the plan keeps changing. No
+// invariant may break. Afterwards every accepted job must finish, the batch window must have
+// exactly one outcome, and the plan must accept another version.
 func TestFleetUnderAPlanSurvivesCombinedFaults(t *testing.T) {
 	if underRace {
-		t.Skip("played without the race detector by .ci/run")
+		t.Skip("run without the race detector by .ci/run")
 	}
 	minutes := fleetMinutes()
 	o := fake.Options{Nodes: 7, Machines: fleetMachines, Capacity: fleetMachines + 100, Sockets: fleetSockets, HeartbeatIntervalS: 4, LeaseS: 22, Seed: 3,
@@ -143,14 +141,14 @@
 			scenario.MustReach(t, w, id, wire.JobDone, 10*time.Minute)
 		}
 		if w.Cancel(service.ID) != wire.JobCancelled {
-			t.Error("the service is not cancelled")
+			t.Error("the service was not cancelled")
 		}
 		time.Sleep(time.Minute)
-		if was := plan.Version; !apply() || plan.Version != was+1 {
-			t.Errorf("after everything no plan can be applied on version %d", was)
+		if before := plan.Version; !apply() || plan.Version != before+1 {
+			t.Errorf("after the faults no plan can be applied on version %d", before)
 		}
-		// The night's outcome is recorded once its promise is due. Where all else was done
-		// before that, there was none yet: seen once in four plays.
+		// The outcome of the batch window is recorded when its promise is due. In one of four
+		// runs everything else was done earlier, and there was no outcome yet.
 		opening := time.Date(2000, time.January, 1, 0, minutes+3, 0, 0, time.UTC)
 		time.Sleep(time.Until(opening.Add(time.Minute)))
 		var rec calendar.Record
@@ -164,8 +162,8 @@
 			}
 		}
 		if outcomes != 1 {
-			t.Errorf("the night has %d outcomes: %+v", outcomes, rec.Past)
+			t.Errorf("got %d outcomes of the batch window, want 1: %+v", outcomes, rec.Past)
 		}
-		t.Logf("%d jobs, version %d of the plan, %d leases ended, nights %+v", len(accepted), plan.Version, w.ExpiredLeases(), rec.Past)
+		t.Logf("%d jobs, version %d of the plan, %d leases expired, batch windows %+v", len(accepted), plan.Version, w.ExpiredLeases(), rec.Past)
 	})
 }
--- a/routing/race_test.go
+++ b/routing/race_test.go
@@ -2,10 +2,9 @@
 
 package routing_test
 
-// With more than some 256 goroutines the race detector's runtime hands its
-// slots from one to another, and ends the process by itself at times ("CHECK
-// failed: tsan_rtl.cpp", or a fault in SlotLock): in two runs of twelve with 72
-// machines, and in a run of the project's CI. So the fleet's stories are played
-// without it (.ci/run), and what runs in them is under it in the controller's
-// smaller worlds, which route heartbeats as well.
+// The fleet scenarios run without the race detector (.ci/run). With more than about 256
+// goroutines, the race detector's runtime has to share its slots among them, and sometimes crashes
+// the process ("CHECK failed: tsan_rtl.cpp", or a fault in SlotLock). This happened in two of
+// twelve runs with 72 machines, and in one CI run. The smaller scenarios of package controller
+// run the same code, including the routing of heartbeats, under the race detector.
 const fleetMachines, fleetSockets, underRace = 0, 0, true
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -16,9 +16,9 @@
 
 func worker(i int) string { return fmt.Sprintf("host-%06d", i) }
 
-// A leader of 2,600 workers keeps a quarter of its sockets for them, and the
-// others share the rest; where there are few workers, or nobody to pass heartbeats
-// on, all send theirs to it.
+// A leader of 2,600 workers serves as many of them as a quarter of its sockets, and the relays share
+// the others. In a small fleet, or without relays, all workers send their heartbeats to the
+// leader.
 func TestLeaderKeepsItsShareAndRelaysDivideTheRest(t *testing.T) {
 	p := plan(2600, "c", "b")
 	got := map[string]int{}
@@ -26,41 +26,41 @@
 		got[p.NodeFor(worker(i))]++
 	}
 	if got["a"] < 560 || got["a"] > 740 || got["b"] < 850 || got["c"] < 850 {
-		t.Errorf("spread %v, wanted about 650 of 2,600 at the leader", got)
+		t.Errorf("distribution %v, want about 650 of 2,600 at the leader", got)
 	}
 	for _, small := range []Plan{plan(400, "b", "c"), plan(9000)} {
 		if small.UsesRelays() || small.NodeFor(worker(1)) != "a" {
-			t.Errorf("%+v sends workers away", small)
+			t.Errorf("%+v assigns workers to relays", small)
 		}
 	}
-	if crowd := plan(9000, "b", "c"); crowd.Direct < 9000-2*MaxWorkerConns(2600) {
-		t.Errorf("the leader keeps %d of 9,000, more than the others have room for are lost", crowd.Direct)
+	if large := plan(9000, "b", "c"); large.Direct < 9000-2*MaxWorkerConns(2600) {
+		t.Errorf("the leader serves %d of 9,000 workers: the relays are assigned more than their capacity", large.Direct)
 	}
 }
 
-// A worker's home must not change whenever another machine boots or a node goes:
-// each move costs it a heartbeat.
+// When another machine boots or a relay fails, the other workers must stay at their nodes, because
+// each move costs a worker one heartbeat.
 func TestPlanChangeMovesFewWorkers(t *testing.T) {
-	p, more, less := plan(2600, "b", "c"), plan(2650, "b", "c"), plan(2600, "b")
-	moved, orphans, strays := 0, 0, 0
+	p, moreWorkers, oneRelay := plan(2600, "b", "c"), plan(2650, "b", "c"), plan(2600, "b")
+	moved, ofLostRelay, others := 0, 0, 0
 	for i := range 2600 {
 		home := p.NodeFor(worker(i))
-		if more.NodeFor(worker(i)) != home {
+		if moreWorkers.NodeFor(worker(i)) != home {
 			moved++
 		}
-		switch now := less.NodeFor(worker(i)); {
+		switch now := oneRelay.NodeFor(worker(i)); {
 		case home == "c":
-			orphans++
+			ofLostRelay++
 		case now != home:
-			strays++
+			others++
 		}
 	}
 	if moved > 60 {
-		t.Errorf("50 more workers moved %d", moved)
+		t.Errorf("50 additional workers moved %d others, want at most 60", moved)
 	}
-	// The leader takes what the other has no room for, and only from there.
-	if orphans < 800 || strays > 800 {
-		t.Errorf("a node is gone: its %d workers, and %d others moved", orphans, strays)
+	// The leader takes the workers for which the remaining relay has no room.
+	if ofLostRelay < 800 || others > 800 {
+		t.Errorf("a relay with %d workers is gone, and %d workers of other nodes moved, want at most 800", ofLostRelay, others)
 	}
 }
 
@@ -71,40 +71,41 @@
 		homes[p.NodeFor(worker(i))] = worker(i)
 	}
 	small := plan(300, "b", "c")
-	away := WorkerHistory{RedirectedTo: "a", SinceRedirect: 3 * time.Second}
+	bounced := WorkerHistory{RedirectedTo: "a", SinceRedirect: 3 * time.Second}
 	for _, c := range []struct {
-		name      string
-		worker    string
-		p         *Plan
-		g         WorkerHistory
-		full, cut bool
-		to        string
-		pass      bool
+		name           string
+		worker         string
+		plan           *Plan
+		history        WorkerHistory
+		connsFull      bool
+		leaderCut      bool
+		wantForward    bool
+		wantRedirectTo string // checked unless the heartbeat is forwarded
 	}{
-		{name: "its own", worker: homes["b"], p: &p, pass: true},
-		{name: "the leader's, and new here", worker: homes["a"], p: &p, pass: true},
-		{name: "the leader's, and no room", worker: homes["a"], p: &p, full: true, to: "a"},
-		{name: "the leader's, but it has come back from there", worker: homes["a"], p: &p, g: away, pass: true},
-		{name: "the leader's, but served here for a while", worker: homes["a"], p: &p, g: WorkerHistory{ServedHere: true}, pass: true},
-		{name: "another's: passed on all the same", worker: homes["c"], p: &p, pass: true},
-		{name: "another's, and no room", worker: homes["c"], p: &p, full: true, to: "c"},
-		{name: "another's, no room, but it has come back", worker: homes["c"], p: &p, full: true, g: WorkerHistory{RedirectedTo: "c"}, pass: true},
-		{name: "the leader can't be reached from here", worker: homes["b"], p: &p, cut: true, to: "a"},
-		{name: "a small fleet, and new here", worker: homes["b"], p: &small, pass: true},
-		{name: "a small fleet, kept while it had come back", worker: homes["b"], p: &small, g: WorkerHistory{ServedHere: true}, to: "a"},
-		{name: "a new leader: everybody is answered where they are", worker: homes["b"], pass: true},
-		{name: "a new leader that can't be reached from here", worker: homes["b"], cut: true, to: "a"},
-		{name: "sent there long ago", worker: homes["a"], p: &p, g: WorkerHistory{RedirectedTo: "a", SinceRedirect: time.Minute}, full: true, to: "a"},
+		{name: "worker of this node", worker: homes["b"], plan: &p, wantForward: true},
+		{name: "leader's worker, new here", worker: homes["a"], plan: &p, wantForward: true},
+		{name: "leader's worker, connections full", worker: homes["a"], plan: &p, connsFull: true, wantRedirectTo: "a"},
+		{name: "leader's worker, bounced from the leader", worker: homes["a"], plan: &p, history: bounced, wantForward: true},
+		{name: "leader's worker, served here", worker: homes["a"], plan: &p, history: WorkerHistory{ServedHere: true}, wantForward: true},
+		{name: "worker of another relay", worker: homes["c"], plan: &p, wantForward: true},
+		{name: "worker of another relay, connections full", worker: homes["c"], plan: &p, connsFull: true, wantRedirectTo: "c"},
+		{name: "worker of another relay, connections full, bounced from there", worker: homes["c"], plan: &p, connsFull: true, history: WorkerHistory{RedirectedTo: "c"}, wantForward: true},
+		{name: "leader unreachable", worker: homes["b"], plan: &p, leaderCut: true, wantRedirectTo: "a"},
+		{name: "small fleet, worker new here", worker: homes["b"], plan: &small, wantForward: true},
+		{name: "small fleet, worker served here", worker: homes["b"], plan: &small, history: WorkerHistory{ServedHere: true}, wantRedirectTo: "a"},
+		{name: "no plan of the new leader yet", worker: homes["b"], wantForward: true},
+		{name: "no plan of the new leader, which is unreachable", worker: homes["b"], leaderCut: true, wantRedirectTo: "a"},
+		{name: "leader's worker, connections full, redirected long ago", worker: homes["a"], plan: &p, history: WorkerHistory{RedirectedTo: "a", SinceRedirect: time.Minute}, connsFull: true, wantRedirectTo: "a"},
 	} {
-		r := RouteAtFollower(FollowerInput{Self: "b", Leader: "a", Worker: c.worker, Plan: c.p, History: c.g, ConnsFull: c.full, LeaderReachable: !c.cut})
-		if r.Forward != c.pass || !r.Forward && r.RedirectTo != c.to {
-			t.Errorf("%s: forwarded %v, redirected to %q", c.name, r.Forward, r.RedirectTo)
+		r := RouteAtFollower(FollowerInput{Self: "b", Leader: "a", Worker: c.worker, Plan: c.plan, History: c.history, ConnsFull: c.connsFull, LeaderReachable: !c.leaderCut})
+		if r.Forward != c.wantForward || !r.Forward && r.RedirectTo != c.wantRedirectTo {
+			t.Errorf("%s: got forward %v, redirect to %q; want forward %v, redirect to %q", c.name, r.Forward, r.RedirectTo, c.wantForward, c.wantRedirectTo)
 		}
 	}
 }
 
-// Only a worker whose lease is fresh is moved, only where there are too many,
-// and not to where it has come back from.
+// The leader redirects a worker only if it holds too many connections, the worker's lease is fresh,
+// and the worker has not bounced from its node. Any other redirection could cost the lease.
 func TestRedirectFromLeader(t *testing.T) {
 	p := plan(2600, "b", "c")
 	w := worker(0)
@@ -113,17 +114,17 @@
 	}
 	home := p.NodeFor(w)
 	if to := RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, OpenConns: 2000, LeaseFresh: true}); to != home {
-		t.Errorf("sent to %q, not to %q", to, home)
+		t.Errorf("redirected to %q, want %q", to, home)
 	}
 	for name, to := range map[string]string{
-		"few are here":       RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, OpenConns: 600, LeaseFresh: true}),
-		"its lease is old":   RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, OpenConns: 2000, LeaseFresh: false}),
-		"it has come back":   RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, History: WorkerHistory{RedirectedTo: home, SinceRedirect: time.Second}, OpenConns: 2000, LeaseFresh: true}),
-		"no other is there":  RedirectFromLeader(LeaderInput{Worker: w, Plan: &Plan{Leader: "a", Workers: 2600, Direct: 2600}, OpenConns: 2500, LeaseFresh: true}),
-		"it is at home here": RedirectFromLeader(LeaderInput{Worker: workerOfLeader(&p), Plan: &p, OpenConns: 2000, LeaseFresh: true}),
+		"few connections":       RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, OpenConns: 600, LeaseFresh: true}),
+		"lease not fresh":       RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, OpenConns: 2000, LeaseFresh: false}),
+		"bounced from its node": RedirectFromLeader(LeaderInput{Worker: w, Plan: &p, History: WorkerHistory{RedirectedTo: home, SinceRedirect: time.Second}, OpenConns: 2000, LeaseFresh: true}),
+		"no relays":             RedirectFromLeader(LeaderInput{Worker: w, Plan: &Plan{Leader: "a", Workers: 2600, Direct: 2600}, OpenConns: 2500, LeaseFresh: true}),
+		"worker of the leader":  RedirectFromLeader(LeaderInput{Worker: workerOfLeader(&p), Plan: &p, OpenConns: 2000, LeaseFresh: true}),
 	} {
 		if to != "" {
-			t.Errorf("%s: sent to %q", name, to)
+			t.Errorf("%s: redirected to %q, want no redirection", name, to)
 		}
 	}
 }
