--- a/election/election.go
+++ b/election/election.go
@@ -3,18 +3,18 @@
 // The leader is the node named in the value of LeaderKey. It wrote the key under a
 // lease of the key-value store, so the store deletes the key when that lease expires or
 // is revoked. The revision at which the key was written is the fencing token. Every
-// write of the leader is conditional on it, and workers reject commands with a token
-// lower than the highest that they have seen. Store revisions only increase, so every
+// write of the leader is conditional on the token, and workers reject commands with a
+// lower token than the highest they have seen. Store revisions only increase, so every
 // new leader has a higher token than all earlier ones.
 //
 // Each controller node runs one Elector. It watches the key, campaigns whenever the key
 // is absent, and runs Config.Lead with a Lease while it holds the key.
 //
 // The package guarantees that at most one node has a valid Lease at a time, provided
-// that clocks drift apart by no more than Config.ClockDrift: validity counts from the
-// moment a renewal was sent, is shorter than the store's lease, and ends permanently
-// when the leader resigns. The package stores nothing but the key, and it never retries
-// a write whose outcome is unknown.
+// that clocks drift apart by no more than Config.ClockDrift. For this, validity counts
+// from the moment a renewal was sent, is shorter than the store's lease, and ends
+// permanently when the leader resigns. The package stores only the key, and it never
+// retries a write whose outcome is unknown.
 package election
 
 import (
@@ -46,7 +46,7 @@
 	abandonTimeout = time.Second
 )
 
-// errUnresolved means that it is unknown whether this node wrote the leader key: the
+// errUnresolved means that it is unknown whether this node wrote the leader key. The
 // write got no answer, and reading the key back failed as well.
 var errUnresolved = errors.New("outcome of the write of the leader key not resolved")
 
@@ -79,11 +79,11 @@
 	// before ctx ends, the lease is resigned.
 	Lead func(ctx context.Context, lease *Lease, ready func()) error
 	// ReadBarrier brings the leader's in-memory state up to date with the store. Once
-	// the leader is ready, a renewal extends the lease only if ReadBarrier succeeded
-	// after it: a leader with a valid lease must not act on stale state.
+	// the leader is ready, a renewal extends the lease only if ReadBarrier succeeds after
+	// it, because a leader with a valid lease must not act on stale state.
 	ReadBarrier func(ctx context.Context, lease *Lease) error
-	// OnChange, if set, is called after the result of Elector.Leader has changed, and
-	// whenever this node's lease becomes valid, for the first time or again.
+	// OnChange, if set, is called after the result of Elector.Leader has changed, and each
+	// time this node's lease becomes valid.
 	OnChange func()
 }
 
@@ -190,10 +190,10 @@
 	return nil
 }
 
-// revokePrevious revokes a lease that names this node but that this process does not
-// use: of an earlier process, or of a campaign whose outcome was unknown. Without this,
+// revokePrevious revokes a lease that names this node but that this process does not use.
+// It belongs to an earlier process, or to a campaign whose outcome was unknown. Otherwise
 // all nodes would have to wait for its expiry. The lease in use is never revoked here,
-// because lead does not return to the election round before it is over.
+// because lead returns to the election round only after that lease has ended.
 func (e *Elector) revokePrevious(ctx context.Context, id, fencingToken uint64) error {
 	e.cfg.Log.Info("revoking the lease of an earlier process of this node", "token", fencingToken)
 	e.setLeader("")
@@ -217,9 +217,9 @@
 		return err // a later round finds the key with this lease and revokes it, or the lease expires
 	}
 	if err != nil {
-		rctx, cancel := context.WithTimeout(ctx, abandonTimeout)
+		revokeCtx, cancel := context.WithTimeout(ctx, abandonTimeout)
 		defer cancel()
-		_ = e.cfg.Store.RevokeLease(rctx, id) // where this fails the lease expires by itself
+		_ = e.cfg.Store.RevokeLease(revokeCtx, id) // if this fails, the lease expires by itself
 		return fmt.Errorf("write the leader key: %w", err)
 	}
 	lease := NewLease(token, id, time.Now())
@@ -241,12 +241,12 @@
 	if !errors.Is(err, kvstore.ErrOutcomeUnknown) {
 		return token, err
 	}
-	// The write may have been applied, or may still be: read the key to find out. If it
-	// is not there, the caller revokes the lease, so that the write fails if it arrives
-	// later.
-	entry, gerr := e.cfg.Store.Get(ctx, LeaderKey)
-	if gerr != nil {
-		return 0, fmt.Errorf("%w: %w; read the leader key: %w", errUnresolved, err, gerr)
+	// The write may have been applied, or may still be applied later. Reading the key
+	// shows whether it has been. If not, the caller revokes the lease, so that a late
+	// write fails.
+	entry, readErr := e.cfg.Store.Get(ctx, LeaderKey)
+	if readErr != nil {
+		return 0, fmt.Errorf("%w: %w; read the leader key: %w", errUnresolved, err, readErr)
 	}
 	if entry.Version != 0 && entry.Lease == id {
 		return entry.Version, nil
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -13,7 +13,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// slowStore is a key-value store with one lease, which takes its time for renewals.
+// slowStore is a key-value store with a single lease. A renewal takes the time given by renewal.
 type slowStore struct {
 	renewal time.Duration
 
@@ -28,7 +28,7 @@
 	return s.entry, nil
 }
 
-// revokedAt is when the lease was revoked: zero if it was not.
+// revokedAt returns when the lease was revoked, or zero if it was not.
 func (s *slowStore) revokedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// RevokeLease revokes the lease at once, and its answer is lost.
+// RevokeLease revokes the lease at once but never answers.
 func (s *slowStore) RevokeLease(ctx context.Context, _ uint64) error {
 	s.mu.Lock()
 	if s.revoked.IsZero() {
@@ -72,8 +72,8 @@
 	return wire.Events{}, ctx.Err()
 }
 
-// A leader that resigns while a renewal is in flight must not become leader again by
-// it: its lease is revoked, and another may lead at once.
+// A leader resigns while a renewal is in flight. The answer to the renewal must not make its lease
+// valid again, because the lease is being revoked and another node may be elected at once.
 func TestRenewalInFlightDoesNotReviveResignedLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &slowStore{renewal: 100 * time.Millisecond}
@@ -93,47 +93,47 @@
 		for !lease.Valid() {
 			time.Sleep(time.Millisecond)
 		}
-		// A fifth of the lease after the first renewal the next one is sent.
+		// The next renewal is sent a fifth of the TTL after the first one; wait until it is in flight.
 		time.Sleep(e.cfg.LeaseTTL/5 + s.renewal/2)
 		synctest.Wait()
 		lease.Resign()
 		for range 100 {
 			time.Sleep(10 * time.Millisecond)
 			if lease.Valid() {
-				t.Errorf("valid again; the lease was released %v ago", time.Since(s.revokedAt()))
+				t.Errorf("the resigned lease is valid again, %v after it was revoked", time.Since(s.revokedAt()))
 				break
 			}
 		}
 		if s.revokedAt().IsZero() {
-			t.Error("the lease was not released")
+			t.Error("the resigned lease was not revoked")
 		}
 		cancel()
 		<-done
 	})
 }
 
-// A renewal was in flight when the leader resigned, for a worker that had seen a
-// higher token, say. It made the lease valid again: while the lease was being revoked,
-// which may take 2 s, workers were answered beside the next leader.
+// A renewal was in flight when the leader resigned, for example because a worker had seen a higher
+// token. The renewal made the lease valid again. During the revocation, which may take 2 s, the
+// old leader answered workers at the same time as the next one.
 func TestResignedLeaseStaysResigned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		lease := NewLease(7, 1, time.Now())
 		if lease.Valid() {
-			t.Error("valid before any renewal")
+			t.Error("the lease is valid before the first Extend")
 		}
 		lease.Extend(time.Now().Add(10 * time.Second))
 		time.Sleep(9999 * time.Millisecond)
 		if !lease.Valid() {
-			t.Error("not valid within its time")
+			t.Error("the lease is invalid before its expiry")
 		}
 		if time.Sleep(time.Millisecond); lease.Valid() {
-			t.Error("valid beyond its time")
+			t.Error("the lease is valid after its expiry")
 		}
 		lease.Extend(time.Now().Add(10 * time.Second))
 		lease.Resign()
 		lease.Extend(time.Now().Add(10 * time.Second))
 		if lease.Valid() {
-			t.Error("a renewal that was under way brought a term back that was given up")
+			t.Error("a renewal made a resigned lease valid again")
 		}
 	})
 }
--- a/election/lease.go
+++ b/election/lease.go
@@ -8,10 +8,10 @@
 
 // Lease is one period of leadership. It is safe for concurrent use.
 //
-// A Lease is not valid until the first Extend. It stops being valid when it expires or
-// is resigned. An expired Lease becomes valid again with the next Extend; a resigned one
-// never does, because the store's lease is revoked next and another leader may be
-// elected at once.
+// A Lease becomes valid with the first Extend. It stops being valid when it expires or is
+// resigned. An expired Lease becomes valid again with the next Extend. A resigned Lease
+// never does, because the store's lease is revoked next and another leader may be elected
+// at once.
 type Lease struct {
 	FencingToken uint64 // revision of LeaderKey; every write of this leader is conditional on it
 	ElectedAt    time.Time
--- a/election/renewal.go
+++ b/election/renewal.go
@@ -22,12 +22,12 @@
 	resignTimeout = 2 * time.Second
 )
 
-// errSuperseded means that the leader key no longer has the revision that this lease
-// wrote: another leadership may have begun since.
+// errSuperseded means that the leader key no longer has the revision written under this
+// lease. Another node may have been elected since.
 var errSuperseded = fmt.Errorf("the leader key has another revision: %w", kvstore.ErrLeaseNotFound)
 
 // lead runs Config.Lead and renews the lease until the lease is lost or resigned, or
-// ctx ends. It returns after Config.Lead has.
+// ctx ends. It does not return before Config.Lead has returned.
 func (e *Elector) lead(ctx context.Context, lease *Lease) {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -75,7 +75,7 @@
 func (e *Elector) revokeResigned(ctx context.Context, lease *Lease) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), resignTimeout)
 	defer cancel()
-	_ = e.cfg.Store.RevokeLease(ctx, lease.id) // where this fails the lease expires by itself
+	_ = e.cfg.Store.RevokeLease(ctx, lease.id) // if this fails, the lease expires by itself
 }
 
 // renewal renews one lease. Only the goroutine that runs lead uses it.
@@ -95,8 +95,8 @@
 }
 
 // renew renews the store's lease and, once the leader is ready, extends the Lease
-// accordingly. Validity counts from before the renewal was sent: the store may count its
-// TTL from any moment between that and its answer.
+// accordingly. Validity counts from before the renewal is sent, because the store's TTL
+// may start at any moment between the sending and the answer.
 func (r *renewal) renew(ctx context.Context) error {
 	sent := time.Now()
 	err := r.confirm(ctx)
@@ -135,8 +135,8 @@
 		return nil
 	}
 	if r.wasHeld && !r.lease.Valid() {
-		// The lease was invalid for a while, in which the key may have been deleted and
-		// written again: it must still have this lease's revision.
+		// While the lease was invalid, the key may have been deleted and written again.
+		// It must still have this lease's revision.
 		entry, err := cfg.Store.Get(ctx, LeaderKey)
 		if err != nil {
 			return fmt.Errorf("read the leader key: %w", err)
