--- a/admission/connlimiter.go
+++ b/admission/connlimiter.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 )
 
-// Kind says who opened a connection: a user or a worker. It is unknown until the
+// Kind is the kind of client that opened a connection. It is unknown until the
 // connection's first request.
 type Kind int
 
@@ -22,13 +22,14 @@
 // minConns is the smallest limit of a ConnLimiter.
 const minConns = 8
 
-// ConnLimiter is a listener that bounds its open connections and counts them by kind. It
-// reserves the rest of the machine's sockets for the node's own calls: a node whose
-// sockets are all used by workers can't renew its lease.
+// ConnLimiter is a listener that bounds its open connections and counts them by kind. The
+// limit leaves the other sockets of the machine for the node's own calls, since a node
+// whose sockets are all used by workers can't renew its lease. It is safe for concurrent
+// use.
 //
-// It accepts connections beyond the limit and closes them at once, in contrast to a
-// listener that stops accepting (netutil.LimitListener): connections in the kernel's
-// accept queue use sockets as well.
+// It accepts connections beyond the limit and closes them at once. A listener that stops
+// accepting instead, such as netutil.LimitListener, leaves connections in the kernel's
+// accept queue, where they use sockets as well.
 type ConnLimiter struct {
 	net.Listener
 	limit    int
@@ -37,7 +38,8 @@
 	rejected atomic.Uint64
 }
 
-// NewConnLimiter returns a ConnLimiter for at most limit connections, at least minConns.
+// NewConnLimiter returns a ConnLimiter for at most limit connections. It raises a limit
+// below minConns to minConns.
 func NewConnLimiter(l net.Listener, limit int) *ConnLimiter {
 	return &ConnLimiter{Listener: l, limit: max(minConns, limit)}
 }
@@ -79,7 +81,8 @@
 	closed bool
 }
 
-// SetKind records who opened the connection. It has no effect on a closed one.
+// SetKind records the kind of client that opened the connection. It has no effect on a
+// closed connection.
 func (c *Conn) SetKind(k Kind) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,11 +96,11 @@
 
 // Close closes the connection and stops counting it. It may be called more than once.
 func (c *Conn) Close() error {
-	c.releasePlace()
+	c.stopCounting()
 	return c.Conn.Close()
 }
 
-func (c *Conn) releasePlace() {
+func (c *Conn) stopCounting() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -110,8 +113,8 @@
 
 type connContextKey struct{}
 
-// ConnContext is meant for the field ConnContext of an http.Server whose listener is a
-// ConnLimiter. It stores the connection for ConnFromContext.
+// ConnContext is the value for http.Server.ConnContext if the server's listener is a
+// ConnLimiter. It stores the connection in the context for ConnFromContext.
 func ConnContext(ctx context.Context, c net.Conn) context.Context {
 	if conn, ok := c.(*Conn); ok {
 		return context.WithValue(ctx, connContextKey{}, conn)
--- a/admission/prioritylimiter.go
+++ b/admission/prioritylimiter.go
@@ -7,13 +7,13 @@
 	"sync"
 )
 
-// ErrQueueFull means that the queue was full and that no request in it was less urgent.
-// It ends a request on arrival, or later, when a more urgent one takes its place.
-var ErrQueueFull = errors.New("admission: too many wait")
+// ErrQueueFull means that the queue was full and the request was the least urgent one. A
+// request gets it on arrival, or later when a more urgent request takes its place.
+var ErrQueueFull = errors.New("admission: queue full")
 
-// PriorityLimiter bounds how many requests run concurrently, with a bounded priority
-// queue of waiting ones. After an outage many workers send heartbeats at the same time:
-// one whose lease is about to expire must not queue behind workers that were answered
+// PriorityLimiter bounds how many requests run concurrently, and keeps waiting requests in
+// a bounded priority queue. After an outage many workers send heartbeats at the same time.
+// A worker whose lease is about to expire must not queue behind workers that were answered
 // just before. It is safe for concurrent use.
 type PriorityLimiter struct {
 	maxWaiting int
@@ -33,16 +33,16 @@
 	result   chan error
 }
 
-// NewPriorityLimiter returns a PriorityLimiter for maxConcurrent concurrent requests, at
-// least one, and a queue of at most maxWaiting.
+// NewPriorityLimiter returns a PriorityLimiter for maxConcurrent concurrent requests, but
+// at least one, and a queue of at most maxWaiting requests.
 func NewPriorityLimiter(maxConcurrent, maxWaiting int) *PriorityLimiter {
 	return &PriorityLimiter{available: max(1, maxConcurrent), maxWaiting: max(0, maxWaiting)}
 }
 
-// Acquire waits until the request may run, or returns ctx.Err() if ctx ends before. The
-// smaller the priority, the sooner it runs; it may be, for example, the time that is left
-// of a lease. If the queue is full, the least urgent request, which may be this one, is
-// refused with ErrQueueFull. After a nil error the caller must call Release.
+// Acquire waits until the request may run. It returns ctx.Err() if ctx ends before that.
+// Requests with a smaller priority run first; the priority may be, for example, the
+// remaining time of a lease. If the queue is full, the least urgent request, which may be
+// this one, is refused with ErrQueueFull. After a nil error the caller must call Release.
 func (l *PriorityLimiter) Acquire(ctx context.Context, priority float64) error {
 	w := l.enqueue(priority)
 	if w == nil {
@@ -56,15 +56,15 @@
 	if l.remove(w) {
 		return ctx.Err()
 	}
-	// The request left the queue just as ctx ended: if it got a slot, pass that on.
+	// The request left the queue just as ctx ended. If it got a slot, pass the slot on.
 	if err := <-w.result; err == nil {
 		l.Release()
 	}
 	return ctx.Err()
 }
 
-// enqueue takes a free slot and returns nil, or, if there is none, queues a waiter and
-// returns it. If the queue is too long then, it refuses the least urgent waiter.
+// enqueue takes a free slot and returns nil. If there is no free slot, it queues a waiter
+// and returns it. If the queue is then too long, it refuses the least urgent waiter.
 func (l *PriorityLimiter) enqueue(priority float64) *waiter {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +82,8 @@
 	return w
 }
 
-// remove removes a waiter from the queue; it returns false if it was no longer there.
+// remove removes a waiter from the queue. It returns false if the waiter was no longer
+// there.
 func (l *PriorityLimiter) remove(w *waiter) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,7 +112,7 @@
 	return len(l.queue)
 }
 
-// Rejected returns how many requests were refused with ErrQueueFull so far.
+// Rejected returns the number of requests that were refused with ErrQueueFull so far.
 func (l *PriorityLimiter) Rejected() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,8 +129,9 @@
 	return w.seq < other.seq
 }
 
-// leastUrgent returns the index of the least urgent waiter. It only searches the leaves,
-// the second half of the heap's slice, since no parent is less urgent than its children.
+// leastUrgent returns the index of the least urgent waiter. It searches only the leaves,
+// which are the second half of the heap's slice, because a parent is never less urgent
+// than its children.
 func (q waitQueue) leastUrgent() int {
 	at := len(q) - 1
 	for i := len(q) / 2; i < len(q); i++ {
--- a/admission/replytimes.go
+++ b/admission/replytimes.go
@@ -8,9 +8,9 @@
 // minReplyTimes is the smallest limit of a ReplyTimes.
 const minReplyTimes = 16
 
-// ReplyTimes records when workers were last answered, for a bounded number of workers:
-// when it is full, all entries that are at least as old as the mean are evicted. It is
-// safe for concurrent use.
+// ReplyTimes records when workers were last answered, for a bounded number of workers.
+// When it is full, it evicts all entries that are at least as old as the mean. It is safe
+// for concurrent use.
 type ReplyTimes struct {
 	limit int
 
@@ -18,7 +18,8 @@
 	last map[string]time.Time
 }
 
-// NewReplyTimes returns a ReplyTimes for at most limit workers, at least minReplyTimes.
+// NewReplyTimes returns a ReplyTimes for at most limit workers. It raises a limit below
+// minReplyTimes to minReplyTimes.
 func NewReplyTimes(limit int) *ReplyTimes {
 	return &ReplyTimes{last: map[string]time.Time{}, limit: max(minReplyTimes, limit)}
 }
@@ -33,8 +34,8 @@
 	r.last[worker] = now
 }
 
-// evict removes the entries that are at least as old as the mean age, so that it need not
-// run for every new entry. The caller holds mu.
+// evict removes all entries that are at least as old as the mean age. It removes many at
+// once, so that it need not run for every new entry. The caller holds mu.
 func (r *ReplyTimes) evict(now time.Time) {
 	var sum time.Duration
 	for _, t := range r.last {
@@ -56,7 +57,8 @@
 	return now.Sub(t), ok
 }
 
-// CountWithin returns how many of the recorded workers were last answered within d.
+// CountWithin returns the number of recorded workers that were last answered at most d
+// before now.
 func (r *ReplyTimes) CountWithin(now time.Time, d time.Duration) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/admission/tierlimiter.go
+++ b/admission/tierlimiter.go
@@ -6,9 +6,9 @@
 )
 
 // TierLimiter bounds how many requests of each priority tier run concurrently. Under
-// overload, later tiers leave slots for earlier ones, while every tier has some reserved
-// slots, so that a refused request of any tier has a chance when it is retried. It is
-// safe for concurrent use.
+// overload, later tiers leave slots to earlier ones. Every tier has some reserved slots,
+// so that a refused request of any tier has a chance when it is retried. It is safe for
+// concurrent use.
 type TierLimiter struct {
 	capacity int
 
@@ -18,24 +18,25 @@
 }
 
 const (
-	// reservedShare of the slots is reserved, in equal parts for the tiers.
+	// reservedShare is the share of the slots that is reserved, in equal parts for the tiers.
 	reservedShare = 0.25
-	// headroomShare is the part of the shared slots that each tier leaves to earlier
-	// ones: tier i and all later ones together use at most (1-headroomShare)^i of them,
+	// headroomShare is the share of the shared slots that each tier leaves to earlier ones.
+	// Tier i and all later ones together use at most the share (1-headroomShare)^i of them,
 	// rounded up.
 	headroomShare = 0.25
 	// minTierCapacity is the smallest capacity of a TierLimiter.
 	minTierCapacity = 8
 )
 
-// NewTierLimiter returns a TierLimiter with capacity slots, at least minTierCapacity.
+// NewTierLimiter returns a TierLimiter with the given number of slots, but at least
+// minTierCapacity.
 func NewTierLimiter(capacity int) *TierLimiter {
 	return &TierLimiter{capacity: max(minTierCapacity, capacity)}
 }
 
-// TryAcquire takes a slot for a request of the given tier, 0 for the first, out of the
-// given number of tiers, and reports whether there was one. It does not wait. If it
-// returns true, the caller must call Release with the same arguments.
+// TryAcquire takes a slot for a request of the given tier, and reports whether one was
+// available. It does not wait. Tiers are numbered from 0 to tiers-1, and 0 is the most
+// important. If it returns true, the caller must call Release with the same arguments.
 func (l *TierLimiter) TryAcquire(tier, tiers int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +72,7 @@
 	return true
 }
 
-// Release frees the slot of a request.
+// Release frees the slot of a request. The arguments must be those of TryAcquire.
 func (l *TierLimiter) Release(tier, tiers int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/election/election_test.go
+++ b/election/election_test.go
@@ -56,7 +56,7 @@
 	return nil
 }
 
-// RevokeLease revokes the lease at once but never answers.
+// RevokeLease revokes the lease at once, but its answer is lost.
 func (s *slowStore) RevokeLease(ctx context.Context, _ uint64) error {
 	s.mu.Lock()
 	if s.revoked.IsZero() {
