--- a/admission/connlimiter_test.go
+++ b/admission/connlimiter_test.go
@@ -7,46 +7,46 @@
 	"github.com/umberdeal/umberdeal/internal/memnet"
 )
 
-// Beyond its limit the limiter closes what comes, and it counts whose connections
-// are open whatever order they are told apart and closed in.
+// Connections beyond the limit must be closed at once. The counts by kind must stay right in
+// whatever order kinds are set and connections are closed, also when a connection is closed twice.
 func TestConnLimiterCountsByKindAndClosesExcess(t *testing.T) {
-	p := memnet.Listen(20)
-	d := NewConnLimiter(p, 8)
-	var far []net.Conn
+	listener := memnet.Listen(20)
+	limiter := NewConnLimiter(listener, 8)
+	var clientConns []net.Conn
 	for range 10 {
-		a, err := p.Dial(t.Context(), "", "")
+		client, err := listener.Dial(t.Context(), "", "")
 		if err != nil {
 			t.Fatal(err)
 		}
-		far = append(far, a)
+		clientConns = append(clientConns, client)
 	}
-	p.End()
-	var got []*Conn
+	listener.End()
+	var accepted []*Conn
 	for {
-		c, err := d.Accept()
+		c, err := limiter.Accept()
 		if err != nil {
 			break
 		}
-		got = append(got, c.(*Conn))
+		accepted = append(accepted, c.(*Conn))
 	}
-	if len(got) != 8 || d.Total() != 8 || d.Rejected() != 2 {
-		t.Fatalf("%d accepted, %d open, %d closed", len(got), d.Total(), d.Rejected())
+	if len(accepted) != 8 || limiter.Total() != 8 || limiter.Rejected() != 2 {
+		t.Fatalf("%d accepted, %d open, %d rejected; want 8, 8, 2", len(accepted), limiter.Total(), limiter.Rejected())
 	}
-	if _, err := far[9].Read(make([]byte, 1)); err == nil {
-		t.Error("the tenth was not closed")
+	if _, err := clientConns[9].Read(make([]byte, 1)); err == nil {
+		t.Error("the tenth connection was not closed")
 	}
-	for i, c := range got {
+	for i, c := range accepted {
 		c.SetKind(Kind(1 + i%2))
 	}
-	if d.Count(KindUser) != 4 || d.Count(KindWorker) != 4 || d.Count(KindUnknown) != 0 {
-		t.Errorf("%d users, %d workers, %d unknown", d.Count(KindUser), d.Count(KindWorker), d.Count(KindUnknown))
+	if limiter.Count(KindUser) != 4 || limiter.Count(KindWorker) != 4 || limiter.Count(KindUnknown) != 0 {
+		t.Errorf("%d users, %d workers, %d unknown; want 4, 4, 0", limiter.Count(KindUser), limiter.Count(KindWorker), limiter.Count(KindUnknown))
 	}
-	for _, c := range got {
+	for _, c := range accepted {
 		_ = c.Close()
 		_ = c.Close()
-		c.SetKind(KindUser) // a request that was under way
+		c.SetKind(KindUser) // as by a request that was still in progress
 	}
-	if d.Total() != 0 || d.Count(KindUser) != 0 || d.Count(KindWorker) != 0 {
-		t.Errorf("%d open after all were closed: %d users, %d workers", d.Total(), d.Count(KindUser), d.Count(KindWorker))
+	if limiter.Total() != 0 || limiter.Count(KindUser) != 0 || limiter.Count(KindWorker) != 0 {
+		t.Errorf("%d connections counted after all were closed: %d users, %d workers", limiter.Total(), limiter.Count(KindUser), limiter.Count(KindWorker))
 	}
 }
--- a/admission/prioritylimiter_test.go
+++ b/admission/prioritylimiter_test.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Half a fleet comes back in one second: whose lease is nearest its end goes
-// first, and where too many wait, whoever has most time is turned away.
+// When many workers return at once, requests with the least remaining lease time run first. If the
+// queue overflows, those with the most time left are refused.
 func TestPriorityLimiterAdmitsMostUrgentFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewPriorityLimiter(1, 3)
-		if err := g.Acquire(t.Context(), 0); err != nil {
+		limiter := NewPriorityLimiter(1, 3)
+		if err := limiter.Acquire(t.Context(), 0); err != nil {
 			t.Fatal(err)
 		}
 		var mu sync.Mutex
@@ -22,7 +22,7 @@
 		refused := 0
 		for _, left := range []float64{20, 3, 11, 7, 25} {
 			go func() {
-				err := g.Acquire(t.Context(), left)
+				err := limiter.Acquire(t.Context(), left)
 				mu.Lock()
 				defer mu.Unlock()
 				if errors.Is(err, ErrQueueFull) {
@@ -30,39 +30,39 @@
 					return
 				}
 				order = append(order, left)
-				g.Release()
+				limiter.Release()
 			}()
 			synctest.Wait()
 		}
-		if g.Waiting() != 3 || g.Rejected() != 2 || refused != 2 {
-			t.Errorf("%d wait, %d were shed", g.Waiting(), g.Rejected())
+		if limiter.Waiting() != 3 || limiter.Rejected() != 2 || refused != 2 {
+			t.Errorf("%d waiting, %d rejected, %d refused; want 3, 2, 2", limiter.Waiting(), limiter.Rejected(), refused)
 		}
-		g.Release()
+		limiter.Release()
 		synctest.Wait()
 		if len(order) != 3 || order[0] != 3 || order[1] != 7 || order[2] != 11 {
-			t.Errorf("let through in the order %v", order)
+			t.Errorf("requests ran in the order %v, want 3, 7, 11", order)
 		}
 	})
 }
 
-// A worker that gives up leaves no hole in the queue, and a place that is given
-// to it at that very moment goes on to the next.
+// A cancelled request must leave the queue. If it gets a slot at the moment of its cancellation, the
+// slot must pass to the next request. Otherwise slots leak until no request runs.
 func TestCancelledWaiterTakesNoPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := NewPriorityLimiter(2, 100)
+		limiter := NewPriorityLimiter(2, 100)
 		for i := range 200 {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Duration(1+i%7)*time.Millisecond)
 			defer cancel()
 			go func() {
-				if g.Acquire(ctx, float64(i%13)) == nil {
+				if limiter.Acquire(ctx, float64(i%13)) == nil {
 					time.Sleep(time.Duration(1+i%3) * time.Millisecond)
-					g.Release()
+					limiter.Release()
 				}
 			}()
 		}
 		time.Sleep(time.Second)
-		if g.Waiting() != 0 || g.available != 2 {
-			t.Errorf("%d wait, %d of 2 places are free", g.Waiting(), g.available)
+		if limiter.Waiting() != 0 || limiter.available != 2 {
+			t.Errorf("%d waiting, %d of 2 slots free; want 0, 2", limiter.Waiting(), limiter.available)
 		}
 	})
 }
