--- a/admission/pollschedule_test.go
+++ b/admission/pollschedule_test.go
@@ -15,7 +15,7 @@
 // that any job had no answer, and the longest time that a poll waited.
 func simulatePolls(t *testing.T, overload int, seed uint64, priority func(id string) float64) (unanswered, waited time.Duration) {
 	t.Helper()
-	const nodes, atOnce, work, gap, patience = 2, 16, 100 * time.Millisecond, 5 * time.Second, 800 * time.Millisecond
+	const nodes, maxConcurrent, serviceTime, pollInterval, pollTimeout = 2, 16, 100 * time.Millisecond, 5 * time.Second, 800 * time.Millisecond
 	var mu sync.Mutex
 	rnd := rand.New(rand.NewPCG(seed, 3))
 	randomInt := func(n int) int {
@@ -25,11 +25,11 @@
 	}
 	var limiters []*PriorityLimiter
 	for range nodes {
-		limiters = append(limiters, NewPriorityLimiter(atOnce, 2*atOnce))
+		limiters = append(limiters, NewPriorityLimiter(maxConcurrent, 2*maxConcurrent))
 	}
 	var wg sync.WaitGroup
 	end := time.Now().Add(110 * time.Second)
-	for n := range overload * nodes * atOnce * int(gap/work) {
+	for n := range overload * nodes * maxConcurrent * int(pollInterval/serviceTime) {
 		id := fmt.Sprintf("wk-%06d", 7*n)
 		wg.Go(func() {
 			time.Sleep(time.Duration(randomInt(5000)) * time.Millisecond)
@@ -41,19 +41,19 @@
 			}
 			for time.Now().Before(end) {
 				limiter, start := limiters[randomInt(nodes)], time.Now()
-				ctx, cancel := context.WithTimeout(t.Context(), patience)
+				ctx, cancel := context.WithTimeout(t.Context(), pollTimeout)
 				err := limiter.Acquire(ctx, priority(id))
 				cancel()
 				mu.Lock()
 				waited = max(waited, time.Since(start))
 				mu.Unlock()
 				if err == nil {
-					time.Sleep(work)
+					time.Sleep(serviceTime)
 					limiter.Release()
 					recordGap()
 					lastAnswer = time.Now()
 				}
-				time.Sleep(gap - 300*time.Millisecond + time.Duration(randomInt(600))*time.Millisecond)
+				time.Sleep(pollInterval - 300*time.Millisecond + time.Duration(randomInt(600))*time.Millisecond)
 			}
 			recordGap()
 		})
--- a/liveness/failure.go
+++ b/liveness/failure.go
@@ -6,9 +6,9 @@
 	"sync"
 )
 
-// SuspectAfterMisses is how many unanswered probes, with no answered one in between, make
-// a follower suspect the leader. One is not enough: a single packet may be lost, and
-// redirecting workers to another node costs them time.
+// SuspectAfterMisses is the number of unanswered probes, with no answered one in between,
+// after which a follower suspects the leader. One is not enough, because a single packet
+// may be lost and redirecting workers to another node costs them time.
 const SuspectAfterMisses = 2
 
 // Transition is the effect of one probe on whether the leader is suspected.
@@ -17,15 +17,15 @@
 const (
 	// Unchanged means that the probe changed nothing.
 	Unchanged Transition = iota
-	// BecameSuspected means that the leader is suspected since this probe.
+	// BecameSuspected means that this probe made the leader suspected.
 	BecameSuspected
 	// Recovered means that a suspected leader has answered again.
 	Recovered
 )
 
-// FailureDetector counts the probes that the current leader has left unanswered since it
-// last answered one. A node that suspects the leader redirects no worker to it: a paused
-// process still appears to accept connections, but never answers. The zero value is
+// FailureDetector counts the probes that the current leader has not answered since it last
+// answered one. A node that suspects the leader redirects no worker to it, because a
+// paused process still appears to accept connections but never answers. The zero value is
 // ready for use. It is safe for concurrent use.
 type FailureDetector struct {
 	mu     sync.Mutex // guards the fields below
@@ -48,8 +48,8 @@
 	case err == nil:
 		d.misses = 0
 	case errors.As(err, &refused) && !refused.Timeout():
-		// A refused connection does not count either way: a packet filter between
-		// the nodes may have caused it, and workers may still reach the leader.
+		// A refused connection counts neither as an answer nor as a miss. A packet filter
+		// between the nodes may have caused it, and workers may still reach the leader.
 	default:
 		d.misses++
 	}
--- a/liveness/failure_test.go
+++ b/liveness/failure_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// A refused connection is no sign that the leader is gone: a packet filter may
-// stand between the nodes while workers reach it.
+// A leader that answers no probes must be suspected. A refused connection must not count as a
+// missing answer, because a packet filter between the nodes may refuse it while workers still reach
+// the leader.
 func TestLeaderIsSuspectedForSilenceNotForARefusal(t *testing.T) {
 	var d FailureDetector
 	refused := &net.OpError{Op: "dial", Err: errors.New("connection refused")}
@@ -16,16 +17,16 @@
 		d.Record("n-1", refused)
 	}
 	if d.Suspected("n-1") {
-		t.Error("suspected although it was refused only")
+		t.Error("suspected although connections were only refused")
 	}
 	for range SuspectAfterMisses {
 		d.Record("n-1", context.DeadlineExceeded)
 	}
 	if !d.Suspected("n-1") || d.Suspected("n-2") {
-		t.Error("a silent leader is not suspected, or another one is")
+		t.Error("the silent leader is not suspected, or another node is")
 	}
 	d.Record("n-1", nil)
 	if d.Suspected("n-1") {
-		t.Error("suspected although it has answered")
+		t.Error("still suspected after an answer")
 	}
 }
--- a/liveness/stall.go
+++ b/liveness/stall.go
@@ -5,15 +5,14 @@
 	"time"
 )
 
-// StallThreshold is the gap between two observations from which the process counts as
-// stalled. It is well above the gaps of some hundred milliseconds that an overloaded
-// CPU causes, which must not count.
+// StallThreshold is the smallest gap between two observations that counts as a stall. It
+// is well above the gaps of a few hundred milliseconds that an overloaded CPU causes.
 const StallThreshold = 2 * time.Second
 
-// StallDetector detects from the gap between two calls of Observe that the process was
-// paused while the clock ran on. It must be observed several times per StallThreshold;
-// with rarer calls it reports stalls that did not happen. The zero value is ready for
-// use. It is safe for concurrent use.
+// StallDetector detects that the process was paused, from the gap between two calls of
+// Observe. Observe must be called several times per StallThreshold. With fewer calls it
+// reports stalls that did not happen. The zero value is ready for use. It is safe for
+// concurrent use.
 type StallDetector struct {
 	mu           sync.Mutex // guards the fields below
 	lastObserved time.Time
--- a/plan/plan.go
+++ b/plan/plan.go
@@ -1,7 +1,9 @@
-// Package plan is what operators decide beyond the platform's settings: one
-// TOML file, taken in as a whole. It reads and checks; the parts decide in
-// packages of their own, package ledger keeps the plan's versions, and the
-// leader asks it in package cluster.
+// Package plan parses and checks the operators' plan: a single TOML file with decisions
+// beyond the deployment's settings (batch windows, priority tiers, warm pools), which is
+// applied as a whole.
+//
+// Packages calendar, priority and warmpool define and implement the parts of a plan. Package
+// jobstore stores its versions, and the leader applies it in package cluster.
 package plan
 
 import (
@@ -16,22 +18,22 @@
 	"github.com/umberdeal/umberdeal/warmpool"
 )
 
-// MaxBytes bounds a plan's text.
+// MaxBytes is the maximum size of a plan's text in bytes.
 const MaxBytes = 256 << 10
 
-// Plan is a version of what the operators decided. A part that the text does
-// not speak of decides nothing.
+// Plan is the content of one version of the plan. A part that the text omits has no effect.
 type Plan struct {
-	Note string `toml:"note"` // for people: what this version is for
+	Note string `toml:"note"` // description of this version for people
 
 	Calendar calendar.Settings `toml:"calendar"`
 	Order    priority.Settings `toml:"order"`
 	Pools    []warmpool.Pool   `toml:"pools"`
 }
 
-// part is what a plan is made of.
+// part is a part of a plan.
 type part interface {
-	// Check names each bad field with its place, and what contradicts what.
+	// Check returns an error for each invalid field, with its path, and for each contradiction
+	// between fields. zones and teams are those of the deployment.
 	Check(zones, teams []string) []error
 }
 
@@ -44,11 +46,12 @@
 
 func (l poolList) Check(zones, teams []string) []error { return warmpool.Check(l, zones, teams) }
 
-// Parse reads a plan's text. A field that it does not know is an error: a leader
-// that passed over it would decide by half a plan.
+// Parse parses a plan's text. It does not check the values; see Plan.Check. An unknown field is an
+// error, because a leader that ignored the field would apply only half of the plan. The error lists
+// all unknown fields.
 func Parse(text string) (*Plan, error) {
 	if len(text) > MaxBytes {
-		return nil, fmt.Errorf("plan: %d bytes are more than the %d that a plan may have", len(text), MaxBytes)
+		return nil, fmt.Errorf("plan: text of %d bytes exceeds the limit of %d bytes", len(text), MaxBytes)
 	}
 	var p Plan
 	md, err := toml.Decode(text, &p)
@@ -65,8 +68,8 @@
 	return &p, nil
 }
 
-// Check says what is wrong with a plan for a deployment with these zones and
-// teams: each bad field with its place.
+// Check checks the plan for a deployment with the given zones and teams. The error lists each
+// invalid field with its path. It is nil if the plan is valid.
 func (p *Plan) Check(zones, teams []string) error {
 	var errs []error
 	for _, part := range p.parts() {
@@ -77,30 +80,30 @@
 	return errors.Join(errs...)
 }
 
-// Changes lists the lines by which a version's text differs from the one before,
-// comments and blank lines left out: "+ " before what is new, "- " before what is
-// gone. A line that only moved is no change, unless its table is another one.
+// Changes returns the lines in which two versions of a plan's text differ, without comments and
+// blank lines. Added lines come first, with the prefix "+ ". Removed lines follow, with the prefix
+// "- ". A line that only moved within its table is no change.
 func Changes(before, after string) []string {
-	count := map[string]int{}
-	was, is := lines(before), lines(after)
-	for _, l := range was {
-		count[l]++
+	oldCount := map[string]int{}
+	oldLines, newLines := lines(before), lines(after)
+	for _, l := range oldLines {
+		oldCount[l]++
 	}
 	var out []string
-	for _, l := range is {
-		if count[l] > 0 {
-			count[l]--
+	for _, l := range newLines {
+		if oldCount[l] > 0 {
+			oldCount[l]--
 			continue
 		}
 		out = append(out, "+ "+l)
 	}
-	left := map[string]int{}
-	for _, l := range is {
-		left[l]++
+	newCount := map[string]int{}
+	for _, l := range newLines {
+		newCount[l]++
 	}
-	for _, l := range was {
-		if left[l] > 0 {
-			left[l]--
+	for _, l := range oldLines {
+		if newCount[l] > 0 {
+			newCount[l]--
 			continue
 		}
 		out = append(out, "- "+l)
@@ -108,8 +111,9 @@
 	return out
 }
 
-// lines are the text's settings, each below the table that it stands in: the
-// same line in two tables is two settings.
+// lines returns the settings and table headers of a plan's text, one per line, without comments.
+// Each setting is prefixed with the header of its table, because the same line in two tables means
+// two settings.
 func lines(text string) []string {
 	var out []string
 	table := ""
