--- a/placement/cheapest.go
+++ b/placement/cheapest.go
@@ -14,7 +14,7 @@
 type candidate struct {
 	score   float64
 	machine int
-	class   *class // set if the candidate also represents the remaining machines of this class; nil: only this machine
+	class   *class // set if the candidate also represents the other machines of this class
 }
 
 // candidateHeap is a min-heap by score. Among equal scores, the machine with the lowest index
--- a/placement/hold.go
+++ b/placement/hold.go
@@ -37,7 +37,7 @@
 // holdInZone holds machines for up to n tasks in a zone, or in any zone if zone is -1. For a gang
 // it holds machines for all tasks or for none. It also returns the number of seconds until the
 // last machine has room.
-func (p *planner) holdInZone(r *Request, n, zone int) (held []Start, last float64) {
+func (p *planner) holdInZone(r *Request, n, zone int) (held []Start, lastSeconds float64) {
 	p.takeCheapest(n, func(machine int) (float64, bool) {
 		m := &p.input.Machines[machine]
 		if !p.passesFilter(machine, r, freeSoon) || zone >= 0 && m.Zone != zone {
@@ -46,7 +46,7 @@
 		seconds, ok := p.secondsUntilFits(r, m)
 		return seconds, ok && seconds <= max(defaultHoldSeconds, r.HoldSeconds)
 	}, func(machine int) bool {
-		last, _ = p.secondsUntilFits(r, &p.input.Machines[machine])
+		lastSeconds, _ = p.secondsUntilFits(r, &p.input.Machines[machine])
 		p.reserve(r, machine, reserving)
 		held = append(held, Start{Machine: machine})
 		return true
@@ -55,7 +55,7 @@
 		p.unreserve(r, held)
 		return nil, 0
 	}
-	return held, last
+	return held, lastSeconds
 }
 
 // secondsUntilFits returns the number of seconds until one of the request's tasks fits on a
--- a/placement/input.go
+++ b/placement/input.go
@@ -94,23 +94,30 @@
 	Spot              bool          // spot instances may be used
 	Avoid             map[int]bool  // machines that must not be used for now
 	PreferredMachines map[int32]int // by task: the machine to which rebalancing moves it
-	Headroom          bool          // a placeholder for expected jobs; machines are rented for tasks that do not fit
-	Provision         bool          // with Headroom: rents machines for all tasks, except those that fit on machines rented for earlier requests
-	Reserve           bool          // with Headroom: a backfill reservation, which holds machines and rents none
-	Hold              bool          // holds machines on which its tasks will fit soon
-	HoldSeconds       float64       // how far ahead Hold and Reserve hold machines; at least defaultHoldSeconds
-	FreeCapacityOnly  bool          // uses only free resources; nothing is held, preempted or rented for it
-	PreferredTypes    []bool        // by machine type: types to try first, including by preemption; nil: none
-	PoolAccess        []PoolAccess  // by warm pool, from pool 1 on; NoAccess to pools beyond its end
+
+	// Headroom marks a placeholder for expected jobs. Machines are rented for tasks that do not fit.
+	Headroom bool
+	// Provision, with Headroom, rents machines for all tasks, except those that fit on machines
+	// rented for earlier requests.
+	Provision bool
+	// Reserve, with Headroom, makes a backfill reservation: it holds machines and rents none.
+	Reserve bool
+
+	Hold             bool         // holds machines on which its tasks will fit soon
+	HoldSeconds      float64      // how far ahead Hold and Reserve hold machines; at least defaultHoldSeconds
+	FreeCapacityOnly bool         // uses only free resources; nothing is held, preempted or rented for it
+	PreferredTypes   []bool       // by machine type: types to try first, including by preemption; nil: none
+	PoolAccess       []PoolAccess // by warm pool, from pool 1 on; NoAccess to pools beyond its end
+
 	Precedence
 }
 
 // Precedence determines a request's position in the queue, together with its priority and its
-// team's guarantee. The caller uses it to sort requests; the planner ignores it.
+// team's guarantee. The caller sorts requests by it. The planner ignores it.
 type Precedence struct {
 	Tier           int   // priority tier, 0 is the highest
-	StartDue       bool  // must start now because of the starvation bound, the completion floor or its tier's maximum wait
-	PromotionCause uint8 // why it is served before higher tiers (a priority.PromotionCause); 0: not promoted
+	StartDue       bool  // due by the starvation bound, the completion floor or its tier's maximum wait
+	PromotionCause uint8 // a priority.PromotionCause: why it is served before higher tiers; 0: not promoted
 }
 
 // Offer is a kind of machine that may be rented.
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -29,10 +29,12 @@
 
 // Plan is the result of a scheduling pass.
 type Plan struct {
-	Starts      []Start
+	Starts      []Start // also those of placeholder requests, which launch nothing
 	Preemptions []Task
 	ScaleOut    map[int]int // number of machines to rent, by index in Input.Offers
-	Waiting     []int       // indices in Input.Requests of requests with tasks that can't start yet; without placeholders and FreeCapacityOnly requests
+	// Waiting holds the indices in Input.Requests of requests with tasks that can't start yet. It
+	// leaves out placeholder requests and FreeCapacityOnly requests.
+	Waiting []int
 }
 
 // planner makes one plan.
--- a/placement/preempt.go
+++ b/placement/preempt.go
@@ -141,9 +141,9 @@
 }
 
 // cheapestVictims chooses the tasks to preempt on a machine so that one of the request's tasks
-// fits. It prefers tasks of low tiers and with little loss. It returns the indices of the victims,
-// which are none if the task fits anyway, and the total loss with the machine's PenaltySeconds. ok
-// is false if the task can't be made to fit.
+// fits. It prefers tasks of low tiers and with little loss. It returns the indices of the victims
+// and their total loss including the machine's PenaltySeconds. If the task fits without
+// preemption, there are no victims. ok is false if the task can't be made to fit.
 func (p *planner) cheapestVictims(r *Request, m *Machine) (victims []int, lossSeconds float64, ok bool) {
 	free := availableCapacity(m, freeSoon)
 	if r.Need.Fits(free) {
@@ -197,9 +197,9 @@
 	return next
 }
 
-// dropUnneededVictims returns victims without those whose preemption the request's task does not
-// need in order to fit. It drops victims of higher tiers first. free is the room on the machine with all
-// victims preempted. The list is changed in place.
+// dropUnneededVictims removes victims that are unnecessary for the request's task to fit, and
+// returns the remaining ones. It removes victims of higher tiers first. free is the room on the
+// machine with all victims preempted. The list is changed in place.
 func dropUnneededVictims(r *Request, m *Machine, victims []int, free Resources) []int {
 	slices.SortStableFunc(victims, func(a, b int) int { return m.Tasks[a].Tier - m.Tasks[b].Tier })
 	needed := victims[:0]
--- a/priority/policy_test.go
+++ b/priority/policy_test.go
@@ -146,8 +146,9 @@
 	}
 }
 
-// Promotions are limited: by share, to the tasks that a tier lacks, rounded up to a whole task, and by
-// wait, to what a job needs in order to start. Larger promotions would invert the tiers.
+// Promotions are limited. Those by share are limited to the tasks that a tier lacks, rounded up to
+// a whole task, and those by wait to what a job needs in order to start. Larger promotions would
+// invert the tiers.
 func TestSharesAndWaitsTakeNoMoreThanTheirEntitlement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t)
