--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -21,7 +21,7 @@
 // machine.
 
 // runFleet runs a scenario on a cluster in which every machine already runs one long task.
-func runFleet(t *testing.T, o fake.Options, scene func(t *testing.T, w *fake.Cluster)) {
+func runFleet(t *testing.T, o fake.Options, body func(t *testing.T, w *fake.Cluster)) {
 	t.Helper()
 	if underRace {
 		t.Skip("run without the race detector by .ci/run")
@@ -38,7 +38,7 @@
 			t.Fatalf("%d of %d tasks have started, %d leases have expired", n, o.Machines, w.ExpiredLeases())
 		}
 		time.Sleep(20 * time.Second) // until the workers are redirected to the nodes of the plan
-		scene(t, w)
+		body(t, w)
 		for i := range len(w.Nodes()) {
 			if n := w.Network.PeakSockets(w.Nodes()[i]); n > o.Sockets {
 				t.Errorf("node %d used up to %d sockets, limit %d", i, n, o.Sockets)
