--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -1,3 +1,7 @@
+// Scenarios of a fleet with more workers than its leader keeps connections for, on nodes with few
+// sockets. They count the workers' leases that expire, since each one ends all tasks on its
+// machine.
+
 package routing_test
 
 import (
@@ -16,10 +20,6 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Scenarios of a fleet with more workers than its leader keeps connections for, on nodes with few
-// sockets. They count the workers' leases that expire, since each one ends all tasks on its
-// machine.
-
 // runFleet runs a scenario on a cluster in which every machine already runs one long task.
 func runFleet(t *testing.T, o fake.Options, body func(t *testing.T, w *fake.Cluster)) {
 	t.Helper()
