--- a/jobstore/accept.go
+++ b/jobstore/accept.go
@@ -133,11 +133,11 @@
 	head := s.jobPages[headKey]
 	// Without write capacity a transaction of its own would wait for the limiter, and delay the
 	// submissions behind it, which could all share one transaction.
-	contended := q.individual >= openPageThreshold || !s.kv.HasWriteCapacity(1)
+	contended := q.individualInFlight >= openPageThreshold || !s.kv.HasWriteCapacity(1)
 	large := sub.entry.size() > s.config.Limits.pageBytes()/maxEntryShare
-	if !large && (!head.isClosed() || q.writing || contended) {
+	if !large && (!head.isClosed() || q.isWriterRunning || contended) {
 		if contended {
-			q.lastShared = time.Now()
+			q.lastContendedAt = time.Now()
 		}
 		attempt.outcome = acceptQueued
 		return attempt, s.enqueueSubmission(q, sub, &record.Job)
@@ -148,7 +148,7 @@
 		// page guard only that version, and not the key that each job might have (see guardsPerJob).
 		attempt.ops = append(attempt.ops, wire.Op{Put: headKey, Value: head.page})
 	}
-	q.individual++
+	q.individualInFlight++
 	return attempt, nil
 }
 
@@ -157,7 +157,7 @@
 	rev, err := s.kv.CompareAndSwap(ctx, attempt.guards, attempt.ops)
 	if q := attempt.queue; q != nil {
 		s.mu.Lock()
-		q.individual--
+		q.individualInFlight--
 		s.mu.Unlock()
 	}
 	if err == nil {
--- a/jobstore/batch.go
+++ b/jobstore/batch.go
@@ -32,7 +32,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	q := s.writeQueues[bucket]
-	if q != nil && (q.writing || q.individual >= openPageThreshold) {
+	if q != nil && (q.isWriterRunning || q.individualInFlight >= openPageThreshold) {
 		return true
 	}
 	return !s.jobPages[HeadPageKey(bucket)].isClosed()
@@ -122,8 +122,8 @@
 // batch is the submissions of a bucket that share a transaction and have no result yet.
 type batch struct{ submissions []*submission }
 
-// answer sends a result to the submissions for which which returns true, and removes them.
-func (b *batch) answer(which func(*submission) bool, result acceptResult) {
+// complete sends a result to the submissions for which which returns true, and removes them.
+func (b *batch) complete(which func(*submission) bool, result acceptResult) {
 	b.submissions = slices.DeleteFunc(b.submissions, func(sub *submission) bool {
 		if !which(sub) {
 			return false
@@ -133,9 +133,9 @@
 	})
 }
 
-// answerAll sends a result to all submissions that are left.
-func (b *batch) answerAll(result acceptResult) {
-	b.answer(func(*submission) bool { return true }, result)
+// completeAll sends a result to all submissions that are left.
+func (b *batch) completeAll(result acceptResult) {
+	b.complete(func(*submission) bool { return true }, result)
 }
 
 // commitBatch commits submissions of a bucket, and sends each its result. If a rate limit refused them,
@@ -145,7 +145,7 @@
 	for try := 0; try < maxAcceptAttempts && ctx.Err() == nil; try++ {
 		guards, ops, prepareErr := s.prepareBatch(q, b)
 		if prepareErr != nil {
-			b.answerAll(acceptResult{err: prepareErr})
+			b.completeAll(acceptResult{err: prepareErr})
 			return false
 		}
 		if len(b.submissions) == 0 {
@@ -155,14 +155,14 @@
 		rev, err = s.kv.CompareAndSwap(ctx, guards, ops)
 		if err == nil {
 			s.applyOwnPages(ops, rev)
-			b.answerAll(acceptResult{})
+			b.completeAll(acceptResult{})
 			s.refreshIfBehind(ctx, q)
 			return false
 		}
 		var conflict *kvstore.ConflictError
 		switch {
 		case errors.As(err, &conflict):
-			b.answer(func(sub *submission) bool { return conflictsWithJob(conflict, sub.entry.ID) }, acceptResult{duplicate: true})
+			b.complete(func(sub *submission) bool { return conflictsWithJob(conflict, sub.entry.ID) }, acceptResult{duplicate: true})
 			if !slices.Contains(conflict.FailedKeys, HeadPageKey(q.bucket)) && !slices.Contains(conflict.FailedKeys, SchemaKey) {
 				continue
 			}
@@ -176,7 +176,7 @@
 			q.requeueSubmissions(b.submissions)
 			return true
 		default:
-			b.answerAll(acceptResult{err: err})
+			b.completeAll(acceptResult{err: err})
 			return false
 		}
 		if barrierErr := s.readBarrier(ctx); barrierErr != nil {
@@ -187,7 +187,7 @@
 	if err == nil || errors.As(err, new(*kvstore.ConflictError)) {
 		err = errTooManyConflicts
 	}
-	b.answerAll(acceptResult{err: err})
+	b.completeAll(acceptResult{err: err})
 	return false
 }
 
@@ -205,7 +205,7 @@
 func (s *Store) prepareBatch(q *bucketQueue, b *batch) ([]wire.Guard, []wire.Op, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	b.answer(func(sub *submission) bool { return s.isKnown(sub.entry.ID) }, acceptResult{duplicate: true})
+	b.complete(func(sub *submission) bool { return s.isKnown(sub.entry.ID) }, acceptResult{duplicate: true})
 	if len(b.submissions) == 0 {
 		return nil, nil, nil
 	}
@@ -218,7 +218,7 @@
 		b.submissions = b.submissions[:most]
 	}
 	for _, sub := range b.submissions {
-		sub.ticket.joined(len(b.submissions))
+		sub.ticket.recordTransaction(len(b.submissions))
 	}
 	guards, ops := s.batchTransaction(q, b.submissions)
 	return guards, ops, nil
@@ -256,7 +256,7 @@
 		size += sub.entry.size()
 	}
 	if len(subs) > maxUncontendedBatch {
-		q.lastShared = time.Now()
+		q.lastContendedAt = time.Now()
 	}
 	w := newHeadWriter(q.bucket, head, s.config.Limits.pageBytes())
 	if size > w.maxBytes {
@@ -265,7 +265,7 @@
 	for _, sub := range subs {
 		w.add(sub.entry)
 	}
-	if len(subs) <= maxUncontendedBatch && time.Since(q.lastShared) > closePageAfter {
+	if len(subs) <= maxUncontendedBatch && time.Since(q.lastContendedAt) > closePageAfter {
 		w.seal()
 		w.head.Closed = true
 	}
--- a/jobstore/cancel.go
+++ b/jobstore/cancel.go
@@ -17,7 +17,7 @@
 // Cancel ends a job unless it is over already, and returns its final state, which is wire.JobDone if it
 // completed first. found is false if the id was never accepted.
 func (s *Store) Cancel(ctx context.Context, id string) (final string, found bool, err error) {
-	askedAt := s.cancellationAsked(id)
+	requestedAt := s.cancellationRequestedAt(id)
 	var unknown error // of a try that may yet be executed
 	for range maxCancelAttempts {
 		status, found, err := s.Lookup(ctx, id)
@@ -25,15 +25,15 @@
 			return "", found, cmp.Or(unknown, err)
 		}
 		if !found || status.Version == 0 {
-			s.cancellationOver(id)
+			s.forgetCancellationTime(id)
 			return status.Record.State, found, nil
 		}
 		record := status.Record
 		record.State = wire.JobCancelled
-		err = s.commitCancellation(ctx, status, &cancellation{id: id, askedAt: askedAt, pageKey: status.pageKey, final: record})
+		err = s.commitCancellation(ctx, status, &cancellation{id: id, requestedAt: requestedAt, pageKey: status.pageKey, final: record})
 		if err == nil {
 			s.cacheFinal(id, record)
-			s.cancellationOver(id)
+			s.forgetCancellationTime(id)
 			return record.State, true, nil
 		}
 		var conflict *kvstore.ConflictError
@@ -92,12 +92,12 @@
 
 // cancellation is a request to cancel a job.
 type cancellation struct {
-	id      string
-	askedAt time.Time // when its requester, or one before, first asked for it
-	pageKey string    // the job's page as last seen; "": a key of its own
-	final   JobRecord
-	ticket  queueTicket
-	done    chan error
+	id          string
+	requestedAt time.Time // when its requester, or one before, first asked for it
+	pageKey     string    // the job's page as last seen; "": a key of its own
+	final       JobRecord
+	ticket      queueTicket
+	done        chan error
 
 	// The transaction of a job with a key of its own, or on a quarantined page; else nil.
 	guards []wire.Guard
@@ -214,12 +214,12 @@
 // them are part of it. The others are sent errJobMoved so that Cancel looks the job up again.
 func (s *Store) cancellationTransaction(batch []*cancellation) (guards []wire.Guard, ops []wire.Op, present []*cancellation) {
 	if c := batch[0]; c.ops != nil {
-		s.joinTransaction(batch)
+		s.recordTransaction(batch)
 		return c.guards, c.ops, batch
 	}
 	pageKey := batch[0].pageKey
-	page, version, present := s.withoutCancelled(pageKey, batch)
-	s.joinTransaction(present)
+	page, version, present := s.pageWithoutCancelled(pageKey, batch)
+	s.recordTransaction(present)
 	guards, ops = []wire.Guard{{Key: pageKey, Version: version}}, []wire.Op{{Put: pageKey, Value: page}}
 	if len(page.Entries) == 0 && !IsHeadPageKey(pageKey) {
 		ops[0] = wire.Op{Delete: pageKey}
@@ -231,18 +231,18 @@
 	return guards, ops, present
 }
 
-// joinTransaction records that cancellations share a transaction.
-func (s *Store) joinTransaction(cancellations []*cancellation) {
+// recordTransaction records that cancellations share a transaction.
+func (s *Store) recordTransaction(cancellations []*cancellation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range cancellations {
-		c.ticket.joined(len(cancellations))
+		c.ticket.recordTransaction(len(cancellations))
 	}
 }
 
-// withoutCancelled returns a job page without the jobs to be cancelled, and the cancellations whose jobs
+// pageWithoutCancelled returns a job page without the jobs to be cancelled, and the cancellations whose jobs
 // are on it. The others are sent errJobMoved so that Cancel looks the job up again.
-func (s *Store) withoutCancelled(pageKey string, batch []*cancellation) (page JobPage, version uint64, present []*cancellation) {
+func (s *Store) pageWithoutCancelled(pageKey string, batch []*cancellation) (page JobPage, version uint64, present []*cancellation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ids := map[string]bool{}
--- a/jobstore/cancellationtimes.go
+++ b/jobstore/cancellationtimes.go
@@ -13,8 +13,8 @@
 	order []string // ids in order of insertion, including some that are over
 }
 
-// first returns when a cancellation was first asked for, which is now unless it is remembered.
-func (c *cancellationTimes) first(id string, now time.Time) time.Time {
+// firstRequestedAt returns when a cancellation was firstRequestedAt asked for, which is now unless it is remembered.
+func (c *cancellationTimes) firstRequestedAt(id string, now time.Time) time.Time {
 	if at, ok := c.times[id]; ok {
 		return at
 	}
@@ -27,16 +27,16 @@
 	return now
 }
 
-// cancellationAsked returns when a cancellation was first asked for at this controller.
-func (s *Store) cancellationAsked(id string) time.Time {
+// cancellationRequestedAt returns when a cancellation was first asked for at this controller.
+func (s *Store) cancellationRequestedAt(id string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.asked.first(id, time.Now())
+	return s.cancellationTimes.firstRequestedAt(id, time.Now())
 }
 
-// cancellationOver forgets a cancellation that was committed.
-func (s *Store) cancellationOver(id string) {
+// forgetCancellationTime forgets a cancellation that was committed.
+func (s *Store) forgetCancellationTime(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.asked.times, id)
+	delete(s.cancellationTimes.times, id)
 }
--- a/jobstore/export_test.go
+++ b/jobstore/export_test.go
@@ -8,7 +8,7 @@
 	defer s.mu.Unlock()
 	submissions := 0
 	for _, q := range s.writeQueues {
-		submissions += len(q.submissions) + q.individual
+		submissions += len(q.submissions) + q.individualInFlight
 	}
 	return map[string]int{
 		"jobs": len(s.jobs), "finals": len(s.finals.records), "final order": len(s.finals.order),
--- a/jobstore/finalread.go
+++ b/jobstore/finalread.go
@@ -25,17 +25,17 @@
 	minRange, maxRange = 16, 500
 	maxKeysPerHit      = 32
 	finalReadTimeout   = 2 * time.Second
-	// readsKept is how many reads at the front of the queue are served even if their callers have given
+	// keptReads is how many reads at the front of the queue are served even if their callers have given
 	// up: the result is cached, and the user is expected to poll again.
-	readsKept = 64
+	keptReads = 64
 )
 
 // finalRead is a queued read of a final record.
 type finalRead struct {
-	ctx   context.Context
-	id    string
-	order float64 // the smallest is served first
-	done  chan finalResult
+	ctx  context.Context
+	id   string
+	rank float64 // the smallest is served first
+	done chan finalResult
 }
 
 type finalResult struct {
@@ -56,7 +56,7 @@
 func (s *Store) readFinal(ctx context.Context, id string) (record JobRecord, found bool, err error) {
 	read := &finalRead{ctx: ctx, id: id, done: make(chan finalResult, 1)}
 	if s.config.FinalReadOrder != nil {
-		read.order = s.config.FinalReadOrder(id)
+		read.rank = s.config.FinalReadOrder(id)
 	}
 	s.mu.Lock()
 	s.finalReads.waiting = append(s.finalReads.waiting, read)
@@ -77,8 +77,8 @@
 	}
 }
 
-// deliver completes a read with what the key-value store returned for its key, and caches the record.
-func (s *Store) deliver(read *finalRead, e wire.Entry, err error) {
+// completeFinalRead completes a read with what the key-value store returned for its key, and caches the record.
+func (s *Store) completeFinalRead(read *finalRead, e wire.Entry, err error) {
 	if err != nil {
 		read.done <- finalResult{err: err}
 		return
@@ -135,16 +135,16 @@
 }
 
 // takeFinalReads takes all waiting reads, in the order in which they are to be served, except those
-// beyond the first readsKept whose callers have given up.
+// beyond the first keptReads whose callers have given up.
 func (s *Store) takeFinalReads() (reads []*finalRead, rangeLen int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reads = s.finalReads.waiting
 	s.finalReads.waiting = nil
-	slices.SortStableFunc(reads, func(a, b *finalRead) int { return cmp.Compare(a.order, b.order) })
-	if len(reads) > readsKept {
-		rest := slices.DeleteFunc(reads[readsKept:], func(r *finalRead) bool { return r.ctx.Err() != nil })
-		reads = reads[:readsKept+len(rest)]
+	slices.SortStableFunc(reads, func(a, b *finalRead) int { return cmp.Compare(a.rank, b.rank) })
+	if len(reads) > keptReads {
+		rest := slices.DeleteFunc(reads[keptReads:], func(r *finalRead) bool { return r.ctx.Err() != nil })
+		reads = reads[:keptReads+len(rest)]
 	}
 	return reads, max(minRange, s.finalReads.rangeLen)
 }
@@ -165,7 +165,7 @@
 	ctx, cancel := context.WithTimeout(ctx, finalReadTimeout)
 	defer cancel()
 	e, err := s.kv.Get(ctx, FinalKey(read.id))
-	s.deliver(read, e, err)
+	s.completeFinalRead(read, e, err)
 }
 
 // readFinalRange lists n keys starting just before that of the first read, and completes every read
@@ -178,7 +178,7 @@
 	page, err := s.kv.ListPage(ctx, finalPrefix, after, n)
 	if err != nil {
 		for _, read := range reads {
-			s.deliver(read, wire.Entry{}, err)
+			s.completeFinalRead(read, wire.Entry{}, err)
 		}
 		return
 	}
@@ -190,17 +190,17 @@
 	var left []*finalRead
 	for _, read := range reads {
 		if key := FinalKey(read.id); key > after && (!page.More || key <= last) {
-			s.deliver(read, found[key], nil)
+			s.completeFinalRead(read, found[key], nil)
 		} else {
 			left = append(left, read)
 		}
 	}
-	s.cacheNeighbours(page.Items)
+	s.cacheUnrequested(page.Items)
 	covered := len(reads) - len(left)
 	if covered == 0 {
 		// The listing ended before the first read's key: read that alone, so that there is progress.
 		e, err := s.kv.Get(ctx, first)
-		s.deliver(reads[0], e, err)
+		s.completeFinalRead(reads[0], e, err)
 		left = left[1:]
 	}
 	s.adaptRange(n, covered)
@@ -220,9 +220,9 @@
 	s.finalReads.rangeLen = min(max(n, minRange), maxRange)
 }
 
-// cacheNeighbours caches listed records that nobody has waited for: after a restart of all controllers
+// cacheUnrequested caches listed records that nobody has waited for: after a restart of all controllers
 // their users are likely to ask next. It fills at most half of the cache.
-func (s *Store) cacheNeighbours(entries []wire.Entry) {
+func (s *Store) cacheUnrequested(entries []wire.Entry) {
 	s.mu.Lock()
 	room := maxCachedFinals/2 - len(s.finals.order)
 	s.mu.Unlock()
--- a/jobstore/plan.go
+++ b/jobstore/plan.go
@@ -88,8 +88,8 @@
 	return PlanVersion{}, false
 }
 
-// names reports whether one of the versions has this draft.
-func (h PlanHead) names(draft string) bool {
+// hasDraft reports whether one of the versions has this draft.
+func (h PlanHead) hasDraft(draft string) bool {
 	return slices.ContainsFunc(h.Versions, func(v PlanVersion) bool { return v.Draft == draft })
 }
 
@@ -167,7 +167,7 @@
 	if err != nil {
 		return PlanHead{}, err
 	}
-	drafts := wholeDrafts(texts)
+	drafts := completeDrafts(texts)
 	draftsOf := map[int]int{} // complete drafts, by number
 	for _, v := range drafts {
 		draftsOf[v.Number]++
@@ -183,8 +183,8 @@
 	return h, nil
 }
 
-// wholeDrafts returns the drafts all of whose pieces exist.
-func wholeDrafts(texts []wire.Entry) map[string]PlanVersion {
+// completeDrafts returns the drafts all of whose pieces exist.
+func completeDrafts(texts []wire.Entry) map[string]PlanVersion {
 	drafts := map[string]PlanVersion{}
 	pieces := map[string]int{} // per draft, including those that can't be decoded
 	for _, e := range texts {
--- a/jobstore/planapply.go
+++ b/jobstore/planapply.go
@@ -61,7 +61,7 @@
 			return PlanVersion{}, fmt.Errorf("the plan's text: %w", err)
 		}
 	}
-	next := head.with(v, limits)
+	next := head.withVersion(v, limits)
 	guards := []wire.Guard{{Key: PlanHeadKey, Version: head.Version}, {Key: SchemaKey, Version: schemaVersion}}
 	ops := []wire.Op{{Put: PlanHeadKey, Value: next}, {Put: planHeadCopyKey, Value: next}, puts[last]}
 	err = commitOnce(ctx, kv, guards, ops, func() bool { return isApplied(ctx, kv, v) })
@@ -110,9 +110,9 @@
 	return append(out, text[from:])
 }
 
-// with returns the head that results from applying v. It drops the oldest versions if there are more
+// withVersion returns the head that results from applying v. It drops the oldest versions if there are more
 // than maxPlanVersions or they do not fit into a value.
-func (h PlanHead) with(v PlanVersion, limits Limits) PlanHead {
+func (h PlanHead) withVersion(v PlanVersion, limits Limits) PlanHead {
 	next := PlanHead{Versions: append([]PlanVersion{v}, h.Versions...)}
 	next.Versions = next.Versions[:min(len(next.Versions), maxPlanVersions)]
 	for len(next.Versions) > 1 && next.size() > limits.pageBytes() {
@@ -251,7 +251,7 @@
 	}
 	for _, e := range texts {
 		number, draft, ok := parsePlanTextKey(e.Key)
-		if !ok || number > h.Current() || h.names(draft) {
+		if !ok || number > h.Current() || h.hasDraft(draft) {
 			continue
 		}
 		if _, err := kv.CompareAndSwap(ctx, []wire.Guard{{Key: e.Key, Version: e.Version}}, []wire.Op{{Delete: e.Key}}); err != nil {
--- a/jobstore/quarantine.go
+++ b/jobstore/quarantine.go
@@ -22,10 +22,10 @@
 	Raw             wire.Raw
 }
 
-// Bounds of what the key-value store counts for a value: notMsgpackSize for each byte of a value that is
+// Bounds of what the key-value store counts for a value: nonMsgpackByteSize for each byte of a value that is
 // not MessagePack (see wire.JSONSize), and quarantineOverhead for the other fields together.
 const (
-	notMsgpackSize     = 21
+	nonMsgpackByteSize = 21
 	quarantineOverhead = 200
 )
 
@@ -34,7 +34,7 @@
 func NewQuarantinedPage(key string, version uint64, atMs int64, raw wire.Raw, limits Limits) QuarantinedPage {
 	q := QuarantinedPage{Mark: quarantineMark, OriginalKey: key, OriginalVersion: version, QuarantinedAtMs: atMs, Raw: raw}
 	size := wire.JSONSize(raw)
-	if size < notMsgpackSize*len(raw) && size+quarantineOverhead <= limits.valueBytes() {
+	if size < nonMsgpackByteSize*len(raw) && size+quarantineOverhead <= limits.valueBytes() {
 		return q
 	}
 	q.Raw = nil
--- a/jobstore/queuedwrite.go
+++ b/jobstore/queuedwrite.go
@@ -54,8 +54,8 @@
 	abandoned    bool // its requester no longer waits
 }
 
-// joined records that the write is part of a transaction with a number of writes.
-func (t *queueTicket) joined(writes int) {
+// recordTransaction records that the write is part of a transaction with a number of writes.
+func (t *queueTicket) recordTransaction(writes int) {
 	t.transactions++
 	t.shared = writes
 }
--- a/jobstore/recovery.go
+++ b/jobstore/recovery.go
@@ -57,9 +57,9 @@
 	return &RecoveryCopy{Value: raw}
 }
 
-// rememberedPage returns this controller's copy of the original of an unreadable page, nil if it has
+// originalPageCopy returns this controller's copy of the original of an unreadable page, nil if it has
 // none.
-func (x *index) rememberedPage(key string, u unreadablePage) *RecoveryCopy {
+func (x *index) originalPageCopy(key string, u unreadablePage) *RecoveryCopy {
 	before := x.unreadablePages[key]
 	if before.originalKey == u.originalKey && before.originalVersion == u.originalVersion {
 		return before.recovered // u is a rewrite of the same quarantined page
--- a/jobstore/store.go
+++ b/jobstore/store.go
@@ -72,10 +72,10 @@
 	runContext context.Context // the context of Run; nil before Run is called
 	stopped    bool            // Run is ending: no new writer may start
 	index
-	finals      finalCache
-	finalReads  finalReadQueue // except for its channel, which needs no lock
-	writeQueues map[int]*bucketQueue
-	asked       cancellationTimes
+	finals            finalCache
+	finalReads        finalReadQueue // except for its channel, which needs no lock
+	writeQueues       map[int]*bucketQueue
+	cancellationTimes cancellationTimes
 }
 
 // New returns a store. Run must be running for methods that need a read barrier, such as Accept, Lookup
@@ -86,12 +86,12 @@
 	}
 	return &Store{
 		kv: kv, config: config,
-		barrierRequests: make(chan chan error, barrierQueue),
-		index:           newIndex(config.Log),
-		finals:          finalCache{records: map[string]JobRecord{}},
-		finalReads:      finalReadQueue{wake: make(chan struct{}, finalReaders)},
-		writeQueues:     map[int]*bucketQueue{},
-		asked:           cancellationTimes{times: map[string]time.Time{}},
+		barrierRequests:   make(chan chan error, barrierQueue),
+		index:             newIndex(config.Log),
+		finals:            finalCache{records: map[string]JobRecord{}},
+		finalReads:        finalReadQueue{wake: make(chan struct{}, finalReaders)},
+		writeQueues:       map[int]*bucketQueue{},
+		cancellationTimes: cancellationTimes{times: map[string]time.Time{}},
 	}
 }
 
--- a/jobstore/unreadable.go
+++ b/jobstore/unreadable.go
@@ -40,7 +40,7 @@
 	if u.version <= p.version || u.version <= x.unreadablePages[key].version {
 		return
 	}
-	u.recovered = x.rememberedPage(key, u)
+	u.recovered = x.originalPageCopy(key, u)
 	if from := x.jobPages[u.originalKey]; u.quarantined && from != nil && from != p && from.version <= u.originalVersion {
 		x.moveJobs(u.originalKey, key)
 	}
@@ -69,15 +69,15 @@
 func (x *index) unreadablePageOf(id string) (key string, version uint64) {
 	head := HeadPageKey(x.schema.Bucket(id))
 	for key, u := range x.unreadablePages {
-		if x.schema.Buckets == 0 || inBucket(key, head) {
+		if x.schema.Buckets == 0 || isPageOfBucket(key, head) {
 			return key, u.version
 		}
 	}
 	return "", 0
 }
 
-// inBucket reports whether a job page is the head page, or a sealed page, of the bucket of headKey.
-func inBucket(key, headKey string) bool {
+// isPageOfBucket reports whether a job page is the head page, or a sealed page, of the bucket of headKey.
+func isPageOfBucket(key, headKey string) bool {
 	return key == headKey || strings.HasPrefix(key, headKey+".")
 }
 
@@ -95,7 +95,7 @@
 	}
 	head := HeadPageKey(x.schema.Bucket(id))
 	for key, u := range x.unreadablePages {
-		if !inBucket(key, head) {
+		if !isPageOfBucket(key, head) {
 			continue
 		}
 		if !u.quarantined || len(x.unreadablePlacements) > 0 {
--- a/jobstore/writer.go
+++ b/jobstore/writer.go
@@ -29,13 +29,13 @@
 
 // bucketQueue holds what waits for a bucket's next transaction. A Store's lock guards it.
 type bucketQueue struct {
-	bucket            int
-	submissions       []*submission
-	cancellations     []*cancellation // those that were asked for first come first
-	cancellationTurns int             // transactions of cancellations since the last one of submissions
-	writing           bool            // a writer goroutine is running
-	individual        int             // transactions in flight for jobs with keys of their own
-	lastShared        time.Time       // when submissions last were concurrent
+	bucket             int
+	submissions        []*submission
+	cancellations      []*cancellation // those that were asked for first come first
+	cancellationTurns  int             // transactions of cancellations since the last one of submissions
+	isWriterRunning    bool            // a writer goroutine is running
+	individualInFlight int             // transactions in flight for jobs with keys of their own
+	lastContendedAt    time.Time       // when submissions last were concurrent
 
 	cancellationSize *kvstore.BatchSize // used by the writer goroutine only
 }
@@ -52,10 +52,10 @@
 
 // startWriter starts a bucket's writer unless it is running. The caller holds s.mu.
 func (s *Store) startWriter(q *bucketQueue) {
-	if q.writing {
+	if q.isWriterRunning {
 		return
 	}
-	q.writing = true
+	q.isWriterRunning = true
 	ctx := s.runContext
 	s.writers.Go(func() { s.runWriter(ctx, q) })
 }
@@ -65,7 +65,7 @@
 // that was composed before would conflict.
 func (s *Store) runWriter(ctx context.Context, q *bucketQueue) {
 	for {
-		if err := s.kv.AwaitWriteCapacity(ctx, s.nextChanges(q)); err != nil {
+		if err := s.kv.AwaitWriteCapacity(ctx, s.minNextChanges(q)); err != nil {
 			s.failQueue(q) // ctx has ended
 		}
 		turn, ok := s.nextTurn(q)
@@ -84,9 +84,9 @@
 	cancellations []*cancellation
 }
 
-// nextChanges returns how many changes a bucket's next transaction has at least, as far as is known
+// minNextChanges returns how many changes a bucket's next transaction has at least, as far as is known
 // before it is composed.
-func (s *Store) nextChanges(q *bucketQueue) int {
+func (s *Store) minNextChanges(q *bucketQueue) int {
 	most := s.maxCancellationChanges(q)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,8 +121,8 @@
 	}
 	q.cancellationTurns = 0
 	turn.submissions = s.fillBatch(q)
-	q.writing = len(turn.submissions) > 0
-	return turn, q.writing
+	q.isWriterRunning = len(turn.submissions) > 0
+	return turn, q.isWriterRunning
 }
 
 // waitingCancellations returns how many cancellations wait in all queues. Submissions don't count: all
@@ -168,7 +168,7 @@
 // requester has waited here or has been sent away and come back. The caller holds the Store's lock.
 func (q *bucketQueue) insertCancellation(c *cancellation) {
 	at, _ := slices.BinarySearchFunc(q.cancellations, c, func(queued, c *cancellation) int {
-		if queued.askedAt.After(c.askedAt) {
+		if queued.requestedAt.After(c.requestedAt) {
 			return 1
 		}
 		return -1
