--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -200,7 +200,7 @@
 	if err == nil {
 		revision, err = decodeCommit(resp)
 	} else if resp.status == http.StatusTooManyRequests && t.Changes > 0 {
-		c.writes.rateLimited(t.Changes)
+		c.writes.recordRefusal(t.Changes)
 	}
 	t.LimiterWait, t.ResponseTime, t.Result = sent.Sub(began), time.Since(sent), resultOf(err, resp.status)
 	return revision, err
--- a/kvstore/ratelimit.go
+++ b/kvstore/ratelimit.go
@@ -18,8 +18,8 @@
 	burst() int
 	// currentRate returns how many may be sent per second at present.
 	currentRate() float64
-	// rateLimited records that the store refused n, which had been granted, with status 429.
-	rateLimited(n int)
+	// recordRefusal records that the store refused n, which had been granted, with status 429.
+	recordRefusal(n int)
 	// await blocks until n may be sent, which the next WaitN then does not wait for.
 	await(ctx context.Context, n int) error
 	// setWaiting records how many writes the caller has waiting.
@@ -39,14 +39,14 @@
 
 func (f fixedLimiter) currentRate() float64 { return float64(f.Limit()) }
 
-func (fixedLimiter) rateLimited(int) {}
+func (fixedLimiter) recordRefusal(int) {}
 
 func (fixedLimiter) await(context.Context, int) error { return nil } // WaitN waits
 
 func (fixedLimiter) setWaiting(int) {}
 
 const (
-	decreaseShare    = 0.5                    // by which the rate is reduced after a refusal of one
+	maxDecreaseShare = 0.5                    // by which the rate is reduced after a refusal of one
 	decreaseInterval = 250 * time.Millisecond // minimum time between decreases: refusals come in bursts
 	rampUpTime       = 30 * time.Second       // to rise from zero to the maximum rate
 	// increaseInterval is the minimum time between increases. One increase covers at most
@@ -72,17 +72,17 @@
 type adaptiveLimiter struct {
 	maxRate, minRate float64
 
-	mu      sync.Mutex // guards the fields below
-	bucket  *rate.Limiter
-	rate    float64
-	updated time.Time // last decrease or increase
-	lastCut time.Time // last decrease
-	unused  int       // granted, but refused by the store or not used yet: to be granted without waiting
-	weight  float64   // how many flows this node counts as
+	mu             sync.Mutex // guards the fields below
+	bucket         *rate.Limiter
+	rate           float64
+	rateChangedAt  time.Time // last decrease or increase
+	lastDecreaseAt time.Time // last decrease
+	unusedGrants   int       // granted, but refused by the store or not used yet: to be granted without waiting
+	weight         float64   // how many flows this node counts as
 }
 
 func newAdaptiveLimiter(maxRate, minRate float64) *adaptiveLimiter {
-	return &adaptiveLimiter{maxRate: maxRate, minRate: min(maxRate, minRate), rate: maxRate, updated: time.Now(), weight: 1,
+	return &adaptiveLimiter{maxRate: maxRate, minRate: min(maxRate, minRate), rate: maxRate, rateChangedAt: time.Now(), weight: 1,
 		bucket: rate.NewLimiter(rate.Limit(maxRate), max(1, int(maxRate)))}
 }
 
@@ -91,7 +91,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := time.Now()
-	if step := min(now.Sub(a.updated), maxIncreaseStep); step > increaseInterval {
+	if step := min(now.Sub(a.rateChangedAt), maxIncreaseStep); step > increaseInterval {
 		a.setRate(a.rate+a.weight*a.maxRate*float64(step)/float64(rampUpTime), now)
 	}
 	return a.rate
@@ -101,22 +101,22 @@
 // original burst, a node that was idle would add a large burst to an overloaded store.
 // The caller holds mu.
 func (a *adaptiveLimiter) setRate(perSecond float64, now time.Time) {
-	a.rate, a.updated = max(a.minRate, min(a.maxRate, perSecond)), now
+	a.rate, a.rateChangedAt = max(a.minRate, min(a.maxRate, perSecond)), now
 	a.bucket.SetLimitAt(now, rate.Limit(a.rate))
 	a.bucket.SetBurstAt(now, max(1, min(minBurst, int(a.maxRate)), int(a.rate)))
 }
 
-// rateLimited reduces the rate. The more changes a transaction has, the less its refusal says about the
+// recordRefusal reduces the rate. The more changes a transaction has, the less its refusal says about the
 // load, since the store refuses it while it still takes smaller ones: without that, whoever writes the
 // large transactions gets the lowest rate. All but one of what was refused need not be waited for a second
 // time, since it did not use the store's capacity; one is the price of an attempt.
-func (a *adaptiveLimiter) rateLimited(n int) {
+func (a *adaptiveLimiter) recordRefusal(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.unused = min(a.unused+n-1, a.bucket.Burst())
-	if now := time.Now(); now.Sub(a.lastCut) > decreaseInterval {
-		a.lastCut = now
-		a.setRate(a.rate*(1-decreaseShare/(float64(n)*a.weight)), now)
+	a.unusedGrants = min(a.unusedGrants+n-1, a.bucket.Burst())
+	if now := time.Now(); now.Sub(a.lastDecreaseAt) > decreaseInterval {
+		a.lastDecreaseAt = now
+		a.setRate(a.rate*(1-maxDecreaseShare/(float64(n)*a.weight)), now)
 	}
 }
 
@@ -139,10 +139,10 @@
 // WaitN blocks until n may be sent at the current rate.
 func (a *adaptiveLimiter) WaitN(ctx context.Context, n int) error {
 	a.currentRate()
-	again := a.takeUnused(n)
-	err := a.bucket.WaitN(ctx, n-again)
+	fromUnused := a.takeUnused(n)
+	err := a.bucket.WaitN(ctx, n-fromUnused)
 	if err != nil {
-		a.returnUnused(again)
+		a.returnUnused(fromUnused)
 	}
 	return err
 }
@@ -151,16 +151,16 @@
 func (a *adaptiveLimiter) takeUnused(n int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	again := min(a.unused, n)
-	a.unused -= again
-	return again
+	fromUnused := min(a.unusedGrants, n)
+	a.unusedGrants -= fromUnused
+	return fromUnused
 }
 
 // returnUnused has up to n, which were granted and are not used now, granted again without waiting.
 func (a *adaptiveLimiter) returnUnused(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.unused = min(a.unused+n, a.bucket.Burst())
+	a.unusedGrants = min(a.unusedGrants+n, a.bucket.Burst())
 }
 
 func (a *adaptiveLimiter) available(n int) bool {
--- a/kvstore/ratelimit_test.go
+++ b/kvstore/ratelimit_test.go
@@ -50,8 +50,8 @@
 		large, single := newAdaptiveLimiter(24, 1), newAdaptiveLimiter(24, 1)
 		for range 5 {
 			time.Sleep(time.Second)
-			large.rateLimited(8)
-			single.rateLimited(1)
+			large.recordRefusal(8)
+			single.recordRefusal(1)
 		}
 		if l, s := large.currentRate(), single.currentRate(); l < 16 || s > 4 {
 			t.Errorf("after five refusals of eight changes each the rate is %v, of one change each %v", l, s)
@@ -74,7 +74,7 @@
 		if took := wait(10); took != 0 {
 			t.Fatalf("the burst took %v", took)
 		}
-		a.rateLimited(8)
+		a.recordRefusal(8)
 		if took := wait(7); took != 0 {
 			t.Errorf("what was refused took %v", took)
 		}
@@ -82,7 +82,7 @@
 			t.Error("one more did not wait")
 		}
 		for range 10 {
-			a.rateLimited(8)
+			a.recordRefusal(8)
 		}
 		if took := wait(a.burst() + 1); took == 0 {
 			t.Error("refusals added up to more than a burst")
@@ -133,7 +133,7 @@
 			committed += n
 			continue
 		}
-		a.rateLimited(n)
+		a.recordRefusal(n)
 		size.Record(n, ErrRateLimited)
 		if !PauseBeforeRetry(ctx) {
 			return committed
--- a/kvstore/request.go
+++ b/kvstore/request.go
@@ -55,7 +55,7 @@
 	}
 	c.outcomes.lastSuccess.Store(time.Now().UnixNano())
 	if status == http.StatusTooManyRequests {
-		c.requests.rateLimited(1)
+		c.requests.recordRefusal(1)
 		return response{status: status}, fmt.Errorf("%w: status %d", ErrRateLimited, status)
 	}
 	return response{status: status, body: body}, nil
--- a/kvstore/retry.go
+++ b/kvstore/retry.go
@@ -17,15 +17,15 @@
 // twice as many once a transaction was committed that had use for more than half of the limit. What a
 // writer can't divide may leave a part of it unused. It is not safe for concurrent use.
 type BatchSize struct {
-	least, most int
-	current     int
+	minChanges, maxChanges int
+	current                int
 }
 
-// NewBatchSize returns a BatchSize that begins with most and never limits a transaction to fewer than
-// least changes, the size of what the writer can't divide.
-func NewBatchSize(least, most int) *BatchSize {
-	most = max(least, most)
-	return &BatchSize{least: least, most: most, current: most}
+// NewBatchSize returns a BatchSize that begins with maxChanges and never limits a transaction to fewer than
+// minChanges changes, the size of what the writer can't divide.
+func NewBatchSize(minChanges, maxChanges int) *BatchSize {
+	maxChanges = max(minChanges, maxChanges)
+	return &BatchSize{minChanges: minChanges, maxChanges: maxChanges, current: maxChanges}
 }
 
 // Limit returns how many changes the next transaction may have.
@@ -35,9 +35,9 @@
 func (b *BatchSize) Record(changes int, err error) {
 	switch {
 	case IsRateLimited(err):
-		b.current = max(b.least, min(b.current, changes)/2)
+		b.current = max(b.minChanges, min(b.current, changes)/2)
 	case err == nil && 2*changes > b.current:
-		b.current = min(b.most, 2*b.current)
+		b.current = min(b.maxChanges, 2*b.current)
 	}
 }
 
