--- a/jobstore/accept.go
+++ b/jobstore/accept.go
@@ -1,3 +1,5 @@
+// Submission of a single job: Accept, and jobs that get a key of their own.
+
 package jobstore
 
 import (
@@ -11,20 +13,20 @@
 )
 
 const (
-	// openPageThreshold is how many transactions for jobs with keys of their own a controller may have
-	// in flight for a bucket. Beyond that it opens the head page, where jobs share transactions: one
+	// openPageThreshold is the number of transactions in flight, for jobs of a bucket with keys of their
+	// own, at which a controller opens the bucket's head page. Jobs on the page share transactions. One
 	// write for each job would exceed the key-value store's write rate.
 	openPageThreshold = 4
-	// maxAcceptAttempts bounds the tries of a submission that concurrent changes make fail.
+	// maxAcceptAttempts bounds the attempts of a submission that fails because of concurrent changes.
 	maxAcceptAttempts = 6
-	// maxEntryShare limits entries to 1/maxEntryShare of a page; a larger job gets a key of its own.
+	// maxEntryShare limits entries to 1/maxEntryShare of a page. A larger job gets a key of its own.
 	maxEntryShare = 4
 )
 
 // submission is a job to be accepted.
 type submission struct {
 	entry  JobPageEntry
-	tier   int
+	tier   int // priority tier; the lowest number goes first
 	ticket queueTicket
 	done   chan acceptResult // receives the result if a bucket's writer commits it
 }
@@ -34,9 +36,10 @@
 	err       error
 }
 
-// Accept commits a submission. It is idempotent: duplicate is true if the id has been accepted already,
-// also by an earlier try of the same call whose response was lost. After an error that wraps
-// kvstore.ErrOutcomeUnknown the job may have been accepted; repeat the call to find out.
+// Accept commits a submission that arrived at the given time. It is idempotent: duplicate is true if the
+// id was accepted before, which includes an earlier attempt of the same call whose response was lost.
+// After an error that wraps kvstore.ErrOutcomeUnknown the job may have been accepted. Repeat the call to
+// find out.
 func (s *Store) Accept(ctx context.Context, job wire.Job, at time.Time) (duplicate bool, err error) {
 	record := JobRecord{Job: job, AcceptedAtMs: at.UnixMilli()}
 	raw, err := wire.Marshal(record)
@@ -74,7 +77,7 @@
 	return false, errTooManyConflicts
 }
 
-// ensureLoaded reads the index if it has not been read yet.
+// ensureLoaded loads the index if it has not been loaded yet.
 func (s *Store) ensureLoaded(ctx context.Context) error {
 	s.mu.Lock()
 	loaded := s.loaded
@@ -89,23 +92,23 @@
 type acceptOutcome int
 
 const (
-	acceptPending    acceptOutcome = iota // a transaction of its own is to be committed
+	acceptPending    acceptOutcome = iota // the job's own transaction must still be committed
 	acceptQueued                          // queued for a transaction shared with other submissions
 	acceptCommitted                       // accepted
-	acceptDuplicate                       // had been accepted already
-	acceptConflicted                      // the index was stale: read a barrier, and try again
+	acceptDuplicate                       // accepted before
+	acceptConflicted                      // the index was stale: read a barrier, then retry
 )
 
-// acceptAttempt is an attempt to accept a job.
+// acceptAttempt is an attempt to accept a job. guards and ops are the job's own transaction.
 type acceptAttempt struct {
 	outcome acceptOutcome
-	queue   *bucketQueue // the queue of the job's bucket; nil before SchemaJobPages
+	queue   *bucketQueue // the queue of the job's bucket; nil in schemas older than SchemaJobPages
 	guards  []wire.Guard
 	ops     []wire.Op
 }
 
-// beginAccept decides how to commit a job: in a transaction shared with others, by the writer of its
-// bucket, or in a transaction of its own.
+// beginAccept decides how to commit a job. The job either gets a transaction of its own, or the writer of
+// its bucket commits it in a transaction shared with others.
 func (s *Store) beginAccept(sub *submission, record JobRecord) (acceptAttempt, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -131,7 +134,7 @@
 	attempt.queue = q
 	headKey := HeadPageKey(bucket)
 	head := s.jobPages[headKey]
-	// Without write capacity a transaction of its own would wait for the limiter, and delay the
+	// Without write capacity, the job's own transaction would wait for the limiter and delay the
 	// submissions behind it, which could all share one transaction.
 	contended := q.individualInFlight >= openPageThreshold || !s.kv.HasWriteCapacity(1)
 	large := sub.entry.size() > s.config.Limits.pageBytes()/maxEntryShare
@@ -144,15 +147,16 @@
 	}
 	attempt.guards = append(attempt.guards, wire.Guard{Key: headKey, Version: s.headPageVersion(headKey)})
 	if !head.isClosed() {
-		// Rewrite the open head page unchanged, to change its version: controllers that add to an open
-		// page guard only that version, and not the key that each job might have (see guardsPerJob).
+		// Rewrite the open head page unchanged to change its version. Controllers that add to an open
+		// page guard only this version, and not the key that each job might have (see guardsPerJob).
 		attempt.ops = append(attempt.ops, wire.Op{Put: headKey, Value: head.page})
 	}
 	q.individualInFlight++
 	return attempt, nil
 }
 
-// commitIndividually commits the transaction of a job that gets a key of its own.
+// commitIndividually commits the transaction of a job that gets a key of its own. The outcome is
+// meaningful only if the error is nil.
 func (s *Store) commitIndividually(ctx context.Context, attempt acceptAttempt, sub *submission) (acceptOutcome, error) {
 	rev, err := s.kv.CompareAndSwap(ctx, attempt.guards, attempt.ops)
 	if q := attempt.queue; q != nil {
@@ -175,8 +179,8 @@
 	return acceptConflicted, nil
 }
 
-// applyOwnJob adds a job that this controller has committed under a key of its own to the index, so
-// that it is known before the next barrier.
+// applyOwnJob adds a job to the index that this controller has committed under a key of its own at
+// revision rev. The job is then known before the next barrier.
 func (s *Store) applyOwnJob(e JobPageEntry, rev uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,9 +189,9 @@
 	}
 }
 
-// applyOwnPages applies a committed transaction's changes of job pages to the index, so that they are
-// known before the next barrier. If a barrier has already read up to rev, nothing is applied: the index
-// may hold later changes as well, and the old ones could bring back a page deleted since.
+// applyOwnPages applies the job page changes of a transaction, committed at revision rev, to the index,
+// so that they are known before the next barrier. If a barrier has already read up to rev, it applies
+// nothing: the index may include later changes, and the old ones could restore a page deleted since.
 func (s *Store) applyOwnPages(ops []wire.Op, rev uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/jobstore/batch.go
+++ b/jobstore/batch.go
@@ -1,3 +1,6 @@
+// Concurrent submissions share transactions, which add them to the job pages of their bucket. The
+// bucket's writer calls commitBatch (see writer.go).
+
 package jobstore
 
 import (
@@ -10,11 +13,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file commits concurrent submissions in shared transactions, which add them to the job pages of
-// their bucket. The bucket's writer calls it (see writer.go).
-
 const (
-	// closePageAfter is how long submissions must have come without contention, in batches of up to
+	// closePageAfter is how long submissions must have arrived without contention, in batches of up to
 	// maxUncontendedBatch, before the head page is closed again.
 	closePageAfter = 5 * time.Second
 	// maxBatchPages bounds the size of a transaction's entries or final records, in multiples of the
@@ -25,9 +25,10 @@
 	batchTimeout        = 3 * time.Second
 )
 
-// ShouldRouteToOwner reports whether submissions of a bucket should currently all be sent to one controller: the
-// bucket's head page is open or about to be, and controllers that add to it concurrently make each
-// other's transactions fail. It is a matter of throughput only.
+// ShouldRouteToOwner reports whether all submissions of a bucket should currently be sent to one
+// controller. This is the case while the bucket's head page is open or about to be opened, because
+// controllers that add to the page concurrently make each other's transactions fail. Only throughput
+// depends on the result.
 func (s *Store) ShouldRouteToOwner(bucket int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,8 +39,9 @@
 	return !s.jobPages[HeadPageKey(bucket)].isClosed()
 }
 
-// enqueueSubmission hands a submission to its bucket's writer. The first is committed without delay;
-// those that arrive while its transaction is in flight share the next one. The caller holds s.mu.
+// enqueueSubmission passes a submission to its bucket's writer. The first one is committed without
+// delay. Submissions that arrive while its transaction is in flight share the next transaction. The
+// caller holds s.mu.
 func (s *Store) enqueueSubmission(q *bucketQueue, sub *submission, job *wire.Job) error {
 	if s.runContext == nil || s.stopped {
 		return errStopped
@@ -65,7 +67,7 @@
 		return r.duplicate, r.err
 	case <-ctx.Done():
 		s.mu.Lock()
-		q.submissions = slices.DeleteFunc(q.submissions, func(o *submission) bool { return o == sub })
+		q.submissions = slices.DeleteFunc(q.submissions, func(other *submission) bool { return other == sub })
 		err := sub.ticket.abandon(ctx)
 		ticket := sub.ticket
 		s.mu.Unlock()
@@ -74,17 +76,17 @@
 	}
 }
 
-// fillBatch takes the submissions that fit into a transaction off a queue. Each id is taken once: a
-// repeated submission stays for the next batch, where it is found to be a duplicate. The caller holds
+// fillBatch removes the submissions that fit into a transaction from a queue. It takes each id once. A
+// repeated submission stays for the next batch, which recognizes it as a duplicate. The caller holds
 // s.mu.
 func (s *Store) fillBatch(q *bucketQueue) []*submission {
 	var subs []*submission
 	ids := map[string]bool{}
 	taken := map[*submission]bool{}
-	bytes, most := 0, s.config.Limits.maxJobs(s.guardsPerJob(HeadPageKey(q.bucket)))
-	for _, sub := range byTier(q.submissions, most) {
+	bytes, maxJobs := 0, s.config.Limits.maxJobs(s.guardsPerJob(HeadPageKey(q.bucket)))
+	for _, sub := range byTier(q.submissions, maxJobs) {
 		size := sub.entry.size()
-		if ids[sub.entry.ID] || len(subs) >= most || len(subs) > 0 && bytes+size > maxBatchPages*s.config.Limits.pageBytes() {
+		if ids[sub.entry.ID] || len(subs) >= maxJobs || len(subs) > 0 && bytes+size > maxBatchPages*s.config.Limits.pageBytes() {
 			continue
 		}
 		ids[sub.entry.ID], taken[sub] = true, true
@@ -96,22 +98,24 @@
 	return subs
 }
 
-// byTier orders submissions for a transaction that takes up to most of them: lowest tier number first,
-// except that a quarter of the places goes to those that have waited longest, so that no tier starves.
-func byTier(waiting []*submission, most int) []*submission {
-	if len(waiting) <= most {
+// byTier orders submissions for a transaction of up to maxJobs of them. A quarter of the places goes to
+// those that have waited longest, so that no tier starves. The others go by lowest tier number.
+func byTier(waiting []*submission, maxJobs int) []*submission {
+	if len(waiting) <= maxJobs {
 		return waiting
 	}
 	out := slices.Clone(waiting)
-	slices.SortStableFunc(out[(most+3)/4:], func(a, b *submission) int { return a.tier - b.tier })
+	slices.SortStableFunc(out[(maxJobs+3)/4:], func(a, b *submission) int { return a.tier - b.tier })
 	return out
 }
 
-// guardsPerJob returns how many guards each job needs that is added to a head page: that it has no
-// final record and, in some cases, no key of its own. The latter is not needed if the head page is open
-// and the index includes the revision that opened it: the index then has every key from before, and any
-// later transaction that gives a job of this bucket its own key also changes the head page, whose
-// version is guarded. The caller holds s.mu.
+// guardsPerJob returns how many guards each job needs that is added to a head page. One guard checks that
+// the job has no final record. A second guard checks that it has no key of its own.
+//
+// The second guard is not needed if the head page is open and the index includes the revision that
+// opened it. The index then has every key written before that revision. Any later transaction that gives
+// a job of this bucket its own key also changes the head page, whose version is guarded. The caller
+// holds s.mu.
 func (s *Store) guardsPerJob(headKey string) int {
 	if head := s.jobPages[headKey]; head.isClosed() || s.revision < head.openedAt {
 		return 2
@@ -119,13 +123,13 @@
 	return 1
 }
 
-// batch is the submissions of a bucket that share a transaction and have no result yet.
+// batch holds the submissions of a bucket that share a transaction and have no result yet.
 type batch struct{ submissions []*submission }
 
-// complete sends a result to the submissions for which which returns true, and removes them.
-func (b *batch) complete(which func(*submission) bool, result acceptResult) {
+// complete sends a result to the submissions for which matches returns true, and removes them.
+func (b *batch) complete(matches func(*submission) bool, result acceptResult) {
 	b.submissions = slices.DeleteFunc(b.submissions, func(sub *submission) bool {
-		if !which(sub) {
+		if !matches(sub) {
 			return false
 		}
 		sub.done <- result
@@ -133,13 +137,13 @@
 	})
 }
 
-// completeAll sends a result to all submissions that are left.
+// completeAll sends a result to all remaining submissions.
 func (b *batch) completeAll(result acceptResult) {
 	b.complete(func(*submission) bool { return true }, result)
 }
 
 // commitBatch commits submissions of a bucket, and sends each its result. If a rate limit refused them,
-// refused is true, and they are queued again.
+// refused is true and they are queued again.
 func (s *Store) commitBatch(ctx context.Context, q *bucketQueue, b *batch) (refused bool) {
 	var err error
 	for try := 0; try < maxAcceptAttempts && ctx.Err() == nil; try++ {
@@ -167,7 +171,8 @@
 				continue
 			}
 		case errors.Is(err, kvstore.ErrOutcomeUnknown):
-			// It may have been committed. If so, the barrier shows the jobs, and they count as duplicates.
+			// The transaction may have been committed. The barrier then shows the jobs, and they count
+			// as duplicates.
 			s.markUncertain(b)
 		case kvstore.IsRateLimited(err):
 			s.countRetry(WriteSubmission)
@@ -191,7 +196,7 @@
 	return false
 }
 
-// markUncertain records that a transaction of a batch may yet be executed.
+// markUncertain records that a transaction of the batch may have been or may still be executed.
 func (s *Store) markUncertain(b *batch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -200,8 +205,8 @@
 	}
 }
 
-// prepareBatch answers submissions whose ids have become known since they were queued, and returns the
-// transaction for the others.
+// prepareBatch completes submissions whose ids have become known since they were queued, and returns
+// the transaction for the others.
 func (s *Store) prepareBatch(q *bucketQueue, b *batch) ([]wire.Guard, []wire.Op, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,13 +214,13 @@
 	if len(b.submissions) == 0 {
 		return nil, nil, nil
 	}
-	if err := s.checkAdmissible(b.submissions[0].entry.ID); err != nil { // the same for the whole bucket
+	if err := s.checkAdmissible(b.submissions[0].entry.ID); err != nil { // the result is the same for the whole bucket
 		return nil, nil, err
 	}
-	if most := s.config.Limits.maxJobs(s.guardsPerJob(HeadPageKey(q.bucket))); len(b.submissions) > most {
-		// The head page has been closed since the batch was filled, so that each job needs more guards.
-		q.requeueSubmissions(b.submissions[most:])
-		b.submissions = b.submissions[:most]
+	if maxJobs := s.config.Limits.maxJobs(s.guardsPerJob(HeadPageKey(q.bucket))); len(b.submissions) > maxJobs {
+		// The head page has been closed since the batch was filled, so each job needs more guards.
+		q.requeueSubmissions(b.submissions[maxJobs:])
+		b.submissions = b.submissions[:maxJobs]
 	}
 	for _, sub := range b.submissions {
 		sub.ticket.recordTransaction(len(b.submissions))
@@ -224,8 +229,8 @@
 	return guards, ops, nil
 }
 
-// refreshIfBehind reads a barrier if submissions wait and the next transaction would need the second
-// guard for each (see guardsPerJob): an up-to-date index saves it, so that more jobs fit.
+// refreshIfBehind reads a barrier if submissions wait and each would need the second guard in the next
+// transaction (see guardsPerJob). With an up-to-date index the guard is not needed, so more jobs fit.
 func (s *Store) refreshIfBehind(ctx context.Context, q *bucketQueue) {
 	s.mu.Lock()
 	behind := len(q.submissions) > 0 && s.guardsPerJob(HeadPageKey(q.bucket)) > 1
@@ -235,9 +240,10 @@
 	}
 }
 
-// batchTransaction returns a transaction that adds jobs to a bucket. Its guards make sure that no id is
-// accepted twice: the head page and the schema are unchanged since the index showed none of the jobs,
-// none has a final record, and none has a key of its own that the index may lack. The caller holds s.mu.
+// batchTransaction returns a transaction that adds jobs to a bucket. Its guards ensure that no id is
+// accepted twice. They check that the head page and the schema are unchanged since the index showed none
+// of the jobs, that no job has a final record, and that no job has a key of its own that the index may
+// lack. The caller holds s.mu.
 func (s *Store) batchTransaction(q *bucketQueue, subs []*submission) ([]wire.Guard, []wire.Op) {
 	key := HeadPageKey(q.bucket)
 	perJob := s.guardsPerJob(key)
@@ -272,23 +278,23 @@
 	return guards, append(w.ops, wire.Op{Put: key, Value: w.head})
 }
 
-// headWriter adds entries to a copy of a bucket's head page, and moves them to a new sealed page
-// whenever it is full.
+// headWriter adds entries to a copy of a bucket's head page. Whenever the page is full, it moves the
+// entries to a new sealed page.
 type headWriter struct {
 	bucket   int
 	head     JobPage
-	bytes    int // size of the head page
-	maxBytes int
+	bytes    int       // size of the head page
+	maxBytes int       // largest size of a page
 	ops      []wire.Op // puts of sealed pages
 }
 
-// newHeadWriter returns a headWriter that starts from head, as an open page.
+// newHeadWriter returns a headWriter that starts with the entries of head as an open page.
 func newHeadWriter(bucket int, head JobPage, maxBytes int) *headWriter {
 	head = JobPage{LastSealed: head.LastSealed, Entries: slices.Clone(head.Entries)}
 	return &headWriter{bucket: bucket, head: head, bytes: head.Size(), maxBytes: maxBytes}
 }
 
-// add adds an entry. If the page has no room for it, it is sealed first.
+// add adds an entry. If the page has no room for it, the page is sealed first.
 func (w *headWriter) add(e JobPageEntry) {
 	size := e.size()
 	if w.bytes+size > w.maxBytes {
@@ -298,7 +304,7 @@
 	w.bytes += size
 }
 
-// seal moves the entries to a new sealed page.
+// seal moves the entries to a new sealed page. It does nothing if there are none.
 func (w *headWriter) seal() {
 	if len(w.head.Entries) == 0 {
 		return
--- a/jobstore/cancel.go
+++ b/jobstore/cancel.go
@@ -1,3 +1,11 @@
+// Cancellation of jobs.
+//
+// A cancellation of a job on a job page changes the page, and its guard requires that the page's version
+// is unchanged. With one transaction for each cancellation, concurrent submissions to the same page made
+// some cancellations conflict for most of a minute. So cancellations that wait for the same page share
+// transactions of their bucket's writer. A job with a key of its own is cancelled in a transaction of
+// its own. This transaction is queued only after a rate limit has refused it.
+
 package jobstore
 
 import (
@@ -11,14 +19,15 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// maxCancelAttempts bounds the tries of a cancellation that concurrent changes make fail.
+// maxCancelAttempts bounds the attempts of a cancellation that fails because of concurrent changes.
 const maxCancelAttempts = 8
 
-// Cancel ends a job unless it is over already, and returns its final state, which is wire.JobDone if it
-// completed first. found is false if the id was never accepted.
+// Cancel ends a job unless it is already over, and returns its final state: wire.JobCancelled, or
+// wire.JobDone if the job completed first. found is false if the id was never accepted. After an error
+// that wraps kvstore.ErrOutcomeUnknown the job may have been cancelled.
 func (s *Store) Cancel(ctx context.Context, id string) (final string, found bool, err error) {
 	requestedAt := s.cancellationRequestedAt(id)
-	var unknown error // of a try that may yet be executed
+	var unknown error // error of an attempt that may still be executed
 	for range maxCancelAttempts {
 		status, found, err := s.Lookup(ctx, id)
 		if err != nil {
@@ -48,20 +57,21 @@
 	return "", true, errTooManyConflicts
 }
 
-// commitCancellation replaces a job's active record, whose place status gives, by its final record. It
-// fails with a conflict if the job has changed since the lookup.
+// commitCancellation replaces a job's active record, which status locates, by its final record. It
+// fails with a conflict or errJobMoved if the job has changed since the lookup.
 func (s *Store) commitCancellation(ctx context.Context, status JobStatus, c *cancellation) error {
 	id, record := c.id, c.final
 	guards := []wire.Guard{{Key: JobKey(id), Version: status.Version}, {Key: FinalKey(id)}}
 	ops := []wire.Op{{Delete: JobKey(id)}, {Put: FinalKey(id), Value: record}}
 	if version, quarantined := s.unreadableVersion(status.pageKey); version != 0 {
 		if !quarantined {
-			// A controller that did decode this version of the page would go on reporting the job as
-			// unfinished, since it reads no final record for it. That controller can cancel the job; this
-			// one can once a leader has quarantined the page, a change that every controller reads.
+			// A controller that can decode this version of the page would continue to report the job as
+			// unfinished, because it reads no final record for it. Such a controller can cancel the job.
+			// This controller can do so once a leader has quarantined the page, because every controller
+			// reads that change.
 			return &UnreadableError{Op: opCancel, Job: id, Key: status.pageKey}
 		}
-		// The page stays as it is; for jobs on a quarantined page, Lookup prefers the final record.
+		// The page is not changed. For jobs on a quarantined page, Lookup prefers the final record.
 		guards = []wire.Guard{{Key: status.pageKey, Version: version}, {Key: JobKey(id)}, {Key: FinalKey(id)}}
 		ops = ops[1:]
 	} else if status.pageKey != "" {
@@ -75,8 +85,8 @@
 	return err
 }
 
-// unreadableVersion returns the version of a job page that can't be decoded, 0 if it can, and whether
-// it is quarantined.
+// unreadableVersion returns the version of a job page that can't be decoded, and whether the page is
+// quarantined. The version is 0 if the page can be decoded.
 func (s *Store) unreadableVersion(key string) (version uint64, quarantined bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,27 +94,21 @@
 	return u.version, u.quarantined
 }
 
-// The rest of this file cancels jobs by way of their buckets' writers. A cancellation of a job on a page
-// changes the page on condition that its version is unchanged. With a transaction for each, concurrent
-// submissions to the same page made some cancellations conflict for most of a minute. So those that wait
-// for a page share transactions. A job with a key of its own has one for itself, and is queued only once
-// a rate limit has refused it.
-
 // cancellation is a request to cancel a job.
 type cancellation struct {
 	id          string
-	requestedAt time.Time // when its requester, or one before, first asked for it
-	pageKey     string    // the job's page as last seen; "": a key of its own
+	requestedAt time.Time // when the cancellation of this job was first requested
+	pageKey     string    // the job's page as last seen; "" for a job with a key of its own
 	final       JobRecord
 	ticket      queueTicket
-	done        chan error
+	done        chan error // receives the result
 
-	// The transaction of a job with a key of its own, or on a quarantined page; else nil.
+	// The transaction of a job that has a key of its own or is on a quarantined page. Nil for other jobs.
 	guards []wire.Guard
 	ops    []wire.Op
 }
 
-// cancelQueued has a job cancelled by its bucket's writer.
+// cancelQueued queues a cancellation for its bucket's writer, and waits for the result.
 func (s *Store) cancelQueued(ctx context.Context, c *cancellation) error {
 	c.done = make(chan error, 1)
 	q, err := s.enqueueCancellation(c)
@@ -117,7 +121,7 @@
 		return err
 	case <-ctx.Done():
 		s.mu.Lock()
-		q.cancellations = slices.DeleteFunc(q.cancellations, func(o *cancellation) bool { return o == c })
+		q.cancellations = slices.DeleteFunc(q.cancellations, func(other *cancellation) bool { return other == c })
 		err := c.ticket.abandon(ctx)
 		ticket := c.ticket
 		s.mu.Unlock()
@@ -126,7 +130,7 @@
 	}
 }
 
-// enqueueCancellation hands a cancellation to the writer of its bucket.
+// enqueueCancellation passes a cancellation to the writer of its bucket.
 func (s *Store) enqueueCancellation(c *cancellation) (*bucketQueue, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,12 +144,12 @@
 	return q, nil
 }
 
-// takeCancellations takes cancellations that fit into a transaction off a queue, at most a number of
-// them: those of the same page as the first, or only the first if it has a transaction of its own. A
-// repeated one stays for a later transaction, by which time the job has left the page. The caller holds
-// s.mu.
-func (s *Store) takeCancellations(q *bucketQueue, most int) (taken []*cancellation) {
-	const opOverhead = 64 // size of a put without its value
+// takeCancellations removes up to maxCount cancellations that fit into a transaction from a queue. It
+// takes only the first one if that has a transaction of its own. Otherwise it takes those of the same
+// page as the first one. A repeated cancellation stays for a later transaction, when the job has left
+// the page. The caller holds s.mu.
+func (s *Store) takeCancellations(q *bucketQueue, maxCount int) (taken []*cancellation) {
+	const opOverhead = 64 // bytes of a put without its value
 	first := q.cancellations[0]
 	if first.ops != nil {
 		q.cancellations = slices.Delete(q.cancellations, 0, 1)
@@ -156,7 +160,7 @@
 	bytes := 0
 	ids := map[string]bool{}
 	q.cancellations = slices.DeleteFunc(q.cancellations, func(c *cancellation) bool {
-		if c.ops != nil || c.pageKey != first.pageKey || len(taken) >= most || ids[c.id] {
+		if c.ops != nil || c.pageKey != first.pageKey || len(taken) >= maxCount || ids[c.id] {
 			return false
 		}
 		raw, err := wire.Marshal(c.final)
@@ -173,9 +177,9 @@
 	return taken
 }
 
-// locateOnPages updates the pages of cancellations whose jobs have been moved by the sealing of a head
-// page. What has left all pages keeps its page, and is found to have moved once it is taken. The caller
-// holds s.mu.
+// locateOnPages updates the pages of cancellations whose jobs moved when a head page was sealed. A
+// cancellation whose job has left all pages keeps its old page. It fails with errJobMoved when its
+// transaction is composed. The caller holds s.mu.
 func (s *Store) locateOnPages(cancellations []*cancellation) {
 	for _, c := range cancellations {
 		if j := s.jobs[c.id]; j != nil && j.pageKey != "" && c.ops == nil {
@@ -184,9 +188,9 @@
 	}
 }
 
-// commitCancellations cancels jobs of one page, and sends each its result. If the transaction failed or
-// its outcome is unknown, Cancel looks the job up again. If a rate limit refused it, refused is true, and
-// the cancellations are queued again.
+// commitCancellations cancels jobs in one transaction, and sends each cancellation its result. After a
+// conflict or an unknown outcome, Cancel looks the job up again. If a rate limit refused the transaction,
+// refused is true and the cancellations are queued again.
 func (s *Store) commitCancellations(ctx context.Context, q *bucketQueue, batch []*cancellation) (refused bool) {
 	guards, ops, present := s.cancellationTransaction(batch)
 	if len(present) == 0 {
@@ -210,8 +214,9 @@
 	return false
 }
 
-// cancellationTransaction returns the transaction of cancellations that were taken together, and which of
-// them are part of it. The others are sent errJobMoved so that Cancel looks the job up again.
+// cancellationTransaction returns the transaction of cancellations that were taken together, and the
+// cancellations that are part of it. It sends errJobMoved to the others, so that Cancel looks their jobs
+// up again.
 func (s *Store) cancellationTransaction(batch []*cancellation) (guards []wire.Guard, ops []wire.Op, present []*cancellation) {
 	if c := batch[0]; c.ops != nil {
 		s.recordTransaction(batch)
@@ -240,8 +245,8 @@
 	}
 }
 
-// pageWithoutCancelled returns a job page without the jobs to be cancelled, and the cancellations whose jobs
-// are on it. The others are sent errJobMoved so that Cancel looks the job up again.
+// pageWithoutCancelled returns a job page without the jobs to be cancelled, and the cancellations whose
+// jobs are on the page. It sends errJobMoved to the others, so that Cancel looks their jobs up again.
 func (s *Store) pageWithoutCancelled(pageKey string, batch []*cancellation) (page JobPage, version uint64, present []*cancellation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/jobstore/cancellationtimes.go
+++ b/jobstore/cancellationtimes.go
@@ -1,3 +1,5 @@
+// The times at which unfinished cancellations were first requested.
+
 package jobstore
 
 import "time"
@@ -5,15 +7,17 @@
 // maxCancellationTimes bounds how many cancellations are remembered.
 const maxCancellationTimes = 4096
 
-// cancellationTimes remembers since when cancellations that are not over have been asked for, so that a
-// requester who is sent away and comes back is served before those who asked later. While away, it delays
-// nobody. When there are too many, the oldest is forgotten. A Store's lock guards it.
+// cancellationTimes remembers when each unfinished cancellation was first requested. A requester that was
+// rejected and retries is then served before those that made their first request later. Between its
+// requests it delays nobody. If there are too many times, the oldest is forgotten. The Store's lock
+// guards it.
 type cancellationTimes struct {
 	times map[string]time.Time
-	order []string // ids in order of insertion, including some that are over
+	order []string // ids in order of insertion, including finished ones
 }
 
-// firstRequestedAt returns when a cancellation was firstRequestedAt asked for, which is now unless it is remembered.
+// firstRequestedAt returns when a cancellation was first requested. If no time is remembered for it, the
+// result is now, which is remembered.
 func (c *cancellationTimes) firstRequestedAt(id string, now time.Time) time.Time {
 	if at, ok := c.times[id]; ok {
 		return at
@@ -27,14 +31,14 @@
 	return now
 }
 
-// cancellationRequestedAt returns when a cancellation was first asked for at this controller.
+// cancellationRequestedAt returns when a cancellation was first requested at this controller.
 func (s *Store) cancellationRequestedAt(id string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.cancellationTimes.firstRequestedAt(id, time.Now())
 }
 
-// forgetCancellationTime forgets a cancellation that was committed.
+// forgetCancellationTime forgets the time of a finished cancellation.
 func (s *Store) forgetCancellationTime(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/jobstore/errors.go
+++ b/jobstore/errors.go
@@ -1,3 +1,5 @@
+// Errors of the package.
+
 package jobstore
 
 import (
@@ -9,13 +11,13 @@
 	"github.com/umberdeal/umberdeal/kvstore"
 )
 
-// ErrUnreadable means that a record on which the answer depends can't be decoded, and that the answer
-// does not follow from any other record. It is wrapped in an UnreadableError.
-var ErrUnreadable = errors.New("a record can't be read")
+// ErrUnreadable means that a request can't be answered because a record can't be decoded and no other
+// record gives the answer. It is wrapped in an UnreadableError.
+var ErrUnreadable = errors.New("record can't be decoded")
 
 // UnreadableError names the record that can't be decoded. It wraps ErrUnreadable.
 type UnreadableError struct {
-	Op  string // what was being done: "accept", "look up", "cancel"
+	Op  string // the operation that failed: "accept", "look up" or "cancel"
 	Job string
 	Key string
 }
@@ -34,12 +36,12 @@
 	opCancel = "cancel"
 )
 
-// refusedError is returned if ctx ended while waiting for a read, which changes nothing.
+// refusedError returns the error for a ctx that ended during a wait for a read. A read changes nothing.
 func refusedError(ctx context.Context) error {
 	return fmt.Errorf("%w: %w", kvstore.ErrRefused, ctx.Err())
 }
 
-// unknownError is returned if ctx ended while a transaction may be in flight.
+// unknownError returns the error for a ctx that ended while a transaction may be in flight.
 func unknownError(ctx context.Context) error {
 	return fmt.Errorf("%w: %w", kvstore.ErrOutcomeUnknown, ctx.Err())
 }
@@ -47,11 +49,11 @@
 // errTooManyConflicts is returned if concurrent changes of the same records made every try fail.
 var errTooManyConflicts = fmt.Errorf("%w: too many conflicts", kvstore.ErrRefused)
 
-// errJobMoved means that a job is no longer on the page from which it was to be removed: it is to be
+// errJobMoved means that a job is no longer on the page from which it was to be removed. The job must be
 // looked up again.
 var errJobMoved = fmt.Errorf("%w: the job has moved", kvstore.ErrOutcomeUnknown)
 
-// errStopped is returned if Run is not running, so that nothing can be committed.
+// errStopped is returned if Run is not running. Nothing can be committed then.
 var errStopped = fmt.Errorf("%w: shutting down", kvstore.ErrRefused)
 
 // conflictsWithJob reports whether a transaction failed because the job already has a key of its own
--- a/jobstore/limits.go
+++ b/jobstore/limits.go
@@ -1,9 +1,11 @@
+// Limits of the key-value store on the sizes of transactions and values.
+
 package jobstore
 
 const (
 	defaultTxnOps  = 12
 	defaultValueKB = 16
-	// maxPageBytes is chosen so that three pages fit into a transaction, whose limit is 64 KiB.
+	// maxPageBytes lets three pages fit into a transaction, whose limit is 64 KiB.
 	maxPageBytes = 18 << 10
 	// pageReserve is left free in a value for the encoding around the entries.
 	pageReserve = 256
@@ -11,8 +13,7 @@
 	guardsPerOp = 4
 )
 
-// Limits are the key-value store's limits on a transaction. A value that is not positive means the
-// default.
+// Limits are the key-value store's limits on a transaction. A value of 0 or less means the default.
 type Limits struct {
 	TxnOps  int     // puts and deletes of a transaction; it may have guardsPerOp times as many guards
 	ValueKB float64 // largest value, in KiB
@@ -35,8 +36,8 @@
 	return int(kb * 1024)
 }
 
-// maxJobs returns how many jobs a transaction can add with guardsPerJob guards for each. Two guards are
-// needed besides, for the head page and the schema.
+// maxJobs returns how many jobs a transaction can add with guardsPerJob guards for each. The head page
+// and the schema need one further guard each.
 func (l Limits) maxJobs(guardsPerJob int) int {
 	return (guardsPerOp*l.txnOps() - 2) / guardsPerJob
 }
--- a/jobstore/queuedwrite.go
+++ b/jobstore/queuedwrite.go
@@ -1,3 +1,5 @@
+// The state and the outcome of a write in a bucket's queue, as reported to metrics and logs.
+
 package jobstore
 
 import (
@@ -9,7 +11,7 @@
 	"github.com/umberdeal/umberdeal/kvstore"
 )
 
-// WriteKind is what waits in a bucket's queue.
+// WriteKind is the kind of a write in a bucket's queue. It is a metric label.
 type WriteKind string
 
 // Kinds of queued writes.
@@ -18,56 +20,57 @@
 	WriteCancellation WriteKind = "cancellation"
 )
 
-// WriteResult is how a queued write ended.
+// WriteResult is how a queued write ended. It is a metric label.
 type WriteResult string
 
 // Results of queued writes.
 const (
 	WriteCommitted WriteResult = "committed"
-	WriteDuplicate WriteResult = "duplicate" // a submission that had been accepted before
-	WriteMoved     WriteResult = "moved"     // a cancellation whose job is no longer on the page: to be looked up again
-	WriteConflict  WriteResult = "conflict"
+	WriteDuplicate WriteResult = "duplicate" // a submission whose id was accepted before
+	WriteMoved     WriteResult = "moved"     // a cancellation whose job left the page and must be looked up again
+	WriteConflict  WriteResult = "conflict"  // a guard failed
 	WriteRefused   WriteResult = "refused"   // not executed
 	WriteUnknown   WriteResult = "unknown"   // may have been executed
 	WriteAbandoned WriteResult = "abandoned" // its requester stopped waiting
-	WriteFailed    WriteResult = "failed"
+	WriteFailed    WriteResult = "failed"    // any other error
 )
 
 // QueuedWrite describes a submission or a cancellation that has left its bucket's queue, for metrics and
 // logs.
 type QueuedWrite struct {
 	Kind         WriteKind
-	ID           string // the job's
+	ID           string // the job's id
 	Result       WriteResult
 	Queued       time.Duration // time in the queue and in its transactions
-	Transactions int           // that it was part of
-	Shared       int           // how many writes shared the last of them
+	Transactions int           // how many transactions it was part of
+	Shared       int           // how many writes were in its last transaction
 }
 
-// queueTicket records a write's way through its bucket's queue. A Store's lock guards it.
+// queueTicket records the progress of a write in its bucket's queue. The Store's lock guards it.
 type queueTicket struct {
 	queuedAt     time.Time
 	transactions int
 	shared       int
-	inFlight     bool // taken off the queue: its transaction may be executed at any moment
-	uncertain    bool // an earlier transaction with it has an unknown outcome
+	inFlight     bool // removed from the queue, so its transaction may be executed at any moment
+	uncertain    bool // an earlier transaction with this write has an unknown outcome
 	abandoned    bool // its requester no longer waits
 }
 
-// recordTransaction records that the write is part of a transaction with a number of writes.
+// recordTransaction records that the write is part of another transaction, which has the given number of
+// writes.
 func (t *queueTicket) recordTransaction(writes int) {
 	t.transactions++
 	t.shared = writes
 }
 
-// requeue records that the write's transaction was refused, and reports whether it is to be queued again.
+// requeue records that the write's transaction was refused. It reports whether to queue the write again.
 func (t *queueTicket) requeue() bool {
 	t.inFlight = false
 	return !t.abandoned
 }
 
-// abandon records that the write's requester no longer waits, and returns the error for it: only a write
-// that was never part of a transaction that may be executed is known not to be.
+// abandon records that the write's requester no longer waits, and returns the requester's error. The
+// outcome is unknown if the write is or was part of a transaction that may be executed.
 func (t *queueTicket) abandon(ctx context.Context) error {
 	t.abandoned = true
 	if t.inFlight || t.uncertain {
--- a/jobstore/records.go
+++ b/jobstore/records.go
@@ -1,3 +1,5 @@
+// Types of the stored records of jobs, placements, scale-out, scale-in and rebalancing.
+
 package jobstore
 
 import (
@@ -5,18 +7,18 @@
 )
 
 // ChunkSize is how many tasks of a job share one PlacementChunk. Chunks of many jobs share a page,
-// which is one key: with thousands of tasks, many more chunks change each second than the key-value
-// store accepts writes.
+// which is one key, because with thousands of tasks far more chunks change each second than the
+// key-value store accepts writes.
 const ChunkSize = 100
 
-// JobRecord is an accepted job. It is the value of the job's active record and, with State set, of its
-// final record.
+// JobRecord describes an accepted job. It is the value of the job's active record. With State set, it
+// is the value of the job's final record.
 type JobRecord struct {
 	Job          wire.Job `msgpack:"job"`
-	AcceptedAtMs int64    `msgpack:"at"`
-	State        string   `msgpack:"st,omitempty"` // wire.JobDone or wire.JobCancelled in a final record
+	AcceptedAtMs int64    `msgpack:"at"`           // Unix milliseconds
+	State        string   `msgpack:"st,omitempty"` // wire.JobDone or wire.JobCancelled; "" in an active record
 
-	Reservation  *Reservation `msgpack:"rv,omitempty"`
+	Reservation  *Reservation `msgpack:"rv,omitempty"` // nil unless the job is reserved
 	Outcomes     TaskOutcomes `msgpack:"en,omitempty"` // set in the final record of a reserved job
 	FinishedAtMs int64        `msgpack:"em,omitempty"` // Unix milliseconds; set for a completed job of a batch window
 }
@@ -26,7 +28,8 @@
 	Chunks []PlacementChunk `msgpack:"c"`
 }
 
-// PlacementChunk records where the tasks of a chunk may be running, and which of them are done.
+// PlacementChunk records where the tasks of a chunk may be running, and which of them are done. A
+// chunk is a range of ChunkSize consecutive tasks of a job.
 type PlacementChunk struct {
 	Job        string      `msgpack:"j"`
 	Chunk      int         `msgpack:"n"`
@@ -40,8 +43,8 @@
 	Stopping []int        `msgpack:"l,omitempty"` // tasks that are placed and have been asked to stop
 }
 
-// Placement states that a task may be on a machine. It is encoded as an array, so the order of the
-// fields is part of the stored format.
+// Placement records that an attempt of a task may be on a machine. It is encoded as an array, so the
+// order of the fields is part of the stored format.
 type Placement struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by package msgpack
 	Task     int
@@ -49,28 +52,28 @@
 	Machine  string
 }
 
-// DoneCount counts the done tasks of a chunk.
+// DoneCount returns the number of done tasks of the chunk.
 func (c *PlacementChunk) DoneCount() int { return c.DoneRanges.Count() }
 
-// ScaleOutRecord is committed before machines are requested from the cloud, so that a later leader
-// knows of the request.
+// ScaleOutRecord is a request for machines from the cloud. It is committed before the request is sent,
+// so that a later leader knows of it.
 type ScaleOutRecord struct {
 	Type     string   `msgpack:"type"`
 	Zone     string   `msgpack:"zone"`
 	Spot     bool     `msgpack:"spot"`
 	Count    int      `msgpack:"n"`
-	AtMs     int64    `msgpack:"at"`
+	AtMs     int64    `msgpack:"at"` // Unix milliseconds
 	Machines []string `msgpack:"m,omitempty"`
 }
 
-// ScaleInRecord is committed before machines are deleted, so that a later leader places nothing on
-// them and completes the deletion.
+// ScaleInRecord lists machines to delete. It is committed before the deletion starts, so that a later
+// leader places nothing on them and completes the deletion.
 type ScaleInRecord struct {
 	Machines []string `msgpack:"m"`
 }
 
-// RebalanceCycle is the state of a rebalancing cycle, stored so that it survives a failover. Times are
-// Unix milliseconds; the maps are keyed by task.
+// RebalanceCycle is the state of a rebalancing cycle. It is stored so that it survives a failover.
+// Times are Unix milliseconds. The maps are keyed by task.
 type RebalanceCycle struct {
 	Moves               []Move           `msgpack:"moves"`
 	CooldownUntilMs     int64            `msgpack:"cool"`
--- a/jobstore/writer.go
+++ b/jobstore/writer.go
@@ -1,3 +1,12 @@
+// The queue of a bucket's submissions and cancellations, and the writer goroutine that commits them.
+// Each controller has at most one writer for a bucket, so that its own transactions do not conflict.
+//
+// A transaction that a rate limit refused was not executed. Its writes return to the queue and wait
+// there until their requesters' deadlines. If their requesters were rejected instead, they would all
+// retry at the same time and share a transaction as large as the refused one. The next transaction of
+// cancellations is smaller (see kvstore.BatchSize). Writes whose outcome is unknown never return to
+// the queue.
+
 package jobstore
 
 import (
@@ -8,39 +17,30 @@
 	"github.com/umberdeal/umberdeal/kvstore"
 )
 
-// This file has the queue of a bucket's submissions and cancellations, and the goroutine that commits
-// them. Each controller has at most one such writer for a bucket, so that its own transactions do not
-// conflict.
-//
-// A transaction that a rate limit refused was not executed. Its writes go back to the front of the queue
-// and wait there until their requesters' deadlines: requesters that are sent away all come back at once,
-// and share a transaction as large as the one before. The next transaction of cancellations is smaller
-// (see kvstore.BatchSize). Writes whose outcome is unknown never go back.
-
 const (
-	// maxCancellationTurns is how many transactions of cancellations there may be between two of
-	// submissions, while both wait. Cancellations go first because each takes a change of its own,
-	// whereas all submissions that wait share a few.
+	// maxCancellationTurns is how many consecutive transactions of cancellations may go before one of
+	// submissions while both kinds wait. Cancellations go first because each needs a change of its own,
+	// whereas all waiting submissions share a few changes.
 	maxCancellationTurns = 2
 	// minCancellationChanges is the size of a transaction that cancels one job: its page and its final
 	// record.
 	minCancellationChanges = 2
 )
 
-// bucketQueue holds what waits for a bucket's next transaction. A Store's lock guards it.
+// bucketQueue holds the writes that wait for a bucket's next transaction. The Store's lock guards it.
 type bucketQueue struct {
 	bucket             int
 	submissions        []*submission
-	cancellations      []*cancellation // those that were asked for first come first
+	cancellations      []*cancellation // in the order in which they were first requested
 	cancellationTurns  int             // transactions of cancellations since the last one of submissions
-	isWriterRunning    bool            // a writer goroutine is running
+	isWriterRunning    bool            // the bucket's writer goroutine is running
 	individualInFlight int             // transactions in flight for jobs with keys of their own
-	lastContendedAt    time.Time       // when submissions last were concurrent
+	lastContendedAt    time.Time       // when submissions were last concurrent
 
 	cancellationSize *kvstore.BatchSize // used by the writer goroutine only
 }
 
-// bucketQueue returns a bucket's queue. The caller holds s.mu.
+// bucketQueue returns a bucket's queue, and creates it if necessary. The caller holds s.mu.
 func (s *Store) bucketQueue(bucket int) *bucketQueue {
 	q := s.writeQueues[bucket]
 	if q == nil {
@@ -60,9 +60,9 @@
 	s.writers.Go(func() { s.runWriter(ctx, q) })
 }
 
-// runWriter commits what waits for a bucket until the queue is empty. It waits for the write limiter
-// before it composes a transaction: another controller may change the page meanwhile, and a transaction
-// that was composed before would conflict.
+// runWriter commits a bucket's queued writes until the queue is empty. It waits for the write limiter
+// before it composes a transaction. Another controller may change the page during the wait, and a
+// transaction composed earlier would conflict.
 func (s *Store) runWriter(ctx context.Context, q *bucketQueue) {
 	for {
 		if err := s.kv.AwaitWriteCapacity(ctx, s.minNextChanges(q)); err != nil {
@@ -78,25 +78,25 @@
 	}
 }
 
-// writerTurn is what a writer commits in one transaction: writes of one kind.
+// writerTurn holds the writes that a writer commits in one transaction. All are of one kind.
 type writerTurn struct {
 	submissions   []*submission
 	cancellations []*cancellation
 }
 
-// minNextChanges returns how many changes a bucket's next transaction has at least, as far as is known
-// before it is composed.
+// minNextChanges returns a lower bound of the changes of a bucket's next transaction, for the wait before
+// it is composed.
 func (s *Store) minNextChanges(q *bucketQueue) int {
-	most := s.maxCancellationChanges(q)
+	maxChanges := s.maxCancellationChanges(q)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if q.cancellationsAreNext() {
-		return min(most, 1+len(q.cancellations))
+		return min(maxChanges, 1+len(q.cancellations))
 	}
 	return min(1, len(q.submissions))
 }
 
-// maxCancellationChanges limits the changes of a bucket's next transaction of cancellations.
+// maxCancellationChanges returns how many changes a bucket's next transaction of cancellations may have.
 func (s *Store) maxCancellationChanges(q *bucketQueue) int {
 	return max(minCancellationChanges, min(q.cancellationSize.Limit(), s.kv.WriteBurst()))
 }
@@ -107,8 +107,8 @@
 	return len(q.cancellations) > 0 && (len(q.submissions) == 0 || q.cancellationTurns < maxCancellationTurns)
 }
 
-// nextTurn takes the writes of the next transaction off a queue. If the queue is empty, ok is false: the
-// writer must stop, and the next request starts a new one.
+// nextTurn removes the writes of the next transaction from a queue. If the queue is empty, ok is false.
+// The writer must then stop, and the next request starts a new one.
 func (s *Store) nextTurn(q *bucketQueue) (turn writerTurn, ok bool) {
 	maxChanges := s.maxCancellationChanges(q)
 	s.kv.SetWaitingWrites(s.waitingCancellations())
@@ -125,8 +125,8 @@
 	return turn, q.isWriterRunning
 }
 
-// waitingCancellations returns how many cancellations wait in all queues. Submissions don't count: all
-// that wait for a bucket share a few changes.
+// waitingCancellations returns how many cancellations wait in all queues. Submissions don't count,
+// because all that wait for a bucket share a few changes.
 func (s *Store) waitingCancellations() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,8 +136,8 @@
 	return n
 }
 
-// commitTurn commits writes, and reports whether a rate limit refused them, so that they are back in the
-// queue.
+// commitTurn commits writes. It reports whether a rate limit refused them, in which case they are in the
+// queue again.
 func (s *Store) commitTurn(ctx context.Context, q *bucketQueue, turn writerTurn) (refused bool) {
 	ctx, cancel := context.WithTimeout(ctx, batchTimeout)
 	defer cancel()
@@ -147,15 +147,15 @@
 	return s.commitBatch(ctx, q, &batch{turn.submissions})
 }
 
-// requeueSubmissions returns submissions that were not committed to the front of the queue, except those
-// whose requesters no longer wait. The caller holds the Store's lock.
+// requeueSubmissions puts refused submissions back at the front of the queue, except those whose
+// requesters no longer wait. The caller holds the Store's lock.
 func (q *bucketQueue) requeueSubmissions(submissions []*submission) {
 	waiting := slices.DeleteFunc(slices.Clone(submissions), func(sub *submission) bool { return !sub.ticket.requeue() })
 	q.submissions = append(waiting, q.submissions...)
 }
 
-// requeueCancellations returns cancellations that were not committed to the queue, except those whose
-// requesters no longer wait. The caller holds the Store's lock.
+// requeueCancellations puts refused cancellations back into the queue, except those whose requesters no
+// longer wait. The caller holds the Store's lock.
 func (q *bucketQueue) requeueCancellations(cancellations []*cancellation) {
 	for _, c := range cancellations {
 		if c.ticket.requeue() {
@@ -164,8 +164,8 @@
 	}
 }
 
-// insertCancellation queues a cancellation behind all that were asked for before it, whether its
-// requester has waited here or has been sent away and come back. The caller holds the Store's lock.
+// insertCancellation queues a cancellation in the order of first requests. A requester that was rejected
+// and retries keeps its place. The caller holds the Store's lock.
 func (q *bucketQueue) insertCancellation(c *cancellation) {
 	at, _ := slices.BinarySearchFunc(q.cancellations, c, func(queued, c *cancellation) int {
 		if queued.requestedAt.After(c.requestedAt) {
@@ -176,7 +176,7 @@
 	q.cancellations = slices.Insert(q.cancellations, at, c)
 }
 
-// failQueue answers everything in a queue once Run is ending.
+// failQueue fails everything in a queue with errStopped once Run is ending.
 func (s *Store) failQueue(q *bucketQueue) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
