--- a/jobstore/appindex.go
+++ b/jobstore/appindex.go
@@ -1,16 +1,18 @@
+// The index of applications and their reserved jobs.
+
 package jobstore
 
 import (
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// appIndex is the part of the index that only API front ends with reserved jobs need. A Store's lock
+// appIndex is the part of the index that only controllers with an API front end need. The Store's lock
 // guards it. Methods that apply changes do nothing on a nil appIndex.
 type appIndex struct {
 	pageChunks  map[int][]PlacementChunk          // of reserved jobs, by placement page
 	chunksByJob map[string]map[int]PlacementChunk // the same by job and chunk
-	jobsByOwner map[string]map[string]bool        // ids of reserved jobs
-	apps        map[string]AppRecord
+	jobsByOwner map[string]map[string]bool        // ids of reserved jobs, by the key of the owner's record
+	apps        map[string]AppRecord              // by key
 }
 
 func (x *appIndex) reset() {
@@ -81,7 +83,7 @@
 	}
 }
 
-// reservedJob returns an unfinished reserved job with what is known of its tasks.
+// reservedJob returns an unfinished reserved job with the placements and outcomes of its tasks.
 func (x *appIndex) reservedJob(id string, j *activeJob) ReservedJob {
 	out := ReservedJob{
 		ID: id, Record: j.record, Version: j.version,
--- a/jobstore/barrier.go
+++ b/jobstore/barrier.go
@@ -1,3 +1,7 @@
+// Read barriers. A read barrier brings the index up to a revision that is current at some moment after
+// the call. It is a watch that does not block and returns all changes since the last barrier. Concurrent
+// callers share one barrier.
+
 package jobstore
 
 import (
@@ -10,13 +14,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A read barrier brings the index up to a revision current at some moment after the call: it is a watch
-// that does not block and returns every change so far. Concurrent callers share one.
-
 const (
 	// barrierQueue is how many requests for a barrier are buffered.
 	barrierQueue = 256
-	// barrierShare is the most callers that share a barrier.
+	// barrierShare is the largest number of callers that share a barrier.
 	barrierShare   = 512
 	barrierTimeout = 2500 * time.Millisecond
 	// listPageSize is how many keys are listed with one request.
@@ -46,7 +47,7 @@
 	}
 }
 
-// waitingForBarrier takes the callers that are already waiting, in addition to the first one.
+// waitingForBarrier returns the callers that are already waiting, in addition to the first one.
 func (s *Store) waitingForBarrier() []chan error {
 	var waiting []chan error
 	for len(waiting) < barrierShare-1 {
@@ -60,7 +61,8 @@
 	return waiting
 }
 
-// readBarrier waits for a barrier that starts after the call.
+// readBarrier waits for a barrier that starts after the call. It returns an error that wraps
+// kvstore.ErrRefused if ctx ends first.
 func (s *Store) readBarrier(ctx context.Context) error {
 	done := make(chan error, 1)
 	select {
@@ -76,8 +78,8 @@
 	}
 }
 
-// refresh brings the index up to date with the changes since the last refresh. The first time, and if
-// those changes have been compacted, it lists all records.
+// refresh applies the changes since the last refresh to the index. It lists all records the first time,
+// and when the changes have been compacted.
 func (s *Store) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, barrierTimeout)
 	defer cancel()
@@ -101,8 +103,8 @@
 	if err := s.listActive(ctx); err != nil {
 		return err
 	}
-	// Each page of the listing is of a different revision: applying all changes since the first page's
-	// makes them consistent.
+	// The pages of the listing have different revisions. Applying all changes since the first page's
+	// revision makes them consistent.
 	events, err := s.kv.Watch(ctx, ActivePrefix, s.partial.revision, 0)
 	if err != nil {
 		if errors.Is(err, kvstore.ErrCompacted) {
@@ -117,7 +119,8 @@
 	return s.apply(events)
 }
 
-// apply applies changes to the index. It returns ErrNewerSchema if this program can't read the records.
+// apply applies changes to the index. It returns ErrNewerSchema if the records have a newer schema than
+// this program supports.
 func (s *Store) apply(events wire.Events) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,7 +131,7 @@
 	return nil
 }
 
-// listing is a listing of all active records, as far as it has been read.
+// listing is a possibly incomplete listing of all active records.
 type listing struct {
 	entries  []wire.Entry
 	revision uint64 // of the first page
@@ -136,9 +139,9 @@
 	complete bool
 }
 
-// listActive reads all active records. If ctx ends first, the next barrier resumes where it stopped:
-// after a restart of all controllers at once, the key-value store's rate limits leave too few requests
-// for a controller to list everything within one barrier's timeout.
+// listActive reads all active records into s.partial. If ctx ends first, the next barrier resumes the
+// listing. After a restart of all controllers at once, the key-value store's rate limits leave a
+// controller too few requests to list everything within one barrier's timeout.
 func (s *Store) listActive(ctx context.Context) error {
 	l := &s.partial
 	for !l.complete {
--- a/jobstore/decode.go
+++ b/jobstore/decode.go
@@ -1,3 +1,5 @@
+// Decoders of the stored records. They reject values that decode but were never written.
+
 package jobstore
 
 import (
@@ -8,8 +10,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// errMalformed means that a value decodes, but that no version of this program writes such a value.
-var errMalformed = errors.New("it is not what was written")
+// errMalformed means that a value decodes, but no version of this program writes such a value.
+var errMalformed = errors.New("malformed record")
 
 // First bytes of MessagePack values.
 const (
@@ -26,9 +28,9 @@
 // msgpackString encodes a string of at most 31 bytes.
 func msgpackString(s string) []byte { return append([]byte{msgpackFixStr | byte(len(s))}, s...) }
 
-// mapWithKey reports whether a value is a map that may have the key. It guards against values such as
-// null and the empty map, which decode to an empty record without an error: taking a damaged page for an
-// empty one would lose its jobs.
+// mapWithKey reports whether a value is a map that may have the key. It rejects values such as null and
+// the empty map, which decode to an empty record without an error. A damaged page that counted as empty
+// would lose its jobs.
 func mapWithKey(raw wire.Raw, key string) bool {
 	if len(raw) == 0 || raw[0]&fixCountMask != msgpackFixMap && raw[0] != msgpackMap16 && raw[0] != msgpackMap32 {
 		return false
@@ -36,7 +38,7 @@
 	return bytes.Contains(raw, msgpackString(key))
 }
 
-// decodeMap decodes a map that must have the key.
+// decodeMap decodes a map into v. It returns errMalformed if the map does not have the key.
 func decodeMap(raw wire.Raw, key string, v any) error {
 	if err := wire.Unmarshal(raw, v); err != nil {
 		return err
@@ -47,7 +49,8 @@
 	return nil
 }
 
-// DecodeJob decodes the record of an unfinished job, and checks that it is that of the id.
+// DecodeJob decodes the record of an unfinished job. It returns an error if the record has another id or
+// no tasks.
 func DecodeJob(id string, raw wire.Raw) (JobRecord, error) {
 	var record JobRecord
 	if err := wire.Unmarshal(raw, &record); err != nil {
@@ -59,7 +62,7 @@
 	return record, nil
 }
 
-// DecodeFinal decodes the final record of a job.
+// DecodeFinal decodes the final record of a job. It returns an error if the record has no final state.
 func DecodeFinal(raw wire.Raw) (JobRecord, error) {
 	var record JobRecord
 	if err := wire.Unmarshal(raw, &record); err != nil {
@@ -85,7 +88,8 @@
 	return page, err
 }
 
-// DecodeSchema decodes a stored SchemaRecord.
+// DecodeSchema decodes a stored SchemaRecord. It returns an error if the version or the number of buckets
+// is out of range.
 func DecodeSchema(raw wire.Raw) (SchemaRecord, error) {
 	var schema SchemaRecord
 	err := decodeMap(raw, "f", &schema)
@@ -95,8 +99,8 @@
 	return schema, err
 }
 
-// IsAppValue reports whether a value may be a record of an API front end. This package does not know
-// their types, only that all are encoded as maps that are not empty.
+// IsAppValue reports whether a value may be a record of an API front end. This package does not know the
+// types of these records. All are encoded as non-empty maps.
 func IsAppValue(raw wire.Raw) bool {
 	return len(raw) > 1 && (raw[0] > msgpackFixMap && raw[0] < msgpackFixArray || raw[0] == msgpackMap16 || raw[0] == msgpackMap32)
 }
--- a/jobstore/finalread.go
+++ b/jobstore/finalread.go
@@ -1,3 +1,7 @@
+// Reads of final records for lookups. One request serves several reads. After a restart of all
+// controllers their caches are empty while thousands of users poll. With one request for each lookup,
+// some lookups were refused for minutes, and read barriers waited behind them.
+
 package jobstore
 
 import (
@@ -9,24 +13,20 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file reads final records for lookups, several with one request. After a restart of all
-// controllers their caches are empty while thousands of users poll: with a request for each lookup,
-// some were refused for minutes, and read barriers queued behind them.
-
 const (
-	// finalReaders is how many requests may be in flight at once, so that one without a response delays
-	// only the lookups that it serves.
+	// finalReaders is how many requests may be in flight at once. A request that gets no response then
+	// delays only the lookups that it serves.
 	finalReaders = 2
-	// minRangeReads is the fewest waiting reads that are served by listing a range of keys; fewer are
-	// served one by one.
+	// minRangeReads is the smallest number of waiting reads that are served by listing a range of keys.
+	// Fewer reads are served one by one.
 	minRangeReads = 3
-	// A listing covers minRange to maxRange keys. The length doubles as long as at least one in
-	// maxKeysPerHit of the keys is waited for, and is halved otherwise.
+	// A listing covers minRange to maxRange keys. The length is doubled if a read waits for at least one
+	// in maxKeysPerHit of the keys, and halved otherwise.
 	minRange, maxRange = 16, 500
 	maxKeysPerHit      = 32
 	finalReadTimeout   = 2 * time.Second
 	// keptReads is how many reads at the front of the queue are served even if their callers have given
-	// up: the result is cached, and the user is expected to poll again.
+	// up. The result is cached, and the users are expected to poll again.
 	keptReads = 64
 )
 
@@ -34,7 +34,7 @@
 type finalRead struct {
 	ctx  context.Context
 	id   string
-	rank float64 // the smallest is served first
+	rank float64 // see Config.FinalReadOrder; the smallest is served first
 	done chan finalResult
 }
 
@@ -44,14 +44,14 @@
 	err    error
 }
 
-// finalReadQueue holds the reads that wait.
+// finalReadQueue holds the waiting reads of final records. The Store's lock guards it, except for wake.
 type finalReadQueue struct {
 	waiting  []*finalRead
-	rangeLen int // how many keys the next listing covers
-	wake     chan struct{}
+	rangeLen int           // how many keys the next listing covers
+	wake     chan struct{} // signals a reader goroutine that reads wait
 }
 
-// readFinal reads a job's final record, as of some moment after the call. found is false if there is
+// readFinal reads a job's final record, as of some moment after the call. found is false if the job has
 // none.
 func (s *Store) readFinal(ctx context.Context, id string) (record JobRecord, found bool, err error) {
 	read := &finalRead{ctx: ctx, id: id, done: make(chan finalResult, 1)}
@@ -70,6 +70,7 @@
 	}
 }
 
+// wakeFinalReader wakes a reader goroutine. It does not block.
 func (s *Store) wakeFinalReader() {
 	select {
 	case s.finalReads.wake <- struct{}{}:
@@ -77,7 +78,8 @@
 	}
 }
 
-// completeFinalRead completes a read with what the key-value store returned for its key, and caches the record.
+// completeFinalRead completes a read with the entry or the error that the key-value store returned, and
+// caches the record.
 func (s *Store) completeFinalRead(read *finalRead, e wire.Entry, err error) {
 	if err != nil {
 		read.done <- finalResult{err: err}
@@ -96,7 +98,8 @@
 	read.done <- finalResult{record: record, found: true}
 }
 
-// decodeFinal decodes a final record. From a damaged one it recovers the state if that is intact.
+// decodeFinal decodes a final record. From a damaged record it recovers only the state, if that is intact.
+// Otherwise it returns an UnreadableError.
 func (s *Store) decodeFinal(id string, e wire.Entry) (JobRecord, error) {
 	record, err := DecodeFinal(e.Value)
 	if err == nil {
@@ -134,8 +137,9 @@
 	}
 }
 
-// takeFinalReads takes all waiting reads, in the order in which they are to be served, except those
-// beyond the first keptReads whose callers have given up.
+// takeFinalReads removes all reads from the queue and returns them in the order in which they are served.
+// It drops the reads after the first keptReads whose callers have given up. rangeLen is how many keys a
+// listing should cover.
 func (s *Store) takeFinalReads() (reads []*finalRead, rangeLen int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -160,7 +164,7 @@
 	s.wakeFinalReader()
 }
 
-// serveFinalRead serves one read with a request of its own.
+// serveFinalRead serves one read with one request.
 func (s *Store) serveFinalRead(ctx context.Context, read *finalRead) {
 	ctx, cancel := context.WithTimeout(ctx, finalReadTimeout)
 	defer cancel()
@@ -168,8 +172,8 @@
 	s.completeFinalRead(read, e, err)
 }
 
-// readFinalRange lists n keys starting just before that of the first read, and completes every read
-// whose key is in the listed range, whether or not the key exists. The others are queued again.
+// readFinalRange lists n keys from just before the key of the first read. It completes each read whose
+// key is in the listed range, whether or not the key exists, and queues the others again.
 func (s *Store) readFinalRange(ctx context.Context, reads []*finalRead, n int) {
 	ctx, cancel := context.WithTimeout(ctx, finalReadTimeout)
 	defer cancel()
@@ -198,7 +202,7 @@
 	s.cacheUnrequested(page.Items)
 	covered := len(reads) - len(left)
 	if covered == 0 {
-		// The listing ended before the first read's key: read that alone, so that there is progress.
+		// The listing ended before the first read's key. Read this key alone to make progress.
 		e, err := s.kv.Get(ctx, first)
 		s.completeFinalRead(reads[0], e, err)
 		left = left[1:]
@@ -207,8 +211,7 @@
 	s.requeueFinalReads(left)
 }
 
-// adaptRange doubles the length of the next listing if enough of the last one's n keys were waited for,
-// and halves it if not.
+// adaptRange sets the length of the next listing, after a listing of n keys completed a number of reads.
 func (s *Store) adaptRange(n, covered int) {
 	if covered*maxKeysPerHit >= n {
 		n *= 2
@@ -220,8 +223,8 @@
 	s.finalReads.rangeLen = min(max(n, minRange), maxRange)
 }
 
-// cacheUnrequested caches listed records that nobody has waited for: after a restart of all controllers
-// their users are likely to ask next. It fills at most half of the cache.
+// cacheUnrequested caches all listed records, requested or not. After a restart of all controllers, users
+// are likely to request the others next. It fills at most half of the cache.
 func (s *Store) cacheUnrequested(entries []wire.Entry) {
 	s.mu.Lock()
 	room := maxCachedFinals/2 - len(s.finals.order)
@@ -234,8 +237,8 @@
 	}
 }
 
-// keyBefore returns a key that sorts before another, with few possible keys between them: it decrements
-// the last character, which in a job id is a digit.
+// keyBefore returns a key that sorts just before the given one, with few possible keys in between. It
+// decrements the last character, which is a digit in a job id.
 func keyBefore(key string) string {
 	last := len(key) - 1
 	return key[:last] + string(key[last]-1) + "~"
--- a/jobstore/index.go
+++ b/jobstore/index.go
@@ -1,3 +1,5 @@
+// The index of unfinished jobs, and how it applies changes of the records.
+
 package jobstore
 
 import (
@@ -7,9 +9,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// index is the local copy of the records of unfinished jobs, as of revision. A Store's lock guards it.
-// A change that is older than what the index has of its key is ignored, so that changes may be applied
-// repeatedly and out of order: they come from barriers and from this controller's own transactions.
+// index is the local copy of the records of unfinished jobs, as of revision. The Store's lock guards it.
+// It ignores a change that is older than its copy of the key. Changes may therefore be applied
+// repeatedly and out of order, as they come from barriers and from this controller's own transactions.
 type index struct {
 	log *slog.Logger
 
@@ -20,36 +22,37 @@
 	schemaVersion    uint64 // the version of SchemaKey
 	schemaUnreadable bool   // SchemaKey can't be decoded, so no job may be accepted
 
-	jobs           map[string]*activeJob
-	jobPages       map[string]*jobPageState
-	placementPages map[int]*placementPageState
-	apps           *appIndex // nil unless TrackReservations was called
+	jobs           map[string]*activeJob       // by job id
+	jobPages       map[string]*jobPageState    // by key
+	placementPages map[int]*placementPageState // by page number
+	apps           *appIndex                   // nil unless TrackReservations was called
 
 	unreadablePages      map[string]unreadablePage // job pages, by key
 	unreadablePlacements map[int]uint64            // versions of unreadable placement pages, by page
 }
 
-// activeJob is a job that has an active record, or placements, or both.
+// activeJob is a job that has an active record, placements, or both.
 type activeJob struct {
 	record     JobRecord
-	version    uint64 // version of the key that holds the record; 0: there is no record
-	pageKey    string // the job page that holds the record; "": a key of its own
-	unreadable bool   // the record can't be decoded
-	chunks     map[int]chunkCounts
+	version    uint64              // version of the key that holds the record; 0 if there is no record
+	pageKey    string              // the job page that holds the record; "" for a job with a key of its own
+	unreadable bool                // the record can't be decoded
+	chunks     map[int]chunkCounts // by chunk number
 }
 
-// chunkCounts is what a job's status needs to know of a chunk, and the placement page that holds it.
+// chunkCounts holds the numbers of done and of placed tasks of a chunk, and the number of the placement
+// page that holds the chunk.
 type chunkCounts struct{ page, done, placed int }
 
 // jobPageState is a job page as last read or written.
 type jobPageState struct {
 	version  uint64
 	page     JobPage
-	size     int
+	size     int    // JobPage.Size of page
 	openedAt uint64 // for an open head page: the first version in which the index saw it open
 }
 
-// isClosed reports whether a head page is closed. An absent one counts as closed.
+// isClosed reports whether a head page is closed. An absent page counts as closed.
 func (p *jobPageState) isClosed() bool { return p == nil || p.version == 0 || p.page.Closed }
 
 // placementPageState lists the chunks on a placement page.
@@ -83,7 +86,7 @@
 
 // applyEvents applies changes to the index.
 func (x *index) applyEvents(events wire.Events) {
-	// A page may have changed many times since the last barrier: decode only its last value.
+	// A page may have changed many times since the last barrier. Decode only its last value.
 	last := map[string]uint64{}
 	for i := range events.Log {
 		if e := &events.Log[i]; e.Delete == "" {
@@ -190,8 +193,8 @@
 	x.setUnreadablePage(key, unreadablePage{version: version, originalKey: key, originalVersion: version}, value)
 }
 
-// putPlacementPage applies the put of a placement page. If it can't be decoded, the index keeps what it
-// has of the version before.
+// putPlacementPage applies the put of a placement page. If the page can't be decoded, the index keeps the
+// version that it has.
 func (x *index) putPlacementPage(key string, number int, value wire.Raw, version uint64) {
 	page, err := DecodePlacementPage(value)
 	if err == nil {
@@ -205,19 +208,19 @@
 }
 
 // setJobPage replaces the content of a job page. A transaction may move a job from one page to another,
-// and the changes of the two pages may be applied in either order: so a job is only dropped with a page
-// if the index still has it on that page.
+// and the changes of the two pages may be applied in either order. A job is therefore only dropped with a
+// page if the index still has it on that page.
 func (x *index) setJobPage(key string, page JobPage, version uint64) {
 	p := x.jobPage(key)
 	if version <= p.version || version < x.unreadablePages[key].version {
 		return
 	}
-	readAgain := x.unreadablePages[key].version != 0
+	wasUnreadable := x.unreadablePages[key].version != 0
 	delete(x.unreadablePages, key)
 	x.dropMissingJobs(key, p.page, page)
 	for _, e := range page.Entries {
 		j := x.job(e.ID)
-		if j.version == 0 || j.unreadable || readAgain {
+		if j.version == 0 || j.unreadable || wasUnreadable {
 			record, err := e.Decode()
 			if err != nil {
 				record = x.placeholder(key, e.ID, err)
@@ -232,14 +235,14 @@
 	p.version, p.page, p.size = version, page, page.Size()
 }
 
-// dropMissingJobs drops the jobs that were on a page and no longer are, unless they moved to another.
+// dropMissingJobs drops the jobs that are no longer on a page, unless they moved to another page.
 func (x *index) dropMissingJobs(key string, before, after JobPage) {
-	stays := make(map[string]bool, len(after.Entries))
+	remaining := make(map[string]bool, len(after.Entries))
 	for _, e := range after.Entries {
-		stays[e.ID] = true
+		remaining[e.ID] = true
 	}
 	for _, e := range before.Entries {
-		if j := x.jobs[e.ID]; j != nil && j.pageKey == key && !stays[e.ID] {
+		if j := x.jobs[e.ID]; j != nil && j.pageKey == key && !remaining[e.ID] {
 			j.version, j.pageKey = 0, ""
 			x.dropIfUnused(e.ID, j)
 		}
@@ -272,7 +275,7 @@
 	}
 }
 
-// job returns a job, adding it if it is not known.
+// job returns a job. It adds the job if the index does not have it.
 func (x *index) job(id string) *activeJob {
 	j := x.jobs[id]
 	if j == nil {
@@ -282,7 +285,7 @@
 	return j
 }
 
-// jobPage returns a job page, adding it if it is not known.
+// jobPage returns a job page. It adds an empty page if the index does not have it.
 func (x *index) jobPage(key string) *jobPageState {
 	p := x.jobPages[key]
 	if p == nil {
@@ -299,7 +302,7 @@
 	}
 }
 
-// headPageVersion returns the version of a head page, 0 if there is none.
+// headPageVersion returns the version of a head page, or 0 if there is none.
 func (x *index) headPageVersion(key string) uint64 {
 	if p := x.jobPages[key]; p != nil {
 		return p.version
--- a/jobstore/lookup.go
+++ b/jobstore/lookup.go
@@ -1,3 +1,5 @@
+// Lookup of jobs, and the cache of final records.
+
 package jobstore
 
 import (
@@ -13,14 +15,15 @@
 	DoneTasks   int
 	PlacedTasks int
 
-	pageKey string // the job page that holds the record; "": a key of its own
-	// uncertain means that a page that holds the job, or might, can't be decoded. The job may be over
-	// although it was found, or accepted although it was not found.
+	pageKey string // the job page that holds the record; "" for a job with a key of its own
+	// uncertain means that a page that holds or may hold the job can't be decoded. A job that was found
+	// may be over. A job that was not found may have been accepted.
 	uncertain bool
 }
 
-// Lookup returns the status of a job. found is false if the id was never accepted. If a damaged record
-// leaves open whether it was, or how the job ended, it returns an UnreadableError.
+// Lookup returns the status of a job. found is false if the id was never accepted. It returns an
+// UnreadableError if a damaged record makes it impossible to tell whether the id was accepted or how the
+// job ended.
 func (s *Store) Lookup(ctx context.Context, id string) (status JobStatus, found bool, err error) {
 	if status, ok := s.CachedFinal(id); ok {
 		return status, true, nil
@@ -32,8 +35,8 @@
 	if found && !status.uncertain {
 		return status, true, nil
 	}
-	// A job moves from active to final in one transaction and never back, so reading the final record
-	// after the active one can't miss it.
+	// A job moves from active to final in one transaction, and never back. A read of the final record
+	// after the active one therefore can't miss the job.
 	record, over, err := s.readFinal(ctx, id)
 	switch {
 	case err != nil:
@@ -68,16 +71,16 @@
 		status.uncertain = s.unreadablePages[j.pageKey].version != 0
 		return status, true
 	}
-	// Only accepted jobs are placed: if it has placements but no record, its record may be on a page that
-	// can't be decoded. Otherwise the job is over, and its placements are yet to be removed.
+	// The job has placements but no record. Only accepted jobs are placed, so its record may be on a page
+	// that can't be decoded. Otherwise the job is over, and its placements have not been removed yet.
 	status.Record.Job = wire.Job{ID: id, Tasks: 1}
 	status.pageKey, status.Version = s.unreadablePageOf(id)
 	status.uncertain = status.Version != 0
 	return status, status.uncertain
 }
 
-// isKnown reports whether a job has been accepted, as last read. Placements alone show it as well, since
-// only accepted jobs are placed. The caller holds s.mu.
+// isKnown reports whether a job has been accepted, as last read. A job that only has placements counts
+// as accepted, because only accepted jobs are placed. The caller holds s.mu.
 func (s *Store) isKnown(id string) bool {
 	if _, ok := s.finals.records[id]; ok {
 		return true
@@ -86,8 +89,8 @@
 	return j != nil && (j.version != 0 || len(j.chunks) > 0)
 }
 
-// CachedFinal returns the status of a job whose final record is cached. Final records never change, so
-// the answer is current without a read.
+// CachedFinal returns the status of a job whose final record is cached, or false if it is not cached.
+// Final records never change, so the status is current.
 func (s *Store) CachedFinal(id string) (JobStatus, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,16 +98,16 @@
 	return JobStatus{Record: record}, ok
 }
 
-// maxCachedFinals bounds the cache of final records, all of which stay in the key-value store.
+// maxCachedFinals bounds the number of cached final records. All final records stay in the key-value store.
 const maxCachedFinals = 20_000
 
-// finalCache caches final records, and evicts the oldest first. A Store's lock guards it.
+// finalCache caches final records, and evicts the oldest first. The Store's lock guards it.
 type finalCache struct {
 	records map[string]JobRecord
 	order   []string // ids in order of insertion
 }
 
-// add caches a final record. Of the job itself it keeps only the id and the number of tasks.
+// add caches a final record. Of the record's Job it keeps only the id and the number of tasks.
 func (c *finalCache) add(id string, record JobRecord) {
 	if _, ok := c.records[id]; ok {
 		return
--- a/jobstore/plan.go
+++ b/jobstore/plan.go
@@ -1,3 +1,10 @@
+// Reads of the operators' plan (planapply.go writes it).
+//
+// The key PlanHeadKey lists the plan's versions. Its own version guards every decision that a leader
+// bases on the plan. Each version has a text, which is split into pieces that fit into a value and is
+// stored under keys of its own. The last piece is written together with the head that lists the version,
+// so that a listed version is always complete. docs/plan.md discusses the design alternatives.
+
 package jobstore
 
 import (
@@ -13,22 +20,17 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file reads the versions of the operators' plan; planapply.go writes them. docs/plan.md discusses
-// the design alternatives. The key PlanHeadKey lists the plan's versions, and its own version guards
-// every decision that a leader bases on the plan. The texts are stored under keys of their own, in
-// pieces that fit into a value, and are written no later than the head that lists them, so that a listed
-// version is always complete.
-
 // Keys of the plan.
 const (
+	// PlanPrefix is the prefix of all records of the plan. Every controller watches it.
 	PlanPrefix = "plan/"
-	// PlanHeadKey holds a PlanHead: the version in force, and those before it.
+	// PlanHeadKey holds a PlanHead.
 	PlanHeadKey = "plan/head"
-	// planHeadCopyKey holds a copy of the head, written in the same transaction and used if the head
-	// can't be decoded.
+	// planHeadCopyKey holds a copy of the head, which is written in the same transaction. It is used if
+	// the head can't be decoded.
 	planHeadCopyKey = "plan/copy"
-	// PlanRequestedKey exists once somebody has tried to apply a plan. It asks the leader to raise the
-	// schema to SchemaPlans, which it does once every controller can read that.
+	// PlanRequestedKey exists once somebody has tried to apply a plan. It requests that the leader raise
+	// the schema to SchemaPlans, which the leader does once every controller can read that schema.
 	PlanRequestedKey = "plan/asked"
 	planTextPrefix   = "plan/t/"
 	// PlanStatePrefix holds the state of the plan's components, such as warm pools. It is not under
@@ -36,30 +38,30 @@
 	PlanStatePrefix = "note/"
 )
 
-// maxPlanVersions is how many versions are kept.
+// maxPlanVersions is how many versions of the plan are kept.
 const maxPlanVersions = 16
 
 // PlanHead is the value of PlanHeadKey.
 type PlanHead struct {
-	Versions []PlanVersion `msgpack:"v"` // newest first; the first is in force
+	Versions []PlanVersion `msgpack:"v"` // newest first; the first one is in force
 }
 
 // PlanVersion describes a version of the plan. Numbers increase and are never reused.
 type PlanVersion struct {
 	Number int    `msgpack:"n"`
-	Draft  string `msgpack:"d"` // identifies the keys of its text
-	Pieces int    `msgpack:"p"` // number of keys that hold its text
-	Digest uint64 `msgpack:"h"` // xxh3 of its text
-	AtMs   int64  `msgpack:"at"`
-	By     string `msgpack:"by,omitempty"` // who applied it, if known
+	Draft  string `msgpack:"d"`            // identifies the keys of its text
+	Pieces int    `msgpack:"p"`            // number of keys that hold its text
+	Digest uint64 `msgpack:"h"`            // xxh3 of its text
+	AtMs   int64  `msgpack:"at"`           // Unix milliseconds
+	By     string `msgpack:"by,omitempty"` // who applied it; "" if unknown
 	Note   string `msgpack:"note,omitempty"`
 }
 
-// planPiece is a part of a version's text. Each has the number of pieces and the digest of the whole, so
-// that the versions can be rebuilt from the pieces alone if no head can be decoded.
+// planPiece is a part of a version's text. Each piece has the number of pieces and the digest of the
+// whole text, so that the versions can be rebuilt from the pieces if no head can be decoded.
 type planPiece struct {
 	Text   string `msgpack:"t"`
-	Pieces int    `msgpack:"p"`
+	Pieces int    `msgpack:"p"` // of the whole text
 	Digest uint64 `msgpack:"h"` // of the whole text
 }
 
@@ -67,10 +69,10 @@
 	// ErrNoPlan means that no plan has ever been applied.
 	ErrNoPlan = errors.New("there is no plan")
 	// ErrPlanUnreadable means that a record of the plan is missing or damaged.
-	ErrPlanUnreadable = errors.New("the plan's record is damaged")
+	ErrPlanUnreadable = errors.New("a record of the plan is missing or damaged")
 )
 
-// Current returns the number of the version in force, 0 if there is none.
+// Current returns the number of the version in force, or 0 if there is none.
 func (h PlanHead) Current() int {
 	if len(h.Versions) == 0 {
 		return 0
@@ -78,7 +80,8 @@
 	return h.Versions[0].Number
 }
 
-// Find returns a version by its number; 0 means the version in force.
+// Find returns the version with the given number, or false if it is not listed. Number 0 means the version
+// in force.
 func (h PlanHead) Find(number int) (PlanVersion, bool) {
 	for _, v := range h.Versions {
 		if v.Number == number || number == 0 {
@@ -93,32 +96,36 @@
 	return slices.ContainsFunc(h.Versions, func(v PlanVersion) bool { return v.Draft == draft })
 }
 
+// planTextKey returns the key of a piece of a draft's text.
 func planTextKey(draft string, piece int) string {
 	return planTextPrefix + draft + "/" + strconv.Itoa(piece)
 }
 
 // parsePlanTextKey returns the draft to which a piece of text belongs, and the number of the version for
-// which it was written.
+// which the draft was written. ok is false for any other key.
 func parsePlanTextKey(key string) (number int, draft string, ok bool) {
 	rest, ok := strings.CutPrefix(key, planTextPrefix)
 	if !ok {
 		return 0, "", false
 	}
 	draft, _, ok = strings.Cut(rest, "/")
-	num, _, hasNumber := strings.Cut(draft, "-")
-	number, err := strconv.Atoi(num)
+	prefix, _, hasNumber := strings.Cut(draft, "-")
+	number, err := strconv.Atoi(prefix)
 	return number, draft, ok && hasNumber && err == nil
 }
 
 // StoredPlanHead is the plan's head as read from the key-value store.
 type StoredPlanHead struct {
 	PlanHead
-	Version uint64 // of PlanHeadKey; 0 if there is no plan
-	Warning error  // set if the head can't be decoded: this is its copy, or rebuilt from the texts
+	Version uint64 // version of PlanHeadKey; 0 if there is no plan
+	// Warning is set if the head can't be decoded. The PlanHead is then its copy, or rebuilt from the
+	// texts.
+	Warning error
 }
 
-// ReadPlanHead reads the list of versions. If the head can't be decoded its copy is used, and if that
-// can't either, the list is rebuilt from the texts.
+// ReadPlanHead reads the list of versions. If the head can't be decoded, it returns the head's copy. If
+// the copy can't be decoded either, it rebuilds the list from the texts. The result's Version is 0 if
+// there is no plan.
 func ReadPlanHead(ctx context.Context, kv KeyValueReader) (StoredPlanHead, error) {
 	e, err := kv.Get(ctx, PlanHeadKey)
 	if err != nil || e.Version == 0 {
@@ -132,16 +139,16 @@
 		return StoredPlanHead{}, err
 	}
 	if h, err := decodePlanHead(backup.Value); backup.Version != 0 && err == nil {
-		warning := fmt.Errorf("%w: %s can't be read, its copy holds", ErrPlanUnreadable, PlanHeadKey)
+		warning := fmt.Errorf("%w: %s can't be decoded; using its copy", ErrPlanUnreadable, PlanHeadKey)
 		return StoredPlanHead{PlanHead: h, Version: e.Version, Warning: warning}, nil
 	}
-	warning := fmt.Errorf("%w: neither %s nor %s can be read, the newest text holds", ErrPlanUnreadable, PlanHeadKey, planHeadCopyKey)
+	warning := fmt.Errorf("%w: neither %s nor %s can be decoded; using the versions whose texts are complete", ErrPlanUnreadable, PlanHeadKey, planHeadCopyKey)
 	h, err := planHeadFromTexts(ctx, kv)
 	return StoredPlanHead{PlanHead: h, Version: e.Version, Warning: warning}, err
 }
 
-// decodePlanHead decodes a head. One without versions, or with numbers that do not decrease, counts as
-// damaged, since no such head is ever written.
+// decodePlanHead decodes a head. It returns an error if the head has no versions, or if their numbers do
+// not decrease, because no such head is ever written.
 func decodePlanHead(raw wire.Raw) (PlanHead, error) {
 	var h PlanHead
 	if err := wire.Unmarshal(raw, &h); err != nil {
@@ -158,23 +165,23 @@
 	return h, nil
 }
 
-// planHeadFromTexts rebuilds the list of versions from the texts alone: the drafts that are complete and
-// the only complete one of their number. A draft that was never committed lacks its last piece, which is
-// written together with the head. (An earlier version of this program wrote all pieces before the head;
-// an uncommitted draft of that program can't be told from a version.)
+// planHeadFromTexts rebuilds the list of versions from the texts. It lists each complete draft that is the
+// only complete one of its number. A draft that was never committed lacks its last piece, which is written
+// together with the head. An earlier version of this program wrote all pieces before the head. Uncommitted
+// drafts of that program can't be distinguished from versions.
 func planHeadFromTexts(ctx context.Context, kv KeyValueReader) (PlanHead, error) {
 	texts, _, err := kv.List(ctx, planTextPrefix)
 	if err != nil {
 		return PlanHead{}, err
 	}
 	drafts := completeDrafts(texts)
-	draftsOf := map[int]int{} // complete drafts, by number
+	draftCounts := map[int]int{} // how many complete drafts each number has
 	for _, v := range drafts {
-		draftsOf[v.Number]++
+		draftCounts[v.Number]++
 	}
 	var h PlanHead
 	for _, v := range drafts {
-		if draftsOf[v.Number] == 1 {
+		if draftCounts[v.Number] == 1 {
 			h.Versions = append(h.Versions, v)
 		}
 	}
@@ -183,10 +190,10 @@
 	return h, nil
 }
 
-// completeDrafts returns the drafts all of whose pieces exist.
+// completeDrafts returns the drafts that have all their pieces, by draft.
 func completeDrafts(texts []wire.Entry) map[string]PlanVersion {
 	drafts := map[string]PlanVersion{}
-	pieces := map[string]int{} // per draft, including those that can't be decoded
+	pieces := map[string]int{} // number of pieces of each draft, including damaged ones
 	for _, e := range texts {
 		number, draft, ok := parsePlanTextKey(e.Key)
 		if !ok {
@@ -222,7 +229,7 @@
 		b.WriteString(p.Text)
 	}
 	if xxh3.HashString(b.String()) != v.Digest {
-		return "", fmt.Errorf("%w: version %d is not what was written", ErrPlanUnreadable, v.Number)
+		return "", fmt.Errorf("%w: the text of version %d does not match its digest", ErrPlanUnreadable, v.Number)
 	}
 	return b.String(), nil
 }
@@ -232,11 +239,12 @@
 	PlanVersion        // the zero value if there is no plan
 	HeadVersion uint64 // version of PlanHeadKey, the guard of decisions based on the plan
 	Text        string
-	Warnings    []error // records newer than this version that could not be read
+	Warnings    []error // one for each unreadable head or newer version
 }
 
-// LoadPlan reads the newest version that is intact and that validate accepts. It returns
-// ErrPlanUnreadable if there is a plan but no such version.
+// LoadPlan reads the newest version that is intact and that validate accepts. It returns an error that
+// wraps ErrPlanUnreadable if there is a plan but no such version. If there is no plan, it returns no error
+// and an ActivePlan with HeadVersion 0.
 func LoadPlan(ctx context.Context, kv KeyValueReader, validate func(text string) error) (ActivePlan, error) {
 	head, err := ReadPlanHead(ctx, kv)
 	if err != nil {
@@ -256,14 +264,15 @@
 			active.PlanVersion, active.Text = v, text
 			return active, nil
 		case !errors.Is(err, ErrPlanUnreadable):
-			return ActivePlan{}, err // the request failed, which says nothing about the plan
+			return ActivePlan{}, err // the request failed, so the state of the plan is unknown
 		}
 		active.Warnings = append(active.Warnings, err)
 	}
-	return active, fmt.Errorf("%w: no version of it can be read", ErrPlanUnreadable)
+	return active, fmt.Errorf("%w: no version can be read", ErrPlanUnreadable)
 }
 
-// readValidText reads the text of a version, and returns ErrPlanUnreadable unless validate accepts it.
+// readValidText reads the text of a version. It returns an error that wraps ErrPlanUnreadable unless the
+// text is intact and validate accepts it.
 func readValidText(ctx context.Context, kv KeyValueReader, v PlanVersion, validate func(text string) error) (string, error) {
 	text, err := ReadPlanText(ctx, kv, v)
 	if err != nil {
--- a/jobstore/planapply.go
+++ b/jobstore/planapply.go
@@ -1,3 +1,5 @@
+// Application of new versions of the operators' plan.
+
 package jobstore
 
 import (
@@ -18,9 +20,10 @@
 
 // ErrPlanUnsupported means that the leader has not raised the schema to SchemaPlans, because not every
 // controller is known to support it.
-var ErrPlanUnsupported = errors.New("not every node reads plans yet: start this version on all of them (with ledger.intake), and apply again")
+var ErrPlanUnsupported = errors.New("not every node supports plans yet; start this version on all nodes with ledger.intake set, then apply again")
 
-// PlanConflictError means that the version in force is not the one on which a change is based.
+// PlanConflictError means that the version in force is not the one on which a change is based. Both are
+// version numbers. 0 means no plan.
 type PlanConflictError struct{ Base, Current int }
 
 func (e *PlanConflictError) Error() string {
@@ -32,12 +35,13 @@
 	Base     int // number of the version on which it is based; 0 if there is no plan
 	Text     string
 	By, Note string
-	At       time.Time
+	At       time.Time // when the change was requested
 }
 
-// ApplyPlan commits a text as the next version of the plan, which is then in force. Of two concurrent
-// changes with the same base one is applied, and the other fails with a PlanConflictError. After an error
-// of package kvstore the change may or may not have been applied: read the plan's versions to find out.
+// ApplyPlan commits a text as the next version of the plan, which is then in force, and returns that
+// version. Of two concurrent changes with the same base, one is applied and the other fails with a
+// PlanConflictError. After an error of package kvstore the change may have been applied. Read the plan's
+// versions to find out.
 func ApplyPlan(ctx context.Context, kv Client, limits Limits, c PlanChange) (PlanVersion, error) {
 	schemaVersion, err := ensurePlanSchema(ctx, kv)
 	if err != nil {
@@ -52,13 +56,13 @@
 	}
 	v, puts := newPlanVersion(head.Current()+1, c, limits)
 	// A text may be too large for one transaction, so all pieces but the last are written before the
-	// head. The last is written together with it: then a text is complete only if it was committed as a
-	// version, which planHeadFromTexts relies on if no head can be decoded.
+	// head. The last piece is written together with the head. A text is then complete only if it was
+	// committed as a version. planHeadFromTexts relies on this.
 	last := len(puts) - 1
 	for _, put := range puts[:last] {
 		err := commitOnce(ctx, kv, []wire.Guard{{Key: put.Put}}, []wire.Op{put}, func() bool { return keyExists(ctx, kv, put.Put) })
 		if err != nil {
-			return PlanVersion{}, fmt.Errorf("the plan's text: %w", err)
+			return PlanVersion{}, fmt.Errorf("write the plan's text: %w", err)
 		}
 	}
 	next := head.withVersion(v, limits)
@@ -78,8 +82,8 @@
 		Number: number, Digest: xxh3.HashString(c.Text),
 		AtMs: c.At.UnixMilli(), By: truncate(c.By), Note: truncate(c.Note),
 	}
-	// The random part keeps the keys apart from those of another draft of the same number, left by a
-	// writer that failed halfway or is still running.
+	// The random part distinguishes the keys from those of another draft of the same number, whose
+	// writer failed halfway or is still running.
 	v.Draft = fmt.Sprintf("%d-%08x", v.Number, rand.Uint32())
 	text := splitPlanText(c.Text, limits.pageBytes()) // head, copy and a piece fit into a transaction
 	v.Pieces = len(text)
@@ -90,28 +94,28 @@
 	return v, puts
 }
 
-// splitPlanText splits a text into pieces of up to maxBytes, as the key-value store counts bytes: of the
-// JSON encoding, with escapes.
+// splitPlanText splits a text into pieces of up to maxBytes. The key-value store counts the bytes of the
+// JSON encoding, which includes escapes.
 func splitPlanText(text string, maxBytes int) []string {
-	const maxEscape = 6 // bytes of an escape such as \u00e9
-	var out []string
+	const maxEscapeBytes = 6 // an escape such as \u00e9
+	var pieces []string
 	from, size := 0, 0
 	for i, r := range text {
 		cost := utf8.RuneLen(r)
 		if r < 0x20 || r >= 0x80 || strings.ContainsRune(`"\<>&`, r) {
-			cost = maxEscape * max(1, cost)
+			cost = maxEscapeBytes * max(1, cost)
 		}
 		if size+cost > maxBytes && i > from {
-			out = append(out, text[from:i])
+			pieces = append(pieces, text[from:i])
 			from, size = i, 0
 		}
 		size += cost
 	}
-	return append(out, text[from:])
+	return append(pieces, text[from:])
 }
 
-// withVersion returns the head that results from applying v. It drops the oldest versions if there are more
-// than maxPlanVersions or they do not fit into a value.
+// withVersion returns a head that lists v in addition to the versions of h. It drops the oldest versions if
+// there are more than maxPlanVersions or they do not fit into a value.
 func (h PlanHead) withVersion(v PlanVersion, limits Limits) PlanHead {
 	next := PlanHead{Versions: append([]PlanVersion{v}, h.Versions...)}
 	next.Versions = next.Versions[:min(len(next.Versions), maxPlanVersions)]
@@ -121,22 +125,22 @@
 	return next
 }
 
-// size is an upper bound of what the key-value store counts for a head.
+// size returns an upper bound of the bytes that the key-value store counts for a head.
 func (h PlanHead) size() int {
 	raw, err := wire.Marshal(h)
 	if err != nil {
-		return 0 // the commit will fail to encode it as well, and return the error
+		return 0 // the commit fails to encode the head as well, and returns the error
 	}
 	return wire.JSONSize(raw)
 }
 
-// truncate bounds the length of the free text that is stored with a version.
+// truncate limits the length of the free text that is stored with a version.
 func truncate(s string) string {
-	const most = 120
-	if len(s) <= most {
+	const maxBytes = 120
+	if len(s) <= maxBytes {
 		return s
 	}
-	return strings.ToValidUTF8(s[:most], "")
+	return strings.ToValidUTF8(s[:maxBytes], "")
 }
 
 // isApplied reports whether the stored head lists a version with v's draft.
@@ -154,7 +158,8 @@
 	return err == nil && e.Version != 0
 }
 
-// planConflict turns a conflict into a PlanConflictError if another version has been applied.
+// planConflict returns a PlanConflictError if err is a conflict and another version has been applied.
+// Otherwise it returns err.
 func planConflict(ctx context.Context, kv KeyValueReader, base int, err error) error {
 	var conflict *kvstore.ConflictError
 	if !errors.As(err, &conflict) {
@@ -167,10 +172,10 @@
 	return &PlanConflictError{base, head.Current()}
 }
 
-// commitOnce commits a transaction whose guards let it succeed only once, and retries it until the
-// outcome is known or ctx ends. After a lost response, a conflict may be caused by an earlier try that
-// was applied: done reports whether that is so.
-func commitOnce(ctx context.Context, kv Client, guards []wire.Guard, ops []wire.Op, done func() bool) error {
+// commitOnce commits a transaction whose guards let it succeed only once. It retries until the outcome is
+// known or ctx ends. After a lost response, the cause of a conflict may be an earlier attempt that was
+// applied. wasApplied reports whether this is the case.
+func commitOnce(ctx context.Context, kv Client, guards []wire.Guard, ops []wire.Op, wasApplied func() bool) error {
 	const firstWait, maxWait = 200 * time.Millisecond, 2 * time.Second
 	for wait := firstWait; ; wait = min(2*wait, maxWait) {
 		_, err := kv.CompareAndSwap(ctx, guards, ops)
@@ -179,7 +184,7 @@
 		case err == nil:
 			return nil
 		case errors.As(err, &conflict):
-			if done() {
+			if wasApplied() {
 				return nil
 			}
 			return err
@@ -193,16 +198,16 @@
 }
 
 const (
-	// schemaTries is how often the schema is read while waiting for the leader to raise it.
-	schemaTries = 31
-	schemaWait  = 500 * time.Millisecond
+	// maxSchemaReads is how often the schema is read during the wait for the leader to raise it.
+	maxSchemaReads     = 31
+	schemaReadInterval = 500 * time.Millisecond
 )
 
-// ensurePlanSchema asks for SchemaPlans and waits until it is in force. From then on a version of this
-// program that does not support plans refuses to lead, instead of ignoring the plan. It returns the
-// version of SchemaKey.
+// ensurePlanSchema requests SchemaPlans and waits until it is in force. From then on, a version of this
+// program that does not support plans refuses to lead instead of ignoring the plan. It returns the version
+// of SchemaKey, or ErrPlanUnsupported if the leader does not raise the schema in time.
 func ensurePlanSchema(ctx context.Context, kv Client) (uint64, error) {
-	for try := range schemaTries {
+	for attempt := range maxSchemaReads {
 		e, schema, err := readSchema(ctx, kv)
 		switch {
 		case err != nil:
@@ -212,12 +217,12 @@
 		case schema.Version >= SchemaPlans:
 			return e.Version, nil
 		}
-		if try == 0 {
+		if attempt == 0 {
 			if err := requestPlans(ctx, kv); err != nil {
 				return 0, err
 			}
 		}
-		if try < schemaTries-1 && !call.Pause(ctx, schemaWait) {
+		if attempt < maxSchemaReads-1 && !call.Pause(ctx, schemaReadInterval) {
 			return 0, ctx.Err()
 		}
 	}
@@ -236,14 +241,14 @@
 	return e, schema, nil
 }
 
-// requestPlans asks the leader to raise the schema.
+// requestPlans requests that the leader raise the schema to SchemaPlans.
 func requestPlans(ctx context.Context, kv Client) error {
-	requestedBefore := func() bool { return true } // what a conflict means
+	requestedBefore := func() bool { return true } // a conflict means that the request exists
 	return commitOnce(ctx, kv, []wire.Guard{{Key: PlanRequestedKey}}, []wire.Op{{Put: PlanRequestedKey, Value: true}}, requestedBefore)
 }
 
-// deleteOrphanedTexts deletes the texts that no version refers to. A draft can only be committed as the
-// version after the current one, so one with a lower number will never be.
+// deleteOrphanedTexts deletes the texts that no listed version refers to. A draft can only be committed as
+// the version after the current one, so a draft with a lower number will never be committed.
 func deleteOrphanedTexts(ctx context.Context, kv Client, h PlanHead) {
 	texts, _, err := kv.List(ctx, planTextPrefix)
 	if err != nil {
--- a/jobstore/recovery.go
+++ b/jobstore/recovery.go
@@ -1,3 +1,5 @@
+// Copies of records in a controller's memory, from which a leader recovers damaged records.
+
 package jobstore
 
 import (
@@ -9,15 +11,15 @@
 )
 
 // RecoveryCopy is a controller's in-memory copy of one version of a record, as it was written. A leader
-// that can't decode the record asks its peers for a copy. One of the two fields is set.
+// that can't decode the record requests a copy from its peers. One of the two fields is set.
 type RecoveryCopy struct {
 	Entries []JobPageEntry `msgpack:"j"` // for a job page
 	Value   wire.Raw       `msgpack:"r"` // for any other record
 }
 
 // RecoveryCopy returns this controller's copy of a version of a record, whether or not the stored record
-// is damaged; nil if it has none of that version. It reads a barrier first, so that the current version is
-// considered, and also returns nil if that fails.
+// is damaged. It reads a barrier first, so that the index includes the current version. It returns nil if
+// the controller has no copy of that version, or if the barrier fails.
 func (s *Store) RecoveryCopy(ctx context.Context, key string, version uint64) *RecoveryCopy {
 	if version == 0 || s.readBarrier(ctx) != nil {
 		return nil
@@ -49,6 +51,7 @@
 	return nil
 }
 
+// newRecoveryCopy returns a copy of a record other than a job page, or nil if it can't be encoded.
 func newRecoveryCopy(v any) *RecoveryCopy {
 	raw, err := wire.Marshal(v)
 	if err != nil {
@@ -57,8 +60,8 @@
 	return &RecoveryCopy{Value: raw}
 }
 
-// originalPageCopy returns this controller's copy of the original of an unreadable page, nil if it has
-// none.
+// originalPageCopy returns this controller's copy of the original version of an unreadable page, or nil if
+// it has none.
 func (x *index) originalPageCopy(key string, u unreadablePage) *RecoveryCopy {
 	before := x.unreadablePages[key]
 	if before.originalKey == u.originalKey && before.originalVersion == u.originalVersion {
@@ -74,8 +77,9 @@
 	return nil
 }
 
-// UnreadableKey returns the key of a job page, or of the schema record, that this controller can't decode
-// and that no leader has quarantined yet; "" if there is none.
+// UnreadableKey returns the key and the version of a job page that this controller can't decode and that
+// no leader has quarantined, or of the schema record if it can't be decoded. The key is "" if there is
+// none.
 func (s *Store) UnreadableKey() (key string, version uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/jobstore/reservation.go
+++ b/jobstore/reservation.go
@@ -1,3 +1,5 @@
+// Reserved jobs and the applications that own them, as API front ends use them.
+
 package jobstore
 
 import (
@@ -13,14 +15,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Reservation marks a job whose tasks are placed first and launched only when the job's owner asks for
-// it. Each task runs at most once: when its attempt has ended in any way, the task is over. It serves API
-// front ends (such as YARN's) whose clients decide what to run after they know the machine.
+// Reservation marks a job whose tasks are placed first and launched only when the job's owner requests it.
+// Each task has a single attempt. When the attempt has ended in any way, the task is over. API front ends
+// (such as YARN's) use reservations because their clients decide what to run after they know the machine.
 type Reservation struct {
 	Owner         string      `msgpack:"o"`           // key of the owning application's record
 	Tag           string      `msgpack:"t,omitempty"` // opaque value of the front end
 	LaunchRanges  TaskRanges  `msgpack:"g,omitempty"` // tasks that may be launched
-	ReleaseRanges TaskRanges  `msgpack:"d,omitempty"` // tasks that the owner gives back
+	ReleaseRanges TaskRanges  `msgpack:"d,omitempty"` // tasks that the owner has released
 	OnlyMachines  []string    `msgpack:"n,omitempty"` // if not empty, the only machines to use
 	AvoidMachines []string    `msgpack:"v,omitempty"` // machines not to use
 	SharedKeys    []SharedKey `msgpack:"x,omitempty"` // the front end's keys that several tasks share
@@ -32,7 +34,7 @@
 	TaskRanges TaskRanges `msgpack:"t"`
 }
 
-// SharedKeyOf returns the key that a task shares with others, if any.
+// SharedKeyOf returns the key that a task shares with others, or false if it shares none.
 func (r *Reservation) SharedKeyOf(task int) (string, bool) {
 	for _, k := range r.SharedKeys {
 		if k.TaskRanges.Contains(task) {
@@ -59,18 +61,19 @@
 	Version uint64 // 0 if there is no record
 }
 
-// errReservationsNotTracked means that TrackReservations was not called.
+// errReservationsNotTracked means that TrackReservations has not been called.
 var errReservationsNotTracked = errors.New("jobstore: reservations are not tracked")
 
-// TrackReservations makes the store index reserved jobs and applications, which only controllers with
-// an API front end need. It must be called before Run.
+// TrackReservations makes the store index reserved jobs and applications. Only controllers with an API
+// front end need this index. It must be called before Run.
 func (s *Store) TrackReservations() {
 	s.apps = &appIndex{}
 	s.apps.reset()
 }
 
-// OwnedJobs returns an application's record and its unfinished reserved jobs, all as of the same
-// revision, which is current at some moment after the call.
+// OwnedJobs returns an application's record and its unfinished reserved jobs in the order of their ids,
+// all as of one revision that is current at some moment after the call. owner is the key of the
+// application's record.
 func (s *Store) OwnedJobs(ctx context.Context, owner string) (AppRecord, []ReservedJob, error) {
 	if s.apps == nil {
 		return AppRecord{}, nil, errReservationsNotTracked
@@ -90,13 +93,13 @@
 	return s.apps.apps[owner], jobs, nil
 }
 
-// compareIDs orders ids with a common prefix by the number in which they end.
+// compareIDs orders ids with a common prefix by the number at their end.
 func compareIDs(a, b string) int {
 	return cmp.Or(cmp.Compare(len(a), len(b)), strings.Compare(a, b))
 }
 
-// FinishedReservation reads the final record of a reserved job, which says how each task ended. found is
-// false if there is no final record.
+// FinishedReservation reads the final record of a reserved job, which contains the outcome of each task.
+// found is false if there is no final record.
 func (s *Store) FinishedReservation(ctx context.Context, id string) (job ReservedJob, found bool, err error) {
 	e, err := s.kv.Get(ctx, FinalKey(id))
 	if err != nil || e.Version == 0 {
@@ -110,8 +113,8 @@
 	return job, true, nil
 }
 
-// CachedApp returns an application's record as of the last barrier. It reads nothing: use it after a
-// method that did, such as OwnedJobs.
+// CachedApp returns an application's record as of the last barrier, or a zero AppRecord if there is none.
+// Use it after a method that reads a barrier, such as OwnedJobs.
 func (s *Store) CachedApp(key string) AppRecord {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,7 +124,7 @@
 	return s.apps.apps[key]
 }
 
-// ListApps returns all applications' records, as of some moment after the call.
+// ListApps returns all applications' records in the order of their keys, as of some moment after the call.
 func (s *Store) ListApps(ctx context.Context) ([]AppRecord, error) {
 	if s.apps == nil {
 		return nil, errReservationsNotTracked
@@ -135,8 +138,9 @@
 }
 
 // Reserve commits a reserved job, and replaces its owner's record by value in the same transaction. It
-// fails with a kvstore.ConflictError if the owner's record no longer has the version given. duplicate is
-// true, and nothing is committed, if the job's id has been accepted already.
+// returns the transaction's revision. It fails with a kvstore.ConflictError if the owner's record no
+// longer has the given version. If the job's id was accepted before, duplicate is true and nothing is
+// committed.
 func (s *Store) Reserve(ctx context.Context, job wire.Job, atMs int64, r Reservation, owner AppRecord, value any) (rev uint64, duplicate bool, err error) {
 	guards := []wire.Guard{{Key: JobKey(job.ID)}, {Key: FinalKey(job.ID)}, {Key: owner.Key, Version: owner.Version}}
 	ops := []wire.Op{
@@ -151,9 +155,10 @@
 	return rev, false, err
 }
 
-// UpdateReservation changes a job's Reservation, together with more ops, in one transaction, and updates
-// job to match. It fails with a kvstore.ConflictError if the job has changed since it was read, and with
-// kvstore.ErrInvalidRequest if the job was over by then.
+// UpdateReservation applies change to a job's Reservation, and commits it together with more ops in one
+// transaction. It then updates job to match. It fails with a kvstore.ConflictError if the stored job has
+// changed since it was read, and with kvstore.ErrInvalidRequest if the job was already over when it was
+// read.
 func (s *Store) UpdateReservation(ctx context.Context, job *ReservedJob, change func(*Reservation), more ...wire.Op) error {
 	if job.Version == 0 || job.Record.Reservation == nil {
 		return fmt.Errorf("%w: job %s is over", kvstore.ErrInvalidRequest, job.ID)
--- a/jobstore/salvage.go
+++ b/jobstore/salvage.go
@@ -1,3 +1,7 @@
+// Recovery of intact values from damaged records. Nothing is guessed. A state is used only if it is
+// complete. An id is used only if it occurs both in the page entry and in the entry's record, so that
+// damage in one place can't change it into the id of another job.
+
 package jobstore
 
 import (
@@ -6,17 +10,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file recovers what is intact in damaged records, without guessing: a value is used only if it is
-// completely there, and an id only if it occurs both in the page entry and in the entry's record, so that
-// damage to one place can't turn it into the id of another job.
-
 var (
 	entryIDField  = msgpackString("i")      // field of JobPageEntry
 	recordIDField = msgpackString("nameId") // field of wire.Job in a JobRecord
 	stateField    = msgpackString("st")     // field of JobRecord
 )
 
-// salvageIDs returns the ids that are legible in a damaged job page: those of entries whose record has
+// salvageIDs returns the legible ids of a damaged job page, which are those of entries whose record has
 // the same id.
 func salvageIDs(page []byte) []string {
 	var ids []string
@@ -42,7 +42,8 @@
 	}
 }
 
-// leadingString returns the encoded string, of at most 31 bytes, with which b begins.
+// leadingString returns the encoded string at the start of b. ok is false if there is no complete string
+// of at most 31 bytes.
 func leadingString(b []byte) (encoded []byte, ok bool) {
 	if len(b) == 0 || b[0]&fixStrMask != msgpackFixStr {
 		return nil, false
@@ -54,8 +55,8 @@
 	return b[:1+n], true
 }
 
-// salvageState returns the state that is legible in a damaged final record: "" if there is none, or if
-// the bytes of both states occur.
+// salvageState returns the legible state of a damaged final record. It returns "" if no state is legible,
+// or if the bytes of both states occur.
 func salvageState(record []byte) string {
 	found := ""
 	for _, state := range []string{wire.JobDone, wire.JobCancelled} {
--- a/jobstore/schema.go
+++ b/jobstore/schema.go
@@ -1,3 +1,5 @@
+// The schema in which records are written, and the assignment of job ids to buckets.
+
 package jobstore
 
 import (
@@ -7,14 +9,15 @@
 )
 
 // Versions of the schema in which records are written. The leader raises the stored version once every
-// controller can read the next one; until then records are written in the older schema, so that a
+// controller can read the next one. Until then records are written in the older schema, so that a
 // rolling upgrade can be reverted.
 const (
-	// SchemaJobKeys: each unfinished job has a key of its own.
+	// SchemaJobKeys is the schema in which each unfinished job has a key of its own.
 	SchemaJobKeys = 1
-	// SchemaJobPages: users' unfinished jobs may share job pages.
+	// SchemaJobPages is the schema in which users' unfinished jobs may share job pages.
 	SchemaJobPages = 2
-	// SchemaPlans: there may be an operators' plan, whose version is a guard of placements.
+	// SchemaPlans is the schema in which an operators' plan may exist. The plan's version guards
+	// placements.
 	SchemaPlans = 3
 	// LatestSchema is the newest version that this program can read.
 	LatestSchema = SchemaPlans
@@ -30,15 +33,15 @@
 
 // ErrNewerSchema means that the records are in a schema newer than LatestSchema, written by a later
 // version of this program.
-var ErrNewerSchema = errors.New("the records have a newer form than this version reads: start the version that wrote them")
+var ErrNewerSchema = errors.New("the records have a newer schema than this version supports; start the version that wrote them")
 
 // SchemaRecord is the value of SchemaKey. If the key is absent, the version is SchemaJobKeys.
 type SchemaRecord struct {
 	Version int `msgpack:"f"`
-	Buckets int `msgpack:"b"` // fixed once set, since it determines the bucket of each id
+	Buckets int `msgpack:"b"` // number of buckets; never changes, because it determines the bucket of each id
 }
 
-// Bucket returns the bucket to which a job id belongs.
+// Bucket returns the bucket to which a job id belongs, from 0 to Buckets-1.
 func (r SchemaRecord) Bucket(id string) int {
 	if r.Buckets <= 1 {
 		return 0
@@ -46,22 +49,24 @@
 	return int(xxhash.Sum64String(id) % uint64(r.Buckets))
 }
 
-// InferBuckets derives the number of buckets from the job pages, for when the SchemaRecord is lost: the
-// smallest number, not below least, for which every job is on a page of its bucket.
-func InferBuckets(pages map[string]JobPage, least int) int {
-	least = max(least, 1)
+// InferBuckets derives the number of buckets from the job pages after the loss of the SchemaRecord. pages
+// maps keys to pages. It returns the smallest number, not below minBuckets and above every bucket that has
+// a page, for which every job is on a page of its bucket. If it finds no such number, it returns the lower
+// bound.
+func InferBuckets(pages map[string]JobPage, minBuckets int) int {
+	minBuckets = max(minBuckets, 1)
 	for key := range pages {
 		if bucket, _, ok := ParseJobPageKey(key); ok {
-			least = max(least, bucket+1)
+			minBuckets = max(minBuckets, bucket+1)
 		}
 	}
-	const tries = 64
-	for n := least; n < least+tries; n++ {
+	const maxCandidates = 64
+	for n := minBuckets; n < minBuckets+maxCandidates; n++ {
 		if fitsBuckets(pages, SchemaRecord{Version: SchemaJobPages, Buckets: n}) {
 			return n
 		}
 	}
-	return least
+	return minBuckets
 }
 
 // fitsBuckets reports whether every job is on a page of its bucket.
--- a/jobstore/tasks.go
+++ b/jobstore/tasks.go
@@ -1,3 +1,5 @@
+// Stored formats of sets of tasks and of the outcomes of tasks.
+
 package jobstore
 
 import (
@@ -7,8 +9,8 @@
 	"github.com/bits-and-blooms/bitset"
 )
 
-// TaskRanges is a set of task numbers in its stored format: pairs of the first and the last number of a
-// range, both inclusive.
+// TaskRanges is a set of task numbers in its stored format. It consists of pairs of the first and the last
+// number of a range, both inclusive.
 type TaskRanges []int
 
 // RangesOf returns a set as ranges, in ascending order.
@@ -24,7 +26,7 @@
 	return out
 }
 
-// BitSet returns the set of the tasks from 0 to n-1 that are in the ranges. Numbers outside are ignored.
+// BitSet returns the tasks from 0 to n-1 that are in the ranges. Other numbers are ignored.
 func (r TaskRanges) BitSet(n int) *bitset.BitSet {
 	set := bitset.New(uint(max(n, 0)))
 	for first, last := range r.All() {
@@ -71,17 +73,18 @@
 // Values of TaskOutcome.
 const (
 	OutcomeDone      TaskOutcome = iota
-	OutcomeFailed                // by itself, with an error
+	OutcomeFailed                // the task ended with an error
 	OutcomeLost                  // its machine is gone, or its lease expired
 	OutcomePreempted             // stopped for other work, an interruption notice or a graceful eviction
-	OutcomeReleased              // given back by its owner
+	OutcomeReleased              // released by its owner
 	OutcomeRefused               // its machine refused to run it
 )
 
-// TaskOutcomes is how tasks ended, in its stored format: pairs of a task number and a TaskOutcome.
+// TaskOutcomes holds the outcomes of tasks in their stored format. It consists of pairs of a task number
+// and a TaskOutcome.
 type TaskOutcomes []int
 
-// All yields each task and how it ended.
+// All yields each task and its outcome.
 func (o TaskOutcomes) All() iter.Seq2[int, TaskOutcome] {
 	return func(yield func(task int, outcome TaskOutcome) bool) {
 		for i := 0; i+1 < len(o); i += 2 {
