--- a/kvstore/client.go
+++ b/kvstore/client.go
@@ -4,11 +4,11 @@
 // and serves watches. Every package that persists state uses it through a Client: the
 // election, the job store, the controllers, snapshots and the command line.
 //
-// A Client caches nothing. It stays within its rate limits (New, WithAdaptiveLimits),
-// and its errors distinguish a request that was not executed (ErrRefused), a transaction
+// A Client caches nothing. It stays within its rate limits (New, WithAdaptiveLimits).
+// Its errors distinguish a request that was not executed (ErrRefused), a transaction
 // that was not applied because a guard failed (ConflictError) and a request whose
-// outcome is unknown (ErrOutcomeUnknown). It never retries a request: only the caller
-// knows whether that is safe.
+// outcome is unknown (ErrOutcomeUnknown). It never retries a request, because only the
+// caller knows whether a retry is safe.
 package kvstore
 
 import (
@@ -40,25 +40,26 @@
 	baseURL    string
 	httpClient *http.Client
 	requests   limiter
-	writes     limiter   // counts changed keys, not transactions
-	outcomes   *outcomes // shared with the clients that WithAdaptiveLimits and WithObserver derive
-	observe    func(Transaction)
+	writes     limiter           // counts changed keys, not transactions
+	outcomes   *outcomes         // shared with the clients that WithAdaptiveLimits and WithObserver derive
+	observe    func(Transaction) // see WithObserver
 }
 
 // outcomes holds the times at which a request last succeeded and last failed.
 type outcomes struct {
-	lastSuccess atomic.Int64 // unix nanoseconds
-	lastFailure atomic.Int64
+	lastSuccess atomic.Int64 // Unix nanoseconds
+	lastFailure atomic.Int64 // Unix nanoseconds
 }
 
-// New returns a client of the store at addr that sends at most rps requests and changes
-// at most wps keys per second. Requests beyond that wait.
-func New(dial call.DialFunc, addr string, rps, wps float64) *Client {
+// New returns a client of the store at addr, a host and port. The client sends at most
+// requestsPerSecond requests and changes at most writesPerSecond keys per second.
+// Requests over a limit wait.
+func New(dial call.DialFunc, addr string, requestsPerSecond, writesPerSecond float64) *Client {
 	return &Client{
 		baseURL:    "http://" + addr,
 		httpClient: call.NewClient(dial, maxConns, maxConns),
-		requests:   newFixedLimiter(rps),
-		writes:     newFixedLimiter(wps),
+		requests:   newFixedLimiter(requestsPerSecond),
+		writes:     newFixedLimiter(writesPerSecond),
 		outcomes:   &outcomes{},
 		observe:    func(Transaction) {},
 	}
@@ -66,29 +67,32 @@
 
 // WithAdaptiveLimits returns a client of the same store with rate limits of its own that
 // adapt to load. It is meant for requests that all nodes send at once, mainly those of
-// users: the store limits the nodes' total, which no single node can observe. The limits
-// start at rps and wps, are reduced when the store refuses a request with status 429,
-// though not below the given share of rps and wps, and recover gradually.
-func (c *Client) WithAdaptiveLimits(rps, wps, share float64) *Client {
+// users. The store limits the total of all nodes, which no single node can observe.
+//
+// The limits start at requestsPerSecond and writesPerSecond. They are reduced when the
+// store refuses a request with status 429, but never below minShare (from 0 to 1) of
+// their start values, and recover gradually.
+func (c *Client) WithAdaptiveLimits(requestsPerSecond, writesPerSecond, minShare float64) *Client {
 	adaptive := *c
-	adaptive.requests = newAdaptiveLimiter(rps, rps*share)
-	adaptive.writes = newAdaptiveLimiter(wps, wps*share)
+	adaptive.requests = newAdaptiveLimiter(requestsPerSecond, requestsPerSecond*minShare)
+	adaptive.writes = newAdaptiveLimiter(writesPerSecond, writesPerSecond*minShare)
 	return &adaptive
 }
 
 // RequestRate returns how many requests per second this client may send at present.
 func (c *Client) RequestRate() float64 { return c.requests.currentRate() }
 
-// HasWriteCapacity reports whether this client may change n keys now without waiting.
+// HasWriteCapacity reports whether this client may change n keys now with no wait.
 func (c *Client) HasWriteCapacity(n int) bool { return c.writes.available(n) }
 
-// WriteBurst returns how many changes this client's rate limit grants at once at present. Larger
-// transactions wait longer, and the store is more likely to refuse them.
+// WriteBurst returns how many changes this client's rate limit grants at once at present.
+// Larger transactions wait longer, and the store is more likely to refuse them.
 func (c *Client) WriteBurst() int { return c.writes.burst() }
 
-// AwaitWriteCapacity blocks until this client may change n keys, at most WriteBurst, without waiting. A
-// caller that composes a transaction only then does not find its guards out of date when it is sent. A
-// client without adaptive limits does not wait here, but in CompareAndSwap.
+// AwaitWriteCapacity blocks until this client may change n keys, at most WriteBurst, with
+// no further wait. A caller that composes its transaction afterwards avoids guards that
+// are out of date when the transaction is sent. A client with fixed limits returns at once,
+// and waits in CompareAndSwap. The error wraps ErrRateLimited if ctx ends first.
 func (c *Client) AwaitWriteCapacity(ctx context.Context, n int) error {
 	if err := c.writes.await(ctx, min(n, c.writes.burst())); err != nil {
 		return fmt.Errorf("%w: %w", ErrRateLimited, err)
@@ -96,13 +100,14 @@
 	return nil
 }
 
-// SetWaitingWrites tells an adaptive limit on writes how many writes of this node's users wait: the more
-// there are, the larger is the node's share of the store's capacity.
+// SetWaitingWrites sets how many writes of this node's users wait. The more writes wait,
+// the larger is the node's share of the store's capacity. It has no effect on a client
+// with fixed limits.
 func (c *Client) SetWaitingWrites(n int) { c.writes.setWaiting(n) }
 
-// LastOutcomes returns when the store last answered a request, with any status but 503,
-// and when a request last failed because the store did not answer or answered 503. It
-// returns the Unix epoch for what has never happened.
+// LastOutcomes returns when the store last answered a request with a status other than
+// 503, and when a request last failed because the store did not answer or answered 503.
+// A time is the Unix epoch if the event has never happened.
 func (c *Client) LastOutcomes() (success, failure time.Time) {
 	return time.Unix(0, c.outcomes.lastSuccess.Load()), time.Unix(0, c.outcomes.lastFailure.Load())
 }
@@ -114,6 +119,7 @@
 	return entry, opError("get", key, err)
 }
 
+// readEntry is Get, but returns errors that are not wrapped in an OpError.
 func (c *Client) readEntry(ctx context.Context, key string) (wire.Entry, error) {
 	resp, err := c.do(ctx, request{method: http.MethodGet, path: "/kv/" + key})
 	if err != nil {
@@ -131,8 +137,9 @@
 }
 
 // ListPage reads, in key order, at most limit keys that have the prefix and sort after
-// the given key, "" for the first page. The result's More field reports whether further
-// keys follow; it is never set on an empty page, so that callers can't loop for ever.
+// the key named by after, which is "" for the first page. The result's More field reports
+// whether further keys follow. It is never set on an empty page, so that callers can't
+// loop forever.
 func (c *Client) ListPage(ctx context.Context, prefix, after string, limit int) (wire.Listing, error) {
 	q := url.Values{"prefix": {prefix}, "page": {strconv.Itoa(limit)}}
 	if after != "" {
@@ -150,9 +157,9 @@
 	return page, nil
 }
 
-// List reads all keys with a prefix, page by page. The returned revision is that of the
-// first page: later pages may be newer, and a watch from that revision delivers every
-// change that the pages missed.
+// List reads all keys with a prefix, page by page, and returns the revision of the first
+// page. Later pages may be newer. A watch from the returned revision delivers every change
+// that the pages missed.
 func (c *Client) List(ctx context.Context, prefix string) ([]wire.Entry, uint64, error) {
 	var all []wire.Entry
 	var firstRevision uint64
@@ -175,7 +182,7 @@
 
 // CompareAndSwap applies the operations as one transaction if all guards hold, and
 // returns the transaction's revision. If a guard does not hold, the error is a
-// *ConflictError; otherwise it is one of this package's. Errors are wrapped in an
+// *ConflictError. Any other error is one of this package's. All errors are wrapped in an
 // *OpError, which names only the first key.
 func (c *Client) CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error) {
 	t := Transaction{Key: firstKey(guards, ops), Changes: len(ops)}
@@ -187,7 +194,7 @@
 	return revision, opError("compare-and-swap", t.Key, err)
 }
 
-// commit executes a transaction, and completes its description.
+// commit executes a transaction, and completes its description t.
 func (c *Client) commit(ctx context.Context, guards []wire.Guard, ops []wire.Op, t *Transaction) (uint64, error) {
 	began := time.Now()
 	if err := c.awaitWrites(ctx, t.Changes); err != nil {
@@ -206,8 +213,9 @@
 	return revision, err
 }
 
-// awaitWrites waits until this client's rate limit allows a number of changes. More than it grants at
-// once are granted in parts, since what the caller can't divide would never be sent otherwise.
+// awaitWrites waits until this client's rate limit allows a number of changes. If the limit
+// can't grant all of them at once, it grants them in parts. A transaction larger than the
+// burst could otherwise never be sent.
 func (c *Client) awaitWrites(ctx context.Context, changes int) error {
 	for changes > 0 {
 		part := min(changes, c.writes.burst())
@@ -219,7 +227,8 @@
 	return nil
 }
 
-// decodeCommit returns the revision of a committed transaction, or why it was not committed.
+// decodeCommit returns the revision of a committed transaction, or the reason why it was
+// not committed.
 func decodeCommit(resp response) (uint64, error) {
 	var answer wire.TxnAnswer
 	if err := wire.Unmarshal(resp.body, &answer); err != nil {
@@ -248,7 +257,7 @@
 }
 
 // Watch waits up to block for changes, after the given revision, of keys with the
-// prefix. With block 0 it returns at once and serves as a read barrier: the result
+// prefix. With block 0 it returns at once and serves as a read barrier, because the result
 // includes every change that was committed before the call. The error is ErrCompacted if
 // the store no longer has the changes since that revision.
 func (c *Client) Watch(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error) {
@@ -256,6 +265,7 @@
 	return events, opError("watch", prefix, err)
 }
 
+// readEvents is Watch, but returns errors that are not wrapped in an OpError.
 func (c *Client) readEvents(ctx context.Context, prefix string, after uint64, block time.Duration) (wire.Events, error) {
 	q := url.Values{
 		"prefix":  {prefix},
--- a/kvstore/lease.go
+++ b/kvstore/lease.go
@@ -1,3 +1,5 @@
+// Leases: keys written under a lease are deleted when it ends.
+
 package kvstore
 
 import (
@@ -10,8 +12,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// GrantLease creates a lease that expires after ttl unless it is renewed, and returns
-// its ID.
+// GrantLease creates a lease that expires after ttl unless it is renewed. It returns the
+// lease's ID.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	resp, err := c.do(ctx, request{method: http.MethodPost, path: "/holds", body: wire.NewLease{TTLMs: ttl.Milliseconds()}})
 	if err != nil {
@@ -30,14 +32,16 @@
 	return opError("renew lease", id, err)
 }
 
-// RevokeLease ends a lease at once; the store deletes the keys that were written under
-// it. The error is ErrLeaseNotFound if the lease has ended before.
+// RevokeLease ends a lease at once, and the store deletes the keys that were written under
+// it. The error is ErrLeaseNotFound if the lease has already ended.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	id := strconv.FormatUint(lease, 10)
 	err := c.changeLease(ctx, request{method: http.MethodDelete, path: "/holds/" + id})
 	return opError("revoke lease", id, err)
 }
 
+// changeLease sends a request about an existing lease. It returns ErrLeaseNotFound for
+// status 404.
 func (c *Client) changeLease(ctx context.Context, req request) error {
 	resp, err := c.do(ctx, req)
 	switch {
--- a/kvstore/ratelimit.go
+++ b/kvstore/ratelimit.go
@@ -1,3 +1,5 @@
+// Fixed and adaptive limits on the rates of requests and writes.
+
 package kvstore
 
 import (
@@ -8,21 +10,21 @@
 	"golang.org/x/time/rate"
 )
 
-// limiter limits the rate of a client's requests or writes.
+// limiter limits the rate of a client's requests or writes. It is safe for concurrent use.
 type limiter interface {
 	// WaitN blocks until n may be sent, or fails if ctx ends or its deadline is too near.
 	WaitN(ctx context.Context, n int) error
-	// available reports whether n may be sent without waiting.
+	// available reports whether n may be sent with no wait.
 	available(n int) bool
 	// burst returns the largest n that WaitN can grant at present.
 	burst() int
 	// currentRate returns how many may be sent per second at present.
 	currentRate() float64
-	// recordRefusal records that the store refused n, which had been granted, with status 429.
+	// recordRefusal records that the store refused, with status 429, n that had been granted.
 	recordRefusal(n int)
-	// await blocks until n may be sent, which the next WaitN then does not wait for.
+	// await blocks until n may be sent. The next WaitN grants these n with no further wait.
 	await(ctx context.Context, n int) error
-	// setWaiting records how many writes the caller has waiting.
+	// setWaiting sets how many writes of this node wait.
 	setWaiting(writes int)
 }
 
@@ -46,39 +48,40 @@
 func (fixedLimiter) setWaiting(int) {}
 
 const (
-	maxDecreaseShare = 0.5                    // by which the rate is reduced after a refusal of one
-	decreaseInterval = 250 * time.Millisecond // minimum time between decreases: refusals come in bursts
-	rampUpTime       = 30 * time.Second       // to rise from zero to the maximum rate
+	maxDecreaseShare = 0.5                    // share of the rate that the refusal of a single change takes off
+	decreaseInterval = 250 * time.Millisecond // minimum time between decreases, because refusals come in bursts
+	rampUpTime       = 30 * time.Second       // time of a rise from zero to the maximum rate, at weight 1
 	// increaseInterval is the minimum time between increases. One increase covers at most
 	// maxIncreaseStep of elapsed time, so that the rate does not jump after an idle period.
 	increaseInterval = 100 * time.Millisecond
 	maxIncreaseStep  = time.Second
-	// minBurst is the minimum burst size, however low the rate, unless the maximum rate is lower.
+	// minBurst is the minimum burst size at any rate, unless the maximum rate is lower.
 	minBurst = 4
 	// maxWeight is the largest number of flows that a node counts as.
 	maxWeight = 4
 )
 
 // adaptiveLimiter shares the store's capacity with the other nodes by additive increase
-// and multiplicative decrease (AIMD). With fixed limits whose sum exceeds that capacity,
-// a sustained overload by users' polls never ends, since refused requests are retried at
-// once; the store then refuses most requests, the leader's lease renewals included, and
-// the cluster loses its leader.
+// and multiplicative decrease (AIMD). With fixed limits whose sum exceeds the capacity, an
+// overload by users' polls never ends, because refused requests are retried at once. The
+// store then refuses most requests, including the leader's lease renewals, and the cluster
+// loses its leader.
 //
-// A node with many writes waiting counts as several flows, one for each burst of them: its rate increases
-// as many times as fast, and is reduced by as many times less. With equal weights, the node whose users
-// wait sends the largest transactions, is refused most often, and ends with the lowest rate, beside
-// nodes that have nothing waiting.
+// A node with many waiting writes counts as several flows, one for each minBurst of waiting
+// writes, up to maxWeight. With weight w, the node's rate increases w times as fast, and each
+// decrease is w times smaller. With equal weights, the node whose users wait would send the
+// largest transactions, be refused most often, and end with the lowest rate, while other
+// nodes have no waiting writes.
 type adaptiveLimiter struct {
-	maxRate, minRate float64
+	maxRate, minRate float64 // per second
 
 	mu             sync.Mutex // guards the fields below
 	bucket         *rate.Limiter
-	rate           float64
-	rateChangedAt  time.Time // last decrease or increase
-	lastDecreaseAt time.Time // last decrease
-	unusedGrants   int       // granted, but refused by the store or not used yet: to be granted without waiting
-	weight         float64   // how many flows this node counts as
+	rate           float64   // per second
+	rateChangedAt  time.Time // time of the last decrease or increase
+	lastDecreaseAt time.Time
+	unusedGrants   int     // granted, then refused by the store or not used yet; granted again with no wait
+	weight         float64 // how many flows this node counts as
 }
 
 func newAdaptiveLimiter(maxRate, minRate float64) *adaptiveLimiter {
@@ -97,7 +100,7 @@
 	return a.rate
 }
 
-// setRate changes the rate, within its limits, and sets the burst to match: with the
+// setRate changes the rate, within its limits, and sets the burst to match. With the
 // original burst, a node that was idle would add a large burst to an overloaded store.
 // The caller holds mu.
 func (a *adaptiveLimiter) setRate(perSecond float64, now time.Time) {
@@ -106,10 +109,11 @@
 	a.bucket.SetBurstAt(now, max(1, min(minBurst, int(a.maxRate)), int(a.rate)))
 }
 
-// recordRefusal reduces the rate. The more changes a transaction has, the less its refusal says about the
-// load, since the store refuses it while it still takes smaller ones: without that, whoever writes the
-// large transactions gets the lowest rate. All but one of what was refused need not be waited for a second
-// time, since it did not use the store's capacity; one is the price of an attempt.
+// recordRefusal reduces the rate after the refusal of a transaction of n changes. The larger n is, the
+// smaller is the decrease, because the store refuses a large transaction while it still accepts smaller
+// ones. With equal decreases, the node that writes the largest transactions would get the lowest rate.
+// All but one of the refused changes are granted again with no wait, because they used none of the
+// store's capacity. The attempt itself costs one change.
 func (a *adaptiveLimiter) recordRefusal(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,9 +124,9 @@
 	}
 }
 
-// setWaiting sets the weight by the number of writes that wait.
+// setWaiting sets the weight according to the number of waiting writes.
 func (a *adaptiveLimiter) setWaiting(writes int) {
-	a.currentRate() // applies the increase that is due with the weight so far
+	a.currentRate() // apply the increase that is due with the old weight
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.weight = max(1, min(maxWeight, float64(writes)/minBurst))
@@ -147,7 +151,7 @@
 	return err
 }
 
-// takeUnused takes up to n of what was granted before and has not used the store's capacity.
+// takeUnused removes up to n from unusedGrants, and returns how many it removed.
 func (a *adaptiveLimiter) takeUnused(n int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -156,7 +160,7 @@
 	return fromUnused
 }
 
-// returnUnused has up to n, which were granted and are not used now, granted again without waiting.
+// returnUnused adds n granted but unused changes to unusedGrants, up to a burst in total.
 func (a *adaptiveLimiter) returnUnused(n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/kvstore/request.go
+++ b/kvstore/request.go
@@ -1,3 +1,5 @@
+// Execution of HTTP requests to the store.
+
 package kvstore
 
 import (
@@ -15,16 +17,18 @@
 	method   string
 	path     string
 	body     any           // nil if there is none
-	maxBytes int64         // maximum size of the response; 0 means maxResponseBytes
+	maxBytes int64         // maximum size of the response body; 0 means maxResponseBytes
 	block    time.Duration // how long the store may delay the response (long polling)
 }
 
+// response is the store's response to a request.
 type response struct {
 	status int
 	body   []byte
 }
 
-// decode decodes the body of a response; any status but 200 is an error.
+// decode decodes the body of a response into out. It returns ErrInvalidRequest for any
+// status but 200.
 func (r response) decode(out any) error {
 	if r.status != http.StatusOK {
 		return fmt.Errorf("%w: status %d", ErrInvalidRequest, r.status)
@@ -61,7 +65,7 @@
 	return response{status: status, body: body}, nil
 }
 
-// opError wraps err in an OpError; it returns nil if err is nil.
+// opError wraps err in an OpError. It returns nil if err is nil.
 func opError(op, key string, err error) error {
 	if err == nil {
 		return nil
--- a/kvstore/retry.go
+++ b/kvstore/retry.go
@@ -1,3 +1,8 @@
+// Helpers for writers that retry refused transactions. A refused transaction is known not to have been
+// executed, so a retry is safe (ErrRefused). A retry of the unchanged transaction may never succeed. While
+// the store's write rate is used up, other writers' transactions of single changes take the capacity as
+// soon as it is available, and there is never enough at once for many changes.
+
 package kvstore
 
 import (
@@ -8,21 +13,17 @@
 	"github.com/umberdeal/umberdeal/internal/call"
 )
 
-// This file is what writers share that retry refused transactions. A refused transaction is known not
-// to have been executed, so that repeating it is safe (ErrRefused). Repeating it unchanged may never
-// succeed: while the store's write rate is used up, the single changes of other writers take the
-// capacity as it comes back, and there is never enough at once for many changes.
-
-// BatchSize limits the changes of a writer's next transaction: to half as many after a refusal, and to
-// twice as many once a transaction was committed that had use for more than half of the limit. What a
-// writer can't divide may leave a part of it unused. It is not safe for concurrent use.
+// BatchSize limits the number of changes of a writer's next transaction. A refusal by a rate limit halves
+// it. The commit of a transaction that used more than half of the limit doubles it. Half is enough,
+// because a group of changes that can't be divided may leave a part of the limit unused. It is not safe
+// for concurrent use.
 type BatchSize struct {
 	minChanges, maxChanges int
-	current                int
+	current                int // the limit
 }
 
-// NewBatchSize returns a BatchSize that begins with maxChanges and never limits a transaction to fewer than
-// minChanges changes, the size of what the writer can't divide.
+// NewBatchSize returns a BatchSize whose limit starts at maxChanges and never falls below minChanges, the
+// size of the smallest group of changes that the writer can't divide.
 func NewBatchSize(minChanges, maxChanges int) *BatchSize {
 	maxChanges = max(minChanges, maxChanges)
 	return &BatchSize{minChanges: minChanges, maxChanges: maxChanges, current: maxChanges}
@@ -31,7 +32,7 @@
 // Limit returns how many changes the next transaction may have.
 func (b *BatchSize) Limit() int { return b.current }
 
-// Record takes the result of a transaction into account.
+// Record adjusts the limit to the result of a transaction. Only rate limits and commits change it.
 func (b *BatchSize) Record(changes int, err error) {
 	switch {
 	case IsRateLimited(err):
@@ -43,8 +44,8 @@
 
 const minRetryPause, maxRetryPause = 50 * time.Millisecond, 200 * time.Millisecond
 
-// PauseBeforeRetry waits for a random time, so that the same writers do not meet again. It returns false
-// if ctx has ended.
+// PauseBeforeRetry waits for a random time, so that writers whose transactions were refused together do
+// not retry together. It returns false if ctx has ended.
 func PauseBeforeRetry(ctx context.Context) bool {
 	return call.Pause(ctx, minRetryPause+rand.N(maxRetryPause-minRetryPause))
 }
--- a/kvstore/transaction.go
+++ b/kvstore/transaction.go
@@ -1,3 +1,5 @@
+// Results of transactions, as reported to metrics and logs.
+
 package kvstore
 
 import (
@@ -9,16 +11,15 @@
 // Result is how a compare-and-swap ended.
 type Result int
 
-// Results of a compare-and-swap. Of all but ResultUnknown it is known whether the transaction was
-// executed.
+// Results of a compare-and-swap. All results but ResultUnknown imply whether the transaction was executed.
 const (
 	ResultCommitted      Result = iota
 	ResultConflict              // a guard did not hold
-	ResultLimiterTimeout        // the context ended, or would have, before this client's rate limit allowed it
+	ResultLimiterTimeout        // the context ended, or would have ended, before this client's rate limit allowed it
 	ResultStoreBusy             // the store answered 429
 	ResultUnavailable           // the store answered 503
 	ResultUnknown               // no usable response
-	ResultInvalid               // rejected as malformed, or for its lease
+	ResultInvalid               // rejected as malformed, or because its lease does not exist
 	resultCount
 )
 
@@ -32,20 +33,21 @@
 	Key          string // the first key that it changes
 	Changes      int
 	LimiterWait  time.Duration // how long the limit on changes delayed it
-	ResponseTime time.Duration // from then to the store's response, the limit on requests included; 0 if it was not sent
+	ResponseTime time.Duration // from then to the store's response, including the limit on requests; 0 if not sent
 	Result       Result
 	WriteRate    float64 // changes per second that this client may make afterwards
 }
 
-// WithObserver returns a client that shares this one's limits, and calls observe after each
-// compare-and-swap that changes anything. observe must not block.
+// WithObserver returns a client that shares this client's limits. It calls observe after each
+// compare-and-swap that has at least one change. observe must not block.
 func (c *Client) WithObserver(observe func(Transaction)) *Client {
 	observed := *c
 	observed.observe = observe
 	return &observed
 }
 
-// resultOf classifies the error of a compare-and-swap. status is that of the response, 0 if none arrived.
+// resultOf classifies the error of a compare-and-swap. status is the response's status, or 0 if no response
+// arrived.
 func resultOf(err error, status int) Result {
 	var conflict *ConflictError
 	switch {
