--- a/jobstore/finalread.go
+++ b/jobstore/finalread.go
@@ -20,11 +20,11 @@
 	// minRangeReads is the smallest number of waiting reads that are served by listing a range of keys.
 	// Fewer reads are served one by one.
 	minRangeReads = 3
-	// A listing covers minRange to maxRange keys. The length is doubled if a read waits for at least one
-	// in maxKeysPerHit of the keys, and halved otherwise.
-	minRange, maxRange = 16, 500
-	maxKeysPerHit      = 32
-	finalReadTimeout   = 2 * time.Second
+	// A listing covers minRangeKeys to maxRangeKeys. The number of keys is doubled if a read waits for at
+	// least one in maxKeysPerRead of them, and halved otherwise.
+	minRangeKeys, maxRangeKeys = 16, 500
+	maxKeysPerRead             = 32
+	finalReadTimeout           = 2 * time.Second
 	// keptReads is how many reads at the front of the queue are served even if their callers have given
 	// up. The result is cached, and the users are expected to poll again.
 	keptReads = 64
@@ -46,9 +46,9 @@
 
 // finalReadQueue holds the waiting reads of final records. The Store's lock guards it, except for wake.
 type finalReadQueue struct {
-	waiting  []*finalRead
-	rangeLen int           // how many keys the next listing covers
-	wake     chan struct{} // signals a reader goroutine that reads wait
+	waiting   []*finalRead
+	rangeKeys int           // how many keys the next listing covers
+	wake      chan struct{} // signals a reader goroutine that reads wait
 }
 
 // readFinal reads a job's final record, as of some moment after the call. found is false if the job has
@@ -116,7 +116,7 @@
 // serveFinalReads serves queued reads until ctx ends.
 func (s *Store) serveFinalReads(ctx context.Context) {
 	for {
-		reads, rangeLen := s.takeFinalReads()
+		reads, rangeKeys := s.takeFinalReads()
 		switch {
 		case len(reads) == 0:
 			select {
@@ -132,15 +132,15 @@
 			s.requeueFinalReads(reads[1:])
 			s.serveFinalRead(ctx, reads[0])
 		default:
-			s.readFinalRange(ctx, reads, rangeLen)
+			s.readFinalRange(ctx, reads, rangeKeys)
 		}
 	}
 }
 
 // takeFinalReads removes all reads from the queue and returns them in the order in which they are served.
-// It drops the reads after the first keptReads whose callers have given up. rangeLen is how many keys a
+// It drops the reads after the first keptReads whose callers have given up. rangeKeys is how many keys a
 // listing should cover.
-func (s *Store) takeFinalReads() (reads []*finalRead, rangeLen int) {
+func (s *Store) takeFinalReads() (reads []*finalRead, rangeKeys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reads = s.finalReads.waiting
@@ -150,7 +150,7 @@
 		rest := slices.DeleteFunc(reads[keptReads:], func(r *finalRead) bool { return r.ctx.Err() != nil })
 		reads = reads[:keptReads+len(rest)]
 	}
-	return reads, max(minRange, s.finalReads.rangeLen)
+	return reads, max(minRangeKeys, s.finalReads.rangeKeys)
 }
 
 // requeueFinalReads puts reads back at the front of the queue.
@@ -213,14 +213,14 @@
 
 // adaptRange sets the length of the next listing, after a listing of n keys completed a number of reads.
 func (s *Store) adaptRange(n, covered int) {
-	if covered*maxKeysPerHit >= n {
+	if covered*maxKeysPerRead >= n {
 		n *= 2
 	} else {
 		n /= 2
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.finalReads.rangeLen = min(max(n, minRange), maxRange)
+	s.finalReads.rangeKeys = min(max(n, minRangeKeys), maxRangeKeys)
 }
 
 // cacheUnrequested caches all listed records, requested or not. After a restart of all controllers, users
