--- a/jobstore/accept_test.go
+++ b/jobstore/accept_test.go
@@ -1,3 +1,5 @@
+// Tests of submissions: idempotence, shared transactions, schema changes and damaged records.
+
 package jobstore_test
 
 import (
@@ -38,7 +40,7 @@
 	runStoresWith(t, n, s, jobstore.Config{Limits: limits}, play)
 }
 
-// runStoresWith is runStores with a configuration.
+// runStoresWith is runStores with the stores' configuration.
 func runStoresWith(t *testing.T, n int, s *fakeStore, config jobstore.Config, play func(stores []*jobstore.Store)) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -55,7 +57,8 @@
 	s.wg.Wait()
 }
 
-// submit submits a job and retries every second, for up to 60 tries. known is the result of Accept.
+// submit submits a job, and retries every second for up to 60 attempts. known is true if the id was
+// accepted before. ok is false if all attempts failed.
 func submit(ctx context.Context, r *jobstore.Store, j wire.Job) (known, ok bool) {
 	for range 60 {
 		actx, cancel := context.WithTimeout(ctx, 3500*time.Millisecond)
@@ -69,9 +72,9 @@
 	return false, false
 }
 
-// The same ids are submitted to seven controllers at once, repeatedly, while responses are lost,
-// transactions are applied up to two minutes late, and jobs complete and are cancelled. Each id must be
-// on exactly one key at any moment, and a state once reported as final must never change.
+// The same ids are submitted to seven controllers at once, repeatedly. Meanwhile responses are lost,
+// transactions are applied up to two minutes late, and jobs complete and are cancelled. Each accepted id
+// must be on exactly one key at any moment, and a reported final state must never change.
 func TestAcceptIsIdempotentAcrossControllers(t *testing.T) {
 	seeds := uint64(10)
 	if scenario.UnderRace {
@@ -82,44 +85,44 @@
 			s := newFakeStore(seed)
 			s.lostShare, s.lateShare, s.maxDelay, s.maxLatency = 0.1, 0.15, 2*time.Minute, 50*time.Millisecond
 			const jobs, singles = 90, 30
-			told := map[string]string{}   // final states
+			finals := map[string]string{} // reported final states
 			accepted := map[string]bool{} // by any controller
 			s.afterChange = func() {
 				for n := range jobs {
 					id := job(n).ID
-					at := s.keysOf(id)
-					if len(at) > 1 {
-						t.Errorf("seed %d: %s stands at %v", seed, id, at)
+					keys := s.keysOf(id)
+					if len(keys) > 1 {
+						t.Errorf("seed %d: %s is on several keys: %v", seed, id, keys)
 					}
-					if accepted[id] && len(at) == 0 {
-						t.Errorf("seed %d: %s was accepted, and stands nowhere", seed, id)
+					if accepted[id] && len(keys) == 0 {
+						t.Errorf("seed %d: %s was accepted, but is on no key", seed, id)
 					}
-					if told[id] != "" && (len(at) != 1 || at[0] != jobstore.FinalKey(id)) {
-						t.Errorf("seed %d: %s was called %s, and stands at %v", seed, id, told[id], at)
+					if finals[id] != "" && (len(keys) != 1 || keys[0] != jobstore.FinalKey(id)) {
+						t.Errorf("seed %d: %s was reported as %s, but is on the keys %v", seed, id, finals[id], keys)
 					}
 				}
 			}
-			say := func(id, what string) {
+			reportFinal := func(id, state string) {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				if was := told[id]; was != "" && was != what {
-					t.Errorf("seed %d: %s was called %s, now %s", seed, id, was, what)
+				if before := finals[id]; before != "" && before != state {
+					t.Errorf("seed %d: %s was reported as %s, and now as %s", seed, id, before, state)
 				}
-				told[id] = what
+				finals[id] = state
 			}
 			runStores(t, 7, s, func(stores []*jobstore.Store) {
 				rnd := rand.New(rand.NewPCG(seed, 9))
 				var wg sync.WaitGroup
 				for n := range jobs {
 					for i, r := range stores {
-						again, j := rnd.IntN(3), job(n)
+						repeats, j := rnd.IntN(3), job(n)
 						if n%4 == 0 && i%2 == 0 { // the same id, with a record too large for a job page
 							j.Types = []string{strings.Repeat("x", 5000)}
 						}
 						wg.Go(func() {
-							for range again + 1 {
+							for range repeats + 1 {
 								if _, ok := submit(t.Context(), r, j); !ok {
-									t.Errorf("seed %d: %d was never accepted", seed, n)
+									t.Errorf("seed %d: job %d was never accepted", seed, n)
 								}
 								s.mu.Lock()
 								accepted[j.ID] = true
@@ -128,34 +131,34 @@
 							}
 						})
 					}
-					at, r := time.Duration(rnd.IntN(60))*time.Second, stores[rnd.IntN(len(stores))]
+					delay, r := time.Duration(rnd.IntN(60))*time.Second, stores[rnd.IntN(len(stores))]
 					if n%3 == 0 {
 						wg.Go(func() {
-							time.Sleep(at)
+							time.Sleep(delay)
 							if s.finishJob(job(n).ID) {
-								say(job(n).ID, wire.JobDone)
+								reportFinal(job(n).ID, wire.JobDone)
 							}
 						})
 					}
 					if n%2 == 0 {
 						wg.Go(func() {
-							time.Sleep(at)
+							time.Sleep(delay)
 							final, found, err := r.Cancel(t.Context(), job(n).ID)
 							if err == nil && found {
-								say(job(n).ID, final)
+								reportFinal(job(n).ID, final)
 							}
 						})
 					}
 					if n == singles/3 {
 						s.setSchema(2) // raise the schema while submissions are in flight
 					}
-					// Sparse submissions at first and in the middle, so that head pages get closed;
-					// dense ones in between and at the end, so that they get opened.
-					gap := 4
+					// Sparse submissions at first and in the middle close head pages. Dense submissions in
+					// between and at the end open them.
+					maxGapMillis := 4
 					if n < singles/2 || n >= jobs/2 && n < jobs/2+singles/2 {
-						gap = 4000
+						maxGapMillis = 4000
 					}
-					time.Sleep(time.Duration(rnd.IntN(gap)) * time.Millisecond)
+					time.Sleep(time.Duration(rnd.IntN(maxGapMillis)) * time.Millisecond)
 				}
 				wg.Wait()
 				time.Sleep(2 * time.Minute)
@@ -163,10 +166,10 @@
 					for i, r := range stores {
 						v, found, err := r.Lookup(t.Context(), job(n).ID)
 						if err != nil || !found {
-							t.Errorf("seed %d: %d at node %d: %v, %v", seed, n, i, found, err)
+							t.Errorf("seed %d: lookup of job %d at node %d: found %v, %v", seed, n, i, found, err)
 						}
-						if want := told[job(n).ID]; want != "" && (v.Version != 0 || v.Record.State != want) {
-							t.Errorf("seed %d: %d at node %d is %q, was told %q", seed, n, i, v.Record.State, want)
+						if want := finals[job(n).ID]; want != "" && (v.Version != 0 || v.Record.State != want) {
+							t.Errorf("seed %d: job %d at node %d is %q, want the reported %q", seed, n, i, v.Record.State, want)
 						}
 					}
 				}
@@ -175,8 +178,8 @@
 	}
 }
 
-// Head pages are sealed while two controllers write and a third reads: an accepted job must be found at
-// once by a controller that did not accept it.
+// Head pages are sealed while two controllers write and a third one reads. A controller that did not
+// accept a job must find it as soon as it is accepted.
 func TestLookupFindsAcceptedJobsWhilePagesAreSealed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -200,7 +203,7 @@
 			}
 			wg.Wait()
 			if n := len(s.keysOf("")); n != 0 {
-				t.Error("a job without an id")
+				t.Error("a job with an empty id is stored")
 			}
 		})
 		sealed := 0
@@ -215,33 +218,33 @@
 	})
 }
 
-// A burst of 500 submissions must share transactions: they may cost no more than 75 changes, since a
-// transaction takes as many jobs as its guards allow.
+// A burst of 500 submissions must share transactions, and may cost at most 75 changes. Each transaction
+// must take as many jobs as its guards allow.
 func TestBurstOfSubmissionsSharesTransactions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
 		s.setSchema(1)
 		runStores(t, 1, s, func(stores []*jobstore.Store) {
 			if known, ok := submit(t.Context(), stores[0], job(9999)); known || !ok {
-				t.Fatal("the first one")
+				t.Fatal("the first job was not accepted")
 			}
 			s.changes = 0
 			var wg sync.WaitGroup
-			begun := time.Now()
+			start := time.Now()
 			for n := range 500 {
 				wg.Go(func() { submit(t.Context(), stores[0], job(n)) })
 			}
 			wg.Wait()
-			t.Logf("500 jobs: %d changes, %v", s.changes, time.Since(begun))
+			t.Logf("500 jobs: %d changes, %v", s.changes, time.Since(start))
 			if s.changes > 75 {
-				t.Errorf("500 jobs took %d changes", s.changes)
+				t.Errorf("500 jobs took %d changes, want at most 75", s.changes)
 			}
 		})
 	})
 }
 
-// A single submission is not delayed and costs one transaction at any controller, also after a burst,
-// once the head pages have been closed again.
+// A single submission is not delayed and costs one transaction at any controller. This must also hold
+// after a burst, once the head pages have been closed again.
 func TestSingleSubmissionTakesOneTransaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -264,20 +267,20 @@
 			}
 			s.changes = 0
 			for n := range 30 {
-				begun := time.Now()
-				if _, ok := submit(t.Context(), stores[n%3], job(n)); !ok || time.Since(begun) > 4*time.Millisecond {
-					t.Errorf("took %v", time.Since(begun))
+				start := time.Now()
+				if _, ok := submit(t.Context(), stores[n%3], job(n)); !ok || time.Since(start) > 4*time.Millisecond {
+					t.Errorf("job %d: accepted %v after %v, want true within 4ms", n, ok, time.Since(start))
 				}
 				time.Sleep(time.Second)
 			}
 			if s.changes != 30 {
-				t.Errorf("%d changes for 30 jobs", s.changes)
+				t.Errorf("%d changes for 30 jobs, want 30", s.changes)
 			}
 		})
 	})
 }
 
-// Until the schema is raised every job has a key of its own, as earlier program versions expect. After
+// Until the schema is raised, every job has a key of its own, as earlier program versions expect. After
 // that, a controller that has not read the new schema yet must not commit in the old one.
 func TestAcceptAfterSchemaWasRaisedUnnoticed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -286,46 +289,46 @@
 			submit(t.Context(), stores[0], job(1))
 			submit(t.Context(), stores[1], job(2))
 			for _, n := range []int{1, 2} {
-				if at := s.keysOf(job(n).ID); len(at) != 1 || at[0] != jobstore.JobKey(job(n).ID) {
-					t.Errorf("before: %v", at)
+				if keys := s.keysOf(job(n).ID); len(keys) != 1 || keys[0] != jobstore.JobKey(job(n).ID) {
+					t.Errorf("old schema: job %d is on the keys %v, want only its own key", n, keys)
 				}
 			}
 			s.setSchema(3)
 			for i, r := range stores {
 				shared := 0
-				submitCrowd(t, r, 100*i+100)
+				submitBurst(t, r, 100*i+100)
 				for n := range 40 {
-					at := s.keysOf(job(100*i + 100 + n).ID)
-					if len(at) != 1 {
-						t.Errorf("after: %v", at)
-					} else if jobstore.IsJobPageKey(at[0]) {
+					keys := s.keysOf(job(100*i + 100 + n).ID)
+					if len(keys) != 1 {
+						t.Errorf("new schema: job %d is on the keys %v, want one key", 100*i+100+n, keys)
+					} else if jobstore.IsJobPageKey(keys[0]) {
 						shared++
 					}
 				}
 				if shared < 20 {
-					t.Errorf("only %d of 40 share pages", shared)
+					t.Errorf("only %d of 40 jobs share pages", shared)
 				}
 				if known, ok := submit(t.Context(), r, job(1)); !known || !ok {
-					t.Error("a job of the old form is not known")
+					t.Error("a job that was accepted in the old schema is not known")
 				}
 			}
 			large := job(20)
 			large.Types = []string{strings.Repeat("x", 5000)}
 			if known, ok := submit(t.Context(), stores[0], large); known || !ok {
-				t.Error("the large one was not accepted")
+				t.Errorf("large job: known %v, accepted %v; want false, true", known, ok)
 			}
 			if known, ok := submit(t.Context(), stores[1], large); !known || !ok {
-				t.Error("the large one was accepted twice")
+				t.Errorf("large job, second submission: known %v, accepted %v; want true, true", known, ok)
 			}
-			if at := s.keysOf(large.ID); len(at) != 1 || at[0] != jobstore.JobKey(large.ID) {
-				t.Errorf("the large one stands at %v", at)
+			if keys := s.keysOf(large.ID); len(keys) != 1 || keys[0] != jobstore.JobKey(large.ID) {
+				t.Errorf("the large job is on the keys %v, want only its own key", keys)
 			}
 		})
 	})
 }
 
-// submitCrowd submits 40 jobs at once, which opens a bucket's head page.
-func submitCrowd(t *testing.T, r *jobstore.Store, from int) {
+// submitBurst submits 40 jobs at once, which opens a bucket's head page.
+func submitBurst(t *testing.T, r *jobstore.Store, from int) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for n := range 40 {
@@ -334,38 +337,39 @@
 	wg.Wait()
 }
 
-// A job too large for a page gets a key of its own although the head page is open. A smaller submission
-// of the same id at the same controller, before its next barrier, must be found to be a duplicate.
+// A job too large for a page gets a key of its own although the head page is open. If a smaller job with
+// the same id is then submitted to the same controller before its next barrier, the controller must
+// recognize it as a duplicate.
 func TestLargeJobIsKnownBeforeNextBarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
 		s.setSchema(1)
 		runStores(t, 1, s, func(stores []*jobstore.Store) {
-			submitCrowd(t, stores[0], 100)
+			submitBurst(t, stores[0], 100)
 			large := job(1)
 			large.Types = []string{strings.Repeat("x", 5000)}
 			if known, ok := submit(t.Context(), stores[0], large); known || !ok {
-				t.Error("the large one was not accepted")
+				t.Error("the large job was not accepted")
 			}
-			submitCrowd(t, stores[0], 200)
+			submitBurst(t, stores[0], 200)
 			if known, ok := submit(t.Context(), stores[0], job(1)); !known || !ok {
-				t.Error("the smaller one was accepted as well")
+				t.Error("the smaller job was accepted as well")
 			}
-			if at := s.keysOf(job(1).ID); len(at) != 1 {
-				t.Errorf("it stands at %v", at)
+			if keys := s.keysOf(job(1).ID); len(keys) != 1 {
+				t.Errorf("the job is on the keys %v, want one key", keys)
 			}
 		})
 	})
 }
 
-// Before the response of a transaction arrives, a barrier reads its changes and also that the jobs are
-// done. The response is then older than the index and must not bring the jobs back.
+// Before the response of a transaction arrives, a barrier reads the transaction's changes and later
+// changes that end its jobs. The response is then older than the index, and must not restore the jobs.
 func TestLateCommitAnswerIsIgnoredAfterBarrier(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
 		s.setSchema(1)
 		runStores(t, 1, s, func(stores []*jobstore.Store) {
-			submitCrowd(t, stores[0], 100)
+			submitBurst(t, stores[0], 100)
 			over := map[string]bool{}
 			s.beforeAnswer = func(ops []wire.Op) {
 				for _, op := range ops {
@@ -382,15 +386,15 @@
 				}
 			}
 			for n := range 6 {
-				submitCrowd(t, stores[0], 1000+100*n)
+				submitBurst(t, stores[0], 1000+100*n)
 			}
 			s.beforeAnswer = nil
 			if len(over) < 20 {
-				t.Errorf("only %d were over", len(over))
+				t.Errorf("only %d jobs were ended before the response", len(over))
 			}
 			for id := range over {
 				if v, found, err := stores[0].Lookup(t.Context(), id); err != nil || !found || v.Record.State != wire.JobDone {
-					t.Errorf("%s: %v, %q, %v", id, found, v.Record.State, err)
+					t.Errorf("%s: found %v, state %q, %v; want state %q", id, found, v.Record.State, err, wire.JobDone)
 				}
 			}
 		})
@@ -410,13 +414,13 @@
 				t.Errorf("accept: %v", err)
 			}
 			if len(s.keysOf("wk-000001")) != 0 {
-				t.Error("it was written all the same")
+				t.Error("the job was written in spite of the newer schema")
 			}
 		})
 	})
 }
 
-// A damaged record is reported, and does not affect the other records.
+// A damaged record is logged and still counts as accepted. The other records of its page are not affected.
 func TestUnreadableEntryIsLoggedAndOthersAreServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -431,23 +435,23 @@
 		config := jobstore.Config{Limits: limits, Log: slog.New(slog.NewTextHandler(&log, nil))}
 		runStoresWith(t, 1, s, config, func(stores []*jobstore.Store) {
 			if v, found, err := stores[0].Lookup(t.Context(), job(1).ID); err != nil || !found || v.Record.Job.CPUs != 2.5 {
-				t.Errorf("the good one: %v, %v, %v", v, found, err)
+				t.Errorf("intact record: %v, found %v, %v", v, found, err)
 			}
 			for _, n := range []int{2, 3} {
 				if known, ok := submit(t.Context(), stores[0], job(n)); !known || !ok {
-					t.Errorf("%d, which is damaged, was accepted anew", n)
+					t.Errorf("job %d, whose record is damaged: known %v, accepted %v; want true, true", n, known, ok)
 				}
 			}
 			if _, ok := submit(t.Context(), stores[0], job(4)); !ok {
-				t.Error("nothing is accepted beside damaged records")
+				t.Error("a new job is not accepted on a page with damaged records")
 			}
 		})
 		for _, n := range []int{2, 3} {
 			if !strings.Contains(log.String(), job(n).ID) {
-				t.Errorf("%s is not named in %q", job(n).ID, log.String())
+				t.Errorf("%s is not named in the log: %q", job(n).ID, log.String())
 			}
-			if at := s.keysOf(job(n).ID); len(at) != 1 {
-				t.Errorf("%s stands at %v", job(n).ID, at)
+			if keys := s.keysOf(job(n).ID); len(keys) != 1 {
+				t.Errorf("%s is on the keys %v, want one key", job(n).ID, keys)
 			}
 		}
 	})
@@ -484,7 +488,7 @@
 		t.Fatal(err)
 	}
 	if got := page.Size(); got < len(text) || got > 2*len(text)+200 {
-		t.Errorf("%d for %d: %s", got, len(text), text)
+		t.Errorf("Size is %d for %d bytes of JSON: %s", got, len(text), text)
 	}
 }
 
@@ -511,14 +515,14 @@
 		}
 		for _, e := range rec.Entries {
 			if got, err := e.Decode(); err == nil && got.Job.ID != e.ID {
-				t.Errorf("%q under %q", got.Job.ID, e.ID)
+				t.Errorf("the record of %q decodes in the entry of %q", got.Job.ID, e.ID)
 			}
 		}
 	})
 }
 
 // If more submissions wait than fit into a transaction, those of the lowest tier number go into the next
-// one although they came last, and each transaction also takes some of the others.
+// one although they arrived last. Each transaction also takes some of the other submissions.
 func TestLowerTierSubmissionsOvertake(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -565,9 +569,9 @@
 					last = i
 				}
 			}
-			t.Logf("%d were accepted when clinics' came, the last of these was number %d of %d", before, last, len(order))
+			t.Logf("%d jobs were accepted before the clinic submissions arrived; the last clinic job was number %d of %d", before, last, len(order))
 			if len(order) != 124 || last-before > 60 {
-				t.Errorf("%d accepted, %d of them before the last clinic's submission, which came after %d", len(order), last, before)
+				t.Errorf("%d jobs accepted, want 124; %d accepted before the clinic submissions arrived, %d before the last clinic job, want at most 60 more", len(order), before, last)
 			}
 		})
 	})
--- a/jobstore/encoding_test.go
+++ b/jobstore/encoding_test.go
@@ -1,3 +1,5 @@
+// Tests that the stored format of records and keys does not change.
+
 package jobstore
 
 import (
@@ -10,8 +12,8 @@
 
 var msgpackCodec = golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
 
-// Stored records may have been written by earlier program versions, and earlier versions read them
-// during a rolling upgrade: the encoding of every kind of record must not change.
+// Earlier program versions wrote some of the stored records, and read the current ones during a rolling
+// upgrade. The encoding of each kind of record must therefore not change.
 func TestStoredRecordsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	golden.CheckEncoding[JobRecord](f, "job", msgpackCodec)
@@ -37,8 +39,8 @@
 	golden.CheckEncoding[planPiece](f, "plan text", msgpackCodec)
 }
 
-// Records encoded as arrays depend on the order of their fields. The values here are set by field name,
-// so that swapped fields are noticed: golden.Filled assigns values in field order and would hide that.
+// The encoding of records as arrays depends on the order of their fields. The test sets the values by
+// field name to detect swapped fields. golden.Filled assigns values in field order and would hide a swap.
 func TestFieldsOfArraysKeepTheirOrder(t *testing.T) {
 	f := golden.Open(t, "arrays.golden")
 	for label, v := range map[string]any{
@@ -53,8 +55,8 @@
 	}
 }
 
-// Each decoder accepts what earlier program versions wrote for its kind of record, and a quarantined
-// page is not taken for a job page.
+// Each decoder accepts the records of its kind that earlier program versions wrote. A quarantined page must
+// not decode as a job page.
 func TestStoredRecordsAreReadByTheirOwnKind(t *testing.T) {
 	f := golden.OpenRead(t, "records.golden")
 	decoders := map[string]func(raw wire.Raw) (any, error){
@@ -69,29 +71,29 @@
 		"job": golden.Filled[JobRecord](), "placement page": golden.Filled[PlacementPage](), "intake page, closed": golden.Filled[JobPage](),
 		"form": golden.Filled[SchemaRecord](),
 	}
-	over := golden.Filled[JobRecord]()
-	over.State = wire.JobDone
-	want["final"] = over
+	final := golden.Filled[JobRecord]()
+	final.State = wire.JobDone
+	want["final"] = final
 	head := golden.Filled[PlanHead]()
 	head.Versions = head.Versions[1:]
 	want["plan head"] = head
 	for label, decode := range decoders {
 		got, err := decode(f.Recorded(label))
 		if err != nil || !reflect.DeepEqual(got, want[label]) {
-			t.Errorf("%s: read as\n %+v, %v\nand not as\n %+v", label, got, err, want[label])
+			t.Errorf("%s: got\n %+v, %v\nwant\n %+v", label, got, err, want[label])
 		}
 	}
-	aside := golden.Filled[QuarantinedPage]()
-	aside.Mark = quarantineMark
-	if got, ok := DecodeQuarantinedPage(f.Recorded("record set aside")); !ok || !reflect.DeepEqual(got, aside) {
-		t.Errorf("what was set aside is read as %+v, %v", got, ok)
+	quarantined := golden.Filled[QuarantinedPage]()
+	quarantined.Mark = quarantineMark
+	if got, ok := DecodeQuarantinedPage(f.Recorded("record set aside")); !ok || !reflect.DeepEqual(got, quarantined) {
+		t.Errorf("quarantined page: got %+v, %v, want %+v", got, ok, quarantined)
 	}
 	if _, err := DecodeJobPage(f.Recorded("record set aside")); err == nil {
-		t.Error("what was set aside is read as a page of jobs")
+		t.Error("a quarantined page decodes as a job page")
 	}
 }
 
-// Keys, and constants that are part of records, must stay as earlier program versions wrote them.
+// Keys, and constants that are part of records, must stay the same as in earlier program versions.
 func TestKeysKeepTheirForm(t *testing.T) {
 	f := golden.Open(t, "keys.golden")
 	for name, key := range map[string]string{
@@ -108,8 +110,8 @@
 	} {
 		f.Number(name, n)
 	}
-	form := SchemaRecord{Version: SchemaJobPages, Buckets: 7}
+	schema := SchemaRecord{Version: SchemaJobPages, Buckets: 7}
 	for _, id := range []string{"wk-000001", "wk-000412", "wk-123456", "wk-900000000000000000"} {
-		f.Number("bucket of "+id, form.Bucket(id))
+		f.Number("bucket of "+id, schema.Bucket(id))
 	}
 }
--- a/jobstore/export_test.go
+++ b/jobstore/export_test.go
@@ -1,3 +1,5 @@
+// Access to a Store's internals for the tests of package jobstore_test.
+
 package jobstore
 
 import "github.com/umberdeal/umberdeal/wire"
--- a/jobstore/fakestore_test.go
+++ b/jobstore/fakestore_test.go
@@ -1,3 +1,5 @@
+// fakeStore, the key-value store of this package's tests.
+
 package jobstore_test
 
 import (
@@ -13,8 +15,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// fakeStore is an in-memory key-value store with a latency of 3 ms. A test can make it apply
-// transactions late or lose their responses.
+// fakeStore is an in-memory key-value store with a latency of 3 ms. A test can make it apply transactions
+// late, lose their responses or refuse them. It is safe for concurrent use.
 type fakeStore struct {
 	rnd                  *rand.Rand
 	maxLatency           time.Duration // upper bound of a random additional latency
@@ -26,7 +28,7 @@
 	rev         uint64
 	keys        map[string]wire.Entry
 	log         []wire.Event
-	changes     int // including those of transactions whose guards failed
+	changes     int // changes of all transactions, including those whose guards failed
 	requests    int
 	afterChange func() // called after each change
 	wg          sync.WaitGroup
@@ -205,7 +207,7 @@
 	s.refuse = refuse
 }
 
-// keysOf lists the keys that hold a record of a job. The caller holds s.mu.
+// keysOf returns the keys that hold a record of a job. The caller holds s.mu.
 func (s *fakeStore) keysOf(id string) []string {
 	var out []string
 	for k, e := range s.keys {
@@ -224,33 +226,34 @@
 	return out
 }
 
-// finishJob ends a job as the leader does, and retries after conflicts. done is true if this call ended
-// the job, and false if it was over, or not there, before.
+// finishJob ends a job as the leader does, and retries after conflicts. done is true if this call ended the
+// job, and false if the job was already over or did not exist.
 func (s *fakeStore) finishJob(id string) (done bool) {
 	for {
 		time.Sleep(2 * time.Millisecond)
 		s.mu.Lock()
-		at := s.keysOf(id)
-		if len(at) != 1 || at[0] == jobstore.FinalKey(id) {
+		keys := s.keysOf(id)
+		if len(keys) != 1 || keys[0] == jobstore.FinalKey(id) {
 			s.mu.Unlock()
 			return false
 		}
-		e := s.keys[at[0]]
+		key := keys[0]
+		e := s.keys[key]
 		s.mu.Unlock()
 		rec := jobstore.JobRecord{Job: wire.Job{ID: id}, State: wire.JobDone}
-		op := wire.Op{Delete: at[0]}
-		if jobstore.IsJobPageKey(at[0]) {
+		op := wire.Op{Delete: key}
+		if jobstore.IsJobPageKey(key) {
 			var page jobstore.JobPage
-			_ = wire.Unmarshal(e.Value, &page) // valid, since it was encoded by this store
+			_ = wire.Unmarshal(e.Value, &page) // valid, because this store encoded it
 			left := page.Without(map[string]bool{id: true})
-			op = wire.Op{Put: at[0], Value: left}
-			if len(left.Entries) == 0 && !jobstore.IsHeadPageKey(at[0]) {
-				op = wire.Op{Delete: at[0]} // a leader deletes an empty sealed page too
+			op = wire.Op{Put: key, Value: left}
+			if len(left.Entries) == 0 && !jobstore.IsHeadPageKey(key) {
+				op = wire.Op{Delete: key} // a leader also deletes an empty sealed page
 			}
 		}
 		time.Sleep(2 * time.Millisecond)
 		s.mu.Lock()
-		_, err := s.apply([]wire.Guard{{Key: at[0], Version: e.Version}, {Key: jobstore.FinalKey(id)}}, []wire.Op{op, {Put: jobstore.FinalKey(id), Value: rec}})
+		_, err := s.apply([]wire.Guard{{Key: key, Version: e.Version}, {Key: jobstore.FinalKey(id)}}, []wire.Op{op, {Put: jobstore.FinalKey(id), Value: rec}})
 		s.mu.Unlock()
 		if err == nil {
 			return true
@@ -267,7 +270,7 @@
 	s.log = append(s.log, wire.Event{Put: key, Value: v, Version: s.rev})
 }
 
-// setSchema writes the latest schema, in which jobs share job pages, unless there is one.
+// setSchema writes the latest schema, in which jobs share job pages, unless a schema is already stored.
 func (s *fakeStore) setSchema(buckets int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
