--- a/jobstore/plan_test.go
+++ b/jobstore/plan_test.go
@@ -1,3 +1,5 @@
+// Tests of the operators' plan: concurrent and interrupted changes, and damaged records.
+
 package jobstore_test
 
 import (
@@ -25,19 +27,19 @@
 
 func loadPlan(t *testing.T, s *fakeStore) jobstore.ActivePlan {
 	t.Helper()
-	st, err := jobstore.LoadPlan(context.Background(), s, func(text string) error {
+	active, err := jobstore.LoadPlan(context.Background(), s, func(text string) error {
 		if strings.HasPrefix(text, "unknown") {
-			return errors.New("a field that is not known")
+			return errors.New("unknown field")
 		}
 		return nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return st
+	return active
 }
 
-// corrupt replaces the values of all keys with a prefix by one that can't be decoded.
+// corrupt replaces the values of all keys with a prefix by a value that can't be decoded.
 func (s *fakeStore) corrupt(prefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -49,9 +51,9 @@
 	}
 }
 
-// Ten writers apply plans concurrently and repeatedly, while responses are lost and transactions are
-// applied up to a minute late. Each successful change must have a version number of its own, and the text
-// of that version must be the writer's.
+// Ten writers apply plans concurrently and repeatedly. Meanwhile responses are lost, and transactions are
+// applied up to a minute late. Each successful change must have a version number of its own, and this
+// version must have the writer's text.
 func TestConcurrentApplyPlanHasOneWinner(t *testing.T) {
 	for seed := range uint64(6) {
 		synctest.Test(t, func(t *testing.T) {
@@ -59,24 +61,24 @@
 			s.setSchema(1)
 			s.lateShare, s.lostShare, s.maxDelay = 0.1, 0.2, time.Minute
 			var mu sync.Mutex
-			won, moved, texts := 0, 0, map[int]string{}
+			applied, conflicts, texts := 0, 0, map[int]string{}
 			var wg sync.WaitGroup
-			for who := range 10 {
+			for writer := range 10 {
 				wg.Go(func() {
 					for k := range 4 {
-						text := fmt.Sprintf("note = \"%d-%d %s\"", who, k, strings.Repeat("x", 9000*(k%3)))
+						text := fmt.Sprintf("note = \"%d-%d %s\"", writer, k, strings.Repeat("x", 9000*(k%3)))
 						v, err := applyPlan(s, loadPlan(t, s).Number, text)
-						var m *jobstore.PlanConflictError
+						var conflict *jobstore.PlanConflictError
 						mu.Lock()
 						switch {
 						case err == nil:
 							if texts[v.Number] != "" {
-								t.Errorf("seed %d: version %d twice", seed, v.Number)
+								t.Errorf("seed %d: version %d was applied twice", seed, v.Number)
 							}
 							texts[v.Number] = text
-							won++
-						case errors.As(err, &m):
-							moved++
+							applied++
+						case errors.As(err, &conflict):
+							conflicts++
 						}
 						mu.Unlock()
 					}
@@ -84,25 +86,25 @@
 			}
 			wg.Wait()
 			s.wg.Wait() // wait for late transactions as well
-			if won == 0 || moved == 0 {
-				t.Fatalf("seed %d: %d won, %d were told that another came between", seed, won, moved)
+			if applied == 0 || conflicts == 0 {
+				t.Fatalf("seed %d: %d changes were applied, %d conflicted; want some of each", seed, applied, conflicts)
 			}
 			h, err := jobstore.ReadPlanHead(context.Background(), s)
-			if err != nil || h.Warning != nil || h.Current() < won {
-				t.Fatalf("seed %d: version %d after %d that won, %v, %v", seed, h.Current(), won, h.Warning, err)
+			if err != nil || h.Warning != nil || h.Current() < applied {
+				t.Fatalf("seed %d: version %d after %d applied changes, warning %v, %v", seed, h.Current(), applied, h.Warning, err)
 			}
 			for _, v := range h.Versions {
 				text, err := jobstore.ReadPlanText(context.Background(), s, v)
 				if err != nil || texts[v.Number] != "" && texts[v.Number] != text {
-					t.Errorf("seed %d: version %d has another text, %v", seed, v.Number, err)
+					t.Errorf("seed %d: version %d does not have its writer's text, %v", seed, v.Number, err)
 				}
 			}
 		})
 	}
 }
 
-// A writer is interrupted after any piece of a large plan. The previous version must stay in force and
-// complete, even if neither head can be decoded, and the next change that is applied must delete the
+// A writer is interrupted after each possible piece of a large plan. The previous version must stay in
+// force and complete, even if neither head can be decoded. The next applied change must delete the
 // orphaned pieces.
 func TestApplyPlanIsAtomicWhenInterrupted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -112,11 +114,11 @@
 			t.Fatal(err)
 		}
 		large := "note = \"" + strings.Repeat("\\\"é", 9000) + "\""
-		for dies := 1; dies <= 24; dies++ {
+		for maxCommits := 1; maxCommits <= 24; maxCommits++ { // commits before the interruption
 			ctx, cancel := context.WithCancel(context.Background())
 			n := 0
 			s.beforeAnswer = func([]wire.Op) {
-				if n++; n == dies {
+				if n++; n == maxCommits {
 					cancel()
 					s.mu.Lock()
 					s.lateShare = 1 // its later transactions have no effect
@@ -134,13 +136,13 @@
 			s.lateShare = 0
 			s.mu.Unlock()
 			cancel()
-			switch st := loadPlan(t, s); {
-			case st.Number == base && st.Text == "note = \"first\"":
+			switch active := loadPlan(t, s); {
+			case active.Number == base && active.Text == "note = \"first\"":
 				if err == nil {
-					t.Fatalf("died after %d: told that it holds, and it does not", dies)
+					t.Fatalf("interrupted after %d commits: ApplyPlan succeeded, but the plan is not in force", maxCommits)
 				}
 				s.mu.Lock()
-				sound := maps.Clone(s.keys)
+				intact := maps.Clone(s.keys)
 				for k := range before { // if two drafts of a number were complete, neither would count
 					if strings.HasPrefix(k, fmt.Sprintf("plan/t/%d-", base+1)) {
 						delete(s.keys, k)
@@ -149,22 +151,22 @@
 				s.mu.Unlock()
 				s.corrupt("plan/head")
 				s.corrupt("plan/copy")
-				if st := loadPlan(t, s); st.Number != base {
-					t.Fatalf("died after %d, and both heads are damaged: version %d holds, not %d", dies, st.Number, base)
+				if active := loadPlan(t, s); active.Number != base {
+					t.Fatalf("interrupted after %d commits, both heads damaged: version %d is in force, want %d", maxCommits, active.Number, base)
 				}
 				s.mu.Lock()
-				s.keys = sound
+				s.keys = intact
 				s.mu.Unlock()
-			case st.Number == base+1 && st.Text == large && dies > 12:
-				goto whole
+			case active.Number == base+1 && active.Text == large && maxCommits > 12:
+				goto applied
 			default:
-				t.Fatalf("died after %d: version %d of %d bytes holds", dies, st.Number, len(st.Text))
+				t.Fatalf("interrupted after %d commits: version %d of %d bytes is in force", maxCommits, active.Number, len(active.Text))
 			}
 		}
-		t.Fatal("it was never applied")
-	whole:
-		st := loadPlan(t, s)
-		if _, err := applyPlan(s, st.Number, "note = \"last\""); err != nil {
+		t.Fatal("the large plan was never applied")
+	applied:
+		active := loadPlan(t, s)
+		if _, err := applyPlan(s, active.Number, "note = \"last\""); err != nil {
 			t.Fatal(err)
 		}
 		s.mu.Lock()
@@ -176,7 +178,7 @@
 			}
 		}
 		if len(drafts) != 3 {
-			t.Errorf("texts of %v for three versions", drafts)
+			t.Errorf("texts of the drafts %v are stored, want those of three versions", drafts)
 		}
 	})
 }
@@ -187,20 +189,21 @@
 	context.Context
 }
 
-func (d cancelledStore) CompareAndSwap(ctx context.Context, g []wire.Guard, o []wire.Op) (uint64, error) {
-	if d.Err() != nil {
+func (c cancelledStore) CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error) {
+	if c.Err() != nil {
 		return 0, kvstore.ErrOutcomeUnknown
 	}
-	return d.fakeStore.CompareAndSwap(ctx, g, o)
+	return c.fakeStore.CompareAndSwap(ctx, guards, ops)
 }
 
-// Whichever records are damaged, the newest intact version is in force, and the damage is reported.
+// Some records of the plan are damaged. The newest intact version must be in force, and the damage must be
+// reported.
 func TestLoadPlanFallsBackToNewestReadableVersion(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		damage string
-		newest string // text of version 3
-		holds  int
+		name       string
+		damage     string // prefixes of the damaged keys
+		newestText string // text of version 3
+		want       int    // number of the version in force
 	}{
 		{"nothing", "none", "note = \"3\"", 3},
 		{"the head", "plan/head", "note = \"3\"", 3},
@@ -212,7 +215,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			s := newFakeStore(1)
 			s.setSchema(1)
-			for n, text := range []string{"note = \"1\"", "note = \"2\"", c.newest} {
+			for n, text := range []string{"note = \"1\"", "note = \"2\"", c.newestText} {
 				if _, err := applyPlan(s, n, text); err != nil {
 					t.Fatal(err)
 				}
@@ -220,22 +223,23 @@
 			for _, k := range strings.Fields(c.damage) {
 				s.corrupt(k)
 			}
-			st := loadPlan(t, s)
-			if st.Number != c.holds || st.HeadVersion == 0 || (len(st.Warnings) == 0) != (c.name == "nothing") {
-				t.Errorf("%s: version %d holds, head %d, named %v", c.name, st.Number, st.HeadVersion, st.Warnings)
+			active := loadPlan(t, s)
+			if active.Number != c.want || active.HeadVersion == 0 || (len(active.Warnings) == 0) != (c.name == "nothing") {
+				t.Errorf("%s: version %d is in force, want %d; head version %d, warnings %v", c.name, active.Number, c.want, active.HeadVersion, active.Warnings)
 			}
 			// A change based on the version found gets a new number.
 			if strings.Contains(c.damage, "plan/t/3-") {
 				return
 			}
 			if v, err := applyPlan(s, 3, "note = \"4\""); err != nil || v.Number != 4 || loadPlan(t, s).Number != 4 {
-				t.Errorf("%s: applied after it: version %d, %v", c.name, v.Number, err)
+				t.Errorf("%s: next change: version %d, %v, want version 4", c.name, v.Number, err)
 			}
 		})
 	}
 }
 
-// If no version of the plan is intact, LoadPlan fails: it must not look as if there had never been a plan.
+// No version of the plan is intact. LoadPlan must fail, because a success would look as if there had never
+// been a plan.
 func TestLoadPlanReportsWhollyUnreadablePlan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -244,14 +248,14 @@
 			t.Fatal(err)
 		}
 		s.corrupt("plan/t/")
-		st, err := jobstore.LoadPlan(context.Background(), s, func(string) error { return nil })
-		if !errors.Is(err, jobstore.ErrPlanUnreadable) || st.HeadVersion == 0 {
-			t.Errorf("head %d, %v", st.HeadVersion, err)
+		active, err := jobstore.LoadPlan(context.Background(), s, func(string) error { return nil })
+		if !errors.Is(err, jobstore.ErrPlanUnreadable) || active.HeadVersion == 0 {
+			t.Errorf("head version %d, %v; want ErrPlanUnreadable and the head's version", active.HeadVersion, err)
 		}
 	})
 }
 
-// Any text is read back unchanged, and no piece exceeds the size limit of a value.
+// Any text must be read back unchanged, and no piece may exceed the size limit of a value.
 func TestPlanTextsFitIntoValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore(1)
@@ -268,7 +272,7 @@
 			s.mu.Lock()
 			for k, e := range s.keys {
 				if size := wire.JSONSize(e.Value); size > int(limits.ValueKB*1024) {
-					t.Errorf("%s has %d bytes", k, size)
+					t.Errorf("the value of %s has %d bytes, want at most %g KiB", k, size, limits.ValueKB)
 				}
 			}
 			s.mu.Unlock()
--- a/jobstore/writer_test.go
+++ b/jobstore/writer_test.go
@@ -1,3 +1,11 @@
+// Tests of the queue of submissions and cancellations while the key-value store refuses writes.
+//
+// The fault: with the key-value store's write rate used up, single changes of other writers took the
+// capacity, and a transaction with the cancellations of a whole job page was refused again and again. Its
+// users were rejected, retried together a second later, and shared a transaction as large as the one
+// before, for up to 20 s. The logs showed `transaction ended` with changes=5 to 12 and a refusal, and
+// `queued write ended` with result=refused for all of the cancellations at once.
+
 package jobstore_test
 
 import (
@@ -15,13 +23,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// The fault that these tests are about: with the key-value store's write rate used up, its single
-// changes went to whoever asked, and a transaction with the cancellations of a whole job page was
-// refused, again and again. Its users were sent away, came back together a second later, and shared a
-// transaction as large as the one before, for up to 20 s. It showed as `transaction ended` with
-// changes=5 to 12 and a refusal, and as `queued write ended` with result=refused for all of them at once.
-
-// userTimeout is how long a controller lets a user's write take.
+// userTimeout is a controller's timeout for a user's write.
 const userTimeout = 3500 * time.Millisecond
 
 // runOnePage calls play with a running store, after jobs 0 to n-1 have been accepted on one head page.
@@ -30,11 +32,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		s.setSchema(1)
 		runStores(t, 1, s, func(stores []*jobstore.Store) {
-			acceptAtOnce(t, stores[0], 1000, 1010) // opens the head page
-			acceptAtOnce(t, stores[0], 0, n)
+			acceptConcurrently(t, stores[0], 1000, 1010) // opens the head page
+			acceptConcurrently(t, stores[0], 0, n)
 			for i := range n {
-				if at := s.keysOf(job(i).ID); len(at) != 1 || at[0] != jobstore.HeadPageKey(0) {
-					t.Fatalf("job %d is at %v", i, at)
+				if keys := s.keysOf(job(i).ID); len(keys) != 1 || keys[0] != jobstore.HeadPageKey(0) {
+					t.Fatalf("job %d is on the keys %v, want only the head page", i, keys)
 				}
 			}
 			play(t, stores[0])
@@ -42,8 +44,8 @@
 	})
 }
 
-// acceptAtOnce has jobs of some numbers accepted concurrently.
-func acceptAtOnce(t *testing.T, r *jobstore.Store, from, to int) {
+// acceptConcurrently submits the jobs from number from to to-1 concurrently, until all are accepted.
+func acceptConcurrently(t *testing.T, r *jobstore.Store, from, to int) {
 	t.Helper()
 	var wg sync.WaitGroup
 	for n := from; n < to; n++ {
@@ -56,7 +58,7 @@
 	wg.Wait()
 }
 
-// cancelsJobs reports whether a transaction has final records.
+// cancelsJobs reports whether a transaction writes final records.
 func cancelsJobs(ops []wire.Op) bool {
 	return slices.ContainsFunc(ops, func(op wire.Op) bool { return strings.HasPrefix(op.Put, "f/") })
 }
@@ -70,8 +72,8 @@
 	return err
 }
 
-// The store refuses every transaction of more than two changes, as a saturated one does. Cancellations
-// of 12 jobs of a page arrive at once: each must be committed within its first request.
+// The store refuses every transaction of more than two changes, as a saturated store does. Cancellations
+// of 12 jobs of a page arrive at once. Each must be committed within its first request.
 func TestCancellationsAreDividedAfterARefusal(t *testing.T) {
 	s := newFakeStore(1)
 	runOnePage(t, s, 12, func(t *testing.T, r *jobstore.Store) {
@@ -94,8 +96,8 @@
 	})
 }
 
-// The store refuses all cancellations for as long as they come. Submissions that wait beside them must
-// be committed, each behind at most two transactions of cancellations.
+// The store refuses all cancellations. Submissions that wait at the same time must be committed, each after
+// at most two transactions of cancellations.
 func TestRefusedCancellationsDoNotStarveSubmissions(t *testing.T) {
 	const turns = 2
 	s := newFakeStore(1)
@@ -108,7 +110,7 @@
 				return nil
 			}
 			if refusedInARow++; refusedInARow > turns && waiting > 0 {
-				t.Errorf("%d transactions of cancellations while submissions wait", refusedInARow)
+				t.Errorf("%d transactions of cancellations in a row while submissions wait, want at most %d", refusedInARow, turns)
 			}
 			return kvstore.ErrRateLimited
 		})
@@ -128,7 +130,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), userTimeout)
 				defer cancel()
 				if _, err := r.Accept(ctx, job(100+n), time.Now()); err != nil {
-					t.Errorf("submission %d: %v", n, err)
+					t.Errorf("submission of job %d: %v", 100+n, err)
 				}
 				s.mu.Lock()
 				waiting--
@@ -139,9 +141,9 @@
 	})
 }
 
-// A requester whose time runs out while its cancellation waits in the queue is told that nothing was
-// done, and nothing is done later either. One whose transaction is in flight is told that the outcome is
-// unknown.
+// A requester's context ends while its cancellation waits in the queue. The error must say that nothing was
+// executed, and nothing may be executed later. If the context ends while the transaction is in flight, the
+// error must say that the outcome is unknown.
 func TestAbandonedCancellations(t *testing.T) {
 	t.Run("in the queue", func(t *testing.T) {
 		s := newFakeStore(1)
@@ -152,11 +154,11 @@
 			time.Sleep(time.Second)
 			s.setRefuse(nil)
 			if !errors.Is(err, kvstore.ErrRateLimited) && !errors.Is(err, kvstore.ErrOutcomeUnknown) {
-				t.Errorf("a cancellation that was never executed: %v", err)
+				t.Errorf("cancellation that was never executed: %v", err)
 			}
 			time.Sleep(10 * time.Second)
 			if status, found, err := r.Lookup(t.Context(), job(0).ID); err != nil || !found || status.Version == 0 {
-				t.Errorf("a job whose cancellation was refused: %+v, found %v, %v", status, found, err)
+				t.Errorf("job whose cancellation was refused: %+v, found %v, %v; want it unfinished", status, found, err)
 			}
 		})
 	})
@@ -166,26 +168,28 @@
 			t.Helper()
 			s.beforeAnswer = func([]wire.Op) { time.Sleep(time.Second) }
 			if err := cancelWithin(t, r, 0, 500*time.Millisecond); !errors.Is(err, kvstore.ErrOutcomeUnknown) {
-				t.Errorf("a cancellation that is in flight: %v", err)
+				t.Errorf("cancellation that is in flight: %v, want ErrOutcomeUnknown", err)
 			}
 		})
 	})
 }
 
-// A store that is out (503) is not waited for: the requester learns it at once and can ask elsewhere.
+// The store is unavailable (503). The cancellation must not wait for it. The requester gets the error at
+// once and can retry at another controller.
 func TestCancellationsDoNotWaitForAStoreThatIsOut(t *testing.T) {
 	s := newFakeStore(1)
 	runOnePage(t, s, 2, func(t *testing.T, r *jobstore.Store) {
 		t.Helper()
 		s.setRefuse(func([]wire.Op) error { return kvstore.ErrRefused })
-		began := time.Now()
-		if err := cancelWithin(t, r, 0, userTimeout); !errors.Is(err, kvstore.ErrRefused) || time.Since(began) > 500*time.Millisecond {
-			t.Errorf("%v after %v", err, time.Since(began))
+		start := time.Now()
+		if err := cancelWithin(t, r, 0, userTimeout); !errors.Is(err, kvstore.ErrRefused) || time.Since(start) > 500*time.Millisecond {
+			t.Errorf("%v after %v, want ErrRefused within 500ms", err, time.Since(start))
 		}
 	})
 }
 
-// A user who is sent away and comes back is served before those who came in the meantime.
+// A user's cancellation is refused, and the user retries. It must be served before those that were first
+// requested in the meantime.
 func TestReturningCancellationsKeepTheirTurn(t *testing.T) {
 	s := newFakeStore(1)
 	runOnePage(t, s, 9, func(t *testing.T, r *jobstore.Store) {
@@ -209,25 +213,25 @@
 		})
 		wg.Go(func() {
 			if err := cancelWithin(t, r, 0, userTimeout); err != nil {
-				t.Errorf("the one that came back: %v", err)
+				t.Errorf("retried cancellation: %v", err)
 			}
 		})
 		wg.Wait()
-		if at := slices.Index(order, jobstore.FinalKey(job(0).ID)); at < 0 || at > 1 { // one may be in flight when it returns
-			t.Errorf("the one that came back is at %d of %v", at, order)
+		if at := slices.Index(order, jobstore.FinalKey(job(0).ID)); at < 0 || at > 1 { // one may be in flight at the retry
+			t.Errorf("the retried cancellation is at %d of %v, want 0 or 1", at, order)
 		}
 	})
 }
 
-// Jobs with keys of their own are cancelled by transactions of their own. Refused ones wait in the queue
-// too, so that their users are not sent away.
+// A job with a key of its own is cancelled in a transaction of its own. If this transaction is refused, it
+// must also wait in the queue, so that the user's request does not fail.
 func TestRefusedCancellationsOfSingleJobsAreRepeated(t *testing.T) {
 	s := newFakeStore(1)
 	synctest.Test(t, func(t *testing.T) {
 		s.setSchema(1)
 		runStores(t, 1, s, func(stores []*jobstore.Store) {
 			if _, ok := submit(t.Context(), stores[0], job(0)); !ok {
-				t.Fatal("not accepted")
+				t.Fatal("job 0 was not accepted")
 			}
 			refusals := 0
 			s.setRefuse(func([]wire.Op) error {
@@ -237,21 +241,22 @@
 				return kvstore.ErrRateLimited
 			})
 			if err := cancelWithin(t, stores[0], 0, userTimeout); err != nil {
-				t.Errorf("after %d refusals: %v", refusals, err)
+				t.Errorf("cancellation after %d refusals: %v", refusals, err)
 			}
 		})
 	})
 }
 
-// The write limiter grants nothing for a second, as it does while the store refuses changes. A
-// cancellation waits for it, and meanwhile the leader ends another job of its page. The writer had
-// composed the transaction before it waited, so that the page's version was out of date: `transaction
-// ended` with result=conflict after a limiter_wait of up to 0.4 s, and again after the next wait.
+// The write limiter grants nothing for a second, as it does while the store refuses changes. A cancellation
+// waits for it, and meanwhile the leader ends another job of the page. An earlier writer composed the
+// transaction before the wait, so that the guard on the page's version was out of date. The logs showed
+// `transaction ended` with result=conflict after a limiter_wait of up to 0.4 s, and again after the next
+// wait.
 func TestTransactionIsComposedAfterTheWaitForTheRateLimit(t *testing.T) {
 	s := newFakeStore(1)
 	runOnePage(t, s, 10, func(t *testing.T, r *jobstore.Store) {
 		t.Helper()
-		before := s.conflicts // while the page was opened
+		before := s.conflicts // conflicts during the setup
 		s.withholdCapacity(time.Second)
 		var wg sync.WaitGroup
 		wg.Go(func() {
@@ -263,7 +268,7 @@
 		if !s.finishJob(job(1).ID) {
 			t.Error("job 1 was not ended")
 		}
-		if _, _, err := r.Lookup(t.Context(), job(1).ID); err != nil { // reads what has changed
+		if _, _, err := r.Lookup(t.Context(), job(1).ID); err != nil { // a barrier reads the change
 			t.Error(err)
 		}
 		wg.Wait()
--- a/kvstore/kvstore_test.go
+++ b/kvstore/kvstore_test.go
@@ -1,3 +1,5 @@
+// Tests of the requests that a Client sends, and of the errors that it returns.
+
 package kvstore
 
 import (
@@ -20,7 +22,7 @@
 	return b
 }
 
-// Each call sends the recorded request, and reads its answer.
+// Each call must send the recorded request, and return what the recorded response contains.
 func TestRequestsToTheStoreKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "requests.golden")
 	entry := golden.Filled[wire.Entry]()
@@ -57,13 +59,13 @@
 	return fmt.Sprint(entries, rev), err
 }
 
-// Callers tell errors apart by these values and nothing else.
+// Callers distinguish errors only by these values. Each response of the store must lead to the right ones.
 func TestRefusalsOfTheStoreAreReported(t *testing.T) {
 	ctx := t.Context()
 	get := func(c *Client) error { _, err := c.Get(ctx, "a"); return err }
 	commit := func(c *Client) error { _, err := c.CompareAndSwap(ctx, nil, []wire.Op{{Delete: "a"}}); return err }
-	follow := func(c *Client) error { _, err := c.Watch(ctx, "a", 1, 0); return err }
-	touch := func(c *Client) error { return c.RenewLease(ctx, 1) }
+	watch := func(c *Client) error { _, err := c.Watch(ctx, "a", 1, 0); return err }
+	renew := func(c *Client) error { return c.RenewLease(ctx, 1) }
 	for _, c := range []struct {
 		name   string
 		call   func(c *Client) error
@@ -78,35 +80,35 @@
 		{"malformed", get, 400, nil, []error{ErrInvalidRequest}, []error{ErrRefused, ErrOutcomeUnknown}},
 		{"malformed transaction", commit, 400, wire.TxnAnswer{Error: "bad"}, []error{ErrInvalidRequest}, []error{ErrLeaseNotFound}},
 		{"lease of a transaction", commit, 400, wire.TxnAnswer{Error: "no such lease"}, []error{ErrLeaseNotFound}, []error{ErrInvalidRequest}},
-		{"lease", touch, 404, nil, []error{ErrLeaseNotFound}, []error{ErrInvalidRequest}},
-		{"lease refused", touch, 503, nil, []error{ErrRefused}, []error{ErrLeaseNotFound}},
-		{"old watch", follow, 410, nil, []error{ErrCompacted}, []error{ErrInvalidRequest}},
+		{"lease", renew, 404, nil, []error{ErrLeaseNotFound}, []error{ErrInvalidRequest}},
+		{"lease refused", renew, 503, nil, []error{ErrRefused}, []error{ErrLeaseNotFound}},
+		{"old watch", watch, 410, nil, []error{ErrCompacted}, []error{ErrInvalidRequest}},
 	} {
 		s := golden.Serve(t, golden.Answer{Status: c.status, Body: body(t, c.answer)})
 		err := c.call(New(s.Dial, "state:80", 100, 100))
 		for _, want := range c.is {
 			if !errors.Is(err, want) {
-				t.Errorf("%s: %v is not %v", c.name, err, want)
+				t.Errorf("%s: got %v, want an error that is %v", c.name, err, want)
 			}
 		}
 		for _, other := range c.not {
 			if errors.Is(err, other) {
-				t.Errorf("%s: %v is %v", c.name, err, other)
+				t.Errorf("%s: got %v, want an error that is not %v", c.name, err, other)
 			}
 		}
 	}
 	s := golden.Serve(t, golden.Answer{Status: 409, Body: body(t, wire.TxnAnswer{Revision: 8, Failed: []string{"a", "b"}})})
 	var conflict *ConflictError
 	if err := commit(New(s.Dial, "state:80", 100, 100)); !errors.As(err, &conflict) || conflict.Revision != 8 || fmt.Sprint(conflict.FailedKeys) != "[a b]" {
-		t.Errorf("a conflict is told as %v", err)
+		t.Errorf("status 409: got %v, want a ConflictError at revision 8 on the keys a and b", err)
 	}
 	s = golden.Serve(t, golden.Answer{Status: 404, Body: body(t, wire.Entry{Revision: 8})})
 	if e, err := New(s.Dial, "state:80", 100, 100).Get(ctx, "a"); err != nil || e.Version != 0 || e.Revision != 8 {
-		t.Errorf("a key that does not exist is %+v, %v", e, err)
+		t.Errorf("key that does not exist: got %+v, %v, want version 0 and revision 8", e, err)
 	}
 	s = golden.Serve(t)
 	s.Close()
 	if err := get(New(s.Dial, "state:80", 100, 100)); !errors.Is(err, ErrOutcomeUnknown) {
-		t.Errorf("without an answer: %v", err)
+		t.Errorf("no response: got %v, want ErrOutcomeUnknown", err)
 	}
 }
--- a/kvstore/ratelimit_test.go
+++ b/kvstore/ratelimit_test.go
@@ -1,3 +1,5 @@
+// Tests of the adaptive limiter and of BatchSize.
+
 package kvstore
 
 import (
@@ -11,8 +13,8 @@
 	"golang.org/x/time/rate"
 )
 
-// A writer whose transactions are refused makes them smaller, down to what it can't divide, and larger
-// again once they are committed.
+// A writer whose transactions are refused must make them smaller, down to the size that it can't divide, and
+// larger again once they are committed.
 func TestBatchSizeFollowsRefusals(t *testing.T) {
 	size := NewBatchSize(2, 12)
 	for step, c := range []struct {
@@ -26,24 +28,24 @@
 		{2, ErrRateLimited, 2},
 		{2, ErrRefused, 2}, // an outage says nothing about the size
 		{2, &ConflictError{}, 2},
-		{1, nil, 2}, // half of what it might have been: says nothing either
+		{1, nil, 2}, // a commit of only half of the limit says nothing about the size either
 		{2, nil, 4},
 		{4, nil, 8},
 		{8, ErrOutcomeUnknown, 8},
 		{4, nil, 8},
-		{5, nil, 12}, // the rest of the limit was too little for what can't be divided
+		{5, nil, 12}, // the rest of the limit was too small for a group that can't be divided
 		{12, nil, 12},
-		{5, ErrRateLimited, 2}, // half of what was refused, not of the limit
+		{5, ErrRateLimited, 2}, // half of the refused size, not of the limit
 	} {
 		size.Record(c.changes, c.err)
 		if size.Limit() != c.want {
-			t.Errorf("step %d: after %d changes with %v the limit is %d, not %d", step, c.changes, c.err, size.Limit(), c.want)
+			t.Errorf("step %d: after %d changes with %v the limit is %d, want %d", step, c.changes, c.err, size.Limit(), c.want)
 		}
 	}
 }
 
-// The refusal of a large transaction must cost its writer's rate less than that of a single change:
-// otherwise whoever writes large transactions ends with the lowest rate, beside writers of single
+// The refusal of a large transaction must reduce its writer's rate by less than the refusal of a single
+// change. Otherwise the writer of large transactions ends with the lowest rate, next to writers of single
 // changes that are never refused.
 func TestLargeTransactionsDoNotLoseTheRateToSingleChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -54,32 +56,32 @@
 			single.recordRefusal(1)
 		}
 		if l, s := large.currentRate(), single.currentRate(); l < 16 || s > 4 {
-			t.Errorf("after five refusals of eight changes each the rate is %v, of one change each %v", l, s)
+			t.Errorf("after five refusals of eight changes each the rate is %v, want 16 or more; of one change each %v, want 4 or less", l, s)
 		}
 	})
 }
 
-// What the store refused did not use its capacity: but for one change, the next transaction does not
-// wait for it again. That never adds up to more than a burst.
+// Refused changes did not use the store's capacity. The next transaction must not wait for them again,
+// except for one change. Repeated refusals must not add up to more than a burst.
 func TestRefusedChangesAreNotWaitedForTwice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newAdaptiveLimiter(10, 5)
 		wait := func(n int) time.Duration {
-			began := time.Now()
+			start := time.Now()
 			if err := a.WaitN(t.Context(), n); err != nil {
 				t.Fatal(err)
 			}
-			return time.Since(began)
+			return time.Since(start)
 		}
 		if took := wait(10); took != 0 {
-			t.Fatalf("the burst took %v", took)
+			t.Fatalf("the burst took %v, want no wait", took)
 		}
 		a.recordRefusal(8)
 		if took := wait(7); took != 0 {
-			t.Errorf("what was refused took %v", took)
+			t.Errorf("the refused changes took %v, want no wait", took)
 		}
 		if took := wait(1); took == 0 {
-			t.Error("one more did not wait")
+			t.Error("one more change did not wait")
 		}
 		for range 10 {
 			a.recordRefusal(8)
@@ -90,17 +92,20 @@
 	})
 }
 
-// Three nodes share a store's write rate, which none of them can observe. One has many cancellations
-// waiting, and so always sends as much as it may; the others send what a steady load of single changes
-// asks for, more than there is for all. The node with the backlog must get a third more than an equal share,
-// in spite of its larger transactions: with 13 to 22 cancellations waiting, a controller committed 4 changes a second beside two with 7 to 8, and
-// a cancellation took up to 13.1 s (TestBurstOfSubmissionsBesideCancellationsAtTheWriteLimit).
+// Three nodes share a store's write rate, which none of them can observe. One has many waiting cancellations
+// and always sends as many changes as it may. The others send a steady load of single changes. Together they
+// exceed the store's rate. The node with the backlog must get a third more than an equal share, in spite of
+// its larger transactions.
+//
+// The fault: with 13 to 22 waiting cancellations, a controller committed 4 changes a second next to two
+// controllers with 7 to 8, and a cancellation took up to 13.1 s
+// (TestBurstOfSubmissionsBesideCancellationsAtTheWriteLimit).
 func TestNodeWithABacklogGetsItsShare(t *testing.T) {
-	const storeRate, playFor = 25.0, 2 * time.Minute
+	const storeRate, duration = 25.0, 2 * time.Minute
 	for seed := range uint64(5) {
 		synctest.Test(t, func(t *testing.T) {
 			store := rate.NewLimiter(storeRate, storeRate)
-			ctx, cancel := context.WithTimeout(t.Context(), playFor)
+			ctx, cancel := context.WithTimeout(t.Context(), duration)
 			defer cancel()
 			committed := make([]int, 3)
 			var nodes sync.WaitGroup
@@ -111,8 +116,8 @@
 				nodes.Go(func() { committed[i] = sendChanges(ctx, a, store, rnd, changes) })
 			}
 			nodes.Wait()
-			if equal := int(storeRate * playFor.Seconds() / 3); committed[0] < equal*4/3 {
-				t.Errorf("seed %d: the nodes committed %v changes, an equal share is %d", seed, committed, equal)
+			if equalShare := int(storeRate * duration.Seconds() / 3); committed[0] < equalShare*4/3 {
+				t.Errorf("seed %d: the nodes committed %v changes, want a third more than the equal share of %d for the first", seed, committed, equalShare)
 			}
 		})
 	}
@@ -127,7 +132,7 @@
 		if a.WaitN(ctx, n) != nil {
 			return committed
 		}
-		time.Sleep(time.Duration(rnd.Int64N(int64(8 * time.Millisecond)))) // the store's answer
+		time.Sleep(time.Duration(rnd.Int64N(int64(8 * time.Millisecond)))) // the store's response
 		if store.AllowN(time.Now(), n) {
 			size.Record(n, nil)
 			committed += n
@@ -141,7 +146,7 @@
 	}
 }
 
-// What was awaited is granted without another wait, once.
+// Capacity that was awaited must be granted once with no further wait. A second send must wait again.
 func TestAwaitedCapacityIsGrantedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := newAdaptiveLimiter(4, 4)
@@ -158,12 +163,12 @@
 			{"send", a.WaitN, 0},
 			{"send again", a.WaitN, 500 * time.Millisecond},
 		} {
-			began := time.Now()
+			start := time.Now()
 			if err := step.call(t.Context(), 2); err != nil {
 				t.Fatal(err)
 			}
-			if took := time.Since(began).Round(time.Millisecond); took != step.wait {
-				t.Errorf("%s took %v, not %v", step.name, took, step.wait)
+			if took := time.Since(start).Round(time.Millisecond); took != step.wait {
+				t.Errorf("%s took %v, want %v", step.name, took, step.wait)
 			}
 		}
 	})
