--- a/jobstore/finalread.go
+++ b/jobstore/finalread.go
@@ -199,7 +199,7 @@
 			left = append(left, read)
 		}
 	}
-	s.cacheUnrequested(page.Items)
+	s.cacheListed(page.Items)
 	covered := len(reads) - len(left)
 	if covered == 0 {
 		// The listing ended before the first read's key. Read this key alone to make progress.
@@ -223,9 +223,9 @@
 	s.finalReads.rangeKeys = min(max(n, minRangeKeys), maxRangeKeys)
 }
 
-// cacheUnrequested caches all listed records, requested or not. After a restart of all controllers, users
+// cacheListed caches the records of a listing, requested or not. After a restart of all controllers, users
 // are likely to request the others next. It fills at most half of the cache.
-func (s *Store) cacheUnrequested(entries []wire.Entry) {
+func (s *Store) cacheListed(entries []wire.Entry) {
 	s.mu.Lock()
 	room := maxCachedFinals/2 - len(s.finals.order)
 	s.mu.Unlock()
