--- a/jobstore/finalread.go
+++ b/jobstore/finalread.go
@@ -1,3 +1,7 @@
+// Reads of final records for lookups. One request serves several reads. After a restart of all
+// controllers their caches are empty while thousands of users poll. With one request for each lookup,
+// some lookups were refused for minutes, and read barriers waited behind them.
+
 package jobstore
 
 import (
@@ -9,33 +13,29 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file reads final records for lookups, several with one request. After a restart of all
-// controllers their caches are empty while thousands of users poll: with a request for each lookup,
-// some were refused for minutes, and read barriers queued behind them.
-
 const (
-	// finalReaders is how many requests may be in flight at once, so that one without a response delays
-	// only the lookups that it serves.
+	// finalReaders is how many requests may be in flight at once. A request that gets no response then
+	// delays only the lookups that it serves.
 	finalReaders = 2
-	// minRangeReads is the fewest waiting reads that are served by listing a range of keys; fewer are
-	// served one by one.
+	// minRangeReads is the smallest number of waiting reads that are served by listing a range of keys.
+	// Fewer reads are served one by one.
 	minRangeReads = 3
-	// A listing covers minRange to maxRange keys. The length doubles as long as at least one in
-	// maxKeysPerHit of the keys is waited for, and is halved otherwise.
-	minRange, maxRange = 16, 500
-	maxKeysPerHit      = 32
-	finalReadTimeout   = 2 * time.Second
-	// readsKept is how many reads at the front of the queue are served even if their callers have given
-	// up: the result is cached, and the user is expected to poll again.
-	readsKept = 64
+	// A listing covers minRangeKeys to maxRangeKeys. The number of keys is doubled if a read waits for at
+	// least one in maxKeysPerRead of them, and halved otherwise.
+	minRangeKeys, maxRangeKeys = 16, 500
+	maxKeysPerRead             = 32
+	finalReadTimeout           = 2 * time.Second
+	// keptReads is how many reads at the front of the queue are served even if their callers have given
+	// up. The result is cached, and the users are expected to poll again.
+	keptReads = 64
 )
 
 // finalRead is a queued read of a final record.
 type finalRead struct {
-	ctx   context.Context
-	id    string
-	order float64 // the smallest is served first
-	done  chan finalResult
+	ctx  context.Context
+	id   string
+	rank float64 // see Config.FinalReadOrder; the smallest is served first
+	done chan finalResult
 }
 
 type finalResult struct {
@@ -44,19 +44,19 @@
 	err    error
 }
 
-// finalReadQueue holds the reads that wait.
+// finalReadQueue holds the waiting reads of final records. The Store's lock guards it, except for wake.
 type finalReadQueue struct {
-	waiting  []*finalRead
-	rangeLen int // how many keys the next listing covers
-	wake     chan struct{}
+	waiting   []*finalRead
+	rangeKeys int           // how many keys the next listing covers
+	wake      chan struct{} // signals a reader goroutine that reads wait
 }
 
-// readFinal reads a job's final record, as of some moment after the call. found is false if there is
+// readFinal reads a job's final record, as of some moment after the call. found is false if the job has
 // none.
 func (s *Store) readFinal(ctx context.Context, id string) (record JobRecord, found bool, err error) {
 	read := &finalRead{ctx: ctx, id: id, done: make(chan finalResult, 1)}
 	if s.config.FinalReadOrder != nil {
-		read.order = s.config.FinalReadOrder(id)
+		read.rank = s.config.FinalReadOrder(id)
 	}
 	s.mu.Lock()
 	s.finalReads.waiting = append(s.finalReads.waiting, read)
@@ -70,6 +70,7 @@
 	}
 }
 
+// wakeFinalReader wakes a reader goroutine. It does not block.
 func (s *Store) wakeFinalReader() {
 	select {
 	case s.finalReads.wake <- struct{}{}:
@@ -77,8 +78,9 @@
 	}
 }
 
-// deliver completes a read with what the key-value store returned for its key, and caches the record.
-func (s *Store) deliver(read *finalRead, e wire.Entry, err error) {
+// completeFinalRead completes a read with the entry or the error that the key-value store returned, and
+// caches the record.
+func (s *Store) completeFinalRead(read *finalRead, e wire.Entry, err error) {
 	if err != nil {
 		read.done <- finalResult{err: err}
 		return
@@ -96,7 +98,8 @@
 	read.done <- finalResult{record: record, found: true}
 }
 
-// decodeFinal decodes a final record. From a damaged one it recovers the state if that is intact.
+// decodeFinal decodes a final record. From a damaged record it recovers only the state, if that is intact.
+// Otherwise it returns an UnreadableError.
 func (s *Store) decodeFinal(id string, e wire.Entry) (JobRecord, error) {
 	record, err := DecodeFinal(e.Value)
 	if err == nil {
@@ -113,7 +116,7 @@
 // serveFinalReads serves queued reads until ctx ends.
 func (s *Store) serveFinalReads(ctx context.Context) {
 	for {
-		reads, rangeLen := s.takeFinalReads()
+		reads, rangeKeys := s.takeFinalReads()
 		switch {
 		case len(reads) == 0:
 			select {
@@ -129,24 +132,25 @@
 			s.requeueFinalReads(reads[1:])
 			s.serveFinalRead(ctx, reads[0])
 		default:
-			s.readFinalRange(ctx, reads, rangeLen)
+			s.readFinalRange(ctx, reads, rangeKeys)
 		}
 	}
 }
 
-// takeFinalReads takes all waiting reads, in the order in which they are to be served, except those
-// beyond the first readsKept whose callers have given up.
-func (s *Store) takeFinalReads() (reads []*finalRead, rangeLen int) {
+// takeFinalReads removes all reads from the queue and returns them in the order in which they are served.
+// It drops the reads after the first keptReads whose callers have given up. rangeKeys is how many keys a
+// listing should cover.
+func (s *Store) takeFinalReads() (reads []*finalRead, rangeKeys int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	reads = s.finalReads.waiting
 	s.finalReads.waiting = nil
-	slices.SortStableFunc(reads, func(a, b *finalRead) int { return cmp.Compare(a.order, b.order) })
-	if len(reads) > readsKept {
-		rest := slices.DeleteFunc(reads[readsKept:], func(r *finalRead) bool { return r.ctx.Err() != nil })
-		reads = reads[:readsKept+len(rest)]
+	slices.SortStableFunc(reads, func(a, b *finalRead) int { return cmp.Compare(a.rank, b.rank) })
+	if len(reads) > keptReads {
+		rest := slices.DeleteFunc(reads[keptReads:], func(r *finalRead) bool { return r.ctx.Err() != nil })
+		reads = reads[:keptReads+len(rest)]
 	}
-	return reads, max(minRange, s.finalReads.rangeLen)
+	return reads, max(minRangeKeys, s.finalReads.rangeKeys)
 }
 
 // requeueFinalReads puts reads back at the front of the queue.
@@ -160,16 +164,16 @@
 	s.wakeFinalReader()
 }
 
-// serveFinalRead serves one read with a request of its own.
+// serveFinalRead serves one read with one request.
 func (s *Store) serveFinalRead(ctx context.Context, read *finalRead) {
 	ctx, cancel := context.WithTimeout(ctx, finalReadTimeout)
 	defer cancel()
 	e, err := s.kv.Get(ctx, FinalKey(read.id))
-	s.deliver(read, e, err)
+	s.completeFinalRead(read, e, err)
 }
 
-// readFinalRange lists n keys starting just before that of the first read, and completes every read
-// whose key is in the listed range, whether or not the key exists. The others are queued again.
+// readFinalRange lists n keys from just before the key of the first read. It completes each read whose
+// key is in the listed range, whether or not the key exists, and queues the others again.
 func (s *Store) readFinalRange(ctx context.Context, reads []*finalRead, n int) {
 	ctx, cancel := context.WithTimeout(ctx, finalReadTimeout)
 	defer cancel()
@@ -178,7 +182,7 @@
 	page, err := s.kv.ListPage(ctx, finalPrefix, after, n)
 	if err != nil {
 		for _, read := range reads {
-			s.deliver(read, wire.Entry{}, err)
+			s.completeFinalRead(read, wire.Entry{}, err)
 		}
 		return
 	}
@@ -190,39 +194,38 @@
 	var left []*finalRead
 	for _, read := range reads {
 		if key := FinalKey(read.id); key > after && (!page.More || key <= last) {
-			s.deliver(read, found[key], nil)
+			s.completeFinalRead(read, found[key], nil)
 		} else {
 			left = append(left, read)
 		}
 	}
-	s.cacheNeighbours(page.Items)
+	s.cacheListed(page.Items)
 	covered := len(reads) - len(left)
 	if covered == 0 {
-		// The listing ended before the first read's key: read that alone, so that there is progress.
+		// The listing ended before the first read's key. Read this key alone to make progress.
 		e, err := s.kv.Get(ctx, first)
-		s.deliver(reads[0], e, err)
+		s.completeFinalRead(reads[0], e, err)
 		left = left[1:]
 	}
 	s.adaptRange(n, covered)
 	s.requeueFinalReads(left)
 }
 
-// adaptRange doubles the length of the next listing if enough of the last one's n keys were waited for,
-// and halves it if not.
+// adaptRange sets the length of the next listing, after a listing of n keys completed a number of reads.
 func (s *Store) adaptRange(n, covered int) {
-	if covered*maxKeysPerHit >= n {
+	if covered*maxKeysPerRead >= n {
 		n *= 2
 	} else {
 		n /= 2
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.finalReads.rangeLen = min(max(n, minRange), maxRange)
+	s.finalReads.rangeKeys = min(max(n, minRangeKeys), maxRangeKeys)
 }
 
-// cacheNeighbours caches listed records that nobody has waited for: after a restart of all controllers
-// their users are likely to ask next. It fills at most half of the cache.
-func (s *Store) cacheNeighbours(entries []wire.Entry) {
+// cacheListed caches the records of a listing, requested or not. After a restart of all controllers, users
+// are likely to request the others next. It fills at most half of the cache.
+func (s *Store) cacheListed(entries []wire.Entry) {
 	s.mu.Lock()
 	room := maxCachedFinals/2 - len(s.finals.order)
 	s.mu.Unlock()
@@ -234,8 +237,8 @@
 	}
 }
 
-// keyBefore returns a key that sorts before another, with few possible keys between them: it decrements
-// the last character, which in a job id is a digit.
+// keyBefore returns a key that sorts just before the given one, with few possible keys in between. It
+// decrements the last character, which is a digit in a job id.
 func keyBefore(key string) string {
 	last := len(key) - 1
 	return key[:last] + string(key[last]-1) + "~"
