--- a/config/config.go
+++ b/config/config.go
@@ -1,6 +1,6 @@
-// Package config reads and checks a node's two files: the settings that the platform
-// hands over (Settings), and the operators' own tuning (Tuning). Both are TOML, and errors
-// name fields as the files do.
+// Package config reads and validates the two configuration files of a node. The platform provides
+// Settings, and the operators write Tuning. Both files are TOML. Errors name the fields as the
+// files do.
 package config
 
 import (
@@ -14,8 +14,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Settings is the platform's file. Fields that are not known are ignored, since the
-// platform may be newer than this program.
+// Settings is the content of the platform's file. Unknown fields are ignored because the platform
+// may be newer than this program.
 type Settings struct {
 	Node       string   `toml:"node_name"`
 	Zone       string   `toml:"location"`
@@ -26,20 +26,21 @@
 	Cluster    Cluster  `toml:"cluster"`
 }
 
-// Peer is another controller.
+// Peer is another controller node of the deployment.
 type Peer struct {
 	Name string `toml:"node_name"`
 	Zone string `toml:"location"`
 	Addr string `toml:"addr"`
 }
 
-// Services are the addresses of the cloud's API and of the key-value store (State).
+// Services holds the addresses (host:port) of the cloud's API and of the key-value store (State).
 type Services struct {
 	Cloud string `toml:"cloud"`
 	State string `toml:"state"`
 }
 
-// Cluster describes the deployment.
+// Cluster describes the deployment: its size, zones, teams and objectives, and the timeouts and limits
+// that apply to it. SkewMs is the clock skew in milliseconds.
 type Cluster struct {
 	Size       int         `toml:"size"`
 	Zones      []string    `toml:"zones"`
@@ -52,7 +53,8 @@
 	Limits     Limits      `toml:"limits"`
 }
 
-// Team is a team's guarantee (CPUs, GPUs) and limit (CPUsMax, GPUsMax); 0 means none.
+// Team holds a team's guaranteed resources (CPUs, GPUs) and its limits (CPUsMax, GPUsMax). The value
+// 0 means no guarantee or no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -61,21 +63,21 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// ObjectiveKind says what a service-level objective measures. Settings may be
-// newer than the program: a kind that is not listed here has no effect.
+// ObjectiveKind is what a service-level objective measures. An unknown kind has no effect, because
+// the settings may be newer than the program.
 type ObjectiveKind string
 
 // Kinds of service-level objectives.
 const (
 	ObjectiveWait      ObjectiveKind = "wait"      // a job starts within WithinS of its acceptance
-	ObjectiveGuarantee ObjectiveKind = "guarantee" // the same, for jobs that their team's guarantee covers
-	ObjectiveFinished  ObjectiveKind = "finished"  // a job is completed within WithinS of its acceptance
-	ObjectiveDeadline  ObjectiveKind = "deadline"  // a job is completed by its deadline, or within Times that time
-	ObjectivePrice     ObjectiveKind = "price"     // what machines cost
-	ObjectiveCost      ObjectiveKind = "cost"      // another name for price in settings
+	ObjectiveGuarantee ObjectiveKind = "guarantee" // as ObjectiveWait, for jobs that their team's guarantee covers
+	ObjectiveFinished  ObjectiveKind = "finished"  // a job completes within WithinS of its acceptance
+	ObjectiveDeadline  ObjectiveKind = "deadline"  // a job completes by its deadline, or within Times that time
+	ObjectivePrice     ObjectiveKind = "price"     // cost of the machines
+	ObjectiveCost      ObjectiveKind = "cost"      // synonym of ObjectivePrice
 )
 
-// Known reports whether a kind is listed here.
+// Known reports whether k is one of the kinds declared above.
 func (k ObjectiveKind) Known() bool {
 	switch k {
 	case ObjectiveWait, ObjectiveGuarantee, ObjectiveFinished, ObjectiveDeadline, ObjectivePrice, ObjectiveCost:
@@ -84,52 +86,52 @@
 	return false
 }
 
-// Objective is one service-level objective of the deployment, for the jobs of a
-// class, or for all jobs where the class is empty.
+// Objective is one service-level objective of the deployment. It applies to the jobs of one class, or
+// to all jobs if Class is empty.
 type Objective struct {
 	Kind    ObjectiveKind `toml:"kind"`
 	Class   string        `toml:"class"`
 	WithinS float64       `toml:"within_s"` // seconds after the job's acceptance
-	Share   float64       `toml:"share"`    // of the jobs that are to meet it
-	Times   float64       `toml:"times"`    // for deadlines: a multiple of the job's own deadline
+	Share   float64       `toml:"share"`    // fraction of the jobs that must meet the objective
+	Times   float64       `toml:"times"`    // ObjectiveDeadline: a multiple of the job's own deadline
 }
 
 // Workers holds the intervals and timeouts of workers, in seconds.
 type Workers struct {
-	HeartbeatS float64 `toml:"report_s"`    // between heartbeats
-	LeaseS     float64 `toml:"lease_s"`     // after sending the last heartbeat that was answered, until a worker kills its tasks
-	GangWaitS  float64 `toml:"gang_wait_s"` // how long a task of a gang waits for the others to start
-	GangPeerS  float64 `toml:"gang_peer_s"` // after a gang has lost a task, until the others have ended
-	CancelS    float64 `toml:"cancel_s"`    // after a confirmed cancellation, until the job's tasks must be gone
+	HeartbeatS float64 `toml:"report_s"`    // interval between heartbeats
+	LeaseS     float64 `toml:"lease_s"`     // time from sending the last answered heartbeat until a worker kills its tasks
+	GangWaitS  float64 `toml:"gang_wait_s"` // time that a task of a gang waits for the others to start
+	GangPeerS  float64 `toml:"gang_peer_s"` // time from the loss of a gang's task until the others have ended
+	CancelS    float64 `toml:"cancel_s"`    // time from a confirmed cancellation until the job's tasks must have ended
 }
 
-// StateLimits are the key-value store's limits.
+// StateLimits holds the limits of the key-value store.
 type StateLimits struct {
-	RPS      float64 `toml:"rps"`
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	RPS      float64 `toml:"rps"`       // requests per second
+	WriteRPS float64 `toml:"write_rps"` // changes per second
+	ValueKB  float64 `toml:"value_kb"`  // size of a value
+	TxnOps   int     `toml:"txn_ops"`   // changes in a transaction
 }
 
-// CloudLimits are the limits of the cloud's API. A change may show in its list only after
-// ListLagS seconds.
+// CloudLimits holds the rate limit of the cloud's API in requests per second, and the time in seconds
+// after which a change appears in the cloud's list of machines.
 type CloudLimits struct {
 	RPS      float64 `toml:"rps"`
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// Limits are the resources that a node may use.
+// Limits holds the resources that a controller node may use.
 type Limits struct {
-	CPU     float64 `toml:"cpu"`
+	CPU     float64 `toml:"cpu"` // number of CPUs
 	MemMB   float64 `toml:"mem_mb"`
-	Sockets int     `toml:"sockets"`
+	Sockets int     `toml:"sockets"` // number of open sockets
 }
 
-// Seconds converts a number of seconds to a duration. Its magnitude must be below 9.2e9, the range
-// of a duration.
+// Seconds converts a number of seconds to a duration. The magnitude of s must be below 9.2e9, the
+// range of a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Load reads and checks a settings file.
+// Load reads and validates the settings file at path. See Parse for the errors.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -138,16 +140,16 @@
 	return Parse(string(text))
 }
 
-// Limits below which a node can't work.
+// Smallest limits with which a node can work.
 const (
-	// minTxnOps is the size of the largest transactions that can't be divided; the store must take as
-	// many changes within a second.
+	// minTxnOps is the number of changes in the largest transaction that can't be divided. The store
+	// must also accept this many changes per second.
 	minTxnOps  = 3
 	minSockets = 32
 )
 
-// Parse reads and checks the text of a settings file. The error has a FieldError for
-// every field that is missing or invalid.
+// Parse decodes and validates the text of a settings file. The error joins a FieldError for each
+// missing or invalid field.
 func Parse(text string) (*Settings, error) {
 	var s Settings
 	md, err := toml.Decode(text, &s)
@@ -167,7 +169,7 @@
 	return &s, nil
 }
 
-// checkRequired checks the fields that every settings file has.
+// checkRequired checks the fields that every settings file must set.
 func (s *Settings) checkRequired() []check {
 	zones := check{field: "cluster.zones"}
 	if len(s.Cluster.Zones) == 0 {
@@ -201,6 +203,7 @@
 	}
 }
 
+// checkTeams checks that teams have unique names and valid guarantees and limits.
 func checkTeams(teams []Team) []check {
 	var checks []check
 	seen := map[string]bool{}
@@ -219,7 +222,7 @@
 	return checks
 }
 
-// checkObjectives checks the times of objectives of known kinds; the others have no effect.
+// checkObjectives checks the times of the objectives of known kinds.
 func checkObjectives(objectives []Objective) []check {
 	var checks []check
 	for i, o := range objectives {
@@ -234,6 +237,7 @@
 	return checks
 }
 
+// checkPeers checks that each peer has an address and a name that differs from this node's.
 func (s *Settings) checkPeers() []check {
 	var checks []check
 	for i, p := range s.Peers {
@@ -244,17 +248,17 @@
 	return checks
 }
 
-// GCPercent is how much may be allocated between garbage collections, in percent of the
-// live heap. With Go's default of 100, the leader of a large cluster collects several times
-// a second with four fifths of its memory unused. The live heap is small, and near the memory
-// limit (MemoryLimit) the runtime collects more often by itself.
+// GCPercent is the amount of memory that may be allocated between garbage collections, in percent of
+// the live heap. With Go's default of 100, the leader of a large cluster collects garbage several
+// times a second while four fifths of its memory are unused. The live heap is small, and the runtime
+// collects more often by itself near the memory limit (MemoryLimit).
 const GCPercent = 300
 
-// goMemoryShare is the Go runtime's share of a node's memory: the rest is for memory that the
+// goMemoryShare is the Go runtime's share of a node's memory. The rest is for memory that the
 // runtime's limit does not cover.
 const goMemoryShare = 0.6
 
-// MemoryLimit is the soft memory limit to set in the Go runtime, in bytes.
+// MemoryLimit returns the soft memory limit to set in the Go runtime, in bytes.
 func (s *Settings) MemoryLimit() int64 {
 	return int64(s.Cluster.Limits.MemMB * goMemoryShare * (1 << 20))
 }
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -78,13 +78,12 @@
 	}
 }
 
-// What happened: neither file's check bounded durations. `inf`, and in the operators' file any number,
-// passed, and config.Seconds made a negative time.Duration of what is too large for one: a cooldown of
-// `inf`, meant as "never", was over before it began. No log line told; reading the code found it.
-//
-// Such durations, and those that are no number or negative, are refused by the field's name.
+// Durations without an upper bound were accepted. config.Seconds converted a value beyond the range
+// of time.Duration, such as inf, to a negative duration, so a cooldown of inf ended before it began,
+// without a log line. Durations that are too large, negative or not a number must be rejected with
+// the field's name.
 func TestUnusableDurationsAreRefused(t *testing.T) {
-	durations := map[string]string{ // in the settings: field, and its line
+	durations := map[string]string{ // settings: the line of each field in good
 		"cluster.skew_ms":             "skew_ms = 5.0",
 		"cluster.workers.report_s":    "report_s = 1.5",
 		"cluster.workers.lease_s":     "lease_s = 12.0",
@@ -99,26 +98,27 @@
 		for field, line := range durations {
 			name, _, _ := strings.Cut(line, " ")
 			if _, err := Parse(strings.Replace(good, line, name+" = "+value, 1)); err == nil || !strings.Contains(err.Error(), field) {
-				t.Errorf("%s = %s: error %v does not name it", field, value, err)
+				t.Errorf("%s = %s: error %v does not name the field", field, value, err)
 			}
 		}
 		for _, within := range []string{"within_s", "times"} {
 			text := good + "[[cluster.objectives]]\nkind = \"wait\"\nclass = \"c\"\n" + within + " = " + value + "\n"
 			if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), "cluster.objectives[0]."+within) {
-				t.Errorf("%s = %s: error %v does not name it", within, value, err)
+				t.Errorf("%s = %s: error %v does not name the field", within, value, err)
 			}
 		}
 		for _, field := range tuned {
 			table, name, _ := strings.Cut(field, ".")
 			if _, err := ParseTuning("[" + table + "]\n" + name + " = " + value + "\n"); err == nil || !strings.Contains(err.Error(), field) {
-				t.Errorf("%s = %s: error %v does not name it", field, value, err)
+				t.Errorf("%s = %s: error %v does not name the field", field, value, err)
 			}
 		}
 	}
 }
 
-// The largest transactions that can't be divided have three changes. A store that takes fewer in a
-// second, or in a transaction, refuses them for ever: jobs are accepted and never end.
+// The largest transactions that can't be divided have three changes. A key-value store that accepts
+// fewer changes per second or per transaction rejects them forever, so that jobs are accepted but
+// never end.
 func TestLimitsOfTheStoreThatCanNotWorkAreRefused(t *testing.T) {
 	for _, c := range []struct{ from, to, field string }{
 		{"write_rps = 25.0", "write_rps = 1.0", "cluster.state.write_rps"},
@@ -136,7 +136,7 @@
 		name, _, _ := strings.Cut(to, " ")
 		from := map[string]string{"write_rps": "write_rps = 25.0", "txn_ops": "txn_ops = 12"}[name]
 		if _, err := Parse(strings.Replace(good, from, to, 1)); err != nil {
-			t.Errorf("%s: %v", to, err)
+			t.Errorf("%s: got error %v, want none", to, err)
 		}
 	}
 }
@@ -148,6 +148,6 @@
 		t.Fatal(err)
 	}
 	if got.Metrics.Listen == "" || !got.Launches.WakeWorkers {
-		t.Errorf("%+v", got)
+		t.Errorf("got %+v, want a metrics address and WakeWorkers", got)
 	}
 }
--- a/config/leases_test.go
+++ b/config/leases_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// with returns valid settings with other times of the workers.
+// with returns the settings of good with the given report_s, lease_s and cancel_s.
 func with(report, lease, cancel float64) string {
 	return strings.NewReplacer("report_s = 1.5", fmt.Sprintf("report_s = %.3f", report),
 		"lease_s = 12.0", fmt.Sprintf("lease_s = %.3f", lease), "cancel_s = 32.0", fmt.Sprintf("cancel_s = %.3f", cancel)).Replace(good)
 }
 
-// The settings of existing deployments are accepted, and lead to the same leases as before.
+// The settings of existing deployments must stay valid and result in unchanged leases.
 func TestLeasesOfKnownDeployments(t *testing.T) {
 	for _, c := range []struct{ report, lease, cancel, leader, gone float64 }{
 		{1.5, 12, 32, 7, 19.31},
@@ -28,14 +28,14 @@
 		}
 		w := s.Cluster.Workers
 		if w.LeaderLeaseS() != c.leader || math.Abs(w.CancelledGoneWithinS()-c.gone) > 0.01 {
-			t.Errorf("%+v: the leader's lease is %g s, tasks are gone within %.3f s", c, w.LeaderLeaseS(), w.CancelledGoneWithinS())
+			t.Errorf("%+v: got a leader's lease of %g s and tasks gone within %.3f s", c, w.LeaderLeaseS(), w.CancelledGoneWithinS())
 		}
 	}
 }
 
-// With all accepted settings, tasks of a cancelled job are gone within cancel_s. The test computes
-// this independently of CancelledGoneWithinS: a renewal counts from when it was sent, a worker's
-// last heartbeat comes before the leader's last answer, and both clocks are slow.
+// With all accepted settings, the tasks of a cancelled job must end within cancel_s. The test computes
+// their end independently of CancelledGoneWithinS. A lease starts when its renewal is sent, a worker
+// sends its last heartbeat before the leader's last answer, and both clocks are slow.
 func TestAcceptedTimesLetCancelledTasksBeGoneInTime(t *testing.T) {
 	accepted, refused := 0, 0
 	for _, report := range []float64{0.05, 0.5, 1.5, 4, 30, 100} {
@@ -48,23 +48,23 @@
 						t.Errorf("report %g, lease %g, cancel %g: %v", report, lease, lease+above, err)
 					}
 					if above >= 2.01 && lease <= 1200 {
-						t.Errorf("report %g, lease %g, cancel %g is refused for nothing: %v", report, lease, lease+above, err)
+						t.Errorf("report %g, lease %g, cancel %g is rejected without need: %v", report, lease, lease+above, err)
 					}
 					continue
 				}
 				accepted++
 				w := s.Cluster.Workers
 				if w.LeaderLeaseS() < 1 {
-					t.Errorf("%+v: a leader's lease of %g s", w, w.LeaderLeaseS())
+					t.Errorf("%+v: got a leader's lease of %g s, want at least 1 s", w, w.LeaderLeaseS())
 				}
 				answered := w.LeaderLeaseS() * 1.0005 // the leader's last answer, in seconds after the confirmation
 				if killed := answered + w.LeaseS*1.0005; killed > w.CancelS-0.29 {
-					t.Errorf("%+v: tasks may be there %.3f s after the confirmation", w, killed)
+					t.Errorf("%+v: tasks may run for %.3f s after the confirmation", w, killed)
 				}
 			}
 		}
 	}
 	if accepted < 200 || refused < 200 {
-		t.Errorf("%d accepted and %d refused", accepted, refused)
+		t.Errorf("got %d accepted and %d rejected settings, want at least 200 each", accepted, refused)
 	}
 }
--- a/config/tuning.go
+++ b/config/tuning.go
@@ -10,7 +10,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Tuning is the operators' own file; every field has a default.
+// Tuning is the content of the operators' file. DefaultTuning returns the defaults of its fields.
 type Tuning struct {
 	Rebalance Rebalance `toml:"rebalance"`
 	ScaleOut  ScaleOut  `toml:"renting"`
@@ -22,36 +22,36 @@
 
 // Serving tunes the order in which jobs are served.
 type Serving struct {
-	// StarvationBoundS is within how many seconds of its acceptance every job starts for
-	// which there are resources at all, whatever the service-level objectives. 0: there is
-	// no such bound.
+	// StarvationBoundS is the time in seconds, from its acceptance, within which every job starts
+	// for which the cluster has resources. It takes precedence over the service-level objectives.
+	// 0 means no bound.
 	StarvationBoundS float64 `toml:"begin_within_s"`
 }
 
 // JobStore tunes how jobs are recorded.
 type JobStore struct {
-	SharedPages bool `toml:"intake"` // jobs share records (jobstore.JobPage), once every node can read these
+	SharedPages bool `toml:"intake"` // jobs share records (jobstore.JobPage) once all nodes can read such records
 }
 
 // Launches tunes how launches reach workers.
 type Launches struct {
-	WakeWorkers bool `toml:"summon"` // a worker is told to send its heartbeat when a launch is ready for it
+	WakeWorkers bool `toml:"summon"` // the leader asks a worker for a heartbeat as soon as a launch for it is ready
 }
 
-// Metrics says where a node serves its metrics.
+// Metrics configures the endpoint where a node serves its metrics.
 type Metrics struct {
-	Listen string `toml:"listen"` // host:port; empty: they are not served
+	Listen string `toml:"listen"` // host:port; empty means that metrics are not served
 }
 
 // Rebalance tunes rebalancing.
 type Rebalance struct {
 	Enabled       bool     `toml:"enabled"`
 	EveryS        float64  `toml:"every_s"`        // seconds between cycles
-	Budget        int      `toml:"budget"`         // most moves in a cycle
-	CooldownS     float64  `toml:"cooldown_s"`     // how long a group of machines is left alone after moves in it
-	TaskCooldownS float64  `toml:"rest_s"`         // how long a task is left alone after its move
-	QuarantineS   float64  `toml:"quarantine_s"`   // how long a task is left alone after its move failed
-	LongRunningS  float64  `toml:"long_running_s"` // tasks that have run this long are not moved
+	Budget        int      `toml:"budget"`         // maximum number of moves in a cycle
+	CooldownS     float64  `toml:"cooldown_s"`     // time without further moves in a group of machines after moves in it
+	TaskCooldownS float64  `toml:"rest_s"`         // time for which a task is not moved again
+	QuarantineS   float64  `toml:"quarantine_s"`   // time for which a task is not moved after a failed move
+	LongRunningS  float64  `toml:"long_running_s"` // tasks that have run for this time are not moved
 	Policies      []Policy `toml:"policies"`
 }
 
@@ -65,22 +65,23 @@
 	ResourceMemory Resource = "memory"
 )
 
-// Policy is how one resource counts in rebalancing a group of machines.
+// Policy configures how rebalancing treats one resource in a group of machines. The weights of all
+// policies sum to 1.
 type Policy struct {
 	Resource          Resource `toml:"resource"`
 	Weight            float64  `toml:"weight"`
-	Threshold         float64  `toml:"threshold"`          // difference between the highest and the lowest booked share above which tasks are moved
+	Threshold         float64  `toml:"threshold"`          // tasks are moved if the highest and lowest booked share differ by more
 	CapacityThreshold float64  `toml:"capacity_threshold"` // booked share up to which a machine may receive tasks
 }
 
-// ScaleOut tunes how machines are rented and returned.
+// ScaleOut tunes scale-out and scale-in.
 type ScaleOut struct {
-	IdleS    float64 `toml:"idle_s"`   // how long a machine is idle before it is returned
+	IdleS    float64 `toml:"idle_s"`   // idle time after which a machine is returned
 	Headroom float64 `toml:"headroom"` // resources kept free for expected jobs, as a share of the open tasks of each class
 }
 
-// DefaultTuning returns the values of fields that the operators' file leaves out, and of all
-// fields if there is no file.
+// DefaultTuning returns the defaults of the fields. They apply to each field that the operators'
+// file omits.
 func DefaultTuning() Tuning {
 	return Tuning{
 		Rebalance: Rebalance{
@@ -98,7 +99,7 @@
 	}
 }
 
-// LoadTuning reads the operators' file; an empty path gives the defaults.
+// LoadTuning reads and validates the operators' file at path. An empty path gives the defaults.
 func LoadTuning(path string) (Tuning, error) {
 	if path == "" {
 		return DefaultTuning(), nil
@@ -110,8 +111,9 @@
 	return ParseTuning(string(text))
 }
 
-// ParseTuning reads and checks the text of an operators' file. Unlike in Settings, a field that
-// is not known is an error: only operators write this file, so it must be misspelt.
+// ParseTuning decodes and validates the text of an operators' file. The error joins a FieldError for
+// each invalid field. Unlike in Settings, an unknown field is an error: only operators write this
+// file, so the name must be misspelled.
 func ParseTuning(text string) (Tuning, error) {
 	t := DefaultTuning()
 	defaults := t.Rebalance.Policies
@@ -143,10 +145,10 @@
 	maxHeadroom        = 5
 	minStarvationBound = 30
 	maxStarvationBound = 86400
-	weightTolerance    = 1e-6
+	weightTolerance    = 1e-6 // for the sum of the policies' weights
 )
 
-// check checks all but the rebalancer's fields.
+// check checks all fields except those of Rebalance.
 func (t *Tuning) check() []check {
 	checks := []check{
 		duration("renting.idle_s", t.ScaleOut.IdleS),
@@ -172,7 +174,7 @@
 		duration("rebalance.long_running_s", r.LongRunningS),
 		within("rebalance.budget", float64(r.Budget), 1, maxRebalanceBudget),
 	}
-	sum := 0.0
+	weightSum := 0.0
 	seen := map[Resource]bool{}
 	for i, p := range r.Policies {
 		field := fmt.Sprintf("rebalance.policies[%d]", i)
@@ -181,14 +183,15 @@
 		}
 		seen[p.Resource] = true
 		checks = append(checks, p.check(field)...)
-		sum += p.Weight
+		weightSum += p.Weight
 	}
-	if math.Abs(sum-1) > weightTolerance {
-		checks = append(checks, check{"rebalance.policies", fmt.Errorf("have weights that sum to %g, not to 1.0", sum)})
+	if math.Abs(weightSum-1) > weightTolerance {
+		checks = append(checks, check{"rebalance.policies", fmt.Errorf("have weights that sum to %g, not to 1.0", weightSum)})
 	}
 	return checks
 }
 
+// known reports whether r is one of the resources declared above.
 func (r Resource) known() bool {
 	return r == ResourceCPUs || r == ResourceGPUs || r == ResourceMemory
 }
--- a/wire/scan.go
+++ b/wire/scan.go
@@ -12,7 +12,7 @@
 )
 
 // errIncomplete reports a message that ends before the length that it announces.
-var errIncomplete = errors.New("decode: the message is cut off or claims more than it has")
+var errIncomplete = errors.New("decode: the message is truncated or shorter than it announces")
 
 // maxNesting is the greatest nesting depth of lists and maps.
 const maxNesting = 64
