--- a/config/tuning.go
+++ b/config/tuning.go
@@ -141,11 +141,11 @@
 
 // Bounds of the fields.
 const (
-	maxRebalanceBudget = 100
-	maxHeadroom        = 5
-	minStarvationBound = 30
-	maxStarvationBound = 86400
-	weightTolerance    = 1e-6 // for the sum of the policies' weights
+	maxRebalanceBudget  = 100
+	maxHeadroom         = 5
+	minStarvationBoundS = 30
+	maxStarvationBoundS = 86400
+	weightTolerance     = 1e-6 // for the sum of the policies' weights
 )
 
 // check checks all fields except those of Rebalance.
@@ -154,8 +154,8 @@
 		duration("renting.idle_s", t.ScaleOut.IdleS),
 		within("renting.headroom", t.ScaleOut.Headroom, 0, maxHeadroom),
 	}
-	if bound := t.Serving.StarvationBoundS; bound != 0 && !(bound >= minStarvationBound && bound <= maxStarvationBound) {
-		checks = append(checks, check{"serving.begin_within_s", fmt.Errorf("must be 0, or from %d to %d", minStarvationBound, maxStarvationBound)})
+	if bound := t.Serving.StarvationBoundS; bound != 0 && !(bound >= minStarvationBoundS && bound <= maxStarvationBoundS) {
+		checks = append(checks, check{"serving.begin_within_s", fmt.Errorf("must be 0, or from %d to %d", minStarvationBoundS, maxStarvationBoundS)})
 	}
 	if t.Metrics.Listen != "" {
 		if _, _, err := net.SplitHostPort(t.Metrics.Listen); err != nil {
