--- a/peerrpc/batchingconn.go
+++ b/peerrpc/batchingconn.go
@@ -1,3 +1,5 @@
+// A connection that batches small writes.
+
 package peerrpc
 
 import (
@@ -9,23 +11,23 @@
 )
 
 const (
-	// flushDelay is how long written data is held back to be batched with later
-	// writes: one write for each of hundreds of heartbeats a second is too costly.
+	// flushDelay is the time for which written data is held back to batch it with later
+	// writes. A system call for each of hundreds of heartbeats per second is too costly.
 	flushDelay = 5 * time.Millisecond
-	// maxBuffered bounds the bytes that wait to be sent, and so the memory that a
-	// node costs which has stopped reading.
+	// maxBuffered bounds the bytes that wait to be sent. It limits the memory used for a
+	// node that has stopped reading.
 	maxBuffered = 2 << 20
-	// maxSpare is the capacity up to which a buffer is reused.
+	// maxSpare is the largest capacity, in bytes, of a buffer that is reused.
 	maxSpare = 256 << 10
-	// writeTimeout bounds one flush.
+	// writeTimeout bounds the duration of one flush.
 	writeTimeout = 5 * time.Second
 )
 
 var errWriteBufferFull = errors.New("peerrpc: write buffer full")
 
-// batchingConn is a connection whose writes never block: Write appends to a buffer,
-// which flushLoop sends. That goroutine ends when the connection is closed or a flush
-// fails.
+// batchingConn is a connection whose writes never block. Write appends to a buffer, and
+// the goroutine flushLoop sends the buffer. The goroutine ends when the connection is
+// closed or a flush fails.
 type batchingConn struct {
 	net.Conn
 	lastRead atomic.Int64 // unix nanoseconds
@@ -34,7 +36,7 @@
 	buffer []byte
 	err    error // first write error, which all later writes return
 
-	pending   chan struct{} // holds an item if there is something to flush
+	pending   chan struct{} // holds an item if the buffer has data to flush
 	closed    chan struct{}
 	closeOnce sync.Once
 }
@@ -46,12 +48,12 @@
 	return b
 }
 
-// Read closes the connection when reading fails: net/rpc itself would not close it
-// before the next request fails.
+// Read reads from the connection and closes it if reading fails. net/rpc would close it
+// only when the next request fails.
 func (b *batchingConn) Read(p []byte) (int, error) {
 	n, err := b.Conn.Read(p)
 	if err != nil {
-		_ = b.Close() // the read error matters more
+		_ = b.Close() // the read error is returned instead
 		return n, err
 	}
 	b.lastRead.Store(time.Now().UnixNano())
@@ -63,8 +65,8 @@
 	return time.Since(time.Unix(0, b.lastRead.Load()))
 }
 
-// Write queues p and returns at once. It fails if the buffer would exceed maxBuffered,
-// and always after a failed write.
+// Write queues p and returns immediately. It returns an error if the buffer would exceed
+// maxBuffered. After the first error, every later Write returns the same error.
 func (b *batchingConn) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,8 +101,8 @@
 			return
 		case <-timer.C:
 		}
-		// Swap the two buffers. The spare is cleared because the same memory must
-		// not serve both: Write would overwrite the data that is being sent.
+		// Swap the two buffers. spare is set to nil because Write would overwrite the
+		// data being sent if both buffers shared the same memory.
 		b.mu.Lock()
 		out := b.buffer
 		b.buffer, spare = spare[:0], nil
@@ -109,7 +111,7 @@
 			b.mu.Lock()
 			b.err = err
 			b.mu.Unlock()
-			_ = b.Close() // the write error matters more
+			_ = b.Close() // later writes return the write error
 			return
 		}
 		if cap(out) <= maxSpare {
@@ -118,6 +120,7 @@
 	}
 }
 
+// flush sends out within writeTimeout.
 func (b *batchingConn) flush(out []byte) error {
 	if len(out) == 0 {
 		return nil
--- a/peerrpc/doc.go
+++ b/peerrpc/doc.go
@@ -7,13 +7,13 @@
 // heartbeats, many concurrently, over a connection of its own, so that heartbeats and
 // single requests do not delay each other.
 //
-// The package owns connections and nothing else. It guarantees that a node which accepts
-// connections but does not respond delays no caller beyond the call's timeout (plus
-// dialTimeout for a heartbeat), and that users' requests and heartbeats in flight at a
-// server, heartbeats in flight in a stream, and unsent data are bounded. It never
-// retries a request and does not interpret bodies.
+// The package owns only connections. A node that accepts connections but does not respond
+// delays a caller by at most the call's timeout (plus dialTimeout for a heartbeat). The
+// package bounds the users' requests and heartbeats in flight at a server, the heartbeats
+// in flight in a stream, and the unsent data. It never retries a request and does not
+// interpret bodies.
 //
-// During a rolling restart, nodes of two versions talk to each other. The names of the
+// During a rolling restart, nodes of two versions call each other. The names of the
 // service, of its methods and of the fields of RequestMessage, StatusMessage, Answer and
 // routing.Plan are therefore part of the protocol and must not change (messages.go).
 package peerrpc
--- a/peerrpc/messages.go
+++ b/peerrpc/messages.go
@@ -1,44 +1,46 @@
+// Messages between controller nodes, and their wire forms.
+
 package peerrpc
 
 import "github.com/umberdeal/umberdeal/routing"
 
-// serviceName is the name of the net/rpc service. It and the names of the methods of
-// type service are part of the protocol, so they stay even where they differ from the
-// terms that the rest of the code uses.
+// serviceName is the name of the net/rpc service. This name and the method names of type
+// service are part of the protocol. They must not change, even where the rest of the code
+// uses other terms.
 const serviceName = "Mesh"
 
 // Request is a request from another node: a forwarded heartbeat of a worker, a forwarded
 // request of a user, a status query or the recovery of an unreadable record. Each kind
-// uses only some of the fields. Body is unchanged from what the worker or user sent.
+// uses only some of the fields. Body is the body that the worker or user sent, unchanged.
 type Request struct {
 	Op   string // user's request: the operation
 	ID   string // user's request: the job; recovery: the key of the record
 	Body []byte
 
-	From         string  // sending node; of users' requests only those to a bucket's owner have it
-	ConnCapacity int     // status: how many worker connections From can hold
+	From         string  // sending node; among users' requests, set only in those to a bucket's owner
+	ConnCapacity int     // status: number of worker connections that From can hold
 	SinceAnswerS float64 // heartbeat: seconds since From last answered the worker; negative if unknown
 
-	UnreadableKey     string // status: a record that From can't decode; recovery: the record's original key
+	UnreadableKey     string // status: key of a record that From can't decode; recovery: the record's original key
 	UnreadableVersion uint64 // version of UnreadableKey
 	Version           uint64 // recovery: version of the record at key ID
 }
 
-// Answer is the response to a heartbeat, a user's request or a recovery. It is encoded
-// by gob as it is, so its field names are part of the protocol.
+// Answer is the response to a heartbeat, a user's request or a recovery. gob encodes it
+// directly, so its field names are part of the protocol.
 type Answer struct {
 	Status     int // HTTP status code
 	Body       []byte
 	RetryAfter int  // seconds; 0 if not set
-	Repeated   bool // answers a duplicate heartbeat; no sign that the worker gets answers
+	Repeated   bool // response to a duplicate heartbeat; does not show that the worker receives answers
 }
 
-// Status is a node's report on itself.
+// Status is the state of a node, as it reports it to another node.
 type Status struct {
 	Node           string
-	Leader         string
+	Leader         string // name of the leader that the node knows; "" if none
 	StoreReachable bool
-	Plan           *routing.Plan // set only by the leader: how workers are spread over the nodes
+	Plan           *routing.Plan // distribution of workers over the nodes; set only by the leader
 	SchemaVersion  int           // newest schema of stored records that the node accepts
 }
 
--- a/peerrpc/peer.go
+++ b/peerrpc/peer.go
@@ -1,3 +1,5 @@
+// The client for single requests to another node.
+
 package peerrpc
 
 import (
@@ -12,11 +14,12 @@
 )
 
 const (
-	// dialTimeout bounds the wait for a connection, whichever caller dials it.
+	// dialTimeout bounds the wait for a connection, also if another caller dials it.
 	dialTimeout = 600 * time.Millisecond
-	// dialBackoff is how long a Peer does not dial after dialling failed, deadBackoff
-	// how long after a connection was dropped because a call on it failed.
+	// dialBackoff is the time before the next dial after a failed dial.
 	dialBackoff = 700 * time.Millisecond
+	// deadBackoff is the time before the next dial after a connection was dropped because
+	// a call on it failed.
 	deadBackoff = 300 * time.Millisecond
 
 	userTimeout     = 2500 * time.Millisecond
@@ -37,8 +40,8 @@
 	mu        sync.Mutex // guards the fields below
 	rpcClient *rpc.Client
 	redialAt  time.Time // earliest time of the next dial
-	failedAt  time.Time // set by a call that got no answer, cleared by one that did
-	answered  time.Time // when a call last got an answer
+	failedAt  time.Time // time of the last unanswered call; zero if a later call was answered
+	answered  time.Time // time of the last answer
 }
 
 // NewPeer returns a Peer for the node at addr. It does not dial.
@@ -46,8 +49,8 @@
 	return &Peer{Name: name, addr: addr, dial: dial, dialing: make(chan struct{}, 1), sending: make(chan struct{}, 1)}
 }
 
-// FailedAt returns when the node last failed to answer, or the zero time if it has
-// answered since or was never called.
+// FailedAt returns the time when the node last failed to answer. It returns the zero time
+// if the node has answered since then, or was never called.
 func (p *Peer) FailedAt() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,12 +62,13 @@
 	return p.ask(ctx, userTimeout, "User", r)
 }
 
-// FetchRecoveredRecord asks the node for its copy of a record that can't be decoded any
-// more. See Handler.RecoverRecord for the answer.
+// FetchRecoveredRecord asks the node for its copy of a record that can no longer be
+// decoded. See Handler.RecoverRecord for the answer.
 func (p *Peer) FetchRecoveredRecord(ctx context.Context, r Request) (Answer, error) {
 	return p.ask(ctx, recoveryTimeout, "Recall", r)
 }
 
+// ask calls a method that returns an Answer, within timeout.
 func (p *Peer) ask(ctx context.Context, timeout time.Duration, method string, r Request) (Answer, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -75,8 +79,8 @@
 	return a, nil
 }
 
-// Status returns the node's status. The request also reports this node's capacity and
-// unreadable record to it.
+// Status returns the node's status. The request also tells the node about this node's
+// capacity and unreadable record.
 func (p *Peer) Status(ctx context.Context, r Request) (Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -90,10 +94,11 @@
 // Overview returns the node's overview for operators, as JSON.
 func (p *Peer) Overview(ctx context.Context) ([]byte, error) { return p.fetch(ctx, "Overview") }
 
-// Machines returns the machines that the node knows as the leader, as JSON; the result is
-// empty if it does not lead.
+// Machines returns the machines in the leader's model, as JSON. The result is empty if the
+// node does not lead.
 func (p *Peer) Machines(ctx context.Context) ([]byte, error) { return p.fetch(ctx, "Machines") }
 
+// fetch calls a method that needs no request data and returns bytes.
 func (p *Peer) fetch(ctx context.Context, method string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -104,16 +109,16 @@
 	return out, nil
 }
 
-// existing returns the current connection, nil if there is none, and whether the backoff
-// permits dialling.
-func (p *Peer) existing() (*rpc.Client, bool) {
+// existing returns the current connection, or nil if there is none. mayDial reports
+// whether the backoff permits a dial.
+func (p *Peer) existing() (current *rpc.Client, mayDial bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.rpcClient, !time.Now().Before(p.redialAt)
 }
 
-// connect returns the current connection, or dials one. It waits at most dialTimeout,
-// also while another caller dials.
+// connect returns the current connection, or dials one. It waits for at most dialTimeout,
+// including the time that another caller takes to dial.
 func (p *Peer) connect(ctx context.Context) (*rpc.Client, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -151,9 +156,9 @@
 		p.recordOutcome(err)
 		return err
 	}
-	// rpc.Client.Go returns only once the request is written, and holds a lock
-	// meanwhile. If the node has stopped reading, that may block indefinitely, so it
-	// runs in a goroutine of its own, one at a time.
+	// rpc.Client.Go returns only after it has written the request, and holds a lock
+	// until then. If the node has stopped reading, the write may block indefinitely. The
+	// call therefore runs in a goroutine of its own, and only one of them runs at a time.
 	select {
 	case p.sending <- struct{}{}:
 	case <-ctx.Done():
@@ -161,7 +166,7 @@
 	}
 	done := make(chan *rpc.Call, 1)
 	began := time.Now()
-	go func() { // ends when the connection is dropped, at the latest
+	go func() { // ends at the latest when the connection is dropped
 		defer func() { <-p.sending }()
 		c.Go(serviceName+"."+method, in, out, done)
 	}()
@@ -180,16 +185,17 @@
 	case errors.As(err, &answered):
 		p.recordOutcome(nil)
 	case ctx.Err() != nil && p.answeredSince(began):
-		// The node works, and only this call takes longer than its caller waits: others' calls on the
-		// connection must not fail for that.
+		// The node answers other calls, and only this one exceeds its timeout. Closing the
+		// connection would make the other calls on it fail.
 	default:
 		p.recordOutcome(err)
-		p.drop(c) // after a timeout as well: a dead connection need not report an error
+		p.drop(c) // also after a timeout, because a dead connection may report no error
 	}
 	return fmt.Errorf("peerrpc: call %s of %s: %w", method, p.Name, err)
 }
 
-// recordOutcome records whether the node answered: err is nil if it did.
+// recordOutcome records whether the node answered. err is nil if the node answered, even
+// with an error of its own.
 func (p *Peer) recordOutcome(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -200,7 +206,7 @@
 	p.failedAt, p.answered = time.Time{}, time.Now()
 }
 
-// answeredSince reports whether the node has answered a call after a time.
+// answeredSince reports whether the node has answered a call after t.
 func (p *Peer) answeredSince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -215,5 +221,5 @@
 		p.redialAt = time.Now().Add(deadBackoff)
 	}
 	p.mu.Unlock()
-	_ = c.Close() // fails only if it is closed already
+	_ = c.Close() // fails only if already closed
 }
--- a/peerrpc/server.go
+++ b/peerrpc/server.go
@@ -1,3 +1,5 @@
+// The server for the requests of other nodes.
+
 package peerrpc
 
 import (
@@ -12,43 +14,47 @@
 )
 
 const (
-	// maxUserRequests bounds the users' requests and recoveries of other nodes in flight.
+	// maxUserRequests bounds the users' requests and recoveries in flight from all nodes.
 	maxUserRequests = 256
-	// minHeartbeats is the smallest limit of heartbeats in flight.
+	// minHeartbeats is the smallest limit of heartbeats in flight. It applies if Serve's
+	// maxHeartbeats is smaller.
 	minHeartbeats = 64
 	// maxServerConns bounds the connections from other nodes.
 	maxServerConns = 64
-	// handleTimeout is the deadline of a heartbeat's, user request's or recovery's handler.
+	// handleTimeout bounds the handling of a heartbeat, user's request or recovery.
 	handleTimeout = 3 * time.Second
 	// acceptRetryDelay is the pause after a failed Accept.
 	acceptRetryDelay = 50 * time.Millisecond
 )
 
-// ErrOverloaded means that the limit of requests in flight is reached. From a server it
-// arrives as an rpc.ServerError with the same text, which errors.Is does not match.
+// ErrOverloaded means that the limit of requests in flight is reached. The error of a
+// remote server arrives as an rpc.ServerError with the same text, so errors.Is does not
+// match it.
 var ErrOverloaded = errors.New("busy")
 
 // Handler serves the requests of other nodes. Its methods are called concurrently.
 type Handler interface {
 	HandleHeartbeat(ctx context.Context, r Request) Answer
 	HandleUserRequest(ctx context.Context, r Request) Answer
-	// RecoverRecord returns this node's copy of a record that can't be decoded any more:
-	// status 200 with a jobstore.RecoveryCopy, or 404 if it has none.
+	// RecoverRecord returns this node's copy of a record that can no longer be decoded. The
+	// answer has status 200 and a jobstore.RecoveryCopy, or 404 if there is no copy.
 	RecoverRecord(ctx context.Context, r Request) Answer
 	Status(r Request) Status
+	// Overview returns this node's overview for operators, as JSON.
 	Overview() []byte
+	// Machines returns the machines as JSON if this node leads, and nothing otherwise.
 	Machines() []byte
 }
 
 // service is the receiver that net/rpc calls. It is registered as serviceName.
 type service struct {
 	handler        Handler
-	ctx            context.Context // of Serve, since net/rpc passes no context to methods
-	userSlots      chan struct{}   // semaphore of users' requests and recoveries
-	heartbeatSlots chan struct{}   // semaphore of heartbeats
+	ctx            context.Context // of Serve, because net/rpc passes no context to methods
+	userSlots      chan struct{}   // semaphore for users' requests and recoveries
+	heartbeatSlots chan struct{}   // semaphore for heartbeats
 }
 
-// handle runs f if a slot is free, and returns ErrOverloaded otherwise.
+// handle runs f with a deadline if a slot is free, and returns ErrOverloaded otherwise.
 func (s *service) handle(slots chan struct{}, f func(ctx context.Context)) error {
 	select {
 	case slots <- struct{}{}:
@@ -96,11 +102,13 @@
 	return nil
 }
 
-// Serve serves other nodes' requests from l until ctx ends, and then closes l and all
-// connections, without waiting for requests that are being handled. Heartbeats beyond
-// maxHeartbeats in flight (at least minHeartbeats), and users' requests and recoveries
-// beyond their common limit, are refused with ErrOverloaded; Status, Overview and
-// Machines are not limited.
+// Serve serves the requests of other nodes that connect to l. When ctx ends, it closes l
+// and all connections and returns nil without waiting for the requests in flight. It
+// returns an error if l is closed before.
+//
+// Serve rejects heartbeats with ErrOverloaded if more than maxHeartbeats (at least
+// minHeartbeats) would be in flight. Users' requests and recoveries share the limit
+// maxUserRequests. Status, Overview and Machines are not limited.
 func Serve(ctx context.Context, l net.Listener, h Handler, maxHeartbeats int) error {
 	server := rpc.NewServer()
 	s := &service{handler: h, ctx: ctx, userSlots: make(chan struct{}, maxUserRequests), heartbeatSlots: make(chan struct{}, max(minHeartbeats, maxHeartbeats))}
@@ -117,7 +125,7 @@
 			continue
 		}
 		if ctx.Err() != nil {
-			return nil //nolint:nilerr // the AfterFunc closed the listener: the regular end
+			return nil //nolint:nilerr // the AfterFunc has closed the listener, which ends Serve regularly
 		}
 		var netErr net.Error
 		if errors.As(err, &netErr) && netErr.Timeout() {
@@ -135,6 +143,6 @@
 	batching := newBatchingConn(conn)
 	stop := context.AfterFunc(ctx, func() { _ = batching.Close() }) // makes ServeConn return
 	defer stop()
-	defer func() { _ = batching.Close() }() // fails only if it is closed already
+	defer func() { _ = batching.Close() }() // fails only if already closed
 	server.ServeConn(batching)
 }
--- a/peerrpc/stream.go
+++ b/peerrpc/stream.go
@@ -1,3 +1,5 @@
+// The client that forwards heartbeats to another node.
+
 package peerrpc
 
 import (
@@ -12,25 +14,25 @@
 )
 
 const (
-	// forwardTimeout is how long a forwarded heartbeat waits for its answer. With
+	// forwardTimeout bounds the wait for the answer to a forwarded heartbeat. Together with
 	// dialTimeout it stays below the 4 s after which the worker gives up.
 	forwardTimeout = 3 * time.Second
-	// maxSilence is how long a stream may have received nothing before a heartbeat that
-	// times out makes it count as dead. A late answer alone proves nothing, because the
-	// leader may delay a single one.
+	// maxSilence is the time without received data after which a heartbeat's timeout makes
+	// the connection count as dead. A late answer alone is no evidence, because the leader
+	// may delay a single answer.
 	maxSilence = 1500 * time.Millisecond
-	// streamBackoff is how long a stream does not dial after its connection was dropped
-	// or dialling failed.
+	// streamBackoff is the time before the next dial after a failed dial or a dropped
+	// connection.
 	streamBackoff = time.Second
 )
 
-// errBackoff means that the node was not dialled because an attempt failed just before.
+// errBackoff means that the node was not dialed because an attempt has failed recently.
 var errBackoff = errors.New("was not reached a moment ago")
 
 // HeartbeatStream forwards workers' heartbeats to another node, many concurrently over
-// one connection that only heartbeats use. Answers arrive in any order, so a delayed
-// answer does not delay other heartbeats, and users' requests, which a Peer sends, never
-// queue behind heartbeats. It is safe for concurrent use.
+// one connection. Answers arrive in any order, so a delayed answer does not delay other
+// heartbeats. The connection carries only heartbeats, so users' requests, which a Peer
+// sends, never queue behind them. A HeartbeatStream is safe for concurrent use.
 type HeartbeatStream struct {
 	Name string
 	addr string
@@ -50,8 +52,8 @@
 	rpcClient *rpc.Client
 }
 
-// NewHeartbeatStream returns a stream to the node at addr with at most maxInFlight
-// heartbeats in flight, at least one. It does not dial.
+// NewHeartbeatStream returns a stream to the node at addr. It permits maxInFlight
+// heartbeats in flight, or one if maxInFlight is smaller. It does not dial.
 func NewHeartbeatStream(name, addr string, dial call.DialFunc, maxInFlight int) *HeartbeatStream {
 	return &HeartbeatStream{Name: name, addr: addr, dial: dial, dialing: make(chan struct{}, 1), inFlight: make(chan struct{}, max(1, maxInFlight))}
 }
@@ -60,16 +62,15 @@
 func (s *HeartbeatStream) InFlight() int { return len(s.inFlight) }
 
 // Reachable reports whether Forward would use a connection or dial one now. It is false
-// during the backoff after the connection failed; true does not prove that the node
-// answers.
+// during the backoff after a failure. The value true does not prove that the node answers.
 func (s *HeartbeatStream) Reachable() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.conn != nil || !time.Now().Before(s.redialAt)
 }
 
-// existing returns the current connection, or nil if there is none and one may be
-// dialled. During the backoff the error is errBackoff.
+// existing returns the current connection, or nil if there is none and the backoff permits
+// a dial. During the backoff the error wraps errBackoff.
 func (s *HeartbeatStream) existing() (*streamConn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +80,7 @@
 	return s.conn, nil
 }
 
-// connect returns the current connection, or dials one within dialTimeout.
+// connect returns the current connection, or dials one. It waits for at most dialTimeout.
 func (s *HeartbeatStream) connect(ctx context.Context) (*streamConn, error) {
 	if c, err := s.existing(); c != nil || err != nil {
 		return c, err
@@ -107,9 +108,9 @@
 	return s.conn, nil
 }
 
-// Forward sends a worker's heartbeat to the node and waits for the answer, for less time
-// than the worker itself waits. The error is ErrOverloaded if this stream has too many
-// heartbeats in flight.
+// Forward sends a worker's heartbeat to the node and returns its answer. It waits for less
+// time than the worker itself waits. The error wraps ErrOverloaded if this stream has too
+// many heartbeats in flight.
 func (s *HeartbeatStream) Forward(ctx context.Context, r Request) (Answer, error) {
 	select {
 	case s.inFlight <- struct{}{}:
@@ -125,25 +126,25 @@
 	defer cancel()
 	var a Answer
 	sent := c.rpcClient.Go(serviceName+".Report", r.message(), &a, make(chan *rpc.Call, 1))
-	late := false
+	timedOut := false
 	select {
 	case <-sent.Done:
 		err = sent.Error
 	case <-ctx.Done():
-		err, late = ctx.Err(), true
+		err, timedOut = ctx.Err(), true
 	}
 	if err == nil {
 		return a, nil
 	}
 	var answered rpc.ServerError
-	alive := errors.As(err, &answered) || late && c.sinceLastRead() < maxSilence
+	alive := errors.As(err, &answered) || timedOut && c.sinceLastRead() < maxSilence
 	if !alive {
 		s.drop(c)
 	}
 	return Answer{}, fmt.Errorf("peerrpc: forward a heartbeat to %s: %w", s.Name, err)
 }
 
-// drop closes a connection that counts as dead, so that a later Forward dials a new one.
+// drop closes a connection, so that a later Forward dials a new one after the backoff.
 func (s *HeartbeatStream) drop(c *streamConn) {
 	s.mu.Lock()
 	if s.conn == c {
@@ -151,7 +152,7 @@
 		s.redialAt = time.Now().Add(streamBackoff)
 	}
 	s.mu.Unlock()
-	_ = c.rpcClient.Close() // fails only if it is closed already
+	_ = c.rpcClient.Close() // fails only if already closed
 }
 
 // Close closes the current connection, if any. A later Forward may dial a new one.
