--- a/peerrpc/encoding_test.go
+++ b/peerrpc/encoding_test.go
@@ -15,10 +15,10 @@
 	"github.com/umberdeal/umberdeal/internal/golden"
 )
 
-// The messages between controllers as the version sends them that the recorded bytes
-// are of. gob goes by the names of fields and net/rpc by those of the service and its
-// methods, so that these names are the protocol. They are repeated here on purpose:
-// nothing renames them along.
+// The messages between controllers as the program version that recorded the golden files
+// sends them. gob matches fields by name, and net/rpc matches the service and its methods
+// by name, so these names are part of the protocol. The types are deliberate copies, so
+// that a rename in the product does not rename them too.
 type (
 	sentRequest struct {
 		Op     string
@@ -57,7 +57,7 @@
 	}
 )
 
-// served is a node that keeps what it was asked.
+// served is a Handler that records the requests it receives.
 type served struct {
 	mu    sync.Mutex
 	asked []string
@@ -95,10 +95,10 @@
 // exchange is a request and its answer.
 type exchange struct {
 	method string
-	sends  any // the request, and
-	gets   any // the answer, as they were recorded
+	sends  any // request in the recorded version's type
+	gets   any // answer in the recorded version's type
 	call   func(ctx context.Context, p *Peer, l *HeartbeatStream) (any, error)
-	want   any // what the caller is told
+	want   any // result of call
 }
 
 func exchanges() []exchange {
@@ -118,7 +118,7 @@
 	}
 }
 
-// tapped keeps what goes over a connection.
+// tapped records the data written to and read from a connection.
 type tapped struct {
 	net.Conn
 	mu            sync.Mutex
@@ -140,7 +140,7 @@
 	return n, err
 }
 
-// conns is a listener of connections that are handed to it.
+// conns is a listener that accepts the connections sent to the channel c.
 type conns struct {
 	c    chan net.Conn
 	ends chan struct{}
@@ -163,7 +163,7 @@
 
 func (l *conns) Addr() net.Addr { return &net.UnixAddr{Name: "conns"} }
 
-// startServer runs this version's server for a test. What it returns opens a connection.
+// startServer runs this version's server for a test. The returned function opens a connection to it.
 func startServer(t *testing.T, h Handler) func() net.Conn {
 	t.Helper()
 	l := &conns{c: make(chan net.Conn), ends: make(chan struct{})}
@@ -183,7 +183,7 @@
 	}
 }
 
-// ask makes this version's client ask over a connection.
+// ask sends the request with this version's client over a connection.
 func (x *exchange) ask(t *testing.T, c net.Conn) (any, error) {
 	t.Helper()
 	dial := func(context.Context, string, string) (net.Conn, error) { return c, nil }
@@ -194,7 +194,7 @@
 	return x.call(ctx, NewPeer("n-1", "n-1:81", dial), l)
 }
 
-// decode reads a header and a body, and compares them with what is wanted.
+// decode decodes a header and a body, compares the body with want and returns the header.
 func decode[H any](t *testing.T, what string, d *gob.Decoder, want any) (h H) {
 	t.Helper()
 	if err := d.Decode(&h); err != nil {
@@ -205,15 +205,14 @@
 		t.Fatalf("%s: %v", what, err)
 	}
 	if got := body.Elem().Interface(); !reflect.DeepEqual(got, want) {
-		t.Errorf("%s: read as\n %+v\nand not as\n %+v", what, got, want)
+		t.Errorf("%s: got\n %+v\nwant\n %+v", what, got, want)
 	}
 	return h
 }
 
-// During a rolling restart controllers of two versions talk: what this one sends is
-// what the recorded version reads, and the other way round, requests and answers.
-// Bytes are not compared, since gob's numbers of types depend on what else a process
-// has sent before.
+// During a rolling restart, controllers of two versions call each other. The recorded version
+// must be able to read the requests and answers of this version, and the reverse. The test does not
+// compare bytes, because gob's type numbers depend on the types that a process has sent before.
 func TestControllersOfTwoVersionsInteroperate(t *testing.T) {
 	f := golden.Open(t, "exchanges.golden")
 	for _, x := range exchanges() {
@@ -221,7 +220,7 @@
 		dial := startServer(t, node)
 		c := &tapped{Conn: dial()}
 		if got, err := x.ask(t, c); err != nil || !reflect.DeepEqual(got, x.want) {
-			t.Fatalf("%s among nodes of this version: %+v, %v", x.method, got, err)
+			t.Fatalf("%s among nodes of this version: got %+v, %v, want %+v", x.method, got, err, x.want)
 		}
 		c.Close()
 		asked := node.asked
@@ -229,7 +228,7 @@
 		sent, got := c.written.Bytes(), c.read.Bytes()
 		c.mu.Unlock()
 		if h := decode[rpc.Request](t, x.method+": this version's request", gob.NewDecoder(bytes.NewReader(sent)), x.sends); h.ServiceMethod != "Mesh."+x.method {
-			t.Errorf("%s is asked for as %q", x.method, h.ServiceMethod)
+			t.Errorf("%s: got the service method %q", x.method, h.ServiceMethod)
 		}
 		decode[rpc.Response](t, x.method+": this version's answer", gob.NewDecoder(bytes.NewReader(got)), x.gets)
 		if golden.Updating() {
@@ -244,24 +243,24 @@
 			t.Fatal(err)
 		}
 		if h := decode[rpc.Response](t, x.method+": answer to the recorded request", gob.NewDecoder(raw), x.gets); h.Error != "" {
-			t.Errorf("%s: the recorded request is refused: %s", x.method, h.Error)
+			t.Errorf("%s: the recorded request is rejected: %s", x.method, h.Error)
 		}
 		raw.Close()
 		if !reflect.DeepEqual(node.asked, asked) {
-			t.Errorf("%s: the recorded request is read as %v, and not as %v", x.method, node.asked, asked)
+			t.Errorf("%s: the recorded request: got %v, want %v", x.method, node.asked, asked)
 		}
 
 		near, far := net.Pipe()
 		recorded := f.Recorded(x.method + ", answer")
 		go func() {
-			// What has been asked was looked at above.
+			// The request is checked above, so its content is ignored here.
 			d := gob.NewDecoder(far)
 			if d.Decode(&rpc.Request{}) == nil && d.Decode(&sentRequest{}) == nil {
-				_, _ = far.Write(recorded) // the caller says whether it came
+				_, _ = far.Write(recorded) // the caller checks the answer
 			}
 		}()
 		if got, err := x.ask(t, near); err != nil || !reflect.DeepEqual(got, x.want) {
-			t.Errorf("%s: the recorded answer is read as %+v, %v", x.method, got, err)
+			t.Errorf("%s: the recorded answer: got %+v, %v, want %+v", x.method, got, err, x.want)
 		}
 		near.Close()
 	}
--- a/peerrpc/peer_test.go
+++ b/peerrpc/peer_test.go
@@ -10,7 +10,7 @@
 	"github.com/umberdeal/umberdeal/internal/memnet"
 )
 
-// slowRequest is the id of a request that a fake peer takes long to answer.
+// slowRequest is the id of a request that a fake peer answers only after a minute.
 const slowRequest = "slow"
 
 // withPeer runs a test in simulated time with a client of a fake peer that answers users' requests
@@ -33,16 +33,14 @@
 		cancel()
 		f.End()
 		<-done
-		time.Sleep(2 * time.Minute) // the slow handlers end
+		time.Sleep(2 * time.Minute) // until the handlers of slow requests have ended
 	})
 }
 
-// What happened: in a saturated cluster one forwarded request took longer than its caller waited. That
-// counted as a failure of the node, so that for seconds two nodes wrote to the same job pages and made
-// each other's transactions conflict, and it closed the connection on which all other forwarded requests
-// waited: `write not forwarded` five times in the same instant, with "i/o timeout".
-//
-// A call that times out while the node answers others must fail alone.
+// A call that times out while the node answers other calls must fail alone. In a saturated cluster, the
+// timeout of one forwarded request counted as a failure of the node. For seconds, two nodes then wrote to
+// the same job pages and their transactions conflicted. The timeout also closed the connection, so all
+// other forwarded requests on it failed (`write not forwarded` five times at once, with "i/o timeout").
 func TestSlowCallFailsAloneWhileThePeerAnswersOthers(t *testing.T) {
 	withPeer(t, func(t *testing.T, p *Peer, f *fakePeer) {
 		t.Helper()
@@ -51,7 +49,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 			defer cancel()
 			if _, err := p.ForwardUserRequest(ctx, Request{ID: slowRequest}); err == nil {
-				t.Error("the slow call succeeded")
+				t.Error("the slow call succeeded, want a timeout")
 			}
 		})
 		for n := range 100 {
@@ -64,16 +62,16 @@
 		}
 		time.Sleep(time.Second + time.Millisecond)
 		if !p.FailedAt().IsZero() {
-			t.Error("the node counts as failed")
+			t.Error("FailedAt is set although the node answers other calls")
 		}
 		wg.Wait()
 		if dials := f.dials.Load(); dials != 1 {
-			t.Errorf("%d connections were made", dials)
+			t.Errorf("got %d connections, want 1", dials)
 		}
 	})
 }
 
-// A node that answers nobody counts as failed as soon as a call times out.
+// A node that answers no calls must count as failed as soon as one call times out.
 func TestSilentPeerCountsAsFailed(t *testing.T) {
 	withPeer(t, func(t *testing.T, p *Peer, _ *fakePeer) {
 		t.Helper()
@@ -83,10 +81,10 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		if _, err := p.ForwardUserRequest(ctx, Request{ID: slowRequest}); err == nil {
-			t.Error("the slow call succeeded")
+			t.Error("the slow call succeeded, want a timeout")
 		}
 		if p.FailedAt().IsZero() {
-			t.Error("the node does not count as failed")
+			t.Error("FailedAt is not set after the timeout")
 		}
 	})
 }
--- a/peerrpc/stream.go
+++ b/peerrpc/stream.go
@@ -27,7 +27,7 @@
 )
 
 // errBackoff means that the node was not dialed because an attempt has failed recently.
-var errBackoff = errors.New("was not reached a moment ago")
+var errBackoff = errors.New("connection failed recently, waiting to dial again")
 
 // HeartbeatStream forwards workers' heartbeats to another node, many concurrently over
 // one connection. Answers arrive in any order, so a delayed answer does not delay other
--- a/peerrpc/stream_test.go
+++ b/peerrpc/stream_test.go
@@ -14,14 +14,14 @@
 	"github.com/umberdeal/umberdeal/internal/memnet"
 )
 
-// fakePeer is a node that answers heartbeats as a test says.
+// fakePeer is a node whose answers to heartbeats and users' requests a test defines.
 type fakePeer struct {
 	answer     func(r Request) Answer
 	answerUser func(r Request) Answer
 	*memnet.Listener
 	dials  atomic.Int32
-	writes atomic.Int32 // of the stream
-	down   atomic.Bool
+	writes atomic.Int32 // of the dialing side
+	down   atomic.Bool  // dials fail
 }
 
 func (f *fakePeer) HandleHeartbeat(_ context.Context, r Request) Answer { return f.answer(r) }
@@ -36,6 +36,7 @@
 func (f *fakePeer) Overview() []byte                              { return nil }
 func (f *fakePeer) Machines() []byte                              { return nil }
 
+// counted is a connection that counts its writes in n.
 type counted struct {
 	net.Conn
 	n *atomic.Int32
@@ -72,8 +73,8 @@
 	})
 }
 
-// Hundreds of heartbeats go over one connection in few packets; one whose answer
-// is held back holds up no other, and each gets the answer to its own.
+// Hundreds of heartbeats must share one connection with few writes. A delayed answer must not delay
+// the other heartbeats, and each heartbeat must get its own answer.
 func TestHeartbeatsShareAConnectionAndAreAnsweredIndependently(t *testing.T) {
 	withStream(t, func(t *testing.T, l *HeartbeatStream, f *fakePeer) {
 		t.Helper()
@@ -84,7 +85,7 @@
 			return Answer{Status: 200, Body: append([]byte("for "), r.Body...)}
 		}
 		begun := time.Now()
-		var soon, wrong atomic.Int32
+		var prompt, wrong atomic.Int32
 		for i := range 300 {
 			go func() {
 				name := fmt.Sprintf("host-%d", i)
@@ -93,29 +94,29 @@
 					wrong.Add(1)
 				}
 				if time.Since(begun) < 100*time.Millisecond {
-					soon.Add(1)
+					prompt.Add(1)
 				}
 			}()
 		}
 		time.Sleep(3 * time.Second)
-		if wrong.Load() != 0 || soon.Load() != 299 {
-			t.Errorf("%d wrong, %d of 300 at once", wrong.Load(), soon.Load())
+		if wrong.Load() != 0 || prompt.Load() != 299 {
+			t.Errorf("got %d wrong answers and %d prompt ones of 300, want 0 and 299", wrong.Load(), prompt.Load())
 		}
 		if f.dials.Load() != 1 || f.writes.Load() > 10 {
-			t.Errorf("%d connections, %d packets for 300 reports", f.dials.Load(), f.writes.Load())
+			t.Errorf("got %d connections and %d writes for 300 heartbeats, want 1 and at most 10", f.dials.Load(), f.writes.Load())
 		}
 	})
 }
 
-// A late answer says nothing of the connection while others come; a connection
-// that brings nothing at all is given up, and the next heartbeat opens another.
+// A late answer must not close the connection while other answers arrive. A connection on which
+// nothing arrives must be closed, and a later heartbeat must dial a new one.
 func TestSilentStreamIsDroppedAndRedialled(t *testing.T) {
 	withStream(t, func(t *testing.T, l *HeartbeatStream, f *fakePeer) {
 		t.Helper()
-		var still atomic.Bool
+		var silent atomic.Bool
 		wait := make(chan struct{})
 		f.answer = func(r Request) Answer {
-			if still.Load() || string(r.Body) == "late" {
+			if silent.Load() || string(r.Body) == "late" {
 				<-wait
 			}
 			return Answer{Status: 200}
@@ -124,28 +125,28 @@
 		go func() { _, err := l.Forward(t.Context(), Request{Body: []byte("late")}); late <- err }()
 		for range 8 {
 			if _, err := l.Forward(t.Context(), Request{}); err != nil {
-				t.Errorf("held up by another's answer: %v", err)
+				t.Errorf("another heartbeat's late answer caused: %v", err)
 			}
 			time.Sleep(400 * time.Millisecond)
 		}
 		if err := <-late; err == nil || f.dials.Load() != 1 || !l.Reachable() {
-			t.Errorf("late: %v; %d connections", err, f.dials.Load())
+			t.Errorf("late heartbeat: got error %v and %d connections, want a timeout and 1", err, f.dials.Load())
 		}
-		still.Store(true)
+		silent.Store(true)
 		if _, err := l.Forward(t.Context(), Request{}); err == nil || l.Reachable() {
-			t.Errorf("nothing came, and the connection is kept (%v)", err)
+			t.Errorf("the silent connection is kept (error %v)", err)
 		}
-		still.Store(false)
+		silent.Store(false)
 		close(wait)
 		time.Sleep(2 * time.Second)
 		if _, err := l.Forward(t.Context(), Request{}); err != nil || f.dials.Load() != 2 {
-			t.Errorf("not opened again: %v, %d connections", err, f.dials.Load())
+			t.Errorf("after the silence: got error %v and %d connections, want none and 2", err, f.dials.Load())
 		}
 	})
 }
 
-// What is not reached is not tried by each of a thousand workers, and what is
-// under way is bounded.
+// The number of heartbeats in flight must be bounded. During the backoff after a failure, heartbeats
+// must fail at once, so that not each of a thousand workers causes a dial.
 func TestStreamBoundsHeartbeatsInFlightAndBacksOff(t *testing.T) {
 	withStream(t, func(t *testing.T, l *HeartbeatStream, f *fakePeer) {
 		t.Helper()
@@ -161,7 +162,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		if busy.Load() != 200 || l.InFlight() != 500 {
-			t.Errorf("%d turned away, %d under way, of 700 with room for 500", busy.Load(), l.InFlight())
+			t.Errorf("got %d rejected and %d in flight of 700 heartbeats, want 200 and 500", busy.Load(), l.InFlight())
 		}
 		close(wait)
 		time.Sleep(5 * time.Second)
@@ -169,17 +170,17 @@
 		f.down.Store(true)
 		time.Sleep(2 * time.Second)
 		if _, err := l.Forward(t.Context(), Request{}); err == nil || l.Reachable() {
-			t.Error("a node that is not reached counts as reached")
+			t.Error("an unreachable node counts as reachable")
 		}
 		begun := time.Now()
 		if _, err := l.Forward(t.Context(), Request{}); err == nil || time.Since(begun) > 0 {
-			t.Errorf("%v after %v", err, time.Since(begun))
+			t.Errorf("during the backoff: got error %v after %v, want an error at once", err, time.Since(begun))
 		}
 	})
 }
 
-// What is written while the connection is slow must not go over what is on its
-// way; it did after a wake-up that found nothing to write.
+// Data written during a slow flush must not overwrite the data that is being sent. It did after
+// flushLoop had woken up without data to send.
 func TestBatchedWritesArriveInOrderOverSlowConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
@@ -205,11 +206,11 @@
 			}
 		}
 		for i := range 20 {
-			write(10, "a") // taken by one wake-up, with the next,
+			write(10, "a") // sent by one flush together with the next write
 			time.Sleep(2 * time.Millisecond)
-			write(10, "b") // which leaves a wake-up for nothing
+			write(10, "b") // leaves an item in pending without data
 			time.Sleep(20 * time.Millisecond)
-			write(9000, "c") // 90 ms under way
+			write(9000, "c") // takes 90 ms to send
 			time.Sleep(8 * time.Millisecond)
 			write(8000+i, "d")
 			time.Sleep(300 * time.Millisecond)
@@ -218,7 +219,7 @@
 		g.Close()
 		<-done
 		if string(got) != string(want) {
-			t.Errorf("%d bytes were written and %d arrived, or others", len(want), len(got))
+			t.Errorf("%d bytes arrived of %d written, or their content differs", len(got), len(want))
 		}
 	})
 }
