--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -1,9 +1,9 @@
 // Package cloud is the client of the cloud provider's API.
 //
-// The leader uses it to scale out (CreateMachines) and in (DeleteMachines) and to see
-// what is there; every node reads the catalogue of machine types. A Client keeps within
-// its rate of requests, remembers nothing and decides nothing: it does not repeat a
-// request, and which machines exist is for its callers to keep.
+// The leader uses it to scale out (CreateMachines), to scale in (DeleteMachines) and to list
+// the machines (ListMachines). Every node reads the catalogue of machine types
+// (MachineTypes). A Client limits its rate of requests. It keeps no other state and never
+// repeats a request; its callers track which machines exist.
 package cloud
 
 import (
@@ -21,21 +21,20 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// ErrNoCapacity says that no machine was created, and that the same request may be sent
-// again.
+// ErrNoCapacity means that the cloud has created no machine for lack of capacity. The caller
+// may send the same request again.
 var ErrNoCapacity = errors.New("no capacity")
 
 const (
-	// MaxDelete is the largest number of names in one DeleteMachines.
+	// MaxDelete is the largest number of names in one call of DeleteMachines.
 	MaxDelete = 100
-	// MaxCreate is the largest number of machines in one CreateMachines.
+	// MaxCreate is the largest number of machines in one call of CreateMachines.
 	MaxCreate = 50
 
 	maxResponseBytes = 1 << 20
 	listPageSize     = 500
 	requestTimeout   = 5 * time.Second
-	// maxConns bounds the connections to the cloud.
-	maxConns = 4
+	maxConns         = 4
 )
 
 // Client sends requests to the cloud. It is safe for concurrent use.
@@ -45,7 +44,8 @@
 	requests   *rate.Limiter
 }
 
-// New makes a client for at most rps requests a second.
+// New returns a client of the cloud's API at addr that sends at most rps requests per second, with
+// bursts of twice this number.
 func New(dial call.DialFunc, addr string, rps float64) *Client {
 	return &Client{
 		baseURL:    "http://" + addr,
@@ -54,7 +54,8 @@
 	}
 }
 
-// do sends a request and decodes the response into out, if that is not nil.
+// do sends a request within the rate limit and decodes the response into out, unless out is nil.
+// Any status except 200 is an error.
 func (c *Client) do(ctx context.Context, method, path string, in, out any) error {
 	if err := c.requests.Wait(ctx); err != nil {
 		return fmt.Errorf("cloud: %s %s: wait for the rate limit: %w", method, path, err)
@@ -81,37 +82,39 @@
 	return nil
 }
 
-// MachineTypes reads the catalogue.
+// MachineTypes returns the catalogue of machine types.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var t wire.Types
 	err := c.do(ctx, http.MethodGet, "/machine_types", nil, &t)
 	return t.Types, err
 }
 
-// CreateMachines asks for machines and returns their names.
+// CreateMachines rents the requested machines and returns their names. The error is ErrNoCapacity if
+// the cloud has no capacity for them.
 func (c *Client) CreateMachines(ctx context.Context, r wire.Rental) ([]string, error) {
 	var n wire.Names
 	err := c.do(ctx, http.MethodPost, "/machines", r, &n)
 	return n.Machines, err
 }
 
-// DeleteMachines deletes machines; when it has returned nil they are gone.
+// DeleteMachines deletes the named machines, at most MaxDelete. They no longer exist once it has
+// returned nil.
 func (c *Client) DeleteMachines(ctx context.Context, names []string) error {
 	return c.do(ctx, http.MethodPost, "/machines/delete", wire.Names{Machines: names}, nil)
 }
 
-// ListMachines reads the list of all machines. The cloud's list lags behind what was
-// created and deleted.
+// ListMachines returns all machines in the cloud's list. The list lags behind creations and
+// deletions.
 func (c *Client) ListMachines(ctx context.Context) ([]wire.ListedMachine, error) {
 	var all []wire.ListedMachine
 	after := ""
 	for {
-		q := url.Values{"page": {strconv.Itoa(listPageSize)}}
+		query := url.Values{"page": {strconv.Itoa(listPageSize)}}
 		if after != "" {
-			q.Set("after", after)
+			query.Set("after", after)
 		}
 		var page wire.MachineList
-		if err := c.do(ctx, http.MethodGet, "/machines?"+q.Encode(), nil, &page); err != nil {
+		if err := c.do(ctx, http.MethodGet, "/machines?"+query.Encode(), nil, &page); err != nil {
 			return nil, err
 		}
 		all = append(all, page.Machines...)
--- a/cloud/cloud_test.go
+++ b/cloud/cloud_test.go
@@ -19,7 +19,8 @@
 	return b
 }
 
-// Each call sends the recorded request, and reads its answer.
+// The cloud is another program. Each call must send the recorded request and decode its answer as
+// recorded.
 func TestRequestsToTheCloudKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "requests.golden")
 	ctx := t.Context()
@@ -44,13 +45,14 @@
 	}
 }
 
-// Without capacity nothing was rented, and callers tell that from other refusals.
+// Callers handle a lack of capacity differently from other errors, so only the answer "no capacity"
+// may be reported as ErrNoCapacity.
 func TestRefusalForLackOfCapacityIsReported(t *testing.T) {
 	for answer, want := range map[string]bool{"no capacity": true, "other": false} {
 		s := golden.Serve(t, golden.Answer{Status: http.StatusServiceUnavailable, Body: body(t, wire.Error{Error: answer})})
 		_, err := New(s.Dial, "cloud:80", 100).CreateMachines(t.Context(), wire.Rental{})
 		if err == nil || errors.Is(err, ErrNoCapacity) != want {
-			t.Errorf("%q is told as %v", answer, err)
+			t.Errorf("answer %q: got error %v, want ErrNoCapacity: %v", answer, err, want)
 		}
 	}
 }
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -1,11 +1,11 @@
-// Package metrics is what a node shows to operators: counters, gauges and histograms in
-// Prometheus' text format (Set), the recent errors of its log (RecentErrors), and the overview
-// of `umberdeal status` (Overview).
+// Package metrics provides the information that a node shows to operators: counters, gauges
+// and histograms in Prometheus' text format (Set), the recent errors of its log (RecentErrors),
+// and the overview of `umberdeal status` (Overview).
 //
-// It is used by package controller and by the command line, and decides nothing. The methods
-// of a nil Set, except Handler, do nothing, and List of nil RecentErrors returns nothing, so
-// that a node without an address for operators needs no special case. Names of metrics, JSON
-// fields and the texts of the table are read by operators' programs and must not change.
+// Package controller and the command line use it. The methods of a nil Set, except Handler, do
+// nothing, and List of nil RecentErrors returns nil. A node without an address for operators
+// therefore needs no special case. Operators' programs read the metric names, the JSON fields
+// and the texts of the table, so these must not change.
 package metrics
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Step is a part of the time from a job's submission until its tasks run.
+// Step is one step from a job's submission until its tasks run.
 type Step int
 
-// Steps of a submission, each measured from the end of the one before.
+// Steps of a submission. Each is measured from the end of the previous step.
 const (
 	StepAccepted Step = iota // from a submission's arrival at this node to its answer
 	StepPlaced               // from a job's acceptance to a task's placement
@@ -43,7 +43,7 @@
 	transactions          transactionMetrics
 }
 
-// New makes the metrics of a node.
+// New returns the metrics of the named node, with those of the Go runtime and the process.
 func New(node string) *Set {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -71,71 +71,73 @@
 	return s
 }
 
-// RegisterGauge adds a gauge whose value is read at each scrape.
+// RegisterGauge adds a gauge named umberdeal_<name>. Each scrape calls read for its value, possibly
+// concurrently.
 func (s *Set) RegisterGauge(name, help string, read func() float64) {
 	if s != nil {
 		s.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: "umberdeal_" + name, Help: help}, read))
 	}
 }
 
-// RegisterCounter adds a counter whose value is read at each scrape.
+// RegisterCounter adds a counter named umberdeal_<name>. Each scrape calls read for its value, possibly
+// concurrently.
 func (s *Set) RegisterCounter(name, help string, read func() float64) {
 	if s != nil {
 		s.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Name: "umberdeal_" + name, Help: help}, read))
 	}
 }
 
-// ObserveStep records how long a step took.
+// ObserveStep records the duration of a step. A negative duration counts as 0.
 func (s *Set) ObserveStep(step Step, seconds float64) {
 	if s != nil {
 		s.stepSeconds[step].Observe(max(seconds, 0))
 	}
 }
 
-// LeaseLeft records how many seconds of a worker's lease were left when its heartbeat was
-// answered.
+// LeaseLeft records the remaining seconds of a worker's lease when its heartbeat was answered. A
+// negative value counts as 0.
 func (s *Set) LeaseLeft(seconds float64) {
 	if s != nil {
 		s.leaseLeftSeconds.Observe(max(seconds, 0))
 	}
 }
 
-// PreemptionHeld records how long a preemption was held back until the version of the operators'
-// plan by which it was decided was confirmed to be the current one.
+// PreemptionHeld records the delay of a preemption. A preemption is delayed until the version of the
+// operators' plan that led to it is confirmed as the current one.
 func (s *Set) PreemptionHeld(seconds float64) {
 	if s != nil {
 		s.preemptionHeldSeconds.Observe(max(seconds, 0))
 	}
 }
 
-// ObserveSchedulingPass records how long a scheduling pass took.
+// ObserveSchedulingPass records the duration of a scheduling pass.
 func (s *Set) ObserveSchedulingPass(seconds float64) {
 	if s != nil {
 		s.passSeconds.Observe(seconds)
 	}
 }
 
-// CountLeaderChange counts a change of leader.
+// CountLeaderChange counts a change of the leader that this node knows, including a change to none.
 func (s *Set) CountLeaderChange() {
 	if s != nil {
 		s.leaderChanges.Inc()
 	}
 }
 
-// CountRefusal counts a request that was refused, by reason; refusals for overload count too.
+// CountRefusal counts a rejected request by reason, including rejections for overload.
 func (s *Set) CountRefusal(why string) {
 	if s != nil {
 		s.refusals.WithLabelValues(why).Inc()
 	}
 }
 
-// PriorityInversion counts a task that was placed on resources which a waiting job of a
-// higher tier could have used.
+// PriorityInversion counts a task that was placed on resources that a waiting job of a higher
+// tier could have used. tier is the waiting job's tier.
 func (s *Set) PriorityInversion(tier, why string) {
 	if s != nil {
 		s.priorityInversions.WithLabelValues(tier, why).Inc()
 	}
 }
 
-// Handler serves the metrics in Prometheus' text format.
+// Handler returns a handler that serves the metrics in Prometheus' text format. s must not be nil.
 func (s *Set) Handler() http.Handler { return promhttp.HandlerFor(s.registry, promhttp.HandlerOpts{}) }
--- a/metrics/overview.go
+++ b/metrics/overview.go
@@ -6,16 +6,16 @@
 	"github.com/umberdeal/umberdeal/calendar"
 )
 
-// Overview is the state of a node, and of the cluster if a leader answers, as `umberdeal
-// status` shows it. Everything in it is as of the time At: if no leader answers, Cluster and
-// Routing are nil rather than out of date. Operators' programs and nodes of other versions
-// read the JSON, so the names and the order of fields must not change.
+// Overview is the state of a node and of the cluster, as `umberdeal status` shows it. All of it
+// is as of the time At. If no leader answers, Cluster and Routing are nil, so that they never
+// hold outdated data. Operators' programs and nodes of other versions read the JSON, so the
+// names and the order of fields must not change.
 type Overview struct {
 	At             time.Time     `json:"at"`
 	Node           string        `json:"node"`
 	Zone           string        `json:"zone"`
 	Ready          bool          `json:"ready"`
-	StoreReachable bool          `json:"state_served"` // the key-value store
+	StoreReachable bool          `json:"state_served"` // whether the key-value store answers
 	Leader         string        `json:"leader"`       // "" if none is known
 	Connections    Connections   `json:"connections"`
 	Heartbeats     Heartbeats    `json:"reports"`
@@ -25,8 +25,8 @@
 	RecentErrors   []RecentError `json:"troubles,omitempty"`
 }
 
-// Connections counts the open connections of a node, and those that it has closed over the
-// limit since its start.
+// Connections counts the open connections of a node by the kind of client, and the connections that it
+// has closed since its start because they exceeded Limit.
 type Connections struct {
 	Users           int    `json:"users"`
 	Workers         int    `json:"workers"`
@@ -35,27 +35,28 @@
 	ClosedOverLimit uint64 `json:"closed"`
 }
 
-// Heartbeats counts what a node has done with workers' heartbeats since its start.
+// Heartbeats counts workers' heartbeats by the way a node has handled them since its start. Waiting and
+// WorkersServed are current numbers.
 type Heartbeats struct {
-	Forwarded     uint64 `json:"passed"`   // to the leader, with an answer
+	Forwarded     uint64 `json:"passed"`   // forwarded to the leader and answered
 	Failed        uint64 `json:"failed"`   // forwarded without an answer
-	Redirected    uint64 `json:"moved"`    // answered with another node's address, for balance
-	Waiting       int    `json:"waiting"`  // now
-	Refused       uint64 `json:"refused"`  // over the limit
-	WorkersServed int    `json:"answered"` // workers answered here within a lease
+	Redirected    uint64 `json:"moved"`    // answered with another node's address, to balance the workers over nodes
+	Waiting       int    `json:"waiting"`  // waiting for their turn
+	Refused       uint64 `json:"refused"`  // rejected over the limit
+	WorkersServed int    `json:"answered"` // workers that this node has answered within the length of their lease
 }
 
-// Routing is where workers send their heartbeats.
+// Routing is the leader's assignment of workers to the nodes that receive their heartbeats.
 type Routing struct {
 	Workers int      `json:"workers"`
-	Direct  int      `json:"direct"` // of them, to the leader
-	Relays  []string `json:"relays"` // nodes that forward those of the others
+	Direct  int      `json:"direct"` // workers that report to the leader itself
+	Relays  []string `json:"relays"` // nodes that forward the heartbeats of the other workers
 }
 
 // PlanVersion is the version of the operators' plan that a node has loaded.
 type PlanVersion struct {
 	Version    int  `json:"version"`
-	Unreadable bool `json:"lost"` // no version can be read: nothing is placed
+	Unreadable bool `json:"lost"` // no version can be read, so no task is placed
 }
 
 // Cluster is the state of the cluster in the leader's model.
@@ -68,19 +69,19 @@
 	LeaseValid            bool               `json:"sure"`
 	Machines              map[string]int     `json:"machines"` // by state
 	Tasks                 map[string]int     `json:"tasks"`    // by state
-	Jobs                  int                `json:"jobs"`     // that are not over
-	LateJobs              int                `json:"late"`     // of them, past their deadline
+	Jobs                  int                `json:"jobs"`     // unfinished jobs
+	LateJobs              int                `json:"late"`     // unfinished jobs past their deadline
 	LongestWaitSeconds    map[string]float64 `json:"longest_wait_s"`
 	LeastLeaseLeftSeconds float64            `json:"least_lease_left_s"` // of all workers' leases
 	WarmPools             []WarmPool         `json:"pools,omitempty"`
 	PriorityInversions    map[string]uint64  `json:"departures,omitempty"` // tasks, by tier and reason
-	// Jobs that can't start within the starvation bound: those that have waited longest, and
-	// how many there are in all.
+	// StarvedJobs holds the jobs that can't start within the starvation bound and have waited
+	// longest. StarvedJobCount counts all such jobs.
 	StarvedJobs     []StarvedJob `json:"unbegun"`
 	StarvedJobCount int          `json:"unbegun_all"`
 }
 
-// StarvedJob is a job that can't start within the starvation bound.
+// StarvedJob is a job that can't start within the starvation bound. BlockedBy is the reason as text.
 type StarvedJob struct {
 	ID            string  `json:"id"`
 	Class         string  `json:"class"`
@@ -90,18 +91,18 @@
 	WaitedSeconds float64 `json:"waits_s"`
 }
 
-// WarmPool is the state of a warm pool of the operators' plan. Costs are in the unit of the
-// catalogue's prices.
+// WarmPool is the state of a warm pool of the operators' plan. Its machines hold a model's weights.
+// Costs are in the unit of the catalogue's prices.
 type WarmPool struct {
 	Name         string             `json:"name"`
-	Target       int                `json:"aim"`     // machines that it should hold
-	Held         int                `json:"held"`    // machines that it holds
-	Warm         int                `json:"warm"`    // of them, machines with the weights
-	Fetching     int                `json:"filling"` // of them, machines that fetch the weights
-	Hits         int64              `json:"hits"`    // replicas placed on a machine with their weights
-	Misses       int64              `json:"misses"`  // replicas placed on one without
-	Preemptions  int64              `json:"ceded"`   // tasks of other work placed on its machines as a last resort
-	CostLimited  bool               `json:"limited,omitempty"`
-	FetchRefused string             `json:"refused,omitempty"` // why weights are not prefetched
+	Target       int                `json:"aim"`               // number of machines that the pool should hold
+	Held         int                `json:"held"`              // number of machines that the pool holds
+	Warm         int                `json:"warm"`              // held machines that have the weights
+	Fetching     int                `json:"filling"`           // held machines that fetch the weights
+	Hits         int64              `json:"hits"`              // replicas placed on a machine with their weights
+	Misses       int64              `json:"misses"`            // replicas placed on a machine without their weights
+	Preemptions  int64              `json:"ceded"`             // tasks of other work placed on its machines as a last resort
+	CostLimited  bool               `json:"limited,omitempty"` // the pool is at its cost limit
+	FetchRefused string             `json:"refused,omitempty"` // reason why weights are not prefetched; "" if they are
 	Cost         map[string]float64 `json:"cost"`              // by team
 }
--- a/metrics/overview_test.go
+++ b/metrics/overview_test.go
@@ -8,8 +8,8 @@
 	"github.com/umberdeal/umberdeal/internal/golden"
 )
 
-// Operators' programs and nodes of other versions read the overview as JSON, and operators
-// read it as a table.
+// Operators' programs and nodes of other versions read the overview as JSON, and operators read it
+// as a table. Both must match their recorded form.
 func TestOverviewFormatsAreStable(t *testing.T) {
 	f := golden.Open(t, "overview.golden")
 	shown := golden.Codec{Marshal: json.Marshal, Unmarshal: json.Unmarshal}
--- a/metrics/print.go
+++ b/metrics/print.go
@@ -1,3 +1,5 @@
+// The overview as a table.
+
 package metrics
 
 import (
@@ -12,10 +14,10 @@
 	"github.com/umberdeal/umberdeal/calendar"
 )
 
-// maxPastWindows is how many past batch windows of a region an overview shows.
+// maxPastWindows is the number of past batch windows of a region that an overview shows.
 const maxPastWindows = 2
 
-// Print writes the overview as a table.
+// Print writes the overview to out as a table, followed by the batch windows if there are any.
 func (o *Overview) Print(out io.Writer) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	p := tablePrinter{w}
@@ -35,7 +37,7 @@
 	return calendar.Print(out, o.Cluster.BatchWindows, maxPastWindows)
 }
 
-// tablePrinter prints the rows of a table, each with a name and a text.
+// tablePrinter writes the rows of a table. Each row has a name and a text.
 type tablePrinter struct{ out io.Writer }
 
 func (p tablePrinter) row(name, format string, args ...any) {
--- a/metrics/recent_errors.go
+++ b/metrics/recent_errors.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// RecentError is a line of the log that an Overview shows.
+// RecentError is a log line that an Overview shows. Text is the message with its attributes.
 type RecentError struct {
 	At   time.Time `json:"at"`
 	Text string    `json:"text"`
 }
 
-// notableMessages are the messages of log lines that are kept whatever their level. Lines of
-// level error are kept whatever their message.
+// notableMessages lists the messages of log lines that are kept at any level. Lines of level error
+// are kept regardless of their message.
 var notableMessages = []string{
 	"process stalled", "machine lease expired", "no heartbeats reach this leader, resigning",
 	"key-value store unreachable, retrying", "key-value store reachable again", "leader unresponsive",
@@ -25,24 +25,24 @@
 	"records not loaded, retrying", "watch fell behind, resigning",
 }
 
-// maxRecentErrors bounds the lines that are kept.
+// maxRecentErrors is the largest number of lines kept.
 const maxRecentErrors = 64
 
-// RecentErrors is a log handler that passes every line on to another handler, and keeps the
-// last errors and notable lines. It is safe for concurrent use.
+// RecentErrors is a log handler that passes every line to another handler and keeps the most recent
+// errors and notable lines. It is safe for concurrent use.
 type RecentErrors struct {
 	slog.Handler
 	buffer *errorBuffer // shared with the handlers that WithAttrs and WithGroup derive
 	attrs  []slog.Attr
 }
 
-// errorBuffer holds the lines kept, oldest first.
+// errorBuffer holds the kept lines, oldest first.
 type errorBuffer struct {
 	mu      sync.Mutex
 	entries []RecentError
 }
 
-// add adds a line, and drops the oldest ones beyond the limit.
+// add appends a line and drops the oldest lines beyond maxRecentErrors.
 func (b *errorBuffer) add(e RecentError) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,13 +52,13 @@
 	}
 }
 
-// NewRecentErrors returns a handler that passes lines on to h.
+// NewRecentErrors returns a handler that passes lines to h.
 func NewRecentErrors(h slog.Handler) *RecentErrors {
 	return &RecentErrors{Handler: h, buffer: &errorBuffer{}}
 }
 
-// Enabled implements slog.Handler. Lines from level info up are handled even if the wrapped
-// handler ignores them, since notable ones may be among them.
+// Enabled implements slog.Handler. Lines of level info and above are handled even if the wrapped
+// handler ignores them, because their messages may be notable.
 func (r *RecentErrors) Enabled(ctx context.Context, level slog.Level) bool {
 	return level >= slog.LevelInfo || r.Handler.Enabled(ctx, level)
 }
@@ -74,7 +74,8 @@
 	return r.Handler.Handle(ctx, record)
 }
 
-// text is a line's message with its attributes, those of the handler first. Groups are left out.
+// text returns a line's message followed by its attributes, those of the handler first. It omits
+// groups.
 func (r *RecentErrors) text(record slog.Record) string {
 	var text strings.Builder
 	text.WriteString(record.Message)
@@ -99,7 +100,7 @@
 	return &RecentErrors{Handler: r.Handler.WithGroup(name), buffer: r.buffer, attrs: r.attrs}
 }
 
-// List returns the lines kept, oldest first; nil for nil RecentErrors.
+// List returns a copy of the kept lines, oldest first. It returns nil if r is nil.
 func (r *RecentErrors) List() []RecentError {
 	if r == nil {
 		return nil
--- a/metrics/transactions.go
+++ b/metrics/transactions.go
@@ -2,16 +2,17 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// Transaction is what is measured of a compare-and-swap of the key-value store.
+// Transaction holds the measurements of one compare-and-swap transaction of the key-value store.
 type Transaction struct {
-	Client          string // which of the node's clients sent it: "users" or "node"
+	Client          string // client of the node that sent the transaction: "users" or "node"
 	Result          string
 	Changes         int
-	LimiterSeconds  float64 // how long the client's rate limits delayed it
-	ResponseSeconds float64 // from its sending to the response
+	LimiterSeconds  float64 // delay by the client's rate limits
+	ResponseSeconds float64 // from sending the transaction to the response; 0 if it was not sent
 }
 
-// transactionMetrics holds the metrics of transactions, and of the writers that share them among users.
+// transactionMetrics holds the metrics of transactions and of the bucket writers, which combine the
+// writes of several users in one transaction.
 type transactionMetrics struct {
 	changes         *prometheus.HistogramVec // by client and result
 	limiterSeconds  *prometheus.HistogramVec // by client
@@ -38,7 +39,7 @@
 	return m
 }
 
-// ObserveTransaction records a transaction that has ended.
+// ObserveTransaction records a completed transaction.
 func (s *Set) ObserveTransaction(t Transaction) {
 	if s == nil {
 		return
@@ -50,14 +51,15 @@
 	}
 }
 
-// ObserveQueuedWrite records how long a submission or a cancellation was in its bucket's queue.
+// ObserveQueuedWrite records the time in seconds that a submission or cancellation spent in its
+// bucket's queue.
 func (s *Set) ObserveQueuedWrite(kind, result string, seconds float64) {
 	if s != nil {
 		s.transactions.queueSeconds.WithLabelValues(kind, result).Observe(seconds)
 	}
 }
 
-// CountQueuedWriteRetry counts a refused transaction whose writes stayed in their bucket's queue.
+// CountQueuedWriteRetry counts a rejected transaction whose writes stay in their bucket's queue.
 func (s *Set) CountQueuedWriteRetry(kind string) {
 	if s != nil {
 		s.transactions.retries.WithLabelValues(kind).Inc()
--- a/worker/worker.go
+++ b/worker/worker.go
@@ -1,8 +1,8 @@
-// Package worker is the client of the workers' own addresses.
+// Package worker is the client for the HTTP addresses of the workers.
 //
-// The leader uses it to push commands that can't wait for the next heartbeat. The
-// package decides nothing and never repeats a command. A request may be executed minutes
-// after it was given up, so that only stops belong here, never launches.
+// The leader uses it to send commands that can't wait for the next heartbeat. The package
+// never repeats a command. A worker may execute a request minutes after the request has timed
+// out, so callers must send only stops, never launches.
 package worker
 
 import (
@@ -25,16 +25,16 @@
 	httpClient *http.Client
 }
 
-// New makes a client that keeps at most maxIdle connections that it does not use at the
-// moment: there are far more workers than a node has sockets to spare.
+// New returns a client that keeps at most maxIdle idle connections, because a node has far
+// fewer sockets than there are workers.
 func New(dial call.DialFunc, maxIdle int) *Client {
 	return &Client{httpClient: call.NewClient(dial, 1, maxIdle)}
 }
 
-// Command sends commands to a worker's address. It returns the worker's heartbeat, and
-// whether the commands were executed: the worker refuses those with an old fencing token
-// or for another epoch.
-func (c *Client) Command(ctx context.Context, addr string, commands wire.DirectCommands) (wire.Heartbeat, bool, error) {
+// Command sends commands to the worker at addr. It returns the worker's heartbeat. executed is
+// false if the worker rejected the commands because of an old fencing token or a different
+// agent epoch. After an error it is unknown whether the worker executes the commands.
+func (c *Client) Command(ctx context.Context, addr string, commands wire.DirectCommands) (heartbeat wire.Heartbeat, executed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, commandTimeout)
 	defer cancel()
 	status, body, err := call.Do(ctx, c.httpClient, http.MethodPost, "http://"+addr+wire.PathCommands, commands, maxResponseBytes)
@@ -44,7 +44,6 @@
 	if status != http.StatusOK && status != http.StatusConflict {
 		return wire.Heartbeat{}, false, fmt.Errorf("command worker %s: status %d", addr, status)
 	}
-	var heartbeat wire.Heartbeat
 	if err := wire.Unmarshal(body, &heartbeat); err != nil {
 		return heartbeat, false, fmt.Errorf("command worker %s: decode the response: %w", addr, err)
 	}
--- a/worker/worker_test.go
+++ b/worker/worker_test.go
@@ -10,8 +10,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Direct commands are sent in the recorded form; a worker says by the status whether
-// it has executed them.
+// Workers are other programs. Direct commands must be sent in the recorded form, and the status of
+// the answer must determine whether they count as executed.
 func TestDirectCommandsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "requests.golden")
 	report := golden.Filled[wire.Heartbeat]()
@@ -23,12 +23,12 @@
 		s := golden.Serve(t, golden.Answer{Status: status, Body: answer})
 		got, done, err := New(s.Dial, 3).Command(t.Context(), "host-1:90", golden.Filled[wire.DirectCommands]())
 		if err != nil || done != executed || !reflect.DeepEqual(got, report) {
-			t.Errorf("status %d: %+v, %v, %v", status, got, done, err)
+			t.Errorf("status %d: got %+v, %v, %v, want %+v, %v", status, got, done, err, report, executed)
 		}
 		f.Text(fmt.Sprint("request, answered with ", status), fmt.Sprint(s.Asked()))
 	}
 	s := golden.Serve(t, golden.Answer{Status: http.StatusServiceUnavailable, Body: answer})
 	if _, done, err := New(s.Dial, 3).Command(t.Context(), "host-1:90", wire.DirectCommands{}); err == nil || done {
-		t.Error("a refusal counts as an answer")
+		t.Error("status 503 must be an error and not count as executed")
 	}
 }
