--- a/snapshot/encoding_test.go
+++ b/snapshot/encoding_test.go
@@ -10,7 +10,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Snapshots of earlier program versions can be read, and the format that is written has not changed.
+// Snapshots of earlier program versions must stay readable, and the written format must not change.
 func TestSnapshotsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "snapshot.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
@@ -42,12 +42,12 @@
 	}
 	all, err := r.All()
 	if err != nil || r.Header != h || !maps.EqualFunc(all, want, func(a, b wire.Raw) bool { return reflect.DeepEqual(a, b) }) {
-		t.Errorf("read as %+v, %v, %v", r.Header, all, err)
+		t.Errorf("recorded file: got %+v, %v, %v, want %+v, %v", r.Header, all, err, h, want)
 	}
 }
 
-// KeyValue is encoded as an array, so the order of its fields is part of the format. The value here is
-// set by field name, so that swapped fields are noticed: golden.Filled would hide that.
+// KeyValue is encoded as an array, so the order of its fields is part of the format. The test sets the
+// fields by name to detect swapped fields. golden.Filled sets them in their order, which would hide a swap.
 func TestFieldsOfAPairKeepTheirOrder(t *testing.T) {
 	f := golden.Open(t, "arrays.golden")
 	raw, err := wire.Marshal(KeyValue{Key: "key", Value: wire.Raw("\xa5value")})
--- a/snapshot/format.go
+++ b/snapshot/format.go
@@ -1,14 +1,14 @@
 // Package snapshot exports all records of the key-value store to a file, verifies such a file, and
 // imports it into an empty key-value store.
 //
-// Take writes the records as of one revision, also while the controllers are running. A file consists of
-// a header, blocks of entries and a trailer, each with a checksum: Reader.Next returns a block's entries
-// only if the block is intact, and Reader.All returns none unless the whole file is. Verify checks the
-// invariants of the records and changes nothing. Restore writes only into an empty key-value store, and
-// can resume an interrupted import of the same file.
+// Take writes the records as of one revision. Controllers may run at the same time. A file consists of a
+// header, blocks of entries and a trailer, each with a checksum. Reader.Next returns the entries of a
+// block only if the block is intact. Reader.All returns entries only if the whole file is intact. Verify
+// checks the invariants of the records and changes nothing. Restore writes only into an empty key-value
+// store, and can resume an interrupted import of the same file.
 //
-// The package owns no state. It is called by the commands "state export", "state verify" and "state
-// import". docs/jobstore.md describes the format.
+// The package keeps no state. The commands "state export", "state verify" and "state import" call it.
+// docs/jobstore.md describes the format.
 package snapshot
 
 import (
@@ -20,10 +20,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// magic is the start of a file; its last byte is the version of the format.
+// magic is the beginning of a file. Its last byte is the version of the format.
 var magic = []byte("umberdeal snapshot\x01")
 
-// ErrCorrupt means that a file is truncated or altered. The error that wraps it names the block.
+// ErrCorrupt means that a file is truncated or altered. The error that wraps it names the damaged block.
 var ErrCorrupt = errors.New("snapshot damaged")
 
 // Kinds of blocks.
@@ -33,7 +33,8 @@
 	kindTrailer = 'e'
 )
 
-// Layout of a block: its kind, the length of the compressed body, a checksum of kind and body, the body.
+// Layout of a block: one byte for the kind, the length of the compressed body, the checksum of kind and
+// body, and the body.
 const (
 	lengthOffset    = 1
 	checksumOffset  = 5
@@ -42,22 +43,22 @@
 	// A block of entries is written once it has blockEntries entries or blockBytes bytes.
 	blockEntries = 512
 	blockBytes   = 256 << 10
-	// maxBlockBytes bounds what a damaged length can make a reader allocate. It is far more than a
-	// block can have: blockBytes and one more value, which is at most 64 KiB.
+	// maxBlockBytes bounds the memory that a reader allocates for a damaged length. It is far larger
+	// than any block: blockBytes and one more value of at most 64 KiB.
 	maxBlockBytes = 4 << 20
 )
 
-// Header is the first block.
+// Header is the content of a snapshot's first block.
 type Header struct {
-	Revision uint64 `msgpack:"r"`  // revision of the key-value store
-	AtMs     int64  `msgpack:"at"` // Unix milliseconds
-	By       string `msgpack:"by"` // version of the program that wrote it
+	Revision uint64 `msgpack:"r"`  // revision of the key-value store that the entries are from
+	AtMs     int64  `msgpack:"at"` // time of the snapshot in Unix milliseconds
+	By       string `msgpack:"by"` // version of the program that wrote the snapshot
 }
 
-// TakenAt returns when the snapshot was taken.
+// TakenAt returns the time when the snapshot was taken.
 func (h Header) TakenAt() time.Time { return time.UnixMilli(h.AtMs) }
 
-// KeyValue is a key and its value. It is encoded as an array, so the order of the fields is part of the
+// KeyValue is a key and its value. It is encoded as an array, so the order of its fields is part of the
 // format.
 type KeyValue struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by package msgpack
@@ -65,12 +66,13 @@
 	Value    wire.Raw
 }
 
-// trailer is the last block.
+// trailer is the content of the last block.
 type trailer struct {
-	Keys uint64 `msgpack:"n"`
-	Sum  uint64 `msgpack:"x"` // checksum over the headers of all blocks, in order
+	Keys uint64 `msgpack:"n"` // number of entries
+	Sum  uint64 `msgpack:"x"` // checksum over the headers of all earlier blocks, in order
 }
 
+// checksum returns the checksum of a block's kind and compressed body.
 func checksum(kind byte, body []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.Write([]byte{kind}) // Write of a hash never fails
--- a/snapshot/placements.go
+++ b/snapshot/placements.go
@@ -1,10 +1,12 @@
+// Verification of placement pages.
+
 package snapshot
 
 import (
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// checkPlacementPage checks a page of placement records against the jobs, which must have been collected.
+// checkPlacementPage checks a page of placement records against the jobs. v.jobs must be complete.
 func (v *verifier) checkPlacementPage(key string) {
 	var page jobstore.PlacementPage
 	if !v.decode(key, &page) {
@@ -15,8 +17,8 @@
 	}
 }
 
-// checkChunk checks that a chunk is on one page only, belongs to an existing job, and mentions only
-// tasks of the job and chunk, each done or placed once.
+// checkChunk checks that a chunk is on only one page, belongs to an existing job and lists only tasks of
+// the job and chunk. Each task may be done or placed once.
 func (v *verifier) checkChunk(key string, c *jobstore.PlacementChunk) {
 	id := chunkID{c.Job, c.Chunk}
 	if other, ok := v.chunks[id]; ok {
@@ -33,12 +35,12 @@
 	end := min(first+jobstore.ChunkSize, j.record.Job.Tasks)
 	done := v.checkDone(key, c, first, end)
 	if j.record.State != "" {
-		return // leftover placements of a finished job are removed with the page's next change
+		return // the page's next change removes the remaining placements of a finished job
 	}
 	v.checkPlacements(key, c, first, end, done)
 }
 
-// checkDone checks that the done ranges lie within [first, end), and returns the tasks of those that do.
+// checkDone checks that the done ranges lie within [first, end). It returns the tasks of the valid ranges.
 func (v *verifier) checkDone(key string, c *jobstore.PlacementChunk, first, end int) map[int]bool {
 	done := map[int]bool{}
 	for from, to := range c.DoneRanges.All() {
@@ -53,7 +55,7 @@
 	return done
 }
 
-// checkPlacements checks the placements of a chunk whose tasks are [first, end).
+// checkPlacements checks the placements of a chunk that holds the tasks [first, end).
 func (v *verifier) checkPlacements(key string, c *jobstore.PlacementChunk, first, end int, done map[int]bool) {
 	machines := map[int]string{}
 	for _, p := range c.Placements {
--- a/snapshot/plan.go
+++ b/snapshot/plan.go
@@ -1,3 +1,5 @@
+// Verification of the records of the operators' plan.
+
 package snapshot
 
 import (
@@ -10,13 +12,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// checkPlan reports damaged records of the operators' plan. It reads the versions with the functions that
-// controllers use.
+// checkPlan reports damaged records of the operators' plan. It reads the versions with the same functions
+// as the controllers.
 func (v *verifier) checkPlan() {
 	ctx := context.Background()
 	head, err := jobstore.ReadPlanHead(ctx, memoryStore(v.values))
 	if err != nil || head.Version == 0 {
-		return // there is no plan: reads of a memoryStore never fail
+		return // no plan exists; a memoryStore never returns an error
 	}
 	if head.Warning != nil {
 		v.report(jobstore.PlanHeadKey, "%v", head.Warning)
@@ -31,11 +33,11 @@
 	}
 }
 
-// memoryStore presents a snapshot's entries as a read-only key-value store. A snapshot has no versions of
-// keys: each entry is given version 1.
+// memoryStore provides a snapshot's entries as a read-only key-value store. Each entry has version 1,
+// because a snapshot does not record the versions of keys.
 type memoryStore map[string]wire.Raw
 
-// Get implements jobstore.KeyValueReader.
+// Get implements jobstore.KeyValueReader. It never returns an error.
 func (s memoryStore) Get(_ context.Context, key string) (wire.Entry, error) {
 	raw, ok := s[key]
 	if !ok {
@@ -44,7 +46,7 @@
 	return wire.Entry{Key: key, Value: raw, Version: 1}, nil
 }
 
-// List implements jobstore.KeyValueReader.
+// List implements jobstore.KeyValueReader. It never returns an error.
 func (s memoryStore) List(_ context.Context, prefix string) ([]wire.Entry, uint64, error) {
 	var out []wire.Entry
 	for _, key := range slices.Sorted(maps.Keys(s)) {
--- a/snapshot/plan_test.go
+++ b/snapshot/plan_test.go
@@ -14,8 +14,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A snapshot includes the plan's versions, Verify reports a damaged one, and in a key-value store that is
-// restored from the snapshot the same version is in force.
+// A snapshot must include the versions of the operators' plan. A key-value store restored from it must have
+// the same current version, and Verify must report a damaged version.
 func TestPlanSurvivesExportAndImport(t *testing.T) {
 	var file bytes.Buffer
 	limits := jobstore.Limits{TxnOps: 12, ValueKB: 16}
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	if _, found := snapshot.Verify(all); len(found) > 0 {
-		t.Errorf("found %v", found)
+		t.Errorf("intact snapshot: got violations %v", found)
 	}
 	synctest.Test(t, func(t *testing.T) {
 		w := fake.New(fake.Options{Machines: 1, ExternalNodes: true})
@@ -51,10 +51,10 @@
 		}
 		st, err := jobstore.LoadPlan(t.Context(), client(w), func(string) error { return nil })
 		if err != nil || st.Number != 2 || st.Text != text || len(st.Warnings) > 0 {
-			t.Errorf("version %d of %d bytes, %v, %v", st.Number, len(st.Text), st.Warnings, err)
+			t.Errorf("restored plan: got version %d of %d bytes, warnings %v, error %v, want version 2 of %d bytes", st.Number, len(st.Text), st.Warnings, err, len(text))
 		}
 		if v, err := jobstore.ApplyPlan(t.Context(), client(w), limits, jobstore.PlanChange{Base: 2, Text: "note = \"three\"", At: time.Now()}); err != nil || v.Number != 3 {
-			t.Errorf("applied after it: %+v, %v", v, err)
+			t.Errorf("plan applied after the import: got %+v, %v, want version 3", v, err)
 		}
 	})
 	for k := range all {
@@ -64,6 +64,6 @@
 		}
 	}
 	if _, found := snapshot.Verify(all); len(found) != 1 || !strings.Contains(found[0].String(), "version 2") {
-		t.Errorf("damaged: found %v", found)
+		t.Errorf("damaged version: got violations %v, want one about version 2", found)
 	}
 }
--- a/snapshot/reader.go
+++ b/snapshot/reader.go
@@ -13,24 +13,25 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Reader reads a snapshot and checks that it is intact.
+// Reader reads a snapshot and checks its integrity. It is not safe for concurrent use.
 type Reader struct {
 	Header Header
 
 	r       *bufio.Reader
 	decoder *zstd.Decoder
-	sum     *xxhash.Digest // over the blocks' headers
-	offset  int64          // offset of the next block in the file
+	sum     *xxhash.Digest // checksum over the headers of the blocks read
+	offset  int64          // offset of the next block in the file, in bytes
 	block   int            // number of the next block
-	keys    uint64
+	keys    uint64         // number of entries read
 	lastKey string
-	ended   bool
+	ended   bool // the trailer has been read and matches
 }
 
-// maxDecoderMemory bounds the memory that decompressing a block may take.
+// maxDecoderMemory bounds the memory for decompressing a block, in bytes.
 const maxDecoderMemory = 16 << 20
 
-// NewReader returns a Reader after reading the snapshot's header.
+// NewReader reads the header of the snapshot in r and returns a Reader for its entries. The error wraps
+// ErrCorrupt if r is no intact snapshot.
 func NewReader(r io.Reader) (*Reader, error) {
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoderMemory))
 	if err != nil {
@@ -40,15 +41,16 @@
 	got := make([]byte, len(magic))
 	version := len(magic) - 1
 	if _, err := io.ReadFull(s.r, got); err != nil || string(got[:version]) != string(magic[:version]) {
-		return nil, fmt.Errorf("%w: this is no snapshot", ErrCorrupt)
+		return nil, fmt.Errorf("%w: not a snapshot file", ErrCorrupt)
 	}
 	if got[version] != magic[version] {
-		return nil, fmt.Errorf("snapshot: its format has version %d, this program reads %d", got[version], magic[version])
+		return nil, fmt.Errorf("snapshot: the file has format version %d, this program reads version %d", got[version], magic[version])
 	}
 	return s, s.readBlock(kindHeader, &s.Header)
 }
 
-// All reads the remaining entries. It returns them only if the whole file is intact.
+// All reads the remaining entries. It returns them only if the whole file is intact, and an error that
+// wraps ErrCorrupt otherwise.
 func (s *Reader) All() (map[string]wire.Raw, error) {
 	out := map[string]wire.Raw{}
 	for {
@@ -65,8 +67,9 @@
 	}
 }
 
-// Next returns the entries of the next block. After the last it returns io.EOF, but only if the file as a
-// whole has proved intact; entries returned before an ErrCorrupt are intact, but not complete.
+// Next returns the entries of the next block. After the last block it returns io.EOF if the whole file is
+// intact, and an error that wraps ErrCorrupt otherwise. Entries returned before such an error are intact
+// but incomplete.
 func (s *Reader) Next() ([]KeyValue, error) {
 	if s.ended {
 		return nil, io.EOF
@@ -89,7 +92,7 @@
 	return entries, nil
 }
 
-// readTrailer reads the trailer, and returns io.EOF if the file is intact.
+// readTrailer reads the trailer. It returns io.EOF if the file is intact.
 func (s *Reader) readTrailer() error {
 	var t trailer
 	sum := s.sum.Sum64()
@@ -110,10 +113,10 @@
 	return io.EOF
 }
 
-// errOtherKind means that the next block is not of the kind that was to be read.
-var errOtherKind = errors.New("another kind of block")
+// errOtherKind means that the next block is of a different kind than requested.
+var errOtherKind = errors.New("unexpected kind of block")
 
-// readBlock reads a block of the given kind into v. If the next block is of another kind it returns
+// readBlock reads a block of the given kind into v. If the next block is of a different kind, it returns
 // errOtherKind and leaves the block unread.
 func (s *Reader) readBlock(kind byte, v any) error {
 	header, err := s.r.Peek(blockHeaderSize)
@@ -151,7 +154,7 @@
 	return nil
 }
 
-// corrupt returns an ErrCorrupt that names the next block and what is wrong with it.
+// corrupt returns an error that wraps ErrCorrupt and names the next block and the problem.
 func (s *Reader) corrupt(why string) error {
 	return fmt.Errorf("%w: block %d, at byte %d: %s", ErrCorrupt, s.block, s.offset, why)
 }
--- a/snapshot/restore.go
+++ b/snapshot/restore.go
@@ -1,3 +1,5 @@
+// The import of a snapshot into an empty key-value store.
+
 package snapshot
 
 import (
@@ -18,20 +20,23 @@
 	CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
 }
 
-// importMarkKey exists in a key-value store during an import; its value is the snapshot's Header.
+// importMarkKey is the key that exists in a key-value store during an import. Its value is the snapshot's
+// Header.
 const importMarkKey = "ctl/import"
 
-// maxTxnBytes bounds the values of a transaction, to stay below the key-value store's limit of 64 KiB.
-// Values are counted at twice their length, because the key-value store counts them as JSON.
+// maxTxnBytes bounds the total size of the values in a transaction, so that it stays below the key-value
+// store's limit of 64 KiB. Values count as twice their length, because the store counts their size as
+// JSON.
 const maxTxnBytes = 48 << 10
 
-// ErrNotEmpty means that the key-value store has records already, or an unfinished import of another
+// ErrNotEmpty means that the key-value store already has records or an unfinished import of a different
 // snapshot.
 var ErrNotEmpty = errors.New("the state service is not empty")
 
-// Restore writes a snapshot into an empty key-value store, with up to maxOps puts in a transaction, and
-// returns how many keys it has written. If it was interrupted, calling it again with the same snapshot
-// completes the import; keys written before are not counted again.
+// Restore writes a snapshot into an empty key-value store, with up to maxOps puts per transaction. It
+// returns the number of keys that it has written, also after an error. After an interruption, another call
+// with the same snapshot completes the import and counts only the keys that it writes itself. The error
+// wraps ErrNotEmpty if the store is not empty.
 func Restore(ctx context.Context, to Target, h Header, values map[string]wire.Raw, maxOps int) (int, error) {
 	mark, err := beginImport(ctx, to, h)
 	if err != nil {
@@ -58,9 +63,9 @@
 	return written, nil
 }
 
-// beginImport marks an empty key-value store as being imported into, or finds the mark of an interrupted
-// import of the same snapshot. The mark is a guard of every transaction, so that nothing more is written
-// once the import has ended.
+// beginImport puts importMarkKey into an empty key-value store, or finds it there after an interrupted
+// import of the same snapshot. It returns a guard for the key. Every transaction of the import has this
+// guard, so that nothing is written after the import has ended.
 func beginImport(ctx context.Context, to Target, h Header) (wire.Guard, error) {
 	e, err := to.Get(ctx, importMarkKey)
 	if err != nil {
@@ -69,7 +74,7 @@
 	if e.Version != 0 {
 		var started Header
 		if err := wire.Unmarshal(e.Value, &started); err != nil || started != h {
-			return wire.Guard{}, fmt.Errorf("%w: another import was begun there", ErrNotEmpty)
+			return wire.Guard{}, fmt.Errorf("%w: it has an unfinished import of another snapshot", ErrNotEmpty)
 		}
 		return wire.Guard{Key: importMarkKey, Version: e.Version}, nil
 	}
@@ -87,7 +92,7 @@
 	return wire.Guard{Key: importMarkKey, Version: rev}, nil
 }
 
-// nextOps returns puts of the first keys: as many as fit into a transaction, and at least one.
+// nextOps returns puts of the first keys: as many as fit into a transaction, but at least one.
 func nextOps(keys []string, values map[string]wire.Raw, maxOps int) []wire.Op {
 	var ops []wire.Op
 	bytes := 0
@@ -102,7 +107,7 @@
 	return ops
 }
 
-// restoreOps commits puts of keys that do not exist yet, and returns how many it has written.
+// restoreOps commits puts of keys that do not exist yet. It returns the number of keys written.
 func restoreOps(ctx context.Context, to Target, mark wire.Guard, ops []wire.Op) (int, error) {
 	guards := []wire.Guard{mark}
 	for _, op := range ops {
@@ -118,8 +123,9 @@
 	if !writtenBefore(err) {
 		return 0, fmt.Errorf("import: at %q: %w", ops[0].Put, err)
 	}
-	// This import has written some of the keys before: a response was lost, or it was interrupted and
-	// resumed. With a different maxOps they may have been in other transactions, so try each key alone.
+	// An earlier transaction of this import has written some of the keys. Either its response was lost,
+	// or the import was interrupted and resumed. A different maxOps may have divided the keys into other
+	// transactions, so each key is tried alone.
 	written := 0
 	for i, op := range ops {
 		err := retry(ctx, func() error {
@@ -136,7 +142,7 @@
 	return written, nil
 }
 
-// writtenBefore reports whether a transaction failed only because some of its keys exist already.
+// writtenBefore reports whether a transaction failed only because some of its keys already exist.
 func writtenBefore(err error) bool {
 	var conflict *kvstore.ConflictError
 	return errors.As(err, &conflict) && !slices.Contains(conflict.FailedKeys, importMarkKey)
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -18,6 +18,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+// sample returns n entries and a snapshot file that holds them.
 func sample(t *testing.T, n int) (map[string]wire.Raw, []byte) {
 	t.Helper()
 	var buf bytes.Buffer
@@ -55,7 +56,7 @@
 	want, b := sample(t, 2000)
 	got, err := read(b)
 	if err != nil || len(got) != len(want) {
-		t.Fatalf("%d of %d, %v", len(got), len(want), err)
+		t.Fatalf("got %d of %d entries, error %v", len(got), len(want), err)
 	}
 	for k := range want {
 		if !bytes.Equal(got[k], want[k]) {
@@ -64,12 +65,12 @@
 	}
 }
 
-// A file that is truncated or altered anywhere is refused, and the error names the block.
+// A file that is truncated or altered at any position must be rejected. The error must name the block.
 func TestTruncatedOrChangedFileIsRefused(t *testing.T) {
 	_, b := sample(t, 1200)
 	for n := 0; n < len(b); n += 1 + n/7 {
 		if _, err := read(b[:n]); !errors.Is(err, snapshot.ErrCorrupt) {
-			t.Errorf("cut off at %d of %d: %v", n, len(b), err)
+			t.Errorf("truncated at byte %d of %d: got error %v, want ErrCorrupt", n, len(b), err)
 		}
 	}
 	for n := 0; n < len(b); n += 1 + len(b)/400 {
@@ -77,14 +78,14 @@
 		changed[n] ^= 0x20
 		_, err := read(changed)
 		if err == nil {
-			t.Errorf("changed at %d of %d: nothing is said", n, len(b))
+			t.Errorf("byte %d of %d altered: got no error", n, len(b))
 		}
 		if n > 40 && !strings.Contains(fmt.Sprint(err), "block") {
-			t.Errorf("changed at %d: the place is not named: %v", n, err)
+			t.Errorf("byte %d altered: the error does not name the block: %v", n, err)
 		}
 	}
 	if _, err := read(append(bytes.Clone(b), 0)); !errors.Is(err, snapshot.ErrCorrupt) {
-		t.Errorf("with something behind: %v", err)
+		t.Errorf("data after the trailer: got error %v, want ErrCorrupt", err)
 	}
 }
 
@@ -93,7 +94,7 @@
 	f.Add([]byte("umberdeal snapshot\x02"))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if _, err := read(b); err == nil {
-			t.Error("only a writer makes a whole one")
+			t.Error("accepted a file that no Writer has written")
 		}
 	})
 }
@@ -104,7 +105,7 @@
 
 var errCut = errors.New("cut off")
 
-// few is a key-value store client whose transactions fail once left of them have been made.
+// few is a key-value store client whose transactions fail after the first left ones.
 type few struct {
 	*kvstore.Client
 	left int
@@ -117,8 +118,8 @@
 	return f.Client.CompareAndSwap(ctx, guards, ops)
 }
 
-// A snapshot taken while jobs are submitted and end is consistent, and a key-value store restored from it
-// has every job.
+// A snapshot that is taken while jobs are submitted and completed must be consistent. A key-value store
+// restored from it must have every job.
 func TestSnapshotOfRunningClusterRestoresIntoEmptyStore(t *testing.T) {
 	var file bytes.Buffer
 	var known map[string]string
@@ -149,7 +150,7 @@
 	}
 	totals, found := snapshot.Verify(all)
 	if len(found) > 0 || totals.Finished == 0 || totals.Unfinished == 0 {
-		t.Errorf("%+v: %v", totals, found)
+		t.Errorf("got summary %+v and violations %v, want finished and unfinished jobs and no violations", totals, found)
 	}
 	synctest.Test(t, func(t *testing.T) {
 		w := fake.New(fake.Options{Machines: 4})
@@ -158,20 +159,20 @@
 		w.KillAll()
 		time.Sleep(30 * time.Second)
 		if _, err := snapshot.Restore(t.Context(), client(w), r.Header, all, 12); !errors.Is(err, snapshot.ErrNotEmpty) {
-			t.Errorf("into one that is not empty: %v", err)
+			t.Errorf("import into a store that is not empty: got error %v, want ErrNotEmpty", err)
 		}
 		w.Store.Clear()
-		// An interrupted import resumes where it stopped.
+		// An interrupted import must resume where it stopped.
 		first, err := snapshot.Restore(t.Context(), &few{client(w), 4}, r.Header, all, 5)
 		if !errors.Is(err, errCut) || first == 0 {
-			t.Errorf("was not cut off: %d", first)
+			t.Errorf("the interrupted import wrote %d keys and returned %v, want errCut", first, err)
 		}
 		second, err := snapshot.Restore(t.Context(), client(w), r.Header, all, 12)
 		if err != nil || second == 0 {
-			t.Errorf("%d and then %d keys: %v", first, second, err)
+			t.Errorf("resumed import: wrote %d keys after %d, error %v", second, first, err)
 		}
 		if n := len(w.Store.Keys("")); n != len(all) {
-			t.Errorf("%d keys of %d", n, len(all))
+			t.Errorf("the restored store has %d keys, want %d", n, len(all))
 		}
 		rd := jobstore.New(client(w), jobstore.Config{})
 		rctx, stop := context.WithCancel(t.Context())
@@ -179,7 +180,7 @@
 		go func() { defer close(done); rd.Run(rctx) }()
 		for id := range known {
 			if _, ok, err := rd.Lookup(t.Context(), id); err != nil || !ok {
-				t.Errorf("%s is not known: %v", id, err)
+				t.Errorf("job %s is missing in the restored store, error %v", id, err)
 			}
 		}
 		stop()
@@ -187,7 +188,7 @@
 	})
 }
 
-// Each violation of an invariant is reported with its key.
+// Verify must report each violated invariant with the key of the record.
 func TestVerifyReportsEachViolation(t *testing.T) {
 	raw := func(v any) wire.Raw {
 		b, err := wire.Marshal(v)
@@ -216,16 +217,16 @@
 	for _, f := range found {
 		text = append(text, f.String())
 	}
-	said := strings.Join(text, "\n")
+	reported := strings.Join(text, "\n")
 	for _, want := range []string{"w/j/wk-000001: job wk-000001 stands at f/wk-000001", "f/wk-000002: is over with state", "f/wk-000003: its record is that of",
 		"w/j/+0: jobs share a page, and the form is 0", "w/j/+0: job wk-000005", "w/j/wk-000006: can't be read", "w/p/0: task wk-000007/0 is done, and placed on a",
 		"w/p/0: task wk-000007/1 is placed with attempt 9", "w/p/0: job wk-000007 has no task 5", "w/p/0: chunk 0 of job wk-000099, which is not there",
 		"w/p/0: chunk 0 of job wk-000007 stands at"} {
-		if !strings.Contains(said, want) {
-			t.Errorf("not said: %s", want)
+		if !strings.Contains(reported, want) {
+			t.Errorf("missing violation: %s", want)
 		}
 	}
 	if len(found) != 11 {
-		t.Errorf("%d findings:\n%s", len(found), said)
+		t.Errorf("got %d violations, want 11:\n%s", len(found), reported)
 	}
 }
--- a/snapshot/take.go
+++ b/snapshot/take.go
@@ -1,3 +1,5 @@
+// The export of all records as of one revision.
+
 package snapshot
 
 import (
@@ -24,16 +26,16 @@
 }
 
 const (
-	// maxAttempts bounds the tries of a request that the key-value store refuses.
+	// maxAttempts bounds the attempts of a request that the key-value store rejects or does not answer.
 	maxAttempts = 20
-	// listPageSize is how many keys are listed with one request.
+	// listPageSize is the number of keys in one page of the listing.
 	listPageSize = 500
-	// retryStep is the wait before the first retry, and what each further wait is longer by.
+	// retryStep is the delay before the first retry, and the increase of each further delay.
 	retryStep = 100 * time.Millisecond
 )
 
-// retry calls f again, up to maxAttempts times, while the key-value store refuses the request or does not
-// answer. f must be safe to repeat although its outcome is unknown.
+// retry calls f up to maxAttempts times, until it returns nil or an error that is neither
+// kvstore.ErrRefused nor kvstore.ErrOutcomeUnknown. f must be safe to repeat after an unknown outcome.
 func retry(ctx context.Context, f func() error) error {
 	for attempt := 1; ; attempt++ {
 		err := f()
@@ -46,12 +48,12 @@
 	}
 }
 
-// Take reads all records as of one revision, with up to rps requests a second, and writes them to w. It
-// returns the header and the number of keys. by is the program's version, for the header. The leader key
-// is left out.
+// Take reads all records as of one revision, with up to rps requests per second, and writes them to w. It
+// returns the header and the number of keys. by is the program's version for the header. Take omits the
+// leader key.
 //
-// The pages of the listing are of different revisions. So after each page Take also reads the changes
-// since the page before, and applies them; waiting until the end would risk that the key-value store has
+// The pages of the listing are from different revisions. After each page, Take therefore reads and applies
+// the changes since the previous page. At the end of the listing, the key-value store might already have
 // compacted them.
 func Take(ctx context.Context, src Source, rps float64, w io.Writer, by string) (Header, int, error) {
 	l := &lister{
@@ -67,7 +69,7 @@
 			return Header{}, 0, fmt.Errorf("snapshot: changes after revision %d: %w", l.revision, err)
 		}
 	}
-	delete(l.values, election.LeaderKey) // it says who leads now, which is no longer true at an import
+	delete(l.values, election.LeaderKey) // the current leader is no longer valid at an import
 	h := Header{Revision: l.revision, AtMs: time.Now().UnixMilli(), By: by}
 	if err := write(w, h, l.values); err != nil {
 		return h, 0, err
@@ -89,18 +91,18 @@
 	return s.Close()
 }
 
-// lister reads all entries of a key-value store.
+// lister reads all entries of a key-value store as of one revision.
 type lister struct {
 	source  Source
 	limiter *rate.Limiter
 
 	values   map[string]wire.Raw
-	versions map[string]uint64 // including keys that were deleted since the listing began
-	revision uint64            // changes up to it are applied; 0 before the first page
-	lastKey  string            // keys up to it are listed
+	versions map[string]uint64 // by key; includes keys that were deleted after the listing began
+	revision uint64            // all changes up to this revision are applied; 0 before the first page
+	lastKey  string            // the last listed key
 }
 
-// readPage reads the next page of the listing. more is false if it was the last.
+// readPage reads the next page of the listing. more is false after the last page.
 func (l *lister) readPage(ctx context.Context) (more bool, err error) {
 	var page wire.Listing
 	err = retry(ctx, func() (err error) {
@@ -123,8 +125,8 @@
 	return page.More, nil
 }
 
-// readChanges reads and applies the changes since the last call. That includes keys that the listing has
-// not reached yet; the listing then reads them again, in the same or a later version.
+// readChanges reads and applies the changes since l.revision. They may include keys that the listing has
+// not reached. The listing later reads these keys again in the same or a later version.
 func (l *lister) readChanges(ctx context.Context) error {
 	return retry(ctx, func() error {
 		if err := l.limiter.Wait(ctx); err != nil {
@@ -142,7 +144,7 @@
 	})
 }
 
-// apply applies a change unless the lister has the same or a later version of the key.
+// apply applies a change unless the lister already has the same or a later version of the key.
 func (l *lister) apply(e wire.Event) {
 	key := e.Put + e.Delete // one of them is empty
 	if e.Version <= l.versions[key] {
--- a/snapshot/verify.go
+++ b/snapshot/verify.go
@@ -1,3 +1,5 @@
+// Verification of a snapshot's records, except placements, plan and warm pools.
+
 package snapshot
 
 import (
@@ -10,20 +12,27 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Violation is a violation of an invariant of the records.
+// Violation is a violated invariant of the records. Key is the key of the record, Problem describes the
+// violation.
 type Violation struct {
 	Key     string
 	Problem string
 }
 
+// String returns the key and the problem in one line.
 func (v Violation) String() string { return v.Key + ": " + v.Problem }
 
-// Summary counts the content of a snapshot: keys, jobs, placements, and keys with other records.
+// Summary counts the content of a snapshot.
 type Summary struct {
-	Keys, Unfinished, Finished, Placements, Other int
+	Keys       int // all keys
+	Unfinished int // unfinished jobs
+	Finished   int // finished jobs
+	Placements int // placements of unfinished jobs
+	Other      int // keys that hold neither jobs nor placements
 }
 
-// Verify checks the invariants of the records, and returns the violations in the order of their keys.
+// Verify checks the invariants of a snapshot's records. It returns the violations in the order of their
+// keys.
 func Verify(values map[string]wire.Raw) (Summary, []Violation) {
 	v := &verifier{values: values, jobs: map[string]jobLocation{}, chunks: map[chunkID]string{}}
 	v.summary.Keys = len(values)
@@ -43,31 +52,35 @@
 	return v.summary, v.violations
 }
 
-// jobLocation is a job's record, and the key that holds it.
+// jobLocation is a job's record with the key that holds it.
 type jobLocation struct {
 	key    string
 	record jobstore.JobRecord
 }
 
+// chunkID identifies a chunk of a job's tasks.
 type chunkID struct {
 	job   string
 	chunk int
 }
 
+// verifier collects the jobs, counts and violations of a snapshot.
 type verifier struct {
 	values     map[string]wire.Raw
 	schema     jobstore.SchemaRecord
-	jobs       map[string]jobLocation
-	chunks     map[chunkID]string // the placement page that holds each chunk
+	jobs       map[string]jobLocation // by job id
+	chunks     map[chunkID]string     // key of the placement page that holds each chunk
 	summary    Summary
 	violations []Violation
 }
 
+// report adds a violation.
 func (v *verifier) report(key, format string, args ...any) {
 	v.violations = append(v.violations, Violation{key, fmt.Sprintf(format, args...)})
 }
 
-// decode decodes a key's value. If it can't be decoded, it reports that and returns false.
+// decode decodes a key's value into out. If the value can't be decoded, decode reports a violation and
+// returns false.
 func (v *verifier) decode(key string, out any) bool {
 	if err := wire.Unmarshal(v.values[key], out); err != nil {
 		v.report(key, "can't be read: %v", err)
@@ -76,6 +89,7 @@
 	return true
 }
 
+// readSchema reads the schema record, if there is one, and checks its version.
 func (v *verifier) readSchema() {
 	raw, ok := v.values[jobstore.SchemaKey]
 	if !ok || len(raw) == 0 || !v.decode(jobstore.SchemaKey, &v.schema) {
@@ -86,7 +100,8 @@
 	}
 }
 
-// checkKey checks a key that holds jobs, and collects them; it counts other keys, except placement pages.
+// checkKey checks and collects the jobs of a key that holds jobs. It counts other keys, except placement
+// pages.
 func (v *verifier) checkKey(key string) {
 	if jobstore.IsJobPageKey(key) {
 		v.checkJobPage(key)
@@ -107,7 +122,7 @@
 	}
 }
 
-// checkFinal checks and collects a final record.
+// checkFinal checks and collects the record of a finished job.
 func (v *verifier) checkFinal(key, id string) {
 	record, ok := v.decodeJob(key, id)
 	if !ok {
@@ -119,7 +134,8 @@
 	v.addJob(key, id, record)
 }
 
-// decodeJob decodes the record of a job with a key of its own; ok is false if it can't be decoded.
+// decodeJob decodes the record of a job that has a key of its own. ok is false if the record can't be
+// decoded.
 func (v *verifier) decodeJob(key, id string) (record jobstore.JobRecord, ok bool) {
 	if !v.decode(key, &record) {
 		return record, false
@@ -130,7 +146,7 @@
 	return record, true
 }
 
-// checkJobPage checks a job page, and collects its jobs.
+// checkJobPage checks a job page and collects its jobs.
 func (v *verifier) checkJobPage(key string) {
 	page, err := jobstore.DecodeJobPage(v.values[key])
 	if q, ok := jobstore.DecodeQuarantinedPage(v.values[key]); ok {
@@ -158,7 +174,7 @@
 	}
 }
 
-// addJob collects a job, and reports it if another key holds it as well.
+// addJob collects a job. It reports a violation if another key holds the job as well.
 func (v *verifier) addJob(key, id string, record jobstore.JobRecord) {
 	if other, ok := v.jobs[id]; ok {
 		v.report(key, "job %s stands at %s as well", id, other.key)
--- a/snapshot/warmpools.go
+++ b/snapshot/warmpools.go
@@ -1,3 +1,5 @@
+// Verification of the records of warm pools.
+
 package snapshot
 
 import (
@@ -8,8 +10,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// checkWarmPools reports records of warm pools that can't be decoded, and those whose accounts do not
-// balance: the sum charged to teams must equal the cost of the machines, up to the time of the record.
+// checkWarmPools reports records of warm pools that can't be decoded or whose accounts do not balance. The
+// sum charged to teams must equal the cost of the machines up to the time of the record.
 func (v *verifier) checkWarmPools() {
 	records := map[string]wire.Raw{}
 	for key, raw := range v.values {
--- a/snapshot/writer.go
+++ b/snapshot/writer.go
@@ -11,17 +11,18 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Writer writes a snapshot. After an error the file is incomplete.
+// Writer writes a snapshot. After an error, the file is incomplete and the Writer must not be used any
+// more. It is not safe for concurrent use.
 type Writer struct {
 	w       io.Writer
 	encoder *zstd.Encoder
-	sum     *xxhash.Digest // over the blocks' headers
+	sum     *xxhash.Digest // checksum over the headers of the blocks written
 	pending []KeyValue     // entries of the next block
-	bytes   int            // size of pending
-	keys    uint64
+	bytes   int            // size of the pending keys and values
+	keys    uint64         // number of entries added
 }
 
-// NewWriter returns a Writer after writing the snapshot's header.
+// NewWriter writes a snapshot's header to w and returns a Writer for its entries.
 func NewWriter(w io.Writer, h Header) (*Writer, error) {
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	if err != nil {
@@ -34,7 +35,8 @@
 	return s, s.writeBlock(kindHeader, h)
 }
 
-// Add adds an entry. Entries must be added in ascending order of their keys, which Add does not check.
+// Add adds an entry. The caller must add entries in ascending order of their keys. Add does not check the
+// order.
 func (s *Writer) Add(kv KeyValue) error {
 	s.pending = append(s.pending, kv)
 	s.bytes += len(kv.Key) + len(kv.Value)
@@ -45,8 +47,8 @@
 	return s.flush()
 }
 
-// Close writes the remaining entries and the trailer, without which readers report the file as truncated.
-// It does not close the underlying writer.
+// Close writes the remaining entries and the trailer. Readers report a file that has no trailer as
+// truncated. Close does not close the underlying writer.
 func (s *Writer) Close() error {
 	if err := s.flush(); err != nil {
 		return err
@@ -64,6 +66,7 @@
 	return err
 }
 
+// writeBlock writes the compressed encoding of v as a block.
 func (s *Writer) writeBlock(kind byte, v any) error {
 	plain, err := wire.Marshal(v)
 	if err != nil {
