--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -105,13 +105,13 @@
 
 var errCut = errors.New("cut off")
 
-// few is a key-value store client whose transactions fail after the first left ones.
-type few struct {
+// limitedClient is a key-value store client whose transactions fail after the first left ones.
+type limitedClient struct {
 	*kvstore.Client
 	left int
 }
 
-func (f *few) CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error) {
+func (f *limitedClient) CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error) {
 	if f.left--; f.left < 0 {
 		return 0, errCut
 	}
@@ -163,7 +163,7 @@
 		}
 		w.Store.Clear()
 		// An interrupted import must resume where it stopped.
-		first, err := snapshot.Restore(t.Context(), &few{client(w), 4}, r.Header, all, 5)
+		first, err := snapshot.Restore(t.Context(), &limitedClient{client(w), 4}, r.Header, all, 5)
 		if !errors.Is(err, errCut) || first == 0 {
 			t.Errorf("the interrupted import wrote %d keys and returned %v, want errCut", first, err)
 		}
