--- a/cmd/umberdeal/json.go
+++ b/cmd/umberdeal/json.go
@@ -1,3 +1,5 @@
+// JSON input and output of the commands.
+
 package main
 
 import (
@@ -10,10 +12,11 @@
 	"time"
 )
 
-// maxAnswerBytes bounds what is read of an answer.
+// maxAnswerBytes bounds the size of an answer that is read. The rest is ignored.
 const maxAnswerBytes = 64 << 20
 
-// getJSON asks an operators' address. The answer is read whatever the status.
+// getJSON requests path from the address for operators at and decodes the answer into out. It decodes
+// the answer for any status, and returns the status.
 func getJSON(at, path string, out any) (status int, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
@@ -32,15 +35,16 @@
 	return resp.StatusCode, nil
 }
 
+// printJSON writes v as indented JSON.
 func printJSON(w io.Writer, v any) error {
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
 	return enc.Encode(v)
 }
 
-// readJSON reads a JSON object. Whole numbers become integers, since counts must be integers
-// on the wire; numbers within lists and objects, which no field of a job has, are left as
-// json.Number.
+// readJSON reads a JSON object. Numbers without a fraction or exponent become int64, because counts must
+// be integers on the wire. Other numbers become float64. Numbers within lists and nested objects, which
+// no field of a job has, stay json.Number.
 func readJSON(r io.Reader) (map[string]any, error) {
 	dec := json.NewDecoder(r)
 	dec.UseNumber()
--- a/cmd/umberdeal/main.go
+++ b/cmd/umberdeal/main.go
@@ -1,4 +1,5 @@
-// Command umberdeal is the cluster scheduler's daemon and its small client.
+// Command umberdeal runs a controller node of the cluster scheduler, and is the command-line client for
+// users and operators.
 package main
 
 import (
@@ -25,7 +26,7 @@
 	"github.com/umberdeal/umberdeal/yarn"
 )
 
-// version is set when a release is built.
+// version is the version of the program. The release build sets it.
 var version = "0.1.0-dev"
 
 type cli struct {
@@ -45,15 +46,15 @@
 	YARN   string `name:"yarn" placeholder:"FILE" help:"Serve YARN's clients as this file says (TOML)."`
 }
 
-// nodeSettings is what a node's files say.
+// nodeSettings holds the settings from a node's configuration files.
 type nodeSettings struct {
 	platform *config.Settings
 	tuning   config.Tuning
-	yarn     *yarn.Settings // nil: YARN's clients are not served
+	yarn     *yarn.Settings // nil if YARN's clients are not served
 }
 
-// load reads all files, and reports what is wrong in any of them. YARN's settings are checked
-// against the platform's, so they are read only if those are valid.
+// load reads and validates all files. The error joins the problems of all of them. YARN's settings are
+// validated against the platform's settings, so they are read only if the latter are valid.
 func (f *settingsFlags) load() (nodeSettings, error) {
 	var s nodeSettings
 	var platformErr, tuningErr, yarnErr error
@@ -74,7 +75,7 @@
 	}
 	debug.SetMemoryLimit(s.platform.MemoryLimit())
 	if os.Getenv("GOGC") == "" {
-		debug.SetGCPercent(config.GCPercent) // the limit above is what bounds the heap
+		debug.SetGCPercent(config.GCPercent) // the memory limit above bounds the heap
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel()}))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
@@ -86,6 +87,7 @@
 	return n.Run(ctx)
 }
 
+// logLevel returns the level that LOG_LEVEL names, and level info by default.
 func logLevel() slog.Level {
 	switch strings.ToLower(os.Getenv("LOG_LEVEL")) {
 	case "debug":
@@ -125,7 +127,7 @@
 	Node string `required:"" placeholder:"HOST:PORT" help:"A controller node's address."`
 }
 
-// do sends a request, and prints the answer as JSON.
+// do sends a request to the node and prints the answer as JSON. A status other than 2xx is an error.
 func (f *nodeFlag) do(method, path string, in any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -158,7 +160,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = f.Close() }() // only read: there is nothing to lose
+		defer func() { _ = f.Close() }() // the file is only read
 		in = f
 	}
 	job, err := readJSON(in)
--- a/cmd/umberdeal/nights.go
+++ b/cmd/umberdeal/nights.go
@@ -1,3 +1,5 @@
+// The command "plan nights".
+
 package main
 
 import (
@@ -17,8 +19,8 @@
 	JSON bool `name:"json" help:"Print JSON instead of a table."`
 }
 
-// Run shows the committed records, so that no controller needs to run. A record that no leader
-// has updated lately although a batch window is open is marked as stale.
+// Run shows the committed records of the batch windows, so it needs no running controller. It marks a
+// record as stale if a batch window is open and no leader has updated the record recently.
 func (c *planNightsCmd) Run() error {
 	_, store, err := c.open()
 	if err != nil {
--- a/cmd/umberdeal/plan.go
+++ b/cmd/umberdeal/plan.go
@@ -1,3 +1,5 @@
+// The commands "plan apply", "plan show", "plan history" and "plan check".
+
 package main
 
 import (
@@ -26,15 +28,16 @@
 	Pools   planPoolsCmd   `cmd:"" help:"Show each warm pool as recorded: machines, holds, hits, misses, cost by team."`
 }
 
-// stateFlags name a node's settings, which have the address and limits of the key-value store.
+// stateFlags holds the path of a node's settings, which have the address and limits of the key-value
+// store.
 type stateFlags struct {
 	Config string `required:"" placeholder:"FILE" help:"The platform's settings file (TOML)."`
 }
 
-// commandTimeout bounds how long one of these commands runs.
+// commandTimeout bounds the duration of a command that uses commandContext.
 const commandTimeout = time.Minute
 
-// open reads the settings and makes a client of the key-value store.
+// open reads the settings and returns them with a client of the key-value store.
 func (f *stateFlags) open() (*config.Settings, *kvstore.Client, error) {
 	s, err := config.Load(f.Config)
 	if err != nil {
@@ -43,14 +46,15 @@
 	return s, operatorClient(s), nil
 }
 
-// commandContext ends when the command is interrupted, or has taken too long.
+// commandContext returns a context that ends when the command is interrupted or commandTimeout has passed.
 func commandContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(context.Background(), commandTimeout)
 	ctx, release := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	return ctx, func() { release(); cancel() }
 }
 
-// readPlan reads and checks a plan for a deployment.
+// readPlan reads a plan from the named file, or from standard input if name is "-", and validates it for
+// a deployment. It returns the text and the parsed plan.
 func readPlan(name string, s *config.Settings) (string, *plan.Plan, error) {
 	in := io.Reader(os.Stdin)
 	if name != "-" {
@@ -58,7 +62,7 @@
 		if err != nil {
 			return "", nil, err
 		}
-		defer func() { _ = f.Close() }() // only read: there is nothing to lose
+		defer func() { _ = f.Close() }() // the file is only read
 		in = f
 	}
 	text, err := io.ReadAll(io.LimitReader(in, plan.MaxBytes+1))
@@ -130,8 +134,8 @@
 	return nil
 }
 
-// readPlanHead reads which versions there are, and tells the operator if that can't be
-// read as it was written.
+// readPlanHead reads the list of the plan's versions. If the record of the list is damaged, it prints a
+// warning to standard error.
 func readPlanHead(ctx context.Context, store *kvstore.Client) (jobstore.PlanHead, error) {
 	head, err := jobstore.ReadPlanHead(ctx, store)
 	if head.Warning != nil {
--- a/cmd/umberdeal/pools.go
+++ b/cmd/umberdeal/pools.go
@@ -1,3 +1,5 @@
+// The command "plan pools".
+
 package main
 
 import (
@@ -41,17 +43,17 @@
 		fmt.Fprintf(os.Stderr, "%s can't be read\n", name)
 	}
 	if len(pools) == 0 {
-		return errors.New("no pool is recorded: a plan with pools is to be applied first, and a leader takes half a minute")
+		return errors.New("no pool is recorded: apply a plan with pools first, and wait half a minute for a leader to record them")
 	}
 	table := poolTable{pools: pools, withMachines: c.Machines, now: time.Now()}
 	return table.print(os.Stdout)
 }
 
-// staleAfter is how old a pool's record may be; a leader writes it every five
-// minutes at least.
+// staleAfter is the age from which a pool's record counts as stale. A leader writes the record at least
+// every five minutes.
 const staleAfter = 7 * time.Minute
 
-// poolTable shows pools to the operator.
+// poolTable prints the recorded state of pools as a table.
 type poolTable struct {
 	pools        []warmpool.State
 	withMachines bool
@@ -72,6 +74,7 @@
 	return w.Flush()
 }
 
+// printPool prints the record of a pool, without its use and costs.
 func printPool(w io.Writer, pool *warmpool.State, now time.Time) {
 	r := &pool.Record
 	recorded := time.UnixMilli(r.AtMs)
@@ -91,7 +94,7 @@
 	fmt.Fprintf(w, "  this hour\t%d replicas wanted at once so far\n", r.CurrentPeak)
 }
 
-// printPoolUse writes what the pool was of use for, over all of its shards.
+// printPoolUse prints the pool's hits, misses and preemptions, summed over all of its shards.
 func printPoolUse(w io.Writer, shards []warmpool.Shard) {
 	var hits, misses, preemptions int64
 	last := ""
@@ -105,6 +108,7 @@
 	fmt.Fprintf(w, "  ceded\t%d tasks of higher tiers took room%s\n", preemptions, last)
 }
 
+// printPoolCost prints the cost for each team and for all machines of the pool.
 func printPoolCost(w io.Writer, pool *warmpool.State) {
 	teams, total := warmpool.Totals(pool.Shards)
 	for _, team := range slices.Sorted(maps.Keys(teams)) {
@@ -117,11 +121,12 @@
 	fmt.Fprintf(w, "  cost\tall machines %s\n", costText(total.Micros, total.Ms))
 }
 
-// costText is a cost, which is counted in millionths, for a time in milliseconds.
+// costText formats a cost in millionths of the price unit for machine time in milliseconds.
 func costText(micros, ms int64) string {
 	return fmt.Sprintf("%.2f for %.1f machine hours", float64(micros)/1e6, float64(ms)/3.6e6)
 }
 
+// printPoolMachines prints one row for each machine of the pool.
 func printPoolMachines(w io.Writer, pool *warmpool.State) {
 	for _, shard := range pool.Shards {
 		for _, m := range shard.Members {
@@ -135,6 +140,7 @@
 	}
 }
 
+// memberState returns the displayed state of a pool's machine.
 func memberState(leaving, warm bool) string {
 	switch {
 	case leaving:
--- a/cmd/umberdeal/state.go
+++ b/cmd/umberdeal/state.go
@@ -1,3 +1,5 @@
+// The commands "state export", "state verify" and "state import".
+
 package main
 
 import (
@@ -35,20 +37,20 @@
 		return err
 	}
 	if !(c.Share > 0 && c.Share <= 1) {
-		return fmt.Errorf("--share: %v is not a share", c.Share)
+		return fmt.Errorf("--share: %v must be above 0 and at most 1", c.Share)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	// The file gets its name only once it is complete.
+	// The export goes to a temporary file, which gets the final name only when it is complete.
 	part, err := os.CreateTemp(filepath.Dir(c.File), filepath.Base(c.File)+".part-*")
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, part.Close(), os.Remove(part.Name())) }()
-	per := s.Cluster.State.RPS * c.Share
+	rps := s.Cluster.State.RPS * c.Share
 	src := kvstore.New(call.Dialer(), s.Services.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
 	begun := time.Now()
-	h, keys, err := snapshot.Take(ctx, src, per, part, version)
+	h, keys, err := snapshot.Take(ctx, src, rps, part, version)
 	if err != nil {
 		return err
 	}
@@ -62,13 +64,14 @@
 	return nil
 }
 
-// readSnapshot reads all keys of a snapshot file.
+// readSnapshot reads the header and all entries of a snapshot file. It fails unless the whole file is
+// intact.
 func readSnapshot(name string) (h snapshot.Header, all map[string]wire.Raw, err error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return h, nil, err
 	}
-	defer func() { _ = f.Close() }() // only read: there is nothing to lose
+	defer func() { _ = f.Close() }() // the file is only read
 	r, err := snapshot.NewReader(f)
 	if err != nil {
 		return h, nil, fmt.Errorf("%s: %w", name, err)
@@ -95,7 +98,7 @@
 		fmt.Println(f)
 	}
 	if len(found) > 0 {
-		return fmt.Errorf("%d invariants fail", len(found))
+		return fmt.Errorf("the snapshot violates %d invariants", len(found))
 	}
 	return nil
 }
@@ -116,7 +119,7 @@
 		return err
 	}
 	if _, found := snapshot.Verify(all); len(found) > 0 && !c.Anyway {
-		return fmt.Errorf("%d invariants fail in it, the first: %v", len(found), found[0])
+		return fmt.Errorf("the snapshot violates %d invariants, the first: %v", len(found), found[0])
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/cmd/umberdeal/status.go
+++ b/cmd/umberdeal/status.go
@@ -1,3 +1,5 @@
+// The command "status".
+
 package main
 
 import (
--- a/cmd/umberdeal/why.go
+++ b/cmd/umberdeal/why.go
@@ -1,3 +1,5 @@
+// The command "job why".
+
 package main
 
 import (
@@ -38,6 +40,7 @@
 	return nil
 }
 
+// printWhy prints the reasons why a job waits and the jobs ahead of it.
 func printWhy(w *cluster.Explanation) {
 	fmt.Printf("%s: accepted %.0f s ago, %d of %d tasks done, %d on machines\n", w.ID, w.WaitedSeconds, w.Done, w.Tasks, w.Placed)
 	if w.Tier != "" {
--- a/cmd/umberdeal/yarn.go
+++ b/cmd/umberdeal/yarn.go
@@ -1,3 +1,5 @@
+// The commands "yarn apps", "yarn containers" and "yarn queues".
+
 package main
 
 import (
@@ -22,8 +24,9 @@
 	JSON bool   `name:"json" help:"Print JSON instead of a table."`
 }
 
-// get asks the REST interface, and prints the rows under path as a table of these
-// columns, or everything as JSON.
+// get requests path from the node's REST interface and prints the answer. With --json it prints the whole
+// answer as JSON. Otherwise it prints a table of the given columns. rows is the dotted path of the list of
+// rows within the answer.
 func (f *yarnFlags) get(path, rows string, columns ...string) error {
 	var answer map[string]any
 	status, err := getJSON(f.At, path, &answer)
@@ -31,21 +34,22 @@
 		return err
 	}
 	if status != http.StatusOK {
-		_ = printJSON(os.Stderr, answer) // the error below says that it failed
+		_ = printJSON(os.Stderr, answer) // the error returned below matters more
 		return fmt.Errorf("status %d %s", status, http.StatusText(status))
 	}
 	if f.JSON {
 		return printJSON(os.Stdout, answer)
 	}
-	var at any = answer
-	for _, p := range strings.Split(rows, ".") {
-		m, _ := at.(map[string]any)
-		at = m[p]
+	var value any = answer
+	for _, field := range strings.Split(rows, ".") {
+		object, _ := value.(map[string]any)
+		value = object[field]
 	}
-	list, _ := at.([]any)
+	list, _ := value.([]any)
 	return table(os.Stdout, list, columns)
 }
 
+// table prints the given columns of a list of objects.
 func table(out io.Writer, list []any, columns []string) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, strings.ToUpper(strings.Join(columns, "\t")))
