--- a/cloud/cloud.go
+++ b/cloud/cloud.go
@@ -1,7 +1,7 @@
 // Package cloud is the client of the cloud provider's API.
 //
 // The leader uses it to scale out (CreateMachines), to scale in (DeleteMachines) and to list
-// the machines (ListMachines). Every node reads the catalogue of machine types
+// the machines (ListMachines). Every node reads the catalog of machine types
 // (MachineTypes). A Client limits its rate of requests. It keeps no other state and never
 // repeats a request; its callers track which machines exist.
 package cloud
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// MachineTypes returns the catalogue of machine types.
+// MachineTypes returns the catalog of machine types.
 func (c *Client) MachineTypes(ctx context.Context) ([]wire.MachineType, error) {
 	var t wire.Types
 	err := c.do(ctx, http.MethodGet, "/machine_types", nil, &t)
--- a/cmd/umberdeal/json.go
+++ b/cmd/umberdeal/json.go
@@ -15,12 +15,12 @@
 // maxAnswerBytes bounds the size of an answer that is read. The rest is ignored.
 const maxAnswerBytes = 64 << 20
 
-// getJSON requests path from the address for operators at and decodes the answer into out. It decodes
+// getJSON requests path from the address for operators at addr and decodes the answer into out. It decodes
 // the answer for any status, and returns the status.
-func getJSON(at, path string, out any) (status int, err error) {
+func getJSON(addr, path string, out any) (status int, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
 		return 0, err
 	}
--- a/cmd/umberdeal/state.go
+++ b/cmd/umberdeal/state.go
@@ -49,7 +49,7 @@
 	defer func() { err = errors.Join(err, part.Close(), os.Remove(part.Name())) }()
 	rps := s.Cluster.State.RPS * c.Share
 	src := kvstore.New(call.Dialer(), s.Services.State, s.Cluster.State.RPS, s.Cluster.State.WriteRPS)
-	begun := time.Now()
+	started := time.Now()
 	h, keys, err := snapshot.Take(ctx, src, rps, part, version)
 	if err != nil {
 		return err
@@ -60,7 +60,7 @@
 	if err := os.Link(part.Name(), c.File); err != nil {
 		return err
 	}
-	fmt.Printf("%d keys as of revision %d, %.1f s\n", keys, h.Revision, time.Since(begun).Seconds())
+	fmt.Printf("%d keys as of revision %d, %.1f s\n", keys, h.Revision, time.Since(started).Seconds())
 	return nil
 }
 
--- a/cmd/umberdeal/why.go
+++ b/cmd/umberdeal/why.go
@@ -28,14 +28,14 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	why, over, err := controller.WhyWaiting(ctx, s, store, c.ID, time.Now())
+	explanation, finalState, err := controller.WhyWaiting(ctx, s, store, c.ID, time.Now())
 	switch {
 	case err != nil:
 		return err
-	case over != "":
-		fmt.Printf("%s is %s\n", c.ID, over)
+	case finalState != "":
+		fmt.Printf("%s is %s\n", c.ID, finalState)
 	default:
-		printWhy(&why)
+		printWhy(&explanation)
 	}
 	return nil
 }
--- a/config/leases.go
+++ b/config/leases.go
@@ -40,9 +40,9 @@
 //   - Above preferredLeaderLeaseS, a worker must be able to find the next leader before its own lease
 //     expires if the leader has crashed.
 func (w Workers) LeaderLeaseS() float64 {
-	cancelInTime := (w.CancelS - w.LeaseS) / 2
-	most := min(cancelInTime, w.LeaseS-w.HeartbeatS-findLeaderS)
-	return min(cancelInTime, max(preferredLeaderLeaseS, min(most, storeOutageS+w.HeartbeatS-w.LeaseS)))
+	maxLeaseForCancel := (w.CancelS - w.LeaseS) / 2
+	maxLease := min(maxLeaseForCancel, w.LeaseS-w.HeartbeatS-findLeaderS)
+	return min(maxLeaseForCancel, max(preferredLeaderLeaseS, min(maxLease, storeOutageS+w.HeartbeatS-w.LeaseS)))
 }
 
 // CancelledGoneWithinS returns the time in seconds, from the confirmation of a cancellation to the
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -47,12 +47,12 @@
 func New(node string) *Set {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	labelled := prometheus.WrapRegistererWith(prometheus.Labels{"node": node}, registry)
+	labeled := prometheus.WrapRegistererWith(prometheus.Labels{"node": node}, registry)
 	s := &Set{registry: registry}
 	for i, name := range stepMetricNames {
 		s.stepSeconds[i] = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "umberdeal_" + name + "_seconds",
 			Help: "Time of this step of a submission or a task.", Buckets: prometheus.ExponentialBuckets(0.01, 2, 16)})
-		labelled.MustRegister(s.stepSeconds[i])
+		labeled.MustRegister(s.stepSeconds[i])
 	}
 	s.leaseLeftSeconds = prometheus.NewHistogram(prometheus.HistogramOpts{Name: "umberdeal_lease_left_seconds",
 		Help: "What a worker's lease had left when its report was answered.", Buckets: prometheus.LinearBuckets(0, 2, 20)})
@@ -66,8 +66,8 @@
 		Help: "Requests that were given a final answer other than what they asked for, by reason."}, []string{"why"})
 	s.priorityInversions = prometheus.NewCounterVec(prometheus.CounterOpts{Name: "umberdeal_order_departures_total",
 		Help: "Tasks placed on room that a waiting job of a higher tier could have had, by that tier and reason."}, []string{"tier", "why"})
-	labelled.MustRegister(s.leaseLeftSeconds, s.passSeconds, s.preemptionHeldSeconds, s.leaderChanges, s.refusals, s.priorityInversions)
-	s.transactions = newTransactionMetrics(labelled)
+	labeled.MustRegister(s.leaseLeftSeconds, s.passSeconds, s.preemptionHeldSeconds, s.leaderChanges, s.refusals, s.priorityInversions)
+	s.transactions = newTransactionMetrics(labeled)
 	return s
 }
 
--- a/metrics/overview.go
+++ b/metrics/overview.go
@@ -92,7 +92,7 @@
 }
 
 // WarmPool is the state of a warm pool of the operators' plan. Its machines hold a model's weights.
-// Costs are in the unit of the catalogue's prices.
+// Costs are in the unit of the catalog's prices.
 type WarmPool struct {
 	Name         string             `json:"name"`
 	Target       int                `json:"aim"`               // number of machines that the pool should hold
--- a/metrics/transactions.go
+++ b/metrics/transactions.go
@@ -21,7 +21,7 @@
 	retries         *prometheus.CounterVec   // by kind
 }
 
-func newTransactionMetrics(labelled prometheus.Registerer) transactionMetrics {
+func newTransactionMetrics(labeled prometheus.Registerer) transactionMetrics {
 	seconds := prometheus.ExponentialBuckets(0.002, 2, 14)
 	m := transactionMetrics{
 		changes: prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "umberdeal_transaction_changes",
@@ -35,7 +35,7 @@
 		retries: prometheus.NewCounterVec(prometheus.CounterOpts{Name: "umberdeal_queued_write_retries_total",
 			Help: "Transactions of a bucket's writer that were refused, and whose writes stayed in the queue."}, []string{"kind"}),
 	}
-	labelled.MustRegister(m.changes, m.limiterSeconds, m.responseSeconds, m.queueSeconds, m.retries)
+	labeled.MustRegister(m.changes, m.limiterSeconds, m.responseSeconds, m.queueSeconds, m.retries)
 	return m
 }
 
--- a/peerrpc/encoding_test.go
+++ b/peerrpc/encoding_test.go
@@ -57,40 +57,40 @@
 	}
 )
 
-// served is a Handler that records the requests it receives.
-type served struct {
+// recordingHandler is a Handler that records the requests it receives.
+type recordingHandler struct {
 	mu    sync.Mutex
 	asked []string
 }
 
-func (s *served) note(method string, r Request) {
+func (s *recordingHandler) note(method string, r Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.asked = append(s.asked, fmt.Sprint(method, " ", r))
 }
 
-func (s *served) HandleHeartbeat(_ context.Context, r Request) Answer {
+func (s *recordingHandler) HandleHeartbeat(_ context.Context, r Request) Answer {
 	s.note("Report", r)
 	return golden.Filled[Answer]()
 }
 
-func (s *served) HandleUserRequest(_ context.Context, r Request) Answer {
+func (s *recordingHandler) HandleUserRequest(_ context.Context, r Request) Answer {
 	s.note("User", r)
 	return golden.Filled[Answer]()
 }
 
-func (s *served) RecoverRecord(_ context.Context, r Request) Answer {
+func (s *recordingHandler) RecoverRecord(_ context.Context, r Request) Answer {
 	s.note("Recall", r)
 	return golden.Filled[Answer]()
 }
 
-func (s *served) Status(r Request) Status {
+func (s *recordingHandler) Status(r Request) Status {
 	s.note("Status", r)
 	return golden.Filled[Status]()
 }
 
-func (s *served) Overview() []byte { return []byte("overview") }
-func (s *served) Machines() []byte { return []byte("machines") }
+func (s *recordingHandler) Overview() []byte { return []byte("overview") }
+func (s *recordingHandler) Machines() []byte { return []byte("machines") }
 
 // exchange is a request and its answer.
 type exchange struct {
@@ -103,36 +103,40 @@
 
 func exchanges() []exchange {
 	request, answer, status := golden.Filled[sentRequest](), golden.Filled[sentAnswer](), golden.Filled[sentStatus]()
-	now, told, how := golden.Filled[Request](), golden.Filled[Answer](), golden.Filled[Status]()
+	currentRequest, currentAnswer, currentStatus := golden.Filled[Request](), golden.Filled[Answer](), golden.Filled[Status]()
 	return []exchange{
-		{"Report", request, answer, func(ctx context.Context, _ *Peer, l *HeartbeatStream) (any, error) { return l.Forward(ctx, now) }, told},
+		{"Report", request, answer, func(ctx context.Context, _ *Peer, l *HeartbeatStream) (any, error) {
+			return l.Forward(ctx, currentRequest)
+		}, currentAnswer},
 		{"User", request, answer, func(ctx context.Context, p *Peer, _ *HeartbeatStream) (any, error) {
-			return p.ForwardUserRequest(ctx, now)
-		}, told},
+			return p.ForwardUserRequest(ctx, currentRequest)
+		}, currentAnswer},
 		{"Recall", request, answer, func(ctx context.Context, p *Peer, _ *HeartbeatStream) (any, error) {
-			return p.FetchRecoveredRecord(ctx, now)
-		}, told},
-		{"Status", request, status, func(ctx context.Context, p *Peer, _ *HeartbeatStream) (any, error) { return p.Status(ctx, now) }, how},
+			return p.FetchRecoveredRecord(ctx, currentRequest)
+		}, currentAnswer},
+		{"Status", request, status, func(ctx context.Context, p *Peer, _ *HeartbeatStream) (any, error) {
+			return p.Status(ctx, currentRequest)
+		}, currentStatus},
 		{"Overview", sentRequest{}, []byte("overview"), func(ctx context.Context, p *Peer, _ *HeartbeatStream) (any, error) { return p.Overview(ctx) }, []byte("overview")},
 		{"Machines", sentRequest{}, []byte("machines"), func(ctx context.Context, p *Peer, _ *HeartbeatStream) (any, error) { return p.Machines(ctx) }, []byte("machines")},
 	}
 }
 
-// tapped records the data written to and read from a connection.
-type tapped struct {
+// recordingConn records the data written to and read from a connection.
+type recordingConn struct {
 	net.Conn
 	mu            sync.Mutex
 	written, read bytes.Buffer
 }
 
-func (c *tapped) Write(b []byte) (int, error) {
+func (c *recordingConn) Write(b []byte) (int, error) {
 	c.mu.Lock()
 	c.written.Write(b)
 	c.mu.Unlock()
 	return c.Conn.Write(b)
 }
 
-func (c *tapped) Read(b []byte) (int, error) {
+func (c *recordingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.mu.Lock()
 	c.read.Write(b[:n])
@@ -140,33 +144,33 @@
 	return n, err
 }
 
-// conns is a listener that accepts the connections sent to the channel c.
-type conns struct {
-	c    chan net.Conn
-	ends chan struct{}
-	once sync.Once
+// connListener is a listener that accepts the connections sent to the channel conns.
+type connListener struct {
+	conns  chan net.Conn
+	closed chan struct{}
+	once   sync.Once
 }
 
-func (l *conns) Accept() (net.Conn, error) {
+func (l *connListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.c:
+	case c := <-l.conns:
 		return c, nil
-	case <-l.ends:
+	case <-l.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (l *conns) Close() error {
-	l.once.Do(func() { close(l.ends) })
+func (l *connListener) Close() error {
+	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
-func (l *conns) Addr() net.Addr { return &net.UnixAddr{Name: "conns"} }
+func (l *connListener) Addr() net.Addr { return &net.UnixAddr{Name: "conns"} }
 
 // startServer runs this version's server for a test. The returned function opens a connection to it.
 func startServer(t *testing.T, h Handler) func() net.Conn {
 	t.Helper()
-	l := &conns{c: make(chan net.Conn), ends: make(chan struct{})}
+	l := &connListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error)
 	go func() { done <- Serve(ctx, l, h, 100) }()
@@ -178,7 +182,7 @@
 	})
 	return func() net.Conn {
 		a, b := net.Pipe()
-		l.c <- b
+		l.conns <- b
 		return a
 	}
 }
@@ -216,9 +220,9 @@
 func TestControllersOfTwoVersionsInteroperate(t *testing.T) {
 	f := golden.Open(t, "exchanges.golden")
 	for _, x := range exchanges() {
-		node := &served{}
+		node := &recordingHandler{}
 		dial := startServer(t, node)
-		c := &tapped{Conn: dial()}
+		c := &recordingConn{Conn: dial()}
 		if got, err := x.ask(t, c); err != nil || !reflect.DeepEqual(got, x.want) {
 			t.Fatalf("%s among nodes of this version: got %+v, %v, want %+v", x.method, got, err, x.want)
 		}
--- a/peerrpc/peer.go
+++ b/peerrpc/peer.go
@@ -37,11 +37,11 @@
 	dialing chan struct{} // semaphore: one caller dials at a time
 	sending chan struct{} // semaphore: one request is written at a time
 
-	mu        sync.Mutex // guards the fields below
-	rpcClient *rpc.Client
-	redialAt  time.Time // earliest time of the next dial
-	failedAt  time.Time // time of the last unanswered call; zero if a later call was answered
-	answered  time.Time // time of the last answer
+	mu         sync.Mutex // guards the fields below
+	rpcClient  *rpc.Client
+	redialAt   time.Time // earliest time of the next dial
+	failedAt   time.Time // time of the last unanswered call; zero if a later call was answered
+	answeredAt time.Time // time of the last answer
 }
 
 // NewPeer returns a Peer for the node at addr. It does not dial.
@@ -180,9 +180,9 @@
 		p.recordOutcome(nil)
 		return nil
 	}
-	var answered rpc.ServerError
+	var serverError rpc.ServerError
 	switch {
-	case errors.As(err, &answered):
+	case errors.As(err, &serverError):
 		p.recordOutcome(nil)
 	case ctx.Err() != nil && p.answeredSince(began):
 		// The node answers other calls, and only this one exceeds its timeout. Closing the
@@ -203,14 +203,14 @@
 		p.failedAt = time.Now()
 		return
 	}
-	p.failedAt, p.answered = time.Time{}, time.Now()
+	p.failedAt, p.answeredAt = time.Time{}, time.Now()
 }
 
 // answeredSince reports whether the node has answered a call after t.
 func (p *Peer) answeredSince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.answered.After(t)
+	return p.answeredAt.After(t)
 }
 
 // drop closes a connection on which a call failed, so that a later call dials a new one.
--- a/peerrpc/stream.go
+++ b/peerrpc/stream.go
@@ -125,19 +125,19 @@
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	var a Answer
-	sent := c.rpcClient.Go(serviceName+".Report", r.message(), &a, make(chan *rpc.Call, 1))
+	pending := c.rpcClient.Go(serviceName+".Report", r.message(), &a, make(chan *rpc.Call, 1))
 	timedOut := false
 	select {
-	case <-sent.Done:
-		err = sent.Error
+	case <-pending.Done:
+		err = pending.Error
 	case <-ctx.Done():
 		err, timedOut = ctx.Err(), true
 	}
 	if err == nil {
 		return a, nil
 	}
-	var answered rpc.ServerError
-	alive := errors.As(err, &answered) || timedOut && c.sinceLastRead() < maxSilence
+	var serverError rpc.ServerError
+	alive := errors.As(err, &serverError) || timedOut && c.sinceLastRead() < maxSilence
 	if !alive {
 		s.drop(c)
 	}
--- a/snapshot/plan_test.go
+++ b/snapshot/plan_test.go
@@ -49,9 +49,9 @@
 		if _, err := snapshot.Restore(t.Context(), client(w), r.Header, all, 12); err != nil {
 			t.Fatal(err)
 		}
-		st, err := jobstore.LoadPlan(t.Context(), client(w), func(string) error { return nil })
-		if err != nil || st.Number != 2 || st.Text != text || len(st.Warnings) > 0 {
-			t.Errorf("restored plan: got version %d of %d bytes, warnings %v, error %v, want version 2 of %d bytes", st.Number, len(st.Text), st.Warnings, err, len(text))
+		state, err := jobstore.LoadPlan(t.Context(), client(w), func(string) error { return nil })
+		if err != nil || state.Number != 2 || state.Text != text || len(state.Warnings) > 0 {
+			t.Errorf("restored plan: got version %d of %d bytes, warnings %v, error %v, want version 2 of %d bytes", state.Number, len(state.Text), state.Warnings, err, len(text))
 		}
 		if v, err := jobstore.ApplyPlan(t.Context(), client(w), limits, jobstore.PlanChange{Base: 2, Text: "note = \"three\"", At: time.Now()}); err != nil || v.Number != 3 {
 			t.Errorf("plan applied after the import: got %+v, %v, want version 3", v, err)
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -174,12 +174,12 @@
 		if n := len(w.Store.Keys("")); n != len(all) {
 			t.Errorf("the restored store has %d keys, want %d", n, len(all))
 		}
-		rd := jobstore.New(client(w), jobstore.Config{})
-		rctx, stop := context.WithCancel(t.Context())
+		store := jobstore.New(client(w), jobstore.Config{})
+		runCtx, stop := context.WithCancel(t.Context())
 		done := make(chan struct{})
-		go func() { defer close(done); rd.Run(rctx) }()
+		go func() { defer close(done); store.Run(runCtx) }()
 		for id := range known {
-			if _, ok, err := rd.Lookup(t.Context(), id); err != nil || !ok {
+			if _, ok, err := store.Lookup(t.Context(), id); err != nil || !ok {
 				t.Errorf("job %s is missing in the restored store, error %v", id, err)
 			}
 		}
@@ -197,17 +197,17 @@
 		}
 		return b
 	}
-	rec := func(n int, st string) jobstore.JobRecord {
+	record := func(n int, st string) jobstore.JobRecord {
 		return jobstore.JobRecord{Job: scenario.Job(n, nil), State: st}
 	}
 	all := map[string]wire.Raw{
-		jobstore.JobKey("wk-000001"):   raw(rec(1, "")),
-		jobstore.FinalKey("wk-000001"): raw(rec(1, wire.JobDone)),
-		jobstore.FinalKey("wk-000002"): raw(rec(2, "lost")),
-		jobstore.FinalKey("wk-000003"): raw(rec(4, wire.JobDone)),
+		jobstore.JobKey("wk-000001"):   raw(record(1, "")),
+		jobstore.FinalKey("wk-000001"): raw(record(1, wire.JobDone)),
+		jobstore.FinalKey("wk-000002"): raw(record(2, "lost")),
+		jobstore.FinalKey("wk-000003"): raw(record(4, wire.JobDone)),
 		jobstore.HeadPageKey(0):        raw(jobstore.JobPage{Entries: []jobstore.JobPageEntry{{ID: "wk-000005", Record: wire.Raw{0xc0}}}}),
 		jobstore.JobKey("wk-000006"):   {0xc1},
-		jobstore.JobKey("wk-000007"):   raw(rec(7, "")),
+		jobstore.JobKey("wk-000007"):   raw(record(7, "")),
 		jobstore.PlacementPageKey(0): raw(jobstore.PlacementPage{Chunks: []jobstore.PlacementChunk{
 			{Job: "wk-000007", MaxAttempt: 3, DoneRanges: []int{0, 0}, Placements: []jobstore.Placement{{Task: 0, Attempt: 2, Machine: "a"}, {Task: 1, Attempt: 9, Machine: "b"}, {Task: 5, Attempt: 1, Machine: "c"}}},
 			{Job: "wk-000099"}, {Job: "wk-000007"}}}),
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -2,12 +2,12 @@
 
 package wire
 
-// Types is the catalogue of machine types that the cloud offers.
+// Types is the catalog of machine types that the cloud offers.
 type Types struct {
 	Types []MachineType `msgpack:"gammes"`
 }
 
-// MachineType describes one machine type of the catalogue: its resources, prices and zones.
+// MachineType describes one machine type of the catalog: its resources, prices and zones.
 type MachineType struct {
 	Name       string   `msgpack:"sku"`
 	CPUs       float64  `msgpack:"cpus"`
--- a/wire/encoding_test.go
+++ b/wire/encoding_test.go
@@ -50,13 +50,13 @@
 	deadline := 90.5
 	full := Job{ID: "wk-000412", Class: "class", Team: "team", Kind: KindGang, Priority: PriorityHigh, Tasks: 3, CPUs: 1.5, GPUs: 2, MemoryGB: 3.5, Image: "image:v1",
 		ImageGB: 4.5, Types: []string{"m4", "m8"}, Zone: "a", OneZone: true, Spread: true, Spot: true, EstimateS: 5.5, CheckpointS: 6.5, SaveS: 7.5, DeadlineS: &deadline}
-	least := Job{ID: "wk-000413", Class: "class", Team: "team", Kind: KindArray, Priority: PriorityLow, Tasks: 1, MemoryGB: 1, Image: "image"}
-	for label, j := range map[string]Job{"every field": full, "the fewest fields": least} {
-		now, err := Marshal(j)
+	minimal := Job{ID: "wk-000413", Class: "class", Team: "team", Kind: KindArray, Priority: PriorityLow, Tasks: 1, MemoryGB: 1, Image: "image"}
+	for label, j := range map[string]Job{"every field": full, "the fewest fields": minimal} {
+		encoded, err := Marshal(j)
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Bytes(label, now)
+		f.Bytes(label, encoded)
 		got, err := DecodeJob(f.Recorded(label))
 		if err != nil || !reflect.DeepEqual(got, j) {
 			t.Errorf("%s: got\n %+v, %v\nwant\n %+v", label, got, err, j)
