--- a/cmd/umberdeal/json.go
+++ b/cmd/umberdeal/json.go
@@ -15,7 +15,7 @@
 // maxAnswerBytes bounds the size of an answer that is read. The rest is ignored.
 const maxAnswerBytes = 64 << 20
 
-// getJSON requests path from the address for operators at addr and decodes the answer into out. It decodes
+// getJSON requests path from a node's address for operators and decodes the answer into out. It decodes
 // the answer for any status, and returns the status.
 func getJSON(addr, path string, out any) (status int, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
--- a/config/leases.go
+++ b/config/leases.go
@@ -10,8 +10,8 @@
 // ClockDrift is the largest drift between two monotonic clocks, as a fraction of the elapsed time.
 const ClockDrift = 0.0005
 
-// Times in seconds from which the length of the leader's lease is computed. docs/design.md, "The
-// gap", explains the computation.
+// Times in seconds from which the length of the leader's lease is computed. The section "The gap" of
+// docs/design.md explains the computation.
 const (
 	// storeOutageS is the length of an outage of the key-value store that tasks should survive.
 	storeOutageS = 32
--- a/metrics/overview.go
+++ b/metrics/overview.go
@@ -31,8 +31,8 @@
 	Users           int    `json:"users"`
 	Workers         int    `json:"workers"`
 	Other           int    `json:"other"`
-	Limit           int    `json:"most"`
-	ClosedOverLimit uint64 `json:"closed"`
+	Limit           int    `json:"most"`   // largest number of open connections
+	ClosedOverLimit uint64 `json:"closed"` // connections closed over Limit
 }
 
 // Heartbeats counts workers' heartbeats by the way a node has handled them since its start. Waiting and
@@ -40,7 +40,7 @@
 type Heartbeats struct {
 	Forwarded     uint64 `json:"passed"`   // forwarded to the leader and answered
 	Failed        uint64 `json:"failed"`   // forwarded without an answer
-	Redirected    uint64 `json:"moved"`    // answered with another node's address, to balance the workers over nodes
+	Redirected    uint64 `json:"moved"`    // redirected to another node, to balance the workers over nodes
 	Waiting       int    `json:"waiting"`  // waiting for their turn
 	Refused       uint64 `json:"refused"`  // rejected over the limit
 	WorkersServed int    `json:"answered"` // workers that this node has answered within the length of their lease
@@ -67,11 +67,11 @@
 	FencingToken          uint64             `json:"token"`
 	LeaderSince           time.Time          `json:"since"`
 	LeaseValid            bool               `json:"sure"`
-	Machines              map[string]int     `json:"machines"` // by state
-	Tasks                 map[string]int     `json:"tasks"`    // by state
-	Jobs                  int                `json:"jobs"`     // unfinished jobs
-	LateJobs              int                `json:"late"`     // unfinished jobs past their deadline
-	LongestWaitSeconds    map[string]float64 `json:"longest_wait_s"`
+	Machines              map[string]int     `json:"machines"`           // by state
+	Tasks                 map[string]int     `json:"tasks"`              // by state
+	Jobs                  int                `json:"jobs"`               // unfinished jobs
+	LateJobs              int                `json:"late"`               // unfinished jobs past their deadline
+	LongestWaitSeconds    map[string]float64 `json:"longest_wait_s"`     // of jobs with waiting tasks, by class
 	LeastLeaseLeftSeconds float64            `json:"least_lease_left_s"` // of all workers' leases
 	WarmPools             []WarmPool         `json:"pools,omitempty"`
 	PriorityInversions    map[string]uint64  `json:"departures,omitempty"` // tasks, by tier and reason
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -13,12 +13,12 @@
 	CPUs       float64  `msgpack:"cpus"`
 	GPUs       float64  `msgpack:"gpus"`
 	MemoryGB   float64  `msgpack:"memoryGb"`
-	CacheGB    float64  `msgpack:"cacheGb"`
-	FetchGBPS  float64  `msgpack:"pullGbPerS"`
-	Price      float64  `msgpack:"rate"`
-	SpotPrice  float64  `msgpack:"lowPrice"`
-	BootS      float64  `msgpack:"startupS"`
-	ZonesNamed []string `msgpack:"halles"`
+	CacheGB    float64  `msgpack:"cacheGb"`    // size of the image cache
+	FetchGBPS  float64  `msgpack:"pullGbPerS"` // rate of fetching images, in GB per second
+	Price      float64  `msgpack:"rate"`       // per hour
+	SpotPrice  float64  `msgpack:"lowPrice"`   // per hour, as a spot machine
+	BootS      float64  `msgpack:"startupS"`   // boot time in seconds
+	ZonesNamed []string `msgpack:"halles"`     // zones that offer the type
 }
 
 // Rental asks the cloud to rent Count machines of one type in one zone. Repeating a request with the
@@ -49,7 +49,8 @@
 	More     bool            `msgpack:"hasNext"`
 }
 
-// ListedMachine is one machine in the cloud's list. State is one of the Machine constants.
+// ListedMachine is one machine in the cloud's list. State is one of the Machine constants. AgeS is the
+// machine's age in seconds.
 type ListedMachine struct {
 	Name  string  `msgpack:"nameId"`
 	Addr  string  `msgpack:"addr"`
--- a/wire/kvstore.go
+++ b/wire/kvstore.go
@@ -26,8 +26,8 @@
 	Version uint64 `msgpack:"mouture"`
 }
 
-// Op is one change of a transaction. Put names a key to write Value to; Delete names a key to
-// delete. Exactly one of the two is set.
+// Op is one change of a transaction. Put names a key to write Value to, bound to Lease unless that is 0.
+// Delete names a key to delete. Exactly one of Put and Delete is set.
 type Op struct {
 	Put    string `msgpack:"set,omitempty"`
 	Value  any    `msgpack:"v,omitempty"`
@@ -42,8 +42,8 @@
 	Then []Op    `msgpack:"apply,omitempty"`
 }
 
-// TxnAnswer answers a transaction. Revision is the store's revision, Failed lists the conditions that
-// did not hold.
+// TxnAnswer answers a transaction. Revision is the store's revision. Failed lists the keys whose
+// conditions did not hold.
 type TxnAnswer struct {
 	Revision uint64   `msgpack:"registre"`
 	Failed   []string `msgpack:"failed"`
@@ -66,7 +66,8 @@
 	Log      []Event `msgpack:"log"`
 }
 
-// Event is one change of a key. Put or Delete names the key, according to the kind of change.
+// Event is one change of a key. Either Put or Delete names the key. Version is the revision of the
+// change.
 type Event struct {
 	Put     string `msgpack:"set"`
 	Delete  string `msgpack:"remove"`
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -70,8 +70,8 @@
 	Commands []Command `msgpack:"consignes"`
 }
 
-// Redirect is the answer to a heartbeat of a node that does not lead, with status 421. Leader is the
-// leader's address, or empty if it is unknown.
+// Redirect is the answer to a heartbeat that another node should receive, with status 421. Leader is the
+// name of the leader or of a node that forwards to it, or empty if none is known.
 type Redirect struct {
 	Leader string `msgpack:"contremaitre,omitempty"`
 }
