--- a/cmd/umberdeal/why.go
+++ b/cmd/umberdeal/why.go
@@ -1,3 +1,5 @@
+// The command "job why".
+
 package main
 
 import (
@@ -26,18 +28,19 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	why, over, err := controller.WhyWaiting(ctx, s, store, c.ID, time.Now())
+	explanation, finalState, err := controller.WhyWaiting(ctx, s, store, c.ID, time.Now())
 	switch {
 	case err != nil:
 		return err
-	case over != "":
-		fmt.Printf("%s is %s\n", c.ID, over)
+	case finalState != "":
+		fmt.Printf("%s is %s\n", c.ID, finalState)
 	default:
-		printWhy(&why)
+		printWhy(&explanation)
 	}
 	return nil
 }
 
+// printWhy prints the reasons why a job waits and the jobs ahead of it.
 func printWhy(w *cluster.Explanation) {
 	fmt.Printf("%s: accepted %.0f s ago, %d of %d tasks done, %d on machines\n", w.ID, w.WaitedSeconds, w.Done, w.Tasks, w.Placed)
 	if w.Tier != "" {
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -1,27 +1,28 @@
-package wire
+// Messages of the cloud API.
 
-// This file has the messages of the cloud.
+package wire
 
-// Types is the cloud's catalogue.
+// Types is the catalog of machine types that the cloud offers.
 type Types struct {
 	Types []MachineType `msgpack:"gammes"`
 }
 
-// MachineType is one entry of the catalogue.
+// MachineType describes one machine type of the catalog: its resources, prices and zones.
 type MachineType struct {
 	Name       string   `msgpack:"sku"`
 	CPUs       float64  `msgpack:"cpus"`
 	GPUs       float64  `msgpack:"gpus"`
 	MemoryGB   float64  `msgpack:"memoryGb"`
-	CacheGB    float64  `msgpack:"cacheGb"`
-	FetchGBPS  float64  `msgpack:"pullGbPerS"`
-	Price      float64  `msgpack:"rate"`
-	SpotPrice  float64  `msgpack:"lowPrice"`
-	BootS      float64  `msgpack:"startupS"`
-	ZonesNamed []string `msgpack:"halles"`
+	CacheGB    float64  `msgpack:"cacheGb"`    // size of the image cache
+	FetchGBPS  float64  `msgpack:"pullGbPerS"` // rate of fetching images, in GB per second
+	Price      float64  `msgpack:"rate"`       // per hour
+	SpotPrice  float64  `msgpack:"lowPrice"`   // per hour, as a spot machine
+	BootS      float64  `msgpack:"startupS"`   // boot time in seconds
+	ZonesNamed []string `msgpack:"halles"`     // zones that offer the type
 }
 
-// Rental asks the cloud for machines.
+// Rental asks the cloud to rent Count machines of one type in one zone. Repeating a request with the
+// same Request id returns the machines of the first one.
 type Rental struct {
 	Request string `msgpack:"bon"`
 	Type    string `msgpack:"gamme"`
@@ -30,7 +31,7 @@
 	Count   int    `msgpack:"count"`
 }
 
-// Names is a list of machine names.
+// Names lists machines by name.
 type Names struct {
 	Machines []string `msgpack:"postes"`
 }
@@ -42,13 +43,14 @@
 	MachineFailed  = "failed"
 )
 
-// MachineList is one page of the cloud's list.
+// MachineList is one page of the cloud's list of machines. More reports that another page follows.
 type MachineList struct {
 	Machines []ListedMachine `msgpack:"postes"`
 	More     bool            `msgpack:"hasNext"`
 }
 
-// ListedMachine is one machine as the cloud lists it.
+// ListedMachine is one machine in the cloud's list. State is one of the Machine constants. AgeS is the
+// machine's age in seconds.
 type ListedMachine struct {
 	Name  string  `msgpack:"nameId"`
 	Addr  string  `msgpack:"addr"`
