--- a/internal/call/call.go
+++ b/internal/call/call.go
@@ -1,9 +1,9 @@
-// Package call sends one MessagePack request over HTTP, with everything that could grow
-// without bound limited: connections, idle connections and the size of the response.
+// Package call sends MessagePack requests over HTTP. It limits the number of connections, the
+// number of idle connections and the size of a response.
 //
-// The clients of the key-value store, the cloud and the workers are built on it. It
-// never repeats a request. Pause is the sleep that all loops of a controller use, so
-// that tests can stop a process while its clocks run on.
+// The clients of the key-value store, the cloud and the workers are built on it. It never retries
+// a request. All loops of a controller sleep with Pause, so that tests can suspend a process
+// while its clocks keep running.
 package call
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// DialFunc opens connections; tests hand in an in-memory network.
+// DialFunc opens a connection. Tests pass the Dial function of an in-memory network.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
 // Dialer returns the DialFunc of the real network.
@@ -27,9 +27,9 @@
 	return d.DialContext
 }
 
-// NewClient makes an HTTP client that keeps at most perHost connections to a
-// host, and at most idle in all that it does not use at the moment. There is no
-// client-wide timeout: callers bound each request.
+// NewClient returns an HTTP client with at most perHost connections to a host and at most idle
+// unused connections in total (0 counts as 1). It follows no redirects and has no timeout of its
+// own. Callers bound each request by its context.
 func NewClient(dial DialFunc, perHost, idle int) *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -44,9 +44,10 @@
 	}
 }
 
-// Do sends in (nil: no body) and returns the status and the body of the response. It
-// fails if the body has more than maxBytes.
-func Do(ctx context.Context, c *http.Client, method, url string, in any, maxBytes int64) (int, []byte, error) {
+// Do sends in, encoded as MessagePack, and returns the status and body of the response. The
+// request has no body if in is nil. Do fails if the response body is larger than maxBytes. An
+// HTTP error status is not an error.
+func Do(ctx context.Context, client *http.Client, method, url string, in any, maxBytes int64) (int, []byte, error) {
 	var body io.Reader
 	if in != nil {
 		b, err := wire.Marshal(in)
@@ -63,7 +64,7 @@
 	if in != nil {
 		req.Header.Set("Content-Type", wire.ContentType)
 	}
-	resp, err := c.Do(req)
+	resp, err := client.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -78,15 +79,17 @@
 	return resp.StatusCode, out, nil
 }
 
+// gateKey is the context key of the gate that WithGate sets.
 type gateKey struct{}
 
-// WithGate makes every Pause under ctx end only when the gate lets it: tests
-// stop a process with it while its clocks run on.
+// WithGate returns a context under which every Pause calls gate after its sleep and returns only
+// once gate has returned. Tests suspend a process this way while its clocks keep running.
 func WithGate(ctx context.Context, gate func(context.Context)) context.Context {
 	return context.WithValue(ctx, gateKey{}, gate)
 }
 
-// Pause waits, and says whether it did so to the end.
+// Pause sleeps for d, and then until the gate of ctx returns (see WithGate). It reports false
+// if ctx ended first.
 func Pause(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/golden/fill.go
+++ b/internal/golden/fill.go
@@ -8,10 +8,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Filled returns a value of that type in which every exported field, however deep, has a
-// value that is not zero and that no other field has (but for booleans, which are
-// all true). Fields with the tag msgpack:"-" stay zero. Values depend on the order of the
-// fields and not on their names: a renamed field keeps its value, and a moved one doesn't.
+// Filled returns a T in which every exported field, at any depth, has a non-zero value that no
+// other field has. Booleans are all true. Fields with the tag msgpack:"-" stay zero. The values
+// depend on the order of the fields, not on their names: a renamed field keeps its value, a moved
+// field changes it. Filled panics if T holds a kind that it can't fill, such as a channel.
 func Filled[T any]() T {
 	var v T
 	f := filler{}
@@ -24,19 +24,19 @@
 	timeType = reflect.TypeFor[time.Time]()
 )
 
-// filler counts the values that it has given out.
-type filler struct{ n int }
+// filler sets values that differ from each other, numbered from 1.
+type filler struct{ lastNumber int }
 
 func (f *filler) next() int {
-	f.n++
-	return f.n
+	f.lastNumber++
+	return f.lastNumber
 }
 
 func (f *filler) fill(v reflect.Value) {
 	switch v.Type() {
 	case rawType:
 		text := fmt.Sprintf("raw%d", f.next())
-		v.SetBytes(append([]byte{0xa0 | byte(len(text))}, text...)) // a short text in MessagePack
+		v.SetBytes(append([]byte{0xa0 | byte(len(text))}, text...)) // a MessagePack fixstr
 		return
 	case timeType:
 		v.Set(reflect.ValueOf(time.Unix(int64(f.next()), 0).UTC()))
@@ -64,7 +64,7 @@
 	}
 }
 
-// compound fills what is made of several values: lists with two, maps with one.
+// compound fills pointers, structs, slices with two elements, arrays, and maps with one entry.
 func (f *filler) compound(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Pointer:
@@ -98,7 +98,8 @@
 	}
 }
 
-// hasRaw says whether a type has a raw message for a field, which has no empty form.
+// hasRaw reports whether a type is or contains a msgpack.RawMessage. An empty raw message is not
+// valid MessagePack, so that the zero value of such a type can't be encoded.
 func hasRaw(t reflect.Type) bool {
 	if t == rawType {
 		return true
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,7 +1,7 @@
-// Package golden is for tests that compare encodings and decisions with those of an
-// earlier version of this program. The recorded values are in a file under the tested
-// package's testdata. A test run with -update writes that file anew; what is
-// committed must come from a version that is in use, never from the one under test.
+// Package golden compares encodings and decisions in tests with recorded values of an earlier
+// version of this program. The recorded values are in files under the tested package's testdata
+// directory. A test run with -update rewrites these files. Commit only values recorded by a
+// released version, never by the version under test.
 package golden
 
 import (
@@ -20,16 +20,17 @@
 
 var update = flag.Bool("update", false, "write the recorded values anew")
 
-// File is a file of recorded values, each under a label.
+// File is a file of recorded values, each with a label. It serves one test and is not safe for
+// concurrent use.
 type File struct {
 	tb       testing.TB
 	path     string
-	recorded map[string]string
-	seen     map[string]string
+	recorded map[string]string // values in the file, by label
+	seen     map[string]string // values that the test compared or read, by label
 }
 
-// Open reads testdata/name. At the end of the test every recorded value must have been
-// compared with something, so that none is dropped unnoticed.
+// Open reads testdata/name, or prepares to write it with -update. At its end the test fails if a
+// recorded value was not compared, so that no check is dropped unnoticed.
 func Open(tb testing.TB, name string) *File {
 	tb.Helper()
 	f := &File{tb: tb, path: filepath.Join("testdata", name), recorded: map[string]string{}, seen: map[string]string{}}
@@ -40,8 +41,8 @@
 	return f
 }
 
-// OpenRead reads a file whose values another test compares: this one only looks at what
-// is recorded.
+// OpenRead reads testdata/name, whose values another test compares. It neither requires every
+// value to be used nor writes the file.
 func OpenRead(tb testing.TB, name string) *File {
 	tb.Helper()
 	f := &File{tb: tb, path: filepath.Join("testdata", name), recorded: map[string]string{}, seen: map[string]string{}}
@@ -61,7 +62,7 @@
 		}
 		label, value, ok := strings.Cut(line, "\t")
 		if _, twice := f.recorded[label]; !ok || twice {
-			f.tb.Fatalf("%s: not a recorded value, or recorded twice: %.80q", f.path, line)
+			f.tb.Fatalf("%s: line without a value, or duplicate label: %.80q", f.path, line)
 		}
 		f.recorded[label] = value
 	}
@@ -71,7 +72,7 @@
 	if !*update {
 		for label := range f.recorded {
 			if _, ok := f.seen[label]; !ok && !f.tb.Failed() {
-				f.tb.Errorf("%s: %q is recorded, and nothing is held against it", f.path, label)
+				f.tb.Errorf("%s: recorded value %q was not compared", f.path, label)
 			}
 		}
 		return
@@ -88,22 +89,22 @@
 	}
 }
 
-// Updating says whether values are recorded, not compared.
+// Updating reports whether the test runs with -update: values are recorded, not compared.
 func Updating() bool { return *update }
 
-// Text wants a text to be the recorded one.
+// Text fails the test unless got equals the text recorded with the label.
 func (f *File) Text(label, got string) {
 	f.tb.Helper()
 	f.compare(label, strconv.Quote(got))
 }
 
-// Number wants a number to be the recorded one.
+// Number fails the test unless got equals the number recorded with the label.
 func (f *File) Number(label string, got int) {
 	f.tb.Helper()
 	f.compare(label, strconv.Itoa(got))
 }
 
-// Bytes wants bytes to be the recorded ones.
+// Bytes fails the test unless got equals the bytes recorded with the label.
 func (f *File) Bytes(label string, got []byte) {
 	f.tb.Helper()
 	f.compare(label, hex.EncodeToString(got))
@@ -112,7 +113,7 @@
 func (f *File) compare(label, got string) {
 	f.tb.Helper()
 	if _, twice := f.seen[label]; twice || strings.ContainsAny(label, "\t\n#") {
-		f.tb.Fatalf("%s: label %q is used twice, or can't be one", f.path, label)
+		f.tb.Fatalf("%s: label %q is used twice or has an invalid character", f.path, label)
 	}
 	f.seen[label] = got
 	if *update {
@@ -121,18 +122,18 @@
 	}
 	want, ok := f.recorded[label]
 	if !ok {
-		f.tb.Errorf("%s: nothing is recorded as %q, which is now %s", f.path, label, got)
+		f.tb.Errorf("%s: no value is recorded for %q; got %s", f.path, label, got)
 	} else if got != want {
-		f.tb.Errorf("%s: %q has changed:\n now      %s\n recorded %s", f.path, label, got, want)
+		f.tb.Errorf("%s: %q has changed:\n got  %s\n want %s (recorded)", f.path, label, got, want)
 	}
 }
 
-// Recorded returns the bytes that are recorded under a label.
+// Recorded returns the bytes recorded with a label, and ends the test if there are none.
 func (f *File) Recorded(label string) []byte {
 	f.tb.Helper()
 	b, err := hex.DecodeString(f.recorded[label])
 	if err != nil || len(b) == 0 {
-		f.tb.Fatalf("%s: no bytes are recorded as %q (%v)", f.path, label, err)
+		f.tb.Fatalf("%s: no bytes are recorded for %q (%v)", f.path, label, err)
 	}
 	if _, ok := f.seen[label]; !ok {
 		f.seen[label] = f.recorded[label]
@@ -140,20 +141,20 @@
 	return b
 }
 
-// Codec is how values are written and read.
+// Codec encodes and decodes values.
 type Codec struct {
 	Marshal   func(v any) ([]byte, error)
 	Unmarshal func(b []byte, v any) error
 }
 
-// CheckEncoding wants a value of that type to be encoded as the recorded bytes, and these
-// to be decoded as the value: once with every field filled, changed by change, and once
-// with none. It returns the filled value.
+// CheckEncoding fails the test unless a T is encoded as the recorded bytes and these bytes are
+// decoded as the same value. It checks a Filled value, modified by the change functions, and the
+// zero value, except for types that contain raw messages. It returns the filled value.
 func CheckEncoding[T any](f *File, label string, c Codec, change ...func(*T)) T {
 	f.tb.Helper()
 	v := Filled[T]()
-	for _, ch := range change {
-		ch(&v)
+	for _, modify := range change {
+		modify(&v)
 	}
 	checkValue(f, label, c, v)
 	if !hasRaw(reflect.TypeFor[T]()) {
@@ -163,20 +164,22 @@
 	return v
 }
 
-func checkValue[T any](f *File, label string, c Codec, v T) {
+// checkValue compares the encoding of a value with the recorded bytes, and the value that is
+// decoded from these with the given one.
+func checkValue[T any](f *File, label string, c Codec, want T) {
 	f.tb.Helper()
-	now, err := c.Marshal(v)
+	encoded, err := c.Marshal(want)
 	if err != nil {
 		f.tb.Fatalf("%s: %v", label, err)
 	}
-	f.Bytes(label, now)
+	f.Bytes(label, encoded)
 	if _, ok := f.recorded[label]; !ok {
-		return // reported already
+		return // f.Bytes has reported it
 	}
-	var read T
-	if err := c.Unmarshal(f.Recorded(label), &read); err != nil {
-		f.tb.Errorf("%s: what is recorded can't be read: %v", label, err)
-	} else if !reflect.DeepEqual(read, v) {
-		f.tb.Errorf("%s: what is recorded is read as\n %+v\nand not as\n %+v", label, read, v)
+	var got T
+	if err := c.Unmarshal(f.Recorded(label), &got); err != nil {
+		f.tb.Errorf("%s: decode the recorded bytes: %v", label, err)
+	} else if !reflect.DeepEqual(got, want) {
+		f.tb.Errorf("%s: recorded bytes decode as\n %+v\nwant\n %+v", label, got, want)
 	}
 }
--- a/internal/golden/server.go
+++ b/internal/golden/server.go
@@ -11,21 +11,22 @@
 	"testing"
 )
 
-// Answer is what a Server says to a request.
+// Answer is a Server's response to one request.
 type Answer struct {
 	Status int
 	Body   []byte
 }
 
-// Server is an HTTP server that gives the answers it was told, in their order, and
-// knows what it was asked. One request comes at a time.
+// Server is an HTTP server that returns prepared answers in their order and records the requests.
+// It is not safe for concurrent requests.
 type Server struct {
 	srv     *httptest.Server
 	answers []Answer
 	asked   []string
 }
 
-// Serve starts a server that ends with the test.
+// Serve starts a server with the given answers. It is closed when the test ends. Requests after
+// the last answer get status 418.
 func Serve(tb testing.TB, answers ...Answer) *Server {
 	tb.Helper()
 	s := &Server{answers: answers}
@@ -52,12 +53,12 @@
 	a := s.answers[0]
 	s.answers = s.answers[1:]
 	w.WriteHeader(a.Status)
-	_, _ = w.Write(a.Body) // a client that is gone reports it itself
+	_, _ = w.Write(a.Body) // the client reports a broken connection
 }
 
-// Asked lists the requests that have come: method, URL, headers that say the form
-// of the bodies, and the body in hex.
+// Asked returns the received requests in their order, each as a line with the method, the URL,
+// the Accept and Content-Type headers, the body in hexadecimal and the error of reading it.
 func (s *Server) Asked() []string { return s.asked }
 
-// Close ends the server: nobody is answered any more.
+// Close shuts the server down before the end of the test.
 func (s *Server) Close() { s.srv.Close() }
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,5 +1,5 @@
-// Package memnet is a listener and its dialler in memory, for tests that need no
-// more of a network than that.
+// Package memnet has an in-memory net.Listener and the function that dials it, for tests that
+// need neither addresses nor faults of a network.
 package memnet
 
 import (
@@ -7,33 +7,36 @@
 	"net"
 )
 
-// Listener hands out connections that were dialled.
-type Listener struct{ c chan net.Conn }
+// Listener accepts the connections that Dial opens. It is safe for concurrent use, except that
+// Dial must not be called after End.
+type Listener struct{ dialed chan net.Conn }
 
-// Listen makes a listener on which so many connections may wait.
+// Listen returns a listener with a queue for waiting connections that are not accepted yet.
 func Listen(waiting int) *Listener { return &Listener{make(chan net.Conn, waiting)} }
 
 // Accept returns the next connection, or net.ErrClosed after End.
 func (l *Listener) Accept() (net.Conn, error) {
-	c, ok := <-l.c
+	conn, ok := <-l.dialed
 	if !ok {
 		return nil, net.ErrClosed
 	}
-	return c, nil
+	return conn, nil
 }
 
-// Close does nothing: End says when no more connections come.
+// Close does nothing, so that a server may close the listener while clients still dial. End
+// closes the queue.
 func (l *Listener) Close() error { return nil }
 
-// Addr is no address.
+// Addr returns a placeholder. The listener has no address.
 func (l *Listener) Addr() net.Addr { return &net.UnixAddr{Name: "memnet", Net: "memnet"} }
 
-// Dial opens a connection, and waits for its place.
+// Dial opens a connection to the listener, whatever the address. It blocks while the queue is
+// full and ignores the context.
 func (l *Listener) Dial(context.Context, string, string) (net.Conn, error) {
-	a, b := net.Pipe()
-	l.c <- b
-	return a, nil
+	client, server := net.Pipe()
+	l.dialed <- server
+	return client, nil
 }
 
-// End lets Accept fail; nobody may dial any more.
-func (l *Listener) End() { close(l.c) }
+// End makes Accept fail once the queue is empty. A later Dial panics.
+func (l *Listener) End() { close(l.dialed) }
--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -1,11 +1,12 @@
-// Package plans writes parts of the operators' plans for tests. It imports no other
-// package of the module, so that tests of any can use it.
+// Package plans returns parts of operators' plans (TOML) for tests. It imports no other package
+// of this module, so that the tests of every package can import it.
 package plans
 
 import "fmt"
 
-// Region is a region of a calendar, as a table of a plan: open has its opening times by
-// weekdays, and work is one entry of the list of its work.
+// Region returns the TOML table of a region of the plan's calendar. The parameter open holds the
+// opening times by weekday and work holds the only entry of the region's work list, both as the
+// inside of a TOML inline table. The parameter marginS is in seconds.
 func Region(name, open, evening string, marginS int, work string) string {
 	return fmt.Sprintf(`
 [[calendar.regions]]
@@ -18,19 +19,19 @@
 `, name, open, evening, marginS, work)
 }
 
-// Pool is a warm pool of a model's replicas, on machines of one type in both of the usual
-// zones.
+// Pool is a warm pool for the replicas of a model, on machines of one type in the zones "a" and
+// "b".
 type Pool struct {
 	Name, Model string
 	WeightsGB   float64
 	MachineType string
 	Min, Max    int // machines
-	Replicas    int // that may start at once
+	Replicas    int // largest burst of replicas that start within 10 seconds
 	Payer       string
-	More        string // other lines of the pool's table
+	More        string // more lines of the pool's table
 }
 
-// TOML is the pool's table in a plan.
+// TOML returns the pool's table of a plan.
 func (p Pool) TOML() string {
 	return fmt.Sprintf(`
 [[pools]]
--- a/internal/scenario/norace.go
+++ b/internal/scenario/norace.go
@@ -2,5 +2,5 @@
 
 package scenario
 
-// UnderRace says whether the race detector looks on.
+// UnderRace reports whether the tests are built with the race detector.
 const UnderRace = false
--- a/internal/scenario/plans.go
+++ b/internal/scenario/plans.go
@@ -11,40 +11,41 @@
 	"github.com/umberdeal/umberdeal/kvstore"
 )
 
-// TryPlan applies a plan on a version as the operators' command does, and returns
-// the number of the new one.
+// TryPlan applies a plan as the operators' command does, on condition that the version in force
+// is base. It returns the number of the new version.
 func TryPlan(w *fake.Cluster, base int, text string, within time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	st := kvstore.New(w.Network.Dial("operator"), "state:1", 20, 20)
-	v, err := jobstore.ApplyPlan(ctx, st, jobstore.Limits{TxnOps: 12, ValueKB: 16}, jobstore.PlanChange{Base: base, Text: text, By: "ops", At: time.Now()})
+	store := kvstore.New(w.Network.Dial("operator"), "state:1", 20, 20)
+	v, err := jobstore.ApplyPlan(ctx, store, jobstore.Limits{TxnOps: 12, ValueKB: 16}, jobstore.PlanChange{Base: base, Text: text, By: "ops", At: time.Now()})
 	return v.Number, err
 }
 
-// ApplyPlan applies a plan, which must become the next version.
+// ApplyPlan applies a plan on version base within a minute, and ends the test unless version
+// base+1 is in force then.
 func ApplyPlan(t *testing.T, w *fake.Cluster, base int, text string) {
 	t.Helper()
 	if n, err := TryPlan(w, base, text, time.Minute); err != nil || n != base+1 {
-		t.Fatalf("version %d on %d: %v", n, base, err)
+		t.Fatalf("ApplyPlan on version %d = %d, %v; want version %d", base, n, err, base+1)
 	}
 }
 
-// Plans applies one plan after another, also where answers are lost.
+// Plans applies a sequence of plans while responses of the key-value store may be lost.
 type Plans struct {
 	Cluster *fake.Cluster
-	Version int // the one in force as far as is known
+	Version int // the last version known to be in force
 }
 
-// Apply applies a plan on the version that is known, and says whether success was confirmed:
-// without an answer the plan may be in force all the same. If another version is in force,
-// that one is known from now on.
+// Apply applies a plan on p.Version and reports whether success was confirmed. A plan that was
+// not confirmed may be in force too, because the response may have been lost. If another version
+// is in force, Apply sets p.Version to it and reports false.
 func (p *Plans) Apply(text string, within time.Duration) bool {
 	n, err := TryPlan(p.Cluster, p.Version, text, within)
-	var moved *jobstore.PlanConflictError
+	var conflict *jobstore.PlanConflictError
 	if err == nil {
 		p.Version = n
-	} else if errors.As(err, &moved) {
-		p.Version = moved.Current
+	} else if errors.As(err, &conflict) {
+		p.Version = conflict.Current
 	}
 	return err == nil
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,8 +1,7 @@
-// Package scenario is the library of the tests that run a whole cluster in simulated
-// time: it starts a fake.Cluster within testing/synctest, submits jobs, awaits their
-// states and checks the protocol's rules at the end. A package of such tests calls
-// Main from its TestMain, because the race detector's runtime bears only so many
-// goroutines in one process.
+// Package scenario helps tests that run a whole cluster in simulated time. It starts a
+// fake.Cluster within testing/synctest, submits jobs, awaits their states and checks the
+// protocol's rules at the end. A package of such tests calls Main from its TestMain, because the
+// race detector's runtime can crash when one process runs many goroutines.
 package scenario
 
 import (
@@ -17,14 +16,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// starvedAfter is for how long a job may wait without faults while a machine that fits has
-// room and its team is under its limit.
+// starvedAfter is the longest time that a job may wait without faults while a suitable machine
+// has room and the job's team is under its limit.
 const starvedAfter = 90 * time.Second
 
-// Run starts a cluster in simulated time, calls play with it, and then fails the test for
-// each rule of the protocol that was violated, and for jobs that starved. Starvation is not
-// looked for if the test has failed or a fault is still injected. With STORY_LOG set in the
-// environment the controllers' log goes to stderr.
+// Run starts a cluster in simulated time and calls play five seconds later. Then it fails the
+// test for each violated rule of the protocol and for starved jobs. It does not check for starved
+// jobs if the test has failed or a fault is still injected. If the environment variable STORY_LOG
+// is set, the controllers log to stderr.
 func Run(t *testing.T, options fake.Options, play func(t *testing.T, cluster *fake.Cluster)) {
 	t.Helper()
 	if os.Getenv("STORY_LOG") != "" {
@@ -46,7 +45,7 @@
 	})
 }
 
-// Job is the n-th job, changed as a scenario needs it.
+// Job returns a small array job with an id made of n. A non-nil change modifies it.
 func Job(n int, change func(j *wire.Job)) wire.Job {
 	j := wire.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "c", Team: "core", Kind: wire.KindArray,
 		Priority: wire.PriorityNormal, Tasks: 2, CPUs: 2, MemoryGB: 4, Image: "img-1", ImageGB: 1, EstimateS: 20}
@@ -56,12 +55,12 @@
 	return j
 }
 
-// AsGang makes a gang of a job.
+// AsGang turns a job into a gang job that checkpoints every 10 seconds.
 func AsGang(j *wire.Job) {
 	j.Kind, j.CheckpointS, j.SaveS = wire.KindGang, 10, 2
 }
 
-// MustSubmit submits jobs, each of which must be accepted.
+// MustSubmit submits jobs in their order, and ends the test at the first that is not accepted.
 func MustSubmit(t *testing.T, w *fake.Cluster, jobs ...wire.Job) {
 	t.Helper()
 	for _, j := range jobs {
@@ -71,7 +70,8 @@
 	}
 }
 
-// Eventually waits, looking every so often, until something holds, and says whether it does.
+// Eventually polls ok at the interval every and reports true as soon as ok does. It reports false
+// if within has passed.
 func Eventually(within, every time.Duration, ok func() bool) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); {
 		if time.Sleep(every); ok() {
@@ -81,7 +81,8 @@
 	return false
 }
 
-// MustFinish waits until the jobs of some numbers are done, for each so long at most.
+// MustFinish waits until the jobs with the given numbers (see Job) are done, one after another. It
+// ends the test if one of these waits takes longer than within.
 func MustFinish(t *testing.T, w *fake.Cluster, within time.Duration, numbers ...int) {
 	t.Helper()
 	for _, n := range numbers {
@@ -89,7 +90,8 @@
 	}
 }
 
-// MustReach waits until a job is in a state.
+// MustReach waits until a job is in a state (one of the wire.Job constants), and ends the test if
+// that takes longer than within.
 func MustReach(t *testing.T, w *fake.Cluster, id, state string, within time.Duration) {
 	t.Helper()
 	if !w.Await(id, state, within) {
--- a/internal/scenario/subprocess.go
+++ b/internal/scenario/subprocess.go
@@ -18,23 +18,23 @@
 	"testing"
 )
 
-// This file runs each test of a package in a process of its own under the race detector.
-
-// subprocessEnv is set in the process of a single test.
+// subprocessEnv is the environment variable that is set in the process of a single test.
 const subprocessEnv = "SCENARIO_SUBPROCESS"
 
 const (
-	maxSubprocesses = 6 // at once; other packages are tested beside this one, and most tests are over sooner
-	maxAttempts     = 3
+	maxSubprocesses = 6 // concurrent; go test runs other packages at the same time
+	maxAttempts     = 3 // of a test whose process the race detector's code ended
 )
 
-// Main runs a package's tests, under the race detector each in a process of its
-// own. Each four million or so synchronisations the detector resets itself, and
-// at times its own code ends the process there (SlotLock) once there are more
-// goroutines than its 256 slots: the scenarios of a package in one process went through
-// 9 to 65 resets, alone they go through none to a few. A test whose process the
-// detector's code ended, which shows in its message or in the address of the fault, is run
-// again, three times in all at most; no other failure is retried.
+// Main runs a package's tests and exits. Under the race detector it runs each test in a process
+// of its own.
+//
+// The detector resets itself after about four million synchronizations. If the process then has
+// more goroutines than the detector's 256 slots, the detector's own code (SlotLock) sometimes
+// ends the process. All scenarios of a package in one process cause 9 to 65 resets, a single one
+// causes none to a few. Main retries a test if the detector's code ended its process, as seen in
+// the output or in the address of the fault. It retries no other failure. A test runs at most
+// three times.
 func Main(m *testing.M) {
 	flag.Parse()
 	run := flag.Lookup("test.run").Value.String()
@@ -58,7 +58,7 @@
 	os.Exit(runInSubprocesses(exe, parseTestList(list), os.Stdout))
 }
 
-// parseTestList reads the names that -test.list prints.
+// parseTestList returns the names of tests and fuzz tests in the output of -test.list.
 func parseTestList(list []byte) []string {
 	var names []string
 	for _, line := range strings.Fields(string(list)) {
@@ -69,7 +69,8 @@
 	return names
 }
 
-// runInSubprocesses runs tests in processes of their own, and returns the exit code.
+// runInSubprocesses runs each test in a process of its own, and returns the exit code: 0 if all
+// passed, otherwise 1.
 func runInSubprocesses(exe string, names []string, out io.Writer) int {
 	runner := subprocessRunner{exe: exe, args: forwardedArgs(os.Args[1:]), out: out}
 	var running sync.WaitGroup
@@ -90,8 +91,8 @@
 	return 0
 }
 
-// forwardedArgs are the arguments of this process that its subprocesses get too. The log
-// of the files that a test has opened is not among them, as it has one writer.
+// forwardedArgs returns the arguments of this process that its subprocesses get too. It drops
+// -test.testlogfile, because that log of opened files supports only one writer.
 func forwardedArgs(args []string) []string {
 	var forwarded []string
 	for _, arg := range args {
@@ -102,7 +103,8 @@
 	return forwarded
 }
 
-// subprocessRunner runs single tests of a test binary, and collects what they say.
+// subprocessRunner runs single tests of a test binary and collects their output. It is safe for
+// concurrent use.
 type subprocessRunner struct {
 	exe  string
 	args []string
@@ -112,7 +114,7 @@
 	failed bool
 }
 
-// run runs a test, and again if the race detector ended its process.
+// run runs a test, and retries it if the race detector's code ended its process.
 func (r *subprocessRunner) run(name string) {
 	for attempt := 1; ; attempt++ {
 		cmd := exec.Command(r.exe, append(slices.Clone(r.args), "-test.run=^"+name+"$")...)
@@ -126,12 +128,13 @@
 	}
 }
 
-// report passes on what a test said, and whether it failed.
+// report prints the output of a test that failed, or of any test in verbose mode, and records the
+// failure.
 func (r *subprocessRunner) report(name string, text []byte, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil || testing.Verbose() {
-		_, _ = r.out.Write(text) // the standard output: the exit code says it all the same
+		_, _ = r.out.Write(text) // stdout; the exit code reports the failure too
 	}
 	if err == nil {
 		return
@@ -143,23 +146,24 @@
 	}
 }
 
+// reportRetry prints the output of a test that is about to be retried.
 func (r *subprocessRunner) reportRetry(name string, text []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, _ = r.out.Write(text) // the standard output, as above
+	_, _ = r.out.Write(text) // stdout
 	fmt.Fprintf(r.out, "%s: ended within the race detector, begun again\n", name)
 }
 
-// detectorCheckFailed is how the detector says that a check in its own sources failed; which of
-// the two ways depends on its version.
+// detectorCheckFailed matches the race detector's report of a failed check in its own sources.
+// The format depends on the detector's version.
 var detectorCheckFailed = regexp.MustCompile(`(?m)^(FATAL: ThreadSanitizer CHECK failed|ThreadSanitizer: CHECK failed: (tsan|sanitizer)_\w+\.(cpp|h):\d+ )`)
 
-// faultAddress is where a fault ended the process.
+// faultAddress matches the program counter of the fault that ended a process.
 var faultAddress = regexp.MustCompile(`(?m)^PC=0x([0-9a-f]+) `)
 
-// endedInDetector says whether a process was ended by the race detector's own
-// code: a check of its own that failed, or a fault at an address of its. A race
-// that was found, or a test that failed, is nothing of the kind.
+// endedInDetector reports whether the race detector's own code ended a process, by a failed check
+// or by a fault in one of its functions. It reports false if the output has a data race or a
+// failed test.
 func endedInDetector(exe string, text []byte) bool {
 	if bytes.Contains(text, []byte("WARNING: DATA RACE")) || bytes.Contains(text, []byte("--- FAIL")) {
 		return false
@@ -184,7 +188,7 @@
 	return err == nil && inDetector(symbols, pc)
 }
 
-// inDetector says whether an address is in a function of the detector.
+// inDetector reports whether an address is in a function of the race detector.
 func inDetector(symbols []elf.Symbol, pc uint64) bool {
 	return slices.ContainsFunc(symbols, func(s elf.Symbol) bool {
 		return elf.ST_TYPE(s.Info) == elf.STT_FUNC && s.Value <= pc && pc < s.Value+s.Size &&
--- a/internal/scenario/subprocess_test.go
+++ b/internal/scenario/subprocess_test.go
@@ -9,6 +9,8 @@
 	"testing"
 )
 
+// A retry must not hide a data race or a failed test. Only a fault within a function of the race
+// detector, or a failed check of its own, counts as an exit of the detector.
 func TestOnlyExitsOfTheRaceDetectorAreRetried(t *testing.T) {
 	fn := func(name string, at, size uint64) elf.Symbol {
 		return elf.Symbol{Name: name, Info: byte(elf.STT_FUNC), Value: at, Size: size}
@@ -17,7 +19,7 @@
 		{Name: "_ZN6__tsanL8main_thrE", Info: byte(elf.STT_OBJECT), Value: 0x41c780, Size: 0x40}}
 	for pc, want := range map[uint64]bool{0x41c729: true, 0x41c73f: true, 0x41c740: false, 0x41c781: false, 0x41c6ff: false} {
 		if got := inDetector(symbols, pc); got != want {
-			t.Errorf("%#x: %v", pc, got)
+			t.Errorf("inDetector(%#x) = %v, want %v", pc, got, want)
 		}
 	}
 	for text, want := range map[string]bool{
@@ -33,13 +35,13 @@
 		"SIGSEGV: segmentation violation\nPC=0x1 m=3 sigcode=1 addr=0x0":                              false,
 	} {
 		if got := endedInDetector(os.Args[0], []byte(text)); got != want {
-			t.Errorf("%q: %v", text, got)
+			t.Errorf("endedInDetector(%q) = %v, want %v", text, got, want)
 		}
 	}
 }
 
-// A shell script plays the test binary: what it says and how it ends is what the
-// package says and how it ends.
+// The exit code and output of a package follow from those of its tests' processes. A shell
+// script stands in for the test binary.
 func TestSubprocessResultsAreThePackagesResult(t *testing.T) {
 	dir := t.TempDir()
 	exe := filepath.Join(dir, "tests")
@@ -66,7 +68,7 @@
 	} {
 		var out bytes.Buffer
 		if code := runInSubprocesses(exe, c.names, &out); code != c.code || !strings.Contains(out.String(), c.says) {
-			t.Errorf("%v: exit %d, %q", c.names, code, out.String())
+			t.Errorf("%v: exit code %d, output %q; want %d, %q", c.names, code, out.String(), c.code, c.says)
 		}
 	}
 }
