--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -13,18 +13,20 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
-// Cluster is everything around the controllers, and the controllers.
+// Cluster is a simulated cluster: the controllers, and the network, key-value store, cloud,
+// workers and users around them. Its exported methods are safe for concurrent use. A machine that
+// is named in a call must exist, unless the method says otherwise.
 type Cluster struct {
 	Network  *Network
 	Store    *KVStore
 	Cloud    *Cloud
 	Settings *config.Settings // of the first node
 
-	// Set by New, and not changed afterwards.
+	// Set by New and constant from then on.
 	ctx        context.Context
 	cancel     context.CancelFunc
 	nodes      []*node
-	yarn       string
+	yarn       string // settings of the YARN frontend; empty: none
 	metrics    bool
 	noWakeUps  bool
 	log        *slog.Logger
@@ -33,39 +35,40 @@
 	wg         sync.WaitGroup // all goroutines of the cluster
 	violations violationLog
 
-	mu     sync.Mutex // guards all that follows, and what machines, tasks, jobs and gangs hold
+	mu     sync.Mutex // guards the fields below, and the state of machines, tasks, jobs and gangs
 	random *rand.Rand
 
-	// What runs where.
-	jobs             map[string]*job
-	knownJobsOnly    bool                         // workers know users' jobs only
-	machinesOfTasks  map[string]map[*machine]bool // that have the task and its image, by its name
-	gangs            map[taskKey]*gang
-	progress         map[string]float64 // checkpointed seconds, by task, or by job for gangs
-	fetchingMachines map[string]bool    // machines that fetch images
+	// Jobs and tasks.
+	jobs             map[string]*job              // by id
+	knownJobsOnly    bool                         // workers know no jobs other than those that users submitted here
+	machinesOfTasks  map[string]map[*machine]bool // machines that have the task and its image, by task name
+	gangs            map[taskKey]*gang            // by job id and attempt
+	progress         map[string]float64           // checkpointed seconds, by task name or, for gangs, by job id
+	fetchingMachines map[string]bool              // names of machines that fetch images
 
-	// Faults in messages of workers.
-	duplicateOneIn     int // one in so many heartbeats is copied; 0: none
-	duplicatesInFlight int
-	capturedHeartbeats map[string][]byte // a heartbeat of each machine, for scenarios of late ones
+	// Faults in messages to and from workers.
+	duplicateOneIn     int               // share of copied heartbeats: one in this number; 0: none
+	duplicatesInFlight int               // copies on their way
+	capturedHeartbeats map[string][]byte // encoded heartbeat by machine; see CaptureHeartbeat
 	failoverCopies     failoverCopies
 	commandDelay       commandDelay
 	completionCancel   completionCancel
 
-	// What was observed.
-	answeredHeartbeats map[nodeAndMachine]time.Time // when a machine last sent a report that a node answered
-	acceptedAnswers    map[nodeAndMachine]time.Time // and one whose 200 it accepted
+	// Observations.
+	answeredHeartbeats map[nodeAndMachine]time.Time // when the machine last sent a heartbeat that the node answered
+	acceptedAnswers    map[nodeAndMachine]time.Time // when the machine last sent one whose status 200 it accepted
 	started            int                          // task starts
-	externalStarts     map[string]int               // by task, of jobs of other frontends, each of which runs once
+	externalStarts     map[string]int               // starts by task name, of other frontends' jobs, whose tasks run once
 	startedAfterCancel int                          // task starts after the user was told that the job is cancelled
-	expiredLeases      int                          // of workers that had tasks
-	peakFetching       int                          // most machines that fetched images at the same time
-	requestClock       uint64                       // counts users' requests and the answers to them
-	unusualIDs         int                          // ids used for jobs that can't be accepted
-	lastFaultAt        time.Time                    // when a fault was last seen to be injected
+	expiredLeases      int                          // expired leases of workers that had tasks
+	peakFetching       int                          // highest number of machines that fetched images at the same time
+	requestClock       uint64                       // logical clock, advanced by users' requests and their answers
+	unusualIDs         int                          // ids used so far for jobs that must be refused
+	lastFaultAt        time.Time                    // when monitorFaults last saw an injected fault
 }
 
-// New makes a cluster whose controllers are running, unless they are external.
+// New starts a cluster. Its controllers run, unless options.ExternalNodes is set. Callers must
+// Close it. New panics if the options are invalid.
 func New(options Options) *Cluster {
 	options.setDefaults()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -112,43 +115,43 @@
 		}
 	}
 	w.mu.Lock()
-	w.lastFaultAt = time.Now() // the beginning is no better than a fault
+	w.lastFaultAt = time.Now() // the cluster needs as long to settle after its start as after a fault
 	w.mu.Unlock()
 	w.wg.Go(w.monitorFaults)
 	return w
 }
 
-// Close ends the cluster; nothing of it runs afterwards.
+// Close ends the cluster and waits until all its goroutines have ended.
 func (w *Cluster) Close() {
 	for i := range w.nodes {
 		w.KillNode(i)
 	}
 	w.Cloud.close()
-	for _, n := range w.Cloud.Machines() {
-		w.Cloud.machine(n).kill()
+	for _, name := range w.Cloud.Machines() {
+		w.Cloud.machine(name).kill()
 	}
 	w.cancel()
 	w.Network.deliverAll()
 	w.httpClient.CloseIdleConnections()
 	w.wg.Wait()
-	// Requests that hang are given up in their own time, which is simulated.
+	// Hanging requests end at their own timeouts. The minute passes in simulated time.
 	time.Sleep(time.Minute)
 }
 
-// senderKey is the key of a request's context under which its sender stands.
+// senderKey is the context key of a request's sender.
 type senderKey struct{}
 
-// senderOf is the host that a request comes from.
+// senderOf returns the host that a request comes from.
 func senderOf(r *http.Request) string {
 	s, _ := r.Context().Value(senderKey{}).(string)
 	return s
 }
 
 // serve runs a server at an address until the cluster ends.
-func (w *Cluster) serve(at string, h http.Handler) {
-	l, err := w.Network.Listen("tcp", at)
+func (w *Cluster) serve(address string, h http.Handler) {
+	l, err := w.Network.Listen("tcp", address)
 	if err != nil {
-		panic(err) // a cluster is made wrong
+		panic(err) // two servers share the address
 	}
 	srv := &http.Server{Handler: h, ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 		return context.WithValue(ctx, senderKey{}, c.(*conn).from)
@@ -157,5 +160,5 @@
 	w.wg.Go(func() { <-w.ctx.Done(); _ = srv.Close() })
 }
 
-// pick draws a number below n; the lock is held.
+// pick draws a random number in [0, n). The caller holds the lock.
 func (w *Cluster) pick(n int) int { return w.random.IntN(n) }
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -17,45 +17,46 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// KVStore is a key-value store in memory, with the limits of sizes and counts, and
-// those of requests and changes a second where a scenario sets them.
+// KVStore is an in-memory key-value store that serves the protocol of the real one over HTTP. It
+// enforces the limits of sizes and counts, and the limits of requests and changes per second that
+// a scenario sets. It is safe for concurrent use.
 type KVStore struct {
-	// Set before the store serves requests, and not changed afterwards.
-	maxOps          int                              // operations of one transaction
+	// Set before the store serves requests and constant from then on.
+	maxOps          int                              // operations per transaction
 	reportViolation func(format string, args ...any) // nil: rules are not checked
 
-	// corrupted is set once a scenario has made records what nobody wrote: of their jobs
-	// only the user knows.
+	// corrupted is set once a scenario has damaged records. The jobs in these records may be
+	// lost, and only their users still know them.
 	corrupted atomic.Bool
 
-	mu sync.Mutex // guards all that follows
+	mu sync.Mutex // guards the fields below
 
 	revision   uint64
-	entries    map[string]wire.Entry
-	events     []wire.Event // every change, the newest last
-	changed    chan struct{}
-	createdAt  map[string]time.Time // when a key that was not there was put
-	lastChange map[string]uint64    // the revision of each key's last change, deletions too
+	entries    map[string]wire.Entry // by key
+	events     []wire.Event          // all changes, oldest first
+	changed    chan struct{}         // closed, and replaced, at each change
+	createdAt  map[string]time.Time  // when a key was last put while it was absent
+	lastChange map[string]uint64     // the revision of each key's last change, deletions included
 	leases     map[uint64]*storeLease
 	nextLease  uint64
-	operations int // puts and deletes of transactions that were executed or failed by a guard
+	operations int // puts and deletes in transactions that were executed or failed by a guard
 
-	requestLimit *rate.Limiter // nil: none
-	writeLimit   *rate.Limiter // nil: none
-	rateLimited  int           // requests refused for being too many
+	requestLimit *rate.Limiter // nil: no limit
+	writeLimit   *rate.Limiter // nil: no limit
+	rateLimited  int           // requests refused by requestLimit
 
 	outage        bool
-	refusedNodes  map[string]bool // nodes that get 503
-	silentWatches map[string]bool // nodes whose watches bring nothing
-	latency       time.Duration   // that much longer than usual until a request is carried out
-	replyDelay    time.Duration   // that much longer than usual from then until it is answered
-	replyDelayTo  map[string]time.Duration
+	refusedNodes  map[string]bool          // controllers whose requests get status 503
+	silentWatches map[string]bool          // controllers whose watches get no events
+	latency       time.Duration            // added to usualLatency before a request is executed
+	replyDelay    time.Duration            // between the execution of a request and its answer
+	replyDelayTo  map[string]time.Duration // added to replyDelay, by sender
 	delayNext     nextTransactionDelay
 	holdNext      nextTransactionHold
 	delays        transactionDelays
 }
 
-// NewKVStore makes an empty store whose transactions have maxOps operations at most.
+// NewKVStore returns an empty store whose transactions may have up to maxOps operations.
 func NewKVStore(maxOps int) *KVStore {
 	return &KVStore{
 		maxOps:        maxOps,
@@ -72,7 +73,7 @@
 	}
 }
 
-// Keys lists the keys with a prefix.
+// Keys returns the sorted keys with a prefix.
 func (s *KVStore) Keys(prefix string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,16 +88,16 @@
 	return out
 }
 
-// JobKeys lists the keys that say something of unfinished jobs: heads of buckets
-// stay when they are empty.
+// JobKeys returns the sorted keys that hold records of unfinished jobs. It leaves out the schema
+// key and empty head pages of buckets, which exist without any job.
 func (s *KVStore) JobKeys() []string {
-	return slices.DeleteFunc(s.Keys(jobstore.ActivePrefix), func(k string) bool {
+	return slices.DeleteFunc(s.Keys(jobstore.ActivePrefix), func(key string) bool {
 		var page jobstore.JobPage
-		return k == jobstore.SchemaKey || jobstore.IsHeadPageKey(k) && wire.Unmarshal(s.Value(k), &page) == nil && len(page.Entries) == 0
+		return key == jobstore.SchemaKey || jobstore.IsHeadPageKey(key) && wire.Unmarshal(s.Value(key), &page) == nil && len(page.Entries) == 0
 	})
 }
 
-// Versions returns the keys with a prefix, each with the version of its last change.
+// Versions returns the version of the last change by key, for the keys with a prefix.
 func (s *KVStore) Versions(prefix string) map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,37 +110,38 @@
 	return out
 }
 
-// Value is what a key holds.
+// Value returns the value of a key, or nil if the key is absent.
 func (s *KVStore) Value(key string) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.entries[key].Value
 }
 
-// CreatedAt is when a key that was not there was last put; zero: never.
+// CreatedAt returns when a key was last put while it was absent, or the zero time if that never
+// happened.
 func (s *KVStore) CreatedAt(key string) time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.createdAt[key]
 }
 
-// Changes counts the puts and deletes that were requested, also those of transactions that
-// failed by a guard. Those of malformed and rate-limited transactions do not count.
+// Changes returns the number of requested puts and deletes. It includes transactions that failed
+// by a guard, and leaves out malformed and rate-limited ones.
 func (s *KVStore) Changes() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.operations
 }
 
-// Clear removes all entries. The revision, leases and past events stay, and watches are not
-// told.
+// Clear removes all entries, without events for watches. The revision, the leases and past events
+// stay.
 func (s *KVStore) Clear() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	clear(s.entries)
 }
 
-// wakeWatches lets the open watches look for new events; the lock is held.
+// wakeWatches makes the open watches look for new events. The caller holds the lock.
 func (s *KVStore) wakeWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -165,7 +167,7 @@
 	delayed.send()
 }
 
-// serve carries a request out, unless it is refused.
+// serve executes a request, unless a fault or a limit refuses it.
 func (s *KVStore) serve(w http.ResponseWriter, r *http.Request, body []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +188,7 @@
 	s.route(w, r, body)
 }
 
-// route carries a request out by its path; the lock is held.
+// route executes a request by its path. The caller holds the lock.
 func (s *KVStore) route(w http.ResponseWriter, r *http.Request, body []byte) {
 	path := r.URL.Path
 	switch {
@@ -207,7 +209,7 @@
 	}
 }
 
-// serveGet answers with one entry; the lock is held.
+// serveGet answers with one entry. The caller holds the lock.
 func (s *KVStore) serveGet(w http.ResponseWriter, key string) {
 	if e, ok := s.entries[key]; ok {
 		reply(w, http.StatusOK, e)
@@ -217,13 +219,13 @@
 }
 
 const (
-	// maxListingBytes is about the most that an answer to a listing holds, in bytes.
+	// maxListingBytes is the approximate size limit of a page of entries.
 	maxListingBytes = 512 << 10
-	// entryOverhead is about what an entry takes in a listing besides key and value, in bytes.
-	entryOverhead = 40
+	// entryOverheadBytes is the approximate size of an entry without its key and value.
+	entryOverheadBytes = 40
 )
 
-// serveList answers with a page of entries in the order of their keys; the lock is held.
+// serveList answers with a page of entries in the order of their keys. The caller holds the lock.
 func (s *KVStore) serveList(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	page, _ := strconv.Atoi(q.Get("page"))
@@ -240,7 +242,7 @@
 	}
 	size := 0
 	for _, k := range keys {
-		if size += len(k) + len(s.entries[k].Value) + entryOverhead; size > maxListingBytes {
+		if size += len(k) + len(s.entries[k].Value) + entryOverheadBytes; size > maxListingBytes {
 			listing.More = true
 			break
 		}
@@ -249,9 +251,9 @@
 	reply(w, http.StatusOK, listing)
 }
 
-// serveWatch answers with the changes after a revision as soon as there are any, or when
-// the time for which the request may block is over. During an outage, and for a node that
-// is refused, watches stay open and silent. The lock is held, but not while it waits.
+// serveWatch answers with the changes after a revision as soon as there are any, or when the
+// request's blocking time is over. During an outage, and for a refused controller, watches stay
+// open without an answer. The caller holds the lock, which is released while serveWatch waits.
 func (s *KVStore) serveWatch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
@@ -283,7 +285,8 @@
 	}
 }
 
-// eventsAfter lists the changes of keys with a prefix after a revision; the lock is held.
+// eventsAfter returns the changes of keys with a prefix after a revision. The caller holds the
+// lock.
 func (s *KVStore) eventsAfter(revision uint64, prefix string) []wire.Event {
 	var out []wire.Event
 	first := sort.Search(len(s.events), func(i int) bool { return s.events[i].Version > revision })
--- a/internal/fake/kvstore_faults.go
+++ b/internal/fake/kvstore_faults.go
@@ -1,3 +1,6 @@
+// Faults of the key-value store that scenarios inject: outages, limits, delays and damaged
+// records. Lost answers to transactions are in delayed_transactions.go.
+
 package fake
 
 import (
@@ -10,12 +13,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file has the faults that scenarios inject into the key-value store: outages,
-// limits, delays and damaged records. Transactions whose answers are lost are in
-// delayed_transactions.go.
-
-// LimitRequests makes the store refuse requests beyond a rate per second, of all nodes
-// together.
+// LimitRequests makes the store refuse requests beyond a rate per second, summed over all
+// senders.
 func (s *KVStore) LimitRequests(rps float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -29,14 +28,15 @@
 	s.writeLimit = rate.NewLimiter(rate.Limit(rps), int(rps))
 }
 
-// RateLimited is how many requests were refused for being too many.
+// RateLimited returns the number of requests refused by the limit of LimitRequests.
 func (s *KVStore) RateLimited() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rateLimited
 }
 
-// SetOutage begins or ends an outage; at its end leases have their full time.
+// SetOutage begins or ends an outage, in which requests get status 503. No lease expires during
+// an outage, and each has its full duration left when the outage ends.
 func (s *KVStore) SetOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,51 +48,51 @@
 	s.wakeWatches()
 }
 
-// RefuseNode answers each request of a node with 503, until AcceptNode.
+// RefuseNode makes every request of a controller get status 503 until AcceptNode.
 func (s *KVStore) RefuseNode(node string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.refusedNodes[node] = true
 }
 
-// AcceptNode ends what RefuseNode began.
+// AcceptNode ends the fault of RefuseNode.
 func (s *KVStore) AcceptNode(node string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.refusedNodes, node)
 }
 
-// SilenceWatches makes watches of a node bring nothing while all else is answered, as
-// where their connection hangs, until ResumeWatches.
+// SilenceWatches leaves the watches of a controller without an answer until ResumeWatches, like a
+// hanging connection. Other requests are answered.
 func (s *KVStore) SilenceWatches(node string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silentWatches[node] = true
 }
 
-// ResumeWatches ends what SilenceWatches began.
+// ResumeWatches ends the fault of SilenceWatches.
 func (s *KVStore) ResumeWatches(node string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.silentWatches, node)
 }
 
-// SetLatency makes every request take that much longer than usual to reach the store.
+// SetLatency adds a delay before the execution of every request; 0 ends it.
 func (s *KVStore) SetLatency(by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.latency = by
 }
 
-// DelayReplies makes every answer take that much longer than usual after its request
-// was carried out: what it says is as old when it comes.
+// DelayReplies adds a delay between the execution of every request and its answer, so that the
+// answer is outdated by that time; 0 ends it.
 func (s *KVStore) DelayReplies(by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.replyDelay = by
 }
 
-// DelayRepliesTo does the same for one node alone.
+// DelayRepliesTo delays the answers to one sender, in addition to DelayReplies.
 func (s *KVStore) DelayRepliesTo(node string, by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -120,30 +120,32 @@
 	_, _ = d.ResponseWriter.Write(d.body)
 }
 
-// nextTransactionDelay has one transaction applied late, and not answered until then.
+// nextTransactionDelay selects one transaction that is executed and answered late.
 type nextTransactionDelay struct {
-	by     time.Duration // 0: no transaction is waited for
-	prefix string        // of a key that it changes
+	by     time.Duration // 0: no transaction is selected
+	prefix string        // of a key that the transaction changes
 }
 
-// nextTransactionHold has one transaction applied only when a scenario releases it.
+// nextTransactionHold selects one transaction that is executed once a scenario releases it.
 type nextTransactionHold struct {
-	release chan struct{} // closed to release it; nil: no transaction is waited for
-	prefix  string        // of a key that it changes
+	release chan struct{} // closed to release it; nil: no transaction is selected
+	prefix  string        // of a key that the transaction changes
 }
 
-// DelayNextTransaction leaves the next transaction unanswered and applies it only later.
+// DelayNextTransaction delays the execution and the answer of the next transaction that changes
+// a key.
 func (s *KVStore) DelayNextTransaction(by time.Duration) { s.DelayNextTransactionOn("", by) }
 
-// DelayNextTransactionOn does that to the next transaction that changes a key with a prefix.
+// DelayNextTransactionOn delays the execution and the answer of the next transaction that changes
+// a key with a prefix.
 func (s *KVStore) DelayNextTransactionOn(prefix string, by time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.delayNext = nextTransactionDelay{by, prefix}
 }
 
-// HoldNextTransactionOn holds the next transaction that changes a key with a prefix until
-// it is released, which a scenario must do at the latest as it ends.
+// HoldNextTransactionOn holds the next transaction that changes a key with a prefix until release
+// is called. A scenario must call release before it ends; further calls do nothing.
 func (s *KVStore) HoldNextTransactionOn(prefix string) (release func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -159,7 +161,8 @@
 	})
 }
 
-// Corrupt makes a key's value something that nobody has written: the bytes given, or a text.
+// Corrupt replaces a key's value by the given bytes, or by a MessagePack string if there are
+// none. The version stays, and watches get no event.
 func (s *KVStore) Corrupt(key string, value ...byte) {
 	s.corrupted.Store(true)
 	s.mu.Lock()
@@ -172,8 +175,8 @@
 	s.entries[key] = e
 }
 
-// CorruptNested makes a key's value one that can't be read, though all of it still stands
-// there: within a list.
+// CorruptNested wraps a key's value in a MessagePack array of one element, so that readers can't
+// decode it though no byte is lost. The version stays, and watches get no event.
 func (s *KVStore) CorruptNested(key string) {
 	s.corrupted.Store(true)
 	s.mu.Lock()
@@ -183,8 +186,8 @@
 	s.entries[key] = e
 }
 
-// OverwriteUnreadable writes a key as nobody should: what can't be read has a version of its own,
-// which nobody knows.
+// OverwriteUnreadable writes an unreadable value to a key, with a new version that no controller
+// knows. Watches get an event.
 func (s *KVStore) OverwriteUnreadable(key string) {
 	s.corrupted.Store(true)
 	s.mu.Lock()
--- a/internal/fake/kvstore_leases.go
+++ b/internal/fake/kvstore_leases.go
@@ -10,20 +10,19 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file has the key-value store's leases: permissions that end, with the keys that
-// were put under them, unless they are renewed.
-
 const (
 	minLeaseTTLMs = 100
 	maxLeaseTTLMs = 600_000
 )
 
+// storeLease is a lease of the key-value store. Unless it is renewed in time, it ends and the
+// keys that were put with it are deleted.
 type storeLease struct {
 	ttl     time.Duration
 	expires time.Time
 }
 
-// serveNewLease grants a lease; the lock is held.
+// serveNewLease grants a lease. The caller holds the lock.
 func (s *KVStore) serveNewLease(w http.ResponseWriter, body []byte) {
 	var q wire.NewLease
 	if wire.Unmarshal(body, &q) != nil || q.TTLMs < minLeaseTTLMs || q.TTLMs > maxLeaseTTLMs {
@@ -37,7 +36,7 @@
 	reply(w, http.StatusOK, wire.LeaseAnswer{Lease: id})
 }
 
-// serveLease renews or ends a lease; the lock is held.
+// serveLease renews or ends a lease. The caller holds the lock.
 func (s *KVStore) serveLease(w http.ResponseWriter, r *http.Request) {
 	id, _ := parseLeasePath(r.URL.Path)
 	lease := s.leases[id]
@@ -53,13 +52,13 @@
 	reply(w, http.StatusOK, map[string]any{})
 }
 
-// parseLeasePath returns the lease that a request to renew or to end one is about.
+// parseLeasePath returns the lease id in the path of a request to renew or end a lease.
 func parseLeasePath(path string) (id uint64, err error) {
 	return strconv.ParseUint(strings.TrimSuffix(strings.TrimPrefix(path, "/holds/"), "/touch"), 10, 64)
 }
 
-// expireLeases ends the leases whose time is over, in the order in which they were
-// granted. None ends during an outage. The lock is held.
+// expireLeases ends the expired leases in the order of their grants. No lease ends during an
+// outage. The caller holds the lock.
 func (s *KVStore) expireLeases() {
 	if s.outage {
 		return
@@ -77,7 +76,7 @@
 	}
 }
 
-// endLease deletes a lease and the keys that were put under it; the lock is held.
+// endLease deletes a lease and the keys that were put with it. The caller holds the lock.
 func (s *KVStore) endLease(id uint64) {
 	delete(s.leases, id)
 	var deleted []string
--- a/internal/fake/kvstore_transactions.go
+++ b/internal/fake/kvstore_transactions.go
@@ -17,13 +17,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file has the key-value store's transactions, and checks that what controllers
-// write by them keeps the rules.
-
 const (
-	// maxValueBytes is the most that a value may take, in bytes of its JSON form.
+	// maxValueBytes is the largest size of a value in its JSON form.
 	maxValueBytes = 16 << 10
-	// guardsPerOp is how many guards a transaction may have for each operation it may have.
+	// guardsPerOp is the highest number of guards of a transaction for each allowed operation.
 	guardsPerOp = 4
 )
 
@@ -32,13 +29,14 @@
 	errValueTooLarge = errors.New("value too large")
 )
 
-// transaction is carried out only if all its guards hold.
+// transaction is a list of changes that are made atomically if all guards hold. The store checks
+// that the transactions of controllers follow the protocol's rules.
 type transaction struct {
 	If   []wire.Guard `msgpack:"guards"`
 	Then []operation  `msgpack:"apply"`
 }
 
-// operation puts or deletes a key.
+// operation puts or deletes a key: either Put or Delete is set.
 type operation struct {
 	Put    string   `msgpack:"set"`
 	Value  wire.Raw `msgpack:"v"`
@@ -46,10 +44,10 @@
 	Delete string   `msgpack:"remove"`
 }
 
-// key is the key that an operation changes.
+// key returns the key that an operation changes.
 func (op *operation) key() string { return op.Put + op.Delete }
 
-// keys lists what a transaction changes.
+// keys returns the keys that a transaction changes.
 func (t *transaction) keys() (out []string) {
 	for _, op := range t.Then {
 		out = append(out, op.key())
@@ -67,7 +65,8 @@
 	return slices.ContainsFunc(t.If, func(g wire.Guard) bool { return g.Key == key })
 }
 
-// jsonSize is how large a body is in the form in which limits are counted.
+// jsonSize returns the size in bytes of a MessagePack value in its JSON form, which the limits
+// apply to. It returns 0 for malformed MessagePack.
 func jsonSize(body []byte) int {
 	var v any
 	if msgpack.Unmarshal(body, &v) != nil {
@@ -75,12 +74,13 @@
 	}
 	b, err := json.Marshal(v)
 	if err != nil {
-		return math.MaxInt32 // more than any limit
+		return math.MaxInt32 // above every limit
 	}
 	return len(b)
 }
 
-// decodeTransaction decodes a request's body and checks the limits of sizes and counts.
+// decodeTransaction decodes a request's body and checks the limits of sizes and counts. Its
+// errors are errMalformed and errValueTooLarge.
 func (s *KVStore) decodeTransaction(body []byte) (*transaction, error) {
 	var t transaction
 	if msgpack.Unmarshal(body, &t) != nil || len(t.Then) > s.maxOps || len(t.If) > guardsPerOp*s.maxOps || jsonSize(body) > wire.MaxBody {
@@ -94,8 +94,8 @@
 	return &t, nil
 }
 
-// serveCommit takes a transaction in and carries it out, at once or late as the injected
-// faults have it. The lock is held, but not while it waits.
+// serveCommit receives a transaction and executes it, delayed if an injected fault says so. The
+// caller holds the lock, which is released during a delay.
 func (s *KVStore) serveCommit(w http.ResponseWriter, r *http.Request, body []byte) {
 	t, err := s.decodeTransaction(body)
 	if err != nil {
@@ -119,7 +119,7 @@
 	s.commit(w, t, arrival)
 }
 
-// commit carries a transaction out if its guards hold, and answers it; the lock is held.
+// commit executes a transaction if its guards hold, and answers it. The caller holds the lock.
 func (s *KVStore) commit(w http.ResponseWriter, t *transaction, arrival transactionArrival) {
 	for _, op := range t.Then {
 		if op.Lease != 0 && s.leases[op.Lease] == nil {
@@ -146,7 +146,7 @@
 	reply(w, http.StatusOK, wire.TxnAnswer{Revision: s.revision})
 }
 
-// failedGuards lists the keys whose versions are not those that a transaction rests on.
+// failedGuards returns the keys whose versions differ from those in the transaction's guards.
 func (s *KVStore) failedGuards(t *transaction) []string {
 	var failed []string
 	for _, g := range t.If {
@@ -157,7 +157,8 @@
 	return failed
 }
 
-// apply makes the changes of a transaction, all under one revision; the lock is held.
+// apply makes the changes of a transaction, all with the same new revision. The caller holds the
+// lock.
 func (s *KVStore) apply(t *transaction) {
 	s.revision++
 	for _, op := range t.Then {
@@ -178,9 +179,9 @@
 	s.wakeWatches()
 }
 
-// checkPlacementGuards checks that no leader places a task but on condition of the plan
-// in force: the condition held, since the transaction is being applied. What is no
-// leader's is a snapshot being imported.
+// checkPlacementGuards checks that a leader's transaction that places a task has a guard on the
+// plan in force. The guard holds, because the transaction is about to be applied. Transactions
+// without a guard on the leader key are exempt: they import a snapshot.
 func (s *KVStore) checkPlacementGuards(t *transaction) {
 	if s.reportViolation == nil || !t.guards(election.LeaderKey) || t.guards(jobstore.PlanHeadKey) {
 		return
@@ -192,7 +193,7 @@
 	}
 }
 
-// checkNoNewPlacement checks that a page of placements adds none to what it replaces.
+// checkNoNewPlacement checks that a page of placements adds none to the page that it replaces.
 func (s *KVStore) checkNoNewPlacement(op operation) {
 	var replaced, page jobstore.PlacementPage
 	if wire.Unmarshal(op.Value, &page) != nil {
@@ -200,7 +201,7 @@
 		return
 	}
 	if e, ok := s.entries[op.Put]; ok && wire.Unmarshal(e.Value, &replaced) != nil {
-		return // a scenario has damaged it
+		return // a scenario has damaged the page
 	}
 	identity := func(job string, p jobstore.Placement) string { return fmt.Sprint(job, p.Task, p.Attempt, p.Machine) }
 	before := map[string]bool{}
@@ -218,7 +219,7 @@
 	}
 }
 
-// checkFinalRecords checks that how a job ended is written once.
+// checkFinalRecords checks that a job's final record is written only once.
 func (s *KVStore) checkFinalRecords(t *transaction) {
 	for _, op := range t.Then {
 		id, ok := jobstore.ParseFinalKey(op.key())
@@ -228,13 +229,14 @@
 	}
 }
 
-// writtenByLeadersOnly reports whether a key is written by leaders alone.
+// writtenByLeadersOnly reports whether only leaders may write a key.
 func writtenByLeadersOnly(key string) bool {
 	_, page := jobstore.ParsePlacementPageKey(key)
 	return page || strings.HasPrefix(key, jobstore.RebalanceCyclePrefix) || strings.HasPrefix(key, jobstore.ScaleOutPrefix) || key == jobstore.ScaleInKey
 }
 
-// leaderNode is the node of the leader record; "" where there is none that can be read.
+// leaderNode returns the name of the controller in the leader record, or "" if there is no
+// readable record. The caller holds the lock.
 func (s *KVStore) leaderNode() string {
 	var rec struct {
 		Node string `msgpack:"node"`
@@ -245,15 +247,15 @@
 	return rec.Node
 }
 
-// leaderToken is the fencing token of the leader whose key is in the store; 0: there is
-// none. The lock is held.
+// leaderToken returns the fencing token of the present leader, or 0 if there is no leader key. The
+// caller holds the lock.
 func (s *KVStore) leaderToken() uint64 { return s.entries[election.LeaderKey].Version }
 
-// checkLeaderWrites checks that what leaders alone write is changed under the fencing
-// token that the change is made for, by the node that leads, and by no other, however late it comes.
+// checkLeaderWrites checks that keys for leaders only are changed by the present leader, in the
+// term that the transaction was sent in, even if it is executed late.
 func (s *KVStore) checkLeaderWrites(t *transaction, arrival transactionArrival) {
 	if s.reportViolation == nil || !isNode(arrival.node) {
-		return // a scenario's own, or a snapshot's
+		return // a scenario's own write, or the import of a snapshot
 	}
 	leader, token := s.leaderNode(), s.leaderToken()
 	if leader == arrival.node && token == arrival.token {
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -10,38 +10,38 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// BrokenClass is the class of jobs that fail on every machine.
+// BrokenClass is the class of jobs whose tasks fail on every machine.
 const BrokenClass = "broken"
 
-// stepInterval is how finely machines are simulated.
+// stepInterval is the time step of the simulation of machines.
 const stepInterval = 100 * time.Millisecond
 
-// taskKey is an attempt of a task.
+// taskKey identifies an attempt of a task, or of a gang by the id of its job.
 type taskKey struct {
 	name    string
 	attempt uint64
 }
 
-// task is a task on a machine. The cluster's lock guards it.
+// task is an attempt of a task on a machine. The cluster's lock guards it.
 type task struct {
 	taskKey
 	machine      *machine
-	job          *wire.Job // nil: unknown
+	job          *wire.Job // nil if the worker doesn't know the job
 	index        int       // in its job
 	state        string    // one of the wire.Task constants
 	exitReason   string    // one of the wire.Exit constants, once it has exited
 	saved        bool      // it saved its progress before it exited
 	launchedAt   time.Time
-	readyAt      time.Time // its image is there no earlier
+	readyAt      time.Time // earliest start, even if the image is cached
 	present      bool      // it has its image and has not exited
 	presentSince time.Time
-	stopsAt      time.Time // when a stop ends it; zero: none
-	saving       bool
+	stopsAt      time.Time // when a stop command ends it; zero: no stop
+	saving       bool      // it saves its progress until stopsAt
 }
 
 // machine is a machine with its worker.
 type machine struct {
-	// Set by newMachine, and not changed afterwards.
+	// Set by newMachine and constant from then on.
 	cluster   *Cluster
 	name      string
 	addr      string
@@ -53,35 +53,35 @@
 	ctx       context.Context // ends with the machine
 	stop      context.CancelFunc
 
-	// The cluster's lock guards all that follows. Of machineType only the rate of fetches
-	// changes; the rest of it is read without the lock.
+	// Guarded by the cluster's lock. Only the fetch rate of machineType changes, and its other
+	// fields are read without the lock.
 	machineType wire.MachineType
-	dead        bool
-	hung        bool
+	dead        bool // it was killed
+	hung        bool // its worker neither simulates tasks nor communicates, but the machine keeps its tasks
 	faulty      bool // its tasks fail
 	tasks       map[taskKey]*task
 	order       []taskKey // the tasks in the order of their launches
 	cache       cache
 
-	epoch              uint64 // changes when a lease expires
-	lastSeq            uint64 // of its heartbeats
-	token              uint64 // the highest fencing token that it has seen
+	epoch              uint64 // incremented when a lease expires
+	lastSeq            uint64 // sequence number of its last heartbeat
+	token              uint64 // the highest fencing token that it has seen; 0: none
 	tokenChangedAt     time.Time
 	leaseRenewedAt     time.Time
-	heartbeatsTo       int  // the index of the node that its next heartbeat is sent to
-	heartbeatDue       bool // something has changed since its last heartbeat
-	interruptionNotice *float64
+	heartbeatsTo       int               // index of the controller that gets the next heartbeat
+	heartbeatDue       bool              // its state has changed since its last heartbeat
+	interruptionNotice *float64          // seconds until the cloud takes a spot machine back; nil: no notice
 	lateReplies        int               // answers accepted more than a second after their heartbeats
-	lastAnswered       answeredHeartbeat // the last heartbeat of its own that was answered 200, and by whom
+	lastAnswered       answeredHeartbeat // its last heartbeat that was answered with status 200
 
-	holdCommands        bool // direct commands are held back
+	holdCommands        bool // direct commands are held until DeliverHeldCommands
 	heldCommands        []wire.DirectCommands
-	batchesSent         int // batches of direct commands that were sent to it
-	newestBatchExecuted int // the newest of them, in the order of sending, that was executed at once
-	directExecuted      int // direct commands executed as they arrived
+	batchesSent         int // batches of direct commands received, except held ones
+	newestBatchExecuted int // number of the last batch that was executed on arrival
+	directExecuted      int // direct commands executed on arrival
 }
 
-// newMachine makes a machine, which comes up after its boot time.
+// newMachine starts a machine. Its worker runs once the boot time is over.
 func newMachine(w *Cluster, name string, typ wire.MachineType, zone string, spot bool, boot time.Duration) *machine {
 	ctx, stop := context.WithCancel(w.ctx)
 	m := &machine{cluster: w, name: name, addr: name + ":9000", machineType: typ, zone: zone, spot: spot, createdAt: time.Now(),
@@ -97,7 +97,7 @@
 	return m.dead
 }
 
-// kill ends the machine and all that is on it.
+// kill ends the machine and its tasks.
 func (m *machine) kill() {
 	m.cluster.mu.Lock()
 	if !m.dead {
@@ -110,7 +110,7 @@
 	m.stop()
 }
 
-// clearTasks kills and forgets all tasks; the cluster's lock is held.
+// clearTasks kills and removes all tasks. The caller holds the cluster's lock.
 func (m *machine) clearTasks() {
 	for _, k := range m.order {
 		m.cluster.endIncompleteTask(m.tasks[k])
@@ -118,7 +118,7 @@
 	m.tasks, m.order = map[taskKey]*task{}, nil
 }
 
-// run boots the machine, and then runs its worker until the machine ends.
+// run boots the machine, and then runs its worker until the machine is killed.
 func (m *machine) run() {
 	if !call.Pause(m.ctx, m.bootTime) {
 		return
@@ -129,7 +129,7 @@
 	}
 	srv := &http.Server{Handler: m}
 	m.cluster.wg.Go(func() { _ = srv.Serve(l) })
-	defer func() { _ = srv.Close() }() // the machine is gone: its listener too
+	defer func() { _ = srv.Close() }() // fails only if kill has closed the listener
 	defer m.client.CloseIdleConnections()
 	m.cluster.mu.Lock()
 	m.leaseRenewedAt = time.Now()
@@ -139,12 +139,12 @@
 	m.sendHeartbeats()
 }
 
-// runTasks simulates what is on the machine, step by step.
+// runTasks simulates the tasks on the machine, step by step.
 func (m *machine) runTasks() {
 	for call.Pause(m.ctx, stepInterval) {
 		m.cluster.mu.Lock()
-		// A machine that hangs resumes within its lease or not at all with
-		// what it had.
+		// A hung machine whose lease expires loses its tasks. One that resumes earlier keeps
+		// them.
 		if now := time.Now(); !m.dead && !m.expireLease(now) {
 			m.checkCancelledTasks(now)
 			if !m.hung {
@@ -155,7 +155,8 @@
 	}
 }
 
-// expireLease kills and forgets all tasks once the lease is over, and reports whether it is.
+// expireLease reports whether the worker's lease has expired. If so, it kills and removes all
+// tasks and begins a new epoch.
 func (m *machine) expireLease(now time.Time) bool {
 	if now.Sub(m.leaseRenewedAt) <= secs(m.cluster.Settings.Cluster.Workers.LeaseS) {
 		return false
@@ -170,8 +171,8 @@
 	return true
 }
 
-// checkCancelledTasks checks what is on the machine of jobs that are cancelled. A machine
-// that hangs has it all the same, and may resume with it.
+// checkCancelledTasks checks the tasks on the machine for cancelled jobs. It includes hung
+// machines, because they keep their tasks and may resume.
 func (m *machine) checkCancelledTasks(now time.Time) {
 	for _, k := range m.order {
 		if t := m.tasks[k]; t.present {
@@ -180,7 +181,7 @@
 	}
 }
 
-// stepTasks advances what is on the machine; the cluster's lock is held.
+// stepTasks advances fetches and tasks by a step. The caller holds the cluster's lock.
 func (m *machine) stepTasks(now time.Time) {
 	m.advanceFetches(now)
 	for _, k := range append([]taskKey(nil), m.order...) {
@@ -204,21 +205,23 @@
 	}
 }
 
-// exit ends a task; the cluster's lock is held.
-func (m *machine) exit(t *task, why string, saved bool) {
+// exit ends a task with one of the wire.Exit constants. It does nothing if the task has exited.
+// The caller holds the cluster's lock.
+func (m *machine) exit(t *task, reason string, saved bool) {
 	if t.state == wire.TaskExited {
 		return
 	}
-	t.state, t.exitReason, t.saved = wire.TaskExited, why, saved
+	t.state, t.exitReason, t.saved = wire.TaskExited, reason, saved
 	m.heartbeatDue = true
-	if why == wire.ExitDone {
+	if reason == wire.ExitDone {
 		m.cluster.completeTask(t)
 	} else {
 		m.cluster.endIncompleteTask(t)
 	}
 }
 
-// ServeHTTP takes direct commands.
+// ServeHTTP receives direct commands and answers with the machine's heartbeat. While the machine
+// hangs, requests wait.
 func (m *machine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	m.cluster.mu.Lock()
@@ -241,5 +244,5 @@
 	reply(w, status, m.heartbeat())
 }
 
-// secs is a duration of a number of seconds.
+// secs converts seconds to a time.Duration.
 func secs(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -1,12 +1,12 @@
-// Package fake is a cluster's surroundings in memory: a network, a key-value store, a
-// cloud, machines with workers, users, and a checker of the protocol's rules. Scenarios
-// run controllers against it, in simulated time (testing/synctest), and inject faults;
-// real processes can be attached to it as well.
+// Package fake simulates a cluster in memory: a network, a key-value store, a cloud, machines with
+// workers, users, and a checker of the protocol's rules. Scenarios (tests of a whole cluster) run
+// controllers against it in simulated time (testing/synctest) and inject faults. Controllers in
+// processes of their own can be attached too.
 //
-// A Cluster has a lock that guards what workers, users and the checker know; Network,
-// KVStore, Cloud and the list of violations have their own. Where several are held, they
-// are taken in this order: the cloud's, the cluster's, the key-value store's, and last
-// the network's or the list's.
+// The lock of a Cluster guards the state of workers, users and the checker. Network, KVStore,
+// Cloud and the list of violations have locks of their own. A goroutine that needs several takes
+// them in this order: the cloud's, the cluster's, the key-value store's, and last the network's or
+// the list's.
 package fake
 
 import (
@@ -19,30 +19,32 @@
 	"time"
 )
 
-// Network is a network of hosts, named by the part of an address before the colon.
+// Network is an in-memory network of hosts. A host is named by the part of an address before the
+// colon, and need not be declared. It is safe for concurrent use.
 type Network struct {
-	mu        sync.Mutex // guards all that follows
-	listeners map[string]*listener
+	mu        sync.Mutex           // guards the fields below
+	listeners map[string]*listener // by address
 	conns     map[*conn]bool
 
 	cuts           map[link]bool
-	oneWayBlocks   map[direction]chan struct{} // closed when what was held back is delivered
+	oneWayBlocks   map[direction]chan struct{} // closed when the block ends
 	outgoingBlocks map[direction]bool          // no connection can be opened
 	down           map[string]bool             // hosts without power
-	paused         map[string]chan struct{}    // hosts whose processes are paused, until closed
+	paused         map[string]chan struct{}    // hosts whose processes are paused; closed when the pause ends
 
-	socketLimit map[string]int // 0: none
-	openSockets map[string]int
-	peakSockets map[string]int // of a limited host, at once
+	socketLimit map[string]int // by host; 0: no limit
+	openSockets map[string]int // by host
+	peakSockets map[string]int // by host with a limit: the most open sockets so far
 }
 
-// link is the link between two hosts, in the order of their names.
+// link is an undirected pair of hosts, sorted by name.
 type link struct{ a, b string }
 
-// direction is one direction between two hosts: who sends, or opens connections, and to whom.
+// direction is an ordered pair of hosts: the sender of data or opener of connections, and its
+// peer.
 type direction struct{ from, to string }
 
-// NewNetwork makes an empty network.
+// NewNetwork returns a network without hosts and faults.
 func NewNetwork() *Network {
 	return &Network{
 		listeners:      map[string]*listener{},
@@ -58,7 +60,7 @@
 	}
 }
 
-// host is the host of an address.
+// host returns the host part of an address.
 func host(addr string) string { h, _, _ := strings.Cut(addr, ":"); return h }
 
 func linkOf(a, b string) link {
@@ -68,8 +70,8 @@
 	return link{a, b}
 }
 
-// connsThat lists the connections that match; the lock is held.
-func (n *Network) connsThat(match func(c *conn) bool) []*conn {
+// matchingConns returns the connection ends that match. The caller holds the lock.
+func (n *Network) matchingConns(match func(c *conn) bool) []*conn {
 	var matching []*conn
 	for c := range n.conns {
 		if match(c) {
@@ -79,32 +81,31 @@
 	return matching
 }
 
-// breakConns breaks connections; the lock is not held.
+// breakConns breaks connections. The caller must not hold the lock.
 func breakConns(conns []*conn) {
 	for _, c := range conns {
 		c.breakOff()
 	}
 }
 
-// Cut breaks what connects two hosts; new connections hang.
+// Cut breaks all connections between two hosts and makes new ones time out, until Heal.
 func (n *Network) Cut(a, b string) {
 	n.mu.Lock()
 	n.cuts[linkOf(a, b)] = true
-	cut := n.connsThat(func(c *conn) bool { return linkOf(c.from, c.to) == linkOf(a, b) })
+	cut := n.matchingConns(func(c *conn) bool { return linkOf(c.from, c.to) == linkOf(a, b) })
 	n.mu.Unlock()
 	breakConns(cut)
 }
 
-// Heal ends a cut.
+// Heal ends the fault of Cut.
 func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cuts, linkOf(a, b))
 }
 
-// BlockOneWay holds back what a host sends to another: on connections that are open it
-// waits, also after they have been given up, and connections that the first opens do not
-// come about.
+// BlockOneWay holds the data that one host sends to another until UnblockOneWay. Data on open
+// connections waits, even if the sender closes them. New connections by the sender time out.
 func (n *Network) BlockOneWay(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -112,14 +113,14 @@
 	n.oneWayBlocks[direction{from, to}] = make(chan struct{})
 }
 
-// UnblockOneWay delivers what BlockOneWay has held back.
+// UnblockOneWay ends the fault of BlockOneWay and delivers the held data.
 func (n *Network) UnblockOneWay(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.deliver(direction{from, to})
 }
 
-// deliver ends a block in one direction, if there is one; the lock is held.
+// deliver ends a block in one direction, if there is one. The caller holds the lock.
 func (n *Network) deliver(way direction) {
 	if c := n.oneWayBlocks[way]; c != nil {
 		close(c)
@@ -136,7 +137,7 @@
 	}
 }
 
-// awaitDelivery waits while what is sent in a direction is held back, or until stop.
+// awaitDelivery waits until data in a direction is not blocked, or stop is closed.
 func (n *Network) awaitDelivery(way direction, stop <-chan struct{}) {
 	awaitAbsence(stop, func() <-chan struct{} {
 		n.mu.Lock()
@@ -145,28 +146,29 @@
 	})
 }
 
-// BlockOutgoing breaks the connections that a host has opened to another, and lets it
-// open none. What the other opens to it works all the while.
+// BlockOutgoing breaks the connections that one host has opened to another, and makes new ones
+// time out, until UnblockOutgoing. Connections opened by the other host keep working.
 func (n *Network) BlockOutgoing(from, to string) {
 	n.mu.Lock()
 	n.outgoingBlocks[direction{from, to}] = true
-	cut := n.connsThat(func(c *conn) bool { return c.from == from && c.to == to })
+	cut := n.matchingConns(func(c *conn) bool { return c.from == from && c.to == to })
 	n.mu.Unlock()
 	breakConns(cut)
 }
 
-// UnblockOutgoing ends what BlockOutgoing began.
+// UnblockOutgoing ends the fault of BlockOutgoing.
 func (n *Network) UnblockOutgoing(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.outgoingBlocks, direction{from, to})
 }
 
-// PowerOff takes a host's power away, with its connections and listeners.
+// PowerOff breaks a host's connections, closes its listeners and makes new connections from and to
+// it time out, until PowerOn.
 func (n *Network) PowerOff(h string) {
 	n.mu.Lock()
 	n.down[h] = true
-	cut := n.connsThat(func(c *conn) bool { return c.from == h || c.to == h })
+	cut := n.matchingConns(func(c *conn) bool { return c.from == h || c.to == h })
 	var listeners []*listener
 	for address, l := range n.listeners {
 		if host(address) == h {
@@ -180,15 +182,15 @@
 	}
 }
 
-// PowerOn gives a host's power back.
+// PowerOn ends the fault of PowerOff. The host has to open its listeners again.
 func (n *Network) PowerOn(h string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.down, h)
 }
 
-// Pause makes a host's process pause: it takes connections and neither reads nor writes,
-// nor sees what it has read.
+// Pause suspends a host's process until Resume. Its listeners still accept connections, but its
+// reads, writes and dials block. A read that has got data returns it after the pause.
 func (n *Network) Pause(h string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -203,7 +205,7 @@
 	n.endPause(h)
 }
 
-// endPause ends a pause, if there is one; the lock is held.
+// endPause ends a pause, if there is one. The caller holds the lock.
 func (n *Network) endPause(h string) {
 	if c := n.paused[h]; c != nil {
 		close(c)
@@ -211,7 +213,7 @@
 	}
 }
 
-// awaitResume waits while a host's process is paused, or until stop.
+// awaitResume waits until a host's process is not paused, or stop is closed.
 func (n *Network) awaitResume(h string, stop <-chan struct{}) {
 	awaitAbsence(stop, func() <-chan struct{} {
 		n.mu.Lock()
@@ -220,8 +222,8 @@
 	})
 }
 
-// awaitAbsence waits until there is no block, or until stop. A block is a channel that is
-// closed as it ends, and may be followed by another.
+// awaitAbsence waits until block returns nil, or stop is closed. A block is a channel that is
+// closed when the block ends. Another block may follow it.
 func awaitAbsence(stop <-chan struct{}, block func() <-chan struct{}) {
 	for {
 		ended := block()
@@ -236,7 +238,7 @@
 	}
 }
 
-// blocked reports whether a host can't open connections to another.
+// blocked reports whether a fault keeps a host from opening connections to another.
 func (n *Network) blocked(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -246,10 +248,11 @@
 
 var errRefused = errors.New("connection refused")
 
-// dialTimeout is how long a connection to a host that can't be reached takes to fail.
+// dialTimeout is the time after which dialing an unreachable host fails.
 const dialTimeout = 2 * time.Second
 
-// Dial opens a connection from a host.
+// Dial returns a function that opens connections from the given host. It fails with errRefused if
+// nobody listens or a host has no socket left, and times out if a fault blocks the connection.
 func (n *Network) Dial(from string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		n.awaitResume(from, ctx.Done())
@@ -266,47 +269,49 @@
 		if l == nil {
 			return nil, fmt.Errorf("dial %s: %w", addr, errRefused)
 		}
-		a, b := net.Pipe()
-		ca, cb := n.newConn(a, direction{from, to}, from), n.newConn(b, direction{from, to}, to)
-		if !n.openConn(ca, cb) {
-			_ = ca.Close() // never fails
-			_ = cb.Close()
+		clientPipe, serverPipe := net.Pipe()
+		client, server := n.newConn(clientPipe, direction{from, to}, from), n.newConn(serverPipe, direction{from, to}, to)
+		if !n.openConn(client, server) {
+			_ = client.Close() // never fails
+			_ = server.Close()
 			return nil, fmt.Errorf("dial %s: %w", addr, errRefused)
 		}
 		select {
-		case l.accept <- cb:
-			return ca, nil
+		case l.accept <- server:
+			return client, nil
 		case <-l.closed:
 		case <-ctx.Done():
 		}
-		_ = ca.Close() // never fails
-		_ = cb.Close()
+		_ = client.Close() // never fails
+		_ = server.Close()
 		return nil, fmt.Errorf("dial %s: %w", addr, errRefused)
 	}
 }
 
-// LimitSockets limits how many sockets a host may have open.
+// LimitSockets limits the number of open sockets of a host; 0 removes the limit.
 func (n *Network) LimitSockets(h string, limit int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.socketLimit[h] = limit
 }
 
-// OpenSockets is how many sockets a host has open.
+// OpenSockets returns the number of open sockets of a host.
 func (n *Network) OpenSockets(h string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.openSockets[h]
 }
 
-// PeakSockets is how many sockets a limited host has had open at once.
+// PeakSockets returns the highest number of sockets that a host had open at once, or 0 if the host
+// had no limit.
 func (n *Network) PeakSockets(h string) int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.peakSockets[h]
 }
 
-// openConn gives both ends of a connection their sockets, if both hosts have one left.
+// openConn takes a socket of each end's host for a connection. It reports false if a host has none
+// left.
 func (n *Network) openConn(a, b *conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -326,7 +331,7 @@
 	return true
 }
 
-// closeConn gives the socket of a connection's end back.
+// closeConn releases the socket of a connection's end.
 func (n *Network) closeConn(c *conn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -336,7 +341,7 @@
 	delete(n.conns, c)
 }
 
-// Listen opens a listener on an address.
+// Listen opens a listener on an address. It fails if the address is in use.
 func (n *Network) Listen(_, addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/network_conn.go
+++ b/internal/fake/network_conn.go
@@ -6,9 +6,7 @@
 	"time"
 )
 
-// This file has the listeners and connections of the network.
-
-// listener accepts connections at an address.
+// listener accepts connections at an address of a Network.
 type listener struct {
 	n      *Network
 	addr   string
@@ -49,28 +47,28 @@
 type conn struct {
 	net.Conn
 	network   *Network
-	direction        // who has opened it, and to whom
-	side      string // whose end it is
+	direction        // from the host that opened the connection
+	side      string // the host of this end
 
 	closed    chan struct{}
-	broken    chan struct{} // closed when all that is under way is lost
+	broken    chan struct{} // closed when unsent data is dropped
 	closeOnce sync.Once
 	breakOnce sync.Once
-	out       chan []byte // what was written and is not sent yet
+	out       chan []byte // written data that is not sent yet
 }
 
-// socketBuffer is how many writes a connection takes that nobody has read yet.
-const socketBuffer = 4096
+// socketBufferWrites is the number of writes that a connection buffers before a write blocks.
+const socketBufferWrites = 4096
 
-// newConn makes an end of a connection. As with sockets, what is written waits in
-// the connection, and is there for a process that was paused.
-func (n *Network) newConn(c net.Conn, way direction, side string) *conn {
-	e := &conn{Conn: c, network: n, direction: way, side: side, closed: make(chan struct{}), broken: make(chan struct{}), out: make(chan []byte, socketBuffer)}
-	go e.sendBuffered()
-	return e
+// newConn returns an end of a connection. Like a socket it buffers writes, so that a peer finds
+// the data after a pause of its process.
+func (n *Network) newConn(pipe net.Conn, way direction, side string) *conn {
+	c := &conn{Conn: pipe, network: n, direction: way, side: side, closed: make(chan struct{}), broken: make(chan struct{}), out: make(chan []byte, socketBufferWrites)}
+	go c.sendBuffered()
+	return c
 }
 
-// peer is the host at the other end.
+// peer returns the host at the other end.
 func (c *conn) peer() string {
 	if c.side == c.to {
 		return c.from
@@ -78,7 +76,7 @@
 	return c.to
 }
 
-// sendBuffered sends what is written until the connection is closed and nothing is left.
+// sendBuffered sends written data until the connection is closed and the buffer is empty.
 func (c *conn) sendBuffered() {
 	defer c.Conn.Close()
 	write := func(b []byte) error {
@@ -110,9 +108,9 @@
 
 func (c *conn) Read(b []byte) (int, error) {
 	c.network.awaitResume(c.side, c.closed)
-	k, err := c.Conn.Read(b)
+	n, err := c.Conn.Read(b)
 	c.network.awaitResume(c.side, c.closed)
-	return k, err
+	return n, err
 }
 
 func (c *conn) Write(b []byte) (int, error) {
@@ -130,7 +128,7 @@
 	}
 }
 
-// Close lets what was written arrive, and ends the reading here at once.
+// Close ends reads at this end at once. Written data is still delivered.
 func (c *conn) Close() error {
 	c.closeOnce.Do(func() {
 		close(c.closed)
@@ -140,7 +138,7 @@
 	return nil
 }
 
-// breakOff ends the connection with all that is under way.
+// breakOff closes the connection and drops its unsent data.
 func (c *conn) breakOff() {
 	c.breakOnce.Do(func() { close(c.broken) })
 	_ = c.Close()
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -13,30 +13,29 @@
 	"github.com/umberdeal/umberdeal/yarn"
 )
 
-// This file starts, stops and pauses the controllers.
-
-// node is a controller.
+// node is a controller, which runs as goroutines of the test's process.
 type node struct {
 	name string
-	addr string // where it serves users and workers
+	addr string // address for users and workers
 	cfg  *config.Settings
 
-	// Guarded by the cluster's lock: copies of heartbeats are sent by goroutines of their own.
-	stop        context.CancelFunc // nil while no process runs
-	done        chan struct{}      // closed once the process has ended
-	killed      *atomic.Bool       // its process was ended on purpose
-	downSince   time.Time          // when its power was cut; zero: it is up
-	olderSchema bool               // its next process reads records of the schema version before
+	// Guarded by the cluster's lock, because other goroutines send copies of heartbeats.
+	stop        context.CancelFunc // nil while the controller doesn't run
+	done        chan struct{}      // closed once the controller has ended
+	killed      *atomic.Bool       // KillNode ended the controller
+	downSince   time.Time          // when KillNode ended it; zero while it runs
+	olderSchema bool               // the controller uses the previous schema version when started next
 }
 
-// UpgradeSchema makes a node's next process read records of the newest schema version.
+// UpgradeSchema makes the i-th controller use the newest schema version when it is started next.
 func (w *Cluster) UpgradeSchema(i int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.nodes[i].olderSchema = false
 }
 
-// StartNode starts a controller.
+// StartNode starts the i-th controller, unless it runs. A controller that ends by itself with an
+// error counts as a violation.
 func (w *Cluster) StartNode(i int) {
 	n := w.nodes[i]
 	if w.nodeRuns(n) {
@@ -61,7 +60,7 @@
 	if w.yarn != "" {
 		s, err := yarn.ParseSettings(fmt.Sprintf("listen = %q\nrest = %q\n%s", n.name+":8032", n.name+":8088", w.yarn), n.cfg)
 		if err != nil {
-			panic(err) // a cluster is made wrong
+			panic(err) // Options.YARN is invalid
 		}
 		c.OpenYARN(s)
 	}
@@ -73,7 +72,8 @@
 	})
 }
 
-// KillNode ends a controller as if its power were cut.
+// KillNode ends the i-th controller like a power failure: its connections break and it finishes
+// nothing. It waits until the controller has ended.
 func (w *Cluster) KillNode(i int) {
 	n := w.nodes[i]
 	if !w.nodeRuns(n) {
@@ -107,20 +107,21 @@
 	}
 }
 
-// StartAll starts every controller that is not up.
+// StartAll starts every controller that doesn't run.
 func (w *Cluster) StartAll() {
 	for i := range w.nodes {
 		w.StartNode(i)
 	}
 }
 
-// PauseNode makes a controller's process pause while its clocks run on.
+// PauseNode suspends the i-th controller while its clocks keep running, like a long pause of the
+// process.
 func (w *Cluster) PauseNode(i int) { w.Network.Pause(w.nodes[i].name) }
 
-// ResumeNode ends what PauseNode began.
+// ResumeNode resumes a controller that PauseNode suspended.
 func (w *Cluster) ResumeNode(i int) { w.Network.Resume(w.nodes[i].name) }
 
-// Nodes are the controllers' names.
+// Nodes returns the names of all controllers, in the order of their indexes.
 func (w *Cluster) Nodes() []string {
 	var out []string
 	for _, n := range w.nodes {
@@ -129,7 +130,8 @@
 	return out
 }
 
-// Leader is the index of the node whose key is in the key-value store, or -1.
+// Leader returns the index of the controller that the leader key in the key-value store names, or
+// -1 if there is none.
 func (w *Cluster) Leader() int {
 	w.Store.mu.Lock()
 	leader := w.Store.leaderNode()
@@ -137,7 +139,8 @@
 	return slices.IndexFunc(w.nodes, func(n *node) bool { return n.name == leader })
 }
 
-// PowerCycleNode takes a node's power away and gives it back after a while.
+// PowerCycleNode kills the i-th controller and starts it again after the given time. It returns
+// once the controller is started.
 func (w *Cluster) PowerCycleNode(i int, after time.Duration) {
 	w.KillNode(i)
 	time.Sleep(after)
--- a/internal/fake/options.go
+++ b/internal/fake/options.go
@@ -8,33 +8,31 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file has the options of a cluster, and the settings that its nodes are given.
-
-// Options shape a cluster.
+// Options configure a Cluster. The zero value of each field selects its default.
 type Options struct {
-	Nodes              int                // 0 means 3
-	Machines           int                // up at the start, alternating between the zones
-	Capacity           int                // machines that the cloud has; 0 means four more than at the start
+	Nodes              int                // controllers; 0 means 3
+	Machines           int                // running at the start, alternating between the zones
+	Capacity           int                // most machines that the cloud rents out at once; 0 means Machines + 4
 	Types              []wire.MachineType // empty means DefaultType
-	Teams              []config.Team      // empty means one, core, without limits
-	Seed               uint64             // of what is drawn at random
-	Log                *slog.Logger       // of the nodes; nil discards it
-	ExternalNodes      bool               // the controllers are real processes: none is started
-	Metrics            bool               // each node serves its metrics at port 9464
-	NoWakeUps          bool               // launches wait for workers' heartbeats
-	YARN               string             // settings of the YARN frontend, without its address; empty: none
-	Sockets            int                // of each node; 0 means 800, unenforced
+	Teams              []config.Team      // empty means a single team, "core", without limits
+	Seed               uint64             // of the random number generator
+	Log                *slog.Logger       // of the controllers; nil discards the log
+	ExternalNodes      bool               // the controllers are external processes, and New starts none
+	Metrics            bool               // each controller serves its metrics at port 9464
+	NoWakeUps          bool               // launches wait for workers' heartbeats instead of waking the workers
+	YARN               string             // settings of the YARN frontend without its addresses; empty: no frontend
+	Sockets            int                // limit of each controller; 0 means a setting of 800 that is not enforced
 	HeartbeatIntervalS float64            // seconds between heartbeats; 0 means 1.5
 	LeaseS             float64            // seconds of a worker's lease; 0 means 12
-	OlderSchema        []int              // nodes that read records of the schema version before; see UpgradeSchema
-	StateRPS           float64            // the key-value store's limit of requests a second; 0 means 200, unenforced
-	StateWPS           float64            // and of changes; 0 means 60, unenforced
+	OlderSchema        []int              // indexes of controllers that use the previous schema version; see UpgradeSchema
+	StateRPS           float64            // key-value store: requests per second; 0 means a setting of 200 that is not enforced
+	StateWPS           float64            // key-value store: changes per second; 0 means a setting of 60 that is not enforced
 }
 
-// Zones of every cluster.
+// Zones are the zones of every cluster.
 var Zones = []string{"a", "b"}
 
-// DefaultType is the machine type of clusters that name none.
+// DefaultType is the machine type of clusters whose options name none.
 var DefaultType = wire.MachineType{Name: "m8", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1,
 	Price: 1, SpotPrice: 0.4, BootS: 10, ZonesNamed: Zones}
 
@@ -56,19 +54,19 @@
 	}
 }
 
-// Where the fakes serve.
+// Addresses of the key-value store and the cloud.
 const (
 	stateAddr = stateHost + ":1"
 	cloudAddr = cloudHost + ":1"
 )
 
-// Limits that the nodes' settings state and the fakes enforce.
+// Limits that are in the controllers' settings and that the fakes enforce.
 const (
-	transactionOps   = 12  // operations of one transaction
-	cloudListingLagS = 5.0 // seconds until the cloud lists a machine as it is
+	transactionOps   = 12  // operations per transaction
+	cloudListingLagS = 5.0 // age of the state that the cloud lists, in seconds
 )
 
-// nodeSettings is the settings file of the i-th controller.
+// nodeSettings returns the settings of the i-th controller.
 func (o *Options) nodeSettings(i int) *config.Settings {
 	name := nodeName(i)
 	cfg := &config.Settings{Node: name, Zone: Zones[i%2], Bind: name + ":80", PeerListen: name + ":81",
@@ -88,8 +86,8 @@
 
 func nodeName(i int) string { return fmt.Sprintf("n-%d", i) }
 
-// setLimits applies the options that differ from the default settings, to the nodes'
-// settings and, where the option says so, to the fakes that enforce them.
+// setLimits applies the options that replace default limits to the controllers' settings, and
+// makes the key-value store and the network enforce theirs.
 func (w *Cluster) setLimits(o Options) {
 	if o.StateRPS > 0 {
 		w.Store.LimitRequests(o.StateRPS)
