--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -8,23 +8,23 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// minFetchGBPS is the least rate at which a machine fetches images.
+// minFetchGBPS is the lowest rate at which a machine fetches images, in GB per second.
 const minFetchGBPS = 0.1
 
-// cache is what images a machine has, the most recently used last, and what it is
-// fetching. The cluster's lock guards it.
+// cache is the image cache of a machine, with least-recently-used eviction, and its fetches. The
+// cluster's lock guards it.
 type cache struct {
-	images      []string
-	sizes       map[string]float64 // GB, by image
-	fetchesLeft map[string]float64 // GB left, by image
+	images      []string           // cached images, the most recently used last
+	sizes       map[string]float64 // GB, by cached image
+	fetchesLeft map[string]float64 // GB that are still to be fetched, by image
 	fetchedAt   time.Time          // when fetchesLeft was last advanced
 }
 
 func (c *cache) has(image string) bool { return slices.Contains(c.images, image) }
 
-// use makes an image the most recently used, and evicts what no longer fits
-// beside it and is not in use.
-func (c *cache) use(image string, gb, limit float64, inUse func(string) bool) {
+// use makes an image the most recently used, adding it if it is missing. Then it evicts images
+// that are not in use, the least recently used first, until the rest takes at most limitGB.
+func (c *cache) use(image string, gb, limitGB float64, inUse func(string) bool) {
 	if c.sizes == nil {
 		c.sizes = map[string]float64{}
 	}
@@ -35,7 +35,7 @@
 		total += c.sizes[i]
 	}
 	for _, i := range slices.Clone(c.images) {
-		if total <= limit {
+		if total <= limitGB {
 			return
 		}
 		if i != image && !inUse(i) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// fetch begins a fetch, unless the image is there or on its way.
+// fetch begins to fetch an image, unless it is cached or being fetched.
 func (c *cache) fetch(image string, gb float64) {
 	if c.fetchesLeft == nil {
 		c.fetchesLeft = map[string]float64{}
@@ -56,8 +56,8 @@
 	}
 }
 
-// advanceFetches advances the fetches: those under way share the machine's rate, and one
-// that no task waits for is given up. The cluster's lock is held.
+// advanceFetches advances the machine's fetches, which share its rate. It drops fetches that no
+// task waits for. The caller holds the cluster's lock.
 func (m *machine) advanceFetches(now time.Time) {
 	wanted := map[string]bool{}
 	for _, t := range m.tasks {
@@ -84,7 +84,7 @@
 	}
 }
 
-// takeFetchedImage reports whether a task's image is there now, and marks it as used.
+// takeFetchedImage reports whether a task's image has been fetched, and if so marks it as used.
 func (m *machine) takeFetchedImage(t *task) bool {
 	if !m.cache.has(t.job.Image) && m.cache.fetchesLeft[t.job.Image] > 1e-9 {
 		return false
@@ -109,15 +109,14 @@
 	m.machineType.FetchGBPS /= 10
 }
 
-// PeakImageFetches is on how many machines images were fetched at the same time, at
-// most so far.
+// PeakImageFetches returns the highest number of machines that fetched images at the same time.
 func (w *Cluster) PeakImageFetches() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.peakFetching
 }
 
-// MachinesWithImage lists the machines that have an image.
+// MachinesWithImage returns the sorted names of the machines that have an image cached.
 func (w *Cluster) MachinesWithImage(image string) []string {
 	var out []string
 	for _, name := range w.Cloud.Machines() {
--- a/internal/fake/cancellations.go
+++ b/internal/fake/cancellations.go
@@ -11,18 +11,16 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file has users cancel jobs at moments at which that is hard to get right, and checks what
-// becomes of the tasks of cancelled jobs.
-
 const (
-	minRemaining = 30.0                   // seconds that a task with long to go runs on, at least
-	cancelSpread = 200 * time.Millisecond // from the first request of CancelRunning to the last
-	maxHung      = 8                      // machines that CancelRunning makes hang
+	minRemainingS = 30.0                   // least remaining run time, in seconds, of the tasks that CancelRunning selects
+	cancelSpread  = 200 * time.Millisecond // from the first request of CancelRunning to the last
+	maxHung       = 8                      // machines that CancelRunning makes hang
 )
 
-// CancelRunning cancels n jobs, within a fifth of a second, that run and have long to go.
-// If hang is not 0, some of their machines hang for that long, from before the first
-// request. It does not wait for the answers.
+// CancelRunning sends cancellations of up to n jobs within 200 ms, without waiting for the
+// answers. It draws jobs that have running tasks with more than 30 seconds to go. If hang is not
+// 0, up to eight machines of these tasks hang for that long, beginning before the first request.
+// It returns the ids of the jobs and the names of the machines.
 func (w *Cluster) CancelRunning(n int, hang time.Duration) (ids, hung []string) {
 	w.mu.Lock()
 	machinesOf := w.jobsWithLongToGo(time.Now())
@@ -56,17 +54,17 @@
 	return ids, hung
 }
 
-// jobsWithLongToGo returns the jobs that nobody has asked to cancel and that have tasks
-// with long to go, and the machines of these tasks; the lock is held.
+// jobsWithLongToGo returns the machines of tasks with a long remaining run time, by the ids of
+// their jobs. It leaves out jobs whose cancellation was requested. The caller holds the lock.
 func (w *Cluster) jobsWithLongToGo(now time.Time) map[string][]*machine {
 	machinesOf := map[string][]*machine{}
-	for name, ms := range w.machinesOfTasks {
+	for name, machines := range w.machinesOfTasks {
 		id, _, _ := wire.ParseTaskName(name)
 		j := w.jobs[id]
 		if !j.accepted || j.cancelRequested {
 			continue
 		}
-		for m := range ms {
+		for m := range machines {
 			for _, t := range m.tasks {
 				if t.name == name && t.present && w.hasLongToGo(t, now) {
 					machinesOf[id] = append(machinesOf[id], m)
@@ -77,12 +75,12 @@
 	return machinesOf
 }
 
-// hasLongToGo reports whether a task that is on its machine has long to go.
+// hasLongToGo reports whether a running task has more than minRemainingS seconds left.
 func (w *Cluster) hasLongToGo(t *task, now time.Time) bool {
-	return t.job.Kind == wire.KindService || t.job.EstimateS-w.progress[t.name]-now.Sub(t.presentSince).Seconds() > minRemaining
+	return t.job.Kind == wire.KindService || t.job.EstimateS-w.progress[t.name]-now.Sub(t.presentSince).Seconds() > minRemainingS
 }
 
-// hangSome makes machines of the jobs hang, a few at most; the lock is held.
+// hangSome makes up to maxHung machines of the jobs hang. The caller holds the lock.
 func hangSome(ids []string, machinesOf map[string][]*machine) (hung []*machine) {
 	for _, id := range ids {
 		slices.SortFunc(machinesOf[id], func(a, b *machine) int { return cmp.Compare(a.name, b.name) })
@@ -96,30 +94,32 @@
 	return hung
 }
 
-// completionCancel has jobs cancelled as their last task ends. The cluster's lock guards it.
+// completionCancel makes users cancel jobs at the moment when the last task completes. The
+// cluster's lock guards it.
 type completionCancel struct {
-	share     float64
+	share     float64 // of the jobs that complete
 	random    *rand.Rand
-	requested []string
+	requested []string // ids of the jobs that were cancelled so
 }
 
-// CancelOnCompletion has the users of a share of the jobs that end cancel them at that moment; 0
-// ends that.
+// CancelOnCompletion makes the users of a share of the jobs send a cancellation at the moment when
+// the last task completes. A share of 0 ends that.
 func (w *Cluster) CancelOnCompletion(share float64, seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.completionCancel.share, w.completionCancel.random = share, rand.New(rand.NewPCG(seed, 43))
 }
 
-// CancelledOnCompletion lists the jobs whose users have asked so.
+// CancelledOnCompletion returns the ids of the jobs whose users sent a cancellation because of
+// CancelOnCompletion.
 func (w *Cluster) CancelledOnCompletion() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.completionCancel.requested)
 }
 
-// noteCompletion records that a task has completed, as the last of its job or not; the lock is
-// held.
+// noteCompletion records that a task has completed. If it is the last of its job, the user may
+// cancel the job (see CancelOnCompletion). The caller holds the lock.
 func (w *Cluster) noteCompletion(j *job, task int) {
 	if j.done[task] {
 		return
@@ -134,17 +134,17 @@
 	w.wg.Go(func() { w.Cancel(j.spec.ID) })
 }
 
-// StartedAfterCancel is how many tasks got on a machine after their job's user was
-// told that it is cancelled. Those whose launch was on its way then are allowed to
-// for as long as cancel_s, after which the checker calls the rule broken.
+// StartedAfterCancel returns the number of tasks that started after their job's user was told that
+// the job is cancelled. Starts are allowed up to cancel_s seconds later, because a launch may have
+// been on its way. Later starts are violations.
 func (w *Cluster) StartedAfterCancel() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.startedAfterCancel
 }
 
-// checkCancelledTask checks that what is on a machine is not of a job cancelled
-// more than cancel_s ago. The lock is held.
+// checkCancelledTask checks that a task on a machine doesn't belong to a job that was cancelled
+// more than cancel_s seconds ago. The caller holds the lock.
 func (w *Cluster) checkCancelledTask(t *task, now time.Time) {
 	j := w.jobs[t.job.ID]
 	if j.cancelConfirmedAt.IsZero() || now.Sub(j.cancelConfirmedAt) <= secs(w.Settings.Cluster.Workers.CancelS) {
@@ -155,5 +155,5 @@
 		how = ", which hangs"
 	}
 	w.violations.add("ran_cancelled: %s is on %s%s", t.name, t.machine.name, how)
-	j.cancelConfirmedAt = now // reported once for each cancel_s
+	j.cancelConfirmedAt = now // limits reports to one per cancel_s seconds
 }
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -13,101 +13,102 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Cloud rents machines to the cluster.
+// Cloud simulates the cloud provider that rents machines to the cluster. It serves the provider's
+// protocol over HTTP and is safe for concurrent use.
 type Cloud struct {
-	// Set before the cloud serves requests, and not changed afterwards.
+	// Set before the cloud serves requests and constant from then on.
 	cluster    *Cluster
 	types      []wire.MachineType
-	listingLag time.Duration // until a machine is listed as it is
+	listingLag time.Duration // age of the state that is listed
 
-	mu sync.Mutex // guards all that follows
+	mu sync.Mutex // guards the fields below
 
-	capacity    int                 // machines at once
-	machines    map[string]*machine // those that exist, by name
-	nextMachine int                 // the number of the next machine
-	rentals     map[string][]string // the machines that a request has made, by its id
+	capacity    int                 // most machines at once
+	machines    map[string]*machine // existing machines, by name
+	nextMachine int                 // number of the next machine
+	rentals     map[string][]string // names of the rented machines, by request id
 
 	outage      bool
-	dropReplies bool                    // what is asked is done, and not answered
-	bootTimes   func(int) time.Duration // of the machine of that number; negative: never up
-	replyDelay  time.Duration           // until a rental is answered
-	deleteDelay time.Duration           // until a deletion is carried out, unanswered
-
-	repeatedRentals  []string // requests that came again
-	rented           int      // machines, ever
-	delayedDeletes   int      // deletions carried out late
-	readyBeforeReply int      // machines whose worker had an answer before their rental had one
+	dropReplies bool                    // rentals are executed, but the answer comes too late
+	bootTimes   func(int) time.Duration // boot time by machine number; negative: never boots; nil: as the type says
+	replyDelay  time.Duration           // between a rental and its answer
+	deleteDelay time.Duration           // before the execution of a deletion, which is not answered then
+
+	repeatedRentals  []string // ids of repeated rental requests
+	rented           int      // machines rented so far
+	delayedDeletes   int      // deletion requests executed late
+	readyBeforeReply int      // machines whose worker got an answer before the rental request did
 }
 
-// RepeatedRentals lists the ids of rental requests that came again, after they had been carried
-// out: once for each time.
+// RepeatedRentals returns the ids of rental requests that were repeated after their execution, one
+// entry for each repetition.
 func (c *Cloud) RepeatedRentals() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.repeatedRentals)
 }
 
-// RentedMachines is how many machines were rented, ever.
+// RentedMachines returns the number of machines that requests have rented so far.
 func (c *Cloud) RentedMachines() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.rented
 }
 
-// DelayedDeletes is how many deletions were carried out late.
+// DelayedDeletes returns the number of deletion requests that were executed late.
 func (c *Cloud) DelayedDeletes() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.delayedDeletes
 }
 
-// DelayDeletes leaves deletions unanswered and carries them out only so much later;
-// 0 ends that.
+// DelayDeletes makes deletion requests execute late and leaves them without an answer; 0 ends
+// that.
 func (c *Cloud) DelayDeletes(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.deleteDelay = by
 }
 
-// ReadyBeforeRentalReply is how many machines' workers were answered before the rental was that
-// made them.
+// ReadyBeforeRentalReply returns the number of rented machines whose worker got an answer from a
+// controller before the cloud answered the rental request.
 func (c *Cloud) ReadyBeforeRentalReply() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.readyBeforeReply
 }
 
-// SetBootTimes says how long machines take to come up, by their number since the
-// beginning; below 0 means never. nil: as the catalogue says.
+// SetBootTimes sets the boot times of machines rented from now on. The function takes the number
+// of a machine, counted from 0 since the start of the cluster. A negative result means that the
+// machine never boots. A nil function selects the boot times of the machine types.
 func (c *Cloud) SetBootTimes(f func(n int) time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.bootTimes = f
 }
 
-// SetReplyDelay makes rentals take so long to be answered, after the machines have
-// been made.
+// SetReplyDelay delays the answers to rental requests, after the machines have been created.
 func (c *Cloud) SetReplyDelay(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.replyDelay = d
 }
 
-// SetOutage begins or ends an outage of the cloud's interface.
+// SetOutage begins or ends an outage of the cloud's API. Machines keep running.
 func (c *Cloud) SetOutage(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outage = on
 }
 
-// SetDropReplies makes the cloud carry requests out without answering.
+// SetDropReplies makes the cloud execute rental requests and answer later than their senders wait.
 func (c *Cloud) SetDropReplies(on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.dropReplies = on
 }
 
-// machineType is the machine type of a name; nil: there is none.
+// machineType returns the machine type with a name, or nil if there is none.
 func (c *Cloud) machineType(name string) *wire.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// rent adds a machine; c.mu must be held.
+// rent creates a machine and returns its name. The caller holds the lock.
 func (c *Cloud) rent(typ, zone string, spot bool, boot time.Duration) string {
 	name := fmt.Sprintf("host-%06d", c.nextMachine)
 	c.nextMachine++
@@ -126,15 +127,15 @@
 	return name
 }
 
-// close ends renting. A request that is delivered late, as the cluster ends, would
-// begin a machine while the end waits for all of them.
+// close ends renting. Otherwise a request that arrives while the cluster is being closed could
+// start a machine that Cluster.Close would not kill.
 func (c *Cloud) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.capacity = 0
 }
 
-// Machines lists the names of the machines that exist.
+// Machines returns the sorted names of the machines that exist and are not dead.
 func (c *Cloud) Machines() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -148,7 +149,7 @@
 	return out
 }
 
-// Remove takes a machine away as a deletion does; what is kept of it stays known.
+// Remove kills and deletes a machine, like a deletion request. Counts that include it stay.
 func (c *Cloud) Remove(name string) {
 	m := c.machine(name)
 	m.kill()
@@ -157,14 +158,14 @@
 	delete(c.machines, name)
 }
 
-// machine is the machine of a name; nil: it does not exist any more.
+// machine returns the machine with a name, or nil if it doesn't exist.
 func (c *Cloud) machine(name string) *machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.machines[name]
 }
 
-// requestTime is how long the cloud takes for a request.
+// requestTime is the time until the cloud executes a request.
 const requestTime = 50 * time.Millisecond
 
 // ServeHTTP implements the cloud's protocol.
@@ -191,13 +192,14 @@
 	}
 }
 
-// What the protocol allows a request to ask for.
+// Limits of the protocol on the machines of one request.
 const (
 	maxDeletions = 100
 	maxRentals   = 50
 )
 
-// serveDeletion ends machines; the lock is held, but not while the deletion is delayed.
+// serveDeletion kills and deletes machines. The caller holds the lock, which is released during a
+// delay.
 func (c *Cloud) serveDeletion(w http.ResponseWriter, body []byte) {
 	var names wire.Names
 	if wire.Unmarshal(body, &names) != nil || len(names.Machines) > maxDeletions {
@@ -218,25 +220,25 @@
 	reply(w, http.StatusOK, map[string]any{})
 }
 
-// unansweredTimeout is how long a request is kept that is carried out and not answered: longer than
-// its sender waits.
+// unansweredTimeout is the delay of an answer that must not reach the sender. It is longer than any
+// sender waits.
 const unansweredTimeout = 20 * time.Second
 
 // neverBoots is the boot time of a machine that never comes up.
 const neverBoots = 1000 * time.Hour
 
-// serveRental makes machines, or answers a request again that was carried out before. The
-// lock is held, but not while the answer is delayed.
+// serveRental creates machines. A repeated request gets the same answer as the first one. The
+// caller holds the lock, which is released during a delay.
 func (c *Cloud) serveRental(w http.ResponseWriter, body []byte) {
-	var q wire.Rental
-	if wire.Unmarshal(body, &q) != nil || c.machineType(q.Type) == nil || q.Count < 1 || q.Count > maxRentals {
+	var rental wire.Rental
+	if wire.Unmarshal(body, &rental) != nil || c.machineType(rental.Type) == nil || rental.Count < 1 || rental.Count > maxRentals {
 		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
-	names, again := c.rentals[q.Request]
-	if again {
-		c.repeatedRentals = append(c.repeatedRentals, q.Request)
-	} else if names = c.rentFor(q); len(names) == 0 {
+	names, repeated := c.rentals[rental.Request]
+	if repeated {
+		c.repeatedRentals = append(c.repeatedRentals, rental.Request)
+	} else if names = c.rentFor(rental); len(names) == 0 {
 		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 		return
 	}
@@ -246,25 +248,26 @@
 	if c.replyDelay > 0 {
 		c.wait(c.replyDelay)
 	}
-	if !again {
+	if !repeated {
 		c.countReady(names)
 	}
 	reply(w, http.StatusOK, wire.Names{Machines: names})
 }
 
-// rentFor makes the machines of a new request, as far as there is capacity; the lock is held.
-func (c *Cloud) rentFor(q wire.Rental) (names []string) {
-	for i := 0; i < q.Count && len(c.machines) < c.capacity; i++ {
+// rentFor creates the machines of a new request, as far as the capacity allows, and returns their
+// names. The caller holds the lock.
+func (c *Cloud) rentFor(rental wire.Rental) (names []string) {
+	for i := 0; i < rental.Count && len(c.machines) < c.capacity; i++ {
 		c.rented++
-		names = append(names, c.rent(q.Type, q.Zone, q.Spot, c.bootTime(q.Type)))
+		names = append(names, c.rent(rental.Type, rental.Zone, rental.Spot, c.bootTime(rental.Type)))
 	}
 	if len(names) > 0 {
-		c.rentals[q.Request] = names
+		c.rentals[rental.Request] = names
 	}
 	return names
 }
 
-// bootTime is how long the next machine takes to come up.
+// bootTime returns the boot time of the next machine.
 func (c *Cloud) bootTime(typ string) time.Duration {
 	if c.bootTimes == nil {
 		return secs(c.machineType(typ).BootS)
@@ -275,7 +278,7 @@
 	return neverBoots
 }
 
-// countReady counts those of newly rented machines whose worker has had an answer already.
+// countReady counts the newly rented machines whose worker has got an answer from a controller.
 func (c *Cloud) countReady(names []string) {
 	c.cluster.mu.Lock()
 	defer c.cluster.mu.Unlock()
@@ -286,14 +289,15 @@
 	}
 }
 
-// wait lets time pass; the lock is held before and after, not meanwhile.
+// wait sleeps. The caller holds the lock, which is released during the sleep.
 func (c *Cloud) wait(d time.Duration) {
 	c.mu.Unlock()
 	time.Sleep(d)
 	c.mu.Lock()
 }
 
-// serveList answers with the machines after a name, as they were a while ago; the lock is held.
+// serveList answers with the machines after a name, as they were listingLag ago. The caller holds
+// the lock.
 func (c *Cloud) serveList(w http.ResponseWriter, after string) {
 	var l wire.MachineList
 	now := time.Now()
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -10,40 +10,37 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file delivers direct commands to workers, checks what nodes send by them, and
-// injects the fault in which a command is held up on its way and carried out late.
-
-// How late a command that is held up is carried out.
+// Delays of batches that DelayDirectCommands selects.
 const (
 	minCommandDelay = 2 * time.Second
 	maxCommandDelay = 16 * time.Second
 )
 
-// commandDelay is the share of direct commands that is held up. The cluster's lock guards
-// it.
+// commandDelay is the fault of DelayDirectCommands. The cluster's lock guards it.
 type commandDelay struct {
-	share  float64
+	share  float64 // of the batches
 	random *rand.Rand
 	counts DelayedCommands
 }
 
-// DelayedCommands counts what became of direct commands that were held up.
+// DelayedCommands counts the batches of direct commands that DelayDirectCommands has delayed, by
+// their outcome. A batch may count in several fields.
 type DelayedCommands struct {
-	Held         int // batches on their way or arrived
-	Executed     int // batches that were carried out
-	RefusedToken int // batches refused because the worker had seen a higher token
-	RefusedEpoch int // batches refused because the worker's epoch had ended
+	Held         int // delayed, whether they have arrived or not
+	Executed     int // executed
+	RefusedToken int // refused because the worker had seen a higher token
+	RefusedEpoch int // refused because the worker's epoch had ended
 
-	FormerLeader int // executed although the leader that sent them led no more
-	Overtaken    int // arrived after a command that was sent to the same machine later
-	AfterHang    int // waited for a machine that hung, and were executed as it resumed
-	EndedSaving  int // stops without time to save that ended a task which was saving
-	NewerStart   int // stops that met their own attempt, launched only after they were sent
+	FormerLeader int // executed although their sender no longer led
+	Overtaken    int // arrived after the execution of a batch that was sent to the machine later
+	AfterHang    int // executed when their hung machine resumed
+	EndedSaving  int // single stops without grace that ended a task while it saved
+	NewerStart   int // single stops of an attempt that was launched after they were sent
 }
 
-// DelayDirectCommands holds up a share of the direct commands: they get no answer and are
-// carried out once, 2 s to 16 s later, if token and epoch still match. 0 ends that for
-// commands that are sent from now on.
+// DelayDirectCommands delays a share of the batches of direct commands. They get no answer and are
+// executed once, 2 s to 16 s later, if token and epoch still match. A share of 0 ends the fault
+// for batches sent from now on.
 func (w *Cluster) DelayDirectCommands(share float64, seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -51,21 +48,21 @@
 	w.commandDelay.random = rand.New(rand.NewPCG(seed, 41))
 }
 
-// DelayedCommands returns what became of the commands that were held up so far.
+// DelayedCommands returns the counts of the commands that were delayed so far.
 func (w *Cluster) DelayedCommands() DelayedCommands {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.commandDelay.counts
 }
 
-// delayedBatch is a batch of direct commands that is held up.
+// delayedBatch is a delayed batch of direct commands.
 type delayedBatch struct {
 	wire.DirectCommands
 	sent  time.Time
-	order int // among all batches that were sent to the machine
+	order int // number among the batches sent to the machine
 }
 
-// draw draws whether a batch is held up, and for how long; the lock is held.
+// draw draws whether a batch is delayed, and by how much. The caller holds the lock.
 func (d *commandDelay) draw() (time.Duration, bool) {
 	if d.share == 0 || d.random.Float64() >= d.share {
 		return 0, false
@@ -74,8 +71,9 @@
 	return minCommandDelay + time.Duration(d.random.Int64N(span)), true
 }
 
-// receiveCommands answers a request with direct commands; held says that it is held up, and
-// gets no answer. The cluster's lock is held.
+// receiveCommands executes a request with direct commands and returns the status of the answer. If
+// held is true, the commands are held or delayed and get no answer. The caller holds the cluster's
+// lock.
 func (m *machine) receiveCommands(body []byte) (status int, held bool) {
 	var d wire.DirectCommands
 	if wire.Unmarshal(body, &d) != nil || d.AgentEpoch == 0 {
@@ -102,14 +100,14 @@
 	return http.StatusOK, false
 }
 
-// executeDirect carries a batch of direct commands out; the cluster's lock is held.
+// executeDirect executes a batch of direct commands. The caller holds the cluster's lock.
 func (m *machine) executeDirect(d wire.DirectCommands) {
 	now := time.Now()
 	m.noteToken(d.Token, now)
 	m.execute(d.Commands, now)
 }
 
-// execute carries commands out in their order.
+// execute executes commands in their order. The caller holds the cluster's lock.
 func (m *machine) execute(cmds []wire.Command, now time.Time) {
 	for _, c := range cmds {
 		k := taskKey{c.Task, c.Attempt}
@@ -126,7 +124,7 @@
 	}
 }
 
-// graceOf is how many seconds a stop leaves its task to save.
+// graceOf returns the seconds that a stop command leaves its task to save.
 func graceOf(c wire.Command) float64 {
 	if c.GraceS == nil {
 		return 0
@@ -134,7 +132,7 @@
 	return *c.GraceS
 }
 
-// forget drops the outcome of a task that has exited.
+// forget removes a task that has exited.
 func (m *machine) forget(k taskKey) {
 	delete(m.tasks, k)
 	if i := slices.Index(m.order, k); i >= 0 {
@@ -142,8 +140,8 @@
 	}
 }
 
-// launch takes a task in, which then fetches its image, unless it is unknown, runs here
-// already, or has no room.
+// launch adds a task, which then fetches its image. The task exits at once if it is unknown, if
+// another attempt of it is on the machine, or if the machine has no room.
 func (m *machine) launch(k taskKey, now time.Time) {
 	t := &task{taskKey: k, machine: m, state: wire.TaskFetching, launchedAt: now}
 	m.tasks[k] = t
@@ -174,8 +172,8 @@
 	m.heartbeatDue = true
 }
 
-// deliverDelayed carries a batch out that was held up. One that finds its machine hanging
-// waits until that resumes.
+// deliverDelayed waits and then executes or refuses a delayed batch. If the machine hangs by then,
+// the batch waits until it resumes.
 func (m *machine) deliverDelayed(b delayedBatch, by time.Duration) {
 	if !call.Pause(m.ctx, by) {
 		return
@@ -187,7 +185,7 @@
 			return
 		}
 	}
-	leader := m.cluster.FencingToken() // before the cluster's lock, as everywhere
+	leader := m.cluster.FencingToken() // takes the store's lock, so before the cluster's is taken
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
 	if m.dead {
@@ -217,7 +215,8 @@
 	m.heartbeatDue = true
 }
 
-// countDelayedStops counts the states in which late stops find their tasks; the lock is held.
+// countDelayedStops counts the delayed stop commands by the state of their tasks. The caller holds
+// the lock.
 func (m *machine) countDelayedStops(b delayedBatch) {
 	counts := &m.cluster.commandDelay.counts
 	for _, c := range b.Commands {
@@ -234,17 +233,18 @@
 	}
 }
 
-// isHung reports whether the machine hangs and has not ended.
+// isHung reports whether the machine hangs and is not dead.
 func (m *machine) isHung() bool {
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
 	return m.hung && !m.dead
 }
 
-// checkDirectCommands checks what a node sends directly, since it may be carried out minutes
-// later: stops, which name an attempt, and launches of tasks that their jobs do not have,
-// which only wake the worker. A launch could start a task that runs elsewhere by then, and
-// a forget could remove an outcome that is not recorded. The lock is held.
+// checkDirectCommands checks that direct commands are harmless if they are executed minutes later.
+// Stops are allowed, because they name an attempt. Launches are allowed only for tasks that their
+// jobs don't have; these merely wake the worker. A late launch could start a task that runs
+// elsewhere by then, and a late forget could remove an outcome that is not recorded yet. The
+// caller holds the lock.
 func (w *Cluster) checkDirectCommands(commands []wire.Command) {
 	for _, c := range commands {
 		id, n, ok := wire.ParseTaskName(c.Task)
@@ -257,18 +257,17 @@
 	}
 }
 
-// HoldDirectCommands holds back direct commands to a machine until they are delivered.
+// HoldDirectCommands holds direct commands to a machine until DeliverHeldCommands.
 func (w *Cluster) HoldDirectCommands(name string) {
-	m := w.Cloud.machine(name) // before the cluster's lock, as everywhere
+	m := w.Cloud.machine(name) // takes the cloud's lock, which comes before the cluster's
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	m.holdCommands = true
 }
 
-// DeliverHeldCommands delivers what was held back, whether its sender still waits or
-// not, and whether it was delivered before; what comes from now on is not held.
-// It returns how many batches were executed and how many refused; a machine that
-// has been returned does neither.
+// DeliverHeldCommands delivers all batches that HoldDirectCommands has held, even if their senders
+// wait no longer or an earlier call has delivered them. Later batches are not held. It returns the
+// numbers of executed and refused batches, both 0 if the machine no longer exists.
 func (w *Cluster) DeliverHeldCommands(name string) (executed, refused int) {
 	m := w.Cloud.machine(name)
 	if m == nil {
--- a/internal/fake/delayed_transactions.go
+++ b/internal/fake/delayed_transactions.go
@@ -12,67 +12,62 @@
 	"github.com/umberdeal/umberdeal/election"
 )
 
-// This file has the fault in which the key-value store's answers are lost, and its
-// requests are carried out late, after newer ones of the same node. It checks that late
-// transactions change nothing back.
-
-// How late a request that is held up is carried out.
+// Delays of requests that DropReplies and DelayLeaseRequests select.
 const (
 	minTransactionDelay = 2 * time.Second
 	maxTransactionDelay = 12 * time.Second
 )
 
-// transactionDelays is what becomes of transactions whose answers are lost. The store's
-// lock guards it.
+// transactionDelays is the fault in which answers of the key-value store are lost and requests
+// are executed late, after newer ones of the same controller. The store's lock guards it.
 type transactionDelays struct {
-	lateShare      float64 // of the transactions that change something: carried out late
-	lostReplyShare float64 // and carried out at once, but not answered
-	leaseShare     float64 // of the requests about leases: carried out late
+	lateShare      float64 // share of changing transactions that are executed late and not answered
+	lostReplyShare float64 // share of changing transactions that are executed at once and not answered
+	leaseShare     float64 // share of requests about leases that are executed late and not answered
 	random         *rand.Rand
 
 	unanswered        int // transactions that were not answered
-	carriedOut        int // those of them that have been carried out, or refused, by now
-	leasesLate        int // requests about leases that were carried out late
-	leasesOfOtherTerm int // those of them that came while the leader held another lease
-
-	waiting   int                           // late transactions that are still to come
-	delayed   int                           // late transactions so far, come or not
-	arrived   int                           // transactions that have come, ever
-	applied   map[string]transactionArrival // the newest of each node that has changed something
+	carriedOut        int // transactions of these that have been executed or refused by now
+	leasesLate        int // requests about leases that were executed late
+	leasesOfOtherTerm int // requests of these that were executed while the leader held another lease
+
+	waiting   int                           // late transactions that are not executed yet
+	delayed   int                           // late transactions so far, executed or not
+	arrived   int                           // transactions that have arrived so far
+	applied   map[string]transactionArrival // the last applied transaction with changes, by controller
 	overtaken OvertakenTransactions
 }
 
-// transactionArrival is when a transaction came, and whose it is.
+// transactionArrival describes the arrival of a transaction at the store.
 type transactionArrival struct {
-	order    int // among all transactions
-	node     string
-	token    uint64 // the fencing token of the leadership that it is of: 0 if it is no leader's
-	revision uint64 // the store's when it came
-	late     bool   // it is carried out later than it came
+	order    int    // number among all transactions
+	node     string // the sender
+	token    uint64 // fencing token of the sender's leadership; 0: not sent by a leader
+	revision uint64 // the store's revision at the arrival
+	late     bool   // it is executed after a delay
 }
 
-// OvertakenTransactions counts transactions that were carried out after newer ones of the same
-// node.
+// OvertakenTransactions counts late transactions that were executed or refused after newer ones.
 type OvertakenTransactions struct {
-	ByNode  int // by any of the node's
-	InTerm  int // by one of the same leadership, while that lasted: the token does not stop them
-	Refused int // of these, failed by another guard
-	Older   int // of these, would have changed a key back
-	Stale   int // of a leader whose leadership was over, overtaken by whomever
+	ByNode  int // overtaken by any transaction of the same controller
+	InTerm  int // overtaken within the same leadership while it lasts, so that the token doesn't fail them
+	Refused int // of InTerm: failed by another guard
+	Older   int // of InTerm: would have reverted a key to an older value
+	Stale   int // sent in a leadership that is over
 }
 
-// isNode reports whether a host is a controller, by its name.
+// isNode reports whether a host's name is that of a controller.
 func isNode(host string) bool { return strings.HasPrefix(host, "n-") }
 
-// noteArrival records that a transaction has come; the lock is held.
+// noteArrival records the arrival of a transaction. The caller holds the lock.
 func (s *KVStore) noteArrival(t *transaction, node string) transactionArrival {
 	s.delays.arrived++
 	return transactionArrival{order: s.delays.arrived, node: node, token: s.tokenOf(t, node), revision: s.revision}
 }
 
-// tokenOf is the fencing token of the leadership that a transaction is of, which has just
-// come: that of its guard, or, where it changes what leaders alone write and has none,
-// the present leader's. 0: it is no leader's.
+// tokenOf returns the fencing token of the leadership that a newly arrived transaction belongs to.
+// It is the token in the guard on the leader key. Without such a guard, it is the present leader's
+// token if a controller changes keys for leaders only, and otherwise 0.
 func (s *KVStore) tokenOf(t *transaction, node string) uint64 {
 	for _, g := range t.If {
 		if g.Key == election.LeaderKey {
@@ -85,7 +80,7 @@
 	return 0
 }
 
-// delayIfNext holds a transaction up if it is the one that a scenario wants delayed.
+// delayIfNext delays a transaction if DelayNextTransactionOn selects it.
 func (s *KVStore) delayIfNext(t *transaction, arrival *transactionArrival) {
 	if by := s.delayNext.by; by > 0 && t.changes(s.delayNext.prefix) {
 		s.delayNext.by = 0
@@ -93,7 +88,7 @@
 	}
 }
 
-// holdIfNext holds a transaction up until a scenario releases it, if it is the one wanted.
+// holdIfNext holds a transaction until a scenario releases it, if HoldNextTransactionOn selects it.
 func (s *KVStore) holdIfNext(t *transaction, arrival *transactionArrival) {
 	if released := s.holdNext.release; released != nil && t.changes(s.holdNext.prefix) {
 		s.holdNext.release = nil
@@ -101,8 +96,8 @@
 	}
 }
 
-// holdUp keeps a transaction while wait lasts; the lock is held before and after, not
-// meanwhile.
+// holdUp delays a transaction until wait returns. The caller holds the lock, which is released
+// during the wait.
 func (s *KVStore) holdUp(arrival *transactionArrival, wait func()) {
 	arrival.late = true
 	s.delays.waiting++
@@ -114,8 +109,8 @@
 	s.expireLeases()
 }
 
-// leaveUnanswered keeps the connection of a transaction that has been gone through open
-// until its sender gives up; the lock is held before and after, not meanwhile.
+// leaveUnanswered keeps the connection of an executed transaction open until its sender gives up.
+// The caller holds the lock, which is released during the wait.
 func (s *KVStore) leaveUnanswered(sender context.Context) {
 	s.delays.carriedOut++
 	s.mu.Unlock()
@@ -123,8 +118,9 @@
 	s.mu.Lock()
 }
 
-// checkLate checks that a late transaction changes no key back, since each write is to
-// rest on the version of what it replaces, and counts what has overtaken it.
+// checkLate checks that a late transaction reverts no key to an older value, since the guards of
+// each write must cover the version of the value that it replaces. It counts the transaction if
+// newer ones have overtaken it.
 func (s *KVStore) checkLate(t *transaction, arrival transactionArrival, failed []string) {
 	reverted := s.revertedKey(t, arrival.revision)
 	if reverted != "" && len(failed) == 0 && s.reportViolation != nil {
@@ -133,8 +129,9 @@
 	s.countOvertaken(arrival, failed, reverted)
 }
 
-// revertedKey names a key that a late transaction would change back: it was changed after
-// the revision at which that came, to something else. What a lease keeps goes with that.
+// revertedKey returns a key that a late transaction would revert, or "": a key that was changed
+// to another value after the transaction arrived at the given revision. It ignores keys put with a
+// lease, because they end with the lease.
 func (s *KVStore) revertedKey(t *transaction, revision uint64) string {
 	for _, op := range t.Then {
 		key := op.key()
@@ -145,8 +142,8 @@
 	return ""
 }
 
-// countOvertaken counts a late transaction that is about to be carried out, or refused
-// because of the failed guards.
+// countOvertaken counts a late transaction that is about to be executed, or to be refused because
+// of failed guards, if newer transactions have overtaken it.
 func (s *KVStore) countOvertaken(arrival transactionArrival, failed []string, reverted string) {
 	counts, leader := &s.delays.overtaken, s.leaderToken()
 	if arrival.token != 0 && arrival.token != leader {
@@ -169,8 +166,8 @@
 	}
 }
 
-// draw draws whether a transaction with a number of changes is left without an answer, and
-// how long after its request it is carried out.
+// draw draws whether a transaction with the given number of changes is left unanswered, and by how
+// much its execution is delayed.
 func (d *transactionDelays) draw(changes int) (by time.Duration, unanswered bool) {
 	if changes == 0 || d.lateShare+d.lostReplyShare == 0 {
 		return 0, false
@@ -186,8 +183,8 @@
 	return by, true
 }
 
-// drawLeaseRequest draws whether a request about a lease is left without an answer, and
-// how long after it came it is carried out.
+// drawLeaseRequest draws whether a request about a lease is left unanswered, and by how much its
+// execution is delayed. For other paths it reports false and draws nothing.
 func (d *transactionDelays) drawLeaseRequest(path string) (by time.Duration, unanswered bool) {
 	if d.leaseShare == 0 || !strings.HasPrefix(path, "/holds") || d.random.Float64() >= d.leaseShare {
 		return 0, false
@@ -199,9 +196,9 @@
 	return minTransactionDelay + time.Duration(d.random.Int64N(int64(maxTransactionDelay-minTransactionDelay)))
 }
 
-// delayLeaseRequest waits until a request about a lease is carried out, and checks that it
-// finds no lease of a leadership which began after it had come. The lock is held before and
-// after, not meanwhile.
+// delayLeaseRequest delays a request about a lease, and then checks that the lease doesn't belong
+// to a leadership that began after the request arrived. The caller holds the lock, which is
+// released during the delay.
 func (s *KVStore) delayLeaseRequest(path string, by time.Duration) {
 	revision := s.revision
 	s.mu.Unlock()
@@ -221,15 +218,15 @@
 	}
 }
 
-// discardedReply is an answer that nobody gets.
+// discardedReply is a ResponseWriter that drops the answer.
 type discardedReply struct{ http.ResponseWriter }
 
 func (discardedReply) Write(b []byte) (int, error) { return len(b), nil }
 func (discardedReply) WriteHeader(int)             {}
 
-// DropReplies leaves shares of the transactions that change something without an
-// answer: those late are carried out 2 s to 12 s later, after newer ones of the same
-// node, and the others at once, so that all but their sender know of them. Zeros end it.
+// DropReplies leaves shares of the transactions with changes unanswered. The share late is
+// executed 2 s to 12 s later, after newer ones of the same controller. The share atOnce is
+// executed at once, so that everybody except the sender learns of it. Zeros end the fault.
 func (s *KVStore) DropReplies(late, atOnce float64, seed uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -237,8 +234,8 @@
 	s.delays.random = rand.New(rand.NewPCG(seed, 17))
 }
 
-// DelayLeaseRequests leaves a share of the requests that take, renew or end leases without an
-// answer, and carries them out 2 s to 12 s later; 0 ends that.
+// DelayLeaseRequests leaves a share of the requests that grant, renew or end leases unanswered,
+// and executes them 2 s to 12 s later. A share of 0 ends the fault.
 func (s *KVStore) DelayLeaseRequests(share float64, seed uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -246,37 +243,37 @@
 	s.delays.random = rand.New(rand.NewPCG(seed, 17))
 }
 
-// OvertakenTransactions counts the transactions that were overtaken so far.
+// OvertakenTransactions returns the counts of overtaken transactions so far.
 func (s *KVStore) OvertakenTransactions() OvertakenTransactions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.delays.overtaken
 }
 
-// DelayedTransactions is how many transactions have been held up so far, come or not.
+// DelayedTransactions returns the number of transactions delayed so far, executed or not.
 func (s *KVStore) DelayedTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.delays.delayed
 }
 
-// PendingTransactions is how many late transactions are still to be carried out.
+// PendingTransactions returns the number of delayed transactions that are not executed yet.
 func (s *KVStore) PendingTransactions() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.delays.waiting
 }
 
-// UnansweredTransactions is how many transactions were left without an answer, and how many of
-// them have been gone through by now.
+// UnansweredTransactions returns the number of transactions that DropReplies left unanswered, and
+// how many of them have been executed or refused by now.
 func (s *KVStore) UnansweredTransactions() (sent, carriedOut int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.delays.unanswered, s.delays.carriedOut
 }
 
-// DelayedLeaseRequests is how many requests about leases were carried out late, and how many of
-// them, to renew or to end one, while the leader held another.
+// DelayedLeaseRequests returns the number of requests about leases that were executed late, and
+// how many of them were to renew or end a lease while the leader held another one.
 func (s *KVStore) DelayedLeaseRequests() (all, past int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/duplicate_heartbeats.go
+++ b/internal/fake/duplicate_heartbeats.go
@@ -7,20 +7,20 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file copies heartbeats of workers and holds them back.
-
-// maxDuplicates bounds the copies of heartbeats on their way.
+// maxDuplicates limits the copies of heartbeats on their way at once.
 const maxDuplicates = 100
 
-// DuplicateHeartbeats makes the network copy one in so many heartbeats, to arrive at any
-// node 1 s to 5 leases later, whatever becomes of the machine; 0 ends that.
+// DuplicateHeartbeats makes the network copy one in oneIn heartbeats. The copy arrives at a random
+// controller between 1 s and 5 lease durations later, even if the machine no longer exists. A value
+// of 0 ends the fault.
 func (w *Cluster) DuplicateHeartbeats(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.duplicateOneIn = oneIn
 }
 
-// maybeDuplicate copies a report if it is its turn; the lock is held.
+// maybeDuplicate draws whether a heartbeat is copied, and sends the copy later. The caller holds
+// the lock.
 func (w *Cluster) maybeDuplicate(r wire.Heartbeat) {
 	if w.duplicateOneIn == 0 || w.duplicatesInFlight >= maxDuplicates || w.pick(w.duplicateOneIn) > 0 {
 		return
@@ -38,8 +38,7 @@
 	})
 }
 
-// CaptureHeartbeat remembers a worker's heartbeat of this moment; ReplayHeartbeat sends it
-// to a node as if a cut had held it back.
+// CaptureHeartbeat keeps a heartbeat of a machine's present state for ReplayHeartbeat.
 func (w *Cluster) CaptureHeartbeat(name string) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
@@ -47,7 +46,9 @@
 	w.capturedHeartbeats[name], _ = wire.Marshal(m.heartbeat())
 }
 
-// ReplayHeartbeat sends what CaptureHeartbeat kept.
+// ReplayHeartbeat sends the heartbeat that CaptureHeartbeat kept to the controller with the given
+// index, as if the network had delayed it. It returns the status of the answer, or 0 if there was
+// none.
 func (w *Cluster) ReplayHeartbeat(name string, node int) (status int) {
 	w.mu.Lock()
 	var r wire.Heartbeat
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -8,22 +8,21 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file simulates how the tasks of a gang depend on one another: they run only
-// together, save only together, and end when one of them is lost.
-
-// gang is an attempt of a gang's job. The cluster's lock guards it.
+// gang is an attempt of a gang job. Its tasks run only together, save only together, and exit when
+// one of them is lost. The cluster's lock guards it, and callers of the functions in this file hold
+// that lock.
 type gang struct {
-	tasks          map[int]*task // those that are on machines, by their index
-	running        bool          // all of them have come together
-	over           bool          // none of them is on a machine any more
-	runningSince   time.Time     // when they came together
-	progressBefore float64       // the job's progress then
-	savingSince    time.Time     // when the first of them began to save
-	saving         map[int]bool  // those that save
-	brokenAt       time.Time     // when one of them was lost
+	tasks          map[int]*task // tasks on machines, by index
+	running        bool          // all tasks have been on machines at once
+	over           bool          // no task is on a machine any more
+	runningSince   time.Time     // when the last task joined
+	progressBefore float64       // the job's progress at runningSince, in seconds
+	savingSince    time.Time     // when the first task began to save; zero: none has
+	saving         map[int]bool  // indexes of the tasks that save
+	brokenAt       time.Time     // when a task was lost; zero: none was
 }
 
-// gangOf is the attempt that a task is of.
+// gangOf returns the gang of a task's attempt, and creates it if it is missing.
 func (w *Cluster) gangOf(t *task) *gang {
 	k := taskKey{t.job.ID, t.attempt}
 	g := w.gangs[k]
@@ -34,7 +33,7 @@
 	return g
 }
 
-// joinGang records that a task is on its machine, and lets the gang run if it is the last.
+// joinGang records that a task is on its machine. The gang starts to run once all tasks are.
 func (w *Cluster) joinGang(t *task, now time.Time) {
 	g := w.gangOf(t)
 	if g.over {
@@ -49,7 +48,7 @@
 	}
 }
 
-// remove records that a task is on its machine no more.
+// remove records that a task is no longer on its machine.
 func (g *gang) remove(t *task) {
 	if g.tasks[t.index] == t {
 		delete(g.tasks, t.index)
@@ -59,8 +58,8 @@
 	}
 }
 
-// breakGang records that a task of a gang was lost. If the gang ran, its job keeps the
-// progress of the last checkpoint.
+// breakGang records that a task of a running gang was lost. The job keeps the progress of the last
+// checkpoint. It does nothing if the gang doesn't run, saves, or has lost a task before.
 func (w *Cluster) breakGang(g *gang, j *wire.Job) {
 	if !g.running || !g.brokenAt.IsZero() || !g.savingSince.IsZero() {
 		return
@@ -71,7 +70,7 @@
 	}
 }
 
-// advanceGang advances a task of a gang that is on its machine. The lock is held.
+// advanceGang simulates the progress of a gang's task on a machine up to now.
 func (w *Cluster) advanceGang(t *task, now time.Time) {
 	g, workers := w.gangOf(t), w.Settings.Cluster.Workers
 	switch {
@@ -88,25 +87,26 @@
 	}
 }
 
-// gangCompletes reports whether a gang's work is done, by this attempt or one before.
+// gangCompletes reports whether a gang's work is done, by this attempt or an earlier one.
 func (w *Cluster) gangCompletes(g *gang, t *task, now time.Time) bool {
 	runs := g.running && g.brokenAt.IsZero() && g.savingSince.IsZero()
 	return w.jobs[t.job.ID].done[t.index] || runs && g.progressBefore+now.Sub(g.runningSince).Seconds() >= t.job.EstimateS
 }
 
-// exitAfter ends a task that was told to stop, or has waited longer than the limit for
-// others of its gang.
-func exitAfter(t *task, why string, waited, limit time.Duration) {
+// exitAfter ends a task that was told to stop. It ends a task with the given reason if it has waited
+// for others of its gang longer than the limit.
+func exitAfter(t *task, reason string, waited, limit time.Duration) {
 	switch {
 	case !t.stopsAt.IsZero():
 		t.machine.exit(t, wire.ExitStopped, false)
 	case waited > limit:
-		t.machine.exit(t, why, false)
+		t.machine.exit(t, reason, false)
 	}
 }
 
-// advanceSavingGang advances a task whose gang saves: once all of its tasks do, they end
-// with what they have saved. If some don't in time, nothing is saved.
+// advanceSavingGang simulates the progress of a task whose gang saves. Once all tasks save, they
+// exit at the end of their saving time with the progress saved. If some don't begin to save within
+// the limit, the tasks exit and nothing is saved.
 func (w *Cluster) advanceSavingGang(g *gang, t *task, now time.Time) {
 	switch {
 	case len(g.saving) == t.job.Tasks:
@@ -122,10 +122,11 @@
 	}
 }
 
-// stopGangTask lets a task of a gang that runs save, and ends any other.
-func (w *Cluster) stopGangTask(t *task, grace float64, now time.Time) {
+// stopGangTask handles a stop command with graceS seconds to save. A task of an intact running gang
+// begins to save if the time suffices. Any other task exits at once.
+func (w *Cluster) stopGangTask(t *task, graceS float64, now time.Time) {
 	g := w.gangOf(t)
-	if !t.saves(grace) || !g.running || !g.brokenAt.IsZero() {
+	if !t.saves(graceS) || !g.running || !g.brokenAt.IsZero() {
 		t.machine.exit(t, wire.ExitStopped, false)
 		return
 	}
@@ -138,7 +139,7 @@
 	}
 }
 
-// inOrder lists the tasks of a gang that are on machines by their index.
+// inOrder returns the tasks of a gang that are on machines, sorted by index.
 func (g *gang) inOrder() []*task {
 	var out []*task
 	for _, index := range slices.Sorted(maps.Keys(g.tasks)) {
