--- a/internal/fake/cloud_test.go
+++ b/internal/fake/cloud_test.go
@@ -9,8 +9,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Rentals are counted by the goroutines that serve them, while a scenario reads the counts.
-// The race detector finds what is not guarded.
+// Goroutines that serve rentals count them while a scenario reads the counts. The race detector
+// reports counts that are read without the lock.
 func TestRentalsAreCountedWhileTheyArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := New(Options{Machines: 1, Capacity: 4, ExternalNodes: true})
--- a/internal/fake/heartbeat_copies.go
+++ b/internal/fake/heartbeat_copies.go
@@ -11,44 +11,41 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file keeps copies of workers' heartbeats for the next leader: whatever they tell
-// is as old as they are, and it is the first that a leader which has just begun hears
-// of their machines.
-
-// copiesPerMachine bounds the copies that are kept of a machine's heartbeats.
+// copiesPerMachine limits the copies kept of each machine's heartbeats.
 const copiesPerMachine = 3
 
-// failoverCopies is what is kept. The cluster's lock guards it.
+// failoverCopies keeps copies of workers' heartbeats for the next leader. Such a copy is outdated,
+// and it is the first message about its machine that the new leader receives. The cluster's lock
+// guards it.
 type failoverCopies struct {
-	oneIn         int // one in so many heartbeats is kept; 0: none
-	watching      bool
+	oneIn         int                         // share of kept heartbeats: one in this number; 0: none
+	watching      bool                        // a goroutine watches for new leaders
 	copies        map[string][]wire.Heartbeat // by machine
-	answeredFirst map[answeredHeartbeat]bool  // copies that were the first that a leader heard
+	answeredFirst map[answeredHeartbeat]bool  // copies that were the first about their machine for a leader
 	stats         CopyStats
 
-	overtakeOneIn int // one in so many heartbeats is overtaken by its copies
+	overtakeOneIn int // share of heartbeats that their copies overtake: one in this number; 0: none
 	overtaken     OvertakenHeartbeats
 }
 
-// answeredHeartbeat is a heartbeat and the token of a leader that has answered it.
+// answeredHeartbeat identifies a heartbeat and the leadership in which it was answered.
 type answeredHeartbeat struct {
 	machine           string
 	epoch, seq, token uint64
 }
 
-// CopyStats counts what has become of copies so far. One that is answered 200 was the newest
-// that its leader had heard of the machine, and its worker's own heartbeat was not
-// answered by that leader before.
+// CopyStats counts delivered copies of heartbeats by their outcome. A copy that a leader answered
+// with status 200 was the newest heartbeat of its machine for that leader.
 type CopyStats struct {
-	First          int // answered by a leader that began after the copy was made, the first time
-	EarlierEpoch   int // of these, of an epoch that has ended since
-	EarlierAttempt int // and of these, with an attempt that is not on the machine any more
-	Older          int // came after newer heartbeats, and were not answered 200
+	First          int // answered with 200 by a leader newer than the copy, which had not answered the original
+	EarlierEpoch   int // of First: of an epoch that has ended since
+	EarlierAttempt int // of First: with an attempt that is no longer on the machine
+	Older          int // refused with 503 while the machine had sent newer heartbeats
 }
 
-// DelayCopiesUntilFailover keeps a copy of one in so many heartbeats, to be delivered to all nodes
-// when a leader's key is committed, as it begins, and again a moment later; 0 ends
-// the keeping, and what is kept goes to the next leaders all the same.
+// DelayCopiesUntilFailover keeps copies of one in oneIn heartbeats, at most three per machine. It
+// delivers them to all controllers when a new leader key is committed, and repeats that four times
+// within some seconds. A value of 0 ends the copying, but kept copies still go to the next leaders.
 func (w *Cluster) DelayCopiesUntilFailover(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,17 +65,19 @@
 	})
 }
 
-// deliverCopiesRepeatedly delivers the copies at once and again until a new leader has begun.
+// deliverCopiesRepeatedly delivers the copies at once and several times more, because the new
+// leader may not accept heartbeats yet.
 func (w *Cluster) deliverCopiesRepeatedly() {
-	for _, after := range []time.Duration{0, 50, 100, 200, 2000} {
-		if !call.Pause(w.ctx, after*time.Millisecond) {
+	for _, delayMillis := range []time.Duration{0, 50, 100, 200, 2000} {
+		if !call.Pause(w.ctx, delayMillis*time.Millisecond) {
 			return
 		}
 		w.DeliverDelayedCopies()
 	}
 }
 
-// keepForFailover keeps a heartbeat's copy if it is its turn; the lock is held.
+// keepForFailover draws whether a copy of a heartbeat is kept. Beyond copiesPerMachine it replaces
+// a random copy. The caller holds the lock.
 func (w *Cluster) keepForFailover(r wire.Heartbeat) {
 	if w.failoverCopies.oneIn == 0 || w.pick(w.failoverCopies.oneIn) > 0 {
 		return
@@ -91,7 +90,8 @@
 	kept[w.pick(copiesPerMachine)] = r
 }
 
-// DeliverDelayedCopies sends every copy that is kept to every node, and does not wait for the answers.
+// DeliverDelayedCopies sends every kept copy to every controller that runs, without waiting for
+// the answers.
 func (w *Cluster) DeliverDelayedCopies() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// countCopy counts how a copy was answered.
+// countCopy counts a copy by its answer.
 func (w *Cluster) countCopy(r wire.Heartbeat, status int, body []byte) {
 	m := w.Cloud.machine(r.Machine)
 	w.mu.Lock()
@@ -128,7 +128,7 @@
 	}
 	first := answeredHeartbeat{r.Machine, r.AgentEpoch, r.Seq, a.Token}
 	if w.failoverCopies.answeredFirst[first] || m.lastAnswered == first {
-		return // not the first that this leader has heard
+		return // the leader has answered this heartbeat before
 	}
 	if w.failoverCopies.answeredFirst == nil {
 		w.failoverCopies.answeredFirst = map[answeredHeartbeat]bool{}
@@ -147,42 +147,44 @@
 	}
 }
 
-// CopyStats returns what has become of the copies so far.
+// CopyStats returns the counts of copies so far.
 func (w *Cluster) CopyStats() CopyStats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.failoverCopies.stats
 }
 
-// OvertakenHeartbeats is what became of heartbeats that their own copies have overtaken.
+// OvertakenHeartbeats counts heartbeats that were overtaken by their own copies. The rest of Ahead
+// beyond Kept and Refused was redirected to another controller.
 type OvertakenHeartbeats struct {
-	Ahead   int // a leader answered the copy 200, and the heartbeat was sent and answered after that
-	Next    int // of these, the heartbeat does not show this leader's token: it has begun since
-	Kept    int // of all, the heartbeat itself was answered 200 by the node that it came to
-	Refused int // or got a 503; others were sent to the node where their worker belongs
+	Ahead   int // a leader answered the copy with 200, and the heartbeat was sent and answered after that
+	Next    int // of Ahead: the leader began after the heartbeat was made
+	Kept    int // of Ahead: the heartbeat itself was answered with 200
+	Refused int // of Ahead: the heartbeat itself was answered with 503
 }
 
-// overtakeTimeout is how long a heartbeat waits for its copies to be answered; nodes keep
-// heartbeats for 2.5 s while nobody leads, and the worker gives its own up after 4 s.
+// overtakeTimeout is how long a heartbeat waits for the answers to its copies. Controllers hold
+// heartbeats for 2.5 s while there is no leader, and a worker drops answers after 4 s.
 const overtakeTimeout = 3 * time.Second
 
-// DeliverCopiesFirst has one in so many heartbeats overtaken by its own copies: every node has
-// one, and a leader has answered it, before the heartbeat itself is sent; 0 ends that.
+// DeliverCopiesFirst makes copies overtake one in oneIn heartbeats. Every controller gets a copy,
+// and the heartbeat itself is sent once a leader has answered one, or after 3 s. A value of 0 ends
+// the fault.
 func (w *Cluster) DeliverCopiesFirst(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.failoverCopies.overtakeOneIn = oneIn
 }
 
-// OvertakenHeartbeats is what has become of such heartbeats.
+// OvertakenHeartbeats returns the counts of heartbeats that DeliverCopiesFirst has selected so far.
 func (w *Cluster) OvertakenHeartbeats() OvertakenHeartbeats {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.failoverCopies.overtaken
 }
 
-// sendCopiesAhead sends a heartbeat's copies ahead of it, and returns the token by which one of
-// them was answered 200, or 0.
+// sendCopiesAhead sends a copy of a heartbeat to every controller. It returns the token of the
+// first answer with status 200, or 0 if there is none within overtakeTimeout.
 func (w *Cluster) sendCopiesAhead(r wire.Heartbeat) uint64 {
 	tokens := make(chan uint64, len(w.nodes))
 	for _, n := range w.nodes {
@@ -194,23 +196,23 @@
 			tokens <- a.Token
 		})
 	}
-	late := time.NewTimer(overtakeTimeout)
-	defer late.Stop()
+	timeout := time.NewTimer(overtakeTimeout)
+	defer timeout.Stop()
 	for range w.nodes {
 		select {
 		case token := <-tokens:
 			if token > 0 {
 				return token
 			}
-		case <-late.C:
+		case <-timeout.C:
 			return 0
 		}
 	}
 	return 0
 }
 
-// countOvertaken counts how a heartbeat was answered that its copies have overtaken; token is
-// that by which a copy was answered. The lock is held.
+// countOvertaken counts a heartbeat that was sent after its copies, by the status of its answer.
+// The token is the result of sendCopiesAhead. The caller holds the lock.
 func (w *Cluster) countOvertaken(r wire.Heartbeat, token uint64, status int) {
 	if token == 0 {
 		return
--- a/internal/fake/heartbeat_copies_test.go
+++ b/internal/fake/heartbeat_copies_test.go
@@ -8,8 +8,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Copies are delivered by goroutines of their own while a scenario ends nodes and starts
-// them again. The race detector finds what is not guarded.
+// Goroutines deliver copies of heartbeats while a scenario kills and starts controllers. The race
+// detector reports fields of a controller that are read without the lock.
 func TestCopiesAreDeliveredWhileNodesRestart(t *testing.T) {
 	synctest.Test(t, func(_ *testing.T) {
 		w := New(Options{Nodes: 3, Machines: 1, Capacity: 1})
--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -9,18 +9,17 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file sends workers' heartbeats and receives the answers to them.
-
 const (
 	// replyTimeout is how long after its heartbeat a worker accepts the answer.
 	replyTimeout = 4 * time.Second
-	// maxReply is the most that is read of an answer, in bytes.
-	maxReply = 1 << 20
-	// minHeartbeatInterval is the least between two heartbeats, also where something has changed.
+	// maxReplyBytes is the largest accepted answer of a controller.
+	maxReplyBytes = 1 << 20
+	// minHeartbeatInterval is the shortest time between two heartbeats, even after changes.
 	minHeartbeatInterval = 500 * time.Millisecond
 )
 
-// heartbeat is the worker's message; the cluster's lock is held.
+// heartbeat returns the next heartbeat, with a new sequence number. The caller holds the cluster's
+// lock.
 func (m *machine) heartbeat() wire.Heartbeat {
 	m.lastSeq++
 	r := wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
@@ -32,8 +31,8 @@
 	return r
 }
 
-// sendHeartbeats sends a heartbeat at each interval, and sooner where something has changed, until
-// the machine ends.
+// sendHeartbeats sends heartbeats at intervals with a jitter of 25 %, and earlier after changes,
+// until the machine is killed.
 func (m *machine) sendHeartbeats() {
 	last := time.Time{}
 	for m.ctx.Err() == nil {
@@ -55,25 +54,26 @@
 	}
 }
 
-// send makes one heartbeat; false says that another node is to be tried.
-func (m *machine) send(at time.Time) bool {
+// send sends one heartbeat and handles the answer. It reports false if the worker should wait
+// before it tries another controller.
+func (m *machine) send(sentAt time.Time) bool {
 	r, node, overtaken := m.nextHeartbeat()
-	copied := uint64(0)
+	copyToken := uint64(0)
 	if overtaken {
-		copied = m.cluster.sendCopiesAhead(r)
+		copyToken = m.cluster.sendCopiesAhead(r)
 	}
 	ctx, cancel := context.WithTimeout(m.ctx, replyTimeout)
 	defer cancel()
-	status, body, err := call.Do(ctx, m.client, http.MethodPost, "http://"+node.addr+wire.PathHeartbeat, r, maxReply)
+	status, body, err := call.Do(ctx, m.client, http.MethodPost, "http://"+node.addr+wire.PathHeartbeat, r, maxReplyBytes)
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
-	m.awaitResume(at)
+	m.awaitResume(sentAt)
 	if m.dead {
 		return true
 	}
 	if err == nil {
-		m.cluster.answeredHeartbeats[nodeAndMachine{node.name, m.name}] = at
-		m.cluster.countOvertaken(r, copied, status)
+		m.cluster.answeredHeartbeats[nodeAndMachine{node.name, m.name}] = sentAt
+		m.cluster.countOvertaken(r, copyToken, status)
 	}
 	if err != nil || status != http.StatusOK {
 		m.heartbeatDue = true
@@ -83,12 +83,12 @@
 		m.heartbeatsTo = (m.heartbeatsTo + 1) % len(m.cluster.nodes)
 		return false
 	}
-	m.takeAnswer(r, node, body, at)
+	m.handleAnswer(r, node, body, sentAt)
 	return true
 }
 
-// nextHeartbeat composes a heartbeat, chooses the node that it is sent to, and draws whether
-// copies of it go ahead.
+// nextHeartbeat returns the next heartbeat, the controller to send it to, and whether copies
+// overtake it.
 func (m *machine) nextHeartbeat() (r wire.Heartbeat, to *node, overtaken bool) {
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
@@ -101,9 +101,9 @@
 	return r, to, overtaken
 }
 
-// awaitResume waits while the machine hangs, at most until it drops the answer to the
-// report that it sent at a time: what came while it hung is there when it resumes. The
-// cluster's lock is held, but not while it waits.
+// awaitResume waits while the machine hangs, at most until the answer to a heartbeat sent at the
+// given time is too old to be accepted. An answer that arrives while the machine hangs is handled
+// when it resumes. The caller holds the cluster's lock, which is released during the wait.
 func (m *machine) awaitResume(sent time.Time) {
 	for m.hung && !m.dead && time.Since(sent) < replyTimeout {
 		m.cluster.mu.Unlock()
@@ -112,8 +112,8 @@
 	}
 }
 
-// redirect makes the machine report to the leader that a node has named, and reports whether
-// it has named another.
+// redirect handles an answer that names another controller as the leader: the machine sends its
+// next heartbeat there. It reports false for other answers.
 func (m *machine) redirect(status int, body []byte) bool {
 	var to wire.Redirect
 	if status != http.StatusMisdirectedRequest || wire.Unmarshal(body, &to) != nil {
@@ -128,9 +128,10 @@
 	return false
 }
 
-// takeAnswer renews the lease and carries out what a node has answered to a heartbeat, unless
-// the answer is late, or of a former leader or epoch; the cluster's lock is held.
-func (m *machine) takeAnswer(r wire.Heartbeat, from *node, body []byte, sent time.Time) {
+// handleAnswer renews the lease and executes the commands in the answer to a heartbeat. It drops an
+// answer that is late, of a former leader, or for an ended epoch. The caller holds the cluster's
+// lock.
+func (m *machine) handleAnswer(r wire.Heartbeat, from *node, body []byte, sent time.Time) {
 	var a wire.HeartbeatAnswer
 	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || r.AgentEpoch != m.epoch || m.hung || time.Since(sent) >= replyTimeout {
 		return
@@ -145,8 +146,9 @@
 	m.execute(a.Commands, time.Now())
 }
 
-// noteToken records a fencing token that the worker has seen. A new leader is to learn soon
-// that it has, so that a heartbeat is due.
+// noteToken records the fencing token of an answer or a command. After a higher token a heartbeat
+// is due, so that a new leader soon learns that the worker has seen its token. That happens at most
+// once in half a lease.
 func (m *machine) noteToken(token uint64, now time.Time) {
 	if token > m.token {
 		m.token = token
--- a/internal/fake/jobs.go
+++ b/internal/fake/jobs.go
@@ -7,23 +7,21 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file has what users and workers know of jobs.
-
-// job is what the users and the checker know of a job. The cluster's lock guards it.
+// job holds what users, workers and the checker know of a job. The cluster's lock guards it.
 type job struct {
 	spec     wire.Job
 	accepted bool         // its user was told that it is accepted
-	done     map[int]bool // the tasks that have completed, by index
+	done     map[int]bool // completed tasks, by index
 
-	cancelRequested   bool      // its user has asked to cancel it
+	cancelRequested   bool      // its user has requested the cancellation
 	cancelConfirmedAt time.Time // when its user was told that it is cancelled; zero: not yet
-	finalState        string    // the last final state that any node gave; "": none yet
+	finalState        string    // the last final state that an answer contained; "": none yet
 	answers           answerLog
-	unansweredSince   time.Time // since when no question about it has been answered, without faults
+	unansweredSince   time.Time // since when status queries fail without faults; zero: they don't
 }
 
-// jobOf is a job that workers are to run. The description of one that came by another
-// frontend is looked up in its record. The lock is held.
+// jobOf returns a job by its id, or nil if workers don't know it. A job of another frontend is read
+// from its record in the key-value store. The caller holds the lock.
 func (w *Cluster) jobOf(id string) *job {
 	if j := w.jobs[id]; j != nil || wire.ValidUserID(id) || w.knownJobsOnly {
 		return j
@@ -36,15 +34,17 @@
 	return w.jobs[id]
 }
 
-// RejectUnknownJobs makes workers know users' jobs only, not those of other frontends.
+// RejectUnknownJobs makes workers know only jobs that users submitted through the cluster or that
+// were registered, and not those of other frontends.
 func (w *Cluster) RejectUnknownJobs() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.knownJobsOnly = true
 }
 
-// RegisterJob tells the workers of a job that was not submitted through the cluster, as
-// users of real processes upload descriptions themselves.
+// RegisterJob makes a job known to the workers and the checker as accepted. It is for jobs that
+// were not submitted through the cluster, such as those of users of external controllers. It does
+// nothing if the job is known.
 func (w *Cluster) RegisterJob(j wire.Job) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -7,30 +7,27 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file checks what has to hold once no fault is injected any more: users' questions
-// are answered, and what is cancelled is not launched.
-
 const (
-	// faultCheckInterval is how often the cluster looks for faults that are injected.
+	// faultCheckInterval is the interval at which the cluster checks for injected faults.
 	faultCheckInterval = 200 * time.Millisecond
-	// forgottenTimeout is for how long questions about a job may go unanswered without
-	// faults: after that it counts as forgotten.
+	// forgottenTimeout is how long status queries of a job may fail without faults. After that
+	// the job counts as forgotten.
 	forgottenTimeout = 75 * time.Second
-	// settleTime is for how long there must have been no fault before a cancellation,
-	// for its job's launches to end with it.
+	// settleTime is how long a cancellation must come after the last fault for the stricter
+	// limit launchGrace to apply.
 	settleTime = 20 * time.Second
-	// launchGrace is how long after such a cancellation a launch may arrive.
+	// launchGrace is how long after a cancellation without faults a launch may arrive.
 	launchGrace = 2 * time.Second
 )
 
-// monitorFaults records when a fault was last seen to be injected, until the cluster ends.
+// monitorFaults calls noteFaults at intervals until the cluster ends.
 func (w *Cluster) monitorFaults() {
 	for call.Pause(w.ctx, faultCheckInterval) {
 		w.noteFaults()
 	}
 }
 
-// noteFaults records that a fault is injected now, if one is.
+// noteFaults sets lastFaultAt if a fault is active.
 func (w *Cluster) noteFaults() {
 	if !w.FaultActive() {
 		return
@@ -40,7 +37,7 @@
 	w.lastFaultAt = time.Now()
 }
 
-// FaultActive reports whether any fault is injected at the moment.
+// FaultActive reports whether any injected fault is active.
 func (w *Cluster) FaultActive() bool {
 	hosts := map[string]bool{stateHost: true, cloudHost: true, userHost: true}
 	for _, name := range w.Cloud.Machines() {
@@ -49,8 +46,8 @@
 	return w.nodesFaulty(hosts) || w.Network.faulty(hosts) || w.Store.faulty() || w.Cloud.faulty()
 }
 
-// nodesFaulty reports whether a node is down, a machine hangs, or messages of workers are
-// copied or held up. It adds the nodes to the hosts that are there.
+// nodesFaulty reports whether a controller is down, a machine hangs, or messages to or from workers
+// are copied or delayed. It adds the controllers to the existing hosts.
 func (w *Cluster) nodesFaulty(hosts map[string]bool) bool {
 	hung := false
 	for name := range hosts {
@@ -69,8 +66,8 @@
 		w.failoverCopies.oneIn > 0 || w.failoverCopies.overtakeOneIn > 0 || w.commandDelay.share > 0
 }
 
-// faulty reports whether messages between hosts that are there are lost or held up, or one
-// of them is paused.
+// faulty reports whether messages between existing hosts are lost or held, or one of these hosts is
+// paused.
 func (n *Network) faulty(hosts map[string]bool) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -98,7 +95,8 @@
 	return false
 }
 
-// faulty reports whether the key-value store refuses, delays or does not answer requests.
+// faulty reports whether a fault makes the key-value store refuse, delay or not answer requests, or
+// a scenario has damaged its records.
 func (s *KVStore) faulty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,15 +111,16 @@
 		d.lateShare > 0 || d.lostReplyShare > 0 || d.leaseShare > 0 || d.waiting > 0
 }
 
-// faulty reports whether the cloud refuses, delays or does not answer requests.
+// faulty reports whether a fault makes the cloud refuse, delay or not answer requests.
 func (c *Cloud) faulty() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.outage || c.dropReplies || c.replyDelay > 0 || c.deleteDelay > 0
 }
 
-// checkAnswered records whether a question about a job was answered. Without faults, one
-// about which no question is answered for a while counts as forgotten. The lock is held.
+// checkAnswered records whether a status query of a job was answered. A job whose queries all fail
+// for forgottenTimeout without faults counts as forgotten, which is a violation. The caller holds
+// the lock.
 func (w *Cluster) checkAnswered(id string, r userReply) {
 	j := w.jobs[id]
 	if j == nil || !j.accepted {
@@ -141,11 +140,11 @@
 	}
 }
 
-// checkLaunch checks that a launch that arrives at a worker is not of a job that was
-// cancelled longer ago than any leader may go on without knowing of it: a leader is sure
-// for no longer than its lease from then, and a worker drops later answers. Without
-// faults leaders learn of it at once. Starts that last for an instant count. The lock is
-// held.
+// checkLaunch checks that a launch doesn't arrive at a worker too long after its job's
+// cancellation. A leader that doesn't know of the cancellation acts no longer than its lease, and
+// workers drop answers after replyTimeout. Without faults leaders learn of a cancellation at once,
+// and the limit is launchGrace. Launches of tasks that are stopped at once count too. The caller
+// holds the lock.
 func (w *Cluster) checkLaunch(task string, now time.Time) {
 	id, n, _ := wire.ParseTaskName(task)
 	j := w.jobs[id]
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -11,29 +11,28 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file connects a cluster to real processes on this machine's loopback.
-
-// Bridge copies what comes in on a listener to connections opened by dial, until
-// ctx ends.
+// Bridge forwards each connection that a listener accepts to a connection opened by dial, in both
+// directions, until either side ends. It closes the listener and returns when ctx ends. Open
+// connections continue.
 func Bridge(ctx context.Context, l net.Listener, dial func() (net.Conn, error)) {
 	defer l.Close()
 	context.AfterFunc(ctx, func() { l.Close() })
 	for {
-		a, err := l.Accept()
+		accepted, err := l.Accept()
 		if err != nil {
 			return
 		}
 		go func() {
-			defer a.Close()
-			b, err := dial()
+			defer accepted.Close()
+			dialed, err := dial()
 			if err != nil {
 				return
 			}
-			defer b.Close()
+			defer dialed.Close()
 			done := make(chan struct{}, 2)
-			for _, p := range [][2]net.Conn{{a, b}, {b, a}} {
+			for _, pair := range [][2]net.Conn{{accepted, dialed}, {dialed, accepted}} {
 				go func() {
-					_, _ = io.Copy(struct{ io.Writer }{p[0]}, p[1]) // ends with either side
+					_, _ = io.Copy(struct{ io.Writer }{pair[0]}, pair[1]) // fails when either side is closed
 					done <- struct{}{}
 				}()
 			}
@@ -42,11 +41,12 @@
 	}
 }
 
-// AttachProcess makes a real process at addr take the place of a node, and serves the
-// key-value store and the cloud to real processes at state and cloud, if those are not
-// empty.
+// AttachProcess connects a controller in an external process to the cluster over loopback, until
+// ctx ends. Requests of users and workers to the given node go to the process at addr. The
+// key-value store and the cloud are served at the addresses state and cloud, unless they are
+// empty. It fails if an address is in use.
 func (w *Cluster) AttachProcess(ctx context.Context, node, addr, state, cloud string) error {
-	inner := w.Network.Dial(node)
+	dialInside := w.Network.Dial(node)
 	for outside, inside := range map[string]string{state: stateAddr, cloud: cloudAddr} {
 		if outside == "" {
 			continue
@@ -55,7 +55,7 @@
 		if err != nil {
 			return err
 		}
-		go Bridge(ctx, l, func() (net.Conn, error) { return inner(ctx, "tcp", inside) })
+		go Bridge(ctx, l, func() (net.Conn, error) { return dialInside(ctx, "tcp", inside) })
 	}
 	l, err := w.Network.Listen("tcp", node+":80")
 	if err != nil {
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// LearnJobs keeps the workers informed of the descriptions of accepted jobs until ctx ends.
+// LearnJobs registers the accepted jobs in the key-value store with the workers, every 200 ms until
+// ctx ends. It is for external controllers, whose users submit no jobs through the cluster.
 func (w *Cluster) LearnJobs(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, key := range w.Store.Keys(jobstore.JobKey("")) {
--- a/internal/fake/machine_faults.go
+++ b/internal/fake/machine_faults.go
@@ -7,13 +7,11 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file injects faults into machines.
-
-// KillMachine ends a machine without notice; it stays listed for a while.
+// KillMachine ends a machine without notice. The cloud lists it as failed until it is deleted.
 func (w *Cluster) KillMachine(name string) { w.Cloud.machine(name).kill() }
 
-// HangMachine makes a machine do nothing until ResumeMachine. One that has been returned
-// meanwhile stays gone.
+// HangMachine makes a machine neither run tasks nor communicate until ResumeMachine. It does
+// nothing if the machine doesn't exist.
 func (w *Cluster) HangMachine(name string) {
 	if m := w.Cloud.machine(name); m != nil {
 		w.mu.Lock()
@@ -22,7 +20,7 @@
 	}
 }
 
-// ResumeMachine ends what HangMachine began.
+// ResumeMachine ends the fault of HangMachine. It does nothing if the machine doesn't exist.
 func (w *Cluster) ResumeMachine(name string) {
 	if m := w.Cloud.machine(name); m != nil {
 		w.mu.Lock()
@@ -31,7 +29,7 @@
 	}
 }
 
-// MakeMachineFaulty makes tasks fail on a machine.
+// MakeMachineFaulty makes all tasks that start on a machine from now on fail.
 func (w *Cluster) MakeMachineFaulty(name string) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
@@ -39,11 +37,11 @@
 	m.faulty = true
 }
 
-// rogueAttempt is an attempt that no leader gets to.
+// rogueAttempt is an attempt number higher than any that a leader assigns.
 const rogueAttempt = 1 << 40
 
-// LaunchWithoutLeader makes a worker launch a task behind the controllers' backs, for
-// scenarios that show that the checker sees it.
+// LaunchWithoutLeader makes a worker launch a task that no controller has placed, for tests that
+// the checker reports it.
 func (w *Cluster) LaunchWithoutLeader(name, task string) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
@@ -51,8 +49,7 @@
 	if id, _, ok := wire.ParseTaskName(task); ok && w.jobs[id] != nil {
 		m.cache.use(w.jobs[id].spec.Image, w.jobs[id].spec.ImageGB, m.machineType.CacheGB, func(string) bool { return true })
 	}
-	// At once, before any controller can notice: what the checker sees must not
-	// depend on who is faster.
+	// The task starts at once. Otherwise a controller could stop it before the checker sees it.
 	now := time.Now()
 	key := taskKey{task, rogueAttempt}
 	m.launch(key, now)
@@ -62,7 +59,8 @@
 	}
 }
 
-// SendInterruptionNotice tells a worker that its machine will be taken.
+// SendInterruptionNotice tells a worker that the cloud takes its spot machine back, which happens
+// after the given time.
 func (w *Cluster) SendInterruptionNotice(name string, in time.Duration) {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
--- a/internal/fake/observations.go
+++ b/internal/fake/observations.go
@@ -6,9 +6,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file reads what has become of tasks, machines and heartbeats, for scenarios.
-
-// FinishedTasks is how many tasks of a job have really completed.
+// FinishedTasks returns the number of a job's tasks that have completed on machines, whatever the
+// controllers report. It returns 0 for an unknown job.
 func (w *Cluster) FinishedTasks(id string) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -18,68 +17,70 @@
 	return 0
 }
 
-// CheckpointedProgress is the progress of a task, or of a gang's job, that outlives a stop.
+// CheckpointedProgress returns the saved progress, in seconds, of a task by its name or of a gang
+// by its job's id.
 func (w *Cluster) CheckpointedProgress(name string) float64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.progress[name]
 }
 
-// Started is how many tasks have got on a machine.
+// Started returns the number of task starts so far.
 func (w *Cluster) Started() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.started
 }
 
-// RanMoreThanOnce is how many tasks of jobs of other frontends ran more than once.
+// RanMoreThanOnce returns the number of other frontends' tasks that started more than once.
 func (w *Cluster) RanMoreThanOnce() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, k := range w.externalStarts {
-		if k > 1 {
+	for _, starts := range w.externalStarts {
+		if starts > 1 {
 			n++
 		}
 	}
 	return n
 }
 
-// TasksPerMachine is how many tasks are on each machine that has any.
+// TasksPerMachine returns the number of running tasks by machine name, without idle machines.
 func (w *Cluster) TasksPerMachine() map[string]int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	out := map[string]int{}
-	for _, on := range w.machinesOfTasks {
-		for m := range on {
+	for _, machines := range w.machinesOfTasks {
+		for m := range machines {
 			out[m.name]++
 		}
 	}
 	return out
 }
 
-// ZoneOf is a machine's zone.
+// ZoneOf returns a machine's zone.
 func (w *Cluster) ZoneOf(name string) string { return w.Cloud.machine(name).zone }
 
-// Running is how many tasks are on machines.
+// Running returns the number of tasks that have their image and have not exited.
 func (w *Cluster) Running() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	n := 0
-	for _, on := range w.machinesOfTasks {
-		n += len(on)
+	for _, machines := range w.machinesOfTasks {
+		n += len(machines)
 	}
 	return n
 }
 
-// ExpiredLeases is how many workers' leases have ended so far while they had tasks.
+// ExpiredLeases returns how many leases of workers with tasks have expired so far.
 func (w *Cluster) ExpiredLeases() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.expiredLeases
 }
 
-// Unanswered is how many living machines have had no answer since then.
+// Unanswered returns the number of machines, neither dead nor hung, that have accepted no answer to
+// a heartbeat sent since the given time.
 func (w *Cluster) Unanswered(since time.Time) int {
 	var all []*machine
 	for _, name := range w.Cloud.Machines() {
@@ -96,37 +97,38 @@
 	return n
 }
 
-// nodeAndMachine is a node and a machine that sends it heartbeats.
+// nodeAndMachine names a controller and a machine that sends it heartbeats.
 type nodeAndMachine struct{ node, machine string }
 
-// HeartbeatsAnswered is how many machines a node has answered since then, and how many of them
-// have taken a 200 of it: reports that were sent since.
-func (w *Cluster) HeartbeatsAnswered(i int, since time.Time) (answered, kept int) {
+// HeartbeatsAnswered returns the number of machines whose heartbeats, sent since the given time,
+// the i-th controller has answered with any status. The second result is the number of machines
+// that have accepted such an answer with status 200.
+func (w *Cluster) HeartbeatsAnswered(i int, since time.Time) (answered, accepted int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for r, at := range w.answeredHeartbeats {
-		if r.node == w.nodes[i].name && at.After(since) {
+	for key, sentAt := range w.answeredHeartbeats {
+		if key.node == w.nodes[i].name && sentAt.After(since) {
 			answered++
 		}
 	}
-	for r, at := range w.acceptedAnswers {
-		if r.node == w.nodes[i].name && at.After(since) {
-			kept++
+	for key, sentAt := range w.acceptedAnswers {
+		if key.node == w.nodes[i].name && sentAt.After(since) {
+			accepted++
 		}
 	}
-	return answered, kept
+	return answered, accepted
 }
 
-// FencingToken is the token of the leader whose key is in the key-value store; 0: there is
-// none.
+// FencingToken returns the token of the leader whose key is in the key-value store, or 0 if there
+// is none.
 func (w *Cluster) FencingToken() uint64 {
 	w.Store.mu.Lock()
 	defer w.Store.mu.Unlock()
 	return w.Store.leaderToken()
 }
 
-// DirectCommandsExecuted is how many direct commands a machine has executed as they arrived:
-// those that were delayed or held back before do not count.
+// DirectCommandsExecuted returns the number of direct commands that a machine has executed on
+// arrival. Commands that were delayed or held don't count.
 func (w *Cluster) DirectCommandsExecuted(name string) int {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
@@ -134,8 +136,8 @@
 	return m.directExecuted
 }
 
-// LateReplies is how many answers a machine has taken more than a second after it
-// sent its heartbeat.
+// LateReplies returns the number of answers that a machine has accepted more than a second after it
+// sent the heartbeat.
 func (w *Cluster) LateReplies(name string) int {
 	m := w.Cloud.machine(name)
 	w.mu.Lock()
@@ -143,13 +145,13 @@
 	return m.lateReplies
 }
 
-// CPUsInUse is what a team's tasks use.
+// CPUsInUse returns the number of CPUs that a team's running tasks use.
 func (w *Cluster) CPUsInUse(team string) (cpus float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for name, ms := range w.machinesOfTasks {
+	for name, machines := range w.machinesOfTasks {
 		if id, _, _ := wire.ParseTaskName(name); w.jobs[id].spec.Team == team {
-			cpus += w.jobs[id].spec.CPUs * float64(len(ms))
+			cpus += w.jobs[id].spec.CPUs * float64(len(machines))
 		}
 	}
 	return cpus
--- a/internal/fake/placement.go
+++ b/internal/fake/placement.go
@@ -7,24 +7,22 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file tracks which tasks are on which machines, and checks the rules at each start.
-
-// startTask records that a task has its image: from now on it is on its machine,
-// and the rules are checked. The lock is held.
+// startTask records that a task has its image and starts on its machine, and checks the protocol's
+// rules. The caller holds the lock.
 func (w *Cluster) startTask(t *task, now time.Time) {
 	w.started++
 	if !wire.ValidUserID(t.job.ID) {
 		w.externalStarts[t.name]++
 	}
-	on := w.machinesOfTasks[t.name]
-	if on == nil {
-		on = map[*machine]bool{}
-		w.machinesOfTasks[t.name] = on
+	machines := w.machinesOfTasks[t.name]
+	if machines == nil {
+		machines = map[*machine]bool{}
+		w.machinesOfTasks[t.name] = machines
 	}
-	if len(on) > 0 {
+	if len(machines) > 0 {
 		w.violations.add("ran_twice: %s starts on %s", t.name, t.machine.name)
 	}
-	on[t.machine], t.present = true, true
+	machines[t.machine], t.present = true, true
 	if j := w.jobs[t.job.ID]; !j.cancelConfirmedAt.IsZero() {
 		w.startedAfterCancel++
 		if now.Sub(j.cancelConfirmedAt) > secs(w.Settings.Cluster.Workers.CancelS) {
@@ -38,7 +36,7 @@
 	}
 }
 
-// checkConstraints checks that a task is on a machine and in a zone that its job allows.
+// checkConstraints checks that a task's machine and zone satisfy its job's constraints.
 func (w *Cluster) checkConstraints(t *task) {
 	if !t.machine.allowedFor(t.job) {
 		w.violations.add("wrong_place: %s on %s", t.name, t.machine.name)
@@ -59,26 +57,26 @@
 	}
 }
 
-// allowedFor reports whether a job allows a machine by its type, zone and price.
+// allowedFor reports whether a job's constraints on type, zone and spot price allow a machine.
 func (m *machine) allowedFor(j *wire.Job) bool {
 	return (len(j.Types) == 0 || slices.Contains(j.Types, m.machineType.Name)) && (j.Zone == "" || j.Zone == m.zone) && (!m.spot || j.Spot)
 }
 
-// maxPerZone is how many tasks of a job that spreads may be in one zone.
+// maxPerZone returns the highest number of tasks in one zone for a job that spreads over zones.
 func maxPerZone(j *wire.Job) int { return (j.Tasks + 1) / 2 }
 
-// checkQuota checks that a task's team is within its limits.
+// checkQuota checks that the team of a task is within its quota.
 func (w *Cluster) checkQuota(t *task) {
 	for _, team := range w.Settings.Cluster.Teams {
 		if team.Name != t.job.Team || team.CPUsMax+team.GPUsMax == 0 {
 			continue
 		}
 		cpus, gpus := 0.0, 0.0
-		for name, ms := range w.machinesOfTasks {
+		for name, machines := range w.machinesOfTasks {
 			id, _, _ := wire.ParseTaskName(name)
 			if j := w.jobs[id]; j.spec.Team == team.Name {
-				cpus += j.spec.CPUs * float64(len(ms))
-				gpus += j.spec.GPUs * float64(len(ms))
+				cpus += j.spec.CPUs * float64(len(machines))
+				gpus += j.spec.GPUs * float64(len(machines))
 			}
 		}
 		if exceedsQuota(team, cpus, gpus) {
@@ -87,8 +85,8 @@
 	}
 }
 
-// endIncompleteTask records that a task is on its machine no more, and has not completed. The lock is
-// held.
+// endIncompleteTask records that a task has left its machine without completing. The caller holds
+// the lock.
 func (w *Cluster) endIncompleteTask(t *task) {
 	if !t.present {
 		return
@@ -99,8 +97,7 @@
 	}
 }
 
-// completeTask records that a task has completed, and is on its machine no more. The lock is
-// held.
+// completeTask records that a task has completed and left its machine. The caller holds the lock.
 func (w *Cluster) completeTask(t *task) {
 	if t.present {
 		w.removeTask(t)
@@ -108,7 +105,7 @@
 	w.noteCompletion(w.jobs[t.job.ID], t.index)
 }
 
-// removeTask takes a task off its machine.
+// removeTask records that a task is no longer on its machine.
 func (w *Cluster) removeTask(t *task) {
 	t.present = false
 	delete(w.machinesOfTasks[t.name], t.machine)
--- a/internal/fake/progress.go
+++ b/internal/fake/progress.go
@@ -6,9 +6,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file simulates the progress of tasks on machines: completion, saving and stops.
-
-// advanceTask simulates the progress of a task up to now. The lock is held.
+// advanceTask simulates the progress of a task up to now: its completion, saving or stop. The
+// caller holds the lock.
 func (w *Cluster) advanceTask(t *task, now time.Time) {
 	switch {
 	case !t.present:
@@ -26,20 +25,20 @@
 	}
 }
 
-// completes reports whether a task's work is done, by this attempt or one before. Services go
-// on until they are stopped.
+// completes reports whether a task's work is done, by this attempt or an earlier one. Services
+// never complete.
 func (w *Cluster) completes(t *task, now time.Time) bool {
 	return w.jobs[t.job.ID].done[t.index] || t.job.Kind == wire.KindArray && w.progress[t.name]+now.Sub(t.presentSince).Seconds() >= t.job.EstimateS
 }
 
-// stopTask records that a task is told to stop, with grace seconds to save. The lock is held.
-func (w *Cluster) stopTask(t *task, grace float64, now time.Time) {
+// stopTask handles a stop command with graceS seconds to save. The caller holds the lock.
+func (w *Cluster) stopTask(t *task, graceS float64, now time.Time) {
 	t.machine.heartbeatDue = true
 	if t.job != nil && t.job.Kind == wire.KindGang {
-		w.stopGangTask(t, grace, now)
+		w.stopGangTask(t, graceS, now)
 		return
 	}
-	if t.saves(grace) {
+	if t.saves(graceS) {
 		w.beginSaving(t, now)
 		return
 	}
@@ -49,7 +48,7 @@
 	t.machine.exit(t, wire.ExitStopped, false)
 }
 
-// beginSaving lets a task save its progress, unless it does so already.
+// beginSaving makes a task save its progress, unless it is saving already.
 func (w *Cluster) beginSaving(t *task, now time.Time) {
 	if t.saving {
 		return
@@ -59,13 +58,12 @@
 	w.progress[t.name] += now.Sub(t.presentSince).Seconds()
 }
 
-// saves reports whether a task saves its progress when it has grace seconds until it ends.
-func (t *task) saves(grace float64) bool {
-	return t.present && t.job.CheckpointS > 0 && grace >= t.job.SaveS
+// saves reports whether a task saves its progress if it is stopped with graceS seconds to save.
+func (t *task) saves(graceS float64) bool {
+	return t.present && t.job.CheckpointS > 0 && graceS >= t.job.SaveS
 }
 
-// lastCheckpoint is the progress of the last checkpoint, of which there is one every so
-// many seconds.
-func lastCheckpoint(progress, every float64) float64 {
-	return every * float64(int(progress/every))
+// lastCheckpoint returns the progress at the last checkpoint. All values are in seconds.
+func lastCheckpoint(progressS, intervalS float64) float64 {
+	return intervalS * float64(int(progressS/intervalS))
 }
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -8,12 +8,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file finds jobs that wait although a machine has room for them and their team is under
-// its limit.
-
-// Starved observes the cluster, once faults are over, until no job waits that could start, or
-// until some have waited that long although a machine that fits had free resources and their
-// team was under its limit. It returns the latter.
+// Starved observes the cluster until no waiting job could start, and then returns nil. It returns
+// the sorted ids of jobs that could have started during the whole time within: suitable machines
+// had free resources and the job's team was under its quota. Call it only without active faults.
 func (w *Cluster) Starved(within time.Duration) []string {
 	since := map[string]time.Time{}
 	for {
@@ -39,7 +36,8 @@
 	}
 }
 
-// startableJobs lists the jobs with a task that could start now, a gang if all could.
+// startableJobs returns the sorted ids of users' jobs with a waiting task that could start now, and
+// of gangs whose tasks could all start.
 func (w *Cluster) startableJobs() (out []string) {
 	var all []*machine
 	for _, name := range w.Cloud.Machines() {
@@ -54,8 +52,8 @@
 			continue
 		}
 		inZone := unfinishedPerZone(j, all)
-		need := tasksToStart(j, inZone)
-		if need > 0 && w.quotaAllows(&j.spec, need, all) && w.roomFor(&j.spec, all, inZone) >= need {
+		needed := tasksToStart(j, inZone)
+		if needed > 0 && w.quotaAllows(&j.spec, needed, all) && w.roomFor(&j.spec, all, inZone) >= needed {
 			out = append(out, id)
 		}
 	}
@@ -63,7 +61,8 @@
 	return out
 }
 
-// unfinishedPerZone counts the tasks of a job on machines that have not completed, by zone.
+// unfinishedPerZone returns the number of a job's tasks that are on machines and have not
+// completed, by zone.
 func unfinishedPerZone(j *job, all []*machine) map[string]int {
 	zones := map[string]int{}
 	for _, m := range all {
@@ -76,8 +75,8 @@
 	return zones
 }
 
-// tasksToStart is how many tasks of a job have to start together, given those that are on
-// machines; 0 if none can.
+// tasksToStart returns how many waiting tasks of a job have to start together, given the number of
+// tasks on machines by zone: 1, all tasks of a gang, or 0 if none can start.
 func tasksToStart(j *job, inZone map[string]int) int {
 	waiting := j.spec.Tasks - len(j.done)
 	for _, n := range inZone {
@@ -89,13 +88,13 @@
 	case j.spec.Kind != wire.KindGang:
 		return 1
 	case waiting < j.spec.Tasks:
-		return 0 // its attempt ends before the next begins
+		return 0 // the gang's present attempt must end first
 	}
 	return waiting
 }
 
-// quotaAllows reports whether a team's limit leaves room for n more tasks; the lock
-// is held. What fetches its image counts.
+// quotaAllows reports whether a team's quota allows n more tasks of a job. Tasks that fetch their
+// image count as usage. The caller holds the lock.
 func (w *Cluster) quotaAllows(j *wire.Job, n int, all []*machine) bool {
 	cpus, gpus := j.CPUs*float64(n), j.GPUs*float64(n)
 	for _, m := range all {
@@ -113,8 +112,8 @@
 	return true
 }
 
-// roomFor is how many tasks of a job fit on the machines that work; inZone is where
-// others of its tasks are. The lock is held.
+// roomFor returns how many more tasks of a job fit on working machines, given the number of its
+// tasks on machines by zone. The caller holds the lock.
 func (w *Cluster) roomFor(j *wire.Job, all []*machine, inZone map[string]int) int {
 	fits := map[string]int{}
 	for _, m := range all {
@@ -141,15 +140,16 @@
 	return total
 }
 
-// works reports whether a machine takes tasks and lets them run; one whose last answer is old
-// may not. The cluster's lock is held.
+// works reports whether a machine can start and run tasks. A machine whose last accepted answer is
+// older than half a lease may lose its lease, and doesn't count. The caller holds the cluster's
+// lock.
 func (m *machine) works() bool {
 	return !m.dead && !m.hung && !m.faulty && m.interruptionNotice == nil &&
 		time.Since(m.leaseRenewedAt) <= secs(m.cluster.Settings.Cluster.Workers.LeaseS)/2
 }
 
-// roomFor is how many tasks of a job fit on a machine beside those that it has, up to
-// a number. The cluster's lock is held.
+// roomFor returns how many more tasks of a job fit on a machine, at most the given number. The
+// caller holds the cluster's lock.
 func (m *machine) roomFor(j *wire.Job, most int) (n int) {
 	free := resourcesOf(m.machineType)
 	for _, t := range m.tasks {
--- a/internal/fake/unusual_requests.go
+++ b/internal/fake/unusual_requests.go
@@ -10,16 +10,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file sends requests that users seldom send: repeated, damaged, invalid and unknown.
-
-// UnusualRequests is how many requests of a kind that users seldom send were answered for good.
+// UnusualRequests counts requests of SendUnusualRequests that got the expected answer.
 type UnusualRequests struct {
-	Known   int // repeated submissions, with whatever body, and cancellations of done jobs
-	Refused int // submissions that can't be accepted
-	Unknown int // questions and cancellations of jobs that nobody submitted
+	Known   int // repeated submissions, intact or damaged, and cancellations of done jobs
+	Refused int // submissions that must be refused
+	Unknown int // status queries and cancellations of jobs that nobody submitted
 }
 
-// unusualKind is what an unusual request is like.
+// unusualKind is a kind of unusual request.
 type unusualKind int
 
 const (
@@ -33,23 +31,23 @@
 	submissionOfNoTeam
 	submissionBeyondQuota
 	malformedSubmission
-	unusualKinds // how many there are
+	unusualKinds // number of kinds
 )
 
-// unusualRequest is what was drawn for a request, whether its kind needs it or not.
+// unusualRequest holds all random choices for a request, including those that its kind ignores.
 type unusualRequest struct {
-	kind    unusualKind
-	job     wire.Job // a known one where the kind repeats a submission
-	done    string   // a job that is done; "": there is none
-	known   bool     // there are known jobs
-	invalid int      // how the body is malformed
-	lacking string   // the field that a damaged submission lacks
-	cutOff  bool     // it is cut off after the id instead
+	kind         unusualKind
+	job          wire.Job // an accepted one if the kind repeats a submission
+	done         string   // id of a job that is done; "": there is none
+	known        bool     // there are accepted jobs
+	invalid      int      // selects how the body is malformed; see malformed
+	missingField string   // the field that a damaged submission lacks
+	truncated    bool     // a damaged submission is truncated after the id instead
 }
 
-// SendUnusualRequests sends each node a number of requests that users seldom send: submissions
-// of known jobs again, as they were or damaged, cancellations of jobs that are
-// done, jobs that can't be accepted, and ids that nobody has used.
+// SendUnusualRequests sends each controller the given number of requests that users rarely send:
+// repeated submissions of accepted jobs, intact or damaged; cancellations of done jobs; invalid
+// jobs; and status queries and cancellations with unused ids. A wrong answer is a violation.
 func (w *Cluster) SendUnusualRequests(each int) (sent UnusualRequests) {
 	known, done := w.acceptedJobs()
 	for _, n := range w.nodes {
@@ -60,7 +58,8 @@
 	return sent
 }
 
-// acceptedJobs lists the users' jobs that are known to be accepted, and those that are done.
+// acceptedJobs returns the sorted ids of the users' accepted jobs, and of those among them that are
+// done.
 func (w *Cluster) acceptedJobs() (known, done []string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,7 +76,7 @@
 	return known, done
 }
 
-// drawUnusualRequest draws the next request.
+// drawUnusualRequest draws the next request. It always draws the same number of random values.
 func (w *Cluster) drawUnusualRequest(known, done []string) (r unusualRequest) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,11 +92,12 @@
 	if len(done) > 0 {
 		r.done = done[doneIndex]
 	}
-	r.lacking, r.cutOff = requiredFields[w.pick(len(requiredFields))], w.pick(2) == 0
+	r.missingField, r.truncated = requiredFields[w.pick(len(requiredFields))], w.pick(2) == 0
 	return r
 }
 
-// sendUnusualRequest sends a request to a node, checks its answer's status and counts it.
+// sendUnusualRequest sends a request to a controller, checks the status of the answer and counts
+// it. Requests without an answer, or refused because of overload, don't count.
 func (w *Cluster) sendUnusualRequest(n *node, u unusualRequest, sent *UnusualRequests) {
 	var r userReply
 	var want int
@@ -146,8 +146,8 @@
 	}
 }
 
-// beyondQuota is a gang that needs more than its team's quota, of a team that has one, and
-// else one that no team has.
+// beyondQuota returns a gang that needs more CPUs than the quota of its team. If no team has a CPU
+// quota, it returns a job of a team that doesn't exist.
 func beyondQuota(j wire.Job, teams []config.Team) wire.Job {
 	i := slices.IndexFunc(teams, func(t config.Team) bool { return t.CPUsMax > 0 })
 	if i < 0 {
@@ -158,7 +158,7 @@
 	return j
 }
 
-// invalidFields are values that a field must not have.
+// invalidFields are invalid values of fields, by the fields' wire names.
 var invalidFields = []struct {
 	name  string
 	value any
@@ -167,23 +167,24 @@
 	{"cpus", nil}, {"facon", "swarm"}, {"rang", "low"}, {"gammes", []any{1}}, {"oneZone", 1}, {"dureeS", -1.0}, {"gabarit", 7},
 }
 
-// encoded is a submission as it is sent, and its fields by their wire names.
+// encoded returns a submission in its encoded form, and its fields by their wire names.
 func encoded(j wire.Job) (raw []byte, fields map[string]any) {
 	raw, err := wire.Marshal(j)
 	if err == nil {
 		err = wire.Unmarshal(raw, &fields)
 	}
 	if err != nil {
-		panic(err) // a scenario is made wrong
+		panic(err) // every wire.Job can be encoded
 	}
 	return raw, fields
 }
 
-// malformed is a submission with an invalid field, or none at all.
+// malformed returns a body that is no MessagePack, no map, or a submission with an invalid field,
+// as selected by draw.
 func malformed(j wire.Job, draw int) any {
 	switch draw % 4 {
 	case 0:
-		return wire.Raw{0xc1} // no MessagePack begins so
+		return wire.Raw{0xc1} // a byte that MessagePack never uses
 	case 1:
 		return []string{"not", "a", "map"}
 	}
@@ -193,15 +194,15 @@
 	return fields
 }
 
-// requiredFields are fields without which a job is not accepted.
+// requiredFields are the wire names of fields that a submission must have.
 var requiredFields = []string{"pieces", "cpus", "facon", "gabarit", "oneZone"}
 
-// damaged is a submission that lacks a field, or is cut off after its id.
+// damaged returns a submission that lacks a field, or is truncated after its id.
 func damaged(u unusualRequest) any {
 	raw, fields := encoded(u.job)
-	if at := bytes.Index(raw, []byte(u.job.ID)); u.cutOff && at >= 0 {
+	if at := bytes.Index(raw, []byte(u.job.ID)); u.truncated && at >= 0 {
 		return wire.Raw(raw[:at+len(u.job.ID)+3])
 	}
-	delete(fields, u.lacking)
+	delete(fields, u.missingField)
 	return fields
 }
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -35,7 +35,7 @@
 func (w *Cluster) request(method, addr, path string, v any, timeout time.Duration) (status int, body []byte) {
 	ctx, cancel := context.WithTimeout(w.ctx, timeout)
 	defer cancel()
-	status, body, err := call.Do(ctx, w.httpClient, method, "http://"+addr+path, v, maxReply)
+	status, body, err := call.Do(ctx, w.httpClient, method, "http://"+addr+path, v, maxReplyBytes)
 	if err != nil {
 		return 0, nil
 	}
