--- a/internal/cmd/devcluster/main.go
+++ b/internal/cmd/devcluster/main.go
@@ -1,6 +1,6 @@
-// Command devcluster emulates the key-value store, the cloud and the workers on this
-// machine's loopback, so that a node can be tried without any of them. It is made of
-// the tests' fakes, and writes the settings file that the node needs.
+// Command devcluster emulates the key-value store, the cloud and the workers on this machine's
+// loopback, so that a controller can be tried without the real services. It uses the simulated
+// cluster of the tests (package fake) and writes the settings file for the controller.
 package main
 
 import (
@@ -22,9 +22,11 @@
 	Machines int    `default:"4" help:"Machines up at the start."`
 }
 
+// Addresses of the controller (for users and workers, and for its peers) and of the emulated
+// key-value store and cloud.
 const (
-	bind      = "127.0.0.1:18080"
-	meshAddr  = "127.0.0.1:18081"
+	bindAddr  = "127.0.0.1:18080"
+	peerAddr  = "127.0.0.1:18081"
 	stateAddr = "127.0.0.1:18082"
 	cloudAddr = "127.0.0.1:18083"
 )
@@ -35,12 +37,13 @@
 	k.FatalIfErrorf(run(c))
 }
 
+// run emulates the services until the process is interrupted.
 func run(c cli) error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	w := fake.New(fake.Options{Nodes: 1, Machines: c.Machines, ExternalNodes: true})
 	s := *w.Settings
-	s.Bind, s.PeerListen = bind, meshAddr
+	s.Bind, s.PeerListen = bindAddr, peerAddr
 	s.Services.State, s.Services.Cloud = stateAddr, cloudAddr
 	if err := os.MkdirAll(c.Dir, 0o755); err != nil {
 		return err
@@ -51,13 +54,13 @@
 		return err
 	}
 	if err := toml.NewEncoder(f).Encode(s); err != nil {
-		_ = f.Close() // what failed to be written says more
+		_ = f.Close() // the encoding error is the cause
 		return err
 	}
 	if err := f.Close(); err != nil {
 		return err
 	}
-	if err := w.AttachProcess(ctx, "n-0", bind, stateAddr, cloudAddr); err != nil {
+	if err := w.AttachProcess(ctx, "n-0", bindAddr, stateAddr, cloudAddr); err != nil {
 		return err
 	}
 	go w.LearnJobs(ctx)
--- a/internal/fake/liveness_test.go
+++ b/internal/fake/liveness_test.go
@@ -10,8 +10,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// withCheckedCluster runs a test on a cluster with a machine and a job that the checks know
-// of, and no nodes: the test simulates what they would answer and command.
+// withCheckedCluster runs a test on a cluster with one machine, a job that the checker knows, and
+// no running controllers. The test simulates the controllers' answers and commands.
 func withCheckedCluster(t *testing.T, test func(w *Cluster, m *machine, j *job)) {
 	t.Helper()
 	synctest.Test(t, func(_ *testing.T) {
@@ -24,16 +24,18 @@
 	})
 }
 
-// wantViolation fails the test unless the checker has found just the violation that is wanted;
-// "" is none.
+// wantViolation fails the test unless the checker has found exactly one violation that contains
+// want, or none if want is "".
 func wantViolation(t *testing.T, w *Cluster, want string) {
 	t.Helper()
 	got := w.Violations()
 	if want == "" && len(got) > 0 || want != "" && (len(got) != 1 || !strings.Contains(got[0], want)) {
-		t.Errorf("the checker says %q, want %q", got, want)
+		t.Errorf("violations %q, want %q", got, want)
 	}
 }
 
+// A direct command may arrive minutes late. A late launch could start a task twice, and a late
+// forget could remove an outcome that is not recorded.
 func TestDirectCommandThatHarmsWhenLateIsAViolation(t *testing.T) {
 	for _, c := range []struct {
 		command wire.Command
@@ -53,13 +55,15 @@
 			status, held := m.receiveCommands(body)
 			w.mu.Unlock()
 			if status != http.StatusOK || held {
-				t.Errorf("%+v: status %d, held %t", c.command, status, held)
+				t.Errorf("%+v: status %d, held %t; want 200, false", c.command, status, held)
 			}
 			wantViolation(t, w, c.broken)
 		})
 	}
 }
 
+// A delayed command must not be executed if the worker has seen a newer leader or has begun a new
+// epoch, and it must not be executed early.
 func TestDelayedCommandIsExecutedOnceIfTokenAndEpochMatch(t *testing.T) {
 	for _, c := range []struct {
 		token, epoch uint64
@@ -85,20 +89,20 @@
 			_, held := m.receiveCommands(body)
 			w.mu.Unlock()
 			if !held {
-				t.Fatal("the command is not held up")
+				t.Fatal("the command is not delayed")
 			}
 			time.Sleep(minCommandDelay - 100*time.Millisecond)
-			if met := w.DelayedCommands(); met != (DelayedCommands{Held: 1}) {
-				t.Errorf("too early: %+v", met)
+			if got := w.DelayedCommands(); got != (DelayedCommands{Held: 1}) {
+				t.Errorf("before the shortest delay: %+v, want one held batch only", got)
 			}
-			for range int(maxCommandDelay / time.Second) { // within its lease all the while
+			for range int(maxCommandDelay / time.Second) { // renews the lease all the time
 				time.Sleep(time.Second)
 				w.mu.Lock()
 				m.leaseRenewedAt = time.Now()
 				w.mu.Unlock()
 			}
-			if met := w.DelayedCommands(); met != c.want {
-				t.Errorf("token %d, epoch %d: %+v, want %+v", c.token, c.epoch, met, c.want)
+			if got := w.DelayedCommands(); got != c.want {
+				t.Errorf("token %d, epoch %d: %+v, want %+v", c.token, c.epoch, got, c.want)
 			}
 			if n, want := w.Running(), 1-c.want.Executed; n != want {
 				t.Errorf("token %d, epoch %d: %d tasks run, want %d", c.token, c.epoch, n, want)
@@ -107,6 +111,9 @@
 	}
 }
 
+// A leader that doesn't know of a cancellation may launch tasks until its lease ends. A later
+// launch, or one more than 2 s after the cancellation without faults, is a violation, even if the
+// task is stopped at once.
 func TestLaunchAfterCancellationIsAViolation(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -130,7 +137,7 @@
 				time.Sleep(c.after(secs(w.Settings.Cluster.Workers.LeaderLeaseS())))
 				w.mu.Lock()
 				m.leaseRenewedAt = time.Now()
-				// It lasts for an instant only.
+				// The task is stopped in the same instant.
 				m.execute([]wire.Command{{Op: wire.OpStart, Task: "wk-000001/0", Attempt: 1}, {Op: wire.OpStop, Task: "wk-000001/0", Attempt: 1}}, time.Now())
 				w.mu.Unlock()
 				wantViolation(t, w, c.broken)
@@ -139,6 +146,7 @@
 	}
 }
 
+// A job whose status queries all fail for 75 s is forgotten, unless a fault explains it.
 func TestUnansweredQuestionsWithoutFaultsAreAViolation(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -159,7 +167,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			withCheckedCluster(t, func(w *Cluster, _ *machine, _ *job) {
-				for second := range 90 { // nobody is there to answer
+				for second := range 90 { // no controller runs
 					c.change(w, second)
 					w.noteFaults()
 					if second%2 == 0 {
@@ -175,6 +183,8 @@
 	}
 }
 
+// The checker is stricter without faults. A fault that it overlooks causes false violations, and
+// one that it sees after its end hides real ones.
 func TestEachFaultIsActiveUntilItEnds(t *testing.T) {
 	type change func(w *Cluster, machine string)
 	for name, fault := range map[string]struct{ begin, end change }{
@@ -196,15 +206,15 @@
 		t.Run(name, func(t *testing.T) {
 			withCheckedCluster(t, func(w *Cluster, m *machine, _ *job) {
 				if w.FaultActive() {
-					t.Error("a fault is seen before there is one")
+					t.Error("FaultActive() = true before the fault, want false")
 				}
 				fault.begin(w, m.name)
 				if !w.FaultActive() {
-					t.Error("the fault is not seen")
+					t.Error("FaultActive() = false during the fault, want true")
 				}
 				fault.end(w, m.name)
 				if w.FaultActive() {
-					t.Error("a fault is seen after it has ended")
+					t.Error("FaultActive() = true after the fault, want false")
 				}
 			})
 		})
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -13,13 +13,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file sends users' requests about single jobs, and checks that the answers of all
-// nodes together are linearizable: none may be older than one that the user had before
-// sending the request. The order is that of a counter and not of time, since much happens
-// in one simulated instant. An answer to a request that was under way when a newer answer
-// came may be older: the node may have read before.
-
-// requestKind is what a user asks.
+// requestKind is the kind of a user's request about a single job.
 type requestKind int
 
 const (
@@ -28,7 +22,7 @@
 	cancellation
 )
 
-// path is where users ask about a job.
+// path returns the URL path of a request about a job.
 func (k requestKind) path(id string) string {
 	switch k {
 	case question:
@@ -39,7 +33,7 @@
 	return wire.PathJobs
 }
 
-// method is the HTTP method of a request.
+// method returns the HTTP method of a request.
 func (k requestKind) method() string {
 	if k == question {
 		return http.MethodGet
@@ -47,22 +41,28 @@
 	return http.MethodPost
 }
 
-// answerLog is when a user first had which answer, by Cluster.requestClock; 0: not yet.
+// answerLog records when answers first told facts about a job. It serves the check that the answers
+// of all controllers are linearizable: no answer may be older than one that the user got before
+// sending the request. An answer to a request that was on its way when a newer answer arrived may
+// be older, because the controller may have read the state before.
+//
+// Times are values of the counter Cluster.requestClock, because many events share a simulated
+// instant; 0 means not yet.
 type answerLog struct {
-	acceptedAt   uint64 // that the job is known
-	finalAt      uint64 // that it is over
-	timesCreated int    // how often it was newly accepted
+	acceptedAt   uint64 // the job is accepted
+	finalAt      uint64 // the job is in a final state
+	timesCreated int    // number of answers that the job was newly accepted
 }
 
-// userReply is what came of a user's request.
+// userReply is the outcome of a user's request.
 type userReply struct {
 	sentAt uint64 // by Cluster.requestClock
 	status int    // 0: no answer
-	state  string // of a 200 or 201
+	state  string // the job's state in an answer with status 200 or 201
 }
 
-// ask sends a user's request to a node once, and checks the answer. A body that is
-// a wire.Raw is sent as it is.
+// ask sends a user's request to a controller once, and checks the answer. A body of type wire.Raw
+// is sent unchanged.
 func (w *Cluster) ask(kind requestKind, id, addr string, body any, timeout time.Duration) (r userReply) {
 	ctx, cancel := context.WithTimeout(w.ctx, timeout)
 	defer cancel()
@@ -106,49 +106,50 @@
 	return r
 }
 
-// newUserRequest composes a request; body may be nil.
+// newUserRequest returns an HTTP request with an encoded body, or without one if body is nil.
 func newUserRequest(ctx context.Context, kind requestKind, id, addr string, body any) *http.Request {
 	var in io.Reader
 	if body != nil {
 		b, err := wire.Marshal(body)
 		if err != nil {
-			panic(err) // a scenario is made wrong
+			panic(err) // the scenario passes a type without encoding
 		}
 		in = bytes.NewReader(b)
 	}
 	req, err := http.NewRequestWithContext(ctx, kind.method(), "http://"+addr+kind.path(id), in)
 	if err != nil {
-		panic(err) // a scenario is made wrong
+		panic(err) // the scenario passes an invalid address or id
 	}
 	return req
 }
 
-// answered reports whether a question got an answer: 404 is one.
+// answered reports whether a status query got an answer. Status 404 is one.
 func (r userReply) answered() bool {
 	return r.status == http.StatusOK || r.status == http.StatusNotFound
 }
 
-// shed reports whether a node refused a request for the time being.
+// shed reports whether a controller refused a request temporarily.
 func (r userReply) shed() bool {
 	return r.status == http.StatusTooManyRequests || r.status == http.StatusServiceUnavailable
 }
 
-// final reports whether an answer tells that a job is over.
+// final reports whether an answer contains a final state.
 func (r userReply) final() bool { return r.state == wire.JobDone || r.state == wire.JobCancelled }
 
-// acceptedBefore reports whether a user knew that a job is accepted before sending a request.
+// acceptedBefore reports whether the user knew that the job is accepted when the request of the
+// given answer was sent. It reports false if j is nil.
 func (j *job) acceptedBefore(r userReply) bool {
 	return j != nil && j.accepted && j.answers.acceptedAt <= r.sentAt
 }
 
-// checkReply checks a node's answer against the rules and what the user was told before;
-// the lock is held.
+// checkReply checks an answer against the protocol's rules and the earlier answers. The caller
+// holds the lock.
 func (w *Cluster) checkReply(kind requestKind, id string, r userReply) {
 	w.requestClock++
 	j := w.jobs[id]
 	switch r.status {
 	case 0, http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		// no answer about the job
+		// The answer tells nothing about the job.
 	case http.StatusNotFound:
 		if j.acceptedBefore(r) {
 			w.violations.add("forgotten: %s answered 404", id)
@@ -169,28 +170,28 @@
 	}
 }
 
-// checkAccepted checks an answer by which a job is known: only one that can run is
-// accepted, and only once.
+// checkAccepted checks an answer that implies acceptance of the job: the job must be able to run,
+// and may be newly accepted only once.
 func (w *Cluster) checkAccepted(j *job, r userReply) {
 	id, known := j.spec.ID, j.acceptedBefore(r)
 	if !j.accepted {
 		j.accepted, j.answers.acceptedAt = true, w.requestClock
-		if why := w.cannotRun(&j.spec); why != "" {
-			w.violations.add("accepted: %s, which %s", id, why)
+		if reason := w.cannotRun(&j.spec); reason != "" {
+			w.violations.add("accepted: %s, which %s", id, reason)
 		}
 	}
 	if r.status != http.StatusCreated {
 		return
 	}
 	j.answers.timesCreated++
-	again := j.answers.timesCreated > 1 || known && j.answers.acceptedAt > 0
-	if again && !w.Store.corrupted.Load() {
+	repeated := j.answers.timesCreated > 1 || known && j.answers.acceptedAt > 0
+	if repeated && !w.Store.corrupted.Load() {
 		w.violations.add("accepted twice: %s", id)
 	}
 }
 
-// checkState checks the state that an answer tells against those that were told before:
-// a final state never changes.
+// checkState checks the state in an answer against earlier answers: a final state never changes.
+// The answer to a cancellation must contain a final state.
 func (w *Cluster) checkState(kind requestKind, j *job, r userReply) {
 	id, over := j.spec.ID, r.final()
 	switch {
@@ -204,8 +205,8 @@
 	}
 }
 
-// checkFinal checks that a job that is told to be done has completed, and that one that is
-// told to be cancelled was to be.
+// checkFinal checks an answer with a final state: all tasks of a done job must have completed, and
+// the cancellation of a cancelled job must have been requested.
 func (w *Cluster) checkFinal(j *job, r userReply) {
 	id := j.spec.ID
 	if r.state == wire.JobDone && len(j.done) < j.spec.Tasks {
@@ -225,7 +226,7 @@
 	j.finalState = r.state
 }
 
-// cannotRun says why a job can never run; "" if it can. The lock is held.
+// cannotRun returns the reason why a job can never run, or "" if it can. The caller holds the lock.
 func (w *Cluster) cannotRun(j *wire.Job) string {
 	tasks := 1.0
 	if j.Kind != wire.KindArray {
@@ -247,37 +248,40 @@
 	return ""
 }
 
-// SubmitTo sends a job to a node once, and returns the status and the state it is told.
+// SubmitTo submits a job to a controller once. It returns the status of the answer, 0 if there is
+// none, and the job's state if the status is 200 or 201.
 func (w *Cluster) SubmitTo(node int, j wire.Job) (status int, state string) {
 	r := w.sendSubmission(w.nodes[node].addr, j)
 	return r.status, r.state
 }
 
-// QueryStatus asks a node for a job once, and returns the status.
+// QueryStatus queries a job at a controller once, and returns the status of the answer, or 0 if
+// there is none.
 func (w *Cluster) QueryStatus(node int, id string) int {
 	return w.ask(question, id, w.nodes[node].addr, nil, pollTimeout).status
 }
 
-// QueryConcurrently asks each node for a job a number of times within milliseconds, and
-// repeats its submission. It returns how many answers came by way of each node.
+// QueryConcurrently queries a job and repeats its submission at each controller, the given number
+// of times each and milliseconds apart. It returns the number of answers with a state by
+// controller.
 func (w *Cluster) QueryConcurrently(id string, times int) []int {
 	w.mu.Lock()
 	spec := w.jobs[id].spec
-	waits := make([]time.Duration, 2*times*len(w.nodes))
-	for i := range waits {
-		waits[i] = time.Duration(w.pick(6000)) * time.Microsecond
+	delays := make([]time.Duration, 2*times*len(w.nodes))
+	for i := range delays {
+		delays[i] = time.Duration(w.pick(6000)) * time.Microsecond
 	}
 	w.mu.Unlock()
 	answers := make([]int, len(w.nodes))
 	var mu sync.Mutex
 	var wg sync.WaitGroup
-	for i := range waits {
+	for i := range delays {
 		n, kind, body := i/2%len(w.nodes), question, any(nil)
 		if i%2 == 1 {
 			kind, body = submission, spec
 		}
 		wg.Go(func() {
-			time.Sleep(time.Duration(i/(2*len(w.nodes)))*6*time.Millisecond + waits[i])
+			time.Sleep(time.Duration(i/(2*len(w.nodes)))*6*time.Millisecond + delays[i])
 			if r := w.ask(kind, id, w.nodes[n].addr, body, requestTimeout); r.state != "" {
 				mu.Lock()
 				answers[n]++
--- a/internal/fake/user_requests_test.go
+++ b/internal/fake/user_requests_test.go
@@ -10,14 +10,15 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// An answer is older than another only if its request was sent after the other came.
+// An outdated answer is a violation only if its request was sent after the newer answer arrived.
+// The controller may have read the state of an earlier request before.
 func TestReplyIsComparedOnlyWithRepliesBeforeItsRequest(t *testing.T) {
 	const id = "wk-000001"
 	type step struct {
 		kind   requestKind
 		status int
 		state  string
-		early  bool // sent before anything was answered
+		early  bool // sent before the first answer
 	}
 	accepted := step{submission, http.StatusCreated, wire.JobPending, false}
 	over := step{cancellation, http.StatusOK, wire.JobCancelled, false}
@@ -25,7 +26,7 @@
 		name  string
 		team  string
 		steps []step
-		want  string // "": nothing is wrong
+		want  string // prefix of the violations; "": none
 	}{
 		{"in order", "core", []step{accepted, {question, 200, wire.JobRunning, false}, over, {submission, 200, wire.JobCancelled, false}}, ""},
 		{"not known, asked before", "core", []step{accepted, {question, 404, "", true}}, ""},
@@ -53,7 +54,7 @@
 			w.checkReply(s.kind, id, r)
 		}
 		if got := strings.Join(w.Violations(), "; "); (got == "") != (c.want == "") || !strings.HasPrefix(got, c.want) {
-			t.Errorf("%s: %q, want %q", c.name, got, c.want)
+			t.Errorf("%s: violations %q, want prefix %q", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -9,29 +9,26 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file has the users' requests: they submit, poll and cancel jobs as a load balancer
-// or a scenario sends them.
-
 const (
 	// requestTimeout is how long users wait for the answer to a submission or cancellation.
 	requestTimeout = 5 * time.Second
-	// pollTimeout is how long they wait for the answer to a question.
+	// pollTimeout is how long users wait for the answer to a status query.
 	pollTimeout = 2 * time.Second
-	// retryFor is for how long they repeat a request until it is answered.
+	// retryFor is how long users retry a request that is not answered.
 	retryFor = time.Minute
-	// retryInterval is the time between two of these requests.
+	// retryInterval is the pause between two attempts.
 	retryInterval = time.Second
-	// pollInterval is the time between two questions about a job.
+	// pollInterval is the pause between two status queries of a job.
 	pollInterval = 500 * time.Millisecond
 )
 
-// post sends a request to a node, and returns the status and the body of the answer; status
-// 0: there was none.
+// post sends a POST request from the user host. It returns the status and the body of the answer,
+// or status 0 if there is none.
 func (w *Cluster) post(addr, path string, v any) (status int, body []byte) {
 	return w.request(http.MethodPost, addr, path, v, requestTimeout)
 }
 
-// request is like post, by any method and with any timeout.
+// request is like post with any method and timeout.
 func (w *Cluster) request(method, addr, path string, v any, timeout time.Duration) (status int, body []byte) {
 	ctx, cancel := context.WithTimeout(w.ctx, timeout)
 	defer cancel()
@@ -42,18 +39,18 @@
 	return status, body
 }
 
-// unnoticedFor is for how long the load balancer sends requests to a node whose power has
-// been cut. If it did so for ever, of some thousand jobs there would be one about which no
-// user has an answer for 20 s.
-const unnoticedFor = 3 * time.Second
+// failureDetectionTime is how long the load balancer sends requests to a killed controller. If it
+// did so for ever, about one in a thousand jobs would get no answer for 20 s.
+const failureDetectionTime = 3 * time.Second
 
-// AnyNodeAddr draws a node's address, as a load balancer would.
+// AnyNodeAddr returns a random controller's address, like a load balancer. It draws from the
+// controllers that run or were killed recently, and from all if there are none.
 func (w *Cluster) AnyNodeAddr() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var up []*node
 	for _, n := range w.nodes {
-		if n.downSince.IsZero() || time.Since(n.downSince) < unnoticedFor {
+		if n.downSince.IsZero() || time.Since(n.downSince) < failureDetectionTime {
 			up = append(up, n)
 		}
 	}
@@ -63,16 +60,18 @@
 	return up[w.pick(len(up))].addr
 }
 
-// NodeAddr is a node's address.
+// NodeAddr returns the address at which the i-th controller serves users.
 func (w *Cluster) NodeAddr(i int) string { return w.nodes[i].addr }
 
-// PostSubmission sends any body as a submission and returns the status.
+// PostSubmission sends any body as a submission to a controller, without checking the answer. It
+// returns the status, or 0 if there is no answer.
 func (w *Cluster) PostSubmission(node int, v any) int {
 	status, _ := w.post(w.nodes[node].addr, wire.PathJobs, v)
 	return status
 }
 
-// SubmitRefused sends a submission and returns the status and the text of the error.
+// SubmitRefused sends a submission to a controller, without checking the answer. It returns the
+// status, or 0 if there is no answer, and the error text of the answer.
 func (w *Cluster) SubmitRefused(node int, j wire.Job) (int, string) {
 	status, body := w.post(w.nodes[node].addr, wire.PathJobs, j)
 	var e wire.Error
@@ -82,8 +81,8 @@
 	return status, e.Error
 }
 
-// Submit submits a job until it is accepted, for a minute, and reports whether it
-// was.
+// Submit submits a job to random controllers until it is accepted or refused as invalid, for at
+// most a minute. It reports whether the job was accepted.
 func (w *Cluster) Submit(j wire.Job) bool {
 	for end := time.Now().Add(retryFor); time.Now().Before(end); {
 		switch w.sendSubmission(w.AnyNodeAddr(), j).status {
@@ -99,7 +98,7 @@
 	return false
 }
 
-// sendSubmission sends a job to a node once.
+// sendSubmission submits a job to a controller once, and makes the checker know the job.
 func (w *Cluster) sendSubmission(addr string, j wire.Job) userReply {
 	w.mu.Lock()
 	if w.jobs[j.ID] == nil {
@@ -109,17 +108,17 @@
 	return w.ask(submission, j.ID, addr, j, requestTimeout)
 }
 
-// PollState asks a node for a job's state; "" where there was no answer.
+// PollState queries a job's state at a controller once. It returns "" without an answer.
 func (w *Cluster) PollState(addr, id string) string {
 	return w.ask(question, id, addr, nil, pollTimeout).state
 }
 
-// Cancel asks nodes for a minute to cancel a job, and returns the final state; "" where
-// there was no such answer.
+// Cancel requests the cancellation of a job from random controllers until it is answered, for at
+// most a minute. It returns the job's final state, or "" without an answer.
 func (w *Cluster) Cancel(id string) string {
 	for end := time.Now().Add(retryFor); time.Now().Before(end); {
-		if s := w.CancelAt(w.AnyNodeAddr(), id); s != "" {
-			return s
+		if state := w.CancelAt(w.AnyNodeAddr(), id); state != "" {
+			return state
 		}
 		if !call.Pause(w.ctx, retryInterval) {
 			break
@@ -128,8 +127,8 @@
 	return ""
 }
 
-// CancelAt asks a node once to cancel a job, and returns the final state; "" where
-// there was no such answer.
+// CancelAt requests the cancellation of a job from a controller once. It returns the job's final
+// state, or "" without such an answer.
 func (w *Cluster) CancelAt(addr, id string) string {
 	w.mu.Lock()
 	if j := w.jobs[id]; j != nil {
@@ -139,7 +138,9 @@
 	return w.ask(cancellation, id, addr, nil, requestTimeout).state
 }
 
-// CancelConfirmedAt is when a job's user was told that it is cancelled; zero: not yet.
+// CancelConfirmedAt returns when a job's user was told that the job is cancelled, or the zero time
+// if that has not happened. While tasks of the job still run after cancel_s seconds, it returns the
+// time of the last violation reported for them.
 func (w *Cluster) CancelConfirmedAt(id string) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -149,7 +150,8 @@
 	return time.Time{}
 }
 
-// Await polls until a job is in a state, and reports whether it was within the time.
+// Await queries a job at random controllers until it is in a state. It reports false if that takes
+// longer than within.
 func (w *Cluster) Await(id, state string, within time.Duration) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); {
 		if w.PollState(w.AnyNodeAddr(), id) == state {
@@ -162,7 +164,7 @@
 	return false
 }
 
-// MachinesRunning lists the machines that a task is on.
+// MachinesRunning returns the names of the machines that run a task, in no particular order.
 func (w *Cluster) MachinesRunning(task string) []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fake/violations.go
+++ b/internal/fake/violations.go
@@ -7,19 +7,20 @@
 	"time"
 )
 
-// maxViolations bounds the violations that are listed: many have the same cause.
+// maxViolations is the number of violations after which further ones are dropped. Many violations
+// have the same cause.
 const maxViolations = 20
 
-// violationLog is the list of the rules that were broken. It has a lock of its own, under
-// which no other is taken: the checks of the key-value store report while they hold the
-// store's, and the others while they hold the cluster's.
+// violationLog is the list of violations of the protocol's rules. Its lock is taken last: the
+// checks of the key-value store add violations while they hold the store's lock, and other checks
+// while they hold the cluster's.
 type violationLog struct {
 	mu            sync.Mutex
 	violations    []string
-	interactionAt time.Time // when a scenario's faults met; zero: not yet
+	interactionAt time.Time // when several faults of a scenario coincided; zero: not yet
 }
 
-// add reports that a rule is broken.
+// add appends a violation.
 func (l *violationLog) add(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,15 +34,16 @@
 	l.violations = append(l.violations, violation)
 }
 
-// Violations lists the rules that were broken.
+// Violations returns the first violations of the protocol's rules, at most 20. Each begins with the
+// name of the rule or with a description.
 func (w *Cluster) Violations() []string {
 	w.violations.mu.Lock()
 	defer w.violations.mu.Unlock()
 	return slices.Clone(w.violations.violations)
 }
 
-// MarkInteraction notes that a scenario's faults have met: violations from now on say how
-// long after.
+// MarkInteraction records that several faults of a scenario coincide now. Later violations state
+// the time since then.
 func (w *Cluster) MarkInteraction() {
 	w.violations.mu.Lock()
 	defer w.violations.mu.Unlock()
--- a/internal/fake/violations_test.go
+++ b/internal/fake/violations_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Workers look jobs up in the key-value store while they hold the cluster's lock, so that
-// the store must not need that lock to report a violation.
+// Workers read jobs from the key-value store while they hold the cluster's lock. If the store took
+// that lock to report a violation, both would deadlock.
 func TestStoreReportsViolationWhileTheClusterIsLocked(t *testing.T) {
 	withCheckedCluster(t, func(w *Cluster, _ *machine, _ *job) {
 		w.mu.Lock()
