--- a/internal/cmd/yarntrial/main.go
+++ b/internal/cmd/yarntrial/main.go
@@ -1,7 +1,7 @@
-// Command yarntrial runs real controller processes on this machine's loopback with emulated
-// services (key-value store, cloud, workers) and application masters that speak YARN's API. It
-// either kills processes again and again and counts what is left behind (--kills), or measures
-// heartbeats (--apps, --containers).
+// Command yarntrial runs controller processes on this machine's loopback with emulated services
+// (key-value store, cloud, workers) and application masters that use YARN's API. With --kills it
+// kills processes repeatedly and then checks that no application, container or record is left.
+// Without --kills it measures the latency of heartbeats and the controllers' resource usage.
 package main
 
 import (
@@ -54,66 +54,85 @@
 	k.FatalIfErrorf(run(ctx, c))
 }
 
-const nodes = 3
+const controllers = 3
 
-// trial is what runs.
+// trial is the state of a run.
 type trial struct {
 	cli
-	w     *fake.Cluster
-	procs [nodes]*exec.Cmd
-	cfg   client.Config
-	ids   sync.Map // of applications
-	beats beats
-	gone  atomic.Int64 // masters that went away without a word
+	cluster    *fake.Cluster
+	procs      [controllers]*exec.Cmd // nil: not running
+	cfg        client.Config
+	ids        sync.Map // application ids that were given out
+	heartbeats latencies
+	abandoned  atomic.Int64 // masters that ended without finishing their application
 }
 
-// beats collects how long heartbeats took.
-type beats struct {
-	mu sync.Mutex
-	d  []time.Duration
+// latencies collects the durations of requests. It is safe for concurrent use.
+type latencies struct {
+	mu        sync.Mutex
+	durations []time.Duration
 }
 
-func (b *beats) add(d time.Duration) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.d = append(b.d, d)
+func (l *latencies) add(d time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.durations = append(l.durations, d)
 }
 
-func (b *beats) String() string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.d) == 0 {
+// String returns the count and the 50th, 99th and 100th percentile of the durations.
+func (l *latencies) String() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.durations) == 0 {
 		return "none"
 	}
-	slices.Sort(b.d)
-	at := func(q float64) time.Duration { return b.d[int(q*float64(len(b.d)-1))].Round(100 * time.Microsecond) }
-	return fmt.Sprintf("%d, p50 %v, p99 %v, max %v", len(b.d), at(0.5), at(0.99), at(1))
+	slices.Sort(l.durations)
+	quantile := func(q float64) time.Duration {
+		return l.durations[int(q*float64(len(l.durations)-1))].Round(100 * time.Microsecond)
+	}
+	return fmt.Sprintf("%d, p50 %v, p99 %v, max %v", len(l.durations), quantile(0.5), quantile(0.99), quantile(1))
 }
 
-func (t *trial) addr(node, what int) string { return fmt.Sprintf("127.0.0.1:%d", t.Base+10*node+what) }
+// Offsets of a controller's ports from its first one.
+const (
+	bindPort = iota
+	peerPort
+	yarnPort
+	yarnRESTPort
+	_
+	statePort
+	cloudPort
+)
+
+// addr returns the loopback address for one of a controller's ports.
+func (t *trial) addr(i, portOffset int) string {
+	return fmt.Sprintf("127.0.0.1:%d", t.Base+10*i+portOffset)
+}
 
+// run starts the services and controllers, and kills processes or measures.
 func run(ctx context.Context, c cli) error {
 	t := &trial{cli: c}
 	if err := os.MkdirAll(c.Dir, 0o755); err != nil {
 		return err
 	}
-	types := fake.DefaultType
-	types.CPUs, types.MemoryGB = 64, 256
-	t.w = fake.New(fake.Options{Nodes: nodes, Machines: c.Machines, Capacity: c.Machines, ExternalNodes: true, Sockets: 2600, HeartbeatIntervalS: 4, LeaseS: 22,
-		Types: []wire.MachineType{types}})
-	for i := range nodes {
-		// Addresses of its own, since the checks know a node by the connection that its requests come from.
-		state, cloud := t.addr(i, 5), t.addr(i, 6)
-		if err := t.settings(i, state, cloud); err != nil {
+	machineType := fake.DefaultType
+	machineType.CPUs, machineType.MemoryGB = 64, 256
+	t.cluster = fake.New(fake.Options{Nodes: controllers, Machines: c.Machines, Capacity: c.Machines, ExternalNodes: true, Sockets: 2600, HeartbeatIntervalS: 4, LeaseS: 22,
+		Types: []wire.MachineType{machineType}})
+	for i := range controllers {
+		// Each controller gets its own addresses of the services, because the checker identifies
+		// a controller by the connection of its requests.
+		state, cloud := t.addr(i, statePort), t.addr(i, cloudPort)
+		if err := t.writeSettings(i, state, cloud); err != nil {
 			return err
 		}
-		if err := t.w.AttachProcess(ctx, fmt.Sprintf("n-%d", i), t.addr(i, 0), state, cloud); err != nil {
+		if err := t.cluster.AttachProcess(ctx, fmt.Sprintf("n-%d", i), t.addr(i, bindPort), state, cloud); err != nil {
 			return err
 		}
-		t.cfg.Addrs = append(t.cfg.Addrs, t.addr(i, 2))
+		t.cfg.Addrs = append(t.cfg.Addrs, t.addr(i, yarnPort))
 	}
-	go t.w.LearnJobs(ctx)
-	for i := range nodes {
+	go t.cluster.LearnJobs(ctx)
+	for i := range controllers {
 		if err := t.start(i); err != nil {
 			return err
 		}
@@ -126,42 +145,44 @@
 	return t.measure(ctx)
 }
 
-func (t *trial) settings(i int, state, cloud string) error {
-	s := *t.w.Settings
+// writeSettings writes the files with the settings of the i-th controller and its YARN frontend.
+func (t *trial) writeSettings(i int, state, cloud string) error {
+	s := *t.cluster.Settings
 	s.Node, s.Zone, s.Peers = fmt.Sprintf("n-%d", i), fake.Zones[i%2], nil
-	s.Bind, s.PeerListen = t.addr(i, 0), t.addr(i, 1)
+	s.Bind, s.PeerListen = t.addr(i, bindPort), t.addr(i, peerPort)
 	s.Services.State, s.Services.Cloud = state, cloud
 	s.Cluster.State = config.StateLimits{RPS: 250, WriteRPS: 90, ValueKB: 16, TxnOps: 12}
 	s.Cluster.Limits.MemMB = 300
-	for k := range nodes {
+	for k := range controllers {
 		if k != i {
-			s.Peers = append(s.Peers, config.Peer{Name: fmt.Sprintf("n-%d", k), Zone: fake.Zones[k%2], Addr: t.addr(k, 1)})
+			s.Peers = append(s.Peers, config.Peer{Name: fmt.Sprintf("n-%d", k), Zone: fake.Zones[k%2], Addr: t.addr(k, peerPort)})
 		}
 	}
 	f, err := os.Create(filepath.Join(t.Dir, s.Node+".toml"))
 	if err != nil {
 		return err
 	}
-	defer func() { _ = f.Close() }() // a node that finds half of it refuses to start
+	defer func() { _ = f.Close() }() // a controller refuses to start with a truncated file
 	if err := toml.NewEncoder(f).Encode(s); err != nil {
 		return err
 	}
-	estimate := 20.0
+	estimateS := 20.0
 	if t.Kills == 0 {
-		estimate = 300
+		estimateS = 300
 	}
-	y := fmt.Sprintf("listen = %q\nrest = %q\nmaster_s = 30.0\nstart_s = 30.0\nestimate_s = %.1f\nmax_calls = 512\nmax_connections = 1200\n[[queues]]\npath = \"root.core\"\nteam = \"core\"\n",
-		t.addr(i, 2), t.addr(i, 3), estimate)
-	return os.WriteFile(filepath.Join(t.Dir, s.Node+"-yarn.toml"), []byte(y), 0o644)
+	yarnSettings := fmt.Sprintf("listen = %q\nrest = %q\nmaster_s = 30.0\nstart_s = 30.0\nestimate_s = %.1f\nmax_calls = 512\nmax_connections = 1200\n[[queues]]\npath = \"root.core\"\nteam = \"core\"\n",
+		t.addr(i, yarnPort), t.addr(i, yarnRESTPort), estimateS)
+	return os.WriteFile(filepath.Join(t.Dir, s.Node+"-yarn.toml"), []byte(yarnSettings), 0o644)
 }
 
+// start starts the process of the i-th controller, which appends its log to a file.
 func (t *trial) start(i int) error {
 	name := fmt.Sprintf("n-%d", i)
 	log, err := os.OpenFile(filepath.Join(t.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = log.Close() }() // nothing is written here: the process has its own copy
+	defer func() { _ = log.Close() }() // this process writes nothing: the child has its own descriptor
 	cmd := exec.Command(t.Program, "--config", filepath.Join(t.Dir, name+".toml"), "--yarn", filepath.Join(t.Dir, name+"-yarn.toml"))
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
@@ -171,77 +192,80 @@
 	return nil
 }
 
-// kill ends a node of this trial as kill -9 does.
+// kill ends the process of the i-th controller with SIGKILL, if there is one.
 func (t *trial) kill(i int) {
 	if p := t.procs[i]; p != nil {
-		_ = p.Process.Kill() // it may have ended by itself, which the log tells
+		_ = p.Process.Kill() // fails only if the process has ended by itself; its log says why
 		_ = p.Wait()
 		t.procs[i] = nil
 	}
 }
 
+// command is what every container runs; workers only simulate it.
 var command = &pb.ContainerLaunchContextProto{Command: []string{"work"}}
 
-// master runs one application until ctx ends; it then finishes it, or is gone
-// without a word if die says so. Its heartbeats come every so often.
-func (t *trial) master(ctx context.Context, n int, every time.Duration, die func() bool) error {
+// runMaster runs an application with the given number of containers until ctx ends, and then
+// finishes it. If abandon reports true, it returns without finishing the application. Intervals
+// between heartbeats vary by 10 % around interval.
+func (t *trial) runMaster(ctx context.Context, containers int, interval time.Duration, abandon func() bool) error {
 	c := client.New(t.cfg)
 	defer c.Close()
-	long, cancel := context.WithTimeout(context.WithoutCancel(ctx), 10*time.Minute)
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), 10*time.Minute)
 	defer cancel()
-	id, _, err := c.NewApplication(long)
+	id, _, err := c.NewApplication(callCtx)
 	if err != nil {
 		return err
 	}
 	t.ids.Store(id.GetId(), id)
-	if err := c.Submit(long, &pb.ApplicationSubmissionContextProto{ApplicationId: id, Queue: proto.String("core"), UnmanagedAm: proto.Bool(true)}); err != nil {
+	if err := c.Submit(callCtx, &pb.ApplicationSubmissionContextProto{ApplicationId: id, Queue: proto.String("core"), UnmanagedAm: proto.Bool(true)}); err != nil {
 		return err
 	}
-	r, err := c.Report(long, id)
+	report, err := c.Report(callCtx, id)
 	if err != nil {
 		return err
 	}
-	m := client.NewApplicationMaster(t.cfg, r.GetAmRmToken())
-	defer m.Close()
-	if _, err := m.Register(long); err != nil {
+	master := client.NewApplicationMaster(t.cfg, report.GetAmRmToken())
+	defer master.Close()
+	if _, err := master.Register(callCtx); err != nil {
 		return err
 	}
-	a := client.ContainerRequest{Priority: 1, ResourceName: "*", RelaxLocality: true, MemoryMB: 2048, VCores: 1}
-	m.Request(a, n)
+	request := client.ContainerRequest{Priority: 1, ResourceName: "*", RelaxLocality: true, MemoryMB: 2048, VCores: 1}
+	master.Request(request, containers)
 	for ctx.Err() == nil {
 		begun := time.Now()
-		update, err := m.Heartbeat(long)
+		update, err := master.Heartbeat(callCtx)
 		if err != nil {
 			return err
 		}
-		t.beats.add(time.Since(begun))
+		t.heartbeats.add(time.Since(begun))
 		if len(update.Allocated) > 0 {
-			if _, err := m.Start(long, command, update.Allocated...); err != nil {
+			if _, err := master.Start(callCtx, command, update.Allocated...); err != nil {
 				return err
 			}
 		}
 		if done := len(update.Completed); done > 0 {
-			m.Request(a, m.Pending()+done)
+			master.Request(request, master.Pending()+done)
 		}
-		if die() {
-			t.gone.Add(1)
+		if abandon() {
+			t.abandoned.Add(1)
 			return nil
 		}
-		time.Sleep(every*9/10 + rand.N(every/5))
+		time.Sleep(interval*9/10 + rand.N(interval/5))
 	}
-	return m.Finish(long, pb.FinalApplicationStatusProto_APP_SUCCEEDED, "over")
+	return master.Finish(callCtx, pb.FinalApplicationStatusProto_APP_SUCCEEDED, "over")
 }
 
-// killProcesses kills nodes and masters in turn, and then wants nothing to be left behind.
+// killProcesses kills controllers and masters in turn, ends all applications and then checks that
+// nothing is left.
 func (t *trial) killProcesses(ctx context.Context) error {
 	mastersCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	die := make(chan struct{}, 1) // whichever master receives is gone without a word
+	abandon := make(chan struct{}, 1) // the master that receives abandons its application
 	var masters sync.WaitGroup
 	var failures sync.Map
 	for i := range t.Apps {
 		masters.Go(func() {
-			if err := t.runMasters(mastersCtx, die); err != nil {
+			if err := t.runMasters(mastersCtx, abandon); err != nil {
 				failures.Store(i, err)
 			}
 		})
@@ -251,23 +275,24 @@
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
-		if err := t.killOne(i, die); err != nil {
+		if err := t.killOne(i, abandon); err != nil {
 			return err
 		}
 		time.Sleep(300*time.Millisecond + rand.N(700*time.Millisecond))
 	}
 	stop()
 	masters.Wait()
-	time.Sleep(75 * time.Second) // two expiries and a worker's lease
+	time.Sleep(75 * time.Second) // twice the expiry of a master and a worker's lease
 	return t.reportRemains(&failures)
 }
 
-// runMasters runs one application after the other until ctx ends or one fails.
-func (t *trial) runMasters(ctx context.Context, die <-chan struct{}) error {
+// runMasters runs one application after another until ctx ends or one fails. A value in abandon
+// makes its receiver abandon the application.
+func (t *trial) runMasters(ctx context.Context, abandon <-chan struct{}) error {
 	for ctx.Err() == nil {
-		err := t.master(ctx, t.Containers, 500*time.Millisecond, func() bool {
+		err := t.runMaster(ctx, t.Containers, 500*time.Millisecond, func() bool {
 			select {
-			case <-die:
+			case <-abandon:
 				return true
 			default:
 				return false
@@ -280,26 +305,27 @@
 	return nil
 }
 
-// killOne kills a node and starts it again or, each fourth time, kills a master.
-func (t *trial) killOne(i int, die chan<- struct{}) error {
+// killOne kills a random controller and starts it again or, each fourth time, makes a master
+// abandon its application.
+func (t *trial) killOne(i int, abandon chan<- struct{}) error {
 	if i%4 == 3 {
 		select {
-		case die <- struct{}{}:
-		default: // the one before is still to die
+		case abandon <- struct{}{}:
+		default: // no master has received the previous value yet
 		}
 		return nil
 	}
-	node := rand.IntN(nodes)
-	t.kill(node)
+	victim := rand.IntN(controllers)
+	t.kill(victim)
 	time.Sleep(rand.N(400 * time.Millisecond))
-	return t.start(node)
+	return t.start(victim)
 }
 
-// reportRemains prints what the trial came to, and fails if anything is left behind, ran
-// more than once or broke a rule.
+// reportRemains prints the results of killProcesses. It returns an error if a record or container is
+// left, a container ran more than once, a master failed or a rule of the protocol was violated.
 func (t *trial) reportRemains(failures *sync.Map) error {
 	left := 0
-	for _, key := range t.w.Store.Keys("") {
+	for _, key := range t.cluster.Store.Keys("") {
 		if strings.HasPrefix(key, "w/j/") || strings.HasPrefix(key, "w/y/application") || strings.HasPrefix(key, "yx/") {
 			left++
 		}
@@ -309,20 +335,20 @@
 	apps := 0
 	t.ids.Range(func(_, _ any) bool { apps++; return true })
 	fmt.Printf("kills %d, masters gone without a word %d, applications %d, containers started %d, run more than once %d, still on machines %d, records left %d, rules broken %d, masters failed %d, heartbeats %v\n",
-		t.Kills, t.gone.Load(), apps, t.w.Started(), t.w.RanMoreThanOnce(), t.w.Running(), left, len(t.w.Violations()), failed, &t.beats)
-	for _, violation := range t.w.Violations() {
+		t.Kills, t.abandoned.Load(), apps, t.cluster.Started(), t.cluster.RanMoreThanOnce(), t.cluster.Running(), left, len(t.cluster.Violations()), failed, &t.heartbeats)
+	for _, violation := range t.cluster.Violations() {
 		fmt.Println("rule broken:", violation)
 	}
-	if t.w.RanMoreThanOnce()+t.w.Running()+left+len(t.w.Violations())+failed > 0 {
+	if t.cluster.RanMoreThanOnce()+t.cluster.Running()+left+len(t.cluster.Violations())+failed > 0 {
 		return errors.New("something is left, ran twice or failed")
 	}
 	return nil
 }
 
-// measure lets masters heartbeat once a second and says how long it takes, and
-// what the nodes use.
+// measure runs masters that send a heartbeat each second. Once the warm-up is over, it measures the
+// latency of heartbeats and native polls and the controllers' resource usage, and prints them.
 func (t *trial) measure(ctx context.Context) error {
-	mctx, stop := context.WithTimeout(ctx, t.For+t.Warm)
+	mastersCtx, stop := context.WithTimeout(ctx, t.For+t.Warm)
 	defer stop()
 	var wg sync.WaitGroup
 	var failed atomic.Int64
@@ -330,32 +356,32 @@
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
-			if err := t.master(mctx, t.Containers, time.Second, func() bool { return false }); err != nil {
+			if err := t.runMaster(mastersCtx, t.Containers, time.Second, func() bool { return false }); err != nil {
 				if failed.Add(1) == 1 {
 					fmt.Println("master:", err)
 				}
 			}
 		}()
 	}
-	begun, full := time.Now(), time.Duration(0)
+	begun, allRunningAfter := time.Now(), time.Duration(0)
 	for time.Since(begun) < t.Warm {
-		if time.Sleep(100 * time.Millisecond); full == 0 && t.w.Running() >= t.Apps*t.Containers {
-			full = time.Since(begun)
+		if time.Sleep(100 * time.Millisecond); allRunningAfter == 0 && t.cluster.Running() >= t.Apps*t.Containers {
+			allRunningAfter = time.Since(begun)
 		}
 	}
-	t.beats.mu.Lock()
-	t.beats.d = nil
-	t.beats.mu.Unlock()
-	before, began := t.w.Started(), time.Now()
-	cpu := t.used()
-	var polls beats
-	t.poll(mctx, &polls)
-	took := time.Since(began).Seconds()
-	running := t.w.Running()
-	fmt.Printf("all running after %.1f s (0: not yet)\n", full.Seconds())
-	fmt.Printf("machines %d, applications %d, containers running %d, allocated %.1f/s, heartbeats %v; native polls %v; workers' leases that ended %d\n", t.Machines, t.Apps, running, float64(t.w.Started()-before)/took, &t.beats, &polls, t.w.ExpiredLeases())
-	for i, u := range t.used() {
-		fmt.Printf("n-%d: %.3f of a core, %d MB\n", i, (u.cpu-cpu[i].cpu)/took, u.kb/1024)
+	t.heartbeats.mu.Lock()
+	t.heartbeats.durations = nil
+	t.heartbeats.mu.Unlock()
+	startedBefore, measuredSince := t.cluster.Started(), time.Now()
+	usageBefore := t.resourceUsage()
+	var polls latencies
+	t.poll(mastersCtx, &polls)
+	elapsedS := time.Since(measuredSince).Seconds()
+	running := t.cluster.Running()
+	fmt.Printf("all running after %.1f s (0: not yet)\n", allRunningAfter.Seconds())
+	fmt.Printf("machines %d, applications %d, containers running %d, allocated %.1f/s, heartbeats %v; native polls %v; workers' leases that ended %d\n", t.Machines, t.Apps, running, float64(t.cluster.Started()-startedBefore)/elapsedS, &t.heartbeats, &polls, t.cluster.ExpiredLeases())
+	for i, u := range t.resourceUsage() {
+		fmt.Printf("n-%d: %.3f of a core, %d MB\n", i, (u.cpuSeconds-usageBefore[i].cpuSeconds)/elapsedS, u.memoryKB/1024)
 	}
 	stop()
 	wg.Wait()
@@ -363,39 +389,41 @@
 	return nil
 }
 
-// poll asks for a native job ten times a second for as long as is measured: native
-// users must not be held up by masters.
-func (t *trial) poll(ctx context.Context, took *beats) {
-	hc := call.NewClient(call.Dialer(), 4, 4)
+// poll queries a native job ten times a second for the time of the measurement, and records the
+// latencies. It shows whether masters slow native users down.
+func (t *trial) poll(ctx context.Context, polls *latencies) {
+	httpClient := call.NewClient(call.Dialer(), 4, 4)
 	for end := time.Now().Add(t.For); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		begun := time.Now()
-		pctx, cancel := context.WithTimeout(ctx, 2*time.Second)
-		_, _, err := call.Do(pctx, hc, http.MethodGet, "http://"+t.addr(rand.IntN(nodes), 0)+wire.PathJobs+"/wk-000001", nil, wire.MaxBody)
+		pollCtx, cancel := context.WithTimeout(ctx, 2*time.Second)
+		_, _, err := call.Do(pollCtx, httpClient, http.MethodGet, "http://"+t.addr(rand.IntN(controllers), bindPort)+wire.PathJobs+"/wk-000001", nil, wire.MaxBody)
 		cancel()
 		if err != nil {
 			fmt.Println("native poll:", err)
 			continue
 		}
-		took.add(time.Since(begun))
+		polls.add(time.Since(begun))
 	}
 }
 
+// usage is the resource usage of a process.
 type usage struct {
-	cpu float64 // seconds
-	kb  int
+	cpuSeconds float64 // since its start
+	memoryKB   int     // resident
 }
 
-// used reads what the nodes have used so far.
-func (t *trial) used() (out [nodes]usage) {
+// resourceUsage reads the usage of the controllers' processes from /proc. It leaves an unreadable one
+// zero.
+func (t *trial) resourceUsage() (out [controllers]usage) {
 	for i, p := range t.procs {
 		b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.Process.Pid))
 		if err != nil {
 			continue
 		}
-		f := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+1:]))
-		var user, sys, pages int
-		_, _ = fmt.Sscan(f[11]+" "+f[12]+" "+f[21], &user, &sys, &pages) // as the kernel writes them
-		out[i] = usage{cpu: float64(user+sys) / 100, kb: pages * os.Getpagesize() / 1024}
+		fields := strings.Fields(string(b[strings.LastIndexByte(string(b), ')')+1:]))
+		var userTicks, systemTicks, pages int
+		_, _ = fmt.Sscan(fields[11]+" "+fields[12]+" "+fields[21], &userTicks, &systemTicks, &pages) // the kernel always writes numbers
+		out[i] = usage{cpuSeconds: float64(userTicks+systemTicks) / 100, memoryKB: pages * os.Getpagesize() / 1024}
 	}
 	return out
 }
