--- a/internal/fake/duplicate_heartbeats.go
+++ b/internal/fake/duplicate_heartbeats.go
@@ -21,7 +21,7 @@
 
 // maybeDuplicate draws whether a heartbeat is copied, and sends the copy later. The caller holds
 // the lock.
-func (w *Cluster) maybeDuplicate(r wire.Heartbeat) {
+func (w *Cluster) maybeDuplicate(heartbeat wire.Heartbeat) {
 	if w.duplicateOneIn == 0 || w.duplicatesInFlight >= maxDuplicates || w.pick(w.duplicateOneIn) > 0 {
 		return
 	}
@@ -30,7 +30,7 @@
 	delay, to := time.Duration(1000+w.pick(maxDelayMs-1000))*time.Millisecond, w.pick(len(w.nodes))
 	w.wg.Go(func() {
 		if call.Pause(w.ctx, delay) {
-			w.post(w.nodes[to].addr, wire.PathHeartbeat, r)
+			w.post(w.nodes[to].addr, wire.PathHeartbeat, heartbeat)
 		}
 		w.mu.Lock()
 		w.duplicatesInFlight--
@@ -51,9 +51,9 @@
 // none.
 func (w *Cluster) ReplayHeartbeat(name string, node int) (status int) {
 	w.mu.Lock()
-	var r wire.Heartbeat
-	_ = wire.Unmarshal(w.capturedHeartbeats[name], &r)
+	var heartbeat wire.Heartbeat
+	_ = wire.Unmarshal(w.capturedHeartbeats[name], &heartbeat)
 	w.mu.Unlock()
-	status, _ = w.post(w.nodes[node].addr, wire.PathHeartbeat, r)
+	status, _ = w.post(w.nodes[node].addr, wire.PathHeartbeat, heartbeat)
 	return status
 }
--- a/internal/fake/heartbeat_copies.go
+++ b/internal/fake/heartbeat_copies.go
@@ -78,16 +78,16 @@
 
 // keepForFailover draws whether a copy of a heartbeat is kept. Beyond copiesPerMachine it replaces
 // a random copy. The caller holds the lock.
-func (w *Cluster) keepForFailover(r wire.Heartbeat) {
+func (w *Cluster) keepForFailover(heartbeat wire.Heartbeat) {
 	if w.failoverCopies.oneIn == 0 || w.pick(w.failoverCopies.oneIn) > 0 {
 		return
 	}
-	kept := w.failoverCopies.copies[r.Machine]
+	kept := w.failoverCopies.copies[heartbeat.Machine]
 	if len(kept) < copiesPerMachine {
-		w.failoverCopies.copies[r.Machine] = append(kept, r)
+		w.failoverCopies.copies[heartbeat.Machine] = append(kept, heartbeat)
 		return
 	}
-	kept[w.pick(copiesPerMachine)] = r
+	kept[w.pick(copiesPerMachine)] = heartbeat
 }
 
 // DeliverDelayedCopies sends every kept copy to every controller that runs, without waiting for
@@ -96,14 +96,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(w.failoverCopies.copies)) {
-		for _, r := range w.failoverCopies.copies[name] {
+		for _, heartbeat := range w.failoverCopies.copies[name] {
 			for _, n := range w.nodes {
 				if n.stop == nil {
 					continue
 				}
 				w.wg.Go(func() {
-					status, body := w.post(n.addr, wire.PathHeartbeat, r)
-					w.countCopy(r, status, body)
+					status, body := w.post(n.addr, wire.PathHeartbeat, heartbeat)
+					w.countCopy(heartbeat, status, body)
 				})
 			}
 		}
@@ -111,8 +111,8 @@
 }
 
 // countCopy counts a copy by its answer.
-func (w *Cluster) countCopy(r wire.Heartbeat, status int, body []byte) {
-	m := w.Cloud.machine(r.Machine)
+func (w *Cluster) countCopy(heartbeat wire.Heartbeat, status int, body []byte) {
+	m := w.Cloud.machine(heartbeat.Machine)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if m == nil {
@@ -120,13 +120,13 @@
 	}
 	var a wire.HeartbeatAnswer
 	switch {
-	case status == http.StatusServiceUnavailable && (m.epoch > r.AgentEpoch || m.lastSeq > r.Seq):
+	case status == http.StatusServiceUnavailable && (m.epoch > heartbeat.AgentEpoch || m.lastSeq > heartbeat.Seq):
 		w.failoverCopies.stats.Older++
 		return
-	case status != http.StatusOK || wire.Unmarshal(body, &a) != nil || a.Token <= r.Token:
+	case status != http.StatusOK || wire.Unmarshal(body, &a) != nil || a.Token <= heartbeat.Token:
 		return
 	}
-	first := answeredHeartbeat{r.Machine, r.AgentEpoch, r.Seq, a.Token}
+	first := answeredHeartbeat{heartbeat.Machine, heartbeat.AgentEpoch, heartbeat.Seq, a.Token}
 	if w.failoverCopies.answeredFirst[first] || m.lastAnswered == first {
 		return // the leader has answered this heartbeat before
 	}
@@ -136,10 +136,10 @@
 	w.failoverCopies.answeredFirst[first] = true
 	stats := &w.failoverCopies.stats
 	stats.First++
-	if m.epoch > r.AgentEpoch {
+	if m.epoch > heartbeat.AgentEpoch {
 		stats.EarlierEpoch++
 	}
-	for _, t := range r.Tasks {
+	for _, t := range heartbeat.Tasks {
 		if on := m.tasks[taskKey{t.Task, t.Attempt}]; t.State != wire.TaskExited && (on == nil || on.state == wire.TaskExited) {
 			stats.EarlierAttempt++
 			break
@@ -185,12 +185,12 @@
 
 // sendCopiesAhead sends a copy of a heartbeat to every controller. It returns the token of the
 // first answer with status 200, or 0 if there is none within overtakeTimeout.
-func (w *Cluster) sendCopiesAhead(r wire.Heartbeat) uint64 {
+func (w *Cluster) sendCopiesAhead(heartbeat wire.Heartbeat) uint64 {
 	tokens := make(chan uint64, len(w.nodes))
 	for _, n := range w.nodes {
 		w.wg.Go(func() {
 			var a wire.HeartbeatAnswer
-			if status, body := w.post(n.addr, wire.PathHeartbeat, r); status != http.StatusOK || wire.Unmarshal(body, &a) != nil {
+			if status, body := w.post(n.addr, wire.PathHeartbeat, heartbeat); status != http.StatusOK || wire.Unmarshal(body, &a) != nil {
 				a.Token = 0
 			}
 			tokens <- a.Token
@@ -213,13 +213,13 @@
 
 // countOvertaken counts a heartbeat that was sent after its copies, by the status of its answer.
 // The token is the result of sendCopiesAhead. The caller holds the lock.
-func (w *Cluster) countOvertaken(r wire.Heartbeat, token uint64, status int) {
+func (w *Cluster) countOvertaken(heartbeat wire.Heartbeat, token uint64, status int) {
 	if token == 0 {
 		return
 	}
 	counts := &w.failoverCopies.overtaken
 	counts.Ahead++
-	if token > r.Token {
+	if token > heartbeat.Token {
 		counts.Next++
 	}
 	switch status {
--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -22,13 +22,13 @@
 // lock.
 func (m *machine) heartbeat() wire.Heartbeat {
 	m.lastSeq++
-	r := wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
+	heartbeat := wire.Heartbeat{Machine: m.name, Addr: m.addr, Type: m.machineType.Name, Zone: m.zone, Spot: m.spot,
 		AgentEpoch: m.epoch, Seq: m.lastSeq, Token: m.token, NoticeS: m.interruptionNotice}
 	for _, k := range m.order {
 		t := m.tasks[k]
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason, Saved: t.saved})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason, Saved: t.saved})
 	}
-	return r
+	return heartbeat
 }
 
 // sendHeartbeats sends heartbeats at intervals with a jitter of 25 %, and earlier after changes,
@@ -57,14 +57,14 @@
 // send sends one heartbeat and handles the answer. It reports false if the worker should wait
 // before it tries another controller.
 func (m *machine) send(sentAt time.Time) bool {
-	r, node, overtaken := m.nextHeartbeat()
+	heartbeat, node, overtaken := m.nextHeartbeat()
 	copyToken := uint64(0)
 	if overtaken {
-		copyToken = m.cluster.sendCopiesAhead(r)
+		copyToken = m.cluster.sendCopiesAhead(heartbeat)
 	}
 	ctx, cancel := context.WithTimeout(m.ctx, replyTimeout)
 	defer cancel()
-	status, body, err := call.Do(ctx, m.client, http.MethodPost, "http://"+node.addr+wire.PathHeartbeat, r, maxReplyBytes)
+	status, body, err := call.Do(ctx, m.client, http.MethodPost, "http://"+node.addr+wire.PathHeartbeat, heartbeat, maxReplyBytes)
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
 	m.awaitResume(sentAt)
@@ -73,7 +73,7 @@
 	}
 	if err == nil {
 		m.cluster.answeredHeartbeats[nodeAndMachine{node.name, m.name}] = sentAt
-		m.cluster.countOvertaken(r, copyToken, status)
+		m.cluster.countOvertaken(heartbeat, copyToken, status)
 	}
 	if err != nil || status != http.StatusOK {
 		m.heartbeatDue = true
@@ -83,22 +83,22 @@
 		m.heartbeatsTo = (m.heartbeatsTo + 1) % len(m.cluster.nodes)
 		return false
 	}
-	m.handleAnswer(r, node, body, sentAt)
+	m.handleAnswer(heartbeat, node, body, sentAt)
 	return true
 }
 
 // nextHeartbeat returns the next heartbeat, the controller to send it to, and whether copies
 // overtake it.
-func (m *machine) nextHeartbeat() (r wire.Heartbeat, to *node, overtaken bool) {
+func (m *machine) nextHeartbeat() (heartbeat wire.Heartbeat, to *node, overtaken bool) {
 	m.cluster.mu.Lock()
 	defer m.cluster.mu.Unlock()
 	m.heartbeatDue = false
-	r = m.heartbeat()
-	m.cluster.maybeDuplicate(r)
-	m.cluster.keepForFailover(r)
+	heartbeat = m.heartbeat()
+	m.cluster.maybeDuplicate(heartbeat)
+	m.cluster.keepForFailover(heartbeat)
 	to = m.cluster.nodes[m.heartbeatsTo%len(m.cluster.nodes)]
 	overtaken = m.cluster.failoverCopies.overtakeOneIn > 0 && m.cluster.pick(m.cluster.failoverCopies.overtakeOneIn) == 0
-	return r, to, overtaken
+	return heartbeat, to, overtaken
 }
 
 // awaitResume waits while the machine hangs, at most until the answer to a heartbeat sent at the
@@ -131,15 +131,15 @@
 // handleAnswer renews the lease and executes the commands in the answer to a heartbeat. It drops an
 // answer that is late, of a former leader, or for an ended epoch. The caller holds the cluster's
 // lock.
-func (m *machine) handleAnswer(r wire.Heartbeat, from *node, body []byte, sent time.Time) {
+func (m *machine) handleAnswer(heartbeat wire.Heartbeat, from *node, body []byte, sent time.Time) {
 	var a wire.HeartbeatAnswer
-	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || r.AgentEpoch != m.epoch || m.hung || time.Since(sent) >= replyTimeout {
+	if wire.Unmarshal(body, &a) != nil || a.Token < m.token || heartbeat.AgentEpoch != m.epoch || m.hung || time.Since(sent) >= replyTimeout {
 		return
 	}
 	if time.Since(sent) > time.Second {
 		m.lateReplies++
 	}
-	m.lastAnswered = answeredHeartbeat{m.name, r.AgentEpoch, r.Seq, a.Token}
+	m.lastAnswered = answeredHeartbeat{m.name, heartbeat.AgentEpoch, heartbeat.Seq, a.Token}
 	m.noteToken(a.Token, sent)
 	m.leaseRenewedAt = sent
 	m.cluster.acceptedAnswers[nodeAndMachine{from.name, m.name}] = sent
