--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -80,7 +80,7 @@
 		if err == nil && m.redirect(status, body) {
 			return true
 		}
-		m.heartbeatsTo = (m.heartbeatsTo + 1) % len(m.cluster.nodes)
+		m.heartbeatTarget = (m.heartbeatTarget + 1) % len(m.cluster.nodes)
 		return false
 	}
 	m.handleAnswer(heartbeat, node, body, sentAt)
@@ -96,7 +96,7 @@
 	heartbeat = m.heartbeat()
 	m.cluster.maybeDuplicate(heartbeat)
 	m.cluster.keepForFailover(heartbeat)
-	to = m.cluster.nodes[m.heartbeatsTo%len(m.cluster.nodes)]
+	to = m.cluster.nodes[m.heartbeatTarget%len(m.cluster.nodes)]
 	overtaken = m.cluster.failoverCopies.overtakeOneIn > 0 && m.cluster.pick(m.cluster.failoverCopies.overtakeOneIn) == 0
 	return heartbeat, to, overtaken
 }
@@ -120,8 +120,8 @@
 		return false
 	}
 	for i, n := range m.cluster.nodes {
-		if n.name == to.Leader && i != m.heartbeatsTo {
-			m.heartbeatsTo = i
+		if n.name == to.Leader && i != m.heartbeatTarget {
+			m.heartbeatTarget = i
 			return true
 		}
 	}
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -68,7 +68,7 @@
 	token              uint64 // the highest fencing token that it has seen; 0: none
 	tokenChangedAt     time.Time
 	leaseRenewedAt     time.Time
-	heartbeatsTo       int               // index of the controller that gets the next heartbeat
+	heartbeatTarget    int               // index of the controller that gets the next heartbeat
 	heartbeatDue       bool              // its state has changed since its last heartbeat
 	interruptionNotice *float64          // seconds until the cloud takes a spot machine back; nil: no notice
 	lateReplies        int               // answers accepted more than a second after their heartbeats
@@ -133,7 +133,7 @@
 	defer m.client.CloseIdleConnections()
 	m.cluster.mu.Lock()
 	m.leaseRenewedAt = time.Now()
-	m.heartbeatsTo = m.cluster.pick(len(m.cluster.nodes))
+	m.heartbeatTarget = m.cluster.pick(len(m.cluster.nodes))
 	m.cluster.mu.Unlock()
 	m.cluster.wg.Go(m.runTasks)
 	m.sendHeartbeats()
--- a/internal/fake/unusual_requests.go
+++ b/internal/fake/unusual_requests.go
@@ -26,9 +26,9 @@
 	cancellationOfDone
 	submissionTooLarge
 	damagedSubmission
-	unknownQuestion
+	unknownStatusQuery
 	unknownCancellation
-	submissionOfNoTeam
+	submissionOfUnknownTeam
 	submissionBeyondQuota
 	malformedSubmission
 	unusualKinds // number of kinds
@@ -120,13 +120,13 @@
 	case u.kind == damagedSubmission:
 		want = http.StatusBadRequest
 		r = submit(damaged(u))
-	case u.kind == unknownQuestion:
+	case u.kind == unknownStatusQuery:
 		count, want = &sent.Unknown, http.StatusNotFound
-		r = w.ask(question, j.ID, n.addr, nil, pollTimeout)
+		r = w.ask(statusQuery, j.ID, n.addr, nil, pollTimeout)
 	case u.kind == unknownCancellation:
 		count, want = &sent.Unknown, http.StatusNotFound
 		r = w.ask(cancellation, j.ID, n.addr, nil, requestTimeout)
-	case u.kind == submissionOfNoTeam:
+	case u.kind == submissionOfUnknownTeam:
 		want = http.StatusUnprocessableEntity
 		j.Team = "nobody"
 		r = submit(j)
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -18,14 +18,14 @@
 
 const (
 	submission requestKind = iota
-	question
+	statusQuery
 	cancellation
 )
 
 // path returns the URL path of a request about a job.
 func (k requestKind) path(id string) string {
 	switch k {
-	case question:
+	case statusQuery:
 		return wire.PathJobs + "/" + id
 	case cancellation:
 		return wire.PathJobs + "/" + id + "/cancel"
@@ -35,7 +35,7 @@
 
 // method returns the HTTP method of a request.
 func (k requestKind) method() string {
-	if k == question {
+	if k == statusQuery {
 		return http.MethodGet
 	}
 	return http.MethodPost
@@ -72,7 +72,7 @@
 	w.requestClock++
 	r.sentAt = w.requestClock
 	w.mu.Unlock()
-	if kind == question {
+	if kind == statusQuery {
 		defer func() {
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -258,7 +258,7 @@
 // QueryStatus queries a job at a controller once, and returns the status of the answer, or 0 if
 // there is none.
 func (w *Cluster) QueryStatus(node int, id string) int {
-	return w.ask(question, id, w.nodes[node].addr, nil, pollTimeout).status
+	return w.ask(statusQuery, id, w.nodes[node].addr, nil, pollTimeout).status
 }
 
 // QueryConcurrently queries a job and repeats its submission at each controller, the given number
@@ -276,7 +276,7 @@
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for i := range delays {
-		n, kind, body := i/2%len(w.nodes), question, any(nil)
+		n, kind, body := i/2%len(w.nodes), statusQuery, any(nil)
 		if i%2 == 1 {
 			kind, body = submission, spec
 		}
--- a/internal/fake/user_requests_test.go
+++ b/internal/fake/user_requests_test.go
@@ -28,20 +28,20 @@
 		steps []step
 		want  string // prefix of the violations; "": none
 	}{
-		{"in order", "core", []step{accepted, {question, 200, wire.JobRunning, false}, over, {submission, 200, wire.JobCancelled, false}}, ""},
-		{"not known, asked before", "core", []step{accepted, {question, 404, "", true}}, ""},
-		{"not known, asked after", "core", []step{accepted, {question, 404, "", false}}, "forgotten"},
+		{"in order", "core", []step{accepted, {statusQuery, 200, wire.JobRunning, false}, over, {submission, 200, wire.JobCancelled, false}}, ""},
+		{"not known, asked before", "core", []step{accepted, {statusQuery, 404, "", true}}, ""},
+		{"not known, asked after", "core", []step{accepted, {statusQuery, 404, "", false}}, "forgotten"},
 		{"cancel: not known", "core", []step{accepted, {cancellation, 404, "", false}}, "forgotten"},
-		{"pending, asked before", "core", []step{accepted, over, {question, 200, wire.JobPending, true}}, ""},
-		{"pending, asked after", "core", []step{accepted, over, {question, 200, wire.JobPending, false}}, "went_back"},
+		{"pending, asked before", "core", []step{accepted, over, {statusQuery, 200, wire.JobPending, true}}, ""},
+		{"pending, asked after", "core", []step{accepted, over, {statusQuery, 200, wire.JobPending, false}}, "went_back"},
 		{"repeat: pending, asked after", "core", []step{accepted, over, {submission, 200, wire.JobPending, false}}, "went_back"},
-		{"two ends, asked before", "core", []step{accepted, over, {question, 200, wire.JobDone, true}}, "went_back"},
+		{"two ends, asked before", "core", []step{accepted, over, {statusQuery, 200, wire.JobDone, true}}, "went_back"},
 		{"created twice, asked before", "core", []step{accepted, {submission, 201, wire.JobPending, true}}, "accepted twice"},
 		{"refused, asked before", "core", []step{accepted, {submission, 422, "", true}}, ""},
 		{"refused, asked after", "core", []step{accepted, {submission, 422, "", false}}, "forgotten"},
 		{"a cancellation says pending", "core", []step{accepted, {cancellation, 200, wire.JobPending, false}}, "cancelling"},
 		{"no team", "nobody", []step{accepted}, "accepted"},
-		{"a redirect", "core", []step{accepted, {question, 307, "", false}}, "wk-000001 answered 307"},
+		{"a redirect", "core", []step{accepted, {statusQuery, 307, "", false}}, "wk-000001 answered 307"},
 	} {
 		w := &Cluster{Settings: &config.Settings{Cluster: config.Cluster{Teams: []config.Team{{Name: "core"}}}},
 			Store: NewKVStore(12), Cloud: &Cloud{types: []wire.MachineType{DefaultType}},
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -110,7 +110,7 @@
 
 // PollState queries a job's state at a controller once. It returns "" without an answer.
 func (w *Cluster) PollState(addr, id string) string {
-	return w.ask(question, id, addr, nil, pollTimeout).state
+	return w.ask(statusQuery, id, addr, nil, pollTimeout).state
 }
 
 // Cancel requests the cancellation of a job from random controllers until it is answered, for at
