--- a/internal/fake/cancellations.go
+++ b/internal/fake/cancellations.go
@@ -1,3 +1,6 @@
+// Cancellations by users at moments that provoke races, and the check that tasks of cancelled jobs
+// end.
+
 package fake
 
 import (
--- a/internal/fake/commands.go
+++ b/internal/fake/commands.go
@@ -1,3 +1,6 @@
+// Delivery of direct commands to workers, the check of what controllers may send directly, and the
+// fault in which a command is delayed and executed late.
+
 package fake
 
 import (
--- a/internal/fake/delayed_transactions.go
+++ b/internal/fake/delayed_transactions.go
@@ -1,3 +1,6 @@
+// The fault in which the key-value store's answers are lost and its requests are executed late, and the
+// check that late transactions revert no key.
+
 package fake
 
 import (
--- a/internal/fake/duplicate_heartbeats.go
+++ b/internal/fake/duplicate_heartbeats.go
@@ -1,3 +1,5 @@
+// Faults that duplicate workers' heartbeats or replay them late.
+
 package fake
 
 import (
--- a/internal/fake/heartbeat_copies.go
+++ b/internal/fake/heartbeat_copies.go
@@ -68,8 +68,8 @@
 // deliverCopiesRepeatedly delivers the copies at once and several times more, because the new
 // leader may not accept heartbeats yet.
 func (w *Cluster) deliverCopiesRepeatedly() {
-	for _, delayMillis := range []time.Duration{0, 50, 100, 200, 2000} {
-		if !call.Pause(w.ctx, delayMillis*time.Millisecond) {
+	for _, delayMillis := range []int{0, 50, 100, 200, 2000} {
+		if !call.Pause(w.ctx, time.Duration(delayMillis)*time.Millisecond) {
 			return
 		}
 		w.DeliverDelayedCopies()
--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -1,3 +1,5 @@
+// Heartbeats of workers and the handling of the answers.
+
 package fake
 
 import (
--- a/internal/fake/jobs.go
+++ b/internal/fake/jobs.go
@@ -1,3 +1,5 @@
+// What users, workers and the checker know of jobs.
+
 package fake
 
 import (
--- a/internal/fake/kvstore_leases.go
+++ b/internal/fake/kvstore_leases.go
@@ -1,3 +1,5 @@
+// Leases of the key-value store.
+
 package fake
 
 import (
--- a/internal/fake/kvstore_transactions.go
+++ b/internal/fake/kvstore_transactions.go
@@ -1,3 +1,5 @@
+// Transactions of the key-value store, and checks that writes of controllers follow the rules.
+
 package fake
 
 import (
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -1,3 +1,6 @@
+// Detection of active faults, and the checks that are stricter without faults: status queries are
+// answered, and tasks of cancelled jobs are not launched.
+
 package fake
 
 import (
--- a/internal/fake/loopback.go
+++ b/internal/fake/loopback.go
@@ -1,3 +1,5 @@
+// Connections between a simulated cluster and external processes over loopback.
+
 package fake
 
 import (
--- a/internal/fake/machine_faults.go
+++ b/internal/fake/machine_faults.go
@@ -1,3 +1,5 @@
+// Faults of machines that scenarios inject.
+
 package fake
 
 import (
--- a/internal/fake/nodes.go
+++ b/internal/fake/nodes.go
@@ -1,3 +1,5 @@
+// Start, stop and pause of the simulated cluster's controllers.
+
 package fake
 
 import (
--- a/internal/fake/observations.go
+++ b/internal/fake/observations.go
@@ -1,3 +1,5 @@
+// Observations of tasks, machines and heartbeats for scenarios.
+
 package fake
 
 import (
--- a/internal/fake/partitions.go
+++ b/internal/fake/partitions.go
@@ -1,3 +1,5 @@
+// Network partitions of machines, controllers and zones, in one direction or both.
+
 package fake
 
 // Names of hosts other than controllers and machines.
--- a/internal/fake/placement.go
+++ b/internal/fake/placement.go
@@ -1,3 +1,5 @@
+// The record of which tasks are on which machines, and the checks at each start of a task.
+
 package fake
 
 import (
--- a/internal/fake/progress.go
+++ b/internal/fake/progress.go
@@ -1,3 +1,5 @@
+// Simulation of the progress of tasks: completion, saving and stops.
+
 package fake
 
 import (
--- a/internal/fake/starvation.go
+++ b/internal/fake/starvation.go
@@ -1,3 +1,5 @@
+// Detection of jobs that wait although a machine has room and their team is under its quota.
+
 package fake
 
 import (
--- a/internal/fake/unusual_requests.go
+++ b/internal/fake/unusual_requests.go
@@ -1,3 +1,5 @@
+// Requests that users rarely send: repeated, damaged, invalid and unknown ones.
+
 package fake
 
 import (
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -1,3 +1,5 @@
+// Users' requests about single jobs, and the check that the answers are linearizable.
+
 package fake
 
 import (
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -1,3 +1,5 @@
+// Users that submit, poll and cancel jobs through a load balancer.
+
 package fake
 
 import (
