--- a/internal/scenario/plans.go
+++ b/internal/scenario/plans.go
@@ -13,19 +13,19 @@
 
 // TryPlan applies a plan as the operators' command does, on condition that the version in force
 // is base. It returns the number of the new version.
-func TryPlan(w *fake.Cluster, base int, text string, within time.Duration) (int, error) {
+func TryPlan(cluster *fake.Cluster, base int, text string, within time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
-	store := kvstore.New(w.Network.Dial("operator"), "state:1", 20, 20)
+	store := kvstore.New(cluster.Network.Dial("operator"), "state:1", 20, 20)
 	v, err := jobstore.ApplyPlan(ctx, store, jobstore.Limits{TxnOps: 12, ValueKB: 16}, jobstore.PlanChange{Base: base, Text: text, By: "ops", At: time.Now()})
 	return v.Number, err
 }
 
 // ApplyPlan applies a plan on version base within a minute, and ends the test unless version
 // base+1 is in force then.
-func ApplyPlan(t *testing.T, w *fake.Cluster, base int, text string) {
+func ApplyPlan(t *testing.T, cluster *fake.Cluster, base int, text string) {
 	t.Helper()
-	if n, err := TryPlan(w, base, text, time.Minute); err != nil || n != base+1 {
+	if n, err := TryPlan(cluster, base, text, time.Minute); err != nil || n != base+1 {
 		t.Fatalf("ApplyPlan on version %d = %d, %v; want version %d", base, n, err, base+1)
 	}
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -61,10 +61,10 @@
 }
 
 // MustSubmit submits jobs in their order, and ends the test at the first that is not accepted.
-func MustSubmit(t *testing.T, w *fake.Cluster, jobs ...wire.Job) {
+func MustSubmit(t *testing.T, cluster *fake.Cluster, jobs ...wire.Job) {
 	t.Helper()
 	for _, j := range jobs {
-		if !w.Submit(j) {
+		if !cluster.Submit(j) {
 			t.Fatalf("%s was not accepted", j.ID)
 		}
 	}
@@ -83,18 +83,18 @@
 
 // MustFinish waits until the jobs with the given numbers (see Job) are done, one after another. It
 // ends the test if one of these waits takes longer than within.
-func MustFinish(t *testing.T, w *fake.Cluster, within time.Duration, numbers ...int) {
+func MustFinish(t *testing.T, cluster *fake.Cluster, within time.Duration, numbers ...int) {
 	t.Helper()
 	for _, n := range numbers {
-		MustReach(t, w, Job(n, nil).ID, wire.JobDone, within)
+		MustReach(t, cluster, Job(n, nil).ID, wire.JobDone, within)
 	}
 }
 
 // MustReach waits until a job is in a state (one of the wire.Job constants), and ends the test if
 // that takes longer than within.
-func MustReach(t *testing.T, w *fake.Cluster, id, state string, within time.Duration) {
+func MustReach(t *testing.T, cluster *fake.Cluster, id, state string, within time.Duration) {
 	t.Helper()
-	if !w.Await(id, state, within) {
+	if !cluster.Await(id, state, within) {
 		t.Fatalf("%s was not %s within %v", id, state, within)
 	}
 }
