--- a/calendar/forecast.go
+++ b/calendar/forecast.go
@@ -1,3 +1,5 @@
+// Forecasts of when the work of batch windows completes, by simulation of the places it runs on.
+
 package calendar
 
 import (
@@ -5,39 +7,41 @@
 	"time"
 )
 
-// Batch is a number of tasks of a batch window that are alike. A place has room for one task of
-// the kind that the windows have most work of; a task of another kind takes more or less than
-// one place.
+// Batch is a group of similar tasks of a batch window. One place has room for one task of the
+// most common kind. A task of another kind takes more or less than one place.
 type Batch struct {
 	Tasks         int
-	Seconds       float64 // run time that each task still needs
+	Seconds       float64 // remaining run time of each task
 	PlacesPerTask float64
-	Blocked       bool // the tasks can't proceed, however many places there are
+	Blocked       bool // the tasks can't run, regardless of the number of places
 }
 
 // Load is the remaining work of a batch window.
 type Load struct {
 	Deadline       time.Time
 	Batches        []Batch // tasks that are not placed yet
-	RunningSeconds float64 // until the last of its placed tasks ends
-	BlockedReason  string  // why some of its tasks can't proceed; "" if all can
+	RunningSeconds float64 // until the last of the placed tasks ends
+	BlockedReason  string  // why some tasks can't run; "" if all can
 }
 
-// Forecast says when a batch window's work is expected to be completed.
+// Forecast is the expected completion of a batch window's work.
 type Forecast struct {
-	Finish      time.Time // zero: it can't finish as things are
-	LatestStart time.Time // at which it can start and be in time, if it and then each later window has all places to itself
-	AtRisk      bool
-	Reason      string // of the risk
+	Finish time.Time // zero: the work can't finish under current conditions
+	// LatestStart is the latest time at which the work can start and meet its deadline. This
+	// window and each later one are assumed to have all places to themselves in turn. Zero if
+	// there are tasks and no places.
+	LatestStart time.Time
+	AtRisk      bool   // the deadline may be missed
+	Reason      string // cause of the risk; "" if AtRisk is false
 }
 
-// riskMargin is by how much longer the work may take than expected, as a share of the
-// expected time, without missing a deadline that is not at risk. Users' estimates of run times
-// are off by more; the times learnt from completed jobs of a class mostly are not.
+// riskMargin is the share by which the work may exceed its expected time before the deadline
+// counts as at risk. Users' run time estimates are off by more than this. Run times learned
+// from completed jobs of a class mostly are not.
 const riskMargin = 0.1
 
-// ForecastLoads makes a forecast of each load. Loads share the places, earliest deadline
-// first. free has, for each place, the seconds from now until it is free.
+// ForecastLoads returns one forecast for each load, in the order of loads. Loads share the
+// places, earliest deadline first. free holds the seconds from now until each place is free.
 func ForecastLoads(now time.Time, loads []Load, free []float64) []Forecast {
 	byDeadline := make([]int, len(loads))
 	for i := range byDeadline {
@@ -53,8 +57,8 @@
 	for _, i := range byDeadline {
 		forecasts[i] = loads[i].forecast(now, places, firstFree)
 	}
-	// From the last deadline to the first: a load must be completed by its own deadline, and
-	// by the latest start of the load after it.
+	// Goes from the last deadline to the first. A load must be completed by its own deadline
+	// and by the latest start of the load after it.
 	end := time.Time{}
 	for _, i := range slices.Backward(byDeadline) {
 		load := &loads[i]
@@ -69,12 +73,12 @@
 	return forecasts
 }
 
-// forecast assigns the load's tasks to places, after those of the loads with earlier deadlines,
-// and returns when they end. firstFree is the seconds from now until the first place is free,
-// before any load is assigned.
+// forecast assigns the load's tasks to places and returns when they end. The loads with earlier
+// deadlines must have been assigned already. firstFree is the number of seconds from now until
+// the first place is free, before any load is assigned.
 func (l *Load) forecast(now time.Time, places placeHeap, firstFree float64) Forecast {
 	if l.BlockedReason != "" || len(places) == 0 && len(l.Batches) > 0 {
-		places.serve(l.Batches) // what can proceed takes places before the later loads do
+		places.serve(l.Batches) // the load still occupies places before later loads do
 		reason := l.BlockedReason
 		if reason == "" {
 			reason = "no machine can take it"
@@ -99,7 +103,8 @@
 	return forecast
 }
 
-// durationAlone is how many seconds the load takes if it has a number of free places to itself.
+// durationAlone returns the seconds that the load takes with the given number of free places to
+// itself.
 func (l *Load) durationAlone(places int) float64 {
 	return max(l.RunningSeconds, newPlaceHeap(make([]float64, places)).serve(l.Batches))
 }
--- a/calendar/holidays.go
+++ b/calendar/holidays.go
@@ -16,7 +16,8 @@
 	"github.com/rickar/cal/v2/us"
 )
 
-// holidaysByCountry are the public holidays that a region can be closed on.
+// holidaysByCountry maps the country codes accepted in RegionSettings.Holidays to the country's
+// public holidays.
 var holidaysByCountry = map[string][]*cal.Holiday{
 	"at": at.Holidays, "be": be.Holidays, "ch": ch.Holidays, "de": de.Holidays, "es": es.Holidays, "fr": fr.Holidays,
 	"gb": gb.Holidays, "ie": ie.Holidays, "it": it.Holidays, "nl": nl.Holidays, "pl": pl.Holidays, "us": us.Holidays,
--- a/calendar/places.go
+++ b/calendar/places.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// placeHeap simulates the use of places: a min-heap with, for each place, the seconds from now
-// until it is free.
+// placeHeap simulates the use of places. It is a min-heap that holds, for each place, the
+// seconds from now until the place is free.
 type placeHeap []float64
 
 func newPlaceHeap(free []float64) placeHeap {
@@ -16,22 +16,22 @@
 	return p
 }
 
-// Bounds of the simulation. The tasks of a batch beyond them are not simulated one by one: all
-// places become free later by the average time that these tasks take of a place.
+// Bounds of the simulation. The tasks of a batch beyond these bounds are not simulated one by
+// one. Instead, all places become free later by the average time that these tasks occupy a place.
 const (
-	simulatedRounds       = 4  // tasks simulated on each place, one after the other
-	maxSimulatedWideTasks = 32 // tasks simulated that take several places
+	simulatedRounds       = 4  // simulated tasks per place, one after the other
+	maxSimulatedWideTasks = 32 // simulated tasks that take several places each
 )
 
-// placeTolerance is by how much a task's need may exceed a whole number of places without
-// taking one place more.
+// placeTolerance is the fraction of a place by which a task may exceed a whole number of places
+// without taking another place.
 const placeTolerance = 0.01
 
 // wholePlaces rounds the places that a task needs up to a whole number.
 func wholePlaces(placesPerTask float64) float64 { return math.Ceil(placesPerTask - placeTolerance) }
 
-// serve assigns the tasks of batches to places, longest tasks first, and returns the seconds
-// from now until the last one ends; 0 without places.
+// serve assigns the tasks of batches to places, longest tasks first. It returns the seconds from
+// now until the last task ends, or 0 if there are no places.
 func (p placeHeap) serve(batches []Batch) (lastEnd float64) {
 	if len(p) == 0 {
 		return 0
@@ -44,8 +44,8 @@
 	return lastEnd
 }
 
-// serveBatch assigns the tasks of a batch to places, and returns the seconds from now until
-// the last of those that are simulated ends; 0 if there are none.
+// serveBatch assigns the tasks of a batch to places. It returns the seconds from now until the
+// last simulated task ends, or 0 if no task is simulated.
 func (p placeHeap) serveBatch(b *Batch) (lastEnd float64) {
 	tasks, width := b.Tasks, min(len(p), int(wholePlaces(b.PlacesPerTask)))
 	simulated := simulatedRounds * len(p)
@@ -55,7 +55,7 @@
 	if surplus := tasks - simulated; surplus > 0 {
 		average := float64(surplus) * b.Seconds * b.PlacesPerTask / float64(len(p))
 		for i := range p {
-			p[i] += average // the same for all, so it remains a heap
+			p[i] += average // the same increase for all places keeps the heap order
 		}
 		tasks -= surplus
 	}
@@ -70,8 +70,8 @@
 	return lastEnd
 }
 
-// occupy starts a task that takes several places as soon as that many are free, and returns
-// the seconds from now until it ends.
+// occupy starts a task that takes width places as soon as that many are free. It returns the
+// seconds from now until the task ends.
 func (p placeHeap) occupy(width int, seconds float64) float64 {
 	slices.Sort(p)
 	end := p[width-1] + seconds
@@ -82,7 +82,8 @@
 	return end
 }
 
-// delayEarliest makes the earliest place free later, and restores the heap.
+// delayEarliest delays the place that is free first by a number of seconds and restores the heap
+// order.
 func (p placeHeap) delayEarliest(by float64) {
 	delayed, i := p[0]+by, 0
 	for {
--- a/calendar/record.go
+++ b/calendar/record.go
@@ -1,3 +1,5 @@
+// The stored records of a region's batch windows and their text for operators.
+
 package calendar
 
 import (
@@ -5,15 +7,15 @@
 	"time"
 )
 
-// Record is the committed state of a region's batch windows: the open ones, and the most
-// recent outcomes. Times are Unix milliseconds. The order of fields and the tags are those
-// of stored records and must not change.
+// Record is the committed state of a region's batch windows: the open ones and the most recent
+// outcomes. Times are Unix milliseconds. The order of fields and the tags define the stored
+// format and must not change.
 type Record struct {
 	Region              string       `msgpack:"r" json:"region"`
 	SavedAtMs           int64        `msgpack:"at" json:"at_ms"`
 	Windows             []OpenWindow `msgpack:"n" json:"nights"`
 	Past                []Outcome    `msgpack:"p" json:"past"`
-	LastClosedOpeningMs int64        `msgpack:"c" json:"closed_ms"` // the latest opening whose outcome is, or was, in Past
+	LastClosedOpeningMs int64        `msgpack:"c" json:"closed_ms"` // latest opening that has been decided, including outcomes no longer in Past
 }
 
 // OpenWindow is a batch window whose outcome is not decided.
@@ -22,14 +24,14 @@
 	StartMs               int64          `msgpack:"f" json:"from_ms"`
 	DeadlineMs            int64          `msgpack:"pm" json:"promise_ms"`
 	OpeningMs             int64          `msgpack:"o" json:"opening_ms"`
-	OpenJobs              []string       `msgpack:"j" json:"open"`  // ids of unfinished jobs, as many as fit
-	OpenJobsOmitted       int            `msgpack:"m" json:"more"`  // unfinished jobs that are not in OpenJobs
+	OpenJobs              []string       `msgpack:"j" json:"open"`  // ids of unfinished jobs, limited by the size of the record
+	OpenJobsOmitted       int            `msgpack:"m" json:"more"`  // number of unfinished jobs that did not fit into OpenJobs
 	Completed             int            `msgpack:"dn" json:"done"` // jobs whose completion is committed
 	CompletedAfterOpening int            `msgpack:"da" json:"after"`
 	LastCompletionMs      int64          `msgpack:"l" json:"last_ms"`
 	Cancelled             int            `msgpack:"x" json:"cancelled"`
-	Lost                  int            `msgpack:"u" json:"lost"`      // jobs that are over and have no final record
-	LowerBound            bool           `msgpack:"al" json:"at_least"` // the counts may lack jobs that an earlier leader had not committed yet
+	Lost                  int            `msgpack:"u" json:"lost"`      // jobs that ended without a final record
+	LowerBound            bool           `msgpack:"al" json:"at_least"` // the counts may lack jobs that an earlier leader did not commit
 	Forecast              ForecastRecord `msgpack:"fc" json:"forecast"`
 	Reforecasts           []Reforecast   `msgpack:"rp" json:"replans"` // the most recent ones, at most maxReforecasts
 	ReforecastCount       int            `msgpack:"rn" json:"replanned"`
@@ -38,23 +40,23 @@
 // ForecastRecord is the most recent forecast of a batch window.
 type ForecastRecord struct {
 	MadeAtMs      int64  `msgpack:"at" json:"at_ms"`
-	FinishMs      int64  `msgpack:"f" json:"finish_ms"` // 0: it can't finish as things are
+	FinishMs      int64  `msgpack:"f" json:"finish_ms"` // 0: the work can't finish under current conditions
 	LatestStartMs int64  `msgpack:"l" json:"latest_start_ms"`
 	AtRisk        bool   `msgpack:"r" json:"at_risk"`
 	Reason        string `msgpack:"w" json:"why,omitempty"`
 }
 
-// Reforecast is a forecast that is recorded because something has changed it, with the cause.
+// Reforecast is a forecast recorded together with the cause of its change.
 type Reforecast struct {
 	AtMs     int64  `msgpack:"at" json:"at_ms"`
 	Cause    string `msgpack:"c" json:"cause"`
 	FinishMs int64  `msgpack:"f" json:"finish_ms"`
 	AtRisk   bool   `msgpack:"r" json:"at_risk"`
 	Machines int    `msgpack:"m" json:"machines"`
-	Jobs     int    `msgpack:"j" json:"jobs"` // of the batch window, completed ones included
+	Jobs     int    `msgpack:"j" json:"jobs"` // of the batch window, including completed ones
 }
 
-// Result says whether the deadline of a batch window was met.
+// Result classifies a closed batch window by whether its deadline was met.
 type Result string
 
 // Results of batch windows.
@@ -62,10 +64,10 @@
 	ResultMet        Result = "met"
 	ResultLate       Result = "late"       // completed after the deadline, but by the opening
 	ResultIncomplete Result = "incomplete" // not completed at the opening
-	ResultWithdrawn  Result = "withdrawn"  // a new plan of the operators has no such batch window
+	ResultWithdrawn  Result = "withdrawn"  // removed by a new plan of the operators
 )
 
-// Outcome is the result of a batch window with its counts. It is decided once.
+// Outcome is the result of a batch window with its job counts. It is decided once.
 type Outcome struct {
 	Date        string `msgpack:"d" json:"date"`
 	DeadlineMs  int64  `msgpack:"pm" json:"promise_ms"`
@@ -79,18 +81,18 @@
 	DecidedBy   uint64 `msgpack:"by" json:"by"` // fencing token of the leader
 }
 
-// Limits of a record. One that reaches all of them takes about 8 KB, the ids of open jobs not
-// counted.
+// Limits of a record. A record that reaches all limits takes about 8 KB, excluding the ids of
+// open jobs.
 const (
 	maxPastOutcomes = 20
 	maxReforecasts  = 8
 	maxOpenWindows  = 4
 )
 
-// RecordName is the name under which a region's record is stored, beside the operators' plan.
+// RecordName returns the name of a region's record, which is stored beside the operators' plan.
 func RecordName(region string) string { return "night." + region }
 
-// JobCount is how many jobs belong to the batch window, cancelled ones not counted.
+// JobCount returns the number of jobs of the batch window, excluding cancelled ones.
 func (w *OpenWindow) JobCount() int {
 	return len(w.OpenJobs) + w.OpenJobsOmitted + w.Completed + w.Lost
 }
--- a/calendar/schedule.go
+++ b/calendar/schedule.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// Schedule is a leader's state of a region's batch windows: the record, and the open jobs by
-// id. The leader reports which jobs are open and how jobs end, and commits Record whenever
-// Generation has grown. Invariant: openJobs has a set for each open window of the record, and
-// no other.
+// Schedule is a leader's state of a region's batch windows: the record and the ids of open jobs.
+// The leader reports which jobs are open and how jobs end. It commits Record whenever Generation
+// has grown. Invariant: openJobs has exactly one set for each open window of the record.
 type Schedule struct {
-	record       Record
-	openJobs     map[string]map[string]bool // ids of unfinished jobs in the leader's model, by date
-	unresolved   map[string]string          // jobs that are open in an earlier leader's record and not seen open by this one: the dates of their windows
+	record   Record
+	openJobs map[string]map[string]bool // ids of unfinished jobs in the leader's model, by date of the window
+	// unresolved maps the ids of jobs to the dates of their windows. The jobs are open in an
+	// earlier leader's record and this leader has not seen them open.
+	unresolved   map[string]string
 	fencingToken uint64
 
 	settleDelay time.Duration
-	generation  uint64 // counts changes that are to be committed
+	generation  uint64 // number of changes to be committed
 }
 
-// NewSchedule continues a region's schedule from the record that earlier leaders committed.
-// A job becomes known to the leader at most settleDelay after its acceptance; a window's result
-// is decided only that long after its deadline or opening.
+// NewSchedule continues a region's schedule from the record that earlier leaders committed. A
+// job becomes known to the leader within settleDelay of its acceptance. A window's result is
+// therefore decided at the earliest settleDelay after its deadline or opening.
 func NewSchedule(region string, record Record, fencingToken uint64, settleDelay time.Duration) *Schedule {
 	record.Region, record.Windows, record.Past = region, slices.Clone(record.Windows), slices.Clone(record.Past)
 	s := &Schedule{record: record, openJobs: map[string]map[string]bool{}, unresolved: map[string]string{}, fencingToken: fencingToken, settleDelay: settleDelay}
@@ -40,9 +41,9 @@
 // Generation grows with each change that is to be committed.
 func (s *Schedule) Generation() uint64 { return s.generation }
 
-// findOrOpen returns the state of an open batch window. It opens the window if it is not open
-// yet; nil if that is not allowed: maxOpenWindows are open, or the window, or one with a later
-// opening, has been decided. A withdrawn window may open again.
+// findOrOpen returns the state of an open batch window and opens the window if necessary. It
+// returns nil if the window can't be opened: maxOpenWindows are open, or the window or one with
+// a later opening has been decided. A withdrawn window may open again.
 func (s *Schedule) findOrOpen(window Window) *OpenWindow {
 	if open := s.find(window.Date); open != nil {
 		return open
@@ -69,8 +70,8 @@
 }
 
 // ObserveOpenJobs sets all unfinished jobs, with the batch window of each. A job that was open
-// before, is not among them and was not passed to RecordCompletion counts as cancelled. One
-// whose batch window has changed is moved.
+// before and is now missing counts as cancelled, unless it was passed to RecordCompletion. A job
+// whose batch window has changed moves to the new window.
 func (s *Schedule) ObserveOpenJobs(jobs map[string]Window) {
 	for id, window := range jobs {
 		if s.findOrOpen(window) == nil {
@@ -113,9 +114,10 @@
 	s.generation++
 }
 
-// UnresolvedJobs lists the jobs that are open in an earlier leader's record and were not passed
-// to ObserveOpenJobs or RecordCompletion since. Once all open jobs have been observed, these are
-// over: the owner of the schedule looks up how each has ended, and passes that to ResolveJob.
+// UnresolvedJobs returns the sorted ids of jobs that are open in an earlier leader's record and
+// have not been passed to ObserveOpenJobs or RecordCompletion since. Once all open jobs have been
+// observed, the unresolved jobs are over. The caller looks up how each job ended and calls
+// ResolveJob.
 func (s *Schedule) UnresolvedJobs() []string {
 	ids := make([]string, 0, len(s.unresolved))
 	for id := range s.unresolved {
@@ -125,19 +127,19 @@
 	return ids
 }
 
-// JobEnd is how an unresolved job has ended.
+// JobEnd is the way in which an unresolved job ended.
 type JobEnd int
 
 // Ends of unresolved jobs.
 const (
 	EndCompleted JobEnd = iota
 	EndCancelled
-	EndUnknown // there is no record of its end
+	EndUnknown // the job has no final record
 )
 
-// ResolveJob sets how an unresolved job has ended. For a completed one, window is the batch
-// window of the region that it belongs to, the zero Window if it belongs to none, and endedAt
-// is when it ended.
+// ResolveJob records how an unresolved job ended. The last two arguments apply to completed jobs:
+// window is the job's batch window in this region, or the zero Window if the job belongs to none,
+// and endedAt is the time of completion.
 func (s *Schedule) ResolveJob(id string, end JobEnd, window Window, endedAt time.Time) {
 	w := s.find(s.unresolved[id])
 	delete(s.unresolved, id)
@@ -154,9 +156,9 @@
 }
 
 // Reschedule adapts the open windows to a region's new openings. A window keeps its date if the
-// region still has a batch window on that date. If not, it becomes the window that its start
-// falls into now, merged with that one if it is open; if there is none either, it is withdrawn.
-// No jobs are known to be open afterwards: the caller has to call ObserveOpenJobs.
+// region still has a batch window on that date. Otherwise it becomes the window that its start
+// falls into, and is merged with that window if both are open. If there is no such window, it is
+// withdrawn. Reschedule forgets all open jobs, so the caller must call ObserveOpenJobs afterwards.
 func (s *Schedule) Reschedule(region *Region, now time.Time) {
 	previous := s.record.Windows
 	s.record.Windows, s.openJobs = nil, map[string]map[string]bool{}
@@ -183,8 +185,8 @@
 	}
 }
 
-// rescheduled returns the batch window that takes the place of an open one in a region with
-// new openings; false if there is none. region is nil if the new plan does not have it.
+// rescheduled returns the batch window that replaces an open one in a region with new openings,
+// or false if there is none. region is nil if the new plan lacks the region.
 func rescheduled(w *OpenWindow, region *Region) (Window, bool) {
 	if region == nil {
 		return Window{}, false
@@ -195,13 +197,13 @@
 	return region.WindowAt(time.UnixMilli(w.StartMs))
 }
 
-// minRiskChangeInterval is the shortest time between a reforecast and a following one whose
-// only cause is that the deadline has come to be at risk, or no longer is.
+// minRiskChangeInterval is the minimum time between a reforecast and the next one that is
+// recorded only because AtRisk changed.
 const minRiskChangeInterval = time.Minute
 
-// RecordForecast sets the forecast of a batch window. With a cause it is recorded as a
-// reforecast as well. With "" that is so only if AtRisk has changed, and the last reforecast is
-// more than minRiskChangeInterval ago.
+// RecordForecast sets the forecast of a batch window. A forecast with a cause is also recorded as
+// a reforecast. With cause "" a reforecast is recorded only if AtRisk has changed and the last
+// reforecast is more than minRiskChangeInterval old.
 func (s *Schedule) RecordForecast(date string, forecast Forecast, cause string, machines int, now time.Time) {
 	w := s.find(date)
 	if w == nil {
@@ -209,7 +211,7 @@
 	}
 	wasAtRisk := w.Forecast.AtRisk
 	if s.openJobCount(w) == 0 {
-		// All jobs that are known are over.
+		// All known jobs are over.
 		forecast = Forecast{Finish: time.UnixMilli(w.LastCompletionMs), LatestStart: forecast.LatestStart}
 	}
 	w.Forecast = ForecastRecord{MadeAtMs: now.UnixMilli(), FinishMs: unixMilliOrZero(forecast.Finish), LatestStartMs: unixMilliOrZero(forecast.LatestStart),
@@ -230,8 +232,8 @@
 	s.generation++
 }
 
-// riskChangeDue reports whether there was a reforecast, and the last one is long enough ago for
-// a change of the risk alone to be recorded.
+// riskChangeDue reports whether a change of AtRisk alone may be recorded now: a reforecast exists
+// and the last one is more than minRiskChangeInterval old.
 func (w *OpenWindow) riskChangeDue(now time.Time) bool {
 	k := len(w.Reforecasts)
 	return k > 0 && now.UnixMilli()-w.Reforecasts[k-1].AtMs > minRiskChangeInterval.Milliseconds()
@@ -244,7 +246,7 @@
 	return t.UnixMilli()
 }
 
-// openJobCount is how many jobs of a batch window are not known to be over.
+// openJobCount returns the number of jobs of a batch window that are not known to be over.
 func (s *Schedule) openJobCount(w *OpenWindow) int {
 	return len(s.openJobs[w.Date]) + s.unresolvedCount(w.Date)
 }
@@ -261,9 +263,9 @@
 
 func (s *Schedule) jobCount(w *OpenWindow) int { return s.openJobCount(w) + w.Completed + w.Lost }
 
-// CloseDue closes the batch windows whose result can be decided, and returns their outcomes,
-// also of windows without jobs. A window is decided only after the settle delay, and when no job
-// of it is unresolved.
+// CloseDue closes the batch windows whose result can be decided. It returns their outcomes,
+// including those of windows without jobs. A window can be decided once the settle delay has
+// passed and none of its jobs is unresolved.
 func (s *Schedule) CloseDue(now time.Time) (outcomes []Outcome) {
 	open := s.record.Windows[:0]
 	for i := range s.record.Windows {
@@ -281,8 +283,8 @@
 	return outcomes
 }
 
-// decideResult returns the result of a batch window, and by how much it is late; false if it
-// can't be decided yet. All jobs that were accepted up to nowMs are known.
+// decideResult returns the result of a batch window and its lateness in milliseconds, or false if
+// the result can't be decided yet. All jobs accepted up to nowMs must be known.
 func (s *Schedule) decideResult(w *OpenWindow, nowMs int64) (result Result, lateMs int64, ok bool) {
 	if nowMs < w.DeadlineMs || s.unresolvedCount(w.Date) > 0 {
 		return "", 0, false
@@ -299,8 +301,8 @@
 	return ResultIncomplete, 0, true
 }
 
-// closeWindow returns the outcome of a batch window, and adds it to the record unless the window
-// had no jobs.
+// closeWindow returns the outcome of a batch window. It adds the outcome to the record if the
+// window had jobs.
 func (s *Schedule) closeWindow(w *OpenWindow, result Result, lateMs int64, now time.Time) Outcome {
 	outcome := Outcome{Date: w.Date, DeadlineMs: w.DeadlineMs, OpeningMs: w.OpeningMs, Result: result, LateMs: lateMs,
 		Completed: w.Completed - w.CompletedAfterOpening, Jobs: s.jobCount(w), LowerBound: w.LowerBound, DecidedAtMs: now.UnixMilli(), DecidedBy: s.fencingToken}
@@ -315,11 +317,12 @@
 	return outcome
 }
 
-// jobIDOverhead is how many bytes an id takes in an encoded record besides its text.
+// jobIDOverhead is the number of bytes that an id takes in an encoded record in addition to its
+// text.
 const jobIDOverhead = 3
 
-// Record returns a copy of the record, to be committed. The ids of open jobs, of all windows
-// together, take at most maxIDBytes of it; the rest are only counted.
+// Record returns a copy of the record to be committed. The ids of open jobs in all windows
+// together take at most maxIDBytes. Jobs whose ids don't fit are only counted.
 func (s *Schedule) Record(now time.Time, maxIDBytes int) Record {
 	record := s.record
 	record.SavedAtMs = now.UnixMilli()
@@ -338,7 +341,7 @@
 	return record
 }
 
-// openJobIDs lists the jobs of a batch window that are not known to be over, sorted.
+// openJobIDs returns the sorted ids of the jobs of a batch window that are not known to be over.
 func (s *Schedule) openJobIDs(date string) []string {
 	var ids []string
 	for id := range s.openJobs[date] {
@@ -356,7 +359,7 @@
 // HasOpenWindows reports whether a batch window is open.
 func (s *Schedule) HasOpenWindows() bool { return len(s.record.Windows) > 0 }
 
-// OpenWindows lists the open batch windows, earliest opening first.
+// OpenWindows returns the open batch windows, earliest opening first.
 func (s *Schedule) OpenWindows() []Window {
 	var windows []Window
 	for i := range s.record.Windows {
@@ -366,8 +369,8 @@
 	return windows
 }
 
-// JobCounts returns how many jobs of a batch window are known, cancelled ones not counted, and
-// how many of them are not known to be over.
+// JobCounts returns the number of known jobs of a batch window, excluding cancelled ones, and the
+// number of those that are not known to be over. Both are 0 if the window is not open.
 func (s *Schedule) JobCounts(date string) (all, open int) {
 	w := s.find(date)
 	if w == nil {
--- a/calendar/settings.go
+++ b/calendar/settings.go
@@ -1,12 +1,12 @@
-// Package calendar computes batch windows: the times before an office's openings in which jobs
-// for that opening are accepted. It says which window a job belongs to, by when the window's
-// jobs must be completed (its deadline), when they are expected to be, how many more places
-// (free resources for one task each) that takes, and whether the deadline was met.
+// Package calendar manages batch windows. A batch window is the time before an office opens in
+// which jobs for that opening are accepted. The package finds the window of a job and the deadline
+// of the window's jobs. It forecasts their completion, computes how many more places are needed,
+// and decides whether the deadline was met. A place is room for one task.
 //
-// The package does no I/O, apart from Print, and never reads the clock: times are passed in. It
-// is used by the leader's model (package cluster); the leader stores each region's Record, from
-// which the next one continues, and the tools for operators read the same records. A Calendar and a
-// Schedule belong to one goroutine at a time. docs/calendar.md has the reasons for its rules.
+// Apart from Print, the package does no I/O. It never reads the clock: times are passed in. The
+// leader's model (package cluster) uses the package. The leader stores each region's Record. The
+// next leader continues from the records, and the operators' tools read them. A Calendar or a
+// Schedule may be used by only one goroutine at a time. docs/calendar.md explains the rules.
 package calendar
 
 import (
@@ -14,34 +14,35 @@
 	"path"
 	"slices"
 	"time"
-	_ "time/tzdata" // a node's machine may have no time zone database
+	_ "time/tzdata" // the host may lack a time zone database
 )
 
-// Settings is the calendar in the operators' plan.
+// Settings is the calendar section of the operators' plan.
 type Settings struct {
 	Regions []RegionSettings `toml:"regions"`
 }
 
-// RegionSettings is one region's office, and the work that must be completed before it opens.
+// RegionSettings holds the opening hours of one region's office and the work that must be
+// completed before the office opens.
 type RegionSettings struct {
 	Name       string            `toml:"name"`
 	Zone       string            `toml:"zone"`       // IANA time zone
-	Open       map[string]string `toml:"open"`       // "mon" to "sun": local time of the opening, "08:00"; closed on missing days
-	Holidays   string            `toml:"holidays"`   // country code; closed on its public holidays; empty: none
+	Open       map[string]string `toml:"open"`       // local opening time ("08:00") by day ("mon" to "sun"); closed on missing days
+	Holidays   string            `toml:"holidays"`   // code of the country whose public holidays close the office; "" for none
 	Exceptions []Exception       `toml:"exceptions"` // take precedence over Open and Holidays
 	Evening    string            `toml:"evening"`    // local time at which a batch window begins
 	MarginS    float64           `toml:"margin_s"`   // seconds from the deadline to the opening
-	Work       []Work            `toml:"work"`       // a job belongs to the region if one of them matches it
+	Work       []Work            `toml:"work"`       // a job belongs to the region if any element matches it
 }
 
-// Exception is a date on which the office opens at another time, or stays closed.
+// Exception is a date on which the office opens at a different time or stays closed.
 type Exception struct {
 	Date string `toml:"date"` // "2027-01-02"
 	Open string `toml:"open"` // empty: closed
 }
 
-// Work matches jobs: each of its fields that is not empty must match. Images are glob
-// patterns, of which one must match.
+// Work is a filter for jobs. Every non-empty field must match. Images holds glob patterns, of
+// which at least one must match.
 type Work struct {
 	Class  string   `toml:"class"`
 	Team   string   `toml:"team"`
@@ -49,12 +50,12 @@
 	Images []string `toml:"images"`
 }
 
-// JobAttributes are the properties of a job by which Work matches it.
+// JobAttributes holds the properties of a job that Work compares.
 type JobAttributes struct {
 	Class, Team, Zone, Image string
 }
 
-// Matches reports whether a job is of this work.
+// Matches reports whether a job passes the filter.
 func (w *Work) Matches(job JobAttributes) bool {
 	if w.Class != "" && w.Class != job.Class || w.Team != "" && w.Team != job.Team || w.Zone != "" && w.Zone != job.Zone {
 		return false
@@ -76,7 +77,7 @@
 	day         = 24 * time.Hour
 )
 
-// timeOfDay is a local time of day, as the time since midnight.
+// timeOfDay is a local time of day as the duration since midnight.
 type timeOfDay time.Duration
 
 func parseTimeOfDay(s string) (timeOfDay, error) {
@@ -87,7 +88,7 @@
 	return timeOfDay(t.Sub(t.Truncate(day))), nil
 }
 
-// margin is the time from the deadline to the opening.
+// margin returns the time from the deadline to the opening.
 func (s *RegionSettings) margin() time.Duration {
 	return time.Duration(s.MarginS * float64(time.Second))
 }
--- a/calendar/settings_check.go
+++ b/calendar/settings_check.go
@@ -1,3 +1,5 @@
+// Validation of the calendar settings in the operators' plan.
+
 package calendar
 
 import (
@@ -10,7 +12,7 @@
 	"time"
 )
 
-// Limits of a calendar. They also bound how many records there are.
+// Limits of a calendar. maxRegions also bounds the number of stored records.
 const (
 	maxRegions    = 16
 	maxWork       = 32
@@ -20,8 +22,8 @@
 
 var regionName = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,31}$`)
 
-// Check returns all errors of the settings, each with the path of its field. zones and teams
-// are the names in the platform's settings (config.Settings).
+// Check returns all errors in the settings, each with the path of its field, or nil if there are
+// none. zones and teams are the names defined in the platform's settings (config.Settings).
 func (s *Settings) Check(zones, teams []string) []error {
 	c := &checker{zones: zones, teams: teams}
 	c.limit("calendar.regions", len(s.Regions), maxRegions)
@@ -42,7 +44,7 @@
 	return c.errs
 }
 
-// checker collects the errors of settings.
+// checker collects errors in the settings.
 type checker struct {
 	zones, teams []string
 	errs         []error
@@ -105,28 +107,28 @@
 	}
 }
 
-// openingCheck checks the openings of a region: the deadline must be after the evening before,
-// at which the batch window starts.
+// openingCheck validates the openings of a region. The deadline must be later than the preceding
+// evening, when the batch window starts.
 type openingCheck struct {
 	checker *checker
 	field   string // of the region
 	region  *RegionSettings
 	evening timeOfDay
-	usable  bool // the evening and the margin are valid by themselves
-	count   int  // openings seen
+	usable  bool // the evening and the margin are each valid
+	count   int  // number of openings checked
 }
 
-// newOpeningCheck checks the evening and the margin of a region.
+// newOpeningCheck validates the evening and the margin of a region.
 func (c *checker) newOpeningCheck(field string, r *RegionSettings) *openingCheck {
 	evening, usable := c.checkTimeOfDay(field+".evening", r.Evening)
-	if !(r.MarginS >= 0 && r.MarginS < day.Seconds()) { // the negation refuses NaN as well
+	if !(r.MarginS >= 0 && r.MarginS < day.Seconds()) { // the negated form also rejects NaN
 		c.fail(field+".margin_s", "%v is not between 0 and a day", r.MarginS)
 		usable = false
 	}
 	return &openingCheck{checker: c, field: field, region: r, evening: evening, usable: usable}
 }
 
-// check checks an opening against the evening before it.
+// check validates an opening against the preceding evening.
 func (o *openingCheck) check(field, opening string) {
 	o.count++
 	opensAt, valid := o.checker.checkTimeOfDay(field, opening)
@@ -143,8 +145,8 @@
 	}
 }
 
-// checkWork checks a region's work. fields has the field of each Work seen so far, in any
-// region, to find duplicates.
+// checkWork validates a region's work. fields maps each Work seen so far in any region to its
+// field path, to find duplicates.
 func (c *checker) checkWork(field string, r *RegionSettings, fields map[string]string) {
 	if len(r.Work) == 0 {
 		c.fail(field+".work", "nothing belongs to the region")
--- a/calendar/shortage.go
+++ b/calendar/shortage.go
@@ -1,3 +1,6 @@
+// Shortages: how many more places the batch windows need to meet their deadlines, and by when
+// machines for these places must be ordered.
+
 package calendar
 
 import (
@@ -6,28 +9,27 @@
 	"time"
 )
 
-// This file computes how many more places the batch windows need to meet their deadlines,
-// and by when machines for them must be ordered.
-
-// Shortage is the number of places that are lacking (see Batch).
+// Shortage is the number of missing places (see Batch).
 type Shortage struct {
-	Places  int       // 0: none is lacking, or more would not help
-	OrderBy time.Time // the latest time at which so many suffice; after it, more are needed
+	Places  int       // 0: no places are missing, or more places would not help
+	OrderBy time.Time // latest order time at which Places suffices; a later order needs more places
 }
 
 const (
-	maxModelPlaces       = 256  // if there are more, several are simulated as one unit
-	similarityRatio      = 1.25 // tasks whose times differ by less than this factor are merged
-	improvementTolerance = 0.05 // share of the possible improvement in lateness that is given up for fewer places
-	maxToleratedLateness = 20   // the improvement counts for that up to this multiple of the lateness that remains
-	orderPrecision       = 1.0  // seconds to which the latest time to order is computed
-	refineRatio          = 4    // if at most 1/4 of the possible places are lacking, a model with smaller units is used
+	maxModelPlaces       = 256  // with more places, several are simulated as one unit
+	similarityRatio      = 1.25 // tasks whose run times differ by less than this factor are merged
+	improvementTolerance = 0.05 // share of the possible reduction of lateness that is given up to save places
+	// maxToleratedLateness limits the reduction that improvementTolerance applies to. It is a
+	// multiple of the lateness that remains with the maximum number of places.
+	maxToleratedLateness  = 20
+	orderPrecisionSeconds = 1.0 // precision of the latest order time
+	refineRatio           = 4   // if at most 1/4 of the possible places are missing, the search repeats with smaller units
 )
 
 // FindShortage returns how many more places the loads need to meet their deadlines, at most
-// maxPlaces, if each is usable bootSeconds after it is ordered. free has, for each present
-// place, the seconds from now until it is free. If the deadlines can't be met, the shortage is
-// what makes the total lateness nearly as small as possible.
+// maxPlaces. Each additional place is usable bootSeconds after it is ordered. free holds the
+// seconds from now until each present place is free. If the deadlines can't be met, the result is
+// a number of places that makes the total lateness nearly minimal.
 func FindShortage(now time.Time, loads []Load, free []float64, bootSeconds float64, maxPlaces int) Shortage {
 	for {
 		model := newShortageModel(now, loads, free, bootSeconds, maxPlaces)
@@ -35,12 +37,12 @@
 		if model.placesPerUnit == 1 || shortage.Places == 0 || refineRatio*shortage.Places > maxPlaces {
 			return shortage
 		}
-		maxPlaces = 2 * shortage.Places // units are smaller in the next model
+		maxPlaces = 2 * shortage.Places // the next model has smaller units
 	}
 }
 
-// shortage searches for the smallest number of units that is good enough, and for the latest
-// time at which to order them.
+// shortage searches for the smallest sufficient number of units and for the latest time to order
+// them.
 func (m *shortageModel) shortage(now time.Time) Shortage {
 	without := m.lateness(0, 0)
 	if without == 0 || m.maxUnits == 0 {
@@ -66,7 +68,7 @@
 		return shortage // some load is late even if ordered now
 	}
 	inTime, tooLate := 0.0, m.lastDeadline
-	for tooLate-inTime > orderPrecision {
+	for tooLate-inTime > orderPrecisionSeconds {
 		if delay := (inTime + tooLate) / 2; m.lateness(enough, delay) == 0 {
 			inTime = delay
 		} else {
@@ -77,18 +79,18 @@
 	return shortage
 }
 
-// shortageModel has the loads of batch windows, reduced so that they can be simulated a few
-// dozen times. A unit is a number of places that are simulated as one.
+// shortageModel holds the loads of batch windows in a reduced form that is cheap enough to
+// simulate a few dozen times. A unit is a number of places that are simulated as one.
 type shortageModel struct {
-	loads         []modelLoad // by deadline
+	loads         []modelLoad // sorted by deadline
 	free          placeHeap   // seconds from now until each unit is free, sorted
 	bootSeconds   float64
 	placesPerUnit int
-	maxUnits      int     // that may be added
+	maxUnits      int     // maximum number of additional units
 	lastDeadline  float64 // seconds from now
 }
 
-// modelLoad is a load with its batches in units.
+// modelLoad is a load whose batches are counted in units.
 type modelLoad struct {
 	deadline float64 // seconds from now
 	running  float64 // seconds until the last running task ends
@@ -115,8 +117,8 @@
 	return m
 }
 
-// usefulPlaces is how many places the loads can use at once: with them, all tasks that are not
-// blocked run at the same time.
+// usefulPlaces returns the number of places that the loads can use at once, when all tasks that
+// are not blocked run at the same time.
 func usefulPlaces(loads []Load) float64 {
 	places := 0.0
 	for i := range loads {
@@ -129,8 +131,8 @@
 	return places
 }
 
-// mergeSimilar merges batches whose tasks take the same number of places and about as long, and
-// converts them to units. Blocked batches are left out.
+// mergeSimilar merges batches whose tasks take the same number of places and similar run times.
+// It converts them to units and omits blocked batches.
 func (m *shortageModel) mergeSimilar(batches []Batch) []Batch {
 	type similarity struct{ width, duration int }
 	sums := map[similarity]*Batch{}
@@ -154,8 +156,8 @@
 	for _, key := range keys {
 		b := *sums[key]
 		if width := wholePlaces(b.PlacesPerTask); width > 1 && m.placesPerUnit > 1 {
-			// Tasks that take several places become tasks of one unit each, as many as
-			// their places together fill.
+			// Tasks that take several places become tasks of one unit each. Their
+			// number is that of the units that the places of all tasks fill.
 			b.Tasks, b.PlacesPerTask = int(math.Ceil(float64(b.Tasks)*width/float64(m.placesPerUnit))), 1
 		} else {
 			b.Tasks = (b.Tasks + m.placesPerUnit - 1) / m.placesPerUnit
@@ -165,8 +167,9 @@
 	return merged
 }
 
-// lateness is the sum of the seconds by which loads miss their deadlines, the risk margin
-// included, if a number of units more is ordered after a delay.
+// lateness returns the total seconds by which loads miss their deadlines, with the risk margin
+// added, if moreUnits additional units are ordered after a delay. It is infinite if a load with
+// tasks has no places.
 func (m *shortageModel) lateness(moreUnits int, delaySeconds float64) float64 {
 	places := make(placeHeap, 0, len(m.free)+moreUnits)
 	places = append(places, m.free...)
--- a/calendar/view.go
+++ b/calendar/view.go
@@ -1,3 +1,5 @@
+// The view of a region's record for operators, as JSON and as a printed table.
+
 package calendar
 
 import (
@@ -7,16 +9,16 @@
 	"time"
 )
 
-// View is a region's record as it is shown to operators.
+// View is a region's record as shown to operators.
 type View struct {
 	Record
 	Zone          string `json:"zone"`
 	NextOpeningMs int64  `json:"next_opening_ms"` // 0: none within openingHorizonDays
-	Stale         bool   `json:"stale"`           // a batch window is open, but no leader has updated the record lately
+	Stale         bool   `json:"stale"`           // a batch window is open and the record is older than staleAfter
 }
 
-// staleAfter is longer than the time between a leader's writes of the record of an open batch
-// window, even if they are slow.
+// staleAfter exceeds the interval at which a leader writes the record of an open batch window,
+// with an allowance for slow writes.
 const staleAfter = 3 * time.Minute
 
 // View returns the view of the region's record at a time.
@@ -30,8 +32,8 @@
 	return v
 }
 
-// Print writes views as a table: for each region the open batch windows, and at most maxPast
-// past outcomes.
+// Print writes views as a table. For each region it lists the open batch windows and at most
+// maxPast past outcomes, the most recent last. It returns the error of writing to out.
 func Print(out io.Writer, views []View, maxPast int) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	for i := range views {
@@ -108,7 +110,7 @@
 	return s
 }
 
-// countsText says how many jobs of the batch window are completed, and how many are lost.
+// countsText returns a text with the numbers of completed, total and lost jobs.
 func (w *OpenWindow) countsText() string {
 	qualifier := ""
 	if w.LowerBound {
--- a/calendar/window.go
+++ b/calendar/window.go
@@ -1,3 +1,5 @@
+// Lookup of batch windows from the openings, holidays and exceptions of regions.
+
 package calendar
 
 import (
@@ -8,11 +10,11 @@
 	"github.com/rickar/cal/v2"
 )
 
-// Calendar finds the batch windows of all regions. Lookups cache the holidays of the years that
-// they need, so a Calendar may be used by one goroutine at a time only.
+// Calendar finds the batch windows of all regions. Lookups fill a cache of holidays, so only one
+// goroutine at a time may use a Calendar.
 type Calendar struct{ Regions []*Region }
 
-// Region is a region of a calendar.
+// Region is a region of a calendar, with the opening hours of its office and its work.
 type Region struct {
 	Name string
 
@@ -20,27 +22,29 @@
 	weeklyOpenings map[time.Weekday]timeOfDay
 	exceptions     map[string]*timeOfDay // by date; nil: closed
 	holidays       []*cal.Holiday
-	holidayDates   map[string]bool // of the years in holidayYears
-	holidayYears   map[int]bool
+	holidayDates   map[string]bool // dates in the years of holidayYears
+	holidayYears   map[int]bool    // years whose holidays are loaded
 	evening        timeOfDay
 	margin         time.Duration
 	work           []Work
 }
 
 // Window is a batch window: the time before an opening in which jobs for that opening are
-// accepted. Date is the date of the opening in its region, and identifies the window.
+// accepted. Date is the local date of the opening and identifies the window within its region.
 type Window struct {
 	Date                     string
 	Start, Deadline, Opening time.Time
 }
 
-// isNone reports whether a window is the zero value, which stands for no window.
+// isNone reports whether a window is the zero value, which means "no window".
 func (w Window) isNone() bool { return w.Date == "" }
 
-// openingHorizonDays is within how many days the next and the previous opening are searched for.
+// openingHorizonDays is the number of days within which the next and the previous opening are
+// searched for.
 const openingHorizonDays = 62
 
-// New makes a calendar from settings that Check has accepted.
+// New returns a calendar for settings that Check has accepted. For other settings it returns an
+// error if a time or a time zone can't be parsed.
 func New(s *Settings) (*Calendar, error) {
 	c := &Calendar{}
 	for i := range s.Regions {
@@ -81,7 +85,7 @@
 	return r, nil
 }
 
-// Region finds a region by its name; nil if there is none.
+// Region returns the region with the given name, or nil if there is none.
 func (c *Calendar) Region(name string) *Region {
 	if i := slices.IndexFunc(c.Regions, func(r *Region) bool { return r.Name == name }); i >= 0 {
 		return c.Regions[i]
@@ -89,10 +93,9 @@
 	return nil
 }
 
-// WindowFor returns the batch window that a job belongs to, with its region; false if there
-// is none. If the work of several regions matches the job, the earliest deadline decides.
-// The result depends only on the arguments and the settings, so that every leader finds the
-// same.
+// WindowFor returns the batch window of a job and the window's region, or false if there is none.
+// If the work of several regions matches the job, the window with the earliest deadline wins. The
+// result depends only on the arguments and the settings, so every leader finds the same window.
 func (c *Calendar) WindowFor(acceptedAt time.Time, job JobAttributes) (*Region, Window, bool) {
 	var region *Region
 	var window Window
@@ -107,8 +110,8 @@
 	return region, window, region != nil
 }
 
-// WindowAt returns the batch window that a time is in; false if it is in none, as between a
-// deadline and the evening after its opening.
+// WindowAt returns the batch window that contains t, or false if there is none. For example, no
+// window contains the times between a deadline and the evening after the opening.
 func (r *Region) WindowAt(t time.Time) (Window, bool) {
 	date := r.localDate(t)
 	for range openingHorizonDays {
@@ -123,7 +126,8 @@
 	return Window{}, false
 }
 
-// WindowOn returns the batch window before the opening on a date; false if there is none.
+// WindowOn returns the batch window before the opening on a date such as "2027-01-31". The result
+// is false if there is no window or the date is malformed.
 func (r *Region) WindowOn(date string) (Window, bool) {
 	parsed, err := time.Parse(dateLayout, date)
 	if err != nil {
@@ -136,8 +140,8 @@
 	return r.windowBefore(parsed, opening)
 }
 
-// NextWindow returns the batch window of the next opening that has one; false if there is
-// none within the horizon.
+// NextWindow returns the batch window of the first opening after t that has one, or false if there
+// is none within openingHorizonDays.
 func (r *Region) NextWindow(t time.Time) (Window, bool) {
 	date := r.localDate(t)
 	for k := range openingHorizonDays {
@@ -148,9 +152,10 @@
 	return Window{}, false
 }
 
-// windowBefore returns the batch window of an opening on a date. It starts at the first evening
-// after the previous opening, such as Friday's for an opening on Monday, or openingHorizonDays
-// before if there is none. The result is false if the deadline would not be after the start.
+// windowBefore returns the batch window of an opening on a date. The window starts on the first
+// evening after the previous opening, for example on Friday evening for an opening on Monday. If
+// there is no previous opening, it starts openingHorizonDays earlier. The result is false if the
+// deadline is not after the start.
 func (r *Region) windowBefore(date time.Time, opening time.Time) (Window, bool) {
 	w := Window{Date: date.Format(dateLayout), Deadline: opening.Add(-r.margin), Opening: opening}
 	w.Start = r.localTime(date.AddDate(0, 0, -openingHorizonDays), r.evening)
@@ -168,7 +173,7 @@
 	return w, w.Start.Before(w.Deadline)
 }
 
-// opening returns when the office opens on a date; false if it is closed.
+// opening returns the time at which the office opens on a date, or false if it is closed.
 func (r *Region) opening(date time.Time) (time.Time, bool) {
 	name := date.Format(dateLayout)
 	if opening, ok := r.exceptions[name]; ok {
@@ -185,7 +190,7 @@
 	return r.localTime(date, opening), true
 }
 
-// loadHolidays computes the holidays of a year once.
+// loadHolidays adds the holidays of a year to holidayDates, once for each year.
 func (r *Region) loadHolidays(year int) {
 	if r.holidayYears[year] {
 		return
@@ -198,21 +203,21 @@
 	}
 }
 
-// localDate returns the date of a time in the region, as midnight UTC: calculations with dates
-// are made in UTC, where each day has 24 hours.
+// localDate returns the region's local date at t, as midnight UTC. Dates are calculated in UTC,
+// where each day has 24 hours.
 func (r *Region) localDate(t time.Time) time.Time {
 	y, m, d := t.In(r.location).Date()
 	return time.Date(y, m, d, 0, 0, 0, 0, time.UTC)
 }
 
-// offsetProbe is how far before and after a local time, taken as if it were UTC, the zone's
-// offsets are looked up. Offsets are up to 14 hours, so these are moments before and after the
+// offsetProbe is the distance before and after a local time, read as UTC, at which the zone's
+// offsets are looked up. Offsets are at most 14 hours, so the two probes lie before and after the
 // local time in any zone.
 const offsetProbe = 26 * time.Hour
 
-// localTime returns the moment of a local time in the region. A time that occurs twice because
-// of a change of the zone's offset is the first of both; one that is skipped is the moment of
-// the change.
+// localTime returns the instant of a local time in the region. If a change of the zone's offset
+// repeats the local time, the result is the first occurrence. If the change skips the local time,
+// the result is the instant of the change.
 func (r *Region) localTime(date time.Time, clock timeOfDay) time.Time {
 	wall := date.Add(time.Duration(clock))
 	var first, skipped time.Time
