--- a/calendar/encoding_test.go
+++ b/calendar/encoding_test.go
@@ -8,8 +8,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A region's record is stored for the next leader, and shown to operators as JSON: neither
-// encoding may change.
+// A region's record is stored for the next leader and shown to operators as JSON. A change of
+// either encoding would make stored records or operators' scripts unreadable.
 func TestRecordEncodingsAreStable(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
--- a/calendar/forecast_test.go
+++ b/calendar/forecast_test.go
@@ -15,20 +15,20 @@
 	loads := []Load{
 		{Deadline: afterT0(4000), Batches: []Batch{{8, 300, 1, false}}}, // 600 s alone
 		{Deadline: afterT0(2000), Batches: []Batch{{4, 500, 1, false}}}, // 500 s alone, served first
-		{Deadline: afterT0(4100), Batches: []Batch{{1, 200, 4, false}}}, // all places at once
+		{Deadline: afterT0(4100), Batches: []Batch{{1, 200, 4, false}}}, // one task that takes all four places
 	}
 	f := ForecastLoads(t0, loads, free)
 	if !f[1].Finish.Equal(afterT0(600)) || f[1].AtRisk {
-		t.Errorf("the first to open: %+v", f[1])
+		t.Errorf("earliest deadline: got %+v, want finish after 600 s without risk", f[1])
 	}
-	// Three places are free after 500 s and one after 600 s: eight tasks of 300 s.
+	// The eight tasks of 300 s start when three places are free after 500 s and one after 600 s.
 	if !f[0].Finish.Equal(afterT0(1200)) || !f[2].Finish.Equal(afterT0(1400)) {
-		t.Errorf("finished at %v and %v", f[0].Finish.Sub(t0), f[2].Finish.Sub(t0))
+		t.Errorf("got finish after %v and %v, want 20m0s and 23m20s", f[0].Finish.Sub(t0), f[2].Finish.Sub(t0))
 	}
-	// 4100 - 200 = 3900, and 3900 - 600 = 3300; the first has until 2000 - 500.
+	// 4100 - 200 = 3900, 3900 - 600 = 3300 and 2000 - 500 = 1500.
 	for i, want := range []float64{3300, 1500, 3900} {
 		if !f[i].LatestStart.Equal(afterT0(want)) {
-			t.Errorf("night %d must begin at %v, want %v", i, f[i].LatestStart.Sub(t0).Seconds(), want)
+			t.Errorf("load %d: latest start after %v s, want %v", i, f[i].LatestStart.Sub(t0).Seconds(), want)
 		}
 	}
 }
@@ -49,26 +49,26 @@
 		{Load{Deadline: afterT0(50), RunningSeconds: 90}, []float64{0}, true, "more work than its places can do in time"},
 	} {
 		if f := ForecastLoads(t0, []Load{tc.load}, tc.free)[0]; f.AtRisk != tc.risk || f.Reason != tc.why {
-			t.Errorf("%+v on %v: %+v", tc.load, tc.free, f)
+			t.Errorf("load %+v on places free after %v s: got %+v, want at risk %v: %q", tc.load, tc.free, f, tc.risk, tc.why)
 		}
 	}
 }
 
-// For random loads and places, the finish is not before the work's time on all places, and
-// not after that of one task after another.
+// Guards against forecasts outside the possible range, for random loads and places. The lower
+// bound is the work spread evenly over all places. The upper bound is one task after another.
 func TestRandomForecastsLieWithinBounds(t *testing.T) {
-	rnd := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for range 300 {
-		free := make([]float64, 1+rnd.IntN(30))
+		free := make([]float64, 1+random.IntN(30))
 		late := 0.0
 		for i := range free {
-			free[i] = rnd.Float64() * 100
+			free[i] = random.Float64() * 100
 			late = max(late, free[i])
 		}
 		var l Load
 		sum, longest := 0.0, 0.0
-		for range 1 + rnd.IntN(5) {
-			b := Batch{Tasks: 1 + rnd.IntN(400), Seconds: 1 + 50*rnd.Float64(), PlacesPerTask: float64(1 + rnd.IntN(3))}
+		for range 1 + random.IntN(5) {
+			b := Batch{Tasks: 1 + random.IntN(400), Seconds: 1 + 50*random.Float64(), PlacesPerTask: float64(1 + random.IntN(3))}
 			b.PlacesPerTask = min(b.PlacesPerTask, float64(len(free)))
 			l.Batches = append(l.Batches, b)
 			sum += float64(b.Tasks) * b.Seconds * b.PlacesPerTask
@@ -77,7 +77,7 @@
 		f := ForecastLoads(t0, []Load{l}, free)[0]
 		got := f.Finish.Sub(t0).Seconds()
 		if got < max(longest, sum/float64(len(free)))-0.1 || got > late+sum+0.1 {
-			t.Fatalf("%+v on %v: finished after %v of %v work", l, free, got, sum)
+			t.Fatalf("%+v on places free after %v s: got finish after %v s with %v s of work", l, free, got, sum)
 		}
 	}
 }
--- a/calendar/shortage_test.go
+++ b/calendar/shortage_test.go
@@ -15,9 +15,11 @@
 		by    float64 // seconds from now
 	}{
 		{"in time without more", []Load{{Deadline: afterT0(700), Batches: work}}, make([]float64, 10), 0, 0},
-		// Nine rounds of 60 s on the ten places with the risk margin, and five on others.
+		// With the risk margin there is time for nine rounds of 60 s on the ten places and for
+		// five rounds on additional ones.
 		{"one round less", []Load{{Deadline: afterT0(600), Batches: work}}, make([]float64, 10), 3, 163},
-		// After 100 s of boot there is time for one round, and one on the ten before it.
+		// There is time for one round after a boot of 100 s, and for two rounds on the ten
+		// places.
 		{"nearly too late", []Load{{Deadline: afterT0(180), Batches: work}}, make([]float64, 10), 80, 3},
 		{"no places", []Load{{Deadline: afterT0(1000), Batches: work}}, nil, 8, 1000/1.1 - 12.5*60 - 100},
 		{"too late, but less late with more", []Load{{Deadline: afterT0(60), Batches: work}}, make([]float64, 10), 70, 0},
@@ -25,30 +27,30 @@
 		{"all tasks blocked", []Load{{Deadline: afterT0(60), Batches: []Batch{{100, 60, 1, true}}}}, make([]float64, 10), 0, 0},
 		{"two windows", []Load{{Deadline: afterT0(600), Batches: work}, {Deadline: afterT0(300), Batches: work}}, make([]float64, 20), 10, 52},
 	} {
-		w := FindShortage(t0, tc.loads, tc.free, 100, 1000)
-		if by := w.OrderBy.Sub(t0).Seconds(); w.Places != tc.want || tc.want > 0 && (by < tc.by-6 || by > tc.by+6) {
-			t.Errorf("%s: %d places by %v s, want %d by %v", tc.name, w.Places, by, tc.want, tc.by)
+		shortage := FindShortage(t0, tc.loads, tc.free, 100, 1000)
+		if by := shortage.OrderBy.Sub(t0).Seconds(); shortage.Places != tc.want || tc.want > 0 && (by < tc.by-6 || by > tc.by+6) {
+			t.Errorf("%s: %d places by %v s, want %d by %v", tc.name, shortage.Places, by, tc.want, tc.by)
 		}
 	}
 }
 
-// For random loads: with the places that are asked for, ordered as late as allowed, the
-// deadlines are met, but for the inaccuracy of simulating several places as one; with half of
-// them they are not.
+// Guards against shortages that are too small or too large, for random loads. With the requested
+// places, ordered as late as allowed, the deadlines are met. With half of them they are missed.
+// The bounds leave room for the inaccuracy of simulating several places as one unit.
 func TestRandomShortagesAreSufficientAndNecessary(t *testing.T) {
-	rnd := rand.New(rand.NewPCG(3, 4))
-	wanted := 0
+	random := rand.New(rand.NewPCG(3, 4))
+	shortages := 0
 	for range 300 {
-		free := make([]float64, rnd.IntN(400))
+		free := make([]float64, random.IntN(400))
 		var loads []Load
-		for n := range 1 + rnd.IntN(3) {
+		for n := range 1 + random.IntN(3) {
 			l := Load{Deadline: afterT0(float64(2000 * (n + 1)))}
-			for range 1 + rnd.IntN(20) {
-				l.Batches = append(l.Batches, Batch{Tasks: 1 + rnd.IntN(300), Seconds: 20 + 200*rnd.Float64(), PlacesPerTask: 1})
+			for range 1 + random.IntN(20) {
+				l.Batches = append(l.Batches, Batch{Tasks: 1 + random.IntN(300), Seconds: 20 + 200*random.Float64(), PlacesPerTask: 1})
 			}
 			loads = append(loads, l)
 		}
-		w := FindShortage(t0, loads, free, 90, 5000)
+		shortage := FindShortage(t0, loads, free, 90, 5000)
 		slack := func(more int, when, risk float64) float64 {
 			with := append(make([]float64, 0, len(free)+more), free...)
 			for range more {
@@ -63,33 +65,33 @@
 			}
 			return least
 		}
-		if w.Places == 0 {
+		if shortage.Places == 0 {
 			if s := slack(0, 0, 0); s < -100 {
-				t.Errorf("nothing is wanted, and a night is late by %v s", -s)
+				t.Errorf("got no shortage, but a window is late by %v s", -s)
 			}
 			continue
 		}
-		wanted++
-		if s := slack(w.Places, w.OrderBy.Sub(t0).Seconds()+90, 0); s < 0 {
-			t.Errorf("%d places by %v: late by %v s", w.Places, w.OrderBy.Sub(t0), -s)
+		shortages++
+		if s := slack(shortage.Places, shortage.OrderBy.Sub(t0).Seconds()+90, 0); s < 0 {
+			t.Errorf("with %d places ordered after %v: late by %v s", shortage.Places, shortage.OrderBy.Sub(t0), -s)
 		}
-		if s := slack(w.Places/2, w.OrderBy.Sub(t0).Seconds()+90, riskMargin); s > 0 && w.Places > 20 {
-			t.Errorf("%d places by %v: half of them would do, with %v s to spare", w.Places, w.OrderBy.Sub(t0), s)
+		if s := slack(shortage.Places/2, shortage.OrderBy.Sub(t0).Seconds()+90, riskMargin); s > 0 && shortage.Places > 20 {
+			t.Errorf("with %d places ordered after %v: half of them suffice with %v s to spare", shortage.Places, shortage.OrderBy.Sub(t0), s)
 		}
 	}
-	if wanted < 50 {
-		t.Errorf("only %d cases", wanted)
+	if shortages < 50 {
+		t.Errorf("got only %d cases with a shortage, want at least 50", shortages)
 	}
 }
 
-// BenchmarkFindShortage is a large cluster whose deadlines are at risk.
+// BenchmarkFindShortage measures a large cluster whose deadlines are at risk.
 func BenchmarkFindShortage(b *testing.B) {
-	rnd := rand.New(rand.NewPCG(5, 6))
+	random := rand.New(rand.NewPCG(5, 6))
 	var loads []Load
 	for n := range 3 {
 		l := Load{Deadline: afterT0(float64(1000 * (n + 1)))}
 		for range 700 {
-			l.Batches = append(l.Batches, Batch{Tasks: 20, Seconds: 20 + 600*rnd.Float64(), PlacesPerTask: 1})
+			l.Batches = append(l.Batches, Batch{Tasks: 20, Seconds: 20 + 600*random.Float64(), PlacesPerTask: 1})
 		}
 		loads = append(loads, l)
 	}
--- a/calendar/view_test.go
+++ b/calendar/view_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// A record that no leader updates is marked as stale, counts that are lower bounds say so,
-// and the reason of a risk is named.
+// Guards against output that misleads operators. An outdated record must be marked as stale,
+// counts that are lower bounds must be marked, and the reason of a risk must be shown.
 func TestPrintMarksStaleAndIncompleteRecords(t *testing.T) {
 	r := newTestRegion(t, "", "")
-	n := windowAtT0(t, r)
-	b := NewSchedule("brussels", Record{}, 5, 0)
-	b.ObserveOpenJobs(jobsIn(n, "a", "b"))
-	b.RecordCompletion("a", n, afterT0(hour))
-	b.RecordForecast(n.Date, Forecast{AtRisk: true, Reason: "no machine can take it"}, "machines lost", 0, afterT0(hour))
-	b = NewSchedule("brussels", b.Record(afterT0(hour), 4000), 6, 0)
-	rec := b.Record(afterT0(hour), 4000)
-	shown := func(rec Record, at float64) string {
+	window := windowAtT0(t, r)
+	schedule := NewSchedule("brussels", Record{}, 5, 0)
+	schedule.ObserveOpenJobs(jobsIn(window, "a", "b"))
+	schedule.RecordCompletion("a", window, afterT0(hour))
+	schedule.RecordForecast(window.Date, Forecast{AtRisk: true, Reason: "no machine can take it"}, "machines lost", 0, afterT0(hour))
+	schedule = NewSchedule("brussels", schedule.Record(afterT0(hour), 4000), 6, 0)
+	record := schedule.Record(afterT0(hour), 4000)
+	shown := func(record Record, at float64) string {
 		var out strings.Builder
-		if err := Print(&out, []View{r.View(rec, afterT0(at))}, 3); err != nil {
+		if err := Print(&out, []View{r.View(record, afterT0(at))}, 3); err != nil {
 			t.Fatal(err)
 		}
 		return out.String()
@@ -28,19 +28,19 @@
 		t.Helper()
 		for _, w := range want {
 			if !strings.Contains(text, w) {
-				t.Errorf("no %q in\n%s", w, text)
+				t.Errorf("missing %q in\n%s", w, text)
 			}
 		}
 	}
-	fresh := shown(rec, hour+60)
+	fresh := shown(record, hour+60)
 	has(fresh, "opens Wed 13 Jan 08:00 CET", "promised for Wed 13 Jan 07:30 CET", "at least 1 of 2 jobs done", "AT RISK: no machine can take it", "machines lost: finish never")
 	if strings.Contains(fresh, "STALE") {
-		t.Errorf("called stale after a minute:\n%s", fresh)
+		t.Errorf("marked as stale after one minute:\n%s", fresh)
 	}
-	has(shown(rec, hour+staleAfter.Seconds()+1), "STALE: as of 2027-01-13T00:00:00+01:00")
-	b.ResolveJob("b", EndCompleted, n, n.Deadline.Add(90*time.Second))
-	if out := b.CloseDue(n.Opening); len(out) != 1 {
+	has(shown(record, hour+staleAfter.Seconds()+1), "STALE: as of 2027-01-13T00:00:00+01:00")
+	schedule.ResolveJob("b", EndCompleted, window, window.Deadline.Add(90*time.Second))
+	if out := schedule.CloseDue(window.Opening); len(out) != 1 {
 		t.Fatalf("%+v", out)
 	}
-	has(shown(b.Record(n.Opening, 4000), 24*hour), "nothing is waited for", "2027-01-13 late, at least 2 of 2 done, 1m30s late")
+	has(shown(schedule.Record(window.Opening, 4000), 24*hour), "nothing is waited for", "2027-01-13 late, at least 2 of 2 done, 1m30s late")
 }
--- a/calendar/window_test.go
+++ b/calendar/window_test.go
@@ -67,37 +67,37 @@
 		{"brussels", "2027-01-12T18:00:00+01:00", "2027-01-13", "2027-01-12T18:00:00+01:00", "2027-01-13T07:30:00+01:00"},
 		{"brussels", "2027-01-12T17:59:59+01:00", "", "", ""}, // before the evening
 		{"brussels", "2027-01-13T07:30:00+01:00", "", "", ""}, // at the deadline
-		// From Friday's evening to Monday.
+		// From Friday evening to Monday.
 		{"brussels", "2027-01-16T12:00:00+01:00", "2027-01-18", "2027-01-15T18:00:00+01:00", "2027-01-18T07:30:00+01:00"},
-		// New Year's Day is a Friday, and then comes a weekend.
+		// New Year's Day is a Friday, followed by a weekend.
 		{"brussels", "2027-01-01T09:00:00+01:00", "2027-01-04", "2026-12-31T18:00:00+01:00", "2027-01-04T07:30:00+01:00"},
-		// Ascension Day is a holiday, the Friday after it an exception.
+		// Ascension Day is a holiday. The Friday of the next week is an exception.
 		{"brussels", "2027-05-06T09:00:00+02:00", "2027-05-07", "2027-05-05T18:00:00+02:00", "2027-05-07T07:30:00+02:00"},
 		{"brussels", "2027-05-14T09:00:00+02:00", "2027-05-18", "2027-05-13T18:00:00+02:00", "2027-05-18T07:30:00+02:00"},
-		// Daylight saving begins in this window: 02:30 is skipped, so that the opening is when it begins.
+		// Daylight saving time begins in this window and skips 02:30, so the office opens at the change.
 		{"brussels", "2027-03-27T20:00:00+01:00", "2027-03-28", "2027-03-26T18:00:00+01:00", "2027-03-28T02:30:00+02:00"},
-		// It ends in this one: the first 02:30 counts.
+		// Daylight saving time ends in this window and repeats 02:30. The first one counts.
 		{"brussels", "2027-10-30T20:00:00+02:00", "2027-10-31", "2027-10-29T18:00:00+02:00", "2027-10-31T02:00:00+02:00"},
 		// Easter Monday is a holiday.
 		{"brussels", "2027-03-28T20:00:00+02:00", "2027-03-30", "2027-03-28T18:00:00+02:00", "2027-03-30T07:30:00+02:00"},
-		// Just after midnight; there is no daylight saving.
+		// The opening is just after midnight, in a zone without daylight saving time.
 		{"tunis", "2027-03-28T23:59:00+01:00", "2027-03-29", "2027-03-24T20:00:00+01:00", "2027-03-29T00:05:00+01:00"},
 		{"tunis", "2027-03-29T19:59:00+01:00", "", "", ""},
 		{"tunis", "2027-03-30T00:04:59+01:00", "2027-03-30", "2027-03-29T20:00:00+01:00", "2027-03-30T00:05:00+01:00"},
 	} {
 		at := parseTime(t, tc.at)
-		n, ok := c.Region(tc.region).WindowAt(at)
+		window, ok := c.Region(tc.region).WindowAt(at)
 		if !ok {
-			n = Window{}
+			window = Window{}
 		}
-		if n.Date != tc.date || tc.date != "" && (!n.Start.Equal(parseTime(t, tc.from)) || !n.Deadline.Equal(parseTime(t, tc.promise))) {
-			t.Errorf("%s at %s: %+v, want %s from %s until %s", tc.region, tc.at, n, tc.date, tc.from, tc.promise)
+		if window.Date != tc.date || tc.date != "" && (!window.Start.Equal(parseTime(t, tc.from)) || !window.Deadline.Equal(parseTime(t, tc.promise))) {
+			t.Errorf("%s at %s: got %+v, want window %s from %s until %s", tc.region, tc.at, window, tc.date, tc.from, tc.promise)
 		}
 	}
 }
 
-// At any hour, a window is found by its date as well, all times within a window find the same
-// one, and openings follow one another.
+// Guards against gaps and overlaps between windows. At every hour of two years, lookups by time,
+// by date and of the next window must agree, and openings must not go back in time.
 func TestEveryHourBelongsToOneWindowAtMost(t *testing.T) {
 	c := newTestCalendar(t, offices)
 	for _, r := range c.Regions {
@@ -105,15 +105,15 @@
 		for at := parseTime(t, "2026-12-01T00:10:00Z"); at.Year() < 2029; at = at.Add(time.Hour) {
 			next, ok := r.NextWindow(at)
 			if !ok || !next.Opening.After(at) || next.Opening.Before(last) {
-				t.Fatalf("%s: after %v opens %+v, %v", r.Name, at, next, ok)
+				t.Fatalf("%s: next window after %v: got %+v, %v", r.Name, at, next, ok)
 			}
 			last = next.Opening
-			n, ok := r.WindowAt(at)
-			if ok != (!at.Before(next.Start) && at.Before(next.Deadline)) || ok && n != next {
-				t.Fatalf("%s: %v belongs to %+v (%v), the next is %+v", r.Name, at, n, ok, next)
+			window, ok := r.WindowAt(at)
+			if ok != (!at.Before(next.Start) && at.Before(next.Deadline)) || ok && window != next {
+				t.Fatalf("%s: window at %v: got %+v, %v with next window %+v", r.Name, at, window, ok, next)
 			}
 			if on, ok := r.WindowOn(next.Date); !ok || on != next {
-				t.Fatalf("%s: %s is %+v, and was %+v", r.Name, next.Date, on, next)
+				t.Fatalf("%s: window on %s: got %+v, want %+v", r.Name, next.Date, on, next)
 			}
 		}
 	}
@@ -130,7 +130,7 @@
 	} {
 		r, _, ok := c.WindowFor(parseTime(t, "2027-01-12T21:00:00Z"), JobAttributes{tc.class, tc.team, tc.zone, tc.image})
 		if ok != (tc.want != "") || ok && r.Name != tc.want {
-			t.Errorf("%+v: %v, %v", tc, r, ok)
+			t.Errorf("%+v: got %v, %v", tc, r, ok)
 		}
 	}
 }
@@ -159,11 +159,11 @@
 		{`work = [ { team = "sfax" }, { class = "tiles", zone = "b" } ]`, ``, "calendar.regions[1].work: nothing belongs"},
 	} {
 		if !strings.Contains(offices, tc.old) {
-			t.Fatalf("%s is not there", tc.old)
+			t.Fatalf("settings don't contain %s", tc.old)
 		}
 		errs := parseSettings(t, strings.ReplaceAll(offices, tc.old, tc.new)).Check([]string{"a", "b"}, []string{"core", "sfax"})
 		if len(errs) == 0 || !strings.Contains(fmt.Sprint(errs), tc.want) {
-			t.Errorf("%s: %v, want %s", tc.new, errs, tc.want)
+			t.Errorf("with %s: got errors %v, want %s", tc.new, errs, tc.want)
 		}
 	}
 }
