--- a/warmpool/accounting.go
+++ b/warmpool/accounting.go
@@ -72,11 +72,11 @@
 	s.AtMs = nowMs
 }
 
-// spanStart is when a member's open span began.
-func (s *Shard) spanStart(m *Member) int64 { return max(s.AtMs, m.SinceMs) }
+// spanStartMs is when a member's open span began.
+func (s *Shard) spanStartMs(m *Member) int64 { return max(s.AtMs, m.SinceMs) }
 
 func (s *Shard) settleMember(m *Member, nowMs int64, payer string) {
-	from := s.spanStart(m)
+	from := s.spanStartMs(m)
 	if m.Cost == (Charge{}) {
 		from = m.SinceMs // its first span may begin before the shard's last ended
 	}
--- a/warmpool/check.go
+++ b/warmpool/check.go
@@ -33,44 +33,44 @@
 	errs         []error
 }
 
-func (c *checker) bad(field, format string, args ...any) {
+func (c *checker) fail(field, format string, args ...any) {
 	c.errs = append(c.errs, fmt.Errorf("pools[%d].%s: %s", c.index, field, fmt.Sprintf(format, args...)))
 }
 
 func (c *checker) checkIdentity(p *Pool) {
 	if !plainName(p.Name) {
-		c.bad("name", "%q is not 1 to %d letters, digits, '-' or '_'", p.Name, maxNameLength)
+		c.fail("name", "%q is not 1 to %d letters, digits, '-' or '_'", p.Name, maxNameLength)
 	} else if k, ok := c.names[p.Name]; ok {
-		c.bad("name", "%q is the name of pools[%d] too", p.Name, k)
+		c.fail("name", "%q is the name of pools[%d] too", p.Name, k)
 	} else {
 		c.names[p.Name] = c.index
 	}
 	if p.Model == "" || len(p.Model) > maxImageLength {
-		c.bad("model", "is not an image of 1 to %d characters", maxImageLength)
+		c.fail("model", "is not an image of 1 to %d characters", maxImageLength)
 	} else if k, ok := c.models[repository(p.Model)]; ok {
 		// Which of them a replica counts for could not be said.
-		c.bad("model", "%q is the model of pools[%d] too", p.Model, k)
+		c.fail("model", "%q is the model of pools[%d] too", p.Model, k)
 	} else {
 		c.models[repository(p.Model)] = c.index
 	}
 	if !positive(p.WeightsGB) {
-		c.bad("gb", "must be above 0")
+		c.fail("gb", "must be above 0")
 	}
 }
 
 func (c *checker) checkPlacement(p *Pool) {
 	if len(p.Types) == 0 {
-		c.bad("types", "no machine type is named")
+		c.fail("types", "no machine type is named")
 	}
 	if len(p.Zones) == 0 {
-		c.bad("zones", "no zone is named")
+		c.fail("zones", "no zone is named")
 	}
 	for k, z := range p.Zones {
 		if len(c.zones) > 0 && !slices.Contains(c.zones, z) {
-			c.bad(fmt.Sprintf("zones[%d]", k), "there is no zone %q", z)
+			c.fail(fmt.Sprintf("zones[%d]", k), "there is no zone %q", z)
 		}
 		if slices.Contains(p.Zones[:k], z) {
-			c.bad(fmt.Sprintf("zones[%d]", k), "%q is named twice", z)
+			c.fail(fmt.Sprintf("zones[%d]", k), "%q is named twice", z)
 		}
 	}
 }
@@ -78,30 +78,30 @@
 func (c *checker) checkSize(p *Pool) {
 	switch {
 	case p.MinMachines < 0:
-		c.bad("least", "must not be below 0")
+		c.fail("least", "must not be below 0")
 	case p.MinMachines > p.MaxMachines:
-		c.bad("least", "%d is above most, %d", p.MinMachines, p.MaxMachines)
+		c.fail("least", "%d is above most, %d", p.MinMachines, p.MaxMachines)
 	}
 	if p.MaxMachines < 1 || p.MaxMachines > maxPoolSize {
-		c.bad("most", "must be from 1 to %d", maxPoolSize)
+		c.fail("most", "must be from 1 to %d", maxPoolSize)
 	}
 }
 
 func (c *checker) checkLimits(p *Pool) {
 	if p.Burst.Replicas < 1 {
-		c.bad("burst.replicas", "must be above 0")
+		c.fail("burst.replicas", "must be above 0")
 	}
 	if !positive(p.Burst.WithinS) || p.Burst.WithinS > 3600 {
-		c.bad("burst.within_s", "must be above 0 and at most 3600")
+		c.fail("burst.within_s", "must be above 0 and at most 3600")
 	}
 	if math.IsNaN(p.WarmShare) || p.WarmShare < 0 || p.WarmShare >= 1 {
-		c.bad("warm", "must be a share below 1")
+		c.fail("warm", "must be a share below 1")
 	}
 	if !positive(p.MaxHourlyCost) {
-		c.bad("cost_an_hour", "must be above 0")
+		c.fail("cost_an_hour", "must be above 0")
 	}
 	if p.ConcurrentFetches < 0 || p.ConcurrentFetches > maxPoolSize {
-		c.bad("fetch_at_once", "must be from 0 to %d", maxPoolSize)
+		c.fail("fetch_at_once", "must be from 0 to %d", maxPoolSize)
 	}
 }
 
@@ -111,19 +111,19 @@
 		field := fmt.Sprintf("borrowers[%d]", k)
 		c.checkTeam(field, t)
 		if t != "" && t == p.Payer {
-			c.bad(field, "%q pays, and does not borrow", t)
+			c.fail(field, "%q pays, and does not borrow", t)
 		}
 		if slices.Contains(p.Borrowers[:k], t) {
-			c.bad(field, "%q is named twice", t)
+			c.fail(field, "%q is named twice", t)
 		}
 	}
 }
 
 func (c *checker) checkTeam(field, team string) {
 	if team == "" {
-		c.bad(field, "no team is named")
+		c.fail(field, "no team is named")
 	} else if len(c.teams) > 0 && !slices.Contains(c.teams, team) {
-		c.bad(field, "there is no team %q", team)
+		c.fail(field, "there is no team %q", team)
 	}
 }
 
--- a/warmpool/pool_test.go
+++ b/warmpool/pool_test.go
@@ -11,13 +11,13 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-func llm() Pool {
+func newTestPool() Pool {
 	return Pool{Name: "llm", Model: "llm-70b:v1", WeightsGB: 80, Types: []string{"g8"}, Zones: []string{"a", "b"}, MinMachines: 1, MaxMachines: 64,
 		Burst: Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1000, Payer: "speech", Borrowers: []string{"vision"}}
 }
 
 func TestInvalidFieldsAreNamedWithTheirPath(t *testing.T) {
-	good := llm()
+	good := newTestPool()
 	if errs := Check([]Pool{good}, []string{"a", "b"}, []string{"speech", "vision"}); len(errs) > 0 {
 		t.Fatalf("a good pool is refused: %v", errs)
 	}
@@ -34,7 +34,7 @@
 		{"pools[1].cost_an_hour: must be above 0", func(p *Pool) { p.MaxHourlyCost = 0 }},
 		{"pools[1].burst.within_s: must be above 0 and at most 3600", func(p *Pool) { p.Burst.WithinS = 0 }},
 	} {
-		p := llm()
+		p := newTestPool()
 		p.Name, p.Model = "other", "asr"
 		c.bad(&p)
 		errs := Check([]Pool{good, p}, []string{"a", "b"}, []string{"speech", "vision"})
@@ -48,7 +48,7 @@
 var monday = time.Date(2026, 11, 30, 0, 0, 0, 0, time.UTC)
 
 // weeks plays weeks of a model that wants n replicas at 9 on weekdays.
-func weeks(w *WeeklyDemand, from time.Time, count, n int) time.Time {
+func observeWeeks(w *WeeklyDemand, from time.Time, count, n int) time.Time {
 	at := from
 	for ; at.Before(from.AddDate(0, 0, 7*count)); at = at.Add(20 * time.Minute) {
 		want := 0
@@ -61,8 +61,8 @@
 }
 
 func TestScheduledPoolIsReadyBeforeTheHourAndGoneAfterIt(t *testing.T) {
-	p, w := llm(), &WeeklyDemand{}
-	at := weeks(w, monday, 2, 40)
+	p, w := newTestPool(), &WeeklyDemand{}
+	at := observeWeeks(w, monday, 2, 40)
 	lead := p.LeadTime(40, time.Minute, 1)
 	if lead < 5*time.Minute || lead > time.Hour {
 		t.Fatalf("lead %v", lead)
@@ -83,7 +83,7 @@
 		t.Errorf("%d machines where 12 are paid for", got)
 	}
 	// A month without bursts, and the model is forgotten.
-	at = weeks(w, at, 9, 0)
+	at = observeWeeks(w, at, 9, 0)
 	if got := p.TargetSize(w, at.Add(9*time.Hour), lead, 1, 1); got != 1 {
 		t.Errorf("%d machines long after the last burst", got)
 	}
@@ -106,7 +106,7 @@
 	}
 	for h := range hoursPerWeek {
 		x := at.Add(time.Duration(h) * time.Hour)
-		if a, b := w.Quantile(x, 0, 0.9), back.Quantile(x, 0, 0.9); a != b && hourOf(x) != w.hour {
+		if a, b := w.Quantile(x, 0, 0.9), back.Quantile(x, 0, 0.9); a != b && hoursSinceEpoch(x) != w.currentHour {
 			t.Fatalf("hour %d: %d became %d", h, a, b)
 		}
 	}
@@ -198,7 +198,7 @@
 }
 
 func TestPoolScalesOutOverZonesFromItsMembers(t *testing.T) {
-	p := llm()
+	p := newTestPool()
 	free := fleet(6, func(i int, s *Observation) {
 		s.Zone = "a"
 		s.Busy = i < 4
@@ -212,7 +212,7 @@
 }
 
 func TestPoolScalesInIdleMachines(t *testing.T) {
-	p := llm()
+	p := newTestPool()
 	own := fleet(6, func(i int, s *Observation) { s.Busy, s.Warm = i < 2, i != 4 })
 	if c := p.PlanScaling(own, nil, 3, 64); !slices.Equal(c.Release, []string{"m04", "m03", "m02"}) || c.Evict != nil {
 		t.Errorf("%+v", c)
@@ -232,7 +232,7 @@
 }
 
 func TestImageFetchesAreStaggered(t *testing.T) {
-	p := llm()
+	p := newTestPool()
 	own := fleet(40, func(i int, s *Observation) { s.Fetching = i < 3 })
 	if got := p.NextFetches(own); len(got) != 5 {
 		t.Errorf("%d more fetch beside three, at most %d at once", len(got), p.MaxConcurrentFetches())
@@ -240,7 +240,7 @@
 }
 
 func TestPoolAccess(t *testing.T) {
-	p := llm()
+	p := newTestPool()
 	replicas := Workload{Image: "llm-70b:v2", Team: "speech", Priority: 1, ModelPriority: 1}
 	for _, c := range []struct {
 		name string
--- a/warmpool/scaling.go
+++ b/warmpool/scaling.go
@@ -50,14 +50,14 @@
 // PlanScaling compares a pool's machines with its target size. affordable is how many
 // it can pay for; what is beyond that leaves at once, whatever runs there.
 func (p *Pool) PlanScaling(own, free []Observation, target, affordable int) ScalingPlan {
-	s := scaling{pool: p, own: slices.Clone(own), free: slices.Clone(free), byZone: map[string]int{}}
+	s := scaling{pool: p, own: slices.Clone(own), free: slices.Clone(free), heldByZone: map[string]int{}}
 	for i := range own {
 		if own[i].available() {
-			s.byZone[own[i].Zone]++
-			s.size++
+			s.heldByZone[own[i].Zone]++
+			s.held++
 		}
 	}
-	if s.size > target {
+	if s.held > target {
 		s.release(target)
 		s.evict(affordable)
 		return s.plan
@@ -71,26 +71,26 @@
 // scaling is a scaling plan being made. Each step marks what it has decided in own and
 // free, so that the next one does not choose the same machine.
 type scaling struct {
-	pool      *Pool
-	own, free []Observation
-	byZone    map[string]int // machines held
-	size      int            // machines held, in all zones
-	plan      ScalingPlan
+	pool       *Pool
+	own, free  []Observation
+	heldByZone map[string]int // machines held
+	held       int            // machines held, in all zones
+	plan       ScalingPlan
 }
 
 // remove takes a machine of the pool out of what is held.
 func (s *scaling) remove(o *Observation) {
 	o.Leaving = true
-	s.byZone[o.Zone]--
-	s.size--
+	s.heldByZone[o.Zone]--
+	s.held--
 }
 
 // release lets idle machines go: the zone that has most gives first, then what has no
 // weights.
 func (s *scaling) release(target int) {
-	for s.size > target {
+	for s.held > target {
 		i := s.pool.cheapest(s.own, func(o *Observation) bool { return o.available() && !o.Busy },
-			func(o *Observation) int { return -10*s.byZone[o.Zone] + o.readyScore() })
+			func(o *Observation) int { return -10*s.heldByZone[o.Zone] + o.readyScore() })
 		if i < 0 {
 			return
 		}
@@ -101,9 +101,9 @@
 
 // evict takes machines that the pool can't pay for out of it.
 func (s *scaling) evict(affordable int) {
-	for s.size > affordable {
+	for s.held > affordable {
 		i := s.pool.cheapest(s.own, (*Observation).available,
-			func(o *Observation) int { return -10*s.byZone[o.Zone] + o.servingScore() })
+			func(o *Observation) int { return -10*s.heldByZone[o.Zone] + o.servingScore() })
 		if i < 0 {
 			return
 		}
@@ -114,15 +114,15 @@
 
 // retain keeps machines that had been let go and are still there.
 func (s *scaling) retain(target int) {
-	for s.size < target {
+	for s.held < target {
 		i := s.pool.cheapest(s.own, func(o *Observation) bool { return o.Leaving && o.Ready },
-			func(o *Observation) int { return 10*s.byZone[o.Zone] - o.readyScore() })
+			func(o *Observation) int { return 10*s.heldByZone[o.Zone] - o.readyScore() })
 		if i < 0 {
 			return
 		}
 		s.own[i].Leaving = false
-		s.byZone[s.own[i].Zone]++
-		s.size++
+		s.heldByZone[s.own[i].Zone]++
+		s.held++
 		s.plan.Retain = append(s.plan.Retain, s.own[i].Machine)
 	}
 }
@@ -130,15 +130,15 @@
 // join takes free machines in. Where replicas run anyhow, the weights are there already;
 // else an empty machine is filled. One that boots may be for work that waits.
 func (s *scaling) join(target int) {
-	for s.size < target {
+	for s.held < target {
 		i := s.pool.cheapest(s.free, func(o *Observation) bool { return o.Ready && !o.Leaving && (!o.Busy || o.Serving && o.Warm) },
-			func(o *Observation) int { return 10*s.byZone[o.Zone] - 1000*o.warmScore() })
+			func(o *Observation) int { return 10*s.heldByZone[o.Zone] - 1000*o.warmScore() })
 		if i < 0 {
 			return
 		}
 		s.free[i].Leaving = true // taken
-		s.byZone[s.free[i].Zone]++
-		s.size++
+		s.heldByZone[s.free[i].Zone]++
+		s.held++
 		s.plan.Join = append(s.plan.Join, s.free[i].Machine)
 	}
 }
@@ -149,17 +149,17 @@
 	coming := 0
 	for i := range s.free {
 		if s.free[i].Booting && !s.free[i].Leaving {
-			s.byZone[s.free[i].Zone]++
+			s.heldByZone[s.free[i].Zone]++
 			coming++
 		}
 	}
-	for k := s.size + coming; k < target && len(s.pool.Zones) > 0; k++ {
-		z := slices.MinFunc(s.pool.Zones, func(a, b string) int { return cmp.Compare(s.byZone[a], s.byZone[b]) })
+	for k := s.held + coming; k < target && len(s.pool.Zones) > 0; k++ {
+		z := slices.MinFunc(s.pool.Zones, func(a, b string) int { return cmp.Compare(s.heldByZone[a], s.heldByZone[b]) })
 		if s.plan.ScaleOut == nil {
 			s.plan.ScaleOut = map[string]int{}
 		}
 		s.plan.ScaleOut[z]++
-		s.byZone[z]++
+		s.heldByZone[z]++
 	}
 }
 
--- a/warmpool/weekly_demand.go
+++ b/warmpool/weekly_demand.go
@@ -24,9 +24,9 @@
 // WeeklyDemand is what a model's peaks have been, by hour of the week: for each hour a
 // sketch of how many replicas were wanted at once. It is bounded whatever comes.
 type WeeklyDemand struct {
-	hours [hoursPerWeek]*ddsketch.DDSketch
-	hour  int64 // hours since 1970 of the hour that is not over, 0: none
-	peak  int   // of it, so far
+	sketches    [hoursPerWeek]*ddsketch.DDSketch
+	currentHour int64 // hours since 1970 of the hour that is not over, 0: none
+	currentPeak int   // of it, so far
 }
 
 func newSketch() *ddsketch.DDSketch {
@@ -43,47 +43,47 @@
 	return (int(t.Weekday())+6)%7*24 + t.Hour()
 }
 
-func hourOf(t time.Time) int64 { return t.Unix() / 3600 }
+func hoursSinceEpoch(t time.Time) int64 { return t.Unix() / 3600 }
 
 // Observe takes in how many replicas are wanted now. It returns the days of the week,
 // Monday being 0, whose records have changed: those of hours that are over.
 func (w *WeeklyDemand) Observe(n int, now time.Time) (changed []int) {
-	h := hourOf(now)
-	if w.hour == 0 || h < w.hour { // the first, or a clock that is behind
-		if w.hour == 0 {
-			w.hour, w.peak = h, n
+	h := hoursSinceEpoch(now)
+	if w.currentHour == 0 || h < w.currentHour { // the first, or a clock that is behind
+		if w.currentHour == 0 {
+			w.currentHour, w.currentPeak = h, n
 		}
-		w.peak = max(w.peak, n)
+		w.currentPeak = max(w.currentPeak, n)
 		return nil
 	}
 	// Hours in which nobody led are unknown, not empty: only the one that was
 	// watched is taken down.
-	if h > w.hour {
-		slot := HourOfWeek(time.Unix(w.hour*3600, 0))
-		w.addPeak(slot, w.peak)
+	if h > w.currentHour {
+		slot := HourOfWeek(time.Unix(w.currentHour*3600, 0))
+		w.addPeak(slot, w.currentPeak)
 		changed = append(changed, slot/24)
-		w.hour, w.peak = h, 0
+		w.currentHour, w.currentPeak = h, 0
 	}
-	w.peak = max(w.peak, n)
+	w.currentPeak = max(w.currentPeak, n)
 	return changed
 }
 
 // Current is the hour that is not over, in hours since 1970, and its peak so far.
-func (w *WeeklyDemand) Current() (hour int64, peak int) { return w.hour, w.peak }
+func (w *WeeklyDemand) Current() (hour int64, peak int) { return w.currentHour, w.currentPeak }
 
 // Resume takes in what an earlier leader saw of an hour. Whether it is over is
 // found with the next Want.
 func (w *WeeklyDemand) Resume(hour int64, peak int) {
-	if hour > w.hour {
-		w.hour, w.peak = hour, peak
-	} else if hour == w.hour {
-		w.peak = max(w.peak, peak)
+	if hour > w.currentHour {
+		w.currentHour, w.currentPeak = hour, peak
+	} else if hour == w.currentHour {
+		w.currentPeak = max(w.currentPeak, peak)
 	}
 }
 
 func (w *WeeklyDemand) addPeak(slot, peak int) {
 	s := newSketch()
-	if old := w.hours[slot]; old != nil {
+	if old := w.sketches[slot]; old != nil {
 		old.ForEach(func(v, count float64) bool {
 			if count *= weeklyDecay; count >= minWeight {
 				_ = s.AddWithCount(v, count) // fails for values that no peak has
@@ -92,19 +92,19 @@
 		})
 	}
 	_ = s.Add(float64(peak))
-	w.hours[slot] = s
+	w.sketches[slot] = s
 }
 
 // Quantile is the most that a share q of the peaks has needed in any of the hours
 // from now until lead is over; what this hour has already needed counts too.
 func (w *WeeklyDemand) Quantile(now time.Time, lead time.Duration, q float64) int {
 	most := 0
-	if hourOf(now) == w.hour {
-		most = w.peak
+	if hoursSinceEpoch(now) == w.currentHour {
+		most = w.currentPeak
 	}
 	// This hour may yet bring what it brings every week.
-	for h := hourOf(now); h <= hourOf(now.Add(lead)); h++ {
-		s := w.hours[HourOfWeek(time.Unix(h*3600, 0))]
+	for h := hoursSinceEpoch(now); h <= hoursSinceEpoch(now.Add(lead)); h++ {
+		s := w.sketches[HourOfWeek(time.Unix(h*3600, 0))]
 		if s == nil || s.IsEmpty() {
 			continue
 		}
@@ -120,7 +120,7 @@
 func (w *WeeklyDemand) EncodeDay(day int) []string {
 	out := make([]string, 24)
 	for i := range out {
-		if s := w.hours[day*24+i]; s != nil && !s.IsEmpty() {
+		if s := w.sketches[day*24+i]; s != nil && !s.IsEmpty() {
 			var b []byte
 			s.Encode(&b, true)
 			out[i] = base64.RawStdEncoding.EncodeToString(b)
@@ -140,19 +140,19 @@
 		if text[i] == "" {
 			continue
 		}
-		s, err := readSketch(text[i])
+		s, err := decodeSketch(text[i])
 		if err != nil {
 			if first == nil {
 				first = fmt.Errorf("pools: hour %d of day %d: %w", i, day, err)
 			}
 			continue
 		}
-		w.hours[day*24+i] = s
+		w.sketches[day*24+i] = s
 	}
 	return first
 }
 
-func readSketch(text string) (*ddsketch.DDSketch, error) {
+func decodeSketch(text string) (*ddsketch.DDSketch, error) {
 	b, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
 		return nil, err
