--- a/warmpool/accounting.go
+++ b/warmpool/accounting.go
@@ -1,3 +1,8 @@
+// Accounting of warm pools. Every millisecond of a pool's machine is charged to exactly one team.
+// Time is divided into billing spans. A span ends, and the next one starts, when the shares or the
+// price change. Each team with a share is charged that share of the span, rounded down. The payer
+// is charged the rest.
+
 package warmpool
 
 import (
@@ -7,61 +12,57 @@
 	"slices"
 )
 
-// This file says who pays. Every millisecond of a machine of a pool is charged to
-// exactly one team: what a team books of the machine it pays for, so many of a
-// span's milliseconds as its share is, rounded down; the payer has the rest. A
-// span ends whenever the shares or the price change, and the next begins there.
-
-// Charge is what a team owes: milliseconds of machines, and money in millionths
-// of the catalogue's unit.
+// Charge is an amount that a team owes: machine time in milliseconds and money in millionths of
+// the catalog's currency unit.
 type Charge struct {
 	Ms     int64 `msgpack:"s"`
 	Micros int64 `msgpack:"m"`
 }
 
-func (c Charge) add(o Charge) Charge { return Charge{c.Ms + o.Ms, c.Micros + o.Micros} }
+func (c Charge) add(other Charge) Charge {
+	return Charge{c.Ms + other.Ms, c.Micros + other.Micros}
+}
 
-// TeamShare is a team's share of a machine, in thousandths: of that resource of which
-// it books the most.
+// TeamShare is a team's share of a machine in thousandths. It is the share of the resource that
+// the team has booked most of.
 type TeamShare struct {
 	Team     string `msgpack:"t"`
 	PerMille int    `msgpack:"p"`
 }
 
-// Member is a machine of a pool. Its open span began when the shard's last span
-// ended, or when it joined if that was later.
+// Member is a machine of a pool. Its open billing span started at the shard's AtMs or when the
+// machine joined, whichever is later.
 type Member struct {
 	Machine     string      `msgpack:"m"`
 	Zone        string      `msgpack:"z,omitempty"`
-	SinceMs     int64       `msgpack:"s"`           // when it joined
-	HourlyRate  int64       `msgpack:"r"`           // millionths an hour, in the open span
-	Shares      []TeamShare `msgpack:"b,omitempty"` // in the open span
-	AgentEpoch  uint64      `msgpack:"v,omitempty"` // of its worker when it was last seen with weights
-	WarmVersion int         `msgpack:"i,omitempty"` // number of the pool's image whose weights it has; 0: none
-	Leaving     bool        `msgpack:"l,omitempty"` // no more wanted: to be returned, unless it is used first
-	Cost        Charge      `msgpack:"c"`           // of its spans that are over
+	SinceMs     int64       `msgpack:"s"`           // Unix time at which the machine joined
+	HourlyRate  int64       `msgpack:"r"`           // price in millionths per hour in the open span
+	Shares      []TeamShare `msgpack:"b,omitempty"` // teams' shares in the open span
+	AgentEpoch  uint64      `msgpack:"v,omitempty"` // epoch of the worker's agent when the weights were last seen
+	WarmVersion int         `msgpack:"i,omitempty"` // version of the pool's image whose weights are present; 0: none
+	Leaving     bool        `msgpack:"l,omitempty"` // released: to be returned unless it is used again first
+	Cost        Charge      `msgpack:"c"`           // total of the settled spans
 }
 
-// Shard is a part of a pool's machines with their account, as it is committed:
-// one key holds ShardSize machines. Up to AtMs everything is charged, nothing
-// beyond; a leader that begins where the one before ended leaves no gap and
-// charges nothing twice.
+// Shard is the committed state of up to ShardSize of a pool's machines and their account. One key
+// of the store holds one shard. Everything up to AtMs is charged and nothing after it. A new
+// leader continues at AtMs, so no time is missed or charged twice.
 type Shard struct {
-	AtMs           int64             `msgpack:"a"`
-	Members        []Member          `msgpack:"m,omitempty"`
-	Teams          map[string]Charge `msgpack:"t,omitempty"`
-	ClosedCost     Charge            `msgpack:"c"` // of machines that have left
+	AtMs           int64             `msgpack:"a"`           // Unix time of the last settlement
+	Members        []Member          `msgpack:"m,omitempty"` // sorted by machine
+	Teams          map[string]Charge `msgpack:"t,omitempty"` // total charges by team
+	ClosedCost     Charge            `msgpack:"c"`           // total cost of machines that have left
 	Hits           int64             `msgpack:"h,omitempty"`
 	Misses         int64             `msgpack:"x,omitempty"`
 	Preemptions    int64             `msgpack:"d,omitempty"` // tasks of higher tiers that took room
-	LastPreemption string            `msgpack:"w,omitempty"` // the last of those, and why
+	LastPreemption string            `msgpack:"w,omitempty"` // description and reason of the last preemption
 }
 
-// ShardSize is how many machines one record holds.
+// ShardSize is the maximum number of machines in a shard.
 const ShardSize = 40
 
-// Settle charges the open spans up to a time, which becomes the beginning of the
-// next ones. A time before the last is a clock that is behind: nothing is charged.
+// Settle charges the open billing spans up to nowMs, where the next spans start. If nowMs is not
+// after the last settlement, as with a clock that is behind, nothing is charged.
 func (s *Shard) Settle(nowMs int64, payer string) {
 	if nowMs <= s.AtMs {
 		return
@@ -72,55 +73,58 @@
 	s.AtMs = nowMs
 }
 
-// spanStartMs is when a member's open span began.
+// spanStartMs returns when a member's open billing span started.
 func (s *Shard) spanStartMs(m *Member) int64 { return max(s.AtMs, m.SinceMs) }
 
+// settleMember charges a member's open billing span up to nowMs.
 func (s *Shard) settleMember(m *Member, nowMs int64, payer string) {
-	from := s.spanStartMs(m)
+	fromMs := s.spanStartMs(m)
 	if m.Cost == (Charge{}) {
-		from = m.SinceMs // its first span may begin before the shard's last ended
+		fromMs = m.SinceMs // the first span may start before the shard's last settlement
 	}
-	ms := nowMs - from
+	ms := nowMs - fromMs
 	if ms <= 0 {
 		return
 	}
-	whole := Charge{Ms: ms, Micros: cost(ms, m.HourlyRate)}
-	rest := whole
+	total := Charge{Ms: ms, Micros: cost(ms, m.HourlyRate)}
+	rest := total
 	if s.Teams == nil {
 		s.Teams = map[string]Charge{}
 	}
-	for _, p := range m.Shares {
-		// Never more than is left, whatever the shares sum to.
-		part := Charge{Ms: min(rest.Ms, ms*int64(p.PerMille)/1000)}
+	for _, share := range m.Shares {
+		// The shares may sum to more than the whole, so a part is limited to the rest.
+		part := Charge{Ms: min(rest.Ms, ms*int64(share.PerMille)/1000)}
 		part.Micros = min(rest.Micros, cost(part.Ms, m.HourlyRate))
-		if part == (Charge{}) || p.Team == payer {
+		if part == (Charge{}) || share.Team == payer {
 			continue
 		}
-		s.Teams[p.Team] = s.Teams[p.Team].add(part)
+		s.Teams[share.Team] = s.Teams[share.Team].add(part)
 		rest = Charge{rest.Ms - part.Ms, rest.Micros - part.Micros}
 	}
 	s.Teams[payer] = s.Teams[payer].add(rest)
-	m.Cost = m.Cost.add(whole)
+	m.Cost = m.Cost.add(total)
 }
 
-// cost is what so many milliseconds cost at a rate in millionths an hour.
-func cost(ms, rate int64) int64 {
-	const hour = 3_600_000
-	return ms/hour*rate + ms%hour*rate/hour
+// cost returns the cost of ms milliseconds at an hourly rate, in the unit of the rate. Computing
+// full hours and the remainder separately avoids overflow.
+func cost(ms, hourlyRate int64) int64 {
+	const msPerHour = 3_600_000
+	return ms/msPerHour*hourlyRate + ms%msPerHour*hourlyRate/msPerHour
 }
 
-// ToMicros is a price in millionths.
+// ToMicros returns a price in millionths, rounded.
 func ToMicros(price float64) int64 { return int64(math.Round(price * 1e6)) }
 
-// Join takes a machine in, from a time on that may lie before the last settling:
-// its boot is paid for too. It must not be in the shard.
+// Join adds a machine that is charged from m.SinceMs on. SinceMs may be before the last
+// settlement because the boot of the machine is charged too. The machine must not be in the shard.
 func (s *Shard) Join(m Member) {
 	m.Cost = Charge{}
-	i, _ := slices.BinarySearchFunc(s.Members, m.Machine, func(o Member, name string) int { return cmp.Compare(o.Machine, name) })
+	i, _ := slices.BinarySearchFunc(s.Members, m.Machine, func(member Member, name string) int { return cmp.Compare(member.Machine, name) })
 	s.Members = slices.Insert(s.Members, i, m)
 }
 
-// Leave ends a machine's last span at that time.
+// Leave charges a machine up to nowMs and removes it. It reports whether the machine was in the
+// shard.
 func (s *Shard) Leave(machine string, nowMs int64, payer string) bool {
 	m := s.Member(machine)
 	if m == nil {
@@ -128,45 +132,47 @@
 	}
 	s.settleMember(m, nowMs, payer)
 	s.ClosedCost = s.ClosedCost.add(m.Cost)
-	s.Members = slices.DeleteFunc(s.Members, func(o Member) bool { return o.Machine == machine })
+	s.Members = slices.DeleteFunc(s.Members, func(member Member) bool { return member.Machine == machine })
 	return true
 }
 
-// SetShares says who books how much of a machine at which price from now on. What was
-// so far is settled first if it differs.
-func (s *Shard) SetShares(m *Member, parts []TeamShare, rate int64, nowMs int64, payer string) bool {
-	if m.HourlyRate == rate && slices.Equal(m.Shares, parts) {
+// SetShares sets the teams' shares of a machine and its hourly rate from nowMs on. If they differ
+// from the current ones, the open billing spans are settled first. It reports whether anything
+// changed.
+func (s *Shard) SetShares(m *Member, shares []TeamShare, hourlyRate int64, nowMs int64, payer string) bool {
+	if m.HourlyRate == hourlyRate && slices.Equal(m.Shares, shares) {
 		return false
 	}
-	// All of the shard's spans end, so that one time says where all begin.
+	// All spans of the shard end together, so that AtMs is the start of all open spans.
 	s.Settle(nowMs, payer)
-	m.HourlyRate, m.Shares = rate, parts
+	m.HourlyRate, m.Shares = hourlyRate, shares
 	return true
 }
 
-// Member finds a machine.
+// Member returns the member with the given machine name, or nil if there is none. The pointer is
+// valid until the next Join or Leave.
 func (s *Shard) Member(machine string) *Member {
-	i, ok := slices.BinarySearchFunc(s.Members, machine, func(o Member, name string) int { return cmp.Compare(o.Machine, name) })
+	i, ok := slices.BinarySearchFunc(s.Members, machine, func(member Member, name string) int { return cmp.Compare(member.Machine, name) })
 	if !ok {
 		return nil
 	}
 	return &s.Members[i]
 }
 
-// Clone is a shard that does not change with this one.
+// Clone returns a copy of the shard whose members and charges can change independently.
 func (s *Shard) Clone() *Shard {
 	c := *s
 	c.Members, c.Teams = slices.Clone(s.Members), maps.Clone(s.Teams)
 	return &c
 }
 
-// Totals sums a pool's shards: what the teams owe, and what its machines have
-// cost. The two are equal.
+// Totals returns the sums over a pool's shards: the charge of each team and the settled cost of
+// all machines, including those that have left. The teams' charges add up to the machines' cost.
 func Totals(shards []Shard) (teams map[string]Charge, machines Charge) {
 	teams = map[string]Charge{}
 	for i := range shards {
-		for t, c := range shards[i].Teams {
-			teams[t] = teams[t].add(c)
+		for team, charge := range shards[i].Teams {
+			teams[team] = teams[team].add(charge)
 		}
 		machines = machines.add(shards[i].ClosedCost)
 		for k := range shards[i].Members {
--- a/warmpool/check.go
+++ b/warmpool/check.go
@@ -1,3 +1,5 @@
+// Validation of the pools in the operators' plan.
+
 package warmpool
 
 import (
@@ -6,30 +8,31 @@
 	"slices"
 )
 
-// Check names each bad field with its place, and fields that contradict each other.
-// Without zones or teams to compare with, names are not looked up.
-func Check(ps []Pool, zones, teams []string) []error {
+// Check returns an error for each invalid field and each contradiction between fields, with the
+// path of the field. The result is nil if all pools are valid. zones and teams are the names known
+// in the deployment. If one of them is empty, names of its kind are not checked.
+func Check(pools []Pool, zones, teams []string) []error {
 	c := checker{zones: zones, teams: teams, names: map[string]int{}, models: map[string]int{}}
-	if len(ps) > maxPools {
-		c.errs = append(c.errs, fmt.Errorf("pools: %d of them, the most is %d", len(ps), maxPools))
+	if len(pools) > maxPools {
+		c.errs = append(c.errs, fmt.Errorf("pools: got %d pools, at most %d are allowed", len(pools), maxPools))
 	}
-	for i := range ps {
+	for i := range pools {
 		c.index = i
-		c.checkIdentity(&ps[i])
-		c.checkPlacement(&ps[i])
-		c.checkSize(&ps[i])
-		c.checkLimits(&ps[i])
-		c.checkTeams(&ps[i])
+		c.checkIdentity(&pools[i])
+		c.checkPlacement(&pools[i])
+		c.checkSize(&pools[i])
+		c.checkLimits(&pools[i])
+		c.checkTeams(&pools[i])
 	}
 	return c.errs
 }
 
 // checker collects the errors of a list of pools.
 type checker struct {
-	zones, teams []string       // of the deployment; empty: not known
-	names        map[string]int // index of the pool by its name
-	models       map[string]int // index of the pool by its model's repository
-	index        int            // of the pool being checked
+	zones, teams []string       // names in the deployment; empty: unknown
+	names        map[string]int // indexes of pools by name
+	models       map[string]int // indexes of pools by the repository of their model
+	index        int            // index of the pool being checked
 	errs         []error
 }
 
@@ -48,7 +51,7 @@
 	if p.Model == "" || len(p.Model) > maxImageLength {
 		c.fail("model", "is not an image of 1 to %d characters", maxImageLength)
 	} else if k, ok := c.models[repository(p.Model)]; ok {
-		// Which of them a replica counts for could not be said.
+		// With two pools of one model, a replica could not be assigned to a pool.
 		c.fail("model", "%q is the model of pools[%d] too", p.Model, k)
 	} else {
 		c.models[repository(p.Model)] = c.index
@@ -129,7 +132,8 @@
 
 func positive(v float64) bool { return v > 0 && !math.IsInf(v, 1) }
 
-// plainName says whether a name has letters, digits, '-' and '_' only.
+// plainName reports whether a name has 1 to maxNameLength characters, all of them letters, digits,
+// '-' or '_'.
 func plainName(s string) bool {
 	for _, c := range s {
 		switch {
--- a/warmpool/encoding_test.go
+++ b/warmpool/encoding_test.go
@@ -7,7 +7,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A pool's records and accounts are left for the next leader.
+// A pool's records and accounts are stored for the next leader, which must be able to read them.
 func TestPoolRecordsKeepTheirBytes(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
--- a/warmpool/pool.go
+++ b/warmpool/pool.go
@@ -1,13 +1,15 @@
-// Package warmpool decides about warm pools: machines that hold a model's weights
-// before a burst of replicas comes. It sizes a pool from the demand of past weeks
-// (WeeklyDemand, Pool.TargetSize), chooses which machines join, leave or are rented
-// (Pool.PlanScaling) and fetch weights next (Pool.NextFetches), says which other work
-// may use them (Pool.Access), and divides their cost among teams (Shard).
+// Package warmpool makes the decisions for warm pools. A warm pool is a set of machines that hold
+// a model's weights before a burst of replicas arrives. The package
+//   - computes a pool's target size from the demand of past weeks (WeeklyDemand, Pool.TargetSize),
+//   - selects the machines that join, leave or are rented (Pool.PlanScaling),
+//   - selects the machines that fetch weights next (Pool.NextFetches),
+//   - decides which other work may use the machines (Pool.Access),
+//   - divides the cost of the machines among teams (Shard).
 //
-// The leader's model (package cluster) calls it and keeps its records; commands read
-// these with ReadStates. The package is pure: it does no I/O, the time is passed in,
-// and the same input gives the same decision. Every millisecond of a member is charged
-// to exactly one team (see State.Audit).
+// The leader's model (package cluster) calls the package and stores its records. Commands read the
+// records with ReadStates. The package does no I/O and times are passed in, so the same input
+// gives the same decision. Every millisecond of a member is charged to exactly one team (see
+// State.Audit). Shard and WeeklyDemand are not safe for concurrent use.
 package warmpool
 
 import (
@@ -17,25 +19,25 @@
 	"time"
 )
 
-// Pool is what the operators' plan says of one pool.
+// Pool is the configuration of one pool in the operators' plan.
 type Pool struct {
 	Name              string   `toml:"name" msgpack:"n"`
-	Model             string   `toml:"model" msgpack:"m"`                   // image of the weights; a tag after ':' may change
-	WeightsGB         float64  `toml:"gb" msgpack:"g"`                      // size of that image
+	Model             string   `toml:"model" msgpack:"m"`                   // image with the weights; the tag may differ between versions
+	WeightsGB         float64  `toml:"gb" msgpack:"g"`                      // size of the image
 	Types             []string `toml:"types" msgpack:"t"`                   // machine types
-	Zones             []string `toml:"zones" msgpack:"z"`                   // over which the machines are spread
-	Spot              bool     `toml:"spot" msgpack:"s,omitempty"`          // spot machines will do
-	MinMachines       int      `toml:"least" msgpack:"l"`                   // machines, at any hour
-	MaxMachines       int      `toml:"most" msgpack:"x"`                    // machines
-	Burst             Burst    `toml:"burst" msgpack:"b"`                   // what the pool is for
-	WarmShare         float64  `toml:"warm" msgpack:"w,omitempty"`          // share of the hours' peaks that finds weights; 0: 0.9
-	MaxHourlyCost     float64  `toml:"cost_an_hour" msgpack:"c"`            // the most that the machines may cost together
-	Payer             string   `toml:"payer" msgpack:"p"`                   // team that pays while nobody books
-	Borrowers         []string `toml:"borrowers" msgpack:"o,omitempty"`     // teams whose work may use the machines, and pays for it
-	ConcurrentFetches int      `toml:"fetch_at_once" msgpack:"f,omitempty"` // machines that fetch at the same time; 0: an eighth of most
+	Zones             []string `toml:"zones" msgpack:"z"`                   // zones over which the machines are spread
+	Spot              bool     `toml:"spot" msgpack:"s,omitempty"`          // spot machines are allowed
+	MinMachines       int      `toml:"least" msgpack:"l"`                   // minimum number of machines at any hour
+	MaxMachines       int      `toml:"most" msgpack:"x"`                    // maximum number of machines
+	Burst             Burst    `toml:"burst" msgpack:"b"`                   // burst that the pool is kept for
+	WarmShare         float64  `toml:"warm" msgpack:"w,omitempty"`          // share of the hourly peaks that the pool must cover; 0: defaultWarmShare
+	MaxHourlyCost     float64  `toml:"cost_an_hour" msgpack:"c"`            // limit on the total price of the machines
+	Payer             string   `toml:"payer" msgpack:"p"`                   // team that pays for machine time booked by no other team
+	Borrowers         []string `toml:"borrowers" msgpack:"o,omitempty"`     // other teams whose work may use the machines and pays for them
+	ConcurrentFetches int      `toml:"fetch_at_once" msgpack:"f,omitempty"` // maximum number of concurrent fetches; 0: one eighth of MaxMachines, at least 2
 }
 
-// Burst is so many replicas that come within seconds of each other.
+// Burst is a number of replicas that arrive within WithinS seconds.
 type Burst struct {
 	Replicas int     `toml:"replicas" msgpack:"r"`
 	WithinS  float64 `toml:"within_s" msgpack:"w"`
@@ -49,7 +51,7 @@
 	defaultWarmShare = 0.9
 )
 
-// repository is an image's name without its tag.
+// repository returns an image's name without its tag.
 func repository(image string) string {
 	if i := strings.LastIndexByte(image, ':'); i > strings.LastIndexByte(image, '/') {
 		return image[:i]
@@ -57,16 +59,16 @@
 	return image
 }
 
-// Serves says whether an image is the pool's model, in whatever version.
+// Serves reports whether an image is a version of the pool's model.
 func (p *Pool) Serves(image string) bool { return repository(image) == repository(p.Model) }
 
-// AllowsTeam says whether a team may use the pool's machines.
+// AllowsTeam reports whether a team may use the pool's machines.
 func (p *Pool) AllowsTeam(team string) bool {
 	return team == p.Payer || slices.Contains(p.Borrowers, team)
 }
 
-// MaxConcurrentFetches is how many machines fetch at the same time at most: each of them takes
-// from what all images of the fleet come from.
+// MaxConcurrentFetches returns the maximum number of machines that fetch weights at the same time.
+// The limit protects the image source, which all machines of the fleet share.
 func (p *Pool) MaxConcurrentFetches() int {
 	if p.ConcurrentFetches > 0 {
 		return p.ConcurrentFetches
@@ -74,28 +76,31 @@
 	return max(2, (p.MaxMachines+7)/8)
 }
 
-// LeadTime is how long before it is needed a pool of n machines begins to grow: a boot
-// as slow as they come, and the fetches in turn.
-func (p *Pool) LeadTime(n int, boot time.Duration, fetchGBPS float64) time.Duration {
-	rounds := (n + p.MaxConcurrentFetches() - 1) / p.MaxConcurrentFetches()
-	fetch := 0.0
+// LeadTime returns how long before the demand a pool must start to grow to the given number of
+// machines. It allows for a slow boot (twice the usual time) and for the rounds of concurrent
+// fetches. fetchGBPS is the fetch rate of one machine in GB per second; 0 if unknown, which leaves
+// out the fetches. The result is at most maxLeadTime.
+func (p *Pool) LeadTime(machines int, boot time.Duration, fetchGBPS float64) time.Duration {
+	rounds := (machines + p.MaxConcurrentFetches() - 1) / p.MaxConcurrentFetches()
+	fetchSeconds := 0.0
 	if fetchGBPS > 0 {
-		fetch = p.WeightsGB / fetchGBPS * fetchMargin
+		fetchSeconds = p.WeightsGB / fetchGBPS * fetchMargin
 	}
-	d := 2*boot + time.Duration(float64(rounds)*fetch*float64(time.Second)) + time.Minute
-	return min(d, maxLeadTime)
+	lead := 2*boot + time.Duration(float64(rounds)*fetchSeconds*float64(time.Second)) + time.Minute
+	return min(lead, maxLeadTime)
 }
 
 const (
-	fetchMargin = 1.4 // a fetch takes up to a third longer than the catalogue says
+	fetchMargin = 1.4 // fetches take up to a third longer than the catalog's rate suggests
 	maxLeadTime = 3 * time.Hour
 )
 
-// PeakMachines is how many machines the busiest of the hours that a pool may have to
-// grow for is likely to need.
-func (p *Pool) PeakMachines(w *WeeklyDemand, now time.Time, perMachine int) int {
-	replicas := w.Quantile(now, maxLeadTime, p.warmShare())
-	return min(max((replicas+max(perMachine, 1)-1)/max(perMachine, 1), p.MinMachines), p.MaxMachines)
+// PeakMachines returns the number of machines needed for the highest peak that is expected within
+// maxLeadTime, between MinMachines and MaxMachines. replicasPerMachine below 1 counts as 1.
+func (p *Pool) PeakMachines(demand *WeeklyDemand, now time.Time, replicasPerMachine int) int {
+	replicas := demand.Quantile(now, maxLeadTime, p.warmShare())
+	machines := (replicas + max(replicasPerMachine, 1) - 1) / max(replicasPerMachine, 1)
+	return min(max(machines, p.MinMachines), p.MaxMachines)
 }
 
 func (p *Pool) warmShare() float64 {
@@ -105,22 +110,23 @@
 	return p.WarmShare
 }
 
-// TargetSize is how many machines to hold at a time: as many as the share Warm of the
-// peaks of this hour of the week has needed, looked up from now until the lead is
-// over, so that a pool has grown when the hour begins. perMachine is how many
-// replicas a machine takes, price what one costs an hour.
-func (p *Pool) TargetSize(w *WeeklyDemand, now time.Time, lead time.Duration, perMachine int, price float64) int {
-	replicas := w.Quantile(now, lead, p.warmShare())
-	n := (replicas + max(perMachine, 1) - 1) / max(perMachine, 1)
-	n = min(max(n, p.MinMachines), p.MaxMachines)
-	// The limit is hard, least or not: whoever sets it too low is told by status.
-	return min(n, p.Affordable(price))
+// TargetSize returns the number of machines to hold at a time. They cover the share WarmShare of
+// the past peaks in each hour of the week from now until the lead time is over, so the pool has
+// grown when an hour begins. replicasPerMachine below 1 counts as 1. hourlyPrice is the price of
+// one machine.
+func (p *Pool) TargetSize(demand *WeeklyDemand, now time.Time, lead time.Duration, replicasPerMachine int, hourlyPrice float64) int {
+	replicas := demand.Quantile(now, lead, p.warmShare())
+	machines := (replicas + max(replicasPerMachine, 1) - 1) / max(replicasPerMachine, 1)
+	machines = min(max(machines, p.MinMachines), p.MaxMachines)
+	// The cost limit takes precedence over MinMachines. The status shows that it takes effect.
+	return min(machines, p.Affordable(hourlyPrice))
 }
 
-// Affordable is how many machines of that price an hour stay within the limit.
-func (p *Pool) Affordable(price float64) int {
-	if price <= 0 {
+// Affordable returns how many machines of the given hourly price stay within MaxHourlyCost. A
+// price of 0 or less means that the price is no limit; the result is then MaxMachines.
+func (p *Pool) Affordable(hourlyPrice float64) int {
+	if hourlyPrice <= 0 {
 		return p.MaxMachines
 	}
-	return int(math.Floor(p.MaxHourlyCost/price + 1e-9))
+	return int(math.Floor(p.MaxHourlyCost/hourlyPrice + 1e-9))
 }
--- a/warmpool/pool_test.go
+++ b/warmpool/pool_test.go
@@ -11,6 +11,7 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
+// newTestPool returns a valid pool of up to 64 machines in zones a and b.
 func newTestPool() Pool {
 	return Pool{Name: "llm", Model: "llm-70b:v1", WeightsGB: 80, Types: []string{"g8"}, Zones: []string{"a", "b"}, MinMachines: 1, MaxMachines: 64,
 		Burst: Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1000, Payer: "speech", Borrowers: []string{"vision"}}
@@ -19,7 +20,7 @@
 func TestInvalidFieldsAreNamedWithTheirPath(t *testing.T) {
 	good := newTestPool()
 	if errs := Check([]Pool{good}, []string{"a", "b"}, []string{"speech", "vision"}); len(errs) > 0 {
-		t.Fatalf("a good pool is refused: %v", errs)
+		t.Fatalf("got errors %v for a valid pool", errs)
 	}
 	for _, c := range []struct {
 		want string
@@ -39,134 +40,137 @@
 		c.bad(&p)
 		errs := Check([]Pool{good, p}, []string{"a", "b"}, []string{"speech", "vision"})
 		if len(errs) != 1 || errs[0].Error() != c.want {
-			t.Errorf("got %v, not %s", errs, c.want)
+			t.Errorf("got errors %v, want only %s", errs, c.want)
 		}
 	}
 }
 
-// monday is a Monday 0 o'clock.
+// monday is a Monday at 00:00 UTC.
 var monday = time.Date(2026, 11, 30, 0, 0, 0, 0, time.UTC)
 
-// weeks plays weeks of a model that wants n replicas at 9 on weekdays.
-func observeWeeks(w *WeeklyDemand, from time.Time, count, n int) time.Time {
+// observeWeeks records weeks of a model that wants a number of replicas from 9 to 10 on weekdays.
+// It returns the end of the last week.
+func observeWeeks(demand *WeeklyDemand, from time.Time, weeks, replicas int) time.Time {
 	at := from
-	for ; at.Before(from.AddDate(0, 0, 7*count)); at = at.Add(20 * time.Minute) {
-		want := 0
+	for ; at.Before(from.AddDate(0, 0, 7*weeks)); at = at.Add(20 * time.Minute) {
+		wanted := 0
 		if at.Hour() == 9 && HourOfWeek(at) < 5*24 {
-			want = n
+			wanted = replicas
 		}
-		w.Observe(want, at)
+		demand.Observe(wanted, at)
 	}
 	return at
 }
 
+// Guards against a pool that grows only when the hour of a weekly burst has begun, or that keeps
+// its machines after the hour or after the bursts have stopped.
 func TestScheduledPoolIsReadyBeforeTheHourAndGoneAfterIt(t *testing.T) {
 	p, w := newTestPool(), &WeeklyDemand{}
 	at := observeWeeks(w, monday, 2, 40)
 	lead := p.LeadTime(40, time.Minute, 1)
 	if lead < 5*time.Minute || lead > time.Hour {
-		t.Fatalf("lead %v", lead)
+		t.Fatalf("got lead time %v, want between 5 minutes and an hour", lead)
 	}
 	for _, c := range []struct {
 		at   time.Duration
 		want int
 	}{{6 * time.Hour, 1}, {9*time.Hour - lead + time.Second, 40}, {9*time.Hour + 30*time.Minute, 40}, {10 * time.Hour, 1}, {5*24*time.Hour + 9*time.Hour, 1}} {
 		if got := p.TargetSize(w, at.Add(c.at), lead, 1, 1); got != c.want {
-			t.Errorf("%v after Monday 0 o'clock: %d machines, not %d", c.at, got, c.want)
+			t.Errorf("%v after Monday 00:00: got %d machines, want %d", c.at, got, c.want)
 		}
 	}
 	if got := p.TargetSize(w, at.Add(9*time.Hour), lead, 4, 1); got != 10 {
-		t.Errorf("%d machines for 40 replicas, four on each", got)
+		t.Errorf("got %d machines for 40 replicas with four per machine, want 10", got)
 	}
 	p.MaxHourlyCost = 12
 	if got := p.TargetSize(w, at.Add(9*time.Hour), lead, 1, 1); got != 12 {
-		t.Errorf("%d machines where 12 are paid for", got)
+		t.Errorf("got %d machines with a cost limit for 12", got)
 	}
-	// A month without bursts, and the model is forgotten.
+	// Nine weeks without bursts bring the pool back to its minimum.
 	at = observeWeeks(w, at, 9, 0)
 	if got := p.TargetSize(w, at.Add(9*time.Hour), lead, 1, 1); got != 1 {
-		t.Errorf("%d machines long after the last burst", got)
+		t.Errorf("got %d machines nine weeks after the last burst, want 1", got)
 	}
 }
 
 func TestWeeklyScheduleRoundTrips(t *testing.T) {
-	w, back := &WeeklyDemand{}, &WeeklyDemand{}
-	rnd := rand.New(rand.NewPCG(1, 2))
+	w, restored := &WeeklyDemand{}, &WeeklyDemand{}
+	random := rand.New(rand.NewPCG(1, 2))
 	at := monday
 	for ; at.Before(monday.AddDate(0, 0, 7*30)); at = at.Add(time.Hour) {
-		w.Observe(rnd.IntN(2000), at)
+		w.Observe(random.IntN(2000), at)
 	}
 	bytes := 0
 	for d := range 7 {
 		day := w.EncodeDay(d)
 		bytes = max(bytes, len(strings.Join(day, "")))
-		if err := back.LoadDay(d, day); err != nil {
+		if err := restored.LoadDay(d, day); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for h := range hoursPerWeek {
-		x := at.Add(time.Duration(h) * time.Hour)
-		if a, b := w.Quantile(x, 0, 0.9), back.Quantile(x, 0, 0.9); a != b && hoursSinceEpoch(x) != w.currentHour {
-			t.Fatalf("hour %d: %d became %d", h, a, b)
+		later := at.Add(time.Duration(h) * time.Hour)
+		if a, b := w.Quantile(later, 0, 0.9), restored.Quantile(later, 0, 0.9); a != b && hoursSinceEpoch(later) != w.currentHour {
+			t.Fatalf("%d hours later: got quantile %d after a round trip, want %d", h, b, a)
 		}
 	}
 	if bytes > 12<<10 {
-		t.Errorf("a day after 30 weeks of chance takes %d bytes", bytes)
+		t.Errorf("a day's record takes %d bytes after 30 weeks of random peaks, want at most 12 KiB", bytes)
 	}
-	if err := back.LoadDay(0, []string{"x!"}); err == nil {
-		t.Error("a damaged hour was read")
+	if err := restored.LoadDay(0, []string{"x!"}); err == nil {
+		t.Error("no error for an hour that can't be decoded")
 	}
 }
 
-// Whatever is booked, joins and leaves, under whichever leader: what the teams
-// owe is what the machines cost, and every machine is charged from when it joined
-// to when it left.
+// Guards against time that is charged twice or not at all. Machines join and leave, shares change
+// and leaders fail over at random. The teams' charges must equal the machines' cost, and each
+// machine must be charged from its joining to its leaving.
 func TestEveryMillisecondIsChargedOnce(t *testing.T) {
 	for seed := range uint64(200) {
-		rnd := rand.New(rand.NewPCG(seed, 3))
+		random := rand.New(rand.NewPCG(seed, 3))
 		s, now := &Shard{}, int64(1_000_000)
 		joined, want, name := map[string]int64{}, int64(0), 0
 		for range 200 {
-			now += int64(rnd.IntN(100_000))
-			switch rnd.IntN(5) {
+			now += int64(random.IntN(100_000))
+			switch random.IntN(5) {
 			case 0:
 				name++
-				m := Member{Machine: fmt.Sprintf("m%04d", rnd.IntN(1000)), SinceMs: now - int64(rnd.IntN(60_000)), HourlyRate: int64(rnd.IntN(20_000_000))}
+				m := Member{Machine: fmt.Sprintf("m%04d", random.IntN(1000)), SinceMs: now - int64(random.IntN(60_000)), HourlyRate: int64(random.IntN(20_000_000))}
 				if s.Member(m.Machine) == nil {
 					s.Join(m)
 					joined[m.Machine] = m.SinceMs
 				}
 			case 1:
 				if len(s.Members) > 0 {
-					m := s.Members[rnd.IntN(len(s.Members))].Machine
+					m := s.Members[random.IntN(len(s.Members))].Machine
 					s.Leave(m, now, "payer")
 					want += now - joined[m]
 					delete(joined, m)
 				}
 			case 2:
 				if len(s.Members) > 0 {
-					m := &s.Members[rnd.IntN(len(s.Members))]
-					s.SetShares(m, []TeamShare{{"one", rnd.IntN(1200)}, {"payer", 10}, {"two", rnd.IntN(1200)}}, int64(rnd.IntN(20_000_000)), now, "payer")
+					m := &s.Members[random.IntN(len(s.Members))]
+					s.SetShares(m, []TeamShare{{"one", random.IntN(1200)}, {"payer", 10}, {"two", random.IntN(1200)}}, int64(random.IntN(20_000_000)), now, "payer")
 				}
 			case 3:
-				s.Settle(now-int64(rnd.IntN(200_000)), "payer") // a clock that is behind
+				s.Settle(now-int64(random.IntN(200_000)), "payer") // the clock is behind
 			case 4:
-				s = s.Clone() // the next leader's
+				s = s.Clone() // the next leader continues
 			}
 		}
 		s.Settle(now, "payer")
 		for _, at := range joined {
 			want += now - at
 		}
-		st := State{Shards: []Shard{*s}}
-		if _, machines := Totals(st.Shards); machines.Ms != want || len(st.Audit()) > 0 {
-			t.Fatalf("seed %d: charged for %d ms, there for %d; %v", seed, machines.Ms, want, st.Audit())
+		state := State{Shards: []Shard{*s}}
+		if _, machines := Totals(state.Shards); machines.Ms != want || len(state.Audit()) > 0 {
+			t.Fatalf("seed %d: charged for %d ms, want %d; audit: %v", seed, machines.Ms, want, state.Audit())
 		}
-		// An audit that finds nothing says nothing unless it finds what is wrong.
-		if len(st.Shards[0].Members) > 0 {
-			st.Shards[0].Members[0].Cost.Ms++
-			if len(st.Audit()) != 2 {
-				t.Fatalf("an account was changed, and found: %v", st.Audit())
+		// The audit must also detect a wrong account.
+		if len(state.Shards[0].Members) > 0 {
+			state.Shards[0].Members[0].Cost.Ms++
+			if len(state.Audit()) != 2 {
+				t.Fatalf("audit after a change of an account: got %v, want two findings", state.Audit())
 			}
 		}
 	}
@@ -178,14 +182,14 @@
 	s.SetShares(s.Member("m"), []TeamShare{{"vision", 250}}, 3_600_000_000, 11_000, "speech")
 	s.Leave("m", 51_000, "speech")
 	if got := s.Teams["vision"]; got != (Charge{10_000, 10_000_000}) {
-		t.Errorf("the borrower owes %+v for a quarter of 40 s", got)
+		t.Errorf("got borrower's charge %+v, want a quarter of 40 s", got)
 	}
 	if got := s.Teams["speech"]; got != (Charge{40_000, 40_000_000}) {
-		t.Errorf("the payer owes %+v", got)
+		t.Errorf("got payer's charge %+v, want 10 s and three quarters of 40 s", got)
 	}
 }
 
-// fleet is n machines alternating between the zones.
+// fleet returns n ready machines that alternate between zones a and b, each modified by change.
 func fleet(n int, change func(i int, s *Observation)) []Observation {
 	out := make([]Observation, n)
 	for i := range out {
@@ -207,7 +211,7 @@
 	})
 	c := p.PlanScaling(nil, free, 6, 64)
 	if !slices.Equal(c.Join, []string{"m01", "m04"}) || c.ScaleOut["b"] != 3 || c.ScaleOut["a"] != 0 {
-		t.Errorf("%+v: not the machine where replicas run and the empty one, and the rest of zone b, one being on its way", c)
+		t.Errorf("got %+v, want the serving machine and the idle one to join, and 3 machines in zone b because one is booting in zone a", c)
 	}
 }
 
@@ -217,14 +221,14 @@
 	if c := p.PlanScaling(own, nil, 3, 64); !slices.Equal(c.Release, []string{"m04", "m03", "m02"}) || c.Evict != nil {
 		t.Errorf("%+v", c)
 	}
-	// At its limit it lets go what it can't pay for, without stopping anything.
+	// At the cost limit, busy machines leave the pool while their work continues.
 	for i := range own {
 		own[i].Busy = true
 	}
 	if c := p.PlanScaling(own, nil, 2, 2); len(c.Evict) != 4 || c.Release != nil {
 		t.Errorf("%+v", c)
 	}
-	// What is silent is replaced, and not counted twice when it is back.
+	// A machine that is not ready is replaced.
 	own = fleet(4, func(i int, s *Observation) { s.Ready = i != 0 })
 	if c := p.PlanScaling(own, nil, 4, 64); c.ScaleOut["a"] != 1 {
 		t.Errorf("%+v", c)
@@ -235,7 +239,7 @@
 	p := newTestPool()
 	own := fleet(40, func(i int, s *Observation) { s.Fetching = i < 3 })
 	if got := p.NextFetches(own); len(got) != 5 {
-		t.Errorf("%d more fetch beside three, at most %d at once", len(got), p.MaxConcurrentFetches())
+		t.Errorf("got %d new fetches while three are running, want 5 (limit %d)", len(got), p.MaxConcurrentFetches())
 	}
 }
 
@@ -263,7 +267,7 @@
 		w := replicas
 		c.as(&w)
 		if got := p.Access(&w); got != c.want {
-			t.Errorf("%s: %d, not %d", c.name, got, c.want)
+			t.Errorf("%s: got access %d, want %d", c.name, got, c.want)
 		}
 	}
 }
--- a/warmpool/records.go
+++ b/warmpool/records.go
@@ -1,3 +1,6 @@
+// Stored records of a pool and their names. The next leader continues from the records, and
+// operators' commands read them.
+
 package warmpool
 
 import (
@@ -9,102 +12,106 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// This file says what is recorded of a pool and under which names, for the next
-// leader and for operators.
-
-// recordPrefix is where the pools' records lie among those of the plan's parts.
+// recordPrefix is the prefix of the names of pools' records. They are stored together with the
+// other records that belong to the plan.
 const recordPrefix = "pools/"
 
-// RecordName names a pool's Note.
+// RecordName returns the name of a pool's Record.
 func RecordName(pool string) string { return recordPrefix + pool + "/now" }
 
-// DayName names what is known of a day of the week, a list of 24 texts (Week.Day).
+// DayName returns the name of the demand record of a day of the week (0 is Monday). The record
+// holds the 24 texts of WeeklyDemand.EncodeDay.
 func DayName(pool string, day int) string { return fmt.Sprintf("%s%s/day%d", recordPrefix, pool, day) }
 
-// ShardName names one of a pool's shards.
-func ShardName(pool string, n int) string { return fmt.Sprintf("%s%s/m%d", recordPrefix, pool, n) }
+// ShardName returns the name of a pool's shard with the given number, from 0 to MaxShards-1.
+func ShardName(pool string, number int) string {
+	return fmt.Sprintf("%s%s/m%d", recordPrefix, pool, number)
+}
 
-// MaxShards is how many shards a pool has at most.
+// MaxShards is the maximum number of shards of a pool.
 const MaxShards = (maxPoolSize + ShardSize - 1) / ShardSize
 
-// Record is how a pool stands, as the leader last recorded it.
+// Record is a pool's status as last recorded by the leader.
 type Record struct {
-	AtMs               int64   `msgpack:"a"`
-	CurrentHour        int64   `msgpack:"h"` // since 1970: the one that is not over
-	CurrentPeak        int     `msgpack:"p"` // of replicas wanted at once in it, so far
-	Image              string  `msgpack:"i"` // the weights that are held
+	AtMs               int64   `msgpack:"a"` // Unix time of the record
+	CurrentHour        int64   `msgpack:"h"` // the current hour, in hours since 1970
+	CurrentPeak        int     `msgpack:"p"` // highest number of replicas wanted at once in CurrentHour so far
+	Image              string  `msgpack:"i"` // image whose weights the pool holds
 	WeightsGB          float64 `msgpack:"g"`
-	ImageVersion       int     `msgpack:"n"`           // counts the images
-	ReplicasPerMachine int     `msgpack:"m"`           // replicas that a machine takes
-	Priority           int     `msgpack:"r"`           // priority of the replicas, 0 being the highest
-	Class              string  `msgpack:"t,omitempty"` // of the replicas
+	ImageVersion       int     `msgpack:"n"`           // incremented with each new image
+	ReplicasPerMachine int     `msgpack:"m"`           // number of replicas that fit on a machine
+	Priority           int     `msgpack:"r"`           // priority of the replicas; 0 is the highest
+	Class              string  `msgpack:"t,omitempty"` // class of the replicas
 	Payer              string  `msgpack:"w"`
-	Target             int     `msgpack:"x"` // machines
-	Held               int     `msgpack:"y"`
-	Warm               int     `msgpack:"z"` // of those that are held
-	Fetching           int     `msgpack:"f,omitempty"`
-	CostLimited        bool    `msgpack:"l,omitempty"` // more would be wanted than may be paid for
-	FetchRefused       string  `msgpack:"e,omitempty"` // why the weights are not fetched ahead
+	Target             int     `msgpack:"x"`           // number of machines to hold
+	Held               int     `msgpack:"y"`           // number of machines held
+	Warm               int     `msgpack:"z"`           // number of held machines that have the weights
+	Fetching           int     `msgpack:"f,omitempty"` // number of machines that fetch the weights
+	CostLimited        bool    `msgpack:"l,omitempty"` // the cost limit makes Target smaller than the demand requires
+	FetchRefused       string  `msgpack:"e,omitempty"` // why the weights are not fetched in advance; "" if they are
 }
 
-// State is all that is recorded of a pool.
+// State holds all records of a pool except its demand.
 type State struct {
 	Name   string
 	Record Record
 	Shards []Shard
 }
 
-// ReadStates reads the pools' records from those of the plan's parts, by their
-// names; bad names those that can't be read.
-func ReadStates(notes map[string]wire.Raw) (out []State, bad []string) {
-	for _, name := range slices.Sorted(maps.Keys(notes)) {
+// ReadStates decodes the records of all pools, sorted by pool. records holds the plan's stored
+// records by name; those of other kinds are ignored. unreadable holds the names of pool records
+// that can't be decoded. A pool with an unreadable Record is returned with a zero Record.
+func ReadStates(records map[string]wire.Raw) (states []State, unreadable []string) {
+	for _, name := range slices.Sorted(maps.Keys(records)) {
 		pool, ok := strings.CutSuffix(strings.TrimPrefix(name, recordPrefix), "/now")
 		if !ok || !strings.HasPrefix(name, recordPrefix) {
 			continue
 		}
-		s := State{Name: pool}
-		if wire.Unmarshal(notes[name], &s.Record) != nil {
-			bad = append(bad, name)
+		state := State{Name: pool}
+		if wire.Unmarshal(records[name], &state.Record) != nil {
+			unreadable = append(unreadable, name)
 		}
-		for n := range MaxShards {
-			raw, ok := notes[ShardName(pool, n)]
+		for number := range MaxShards {
+			raw, ok := records[ShardName(pool, number)]
 			if !ok {
 				continue
 			}
-			var sh Shard
-			if wire.Unmarshal(raw, &sh) != nil {
-				bad = append(bad, ShardName(pool, n))
+			var shard Shard
+			if wire.Unmarshal(raw, &shard) != nil {
+				unreadable = append(unreadable, ShardName(pool, number))
 				continue
 			}
-			s.Shards = append(s.Shards, sh)
+			state.Shards = append(state.Shards, shard)
 		}
-		out = append(out, s)
+		states = append(states, state)
 	}
-	return out, bad
+	return states, unreadable
 }
 
-// Audit says what in a pool's accounts does not add up.
-func (s *State) Audit() (found []string) {
-	bad := func(format string, args ...any) { found = append(found, fmt.Sprintf(format, args...)) }
+// Audit returns a description of each inconsistency in a pool's accounts, or nil if there is none.
+// The teams' charges must equal the machines' cost. Each machine must be charged for its whole
+// time in the pool and must be a member only once.
+func (s *State) Audit() (findings []string) {
+	report := func(format string, args ...any) { findings = append(findings, fmt.Sprintf(format, args...)) }
 	teams, machines := Totals(s.Shards)
 	sum := Charge{}
-	for _, c := range teams {
-		sum = sum.add(c)
+	for _, charge := range teams {
+		sum = sum.add(charge)
 	}
 	if sum != machines {
-		bad("the teams owe %d ms and %d, the machines cost %d ms and %d", sum.Ms, sum.Micros, machines.Ms, machines.Micros)
+		report("the teams owe %d ms and %d, the machines cost %d ms and %d", sum.Ms, sum.Micros, machines.Ms, machines.Micros)
 	}
-	in := map[string]bool{}
+	seen := map[string]bool{}
 	for i := range s.Shards {
 		for _, m := range s.Shards[i].Members {
-			if there := max(s.Shards[i].AtMs-m.SinceMs, 0); m.Cost.Ms != there {
-				bad("%s is charged for %d ms, and was there for %d", m.Machine, m.Cost.Ms, there)
+			if presentMs := max(s.Shards[i].AtMs-m.SinceMs, 0); m.Cost.Ms != presentMs {
+				report("%s is charged for %d ms, and was there for %d", m.Machine, m.Cost.Ms, presentMs)
 			}
-			if in[m.Machine] {
-				bad("%s is there twice", m.Machine)
+			if seen[m.Machine] {
+				report("%s is there twice", m.Machine)
 			}
-			in[m.Machine] = true
+			seen[m.Machine] = true
 		}
 	}
-	return found
+	return findings
 }
--- a/warmpool/scaling.go
+++ b/warmpool/scaling.go
@@ -1,3 +1,6 @@
+// Scaling of warm pools: which machines join, leave, are rented or fetch the weights, and which
+// work may use them.
+
 package warmpool
 
 import (
@@ -7,27 +10,26 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file says which machines a pool takes, fills and lets go.
-
-// Observation is a machine as the leader sees it: one of the pool's, or one that is free
-// and of the pool's types and zones.
+// Observation is the leader's view of a machine. The machine is a member of the pool, or free and
+// of the pool's types and zones.
 type Observation struct {
 	Machine  string
 	Zone     string
 	Warm     bool // has the weights
 	Ready    bool // can take work now
-	Booting  bool // should be up soon
-	Busy     bool // work is on it
-	Serving  bool // replicas of the model are, and nothing else is
+	Booting  bool // expected to be up soon
+	Busy     bool // has work
+	Serving  bool // runs replicas of the model and nothing else
 	Fetching bool // fetches the weights
-	Leaving  bool // was let go, and is not yet returned
+	Leaving  bool // released and not yet returned
 }
 
-// available says whether a machine counts as held: one that is silent, noticed or
-// gone serves nobody, and is replaced at once.
-func (s *Observation) available() bool { return (s.Ready || s.Booting) && !s.Leaving }
+// available reports whether a machine counts as held. Machines that are silent, about to be
+// reclaimed or gone don't count, so they are replaced at once.
+func (o *Observation) available() bool { return (o.Ready || o.Booting) && !o.Leaving }
 
-// CountHeld is how many of a pool's machines count as held.
+// CountHeld returns how many of a pool's machines count as held: ready or booting, and not
+// leaving.
 func CountHeld(own []Observation) int {
 	n := 0
 	for i := range own {
@@ -38,17 +40,18 @@
 	return n
 }
 
-// ScalingPlan is what a pool does next.
+// ScalingPlan holds the next scaling actions of a pool. Lists hold names of machines.
 type ScalingPlan struct {
-	Join     []string       // free machines that become the pool's
-	Retain   []string       // machines that had been let go, and are wanted again
-	Release  []string       // to be returned, once they are empty
-	Evict    []string       // leave the pool as they are: it can't pay for them
-	ScaleOut map[string]int // by zone
+	Join     []string       // free machines to add to the pool
+	Retain   []string       // released machines to keep after all
+	Release  []string       // members to return once they are empty
+	Evict    []string       // members to remove at once, with their work continuing, because of the cost limit
+	ScaleOut map[string]int // number of machines to rent by zone; nil: none
 }
 
-// PlanScaling compares a pool's machines with its target size. affordable is how many
-// it can pay for; what is beyond that leaves at once, whatever runs there.
+// PlanScaling compares a pool's machines with its target size and returns the actions to reach
+// it. free holds machines that may join. affordable is the number of machines within the cost
+// limit. Members beyond that number leave at once, even if they have work.
 func (p *Pool) PlanScaling(own, free []Observation, target, affordable int) ScalingPlan {
 	s := scaling{pool: p, own: slices.Clone(own), free: slices.Clone(free), heldByZone: map[string]int{}}
 	for i := range own {
@@ -68,25 +71,25 @@
 	return s.plan
 }
 
-// scaling is a scaling plan being made. Each step marks what it has decided in own and
-// free, so that the next one does not choose the same machine.
+// scaling is the state while a scaling plan is made. Each step marks its choices in own and free,
+// so that the next step does not choose the same machine again.
 type scaling struct {
 	pool       *Pool
 	own, free  []Observation
-	heldByZone map[string]int // machines held
-	held       int            // machines held, in all zones
+	heldByZone map[string]int // number of machines held
+	held       int            // number of machines held in all zones
 	plan       ScalingPlan
 }
 
-// remove takes a machine of the pool out of what is held.
+// remove marks a machine of the pool as leaving and no longer held.
 func (s *scaling) remove(o *Observation) {
 	o.Leaving = true
 	s.heldByZone[o.Zone]--
 	s.held--
 }
 
-// release lets idle machines go: the zone that has most gives first, then what has no
-// weights.
+// release releases idle machines. It prefers the zone with the most machines and, within a zone,
+// machines without weights.
 func (s *scaling) release(target int) {
 	for s.held > target {
 		i := s.pool.cheapest(s.own, func(o *Observation) bool { return o.available() && !o.Busy },
@@ -99,7 +102,8 @@
 	}
 }
 
-// evict takes machines that the pool can't pay for out of it.
+// evict removes the machines beyond the cost limit. It prefers the zone with the most machines
+// and, within a zone, machines without weights.
 func (s *scaling) evict(affordable int) {
 	for s.held > affordable {
 		i := s.pool.cheapest(s.own, (*Observation).available,
@@ -112,7 +116,7 @@
 	}
 }
 
-// retain keeps machines that had been let go and are still there.
+// retain keeps released machines that have not been returned yet.
 func (s *scaling) retain(target int) {
 	for s.held < target {
 		i := s.pool.cheapest(s.own, func(o *Observation) bool { return o.Leaving && o.Ready },
@@ -127,8 +131,9 @@
 	}
 }
 
-// join takes free machines in. Where replicas run anyhow, the weights are there already;
-// else an empty machine is filled. One that boots may be for work that waits.
+// join adds free machines. It prefers machines on which only replicas of the model run, because
+// they have the weights already. Otherwise it adds idle ones. Booting machines don't join yet,
+// because they may be meant for waiting work.
 func (s *scaling) join(target int) {
 	for s.held < target {
 		i := s.pool.cheapest(s.free, func(o *Observation) bool { return o.Ready && !o.Leaving && (!o.Busy || o.Serving && o.Warm) },
@@ -136,112 +141,119 @@
 		if i < 0 {
 			return
 		}
-		s.free[i].Leaving = true // taken
+		s.free[i].Leaving = true // not available to later steps
 		s.heldByZone[s.free[i].Zone]++
 		s.held++
 		s.plan.Join = append(s.plan.Join, s.free[i].Machine)
 	}
 }
 
-// scaleOut rents what is still lacking, in the zones that have least. Free machines
-// that boot count: they may join once they are up.
+// scaleOut rents the machines that are still missing, in the zones with the fewest machines. Free
+// machines that are booting count, because they may join once they are up.
 func (s *scaling) scaleOut(target int) {
-	coming := 0
+	booting := 0
 	for i := range s.free {
 		if s.free[i].Booting && !s.free[i].Leaving {
 			s.heldByZone[s.free[i].Zone]++
-			coming++
+			booting++
 		}
 	}
-	for k := s.held + coming; k < target && len(s.pool.Zones) > 0; k++ {
-		z := slices.MinFunc(s.pool.Zones, func(a, b string) int { return cmp.Compare(s.heldByZone[a], s.heldByZone[b]) })
+	for k := s.held + booting; k < target && len(s.pool.Zones) > 0; k++ {
+		zone := slices.MinFunc(s.pool.Zones, func(a, b string) int { return cmp.Compare(s.heldByZone[a], s.heldByZone[b]) })
 		if s.plan.ScaleOut == nil {
 			s.plan.ScaleOut = map[string]int{}
 		}
-		s.plan.ScaleOut[z]++
-		s.heldByZone[z]++
+		s.plan.ScaleOut[zone]++
+		s.heldByZone[zone]++
 	}
 }
 
-// warmScore, readyScore and servingScore rank machines: having the weights counts most.
-func (s *Observation) warmScore() int {
-	if s.Warm {
+// warmScore ranks machines by whether they have the weights.
+func (o *Observation) warmScore() int {
+	if o.Warm {
 		return 2
 	}
 	return 0
 }
 
-func (s *Observation) readyScore() int {
-	if s.Ready {
-		return s.warmScore() + 1
+// readyScore ranks machines by whether they have the weights, then by whether they are ready.
+func (o *Observation) readyScore() int {
+	if o.Ready {
+		return o.warmScore() + 1
 	}
-	return s.warmScore()
+	return o.warmScore()
 }
 
-func (s *Observation) servingScore() int {
-	if s.Serving {
-		return s.warmScore() + 1
+// servingScore ranks machines by whether they have the weights, then by whether they serve only
+// the model.
+func (o *Observation) servingScore() int {
+	if o.Serving {
+		return o.warmScore() + 1
 	}
-	return s.warmScore()
+	return o.warmScore()
 }
 
-// cheapest is the first of the cheapest that will do, or -1.
-func (p *Pool) cheapest(all []Observation, ok func(*Observation) bool, cost func(*Observation) int) int {
-	best, least := -1, 0
-	for i := range all {
-		if !ok(&all[i]) {
+// cheapest returns the index of the first eligible machine with the lowest cost, or -1 if no
+// machine is eligible.
+func (p *Pool) cheapest(machines []Observation, eligible func(*Observation) bool, cost func(*Observation) int) int {
+	best, lowest := -1, 0
+	for i := range machines {
+		if !eligible(&machines[i]) {
 			continue
 		}
-		if c := cost(&all[i]); best < 0 || c < least {
-			best, least = i, c
+		if c := cost(&machines[i]); best < 0 || c < lowest {
+			best, lowest = i, c
 		}
 	}
 	return best
 }
 
-// NextFetches says which of a pool's machines fetch the weights next, so that no more
-// than AtOnce do at the same time and the zones are filled alike.
+// NextFetches returns the names of the pool's machines that fetch the weights next. At most
+// MaxConcurrentFetches machines fetch at the same time, including those that fetch already. Zones
+// with the fewest warm machines come first.
 func (p *Pool) NextFetches(own []Observation) []string {
 	room := p.MaxConcurrentFetches()
-	warm := map[string]int{}
+	warmByZone := map[string]int{}
 	for i := range own {
 		if own[i].Fetching {
 			room--
 		}
 		if own[i].Warm || own[i].Fetching {
-			warm[own[i].Zone]++
+			warmByZone[own[i].Zone]++
 		}
 	}
 	own = slices.Clone(own)
-	var out []string
-	for len(out) < room {
-		i := p.cheapest(own, func(s *Observation) bool { return s.Ready && !s.Leaving && !s.Warm && !s.Fetching },
-			func(s *Observation) int { return warm[s.Zone] })
+	var machines []string
+	for len(machines) < room {
+		i := p.cheapest(own, func(o *Observation) bool { return o.Ready && !o.Leaving && !o.Warm && !o.Fetching },
+			func(o *Observation) int { return warmByZone[o.Zone] })
 		if i < 0 {
 			break
 		}
 		own[i].Fetching = true
-		warm[own[i].Zone]++
-		out = append(out, own[i].Machine)
+		warmByZone[own[i].Zone]++
+		machines = append(machines, own[i].Machine)
 	}
-	return out
+	return machines
 }
 
-// Workload is what a job looks like to a pool.
+// Workload holds the properties of a job that decide its access to a pool.
 type Workload struct {
 	Image             string
 	Team              string
-	Priority          int // its priority, 0 being the highest
-	Tier              int // of the operators' order, 0 being served first
+	Priority          int // 0 is the highest
+	Tier              int // index in the operators' order of tiers; 0 is served first
 	Gang              bool
-	CheckpointSeconds float64 // how long it takes to save when it is stopped
-	Checkpoints       bool
-	ModelPriority     int // rank of the model's replicas
-	ModelTier         int // and their tier
+	CheckpointSeconds float64 // time to save a checkpoint when the job is stopped
+	Checkpoints       bool    // the job saves checkpoints
+	ModelPriority     int     // priority of the model's replicas
+	ModelTier         int     // tier of the model's replicas
 }
 
-// Access says what work may do with the pool's machines. What borrows has to give way
-// to replicas by the rules of priorities, and within the time that a burst leaves.
+// Access returns how a job may use the pool's machines. Replicas of the model have full access if
+// their team is allowed. Work of a higher tier or priority than the replicas may use the machines
+// as a last resort. Other work of an allowed team may borrow machines if the replicas may preempt
+// it and it saves its checkpoint within Burst.WithinS.
 func (p *Pool) Access(w *Workload) placement.PoolAccess {
 	switch {
 	case p.Serves(w.Image) && p.AllowsTeam(w.Team):
--- a/warmpool/weekly_demand.go
+++ b/warmpool/weekly_demand.go
@@ -1,3 +1,5 @@
+// Demand statistics of a warm pool by hour of the week.
+
 package warmpool
 
 import (
@@ -11,68 +13,73 @@
 	"github.com/DataDog/sketches-go/ddsketch/store"
 )
 
-// hoursPerWeek are counted from Monday 0 o'clock UTC: bursts that follow a clock
-// that is put forward move by an hour once, and are learnt anew in two weeks.
+// hoursPerWeek is the number of hours of the week, which are counted from Monday 00:00 UTC. Bursts
+// that follow local time move by one hour when daylight saving time changes. The new hour is
+// learned within two weeks.
 const hoursPerWeek = 7 * 24
 
 const (
-	relativeAccuracy = 0.001 // of a peak
-	weeklyDecay      = 0.75  // of what is known of an hour is kept with each week
-	minWeight        = 0.02  // what counts for less than that of a week is dropped: 14 weeks are kept
+	relativeAccuracy = 0.001 // accuracy of a peak in a sketch
+	weeklyDecay      = 0.75  // factor by which the weight of past peaks shrinks each week
+	minWeight        = 0.02  // peaks of less weight are dropped, which keeps 14 weeks
 )
 
-// WeeklyDemand is what a model's peaks have been, by hour of the week: for each hour a
-// sketch of how many replicas were wanted at once. It is bounded whatever comes.
+// WeeklyDemand records a model's past peaks by hour of the week. For each hour it holds a sketch
+// of the highest number of replicas wanted at once. Its size is bounded. The zero value is empty
+// and ready to use.
 type WeeklyDemand struct {
 	sketches    [hoursPerWeek]*ddsketch.DDSketch
-	currentHour int64 // hours since 1970 of the hour that is not over, 0: none
-	currentPeak int   // of it, so far
+	currentHour int64 // the hour being observed, in hours since 1970; 0: none
+	currentPeak int   // peak of currentHour so far
 }
 
 func newSketch() *ddsketch.DDSketch {
-	m, err := mapping.NewLogarithmicMapping(relativeAccuracy)
+	indexMapping, err := mapping.NewLogarithmicMapping(relativeAccuracy)
 	if err != nil {
-		panic(err) // the error is a constant
+		panic(err) // depends only on the constant relativeAccuracy
 	}
-	return ddsketch.NewDDSketch(m, store.NewSparseStore(), store.NewSparseStore())
+	return ddsketch.NewDDSketch(indexMapping, store.NewSparseStore(), store.NewSparseStore())
 }
 
-// HourOfWeek is the hour of the week that a time lies in.
+// HourOfWeek returns the hour of the week of a time in UTC, from 0 (Monday 00:00) to 167.
 func HourOfWeek(t time.Time) int {
 	t = t.UTC()
 	return (int(t.Weekday())+6)%7*24 + t.Hour()
 }
 
+// hoursSinceEpoch returns the number of full hours from 1970 to t.
 func hoursSinceEpoch(t time.Time) int64 { return t.Unix() / 3600 }
 
-// Observe takes in how many replicas are wanted now. It returns the days of the week,
-// Monday being 0, whose records have changed: those of hours that are over.
-func (w *WeeklyDemand) Observe(n int, now time.Time) (changed []int) {
-	h := hoursSinceEpoch(now)
-	if w.currentHour == 0 || h < w.currentHour { // the first, or a clock that is behind
+// Observe records the number of replicas wanted now. When an hour has ended, its peak is added to
+// the statistics. Observe returns the days of the week (0 is Monday) whose encoding has changed by
+// that.
+func (w *WeeklyDemand) Observe(replicas int, now time.Time) (changedDays []int) {
+	hour := hoursSinceEpoch(now)
+	if w.currentHour == 0 || hour < w.currentHour { // the first observation, or a clock that is behind
 		if w.currentHour == 0 {
-			w.currentHour, w.currentPeak = h, n
+			w.currentHour, w.currentPeak = hour, replicas
 		}
-		w.currentPeak = max(w.currentPeak, n)
+		w.currentPeak = max(w.currentPeak, replicas)
 		return nil
 	}
-	// Hours in which nobody led are unknown, not empty: only the one that was
-	// watched is taken down.
-	if h > w.currentHour {
-		slot := HourOfWeek(time.Unix(w.currentHour*3600, 0))
-		w.addPeak(slot, w.currentPeak)
-		changed = append(changed, slot/24)
-		w.currentHour, w.currentPeak = h, 0
+	// Hours without a leader count as unknown rather than as hours without demand. So only the
+	// observed hour is added.
+	if hour > w.currentHour {
+		hourOfWeek := HourOfWeek(time.Unix(w.currentHour*3600, 0))
+		w.addPeak(hourOfWeek, w.currentPeak)
+		changedDays = append(changedDays, hourOfWeek/24)
+		w.currentHour, w.currentPeak = hour, 0
 	}
-	w.currentPeak = max(w.currentPeak, n)
-	return changed
+	w.currentPeak = max(w.currentPeak, replicas)
+	return changedDays
 }
 
-// Current is the hour that is not over, in hours since 1970, and its peak so far.
+// Current returns the hour being observed, in hours since 1970, and its peak so far. The hour is 0
+// before the first observation.
 func (w *WeeklyDemand) Current() (hour int64, peak int) { return w.currentHour, w.currentPeak }
 
-// Resume takes in what an earlier leader saw of an hour. Whether it is over is
-// found with the next Want.
+// Resume restores the hour that an earlier leader was observing, and its peak. An hour before the
+// current one is ignored. If the hour has ended since, the next Observe adds its peak.
 func (w *WeeklyDemand) Resume(hour int64, peak int) {
 	if hour > w.currentHour {
 		w.currentHour, w.currentPeak = hour, peak
@@ -81,85 +88,88 @@
 	}
 }
 
-func (w *WeeklyDemand) addPeak(slot, peak int) {
-	s := newSketch()
-	if old := w.sketches[slot]; old != nil {
-		old.ForEach(func(v, count float64) bool {
+// addPeak adds a peak to the sketch of an hour of the week. It reduces the weight of the earlier
+// peaks and drops those below minWeight.
+func (w *WeeklyDemand) addPeak(hourOfWeek, peak int) {
+	sketch := newSketch()
+	if previous := w.sketches[hourOfWeek]; previous != nil {
+		previous.ForEach(func(value, count float64) bool {
 			if count *= weeklyDecay; count >= minWeight {
-				_ = s.AddWithCount(v, count) // fails for values that no peak has
+				_ = sketch.AddWithCount(value, count) // fails only for values that no peak has
 			}
 			return false
 		})
 	}
-	_ = s.Add(float64(peak))
-	w.sketches[slot] = s
+	_ = sketch.Add(float64(peak))
+	w.sketches[hourOfWeek] = sketch
 }
 
-// Quantile is the most that a share q of the peaks has needed in any of the hours
-// from now until lead is over; what this hour has already needed counts too.
+// Quantile returns the number of replicas that covers the share q (0 to 1) of the past peaks in
+// each hour of the week from now until the end of lead. It is at least the current hour's peak so
+// far. Without data it is 0.
 func (w *WeeklyDemand) Quantile(now time.Time, lead time.Duration, q float64) int {
-	most := 0
+	highest := 0
 	if hoursSinceEpoch(now) == w.currentHour {
-		most = w.currentPeak
+		highest = w.currentPeak
 	}
-	// This hour may yet bring what it brings every week.
-	for h := hoursSinceEpoch(now); h <= hoursSinceEpoch(now.Add(lead)); h++ {
-		s := w.sketches[HourOfWeek(time.Unix(h*3600, 0))]
-		if s == nil || s.IsEmpty() {
+	// The current hour is included, because its usual peak may still come.
+	for hour := hoursSinceEpoch(now); hour <= hoursSinceEpoch(now.Add(lead)); hour++ {
+		sketch := w.sketches[HourOfWeek(time.Unix(hour*3600, 0))]
+		if sketch == nil || sketch.IsEmpty() {
 			continue
 		}
-		if v, err := s.GetValueAtQuantile(q); err == nil {
-			most = max(most, int(math.Round(v)))
+		if value, err := sketch.GetValueAtQuantile(q); err == nil {
+			highest = max(highest, int(math.Round(value)))
 		}
 	}
-	return most
+	return highest
 }
 
-// EncodeDay writes what is known of a day's hours as text, for a record; an hour of
-// which nothing is known is empty.
+// EncodeDay returns the sketches of the 24 hours of a day of the week (0 is Monday) as texts for a
+// record. The text of an hour without data is empty.
 func (w *WeeklyDemand) EncodeDay(day int) []string {
-	out := make([]string, 24)
-	for i := range out {
-		if s := w.sketches[day*24+i]; s != nil && !s.IsEmpty() {
-			var b []byte
-			s.Encode(&b, true)
-			out[i] = base64.RawStdEncoding.EncodeToString(b)
+	texts := make([]string, 24)
+	for i := range texts {
+		if sketch := w.sketches[day*24+i]; sketch != nil && !sketch.IsEmpty() {
+			var encoded []byte
+			sketch.Encode(&encoded, true)
+			texts[i] = base64.RawStdEncoding.EncodeToString(encoded)
 		}
 	}
-	return out
+	return texts
 }
 
-// LoadDay takes in what Day wrote. An hour that can't be read is left out and
-// named.
-func (w *WeeklyDemand) LoadDay(day int, text []string) error {
+// LoadDay restores the texts that EncodeDay returned for a day of the week (0 is Monday). Hours
+// that can't be decoded are skipped. The error is that of the first such hour.
+func (w *WeeklyDemand) LoadDay(day int, texts []string) error {
 	if day < 0 || day > 6 {
-		return fmt.Errorf("pools: there is no day %d", day)
+		return fmt.Errorf("pools: invalid day of the week %d", day)
 	}
-	var first error
-	for i := 0; i < len(text) && i < 24; i++ {
-		if text[i] == "" {
+	var firstErr error
+	for i := 0; i < len(texts) && i < 24; i++ {
+		if texts[i] == "" {
 			continue
 		}
-		s, err := decodeSketch(text[i])
+		sketch, err := decodeSketch(texts[i])
 		if err != nil {
-			if first == nil {
-				first = fmt.Errorf("pools: hour %d of day %d: %w", i, day, err)
+			if firstErr == nil {
+				firstErr = fmt.Errorf("pools: decode hour %d of day %d: %w", i, day, err)
 			}
 			continue
 		}
-		w.sketches[day*24+i] = s
+		w.sketches[day*24+i] = sketch
 	}
-	return first
+	return firstErr
 }
 
 func decodeSketch(text string) (*ddsketch.DDSketch, error) {
-	b, err := base64.RawStdEncoding.DecodeString(text)
+	encoded, err := base64.RawStdEncoding.DecodeString(text)
 	if err != nil {
 		return nil, err
 	}
-	s := newSketch()
-	if err := s.DecodeAndMergeWith(b); err != nil {
+	sketch := newSketch()
+	if err := sketch.DecodeAndMergeWith(encoded); err != nil {
 		return nil, err
 	}
-	return s, nil
+	return sketch, nil
 }
