--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	passBatches  = 3  // batches that a scheduling pass commits at most
-	batchRecords = 12 // records of a batch
+	maxPassBatches  = 3  // batches that a scheduling pass commits at most
+	maxBatchRecords = 12 // records of a batch
 )
 
 // commitOutcome is what the leader learns of a scheduling pass's commits.
@@ -129,13 +129,13 @@
 	s.schedule()
 	if s.mutation == LaunchBeforeCommit {
 		s.sendPushes()
-		if batch := s.leader.NextBatch(batchRecords); batch != nil {
+		if batch := s.leader.NextBatch(maxBatchRecords); batch != nil {
 			batch.OnCommit(1, s.now()) // which did not happen
 		}
 		return
 	}
-	for range passBatches {
-		batch := s.leader.NextBatch(batchRecords)
+	for range maxPassBatches {
+		batch := s.leader.NextBatch(maxBatchRecords)
 		if batch == nil || !s.commitBatch(batch, outcome) {
 			break
 		}
