--- a/modelcheck/action.go
+++ b/modelcheck/action.go
@@ -1,3 +1,5 @@
+// The actions that the search explores, and their names in counterexamples.
+
 package modelcheck
 
 import (
@@ -5,41 +7,41 @@
 	"strings"
 )
 
-// Action is one transition that may happen next.
+// Action is a transition of a System.
 type Action struct {
 	Kind ActionKind
-	Arg  uint8 // the index of a worker, a job or a message, by Kind
+	Arg  uint8 // index of a worker, a job or a message, depending on Kind; 0 if unused
 }
 
-// ActionKind is the kind of a transition.
+// ActionKind is the kind of a transition. Its values select an entry of transitions.
 type ActionKind uint8
 
 // Actions of the leader.
 const (
 	SchedulingPass         ActionKind = iota // the leader schedules, commits and sends pushes
-	PassResponseLost                         // the same, but the commit's response is lost
-	PassCommitDelayed                        // the same, but the first commit gets no response and is executed later
-	ScheduleWithoutCommit                    // the leader schedules and has committed nothing yet
+	PassResponseLost                         // like SchedulingPass, but the commit's response is lost
+	PassCommitDelayed                        // like SchedulingPass, but the first commit gets no response and is executed later
+	ScheduleWithoutCommit                    // the leader schedules and does not commit yet
 	DeliverWatch                             // the leader reads the changes of jobs' records
-	LoadPlan                                 // the leader reads the plan in force
+	LoadPlan                                 // the leader reads the current plan
 	Failover                                 // another leader takes over
 	FormerLeaderRoundTrip                    // the former leader handles a worker's heartbeat
-	ReceiveRenewalResponse                   // the response arrives to a renewal sent before the store refused the leader
+	ReceiveRenewalResponse                   // the leader receives the response to a lease renewal that it sent before the store refused it
 )
 
-// Actions of workers and of the network between these and the leader.
+// Actions of workers and of the network between workers and the leader.
 const (
-	HeartbeatRoundTrip       ActionKind = iota + ReceiveRenewalResponse + 1 // a heartbeat, its response and the commands' execution in one step
+	HeartbeatRoundTrip       ActionKind = iota + ReceiveRenewalResponse + 1 // a heartbeat, its response and the execution of the commands in one step
 	SendHeartbeat                                                           // a worker sends a heartbeat
-	ReceiveHeartbeat                                                        // it arrives, and the response is sent
-	ReceiveResponse                                                         // the response arrives
-	AbandonHeartbeat                                                        // the worker's request times out
-	ReceiveDelayedHeartbeat                                                 // a heartbeat arrives after its timeout
-	ReceiveAbandonedResponse                                                // a response arrives after its timeout
-	ReceivePush                                                             // a push arrives
-	ToggleReachability                                                      // a worker stops receiving, or receives again
+	ReceiveHeartbeat                                                        // the leader receives a heartbeat and responds
+	ReceiveResponse                                                         // a worker receives the response
+	AbandonHeartbeat                                                        // a worker's request times out
+	ReceiveDelayedHeartbeat                                                 // the leader receives a heartbeat after its timeout
+	ReceiveAbandonedResponse                                                // a worker receives a response after its timeout
+	ReceivePush                                                             // a worker receives a push
+	ToggleReachability                                                      // a worker stops receiving messages, or receives them again
 	DuplicateHeartbeat                                                      // the network duplicates a worker's last heartbeat
-	ReceiveDuplicate                                                        // the duplicate arrives
+	ReceiveDuplicate                                                        // the leader receives a duplicate
 	ImageFetched                                                            // a worker has fetched a task's image
 	CompleteTask                                                            // a task completes
 	RefuseStart                                                             // a worker refuses a start
@@ -49,17 +51,18 @@
 const (
 	CancelJob                ActionKind = iota + RefuseStart + 1 // a user cancels a job and receives the response
 	SendCancellation                                             // a controller sends the transaction of a user's cancellation
-	ExecuteCancellation                                          // it is executed, and the user receives the response
-	CancellationResponseLost                                     // it is executed, and the response is lost
+	ExecuteCancellation                                          // the store executes the transaction, and the user receives the response
+	CancellationResponseLost                                     // the store executes the transaction, and the response is lost
 	RetryCancellation                                            // the user repeats the request and receives the final state
 	AcceptJob                                                    // the deferred job is accepted
-	ApplyPlan                                                    // another plan is applied
-	ExecuteDelayedCommit                                         // a delayed commit of the leader is executed
-	ToggleStoreRefusal                                           // the key-value store begins to refuse the leader alone, or ends that
+	ApplyPlan                                                    // operators apply the next version of the plan
+	ExecuteDelayedCommit                                         // the store executes a delayed commit of the leader
+	ToggleStoreRefusal                                           // the store starts to refuse only the leader, or stops
 	AdvanceTime                                                  // stepSeconds pass
 )
 
-// actionNames are formats where an action has an argument.
+// actionNames holds the names of actions for String. Names of actions with an argument contain a
+// %d for it.
 var actionNames = map[ActionKind]string{
 	SchedulingPass:           "scheduling pass",
 	PassResponseLost:         "scheduling pass whose commit's response is lost",
@@ -78,21 +81,21 @@
 	ReceiveDelayedHeartbeat:  "delayed heartbeat %d received",
 	ReceiveAbandonedResponse: "abandoned response %d received",
 	ReceivePush:              "push %d received",
-	ToggleReachability:       "reachability changes of worker %d",
-	DuplicateHeartbeat:       "last heartbeat duplicated of worker %d",
+	ToggleReachability:       "reachability of worker %d changes",
+	DuplicateHeartbeat:       "last heartbeat of worker %d duplicated",
 	ReceiveDuplicate:         "duplicate %d received",
 	ImageFetched:             "image fetched by worker %d",
 	CompleteTask:             "task completes on worker %d",
 	RefuseStart:              "start refused by worker %d",
 	CancelJob:                "job %d cancelled",
-	SendCancellation:         "cancellation sent of job %d",
-	ExecuteCancellation:      "cancellation executed of job %d",
-	CancellationResponseLost: "cancellation executed, response lost, of job %d",
-	RetryCancellation:        "cancellation repeated of job %d",
+	SendCancellation:         "cancellation of job %d sent",
+	ExecuteCancellation:      "cancellation of job %d executed",
+	CancellationResponseLost: "cancellation of job %d executed, response lost",
+	RetryCancellation:        "cancellation of job %d repeated",
 	AcceptJob:                "deferred job accepted",
 	ApplyPlan:                "plan applied",
 	ExecuteDelayedCommit:     "delayed commit %d executed",
-	ToggleStoreRefusal:       "store begins or ends refusing the leader",
+	ToggleStoreRefusal:       "store starts or stops refusing the leader",
 	AdvanceTime:              "time passes",
 }
 
--- a/modelcheck/digest.go
+++ b/modelcheck/digest.go
@@ -1,3 +1,5 @@
+// Digests of system states, by which the search recognizes states that it has seen.
+
 package modelcheck
 
 import (
@@ -11,10 +13,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Version implements cluster.DigestBase.
+// Version implements cluster.DigestBase. It returns the current version of a key, or 0 if the key
+// does not exist.
 func (s *System) Version(key string) uint64 { return s.store[key].version }
 
-// LastMessage implements cluster.DigestBase.
+// LastMessage implements cluster.DigestBase. It returns the agent epoch and the last sequence
+// number of a machine's worker, or zeros if the machine is unknown.
 func (s *System) LastMessage(machine string) (epoch, seq uint64) {
 	for _, w := range s.workers {
 		if w.name == machine {
@@ -24,9 +28,9 @@
 	return 0, 0
 }
 
-// Digest writes the part of the state that determines what may follow: states with equal
-// digests are merged. Numbers that only grow are written relative to what they are compared
-// with, so that equivalent states at different counts are equal.
+// Digest writes the part of the state that determines the possible successors. The search merges
+// states with equal digests. Counters that only grow are written relative to the values that they
+// are compared with, so equivalent states have equal digests at different counts.
 func (s *System) Digest(out io.Writer) {
 	fmt.Fprintf(out, "%d,%t|", s.failovers, s.watchedRevision < s.revision)
 	for _, w := range s.workers {
@@ -61,7 +65,8 @@
 	}
 }
 
-// digestNetwork writes the messages that nobody waits for, and the faults so far.
+// digestNetwork writes the messages in transit without a waiting receiver, and the number of faults
+// so far.
 func (s *System) digestNetwork(out io.Writer) {
 	fmt.Fprintf(out, "m%d,%d,%d", s.partitionCount, s.duplicateCount, s.refusedStarts)
 	for _, h := range s.duplicates {
@@ -97,7 +102,7 @@
 	}
 }
 
-// digestRecord writes a value of the key-value store.
+// digestRecord writes the relevant part of a value in the key-value store.
 func digestRecord(out io.Writer, value any) {
 	switch record := value.(type) {
 	case jobstore.JobRecord:
@@ -113,7 +118,7 @@
 	}
 }
 
-// digestJobs writes which tasks have completed, and how long ago jobs were cancelled.
+// digestJobs writes which tasks have completed and how long ago jobs were cancelled.
 func (s *System) digestJobs(out io.Writer) {
 	for i := range s.scenario.Jobs {
 		job := &s.scenario.Jobs[i]
@@ -127,7 +132,7 @@
 	}
 }
 
-// digestPlan writes the plan's progress, and which decisions were made under the one in force.
+// digestPlan writes the versions of the plan and which decisions were made under the current one.
 func (s *System) digestPlan(out io.Writer) {
 	if s.scenario.MaxPlans == 0 {
 		return
@@ -145,7 +150,7 @@
 	}
 }
 
-// digestStore writes the transactions under way, and the leader's lease.
+// digestStore writes the pending transactions and the state of the leader's lease.
 func (s *System) digestStore(out io.Writer) {
 	if s.scenario.MaxDelayedCommits+s.scenario.AsyncCancellations+s.scenario.MaxStoreRefusals == 0 {
 		return
@@ -173,7 +178,8 @@
 func (s *System) digestTransaction(out io.Writer, t transaction) {
 	fmt.Fprintf(out, ";%t", t.token == s.fencingToken)
 	for _, g := range t.guards {
-		// A guard that does not hold now never will, unless it wants the key not to exist.
+		// A failed guard on an existing version can never hold again, because versions are
+		// not reused. A guard on a missing key can, once the key is deleted.
 		fmt.Fprintf(out, "g%s%t%t", g.Key, g.Version == s.store[g.Key].version, g.Version == 0)
 	}
 	for _, op := range t.ops {
--- a/modelcheck/enabled.go
+++ b/modelcheck/enabled.go
@@ -1,3 +1,5 @@
+// The actions that are enabled in a state.
+
 package modelcheck
 
 import (
@@ -7,8 +9,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// EnabledActions lists the actions that may happen next, without those that the scenario
-// excludes. Their order decides which counterexample is found first.
+// EnabledActions returns the actions that may happen next and that the scenario allows. Their
+// order decides which counterexample is found first.
 func (s *System) EnabledActions() []Action {
 	actions := []Action{{Kind: SchedulingPass}, {Kind: PassResponseLost}, {Kind: AdvanceTime}}
 	actions = append(actions, s.planActions()...)
@@ -29,7 +31,7 @@
 	return slices.DeleteFunc(actions, func(a Action) bool { return !slices.Contains(s.scenario.Allowed, a.Kind) })
 }
 
-// planActions lists what may happen to the plan.
+// planActions returns the enabled actions that concern the plan.
 func (s *System) planActions() (actions []Action) {
 	if s.scenario.MaxPlans == 0 {
 		return nil
@@ -47,8 +49,8 @@
 	return actions
 }
 
-// storeActions lists what may happen to transactions under way and between the leader and
-// the key-value store.
+// storeActions returns the enabled actions that concern pending transactions and the connection
+// between the leader and the key-value store.
 func (s *System) storeActions() (actions []Action) {
 	if s.delayedCount < s.scenario.MaxDelayedCommits {
 		actions = append(actions, Action{Kind: PassCommitDelayed})
@@ -68,7 +70,7 @@
 	return actions
 }
 
-// asyncCancellationActions lists the next steps of a job's cancellation.
+// asyncCancellationActions returns the possible next steps of a job's cancellation.
 func (s *System) asyncCancellationActions(job int) []Action {
 	id, arg := s.scenario.Jobs[job].ID, uint8(job)
 	_, underWay := s.cancellations[id]
@@ -85,7 +87,7 @@
 	return nil
 }
 
-// heartbeatActions lists the next steps of a worker's heartbeat.
+// heartbeatActions returns the possible next steps of a worker's heartbeat.
 func (s *System) heartbeatActions(i int) []Action {
 	w, arg := s.workers[i], uint8(i)
 	reliable := i >= len(s.workers)-s.scenario.ReliableMachines
@@ -104,7 +106,7 @@
 	return []Action{{ReceiveHeartbeat, arg}, {AbandonHeartbeat, arg}}
 }
 
-// networkActions lists the faults of the network that may hit a worker.
+// networkActions returns the network faults that may affect a worker.
 func (s *System) networkActions(i int) (actions []Action) {
 	w, arg := s.workers[i], uint8(i)
 	if w.unreachable || s.partitionCount < s.scenario.MaxPartitions {
@@ -116,7 +118,7 @@
 	return actions
 }
 
-// taskActions lists what may happen to a worker's tasks.
+// taskActions returns the enabled actions that concern a worker's tasks.
 func (s *System) taskActions(i int) (actions []Action) {
 	w, arg := s.workers[i], uint8(i)
 	if w.firstInState(wire.TaskFetching) != nil {
@@ -131,7 +133,7 @@
 	return actions
 }
 
-// messageActions lists the arrivals of messages that nobody waits for.
+// messageActions returns the possible arrivals of messages that no sender or receiver waits for.
 func (s *System) messageActions() (actions []Action) {
 	for i := range s.delayedHeartbeats {
 		actions = append(actions, Action{ReceiveDelayedHeartbeat, uint8(i)})
@@ -150,7 +152,7 @@
 	return actions
 }
 
-// cancelActions lists cancellations in one step, and that the leader reads of one.
+// cancelActions returns the cancellations in one step and the leader's read of a cancellation.
 func (s *System) cancelActions() (actions []Action) {
 	for i := range s.scenario.CancellableJobs {
 		if _, ok := s.activeRecord(s.scenario.Jobs[i].ID); ok {
--- a/modelcheck/invariants.go
+++ b/modelcheck/invariants.go
@@ -1,3 +1,5 @@
+// The invariants, and their checks at the transitions that may violate them.
+
 package modelcheck
 
 import (
@@ -9,31 +11,31 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Invariant names a condition that must hold in every state. Those of PROTOCOL have the
-// names by which the bench reports their violation.
+// Invariant is the name of a condition that must hold in every state. For invariants of the
+// protocol specification (PROTOCOL) it is the name under which the bench reports violations.
 type Invariant string
 
 // The invariants.
 const (
-	RunsOnce            Invariant = "ran_twice"       // no two machines have the same task
+	RunsOnce            Invariant = "ran_twice"       // a task is on at most one machine
 	QuotaHolds          Invariant = "quota"           // a team's tasks stay within its limit
-	GangInOneZone       Invariant = "wrong_place"     // a one_zone gang's tasks are in one zone
-	CancelledTasksEnd   Invariant = "ran_cancelled"   // a cancelled job's tasks are gone by the deadline
+	GangInOneZone       Invariant = "wrong_place"     // all tasks of a one_zone gang are in one zone
+	CancelledTasksEnd   Invariant = "ran_cancelled"   // a cancelled job's tasks end by the deadline
 	DoneTasksCompleted  Invariant = "not_done"        // a job is done only if all its tasks have completed
-	FinalStateIsStable  Invariant = "went_back"       // a job's final state never changes, and it is cancelled only on request
-	JobHasOneRecord     Invariant = "forgotten"       // an accepted job has either its active or its final record
-	OutcomeIsRecorded   Invariant = "outcome lost"    // an outcome that a worker has forgotten is recorded
-	DecisionsFollowPlan Invariant = "superseded plan" // what is committed was decided under the plan in force
+	FinalStateIsStable  Invariant = "went_back"       // a job's final state never changes, and jobs are cancelled only on request
+	JobHasOneRecord     Invariant = "forgotten"       // an accepted job has either an active or a final record
+	OutcomeIsRecorded   Invariant = "outcome lost"    // an outcome is recorded before its worker forgets it
+	DecisionsFollowPlan Invariant = "superseded plan" // commits contain only decisions made under the current plan
 )
 
-// violate notes a violation, if it is the first one.
+// violate sets the violation unless there is one already.
 func (s *System) violate(invariant Invariant, description string) {
 	if s.Violation == "" {
 		s.Violation = string(invariant) + ": " + description
 	}
 }
 
-// checkStart checks a task's start against what is on machines now.
+// checkStart checks a task's start against the tasks that are on machines.
 func (s *System) checkStart(w *worker, t *task) {
 	job := s.jobOf(t)
 	used := job.CPUs
@@ -59,7 +61,8 @@
 	}
 }
 
-// checkCancelDeadlines checks that no task is left of a job cancelled long enough ago.
+// checkCancelDeadlines checks that no tasks are left of jobs whose cancellation deadline has
+// passed.
 func (s *System) checkCancelDeadlines() {
 	for _, w := range s.workers {
 		for _, t := range w.tasks {
@@ -70,13 +73,13 @@
 	}
 }
 
-// pastCancelDeadline says whether a job's tasks must be gone.
+// pastCancelDeadline reports whether a job's tasks must have ended because of its cancellation.
 func (s *System) pastCancelDeadline(id string) bool {
 	cancelledAt, ok := s.cancelledAt[id]
 	return ok && s.step-cancelledAt >= cancelDeadlineSteps
 }
 
-// checkDoneTasksCompleted checks a final record as it is written.
+// checkDoneTasksCompleted checks a job's final record when it is written.
 func (s *System) checkDoneTasksCompleted(op wire.Op) {
 	record, ok := op.Value.(jobstore.JobRecord)
 	if !ok || record.State != wire.JobDone {
@@ -89,15 +92,15 @@
 	}
 }
 
-// checkOutcomeRecorded checks an outcome as its worker forgets it.
+// checkOutcomeRecorded checks a task's outcome when the worker forgets it.
 func (s *System) checkOutcomeRecorded(t *task) {
 	if !s.outcomeRecorded(t.name) {
 		s.violate(OutcomeIsRecorded, t.name+" is forgotten and not recorded")
 	}
 }
 
-// checkJobRecords checks the records of all jobs after a transaction, since users may be told
-// after each what the records say. It is given the final records from before.
+// checkJobRecords checks the records of all jobs after a transaction, because users may read them
+// at any time. finalBefore holds the final records before the transaction, by job.
 func (s *System) checkJobRecords(finalBefore map[string]jobstore.JobRecord) {
 	for i := range s.scenario.Jobs {
 		if s.scenario.isDeferred(i) && !s.deferredAccepted {
@@ -123,9 +126,9 @@
 	}
 }
 
-// checkPreemptions notes under which version of the plan the leader means to preempt tasks,
-// and checks that version for those that it stops now. It is called after each step of the
-// leader.
+// checkPreemptions records the version of the plan under which the leader decided each pending
+// preemption. For tasks that the leader stops now, it checks that this version is still current.
+// It must be called after each step of the leader.
 func (s *System) checkPreemptions() {
 	if s.scenario.MaxPlans == 0 {
 		return
@@ -151,7 +154,7 @@
 	}
 }
 
-// checkPlacementsFollowPlan checks the placements that a page adds, before it is written.
+// checkPlacementsFollowPlan checks the new placements of a page before the page is written.
 func (s *System) checkPlacementsFollowPlan(op wire.Op) {
 	page, ok := op.Value.(jobstore.PlacementPage)
 	if !ok {
@@ -167,7 +170,7 @@
 	}
 }
 
-// placedAttempts returns the attempts with a placement on a page, in their order.
+// placedAttempts returns the attempts that have a placement on a page, in the order of the page.
 func placedAttempts(page jobstore.PlacementPage) (attempts []attemptKey) {
 	for _, chunk := range page.Chunks {
 		for _, p := range chunk.Placements {
@@ -177,5 +180,5 @@
 	return attempts
 }
 
-// planVersion returns the version of the plan in force.
+// planVersion returns the version of the current plan's key; 0 if there is no plan.
 func (s *System) planVersion() uint64 { return s.store[jobstore.PlanHeadKey].version }
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -1,3 +1,5 @@
+// The leader: the real cluster.Model, driven with the simulated store and workers.
+
 package modelcheck
 
 import (
@@ -13,20 +15,20 @@
 )
 
 const (
-	maxPassBatches  = 3  // batches that a scheduling pass commits at most
+	maxPassBatches  = 3  // batches that a scheduling pass commits
 	maxBatchRecords = 12 // records of a batch
 )
 
-// commitOutcome is what the leader learns of a scheduling pass's commits.
+// commitOutcome is the fate of the commits of a scheduling pass.
 type commitOutcome int
 
 const (
 	commitAnswered     commitOutcome = iota
-	commitResponseLost               // executed, but the leader doesn't learn of it
-	commitDelayed                    // the first one gets no response and is executed later
+	commitResponseLost               // executed, but the leader gets no response
+	commitDelayed                    // the first commit gets no response and is executed later
 )
 
-// failOver lets another leader take over.
+// failOver replaces the leader.
 func (s *System) failOver() {
 	s.failovers++
 	if s.mutation == KeepFormerLeader {
@@ -35,7 +37,7 @@
 	s.startLeader()
 }
 
-// startLeader makes a new leader's model from the records, as a controller does.
+// startLeader makes the model of a new leader from the stored records, as a controller does.
 func (s *System) startLeader() {
 	s.revision++
 	s.fencingToken++
@@ -54,7 +56,7 @@
 	s.storeRefuses, s.renewalPending, s.leaseStart = false, false, s.step
 }
 
-// newModel returns the model of a leader that has loaded nothing yet.
+// newModel returns the model of a new leader before it has loaded any records.
 func (s *System) newModel() *cluster.Model {
 	settings := *s.settings
 	if s.mutation == HalveWorkerLease {
@@ -73,7 +75,7 @@
 	return model
 }
 
-// loadJobs gives a new leader the record of a job, or of a page of jobs.
+// loadJobs passes the record of a job or of a page of jobs to a new leader. Other keys are ignored.
 func (s *System) loadJobs(model *cluster.Model, key string) {
 	stored := s.store[key]
 	if id, ok := jobstore.ParseJobKey(key); ok {
@@ -84,8 +86,8 @@
 	}
 }
 
-// loadPlacements gives a new leader a page of placements, and the final records of jobs that
-// have some and are over.
+// loadPlacements passes a page of placements to a new leader, together with the final records of
+// jobs on the page that are over. Other keys are ignored.
 func (s *System) loadPlacements(model *cluster.Model, key string) {
 	number, ok := jobstore.ParsePlacementPageKey(key)
 	if !ok {
@@ -103,12 +105,12 @@
 	model.LoadPlacementPage(number, page, s.store[key].version, s.now())
 }
 
-// deliverWatch lets the leader read which jobs' records are gone.
+// deliverWatch lets the leader read which active job records have been removed.
 func (s *System) deliverWatch() {
 	if s.scenario.SharedPage {
 		page, ok := s.store[sharedPageKey]
 		if !ok {
-			page = storedValue{jobstore.JobPage{}, s.revision} // removed, now at the latest
+			page = storedValue{jobstore.JobPage{}, s.revision} // the page was removed at or before this revision
 		}
 		s.leader.ApplyAdmissionPages([]cluster.AdmissionPage{{Key: sharedPageKey, Version: page.version, Record: page.value.(jobstore.JobPage)}}, s.now())
 		s.watchedRevision = s.revision
@@ -123,14 +125,14 @@
 	s.watchedRevision = s.revision
 }
 
-// schedulingPass is the leader's: it expires leases, schedules, commits, and then sends
-// pushes.
+// schedulingPass runs one pass of the leader. It expires leases, schedules, commits and sends
+// pushes, in this order.
 func (s *System) schedulingPass(outcome commitOutcome) {
 	s.schedule()
 	if s.mutation == LaunchBeforeCommit {
 		s.sendPushes()
 		if batch := s.leader.NextBatch(maxBatchRecords); batch != nil {
-			batch.OnCommit(1, s.now()) // which did not happen
+			batch.OnCommit(1, s.now()) // reports a commit that did not happen
 		}
 		return
 	}
@@ -146,8 +148,8 @@
 	}
 }
 
-// schedule has the leader expire leases and place tasks, and notes by which version of the
-// plan it placed them.
+// schedule lets the leader expire leases and place tasks. It records the version of the plan under
+// which each attempt was placed.
 func (s *System) schedule() {
 	s.leader.Tick(s.now())
 	s.leader.Schedule(s.now(), 0)
@@ -159,11 +161,11 @@
 	s.checkPreemptions()
 }
 
-// commitBatch commits a batch of the leader's and says whether the pass goes on.
+// commitBatch commits a batch of the leader and reports whether the pass continues.
 func (s *System) commitBatch(batch *cluster.WriteBatch, outcome commitOutcome) bool {
 	switch {
 	case s.storeRefuses:
-		s.leader.RequeueBatch(batch) // 503: it was not executed
+		s.leader.RequeueBatch(batch) // the store responded with 503 and did not execute the batch
 		return false
 	case outcome == commitDelayed:
 		s.delayCommit(batch)
@@ -180,7 +182,7 @@
 	return outcome == commitAnswered
 }
 
-// resolveConflicts has the leader read the records whose guards failed.
+// resolveConflicts lets the leader read the records whose guards failed.
 func (s *System) resolveConflicts(batch *cluster.WriteBatch, failed []string) {
 	s.reloadPlanOnConflict(failed)
 	for _, key := range failed {
@@ -193,7 +195,7 @@
 	}
 }
 
-// delayCommit leaves a batch without a response, to be executed later.
+// delayCommit delays a batch: the leader gets no response, and the store may execute it later.
 func (s *System) delayCommit(batch *cluster.WriteBatch) {
 	s.delayedCount++
 	s.delayedCommits = append(s.delayedCommits, transaction{s.fencingToken, batch.Guards, batch.Ops})
@@ -204,7 +206,7 @@
 	s.leader.RequeueBatch(batch)
 }
 
-// sendPushes sends stops and wake-ups to workers.
+// sendPushes sends the leader's stops and wake-ups to workers. Pushes beyond maxPushes are lost.
 func (s *System) sendPushes() {
 	now := s.now()
 	for _, p := range append(s.leader.StopPushes(now), s.leader.WakeUps(maxPushes, now)...) {
@@ -216,8 +218,8 @@
 	}
 }
 
-// receiveHeartbeat gives a heartbeat to a leader and notes the response, as a controller
-// does; nobody may be waiting for the response any more.
+// receiveHeartbeat passes a heartbeat to a leader and stores the response in the heartbeat, as a
+// controller does. The worker may no longer be waiting for the response.
 func (s *System) receiveHeartbeat(h *heartbeat, leader *cluster.Model) {
 	h.received = true
 	if s.isDuplicate(h) {
@@ -226,10 +228,10 @@
 		s.workers[h.worker].reachedToken = s.fencingToken
 	}
 	if !s.leaseValid() {
-		return // responds with 503
+		return // the controller responds with 503
 	}
 	if h.message.Token > leader.FencingToken {
-		return // resigns
+		return // the worker has seen a newer leader, so this one resigns
 	}
 	message := s.heartbeatUnderMutation(h, leader.FencingToken)
 	machine := leader.ApplyHeartbeat(&message, s.now())
@@ -244,12 +246,12 @@
 	s.mutateForgets(h)
 }
 
-// respondToRetry responds to a heartbeat that the leader has had already, if it is the
-// newest one.
+// respondToRetry responds to a heartbeat that the leader has received before, if it is the newest
+// one of its worker.
 func (s *System) respondToRetry(h *heartbeat, message *wire.Heartbeat, leader *cluster.Model) {
 	commands, ok := leader.AnswerRetry(message, "")
 	if !ok {
-		return // refused
+		return // the leader refuses the heartbeat
 	}
 	s.respond(h, commands, leader)
 	if s.isDuplicate(h) || s.workers[h.worker].pending != h {
@@ -261,14 +263,14 @@
 	}
 }
 
-// respond notes the response to a heartbeat.
+// respond stores the response to a heartbeat in the heartbeat.
 func (s *System) respond(h *heartbeat, commands []wire.Command, leader *cluster.Model) {
 	sortCommandsWithinOps(commands)
 	h.token, h.commands = leader.FencingToken, commands
 }
 
-// sortCommandsWithinOps sorts neighbouring commands of one operation by their tasks: the
-// leader iterates over maps there, and replays must not differ.
+// sortCommandsWithinOps sorts each run of commands with the same operation by task. The leader
+// iterates over maps to make them, and replays must be deterministic.
 func sortCommandsWithinOps(commands []wire.Command) {
 	for start := 0; start < len(commands); {
 		end := start + 1
--- a/modelcheck/leaderlease.go
+++ b/modelcheck/leaderlease.go
@@ -1,12 +1,15 @@
+// The leader's lease and its renewal while the store refuses the leader.
+
 package modelcheck
 
-// leaseValid says whether the leader's lease is valid: no more than one step has passed since
-// its last renewal was sent. Only scenarios in which the store refuses the leader look at it.
+// leaseValid reports whether the leader's lease is valid: fewer than leaseSteps have passed since
+// its last renewal was sent. In scenarios without store refusals the lease is always valid.
 func (s *System) leaseValid() bool {
 	return s.scenario.MaxStoreRefusals == 0 || s.mutation == IgnoreLeaderLease || s.step-s.leaseStart < leaseSteps
 }
 
-// renewLease renews the leader's lease with its read barrier, unless the store refuses it.
+// renewLease renews the leader's lease unless the store refuses the leader. As a read barrier, the
+// leader reads the changes of job records with each renewal.
 func (s *System) renewLease() {
 	if s.storeRefuses {
 		return
@@ -17,8 +20,8 @@
 	}
 }
 
-// toggleStoreRefusal makes the store refuse the leader alone, just after this has sent a
-// renewal, or ends that.
+// toggleStoreRefusal makes the store refuse only the leader, or ends the refusal. The refusal
+// starts just after the leader has sent a renewal.
 func (s *System) toggleStoreRefusal() {
 	s.storeRefuses = !s.storeRefuses
 	if !s.storeRefuses {
@@ -29,8 +32,8 @@
 	s.renewalSentAt, s.renewalPending = s.step, true
 }
 
-// receiveRenewalResponse lets the leader receive the response to the renewal under way. Its
-// lease counts from when that was sent.
+// receiveRenewalResponse lets the leader receive the response to the pending renewal. The lease
+// counts from when the renewal was sent.
 func (s *System) receiveRenewalResponse() {
 	s.renewalPending = false
 	if s.mutation == CountLeaseFromRenewalResponse {
--- a/modelcheck/mutation.go
+++ b/modelcheck/mutation.go
@@ -1,3 +1,5 @@
+// Mutations: faults that remove a guard, to show that searches find its absence.
+
 package modelcheck
 
 import (
@@ -7,37 +9,37 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Mutation is a fault that is put into the system: it removes one guard.
+// Mutation is an injected fault that removes one guard.
 type Mutation int
 
-// The mutations. NoMutation is the service as it is.
+// The mutations. NoMutation leaves the service unchanged.
 const (
 	NoMutation                    Mutation = iota
 	LaunchBeforeCommit                     // a launch is sent before its placement is committed
-	HalveWorkerLease                       // the leader takes a worker's lease as expired after half of it
-	SkipFailoverWait                       // a new leader doesn't wait for the leases that were valid at its election
+	HalveWorkerLease                       // the leader expires a worker's lease after half of its duration
+	SkipFailoverWait                       // a new leader doesn't wait for worker leases that were valid at its election
 	AcceptStaleHeartbeats                  // a delayed heartbeat counts as the newest
-	AssumeTokenShown                       // a task's absence counts although its worker has not shown the fencing token
+	AssumeTokenShown                       // the leader trusts a task's absence before the worker has shown the fencing token
 	ExecuteAbandonedResponses              // a worker executes a response after its timeout
 	LaunchByPush                           // a wake-up launches the task itself
 	ForgetBeforeCommit                     // a worker is told to forget an outcome before it is committed
 	SkipReadBarrier                        // a leader renews its lease without reading cancellations
-	KeepFormerLeader                       // a leader goes on responding after its lease has expired
-	ReleaseTasksOnCancel                   // a cancelled job's tasks count as gone at once
+	KeepFormerLeader                       // a former leader continues to respond after its lease has expired
+	ReleaseTasksOnCancel                   // a cancelled job's tasks count as ended at once
 	AcceptDuplicatesAsNewest               // a duplicated heartbeat counts as the newest
-	TreatResponsesAsUnreceived             // every response counts as not received, also where no heartbeat has shown that
+	TreatResponsesAsUnreceived             // every response counts as not received, even without evidence from a heartbeat
 	DropPlanGuard                          // commits don't depend on the version of the plan
-	PreemptWithoutPlanCheck                // preempted tasks are stopped without checking the version of the plan
+	PreemptWithoutPlanCheck                // preempted tasks are stopped without a check of the plan's version
 	TreatUnknownCommitAsSuccess            // a commit without a response counts as successful
 	DropPageGuards                         // a write of a placement page doesn't depend on its version
-	DropCancellationGuards                 // a user's cancellation has no conditions
+	DropCancellationGuards                 // a user's cancellation has no guards
 	DropJobGuards                          // the end of a job doesn't depend on the version of its record
-	IgnoreLeaderLease                      // a leader responds after its lease has expired, while there is no other one
-	CountLeaseFromRenewalResponse          // the leader's lease counts from the renewal's response, not from its request
+	IgnoreLeaderLease                      // a leader responds after its lease has expired, while there is no other leader
+	CountLeaseFromRenewalResponse          // the leader's lease counts from the renewal's response instead of its request
 	AcceptDuplicateAsTokenShown            // a duplicated heartbeat counts as having shown the fencing token
-	ForgetByPush                           // outcomes are forgotten by pushes as well as by responses
+	ForgetByPush                           // workers are told to forget outcomes by pushes as well as by responses
 
-	mutationCount // of the constants above
+	mutationCount // number of the constants above
 )
 
 var mutationNames = map[Mutation]string{
@@ -69,7 +71,7 @@
 
 func (m Mutation) String() string { return mutationNames[m] }
 
-// guardsUnderMutation returns the conditions of a transaction that the mutation leaves.
+// guardsUnderMutation returns the guards of a transaction without those that the mutation removes.
 func (s *System) guardsUnderMutation(guards []wire.Guard) []wire.Guard {
 	var dropped func(key string) bool
 	switch s.mutation {
@@ -90,7 +92,8 @@
 	return ok
 }
 
-// reportUnderMutation returns the status that the leader is given of a heartbeat.
+// heartbeatUnderMutation returns the message of a heartbeat as the mutation changes it for the
+// leader.
 func (s *System) heartbeatUnderMutation(h *heartbeat, fencingToken uint64) wire.Heartbeat {
 	const ahead = 1000 // beyond any sequence number of a worker
 	message, duplicate := h.message, s.isDuplicate(h)
@@ -104,7 +107,7 @@
 	return message
 }
 
-// mutatePush makes a wake-up launch its task.
+// mutatePush changes the wake-ups among the commands into launches under LaunchByPush.
 func (s *System) mutatePush(commands []wire.Command) {
 	if s.mutation != LaunchByPush {
 		return
@@ -117,8 +120,8 @@
 	}
 }
 
-// mutateForgets lets the worker of a heartbeat forget outcomes by a push, or before they
-// are committed.
+// mutateForgets makes the worker of a heartbeat forget outcomes by a push (ForgetByPush) or before
+// they are committed (ForgetBeforeCommit).
 func (s *System) mutateForgets(h *heartbeat) {
 	switch s.mutation {
 	case ForgetByPush:
@@ -132,7 +135,7 @@
 	}
 }
 
-// forgetByPush sends the outcomes that a response forgets by a push as well.
+// forgetByPush sends the forget commands of a response by a push as well.
 func (s *System) forgetByPush(h *heartbeat) {
 	var forgets []wire.Command
 	for _, c := range h.commands {
--- a/modelcheck/network.go
+++ b/modelcheck/network.go
@@ -1,3 +1,5 @@
+// Heartbeats, responses and pushes between workers and the leader, and the faults of the network.
+
 package modelcheck
 
 import (
@@ -10,32 +12,33 @@
 type heartbeat struct {
 	worker   int // index
 	message  wire.Heartbeat
-	sentAt   int  // step
-	received bool // by a leader, which may have refused it
-	token    uint64
-	commands []wire.Command
+	sentAt   int            // step
+	received bool           // received by a leader, which may have refused the heartbeat
+	token    uint64         // fencing token of the response; 0: no response
+	commands []wire.Command // commands of the response
 }
 
-// push is a batch of commands on its way to a worker outside of a response. It may arrive
-// at any time: after newer ones, after the next leader's, and in a later epoch.
+// push is a batch of commands that the leader sends to a worker outside of a response. It may
+// arrive at any time: after newer pushes, after pushes of the next leader, or in a later agent
+// epoch.
 type push struct {
 	worker      int // index
 	batch       wire.DirectCommands
-	launchCount int // of the worker when the push was sent
+	launchCount int // the worker's launchCount when the push was sent
 }
 
-// Event is a situation that a transition may reach.
+// Event is a noteworthy situation that a transition may reach.
 type Event string
 
-// What a push may meet when it arrives.
+// Situations in which a push arrives.
 const (
 	EventPushOfFormerLeader  Event = "push of a former leader executed"
 	EventPushRefusedForToken Event = "push refused for its fencing token"
 	EventPushRefusedForEpoch Event = "push refused for its agent epoch"
-	EventStopAfterRestart    Event = "pushed stop reached its attempt, launched later"
+	EventStopAfterRestart    Event = "pushed stop reached an attempt launched after the push"
 )
 
-// What a duplicated heartbeat may meet when it arrives, or the heartbeat that comes after it.
+// Situations in which a duplicated heartbeat, or the heartbeat after it, arrives.
 const (
 	EventRetryAfterDuplicate       Event = "heartbeat responded to after its duplicate"
 	EventRetryAtNextLeader         Event = "heartbeat responded to after its duplicate, at the next leader"
@@ -44,7 +47,7 @@
 	EventDuplicateOfEarlierAttempt Event = "duplicate with an earlier attempt first at the next leader"
 )
 
-// sendHeartbeat has a worker send a heartbeat.
+// sendHeartbeat lets a worker send a heartbeat.
 func (s *System) sendHeartbeat(i int) *heartbeat {
 	w := s.workers[i]
 	w.seq++
@@ -61,7 +64,8 @@
 	return h
 }
 
-// receiveResponse gives a worker the response to its heartbeat, which renews its lease.
+// receiveResponse lets a worker receive the response to its heartbeat. A valid response renews the
+// worker's lease from the time at which the heartbeat was sent.
 func (s *System) receiveResponse(h *heartbeat) {
 	w := s.workers[h.worker]
 	if w.pending == h {
@@ -75,8 +79,8 @@
 	s.executeCommands(w, h.commands)
 }
 
-// roundTrip sends a worker's heartbeat to the leader, and the response back if it reaches the
-// worker.
+// roundTrip sends a worker's heartbeat to the leader and the response back. The response is lost
+// if the worker is unreachable.
 func (s *System) roundTrip(i int) {
 	h := s.sendHeartbeat(i)
 	s.receiveHeartbeat(h, s.leader)
@@ -87,7 +91,8 @@
 	s.receiveResponse(h)
 }
 
-// abandonHeartbeat has a worker's request time out. What is under way of it may still arrive.
+// abandonHeartbeat lets a worker's request time out. The heartbeat may still arrive later. Its
+// response may do so only under mutation ExecuteAbandonedResponses.
 func (s *System) abandonHeartbeat(w *worker) {
 	h := w.pending
 	w.pending = nil
@@ -108,7 +113,8 @@
 	}
 }
 
-// toggleReachability makes a worker receive nothing, or receive again.
+// toggleReachability makes a worker unreachable, so that it receives no messages, or reachable
+// again.
 func (s *System) toggleReachability(i int) {
 	w := s.workers[i]
 	w.unreachable = !w.unreachable
@@ -117,8 +123,8 @@
 	}
 }
 
-// duplicateHeartbeat makes a duplicate of a worker's last heartbeat. With the last duplicate
-// of the scenario no heartbeat needs to be kept for one any more.
+// duplicateHeartbeat duplicates a worker's last heartbeat. After the scenario's last duplicate, the
+// heartbeats kept for duplication are dropped.
 func (s *System) duplicateHeartbeat(w *worker) {
 	duplicate := *w.lastHeartbeat
 	s.duplicates = append(s.duplicates, &duplicate)
@@ -134,8 +140,8 @@
 
 func (s *System) isDuplicate(h *heartbeat) bool { return slices.Contains(s.duplicates, h) }
 
-// noteDuplicate notes what a duplicate meets that is the next leader's first heartbeat of its
-// worker.
+// noteDuplicate records the events of a duplicate that is the first heartbeat of its worker at the
+// next leader.
 func (s *System) noteDuplicate(h *heartbeat) {
 	w := s.workers[h.worker]
 	if s.failovers == 0 || h.message.Token >= s.leader.FencingToken || w.reachedToken == s.fencingToken {
@@ -152,7 +158,8 @@
 	}
 }
 
-// receivePush has a worker execute a push, if its token and epoch still hold.
+// receivePush lets a worker execute a push. The worker refuses a push for another agent epoch or
+// with a lower fencing token than it has seen.
 func (s *System) receivePush(p push) {
 	w := s.workers[p.worker]
 	w.seq++
@@ -177,7 +184,7 @@
 	s.executeCommands(w, p.batch.Commands)
 }
 
-// has says whether the worker has an attempt that has not exited.
+// has reports whether the worker has an attempt that has not exited.
 func (w *worker) has(key attemptKey) bool {
 	return slices.ContainsFunc(w.tasks, func(t *task) bool { return t.attemptKey == key && t.state != wire.TaskExited })
 }
--- a/modelcheck/plan.go
+++ b/modelcheck/plan.go
@@ -1,3 +1,5 @@
+// The operators' plan: its versions in the store and their effect on the leader.
+
 package modelcheck
 
 import (
@@ -11,21 +13,20 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// The classes of jobs between which plans set the order.
+// Classes of jobs whose order the plans change.
 const (
 	classCraft  = "craft"
 	classClinic = "clinic"
 )
 
-// applyPlan puts the next version of the plan in force.
+// applyPlan makes the next version of the plan the current one.
 func (s *System) applyPlan() {
 	s.planNumber++
 	s.revision++
 	s.store[jobstore.PlanHeadKey] = storedValue{jobstore.PlanHead{Versions: []jobstore.PlanVersion{{Number: s.planNumber}}}, s.revision}
 }
 
-// loadPlan lets a leader read the plan in force. Each version turns the order of the two
-// classes round.
+// loadPlan lets a leader read the current plan. Each version reverses the order of the two classes.
 func (s *System) loadPlan(model *cluster.Model) {
 	head, ok := s.store[jobstore.PlanHeadKey]
 	if !ok {
@@ -44,8 +45,8 @@
 	model.SetPlan(cluster.Plan{Plan: p, Number: s.planNumber, HeadVersion: head.version}, s.now())
 }
 
-// commitPlanCheck has the leader compare the plan's version, if it holds preemptions back
-// until it has.
+// commitPlanCheck lets the leader check that its plan is still current, if it holds back
+// preemptions until this check.
 func (s *System) commitPlanCheck(outcome commitOutcome) {
 	batch := s.leader.PlanCheckBatch()
 	if batch == nil {
@@ -64,8 +65,8 @@
 	}
 }
 
-// reloadPlanOnConflict has the leader load the plan, if its version was among the guards that
-// failed.
+// reloadPlanOnConflict lets the leader reload the plan and drop held stops, if the guard on the
+// plan's version failed.
 func (s *System) reloadPlanOnConflict(failed []string) {
 	if slices.Contains(failed, jobstore.PlanHeadKey) {
 		s.leader.DropHeldStops()
@@ -78,10 +79,10 @@
 type placedAttempt struct {
 	key       attemptKey
 	placement *cluster.Placement
-	committed bool // its chunk's record has been committed since
+	committed bool // the record of the placement's chunk has been committed since
 }
 
-// placements iterates over the leader's placements, in the order of its jobs.
+// placements iterates over the leader's placements in the order of its jobs.
 func (s *System) placements() iter.Seq[placedAttempt] {
 	return func(yield func(placedAttempt) bool) {
 		for _, job := range s.leader.Jobs {
--- a/modelcheck/scenarios.go
+++ b/modelcheck/scenarios.go
@@ -1,3 +1,5 @@
+// The scenarios that searches explore.
+
 package modelcheck
 
 import (
@@ -12,7 +14,7 @@
 	secondJob = "wk-000002"
 )
 
-// Scenarios returns all scenarios that are explored with every action allowed.
+// Scenarios returns new copies of all scenarios that are explored with every action allowed.
 func Scenarios() []*Scenario {
 	return []*Scenario{
 		OneMachine(),
@@ -33,7 +35,7 @@
 	}
 }
 
-// newJob returns an array of one task that takes two CPUs.
+// newJob returns an array job of one task that takes two CPUs.
 func newJob(id string) wire.Job {
 	return wire.Job{
 		ID: id, Class: "c", Team: teamName, Kind: wire.KindArray, Priority: wire.PriorityNormal,
@@ -48,7 +50,8 @@
 	return job
 }
 
-// OneTask is a task that either of two machines can run and that its user may cancel.
+// OneTask returns a scenario with one task that either of two machines can run and that its user
+// may cancel.
 func OneTask() *Scenario {
 	return &Scenario{
 		Name: "one task", Zones: []string{zoneA, zoneA}, Capacity: 2, Jobs: []wire.Job{newJob(firstJob)},
@@ -56,7 +59,7 @@
 	}
 }
 
-// OneMachine is a task with one machine only.
+// OneMachine returns OneTask with only one machine.
 func OneMachine() *Scenario {
 	sc := OneTask()
 	sc.Name = "one machine"
@@ -64,7 +67,8 @@
 	return sc
 }
 
-// JobArray is an array of two tasks, of which each machine can run one.
+// JobArray returns a scenario with an array of two tasks and two machines that can run one task
+// each.
 func JobArray() *Scenario {
 	job := newJob(firstJob)
 	job.Tasks = 2
@@ -74,7 +78,7 @@
 	}
 }
 
-// Quota is two jobs of a team that may run one at a time.
+// Quota returns a scenario with two jobs of a team whose quota allows one at a time.
 func Quota() *Scenario {
 	return &Scenario{
 		Name: "quota", Zones: []string{zoneA, zoneA}, Capacity: 2, TeamLimit: 2, Jobs: []wire.Job{newJob(firstJob), newJob(secondJob)},
@@ -82,7 +86,7 @@
 	}
 }
 
-// SharedPage is the two jobs of Quota with their records on one page.
+// SharedPage returns Quota with the records of both jobs on one page. Both may be cancelled.
 func SharedPage() *Scenario {
 	sc := Quota()
 	sc.Name = "shared page"
@@ -91,7 +95,8 @@
 	return sc
 }
 
-// Gang is a gang of two in one zone, with a machine for both in each of two zones.
+// Gang returns a scenario with a gang of two tasks that must be in one zone. Each of two zones has
+// a machine with room for both tasks.
 func Gang() *Scenario {
 	return &Scenario{
 		Name: "gang in one zone", Zones: []string{zoneA, zoneB}, Capacity: 4, Jobs: []wire.Job{newGang(firstJob)},
@@ -99,8 +104,8 @@
 	}
 }
 
-// GangOnTwoMachines is a gang of two in one zone whose tasks need a machine each; there are
-// two machines in each of two zones.
+// GangOnTwoMachines returns a scenario with a gang of two tasks that must be in one zone and need
+// one machine each. Each of two zones has two machines.
 func GangOnTwoMachines() *Scenario {
 	return &Scenario{
 		Name: "gang on two machines", Zones: []string{zoneA, zoneA, zoneB, zoneB}, Capacity: 2, Jobs: []wire.Job{newGang(firstJob)},
@@ -108,8 +113,8 @@
 	}
 }
 
-// GangWithRefusedStart is a gang of two on one machine that may refuse a start. The attempt
-// that replaces a refused one has the same number, on the same machine.
+// GangWithRefusedStart returns a scenario with a gang of two tasks on one machine that may refuse
+// a start. The attempt that replaces a refused one has the same number and machine.
 func GangWithRefusedStart() *Scenario {
 	sc := Gang()
 	sc.Name = "gang with a refused start"
@@ -118,7 +123,8 @@
 	return sc
 }
 
-// AsymmetricPartition is one task with two machines, which may stop receiving, twice in all.
+// AsymmetricPartition returns OneTask with machines that may stop receiving messages, twice in
+// total.
 func AsymmetricPartition() *Scenario {
 	sc := OneTask()
 	sc.Name = "asymmetric partition"
@@ -126,7 +132,7 @@
 	return sc
 }
 
-// DuplicatedHeartbeat is the gang in one zone with a heartbeat that is duplicated.
+// DuplicatedHeartbeat returns Gang with one duplicated heartbeat.
 func DuplicatedHeartbeat() *Scenario {
 	sc := Gang()
 	sc.Name = "duplicated heartbeat"
@@ -134,8 +140,8 @@
 	return sc
 }
 
-// DuplicateAfterFailover is a task and a duplicated heartbeat, which the next leader may
-// receive first.
+// DuplicateAfterFailover returns OneTask with a duplicated heartbeat, which the next leader may
+// receive first, and without cancellation.
 func DuplicateAfterFailover() *Scenario {
 	sc := OneTask()
 	sc.Name = "duplicate after a failover"
@@ -143,8 +149,8 @@
 	return sc
 }
 
-// PlanChange is two jobs of two classes and one machine, which can run one of them at a time,
-// and plans that turn the order of the classes round.
+// PlanChange returns a scenario with two jobs of different classes, one machine that can run one
+// job at a time, and plans that reverse the order of the classes.
 func PlanChange() *Scenario {
 	first, second := newJob(firstJob), newJob(secondJob)
 	first.Class, second.Class = classCraft, classClinic
@@ -154,8 +160,8 @@
 	}
 }
 
-// PreemptionUnderPlanChange is a running job and an urgent one that is accepted later and
-// needs its room, while plans turn the order of their classes round.
+// PreemptionUnderPlanChange returns PlanChange with a second job of high priority that is accepted
+// later and needs the room of the first.
 func PreemptionUnderPlanChange() *Scenario {
 	sc := PlanChange()
 	sc.Name = "preemption under a plan change"
@@ -164,8 +170,8 @@
 	return sc
 }
 
-// DelayedTransactions is an array of two whose leader's commits may be executed late, and
-// whose user may cancel it at any time.
+// DelayedTransactions returns JobArray with a leader's commit that may be executed late and a
+// user's cancellation in several steps.
 func DelayedTransactions() *Scenario {
 	sc := JobArray()
 	sc.Name = "delayed transactions"
@@ -173,8 +179,8 @@
 	return sc
 }
 
-// DelayedTransactionsOfOneTask is the same for a task with one machine; searches of it go
-// deeper.
+// DelayedTransactionsOfOneTask returns OneMachine with two delayed commits and a cancellation in
+// several steps. It has fewer states than DelayedTransactions, so searches can go deeper.
 func DelayedTransactionsOfOneTask() *Scenario {
 	sc := OneMachine()
 	sc.Name = "delayed transactions of one task"
@@ -182,7 +188,8 @@
 	return sc
 }
 
-// LeaderRefusedByStore is a task whose leader the key-value store refuses for a while.
+// LeaderRefusedByStore returns OneTask with a key-value store that may refuse the leader for a
+// while.
 func LeaderRefusedByStore() *Scenario {
 	sc := OneTask()
 	sc.Name = "leader refused by the store"
--- a/modelcheck/search.go
+++ b/modelcheck/search.go
@@ -1,3 +1,5 @@
+// Breadth-first search of a scenario for states that violate an invariant.
+
 package modelcheck
 
 import (
@@ -10,15 +12,15 @@
 	"github.com/zeebo/xxh3"
 )
 
-// Result is what a search found.
+// Result is the result of a search.
 type Result struct {
-	States         int  // different ones, by digest
-	Transitions    int  // explored
-	Depth          int  // actions from the initial state
-	Exhausted      bool // every reachable state has been explored
-	Violation      string
-	Counterexample []Action      // a shortest sequence of actions that leads to the violation
-	Events         map[Event]int // transitions that reached each situation
+	States         int           // number of states with different digests
+	Transitions    int           // number of explored transitions
+	Depth          int           // maximum number of actions from the initial state
+	Exhausted      bool          // every reachable state has been explored
+	Violation      string        // the violated invariant with a description; "" if none
+	Counterexample []Action      // a shortest sequence of actions to the violation; nil if none
+	Events         map[Event]int // number of transitions that reached each situation
 }
 
 func (r Result) String() string {
@@ -36,11 +38,11 @@
 // digestHash is the hash of a state's digest.
 type digestHash = xxh3.Uint128
 
-// Search explores a scenario breadth first, down to a depth, and ends with the first violation
-// or once it knows that many states.
+// Search explores a scenario breadth first. It ends at maxDepth, at the first violation, or after
+// the depth at which it has found maxStates states.
 //
-// A state is kept as the actions that lead to it, and made anew by a replay of these: the
-// leader's model can't be copied.
+// The leader's model can't be copied. So a state is kept as the path of actions that leads to it,
+// and is rebuilt by replaying the path.
 func Search(scenario *Scenario, mutation Mutation, maxDepth, maxStates int) Result {
 	known := map[digestHash]struct{}{NewSystem(scenario, mutation).hash(): {}}
 	frontier := [][]Action{nil}
@@ -77,7 +79,8 @@
 	events    []Event
 }
 
-// successors makes the successors of all states of the frontier, in their order.
+// successors returns the successors of all states of the frontier in a deterministic order. It
+// uses all processors.
 func successors(scenario *Scenario, mutation Mutation, frontier [][]Action) []successor {
 	reached := make([][]successor, len(frontier))
 	goroutines := runtime.GOMAXPROCS(0)
@@ -93,7 +96,7 @@
 	return slices.Concat(reached...)
 }
 
-// successorsOf makes the successors of the state that a path leads to.
+// successorsOf returns the successors of the state that a path leads to.
 func successorsOf(scenario *Scenario, mutation Mutation, path []Action) (reached []successor) {
 	for _, action := range replay(scenario, mutation, path).EnabledActions() {
 		longer := append(slices.Clip(slices.Clone(path)), action)
@@ -103,7 +106,7 @@
 	return reached
 }
 
-// replay makes the state that a path leads to.
+// replay returns the state that a path leads to.
 func replay(scenario *Scenario, mutation Mutation, path []Action) *System {
 	s := NewSystem(scenario, mutation)
 	for _, action := range path {
--- a/modelcheck/store.go
+++ b/modelcheck/store.go
@@ -1,3 +1,5 @@
+// The simulated key-value store and its transactions.
+
 package modelcheck
 
 import (
@@ -5,25 +7,25 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// sharedPageKey is the key of the page on which jobs' records are in scenarios that share one.
+// sharedPageKey is the key of the page with the jobs' records in scenarios with SharedPage.
 var sharedPageKey = jobstore.SealedPageKey(0, 1)
 
-// storedValue is the value of a key in the key-value store; its zero value stands for a key
-// that does not exist.
+// storedValue is the value and version of a key in the key-value store. The zero value means that
+// the key does not exist.
 type storedValue struct {
 	value   any
 	version uint64
 }
 
-// transaction is a compare-and-swap under way.
+// transaction is a compare-and-swap that the store has not executed yet.
 type transaction struct {
-	token  uint64 // of the leader that sent it; 0: a user's
+	token  uint64 // fencing token of the sending leader; 0: sent for a user
 	guards []wire.Guard
 	ops    []wire.Op
 }
 
-// compareAndSwap executes a transaction as the key-value store does and returns the keys
-// whose guards failed.
+// compareAndSwap executes a transaction as the key-value store does. It returns the keys whose
+// guards failed, or nil if the transaction was executed.
 func (s *System) compareAndSwap(guards []wire.Guard, ops []wire.Op) (failed []string) {
 	for _, g := range s.guardsUnderMutation(guards) {
 		if s.store[g.Key].version != g.Version {
@@ -48,8 +50,8 @@
 	return nil
 }
 
-// executeTransaction executes a delayed transaction: a leader's has the version of the leader
-// key as a further guard. It says whether the guards held.
+// executeTransaction executes a delayed transaction and reports whether its guards held. A
+// transaction of a leader has the version of the leader key as an additional guard.
 func (s *System) executeTransaction(t transaction) bool {
 	if t.token != 0 && t.token != s.fencingToken {
 		return false
@@ -57,7 +59,7 @@
 	return s.compareAndSwap(t.guards, t.ops) == nil
 }
 
-// activeRecord returns the record of a job that is not over.
+// activeRecord returns the active record of a job, or false if the job has none.
 func (s *System) activeRecord(id string) (jobstore.JobRecord, bool) {
 	if page, ok := s.store[sharedPageKey].value.(jobstore.JobPage); ok {
 		for _, entry := range page.Entries {
@@ -71,7 +73,7 @@
 	return record, ok
 }
 
-// finalRecord returns the record of a job that is over.
+// finalRecord returns the final record of a job, or false if the job has none.
 func (s *System) finalRecord(id string) (jobstore.JobRecord, bool) {
 	record, ok := s.store[jobstore.FinalKey(id)].value.(jobstore.JobRecord)
 	return record, ok
@@ -89,7 +91,7 @@
 	return records
 }
 
-// outcomeRecorded says whether the store has the record that a task is done, or that its job
+// outcomeRecorded reports whether a record in the store says that a task is done or that its job
 // is over.
 func (s *System) outcomeRecorded(taskName string) bool {
 	id, number, _ := wire.ParseTaskName(taskName)
@@ -109,7 +111,7 @@
 	return false
 }
 
-// inRanges says whether a number is in one of the ranges, which are pairs of their first and
+// inRanges reports whether a number is in one of the ranges. Each range is a pair of its first and
 // last number.
 func inRanges(ranges []int, number int) bool {
 	for i := 0; i+1 < len(ranges); i += 2 {
--- a/modelcheck/system.go
+++ b/modelcheck/system.go
@@ -1,3 +1,5 @@
+// The state of the simulated system and its initial state.
+
 package modelcheck
 
 import (
@@ -13,19 +15,19 @@
 
 const (
 	leaseSeconds = 20.0
-	// stepSeconds is how much time passes in one step. Two steps end a lease; a response
-	// that takes one has timed out (4 s).
+	// stepSeconds is the duration of one step. Two steps exceed a lease, and one step exceeds
+	// the timeout of a response (4 s).
 	stepSeconds = 0.6 * leaseSeconds
 	// leaseSteps is the number of steps after which a lease has expired.
 	leaseSteps = 2
-	// cancelDeadlineSteps is when a cancelled job's tasks must be gone (cancel_s is about
-	// twice the lease): the leader reads the cancellation within one step, and two more end
-	// the lease of a worker that it does not reach.
+	// cancelDeadlineSteps is the number of steps after a cancellation by which the job's tasks
+	// must have ended (cancel_s is about twice the lease). The leader reads the cancellation
+	// within one step. After two more steps the lease of an unreachable worker has expired.
 	cancelDeadlineSteps = 3
-	// maxPushes bounds the pushes under way; more are lost.
+	// maxPushes bounds the pushes in transit. Further pushes are lost.
 	maxPushes = 2
-	// maxAbandoned bounds a worker's heartbeats, and all workers' responses, that may still
-	// arrive after their timeout.
+	// maxAbandoned bounds the messages that may arrive after their timeout: the heartbeats of
+	// each worker, and the responses to all workers together.
 	maxAbandoned = 1
 )
 
@@ -36,13 +38,13 @@
 
 var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// System is one state of everything: the leader, the key-value store, the workers and the
-// messages between them.
+// System is a state of the whole system: the leader, the key-value store, the workers and the
+// messages between them. It is not safe for concurrent use.
 type System struct {
 	scenario *Scenario
 	mutation Mutation
 	settings *config.Settings
-	step     int // of the clock
+	step     int // clock, in steps of stepSeconds
 
 	// The key-value store.
 	store    map[string]storedValue
@@ -50,54 +52,54 @@
 
 	// The leader.
 	leader          *cluster.Model
-	formerLeader    *cluster.Model // under mutation KeepFormerLeader
+	formerLeader    *cluster.Model // set only under mutation KeepFormerLeader
 	fencingToken    uint64
 	failovers       int
-	watchedRevision uint64 // up to which the leader has read the jobs' records
+	watchedRevision uint64 // revision up to which the leader has read the job records
 
 	// The leader's own lease.
-	storeRefuses   bool // the store refuses the leader alone
+	storeRefuses   bool // the store refuses only the leader
 	refusalCount   int
-	leaseStart     int // the step in which the last renewal with a response was sent
-	renewalSentAt  int // the step in which the renewal under way was sent
+	leaseStart     int // step in which the last renewal with a response was sent
+	renewalSentAt  int // step in which the pending renewal was sent
 	renewalPending bool
 
-	// Transactions under way.
-	delayedCommits  []transaction // of the leader: no response, not executed yet
+	// Pending transactions.
+	delayedCommits  []transaction // commits of the leader without a response, not executed yet
 	delayedCount    int
-	cancellations   map[string]transaction // of users, by job
-	cancelRequested map[string]bool        // jobs of which a cancellation was ever sent
-	cancelledAt     map[string]int         // the step in which a job's user was told that it is cancelled
+	cancellations   map[string]transaction // users' cancellations by job
+	cancelRequested map[string]bool        // jobs whose cancellation was ever sent
+	cancelledAt     map[string]int         // step in which a job's user was told that the job is cancelled
 
 	// The plan.
-	planNumber       int
-	loadedPlan       int // the number of the plan that the leader uses
+	planNumber       int // number of the current plan
+	loadedPlan       int // number of the plan that the leader uses
 	deferredAccepted bool
-	placedUnder      map[attemptKey]uint64 // the version of the plan by which an attempt was placed
-	heldPreemptions  map[attemptKey]uint64 // the version by which an attempt is to be preempted, while that is held back
+	placedUnder      map[attemptKey]uint64 // version of the plan under which an attempt was placed
+	heldPreemptions  map[attemptKey]uint64 // version of the plan under which a held-back preemption was decided
 	preempted        map[attemptKey]bool
 
 	// Workers and the network.
 	workers            []*worker
-	delayedHeartbeats  []*heartbeat // timed out, not arrived
-	abandonedResponses []*heartbeat // timed out, under mutation ExecuteAbandonedResponses
-	duplicates         []*heartbeat // under way
-	pushes             []push       // under way
+	delayedHeartbeats  []*heartbeat // timed out, but may still arrive
+	abandonedResponses []*heartbeat // timed out, but may still arrive under mutation ExecuteAbandonedResponses
+	duplicates         []*heartbeat // in transit
+	pushes             []push       // in transit
 	partitionCount     int
 	duplicateCount     int
 	refusedStarts      int
 	completed          map[string]bool // tasks that have exited as done
-	forgotten          map[string]bool // tasks whose done outcome their workers have forgotten
+	forgotten          map[string]bool // tasks whose "done" outcome was forgotten by their workers
 
-	// Events are noteworthy situations that the last transition reached, so that tests can
-	// tell whether a search covers them.
+	// Events holds the noteworthy situations that the last transition reached. Tests use them
+	// to check that a search covers the situations.
 	Events []Event
-	// Violation is the first invariant violated, with a description; empty: none.
+	// Violation is the first violated invariant with a description; "" if none.
 	Violation string
 }
 
-// NewSystem returns the initial state of a scenario: the machines are up and have shown the
-// leader's fencing token, the jobs are accepted, and the scenario's initial actions applied.
+// NewSystem returns the initial state of a scenario. The machines are up and have shown the
+// leader's fencing token, the jobs are accepted, and the scenario's initial actions are applied.
 func NewSystem(scenario *Scenario, mutation Mutation) *System {
 	s := &System{
 		scenario:        scenario,
@@ -135,7 +137,7 @@
 	}}
 }
 
-// acceptInitialJobs writes the records of all jobs but the deferred one.
+// acceptInitialJobs writes the records of all jobs except the deferred one.
 func (s *System) acceptInitialJobs() {
 	if s.scenario.SharedPage {
 		s.revision++
@@ -149,7 +151,7 @@
 	}
 }
 
-// newJobPage returns a page with all of these jobs' records.
+// newJobPage returns a page with the records of all given jobs.
 func newJobPage(jobs []wire.Job) jobstore.JobPage {
 	var page jobstore.JobPage
 	for _, job := range jobs {
@@ -162,7 +164,7 @@
 	return page
 }
 
-// putJob writes the record of a job that is accepted now.
+// putJob writes and returns the record of a job that is accepted now.
 func (s *System) putJob(job wire.Job) jobstore.JobRecord {
 	s.revision++
 	record := jobstore.JobRecord{Job: job, AcceptedAtMs: s.now().UnixMilli()}
@@ -174,8 +176,8 @@
 	return startTime.Add(config.Seconds(float64(s.step) * stepSeconds))
 }
 
-// advanceTime lets one step pass: requests under way time out, leases end, and the leader
-// renews its own.
+// advanceTime advances the clock by one step. Pending requests time out, the leader renews its
+// lease, and workers' leases expire.
 func (s *System) advanceTime() {
 	s.step++
 	for _, w := range s.workers {
--- a/modelcheck/transition.go
+++ b/modelcheck/transition.go
@@ -1,8 +1,10 @@
+// The effect of each action on the system.
+
 package modelcheck
 
 import "slices"
 
-// transitions are what the actions do, given their argument.
+// transitions maps each kind of action to its effect. arg is the action's argument.
 var transitions = map[ActionKind]func(s *System, arg int){
 	SchedulingPass:        func(s *System, _ int) { s.schedulingPass(commitAnswered) },
 	PassResponseLost:      func(s *System, _ int) { s.schedulingPass(commitResponseLost) },
@@ -47,13 +49,13 @@
 	AdvanceTime:              func(s *System, _ int) { s.advanceTime() },
 }
 
-// Apply makes the transition of an action, which must be enabled.
+// Apply changes the system by an action, which must be enabled, and resets Events.
 func (s *System) Apply(a Action) {
 	s.Events = nil
 	transitions[a.Kind](s, int(a.Arg))
 }
 
-// remove removes an element of a list and returns it.
+// remove deletes the element at an index of a list and returns the element.
 func remove[T any](list *[]T, i int) T {
 	element := (*list)[i]
 	*list = slices.Delete(*list, i, i+1)
--- a/modelcheck/users.go
+++ b/modelcheck/users.go
@@ -1,3 +1,5 @@
+// Users: submission and cancellation of jobs.
+
 package modelcheck
 
 import (
@@ -5,7 +7,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// cancelJob cancels a job, given by its index, and tells its user so, in one step.
+// cancelJob cancels the job with the given index and informs its user in one step.
 func (s *System) cancelJob(i int) {
 	id := s.scenario.Jobs[i].ID
 	record, _ := s.activeRecord(id)
@@ -22,7 +24,8 @@
 	}
 }
 
-// removeFromSharedPage removes a job's record from the page, and the page with its last one.
+// removeFromSharedPage removes a job's record from the shared page. It deletes the page if that
+// was the last record.
 func (s *System) removeFromSharedPage(id string) {
 	page := s.store[sharedPageKey].value.(jobstore.JobPage).Without(map[string]bool{id: true})
 	if len(page.Entries) == 0 {
@@ -32,8 +35,8 @@
 	s.store[sharedPageKey] = storedValue{page, s.revision}
 }
 
-// sendCancellation sends the transaction of a user's cancellation, made from the records that
-// a controller has just read (jobstore.Store.Cancel).
+// sendCancellation sends the transaction of a user's cancellation. As in jobstore.Store.Cancel,
+// the transaction is based on the records that a controller has just read.
 func (s *System) sendCancellation(i int) {
 	id := s.scenario.Jobs[i].ID
 	record, _ := s.activeRecord(id)
@@ -49,7 +52,8 @@
 	s.cancellations[id], s.cancelRequested[id] = t, true
 }
 
-// executeCancellation executes the transaction of a job's cancellation and answers its user.
+// executeCancellation executes the transaction of a job's cancellation and, if its guards held,
+// responds to the user.
 func (s *System) executeCancellation(i int) {
 	id := s.scenario.Jobs[i].ID
 	if s.executeCancellationTransaction(id) {
@@ -57,14 +61,15 @@
 	}
 }
 
-// executeCancellationTransaction says whether the guards held.
+// executeCancellationTransaction executes the transaction of a job's cancellation without a
+// response. It reports whether the guards held.
 func (s *System) executeCancellationTransaction(id string) bool {
 	t := s.cancellations[id]
 	delete(s.cancellations, id)
 	return s.executeTransaction(t)
 }
 
-// answerCancellation tells a user the job's final state, which a controller has read or
+// answerCancellation informs a user of the job's final state, which a controller has read or
 // written.
 func (s *System) answerCancellation(id string) {
 	final, ok := s.finalRecord(id)
@@ -74,7 +79,7 @@
 	}
 }
 
-// acceptDeferredJob accepts the scenario's deferred job; the leader reads it at once.
+// acceptDeferredJob accepts the scenario's deferred job. The leader reads its record at once.
 func (s *System) acceptDeferredJob() {
 	s.deferredAccepted = true
 	record := s.putJob(s.scenario.deferredJob())
--- a/modelcheck/worker.go
+++ b/modelcheck/worker.go
@@ -1,3 +1,5 @@
+// Workers: the execution of commands and the life of their tasks.
+
 package modelcheck
 
 import (
@@ -8,19 +10,19 @@
 
 // attemptKey identifies one attempt of a task.
 type attemptKey struct {
-	name    string // of the task
+	name    string // name of the task
 	attempt uint64
 }
 
-// task is an attempt that a worker has on its list.
+// task is an attempt in a worker's list of tasks.
 type task struct {
 	attemptKey
-	jobIndex   int    // in the scenario; -1 if the worker does not know the task
-	state      string // wire.TaskFetching and so on
-	exitReason string // wire.ExitDone and so on
+	jobIndex   int    // index of the job in the scenario; -1 if the scenario has no such task
+	state      string // wire.TaskFetching and similar
+	exitReason string // wire.ExitDone and similar; "" until the task exits
 }
 
-// occupiesMachine says whether the task counts as being on its machine.
+// occupiesMachine reports whether the task has started on its machine and has not exited.
 func (t *task) occupiesMachine() bool {
 	return t.state == wire.TaskWaiting || t.state == wire.TaskRunning
 }
@@ -29,20 +31,20 @@
 type worker struct {
 	name          string
 	zone          string
-	epoch         uint64 // of the agent: its tasks are gone with the next one
-	seq           uint64 // of its last message
-	token         uint64 // the highest fencing token that it has seen
-	renewedAt     int    // the step in which the last heartbeat that got a response was sent
+	epoch         uint64 // agent epoch; the tasks end with it
+	seq           uint64 // sequence number of the last message
+	token         uint64 // highest fencing token that the worker has seen
+	renewedAt     int    // step in which the last heartbeat with a response was sent
 	tasks         []*task
-	pending       *heartbeat // the heartbeat that it waits for a response to
-	lastHeartbeat *heartbeat // while that may be duplicated
-	unreachable   bool       // neither responses nor pushes reach it
-	reachedToken  uint64     // the last leader that has received a heartbeat of it, duplicates apart
-	launchOrder   map[attemptKey]int
-	launchCount   int
+	pending       *heartbeat         // heartbeat that waits for its response; nil: none
+	lastHeartbeat *heartbeat         // last heartbeat, while it may be duplicated; otherwise nil
+	unreachable   bool               // neither responses nor pushes arrive
+	reachedToken  uint64             // fencing token of the last leader that received a heartbeat of the worker, excluding duplicates
+	launchOrder   map[attemptKey]int // value of launchCount at the launch of each attempt
+	launchCount   int                // number of launches so far
 }
 
-// firstInState returns the first task in that state; nil: there is none.
+// firstInState returns the first task in a state, or nil if there is none.
 func (w *worker) firstInState(state string) *task {
 	i := slices.IndexFunc(w.tasks, func(t *task) bool { return t.state == state })
 	if i < 0 {
@@ -51,8 +53,8 @@
 	return w.tasks[i]
 }
 
-// executeCommands has a worker execute the commands of a response or a push, as PROTOCOL
-// says.
+// executeCommands lets a worker execute the commands of a response or a push according to the
+// protocol specification (PROTOCOL).
 func (s *System) executeCommands(w *worker, commands []wire.Command) {
 	for _, c := range commands {
 		key := attemptKey{c.Task, c.Attempt}
@@ -61,7 +63,7 @@
 		case c.Op == wire.OpStart && i < 0:
 			s.startTask(w, key)
 		case i < 0:
-			// Not known here: nothing to stop or to forget.
+			// The worker does not have the attempt, so there is nothing to stop or to forget.
 		case c.Op == wire.OpStop && w.tasks[i].state != wire.TaskExited:
 			s.exitTask(w.tasks[i], wire.ExitStopped)
 		case c.Op == wire.OpForget && w.tasks[i].state == wire.TaskExited:
@@ -70,7 +72,7 @@
 	}
 }
 
-// startTask launches an attempt: the worker fetches its image first, or refuses it.
+// startTask launches an attempt. The worker refuses it, or fetches its image before it runs.
 func (s *System) startTask(w *worker, key attemptKey) {
 	t := &task{attemptKey: key, state: wire.TaskFetching, jobIndex: s.jobIndexOf(key.name)}
 	if reason := s.startRefusal(w, t); reason != "" {
@@ -84,13 +86,13 @@
 	w.launchOrder[key] = w.launchCount
 }
 
-// jobIndexOf returns the index of a task's job in the scenario; -1 if it has no such task.
+// jobIndexOf returns the index of a task's job in the scenario, or -1 if there is no such task.
 func (s *System) jobIndexOf(taskName string) int {
 	id, number, _ := wire.ParseTaskName(taskName)
 	return slices.IndexFunc(s.scenario.Jobs, func(j wire.Job) bool { return j.ID == id && number < j.Tasks })
 }
 
-// startRefusal returns why a worker refuses a start; empty: it does not.
+// startRefusal returns the reason for which a worker refuses a start, or "" if it accepts.
 func (s *System) startRefusal(w *worker, t *task) string {
 	if t.jobIndex < 0 {
 		return wire.ExitUnknown
@@ -111,20 +113,20 @@
 	return ""
 }
 
-// refuseStart has a worker refuse the first task whose image it is fetching.
+// refuseStart makes a worker refuse the first task whose image it is fetching.
 func (s *System) refuseStart(i int) {
 	s.refusedStarts++
 	s.exitTask(s.workers[i].firstInState(wire.TaskFetching), wire.ExitNoRoom)
 }
 
-// imageFetched has a worker start the first task whose image it is fetching. A gang's tasks
+// imageFetched makes a worker start the first task whose image it is fetching. The tasks of a gang
 // wait until all of them have started.
 func (s *System) imageFetched(i int) {
 	w := s.workers[i]
 	t := w.firstInState(wire.TaskFetching)
 	s.checkStart(w, t)
 	if s.completed[t.name] {
-		s.exitTask(t, wire.ExitDone) // its result is kept
+		s.exitTask(t, wire.ExitDone) // the result of an earlier attempt is still available
 		return
 	}
 	if !s.isGang(t) {
@@ -139,7 +141,7 @@
 	}
 }
 
-// completeTask completes a worker's first running task, and with it its gang.
+// completeTask completes a worker's first running task and all running tasks of its gang.
 func (s *System) completeTask(i int) {
 	t := s.workers[i].firstInState(wire.TaskRunning)
 	if !s.isGang(t) {
@@ -151,8 +153,8 @@
 	}
 }
 
-// exitTask ends a task. Where it was running and has not completed, the rest of its gang ends
-// with it.
+// exitTask ends a task. If the task was running and has not completed, the running tasks of its
+// gang end with it.
 func (s *System) exitTask(t *task, reason string) {
 	wasRunning := t.state == wire.TaskRunning
 	t.state, t.exitReason = wire.TaskExited, reason
@@ -173,7 +175,7 @@
 	}
 }
 
-// forgetTask takes an exited task off its worker's list.
+// forgetTask removes an exited task from its worker's list.
 func (s *System) forgetTask(w *worker, i int) {
 	t := w.tasks[i]
 	if t.exitReason == wire.ExitDone {
@@ -185,7 +187,7 @@
 	w.tasks = slices.Delete(w.tasks, i, i+1)
 }
 
-// expireLease ends a worker's lease: its tasks are gone, and its agent begins a new epoch.
+// expireLease ends a worker's lease. The worker's tasks end and its agent starts a new epoch.
 func (s *System) expireLease(w *worker) {
 	ended := w.tasks
 	w.tasks, w.renewedAt = nil, s.step
@@ -197,8 +199,7 @@
 	}
 }
 
-// gangInState returns the tasks of an attempt of a gang that are in that state, on all
-// workers.
+// gangInState returns the tasks of a gang's attempt that are in a state, on all workers.
 func (s *System) gangInState(t *task, state string) (members []*task) {
 	for _, w := range s.workers {
 		for _, other := range w.tasks {
@@ -210,7 +211,7 @@
 	return members
 }
 
-// jobOf returns the job of a task, which must be known.
+// jobOf returns the job of a task. The task must belong to a job of the scenario.
 func (s *System) jobOf(t *task) *wire.Job { return &s.scenario.Jobs[t.jobIndex] }
 
 func (s *System) isGang(t *task) bool { return s.jobOf(t).Kind == wire.KindGang }
