--- a/modelcheck/delays_test.go
+++ b/modelcheck/delays_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// asyncCancellation lists the actions of searches in which a cancellation takes several steps.
+// asyncCancellation holds the actions of searches in which a cancellation takes several steps.
 var asyncCancellation = []ActionKind{SchedulingPass, PassResponseLost, PassCommitDelayed, ExecuteDelayedCommit, HeartbeatRoundTrip, ImageFetched, CompleteTask, SendCancellation, ExecuteCancellation, CancellationResponseLost, RetryCancellation}
 
-// delaySearches are of mutations that need a delayed transaction, a leader that the store
-// refuses, or a duplicate after a failover.
+// delaySearches holds the searches for mutations that have an effect only with a delayed
+// transaction, a leader refused by the store, or a duplicate after a failover.
 var delaySearches = []mutationSearch{
 	{TreatUnknownCommitAsSuccess, DelayedTransactionsOfOneTask, []ActionKind{SchedulingPass, PassCommitDelayed, ExecuteDelayedCommit, HeartbeatRoundTrip, ImageFetched, CompleteTask, Failover}, 9},
 	{DropPageGuards, DelayedTransactions, []ActionKind{SchedulingPass, PassCommitDelayed, ExecuteDelayedCommit, HeartbeatRoundTrip, ImageFetched, CompleteTask}, 10},
@@ -17,8 +17,9 @@
 	{AcceptDuplicateAsTokenShown, duplicateWhileRunning, []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, DuplicateHeartbeat, ReceiveDuplicate, Failover, AdvanceTime}, 9},
 }
 
-// What is delayed or lost between controllers and the key-value store violates no invariant,
-// and each guard against it is needed.
+// Guards against invariants that fail when messages between controllers and the key-value store
+// are delayed or lost. Each guard against such delays must be necessary: without it the search
+// finds a violation.
 func TestDelaysAndStoreRefusalsNeedTheirGuards(t *testing.T) {
 	for _, search := range delaySearches {
 		t.Run(search.mutation.String(), func(t *testing.T) {
@@ -30,8 +31,8 @@
 	}
 }
 
-// leaderRefusedOnOneMachine is the leader that the store refuses, with one machine, once the
-// task is placed and the leader refused.
+// leaderRefusedOnOneMachine returns LeaderRefusedByStore with one machine, after the task is placed
+// and the store has started to refuse the leader.
 func leaderRefusedOnOneMachine() *Scenario {
 	scenario := LeaderRefusedByStore()
 	scenario.Zones = scenario.Zones[:1]
@@ -39,17 +40,17 @@
 	return scenario
 }
 
-// duplicateWhileRunning is the duplicate after a failover, once the task runs on its first
-// machine, whose last heartbeat does not list it yet.
+// duplicateWhileRunning returns DuplicateAfterFailover after the task has started to run on the
+// first machine. The machine's last heartbeat does not list the task yet.
 func duplicateWhileRunning() *Scenario {
 	scenario := DuplicateAfterFailover()
 	scenario.Initial = []Action{{Kind: SchedulingPass}, {Kind: HeartbeatRoundTrip}, {Kind: ImageFetched}}
 	return scenario
 }
 
-// A duplicate arrives before the very heartbeat that its worker waits for a response to, and
-// that gets one when it arrives in turn: from the leader that has launched tasks in response
-// to the duplicate, and from the next leader.
+// Guards against faults when a duplicate overtakes the heartbeat that it copies, while the worker
+// waits for the response. The original heartbeat then gets its response from the leader that has
+// launched tasks in response to the duplicate, or from the next leader.
 func TestDuplicatesOvertakeHeartbeats(t *testing.T) {
 	for _, c := range []struct {
 		scenario *Scenario
@@ -70,8 +71,8 @@
 	}
 }
 
-// duplicateAndCancellation is the one task on one machine with a duplicated heartbeat, once
-// the task runs; its user may cancel it.
+// duplicateAndCancellation returns OneMachine with a duplicated heartbeat, after the task has
+// started to run. The user may cancel the task.
 func duplicateAndCancellation() *Scenario {
 	scenario := OneMachine()
 	scenario.Name = "duplicate and cancellation"
@@ -80,8 +81,8 @@
 	return scenario
 }
 
-// The next leader receives a duplicate before any other heartbeat of its worker: also one of
-// an agent epoch that has ended, and one with an attempt that has.
+// Guards against faults when the first heartbeat that the next leader receives of a worker is a
+// duplicate. The duplicate may be of an earlier agent epoch or list an attempt that has ended.
 func TestDuplicatesReachTheNextLeader(t *testing.T) {
 	scenario := duplicateWhileRunning()
 	scenario.Allowed = []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, DuplicateHeartbeat, ReceiveDuplicate, Failover, AdvanceTime}
--- a/modelcheck/digest_test.go
+++ b/modelcheck/digest_test.go
@@ -6,15 +6,16 @@
 	"testing"
 )
 
-// States with equal digests are merged, so they must have the same successors.
+// Guards against digests that omit a part of the state: the search merges states with equal
+// digests and would miss successors if these differed.
 func TestStatesWithEqualDigestsHaveEqualSuccessors(t *testing.T) {
 	const (
 		depth     = 4
 		minMerged = 100
-		compared  = 5 // of so many merged states one is compared
+		compared  = 5 // one of this many merged states is compared
 	)
 	for _, scenario := range Scenarios() {
-		first := map[string][]Action{} // path to each digest
+		first := map[string][]Action{} // first path found to each digest
 		merged := 0
 		frontier := [][]Action{nil}
 		for range depth {
@@ -37,12 +38,12 @@
 			frontier = next
 		}
 		if merged < minMerged {
-			t.Errorf("%s: only %d merged", scenario.Name, merged)
+			t.Errorf("%s: got %d merged states, want at least %d", scenario.Name, merged, minMerged)
 		}
 	}
 }
 
-// extended returns a path with one more action, in an array of its own.
+// extended returns a copy of a path with one more action.
 func extended(path []Action, action Action) []Action {
 	return append(slices.Clone(path), action)
 }
--- a/modelcheck/modelcheck_test.go
+++ b/modelcheck/modelcheck_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// unbounded is a number of states that no search of these tests reaches.
+// unbounded is a limit on states that no search of these tests reaches.
 const unbounded = 5_000_000
 
-// exhaustiveDepth is the depth of searches with all actions allowed.
+// exhaustiveDepth returns the depth of searches with all actions allowed. The environment variable
+// MODEL_DEPTH overrides the default.
 func exhaustiveDepth() int {
 	if depth, err := strconv.Atoi(os.Getenv("MODEL_DEPTH")); err == nil {
 		return depth
@@ -31,12 +32,12 @@
 	}
 }
 
-// requireEvents fails if a search has not reached each of these situations.
+// requireEvents fails the test if a search has not reached each of the given situations.
 func requireEvents(t *testing.T, scenario *Scenario, result Result, events []Event) {
 	t.Helper()
 	for _, event := range events {
 		if result.Events[event] == 0 {
-			t.Errorf("%s: not reached: %s", scenario.Name, event)
+			t.Errorf("%s: search did not reach: %s", scenario.Name, event)
 		}
 	}
 }
--- a/modelcheck/mutation_test.go
+++ b/modelcheck/mutation_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// mutationSearch is a search that must find a counterexample under a mutation. It is deeper
-// than searches with all actions allowed, but narrower.
+// mutationSearch is a search that must find a counterexample under a mutation. With fewer allowed
+// actions it can go deeper than searches with all actions.
 type mutationSearch struct {
 	mutation Mutation
 	scenario func() *Scenario
@@ -11,15 +11,15 @@
 	depth    int
 }
 
-// narrowed returns the scenario of the search with its allowed actions.
+// narrowed returns the scenario of the search, restricted to its allowed actions.
 func (m mutationSearch) narrowed() *Scenario {
 	scenario := m.scenario()
 	scenario.Allowed = m.allowed
 	return scenario
 }
 
-// withReliableMachine is the same with one of several machines reliable, unless all actions
-// are allowed.
+// withReliableMachine returns the narrowed scenario with one reliable machine, if there are several
+// machines and the actions are restricted.
 func (m mutationSearch) withReliableMachine() *Scenario {
 	scenario := m.narrowed()
 	if m.allowed != nil && len(scenario.Zones) > 1 {
@@ -44,26 +44,26 @@
 	{AssumeTokenShown, OneTask, []ActionKind{SchedulingPass, HeartbeatRoundTrip, SendHeartbeat, ReceiveHeartbeat, AbandonHeartbeat, ReceiveDelayedHeartbeat, ReceiveResponse, ImageFetched, Failover}, 13},
 }
 
-// oneFailover is the one task, which nobody cancels, with one failover.
+// oneFailover returns OneTask with one failover and without cancellation.
 func oneFailover() *Scenario {
 	scenario := OneTask()
 	scenario.CancellableJobs, scenario.MaxFailovers = 0, 1
 	return scenario
 }
 
-// oneDuplicate is the same with one duplicated heartbeat.
+// oneDuplicate returns oneFailover with one duplicated heartbeat.
 func oneDuplicate() *Scenario {
 	scenario := oneFailover()
 	scenario.MaxDuplicates = 1
 	return scenario
 }
 
-// Each guard is needed: without it an invariant is violated, and with it the very same search
-// finds nothing.
+// Guards against searches that miss the states in which a guard matters. Without the guard the
+// search must find a violation. With the guard the same search must find none.
 func TestEachMutationViolatesAnInvariant(t *testing.T) {
 	for _, search := range mutationSearches {
 		if raceDetector && search.depth >= 10 {
-			continue // .ci/run goes through these without the race detector
+			continue // .ci/run executes these searches without the race detector
 		}
 		t.Run(search.mutation.String(), func(t *testing.T) {
 			scenario := search.withReliableMachine()
@@ -82,7 +82,7 @@
 	}
 }
 
-// Every mutation is searched by one of the tests.
+// Guards against a new mutation that no test searches.
 func TestEachMutationIsSearched(t *testing.T) {
 	searched := map[Mutation]bool{
 		NoMutation:   true,
@@ -98,13 +98,13 @@
 			t.Errorf("mutation %d has no name", int(mutation))
 		}
 		if !searched[mutation] {
-			t.Errorf("%v is never searched", mutation)
+			t.Errorf("no test searches mutation %q", mutation)
 		}
 	}
 }
 
-// requireCounterexample fails unless a search finds a violation under a mutation, and nothing,
-// as deep as that, without it.
+// requireCounterexample fails the test unless a search finds a violation under a mutation and, to
+// the depth of that violation, none without the mutation.
 func requireCounterexample(t *testing.T, scenario *Scenario, mutation Mutation, depth int) {
 	t.Helper()
 	const minStates = 100
--- a/modelcheck/push_test.go
+++ b/modelcheck/push_test.go
@@ -2,20 +2,21 @@
 
 import "testing"
 
-// A forget that is pushed may arrive when a gang's task has been launched again with the same
-// attempt number and has completed: nothing has recorded that outcome.
+// Guards against outcomes lost by a pushed forget command. The push may arrive after the gang's task
+// was launched again with the same attempt number and has completed. The worker then forgets an
+// outcome that is not recorded.
 func TestForgetByPushLosesAnOutcome(t *testing.T) {
 	scenario := GangWithRefusedStart()
 	scenario.CancellableJobs, scenario.MaxFailovers = 0, 0
-	// A start was refused, and that is recorded and forgotten.
+	// A start was refused. Its outcome is recorded and forgotten.
 	scenario.Initial = []Action{{Kind: SchedulingPass}, {Kind: HeartbeatRoundTrip}, {Kind: RefuseStart}, {Kind: HeartbeatRoundTrip}, {Kind: SchedulingPass}, {Kind: HeartbeatRoundTrip}}
 	scenario.Allowed = []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, CompleteTask, ReceivePush, AdvanceTime}
 	requireCounterexample(t, scenario, ForgetByPush, 11)
 }
 
-// Pushes arrive late: after the next leader has begun, where the worker has seen its fencing
-// token and where it has not, and after the agent epoch has ended for which they were sent.
-// The search goes through each of these, and no invariant is violated.
+// Guards against invariants that fail when pushes arrive late: after a failover, whether or not the
+// worker has seen the new fencing token, or after the end of the agent epoch that they were sent
+// for. The search must reach each of these situations.
 func TestInvariantsHoldWithDelayedPushes(t *testing.T) {
 	for _, c := range []struct {
 		scenario *Scenario
@@ -28,7 +29,7 @@
 		{runningQuota(), []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, ReceivePush, CancelJob, DeliverWatch, Failover, AdvanceTime}, 8},
 	} {
 		if raceDetector && c.depth > 7 {
-			continue // .ci/run goes through these without the race detector
+			continue // .ci/run executes these searches without the race detector
 		}
 		c.scenario.Allowed = c.allowed
 		result := Search(c.scenario, NoMutation, c.depth, unbounded)
@@ -40,21 +41,22 @@
 	}
 }
 
-// runningOnOneMachine is the one task on one machine, once it runs.
+// runningOnOneMachine returns OneMachine after the task has started to run.
 func runningOnOneMachine() *Scenario {
 	scenario := OneMachine()
 	scenario.Initial = []Action{{Kind: SchedulingPass}, {Kind: HeartbeatRoundTrip}, {Kind: ImageFetched}}
 	return scenario
 }
 
-// gangAfterRefusedStart is the gang once a start was refused, and that is recorded.
+// gangAfterRefusedStart returns GangWithRefusedStart after a start was refused and its outcome was
+// recorded.
 func gangAfterRefusedStart() *Scenario {
 	scenario := GangWithRefusedStart()
 	scenario.Initial = []Action{{Kind: SchedulingPass}, {Kind: HeartbeatRoundTrip}, {Kind: RefuseStart}, {Kind: HeartbeatRoundTrip}, {Kind: SchedulingPass}}
 	return scenario
 }
 
-// runningQuota is the team that may run one of its two jobs, once the first one runs.
+// runningQuota returns Quota with one reliable machine, after the first job has started to run.
 func runningQuota() *Scenario {
 	scenario := Quota()
 	scenario.Initial = []Action{{Kind: SchedulingPass}, {Kind: HeartbeatRoundTrip}, {Kind: ImageFetched}}
--- a/modelcheck/race_test.go
+++ b/modelcheck/race_test.go
@@ -2,5 +2,5 @@
 
 package modelcheck
 
-// Under the race detector a search takes ten times as long.
+// The depth is lower because a search takes ten times as long under the race detector.
 const defaultDepth, raceDetector = 5, true
--- a/modelcheck/recorded_test.go
+++ b/modelcheck/recorded_test.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// recordedDepth is the depth of searches whose sizes are recorded: deep enough that
-	// tasks run and leaders change, and a second or two for all of them.
+	// recordedDepth is the depth of searches whose sizes are recorded. At this depth tasks
+	// run and leaders fail over, and all searches together take a second or two.
 	recordedDepth = 4
-	// recordedMutationDepth is the greatest depth of recorded searches under a mutation;
-	// deeper ones take longer.
+	// recordedMutationDepth is the greatest depth of recorded searches under a mutation.
+	// Deeper searches take too long.
 	recordedMutationDepth = 9
 )
 
-// sizeOf is a result without the words that name actions and invariants.
+// sizeOf returns the numbers of a result as text, without the names of actions and invariants.
 func sizeOf(r Result) string {
 	return fmt.Sprintf("%d states, %d transitions, depth %d, all %v, %d steps to a broken rule", r.States, r.Transitions, r.Depth, r.Exhausted, len(r.Counterexample))
 }
 
-// The leader's decisions decide how many states there are: a change of the code that
-// is meant to change no decision leaves every number as it is.
+// Guards against refactorings that change the leader's decisions unintentionally: a changed
+// decision changes the number of states.
 func TestSearchesAreOfTheRecordedSize(t *testing.T) {
 	recorded := golden.Open(t, "searches.golden")
 	for _, scenario := range Scenarios() {
@@ -30,7 +30,8 @@
 	}
 }
 
-// The same for searches that find a counterexample under a mutation.
+// Guards against unintentional changes like TestSearchesAreOfTheRecordedSize, for searches that find
+// a counterexample under a mutation.
 func TestCounterexamplesAreOfTheRecordedSize(t *testing.T) {
 	recorded := golden.Open(t, "counterexamples.golden")
 	for _, search := range mutationSearches {
