--- a/warmpool/pool.go
+++ b/warmpool/pool.go
@@ -78,8 +78,8 @@
 
 // LeadTime returns how long before the demand a pool must start to grow to the given number of
 // machines. It allows for a slow boot (twice the usual time) and for the rounds of concurrent
-// fetches. fetchGBPS is the fetch rate of one machine in GB per second; 0 if unknown, which leaves
-// out the fetches. The result is at most maxLeadTime.
+// fetches. fetchGBPS is the fetch rate of one machine in GB per second. If it is 0, fetches count as
+// immediate. The result is at most maxLeadTime.
 func (p *Pool) LeadTime(machines int, boot time.Duration, fetchGBPS float64) time.Duration {
 	rounds := (machines + p.MaxConcurrentFetches() - 1) / p.MaxConcurrentFetches()
 	fetchSeconds := 0.0
@@ -122,8 +122,8 @@
 	return min(machines, p.Affordable(hourlyPrice))
 }
 
-// Affordable returns how many machines of the given hourly price stay within MaxHourlyCost. A
-// price of 0 or less means that the price is no limit; the result is then MaxMachines.
+// Affordable returns how many machines of the given hourly price stay within MaxHourlyCost. For a
+// price of 0 or less it returns MaxMachines.
 func (p *Pool) Affordable(hourlyPrice float64) int {
 	if hourlyPrice <= 0 {
 		return p.MaxMachines
--- a/warmpool/records.go
+++ b/warmpool/records.go
@@ -47,7 +47,7 @@
 	Held               int     `msgpack:"y"`           // number of machines held
 	Warm               int     `msgpack:"z"`           // number of held machines that have the weights
 	Fetching           int     `msgpack:"f,omitempty"` // number of machines that fetch the weights
-	CostLimited        bool    `msgpack:"l,omitempty"` // the cost limit makes Target smaller than the demand requires
+	CostLimited        bool    `msgpack:"l,omitempty"` // the cost limit bounds Target
 	FetchRefused       string  `msgpack:"e,omitempty"` // why the weights are not fetched in advance; "" if they are
 }
 
--- a/warmpool/scaling.go
+++ b/warmpool/scaling.go
@@ -24,8 +24,8 @@
 	Leaving  bool // released and not yet returned
 }
 
-// available reports whether a machine counts as held. Machines that are silent, about to be
-// reclaimed or gone don't count, so they are replaced at once.
+// available reports whether a machine counts as held. Machines that are silent, gone or about to be
+// interrupted don't count, so they are replaced at once.
 func (o *Observation) available() bool { return (o.Ready || o.Booting) && !o.Leaving }
 
 // CountHeld returns how many of a pool's machines count as held: ready or booting, and not
