--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -173,7 +173,7 @@
 		renting = 1 << 30
 	}
 	s := d.model.Schedule(now, renting)
-	d.recordDecision("pass", s.Started, d.model.PendingWrites(), d.model.PlacesFreed, d.model.ExpectedMachines(now))
+	d.recordDecision("pass", s.Started, d.model.PendingWrites(), d.model.PlacementsRemoved, d.model.ExpectedMachines(now))
 	for _, r := range s.Unplaced {
 		d.recordDecision("wanted", r.Tasks, r.Team, r.Need.CPU, r.Need.GPU, r.Need.Mem, r.Zone, r.Gang, r.Spot)
 	}
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -80,7 +80,7 @@
 	starvation      starvationBound
 	RebalanceCycles map[string]*RebalanceCycle
 	refusedOffers   offerRefusals
-	PlacesFreed     uint64 // number of placements removed so far; each one frees resources
+	PlacementsRemoved     uint64 // number of placements removed so far; each one frees resources
 	buffers         passBuffers
 
 	// Loading and recovery.
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -33,7 +33,7 @@
 	mc := m.Machines[j.Tasks[task].Placement.Machine]
 	ref := TaskRef{Job: j.Index, Task: task}
 	j.unplaceTask(task, mc.Zone)
-	m.PlacesFreed++
+	m.PlacementsRemoved++
 	mc.releaseTask(ref, j.Need, now)
 	if j.team >= 0 {
 		m.teams[j.team].Used = m.teams[j.team].Used.Add(j.Need, -1)
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -37,7 +37,7 @@
 		l.lease.Resign()
 		return redirectTo("")
 	}
-	placesFreedBefore := l.model.PlacesFreed
+	placementsRemovedBefore := l.model.PlacementsRemoved
 	machine := l.model.ApplyHeartbeat(&heartbeat, now)
 	if machine == nil && l.lease.Valid() {
 		if commands, ok := l.model.AnswerRetry(&heartbeat, receivedBy); ok {
@@ -57,7 +57,7 @@
 		}
 	}
 	l.heartbeatLimiter.Release()
-	if machine != nil && l.model.PlacesFreed != placesFreedBefore {
+	if machine != nil && l.model.PlacementsRemoved != placementsRemovedBefore {
 		machine.DelayAnswer()
 		l.awaitSchedulingPass()
 		machine.EndAnswerDelay()
