--- a/cluster/boottime_test.go
+++ b/cluster/boottime_test.go
@@ -15,7 +15,7 @@
 	m := newModel(5)
 	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
 	requestMachine := func(name string, seconds float64) {
-		m.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{name}, at(seconds))
+		m.AddScaledOutMachines(Offer{Type: "m", Zone: "a"}, []string{name}, at(seconds))
 	}
 	sendFirstHeartbeat := func(name string, seconds float64) {
 		m.ApplyHeartbeat(&wire.Heartbeat{Machine: name, Addr: "x", Type: "m", Zone: "a", AgentEpoch: 1, Seq: 1}, at(seconds))
--- a/cluster/decisions_fleet_test.go
+++ b/cluster/decisions_fleet_test.go
@@ -64,9 +64,9 @@
 		d.eventCounts["machine rented"] += count
 		if count < wanted[o] {
 			d.eventCounts["refused rental"]++
-			d.model.OfferRefused(o, d.now())
+			d.model.RecordOfferRefusal(o, d.now())
 		}
-		d.model.ScaledOut(o, names, d.now())
+		d.model.AddScaledOutMachines(o, names, d.now())
 		rec.Machines = names
 		d.write(wire.Op{Put: key, Value: rec})
 	}
@@ -85,7 +85,7 @@
 				if w := d.byName[name]; w != nil {
 					w.gone, w.tasks = true, nil
 				}
-				d.model.MachineGone(name, now)
+				d.model.ApplyMachineDeletion(name, now)
 			}
 		}
 	}
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -84,10 +84,10 @@
 	}
 }
 
-// MachineGone applies a machine's deletion that the cloud has confirmed. It removes the
+// ApplyMachineDeletion applies a machine's deletion that the cloud has confirmed. It removes the
 // placements on the machine. Unlike a lease expiry it is final, and later heartbeats of the
 // machine are ignored.
-func (m *Model) MachineGone(name string, now time.Time) {
+func (m *Model) ApplyMachineDeletion(name string, now time.Time) {
 	mc := m.machineNamed(name)
 	if mc == nil || mc.Gone {
 		return
--- a/cluster/model.go
+++ b/cluster/model.go
@@ -13,7 +13,7 @@
 //   - A task never gets the same attempt number twice. The one exception is a gang that has
 //     not started: a replacement of one of its tasks keeps the gang's attempt number.
 //   - A task that may have been launched counts as gone only on proof: a newer heartbeat
-//     (reconcile), an expired lease (Tick) or a deleted machine (MachineGone).
+//     (reconcile), an expired lease (Tick) or a deleted machine (ApplyMachineDeletion).
 //   - Quotas count every task that may still be on a machine.
 //   - A heartbeat that is older than the last one applied is never applied.
 //   - The cloud's machine list is never proof about tasks.
--- a/cluster/scaleout.go
+++ b/cluster/scaleout.go
@@ -53,15 +53,15 @@
 	return out, named
 }
 
-// OfferRefused records that the cloud had no machine for an offer. The offer is excluded for
+// RecordOfferRefusal records that the cloud had no machine for an offer. The offer is excluded for
 // offerRefusalTime, so that the next pass tries another type or zone.
-func (m *Model) OfferRefused(o Offer, now time.Time) {
+func (m *Model) RecordOfferRefusal(o Offer, now time.Time) {
 	m.refusedOffers.refuse(o.key, now.Add(offerRefusalTime))
 }
 
-// ScaledOut adds the machines with the given names, which the cloud returned for a scale-out
+// AddScaledOutMachines adds the machines with the given names, which the cloud returned for a scale-out
 // request of an offer.
-func (m *Model) ScaledOut(o Offer, names []string, now time.Time) {
+func (m *Model) AddScaledOutMachines(o Offer, names []string, now time.Time) {
 	for _, name := range names {
 		mc := m.findOrAddMachine(name, now)
 		mc.recordScaleOut()
--- a/cluster/window_provision_test.go
+++ b/cluster/window_provision_test.go
@@ -53,14 +53,14 @@
 	for i := range n {
 		name := fmt.Sprintf("host-%d", 8+i)
 		rented = append(rented, rental{name, 1100})
-		l.model.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{name}, at(1100))
+		l.model.AddScaledOutMachines(Offer{Type: "m", Zone: "a"}, []string{name}, at(1100))
 	}
 	if more := machinesWanted(1101, 1111, 8); more > 0 {
 		t.Errorf("got %d more wanted machines while the rented ones boot, want 0", more)
 	}
 	l.failover(6, at(1112), twoRegions, tilesJob)
 	for _, r := range rented {
-		l.model.ScaledOut(Offer{Type: "m", Zone: "a"}, []string{r.name}, at(r.at))
+		l.model.AddScaledOutMachines(Offer{Type: "m", Zone: "a"}, []string{r.name}, at(r.at))
 	}
 	if more := machinesWanted(1113, 1120, 8); more > 0 {
 		t.Errorf("next leader: got %d more wanted machines while the rented ones boot, want 0", more)
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -72,7 +72,7 @@
 	now := time.Now()
 	l.mu.Lock()
 	for _, name := range names {
-		l.model.MachineGone(name, now)
+		l.model.ApplyMachineDeletion(name, now)
 	}
 	l.mu.Unlock()
 	wake(l.schedulerWake)
@@ -127,9 +127,9 @@
 	now := time.Now()
 	l.mu.Lock()
 	if err != nil || len(names) < count {
-		l.model.OfferRefused(offer, now)
+		l.model.RecordOfferRefusal(offer, now)
 	}
-	l.model.ScaledOut(offer, names, now)
+	l.model.AddScaledOutMachines(offer, names, now)
 	l.mu.Unlock()
 	if err != nil {
 		l.log.Info("scale out refused", "request", requestName, "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "count", count, "err", err)
