--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -101,9 +101,9 @@
 	}
 }
 
-// WroteAdmissionPage reports whether the model already has the given version of a page. That
+// HasAdmissionPageVersion reports whether the model already has the given version of a page. That
 // is the case if this leader wrote it.
-func (m *Model) WroteAdmissionPage(key string, version uint64) bool {
+func (m *Model) HasAdmissionPageVersion(key string, version uint64) bool {
 	return m.writes.admissionPages.atVersion(key, version) != nil
 }
 
--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -116,7 +116,7 @@
 				pg.Record = rec
 			}
 			pages[key] = pg
-			d.recordDecision("wrote", key, d.model.WroteAdmissionPage(key, e.Version))
+			d.recordDecision("wrote", key, d.model.HasAdmissionPageVersion(key, e.Version))
 		case e.Delete != "":
 			if id, ok := jobstore.ParseJobKey(key); ok {
 				d.model.RemoveJob(id, now)
--- a/controller/job_events.go
+++ b/controller/job_events.go
@@ -90,7 +90,7 @@
 	if pages[key].Version <= event.Version {
 		pages[key] = page
 	}
-	if !l.model.WroteAdmissionPage(key, event.Version) {
+	if !l.model.HasAdmissionPageVersion(key, event.Version) {
 		l.recentUserChanges = append(l.recentUserChanges, time.Now())
 	}
 	return true
