--- a/cluster/machine_lease.go
+++ b/cluster/machine_lease.go
@@ -50,5 +50,6 @@
 	}
 }
 
-// DiscountAnswers records that none of the answers so far renewed the worker's lease.
-func (l *workerLease) DiscountAnswers() { l.lastAnswered = time.Time{} }
+// ResetLastAnswer clears the time of the last answer that renewed the worker's lease: none of the
+// answers so far counts.
+func (l *workerLease) ResetLastAnswer() { l.lastAnswered = time.Time{} }
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -134,7 +134,7 @@
 // none of them renewed its lease. If they counted, the restart of its tasks would be delayed.
 // The delay would be worst for answers to delayed heartbeats of a machine that is gone.
 func (m *Model) applyMissingToken(mc *Machine, expected expectedEffects, now time.Time) {
-	mc.DiscountAnswers()
+	mc.ResetLastAnswer()
 	if expected.answered {
 		m.markUnreachable(mc, signTokenMissing, now)
 	}
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -239,7 +239,7 @@
 	}
 	s.respond(h, leader.AnswerHeartbeat(machine, &message, s.now()), leader)
 	if s.mutation == TreatResponsesAsUnreceived && len(machine.Tasks) > 0 {
-		machine.DiscountAnswers()
+		machine.ResetLastAnswer()
 	}
 	s.mutateForgets(h)
 }
