--- a/cluster/model.go
+++ b/cluster/model.go
@@ -75,13 +75,13 @@
 	pools        warmPools
 
 	// State that scheduling passes use.
-	classes         classRegistry
-	triage          triageState
-	starvation      starvationBound
-	RebalanceCycles map[string]*RebalanceCycle
-	refusedOffers   offerRefusals
-	PlacementsRemoved     uint64 // number of placements removed so far; each one frees resources
-	buffers         passBuffers
+	classes           classRegistry
+	triage            triageState
+	starvation        starvationBound
+	RebalanceCycles   map[string]*RebalanceCycle
+	refusedOffers     offerRefusals
+	PlacementsRemoved uint64 // number of placements removed so far; each one frees resources
+	buffers           passBuffers
 
 	// Loading and recovery.
 	loadFinished bool // all records of earlier leaders are loaded
