--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -347,7 +347,7 @@
 // sendDirectCommands sends stops and wake-ups to the workers' addresses.
 func (d *driver) sendDirectCommands() {
 	now := d.now()
-	stops := d.model.StopPushes(now)
+	stops := d.model.DueStops(now)
 	// The stops of several machines may be in the iteration order of a map.
 	slices.SortFunc(stops, func(a, b Push) int { return strings.Compare(a.Machine, b.Machine) })
 	for _, s := range stops {
--- a/cluster/directcommands.go
+++ b/cluster/directcommands.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // directCommandQueue lists the tasks for which commands are to be sent to the addresses of
-// their workers, in addition to the answers to heartbeats (StopPushes, WakeUps). The readers of
+// their workers, in addition to the answers to heartbeats (DueStops, WakeUps). The readers of
 // the queue skip tasks that no longer need their command.
 type directCommandQueue struct {
 	stops    []TaskRef // tasks ordered to stop since the last call of takeStops
--- a/cluster/stoppush.go
+++ b/cluster/stoppush.go
@@ -14,10 +14,10 @@
 	Commands wire.DirectCommands
 }
 
-// StopPushes returns the stops that were not sent directly yet, one Push per machine, and records
+// DueStops returns the stops that were not sent directly yet, one Push per machine, and records
 // them as sent. A push only speeds up a stop. The answers to heartbeats repeat the stop until the
 // task is gone.
-func (m *Model) StopPushes(now time.Time) []Push {
+func (m *Model) DueStops(now time.Time) []Push {
 	byMachine := map[int32]*Push{}
 	var order []int32
 	for _, ref := range m.directCommands.takeStops() {
--- a/controller/direct_commands.go
+++ b/controller/direct_commands.go
@@ -15,7 +15,7 @@
 		return
 	}
 	l.mu.Lock()
-	batch := l.model.StopPushes(time.Now())
+	batch := l.model.DueStops(time.Now())
 	l.mu.Unlock()
 	for _, push := range batch {
 		select {
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -207,7 +207,7 @@
 // sendPushes sends stops and wake-ups to workers.
 func (s *System) sendPushes() {
 	now := s.now()
-	for _, p := range append(s.leader.StopPushes(now), s.leader.WakeUps(maxPushes, now)...) {
+	for _, p := range append(s.leader.DueStops(now), s.leader.WakeUps(maxPushes, now)...) {
 		s.mutatePush(p.Commands.Commands)
 		if len(s.pushes) < maxPushes {
 			i := slices.IndexFunc(s.workers, func(w *worker) bool { return w.name == p.Machine })
