--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -401,7 +401,7 @@
 		w, ok := d.model.Explain(id, now)
 		d.recordDecision("why", id, ok, w.Tier, w.WaitedSeconds, w.Tasks, w.Done, w.Placed, w.PendingReasons, w.AheadByReason)
 		for _, a := range w.Nearest {
-			d.recordDecision("ahead", a.ID, a.Tier, a.Reason)
+			d.recordDecision("ahead", a.ID, a.Tier, a.PrecedenceReason)
 		}
 		for _, p := range w.Inversions {
 			d.recordDecision("passed", d.decoded(p))
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -28,9 +28,9 @@
 
 // JobAhead is a job that is ahead of another in the queue.
 type JobAhead struct {
-	ID     string
-	Tier   string // "" if the plan defines no priority tiers
-	Reason string // why it is ahead, as in Explanation.AheadByReason
+	ID               string
+	Tier             string // "" if the plan defines no priority tiers
+	PrecedenceReason string // why it is ahead, as in Explanation.AheadByReason
 }
 
 // maxNearestShown bounds Explanation.Nearest.
--- a/cmd/umberdeal/why.go
+++ b/cmd/umberdeal/why.go
@@ -56,7 +56,7 @@
 		fmt.Printf("%d jobs ahead of it: %s\n", w.AheadByReason[why], why)
 	}
 	for _, a := range w.Nearest {
-		fmt.Printf("  %s %s (%s)\n", a.ID, a.Tier, a.Reason)
+		fmt.Printf("  %s %s (%s)\n", a.ID, a.Tier, a.PrecedenceReason)
 	}
 	for _, p := range w.Inversions {
 		fmt.Printf("passed over by %s (%s) at %s: %s\n", p.Job, p.Tier, time.UnixMilli(p.AtMs).UTC().Format(time.RFC3339), p.Reason)
