--- a/controller/node_metrics.go
+++ b/controller/node_metrics.go
@@ -179,7 +179,7 @@
 // observeQueuedWrite records a submission or a cancellation that has left the queue of its
 // bucket.
 func (n *Node) observeQueuedWrite(write jobstore.QueuedWrite) {
-	n.metrics.ObserveQueuedWrite(string(write.Kind), string(write.Result), write.Queued.Seconds())
-	n.log.Debug("queued write ended", "kind", write.Kind, "id", write.ID, "result", write.Result, "queued", write.Queued,
-		"transactions", write.Transactions, "shared", write.Shared)
+	n.metrics.ObserveQueuedWrite(string(write.Kind), string(write.Result), write.TimeInQueue.Seconds())
+	n.log.Debug("queued write ended", "kind", write.Kind, "id", write.ID, "result", write.Result, "queued", write.TimeInQueue,
+		"transactions", write.Transactions, "shared", write.LastTransactionWrites)
 }
--- a/jobstore/queuedwrite.go
+++ b/jobstore/queuedwrite.go
@@ -38,12 +38,12 @@
 // QueuedWrite describes a submission or a cancellation that has left its bucket's queue, for metrics and
 // logs.
 type QueuedWrite struct {
-	Kind         WriteKind
-	ID           string // the job's id
-	Result       WriteResult
-	Queued       time.Duration // time in the queue and in its transactions
-	Transactions int           // how many transactions it was part of
-	Shared       int           // how many writes were in its last transaction
+	Kind                  WriteKind
+	ID                    string // the job's id
+	Result                WriteResult
+	TimeInQueue           time.Duration // time in the queue and in its transactions
+	Transactions          int           // how many transactions it was part of
+	LastTransactionWrites int           // how many writes were in its last transaction
 }
 
 // queueTicket records the progress of a write in its bucket's queue. The Store's lock guards it.
@@ -100,8 +100,8 @@
 // observeQueuedWrite reports a write that has left its queue.
 func (s *Store) observeQueuedWrite(kind WriteKind, id string, ticket queueTicket, result WriteResult) {
 	if s.config.ObserveQueuedWrite != nil {
-		s.config.ObserveQueuedWrite(QueuedWrite{Kind: kind, ID: id, Result: result, Queued: time.Since(ticket.queuedAt),
-			Transactions: ticket.transactions, Shared: ticket.shared})
+		s.config.ObserveQueuedWrite(QueuedWrite{Kind: kind, ID: id, Result: result, TimeInQueue: time.Since(ticket.queuedAt),
+			Transactions: ticket.transactions, LastTransactionWrites: ticket.shared})
 	}
 }
 
