--- a/cmd/umberdeal/plan.go
+++ b/cmd/umberdeal/plan.go
@@ -125,7 +125,7 @@
 		}
 	}
 	limits := s.Cluster.State
-	v, err := jobstore.ApplyPlan(ctx, store, jobstore.Limits{TxnOps: limits.TxnOps, ValueKB: limits.ValueKB},
+	v, err := jobstore.ApplyPlan(ctx, store, jobstore.Limits{MaxTxnOps: limits.TxnOps, MaxValueKiB: limits.ValueKB},
 		jobstore.PlanChange{Base: c.Base, Text: text, By: by, Note: p.Note, At: time.Now()})
 	if err != nil {
 		return err
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -298,7 +298,7 @@
 // because a concurrent cancellation of one of its jobs must conflict with the restore. A
 // cancellation is conditional on the version of the quarantined page.
 func (r *repairer) restoreJobs(ctx context.Context, key string, quarantined jobstore.QuarantinedPage, jobs []jobstore.JobPageEntry) error {
-	batchSize := (4*r.limits.TxnOps - 3) / 2
+	batchSize := (4*r.limits.MaxTxnOps - 3) / 2
 	var rest []jobstore.JobPageEntry
 	for _, job := range jobs {
 		if !r.hasReadableRecord(job.ID) {
--- a/internal/scenario/plans.go
+++ b/internal/scenario/plans.go
@@ -17,7 +17,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	st := kvstore.New(w.Network.Dial("operator"), "state:1", 20, 20)
-	v, err := jobstore.ApplyPlan(ctx, st, jobstore.Limits{TxnOps: 12, ValueKB: 16}, jobstore.PlanChange{Base: base, Text: text, By: "ops", At: time.Now()})
+	v, err := jobstore.ApplyPlan(ctx, st, jobstore.Limits{MaxTxnOps: 12, MaxValueKiB: 16}, jobstore.PlanChange{Base: base, Text: text, By: "ops", At: time.Now()})
 	return v.Number, err
 }
 
--- a/jobstore/accept_test.go
+++ b/jobstore/accept_test.go
@@ -27,7 +27,7 @@
 // closePageAfter is how long head pages stay open after concurrent submissions (see batch.go).
 const closePageAfter = 5 * time.Second
 
-var limits = jobstore.Limits{TxnOps: 12, ValueKB: 16}
+var limits = jobstore.Limits{MaxTxnOps: 12, MaxValueKiB: 16}
 
 func job(n int) wire.Job {
 	return wire.Job{ID: fmt.Sprintf("wk-%06d", n), Class: "tile-rebuild", Team: "core", Kind: wire.KindArray, Priority: wire.PriorityNormal,
--- a/jobstore/limits.go
+++ b/jobstore/limits.go
@@ -3,8 +3,8 @@
 package jobstore
 
 const (
-	defaultTxnOps  = 12
-	defaultValueKB = 16
+	defaultTxnOps   = 12
+	defaultValueKiB = 16
 	// maxPageBytes lets three pages fit into a transaction, whose limit is 64 KiB.
 	maxPageBytes = 18 << 10
 	// pageReserve is left free in a value for the encoding around the entries.
@@ -15,25 +15,25 @@
 
 // Limits are the key-value store's limits on a transaction. A value of 0 or less means the default.
 type Limits struct {
-	TxnOps  int     // puts and deletes of a transaction; it may have guardsPerOp times as many guards
-	ValueKB float64 // largest value, in KiB
+	MaxTxnOps   int     // puts and deletes of a transaction; it may have guardsPerOp times as many guards
+	MaxValueKiB float64 // largest value, in KiB
 }
 
 // txnOps returns how many puts and deletes a transaction may have.
 func (l Limits) txnOps() int {
-	if l.TxnOps <= 0 {
+	if l.MaxTxnOps <= 0 {
 		return defaultTxnOps
 	}
-	return l.TxnOps
+	return l.MaxTxnOps
 }
 
 // valueBytes returns how large a value may be.
 func (l Limits) valueBytes() int {
-	kb := l.ValueKB
-	if kb <= 0 {
-		kb = defaultValueKB
+	kib := l.MaxValueKiB
+	if kib <= 0 {
+		kib = defaultValueKiB
 	}
-	return int(kb * 1024)
+	return int(kib * 1024)
 }
 
 // maxJobs returns how many jobs a transaction can add with guardsPerJob guards for each. The head page
--- a/jobstore/plan_test.go
+++ b/jobstore/plan_test.go
@@ -271,8 +271,8 @@
 			n = v.Number
 			s.mu.Lock()
 			for k, e := range s.keys {
-				if size := wire.JSONSize(e.Value); size > int(limits.ValueKB*1024) {
-					t.Errorf("the value of %s has %d bytes, want at most %g KiB", k, size, limits.ValueKB)
+				if size := wire.JSONSize(e.Value); size > int(limits.MaxValueKiB*1024) {
+					t.Errorf("the value of %s has %d bytes, want at most %g KiB", k, size, limits.MaxValueKiB)
 				}
 			}
 			s.mu.Unlock()
--- a/snapshot/plan_test.go
+++ b/snapshot/plan_test.go
@@ -18,7 +18,7 @@
 // the same current version, and Verify must report a damaged version.
 func TestPlanSurvivesExportAndImport(t *testing.T) {
 	var file bytes.Buffer
-	limits := jobstore.Limits{TxnOps: 12, ValueKB: 16}
+	limits := jobstore.Limits{MaxTxnOps: 12, MaxValueKiB: 16}
 	text := "note = \"" + strings.Repeat("two ", 9000) + "\""
 	scenario.Run(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster) { //nolint:thelper // the body of the test
 		time.Sleep(5 * time.Second)
