--- a/cluster/decisions_fleet_test.go
+++ b/cluster/decisions_fleet_test.go
@@ -41,7 +41,7 @@
 	for _, o := range offers {
 		d.scaleOutRecords++
 		d.eventCounts["rental"]++
-		rec := jobstore.ScaleOutRecord{Type: o.Type, Zone: o.Zone, Spot: o.Spot, Count: wanted[o], AtMs: d.now().UnixMilli()}
+		rec := jobstore.ScaleOutRecord{MachineType: o.Type, Zone: o.Zone, Spot: o.Spot, Count: wanted[o], AtMs: d.now().UnixMilli()}
 		key := fmt.Sprintf("%sr-%d", jobstore.ScaleOutPrefix, d.scaleOutRecords)
 		guards := []wire.Guard{d.model.PlanGuard(), {Key: key}}
 		ops := []wire.Op{{Put: key, Value: rec}}
--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -47,7 +47,7 @@
 	})
 	each(jobstore.ScaleOutPrefix, func(key string, _ storedValue) {
 		rec := read[jobstore.ScaleOutRecord](d, key)
-		m.AddScaledOutMachines(Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, time.UnixMilli(rec.AtMs))
+		m.AddScaledOutMachines(Offer{Type: rec.MachineType, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, time.UnixMilli(rec.AtMs))
 	})
 	if _, ok := d.store[jobstore.ScaleInKey]; ok {
 		m.ResumeScaleIn(read[jobstore.ScaleInRecord](d, jobstore.ScaleInKey).Machines, now)
--- a/controller/load.go
+++ b/controller/load.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		if at := time.UnixMilli(record.AtMs); now.Sub(at) < rentalRecordTTL {
-			model.AddScaledOutMachines(cluster.Offer{Type: record.Type, Zone: record.Zone, Spot: record.Spot}, record.Machines, at)
+			model.AddScaledOutMachines(cluster.Offer{Type: record.MachineType, Zone: record.Zone, Spot: record.Spot}, record.Machines, at)
 		}
 	}
 }
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -109,7 +109,7 @@
 func (l *leadership) rentMachines(ctx context.Context, offer cluster.Offer, count int) {
 	l.rentalRequests++
 	requestName := fmt.Sprintf("r-%d-%d", l.lease.FencingToken, l.rentalRequests)
-	record := jobstore.ScaleOutRecord{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count, AtMs: time.Now().UnixMilli()}
+	record := jobstore.ScaleOutRecord{MachineType: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count, AtMs: time.Now().UnixMilli()}
 	key := jobstore.ScaleOutPrefix + requestName
 	l.mu.Lock()
 	planGuard := l.model.PlanGuard()
--- a/jobstore/records.go
+++ b/jobstore/records.go
@@ -58,12 +58,12 @@
 // ScaleOutRecord is a request for machines from the cloud. It is committed before the request is sent,
 // so that a later leader knows of it.
 type ScaleOutRecord struct {
-	Type     string   `msgpack:"type"`
-	Zone     string   `msgpack:"zone"`
-	Spot     bool     `msgpack:"spot"`
-	Count    int      `msgpack:"n"`
-	AtMs     int64    `msgpack:"at"` // Unix milliseconds
-	Machines []string `msgpack:"m,omitempty"`
+	MachineType string   `msgpack:"type"`
+	Zone        string   `msgpack:"zone"`
+	Spot        bool     `msgpack:"spot"`
+	Count       int      `msgpack:"n"`
+	AtMs        int64    `msgpack:"at"` // Unix milliseconds
+	Machines    []string `msgpack:"m,omitempty"`
 }
 
 // ScaleInRecord lists machines to delete. It is committed before the deletion starts, so that a later
