--- a/cluster/boottime_test.go
+++ b/cluster/boottime_test.go
@@ -13,7 +13,7 @@
 // up.
 func TestBootTimeEstimateFollowsObservedBootsWithinBounds(t *testing.T) {
 	m := newModel(5)
-	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
+	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, Zones: []string{"a", "b"}}})
 	requestMachine := func(name string, seconds float64) {
 		m.AddScaledOutMachines(Offer{Type: "m", Zone: "a"}, []string{name}, at(seconds))
 	}
--- a/cluster/decisions_fleet_test.go
+++ b/cluster/decisions_fleet_test.go
@@ -233,7 +233,7 @@
 	id, n, _ := wire.ParseTaskName(c.Task)
 	j := d.model.Job(id)
 	if j == nil || n >= len(j.Tasks) {
-		t.State, t.Why = wire.TaskExited, wire.ExitUnknown
+		t.State, t.ExitReason = wire.TaskExited, wire.ExitUnknown
 		return t
 	}
 	t.image = j.Spec.Image
@@ -261,7 +261,7 @@
 		t.State, t.until = wire.TaskSaving, d.seconds()+min(*c.GraceS, j.Spec.SaveS)
 		return
 	}
-	t.State, t.Why = wire.TaskExited, wire.ExitStopped
+	t.State, t.ExitReason = wire.TaskExited, wire.ExitStopped
 }
 
 // advanceTasks advances the tasks of a worker.
@@ -278,7 +278,7 @@
 			w.images[t.image] = true
 			switch {
 			case t.exitReason != "":
-				t.State, t.Why = wire.TaskExited, t.exitReason
+				t.State, t.ExitReason = wire.TaskExited, t.exitReason
 			case j != nil && j.Gang():
 				t.State, t.until = wire.TaskWaiting, now
 				d.startGang(j, t, now)
@@ -287,12 +287,12 @@
 			}
 		case wire.TaskWaiting:
 			if j == nil || now-t.until > d.settings.Cluster.Workers.GangWaitS {
-				t.State, t.Why = wire.TaskExited, wire.ExitAlone
+				t.State, t.ExitReason = wire.TaskExited, wire.ExitAlone
 			}
 		case wire.TaskRunning:
-			t.State, t.Why = wire.TaskExited, wire.ExitDone
+			t.State, t.ExitReason = wire.TaskExited, wire.ExitDone
 		case wire.TaskSaving:
-			t.State, t.Why, t.Saved = wire.TaskExited, wire.ExitStopped, true
+			t.State, t.ExitReason, t.Saved = wire.TaskExited, wire.ExitStopped, true
 		}
 	}
 }
--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -25,8 +25,8 @@
 	m.RebalanceSettings, m.Headroom, m.StarvationBound = config.DefaultTuning().Rebalance, 0.05, 240*time.Second
 	m.RebalanceSettings.EveryS, m.RebalanceSettings.CooldownS, m.RebalanceSettings.TaskCooldownS = 9, 30, 60
 	m.SetMachineTypes([]wire.MachineType{
-		{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, Price: 2, SpotPrice: 1, BootS: 20, ZonesNamed: []string{"a", "b"}},
-		{Name: "l", CPUs: 16, MemoryGB: 128, CacheGB: 30, FetchGBPS: 0.5, Price: 3, SpotPrice: 1.2, BootS: 30, ZonesNamed: []string{"b", "a"}}})
+		{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, Price: 2, SpotPrice: 1, BootS: 20, Zones: []string{"a", "b"}},
+		{Name: "l", CPUs: 16, MemoryGB: 128, CacheGB: 30, FetchGBPS: 0.5, Price: 3, SpotPrice: 1.2, BootS: 30, Zones: []string{"b", "a"}}})
 	d.model = m
 	keys := slices.Sorted(maps.Keys(d.store))
 	each := func(prefix string, load func(key string, v storedValue)) {
--- a/cluster/gpu_machines_test.go
+++ b/cluster/gpu_machines_test.go
@@ -14,8 +14,8 @@
 func TestTasksWithoutGPUsAvoidGPUMachinesThatOthersWaitFor(t *testing.T) {
 	m := newModel(5)
 	m.SetMachineTypes([]wire.MachineType{
-		{Name: "plain", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}},
-		{Name: "gpu", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
+		{Name: "plain", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, Zones: []string{"a", "b"}},
+		{Name: "gpu", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, Zones: []string{"a", "b"}}})
 	for _, name := range []string{"plain", "gpu"} {
 		m.ApplyHeartbeat(&wire.Heartbeat{Machine: "h-" + name, Addr: "x", Type: name, Zone: "a", AgentEpoch: 1, Seq: 1, Token: 5}, at(1))
 	}
@@ -59,8 +59,8 @@
 			m.teams[0].Max.GPU = c.gpuLimit
 			m.settings.Cluster.Objectives = []config.Objective{{Kind: c.kind, Class: "small", WithinS: 40, Share: 0.9}, {Kind: "finished", Class: "c", WithinS: 150, Share: 0.9}}
 			m.SetMachineTypes([]wire.MachineType{
-				{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}},
-				{Name: "plain", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}}})
+				{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, Zones: []string{"a"}},
+				{Name: "plain", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, Zones: []string{"a"}}})
 			small, deadline := arrayJob("wk-000001", 4), 100.0
 			small.Job.Class, small.Job.DeadlineS = "small", &deadline
 			m.ApplyJobRecord(small.Job.ID, small, 1, at(0))
--- a/cluster/heartbeatretry_test.go
+++ b/cluster/heartbeatretry_test.go
@@ -27,7 +27,7 @@
 func TestDuplicateOfNewestHeartbeatIsAnsweredWithoutNewCommands(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
-	exit := wire.TaskStatus{Task: wire.TaskName("wk-000001", NoSuchTask), Attempt: 1, State: wire.TaskExited, Why: wire.ExitUnknown}
+	exit := wire.TaskStatus{Task: wire.TaskName("wk-000001", NoSuchTask), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitUnknown}
 	answer(t, m, newHeartbeat(1, 5), at(0))
 	m.Schedule(at(1), 0)
 	commitAll(t, m, at(1))
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -33,7 +33,7 @@
 			m.MachineTypes = append(m.MachineTypes, MachineType{})
 		}
 		zones := make([]bool, len(m.Zones))
-		for _, z := range t.ZonesNamed {
+		for _, z := range t.Zones {
 			if i, ok := m.names.zones[z]; ok {
 				zones[i] = true
 			}
--- a/cluster/machinetype_test.go
+++ b/cluster/machinetype_test.go
@@ -21,7 +21,7 @@
 	other := arrayJob("wk-000002", 1)
 	other.Job.Class = "other"
 	m.ApplyJobRecord("wk-000002", other, 1, at(2))
-	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
+	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, Zones: []string{"a", "b"}}})
 	if d := m.Schedule(at(3), 0); len(d.ScaleOut) == 0 {
 		t.Error("no machine is requested for a waiting job")
 	}
--- a/cluster/model_test.go
+++ b/cluster/model_test.go
@@ -24,7 +24,7 @@
 		Cloud:   config.CloudLimits{RPS: 4, ListLagS: 5}}}
 	m := New(cfg, token, t0, slog.New(slog.DiscardHandler))
 	m.RebalanceSettings = config.DefaultTuning().Rebalance
-	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
+	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, Zones: []string{"a", "b"}}})
 	return m
 }
 
@@ -159,7 +159,7 @@
 // committed, the next leader would not learn of the outcome.
 func TestExitIsForgottenOnlyAfterItsOutcomeIsCommitted(t *testing.T) {
 	m := modelWithLaunchedJob(t, 2)
-	done := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitDone}
+	done := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone}
 	other := wire.TaskStatus{Task: "wk-000001/1", Attempt: 1, State: wire.TaskRunning}
 	if _, _, f := countOps(answer(t, m, newHeartbeat(3, 5, done, other), at(3))); f != 0 {
 		t.Fatal("the exit is forgotten before the commit")
@@ -180,7 +180,7 @@
 		m.Schedule(at(1), 0)
 		commitAll(t, m, at(1))
 		answer(t, m, newHeartbeat(2, 5), at(2))
-		answer(t, m, newHeartbeat(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: why}), at(3))
+		answer(t, m, newHeartbeat(3, 5, wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, ExitReason: why}), at(3))
 		m.Schedule(at(3.1), 0)
 		task := &m.Job("wk-000001").Tasks[0]
 		if task.Phase != TaskIdle {
@@ -250,7 +250,7 @@
 	second := newHeartbeat(1, 9)
 	second.Machine = "host-2"
 	answer(t, m, second, at(1))
-	exited := wire.TaskStatus{Task: "wk-000001/0", Attempt: 3, State: wire.TaskExited, Why: wire.ExitStopped, Saved: true}
+	exited := wire.TaskStatus{Task: "wk-000001/0", Attempt: 3, State: wire.TaskExited, ExitReason: wire.ExitStopped, Saved: true}
 	answer(t, m, newHeartbeat(2, 9, exited), at(4))
 	m.Schedule(at(4.1), 0)
 	p := m.Job("wk-000001").Tasks[0].Placement
@@ -265,7 +265,7 @@
 	second.Seq = 2
 	answer(t, m, second, at(4.5))
 	second.Seq = 3
-	second.Tasks = []wire.TaskStatus{{Task: "wk-000001/0", Attempt: 4, State: wire.TaskExited, Why: wire.ExitError}}
+	second.Tasks = []wire.TaskStatus{{Task: "wk-000001/0", Attempt: 4, State: wire.TaskExited, ExitReason: wire.ExitError}}
 	answer(t, m, second, at(6))
 	if m.RebalanceCycles["a/m"].Record.QuarantineUntilMs["wk-000001/0"] == 0 {
 		t.Error("the task is not quarantined after its failure")
--- a/cluster/preempt_test.go
+++ b/cluster/preempt_test.go
@@ -22,7 +22,7 @@
 			Priority: wire.PriorityNormal, Tasks: 1, CPUs: 4, Image: "i", EstimateS: 500, CheckpointS: 10, SaveS: 2}}
 		m.ApplyJobRecord(id, rec, 1, at(atS))
 	}
-	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 12, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a", "b"}}})
+	m.SetMachineTypes([]wire.MachineType{{Name: "m", CPUs: 12, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, Zones: []string{"a", "b"}}})
 	put("wk-000002", "one", 1) // beyond the guarantee once wk-000001 is there
 	put("wk-000004", "two", 3) // beyond the guarantee once wk-000003 is there
 	stops := 0
@@ -43,7 +43,7 @@
 				running[c.Task] = wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}
 			case wire.OpStop:
 				stops++
-				running[c.Task] = wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, Why: wire.ExitStopped}
+				running[c.Task] = wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskExited, ExitReason: wire.ExitStopped}
 			case wire.OpForget:
 				delete(running, c.Task)
 			}
--- a/cluster/reachability_test.go
+++ b/cluster/reachability_test.go
@@ -26,7 +26,7 @@
 	if len(mc.Tasks) > 0 {
 		t.Error("tasks are placed on the unreachable machine again")
 	}
-	probe := wire.TaskStatus{Task: cmds[0].Task, Attempt: cmds[0].Attempt, State: wire.TaskExited, Why: wire.ExitUnknown}
+	probe := wire.TaskStatus{Task: cmds[0].Task, Attempt: cmds[0].Attempt, State: wire.TaskExited, ExitReason: wire.ExitUnknown}
 	if _, _, forgets := countOps(answer(t, m, newHeartbeat(4, 5, probe), at(8))); forgets != 1 {
 		t.Error("the answer does not forget the exit of the probe")
 	}
@@ -121,7 +121,7 @@
 // the token.
 func TestRefusedLaunchWithoutFencingTokenKeepsPlacement(t *testing.T) {
 	next := modelAfterFailover()
-	exit := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, Why: wire.ExitNoRoom}
+	exit := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitNoRoom}
 	cmds := answer(t, next, newHeartbeat(3, 5, exit), at(1))
 	if _, _, forgets := countOps(cmds); forgets > 0 || next.Job("wk-000001").Tasks[0].Placement == nil {
 		t.Errorf("got %d forgets, placement %v, want 0 and the placement kept", forgets, next.Job("wk-000001").Tasks[0].Placement)
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -57,7 +57,7 @@
 		return TaskRef{}, false
 	}
 	ref = TaskRef{Job: j.Index, Task: task}
-	if status.State == wire.TaskExited && status.Why != wire.ExitDone && p.Inherited && !mc.tokenShown {
+	if status.State == wire.TaskExited && status.ExitReason != wire.ExitDone && p.Inherited && !mc.tokenShown {
 		// Without the token the heartbeat may be a delayed copy. A gang's task that the
 		// worker refused is launched again with the same attempt number, and may be on the
 		// machine by now.
--- a/cluster/starvation_scenario_test.go
+++ b/cluster/starvation_scenario_test.go
@@ -78,7 +78,7 @@
 		r := machine.tasks[name]
 		id, _, _ := wire.ParseTaskName(name)
 		if j := s.m.Job(id); j != nil && r.State == wire.TaskRunning && now >= machine.startedAt[name]+j.Spec.EstimateS {
-			r.State, r.Why = wire.TaskExited, wire.ExitDone
+			r.State, r.ExitReason = wire.TaskExited, wire.ExitDone
 		}
 		machine.heartbeat.Tasks = append(machine.heartbeat.Tasks, *r)
 	}
@@ -93,7 +93,7 @@
 		case wire.OpStop:
 			s.stops = append(s.stops, c.Task)
 			if r := machine.tasks[c.Task]; r != nil {
-				r.State, r.Why = wire.TaskExited, wire.ExitStopped
+				r.State, r.ExitReason = wire.TaskExited, wire.ExitStopped
 			}
 		case wire.OpForget:
 			delete(machine.tasks, c.Task)
--- a/cluster/stopcommands_test.go
+++ b/cluster/stopcommands_test.go
@@ -23,7 +23,7 @@
 	m.RemoveJob("wk-000001", at(3))
 	var tasks []wire.TaskStatus
 	for i := range 400 {
-		tasks = append(tasks, wire.TaskStatus{Task: fmt.Sprintf("wk-000002/%d", i), Attempt: 1, State: wire.TaskExited, Why: wire.ExitDone})
+		tasks = append(tasks, wire.TaskStatus{Task: fmt.Sprintf("wk-000002/%d", i), Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitDone})
 	}
 	for i := range 600 { // tasks of a job that finished under an earlier leader
 		tasks = append(tasks, wire.TaskStatus{Task: fmt.Sprintf("wk-999999/%d", 90_000+i), Attempt: 1_000_000, State: wire.TaskRunning})
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -46,9 +46,9 @@
 	if !p.runningSince.IsZero() {
 		ranSeconds = now.Sub(p.runningSince).Seconds()
 	}
-	m.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "why", status.Why, "saved", status.Saved, "ran", ranSeconds, "machine", mc.Name)
+	m.log.Debug("task exited", "task", status.Task, "attempt", status.Attempt, "why", status.ExitReason, "saved", status.Saved, "ran", ranSeconds, "machine", mc.Name)
 	ref := TaskRef{Job: j.Index, Task: task}
-	if status.Why == wire.ExitDone {
+	if status.ExitReason == wire.ExitDone {
 		m.recordImage(mc, j.image)
 		m.clearFault(j)
 		m.recordSlowness(j, mc, p, now)
@@ -68,7 +68,7 @@
 	backoff := time.Duration(0)
 	moveFailure := "" // why the attempt failed, for the rebalance move of the task; empty if it did not fail
 	outcome := jobstore.OutcomeRefused
-	switch status.Why {
+	switch status.ExitReason {
 	case wire.ExitError:
 		outcome = jobstore.OutcomeFailed
 		// The tasks of a reserved job run different programs, so that an error of one does not
@@ -80,10 +80,10 @@
 	case wire.ExitNoRoom, wire.ExitBusy:
 		backoff = time.Second
 		j.avoidMachine(mc.index, now.Add(5*time.Second))
-		moveFailure = status.Why
+		moveFailure = status.ExitReason
 	case wire.ExitUnknown:
 		backoff = 3 * time.Second
-		moveFailure = status.Why
+		moveFailure = status.ExitReason
 	case wire.ExitAlone:
 		j.markGangEnding()
 		backoff = time.Second
@@ -110,7 +110,7 @@
 	if mc.reportedExits[exitKey{status.Task, status.Attempt}] != nil {
 		return
 	}
-	if status.Why == wire.ExitDone && !j.Cancelled && j.Tasks[task].Phase == TaskIdle {
+	if status.ExitReason == wire.ExitDone && !j.Cancelled && j.Tasks[task].Phase == TaskIdle {
 		m.markDone(j, task, now)
 	}
 	m.rememberExit(j, task, mc, status)
--- a/cluster/tier_scenario_test.go
+++ b/cluster/tier_scenario_test.go
@@ -78,7 +78,7 @@
 		slices.Sort(names)
 		for _, name := range names {
 			if t := tasks[name]; t.State == wire.TaskRunning && sim.now >= t.until {
-				t.State, t.Why = wire.TaskExited, wire.ExitDone
+				t.State, t.ExitReason = wire.TaskExited, wire.ExitDone
 			}
 			r.Tasks = append(r.Tasks, tasks[name].TaskStatus)
 		}
@@ -96,7 +96,7 @@
 				sim.log = append(sim.log, fmt.Sprint(sim.now, " ", c.Task, " on ", i))
 				tasks[c.Task] = &simulatedTask{wire.TaskStatus{Task: c.Task, Attempt: c.Attempt, State: wire.TaskRunning}, sim.now + sim.runSeconds[id]}
 			case c.Op == wire.OpStop && t != nil && t.State == wire.TaskRunning:
-				t.State, t.Why = wire.TaskExited, wire.ExitStopped
+				t.State, t.ExitReason = wire.TaskExited, wire.ExitStopped
 				sim.log = append(sim.log, fmt.Sprint(sim.now, " ", c.Task, " stopped"))
 			case c.Op == wire.OpForget:
 				delete(tasks, c.Task)
--- a/cluster/wakeup_test.go
+++ b/cluster/wakeup_test.go
@@ -61,7 +61,7 @@
 		t.Errorf("got %d wake-ups after one without effect, want 1", len(again))
 	}
 	// The answer forgets the exit of the wake-up and carries the launch.
-	r := newHeartbeat(2, 5, wire.TaskStatus{Task: "wk-000001/100000", Attempt: 1, State: wire.TaskExited, Why: wire.ExitUnknown})
+	r := newHeartbeat(2, 5, wire.TaskStatus{Task: "wk-000001/100000", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitUnknown})
 	cmds := m.AnswerHeartbeat(m.ApplyHeartbeat(r, at(3.1)), r, at(3.1))
 	if len(cmds) != 2 || cmds[0].Op != wire.OpForget || cmds[1].Op != wire.OpStart || cmds[1].Task != "wk-000001/0" {
 		t.Errorf("got commands %+v, want a forget and the launch", cmds)
--- a/cluster/zone_test.go
+++ b/cluster/zone_test.go
@@ -39,7 +39,7 @@
 	check("zone b", 0, 2)
 	sendHeartbeat("elsewhere", running...)
 	for i := range running {
-		running[i].State, running[i].Why = wire.TaskExited, wire.ExitDone
+		running[i].State, running[i].ExitReason = wire.TaskExited, wire.ExitDone
 	}
 	sendHeartbeat("elsewhere", running...)
 	check("all tasks done", 0, 0)
--- a/controller/feasibility.go
+++ b/controller/feasibility.go
@@ -76,7 +76,7 @@
 		if !allowed || job.CPUs > machineType.CPUs+capacityTolerance || job.GPUs > machineType.GPUs+capacityTolerance || job.MemoryGB > machineType.MemoryGB+capacityTolerance {
 			continue
 		}
-		for _, zone := range machineType.ZonesNamed {
+		for _, zone := range machineType.Zones {
 			if job.Zone == "" || job.Zone == zone {
 				zones[zone] = true
 			}
--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -81,7 +81,7 @@
 // redirectTo returns the answer that redirects a worker to a node. If node is "", the answer
 // names no target.
 func redirectTo(node string) peerrpc.Answer {
-	return newAnswer(http.StatusMisdirectedRequest, wire.Redirect{Leader: node}, 0)
+	return newAnswer(http.StatusMisdirectedRequest, wire.Redirect{Node: node}, 0)
 }
 
 // answerOrForward answers a heartbeat if this node leads. Otherwise it forwards the heartbeat
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -119,10 +119,10 @@
 		l.log.Debug("scale-out record not committed", "err", err)
 		return
 	}
-	names, err := l.node.cloud.CreateMachines(ctx, wire.Rental{Request: requestName, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count})
+	names, err := l.node.cloud.CreateMachines(ctx, wire.Rental{RequestID: requestName, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count})
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 		// The cloud either rents the machines now or returns those it rented for the first call.
-		names, err = l.node.cloud.CreateMachines(ctx, wire.Rental{Request: requestName, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count})
+		names, err = l.node.cloud.CreateMachines(ctx, wire.Rental{RequestID: requestName, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count})
 	}
 	now := time.Now()
 	l.mu.Lock()
--- a/controller/warm_pools_measure_test.go
+++ b/controller/warm_pools_measure_test.go
@@ -36,7 +36,7 @@
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		hour := time.Now().UTC().Truncate(24 * time.Hour).Add(25 * time.Hour)
-		typ := wire.MachineType{Name: "g8", CPUs: 8, GPUs: 8, MemoryGB: 64, CacheGB: 200, FetchGBPS: 1, Price: machineRate, SpotPrice: 5, BootS: 45, ZonesNamed: fake.Zones}
+		typ := wire.MachineType{Name: "g8", CPUs: 8, GPUs: 8, MemoryGB: 64, CacheGB: 200, FetchGBPS: 1, Price: machineRate, SpotPrice: 5, BootS: 45, Zones: fake.Zones}
 		p := warmpool.Pool{Name: "llm", Model: "llm:v1", WeightsGB: b.gb, Types: []string{"g8"}, Zones: fake.Zones, MaxMachines: b.replicas,
 			Burst: warmpool.Burst{Replicas: b.replicas, WithinS: 10}, MaxHourlyCost: 1e6, Payer: "speech"}
 		after := 5 * time.Minute
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -233,9 +233,9 @@
 		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
-	names, again := c.rentals[q.Request]
+	names, again := c.rentals[q.RequestID]
 	if again {
-		c.repeatedRentals = append(c.repeatedRentals, q.Request)
+		c.repeatedRentals = append(c.repeatedRentals, q.RequestID)
 	} else if names = c.rentFor(q); len(names) == 0 {
 		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 		return
@@ -259,7 +259,7 @@
 		names = append(names, c.rent(q.Type, q.Zone, q.Spot, c.bootTime(q.Type)))
 	}
 	if len(names) > 0 {
-		c.rentals[q.Request] = names
+		c.rentals[q.RequestID] = names
 	}
 	return names
 }
--- a/internal/fake/cloud_test.go
+++ b/internal/fake/cloud_test.go
@@ -17,7 +17,7 @@
 		defer w.Close()
 		for range 2 {
 			w.wg.Go(func() {
-				w.request(http.MethodPost, "cloud:1", "/machines", wire.Rental{Request: "r-1", Type: DefaultType.Name, Zone: "a", Count: 2}, time.Minute)
+				w.request(http.MethodPost, "cloud:1", "/machines", wire.Rental{RequestID: "r-1", Type: DefaultType.Name, Zone: "a", Count: 2}, time.Minute)
 			})
 		}
 		for range 10 {
--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -27,7 +27,7 @@
 		AgentEpoch: m.epoch, Seq: m.lastSeq, Token: m.token, NoticeS: m.interruptionNotice}
 	for _, k := range m.order {
 		t := m.tasks[k]
-		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason, Saved: t.saved})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, ExitReason: t.exitReason, Saved: t.saved})
 	}
 	return r
 }
@@ -120,7 +120,7 @@
 		return false
 	}
 	for i, n := range m.cluster.nodes {
-		if n.name == to.Leader && i != m.heartbeatsTo {
+		if n.name == to.Node && i != m.heartbeatsTo {
 			m.heartbeatsTo = i
 			return true
 		}
--- a/internal/fake/options.go
+++ b/internal/fake/options.go
@@ -36,7 +36,7 @@
 
 // DefaultType is the machine type of clusters that name none.
 var DefaultType = wire.MachineType{Name: "m8", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1,
-	Price: 1, SpotPrice: 0.4, BootS: 10, ZonesNamed: Zones}
+	Price: 1, SpotPrice: 0.4, BootS: 10, Zones: Zones}
 
 func (o *Options) setDefaults() {
 	if o.Nodes == 0 {
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -239,7 +239,7 @@
 		return "needs more than its team's limit"
 	}
 	if !slices.ContainsFunc(w.Cloud.types, func(t wire.MachineType) bool {
-		return (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && (j.Zone == "" || slices.Contains(t.ZonesNamed, j.Zone)) &&
+		return (len(j.Types) == 0 || slices.Contains(j.Types, t.Name)) && (j.Zone == "" || slices.Contains(t.Zones, j.Zone)) &&
 			j.CPUs <= t.CPUs && j.GPUs <= t.GPUs && j.MemoryGB <= t.MemoryGB
 	}) {
 		return "fits no machine"
--- a/modelcheck/digest.go
+++ b/modelcheck/digest.go
@@ -86,7 +86,7 @@
 	w := s.workers[h.worker]
 	fmt.Fprintf(out, "r%d,%d,%d,%d,%d,%t,%d", h.worker, s.step-h.sentAt, w.epoch-h.message.AgentEpoch, w.seq-h.message.Seq, h.message.Token, h.received, h.token)
 	for _, t := range h.message.Tasks {
-		fmt.Fprintf(out, ";%s.%d%s%s", t.Task, t.Attempt, t.State, t.Why)
+		fmt.Fprintf(out, ";%s.%d%s%s", t.Task, t.Attempt, t.State, t.ExitReason)
 	}
 	digestCommands(out, h.commands)
 }
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -66,7 +66,7 @@
 	}
 	model := cluster.New(&settings, s.fencingToken, electedAt, slog.New(slog.DiscardHandler))
 	model.RebalanceSettings = config.DefaultTuning().Rebalance
-	model.SetMachineTypes([]wire.MachineType{{Name: machineTypeName, CPUs: s.scenario.Capacity, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: s.settings.Cluster.Zones}})
+	model.SetMachineTypes([]wire.MachineType{{Name: machineTypeName, CPUs: s.scenario.Capacity, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, Zones: s.settings.Cluster.Zones}})
 	if s.scenario.MaxPlans > 0 {
 		model.ExpectPlan()
 	}
--- a/modelcheck/network.go
+++ b/modelcheck/network.go
@@ -52,7 +52,7 @@
 		Machine: w.name, Addr: w.name, Type: machineTypeName, Zone: w.zone, AgentEpoch: w.epoch, Seq: w.seq, Token: w.token,
 	}}
 	for _, t := range w.tasks {
-		h.message.Tasks = append(h.message.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason})
+		h.message.Tasks = append(h.message.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, ExitReason: t.exitReason})
 	}
 	w.pending = h
 	if s.duplicateCount < s.scenario.MaxDuplicates {
--- a/wire/cloud.go
+++ b/wire/cloud.go
@@ -9,26 +9,26 @@
 
 // MachineType describes one machine type of the catalog: its resources, prices and zones.
 type MachineType struct {
-	Name       string   `msgpack:"sku"`
-	CPUs       float64  `msgpack:"cpus"`
-	GPUs       float64  `msgpack:"gpus"`
-	MemoryGB   float64  `msgpack:"memoryGb"`
-	CacheGB    float64  `msgpack:"cacheGb"`    // size of the image cache
-	FetchGBPS  float64  `msgpack:"pullGbPerS"` // rate of fetching images, in GB per second
-	Price      float64  `msgpack:"rate"`       // per hour
-	SpotPrice  float64  `msgpack:"lowPrice"`   // per hour, as a spot machine
-	BootS      float64  `msgpack:"startupS"`   // boot time in seconds
-	ZonesNamed []string `msgpack:"halles"`     // zones that offer the type
+	Name      string   `msgpack:"sku"`
+	CPUs      float64  `msgpack:"cpus"`
+	GPUs      float64  `msgpack:"gpus"`
+	MemoryGB  float64  `msgpack:"memoryGb"`
+	CacheGB   float64  `msgpack:"cacheGb"`    // size of the image cache
+	FetchGBPS float64  `msgpack:"pullGbPerS"` // rate of fetching images, in GB per second
+	Price     float64  `msgpack:"rate"`       // per hour
+	SpotPrice float64  `msgpack:"lowPrice"`   // per hour, as a spot machine
+	BootS     float64  `msgpack:"startupS"`   // boot time in seconds
+	Zones     []string `msgpack:"halles"`     // zones that offer the type
 }
 
 // Rental asks the cloud to rent Count machines of one type in one zone. Repeating a request with the
-// same Request id returns the machines of the first one.
+// same RequestID returns the machines of the first one.
 type Rental struct {
-	Request string `msgpack:"bon"`
-	Type    string `msgpack:"gamme"`
-	Zone    string `msgpack:"halle"`
-	Spot    bool   `msgpack:"pretes"`
-	Count   int    `msgpack:"count"`
+	RequestID string `msgpack:"bon"`
+	Type      string `msgpack:"gamme"`
+	Zone      string `msgpack:"halle"`
+	Spot      bool   `msgpack:"pretes"`
+	Count     int    `msgpack:"count"`
 }
 
 // Names lists machines by name.
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -37,14 +37,14 @@
 	Tasks      []TaskStatus `msgpack:"pieces"`
 }
 
-// TaskStatus is the status of one attempt of a task on a machine. Why is one of the Exit constants,
-// and set only in state TaskExited.
+// TaskStatus is the status of one attempt of a task on a machine. ExitReason is one of the Exit
+// constants, and set only in state TaskExited.
 type TaskStatus struct {
-	Task    string `msgpack:"piece"`
-	Attempt uint64 `msgpack:"essai"`
-	State   string `msgpack:"etat"`
-	Why     string `msgpack:"motif"`
-	Saved   bool   `msgpack:"stored"`
+	Task       string `msgpack:"piece"`
+	Attempt    uint64 `msgpack:"essai"`
+	State      string `msgpack:"etat"`
+	ExitReason string `msgpack:"motif"`
+	Saved      bool   `msgpack:"stored"`
 }
 
 // Command operations.
@@ -70,10 +70,10 @@
 	Commands []Command `msgpack:"consignes"`
 }
 
-// Redirect is the answer to a heartbeat that another node should receive, with status 421. Leader is the
+// Redirect is the answer to a heartbeat that another node should receive, with status 421. Node is the
 // name of the leader or of a node that forwards to it, or empty if none is known.
 type Redirect struct {
-	Leader string `msgpack:"contremaitre,omitempty"`
+	Node string `msgpack:"contremaitre,omitempty"`
 }
 
 // DirectCommands is the request that the leader sends to a worker's own address to deliver commands
