--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -67,7 +67,7 @@
 // machine's lease begins again now. The launches in the answer are recorded as sent, whether or
 // not the answer arrives. The next heartbeat shows which of them were executed.
 func (m *Model) AnswerHeartbeat(mc *Machine, heartbeat *wire.Heartbeat, now time.Time) []wire.Command {
-	m.Observer.LeaseLeft(m.leaseEnd(mc).Sub(now).Seconds())
+	m.Observer.ObserveLeaseLeft(m.leaseEnd(mc).Sub(now).Seconds())
 	mc.recordAnswer(now)
 	mc.reachability.recordAnswer(heartbeat.Seq)
 	// Stops come first, so that they always fit. The answer renews the worker's lease, so that
--- a/cluster/heldstops.go
+++ b/cluster/heldstops.go
@@ -107,7 +107,7 @@
 	for _, h := range held {
 		if h.stillHeld() {
 			h.placement.releaseStop()
-			m.Observer.PreemptionHeld(now.Sub(h.decidedAt).Seconds())
+			m.Observer.ObservePreemptionDelay(now.Sub(h.decidedAt).Seconds())
 			m.StopTask(h.ref, h.reason, now)
 		}
 	}
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -304,7 +304,7 @@
 		started, passedOver := requestJobs[inversion.Start.Request], requestJobs[inversion.PassedOver]
 		reason := inversion.Reason
 		m.tiers.changed = true
-		m.Observer.PriorityInversion(policy.TierName(passedOver.tier), reason.String())
+		m.Observer.CountPriorityInversion(policy.TierName(passedOver.tier), reason.String())
 		m.tiers.inversions.Add(priority.InversionEvent{
 			AtMs: now.UnixMilli(), Job: started.ID, Tier: policy.TierName(started.tier),
 			PassedOver: passedOver.ID, PassedOverTier: policy.TierName(passedOver.tier), Reason: reason.String(),
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -132,20 +132,20 @@
 // Observer receives measurements of the model for metrics. The model calls it from the goroutine
 // that uses the model. All durations are in seconds.
 type Observer interface {
-	Placed(seconds float64)             // from a job's acceptance to a task's placement
-	Launched(seconds float64)           // from the placement to the launch
-	Running(seconds float64)            // from the launch until the task is seen running
-	LeaseLeft(seconds float64)          // time left of a machine's lease when its heartbeat is answered
-	PriorityInversion(tier, why string) // a task of the given tier waits while a task of a lower tier is placed; why is the cause
-	PreemptionHeld(seconds float64)     // from the decision of a held stop until the plan is confirmed
+	Placed(seconds float64)                  // from a job's acceptance to a task's placement
+	Launched(seconds float64)                // from the placement to the launch
+	Running(seconds float64)                 // from the launch until the task is seen running
+	ObserveLeaseLeft(seconds float64)        // time left of a machine's lease when its heartbeat is answered
+	CountPriorityInversion(tier, why string) // a task of the given tier waits while a task of a lower tier is placed; why is the cause
+	ObservePreemptionDelay(seconds float64)  // from the decision of a held stop until the plan is confirmed
 }
 
 // noObserver discards all measurements.
 type noObserver struct{}
 
-func (noObserver) Placed(float64)                {}
-func (noObserver) Launched(float64)              {}
-func (noObserver) Running(float64)               {}
-func (noObserver) LeaseLeft(float64)             {}
-func (noObserver) PriorityInversion(_, _ string) {}
-func (noObserver) PreemptionHeld(float64)        {}
+func (noObserver) Placed(float64)                     {}
+func (noObserver) Launched(float64)                   {}
+func (noObserver) Running(float64)                    {}
+func (noObserver) ObserveLeaseLeft(float64)           {}
+func (noObserver) CountPriorityInversion(_, _ string) {}
+func (noObserver) ObservePreemptionDelay(float64)     {}
--- a/metrics/metrics.go
+++ b/metrics/metrics.go
@@ -94,17 +94,17 @@
 	}
 }
 
-// LeaseLeft records the remaining seconds of a worker's lease when its heartbeat was answered. A
-// negative value counts as 0.
-func (s *Set) LeaseLeft(seconds float64) {
+// ObserveLeaseLeft records the remaining seconds of a worker's lease when its heartbeat was
+// answered. A negative value counts as 0.
+func (s *Set) ObserveLeaseLeft(seconds float64) {
 	if s != nil {
 		s.leaseLeftSeconds.Observe(max(seconds, 0))
 	}
 }
 
-// PreemptionHeld records the delay of a preemption. A preemption is delayed until the version of the
-// operators' plan that led to it is confirmed as the current one.
-func (s *Set) PreemptionHeld(seconds float64) {
+// ObservePreemptionDelay records the delay of a preemption in seconds. A preemption is delayed until
+// the version of the operators' plan that led to it is confirmed as the current one.
+func (s *Set) ObservePreemptionDelay(seconds float64) {
 	if s != nil {
 		s.preemptionHeldSeconds.Observe(max(seconds, 0))
 	}
@@ -131,9 +131,9 @@
 	}
 }
 
-// PriorityInversion counts a task that was placed on resources that a waiting job of a higher
+// CountPriorityInversion counts a task that was placed on resources that a waiting job of a higher
 // tier could have used. tier is the waiting job's tier.
-func (s *Set) PriorityInversion(tier, why string) {
+func (s *Set) CountPriorityInversion(tier, why string) {
 	if s != nil {
 		s.priorityInversions.WithLabelValues(tier, why).Inc()
 	}
