--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -46,7 +46,7 @@
 	e := Explanation{
 		ID: id, Tier: m.tiers.policy.TierName(j.tier), WaitedSeconds: now.Sub(j.AcceptedAt).Seconds(),
 		Tasks: len(j.Tasks), Done: j.DoneTasks, Placed: j.PlacedTasks,
-		AheadByReason: map[string]int{}, Inversions: m.tiers.inversions.PassingOver(id),
+		AheadByReason: map[string]int{}, Inversions: m.tiers.inversions.EventsPassingOver(id),
 	}
 	jobs := m.openJobs()
 	queue := m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), now)
@@ -82,7 +82,7 @@
 	case entry.req.FreeCapacityOnly:
 		return "fault"
 	case entry.withinGuarantee != other.withinGuarantee:
-		return priority.WithinQuota.String()
+		return priority.WithinGuarantee.String()
 	case entry.job.priority != other.job.priority:
 		return priority.HigherPriority.String()
 	case other.req.StartDue:
--- a/priority/inversion.go
+++ b/priority/inversion.go
@@ -10,7 +10,7 @@
 // waits. Unexplained means that no known reason applies, which is a fault of the scheduler.
 const (
 	Unexplained       InversionReason = iota
-	WithinQuota                       // the lower one is within its team's guarantee
+	WithinGuarantee                   // the lower one is within its team's guarantee
 	HigherPriority                    // the lower one has a higher priority
 	StarvationBound                   // the lower one had to start because of the starvation bound
 	FairShare                         // the lower one's tier had less than its share
@@ -107,7 +107,7 @@
 		case high.FreeCapacityOnly && !low.FreeCapacityOnly:
 			return RepeatedFailure
 		case low.WithinGuarantee && !high.WithinGuarantee:
-			return WithinQuota
+			return WithinGuarantee
 		case low.Priority < high.Priority && low.WithinGuarantee == high.WithinGuarantee:
 			return HigherPriority
 		case low.WithinGuarantee == high.WithinGuarantee && low.Priority == high.Priority && low.PromotionCause == uint8(PromotedByWait):
--- a/priority/inversion_log.go
+++ b/priority/inversion_log.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// PassingOver returns the recent inversions that passed over a job, oldest first.
-func (l *InversionLog) PassingOver(job string) (out []InversionEvent) {
+// EventsPassingOver returns the recent inversions that passed over a job, oldest first.
+func (l *InversionLog) EventsPassingOver(job string) (out []InversionEvent) {
 	for _, e := range l.Recent {
 		if e.PassedOver == job {
 			out = append(out, e)
