--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -165,12 +165,12 @@
 }
 
 // servableWaiting returns the requests that the machines of a group may serve, as waiting tasks.
-func servableWaiting(group []*Machine, wanted []placement.Request) []rebalance.Waiting {
-	var waiting []rebalance.Waiting
+func servableWaiting(group []*Machine, wanted []placement.Request) []rebalance.UnplacedTask {
+	var waiting []rebalance.UnplacedTask
 	for i := range wanted {
 		r := &wanted[i]
 		if r.Types[group[0].typeIndex] && (r.Zone < 0 || r.Zone == group[0].Zone) {
-			waiting = append(waiting, rebalance.Waiting{Need: r.Need, Spot: r.Spot})
+			waiting = append(waiting, rebalance.UnplacedTask{Need: r.Need, Spot: r.Spot})
 		}
 	}
 	return waiting
@@ -178,7 +178,7 @@
 
 // planCycle plans the cycle of a group of machines that follows its last one. The cycle has no
 // moves if moving tasks makes no room for the wanted tasks.
-func (m *Model) planCycle(machines []*Machine, wanted []rebalance.Waiting, last jobstore.RebalanceCycle, now time.Time) jobstore.RebalanceCycle {
+func (m *Model) planCycle(machines []*Machine, wanted []rebalance.UnplacedTask, last jobstore.RebalanceCycle, now time.Time) jobstore.RebalanceCycle {
 	if len(wanted) == 0 {
 		return jobstore.RebalanceCycle{}
 	}
--- a/rebalance/rebalance.go
+++ b/rebalance/rebalance.go
@@ -39,18 +39,18 @@
 type Group struct {
 	Policies []config.Policy // one per balanced resource
 	Hosts    []Host
-	MaxMoves int       // maximum number of moves in this cycle
-	Unplaced []Waiting // waiting tasks that fit nowhere
+	MaxMoves int            // maximum number of moves in this cycle
+	Unplaced []UnplacedTask // waiting tasks that fit nowhere
 }
 
-// Waiting is the requirement of a waiting task.
-type Waiting struct {
+// UnplacedTask is what a waiting task requires that fits on no host.
+type UnplacedTask struct {
 	Need placement.Resources
 	Spot bool // may run on spot instances
 }
 
 // mayUse reports whether the task would fit on the host if the host were empty.
-func (w Waiting) mayUse(h *Host) bool { return w.Need.Fits(h.Capacity) && (w.Spot || !h.Spot) }
+func (t UnplacedTask) mayUse(h *Host) bool { return t.Need.Fits(h.Capacity) && (t.Spot || !h.Spot) }
 
 // Move moves a task from one host to another; From and To are indices in Group.Hosts.
 type Move struct {
@@ -149,7 +149,7 @@
 	used      []placement.Resources // by host, after the moves so far
 	drained   []bool                // by host: tasks are moved from it
 	receiving []bool                // by host: tasks are moved to it
-	unplaced  []Waiting             // waiting tasks for which no host is drained yet
+	unplaced  []UnplacedTask        // waiting tasks for which no host is drained yet
 	moves     []Move
 }
 
@@ -172,7 +172,7 @@
 	if len(h.Tasks) == 0 || p.receiving[host] || len(h.Tasks) > p.group.MaxMoves-len(p.moves) {
 		return
 	}
-	fitting := slices.IndexFunc(p.unplaced, func(w Waiting) bool { return w.mayUse(h) })
+	fitting := slices.IndexFunc(p.unplaced, func(t UnplacedTask) bool { return t.mayUse(h) })
 	if fitting < 0 {
 		return
 	}
--- a/rebalance/rebalance_test.go
+++ b/rebalance/rebalance_test.go
@@ -26,7 +26,7 @@
 	return Group{
 		Policies: []config.Policy{{Resource: "cpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1}, {Resource: "gpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1},
 			{Resource: "memory", Weight: 0.2, Threshold: 0.2, CapacityThreshold: 1}},
-		Hosts: hosts, MaxMoves: 2, Unplaced: []Waiting{{Need: placement.Resources{CPU: 15, Mem: 26}}},
+		Hosts: hosts, MaxMoves: 2, Unplaced: []UnplacedTask{{Need: placement.Resources{CPU: 15, Mem: 26}}},
 	}
 }
 
@@ -83,7 +83,7 @@
 	if moves := Plan(g); len(moves) > 0 {
 		t.Errorf("moves %v for a task that needs an on-demand machine", moves)
 	}
-	g.Unplaced = append(g.Unplaced, Waiting{Need: g.Unplaced[0].Need, Spot: true})
+	g.Unplaced = append(g.Unplaced, UnplacedTask{Need: g.Unplaced[0].Need, Spot: true})
 	if moves := Plan(g); len(moves) != 1 || moves[0].From != 2 {
 		t.Errorf("moves %v: want host 2, the spot machine, drained for the task that may use it", moves)
 	}
