--- a/cluster/completion_floor.go
+++ b/cluster/completion_floor.go
@@ -26,7 +26,8 @@
 // leader, up to maxCountedCompletions. The zero value is empty and ready to use.
 type completionCounts struct{ byGroup map[string]int }
 
-// add counts a completed job for a group. New groups are ignored once there are maxFloorGroups.
+// add counts a completed job for a group. Once there are maxFloorGroups groups, it counts no
+// further jobs, neither of new groups nor of known ones.
 func (c *completionCounts) add(group string) {
 	if c.byGroup == nil {
 		c.byGroup = map[string]int{}
