--- a/controller/heartbeat.go
+++ b/controller/heartbeat.go
@@ -15,6 +15,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+const (
+	// maxHeartbeatBytes is the largest body of a heartbeat.
+	maxHeartbeatBytes = 1 << 20
+	// heartbeatTimeout bounds the handling of a heartbeat. The worker times out after 4 s.
+	heartbeatTimeout = 3500 * time.Millisecond
+)
+
 // heartbeatHeader holds the fields of a heartbeat that every node needs: the worker, the
 // epoch of its agent and the sequence number within the epoch. The tags are the protocol's
 // field names. Only the leader decodes the other fields.
@@ -30,7 +37,7 @@
 	if conn != nil {
 		conn.SetKind(admission.KindWorker)
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 1<<20))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeatBytes))
 	if err != nil {
 		writeError(w, http.StatusBadRequest, "unreadable", 0)
 		return
@@ -40,7 +47,7 @@
 		writeError(w, http.StatusBadRequest, "malformed report", 0)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), 3500*time.Millisecond)
+	ctx, cancel := context.WithTimeout(r.Context(), heartbeatTimeout)
 	defer cancel()
 	if err := n.heartbeatLimiter.Acquire(ctx, n.workerLeaseLeft(header.Machine, -1)); err != nil {
 		n.metrics.CountRefusal("too many reports")
--- a/controller/server.go
+++ b/controller/server.go
@@ -22,6 +22,9 @@
 	maxServers = 5
 	// shutdownGrace is how long a shutdown waits for requests in progress.
 	shutdownGrace = time.Second
+	// responseWriteTimeout and idleConnTimeout apply to the connections of users and workers.
+	responseWriteTimeout = 15 * time.Second
+	idleConnTimeout      = 2 * time.Minute
 )
 
 // goroutines is the group of a node's long-lived goroutines. Its creator waits for all of them.
@@ -85,11 +88,11 @@
 func (n *Node) newHTTPServer(ctx context.Context) *http.Server {
 	return &http.Server{
 		Handler:           n.handler(),
-		ReadHeaderTimeout: 5 * time.Second,
-		ReadTimeout:       10 * time.Second,
-		WriteTimeout:      15 * time.Second,
-		IdleTimeout:       2 * time.Minute,
-		MaxHeaderBytes:    16 << 10,
+		ReadHeaderTimeout: headerReadTimeout,
+		ReadTimeout:       requestReadTimeout,
+		WriteTimeout:      responseWriteTimeout,
+		IdleTimeout:       idleConnTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 		BaseContext:       func(net.Listener) context.Context { return ctx },
 		ConnContext:       admission.ConnContext,
