--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -20,7 +20,6 @@
 	now := d.now()
 	token := d.revision + 1
 	d.write(wire.Op{Put: "ctl/leader", Value: token})
-	clear(d.leaderOnlyVersions)
 	m := New(d.settings, token, now, slog.New(slog.DiscardHandler))
 	m.RebalanceSettings, m.Headroom, m.StarvationBound = config.DefaultTuning().Rebalance, 0.05, 240*time.Second
 	m.RebalanceSettings.EveryS, m.RebalanceSettings.CooldownS, m.RebalanceSettings.TaskCooldownS = 9, 30, 60
@@ -53,7 +52,6 @@
 		m.ResumeScaleIn(read[jobstore.ScaleInRecord](d, jobstore.ScaleInKey).Machines, now)
 	}
 	m.FinishLoading(now)
-	d.seenRevision = d.revision
 	d.watchEvents = d.watchEvents[:0]
 }
 
@@ -136,7 +134,7 @@
 		changed = append(changed, pages[key])
 	}
 	d.model.ApplyAdmissionPages(changed, now)
-	d.watchEvents, d.seenRevision = d.watchEvents[:0], d.revision
+	d.watchEvents = d.watchEvents[:0]
 }
 
 // runStep runs one step of the simulation.
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -80,22 +80,20 @@
 	trace       *os.File       // nil without -decisions
 	eventCounts map[string]int // by event
 
-	settings           *config.Settings
-	model              *Model
-	plan               Plan
-	plans              int    // number of plans so far
-	knownPlanVersion   uint64 // version of the plan that the leader follows
-	step               int
-	revision           uint64 // of the key-value store
-	seenRevision       uint64 // revision up to which the model knows the changes
-	store              map[string]storedValue
-	watchEvents        []wire.Event       // changes that the leader has not seen yet
-	leaderOnlyVersions map[string]uint64  // versions of records that only the leader writes
-	jobs               []string           // jobs that users have submitted and not cancelled
-	taskSeconds        map[string]float64 // run time of each task, by job
-	nextJob            int
-	scaleOutRecords    int
-	smallBatches       bool // a transaction has failed, and others may fail for the same reason
+	settings         *config.Settings
+	model            *Model
+	plan             Plan
+	plans            int    // number of plans so far
+	knownPlanVersion uint64 // version of the plan that the leader follows
+	step             int
+	revision         uint64 // of the key-value store
+	store            map[string]storedValue
+	watchEvents      []wire.Event       // changes that the leader has not seen yet
+	jobs             []string           // jobs that users have submitted and not cancelled
+	taskSeconds      map[string]float64 // run time of each task, by job
+	nextJob          int
+	scaleOutRecords  int
+	smallBatches     bool // a transaction has failed, and others may fail for the same reason
 
 	workers         []*simWorker
 	byName          map[string]*simWorker
@@ -130,7 +128,7 @@
 
 func newDriver(t *testing.T, seed uint64) *driver {
 	t.Helper()
-	d := &driver{t: t, rng: rand.New(rand.NewPCG(seed, 7)), sum: xxhash.New(), eventCounts: map[string]int{}, store: map[string]storedValue{}, leaderOnlyVersions: map[string]uint64{},
+	d := &driver{t: t, rng: rand.New(rand.NewPCG(seed, 7)), sum: xxhash.New(), eventCounts: map[string]int{}, store: map[string]storedValue{},
 		taskSeconds: map[string]float64{}, byName: map[string]*simWorker{}}
 	d.decisions = d.sum
 	if *traceDir != "" {
