--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -20,13 +20,12 @@
 	now := d.now()
 	token := d.revision + 1
 	d.write(wire.Op{Put: "ctl/leader", Value: token})
-	clear(d.leaderOnlyVersions)
 	m := New(d.settings, token, now, slog.New(slog.DiscardHandler))
 	m.RebalanceSettings, m.Headroom, m.StarvationBound = config.DefaultTuning().Rebalance, 0.05, 240*time.Second
 	m.RebalanceSettings.EveryS, m.RebalanceSettings.CooldownS, m.RebalanceSettings.TaskCooldownS = 9, 30, 60
 	m.SetMachineTypes([]wire.MachineType{
-		{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, Price: 2, SpotPrice: 1, BootS: 20, ZonesNamed: []string{"a", "b"}},
-		{Name: "l", CPUs: 16, MemoryGB: 128, CacheGB: 30, FetchGBPS: 0.5, Price: 3, SpotPrice: 1.2, BootS: 30, ZonesNamed: []string{"b", "a"}}})
+		{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, Price: 2, SpotPrice: 1, BootS: 20, Zones: []string{"a", "b"}},
+		{Name: "l", CPUs: 16, MemoryGB: 128, CacheGB: 30, FetchGBPS: 0.5, Price: 3, SpotPrice: 1.2, BootS: 30, Zones: []string{"b", "a"}}})
 	d.model = m
 	keys := slices.Sorted(maps.Keys(d.store))
 	each := func(prefix string, load func(key string, v storedValue)) {
@@ -47,13 +46,12 @@
 	})
 	each(jobstore.ScaleOutPrefix, func(key string, _ storedValue) {
 		rec := read[jobstore.ScaleOutRecord](d, key)
-		m.ScaledOut(Offer{Type: rec.Type, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, time.UnixMilli(rec.AtMs))
+		m.AddScaledOutMachines(Offer{Type: rec.MachineType, Zone: rec.Zone, Spot: rec.Spot}, rec.Machines, time.UnixMilli(rec.AtMs))
 	})
 	if _, ok := d.store[jobstore.ScaleInKey]; ok {
 		m.ResumeScaleIn(read[jobstore.ScaleInRecord](d, jobstore.ScaleInKey).Machines, now)
 	}
 	m.FinishLoading(now)
-	d.seenRevision = d.revision
 	d.watchEvents = d.watchEvents[:0]
 }
 
@@ -116,7 +114,7 @@
 				pg.Record = rec
 			}
 			pages[key] = pg
-			d.recordDecision("wrote", key, d.model.WroteAdmissionPage(key, e.Version))
+			d.recordDecision("wrote", key, d.model.HasAdmissionPageVersion(key, e.Version))
 		case e.Delete != "":
 			if id, ok := jobstore.ParseJobKey(key); ok {
 				d.model.RemoveJob(id, now)
@@ -136,7 +134,7 @@
 		changed = append(changed, pages[key])
 	}
 	d.model.ApplyAdmissionPages(changed, now)
-	d.watchEvents, d.seenRevision = d.watchEvents[:0], d.revision
+	d.watchEvents = d.watchEvents[:0]
 }
 
 // runStep runs one step of the simulation.
@@ -173,7 +171,7 @@
 		renting = 1 << 30
 	}
 	s := d.model.Schedule(now, renting)
-	d.recordDecision("pass", s.Started, d.model.PendingWrites(), d.model.PlacesFreed, d.model.ExpectedMachines(now))
+	d.recordDecision("pass", s.Started, d.model.PendingWrites(), d.model.PlacementsRemoved, d.model.ExpectedMachines(now))
 	for _, r := range s.Unplaced {
 		d.recordDecision("wanted", r.Tasks, r.Team, r.Need.CPU, r.Need.GPU, r.Need.Mem, r.Zone, r.Gang, r.Spot)
 	}
@@ -347,7 +345,7 @@
 // sendDirectCommands sends stops and wake-ups to the workers' addresses.
 func (d *driver) sendDirectCommands() {
 	now := d.now()
-	stops := d.model.StopPushes(now)
+	stops := d.model.DueStops(now)
 	// The stops of several machines may be in the iteration order of a map.
 	slices.SortFunc(stops, func(a, b Push) int { return strings.Compare(a.Machine, b.Machine) })
 	for _, s := range stops {
@@ -401,7 +399,7 @@
 		w, ok := d.model.Explain(id, now)
 		d.recordDecision("why", id, ok, w.Tier, w.WaitedSeconds, w.Tasks, w.Done, w.Placed, w.PendingReasons, w.AheadByReason)
 		for _, a := range w.Nearest {
-			d.recordDecision("ahead", a.ID, a.Tier, a.Reason)
+			d.recordDecision("ahead", a.ID, a.Tier, a.PrecedenceReason)
 		}
 		for _, p := range w.Inversions {
 			d.recordDecision("passed", d.decoded(p))
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -28,9 +28,9 @@
 
 // JobAhead is a job that is ahead of another in the queue.
 type JobAhead struct {
-	ID     string
-	Tier   string // "" if the plan defines no priority tiers
-	Reason string // why it is ahead, as in Explanation.AheadByReason
+	ID               string
+	Tier             string // "" if the plan defines no priority tiers
+	PrecedenceReason string // why it is ahead, as in Explanation.AheadByReason
 }
 
 // maxNearestShown bounds Explanation.Nearest.
@@ -46,7 +46,7 @@
 	e := Explanation{
 		ID: id, Tier: m.tiers.policy.TierName(j.tier), WaitedSeconds: now.Sub(j.AcceptedAt).Seconds(),
 		Tasks: len(j.Tasks), Done: j.DoneTasks, Placed: j.PlacedTasks,
-		AheadByReason: map[string]int{}, Inversions: m.tiers.inversions.PassingOver(id),
+		AheadByReason: map[string]int{}, Inversions: m.tiers.inversions.EventsPassingOver(id),
 	}
 	jobs := m.openJobs()
 	queue := m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), now)
@@ -82,7 +82,7 @@
 	case entry.req.FreeCapacityOnly:
 		return "fault"
 	case entry.withinGuarantee != other.withinGuarantee:
-		return priority.WithinQuota.String()
+		return priority.WithinGuarantee.String()
 	case entry.job.priority != other.job.priority:
 		return priority.HigherPriority.String()
 	case other.req.StartDue:
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -72,7 +72,7 @@
 	now := time.Now()
 	l.mu.Lock()
 	for _, name := range names {
-		l.model.MachineGone(name, now)
+		l.model.ApplyMachineDeletion(name, now)
 	}
 	l.mu.Unlock()
 	wake(l.schedulerWake)
@@ -109,7 +109,7 @@
 func (l *leadership) rentMachines(ctx context.Context, offer cluster.Offer, count int) {
 	l.rentalRequests++
 	requestName := fmt.Sprintf("r-%d-%d", l.lease.FencingToken, l.rentalRequests)
-	record := jobstore.ScaleOutRecord{Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count, AtMs: time.Now().UnixMilli()}
+	record := jobstore.ScaleOutRecord{MachineType: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count, AtMs: time.Now().UnixMilli()}
 	key := jobstore.ScaleOutPrefix + requestName
 	l.mu.Lock()
 	planGuard := l.model.PlanGuard()
@@ -119,17 +119,17 @@
 		l.log.Debug("scale-out record not committed", "err", err)
 		return
 	}
-	names, err := l.node.cloud.CreateMachines(ctx, wire.Rental{Request: requestName, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count})
+	names, err := l.node.cloud.CreateMachines(ctx, wire.Rental{RequestID: requestName, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count})
 	if err != nil && !errors.Is(err, cloud.ErrNoCapacity) {
 		// The cloud either rents the machines now or returns those it rented for the first call.
-		names, err = l.node.cloud.CreateMachines(ctx, wire.Rental{Request: requestName, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count})
+		names, err = l.node.cloud.CreateMachines(ctx, wire.Rental{RequestID: requestName, Type: offer.Type, Zone: offer.Zone, Spot: offer.Spot, Count: count})
 	}
 	now := time.Now()
 	l.mu.Lock()
 	if err != nil || len(names) < count {
-		l.model.OfferRefused(offer, now)
+		l.model.RecordOfferRefusal(offer, now)
 	}
-	l.model.ScaledOut(offer, names, now)
+	l.model.AddScaledOutMachines(offer, names, now)
 	l.mu.Unlock()
 	if err != nil {
 		l.log.Info("scale out refused", "request", requestName, "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot, "count", count, "err", err)
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -235,9 +235,9 @@
 		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed"})
 		return
 	}
-	names, repeated := c.rentals[rental.Request]
+	names, repeated := c.rentals[rental.RequestID]
 	if repeated {
-		c.repeatedRentals = append(c.repeatedRentals, rental.Request)
+		c.repeatedRentals = append(c.repeatedRentals, rental.RequestID)
 	} else if names = c.rentFor(rental); len(names) == 0 {
 		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "no capacity"})
 		return
@@ -262,7 +262,7 @@
 		names = append(names, c.rent(rental.Type, rental.Zone, rental.Spot, c.bootTime(rental.Type)))
 	}
 	if len(names) > 0 {
-		c.rentals[rental.Request] = names
+		c.rentals[rental.RequestID] = names
 	}
 	return names
 }
--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -28,7 +28,7 @@
 		AgentEpoch: m.epoch, Seq: m.lastSeq, Token: m.token, NoticeS: m.interruptionNotice}
 	for _, k := range m.order {
 		t := m.tasks[k]
-		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Why: t.exitReason, Saved: t.saved})
+		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, ExitReason: t.exitReason, Saved: t.saved})
 	}
 	return heartbeat
 }
@@ -122,7 +122,7 @@
 		return false
 	}
 	for i, n := range m.cluster.nodes {
-		if n.name == to.Leader && i != m.heartbeatTarget {
+		if n.name == to.Node && i != m.heartbeatTarget {
 			m.heartbeatTarget = i
 			return true
 		}
--- a/internal/scenario/plans.go
+++ b/internal/scenario/plans.go
@@ -17,7 +17,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
 	store := kvstore.New(cluster.Network.Dial("operator"), "state:1", 20, 20)
-	v, err := jobstore.ApplyPlan(ctx, store, jobstore.Limits{TxnOps: 12, ValueKB: 16}, jobstore.PlanChange{Base: base, Text: text, By: "ops", At: time.Now()})
+	v, err := jobstore.ApplyPlan(ctx, store, jobstore.Limits{MaxTxnOps: 12, MaxValueKiB: 16}, jobstore.PlanChange{Base: base, Text: text, By: "ops", At: time.Now()})
 	return v.Number, err
 }
 
--- a/modelcheck/leader.go
+++ b/modelcheck/leader.go
@@ -68,7 +68,7 @@
 	}
 	model := cluster.New(&settings, s.fencingToken, electedAt, slog.New(slog.DiscardHandler))
 	model.RebalanceSettings = config.DefaultTuning().Rebalance
-	model.SetMachineTypes([]wire.MachineType{{Name: machineTypeName, CPUs: s.scenario.Capacity, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: s.settings.Cluster.Zones}})
+	model.SetMachineTypes([]wire.MachineType{{Name: machineTypeName, CPUs: s.scenario.Capacity, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, Zones: s.settings.Cluster.Zones}})
 	if s.scenario.MaxPlans > 0 {
 		model.ExpectPlan()
 	}
@@ -209,7 +209,7 @@
 // sendPushes sends the leader's stops and wake-ups to workers. Pushes beyond maxPushes are lost.
 func (s *System) sendPushes() {
 	now := s.now()
-	for _, p := range append(s.leader.StopPushes(now), s.leader.WakeUps(maxPushes, now)...) {
+	for _, p := range append(s.leader.DueStops(now), s.leader.WakeUps(maxPushes, now)...) {
 		s.mutatePush(p.Commands.Commands)
 		if len(s.pushes) < maxPushes {
 			i := slices.IndexFunc(s.workers, func(w *worker) bool { return w.name == p.Machine })
@@ -241,7 +241,7 @@
 	}
 	s.respond(h, leader.AnswerHeartbeat(machine, &message, s.now()), leader)
 	if s.mutation == TreatResponsesAsUnreceived && len(machine.Tasks) > 0 {
-		machine.DiscountAnswers()
+		machine.ResetLastAnswer()
 	}
 	s.mutateForgets(h)
 }
