--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -21,28 +21,37 @@
 
 // cancellationGap describes one interaction of these faults.
 type cancellationGap struct {
-	report, lease float64 // heartbeat interval and lease of the workers in seconds; cancel_s is 20 s above the lease
+	// Heartbeat interval and lease of the workers in seconds. cancel_s is 20 s above the lease.
+	heartbeatS, leaseS float64
 
-	refuse time.Duration // when the store begins to refuse the leader, relative to the cancellations
-	again  time.Duration // if set, the store accepts the leader for 300 ms this long after the refusal began, then refuses it again
-	outage time.Duration // when the store's outage begins, counted from the last confirmation; with next, from when the old leader's key is gone
-	beyond time.Duration // by how much the outage exceeds cancel_s
-	cut    bool          // the leader is partitioned from the store and the other nodes, instead of refused by the store
+	// When the store begins to refuse the leader, relative to the cancellations.
+	refuseLeaderAt time.Duration
+	// If set, the store accepts the leader for 300 ms this long after the refusal began, then refuses it
+	// again.
+	acceptBrieflyAfter time.Duration
+	// When the store's outage begins, counted from the last confirmation. With outageAfterLeaseExpiry it
+	// is counted from when the old leader's key is gone.
+	outageAt time.Duration
+	// By how much the outage exceeds cancel_s. Negative if it is shorter.
+	outageBeyondCancel time.Duration
+	// The leader is partitioned from the store and the other nodes, instead of refused by the store.
+	isLeaderPartitioned bool
 
-	stopAt, stopFor time.Duration // when the leader's process is paused, from the last confirmation, and for how long
-	hangAt, hangFor time.Duration // when a machine's agent hangs, from the cancellations, and for how long
-	late            time.Duration // how long before the cancellations one more job is submitted, whose launches may be in flight; 0: none
-	hold            bool          // direct commands are delayed until the end of the scenario
-	slow            time.Duration // latency added before the store carries a request out
-	slowAnswers     time.Duration // latency added to its replies
+	pauseLeaderAt, pauseLeaderFor time.Duration // when the leader's process is paused, from the last confirmation, and for how long
+	hangAgentAt, hangAgentFor     time.Duration // when a machine's agent hangs, from the cancellations, and for how long
+	// How long before the cancellations one more job is submitted, whose launches may be in flight. 0: none.
+	lastSubmitBefore   time.Duration
+	holdDirectCommands bool          // direct commands are delayed until the end of the scenario
+	requestLatency     time.Duration // latency added before the store carries a request out
+	replyLatency       time.Duration // latency added to the store's replies
 
-	slowToLeader time.Duration // latency added to replies to the leader alone
-	wait         time.Duration // delay of the whole sequence, which shifts it against the leader's renewals
-	hush         bool          // the leader's watches deliver nothing, already before it is refused
-	stays        time.Duration // for how long the leader stays refused after the outage
+	leaderReplyLatency   time.Duration // latency added to the store's replies to the leader alone
+	startDelay           time.Duration // delay of the whole sequence, which shifts it against the leader's renewals
+	silenceLeaderWatches bool          // the leader's watches deliver nothing, from before it is refused
+	refusedAfterOutage   time.Duration // for how long the leader stays refused after the outage
 
-	heard bool // the leader may have learnt of the cancellations before it was refused
-	next  bool // the old leader's lease expires before the outage begins
+	mayKnowCancellations   bool // the leader may have learned of the cancellations before it was refused
+	outageAfterLeaseExpiry bool // the old leader's lease expires before the outage begins
 }
 
 const (
@@ -57,7 +66,7 @@
 		job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = gapTasks, 2, 3600 }),
 		job(2, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.EstimateS, j.SaveS = 2, 2, 3600, 5 }),
 	}
-	if g.late > 0 {
+	if g.lastSubmitBefore > 0 {
 		jobs = append(jobs, job(4, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = gapTasks, 1, 3600 }))
 	}
 	return jobs
@@ -78,7 +87,7 @@
 // cancelled.
 func (g cancellationGap) run(t *testing.T, seed uint64) (others int) {
 	t.Helper()
-	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, HeartbeatIntervalS: g.report, LeaseS: g.lease}
+	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, HeartbeatIntervalS: g.heartbeatS, LeaseS: g.leaseS}
 	runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
 		times := w.Settings.Cluster.Workers
 		cancelS := time.Duration(times.CancelS * float64(time.Second))
@@ -97,27 +106,27 @@
 			t.Fatalf("%d of 4 machines report to the leader", kept)
 		}
 		started := w.Started()
-		w.Store.SetLatency(g.slow)
-		w.Store.DelayReplies(g.slowAnswers)
-		w.Store.DelayRepliesTo(name, g.slowToLeader)
-		if g.hush {
+		w.Store.SetLatency(g.requestLatency)
+		w.Store.DelayReplies(g.replyLatency)
+		w.Store.DelayRepliesTo(name, g.leaderReplyLatency)
+		if g.silenceLeaderWatches {
 			w.Store.SilenceWatches(name)
 		}
-		if g.slow+g.slowAnswers+g.slowToLeader > 0 {
+		if g.requestLatency+g.replyLatency+g.leaderReplyLatency > 0 {
 			time.Sleep(5 * time.Second)
 		}
 		hung := w.MachinesRunning(wire.TaskName(jobs[0].ID, 0))[0]
-		if g.hold {
+		if g.holdDirectCommands {
 			for _, m := range w.Cloud.Machines() {
 				w.HoldDirectCommands(m)
 			}
 		}
 		refuse, accept := func() { w.Store.RefuseNode(name) }, func() { w.Store.AcceptNode(name) }
-		if g.cut {
+		if g.isLeaderPartitioned {
 			refuse, accept = func() { w.IsolateToWorkers(l) }, func() { w.HealNodeIsolation(l) }
 		}
 		var wg sync.WaitGroup
-		asked := time.Now().Add(6*time.Second + g.wait) // when the jobs are cancelled
+		asked := time.Now().Add(6*time.Second + g.startDelay) // when the jobs are cancelled
 		at := func(when time.Duration, do func()) {
 			wg.Add(1)
 			go func() {
@@ -126,21 +135,21 @@
 				do()
 			}()
 		}
-		if g.late > 0 {
-			at(-g.late, func() {
+		if g.lastSubmitBefore > 0 {
+			at(-g.lastSubmitBefore, func() {
 				for !w.Submit(jobs[2]) {
 				}
 			})
 		}
-		refused := asked.Add(g.refuse)
-		at(g.refuse, refuse)
-		if g.again > 0 {
-			at(g.refuse+g.again, accept)
-			at(g.refuse+g.again+300*time.Millisecond, refuse)
+		refused := asked.Add(g.refuseLeaderAt)
+		at(g.refuseLeaderAt, refuse)
+		if g.acceptBrieflyAfter > 0 {
+			at(g.refuseLeaderAt+g.acceptBrieflyAfter, accept)
+			at(g.refuseLeaderAt+g.acceptBrieflyAfter+300*time.Millisecond, refuse)
 		}
-		if g.hangFor > 0 {
-			at(g.hangAt, func() { w.HangMachine(hung) })
-			at(g.hangAt+g.hangFor, func() { w.ResumeMachine(hung) })
+		if g.hangAgentFor > 0 {
+			at(g.hangAgentAt, func() { w.HangMachine(hung) })
+			at(g.hangAgentAt+g.hangAgentFor, func() { w.ResumeMachine(hung) })
 		}
 		time.Sleep(time.Until(asked))
 		var confirming sync.WaitGroup
@@ -169,7 +178,7 @@
 			if committed.IsZero() || committed.After(c) {
 				t.Fatalf("%s was confirmed at %v and committed at %v", j.ID, c, committed)
 			}
-			if !g.heard && committed.Before(refused) {
+			if !g.mayKnowCancellations && committed.Before(refused) {
 				t.Errorf("no meeting: %s was cancelled %v before the leader was refused", j.ID, refused.Sub(committed))
 			}
 			confirmed[j.ID] = c
@@ -180,15 +189,15 @@
 		if !bytes.Equal(w.Store.Value("ctl/leader"), key) {
 			t.Error("no meeting: the leader was another one when the jobs were cancelled")
 		}
-		if g.next && !scenario.Eventually(15*time.Second, 5*time.Millisecond, func() bool { return !bytes.Equal(w.Store.Value("ctl/leader"), key) }) {
+		if g.outageAfterLeaseExpiry && !scenario.Eventually(15*time.Second, 5*time.Millisecond, func() bool { return !bytes.Equal(w.Store.Value("ctl/leader"), key) }) {
 			t.Fatal("no meeting: the refused leader's key stays")
 		}
-		whole := time.Since(latest) + g.outage // from the last confirmation to the start of the outage
-		if !g.next {
-			whole = g.outage
+		whole := time.Since(latest) + g.outageAt // from the last confirmation to the start of the outage
+		if !g.outageAfterLeaseExpiry {
+			whole = g.outageAt
 		}
 		// Clients poll all nodes, the old leader as well; the checker verifies the answers.
-		end := latest.Add(whole + cancelS + g.beyond)
+		end := latest.Add(whole + cancelS + g.outageBeyondCancel)
 		for i := range 3 {
 			wg.Add(1)
 			go func() {
@@ -199,9 +208,9 @@
 				}
 			}()
 		}
-		if g.stopFor > 0 {
-			at(latest.Add(g.stopAt).Sub(asked), func() { w.PauseNode(l) })
-			at(latest.Add(g.stopAt+g.stopFor).Sub(asked), func() { w.ResumeNode(l) })
+		if g.pauseLeaderFor > 0 {
+			at(latest.Add(g.pauseLeaderAt).Sub(asked), func() { w.PauseNode(l) })
+			at(latest.Add(g.pauseLeaderAt+g.pauseLeaderFor).Sub(asked), func() { w.ResumeNode(l) })
 		}
 		var out, back time.Time
 		var led []byte
@@ -217,16 +226,16 @@
 			w.Store.ResumeWatches(name)
 			w.Store.SetOutage(false)
 		})
-		at(end.Add(g.stays).Sub(asked), accept)
+		at(end.Add(g.refusedAfterOutage).Sub(asked), accept)
 		for time.Now().Before(end) || time.Since(latest) < cancelS {
 			recordLastRunning(w, jobs, last)
 			time.Sleep(50 * time.Millisecond)
 		}
 		wg.Wait()
-		if g.next == bytes.Equal(led, key) {
+		if g.outageAfterLeaseExpiry == bytes.Equal(led, key) {
 			t.Error("no meeting: in the outage the leader's key is not as it should be")
 		}
-		if g.beyond >= 0 && back.Sub(out) < cancelS {
+		if g.outageBeyondCancel >= 0 && back.Sub(out) < cancelS {
 			t.Errorf("no meeting: the outage lasted %v", back.Sub(out))
 		}
 		answered, kept := w.HeartbeatsAnswered(l, latest)
@@ -237,20 +246,20 @@
 		// leader is sure of it for at least half of its length more, unless latency or a pause is
 		// injected.
 		half := time.Duration(times.LeaderLeaseS() / 2 * float64(time.Second))
-		if g.slow+g.slowAnswers+g.slowToLeader+g.stopFor == 0 && latest.Sub(refused)+time.Duration(1.25*times.HeartbeatS*float64(time.Second)) < half && kept == 0 {
+		if g.requestLatency+g.replyLatency+g.leaderReplyLatency+g.pauseLeaderFor == 0 && latest.Sub(refused)+time.Duration(1.25*times.HeartbeatS*float64(time.Second)) < half && kept == 0 {
 			t.Error("no meeting: the old leader answered no worker after the confirmations")
 		}
 		most := time.Duration(0)
 		for _, j := range jobs {
 			if last[j.ID].IsZero() {
-				if !g.heard && j.ID != "wk-000004" {
+				if !g.mayKnowCancellations && j.ID != "wk-000004" {
 					t.Errorf("no meeting: no task of %s was on a machine when it was confirmed", j.ID)
 				}
 				continue
 			}
 			took := last[j.ID].Sub(confirmed[j.ID])
 			most = max(most, took)
-			if !g.heard && !g.next && took < 2*time.Second {
+			if !g.mayKnowCancellations && !g.outageAfterLeaseExpiry && took < 2*time.Second {
 				t.Errorf("no meeting: all tasks of %s were gone %v after it was confirmed: the leader has learnt of it", j.ID, took)
 			}
 			if took > time.Duration(times.CancelledGoneWithinS()*float64(time.Second)) {
@@ -272,7 +281,7 @@
 			mustReach(t, w, j.ID, wire.JobCancelled, 10*time.Second)
 		}
 		others = w.Started() - started - 2
-		if g.late > 0 {
+		if g.lastSubmitBefore > 0 {
 			others -= jobs[2].Tasks // each of them started at most once
 		}
 		if others > gapOthers {
@@ -285,7 +294,7 @@
 const ms = time.Millisecond
 
 // deployments are the heartbeat intervals and leases of the users' sites.
-var deployments = []struct{ report, lease float64 }{{1.5, 12}, {4, 22}, {5, 27}}
+var deployments = []struct{ heartbeatS, leaseS float64 }{{1.5, 12}, {4, 22}, {5, 27}}
 
 // The moments at which the faults' order matters, one case each. Cancelled tasks must be gone
 // within the bound that follows from the workers' settings.
@@ -295,41 +304,41 @@
 		name string
 		g    cancellationGap
 	}{
-		{"refused at once with the cancellation", cancellationGap{refuse: 0, outage: time.Second, heard: true}},
-		{"refused just before", cancellationGap{refuse: -30 * ms, outage: time.Second}},
-		{"refused a quarter of a second before", cancellationGap{refuse: -250 * ms, outage: time.Second}},
-		{"refused two seconds before, out at once", cancellationGap{refuse: -2 * time.Second, outage: 0}},
-		{"refused just after", cancellationGap{refuse: 20 * ms, outage: time.Second, heard: true, hold: true}},
-		{"refused a quarter of a second after", cancellationGap{refuse: 250 * ms, outage: time.Second, heard: true, hold: true}},
-		{"out just before the leader's lease would end", cancellationGap{refuse: -3 * time.Second, outage: 2200 * ms}},
-		{"out for just less than cancel_s", cancellationGap{refuse: -100 * ms, outage: time.Second, beyond: -500 * ms}},
-		{"out for three times cancel_s", cancellationGap{refuse: -100 * ms, outage: time.Second, beyond: 64 * time.Second}},
-		{"refused twice", cancellationGap{refuse: -1500 * ms, again: time.Second, outage: time.Second}},
-		{"served again just after, and refused", cancellationGap{refuse: -300 * ms, again: 600 * ms, outage: time.Second, heard: true}},
-		{"cut from the other nodes too", cancellationGap{refuse: -400 * ms, outage: time.Second, cut: true}},
-		{"the leader stands still across its lease's end", cancellationGap{refuse: -100 * ms, outage: 500 * ms, stopAt: 2 * time.Second, stopFor: 9 * time.Second}},
-		{"the leader stands still, and for longer", cancellationGap{refuse: -100 * ms, outage: 500 * ms, stopAt: 6 * time.Second, stopFor: 25 * time.Second}},
-		{"a machine hangs over the confirmation", cancellationGap{refuse: -100 * ms, outage: time.Second, hangAt: -300 * ms, hangFor: 9 * time.Second}},
-		{"a machine hangs within its last lease", cancellationGap{refuse: -100 * ms, outage: time.Second, hangAt: 5 * time.Second, hangFor: 10 * time.Second}},
-		{"launches under way", cancellationGap{refuse: -100 * ms, outage: time.Second, late: 300 * ms, hold: true}},
-		{"launches under way, and the leader refused before", cancellationGap{refuse: -900 * ms, outage: time.Second, late: time.Second}},
-		{"the service slow", cancellationGap{refuse: -100 * ms, outage: 100 * ms, slow: 400 * ms}},
-		{"the service's answers slow", cancellationGap{refuse: -100 * ms, outage: 100 * ms, slowAnswers: 700 * ms}},
-		{"the leader's watch brings nothing", cancellationGap{refuse: 15 * time.Second, outage: 16 * time.Second, hush: true, heard: true}},
-		{"the leader refused for longer", cancellationGap{refuse: -100 * ms, outage: time.Second, stays: 20 * time.Second}},
-		{"out when the old leader's lease ends", cancellationGap{refuse: -2 * time.Second, outage: 0, next: true}},
-		{"out while the next leader is elected", cancellationGap{refuse: -2 * time.Second, outage: 10 * ms, next: true}},
-		{"out while the next leader reads", cancellationGap{refuse: -1500 * ms, outage: 120 * ms, next: true}},
-		{"out as the next leader begins to answer", cancellationGap{refuse: -2 * time.Second, outage: 400 * ms, next: true}},
-		{"out after the next leader has begun", cancellationGap{refuse: -100 * ms, outage: 3 * time.Second, next: true}},
+		{"refused at once with the cancellation", cancellationGap{refuseLeaderAt: 0, outageAt: time.Second, mayKnowCancellations: true}},
+		{"refused just before", cancellationGap{refuseLeaderAt: -30 * ms, outageAt: time.Second}},
+		{"refused a quarter of a second before", cancellationGap{refuseLeaderAt: -250 * ms, outageAt: time.Second}},
+		{"refused two seconds before, out at once", cancellationGap{refuseLeaderAt: -2 * time.Second, outageAt: 0}},
+		{"refused just after", cancellationGap{refuseLeaderAt: 20 * ms, outageAt: time.Second, mayKnowCancellations: true, holdDirectCommands: true}},
+		{"refused a quarter of a second after", cancellationGap{refuseLeaderAt: 250 * ms, outageAt: time.Second, mayKnowCancellations: true, holdDirectCommands: true}},
+		{"out just before the leader's lease would end", cancellationGap{refuseLeaderAt: -3 * time.Second, outageAt: 2200 * ms}},
+		{"out for just less than cancel_s", cancellationGap{refuseLeaderAt: -100 * ms, outageAt: time.Second, outageBeyondCancel: -500 * ms}},
+		{"out for three times cancel_s", cancellationGap{refuseLeaderAt: -100 * ms, outageAt: time.Second, outageBeyondCancel: 64 * time.Second}},
+		{"refused twice", cancellationGap{refuseLeaderAt: -1500 * ms, acceptBrieflyAfter: time.Second, outageAt: time.Second}},
+		{"served again just after, and refused", cancellationGap{refuseLeaderAt: -300 * ms, acceptBrieflyAfter: 600 * ms, outageAt: time.Second, mayKnowCancellations: true}},
+		{"cut from the other nodes too", cancellationGap{refuseLeaderAt: -400 * ms, outageAt: time.Second, isLeaderPartitioned: true}},
+		{"the leader stands still across its lease's end", cancellationGap{refuseLeaderAt: -100 * ms, outageAt: 500 * ms, pauseLeaderAt: 2 * time.Second, pauseLeaderFor: 9 * time.Second}},
+		{"the leader stands still, and for longer", cancellationGap{refuseLeaderAt: -100 * ms, outageAt: 500 * ms, pauseLeaderAt: 6 * time.Second, pauseLeaderFor: 25 * time.Second}},
+		{"a machine hangs over the confirmation", cancellationGap{refuseLeaderAt: -100 * ms, outageAt: time.Second, hangAgentAt: -300 * ms, hangAgentFor: 9 * time.Second}},
+		{"a machine hangs within its last lease", cancellationGap{refuseLeaderAt: -100 * ms, outageAt: time.Second, hangAgentAt: 5 * time.Second, hangAgentFor: 10 * time.Second}},
+		{"launches under way", cancellationGap{refuseLeaderAt: -100 * ms, outageAt: time.Second, lastSubmitBefore: 300 * ms, holdDirectCommands: true}},
+		{"launches under way, and the leader refused before", cancellationGap{refuseLeaderAt: -900 * ms, outageAt: time.Second, lastSubmitBefore: time.Second}},
+		{"the service slow", cancellationGap{refuseLeaderAt: -100 * ms, outageAt: 100 * ms, requestLatency: 400 * ms}},
+		{"the service's answers slow", cancellationGap{refuseLeaderAt: -100 * ms, outageAt: 100 * ms, replyLatency: 700 * ms}},
+		{"the leader's watch brings nothing", cancellationGap{refuseLeaderAt: 15 * time.Second, outageAt: 16 * time.Second, silenceLeaderWatches: true, mayKnowCancellations: true}},
+		{"the leader refused for longer", cancellationGap{refuseLeaderAt: -100 * ms, outageAt: time.Second, refusedAfterOutage: 20 * time.Second}},
+		{"out when the old leader's lease ends", cancellationGap{refuseLeaderAt: -2 * time.Second, outageAt: 0, outageAfterLeaseExpiry: true}},
+		{"out while the next leader is elected", cancellationGap{refuseLeaderAt: -2 * time.Second, outageAt: 10 * ms, outageAfterLeaseExpiry: true}},
+		{"out while the next leader reads", cancellationGap{refuseLeaderAt: -1500 * ms, outageAt: 120 * ms, outageAfterLeaseExpiry: true}},
+		{"out as the next leader begins to answer", cancellationGap{refuseLeaderAt: -2 * time.Second, outageAt: 400 * ms, outageAfterLeaseExpiry: true}},
+		{"out after the next leader has begun", cancellationGap{refuseLeaderAt: -100 * ms, outageAt: 3 * time.Second, outageAfterLeaseExpiry: true}},
 	} {
 		for k, d := range deployments {
 			if k != i%len(deployments) && !many {
 				continue // all deployments only with STORY_SEEDS
 			}
 			g := c.g
-			g.report, g.lease = d.report, d.lease
-			t.Run(fmt.Sprintf("%s, lease %g s", c.name, g.lease), func(t *testing.T) { g.run(t, 1) })
+			g.heartbeatS, g.leaseS = d.heartbeatS, d.leaseS
+			t.Run(fmt.Sprintf("%s, lease %g s", c.name, g.leaseS), func(t *testing.T) { g.run(t, 1) })
 		}
 	}
 }
@@ -344,7 +353,7 @@
 	}
 	for wait := time.Duration(0); wait < 5*time.Second; wait += step {
 		t.Run(fmt.Sprint(wait), func(t *testing.T) {
-			cancellationGap{report: 1.5, lease: 12, refuse: -20 * ms, outage: time.Second, slowToLeader: 1800 * ms, wait: wait}.run(t, 1)
+			cancellationGap{heartbeatS: 1.5, leaseS: 12, refuseLeaderAt: -20 * ms, outageAt: time.Second, leaderReplyLatency: 1800 * ms, startDelay: wait}.run(t, 1)
 		})
 	}
 }
@@ -369,39 +378,39 @@
 		return from + time.Duration(rnd.Int64N(int64(to-from)/int64(10*ms)))*10*ms
 	}
 	d := deployments[rnd.IntN(len(deployments))]
-	g := cancellationGap{report: d.report, lease: d.lease}
+	g := cancellationGap{heartbeatS: d.heartbeatS, leaseS: d.leaseS}
 	// The leader keeps its leadership until the outage: its lease of 7 s or 10 s was renewed at
 	// most 2 s before it was refused.
-	g.refuse, g.outage = within(-2500*ms, 300*ms), within(0, 1800*ms)
-	g.heard = g.refuse > -20*ms
-	g.beyond = within(-time.Second, 40*time.Second)
-	g.cut, g.hold = rnd.IntN(4) == 0, rnd.IntN(3) == 0
+	g.refuseLeaderAt, g.outageAt = within(-2500*ms, 300*ms), within(0, 1800*ms)
+	g.mayKnowCancellations = g.refuseLeaderAt > -20*ms
+	g.outageBeyondCancel = within(-time.Second, 40*time.Second)
+	g.isLeaderPartitioned, g.holdDirectCommands = rnd.IntN(4) == 0, rnd.IntN(3) == 0
 	if rnd.IntN(4) == 0 {
-		g.again = within(100*ms, 1500*ms)
-		g.heard = true
+		g.acceptBrieflyAfter = within(100*ms, 1500*ms)
+		g.mayKnowCancellations = true
 	}
 	if rnd.IntN(3) == 0 {
-		g.stopAt, g.stopFor = within(0, 8*time.Second), within(time.Second, 20*time.Second)
+		g.pauseLeaderAt, g.pauseLeaderFor = within(0, 8*time.Second), within(time.Second, 20*time.Second)
 	}
 	if rnd.IntN(3) == 0 {
-		g.hangAt, g.hangFor = within(-time.Second, 8*time.Second), within(time.Second, 14*time.Second)
+		g.hangAgentAt, g.hangAgentFor = within(-time.Second, 8*time.Second), within(time.Second, 14*time.Second)
 	}
-	if rnd.IntN(3) == 0 && !g.cut {
+	if rnd.IntN(3) == 0 && !g.isLeaderPartitioned {
 		// A partitioned node would keep its client waiting until the old leader's lease has
 		// expired.
-		g.late = within(50*ms, 1500*ms)
+		g.lastSubmitBefore = within(50*ms, 1500*ms)
 	}
-	if rnd.IntN(4) == 0 && g.refuse < 0 {
-		g.next, g.outage = true, within(0, 1500*ms)
+	if rnd.IntN(4) == 0 && g.refuseLeaderAt < 0 {
+		g.outageAfterLeaseExpiry, g.outageAt = true, within(0, 1500*ms)
 	}
 	if rnd.IntN(3) == 0 {
-		g.stays = within(0, 20*time.Second)
+		g.refusedAfterOutage = within(0, 20*time.Second)
 	}
 	switch rnd.IntN(5) {
 	case 0:
-		g.slow = within(50*ms, 300*ms)
+		g.requestLatency = within(50*ms, 300*ms)
 	case 1:
-		g.slowAnswers = within(50*ms, 300*ms)
+		g.replyLatency = within(50*ms, 300*ms)
 	}
 	return g
 }
@@ -414,12 +423,12 @@
 		outages = []float64{4, 8, 12, 16, 20, 24, 28, 32, 36, 40, 50}
 	}
 	for _, d := range deployments {
-		w := config.Workers{HeartbeatS: d.report, LeaseS: d.lease, CancelS: d.lease + 20}
+		w := config.Workers{HeartbeatS: d.heartbeatS, LeaseS: d.leaseS, CancelS: d.leaseS + 20}
 		for _, out := range outages {
-			t.Run(fmt.Sprintf("lease %g s, out for %g s", d.lease, out), func(t *testing.T) {
+			t.Run(fmt.Sprintf("lease %g s, out for %g s", d.leaseS, out), func(t *testing.T) {
 				const before = 1.1 // seconds from the refusal to the outage
-				ended := cancellationGap{report: d.report, lease: d.lease, refuse: -100 * ms, outage: time.Second,
-					beyond: config.Seconds(out - w.CancelS)}.run(t, 1)
+				ended := cancellationGap{heartbeatS: d.heartbeatS, leaseS: d.leaseS, refuseLeaderAt: -100 * ms, outageAt: time.Second,
+					outageBeyondCancel: config.Seconds(out - w.CancelS)}.run(t, 1)
 				t.Logf("%d of %d tasks that nobody cancelled ended", ended, gapOthers)
 				// At worst the last renewal came a fifth of the leader's lease before the refusal,
 				// and the last heartbeat that the leader answered one longest heartbeat interval
