--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -1,3 +1,7 @@
+// Scenarios of the cancellation gap. The key-value store refuses only the leader. Another node
+// confirms cancellations. Then the store is out for everybody for longer than cancel_s. Meanwhile
+// workers go on sending heartbeats to the leader, which has not learned of the cancellations.
+
 package controller_test
 
 import (
@@ -15,11 +19,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Scenarios of the cancellation gap: the key-value store refuses only the leader, another node
-// confirms cancellations, and then the store is out for everybody for longer than cancel_s, while
-// workers go on sending heartbeats to the leader that has not learnt of the cancellations.
-
-// cancellationGap describes one interaction of these faults.
+// cancellationGap says which faults one scenario has, and when.
 type cancellationGap struct {
 	// Heartbeat interval and lease of the workers in seconds. cancel_s is 20 s above the lease.
 	heartbeatS, leaseS float64
@@ -83,55 +83,55 @@
 	}
 }
 
-// run runs the scenario; others is how many tasks were lost (and started again) that nobody had
-// cancelled.
-func (g cancellationGap) run(t *testing.T, seed uint64) (others int) {
+// run runs the scenario. It returns how many tasks were lost and started again although nobody had
+// cancelled them.
+func (g cancellationGap) run(t *testing.T, seed uint64) (lost int) {
 	t.Helper()
 	o := fake.Options{Machines: 4, Capacity: 4, Seed: seed, HeartbeatIntervalS: g.heartbeatS, LeaseS: g.leaseS}
 	runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
-		times := w.Settings.Cluster.Workers
-		cancelS := time.Duration(times.CancelS * float64(time.Second))
+		workers := w.Settings.Cluster.Workers
+		cancelS := time.Duration(workers.CancelS * float64(time.Second))
 		jobs := jobsForGap(g)
 		mustSubmit(t, w, jobs[0], jobs[1],
 			job(3, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = gapOthers, 3, 3600 }))
 		running := jobs[0].Tasks + jobs[1].Tasks + gapOthers
 		if !scenario.Eventually(40*time.Second, 500*time.Millisecond, func() bool { return w.Running() == running }) {
-			t.Fatalf("%d of %d tasks run", w.Running(), running)
+			t.Fatalf("%d tasks run, want %d", w.Running(), running)
 		}
 		time.Sleep(3 * time.Second)
-		l := w.Leader()
-		other, name := (l+1)%3, fmt.Sprintf("n-%d", l)
-		key := bytes.Clone(w.Store.Value("ctl/leader"))
-		if _, kept := w.HeartbeatsAnswered(l, time.Now().Add(-2*time.Duration(times.HeartbeatS*float64(time.Second)))); kept != 4 {
-			t.Fatalf("%d of 4 machines report to the leader", kept)
+		leader := w.Leader()
+		other, leaderName := (leader+1)%3, fmt.Sprintf("n-%d", leader)
+		leaderKey := bytes.Clone(w.Store.Value("ctl/leader"))
+		if _, kept := w.HeartbeatsAnswered(leader, time.Now().Add(-2*time.Duration(workers.HeartbeatS*float64(time.Second)))); kept != 4 {
+			t.Fatalf("%d of 4 machines send the leader heartbeats", kept)
 		}
 		started := w.Started()
 		w.Store.SetLatency(g.requestLatency)
 		w.Store.DelayReplies(g.replyLatency)
-		w.Store.DelayRepliesTo(name, g.leaderReplyLatency)
+		w.Store.DelayRepliesTo(leaderName, g.leaderReplyLatency)
 		if g.silenceLeaderWatches {
-			w.Store.SilenceWatches(name)
+			w.Store.SilenceWatches(leaderName)
 		}
 		if g.requestLatency+g.replyLatency+g.leaderReplyLatency > 0 {
 			time.Sleep(5 * time.Second)
 		}
-		hung := w.MachinesRunning(wire.TaskName(jobs[0].ID, 0))[0]
+		hungMachine := w.MachinesRunning(wire.TaskName(jobs[0].ID, 0))[0]
 		if g.holdDirectCommands {
 			for _, m := range w.Cloud.Machines() {
 				w.HoldDirectCommands(m)
 			}
 		}
-		refuse, accept := func() { w.Store.RefuseNode(name) }, func() { w.Store.AcceptNode(name) }
+		refuse, accept := func() { w.Store.RefuseNode(leaderName) }, func() { w.Store.AcceptNode(leaderName) }
 		if g.isLeaderPartitioned {
-			refuse, accept = func() { w.IsolateToWorkers(l) }, func() { w.HealNodeIsolation(l) }
+			refuse, accept = func() { w.IsolateToWorkers(leader) }, func() { w.HealNodeIsolation(leader) }
 		}
 		var wg sync.WaitGroup
-		asked := time.Now().Add(6*time.Second + g.startDelay) // when the jobs are cancelled
+		cancelledAt := time.Now().Add(6*time.Second + g.startDelay)
 		at := func(when time.Duration, do func()) {
 			wg.Add(1)
 			go func() {
 				defer wg.Done()
-				time.Sleep(time.Until(asked.Add(when)))
+				time.Sleep(time.Until(cancelledAt.Add(when)))
 				do()
 			}()
 		}
@@ -141,17 +141,17 @@
 				}
 			})
 		}
-		refused := asked.Add(g.refuseLeaderAt)
+		refused := cancelledAt.Add(g.refuseLeaderAt)
 		at(g.refuseLeaderAt, refuse)
 		if g.acceptBrieflyAfter > 0 {
 			at(g.refuseLeaderAt+g.acceptBrieflyAfter, accept)
 			at(g.refuseLeaderAt+g.acceptBrieflyAfter+300*time.Millisecond, refuse)
 		}
 		if g.hangAgentFor > 0 {
-			at(g.hangAgentAt, func() { w.HangMachine(hung) })
-			at(g.hangAgentAt+g.hangAgentFor, func() { w.ResumeMachine(hung) })
+			at(g.hangAgentAt, func() { w.HangMachine(hungMachine) })
+			at(g.hangAgentAt+g.hangAgentFor, func() { w.ResumeMachine(hungMachine) })
 		}
-		time.Sleep(time.Until(asked))
+		time.Sleep(time.Until(cancelledAt))
 		var confirming sync.WaitGroup
 		for _, j := range jobs {
 			confirming.Add(1)
@@ -165,39 +165,39 @@
 			}()
 		}
 		confirming.Wait()
-		// From here on the scenario measures for itself: the checker's clock begins anew with each
-		// violation.
+		// The scenario itself measures how long cancelled tasks stay, since the checker's clock begins
+		// anew with each violation.
 		confirmed, last := map[string]time.Time{}, map[string]time.Time{}
-		var latest time.Time
+		var lastConfirmed time.Time
 		for _, j := range jobs {
-			c := w.CancelConfirmedAt(j.ID)
-			if c.IsZero() {
-				t.Fatalf("no other node cancels %s", j.ID)
+			confirmedAt := w.CancelConfirmedAt(j.ID)
+			if confirmedAt.IsZero() {
+				t.Fatalf("%s: no other node confirmed the cancellation", j.ID)
 			}
 			committed := w.Store.CreatedAt(jobstore.FinalKey(j.ID))
-			if committed.IsZero() || committed.After(c) {
-				t.Fatalf("%s was confirmed at %v and committed at %v", j.ID, c, committed)
+			if committed.IsZero() || committed.After(confirmedAt) {
+				t.Fatalf("%s was confirmed at %v and committed at %v", j.ID, confirmedAt, committed)
 			}
 			if !g.mayKnowCancellations && committed.Before(refused) {
-				t.Errorf("no meeting: %s was cancelled %v before the leader was refused", j.ID, refused.Sub(committed))
+				t.Errorf("faults did not interact: %s was cancelled %v before the leader was refused", j.ID, refused.Sub(committed))
 			}
-			confirmed[j.ID] = c
-			if c.After(latest) {
-				latest = c
+			confirmed[j.ID] = confirmedAt
+			if confirmedAt.After(lastConfirmed) {
+				lastConfirmed = confirmedAt
 			}
 		}
-		if !bytes.Equal(w.Store.Value("ctl/leader"), key) {
-			t.Error("no meeting: the leader was another one when the jobs were cancelled")
+		if !bytes.Equal(w.Store.Value("ctl/leader"), leaderKey) {
+			t.Error("faults did not interact: the leader changed before the jobs were cancelled")
 		}
-		if g.outageAfterLeaseExpiry && !scenario.Eventually(15*time.Second, 5*time.Millisecond, func() bool { return !bytes.Equal(w.Store.Value("ctl/leader"), key) }) {
-			t.Fatal("no meeting: the refused leader's key stays")
+		if g.outageAfterLeaseExpiry && !scenario.Eventually(15*time.Second, 5*time.Millisecond, func() bool { return !bytes.Equal(w.Store.Value("ctl/leader"), leaderKey) }) {
+			t.Fatal("faults did not interact: the refused leader's key remains")
 		}
-		whole := time.Since(latest) + g.outageAt // from the last confirmation to the start of the outage
+		outageDelay := time.Since(lastConfirmed) + g.outageAt // from the last confirmation to the start of the outage
 		if !g.outageAfterLeaseExpiry {
-			whole = g.outageAt
+			outageDelay = g.outageAt
 		}
 		// Clients poll all nodes, the old leader as well; the checker verifies the answers.
-		end := latest.Add(whole + cancelS + g.outageBeyondCancel)
+		end := lastConfirmed.Add(outageDelay + cancelS + g.outageBeyondCancel)
 		for i := range 3 {
 			wg.Add(1)
 			go func() {
@@ -209,86 +209,86 @@
 			}()
 		}
 		if g.pauseLeaderFor > 0 {
-			at(latest.Add(g.pauseLeaderAt).Sub(asked), func() { w.PauseNode(l) })
-			at(latest.Add(g.pauseLeaderAt+g.pauseLeaderFor).Sub(asked), func() { w.ResumeNode(l) })
+			at(lastConfirmed.Add(g.pauseLeaderAt).Sub(cancelledAt), func() { w.PauseNode(leader) })
+			at(lastConfirmed.Add(g.pauseLeaderAt+g.pauseLeaderFor).Sub(cancelledAt), func() { w.ResumeNode(leader) })
 		}
-		var out, back time.Time
-		var led []byte
-		at(latest.Add(whole).Sub(asked), func() {
+		var outageBegan, outageEnded time.Time
+		var keyInOutage []byte
+		at(lastConfirmed.Add(outageDelay).Sub(cancelledAt), func() {
 			w.Store.SetOutage(true)
-			out, led = time.Now(), bytes.Clone(w.Store.Value("ctl/leader"))
+			outageBegan, keyInOutage = time.Now(), bytes.Clone(w.Store.Value("ctl/leader"))
 		})
-		at(end.Sub(asked), func() {
-			back = time.Now()
+		at(end.Sub(cancelledAt), func() {
+			outageEnded = time.Now()
 			w.Store.SetLatency(0)
 			w.Store.DelayReplies(0)
-			w.Store.DelayRepliesTo(name, 0)
-			w.Store.ResumeWatches(name)
+			w.Store.DelayRepliesTo(leaderName, 0)
+			w.Store.ResumeWatches(leaderName)
 			w.Store.SetOutage(false)
 		})
-		at(end.Add(g.refusedAfterOutage).Sub(asked), accept)
-		for time.Now().Before(end) || time.Since(latest) < cancelS {
+		at(end.Add(g.refusedAfterOutage).Sub(cancelledAt), accept)
+		for time.Now().Before(end) || time.Since(lastConfirmed) < cancelS {
 			recordLastRunning(w, jobs, last)
 			time.Sleep(50 * time.Millisecond)
 		}
 		wg.Wait()
-		if g.outageAfterLeaseExpiry == bytes.Equal(led, key) {
-			t.Error("no meeting: in the outage the leader's key is not as it should be")
+		if g.outageAfterLeaseExpiry == bytes.Equal(keyInOutage, leaderKey) {
+			t.Error("faults did not interact: the leader key at the start of the outage is not the expected one")
 		}
-		if g.outageBeyondCancel >= 0 && back.Sub(out) < cancelS {
-			t.Errorf("no meeting: the outage lasted %v", back.Sub(out))
+		if g.outageBeyondCancel >= 0 && outageEnded.Sub(outageBegan) < cancelS {
+			t.Errorf("faults did not interact: the outage lasted %v, want at least %v", outageEnded.Sub(outageBegan), cancelS)
 		}
-		answered, kept := w.HeartbeatsAnswered(l, latest)
+		answered, kept := w.HeartbeatsAnswered(leader, lastConfirmed)
 		if answered == 0 {
-			t.Error("no meeting: no worker reported to the old leader after the confirmations")
+			t.Error("faults did not interact: no worker sent the old leader a heartbeat after the confirmations")
 		}
 		// The leader's lease was renewed at most a fifth of its length before the refusal, so the
 		// leader is sure of it for at least half of its length more, unless latency or a pause is
 		// injected.
-		half := time.Duration(times.LeaderLeaseS() / 2 * float64(time.Second))
-		if g.requestLatency+g.replyLatency+g.leaderReplyLatency+g.pauseLeaderFor == 0 && latest.Sub(refused)+time.Duration(1.25*times.HeartbeatS*float64(time.Second)) < half && kept == 0 {
-			t.Error("no meeting: the old leader answered no worker after the confirmations")
+		halfLease := time.Duration(workers.LeaderLeaseS() / 2 * float64(time.Second))
+		if g.requestLatency+g.replyLatency+g.leaderReplyLatency+g.pauseLeaderFor == 0 && lastConfirmed.Sub(refused)+time.Duration(1.25*workers.HeartbeatS*float64(time.Second)) < halfLease && kept == 0 {
+			t.Error("faults did not interact: the old leader accepted no heartbeat after the confirmations")
 		}
-		most := time.Duration(0)
+		longest := time.Duration(0)
 		for _, j := range jobs {
 			if last[j.ID].IsZero() {
 				if !g.mayKnowCancellations && j.ID != "wk-000004" {
-					t.Errorf("no meeting: no task of %s was on a machine when it was confirmed", j.ID)
+					t.Errorf("faults did not interact: no task of %s was on a machine when its cancellation was confirmed", j.ID)
 				}
 				continue
 			}
 			took := last[j.ID].Sub(confirmed[j.ID])
-			most = max(most, took)
+			longest = max(longest, took)
 			if !g.mayKnowCancellations && !g.outageAfterLeaseExpiry && took < 2*time.Second {
-				t.Errorf("no meeting: all tasks of %s were gone %v after it was confirmed: the leader has learnt of it", j.ID, took)
+				t.Errorf("faults did not interact: all tasks of %s were gone %v after the confirmation, so the leader had learned of it", j.ID, took)
 			}
-			if took > time.Duration(times.CancelledGoneWithinS()*float64(time.Second)) {
-				t.Errorf("%s was on a machine %v after it was confirmed cancelled: more than %.2f s (cancel_s is %g)",
-					j.ID, took, times.CancelledGoneWithinS(), times.CancelS)
+			if took > time.Duration(workers.CancelledGoneWithinS()*float64(time.Second)) {
+				t.Errorf("a task of %s was on a machine %v after its cancellation was confirmed, want at most %.2f s (cancel_s is %g)",
+					j.ID, took, workers.CancelledGoneWithinS(), workers.CancelS)
 			}
 		}
-		t.Logf("the last cancelled task was there for %.2f s of %.2f s (cancel_s %g); the old leader answered %d machines, %d of them with 200; %d leases ended",
-			most.Seconds(), times.CancelledGoneWithinS(), times.CancelS, answered, kept, w.ExpiredLeases())
+		t.Logf("the last cancelled task was gone after %.2f s, bound %.2f s (cancel_s %g); the old leader answered %d machines, %d of them with 200; %d leases expired",
+			longest.Seconds(), workers.CancelledGoneWithinS(), workers.CancelS, answered, kept, w.ExpiredLeases())
 		for _, m := range w.Cloud.Machines() {
 			w.DeliverHeldCommands(m)
 		}
 		mustSubmit(t, w, job(5, nil))
 		mustReach(t, w, "wk-000005", wire.JobDone, 2*time.Minute)
 		if !scenario.Eventually(time.Minute, time.Second, func() bool { return w.Running() == gapOthers }) {
-			t.Errorf("%d of the %d tasks run that nobody cancelled", w.Running(), gapOthers)
+			t.Errorf("%d of the %d tasks that nobody cancelled run", w.Running(), gapOthers)
 		}
 		for _, j := range jobs {
 			mustReach(t, w, j.ID, wire.JobCancelled, 10*time.Second)
 		}
-		others = w.Started() - started - 2
+		lost = w.Started() - started - 2
 		if g.lastSubmitBefore > 0 {
-			others -= jobs[2].Tasks // each of them started at most once
+			lost -= jobs[2].Tasks // each of them started at most once
 		}
-		if others > gapOthers {
-			t.Errorf("%d starts of %d tasks that nobody cancelled: each starts again once at most", others, gapOthers)
+		if lost > gapOthers {
+			t.Errorf("%d restarts of %d tasks that nobody cancelled, want at most one each", lost, gapOthers)
 		}
 	})
-	return others
+	return lost
 }
 
 const ms = time.Millisecond
@@ -296,8 +296,9 @@
 // deployments are the heartbeat intervals and leases of the users' sites.
 var deployments = []struct{ heartbeatS, leaseS float64 }{{1.5, 12}, {4, 22}, {5, 27}}
 
-// The moments at which the faults' order matters, one case each. Cancelled tasks must be gone
-// within the bound that follows from the workers' settings.
+// Each case is one moment at which the order of the faults matters. A leader that has not learned
+// of a cancellation could keep the cancelled tasks running by answering their workers. They must be
+// gone within the bound that follows from the workers' settings.
 func TestGapCancelledTasksAreGoneInTime(t *testing.T) {
 	_, many := seedCount()
 	for i, c := range []struct {
@@ -343,9 +344,9 @@
 	}
 }
 
-// The store's replies to the leader are nearly as late as the leader waits for them, and the
-// cancellation falls anywhere between two renewals: the time for which the leader is sure of its
-// lease counts from when it sent the renewal, not from the reply.
+// The store's replies to the leader arrive just before the leader gives up on them. The
+// cancellations are sent at different times between two renewals. A leader that counted its lease
+// from the reply, rather than from when it sent the renewal, would answer workers for too long.
 func TestGapCancelledDuringALateRenewalAnswer(t *testing.T) {
 	step := 500 * ms
 	if _, many := seedCount(); many {
@@ -358,7 +359,8 @@
 	}
 }
 
-// The same interactions with times drawn at random, in steps of 10 ms around each of these moments.
+// The interactions of TestGapCancelledTasksAreGoneInTime, with times drawn at random in steps of
+// 10 ms around its moments.
 func TestGapCancelledAtRandomMoments(t *testing.T) {
 	seeds := uint64(6)
 	if n, many := seedCount(); many {
@@ -373,6 +375,7 @@
 	}
 }
 
+// randomGap draws the faults of a scenario and their times.
 func randomGap(rnd *rand.Rand) cancellationGap {
 	within := func(from, to time.Duration) time.Duration {
 		return from + time.Duration(rnd.Int64N(int64(to-from)/int64(10*ms)))*10*ms
@@ -415,8 +418,9 @@
 	return g
 }
 
-// How many tasks that nobody cancelled are lost to the same outage: none while the old leader's
-// lease and then the workers' leases outlast it; if the outage is longer, each of them, once.
+// Tasks that nobody cancelled may be lost to an outage of the store. None is lost while the old
+// leader's lease and then the workers' leases outlast the outage. In a longer outage each of them
+// is lost once.
 func TestGapCostsOfUncancelledTasks(t *testing.T) {
 	outages := []float64{8, 20, 32, 50}
 	if _, many := seedCount(); many {
@@ -424,21 +428,20 @@
 	}
 	for _, d := range deployments {
 		w := config.Workers{HeartbeatS: d.heartbeatS, LeaseS: d.leaseS, CancelS: d.leaseS + 20}
-		for _, out := range outages {
-			t.Run(fmt.Sprintf("lease %g s, out for %g s", d.leaseS, out), func(t *testing.T) {
-				const before = 1.1 // seconds from the refusal to the outage
-				ended := cancellationGap{heartbeatS: d.heartbeatS, leaseS: d.leaseS, refuseLeaderAt: -100 * ms, outageAt: time.Second,
-					outageBeyondCancel: config.Seconds(out - w.CancelS)}.run(t, 1)
-				t.Logf("%d of %d tasks that nobody cancelled ended", ended, gapOthers)
-				// At worst the last renewal came a fifth of the leader's lease before the refusal,
-				// and the last heartbeat that the leader answered one longest heartbeat interval
-				// before it became unsure of its lease; after the outage a worker finds the new
-				// leader within 3 s.
-				if survive := 0.8*w.LeaderLeaseS() + w.LeaseS - 1.25*w.HeartbeatS - 3; before+out < survive && ended > 0 {
-					t.Errorf("%d tasks ended in an outage that their leases outlast by %.1f s", ended, survive-before-out)
+		for _, outageS := range outages {
+			t.Run(fmt.Sprintf("lease %g s, out for %g s", d.leaseS, outageS), func(t *testing.T) {
+				const refusedBeforeS = 1.1 // from the refusal to the outage
+				lost := cancellationGap{heartbeatS: d.heartbeatS, leaseS: d.leaseS, refuseLeaderAt: -100 * ms, outageAt: time.Second,
+					outageBeyondCancel: config.Seconds(outageS - w.CancelS)}.run(t, 1)
+				t.Logf("%d of %d tasks that nobody cancelled were lost", lost, gapOthers)
+				// At worst the leader renewed its lease a fifth of the lease before the refusal, and
+				// answered the last heartbeat one longest heartbeat interval before it became unsure
+				// of its lease. After the outage a worker finds the new leader within 3 s.
+				if survivableS := 0.8*w.LeaderLeaseS() + w.LeaseS - 1.25*w.HeartbeatS - 3; refusedBeforeS+outageS < survivableS && lost > 0 {
+					t.Errorf("%d tasks were lost in an outage that their leases outlast by %.1f s", lost, survivableS-refusedBeforeS-outageS)
 				}
-				if before+out > w.CancelledGoneWithinS()+1 && ended != gapOthers {
-					t.Errorf("%d of %d tasks ended: all of their leases were over", ended, gapOthers)
+				if refusedBeforeS+outageS > w.CancelledGoneWithinS()+1 && lost != gapOthers {
+					t.Errorf("%d of %d tasks were lost, want all: their leases had expired", lost, gapOthers)
 				}
 			})
 		}
