--- a/controller/answer_checker_test.go
+++ b/controller/answer_checker_test.go
@@ -10,12 +10,12 @@
 	"github.com/umberdeal/umberdeal/internal/fake"
 )
 
-// The checks that fake.Cluster makes of answers to users must be able to fail: here the nodes lose
-// what they have promised, since all records are wiped.
+// The checks that fake.Cluster makes of answers to users must be able to fail. Here all records are
+// wiped, so the nodes answer as if the job had never been submitted.
 func TestCheckerDetectsAnswersThatGoBackInTime(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
-		tell       func(w *fake.Cluster)
+		play       func(w *fake.Cluster)
 	}{
 		{"accepted, then not known", "forgotten: wk-000001 answered 404", func(w *fake.Cluster) {
 			w.Submit(job(1, nil))
@@ -35,9 +35,9 @@
 				w := fake.New(fake.Options{Machines: 1, Capacity: 1})
 				defer w.Close()
 				time.Sleep(5 * time.Second)
-				c.tell(w)
+				c.play(w)
 				if b := w.Violations(); !slices.ContainsFunc(b, func(s string) bool { return strings.HasPrefix(s, c.want) }) {
-					t.Errorf("the checker said %q", b)
+					t.Errorf("violations are %q, want one that begins with %q", b, c.want)
 				}
 			})
 		})
--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -1,3 +1,6 @@
+// Scenarios of batch windows under faults. The windows are minutes long. Simulated time begins at
+// midnight UTC on Saturday, 1 January 2000.
+
 package controller_test
 
 import (
@@ -20,15 +23,14 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Batch windows in these scenarios are minutes long. Simulated time begins at midnight UTC, 1
-// January 2000, a Saturday.
-
+// nightHours are the opening hours of a region. The batch window ends at 00:12 on Saturday.
 const nightHours = `fri = "23:30", sat = "00:12", sun = "08:00"`
 
+// nightPlan has region here, to which jobs of class tiles belong, and region empty without jobs.
 var nightPlan = plans.Region("here", nightHours, "00:00", 120, `class = "tiles"`) +
 	plans.Region("empty", nightHours, "00:00", 120, `class = "nobody's"`)
 
-// windowRecord decodes the committed schedule record of a region.
+// windowRecord decodes the committed schedule record of a region. It is zero if there is none.
 func windowRecord(t *testing.T, w *fake.Cluster, region string) (rec calendar.Record) {
 	t.Helper()
 	if raw := w.Store.Value(jobstore.PlanStatePrefix + calendar.RecordName(region)); raw != nil {
@@ -43,7 +45,7 @@
 func sleepUntilClock(s string) {
 	at, err := time.Parse("2006-01-02 15:04:05", "2000-01-01 "+s)
 	if err != nil {
-		panic(err) // a mistake in the test itself
+		panic(err) // the test passed a malformed time
 	}
 	time.Sleep(time.Until(at))
 }
@@ -62,11 +64,12 @@
 	time.Sleep(time.Minute)
 	last := windowRecord(t, w, "here")
 	if len(last.Past) != 1 || last.Past[0] != first.Past[0] {
-		t.Errorf("outcomes %+v, and then %+v", first.Past, last.Past)
+		t.Errorf("outcomes changed from %+v to %+v within a minute, want a single one", first.Past, last.Past)
 	}
 	return last.Past[0]
 }
 
+// tileJob returns a job of class tiles.
 func tileJob(n, tasks int, estimate float64) wire.Job {
 	return job(n, func(j *wire.Job) {
 		j.Class, j.Tasks, j.CPUs, j.EstimateS = "tiles", tasks, 4, estimate
@@ -82,9 +85,10 @@
 	return time.Now()
 }
 
-// runBatchWindow runs a batch window of 24 layers on four machines, beside as much day work of the
-// same priority that was submitted before, and returns how long it took to finish.
-func runBatchWindow(t *testing.T, trouble func(w *fake.Cluster)) (finish time.Duration) {
+// runBatchWindow runs a batch window of 12 jobs with 24 tasks on four machines, beside 32 tasks of
+// day jobs of the same priority that were submitted before. injectFaults runs during the window. It
+// returns when the window's jobs were done, counted from midnight.
+func runBatchWindow(t *testing.T, injectFaults func(w *fake.Cluster)) (finish time.Duration) {
 	t.Helper()
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
@@ -98,11 +102,11 @@
 			ids = append(ids, j.ID)
 		}
 		time.Sleep(20 * time.Second)
-		promise := windowRecord(t, w, "here").Windows[0].DeadlineMs
-		go trouble(w)
+		deadlineMs := windowRecord(t, w, "here").Windows[0].DeadlineMs
+		go injectFaults(w)
 		finish = awaitAllDone(t, w, ids...).Sub(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC))
-		if n := windowRecord(t, w, "here").Windows; len(n) != 1 || n[0].DeadlineMs != promise {
-			t.Errorf("promised for %d, and then %+v", promise, n)
+		if n := windowRecord(t, w, "here").Windows; len(n) != 1 || n[0].DeadlineMs != deadlineMs {
+			t.Errorf("deadline was %d, windows are now %+v", deadlineMs, n)
 		}
 		unfinished := 0
 		for i := range 4 {
@@ -111,7 +115,7 @@
 			}
 		}
 		if unfinished == 0 {
-			t.Error("the day's work was over before the night's")
+			t.Error("all day jobs were done before the window's jobs")
 		}
 		o := awaitWindowOutcome(t, w)
 		if o.Result != calendar.ResultMet || o.Completed != 12 || o.Jobs != 12 {
@@ -124,42 +128,42 @@
 			t.Errorf("%d starts of %d tasks", n, 24+32)
 		}
 		if rec := windowRecord(t, w, "empty"); rec.SavedAtMs != 0 {
-			t.Errorf("written of a region nothing belongs to: %+v", rec)
+			t.Errorf("region without jobs has a record: %+v", rec)
 		}
 	})
 	return finish
 }
 
-// All controllers are restarted one by one during a batch window: the deadlines stay the same, no
-// work is repeated, and it finishes when an undisturbed window does, but for the time without a
-// leader.
+// All controllers are restarted one by one during a batch window. A next leader that didn't take
+// over the schedule would change deadlines or repeat tasks. The window must finish when an
+// undisturbed one does, apart from the time without a leader.
 func TestAllControllersAreReplacedDuringABatchWindow(t *testing.T) {
-	calm := runBatchWindow(t, func(*fake.Cluster) {})
+	undisturbed := runBatchWindow(t, func(*fake.Cluster) {})
 	replaced := runBatchWindow(t, func(w *fake.Cluster) {
 		for range 3 {
 			restartLeader(w)
 			time.Sleep(12 * time.Second)
 		}
 	})
-	t.Logf("finished after %v, and with all controllers replaced after %v (simulated)", calm, replaced)
-	// After a few seconds without a leader, or by the phase of the workers' heartbeats, the work
-	// left at the end may need one more round of tasks: there are two possible finishes, 46 s
-	// apart.
-	if replaced > calm+time.Minute {
-		t.Errorf("finished after %v, and untroubled after %v", replaced, calm)
+	t.Logf("finished after %v, and with all controllers replaced after %v (simulated)", undisturbed, replaced)
+	// A few seconds without a leader, or another phase of the workers' heartbeats, may make the last
+	// tasks need one more round. So there are two possible finish times, 46 s apart.
+	if replaced > undisturbed+time.Minute {
+		t.Errorf("finished after %v, undisturbed after %v", replaced, undisturbed)
 	}
 }
 
-// The leader is paused across the opening, crashes before it, or nobody can write to the store: the
-// outcome is decided once, by when layers were complete and known to be.
+// The leader is paused across the opening, crashes before it, or nobody can write to the store. Two
+// leaders could record different outcomes then. The outcome must be decided once, by when the jobs
+// were complete and their completion was known.
 func TestWindowOutcomeIsDecidedOnceUnderFaults(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		ends   string // when the last layer's tasks end, roughly
-		begin  func(w *fake.Cluster) (end func())
-		how    calendar.Result
-		done   int
-		within time.Duration // the lateness is at most this
+		name          string
+		lastJobEnds   string // when the last job's tasks end, roughly
+		inject        func(w *fake.Cluster) (end func())
+		wantResult    calendar.Result
+		wantCompleted int
+		maxLateness   time.Duration
 	}{
 		{"the leader stands still, all was done", "00:07:00", stallLeader, calendar.ResultMet, 3, 0},
 		{"the leader stands still, not all is done", "00:14:00", stallLeader, calendar.ResultIncomplete, 2, 0},
@@ -173,19 +177,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 4, LeaseS: 200}, func(t *testing.T, w *fake.Cluster) {
 				applyPlan(t, w, 0, nightPlan)
-				at, err := time.Parse("15:04:05", c.ends)
+				at, err := time.Parse("15:04:05", c.lastJobEnds)
 				if err != nil {
 					t.Fatal(err)
 				}
 				long := at.Sub(at.Truncate(24*time.Hour)) - time.Since(time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC))
 				mustSubmit(t, w, tileJob(1, 3, 60), tileJob(2, 2, 100), tileJob(3, 1, long.Seconds()-8))
 				sleepUntilClock("00:09:50")
-				end := c.begin(w)
+				end := c.inject(w)
 				sleepUntilClock("00:12:30")
 				end()
 				o := awaitWindowOutcome(t, w)
-				if o.Result != c.how || o.Completed != c.done || o.Jobs != 3 || time.Duration(o.LateMs)*time.Millisecond > c.within || c.how == calendar.ResultLate && o.LateMs <= 0 {
-					t.Errorf("%+v", o)
+				if o.Result != c.wantResult || o.Completed != c.wantCompleted || o.Jobs != 3 || time.Duration(o.LateMs)*time.Millisecond > c.maxLateness || c.wantResult == calendar.ResultLate && o.LateMs <= 0 {
+					t.Errorf("outcome %+v", o)
 				}
 				mustReach(t, w, "wk-000003", wire.JobDone, 20*time.Minute)
 			})
@@ -193,31 +197,36 @@
 	}
 }
 
+// stallLeader pauses the leader's process. The returned function resumes it.
 func stallLeader(w *fake.Cluster) func() {
 	i := w.Leader()
 	w.PauseNode(i)
 	return func() { w.ResumeNode(i) }
 }
 
+// crashLeader kills the leader. The returned function starts its node again.
 func crashLeader(w *fake.Cluster) func() {
 	i := w.Leader()
 	w.KillNode(i)
 	return func() { w.StartNode(i) }
 }
 
+// partitionLeaderFromStore partitions the leader from the key-value store. The returned function ends
+// the partition.
 func partitionLeaderFromStore(w *fake.Cluster) func() {
 	i := w.Leader()
 	w.PartitionNode(i, "state")
 	return func() { w.HealNode(i, "state") }
 }
 
+// storeOutage begins an outage of the key-value store. The returned function ends it.
 func storeOutage(w *fake.Cluster) func() {
 	w.Store.SetOutage(true)
 	return func() { w.Store.SetOutage(false) }
 }
 
-// A plan applied during the batch window makes the opening earlier, and the leader crashes: the new
-// deadline counts.
+// A plan applied during the batch window makes the opening earlier, and then the leader crashes. The
+// next leader must not go on with the earlier plan's deadline.
 func TestPlanChangeMakesAWindowEndEarlier(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
@@ -227,32 +236,32 @@
 			t.Fatalf("%+v", n)
 		}
 		applyPlan(t, w, 1, strings.ReplaceAll(nightPlan, "00:12", "00:09"))
-		lost := w.Leader()
-		w.KillNode(lost)
+		killed := w.Leader()
+		w.KillNode(killed)
 		sleepUntilClock("00:04:00")
 		n := windowRecord(t, w, "here").Windows
 		if len(n) != 1 || n[0].DeadlineMs%3600_000 != 420_000 || !n[0].Forecast.AtRisk {
 			t.Fatalf("%+v", n)
 		}
-		said := ""
+		causes := ""
 		for _, r := range n[0].Reforecasts {
-			said += r.Cause + "; "
+			causes += r.Cause + "; "
 		}
-		if !strings.Contains(said, "the night began") || !strings.Contains(said, "the plan changed") && !strings.Contains(said, "another leader leads") {
-			t.Errorf("forecasts were made again because %s", said)
+		if !strings.Contains(causes, "the night began") || !strings.Contains(causes, "the plan changed") && !strings.Contains(causes, "another leader leads") {
+			t.Errorf("causes of reforecasts are %q", causes)
 		}
 		l := w.Leader()
 		for _, i := range []int{l, (l + 1) % 3, (l + 2) % 3} {
-			if i == lost {
+			if i == killed {
 				continue
 			}
-			v := getOverview(t, w, i).Cluster.BatchWindows
-			if len(v) != 2 || v[0].Region != "here" || v[0].Stale || v[0].Windows[0].DeadlineMs != n[0].DeadlineMs || v[0].Windows[0].Completed != 1 || len(v[1].Windows) > 0 {
-				t.Errorf("node %d shows %+v", i, v)
+			shown := getOverview(t, w, i).Cluster.BatchWindows
+			if len(shown) != 2 || shown[0].Region != "here" || shown[0].Stale || shown[0].Windows[0].DeadlineMs != n[0].DeadlineMs || shown[0].Windows[0].Completed != 1 || len(shown[1].Windows) > 0 {
+				t.Errorf("node %d shows windows %+v", i, shown)
 			}
 		}
 		if text := getOperatorPath(t, w, l, controller.PathMetrics); !strings.Contains(text, "umberdeal_night_jobs_open 1") || !strings.Contains(text, "umberdeal_nights_at_risk 1") {
-			t.Error("the gauges don't show the night")
+			t.Error("the gauges don't show one open job and one window at risk")
 		}
 		if o := awaitWindowOutcome(t, w); o.Result != calendar.ResultLate || o.Completed != 2 || o.OpeningMs%3600_000 != 540_000 {
 			t.Errorf("%+v", o)
@@ -260,8 +269,8 @@
 	})
 }
 
-// Half of the machines are lost at once, and the leader with them: a reforecast is recorded with
-// its cause, and the window's jobs go first on the machines that are left.
+// Half of the machines are lost at once, and then the leader. The window is missed unless its jobs
+// go first on the machines that are left. A reforecast must be recorded with its cause.
 func TestHalfOfTheMachinesAreLost(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
@@ -278,17 +287,17 @@
 		}
 		w.Cloud.SetBootTimes(func(int) time.Duration { return -1 })
 		sleepUntilClock("00:01:50")
-		said := ""
+		causes := ""
 		for _, r := range windowRecord(t, w, "here").Windows[0].Reforecasts {
-			said += r.Cause + "; "
+			causes += r.Cause + "; "
 		}
-		if !strings.Contains(said, "machines lost: 3 of 6 are left") {
-			t.Errorf("forecasts were made again because %s", said)
+		if !strings.Contains(causes, "machines lost: 3 of 6 are left") {
+			t.Errorf("causes of reforecasts are %q", causes)
 		}
 		w.KillNode(w.Leader())
 		awaitAllDone(t, w, ids...)
 		if w.FinishedTasks("wk-000100") >= 12 {
-			t.Errorf("%d tasks of the day's work were done first", w.FinishedTasks("wk-000100"))
+			t.Errorf("%d tasks of the day job were done before the window's jobs, want fewer than 12", w.FinishedTasks("wk-000100"))
 		}
 		if o := awaitWindowOutcome(t, w); o.Result != calendar.ResultMet || o.Completed != 6 {
 			t.Errorf("%+v", o)
@@ -296,12 +305,12 @@
 	})
 }
 
-// Batch windows at special dates (daylight saving changes and the like), each with all controllers
-// restarted one by one across the opening.
+// At special dates, such as changes of daylight saving time, an opening could be computed with the
+// wrong offset or for the wrong day. All controllers are restarted one by one across each opening.
 func TestBatchWindowsOfSpecialDates(t *testing.T) {
 	for _, c := range []struct {
 		name, begin, zone, region string
-		want                      string // the opening, or none in this window
+		want                      string // the opening, "" if there is none in this window
 	}{
 		{"daylight saving begins", "2000-03-26T00:40:00Z", "Europe/Brussels", `open = { sat = "23:00", sun = "03:05" }
 evening = "01:40"`, "2000-03-26T03:05:00+02:00"},
@@ -341,7 +350,7 @@
 						t.Errorf("%+v", rec)
 					}
 				} else if o := awaitWindowOutcome(t, w); o.Result != calendar.ResultMet || o.Completed != 1 || time.UnixMilli(o.OpeningMs).Format(time.RFC3339) != mustParseTime(t, c.want).Local().Format(time.RFC3339) {
-					t.Errorf("%+v, opens %v", o, time.UnixMilli(o.OpeningMs))
+					t.Errorf("outcome %+v, opening at %v", o, time.UnixMilli(o.OpeningMs))
 				}
 				for _, b := range w.Violations() {
 					t.Errorf("rule broken: %s", b)
@@ -360,8 +369,9 @@
 	return at
 }
 
-// Batch windows with different seeds, with day work of the same priority arriving all the time,
-// together somewhat more than the machines can do. STORY_SEEDS sets how many are run.
+// Day jobs of the same priority arrive all the time, and together with the window's jobs are
+// somewhat more than the machines can do. Without priority for the window's jobs, deadlines are
+// missed; with too much, the day jobs starve. STORY_SEEDS sets the number of seeds.
 func TestBatchDeadlinesAreMetBesideOtherJobs(t *testing.T) {
 	seeds := uint64(2)
 	if n, err := strconv.ParseUint(os.Getenv("STORY_SEEDS"), 10, 64); err == nil {
@@ -371,25 +381,30 @@
 		var sum mixedWindowResult
 		for seed := range seeds {
 			got := runMixedWindow(t, seed+1, text)
-			sum.met, sum.day, sum.begun, sum.longest = sum.met+got.met, sum.day+got.day, sum.begun+got.begun, max(sum.longest, got.longest)
+			sum.windowsMet, sum.dayJobs, sum.begunInTime = sum.windowsMet+got.windowsMet, sum.dayJobs+got.dayJobs, sum.begunInTime+got.begunInTime
+			sum.longestWait = max(sum.longestWait, got.longestWait)
 			sum.finish += got.finish
-			sum.changes += got.changes
+			sum.storeChanges += got.storeChanges
 		}
 		t.Logf("plan %v: %d of %d nights met, finished after %v on average; %d of %d day jobs begun within 240 s, the longest wait %v; %d changes (simulated)",
-			text != "", sum.met, seeds, (sum.finish / time.Duration(seeds)).Round(time.Second), sum.begun, sum.day, sum.longest.Round(time.Second), sum.changes)
-		if text != "" && (sum.met < int(seeds) || 2*sum.begun < sum.day) {
-			t.Errorf("with the calendar, %d of %d nights met, %d of %d day jobs begun in time", sum.met, seeds, sum.begun, sum.day)
+			text != "", sum.windowsMet, seeds, (sum.finish / time.Duration(seeds)).Round(time.Second), sum.begunInTime, sum.dayJobs, sum.longestWait.Round(time.Second), sum.storeChanges)
+		if text != "" && (sum.windowsMet < int(seeds) || 2*sum.begunInTime < sum.dayJobs) {
+			t.Errorf("with the plan, %d of %d windows met, want all; %d of %d day jobs begun in time, want half", sum.windowsMet, seeds, sum.begunInTime, sum.dayJobs)
 		}
 	}
 }
 
+// mixedWindowResult is the result of a batch window beside day jobs, or the sum of several.
 type mixedWindowResult struct {
-	met, day, begun int
-	longest, finish time.Duration
-	changes         int // changes in the key-value store
+	windowsMet   int
+	dayJobs      int
+	begunInTime  int // day jobs that began within 240 s
+	longestWait  time.Duration
+	finish       time.Duration // from the start until the window's jobs were done
+	storeChanges int           // changes in the key-value store
 }
 
-// runMixedWindow runs a batch window during which two leaders crash.
+// runMixedWindow runs a batch window under the plan, "" for none. Two leaders crash during it.
 func runMixedWindow(t *testing.T, seed uint64, text string) (got mixedWindowResult) {
 	t.Helper()
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4, Seed: seed}, func(t *testing.T, w *fake.Cluster) {
@@ -435,16 +450,16 @@
 				finish = time.Now()
 			}
 		}
-		got.finish, got.changes = finish.Sub(began), w.Store.Changes()
+		got.finish, got.storeChanges = finish.Sub(began), w.Store.Changes()
 		if finish.Before(end) {
-			got.met = 1
+			got.windowsMet = 1
 		}
 	})
 	return got
 }
 
-// watch records which of the day's jobs have begun.
-func (x *mixedWindowResult) watch(w *fake.Cluster, came map[string]time.Time) {
+// watch counts the day jobs that have begun, and removes them from came.
+func (r *mixedWindowResult) watch(w *fake.Cluster, came map[string]time.Time) {
 	for id, at := range came {
 		began := w.FinishedTasks(id) > 0
 		for k := range 3 {
@@ -454,19 +469,20 @@
 			continue
 		}
 		wait := time.Since(at)
-		x.day++
+		r.dayJobs++
 		if wait <= 240*time.Second {
-			x.begun++
+			r.begunInTime++
 		}
-		x.longest = max(x.longest, wait)
+		r.longestWait = max(r.longestWait, wait)
 		delete(came, id)
 	}
 }
 
-// runScaleOutAheadWindow runs a batch window with a layer of that many tasks of a minute each, on
-// machines with room for eight of them that take a minute to boot; one is there from the start. It
-// returns the outcome, how many machines were rented, and for how many seconds machines were paid.
-func runScaleOutAheadWindow(t *testing.T, o fake.Options, tasks int, opens string, trouble func(w *fake.Cluster)) (out calendar.Outcome, rented, paid int) {
+// runScaleOutAheadWindow runs a batch window with one job of that many tasks of a minute each. A
+// machine has room for eight of them and takes a minute to boot. One machine is there from the
+// start. It returns the outcome, how many machines were rented, and for how many seconds machines
+// were paid.
+func runScaleOutAheadWindow(t *testing.T, o fake.Options, tasks int, opens string, injectFaults func(w *fake.Cluster)) (out calendar.Outcome, rented, paid int) {
 	t.Helper()
 	big := fake.DefaultType
 	big.CPUs, big.MemoryGB, big.BootS = 32, 256, 60
@@ -475,7 +491,7 @@
 		sleepUntilClock("00:00:40") // by now the leader knows its machines
 		applyPlan(t, w, 0, strings.ReplaceAll(nightPlan, "00:12", opens))
 		mustSubmit(t, w, tileJob(1, tasks, 60))
-		go trouble(w)
+		go injectFaults(w)
 		over := make(chan struct{})
 		defer close(over)
 		go func() {
@@ -490,13 +506,13 @@
 		}()
 		if o.Capacity == 1 {
 			sleepUntilClock("00:01:00")
-			// Rentals are retried all the time: a forecast made just after a request assumes that
-			// the machines are coming.
+			// Rentals are retried all the time. A forecast made just after a request assumes that the
+			// machines will come.
 			if !scenario.Eventually(4*time.Minute, time.Second, func() bool {
 				n := windowRecord(t, w, "here").Windows
 				return len(n) == 1 && strings.Contains(n[0].Forecast.Reason, "no machines are to be had")
 			}) {
-				t.Errorf("no forecast names the cloud: %+v", windowRecord(t, w, "here").Windows)
+				t.Errorf("no forecast says that the cloud has no machines: %+v", windowRecord(t, w, "here").Windows)
 			}
 		}
 		out = awaitWindowOutcome(t, w)
@@ -505,25 +521,25 @@
 		}
 		time.Sleep(90 * time.Second)
 		if n := len(w.Cloud.Machines()); n > 2 {
-			t.Errorf("%d machines are kept when all is done", n)
+			t.Errorf("%d machines remain 90 s after the last job, want at most 2", n)
 		}
 		rented = w.Cloud.RentedMachines()
 	})
 	return out, rented, paid
 }
 
-// A layer of more tasks than one scheduling pass requests room for: without scaling out ahead, each
-// boot time brings room for 64 more tasks only, and the window is late. The same number of machines
-// is rented when the leader crashes in between, and lost machines are replaced in time. Where the
-// cloud has no machines, the forecast says so.
+// The job has more tasks than one scheduling pass requests room for. Without scaling out ahead, each
+// boot time brings room for only 64 more tasks, and the window is late. A leader that crashes between
+// recording and renting must not cause machines to be rented twice. Lost machines are replaced in
+// time. Where the cloud has no machines, the forecast says so.
 func TestBatchWindowsScaleOutAhead(t *testing.T) {
-	plain := 0
+	undisturbedRented := 0
 	for _, c := range []struct {
-		name    string
-		room    int
-		how     calendar.Result
-		trouble func(w *fake.Cluster)
-		extra   int // machines rented beyond those of the undisturbed window
+		name           string
+		capacity       int
+		wantResult     calendar.Result
+		injectFaults   func(w *fake.Cluster)
+		maxExtraRented int // machines rented beyond those of the undisturbed window
 	}{
 		{"untroubled", 200, calendar.ResultMet, func(*fake.Cluster) {}, 0},
 		{"the leader dies between record and rental", 200, calendar.ResultMet, func(w *fake.Cluster) {
@@ -545,13 +561,13 @@
 		{"there are no machines", 1, calendar.ResultIncomplete, func(*fake.Cluster) {}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			o, rented, paid := runScaleOutAheadWindow(t, fake.Options{Capacity: c.room}, 1500, "00:08", c.trouble)
-			t.Logf("%s; %d machines rented, %d machine-seconds (simulated)", o.String(), rented, paid)
-			if o.Result != c.how || rented > plain+c.extra && plain > 0 {
-				t.Errorf("%s, want %s; %d machines rented, untroubled %d", o.String(), c.how, rented, plain)
+			outcome, rented, paid := runScaleOutAheadWindow(t, fake.Options{Capacity: c.capacity}, 1500, "00:08", c.injectFaults)
+			t.Logf("%s; %d machines rented, %d machine-seconds (simulated)", outcome.String(), rented, paid)
+			if outcome.Result != c.wantResult || rented > undisturbedRented+c.maxExtraRented && undisturbedRented > 0 {
+				t.Errorf("%s, want %s; %d machines rented, %d in the undisturbed window", outcome.String(), c.wantResult, rented, undisturbedRented)
 			}
-			if plain == 0 {
-				plain = rented
+			if undisturbedRented == 0 {
+				undisturbedRented = rented
 			}
 		})
 	}
