--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -16,13 +16,14 @@
 )
 
 // A cancellation, a status query or a repeated submission arrives after a job's last task has
-// completed and before the completion is committed. Whichever outcome is committed first holds, at
-// all nodes and for good.
+// completed and before the completion is committed. Nodes could then answer with different outcomes.
+// The outcome that is committed first must hold at all nodes from then on.
 func TestCancellationRacesWithTheLastCompletion(t *testing.T) {
 	t.Run("the job has a key of its own", cancelDuringCompletionOfOneJob)
 	t.Run("the job is on a page with others", cancelDuringCompletionsOnSharedPages)
 }
 
+// cancelDuringCompletionOfOneJob runs jobs one by one, each with a key of its own.
 func cancelDuringCompletionOfOneJob(t *testing.T) {
 	ends := map[string]int{}
 	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
@@ -31,21 +32,21 @@
 			j := shortJob(n + 1)
 			mustSubmit(t, w, j)
 			if !eventually(time.Minute, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
-				t.Fatalf("%s does not run", j.ID)
+				t.Fatalf("%s does not complete", j.ID)
 			}
 			time.Sleep(time.Duration(rnd.IntN(300)) * time.Millisecond)
-			between := w.FinishedTasks(j.ID) == 1 && !keyExists(w, jobstore.FinalKey(j.ID))
-			var looks sync.WaitGroup
-			looks.Go(func() { w.QueryConcurrently(j.ID, 3) })
+			uncommitted := w.FinishedTasks(j.ID) == 1 && !keyExists(w, jobstore.FinalKey(j.ID))
+			var queries sync.WaitGroup
+			queries.Go(func() { w.QueryConcurrently(j.ID, 3) })
 			got := ""
 			for try := 0; got == "" && try < 20; try++ {
 				got = w.CancelAt(w.NodeAddr(rnd.IntN(3)), j.ID)
 			}
-			if between {
+			if uncommitted {
 				met++
 				ends[got]++
 			}
-			looks.Wait()
+			queries.Wait()
 			w.QueryConcurrently(j.ID, 1)
 		}
 		time.Sleep(3 * time.Second)
@@ -53,12 +54,12 @@
 			w.QueryConcurrently(shortJob(n+1).ID, 1)
 		}
 		if keys := w.Store.JobKeys(); len(keys) > 0 {
-			t.Errorf("left of jobs that are over: %v", keys)
+			t.Errorf("records of finished jobs remain: %v", keys)
 		}
 		return met
 	}, bothOutcomesOccurred(ends))
 	if !bothOutcomesOccurred(ends)() {
-		t.Errorf("of those that met, one side always won: %v", ends)
+		t.Errorf("of the cancellations that raced with a completion, one side always won: %v", ends)
 	}
 	t.Log("ends:", ends)
 }
@@ -78,16 +79,16 @@
 	return ""
 }
 
-// headPageOpen reports whether the head page of a page's bucket is open, so that jobs are still
-// added to it.
+// headPageOpen reports whether the head page of a page's bucket is open. Jobs are added to open head
+// pages only.
 func headPageOpen(w *fake.Cluster, page string) bool {
 	bucket, _, ok := jobstore.ParseJobPageKey(page)
 	head, err := jobstore.DecodeJobPage(w.Store.Value(jobstore.HeadPageKey(bucket)))
 	return ok && err == nil && !head.Closed
 }
 
-// submitConcurrently submits so many jobs at once at one node that head pages are opened, and the
-// jobs that follow share pages.
+// submitConcurrently submits jobs at once at one node, and waits until they are accepted. With many
+// jobs, head pages are opened and later jobs share pages.
 func submitConcurrently(t *testing.T, w *fake.Cluster, node int, jobs []wire.Job) {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -105,14 +106,15 @@
 	wg.Wait()
 }
 
-// The jobs of several rounds share pages. Completions, cancellations and submissions change these
-// pages all the time, each by a compare-and-swap that fails if the page has changed in between.
+// cancelDuringCompletionsOnSharedPages runs several rounds of jobs that share pages. Completions,
+// cancellations and submissions change these pages all the time, each by a compare-and-swap that
+// fails if the page has changed in between.
 func cancelDuringCompletionsOnSharedPages(t *testing.T) {
 	ends := map[string]int{}
 	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 		w.Store.SetLatency(time.Duration(5+rnd.IntN(40)) * time.Millisecond)
 		const first, round, rounds = 30, 16, 4
-		n, alone := 0, 0
+		n, withoutPage := 0, 0
 		var mu sync.Mutex
 		for r := range rounds {
 			var jobs []wire.Job
@@ -127,27 +129,27 @@
 				at, after := rnd.IntN(3), time.Duration(rnd.IntN(900))*time.Millisecond
 				wg.Go(func() {
 					if !scenario.Eventually(time.Minute, 5*time.Millisecond, func() bool { return w.FinishedTasks(j.ID) == 1 }) {
-						t.Errorf("%s does not run", j.ID)
+						t.Errorf("%s does not complete", j.ID)
 						return
 					}
 					time.Sleep(after)
 					page := jobPageOf(w, j.ID)
-					between := page != "" && !keyExists(w, jobstore.FinalKey(j.ID))
-					var looks sync.WaitGroup
-					looks.Go(func() { w.QueryConcurrently(j.ID, 2) })
+					uncommitted := page != "" && !keyExists(w, jobstore.FinalKey(j.ID))
+					var queries sync.WaitGroup
+					queries.Go(func() { w.QueryConcurrently(j.ID, 2) })
 					got := ""
 					for try := 0; got == "" && try < 20; try++ {
 						got = w.CancelAt(w.NodeAddr(at), j.ID)
 					}
-					looks.Wait()
+					queries.Wait()
 					w.QueryConcurrently(j.ID, 1)
 					mu.Lock()
 					defer mu.Unlock()
-					if between {
+					if uncommitted {
 						met++
 						ends[got]++
 					} else if page == "" {
-						alone++
+						withoutPage++
 					}
 				})
 			}
@@ -158,20 +160,21 @@
 			w.QueryConcurrently(shortJob(i+1).ID, 1)
 		}
 		if keys := w.Store.JobKeys(); len(keys) > 0 {
-			t.Errorf("left of jobs that are over: %v", keys)
+			t.Errorf("records of finished jobs remain: %v", keys)
 		}
-		t.Logf("%d of %d met on a page, %d were on none or over", met, n, alone)
+		t.Logf("%d of %d cancellations raced with a completion on a page, %d jobs were on no page or finished", met, n, withoutPage)
 		return met
 	}, bothOutcomesOccurred(ends))
 	if !bothOutcomesOccurred(ends)() {
-		t.Errorf("of those that met, one side always won: %v", ends)
+		t.Errorf("of the cancellations that raced with a completion, one side always won: %v", ends)
 	}
 	t.Log("ends:", ends)
 }
 
-// Jobs are cancelled during a failover: just before it, while there is no leader, and while the
-// next leader loads the model. Some of the jobs' tasks run, some are being launched and some are
-// just being placed. All are gone within cancel_s, and stay so when the former leader comes back.
+// Jobs are cancelled just before a failover, while there is no leader, and while the next leader
+// loads the model. Some of their tasks run, some are being launched and some are being placed. A
+// leader that misses a cancellation would keep or start such tasks. All must be gone within cancel_s,
+// and must not come back with the former leader.
 func TestCancellationsDuringFailover(t *testing.T) {
 	for way, name := range []string{"it dies", "it stands still", "the state service refuses it", "it keeps only its workers"} {
 		t.Run(name, func(t *testing.T) { cancelDuringFailover(t, way, false) })
@@ -179,44 +182,44 @@
 	}
 }
 
-// cancelDuringFailover cancels jobs during a failover that is brought about in the given way: the
-// leader is killed, paused, refused by the key-value store, or isolated from all but its workers.
-// With heads set, most of the jobs share pages whose bucket's head page stays open because other
-// jobs keep coming; those submissions and the cancellations change the same pages.
+// cancelDuringFailover cancels jobs during a failover with the given cause: the leader is killed (0),
+// paused (1), refused by the key-value store (2), or isolated from all but its workers (3). With
+// keepHeadsOpen set, most of the jobs share pages whose bucket's head page stays open because other
+// jobs are submitted all the time. Those submissions and the cancellations change the same pages.
 //
 //nolint:revive // flag-parameter: the variants of the test differ in it
-func cancelDuringFailover(t *testing.T, way int, heads bool) {
+func cancelDuringFailover(t *testing.T, cause int, keepHeadsOpen bool) {
 	t.Helper()
 	machines := 6
-	if heads {
-		machines = 12 // room for the jobs that keep coming as well
+	if keepHeadsOpen {
+		machines = 12 // the jobs submitted meanwhile need room too
 	}
 	runInteraction(t, 2, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
-		rnd = rand.New(rand.NewPCG(rnd.Uint64(), uint64(way)))
+		rnd = rand.New(rand.NewPCG(rnd.Uint64(), uint64(cause)))
 		jobs := 16
-		if heads {
+		if keepHeadsOpen {
 			jobs = 32
 			w.Store.SetLatency(20 * time.Millisecond)
-			var opens []wire.Job
+			var openers []wire.Job
 			for n := range 48 {
-				opens = append(opens, shortJob(200+n))
+				openers = append(openers, shortJob(200+n))
 			}
-			submitConcurrently(t, w, rnd.IntN(3), opens)
+			submitConcurrently(t, w, rnd.IntN(3), openers)
 		}
-		var coming sync.WaitGroup
-		over, come := make(chan struct{}), 0
-		if heads {
-			coming.Go(func() {
+		var background sync.WaitGroup
+		failoverDone, submittedMeanwhile := make(chan struct{}), 0
+		if keepHeadsOpen {
+			background.Go(func() {
 				var each sync.WaitGroup
 				defer each.Wait()
-				for ; ; come += 24 {
+				for ; ; submittedMeanwhile += 24 {
 					select {
-					case <-over:
+					case <-failoverDone:
 						return
 					case <-time.After(1500 * time.Millisecond):
 					}
 					for k := range 24 {
-						j := shortJob(300 + come + k)
+						j := shortJob(300 + submittedMeanwhile + k)
 						each.Go(func() {
 							if !w.Submit(j) {
 								t.Errorf("%s was not accepted", j.ID)
@@ -241,7 +244,7 @@
 			for n := from; n < to; n++ {
 				all = append(all, spec(n+1))
 			}
-			if heads {
+			if keepHeadsOpen {
 				submitConcurrently(t, w, rnd.IntN(3), all)
 			} else {
 				mustSubmit(t, w, all...)
@@ -252,12 +255,12 @@
 		submit(jobs/2, jobs)
 		leader := w.Leader()
 		if leader < 0 {
-			t.Fatal("nobody leads")
+			t.Fatal("no node leads")
 		}
 		before := w.Store.Versions("ctl/leader")["ctl/leader"]
 		var mu sync.Mutex
-		var between, late, onPages int
-		var began atomic.Bool
+		var withoutLeader, afterFailover, onOpenPages int
+		var failoverBegan atomic.Bool
 		var wg sync.WaitGroup
 		final := map[string]string{}
 		for n := range jobs {
@@ -280,19 +283,19 @@
 				final[id] = got
 				switch {
 				case got != wire.JobCancelled:
-				case began.Load() && (sent == 0 || sent == before):
-					between++ // the leader that placed its tasks has failed, and no other has taken over yet
+				case failoverBegan.Load() && (sent == 0 || sent == before):
+					withoutLeader++ // the leader that placed its tasks has failed, and no other has taken over yet
 					if open {
-						onPages++
+						onOpenPages++
 					}
 				case now != before:
-					late++
+					afterFailover++
 				}
 			})
 		}
 		time.Sleep(time.Duration(rnd.IntN(100)) * time.Millisecond)
-		began.Store(true)
-		switch way {
+		failoverBegan.Store(true)
+		switch cause {
 		case 0:
 			w.KillNode(leader)
 		case 1:
@@ -307,8 +310,8 @@
 			v := w.Store.Versions("ctl/leader")["ctl/leader"]
 			return v != 0 && v != before
 		})
-		close(over)
-		switch way {
+		close(failoverDone)
+		switch cause {
 		case 0:
 			w.StartNode(leader)
 		case 1:
@@ -318,9 +321,9 @@
 		case 3:
 			w.HealNodeIsolation(leader)
 		}
-		coming.Wait()
-		time.Sleep(45 * time.Second) // the checker of fake.Cluster reports tasks that outlast cancel_s
-		for n := range come {        // jobs accepted meanwhile are not lost
+		background.Wait()
+		time.Sleep(45 * time.Second)        // the checker of fake.Cluster reports tasks that outlast cancel_s
+		for n := range submittedMeanwhile { // jobs accepted meanwhile are not lost
 			mustReach(t, w, shortJob(300+n).ID, wire.JobDone, 2*time.Minute)
 		}
 		for n := range jobs {
@@ -328,7 +331,7 @@
 			if got := final[j.ID]; got != "" {
 				for i := range j.Tasks {
 					if on := w.MachinesRunning(wire.TaskName(j.ID, i)); len(on) > 0 {
-						t.Errorf("%s/%d, of a job that is %s, is on %v", j.ID, i, got, on)
+						t.Errorf("task %s/%d of a job that is %s still runs on %v", j.ID, i, got, on)
 					}
 				}
 			} else if j.Kind == wire.KindArray {
@@ -336,20 +339,20 @@
 			}
 			w.QueryConcurrently(j.ID, 1)
 		}
-		t.Log("between", between, "of them on pages with open heads", onPages, "after", late, "of", len(final), "while", come, "came")
+		t.Log("cancelled without a leader", withoutLeader, "of them on pages with open heads", onOpenPages, "after the failover", afterFailover, "of", len(final), "submitted meanwhile", submittedMeanwhile)
 		switch {
 		case !changed:
 			return 0
-		case heads:
-			return min(onPages, come)
+		case keepHeadsOpen:
+			return min(onOpenPages, submittedMeanwhile)
 		}
-		return between
+		return withoutLeader
 	})
 }
 
-// Submissions at every node are so many that jobs share pages and the limit on writes to the
-// key-value store (25 a second) is used up. Cancellations, each of which changes a page by a
-// compare-and-swap that fails if anybody else has changed it, must still be committed in time.
+// So many jobs are submitted at every node that they share pages and use up the limit on writes to
+// the key-value store (25 a second). A cancellation changes a page by a compare-and-swap, which fails
+// if another writer has changed the page. Cancellations must still be committed in time.
 func TestManySubmissionsDoNotDelayCancellations(t *testing.T) {
 	runInteraction(t, 2, fake.Options{Machines: 6, Capacity: 6, StateRPS: 200, StateWPS: 25}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		var mu sync.Mutex
@@ -364,7 +367,7 @@
 					return
 				}
 				time.Sleep(after)
-				alone := keyExists(w, jobstore.JobKey(j.ID))
+				hasOwnKey := keyExists(w, jobstore.JobKey(j.ID))
 				at := time.Now()
 				got := w.Cancel(j.ID)
 				mu.Lock()
@@ -372,7 +375,7 @@
 				slowest = max(slowest, time.Since(at))
 				if got == wire.JobCancelled {
 					cancelled++
-					if !alone {
+					if !hasOwnKey {
 						onPages++
 					}
 				}
@@ -380,9 +383,9 @@
 			time.Sleep(time.Duration(rnd.IntN(100)) * time.Millisecond)
 		}
 		wg.Wait()
-		for k := range n { // every accepted job is still known, whatever has become of it
+		for k := range n { // every accepted job is still known, also if it is done or cancelled
 			if status := w.QueryStatus(k%3, shortJob(k+1).ID); status == http.StatusNotFound {
-				t.Errorf("%s, which was accepted, is not known", shortJob(k+1).ID)
+				t.Errorf("%s was accepted and is now unknown", shortJob(k+1).ID)
 			}
 		}
 		t.Logf("%d jobs, %d cancelled, %d of them on a page; the slowest took %v", n, cancelled, onPages, slowest)
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -1,3 +1,7 @@
+// Scenarios of faults that interact in requests of users: submissions, status queries and
+// cancellations. Each scenario fails if its faults didn't overlap. docs/fault-interactions.md lists
+// the scenarios, and the guards in the code that make them pass.
+
 package controller_test
 
 import (
@@ -18,14 +22,11 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Scenarios of faults that interact in what users see: submissions, status queries and
-// cancellations. Each asserts that the faults overlapped, and fails if not.
-// docs/fault-interactions.md lists them with the guards that keep the rules.
-
-// runInteraction runs a scenario for a few seeds, or for as many as STORY_SEEDS says, and logs how
-// often its faults interacted. Where both sides of a race must win now and then, it goes on until
-// they have: in a single seed one of them may be missing by chance.
-func runInteraction(t *testing.T, seeds uint64, o fake.Options, play func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int, both ...func() bool) {
+// runInteraction runs a scenario with the given number of seeds, or with as many as STORY_SEEDS sets.
+// play returns how often the faults interacted, which must not be 0. The functions in bothWon report
+// whether each side of a race has won so far. Up to eight more seeds are run until all of them do,
+// since one side may never win in a single seed by chance.
+func runInteraction(t *testing.T, seeds uint64, o fake.Options, play func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int, bothWon ...func() bool) {
 	t.Helper()
 	if n, many := seedCount(); many {
 		seeds = n
@@ -33,24 +34,24 @@
 		seeds = 1
 	}
 	const moreSeeds = 8
-	oneSided := func() bool { return slices.ContainsFunc(both, func(won func() bool) bool { return !won() }) }
+	oneSided := func() bool { return slices.ContainsFunc(bothWon, func(won func() bool) bool { return !won() }) }
 	for seed := uint64(1); seed <= seeds || seed <= seeds+moreSeeds && oneSided(); seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			o := o
 			o.Seed = seed
 			runScenario(t, o, func(t *testing.T, w *fake.Cluster) {
-				met := play(t, w, rand.New(rand.NewPCG(seed, 29)))
-				if met == 0 {
-					t.Error("the troubles missed one another")
+				interactions := play(t, w, rand.New(rand.NewPCG(seed, 29)))
+				if interactions == 0 {
+					t.Error("the faults did not interact")
 				}
-				t.Logf("they met %d times", met)
+				t.Logf("the faults interacted %d times", interactions)
 			})
 		})
 	}
 }
 
-// bothOutcomesOccurred returns a function that reports whether some jobs ended as done and some as
-// cancelled.
+// bothOutcomesOccurred returns a function for runInteraction. It reports whether some jobs ended as
+// done and some as cancelled.
 func bothOutcomesOccurred(ends map[string]int) func() bool {
 	return func() bool { return ends[wire.JobDone] > 0 && ends[wire.JobCancelled] > 0 }
 }
@@ -60,8 +61,8 @@
 	return job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 2, 0.1 })
 }
 
-// eventually waits for a condition that may hold for a moment only, checking every millisecond, and
-// reports whether it held.
+// eventually waits for a condition that may hold for a moment only. It checks every millisecond, and
+// reports whether the condition held.
 func eventually(within time.Duration, ok func() bool) bool {
 	return scenario.Eventually(within, time.Millisecond, ok)
 }
@@ -71,21 +72,21 @@
 }
 
 // Clients query all nodes within milliseconds, and submit once more, just after their job was
-// accepted, was done or was cancelled. The key-value store refuses one node, which asks the others,
-// and nodes are paused for a moment again and again. No answer is older than one that the client
-// had before it asked.
+// accepted, done or cancelled. The key-value store refuses one node, which asks the others instead.
+// Nodes are paused repeatedly for a moment. A node with an old view could answer with an older state
+// than the client has already seen. The checker reports such answers.
 func TestAllPeersAreQueriedConcurrently(t *testing.T) {
 	runInteraction(t, 3, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		w.Store.SetLatency(time.Duration(rnd.IntN(40)) * time.Millisecond)
 		refused := rnd.IntN(3)
 		w.Store.RefuseNode(w.Nodes()[refused])
 		time.Sleep(6 * time.Second) // it may have been the leader
-		over := make(chan struct{})
-		var stands, wg sync.WaitGroup
-		stands.Go(func() {
+		done := make(chan struct{})
+		var pauses, wg sync.WaitGroup
+		pauses.Go(func() {
 			for i := 0; ; i++ {
 				select {
-				case <-over:
+				case <-done:
 					return
 				case <-time.After(300 * time.Millisecond):
 				}
@@ -94,12 +95,12 @@
 				w.ResumeNode((refused + 1 + i%2) % 3)
 			}
 		})
-		var byWay, looks atomic.Int64
-		look := func(id string) {
-			told := w.QueryConcurrently(id, 2)
-			byWay.Add(int64(told[refused]))
-			for _, n := range told {
-				looks.Add(int64(n))
+		var answersOfRefused, answers atomic.Int64
+		query := func(id string) {
+			counts := w.QueryConcurrently(id, 2)
+			answersOfRefused.Add(int64(counts[refused]))
+			for _, n := range counts {
+				answers.Add(int64(n))
 			}
 		}
 		for n := range 15 {
@@ -111,7 +112,7 @@
 					return
 				}
 				if cancels != 0 {
-					look(j.ID)
+					query(j.ID)
 				}
 				if cancels <= 1 {
 					time.Sleep(time.Duration(cancels) * wait)
@@ -123,25 +124,25 @@
 				} else if !scenario.Eventually(time.Minute, 50*time.Millisecond, func() bool { return w.PollState(w.NodeAddr(at), j.ID) == wire.JobDone }) {
 					t.Errorf("%s is not done", j.ID)
 				}
-				look(j.ID)
+				query(j.ID)
 			})
 		}
 		wg.Wait()
-		close(over)
-		stands.Wait()
+		close(done)
+		pauses.Wait()
 		w.Store.AcceptNode(w.Nodes()[refused])
-		if looks.Load() < 100 {
-			t.Errorf("%d answers in all", looks.Load())
+		if answers.Load() < 100 {
+			t.Errorf("%d answers in total, want at least 100", answers.Load())
 		}
-		return int(byWay.Load())
+		return int(answersOfRefused.Load())
 	})
 }
 
-// A node's transaction is carried out at once and only its reply is lost: other nodes read the
-// change, and act on it, before its sender knows of it. What the sender answers then must not be
-// older than what they have answered.
+// A node's transaction is carried out at once and only its reply is lost. Other nodes read the change
+// and act on it before the sender knows of it. The sender's answer to its client must not be older
+// than the answers of the other nodes.
 func TestPeersReadCommitsUnknownToTheirSender(t *testing.T) {
-	lose := func(w *fake.Cluster, rnd *rand.Rand, key string) bool {
+	loseReply := func(w *fake.Cluster, rnd *rand.Rand, key string) bool {
 		w.Store.DropReplies(0, 1, rnd.Uint64())
 		met := eventually(5*time.Second, func() bool { return keyExists(w, key) })
 		w.Store.DropReplies(0, 0, 0)
@@ -150,22 +151,22 @@
 	t.Run("a submission", func(t *testing.T) {
 		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
-				j, a := shortJob(n+1), rnd.IntN(3)
-				b := (a + 1 + rnd.IntN(2)) % 3
-				var knows atomic.Bool
+				j, sender := shortJob(n+1), rnd.IntN(3)
+				reader := (sender + 1 + rnd.IntN(2)) % 3
+				var answered atomic.Bool
 				var wg sync.WaitGroup
 				var status int
 				var state string
-				wg.Go(func() { status, state = w.SubmitTo(a, j); knows.Store(true) })
-				if !lose(w, rnd, jobstore.JobKey(j.ID)) {
+				wg.Go(func() { status, state = w.SubmitTo(sender, j); answered.Store(true) })
+				if !loseReply(w, rnd, jobstore.JobKey(j.ID)) {
 					t.Errorf("%s is not in the store", j.ID)
 				}
-				read := w.PollState(w.NodeAddr(b), j.ID) != "" && !knows.Load()
+				read := w.PollState(w.NodeAddr(reader), j.ID) != "" && !answered.Load()
 				want := ""
 				if rnd.IntN(2) == 0 {
 					time.Sleep(time.Duration(rnd.IntN(1500)) * time.Millisecond)
-					want = w.CancelAt(w.NodeAddr(b), j.ID)
-					read = read && want != "" && !knows.Load()
+					want = w.CancelAt(w.NodeAddr(reader), j.ID)
+					read = read && want != "" && !answered.Load()
 				}
 				w.QueryConcurrently(j.ID, 1)
 				wg.Wait()
@@ -173,7 +174,7 @@
 					met++
 				}
 				if status != http.StatusOK || read && want != "" && state != want {
-					t.Errorf("%s: the sender says %d, %q, others %q", j.ID, status, state, want)
+					t.Errorf("%s: the sender answered %d, %q, another node %q", j.ID, status, state, want)
 				}
 				w.QueryConcurrently(j.ID, 1)
 			}
@@ -183,23 +184,23 @@
 	t.Run("a cancellation", func(t *testing.T) {
 		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
-				j, a := job(n+1, func(j *wire.Job) { j.Tasks, j.EstimateS = 1, 60 }), rnd.IntN(3)
+				j, sender := job(n+1, func(j *wire.Job) { j.Tasks, j.EstimateS = 1, 60 }), rnd.IntN(3)
 				mustSubmit(t, w, j)
 				time.Sleep(time.Duration(rnd.IntN(6000)) * time.Millisecond)
-				var knows atomic.Bool
+				var answered atomic.Bool
 				var wg sync.WaitGroup
 				var state string
-				wg.Go(func() { state = w.CancelAt(w.NodeAddr(a), j.ID); knows.Store(true) })
-				if !lose(w, rnd, jobstore.FinalKey(j.ID)) {
+				wg.Go(func() { state = w.CancelAt(w.NodeAddr(sender), j.ID); answered.Store(true) })
+				if !loseReply(w, rnd, jobstore.FinalKey(j.ID)) {
 					t.Errorf("%s is not cancelled in the store", j.ID)
 				}
-				if w.PollState(w.NodeAddr((a+1)%3), j.ID) == wire.JobCancelled && !knows.Load() {
+				if w.PollState(w.NodeAddr((sender+1)%3), j.ID) == wire.JobCancelled && !answered.Load() {
 					met++
 				}
 				w.QueryConcurrently(j.ID, 1)
 				wg.Wait()
 				if state != wire.JobCancelled {
-					t.Errorf("%s: the sender says %q", j.ID, state)
+					t.Errorf("%s: the sender answered %q", j.ID, state)
 				}
 				w.QueryConcurrently(j.ID, 1)
 			}
@@ -215,15 +216,15 @@
 					t.Fatalf("%s does not run", j.ID)
 				}
 				started := w.Started()
-				if !lose(w, rnd, jobstore.FinalKey(j.ID)) {
-					t.Errorf("%s is not over in the store", j.ID)
+				if !loseReply(w, rnd, jobstore.FinalKey(j.ID)) {
+					t.Errorf("%s has no final record in the store", j.ID)
 				}
 				if sent, _ := w.Store.UnansweredTransactions(); sent > met {
 					met++
 				}
 				// The leader gets no reply for 2 s.
 				if got := w.CancelAt(w.NodeAddr(rnd.IntN(3)), j.ID); got != wire.JobDone {
-					t.Errorf("cancelling %s, which is done, is answered %q", j.ID, got)
+					t.Errorf("cancelling %s, which is done, returned %q", j.ID, got)
 				}
 				w.QueryConcurrently(j.ID, 2)
 				time.Sleep(10 * time.Second)
@@ -245,16 +246,16 @@
 				w.Store.DropReplies(0, 0, 0)
 				started := w.Started()
 				if got := w.CancelAt(w.NodeAddr(rnd.IntN(3)), j.ID); got != wire.JobCancelled {
-					t.Errorf("cancelling %s is answered %q", j.ID, got)
+					t.Errorf("cancelling %s returned %q", j.ID, got)
 				}
-				// The placement is committed, and the leader doesn't know it.
+				// The placement is committed, and the leader got no reply.
 				if sent, done := w.Store.UnansweredTransactions(); sent > had && done == sent && len(w.Store.Keys(strings.TrimSuffix(jobstore.PlacementPageKey(0), "0"))) > 0 {
 					met++
 				}
 				w.QueryConcurrently(j.ID, 1)
 				time.Sleep(8 * time.Second)
 				if n := w.Started() - started; n > 0 || len(w.MachinesRunning(j.ID+"/0")) > 0 {
-					t.Errorf("%s, which is cancelled, was started %d times", j.ID, n)
+					t.Errorf("%s is cancelled and was started %d times", j.ID, n)
 				}
 			}
 			return met
@@ -262,14 +263,14 @@
 	})
 }
 
-// A transaction has no reply because it is still in flight, and is carried out long after its
-// sender has given up on it: taking it for carried out before then is wrong.
+// A transaction has no reply because it is still in flight. It is carried out long after its sender
+// has given up on it. A sender that takes it for carried out before then gives wrong answers.
 func TestUnansweredRequestsWereNotExecuted(t *testing.T) {
 	t.Run("a cancellation", func(t *testing.T) {
 		ends := map[string]int{}
 		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
-				j, a := shortJob(n+1), rnd.IntN(3)
+				j, sender := shortJob(n+1), rnd.IntN(3)
 				if n%3 == 2 {
 					j.EstimateS = 60
 				}
@@ -278,32 +279,32 @@
 					t.Fatalf("%s does not run", j.ID)
 				}
 				time.Sleep(randomDuration(rnd, 500*time.Millisecond, 1500*time.Millisecond))
-				come := w.Store.HoldNextTransactionOn(jobstore.FinalKey(j.ID))
-				defer come()
-				var knows atomic.Bool
+				deliver := w.Store.HoldNextTransactionOn(jobstore.FinalKey(j.ID))
+				defer deliver()
+				var answered atomic.Bool
 				var wg sync.WaitGroup
 				var state string
-				wg.Go(func() { state = w.CancelAt(w.NodeAddr(a), j.ID); knows.Store(true) })
-				onItsWay := eventually(time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
-				// Its sender reads the store again after 2 s: by then the job may have ended.
-				ended := eventually(10*time.Second, func() bool { return knows.Load() || keyExists(w, jobstore.FinalKey(j.ID)) })
-				if onItsWay && ended && !knows.Load() {
+				wg.Go(func() { state = w.CancelAt(w.NodeAddr(sender), j.ID); answered.Store(true) })
+				inFlight := eventually(time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
+				// The sender reads the store again after 2 s. The job may have ended by then.
+				ended := eventually(10*time.Second, func() bool { return answered.Load() || keyExists(w, jobstore.FinalKey(j.ID)) })
+				if inFlight && ended && !answered.Load() {
 					met++
 				}
 				wg.Wait()
 				if want := w.PollState(w.AnyNodeAddr(), j.ID); state != want {
-					t.Errorf("%s: the sender says %q, and it is %q", j.ID, state, want)
+					t.Errorf("%s: the sender answered %q, the job is %q", j.ID, state, want)
 				}
 				ends[state]++
 				w.QueryConcurrently(j.ID, 1)
-				come()
+				deliver()
 				time.Sleep(time.Second)
 				w.QueryConcurrently(j.ID, 1)
 			}
 			return met
 		}, bothOutcomesOccurred(ends))
 		if !bothOutcomesOccurred(ends)() {
-			t.Errorf("one side always won: %v", ends)
+			t.Errorf("one outcome always won: %v", ends)
 		}
 		t.Log("ends:", ends)
 	})
@@ -311,11 +312,11 @@
 		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 6 {
 				j, cancels := shortJob(n+1), rnd.IntN(2) == 0
-				come := w.Store.HoldNextTransactionOn(jobstore.FinalKey(j.ID))
-				defer come()
+				deliver := w.Store.HoldNextTransactionOn(jobstore.FinalKey(j.ID))
+				defer deliver()
 				mustSubmit(t, w, j)
 				if !eventually(time.Minute, func() bool { return w.Store.PendingTransactions() > 0 }) {
-					t.Fatalf("no end of %s is on its way", j.ID)
+					t.Fatalf("no transaction with the final record of %s is in flight", j.ID)
 				}
 				if w.FinishedTasks(j.ID) == 1 && !keyExists(w, jobstore.FinalKey(j.ID)) {
 					met++
@@ -326,17 +327,17 @@
 					want = w.Cancel(j.ID)
 				}
 				if !eventually(10*time.Second, func() bool { return keyExists(w, jobstore.FinalKey(j.ID)) }) {
-					t.Errorf("%s, which is done, is not recorded as such", j.ID)
+					t.Errorf("%s is done and has no final record", j.ID)
 				}
 				w.QueryConcurrently(j.ID, 1)
-				come()
+				deliver()
 				time.Sleep(randomDuration(rnd, 0, time.Second))
 				if got := w.PollState(w.AnyNodeAddr(), j.ID); got != want {
-					t.Errorf("%s is %q, and was %q", j.ID, got, want)
+					t.Errorf("%s is %q, and was %q before", j.ID, got, want)
 				}
 			}
 			if !scenario.Eventually(10*time.Second, 100*time.Millisecond, func() bool { return len(w.Store.JobKeys()) == 0 }) {
-				t.Errorf("left of jobs that are over: %v", w.Store.JobKeys())
+				t.Errorf("records of finished jobs remain: %v", w.Store.JobKeys())
 			}
 			return met
 		})
@@ -345,8 +346,8 @@
 		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 			for n := range 4 {
 				j := job(n+1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 20, 0.1 })
-				come := w.Store.HoldNextTransactionOn(pageKeys)
-				defer come()
+				deliver := w.Store.HoldNextTransactionOn(pageKeys)
+				defer deliver()
 				started := w.Started()
 				mustSubmit(t, w, j)
 				if !eventually(20*time.Second, func() bool { return len(w.MachinesRunning(j.ID+"/0")) > 0 }) {
@@ -355,16 +356,16 @@
 				if w.Store.PendingTransactions() > 0 {
 					met++
 				}
-				// The next leader knows only what the store says.
+				// The next leader knows only what is in the store.
 				l := awaitLeader(t, w, 10*time.Second, anyNode)
 				w.KillNode(l)
 				awaitLeader(t, w, 20*time.Second, func(i int) bool { return i != l })
 				time.Sleep(randomDuration(rnd, 0, 5*time.Second))
-				come()
+				deliver()
 				w.StartNode(l)
 				mustFinish(t, w, time.Minute, n+1)
 				if n := w.Started() - started; n != 1 {
-					t.Errorf("%s, of one task, was started %d times", j.ID, n)
+					t.Errorf("%s has one task and was started %d times", j.ID, n)
 				}
 			}
 			return met
@@ -375,23 +376,23 @@
 			time.Sleep(3 * time.Second)
 			for n := range 8 {
 				j := job(n+1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 60, 0.1 })
-				come := w.Store.HoldNextTransactionOn(pageKeys)
-				defer come()
+				deliver := w.Store.HoldNextTransactionOn(pageKeys)
+				defer deliver()
 				mustSubmit(t, w, j)
-				// The leader learns of changes only by the read barriers of its renewals.
+				// Without watches the leader learns of changes only by the read barriers of its renewals.
 				node := w.Nodes()[awaitLeader(t, w, 10*time.Second, anyNode)]
 				w.Store.SilenceWatches(node)
-				onItsWay := eventually(10*time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
+				inFlight := eventually(10*time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
 				started := w.Started()
 				got := w.CancelAt(w.AnyNodeAddr(), j.ID)
-				if onItsWay && got == wire.JobCancelled && w.Store.PendingTransactions() > 0 {
+				if inFlight && got == wire.JobCancelled && w.Store.PendingTransactions() > 0 {
 					met++
 				}
-				come()
+				deliver()
 				time.Sleep(randomDuration(rnd, 4*time.Second, 6*time.Second))
 				w.Store.ResumeWatches(node)
 				if n := w.Started() - started; n > 0 || len(w.MachinesRunning(j.ID+"/0")) > 0 {
-					t.Errorf("%s, which is cancelled, was started %d times", j.ID, n)
+					t.Errorf("%s is cancelled and was started %d times", j.ID, n)
 				}
 			}
 			return met
@@ -399,9 +400,10 @@
 	})
 }
 
-// Unusual requests arrive at every node while all is well, while many jobs are submitted, while the
-// key-value store refuses one node, while it is out, and after all nodes have been restarted: each
-// gets its proper answer, or a temporary refusal.
+// Unusual requests arrive at every node without faults, while many jobs are submitted, while the
+// key-value store refuses one node, during an outage of the store, and after all nodes have been
+// restarted. A node that is not ready could answer them wrongly. Each must get its proper answer or a
+// temporary refusal.
 func TestUnusualRequestsDuringFaults(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 20}, {Name: "edge"}}
 	runInteraction(t, 3, fake.Options{Machines: 4, Capacity: 4, Teams: teams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
@@ -409,22 +411,22 @@
 			mustSubmit(t, w, shortJob(n+1), job(100+n, func(j *wire.Job) { j.Team, j.Kind, j.EstimateS = "edge", wire.KindService, 0 }))
 		}
 		mustFinish(t, w, time.Minute, 1, 2, 3, 4, 5, 6)
-		odd := func(when string, least int) {
-			all := w.SendUnusualRequests(20)
-			t.Log(when, all)
-			if all.Known < least || all.Refused < least || all.Unknown < least {
-				t.Errorf("%s: only %+v were answered", when, all)
+		sendUnusual := func(when string, least int) {
+			answers := w.SendUnusualRequests(20)
+			t.Log(when, answers)
+			if answers.Known < least || answers.Refused < least || answers.Unknown < least {
+				t.Errorf("%s: only %+v were answered", when, answers)
 			}
-			met += all.Known
+			met += answers.Known
 		}
-		odd("quiet", 3)
-		over, calm := make(chan struct{}), sync.WaitGroup{}
-		calm.Go(func() {
+		sendUnusual("no faults", 3)
+		stop, load := make(chan struct{}), sync.WaitGroup{}
+		load.Go(func() {
 			var wg sync.WaitGroup
 			defer wg.Wait()
 			for n := range 500 {
 				select {
-				case <-over:
+				case <-stop:
 					return
 				case <-time.After(10 * time.Millisecond):
 				}
@@ -438,63 +440,64 @@
 			head, err := jobstore.DecodeJobPage(w.Store.Value(key))
 			return jobstore.IsHeadPageKey(key) && err == nil && !head.Closed
 		}) {
-			t.Error("no head is open: there is no crowd")
+			t.Error("no head page is open: the load is too small")
 		}
-		odd("a crowd", 3)
-		close(over)
-		calm.Wait()
+		sendUnusual("many submissions", 3)
+		close(stop)
+		load.Wait()
 		refused := rnd.IntN(3)
 		w.Store.RefuseNode(w.Nodes()[refused])
 		time.Sleep(time.Duration(rnd.IntN(2000)) * time.Millisecond)
-		odd("one node is refused", 3)
+		sendUnusual("one node is refused", 3)
 		w.Store.AcceptNode(w.Nodes()[refused])
 		w.Store.SetOutage(true)
 		time.Sleep(time.Duration(rnd.IntN(2000)) * time.Millisecond)
-		odd("an outage", 0)
+		sendUnusual("an outage", 0)
 		w.KillAll()
 		w.Store.SetOutage(false)
 		w.Cloud.SetOutage(true)
 		w.StartAll()
 		time.Sleep(time.Duration(300+rnd.IntN(3000)) * time.Millisecond)
-		odd("all begin anew", 0)
+		sendUnusual("all nodes restarted", 0)
 		w.Cloud.SetOutage(false)
 		time.Sleep(10 * time.Second)
-		odd("quiet again", 3)
+		sendUnusual("no faults any more", 3)
 		return met
 	})
 }
 
-// The transaction that accepts a job hangs, and nobody knows whether it will be carried out:
-// meanwhile the other nodes don't know the job and say so at once. It is carried out late, beside
-// the client's next submission or instead of it, and the job is accepted once.
+// The transaction that accepts a job hangs, so that no node knows whether it will be carried out.
+// Meanwhile the other nodes answer at once that the job is unknown. The transaction is carried out
+// late, beside the client's next submission or instead of it. The job could be accepted twice then. It
+// must be accepted once.
 func TestAcceptanceIsNeverConfirmedToItsUser(t *testing.T) {
 	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
 		for n := range 6 {
-			j, a := shortJob(n+1), rnd.IntN(3)
+			j, receiver := shortJob(n+1), rnd.IntN(3)
 			w.Store.DelayNextTransaction(time.Duration(3000+rnd.IntN(9000)) * time.Millisecond)
 			var wg sync.WaitGroup
 			var status int
-			kills := rnd.IntN(2) == 0
-			wg.Go(func() { status, _ = w.SubmitTo(a, j) })
+			killReceiver := rnd.IntN(2) == 0
+			wg.Go(func() { status, _ = w.SubmitTo(receiver, j) })
 			time.Sleep(time.Duration(20+rnd.IntN(1500)) * time.Millisecond)
-			for b := range 3 {
-				if w.QueryStatus(b, j.ID) == http.StatusNotFound && !keyExists(w, jobstore.JobKey(j.ID)) {
+			for node := range 3 {
+				if w.QueryStatus(node, j.ID) == http.StatusNotFound && !keyExists(w, jobstore.JobKey(j.ID)) {
 					met++
 				} else {
-					t.Errorf("%s is known, or not told to be unknown, at node %d", j.ID, b)
+					t.Errorf("%s: node %d did not answer that the job is unknown", j.ID, node)
 				}
 			}
-			if kills {
-				w.KillNode(a)
+			if killReceiver {
+				w.KillNode(receiver)
 			}
 			wg.Wait()
-			again := rnd.IntN(2) == 0 || !kills
-			if again && !w.Submit(j) {
-				t.Errorf("%s is not accepted, after %d", j.ID, status)
+			resubmit := rnd.IntN(2) == 0 || !killReceiver
+			if resubmit && !w.Submit(j) {
+				t.Errorf("%s is not accepted again after status %d", j.ID, status)
 			}
-			w.StartNode(a)
+			w.StartNode(receiver)
 			time.Sleep(10 * time.Second)
-			if again {
+			if resubmit {
 				mustReach(t, w, j.ID, wire.JobDone, time.Minute)
 			}
 			w.QueryConcurrently(j.ID, 1)
@@ -504,9 +507,10 @@
 }
 
 // Four single-task jobs a second are submitted for minutes, a quarter of them is cancelled, and
-// clients poll meanwhile: submissions and cancellations are answered, final records are written as
-// fast as jobs end, and no record is left over. Where that is more than the key-value store takes,
-// the leader's own writes wait, and users don't.
+// clients poll meanwhile. Records could pile up, or users could wait behind the leader's writes.
+// Submissions and cancellations must be answered, final records written as fast as jobs end, and no
+// record may remain. If the key-value store takes fewer changes than needed, the leader's own writes
+// wait and users don't.
 func TestManySmallJobsForMinutes(t *testing.T) {
 	t.Run("enough changes a second", func(t *testing.T) {
 		manySmallJobs(t, 3*time.Minute, 25, 60, 2*time.Second, 2*time.Second, 3*time.Second)
@@ -516,17 +520,17 @@
 	})
 }
 
-// manySmallJobs submits jobs while the key-value store takes the given number of changes a second,
-// and asserts that there are at most so many keys of unfinished jobs at once, and that nothing
-// takes longer than its bound.
+// manySmallJobs submits jobs while the key-value store takes the given number of changes a second. It
+// asserts that there are at most maxKeys keys of unfinished jobs at once, and that no acceptance,
+// cancellation or final record takes longer than its bound.
 //
 //nolint:revive // argument-limit: each is a bound of the variant, read at its call
-func manySmallJobs(t *testing.T, during time.Duration, changes float64, keys int, accept, cancel, end time.Duration) {
+func manySmallJobs(t *testing.T, during time.Duration, changesPerSecond float64, maxKeys int, maxAccept, maxCancel, maxFinal time.Duration) {
 	t.Helper()
 	if scenario.UnderRace {
 		during = 30 * time.Second
 	}
-	runInteraction(t, 2, fake.Options{Machines: 10, Capacity: 10, StateRPS: 120, StateWPS: changes}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
+	runInteraction(t, 2, fake.Options{Machines: 10, Capacity: 10, StateRPS: 120, StateWPS: changesPerSecond}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		var slowestAccept, slowestCancel, slowestEnd time.Duration
@@ -574,18 +578,18 @@
 		}
 		wg.Wait()
 		t.Logf("%d jobs, %d cancelled, slowest: accepted %v, cancelled %v, done %v; at most %d keys of unfinished jobs", n, cancelled, slowestAccept, slowestCancel, slowestEnd, most)
-		if slowestAccept > accept || slowestCancel > cancel || slowestEnd > end {
+		if slowestAccept > maxAccept || slowestCancel > maxCancel || slowestEnd > maxFinal {
 			t.Errorf("slowest: accepted %v, cancelled %v, done %v", slowestAccept, slowestCancel, slowestEnd)
 		}
-		if most > keys {
-			t.Errorf("%d keys of unfinished jobs at once", most)
+		if most > maxKeys {
+			t.Errorf("%d keys of unfinished jobs at once, want at most %d", most, maxKeys)
 		}
 		time.Sleep(10 * time.Second)
 		if left := w.Store.JobKeys(); len(left) > 0 {
-			t.Errorf("left of jobs that are over: %v", left)
+			t.Errorf("records of finished jobs remain: %v", left)
 		}
 		if got := len(w.Store.Keys(jobstore.FinalKey(""))); got != n {
-			t.Errorf("%d ends of %d jobs", got, n)
+			t.Errorf("%d final records of %d jobs", got, n)
 		}
 		return cancelled
 	})
