--- a/controller/bucket_owner_test.go
+++ b/controller/bucket_owner_test.go
@@ -12,22 +12,22 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// pageWriters counts, from the logs of all nodes, how often each of them writes to which head pages for
-// users.
+// pageWriters counts the transactions that nodes send to head pages for users. It gets them from the
+// logs of all nodes. It is safe for concurrent use.
 type pageWriters struct {
-	mu           sync.Mutex // guards the fields below
-	since, until time.Time  // what is written earlier or later is ignored
-	writes       map[string]map[string]int
+	mu           sync.Mutex                // guards the fields below
+	since, until time.Time                 // transactions before since or after until are not counted
+	writes       map[string]map[string]int // by page and node
 }
 
-// countBetween begins to count, between two times.
+// countBetween resets the counts, and counts the transactions from since to until.
 func (p *pageWriters) countBetween(since, until time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.since, p.until, p.writes = since, until, map[string]map[string]int{}
 }
 
-// count counts a transaction.
+// count counts a transaction that a node has sent to a page just now.
 func (p *pageWriters) count(page, node string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -47,7 +47,7 @@
 	return p.writes
 }
 
-// pageWriterLog is the log handler of one node that feeds a pageWriters.
+// pageWriterLog is the log handler of one node. It reports the node's transactions to writers.
 type pageWriterLog struct {
 	slog.Handler
 
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// attrValue returns an attribute's value, "" if there is none.
+// attrValue returns the value of the attribute with the given key, or "" if there is none.
 func attrValue(attrs []slog.Attr, key string) string {
 	for _, a := range attrs {
 		if a.Key == key {
@@ -86,11 +86,12 @@
 	return ""
 }
 
-// Controllers pause for two seconds, one after the other. The others left a paused one's buckets to the
-// next owner for three seconds after it had last failed to answer, while it wrote to them itself again: in
-// 3 of 80 plays of TestBucketOwnersAlternateAtTheWriteLimit a cancellation took 10.0 s to 11.8 s, by
-// `transaction ended` with result=conflict at two nodes for the same page, up to 2.7 s after the pause.
-// The others must know within a second that a controller answers again.
+// Controllers pause for two seconds, one after the other. The others assigned a paused controller's
+// buckets to the next owner for three seconds after it had last failed to answer. Meanwhile the
+// controller itself wrote to them again. In 3 of 80 runs of TestBucketOwnersAlternateAtTheWriteLimit a
+// cancellation took 10.0 s to 11.8 s. The logs had `transaction ended` with result=conflict at two nodes
+// for the same page, up to 2.7 s after the pause. The others must know within a second that a controller
+// answers again.
 func TestBucketOwnerWritesAloneOnceItAnswersAgain(t *testing.T) {
 	writers := &pageWriters{}
 	o := fake.Options{Machines: 6, Capacity: 6, Log: slog.New(pageWriterLog{Handler: slog.DiscardHandler, writers: writers})}
@@ -103,16 +104,18 @@
 	})
 }
 
-// checkWritersAfterPause pauses a node while jobs are submitted, and checks that each page has one writer
-// from a second after the pause, before the three seconds are over. It returns the number of pages.
+// checkWritersAfterPause pauses a node for two seconds while jobs are submitted. From one second to 2.5 s
+// after the pause, at least three quarters of the transactions for each page must come from one node.
+// It returns the number of pages with transactions.
 func checkWritersAfterPause(t *testing.T, w *fake.Cluster, writers *pageWriters, paused int) int {
 	t.Helper()
 	const burst, interval = 40, 200 * time.Millisecond
-	// While a head page is closed, every node may write to it, and some do at once when it is opened: a
-	// node that takes the owner for failed writes in each interval instead.
-	const strayShare = 4
-	begin := time.Now()
-	pauseAt, resumeAt := begin.Add(time.Second), begin.Add(3*time.Second)
+	// Other nodes than the owner may send one of this many transactions. While a head page is closed,
+	// every node may write to it, and some do at the moment when it is opened. A node that takes the
+	// owner for failed writes in each interval instead.
+	const oneInFromOthers = 4
+	began := time.Now()
+	pauseAt, resumeAt := began.Add(time.Second), began.Add(3*time.Second)
 	endAt := resumeAt.Add(2500 * time.Millisecond)
 	writers.countBetween(resumeAt.Add(time.Second), endAt)
 	var users sync.WaitGroup
@@ -136,8 +139,8 @@
 		for _, n := range writes {
 			all, most = all+n, max(most, n)
 		}
-		if strayShare*(all-most) > all {
-			t.Errorf("after the pause of node %d, transactions for %s by node: %v", paused, page, writes)
+		if oneInFromOthers*(all-most) > all {
+			t.Errorf("after the pause of node %d several nodes write to %s, transactions by node: %v", paused, page, writes)
 		}
 	}
 	return len(pages)
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -15,38 +15,41 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// damaged lists kinds of records in the key-value store to be corrupted, and what is then expected
-// of the jobs that were accepted before.
-var damaged = []struct {
-	name   string
-	is     func(key string) bool
-	sealed bool // whether head pages are closed before the corruption
-	stuck  bool // jobs accepted before need only be answered, not run
-	rare   bool // there may be no key of this kind
+// damagedRecords lists the kinds of records in the key-value store that are corrupted, and what is
+// expected then.
+var damagedRecords = []struct {
+	name       string
+	matches    func(key string) bool
+	sealHeads  bool // head pages are closed and sealed before the corruption
+	answerOnly bool // jobs accepted before the corruption must be answered, but need not run
+	optional   bool // there may be no key of this kind
 }{
-	{name: "heads", is: jobstore.IsHeadPageKey},
-	{name: "sealed pages", is: func(k string) bool { return jobstore.IsJobPageKey(k) && !jobstore.IsHeadPageKey(k) }, sealed: true},
-	{name: "all pages of jobs", is: jobstore.IsJobPageKey, sealed: true},
-	{name: "jobs", is: func(k string) bool { _, ok := jobstore.ParseJobKey(k); return ok }},
-	{name: "the form", is: hasAnyPrefix(jobstore.SchemaKey)},
-	{name: "the form and its copy", is: func(k string) bool { return k == jobstore.SchemaKey || k == jobstore.SchemaCopyKey }},
-	{name: "the form, heads and pages", is: func(k string) bool { return k == jobstore.SchemaKey || jobstore.IsJobPageKey(k) }},
-	{name: "placements", is: hasAnyPrefix("w/p/"), stuck: true},
-	{name: "ends", is: hasAnyPrefix("f/")},
-	{name: "the leader", is: hasAnyPrefix("ctl/")},
-	{name: "the plan", is: hasAnyPrefix("plan/")},
-	{name: "notes", is: hasAnyPrefix(jobstore.PlanStatePrefix)},
-	{name: "types", is: hasAnyPrefix(jobstore.MachineTypesKey)},
-	{name: "rentals, returns and moves", is: hasAnyPrefix(jobstore.ScaleOutPrefix, jobstore.ScaleInKey, jobstore.RebalanceCyclePrefix), rare: true},
+	{name: "heads", matches: jobstore.IsHeadPageKey},
+	{name: "sealed pages", matches: func(k string) bool { return jobstore.IsJobPageKey(k) && !jobstore.IsHeadPageKey(k) }, sealHeads: true},
+	{name: "all pages of jobs", matches: jobstore.IsJobPageKey, sealHeads: true},
+	{name: "jobs", matches: func(k string) bool { _, ok := jobstore.ParseJobKey(k); return ok }},
+	{name: "the form", matches: hasAnyPrefix(jobstore.SchemaKey)},
+	{name: "the form and its copy", matches: func(k string) bool { return k == jobstore.SchemaKey || k == jobstore.SchemaCopyKey }},
+	{name: "the form, heads and pages", matches: func(k string) bool { return k == jobstore.SchemaKey || jobstore.IsJobPageKey(k) }},
+	{name: "placements", matches: hasAnyPrefix("w/p/"), answerOnly: true},
+	{name: "ends", matches: hasAnyPrefix("f/")},
+	{name: "the leader", matches: hasAnyPrefix("ctl/")},
+	{name: "the plan", matches: hasAnyPrefix("plan/")},
+	{name: "notes", matches: hasAnyPrefix(jobstore.PlanStatePrefix)},
+	{name: "types", matches: hasAnyPrefix(jobstore.MachineTypesKey)},
+	{name: "rentals, returns and moves", matches: hasAnyPrefix(jobstore.ScaleOutPrefix, jobstore.ScaleInKey, jobstore.RebalanceCyclePrefix), optional: true},
 }
 
-func hasAnyPrefix(with ...string) func(string) bool {
-	return func(k string) bool {
-		return slices.ContainsFunc(with, func(w string) bool { return strings.HasPrefix(k, w) })
+// hasAnyPrefix returns a function that reports whether a key has one of the prefixes.
+func hasAnyPrefix(prefixes ...string) func(string) bool {
+	return func(key string) bool {
+		return slices.ContainsFunc(prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 	}
 }
 
-// jobsOfAllKinds returns jobs of all kinds, numbered from the given number on.
+// jobsOfAllKinds returns 45 jobs, numbered from the given number on, whose tasks take that many
+// seconds. The first is a gang, the second an array of five tasks, the third too large for a page. The
+// others have one task each.
 func jobsOfAllKinds(from int, seconds float64) (jobs []wire.Job) {
 	for n := range 45 {
 		jobs = append(jobs, job(from+n, func(j *wire.Job) {
@@ -57,13 +60,14 @@
 			case 1:
 				j.Tasks, j.Class = 5, "tiles"
 			case 2:
-				j.Types = []string{"m8", strings.Repeat("x", 5000)} // too large for a page: it gets a key of its own
+				j.Types = []string{"m8", strings.Repeat("x", 5000)} // too large for a page, so that the job gets a key of its own
 			}
 		}))
 	}
 	return jobs
 }
 
+// submitAll submits jobs concurrently. All of them must be accepted.
 func submitAll(t *testing.T, w *fake.Cluster, jobs []wire.Job) {
 	t.Helper()
 	var wg sync.WaitGroup
@@ -77,11 +81,11 @@
 	wg.Wait()
 }
 
-// submitOpenPages submits jobs at once, so that they share open head pages, and if sealed is set
-// has these pages closed and sealed by a few more jobs that come one by one.
+// submitOpenPages submits jobs at once, so that they share open head pages. With seal set it then
+// submits 20 more jobs one by one, which closes and seals these pages.
 //
 //nolint:revive // flag-parameter: the variants of the test differ in it
-func submitOpenPages(t *testing.T, w *fake.Cluster, jobs []wire.Job, sealed bool) {
+func submitOpenPages(t *testing.T, w *fake.Cluster, jobs []wire.Job, seal bool) {
 	t.Helper()
 	submitAll(t, w, jobs)
 	if _, shared := countOwnAndSharedRecords(w); shared < 5 {
@@ -89,17 +93,18 @@
 	}
 	time.Sleep(9 * time.Second)
 	for n := range 20 {
-		if sealed {
+		if seal {
 			mustSubmit(t, w, job(300+n, nil))
 		}
 	}
 }
 
-// Records of each kind are corrupted in turn, overwritten by a string that is no record or by a
-// msgpack nil, and then the leader is killed while the other nodes still hold what they have read.
-// Jobs submitted before and after are accepted, answered and run; what is final stays so.
+// Records of each kind are corrupted in turn, by a string that is no record or by a msgpack nil. Then
+// the leader is killed, while the other nodes still hold copies of what they have read. A next leader
+// that can't read a record could lose jobs or stop the service. Jobs submitted before and after must be
+// accepted, answered and run, and final states must stay.
 func TestServiceContinuesWithAnyDamagedRecord(t *testing.T) {
-	for i, c := range damaged {
+	for i, c := range damagedRecords {
 		if scenario.UnderRace && i%3 > 0 {
 			continue
 		}
@@ -113,21 +118,21 @@
 				mustReach(t, w, job(1, nil).ID, wire.JobDone, time.Minute)
 				w.Cancel(job(2, nil).ID)
 				before := jobsOfAllKinds(100, 40)
-				submitOpenPages(t, w, before, c.sealed)
+				submitOpenPages(t, w, before, c.sealHeads)
 				for _, j := range append(before, job(1, nil), job(2, nil)) {
 					for n := range w.Nodes() {
 						w.PollState(w.NodeAddr(n), j.ID)
 					}
 				}
-				leader, hit := w.Leader(), 0
+				leader, corrupted := w.Leader(), 0
 				for _, key := range w.Store.Keys("") {
-					if c.is(key) {
+					if c.matches(key) {
 						w.Store.Corrupt(key, value...)
-						hit++
+						corrupted++
 					}
 				}
-				if hit == 0 && !c.rare {
-					t.Fatalf("no such key in %v", w.Store.Keys(""))
+				if corrupted == 0 && !c.optional {
+					t.Fatalf("no record of this kind among the keys %v", w.Store.Keys(""))
 				}
 				w.KillNode(leader)
 				time.Sleep(12 * time.Second)
@@ -142,7 +147,7 @@
 						}
 					}
 				}
-				if c.stuck {
+				if c.answerOnly {
 					before = nil
 				}
 				for _, j := range slices.Concat(after, before) {
@@ -158,21 +163,20 @@
 	}
 }
 
-// No node holds a copy of a corrupted page any more, since all were restarted. The page is
-// quarantined, and the service goes on: new jobs are accepted and run, under this leader and the
-// next, and no job of the page is answered with 404. Its ids may be submitted again: each runs
-// once.
+// A page is corrupted and no node holds a copy of it, since all were restarted. The page must be
+// quarantined. New jobs must be accepted and run, under this leader and the next. No job of the page
+// may be answered with 404. Its ids may be submitted again, and each runs once.
 func TestRecordsWithoutACopyAreQuarantined(t *testing.T) {
-	for _, c := range damaged[:3] {
+	for _, c := range damagedRecords[:3] {
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 6, Capacity: 7}, func(t *testing.T, w *fake.Cluster) {
 				before := jobsOfAllKinds(100, 40)
-				submitOpenPages(t, w, before, c.sealed)
+				submitOpenPages(t, w, before, c.sealHeads)
 				for n := range w.Nodes() {
 					w.KillNode(n)
 				}
 				for _, key := range w.Store.Keys("") {
-					if c.is(key) {
+					if c.matches(key) {
 						w.Store.Corrupt(key)
 					}
 				}
@@ -187,10 +191,10 @@
 				for n := range w.Nodes() {
 					w.StartNode(n)
 				}
-				submitAll(t, w, before[10:]) // again, unchanged
+				submitAll(t, w, before[10:]) // the same jobs again
 				for _, j := range slices.Concat(after, before) {
 					for n := range w.Nodes() {
-						w.PollState(w.NodeAddr(n), j.ID) // no 404
+						w.PollState(w.NodeAddr(n), j.ID) // the checker reports a 404
 					}
 				}
 				for _, j := range after {
@@ -201,10 +205,10 @@
 	}
 }
 
-// Job pages are corrupted again and again, in place and by an overwriting write, while clients
-// submit the same ids at all nodes, cancel some of them, and nodes are killed. No id has two
-// readable records, no task is done twice, no client gets 404, and in the end what is submitted
-// runs.
+// Job pages are corrupted repeatedly, in place or by an overwriting write, while clients submit the same
+// ids at all nodes, cancel some of them, and nodes are killed. Repairs could race with submissions and
+// record a job twice. No id may have two readable records, no task may be done twice, no client may get
+// 404, and jobs submitted at the end must run.
 func TestPagesAreDamagedDuringOtherFaults(t *testing.T) {
 	seeds := uint64(4)
 	if scenario.UnderRace {
@@ -215,28 +219,28 @@
 			rnd := rand.New(rand.NewPCG(seed, 6))
 			w.Store.LimitWrites(25)
 			var wg sync.WaitGroup
-			var all []wire.Job
+			var submitted []wire.Job
 			for round := range 6 {
 				jobs := jobsOfAllKinds(1000*(round+1), 15)[3 : 30+rnd.IntN(15)]
-				all = append(all, jobs...)
+				submitted = append(submitted, jobs...)
 				for _, j := range jobs {
 					var at [3]time.Duration
 					for i := range at {
 						at[i] = time.Duration(rnd.IntN(1+400*(round%2))) * time.Millisecond
 					}
-					cancel, later := rnd.IntN(4) == 0, time.Duration(rnd.IntN(15000))*time.Millisecond
+					cancel, pause := rnd.IntN(4) == 0, time.Duration(rnd.IntN(15000))*time.Millisecond
 					wg.Go(func() {
-						var first sync.WaitGroup
+						var submissions sync.WaitGroup
 						for i := range at {
-							first.Go(func() {
+							submissions.Go(func() {
 								time.Sleep(at[i])
 								w.Submit(j)
 							})
 						}
-						first.Wait()
-						time.Sleep(later)
+						submissions.Wait()
+						time.Sleep(pause)
 						if cancel {
-							w.Cancel(j.ID) // no earlier: the reply to a submission in flight might then look out of date
+							w.Cancel(j.ID) // the submissions have ended: a late reply to one would look outdated to the checker
 						}
 						w.Submit(j)
 					})
@@ -251,20 +255,20 @@
 						w.Store.Corrupt(k)
 					}
 				}
-				var fall []int
+				var killed []int
 				switch n := rnd.IntN(4); {
 				case n < 2:
-					fall = []int{max(w.Leader(), 0)}
+					killed = []int{max(w.Leader(), 0)}
 				case n == 2:
-					fall = []int{rnd.IntN(3)}
+					killed = []int{rnd.IntN(3)}
 				default:
-					fall = []int{0, 1, 2} // no node holds a copy of anything
+					killed = []int{0, 1, 2} // so that no node holds a copy of any record
 				}
-				for _, n := range fall {
+				for _, n := range killed {
 					w.KillNode(n)
 				}
 				time.Sleep(time.Duration(rnd.IntN(9000)) * time.Millisecond)
-				for _, n := range fall {
+				for _, n := range killed {
 					w.StartNode(n)
 				}
 				time.Sleep(time.Duration(rnd.IntN(12000)) * time.Millisecond)
@@ -272,7 +276,7 @@
 			wg.Wait()
 			time.Sleep(30 * time.Second)
 			answered := 0
-			for _, j := range all {
+			for _, j := range submitted {
 				at, raw := 0, w.Store.Keys("")
 				for _, k := range raw {
 					page, err := jobstore.DecodeJobPage(w.Store.Value(k))
@@ -282,7 +286,7 @@
 					}
 				}
 				if at > 1 {
-					t.Errorf("seed %d: %s stands in %d places", seed, j.ID, at)
+					t.Errorf("seed %d: %s has %d records", seed, j.ID, at)
 				}
 				for n := range w.Nodes() {
 					if w.PollState(w.NodeAddr(n), j.ID) != "" {
@@ -295,7 +299,7 @@
 			for _, j := range last {
 				mustReach(t, w, j.ID, wire.JobDone, 4*time.Minute)
 			}
-			t.Logf("seed %d: %d of %d answered", seed, answered, 3*len(all))
+			t.Logf("seed %d: %d of %d queries answered", seed, answered, 3*len(submitted))
 			if w.RanMoreThanOnce() > 0 {
 				t.Errorf("seed %d: %d tasks were done twice", seed, w.RanMoreThanOnce())
 			}
