--- a/controller/bucket_owner_test.go
+++ b/controller/bucket_owner_test.go
@@ -105,8 +105,8 @@
 }
 
 // checkWritersAfterPause pauses a node for two seconds while jobs are submitted. From one second to 2.5 s
-// after the pause, at least three quarters of the transactions for each page must come from one node.
-// It returns the number of pages with transactions.
+// after the pause, before those three seconds are over, at least three quarters of the transactions for
+// each page must come from one node. It returns the number of pages with transactions.
 func checkWritersAfterPause(t *testing.T, w *fake.Cluster, writers *pageWriters, paused int) int {
 	t.Helper()
 	const burst, interval = 40, 200 * time.Millisecond
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -1,3 +1,8 @@
+// Scenarios of direct commands that are delayed in flight. The sender gets no reply, and the command is
+// carried out seconds later if its fencing token and agent epoch still match. Each scenario asserts
+// which states of the worker the late commands found. The checker of fake.Cluster verifies the rules of
+// the protocol, and that no command is sent directly that does harm when it is late.
+
 package controller_test
 
 import (
@@ -11,23 +16,18 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// These scenarios delay direct commands in flight: the sender gets no reply, and the command is
-// carried out seconds later if its fencing token and agent epoch still match. Each scenario asserts
-// which states the late commands found. The checker of fake.Cluster verifies the protocol's rules,
-// and that nothing is sent as a direct command that does harm when it is late.
-
-// lateCommandRounds bounds how often a scenario is repeated until its faults have interacted.
+// lateCommandRounds is the most rounds of a scenario until its faults have interacted.
 const lateCommandRounds = 20
 
-// delayedLimited is twoLimitedTeams with worker leases of 12 s.
-func delayedLimited() fake.Options {
+// limitedTeamsShortLease returns twoLimitedTeams with worker leases of 12 s.
+func limitedTeamsShortLease() fake.Options {
 	o := twoLimitedTeams()
 	o.LeaseS = 12
 	return o
 }
 
-// submitSavingJobs submits jobs that use up a team's quota, and as many again that wait. Their
-// tasks save a checkpoint when they are stopped, which takes 8 s.
+// submitSavingJobs submits jobs that use up a team's quota, and as many more that wait. Their tasks
+// save a checkpoint for 8 s when they are stopped. It returns the ids of all jobs.
 func submitSavingJobs(t *testing.T, w *fake.Cluster, first int, team string) (ids []string) {
 	t.Helper()
 	for i := range 8 {
@@ -47,17 +47,17 @@
 	})
 }
 
-// Direct commands of a former leader arrive after those of the next one, while both teams are at
-// their quotas, jobs are cancelled, one or two machines hang and another can't open connections to
-// any controller.
+// Direct commands of a former leader arrive after those of the next one. Meanwhile both teams are at
+// their quotas, jobs are cancelled, one or two machines hang, and another can't open connections to any
+// controller. A worker that carried out a former leader's command could stop tasks of the next leader.
 func TestLateCommandsArriveAfterTheNextLeaders(t *testing.T) {
-	runSeeded(t, 51, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 51, limitedTeamsShortLease(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		w.DelayDirectCommands(0.6, rnd.Uint64())
-		next := 100
+		firstNumber := 100
 		for round := 0; round < lateCommandRounds; round++ {
-			ids := append(submitSavingJobs(t, w, next, "core"), submitSavingJobs(t, w, next+10, "edge")...)
-			next += 100
+			ids := append(submitSavingJobs(t, w, firstNumber, "core"), submitSavingJobs(t, w, firstNumber+10, "edge")...)
+			firstNumber += 100
 			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return teamsAtQuota(w) }) {
 				t.Fatalf("round %d: the teams use %g and %g CPUs", round, w.CPUsInUse("core"), w.CPUsInUse("edge"))
 			}
@@ -65,22 +65,22 @@
 			for _, id := range ids {
 				w.Cancel(id)
 			}
-			time.Sleep(16 * time.Second) // the last of the late commands has arrived
-			if met := w.DelayedCommands(); met.FormerLeader > 0 && met.RefusedToken > 0 && met.Overtaken > 0 && met.AfterHang > 0 {
+			time.Sleep(16 * time.Second) // by then the last late command has arrived
+			if stats := w.DelayedCommands(); stats.FormerLeader > 0 && stats.RefusedToken > 0 && stats.Overtaken > 0 && stats.AfterHang > 0 {
 				break
 			}
 		}
 		w.DelayDirectCommands(0, 0)
-		met := w.DelayedCommands()
-		if met.FormerLeader == 0 || met.RefusedToken == 0 || met.Overtaken == 0 || met.AfterHang == 0 {
-			t.Errorf("late commands met %+v", met)
+		stats := w.DelayedCommands()
+		if stats.FormerLeader == 0 || stats.RefusedToken == 0 || stats.Overtaken == 0 || stats.AfterHang == 0 {
+			t.Errorf("late commands found too few states: %+v", stats)
 		}
 		healAndCheckStarvation(t, w)
 	})
 }
 
-// cancelAcrossLeaders cancels jobs before and after a failover, while some of their machines hang
-// and another can't open connections to any controller.
+// cancelAcrossLeaders cancels half of the running jobs before a failover and half after it. Meanwhile up
+// to two of their machines hang, and another can't open connections to any controller.
 func cancelAcrossLeaders(t *testing.T, w *fake.Cluster, rnd *rand.Rand, ids []string) {
 	t.Helper()
 	running := runningOf(w, ids)
@@ -105,7 +105,7 @@
 		w.HangMachine(m)
 	}
 	time.Sleep(randomDuration(rnd, 0, time.Second))
-	dead := stopLeader(w, rnd)
+	stopped := stopLeader(w, rnd)
 	awaitLeaderChange(t, w, before)
 	for _, id := range running[len(running)/2:] {
 		w.Cancel(id)
@@ -116,31 +116,31 @@
 	}
 	time.Sleep(randomDuration(rnd, 0, 9*time.Second))
 	w.UnblockHeartbeats(silent)
-	w.StartNode(dead)
+	w.StartNode(stopped)
 }
 
-// A task is told to save a checkpoint (its machine has an interruption notice) and is cancelled
-// while it saves, on a machine that only direct commands reach. The second stop arrives late and
-// ends the checkpointing, which does no harm: the task was cancelled.
+// A machine gets an interruption notice, and a task there is told to save a checkpoint. While it saves,
+// its job is cancelled and only direct commands reach the machine. The second stop arrives late and ends
+// the checkpointing. That does no harm, since the task was cancelled.
 func TestLateStopEndsATaskThatIsCheckpointing(t *testing.T) {
-	runSeeded(t, 52, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 52, limitedTeamsShortLease(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
-		met := fake.DelayedCommands{}
-		for round := 0; round < lateCommandRounds && met.EndedSaving == 0; round++ {
+		stats := fake.DelayedCommands{}
+		for round := 0; round < lateCommandRounds && stats.EndedSaving == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
 			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUsInUse("core") == teamMax }) {
 				t.Fatalf("the team uses %g CPUs", w.CPUsInUse("core"))
 			}
 			running := runningOf(w, ids)
-			at := machinesRunningJob(w, wire.Job{ID: running[rnd.IntN(len(running))], Tasks: 2})[0]
-			saved := w.DirectCommandsExecuted(at)
-			w.SendInterruptionNotice(at, 30*time.Second) // its tasks are told to save a checkpoint
-			if !scenario.Eventually(5*time.Second, 20*time.Millisecond, func() bool { return w.DirectCommandsExecuted(at) > saved }) {
-				t.Fatal("nothing on the machine was told to save")
+			machine := machinesRunningJob(w, wire.Job{ID: running[rnd.IntN(len(running))], Tasks: 2})[0]
+			commandsBefore := w.DirectCommandsExecuted(machine)
+			w.SendInterruptionNotice(machine, 30*time.Second) // its tasks are told to save a checkpoint
+			if !scenario.Eventually(5*time.Second, 20*time.Millisecond, func() bool { return w.DirectCommandsExecuted(machine) > commandsBefore }) {
+				t.Fatal("no task on the machine was told to save a checkpoint")
 			}
-			// It saves for 8 s. All the while it counts against the quota, and starts nowhere else.
+			// The task saves for 8 s. Meanwhile it counts against the quota, and must not start elsewhere.
 			time.Sleep(randomDuration(rnd, 1500*time.Millisecond, 3*time.Second))
-			w.BlockHeartbeats(at)
+			w.BlockHeartbeats(machine)
 			w.DelayDirectCommands(1, rnd.Uint64())
 			w.MarkInteraction()
 			for _, id := range ids {
@@ -148,56 +148,56 @@
 			}
 			time.Sleep(16 * time.Second)
 			w.DelayDirectCommands(0, 0)
-			w.UnblockHeartbeats(at)
+			w.UnblockHeartbeats(machine)
 			time.Sleep(15 * time.Second) // the machine is gone
-			met = w.DelayedCommands()
+			stats = w.DelayedCommands()
 		}
-		if met.EndedSaving == 0 {
-			t.Errorf("late commands met %+v: none ended a task that was saving", met)
+		if stats.EndedSaving == 0 {
+			t.Errorf("faults did not interact: no late command ended a task that was saving, %+v", stats)
 		}
 		healAndCheckStarvation(t, w)
 	})
 }
 
-// Direct commands arrive after the agent epoch for which they were sent has ended: the worker
-// refuses them, and the tasks of its next epoch go on.
+// Direct commands arrive after the agent epoch for which they were sent has ended. They could stop tasks
+// of the next epoch. The worker must refuse them.
 func TestLateCommandsOfAnEndedAgentEpoch(t *testing.T) {
-	runSeeded(t, 53, delayedLimited(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
+	runSeeded(t, 53, limitedTeamsShortLease(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		w.DelayDirectCommands(1, rnd.Uint64())
-		met := fake.DelayedCommands{}
-		for round := 0; round < lateCommandRounds && met.RefusedEpoch == 0; round++ {
+		stats := fake.DelayedCommands{}
+		for round := 0; round < lateCommandRounds && stats.RefusedEpoch == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
 			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUsInUse("core") == teamMax }) {
 				t.Fatalf("the team uses %g CPUs", w.CPUsInUse("core"))
 			}
 			running := runningOf(w, ids)
-			at := machinesRunningJob(w, wire.Job{ID: running[0], Tasks: 2})[0]
-			w.BlockHeartbeats(at)
+			machine := machinesRunningJob(w, wire.Job{ID: running[0], Tasks: 2})[0]
+			w.BlockHeartbeats(machine)
 			time.Sleep(randomDuration(rnd, 7*time.Second, 10*time.Second)) // most of its lease
 			w.MarkInteraction()
 			for _, id := range running {
 				w.Cancel(id)
 			}
 			time.Sleep(randomDuration(rnd, 6*time.Second, 12*time.Second))
-			w.UnblockHeartbeats(at)
+			w.UnblockHeartbeats(machine)
 			for _, id := range ids {
 				w.Cancel(id)
 			}
 			time.Sleep(16 * time.Second)
-			met = w.DelayedCommands()
+			stats = w.DelayedCommands()
 		}
 		w.DelayDirectCommands(0, 0)
-		if met.RefusedEpoch == 0 {
-			t.Errorf("late commands met %+v: none came after its agent epoch had ended", met)
+		if stats.RefusedEpoch == 0 {
+			t.Errorf("faults did not interact: no command arrived after its agent epoch had ended, %+v", stats)
 		}
 		healAndCheckStarvation(t, w)
 	})
 }
 
-// Jobs of high priority preempt gangs and arrays while most of the stops are late, and each
-// leader's process is back under its own name within a second. A gang of which not all tasks were
-// told to save in time falls back to its last checkpoint, and is done in the end.
+// Jobs of high priority preempt gangs and arrays while most of the stops are late, and each leader's
+// process restarts under the same name within a second. A gang must save its checkpoint together. If
+// some of its tasks were told too late, it must fall back to its last checkpoint and still complete.
 func TestLateStopsOfPreemptedGangsWhenALeaderIsReelected(t *testing.T) {
 	runSeeded(t, 54, fake.Options{Machines: 4, Capacity: 4, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -210,7 +210,7 @@
 		}))
 		time.Sleep(8 * time.Second)
 		rounds := 0
-		for met := (fake.DelayedCommands{}); rounds < lateCommandRounds && (met.Executed == 0 || met.RefusedToken == 0 || rounds < 3); rounds++ {
+		for stats := (fake.DelayedCommands{}); rounds < lateCommandRounds && (stats.Executed == 0 || stats.RefusedToken == 0 || rounds < 3); rounds++ {
 			n := 10 + rounds
 			mustSubmit(t, w, job(n, func(j *wire.Job) {
 				j.Tasks, j.CPUs, j.EstimateS, j.Priority = 2, 6, float64(2+rnd.IntN(6)), wire.PriorityHigh
@@ -220,11 +220,11 @@
 			w.PowerCycleNode(max(0, w.Leader()), randomDuration(rnd, 0, 900*time.Millisecond))
 			mustFinish(t, w, time.Minute, n)
 			time.Sleep(randomDuration(rnd, 4*time.Second, 12*time.Second))
-			met = w.DelayedCommands()
+			stats = w.DelayedCommands()
 		}
-		met := w.DelayedCommands()
-		if met.Executed == 0 || met.RefusedToken == 0 {
-			t.Errorf("late commands met %+v in %d rounds", met, rounds)
+		stats := w.DelayedCommands()
+		if stats.Executed == 0 || stats.RefusedToken == 0 {
+			t.Errorf("faults did not interact: late commands %+v in %d rounds", stats, rounds)
 		}
 		w.DelayDirectCommands(0, 0)
 		mustFinish(t, w, 5*time.Minute, 1, 2)
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -1,3 +1,7 @@
+// Scenarios of heartbeats that arrive late: at a leader that has just been elected, at a leader that has
+// already placed tasks, or after newer heartbeats. Some are of an earlier agent epoch, or list attempts
+// that have ended. Each scenario fails if the faults didn't interact.
+
 package controller_test
 
 import (
@@ -14,11 +18,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Scenarios of heartbeats that arrive late: at a leader that has just been elected, at one that has
-// already acted, and after newer ones, from an earlier agent epoch and about attempts that have
-// ended. Each asserts that the interaction took place.
-
-// randomMillis draws a duration from the given range of milliseconds.
+// randomMillis draws a duration from the range [least, most) of milliseconds.
 func randomMillis(rnd *rand.Rand, least, most int) time.Duration {
 	return time.Duration(least+rnd.IntN(most-least)) * time.Millisecond
 }
@@ -26,37 +26,37 @@
 // changeLeader kills the leader, waits for the next one, and starts the former leader's node again.
 func changeLeader(t *testing.T, w *fake.Cluster) {
 	t.Helper()
-	was := w.Leader()
-	if was < 0 {
-		t.Fatal("nobody leads")
+	former := w.Leader()
+	if former < 0 {
+		t.Fatal("no node leads")
 	}
-	w.KillNode(was)
-	if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
-		t.Fatal("nobody leads next")
+	w.KillNode(former)
+	if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != former }) {
+		t.Fatal("no next leader within 30 s")
 	}
 	time.Sleep(time.Second)
-	w.StartNode(was)
+	w.StartNode(former)
 }
 
-// submitGangAndArrays submits a single-zone gang, an array, and an array of a team at its quota,
-// and returns their numbers. Together they need machines that have room beside the tasks already
-// there.
-func submitGangAndArrays(t *testing.T, w *fake.Cluster, from int, rnd *rand.Rand) []int {
+// submitGangAndArrays submits a single-zone gang, an array, and an array that exceeds its team's quota.
+// It returns their numbers, first, first+1 and first+2. The jobs fit beside the tasks of fillMachines.
+func submitGangAndArrays(t *testing.T, w *fake.Cluster, first int, rnd *rand.Rand) []int {
 	t.Helper()
 	mustSubmit(t, w,
-		job(from, func(j *wire.Job) {
+		job(first, func(j *wire.Job) {
 			gang(j)
 			j.Tasks, j.CPUs, j.EstimateS, j.OneZone = 2, 2, float64(4+rnd.IntN(10)), true
 		}),
-		job(from+1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 1, float64(2+rnd.IntN(12)) }),
-		job(from+2, func(j *wire.Job) { j.Team, j.Tasks, j.CPUs, j.EstimateS = "edge", 6, 2, float64(2+rnd.IntN(6)) }))
-	return []int{from, from + 1, from + 2}
+		job(first+1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 1, float64(2+rnd.IntN(12)) }),
+		job(first+2, func(j *wire.Job) { j.Team, j.Tasks, j.CPUs, j.EstimateS = "edge", 6, 2, float64(2+rnd.IntN(6)) }))
+	return []int{first, first + 1, first + 2}
 }
 
+// smallTeams has team core without a quota and team edge with 4 CPUs.
 var smallTeams = []config.Team{{Name: "core"}, {Name: "edge", CPUs: 4, CPUsMax: 4}}
 
-// Duplicates of old heartbeats arrive at every node just after a failover: they are the first that
-// the new leader gets from these machines.
+// Duplicates of old heartbeats arrive at every node just after a failover, before any other heartbeat of
+// these machines. A new leader that took them for the current state would lose or repeat tasks.
 func TestOldHeartbeatsReachEveryNodeDuringFailover(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 6, Capacity: 8, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -68,60 +68,62 @@
 			changeLeader(t, w)
 			time.Sleep(4 * time.Second)
 			if now := w.CopyStats(); now.First == met.First {
-				t.Errorf("round %d: no copy came to the new leader before its worker's next heartbeat", round)
+				t.Errorf("round %d: faults did not interact: no duplicate reached the new leader before its worker's next heartbeat", round)
 			}
 			mustFinish(t, w, 2*time.Minute, numbers...)
 		}
 		if met := w.CopyStats(); met.Older == 0 || w.ExpiredLeases() > 0 {
-			t.Errorf("copies met %+v: none came after newer heartbeats, or %d leases ended", met, w.ExpiredLeases())
+			t.Errorf("%+v: no duplicate arrived after newer heartbeats, or %d leases expired", met, w.ExpiredLeases())
 		}
 	})
 }
 
-// A machine's heartbeat is delayed until another leader has placed tasks, and arrives there then;
-// the machine itself hangs and is back later, within its lease or after its expiry.
+// A machine's heartbeat is delayed until another leader has placed tasks, and then arrives there. The
+// machine itself hangs, and resumes within its lease or after its expiry. The leader must accept the
+// heartbeat as long as it is the newest of the machine, and no tasks may be lost.
 func TestHeartbeatIsDelayedUntilTheNextLeaderHasActed(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, LeaseS: 30}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		fillMachines(t, w, 4)
 		numbers := submitGangAndArrays(t, w, 1, rnd)
 		time.Sleep(randomMillis(rnd, 500, 4000))
-		at := w.Cloud.Machines()[rnd.IntN(4)]
-		w.CaptureHeartbeat(at)
+		machine := w.Cloud.Machines()[rnd.IntN(4)]
+		w.CaptureHeartbeat(machine)
 		time.Sleep(randomMillis(rnd, 0, 2000))
-		w.HangMachine(at)
-		was := w.Leader()
-		w.KillNode(was)
-		if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != was }) {
-			t.Fatal("nobody leads next")
+		w.HangMachine(machine)
+		former := w.Leader()
+		w.KillNode(former)
+		if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Leader() >= 0 && w.Leader() != former }) {
+			t.Fatal("no next leader within 30 s")
 		}
 		pages := fmt.Sprint(w.Store.Versions(jobstore.PlacementPageKey(0)))
 		numbers = append(numbers, submitGangAndArrays(t, w, 11, rnd)...)
 		if !scenario.Eventually(20*time.Second, 50*time.Millisecond, func() bool { return fmt.Sprint(w.Store.Versions(jobstore.PlacementPageKey(0))) != pages }) {
-			t.Fatal("the next leader has placed nothing")
+			t.Fatal("the next leader has placed no task")
 		}
-		if status := w.ReplayHeartbeat(at, w.Leader()); status != 200 {
-			t.Errorf("the heartbeat held back was answered %d: it is not the first that the leader hears of its machine", status)
+		if status := w.ReplayHeartbeat(machine, w.Leader()); status != 200 {
+			t.Errorf("the delayed heartbeat was answered %d, want 200: it is the first that the leader gets from the machine", status)
 		}
-		if status := w.ReplayHeartbeat(at, w.Leader()); status != 200 {
-			t.Errorf("it was answered %d as it came again, while it is the newest", status)
+		if status := w.ReplayHeartbeat(machine, w.Leader()); status != 200 {
+			t.Errorf("the delayed heartbeat was answered %d the second time, want 200: it is the newest", status)
 		}
 		time.Sleep(randomMillis(rnd, 1000, 40_000))
-		w.ResumeMachine(at)
-		w.StartNode(was)
-		time.Sleep(4 * time.Second) // it has sent its own heartbeat, or its lease has expired
-		if status := w.ReplayHeartbeat(at, w.Leader()); status == 200 {
-			t.Error("the same heartbeat was answered 200 after newer ones")
+		w.ResumeMachine(machine)
+		w.StartNode(former)
+		time.Sleep(4 * time.Second) // the machine has sent a heartbeat, or its lease has expired
+		if status := w.ReplayHeartbeat(machine, w.Leader()); status == 200 {
+			t.Error("the delayed heartbeat was answered 200 after newer ones")
 		}
 		mustFinish(t, w, 3*time.Minute, numbers...)
 		if !scenario.Eventually(100*time.Second, time.Second, func() bool { return w.Running() == 4 }) {
-			t.Errorf("%d of the 4 long tasks run", w.Running())
+			t.Errorf("%d long tasks run, want 4", w.Running())
 		}
 	})
 }
 
-// Heartbeats of an ended agent epoch arrive at the next leader before any of the new epoch, and
-// again after these. The tasks that they list have another attempt elsewhere by then.
+// Heartbeats of an ended agent epoch arrive at the next leader before any of the new epoch, and again
+// after these. By then the tasks that they list have another attempt elsewhere. The leader must not take
+// the earlier attempts for running ones.
 func TestOldHeartbeatsOfEarlierEpochsAndAttempts(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -129,15 +131,15 @@
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 3, 90 }))
 		numbers := submitGangAndArrays(t, w, 1, rnd)
 		time.Sleep(randomMillis(rnd, 3000, 8000))
-		w.DelayCopiesUntilFailover(0) // the delayed duplicates are of the epochs that end now
+		w.DelayCopiesUntilFailover(0) // keeps duplicates of the epochs that end now
 		zone := fake.Zones[rnd.IntN(2)]
 		w.PartitionZone(zone)
-		time.Sleep(randomMillis(rnd, 13_000, 25_000)) // their leases expire, and their tasks start elsewhere
+		time.Sleep(randomMillis(rnd, 13_000, 25_000)) // the leases in the zone expire, and the tasks start elsewhere
 		changeLeader(t, w)
 		time.Sleep(4 * time.Second)
-		met := w.CopyStats()
-		if met.First == 0 || met.EarlierEpoch == 0 || met.EarlierAttempt == 0 {
-			t.Errorf("copies met %+v", met)
+		before := w.CopyStats()
+		if before.First == 0 || before.EarlierEpoch == 0 || before.EarlierAttempt == 0 {
+			t.Errorf("faults did not interact: duplicates %+v", before)
 		}
 		w.HealZonePartition(zone)
 		numbers = append(numbers, submitGangAndArrays(t, w, 11, rnd)...)
@@ -146,33 +148,33 @@
 			w.DeliverDelayedCopies()
 		}
 		time.Sleep(time.Second)
-		if now := w.CopyStats(); now.Older <= met.Older {
-			t.Errorf("copies met %+v, and before %+v: none came after newer heartbeats", now, met)
+		if after := w.CopyStats(); after.Older <= before.Older {
+			t.Errorf("faults did not interact: no duplicate arrived after newer heartbeats: %+v, before that %+v", after, before)
 		}
 		mustFinish(t, w, 3*time.Minute, append(numbers, 900)...)
 	})
 }
 
-// Duplicates of the very heartbeats that are being sent overtake them at a new leader and at the
-// relays. If the heartbeat itself was then refused as old, the worker went on to the next node, a
-// second of its lease later; where that happened again and again, its lease expired.
+// Duplicates of heartbeats that are being sent overtake them at a new leader and at the relays. The
+// heartbeat itself was then refused as old, and the worker went on to the next node, which cost it a
+// second of its lease. After several such refusals the lease expired.
 func TestDuplicatesOvertakeTheirHeartbeatsDuringFailover(t *testing.T) {
 	runSeeded(t, 17, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		fillMachines(t, w, 6)
 		time.Sleep(randomMillis(rnd, 0, 2000))
-		started, was := w.Started(), w.Leader()
-		w.KillNode(was)
+		started, former := w.Started(), w.Leader()
+		w.KillNode(former)
 		w.DeliverCopiesFirst(1)
 		time.Sleep(45 * time.Second) // more than three leases
 		w.DeliverCopiesFirst(0)
-		w.StartNode(was)
-		met := w.OvertakenHeartbeats()
-		if met.Next < 6 || met.Ahead < 60 {
-			t.Errorf("heartbeats overtaken %+v", met)
+		w.StartNode(former)
+		stats := w.OvertakenHeartbeats()
+		if stats.Next < 6 || stats.Ahead < 60 {
+			t.Errorf("faults did not interact: too few heartbeats overtaken, %+v", stats)
 		}
-		if met.Refused > 0 || w.ExpiredLeases() > 0 {
-			t.Errorf("heartbeats overtaken %+v: their workers leave their nodes; %d leases ended", met, w.ExpiredLeases())
+		if stats.Refused > 0 || w.ExpiredLeases() > 0 {
+			t.Errorf("heartbeats overtaken %+v: some were refused, or %d leases expired", stats, w.ExpiredLeases())
 		}
 		if n := w.Started() - started; n > 0 {
 			t.Errorf("%d tasks started again", n)
@@ -181,9 +183,10 @@
 	})
 }
 
-// Tasks are launched while half of the heartbeats are overtaken by their duplicates, so that the
-// launches go out in the reply to the duplicate and are lost. They are sent again in a later reply,
-// each task starts once, and no machine is taken for unreachable for long.
+// Tasks are launched while half of the heartbeats are overtaken by their duplicates. Launches in the
+// reply to a duplicate are lost, and the machine could be taken for unreachable. The launches must be
+// sent again in a later reply, each task must start once, and no machine may be taken for unreachable for
+// long.
 func TestTasksAreLaunchedWhileDuplicatesOvertakeHeartbeats(t *testing.T) {
 	runSeeded(t, 18, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -197,13 +200,14 @@
 			mustFinish(t, w, time.Minute, numbers...)
 		}
 		if met := w.OvertakenHeartbeats(); met.Ahead < 20 || w.ExpiredLeases() > 0 {
-			t.Errorf("heartbeats overtaken %+v, %d leases ended", met, w.ExpiredLeases())
+			t.Errorf("heartbeats overtaken %+v, want Ahead at least 20; %d leases expired, want none", met, w.ExpiredLeases())
 		}
 	})
 }
 
-// A machine is killed just after a heartbeat, and duplicates of that heartbeat arrive every second.
-// Its tasks start elsewhere once its lease has expired, and no later than without the duplicates.
+// A machine is killed just after a heartbeat, and duplicates of that heartbeat arrive every second. The
+// leader could take the machine for alive. Its tasks must start elsewhere once its lease has expired, and
+// no later than without the duplicates.
 func TestDuplicatesOfADeadMachinesLastHeartbeat(t *testing.T) {
 	runSeeded(t, 19, fake.Options{Machines: 3, Capacity: 3, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -216,51 +220,51 @@
 		dead := slices.MaxFunc(w.Cloud.Machines(), func(a, b string) int { return load[a] - load[b] })
 		w.CaptureHeartbeat(dead)
 		w.KillMachine(dead)
-		at, answered, back := time.Now(), 0, time.Duration(0)
-		for time.Since(at) < 40*time.Second && back == 0 {
+		killedAt, answered, restartedAfter := time.Now(), 0, time.Duration(0)
+		for time.Since(killedAt) < 40*time.Second && restartedAfter == 0 {
 			if w.ReplayHeartbeat(dead, max(0, w.Leader())) == 200 {
 				answered++
 			}
 			time.Sleep(time.Second)
 			if w.Running() == 3 {
-				back = time.Since(at)
+				restartedAfter = time.Since(killedAt)
 			}
 		}
 		if answered < 8 {
-			t.Errorf("%d copies of the last heartbeat were answered 200", answered)
+			t.Errorf("%d duplicates of the last heartbeat were answered 200, want at least 8", answered)
 		}
-		if back == 0 || back > 20*time.Second {
-			t.Errorf("what ran there runs again after %v (0: not within 40 s)", back)
+		if restartedAfter == 0 || restartedAfter > 20*time.Second {
+			t.Errorf("the tasks of the killed machine restarted after %v (0: not within 40 s), want at most 20 s", restartedAfter)
 		}
 	})
 }
 
-// A duplicate of the newest heartbeat arrives at a node other than its worker's. It is answered,
-// and the worker isn't counted as served there.
+// A duplicate of the newest heartbeat arrives at another node than the one that serves its worker. The
+// node must answer it, and must not count the worker as served there.
 func TestDuplicateHeartbeatDoesNotCountAsAnswered(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		fillMachines(t, w, 1)
-		at, other := -1, -1
+		serving, other := -1, -1
 		for i := range w.Nodes() {
 			if getOverview(t, w, i).Heartbeats.WorkersServed > 0 {
-				at = i
+				serving = i
 			} else {
 				other = i
 			}
 		}
-		if at < 0 || other < 0 {
-			t.Fatalf("node %d has answered the worker, and node %d has not", at, other)
+		if serving < 0 || other < 0 {
+			t.Fatalf("node %d has answered the worker, and node %d has not", serving, other)
 		}
 		name := w.Cloud.Machines()[0]
 		w.CaptureHeartbeat(name)
-		for i, node := range []int{at, other, other} {
+		for i, node := range []int{serving, other, other} {
 			if status := w.ReplayHeartbeat(name, node); status != 200 {
-				t.Fatalf("copy %d was answered %d", i, status)
+				t.Fatalf("duplicate %d was answered %d", i, status)
 			}
 		}
 		if n := getOverview(t, w, other).Heartbeats.WorkersServed; n != 0 {
-			t.Errorf("%d workers count as answered at a node that only had copies", n)
+			t.Errorf("%d workers count as served at a node that only got duplicates", n)
 		}
 	})
 }
