--- a/controller/grown_test.go
+++ b/controller/grown_test.go
@@ -13,10 +13,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A large cluster commits far more placements each second than the key-value store takes changes,
-// unless many share a key; and when all controllers have crashed, hundreds of workers reconnect at
-// once and must be answered within their leases. The store refuses more than 25 changes a second,
-// and values and transactions over their size limits.
+// A large cluster commits far more placements a second than the key-value store takes changes, unless many
+// placements share a key. After a crash of all controllers, hundreds of workers reconnect at once and must
+// be answered within their leases, or their tasks are lost. The store refuses more than 25 changes a
+// second, and values and transactions over their size limits.
 func TestGrownClusterSurvivesCrashOfAllNodes(t *testing.T) {
 	const machines, jobs = grownMachines, grownJobs
 	runScenario(t, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster) {
@@ -54,13 +54,14 @@
 	})
 }
 
-// Settings may name aims that a program of an earlier day does not know.
+// Settings may contain kinds of objectives that an older version of the program doesn't know. They must be
+// logged once and otherwise ignored.
 func TestUnknownObjectiveIsLoggedOnceAndHarmless(t *testing.T) {
-	var said strings.Builder
+	var logged strings.Builder
 	cfg := &config.Settings{Node: "n-0", Cluster: config.Cluster{Objectives: []config.Objective{
 		{Kind: "wait", Class: "c", WithinS: 10}, {Kind: "makespan", Share: 0.99}}}}
-	controller.New(cfg, config.DefaultTuning(), slog.New(slog.NewTextHandler(&said, nil)), controller.RealNetwork())
-	if n := strings.Count(said.String(), "makespan"); n != 1 || strings.Contains(said.String(), "wait") {
-		t.Errorf("said %d times: %s", n, said.String())
+	controller.New(cfg, config.DefaultTuning(), slog.New(slog.NewTextHandler(&logged, nil)), controller.RealNetwork())
+	if n := strings.Count(logged.String(), "makespan"); n != 1 || strings.Contains(logged.String(), "wait") {
+		t.Errorf("unknown objective logged %d times, want once and no other: %s", n, logged.String())
 	}
 }
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -513,9 +513,9 @@
 	})
 }
 
-// There is more work than room, of high and normal priority, over a slow connection to the key-value store.
-// Tasks are preempted to make room while the leader changes. Lost preemptions would let the jobs of high
-// priority wait.
+// There is more work than room, of high, normal and low priority, over a slow connection to the key-value
+// store. Tasks are preempted to make room while the leader changes. If preemptions were lost, jobs of
+// high priority would wait.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
--- a/controller/machine_boot_test.go
+++ b/controller/machine_boot_test.go
@@ -8,8 +8,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A machine may send its first heartbeat before the reply to its rental arrives, and long before
-// the cloud lists it: it is taken for the machine that was ordered.
+// A machine may send its first heartbeat before the reply to its rental arrives, and long before the cloud
+// lists it. It could be taken for an unknown machine, and more machines rented. It must be taken for the
+// machine that was ordered.
 func TestMachinesThatBootAtOnceAreTakenAsRented(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 0, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -18,18 +19,18 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 2, 6, 90 }))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 20*time.Second)
 		time.Sleep(40 * time.Second)
-		if got := w.Cloud.RentedMachines(); got > 4 { // two for the tasks, the others for headroom
-			t.Errorf("%d machines rented for two tasks", got)
+		if got := w.Cloud.RentedMachines(); got > 4 { // two for the tasks, two for headroom
+			t.Errorf("%d machines rented for two tasks, want at most 4", got)
 		}
 		if left := len(w.Cloud.Machines()); left != w.Cloud.RentedMachines() {
-			t.Errorf("%d of %d machines are left while the tasks run", left, w.Cloud.RentedMachines())
+			t.Errorf("%d of %d rented machines remain while the tasks run, want all", left, w.Cloud.RentedMachines())
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
 	})
 }
 
-// A machine that never boots is deleted and another is ordered; waiting jobs are not held for it
-// until then.
+// Rented machines never boot. Waiting jobs must not be held for them, and they must be deleted and
+// replaced.
 func TestPoolMachineThatNeverBootsIsReplaced(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -40,12 +41,12 @@
 			return 8 * time.Second
 		})
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs = 3, 6 }))
-		// None of the three machines that the capacity allows boots: only their deletion makes room
-		// for others.
+		// The capacity is three machines, and none of them boots. Others can be rented only after their
+		// deletion.
 		mustReach(t, w, "wk-000001", wire.JobDone, 3*time.Minute)
 		for _, n := range w.Cloud.Machines() {
 			if n < "host-000003" {
-				t.Errorf("%s, which never came up, is still paid for", n)
+				t.Errorf("%s never booted and is still paid for", n)
 			}
 		}
 	})
--- a/controller/operator_plan_test.go
+++ b/controller/operator_plan_test.go
@@ -12,7 +12,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// awaitPlanVersion waits until each of the given nodes knows a version of the plan.
+// awaitPlanVersion waits until each of the given nodes knows the version of the plan.
 func awaitPlanVersion(t *testing.T, w *fake.Cluster, version int, nodes ...int) {
 	t.Helper()
 	for _, i := range nodes {
@@ -21,14 +21,14 @@
 			o = getOverview(t, w, i)
 			return o.Plan != nil && o.Plan.Version == version && !o.Plan.Unreadable
 		}) {
-			t.Fatalf("node %d knows %+v, not version %d", i, o.Plan, version)
+			t.Fatalf("node %d knows plan %+v, want version %d", i, o.Plan, version)
 		}
 	}
 }
 
-// Each leader in turn is killed, paused or partitioned from the store as a plan is applied, and a
-// transaction of one is carried out a minute late. The store's checker verifies that every
-// placement has the plan in force as a guard; every job is done, once.
+// Leaders are killed, paused or partitioned from the store while a plan is applied, and a transaction of
+// one is carried out a minute late. Tasks could be placed under an outdated plan. The store's checker
+// verifies that every placement is guarded by the plan in force. Every job must be done once.
 func TestPlansAreAppliedWhileLeadersFail(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Metrics: true, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		next := 1
@@ -42,13 +42,13 @@
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, `note = "before"`) // the first plan requires every node to be up
 		version := 1
-		for round, trouble := range []func(w *fake.Cluster) func(){crashLeader, stallLeader, partitionLeaderFromStore, func(w *fake.Cluster) func() {
+		for round, injectFault := range []func(w *fake.Cluster) func(){crashLeader, stallLeader, partitionLeaderFromStore, func(w *fake.Cluster) func() {
 			w.Store.DelayNextTransaction(time.Minute)
 			submit(2)
 			return crashLeader(w)
 		}} {
 			submit(3)
-			end := trouble(w)
+			end := injectFault(w)
 			for range 2 { // twice, during the fault
 				applyPlan(t, w, version, fmt.Sprintf("note = \"round %d\"", round))
 				version++
@@ -69,8 +69,8 @@
 	})
 }
 
-// All nodes are killed at once just after a plan is applied: the next leader reads the plan before
-// it places anything, also where the newest record is damaged.
+// All nodes are killed just after a plan is applied, and the newest record of the plan is corrupted. The
+// next leader must read a plan before it places tasks, and keep the version before.
 func TestNewLeaderReadsThePlanBeforeItPlaces(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -89,8 +89,8 @@
 	})
 }
 
-// When no version of the plan can be decoded any more, running tasks go on and submissions are
-// accepted, but nothing is placed as if there were no plan, until a plan is applied.
+// No version of the plan can be decoded any more. A leader could then place tasks as if there were no plan.
+// Running tasks must go on and submissions be accepted, but no task may be placed until a plan is applied.
 func TestNothingIsPlacedUnderALostPlan(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
@@ -104,36 +104,36 @@
 		mustSubmit(t, w, job(2, nil))
 		mustFinish(t, w, 2*time.Minute, 1)
 		if len(w.MachinesRunning("wk-000002/0"))+len(w.MachinesRunning("wk-000002/1")) > 0 || w.Started() > 2 {
-			t.Errorf("%d tasks were started by a plan that nobody can read", w.Started())
+			t.Errorf("%d tasks were started, want 2: none may start without a readable plan", w.Started())
 		}
 		if o := getOverview(t, w, 0); o.Plan == nil || !o.Plan.Unreadable {
-			t.Errorf("status says %+v", o.Plan)
+			t.Errorf("status shows plan %+v, want an unreadable one", o.Plan)
 		}
 		applyPlan(t, w, 1, `note = "two"`)
 		mustFinish(t, w, 2*time.Minute, 2)
 	})
 }
 
-// As long as one node's version does not support plans, none is applied. Once a plan is applied,
-// the records have a schema version under which such a node does not lead: it would place tasks
-// without the plan's tiers.
+// A node whose version doesn't support plans would place tasks without the plan's tiers. So no plan may be
+// applied as long as there is such a node. Once a plan is applied, the records must have a schema version
+// under which such a node doesn't lead.
 func TestNoPlanIsAppliedBeforeEveryNodeReadsPlans(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true, OlderSchema: []int{2}}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		if _, err := scenario.TryPlan(w, 0, `note = "one"`, time.Minute); !errors.Is(err, jobstore.ErrPlanUnsupported) {
-			t.Fatalf("with a node that reads no plans: %v", err)
+			t.Fatalf("applying a plan with a node that does not support plans: %v, want ErrPlanUnsupported", err)
 		}
 		if o := getOverview(t, w, 0); o.Plan != nil {
-			t.Fatalf("refused, and known: %+v", o.Plan)
+			t.Fatalf("node 0 knows the refused plan %+v", o.Plan)
 		}
 		w.KillNode(2)
 		w.UpgradeSchema(2)
 		w.StartNode(2)
 		time.Sleep(10 * time.Second)
 		applyPlan(t, w, 0, `note = "one"`)
-		var form jobstore.SchemaRecord
-		if err := wire.Unmarshal(w.Store.Value(jobstore.SchemaKey), &form); err != nil || form.Version != jobstore.SchemaPlans {
-			t.Fatalf("form %+v, %v", form, err)
+		var schema jobstore.SchemaRecord
+		if err := wire.Unmarshal(w.Store.Value(jobstore.SchemaKey), &schema); err != nil || schema.Version != jobstore.SchemaPlans {
+			t.Fatalf("schema record %+v, %v", schema, err)
 		}
 	})
 }
--- a/controller/operators_test.go
+++ b/controller/operators_test.go
@@ -14,6 +14,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+// getOperatorPath requests a path of a node's server for operators, and returns the body of the response.
 func getOperatorPath(t *testing.T, w *fake.Cluster, node int, path string) string {
 	t.Helper()
 	hc := &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("operator"), DisableKeepAlives: true}}
@@ -29,6 +30,7 @@
 	return string(b)
 }
 
+// getOverview returns the status that a node shows to operators.
 func getOverview(t *testing.T, w *fake.Cluster, node int) (o metrics.Overview) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(getOperatorPath(t, w, node, controller.PathStatus)), &o); err != nil {
@@ -37,8 +39,8 @@
 	return o
 }
 
-// Every node shows the leader's status as of that moment; without a leader it shows none rather
-// than an outdated one.
+// Every node must show the leader's current status. Without a leader it must show none. An outdated status
+// would mislead operators.
 func TestStatusIsCurrent(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 6, 90 }), job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 20, 8, 90 }))
@@ -46,18 +48,18 @@
 		leader := w.Leader()
 		for i := range w.Nodes() {
 			o := getOverview(t, w, i)
-			f := o.Cluster
-			if f == nil || f.Node != w.Nodes()[leader] || !f.LeaseValid || f.Machines["up"] < 4 || f.Tasks["running"] != w.Running() || f.Jobs != 2 {
-				t.Fatalf("node %d: %+v, %+v", i, o, f)
+			status := o.Cluster
+			if status == nil || status.Node != w.Nodes()[leader] || !status.LeaseValid || status.Machines["up"] < 4 || status.Tasks["running"] != w.Running() || status.Jobs != 2 {
+				t.Fatalf("node %d: %+v, %+v", i, o, status)
 			}
-			if o.Leader != w.Nodes()[leader] || !o.Ready || f.LeastLeaseLeftSeconds <= 0 {
+			if o.Leader != w.Nodes()[leader] || !o.Ready || status.LeastLeaseLeftSeconds <= 0 {
 				t.Errorf("node %d: %+v", i, o)
 			}
 		}
 		text := getOperatorPath(t, w, leader, controller.PathMetrics)
 		for _, want := range []string{"umberdeal_placement_to_launch_seconds_count{", "umberdeal_lease_left_seconds_bucket{", "umberdeal_connections_workers", "umberdeal_leading 1"} {
 			if !strings.Contains(text, want) {
-				t.Errorf("no %s in the metrics", want)
+				t.Errorf("metrics lack %s", want)
 			}
 		}
 		w.Store.SetOutage(true)
@@ -65,14 +67,14 @@
 		time.Sleep(15 * time.Second)
 		o := getOverview(t, w, (leader+1)%3)
 		if o.Cluster != nil || o.StoreReachable {
-			t.Errorf("shown without a leader: %+v", o.Cluster)
+			t.Errorf("without a leader the status is %+v, want none", o.Cluster)
 		}
-		told := false
-		for _, tr := range o.RecentErrors {
-			told = told || strings.Contains(tr.Text, "key-value store unreachable")
+		reported := false
+		for _, recent := range o.RecentErrors {
+			reported = reported || strings.Contains(recent.Text, "key-value store unreachable")
 		}
-		if !told {
-			t.Errorf("its last troubles are %v", o.RecentErrors)
+		if !reported {
+			t.Errorf("recent errors are %v, want the unreachable store", o.RecentErrors)
 		}
 		var b strings.Builder
 		if err := o.Print(&b); err != nil || !strings.Contains(b.String(), "no leader has answered") {
--- a/controller/paused_process_test.go
+++ b/controller/paused_process_test.go
@@ -9,25 +9,25 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Pauses just below and just above the timeouts that a pause can outlast: a user's poll (2 s), a
-// worker's wait for a reply (4 s), the leader's lease (7 s here), a worker's lease (12 s).
-var stops = []time.Duration{time.Second, 3900 * time.Millisecond, 4100 * time.Millisecond, 6900 * time.Millisecond,
+// pauseDurations are just below and just above the timeouts that a pause can outlast: a user's poll
+// (2 s), a worker's wait for a reply (4 s), the leader's lease (7 s here), and a worker's lease (12 s).
+var pauseDurations = []time.Duration{time.Second, 3900 * time.Millisecond, 4100 * time.Millisecond, 6900 * time.Millisecond,
 	7100 * time.Millisecond, 11900 * time.Millisecond, 12100 * time.Millisecond, 25 * time.Second, time.Minute}
 
-// A process that is paused while clocks run on acts afterwards on what it knew before. The checker
-// verifies the rules; no task may be lost that a leader could have kept, and users are served by
-// the other nodes meanwhile.
+// A process that is paused while clocks go on acts on outdated knowledge when it resumes. The checker
+// verifies the rules of the protocol. No task may be lost that a leader could have kept, and the other
+// nodes must serve users meanwhile.
 func TestControllersStall(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		which func(leader int) []int
+		name   string
+		paused func(leader int) []int
 	}{
 		{"the leader", func(l int) []int { return []int{l} }},
 		{"a follower", func(l int) []int { return []int{(l + 1) % 3} }},
 		{"the leader and a follower", func(l int) []int { return []int{l, (l + 1) % 3} }},
 		{"all", func(int) []int { return []int{0, 1, 2} }},
 	} {
-		for _, d := range stops {
+		for _, d := range pauseDurations {
 			t.Run(fmt.Sprint(c.name, " for ", d), func(t *testing.T) {
 				runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 					t.Helper()
@@ -35,27 +35,27 @@
 						job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.EstimateS = 80 }))
 					mustReach(t, w, "wk-000002", wire.JobRunning, 20*time.Second)
 					time.Sleep(4 * time.Second)
-					which := c.which(w.Leader())
-					for _, i := range which {
+					paused := c.paused(w.Leader())
+					for _, i := range paused {
 						w.PauseNode(i)
 					}
 					begun := time.Now()
-					if len(which) == 1 && d > 5*time.Second {
+					if len(paused) == 1 && d > 5*time.Second {
 						mustSubmit(t, w, job(3, nil))
 						if w.Cancel("wk-000001") != wire.JobCancelled {
-							t.Error("no node cancels")
+							t.Error("no node cancels the job")
 						}
 					}
 					time.Sleep(d - time.Since(begun))
-					for _, i := range which {
+					for _, i := range paused {
 						w.ResumeNode(i)
 					}
 					mustSubmit(t, w, job(4, nil))
 					mustReach(t, w, "wk-000004", wire.JobDone, 2*time.Minute)
 					mustReach(t, w, "wk-000002", wire.JobDone, 4*time.Minute)
-					// Whichever nodes were paused, a worker finds a leader within its lease as long
-					// as there can be one.
-					if n := w.Started(); n > 9 && (len(which) == 1 || d < 10*time.Second) {
+					// As long as there can be a leader, a worker finds it within its lease, whichever
+					// nodes were paused.
+					if n := w.Started(); n > 9 && (len(paused) == 1 || d < 10*time.Second) {
 						t.Errorf("%d starts of 9 tasks", n)
 					}
 				})
@@ -64,9 +64,9 @@
 	}
 }
 
-// A leader that is powered off or paused accepts connections and answers nothing: each follower
-// that sent a worker there cost that worker 4 s of its lease of 12 s, and with another node down as
-// well most tasks were killed.
+// A leader that is powered off or paused accepts connections and answers nothing. Each follower that
+// redirected a worker there cost the worker 4 s of its lease of 12 s. With another node down as well,
+// most tasks were killed.
 func TestWorkersStayWithTheNodeThatAnswersDuringFailover(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 8, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -84,26 +84,26 @@
 	})
 }
 
-// The key-value store refuses one node while others are paused: a user's request is forwarded past
-// all of them in time.
+// The key-value store refuses one node while others are paused. The refused node forwards a user's
+// request, and could wait too long for the paused ones. It must reach a node that answers in time.
 func TestRequestIsForwardedAroundAStalledNode(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Nodes: 4}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
-		a := (w.Leader() + 1) % 4
-		w.Store.RefuseNode(fmt.Sprintf("n-%d", a))
+		refused := (w.Leader() + 1) % 4
+		w.Store.RefuseNode(fmt.Sprintf("n-%d", refused))
 		for i := range 2 {
-			w.PauseNode((a + 1 + i) % 4)
+			w.PauseNode((refused + 1 + i) % 4)
 		}
 		time.Sleep(2 * time.Second)
-		if status := w.PostSubmission(a, job(1, nil)); status != 201 {
-			t.Errorf("answered %d", status)
+		if status := w.PostSubmission(refused, job(1, nil)); status != 201 {
+			t.Errorf("submission answered %d, want 201", status)
 		}
 	})
 }
 
-// Hundreds of polling users once made every node query the key-value store as often as it could.
-// Together that was several times what the store takes, and the leader's lease renewals were
-// rate-limited along with the rest, so that leadership was lost for good.
+// Hundreds of polling users made every node query the key-value store as often as it could. The sum was
+// several times what the store takes. The leader's lease renewals were rate-limited along with the
+// queries, and leadership was lost permanently.
 func TestManyPollsDoNotEndLeadership(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Nodes: 5, StateRPS: 40}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -119,15 +119,15 @@
 			}()
 		}
 		time.Sleep(8 * time.Second)
-		busy := w.Store.RateLimited()
+		refusedBefore := w.Store.RateLimited()
 		mustSubmit(t, w, job(2, nil))
 		mustReach(t, w, "wk-000002", wire.JobDone, time.Minute)
-		if n := w.Store.RateLimited() - busy; n > 40*30/10 {
-			t.Errorf("%d requests were refused in half a minute", n)
+		if n := w.Store.RateLimited() - refusedBefore; n > 40*30/10 {
+			t.Errorf("%d requests were rate-limited in half a minute, want at most 120", n)
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
 		if string(w.Store.Value("ctl/leader")) != string(before) {
-			t.Error("the leader has changed")
+			t.Error("the leader changed")
 		}
 		if n := w.Started(); n != 4 {
 			t.Errorf("%d starts of 4 tasks", n)
--- a/controller/poll_answers_test.go
+++ b/controller/poll_answers_test.go
@@ -13,17 +13,17 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// polledAnswers collects the results of many clients' polls.
-type polledAnswers struct {
-	mu         sync.Mutex
-	unanswered time.Duration // longest time that any one job was without an answer
-	last       string        // id of that job
-	refused    int
+// pollStats collects the results of many clients' polls.
+type pollStats struct {
+	mu         sync.Mutex    // guards the fields below
+	longestGap time.Duration // longest time that any job was without an answer
+	gapJobID   string        // id of that job
+	refused    int           // polls without an answer
 	polls      int
 }
 
 // poll queries each job about every 5 s, for the given time, at any node.
-func (a *polledAnswers) poll(w *fake.Cluster, jobs []wire.Job, during time.Duration) {
+func (stats *pollStats) poll(w *fake.Cluster, jobs []wire.Job, during time.Duration) {
 	var wg sync.WaitGroup
 	end := time.Now().Add(during)
 	for i, j := range jobs {
@@ -33,15 +33,15 @@
 			time.Sleep(time.Duration(rnd.IntN(5000)) * time.Millisecond)
 			for {
 				ok := w.PollState(w.AnyNodeAddr(), j.ID) != ""
-				a.mu.Lock()
-				a.polls++
+				stats.mu.Lock()
+				stats.polls++
 				if !ok {
-					a.refused++
+					stats.refused++
 				}
-				if gap := time.Since(answered); gap > a.unanswered {
-					a.unanswered, a.last = gap, j.ID
+				if gap := time.Since(answered); gap > stats.longestGap {
+					stats.longestGap, stats.gapJobID = gap, j.ID
 				}
-				a.mu.Unlock()
+				stats.mu.Unlock()
 				if ok {
 					answered = time.Now()
 				}
@@ -55,9 +55,10 @@
 	wg.Wait()
 }
 
-// More clients poll than the nodes can answer, for jobs that wait, that are cancelled and that
-// fail, and all nodes are restarted during an outage of the key-value store. Once that is over
-// every job is answered again and again, however many polls are told to retry later.
+// More clients poll than the nodes can answer, for jobs that wait, that are cancelled and that fail. All
+// nodes are restarted during an outage of the key-value store. Afterwards some jobs could get no answer
+// while others are answered often. Every job must be answered at least every 50 s, however many polls are
+// told to retry later.
 func TestEveryJobIsAnsweredHoweverManyPoll(t *testing.T) {
 	many := 1000
 	if scenario.UnderRace {
@@ -94,29 +95,29 @@
 		w.StartAll()
 		time.Sleep(5 * time.Second)
 		w.Store.SetOutage(false)
-		var a polledAnswers
-		a.poll(w, jobs, 85*time.Second)
-		t.Logf("%d polls, %d not answered; no job was without an answer for more than %v (%s)", a.polls, a.refused, a.unanswered, a.last)
-		if a.unanswered > 50*time.Second {
-			t.Errorf("%s was without an answer for %v", a.last, a.unanswered)
+		var stats pollStats
+		stats.poll(w, jobs, 85*time.Second)
+		t.Logf("%d polls, %d not answered; the longest time without an answer was %v (%s)", stats.polls, stats.refused, stats.longestGap, stats.gapJobID)
+		if stats.longestGap > 50*time.Second {
+			t.Errorf("%s was without an answer for %v", stats.gapJobID, stats.longestGap)
 		}
-		if !scenario.UnderRace && a.refused < a.polls/50 {
-			t.Errorf("%d of %d polls were refused: that is no crowd", a.refused, a.polls)
+		if !scenario.UnderRace && stats.refused < stats.polls/50 {
+			t.Errorf("%d of %d polls were refused: the load is too small", stats.refused, stats.polls)
 		}
 		if got, _ := w.SubmitRefused(0, jobs[0]); got != http.StatusOK {
-			t.Errorf("%s again: %d", jobs[0].ID, got)
+			t.Errorf("%s submitted again: status %d, want 200", jobs[0].ID, got)
 		}
 	})
 }
 
-// A page with the records of many jobs can't be decoded any more. Nodes that have started since
-// answer for the jobs that can still be read from it, that have a placement, or of which another
-// node holds a copy, and answer 404 for none; the other jobs go on.
+// A page with the records of many jobs is corrupted. Nodes that have started since could answer 404 for
+// its jobs. They must answer for the jobs that can still be read from it, that have a placement, or of
+// which another node holds a copy, and must answer 404 for none. The other jobs must go on.
 func TestJobsOfADamagedPageAreStillAnswered(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		scratch bool // most of the page can still be read
-		stays   bool // one node keeps running
+		name             string
+		partlyReadable   bool // most of the page can still be decoded
+		oneNodeKeepsCopy bool // one node keeps running
 	}{{"in part", true, false}, {"wholly", false, false}, {"wholly, but a node remembers", false, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 3, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
@@ -134,17 +135,17 @@
 				time.Sleep(8 * time.Second)
 				_, shared := countOwnAndSharedRecords(w)
 				if shared < 10 {
-					t.Fatalf("%d jobs share pages", shared)
+					t.Fatalf("%d jobs share pages, want at least 10", shared)
 				}
 				leader := w.Leader()
-				stays := (leader + 1) % 3
+				survivor := (leader + 1) % 3
 				for n := range w.Nodes() {
-					if n != stays || !c.stays {
+					if n != survivor || !c.oneNodeKeepsCopy {
 						w.KillNode(n)
 					}
 				}
 				for _, key := range w.Store.Keys(jobstore.JobPrefix) {
-					if jobstore.IsJobPageKey(key) && c.scratch {
+					if jobstore.IsJobPageKey(key) && c.partlyReadable {
 						w.Store.CorruptNested(key)
 					} else if jobstore.IsJobPageKey(key) {
 						w.Store.Corrupt(key)
@@ -153,7 +154,7 @@
 				time.Sleep(time.Second)
 				w.StartAll()
 				time.Sleep(12 * time.Second)
-				alone, _ := countOwnAndSharedRecords(w)
+				withOwnKey, _ := countOwnAndSharedRecords(w)
 				for i := range w.Nodes() {
 					answered := 0
 					for n := range jobs {
@@ -162,12 +163,12 @@
 							answered++
 						case "":
 						default:
-							t.Errorf("node %d: %d is called over", i, n)
+							t.Errorf("node %d: unfinished job %d is reported as finished", i, n)
 						}
 					}
-					t.Logf("node %d: %d of %d answered, %d have keys of their own", i, answered, len(jobs), alone)
-					if (c.scratch || c.stays) && answered < len(jobs) || answered < alone {
-						t.Errorf("node %d answers for %d of %d", i, answered, len(jobs))
+					t.Logf("node %d: %d of %d answered, %d have keys of their own", i, answered, len(jobs), withOwnKey)
+					if (c.partlyReadable || c.oneNodeKeepsCopy) && answered < len(jobs) || answered < withOwnKey {
+						t.Errorf("node %d answers for only %d of %d jobs", i, answered, len(jobs))
 					}
 				}
 			})
@@ -175,8 +176,9 @@
 	}
 }
 
-// All nodes are restarted one after the other while the schema version changes: each job is
-// answered before, during and after that, whichever node a client uses.
+// All nodes are restarted one after the other while the schema version changes. A node that can't read the
+// other version's records could give no answer. Each job must be answered before, during and after the
+// change, whichever node a client uses.
 func TestEveryJobIsAnsweredWhileTheSchemaChanges(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, OlderSchema: []int{0, 1, 2}}, func(t *testing.T, w *fake.Cluster) {
 		var jobs []wire.Job
@@ -184,9 +186,9 @@
 			jobs = append(jobs, job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, 15 }))
 			mustSubmit(t, w, jobs[n])
 		}
-		var a polledAnswers
+		var stats pollStats
 		var wg sync.WaitGroup
-		wg.Go(func() { a.poll(w, jobs, 85*time.Second) })
+		wg.Go(func() { stats.poll(w, jobs, 85*time.Second) })
 		for n := range w.Nodes() {
 			time.Sleep(15 * time.Second)
 			w.KillNode(n)
@@ -196,11 +198,11 @@
 		}
 		time.Sleep(10 * time.Second)
 		if len(w.Store.Keys(jobstore.SchemaKey)) == 0 {
-			t.Error("the form has not changed")
+			t.Error("the schema version did not change")
 		}
 		wg.Wait()
-		if a.unanswered > 30*time.Second {
-			t.Errorf("%s was without an answer for %v", a.last, a.unanswered)
+		if stats.longestGap > 30*time.Second {
+			t.Errorf("%s was without an answer for %v", stats.gapJobID, stats.longestGap)
 		}
 	})
 }
--- a/controller/race_test.go
+++ b/controller/race_test.go
@@ -2,7 +2,7 @@
 
 package controller_test
 
-// The race detector's runtime can't cope with the thousands of goroutines of the large cluster: it
-// aborted in one run of three. Under it the scenario runs on a smaller cluster; .ci/run runs the
-// large one without it.
+// grownMachines and grownJobs are the size of the large cluster. It is smaller here, since the race
+// detector's runtime can't cope with the thousands of goroutines of the full size. It aborted in one run
+// of three. .ci/run runs the full size without the race detector.
 const grownMachines, grownJobs = 40, 8
