--- a/controller/priorities_test.go
+++ b/controller/priorities_test.go
@@ -16,20 +16,23 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+// storeClient returns a user's client of the key-value store.
 func storeClient(w *fake.Cluster) *kvstore.Client {
 	return kvstore.New(w.Network.Dial("user"), "state:1", 200, 100)
 }
 
-func explainWaiting(t *testing.T, w *fake.Cluster, id string) (cluster.Explanation, string) {
+// explainWaiting returns why a job waits. If the job is finished, it returns the job's final state instead.
+func explainWaiting(t *testing.T, w *fake.Cluster, id string) (explanation cluster.Explanation, finalState string) {
 	t.Helper()
-	got, over, err := controller.WhyWaiting(t.Context(), w.Settings, storeClient(w), id, time.Now())
+	explanation, finalState, err := controller.WhyWaiting(t.Context(), w.Settings, storeClient(w), id, time.Now())
 	if err != nil {
-		t.Fatalf("why %s: %v", id, err)
+		t.Fatalf("explanation of %s: %v", id, err)
 	}
-	return got, over
+	return explanation, finalState
 }
 
-// The explanation of a waiting job is computed from the records, also while no node is up.
+// Operators need explanations during outages. The explanation of a waiting job must be computed from the
+// records alone, also while no node is up.
 func TestExplanationOfAWaitingJobWithoutALeader(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 8}, {Name: "edge"}}
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
@@ -56,16 +59,17 @@
 		if got, _ = explainWaiting(t, w, "wk-000001"); len(got.PendingReasons) != 0 || got.Placed != 2 {
 			t.Errorf("%+v", got)
 		}
-		if _, over := explainWaiting(t, w, "wk-000004"); over != wire.JobCancelled {
-			t.Errorf("a cancelled job is %q", over)
+		if _, finalState := explainWaiting(t, w, "wk-000004"); finalState != wire.JobCancelled {
+			t.Errorf("the final state of a cancelled job is %q", finalState)
 		}
 		if _, _, err := controller.WhyWaiting(t.Context(), w.Settings, storeClient(w), "wk-777777", time.Now()); err == nil {
-			t.Error("a job that nobody submitted waits for something")
+			t.Error("an unknown job is explained, want an error")
 		}
 	})
 }
 
-// tierPlan returns a plan with one priority tier for each of the classes, in that order.
+// tierPlan returns a plan with one priority tier for each of the classes, the highest first. All but the
+// first have a longest wait of 240 s.
 func tierPlan(classes ...string) string {
 	var out strings.Builder
 	for i, c := range classes {
@@ -82,7 +86,7 @@
 	return job(n, func(j *wire.Job) { j.Class, j.Tasks, j.CPUs, j.EstimateS = class, 1, 8, seconds })
 }
 
-// awaitFirstRunning returns the first of the jobs whose task 0 is on a machine.
+// awaitFirstRunning waits until task 0 of one of the jobs is on a machine, and returns that job's id.
 func awaitFirstRunning(t *testing.T, w *fake.Cluster, within time.Duration, ids ...string) string {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
@@ -96,13 +100,13 @@
 	return ""
 }
 
-// A leader that has read one version of the plan fails in some way while a newer version is
-// applied. Nothing is placed by the older tiers: not by that leader, not by a transaction of it
-// that is carried out a minute late, and not by the next leader.
+// A leader that has read one version of the plan fails while a newer version is applied. Tasks could still
+// be placed by the older tiers: by that leader, by a transaction of it that is carried out a minute late,
+// or by the next leader. None may be.
 func TestNothingIsPlacedUnderAnOlderPlan(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(w *fake.Cluster) (end func())
+		fail func(w *fake.Cluster) (end func())
 	}{
 		{"crashes", crashLeader},
 		{"stands still", stallLeader},
@@ -130,10 +134,10 @@
 				time.Sleep(10 * time.Second)
 				mustSubmit(t, w, wholeMachineJob(2, "craft", 30), wholeMachineJob(3, "clinic", 30), wholeMachineJob(4, "craft", 30))
 				time.Sleep(5 * time.Second)
-				end := c.do(w)
+				end := c.fail(w)
 				applyPlan(t, w, 1, tierPlan("clinic", "craft"))
 				if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003", "wk-000004"); got != "wk-000003" {
-					t.Errorf("%s was placed first, by the order before", got)
+					t.Errorf("%s was placed first, by the tiers of the older plan", got)
 				}
 				end()
 				mustFinish(t, w, 4*time.Minute, 1, 2, 3, 4)
@@ -152,16 +156,16 @@
 	return on
 }
 
-// The order of the tiers is reversed while the leader can't learn of it (partitioned, refused,
-// paused, or its store slow). Only then does a heartbeat show it that a team has quota again for a
-// job of high priority, which preempts other work. The leader must preempt nothing that only the
-// older order would have preempted first.
+// The order of the tiers is reversed while the leader can't learn of it: it is partitioned, refused or
+// paused, or its store is slow. Then a heartbeat shows it that a team has quota again for a job of high
+// priority, which preempts other tasks. The leader must not preempt a task that only the older order
+// preempts first.
 func TestNoPreemptionUnderAnOlderPlan(t *testing.T) {
 	at := func(typ string) func(*wire.Job) { return func(j *wire.Job) { j.Types = []string{typ} } }
 	typ := func(name string) wire.MachineType { v := fake.DefaultType; v.Name = name; return v }
 	for _, c := range []struct {
 		name string
-		do   func(w *fake.Cluster, l int) (end func())
+		fail func(w *fake.Cluster, leader int) (end func())
 	}{
 		{"is cut off from the state service", func(w *fake.Cluster, l int) func() {
 			w.PartitionNode(l, "state")
@@ -193,22 +197,22 @@
 				applyPlan(t, w, 0, tierPlan("craft", "clinic"))
 				mustSubmit(t, w, wholeMachineJob(2, "craft", 300), wholeMachineJob(3, "clinic", 300), urgent(1, 40, at("m9")))
 				on := awaitRunning(t, w, "wk-000002", "wk-000003", "wk-000001")
-				mustSubmit(t, w, urgent(4, 20, at("m8"))) // waits: its team is at its quota
+				mustSubmit(t, w, urgent(4, 20, at("m8"))) // waits, since its team is at its quota
 				time.Sleep(37 * time.Second)
 				l := w.Leader()
-				end := c.do(w, l)
+				end := c.fail(w, l)
 				applyPlan(t, w, 1, tierPlan("clinic", "craft"))
 				for began := time.Now(); len(w.MachinesRunning("wk-000004/0")) == 0; time.Sleep(100 * time.Millisecond) {
 					if time.Since(began) > 2*time.Minute {
-						t.Fatal("nobody is stopped for urgent work")
+						t.Fatal("no task is preempted for the job of high priority")
 					}
 					if len(w.MachinesRunning("wk-000003/0")) == 0 && w.Leader() == l {
-						t.Fatal("clinic work is stopped, by the order before")
+						t.Fatal("the clinic job is preempted, by the tiers of the older plan")
 					}
 				}
-				// A next leader may have had a heartbeat from one machine only by then.
+				// By then a next leader may have had a heartbeat from only one machine.
 				if got := w.MachinesRunning("wk-000004/0")[0]; got != on[0] && w.Leader() == l {
-					t.Errorf("urgent work is on %s, not in the place of crafts' on %s", got, on[0])
+					t.Errorf("the job of high priority is on %s, want the machine of the preempted craft job %s", got, on[0])
 				}
 				end()
 			})
@@ -216,18 +220,18 @@
 	}
 }
 
-// The plan is changed twice while the transaction that places tasks by its first version hangs; it
-// is carried out a minute late, with its leader still running or killed.
+// The plan is changed twice while a transaction that places tasks by the first version hangs. The
+// transaction is carried out a minute late, with its leader still running or killed. It must place nothing.
 func TestLateTransactionDoesNotPlaceUnderAnOlderPlan(t *testing.T) {
-	for _, dies := range []bool{false, true} {
-		t.Run(fmt.Sprint("the leader dies: ", dies), func(t *testing.T) {
+	for _, killLeader := range []bool{false, true} {
+		t.Run(fmt.Sprint("the leader dies: ", killLeader), func(t *testing.T) {
 			runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 				time.Sleep(5 * time.Second)
 				applyPlan(t, w, 0, tierPlan("craft", "clinic"))
 				mustSubmit(t, w, wholeMachineJob(1, "other", 30))
 				mustReach(t, w, "wk-000001", wire.JobRunning, 30*time.Second)
-				// Jobs submitted just as the machine becomes free: the next transaction after their
-				// acceptance is the placement.
+				// The jobs are submitted shortly before the machine becomes free, so that the next
+				// transaction is the placement.
 				mustSubmit(t, w, wholeMachineJob(2, "craft", 20), wholeMachineJob(3, "clinic", 20))
 				for len(w.MachinesRunning("wk-000001/0")) > 0 {
 					time.Sleep(20 * time.Millisecond)
@@ -235,12 +239,12 @@
 				w.Store.DelayNextTransaction(time.Minute)
 				time.Sleep(time.Second)
 				applyPlan(t, w, 1, tierPlan("clinic", "craft"))
-				if dies {
+				if killLeader {
 					w.KillNode(w.Leader())
 				}
 				applyPlan(t, w, 2, "note = \"the same again\"\n"+tierPlan("clinic", "craft"))
 				if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
-					t.Errorf("%s was placed first, by the first order", got)
+					t.Errorf("%s was placed first, by the tiers of the first plan", got)
 				}
 				mustReach(t, w, "wk-000002", wire.JobDone, 3*time.Minute)
 			})
@@ -248,8 +252,8 @@
 	}
 }
 
-// Each node knows a different older version of the plan and none of them the newest, and all are
-// back at once: with the versions they hold in memory, or restarted.
+// Each node knows a different older version of the plan, and none knows the newest. All are back at once,
+// with the versions that they hold in memory or restarted. Tasks must be placed by the newest version.
 func TestNodesWithDifferentOlderPlansPlaceByTheNewest(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		t.Run(fmt.Sprint("restarted: ", restart), func(t *testing.T) {
@@ -274,7 +278,7 @@
 					w.StartNode(i)
 				}
 				if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003", "wk-000004"); got != "wk-000004" {
-					t.Errorf("%s was placed first, by an older order", got)
+					t.Errorf("%s was placed first, by the tiers of an older plan", got)
 				}
 				mustFinish(t, w, 4*time.Minute, 2, 3, 4)
 			})
@@ -282,8 +286,8 @@
 	}
 }
 
-// The newest version of the plan can't be decoded: the version before stays in force; the leader
-// never acts as if there were no plan.
+// The newest version of the plan can't be decoded. A leader could then act as if there were no plan. The
+// version before must stay in force.
 func TestDamagedPlanLeavesThePreviousOneInForce(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -301,14 +305,14 @@
 			t.Errorf("%+v", got)
 		}
 		if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
-			t.Errorf("%s was placed first", got)
+			t.Errorf("%s was placed first, want the clinic job", got)
 		}
 	})
 }
 
-// The schema record says that a plan is in force in a form written by a later version. Restarted
-// nodes of this version don't lead by what they know of it: nothing is placed until the schema
-// version is one that they can read.
+// According to the schema record, the plan in force was written by a later version of the program. Restarted
+// nodes of this version would place tasks by the parts that they know. They must not lead, and nothing may
+// be placed, until the schema version is one that they can read.
 func TestVersionThatCannotReadThePlanDoesNotLead(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -317,38 +321,38 @@
 		time.Sleep(6 * time.Second)
 		mustSubmit(t, w, wholeMachineJob(2, "craft", 20), wholeMachineJob(3, "clinic", 20))
 		w.KillAll()
-		form := func(change int) {
+		changeSchemaVersion := func(change int) {
 			var rec jobstore.SchemaRecord
 			if err := wire.Unmarshal(w.Store.Value(jobstore.SchemaKey), &rec); err != nil || rec.Version < jobstore.SchemaPlans {
-				t.Fatalf("with an order in force the records have form %d, which versions without orders read: %v", rec.Version, err)
+				t.Fatalf("with a plan in force the records have schema version %d, which versions without plans read: %v", rec.Version, err)
 			}
 			rec.Version += change
 			if _, err := storeClient(w).CompareAndSwap(t.Context(), nil, []wire.Op{{Put: jobstore.SchemaKey, Value: rec}}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		form(jobstore.LatestSchema + 1 - jobstore.SchemaPlans)
+		changeSchemaVersion(jobstore.LatestSchema + 1 - jobstore.SchemaPlans)
 		w.StartAll()
 		time.Sleep(40 * time.Second)
 		if on := append(w.MachinesRunning("wk-000002/0"), w.MachinesRunning("wk-000003/0")...); len(on) > 0 {
-			t.Error("a version that can't read the order has placed work")
+			t.Error("a version that can't read the plan has placed tasks")
 		}
-		form(jobstore.SchemaPlans - jobstore.LatestSchema - 1)
+		changeSchemaVersion(jobstore.SchemaPlans - jobstore.LatestSchema - 1)
 		if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
-			t.Errorf("%s was placed first", got)
+			t.Errorf("%s was placed first, want the clinic job", got)
 		}
 	})
 }
 
-// Jobs of the highest tier arrive without end while leaders are killed in turn. Every other job
-// begins within the bound, and the priority inversions that this takes are counted by whichever
-// node leads.
+// Jobs of the highest tier arrive all the time while leaders are killed in turn. The lower tiers could
+// starve. Each of their jobs must begin within the bound. That takes priority inversions, which every
+// leader must count.
 func TestEndlessUrgentJobsStarveNobodyDuringFailovers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
 		applyPlan(t, w, 0, strings.ReplaceAll(tierPlan("clinic", "school", "craft"), "240", "60"))
-		began := map[string]time.Duration{}
-		came := map[string]time.Time{}
+		waits := map[string]time.Duration{}
+		submittedAt := map[string]time.Time{}
 		n, started := 1, time.Now()
 		for step := 0; time.Since(started) < 10*time.Minute; step++ {
 			for range 3 {
@@ -359,7 +363,7 @@
 				for _, c := range []string{"school", "craft"} {
 					j := job(n, func(j *wire.Job) { j.Class, j.Tasks, j.CPUs, j.EstimateS = c, 1, 4, 20 })
 					mustSubmit(t, w, j)
-					came[j.ID] = time.Now()
+					submittedAt[j.ID] = time.Now()
 					n++
 				}
 			}
@@ -370,29 +374,29 @@
 			}
 			for range 10 {
 				time.Sleep(500 * time.Millisecond)
-				for id, at := range came {
-					if _, ok := began[id]; !ok && len(w.MachinesRunning(id+"/0")) > 0 {
-						began[id] = time.Since(at)
+				for id, at := range submittedAt {
+					if _, ok := waits[id]; !ok && len(w.MachinesRunning(id+"/0")) > 0 {
+						waits[id] = time.Since(at)
 					}
 				}
 			}
 		}
-		const most = 180 * time.Second // the tier's longest wait, jobs that waited before it, and failovers
-		worst := time.Duration(0)
-		for id, at := range came {
-			worst = max(worst, began[id])
-			if d, ok := began[id]; ok && d > most || !ok && time.Since(at) > most {
+		const maxWait = 180 * time.Second // the tier's longest wait of 60 s, the jobs ahead, and failovers
+		longestWait := time.Duration(0)
+		for id, at := range submittedAt {
+			longestWait = max(longestWait, waits[id])
+			if d, ok := waits[id]; ok && d > maxWait || !ok && time.Since(at) > maxWait {
 				t.Errorf("%s: begun %t, after %v", id, ok, d)
 			}
 		}
-		t.Logf("%d of %d began, the last after %v", len(began), len(came), worst)
+		t.Logf("%d of %d began, the last after %v", len(waits), len(submittedAt), longestWait)
 		time.Sleep(40 * time.Second) // the last killed node is back, and there is a leader
 		counted := uint64(0)
 		for _, o := range getOverview(t, w, w.Leader()).Cluster.PriorityInversions {
 			counted += o
 		}
-		if len(began) < 12 || counted < uint64(len(began))/2 {
-			t.Errorf("%d jobs of lower tiers began, %d departures are counted", len(began), counted)
+		if len(waits) < 12 || counted < uint64(len(waits))/2 {
+			t.Errorf("%d jobs of lower tiers began, %d priority inversions are counted", len(waits), counted)
 		}
 	})
 }
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -16,9 +16,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// TestRulesHoldUnderRandomFailures runs seeded scenarios of random jobs and failures; the checker
-// of fake.Cluster verifies the protocol's rules by itself. Every accepted job must have ended at
-// the end.
+// TestRulesHoldUnderRandomFailures runs seeded scenarios of random jobs and failures, to find combinations
+// of faults that no other test has. The checker of fake.Cluster verifies the rules of the protocol. Every
+// accepted job must end.
 func TestRulesHoldUnderRandomFailures(t *testing.T) {
 	seeds := uint64(8)
 	if n, many := seedCount(); many {
@@ -37,9 +37,8 @@
 	})
 }
 
-// randomPlan returns a plan with every part: priority tiers, a region with a batch window, and a
-// warm pool. Random are which team comes first, when the region opens, and how many machines the
-// pool holds.
+// randomPlan returns a plan with every part: priority tiers, a region with a batch window, and a warm pool.
+// It draws which team comes first, when the region opens, and how many machines the pool holds.
 func randomPlan(rnd *rand.Rand) string {
 	first, second := "core", "edge"
 	if rnd.IntN(2) == 0 {
@@ -59,8 +58,8 @@
 		plans.Pool{Name: "warm", Model: "img-1", WeightsGB: 5, MachineType: "m8", Min: rnd.IntN(3), Max: 3, Replicas: 2, Payer: "core", More: `borrowers = ["edge"]`}.TOML()
 }
 
-// randomScenario injects random faults on a cluster of 6*size machines; with planned, a plan is in
-// force and is replaced now and then.
+// randomScenario injects random faults in a cluster of 6*size machines. With planned set, a plan is in force
+// and is replaced every six steps.
 //
 //nolint:revive // flag-parameter: the variants of the test differ in it
 func randomScenario(t *testing.T, seed uint64, size int, planned bool) {
@@ -74,14 +73,14 @@
 	w := fake.New(o)
 	defer w.Close()
 	time.Sleep(3 * time.Second)
-	// Generators of their own, so that their draws don't change those of rnd.
+	// Separate generators, so that their draws don't change those of rnd.
 	users, machines := rand.New(rand.NewPCG(seed, 23)), rand.New(rand.NewPCG(seed, 24))
 	storage, copies := rand.New(rand.NewPCG(seed, 25)), rand.New(rand.NewPCG(seed, 26))
-	var ids, asked []string
+	var ids, cancelRequested []string
 	cancelled, broken := map[string]bool{}, map[string]bool{}
 	faults := rand.New(rand.NewPCG(seed, 27))
 	plan := scenario.Plans{Cluster: w}
-	next := "" // the plan that is yet to be applied
+	next := "" // the plan that is to be applied, "" if none
 	if planned {
 		plan.Apply(randomPlan(rnd), time.Minute)
 	}
@@ -105,14 +104,14 @@
 		if planned && step%6 == 5 {
 			next = randomPlan(rnd)
 		}
-		// Operators retry: at some seeds the key-value store was out each time that a plan was due,
-		// and with a single attempt each no plan was ever applied.
+		// Plans are retried, as operators do. At some seeds the key-value store was out each time that
+		// a plan was due, and with a single attempt no plan was ever applied.
 		if next != "" && plan.Apply(next, 3*time.Second) {
 			next = ""
 		}
 		randomFailure(rnd, w)
 		randomUsers(users, w, ids)
-		asked = append(asked, randomMachines(machines, w)...)
+		cancelRequested = append(cancelRequested, randomMachines(machines, w)...)
 		randomStorage(storage, w)
 		randomCopies(copies, w)
 		randomDelays(faults, w)
@@ -125,32 +124,32 @@
 	}
 	endFaults(w)
 	if next != "" && !plan.Apply(next, time.Minute) {
-		t.Error("a plan can't be applied though nothing is wrong any more")
+		t.Error("a plan can't be applied after the end of all faults")
 	}
-	if planned && !plan.Apply("", time.Minute) { // jobs may starve because of machines that a plan reserves
-		t.Error("the plan can't be withdrawn though nothing is wrong any more")
+	if planned && !plan.Apply("", time.Minute) { // machines that a plan reserves may let jobs starve
+		t.Error("the plan can't be withdrawn after the end of all faults")
 	}
-	asked = append(asked, w.CancelledOnCompletion()...)
-	for _, id := range asked {
+	cancelRequested = append(cancelRequested, w.CancelledOnCompletion()...)
+	for _, id := range cancelRequested {
 		// A repeated cancellation gets the answer of the first.
 		cancelled[id] = w.Cancel(id) == wire.JobCancelled
 	}
 	if starved := w.Starved(90 * time.Second); len(starved) > 0 {
-		t.Errorf("%v waited for 90 s, though there is room and their teams are under their limits", starved)
+		t.Errorf("%v waited for 90 s although there is room and their teams are under their quotas", starved)
 	}
 	for _, id := range ids {
 		if broken[id] && !cancelled[id] {
-			// It never completes, so its user cancels it.
+			// The job always fails, so its user cancels it.
 			cancelled[id] = w.Cancel(id) == wire.JobCancelled
 		}
 		want := wire.JobDone
 		if cancelled[id] {
 			want = wire.JobCancelled
 		}
-		// The jobs left share the machines there are, which may take long; the check is for a job
-		// that never ends.
+		// The remaining jobs share the machines, which may take long. The limit only detects jobs that
+		// never end.
 		if !w.Await(id, want, 25*time.Minute) {
-			t.Errorf("%s is not %s in the end", id, want)
+			t.Errorf("%s did not become %s", id, want)
 		}
 	}
 	for _, b := range w.Violations() {
@@ -159,7 +158,7 @@
 	if planned && plan.Version < 2 {
 		t.Errorf("only version %d of the plan was ever applied", plan.Version)
 	}
-	// Whatever went wrong, the cluster works normally in the end.
+	// After all faults the cluster must work normally.
 	last := randomJob(rnd, 999, size)
 	if !w.Submit(last) || !w.Await(last.ID, wire.JobDone, 10*time.Minute) {
 		t.Error("a job submitted after all failures is not done")
@@ -187,8 +186,10 @@
 	healMachines(w)
 }
 
+// everything lists all destinations from which a node can be partitioned.
 var everything = []string{"state", "workers", "nodes", "cloud", "user"}
 
+// randomJob draws a job for a cluster of 6*size machines.
 func randomJob(rnd *rand.Rand, n, size int) wire.Job {
 	pick := func(list ...string) string { return list[rnd.IntN(len(list))] }
 	return job(n, func(j *wire.Job) {
@@ -206,7 +207,7 @@
 	})
 }
 
-// randomCopies turns on, or off, delayed duplicates of heartbeats that are delivered to the next
+// randomCopies at times turns delayed duplicates of heartbeats on or off. They are delivered to the next
 // leaders.
 func randomCopies(rnd *rand.Rand, w *fake.Cluster) {
 	if rnd.IntN(10) == 0 {
@@ -214,7 +215,7 @@
 	}
 }
 
-// randomFailure injects one fault, or ends one.
+// randomFailure injects one fault or ends one.
 func randomFailure(rnd *rand.Rand, w *fake.Cluster) {
 	n := rnd.IntN(3)
 	machine := ""
@@ -299,8 +300,8 @@
 	}
 }
 
-// randomUsers has clients query all nodes concurrently, or send unusual requests, which nodes might
-// answer differently.
+// randomUsers at times lets clients query all nodes concurrently or send unusual requests. Nodes might answer
+// these differently.
 func randomUsers(rnd *rand.Rand, w *fake.Cluster, ids []string) {
 	switch rnd.IntN(6) {
 	case 0, 1:
@@ -312,8 +313,8 @@
 	}
 }
 
-// randomMachines at times injects a fault on machines with running tasks, or ends one. It returns
-// the jobs that it has cancelled, without waiting for the answers.
+// randomMachines at times cancels running jobs, or blocks or unblocks the heartbeats of a machine. It returns
+// the ids of the jobs to cancel, without waiting for the answers.
 func randomMachines(rnd *rand.Rand, w *fake.Cluster) (cancelled []string) {
 	switch rnd.IntN(16) {
 	case 0:
@@ -332,9 +333,9 @@
 	return cancelled
 }
 
-// randomDelays delays direct commands or the key-value store's replies, has jobs cancelled as they
-// complete, partitions a zone's machines, or stops all nodes for a while; or it ends one of these
-// faults.
+// randomDelays at times begins or ends one of these faults: direct commands or replies of the key-value store
+// are delayed, jobs are cancelled as they complete, the machines of a zone are partitioned, or all nodes are
+// down for up to 15 s.
 func randomDelays(rnd *rand.Rand, w *fake.Cluster) {
 	switch rnd.IntN(20) {
 	case 0, 1:
@@ -364,8 +365,8 @@
 	}
 }
 
-// randomStorage has transactions carried out late or their replies lost, machines boot at once, or
-// deletions delayed, or ends one of these faults; mostly it changes nothing.
+// randomStorage at times begins or ends one of these faults: transactions are carried out late or their
+// replies are lost, machines boot at once, or deletions of machines are delayed.
 func randomStorage(rnd *rand.Rand, w *fake.Cluster) {
 	switch rnd.IntN(12) {
 	case 0:
--- a/controller/scenarios_test.go
+++ b/controller/scenarios_test.go
@@ -31,11 +31,11 @@
 		mustReach(t, w, "wk-000002", wire.JobDone, time.Minute)
 		mustReach(t, w, "wk-000003", wire.JobRunning, time.Minute)
 		if s := w.Cancel("wk-000003"); s != wire.JobCancelled {
-			t.Fatalf("cancel answered %q", s)
+			t.Fatalf("cancellation returned %q", s)
 		}
 		time.Sleep(10 * time.Second)
 		if on := w.MachinesRunning("wk-000003/0"); len(on) > 0 {
-			t.Errorf("still on %v", on)
+			t.Errorf("a cancelled task still runs on %v", on)
 		}
 	})
 }
@@ -52,15 +52,15 @@
 		mustReach(t, w, "wk-000001", wire.JobCancelled, 5*time.Second)
 		time.Sleep(40 * time.Second) // the checker reports tasks that outlast cancel_s
 		if keys := w.Store.JobKeys(); len(keys) > 0 {
-			t.Errorf("records left of jobs that are over: %v", keys)
+			t.Errorf("records of finished jobs remain: %v", keys)
 		}
 	})
 }
 
 func TestLateTransactionOfADeadLeaderFails(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
-		// The transaction that commits the placement hangs and is carried out long after its leader
-		// was killed: the guard on the leader key must refuse it.
+		// The transaction that commits the placement hangs, and is carried out long after its leader was
+		// killed. The guard on the leader key must refuse it.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		time.Sleep(3 * time.Second)
 		w.Store.DelayNextTransaction(40 * time.Second)
@@ -81,11 +81,11 @@
 			t.Fatal("task 0 does not run")
 		}
 		if status := w.ReplayHeartbeat(name, 0); status == 200 {
-			t.Error("a heartbeat older than the last one was answered 200")
+			t.Error("a heartbeat older than the newest one was answered 200")
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
 		if n := w.Started(); n != 2 {
-			t.Errorf("%d starts for two tasks", n)
+			t.Errorf("%d starts of two tasks", n)
 		}
 	})
 }
@@ -100,7 +100,7 @@
 		w.Cancel("wk-000001")
 		time.Sleep(9 * time.Second)
 		mustSubmit(t, w, job(2, func(j *wire.Job) { j.Tasks = 4; j.CPUs = 4 }))
-		w.ResumeMachine(name) // the stops that were sent to it are executed now
+		w.ResumeMachine(name) // the machine now executes the stops that were sent to it
 		mustReach(t, w, "wk-000002", wire.JobDone, 2*time.Minute)
 	})
 }
@@ -113,11 +113,11 @@
 		w.Cloud.SetDropReplies(false)
 		mustReach(t, w, "wk-000001", wire.JobDone, 4*time.Minute)
 		if len(w.Cloud.RepeatedRentals()) == 0 {
-			t.Error("the unanswered request was not repeated under its name")
+			t.Error("the unanswered request was not repeated under the same name")
 		}
 		time.Sleep(2 * time.Minute)
 		if left := w.Cloud.Machines(); len(left) > 0 {
-			t.Errorf("not returned: %v", left)
+			t.Errorf("machines were not returned: %v", left)
 		}
 	})
 }
@@ -158,10 +158,10 @@
 
 func TestNodeRefusedByTheKeyValueStoreStillServesUsers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster) {
-		f := (w.Leader() + 1) % 3
-		w.Store.RefuseNode(fmt.Sprintf("n-%d", f))
+		refused := (w.Leader() + 1) % 3
+		w.Store.RefuseNode(fmt.Sprintf("n-%d", refused))
 		time.Sleep(2 * time.Second)
-		if status := w.PostSubmission(f, job(1, nil)); status != 201 {
+		if status := w.PostSubmission(refused, job(1, nil)); status != 201 {
 			t.Errorf("submission through the refused node answered %d", status)
 		}
 	})
@@ -187,10 +187,10 @@
 		time.Sleep(25 * time.Second)
 		w.SendInterruptionNotice(w.MachinesRunning("wk-000001/0")[0], 8*time.Second)
 		time.Sleep(8 * time.Second)
-		// The first regular checkpoint would come at 50 s: without a graceful eviction there would
-		// be no saved progress.
+		// The first regular checkpoint would be at 50 s. Without a graceful eviction there would be no
+		// saved progress.
 		if got := w.CheckpointedProgress("wk-000001"); got < 10 {
-			t.Errorf("saved progress %g s", got)
+			t.Errorf("saved progress of %g s, want at least 10 s", got)
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
 	})
@@ -206,10 +206,10 @@
 		before := w.Started()
 		time.Sleep(2 * time.Minute)
 		if n := w.Started() - before; n > 8 {
-			t.Errorf("a job that fails everywhere was started %d times in two minutes", n)
+			t.Errorf("a job that fails everywhere was started %d times in two minutes, want at most 8", n)
 		}
 		if s := w.Cancel("wk-000001"); s != wire.JobCancelled {
-			t.Errorf("cancel answered %q", s)
+			t.Errorf("cancellation returned %q", s)
 		}
 	})
 }
@@ -224,12 +224,12 @@
 		mustSubmit(t, w, job(2, func(j *wire.Job) { low(j); j.EstimateS = 10 }))
 		time.Sleep(10 * time.Second)
 		if len(w.MachinesRunning("wk-000002/0"))+len(w.MachinesRunning("wk-000002/1")) > 0 {
-			t.Error("a job stopped another of its own priority")
+			t.Error("a job preempted another of the same priority")
 		}
 		mustSubmit(t, w, job(3, func(j *wire.Job) { j.Tasks, j.CPUs = 1, 4 }))
 		mustReach(t, w, "wk-000003", wire.JobDone, 40*time.Second)
 		if w.CheckpointedProgress("wk-000001/0")+w.CheckpointedProgress("wk-000001/1") < 10 {
-			t.Error("the stopped task was not let to save")
+			t.Error("the preempted task saved no checkpoint")
 		}
 	})
 }
@@ -243,7 +243,7 @@
 		mustSubmit(t, w, job(2, func(j *wire.Job) { long(j); j.Team, j.EstimateS = "edge", 10 }))
 		mustReach(t, w, "wk-000002", wire.JobDone, time.Minute)
 		if w.PostSubmission(0, job(3, func(j *wire.Job) { j.Kind, j.Tasks, j.CPUs = wire.KindService, 4, 4 })) != 422 {
-			t.Error("a service beyond its team's limit was not answered 422")
+			t.Error("a service that exceeds its team's quota was not answered 422")
 		}
 	})
 }
@@ -255,11 +255,11 @@
 			time.Sleep(12 * time.Second)
 			w.KillNode(i)
 			if status := w.PostSubmission((i+1)%3, job(10+i, nil)); status != 201 {
-				t.Errorf("a node that is up answered %d", status)
+				t.Errorf("a node that is up answered the submission with %d, want 201", status)
 			}
 			time.Sleep(5 * time.Second)
-			// A node that is back this early revokes its own former lease, so that the next leader
-			// answers workers well within their leases: no task starts twice.
+			// A node that is back this early revokes its own former lease. The next leader then answers
+			// workers well within their leases, so that no task starts twice.
 			w.StartNode(i)
 			mustSubmit(t, w, job(10+i, nil))
 		}
@@ -267,7 +267,7 @@
 			mustReach(t, w, id, wire.JobDone, 2*time.Minute)
 		}
 		if n := w.Started(); n != 14 {
-			t.Errorf("%d starts for 14 tasks", n)
+			t.Errorf("%d starts of 14 tasks", n)
 		}
 	})
 }
@@ -277,12 +277,12 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = wire.MaxTasks, 1, 5 }))
 		time.Sleep(time.Minute)
 		if n := w.FinishedTasks("wk-000001"); n < 100 {
-			t.Errorf("%d tasks done after a minute", n)
+			t.Errorf("%d tasks done after a minute, want at least 100", n)
 		}
 		w.KillNode(w.Leader())
 		time.Sleep(30 * time.Second)
 		if s := w.Cancel("wk-000001"); s != wire.JobCancelled {
-			t.Fatalf("cancel answered %q", s)
+			t.Fatalf("cancellation returned %q", s)
 		}
 		time.Sleep(35 * time.Second)
 	})
@@ -318,7 +318,7 @@
 			}
 		}
 		if got := w.PollState(w.NodeAddr(1), "wk-777777"); got != "" {
-			t.Errorf("unknown job is %q", got)
+			t.Errorf("an unknown job has state %q", got)
 		}
 	})
 }
@@ -335,7 +335,7 @@
 		}
 		time.Sleep(3 * time.Second)
 		if len(w.Violations()) == 0 {
-			t.Error("a task started twice and the checker said nothing")
+			t.Error("a task started twice without a violation")
 		}
 	})
 }
--- a/controller/schema_test.go
+++ b/controller/schema_test.go
@@ -19,8 +19,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// countOwnAndSharedRecords counts the jobs that have a record of their own, and those that share a
-// page.
+// countOwnAndSharedRecords returns the number of unfinished jobs that have a record of their own, and of
+// those that share a page with others.
 func countOwnAndSharedRecords(w *fake.Cluster) (own, shared int) {
 	for _, k := range w.Store.Keys(jobstore.JobPrefix) {
 		var page jobstore.JobPage
@@ -33,15 +33,15 @@
 	return own, shared
 }
 
-// While one node reads only the previous schema version, records are written in that version under
-// whichever leader; once it has been restarted as the newer version, jobs share pages, and jobs
-// with keys of their own go on.
+// One node reads only the previous schema version. Records that it can't read would be lost if it led. So
+// every leader must write records in that version. Once the node has been restarted with the newer
+// version, jobs must share pages, and jobs with keys of their own must go on.
 func TestRollingRestartRaisesTheSchemaVersionAtItsEnd(t *testing.T) {
 	for older := range 3 {
 		runScenario(t, fake.Options{Machines: 4, OlderSchema: []int{older}}, func(t *testing.T, w *fake.Cluster) {
 			long := func(j *wire.Job) { j.EstimateS = 90 }
 			mustSubmit(t, w, job(1, long), job(2, nil))
-			// Two failovers, so that leadership moves in either direction between the nodes.
+			// Two failovers, so that leadership moves in both directions between the nodes.
 			for n := range 2 {
 				l := w.Leader()
 				w.KillNode(l)
@@ -50,8 +50,8 @@
 				time.Sleep(3 * time.Second)
 				mustSubmit(t, w, job(10+n, long))
 			}
-			if alone, shared := countOwnAndSharedRecords(w); alone < 3 || shared != 0 || len(w.Store.Keys(jobstore.SchemaKey)) != 0 {
-				t.Errorf("before: %d jobs with keys of their own, %d share", alone, shared)
+			if own, shared := countOwnAndSharedRecords(w); own < 3 || shared != 0 || len(w.Store.Keys(jobstore.SchemaKey)) != 0 {
+				t.Errorf("before the restart: %d jobs with keys of their own, %d on pages", own, shared)
 			}
 			w.KillNode(older)
 			w.UpgradeSchema(older)
@@ -68,8 +68,8 @@
 				})
 			}
 			wg.Wait()
-			if alone, shared := countOwnAndSharedRecords(w); alone < 1 || shared < 20 {
-				t.Errorf("after: %d jobs with keys of their own, %d share", alone, shared)
+			if own, shared := countOwnAndSharedRecords(w); own < 1 || shared < 20 {
+				t.Errorf("after the restart: %d jobs with keys of their own, %d on pages", own, shared)
 			}
 			w.KillNode(w.Leader())
 			for _, n := range []int{1, 2, 10, 11, 100, 140, 189} {
@@ -79,8 +79,9 @@
 	}
 }
 
-// Records written by the previous version, byte for byte, are read: its jobs run, its finished jobs
-// stay finished, and repeated submissions are recognized.
+// The snapshot holds records exactly as the previous version of the program wrote them. A change of the
+// encoding could make them unreadable. Its jobs must run, its finished jobs stay finished, and repeated
+// submissions be recognized.
 func TestRecordsOfThePreviousSchemaAreRead(t *testing.T) {
 	f, err := os.Open("testdata/form1.snapshot")
 	if err != nil {
@@ -101,22 +102,22 @@
 		w.KillAll()
 		time.Sleep(20 * time.Second)
 		w.Store.Clear()
-		to := kvstore.New(w.Network.Dial("ops"), "state:1", 200, 200)
-		if _, err := snapshot.Restore(t.Context(), to, r.Header, all, 12); err != nil {
+		client := kvstore.New(w.Network.Dial("ops"), "state:1", 200, 200)
+		if _, err := snapshot.Restore(t.Context(), client, r.Header, all, 12); err != nil {
 			t.Fatal(err)
 		}
 		jobs := map[string]jobstore.JobRecord{}
 		for k, v := range all {
 			var rec jobstore.JobRecord
 			_, active := jobstore.ParseJobKey(k)
-			_, over := jobstore.ParseFinalKey(k)
-			if (active || over) && wire.Unmarshal(v, &rec) == nil {
+			_, finished := jobstore.ParseFinalKey(k)
+			if (active || finished) && wire.Unmarshal(v, &rec) == nil {
 				jobs[rec.Job.ID] = rec
 				w.RegisterJob(rec.Job)
 			}
 		}
 		if len(jobs) != 6 {
-			t.Fatalf("%d jobs are recorded", len(jobs))
+			t.Fatalf("the snapshot has %d jobs, want 6", len(jobs))
 		}
 		w.StartAll()
 		time.Sleep(15 * time.Second)
@@ -126,17 +127,17 @@
 		mustReach(t, w, "wk-000505", wire.JobCancelled, 5*time.Second)
 		for id, rec := range jobs {
 			if got := w.PostSubmission(1, rec.Job); got != 200 {
-				t.Errorf("%s again: %d", id, got)
+				t.Errorf("%s submitted again: status %d, want 200", id, got)
 			}
 		}
 		mustReach(t, w, "wk-000506", wire.JobCancelled, 5*time.Second)
 		mustReach(t, w, "wk-000501", wire.JobDone, 5*time.Second)
 		time.Sleep(30 * time.Second)
 		if keys := w.Store.JobKeys(); len(keys) > 0 {
-			t.Errorf("records left: %v", keys)
+			t.Errorf("records of finished jobs remain: %v", keys)
 		}
-		// Jobs that were done in the snapshot are done although no machine of this cluster has run
-		// them, which the checker takes for a violation.
+		// Jobs that are finished in the snapshot were never run by a machine of this cluster. The checker
+		// reports that as a violation.
 		broken := slices.DeleteFunc(w.Violations(), func(b string) bool {
 			return strings.Contains(b, "wk-000501") || strings.Contains(b, "wk-000502") || strings.Contains(b, "wk-000506")
 		})
@@ -146,9 +147,9 @@
 	})
 }
 
-// A burst of submissions with the store limited to 25 changes a second while all nodes are
-// restarted: all are accepted within the minute for which their clients wait, in few changes, and
-// none is lost.
+// A burst of submissions arrives while the store takes only 25 changes a second and all nodes are restarted.
+// With one change for each job, clients would give up. All submissions must be accepted within the minute
+// for which clients wait, in few changes, and none may be lost.
 func TestBurstOfJobsWhileAllNodesRestart(t *testing.T) {
 	burst := 2000
 	if scenario.UnderRace {
@@ -176,7 +177,7 @@
 		})
 		wg.Wait()
 		changes := w.Store.Changes() - before
-		t.Logf("%d of %d accepted, %d changes for all", accepted.Load(), burst, changes)
+		t.Logf("%d of %d accepted, %d changes in total", accepted.Load(), burst, changes)
 		if accepted.Load() != int64(burst) {
 			t.Errorf("%d of %d accepted", accepted.Load(), burst)
 		}
@@ -185,14 +186,15 @@
 		}
 		for n := 0; n < burst; n += 1 + burst/60 {
 			if got := w.PollState(w.AnyNodeAddr(), job(1000+n, nil).ID); got == "" {
-				t.Errorf("no answer for %d", n)
+				t.Errorf("no answer for job %d", n)
 			}
 		}
 	})
 }
 
-// How long submissions wait at 25 changes a second, by the number of submissions a second, with the
-// previous schema version and with this one. -v prints the figures.
+// Submissions must not wait long or get lost when there are more of them than the store takes changes, here 25
+// a second. The test measures the waits at different rates, with the previous schema version and with this
+// one. -v prints the figures.
 func TestSubmissionsPerSecond(t *testing.T) {
 	rates := []int{1, 20, 300, 500}
 	if scenario.UnderRace {
@@ -226,21 +228,21 @@
 				took := time.Since(begun)
 				slices.Sort(waits)
 				p50, p99 := waits[n/2], waits[n*99/100]
-				t.Logf("old form %v, %d a second: p50 %v, p99 %v, all within %v, %.2f changes a job", older != nil, rate, p50, p99, took.Round(time.Second), float64(w.Store.Changes()-before)/float64(n))
+				t.Logf("previous schema %v, %d submissions a second: p50 %v, p99 %v, all within %v, %.2f changes a job", older != nil, rate, p50, p99, took.Round(time.Second), float64(w.Store.Changes()-before)/float64(n))
 				if lost.Load() > 0 || rate <= 20 && p99 > 100*time.Millisecond || rate > 20 && p50 > 5*time.Second {
-					t.Errorf("%d a second: %d lost, p50 %v, p99 %v", rate, lost.Load(), p50, p99)
+					t.Errorf("%d submissions a second: %d lost, p50 %v, p99 %v", rate, lost.Load(), p50, p99)
 				}
 				if per := float64(w.Store.Changes()-before) / float64(n); rate > 20 && per > 0.4 {
-					t.Errorf("%d a second: %.2f changes a job", rate, per)
+					t.Errorf("%d submissions a second: %.2f changes a job, want at most 0.4", rate, per)
 				}
 			})
 		}
 	}
 }
 
-// A record that can't be decoded is named in the log, and the jobs that depend on it are
-// quarantined: they are neither lost nor started again, their users can cancel them, and the other
-// jobs go on under the next leader.
+// A record can't be decoded. A leader could lose the jobs that depend on it or start them again. It must name
+// the record in the log and quarantine these jobs. Users can cancel them, and the other jobs go on under
+// the next leader.
 func TestDamagedRecordsAreQuarantinedAndTheOthersContinue(t *testing.T) {
 	for _, c := range []struct{ name, key string }{
 		{"a job", jobstore.JobKey("wk-000001")}, {"a page of placements", jobstore.PlacementPageKey(0)},
@@ -256,15 +258,15 @@
 				time.Sleep(8 * time.Second)
 				w.KillAll()
 				w.Store.Corrupt(c.key)
-				mark := w.Started()
+				startedBefore := w.Started()
 				time.Sleep(2 * time.Second)
 				w.StartAll()
 				time.Sleep(10 * time.Second)
 				mustSubmit(t, w, job(2, nil), job(3, nil))
 				mustReach(t, w, "wk-000002", wire.JobDone, 3*time.Minute)
 				mustReach(t, w, "wk-000003", wire.JobDone, 3*time.Minute)
-				if got := w.Started() - mark; got != 4 {
-					t.Errorf("%d tasks were started, the two others have 4", got)
+				if got := w.Started() - startedBefore; got != 4 {
+					t.Errorf("%d tasks were started, want the 4 of the two other jobs", got)
 				}
 				last := w.Leader()
 				w.KillNode(last) // the job stays quarantined under the next leader
@@ -272,10 +274,10 @@
 				w.StartNode(last) // clients may use any node
 				time.Sleep(5 * time.Second)
 				if got := w.PollState(w.AnyNodeAddr(), "wk-000001"); got != wire.JobPending && got != wire.JobRunning {
-					t.Errorf("the quarantined job is %q", got)
+					t.Errorf("the quarantined job has state %q, want pending or running", got)
 				}
 				if !strings.Contains(log.String(), "job quarantined") || !strings.Contains(log.String(), c.key) || !strings.Contains(log.String(), "wk-000001") {
-					t.Error("it is not named")
+					t.Error("the log does not name the quarantined job and its record")
 				}
 				w.Cancel("wk-000001")
 				mustReach(t, w, "wk-000001", wire.JobCancelled, 5*time.Second)
@@ -288,7 +290,7 @@
 	}
 }
 
-// logBuffer collects log output in memory.
+// logBuffer collects log output in memory. It is safe for concurrent use.
 type logBuffer struct {
 	mu   sync.Mutex
 	text strings.Builder
