--- a/controller/schema_test.go
+++ b/controller/schema_test.go
@@ -228,7 +228,7 @@
 				took := time.Since(begun)
 				slices.Sort(waits)
 				p50, p99 := waits[n/2], waits[n*99/100]
-				t.Logf("previous schema %v, %d submissions a second: p50 %v, p99 %v, all within %v, %.2f changes a job", older != nil, rate, p50, p99, took.Round(time.Second), float64(w.Store.Changes()-before)/float64(n))
+				t.Logf("previous schema %v, %d a second: p50 %v, p99 %v, all within %v, %.2f changes a job", older != nil, rate, p50, p99, took.Round(time.Second), float64(w.Store.Changes()-before)/float64(n))
 				if lost.Load() > 0 || rate <= 20 && p99 > 100*time.Millisecond || rate > 20 && p50 > 5*time.Second {
 					t.Errorf("%d submissions a second: %d lost, p50 %v, p99 %v", rate, lost.Load(), p50, p99)
 				}
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -1,3 +1,6 @@
+// Scenarios of wake-ups. A wake-up is a direct command that makes a worker send its heartbeat at once, so that
+// it receives a waiting launch.
+
 package controller_test
 
 import (
@@ -9,10 +12,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Scenarios of wake-ups: the direct command that makes a worker send its heartbeat at once, and so
-// receive a launch that is ready for it.
-
-// slowHeartbeats is a deployment whose workers send a heartbeat every 4 s.
+// slowHeartbeats configures workers that send a heartbeat every 4 s.
 func slowHeartbeats(machines int) fake.Options {
 	return fake.Options{Machines: machines, Capacity: machines, HeartbeatIntervalS: 4, LeaseS: 22}
 }
@@ -22,23 +22,23 @@
 	return job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, seconds })
 }
 
-// Workers send a heartbeat every 4 s. Without wake-ups a launch waited for the next heartbeat, 2 s
-// on average, and a gang for that of the last of its machines.
+// Workers send a heartbeat every 4 s. Without wake-ups a launch waited for the next heartbeat, 2 s on average,
+// and a gang waited for the heartbeat of the last of its machines.
 func TestLaunchDoesNotWaitForTheNextHeartbeat(t *testing.T) {
 	runScenario(t, slowHeartbeats(8), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
 		time.Sleep(20 * time.Second)
 		mustSubmit(t, w, job(1, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.ImageGB = 8, 8, 1 }))
-		time.Sleep(2500 * time.Millisecond) // the image fetch takes 1 s of it
+		time.Sleep(2500 * time.Millisecond) // of which the image fetch takes 1 s
 		if n := w.Running(); n != 8 {
-			t.Errorf("%d of the gang's 8 tasks run", n)
+			t.Errorf("%d tasks of the gang run, want 8", n)
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
 		checkNoWakeUpListed(t, w)
 	})
 }
 
-// Operators may switch wake-ups off: launches then wait for heartbeats, as they did before.
+// Operators may switch wake-ups off. Launches must then wait for heartbeats, and no direct command be sent.
 func TestWithoutWakeUpsLaunchesGoWithTheNextHeartbeats(t *testing.T) {
 	o := slowHeartbeats(8)
 	o.NoWakeUps = true
@@ -51,38 +51,38 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs = 8, 8 }))
 		time.Sleep(2 * time.Second)
 		if n := w.Started(); n == 8 {
-			t.Error("all started before half of the machines can have reported")
+			t.Error("all tasks started before all machines can have sent a heartbeat")
 		}
 		mustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
 		for _, m := range w.Cloud.Machines() {
 			if n, refused := w.DeliverHeldCommands(m); n+refused > 0 {
-				t.Errorf("%d direct batches", n+refused)
+				t.Errorf("%d batches of direct commands, want none", n+refused)
 			}
 		}
 	})
 }
 
-// checkNoWakeUpListed asserts that no worker still lists the pseudo-task that a wake-up leaves.
+// checkNoWakeUpListed asserts that no worker still lists the pseudo-task of a wake-up of jobs 1 to 3. It waits
+// 12 s first.
 func checkNoWakeUpListed(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	time.Sleep(12 * time.Second)
 	for _, id := range []string{"wk-000001", "wk-000002", "wk-000003"} {
 		if on := w.MachinesRunning(wire.TaskName(id, cluster.NoSuchTask)); len(on) > 0 {
-			t.Errorf("the summons for %s is still listed on %v", id, on)
+			t.Errorf("the wake-up for %s is still listed on %v", id, on)
 		}
 	}
 }
 
-// A wake-up whose connection is held for two minutes is executed then, since its fencing token and
-// agent epoch still match. By then its job has ended, or its task runs on another machine. The
-// wake-up is delivered twice, as if the worker had been told to forget it in between, and starts
-// nothing.
+// The connection of a wake-up is held for two minutes. Then the wake-up is executed, since its fencing token and
+// agent epoch still match. By then its job has ended, or its task runs on another machine. The wake-up is
+// delivered twice, as if the worker had been told to forget it in between. It must start nothing.
 func TestWakeUpThatArrivesMinutesLateStartsNothing(t *testing.T) {
 	for name, meanwhile := range map[string]func(t *testing.T, w *fake.Cluster, at string){
 		"its job was cancelled": func(t *testing.T, w *fake.Cluster, _ string) {
 			t.Helper()
 			if w.Cancel("wk-000001") != wire.JobCancelled {
-				t.Error("not cancelled")
+				t.Error("the job was not cancelled")
 			}
 		},
 		"its job is done": func(t *testing.T, w *fake.Cluster, _ string) {
@@ -99,7 +99,7 @@
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, slowHeartbeats(3), func(t *testing.T, w *fake.Cluster) {
 				t.Helper()
-				// Keeps every machine busy, so that none is scaled in.
+				// This job keeps every machine busy, so that none is scaled in.
 				mustSubmit(t, w, job(9, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 5, 900 }))
 				time.Sleep(20 * time.Second)
 				all := w.Cloud.Machines()
@@ -124,7 +124,7 @@
 					executed += n
 				}
 				if executed == 0 {
-					t.Error("no summons was held and then executed")
+					t.Error("faults did not interact: no wake-up was held and then executed")
 				}
 				checkNoWakeUpListed(t, w)
 				for _, m := range all {
@@ -132,7 +132,7 @@
 				}
 				checkNoWakeUpListed(t, w)
 				if n := w.Started(); n != started {
-					t.Errorf("%d starts after the late summons, %d before", n, started)
+					t.Errorf("%d starts after the late wake-up, %d before", n, started)
 				}
 				mustSubmit(t, w, job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 3, 20 }))
 				mustReach(t, w, "wk-000002", wire.JobDone, 2*time.Minute)
@@ -141,8 +141,8 @@
 	}
 }
 
-// The worker's agent epoch ends while a wake-up is in flight: the wake-up is refused, and the task
-// runs once.
+// The worker's agent epoch ends while a wake-up is in flight. The worker must refuse the wake-up, and the task
+// must run once.
 func TestEndedAgentEpochRefusesItsWakeUp(t *testing.T) {
 	runScenario(t, slowHeartbeats(1), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -160,29 +160,29 @@
 		mustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
 		checkNoWakeUpListed(t, w)
 		if n := w.Started(); n != 1 {
-			t.Errorf("%d starts of a task that was not launched in the first agent epoch", n)
+			t.Errorf("%d starts of a task, want 1: it was not launched in the first agent epoch", n)
 		}
 	})
 }
 
-// The leader is paused somewhere between accepting a job, committing its placement and sending the
-// wake-up, and goes on before or after its lease has expired.
+// The leader is paused between accepting a job, committing its placement and sending the wake-up. It resumes
+// before or after its lease has expired. With the next leader's launches, tasks could start twice.
 func TestLeaderThatEndsBeforeItsWakeUpsStartsNothingTwice(t *testing.T) {
-	for _, stop := range []time.Duration{3 * time.Second, 25 * time.Second} {
-		t.Run(stop.String(), func(t *testing.T) {
+	for _, pause := range []time.Duration{3 * time.Second, 25 * time.Second} {
+		t.Run(pause.String(), func(t *testing.T) {
 			runScenario(t, slowHeartbeats(6), func(t *testing.T, w *fake.Cluster) {
 				t.Helper()
 				time.Sleep(10 * time.Second)
 				for n := 1; n <= 6; n++ {
 					mustSubmit(t, w, singleTaskJob(n, 8))
 					time.Sleep(time.Duration(n*n) * 5 * time.Millisecond)
-					at := w.Leader()
-					if at < 0 {
+					leader := w.Leader()
+					if leader < 0 {
 						t.Fatal("no leader")
 					}
-					w.PauseNode(at)
-					time.Sleep(stop)
-					w.ResumeNode(at)
+					w.PauseNode(leader)
+					time.Sleep(pause)
+					w.ResumeNode(leader)
 					mustReach(t, w, job(n, nil).ID, wire.JobDone, 2*time.Minute)
 					time.Sleep(10 * time.Second)
 				}
@@ -194,8 +194,9 @@
 	}
 }
 
-// A machine hangs while the reply to the heartbeat that reports its task's completion is held open
-// for the next launch there. What was to run there runs, once, there or on another machine.
+// A machine hangs while the reply to its heartbeat is held open for the next launch there. The heartbeat reports
+// the completion of a task. The next task could be lost with the reply. It must run once, there or on another
+// machine.
 func TestMachineHangsWhileItsHeartbeatAnswerIsDelayed(t *testing.T) {
 	for _, hang := range []time.Duration{2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		t.Run(hang.String(), func(t *testing.T) {
@@ -207,7 +208,7 @@
 						break
 					}
 				}
-				time.Sleep(150 * time.Millisecond) // its heartbeat has arrived and has no reply yet
+				time.Sleep(150 * time.Millisecond) // the machine's heartbeat has arrived and has no reply yet
 				m := w.Cloud.Machines()[0]
 				w.HangMachine(m)
 				time.Sleep(hang)
--- a/controller/warm_pools_test.go
+++ b/controller/warm_pools_test.go
@@ -17,7 +17,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// poolCluster has machines with an image cache of 100 GB; fetching an image of 40 GB takes 40 s.
+// poolCluster configures machines with an image cache of 100 GB. Fetching an image of 40 GB takes 40 s.
 func poolCluster(machines, capacity int) fake.Options {
 	typ := fake.DefaultType
 	typ.CacheGB = 100
@@ -25,49 +25,52 @@
 		Teams: []config.Team{{Name: "core"}, {Name: "speech"}, {Name: "clinic"}}}
 }
 
-// poolPlan returns a plan with one warm pool of between least and most machines.
-func poolPlan(least, most int, more string) string {
-	return plans.Pool{Name: "llm", Model: "llm:v1", WeightsGB: 40, MachineType: "m8", Min: least, Max: most, Replicas: 4, Payer: "speech", More: "borrowers = [\"core\"]\n" + more}.TOML()
+// poolPlan returns a plan with one warm pool of minMachines to maxMachines machines. more is appended to the
+// pool's section.
+func poolPlan(minMachines, maxMachines int, more string) string {
+	return plans.Pool{Name: "llm", Model: "llm:v1", WeightsGB: 40, MachineType: "m8", Min: minMachines, Max: maxMachines, Replicas: 4, Payer: "speech", More: "borrowers = [\"core\"]\n" + more}.TOML()
 }
 
-// poolState decodes the pool's state from its records.
+// poolState decodes the pool's state from its records. Before the first record it is empty, with one shard.
 func poolState(t *testing.T, w *fake.Cluster) warmpool.State {
 	t.Helper()
-	notes := map[string]wire.Raw{}
+	records := map[string]wire.Raw{}
 	for _, k := range w.Store.Keys(jobstore.PlanStatePrefix) {
-		notes[strings.TrimPrefix(k, jobstore.PlanStatePrefix)] = w.Store.Value(k)
+		records[strings.TrimPrefix(k, jobstore.PlanStatePrefix)] = w.Store.Value(k)
 	}
-	all, bad := warmpool.ReadStates(notes)
-	if len(all) > 1 || len(bad) > 0 {
-		t.Fatalf("%d pools recorded, unreadable: %v", len(all), bad)
+	states, unreadable := warmpool.ReadStates(records)
+	if len(states) > 1 || len(unreadable) > 0 {
+		t.Fatalf("%d pools recorded, unreadable: %v", len(states), unreadable)
 	}
-	if len(all) == 0 {
-		return warmpool.State{Shards: make([]warmpool.Shard, 1)} // not recorded yet
+	if len(states) == 0 {
+		return warmpool.State{Shards: make([]warmpool.Shard, 1)}
 	}
-	return all[0]
+	return states[0]
 }
 
-// checkChargesAddUp asserts that what the teams are charged adds up to the cost of the machines.
+// checkChargesAddUp asserts that the charges of the teams add up to the cost of the machines, which must not be 0.
 func checkChargesAddUp(t *testing.T, s warmpool.State) {
 	t.Helper()
 	for _, why := range s.Audit() {
 		t.Error(why)
 	}
 	if _, machines := warmpool.Totals(s.Shards); machines.Ms == 0 {
-		t.Error("nothing is charged")
+		t.Error("no team is charged")
 	}
 }
 
-// awaitWarm waits until that many machines hold an image.
+// awaitWarm waits until n machines hold an image.
 func awaitWarm(t *testing.T, w *fake.Cluster, image string, n int, within time.Duration) {
 	t.Helper()
 	for end := time.Now().Add(within); len(w.MachinesWithImage(image)) < n; time.Sleep(time.Second) {
 		if time.Now().After(end) {
-			t.Fatalf("%d machines have %s, not %d, after %v", len(w.MachinesWithImage(image)), image, n, within)
+			t.Fatalf("%d machines have %s, want %d, after %v", len(w.MachinesWithImage(image)), image, n, within)
 		}
 	}
 }
 
+// replicas returns a service job with that many replicas, each of which takes a whole machine and needs the
+// pool's image.
 func replicas(n, count int) wire.Job {
 	return job(n, func(j *wire.Job) {
 		j.Kind, j.Class, j.Team, j.EstimateS, j.Tasks, j.CPUs = wire.KindService, "serve", "speech", 0, count, 8
@@ -80,24 +83,24 @@
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitWarm(t, w, "llm:v1", 4, 5*time.Minute)
 		if n := w.PeakImageFetches(); n > 2 {
-			t.Errorf("%d machines fetched at the same time", n)
+			t.Errorf("%d machines fetched at the same time, want at most 2", n)
 		}
 		time.Sleep(10 * time.Minute)
 		if n := len(w.MachinesWithImage("llm:v1")); n != 4 {
-			t.Errorf("%d machines hold the weights after a while of nothing", n)
+			t.Errorf("%d machines hold the weights after ten minutes without jobs, want 4", n)
 		}
 		began := w.Started()
 		restartLeader(w)
 		time.Sleep(time.Minute)
 		if n := w.Started() - began; n > 0 {
-			t.Errorf("the next leader fetches %d times what is there", n)
+			t.Errorf("the next leader started %d fetches of weights that are there", n)
 		}
 		at := time.Now()
 		mustSubmit(t, w, replicas(1, 4))
 		for len(w.MachinesRunning("wk-000001/0"))+len(w.MachinesRunning("wk-000001/1"))+len(w.MachinesRunning("wk-000001/2"))+len(w.MachinesRunning("wk-000001/3")) < 4 {
 			time.Sleep(100 * time.Millisecond)
 			if time.Since(at) > 15*time.Second {
-				t.Fatal("the replicas do not run within 15 s: their weights were to be there")
+				t.Fatal("the replicas do not run within 15 s: their weights were not there")
 			}
 		}
 		time.Sleep(10 * time.Second)
@@ -108,12 +111,13 @@
 			hits += sh.Hits
 		}
 		if hits != 4 || s.Record.Held != 4 {
-			t.Errorf("%d hits, %+v", hits, s.Record)
+			t.Errorf("%d hits, want 4; record %+v", hits, s.Record)
 		}
 	})
 }
 
-// awaitPool waits until the recorded state of the pool satisfies ok.
+// awaitPool waits until the recorded state of the pool satisfies ok, and returns it. what describes the state in
+// the failure message.
 func awaitPool(t *testing.T, w *fake.Cluster, what string, within time.Duration, ok func(s warmpool.State) bool) warmpool.State {
 	t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(500 * time.Millisecond) {
@@ -122,11 +126,12 @@
 			return s
 		}
 		if time.Now().After(end) {
-			t.Fatalf("not %s within %v: %+v", what, within, s)
+			t.Fatalf("pool is not %s within %v: %+v", what, within, s)
 		}
 	}
 }
 
+// poolFull returns a condition for awaitPool: the pool holds n machines, all of them warm.
 func poolFull(n int) func(warmpool.State) bool {
 	return func(s warmpool.State) bool { return s.Record.Held == n && s.Record.Warm == n }
 }
@@ -142,7 +147,7 @@
 func TestLeaderDiesWhileAWarmPoolScalesOut(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		tell func(t *testing.T, w *fake.Cluster)
+		fail func(t *testing.T, w *fake.Cluster)
 	}{
 		{"between record and rental", func(_ *testing.T, w *fake.Cluster) {
 			w.Cloud.SetOutage(true)
@@ -179,16 +184,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, poolCluster(0, 12), func(t *testing.T, w *fake.Cluster) {
 				applyPlan(t, w, 0, poolPlan(4, 4, ""))
-				c.tell(t, w)
+				c.fail(t, w)
 				awaitWarm(t, w, "llm:v1", 4, 8*time.Minute)
 				s := awaitPool(t, w, "full", 3*time.Minute, poolFull(4))
 				checkChargesAddUp(t, s)
 				if w.PeakImageFetches() > 2 {
-					t.Errorf("%d machines fetched at the same time", w.PeakImageFetches())
+					t.Errorf("%d machines fetched at the same time, want at most 2", w.PeakImageFetches())
 				}
 				time.Sleep(8 * time.Minute) // machines rented twice are scaled in
 				if n := len(w.Cloud.Machines()); n != 4 {
-					t.Errorf("%d machines", n)
+					t.Errorf("%d machines, want 4", n)
 				}
 				checkChargesAddUp(t, poolState(t, w))
 			})
@@ -201,7 +206,7 @@
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 		applyPlan(t, w, 1, poolPlan(1, 4, ""))
-		awaitPool(t, w, "letting go", time.Minute, func(s warmpool.State) bool {
+		awaitPool(t, w, "releasing machines", time.Minute, func(s warmpool.State) bool {
 			for _, m := range s.Shards[0].Members {
 				if m.Leaving {
 					return true
@@ -210,13 +215,13 @@
 			return false
 		})
 		restartLeader(w)
-		s := awaitPool(t, w, "small", 3*time.Minute, func(s warmpool.State) bool { return len(s.Shards[0].Members) == 1 })
+		s := awaitPool(t, w, "down to one machine", 3*time.Minute, func(s warmpool.State) bool { return len(s.Shards[0].Members) == 1 })
 		checkChargesAddUp(t, s)
 		if n := len(w.Cloud.Machines()); n != 1 || len(w.MachinesWithImage("llm:v1")) != 1 {
-			t.Errorf("%d machines, %d with weights", n, len(w.MachinesWithImage("llm:v1")))
+			t.Errorf("%d machines, %d with weights, want 1 of each", n, len(w.MachinesWithImage("llm:v1")))
 		}
 		if s.Shards[0].ClosedCost.Ms < 3*60_000 {
-			t.Errorf("three machines are charged for %d ms", s.Shards[0].ClosedCost.Ms)
+			t.Errorf("three machines are charged for %d ms, want at least 180000", s.Shards[0].ClosedCost.Ms)
 		}
 	})
 }
@@ -224,7 +229,7 @@
 func TestCloudScalesOutLateNeverOrTwice(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		tell func(w *fake.Cluster)
+		fail func(w *fake.Cluster)
 	}{
 		{"late", func(w *fake.Cluster) { w.Cloud.SetReplyDelay(40 * time.Second) }},
 		{"some never", func(w *fake.Cluster) {
@@ -242,14 +247,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			runScenario(t, poolCluster(0, 12), func(t *testing.T, w *fake.Cluster) {
-				c.tell(w)
+				c.fail(w)
 				applyPlan(t, w, 0, poolPlan(4, 4, ""))
 				time.Sleep(30 * time.Second)
 				restartLeader(w)
 				awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 				time.Sleep(8 * time.Minute)
 				if n := len(w.Cloud.Machines()); n != 4 {
-					t.Errorf("%d machines", n)
+					t.Errorf("%d machines, want 4", n)
 				}
 				checkChargesAddUp(t, poolState(t, w))
 			})
@@ -268,7 +273,7 @@
 		{"is taken back", func(w *fake.Cluster, n string) {
 			w.SendInterruptionNotice(n, 8*time.Second)
 			time.AfterFunc(8*time.Second, func() {
-				if slices.Contains(w.Cloud.Machines(), n) { // it has not been scaled in by then
+				if slices.Contains(w.Cloud.Machines(), n) { // unless it has been scaled in by then
 					w.KillMachine(n)
 				}
 			})
@@ -288,15 +293,15 @@
 					return n
 				}
 				if run() < 3 {
-					t.Errorf("%d replicas run 12 s after the burst, three had a healthy machine with weights", run())
+					t.Errorf("%d replicas run 12 s after the burst, want at least 3: three had a healthy machine with weights", run())
 				}
 				mustReach(t, w, "wk-000001", wire.JobRunning, time.Minute)
-				awaitPool(t, w, "whole again", 10*time.Minute, poolFull(4))
+				awaitPool(t, w, "full again", 10*time.Minute, poolFull(4))
 				for end := time.Now().Add(3 * time.Minute); run() < 4 && time.Now().Before(end); {
 					time.Sleep(time.Second)
 				}
 				if run() != 4 {
-					t.Errorf("%d replicas run", run())
+					t.Errorf("%d replicas run, want 4", run())
 				}
 				checkChargesAddUp(t, poolState(t, w))
 			})
@@ -313,12 +318,12 @@
 		restartLeader(w)
 		s := awaitPool(t, w, "full", 6*time.Minute, poolFull(2))
 		if slices.Contains(w.MachinesWithImage("llm:v1"), slow) || s.Shards[0].Member(slow) != nil {
-			t.Errorf("%s is held", slow)
+			t.Errorf("%s is in the pool although its fetches are too slow", slow)
 		}
 		checkChargesAddUp(t, s)
 		time.Sleep(6 * time.Minute)
 		if n := len(w.Cloud.Machines()); n != 2 {
-			t.Errorf("%d machines: the slow one is not returned", n)
+			t.Errorf("%d machines, want 2: the slow one was not returned", n)
 		}
 	})
 }
@@ -350,47 +355,48 @@
 		time.Sleep(5 * time.Minute)
 		a, b := w.MachinesWithImage("llm:v1"), w.MachinesWithImage("asr:v1")
 		if len(a) != 2 || len(b) != 2 || len(w.Cloud.Machines()) != 4 {
-			t.Errorf("%v hold the one, %v the other, of %v", a, b, w.Cloud.Machines())
+			t.Errorf("machines %v hold the first image, %v the second, of %v; want 2, 2 and 4 in total", a, b, w.Cloud.Machines())
 		}
 	})
 }
 
-// Clinic jobs preempt borrowers: they are of a higher tier by the plan's order, or of a higher
-// priority where the plan has no order.
+// Clinic jobs must preempt jobs that borrow machines of a pool. They have a higher tier by the plan's order, or a
+// higher priority if the plan has no order. Other jobs must not take machines of the pool.
 func TestUrgentJobsPreemptPoolBorrowers(t *testing.T) {
-	for _, c := range []struct{ name, order, rank, not string }{
+	for _, c := range []struct{ name, order, clinicPriority, otherPriority string }{
 		{"by its priority", "", wire.PriorityHigh, wire.PriorityNormal},
 		{"by the order", "[[order.tiers]]\nname = \"clinic\"\nclasses = [\"slicing\"]\n", wire.PriorityNormal, wire.PriorityNormal},
 	} {
-		t.Run(c.name, func(t *testing.T) { runClinicScenario(t, c.order, c.rank, c.not) })
+		t.Run(c.name, func(t *testing.T) { runClinicScenario(t, c.order, c.clinicPriority, c.otherPriority) })
 	}
 }
 
-func runClinicScenario(t *testing.T, order, rank, not string) {
+// runClinicScenario submits a clinic job, and another job that may not preempt, while the pool holds all machines.
+func runClinicScenario(t *testing.T, order, clinicPriority, otherPriority string) {
 	t.Helper()
 	runScenario(t, poolCluster(0, 4), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, order))
 		awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
-		other := func(n int, class, rank string) wire.Job {
+		other := func(n int, class, priority string) wire.Job {
 			return job(n, func(j *wire.Job) {
-				j.Class, j.Team, j.Priority, j.Tasks, j.CPUs, j.EstimateS, j.Image, j.ImageGB = class, "clinic", rank, 1, 8, 60, "slicer", 70
+				j.Class, j.Team, j.Priority, j.Tasks, j.CPUs, j.EstimateS, j.Image, j.ImageGB = class, "clinic", priority, 1, 8, 60, "slicer", 70
 			})
 		}
-		long := other(1, "c", not)
+		long := other(1, "c", otherPriority)
 		long.EstimateS = 3000
-		mustSubmit(t, w, long, other(2, "slicing", rank))
+		mustSubmit(t, w, long, other(2, "slicing", clinicPriority))
 		mustReach(t, w, "wk-000002", wire.JobDone, 4*time.Minute)
 		if s := w.MachinesRunning("wk-000001/0"); len(s) > 0 {
-			t.Errorf("work of no higher tier took a pool's machine: %v", s)
+			t.Errorf("a job that may not preempt took a machine of the pool: %v", s)
 		}
 		restartLeader(w)
 		s := awaitPool(t, w, "full again", 5*time.Minute, poolFull(4))
 		if s.Shards[0].Preemptions != 1 || !strings.Contains(s.Shards[0].LastPreemption, "wk-000002/0 of clinic") || s.Shards[0].Teams["clinic"].Ms < 50_000 {
-			t.Errorf("recorded: %+v", s.Shards[0])
+			t.Errorf("recorded %+v, want one preemption by wk-000002/0 of clinic", s.Shards[0])
 		}
 		checkChargesAddUp(t, s)
-		// While the plan is in force it keeps the pool's machines from this job, although they have
-		// room: it is cancelled before the end of the scenario, where no job may wait like that.
+		// The plan keeps the pool's machines from this job although they have room. It is cancelled here,
+		// since at the end of the scenario no job may wait while there is room.
 		w.Cancel(long.ID)
 	})
 }
@@ -410,13 +416,13 @@
 		for len(w.MachinesRunning("wk-000002/0"))*len(w.MachinesRunning("wk-000002/1"))*len(w.MachinesRunning("wk-000002/2"))*len(w.MachinesRunning("wk-000002/3")) == 0 {
 			time.Sleep(100 * time.Millisecond)
 			if time.Since(at) > 35*time.Second {
-				t.Fatal("a fetch takes 40 s: the weights were to be there")
+				t.Fatal("the replicas do not run within 35 s: their weights were not there, and a fetch takes 40 s")
 			}
 		}
 		time.Sleep(20 * time.Second)
 		s := poolState(t, w)
 		if got := s.Shards[0].Teams["core"].Ms; got < 4*50_000 || got > 4*120_000 {
-			t.Errorf("the borrower owes %d ms for four machines and a minute or so", got)
+			t.Errorf("the borrower is charged for %d ms, want about a minute on each of four machines", got)
 		}
 		checkChargesAddUp(t, s)
 	})
@@ -436,7 +442,7 @@
 		s := awaitPool(t, w, "full", time.Minute, poolFull(4))
 		checkChargesAddUp(t, s)
 		if len(s.Shards[0].Members) != 4 || s.Shards[0].AtMs-before.Shards[0].AtMs < 100_000 {
-			t.Errorf("no account of the outage: %+v", s.Shards[0])
+			t.Errorf("the minute of the outage was not charged: %+v", s.Shards[0])
 		}
 	})
 }
@@ -446,7 +452,7 @@
 		mustSubmit(t, w, replicas(1, 2))
 		mustReach(t, w, "wk-000001", wire.JobRunning, 2*time.Minute)
 		if keys := w.Store.Keys(jobstore.PlanStatePrefix); len(keys) > 0 {
-			t.Errorf("%v", keys)
+			t.Errorf("records without a plan: %v", keys)
 		}
 	})
 }
@@ -455,18 +461,18 @@
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		w.RejectUnknownJobs()
 		applyPlan(t, w, 0, poolPlan(2, 4, ""))
-		awaitPool(t, w, "told", 5*time.Minute, func(s warmpool.State) bool { return s.Record.FetchRefused != "" })
+		awaitPool(t, w, "marked as refusing fetches", 5*time.Minute, func(s warmpool.State) bool { return s.Record.FetchRefused != "" })
 		mustSubmit(t, w, replicas(1, 4))
 		awaitWarm(t, w, "llm:v1", 4, 5*time.Minute)
 		restartLeader(w)
 		if s := w.Cancel("wk-000001"); s != wire.JobCancelled {
-			t.Fatal(s)
+			t.Fatalf("cancellation returned %q", s)
 		}
-		// The hour's peak demand was four, and four machines are kept for the rest of the hour.
+		// The peak demand of the hour was four, so four machines are kept for the rest of the hour.
 		time.Sleep(10 * time.Minute)
 		s := poolState(t, w)
 		if n := len(w.MachinesWithImage("llm:v1")); n < 2 || s.Record.Warm != n {
-			t.Errorf("%d machines hold the weights: %+v", n, s.Record)
+			t.Errorf("%d machines hold the weights, want at least 2 and as many as recorded: %+v", n, s.Record)
 		}
 		checkChargesAddUp(t, s)
 	})
@@ -475,36 +481,37 @@
 func TestScheduledPoolIsReadyForItsHourAndScaledInAfterIt(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		hour := time.Now().Truncate(time.Hour).Add(time.Hour)
-		burst{replicas: 4}.remember(t, w, hour)
+		burst{replicas: 4}.writeDemandRecord(t, w, hour)
 		applyPlan(t, w, 0, poolPlan(0, 4, ""))
 		time.Sleep(time.Until(hour.Add(-30 * time.Minute)))
 		if n := len(w.Cloud.Machines()); n != 0 {
-			t.Errorf("%d machines half an hour before", n)
+			t.Errorf("%d machines half an hour before, want none", n)
 		}
 		time.Sleep(time.Until(hour.Add(-150 * time.Second)))
 		restartLeader(w)
 		time.Sleep(time.Until(hour))
 		if n := len(w.MachinesWithImage("llm:v1")); n != 4 {
-			t.Errorf("%d machines have the weights as the hour begins", n)
+			t.Errorf("%d machines have the weights when the hour begins, want 4", n)
 		}
 		time.Sleep(time.Until(hour.Add(time.Hour)))
 		if n := len(w.MachinesWithImage("llm:v1")); n != 4 {
-			t.Errorf("%d machines have the weights as the hour ends", n)
+			t.Errorf("%d machines have the weights when the hour ends, want 4", n)
 		}
 		time.Sleep(3 * time.Minute)
 		s := poolState(t, w)
 		checkChargesAddUp(t, s)
 		if n := len(w.Cloud.Machines()); n != 0 || len(s.Shards[0].Members) != 0 {
-			t.Errorf("%d machines, %d in the pool after the hour", n, len(s.Shards[0].Members))
+			t.Errorf("%d machines, %d in the pool after the hour, want none", n, len(s.Shards[0].Members))
 		}
 		if h := float64(s.Shards[0].ClosedCost.Ms) / 3.6e6; h < 4 || h > 4.5 {
-			t.Errorf("%.2f machine hours are charged", h)
+			t.Errorf("%.2f machine hours are charged, want 4 to 4.5", h)
 		}
 	})
 }
 
-// A warm pool under all faults at once: afterwards the pool is complete, every machine has been
-// charged once, and no rule was violated.
+// A warm pool with random combinations of all faults. Machines could be rented or charged twice, or missing from
+// the pool. Afterwards the pool must be complete, every machine must have been charged once, and no rule
+// violated.
 func TestWarmPoolsSurviveFailovers(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -566,10 +573,10 @@
 				time.Sleep(90 * time.Second)
 				for k := 0; !plan.Apply(poolPlan(4, 4, ""), time.Minute); k++ {
 					if k == 100 {
-						t.Fatal("no plan can be applied")
+						t.Fatal("no plan could be applied in 101 attempts")
 					}
 				}
-				s := awaitPool(t, w, "whole", 15*time.Minute, poolFull(4))
+				s := awaitPool(t, w, "full", 15*time.Minute, poolFull(4))
 				checkChargesAddUp(t, s)
 			})
 		})
@@ -581,19 +588,19 @@
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		before := awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
 		w.KillAll()
-		time.Sleep(9 * time.Second) // their leases outlast the outage
+		time.Sleep(9 * time.Second) // the workers' leases outlast this
 		applyPlan(t, w, 1, strings.Replace(poolPlan(4, 4, ""), `payer = "speech"`, `payer = "clinic"`, 1))
 		back := time.Now()
 		w.StartAll()
-		// The charges are committed once a minute, so that how much of the time since then they
-		// include depends on when the next leader began.
+		// Charges are committed once a minute. How much of the time since the restart they include depends
+		// on when the next leader began.
 		s := awaitPool(t, w, "charged", 3*time.Minute, func(s warmpool.State) bool {
 			return s.Record.Payer == "clinic" && s.Shards[0].AtMs >= back.Add(50*time.Second).UnixMilli()
 		})
 		checkChargesAddUp(t, s)
 		was, is, next := before.Shards[0], s.Shards[0].Teams["speech"].Ms, s.Shards[0].Teams["clinic"].Ms
 		if gap := is - was.Teams["speech"].Ms; gap < 4*9_000 || gap > 4*90_000 || next < 4*30_000 || s.Record.Payer != "clinic" {
-			t.Errorf("from then on the first payer owes %d ms more, the second %d", gap, next)
+			t.Errorf("the first payer is charged %d ms more, the second %d", gap, next)
 		}
 	})
 }
@@ -612,7 +619,7 @@
 		applyPlan(t, w, 1, poolPlan(2, 2, ""))
 		time.Sleep(time.Minute)
 		if now := w.MachinesWithImage("llm:v1"); !slices.Equal(now, held) || len(w.Cloud.Machines()) != 2 {
-			t.Errorf("%v held the weights, and then %v of %v", held, now, w.Cloud.Machines())
+			t.Errorf("machines %v held the weights before, now %v of %v", held, now, w.Cloud.Machines())
 		}
 		checkChargesAddUp(t, awaitPool(t, w, "full", time.Minute, poolFull(2)))
 	})
