--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -146,8 +146,8 @@
 		}
 	})
 	t.Logf("finished after %v, and with all controllers replaced after %v (simulated)", undisturbed, replaced)
-	// A few seconds without a leader, or another phase of the workers' heartbeats, may make the last
-	// tasks need one more round. So there are two possible finish times, 46 s apart.
+	// A few seconds without a leader, or another phase of the workers' heartbeats, may make the
+	// last tasks need one more round. So there are two possible finish times, 46 s apart.
 	if replaced > undisturbed+time.Minute {
 		t.Errorf("finished after %v, undisturbed after %v", replaced, undisturbed)
 	}
@@ -211,8 +211,8 @@
 	return func() { w.StartNode(i) }
 }
 
-// partitionLeaderFromStore partitions the leader from the key-value store. The returned function ends
-// the partition.
+// partitionLeaderFromStore partitions the leader from the key-value store. The returned function
+// ends the partition.
 func partitionLeaderFromStore(w *fake.Cluster) func() {
 	i := w.Leader()
 	w.PartitionNode(i, "state")
@@ -225,8 +225,8 @@
 	return func() { w.Store.SetOutage(false) }
 }
 
-// A plan applied during the batch window makes the opening earlier, and then the leader crashes. The
-// next leader must not go on with the earlier plan's deadline.
+// A plan applied during the batch window makes the opening earlier, and then the leader crashes.
+// The next leader must not go on with the earlier plan's deadline.
 func TestPlanChangeMakesAWindowEndEarlier(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, nightPlan)
@@ -506,8 +506,8 @@
 		}()
 		if o.Capacity == 1 {
 			sleepUntilClock("00:01:00")
-			// Rentals are retried all the time. A forecast made just after a request assumes that the
-			// machines will come.
+			// Rentals are retried all the time. A forecast made just after a request assumes that
+			// the machines will come.
 			if !scenario.Eventually(4*time.Minute, time.Second, func() bool {
 				n := windowRecord(t, w, "here").Windows
 				return len(n) == 1 && strings.Contains(n[0].Forecast.Reason, "no machines are to be had")
@@ -528,10 +528,10 @@
 	return out, rented, paid
 }
 
-// The job has more tasks than one scheduling pass requests room for. Without scaling out ahead, each
-// boot time brings room for only 64 more tasks, and the window is late. A leader that crashes between
-// recording and renting must not cause machines to be rented twice. Lost machines are replaced in
-// time. Where the cloud has no machines, the forecast says so.
+// The job has more tasks than one scheduling pass requests room for. Without scaling out ahead,
+// each boot time brings room for only 64 more tasks, and the window is late. A leader that crashes
+// between recording and renting must not cause machines to be rented twice. Lost machines are
+// replaced in time. Where the cloud has no machines, the forecast says so.
 func TestBatchWindowsScaleOutAhead(t *testing.T) {
 	undisturbedRented := 0
 	for _, c := range []struct {
--- a/controller/bucket_owner_test.go
+++ b/controller/bucket_owner_test.go
@@ -12,8 +12,8 @@
 	"github.com/umberdeal/umberdeal/jobstore"
 )
 
-// pageWriters counts the transactions that nodes send to head pages for users. It gets them from the
-// logs of all nodes. It is safe for concurrent use.
+// pageWriters counts the transactions that nodes send to head pages for users. It gets them from
+// the logs of all nodes. It is safe for concurrent use.
 type pageWriters struct {
 	mu           sync.Mutex                // guards the fields below
 	since, until time.Time                 // transactions before since or after until are not counted
@@ -88,10 +88,10 @@
 
 // Controllers pause for two seconds, one after the other. The others assigned a paused controller's
 // buckets to the next owner for three seconds after it had last failed to answer. Meanwhile the
-// controller itself wrote to them again. In 3 of 80 runs of TestBucketOwnersAlternateAtTheWriteLimit a
-// cancellation took 10.0 s to 11.8 s. The logs had `transaction ended` with result=conflict at two nodes
-// for the same page, up to 2.7 s after the pause. The others must know within a second that a controller
-// answers again.
+// controller itself wrote to them again. In 3 of 80 runs of
+// TestBucketOwnersAlternateAtTheWriteLimit a cancellation took 10.0 s to 11.8 s. The logs had
+// `transaction ended` with result=conflict at two nodes for the same page, up to 2.7 s after the
+// pause. The others must know within a second that a controller answers again.
 func TestBucketOwnerWritesAloneOnceItAnswersAgain(t *testing.T) {
 	writers := &pageWriters{}
 	o := fake.Options{Machines: 6, Capacity: 6, Log: slog.New(pageWriterLog{Handler: slog.DiscardHandler, writers: writers})}
@@ -104,15 +104,16 @@
 	})
 }
 
-// checkWritersAfterPause pauses a node for two seconds while jobs are submitted. From one second to 2.5 s
-// after the pause, before those three seconds are over, at least three quarters of the transactions for
-// each page must come from one node. It returns the number of pages with transactions.
+// checkWritersAfterPause pauses a node for two seconds while jobs are submitted. From one second to
+// 2.5 s after the pause, before those three seconds are over, at least three quarters of the
+// transactions for each page must come from one node. It returns the number of pages with
+// transactions.
 func checkWritersAfterPause(t *testing.T, w *fake.Cluster, writers *pageWriters, paused int) int {
 	t.Helper()
 	const burst, interval = 40, 200 * time.Millisecond
-	// Other nodes than the owner may send one of this many transactions. While a head page is closed,
-	// every node may write to it, and some do at the moment when it is opened. A node that takes the
-	// owner for failed writes in each interval instead.
+	// Other nodes than the owner may send one of this many transactions. While a head page is
+	// closed, every node may write to it, and some do at the moment when it is opened. A node that
+	// takes the owner for failed writes in each interval instead.
 	const oneInFromOthers = 4
 	began := time.Now()
 	pauseAt, resumeAt := began.Add(time.Second), began.Add(3*time.Second)
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -16,8 +16,8 @@
 )
 
 // A cancellation, a status query or a repeated submission arrives after a job's last task has
-// completed and before the completion is committed. Nodes could then answer with different outcomes.
-// The outcome that is committed first must hold at all nodes from then on.
+// completed and before the completion is committed. Nodes could then answer with different
+// outcomes. The outcome that is committed first must hold at all nodes from then on.
 func TestCancellationRacesWithTheLastCompletion(t *testing.T) {
 	t.Run("the job has a key of its own", cancelDuringCompletionOfOneJob)
 	t.Run("the job is on a page with others", cancelDuringCompletionsOnSharedPages)
@@ -26,7 +26,7 @@
 // cancelDuringCompletionOfOneJob runs jobs one by one, each with a key of its own.
 func cancelDuringCompletionOfOneJob(t *testing.T) {
 	ends := map[string]int{}
-	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 		w.Store.SetLatency(time.Duration(rnd.IntN(40)) * time.Millisecond)
 		for n := range 24 {
 			j := shortJob(n + 1)
@@ -43,7 +43,7 @@
 				got = w.CancelAt(w.NodeAddr(rnd.IntN(3)), j.ID)
 			}
 			if uncommitted {
-				met++
+				interactions++
 				ends[got]++
 			}
 			queries.Wait()
@@ -56,7 +56,7 @@
 		if keys := w.Store.JobKeys(); len(keys) > 0 {
 			t.Errorf("records of finished jobs remain: %v", keys)
 		}
-		return met
+		return interactions
 	}, bothOutcomesOccurred(ends))
 	if !bothOutcomesOccurred(ends)() {
 		t.Errorf("of the cancellations that raced with a completion, one side always won: %v", ends)
@@ -79,8 +79,8 @@
 	return ""
 }
 
-// headPageOpen reports whether the head page of a page's bucket is open. Jobs are added to open head
-// pages only.
+// headPageOpen reports whether the head page of a page's bucket is open. Jobs are added to open
+// head pages only.
 func headPageOpen(w *fake.Cluster, page string) bool {
 	bucket, _, ok := jobstore.ParseJobPageKey(page)
 	head, err := jobstore.DecodeJobPage(w.Store.Value(jobstore.HeadPageKey(bucket)))
@@ -111,7 +111,7 @@
 // fails if the page has changed in between.
 func cancelDuringCompletionsOnSharedPages(t *testing.T) {
 	ends := map[string]int{}
-	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 		w.Store.SetLatency(time.Duration(5+rnd.IntN(40)) * time.Millisecond)
 		const first, round, rounds = 30, 16, 4
 		n, withoutPage := 0, 0
@@ -146,7 +146,7 @@
 					mu.Lock()
 					defer mu.Unlock()
 					if uncommitted {
-						met++
+						interactions++
 						ends[got]++
 					} else if page == "" {
 						withoutPage++
@@ -162,8 +162,8 @@
 		if keys := w.Store.JobKeys(); len(keys) > 0 {
 			t.Errorf("records of finished jobs remain: %v", keys)
 		}
-		t.Logf("%d of %d cancellations raced with a completion on a page, %d jobs were on no page or finished", met, n, withoutPage)
-		return met
+		t.Logf("%d of %d cancellations raced with a completion on a page, %d jobs were on no page or finished", interactions, n, withoutPage)
+		return interactions
 	}, bothOutcomesOccurred(ends))
 	if !bothOutcomesOccurred(ends)() {
 		t.Errorf("of the cancellations that raced with a completion, one side always won: %v", ends)
@@ -173,8 +173,8 @@
 
 // Jobs are cancelled just before a failover, while there is no leader, and while the next leader
 // loads the model. Some of their tasks run, some are being launched and some are being placed. A
-// leader that misses a cancellation would keep or start such tasks. All must be gone within cancel_s,
-// and must not come back with the former leader.
+// leader that misses a cancellation would keep or start such tasks. All must be gone within
+// cancel_s, and must not come back with the former leader.
 func TestCancellationsDuringFailover(t *testing.T) {
 	for way, name := range []string{"it dies", "it stands still", "the state service refuses it", "it keeps only its workers"} {
 		t.Run(name, func(t *testing.T) { cancelDuringFailover(t, way, false) })
@@ -182,10 +182,11 @@
 	}
 }
 
-// cancelDuringFailover cancels jobs during a failover with the given cause: the leader is killed (0),
-// paused (1), refused by the key-value store (2), or isolated from all but its workers (3). With
-// keepHeadsOpen set, most of the jobs share pages whose bucket's head page stays open because other
-// jobs are submitted all the time. Those submissions and the cancellations change the same pages.
+// cancelDuringFailover cancels jobs during a failover with the given cause: the leader is killed
+// (0), paused (1), refused by the key-value store (2), or isolated from all but its workers (3).
+// With keepHeadsOpen set, most of the jobs share pages whose bucket's head page stays open because
+// other jobs are submitted all the time. Those submissions and the cancellations change the same
+// pages.
 //
 //nolint:revive // flag-parameter: the variants of the test differ in it
 func cancelDuringFailover(t *testing.T, cause int, keepHeadsOpen bool) {
@@ -351,8 +352,8 @@
 }
 
 // So many jobs are submitted at every node that they share pages and use up the limit on writes to
-// the key-value store (25 a second). A cancellation changes a page by a compare-and-swap, which fails
-// if another writer has changed the page. Cancellations must still be committed in time.
+// the key-value store (25 a second). A cancellation changes a page by a compare-and-swap, which
+// fails if another writer has changed the page. Cancellations must still be committed in time.
 func TestManySubmissionsDoNotDelayCancellations(t *testing.T) {
 	runInteraction(t, 2, fake.Options{Machines: 6, Capacity: 6, StateRPS: 200, StateWPS: 25}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		var mu sync.Mutex
--- a/controller/fault_interactions_test.go
+++ b/controller/fault_interactions_test.go
@@ -1,6 +1,6 @@
-// Scenarios of two or more faults that overlap. Each scenario fails if its faults didn't overlap, since
-// it proves nothing then. The times of the faults are drawn for each seed from the window in which they
-// can interact.
+// Scenarios of two or more faults that overlap. Each scenario fails if its faults didn't overlap,
+// since it proves nothing then. The times of the faults are drawn for each seed from the window in
+// which they can interact.
 
 package controller_test
 
@@ -29,8 +29,8 @@
 	return slices.Compact(out)
 }
 
-// awaitLeaderChange waits until the key of a new leader is in the store. before is the fencing token
-// of the former leader.
+// awaitLeaderChange waits until the key of a new leader is in the store. before is the fencing
+// token of the former leader.
 func awaitLeaderChange(t *testing.T, w *fake.Cluster, before uint64) {
 	t.Helper()
 	if !scenario.Eventually(25*time.Second, 50*time.Millisecond, func() bool { k := w.FencingToken(); return k != 0 && k != before }) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// stopLeader either kills the leader or power-cycles it within 900 ms, at random. It returns the index
-// of the leader's node.
+// stopLeader either kills the leader or power-cycles it within 900 ms, at random. It returns the
+// index of the leader's node.
 func stopLeader(w *fake.Cluster, rnd *rand.Rand) (dead int) {
 	dead = max(0, w.Leader())
 	if rnd.IntN(2) == 0 {
@@ -53,8 +53,8 @@
 // machineFault is a fault of a machine. begin and end take the machine's name.
 type machineFault struct{ begin, end func(machine string) }
 
-// machineFaults returns the faults that keep the controllers from learning what runs on a machine: a
-// partition, a hung agent, lost replies and blocked heartbeats.
+// machineFaults returns the faults that keep the controllers from learning what runs on a machine:
+// a partition, a hung agent, lost replies and blocked heartbeats.
 func machineFaults(w *fake.Cluster) []machineFault {
 	return []machineFault{
 		{w.PartitionMachine, w.HealMachine},
@@ -85,10 +85,10 @@
 	}
 }
 
-// The leader fails while machines with long tasks are unreachable, or don't receive the next leader's
-// replies. The next leader gets stale duplicates of heartbeats that list no tasks. If it took them for
-// the current state, it would start the tasks a second time. Each task must stay on one machine, and
-// go on there if its machine is back within its lease.
+// The leader fails while machines with long tasks are unreachable, or don't receive the next
+// leader's replies. The next leader gets stale duplicates of heartbeats that list no tasks. If it
+// took them for the current state, it would start the tasks a second time. Each task must stay on
+// one machine, and go on there if its machine is back within its lease.
 func TestInteractionLongTasksAndFailover(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		for _, m := range w.Cloud.Machines() {
@@ -130,9 +130,9 @@
 		if tasks == 0 || w.ExpiredLeases() > 0 {
 			t.Errorf("faults did not interact: %d tasks on affected machines after the failover (before it: %v), %d leases expired", tasks, tasksBefore, w.ExpiredLeases())
 		}
-		// The first heartbeat that the next leader gets from each of these machines is the stale one
-		// captured at the start. With BlockRepliesTo (index 3) heartbeats still arrive, so the leader
-		// has newer ones already.
+		// The first heartbeat that the next leader gets from each of these machines is the stale
+		// one captured at the start. With BlockRepliesTo (index 3) heartbeats still arrive, so the
+		// leader has newer ones already.
 		for _, m := range affected {
 			if faultIndex < 3 && !scenario.Eventually(10*time.Second, 500*time.Millisecond, func() bool { return w.ReplayHeartbeat(m, max(0, w.Leader())) == 200 }) {
 				t.Errorf("the next leader did not accept the stale heartbeat of %s", m)
@@ -168,8 +168,8 @@
 	o := twoLimitedTeams()
 	o.Teams = nil
 	runSeeded(t, 1234, o, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
-		// Three of the array's tasks run, all in one zone. Two wait although the other zone has room for
-		// them.
+		// Three of the array's tasks run, all in one zone. Two wait although the other zone has
+		// room for them.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 5, 5, 90 }))
 		mustSubmit(t, w, job(2, func(j *wire.Job) { gang(j); j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 3, 3, 90 }))
 		if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.Running() == 6 }) {
@@ -183,9 +183,9 @@
 			k := rnd.IntN(len(on))
 			lost, rest = append(lost, on[k]), append(rest, slices.Delete(on, k, k+1)...)
 		}
-		// One machine of each job is killed. At two seeds of three the others are partitioned during
-		// the failover, so that the next leader can't learn their zones from them. At some of these
-		// seeds the cloud's API is out as well.
+		// One machine of each job is killed. At two seeds of three the others are partitioned
+		// during the failover, so that the next leader can't learn their zones from them. At some
+		// of these seeds the cloud's API is out as well.
 		if rnd.IntN(3) > 0 {
 			for _, m := range rest {
 				w.PartitionMachine(m)
@@ -216,9 +216,9 @@
 	})
 }
 
-// Tasks of a small job complete far apart, with a failover after each. A leader that lost a completion
-// would run the task again or call the job done too early. Completed tasks must stay completed, and
-// the job must be done only with its last task.
+// Tasks of a small job complete far apart, with a failover after each. A leader that lost a
+// completion would run the task again or call the job done too early. Completed tasks must stay
+// completed, and the job must be done only with its last task.
 func TestInteractionStaggeredTaskEndsAndFailover(t *testing.T) {
 	o := twoLimitedTeams()
 	o.Teams = []config.Team{{Name: "core", CPUsMax: 5}}
@@ -261,8 +261,8 @@
 }
 
 // Random combinations of faults that no other test has. Jobs of all kinds keep the teams at their
-// quotas. Meanwhile jobs are cancelled, machines become unreachable in various ways, direct commands
-// are delayed, and leaders change. No job may starve, and each must reach its final state.
+// quotas. Meanwhile jobs are cancelled, machines become unreachable in various ways, direct
+// commands are delayed, and leaders change. No job may starve, and each must reach its final state.
 func TestInteractionsAtRandom(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		faults := machineFaults(w)
@@ -385,8 +385,9 @@
 		if ids := w.Starved(90 * time.Second); len(ids) > 0 {
 			t.Errorf("%v reported as starved, want none", ids)
 		}
-		// These jobs are registered with the checker only, so no controller places them. There is room
-		// for jobs 2 and 3. One task of gang 4 does not fit, and job 5 exceeds its team's quota.
+		// These jobs are registered with the checker only, so no controller places them. There is
+		// room for jobs 2 and 3. One task of gang 4 does not fit, and job 5 exceeds its team's
+		// quota.
 		w.RegisterJob(job(2, one))
 		w.RegisterJob(job(3, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs = 2, 3 }))
 		w.RegisterJob(job(4, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs = 3, 3 }))
@@ -419,8 +420,8 @@
 			}
 		}
 		time.Sleep(8 * time.Second)
-		// Three random jobs were cancelled. A long task that is left is needed here. The short job's
-		// task completes by itself, and then its machine has nothing to stop.
+		// Three random jobs were cancelled. A long task that is left is needed here. The short
+		// job's task completes by itself, and then its machine has nothing to stop.
 		left := slices.DeleteFunc([]string{"wk-000001/0", "wk-000002/0", "wk-000003/0", "wk-000004/0"}, func(task string) bool { return len(w.MachinesRunning(task)) != 1 })
 		if len(left) == 0 {
 			t.Fatalf("%v were cancelled, and no other long task runs", ids)
--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -26,20 +26,22 @@
 
 	// When the store begins to refuse the leader, relative to the cancellations.
 	refuseLeaderAt time.Duration
-	// If set, the store accepts the leader for 300 ms this long after the refusal began, then refuses it
-	// again.
+	// If set, the store accepts the leader for 300 ms this long after the refusal began, then
+	// refuses it again.
 	acceptBrieflyAfter time.Duration
-	// When the store's outage begins, counted from the last confirmation. With outageAfterLeaseExpiry it
-	// is counted from when the old leader's key is gone.
+	// When the store's outage begins, counted from the last confirmation. With
+	// outageAfterLeaseExpiry it is counted from when the old leader's key is gone.
 	outageAt time.Duration
 	// By how much the outage exceeds cancel_s. Negative if it is shorter.
 	outageBeyondCancel time.Duration
-	// The leader is partitioned from the store and the other nodes, instead of refused by the store.
+	// The leader is partitioned from the store and the other nodes, instead of refused by the
+	// store.
 	isLeaderPartitioned bool
 
 	pauseLeaderAt, pauseLeaderFor time.Duration // when the leader's process is paused, from the last confirmation, and for how long
 	hangAgentAt, hangAgentFor     time.Duration // when a machine's agent hangs, from the cancellations, and for how long
-	// How long before the cancellations one more job is submitted, whose launches may be in flight. 0: none.
+	// How long before the cancellations one more job is submitted, whose launches may be in flight.
+	// 0: none.
 	lastSubmitBefore   time.Duration
 	holdDirectCommands bool          // direct commands are delayed until the end of the scenario
 	requestLatency     time.Duration // latency added before the store carries a request out
@@ -165,8 +167,8 @@
 			}()
 		}
 		confirming.Wait()
-		// The scenario itself measures how long cancelled tasks stay, since the checker's clock begins
-		// anew with each violation.
+		// The scenario itself measures how long cancelled tasks stay, since the checker's clock
+		// begins anew with each violation.
 		confirmed, last := map[string]time.Time{}, map[string]time.Time{}
 		var lastConfirmed time.Time
 		for _, j := range jobs {
@@ -434,9 +436,9 @@
 				lost := cancellationGap{heartbeatS: d.heartbeatS, leaseS: d.leaseS, refuseLeaderAt: -100 * ms, outageAt: time.Second,
 					outageBeyondCancel: config.Seconds(outageS - w.CancelS)}.run(t, 1)
 				t.Logf("%d of %d tasks that nobody cancelled were lost", lost, gapOthers)
-				// At worst the leader renewed its lease a fifth of the lease before the refusal, and
-				// answered the last heartbeat one longest heartbeat interval before it became unsure
-				// of its lease. After the outage a worker finds the new leader within 3 s.
+				// At worst the leader renewed its lease a fifth of the lease before the refusal,
+				// and answered the last heartbeat one longest heartbeat interval before it became
+				// unsure of its lease. After the outage a worker finds the new leader within 3 s.
 				if survivableS := 0.8*w.LeaderLeaseS() + w.LeaseS - 1.25*w.HeartbeatS - 3; refusedBeforeS+outageS < survivableS && lost > 0 {
 					t.Errorf("%d tasks were lost in an outage that their leases outlast by %.1f s", lost, survivableS-refusedBeforeS-outageS)
 				}
--- a/controller/grown_test.go
+++ b/controller/grown_test.go
@@ -13,10 +13,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A large cluster commits far more placements a second than the key-value store takes changes, unless many
-// placements share a key. After a crash of all controllers, hundreds of workers reconnect at once and must
-// be answered within their leases, or their tasks are lost. The store refuses more than 25 changes a
-// second, and values and transactions over their size limits.
+// A large cluster commits far more placements a second than the key-value store takes changes,
+// unless many placements share a key. After a crash of all controllers, hundreds of workers
+// reconnect at once and must be answered within their leases, or their tasks are lost. The store
+// refuses more than 25 changes a second, and values and transactions over their size limits.
 func TestGrownClusterSurvivesCrashOfAllNodes(t *testing.T) {
 	const machines, jobs = grownMachines, grownJobs
 	runScenario(t, fake.Options{Machines: machines, Capacity: machines}, func(t *testing.T, w *fake.Cluster) {
@@ -54,8 +54,8 @@
 	})
 }
 
-// Settings may contain kinds of objectives that an older version of the program doesn't know. They must be
-// logged once and otherwise ignored.
+// Settings may contain kinds of objectives that an older version of the program doesn't know. They
+// must be logged once and otherwise ignored.
 func TestUnknownObjectiveIsLoggedOnceAndHarmless(t *testing.T) {
 	var logged strings.Builder
 	cfg := &config.Settings{Node: "n-0", Cluster: config.Cluster{Objectives: []config.Objective{
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -1,7 +1,8 @@
-// Scenarios of direct commands that are delayed in flight. The sender gets no reply, and the command is
-// carried out seconds later if its fencing token and agent epoch still match. Each scenario asserts
-// which states of the worker the late commands found. The checker of fake.Cluster verifies the rules of
-// the protocol, and that no command is sent directly that does harm when it is late.
+// Scenarios of direct commands that are delayed in flight. The sender gets no reply, and the
+// command is carried out seconds later if its fencing token and agent epoch still match. Each
+// scenario asserts which states of the worker the late commands found. The checker of fake.Cluster
+// verifies the rules of the protocol, and that no command is sent directly that does harm when it
+// is late.
 
 package controller_test
 
@@ -47,9 +48,10 @@
 	})
 }
 
-// Direct commands of a former leader arrive after those of the next one. Meanwhile both teams are at
-// their quotas, jobs are cancelled, one or two machines hang, and another can't open connections to any
-// controller. A worker that carried out a former leader's command could stop tasks of the next leader.
+// Direct commands of a former leader arrive after those of the next one. Meanwhile both teams are
+// at their quotas, jobs are cancelled, one or two machines hang, and another can't open connections
+// to any controller. A worker that carried out a former leader's command could stop tasks of the
+// next leader.
 func TestLateCommandsArriveAfterTheNextLeaders(t *testing.T) {
 	runSeeded(t, 51, limitedTeamsShortLease(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -79,8 +81,8 @@
 	})
 }
 
-// cancelAcrossLeaders cancels half of the running jobs before a failover and half after it. Meanwhile up
-// to two of their machines hang, and another can't open connections to any controller.
+// cancelAcrossLeaders cancels half of the running jobs before a failover and half after it.
+// Meanwhile up to two of their machines hang, and another can't open connections to any controller.
 func cancelAcrossLeaders(t *testing.T, w *fake.Cluster, rnd *rand.Rand, ids []string) {
 	t.Helper()
 	running := runningOf(w, ids)
@@ -119,9 +121,9 @@
 	w.StartNode(stopped)
 }
 
-// A machine gets an interruption notice, and a task there is told to save a checkpoint. While it saves,
-// its job is cancelled and only direct commands reach the machine. The second stop arrives late and ends
-// the checkpointing. That does no harm, since the task was cancelled.
+// A machine gets an interruption notice, and a task there is told to save a checkpoint. While it
+// saves, its job is cancelled and only direct commands reach the machine. The second stop arrives
+// late and ends the checkpointing. That does no harm, since the task was cancelled.
 func TestLateStopEndsATaskThatIsCheckpointing(t *testing.T) {
 	runSeeded(t, 52, limitedTeamsShortLease(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -138,7 +140,8 @@
 			if !scenario.Eventually(5*time.Second, 20*time.Millisecond, func() bool { return w.DirectCommandsExecuted(machine) > commandsBefore }) {
 				t.Fatal("no task on the machine was told to save a checkpoint")
 			}
-			// The task saves for 8 s. Meanwhile it counts against the quota, and must not start elsewhere.
+			// The task saves for 8 s. Meanwhile it counts against the quota, and must not start
+			// elsewhere.
 			time.Sleep(randomDuration(rnd, 1500*time.Millisecond, 3*time.Second))
 			w.BlockHeartbeats(machine)
 			w.DelayDirectCommands(1, rnd.Uint64())
@@ -159,8 +162,8 @@
 	})
 }
 
-// Direct commands arrive after the agent epoch for which they were sent has ended. They could stop tasks
-// of the next epoch. The worker must refuse them.
+// Direct commands arrive after the agent epoch for which they were sent has ended. They could stop
+// tasks of the next epoch. The worker must refuse them.
 func TestLateCommandsOfAnEndedAgentEpoch(t *testing.T) {
 	runSeeded(t, 53, limitedTeamsShortLease(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -195,9 +198,10 @@
 	})
 }
 
-// Jobs of high priority preempt gangs and arrays while most of the stops are late, and each leader's
-// process restarts under the same name within a second. A gang must save its checkpoint together. If
-// some of its tasks were told too late, it must fall back to its last checkpoint and still complete.
+// Jobs of high priority preempt gangs and arrays while most of the stops are late, and each
+// leader's process restarts under the same name within a second. A gang must save its checkpoint
+// together. If some of its tasks were told too late, it must fall back to its last checkpoint and
+// still complete.
 func TestLateStopsOfPreemptedGangsWhenALeaderIsReelected(t *testing.T) {
 	runSeeded(t, 54, fake.Options{Machines: 4, Capacity: 4, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -1,6 +1,6 @@
-// Scenarios of heartbeats that arrive late: at a leader that has just been elected, at a leader that has
-// already placed tasks, or after newer heartbeats. Some are of an earlier agent epoch, or list attempts
-// that have ended. Each scenario fails if the faults didn't interact.
+// Scenarios of heartbeats that arrive late: at a leader that has just been elected, at a leader
+// that has already placed tasks, or after newer heartbeats. Some are of an earlier agent epoch, or
+// list attempts that have ended. Each scenario fails if the faults didn't interact.
 
 package controller_test
 
@@ -38,8 +38,9 @@
 	w.StartNode(former)
 }
 
-// submitGangAndArrays submits a single-zone gang, an array, and an array that exceeds its team's quota.
-// It returns their numbers, first, first+1 and first+2. The jobs fit beside the tasks of fillMachines.
+// submitGangAndArrays submits a single-zone gang, an array, and an array that exceeds its team's
+// quota. It returns their numbers, first, first+1 and first+2. The jobs fit beside the tasks of
+// fillMachines.
 func submitGangAndArrays(t *testing.T, w *fake.Cluster, first int, rnd *rand.Rand) []int {
 	t.Helper()
 	mustSubmit(t, w,
@@ -55,8 +56,9 @@
 // smallTeams has team core without a quota and team edge with 4 CPUs.
 var smallTeams = []config.Team{{Name: "core"}, {Name: "edge", CPUs: 4, CPUsMax: 4}}
 
-// Duplicates of old heartbeats arrive at every node just after a failover, before any other heartbeat of
-// these machines. A new leader that took them for the current state would lose or repeat tasks.
+// Duplicates of old heartbeats arrive at every node just after a failover, before any other
+// heartbeat of these machines. A new leader that took them for the current state would lose or
+// repeat tasks.
 func TestOldHeartbeatsReachEveryNodeDuringFailover(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 6, Capacity: 8, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -64,23 +66,23 @@
 		for round := range 3 {
 			numbers := submitGangAndArrays(t, w, 10*round+1, rnd)
 			time.Sleep(randomMillis(rnd, 500, 9000))
-			met := w.CopyStats()
+			stats := w.CopyStats()
 			changeLeader(t, w)
 			time.Sleep(4 * time.Second)
-			if now := w.CopyStats(); now.First == met.First {
+			if now := w.CopyStats(); now.First == stats.First {
 				t.Errorf("round %d: faults did not interact: no duplicate reached the new leader before its worker's next heartbeat", round)
 			}
 			mustFinish(t, w, 2*time.Minute, numbers...)
 		}
-		if met := w.CopyStats(); met.Older == 0 || w.ExpiredLeases() > 0 {
-			t.Errorf("%+v: no duplicate arrived after newer heartbeats, or %d leases expired", met, w.ExpiredLeases())
+		if stats := w.CopyStats(); stats.Older == 0 || w.ExpiredLeases() > 0 {
+			t.Errorf("%+v: no duplicate arrived after newer heartbeats, or %d leases expired", stats, w.ExpiredLeases())
 		}
 	})
 }
 
-// A machine's heartbeat is delayed until another leader has placed tasks, and then arrives there. The
-// machine itself hangs, and resumes within its lease or after its expiry. The leader must accept the
-// heartbeat as long as it is the newest of the machine, and no tasks may be lost.
+// A machine's heartbeat is delayed until another leader has placed tasks, and then arrives there.
+// The machine itself hangs, and resumes within its lease or after its expiry. The leader must
+// accept the heartbeat as long as it is the newest of the machine, and no tasks may be lost.
 func TestHeartbeatIsDelayedUntilTheNextLeaderHasActed(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams, LeaseS: 30}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -121,9 +123,9 @@
 	})
 }
 
-// Heartbeats of an ended agent epoch arrive at the next leader before any of the new epoch, and again
-// after these. By then the tasks that they list have another attempt elsewhere. The leader must not take
-// the earlier attempts for running ones.
+// Heartbeats of an ended agent epoch arrive at the next leader before any of the new epoch, and
+// again after these. By then the tasks that they list have another attempt elsewhere. The leader
+// must not take the earlier attempts for running ones.
 func TestOldHeartbeatsOfEarlierEpochsAndAttempts(t *testing.T) {
 	runSeeded(t, 16, fake.Options{Machines: 4, Capacity: 4, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -156,8 +158,8 @@
 }
 
 // Duplicates of heartbeats that are being sent overtake them at a new leader and at the relays. The
-// heartbeat itself was then refused as old, and the worker went on to the next node, which cost it a
-// second of its lease. After several such refusals the lease expired.
+// heartbeat itself was then refused as old, and the worker went on to the next node, which cost it
+// a second of its lease. After several such refusals the lease expired.
 func TestDuplicatesOvertakeTheirHeartbeatsDuringFailover(t *testing.T) {
 	runSeeded(t, 17, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -183,10 +185,10 @@
 	})
 }
 
-// Tasks are launched while half of the heartbeats are overtaken by their duplicates. Launches in the
-// reply to a duplicate are lost, and the machine could be taken for unreachable. The launches must be
-// sent again in a later reply, each task must start once, and no machine may be taken for unreachable for
-// long.
+// Tasks are launched while half of the heartbeats are overtaken by their duplicates. Launches in
+// the reply to a duplicate are lost, and the machine could be taken for unreachable. The launches
+// must be sent again in a later reply, each task must start once, and no machine may be taken for
+// unreachable for long.
 func TestTasksAreLaunchedWhileDuplicatesOvertakeHeartbeats(t *testing.T) {
 	runSeeded(t, 18, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -199,15 +201,15 @@
 			}
 			mustFinish(t, w, time.Minute, numbers...)
 		}
-		if met := w.OvertakenHeartbeats(); met.Ahead < 20 || w.ExpiredLeases() > 0 {
-			t.Errorf("heartbeats overtaken %+v, want Ahead at least 20; %d leases expired, want none", met, w.ExpiredLeases())
+		if stats := w.OvertakenHeartbeats(); stats.Ahead < 20 || w.ExpiredLeases() > 0 {
+			t.Errorf("heartbeats overtaken %+v, want Ahead at least 20; %d leases expired, want none", stats, w.ExpiredLeases())
 		}
 	})
 }
 
-// A machine is killed just after a heartbeat, and duplicates of that heartbeat arrive every second. The
-// leader could take the machine for alive. Its tasks must start elsewhere once its lease has expired, and
-// no later than without the duplicates.
+// A machine is killed just after a heartbeat, and duplicates of that heartbeat arrive every second.
+// The leader could take the machine for alive. Its tasks must start elsewhere once its lease has
+// expired, and no later than without the duplicates.
 func TestDuplicatesOfADeadMachinesLastHeartbeat(t *testing.T) {
 	runSeeded(t, 19, fake.Options{Machines: 3, Capacity: 3, LeaseS: 12}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -239,8 +241,8 @@
 	})
 }
 
-// A duplicate of the newest heartbeat arrives at another node than the one that serves its worker. The
-// node must answer it, and must not count the worker as served there.
+// A duplicate of the newest heartbeat arrives at another node than the one that serves its worker.
+// The node must answer it, and must not count the worker as served there.
 func TestDuplicateHeartbeatDoesNotCountAsAnswered(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -1,5 +1,5 @@
-// Scenarios in which delayed transactions of a leader interact with failovers and other faults. Each
-// scenario fails if its faults didn't interact.
+// Scenarios in which delayed transactions of a leader interact with failovers and other faults.
+// Each scenario fails if its faults didn't interact.
 
 package controller_test
 
@@ -19,8 +19,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// recordLeaderTokens records each version of the leader key, which is the fencing token, until stop is
-// called. stop returns the tokens in order and may be called again.
+// recordLeaderTokens records each version of the leader key, which is the fencing token, until stop
+// is called. stop returns the tokens in order and may be called again.
 func recordLeaderTokens(w *fake.Cluster) (stop func() []uint64) {
 	end, done := make(chan struct{}), make(chan struct{})
 	var seen []uint64
@@ -40,8 +40,8 @@
 	return sync.OnceValue(func() []uint64 { close(end); <-done; return seen })
 }
 
-// awaitLeader waits until a node that satisfies ok holds the leader key. It returns the node's index, and
-// fails the test after the time most.
+// awaitLeader waits until a node that satisfies ok holds the leader key. It returns the node's
+// index, and fails the test after the time most.
 func awaitLeader(t *testing.T, w *fake.Cluster, most time.Duration, ok func(i int) bool) int {
 	t.Helper()
 	if !scenario.Eventually(most, 20*time.Millisecond, func() bool { l := w.Leader(); return l >= 0 && ok(l) }) {
@@ -57,8 +57,8 @@
 func anyNode(int) bool { return true }
 
 // Some of the leader's transactions get no reply and are carried out after its newer ones, while it
-// places, preempts, completes and cancels. Older records could then overwrite newer ones. The leader is
-// killed, and the next one loads the records. Every job must still end.
+// places, preempts, completes and cancels. Older records could then overwrite newer ones. The
+// leader is killed, and the next one loads the records. Every job must still end.
 func TestOwnTransactionsArriveAfterNewerOnes(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 5, Capacity: 7}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -99,15 +99,16 @@
 	})
 }
 
-// The scale-in record lists the machines that are being returned. An older record is carried out after a
-// newer one that lists more machines, and the deletion of the machines comes still later. The next leader
-// must know all of these machines, since a task placed on one of them would be lost.
+// The scale-in record lists the machines that are being returned. An older record is carried out
+// after a newer one that lists more machines, and the deletion of the machines comes still later.
+// The next leader must know all of these machines, since a task placed on one of them would be
+// lost.
 func TestOlderScaleInRecordArrivesLate(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 2, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
 		all := w.Cloud.Machines()
-		// Each job fills its machine. The return of the first machine waits 2 s for the reply to its
-		// transaction, and the second job ends within these 2 s.
+		// Each job fills its machine. The return of the first machine waits 2 s for the reply to
+		// its transaction, and the second job ends within these 2 s.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 6, 20 }),
 			job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 6, 21.2 }))
 		mustReach(t, w, "wk-000002", wire.JobRunning, 10*time.Second)
@@ -122,7 +123,8 @@
 		if !scenario.Eventually(2*time.Minute, 50*time.Millisecond, func() bool { return containsAll(scaleInRecord().Machines) }) {
 			t.Fatalf("the scale-in record lists %v, want both machines", scaleInRecord().Machines)
 		}
-		// The failover must come after the first record has been carried out and before the deletion.
+		// The failover must come after the first record has been carried out and before the
+		// deletion.
 		if !scenario.Eventually(10*time.Second, 50*time.Millisecond, func() bool { return w.Store.OvertakenTransactions().Older > 0 }) {
 			t.Fatal("faults did not interact: the older scale-in record was not carried out after the newer one")
 		}
@@ -152,14 +154,14 @@
 	})
 }
 
-// The record of a rebalancing cycle gets no reply. The leader writes another in its place and begins the
-// moves of that one. Then the older record is carried out. The next leader must not act on the older
-// record, and all jobs must complete.
+// The record of a rebalancing cycle gets no reply. The leader writes another in its place and
+// begins the moves of that one. Then the older record is carried out. The next leader must not act
+// on the older record, and all jobs must complete.
 func TestOlderRebalanceRecordArrivesLate(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
-		// After the cancellation of job 3, zone a has one machine with 5 CPUs in use and one with 2. No
-		// machine has the 7 free CPUs that job 5 needs unless a task moves.
+		// After the cancellation of job 3, zone a has one machine with 5 CPUs in use and one with
+		// 2. No machine has the 7 free CPUs that job 5 needs unless a task moves.
 		long := func(n, tasks int, cpus float64, zone string) wire.Job {
 			return job(n, func(j *wire.Job) {
 				j.Tasks, j.CPUs, j.Zone, j.EstimateS, j.CheckpointS, j.SaveS = tasks, cpus, zone, 200, 5, 1
@@ -184,9 +186,9 @@
 	})
 }
 
-// Machines boot before the reply to their rental arrives, and get tasks at once while writes to the store
-// are delayed. The leader is killed before it has recorded the machines' names. The next leader could
-// take the machines for unknown, and lose or repeat their tasks.
+// Machines boot before the reply to their rental arrives, and get tasks at once while writes to the
+// store are delayed. The leader is killed before it has recorded the machines' names. The next
+// leader could take the machines for unknown, and lose or repeat their tasks.
 func TestLeaderEndsJustAfterItsMachinesBootedAndGotTasks(t *testing.T) {
 	t.Run("up within a second", func(t *testing.T) {
 		runLeaderEndsAfterBoots(t, 200*time.Millisecond, time.Second, 4200*time.Millisecond)
@@ -196,9 +198,9 @@
 	})
 }
 
-// runLeaderEndsAfterBoots kills the leader after machines have booted and got tasks. Machines boot after
-// minBoot to maxBoot. Replies to rentals arrive after minReply at the earliest. It must be longer where
-// machines boot later, since they get tasks later.
+// runLeaderEndsAfterBoots kills the leader after machines have booted and got tasks. Machines boot
+// after minBoot to maxBoot. Replies to rentals arrive after minReply at the earliest. It must be
+// longer where machines boot later, since they get tasks later.
 func runLeaderEndsAfterBoots(t *testing.T, minBoot, maxBoot, minReply time.Duration) {
 	t.Helper()
 	runSeeded(t, 31, fake.Options{Machines: 0, Capacity: 60}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
@@ -221,8 +223,8 @@
 			}
 			return busy
 		}
-		// If the reply to a placement is lost, the reply to the rental may come first, and the faults
-		// don't interact. Then another job is submitted, for which two machines are missing.
+		// If the reply to a placement is lost, the reply to the rental may come first, and the
+		// faults don't interact. Then another job is submitted, for which two machines are missing.
 		jobs, tasks, interacted := 0, 0, false
 		for jobs < 15 && !interacted {
 			jobs++
@@ -249,8 +251,8 @@
 		for n := range jobs {
 			mustFinish(t, w, 2*time.Minute, n+1)
 		}
-		// Each machine has one task. If replies to the next leader are lost too, it may be too late for a
-		// lease or two. Only the tasks of these machines may start again.
+		// Each machine has one task. If replies to the next leader are lost too, it may be too late
+		// for a lease or two. Only the tasks of these machines may start again.
 		if n := w.Started(); n != tasks+w.ExpiredLeases() || maxBoot <= time.Second && w.ExpiredLeases() > 0 {
 			t.Errorf("%d starts of %d tasks, %d leases expired", n, tasks, w.ExpiredLeases())
 		} else if w.ExpiredLeases() > 0 {
@@ -264,8 +266,8 @@
 }
 
 // Ten failovers in two minutes with different causes, one of them during an outage of the key-value
-// store, while some writes are delayed. A leader that acts on records of several leaders before it could
-// lose or repeat tasks.
+// store, while some writes are delayed. A leader that acts on records of several leaders before it
+// could lose or repeat tasks.
 func TestTenFailoversInTwoMinutes(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 6, Capacity: 8}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -326,9 +328,9 @@
 	})
 }
 
-// Requests that grant, renew and revoke leases are delayed across failovers. A lease that its node has
-// given up is then renewed or revoked under the next leader. That must not end the next leadership or
-// keep a former one.
+// Requests that grant, renew and revoke leases are delayed across failovers. A lease that its node
+// has given up is then renewed or revoked under the next leader. That must not end the next
+// leadership or keep a former one.
 func TestLateLeaseRenewalsAndReleases(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -361,9 +363,10 @@
 	})
 }
 
-// The leadership passes to another node and back. Then all nodes are killed, and one returns within 1.5 s.
-// Each leader leaves a placement transaction in flight. It is carried out as soon as the next leadership
-// has begun, before the next leader has changed anything. The transaction must not place tasks.
+// The leadership passes to another node and back. Then all nodes are killed, and one returns within
+// 1.5 s. Each leader leaves a placement transaction in flight. It is carried out as soon as the
+// next leadership has begun, before the next leader has changed anything. The transaction must not
+// place tasks.
 func TestFailoverAndBackWhileANodeReturns(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -430,9 +433,9 @@
 	})
 }
 
-// The transaction of an election gets no reply, and the release of its lease is refused. The transaction
-// is carried out after its node has given that lease up. The leader key is then bound to a lease that no
-// node renews. The node must not wait until that lease expires.
+// The transaction of an election gets no reply, and the release of its lease is refused. The
+// transaction is carried out after its node has given that lease up. The leader key is then bound
+// to a lease that no node renews. The node must not wait until that lease expires.
 func TestLateElection(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -472,9 +475,9 @@
 	})
 }
 
-// All controllers are down for longer than the workers' leases, so that the workers begin new agent epochs
-// without tasks. A placement transaction from before is carried out when controllers are back. The tasks
-// must run again, once.
+// All controllers are down for longer than the workers' leases, so that the workers begin new agent
+// epochs without tasks. A placement transaction from before is carried out when controllers are
+// back. The tasks must run again, once.
 func TestAllNodesAreDownForLongerThanALease(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 6}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -513,9 +516,9 @@
 	})
 }
 
-// There is more work than room, of high, normal and low priority, over a slow connection to the key-value
-// store. Tasks are preempted to make room while the leader changes. If preemptions were lost, jobs of
-// high priority would wait.
+// There is more work than room, of high, normal and low priority, over a slow connection to the
+// key-value store. Tasks are preempted to make room while the leader changes. If preemptions were
+// lost, jobs of high priority would wait.
 func TestOverloadOverSlowLinks(t *testing.T) {
 	runSeeded(t, 31, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
--- a/controller/machine_boot_test.go
+++ b/controller/machine_boot_test.go
@@ -8,9 +8,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// A machine may send its first heartbeat before the reply to its rental arrives, and long before the cloud
-// lists it. It could be taken for an unknown machine, and more machines rented. It must be taken for the
-// machine that was ordered.
+// A machine may send its first heartbeat before the reply to its rental arrives, and long before
+// the cloud lists it. It could be taken for an unknown machine, and more machines rented. It must
+// be taken for the machine that was ordered.
 func TestMachinesThatBootAtOnceAreTakenAsRented(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 0, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -41,8 +41,8 @@
 			return 8 * time.Second
 		})
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs = 3, 6 }))
-		// The capacity is three machines, and none of them boots. Others can be rented only after their
-		// deletion.
+		// The capacity is three machines, and none of them boots. Others can be rented only after
+		// their deletion.
 		mustReach(t, w, "wk-000001", wire.JobDone, 3*time.Minute)
 		for _, n := range w.Cloud.Machines() {
 			if n < "host-000003" {
--- a/controller/operator_plan_test.go
+++ b/controller/operator_plan_test.go
@@ -26,9 +26,10 @@
 	}
 }
 
-// Leaders are killed, paused or partitioned from the store while a plan is applied, and a transaction of
-// one is carried out a minute late. Tasks could be placed under an outdated plan. The store's checker
-// verifies that every placement is guarded by the plan in force. Every job must be done once.
+// Leaders are killed, paused or partitioned from the store while a plan is applied, and a
+// transaction of one is carried out a minute late. Tasks could be placed under an outdated plan.
+// The store's checker verifies that every placement is guarded by the plan in force. Every job must
+// be done once.
 func TestPlansAreAppliedWhileLeadersFail(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Metrics: true, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		next := 1
@@ -69,8 +70,8 @@
 	})
 }
 
-// All nodes are killed just after a plan is applied, and the newest record of the plan is corrupted. The
-// next leader must read a plan before it places tasks, and keep the version before.
+// All nodes are killed just after a plan is applied, and the newest record of the plan is
+// corrupted. The next leader must read a plan before it places tasks, and keep the version before.
 func TestNewLeaderReadsThePlanBeforeItPlaces(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -89,8 +90,9 @@
 	})
 }
 
-// No version of the plan can be decoded any more. A leader could then place tasks as if there were no plan.
-// Running tasks must go on and submissions be accepted, but no task may be placed until a plan is applied.
+// No version of the plan can be decoded any more. A leader could then place tasks as if there were
+// no plan. Running tasks must go on and submissions be accepted, but no task may be placed until a
+// plan is applied.
 func TestNothingIsPlacedUnderALostPlan(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
@@ -114,9 +116,9 @@
 	})
 }
 
-// A node whose version doesn't support plans would place tasks without the plan's tiers. So no plan may be
-// applied as long as there is such a node. Once a plan is applied, the records must have a schema version
-// under which such a node doesn't lead.
+// A node whose version doesn't support plans would place tasks without the plan's tiers. So no plan
+// may be applied as long as there is such a node. Once a plan is applied, the records must have a
+// schema version under which such a node doesn't lead.
 func TestNoPlanIsAppliedBeforeEveryNodeReadsPlans(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true, OlderSchema: []int{2}}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
--- a/controller/operators_test.go
+++ b/controller/operators_test.go
@@ -14,7 +14,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// getOperatorPath requests a path of a node's server for operators, and returns the body of the response.
+// getOperatorPath requests a path of a node's server for operators, and returns the body of the
+// response.
 func getOperatorPath(t *testing.T, w *fake.Cluster, node int, path string) string {
 	t.Helper()
 	hc := &http.Client{Transport: &http.Transport{DialContext: w.Network.Dial("operator"), DisableKeepAlives: true}}
@@ -39,8 +40,8 @@
 	return o
 }
 
-// Every node must show the leader's current status. Without a leader it must show none. An outdated status
-// would mislead operators.
+// Every node must show the leader's current status. Without a leader it must show none. An outdated
+// status would mislead operators.
 func TestStatusIsCurrent(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 6, 90 }), job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 20, 8, 90 }))
--- a/controller/paused_process_test.go
+++ b/controller/paused_process_test.go
@@ -10,13 +10,14 @@
 )
 
 // pauseDurations are just below and just above the timeouts that a pause can outlast: a user's poll
-// (2 s), a worker's wait for a reply (4 s), the leader's lease (7 s here), and a worker's lease (12 s).
+// (2 s), a worker's wait for a reply (4 s), the leader's lease (7 s here), and a worker's lease (12
+// s).
 var pauseDurations = []time.Duration{time.Second, 3900 * time.Millisecond, 4100 * time.Millisecond, 6900 * time.Millisecond,
 	7100 * time.Millisecond, 11900 * time.Millisecond, 12100 * time.Millisecond, 25 * time.Second, time.Minute}
 
-// A process that is paused while clocks go on acts on outdated knowledge when it resumes. The checker
-// verifies the rules of the protocol. No task may be lost that a leader could have kept, and the other
-// nodes must serve users meanwhile.
+// A process that is paused while clocks go on acts on outdated knowledge when it resumes. The
+// checker verifies the rules of the protocol. No task may be lost that a leader could have kept,
+// and the other nodes must serve users meanwhile.
 func TestControllersStall(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -53,8 +54,8 @@
 					mustSubmit(t, w, job(4, nil))
 					mustReach(t, w, "wk-000004", wire.JobDone, 2*time.Minute)
 					mustReach(t, w, "wk-000002", wire.JobDone, 4*time.Minute)
-					// As long as there can be a leader, a worker finds it within its lease, whichever
-					// nodes were paused.
+					// As long as there can be a leader, a worker finds it within its lease,
+					// whichever nodes were paused.
 					if n := w.Started(); n > 9 && (len(paused) == 1 || d < 10*time.Second) {
 						t.Errorf("%d starts of 9 tasks", n)
 					}
@@ -64,9 +65,9 @@
 	}
 }
 
-// A leader that is powered off or paused accepts connections and answers nothing. Each follower that
-// redirected a worker there cost the worker 4 s of its lease of 12 s. With another node down as well,
-// most tasks were killed.
+// A leader that is powered off or paused accepts connections and answers nothing. Each follower
+// that redirected a worker there cost the worker 4 s of its lease of 12 s. With another node down
+// as well, most tasks were killed.
 func TestWorkersStayWithTheNodeThatAnswersDuringFailover(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 8, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -101,9 +102,9 @@
 	})
 }
 
-// Hundreds of polling users made every node query the key-value store as often as it could. The sum was
-// several times what the store takes. The leader's lease renewals were rate-limited along with the
-// queries, and leadership was lost permanently.
+// Hundreds of polling users made every node query the key-value store as often as it could. The sum
+// was several times what the store takes. The leader's lease renewals were rate-limited along with
+// the queries, and leadership was lost permanently.
 func TestManyPollsDoNotEndLeadership(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Nodes: 5, StateRPS: 40}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
--- a/controller/poll_answers_test.go
+++ b/controller/poll_answers_test.go
@@ -55,10 +55,10 @@
 	wg.Wait()
 }
 
-// More clients poll than the nodes can answer, for jobs that wait, that are cancelled and that fail. All
-// nodes are restarted during an outage of the key-value store. Afterwards some jobs could get no answer
-// while others are answered often. Every job must be answered at least every 50 s, however many polls are
-// told to retry later.
+// More clients poll than the nodes can answer, for jobs that wait, that are cancelled and that
+// fail. All nodes are restarted during an outage of the key-value store. Afterwards some jobs could
+// get no answer while others are answered often. Every job must be answered at least every 50 s,
+// however many polls are told to retry later.
 func TestEveryJobIsAnsweredHoweverManyPoll(t *testing.T) {
 	many := 1000
 	if scenario.UnderRace {
@@ -110,9 +110,10 @@
 	})
 }
 
-// A page with the records of many jobs is corrupted. Nodes that have started since could answer 404 for
-// its jobs. They must answer for the jobs that can still be read from it, that have a placement, or of
-// which another node holds a copy, and must answer 404 for none. The other jobs must go on.
+// A page with the records of many jobs is corrupted. Nodes that have started since could answer 404
+// for its jobs. They must answer for the jobs that can still be read from it, that have a
+// placement, or of which another node holds a copy, and must answer 404 for none. The other jobs
+// must go on.
 func TestJobsOfADamagedPageAreStillAnswered(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -176,9 +177,9 @@
 	}
 }
 
-// All nodes are restarted one after the other while the schema version changes. A node that can't read the
-// other version's records could give no answer. Each job must be answered before, during and after the
-// change, whichever node a client uses.
+// All nodes are restarted one after the other while the schema version changes. A node that can't
+// read the other version's records could give no answer. Each job must be answered before, during
+// and after the change, whichever node a client uses.
 func TestEveryJobIsAnsweredWhileTheSchemaChanges(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, OlderSchema: []int{0, 1, 2}}, func(t *testing.T, w *fake.Cluster) {
 		var jobs []wire.Job
--- a/controller/priorities_test.go
+++ b/controller/priorities_test.go
@@ -21,7 +21,8 @@
 	return kvstore.New(w.Network.Dial("user"), "state:1", 200, 100)
 }
 
-// explainWaiting returns why a job waits. If the job is finished, it returns the job's final state instead.
+// explainWaiting returns why a job waits. If the job is finished, it returns the job's final state
+// instead.
 func explainWaiting(t *testing.T, w *fake.Cluster, id string) (explanation cluster.Explanation, finalState string) {
 	t.Helper()
 	explanation, finalState, err := controller.WhyWaiting(t.Context(), w.Settings, storeClient(w), id, time.Now())
@@ -31,8 +32,8 @@
 	return explanation, finalState
 }
 
-// Operators need explanations during outages. The explanation of a waiting job must be computed from the
-// records alone, also while no node is up.
+// Operators need explanations during outages. The explanation of a waiting job must be computed
+// from the records alone, also while no node is up.
 func TestExplanationOfAWaitingJobWithoutALeader(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 8}, {Name: "edge"}}
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
@@ -68,8 +69,8 @@
 	})
 }
 
-// tierPlan returns a plan with one priority tier for each of the classes, the highest first. All but the
-// first have a longest wait of 240 s.
+// tierPlan returns a plan with one priority tier for each of the classes, the highest first. All
+// but the first have a longest wait of 240 s.
 func tierPlan(classes ...string) string {
 	var out strings.Builder
 	for i, c := range classes {
@@ -86,7 +87,8 @@
 	return job(n, func(j *wire.Job) { j.Class, j.Tasks, j.CPUs, j.EstimateS = class, 1, 8, seconds })
 }
 
-// awaitFirstRunning waits until task 0 of one of the jobs is on a machine, and returns that job's id.
+// awaitFirstRunning waits until task 0 of one of the jobs is on a machine, and returns that job's
+// id.
 func awaitFirstRunning(t *testing.T, w *fake.Cluster, within time.Duration, ids ...string) string {
 	t.Helper()
 	for end := time.Now().Add(within); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
@@ -100,9 +102,9 @@
 	return ""
 }
 
-// A leader that has read one version of the plan fails while a newer version is applied. Tasks could still
-// be placed by the older tiers: by that leader, by a transaction of it that is carried out a minute late,
-// or by the next leader. None may be.
+// A leader that has read one version of the plan fails while a newer version is applied. Tasks
+// could still be placed by the older tiers: by that leader, by a transaction of it that is carried
+// out a minute late, or by the next leader. None may be.
 func TestNothingIsPlacedUnderAnOlderPlan(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -156,10 +158,10 @@
 	return on
 }
 
-// The order of the tiers is reversed while the leader can't learn of it: it is partitioned, refused or
-// paused, or its store is slow. Then a heartbeat shows it that a team has quota again for a job of high
-// priority, which preempts other tasks. The leader must not preempt a task that only the older order
-// preempts first.
+// The order of the tiers is reversed while the leader can't learn of it: it is partitioned, refused
+// or paused, or its store is slow. Then a heartbeat shows it that a team has quota again for a job
+// of high priority, which preempts other tasks. The leader must not preempt a task that only the
+// older order preempts first.
 func TestNoPreemptionUnderAnOlderPlan(t *testing.T) {
 	at := func(typ string) func(*wire.Job) { return func(j *wire.Job) { j.Types = []string{typ} } }
 	typ := func(name string) wire.MachineType { v := fake.DefaultType; v.Name = name; return v }
@@ -221,7 +223,8 @@
 }
 
 // The plan is changed twice while a transaction that places tasks by the first version hangs. The
-// transaction is carried out a minute late, with its leader still running or killed. It must place nothing.
+// transaction is carried out a minute late, with its leader still running or killed. It must place
+// nothing.
 func TestLateTransactionDoesNotPlaceUnderAnOlderPlan(t *testing.T) {
 	for _, killLeader := range []bool{false, true} {
 		t.Run(fmt.Sprint("the leader dies: ", killLeader), func(t *testing.T) {
@@ -252,8 +255,9 @@
 	}
 }
 
-// Each node knows a different older version of the plan, and none knows the newest. All are back at once,
-// with the versions that they hold in memory or restarted. Tasks must be placed by the newest version.
+// Each node knows a different older version of the plan, and none knows the newest. All are back at
+// once, with the versions that they hold in memory or restarted. Tasks must be placed by the newest
+// version.
 func TestNodesWithDifferentOlderPlansPlaceByTheNewest(t *testing.T) {
 	for _, restart := range []bool{false, true} {
 		t.Run(fmt.Sprint("restarted: ", restart), func(t *testing.T) {
@@ -286,8 +290,8 @@
 	}
 }
 
-// The newest version of the plan can't be decoded. A leader could then act as if there were no plan. The
-// version before must stay in force.
+// The newest version of the plan can't be decoded. A leader could then act as if there were no
+// plan. The version before must stay in force.
 func TestDamagedPlanLeavesThePreviousOneInForce(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -310,9 +314,9 @@
 	})
 }
 
-// According to the schema record, the plan in force was written by a later version of the program. Restarted
-// nodes of this version would place tasks by the parts that they know. They must not lead, and nothing may
-// be placed, until the schema version is one that they can read.
+// According to the schema record, the plan in force was written by a later version of the program.
+// Restarted nodes of this version would place tasks by the parts that they know. They must not
+// lead, and nothing may be placed, until the schema version is one that they can read.
 func TestVersionThatCannotReadThePlanDoesNotLead(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -344,9 +348,9 @@
 	})
 }
 
-// Jobs of the highest tier arrive all the time while leaders are killed in turn. The lower tiers could
-// starve. Each of their jobs must begin within the bound. That takes priority inversions, which every
-// leader must count.
+// Jobs of the highest tier arrive all the time while leaders are killed in turn. The lower tiers
+// could starve. Each of their jobs must begin within the bound. That takes priority inversions,
+// which every leader must count.
 func TestEndlessUrgentJobsStarveNobodyDuringFailovers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
--- a/controller/quota_interactions_test.go
+++ b/controller/quota_interactions_test.go
@@ -24,9 +24,9 @@
 // teamMax is the quota of each team of twoLimitedTeams in CPUs.
 const teamMax = 16.0
 
-// fillTeams brings both teams to their quotas with long jobs of two tasks each, numbered 101 to 104 and
-// 201 to 204. It also submits as many short jobs of 15 s, numbered 111 to 114 and 211 to 214, which
-// wait for room under the quota.
+// fillTeams brings both teams to their quotas with long jobs of two tasks each, numbered 101 to 104
+// and 201 to 204. It also submits as many short jobs of 15 s, numbered 111 to 114 and 211 to 214,
+// which wait for room under the quota.
 func fillTeams(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	for base, team := range map[int]string{100: "core", 200: "edge"} {
@@ -49,10 +49,10 @@
 	return w.CPUsInUse("core") == teamMax && w.CPUsInUse("edge") == teamMax
 }
 
-// Both teams are at their quotas. Jobs on partitioned or hung machines are cancelled, and the leader
-// fails before or after that. The next leader has had no heartbeat from those machines, and could
-// start other tasks beyond the quota. A cancelled task must count against its team's quota until it is
-// known to be gone.
+// Both teams are at their quotas. Jobs on partitioned or hung machines are cancelled, and the
+// leader fails before or after that. The next leader has had no heartbeat from those machines, and
+// could start other tasks beyond the quota. A cancelled task must count against its team's quota
+// until it is known to be gone.
 func TestInteractionQuotaCancellationsAndFailover(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
@@ -110,10 +110,10 @@
 	})
 }
 
-// Both teams are at their quotas when the leader is killed. Jobs are cancelled while there is no leader
-// and their machines are unreachable. At some seeds the next leader gets no heartbeat from these
-// machines either. It must learn of the tasks from the jobs' final records and count them against the
-// quota.
+// Both teams are at their quotas when the leader is killed. Jobs are cancelled while there is no
+// leader and their machines are unreachable. At some seeds the next leader gets no heartbeat from
+// these machines either. It must learn of the tasks from the jobs' final records and count them
+// against the quota.
 func TestInteractionFailoverAndCancellation(t *testing.T) {
 	o := twoLimitedTeams()
 	o.LeaseS = 22 // makes the leader's lease 10 s, and so the time without a leader
@@ -163,9 +163,9 @@
 }
 
 // Workers can't open connections to any controller, while direct commands still reach them (an
-// asymmetric partition). At some seeds the leader changes, and the next one has had no heartbeat from
-// these machines. Tasks of a cancelled job there must be stopped at once, and count against the quota
-// until they are known to be gone.
+// asymmetric partition). At some seeds the leader changes, and the next one has had no heartbeat
+// from these machines. Tasks of a cancelled job there must be stopped at once, and count against
+// the quota until they are known to be gone.
 func TestInteractionSilentMachinesAndCancellations(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
@@ -227,8 +227,8 @@
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
 		id := job(101+rnd.IntN(4), nil).ID
-		// The job's resources are the best fit for the next job, so the new launches go to its machines.
-		// Later launches go to all machines, and arrive where replies aren't blocked.
+		// The job's resources are the best fit for the next job, so the new launches go to its
+		// machines. Later launches go to all machines, and arrive where replies aren't blocked.
 		affected, lateReplies := machinesRunningJob(w, wire.Job{ID: id, Tasks: 2}), 0
 		for _, m := range affected {
 			lateReplies -= w.LateReplies(m)
@@ -242,8 +242,8 @@
 		for _, m := range affected {
 			w.BlockRepliesTo(m)
 		}
-		// The stops are delivered now. The next heartbeat reports the tasks as gone, and its blocked
-		// reply carries the launches.
+		// The stops are delivered now. The next heartbeat reports the tasks as gone, and its
+		// blocked reply carries the launches.
 		for _, m := range affected {
 			w.DeliverHeldCommands(m)
 			w.HoldDirectCommands(m)
@@ -306,10 +306,10 @@
 	})
 }
 
-// A zone with workers and a controller is partitioned from everything else for longer than a worker's
-// lease. Its workers keep their tasks as long as a controller inside answers them under a valid fencing
-// token. Tasks that started in another zone before that would run twice. They must start there after
-// it, and once only.
+// A zone with workers and a controller is partitioned from everything else for longer than a
+// worker's lease. Its workers keep their tasks as long as a controller inside answers them under a
+// valid fencing token. Tasks that started in another zone before that would run twice. They must
+// start there after it, and once only.
 func TestInteractionZonePartitionAndQuota(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
@@ -324,8 +324,8 @@
 				tasksInZone += n
 			}
 		}
-		// The job to cancel has a task in the partitioned zone. It is drawn from the long jobs of both
-		// teams, which together have tasks in every zone.
+		// The job to cancel has a task in the partitioned zone. It is drawn from the long jobs of
+		// both teams, which together have tasks in every zone.
 		inZone := func(j wire.Job) bool {
 			return slices.ContainsFunc(machinesRunningJob(w, j), func(m string) bool { return w.ZoneOf(m) == zone })
 		}
@@ -344,8 +344,8 @@
 			t.Errorf("faults did not interact: %d tasks in the partitioned zone, teams at their quotas: %v", tasksInZone, teamsAtQuota(w))
 		}
 		j := candidates[rnd.IntN(len(candidates))]
-		// Cancel at a node outside the zone, since clients of nodes inside may have to wait for longer
-		// than a lease.
+		// Cancel at a node outside the zone, since clients of nodes inside may have to wait for
+		// longer than a lease.
 		outcome := ""
 		for i := range w.Nodes() {
 			if fake.Zones[i%2] != zone && outcome == "" {
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -16,9 +16,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// TestRulesHoldUnderRandomFailures runs seeded scenarios of random jobs and failures, to find combinations
-// of faults that no other test has. The checker of fake.Cluster verifies the rules of the protocol. Every
-// accepted job must end.
+// TestRulesHoldUnderRandomFailures runs seeded scenarios of random jobs and failures, to find
+// combinations of faults that no other test has. The checker of fake.Cluster verifies the rules of
+// the protocol. Every accepted job must end.
 func TestRulesHoldUnderRandomFailures(t *testing.T) {
 	seeds := uint64(8)
 	if n, many := seedCount(); many {
@@ -37,8 +37,9 @@
 	})
 }
 
-// randomPlan returns a plan with every part: priority tiers, a region with a batch window, and a warm pool.
-// It draws which team comes first, when the region opens, and how many machines the pool holds.
+// randomPlan returns a plan with every part: priority tiers, a region with a batch window, and a
+// warm pool. It draws which team comes first, when the region opens, and how many machines the pool
+// holds.
 func randomPlan(rnd *rand.Rand) string {
 	first, second := "core", "edge"
 	if rnd.IntN(2) == 0 {
@@ -58,8 +59,8 @@
 		plans.Pool{Name: "warm", Model: "img-1", WeightsGB: 5, MachineType: "m8", Min: rnd.IntN(3), Max: 3, Replicas: 2, Payer: "core", More: `borrowers = ["edge"]`}.TOML()
 }
 
-// randomScenario injects random faults in a cluster of 6*size machines. With planned set, a plan is in force
-// and is replaced every six steps.
+// randomScenario injects random faults in a cluster of 6*size machines. With planned set, a plan is
+// in force and is replaced every six steps.
 //
 //nolint:revive // flag-parameter: the variants of the test differ in it
 func randomScenario(t *testing.T, seed uint64, size int, planned bool) {
@@ -104,8 +105,8 @@
 		if planned && step%6 == 5 {
 			next = randomPlan(rnd)
 		}
-		// Plans are retried, as operators do. At some seeds the key-value store was out each time that
-		// a plan was due, and with a single attempt no plan was ever applied.
+		// Plans are retried, as operators do. At some seeds the key-value store was out each time
+		// that a plan was due, and with a single attempt no plan was ever applied.
 		if next != "" && plan.Apply(next, 3*time.Second) {
 			next = ""
 		}
@@ -146,8 +147,8 @@
 		if cancelled[id] {
 			want = wire.JobCancelled
 		}
-		// The remaining jobs share the machines, which may take long. The limit only detects jobs that
-		// never end.
+		// The remaining jobs share the machines, which may take long. The limit only detects jobs
+		// that never end.
 		if !w.Await(id, want, 25*time.Minute) {
 			t.Errorf("%s did not become %s", id, want)
 		}
@@ -207,8 +208,8 @@
 	})
 }
 
-// randomCopies at times turns delayed duplicates of heartbeats on or off. They are delivered to the next
-// leaders.
+// randomCopies at times turns delayed duplicates of heartbeats on or off. They are delivered to the
+// next leaders.
 func randomCopies(rnd *rand.Rand, w *fake.Cluster) {
 	if rnd.IntN(10) == 0 {
 		w.DelayCopiesUntilFailover(rnd.IntN(4))
@@ -300,8 +301,8 @@
 	}
 }
 
-// randomUsers at times lets clients query all nodes concurrently or send unusual requests. Nodes might answer
-// these differently.
+// randomUsers at times lets clients query all nodes concurrently or send unusual requests. Nodes
+// might answer these differently.
 func randomUsers(rnd *rand.Rand, w *fake.Cluster, ids []string) {
 	switch rnd.IntN(6) {
 	case 0, 1:
@@ -313,8 +314,8 @@
 	}
 }
 
-// randomMachines at times cancels running jobs, or blocks or unblocks the heartbeats of a machine. It returns
-// the ids of the jobs to cancel, without waiting for the answers.
+// randomMachines at times cancels running jobs, or blocks or unblocks the heartbeats of a machine.
+// It returns the ids of the jobs to cancel, without waiting for the answers.
 func randomMachines(rnd *rand.Rand, w *fake.Cluster) (cancelled []string) {
 	switch rnd.IntN(16) {
 	case 0:
@@ -333,9 +334,9 @@
 	return cancelled
 }
 
-// randomDelays at times begins or ends one of these faults: direct commands or replies of the key-value store
-// are delayed, jobs are cancelled as they complete, the machines of a zone are partitioned, or all nodes are
-// down for up to 15 s.
+// randomDelays at times begins or ends one of these faults: direct commands or replies of the
+// key-value store are delayed, jobs are cancelled as they complete, the machines of a zone are
+// partitioned, or all nodes are down for up to 15 s.
 func randomDelays(rnd *rand.Rand, w *fake.Cluster) {
 	switch rnd.IntN(20) {
 	case 0, 1:
@@ -365,8 +366,8 @@
 	}
 }
 
-// randomStorage at times begins or ends one of these faults: transactions are carried out late or their
-// replies are lost, machines boot at once, or deletions of machines are delayed.
+// randomStorage at times begins or ends one of these faults: transactions are carried out late or
+// their replies are lost, machines boot at once, or deletions of machines are delayed.
 func randomStorage(rnd *rand.Rand, w *fake.Cluster) {
 	switch rnd.IntN(12) {
 	case 0:
--- a/controller/reachability_test.go
+++ b/controller/reachability_test.go
@@ -1,5 +1,6 @@
-// Scenarios of asymmetric partitions, in which machines send but don't receive, of duplicate heartbeats, of
-// nodes that can reach only their workers, and of restarts within a fraction of a second.
+// Scenarios of asymmetric partitions, in which machines send but don't receive, of duplicate
+// heartbeats, of nodes that can reach only their workers, and of restarts within a fraction of a
+// second.
 
 package controller_test
 
@@ -13,8 +14,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// fillMachines runs a long task with 5 of the 8 CPUs on every machine, so that no machine is idle and
-// scaled in. 3 CPUs of each machine are left.
+// fillMachines runs a long task with 5 of the 8 CPUs on every machine, so that no machine is idle
+// and scaled in. 3 CPUs of each machine are left.
 func fillMachines(t *testing.T, w *fake.Cluster, machines int) {
 	t.Helper()
 	mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = machines, 5, 3600 }))
@@ -23,8 +24,8 @@
 	}
 }
 
-// Replies to a machine are lost while its heartbeats arrive. Launches were sent to it with every reply,
-// and its tasks waited as long as the fault lasted. They must run on other machines.
+// Replies to a machine are lost while its heartbeats arrive. Launches were sent to it with every
+// reply, and its tasks waited as long as the fault lasted. They must run on other machines.
 func TestNothingWaitsForAnUnreachableMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 3)
@@ -51,9 +52,10 @@
 	})
 }
 
-// A machine's replies are lost across a failover, so that it never shows the next leader's fencing token.
-// Each of its heartbeats was answered all the same, and tasks waited for it forever. Tasks that the
-// former leader placed there, launched or not, must start elsewhere once the machine's lease has expired.
+// A machine's replies are lost across a failover, so that it never shows the next leader's fencing
+// token. Each of its heartbeats was answered all the same, and tasks waited for it forever. Tasks
+// that the former leader placed there, launched or not, must start elsewhere once the machine's
+// lease has expired.
 func TestUnreachableMachineDuringFailover(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 4, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 3)
@@ -90,8 +92,8 @@
 	})
 }
 
-// Duplicates of a deleted machine's heartbeats arrive at a leader that has never had a heartbeat from it.
-// The machine looked alive, and tasks were launched there.
+// Duplicates of a deleted machine's heartbeats arrive at a leader that has never had a heartbeat
+// from it. The machine looked alive, and tasks were launched there.
 func TestDuplicateHeartbeatsOfADeletedMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3, LeaseS: 30}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 3)
@@ -106,7 +108,8 @@
 			// The two machines that are left have room for two of the three tasks at a time.
 			id := job(1+i, nil).ID
 			mustSubmit(t, w, job(1+i, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 3, 2 }))
-			// Wait for the final record, since a client that polls the killed node learns of it late.
+			// Wait for the final record, since a client that polls the killed node learns of it
+			// late.
 			if !scenario.Eventually(20*time.Second, 500*time.Millisecond, func() bool { return len(w.Store.Keys(jobstore.FinalKey(id))) > 0 }) {
 				t.Errorf("%s is not done within 20 s: it waits for the deleted machine", id)
 			}
@@ -118,8 +121,8 @@
 	})
 }
 
-// Duplicates of all machines' heartbeats arrive all the time, up to five leases late. A leader that took
-// one for the current state would lose or repeat tasks.
+// Duplicates of all machines' heartbeats arrive all the time, up to five leases late. A leader that
+// took one for the current state would lose or repeat tasks.
 func TestDuplicateHeartbeatsChangeNothing(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		w.DuplicateHeartbeats(2)
@@ -137,8 +140,9 @@
 }
 
 // A node can reach neither the key-value store nor the other nodes, only its workers. If it went on
-// answering them, their leases with the next leader would expire. It must answer no worker beyond its
-// own leader lease and redirect its workers at once, so that the next leader answers all of them in time.
+// answering them, their leases with the next leader would expire. It must answer no worker beyond
+// its own leader lease and redirect its workers at once, so that the next leader answers all of
+// them in time.
 func TestNodeKeepsOnlyItsWorkersConnections(t *testing.T) {
 	for name, which := range map[string]func(w *fake.Cluster) int{
 		"the leader":     func(w *fake.Cluster) int { return w.Leader() },
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -48,8 +48,8 @@
 }
 
 // jobsOfAllKinds returns 45 jobs, numbered from the given number on, whose tasks take that many
-// seconds. The first is a gang, the second an array of five tasks, the third too large for a page. The
-// others have one task each.
+// seconds. The first is a gang, the second an array of five tasks, the third too large for a page.
+// The others have one task each.
 func jobsOfAllKinds(from int, seconds float64) (jobs []wire.Job) {
 	for n := range 45 {
 		jobs = append(jobs, job(from+n, func(j *wire.Job) {
@@ -99,10 +99,10 @@
 	}
 }
 
-// Records of each kind are corrupted in turn, by a string that is no record or by a msgpack nil. Then
-// the leader is killed, while the other nodes still hold copies of what they have read. A next leader
-// that can't read a record could lose jobs or stop the service. Jobs submitted before and after must be
-// accepted, answered and run, and final states must stay.
+// Records of each kind are corrupted in turn, by a string that is no record or by a msgpack nil.
+// Then the leader is killed, while the other nodes still hold copies of what they have read. A next
+// leader that can't read a record could lose jobs or stop the service. Jobs submitted before and
+// after must be accepted, answered and run, and final states must stay.
 func TestServiceContinuesWithAnyDamagedRecord(t *testing.T) {
 	for i, c := range damagedRecords {
 		if scenario.UnderRace && i%3 > 0 {
@@ -164,8 +164,8 @@
 }
 
 // A page is corrupted and no node holds a copy of it, since all were restarted. The page must be
-// quarantined. New jobs must be accepted and run, under this leader and the next. No job of the page
-// may be answered with 404. Its ids may be submitted again, and each runs once.
+// quarantined. New jobs must be accepted and run, under this leader and the next. No job of the
+// page may be answered with 404. Its ids may be submitted again, and each runs once.
 func TestRecordsWithoutACopyAreQuarantined(t *testing.T) {
 	for _, c := range damagedRecords[:3] {
 		t.Run(c.name, func(t *testing.T) {
@@ -205,10 +205,10 @@
 	}
 }
 
-// Job pages are corrupted repeatedly, in place or by an overwriting write, while clients submit the same
-// ids at all nodes, cancel some of them, and nodes are killed. Repairs could race with submissions and
-// record a job twice. No id may have two readable records, no task may be done twice, no client may get
-// 404, and jobs submitted at the end must run.
+// Job pages are corrupted repeatedly, in place or by an overwriting write, while clients submit the
+// same ids at all nodes, cancel some of them, and nodes are killed. Repairs could race with
+// submissions and record a job twice. No id may have two readable records, no task may be done
+// twice, no client may get 404, and jobs submitted at the end must run.
 func TestPagesAreDamagedDuringOtherFaults(t *testing.T) {
 	seeds := uint64(4)
 	if scenario.UnderRace {
--- a/controller/scenarios_test.go
+++ b/controller/scenarios_test.go
@@ -59,8 +59,8 @@
 
 func TestLateTransactionOfADeadLeaderFails(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
-		// The transaction that commits the placement hangs, and is carried out long after its leader was
-		// killed. The guard on the leader key must refuse it.
+		// The transaction that commits the placement hangs, and is carried out long after its
+		// leader was killed. The guard on the leader key must refuse it.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		time.Sleep(3 * time.Second)
 		w.Store.DelayNextTransaction(40 * time.Second)
@@ -187,8 +187,8 @@
 		time.Sleep(25 * time.Second)
 		w.SendInterruptionNotice(w.MachinesRunning("wk-000001/0")[0], 8*time.Second)
 		time.Sleep(8 * time.Second)
-		// The first regular checkpoint would be at 50 s. Without a graceful eviction there would be no
-		// saved progress.
+		// The first regular checkpoint would be at 50 s. Without a graceful eviction there would be
+		// no saved progress.
 		if got := w.CheckpointedProgress("wk-000001"); got < 10 {
 			t.Errorf("saved progress of %g s, want at least 10 s", got)
 		}
@@ -258,8 +258,8 @@
 				t.Errorf("a node that is up answered the submission with %d, want 201", status)
 			}
 			time.Sleep(5 * time.Second)
-			// A node that is back this early revokes its own former lease. The next leader then answers
-			// workers well within their leases, so that no task starts twice.
+			// A node that is back this early revokes its own former lease. The next leader then
+			// answers workers well within their leases, so that no task starts twice.
 			w.StartNode(i)
 			mustSubmit(t, w, job(10+i, nil))
 		}
--- a/controller/schema_test.go
+++ b/controller/schema_test.go
@@ -19,8 +19,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// countOwnAndSharedRecords returns the number of unfinished jobs that have a record of their own, and of
-// those that share a page with others.
+// countOwnAndSharedRecords returns the number of unfinished jobs that have a record of their own,
+// and of those that share a page with others.
 func countOwnAndSharedRecords(w *fake.Cluster) (own, shared int) {
 	for _, k := range w.Store.Keys(jobstore.JobPrefix) {
 		var page jobstore.JobPage
@@ -33,9 +33,9 @@
 	return own, shared
 }
 
-// One node reads only the previous schema version. Records that it can't read would be lost if it led. So
-// every leader must write records in that version. Once the node has been restarted with the newer
-// version, jobs must share pages, and jobs with keys of their own must go on.
+// One node reads only the previous schema version. Records that it can't read would be lost if it
+// led. So every leader must write records in that version. Once the node has been restarted with
+// the newer version, jobs must share pages, and jobs with keys of their own must go on.
 func TestRollingRestartRaisesTheSchemaVersionAtItsEnd(t *testing.T) {
 	for older := range 3 {
 		runScenario(t, fake.Options{Machines: 4, OlderSchema: []int{older}}, func(t *testing.T, w *fake.Cluster) {
@@ -79,9 +79,9 @@
 	}
 }
 
-// The snapshot holds records exactly as the previous version of the program wrote them. A change of the
-// encoding could make them unreadable. Its jobs must run, its finished jobs stay finished, and repeated
-// submissions be recognized.
+// The snapshot holds records exactly as the previous version of the program wrote them. A change of
+// the encoding could make them unreadable. Its jobs must run, its finished jobs stay finished, and
+// repeated submissions be recognized.
 func TestRecordsOfThePreviousSchemaAreRead(t *testing.T) {
 	f, err := os.Open("testdata/form1.snapshot")
 	if err != nil {
@@ -136,8 +136,8 @@
 		if keys := w.Store.JobKeys(); len(keys) > 0 {
 			t.Errorf("records of finished jobs remain: %v", keys)
 		}
-		// Jobs that are finished in the snapshot were never run by a machine of this cluster. The checker
-		// reports that as a violation.
+		// Jobs that are finished in the snapshot were never run by a machine of this cluster. The
+		// checker reports that as a violation.
 		broken := slices.DeleteFunc(w.Violations(), func(b string) bool {
 			return strings.Contains(b, "wk-000501") || strings.Contains(b, "wk-000502") || strings.Contains(b, "wk-000506")
 		})
@@ -147,9 +147,9 @@
 	})
 }
 
-// A burst of submissions arrives while the store takes only 25 changes a second and all nodes are restarted.
-// With one change for each job, clients would give up. All submissions must be accepted within the minute
-// for which clients wait, in few changes, and none may be lost.
+// A burst of submissions arrives while the store takes only 25 changes a second and all nodes are
+// restarted. With one change for each job, clients would give up. All submissions must be accepted
+// within the minute for which clients wait, in few changes, and none may be lost.
 func TestBurstOfJobsWhileAllNodesRestart(t *testing.T) {
 	burst := 2000
 	if scenario.UnderRace {
@@ -192,9 +192,9 @@
 	})
 }
 
-// Submissions must not wait long or get lost when there are more of them than the store takes changes, here 25
-// a second. The test measures the waits at different rates, with the previous schema version and with this
-// one. -v prints the figures.
+// Submissions must not wait long or get lost when there are more of them than the store takes
+// changes, here 25 a second. The test measures the waits at different rates, with the previous
+// schema version and with this one. -v prints the figures.
 func TestSubmissionsPerSecond(t *testing.T) {
 	rates := []int{1, 20, 300, 500}
 	if scenario.UnderRace {
@@ -240,9 +240,9 @@
 	}
 }
 
-// A record can't be decoded. A leader could lose the jobs that depend on it or start them again. It must name
-// the record in the log and quarantine these jobs. Users can cancel them, and the other jobs go on under
-// the next leader.
+// A record can't be decoded. A leader could lose the jobs that depend on it or start them again. It
+// must name the record in the log and quarantine these jobs. Users can cancel them, and the other
+// jobs go on under the next leader.
 func TestDamagedRecordsAreQuarantinedAndTheOthersContinue(t *testing.T) {
 	for _, c := range []struct{ name, key string }{
 		{"a job", jobstore.JobKey("wk-000001")}, {"a page of placements", jobstore.PlacementPageKey(0)},
--- a/controller/seeds_test.go
+++ b/controller/seeds_test.go
@@ -11,15 +11,15 @@
 	"github.com/umberdeal/umberdeal/internal/fake"
 )
 
-// seedCount returns the number of seeds set by the environment variable STORY_SEEDS. many is false if
-// it is not set or not a number, and callers run their default number.
+// seedCount returns the number of seeds set by the environment variable STORY_SEEDS. many is false
+// if it is not set or not a number, and callers run their default number.
 func seedCount() (n uint64, many bool) {
 	n, err := strconv.ParseUint(os.Getenv("STORY_SEEDS"), 10, 64)
 	return n, err == nil
 }
 
-// runSeeded runs a scenario with three seeds, or with as many as STORY_SEEDS sets. rnd is seeded with
-// the seed and the scenario's number.
+// runSeeded runs a scenario with three seeds, or with as many as STORY_SEEDS sets. rnd is seeded
+// with the seed and the scenario's number.
 func runSeeded(t *testing.T, number uint64, o fake.Options, play func(t *testing.T, w *fake.Cluster, rnd *rand.Rand)) {
 	t.Helper()
 	seeds, many := seedCount()
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -22,10 +22,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// runInteraction runs a scenario with the given number of seeds, or with as many as STORY_SEEDS sets.
-// play returns how often the faults interacted, which must not be 0. The functions in bothWon report
-// whether each side of a race has won so far. Up to eight more seeds are run until all of them do,
-// since one side may never win in a single seed by chance.
+// runInteraction runs a scenario with the given number of seeds, or with as many as STORY_SEEDS
+// sets. play returns how often the faults interacted, which must not be 0. The functions in bothWon
+// report whether each side of a race has won so far. Up to eight more seeds are run until all of
+// them do, since one side may never win in a single seed by chance.
 func runInteraction(t *testing.T, seeds uint64, o fake.Options, play func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int, bothWon ...func() bool) {
 	t.Helper()
 	if n, many := seedCount(); many {
@@ -61,8 +61,8 @@
 	return job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 2, 0.1 })
 }
 
-// eventually waits for a condition that may hold for a moment only. It checks every millisecond, and
-// reports whether the condition held.
+// eventually waits for a condition that may hold for a moment only. It checks every millisecond,
+// and reports whether the condition held.
 func eventually(within time.Duration, ok func() bool) bool {
 	return scenario.Eventually(within, time.Millisecond, ok)
 }
@@ -73,8 +73,8 @@
 
 // Clients query all nodes within milliseconds, and submit once more, just after their job was
 // accepted, done or cancelled. The key-value store refuses one node, which asks the others instead.
-// Nodes are paused repeatedly for a moment. A node with an old view could answer with an older state
-// than the client has already seen. The checker reports such answers.
+// Nodes are paused repeatedly for a moment. A node with an old view could answer with an older
+// state than the client has already seen. The checker reports such answers.
 func TestAllPeersAreQueriedConcurrently(t *testing.T) {
 	runInteraction(t, 3, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		w.Store.SetLatency(time.Duration(rnd.IntN(40)) * time.Millisecond)
@@ -138,18 +138,18 @@
 	})
 }
 
-// A node's transaction is carried out at once and only its reply is lost. Other nodes read the change
-// and act on it before the sender knows of it. The sender's answer to its client must not be older
-// than the answers of the other nodes.
+// A node's transaction is carried out at once and only its reply is lost. Other nodes read the
+// change and act on it before the sender knows of it. The sender's answer to its client must not be
+// older than the answers of the other nodes.
 func TestPeersReadCommitsUnknownToTheirSender(t *testing.T) {
 	loseReply := func(w *fake.Cluster, rnd *rand.Rand, key string) bool {
 		w.Store.DropReplies(0, 1, rnd.Uint64())
-		met := eventually(5*time.Second, func() bool { return keyExists(w, key) })
+		stored := eventually(5*time.Second, func() bool { return keyExists(w, key) })
 		w.Store.DropReplies(0, 0, 0)
-		return met
+		return stored
 	}
 	t.Run("a submission", func(t *testing.T) {
-		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 			for n := range 6 {
 				j, sender := shortJob(n+1), rnd.IntN(3)
 				reader := (sender + 1 + rnd.IntN(2)) % 3
@@ -171,18 +171,18 @@
 				w.QueryConcurrently(j.ID, 1)
 				wg.Wait()
 				if read {
-					met++
+					interactions++
 				}
 				if status != http.StatusOK || read && want != "" && state != want {
 					t.Errorf("%s: the sender answered %d, %q, another node %q", j.ID, status, state, want)
 				}
 				w.QueryConcurrently(j.ID, 1)
 			}
-			return met
+			return interactions
 		})
 	})
 	t.Run("a cancellation", func(t *testing.T) {
-		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 			for n := range 6 {
 				j, sender := job(n+1, func(j *wire.Job) { j.Tasks, j.EstimateS = 1, 60 }), rnd.IntN(3)
 				mustSubmit(t, w, j)
@@ -195,7 +195,7 @@
 					t.Errorf("%s is not cancelled in the store", j.ID)
 				}
 				if w.PollState(w.NodeAddr((sender+1)%3), j.ID) == wire.JobCancelled && !answered.Load() {
-					met++
+					interactions++
 				}
 				w.QueryConcurrently(j.ID, 1)
 				wg.Wait()
@@ -204,11 +204,11 @@
 				}
 				w.QueryConcurrently(j.ID, 1)
 			}
-			return met
+			return interactions
 		})
 	})
 	t.Run("an end", func(t *testing.T) {
-		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 			for n := range 6 {
 				j := shortJob(n + 1)
 				mustSubmit(t, w, j)
@@ -219,8 +219,8 @@
 				if !loseReply(w, rnd, jobstore.FinalKey(j.ID)) {
 					t.Errorf("%s has no final record in the store", j.ID)
 				}
-				if sent, _ := w.Store.UnansweredTransactions(); sent > met {
-					met++
+				if sent, _ := w.Store.UnansweredTransactions(); sent > interactions {
+					interactions++
 				}
 				// The leader gets no reply for 2 s.
 				if got := w.CancelAt(w.NodeAddr(rnd.IntN(3)), j.ID); got != wire.JobDone {
@@ -232,11 +232,11 @@
 					t.Errorf("%d tasks of %s started again", n, j.ID)
 				}
 			}
-			return met
+			return interactions
 		})
 	})
 	t.Run("a placement", func(t *testing.T) {
-		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 			for n := range 6 {
 				j := job(n+1, func(j *wire.Job) { j.Tasks, j.EstimateS = 1, 60 })
 				had, _ := w.Store.UnansweredTransactions()
@@ -250,7 +250,7 @@
 				}
 				// The placement is committed, and the leader got no reply.
 				if sent, done := w.Store.UnansweredTransactions(); sent > had && done == sent && len(w.Store.Keys(strings.TrimSuffix(jobstore.PlacementPageKey(0), "0"))) > 0 {
-					met++
+					interactions++
 				}
 				w.QueryConcurrently(j.ID, 1)
 				time.Sleep(8 * time.Second)
@@ -258,7 +258,7 @@
 					t.Errorf("%s is cancelled and was started %d times", j.ID, n)
 				}
 			}
-			return met
+			return interactions
 		})
 	})
 }
@@ -268,7 +268,7 @@
 func TestUnansweredRequestsWereNotExecuted(t *testing.T) {
 	t.Run("a cancellation", func(t *testing.T) {
 		ends := map[string]int{}
-		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 			for n := range 6 {
 				j, sender := shortJob(n+1), rnd.IntN(3)
 				if n%3 == 2 {
@@ -289,7 +289,7 @@
 				// The sender reads the store again after 2 s. The job may have ended by then.
 				ended := eventually(10*time.Second, func() bool { return answered.Load() || keyExists(w, jobstore.FinalKey(j.ID)) })
 				if inFlight && ended && !answered.Load() {
-					met++
+					interactions++
 				}
 				wg.Wait()
 				if want := w.PollState(w.AnyNodeAddr(), j.ID); state != want {
@@ -301,7 +301,7 @@
 				time.Sleep(time.Second)
 				w.QueryConcurrently(j.ID, 1)
 			}
-			return met
+			return interactions
 		}, bothOutcomesOccurred(ends))
 		if !bothOutcomesOccurred(ends)() {
 			t.Errorf("one outcome always won: %v", ends)
@@ -309,7 +309,7 @@
 		t.Log("ends:", ends)
 	})
 	t.Run("an end", func(t *testing.T) {
-		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 			for n := range 6 {
 				j, cancels := shortJob(n+1), rnd.IntN(2) == 0
 				deliver := w.Store.HoldNextTransactionOn(jobstore.FinalKey(j.ID))
@@ -319,7 +319,7 @@
 					t.Fatalf("no transaction with the final record of %s is in flight", j.ID)
 				}
 				if w.FinishedTasks(j.ID) == 1 && !keyExists(w, jobstore.FinalKey(j.ID)) {
-					met++
+					interactions++
 				}
 				want := wire.JobDone
 				if cancels {
@@ -339,11 +339,11 @@
 			if !scenario.Eventually(10*time.Second, 100*time.Millisecond, func() bool { return len(w.Store.JobKeys()) == 0 }) {
 				t.Errorf("records of finished jobs remain: %v", w.Store.JobKeys())
 			}
-			return met
+			return interactions
 		})
 	})
 	t.Run("a placement", func(t *testing.T) {
-		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 			for n := range 4 {
 				j := job(n+1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 20, 0.1 })
 				deliver := w.Store.HoldNextTransactionOn(pageKeys)
@@ -354,7 +354,7 @@
 					t.Fatalf("%s does not run", j.ID)
 				}
 				if w.Store.PendingTransactions() > 0 {
-					met++
+					interactions++
 				}
 				// The next leader knows only what is in the store.
 				l := awaitLeader(t, w, 10*time.Second, anyNode)
@@ -368,25 +368,26 @@
 					t.Errorf("%s has one task and was started %d times", j.ID, n)
 				}
 			}
-			return met
+			return interactions
 		})
 	})
 	t.Run("a placement of a job that is cancelled meanwhile", func(t *testing.T) {
-		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+		runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 			time.Sleep(3 * time.Second)
 			for n := range 8 {
 				j := job(n+1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS, j.ImageGB = 1, 1, 60, 0.1 })
 				deliver := w.Store.HoldNextTransactionOn(pageKeys)
 				defer deliver()
 				mustSubmit(t, w, j)
-				// Without watches the leader learns of changes only by the read barriers of its renewals.
+				// Without watches the leader learns of changes only by the read barriers of its
+				// renewals.
 				node := w.Nodes()[awaitLeader(t, w, 10*time.Second, anyNode)]
 				w.Store.SilenceWatches(node)
 				inFlight := eventually(10*time.Second, func() bool { return w.Store.PendingTransactions() > 0 })
 				started := w.Started()
 				got := w.CancelAt(w.AnyNodeAddr(), j.ID)
 				if inFlight && got == wire.JobCancelled && w.Store.PendingTransactions() > 0 {
-					met++
+					interactions++
 				}
 				deliver()
 				time.Sleep(randomDuration(rnd, 4*time.Second, 6*time.Second))
@@ -395,18 +396,18 @@
 					t.Errorf("%s is cancelled and was started %d times", j.ID, n)
 				}
 			}
-			return met
+			return interactions
 		})
 	})
 }
 
 // Unusual requests arrive at every node without faults, while many jobs are submitted, while the
 // key-value store refuses one node, during an outage of the store, and after all nodes have been
-// restarted. A node that is not ready could answer them wrongly. Each must get its proper answer or a
-// temporary refusal.
+// restarted. A node that is not ready could answer them wrongly. Each must get its proper answer or
+// a temporary refusal.
 func TestUnusualRequestsDuringFaults(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 20}, {Name: "edge"}}
-	runInteraction(t, 3, fake.Options{Machines: 4, Capacity: 4, Teams: teams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+	runInteraction(t, 3, fake.Options{Machines: 4, Capacity: 4, Teams: teams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 		for n := range 6 {
 			mustSubmit(t, w, shortJob(n+1), job(100+n, func(j *wire.Job) { j.Team, j.Kind, j.EstimateS = "edge", wire.KindService, 0 }))
 		}
@@ -417,7 +418,7 @@
 			if answers.Known < least || answers.Refused < least || answers.Unknown < least {
 				t.Errorf("%s: only %+v were answered", when, answers)
 			}
-			met += answers.Known
+			interactions += answers.Known
 		}
 		sendUnusual("no faults", 3)
 		stop, load := make(chan struct{}), sync.WaitGroup{}
@@ -462,16 +463,16 @@
 		w.Cloud.SetOutage(false)
 		time.Sleep(10 * time.Second)
 		sendUnusual("no faults any more", 3)
-		return met
+		return interactions
 	})
 }
 
 // The transaction that accepts a job hangs, so that no node knows whether it will be carried out.
 // Meanwhile the other nodes answer at once that the job is unknown. The transaction is carried out
-// late, beside the client's next submission or instead of it. The job could be accepted twice then. It
-// must be accepted once.
+// late, beside the client's next submission or instead of it. The job could be accepted twice then.
+// It must be accepted once.
 func TestAcceptanceIsNeverConfirmedToItsUser(t *testing.T) {
-	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (met int) {
+	runInteraction(t, 4, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) (interactions int) {
 		for n := range 6 {
 			j, receiver := shortJob(n+1), rnd.IntN(3)
 			w.Store.DelayNextTransaction(time.Duration(3000+rnd.IntN(9000)) * time.Millisecond)
@@ -482,7 +483,7 @@
 			time.Sleep(time.Duration(20+rnd.IntN(1500)) * time.Millisecond)
 			for node := range 3 {
 				if w.QueryStatus(node, j.ID) == http.StatusNotFound && !keyExists(w, jobstore.JobKey(j.ID)) {
-					met++
+					interactions++
 				} else {
 					t.Errorf("%s: node %d did not answer that the job is unknown", j.ID, node)
 				}
@@ -502,15 +503,15 @@
 			}
 			w.QueryConcurrently(j.ID, 1)
 		}
-		return met
+		return interactions
 	})
 }
 
 // Four single-task jobs a second are submitted for minutes, a quarter of them is cancelled, and
 // clients poll meanwhile. Records could pile up, or users could wait behind the leader's writes.
 // Submissions and cancellations must be answered, final records written as fast as jobs end, and no
-// record may remain. If the key-value store takes fewer changes than needed, the leader's own writes
-// wait and users don't.
+// record may remain. If the key-value store takes fewer changes than needed, the leader's own
+// writes wait and users don't.
 func TestManySmallJobsForMinutes(t *testing.T) {
 	t.Run("enough changes a second", func(t *testing.T) {
 		manySmallJobs(t, 3*time.Minute, 25, 60, 2*time.Second, 2*time.Second, 3*time.Second)
@@ -520,9 +521,9 @@
 	})
 }
 
-// manySmallJobs submits jobs while the key-value store takes the given number of changes a second. It
-// asserts that there are at most maxKeys keys of unfinished jobs at once, and that no acceptance,
-// cancellation or final record takes longer than its bound.
+// manySmallJobs submits jobs while the key-value store takes the given number of changes a second.
+// It asserts that there are at most maxKeys keys of unfinished jobs at once, and that no
+// acceptance, cancellation or final record takes longer than its bound.
 //
 //nolint:revive // argument-limit: each is a bound of the variant, read at its call
 func manySmallJobs(t *testing.T, during time.Duration, changesPerSecond float64, maxKeys int, maxAccept, maxCancel, maxFinal time.Duration) {
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -1,5 +1,5 @@
-// Scenarios of wake-ups. A wake-up is a direct command that makes a worker send its heartbeat at once, so that
-// it receives a waiting launch.
+// Scenarios of wake-ups. A wake-up is a direct command that makes a worker send its heartbeat at
+// once, so that it receives a waiting launch.
 
 package controller_test
 
@@ -22,8 +22,8 @@
 	return job(n, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, seconds })
 }
 
-// Workers send a heartbeat every 4 s. Without wake-ups a launch waited for the next heartbeat, 2 s on average,
-// and a gang waited for the heartbeat of the last of its machines.
+// Workers send a heartbeat every 4 s. Without wake-ups a launch waited for the next heartbeat, 2 s
+// on average, and a gang waited for the heartbeat of the last of its machines.
 func TestLaunchDoesNotWaitForTheNextHeartbeat(t *testing.T) {
 	runScenario(t, slowHeartbeats(8), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -38,7 +38,8 @@
 	})
 }
 
-// Operators may switch wake-ups off. Launches must then wait for heartbeats, and no direct command be sent.
+// Operators may switch wake-ups off. Launches must then wait for heartbeats, and no direct command
+// be sent.
 func TestWithoutWakeUpsLaunchesGoWithTheNextHeartbeats(t *testing.T) {
 	o := slowHeartbeats(8)
 	o.NoWakeUps = true
@@ -62,8 +63,8 @@
 	})
 }
 
-// checkNoWakeUpListed asserts that no worker still lists the pseudo-task of a wake-up of jobs 1 to 3. It waits
-// 12 s first.
+// checkNoWakeUpListed asserts that no worker still lists the pseudo-task of a wake-up of jobs 1 to
+// 3. It waits 12 s first.
 func checkNoWakeUpListed(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	time.Sleep(12 * time.Second)
@@ -74,9 +75,10 @@
 	}
 }
 
-// The connection of a wake-up is held for two minutes. Then the wake-up is executed, since its fencing token and
-// agent epoch still match. By then its job has ended, or its task runs on another machine. The wake-up is
-// delivered twice, as if the worker had been told to forget it in between. It must start nothing.
+// The connection of a wake-up is held for two minutes. Then the wake-up is executed, since its
+// fencing token and agent epoch still match. By then its job has ended, or its task runs on another
+// machine. The wake-up is delivered twice, as if the worker had been told to forget it in between.
+// It must start nothing.
 func TestWakeUpThatArrivesMinutesLateStartsNothing(t *testing.T) {
 	for name, meanwhile := range map[string]func(t *testing.T, w *fake.Cluster, at string){
 		"its job was cancelled": func(t *testing.T, w *fake.Cluster, _ string) {
@@ -141,8 +143,8 @@
 	}
 }
 
-// The worker's agent epoch ends while a wake-up is in flight. The worker must refuse the wake-up, and the task
-// must run once.
+// The worker's agent epoch ends while a wake-up is in flight. The worker must refuse the wake-up,
+// and the task must run once.
 func TestEndedAgentEpochRefusesItsWakeUp(t *testing.T) {
 	runScenario(t, slowHeartbeats(1), func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
@@ -165,8 +167,9 @@
 	})
 }
 
-// The leader is paused between accepting a job, committing its placement and sending the wake-up. It resumes
-// before or after its lease has expired. With the next leader's launches, tasks could start twice.
+// The leader is paused between accepting a job, committing its placement and sending the wake-up.
+// It resumes before or after its lease has expired. With the next leader's launches, tasks could
+// start twice.
 func TestLeaderThatEndsBeforeItsWakeUpsStartsNothingTwice(t *testing.T) {
 	for _, pause := range []time.Duration{3 * time.Second, 25 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
@@ -194,9 +197,9 @@
 	}
 }
 
-// A machine hangs while the reply to its heartbeat is held open for the next launch there. The heartbeat reports
-// the completion of a task. The next task could be lost with the reply. It must run once, there or on another
-// machine.
+// A machine hangs while the reply to its heartbeat is held open for the next launch there. The
+// heartbeat reports the completion of a task. The next task could be lost with the reply. It must
+// run once, there or on another machine.
 func TestMachineHangsWhileItsHeartbeatAnswerIsDelayed(t *testing.T) {
 	for _, hang := range []time.Duration{2 * time.Second, 5 * time.Second, 30 * time.Second} {
 		t.Run(hang.String(), func(t *testing.T) {
--- a/controller/warm_pools_measure_test.go
+++ b/controller/warm_pools_measure_test.go
@@ -23,17 +23,17 @@
 type burst struct {
 	machines, replicas int
 	imageGB            float64
-	// "bare" has idle machines and no image to fetch, "none" no pool, "fixed" a pool of fixed size, and
-	// "hours" a pool sized by hourly demand.
+	// "bare" has idle machines and no image to fetch, "none" no pool, "fixed" a pool of fixed size,
+	// and "hours" a pool sized by hourly demand.
 	mode string
 }
 
 // hourlyMachineRate is the price of a machine per hour.
 const hourlyMachineRate = 12
 
-// run runs a burst some minutes after one o'clock. In mode "hours" the pool has a record of two weeks with the
-// same demand. It returns how long each replica took to start, the shortest first. In mode "hours" it also
-// returns the cost of the pool's machines, otherwise 0.
+// run runs a burst some minutes after one o'clock. In mode "hours" the pool has a record of two
+// weeks with the same demand. It returns how long each replica took to start, the shortest first.
+// In mode "hours" it also returns the cost of the pool's machines, otherwise 0.
 func (b burst) run(t *testing.T) (ran []time.Duration, cost float64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -119,8 +119,8 @@
 	return ran, cost
 }
 
-// writeDemandRecord writes a demand record of two weeks in which the hour had the burst's demand, and restarts the
-// leader, which reads it.
+// writeDemandRecord writes a demand record of two weeks in which the hour had the burst's demand,
+// and restarts the leader, which reads it.
 func (b burst) writeDemandRecord(t *testing.T, w *fake.Cluster, hour time.Time) {
 	t.Helper()
 	week := &warmpool.WeeklyDemand{}
@@ -136,10 +136,10 @@
 	restartLeader(w)
 }
 
-// TestMeasureBursts prints the table of docs/results.md. A pool that is not warm in time would let replicas wait
-// for their image. POOLS_MEASURE lists cases as MACHINES:REPLICAS:GB, separated by commas. Without it one small
-// case is run. POOLS_MODES lists which of "none,fixed,hours" are run. In each mode, 400 replicas on 1,300
-// machines take minutes of one core.
+// TestMeasureBursts prints the table of docs/results.md. A pool that is not warm in time would let
+// replicas wait for their image. POOLS_MEASURE lists cases as MACHINES:REPLICAS:GB, separated by
+// commas. Without it one small case is run. POOLS_MODES lists which of "none,fixed,hours" are run.
+// In each mode, 400 replicas on 1,300 machines take minutes of one core.
 func TestMeasureBursts(t *testing.T) {
 	cases := "20:8:80"
 	if s := os.Getenv("POOLS_MEASURE"); s != "" {
@@ -177,8 +177,9 @@
 	}
 }
 
-// countPlanRecordWrites returns the number of writes of records of each part of the plan (tiers, batch windows,
-// warm pools). A plan with all parts is in force on that many machines, half of them in pools.
+// countPlanRecordWrites returns the number of writes of records of each part of the plan (tiers,
+// batch windows, warm pools). A plan with all parts is in force on that many machines, half of them
+// in pools.
 func countPlanRecordWrites(t *testing.T, machines int, during time.Duration) (writesByPart map[string]int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -224,9 +225,9 @@
 	return writesByPart
 }
 
-// TestMeasurePlanRecords prints how often the records of the plan's parts are written. NOTES_MEASURE is the number
-// of machines. These writes could take capacity from users' writes. Together they must keep within their share,
-// however much there is to write.
+// TestMeasurePlanRecords prints how often the records of the plan's parts are written.
+// NOTES_MEASURE is the number of machines. These writes could take capacity from users' writes.
+// Together they must keep within their share, however much there is to write.
 func TestMeasurePlanRecords(t *testing.T) {
 	machines, during := 24, 90*time.Second
 	if s := os.Getenv("NOTES_MEASURE"); s != "" {
--- a/controller/warm_pools_test.go
+++ b/controller/warm_pools_test.go
@@ -17,7 +17,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// poolCluster configures machines with an image cache of 100 GB. Fetching an image of 40 GB takes 40 s.
+// poolCluster configures machines with an image cache of 100 GB. Fetching an image of 40 GB takes
+// 40 s.
 func poolCluster(machines, capacity int) fake.Options {
 	typ := fake.DefaultType
 	typ.CacheGB = 100
@@ -25,13 +26,14 @@
 		Teams: []config.Team{{Name: "core"}, {Name: "speech"}, {Name: "clinic"}}}
 }
 
-// poolPlan returns a plan with one warm pool of minMachines to maxMachines machines. more is appended to the
-// pool's section.
+// poolPlan returns a plan with one warm pool of minMachines to maxMachines machines. more is
+// appended to the pool's section.
 func poolPlan(minMachines, maxMachines int, more string) string {
 	return plans.Pool{Name: "llm", Model: "llm:v1", WeightsGB: 40, MachineType: "m8", Min: minMachines, Max: maxMachines, Replicas: 4, Payer: "speech", More: "borrowers = [\"core\"]\n" + more}.TOML()
 }
 
-// poolState decodes the pool's state from its records. Before the first record it is empty, with one shard.
+// poolState decodes the pool's state from its records. Before the first record it is empty, with
+// one shard.
 func poolState(t *testing.T, w *fake.Cluster) warmpool.State {
 	t.Helper()
 	records := map[string]wire.Raw{}
@@ -48,7 +50,8 @@
 	return states[0]
 }
 
-// checkChargesAddUp asserts that the charges of the teams add up to the cost of the machines, which must not be 0.
+// checkChargesAddUp asserts that the charges of the teams add up to the cost of the machines, which
+// must not be 0.
 func checkChargesAddUp(t *testing.T, s warmpool.State) {
 	t.Helper()
 	for _, why := range s.Audit() {
@@ -69,8 +72,8 @@
 	}
 }
 
-// replicas returns a service job with that many replicas, each of which takes a whole machine and needs the
-// pool's image.
+// replicas returns a service job with that many replicas, each of which takes a whole machine and
+// needs the pool's image.
 func replicas(n, count int) wire.Job {
 	return job(n, func(j *wire.Job) {
 		j.Kind, j.Class, j.Team, j.EstimateS, j.Tasks, j.CPUs = wire.KindService, "serve", "speech", 0, count, 8
@@ -116,8 +119,8 @@
 	})
 }
 
-// awaitPool waits until the recorded state of the pool satisfies ok, and returns it. what describes the state in
-// the failure message.
+// awaitPool waits until the recorded state of the pool satisfies ok, and returns it. what describes
+// the state in the failure message.
 func awaitPool(t *testing.T, w *fake.Cluster, what string, within time.Duration, ok func(s warmpool.State) bool) warmpool.State {
 	t.Helper()
 	for end := time.Now().Add(within); ; time.Sleep(500 * time.Millisecond) {
@@ -360,8 +363,9 @@
 	})
 }
 
-// Clinic jobs must preempt jobs that borrow machines of a pool. They have a higher tier by the plan's order, or a
-// higher priority if the plan has no order. Other jobs must not take machines of the pool.
+// Clinic jobs must preempt jobs that borrow machines of a pool. They have a higher tier by the
+// plan's order, or a higher priority if the plan has no order. Other jobs must not take machines of
+// the pool.
 func TestUrgentJobsPreemptPoolBorrowers(t *testing.T) {
 	for _, c := range []struct{ name, order, clinicPriority, otherPriority string }{
 		{"by its priority", "", wire.PriorityHigh, wire.PriorityNormal},
@@ -371,7 +375,8 @@
 	}
 }
 
-// runClinicScenario submits a clinic job, and another job that may not preempt, while the pool holds all machines.
+// runClinicScenario submits a clinic job, and another job that may not preempt, while the pool
+// holds all machines.
 func runClinicScenario(t *testing.T, order, clinicPriority, otherPriority string) {
 	t.Helper()
 	runScenario(t, poolCluster(0, 4), func(t *testing.T, w *fake.Cluster) {
@@ -395,8 +400,8 @@
 			t.Errorf("recorded %+v, want one preemption by wk-000002/0 of clinic", s.Shards[0])
 		}
 		checkChargesAddUp(t, s)
-		// The plan keeps the pool's machines from this job although they have room. It is cancelled here,
-		// since at the end of the scenario no job may wait while there is room.
+		// The plan keeps the pool's machines from this job although they have room. It is cancelled
+		// here, since at the end of the scenario no job may wait while there is room.
 		w.Cancel(long.ID)
 	})
 }
@@ -509,9 +514,9 @@
 	})
 }
 
-// A warm pool with random combinations of all faults. Machines could be rented or charged twice, or missing from
-// the pool. Afterwards the pool must be complete, every machine must have been charged once, and no rule
-// violated.
+// A warm pool with random combinations of all faults. Machines could be rented or charged twice, or
+// missing from the pool. Afterwards the pool must be complete, every machine must have been charged
+// once, and no rule violated.
 func TestWarmPoolsSurviveFailovers(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -592,8 +597,8 @@
 		applyPlan(t, w, 1, strings.Replace(poolPlan(4, 4, ""), `payer = "speech"`, `payer = "clinic"`, 1))
 		back := time.Now()
 		w.StartAll()
-		// Charges are committed once a minute. How much of the time since the restart they include depends
-		// on when the next leader began.
+		// Charges are committed once a minute. How much of the time since the restart they include
+		// depends on when the next leader began.
 		s := awaitPool(t, w, "charged", 3*time.Minute, func(s warmpool.State) bool {
 			return s.Record.Payer == "clinic" && s.Shards[0].AtMs >= back.Add(50*time.Second).UnixMilli()
 		})
--- a/controller/write_limit_test.go
+++ b/controller/write_limit_test.go
@@ -1,8 +1,8 @@
 // Scenarios of writers at the key-value store's write limit of 25 changes a second, beside
-// TestManySubmissionsDoNotDelayCancellations. In that test a large transaction, for which many users
-// waited, was refused as a whole while single changes of other writers succeeded. It was then repeated
-// with the same size (docs/incidents/cancellations-at-the-write-limit.md). This can happen to every
-// writer of more than one change, so each of them is tested here.
+// TestManySubmissionsDoNotDelayCancellations. In that test a large transaction, for which many
+// users waited, was refused as a whole while single changes of other writers succeeded. It was then
+// repeated with the same size (docs/incidents/cancellations-at-the-write-limit.md). This can happen
+// to every writer of more than one change, so each of them is tested here.
 
 package controller_test
 
@@ -49,7 +49,8 @@
 	notAccepted         int
 }
 
-// runWriteLoad submits and cancels jobs for loadDuration, and waits for all answers and for meanwhile.
+// runWriteLoad submits and cancels jobs for loadDuration, and waits for all answers and for
+// meanwhile.
 func runWriteLoad(t *testing.T, w *fake.Cluster, rnd *rand.Rand, load writeLoad) *writeLoadResult {
 	t.Helper()
 	r := &writeLoadResult{pages: map[string]bool{}}
@@ -116,7 +117,8 @@
 }
 
 // check asserts what must hold at the write limit: cancellations are in time, every submission is
-// accepted within the minute for which users repeat it, and every job that was not cancelled is done.
+// accepted within the minute for which users repeat it, and every job that was not cancelled is
+// done.
 func (r *writeLoadResult) check(t *testing.T, w *fake.Cluster) {
 	t.Helper()
 	t.Logf("%d jobs, %d cancelled, %d of them on %d pages; the slowest took %v", r.jobs, len(r.cancelled), r.onPages, len(r.pages), r.slowestCancellation)
@@ -137,8 +139,8 @@
 // atWriteLimit configures a small cluster whose store takes 25 changes a second.
 var atWriteLimit = fake.Options{Machines: 6, Capacity: 6, StateRPS: 200, StateWPS: 25}
 
-// Records are so large that a page takes about ten of them. Cancellations then change many pages, and
-// could be delayed by the number of changes.
+// Records are so large that a page takes about ten of them. Cancellations then change many pages,
+// and could be delayed by the number of changes.
 func TestCancellationsOnSeveralPagesAtTheWriteLimit(t *testing.T) {
 	runInteraction(t, 2, atWriteLimit, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		r := runWriteLoad(t, w, rnd, writeLoad{interval: 50 * time.Millisecond, cancelOneIn: 4, cancelledAfter: 3 * time.Second,
@@ -152,7 +154,8 @@
 }
 
 // Jobs arrive one by one, so that they have keys of their own, and half of them are cancelled. The
-// leader's writes use up the store's limit, here 8 changes a second, and could delay the cancellations.
+// leader's writes use up the store's limit, here 8 changes a second, and could delay the
+// cancellations.
 func TestCancellationsOfSingleJobsAtTheWriteLimit(t *testing.T) {
 	o := atWriteLimit
 	o.StateWPS = 8
@@ -163,12 +166,12 @@
 	})
 }
 
-// A burst of submissions arrives while cancellations use up the write limit. Every submission must be
-// accepted. In 5 of 96 runs a cancellation took 10.2 s to 13.1 s. In these runs 13 to 22 writes waited
-// at one controller (`queued write ended` with result=abandoned, transactions=0), which committed 4
-// changes a second. At each of the others 2 to 5 writes waited, and they committed 7 to 8 changes a
-// second. All controllers begin with the same rate limit. A controller with more waiting writes sends
-// larger transactions, is refused more often, and reduces its rate each time.
+// A burst of submissions arrives while cancellations use up the write limit. Every submission must
+// be accepted. In 5 of 96 runs a cancellation took 10.2 s to 13.1 s. In these runs 13 to 22 writes
+// waited at one controller (`queued write ended` with result=abandoned, transactions=0), which
+// committed 4 changes a second. At each of the others 2 to 5 writes waited, and they committed 7 to
+// 8 changes a second. All controllers begin with the same rate limit. A controller with more
+// waiting writes sends larger transactions, is refused more often, and reduces its rate each time.
 func TestBurstOfSubmissionsBesideCancellationsAtTheWriteLimit(t *testing.T) {
 	runInteraction(t, 2, atWriteLimit, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		const burst = 100
@@ -190,9 +193,9 @@
 	})
 }
 
-// Operators apply a plan while users use up the write limit. In 4 of 60 runs the command failed with
-// `compare-and-swap "plan/asked": ... too many requests`. Its first transaction, of one change, was
-// refused and not retried, although the command has a minute.
+// Operators apply a plan while users use up the write limit. In 4 of 60 runs the command failed
+// with `compare-and-swap "plan/asked": ... too many requests`. Its first transaction, of one
+// change, was refused and not retried, although the command has a minute.
 func TestPlanIsAppliedAtTheWriteLimit(t *testing.T) {
 	runInteraction(t, 2, atWriteLimit, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		r := runWriteLoad(t, w, rnd, writeLoad{interval: 50 * time.Millisecond, cancelOneIn: 4, cancelledAfter: time.Second,
@@ -207,9 +210,9 @@
 	})
 }
 
-// Controllers pause for two seconds, one after the other, so that others write to their buckets. In 3
-// of 80 runs a cancellation took 10.0 s to 11.8 s. After each pause two controllers wrote to the same
-// bucket for up to three seconds, and their transactions conflicted. See
+// Controllers pause for two seconds, one after the other, so that others write to their buckets. In
+// 3 of 80 runs a cancellation took 10.0 s to 11.8 s. After each pause two controllers wrote to the
+// same bucket for up to three seconds, and their transactions conflicted. See
 // TestBucketOwnerWritesAloneOnceItAnswersAgain.
 func TestBucketOwnersAlternateAtTheWriteLimit(t *testing.T) {
 	runInteraction(t, 2, atWriteLimit, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
@@ -228,9 +231,9 @@
 }
 
 // The store refuses one controller alone, for half of the time. In 3 of 80 runs a cancellation took
-// 10.7 s to 13.5 s, with several `queued write ended` result=conflict for one id at different nodes.
-// While the refused node owned a bucket, it told every other node that it couldn't write. Each of them
-// then wrote to the bucket itself, so that their transactions conflicted.
+// 10.7 s to 13.5 s, with several `queued write ended` result=conflict for one id at different
+// nodes. While the refused node owned a bucket, it told every other node that it couldn't write.
+// Each of them then wrote to the bucket itself, so that their transactions conflicted.
 func TestStoreRefusesOneNodeAtTheWriteLimit(t *testing.T) {
 	runInteraction(t, 2, atWriteLimit, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) int {
 		refused := w.Nodes()[rnd.IntN(3)]
