--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -370,8 +370,9 @@
 }
 
 // Day jobs of the same priority arrive all the time, and together with the window's jobs are
-// somewhat more than the machines can do. Without priority for the window's jobs, deadlines are
-// missed; with too much, the day jobs starve. STORY_SEEDS sets the number of seeds.
+// somewhat more than the machines can do. If the window's jobs get too little
+// priority, deadlines are missed. If they get too much, the day jobs starve. STORY_SEEDS sets the
+// number of seeds.
 func TestBatchDeadlinesAreMetBesideOtherJobs(t *testing.T) {
 	seeds := uint64(2)
 	if n, err := strconv.ParseUint(os.Getenv("STORY_SEEDS"), 10, 64); err == nil {
--- a/controller/machine_boot_test.go
+++ b/controller/machine_boot_test.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// Rented machines never boot. Waiting jobs must not be held for them, and they must be deleted and
-// replaced.
+// Rented machines never boot. They must be deleted and replaced, and waiting jobs must not be held
+// for them until then.
 func TestPoolMachineThatNeverBootsIsReplaced(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
--- a/controller/paused_process_test.go
+++ b/controller/paused_process_test.go
@@ -10,8 +10,8 @@
 )
 
 // pauseDurations are just below and just above the timeouts that a pause can outlast: a user's poll
-// (2 s), a worker's wait for a reply (4 s), the leader's lease (7 s here), and a worker's lease (12
-// s).
+// (2 s), a worker's wait for a reply (4 s), the leader's lease (7 s here), and a worker's lease
+// (12 s).
 var pauseDurations = []time.Duration{time.Second, 3900 * time.Millisecond, 4100 * time.Millisecond, 6900 * time.Millisecond,
 	7100 * time.Millisecond, 11900 * time.Millisecond, 12100 * time.Millisecond, 25 * time.Second, time.Minute}
 
