--- a/yarn/allocation.go
+++ b/yarn/allocation.go
@@ -1,3 +1,5 @@
+// Building of the response to a master's heartbeat.
+
 package yarn
 
 import (
@@ -11,9 +13,9 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// allocateResponse returns the containers that have been allocated or completed and were not
-// reported to the master yet. They count as reported only once the response is complete:
-// otherwise, after an error on the way, they would never be reported.
+// allocateResponse returns the containers that were allocated or completed since the last report
+// to the master. It marks them as reported only when the response is complete. If it marked them
+// earlier, an error would leave them unreported forever.
 func (f *Frontend) allocateResponse(ctx context.Context, snap *snapshot, s *session) (*pb.AllocateResponseProto, error) {
 	k, err := f.cachedKeyring(ctx)
 	if err != nil {
@@ -45,13 +47,13 @@
 	frontend *Frontend
 	app      *application
 	keyring  *keyring
-	reported reportedContainers // as it is once the response is complete
-	nodes    map[string]bool    // on which newly reported containers are allocated
+	reported reportedContainers // the session's value after this response
+	nodes    map[string]bool    // nodes of the containers that this response reports as allocated
 	out      *pb.AllocateResponseProto
 }
 
-// addUnfinished adds the containers of unfinished jobs that are allocated, about to be
-// preempted, or completed.
+// addUnfinished adds the containers of unfinished jobs: newly allocated ones, ones about to be
+// preempted, and newly completed ones.
 func (a *allocation) addUnfinished(jobs []jobstore.ReservedJob) error {
 	var preempted []*pb.PreemptionContainerProto
 	for i := range jobs {
@@ -80,7 +82,7 @@
 	return nil
 }
 
-// addAllocated adds a placed task as a container unless that was reported before.
+// addAllocated adds a placed task as an allocated container, unless it was reported before.
 func (a *allocation) addAllocated(j *jobstore.ReservedJob, task int) error {
 	number := containerNumber(jobSeq(j.ID), task)
 	if a.reported.allocated[number] {
@@ -96,8 +98,8 @@
 	return nil
 }
 
-// addCompleted adds the tasks of a job that have ended. A task that was released before it was
-// reported as allocated is left out, since it never was a container for the master.
+// addCompleted adds the ended tasks of a job that were not reported as completed yet. It skips
+// tasks that were released before they were reported as allocated: the master does not know them.
 func (a *allocation) addCompleted(j *jobstore.ReservedJob) {
 	for _, task := range slices.Sorted(maps.Keys(j.Outcomes)) {
 		number, outcome := containerNumber(jobSeq(j.ID), task), j.Outcomes[task]
@@ -111,8 +113,8 @@
 	}
 }
 
-// addFinished adds the completed containers of jobs that were open at the last heartbeat and are
-// finished now.
+// addFinished adds the completed containers of the jobs in openJobs that have finished. It removes
+// these jobs from openJobs.
 func (a *allocation) addFinished(ctx context.Context, unfinished []jobstore.ReservedJob) error {
 	isUnfinished := map[string]bool{}
 	for i := range unfinished {
@@ -134,13 +136,13 @@
 	return nil
 }
 
-// masterTokenEvery is the number of heartbeats after which a master gets a new token. It must be
-// small enough for the master to have a token signed by a newer key long before the key of its
-// present one is dropped.
+// masterTokenEvery is the number of heartbeats between new tokens for a master. It is small
+// enough that a master gets a token signed by a newer key long before the key of its current
+// token is dropped.
 const masterTokenEvery = 64
 
-// addTokens adds the tokens for the nodes of new containers and, every masterTokenEvery
-// heartbeats, a new token of the master.
+// addTokens adds the tokens for the nodes of new containers. Every masterTokenEvery heartbeats it
+// also adds a new token for the master.
 func (a *allocation) addTokens(responseID int32) (err error) {
 	if a.out.NmTokens, err = a.frontend.nodeTokens(a.app, a.keyring, a.nodes); err != nil {
 		return err
--- a/yarn/application.go
+++ b/yarn/application.go
@@ -1,3 +1,5 @@
+// The stored record of an application.
+
 package yarn
 
 import (
@@ -6,7 +8,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// applicationState is an application's state, as stored in its record.
+// applicationState is the state of an application as its record stores it.
 type applicationState string
 
 const (
@@ -17,7 +19,7 @@
 	stateKilled   applicationState = "killed"
 )
 
-// published returns the state in YARN's API.
+// published returns the corresponding state of YARN's API, or 0 for an unknown state.
 func (s applicationState) published() pb.YarnApplicationStateProto {
 	switch s {
 	case stateAccepted:
@@ -31,37 +33,37 @@
 	case stateKilled:
 		return pb.YarnApplicationStateProto_KILLED
 	}
-	return 0 // unknown: the record was written by a later version
+	return 0 // a later version wrote the record
 }
 
-// application is an application's record. Once EndState is set, its jobs are cancelled, and
-// then the record moves from jobstore.AppPrefix to finalPrefix.
+// application is the record of an application. When EndState is set, the jobs of the application
+// are cancelled. Then the record moves from jobstore.AppPrefix to finalPrefix.
 type application struct {
 	ID               int32            `msgpack:"n"`
 	ClusterTimestamp int64            `msgpack:"ts"`
 	Name             string           `msgpack:"name"`
 	User             string           `msgpack:"u"`
-	Queue            string           `msgpack:"q"` // its path
+	Queue            string           `msgpack:"q"` // path of the queue
 	Type             string           `msgpack:"type"`
 	Tags             []string         `msgpack:"tags,omitempty"`
 	Priority         int32            `msgpack:"p"`
-	Unmanaged        bool             `msgpack:"um"` // its master runs elsewhere
+	Unmanaged        bool             `msgpack:"um"` // the master runs outside the cluster
 	State            applicationState `msgpack:"st"`
-	EndState         applicationState `msgpack:"end,omitempty"` // the state that it ends in
+	EndState         applicationState `msgpack:"end,omitempty"` // final state; empty until the application ends
 	FinalStatus      int32            `msgpack:"fin"`
 	Diagnostics      string           `msgpack:"diag,omitempty"`
 	Attempt          int32            `msgpack:"a"`
 	MaxAttempts      int32            `msgpack:"max"`
-	Host             string           `msgpack:"h,omitempty"` // host, port and URL as registered by its master
+	Host             string           `msgpack:"h,omitempty"` // Host, RPCPort and TrackingURL come from the master's registration
 	RPCPort          int32            `msgpack:"port,omitempty"`
 	TrackingURL      string           `msgpack:"url,omitempty"`
 	StartedMs        int64            `msgpack:"ms"`
 	FinishedMs       int64            `msgpack:"fms,omitempty"`
 	NextJobSeq       int              `msgpack:"s"`
-	MasterJob        string           `msgpack:"am,omitempty"`    // of the current attempt, if it is managed
-	MasterContextKey string           `msgpack:"ctx,omitempty"`   // of the master's launch context
+	MasterJob        string           `msgpack:"am,omitempty"`    // job of the current master; empty if not launched or unmanaged
+	MasterContextKey string           `msgpack:"ctx,omitempty"`   // key of the master's launch context
 	MasterRequest    containerRequest `msgpack:"amask,omitempty"` // resources of the master's container
-	Heartbeats       int              `msgpack:"b"`               // how many were recorded; the change shows that the master is alive
+	Heartbeats       int              `msgpack:"b"`               // recorded registrations and heartbeats; an increase shows that the master is alive
 }
 
 func (a *application) name() string { return applicationName(a.ClusterTimestamp, a.ID) }
@@ -79,12 +81,12 @@
 	return &pb.ContainerIdProto{AppId: a.protoID(), AppAttemptId: a.attemptID(), Id: proto.Int64(containerNumber(seq, task))}
 }
 
-// token returns an unsigned token of the application's current attempt.
+// token returns a token for the current attempt, without its signing key.
 func (a *application) token(kind tokenKind) token {
 	return token{kind: kind, clusterTimestamp: a.ClusterTimestamp, application: a.ID, attempt: a.Attempt}
 }
 
-// publishedState returns the state in YARN's API: an application with an EndState counts as ended.
+// publishedState returns the state in YARN's API. An application with an EndState counts as ended.
 func (a *application) publishedState() pb.YarnApplicationStateProto {
 	if a.EndState != "" {
 		return a.EndState.published()
--- a/yarn/application_store.go
+++ b/yarn/application_store.go
@@ -1,3 +1,6 @@
+// Reading, writing and ending of applications in the key-value store, and the native jobs that
+// run their containers.
+
 package yarn
 
 import (
@@ -12,25 +15,25 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// Prefixes of keys. Records of unfinished applications have jobstore.AppPrefix.
+// Key prefixes. Records of unfinished applications have jobstore.AppPrefix.
 const (
-	finalPrefix   = "yf/" // records of applications that are over
+	finalPrefix   = "yf/" // records of ended applications
 	contextPrefix = "yx/" // launch contexts
 )
 
-// snapshot is an application's record with its unfinished jobs, read at the same time.
+// snapshot is the record of an application with its unfinished jobs, read at the same time.
 type snapshot struct {
 	app    *application
 	record jobstore.AppRecord
 	jobs   []jobstore.ReservedJob
-	final  bool // the record has finalPrefix, and there are no unfinished jobs
+	final  bool // whether the record has finalPrefix; then there are no unfinished jobs
 }
 
-// ended reports whether the application is over, or has been marked as ending.
+// ended reports whether the application has ended or its EndState is set.
 func (s *snapshot) ended() bool { return s.final || s.app.EndState != "" }
 
-// readApplication reads an application and its unfinished jobs. What was committed before the
-// call is seen.
+// readApplication reads an application and its unfinished jobs. The result includes all changes
+// that were committed before the call. If there is no such application, the error has ClassNoApp.
 func (f *Frontend) readApplication(ctx context.Context, id *pb.ApplicationIdProto) (*snapshot, error) {
 	name := nameOf(id)
 	record, jobs, err := f.jobs.OwnedJobs(ctx, applicationKey(name))
@@ -44,7 +47,8 @@
 		}
 		return &snapshot{app: &app, record: record, jobs: jobs}, nil
 	}
-	// A record moves to finalPrefix in one transaction and never back, so it can't be missed.
+	// A record moves to finalPrefix in one transaction and never moves back. So this read finds a
+	// record that has moved since the first read.
 	final, err := f.store.Get(ctx, finalPrefix+name)
 	if err != nil {
 		return nil, err
@@ -59,7 +63,7 @@
 }
 
 // writeApplication replaces an application's record. It fails with a kvstore.ConflictError if
-// the record has changed since it was read.
+// the record has changed since s was read.
 func (f *Frontend) writeApplication(ctx context.Context, s *snapshot) error {
 	version, err := f.store.CompareAndSwap(ctx,
 		[]nwire.Guard{{Key: s.record.Key, Version: s.record.Version}}, []nwire.Op{{Put: s.record.Key, Value: *s.app}})
@@ -69,8 +73,9 @@
 	return err
 }
 
-// endApplication commits an application's EndState, and then tries to finalize it. If that
-// fails, the leader does it later, and the call succeeds nevertheless.
+// endApplication commits the EndState of an application together with the changes that change
+// makes. It does nothing if the application has ended already. Then it tries to finalize the
+// application. A failure to finalize is not an error, since the leader finalizes it later.
 func (f *Frontend) endApplication(ctx context.Context, id *pb.ApplicationIdProto, state applicationState, change func(a *application)) error {
 	var s *snapshot
 	err := retry(ctx, func() error {
@@ -91,9 +96,10 @@
 	return nil
 }
 
-// finalize cancels the jobs of an application whose EndState is set, deletes their launch contexts, and
-// moves its record to finalPrefix. The record moves last, since whatever is left to be done is looked for
-// by it. Any controller may call finalize, and repeat it.
+// finalize cancels the jobs of an application whose EndState is set, deletes its launch contexts
+// and moves its record to finalPrefix. The record moves last: as long as it has
+// jobstore.AppPrefix, the leader finds it and repeats an interrupted finalize. finalize is
+// idempotent, and any controller may call it.
 func (f *Frontend) finalize(ctx context.Context, id *pb.ApplicationIdProto) error {
 	s, err := f.readApplication(ctx, id)
 	if err != nil || s.final || s.app.EndState == "" {
@@ -102,9 +108,9 @@
 	if err := f.cancelJobs(ctx, s.jobs); err != nil {
 		return err
 	}
-	// No job is missed: a job is reserved only if the record's version has not changed since
-	// it was read, so all were reserved before EndState was set, and were read here. Nor is a launch
-	// context: each is written on condition that its job is unfinished.
+	// s.jobs includes all unfinished jobs. A reservation fails if the application's record has
+	// changed, so no job is reserved after EndState is set. No launch context is written later
+	// either, since each write requires that its job is unfinished.
 	app := s.app
 	if err := f.deleteContexts(ctx, app); err != nil {
 		return err
@@ -131,7 +137,7 @@
 	return nil
 }
 
-// deleteContexts deletes the launch contexts of an application whose jobs are all over.
+// deleteContexts deletes the launch contexts of an application. All its jobs must have finished.
 func (f *Frontend) deleteContexts(ctx context.Context, a *application) error {
 	entries, _, err := f.store.List(ctx, contextPrefix+a.name()+"/")
 	if err != nil {
@@ -151,13 +157,14 @@
 	return nil
 }
 
-// defaultJobClass is the class of jobs whose queue names none.
+// defaultJobClass is the class of jobs whose queue has no class.
 const defaultJobClass = "yarn"
 
-// checkpointNever is more seconds than any container runs.
+// checkpointNever is a checkpoint interval in seconds, longer than any container runs.
 const checkpointNever = 1e6
 
-// nativeJob returns the native job whose tasks are a number of containers of one kind.
+// nativeJob returns the native job that runs containers of one kind, one container per task. It
+// fails if the queue or the node label is unknown.
 func (f *Frontend) nativeJob(a *application, r *containerRequest, tasks int) (nwire.Job, error) {
 	queue, ok := f.settings.queue(a.Queue)
 	if !ok {
@@ -188,14 +195,14 @@
 		j.Class = defaultJobClass
 	}
 	if f.settings.PreemptGraceS > 0 {
-		// A task that is stopped is given time to save a checkpoint. Containers have none, since
-		// each runs once: the time serves as the grace period after the preemption message.
+		// A preempted task gets SaveS seconds to save a checkpoint. Containers save no checkpoints,
+		// since each runs once. For them the time is the grace period after the preemption message.
 		j.CheckpointS, j.SaveS = checkpointNever, f.settings.PreemptGraceS
 	}
 	return j, nil
 }
 
-// feasibleJob returns the native job of a request, or an error if it can never run.
+// feasibleJob returns the native job for a request. It fails if the job can never run.
 func (f *Frontend) feasibleJob(a *application, r *containerRequest, tasks int) (nwire.Job, error) {
 	j, err := f.nativeJob(a, r, tasks)
 	if err != nil {
@@ -207,7 +214,8 @@
 	return j, nil
 }
 
-// refusal converts the refusal of a native job to one of YARN's API, with the same text.
+// refusal converts the HTTP status and error of a refused native job to an error of YARN's API
+// with the same text.
 func refusal(status int, err error) error {
 	if status == http.StatusServiceUnavailable {
 		return wire.Errorf(wire.ClassRetriable, "%v", err)
@@ -215,8 +223,9 @@
 	return wire.Errorf(wire.ClassBadRequest, "%v", err)
 }
 
-// reserve commits a new job of an application, in one transaction with the application's record,
-// whose NextJobSeq counts it. It returns the job's id.
+// reserve commits a new job of an application and returns its id. The same transaction writes the
+// record of the application with the next NextJobSeq. It fails with a kvstore.ConflictError if
+// the record has changed since s was read.
 func (f *Frontend) reserve(ctx context.Context, s *snapshot, r *containerRequest, tasks int, reservation jobstore.Reservation) (string, error) {
 	j, err := f.feasibleJob(s.app, r, tasks)
 	if err != nil {
@@ -229,7 +238,7 @@
 		return "", err
 	}
 	if known {
-		return "", fmt.Errorf("yarn: job %s is known already", j.ID)
+		return "", fmt.Errorf("yarn: job %s exists already", j.ID)
 	}
 	s.record.Version = version
 	return j.ID, nil
--- a/yarn/client_protocol.go
+++ b/yarn/client_protocol.go
@@ -1,3 +1,5 @@
+// The calls of ApplicationClientProtocol that change applications.
+
 package yarn
 
 import (
@@ -11,8 +13,6 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements the calls of ApplicationClientProtocol that change applications.
-
 func (f *Frontend) getNewApplication(ctx context.Context, _ *wire.Caller, _ *pb.GetNewApplicationRequestProto) (*pb.GetNewApplicationResponseProto, error) {
 	clusterTimestamp, id, err := f.newApplicationID(ctx)
 	if err != nil {
@@ -24,8 +24,9 @@
 	}, nil
 }
 
-// submitApplication accepts an application, which is committed before the answer. A repeated
-// submission with the same id gets the same answer, and changes nothing.
+// submitApplication commits a new application and tries to launch its master. If the launch fails,
+// the leader repeats it. A repeated submission with the same id changes nothing and gets the same
+// answer.
 func (f *Frontend) submitApplication(ctx context.Context, c *wire.Caller, in *pb.SubmitApplicationRequestProto) (*pb.SubmitApplicationResponseProto, error) {
 	submission := in.GetApplicationSubmissionContext()
 	id := submission.GetApplicationId()
@@ -51,8 +52,8 @@
 	return &pb.SubmitApplicationResponseProto{}, nil
 }
 
-// isSubmitted reports whether an application was submitted already. An id that was not issued by
-// getNewApplication is refused.
+// isSubmitted reports whether an application was submitted already. It fails if getNewApplication
+// did not issue the id.
 func (f *Frontend) isSubmitted(ctx context.Context, id *pb.ApplicationIdProto) (bool, error) {
 	k, _, err := f.readKeyring(ctx)
 	if err != nil {
@@ -68,7 +69,8 @@
 	return err == nil, err
 }
 
-// newApplication makes the record of a submitted application, or refuses the submission.
+// newApplication returns the record of a submitted application. It fails if the queue is unknown,
+// there are MaxApps unfinished applications, or the master can never run.
 func (f *Frontend) newApplication(ctx context.Context, user string, submission *pb.ApplicationSubmissionContextProto) (*application, error) {
 	id := submission.GetApplicationId()
 	queue, ok := f.settings.queue(submission.GetQueue())
@@ -79,7 +81,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if len(apps) > f.settings.MaxApps { // one of the records is the keyring
+	if len(apps) > f.settings.MaxApps { // ListApps includes the keyring's record
 		return nil, wire.Errorf(wire.ClassYarn, "Failed to submit %s : %d applications are unfinished already", nameOf(id), f.settings.MaxApps)
 	}
 	app := &application{
@@ -104,8 +106,8 @@
 	return app, f.setMasterRequest(app, submission)
 }
 
-// setMasterRequest sets the resources of a managed application's master. A master that can never
-// run is refused with the text of a native job's refusal.
+// setMasterRequest sets the resources of the master of a managed application. If the master can
+// never run, it fails with the text that a native job gets.
 func (f *Frontend) setMasterRequest(app *application, submission *pb.ApplicationSubmissionContextProto) error {
 	resource := submission.GetResource()
 	if requests := submission.GetAmContainerResourceRequest(); resource == nil && len(requests) > 0 {
@@ -124,8 +126,8 @@
 	return nil
 }
 
-// commitSubmission writes an application's record, and its master's launch context if it is
-// managed.
+// commitSubmission writes the record of an application. For a managed application, the same
+// transaction writes the launch context of the master.
 func (f *Frontend) commitSubmission(ctx context.Context, app *application, submission *pb.ApplicationSubmissionContextProto) error {
 	guards := []nwire.Guard{{Key: app.key()}, {Key: finalPrefix + app.name()}}
 	ops := []nwire.Op{{Put: app.key(), Value: app}}
@@ -139,7 +141,7 @@
 	return retry(ctx, func() error {
 		if _, err := f.store.CompareAndSwap(ctx, guards, ops); err != nil {
 			if _, readErr := f.readApplication(ctx, app.protoID()); readErr == nil {
-				return nil // another submission of the same id, or this one's answer was lost
+				return nil // submitted concurrently, or committed by an attempt whose answer was lost
 			}
 			return err
 		}
@@ -162,8 +164,8 @@
 	return &pb.KillApplicationResponseProto{IsKillCompleted: proto.Bool(true)}, nil
 }
 
-// moveApplicationAcrossQueues is not supported: a queue stands for a team, and an application's
-// jobs are charged to the team for which they were accepted.
+// moveApplicationAcrossQueues always fails. A queue stands for a team, and the jobs of an
+// application are charged to the team for which they were accepted.
 func (f *Frontend) moveApplicationAcrossQueues(context.Context, *wire.Caller, *pb.MoveApplicationAcrossQueuesRequestProto) (*pb.MoveApplicationAcrossQueuesResponseProto, error) {
 	return nil, wire.Errorf(wire.ClassUnsupported, "applications stay in their queue: what runs counts for its team")
 }
--- a/yarn/cluster_info.go
+++ b/yarn/cluster_info.go
@@ -1,3 +1,5 @@
+// The calls of ApplicationClientProtocol that inspect nodes and queues.
+
 package yarn
 
 import (
@@ -9,9 +11,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements the calls of ApplicationClientProtocol that inspect nodes and queues.
-
-// machines returns the machines as the leader sees them.
+// machines returns the machines as the leader sees them. If they can't be read, the client retries.
 func (f *Frontend) machines(ctx context.Context) ([]Machine, error) {
 	machines, err := f.controller.Machines(ctx)
 	if err != nil {
@@ -39,8 +39,8 @@
 	}}, nil
 }
 
-// managerPort is the port in a node's id. It is not connected to: clients use the address in the
-// token for the node, which is this front end's.
+// managerPort is the port in the id of a node. Nothing listens on it: clients connect to the
+// address in the token for the node, which is the address of this front end.
 const managerPort = 8041
 
 func nodeID(machine string) *pb.NodeIdProto {
@@ -86,7 +86,7 @@
 // rootQueue is the parent of all queues.
 const rootQueue = "root"
 
-// queueInfo returns a queue without its applications. Capacities are not reported, since teams
+// queueInfo returns a queue without its applications. Its capacities are placeholders, since teams
 // are guaranteed amounts and not shares.
 func queueInfo(q *Queue) *pb.QueueInfoProto {
 	return &pb.QueueInfoProto{
@@ -103,7 +103,7 @@
 	return f.listApplications(ctx, applicationFilter{queues: []string{q.Path}, states: unfinishedStates})
 }
 
-// requestedQueue returns a queue, with its applications if the request asks for them.
+// requestedQueue returns a queue. It includes the applications if the request asks for them.
 func (f *Frontend) requestedQueue(ctx context.Context, q *Queue, in *pb.GetQueueInfoRequestProto) (*pb.QueueInfoProto, error) {
 	info := queueInfo(q)
 	if !in.GetIncludeApplications() {
@@ -130,7 +130,7 @@
 	return &pb.GetQueueInfoResponseProto{QueueInfo: info}, err
 }
 
-// rootQueueInfo returns the root queue, with all queues below it if the request asks for them.
+// rootQueueInfo returns the root queue. It includes all queues below if the request asks for them.
 func (f *Frontend) rootQueueInfo(ctx context.Context, in *pb.GetQueueInfoRequestProto) (*pb.QueueInfoProto, error) {
 	root := &pb.QueueInfoProto{
 		QueueName:       proto.String(rootQueue),
--- a/yarn/container_protocol.go
+++ b/yarn/container_protocol.go
@@ -1,3 +1,6 @@
+// ContainerManagementProtocol. In Hadoop, the NodeManager of each machine serves this protocol. Here
+// a front end serves it for the containers on all machines.
+
 package yarn
 
 import (
@@ -13,18 +16,15 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements ContainerManagementProtocol. In Hadoop each machine's NodeManager serves
-// it; here a front end serves it for the containers on all machines.
-
-// containerStart is a container that is to be started.
+// containerStart is a checked request to start a container.
 type containerStart struct {
 	id        *pb.ContainerIdProto
 	job       string
 	task      int
-	contextOp nwire.Op // keeps its launch context under its own key
+	contextOp nwire.Op // stores the launch context under the container's own key
 }
 
-// failure returns the part of an answer that says that a call failed for one container.
+// failure returns the error of a call for one container, as part of the answer.
 func failure(id *pb.ContainerIdProto, err error) *pb.ContainerExceptionMapProto {
 	e := wire.AsError(err)
 	return &pb.ContainerExceptionMapProto{
@@ -33,8 +33,9 @@
 	}
 }
 
-// startContainers stores the containers' launch contexts and marks them in their jobs' records as
-// to be launched; the leader launches them with its next answer to the worker's heartbeat.
+// startContainers stores the launch contexts of containers and marks the containers in the records
+// of their jobs as to be launched. The leader launches them with its next answer to the heartbeat
+// of the worker.
 func (f *Frontend) startContainers(ctx context.Context, c *wire.Caller, in *pb.StartContainersRequestProto) (*pb.StartContainersResponseProto, error) {
 	s, err := f.callerApplication(ctx, c, nodeToken)
 	if err != nil {
@@ -66,9 +67,9 @@
 	return out, nil
 }
 
-// splitByTransaction splits the starts of one job into parts that fit into one transaction each;
-// one change in it is that of the job's record. Starts with the same context need one change
-// together.
+// splitByTransaction splits the starts of one job into parts that fit into one transaction each.
+// One change of each transaction is for the record of the job. Each start needs one more change,
+// but starts that all have the same context share one.
 func (f *Frontend) splitByTransaction(starts []containerStart) [][]containerStart {
 	var parts [][]containerStart
 	for len(starts) > 0 {
@@ -82,7 +83,8 @@
 	return parts
 }
 
-// checkStart checks a container's token and reads what is to be started.
+// checkStart checks the token of a container and returns what to start. If the token names a
+// container, the result has its id even with an error.
 func (f *Frontend) checkStart(a *application, k *keyring, request *pb.StartContainerRequestProto) (containerStart, error) {
 	t, err := parseToken(request.GetContainerToken().GetIdentifier())
 	if err != nil {
@@ -99,8 +101,8 @@
 	return start, err
 }
 
-// startTogether starts containers of one job in one transaction, and adds the result for each of
-// them to the answer.
+// startTogether starts containers of one job in one transaction. It adds the result for each
+// container to the answer.
 func (f *Frontend) startTogether(ctx context.Context, a *application, job string, starts []containerStart, out *pb.StartContainersResponseProto) {
 	var started []containerStart
 	err := retry(ctx, func() (err error) {
@@ -120,8 +122,9 @@
 	}
 }
 
-// markLaunched commits that tasks of a job may be launched, with their contexts. It returns
-// the starts whose tasks are still placed on a machine, and were not released.
+// markLaunched commits that tasks of a job may be launched, together with their launch contexts.
+// It skips tasks that are not placed on a machine or were released. It returns the starts of the
+// other tasks.
 func (f *Frontend) markLaunched(ctx context.Context, a *application, job string, starts []containerStart) ([]containerStart, error) {
 	_, jobs, err := f.jobs.OwnedJobs(ctx, a.key())
 	if err != nil {
@@ -153,7 +156,7 @@
 	}, ops...)
 }
 
-// findJob returns the job with an id, or nil.
+// findJob returns the job with the given id, or nil if there is none.
 func findJob(jobs []jobstore.ReservedJob, id string) *jobstore.ReservedJob {
 	i := slices.IndexFunc(jobs, func(j jobstore.ReservedJob) bool { return j.ID == id })
 	if i < 0 {
@@ -200,7 +203,8 @@
 // errNoSuchContainer is returned for a container that was never allocated.
 var errNoSuchContainer = wire.Errorf(wire.ClassNoContainer, "there is no such container")
 
-// containerStatus returns the status of a job's task, which may have ended.
+// containerStatus returns the status of a task as a container, also if the task or the job has
+// ended. It fails with errNoSuchContainer if the task was never placed.
 func (f *Frontend) containerStatus(ctx context.Context, s *snapshot, job string, task int) (*pb.ContainerStatusProto, error) {
 	j := findJob(s.jobs, job)
 	if j == nil {
--- a/yarn/demand.go
+++ b/yarn/demand.go
@@ -1,3 +1,6 @@
+// Handling of the container requests in a master's heartbeat: a master states how many containers of
+// each kind it wants, and the front end reserves or releases tasks accordingly.
+
 package yarn
 
 import (
@@ -14,15 +17,15 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// demand is how many containers of one kind a master still wants. As YARN's API has it, a request
-// replaces the previous number; it is not added to it.
+// demand is the number of containers of one kind that a master still wants. As in YARN's API, a
+// new number replaces the previous one.
 type demand struct {
 	containerRequest
 	count int
 }
 
-// applyRequests reserves or releases tasks until as many wait to be placed as the master wants
-// containers.
+// applyRequests reserves or releases tasks, so that the number of tasks waiting to be placed equals
+// the number of containers that the master still wants.
 func (f *Frontend) applyRequests(ctx context.Context, c *wire.Caller, s *session, in []*pb.ResourceRequestProto) error {
 	demands, err := f.parseRequests(ctx, in)
 	if err != nil {
@@ -33,7 +36,7 @@
 		if err != nil {
 			return err
 		}
-		// All are checked before any is committed.
+		// Check all demands before committing any, so that an infeasible one changes nothing.
 		for i := range demands {
 			if demands[i].count == 0 {
 				continue
@@ -51,8 +54,7 @@
 	})
 }
 
-// requestGroup identifies the requests that together describe on which nodes one kind of
-// container may run.
+// requestGroup identifies the requests that together describe where one kind of container may run.
 type requestGroup struct {
 	priority            int32
 	allocationRequestID int64
@@ -60,8 +62,8 @@
 	size                string
 }
 
-// parseRequests parses a heartbeat's requests. Those of one group become one demand, or, with
-// strict locality, one for each node or rack that is named.
+// parseRequests parses the requests of a heartbeat. The requests of a group become one demand. With
+// strict locality they become one demand for each named node or rack.
 func (f *Frontend) parseRequests(ctx context.Context, in []*pb.ResourceRequestProto) ([]demand, error) {
 	groups := map[requestGroup][]demand{}
 	var order []requestGroup
@@ -110,8 +112,8 @@
 }
 
 // resolveLocality returns the demands of one group with the machines that they may use. If the
-// request for any node relaxes locality, the named nodes and racks are only preferences, which
-// are ignored here. Otherwise the named nodes and racks are the only ones allowed.
+// request for any node relaxes locality, the named nodes and racks are only preferences, and
+// resolveLocality ignores them. Otherwise only the named nodes and racks are allowed.
 func (f *Frontend) resolveLocality(ctx context.Context, group []demand) ([]demand, error) {
 	var anywhere *demand
 	var named []demand
@@ -136,9 +138,9 @@
 	return strictDemands(named, machines), nil
 }
 
-// strictDemands returns the demands for named nodes and racks, with the machines that each
-// allows. A rack with strict locality is left out if a node in it is named as well: the node's
-// demand counts.
+// strictDemands returns the demands for named nodes and racks, with the machines that each allows.
+// It omits a rack with strict locality if a node in the rack is named too. Then only the demand
+// for the node counts.
 func strictDemands(named []demand, machines []Machine) []demand {
 	var out []demand
 	for _, d := range named {
@@ -156,7 +158,7 @@
 	return out
 }
 
-// namesNodeInRack reports whether any demand is for a node in the rack, which is a zone.
+// namesNodeInRack reports whether any demand is for a node in the rack. A rack is a zone.
 func namesNodeInRack(named []demand, machines []Machine, rack string) bool {
 	inRack := machinesInRack(machines, rack)
 	return slices.ContainsFunc(named, func(d demand) bool { return slices.Contains(inRack, d.ResourceName) })
@@ -172,9 +174,8 @@
 	return names
 }
 
-// adjust reserves more tasks if fewer wait to be placed than the master wants, and releases
-// waiting tasks if there are more. Containers that were allocated and not reported yet count as
-// waiting.
+// adjust reserves tasks if fewer tasks wait to be placed than the master wants, and releases
+// waiting tasks if more do. Allocated containers that were not reported yet count as waiting.
 func (f *Frontend) adjust(ctx context.Context, snap *snapshot, s *session, d *demand) error {
 	tag := d.tag()
 	have := 0
@@ -191,7 +192,7 @@
 	return f.releasePending(ctx, snap, sameKind, have-d.count)
 }
 
-// reserveMore reserves jobs for a number of containers.
+// reserveMore reserves jobs with count tasks in total.
 func (f *Frontend) reserveMore(ctx context.Context, snap *snapshot, s *session, d *demand, count int) error {
 	for count > 0 {
 		n := min(count, maxJobContainers)
@@ -210,7 +211,7 @@
 	return nil
 }
 
-// releasePending releases a number of tasks that wait to be placed, the newest first.
+// releasePending releases up to count tasks that wait to be placed, the newest first.
 func (f *Frontend) releasePending(ctx context.Context, snap *snapshot, jobs []*jobstore.ReservedJob, count int) error {
 	for i := len(jobs) - 1; i >= 0 && count > 0; i-- {
 		pending := pendingTasks(jobs[i])
@@ -223,7 +224,7 @@
 	return nil
 }
 
-// pendingTasks returns the tasks of a job that wait to be placed and were not released.
+// pendingTasks returns the tasks of a job that are not placed, ended or released, in ascending order.
 func pendingTasks(j *jobstore.ReservedJob) []int {
 	released := j.Record.Reservation.ReleaseRanges.BitSet(j.Record.Job.Tasks)
 	var out []int
--- a/yarn/doc.go
+++ b/yarn/doc.go
@@ -1,11 +1,13 @@
-// Package yarn lets clients that speak YARN's application API run their work on the same
-// cluster as native jobs. An application's containers are tasks of reserved jobs
-// (jobstore.Reservation): they are placed, counted, drained and preempted like all others.
+// Package yarn serves YARN's application API, so that YARN clients run applications on the same
+// cluster as native jobs. The containers of an application are tasks of reserved jobs
+// (jobstore.Reservation). They are placed, counted, drained and preempted like the tasks of
+// native jobs.
 //
 // Frontend serves ApplicationClientProtocol, ApplicationMasterProtocol,
-// ContainerManagementProtocol and the ResourceManager's REST interface at one controller.
-// An application's state is in the key-value store, so that any controller may serve it. Only
-// a master's session, with the containers that were reported to it, is in the memory of the
-// controller to which it is connected. In comments, "master" is an ApplicationMaster.
-// docs/yarn.md explains the decisions behind this.
+// ContainerManagementProtocol and the REST interface of the ResourceManager at one controller.
+// The key-value store holds the state of each application, so any controller can serve it. Only
+// the session of a master is in the memory of the controller to which the master is connected.
+// The session records which containers were reported to the master.
+//
+// In comments, "master" means an ApplicationMaster. docs/yarn.md explains the design decisions.
 package yarn
--- a/yarn/exit_status.go
+++ b/yarn/exit_status.go
@@ -1,3 +1,5 @@
+// Exit statuses and diagnostics of ended containers.
+
 package yarn
 
 import (
@@ -8,11 +10,11 @@
 // Exit statuses of containers in YARN's API (ContainerExitStatus).
 const (
 	ExitSuccess   = 0
-	ExitError     = 1
-	ExitAborted   = -100
-	ExitPreempted = -102
-	ExitByMaster  = -105
-	ExitAppOver   = -107
+	ExitError     = 1    // the container failed
+	ExitAborted   = -100 // the worker refused the container, or its machine was lost
+	ExitPreempted = -102 // stopped for other work, an interruption notice or a drain
+	ExitByMaster  = -105 // released
+	ExitAppOver   = -107 // killed after the end of the application
 )
 
 // exitStatus returns the exit status and diagnostics of a container that has ended.
--- a/yarn/frontend.go
+++ b/yarn/frontend.go
@@ -1,3 +1,5 @@
+// The front end of one controller: its dependencies, its RPC server, and retries of transactions.
+
 package yarn
 
 import (
@@ -15,7 +17,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire"
 )
 
-// Store is the key-value store, in which the front end has records of its own.
+// Store is the key-value store. The front end keeps its own records there.
 type Store interface {
 	Get(ctx context.Context, key string) (nwire.Entry, error)
 	List(ctx context.Context, prefix string) ([]nwire.Entry, uint64, error)
@@ -33,17 +35,20 @@
 	Cancel(ctx context.Context, id string) (string, bool, error)
 }
 
-// Controller is the controller that the front end belongs to.
+// Controller is the controller to which the front end belongs.
 type Controller interface {
-	// CheckFeasible reports whether a job can ever run, by the same rules as for native jobs: 0
-	// and nil, or the HTTP status and the text of the refusal.
+	// CheckFeasible checks whether a job can ever run, by the rules for native jobs. It returns 0
+	// and nil if it can, and otherwise the HTTP status and the error of the refusal.
 	CheckFeasible(j *nwire.Job) (int, error)
+	// MachineTypes returns the machine types of the cluster with their full sizes.
 	MachineTypes() []nwire.MachineType
+	// Machines returns all machines as the leader sees them.
 	Machines(ctx context.Context) ([]Machine, error)
+	// IsLeader reports whether this controller is the leader.
 	IsLeader() bool
 }
 
-// Machine is a machine as the leader sees it. CPUs, GPUs and MemGB are those in use.
+// Machine is a machine as the leader sees it. CPUs, GPUs and MemGB are the amounts in use.
 type Machine struct {
 	Name  string  `json:"name"`
 	Type  string  `json:"type"`
@@ -56,13 +61,13 @@
 	MemGB float64 `json:"mem_gb"`
 }
 
-// StoreLimits are the key-value store's limits.
+// StoreLimits are the limits of the key-value store.
 type StoreLimits struct {
-	TxnOps     int // changes in one transaction
-	ValueBytes int // of one value
+	TxnOps     int // maximum number of changes in one transaction
+	ValueBytes int // maximum size of one value
 }
 
-// Frontend serves YARN's protocols at one controller.
+// Frontend serves YARN's protocols at one controller. It is safe for concurrent use.
 type Frontend struct {
 	settings   *Settings
 	store      Store
@@ -77,11 +82,11 @@
 	keyring  keyringCache
 }
 
-// minTxnOps is the least limit of changes in a transaction that is assumed: starting containers
-// changes a job's record and writes at least one launch context.
+// minTxnOps is the smallest TxnOps that a Frontend works with. Starting containers changes the
+// record of a job and writes at least one launch context.
 const minTxnOps = 3
 
-// New makes a front end.
+// New returns a front end. It raises limits.TxnOps to minTxnOps if it is lower.
 func New(settings *Settings, store Store, jobs JobStore, controller Controller, log *slog.Logger, limits StoreLimits) *Frontend {
 	limits.TxnOps = max(limits.TxnOps, minTxnOps)
 	return &Frontend{
@@ -102,7 +107,7 @@
 	protoManager = "org.apache.hadoop.yarn.api.ContainerManagementProtocolPB"
 )
 
-// Server returns the RPC server of the front end.
+// Server returns a new RPC server for the three protocols of the front end.
 func (f *Frontend) Server() *wire.Server {
 	return &wire.Server{
 		Protocols: map[string]wire.Protocol{
@@ -136,15 +141,17 @@
 	}
 }
 
-// errRecordChanged is the answer to a call that has failed because of concurrent changes of a
-// record in all its attempts. Clients retry it.
+// errRecordChanged is the answer to a call whose attempts all failed because of concurrent changes
+// of a record. Clients retry the call.
 var errRecordChanged = wire.Errorf(wire.ClassRetriable, "the record has changed meanwhile, come again")
 
-// maxRetries bounds the attempts of retry.
+// maxRetries is the number of attempts that retry makes.
 const maxRetries = 6
 
-// retry repeats an attempt that failed because of a concurrent change of the same record, or
-// whose outcome is unknown. The attempt must read the record again.
+// retry calls attempt until its transaction neither conflicts with a concurrent change nor has an
+// unknown outcome. It pauses for a random time that grows with each attempt. After maxRetries
+// attempts, or when ctx ends, it fails with errRecordChanged. Each attempt must read the record
+// again.
 func retry(ctx context.Context, attempt func() error) error {
 	var err error
 	for try := range maxRetries {
@@ -158,8 +165,8 @@
 	return errors.Join(errRecordChanged, err)
 }
 
-// lostRace reports whether a transaction was refused because a record had changed, or its answer
-// was lost, so that it may have been committed.
+// lostRace reports whether a transaction failed because a record had changed, or its outcome is
+// unknown. In the second case it may have been committed.
 func lostRace(err error) bool {
 	var conflict *kvstore.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, kvstore.ErrOutcomeUnknown)
--- a/yarn/ids.go
+++ b/yarn/ids.go
@@ -1,3 +1,5 @@
+// Ids and names of applications, jobs and containers.
+
 package yarn
 
 import (
@@ -11,10 +13,11 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// maxJobContainers is the largest number of containers in one job. Container numbers leave space
-// for containersPerJobID in each job, so that the limit may be raised.
 const (
-	maxJobContainers   = 512
+	// maxJobContainers is the largest number of containers in one job.
+	maxJobContainers = 512
+	// containersPerJobID is the size of the range of container numbers of each job. It is larger
+	// than maxJobContainers, so that maxJobContainers can be raised later.
 	containersPerJobID = 1024
 )
 
@@ -31,7 +34,7 @@
 // applicationKey returns the key of an unfinished application's record.
 func applicationKey(name string) string { return jobstore.AppPrefix + name }
 
-// parseApplicationName is the inverse of applicationName; false if the text is not such an id.
+// parseApplicationName parses the result of applicationName. It returns false for other texts.
 func parseApplicationName(name string) (*pb.ApplicationIdProto, bool) {
 	numbers, ok := strings.CutPrefix(name, "application_")
 	if !ok {
@@ -46,19 +49,20 @@
 	return &pb.ApplicationIdProto{Id: proto.Int32(int32(id)), ClusterTimestamp: proto.Int64(clusterTimestamp)}, true
 }
 
-// A job's id is a prefix, the application's id, and the job's number within the application.
+// The id of a job consists of a prefix, the id of the application, and the number of the job within
+// the application.
 const (
 	jobIDPrefix  = "wk-8"
 	jobSeqDigits = 9
 )
 
-// jobID returns the native id of an application's job. It has more digits than ids of users' jobs
-// may have, so that they can't be confused.
+// jobID returns the native id of an application's job. It has more digits than the id of a user's
+// job can have, so the two kinds never collide.
 func jobID(application int32, seq int) string {
 	return fmt.Sprintf(jobIDPrefix+"%010d%0*d", application, jobSeqDigits, seq)
 }
 
-// jobSeq returns a job's number within its application, or -1.
+// jobSeq returns the number of a job within its application, or -1 if the id is invalid.
 func jobSeq(id string) int {
 	if len(id) < jobSeqDigits {
 		return -1
@@ -70,7 +74,8 @@
 	return seq
 }
 
-// jobApplication returns the id of the application that a job belongs to.
+// jobApplication returns the id of the application to which a job belongs. It returns false if the
+// job id is invalid.
 func jobApplication(id string) (application int32, ok bool) {
 	if len(id) < len(jobIDPrefix)+jobSeqDigits {
 		return 0, false
@@ -79,8 +84,8 @@
 	return application, err == nil
 }
 
-// containerNumber returns the number in a container's id. It is never reused within its
-// application, since job numbers and tasks are not.
+// containerNumber returns the number in the id of a container. It is never reused within an
+// application, since neither job numbers nor task numbers are.
 func containerNumber(seq, task int) int64 { return int64(seq)*containersPerJobID + int64(task) + 1 }
 
 // splitContainerNumber is the inverse of containerNumber.
--- a/yarn/keyring.go
+++ b/yarn/keyring.go
@@ -1,3 +1,5 @@
+// The keyring: the keys that sign tokens.
+
 package yarn
 
 import (
@@ -12,25 +14,24 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// keysKey is the key of the keyring's record. It has the prefix of applications' records, so
-// that the job store's cache covers it as well (JobStore.CachedApp).
+// keysKey is the store key of the keyring's record. It has the prefix of application records, so
+// that the cache of the job store includes it (JobStore.CachedApp).
 const keysKey = jobstore.AppPrefix + "keys"
 
-// maxSigningKeys bounds the keyring: tokens that were signed with an older key are refused.
+// maxSigningKeys is the number of keys in the keyring. Tokens signed with an older key are refused.
 const maxSigningKeys = 8
 
 // signingKeyBytes is the size of a signing key.
 const signingKeyBytes = 32
 
-// keyring is the record of the keys that sign tokens, and of the application ids that controllers
-// have taken.
+// keyring is the record of the signing keys and of the application ids taken by controllers.
 type keyring struct {
-	ClusterTimestamp int64        `msgpack:"ts"` // part of every application's id
-	NextID           int32        `msgpack:"next"`
-	Keys             []signingKey `msgpack:"keys"` // the newest is the last
+	ClusterTimestamp int64        `msgpack:"ts"`   // part of every application's id
+	NextID           int32        `msgpack:"next"` // the lowest application id that no controller has taken
+	Keys             []signingKey `msgpack:"keys"` // the oldest first
 }
 
-// signingKey is one of the keys.
+// signingKey is an HMAC key. Hex encodes signingKeyBytes bytes.
 type signingKey struct {
 	ID  int    `msgpack:"id"`
 	Hex string `msgpack:"k"`
@@ -44,7 +45,7 @@
 	return signingKey{ID: id, Hex: hex.EncodeToString(b)}, nil
 }
 
-// newestID returns the id of the key that signs new tokens; 0 if there is none.
+// newestID returns the id of the key that signs new tokens, or 0 if there are no keys.
 func (k *keyring) newestID() int {
 	if len(k.Keys) == 0 {
 		return 0
@@ -52,10 +53,11 @@
 	return k.Keys[len(k.Keys)-1].ID
 }
 
-// errKeyDropped is the error for a token that was signed with a key that is not in the keyring.
+// errKeyDropped is the error for a token whose signing key is not in the keyring.
 var errKeyDropped = errors.New("signed with a key that is no longer kept")
 
-// sign returns the HMAC of a text under a key.
+// sign returns the HMAC-SHA256 of a text with the key that has the given id. It fails with
+// errKeyDropped if the keyring has no such key.
 func (k *keyring) sign(id int, text string) ([]byte, error) {
 	for _, key := range k.Keys {
 		if key.ID != id {
@@ -72,7 +74,7 @@
 	return nil, errKeyDropped
 }
 
-// issue signs a token with the newest key.
+// issue signs a token with the newest key. service is the address that accepts it.
 func (k *keyring) issue(t token, service string) (*pb.TokenProto, error) {
 	t.key = k.newestID()
 	identifier := t.String()
--- a/yarn/keyring_store.go
+++ b/yarn/keyring_store.go
@@ -1,3 +1,6 @@
+// Storage of the keyring: reading, caching and repair of its record, rotation of the signing keys, and
+// allocation of application ids.
+
 package yarn
 
 import (
@@ -7,37 +10,37 @@
 	nwire "github.com/umberdeal/umberdeal/wire"
 )
 
-// applicationIDs are the application ids that this controller has taken and not issued yet.
+// applicationIDs are the application ids that this controller has taken from the keyring and not
+// issued yet.
 type applicationIDs struct {
 	clusterTimestamp int64
 	ids              []int32
 }
 
-// idBlock is the number of ids that a controller takes at once.
+// idBlock is the number of application ids that a controller takes at once.
 const idBlock = 50
 
-// keyringCache is a controller's copy of the keyring, from which the record is repaired if it
-// becomes unreadable.
+// keyringCache is a controller's copy of the keyring. It repairs a record that becomes unreadable.
 type keyringCache struct {
-	last        keyring // as last read, in the version lastVersion
+	last        keyring // as of lastVersion
 	lastVersion uint64
 
-	badVersion uint64 // the version that could not be read
-	badSince   time.Time
+	badVersion uint64    // the last version that was unreadable
+	badSince   time.Time // when badVersion was first seen
 }
 
 const (
-	// keyringRepairDelay is for how long an unreadable keyring is not replaced by a new one,
-	// so that a controller with a copy, or a new leader that asks all controllers for
-	// theirs, can repair it.
+	// keyringRepairDelay is the delay before an unreadable keyring is replaced by a new one. In
+	// the meantime a controller with a copy can repair the record, or a new leader that asks
+	// all controllers for their copies.
 	keyringRepairDelay = 20 * time.Second
-	// idsBeyond is the distance of a new keyring's ids from the highest one of a known
-	// application: more than the ids that were issued and not submitted.
+	// idsBeyond is the distance from the highest id of a known application to the first id of a
+	// new keyring. It is larger than the number of ids that were issued and not submitted.
 	idsBeyond = 1 << 20
 )
 
-// readKeyring reads the keyring from the store. It creates the record if there is none, and
-// repairs it if it is unreadable.
+// readKeyring reads the keyring and its version from the store. It creates the record if it is
+// missing and repairs it if it is unreadable.
 func (f *Frontend) readKeyring(ctx context.Context) (keyring, uint64, error) {
 	for range 3 {
 		e, err := f.store.Get(ctx, keysKey)
@@ -68,13 +71,15 @@
 	return keyring{}, 0, errRecordChanged
 }
 
-// writeKeyring replaces the keyring unless it has changed since the version that was read.
+// writeKeyring replaces the given version of the keyring. It fails with a kvstore.ConflictError if
+// the record has changed.
 func (f *Frontend) writeKeyring(ctx context.Context, k keyring, version uint64) error {
 	_, err := f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
 	return err
 }
 
-// decodeKeyring decodes the keyring, and copies it to the cache.
+// decodeKeyring decodes the keyring and copies it to the cache. It returns false if there is no
+// record or it is invalid.
 func (f *Frontend) decodeKeyring(raw nwire.Raw, version uint64) (k keyring, ok bool) {
 	if version == 0 || nwire.Unmarshal(raw, &k) != nil || k.ClusterTimestamp == 0 || len(k.Keys) == 0 {
 		return keyring{}, false
@@ -87,10 +92,11 @@
 	return k, true
 }
 
-// repairedKeyring returns the replacement of an unreadable keyring: this controller's copy of the
-// same version, or, after keyringRepairDelay, one without keys. The ids of the latter are
-// beyond those of all known applications. Masters' tokens are refused then, and their
-// applications have to be submitted again.
+// repairedKeyring returns the replacement of an unreadable keyring. If this controller has a copy of
+// the same version, the copy is the replacement. Otherwise repairedKeyring fails with
+// errRecordChanged until keyringRepairDelay has passed, and then returns a keyring without keys
+// whose ids are beyond those of all known applications. With a new keyring, the tokens of all
+// masters are refused, and their applications have to be submitted again.
 func (f *Frontend) repairedKeyring(ctx context.Context, version uint64) (keyring, error) {
 	if k, remembered, wait := f.rememberedKeyring(version); remembered {
 		return k, nil
@@ -112,9 +118,9 @@
 	return k, nil
 }
 
-// rememberedKeyring returns this controller's copy of the keyring if it is of the version that is
-// unreadable. If not, wait says whether the keyringRepairDelay is not over yet, in which another
-// controller may repair it.
+// rememberedKeyring returns this controller's copy of the keyring if it has the unreadable version.
+// Otherwise, wait reports whether to wait for a repair by another controller: keyringRepairDelay
+// has not passed yet.
 func (f *Frontend) rememberedKeyring(version uint64) (k keyring, remembered, wait bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -127,7 +133,7 @@
 	return keyring{}, false, time.Since(f.keyring.badSince) < keyringRepairDelay
 }
 
-// applicationValues reads the records of all applications, the unfinished ones first.
+// applicationValues returns the encoded records of all applications, the unfinished ones first.
 func (f *Frontend) applicationValues(ctx context.Context) ([]nwire.Raw, error) {
 	unfinished, err := f.jobs.ListApps(ctx)
 	if err != nil {
@@ -147,9 +153,10 @@
 	return values, nil
 }
 
-// cachedKeyring returns the keyring as of the last read barrier, which the caller has made by
-// reading an application. Heartbeats of several masters share a barrier; when each of them read
-// the keyring from the store, they used up the store's rate limit at native users' expense.
+// cachedKeyring returns the keyring as of the last read barrier. The caller must have passed a
+// barrier by reading an application. Heartbeats of several masters share a barrier. Reading the
+// keyring from the store at each heartbeat exhausted the rate limit of the store and starved
+// native users.
 func (f *Frontend) cachedKeyring(ctx context.Context) (keyring, error) {
 	e := f.jobs.CachedApp(keysKey)
 	if k, ok := f.decodeKeyring(e.Value, e.Version); ok {
@@ -185,7 +192,7 @@
 	return clusterTimestamp, id, nil
 }
 
-// takeFreeID takes an id of the blocks that this controller has taken; false if none is left.
+// takeFreeID removes and returns an id of freeIDs. It returns false if none is left.
 func (f *Frontend) takeFreeID() (clusterTimestamp int64, id int32, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -197,8 +204,8 @@
 	return f.freeIDs.clusterTimestamp, id, true
 }
 
-// rollKey adds a signing key and drops the oldest beyond maxSigningKeys. Masters get tokens signed
-// with the new key with their heartbeats, long before the older keys are dropped.
+// rollKey adds a signing key and drops the oldest keys beyond maxSigningKeys. Masters get tokens
+// signed with the new key by their heartbeats, long before the older keys are dropped.
 func (f *Frontend) rollKey(ctx context.Context) error {
 	return retry(ctx, func() error {
 		k, version, err := f.readKeyring(ctx)
--- a/yarn/launch_context.go
+++ b/yarn/launch_context.go
@@ -1,3 +1,5 @@
+// Launch contexts: what workers run for containers.
+
 package yarn
 
 import (
@@ -16,21 +18,22 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// LaunchContext is what a worker runs for a container.
+// LaunchContext is the command that a worker runs for a container, with its environment and tokens.
 type LaunchContext struct {
 	Env    map[string]string `msgpack:"env" json:"env"`
 	Argv   []string          `msgpack:"cmd" json:"command"`
-	Tokens string            `msgpack:"tok,omitempty" json:"tokens,omitempty"` // base64
+	Tokens string            `msgpack:"tok,omitempty" json:"tokens,omitempty"` // base64; empty: none
 }
 
-// Environment variables by which a managed master learns how to register.
+// Environment variables with the address and the token that a managed master registers with.
 const (
 	envMasterAddress       = "UMBERDEAL_AM_ADDRESS"
 	envMasterTokenID       = "UMBERDEAL_AM_TOKEN_ID"
 	envMasterTokenPassword = "UMBERDEAL_AM_TOKEN_PASSWORD"
 )
 
-// contextOp returns the change that stores a launch context.
+// contextOp returns the change that stores a launch context. It fails if the context is too large
+// for one value of the store.
 func (f *Frontend) contextOp(key string, in *pb.ContainerLaunchContextProto) (nwire.Op, error) {
 	c := LaunchContext{Env: map[string]string{}, Argv: in.GetCommand(), Tokens: base64.StdEncoding.EncodeToString(in.GetTokens())}
 	size := len(c.Tokens) + 256 // an upper bound of the encoded size
@@ -47,24 +50,24 @@
 	return nwire.Op{Put: key, Value: c}, nil
 }
 
-// contextKey returns the key of a launch context that one container uses.
+// contextKey returns the store key of a launch context that one container uses.
 func (a *application) contextKey(job string, task int) string {
 	return fmt.Sprintf("%s%s/%d/%d", contextPrefix, a.name(), jobSeq(job), task)
 }
 
-// sharedContextKey returns the key of a launch context that several containers share.
+// sharedContextKey returns the store key of a launch context that several containers share.
 func (a *application) sharedContextKey(fingerprint string) string {
 	return contextPrefix + a.name() + "/s/" + fingerprint
 }
 
-// maxSharedKeys bounds the shared contexts that a job's record refers to; further ones are
-// stored for each container.
+// maxSharedKeys is the largest number of shared contexts in the record of a job. Further contexts
+// are stored separately for each container.
 const maxSharedKeys = 64
 
-// shareContexts stores a launch context that several containers of a job have in common under one
-// key, so that starting a whole job takes two changes, and not one for each container. refs
-// are the job's references to shared contexts. It returns the changes, and refs with the new
-// references.
+// shareContexts returns the changes that store the launch contexts of starts, and the updated
+// references of the job to shared contexts. refs are its present references. A context that
+// several containers of the job use is stored under one key. So starting a whole job takes two
+// changes instead of one for each container.
 func (a *application) shareContexts(starts []containerStart, refs []jobstore.SharedKey, tasks int) ([]nwire.Op, []jobstore.SharedKey) {
 	var ops []nwire.Op
 	for _, group := range groupByContext(starts) {
@@ -90,7 +93,7 @@
 	return ops, refs
 }
 
-// groupByContext groups starts that have the same context, in the order of each group's first.
+// groupByContext groups starts by context. The groups are in the order of their first starts.
 func groupByContext(starts []containerStart) [][]containerStart {
 	var groups [][]containerStart
 	groupOf := map[string]int{}
@@ -113,8 +116,7 @@
 	return !slices.ContainsFunc(starts, func(s containerStart) bool { return s.fingerprint() != first })
 }
 
-// fingerprint returns a hash of the context, which does not depend on the order of its
-// environment.
+// fingerprint returns a hash of the launch context. The order of the environment does not matter.
 func (s *containerStart) fingerprint() string {
 	b, err := json.Marshal(s.contextOp.Value) // sorts keys
 	if err != nil {
@@ -123,8 +125,9 @@
 	return fmt.Sprintf("%x", sha256.Sum256(b))
 }
 
-// LaunchContextOf returns what a worker runs for a task; for a managed master that includes its
-// token. The error is a *wire.Error if the task is no container, or is not to run.
+// LaunchContextOf returns what a worker runs for a task. For a managed master, the environment
+// includes the token of the master. The error is a *wire.Error with ClassNoContainer if the task is
+// not a container, has not been started, or belongs to an application that has ended.
 func (f *Frontend) LaunchContextOf(ctx context.Context, taskName string) (*LaunchContext, error) {
 	job, task, ok := nwire.ParseTaskName(taskName)
 	if !ok || nwire.ValidUserID(job) {
@@ -162,7 +165,7 @@
 	return &c, nil
 }
 
-// contextKeyOf returns the key of a task's launch context.
+// contextKeyOf returns the store key of a task's launch context.
 func (s *snapshot) contextKeyOf(job string, task int) string {
 	key := s.app.contextKey(job, task)
 	if job == s.app.MasterJob {
@@ -176,7 +179,7 @@
 	return key
 }
 
-// addMasterToken adds the address and the token with which a master registers to its environment.
+// addMasterToken adds the address and the token for the registration to a master's environment.
 func (f *Frontend) addMasterToken(c *LaunchContext, a *application, k *keyring) error {
 	t, err := k.issue(a.token(masterToken), f.settings.Advertise)
 	if err != nil {
--- a/yarn/leader.go
+++ b/yarn/leader.go
@@ -1,3 +1,7 @@
+// The leader's maintenance of all applications: ending them when their masters are lost, running
+// managed masters, releasing containers that are not started, and rotating the signing keys. Every
+// change is a compare-and-swap on records, so a former leader that still runs its loop does no harm.
+
 package yarn
 
 import (
@@ -11,33 +15,30 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file has the leader's maintenance of all applications. Every change is a compare-and-swap
-// on records, so that a former leader which still runs its loop for a moment does no harm.
-
-// observation is what a leader has seen of an application, with times by its monotonic clock,
-// since the wall clock may be set.
+// observation is what a leader has seen of an application. Its times are from the monotonic clock,
+// since the wall clock can be changed.
 type observation struct {
 	version   uint64
-	since     time.Time            // when the version was first seen
-	idleSince map[string]time.Time // by task name: since when a placed container waits to be started
+	since     time.Time            // when this leader first saw the version
+	idleSince map[string]time.Time // by task name: when this leader first saw the placed, unstarted container
 }
 
-// maintenance is the state of the maintenance loop in one leadership. The next leader starts with
-// an empty one, so that the timeouts of all masters and containers start again.
+// maintenance is the state of the maintenance loop during one term of a leader. The next leader
+// starts with an empty state, so the timeouts of all masters and containers start again.
 type maintenance struct {
 	frontend  *Frontend
-	observed  map[string]*observation // by the application's key
-	keyRolled time.Time
+	observed  map[string]*observation // by store key of the application
+	keyRolled time.Time               // time of the last key rotation, or the start of the term
 }
 
 const (
 	maxMaintenanceInterval = 5 * time.Second
 	minMaintenanceInterval = 200 * time.Millisecond
-	// maintenancePerTimeout is how often applications are checked within a timeout.
+	// maintenancePerTimeout is the number of maintenance rounds within a timeout.
 	maintenancePerTimeout = 6
 )
 
-// Run maintains all applications while this controller is the leader, until ctx ends.
+// Run runs until ctx ends. While this controller is the leader, it maintains all applications.
 func (f *Frontend) Run(ctx context.Context) {
 	interval := min(maxMaintenanceInterval,
 		seconds(f.settings.MasterTimeoutS/maintenancePerTimeout), seconds(f.settings.StartTimeoutS/maintenancePerTimeout))
@@ -52,7 +53,7 @@
 		}
 		m.rollKeyIfDue(ctx)
 		if err := m.maintainAll(ctx); err != nil {
-			f.log.Debug("yarn: applications not read", "err", err)
+			f.log.Debug("yarn: listing applications failed, retrying", "err", err)
 		}
 	}
 }
@@ -62,7 +63,7 @@
 		return
 	}
 	if err := m.frontend.rollKey(ctx); err != nil {
-		m.frontend.log.Info("yarn: key not rolled, retrying", "err", err)
+		m.frontend.log.Info("yarn: rotating the signing key failed, retrying", "err", err)
 		return
 	}
 	m.keyRolled = time.Now()
@@ -97,8 +98,8 @@
 	return nil
 }
 
-// observe returns the observation of an application. With each new version of its record the
-// master's timeout starts again; those of containers that wait to be started go on.
+// observe returns the observation of an application. A new version of the record restarts the
+// timeout of the master. It does not restart the timeouts of containers that wait to be started.
 func (m *maintenance) observe(e jobstore.AppRecord) *observation {
 	o := m.observed[e.Key]
 	if o != nil && o.version == e.Version {
@@ -113,7 +114,9 @@
 	return o
 }
 
-// maintain does what is due for one application.
+// maintain does what is due for one application: it finalizes an ending application, ends an
+// application whose master is lost, keeps a managed master running, and releases unstarted
+// containers.
 func (f *Frontend) maintain(ctx context.Context, a *application, o *observation) error {
 	if a.EndState != "" {
 		return f.finalize(ctx, a.protoID())
@@ -133,15 +136,15 @@
 	return f.releaseIdle(ctx, a, jobs, o)
 }
 
-// endFailed ends an application as failed.
+// endFailed ends an application in the failed state.
 func (f *Frontend) endFailed(ctx context.Context, a *application, diagnostics string) error {
 	return f.endApplication(ctx, a.protoID(), stateFailed, func(a *application) {
 		a.Diagnostics, a.FinalStatus = diagnostics, int32(pb.FinalApplicationStatusProto_APP_FAILED)
 	})
 }
 
-// releaseIdle releases containers that their master did not start in time, since they hold
-// resources.
+// releaseIdle releases containers that their master did not start in time. They hold resources that
+// other work could use.
 func (f *Frontend) releaseIdle(ctx context.Context, a *application, jobs []jobstore.ReservedJob, o *observation) error {
 	now := time.Now()
 	idleSince := map[string]time.Time{}
@@ -160,8 +163,8 @@
 	return nil
 }
 
-// lateTasks returns the placed tasks of a job that were not started in time and are not released yet. It
-// adds all placed tasks that wait to be started to idleSince.
+// lateTasks returns the placed tasks of a job that were not started in time and are not released.
+// It adds all placed tasks that wait to be started to idleSince.
 func (f *Frontend) lateTasks(j *jobstore.ReservedJob, o *observation, idleSince map[string]time.Time, now time.Time) []int {
 	launched := j.Record.Reservation.LaunchRanges.BitSet(j.Record.Job.Tasks)
 	released := j.Record.Reservation.ReleaseRanges.BitSet(j.Record.Job.Tasks)
--- a/yarn/managed_master.go
+++ b/yarn/managed_master.go
@@ -1,3 +1,5 @@
+// Managed masters: application masters that run as tasks in the cluster.
+
 package yarn
 
 import (
@@ -8,13 +10,14 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// masterResourceName is the resource name in the tag of a managed master's job, so that the tag
-// differs from those of containers.
+// masterResourceName is the resource name in the tag of a managed master's job. It makes the tag
+// differ from the tags of containers.
 const masterResourceName = "master"
 
-// keepMasterRunning launches a managed application's master, and begins the next attempt when
-// the master has ended without having finished the application. After the last attempt the
-// application fails, unless the master was preempted or its machine was lost.
+// keepMasterRunning launches the master of a managed application if there is none. If the master
+// ended before it finished the application, keepMasterRunning begins the next attempt. After
+// MaxAttempts attempts it ends the application as failed instead, unless the master was preempted
+// or its machine was lost.
 func (f *Frontend) keepMasterRunning(ctx context.Context, a *application, jobs []jobstore.ReservedJob) error {
 	if a.MasterJob == "" {
 		return f.launchMaster(ctx, a.protoID())
@@ -36,8 +39,8 @@
 	return f.beginNextAttempt(ctx, a, diagnostics)
 }
 
-// beginNextAttempt begins an application's next attempt. The tokens of the previous one are refused from
-// then on.
+// beginNextAttempt commits the next attempt of an application and launches its master. Tokens of
+// the previous attempt are refused from then on.
 func (f *Frontend) beginNextAttempt(ctx context.Context, previous *application, diagnostics string) error {
 	s, err := f.readApplication(ctx, previous.protoID())
 	if err != nil || s.ended() || s.app.Attempt != previous.Attempt {
@@ -51,9 +54,10 @@
 	return f.launchMaster(ctx, s.app.protoID())
 }
 
-// launchMaster reserves the job of a managed application's master, which is launched as soon
-// as it is placed. Before that it cancels the jobs of the previous attempt: as long as there is no
-// master, all jobs are of that, also if the controller that began this attempt has ended since.
+// launchMaster reserves the job of a managed application's master. The job is launched as soon as it
+// is placed. Before the reservation, launchMaster cancels all unfinished jobs of the application.
+// While MasterJob is empty, they belong to the previous attempt, also if the controller that began
+// the current attempt has crashed.
 func (f *Frontend) launchMaster(ctx context.Context, id *pb.ApplicationIdProto) error {
 	return retry(ctx, func() error {
 		s, err := f.readApplication(ctx, id)
--- a/yarn/master_protocol.go
+++ b/yarn/master_protocol.go
@@ -1,3 +1,5 @@
+// ApplicationMasterProtocol: registration, heartbeats and the end of a master.
+
 package yarn
 
 import (
@@ -13,11 +15,9 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements ApplicationMasterProtocol.
-
-// registerApplicationMaster begins a master's session, which replaces an earlier one. The
-// response lists the containers that are placed. All completed ones are reported with the
-// following heartbeats, again if they were reported before.
+// registerApplicationMaster begins a session of a master and replaces an earlier session. The
+// response lists all placed containers. The next heartbeats report all completed containers, also
+// those that an earlier session has reported.
 func (f *Frontend) registerApplicationMaster(ctx context.Context, c *wire.Caller, in *pb.RegisterApplicationMasterRequestProto) (*pb.RegisterApplicationMasterResponseProto, error) {
 	var snap *snapshot
 	err := retry(ctx, func() (err error) {
@@ -50,8 +50,8 @@
 	return out, nil
 }
 
-// listRunning adds to the response to a registration the containers that are placed, and the
-// tokens for their nodes.
+// listRunning adds the placed containers and the tokens for their nodes to the response to a
+// registration. It marks the containers as reported.
 func (f *Frontend) listRunning(ctx context.Context, snap *snapshot, reported *reportedContainers, out *pb.RegisterApplicationMasterResponseProto) error {
 	k, err := f.cachedKeyring(ctx)
 	if err != nil {
@@ -77,8 +77,7 @@
 	return err
 }
 
-// nodeTokens returns the tokens with which a master calls ContainerManagementProtocol, one for
-// each node.
+// nodeTokens returns one token for each node. A master calls ContainerManagementProtocol with it.
 func (f *Frontend) nodeTokens(a *application, k *keyring, nodes map[string]bool) ([]*pb.NMTokenProto, error) {
 	var out []*pb.NMTokenProto
 	for _, node := range slices.Sorted(maps.Keys(nodes)) {
@@ -91,7 +90,7 @@
 	return out, nil
 }
 
-// container describes a placed task as a container, with the token that starts it.
+// container returns a placed task as a container, with the token that the master needs to start it.
 func (f *Frontend) container(a *application, k *keyring, j *jobstore.ReservedJob, task int) (*pb.ContainerProto, error) {
 	id := a.containerID(jobSeq(j.ID), task)
 	t := a.token(containerToken)
@@ -112,8 +111,9 @@
 	}, nil
 }
 
-// allocate is a master's heartbeat: it applies releases, blacklist changes and container
-// requests, and returns the containers that were allocated or have completed.
+// allocate handles a heartbeat of a master. It applies releases, blacklist changes and container
+// requests, and returns the newly allocated and completed containers. A heartbeat that repeats the
+// previous response id gets the previous response again.
 func (f *Frontend) allocate(ctx context.Context, c *wire.Caller, in *pb.AllocateRequestProto) (*pb.AllocateResponseProto, error) {
 	snap, err := f.callerApplication(ctx, c, masterToken)
 	if wire.IsClass(err, wire.ClassNoAttempt) {
@@ -130,7 +130,7 @@
 	defer s.mu.Unlock()
 	switch id := in.GetResponseId(); {
 	case id == s.responseID-1 && s.lastResponse != nil:
-		return s.lastResponse, nil // the master did not receive it
+		return s.lastResponse, nil // the master did not receive the last response
 	case id != s.responseID:
 		return &pb.AllocateResponseProto{AMCommand: pb.AMCommandProto_AM_RESYNC.Enum(), ResponseId: proto.Int32(s.responseID)}, nil
 	}
@@ -154,7 +154,7 @@
 	return out, nil
 }
 
-// applyHeartbeat commits what a heartbeat asks for. It returns false if there is nothing.
+// applyHeartbeat commits the changes that a heartbeat requests. It reports whether there were any.
 func (f *Frontend) applyHeartbeat(ctx context.Context, c *wire.Caller, s *session, snap *snapshot, in *pb.AllocateRequestProto) (changed bool, err error) {
 	if len(in.GetRelease()) > 0 {
 		if err := f.releaseContainers(ctx, snap, in.GetRelease()); err != nil {
@@ -178,24 +178,25 @@
 	return changed, nil
 }
 
-// recordedPerTimeout is how often heartbeats are recorded within a master's timeout.
+// recordedPerTimeout is the number of recorded heartbeats within the timeout of a master.
 const recordedPerTimeout = 3
 
-// recordHeartbeat changes the application's record to show that its master is alive: the leader
-// measures the master's timeout from when it first saw the record's present version.
+// recordHeartbeat writes the record of the application to show that the master is alive. The leader
+// measures the timeout of the master from when it first saw the current version of the record.
+// Not every heartbeat is recorded (recordedPerTimeout).
 func (f *Frontend) recordHeartbeat(ctx context.Context, snap *snapshot, s *session) {
 	if time.Since(s.recordedAt) < seconds(f.settings.MasterTimeoutS/recordedPerTimeout) {
 		return
 	}
 	snap.app.Heartbeats++
 	if err := f.writeApplication(ctx, snap); err != nil {
-		f.log.Debug("yarn: heartbeat not recorded", "app", snap.app.name(), "err", err) // the next one tries again
+		f.log.Debug("yarn: heartbeat not recorded", "app", snap.app.name(), "err", err) // the next heartbeat tries again
 		return
 	}
 	s.recordedAt = time.Now()
 }
 
-// releaseContainers marks containers as released. Ones of another application are refused.
+// releaseContainers marks containers as released. It fails if one belongs to another application.
 func (f *Frontend) releaseContainers(ctx context.Context, snap *snapshot, ids []*pb.ContainerIdProto) error {
 	tasksByJob := map[string][]int{}
 	for _, id := range ids {
@@ -214,7 +215,7 @@
 	return nil
 }
 
-// releaseTasks marks tasks of a job as released. If the job is finished, there is nothing to do.
+// releaseTasks marks tasks of a job as released. It does nothing if the job has finished.
 func (f *Frontend) releaseTasks(ctx context.Context, snap *snapshot, job string, tasks []int) error {
 	jobs, stale := snap.jobs, false
 	return retry(ctx, func() error {
@@ -235,7 +236,7 @@
 	})
 }
 
-// addTasks adds tasks to a set; numbers that are no task of the job are left out.
+// addTasks adds tasks to a set. It ignores numbers outside of 0 to jobTasks-1.
 func addTasks(ranges jobstore.TaskRanges, tasks []int, jobTasks int) jobstore.TaskRanges {
 	set := ranges.BitSet(jobTasks)
 	for _, task := range tasks {
@@ -246,7 +247,7 @@
 	return jobstore.RangesOf(set)
 }
 
-// applyBlacklist writes the blacklist to the jobs that have tasks which wait to be placed.
+// applyBlacklist writes the blacklist to the jobs with tasks that wait to be placed.
 func (f *Frontend) applyBlacklist(ctx context.Context, a *application, nodes []string) error {
 	return retry(ctx, func() error {
 		_, jobs, err := f.jobs.OwnedJobs(ctx, a.key())
@@ -266,8 +267,8 @@
 	})
 }
 
-// finishApplicationMaster ends the application with the status that its master gives. A repeated
-// call on the same connection gets the same answer; a new connection's token is refused.
+// finishApplicationMaster ends the application with the final status from its master. A repeated
+// call on the same connection gets the same answer. The token is refused on new connections.
 func (f *Frontend) finishApplicationMaster(ctx context.Context, c *wire.Caller, in *pb.FinishApplicationMasterRequestProto) (*pb.FinishApplicationMasterResponseProto, error) {
 	t, err := callerToken(c, masterToken)
 	if err != nil {
--- a/yarn/reports.go
+++ b/yarn/reports.go
@@ -1,3 +1,5 @@
+// The calls of ApplicationClientProtocol that inspect applications.
+
 package yarn
 
 import (
@@ -12,10 +14,8 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements the calls of ApplicationClientProtocol that inspect applications.
-
-// getApplicationReport returns an application's report. As in YARN, the master of an unmanaged
-// application gets its token from there.
+// getApplicationReport returns the report of an application. As in YARN, the report of an unmanaged
+// application contains the token for its master.
 func (f *Frontend) getApplicationReport(ctx context.Context, _ *wire.Caller, in *pb.GetApplicationReportRequestProto) (*pb.GetApplicationReportResponseProto, error) {
 	s, err := f.readApplication(ctx, in.GetApplicationId())
 	if err != nil {
@@ -58,7 +58,7 @@
 	}
 }
 
-// usageReport adds up the resources of the placed tasks of jobs.
+// usageReport returns the sum of the resources of all placed tasks of jobs.
 func (f *Frontend) usageReport(jobs []jobstore.ReservedJob) *pb.ApplicationResourceUsageReportProto {
 	var memoryGB, cpus, gpus float64
 	containers := 0
@@ -76,7 +76,7 @@
 	}
 }
 
-// applicationFilter narrows a list of applications. Empty fields match all.
+// applicationFilter selects applications for a list. An empty field matches all applications.
 type applicationFilter struct {
 	types, users, queues, tags []string
 	states                     []pb.YarnApplicationStateProto
@@ -84,10 +84,10 @@
 	limit                      int // 0 means maxListed
 }
 
-// maxListed bounds the applications in one answer.
+// maxListed is the largest number of applications in one answer.
 const maxListed = 1000
 
-// unfinishedStates are the states of applications that have not ended.
+// unfinishedStates are the states of unfinished applications.
 var unfinishedStates = []pb.YarnApplicationStateProto{pb.YarnApplicationStateProto_ACCEPTED, pb.YarnApplicationStateProto_RUNNING}
 
 func (filter *applicationFilter) matches(a *application) bool {
@@ -101,15 +101,15 @@
 	return len(allowed) == 0 || slices.Contains(allowed, value)
 }
 
-// matchesFinal reports whether an application that has ended can match.
+// matchesFinal reports whether ended applications can match.
 func (filter *applicationFilter) matchesFinal() bool {
 	return len(filter.states) == 0 || slices.ContainsFunc(filter.states, func(state pb.YarnApplicationStateProto) bool {
 		return state >= pb.YarnApplicationStateProto_FINISHED
 	})
 }
 
-// listApplications returns the reports of the applications that match, the unfinished ones
-// first.
+// listApplications returns the reports of the matching applications, the unfinished ones first. It
+// skips unreadable records.
 func (f *Frontend) listApplications(ctx context.Context, filter applicationFilter) ([]*pb.ApplicationReportProto, error) {
 	if filter.limit <= 0 || filter.limit > maxListed {
 		filter.limit = maxListed
--- a/yarn/request.go
+++ b/yarn/request.go
@@ -1,3 +1,5 @@
+// Container requests and their conversion between YARN's and native resources.
+
 package yarn
 
 import (
@@ -13,8 +15,9 @@
 // anyNode is the resource name of containers that may run on any node.
 const anyNode = "*"
 
-// containerRequest is what one kind of container needs, and where it may run. A master's is
-// stored in the application's record, the others in their jobs' tags.
+// containerRequest describes one kind of container: its resources and where it may run. The request
+// for a master is stored in the record of the application. Other requests are stored in the tags of
+// their jobs.
 type containerRequest struct {
 	Priority            int32    `msgpack:"p"`
 	AllocationRequestID int64    `msgpack:"r"`
@@ -31,20 +34,20 @@
 // tagSeparator separates the fields of a tag.
 const tagSeparator = "|"
 
-// tag encodes a request for its job's record (jobstore.Reservation.Tag). Requests for the same
-// kind of container have the same tag.
+// tag returns the encoding of a request for the record of its job (jobstore.Reservation.Tag),
+// without OnlyMachines. Requests for the same kind of container have the same tag.
 func (r *containerRequest) tag() string {
 	return fmt.Sprintf("%d|%d|%s|%v|%s|%d|%d|%d|%s", r.Priority, r.AllocationRequestID, r.ResourceName, r.RelaxLocality, r.NodeLabel,
 		r.MemoryMB, r.VCores, r.GPUs, r.GPUName)
 }
 
-// parseTag is the inverse of tag, without OnlyMachines; an invalid tag gives a zero request.
+// parseTag parses the result of tag. A tag with a wrong number of fields yields a zero request.
 func parseTag(tag string) (r containerRequest) {
 	fields := strings.Split(tag, tagSeparator)
 	if len(fields) != 9 {
 		return r
 	}
-	_, _ = fmt.Sscan(fields[0], &r.Priority) // valid, since tag wrote it
+	_, _ = fmt.Sscan(fields[0], &r.Priority) // valid, since tag encoded it
 	_, _ = fmt.Sscan(fields[1], &r.AllocationRequestID)
 	r.ResourceName, r.RelaxLocality, r.NodeLabel = fields[2], fields[3] == "true", fields[4]
 	_, _ = fmt.Sscan(fields[5], &r.MemoryMB)
@@ -59,7 +62,7 @@
 	memoryMB int64
 	vcores   int32
 	gpus     int64
-	gpuName  string // name of the resource by which the GPUs were requested; empty: the first in the settings
+	gpuName  string // resource name in the GPU request; empty: the first of Settings.Resources
 }
 
 func (r *containerRequest) capability() capability {
@@ -76,10 +79,12 @@
 	resourceVCores = "vcores"
 )
 
-// maxVCores bounds the number of cores that is read from a request, to fit an int32.
+// maxVCores is the largest number of cores in a request. Larger numbers are lowered to it, so that
+// they fit an int32.
 const maxVCores = 1 << 30
 
-// parseCapability reads the size of a container.
+// parseCapability returns the requested size of a container. It fails if the size is negative or
+// zero, or has an unknown resource.
 func (f *Frontend) parseCapability(r *pb.ResourceProto) (capability, error) {
 	c := capability{memoryMB: r.GetMemory(), vcores: r.GetVirtualCores()}
 	for _, v := range r.GetResourceValueMap() {
@@ -100,8 +105,8 @@
 	return c, nil
 }
 
-// addGPUs adds the GPUs of a requested resource; it returns false if the settings have no
-// resource of this name.
+// addGPUs adds the GPUs of a requested resource to a size. It returns false if the settings have no
+// resource with this name.
 func (f *Frontend) addGPUs(c *capability, v *pb.ResourceInformationProto) bool {
 	known := false
 	for _, resource := range f.settings.Resources {
@@ -113,7 +118,7 @@
 	return known
 }
 
-// resourceProto returns a size in the form of YARN's API.
+// resourceProto converts a size to the message of YARN's API.
 func (f *Frontend) resourceProto(c capability) *pb.ResourceProto {
 	out := &pb.ResourceProto{
 		Memory:       proto.Int64(c.memoryMB),
@@ -133,13 +138,13 @@
 	return out
 }
 
-// capabilityOf converts a size from native units.
+// capabilityOf converts a size from native units. Fractions of MB, cores and GPUs are cut off.
 func capabilityOf(cpus, gpus, memoryGB float64) capability {
 	return capability{memoryMB: int64(memoryGB * 1024), vcores: int32(cpus), gpus: int64(gpus)}
 }
 
-// maximumCapability returns the most of each resource that any machine type has. A container
-// with all of it need not fit any single type.
+// maximumCapability returns the maximum of each resource over all machine types. No single machine
+// type may have all these maximums.
 func (f *Frontend) maximumCapability() *pb.ResourceProto {
 	var memoryGB, cpus, gpus float64
 	for _, t := range f.controller.MachineTypes() {
--- a/yarn/rest.go
+++ b/yarn/rest.go
@@ -1,3 +1,5 @@
+// The REST interface: routes, access checks and JSON encoding.
+
 package yarn
 
 import (
@@ -14,8 +16,8 @@
 
 // Paths of the REST interface.
 const (
-	PathREST    = "/ws/v1/cluster"            // that of YARN's ResourceManager
-	PathContext = "/ws/v1/umberdeal/context/" // followed by a task's name; for workers
+	PathREST    = "/ws/v1/cluster"            // root path, the same as in YARN's ResourceManager
+	PathContext = "/ws/v1/umberdeal/context/" // followed by a task name; workers read launch contexts here
 )
 
 const (
@@ -23,13 +25,13 @@
 	restTimeout      = 10 * time.Second
 )
 
-// jsonObject is an object in an answer, whose fields are named as in YARN's REST API.
+// jsonObject is a JSON object in an answer. Its field names are those of YARN's REST API.
 type jsonObject = map[string]any
 
-// restHandler serves a request, whose answer is encoded as JSON.
+// restHandler serves a request and returns the answer to be encoded as JSON.
 type restHandler func(r *http.Request) (any, error)
 
-// REST returns the handler of the ResourceManager's REST interface, in JSON.
+// REST returns the HTTP handler of the ResourceManager's REST interface. It supports JSON only.
 func (f *Frontend) REST() http.Handler {
 	mux := http.NewServeMux()
 	handle := func(method, path string, handler restHandler) {
@@ -51,8 +53,8 @@
 	return mux
 }
 
-// serveJSON returns an HTTP handler that checks the client's address, limits a request's body
-// and time, and encodes the answer.
+// serveJSON returns an HTTP handler that checks the address of the client, limits the size and time
+// of the request, and encodes the answer of handler.
 func (f *Frontend) serveJSON(handler restHandler) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if !f.allowed(r) {
@@ -82,7 +84,7 @@
 	return err == nil && f.settings.prefixes.Contains(a.Addr().Unmap())
 }
 
-// writeRESTError answers with an exception in the form of YARN's REST API.
+// writeRESTError writes an error as a RemoteException of YARN's REST API.
 func writeRESTError(w http.ResponseWriter, err error) {
 	e := wire.AsError(err)
 	status := http.StatusBadRequest
@@ -103,10 +105,10 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // fails only for a client that is gone
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
 
-// pathApplication returns the application that a request's path names.
+// pathApplication returns the application id in the path of a request.
 func pathApplication(r *http.Request) (*pb.ApplicationIdProto, error) {
 	id, ok := parseApplicationName(r.PathValue("id"))
 	if !ok {
--- a/yarn/rest_applications.go
+++ b/yarn/rest_applications.go
@@ -1,3 +1,5 @@
+// The requests of the REST interface for applications.
+
 package yarn
 
 import (
@@ -16,9 +18,7 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements the requests of the REST interface for applications.
-
-// applicationObject returns a report in the REST interface's form.
+// applicationObject returns the JSON object for a report.
 func applicationObject(a *pb.ApplicationReportProto) jsonObject {
 	usage := a.GetAppResource_Usage()
 	return jsonObject{
@@ -58,8 +58,8 @@
 	return jsonObject{"apps": jsonObject{"app": out}}, nil
 }
 
-// queryFilter reads the filter from a request's query. Parameters with several values may be
-// repeated, or have their values separated by commas.
+// queryFilter returns the filter in the query of a request. A parameter with several values can be
+// repeated or have comma-separated values.
 func queryFilter(r *http.Request) (applicationFilter, error) {
 	query := r.URL.Query()
 	list := func(name string) []string {
@@ -87,7 +87,7 @@
 	return filter, nil
 }
 
-// restReport returns the report of the application that a request's path names.
+// restReport returns the report of the application in the path of a request.
 func (f *Frontend) restReport(r *http.Request) (*pb.ApplicationReportProto, error) {
 	id, err := pathApplication(r)
 	if err != nil {
@@ -135,7 +135,7 @@
 	return jsonObject{"containers": jsonObject{"container": out}}, nil
 }
 
-// containerObject returns a job's task as a container in the REST interface's form.
+// containerObject returns the JSON object for a task as a container.
 func containerObject(a *application, j *jobstore.ReservedJob, task int) jsonObject {
 	object := jsonObject{
 		"id":         ContainerName(a.containerID(jobSeq(j.ID), task)),
@@ -195,7 +195,7 @@
 	}, nil
 }
 
-// submission is an application's submission in JSON.
+// submission is the JSON body of a request to submit an application.
 type submission struct {
 	ID          string   `json:"application-id"`
 	Name        string   `json:"application-name"`
@@ -223,7 +223,7 @@
 	} `json:"am-container-spec"`
 }
 
-// submissionContext converts the submission to that of ApplicationClientProtocol.
+// submissionContext converts the submission to the message of ApplicationClientProtocol.
 func (s *submission) submissionContext(id *pb.ApplicationIdProto) *pb.ApplicationSubmissionContextProto {
 	out := &pb.ApplicationSubmissionContextProto{
 		ApplicationId:   id,
@@ -250,7 +250,7 @@
 	return out
 }
 
-// anonymousUser is the user of requests that name none, the same as Hadoop's default.
+// anonymousUser is the user of requests without a user name. Hadoop's default is the same.
 const anonymousUser = "dr.who"
 
 func (f *Frontend) restSubmit(w http.ResponseWriter, r *http.Request) {
--- a/yarn/rest_cluster.go
+++ b/yarn/rest_cluster.go
@@ -1,3 +1,5 @@
+// The requests of the REST interface for the cluster, its nodes and its queues.
+
 package yarn
 
 import (
@@ -8,8 +10,6 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements the requests of the REST interface for the cluster.
-
 func (f *Frontend) restInfo(r *http.Request) (any, error) {
 	k, _, err := f.readKeyring(r.Context())
 	if err != nil {
@@ -86,7 +86,7 @@
 	metrics["containersAllocated"] = countContainers(apps)
 }
 
-// countContainers adds up the containers of applications.
+// countContainers returns the number of placed containers of applications.
 func countContainers(apps []*pb.ApplicationReportProto) int {
 	n := 0
 	for _, a := range apps {
--- a/yarn/session.go
+++ b/yarn/session.go
@@ -1,3 +1,5 @@
+// Sessions of masters, and the authentication of callers by tokens.
+
 package yarn
 
 import (
@@ -14,25 +16,25 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// session is a master's session at the controller to which it is connected. It is in memory only:
-// a master that connects to another controller, or to this one after a restart, has to register
-// again, and all its containers are then reported to it again.
+// session is the session of a master at the controller to which the master is connected. It is in
+// memory only. A master that connects to another controller, or to a restarted one, has to
+// register again. The new session reports all containers again.
 type session struct {
 	mu           sync.Mutex
-	attempt      int32
-	responseID   int32
-	lastResponse *pb.AllocateResponseProto
+	attempt      int32                     // of the application
+	responseID   int32                     // of lastResponse; 0 before the first heartbeat
+	lastResponse *pb.AllocateResponseProto // nil before the first heartbeat
 	reported     reportedContainers
-	blacklist    map[string]bool // nodes
-	recordedAt   time.Time       // when a heartbeat was last written to the record
+	blacklist    map[string]bool // by node name
+	recordedAt   time.Time       // when a heartbeat was last written to the application's record
 }
 
-// reportedContainers are the containers that were reported to a master, by their numbers, and
-// the jobs that may have more to report.
+// reportedContainers are the containers that were reported to a master, and the jobs that may have
+// more to report.
 type reportedContainers struct {
-	allocated map[int64]bool
-	completed map[int64]bool
-	openJobs  map[string]bool // by id: jobs of which containers may still have to be reported
+	allocated map[int64]bool  // by container number
+	completed map[int64]bool  // by container number
+	openJobs  map[string]bool // by id: jobs whose containers may not all be reported as completed
 }
 
 func newReportedContainers() reportedContainers {
@@ -43,7 +45,7 @@
 	return reportedContainers{allocated: maps.Clone(r.allocated), completed: maps.Clone(r.completed), openJobs: maps.Clone(r.openJobs)}
 }
 
-// blacklisted returns the nodes of the blacklist, sorted.
+// blacklisted returns the sorted node names of the blacklist.
 func (s *session) blacklisted() []string { return slices.Sorted(maps.Keys(s.blacklist)) }
 
 func (s *session) updateBlacklist(b *pb.ResourceBlacklistRequestProto) {
@@ -55,9 +57,9 @@
 	}
 }
 
-// unreported returns how many containers of a job are placed and not reported yet. The number that
-// a master requests includes them: if they were not counted, a request that is repeated because
-// its response was lost would be served twice.
+// unreported returns the number of containers of a job that are placed and not reported yet. The
+// number that a master requests includes them. If they were not counted, a request that is
+// repeated because its response was lost would be served twice.
 func (r *reportedContainers) unreported(j *jobstore.ReservedJob) int {
 	n := 0
 	for task := range j.Placements {
@@ -68,7 +70,7 @@
 	return n
 }
 
-// session returns the session of an application's current attempt, or nil.
+// session returns the session of the current attempt of an application, or nil if there is none.
 func (f *Frontend) session(a *application) *session {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,8 +81,9 @@
 	return nil
 }
 
-// tokenPassword returns the password of a master's or node token whose application's attempt is
-// the current one. Container tokens can't open a connection.
+// tokenPassword returns the password of a master token or node token. The token must be of the
+// current attempt of its application. Container tokens can't open a connection. If the token is
+// not valid, the error is a *wire.Error.
 func (f *Frontend) tokenPassword(ctx context.Context, identifier []byte) ([]byte, error) {
 	t, err := parseToken(identifier)
 	if err != nil {
@@ -103,8 +106,8 @@
 	return password, nil
 }
 
-// tokenApplication reads the application of a token. It must not have ended, and the token must
-// be of the current attempt.
+// tokenApplication returns the application of a token. If the application has ended or the token is
+// of an earlier attempt, the error has ClassNoAttempt.
 func (f *Frontend) tokenApplication(ctx context.Context, t token) (*snapshot, error) {
 	s, err := f.readApplication(ctx, t.applicationID())
 	if err != nil {
@@ -119,8 +122,8 @@
 	return s, nil
 }
 
-// callerToken returns the token with which a caller has authenticated itself. It must be of the
-// kind that the protocol requires.
+// callerToken returns the token with which a caller has authenticated itself. It fails if the token
+// is not of the given kind.
 func callerToken(c *wire.Caller, kind tokenKind) (token, error) {
 	t, err := parseToken(c.Identifier)
 	if err != nil || t.kind != kind {
@@ -129,7 +132,8 @@
 	return t, nil
 }
 
-// callerApplication reads the application of a caller.
+// callerApplication returns the application of a caller that has authenticated itself with a token
+// of the given kind.
 func (f *Frontend) callerApplication(ctx context.Context, c *wire.Caller, kind tokenKind) (*snapshot, error) {
 	t, err := callerToken(c, kind)
 	if err != nil {
@@ -138,7 +142,7 @@
 	return f.tokenApplication(ctx, t)
 }
 
-// applicationID is the id of the application that the token belongs to.
+// applicationID returns the id of the application to which the token belongs.
 func (t token) applicationID() *pb.ApplicationIdProto {
 	return &pb.ApplicationIdProto{Id: proto.Int32(t.application), ClusterTimestamp: proto.Int64(t.clusterTimestamp)}
 }
--- a/yarn/settings.go
+++ b/yarn/settings.go
@@ -1,3 +1,5 @@
+// The settings of the YARN front end.
+
 package yarn
 
 import (
@@ -17,38 +19,39 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Settings is the operators' file for YARN's protocols.
+// Settings are the settings of the YARN front end, read from a TOML file. Fields ending in S are in
+// seconds.
 type Settings struct {
-	Listen           string     `toml:"listen"`     // Hadoop RPC, all protocols
-	Advertise        string     `toml:"advertise"`  // where clients reach Listen, if that differs
-	REST             string     `toml:"rest"`       // the ResourceManager's REST interface; empty: none
-	Networks         []string   `toml:"networks"`   // address prefixes from which clients may connect; none: all
-	MasterTimeoutS   float64    `toml:"master_s"`   // without a master's heartbeat, until its application fails
-	StartTimeoutS    float64    `toml:"start_s"`    // from a container's allocation until it must be started
-	KeyRollIntervalS float64    `toml:"key_roll_s"` // between additions of a signing key
-	MaxApps          int        `toml:"max_apps"`   // most unfinished applications
+	Listen           string     `toml:"listen"`     // address of the RPC server
+	Advertise        string     `toml:"advertise"`  // address at which clients reach Listen; empty: Listen
+	REST             string     `toml:"rest"`       // address of the REST interface; empty: none
+	Networks         []string   `toml:"networks"`   // address prefixes from which clients may connect; empty: all
+	MasterTimeoutS   float64    `toml:"master_s"`   // time without a heartbeat of the master until its application fails
+	StartTimeoutS    float64    `toml:"start_s"`    // time from the allocation of a container until it must be started
+	KeyRollIntervalS float64    `toml:"key_roll_s"` // interval between rotations of the signing key
+	MaxApps          int        `toml:"max_apps"`   // maximum number of unfinished applications
 	MaxConns         int        `toml:"max_connections"`
-	MaxCalls         int        `toml:"max_calls"` // most calls at the same time
-	Image            string     `toml:"image"`     // that a machine needs to run containers
+	MaxCalls         int        `toml:"max_calls"` // maximum number of concurrent calls
+	Image            string     `toml:"image"`     // image that a machine needs to run containers
 	ImageGB          float64    `toml:"image_gb"`
-	EstimateS        float64    `toml:"estimate_s"` // how long a container is expected to run
-	PreemptGraceS    float64    `toml:"grace_s"`    // between a preemption message and the container's end
+	EstimateS        float64    `toml:"estimate_s"` // expected run time of a container
+	PreemptGraceS    float64    `toml:"grace_s"`    // time from a preemption message to the end of the container
 	Queues           []Queue    `toml:"queues"`
 	Priorities       []Priority `toml:"priorities"`
 	Labels           []Label    `toml:"labels"`
 	Resources        []Resource `toml:"resources"`
 
-	prefixes *bart.Lite // Networks
+	prefixes *bart.Lite // parsed Networks
 }
 
-// Queue maps a queue to a team.
+// Queue maps a YARN queue to a team.
 type Queue struct {
-	Path  string `toml:"path"`
+	Path  string `toml:"path"` // queue names separated by dots, such as root.core
 	Team  string `toml:"team"`
-	Class string `toml:"class"` // of the jobs; empty: defaultJobClass
+	Class string `toml:"class"` // class of the queue's jobs; empty: defaultJobClass
 }
 
-// Priority maps YARN's priorities from AtLeast upward to a native one.
+// Priority maps YARN priorities of AtLeast and above to a native priority.
 type Priority struct {
 	AtLeast int    `toml:"at_least"`
 	Native  string `toml:"native"`
@@ -62,13 +65,13 @@
 	Spot  bool     `toml:"spot"`
 }
 
-// Resource names a resource of YARN's API whose units are GPUs.
+// Resource maps a resource name of YARN's API to GPUs.
 type Resource struct {
 	Name string `toml:"name"`
-	GPUs int    `toml:"gpus"` // in each unit
+	GPUs int    `toml:"gpus"` // GPUs in each unit of the resource
 }
 
-// DefaultSettings returns the values of fields that a file leaves out.
+// DefaultSettings returns the settings with the default values of optional fields.
 func DefaultSettings() Settings {
 	return Settings{
 		MasterTimeoutS:   600,
@@ -85,7 +88,8 @@
 	}
 }
 
-// LoadSettings reads the file and checks it against the platform's settings.
+// LoadSettings reads a settings file and checks it against the platform's settings, as ParseSettings
+// does.
 func LoadSettings(path string, c *config.Settings) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -94,7 +98,8 @@
 	return ParseSettings(string(text), c)
 }
 
-// ParseSettings parses and checks a file's text. The error names every invalid field.
+// ParseSettings parses and checks the text of a settings file. The teams and zones in it must exist
+// in the platform's settings. The error names every invalid field.
 func ParseSettings(text string, c *config.Settings) (*Settings, error) {
 	s := DefaultSettings()
 	priorities, resources := s.Priorities, s.Resources
@@ -124,14 +129,14 @@
 	return &s, nil
 }
 
-// leafName returns the last part of a queue's path.
+// leafName returns the last name in the path of a queue.
 func leafName(path string) string { return path[strings.LastIndexByte(path, '.')+1:] }
 
-// defaultQueue is the queue of submissions that name none.
+// defaultQueue is the queue name in submissions that choose no queue.
 const defaultQueue = "default"
 
-// queue finds a queue by its path or the last part of it. An empty name, or defaultQueue if no
-// queue is called so, means the first queue.
+// queue returns the queue with the given path or leaf name. For an empty name it returns the first
+// queue. It does the same for defaultQueue if no queue has this name.
 func (s *Settings) queue(name string) (*Queue, bool) {
 	for i := range s.Queues {
 		if q := &s.Queues[i]; q.Path == name || leafName(q.Path) == name {
@@ -144,8 +149,8 @@
 	return nil, false
 }
 
-// nativePriority maps a priority to a native one: that of the highest AtLeast which it reaches,
-// or normal priority if it reaches none.
+// nativePriority returns the native priority for a YARN priority: that of the highest AtLeast that
+// is not above it, or normal priority if there is none.
 func (s *Settings) nativePriority(priority int) string {
 	highest, native := math.MinInt32, wire.PriorityNormal
 	for _, p := range s.Priorities {
@@ -156,7 +161,7 @@
 	return native
 }
 
-// label finds a node label; the empty one allows all machines.
+// label returns the node label with the given name. The empty label allows all machines.
 func (s *Settings) label(name string) (Label, bool) {
 	if name == "" {
 		return Label{}, true
@@ -169,7 +174,7 @@
 	return Label{}, false
 }
 
-// Allow reports whether a client may connect from an address.
+// Allow reports whether clients may connect from an address.
 func (s *Settings) Allow(a net.Addr) bool {
 	if len(s.Networks) == 0 {
 		return true
--- a/yarn/settings_check.go
+++ b/yarn/settings_check.go
@@ -1,3 +1,5 @@
+// Validation of the settings of the YARN front end.
+
 package yarn
 
 import (
@@ -12,10 +14,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// settingsCheck collects the errors of settings.
+// settingsCheck validates settings and collects all errors.
 type settingsCheck struct {
 	settings *Settings
-	prefixes *bart.Lite // the valid ones of Networks
+	prefixes *bart.Lite // the valid prefixes of Settings.Networks
 	errs     []error
 }
 
@@ -23,7 +25,7 @@
 	c.errs = append(c.errs, fmt.Errorf("yarn: "+format, args...))
 }
 
-// run checks all fields; names of teams and zones are looked up in the platform's settings.
+// run checks all fields. Teams and zones must exist in the platform's settings.
 func (c *settingsCheck) run(platform *config.Settings) {
 	c.checkAddresses()
 	c.checkNumbers()
@@ -132,7 +134,7 @@
 	}
 }
 
-// checkNetworks checks Networks, and builds the prefix table by which addresses are matched.
+// checkNetworks checks Settings.Networks and builds the prefix table for Settings.Allow.
 func (c *settingsCheck) checkNetworks() {
 	c.prefixes = new(bart.Lite)
 	for i, network := range c.settings.Networks {
--- a/yarn/token.go
+++ b/yarn/token.go
@@ -1,3 +1,5 @@
+// Token identifiers: their kinds, encoding and parsing.
+
 package yarn
 
 import (
@@ -7,13 +9,13 @@
 	"strings"
 )
 
-// tokenKind says what a token is for. It is the first part of the token's identifier.
+// tokenKind is the purpose of a token. It is the first part of the token's identifier.
 type tokenKind string
 
 const (
-	masterToken    tokenKind = "am" // opens ApplicationMasterProtocol
-	nodeToken      tokenKind = "nm" // opens ContainerManagementProtocol
-	containerToken tokenKind = "ct" // starts one container
+	masterToken    tokenKind = "am" // authenticates calls of ApplicationMasterProtocol
+	nodeToken      tokenKind = "nm" // authenticates calls of ContainerManagementProtocol
+	containerToken tokenKind = "ct" // authorizes the start of one container
 )
 
 // Kinds of tokens in YARN's API.
@@ -23,7 +25,7 @@
 	publishedContainerToken = "ContainerToken"
 )
 
-// published returns the kind in YARN's API.
+// published returns the corresponding kind of YARN's API.
 func (k tokenKind) published() string {
 	switch k {
 	case masterToken:
@@ -34,8 +36,8 @@
 	return publishedContainerToken
 }
 
-// token is the content of a token's identifier: the application and attempt that it belongs to,
-// the key that signs it, and the container's number if it starts one.
+// token is the content of a token's identifier. key is the id of the signing key. container is the
+// number of the container that a containerToken starts, and 0 for other kinds.
 type token struct {
 	kind             tokenKind
 	clusterTimestamp int64
@@ -50,10 +52,10 @@
 	return fmt.Sprintf("%s/%d/%d/%d/%d/%d", t.kind, t.clusterTimestamp, t.application, t.attempt, t.key, t.container)
 }
 
-// errForeignToken is the error for an identifier that this service has not issued.
+// errForeignToken is the error for an identifier that this service can't have issued.
 var errForeignToken = errors.New("not a token of this service")
 
-// parseToken parses an identifier. Any text that String would not return is refused.
+// parseToken parses an identifier. It fails for any text that String does not return.
 func parseToken(identifier []byte) (token, error) {
 	parts := strings.Split(string(identifier), "/")
 	var numbers [5]int64
