--- a/yarn/wire/client.go
+++ b/yarn/wire/client.go
@@ -1,3 +1,5 @@
+// The client side of Hadoop RPC.
+
 package wire
 
 import (
@@ -15,24 +17,24 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// DialFunc opens connections.
+// DialFunc opens a network connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// ErrLost is the error of a call that was not answered, since the connection or the call's
-// context ended. It may or may not have been executed.
+// ErrLost is the error of a call that got no answer, since the connection or the context of the call
+// ended. The server may or may not have executed the call.
 var ErrLost = errors.New("yarn: connection lost")
 
 const (
-	// dialTimeout bounds the opening of a connection, authentication included, and each write.
+	// dialTimeout is the timeout of opening a connection, including authentication, and of each write.
 	dialTimeout = 5 * time.Second
 	// maxResponseBytes is the largest frame that a client reads.
 	maxResponseBytes = 64 << 20
 	clientIDBytes    = 16
-	// protocolVersion is the version of each of YARN's protocols.
+	// protocolVersion is the version of all of YARN's protocols.
 	protocolVersion = 1
 )
 
-// Conn is a client's connection, for calls of one protocol. It is safe for concurrent use.
+// Conn is a client connection for calls of one protocol. It is safe for concurrent use.
 type Conn struct {
 	conn     net.Conn
 	protocol string
@@ -43,17 +45,18 @@
 	mu         sync.Mutex
 	lastCallID int32
 	pending    map[int32]chan<- response // by call id
-	err        error
+	err        error                     // why the connection has ended; nil while it is open
 }
 
-// response is the outcome of a call: an error, or the part of the frame after the response's
-// header.
+// response is the outcome of a call: an error, or the rest of the frame after the response header.
 type response struct {
 	rest *bytes.Reader
 	err  error
 }
 
-// Dial opens a connection. With a token, client and server authenticate each other with it.
+// Dial opens a connection to addr for calls of a protocol. With a token, client and server
+// authenticate each other. Without a token (nil), there is no authentication. An *Error is the
+// server's refusal.
 func Dial(ctx context.Context, dial DialFunc, addr, protocol, user string, token *pb.TokenProto) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -76,8 +79,8 @@
 	return c, nil
 }
 
-// open performs the opening of a connection: magic and version, SASL if there is a token, and
-// the connection context.
+// open sends the first bytes of the connection, authenticates if there is a token, and sends the
+// connection context.
 func (c *Conn) open(user string, token *pb.TokenProto) error {
 	auth := byte(authNone)
 	if token != nil {
@@ -94,7 +97,7 @@
 	return c.write(callContext, &pb.IpcConnectionContextProto{UserInfo: &pb.UserInformationProto{EffectiveUser: &user}, Protocol: &c.protocol})
 }
 
-// write sends a request.
+// write sends a request: its header and messages in one frame.
 func (c *Conn) write(callID int32, messages ...proto.Message) error {
 	header := &pb.RpcRequestHeaderProto{
 		RpcKind:  pb.RpcKindProto_RPC_PROTOCOL_BUFFER.Enum(),
@@ -108,15 +111,15 @@
 	}
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	_ = c.conn.SetWriteDeadline(time.Now().Add(dialTimeout)) // fails only where the connection is closed
+	_ = c.conn.SetWriteDeadline(time.Now().Add(dialTimeout)) // fails only if the connection is closed
 	if _, err := c.conn.Write(b); err != nil {
 		return fmt.Errorf("%w: %w", ErrLost, err)
 	}
 	return nil
 }
 
-// authenticate proves to the server that the client knows the token, and has the server
-// prove the same.
+// authenticate proves to the server that the client knows the token's password, and checks the
+// server's proof of the same.
 func (c *Conn) authenticate(token *pb.TokenProto) error {
 	offer, err := c.exchangeSASL(&pb.RpcSaslProto{State: pb.RpcSaslProto_NEGOTIATE.Enum()})
 	if err != nil {
@@ -140,10 +143,10 @@
 		}
 		return nil
 	}
-	return fmt.Errorf("%w: the server takes no tokens", ErrAuth)
+	return fmt.Errorf("%w: the server does not offer token authentication", ErrAuth)
 }
 
-// exchangeSASL sends a SASL message and reads the answer. An *Error is the server's.
+// exchangeSASL sends a SASL message and returns the answer. An *Error is the server's refusal.
 func (c *Conn) exchangeSASL(message *pb.RpcSaslProto) (*pb.RpcSaslProto, error) {
 	if err := c.write(callSasl, message); err != nil {
 		return nil, err
@@ -160,8 +163,8 @@
 	return &out, readMessage(rest, &out)
 }
 
-// readResponseHeader reads a response's header. If the header carries an exception, that is
-// returned as an *Error along with the header. If it can't be read, the header is nil.
+// readResponseHeader reads the header of a response. If the header has an exception, it returns both
+// the header and the exception as an *Error. If the header is malformed, it returns nil and an error.
 func readResponseHeader(rest *bytes.Reader) (*pb.RpcResponseHeaderProto, error) {
 	var header pb.RpcResponseHeaderProto
 	if err := readMessage(rest, &header); err != nil {
@@ -173,7 +176,7 @@
 	return &header, nil
 }
 
-// readResponses passes responses to the calls that wait for them, until the connection ends.
+// readResponses delivers responses to the waiting calls until the connection ends.
 func (c *Conn) readResponses() {
 	for {
 		frame, err := ReadFrame(c.conn, maxResponseBytes)
@@ -197,7 +200,8 @@
 	}
 }
 
-// takePending removes a pending call; nil if there is none by this id.
+// takePending removes and returns the channel of a pending call, or returns nil if there is no such
+// call.
 func (c *Conn) takePending(callID int32) chan<- response {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -206,7 +210,7 @@
 	return waiting
 }
 
-// fail ends the connection, and with it all pending calls. The first error is kept.
+// fail closes the connection and fails all pending calls. The connection keeps the first error.
 func (c *Conn) fail(err error) {
 	c.conn.Close()
 	c.mu.Lock()
@@ -220,7 +224,8 @@
 	}
 }
 
-// addPending assigns an id to a new call, whose response will be sent to the channel.
+// addPending returns the id of a new call and registers the channel for its response. It fails if
+// the connection has ended.
 func (c *Conn) addPending(waiting chan<- response) (callID int32, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -232,8 +237,8 @@
 	return c.lastCallID, nil
 }
 
-// Call makes a call. An *Error is the server's answer; after ErrLost it is not known whether the
-// call was executed.
+// Call calls a method and reads the answer into out. An *Error is the server's answer. After ErrLost
+// it is unknown whether the server executed the call.
 func (c *Conn) Call(ctx context.Context, method string, in, out proto.Message) error {
 	waiting := make(chan response, 1) // buffered, so that a late response does not block readResponses
 	id, err := c.addPending(waiting)
@@ -261,12 +266,12 @@
 	}
 }
 
-// Err returns why the connection has ended; nil while it is open.
+// Err returns the error that ended the connection, or nil while the connection is open.
 func (c *Conn) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// Close closes the connection; calls that wait for their answers fail.
+// Close closes the connection. Pending calls fail.
 func (c *Conn) Close() { c.fail(net.ErrClosed) }
--- a/yarn/wire/errors.go
+++ b/yarn/wire/errors.go
@@ -1,3 +1,5 @@
+// Remote exceptions: errors by which clients and servers of Hadoop RPC communicate.
+
 package wire
 
 import (
@@ -5,8 +7,8 @@
 	"fmt"
 )
 
-// ExceptionClass is the name of a Java exception class, by which clients of Hadoop RPC
-// distinguish errors.
+// ExceptionClass is the name of a Java exception class. Clients of Hadoop RPC distinguish errors by
+// it.
 type ExceptionClass string
 
 // Exception classes of Hadoop and YARN.
@@ -31,7 +33,7 @@
 	ClassNoContainer  ExceptionClass = "org.apache.hadoop.yarn.exceptions.ContainerNotFoundException"
 )
 
-// Error is a remote exception: what a server answers if a call fails.
+// Error is a remote exception: the answer of a server to a failed call.
 type Error struct {
 	Class ExceptionClass
 	Text  string
@@ -44,8 +46,8 @@
 	return &Error{Class: class, Text: fmt.Sprintf(format, args...)}
 }
 
-// AsError returns the Error in err's chain. If there is none, it returns one with err's text that
-// makes the client retry.
+// AsError returns the *Error in err's chain. If there is none, it returns an *Error with
+// ClassRetriable and err's text, so that the client retries.
 func AsError(err error) *Error {
 	var remote *Error
 	if errors.As(err, &remote) {
@@ -54,7 +56,7 @@
 	return &Error{Class: ClassRetriable, Text: err.Error()}
 }
 
-// IsClass reports whether there is an Error of a class in err's chain.
+// IsClass reports whether err's chain contains an *Error of the given class.
 func IsClass(err error, class ExceptionClass) bool {
 	var remote *Error
 	return errors.As(err, &remote) && remote.Class == class
--- a/yarn/wire/frame.go
+++ b/yarn/wire/frame.go
@@ -1,3 +1,5 @@
+// Frames and request headers of Hadoop RPC.
+
 package wire
 
 import (
@@ -15,14 +17,13 @@
 )
 
 const (
-	// Version of Hadoop RPC.
+	// Version is the version of Hadoop RPC.
 	Version = 9
-	// MaxFrame is the largest frame that a server reads by default, in bytes.
+	// MaxFrame is the default of Server.MaxFrameBytes.
 	MaxFrame = 4 << 20
 )
 
-// The first bytes of a connection: magic, then one byte each for version, service class and
-// authentication.
+// A connection begins with magic and one byte each for version, service class and authentication.
 const (
 	openingBytes = 7
 	versionAt    = 4
@@ -35,9 +36,9 @@
 
 var magic = []byte("hrpc")
 
-// Call ids of frames that are not calls.
+// Call ids of requests that are not calls.
 const (
-	callContext = -3
+	callContext = -3 // connection context
 	callPing    = -4
 	callSasl    = -33
 )
@@ -45,15 +46,16 @@
 // ErrFrame is the error for input that is not valid Hadoop RPC.
 var ErrFrame = errors.New("yarn: malformed frame")
 
-// lengthBytes is the size of the length that precedes a frame.
+// lengthBytes is the size of the length field before a frame.
 const lengthBytes = 4
 
-// frameStep is how much of a frame is read at a time, in bytes: if a client announces a long frame
-// and does not send it, little more memory is allocated than for what has arrived.
+// frameStep is the number of bytes of a frame that are read at a time. It bounds the memory for a
+// frame that a client announces and does not send.
 const frameStep = 16 << 10
 
-// ReadFrame reads one frame: its length, and that many bytes. It fails with ErrFrame if the
-// length is less than 1 or more than maxBytes.
+// ReadFrame reads the length of a frame and then returns its content. It fails with ErrFrame if the
+// length is less than 1 or more than maxBytes. It fails with io.EOF if r ends before the frame
+// begins, and with io.ErrUnexpectedEOF if r ends within the frame.
 func ReadFrame(r io.Reader, maxBytes int) ([]byte, error) {
 	var head [lengthBytes]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -78,7 +80,8 @@
 	return buf.Bytes(), nil
 }
 
-// Frame returns a frame with messages, each preceded by its length.
+// Frame returns an encoded frame, including its length field, with the messages. Each message is
+// preceded by its length.
 func Frame(messages ...proto.Message) ([]byte, error) {
 	out := make([]byte, lengthBytes, 256)
 	for _, message := range messages {
@@ -92,11 +95,13 @@
 	return out, nil
 }
 
-// readMessage reads the next message of a frame. Unknown fields are kept, and are not an error.
+// readMessage reads the next message of a frame. It keeps unknown fields. It fails with ErrFrame if
+// the message is malformed.
 func readMessage(rest *bytes.Reader, message proto.Message) error {
 	if err := (protodelim.UnmarshalOptions{MaxSize: int64(rest.Len())}).UnmarshalFrom(rest, message); err != nil {
-		// io.EOF is not wrapped: the message is malformed, which is not the end of the connection.
-		return fmt.Errorf("%w: %s: %v", ErrFrame, message.ProtoReflect().Descriptor().Name(), err) //nolint:errorlint // callers ask for io.EOF
+		// io.EOF is not wrapped. Callers would take it for the end of the connection, but the
+		// message is malformed.
+		return fmt.Errorf("%w: %s: %v", ErrFrame, message.ProtoReflect().Descriptor().Name(), err) //nolint:errorlint // callers check for io.EOF
 	}
 	return nil
 }
@@ -105,11 +110,12 @@
 type Request struct {
 	Header *pb.RpcRequestHeaderProto
 	Method *pb.RequestHeaderProto // nil if the request is not a call
-	rest   *bytes.Reader
+	rest   *bytes.Reader          // the part of the frame that Body reads
 }
 
-// ParseRequest parses a request's frame up to its method; Body reads the rest. If only the method
-// is invalid, the request is returned with the error, for its call id.
+// ParseRequest parses the headers of a request. Body reads the rest of the frame. If only the method
+// header is invalid, ParseRequest returns both the request and an error, so that the caller knows the
+// call id. If the request header is invalid, the request is nil.
 func ParseRequest(frame []byte) (*Request, error) {
 	r := &Request{Header: &pb.RpcRequestHeaderProto{}, rest: bytes.NewReader(frame)}
 	if err := readMessage(r.rest, r.Header); err != nil {
@@ -125,5 +131,5 @@
 	return r, readMessage(r.rest, r.Method)
 }
 
-// Body reads the parameters of a call, or the message of a request that is not a call.
+// Body reads the parameters of a call or, if the request is not a call, its message.
 func (r *Request) Body(message proto.Message) error { return readMessage(r.rest, message) }
--- a/yarn/wire/gen/main.go
+++ b/yarn/wire/gen/main.go
@@ -1,5 +1,5 @@
-// Command gen generates the Go code of the .proto files in yarn/wire/pb without protoc. It is run
-// by `go generate ./yarn/wire`.
+// Command gen generates the Go code of the .proto files in yarn/wire/pb without protoc. The command
+// `go generate ./yarn/wire` runs it.
 package main
 
 import (
--- a/yarn/wire/sasl.go
+++ b/yarn/wire/sasl.go
@@ -1,3 +1,5 @@
+// SASL authentication with tokens, as Hadoop uses it.
+
 package wire
 
 import (
@@ -11,28 +13,28 @@
 	"strings"
 )
 
-// SASL's DIGEST-MD5 (RFC 2831) in the only form that Hadoop's tokens use: username and password
-// are the token's identifier and password in base64, the realm is "default", and the quality
-// of protection is authentication only.
+// Parameters of SASL DIGEST-MD5 (RFC 2831) in the only form that Hadoop's tokens use. Username and
+// password are the token's identifier and password in base64. The realm is "default", and the
+// quality of protection is authentication only.
 const (
 	saslMethodToken  = "TOKEN"
 	saslMethodSimple = "SIMPLE"
 	saslMechanism    = "DIGEST-MD5"
 	saslRealm        = "default"
 	saslURI          = "/default"
-	saslNonceCount   = "00000001" // a nonce is used once
+	saslNonceCount   = "00000001" // each nonce is used once
 )
 
-// Methods in the digests of the client's response and of the server's proof.
+// Method parameter of the digests in the client's response and in the server's proof.
 const (
 	clientDigestMethod = "AUTHENTICATE"
 	serverDigestMethod = ""
 )
 
-// ErrAuth is the error of an authentication that has failed.
+// ErrAuth is the error of a failed authentication.
 var ErrAuth = errors.New("yarn: not authenticated")
 
-// newNonce returns a random nonce. Server and client make one each (nonce and cnonce).
+// newNonce returns a random nonce. The server creates nonce with it, and the client cnonce.
 func newNonce() (string, error) {
 	b := make([]byte, 24)
 	if _, err := rand.Read(b); err != nil {
@@ -46,14 +48,14 @@
 	return []byte(fmt.Sprintf(`realm="%s",nonce="%s",qop="auth",charset=utf-8,algorithm=md5-sess`, saslRealm, nonce))
 }
 
-// digest has the inputs of a response value, named as in RFC 2831.
+// digest contains the inputs of a response value. The names are those of RFC 2831.
 type digest struct {
 	username, realm, password string
 	nonce, cnonce, nonceCount string
 	uri                       string
 }
 
-// response computes the response value, which proves knowledge of the password.
+// response returns the response value. It proves knowledge of the password.
 func (d *digest) response(method string) string {
 	a1 := string(md5Sum(d.username+":"+d.realm+":"+d.password)) + ":" + d.nonce + ":" + d.cnonce
 	a2 := method + ":" + d.uri
@@ -67,13 +69,14 @@
 
 func hexMD5(s string) string { return hex.EncodeToString(md5Sum(s)) }
 
-// serverProof returns the message with which the server proves that it knows the password too.
+// serverProof returns the message that proves the server's knowledge of the password.
 func (d *digest) serverProof() string { return "rspauth=" + d.response(serverDigestMethod) }
 
 // errMalformedDirectives is the error for input that is not a list of key=value pairs.
 var errMalformedDirectives = fmt.Errorf("%w: malformed directives", ErrAuth)
 
-// parseDirectives parses key=value pairs, with quoted or plain values. No key may occur twice.
+// parseDirectives parses comma-separated key=value pairs with quoted or plain values. It fails with
+// ErrAuth if the input is malformed or a key occurs twice.
 func parseDirectives(b []byte) (map[string]string, error) {
 	out := map[string]string{}
 	s := string(b)
@@ -93,7 +96,7 @@
 	return out, nil
 }
 
-// cutDirectiveValue parses the value that s begins with and returns what follows it.
+// cutDirectiveValue returns the value at the beginning of s, unquoted, and the rest of s.
 func cutDirectiveValue(s string) (value, rest string, err error) {
 	if !strings.HasPrefix(s, `"`) {
 		plain, _, _ := strings.Cut(s, ",")
@@ -117,8 +120,8 @@
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
 }
 
-// respond returns a client's digest-response to a challenge, and the proof that it must expect in
-// the server's answer.
+// respond returns the client's digest-response to a challenge, and the proof that the server's
+// answer must contain.
 func respond(challenge, identifier, password []byte) (response []byte, expected string, err error) {
 	directives, err := parseDirectives(challenge)
 	if err != nil {
@@ -145,13 +148,13 @@
 	return []byte(out), d.serverProof(), nil
 }
 
-// passwordOf returns the password of a token. An *Error means that the token is not valid; with
-// any other error it is not known whether it is.
+// passwordOf returns the password of a token. An *Error means that the token is not valid. With any
+// other error it is unknown whether the token is valid.
 type passwordOf func(identifier []byte) ([]byte, error)
 
-// verify checks a client's digest-response to the challenge with the given nonce. It returns
-// the token's identifier and the server's proof. It fails with ErrAuth unless the password
-// could not be looked up.
+// verify checks a client's digest-response to the challenge with the given nonce. It returns the
+// token's identifier and the server's proof. It fails with ErrAuth if the response is not valid, and
+// with another error if the lookup of the password fails.
 func verify(response []byte, nonce string, password passwordOf) (identifier, proof []byte, err error) {
 	directives, err := parseDirectives(response)
 	if err != nil {
@@ -168,9 +171,9 @@
 	if err != nil {
 		var invalid *Error
 		if !errors.As(err, &invalid) {
-			return nil, nil, err // whether the token is valid is not known
+			return nil, nil, err // it is unknown whether the token is valid
 		}
-		return nil, nil, fmt.Errorf("%w: %v", ErrAuth, err) //nolint:errorlint // ErrAuth is what is answered, not the class of the cause
+		return nil, nil, fmt.Errorf("%w: %v", ErrAuth, err) //nolint:errorlint // callers answer ErrAuth, not the class of the cause
 	}
 	d := digest{
 		username:   directives["username"],
--- a/yarn/wire/server.go
+++ b/yarn/wire/server.go
@@ -1,3 +1,5 @@
+// The server side of Hadoop RPC: configuration, limits and accepting of connections.
+
 package wire
 
 import (
@@ -15,18 +17,19 @@
 
 // Caller is the client of a connection.
 type Caller struct {
-	User       string
+	User       string // as the client states it; not authenticated
 	Protocol   string
-	Identifier []byte // of the token with which it has authenticated itself; nil if it has not
+	Identifier []byte // identifier of the token that authenticates the client; nil without a token
 }
 
-// Method is a method of a protocol, made by Handle.
+// Method is a method of a protocol. Handle creates it.
 type Method struct {
 	newRequest func() proto.Message
 	call       func(ctx context.Context, c *Caller, in proto.Message) (proto.Message, error)
 }
 
-// Handle returns a Method that a typed function serves.
+// Handle returns a Method that calls a function with typed messages. An *Error of the function is the
+// answer to the client. With any other error the client retries (AsError).
 func Handle[In, Out any, PI interface {
 	*In
 	proto.Message
@@ -49,31 +52,31 @@
 // Protocol is a set of methods by name.
 type Protocol struct {
 	Methods   map[string]Method
-	NeedToken bool // only callers that have authenticated themselves with a token are served
+	NeedToken bool // whether callers must have authenticated themselves with a token
 }
 
-// Server serves Hadoop RPC. Each client's memory, number of calls and time are limited, so that
-// no client can impair the others.
+// Server serves Hadoop RPC. It limits the memory, number of calls and time of each client, so that no
+// client can impair others. A limit or timeout of 0 or less means its default.
 type Server struct {
-	Protocols map[string]Protocol
-	// Password returns the password of a token. An *Error means that the token is not valid;
-	// with any other error it is not known whether it is, and the client retries. It is
-	// called once for each connection that uses a token.
+	Protocols map[string]Protocol // by name
+	// Password returns the password of a token. An *Error means that the token is not valid. With
+	// any other error it is unknown whether the token is valid, and the client retries. Password
+	// is called once for each connection that uses a token. If Password is nil, no token is valid.
 	Password        func(ctx context.Context, identifier []byte) ([]byte, error)
-	Allow           func(net.Addr) bool // which addresses may connect; nil: all
+	Allow           func(net.Addr) bool // whether an address may connect; nil: all may
 	Log             *slog.Logger
-	MaxConns        int
-	MaxCallsPerConn int           // of one connection at once; further frames are not read until one has ended
-	MaxCalls        int           // of all connections at once; further ones are refused with ClassRetriable
-	CallTimeout     time.Duration // of one call
-	FrameTimeout    time.Duration // for one frame to be received or sent, and for the first bytes of a connection
-	IdleTimeout     time.Duration // without a frame; clients ping once a minute
-	MaxFrameBytes   int           // 0 means MaxFrame
+	MaxConns        int           // maximum number of connections; further ones are closed
+	MaxCallsPerConn int           // concurrent calls of one connection; at the limit, its frames are not read
+	MaxCalls        int           // concurrent calls of all connections; further ones are refused with ClassRetriable
+	CallTimeout     time.Duration // limit for one call
+	FrameTimeout    time.Duration // limit for receiving or sending a frame, and for the first bytes of a connection
+	IdleTimeout     time.Duration // limit between two frames; clients ping once a minute
+	MaxFrameBytes   int           // size of the largest accepted frame
 
 	callSlots chan struct{}
 }
 
-// Defaults of a Server's fields.
+// Defaults of the fields of Server.
 const (
 	defaultMaxConns        = 256
 	defaultMaxCallsPerConn = 16
@@ -83,10 +86,10 @@
 	defaultIdleTimeout     = 3 * time.Minute
 )
 
-// setDefault sets a field that is not set.
-func setDefault[N int | time.Duration](n *N, value N) {
-	if *n <= 0 {
-		*n = value
+// setDefault sets a field that is 0 or negative.
+func setDefault[N int | time.Duration](field *N, value N) {
+	if *field <= 0 {
+		*field = value
 	}
 }
 
@@ -101,11 +104,12 @@
 	s.callSlots = make(chan struct{}, s.MaxCalls)
 }
 
-// acceptRetryDelay is the pause after accepting a connection has failed.
+// acceptRetryDelay is the pause after a failure to accept a connection.
 const acceptRetryDelay = 50 * time.Millisecond
 
-// Serve accepts and serves connections until ctx ends, and waits for those that are open. It
-// returns an error if the listener was closed otherwise.
+// Serve accepts and serves connections until ctx ends. Then it closes the listener and all
+// connections, waits for them and returns nil. It returns an error if the listener is closed by
+// someone else.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	s.setDefaults()
 	stop := context.AfterFunc(ctx, func() { l.Close() })
@@ -126,7 +130,7 @@
 			continue
 		}
 		if s.Allow != nil && !s.Allow(conn.RemoteAddr()) {
-			s.Log.Info("yarn: refused by address", "from", conn.RemoteAddr())
+			s.Log.Info("yarn: connection refused by address", "from", conn.RemoteAddr())
 			conn.Close()
 			continue
 		}
@@ -143,12 +147,12 @@
 	}
 }
 
-// serveAndClose serves one connection until it or ctx ends.
+// serveAndClose serves one connection until the client closes it, an error occurs or ctx ends.
 func (s *Server) serveAndClose(ctx context.Context, conn net.Conn) {
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	defer stop()
 	defer conn.Close()
 	if err := s.serveConn(ctx, conn); err != nil && !errors.Is(err, io.EOF) && ctx.Err() == nil {
-		s.Log.Debug("yarn: connection", "from", conn.RemoteAddr(), "err", err)
+		s.Log.Debug("yarn: connection failed", "from", conn.RemoteAddr(), "err", err)
 	}
 }
--- a/yarn/wire/server_conn.go
+++ b/yarn/wire/server_conn.go
@@ -1,3 +1,5 @@
+// One connection of the server: reading requests, executing calls and sending answers.
+
 package wire
 
 import (
@@ -16,24 +18,25 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// noCallID is the call id of an answer to no particular call.
+// noCallID is the call id of an answer that belongs to no call.
 const noCallID = -1
 
 // readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 8 << 10
 
-// serverConn is the server's side of one connection.
+// serverConn is the server side of one connection.
 type serverConn struct {
 	server *Server
 	conn   net.Conn
 	reader *bufio.Reader
 	caller Caller
 
-	writeMu sync.Mutex // answers to concurrent calls are written one at a time
+	writeMu sync.Mutex // serializes the answers to concurrent calls
 }
 
-// serveConn reads the first bytes of a connection, authenticates the caller if these ask for it,
-// and serves its calls.
+// serveConn reads the first bytes of a connection, authenticates the caller if they request it, and
+// serves its calls. It returns the error that ended the connection, which is io.EOF if the client
+// closed it between two frames.
 func (s *Server) serveConn(ctx context.Context, conn net.Conn) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -44,7 +47,7 @@
 		return err
 	}
 	if !bytes.Equal(opening[:len(magic)], magic) {
-		return fmt.Errorf("%w: no hrpc", ErrFrame)
+		return fmt.Errorf("%w: connection does not start with hrpc", ErrFrame)
 	}
 	if opening[versionAt] != Version {
 		return errors.Join(ErrFrame, c.sendFatal(noCallID, pb.RpcResponseHeaderProto_FATAL_VERSION_MISMATCH,
@@ -57,13 +60,13 @@
 			return err
 		}
 	default:
-		return fmt.Errorf("%w: authentication %d", ErrFrame, opening[authAt])
+		return fmt.Errorf("%w: unknown authentication %d", ErrFrame, opening[authAt])
 	}
 	return c.serveCalls(ctx)
 }
 
-// readFrame reads a frame, which has to begin within idle, and to be complete within FrameTimeout
-// from then.
+// readFrame reads a frame. The frame has to begin within idle, and to be complete within
+// FrameTimeout from its beginning.
 func (c *serverConn) readFrame(idle time.Duration) ([]byte, error) {
 	_ = c.conn.SetReadDeadline(time.Now().Add(idle))
 	if _, err := c.reader.Peek(1); err != nil {
@@ -73,7 +76,7 @@
 	return ReadFrame(c.reader, c.server.MaxFrameBytes)
 }
 
-// send writes one frame of the messages.
+// send writes one frame with the messages.
 func (c *serverConn) send(messages ...proto.Message) error {
 	b, err := Frame(messages...)
 	if err != nil {
@@ -81,12 +84,12 @@
 	}
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
-	_ = c.conn.SetWriteDeadline(time.Now().Add(c.server.FrameTimeout)) // fails only where the connection is closed
+	_ = c.conn.SetWriteDeadline(time.Now().Add(c.server.FrameTimeout)) // fails only if the connection is closed
 	_, err = c.conn.Write(b)
 	return err
 }
 
-// sendFatal sends an error after which the caller has to close the connection.
+// sendFatal sends a fatal error. The calling function has to close the connection afterwards.
 func (c *serverConn) sendFatal(callID int32, code pb.RpcResponseHeaderProto_RpcErrorCodeProto, err error) error {
 	return c.send(errorHeader(callID, pb.RpcResponseHeaderProto_FATAL, code, err))
 }
@@ -104,8 +107,8 @@
 	}
 }
 
-// serveCalls reads requests until the connection ends, and serves calls concurrently, up to
-// MaxCallsPerConn. If there are more, it stops reading until one has ended.
+// serveCalls reads requests until the connection ends. It serves up to MaxCallsPerConn calls
+// concurrently. At this limit it stops reading until a call has ended.
 func (c *serverConn) serveCalls(ctx context.Context) error {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -146,8 +149,7 @@
 	}
 }
 
-// readRequest reads a request. A malformed one is answered with a fatal error, and ends the
-// connection.
+// readRequest reads a request. If the request is malformed, it sends a fatal error and fails.
 func (c *serverConn) readRequest() (*Request, error) {
 	frame, err := c.readFrame(c.server.IdleTimeout)
 	if err != nil {
@@ -164,7 +166,7 @@
 	return req, nil
 }
 
-// readContext reads the caller's user and protocol from the connection context.
+// readContext sets the user and the protocol of the caller from the connection context.
 func (c *serverConn) readContext(req *Request) error {
 	var m pb.IpcConnectionContextProto
 	if err := req.Body(&m); err != nil {
@@ -174,7 +176,7 @@
 	return nil
 }
 
-// serveCall executes one call and sends the answer. It fails only if that can't be sent.
+// serveCall executes one call and sends the answer. It fails only if the answer can't be sent.
 func (c *serverConn) serveCall(ctx context.Context, req *Request) error {
 	out, failure := c.execute(ctx, req)
 	if failure != nil {
@@ -189,13 +191,13 @@
 	}, out)
 }
 
-// callFailure is the error of a call, with the error code of Hadoop RPC for it.
+// callFailure is the error of a call with its error code in Hadoop RPC.
 type callFailure struct {
 	code pb.RpcResponseHeaderProto_RpcErrorCodeProto
 	err  error
 }
 
-// execute runs the method that a request names.
+// execute runs the method of a request and returns the answer or the failure.
 func (c *serverConn) execute(ctx context.Context, req *Request) (proto.Message, *callFailure) {
 	protocolName, methodName := req.Method.GetDeclaringClassProtocolName(), req.Method.GetMethodName()
 	protocol, ok := c.server.Protocols[protocolName]
--- a/yarn/wire/server_sasl.go
+++ b/yarn/wire/server_sasl.go
@@ -1,3 +1,5 @@
+// SASL authentication of a server connection.
+
 package wire
 
 import (
@@ -10,14 +12,14 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// maxSASLMessages bounds the messages that a client may send until it is authenticated.
+// maxSASLMessages is the number of messages in which a client has to authenticate itself.
 const maxSASLMessages = 4
 
-// saslCallID is callSasl as an unsigned number, as answers have it.
+// saslCallID is callSasl as the unsigned number in answers.
 const saslCallID = uint32(0xffffffff + callSasl + 1)
 
-// authenticate performs the SASL negotiation: the caller chooses to authenticate itself with a
-// token, which is verified, or not at all (SIMPLE).
+// authenticate performs the SASL negotiation. The client either authenticates itself with a token
+// (TOKEN) or does not authenticate itself (SIMPLE).
 func (c *serverConn) authenticate(ctx context.Context) error {
 	nonce, err := newNonce()
 	if err != nil {
@@ -45,7 +47,7 @@
 	return ErrAuth
 }
 
-// negotiation returns the offer of authentication methods: token, with its challenge, and simple.
+// negotiation returns the offer of authentication methods: TOKEN with a challenge, and SIMPLE.
 func negotiation(nonce string) *pb.RpcSaslProto {
 	return &pb.RpcSaslProto{State: pb.RpcSaslProto_NEGOTIATE.Enum(), Auths: []*pb.RpcSaslProto_SaslAuth{
 		{
@@ -59,7 +61,7 @@
 	}}
 }
 
-// authenticateToken verifies the response to the challenge and answers it.
+// authenticateToken verifies the client's response to the challenge and sends the server's proof.
 func (c *serverConn) authenticateToken(ctx context.Context, nonce string, response []byte) error {
 	identifier, proof, err := verify(response, nonce, func(identifier []byte) ([]byte, error) {
 		return c.password(ctx, identifier)
@@ -68,8 +70,8 @@
 		return errors.Join(err, c.sendFatal(callSasl, pb.RpcResponseHeaderProto_FATAL_UNAUTHORIZED, Errorf(ClassInvalidToken, "%s", err)))
 	}
 	if err != nil {
-		// An application master gives up for good if its token is called invalid, so that must not
-		// be the answer if the password could not be looked up, such as by overload.
+		// An application master gives up for good if its token is invalid. So a failed lookup of
+		// the password, for example due to overload, is answered with a retriable error.
 		return errors.Join(err, c.sendFatal(callSasl, pb.RpcResponseHeaderProto_FATAL_UNKNOWN, Errorf(ClassRetriable, "%s", err)))
 	}
 	c.caller.Identifier = identifier
