--- a/yarn/client/application_master.go
+++ b/yarn/client/application_master.go
@@ -1,3 +1,5 @@
+// The client library for application masters.
+
 package client
 
 import (
@@ -15,19 +17,19 @@
 // AnyNode is the resource name of containers that may run on any node.
 const AnyNode = "*"
 
-// ContainerRequest describes one kind of container: its resources, and where it may run.
+// ContainerRequest describes one kind of container: its resources and where it may run.
 type ContainerRequest struct {
 	Priority      int32
-	ResourceName  string // AnyNode, "/rack" or a node
-	RelaxLocality bool
-	NodeLabel     string
+	ResourceName  string // AnyNode, "/" and the name of a rack, or the name of a node
+	RelaxLocality bool   // as in YARN's ResourceRequest
+	NodeLabel     string // empty: none
 	MemoryMB      int64
 	VCores        int32
 	GPUs          int64
-	GPUName       string
+	GPUName       string // resource name of the GPUs, such as "yarn.io/gpu"
 }
 
-// resourceRequest returns a request for a number of such containers.
+// resourceRequest returns the message that requests count containers of this kind.
 func (r ContainerRequest) resourceRequest(count int) *pb.ResourceRequestProto {
 	capability := &pb.ResourceProto{Memory: proto.Int64(r.MemoryMB), VirtualCores: proto.Int32(r.VCores)}
 	if r.GPUs > 0 {
@@ -46,36 +48,36 @@
 	return out
 }
 
-// matches reports whether an allocated container may be of this kind. GPUs and locality are not
-// compared.
+// matches reports whether an allocated container may be of this kind. It does not compare GPUs and
+// locality.
 func (r ContainerRequest) matches(c *pb.ContainerProto) bool {
 	return r.Priority == c.GetPriority().GetPriority() &&
 		r.MemoryMB == c.GetResource().GetMemory() && r.VCores == c.GetResource().GetVirtualCores()
 }
 
-// Update is what has changed by a heartbeat.
+// Update contains the changes that a heartbeat has reported.
 type Update struct {
-	Allocated  []*pb.ContainerProto
-	Completed  []*pb.ContainerStatusProto
-	Preempting []*pb.ContainerIdProto
-	Resynced   bool // the master has registered again; its containers keep running
-	Shutdown   bool // the application, or this attempt, has ended
+	Allocated  []*pb.ContainerProto       // new containers, to be started
+	Completed  []*pb.ContainerStatusProto // ended containers
+	Preempting []*pb.ContainerIdProto     // containers that the service is about to stop
+	Resynced   bool                       // whether the master has registered again; its containers keep running
+	Shutdown   bool                       // whether the application or this attempt has ended
 }
 
-// ApplicationMaster runs an application's containers. It keeps account of the containers that it
-// has requested and of those that it has, also when the service makes it register again. Its
-// methods may be called concurrently, but only one of Register, Heartbeat and Run at a time.
+// ApplicationMaster runs the containers of an application. It tracks the requested and the allocated
+// containers, also when the service makes it register again. Its methods are safe for concurrent
+// use, but only one call of Register, Heartbeat or Run may run at a time.
 type ApplicationMaster struct {
 	resourceManager, nodeManager *failoverConn
 
 	mu         sync.Mutex
 	responseID int32
-	pending    map[ContainerRequest]int  // how many containers are requested and not allocated yet
-	unsent     map[ContainerRequest]bool // requests that the next heartbeat has to carry
-	releases   []*pb.ContainerIdProto
-	blacklist  *pb.ResourceBlacklistRequestProto
-	containers map[int64]*pb.ContainerProto
-	completed  map[int64]bool
+	pending    map[ContainerRequest]int          // number of containers that are requested and not allocated yet
+	unsent     map[ContainerRequest]bool         // requests that the next heartbeat sends
+	releases   []*pb.ContainerIdProto            // releases that the next heartbeat sends
+	blacklist  *pb.ResourceBlacklistRequestProto // change that the next heartbeat sends; nil: none
+	containers map[int64]*pb.ContainerProto      // allocated and not completed, by container number
+	completed  map[int64]bool                    // by container number
 }
 
 // NewApplicationMaster returns a master that authenticates itself with a token.
@@ -90,20 +92,21 @@
 	}
 }
 
-// Close closes the master's connections. The application goes on until its master's timeout.
+// Close closes the connections of the master. It does not end the application: the service ends it
+// after the master timeout.
 func (m *ApplicationMaster) Close() {
 	m.resourceManager.close()
 	m.nodeManager.close()
 }
 
-// Register begins the master's session.
+// Register registers the master and returns the answer of the service.
 func (m *ApplicationMaster) Register(ctx context.Context) (*pb.RegisterApplicationMasterResponseProto, error) {
 	out, _, err := m.startSession(ctx)
 	return out, err
 }
 
-// startSession registers the master. It also returns the containers that the service lists and
-// of which the master did not know, since the response that allocated them was lost.
+// startSession registers the master. It also returns the containers in the response that the master
+// did not know, since the response that allocated them was lost.
 func (m *ApplicationMaster) startSession(ctx context.Context) (*pb.RegisterApplicationMasterResponseProto, []*pb.ContainerProto, error) {
 	var out pb.RegisterApplicationMasterResponseProto
 	in := &pb.RegisterApplicationMasterRequestProto{Host: proto.String(""), RpcPort: proto.Int32(-1)}
@@ -128,7 +131,8 @@
 	return &out, unknown, nil
 }
 
-// addContainer adds an allocated container; it returns false if it was added before.
+// addContainer adds an allocated container and lowers the pending number of its kind. It returns
+// false if the container was added before. The caller must hold mu.
 func (m *ApplicationMaster) addContainer(c *pb.ContainerProto) bool {
 	id := c.GetId().GetId()
 	if m.containers[id] != nil || m.completed[id] {
@@ -144,15 +148,15 @@
 	return true
 }
 
-// Request sets how many containers of a kind are wanted in addition to those allocated. It
-// replaces an earlier number, and is sent with the next heartbeat.
+// Request sets the number of containers of a kind that the master wants in addition to the allocated
+// ones. It replaces an earlier number. The next heartbeat sends it.
 func (m *ApplicationMaster) Request(request ContainerRequest, count int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.pending[request], m.unsent[request] = count, true
 }
 
-// Pending returns how many containers are requested and not allocated yet.
+// Pending returns the number of containers that are requested and not allocated yet.
 func (m *ApplicationMaster) Pending() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -170,15 +174,15 @@
 	m.releases = append(m.releases, id)
 }
 
-// UpdateBlacklist changes the blacklist with the next heartbeat: no container is allocated on
-// the nodes that are in it. A change that was not sent yet is replaced.
+// UpdateBlacklist changes the blacklist with the next heartbeat. The service allocates no container on
+// nodes in the blacklist. The change replaces an earlier change that was not sent yet.
 func (m *ApplicationMaster) UpdateBlacklist(additions, removals []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.blacklist = &pb.ResourceBlacklistRequestProto{BlacklistAdditions: additions, BlacklistRemovals: removals}
 }
 
-// Containers lists the containers that are allocated and not completed.
+// Containers returns the containers that are allocated and not completed, in no particular order.
 func (m *ApplicationMaster) Containers() []*pb.ContainerProto {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -189,8 +193,9 @@
 	return out
 }
 
-// Heartbeat sends what has changed and returns what is new in the answer. If the service does
-// not know the master's session any more, the master registers again and repeats its requests.
+// Heartbeat sends the changes since the last heartbeat and returns the news in the answer. If the
+// service has lost the session of the master, Heartbeat registers again and repeats the requests.
+// With an error, the Update still contains the containers that were found by registering again.
 func (m *ApplicationMaster) Heartbeat(ctx context.Context) (Update, error) {
 	var update Update
 	for {
@@ -214,7 +219,8 @@
 	}
 }
 
-// needsResync reports whether the answer to a heartbeat is that the session is not known.
+// needsResync reports whether the answer to a heartbeat says that the service does not know the
+// session.
 func needsResync(out *pb.AllocateResponseProto, err error) bool {
 	if err != nil {
 		return wire.IsClass(err, wire.ClassNotReg)
@@ -222,8 +228,8 @@
 	return out.AMCommand != nil && out.GetAMCommand() == pb.AMCommandProto_AM_RESYNC
 }
 
-// allocateRequest returns the next heartbeat, which has only what has changed, and the container
-// requests in it.
+// allocateRequest returns the next heartbeat and the container requests in it. The heartbeat contains
+// only changes.
 func (m *ApplicationMaster) allocateRequest() (*pb.AllocateRequestProto, []ContainerRequest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -238,8 +244,8 @@
 	return in, sent
 }
 
-// applyResponse applies the answer to a heartbeat to the master's state, and adds what is new to
-// the update. An answer may repeat parts of earlier ones.
+// applyResponse applies the answer to a heartbeat to the state of the master and adds the news to
+// update. It ignores parts that repeat earlier answers.
 func (m *ApplicationMaster) applyResponse(out *pb.AllocateResponseProto, in *pb.AllocateRequestProto, sent []ContainerRequest, update *Update) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -280,8 +286,8 @@
 	}
 }
 
-// Start starts containers. For those that could not be started it returns the reason, by
-// container number.
+// Start starts containers, all with the same launch context. It returns the error texts of the
+// containers that could not be started, by container number.
 func (m *ApplicationMaster) Start(ctx context.Context, launch *pb.ContainerLaunchContextProto, containers ...*pb.ContainerProto) (map[int64]string, error) {
 	in := &pb.StartContainersRequestProto{}
 	for _, c := range containers {
@@ -303,7 +309,8 @@
 	return m.nodeManager.call(ctx, "stopContainers", &pb.StopContainersRequestProto{ContainerId: ids}, &pb.StopContainersResponseProto{})
 }
 
-// Statuses returns the statuses of containers.
+// Statuses returns the statuses of containers. It omits containers whose status the service could
+// not read.
 func (m *ApplicationMaster) Statuses(ctx context.Context, ids ...*pb.ContainerIdProto) ([]*pb.ContainerStatusProto, error) {
 	var out pb.GetContainerStatusesResponseProto
 	err := m.nodeManager.call(ctx, "getContainerStatuses", &pb.GetContainerStatusesRequestProto{ContainerId: ids}, &out)
@@ -311,11 +318,11 @@
 }
 
 // ErrNotUnregistered is returned by Finish if the service did not end the application.
-var ErrNotUnregistered = errors.New("yarn client: not unregistered")
+var ErrNotUnregistered = errors.New("yarn client: application master not unregistered")
 
-// Finish ends the application with a final status. It also returns nil if the token is refused:
-// the application has ended already, by an earlier call whose answer was lost, or for another
-// reason, which is in the application's report.
+// Finish ends the application with a final status. It also returns nil if the token is refused, since
+// the application has ended already. Either the answer to an earlier call was lost, or the report
+// of the application tells the reason.
 func (m *ApplicationMaster) Finish(ctx context.Context, status pb.FinalApplicationStatusProto, diagnostics string) error {
 	in := &pb.FinishApplicationMasterRequestProto{Diagnostics: &diagnostics, FinalApplicationStatus: &status}
 	var out pb.FinishApplicationMasterResponseProto
@@ -332,8 +339,8 @@
 	return nil
 }
 
-// Run sends a heartbeat every interval and calls handle with its Update, until handle returns
-// false, the application has ended, a heartbeat fails, or ctx ends.
+// Run sends a heartbeat every interval and calls handle with its Update. It returns nil when handle
+// returns false or the application has ended. It returns an error if a heartbeat fails or ctx ends.
 func (m *ApplicationMaster) Run(ctx context.Context, interval time.Duration, handle func(Update) bool) error {
 	for {
 		update, err := m.Heartbeat(ctx)
--- a/yarn/client/client.go
+++ b/yarn/client/client.go
@@ -1,7 +1,7 @@
-// Package client is for programs that run work through YARN's application API: submitters
-// (Client) and application masters (ApplicationMaster). A call goes to any controller, here
-// called node, and is retried at the next if one does not answer. All calls of this package
-// may be repeated: they are idempotent, or, like getNewApplication, do no harm.
+// Package client is the client library of YARN's application API. Programs that submit applications
+// use Client, and application masters use ApplicationMaster. A call goes to any controller, called
+// node in this package. If the node does not answer, the call is retried at the next node. It is
+// safe to repeat all calls: they are idempotent or, like getNewApplication, harmless when repeated.
 package client
 
 import (
@@ -19,30 +19,32 @@
 	ProtoManager = "org.apache.hadoop.yarn.api.ContainerManagementProtocolPB"
 )
 
-// Client submits, inspects and kills applications.
+// Client submits, inspects and kills applications. It is safe for concurrent use. Each method retries
+// until it gets an answer, a final exception (*wire.Error) or its context ends.
 type Client struct{ conn *failoverConn }
 
-// New returns a client. Connections are opened when they are needed.
+// New returns a client. The first call opens a connection.
 func New(cfg Config) *Client { return &Client{newFailoverConn(cfg, ProtoClient, nil)} }
 
 // Close closes the client's connection.
 func (c *Client) Close() { c.conn.close() }
 
-// NewApplication returns the id of an application to be submitted, and the most of each resource
-// that any machine type has.
+// NewApplication returns an id for a new application, and the maximum of each resource over all
+// machine types.
 func (c *Client) NewApplication(ctx context.Context) (*pb.ApplicationIdProto, *pb.ResourceProto, error) {
 	var out pb.GetNewApplicationResponseProto
 	err := c.conn.call(ctx, "getNewApplication", &pb.GetNewApplicationRequestProto{}, &out)
 	return out.GetApplicationId(), out.GetMaximumCapability(), err
 }
 
-// Submit submits an application.
+// Submit submits an application with an id from NewApplication.
 func (c *Client) Submit(ctx context.Context, submission *pb.ApplicationSubmissionContextProto) error {
 	in := &pb.SubmitApplicationRequestProto{ApplicationSubmissionContext: submission}
 	return c.conn.call(ctx, "submitApplication", in, &pb.SubmitApplicationResponseProto{})
 }
 
-// Report returns an application's report; that of an unmanaged one has its master's token.
+// Report returns the report of an application. For an unmanaged application it contains the token
+// for its master.
 func (c *Client) Report(ctx context.Context, id *pb.ApplicationIdProto) (*pb.ApplicationReportProto, error) {
 	var out pb.GetApplicationReportResponseProto
 	err := c.conn.call(ctx, "getApplicationReport", &pb.GetApplicationReportRequestProto{ApplicationId: id}, &out)
@@ -54,7 +56,8 @@
 	return c.conn.call(ctx, "forceKillApplication", &pb.KillApplicationRequestProto{ApplicationId: id}, &pb.KillApplicationResponseProto{})
 }
 
-// Call makes any other call of ApplicationClientProtocol. It may be executed more than once.
+// Call calls any method of ApplicationClientProtocol and reads the answer into out. The server may
+// execute the call more than once.
 func (c *Client) Call(ctx context.Context, method string, in, out proto.Message) error {
 	return c.conn.call(ctx, method, in, out)
 }
--- a/yarn/client/failover.go
+++ b/yarn/client/failover.go
@@ -1,3 +1,5 @@
+// Connections that fail over between the nodes of the service.
+
 package client
 
 import (
@@ -14,12 +16,12 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// Config has the addresses of the service, and how to connect to it.
+// Config contains the addresses of the service and the parameters of connections.
 type Config struct {
-	Addrs   []string // of the nodes
+	Addrs   []string // addresses of the nodes
 	Dial    wire.DialFunc
 	User    string
-	Timeout time.Duration // of one attempt at one node; 0 means defaultTimeout
+	Timeout time.Duration // timeout of one attempt at one node; 0 or less means defaultTimeout
 }
 
 const defaultTimeout = 5 * time.Second
@@ -27,18 +29,20 @@
 // ErrNoAddress is the error of a call if the configuration has no address.
 var ErrNoAddress = errors.New("yarn client: no address")
 
-// failoverConn is a connection for one protocol to any node that answers.
+// failoverConn is a connection for one protocol to any node that answers. It is safe for concurrent
+// use.
 type failoverConn struct {
 	cfg      Config
 	protocol string
 
 	mu    sync.Mutex
 	token *pb.TokenProto
-	node  int // index in cfg.Addrs, modulo their number
+	node  int // index in cfg.Addrs modulo its length
 	conn  *wire.Conn
 }
 
-// newFailoverConn starts with a random node, so that clients are spread over all of them.
+// newFailoverConn returns a connection that starts with a random node. This distributes clients over
+// all nodes. token may be nil.
 func newFailoverConn(cfg Config, protocol string, token *pb.TokenProto) *failoverConn {
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = defaultTimeout
@@ -46,7 +50,7 @@
 	return &failoverConn{cfg: cfg, protocol: protocol, token: token, node: rand.IntN(max(1, len(cfg.Addrs)))}
 }
 
-// connect returns the open connection, or opens one. If that fails, the next attempt goes to the
+// connect returns the open connection or opens one. If opening fails, the next attempt goes to the
 // next node.
 func (f *failoverConn) connect(ctx context.Context) (*wire.Conn, error) {
 	f.mu.Lock()
@@ -67,8 +71,8 @@
 	return conn, nil
 }
 
-// abandon closes the connection to a node that does not answer; the next call goes to the
-// next node.
+// abandon closes the connection to a node that does not answer. The next attempt goes to the next
+// node.
 func (f *failoverConn) abandon(conn *wire.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -94,14 +98,15 @@
 	}
 }
 
-// isRetriable reports whether a call may succeed when it is repeated: unless the server has answered
-// with an exception that is final.
+// isRetriable reports whether a repeated call may succeed. It returns false only if the server has
+// answered with a final exception.
 func isRetriable(err error) bool {
 	var remote *wire.Error
 	return !errors.As(err, &remote) || remote.Class == wire.ClassRetriable || remote.Class == wire.ClassStandby
 }
 
-// call makes a call, and retries it at all nodes in turn until it is answered or ctx ends.
+// call makes a call and retries it until it gets an answer, a final exception or ctx ends. A node
+// that does not answer is replaced by the next node.
 func (f *failoverConn) call(ctx context.Context, method string, in, out proto.Message) error {
 	for attempt := 0; ; attempt++ {
 		err := f.attempt(ctx, method, in, out)
@@ -118,7 +123,7 @@
 	}
 }
 
-// attempt makes a call at the present node.
+// attempt makes one call at the current node.
 func (f *failoverConn) attempt(ctx context.Context, method string, in, out proto.Message) error {
 	ctx, cancel := context.WithTimeout(ctx, f.cfg.Timeout)
 	defer cancel()
@@ -135,8 +140,8 @@
 	return err
 }
 
-// backoff returns the pause after an attempt: random, from 50 ms to an upper bound that doubles
-// its distance from that with each attempt, from 150 ms up to 1650 ms.
+// backoff returns the random pause after an attempt. It is at least 50 ms. Its upper bound is 150 ms
+// after attempt 0 and 1650 ms from attempt 4 on. In between, the range doubles with each attempt.
 func backoff(attempt int) time.Duration {
 	return time.Duration(50+rand.IntN(100<<min(attempt, 4))) * time.Millisecond
 }
