--- a/yarn/application.go
+++ b/yarn/application.go
@@ -19,8 +19,8 @@
 	stateKilled   applicationState = "killed"
 )
 
-// published returns the corresponding state of YARN's API, or 0 for an unknown state.
-func (s applicationState) published() pb.YarnApplicationStateProto {
+// protoState returns the corresponding state of YARN's API, or 0 for an unknown state.
+func (s applicationState) protoState() pb.YarnApplicationStateProto {
 	switch s {
 	case stateAccepted:
 		return pb.YarnApplicationStateProto_ACCEPTED
@@ -86,10 +86,10 @@
 	return token{kind: kind, clusterTimestamp: a.ClusterTimestamp, application: a.ID, attempt: a.Attempt}
 }
 
-// publishedState returns the state in YARN's API. An application with an EndState counts as ended.
-func (a *application) publishedState() pb.YarnApplicationStateProto {
+// protoState returns the state in YARN's API. An application with an EndState counts as ended.
+func (a *application) protoState() pb.YarnApplicationStateProto {
 	if a.EndState != "" {
-		return a.EndState.published()
+		return a.EndState.protoState()
 	}
-	return a.State.published()
+	return a.State.protoState()
 }
--- a/yarn/encoding_test.go
+++ b/yarn/encoding_test.go
@@ -36,7 +36,7 @@
 	for name, state := range map[string]applicationState{"accepted": stateAccepted, "running": stateRunning, "finished": stateFinished, "failed": stateFailed, "killed": stateKilled} {
 		f.Text("state "+name, string(state))
 	}
-	for name, kind := range map[string]string{"master's": publishedMasterToken, "node's": publishedNodeToken, "container's": publishedContainerToken, "short master's": string(masterToken), "short node's": string(nodeToken)} {
+	for name, kind := range map[string]string{"master's": yarnMasterTokenKind, "node's": yarnNodeTokenKind, "container's": yarnContainerTokenKind, "short master's": string(masterToken), "short node's": string(nodeToken)} {
 		f.Text("kind of token, "+name, kind)
 	}
 }
--- a/yarn/keyring.go
+++ b/yarn/keyring.go
@@ -82,6 +82,6 @@
 	if err != nil {
 		return nil, err
 	}
-	kind := t.kind.published()
+	kind := t.kind.yarnKind()
 	return &pb.TokenProto{Identifier: []byte(identifier), Password: password, Kind: &kind, Service: &service}, nil
 }
--- a/yarn/reports.go
+++ b/yarn/reports.go
@@ -42,7 +42,7 @@
 		Name:                        &a.Name,
 		Host:                        &a.Host,
 		RpcPort:                     &a.RPCPort,
-		YarnApplicationState:        a.publishedState().Enum(),
+		YarnApplicationState:        a.protoState().Enum(),
 		TrackingUrl:                 &a.TrackingURL,
 		OriginalTrackingUrl:         &a.TrackingURL,
 		Diagnostics:                 &a.Diagnostics,
@@ -93,7 +93,7 @@
 func (filter *applicationFilter) matches(a *application) bool {
 	return matchesAny(filter.types, a.Type) && matchesAny(filter.users, a.User) &&
 		(matchesAny(filter.queues, a.Queue) || matchesAny(filter.queues, leafName(a.Queue))) &&
-		matchesAny(filter.states, a.publishedState()) && (filter.name == "" || filter.name == a.Name) &&
+		matchesAny(filter.states, a.protoState()) && (filter.name == "" || filter.name == a.Name) &&
 		(len(filter.tags) == 0 || slices.ContainsFunc(a.Tags, func(tag string) bool { return slices.Contains(filter.tags, tag) }))
 }
 
--- a/yarn/token.go
+++ b/yarn/token.go
@@ -20,20 +20,20 @@
 
 // Kinds of tokens in YARN's API.
 const (
-	publishedMasterToken    = "YARN_AM_RM_TOKEN"
-	publishedNodeToken      = "NMToken"
-	publishedContainerToken = "ContainerToken"
+	yarnMasterTokenKind    = "YARN_AM_RM_TOKEN"
+	yarnNodeTokenKind      = "NMToken"
+	yarnContainerTokenKind = "ContainerToken"
 )
 
-// published returns the corresponding kind of YARN's API.
-func (k tokenKind) published() string {
+// yarnKind returns the corresponding kind of YARN's API.
+func (k tokenKind) yarnKind() string {
 	switch k {
 	case masterToken:
-		return publishedMasterToken
+		return yarnMasterTokenKind
 	case nodeToken:
-		return publishedNodeToken
+		return yarnNodeTokenKind
 	}
-	return publishedContainerToken
+	return yarnContainerTokenKind
 }
 
 // token is the content of a token's identifier. key is the id of the signing key. container is the
