--- a/yarn/allocation.go
+++ b/yarn/allocation.go
@@ -136,18 +136,18 @@
 	return nil
 }
 
-// masterTokenEvery is the number of heartbeats between new tokens for a master. It is small
+// heartbeatsPerMasterToken is the number of heartbeats between new tokens for a master. It is small
 // enough that a master gets a token signed by a newer key long before the key of its current
 // token is dropped.
-const masterTokenEvery = 64
+const heartbeatsPerMasterToken = 64
 
-// addTokens adds the tokens for the nodes of new containers. Every masterTokenEvery heartbeats it
+// addTokens adds the tokens for the nodes of new containers. Every heartbeatsPerMasterToken heartbeats it
 // also adds a new token for the master.
 func (a *allocation) addTokens(responseID int32) (err error) {
 	if a.out.NmTokens, err = a.frontend.nodeTokens(a.app, a.keyring, a.nodes); err != nil {
 		return err
 	}
-	if responseID%masterTokenEvery == 0 {
+	if responseID%heartbeatsPerMasterToken == 0 {
 		a.out.AmRmToken, err = a.keyring.issue(a.app.token(masterToken), a.frontend.settings.Advertise)
 	}
 	return err
--- a/yarn/application_store.go
+++ b/yarn/application_store.go
@@ -160,8 +160,8 @@
 // defaultJobClass is the class of jobs whose queue has no class.
 const defaultJobClass = "yarn"
 
-// checkpointNever is a checkpoint interval in seconds, longer than any container runs.
-const checkpointNever = 1e6
+// neverCheckpointS is a checkpoint interval in seconds, longer than any container runs.
+const neverCheckpointS = 1e6
 
 // nativeJob returns the native job that runs containers of one kind, one container per task. It
 // fails if the queue or the node label is unknown.
@@ -197,7 +197,7 @@
 	if f.settings.PreemptGraceS > 0 {
 		// A preempted task gets SaveS seconds to save a checkpoint. Containers save no checkpoints,
 		// since each runs once. For them the time is the grace period after the preemption message.
-		j.CheckpointS, j.SaveS = checkpointNever, f.settings.PreemptGraceS
+		j.CheckpointS, j.SaveS = neverCheckpointS, f.settings.PreemptGraceS
 	}
 	return j, nil
 }
--- a/yarn/cluster_info.go
+++ b/yarn/cluster_info.go
@@ -39,12 +39,12 @@
 	}}, nil
 }
 
-// managerPort is the port in the id of a node. Nothing listens on it: clients connect to the
+// nodeManagerPort is the port in the id of a node. Nothing listens on it: clients connect to the
 // address in the token for the node, which is the address of this front end.
-const managerPort = 8041
+const nodeManagerPort = 8041
 
 func nodeID(machine string) *pb.NodeIdProto {
-	return &pb.NodeIdProto{Host: proto.String(machine), Port: proto.Int32(managerPort)}
+	return &pb.NodeIdProto{Host: proto.String(machine), Port: proto.Int32(nodeManagerPort)}
 }
 
 func (f *Frontend) nodeReport(m *Machine) *pb.NodeReportProto {
--- a/yarn/frontend.go
+++ b/yarn/frontend.go
@@ -145,16 +145,16 @@
 // of a record. Clients retry the call.
 var errRecordChanged = wire.Errorf(wire.ClassRetriable, "the record has changed meanwhile, come again")
 
-// maxRetries is the number of attempts that retry makes.
-const maxRetries = 6
+// maxTransactionAttempts is the number of attempts that retry makes.
+const maxTransactionAttempts = 6
 
 // retry calls attempt until its transaction neither conflicts with a concurrent change nor has an
-// unknown outcome. It pauses for a random time that grows with each attempt. After maxRetries
+// unknown outcome. It pauses for a random time that grows with each attempt. After maxTransactionAttempts
 // attempts, or when ctx ends, it fails with errRecordChanged. Each attempt must read the record
 // again.
 func retry(ctx context.Context, attempt func() error) error {
 	var err error
-	for try := range maxRetries {
+	for try := range maxTransactionAttempts {
 		if err = attempt(); !lostRace(err) {
 			return err
 		}
--- a/yarn/keyring_store.go
+++ b/yarn/keyring_store.go
@@ -17,8 +17,8 @@
 	ids              []int32
 }
 
-// idBlock is the number of application ids that a controller takes at once.
-const idBlock = 50
+// idBlockSize is the number of application ids that a controller takes at once.
+const idBlockSize = 50
 
 // keyringCache is a controller's copy of the keyring. It repairs a record that becomes unreadable.
 type keyringCache struct {
@@ -34,9 +34,9 @@
 	// the meantime a controller with a copy can repair the record, or a new leader that asks
 	// all controllers for their copies.
 	keyringRepairDelay = 20 * time.Second
-	// idsBeyond is the distance from the highest id of a known application to the first id of a
+	// repairedIDOffset is the distance from the highest id of a known application to the first id of a
 	// new keyring. It is larger than the number of ids that were issued and not submitted.
-	idsBeyond = 1 << 20
+	repairedIDOffset = 1 << 20
 )
 
 // readKeyring reads the keyring and its version from the store. It creates the record if it is
@@ -114,7 +114,7 @@
 			k.ClusterTimestamp, k.NextID = app.ClusterTimestamp, max(k.NextID, app.ID)
 		}
 	}
-	k.NextID += idsBeyond
+	k.NextID += repairedIDOffset
 	return k, nil
 }
 
@@ -177,7 +177,7 @@
 			return err
 		}
 		id, clusterTimestamp = k.NextID, k.ClusterTimestamp
-		k.NextID += idBlock
+		k.NextID += idBlockSize
 		return f.writeKeyring(ctx, k, version)
 	})
 	if err != nil {
@@ -186,7 +186,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.freeIDs.clusterTimestamp = clusterTimestamp
-	for next := id + 1; next < id+idBlock; next++ {
+	for next := id + 1; next < id+idBlockSize; next++ {
 		f.freeIDs.ids = append(f.freeIDs.ids, next)
 	}
 	return clusterTimestamp, id, nil
--- a/yarn/leader.go
+++ b/yarn/leader.go
@@ -34,14 +34,14 @@
 const (
 	maxMaintenanceInterval = 5 * time.Second
 	minMaintenanceInterval = 200 * time.Millisecond
-	// maintenancePerTimeout is the number of maintenance rounds within a timeout.
-	maintenancePerTimeout = 6
+	// maintenanceRoundsPerTimeout is the number of maintenance rounds within a timeout.
+	maintenanceRoundsPerTimeout = 6
 )
 
 // Run runs until ctx ends. While this controller is the leader, it maintains all applications.
 func (f *Frontend) Run(ctx context.Context) {
 	interval := min(maxMaintenanceInterval,
-		seconds(f.settings.MasterTimeoutS/maintenancePerTimeout), seconds(f.settings.StartTimeoutS/maintenancePerTimeout))
+		seconds(f.settings.MasterTimeoutS/maintenanceRoundsPerTimeout), seconds(f.settings.StartTimeoutS/maintenanceRoundsPerTimeout))
 	var m *maintenance
 	for call.Pause(ctx, max(interval, minMaintenanceInterval)) {
 		if !f.controller.IsLeader() {
--- a/yarn/master_protocol.go
+++ b/yarn/master_protocol.go
@@ -178,14 +178,14 @@
 	return changed, nil
 }
 
-// recordedPerTimeout is the number of recorded heartbeats within the timeout of a master.
-const recordedPerTimeout = 3
+// recordedHeartbeatsPerTimeout is the number of recorded heartbeats within the timeout of a master.
+const recordedHeartbeatsPerTimeout = 3
 
 // recordHeartbeat writes the record of the application to show that the master is alive. The leader
 // measures the timeout of the master from when it first saw the current version of the record.
-// Not every heartbeat is recorded (recordedPerTimeout).
+// Not every heartbeat is recorded (recordedHeartbeatsPerTimeout).
 func (f *Frontend) recordHeartbeat(ctx context.Context, snap *snapshot, s *session) {
-	if time.Since(s.recordedAt) < seconds(f.settings.MasterTimeoutS/recordedPerTimeout) {
+	if time.Since(s.recordedAt) < seconds(f.settings.MasterTimeoutS/recordedHeartbeatsPerTimeout) {
 		return
 	}
 	snap.app.Heartbeats++
--- a/yarn/wire/frame.go
+++ b/yarn/wire/frame.go
@@ -49,9 +49,9 @@
 // lengthBytes is the size of the length field before a frame.
 const lengthBytes = 4
 
-// frameStep is the number of bytes of a frame that are read at a time. It bounds the memory for a
+// frameReadBytes is the number of bytes of a frame that are read at a time. It bounds the memory for a
 // frame that a client announces and does not send.
-const frameStep = 16 << 10
+const frameReadBytes = 16 << 10
 
 // ReadFrame reads the length of a frame and then returns its content. It fails with ErrFrame if the
 // length is less than 1 or more than maxBytes. It fails with io.EOF if r ends before the frame
@@ -67,7 +67,7 @@
 	}
 	var buf bytes.Buffer
 	for left := length; left > 0; {
-		step := min(left, frameStep)
+		step := min(left, frameReadBytes)
 		got, err := io.CopyN(&buf, r, step)
 		left -= got
 		if err != nil {
