--- a/yarn/application_store.go
+++ b/yarn/application_store.go
@@ -35,7 +35,7 @@
 // readApplication reads an application and its unfinished jobs. The result includes all changes
 // that were committed before the call. If there is no such application, the error has ClassNoApp.
 func (f *Frontend) readApplication(ctx context.Context, id *pb.ApplicationIdProto) (*snapshot, error) {
-	name := nameOf(id)
+	name := applicationNameOf(id)
 	record, jobs, err := f.jobs.OwnedJobs(ctx, applicationKey(name))
 	if err != nil {
 		return nil, err
--- a/yarn/client_protocol.go
+++ b/yarn/client_protocol.go
@@ -60,7 +60,7 @@
 		return false, err
 	}
 	if id.GetClusterTimestamp() != k.ClusterTimestamp || id.GetId() < 1 || id.GetId() >= k.NextID {
-		return false, wire.Errorf(wire.ClassYarn, "application id %s was not given out here", nameOf(id))
+		return false, wire.Errorf(wire.ClassYarn, "application id %s was not given out here", applicationNameOf(id))
 	}
 	_, err = f.readApplication(ctx, id)
 	if wire.IsClass(err, wire.ClassNoApp) {
@@ -75,14 +75,14 @@
 	id := submission.GetApplicationId()
 	queue, ok := f.settings.queue(submission.GetQueue())
 	if !ok {
-		return nil, wire.Errorf(wire.ClassYarn, "Failed to submit %s : there is no queue %q", nameOf(id), submission.GetQueue())
+		return nil, wire.Errorf(wire.ClassYarn, "Failed to submit %s : there is no queue %q", applicationNameOf(id), submission.GetQueue())
 	}
 	apps, err := f.jobs.ListApps(ctx)
 	if err != nil {
 		return nil, err
 	}
 	if len(apps) > f.settings.MaxApps { // ListApps includes the keyring's record
-		return nil, wire.Errorf(wire.ClassYarn, "Failed to submit %s : %d applications are unfinished already", nameOf(id), f.settings.MaxApps)
+		return nil, wire.Errorf(wire.ClassYarn, "Failed to submit %s : %d applications are unfinished already", applicationNameOf(id), f.settings.MaxApps)
 	}
 	app := &application{
 		ID:               id.GetId(),
--- a/yarn/container_protocol.go
+++ b/yarn/container_protocol.go
@@ -24,8 +24,8 @@
 	contextOp nwire.Op // stores the launch context under the container's own key
 }
 
-// failure returns the error of a call for one container, as part of the answer.
-func failure(id *pb.ContainerIdProto, err error) *pb.ContainerExceptionMapProto {
+// containerFailure returns the error of a call for one container, as part of the answer.
+func containerFailure(id *pb.ContainerIdProto, err error) *pb.ContainerExceptionMapProto {
 	e := wire.AsError(err)
 	return &pb.ContainerExceptionMapProto{
 		ContainerId: id,
@@ -51,7 +51,7 @@
 	for _, request := range in.GetStartContainerRequest() {
 		start, err := f.checkStart(s.app, &k, request)
 		if err != nil {
-			out.FailedRequests = append(out.FailedRequests, failure(start.id, err))
+			out.FailedRequests = append(out.FailedRequests, containerFailure(start.id, err))
 			continue
 		}
 		if byJob[start.job] == nil {
@@ -61,7 +61,7 @@
 	}
 	for _, job := range jobs {
 		for _, starts := range f.splitByTransaction(byJob[job]) {
-			f.startTogether(ctx, s.app, job, starts, out)
+			f.startJobContainers(ctx, s.app, job, starts, out)
 		}
 	}
 	return out, nil
@@ -101,9 +101,9 @@
 	return start, err
 }
 
-// startTogether starts containers of one job in one transaction. It adds the result for each
+// startJobContainers starts containers of one job in one transaction. It adds the result for each
 // container to the answer.
-func (f *Frontend) startTogether(ctx context.Context, a *application, job string, starts []containerStart, out *pb.StartContainersResponseProto) {
+func (f *Frontend) startJobContainers(ctx context.Context, a *application, job string, starts []containerStart, out *pb.StartContainersResponseProto) {
 	var started []containerStart
 	err := retry(ctx, func() (err error) {
 		started, err = f.markLaunched(ctx, a, job, starts)
@@ -112,12 +112,12 @@
 	for _, start := range starts {
 		switch {
 		case err != nil:
-			out.FailedRequests = append(out.FailedRequests, failure(start.id, err))
+			out.FailedRequests = append(out.FailedRequests, containerFailure(start.id, err))
 		case slices.ContainsFunc(started, func(s containerStart) bool { return s.task == start.task }):
 			out.SucceededRequests = append(out.SucceededRequests, start.id)
 		default:
 			gone := wire.Errorf(wire.ClassNoContainer, "%s has no place any more", ContainerName(start.id))
-			out.FailedRequests = append(out.FailedRequests, failure(start.id, gone))
+			out.FailedRequests = append(out.FailedRequests, containerFailure(start.id, gone))
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	out := &pb.StopContainersResponseProto{}
 	for _, id := range in.GetContainerId() {
 		if err := f.releaseContainers(ctx, s, []*pb.ContainerIdProto{id}); err != nil {
-			out.FailedRequests = append(out.FailedRequests, failure(id, err))
+			out.FailedRequests = append(out.FailedRequests, containerFailure(id, err))
 			continue
 		}
 		out.SucceededRequests = append(out.SucceededRequests, id)
@@ -191,7 +191,7 @@
 		seq, task := splitContainerNumber(id.GetId())
 		status, err := f.containerStatus(ctx, s, jobID(s.app.ID, seq), task)
 		if err != nil {
-			out.FailedRequests = append(out.FailedRequests, failure(id, err))
+			out.FailedRequests = append(out.FailedRequests, containerFailure(id, err))
 			continue
 		}
 		status.ContainerId = id
--- a/yarn/demand.go
+++ b/yarn/demand.go
@@ -46,7 +46,7 @@
 			}
 		}
 		for i := range demands {
-			if err := f.adjust(ctx, snap, s, &demands[i]); err != nil {
+			if err := f.adjustPendingTasks(ctx, snap, s, &demands[i]); err != nil {
 				return err
 			}
 		}
@@ -174,9 +174,9 @@
 	return names
 }
 
-// adjust reserves tasks if fewer tasks wait to be placed than the master wants, and releases
+// adjustPendingTasks reserves tasks if fewer tasks wait to be placed than the master wants, and releases
 // waiting tasks if more do. Allocated containers that were not reported yet count as waiting.
-func (f *Frontend) adjust(ctx context.Context, snap *snapshot, s *session, d *demand) error {
+func (f *Frontend) adjustPendingTasks(ctx context.Context, snap *snapshot, s *session, d *demand) error {
 	tag := d.tag()
 	have := 0
 	var sameKind []*jobstore.ReservedJob
--- a/yarn/frontend.go
+++ b/yarn/frontend.go
@@ -155,7 +155,7 @@
 func retry(ctx context.Context, attempt func() error) error {
 	var err error
 	for try := range maxTransactionAttempts {
-		if err = attempt(); !lostRace(err) {
+		if err = attempt(); !isConflictOrUnknownOutcome(err) {
 			return err
 		}
 		if !call.Pause(ctx, time.Duration(20+rand.IntN(40<<try))*time.Millisecond) {
@@ -165,9 +165,9 @@
 	return errors.Join(errRecordChanged, err)
 }
 
-// lostRace reports whether a transaction failed because a record had changed, or its outcome is
+// isConflictOrUnknownOutcome reports whether a transaction failed because a record had changed, or its outcome is
 // unknown. In the second case it may have been committed.
-func lostRace(err error) bool {
+func isConflictOrUnknownOutcome(err error) bool {
 	var conflict *kvstore.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, kvstore.ErrOutcomeUnknown)
 }
--- a/yarn/ids.go
+++ b/yarn/ids.go
@@ -26,8 +26,8 @@
 	return fmt.Sprintf("application_%d_%04d", clusterTimestamp, id)
 }
 
-// nameOf returns an application's id as text, in YARN's format.
-func nameOf(id *pb.ApplicationIdProto) string {
+// applicationNameOf returns an application's id as text, in YARN's format.
+func applicationNameOf(id *pb.ApplicationIdProto) string {
 	return applicationName(id.GetClusterTimestamp(), id.GetId())
 }
 
--- a/yarn/keyring_store.go
+++ b/yarn/keyring_store.go
@@ -64,7 +64,7 @@
 			}
 			k.Keys = []signingKey{first}
 		}
-		if err := f.writeKeyring(ctx, k, e.Version); err != nil && !lostRace(err) {
+		if err := f.writeKeyring(ctx, k, e.Version); err != nil && !isConflictOrUnknownOutcome(err) {
 			return keyring{}, 0, err
 		}
 	}
@@ -204,9 +204,9 @@
 	return f.freeIDs.clusterTimestamp, id, true
 }
 
-// rollKey adds a signing key and drops the oldest keys beyond maxSigningKeys. Masters get tokens
+// rotateKey adds a signing key and drops the oldest keys beyond maxSigningKeys. Masters get tokens
 // signed with the new key by their heartbeats, long before the older keys are dropped.
-func (f *Frontend) rollKey(ctx context.Context) error {
+func (f *Frontend) rotateKey(ctx context.Context) error {
 	return retry(ctx, func() error {
 		k, version, err := f.readKeyring(ctx)
 		if err != nil {
--- a/yarn/leader.go
+++ b/yarn/leader.go
@@ -18,17 +18,17 @@
 // observation is what a leader has seen of an application. Its times are from the monotonic clock,
 // since the wall clock can be changed.
 type observation struct {
-	version   uint64
-	since     time.Time            // when this leader first saw the version
-	idleSince map[string]time.Time // by task name: when this leader first saw the placed, unstarted container
+	version        uint64
+	since          time.Time            // when this leader first saw the version
+	unstartedSince map[string]time.Time // by task name: when this leader first saw the placed, unstarted container
 }
 
 // maintenance is the state of the maintenance loop during one term of a leader. The next leader
 // starts with an empty state, so the timeouts of all masters and containers start again.
 type maintenance struct {
-	frontend  *Frontend
-	observed  map[string]*observation // by store key of the application
-	keyRolled time.Time               // time of the last key rotation, or the start of the term
+	frontend     *Frontend
+	observed     map[string]*observation // by store key of the application
+	keyRotatedAt time.Time               // time of the last key rotation, or the start of the term
 }
 
 const (
@@ -49,24 +49,24 @@
 			continue
 		}
 		if m == nil {
-			m = &maintenance{frontend: f, observed: map[string]*observation{}, keyRolled: time.Now()}
+			m = &maintenance{frontend: f, observed: map[string]*observation{}, keyRotatedAt: time.Now()}
 		}
-		m.rollKeyIfDue(ctx)
+		m.rotateKeyIfDue(ctx)
 		if err := m.maintainAll(ctx); err != nil {
 			f.log.Debug("yarn: listing applications failed, retrying", "err", err)
 		}
 	}
 }
 
-func (m *maintenance) rollKeyIfDue(ctx context.Context) {
-	if time.Since(m.keyRolled) <= seconds(m.frontend.settings.KeyRollIntervalS) {
+func (m *maintenance) rotateKeyIfDue(ctx context.Context) {
+	if time.Since(m.keyRotatedAt) <= seconds(m.frontend.settings.KeyRotationIntervalS) {
 		return
 	}
-	if err := m.frontend.rollKey(ctx); err != nil {
+	if err := m.frontend.rotateKey(ctx); err != nil {
 		m.frontend.log.Info("yarn: rotating the signing key failed, retrying", "err", err)
 		return
 	}
-	m.keyRolled = time.Now()
+	m.keyRotatedAt = time.Now()
 }
 
 // maintainAll does what is due for each unfinished application.
@@ -105,11 +105,11 @@
 	if o != nil && o.version == e.Version {
 		return o
 	}
-	idleSince := map[string]time.Time{}
+	unstartedSince := map[string]time.Time{}
 	if o != nil {
-		idleSince = o.idleSince
+		unstartedSince = o.unstartedSince
 	}
-	o = &observation{version: e.Version, since: time.Now(), idleSince: idleSince}
+	o = &observation{version: e.Version, since: time.Now(), unstartedSince: unstartedSince}
 	m.observed[e.Key] = o
 	return o
 }
@@ -133,7 +133,7 @@
 			return err
 		}
 	}
-	return f.releaseIdle(ctx, a, jobs, o)
+	return f.releaseUnstarted(ctx, a, jobs, o)
 }
 
 // endFailed ends an application in the failed state.
@@ -143,14 +143,14 @@
 	})
 }
 
-// releaseIdle releases containers that their master did not start in time. They hold resources that
+// releaseUnstarted releases containers that their master did not start in time. They hold resources that
 // other work could use.
-func (f *Frontend) releaseIdle(ctx context.Context, a *application, jobs []jobstore.ReservedJob, o *observation) error {
+func (f *Frontend) releaseUnstarted(ctx context.Context, a *application, jobs []jobstore.ReservedJob, o *observation) error {
 	now := time.Now()
-	idleSince := map[string]time.Time{}
+	unstartedSince := map[string]time.Time{}
 	for i := range jobs {
 		j := &jobs[i]
-		late := f.lateTasks(j, o, idleSince, now)
+		late := f.lateTasks(j, o, unstartedSince, now)
 		if len(late) == 0 {
 			continue
 		}
@@ -159,13 +159,13 @@
 			return err
 		}
 	}
-	o.idleSince = idleSince
+	o.unstartedSince = unstartedSince
 	return nil
 }
 
 // lateTasks returns the placed tasks of a job that were not started in time and are not released.
-// It adds all placed tasks that wait to be started to idleSince.
-func (f *Frontend) lateTasks(j *jobstore.ReservedJob, o *observation, idleSince map[string]time.Time, now time.Time) []int {
+// It adds all placed tasks that wait to be started to unstartedSince.
+func (f *Frontend) lateTasks(j *jobstore.ReservedJob, o *observation, unstartedSince map[string]time.Time, now time.Time) []int {
 	launched := j.Record.Reservation.LaunchRanges.BitSet(j.Record.Job.Tasks)
 	released := j.Record.Reservation.ReleaseRanges.BitSet(j.Record.Job.Tasks)
 	var late []int
@@ -174,11 +174,11 @@
 			continue
 		}
 		name := nwire.TaskName(j.ID, task)
-		since, ok := o.idleSince[name]
+		since, ok := o.unstartedSince[name]
 		if !ok {
 			since = now
 		}
-		idleSince[name] = since
+		unstartedSince[name] = since
 		if now.Sub(since) > seconds(f.settings.StartTimeoutS) {
 			late = append(late, task)
 		}
--- a/yarn/leader_test.go
+++ b/yarn/leader_test.go
@@ -17,9 +17,9 @@
 	j := &jobstore.ReservedJob{ID: "ya-1-1", Placements: map[int]jobstore.Placement{0: {}, 1: {}, 2: {}},
 		Record: jobstore.JobRecord{Job: wire.Job{Tasks: 3}, Reservation: &jobstore.Reservation{}}}
 	now := time.Now()
-	o := &observation{idleSince: map[string]time.Time{}}
+	o := &observation{unstartedSince: map[string]time.Time{}}
 	for task := range 3 {
-		o.idleSince[wire.TaskName(j.ID, task)] = now.Add(-time.Minute)
+		o.unstartedSince[wire.TaskName(j.ID, task)] = now.Add(-time.Minute)
 	}
 	late := func() []int {
 		tasks := f.lateTasks(j, o, map[string]time.Time{}, now)
--- a/yarn/rest_applications.go
+++ b/yarn/rest_applications.go
@@ -22,7 +22,7 @@
 func applicationObject(a *pb.ApplicationReportProto) jsonObject {
 	usage := a.GetAppResource_Usage()
 	return jsonObject{
-		"id":                   nameOf(a.GetApplicationId()),
+		"id":                   applicationNameOf(a.GetApplicationId()),
 		"user":                 a.GetUser(),
 		"name":                 a.GetName(),
 		"queue":                a.GetQueue(),
@@ -190,7 +190,7 @@
 	}
 	maximum := out.GetMaximumCapability()
 	return jsonObject{
-		"application-id":              nameOf(out.GetApplicationId()),
+		"application-id":              applicationNameOf(out.GetApplicationId()),
 		"maximum-resource-capability": jsonObject{"memory": maximum.GetMemory(), "vCores": maximum.GetVirtualCores()},
 	}, nil
 }
--- a/yarn/settings.go
+++ b/yarn/settings.go
@@ -22,24 +22,24 @@
 // Settings are the settings of the YARN front end, read from a TOML file. Fields ending in S are in
 // seconds.
 type Settings struct {
-	Listen           string     `toml:"listen"`     // address of the RPC server
-	Advertise        string     `toml:"advertise"`  // address at which clients reach Listen; empty: Listen
-	REST             string     `toml:"rest"`       // address of the REST interface; empty: none
-	Networks         []string   `toml:"networks"`   // address prefixes from which clients may connect; empty: all
-	MasterTimeoutS   float64    `toml:"master_s"`   // time without a heartbeat of the master until its application fails
-	StartTimeoutS    float64    `toml:"start_s"`    // time from the allocation of a container until it must be started
-	KeyRollIntervalS float64    `toml:"key_roll_s"` // interval between rotations of the signing key
-	MaxApps          int        `toml:"max_apps"`   // maximum number of unfinished applications
-	MaxConns         int        `toml:"max_connections"`
-	MaxCalls         int        `toml:"max_calls"` // maximum number of concurrent calls
-	Image            string     `toml:"image"`     // image that a machine needs to run containers
-	ImageGB          float64    `toml:"image_gb"`
-	EstimateS        float64    `toml:"estimate_s"` // expected run time of a container
-	PreemptGraceS    float64    `toml:"grace_s"`    // time from a preemption message to the end of the container
-	Queues           []Queue    `toml:"queues"`
-	Priorities       []Priority `toml:"priorities"`
-	Labels           []Label    `toml:"labels"`
-	Resources        []Resource `toml:"resources"`
+	Listen               string     `toml:"listen"`     // address of the RPC server
+	Advertise            string     `toml:"advertise"`  // address at which clients reach Listen; empty: Listen
+	REST                 string     `toml:"rest"`       // address of the REST interface; empty: none
+	Networks             []string   `toml:"networks"`   // address prefixes from which clients may connect; empty: all
+	MasterTimeoutS       float64    `toml:"master_s"`   // time without a heartbeat of the master until its application fails
+	StartTimeoutS        float64    `toml:"start_s"`    // time from the allocation of a container until it must be started
+	KeyRotationIntervalS float64    `toml:"key_roll_s"` // interval between rotations of the signing key
+	MaxApps              int        `toml:"max_apps"`   // maximum number of unfinished applications
+	MaxConns             int        `toml:"max_connections"`
+	MaxCalls             int        `toml:"max_calls"` // maximum number of concurrent calls
+	Image                string     `toml:"image"`     // image that a machine needs to run containers
+	ImageGB              float64    `toml:"image_gb"`
+	EstimateS            float64    `toml:"estimate_s"` // expected run time of a container
+	PreemptGraceS        float64    `toml:"grace_s"`    // time from a preemption message to the end of the container
+	Queues               []Queue    `toml:"queues"`
+	Priorities           []Priority `toml:"priorities"`
+	Labels               []Label    `toml:"labels"`
+	Resources            []Resource `toml:"resources"`
 
 	prefixes *bart.Lite // parsed Networks
 }
@@ -74,17 +74,17 @@
 // DefaultSettings returns the settings with the default values of optional fields.
 func DefaultSettings() Settings {
 	return Settings{
-		MasterTimeoutS:   600,
-		StartTimeoutS:    600,
-		KeyRollIntervalS: 86400,
-		MaxApps:          1000,
-		MaxConns:         256,
-		MaxCalls:         128,
-		Image:            "yarn",
-		EstimateS:        600,
-		PreemptGraceS:    5,
-		Priorities:       []Priority{{AtLeast: 0, Native: wire.PriorityNormal}},
-		Resources:        []Resource{{Name: "yarn.io/gpu", GPUs: 1}},
+		MasterTimeoutS:       600,
+		StartTimeoutS:        600,
+		KeyRotationIntervalS: 86400,
+		MaxApps:              1000,
+		MaxConns:             256,
+		MaxCalls:             128,
+		Image:                "yarn",
+		EstimateS:            600,
+		PreemptGraceS:        5,
+		Priorities:           []Priority{{AtLeast: 0, Native: wire.PriorityNormal}},
+		Resources:            []Resource{{Name: "yarn.io/gpu", GPUs: 1}},
 	}
 }
 
--- a/yarn/settings_check.go
+++ b/yarn/settings_check.go
@@ -61,7 +61,7 @@
 	}{
 		{"master_s", c.settings.MasterTimeoutS},
 		{"start_s", c.settings.StartTimeoutS},
-		{"key_roll_s", c.settings.KeyRollIntervalS},
+		{"key_roll_s", c.settings.KeyRotationIntervalS},
 		{"estimate_s", c.settings.EstimateS},
 	} {
 		if !(span.value > 0) {
