--- a/yarn/client/application_master.go
+++ b/yarn/client/application_master.go
@@ -83,8 +83,8 @@
 // NewApplicationMaster returns a master that authenticates itself with a token.
 func NewApplicationMaster(cfg Config, token *pb.TokenProto) *ApplicationMaster {
 	return &ApplicationMaster{
-		resourceManager: newFailoverConn(cfg, ProtoMaster, token),
-		nodeManager:     newFailoverConn(cfg, ProtoManager, nil),
+		resourceManager: newFailoverConn(cfg, ProtoApplicationMaster, token),
+		nodeManager:     newFailoverConn(cfg, ProtoContainerManagement, nil),
 		pending:         map[ContainerRequest]int{},
 		unsent:          map[ContainerRequest]bool{},
 		containers:      map[int64]*pb.ContainerProto{},
--- a/yarn/client/client.go
+++ b/yarn/client/client.go
@@ -14,9 +14,9 @@
 
 // Names of the protocols in Hadoop RPC.
 const (
-	ProtoClient  = "org.apache.hadoop.yarn.api.ApplicationClientProtocolPB"
-	ProtoMaster  = "org.apache.hadoop.yarn.api.ApplicationMasterProtocolPB"
-	ProtoManager = "org.apache.hadoop.yarn.api.ContainerManagementProtocolPB"
+	ProtoApplicationClient   = "org.apache.hadoop.yarn.api.ApplicationClientProtocolPB"
+	ProtoApplicationMaster   = "org.apache.hadoop.yarn.api.ApplicationMasterProtocolPB"
+	ProtoContainerManagement = "org.apache.hadoop.yarn.api.ContainerManagementProtocolPB"
 )
 
 // Client submits, inspects and kills applications. It is safe for concurrent use. Each method retries
@@ -24,7 +24,7 @@
 type Client struct{ conn *failoverConn }
 
 // New returns a client. The first call opens a connection.
-func New(cfg Config) *Client { return &Client{newFailoverConn(cfg, ProtoClient, nil)} }
+func New(cfg Config) *Client { return &Client{newFailoverConn(cfg, ProtoApplicationClient, nil)} }
 
 // Close closes the client's connection.
 func (c *Client) Close() { c.conn.close() }
--- a/yarn/frontend.go
+++ b/yarn/frontend.go
@@ -102,16 +102,16 @@
 
 // Names of the protocols in Hadoop RPC.
 const (
-	protoClient  = "org.apache.hadoop.yarn.api.ApplicationClientProtocolPB"
-	protoMaster  = "org.apache.hadoop.yarn.api.ApplicationMasterProtocolPB"
-	protoManager = "org.apache.hadoop.yarn.api.ContainerManagementProtocolPB"
+	protoApplicationClient   = "org.apache.hadoop.yarn.api.ApplicationClientProtocolPB"
+	protoApplicationMaster   = "org.apache.hadoop.yarn.api.ApplicationMasterProtocolPB"
+	protoContainerManagement = "org.apache.hadoop.yarn.api.ContainerManagementProtocolPB"
 )
 
 // Server returns a new RPC server for the three protocols of the front end.
 func (f *Frontend) Server() *wire.Server {
 	return &wire.Server{
 		Protocols: map[string]wire.Protocol{
-			protoClient: {Methods: map[string]wire.Method{
+			protoApplicationClient: {Methods: map[string]wire.Method{
 				"getNewApplication":           wire.Handle(f.getNewApplication),
 				"submitApplication":           wire.Handle(f.submitApplication),
 				"forceKillApplication":        wire.Handle(f.forceKillApplication),
@@ -122,12 +122,12 @@
 				"getQueueInfo":                wire.Handle(f.getQueueInfo),
 				"moveApplicationAcrossQueues": wire.Handle(f.moveApplicationAcrossQueues),
 			}},
-			protoMaster: {NeedToken: true, Methods: map[string]wire.Method{
+			protoApplicationMaster: {NeedToken: true, Methods: map[string]wire.Method{
 				"registerApplicationMaster": wire.Handle(f.registerApplicationMaster),
 				"allocate":                  wire.Handle(f.allocate),
 				"finishApplicationMaster":   wire.Handle(f.finishApplicationMaster),
 			}},
-			protoManager: {NeedToken: true, Methods: map[string]wire.Method{
+			protoContainerManagement: {NeedToken: true, Methods: map[string]wire.Method{
 				"startContainers":      wire.Handle(f.startContainers),
 				"stopContainers":       wire.Handle(f.stopContainers),
 				"getContainerStatuses": wire.Handle(f.getContainerStatuses),
--- a/yarn/heartbeat_test.go
+++ b/yarn/heartbeat_test.go
@@ -25,7 +25,7 @@
 		cfg := user.cfg
 		cfg.Addrs = cfg.Addrs[:1]
 		raw := func() *ywire.Conn {
-			c, err := ywire.Dial(t.Context(), cfg.Dial, cfg.Addrs[0], client.ProtoMaster, "ann", r.GetAmRmToken())
+			c, err := ywire.Dial(t.Context(), cfg.Dial, cfg.Addrs[0], client.ProtoApplicationMaster, "ann", r.GetAmRmToken())
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/yarn/wire/client.go
+++ b/yarn/wire/client.go
@@ -129,7 +129,7 @@
 		if auth.GetMethod() != saslMethodToken {
 			continue
 		}
-		response, expected, err := respond(auth.GetChallenge(), token.GetIdentifier(), token.GetPassword())
+		response, expected, err := answerChallenge(auth.GetChallenge(), token.GetIdentifier(), token.GetPassword())
 		if err != nil {
 			return err
 		}
--- a/yarn/wire/sasl.go
+++ b/yarn/wire/sasl.go
@@ -120,9 +120,9 @@
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
 }
 
-// respond returns the client's digest-response to a challenge, and the proof that the server's
+// answerChallenge returns the client's digest-response to a challenge, and the proof that the server's
 // answer must contain.
-func respond(challenge, identifier, password []byte) (response []byte, expected string, err error) {
+func answerChallenge(challenge, identifier, password []byte) (response []byte, expected string, err error) {
 	directives, err := parseDirectives(challenge)
 	if err != nil {
 		return nil, "", err
@@ -148,14 +148,14 @@
 	return []byte(out), d.serverProof(), nil
 }
 
-// passwordOf returns the password of a token. An *Error means that the token is not valid. With any
+// passwordLookup returns the password of a token. An *Error means that the token is not valid. With any
 // other error it is unknown whether the token is valid.
-type passwordOf func(identifier []byte) ([]byte, error)
+type passwordLookup func(identifier []byte) ([]byte, error)
 
-// verify checks a client's digest-response to the challenge with the given nonce. It returns the
+// verifyResponse checks a client's digest-response to the challenge with the given nonce. It returns the
 // token's identifier and the server's proof. It fails with ErrAuth if the response is not valid, and
 // with another error if the lookup of the password fails.
-func verify(response []byte, nonce string, password passwordOf) (identifier, proof []byte, err error) {
+func verifyResponse(response []byte, nonce string, password passwordLookup) (identifier, proof []byte, err error) {
 	directives, err := parseDirectives(response)
 	if err != nil {
 		return nil, nil, err
@@ -164,7 +164,7 @@
 	if err != nil || len(identifier) == 0 {
 		return nil, nil, fmt.Errorf("%w: no token", ErrAuth)
 	}
-	if !answersChallenge(directives, nonce) {
+	if !matchesChallenge(directives, nonce) {
 		return nil, nil, fmt.Errorf("%w: the response is to another challenge", ErrAuth)
 	}
 	secret, err := password(identifier)
@@ -190,8 +190,8 @@
 	return identifier, []byte(d.serverProof()), nil
 }
 
-// answersChallenge reports whether a response belongs to the challenge with this nonce.
-func answersChallenge(directives map[string]string, nonce string) bool {
+// matchesChallenge reports whether a response belongs to the challenge with this nonce.
+func matchesChallenge(directives map[string]string, nonce string) bool {
 	return directives["nonce"] == nonce && directives["realm"] == saslRealm && directives["qop"] == "auth" &&
 		directives["nc"] == saslNonceCount && directives["digest-uri"] == saslURI && directives["cnonce"] != ""
 }
--- a/yarn/wire/server_sasl.go
+++ b/yarn/wire/server_sasl.go
@@ -63,7 +63,7 @@
 
 // authenticateToken verifies the client's response to the challenge and sends the server's proof.
 func (c *serverConn) authenticateToken(ctx context.Context, nonce string, response []byte) error {
-	identifier, proof, err := verify(response, nonce, func(identifier []byte) ([]byte, error) {
+	identifier, proof, err := verifyResponse(response, nonce, func(identifier []byte) ([]byte, error) {
 		return c.password(ctx, identifier)
 	})
 	if errors.Is(err, ErrAuth) {
--- a/yarn/wire/wire_test.go
+++ b/yarn/wire/wire_test.go
@@ -293,6 +293,6 @@
 		if d, err := parseDirectives(b); err == nil && len(d) > len(b) {
 			t.Fatal("more directives than bytes")
 		}
-		_, _, _ = verify(b, "n", func([]byte) ([]byte, error) { return nil, fmt.Errorf("none") })
+		_, _, _ = verifyResponse(b, "n", func([]byte) ([]byte, error) { return nil, fmt.Errorf("none") })
 	})
 }
