--- a/yarn/allocation.go
+++ b/yarn/allocation.go
@@ -17,14 +17,14 @@
 // to the master. It marks them as reported only when the response is complete. If it marked them
 // earlier, an error would leave them unreported forever.
 func (f *Frontend) allocateResponse(ctx context.Context, snap *snapshot, s *session) (*pb.AllocateResponseProto, error) {
-	k, err := f.cachedKeyring(ctx)
+	ring, err := f.cachedKeyring(ctx)
 	if err != nil {
 		return nil, err
 	}
 	a := allocation{
 		frontend: f,
 		app:      snap.app,
-		keyring:  &k,
+		keyring:  &ring,
 		reported: s.reported.clone(),
 		nodes:    map[string]bool{},
 		out:      &pb.AllocateResponseProto{Limit: f.maximumCapability(), NumClusterNodes: proto.Int32(0)},
--- a/yarn/application_store.go
+++ b/yarn/application_store.go
@@ -63,12 +63,12 @@
 }
 
 // writeApplication replaces an application's record. It fails with a kvstore.ConflictError if
-// the record has changed since s was read.
-func (f *Frontend) writeApplication(ctx context.Context, s *snapshot) error {
+// the record has changed since snap was read.
+func (f *Frontend) writeApplication(ctx context.Context, snap *snapshot) error {
 	version, err := f.store.CompareAndSwap(ctx,
-		[]nwire.Guard{{Key: s.record.Key, Version: s.record.Version}}, []nwire.Op{{Put: s.record.Key, Value: *s.app}})
+		[]nwire.Guard{{Key: snap.record.Key, Version: snap.record.Version}}, []nwire.Op{{Put: snap.record.Key, Value: *snap.app}})
 	if err == nil {
-		s.record.Version = version
+		snap.record.Version = version
 	}
 	return err
 }
@@ -76,22 +76,22 @@
 // endApplication commits the EndState of an application together with the changes that change
 // makes. It does nothing if the application has ended already. Then it tries to finalize the
 // application. A failure to finalize is not an error, since the leader finalizes it later.
-func (f *Frontend) endApplication(ctx context.Context, id *pb.ApplicationIdProto, state applicationState, change func(a *application)) error {
-	var s *snapshot
+func (f *Frontend) endApplication(ctx context.Context, id *pb.ApplicationIdProto, state applicationState, change func(app *application)) error {
+	var snap *snapshot
 	err := retry(ctx, func() error {
 		var err error
-		if s, err = f.readApplication(ctx, id); err != nil || s.ended() {
+		if snap, err = f.readApplication(ctx, id); err != nil || snap.ended() {
 			return err
 		}
-		s.app.EndState, s.app.FinishedMs = state, time.Now().UnixMilli()
-		change(s.app)
-		return f.writeApplication(ctx, s)
+		snap.app.EndState, snap.app.FinishedMs = state, time.Now().UnixMilli()
+		change(snap.app)
+		return f.writeApplication(ctx, snap)
 	})
 	if err != nil {
 		return err
 	}
 	if err := f.finalize(ctx, id); err != nil {
-		f.log.Debug("yarn: application not finalized yet", "app", s.app.name(), "err", err)
+		f.log.Debug("yarn: application not finalized yet", "app", snap.app.name(), "err", err)
 	}
 	return nil
 }
@@ -101,23 +101,23 @@
 // jobstore.AppPrefix, the leader finds it and repeats an interrupted finalize. finalize is
 // idempotent, and any controller may call it.
 func (f *Frontend) finalize(ctx context.Context, id *pb.ApplicationIdProto) error {
-	s, err := f.readApplication(ctx, id)
-	if err != nil || s.final || s.app.EndState == "" {
+	snap, err := f.readApplication(ctx, id)
+	if err != nil || snap.final || snap.app.EndState == "" {
 		return err
 	}
-	if err := f.cancelJobs(ctx, s.jobs); err != nil {
+	if err := f.cancelJobs(ctx, snap.jobs); err != nil {
 		return err
 	}
-	// s.jobs includes all unfinished jobs. A reservation fails if the application's record has
+	// snap.jobs includes all unfinished jobs. A reservation fails if the application's record has
 	// changed, so no job is reserved after EndState is set. No launch context is written later
 	// either, since each write requires that its job is unfinished.
-	app := s.app
+	app := snap.app
 	if err := f.deleteContexts(ctx, app); err != nil {
 		return err
 	}
 	app.State = app.EndState
-	_, err = f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: s.record.Key, Version: s.record.Version}},
-		[]nwire.Op{{Delete: s.record.Key}, {Put: finalPrefix + app.name(), Value: *app}})
+	_, err = f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: snap.record.Key, Version: snap.record.Version}},
+		[]nwire.Op{{Delete: snap.record.Key}, {Put: finalPrefix + app.name(), Value: *app}})
 	if err != nil {
 		return err
 	}
@@ -138,8 +138,8 @@
 }
 
 // deleteContexts deletes the launch contexts of an application. All its jobs must have finished.
-func (f *Frontend) deleteContexts(ctx context.Context, a *application) error {
-	entries, _, err := f.store.List(ctx, contextPrefix+a.name()+"/")
+func (f *Frontend) deleteContexts(ctx context.Context, app *application) error {
+	entries, _, err := f.store.List(ctx, contextPrefix+app.name()+"/")
 	if err != nil {
 		return err
 	}
@@ -165,21 +165,21 @@
 
 // nativeJob returns the native job that runs containers of one kind, one container per task. It
 // fails if the queue or the node label is unknown.
-func (f *Frontend) nativeJob(a *application, r *containerRequest, tasks int) (nwire.Job, error) {
-	queue, ok := f.settings.queue(a.Queue)
+func (f *Frontend) nativeJob(app *application, r *containerRequest, tasks int) (nwire.Job, error) {
+	queue, ok := f.settings.queue(app.Queue)
 	if !ok {
-		return nwire.Job{}, wire.Errorf(wire.ClassYarn, "there is no queue %q", a.Queue)
+		return nwire.Job{}, wire.Errorf(wire.ClassYarn, "there is no queue %q", app.Queue)
 	}
 	label, ok := f.settings.label(r.NodeLabel)
 	if !ok {
 		return nwire.Job{}, wire.Errorf(wire.ClassBadRequest, "Invalid resource request, node label %q is not known", r.NodeLabel)
 	}
 	j := nwire.Job{
-		ID:        jobID(a.ID, a.NextJobSeq),
+		ID:        jobID(app.ID, app.NextJobSeq),
 		Class:     queue.Class,
 		Team:      queue.Team,
 		Kind:      nwire.KindArray,
-		Priority:  f.settings.nativePriority(int(a.Priority)),
+		Priority:  f.settings.nativePriority(int(app.Priority)),
 		Tasks:     tasks,
 		CPUs:      float64(r.VCores),
 		GPUs:      float64(r.GPUs),
@@ -203,8 +203,8 @@
 }
 
 // feasibleJob returns the native job for a request. It fails if the job can never run.
-func (f *Frontend) feasibleJob(a *application, r *containerRequest, tasks int) (nwire.Job, error) {
-	j, err := f.nativeJob(a, r, tasks)
+func (f *Frontend) feasibleJob(app *application, r *containerRequest, tasks int) (nwire.Job, error) {
+	j, err := f.nativeJob(app, r, tasks)
 	if err != nil {
 		return nwire.Job{}, err
 	}
@@ -225,21 +225,21 @@
 
 // reserve commits a new job of an application and returns its id. The same transaction writes the
 // record of the application with the next NextJobSeq. It fails with a kvstore.ConflictError if
-// the record has changed since s was read.
-func (f *Frontend) reserve(ctx context.Context, s *snapshot, r *containerRequest, tasks int, reservation jobstore.Reservation) (string, error) {
-	j, err := f.feasibleJob(s.app, r, tasks)
+// the record has changed since snap was read.
+func (f *Frontend) reserve(ctx context.Context, snap *snapshot, r *containerRequest, tasks int, reservation jobstore.Reservation) (string, error) {
+	j, err := f.feasibleJob(snap.app, r, tasks)
 	if err != nil {
 		return "", err
 	}
-	reservation.Owner, reservation.OnlyMachines = s.app.key(), append(reservation.OnlyMachines, r.OnlyMachines...)
-	s.app.NextJobSeq++
-	version, known, err := f.jobs.Reserve(ctx, j, time.Now().UnixMilli(), reservation, s.record, *s.app)
+	reservation.Owner, reservation.OnlyMachines = snap.app.key(), append(reservation.OnlyMachines, r.OnlyMachines...)
+	snap.app.NextJobSeq++
+	version, known, err := f.jobs.Reserve(ctx, j, time.Now().UnixMilli(), reservation, snap.record, *snap.app)
 	if err != nil {
 		return "", err
 	}
 	if known {
 		return "", fmt.Errorf("yarn: job %s exists already", j.ID)
 	}
-	s.record.Version = version
+	snap.record.Version = version
 	return j.ID, nil
 }
--- a/yarn/client_protocol.go
+++ b/yarn/client_protocol.go
@@ -55,11 +55,11 @@
 // isSubmitted reports whether an application was submitted already. It fails if getNewApplication
 // did not issue the id.
 func (f *Frontend) isSubmitted(ctx context.Context, id *pb.ApplicationIdProto) (bool, error) {
-	k, _, err := f.readKeyring(ctx)
+	ring, _, err := f.readKeyring(ctx)
 	if err != nil {
 		return false, err
 	}
-	if id.GetClusterTimestamp() != k.ClusterTimestamp || id.GetId() < 1 || id.GetId() >= k.NextID {
+	if id.GetClusterTimestamp() != ring.ClusterTimestamp || id.GetId() < 1 || id.GetId() >= ring.NextID {
 		return false, wire.Errorf(wire.ClassYarn, "application id %s was not given out here", applicationNameOf(id))
 	}
 	_, err = f.readApplication(ctx, id)
@@ -155,8 +155,8 @@
 	if diagnostics == "" {
 		diagnostics = "killed by its user"
 	}
-	err := f.endApplication(ctx, in.GetApplicationId(), stateKilled, func(a *application) {
-		a.Diagnostics, a.FinalStatus = diagnostics, int32(pb.FinalApplicationStatusProto_APP_KILLED)
+	err := f.endApplication(ctx, in.GetApplicationId(), stateKilled, func(app *application) {
+		app.Diagnostics, app.FinalStatus = diagnostics, int32(pb.FinalApplicationStatusProto_APP_KILLED)
 	})
 	if err != nil {
 		return nil, err
--- a/yarn/container_protocol.go
+++ b/yarn/container_protocol.go
@@ -37,11 +37,11 @@
 // of their jobs as to be launched. The leader launches them with its next answer to the heartbeat
 // of the worker.
 func (f *Frontend) startContainers(ctx context.Context, c *wire.Caller, in *pb.StartContainersRequestProto) (*pb.StartContainersResponseProto, error) {
-	s, err := f.callerApplication(ctx, c, nodeToken)
+	snap, err := f.callerApplication(ctx, c, nodeToken)
 	if err != nil {
 		return nil, err
 	}
-	k, err := f.cachedKeyring(ctx)
+	ring, err := f.cachedKeyring(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -49,7 +49,7 @@
 	byJob := map[string][]containerStart{}
 	var jobs []string
 	for _, request := range in.GetStartContainerRequest() {
-		start, err := f.checkStart(s.app, &k, request)
+		start, err := f.checkStart(snap.app, &ring, request)
 		if err != nil {
 			out.FailedRequests = append(out.FailedRequests, containerFailure(start.id, err))
 			continue
@@ -61,7 +61,7 @@
 	}
 	for _, job := range jobs {
 		for _, starts := range f.splitByTransaction(byJob[job]) {
-			f.startJobContainers(ctx, s.app, job, starts, out)
+			f.startJobContainers(ctx, snap.app, job, starts, out)
 		}
 	}
 	return out, nil
@@ -85,28 +85,28 @@
 
 // checkStart checks the token of a container and returns what to start. If the token names a
 // container, the result has its id even with an error.
-func (f *Frontend) checkStart(a *application, k *keyring, request *pb.StartContainerRequestProto) (containerStart, error) {
+func (f *Frontend) checkStart(app *application, ring *keyring, request *pb.StartContainerRequestProto) (containerStart, error) {
 	t, err := parseToken(request.GetContainerToken().GetIdentifier())
 	if err != nil {
 		return containerStart{}, wire.Errorf(wire.ClassInvalidToken, "%v", err)
 	}
 	seq, task := splitContainerNumber(t.container)
-	start := containerStart{id: a.containerID(seq, task), job: jobID(a.ID, seq), task: task}
-	password, err := k.sign(t.key, t.String())
-	if err != nil || t.kind != containerToken || t.application != a.ID || t.clusterTimestamp != a.ClusterTimestamp || t.attempt != a.Attempt ||
+	start := containerStart{id: app.containerID(seq, task), job: jobID(app.ID, seq), task: task}
+	password, err := ring.sign(t.key, t.String())
+	if err != nil || t.kind != containerToken || t.application != app.ID || t.clusterTimestamp != app.ClusterTimestamp || t.attempt != app.Attempt ||
 		!bytes.Equal(password, request.GetContainerToken().GetPassword()) {
 		return start, wire.Errorf(wire.ClassInvalidToken, "the container's token is not valid")
 	}
-	start.contextOp, err = f.contextOp(a.contextKey(start.job, task), request.GetContainerLaunchContext())
+	start.contextOp, err = f.contextOp(app.contextKey(start.job, task), request.GetContainerLaunchContext())
 	return start, err
 }
 
 // startJobContainers starts containers of one job in one transaction. It adds the result for each
 // container to the answer.
-func (f *Frontend) startJobContainers(ctx context.Context, a *application, job string, starts []containerStart, out *pb.StartContainersResponseProto) {
+func (f *Frontend) startJobContainers(ctx context.Context, app *application, job string, starts []containerStart, out *pb.StartContainersResponseProto) {
 	var started []containerStart
 	err := retry(ctx, func() (err error) {
-		started, err = f.markLaunched(ctx, a, job, starts)
+		started, err = f.markLaunched(ctx, app, job, starts)
 		return err
 	})
 	for _, start := range starts {
@@ -125,8 +125,8 @@
 // markLaunched commits that tasks of a job may be launched, together with their launch contexts.
 // It skips tasks that are not placed on a machine or were released. It returns the starts of the
 // other tasks.
-func (f *Frontend) markLaunched(ctx context.Context, a *application, job string, starts []containerStart) ([]containerStart, error) {
-	_, jobs, err := f.jobs.OwnedJobs(ctx, a.key())
+func (f *Frontend) markLaunched(ctx context.Context, app *application, job string, starts []containerStart) ([]containerStart, error) {
+	_, jobs, err := f.jobs.OwnedJobs(ctx, app.key())
 	if err != nil {
 		return nil, err
 	}
@@ -150,7 +150,7 @@
 	if len(fresh) == 0 {
 		return placed, nil
 	}
-	ops, refs := a.shareContexts(fresh, slices.Clone(j.Record.Reservation.SharedKeys), tasks)
+	ops, refs := app.shareContexts(fresh, slices.Clone(j.Record.Reservation.SharedKeys), tasks)
 	return placed, f.jobs.UpdateReservation(ctx, j, func(r *jobstore.Reservation) {
 		r.LaunchRanges, r.SharedKeys = jobstore.RangesOf(launched), refs
 	}, ops...)
@@ -166,13 +166,13 @@
 }
 
 func (f *Frontend) stopContainers(ctx context.Context, c *wire.Caller, in *pb.StopContainersRequestProto) (*pb.StopContainersResponseProto, error) {
-	s, err := f.callerApplication(ctx, c, nodeToken)
+	snap, err := f.callerApplication(ctx, c, nodeToken)
 	if err != nil {
 		return nil, err
 	}
 	out := &pb.StopContainersResponseProto{}
 	for _, id := range in.GetContainerId() {
-		if err := f.releaseContainers(ctx, s, []*pb.ContainerIdProto{id}); err != nil {
+		if err := f.releaseContainers(ctx, snap, []*pb.ContainerIdProto{id}); err != nil {
 			out.FailedRequests = append(out.FailedRequests, containerFailure(id, err))
 			continue
 		}
@@ -182,14 +182,14 @@
 }
 
 func (f *Frontend) getContainerStatuses(ctx context.Context, c *wire.Caller, in *pb.GetContainerStatusesRequestProto) (*pb.GetContainerStatusesResponseProto, error) {
-	s, err := f.callerApplication(ctx, c, nodeToken)
+	snap, err := f.callerApplication(ctx, c, nodeToken)
 	if err != nil {
 		return nil, err
 	}
 	out := &pb.GetContainerStatusesResponseProto{}
 	for _, id := range in.GetContainerId() {
 		seq, task := splitContainerNumber(id.GetId())
-		status, err := f.containerStatus(ctx, s, jobID(s.app.ID, seq), task)
+		status, err := f.containerStatus(ctx, snap, jobID(snap.app.ID, seq), task)
 		if err != nil {
 			out.FailedRequests = append(out.FailedRequests, containerFailure(id, err))
 			continue
@@ -205,8 +205,8 @@
 
 // containerStatus returns the status of a task as a container, also if the task or the job has
 // ended. It fails with errNoSuchContainer if the task was never placed.
-func (f *Frontend) containerStatus(ctx context.Context, s *snapshot, job string, task int) (*pb.ContainerStatusProto, error) {
-	j := findJob(s.jobs, job)
+func (f *Frontend) containerStatus(ctx context.Context, snap *snapshot, job string, task int) (*pb.ContainerStatusProto, error) {
+	j := findJob(snap.jobs, job)
 	if j == nil {
 		finished, found, err := f.jobs.FinishedReservation(ctx, job)
 		if err != nil {
--- a/yarn/keyring_store.go
+++ b/yarn/keyring_store.go
@@ -47,24 +47,24 @@
 		if err != nil {
 			return keyring{}, 0, err
 		}
-		if k, ok := f.decodeKeyring(e.Value, e.Version); ok {
-			return k, e.Version, nil
+		if ring, ok := f.decodeKeyring(e.Value, e.Version); ok {
+			return ring, e.Version, nil
 		}
-		k := keyring{ClusterTimestamp: time.Now().UnixMilli(), NextID: 1}
+		ring := keyring{ClusterTimestamp: time.Now().UnixMilli(), NextID: 1}
 		if e.Version != 0 {
-			if k, err = f.repairedKeyring(ctx, e.Version); err != nil {
+			if ring, err = f.repairedKeyring(ctx, e.Version); err != nil {
 				return keyring{}, 0, err
 			}
-			f.log.Error("yarn: unreadable keyring replaced", "key", keysKey, "version", e.Version, "remembered", len(k.Keys) > 0)
+			f.log.Error("yarn: unreadable keyring replaced", "key", keysKey, "version", e.Version, "remembered", len(ring.Keys) > 0)
 		}
-		if len(k.Keys) == 0 {
+		if len(ring.Keys) == 0 {
 			first, err := newSigningKey(1)
 			if err != nil {
 				return keyring{}, 0, err
 			}
-			k.Keys = []signingKey{first}
+			ring.Keys = []signingKey{first}
 		}
-		if err := f.writeKeyring(ctx, k, e.Version); err != nil && !isConflictOrUnknownOutcome(err) {
+		if err := f.writeKeyring(ctx, ring, e.Version); err != nil && !isConflictOrUnknownOutcome(err) {
 			return keyring{}, 0, err
 		}
 	}
@@ -73,23 +73,23 @@
 
 // writeKeyring replaces the given version of the keyring. It fails with a kvstore.ConflictError if
 // the record has changed.
-func (f *Frontend) writeKeyring(ctx context.Context, k keyring, version uint64) error {
-	_, err := f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
+func (f *Frontend) writeKeyring(ctx context.Context, ring keyring, version uint64) error {
+	_, err := f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: ring}})
 	return err
 }
 
 // decodeKeyring decodes the keyring and copies it to the cache. It returns false if there is no
 // record or it is invalid.
-func (f *Frontend) decodeKeyring(raw nwire.Raw, version uint64) (k keyring, ok bool) {
-	if version == 0 || nwire.Unmarshal(raw, &k) != nil || k.ClusterTimestamp == 0 || len(k.Keys) == 0 {
+func (f *Frontend) decodeKeyring(raw nwire.Raw, version uint64) (ring keyring, ok bool) {
+	if version == 0 || nwire.Unmarshal(raw, &ring) != nil || ring.ClusterTimestamp == 0 || len(ring.Keys) == 0 {
 		return keyring{}, false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if version >= f.keyring.lastVersion {
-		f.keyring.last, f.keyring.lastVersion = k, version
+		f.keyring.last, f.keyring.lastVersion = ring, version
 	}
-	return k, true
+	return ring, true
 }
 
 // repairedKeyring returns the replacement of an unreadable keyring. If this controller has a copy of
@@ -98,8 +98,8 @@
 // whose ids are beyond those of all known applications. With a new keyring, the tokens of all
 // masters are refused, and their applications have to be submitted again.
 func (f *Frontend) repairedKeyring(ctx context.Context, version uint64) (keyring, error) {
-	if k, remembered, wait := f.rememberedKeyring(version); remembered {
-		return k, nil
+	if ring, remembered, wait := f.rememberedKeyring(version); remembered {
+		return ring, nil
 	} else if wait {
 		return keyring{}, errRecordChanged
 	}
@@ -107,21 +107,21 @@
 	if err != nil {
 		return keyring{}, err
 	}
-	k := keyring{ClusterTimestamp: time.Now().UnixMilli()}
+	ring := keyring{ClusterTimestamp: time.Now().UnixMilli()}
 	for _, value := range values {
 		var app application
 		if nwire.Unmarshal(value, &app) == nil && app.ClusterTimestamp != 0 && app.ID > 0 {
-			k.ClusterTimestamp, k.NextID = app.ClusterTimestamp, max(k.NextID, app.ID)
+			ring.ClusterTimestamp, ring.NextID = app.ClusterTimestamp, max(ring.NextID, app.ID)
 		}
 	}
-	k.NextID += repairedIDOffset
-	return k, nil
+	ring.NextID += repairedIDOffset
+	return ring, nil
 }
 
 // rememberedKeyring returns this controller's copy of the keyring if it has the unreadable version.
 // Otherwise, wait reports whether to wait for a repair by another controller: keyringRepairDelay
 // has not passed yet.
-func (f *Frontend) rememberedKeyring(version uint64) (k keyring, remembered, wait bool) {
+func (f *Frontend) rememberedKeyring(version uint64) (ring keyring, remembered, wait bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.keyring.lastVersion == version {
@@ -159,11 +159,11 @@
 // native users.
 func (f *Frontend) cachedKeyring(ctx context.Context) (keyring, error) {
 	e := f.jobs.CachedApp(keysKey)
-	if k, ok := f.decodeKeyring(e.Value, e.Version); ok {
-		return k, nil
+	if ring, ok := f.decodeKeyring(e.Value, e.Version); ok {
+		return ring, nil
 	}
-	k, _, err := f.readKeyring(ctx)
-	return k, err
+	ring, _, err := f.readKeyring(ctx)
+	return ring, err
 }
 
 // newApplicationID returns an id that no controller has issued before.
@@ -172,13 +172,13 @@
 		return clusterTimestamp, id, nil
 	}
 	err = retry(ctx, func() error {
-		k, version, err := f.readKeyring(ctx)
+		ring, version, err := f.readKeyring(ctx)
 		if err != nil {
 			return err
 		}
-		id, clusterTimestamp = k.NextID, k.ClusterTimestamp
-		k.NextID += idBlockSize
-		return f.writeKeyring(ctx, k, version)
+		id, clusterTimestamp = ring.NextID, ring.ClusterTimestamp
+		ring.NextID += idBlockSize
+		return f.writeKeyring(ctx, ring, version)
 	})
 	if err != nil {
 		return 0, 0, err
@@ -208,16 +208,16 @@
 // signed with the new key by their heartbeats, long before the older keys are dropped.
 func (f *Frontend) rotateKey(ctx context.Context) error {
 	return retry(ctx, func() error {
-		k, version, err := f.readKeyring(ctx)
+		ring, version, err := f.readKeyring(ctx)
 		if err != nil {
 			return err
 		}
-		key, err := newSigningKey(k.newestID() + 1)
+		key, err := newSigningKey(ring.newestID() + 1)
 		if err != nil {
 			return err
 		}
-		k.Keys = append(k.Keys, key)
-		k.Keys = k.Keys[max(0, len(k.Keys)-maxSigningKeys):]
-		return f.writeKeyring(ctx, k, version)
+		ring.Keys = append(ring.Keys, key)
+		ring.Keys = ring.Keys[max(0, len(ring.Keys)-maxSigningKeys):]
+		return f.writeKeyring(ctx, ring, version)
 	})
 }
--- a/yarn/launch_context.go
+++ b/yarn/launch_context.go
@@ -137,18 +137,18 @@
 	if !ok {
 		return nil, wire.Errorf(wire.ClassNoContainer, "%s is no container", taskName)
 	}
-	k, _, err := f.readKeyring(ctx)
+	ring, _, err := f.readKeyring(ctx)
 	if err != nil {
 		return nil, err
 	}
-	s, err := f.readApplication(ctx, &pb.ApplicationIdProto{Id: &id, ClusterTimestamp: proto.Int64(k.ClusterTimestamp)})
+	snap, err := f.readApplication(ctx, &pb.ApplicationIdProto{Id: &id, ClusterTimestamp: proto.Int64(ring.ClusterTimestamp)})
 	if err != nil {
 		return nil, err
 	}
-	if s.ended() {
-		return nil, wire.Errorf(wire.ClassNoContainer, "%s is over", s.app.name())
+	if snap.ended() {
+		return nil, wire.Errorf(wire.ClassNoContainer, "%s is over", snap.app.name())
 	}
-	e, err := f.store.Get(ctx, s.contextKeyOf(job, task))
+	e, err := f.store.Get(ctx, snap.contextKeyOf(job, task))
 	if err != nil {
 		return nil, err
 	}
@@ -159,8 +159,8 @@
 	if err := nwire.Unmarshal(e.Value, &c); err != nil {
 		return nil, err
 	}
-	if job == s.app.MasterJob {
-		return &c, f.addMasterToken(&c, s.app, &k)
+	if job == snap.app.MasterJob {
+		return &c, f.addMasterToken(&c, snap.app, &ring)
 	}
 	return &c, nil
 }
@@ -180,8 +180,8 @@
 }
 
 // addMasterToken adds the address and the token for the registration to a master's environment.
-func (f *Frontend) addMasterToken(c *LaunchContext, a *application, k *keyring) error {
-	t, err := k.issue(a.token(masterToken), f.settings.Advertise)
+func (f *Frontend) addMasterToken(c *LaunchContext, app *application, ring *keyring) error {
+	t, err := ring.issue(app.token(masterToken), f.settings.Advertise)
 	if err != nil {
 		return err
 	}
--- a/yarn/leader.go
+++ b/yarn/leader.go
@@ -117,29 +117,29 @@
 // maintain does what is due for one application: it finalizes an ending application, ends an
 // application whose master is lost, keeps a managed master running, and releases unstarted
 // containers.
-func (f *Frontend) maintain(ctx context.Context, a *application, o *observation) error {
-	if a.EndState != "" {
-		return f.finalize(ctx, a.protoID())
+func (f *Frontend) maintain(ctx context.Context, app *application, o *observation) error {
+	if app.EndState != "" {
+		return f.finalize(ctx, app.protoID())
 	}
 	if time.Since(o.since) > seconds(f.settings.MasterTimeoutS) {
-		return f.endFailed(ctx, a, fmt.Sprintf("its master was not heard of for %g s", f.settings.MasterTimeoutS))
+		return f.endFailed(ctx, app, fmt.Sprintf("its master was not heard of for %g s", f.settings.MasterTimeoutS))
 	}
-	_, jobs, err := f.jobs.OwnedJobs(ctx, a.key())
+	_, jobs, err := f.jobs.OwnedJobs(ctx, app.key())
 	if err != nil {
 		return err
 	}
-	if !a.Unmanaged {
-		if err := f.keepMasterRunning(ctx, a, jobs); err != nil {
+	if !app.Unmanaged {
+		if err := f.keepMasterRunning(ctx, app, jobs); err != nil {
 			return err
 		}
 	}
-	return f.releaseUnstarted(ctx, a, jobs, o)
+	return f.releaseUnstarted(ctx, app, jobs, o)
 }
 
 // endFailed ends an application in the failed state.
-func (f *Frontend) endFailed(ctx context.Context, a *application, diagnostics string) error {
-	return f.endApplication(ctx, a.protoID(), stateFailed, func(a *application) {
-		a.Diagnostics, a.FinalStatus = diagnostics, int32(pb.FinalApplicationStatusProto_APP_FAILED)
+func (f *Frontend) endFailed(ctx context.Context, app *application, diagnostics string) error {
+	return f.endApplication(ctx, app.protoID(), stateFailed, func(app *application) {
+		app.Diagnostics, app.FinalStatus = diagnostics, int32(pb.FinalApplicationStatusProto_APP_FAILED)
 	})
 }
 
--- a/yarn/managed_master.go
+++ b/yarn/managed_master.go
@@ -18,40 +18,40 @@
 // ended before it finished the application, keepMasterRunning begins the next attempt. After
 // MaxAttempts attempts it ends the application as failed instead, unless the master was preempted
 // or its machine was lost.
-func (f *Frontend) keepMasterRunning(ctx context.Context, a *application, jobs []jobstore.ReservedJob) error {
-	if a.MasterJob == "" {
-		return f.launchMaster(ctx, a.protoID())
+func (f *Frontend) keepMasterRunning(ctx context.Context, app *application, jobs []jobstore.ReservedJob) error {
+	if app.MasterJob == "" {
+		return f.launchMaster(ctx, app.protoID())
 	}
-	if findJob(jobs, a.MasterJob) != nil {
+	if findJob(jobs, app.MasterJob) != nil {
 		return nil
 	}
-	finished, found, err := f.jobs.FinishedReservation(ctx, a.MasterJob)
+	finished, found, err := f.jobs.FinishedReservation(ctx, app.MasterJob)
 	if err != nil || !found {
 		return err
 	}
 	outcome := finished.Outcomes[0]
 	status, reason := exitStatus(outcome)
-	diagnostics := fmt.Sprintf("attempt %d: its master ended with status %d %s", a.Attempt, status, reason)
+	diagnostics := fmt.Sprintf("attempt %d: its master ended with status %d %s", app.Attempt, status, reason)
 	ownFault := outcome != jobstore.OutcomePreempted && outcome != jobstore.OutcomeLost
-	if a.Attempt >= a.MaxAttempts && ownFault {
-		return f.endFailed(ctx, a, diagnostics)
+	if app.Attempt >= app.MaxAttempts && ownFault {
+		return f.endFailed(ctx, app, diagnostics)
 	}
-	return f.beginNextAttempt(ctx, a, diagnostics)
+	return f.beginNextAttempt(ctx, app, diagnostics)
 }
 
 // beginNextAttempt commits the next attempt of an application and launches its master. Tokens of
 // the previous attempt are refused from then on.
 func (f *Frontend) beginNextAttempt(ctx context.Context, previous *application, diagnostics string) error {
-	s, err := f.readApplication(ctx, previous.protoID())
-	if err != nil || s.ended() || s.app.Attempt != previous.Attempt {
+	snap, err := f.readApplication(ctx, previous.protoID())
+	if err != nil || snap.ended() || snap.app.Attempt != previous.Attempt {
 		return err
 	}
-	s.app.Attempt++
-	s.app.MasterJob, s.app.State, s.app.Diagnostics = "", stateAccepted, diagnostics
-	if err := f.writeApplication(ctx, s); err != nil {
+	snap.app.Attempt++
+	snap.app.MasterJob, snap.app.State, snap.app.Diagnostics = "", stateAccepted, diagnostics
+	if err := f.writeApplication(ctx, snap); err != nil {
 		return err
 	}
-	return f.launchMaster(ctx, s.app.protoID())
+	return f.launchMaster(ctx, snap.app.protoID())
 }
 
 // launchMaster reserves the job of a managed application's master. The job is launched as soon as it
@@ -60,17 +60,17 @@
 // the current attempt has crashed.
 func (f *Frontend) launchMaster(ctx context.Context, id *pb.ApplicationIdProto) error {
 	return retry(ctx, func() error {
-		s, err := f.readApplication(ctx, id)
-		if err != nil || s.ended() || s.app.MasterJob != "" {
+		snap, err := f.readApplication(ctx, id)
+		if err != nil || snap.ended() || snap.app.MasterJob != "" {
 			return err
 		}
-		if err := f.cancelJobs(ctx, s.jobs); err != nil {
+		if err := f.cancelJobs(ctx, snap.jobs); err != nil {
 			return err
 		}
-		s.app.MasterJob = jobID(s.app.ID, s.app.NextJobSeq)
-		request := s.app.MasterRequest
+		snap.app.MasterJob = jobID(snap.app.ID, snap.app.NextJobSeq)
+		request := snap.app.MasterRequest
 		request.ResourceName = masterResourceName
-		_, err = f.reserve(ctx, s, &request, 1, jobstore.Reservation{Tag: request.tag(), LaunchRanges: []int{0, 0}})
+		_, err = f.reserve(ctx, snap, &request, 1, jobstore.Reservation{Tag: request.tag(), LaunchRanges: []int{0, 0}})
 		return err
 	})
 }
--- a/yarn/master_protocol.go
+++ b/yarn/master_protocol.go
@@ -53,7 +53,7 @@
 // listRunning adds the placed containers and the tokens for their nodes to the response to a
 // registration. It marks the containers as reported.
 func (f *Frontend) listRunning(ctx context.Context, snap *snapshot, reported *reportedContainers, out *pb.RegisterApplicationMasterResponseProto) error {
-	k, err := f.cachedKeyring(ctx)
+	ring, err := f.cachedKeyring(ctx)
 	if err != nil {
 		return err
 	}
@@ -64,7 +64,7 @@
 			continue
 		}
 		for _, task := range slices.Sorted(maps.Keys(j.Placements)) {
-			container, err := f.container(snap.app, &k, j, task)
+			container, err := f.container(snap.app, &ring, j, task)
 			if err != nil {
 				return err
 			}
@@ -73,15 +73,15 @@
 			nodes[j.Placements[task].Machine] = true
 		}
 	}
-	out.NmTokensFromPreviousAttempts, err = f.nodeTokens(snap.app, &k, nodes)
+	out.NmTokensFromPreviousAttempts, err = f.nodeTokens(snap.app, &ring, nodes)
 	return err
 }
 
 // nodeTokens returns one token for each node. A master calls ContainerManagementProtocol with it.
-func (f *Frontend) nodeTokens(a *application, k *keyring, nodes map[string]bool) ([]*pb.NMTokenProto, error) {
+func (f *Frontend) nodeTokens(app *application, ring *keyring, nodes map[string]bool) ([]*pb.NMTokenProto, error) {
 	var out []*pb.NMTokenProto
 	for _, node := range slices.Sorted(maps.Keys(nodes)) {
-		t, err := k.issue(a.token(nodeToken), f.settings.Advertise)
+		t, err := ring.issue(app.token(nodeToken), f.settings.Advertise)
 		if err != nil {
 			return nil, err
 		}
@@ -91,11 +91,11 @@
 }
 
 // container returns a placed task as a container, with the token that the master needs to start it.
-func (f *Frontend) container(a *application, k *keyring, j *jobstore.ReservedJob, task int) (*pb.ContainerProto, error) {
-	id := a.containerID(jobSeq(j.ID), task)
-	t := a.token(containerToken)
+func (f *Frontend) container(app *application, ring *keyring, j *jobstore.ReservedJob, task int) (*pb.ContainerProto, error) {
+	id := app.containerID(jobSeq(j.ID), task)
+	t := app.token(containerToken)
 	t.container = id.GetId()
-	signed, err := k.issue(t, f.settings.Advertise)
+	signed, err := ring.issue(t, f.settings.Advertise)
 	if err != nil {
 		return nil, err
 	}
@@ -248,15 +248,15 @@
 }
 
 // applyBlacklist writes the blacklist to the jobs with tasks that wait to be placed.
-func (f *Frontend) applyBlacklist(ctx context.Context, a *application, nodes []string) error {
+func (f *Frontend) applyBlacklist(ctx context.Context, app *application, nodes []string) error {
 	return retry(ctx, func() error {
-		_, jobs, err := f.jobs.OwnedJobs(ctx, a.key())
+		_, jobs, err := f.jobs.OwnedJobs(ctx, app.key())
 		if err != nil {
 			return err
 		}
 		for i := range jobs {
 			j := &jobs[i]
-			if j.ID == a.MasterJob || slices.Equal(j.Record.Reservation.AvoidMachines, nodes) || len(pendingTasks(j)) == 0 {
+			if j.ID == app.MasterJob || slices.Equal(j.Record.Reservation.AvoidMachines, nodes) || len(pendingTasks(j)) == 0 {
 				continue
 			}
 			if err := f.jobs.UpdateReservation(ctx, j, func(r *jobstore.Reservation) { r.AvoidMachines = nodes }); err != nil {
@@ -285,7 +285,7 @@
 	if in.GetFinalApplicationStatus() == pb.FinalApplicationStatusProto_APP_FAILED {
 		state = stateFailed
 	}
-	return out, f.endApplication(ctx, t.applicationID(), state, func(a *application) {
-		a.Diagnostics, a.FinalStatus, a.TrackingURL = in.GetDiagnostics(), int32(in.GetFinalApplicationStatus()), in.GetTrackingUrl()
+	return out, f.endApplication(ctx, t.applicationID(), state, func(app *application) {
+		app.Diagnostics, app.FinalStatus, app.TrackingURL = in.GetDiagnostics(), int32(in.GetFinalApplicationStatus()), in.GetTrackingUrl()
 	})
 }
--- a/yarn/reports.go
+++ b/yarn/reports.go
@@ -17,43 +17,43 @@
 // getApplicationReport returns the report of an application. As in YARN, the report of an unmanaged
 // application contains the token for its master.
 func (f *Frontend) getApplicationReport(ctx context.Context, _ *wire.Caller, in *pb.GetApplicationReportRequestProto) (*pb.GetApplicationReportResponseProto, error) {
-	s, err := f.readApplication(ctx, in.GetApplicationId())
+	snap, err := f.readApplication(ctx, in.GetApplicationId())
 	if err != nil {
 		return nil, err
 	}
-	report := f.report(s.app, s.jobs)
-	if s.app.Unmanaged && !s.ended() {
-		k, err := f.cachedKeyring(ctx)
+	report := f.report(snap.app, snap.jobs)
+	if snap.app.Unmanaged && !snap.ended() {
+		ring, err := f.cachedKeyring(ctx)
 		if err != nil {
 			return nil, err
 		}
-		if report.AmRmToken, err = k.issue(s.app.token(masterToken), f.settings.Advertise); err != nil {
+		if report.AmRmToken, err = ring.issue(snap.app.token(masterToken), f.settings.Advertise); err != nil {
 			return nil, err
 		}
 	}
 	return &pb.GetApplicationReportResponseProto{ApplicationReport: report}, nil
 }
 
-func (f *Frontend) report(a *application, jobs []jobstore.ReservedJob) *pb.ApplicationReportProto {
+func (f *Frontend) report(app *application, jobs []jobstore.ReservedJob) *pb.ApplicationReportProto {
 	return &pb.ApplicationReportProto{
-		ApplicationId:               a.protoID(),
-		User:                        &a.User,
-		Queue:                       proto.String(leafName(a.Queue)),
-		Name:                        &a.Name,
-		Host:                        &a.Host,
-		RpcPort:                     &a.RPCPort,
-		YarnApplicationState:        a.protoState().Enum(),
-		TrackingUrl:                 &a.TrackingURL,
-		OriginalTrackingUrl:         &a.TrackingURL,
-		Diagnostics:                 &a.Diagnostics,
-		StartTime:                   &a.StartedMs,
-		FinishTime:                  &a.FinishedMs,
-		FinalApplicationStatus:      pb.FinalApplicationStatusProto(a.FinalStatus).Enum(),
-		CurrentApplicationAttemptId: a.attemptID(),
-		ApplicationType:             &a.Type,
-		ApplicationTags:             a.Tags,
-		UnmanagedApplication:        &a.Unmanaged,
-		Priority:                    &pb.PriorityProto{Priority: &a.Priority},
+		ApplicationId:               app.protoID(),
+		User:                        &app.User,
+		Queue:                       proto.String(leafName(app.Queue)),
+		Name:                        &app.Name,
+		Host:                        &app.Host,
+		RpcPort:                     &app.RPCPort,
+		YarnApplicationState:        app.protoState().Enum(),
+		TrackingUrl:                 &app.TrackingURL,
+		OriginalTrackingUrl:         &app.TrackingURL,
+		Diagnostics:                 &app.Diagnostics,
+		StartTime:                   &app.StartedMs,
+		FinishTime:                  &app.FinishedMs,
+		FinalApplicationStatus:      pb.FinalApplicationStatusProto(app.FinalStatus).Enum(),
+		CurrentApplicationAttemptId: app.attemptID(),
+		ApplicationType:             &app.Type,
+		ApplicationTags:             app.Tags,
+		UnmanagedApplication:        &app.Unmanaged,
+		Priority:                    &pb.PriorityProto{Priority: &app.Priority},
 		AppResource_Usage:           f.usageReport(jobs),
 	}
 }
@@ -90,11 +90,11 @@
 // unfinishedStates are the states of unfinished applications.
 var unfinishedStates = []pb.YarnApplicationStateProto{pb.YarnApplicationStateProto_ACCEPTED, pb.YarnApplicationStateProto_RUNNING}
 
-func (filter *applicationFilter) matches(a *application) bool {
-	return matchesAny(filter.types, a.Type) && matchesAny(filter.users, a.User) &&
-		(matchesAny(filter.queues, a.Queue) || matchesAny(filter.queues, leafName(a.Queue))) &&
-		matchesAny(filter.states, a.protoState()) && (filter.name == "" || filter.name == a.Name) &&
-		(len(filter.tags) == 0 || slices.ContainsFunc(a.Tags, func(tag string) bool { return slices.Contains(filter.tags, tag) }))
+func (filter *applicationFilter) matches(app *application) bool {
+	return matchesAny(filter.types, app.Type) && matchesAny(filter.users, app.User) &&
+		(matchesAny(filter.queues, app.Queue) || matchesAny(filter.queues, leafName(app.Queue))) &&
+		matchesAny(filter.states, app.protoState()) && (filter.name == "" || filter.name == app.Name) &&
+		(len(filter.tags) == 0 || slices.ContainsFunc(app.Tags, func(tag string) bool { return slices.Contains(filter.tags, tag) }))
 }
 
 func matchesAny[T comparable](allowed []T, value T) bool {
--- a/yarn/rest_applications.go
+++ b/yarn/rest_applications.go
@@ -93,11 +93,11 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := f.readApplication(r.Context(), id)
+	snap, err := f.readApplication(r.Context(), id)
 	if err != nil {
 		return nil, err
 	}
-	return f.report(s.app, s.jobs), nil
+	return f.report(snap.app, snap.jobs), nil
 }
 
 func (f *Frontend) restApp(r *http.Request) (any, error) {
@@ -122,23 +122,23 @@
 	if err != nil {
 		return nil, err
 	}
-	s, err := f.readApplication(r.Context(), id)
+	snap, err := f.readApplication(r.Context(), id)
 	if err != nil {
 		return nil, err
 	}
 	out := []jsonObject{} // not null in JSON
-	for i := range s.jobs {
-		for task := range s.jobs[i].Record.Job.Tasks {
-			out = append(out, containerObject(s.app, &s.jobs[i], task))
+	for i := range snap.jobs {
+		for task := range snap.jobs[i].Record.Job.Tasks {
+			out = append(out, containerObject(snap.app, &snap.jobs[i], task))
 		}
 	}
 	return jsonObject{"containers": jsonObject{"container": out}}, nil
 }
 
 // containerObject returns the JSON object for a task as a container.
-func containerObject(a *application, j *jobstore.ReservedJob, task int) jsonObject {
+func containerObject(app *application, j *jobstore.ReservedJob, task int) jsonObject {
 	object := jsonObject{
-		"id":         ContainerName(a.containerID(jobSeq(j.ID), task)),
+		"id":         ContainerName(app.containerID(jobSeq(j.ID), task)),
 		"task":       nwire.TaskName(j.ID, task),
 		"priority":   parseTag(j.Record.Reservation.Tag).Priority,
 		"node":       "",
--- a/yarn/rest_cluster.go
+++ b/yarn/rest_cluster.go
@@ -11,7 +11,7 @@
 )
 
 func (f *Frontend) restInfo(r *http.Request) (any, error) {
-	k, _, err := f.readKeyring(r.Context())
+	ring, _, err := f.readKeyring(r.Context())
 	if err != nil {
 		return nil, err
 	}
@@ -20,8 +20,8 @@
 		haState = "ACTIVE"
 	}
 	return jsonObject{"clusterInfo": jsonObject{
-		"id":                     k.ClusterTimestamp,
-		"startedOn":              k.ClusterTimestamp,
+		"id":                     ring.ClusterTimestamp,
+		"startedOn":              ring.ClusterTimestamp,
 		"state":                  "STARTED",
 		"haState":                haState,
 		"resourceManagerVersion": "umberdeal",
--- a/yarn/session.go
+++ b/yarn/session.go
@@ -71,11 +71,11 @@
 }
 
 // session returns the session of the current attempt of an application, or nil if there is none.
-func (f *Frontend) session(a *application) *session {
+func (f *Frontend) session(app *application) *session {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	s := f.sessions[a.name()]
-	if s != nil && s.attempt == a.Attempt {
+	s := f.sessions[app.name()]
+	if s != nil && s.attempt == app.Attempt {
 		return s
 	}
 	return nil
@@ -95,11 +95,11 @@
 	if _, err := f.tokenApplication(ctx, t); err != nil {
 		return nil, err
 	}
-	k, err := f.cachedKeyring(ctx)
+	ring, err := f.cachedKeyring(ctx)
 	if err != nil {
 		return nil, err
 	}
-	password, err := k.sign(t.key, t.String())
+	password, err := ring.sign(t.key, t.String())
 	if err != nil {
 		return nil, wire.Errorf(wire.ClassInvalidToken, "%v", err)
 	}
@@ -109,17 +109,17 @@
 // tokenApplication returns the application of a token. If the application has ended or the token is
 // of an earlier attempt, the error has ClassNoAttempt.
 func (f *Frontend) tokenApplication(ctx context.Context, t token) (*snapshot, error) {
-	s, err := f.readApplication(ctx, t.applicationID())
+	snap, err := f.readApplication(ctx, t.applicationID())
 	if err != nil {
 		return nil, err
 	}
-	if s.ended() {
-		return nil, wire.Errorf(wire.ClassNoAttempt, "application %s is over", s.app.name())
+	if snap.ended() {
+		return nil, wire.Errorf(wire.ClassNoAttempt, "application %s is over", snap.app.name())
 	}
-	if s.app.Attempt != t.attempt {
-		return nil, wire.Errorf(wire.ClassNoAttempt, "attempt %d of %s is over", t.attempt, s.app.name())
+	if snap.app.Attempt != t.attempt {
+		return nil, wire.Errorf(wire.ClassNoAttempt, "attempt %d of %s is over", t.attempt, snap.app.name())
 	}
-	return s, nil
+	return snap, nil
 }
 
 // callerToken returns the token with which a caller has authenticated itself. It fails if the token
