--- a/yarn/allocation.go
+++ b/yarn/allocation.go
@@ -141,8 +141,8 @@
 // token is dropped.
 const heartbeatsPerMasterToken = 64
 
-// addTokens adds the tokens for the nodes of new containers. Every heartbeatsPerMasterToken heartbeats it
-// also adds a new token for the master.
+// addTokens adds the tokens for the nodes of new containers. Every heartbeatsPerMasterToken
+// heartbeats it also adds a new token for the master.
 func (a *allocation) addTokens(responseID int32) (err error) {
 	if a.out.NmTokens, err = a.frontend.nodeTokens(a.app, a.keyring, a.nodes); err != nil {
 		return err
--- a/yarn/cleanup_test.go
+++ b/yarn/cleanup_test.go
@@ -31,9 +31,9 @@
 	}
 }
 
-// An application is killed, and all controllers end while its launch contexts are deleted. Its record had
-// been moved to the finished ones before that, so that nobody looked for its contexts again: they stayed
-// in the store for good, one for each container.
+// An application is killed, and all controllers end while its launch contexts are deleted. Its
+// record had been moved to the finished ones before that, so that nobody looked for its contexts
+// again: they stayed in the store for good, one for each container.
 func TestLaunchContextsAreDeletedAfterACrash(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, user *testClient) {
 		id, m := user.startApplication()
@@ -58,9 +58,9 @@
 	})
 }
 
-// A managed application's master ends, and the leader ends while it cancels the jobs of that attempt. The
-// next attempt had been recorded before that, so that the next leader only launched its master: the first
-// attempt's jobs stayed, and with them its containers and what they hold.
+// A managed application's master ends, and the leader ends while it cancels the jobs of that
+// attempt. The next attempt had been recorded before that, so that the next leader only launched
+// its master: the first attempt's jobs stayed, and with them its containers and what they hold.
 func TestJobsOfAnAttemptAreCancelledAfterACrash(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster, user *testClient) {
 		id, m, job := user.startManagedApplication(w)
@@ -88,8 +88,9 @@
 	})
 }
 
-// startManagedApplication submits an application whose master runs as a task, registers that master, and
-// has it ask for more containers than there is room for. It returns the id of the job of these.
+// startManagedApplication submits an application whose master runs as a task, registers that
+// master, and has it ask for more containers than there is room for. It returns the id of the job
+// of these.
 func (user *testClient) startManagedApplication(w *fake.Cluster) (*pb.ApplicationIdProto, *client.ApplicationMaster, string) {
 	user.t.Helper()
 	id, _, err := user.client.NewApplication(user.ctx())
--- a/yarn/client/application_master.go
+++ b/yarn/client/application_master.go
@@ -64,9 +64,9 @@
 	Shutdown   bool                       // whether the application or this attempt has ended
 }
 
-// ApplicationMaster runs the containers of an application. It tracks the requested and the allocated
-// containers, also when the service makes it register again. Its methods are safe for concurrent
-// use, but only one call of Register, Heartbeat or Run may run at a time.
+// ApplicationMaster runs the containers of an application. It tracks the requested and the
+// allocated containers, also when the service makes it register again. Its methods are safe for
+// concurrent use, but only one call of Register, Heartbeat or Run may run at a time.
 type ApplicationMaster struct {
 	resourceManager, nodeManager *failoverConn
 
@@ -148,8 +148,8 @@
 	return true
 }
 
-// Request sets the number of containers of a kind that the master wants in addition to the allocated
-// ones. It replaces an earlier number. The next heartbeat sends it.
+// Request sets the number of containers of a kind that the master wants in addition to the
+// allocated ones. It replaces an earlier number. The next heartbeat sends it.
 func (m *ApplicationMaster) Request(request ContainerRequest, count int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -174,8 +174,8 @@
 	m.releases = append(m.releases, id)
 }
 
-// UpdateBlacklist changes the blacklist with the next heartbeat. The service allocates no container on
-// nodes in the blacklist. The change replaces an earlier change that was not sent yet.
+// UpdateBlacklist changes the blacklist with the next heartbeat. The service allocates no container
+// on nodes in the blacklist. The change replaces an earlier change that was not sent yet.
 func (m *ApplicationMaster) UpdateBlacklist(additions, removals []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -228,8 +228,8 @@
 	return out.AMCommand != nil && out.GetAMCommand() == pb.AMCommandProto_AM_RESYNC
 }
 
-// allocateRequest returns the next heartbeat and the container requests in it. The heartbeat contains
-// only changes.
+// allocateRequest returns the next heartbeat and the container requests in it. The heartbeat
+// contains only changes.
 func (m *ApplicationMaster) allocateRequest() (*pb.AllocateRequestProto, []ContainerRequest) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -320,9 +320,9 @@
 // ErrNotUnregistered is returned by Finish if the service did not end the application.
 var ErrNotUnregistered = errors.New("yarn client: application master not unregistered")
 
-// Finish ends the application with a final status. It also returns nil if the token is refused, since
-// the application has ended already. Either the answer to an earlier call was lost, or the report
-// of the application tells the reason.
+// Finish ends the application with a final status. It also returns nil if the token is refused,
+// since the application has ended already. Either the answer to an earlier call was lost, or the
+// report of the application tells the reason.
 func (m *ApplicationMaster) Finish(ctx context.Context, status pb.FinalApplicationStatusProto, diagnostics string) error {
 	in := &pb.FinishApplicationMasterRequestProto{Diagnostics: &diagnostics, FinalApplicationStatus: &status}
 	var out pb.FinishApplicationMasterResponseProto
--- a/yarn/client/client.go
+++ b/yarn/client/client.go
@@ -19,8 +19,8 @@
 	ProtoContainerManagement = "org.apache.hadoop.yarn.api.ContainerManagementProtocolPB"
 )
 
-// Client submits, inspects and kills applications. It is safe for concurrent use. Each method retries
-// until it gets an answer, a final exception (*wire.Error) or its context ends.
+// Client submits, inspects and kills applications. It is safe for concurrent use. Each method
+// retries until it gets an answer, a final exception (*wire.Error) or its context ends.
 type Client struct{ conn *failoverConn }
 
 // New returns a client. The first call opens a connection.
--- a/yarn/client/failover.go
+++ b/yarn/client/failover.go
@@ -41,8 +41,8 @@
 	conn  *wire.Conn
 }
 
-// newFailoverConn returns a connection that starts with a random node. This distributes clients over
-// all nodes. token may be nil.
+// newFailoverConn returns a connection that starts with a random node. This distributes clients
+// over all nodes. token may be nil.
 func newFailoverConn(cfg Config, protocol string, token *pb.TokenProto) *failoverConn {
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = defaultTimeout
@@ -140,8 +140,9 @@
 	return err
 }
 
-// backoff returns the random pause after an attempt. It is at least 50 ms. Its upper bound is 150 ms
-// after attempt 0 and 1650 ms from attempt 4 on. In between, the range doubles with each attempt.
+// backoff returns the random pause after an attempt. It is at least 50 ms. Its upper bound is 150
+// ms after attempt 0 and 1650 ms from attempt 4 on. In between, the range doubles with each
+// attempt.
 func backoff(attempt int) time.Duration {
 	return time.Duration(50+rand.IntN(100<<min(attempt, 4))) * time.Millisecond
 }
--- a/yarn/container_protocol.go
+++ b/yarn/container_protocol.go
@@ -1,5 +1,5 @@
-// ContainerManagementProtocol. In Hadoop, the NodeManager of each machine serves this protocol. Here
-// a front end serves it for the containers on all machines.
+// ContainerManagementProtocol. In Hadoop, the NodeManager of each machine serves this protocol.
+// Here a front end serves it for the containers on all machines.
 
 package yarn
 
--- a/yarn/demand.go
+++ b/yarn/demand.go
@@ -1,5 +1,5 @@
-// Handling of the container requests in a master's heartbeat: a master states how many containers of
-// each kind it wants, and the front end reserves or releases tasks accordingly.
+// Handling of the container requests in a master's heartbeat: a master states how many containers
+// of each kind it wants, and the front end reserves or releases tasks accordingly.
 
 package yarn
 
@@ -174,8 +174,9 @@
 	return names
 }
 
-// adjustPendingTasks reserves tasks if fewer tasks wait to be placed than the master wants, and releases
-// waiting tasks if more do. Allocated containers that were not reported yet count as waiting.
+// adjustPendingTasks reserves tasks if fewer tasks wait to be placed than the master wants, and
+// releases waiting tasks if more do. Allocated containers that were not reported yet count as
+// waiting.
 func (f *Frontend) adjustPendingTasks(ctx context.Context, snap *snapshot, s *session, d *demand) error {
 	tag := d.tag()
 	have := 0
@@ -224,7 +225,8 @@
 	return nil
 }
 
-// pendingTasks returns the tasks of a job that are not placed, ended or released, in ascending order.
+// pendingTasks returns the tasks of a job that are not placed, ended or released, in ascending
+// order.
 func pendingTasks(j *jobstore.ReservedJob) []int {
 	released := j.Record.Reservation.ReleaseRanges.BitSet(j.Record.Job.Tasks)
 	var out []int
--- a/yarn/frontend.go
+++ b/yarn/frontend.go
@@ -149,9 +149,9 @@
 const maxTransactionAttempts = 6
 
 // retry calls attempt until its transaction neither conflicts with a concurrent change nor has an
-// unknown outcome. It pauses for a random time that grows with each attempt. After maxTransactionAttempts
-// attempts, or when ctx ends, it fails with errRecordChanged. Each attempt must read the record
-// again.
+// unknown outcome. It pauses for a random time that grows with each attempt. After
+// maxTransactionAttempts attempts, or when ctx ends, it fails with errRecordChanged. Each attempt
+// must read the record again.
 func retry(ctx context.Context, attempt func() error) error {
 	var err error
 	for try := range maxTransactionAttempts {
@@ -165,8 +165,8 @@
 	return errors.Join(errRecordChanged, err)
 }
 
-// isConflictOrUnknownOutcome reports whether a transaction failed because a record had changed, or its outcome is
-// unknown. In the second case it may have been committed.
+// isConflictOrUnknownOutcome reports whether a transaction failed because a record had changed, or
+// its outcome is unknown. In the second case it may have been committed.
 func isConflictOrUnknownOutcome(err error) bool {
 	var conflict *kvstore.ConflictError
 	return errors.As(err, &conflict) || errors.Is(err, kvstore.ErrOutcomeUnknown)
--- a/yarn/keyring_store.go
+++ b/yarn/keyring_store.go
@@ -1,5 +1,5 @@
-// Storage of the keyring: reading, caching and repair of its record, rotation of the signing keys, and
-// allocation of application ids.
+// Storage of the keyring: reading, caching and repair of its record, rotation of the signing keys,
+// and allocation of application ids.
 
 package yarn
 
@@ -34,8 +34,8 @@
 	// the meantime a controller with a copy can repair the record, or a new leader that asks
 	// all controllers for their copies.
 	keyringRepairDelay = 20 * time.Second
-	// repairedIDOffset is the distance from the highest id of a known application to the first id of a
-	// new keyring. It is larger than the number of ids that were issued and not submitted.
+	// repairedIDOffset is the distance from the highest id of a known application to the first id
+	// of a new keyring. It is larger than the number of ids that were issued and not submitted.
 	repairedIDOffset = 1 << 20
 )
 
@@ -92,8 +92,8 @@
 	return ring, true
 }
 
-// repairedKeyring returns the replacement of an unreadable keyring. If this controller has a copy of
-// the same version, the copy is the replacement. Otherwise repairedKeyring fails with
+// repairedKeyring returns the replacement of an unreadable keyring. If this controller has a copy
+// of the same version, the copy is the replacement. Otherwise repairedKeyring fails with
 // errRecordChanged until keyringRepairDelay has passed, and then returns a keyring without keys
 // whose ids are beyond those of all known applications. With a new keyring, the tokens of all
 // masters are refused, and their applications have to be submitted again.
--- a/yarn/leader.go
+++ b/yarn/leader.go
@@ -1,6 +1,7 @@
 // The leader's maintenance of all applications: ending them when their masters are lost, running
 // managed masters, releasing containers that are not started, and rotating the signing keys. Every
-// change is a compare-and-swap on records, so a former leader that still runs its loop does no harm.
+// change is a compare-and-swap on records, so a former leader that still runs its loop does no
+// harm.
 
 package yarn
 
@@ -143,8 +144,8 @@
 	})
 }
 
-// releaseUnstarted releases containers that their master did not start in time. They hold resources that
-// other work could use.
+// releaseUnstarted releases containers that their master did not start in time. They hold resources
+// that other work could use.
 func (f *Frontend) releaseUnstarted(ctx context.Context, a *application, jobs []jobstore.ReservedJob, o *observation) error {
 	now := time.Now()
 	unstartedSince := map[string]time.Time{}
--- a/yarn/leader_test.go
+++ b/yarn/leader_test.go
@@ -9,9 +9,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Containers that were not started in time and have been released are not released again, while their
-// placements last. Each maintenance round had rewritten the job's record for them, which takes a change of
-// the key-value store each time and makes other changes of the job conflict.
+// Containers that were not started in time and have been released are not released again, while
+// their placements last. Each maintenance round had rewritten the job's record for them, which
+// takes a change of the key-value store each time and makes other changes of the job conflict.
 func TestReleasedTasksAreNotReleasedAgain(t *testing.T) {
 	f := &Frontend{settings: &Settings{StartTimeoutS: 30}}
 	j := &jobstore.ReservedJob{ID: "ya-1-1", Placements: map[int]jobstore.Placement{0: {}, 1: {}, 2: {}},
--- a/yarn/settings.go
+++ b/yarn/settings.go
@@ -88,8 +88,8 @@
 	}
 }
 
-// LoadSettings reads a settings file and checks it against the platform's settings, as ParseSettings
-// does.
+// LoadSettings reads a settings file and checks it against the platform's settings, as
+// ParseSettings does.
 func LoadSettings(path string, c *config.Settings) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/yarn/wire/client.go
+++ b/yarn/wire/client.go
@@ -20,12 +20,13 @@
 // DialFunc opens a network connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// ErrLost is the error of a call that got no answer, since the connection or the context of the call
-// ended. The server may or may not have executed the call.
+// ErrLost is the error of a call that got no answer, since the connection or the context of the
+// call ended. The server may or may not have executed the call.
 var ErrLost = errors.New("yarn: connection lost")
 
 const (
-	// dialTimeout is the timeout of opening a connection, including authentication, and of each write.
+	// dialTimeout is the timeout of opening a connection, including authentication, and of each
+	// write.
 	dialTimeout = 5 * time.Second
 	// maxResponseBytes is the largest frame that a client reads.
 	maxResponseBytes = 64 << 20
@@ -163,8 +164,9 @@
 	return &out, readMessage(rest, &out)
 }
 
-// readResponseHeader reads the header of a response. If the header has an exception, it returns both
-// the header and the exception as an *Error. If the header is malformed, it returns nil and an error.
+// readResponseHeader reads the header of a response. If the header has an exception, it returns
+// both the header and the exception as an *Error. If the header is malformed, it returns nil and an
+// error.
 func readResponseHeader(rest *bytes.Reader) (*pb.RpcResponseHeaderProto, error) {
 	var header pb.RpcResponseHeaderProto
 	if err := readMessage(rest, &header); err != nil {
@@ -237,8 +239,8 @@
 	return c.lastCallID, nil
 }
 
-// Call calls a method and reads the answer into out. An *Error is the server's answer. After ErrLost
-// it is unknown whether the server executed the call.
+// Call calls a method and reads the answer into out. An *Error is the server's answer. After
+// ErrLost it is unknown whether the server executed the call.
 func (c *Conn) Call(ctx context.Context, method string, in, out proto.Message) error {
 	waiting := make(chan response, 1) // buffered, so that a late response does not block readResponses
 	id, err := c.addPending(waiting)
--- a/yarn/wire/frame.go
+++ b/yarn/wire/frame.go
@@ -49,8 +49,8 @@
 // lengthBytes is the size of the length field before a frame.
 const lengthBytes = 4
 
-// frameReadBytes is the number of bytes of a frame that are read at a time. It bounds the memory for a
-// frame that a client announces and does not send.
+// frameReadBytes is the number of bytes of a frame that are read at a time. It bounds the memory
+// for a frame that a client announces and does not send.
 const frameReadBytes = 16 << 10
 
 // ReadFrame reads the length of a frame and then returns its content. It fails with ErrFrame if the
@@ -113,9 +113,9 @@
 	rest   *bytes.Reader          // the part of the frame that Body reads
 }
 
-// ParseRequest parses the headers of a request. Body reads the rest of the frame. If only the method
-// header is invalid, ParseRequest returns both the request and an error, so that the caller knows the
-// call id. If the request header is invalid, the request is nil.
+// ParseRequest parses the headers of a request. Body reads the rest of the frame. If only the
+// method header is invalid, ParseRequest returns both the request and an error, so that the caller
+// knows the call id. If the request header is invalid, the request is nil.
 func ParseRequest(frame []byte) (*Request, error) {
 	r := &Request{Header: &pb.RpcRequestHeaderProto{}, rest: bytes.NewReader(frame)}
 	if err := readMessage(r.rest, r.Header); err != nil {
--- a/yarn/wire/sasl.go
+++ b/yarn/wire/sasl.go
@@ -120,8 +120,8 @@
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
 }
 
-// answerChallenge returns the client's digest-response to a challenge, and the proof that the server's
-// answer must contain.
+// answerChallenge returns the client's digest-response to a challenge, and the proof that the
+// server's answer must contain.
 func answerChallenge(challenge, identifier, password []byte) (response []byte, expected string, err error) {
 	directives, err := parseDirectives(challenge)
 	if err != nil {
@@ -148,13 +148,13 @@
 	return []byte(out), d.serverProof(), nil
 }
 
-// passwordLookup returns the password of a token. An *Error means that the token is not valid. With any
-// other error it is unknown whether the token is valid.
+// passwordLookup returns the password of a token. An *Error means that the token is not valid. With
+// any other error it is unknown whether the token is valid.
 type passwordLookup func(identifier []byte) ([]byte, error)
 
-// verifyResponse checks a client's digest-response to the challenge with the given nonce. It returns the
-// token's identifier and the server's proof. It fails with ErrAuth if the response is not valid, and
-// with another error if the lookup of the password fails.
+// verifyResponse checks a client's digest-response to the challenge with the given nonce. It
+// returns the token's identifier and the server's proof. It fails with ErrAuth if the response is
+// not valid, and with another error if the lookup of the password fails.
 func verifyResponse(response []byte, nonce string, password passwordLookup) (identifier, proof []byte, err error) {
 	directives, err := parseDirectives(response)
 	if err != nil {
--- a/yarn/wire/server.go
+++ b/yarn/wire/server.go
@@ -28,8 +28,8 @@
 	call       func(ctx context.Context, c *Caller, in proto.Message) (proto.Message, error)
 }
 
-// Handle returns a Method that calls a function with typed messages. An *Error of the function is the
-// answer to the client. With any other error the client retries (AsError).
+// Handle returns a Method that calls a function with typed messages. An *Error of the function is
+// the answer to the client. With any other error the client retries (AsError).
 func Handle[In, Out any, PI interface {
 	*In
 	proto.Message
@@ -55,8 +55,8 @@
 	NeedToken bool // whether callers must have authenticated themselves with a token
 }
 
-// Server serves Hadoop RPC. It limits the memory, number of calls and time of each client, so that no
-// client can impair others. A limit or timeout of 0 or less means its default.
+// Server serves Hadoop RPC. It limits the memory, number of calls and time of each client, so that
+// no client can impair others. A limit or timeout of 0 or less means its default.
 type Server struct {
 	Protocols map[string]Protocol // by name
 	// Password returns the password of a token. An *Error means that the token is not valid. With
