--- a/yarn/cleanup_test.go
+++ b/yarn/cleanup_test.go
@@ -1,3 +1,5 @@
+// Tests that crashes while an application or an attempt ends leave nothing behind.
+
 package yarn_test
 
 import (
@@ -14,84 +16,87 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// restartAll ends all controllers, and starts them again.
-func restartAll(w *fake.Cluster) {
-	w.KillAll()
+// restartAll kills all controllers and starts them again.
+func restartAll(cluster *fake.Cluster) {
+	cluster.KillAll()
 	time.Sleep(time.Second)
-	w.StartAll()
+	cluster.StartAll()
 }
 
-// awaitHeldTransaction waits until the key-value store holds a transaction back.
-func awaitHeldTransaction(t *testing.T, w *fake.Cluster, timeout time.Duration) {
+// awaitHeldTransaction waits until the key-value store holds a transaction back. It fails the test
+// after the timeout.
+func awaitHeldTransaction(t *testing.T, cluster *fake.Cluster, timeout time.Duration) {
 	t.Helper()
-	for end := time.Now().Add(timeout); w.Store.PendingTransactions() == 0; time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(timeout); cluster.Store.PendingTransactions() == 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("no such transaction")
+			t.Fatalf("no transaction was held within %v", timeout)
 		}
 	}
 }
 
-// An application is killed, and all controllers end while its launch contexts are deleted. Its
-// record had been moved to the finished ones before that, so that nobody looked for its contexts
-// again: they stayed in the store for good, one for each container.
+// All controllers crash while the launch contexts of a killed application are deleted. The contexts
+// must be deleted after the restart. Formerly, the record of the application moved to the finished
+// ones before the deletion, so nothing looked for the contexts again. They stayed in the store
+// forever, one for each container.
 func TestLaunchContextsAreDeletedAfterACrash(t *testing.T) {
-	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, user *testClient) {
-		id, m := user.startApplication()
-		defer m.Close()
-		m.Request(smallContainer(1), 3)
-		user.runMaster(m, 8*time.Second)
-		if len(w.Store.Keys("yx/")) == 0 {
-			t.Fatal("no launch contexts")
+	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
+		id, master := user.startApplication()
+		defer master.Close()
+		master.Request(smallContainer(1), 3)
+		user.runMaster(master, 8*time.Second)
+		if len(cluster.Store.Keys("yx/")) == 0 {
+			t.Fatal("no launch contexts are stored")
 		}
-		release := w.Store.HoldNextTransactionOn("yx/")
+		release := cluster.Store.HoldNextTransactionOn("yx/")
 		defer release()
 		killed := make(chan error, 1)
 		go func() { killed <- user.client.Kill(t.Context(), id) }()
-		awaitHeldTransaction(t, w, 20*time.Second)
-		restartAll(w)
-		<-killed // with an error, or not: the restart interrupts it
+		awaitHeldTransaction(t, cluster, 20*time.Second)
+		restartAll(cluster)
+		<-killed // the result does not matter, since the restart interrupts the call
 		time.Sleep(40 * time.Second)
-		if st := user.mustReadState(id); st != pb.YarnApplicationStateProto_KILLED {
-			t.Errorf("it is %v", st)
+		if state := user.mustReadState(id); state != pb.YarnApplicationStateProto_KILLED {
+			t.Errorf("application is %v, want KILLED", state)
 		}
-		assertNoRecords(t, w)
+		assertNoRecords(t, cluster)
 	})
 }
 
-// A managed application's master ends, and the leader ends while it cancels the jobs of that
-// attempt. The next attempt had been recorded before that, so that the next leader only launched
-// its master: the first attempt's jobs stayed, and with them its containers and what they hold.
+// The master of a managed application ends, and the leader crashes while it cancels the jobs of
+// that attempt. The next leader must cancel them. Formerly, the next attempt was recorded before
+// the cancellation, so the next leader only launched the next master. The jobs of the first attempt
+// remained, and their containers kept their resources.
 func TestJobsOfAnAttemptAreCancelledAfterACrash(t *testing.T) {
-	runScenario(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster, user *testClient) {
-		id, m, job := user.startManagedApplication(w)
-		defer m.Close()
-		release := w.Store.HoldNextTransactionOn("f/" + job)
+	runScenario(t, fake.Options{Machines: 2}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
+		id, master, job := user.startManagedApplication(cluster)
+		defer master.Close()
+		release := cluster.Store.HoldNextTransactionOn("f/" + job)
 		defer release()
 		ended := make(chan struct{})
-		go func() { // the master, until its task ends
+		go func() { // the master sends heartbeats until its task ends
 			defer close(ended)
-			for w.Store.PendingTransactions() == 0 {
-				_, _ = m.Heartbeat(t.Context()) // refused once its attempt is over
+			for cluster.Store.PendingTransactions() == 0 {
+				_, _ = master.Heartbeat(t.Context()) // refused after the end of its attempt
 				time.Sleep(time.Second)
 			}
 		}()
-		awaitHeldTransaction(t, w, 2*time.Minute)
+		awaitHeldTransaction(t, cluster, 2*time.Minute)
 		<-ended
-		restartAll(w)
+		restartAll(cluster)
 		time.Sleep(30 * time.Second)
-		if keys := w.Store.Keys("w/j/"); slices.Contains(keys, "w/j/"+job) {
-			t.Errorf("the first attempt's %s is there: %v", job, keys)
+		if keys := cluster.Store.Keys("w/j/"); slices.Contains(keys, "w/j/"+job) {
+			t.Errorf("job %s of the first attempt still exists: %v", job, keys)
 		}
-		if st := user.mustReadState(id); st != pb.YarnApplicationStateProto_ACCEPTED {
-			t.Errorf("the application is %v", st)
+		if state := user.mustReadState(id); state != pb.YarnApplicationStateProto_ACCEPTED {
+			t.Errorf("application is %v, want ACCEPTED", state)
 		}
 	})
 }
 
-// startManagedApplication submits an application whose master runs as a task, registers that
-// master, and has it ask for more containers than there is room for. It returns the id of the job
-// of these.
-func (user *testClient) startManagedApplication(w *fake.Cluster) (*pb.ApplicationIdProto, *client.ApplicationMaster, string) {
+// startManagedApplication submits an application whose master runs as a task. It registers this
+// master and requests more containers than the cluster has room for. It returns the application,
+// the master and the id of the job of the containers.
+func (user *testClient) startManagedApplication(cluster *fake.Cluster) (*pb.ApplicationIdProto, *client.ApplicationMaster, string) {
 	user.t.Helper()
 	id, _, err := user.client.NewApplication(user.ctx())
 	if err != nil {
@@ -103,26 +108,26 @@
 		user.t.Fatal(err)
 	}
 	time.Sleep(10 * time.Second)
-	before := w.Store.Keys("w/j/")
+	before := cluster.Store.Keys("w/j/")
 	if len(before) != 1 {
-		user.t.Fatalf("jobs: %v", before)
+		user.t.Fatalf("got jobs %v, want one", before)
 	}
-	env := mustReadLaunchContext(user.t, w, strings.TrimPrefix(before[0], "w/j/")+"/0").Env
+	env := mustReadLaunchContext(user.t, cluster, strings.TrimPrefix(before[0], "w/j/")+"/0").Env
 	password, err := base64.StdEncoding.DecodeString(env["UMBERDEAL_AM_TOKEN_PASSWORD"])
 	if err != nil {
 		user.t.Fatal(err)
 	}
-	m := client.NewApplicationMaster(user.cfg, &pb.TokenProto{Identifier: []byte(env["UMBERDEAL_AM_TOKEN_ID"]), Password: password})
-	if _, err := m.Register(user.ctx()); err != nil {
+	master := client.NewApplicationMaster(user.cfg, &pb.TokenProto{Identifier: []byte(env["UMBERDEAL_AM_TOKEN_ID"]), Password: password})
+	if _, err := master.Register(user.ctx()); err != nil {
 		user.t.Fatal(err)
 	}
-	m.Request(smallContainer(1), 60)
-	if _, err := m.Heartbeat(user.ctx()); err != nil {
+	master.Request(smallContainer(1), 60)
+	if _, err := master.Heartbeat(user.ctx()); err != nil {
 		user.t.Fatal(err)
 	}
-	asked := slices.DeleteFunc(w.Store.Keys("w/j/"), func(key string) bool { return key == before[0] })
+	asked := slices.DeleteFunc(cluster.Store.Keys("w/j/"), func(key string) bool { return key == before[0] })
 	if len(asked) != 1 {
-		user.t.Fatalf("jobs: %v and %v", before, asked)
+		user.t.Fatalf("got jobs %v besides %v, want one", asked, before)
 	}
-	return id, m, strings.TrimPrefix(asked[0], "w/j/")
+	return id, master, strings.TrimPrefix(asked[0], "w/j/")
 }
--- a/yarn/containers_test.go
+++ b/yarn/containers_test.go
@@ -1,3 +1,5 @@
+// Tests of the life of containers: placement, quotas, release, preemption, loss and locality.
+
 package yarn_test
 
 import (
@@ -20,164 +22,168 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
+// Containers run, end or are released, and nothing remains after their application has finished.
 func TestContainersRunAndAreReleased(t *testing.T) {
-	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, user *testClient) {
-		id, m := user.startApplication()
-		defer m.Close()
-		m.Request(smallContainer(1), 6)
-		if ends, _ := user.runMaster(m, 30*time.Second); len(ends) != 0 || w.Started() != 6 || m.Pending() != 0 {
-			t.Fatalf("%d started, %d wanted, ended %v", w.Started(), m.Pending(), ends)
+	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
+		id, master := user.startApplication()
+		defer master.Close()
+		master.Request(smallContainer(1), 6)
+		if ended, _ := user.runMaster(master, 30*time.Second); len(ended) != 0 || cluster.Started() != 6 || master.Pending() != 0 {
+			t.Fatalf("got %d started, %d pending, ended by exit status %v; want 6, 0 and none", cluster.Started(), master.Pending(), ended)
 		}
-		sts, err := m.Statuses(t.Context(), m.Containers()[0].GetId())
-		if err != nil || len(sts) != 1 || sts[0].GetState() != pb.ContainerStateProto_C_RUNNING {
-			t.Errorf("statuses %v, %v", sts, err)
+		statuses, err := master.Statuses(t.Context(), master.Containers()[0].GetId())
+		if err != nil || len(statuses) != 1 || statuses[0].GetState() != pb.ContainerStateProto_C_RUNNING {
+			t.Errorf("got statuses %v, error %v; want one running container", statuses, err)
 		}
 		shared := 0
-		for _, k := range w.Store.Keys("yx/") {
+		for _, key := range cluster.Store.Keys("yx/") {
 			shared++
-			if !strings.Contains(k, "/s/") {
-				t.Errorf("a context of its own, %s, though all are alike", k)
+			if !strings.Contains(key, "/s/") {
+				t.Errorf("launch context %s is not shared, although all containers have the same", key)
 			}
 		}
-		for _, k := range w.Store.Keys("w/j/") {
-			if c := mustReadLaunchContext(t, w, strings.TrimPrefix(k, "w/j/")+"/5"); shared != 1 || c.Argv[0] != launchContext.Command[0] {
-				t.Errorf("%d contexts, one is %+v", shared, c)
+		for _, key := range cluster.Store.Keys("w/j/") {
+			if c := mustReadLaunchContext(t, cluster, strings.TrimPrefix(key, "w/j/")+"/5"); shared != 1 || c.Argv[0] != launchContext.Command[0] {
+				t.Errorf("got %d launch contexts, one being %+v; want one with the submitted command", shared, c)
 			}
 		}
-		m.Release(m.Containers()[0].GetId())
-		ends, _ := user.runMaster(m, 50*time.Second)
-		if ends[yarn.ExitSuccess] != 5 || ends[yarn.ExitByMaster] != 1 {
-			t.Errorf("ended %v", ends)
+		master.Release(master.Containers()[0].GetId())
+		ended, _ := user.runMaster(master, 50*time.Second)
+		if ended[yarn.ExitSuccess] != 5 || ended[yarn.ExitByMaster] != 1 {
+			t.Errorf("ended by exit status: %v", ended)
 		}
-		if err := m.Finish(t.Context(), pb.FinalApplicationStatusProto_APP_SUCCEEDED, "all done"); err != nil {
+		if err := master.Finish(t.Context(), pb.FinalApplicationStatusProto_APP_SUCCEEDED, "all done"); err != nil {
 			t.Fatal(err)
 		}
-		if st := user.mustReadState(id); st != pb.YarnApplicationStateProto_FINISHED {
-			t.Errorf("it is %v", st)
+		if state := user.mustReadState(id); state != pb.YarnApplicationStateProto_FINISHED {
+			t.Errorf("application is %v, want FINISHED", state)
 		}
-		// A repeated end gets the same answer, and the token is refused from now on.
+		// Killing a finished application succeeds and does not change its state. The token of its
+		// master is refused.
 		if err := user.client.Kill(t.Context(), id); err != nil || user.mustReadState(id) != pb.YarnApplicationStateProto_FINISHED {
-			t.Errorf("killed after it had finished: %v", err)
+			t.Errorf("kill after the end: error %v, or the state has changed", err)
 		}
 		time.Sleep(10 * time.Second)
-		if update, err := m.Heartbeat(t.Context()); err == nil && !update.Shutdown {
-			t.Error("a heartbeat after the end is answered as if nothing had happened")
+		if update, err := master.Heartbeat(t.Context()); err == nil && !update.Shutdown {
+			t.Error("a heartbeat after the end is neither refused nor answered with a shutdown")
 		}
-		assertNoRecords(t, w)
+		assertNoRecords(t, cluster)
 	})
 }
 
-// Containers that the quota of the queue's team does not allow, or that fit no machine, are refused
-// with the text of a native job's refusal. Containers and native jobs of a team count together.
+// A container that exceeds the quota of its queue's team or fits no machine is refused with the
+// same text as a native job. Containers and native jobs of a team count towards the same quota.
 func TestRefusalsAndQuotasAreThoseOfNativeJobs(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUsMax: 20}}
-	runScenario(t, fake.Options{Machines: 6, Teams: teams}, func(t *testing.T, w *fake.Cluster, user *testClient) {
+	runScenario(t, fake.Options{Machines: 6, Teams: teams}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
 		for _, c := range []struct {
 			cpus int32
 			mem  int64
 		}{{9, 4}, {25, 4}, {2, 900}} {
-			_, m := user.startApplication()
-			native := scenario.Job(100, func(j *wire.Job) { j.CPUs, j.MemoryGB, j.Tasks = float64(c.cpus), float64(c.mem), 1 })
-			status, words := w.SubmitRefused(0, native)
-			m.Request(client.ContainerRequest{Priority: 1, ResourceName: "*", RelaxLocality: true, MemoryMB: c.mem * 1024, VCores: c.cpus}, 1)
-			_, err := m.Heartbeat(t.Context())
-			if status != http.StatusUnprocessableEntity || !ywire.IsClass(err, ywire.ClassBadRequest) || !strings.HasSuffix(err.Error(), words) {
-				t.Errorf("%d CPUs, %d GB: native %d %q, container %v", c.cpus, c.mem, status, words, err)
+			_, master := user.startApplication()
+			nativeJob := scenario.Job(100, func(j *wire.Job) { j.CPUs, j.MemoryGB, j.Tasks = float64(c.cpus), float64(c.mem), 1 })
+			status, text := cluster.SubmitRefused(0, nativeJob)
+			master.Request(client.ContainerRequest{Priority: 1, ResourceName: "*", RelaxLocality: true, MemoryMB: c.mem * 1024, VCores: c.cpus}, 1)
+			_, err := master.Heartbeat(t.Context())
+			if status != http.StatusUnprocessableEntity || !ywire.IsClass(err, ywire.ClassBadRequest) || !strings.HasSuffix(err.Error(), text) {
+				t.Errorf("%d CPUs, %d GB: native %d %q, container %v", c.cpus, c.mem, status, text, err)
 			}
-			m.Close()
+			master.Close()
 		}
-		id, m := user.startApplication()
-		defer m.Close()
-		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 4, 30 }))
+		id, master := user.startApplication()
+		defer master.Close()
+		scenario.MustSubmit(t, cluster, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 4, 30 }))
 		for n := range 10 {
-			m.Request(smallContainer(int32(n)), 4) // 80 CPUs in all, beside 8 of the job's
-			user.runMaster(m, 2*time.Second)
+			master.Request(smallContainer(int32(n)), 4) // 80 CPUs in all, besides the 8 CPUs of the job
+			user.runMaster(master, 2*time.Second)
 		}
-		if got := len(m.Containers()); got != 6 && got != 10 {
-			t.Errorf("%d containers beside a job, 20 CPUs being the limit", got)
+		if got := len(master.Containers()); got != 6 && got != 10 {
+			t.Errorf("got %d containers besides a job, want 6 or 10 within the quota of 20 CPUs", got)
 		}
-		scenario.MustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
-		user.runMaster(m, 15*time.Second)
-		if got := len(m.Containers()); got != 10 {
-			t.Errorf("%d containers, 20 CPUs being the limit", got)
+		scenario.MustReach(t, cluster, "wk-000001", wire.JobDone, time.Minute)
+		user.runMaster(master, 15*time.Second)
+		if got := len(master.Containers()); got != 10 {
+			t.Errorf("got %d containers, want 10 within the quota of 20 CPUs", got)
 		}
 		if err := user.client.Kill(t.Context(), id); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(20 * time.Second)
-		assertNoRecords(t, w)
+		assertNoRecords(t, cluster)
 	})
 }
 
-// Containers that are allocated and not started within start_s are released, and their
-// resources are available to native jobs.
+// Containers that are not started within start_s of their allocation are released. Their resources
+// become available to native jobs.
 func TestContainersNotStartedInTimeAreReleased(t *testing.T) {
-	runScenario(t, fake.Options{Machines: 1, Capacity: 1}, func(t *testing.T, w *fake.Cluster, user *testClient) {
-		_, m := user.startApplication()
-		defer m.Close()
-		m.Request(smallContainer(1), 4)
-		ends := map[int32]int{}
+	runScenario(t, fake.Options{Machines: 1, Capacity: 1}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
+		_, master := user.startApplication()
+		defer master.Close()
+		master.Request(smallContainer(1), 4)
+		ended := map[int32]int{}
 		for range 45 {
-			update, err := m.Heartbeat(t.Context())
+			update, err := master.Heartbeat(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, s := range update.Completed {
-				ends[s.GetExitStatus()]++
+				ended[s.GetExitStatus()]++
 			}
 			time.Sleep(time.Second)
 		}
-		if ends[yarn.ExitByMaster] != 4 || w.Started() != 0 {
-			t.Errorf("ended %v, %d started", ends, w.Started())
+		if ended[yarn.ExitByMaster] != 4 || cluster.Started() != 0 {
+			t.Errorf("ended by exit status: %v, %d started; want 4 released, none started", ended, cluster.Started())
 		}
-		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks = 4 }))
-		scenario.MustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
+		scenario.MustSubmit(t, cluster, scenario.Job(1, func(j *wire.Job) { j.Tasks = 4 }))
+		scenario.MustReach(t, cluster, "wk-000001", wire.JobDone, time.Minute)
 	})
 }
 
-// A native job of higher priority, an interruption notice and the loss of a machine end
-// containers as they end tasks; the exit status shows whether the container was preempted or lost.
+// A native job of higher priority, an interruption notice and the loss of a machine end containers
+// like native tasks. The exit status tells whether a container was preempted or lost.
 func TestExitStatusesOfPreemptedAndLostContainers(t *testing.T) {
-	runScenario(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster, user *testClient) {
-		_, m := user.startApplication()
-		defer m.Close()
-		m.Request(smallContainer(1), 8)
-		user.runMaster(m, 12*time.Second)
-		if w.Started() != 8 {
-			t.Fatalf("%d started", w.Started())
+	runScenario(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
+		_, master := user.startApplication()
+		defer master.Close()
+		master.Request(smallContainer(1), 8)
+		user.runMaster(master, 12*time.Second)
+		if cluster.Started() != 8 {
+			t.Fatalf("%d containers started, want 8", cluster.Started())
 		}
-		m.Request(smallContainer(1), 0)
-		scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Priority, j.Tasks, j.CPUs, j.EstimateS = wire.PriorityHigh, 1, 8, 10 }))
-		ends, warned := user.runMaster(m, 20*time.Second)
-		if ends[yarn.ExitPreempted] != 4 || warned == 0 {
-			t.Errorf("ended %v, warned of %d", ends, warned)
+		master.Request(smallContainer(1), 0)
+		scenario.MustSubmit(t, cluster, scenario.Job(1, func(j *wire.Job) { j.Priority, j.Tasks, j.CPUs, j.EstimateS = wire.PriorityHigh, 1, 8, 10 }))
+		ended, warned := user.runMaster(master, 20*time.Second)
+		if ended[yarn.ExitPreempted] != 4 || warned == 0 {
+			t.Errorf("ended by exit status: %v, with %d preemption messages; want 4 preempted", ended, warned)
 		}
-		scenario.MustReach(t, w, "wk-000001", wire.JobDone, time.Minute)
-		m.Request(smallContainer(2), 2)
-		user.runMaster(m, 8*time.Second)
-		busy := m.Containers()[0].GetNodeId().GetHost()
-		w.KillMachine(busy)
-		ends, _ = user.runMaster(m, 30*time.Second)
-		if ends[yarn.ExitAborted] == 0 {
-			t.Errorf("ended %v when a machine died", ends)
+		scenario.MustReach(t, cluster, "wk-000001", wire.JobDone, time.Minute)
+		master.Request(smallContainer(2), 2)
+		user.runMaster(master, 8*time.Second)
+		busy := master.Containers()[0].GetNodeId().GetHost()
+		cluster.KillMachine(busy)
+		ended, _ = user.runMaster(master, 30*time.Second)
+		if ended[yarn.ExitAborted] == 0 {
+			t.Errorf("ended by exit status: %v; none aborted after the loss of a machine", ended)
 		}
-		m.Request(smallContainer(3), 2)
-		user.runMaster(m, 8*time.Second)
-		if len(m.Containers()) == 0 {
-			t.Fatal("no container")
+		master.Request(smallContainer(3), 2)
+		user.runMaster(master, 8*time.Second)
+		if len(master.Containers()) == 0 {
+			t.Fatal("no container is allocated")
 		}
-		w.SendInterruptionNotice(m.Containers()[0].GetNodeId().GetHost(), 15*time.Second)
-		if ends, warned = user.runMaster(m, 12*time.Second); ends[yarn.ExitPreempted] == 0 || warned == 0 {
-			t.Errorf("ended %v, warned of %d, at a notice", ends, warned)
+		cluster.SendInterruptionNotice(master.Containers()[0].GetNodeId().GetHost(), 15*time.Second)
+		if ended, warned = user.runMaster(master, 12*time.Second); ended[yarn.ExitPreempted] == 0 || warned == 0 {
+			t.Errorf("ended by exit status: %v, with %d preemption messages; want both after an interruption notice", ended, warned)
 		}
 	})
 }
 
-// tasksPerMachine returns how many tasks each machine has, sorted by number: the order of equal
-// machines depends on which has sent its heartbeat first.
-func tasksPerMachine(w *fake.Cluster) []int { return slices.Sorted(maps.Values(w.TasksPerMachine())) }
+// tasksPerMachine returns the numbers of tasks of all machines in ascending order. They are sorted
+// because placement among equal machines depends on the order of their first heartbeats.
+func tasksPerMachine(cluster *fake.Cluster) []int {
+	return slices.Sorted(maps.Values(cluster.TasksPerMachine()))
+}
 
-// The same work is placed alike through YARN and as native jobs, and refused with the same text.
+// The same work is placed equally, or refused with the same text, through YARN and as native jobs.
 func TestYARNAndNativeJobsArePlacedAlike(t *testing.T) {
 	type step struct {
 		n         int
@@ -188,99 +194,99 @@
 	steps := []step{{5, 2, 0, 4, wire.PriorityNormal}, {2, 8, 0, 16, wire.PriorityNormal}, {3, 1, 1, 8, wire.PriorityNormal},
 		{1, 9, 0, 4, wire.PriorityNormal}, {6, 3, 0, 6, wire.PriorityNormal}, {1, 1, 3, 1, wire.PriorityNormal}}
 	o := fake.Options{Machines: 6, Capacity: 6}
-	var native, asked []string
-	scenario.Run(t, o, func(_ *testing.T, w *fake.Cluster) {
+	var nativeResults, yarnResults []string
+	scenario.Run(t, o, func(_ *testing.T, cluster *fake.Cluster) {
 		for i, s := range steps {
 			j := scenario.Job(i+1, func(j *wire.Job) {
 				j.Tasks, j.CPUs, j.GPUs, j.MemoryGB, j.EstimateS = s.n, s.cpus, s.gpu, s.memGB, 60
 				j.Class, j.Image, j.ImageGB, j.CheckpointS, j.SaveS = "yarn", "yarn", 0, 1e6, 3
 			})
-			w.RegisterJob(j)
-			status, words := w.SubmitRefused(0, j)
+			cluster.RegisterJob(j)
+			status, text := cluster.SubmitRefused(0, j)
 			time.Sleep(5 * time.Second)
 			if status != http.StatusUnprocessableEntity {
-				words = ""
+				text = ""
 			}
-			native = append(native, fmt.Sprint(words, tasksPerMachine(w)))
+			nativeResults = append(nativeResults, fmt.Sprint(text, tasksPerMachine(cluster)))
 		}
 	})
-	runScenario(t, o, func(t *testing.T, w *fake.Cluster, user *testClient) {
-		_, m := user.startApplication()
-		defer m.Close()
+	runScenario(t, o, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
+		_, master := user.startApplication()
+		defer master.Close()
 		for i, s := range steps {
-			// Each has a master of its own, so that a refusal does not affect the others.
-			_, m := user.startApplication()
-			defer m.Close()
-			m.Request(client.ContainerRequest{Priority: int32(i), ResourceName: "*", RelaxLocality: true, VCores: int32(s.cpus), MemoryMB: int64(s.memGB * 1024), GPUs: int64(s.gpu), GPUName: "yarn.io/gpu"}, s.n)
-			words := ""
+			// Each step has its own master, so that a refusal does not affect other steps.
+			_, master := user.startApplication()
+			defer master.Close()
+			master.Request(client.ContainerRequest{Priority: int32(i), ResourceName: "*", RelaxLocality: true, VCores: int32(s.cpus), MemoryMB: int64(s.memGB * 1024), GPUs: int64(s.gpu), GPUName: "yarn.io/gpu"}, s.n)
+			text := ""
 			for range 5 {
-				update, err := m.Heartbeat(t.Context())
+				update, err := master.Heartbeat(t.Context())
 				var e *ywire.Error
 				if errors.As(err, &e) {
-					words = e.Text
+					text = e.Text
 				} else if len(update.Allocated) > 0 {
-					if _, err := m.Start(t.Context(), launchContext, update.Allocated...); err != nil {
+					if _, err := master.Start(t.Context(), launchContext, update.Allocated...); err != nil {
 						t.Fatal(err)
 					}
 				}
 				time.Sleep(time.Second)
 			}
-			asked = append(asked, fmt.Sprint(words, tasksPerMachine(w)))
+			yarnResults = append(yarnResults, fmt.Sprint(text, tasksPerMachine(cluster)))
 		}
 	})
 	for i := range steps {
-		if native[i] != asked[i] {
-			t.Errorf("step %d: native %s, YARN %s", i, native[i], asked[i])
+		if nativeResults[i] != yarnResults[i] {
+			t.Errorf("step %d: native %s, YARN %s", i, nativeResults[i], yarnResults[i])
 		}
 	}
 }
 
-// With strict locality only the named nodes and racks are used, a node label selects its zone,
-// and no container is allocated on a blacklisted node.
+// With strict locality, only the named nodes and racks are used. A node label selects its zone. No
+// container is allocated on a blacklisted node.
 func TestLocalityAndBlacklists(t *testing.T) {
-	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, w *fake.Cluster, user *testClient) {
-		_, m := user.startApplication()
-		defer m.Close()
-		node := w.Cloud.Machines()[3]
+	runScenario(t, fake.Options{Machines: 6, Capacity: 6}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
+		_, master := user.startApplication()
+		defer master.Close()
+		node := cluster.Cloud.Machines()[3]
 		strict := func(prio int32, name string) client.ContainerRequest {
 			return client.ContainerRequest{Priority: prio, ResourceName: name, MemoryMB: 1024, VCores: 1}
 		}
-		m.Request(strict(1, node), 2)
-		user.runMaster(m, 5*time.Second) // before others use up that node
-		m.Request(strict(2, "/b"), 4)
+		master.Request(strict(1, node), 2)
+		user.runMaster(master, 5*time.Second) // first, while the node still has room
+		master.Request(strict(2, "/b"), 4)
 		labelled := smallContainer(3)
 		labelled.NodeLabel = "zone-b"
-		m.Request(labelled, 2)
-		m.Request(strict(4, "host-999999"), 1) // an unknown node: it stays pending and blocks nothing
-		user.runMaster(m, 15*time.Second)
+		master.Request(labelled, 2)
+		master.Request(strict(4, "host-999999"), 1) // an unknown node: the request stays pending and blocks no other
+		user.runMaster(master, 15*time.Second)
 		got := map[int32]int{}
-		for _, c := range m.Containers() {
+		for _, c := range master.Containers() {
 			at, prio := c.GetNodeId().GetHost(), c.GetPriority().GetPriority()
 			got[prio]++
-			if prio == 1 && at != node || prio != 1 && w.ZoneOf(at) != "b" {
-				t.Errorf("priority %d is on %s in zone %s", prio, at, w.ZoneOf(at))
+			if prio == 1 && at != node || prio != 1 && cluster.ZoneOf(at) != "b" {
+				t.Errorf("priority %d is on %s in zone %s", prio, at, cluster.ZoneOf(at))
 			}
 		}
 		if got[1] != 2 || got[2] != 4 || got[3] != 2 || len(got) != 3 {
 			t.Errorf("allocated by priority: %v", got)
 		}
-		m.Request(strict(4, "host-999999"), 0)
-		m.UpdateBlacklist([]string{node}, nil)
-		m.Request(smallContainer(5), 14)
-		user.runMaster(m, 15*time.Second)
-		for _, c := range m.Containers() {
+		master.Request(strict(4, "host-999999"), 0)
+		master.UpdateBlacklist([]string{node}, nil)
+		master.Request(smallContainer(5), 14)
+		user.runMaster(master, 15*time.Second)
+		for _, c := range master.Containers() {
 			if c.GetPriority().GetPriority() == 5 && c.GetNodeId().GetHost() == node {
-				t.Errorf("a container on %s, which is shunned", node)
+				t.Errorf("a container is on %s, which is blacklisted", node)
 			}
 		}
-		if got := len(m.Containers()); got < 20 {
-			t.Errorf("only %d containers beside a shunned node", got)
+		if got := len(master.Containers()); got < 20 {
+			t.Errorf("got %d containers besides a blacklisted node, want at least 20", got)
 		}
 		bad := labelled
 		bad.NodeLabel = "nowhere"
-		m.Request(bad, 1)
-		if _, err := m.Heartbeat(t.Context()); !ywire.IsClass(err, ywire.ClassBadRequest) {
-			t.Errorf("an unknown label is answered %v", err)
+		master.Request(bad, 1)
+		if _, err := master.Heartbeat(t.Context()); !ywire.IsClass(err, ywire.ClassBadRequest) {
+			t.Errorf("unknown label: got error %v, want one of ClassBadRequest", err)
 		}
 	})
 }
--- a/yarn/encoding_test.go
+++ b/yarn/encoding_test.go
@@ -8,8 +8,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Records of applications outlive the version that wrote them, and workers read launch
-// contexts: the encodings of records, keys, ids and tokens must not change.
+// The encodings of records, keys, ids and tokens must not change. Records outlive the version that
+// wrote them, and workers read launch contexts.
 func TestRecordEncodingsAreStable(t *testing.T) {
 	f := golden.Open(t, "records.golden")
 	stored := golden.Codec{Marshal: wire.Marshal, Unmarshal: func(b []byte, v any) error { return wire.Unmarshal(b, v) }}
@@ -31,7 +31,7 @@
 	tok.kind, tok.clusterTimestamp, tok.application, tok.attempt, tok.key, tok.container = containerToken, 2, 3, 4, 5, 6
 	f.Text("token", tok.String())
 	if back, err := parseToken([]byte(tok.String())); err != nil || back != tok {
-		t.Errorf("the token is read as %+v, %v", back, err)
+		t.Errorf("token %+v is parsed as %+v, error %v", tok, back, err)
 	}
 	for name, state := range map[string]applicationState{"accepted": stateAccepted, "running": stateRunning, "finished": stateFinished, "failed": stateFailed, "killed": stateKilled} {
 		f.Text("state "+name, string(state))
--- a/yarn/failures_test.go
+++ b/yarn/failures_test.go
@@ -1,3 +1,5 @@
+// Tests of the failure of masters, controllers and the key-value store.
+
 package yarn_test
 
 import (
@@ -19,236 +21,245 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// An application whose master sends no heartbeat for master_s fails: all its containers end,
-// also those that were never started, and none runs twice.
+// An application fails if its master sends no heartbeat for master_s. All its containers end, also
+// those that were never started. No container runs twice.
 func TestLostMasterLeavesNoContainers(t *testing.T) {
-	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, user *testClient) {
-		id, m := user.startApplication()
-		m.Request(smallContainer(1), 4)
-		user.runMaster(m, 12*time.Second)
-		m.Request(smallContainer(2), 3)
+	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
+		id, master := user.startApplication()
+		master.Request(smallContainer(1), 4)
+		user.runMaster(master, 12*time.Second)
+		master.Request(smallContainer(2), 3)
 		for range 4 { // allocated and never started
-			if _, err := m.Heartbeat(t.Context()); err != nil {
+			if _, err := master.Heartbeat(t.Context()); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(time.Second)
 		}
-		m.Close()
-		if w.Started() != 4 || len(m.Containers()) != 7 {
-			t.Fatalf("%d started, %d had", w.Started(), len(m.Containers()))
+		master.Close()
+		if cluster.Started() != 4 || len(master.Containers()) != 7 {
+			t.Fatalf("got %d started and %d allocated containers, want 4 and 7", cluster.Started(), len(master.Containers()))
 		}
 		time.Sleep(70 * time.Second)
-		if st := user.mustReadState(id); st != pb.YarnApplicationStateProto_FAILED {
-			t.Errorf("it is %v", st)
+		if state := user.mustReadState(id); state != pb.YarnApplicationStateProto_FAILED {
+			t.Errorf("application is %v, want FAILED", state)
 		}
-		if n := w.Running(); n != 0 || w.Started() != 4 {
-			t.Errorf("%d still run, %d were started", n, w.Started())
+		if n := cluster.Running(); n != 0 || cluster.Started() != 4 {
+			t.Errorf("%d containers still run, %d were started; want 0 and 4", n, cluster.Started())
 		}
-		assertNoRecords(t, w)
+		assertNoRecords(t, cluster)
 	})
 }
 
-// While the leader, all controllers or the key-value store fail, masters register again,
-// containers keep running, and no id is used twice.
+// When the leader, all controllers or the key-value store fail, masters register again, containers
+// keep running, and no id is used twice.
 func TestMastersSurviveFailures(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		fail func(w *fake.Cluster)
+		fail func(cluster *fake.Cluster)
 	}{
-		{"leader killed", func(w *fake.Cluster) { l := w.Leader(); w.KillNode(l); time.Sleep(8 * time.Second); w.StartNode(l) }},
-		{"all controllers killed", func(w *fake.Cluster) {
-			w.KillAll()
+		{"leader killed", func(cluster *fake.Cluster) {
+			leader := cluster.Leader()
+			cluster.KillNode(leader)
+			time.Sleep(8 * time.Second)
+			cluster.StartNode(leader)
+		}},
+		{"all controllers killed", func(cluster *fake.Cluster) {
+			cluster.KillAll()
 			time.Sleep(5 * time.Second)
-			w.StartAll()
+			cluster.StartAll()
 		}},
-		{"key-value store outage", func(w *fake.Cluster) { w.Store.SetOutage(true); time.Sleep(30 * time.Second); w.Store.SetOutage(false) }},
-		{"leader paused", func(w *fake.Cluster) {
-			l := w.Leader()
-			w.PauseNode(l)
+		{"key-value store outage", func(cluster *fake.Cluster) {
+			cluster.Store.SetOutage(true)
+			time.Sleep(30 * time.Second)
+			cluster.Store.SetOutage(false)
+		}},
+		{"leader paused", func(cluster *fake.Cluster) {
+			leader := cluster.Leader()
+			cluster.PauseNode(leader)
 			time.Sleep(20 * time.Second)
-			w.ResumeNode(l)
+			cluster.ResumeNode(leader)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			runScenario(t, fake.Options{Machines: 4, HeartbeatIntervalS: 5, LeaseS: 27}, func(t *testing.T, w *fake.Cluster, user *testClient) {
-				id, m := user.startApplication()
-				defer m.Close()
-				m.Request(smallContainer(1), 5)
-				user.runMaster(m, 14*time.Second)
-				m.Request(smallContainer(2), 30) // more than fit: the rest stays pending
-				user.runMaster(m, 3*time.Second)
-				before := w.Started()
+			runScenario(t, fake.Options{Machines: 4, HeartbeatIntervalS: 5, LeaseS: 27}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
+				id, master := user.startApplication()
+				defer master.Close()
+				master.Request(smallContainer(1), 5)
+				user.runMaster(master, 14*time.Second)
+				master.Request(smallContainer(2), 30) // more than fit: the rest stays pending
+				user.runMaster(master, 3*time.Second)
+				before := cluster.Started()
 				var wg sync.WaitGroup
 				wg.Add(1)
-				go func() { defer wg.Done(); c.fail(w) }()
-				ends, _ := user.runMaster(m, 32*time.Second)
+				go func() { defer wg.Done(); c.fail(cluster) }()
+				ends, _ := user.runMaster(master, 32*time.Second)
 				wg.Wait()
 				if n := len(ends) - min(1, ends[yarn.ExitSuccess]); n != 0 || before < 5 {
-					t.Errorf("ended amid the fall: %v; %d were started before", ends, before)
+					t.Errorf("ended during the failure, by exit status: %v; %d were started before; want no failures and at least 5", ends, before)
 				}
-				more, _ := user.runMaster(m, 200*time.Second)
+				more, _ := user.runMaster(master, 200*time.Second)
 				for k, n := range more {
 					ends[k] += n
 				}
 				if ends[yarn.ExitSuccess] < 20 || len(ends) != 1 {
-					t.Errorf("ended %v", ends)
+					t.Errorf("ended by exit status: %v; want at least 20 successes and nothing else", ends)
 				}
 				seen := map[int64]bool{}
-				for _, ct := range m.Containers() {
-					if seen[ct.GetId().GetId()] {
-						t.Errorf("id %d twice", ct.GetId().GetId())
+				for _, container := range master.Containers() {
+					if seen[container.GetId().GetId()] {
+						t.Errorf("container id %d is used twice", container.GetId().GetId())
 					}
-					seen[ct.GetId().GetId()] = true
+					seen[container.GetId().GetId()] = true
 				}
 				other, _, err := user.client.NewApplication(t.Context())
 				if err != nil || other.GetId() == id.GetId() {
-					t.Errorf("application %v after %v, %v", other, id, err)
+					t.Errorf("new application id %v after %v, error %v", other, id, err)
 				}
 			})
 		})
 	}
 }
 
-// An unreadable keyring is restored from a controller's copy when the next leader takes over. If
-// no controller has one, it is created anew: masters that had registered are refused, and new
+// An unreadable keyring is restored from a controller's copy when the next leader takes over. If no
+// controller has a copy, a new keyring is created. Then registered masters are refused, and new
 // applications get ids that were never used.
 func TestUnreadableKeyringIsRepaired(t *testing.T) {
-	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster, user *testClient) {
-		id, m := user.startApplication()
-		user.runMaster(m, 5*time.Second)
-		for i := range w.Nodes() {
-			w.PollState(w.NodeAddr(i), "wk-000001") // which makes each controller read the records
-		}
-		w.Store.Corrupt("w/y/keys")
-		l := w.Leader()
-		w.KillNode(l)
+	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
+		id, master := user.startApplication()
+		user.runMaster(master, 5*time.Second)
+		for i := range cluster.Nodes() {
+			cluster.PollState(cluster.NodeAddr(i), "wk-000001") // makes each controller read the records
+		}
+		cluster.Store.Corrupt("w/y/keys")
+		leader := cluster.Leader()
+		cluster.KillNode(leader)
 		time.Sleep(12 * time.Second)
-		w.StartNode(l)
-		user.runMaster(m, 5*time.Second)
-		m.Close()
-		for i := range w.Nodes() {
-			w.KillNode(i)
+		cluster.StartNode(leader)
+		user.runMaster(master, 5*time.Second)
+		master.Close()
+		for i := range cluster.Nodes() {
+			cluster.KillNode(i)
 		}
-		w.Store.Corrupt("w/y/keys")
-		for i := range w.Nodes() {
-			w.StartNode(i)
+		cluster.Store.Corrupt("w/y/keys")
+		for i := range cluster.Nodes() {
+			cluster.StartNode(i)
 		}
 		for range 4 {
 			time.Sleep(10 * time.Second)
 			_, _, _ = user.client.NewApplication(t.Context()) // refused for a while
 		}
-		other, m := user.startApplication()
-		defer m.Close()
+		other, master := user.startApplication()
+		defer master.Close()
 		if other.GetId() <= id.GetId()+50 || other.GetClusterTimestamp() != id.GetClusterTimestamp() {
-			t.Errorf("%v after %v", other, id)
+			t.Errorf("new application id %v is not beyond %v", other, id)
 		}
-		m.Request(smallContainer(1), 2)
-		user.runMaster(m, 20*time.Second)
-		if len(m.Containers()) == 0 && w.Started() == 0 {
-			t.Error("it runs nothing")
+		master.Request(smallContainer(1), 2)
+		user.runMaster(master, 20*time.Second)
+		if len(master.Containers()) == 0 && cluster.Started() == 0 {
+			t.Error("the new application runs no container")
 		}
 	})
 }
 
-// A managed application's master runs as a task. When it ends without having registered, it is
-// launched once more, and after the last attempt the application fails.
+// The master of a managed application runs as a task. If it ends without having registered, the
+// next attempt launches it again. After the last attempt the application fails.
 func TestManagedMasterIsRestarted(t *testing.T) {
-	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster, user *testClient) {
+	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
 		id, _, err := user.client.NewApplication(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		sub := &pb.ApplicationSubmissionContextProto{ApplicationId: id, Queue: proto.String("core"), MaxAppAttempts: proto.Int32(2),
+		submission := &pb.ApplicationSubmissionContextProto{ApplicationId: id, Queue: proto.String("core"), MaxAppAttempts: proto.Int32(2),
 			Resource: &pb.ResourceProto{Memory: proto.Int64(1024), VirtualCores: proto.Int32(1)}, AmContainerSpec: launchContext}
-		for range 2 { // a repeated submission is the same application
-			if err := user.client.Submit(t.Context(), sub); err != nil {
+		for range 2 { // a repeated submission changes nothing
+			if err := user.client.Submit(t.Context(), submission); err != nil {
 				t.Fatal(err)
 			}
 		}
 		time.Sleep(10 * time.Second)
-		if w.Started() != 1 {
-			t.Fatalf("%d masters", w.Started())
+		if cluster.Started() != 1 {
+			t.Fatalf("%d masters were started, want 1", cluster.Started())
 		}
 		var task string
-		for _, k := range w.Store.Keys("w/j/") {
+		for _, k := range cluster.Store.Keys("w/j/") {
 			task = strings.TrimPrefix(k, "w/j/") + "/0"
 		}
-		first := mustReadLaunchContext(t, w, task)
+		first := mustReadLaunchContext(t, cluster, task)
 		if first.Argv[0] != launchContext.Command[0] || first.Env["UMBERDEAL_AM_TOKEN_ID"] == "" {
-			t.Errorf("its context is %+v", first)
+			t.Errorf("master's launch context is %+v", first)
 		}
 		time.Sleep(65 * time.Second) // the master ends without having registered
-		if st := user.mustReadState(id); st != pb.YarnApplicationStateProto_ACCEPTED && st != pb.YarnApplicationStateProto_FAILED {
-			t.Errorf("it is %v", st)
+		if state := user.mustReadState(id); state != pb.YarnApplicationStateProto_ACCEPTED && state != pb.YarnApplicationStateProto_FAILED {
+			t.Errorf("application is %v after the first attempt, want ACCEPTED or FAILED", state)
 		}
 		time.Sleep(70 * time.Second)
-		if st := user.mustReadState(id); st != pb.YarnApplicationStateProto_FAILED || w.Started() > 2 {
-			t.Errorf("it is %v after %d masters", st, w.Started())
+		if state := user.mustReadState(id); state != pb.YarnApplicationStateProto_FAILED || cluster.Started() > 2 {
+			t.Errorf("application is %v after %d masters, want FAILED after at most 2", state, cluster.Started())
 		}
-		assertNoRecords(t, w)
+		assertNoRecords(t, cluster)
 	})
 }
 
-// Masters and native jobs run while controllers are killed, paused and partitioned and the
-// key-value store fails at random: no container runs twice, and none is left at the end.
+// Masters and native jobs run while controllers are killed, paused and partitioned at random, and
+// the key-value store fails at random. No container runs twice, and none is left at the end.
 func TestRandomFailuresWithYARNAndNativeJobs(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			teams := []config.Team{{Name: "core", CPUsMax: 40}}
-			runScenario(t, fake.Options{Machines: 6, Capacity: 8, Teams: teams, Seed: seed}, func(t *testing.T, w *fake.Cluster, user *testClient) {
-				rnd := rand.New(rand.NewPCG(seed, 14))
+			runScenario(t, fake.Options{Machines: 6, Capacity: 8, Teams: teams, Seed: seed}, func(t *testing.T, cluster *fake.Cluster, user *testClient) {
+				random := rand.New(rand.NewPCG(seed, 14))
 				var wg sync.WaitGroup
 				var ended atomic.Int64
-				over := time.Now().Add(150 * time.Second)
+				end := time.Now().Add(150 * time.Second)
 				for k := range 3 {
-					_, m := user.startApplication()
+					_, master := user.startApplication()
 					wg.Add(1)
 					go func() {
 						defer wg.Done()
-						defer m.Close()
-						m.Request(smallContainer(int32(k)), 8)
-						ends, _ := user.runMaster(m, time.Until(over)-time.Duration(k)*10*time.Second)
+						defer master.Close()
+						master.Request(smallContainer(int32(k)), 8)
+						ends, _ := user.runMaster(master, time.Until(end)-time.Duration(k)*10*time.Second)
 						ended.Add(int64(ends[yarn.ExitSuccess]))
-						if k > 0 { // the first master is lost
-							if err := m.Finish(t.Context(), pb.FinalApplicationStatusProto_APP_SUCCEEDED, ""); err != nil {
+						if k > 0 { // the first master ends without finishing its application
+							if err := master.Finish(t.Context(), pb.FinalApplicationStatusProto_APP_SUCCEEDED, ""); err != nil {
 								t.Errorf("finish: %v", err)
 							}
 						}
 					}()
 				}
-				scenario.MustSubmit(t, w, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 12, 20 }))
-				for time.Until(over) > 25*time.Second {
-					n := rnd.IntN(3)
-					switch rnd.IntN(4) {
+				scenario.MustSubmit(t, cluster, scenario.Job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 12, 20 }))
+				for time.Until(end) > 25*time.Second {
+					n := random.IntN(3)
+					switch random.IntN(4) {
 					case 0:
-						w.KillNode(n)
-						time.Sleep(time.Duration(1+rnd.IntN(6)) * time.Second)
-						w.StartNode(n)
+						cluster.KillNode(n)
+						time.Sleep(time.Duration(1+random.IntN(6)) * time.Second)
+						cluster.StartNode(n)
 					case 1:
-						w.PauseNode(n)
-						time.Sleep(time.Duration(1+rnd.IntN(9)) * time.Second)
-						w.ResumeNode(n)
+						cluster.PauseNode(n)
+						time.Sleep(time.Duration(1+random.IntN(9)) * time.Second)
+						cluster.ResumeNode(n)
 					case 2:
-						w.PartitionNode(n, "state", "am")
-						time.Sleep(time.Duration(1+rnd.IntN(9)) * time.Second)
-						w.HealNode(n, "state", "am")
+						cluster.PartitionNode(n, "state", "am")
+						time.Sleep(time.Duration(1+random.IntN(9)) * time.Second)
+						cluster.HealNode(n, "state", "am")
 					case 3:
-						w.Store.SetOutage(true)
-						time.Sleep(time.Duration(1+rnd.IntN(5)) * time.Second)
-						w.Store.SetOutage(false)
+						cluster.Store.SetOutage(true)
+						time.Sleep(time.Duration(1+random.IntN(5)) * time.Second)
+						cluster.Store.SetOutage(false)
 					}
-					time.Sleep(time.Duration(1+rnd.IntN(8)) * time.Second)
+					time.Sleep(time.Duration(1+random.IntN(8)) * time.Second)
 				}
 				wg.Wait()
 				if n := ended.Load(); n < 8 {
-					t.Errorf("only %d containers completed", n)
+					t.Errorf("%d containers completed, want at least 8", n)
 				}
-				scenario.MustReach(t, w, "wk-000001", wire.JobDone, 2*time.Minute)
+				scenario.MustReach(t, cluster, "wk-000001", wire.JobDone, 2*time.Minute)
 				time.Sleep(80 * time.Second)
-				if n := w.Running(); n != 0 {
-					t.Errorf("%d containers are left", n)
+				if n := cluster.Running(); n != 0 {
+					t.Errorf("%d containers still run, want none", n)
 				}
-				assertNoRecords(t, w)
+				assertNoRecords(t, cluster)
 			})
 		})
 	}
--- a/yarn/leader_test.go
+++ b/yarn/leader_test.go
@@ -9,9 +9,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Containers that were not started in time and have been released are not released again, while
-// their placements last. Each maintenance round had rewritten the job's record for them, which
-// takes a change of the key-value store each time and makes other changes of the job conflict.
+// Containers that were released because they were not started in time stay placed for a while. They
+// must not be released again. Formerly, each maintenance round rewrote the record of their job.
+// Each rewrite took a transaction of the key-value store and made other changes of the job
+// conflict.
 func TestReleasedTasksAreNotReleasedAgain(t *testing.T) {
 	f := &Frontend{settings: &Settings{StartTimeoutS: 30}}
 	j := &jobstore.ReservedJob{ID: "ya-1-1", Placements: map[int]jobstore.Placement{0: {}, 1: {}, 2: {}},
@@ -27,10 +28,10 @@
 		return tasks
 	}
 	if got := late(); !slices.Equal(got, []int{0, 1, 2}) {
-		t.Errorf("late at first: %v", got)
+		t.Errorf("late tasks: got %v, want [0 1 2]", got)
 	}
 	j.Record.Reservation.ReleaseRanges = addTasks(nil, []int{0, 2}, 3)
 	if got := late(); !slices.Equal(got, []int{1}) {
-		t.Errorf("late after the release of 0 and 2: %v", got)
+		t.Errorf("late tasks after the release of 0 and 2: got %v, want [1]", got)
 	}
 }
