--- a/yarn/wire/wire_test.go
+++ b/yarn/wire/wire_test.go
@@ -1,3 +1,5 @@
+// Tests of client, server, frames and SASL over an in-memory network.
+
 package wire
 
 import (
@@ -22,8 +24,8 @@
 
 const testProtocol = "org.example.Test"
 
-// startServer starts a server for the duration of the test. Its method waits for the number of
-// seconds that is given as the application's id.
+// startServer starts a server for the duration of the test. Its method echo waits for as many
+// seconds as the id of the application in the request.
 func startServer(t *testing.T, change func(s *Server)) *memnet.Listener {
 	t.Helper()
 	echo := Handle(func(ctx context.Context, c *Caller, in *pb.KillApplicationRequestProto) (*pb.KillApplicationResponseProto, error) {
@@ -71,10 +73,12 @@
 	return &out, err
 }
 
+// A slow call does not delay the answer to a later call on the same connection. Errors have the
+// exception class of their cause.
 func TestCallsAreAnsweredInAnyOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := startServer(t, nil)
-		c, err := Dial(t.Context(), p.Dial, "", testProtocol, "ann", nil)
+		listener := startServer(t, nil)
+		c, err := Dial(t.Context(), listener.Dial, "", testProtocol, "ann", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -85,62 +89,63 @@
 		go func() { defer close(done); _, _ = call(t, c, 9, ""); slow = time.Since(begun) }()
 		out, err := call(t, c, 1, "")
 		if fast = time.Since(begun); err != nil || !out.GetIsKillCompleted() {
-			t.Errorf("%v, %v", out, err)
+			t.Errorf("call: got %v, error %v", out, err)
 		}
 		if <-done; fast != time.Second || slow != 9*time.Second {
-			t.Errorf("answered after %v and %v", fast, slow)
+			t.Errorf("answered after %v and %v, want 1s and 9s", fast, slow)
 		}
 		if _, err := call(t, c, 0, "no"); !IsClass(err, ClassNoApp) {
-			t.Errorf("an application's error came as %v", err)
+			t.Errorf("error of the method: got %v, want ClassNoApp", err)
 		}
 		if err := c.Call(t.Context(), "nothing", &pb.KillApplicationRequestProto{}, &pb.KillApplicationResponseProto{}); !IsClass(err, ClassNoMethod) {
-			t.Errorf("what is not supported is answered %v", err)
+			t.Errorf("unknown method: got error %v, want ClassNoMethod", err)
 		}
-		other, err := Dial(t.Context(), p.Dial, "", "nobody", "ann", nil)
+		other, err := Dial(t.Context(), listener.Dial, "", "nobody", "ann", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer other.Close()
 		if _, err := call(t, other, 0, ""); !IsClass(err, ClassNoProtocol) {
-			t.Errorf("an unknown protocol is answered %v", err)
+			t.Errorf("unknown protocol: got error %v, want ClassNoProtocol", err)
 		}
 	})
 }
 
+// A protocol that needs a token serves only clients that know the password of a valid token.
 func TestTokenAuthentication(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := startServer(t, nil)
+		listener := startServer(t, nil)
 		token := func(id, pw string) *pb.TokenProto {
 			return &pb.TokenProto{Identifier: []byte(id), Password: []byte(pw), Kind: proto.String("k"), Service: proto.String("")}
 		}
-		c, err := Dial(t.Context(), p.Dial, "", "closed", "ann", token("app-1", "pw of app-1"))
+		c, err := Dial(t.Context(), listener.Dial, "", "closed", "ann", token("app-1", "pw of app-1"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := call(t, c, 0, ""); err != nil {
-			t.Errorf("with its token: %v", err)
+			t.Errorf("call with a valid token: %v", err)
 		}
 		c.Close()
 		for name, tok := range map[string]*pb.TokenProto{"wrong password": token("app-1", "pw of app-2"), "over": token("over", "pw of over"), "empty": token("", "")} {
-			if c, err := Dial(t.Context(), p.Dial, "", "closed", "ann", tok); err == nil || IsClass(err, ClassRuntime) {
+			if c, err := Dial(t.Context(), listener.Dial, "", "closed", "ann", tok); err == nil || IsClass(err, ClassRuntime) {
 				c.Close()
-				t.Errorf("%s: let in", name)
+				t.Errorf("%s: connection is accepted", name)
 			}
 		}
-		// An application master gives up for good if its token is called invalid, so that must not
-		// be the answer if the password could not be looked up.
-		if _, err := Dial(t.Context(), p.Dial, "", "closed", "ann", token("busy", "pw of busy")); !IsClass(err, ClassRetriable) {
-			t.Errorf("while the token can't be checked: %v", err)
+		// An application master gives up for good if its token is invalid. So a failed lookup of
+		// the password must be answered with a retriable error.
+		if _, err := Dial(t.Context(), listener.Dial, "", "closed", "ann", token("busy", "pw of busy")); !IsClass(err, ClassRetriable) {
+			t.Errorf("failed password lookup: got error %v, want ClassRetriable", err)
 		}
-		if _, err := Dial(t.Context(), p.Dial, "", "closed", "ann", token("over", "pw of over")); !IsClass(err, ClassInvalidToken) {
-			t.Errorf("of an application that is over: %v", err)
+		if _, err := Dial(t.Context(), listener.Dial, "", "closed", "ann", token("over", "pw of over")); !IsClass(err, ClassInvalidToken) {
+			t.Errorf("token of an ended application: got error %v, want ClassInvalidToken", err)
 		}
-		c, err = Dial(t.Context(), p.Dial, "", "closed", "ann", nil)
+		c, err = Dial(t.Context(), listener.Dial, "", "closed", "ann", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if _, err := call(t, c, 0, ""); !IsClass(err, ClassAccess) {
-			t.Errorf("without a token: %v", err)
+			t.Errorf("call without a token: got error %v, want ClassAccess", err)
 		}
 		c.Close()
 	})
@@ -161,12 +166,12 @@
 	}
 }
 
-// Garbage, a huge announced length, an incomplete frame: each connection is closed within
-// its deadline, little memory is allocated, and other clients are served meanwhile.
+// Clients send malformed or incomplete input, such as a huge length. Each of their connections must
+// be closed within its deadline, little memory be allocated, and other clients be served meanwhile.
 func TestMalformedInputDoesNotAffectOtherClients(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := startServer(t, nil)
-		good, err := Dial(t.Context(), p.Dial, "", testProtocol, "ann", nil)
+		listener := startServer(t, nil)
+		good, err := Dial(t.Context(), listener.Dial, "", testProtocol, "ann", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -185,7 +190,7 @@
 			"unknown SASL":   []byte("hrpc\x09\x00\xdf\x00\x00\x00\x01\x00"),
 			"no call before": append([]byte("hrpc\x09\x00\x00"), 0, 0, 0, 2, 1, 0),
 		} {
-			a, _ := p.Dial(t.Context(), "", "")
+			a, _ := listener.Dial(t.Context(), "", "")
 			left.Add(1)
 			go func() { _, _ = a.Write(b) }()
 			go func() {
@@ -199,21 +204,20 @@
 			}()
 		}
 		if _, err := call(t, good, 1, ""); err != nil {
-			t.Errorf("a good client: %v", err)
+			t.Errorf("call of a valid client: %v", err)
 		}
 		time.Sleep(12 * time.Second)
 		runtime.ReadMemStats(&after)
 		if left.Load() != 0 || after.TotalAlloc-before.TotalAlloc > 2<<20 {
-			t.Errorf("%d still open, %d bytes taken", left.Load(), after.TotalAlloc-before.TotalAlloc)
+			t.Errorf("%d connections are still open, %d bytes were allocated", left.Load(), after.TotalAlloc-before.TotalAlloc)
 		}
 		if _, err := call(t, good, 1, ""); err != nil {
-			t.Errorf("a good client later: %v", err)
+			t.Errorf("later call of a valid client: %v", err)
 		}
 	})
 }
 
-// A client of a newer version sends fields that are unknown here: they are no error, and are
-// kept.
+// Fields that only newer clients know are accepted and kept.
 func TestUnknownFieldsAreKept(t *testing.T) {
 	b, _ := proto.Marshal(&pb.ApplicationIdProto{Id: proto.Int32(7)})
 	b = protowire.AppendString(protowire.AppendTag(b, 99, protowire.BytesType), "novelty")
@@ -222,40 +226,40 @@
 		t.Fatal(err)
 	}
 	if again, _ := proto.Marshal(&m); !bytes.Contains(again, []byte("novelty")) {
-		t.Error("dropped")
+		t.Error("the unknown field is dropped")
 	}
 }
 
-// Calls beyond the limit are answered RetriableException, and connections beyond the limit
-// are closed at once.
+// Calls beyond the limit are answered with RetriableException. Connections beyond the limit are
+// closed at once.
 func TestCallsAndConnectionsBeyondLimitsAreRejected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := startServer(t, func(s *Server) { s.MaxCalls, s.MaxConns = 4, 2 })
-		c, err := Dial(t.Context(), p.Dial, "", testProtocol, "ann", nil)
+		listener := startServer(t, func(s *Server) { s.MaxCalls, s.MaxConns = 4, 2 })
+		c, err := Dial(t.Context(), listener.Dial, "", testProtocol, "ann", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		var shed atomic.Int32
+		var refused atomic.Int32
 		for range 10 {
 			go func() {
 				if _, err := call(t, c, 5, ""); IsClass(err, ClassRetriable) {
-					shed.Add(1)
+					refused.Add(1)
 				}
 			}()
 		}
 		time.Sleep(time.Second)
-		if shed.Load() != 6 {
-			t.Errorf("%d of 10 calls were shed, with room for 4", shed.Load())
+		if refused.Load() != 6 {
+			t.Errorf("%d of 10 calls were refused, want 6 with a limit of 4", refused.Load())
 		}
-		d, err := Dial(t.Context(), p.Dial, "", testProtocol, "ann", nil)
+		d, err := Dial(t.Context(), listener.Dial, "", testProtocol, "ann", nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer d.Close()
-		a, _ := p.Dial(t.Context(), "", "")
+		a, _ := listener.Dial(t.Context(), "", "")
 		if _, err := a.Read(make([]byte, 1)); err == nil {
-			t.Error("a third connection, with room for two")
+			t.Error("a third connection is accepted with a limit of two")
 		}
 		time.Sleep(10 * time.Second)
 	})
@@ -274,7 +278,7 @@
 			return
 		}
 		if len(frame)+4 > len(b) {
-			t.Fatalf("a frame of %d from %d bytes", len(frame), len(b))
+			t.Fatalf("read a frame of %d bytes from %d bytes", len(frame), len(b))
 		}
 		r, err := ParseRequest(frame)
 		if err == nil && r.Header == nil {
