--- a/yarn/frontend.go
+++ b/yarn/frontend.go
@@ -19,19 +19,32 @@
 
 // Store is the key-value store. The front end keeps its own records there.
 type Store interface {
+	// Get reads one key. If the key does not exist, the Version of the entry is 0.
 	Get(ctx context.Context, key string) (nwire.Entry, error)
+	// List returns all entries with a prefix and the revision of the read.
 	List(ctx context.Context, prefix string) ([]nwire.Entry, uint64, error)
+	// CompareAndSwap applies ops in one transaction if all guards hold, and returns its revision.
+	// It fails with a kvstore.ConflictError if a guard does not hold, and with
+	// kvstore.ErrOutcomeUnknown if the transaction may or may not have been committed.
 	CompareAndSwap(ctx context.Context, guards []nwire.Guard, ops []nwire.Op) (uint64, error)
 }
 
 // JobStore is the part of jobstore.Store that the front end uses.
 type JobStore interface {
+	// OwnedJobs returns the record of an application and its unfinished jobs, as of one revision.
 	OwnedJobs(ctx context.Context, owner string) (jobstore.AppRecord, []jobstore.ReservedJob, error)
+	// FinishedReservation returns a finished job, or false if the job is not finished.
 	FinishedReservation(ctx context.Context, id string) (jobstore.ReservedJob, bool, error)
+	// ListApps returns all records with jobstore.AppPrefix.
 	ListApps(ctx context.Context) ([]jobstore.AppRecord, error)
+	// CachedApp returns a record as of the last read barrier, such as a call of OwnedJobs.
 	CachedApp(key string) jobstore.AppRecord
+	// Reserve commits a job and replaces the record of its owner by value in one transaction. It
+	// returns the revision, and true without a commit if the id of the job was accepted before.
 	Reserve(ctx context.Context, j nwire.Job, atMs int64, res jobstore.Reservation, owner jobstore.AppRecord, value any) (uint64, bool, error)
+	// UpdateReservation changes the reservation of a job and applies more in one transaction.
 	UpdateReservation(ctx context.Context, v *jobstore.ReservedJob, change func(*jobstore.Reservation), more ...nwire.Op) error
+	// Cancel ends a job and returns its final state, or false if the id was never accepted.
 	Cancel(ctx context.Context, id string) (string, bool, error)
 }
 
--- a/yarn/settings.go
+++ b/yarn/settings.go
@@ -22,20 +22,20 @@
 // Settings are the settings of the YARN front end, read from a TOML file. Fields ending in S are in
 // seconds.
 type Settings struct {
-	Listen               string     `toml:"listen"`     // address of the RPC server
-	Advertise            string     `toml:"advertise"`  // address at which clients reach Listen; empty: Listen
-	REST                 string     `toml:"rest"`       // address of the REST interface; empty: none
-	Networks             []string   `toml:"networks"`   // address prefixes from which clients may connect; empty: all
-	MasterTimeoutS       float64    `toml:"master_s"`   // time without a heartbeat of the master until its application fails
-	StartTimeoutS        float64    `toml:"start_s"`    // time from the allocation of a container until it must be started
-	KeyRotationIntervalS float64    `toml:"key_roll_s"` // interval between rotations of the signing key
-	MaxApps              int        `toml:"max_apps"`   // maximum number of unfinished applications
-	MaxConns             int        `toml:"max_connections"`
-	MaxCalls             int        `toml:"max_calls"` // maximum number of concurrent calls
-	Image                string     `toml:"image"`     // image that a machine needs to run containers
-	ImageGB              float64    `toml:"image_gb"`
-	EstimateS            float64    `toml:"estimate_s"` // expected run time of a container
-	PreemptGraceS        float64    `toml:"grace_s"`    // time from a preemption message to the end of the container
+	Listen               string     `toml:"listen"`          // address of the RPC server
+	Advertise            string     `toml:"advertise"`       // address at which clients reach Listen; empty: Listen
+	REST                 string     `toml:"rest"`            // address of the REST interface; empty: none
+	Networks             []string   `toml:"networks"`        // address prefixes from which clients may connect; empty: all
+	MasterTimeoutS       float64    `toml:"master_s"`        // time without a heartbeat of the master until its application fails
+	StartTimeoutS        float64    `toml:"start_s"`         // time from the allocation of a container until it must be started
+	KeyRotationIntervalS float64    `toml:"key_roll_s"`      // interval between rotations of the signing key
+	MaxApps              int        `toml:"max_apps"`        // maximum number of unfinished applications
+	MaxConns             int        `toml:"max_connections"` // maximum number of RPC connections
+	MaxCalls             int        `toml:"max_calls"`       // maximum number of concurrent calls
+	Image                string     `toml:"image"`           // image that a machine needs to run containers
+	ImageGB              float64    `toml:"image_gb"`        // size of Image
+	EstimateS            float64    `toml:"estimate_s"`      // expected run time of a container
+	PreemptGraceS        float64    `toml:"grace_s"`         // time from a preemption message to the end of the container
 	Queues               []Queue    `toml:"queues"`
 	Priorities           []Priority `toml:"priorities"`
 	Labels               []Label    `toml:"labels"`
@@ -54,15 +54,15 @@
 // Priority maps YARN priorities of AtLeast and above to a native priority.
 type Priority struct {
 	AtLeast int    `toml:"at_least"`
-	Native  string `toml:"native"`
+	Native  string `toml:"native"` // one of the priorities of package wire, such as wire.PriorityNormal
 }
 
 // Label maps a node label to the machines that it allows.
 type Label struct {
 	Name  string   `toml:"name"`
-	Types []string `toml:"types"`
-	Zone  string   `toml:"zone"`
-	Spot  bool     `toml:"spot"`
+	Types []string `toml:"types"` // allowed machine types; empty: all
+	Zone  string   `toml:"zone"`  // the only allowed zone; empty: all zones
+	Spot  bool     `toml:"spot"`  // whether spot machines are allowed too
 }
 
 // Resource maps a resource name of YARN's API to GPUs.
@@ -161,7 +161,8 @@
 	return native
 }
 
-// label returns the node label with the given name. The empty label allows all machines.
+// label returns the node label with the given name. The empty label allows all machines
+// except spot machines.
 func (s *Settings) label(name string) (Label, bool) {
 	if name == "" {
 		return Label{}, true
