--- a/yarn/frontend.go
+++ b/yarn/frontend.go
@@ -41,9 +41,9 @@
 	CachedApp(key string) jobstore.AppRecord
 	// Reserve commits a job and replaces the record of its owner by value in one transaction. It
 	// returns the revision, and true without a commit if the id of the job was accepted before.
-	Reserve(ctx context.Context, j nwire.Job, atMs int64, res jobstore.Reservation, owner jobstore.AppRecord, value any) (uint64, bool, error)
+	Reserve(ctx context.Context, job nwire.Job, atMs int64, reservation jobstore.Reservation, owner jobstore.AppRecord, value any) (uint64, bool, error)
 	// UpdateReservation changes the reservation of a job and applies more in one transaction.
-	UpdateReservation(ctx context.Context, v *jobstore.ReservedJob, change func(*jobstore.Reservation), more ...nwire.Op) error
+	UpdateReservation(ctx context.Context, job *jobstore.ReservedJob, change func(*jobstore.Reservation), more ...nwire.Op) error
 	// Cancel ends a job and returns its final state, or false if the id was never accepted.
 	Cancel(ctx context.Context, id string) (string, bool, error)
 }
@@ -52,7 +52,7 @@
 type Controller interface {
 	// CheckFeasible checks whether a job can ever run, by the rules for native jobs. It returns 0
 	// and nil if it can, and otherwise the HTTP status and the error of the refusal.
-	CheckFeasible(j *nwire.Job) (int, error)
+	CheckFeasible(job *nwire.Job) (int, error)
 	// MachineTypes returns the machine types of the cluster with their full sizes.
 	MachineTypes() []nwire.MachineType
 	// Machines returns all machines as the leader sees them.
