--- a/yarn/container_protocol.go
+++ b/yarn/container_protocol.go
@@ -1,3 +1,6 @@
+// ContainerManagementProtocol. In Hadoop, the NodeManager of each machine serves this protocol.
+// Here a front end serves it for the containers on all machines.
+
 package yarn
 
 import (
@@ -13,19 +16,16 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements ContainerManagementProtocol. In Hadoop each machine's NodeManager serves
-// it; here a front end serves it for the containers on all machines.
-
-// containerStart is a container that is to be started.
+// containerStart is a checked request to start a container.
 type containerStart struct {
 	id        *pb.ContainerIdProto
 	job       string
 	task      int
-	contextOp nwire.Op // keeps its launch context under its own key
+	contextOp nwire.Op // stores the launch context under the container's own key
 }
 
-// failure returns the part of an answer that says that a call failed for one container.
-func failure(id *pb.ContainerIdProto, err error) *pb.ContainerExceptionMapProto {
+// containerFailure returns the error of a call for one container, as part of the answer.
+func containerFailure(id *pb.ContainerIdProto, err error) *pb.ContainerExceptionMapProto {
 	e := wire.AsError(err)
 	return &pb.ContainerExceptionMapProto{
 		ContainerId: id,
@@ -33,14 +33,15 @@
 	}
 }
 
-// startContainers stores the containers' launch contexts and marks them in their jobs' records as
-// to be launched; the leader launches them with its next answer to the worker's heartbeat.
+// startContainers stores the launch contexts of containers and marks the containers in the records
+// of their jobs as to be launched. The leader launches them with its next answer to the heartbeat
+// of the worker.
 func (f *Frontend) startContainers(ctx context.Context, c *wire.Caller, in *pb.StartContainersRequestProto) (*pb.StartContainersResponseProto, error) {
-	s, err := f.callerApplication(ctx, c, nodeToken)
+	snap, err := f.callerApplication(ctx, c, nodeToken)
 	if err != nil {
 		return nil, err
 	}
-	k, err := f.cachedKeyring(ctx)
+	ring, err := f.cachedKeyring(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -48,9 +49,9 @@
 	byJob := map[string][]containerStart{}
 	var jobs []string
 	for _, request := range in.GetStartContainerRequest() {
-		start, err := f.checkStart(s.app, &k, request)
+		start, err := f.checkStart(snap.app, &ring, request)
 		if err != nil {
-			out.FailedRequests = append(out.FailedRequests, failure(start.id, err))
+			out.FailedRequests = append(out.FailedRequests, containerFailure(start.id, err))
 			continue
 		}
 		if byJob[start.job] == nil {
@@ -60,15 +61,15 @@
 	}
 	for _, job := range jobs {
 		for _, starts := range f.splitByTransaction(byJob[job]) {
-			f.startTogether(ctx, s.app, job, starts, out)
+			f.startJobContainers(ctx, snap.app, job, starts, out)
 		}
 	}
 	return out, nil
 }
 
-// splitByTransaction splits the starts of one job into parts that fit into one transaction each;
-// one change in it is that of the job's record. Starts with the same context need one change
-// together.
+// splitByTransaction splits the starts of one job into parts that fit into one transaction each.
+// One change of each transaction is for the record of the job. Each start needs one more change,
+// but starts that all have the same context share one.
 func (f *Frontend) splitByTransaction(starts []containerStart) [][]containerStart {
 	var parts [][]containerStart
 	for len(starts) > 0 {
@@ -82,48 +83,50 @@
 	return parts
 }
 
-// checkStart checks a container's token and reads what is to be started.
-func (f *Frontend) checkStart(a *application, k *keyring, request *pb.StartContainerRequestProto) (containerStart, error) {
+// checkStart checks the token of a container and returns what to start. If the token names a
+// container, the result has its id even with an error.
+func (f *Frontend) checkStart(app *application, ring *keyring, request *pb.StartContainerRequestProto) (containerStart, error) {
 	t, err := parseToken(request.GetContainerToken().GetIdentifier())
 	if err != nil {
 		return containerStart{}, wire.Errorf(wire.ClassInvalidToken, "%v", err)
 	}
 	seq, task := splitContainerNumber(t.container)
-	start := containerStart{id: a.containerID(seq, task), job: jobID(a.ID, seq), task: task}
-	password, err := k.sign(t.key, t.String())
-	if err != nil || t.kind != containerToken || t.application != a.ID || t.clusterTimestamp != a.ClusterTimestamp || t.attempt != a.Attempt ||
+	start := containerStart{id: app.containerID(seq, task), job: jobID(app.ID, seq), task: task}
+	password, err := ring.sign(t.key, t.String())
+	if err != nil || t.kind != containerToken || t.application != app.ID || t.clusterTimestamp != app.ClusterTimestamp || t.attempt != app.Attempt ||
 		!bytes.Equal(password, request.GetContainerToken().GetPassword()) {
 		return start, wire.Errorf(wire.ClassInvalidToken, "the container's token is not valid")
 	}
-	start.contextOp, err = f.contextOp(a.contextKey(start.job, task), request.GetContainerLaunchContext())
+	start.contextOp, err = f.contextOp(app.contextKey(start.job, task), request.GetContainerLaunchContext())
 	return start, err
 }
 
-// startTogether starts containers of one job in one transaction, and adds the result for each of
-// them to the answer.
-func (f *Frontend) startTogether(ctx context.Context, a *application, job string, starts []containerStart, out *pb.StartContainersResponseProto) {
+// startJobContainers starts containers of one job in one transaction. It adds the result for each
+// container to the answer.
+func (f *Frontend) startJobContainers(ctx context.Context, app *application, job string, starts []containerStart, out *pb.StartContainersResponseProto) {
 	var started []containerStart
 	err := retry(ctx, func() (err error) {
-		started, err = f.markLaunched(ctx, a, job, starts)
+		started, err = f.markLaunched(ctx, app, job, starts)
 		return err
 	})
 	for _, start := range starts {
 		switch {
 		case err != nil:
-			out.FailedRequests = append(out.FailedRequests, failure(start.id, err))
+			out.FailedRequests = append(out.FailedRequests, containerFailure(start.id, err))
 		case slices.ContainsFunc(started, func(s containerStart) bool { return s.task == start.task }):
 			out.SucceededRequests = append(out.SucceededRequests, start.id)
 		default:
 			gone := wire.Errorf(wire.ClassNoContainer, "%s has no place any more", ContainerName(start.id))
-			out.FailedRequests = append(out.FailedRequests, failure(start.id, gone))
+			out.FailedRequests = append(out.FailedRequests, containerFailure(start.id, gone))
 		}
 	}
 }
 
-// markLaunched commits that tasks of a job may be launched, with their contexts. It returns
-// the starts whose tasks are still placed on a machine, and were not released.
-func (f *Frontend) markLaunched(ctx context.Context, a *application, job string, starts []containerStart) ([]containerStart, error) {
-	_, jobs, err := f.jobs.OwnedJobs(ctx, a.key())
+// markLaunched commits that tasks of a job may be launched, together with their launch contexts.
+// It skips tasks that are not placed on a machine or were released. It returns the starts of the
+// other tasks.
+func (f *Frontend) markLaunched(ctx context.Context, app *application, job string, starts []containerStart) ([]containerStart, error) {
+	_, jobs, err := f.jobs.OwnedJobs(ctx, app.key())
 	if err != nil {
 		return nil, err
 	}
@@ -147,13 +150,13 @@
 	if len(fresh) == 0 {
 		return placed, nil
 	}
-	ops, refs := a.shareContexts(fresh, slices.Clone(j.Record.Reservation.SharedKeys), tasks)
+	ops, refs := app.shareContexts(fresh, slices.Clone(j.Record.Reservation.SharedKeys), tasks)
 	return placed, f.jobs.UpdateReservation(ctx, j, func(r *jobstore.Reservation) {
 		r.LaunchRanges, r.SharedKeys = jobstore.RangesOf(launched), refs
 	}, ops...)
 }
 
-// findJob returns the job with an id, or nil.
+// findJob returns the job with the given id, or nil if there is none.
 func findJob(jobs []jobstore.ReservedJob, id string) *jobstore.ReservedJob {
 	i := slices.IndexFunc(jobs, func(j jobstore.ReservedJob) bool { return j.ID == id })
 	if i < 0 {
@@ -163,14 +166,14 @@
 }
 
 func (f *Frontend) stopContainers(ctx context.Context, c *wire.Caller, in *pb.StopContainersRequestProto) (*pb.StopContainersResponseProto, error) {
-	s, err := f.callerApplication(ctx, c, nodeToken)
+	snap, err := f.callerApplication(ctx, c, nodeToken)
 	if err != nil {
 		return nil, err
 	}
 	out := &pb.StopContainersResponseProto{}
 	for _, id := range in.GetContainerId() {
-		if err := f.releaseContainers(ctx, s, []*pb.ContainerIdProto{id}); err != nil {
-			out.FailedRequests = append(out.FailedRequests, failure(id, err))
+		if err := f.releaseContainers(ctx, snap, []*pb.ContainerIdProto{id}); err != nil {
+			out.FailedRequests = append(out.FailedRequests, containerFailure(id, err))
 			continue
 		}
 		out.SucceededRequests = append(out.SucceededRequests, id)
@@ -179,16 +182,16 @@
 }
 
 func (f *Frontend) getContainerStatuses(ctx context.Context, c *wire.Caller, in *pb.GetContainerStatusesRequestProto) (*pb.GetContainerStatusesResponseProto, error) {
-	s, err := f.callerApplication(ctx, c, nodeToken)
+	snap, err := f.callerApplication(ctx, c, nodeToken)
 	if err != nil {
 		return nil, err
 	}
 	out := &pb.GetContainerStatusesResponseProto{}
 	for _, id := range in.GetContainerId() {
 		seq, task := splitContainerNumber(id.GetId())
-		status, err := f.containerStatus(ctx, s, jobID(s.app.ID, seq), task)
+		status, err := f.containerStatus(ctx, snap, jobID(snap.app.ID, seq), task)
 		if err != nil {
-			out.FailedRequests = append(out.FailedRequests, failure(id, err))
+			out.FailedRequests = append(out.FailedRequests, containerFailure(id, err))
 			continue
 		}
 		status.ContainerId = id
@@ -200,9 +203,10 @@
 // errNoSuchContainer is returned for a container that was never allocated.
 var errNoSuchContainer = wire.Errorf(wire.ClassNoContainer, "there is no such container")
 
-// containerStatus returns the status of a job's task, which may have ended.
-func (f *Frontend) containerStatus(ctx context.Context, s *snapshot, job string, task int) (*pb.ContainerStatusProto, error) {
-	j := findJob(s.jobs, job)
+// containerStatus returns the status of a task as a container, also if the task or the job has
+// ended. It fails with errNoSuchContainer if the task was never placed.
+func (f *Frontend) containerStatus(ctx context.Context, snap *snapshot, job string, task int) (*pb.ContainerStatusProto, error) {
+	j := findJob(snap.jobs, job)
 	if j == nil {
 		finished, found, err := f.jobs.FinishedReservation(ctx, job)
 		if err != nil {
--- a/yarn/keyring_store.go
+++ b/yarn/keyring_store.go
@@ -1,3 +1,6 @@
+// Storage of the keyring: reading, caching and repair of its record, rotation of the signing keys,
+// and allocation of application ids.
+
 package yarn
 
 import (
@@ -7,93 +10,96 @@
 	nwire "github.com/umberdeal/umberdeal/wire"
 )
 
-// applicationIDs are the application ids that this controller has taken and not issued yet.
+// applicationIDs are the application ids that this controller has taken from the keyring and not
+// issued yet.
 type applicationIDs struct {
 	clusterTimestamp int64
 	ids              []int32
 }
 
-// idBlock is the number of ids that a controller takes at once.
-const idBlock = 50
+// idBlockSize is the number of application ids that a controller takes at once.
+const idBlockSize = 50
 
-// keyringCache is a controller's copy of the keyring, from which the record is repaired if it
-// becomes unreadable.
+// keyringCache is a controller's copy of the keyring. It repairs a record that becomes unreadable.
 type keyringCache struct {
-	last        keyring // as last read, in the version lastVersion
+	last        keyring // as of lastVersion
 	lastVersion uint64
 
-	badVersion uint64 // the version that could not be read
-	badSince   time.Time
+	badVersion uint64    // the last version that was unreadable
+	badSince   time.Time // when badVersion was first seen
 }
 
 const (
-	// keyringRepairDelay is for how long an unreadable keyring is not replaced by a new one,
-	// so that a controller with a copy, or a new leader that asks all controllers for
-	// theirs, can repair it.
+	// keyringRepairDelay is the delay before an unreadable keyring is replaced by a new one. In
+	// the meantime a controller with a copy can repair the record, or a new leader that asks
+	// all controllers for their copies.
 	keyringRepairDelay = 20 * time.Second
-	// idsBeyond is the distance of a new keyring's ids from the highest one of a known
-	// application: more than the ids that were issued and not submitted.
-	idsBeyond = 1 << 20
+	// repairedIDOffset is the distance from the highest id of a known application to the first id
+	// of a new keyring. It is larger than the number of ids that were issued and not submitted.
+	repairedIDOffset = 1 << 20
 )
 
-// readKeyring reads the keyring from the store. It creates the record if there is none, and
-// repairs it if it is unreadable.
+// readKeyring reads the keyring and its version from the store. It creates the record if it is
+// missing and repairs it if it is unreadable.
 func (f *Frontend) readKeyring(ctx context.Context) (keyring, uint64, error) {
 	for range 3 {
 		e, err := f.store.Get(ctx, keysKey)
 		if err != nil {
 			return keyring{}, 0, err
 		}
-		if k, ok := f.decodeKeyring(e.Value, e.Version); ok {
-			return k, e.Version, nil
+		if ring, ok := f.decodeKeyring(e.Value, e.Version); ok {
+			return ring, e.Version, nil
 		}
-		k := keyring{ClusterTimestamp: time.Now().UnixMilli(), NextID: 1}
+		ring := keyring{ClusterTimestamp: time.Now().UnixMilli(), NextID: 1}
 		if e.Version != 0 {
-			if k, err = f.repairedKeyring(ctx, e.Version); err != nil {
+			if ring, err = f.repairedKeyring(ctx, e.Version); err != nil {
 				return keyring{}, 0, err
 			}
-			f.log.Error("yarn: unreadable keyring replaced", "key", keysKey, "version", e.Version, "remembered", len(k.Keys) > 0)
+			f.log.Error("yarn: unreadable keyring replaced", "key", keysKey, "version", e.Version, "remembered", len(ring.Keys) > 0)
 		}
-		if len(k.Keys) == 0 {
+		if len(ring.Keys) == 0 {
 			first, err := newSigningKey(1)
 			if err != nil {
 				return keyring{}, 0, err
 			}
-			k.Keys = []signingKey{first}
+			ring.Keys = []signingKey{first}
 		}
-		if err := f.writeKeyring(ctx, k, e.Version); err != nil && !lostRace(err) {
+		if err := f.writeKeyring(ctx, ring, e.Version); err != nil && !isConflictOrUnknownOutcome(err) {
 			return keyring{}, 0, err
 		}
 	}
 	return keyring{}, 0, errRecordChanged
 }
 
-// writeKeyring replaces the keyring unless it has changed since the version that was read.
-func (f *Frontend) writeKeyring(ctx context.Context, k keyring, version uint64) error {
-	_, err := f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: k}})
+// writeKeyring replaces the given version of the keyring. It fails with a kvstore.ConflictError if
+// the record has changed.
+func (f *Frontend) writeKeyring(ctx context.Context, ring keyring, version uint64) error {
+	_, err := f.store.CompareAndSwap(ctx, []nwire.Guard{{Key: keysKey, Version: version}}, []nwire.Op{{Put: keysKey, Value: ring}})
 	return err
 }
 
-// decodeKeyring decodes the keyring, and copies it to the cache.
-func (f *Frontend) decodeKeyring(raw nwire.Raw, version uint64) (k keyring, ok bool) {
-	if version == 0 || nwire.Unmarshal(raw, &k) != nil || k.ClusterTimestamp == 0 || len(k.Keys) == 0 {
+// decodeKeyring decodes the keyring and copies it to the cache. It returns false if there is no
+// record or it is invalid.
+func (f *Frontend) decodeKeyring(raw nwire.Raw, version uint64) (ring keyring, ok bool) {
+	if version == 0 || nwire.Unmarshal(raw, &ring) != nil || ring.ClusterTimestamp == 0 || len(ring.Keys) == 0 {
 		return keyring{}, false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if version >= f.keyring.lastVersion {
-		f.keyring.last, f.keyring.lastVersion = k, version
+		f.keyring.last, f.keyring.lastVersion = ring, version
 	}
-	return k, true
+	return ring, true
 }
 
-// repairedKeyring returns the replacement of an unreadable keyring: this controller's copy of the
-// same version, or, after keyringRepairDelay, one without keys. The ids of the latter are
-// beyond those of all known applications. Masters' tokens are refused then, and their
-// applications have to be submitted again.
+// repairedKeyring returns the replacement of an unreadable keyring. If this controller has a copy
+// of the same version, the copy is the replacement. Otherwise repairedKeyring fails with
+// errRecordChanged until keyringRepairDelay has passed, and then returns a keyring without keys
+// whose ids are beyond those of all known applications. With a new keyring, the tokens of all
+// masters are refused, and their applications have to be submitted again.
 func (f *Frontend) repairedKeyring(ctx context.Context, version uint64) (keyring, error) {
-	if k, remembered, wait := f.rememberedKeyring(version); remembered {
-		return k, nil
+	if ring, remembered, wait := f.rememberedKeyring(version); remembered {
+		return ring, nil
 	} else if wait {
 		return keyring{}, errRecordChanged
 	}
@@ -101,21 +107,21 @@
 	if err != nil {
 		return keyring{}, err
 	}
-	k := keyring{ClusterTimestamp: time.Now().UnixMilli()}
+	ring := keyring{ClusterTimestamp: time.Now().UnixMilli()}
 	for _, value := range values {
 		var app application
 		if nwire.Unmarshal(value, &app) == nil && app.ClusterTimestamp != 0 && app.ID > 0 {
-			k.ClusterTimestamp, k.NextID = app.ClusterTimestamp, max(k.NextID, app.ID)
+			ring.ClusterTimestamp, ring.NextID = app.ClusterTimestamp, max(ring.NextID, app.ID)
 		}
 	}
-	k.NextID += idsBeyond
-	return k, nil
+	ring.NextID += repairedIDOffset
+	return ring, nil
 }
 
-// rememberedKeyring returns this controller's copy of the keyring if it is of the version that is
-// unreadable. If not, wait says whether the keyringRepairDelay is not over yet, in which another
-// controller may repair it.
-func (f *Frontend) rememberedKeyring(version uint64) (k keyring, remembered, wait bool) {
+// rememberedKeyring returns this controller's copy of the keyring if it has the unreadable version.
+// Otherwise, wait reports whether to wait for a repair by another controller: keyringRepairDelay
+// has not passed yet.
+func (f *Frontend) rememberedKeyring(version uint64) (ring keyring, remembered, wait bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.keyring.lastVersion == version {
@@ -127,7 +133,7 @@
 	return keyring{}, false, time.Since(f.keyring.badSince) < keyringRepairDelay
 }
 
-// applicationValues reads the records of all applications, the unfinished ones first.
+// applicationValues returns the encoded records of all applications, the unfinished ones first.
 func (f *Frontend) applicationValues(ctx context.Context) ([]nwire.Raw, error) {
 	unfinished, err := f.jobs.ListApps(ctx)
 	if err != nil {
@@ -147,16 +153,17 @@
 	return values, nil
 }
 
-// cachedKeyring returns the keyring as of the last read barrier, which the caller has made by
-// reading an application. Heartbeats of several masters share a barrier; when each of them read
-// the keyring from the store, they used up the store's rate limit at native users' expense.
+// cachedKeyring returns the keyring as of the last read barrier. The caller must have passed a
+// barrier by reading an application. Heartbeats of several masters share a barrier. Reading the
+// keyring from the store at each heartbeat exhausted the rate limit of the store and starved
+// native users.
 func (f *Frontend) cachedKeyring(ctx context.Context) (keyring, error) {
 	e := f.jobs.CachedApp(keysKey)
-	if k, ok := f.decodeKeyring(e.Value, e.Version); ok {
-		return k, nil
+	if ring, ok := f.decodeKeyring(e.Value, e.Version); ok {
+		return ring, nil
 	}
-	k, _, err := f.readKeyring(ctx)
-	return k, err
+	ring, _, err := f.readKeyring(ctx)
+	return ring, err
 }
 
 // newApplicationID returns an id that no controller has issued before.
@@ -165,13 +172,13 @@
 		return clusterTimestamp, id, nil
 	}
 	err = retry(ctx, func() error {
-		k, version, err := f.readKeyring(ctx)
+		ring, version, err := f.readKeyring(ctx)
 		if err != nil {
 			return err
 		}
-		id, clusterTimestamp = k.NextID, k.ClusterTimestamp
-		k.NextID += idBlock
-		return f.writeKeyring(ctx, k, version)
+		id, clusterTimestamp = ring.NextID, ring.ClusterTimestamp
+		ring.NextID += idBlockSize
+		return f.writeKeyring(ctx, ring, version)
 	})
 	if err != nil {
 		return 0, 0, err
@@ -179,13 +186,13 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.freeIDs.clusterTimestamp = clusterTimestamp
-	for next := id + 1; next < id+idBlock; next++ {
+	for next := id + 1; next < id+idBlockSize; next++ {
 		f.freeIDs.ids = append(f.freeIDs.ids, next)
 	}
 	return clusterTimestamp, id, nil
 }
 
-// takeFreeID takes an id of the blocks that this controller has taken; false if none is left.
+// takeFreeID removes and returns an id of freeIDs. It returns false if none is left.
 func (f *Frontend) takeFreeID() (clusterTimestamp int64, id int32, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -197,20 +204,20 @@
 	return f.freeIDs.clusterTimestamp, id, true
 }
 
-// rollKey adds a signing key and drops the oldest beyond maxSigningKeys. Masters get tokens signed
-// with the new key with their heartbeats, long before the older keys are dropped.
-func (f *Frontend) rollKey(ctx context.Context) error {
+// rotateKey adds a signing key and drops the oldest keys beyond maxSigningKeys. Masters get tokens
+// signed with the new key by their heartbeats, long before the older keys are dropped.
+func (f *Frontend) rotateKey(ctx context.Context) error {
 	return retry(ctx, func() error {
-		k, version, err := f.readKeyring(ctx)
+		ring, version, err := f.readKeyring(ctx)
 		if err != nil {
 			return err
 		}
-		key, err := newSigningKey(k.newestID() + 1)
+		key, err := newSigningKey(ring.newestID() + 1)
 		if err != nil {
 			return err
 		}
-		k.Keys = append(k.Keys, key)
-		k.Keys = k.Keys[max(0, len(k.Keys)-maxSigningKeys):]
-		return f.writeKeyring(ctx, k, version)
+		ring.Keys = append(ring.Keys, key)
+		ring.Keys = ring.Keys[max(0, len(ring.Keys)-maxSigningKeys):]
+		return f.writeKeyring(ctx, ring, version)
 	})
 }
--- a/yarn/leader.go
+++ b/yarn/leader.go
@@ -1,3 +1,8 @@
+// The leader's maintenance of all applications: ending them when their masters are lost, running
+// managed masters, releasing containers that are not started, and rotating the signing keys. Every
+// change is a compare-and-swap on records, so a former leader that still runs its loop does no
+// harm.
+
 package yarn
 
 import (
@@ -11,36 +16,33 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file has the leader's maintenance of all applications. Every change is a compare-and-swap
-// on records, so that a former leader which still runs its loop for a moment does no harm.
-
-// observation is what a leader has seen of an application, with times by its monotonic clock,
-// since the wall clock may be set.
+// observation is what a leader has seen of an application. Its times are from the monotonic clock,
+// since the wall clock can be changed.
 type observation struct {
-	version   uint64
-	since     time.Time            // when the version was first seen
-	idleSince map[string]time.Time // by task name: since when a placed container waits to be started
+	version        uint64
+	since          time.Time            // when this leader first saw the version
+	unstartedSince map[string]time.Time // by task name: when this leader first saw the placed, unstarted container
 }
 
-// maintenance is the state of the maintenance loop in one leadership. The next leader starts with
-// an empty one, so that the timeouts of all masters and containers start again.
+// maintenance is the state of the maintenance loop during one term of a leader. The next leader
+// starts with an empty state, so the timeouts of all masters and containers start again.
 type maintenance struct {
-	frontend  *Frontend
-	observed  map[string]*observation // by the application's key
-	keyRolled time.Time
+	frontend     *Frontend
+	observed     map[string]*observation // by store key of the application
+	keyRotatedAt time.Time               // time of the last key rotation, or the start of the term
 }
 
 const (
 	maxMaintenanceInterval = 5 * time.Second
 	minMaintenanceInterval = 200 * time.Millisecond
-	// maintenancePerTimeout is how often applications are checked within a timeout.
-	maintenancePerTimeout = 6
+	// maintenanceRoundsPerTimeout is the number of maintenance rounds within a timeout.
+	maintenanceRoundsPerTimeout = 6
 )
 
-// Run maintains all applications while this controller is the leader, until ctx ends.
+// Run runs until ctx ends. While this controller is the leader, it maintains all applications.
 func (f *Frontend) Run(ctx context.Context) {
 	interval := min(maxMaintenanceInterval,
-		seconds(f.settings.MasterTimeoutS/maintenancePerTimeout), seconds(f.settings.StartTimeoutS/maintenancePerTimeout))
+		seconds(f.settings.MasterTimeoutS/maintenanceRoundsPerTimeout), seconds(f.settings.StartTimeoutS/maintenanceRoundsPerTimeout))
 	var m *maintenance
 	for call.Pause(ctx, max(interval, minMaintenanceInterval)) {
 		if !f.controller.IsLeader() {
@@ -48,24 +50,24 @@
 			continue
 		}
 		if m == nil {
-			m = &maintenance{frontend: f, observed: map[string]*observation{}, keyRolled: time.Now()}
+			m = &maintenance{frontend: f, observed: map[string]*observation{}, keyRotatedAt: time.Now()}
 		}
-		m.rollKeyIfDue(ctx)
+		m.rotateKeyIfDue(ctx)
 		if err := m.maintainAll(ctx); err != nil {
-			f.log.Debug("yarn: applications not read", "err", err)
+			f.log.Debug("yarn: listing applications failed, retrying", "err", err)
 		}
 	}
 }
 
-func (m *maintenance) rollKeyIfDue(ctx context.Context) {
-	if time.Since(m.keyRolled) <= seconds(m.frontend.settings.KeyRollIntervalS) {
+func (m *maintenance) rotateKeyIfDue(ctx context.Context) {
+	if time.Since(m.keyRotatedAt) <= seconds(m.frontend.settings.KeyRotationIntervalS) {
 		return
 	}
-	if err := m.frontend.rollKey(ctx); err != nil {
-		m.frontend.log.Info("yarn: key not rolled, retrying", "err", err)
+	if err := m.frontend.rotateKey(ctx); err != nil {
+		m.frontend.log.Info("yarn: rotating the signing key failed, retrying", "err", err)
 		return
 	}
-	m.keyRolled = time.Now()
+	m.keyRotatedAt = time.Now()
 }
 
 // maintainAll does what is due for each unfinished application.
@@ -97,57 +99,59 @@
 	return nil
 }
 
-// observe returns the observation of an application. With each new version of its record the
-// master's timeout starts again; those of containers that wait to be started go on.
+// observe returns the observation of an application. A new version of the record restarts the
+// timeout of the master. It does not restart the timeouts of containers that wait to be started.
 func (m *maintenance) observe(e jobstore.AppRecord) *observation {
 	o := m.observed[e.Key]
 	if o != nil && o.version == e.Version {
 		return o
 	}
-	idleSince := map[string]time.Time{}
+	unstartedSince := map[string]time.Time{}
 	if o != nil {
-		idleSince = o.idleSince
+		unstartedSince = o.unstartedSince
 	}
-	o = &observation{version: e.Version, since: time.Now(), idleSince: idleSince}
+	o = &observation{version: e.Version, since: time.Now(), unstartedSince: unstartedSince}
 	m.observed[e.Key] = o
 	return o
 }
 
-// maintain does what is due for one application.
-func (f *Frontend) maintain(ctx context.Context, a *application, o *observation) error {
-	if a.EndState != "" {
-		return f.finalize(ctx, a.protoID())
+// maintain does what is due for one application: it finalizes an ending application, ends an
+// application whose master is lost, keeps a managed master running, and releases unstarted
+// containers.
+func (f *Frontend) maintain(ctx context.Context, app *application, o *observation) error {
+	if app.EndState != "" {
+		return f.finalize(ctx, app.protoID())
 	}
 	if time.Since(o.since) > seconds(f.settings.MasterTimeoutS) {
-		return f.endFailed(ctx, a, fmt.Sprintf("its master was not heard of for %g s", f.settings.MasterTimeoutS))
+		return f.endFailed(ctx, app, fmt.Sprintf("its master was not heard of for %g s", f.settings.MasterTimeoutS))
 	}
-	_, jobs, err := f.jobs.OwnedJobs(ctx, a.key())
+	_, jobs, err := f.jobs.OwnedJobs(ctx, app.key())
 	if err != nil {
 		return err
 	}
-	if !a.Unmanaged {
-		if err := f.keepMasterRunning(ctx, a, jobs); err != nil {
+	if !app.Unmanaged {
+		if err := f.keepMasterRunning(ctx, app, jobs); err != nil {
 			return err
 		}
 	}
-	return f.releaseIdle(ctx, a, jobs, o)
+	return f.releaseUnstarted(ctx, app, jobs, o)
 }
 
-// endFailed ends an application as failed.
-func (f *Frontend) endFailed(ctx context.Context, a *application, diagnostics string) error {
-	return f.endApplication(ctx, a.protoID(), stateFailed, func(a *application) {
-		a.Diagnostics, a.FinalStatus = diagnostics, int32(pb.FinalApplicationStatusProto_APP_FAILED)
+// endFailed ends an application in the failed state.
+func (f *Frontend) endFailed(ctx context.Context, app *application, diagnostics string) error {
+	return f.endApplication(ctx, app.protoID(), stateFailed, func(app *application) {
+		app.Diagnostics, app.FinalStatus = diagnostics, int32(pb.FinalApplicationStatusProto_APP_FAILED)
 	})
 }
 
-// releaseIdle releases containers that their master did not start in time, since they hold
-// resources.
-func (f *Frontend) releaseIdle(ctx context.Context, a *application, jobs []jobstore.ReservedJob, o *observation) error {
+// releaseUnstarted releases containers that their master did not start in time. They hold resources
+// that other work could use.
+func (f *Frontend) releaseUnstarted(ctx context.Context, a *application, jobs []jobstore.ReservedJob, o *observation) error {
 	now := time.Now()
-	idleSince := map[string]time.Time{}
+	unstartedSince := map[string]time.Time{}
 	for i := range jobs {
 		j := &jobs[i]
-		late := f.lateTasks(j, o, idleSince, now)
+		late := f.lateTasks(j, o, unstartedSince, now)
 		if len(late) == 0 {
 			continue
 		}
@@ -156,13 +160,13 @@
 			return err
 		}
 	}
-	o.idleSince = idleSince
+	o.unstartedSince = unstartedSince
 	return nil
 }
 
-// lateTasks returns the placed tasks of a job that were not started in time and are not released yet. It
-// adds all placed tasks that wait to be started to idleSince.
-func (f *Frontend) lateTasks(j *jobstore.ReservedJob, o *observation, idleSince map[string]time.Time, now time.Time) []int {
+// lateTasks returns the placed tasks of a job that were not started in time and are not released.
+// It adds all placed tasks that wait to be started to unstartedSince.
+func (f *Frontend) lateTasks(j *jobstore.ReservedJob, o *observation, unstartedSince map[string]time.Time, now time.Time) []int {
 	launched := j.Record.Reservation.LaunchRanges.BitSet(j.Record.Job.Tasks)
 	released := j.Record.Reservation.ReleaseRanges.BitSet(j.Record.Job.Tasks)
 	var late []int
@@ -171,11 +175,11 @@
 			continue
 		}
 		name := nwire.TaskName(j.ID, task)
-		since, ok := o.idleSince[name]
+		since, ok := o.unstartedSince[name]
 		if !ok {
 			since = now
 		}
-		idleSince[name] = since
+		unstartedSince[name] = since
 		if now.Sub(since) > seconds(f.settings.StartTimeoutS) {
 			late = append(late, task)
 		}
--- a/yarn/reports.go
+++ b/yarn/reports.go
@@ -1,3 +1,5 @@
+// The calls of ApplicationClientProtocol that inspect applications.
+
 package yarn
 
 import (
@@ -12,53 +14,51 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements the calls of ApplicationClientProtocol that inspect applications.
-
-// getApplicationReport returns an application's report. As in YARN, the master of an unmanaged
-// application gets its token from there.
+// getApplicationReport returns the report of an application. As in YARN, the report of an unmanaged
+// application contains the token for its master.
 func (f *Frontend) getApplicationReport(ctx context.Context, _ *wire.Caller, in *pb.GetApplicationReportRequestProto) (*pb.GetApplicationReportResponseProto, error) {
-	s, err := f.readApplication(ctx, in.GetApplicationId())
+	snap, err := f.readApplication(ctx, in.GetApplicationId())
 	if err != nil {
 		return nil, err
 	}
-	report := f.report(s.app, s.jobs)
-	if s.app.Unmanaged && !s.ended() {
-		k, err := f.cachedKeyring(ctx)
+	report := f.report(snap.app, snap.jobs)
+	if snap.app.Unmanaged && !snap.ended() {
+		ring, err := f.cachedKeyring(ctx)
 		if err != nil {
 			return nil, err
 		}
-		if report.AmRmToken, err = k.issue(s.app.token(masterToken), f.settings.Advertise); err != nil {
+		if report.AmRmToken, err = ring.issue(snap.app.token(masterToken), f.settings.Advertise); err != nil {
 			return nil, err
 		}
 	}
 	return &pb.GetApplicationReportResponseProto{ApplicationReport: report}, nil
 }
 
-func (f *Frontend) report(a *application, jobs []jobstore.ReservedJob) *pb.ApplicationReportProto {
+func (f *Frontend) report(app *application, jobs []jobstore.ReservedJob) *pb.ApplicationReportProto {
 	return &pb.ApplicationReportProto{
-		ApplicationId:               a.protoID(),
-		User:                        &a.User,
-		Queue:                       proto.String(leafName(a.Queue)),
-		Name:                        &a.Name,
-		Host:                        &a.Host,
-		RpcPort:                     &a.RPCPort,
-		YarnApplicationState:        a.publishedState().Enum(),
-		TrackingUrl:                 &a.TrackingURL,
-		OriginalTrackingUrl:         &a.TrackingURL,
-		Diagnostics:                 &a.Diagnostics,
-		StartTime:                   &a.StartedMs,
-		FinishTime:                  &a.FinishedMs,
-		FinalApplicationStatus:      pb.FinalApplicationStatusProto(a.FinalStatus).Enum(),
-		CurrentApplicationAttemptId: a.attemptID(),
-		ApplicationType:             &a.Type,
-		ApplicationTags:             a.Tags,
-		UnmanagedApplication:        &a.Unmanaged,
-		Priority:                    &pb.PriorityProto{Priority: &a.Priority},
+		ApplicationId:               app.protoID(),
+		User:                        &app.User,
+		Queue:                       proto.String(leafName(app.Queue)),
+		Name:                        &app.Name,
+		Host:                        &app.Host,
+		RpcPort:                     &app.RPCPort,
+		YarnApplicationState:        app.protoState().Enum(),
+		TrackingUrl:                 &app.TrackingURL,
+		OriginalTrackingUrl:         &app.TrackingURL,
+		Diagnostics:                 &app.Diagnostics,
+		StartTime:                   &app.StartedMs,
+		FinishTime:                  &app.FinishedMs,
+		FinalApplicationStatus:      pb.FinalApplicationStatusProto(app.FinalStatus).Enum(),
+		CurrentApplicationAttemptId: app.attemptID(),
+		ApplicationType:             &app.Type,
+		ApplicationTags:             app.Tags,
+		UnmanagedApplication:        &app.Unmanaged,
+		Priority:                    &pb.PriorityProto{Priority: &app.Priority},
 		AppResource_Usage:           f.usageReport(jobs),
 	}
 }
 
-// usageReport adds up the resources of the placed tasks of jobs.
+// usageReport returns the sum of the resources of all placed tasks of jobs.
 func (f *Frontend) usageReport(jobs []jobstore.ReservedJob) *pb.ApplicationResourceUsageReportProto {
 	var memoryGB, cpus, gpus float64
 	containers := 0
@@ -76,7 +76,7 @@
 	}
 }
 
-// applicationFilter narrows a list of applications. Empty fields match all.
+// applicationFilter selects applications for a list. An empty field matches all applications.
 type applicationFilter struct {
 	types, users, queues, tags []string
 	states                     []pb.YarnApplicationStateProto
@@ -84,32 +84,32 @@
 	limit                      int // 0 means maxListed
 }
 
-// maxListed bounds the applications in one answer.
+// maxListed is the largest number of applications in one answer.
 const maxListed = 1000
 
-// unfinishedStates are the states of applications that have not ended.
+// unfinishedStates are the states of unfinished applications.
 var unfinishedStates = []pb.YarnApplicationStateProto{pb.YarnApplicationStateProto_ACCEPTED, pb.YarnApplicationStateProto_RUNNING}
 
-func (filter *applicationFilter) matches(a *application) bool {
-	return matchesAny(filter.types, a.Type) && matchesAny(filter.users, a.User) &&
-		(matchesAny(filter.queues, a.Queue) || matchesAny(filter.queues, leafName(a.Queue))) &&
-		matchesAny(filter.states, a.publishedState()) && (filter.name == "" || filter.name == a.Name) &&
-		(len(filter.tags) == 0 || slices.ContainsFunc(a.Tags, func(tag string) bool { return slices.Contains(filter.tags, tag) }))
+func (filter *applicationFilter) matches(app *application) bool {
+	return matchesAny(filter.types, app.Type) && matchesAny(filter.users, app.User) &&
+		(matchesAny(filter.queues, app.Queue) || matchesAny(filter.queues, leafName(app.Queue))) &&
+		matchesAny(filter.states, app.protoState()) && (filter.name == "" || filter.name == app.Name) &&
+		(len(filter.tags) == 0 || slices.ContainsFunc(app.Tags, func(tag string) bool { return slices.Contains(filter.tags, tag) }))
 }
 
 func matchesAny[T comparable](allowed []T, value T) bool {
 	return len(allowed) == 0 || slices.Contains(allowed, value)
 }
 
-// matchesFinal reports whether an application that has ended can match.
+// matchesFinal reports whether ended applications can match.
 func (filter *applicationFilter) matchesFinal() bool {
 	return len(filter.states) == 0 || slices.ContainsFunc(filter.states, func(state pb.YarnApplicationStateProto) bool {
 		return state >= pb.YarnApplicationStateProto_FINISHED
 	})
 }
 
-// listApplications returns the reports of the applications that match, the unfinished ones
-// first.
+// listApplications returns the reports of the matching applications, the unfinished ones first. It
+// skips unreadable records.
 func (f *Frontend) listApplications(ctx context.Context, filter applicationFilter) ([]*pb.ApplicationReportProto, error) {
 	if filter.limit <= 0 || filter.limit > maxListed {
 		filter.limit = maxListed
--- a/yarn/rest_cluster.go
+++ b/yarn/rest_cluster.go
@@ -1,3 +1,5 @@
+// The requests of the REST interface for the cluster, its nodes and its queues.
+
 package yarn
 
 import (
@@ -8,10 +10,8 @@
 	"github.com/umberdeal/umberdeal/yarn/wire/pb"
 )
 
-// This file implements the requests of the REST interface for the cluster.
-
 func (f *Frontend) restInfo(r *http.Request) (any, error) {
-	k, _, err := f.readKeyring(r.Context())
+	ring, _, err := f.readKeyring(r.Context())
 	if err != nil {
 		return nil, err
 	}
@@ -20,8 +20,8 @@
 		haState = "ACTIVE"
 	}
 	return jsonObject{"clusterInfo": jsonObject{
-		"id":                     k.ClusterTimestamp,
-		"startedOn":              k.ClusterTimestamp,
+		"id":                     ring.ClusterTimestamp,
+		"startedOn":              ring.ClusterTimestamp,
 		"state":                  "STARTED",
 		"haState":                haState,
 		"resourceManagerVersion": "umberdeal",
@@ -86,7 +86,7 @@
 	metrics["containersAllocated"] = countContainers(apps)
 }
 
-// countContainers adds up the containers of applications.
+// countContainers returns the number of placed containers of applications.
 func countContainers(apps []*pb.ApplicationReportProto) int {
 	n := 0
 	for _, a := range apps {
