--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -175,9 +175,9 @@
 	return x.runSeconds > y.runSeconds
 }
 
-// completionTimeMs returns the end time for a job's final record, in Unix milliseconds. A later
-// leader needs it to tell whether the batch window was met. It returns 0 if the job belongs to no
-// batch window.
+// completionTimeMs returns the end time for a job's final record, in Unix milliseconds, and stores it
+// in the job. A later leader needs this time to tell whether the batch window was met.
+// completionTimeMs returns 0 if the job belongs to no batch window.
 func (m *Model) completionTimeMs(j *Job) int64 {
 	if schedule, _ := m.windowOf(j); schedule == nil {
 		return 0
@@ -191,7 +191,8 @@
 // process.
 func (m *Model) SetCompletionTime(now time.Time) { m.windows.now = now }
 
-// recordWindowCompletion records in its batch window a job whose end has been committed.
+// recordWindowCompletion records a completed job in its batch window. The end of the job must have
+// been committed. It does nothing if the job belongs to no batch window.
 func (m *Model) recordWindowCompletion(j *Job) {
 	schedule, window := m.windowOf(j)
 	if schedule == nil {
@@ -274,8 +275,8 @@
 func (m *Model) windowRecordIDBytes() int { return m.writes.limits().maxValueBytes() / 3 }
 
 // UnresolvedWindowJobs returns the sorted ids of at most limit jobs that the records of batch
-// windows list as open, but that have ended without a leader seeing it. The caller reads their
-// final records and passes them to ResolveWindowJob.
+// windows list as open although the jobs have ended. No leader observed their end. The caller reads
+// their final records and passes them to ResolveWindowJob.
 func (m *Model) UnresolvedWindowJobs(limit int) []string {
 	var ids []string
 	for _, schedule := range m.windows.schedules {
@@ -286,7 +287,8 @@
 }
 
 // ResolveWindowJob applies the final record of a job from UnresolvedWindowJobs to the outcome of
-// its batch window. record is nil if the job has no final record.
+// its batch window. record is nil if the job has no final record. ResolveWindowJob does nothing if
+// the job is not unresolved.
 func (m *Model) ResolveWindowJob(id string, record *jobstore.JobRecord, now time.Time) {
 	for _, schedule := range m.windows.schedules {
 		if !slices.Contains(schedule.UnresolvedJobs(), id) {
--- a/cluster/class_stats.go
+++ b/cluster/class_stats.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	maxClasses      = 64  // maximum of observed classes; further classes are ignored
+	maxClasses      = 64  // maximum number of observed classes; further classes are ignored
 	jobSizeHistory  = 200 // recent jobs of a class whose sizes are kept
 	jobsPerLargeJob = 10  // one in this many recent jobs of a class counts as large
 
 	arrivalWindow     = 2 * time.Minute  // time over which arrivals are counted
-	maxRecentArrivals = 1000             // maximum of arrivals counted in it
+	maxRecentArrivals = 1000             // maximum number of arrivals counted in it
 	reservationLead   = 20 * time.Second // resources are reserved for the arrivals expected in this time
 
 	maxLargestTasks = 16 // upper bound of classStats.largestTasks
@@ -129,8 +129,8 @@
 	return tasks >= s.largeFrom
 }
 
-// recordArrival records, for its class, a job that is new to this leader. Jobs that prefetch
-// images are ignored, since they are not jobs of users.
+// recordArrival adds a job that is new to this leader to the observations of its class. Jobs that
+// prefetch images are ignored, since they are not jobs of users.
 func (m *Model) recordArrival(j *Job, now time.Time) {
 	if m.isPrefetch(j) {
 		return
--- a/cluster/digest.go
+++ b/cluster/digest.go
@@ -16,7 +16,7 @@
 type DigestBase interface {
 	// Version returns the version of a key in the key-value store, or 0 if the key does not exist.
 	Version(key string) uint64
-	// LastMessage returns the worker's current epoch and its last sequence number.
+	// LastMessage returns the current epoch of a machine's worker and its last sequence number.
 	LastMessage(machine string) (epoch, seq uint64)
 }
 
@@ -36,7 +36,7 @@
 // may produce. Models with equal digests behave alike, and the model check merges such states.
 // Times are written as ages in whole seconds, versions as current or not, and sequence numbers
 // as distances from the last one. State that only affects the choice between machines is left out
-// (estimates, speeds, images, boot times).
+// (estimates, speeds, images, boot times). Errors of w are ignored.
 func (m *Model) Digest(w io.Writer, base DigestBase, now time.Time) {
 	d := &digestWriter{out: w, model: m, base: base, now: now}
 	d.printf("t%d;%d|", m.FencingToken, d.age(m.ElectedAt))
--- a/cluster/explain.go
+++ b/cluster/explain.go
@@ -37,7 +37,8 @@
 const maxNearestShown = 20
 
 // Explain returns why a job is pending. It returns false if the job is not in the model, which is
-// so for jobs whose end is recorded. It changes the model (see buildQueue).
+// so for jobs whose end is recorded. Explain updates the model's state of triage and of the
+// starvation bound, so it is only for models that no leader uses.
 func (m *Model) Explain(id string, now time.Time) (Explanation, bool) {
 	j := m.Job(id)
 	if j == nil {
--- a/cluster/gpu_machines.go
+++ b/cluster/gpu_machines.go
@@ -15,7 +15,7 @@
 //   - Jobs without an objective get no machine with GPUs.
 //   - Jobs without an objective on the wait get none while a request of the same or a higher
 //     priority waits for GPUs. Requests that must start by the starvation bound are exempt.
-//   - All others prefer machines without GPUs if tasks without an objective and without GPUs are
+//   - All other jobs prefer machines without GPUs if tasks without an objective and without GPUs are
 //     placed, since these may be preempted.
 //
 // Requests within a guaranteed quota are exempt from the first two rules.
--- a/cluster/placeholders.go
+++ b/cluster/placeholders.go
@@ -11,7 +11,7 @@
 
 const (
 	placeholderPriority = 9                // lower than the priority of any job
-	maxHeadroomTasks    = 64               // maximum of placeholder tasks of one class
+	maxHeadroomTasks    = 64               // maximum number of placeholder tasks of one class
 	headroomDuration    = 10 * time.Minute // time after the last arrival of a class that headroom is kept
 )
 
--- a/cluster/places.go
+++ b/cluster/places.go
@@ -16,8 +16,8 @@
 // binary min-heap. A sorted list is such a heap.
 type placeTimes []float64
 
-// occupyEarliest occupies the place that is free first for another number of seconds. There must be
-// at least one place. Triage spends most of its time here, and container/heap takes four times as
+// occupyEarliest occupies the place that becomes free first, for the given number of seconds from
+// then on. There must be at least one place. Triage spends most of its time here, and container/heap takes four times as
 // long.
 func (t placeTimes) occupyEarliest(seconds float64) {
 	freeAt, i := t[0]+seconds, 0
@@ -48,7 +48,8 @@
 func (j *Job) allowsZone(zone int) bool { return j.zone < 0 || j.zone == zone }
 
 // placesFor returns, for each place for a task of the job, the seconds until it is free, unsorted.
-// It counts the places in one zone, or in all zones if zone is negative. Places occupied by tasks of
+// It counts the places in one zone, or in all zones if zone is negative. The places of a booting
+// machine become free when it is expected to be up. Places occupied by tasks of
 // higher priority don't count, since more tasks like them are likely to follow. Places occupied by
 // tasks of lower priority count as free, since these tasks can be preempted.
 func (m *Model) placesFor(j *Job, zone int, now time.Time) []float64 {
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -127,9 +127,9 @@
 
 // promoteStarvedTiers moves work of lower tiers ahead of higher tiers. It promotes jobs of a tier
 // that has less than its share, and some tasks of jobs that have waited for their tier's longest
-// wait. If waits alone have gained a tier enough, such tasks move only ahead of their own tier.
-// Tasks that are not promoted keep their position. Guaranteed quotas, priorities and the
-// starvation bound still take precedence.
+// wait. Once promotions by wait have enough of the fleet, such tasks move only ahead of their own
+// tier (priority.PromotedInTier). Tasks that are not promoted keep their position. Guaranteed
+// quotas, priorities and the starvation bound still take precedence.
 func (m *Model) promoteStarvedTiers(queue []*queueEntry, now time.Time) []*queueEntry {
 	if m.tiers.policy == nil {
 		return queue
@@ -201,9 +201,9 @@
 }
 
 // mergePromoted appends promoted requests behind those that must start by the starvation bound.
-// Requests whose tier's longest wait is over are inserted among the latter, by the time at which
-// the wait was over. Under overload all jobs must eventually start by the bound, and the longest
-// wait would have no effect behind them.
+// Requests whose tier's longest wait is over are inserted among those that must start, by the time
+// at which the wait was over. Under overload the bound eventually applies to all jobs, and a
+// position behind all of them would leave the longest wait without effect.
 func (m *Model) mergePromoted(queue, promoted []*queueEntry) []*queueEntry {
 	var others []*queueEntry
 	for _, entry := range promoted {
@@ -272,9 +272,9 @@
 }
 
 // reservesFor reports whether resources are reserved for expected jobs of class c before a request
-// of class own is served. Without tiers they are if own has no objective on the wait. The same rule
-// applies within a tier. Higher tiers always get reservations, and lower tiers never do. A promoted
-// request gives way to no reservation.
+// of class own is served. Without tiers they are reserved unless own has an objective on the wait.
+// The same rule applies within a tier. Higher tiers always get reservations, and lower tiers never
+// do. With tiers, a request that is promoted or has StartDue set is served before any reservation.
 func (m *Model) reservesFor(c *classStats, entry *queueEntry, own *classStats) bool {
 	if m.tiers.policy == nil {
 		return !own.hasWaitObjective
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -32,7 +32,7 @@
 	deferred        bool        // triage has given up an objective that the job could meet
 	mustStart       bool        // the starvation bound puts it ahead of the objectives of its priority
 	runSeconds      float64     // expected run time of the longest of its waiting tasks
-	totalWork       float64     // result of remainingWork, in seconds
+	totalWork       float64     // result of Model.remainingWork, in seconds
 	req             placement.Request
 
 	windowRank
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -234,6 +234,7 @@
 }
 
 // BeginMoves starts a cycle whose record has been committed. It stops the tasks that are to move.
+// It skips moves whose attempt has ended or has been ordered to stop already.
 func (m *Model) BeginMoves(group string, rec jobstore.RebalanceCycle, now time.Time) {
 	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
 	for _, move := range rec.Moves {
--- a/cluster/runtimeestimate.go
+++ b/cluster/runtimeestimate.go
@@ -23,10 +23,10 @@
 }
 
 const (
-	priorSlope        = -0.3
-	priorOffsetWeight = 2.0 // weight of offset 0, as a number of jobs
-	priorSlopeWeight  = 1.0 // weight of priorSlope, as a sum of squared logarithms
-	maxLogError       = 1.4 // bound of the logarithm of an estimate's error, a factor of four
+	priorSlope        = -0.3 // slope without completed jobs
+	priorOffsetWeight = 2.0  // weight of offset 0, as a number of jobs
+	priorSlopeWeight  = 1.0  // weight of priorSlope, as a sum of squared logarithms
+	maxLogError       = 1.4  // bound of the logarithm of an estimate's error, a factor of four
 )
 
 // addEstimate records the estimate, in seconds, of a job that has arrived.
--- a/cluster/starvation.go
+++ b/cluster/starvation.go
@@ -21,7 +21,7 @@
 
 const (
 	boundCheckInterval = 2 * time.Second  // between two checks of the bound
-	startMargin        = 10 * time.Second // by which a job should start before the bound
+	startMargin        = 10 * time.Second // time before the bound by which a job should start
 	// largeJobMarginShare is the share of the bound by which the largest jobs of a class
 	// should start still earlier, since their waits are the hardest to predict.
 	largeJobMarginShare = 0.1
@@ -34,15 +34,15 @@
 	minStartSlack          = 10 * time.Second
 	startSlackShare        = 0.25
 	boundHoldSeconds       = 150       // time for which resources are held for a job that must start
-	maxMustStarts          = 100       // maximum of jobs served by the bound in one pass
-	maxCostliestDropRounds = 50        // maximum of simulations of a class that drop its costliest job
+	maxMustStarts          = 100       // maximum number of jobs served by the bound in one pass
+	maxCostliestDropRounds = 50        // maximum number of simulations of a class that drop its costliest job
 	schedulingHorizon      = time.Hour // resources that become free later count as never free
 	// A job that must hold its resources within escalationLead precedes new starts of higher
 	// priority. Such jobs may use one place at a time for every machinesPerEscalation ready
 	// machines.
 	escalationLead        = 20 * time.Second
 	machinesPerEscalation = 10
-	startProtection       = 30 * time.Second // time after its start in which a job's only placed task is not preempted
+	startProtection       = 30 * time.Second // time after a job's start in which its only placed task is not preempted
 )
 
 // starvationBound is the state of the limit on how long any job waits for its first start.
--- a/cluster/starvation_check.go
+++ b/cluster/starvation_check.go
@@ -29,8 +29,8 @@
 // boundCheck is a check of the bound for the unstarted jobs of one class. It simulates serving
 // them, earliest due first, as if nothing else were served from now on. A job that would start in
 // time, but with little slack, must be served now, together with all jobs that are due earlier.
-// If a job would be late, the simulation drops the costliest job up to it. The largest jobs of the
-// class are dropped only if there are no others. This keeps the number of late jobs low.
+// If a job would be late, the simulation drops the costliest of the jobs up to it. The largest jobs
+// of the class are dropped only if there are no others. This keeps the number of late jobs low.
 type boundCheck struct {
 	model     *Model
 	now       time.Time
@@ -125,7 +125,7 @@
 }
 
 // decide records which jobs must start now. It goes from the job that is due last to the first,
-// since a job with little slack makes all jobs that are due earlier be served now.
+// since a job with little slack requires all jobs that are due earlier to be served now.
 func (c *boundCheck) decide() {
 	bound := c.model.StarvationBound
 	leastSlack := time.Duration(math.MaxInt64)
@@ -142,7 +142,7 @@
 		case f.hasNoCapacity():
 			mustStart = f.startBy.Sub(c.now) <= escalationLead
 		default:
-			// Serving the job in time would make others late, so it gets twice the time.
+			// Serving the job in time would make others late, so it gets twice the bound.
 			mustStart = f.startBy.Add(bound).Sub(c.now)-f.delayServedFirst <= sufficientSlack(f.delayServedFirst)
 		}
 		j.start.decide(f, mustStart)
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -10,7 +10,7 @@
 const (
 	explainInterval  = 10 * time.Second // time between two searches for causes
 	relogInterval    = 30 * time.Second // minimum time between two logged causes of a job
-	maxStarvedListed = 20               // maximum of jobs listed in a snapshot
+	maxStarvedListed = 20               // maximum number of jobs listed in a snapshot
 )
 
 // starvationCause is the reason why a job can't start in time, as shown to operators.
@@ -31,12 +31,13 @@
 	blockedByCompetition       starvationCause = "others that are due have the room"
 )
 
-// StarvedJob is a job that has not started within the starvation bound, or can't.
+// StarvedJob is a waiting job that has exceeded the starvation bound or is not expected to start
+// within it.
 type StarvedJob struct {
 	ID            string
 	Class         string
 	Team          string
-	Tasks         int
+	Tasks         int     // number of all tasks of the job
 	BlockedBy     string  // text of the starvationCause that prevents its start
 	WaitedSeconds float64 // since it was accepted
 }
@@ -64,9 +65,10 @@
 	}
 }
 
-// missesBound reports whether a job is not expected to start within the bound. This is so if there
-// is no capacity for the job, or if the time has passed by which it should hold its resources. A
-// placed job misses the bound only once its wait exceeds it.
+// missesBound reports whether a job is not expected to start within the bound. This is so once the
+// time has passed by which the job should hold its resources. If there is no capacity for the job,
+// it is so once the job has waited a quarter of the bound. A placed job misses the bound only once
+// its wait exceeds it.
 func (m *Model) missesBound(j *Job, now time.Time) bool {
 	if j.PlacedTasks > 0 && !j.Gang() || j.PlacedTasks == len(j.Tasks) {
 		return now.Sub(j.AcceptedAt) > m.StarvationBound
--- a/cluster/triage_simulation.go
+++ b/cluster/triage_simulation.go
@@ -6,8 +6,8 @@
 import "time"
 
 // checkpointInterval is the number of jobs between two checkpoints of a simulation. Triage
-// simulates nearly the same list of jobs again and again. Without checkpoints this takes nine
-// tenths of a pass that places a burst of 400 jobs.
+// simulates nearly the same list of jobs again and again. Without checkpoints the simulation
+// takes nine tenths of a pass that places a burst of 400 jobs.
 const checkpointInterval = 16
 
 // latenessToleranceSeconds is how late a job may start and still count as in time.
--- a/cluster/window_forecast.go
+++ b/cluster/window_forecast.go
@@ -16,9 +16,9 @@
 const (
 	forecastInterval   = 10 * time.Second // time between two rounds of forecasts
 	reforecastInterval = 30 * time.Second // minimum time between two forecasts recorded because jobs were added
-	maxTaskShapes      = 24               // maximum of task shapes whose places are counted
+	maxTaskShapes      = 24               // maximum number of task shapes whose places are counted
 	takeoverHeartbeats = 3                // heartbeat intervals until a new leader knows its machines
-	maxBlockedShown    = 3                // maximum of blocked jobs that a forecast names
+	maxBlockedShown    = 3                // maximum number of blocked jobs that a forecast names
 )
 
 // forecastBasis holds the inputs of a recorded forecast of a batch window.
@@ -194,7 +194,7 @@
 }
 
 // blockedReason returns why a job can't proceed even if all machines are free. It returns "" if the
-// job can.
+// job can proceed.
 func (e *loadEstimate) blockedReason(j *Job) string {
 	places := e.placesWhenEmpty(j)
 	switch {
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -17,7 +17,7 @@
 // no record of it.
 type windowProvision struct {
 	job          *Job // a place holds one of its tasks; nil if nothing is to be rented now
-	targetPlaces int  // required number of places, with all machines empty
+	targetPlaces int  // required number of places, counted as if all machines were empty
 	decidedAt    time.Time
 	shortage     calendar.Shortage // last computed shortage
 }
@@ -25,7 +25,7 @@
 const (
 	provisionDecisionTTL = 3 * forecastInterval                  // lifetime of a decision that is not renewed
 	provisionMargin      = 2*forecastInterval + offerRefusalTime // extra lead time, since a forecast may be late and an offer refused
-	maxProvisionMachines = maxScaleOut                           // maximum of machines requested at a time
+	maxProvisionMachines = maxScaleOut                           // maximum number of machines requested at a time
 	unlimitedPlaces      = 1 << 30                               // number of places without a quota
 )
 
@@ -53,8 +53,8 @@
 		return ""
 	}
 	if previous.Places > 0 && shortage.Places >= previous.Places && previous.OrderBy.Before(shortage.OrderBy) {
-		// If work progresses slower than expected, each forecast lacks a few more places.
-		// Without this, the order would be postponed each time.
+		// If work progresses slower than expected, a few more places are lacking at each
+		// forecast. Without this rule, the order would be postponed each time.
 		shortage.OrderBy = previous.OrderBy
 	}
 	windows.provision.shortage = shortage
