--- a/cluster/places.go
+++ b/cluster/places.go
@@ -106,12 +106,16 @@
 // maxTasksThatFit bounds the places that are counted on one machine for very small tasks.
 const maxTasksThatFit = 1000
 
+// fitTolerance is added to a number of tasks before it is rounded down, to allow for rounding errors
+// in the division of resources.
+const fitTolerance = 1e-6
+
 // tasksThatFit returns how many tasks fit into free resources, at most maxTasksThatFit.
 func tasksThatFit(need, free placement.Resources) int {
 	n := float64(maxTasksThatFit)
-	for _, x := range [][2]float64{{need.CPU, free.CPU}, {need.GPU, free.GPU}, {need.Mem, free.Mem}} {
-		if x[0] > 0 {
-			n = min(n, math.Floor(x[1]/x[0]+1e-6))
+	for _, resource := range []struct{ need, free float64 }{{need.CPU, free.CPU}, {need.GPU, free.GPU}, {need.Mem, free.Mem}} {
+		if resource.need > 0 {
+			n = min(n, math.Floor(resource.free/resource.need+fitTolerance))
 		}
 	}
 	return int(max(n, 0))
--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -130,7 +130,7 @@
 // must be committed before BeginMoves starts its moves. The result is nil if rebalancing is
 // disabled, nothing is wanted, or the leader was elected too recently to know its machines.
 func (m *Model) PlanMoves(wanted []placement.Request, now time.Time) map[string]jobstore.RebalanceCycle {
-	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(m.settings.Cluster.Workers.HeartbeatS*3) {
+	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(takeoverHeartbeats*m.settings.Cluster.Workers.HeartbeatS) {
 		return nil
 	}
 	cycles := map[string]jobstore.RebalanceCycle{}
--- a/cluster/reservation.go
+++ b/cluster/reservation.go
@@ -63,8 +63,8 @@
 }
 
 // outcome returns the outcome of a reserved task that was stopped for the given reason.
-func (why StopReason) outcome() jobstore.TaskOutcome {
-	if why == StopReleased {
+func (reason StopReason) outcome() jobstore.TaskOutcome {
+	if reason == StopReleased {
 		return jobstore.OutcomeReleased
 	}
 	return jobstore.OutcomePreempted
--- a/cluster/runtimeestimate.go
+++ b/cluster/runtimeestimate.go
@@ -125,6 +125,10 @@
 	e.basis, e.seconds = basis, seconds
 }
 
+// ownTaskWeight is the weight of a completed task of the job itself in its estimate. The estimate by
+// the job's class has weight 1.
+const ownTaskWeight = 2
+
 // expectedRunTime returns how many seconds a task of the job is expected to run from its
 // beginning; 0 if nothing is known. The run times of the job's completed tasks have the most weight,
 // followed by those of its class. The result is cached, since a pass needs it for every running or
@@ -143,7 +147,7 @@
 		estimate = c.runs.expect(estimate)
 	}
 	if j.runs.count > 0 && estimate > 0 {
-		weight := 2 * float64(j.runs.count)
+		weight := ownTaskWeight * float64(j.runs.count)
 		estimate = math.Exp((math.Log(estimate) + weight*math.Log(j.runs.average())) / (1 + weight))
 	}
 	j.runTime.set(basis, estimate)
--- a/cluster/starvation_check.go
+++ b/cluster/starvation_check.go
@@ -129,8 +129,9 @@
 func (c *boundCheck) decide() {
 	bound := c.model.StarvationBound
 	leastSlack := time.Duration(math.MaxInt64)
-	for o := len(c.order) - 1; o >= 0; o-- {
-		j, f := c.jobs[c.order[o]].job, &c.forecasts[c.order[o]]
+	for position := len(c.order) - 1; position >= 0; position-- {
+		i := c.order[position]
+		j, f := c.jobs[i].job, &c.forecasts[i]
 		slack := f.startBy.Sub(c.now) - f.delayServedInTurn
 		var mustStart bool
 		switch {
--- a/cluster/starvation_explain.go
+++ b/cluster/starvation_explain.go
@@ -123,8 +123,10 @@
 	}
 	t := &m.teams[j.team]
 	want := t.Used.Add(j.Need, float64(j.placesToStart()))
-	over := func(want, need, most float64) bool { return most > 0 && need > 0 && want > most+1e-6 }
-	return !over(want.CPU, j.Need.CPU, t.Max.CPU) && !over(want.GPU, j.Need.GPU, t.Max.GPU)
+	exceeds := func(want, need, limit float64) bool {
+		return limit > 0 && need > 0 && want > limit+quotaTolerance
+	}
+	return !exceeds(want.CPU, j.Need.CPU, t.Max.CPU) && !exceeds(want.GPU, j.Need.GPU, t.Max.GPU)
 }
 
 // usableBy returns the number of ready machines that the job may use. coming reports whether such
--- a/cluster/window_provision.go
+++ b/cluster/window_provision.go
@@ -87,7 +87,7 @@
 // and how many of the job's tasks it holds. The boot time follows from those observed so far.
 // perMachine is 0 if the job fits on no machine type.
 func (m *Model) bootTimeFor(j *Job) (boot time.Duration, perMachine int) {
-	least := 0.0
+	leastCost := 0.0
 	for i := range m.MachineTypes {
 		t := &m.MachineTypes[i]
 		if !j.allowedTypes[i] || !j.Need.Fits(t.Capacity) {
@@ -97,8 +97,8 @@
 		if t.Capacity.GPU > 0 && j.Need.GPU == 0 {
 			cost += unusedGPUSeconds
 		}
-		if perMachine == 0 || cost < least {
-			least, perMachine = cost, tasksThatFit(j.Need, t.Capacity)
+		if perMachine == 0 || cost < leastCost {
+			leastCost, perMachine = cost, tasksThatFit(j.Need, t.Capacity)
 			boot = time.Duration(float64(t.BootTime)*t.bootTimes.expectedRatio()) + config.Seconds(m.settings.Cluster.Workers.HeartbeatS)
 		}
 	}
@@ -115,7 +115,7 @@
 	limit := m.teams[j.team].Max
 	for _, resource := range []struct{ need, limit float64 }{{j.Need.CPU, limit.CPU}, {j.Need.GPU, limit.GPU}} {
 		if resource.need > 0 && resource.limit > 0 {
-			places = min(places, int(resource.limit/resource.need+1e-6)-present)
+			places = min(places, int(resource.limit/resource.need+fitTolerance)-present)
 		}
 	}
 	return places
