--- a/cluster/batch_window.go
+++ b/cluster/batch_window.go
@@ -271,7 +271,8 @@
 	}
 }
 
-// windowRecordIDBytes returns how many bytes the ids of open jobs may take in a region's record.
+// windowRecordIDBytes returns how many bytes the ids of open jobs may take in a region's record. It
+// is a third of the size limit of values in the key-value store.
 func (m *Model) windowRecordIDBytes() int { return m.writes.limits().maxValueBytes() / 3 }
 
 // UnresolvedWindowJobs returns the sorted ids of at most limit jobs that the records of batch
--- a/cluster/priority_tiers.go
+++ b/cluster/priority_tiers.go
@@ -126,10 +126,10 @@
 }
 
 // promoteStarvedTiers moves work of lower tiers ahead of higher tiers. It promotes jobs of a tier
-// that has less than its share, and some tasks of jobs that have waited for their tier's longest
-// wait. Once promotions by wait have enough of the fleet, such tasks move only ahead of their own
-// tier (priority.PromotedInTier). Tasks that are not promoted keep their position. Guaranteed
-// quotas, priorities and the starvation bound still take precedence.
+// that has less than its share, and some tasks of jobs that have waited their tier's maximum wait
+// and have no task placed. Once promotions by wait have enough of the fleet, such tasks move only
+// ahead of their own tier (priority.PromotedInTier). Tasks that are not promoted keep their
+// position. Guaranteed quotas, priorities and the starvation bound still take precedence.
 func (m *Model) promoteStarvedTiers(queue []*queueEntry, now time.Time) []*queueEntry {
 	if m.tiers.policy == nil {
 		return queue
@@ -201,9 +201,9 @@
 }
 
 // mergePromoted appends promoted requests behind those that must start by the starvation bound.
-// Requests whose tier's longest wait is over are inserted among those that must start, by the time
+// Requests whose tier's maximum wait is over are inserted among those that must start, by the time
 // at which the wait was over. Under overload the bound eventually applies to all jobs, and a
-// position behind all of them would leave the longest wait without effect.
+// position behind all of them would leave the maximum wait without effect.
 func (m *Model) mergePromoted(queue, promoted []*queueEntry) []*queueEntry {
 	var others []*queueEntry
 	for _, entry := range promoted {
@@ -222,7 +222,7 @@
 	return append(queue, others...)
 }
 
-// overtakesMustStart reports whether a request whose tier's longest wait was over at waitOver is
+// overtakesMustStart reports whether a request whose tier's maximum wait was over at waitOver is
 // placed before other, a request of the same rank that must start by the starvation bound. It
 // returns false for any other kind of request.
 func (entry *queueEntry) overtakesMustStart(other *queueEntry, waitOver time.Time) bool {
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -99,8 +99,8 @@
 }
 
 // truncateQueue cuts the queue from its end to the given length. It keeps all requests with
-// StartDue set, which the starvation bound, the completion floor or the longest wait of their tier
-// has moved forward, so the queue may stay longer.
+// StartDue set, so the queue may stay longer. The starvation bound, the completion floor or the
+// maximum wait of their tier has moved these requests forward.
 func truncateQueue(queue []*queueEntry, length int) []*queueEntry {
 	excess := len(queue) - length
 	if excess <= 0 {
