--- a/cluster/rebalancing.go
+++ b/cluster/rebalancing.go
@@ -130,7 +130,7 @@
 // must be committed before BeginMoves starts its moves. The result is nil if rebalancing is
 // disabled, nothing is wanted, or the leader was elected too recently to know its machines.
 func (m *Model) PlanMoves(wanted []placement.Request, now time.Time) map[string]jobstore.RebalanceCycle {
-	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(m.settings.Cluster.Workers.HeartbeatS*3) {
+	if !m.RebalanceSettings.Enabled || len(wanted) == 0 || now.Sub(m.ElectedAt) < config.Seconds(takeoverHeartbeats*m.settings.Cluster.Workers.HeartbeatS) {
 		return nil
 	}
 	cycles := map[string]jobstore.RebalanceCycle{}
@@ -234,6 +234,7 @@
 }
 
 // BeginMoves starts a cycle whose record has been committed. It stops the tasks that are to move.
+// It skips moves whose attempt has ended or has been ordered to stop already.
 func (m *Model) BeginMoves(group string, rec jobstore.RebalanceCycle, now time.Time) {
 	m.RebalanceCycles[group] = &RebalanceCycle{Record: rec}
 	for _, move := range rec.Moves {
