--- a/controller/committer.go
+++ b/controller/committer.go
@@ -26,8 +26,8 @@
 // record's version, on the fencing token and on guards. The token alone is not enough: a
 // write of the same leadership whose response was lost may be applied late, overwrite a
 // newer record and be loaded by the next leader. These records are never deleted, so a
-// version never occurs twice. An unexpected version comes from a write of this leader whose
-// response was lost.
+// version never occurs twice. An unexpected version comes from an earlier write of this
+// leader whose response was lost.
 func (l *leadership) putOwnRecord(ctx context.Context, key string, record any, guards ...wire.Guard) error {
 	l.mu.Lock()
 	version, known := l.ownVersions[key]
@@ -145,6 +145,17 @@
 // averaged.
 const userChangeWindowS = 5
 
+const (
+	// maxBookkeepingShare is the share of the key-value store's write rate for the leader's
+	// own records while users change nothing.
+	maxBookkeepingShare = 0.9
+	// minBookkeepingShare is the share that is left for them under any number of users'
+	// changes.
+	minBookkeepingShare = 0.4
+	// writesPerUserChange is how much of the write rate is reserved for each change by users.
+	writesPerUserChange = 1.5
+)
+
 // bookkeepingRate returns how many changes per second the leader's own records may take.
 // Users' submissions and cancellations take precedence.
 func (l *leadership) bookkeepingRate() rate.Limit {
@@ -158,7 +169,7 @@
 		}
 	}
 	l.recentUserChanges = recent
-	return rate.Limit(max(0.4*writeRPS, 0.9*writeRPS-1.5*float64(len(recent))/userChangeWindowS))
+	return rate.Limit(max(minBookkeepingShare*writeRPS, maxBookkeepingShare*writeRPS-writesPerUserChange*float64(len(recent))/userChangeWindowS))
 }
 
 // handleCommitFailure updates the model with the changes that a batch conflicted with, and
--- a/controller/direct_commands.go
+++ b/controller/direct_commands.go
@@ -41,8 +41,8 @@
 
 // wakeWorkers makes workers for which launches are ready send a heartbeat now, because
 // launches are only sent in responses to heartbeats. wakeUpSlots bounds the wake-ups in
-// progress. When one ends, it starts others that are due. If the excess was dropped instead,
-// much of a large burst would wait for regular heartbeats.
+// progress. When one ends, it starts others that are due. If the wake-ups beyond this limit were
+// dropped instead, much of a large burst would wait for regular heartbeats.
 func (l *leadership) wakeWorkers(ctx context.Context) {
 	if !l.lease.Valid() {
 		return
--- a/controller/health.go
+++ b/controller/health.go
@@ -16,11 +16,20 @@
 	"github.com/umberdeal/umberdeal/peerrpc"
 )
 
+const (
+	// kvResponseMaxAge is how long a successful response shows that the key-value store
+	// serves this node.
+	kvResponseMaxAge = 5 * time.Second
+	// peerContactMaxAge is how long an answer of another node shows that this node can
+	// forward requests.
+	peerContactMaxAge = 4 * time.Second
+)
+
 // kvReachable reports whether the key-value store serves this node. This is the case if its
-// last response was successful and recent.
+// last response was successful and is not older than kvResponseMaxAge.
 func (n *Node) kvReachable() bool {
 	lastSuccess, lastFailure := n.kv.LastOutcomes()
-	return lastSuccess.After(lastFailure) && time.Since(lastSuccess) < 5*time.Second
+	return lastSuccess.After(lastFailure) && time.Since(lastSuccess) < kvResponseMaxAge
 }
 
 const (
@@ -31,9 +40,9 @@
 	// kvRetryInterval is the probe interval while the store does not answer.
 	kvRetryInterval = time.Second
 	// failedPeerProbeInterval is the pause between probes of a node that has not answered.
-	// failedPeerProbeTimeout is how long to wait for the answer to a probe. For the sum of
-	// both, after such a node recovers, other nodes may still write to its buckets and
-	// conflict with the node itself.
+	// failedPeerProbeTimeout is how long to wait for the answer to a probe. A recovered node
+	// is noticed after at most the sum of both. Until then, other nodes write to its buckets,
+	// and these writes may conflict with the node's own.
 	failedPeerProbeInterval = 300 * time.Millisecond
 	failedPeerProbeTimeout  = 500 * time.Millisecond
 )
@@ -69,8 +78,8 @@
 	}
 }
 
-// probeKV sends one request to the key-value store. It returns nil if the store answers,
-// also if it answers that it is busy.
+// probeKV sends one request to the key-value store. It returns nil if the store answers, even
+// if the answer is that the store is busy.
 func (n *Node) probeKV(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, kvProbeTimeout)
 	defer cancel()
@@ -127,7 +136,7 @@
 func (n *Node) ready() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.everConnected && (n.kvReachable() || time.Since(n.lastPeerContact) < 4*time.Second)
+	return n.everConnected && (n.kvReachable() || time.Since(n.lastPeerContact) < peerContactMaxAge)
 }
 
 // stallCheckInterval is the time between two checks for a stall. It is a fraction of
--- a/controller/heartbeat_forwarding.go
+++ b/controller/heartbeat_forwarding.go
@@ -1,3 +1,5 @@
+// Forwarding of heartbeats from followers to the leader, on both sides.
+
 package controller
 
 import (
--- a/controller/heartbeat_response.go
+++ b/controller/heartbeat_response.go
@@ -85,11 +85,17 @@
 	return newAnswer(http.StatusOK, wire.HeartbeatAnswer{Token: l.lease.FencingToken, Commands: commands}, 0)
 }
 
+// maxResponseDelay is a quarter of the heartbeat interval, between these limits in seconds.
+const (
+	responseDelayLowerLimitS = 0.4
+	responseDelayUpperLimitS = 1.5
+)
+
 // maxResponseDelay returns how long an answer may be delayed so that it can carry launches
 // for the resources that its heartbeat has freed. The delay grows with the heartbeat interval,
 // because without it a launch waits for the next heartbeat. Workers time out after 4 s.
 func (l *leadership) maxResponseDelay() time.Duration {
-	return config.Seconds(min(max(0.4, l.node.cfg.Cluster.Workers.HeartbeatS/4), 1.5))
+	return config.Seconds(min(max(responseDelayLowerLimitS, l.node.cfg.Cluster.Workers.HeartbeatS/4), responseDelayUpperLimitS))
 }
 
 // awaitSchedulingPass delays an answer, for at most maxResponseDelay, until a scheduling pass
--- a/controller/inspect.go
+++ b/controller/inspect.go
@@ -24,8 +24,9 @@
 var ErrUnreadableJob = errors.New("its record can't be read")
 
 // WhyWaiting explains what an unfinished job waits for. If the job is done or cancelled, it
-// returns the final state and no explanation. finalState is "" for an unfinished job. The
-// error is or wraps ErrNoJob, ErrUnreadableJob or an error of the key-value store.
+// returns the final state and an empty explanation. finalState is "" for an unfinished job.
+// The error is or wraps ErrNoJob, ErrUnreadableJob, jobstore.ErrNewerSchema or an error of the
+// key-value store.
 func WhyWaiting(ctx context.Context, cfg *config.Settings, kv *kvstore.Client, id string, now time.Time) (explanation cluster.Explanation, finalState string, err error) {
 	model, err := inspect(ctx, cfg, kv, now)
 	if err != nil {
--- a/controller/job_events.go
+++ b/controller/job_events.go
@@ -18,10 +18,19 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+const (
+	// jobWatchTimeout is how long one watch request waits for changes of the jobs.
+	jobWatchTimeout = 8 * time.Second
+	// jobWatchRetryMinMs and jobWatchRetryJitterMs give the pause after a failed watch
+	// request, in milliseconds: the minimum and the range of the random addition.
+	jobWatchRetryMinMs    = 200
+	jobWatchRetryJitterMs = 300
+)
+
 // applyEvents applies changes of the active records to the model. It applies each change once,
 // even if both the watch and a read barrier deliver it. If a page of jobs can't be read, it
-// applies no page, because the jobs of the unreadable page would look cancelled. It then
-// resigns and returns false. The next leader repairs the page before it becomes active.
+// applies no page, because the jobs of the unreadable page would look cancelled. In this case
+// the leader resigns and applyEvents returns false. The next leader repairs the page before it becomes active.
 func (l *leadership) applyEvents(events wire.Events) (ok bool) {
 	now := time.Now()
 	l.mu.Lock()
@@ -102,8 +111,8 @@
 	return l.appliedRevision
 }
 
-// barrier applies to the model all changes that were committed before the call. It returns
-// jobstore.ErrUnreadable, and the leader resigns, if a page of jobs can't be read.
+// barrier applies to the model all changes that were committed before the call. If a page of
+// jobs can't be read, the leader resigns and barrier returns jobstore.ErrUnreadable.
 func (l *leadership) barrier(ctx context.Context) error {
 	select {
 	case l.barrierSlot <- struct{}{}:
@@ -141,14 +150,14 @@
 // they are committed. It returns when ctx ends or after the leader has resigned.
 func (l *leadership) followJobs(ctx context.Context) {
 	for ctx.Err() == nil {
-		events, err := l.node.kv.Watch(ctx, jobstore.JobPrefix, l.revision(), 8*time.Second)
+		events, err := l.node.kv.Watch(ctx, jobstore.JobPrefix, l.revision(), jobWatchTimeout)
 		switch {
 		case errors.Is(err, kvstore.ErrCompacted):
 			l.log.Info("watch fell behind, resigning")
 			l.lease.Resign()
 			return
 		case err != nil:
-			call.Pause(ctx, time.Duration(200+rand.IntN(300))*time.Millisecond)
+			call.Pause(ctx, time.Duration(jobWatchRetryMinMs+rand.IntN(jobWatchRetryJitterMs))*time.Millisecond)
 		default:
 			if !l.applyEvents(events) {
 				return
--- a/controller/job_requests.go
+++ b/controller/job_requests.go
@@ -1,5 +1,5 @@
 // Users' requests to the job store. Each request is idempotent. If it is repeated or served by
-// two nodes, the answer stays the same as the first time.
+// two nodes, it takes effect once, and the repeated answer agrees with the first.
 
 package controller
 
@@ -87,10 +87,14 @@
 }
 
 const (
-	// maxRefusedRetries is how often a request is retried that the key-value store refused.
-	// maxRateLimitedRetries is the limit if the request was refused because of its rate.
+	// maxRefusedRetries is how often a request is retried after the key-value store refused
+	// it. maxRateLimitedRetries applies if the store refused it because of the request rate.
 	maxRefusedRetries     = 3
 	maxRateLimitedRetries = 1
+	// refusedRetryMinMs is the pause before the first retry, in milliseconds. Each further
+	// pause is longer by refusedRetryStepMs.
+	refusedRetryMinMs  = 80
+	refusedRetryStepMs = 60
 )
 
 // retryRefused calls request, and retries with increasing pauses while the key-value store
@@ -104,7 +108,7 @@
 		if try >= maxRateLimitedRetries && errors.Is(err, kvstore.ErrRateLimited) {
 			return err
 		}
-		if !call.Pause(ctx, time.Duration(80+60*try)*time.Millisecond) {
+		if !call.Pause(ctx, time.Duration(refusedRetryMinMs+refusedRetryStepMs*try)*time.Millisecond) {
 			return err
 		}
 	}
--- a/controller/leader_monitor.go
+++ b/controller/leader_monitor.go
@@ -57,8 +57,8 @@
 }
 
 // leaderWaitTimeout is how long a worker's heartbeat waits for a leader to be known. The worker
-// times out after 4 s. If it was refused earlier, it would try the next node, and lose the
-// whole timeout if that node is paused.
+// times out after 4 s. A worker that is refused earlier tries the next node. If that node is
+// paused, the worker loses the whole timeout.
 const leaderWaitTimeout = 2500 * time.Millisecond
 
 // awaitLeader waits until a leader is known that is not suspected to have failed, and returns
--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -1,3 +1,5 @@
+// One term of a node as the leader, from the election to its end.
+
 package controller
 
 import (
--- a/controller/node.go
+++ b/controller/node.go
@@ -119,13 +119,23 @@
 }
 
 const (
-	// userRateShare is the share of the key-value store's request rate that users'
-	// requests may take on all nodes together. The rest is reserved for the leader.
+	// userRateShare is the share of the key-value store's rate limits for users, on all nodes
+	// together. It is the least to which the users' clients reduce their rates when the store
+	// refuses requests. The rest is reserved for the leader.
 	userRateShare = 0.5
+	// nodeRequestRateShare, userRequestRateShare and cloudRequestRateShare are the shares of a
+	// service's request rate that one client of a node may take: the client of the key-value
+	// store for the node's own requests, the client for users' requests, and the client of
+	// the cloud. The users' client starts at its share and adapts to load.
+	nodeRequestRateShare  = 0.6
+	userRequestRateShare  = 0.7
+	cloudRequestRateShare = 0.9
 	// requestsPerBarrier is the interval between read barriers, as the number of requests
 	// that the rate limit allows in this time. It leaves enough requests for submissions and
 	// final states.
 	requestsPerBarrier = 2.0
+	// maxBarrierIntervalS bounds the interval between read barriers, in seconds.
+	maxBarrierIntervalS = 0.6
 	// pollPeriod is the time within which the polls of each job have priority once. Users
 	// poll every 5 s. With up to four times as many polls as can be answered, no job
 	// therefore goes without an answer for longer than one period and one poll interval.
@@ -138,8 +148,8 @@
 	store, sockets := cfg.Cluster.State, cfg.Cluster.Limits.Sockets
 	n := &Node{
 		cfg: cfg, tuning: tuning, log: log, network: network,
-		kv:               kvstore.New(network.Dial, cfg.Services.State, store.RPS*0.6, store.WriteRPS),
-		cloud:            cloud.New(network.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.9),
+		kv:               kvstore.New(network.Dial, cfg.Services.State, store.RPS*nodeRequestRateShare, store.WriteRPS),
+		cloud:            cloud.New(network.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*cloudRequestRateShare),
 		workerClient:     worker.New(network.Dial, min(64, sockets/20)),
 		userSlots:        make(chan struct{}, max(32, sockets/8)),
 		submissionTiers:  admission.NewTierLimiter(max(32, sockets/8)),
@@ -180,12 +190,12 @@
 // key-value store's request rate, so that users' requests never starve the leader's writes.
 func (n *Node) setUpJobStore() {
 	limits := n.cfg.Cluster.State
-	n.userKV = n.kv.WithAdaptiveLimits(limits.RPS*0.7, limits.WriteRPS, userRateShare/float64(max(1, n.cfg.Cluster.Size))).
+	n.userKV = n.kv.WithAdaptiveLimits(limits.RPS*userRequestRateShare, limits.WriteRPS, userRateShare/float64(max(1, n.cfg.Cluster.Size))).
 		WithObserver(n.transactionObserver("users"))
 	n.jobs = jobstore.New(n.userKV, jobstore.Config{
 		Limits: jobstore.Limits{MaxTxnOps: limits.TxnOps, MaxValueKiB: limits.ValueKB},
 		BarrierInterval: func() time.Duration {
-			return config.Seconds(min(requestsPerBarrier/max(n.userKV.RequestRate(), 1), 0.6))
+			return config.Seconds(min(requestsPerBarrier/max(n.userKV.RequestRate(), 1), maxBarrierIntervalS))
 		},
 		SubmissionTier:        func(team, class string) int { return n.priorities().TierOf(team, class) },
 		FinalReadOrder:        func(id string) float64 { return admission.PollSchedule{Period: pollPeriod}.Priority(id, time.Now()) },
--- a/controller/operators.go
+++ b/controller/operators.go
@@ -27,6 +27,12 @@
 // maxOperatorConns bounds the connections to the operators' interface.
 const maxOperatorConns = 8
 
+// Timeouts of the connections to the operators' interface.
+const (
+	operatorWriteTimeout = 10 * time.Second
+	operatorIdleTimeout  = 30 * time.Second
+)
+
 // microsPerUnit is the number of the model's cost units in one unit of the price list.
 const microsPerUnit = 1e6
 
@@ -38,7 +44,7 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(n.clusterOverview(r.Context())) // the client may have disconnected
 	})
-	srv := &http.Server{Handler: mux, WriteTimeout: 10 * time.Second, IdleTimeout: 30 * time.Second}
+	srv := &http.Server{Handler: mux, WriteTimeout: operatorWriteTimeout, IdleTimeout: operatorIdleTimeout}
 	return n.serveHTTP(ctx, srv, "metrics.listen", n.tuning.Metrics.Listen, maxOperatorConns)
 }
 
@@ -120,11 +126,11 @@
 // Overview implements peerrpc.Handler. It returns this node's local overview as JSON, or nil if
 // it can't be encoded.
 func (n *Node) Overview() []byte {
-	b, err := json.Marshal(n.localOverview(time.Now()))
+	encoded, err := json.Marshal(n.localOverview(time.Now()))
 	if err != nil {
 		return nil // the requester then shows no cluster
 	}
-	return b
+	return encoded
 }
 
 // warmPoolViews returns the warm pools in the form that is shown to operators.
--- a/controller/plan_check.go
+++ b/controller/plan_check.go
@@ -23,6 +23,11 @@
 	// planCheckRateShare is the share of the key-value store's request rate that the extra
 	// requests may take.
 	planCheckRateShare = 0.03
+	// minPlanChecksPerSecond and maxPlanChecksPerSecond bound the rate of the extra requests.
+	minPlanChecksPerSecond = 2
+	maxPlanChecksPerSecond = 10
+	// planCheckBurst is how many extra requests may be sent without a pause.
+	planCheckBurst = 2
 )
 
 // runPlanCheck releases the stops that depend on the operators' plan, until ctx ends. It first
@@ -30,7 +35,7 @@
 // force. A leader that has missed a newer plan must not preempt tasks according to the old
 // one. One request confirms all held stops.
 func (l *leadership) runPlanCheck(ctx context.Context) {
-	limiter := rate.NewLimiter(rate.Limit(min(max(2, planCheckRateShare*l.node.cfg.Cluster.State.RPS), 10)), 2)
+	limiter := rate.NewLimiter(rate.Limit(min(max(minPlanChecksPerSecond, planCheckRateShare*l.node.cfg.Cluster.State.RPS), maxPlanChecksPerSecond)), planCheckBurst)
 	for {
 		held, commitDue := l.heldStops()
 		if !held {
--- a/controller/repair.go
+++ b/controller/repair.go
@@ -29,7 +29,7 @@
 	kv          *kvstore.Client
 	leaderGuard wire.Guard
 	limits      jobstore.Limits
-	controllers int
+	controllers int // number of all controllers, including this one
 	// findCopy returns a copy of a record; see Node.recoverCopy.
 	findCopy func(ctx context.Context, record, original recordVersion) *jobstore.RecoveryCopy
 	// schemaVersion returns the version to write if the schema can't be recovered.
@@ -292,13 +292,24 @@
 	return false
 }
 
+const (
+	// guardsPerTxnOp is how many guards a transaction may have for each change it may have.
+	guardsPerTxnOp = 4
+	// guardsPerRestore is the number of guards of a restoring transaction that don't depend
+	// on its jobs: on the leader key, the quarantined page and the head page.
+	guardsPerRestore = 3
+	// guardsPerRestoredJob is the number of guards for each job: on its own record and on its
+	// final record.
+	guardsPerRestoredJob = 2
+)
+
 // restoreJobs moves the jobs of a quarantined page to new readable pages, in batches that
 // fit into a transaction. Two conditions per job ensure that it has neither ended nor been
 // accepted again in the meantime. Every transaction also changes the quarantined page,
 // because a concurrent cancellation of one of its jobs must conflict with the restore. A
 // cancellation is conditional on the version of the quarantined page.
 func (r *repairer) restoreJobs(ctx context.Context, key string, quarantined jobstore.QuarantinedPage, jobs []jobstore.JobPageEntry) error {
-	batchSize := (4*r.limits.MaxTxnOps - 3) / 2
+	batchSize := (guardsPerTxnOp*r.limits.MaxTxnOps - guardsPerRestore) / guardsPerRestoredJob
 	var rest []jobstore.JobPageEntry
 	for _, job := range jobs {
 		if !r.hasReadableRecord(job.ID) {
--- a/controller/scaler.go
+++ b/controller/scaler.go
@@ -17,13 +17,25 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+const (
+	// scalerInterval is the pause between two rounds of the scaler.
+	scalerInterval = 300 * time.Millisecond
+	// minCloudListInterval is the least time between two reads of the cloud's machine list.
+	minCloudListInterval = 4 * time.Second
+	// cloudRequestsPerList is the least time between two reads of the list, as the number of
+	// requests that the cloud's rate limit allows in this time.
+	cloudRequestsPerList = 4
+	// cloudRetryDelay is the pause after a failed request to list or delete machines.
+	cloudRetryDelay = time.Second
+)
+
 // runScaler rents, returns and lists machines until ctx ends. A single loop does all three,
 // so that calls to the cloud never overtake one another.
 func (l *leadership) runScaler(ctx context.Context) {
-	listInterval := max(4*time.Second, time.Duration(4/l.node.cfg.Cluster.Cloud.RPS*float64(time.Second)))
+	listInterval := max(minCloudListInterval, time.Duration(cloudRequestsPerList/l.node.cfg.Cluster.Cloud.RPS*float64(time.Second)))
 	var lastListed time.Time
 	areTypesSaved := false
-	for call.Pause(ctx, 300*time.Millisecond) {
+	for call.Pause(ctx, scalerInterval) {
 		if !l.lease.Valid() {
 			continue
 		}
@@ -45,7 +57,7 @@
 		machines, err := l.node.cloud.ListMachines(ctx)
 		if err != nil {
 			l.log.Debug("machine list not read", "err", err)
-			call.Pause(ctx, time.Second)
+			call.Pause(ctx, cloudRetryDelay)
 			continue
 		}
 		lastListed = time.Now()
@@ -66,7 +78,7 @@
 	}
 	if err := l.node.cloud.DeleteMachines(ctx, names); err != nil {
 		l.log.Info("scale in failed, retrying", "count", len(names), "err", err)
-		call.Pause(ctx, time.Second)
+		call.Pause(ctx, cloudRetryDelay)
 		return
 	}
 	now := time.Now()
--- a/controller/scheduler.go
+++ b/controller/scheduler.go
@@ -111,20 +111,24 @@
 	passIdleFactor = 3
 	// passDelayPerMachine increases the least delay with the number of machines. It bounds
 	// the CPU time of passes in a large cluster on any CPU. At 2,000 machines, 25 passes a
-	// second took a quarter of a core. There, another tenth of a second does no harm.
+	// second took a quarter of a core. In a cluster of this size, another tenth of a second
+	// between passes does no harm.
 	passDelayPerMachine = 50 * time.Microsecond
 )
 
-// abstainAfterIsolation is how long a leader that workers could not reach does not stand
-// for election.
+// abstainAfterIsolation is how long a leader does not stand for election after it has resigned
+// because workers could not reach it.
 const abstainAfterIsolation = 20 * time.Second
 
+// maxSilenceMarginS is added to the longest time without a direct heartbeat, in seconds.
+const maxSilenceMarginS = 2
+
 // workersUnreachable reports whether this node has received no heartbeat directly from a
 // worker for so long that another node should lead. It returns false if the cluster has no
 // other node or fewer than two machines are expected. The caller holds l.mu.
 func (l *leadership) workersUnreachable(now time.Time) bool {
 	workers := l.node.cfg.Cluster.Workers
-	maxSilence := config.Seconds(max(3*workers.HeartbeatS, workers.LeaseS/4) + 2)
+	maxSilence := config.Seconds(max(3*workers.HeartbeatS, workers.LeaseS/4) + maxSilenceMarginS)
 	lastContact := l.lastDirectHeartbeat
 	if lastContact.Before(l.model.ElectedAt) {
 		lastContact = l.model.ElectedAt
--- a/controller/server.go
+++ b/controller/server.go
@@ -35,7 +35,7 @@
 
 func newGoroutines() *goroutines { return &goroutines{failed: make(chan error, maxServers)} }
 
-// serve starts a server whose failure ends the node.
+// serve starts a server. Its failure is sent to failed, and ends the node.
 func (g *goroutines) serve(ctx context.Context, server func(context.Context) error) {
 	g.Go(func() {
 		if err := server(ctx); err != nil {
--- a/controller/worker_routing.go
+++ b/controller/worker_routing.go
@@ -76,9 +76,17 @@
 	leaderSince time.Time // when this node first saw the leader's fencing token
 }
 
-// newMoveLimiter returns the limiter of redirects per second that balance connections.
-// adoptRoutingPlan adjusts its rate to the number of workers.
-func newMoveLimiter() *rate.Limiter { return rate.NewLimiter(20, 20) }
+const (
+	// minMovesPerSecond is the least limit on redirects that balance connections. It is also
+	// the burst.
+	minMovesPerSecond = 20
+	// moveAllSeconds is how long redirecting all workers of a large cluster takes at least.
+	moveAllSeconds = 30
+)
+
+// newMoveLimiter returns the limiter of redirects that balance connections. adoptRoutingPlan
+// adjusts its rate to the number of workers.
+func newMoveLimiter() *rate.Limiter { return rate.NewLimiter(minMovesPerSecond, minMovesPerSecond) }
 
 // publishRoutingPlan recomputes the routing plan periodically while this node leads, and
 // withdraws it otherwise. Followers fetch it with their status requests.
@@ -108,14 +116,14 @@
 }
 
 // adoptRoutingPlan makes a plan the current one. It sets the rate of redirects in proportion
-// to the number of workers. Redirecting all workers of a large cluster takes at least about
-// half a minute, so that no node is flooded with new connections.
+// to the number of workers. Redirecting all workers of a large cluster takes about
+// moveAllSeconds or longer, so that no node is flooded with new connections.
 func (n *Node) adoptRoutingPlan(plan routing.Plan, now time.Time) {
 	since := now
 	if old := n.routingPlan.Load(); old != nil && old.Token == plan.Token && old.Leader == plan.Leader {
 		since = old.leaderSince
 	}
-	n.moveLimiter.SetLimitAt(now, rate.Limit(max(20, float64(plan.Workers)/30)))
+	n.moveLimiter.SetLimitAt(now, rate.Limit(max(minMovesPerSecond, float64(plan.Workers)/moveAllSeconds)))
 	n.routingPlan.Store(&adoptedPlan{Plan: plan, receivedAt: now, leaderSince: since})
 }
 
--- a/controller/yarn.go
+++ b/controller/yarn.go
@@ -14,13 +14,23 @@
 	"github.com/umberdeal/umberdeal/yarn"
 )
 
+const (
+	// yarnRESTWriteTimeout and yarnRESTIdleTimeout apply to the connections of YARN's REST
+	// interface.
+	yarnRESTWriteTimeout = 15 * time.Second
+	yarnRESTIdleTimeout  = time.Minute
+	// yarnValueReserveBytes is how much smaller the values of package yarn stay than the
+	// largest value that the key-value store accepts.
+	yarnValueReserveBytes = 512
+)
+
 // OpenYARN makes the node also serve YARN clients. It must be called before Run. If it is not
 // called, the node opens no port and keeps no data for YARN clients.
 func (n *Node) OpenYARN(settings *yarn.Settings) {
 	n.jobs.TrackReservations()
 	n.yarnSettings = settings
 	limits := n.cfg.Cluster.State
-	n.yarn = yarn.New(settings, n.userKV, n.jobs, yarnController{n}, n.log, yarn.StoreLimits{TxnOps: limits.TxnOps, ValueBytes: int(limits.ValueKB*1024) - 512})
+	n.yarn = yarn.New(settings, n.userKV, n.jobs, yarnController{n}, n.log, yarn.StoreLimits{TxnOps: limits.TxnOps, ValueBytes: int(limits.ValueKB*1024) - yarnValueReserveBytes})
 }
 
 // serveYARN serves YARN's RPC protocols until ctx ends.
@@ -34,7 +44,7 @@
 
 // serveYARNREST serves YARN's REST interface until ctx ends.
 func (n *Node) serveYARNREST(ctx context.Context) error {
-	srv := &http.Server{Handler: n.yarn.REST(), WriteTimeout: 15 * time.Second, IdleTimeout: time.Minute}
+	srv := &http.Server{Handler: n.yarn.REST(), WriteTimeout: yarnRESTWriteTimeout, IdleTimeout: yarnRESTIdleTimeout}
 	return n.serveHTTP(ctx, srv, "yarn: rest", n.yarnSettings.REST, n.yarnSettings.MaxConns)
 }
 
@@ -81,7 +91,8 @@
 }
 
 // Machines implements peerrpc.Handler. If this node leads with a valid lease, it returns the
-// machines that are present, as a JSON list of yarn.Machine. Otherwise it returns nil.
+// machines that are present, as a JSON list of yarn.Machine. If this node does not lead or
+// the list can't be encoded, it returns nil.
 func (n *Node) Machines() []byte {
 	l := n.activeLeadership()
 	if l == nil || !l.lease.Valid() {
