--- a/controller/leadership.go
+++ b/controller/leadership.go
@@ -78,7 +78,7 @@
 		schemaWake:       make(chan struct{}, 1),
 		planCheckWake:    make(chan struct{}, 1),
 		stopSlots:        make(chan struct{}, maxDirectStops),
-		wakeUpSlots:      make(chan struct{}, min(64, sockets/20)),
+		wakeUpSlots:      make(chan struct{}, min(maxWorkerClientConns, sockets/socketsPerWorkerClientConn)),
 		barrierSlot:      make(chan struct{}, 1),
 		heartbeatLimiter: admission.NewPriorityLimiter(concurrentHeartbeats, 2*sockets),
 		progress:         make(chan struct{}),
--- a/controller/node.go
+++ b/controller/node.go
@@ -142,6 +142,25 @@
 	pollPeriod = 45 * time.Second
 )
 
+// Limits that depend on the node's socket limit. The socket limit is divided by a number, and a
+// lower or an upper bound applies.
+const (
+	// minUserSlots and socketsPerUserSlot bound the concurrent submissions and cancellations,
+	// and separately the concurrent and the queued polls.
+	minUserSlots       = 32
+	socketsPerUserSlot = 8
+	// minHeartbeatSlots and socketsPerHeartbeatSlot bound the concurrent heartbeats of workers,
+	// and separately those forwarded to a peer and those received from peers.
+	minHeartbeatSlots       = 64
+	socketsPerHeartbeatSlot = 2
+	// socketsPerQueuedHeartbeat bounds the heartbeats that wait for a slot.
+	socketsPerQueuedHeartbeat = 8
+	// maxWorkerClientConns and socketsPerWorkerClientConn bound the idle connections to workers
+	// and the wake-ups in progress.
+	maxWorkerClientConns       = 64
+	socketsPerWorkerClientConn = 20
+)
+
 // New returns a node that is not running yet. It opens no connections and starts no
 // goroutines.
 func New(cfg *config.Settings, tuning config.Tuning, log *slog.Logger, network Network) *Node {
@@ -150,12 +169,12 @@
 		cfg: cfg, tuning: tuning, log: log, network: network,
 		kv:               kvstore.New(network.Dial, cfg.Services.State, store.RPS*nodeRequestRateShare, store.WriteRPS),
 		cloud:            cloud.New(network.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*cloudRequestRateShare),
-		workerClient:     worker.New(network.Dial, min(64, sockets/20)),
-		userSlots:        make(chan struct{}, max(32, sockets/8)),
-		submissionTiers:  admission.NewTierLimiter(max(32, sockets/8)),
-		pollLimiter:      admission.NewPriorityLimiter(max(32, sockets/8), max(32, sockets/8)),
+		workerClient:     worker.New(network.Dial, min(maxWorkerClientConns, sockets/socketsPerWorkerClientConn)),
+		userSlots:        make(chan struct{}, max(minUserSlots, sockets/socketsPerUserSlot)),
+		submissionTiers:  admission.NewTierLimiter(max(minUserSlots, sockets/socketsPerUserSlot)),
+		pollLimiter:      admission.NewPriorityLimiter(max(minUserSlots, sockets/socketsPerUserSlot), max(minUserSlots, sockets/socketsPerUserSlot)),
 		pollSchedule:     admission.PollSchedule{Period: pollPeriod},
-		heartbeatLimiter: admission.NewPriorityLimiter(max(64, sockets/2), sockets/8),
+		heartbeatLimiter: admission.NewPriorityLimiter(max(minHeartbeatSlots, sockets/socketsPerHeartbeatSlot), sockets/socketsPerQueuedHeartbeat),
 		lastAnswered:     admission.NewReplyTimes(maxTrackedWorkers),
 		moveLimiter:      newMoveLimiter(),
 		redirects:        map[string]redirectRecord{},
@@ -210,7 +229,8 @@
 func (n *Node) setUpPeers() {
 	for _, peer := range n.cfg.Peers {
 		n.peers = append(n.peers, peerrpc.NewPeer(peer.Name, peer.Addr, n.network.Dial))
-		n.peerStreams = append(n.peerStreams, peerrpc.NewHeartbeatStream(peer.Name, peer.Addr, n.network.Dial, max(64, n.cfg.Cluster.Limits.Sockets/2)))
+		n.peerStreams = append(n.peerStreams, peerrpc.NewHeartbeatStream(peer.Name, peer.Addr, n.network.Dial,
+			max(minHeartbeatSlots, n.cfg.Cluster.Limits.Sockets/socketsPerHeartbeatSlot)))
 	}
 }
 
--- a/controller/server.go
+++ b/controller/server.go
@@ -118,7 +118,7 @@
 		return nil
 	})
 	all.serve(ctx, func(ctx context.Context) error {
-		return peerrpc.Serve(ctx, peerListener, n, max(64, n.cfg.Cluster.Limits.Sockets/2))
+		return peerrpc.Serve(ctx, peerListener, n, max(minHeartbeatSlots, n.cfg.Cluster.Limits.Sockets/socketsPerHeartbeatSlot))
 	})
 }
 
