--- a/controller/direct_commands.go
+++ b/controller/direct_commands.go
@@ -17,7 +17,7 @@
 	l.mu.Lock()
 	batch := l.model.DueStops(time.Now())
 	l.mu.Unlock()
-	for _, push := range batch {
+	for _, stop := range batch {
 		select {
 		case l.stopSlots <- struct{}{}:
 		default:
@@ -25,12 +25,12 @@
 		}
 		l.node.directCommands.Go(func() {
 			defer func() { <-l.stopSlots }()
-			result, executed, err := l.node.workerClient.Command(ctx, push.Addr, push.Commands)
+			result, executed, err := l.node.workerClient.Command(ctx, stop.Addr, stop.Commands)
 			if err != nil {
-				l.log.Debug("direct stop failed", "machine", push.Machine, "err", err)
+				l.log.Debug("direct stop failed", "machine", stop.Machine, "err", err)
 				return
 			}
-			l.log.Debug("direct stop sent", "machine", push.Machine, "executed", executed, "seq", result.Seq)
+			l.log.Debug("direct stop sent", "machine", stop.Machine, "executed", executed, "seq", result.Seq)
 		})
 	}
 }
--- a/controller/peer_recovery.go
+++ b/controller/peer_recovery.go
@@ -53,65 +53,65 @@
 
 // report adds a record that a peer can't read. It drops the report if there are already
 // maxRecoveredCopies unprocessed ones.
-func (m *repairState) report(record recordVersion) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if len(m.reported) >= maxRecoveredCopies {
+func (s *repairState) report(record recordVersion) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(s.reported) >= maxRecoveredCopies {
 		return
 	}
-	if m.reported == nil {
-		m.reported = map[recordVersion]bool{}
+	if s.reported == nil {
+		s.reported = map[recordVersion]bool{}
 	}
-	m.reported[record] = true
+	s.reported[record] = true
 }
 
 // takePending returns and clears the records that peers have reported since the last call.
 // It also returns the records that the leader could not repair, which it does not clear.
-func (m *repairState) takePending() (reported map[recordVersion]bool, unrepaired []unrepairedRecord) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	reported, m.reported = m.reported, nil
-	return reported, m.unrepaired
+func (s *repairState) takePending() (reported map[recordVersion]bool, unrepaired []unrepairedRecord) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	reported, s.reported = s.reported, nil
+	return reported, s.unrepaired
 }
 
-func (m *repairState) setUnrepaired(records []unrepairedRecord) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.unrepaired = records
+func (s *repairState) setUnrepaired(records []unrepairedRecord) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.unrepaired = records
 }
 
 // copyOf returns the kept copy of a record or of its original before the quarantine, or nil
 // if there is none.
-func (m *repairState) copyOf(record, original recordVersion) *jobstore.RecoveryCopy {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if c := m.copies[record]; c != nil {
+func (s *repairState) copyOf(record, original recordVersion) *jobstore.RecoveryCopy {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if c := s.copies[record]; c != nil {
 		return c
 	}
-	return m.copies[original]
+	return s.copies[original]
 }
 
 // keepCopy keeps a copy of a page, from the model of a leader on this node, for the next
 // leader. If there are already maxRecoveredCopies, it drops those.
-func (m *repairState) keepCopy(record recordVersion, c *jobstore.RecoveryCopy) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.copies == nil || len(m.copies) >= maxRecoveredCopies {
-		m.copies = map[recordVersion]*jobstore.RecoveryCopy{}
+func (s *repairState) keepCopy(record recordVersion, c *jobstore.RecoveryCopy) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.copies == nil || len(s.copies) >= maxRecoveredCopies {
+		s.copies = map[recordVersion]*jobstore.RecoveryCopy{}
 	}
-	m.copies[record] = c
+	s.copies[record] = c
 }
 
 // markAttempted records that this node resigns for a record. It returns false if the node
 // has already resigned for this record.
-func (m *repairState) markAttempted(record recordVersion) bool {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	if m.attempted == nil || len(m.attempted) >= maxTrackedRepairs {
-		m.attempted = map[recordVersion]bool{}
+func (s *repairState) markAttempted(record recordVersion) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.attempted == nil || len(s.attempted) >= maxTrackedRepairs {
+		s.attempted = map[recordVersion]bool{}
 	}
-	attemptedBefore := m.attempted[record]
-	m.attempted[record] = true
+	attemptedBefore := s.attempted[record]
+	s.attempted[record] = true
 	return !attemptedBefore
 }
 
@@ -156,9 +156,9 @@
 	request := peerrpc.Request{ID: record.key, Version: record.version, UnreadableKey: original.key, UnreadableVersion: original.version}
 	for _, p := range n.peers {
 		wg.Go(func() {
-			a, err := p.FetchRecoveredRecord(ctx, request)
+			answer, err := p.FetchRecoveredRecord(ctx, request)
 			c := &jobstore.RecoveryCopy{}
-			if err == nil && a.Status == http.StatusOK && wire.Unmarshal(a.Body, c) == nil {
+			if err == nil && answer.Status == http.StatusOK && wire.Unmarshal(answer.Body, c) == nil {
 				found <- c
 			}
 		})
--- a/controller/server.go
+++ b/controller/server.go
@@ -65,18 +65,18 @@
 	}
 	srv := n.newHTTPServer(ctx)
 	n.connLimiter = admission.NewConnLimiter(listener, max(16, int(connShare*float64(n.cfg.Cluster.Limits.Sockets))))
-	all := newGoroutines()
-	n.startServers(ctx, all, srv, peerListener)
-	n.startLoops(ctx, all)
+	group := newGoroutines()
+	n.startServers(ctx, group, srv, peerListener)
+	n.startLoops(ctx, group)
 	n.log.Info("serving", "node", n.cfg.Node, "zone", n.cfg.Zone, "bind", n.cfg.Bind)
 	select {
 	case <-ctx.Done():
 		err = nil
-	case err = <-all.failed:
+	case err = <-group.failed:
 	}
 	cancel()
 	shutDown(srv)
-	all.Wait()
+	group.Wait()
 	n.directCommands.Wait()
 	for _, stream := range n.peerStreams {
 		stream.Close()
@@ -100,39 +100,39 @@
 }
 
 // startServers starts all servers of the node.
-func (n *Node) startServers(ctx context.Context, all *goroutines, srv *http.Server, peerListener net.Listener) {
+func (n *Node) startServers(ctx context.Context, group *goroutines, srv *http.Server, peerListener net.Listener) {
 	if n.yarn != nil {
-		all.run(ctx, n.yarn.Run)
-		all.serve(ctx, n.serveYARN)
+		group.run(ctx, n.yarn.Run)
+		group.serve(ctx, n.serveYARN)
 		if n.yarnSettings.REST != "" {
-			all.serve(ctx, n.serveYARNREST)
+			group.serve(ctx, n.serveYARNREST)
 		}
 	}
 	if n.tuning.Metrics.Listen != "" {
-		all.serve(ctx, n.serveOperators)
+		group.serve(ctx, n.serveOperators)
 	}
-	all.serve(ctx, func(context.Context) error {
+	group.serve(ctx, func(context.Context) error {
 		if err := srv.Serve(n.connLimiter); !errors.Is(err, http.ErrServerClosed) {
 			return fmt.Errorf("bind: %w", err)
 		}
 		return nil
 	})
-	all.serve(ctx, func(ctx context.Context) error {
+	group.serve(ctx, func(ctx context.Context) error {
 		return peerrpc.Serve(ctx, peerListener, n, max(minHeartbeatSlots, n.cfg.Cluster.Limits.Sockets/socketsPerHeartbeatSlot))
 	})
 }
 
 // startLoops starts the loops that run on every node, whether it leads or not.
-func (n *Node) startLoops(ctx context.Context, all *goroutines) {
-	all.run(ctx, n.jobs.Run)
-	all.run(ctx, n.monitorKV)
-	all.run(ctx, n.monitorStalls)
-	all.run(ctx, n.monitorLeader)
-	all.run(ctx, n.monitorFailedPeers)
-	all.run(ctx, n.publishRoutingPlan)
-	all.run(ctx, n.refreshMachineTypes)
-	all.run(ctx, n.watchOperatorPlan)
-	all.run(ctx, n.elector.Run)
+func (n *Node) startLoops(ctx context.Context, group *goroutines) {
+	group.run(ctx, n.jobs.Run)
+	group.run(ctx, n.monitorKV)
+	group.run(ctx, n.monitorStalls)
+	group.run(ctx, n.monitorLeader)
+	group.run(ctx, n.monitorFailedPeers)
+	group.run(ctx, n.publishRoutingPlan)
+	group.run(ctx, n.refreshMachineTypes)
+	group.run(ctx, n.watchOperatorPlan)
+	group.run(ctx, n.elector.Run)
 }
 
 // shutDown waits up to shutdownGrace for requests in progress, and then closes the remaining
