--- a/controller/node_metrics.go
+++ b/controller/node_metrics.go
@@ -150,8 +150,9 @@
 func (m latencyMetrics) Launched(seconds float64) { m.ObserveStep(metrics.StepLaunched, seconds) }
 func (m latencyMetrics) Running(seconds float64)  { m.ObserveStep(metrics.StepRunning, seconds) }
 
-// onLeaderChange implements election.Config.OnChange. It counts a change of the known leader
-// and wakes the heartbeats that wait for a leader.
+// onLeaderChange implements election.Config.OnChange. The elector calls it when another leader
+// or none is known, and when the lease of this node as the leader has become valid. It counts a
+// change of the known leader and wakes the heartbeats that wait for a leader.
 func (n *Node) onLeaderChange() {
 	leader := n.elector.Leader()
 	n.mu.Lock()
