--- a/controller/direct_commands.go
+++ b/controller/direct_commands.go
@@ -17,7 +17,7 @@
 	l.mu.Lock()
 	batch := l.model.DueStops(time.Now())
 	l.mu.Unlock()
-	for _, push := range batch {
+	for _, stop := range batch {
 		select {
 		case l.stopSlots <- struct{}{}:
 		default:
@@ -25,12 +25,12 @@
 		}
 		l.node.directCommands.Go(func() {
 			defer func() { <-l.stopSlots }()
-			result, executed, err := l.node.workerClient.Command(ctx, push.Addr, push.Commands)
+			result, executed, err := l.node.workerClient.Command(ctx, stop.Addr, stop.Commands)
 			if err != nil {
-				l.log.Debug("direct stop failed", "machine", push.Machine, "err", err)
+				l.log.Debug("direct stop failed", "machine", stop.Machine, "err", err)
 				return
 			}
-			l.log.Debug("direct stop sent", "machine", push.Machine, "executed", executed, "seq", result.Seq)
+			l.log.Debug("direct stop sent", "machine", stop.Machine, "executed", executed, "seq", result.Seq)
 		})
 	}
 }
@@ -41,8 +41,8 @@
 
 // wakeWorkers makes workers for which launches are ready send a heartbeat now, because
 // launches are only sent in responses to heartbeats. wakeUpSlots bounds the wake-ups in
-// progress. When one ends, it starts others that are due. If the excess was dropped instead,
-// much of a large burst would wait for regular heartbeats.
+// progress. When one ends, it starts others that are due. If the wake-ups beyond this limit were
+// dropped instead, much of a large burst would wait for regular heartbeats.
 func (l *leadership) wakeWorkers(ctx context.Context) {
 	if !l.lease.Valid() {
 		return
--- a/controller/node.go
+++ b/controller/node.go
@@ -119,33 +119,62 @@
 }
 
 const (
-	// userRateShare is the share of the key-value store's request rate that users'
-	// requests may take on all nodes together. The rest is reserved for the leader.
+	// userRateShare is the share of the key-value store's rate limits for users, on all nodes
+	// together. It is the least to which the users' clients reduce their rates when the store
+	// refuses requests. The rest is reserved for the leader.
 	userRateShare = 0.5
+	// nodeRequestRateShare, userRequestRateShare and cloudRequestRateShare are the shares of a
+	// service's request rate that one client of a node may take: the client of the key-value
+	// store for the node's own requests, the client for users' requests, and the client of
+	// the cloud. The users' client starts at its share and adapts to load.
+	nodeRequestRateShare  = 0.6
+	userRequestRateShare  = 0.7
+	cloudRequestRateShare = 0.9
 	// requestsPerBarrier is the interval between read barriers, as the number of requests
 	// that the rate limit allows in this time. It leaves enough requests for submissions and
 	// final states.
 	requestsPerBarrier = 2.0
+	// maxBarrierIntervalS bounds the interval between read barriers, in seconds.
+	maxBarrierIntervalS = 0.6
 	// pollPeriod is the time within which the polls of each job have priority once. Users
 	// poll every 5 s. With up to four times as many polls as can be answered, no job
 	// therefore goes without an answer for longer than one period and one poll interval.
 	pollPeriod = 45 * time.Second
 )
 
+// Limits that depend on the node's socket limit. The socket limit is divided by a number, and a
+// lower or an upper bound applies.
+const (
+	// minUserSlots and socketsPerUserSlot bound the concurrent submissions and cancellations,
+	// and separately the concurrent and the queued polls.
+	minUserSlots       = 32
+	socketsPerUserSlot = 8
+	// minHeartbeatSlots and socketsPerHeartbeatSlot bound the concurrent heartbeats of workers,
+	// and separately those forwarded to a peer and those received from peers.
+	minHeartbeatSlots       = 64
+	socketsPerHeartbeatSlot = 2
+	// socketsPerQueuedHeartbeat bounds the heartbeats that wait for a slot.
+	socketsPerQueuedHeartbeat = 8
+	// maxWorkerClientConns and socketsPerWorkerClientConn bound the idle connections to workers
+	// and the wake-ups in progress.
+	maxWorkerClientConns       = 64
+	socketsPerWorkerClientConn = 20
+)
+
 // New returns a node that is not running yet. It opens no connections and starts no
 // goroutines.
 func New(cfg *config.Settings, tuning config.Tuning, log *slog.Logger, network Network) *Node {
 	store, sockets := cfg.Cluster.State, cfg.Cluster.Limits.Sockets
 	n := &Node{
 		cfg: cfg, tuning: tuning, log: log, network: network,
-		kv:               kvstore.New(network.Dial, cfg.Services.State, store.RPS*0.6, store.WriteRPS),
-		cloud:            cloud.New(network.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*0.9),
-		workerClient:     worker.New(network.Dial, min(64, sockets/20)),
-		userSlots:        make(chan struct{}, max(32, sockets/8)),
-		submissionTiers:  admission.NewTierLimiter(max(32, sockets/8)),
-		pollLimiter:      admission.NewPriorityLimiter(max(32, sockets/8), max(32, sockets/8)),
+		kv:               kvstore.New(network.Dial, cfg.Services.State, store.RPS*nodeRequestRateShare, store.WriteRPS),
+		cloud:            cloud.New(network.Dial, cfg.Services.Cloud, cfg.Cluster.Cloud.RPS*cloudRequestRateShare),
+		workerClient:     worker.New(network.Dial, min(maxWorkerClientConns, sockets/socketsPerWorkerClientConn)),
+		userSlots:        make(chan struct{}, max(minUserSlots, sockets/socketsPerUserSlot)),
+		submissionTiers:  admission.NewTierLimiter(max(minUserSlots, sockets/socketsPerUserSlot)),
+		pollLimiter:      admission.NewPriorityLimiter(max(minUserSlots, sockets/socketsPerUserSlot), max(minUserSlots, sockets/socketsPerUserSlot)),
 		pollSchedule:     admission.PollSchedule{Period: pollPeriod},
-		heartbeatLimiter: admission.NewPriorityLimiter(max(64, sockets/2), sockets/8),
+		heartbeatLimiter: admission.NewPriorityLimiter(max(minHeartbeatSlots, sockets/socketsPerHeartbeatSlot), sockets/socketsPerQueuedHeartbeat),
 		lastAnswered:     admission.NewReplyTimes(maxTrackedWorkers),
 		moveLimiter:      newMoveLimiter(),
 		redirects:        map[string]redirectRecord{},
@@ -180,12 +209,12 @@
 // key-value store's request rate, so that users' requests never starve the leader's writes.
 func (n *Node) setUpJobStore() {
 	limits := n.cfg.Cluster.State
-	n.userKV = n.kv.WithAdaptiveLimits(limits.RPS*0.7, limits.WriteRPS, userRateShare/float64(max(1, n.cfg.Cluster.Size))).
+	n.userKV = n.kv.WithAdaptiveLimits(limits.RPS*userRequestRateShare, limits.WriteRPS, userRateShare/float64(max(1, n.cfg.Cluster.Size))).
 		WithObserver(n.transactionObserver("users"))
 	n.jobs = jobstore.New(n.userKV, jobstore.Config{
 		Limits: jobstore.Limits{MaxTxnOps: limits.TxnOps, MaxValueKiB: limits.ValueKB},
 		BarrierInterval: func() time.Duration {
-			return config.Seconds(min(requestsPerBarrier/max(n.userKV.RequestRate(), 1), 0.6))
+			return config.Seconds(min(requestsPerBarrier/max(n.userKV.RequestRate(), 1), maxBarrierIntervalS))
 		},
 		SubmissionTier:        func(team, class string) int { return n.priorities().TierOf(team, class) },
 		FinalReadOrder:        func(id string) float64 { return admission.PollSchedule{Period: pollPeriod}.Priority(id, time.Now()) },
@@ -200,7 +229,8 @@
 func (n *Node) setUpPeers() {
 	for _, peer := range n.cfg.Peers {
 		n.peers = append(n.peers, peerrpc.NewPeer(peer.Name, peer.Addr, n.network.Dial))
-		n.peerStreams = append(n.peerStreams, peerrpc.NewHeartbeatStream(peer.Name, peer.Addr, n.network.Dial, max(64, n.cfg.Cluster.Limits.Sockets/2)))
+		n.peerStreams = append(n.peerStreams, peerrpc.NewHeartbeatStream(peer.Name, peer.Addr, n.network.Dial,
+			max(minHeartbeatSlots, n.cfg.Cluster.Limits.Sockets/socketsPerHeartbeatSlot)))
 	}
 }
 
