--- a/election/election.go
+++ b/election/election.go
@@ -50,7 +50,8 @@
 // write got no answer, and reading the key back failed as well.
 var errUnresolved = errors.New("outcome of the write of the leader key not resolved")
 
-// Store is the part of the key-value store that the election needs.
+// Store is the part of the key-value store that the election needs. kvstore.Client implements it and
+// documents the methods.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.Entry, error)
 	CompareAndSwap(ctx context.Context, guards []wire.Guard, ops []wire.Op) (uint64, error)
--- a/election/lease.go
+++ b/election/lease.go
@@ -1,3 +1,5 @@
+// The Lease type, which tells a leader whether it may still act.
+
 package election
 
 import (
--- a/election/renewal.go
+++ b/election/renewal.go
@@ -1,3 +1,5 @@
+// Renewal of the leader's lease while Config.Lead runs.
+
 package election
 
 import (
--- a/jobstore/accept.go
+++ b/jobstore/accept.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	// openPageThreshold is the number of transactions in flight, for jobs of a bucket with keys of their
-	// own, at which a controller opens the bucket's head page. Jobs on the page share transactions. One
-	// write for each job would exceed the key-value store's write rate.
+	// openPageThreshold is how many single-job transactions of a bucket are in flight when a controller
+	// opens the bucket's head page. Jobs on the page share transactions. One write for each job would
+	// exceed the key-value store's write rate.
 	openPageThreshold = 4
 	// maxAcceptAttempts bounds the attempts of a submission that fails because of concurrent changes.
 	maxAcceptAttempts = 6
--- a/jobstore/batch.go
+++ b/jobstore/batch.go
@@ -1,5 +1,5 @@
-// Concurrent submissions share transactions, which add them to the job pages of their bucket. The
-// bucket's writer calls commitBatch (see writer.go).
+// Batches of submissions. Concurrent submissions to a bucket share a transaction, which adds their jobs
+// to the bucket's head page. The bucket's writer calls commitBatch (see writer.go).
 
 package jobstore
 
@@ -23,6 +23,9 @@
 	// maxUncontendedBatch is the largest batch that does not count as concurrent submissions.
 	maxUncontendedBatch = 2
 	batchTimeout        = 3 * time.Second
+	// oldestFirstShare reserves 1/oldestFirstShare of a batch, rounded up, for the submissions that have
+	// waited longest.
+	oldestFirstShare = 4
 )
 
 // ShouldRouteToOwner reports whether all submissions of a bucket should currently be sent to one
@@ -98,14 +101,16 @@
 	return subs
 }
 
-// byTier orders submissions for a transaction of up to maxJobs of them. A quarter of the places goes to
-// those that have waited longest, so that no tier starves. The others go by lowest tier number.
+// byTier orders submissions for a transaction of up to maxJobs of them. Those that have waited longest
+// get their share of the places (see oldestFirstShare), so that no tier starves. The others follow with
+// the lowest tier number first.
 func byTier(waiting []*submission, maxJobs int) []*submission {
 	if len(waiting) <= maxJobs {
 		return waiting
 	}
 	out := slices.Clone(waiting)
-	slices.SortStableFunc(out[(maxJobs+3)/4:], func(a, b *submission) int { return a.tier - b.tier })
+	reserved := (maxJobs + oldestFirstShare - 1) / oldestFirstShare
+	slices.SortStableFunc(out[reserved:], func(a, b *submission) int { return a.tier - b.tier })
 	return out
 }
 
--- a/jobstore/errors.go
+++ b/jobstore/errors.go
@@ -18,8 +18,8 @@
 // UnreadableError names the record that can't be decoded. It wraps ErrUnreadable.
 type UnreadableError struct {
 	Op  string // the operation that failed: "accept", "look up" or "cancel"
-	Job string
-	Key string
+	Job string // the job's id
+	Key string // the key of the record that can't be decoded
 }
 
 func (e *UnreadableError) Error() string {
@@ -46,7 +46,7 @@
 	return fmt.Errorf("%w: %w", kvstore.ErrOutcomeUnknown, ctx.Err())
 }
 
-// errTooManyConflicts is returned if concurrent changes of the same records made every try fail.
+// errTooManyConflicts is returned if every attempt conflicted with concurrent changes of the same records.
 var errTooManyConflicts = fmt.Errorf("%w: too many conflicts", kvstore.ErrRefused)
 
 // errJobMoved means that a job is no longer on the page from which it was to be removed. The job must be
--- a/jobstore/planapply.go
+++ b/jobstore/planapply.go
@@ -40,7 +40,8 @@
 
 // ApplyPlan commits a text as the next version of the plan, which is then in force, and returns that
 // version. Of two concurrent changes with the same base, one is applied and the other fails with a
-// PlanConflictError. After an error of package kvstore the change may have been applied. Read the plan's
+// PlanConflictError. It returns ErrPlanUnsupported or ErrNewerSchema if the stored schema does not permit
+// the change. After an error of package kvstore the change may have been applied. Read the plan's
 // versions to find out.
 func ApplyPlan(ctx context.Context, kv Client, limits Limits, c PlanChange) (PlanVersion, error) {
 	schemaVersion, err := ensurePlanSchema(ctx, kv)
--- a/jobstore/reservation.go
+++ b/jobstore/reservation.go
@@ -73,7 +73,8 @@
 
 // OwnedJobs returns an application's record and its unfinished reserved jobs in the order of their ids,
 // all as of one revision that is current at some moment after the call. owner is the key of the
-// application's record.
+// application's record. The AppRecord is zero if there is no such record. OwnedJobs fails if
+// TrackReservations has not been called.
 func (s *Store) OwnedJobs(ctx context.Context, owner string) (AppRecord, []ReservedJob, error) {
 	if s.apps == nil {
 		return AppRecord{}, nil, errReservationsNotTracked
@@ -125,6 +126,7 @@
 }
 
 // ListApps returns all applications' records in the order of their keys, as of some moment after the call.
+// It fails if TrackReservations has not been called.
 func (s *Store) ListApps(ctx context.Context) ([]AppRecord, error) {
 	if s.apps == nil {
 		return nil, errReservationsNotTracked
--- a/kvstore/retry.go
+++ b/kvstore/retry.go
@@ -1,5 +1,5 @@
-// Helpers for writers that retry refused transactions. A refused transaction is known not to have been
-// executed, so a retry is safe (ErrRefused). A retry of the unchanged transaction may never succeed. While
+// Helpers for writers that retry refused transactions. A retry is safe, because a refused transaction
+// was not executed (see ErrRefused). A retry of the unchanged transaction may never succeed, though. While
 // the store's write rate is used up, other writers' transactions of single changes take the capacity as
 // soon as it is available, and there is never enough at once for many changes.
 
