--- a/admission/connlimiter.go
+++ b/admission/connlimiter.go
@@ -1,3 +1,5 @@
+// The limit on a listener's open connections.
+
 package admission
 
 import (
--- a/admission/pollschedule.go
+++ b/admission/pollschedule.go
@@ -1,3 +1,5 @@
+// The order in which users' polls for jobs are answered under overload.
+
 package admission
 
 import (
--- a/admission/prioritylimiter.go
+++ b/admission/prioritylimiter.go
@@ -1,3 +1,5 @@
+// The limit on concurrent requests with a priority queue.
+
 package admission
 
 import (
--- a/admission/replytimes.go
+++ b/admission/replytimes.go
@@ -1,3 +1,5 @@
+// The times at which workers were last answered.
+
 package admission
 
 import (
--- a/admission/tierlimiter.go
+++ b/admission/tierlimiter.go
@@ -1,3 +1,5 @@
+// The limit on concurrent requests by priority tier.
+
 package admission
 
 import (
--- a/jobstore/plan.go
+++ b/jobstore/plan.go
@@ -239,7 +239,7 @@
 	PlanVersion        // the zero value if there is no plan
 	HeadVersion uint64 // version of PlanHeadKey, the guard of decisions based on the plan
 	Text        string
-	Warnings    []error // one for each unreadable head or newer version
+	Warnings    []error // one for an unreadable head, and one for each newer version that can't be used
 }
 
 // LoadPlan reads the newest version that is intact and that validate accepts. It returns an error that
--- a/kvstore/transaction.go
+++ b/kvstore/transaction.go
@@ -33,7 +33,7 @@
 	Key          string // the first key that it changes
 	Changes      int
 	LimiterWait  time.Duration // how long the limit on changes delayed it
-	ResponseTime time.Duration // from then to the store's response, including the limit on requests; 0 if not sent
+	ResponseTime time.Duration // from the end of LimiterWait to the response, including the wait for the limit on requests; 0 if not sent
 	Result       Result
 	WriteRate    float64 // changes per second that this client may make afterwards
 }
--- a/liveness/failure.go
+++ b/liveness/failure.go
@@ -1,3 +1,5 @@
+// Detection of a leader that does not answer probes.
+
 package liveness
 
 import (
--- a/liveness/stall.go
+++ b/liveness/stall.go
@@ -1,3 +1,5 @@
+// Detection of pauses of this process.
+
 package liveness
 
 import (
--- a/placement/failed_search.go
+++ b/placement/failed_search.go
@@ -9,9 +9,10 @@
 const maxFailedSearches = 64
 
 // failedSearch is a search that found no room. A later search for at least as much fails too,
-// because available room only shrinks while a plan is made. The exceptions are preemptions, after
-// which the failures of kind freeSoon are forgotten, and new machines, after which those of kind
-// onBooting are. The cache saves time because most of hundreds of waiting jobs are alike.
+// because available room only shrinks while a plan is made. There are two exceptions. A preemption
+// may add room of kind freeSoon, and a new machine adds room of kind onBooting. The planner then
+// forgets the failures of that kind. The cache saves time because most of hundreds of waiting jobs
+// are alike.
 type failedSearch struct {
 	request *Request
 	zone    int // -1: any
--- a/placement/input.go
+++ b/placement/input.go
@@ -47,7 +47,7 @@
 	Free                Resources // negative where resources in use are held for a request
 	Releasing           Resources // resources of tasks that are being stopped; not part of Free
 	Capacity            Resources
-	Price               float64
+	Price               float64    // per hour, in the catalog's currency unit
 	FetchRate           float64    // image download rate in GB per second; 0: download times are not scored
 	FetchBacklogSeconds float64    // until the image fetches in progress are done
 	Images              []ImageAt  // images that it has or is fetching
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,10 +1,10 @@
 // Package placement plans one scheduling pass: on which machines waiting tasks start,
 // which tasks are preempted to make room, and which machines are rented.
 //
-// Requests are served in the order of the queue. For each request, the planner filters the
-// machines (the request may use the machine, and a task fits) and scores the others by the
-// delay of the start and the cost to other work. The machine with the lowest score gets the
-// task. "Room" is free resources on a machine. For tasks that find no room, the planner tries
+// Requests are served in the order of the queue. For each request, the planner considers only
+// the machines that the request may use and on which a task fits. It scores these by the delay
+// of the start and the cost to other work. The machine with the lowest score gets the task.
+// "Room" is free resources on a machine. For tasks that find no room, the planner tries
 // these steps in order:
 //
 //  1. reserve room that is about to become free,
--- a/priority/inversion.go
+++ b/priority/inversion.go
@@ -1,3 +1,5 @@
+// Detection of priority inversions in the result of a scheduling pass, and their reasons.
+
 package priority
 
 import "github.com/umberdeal/umberdeal/placement"
--- a/priority/inversion_log.go
+++ b/priority/inversion_log.go
@@ -1,3 +1,5 @@
+// The stored log of priority inversions.
+
 package priority
 
 import (
--- a/priority/policy.go
+++ b/priority/policy.go
@@ -166,7 +166,7 @@
 }
 
 // MaxWaitSeconds returns after how many seconds a job of the tier is promoted ahead of higher
-// tiers; 0 means never.
+// tiers. 0 means never. The policy must not be nil and must have the tier.
 func (p *Policy) MaxWaitSeconds(tier int) float64 { return p.tiers[tier].LongestWaitS }
 
 // waitExceeded reports whether a job has waited its tier's maximum wait and has no task placed.
--- a/priority/settings.go
+++ b/priority/settings.go
@@ -1,3 +1,5 @@
+// The settings of the tiers in the operators' plan, and their validation.
+
 package priority
 
 import (
--- a/rebalance/rebalance.go
+++ b/rebalance/rebalance.go
@@ -43,7 +43,7 @@
 	Unplaced []UnplacedTask // waiting tasks that fit nowhere
 }
 
-// UnplacedTask is what a waiting task requires that fits on no host.
+// UnplacedTask holds the requirements of a waiting task that fits on no host.
 type UnplacedTask struct {
 	Need placement.Resources
 	Spot bool // may run on spot instances
@@ -52,7 +52,7 @@
 // mayUse reports whether the task would fit on the host if the host were empty.
 func (t UnplacedTask) mayUse(h *Host) bool { return t.Need.Fits(h.Capacity) && (t.Spot || !h.Spot) }
 
-// Move moves a task from one host to another; From and To are indices in Group.Hosts.
+// Move moves a task from one host to another. From and To are indices in Group.Hosts.
 type Move struct {
 	Task     placement.Task
 	From, To int
--- a/routing/plan.go
+++ b/routing/plan.go
@@ -21,9 +21,10 @@
 )
 
 const (
-	// leaderConnDivisor limits the connections of workers at a leader to one in so many of
-	// its sockets while relays can serve the other workers. The remaining sockets are for the
-	// leader's own calls, for users, and for workers that return when relays fail.
+	// leaderConnDivisor limits the connections of workers at a leader to its number of sockets
+	// divided by leaderConnDivisor, while relays can serve the other workers. The remaining
+	// sockets are for the leader's own calls, for users, and for workers that return when
+	// relays fail.
 	leaderConnDivisor = 4
 	// minLeaderWorkers is the number of workers that a leader serves itself in any case, as
 	// far as MaxWorkerConns allows. For a small fleet, forwarding would only add a hop.
--- a/routing/route.go
+++ b/routing/route.go
@@ -1,3 +1,5 @@
+// Decisions about a single heartbeat, at a follower and at the leader.
+
 package routing
 
 import "time"
@@ -6,8 +8,8 @@
 	// returnWindow is the time after a redirection within which the return of a worker
 	// indicates that it can't reach the node it was redirected to.
 	returnWindow = 20 * time.Second
-	// connSlackDivisor determines how many connections more than Plan.Direct a leader
-	// tolerates before it redirects workers: Plan.Direct divided by it.
+	// connSlackDivisor sets how many connections above Plan.Direct a leader tolerates before
+	// it redirects workers. The tolerance is Plan.Direct divided by connSlackDivisor.
 	connSlackDivisor = 16
 )
 
--- a/warmpool/accounting.go
+++ b/warmpool/accounting.go
@@ -138,7 +138,7 @@
 
 // SetShares sets the teams' shares of a machine and its hourly rate from nowMs on. If they differ
 // from the current ones, the open billing spans are settled first. It reports whether anything
-// changed.
+// changed. m must be a member of the shard.
 func (s *Shard) SetShares(m *Member, shares []TeamShare, hourlyRate int64, nowMs int64, payer string) bool {
 	if m.HourlyRate == hourlyRate && slices.Equal(m.Shares, shares) {
 		return false
--- a/warmpool/check.go
+++ b/warmpool/check.go
@@ -8,6 +8,9 @@
 	"slices"
 )
 
+// maxBurstSeconds is the largest value of Burst.WithinS.
+const maxBurstSeconds = 3600
+
 // Check returns an error for each invalid field and each contradiction between fields, with the
 // path of the field. The result is nil if all pools are valid. zones and teams are the names known
 // in the deployment. If one of them is empty, names of its kind are not checked.
@@ -94,7 +97,7 @@
 	if p.Burst.Replicas < 1 {
 		c.fail("burst.replicas", "must be above 0")
 	}
-	if !positive(p.Burst.WithinS) || p.Burst.WithinS > 3600 {
+	if !positive(p.Burst.WithinS) || p.Burst.WithinS > maxBurstSeconds {
 		c.fail("burst.within_s", "must be above 0 and at most 3600")
 	}
 	if math.IsNaN(p.WarmShare) || p.WarmShare < 0 || p.WarmShare >= 1 {
--- a/warmpool/pool.go
+++ b/warmpool/pool.go
@@ -49,6 +49,10 @@
 	maxNameLength    = 40
 	maxImageLength   = 200
 	defaultWarmShare = 0.9
+
+	// Without Pool.ConcurrentFetches, 1/defaultFetchDivisor of the machines fetch at the same time.
+	defaultFetchDivisor  = 8
+	minConcurrentFetches = 2 // of a pool without Pool.ConcurrentFetches
 )
 
 // repository returns an image's name without its tag.
@@ -73,13 +77,13 @@
 	if p.ConcurrentFetches > 0 {
 		return p.ConcurrentFetches
 	}
-	return max(2, (p.MaxMachines+7)/8)
+	return max(minConcurrentFetches, (p.MaxMachines+defaultFetchDivisor-1)/defaultFetchDivisor)
 }
 
 // LeadTime returns how long before the demand a pool must start to grow to the given number of
-// machines. It allows for a slow boot (twice the usual time) and for the rounds of concurrent
-// fetches. fetchGBPS is the fetch rate of one machine in GB per second. If it is 0, fetches count as
-// immediate. The result is at most maxLeadTime.
+// machines. It allows for a slow boot (twice the usual time), for the rounds of concurrent fetches,
+// and one more minute. boot is the usual boot time. fetchGBPS is the fetch rate of one machine in GB
+// per second. If it is 0, fetches count as immediate. The result is at most maxLeadTime.
 func (p *Pool) LeadTime(machines int, boot time.Duration, fetchGBPS float64) time.Duration {
 	rounds := (machines + p.MaxConcurrentFetches() - 1) / p.MaxConcurrentFetches()
 	fetchSeconds := 0.0
@@ -128,5 +132,6 @@
 	if hourlyPrice <= 0 {
 		return p.MaxMachines
 	}
-	return int(math.Floor(p.MaxHourlyCost/hourlyPrice + 1e-9))
+	const tolerance = 1e-9 // rounding error of the division
+	return int(math.Floor(p.MaxHourlyCost/hourlyPrice + tolerance))
 }
--- a/warmpool/scaling.go
+++ b/warmpool/scaling.go
@@ -40,6 +40,15 @@
 	return n
 }
 
+const (
+	// zoneWeight is the weight of each machine held in a zone. It exceeds readyScore and servingScore,
+	// so that the balance of the zones decides first.
+	zoneWeight = 10
+	// warmWeight multiplies warmScore for machines that join. Having the weights then counts more
+	// than the balance of the zones, up to a difference of 200 machines.
+	warmWeight = 1000
+)
+
 // ScalingPlan holds the next scaling actions of a pool. Lists hold names of machines.
 type ScalingPlan struct {
 	Join     []string       // free machines to add to the pool
@@ -93,7 +102,7 @@
 func (s *scaling) release(target int) {
 	for s.held > target {
 		i := s.pool.cheapest(s.own, func(o *Observation) bool { return o.available() && !o.Busy },
-			func(o *Observation) int { return -10*s.heldByZone[o.Zone] + o.readyScore() })
+			func(o *Observation) int { return -zoneWeight*s.heldByZone[o.Zone] + o.readyScore() })
 		if i < 0 {
 			return
 		}
@@ -107,7 +116,7 @@
 func (s *scaling) evict(affordable int) {
 	for s.held > affordable {
 		i := s.pool.cheapest(s.own, (*Observation).available,
-			func(o *Observation) int { return -10*s.heldByZone[o.Zone] + o.servingScore() })
+			func(o *Observation) int { return -zoneWeight*s.heldByZone[o.Zone] + o.servingScore() })
 		if i < 0 {
 			return
 		}
@@ -120,7 +129,7 @@
 func (s *scaling) retain(target int) {
 	for s.held < target {
 		i := s.pool.cheapest(s.own, func(o *Observation) bool { return o.Leaving && o.Ready },
-			func(o *Observation) int { return 10*s.heldByZone[o.Zone] - o.readyScore() })
+			func(o *Observation) int { return zoneWeight*s.heldByZone[o.Zone] - o.readyScore() })
 		if i < 0 {
 			return
 		}
@@ -137,7 +146,7 @@
 func (s *scaling) join(target int) {
 	for s.held < target {
 		i := s.pool.cheapest(s.free, func(o *Observation) bool { return o.Ready && !o.Leaving && (!o.Busy || o.Serving && o.Warm) },
-			func(o *Observation) int { return 10*s.heldByZone[o.Zone] - 1000*o.warmScore() })
+			func(o *Observation) int { return zoneWeight*s.heldByZone[o.Zone] - warmWeight*o.warmScore() })
 		if i < 0 {
 			return
 		}
