--- a/admission/tierlimiter.go
+++ b/admission/tierlimiter.go
@@ -38,8 +38,8 @@
 
 // TryAcquire takes a slot for a request of the given tier, and reports whether one was
 // available. It does not wait. Tiers are numbered from 0, the most important, to tiers-1.
-// A tier outside that range counts as the nearest one in it. If TryAcquire returns true, the
-// caller must call Release with the same arguments.
+// A tier outside that range counts as the nearest one in it. tiers must be at least 1. If
+// TryAcquire returns true, the caller must call Release with the same arguments.
 func (l *TierLimiter) TryAcquire(tier, tiers int) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/jobstore/records.go
+++ b/jobstore/records.go
@@ -63,10 +63,10 @@
 	Spot        bool     `msgpack:"spot"`
 	Count       int      `msgpack:"n"`
 	AtMs        int64    `msgpack:"at"` // Unix milliseconds
-	Machines    []string `msgpack:"m,omitempty"`
+	Machines    []string `msgpack:"m,omitempty"` // names of the rented machines; empty until the cloud has returned them
 }
 
-// ScaleInRecord lists machines to delete. It is committed before the deletion starts, so that a later
+// ScaleInRecord lists the names of machines to delete. It is committed before the deletion starts, so that a later
 // leader places nothing on them and completes the deletion.
 type ScaleInRecord struct {
 	Machines []string `msgpack:"m"`
--- a/jobstore/reservation.go
+++ b/jobstore/reservation.go
@@ -142,7 +142,7 @@
 // Reserve commits a reserved job, and replaces its owner's record by value in the same transaction. It
 // returns the transaction's revision. It fails with a kvstore.ConflictError if the owner's record no
 // longer has the given version. If the job's id was accepted before, duplicate is true and nothing is
-// committed.
+// committed. After an error that wraps kvstore.ErrOutcomeUnknown the job may have been committed.
 func (s *Store) Reserve(ctx context.Context, job wire.Job, atMs int64, r Reservation, owner AppRecord, value any) (rev uint64, duplicate bool, err error) {
 	guards := []wire.Guard{{Key: JobKey(job.ID)}, {Key: FinalKey(job.ID)}, {Key: owner.Key, Version: owner.Version}}
 	ops := []wire.Op{
@@ -160,7 +160,8 @@
 // UpdateReservation applies change to a job's Reservation, and commits it together with more ops in one
 // transaction. It then updates job to match. It fails with a kvstore.ConflictError if the stored job has
 // changed since it was read, and with kvstore.ErrInvalidRequest if the job was already over when it was
-// read.
+// read. After an error that wraps kvstore.ErrOutcomeUnknown the change may have been committed, although
+// job is unchanged.
 func (s *Store) UpdateReservation(ctx context.Context, job *ReservedJob, change func(*Reservation), more ...wire.Op) error {
 	if job.Version == 0 || job.Record.Reservation == nil {
 		return fmt.Errorf("%w: job %s is over", kvstore.ErrInvalidRequest, job.ID)
