--- a/jobstore/queuedwrite.go
+++ b/jobstore/queuedwrite.go
@@ -48,19 +48,19 @@
 
 // queueTicket records the progress of a write in its bucket's queue. The Store's lock guards it.
 type queueTicket struct {
-	queuedAt     time.Time
-	transactions int
-	shared       int
-	inFlight     bool // removed from the queue, so its transaction may be executed at any moment
-	uncertain    bool // an earlier transaction with this write has an unknown outcome
-	abandoned    bool // its requester no longer waits
+	queuedAt              time.Time
+	transactions          int
+	lastTransactionWrites int  // how many writes were in the last transaction
+	inFlight              bool // removed from the queue, so its transaction may be executed at any moment
+	uncertain             bool // an earlier transaction with this write has an unknown outcome
+	abandoned             bool // its requester no longer waits
 }
 
 // recordTransaction records that the write is part of another transaction, which has the given number of
 // writes.
 func (t *queueTicket) recordTransaction(writes int) {
 	t.transactions++
-	t.shared = writes
+	t.lastTransactionWrites = writes
 }
 
 // requeue records that the write's transaction was refused. It reports whether to queue the write again.
@@ -101,7 +101,7 @@
 func (s *Store) observeQueuedWrite(kind WriteKind, id string, ticket queueTicket, result WriteResult) {
 	if s.config.ObserveQueuedWrite != nil {
 		s.config.ObserveQueuedWrite(QueuedWrite{Kind: kind, ID: id, Result: result, TimeInQueue: time.Since(ticket.queuedAt),
-			Transactions: ticket.transactions, LastTransactionWrites: ticket.shared})
+			Transactions: ticket.transactions, LastTransactionWrites: ticket.lastTransactionWrites})
 	}
 }
 
--- a/routing/route.go
+++ b/routing/route.go
@@ -56,11 +56,11 @@
 		// would add load to the new leader when it has the most to do.
 		return forward
 	}
-	home := in.Plan.NodeFor(in.Worker)
-	if home == in.Self || home == in.Leader && in.History.ServedHere && in.Plan.UsesRelays() {
+	assigned := in.Plan.NodeFor(in.Worker)
+	if assigned == in.Self || assigned == in.Leader && in.History.ServedHere && in.Plan.UsesRelays() {
 		return forward
 	}
-	if home != in.Leader && (!in.ConnsFull || in.History.BouncedFrom(home)) {
+	if assigned != in.Leader && (!in.ConnsFull || in.History.BouncedFrom(assigned)) {
 		return forward
 	}
 	// A worker that is new here is answered first and redirected only later, with a
@@ -70,7 +70,7 @@
 	if !in.History.ServedHere && !in.ConnsFull {
 		return forward
 	}
-	return Route{RedirectTo: home}
+	return Route{RedirectTo: assigned}
 }
 
 // LeaderInput is the input of RedirectFromLeader.
@@ -89,9 +89,9 @@
 	if !in.Plan.UsesRelays() || !in.LeaseFresh || in.OpenConns <= in.Plan.Direct+in.Plan.Direct/connSlackDivisor {
 		return ""
 	}
-	home := in.Plan.NodeFor(in.Worker)
-	if home == in.Plan.Leader || in.History.BouncedFrom(home) {
+	assigned := in.Plan.NodeFor(in.Worker)
+	if assigned == in.Plan.Leader || in.History.BouncedFrom(assigned) {
 		return ""
 	}
-	return home
+	return assigned
 }
