--- a/calendar/holidays.go
+++ b/calendar/holidays.go
@@ -1,3 +1,5 @@
+// The public holidays of the supported countries.
+
 package calendar
 
 import (
--- a/calendar/places.go
+++ b/calendar/places.go
@@ -1,3 +1,5 @@
+// Simulation of the use of places by tasks.
+
 package calendar
 
 import (
--- a/calendar/schedule.go
+++ b/calendar/schedule.go
@@ -1,3 +1,5 @@
+// The state of a region's batch windows until their outcome is decided.
+
 package calendar
 
 import (
--- a/jobstore/records.go
+++ b/jobstore/records.go
@@ -62,7 +62,7 @@
 	Zone        string   `msgpack:"zone"`
 	Spot        bool     `msgpack:"spot"`
 	Count       int      `msgpack:"n"`
-	AtMs        int64    `msgpack:"at"` // Unix milliseconds
+	AtMs        int64    `msgpack:"at"`          // Unix milliseconds
 	Machines    []string `msgpack:"m,omitempty"` // names of the rented machines; empty until the cloud has returned them
 }
 
