--- a/jobstore/jobpage.go
+++ b/jobstore/jobpage.go
@@ -14,7 +14,7 @@
 // that adds jobs to it has a guard on its version. Entries for which the head page has no room are moved
 // to a sealed page of the bucket, to which no jobs are added. While submissions are few, the head page is
 // closed: it is empty and unused, and each job gets a key of its own. A transaction that writes such a
-// key also has a guard on the head page's version.
+// key also has a guard on the head page's version. Reserved jobs are never on a job page (see Store.Reserve).
 type JobPage struct {
 	LastSealed uint64 `msgpack:"s"` // head pages only: the highest number of a sealed page
 	// Closed marks an empty head page to which no jobs are added. Jobs get keys of their own instead. A
--- a/jobstore/reservation.go
+++ b/jobstore/reservation.go
@@ -143,6 +143,9 @@
 // returns the transaction's revision. It fails with a kvstore.ConflictError if the owner's record no
 // longer has the given version. If the job's id was accepted before, duplicate is true and nothing is
 // committed. After an error that wraps kvstore.ErrOutcomeUnknown the job may have been committed.
+//
+// The job gets a key of its own. The job's id must not be one that users may submit (wire.ValidUserID).
+// Such a job is never on a job page, so the transaction needs no guards on the head page or the schema.
 func (s *Store) Reserve(ctx context.Context, job wire.Job, atMs int64, r Reservation, owner AppRecord, value any) (rev uint64, duplicate bool, err error) {
 	guards := []wire.Guard{{Key: JobKey(job.ID)}, {Key: FinalKey(job.ID)}, {Key: owner.Key, Version: owner.Version}}
 	ops := []wire.Op{
