--- a/jobstore/reservation.go
+++ b/jobstore/reservation.go
@@ -73,7 +73,8 @@
 
 // OwnedJobs returns an application's record and its unfinished reserved jobs in the order of their ids,
 // all as of one revision that is current at some moment after the call. owner is the key of the
-// application's record.
+// application's record. The AppRecord is zero if there is no such record. OwnedJobs fails if
+// TrackReservations has not been called.
 func (s *Store) OwnedJobs(ctx context.Context, owner string) (AppRecord, []ReservedJob, error) {
 	if s.apps == nil {
 		return AppRecord{}, nil, errReservationsNotTracked
@@ -125,6 +126,7 @@
 }
 
 // ListApps returns all applications' records in the order of their keys, as of some moment after the call.
+// It fails if TrackReservations has not been called.
 func (s *Store) ListApps(ctx context.Context) ([]AppRecord, error) {
 	if s.apps == nil {
 		return nil, errReservationsNotTracked
@@ -140,7 +142,10 @@
 // Reserve commits a reserved job, and replaces its owner's record by value in the same transaction. It
 // returns the transaction's revision. It fails with a kvstore.ConflictError if the owner's record no
 // longer has the given version. If the job's id was accepted before, duplicate is true and nothing is
-// committed.
+// committed. After an error that wraps kvstore.ErrOutcomeUnknown the job may have been committed.
+//
+// The job gets a key of its own. The job's id must not be one that users may submit (wire.ValidUserID).
+// Such a job is never on a job page, so the transaction needs no guards on the head page or the schema.
 func (s *Store) Reserve(ctx context.Context, job wire.Job, atMs int64, r Reservation, owner AppRecord, value any) (rev uint64, duplicate bool, err error) {
 	guards := []wire.Guard{{Key: JobKey(job.ID)}, {Key: FinalKey(job.ID)}, {Key: owner.Key, Version: owner.Version}}
 	ops := []wire.Op{
@@ -158,7 +163,8 @@
 // UpdateReservation applies change to a job's Reservation, and commits it together with more ops in one
 // transaction. It then updates job to match. It fails with a kvstore.ConflictError if the stored job has
 // changed since it was read, and with kvstore.ErrInvalidRequest if the job was already over when it was
-// read.
+// read. After an error that wraps kvstore.ErrOutcomeUnknown the change may have been committed, although
+// job is unchanged.
 func (s *Store) UpdateReservation(ctx context.Context, job *ReservedJob, change func(*Reservation), more ...wire.Op) error {
 	if job.Version == 0 || job.Record.Reservation == nil {
 		return fmt.Errorf("%w: job %s is over", kvstore.ErrInvalidRequest, job.ID)
--- a/routing/route.go
+++ b/routing/route.go
@@ -1,3 +1,5 @@
+// Decisions about a single heartbeat, at a follower and at the leader.
+
 package routing
 
 import "time"
@@ -6,8 +8,8 @@
 	// returnWindow is the time after a redirection within which the return of a worker
 	// indicates that it can't reach the node it was redirected to.
 	returnWindow = 20 * time.Second
-	// connSlackDivisor determines how many connections more than Plan.Direct a leader
-	// tolerates before it redirects workers: Plan.Direct divided by it.
+	// connSlackDivisor sets how many connections above Plan.Direct a leader tolerates before
+	// it redirects workers. The tolerance is Plan.Direct divided by connSlackDivisor.
 	connSlackDivisor = 16
 )
 
@@ -54,11 +56,11 @@
 		// would add load to the new leader when it has the most to do.
 		return forward
 	}
-	home := in.Plan.NodeFor(in.Worker)
-	if home == in.Self || home == in.Leader && in.History.ServedHere && in.Plan.UsesRelays() {
+	assigned := in.Plan.NodeFor(in.Worker)
+	if assigned == in.Self || assigned == in.Leader && in.History.ServedHere && in.Plan.UsesRelays() {
 		return forward
 	}
-	if home != in.Leader && (!in.ConnsFull || in.History.BouncedFrom(home)) {
+	if assigned != in.Leader && (!in.ConnsFull || in.History.BouncedFrom(assigned)) {
 		return forward
 	}
 	// A worker that is new here is answered first and redirected only later, with a
@@ -68,7 +70,7 @@
 	if !in.History.ServedHere && !in.ConnsFull {
 		return forward
 	}
-	return Route{RedirectTo: home}
+	return Route{RedirectTo: assigned}
 }
 
 // LeaderInput is the input of RedirectFromLeader.
@@ -87,9 +89,9 @@
 	if !in.Plan.UsesRelays() || !in.LeaseFresh || in.OpenConns <= in.Plan.Direct+in.Plan.Direct/connSlackDivisor {
 		return ""
 	}
-	home := in.Plan.NodeFor(in.Worker)
-	if home == in.Plan.Leader || in.History.BouncedFrom(home) {
+	assigned := in.Plan.NodeFor(in.Worker)
+	if assigned == in.Plan.Leader || in.History.BouncedFrom(assigned) {
 		return ""
 	}
-	return home
+	return assigned
 }
