--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -184,10 +184,11 @@
 	}
 }
 
-// isCurrent reports whether the model has the same version of the job's record as the store.
-func (j *Job) isCurrent(ref DigestBase) bool {
+// isCurrent reports whether the model has the same version of the job's record as base, which is read from
+// the store.
+func (j *Job) isCurrent(base DigestBase) bool {
 	if j.admissionPage != nil {
-		return j.admissionPage.version == ref.Version(j.admissionPage.key)
+		return j.admissionPage.version == base.Version(j.admissionPage.key)
 	}
-	return j.version == ref.Version(jobstore.JobKey(j.ID))
+	return j.version == base.Version(jobstore.JobKey(j.ID))
 }
--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -17,6 +17,10 @@
 	bootRatioDecay = 0.9 // factor applied to the slowest ratio with each boot
 	lateBootMargin = 1.3 // a machine is late after this multiple of the estimate
 	lostBootMargin = 1.4 // a machine is deleted after this multiple of the estimate
+
+	minLostBootRatio       = 2.5              // lower bound of the ratio after which a machine is deleted
+	lostBootExtraTime      = 15 * time.Second // added to the time after which a machine is deleted
+	minBootTimeLeftSeconds = 3                // lower bound of the estimate for a booting machine
 )
 
 // observe records the boot ratio of a machine.
@@ -54,7 +58,7 @@
 // replacement are both paid for, and the replacement has to boot too.
 func (m *Model) lostBootLimit(mc *Machine) time.Duration {
 	t := &m.MachineTypes[mc.typeIndex]
-	return time.Duration(float64(t.BootTime)*max(2.5, t.bootTimes.expectedRatio()*lostBootMargin)) + 15*time.Second
+	return time.Duration(float64(t.BootTime)*max(minLostBootRatio, t.bootTimes.expectedRatio()*lostBootMargin)) + lostBootExtraTime
 }
 
 // estimateBootTimeLeft returns the seconds until a booting machine is expected to be up. It
@@ -65,7 +69,7 @@
 		return 0, false
 	}
 	age := now.Sub(mc.createdAt)
-	lag := config.Seconds(2*m.settings.Cluster.Cloud.ListLagS + 10)
+	lag := config.Seconds(cloudListLagFactor*m.settings.Cluster.Cloud.ListLagS + cloudListLagMarginSeconds)
 	if mc.cloudState == "" && age > lag || mc.cloudState == wire.MachineFailed || age > m.lostBootLimit(mc) {
 		return 0, false
 	}
@@ -73,7 +77,7 @@
 		m.logLateBoot(mc, age)
 		return 0, false
 	}
-	return max(3, (m.MachineTypes[mc.typeIndex].BootTime - age).Seconds()), true
+	return max(minBootTimeLeftSeconds, (m.MachineTypes[mc.typeIndex].BootTime - age).Seconds()), true
 }
 
 // logLateBoot logs that a machine is late, unless that was logged before. It does not log
--- a/cluster/cloudlist.go
+++ b/cluster/cloudlist.go
@@ -7,6 +7,13 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+// The lag after which the cloud's list is expected to show a change is cloudListLagFactor times the
+// configured lag plus cloudListLagMarginSeconds.
+const (
+	cloudListLagFactor        = 2
+	cloudListLagMarginSeconds = 10
+)
+
 // ApplyCloudList applies the cloud's list of machines. It adds machines that have not sent a
 // heartbeat yet. The list lags and may be older than the previous one, so that it proves
 // nothing about tasks.
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -19,39 +19,39 @@
 
 // loadChunk loads the record of a chunk on a page. The chunk stays on the page as read if the
 // record of its job can't be read.
-func (m *Model) loadChunk(p *placementPage, c *jobstore.PlacementChunk, now time.Time) {
-	j := m.Job(c.Job)
-	if j == nil && m.quarantine.mayInclude(c.Job) {
-		m.writes.placementPages.preserve(p, c)
+func (m *Model) loadChunk(p *placementPage, record *jobstore.PlacementChunk, now time.Time) {
+	j := m.Job(record.Job)
+	if j == nil && m.quarantine.mayInclude(record.Job) {
+		m.writes.placementPages.preserve(p, record)
 		return
 	}
-	if j == nil || c.Chunk < 0 || c.Chunk >= len(j.Chunks) {
+	if j == nil || record.Chunk < 0 || record.Chunk >= len(j.Chunks) {
 		p.generation++ // its job is over, so that the page is to be written without it
 		return
 	}
-	ch := &j.Chunks[c.Chunk]
-	m.writes.placementPages.put(p, j, c.Chunk)
-	ch.commit(ch.generation)
-	j.observeAttempt(c.MaxAttempt)
-	for i := 0; i+1 < len(c.DoneRanges); i += 2 {
-		for t := max(c.DoneRanges[i], 0); t <= c.DoneRanges[i+1] && t < len(j.Tasks); t++ {
+	chunk := &j.Chunks[record.Chunk]
+	m.writes.placementPages.put(p, j, record.Chunk)
+	chunk.commit(chunk.generation)
+	j.observeAttempt(record.MaxAttempt)
+	for i := 0; i+1 < len(record.DoneRanges); i += 2 {
+		for t := max(record.DoneRanges[i], 0); t <= record.DoneRanges[i+1] && t < len(j.Tasks); t++ {
 			if j.Tasks[t].Phase != TaskDone {
 				j.completeTask(int32(t))
 			}
 		}
 	}
-	j.loadEndedTasks(c.Outcomes)
-	for _, p := range c.Placements {
-		if p.Task < 0 || p.Task >= len(j.Tasks) || j.Tasks[p.Task].Phase != TaskIdle {
+	j.loadEndedTasks(record.Outcomes)
+	for _, placed := range record.Placements {
+		if placed.Task < 0 || placed.Task >= len(j.Tasks) || j.Tasks[placed.Task].Phase != TaskIdle {
 			continue
 		}
-		mc := m.findOrAddMachine(p.Machine, now)
-		j.observeAttempt(p.Attempt)
-		m.placeTask(j, int32(p.Task), mc, p.Attempt, now)
+		mc := m.findOrAddMachine(placed.Machine, now)
+		j.observeAttempt(placed.Attempt)
+		m.placeTask(j, int32(placed.Task), mc, placed.Attempt, now)
 		// No leader launched a reserved task whose launch has not been requested. The job's
 		// record, which shows that, was read after this leader was elected.
-		if !j.awaitsLaunch(p.Task) {
-			j.Tasks[p.Task].Placement.markInherited()
+		if !j.awaitsLaunch(placed.Task) {
+			j.Tasks[placed.Task].Placement.markInherited()
 		}
 	}
 }
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -16,6 +16,8 @@
 	// minFaultBackoff and maxFaultBackoff bound the exponential backoff of a job at fault.
 	minFaultBackoff = 10 * time.Second
 	maxFaultBackoff = 2 * time.Minute
+	// failedMachineAvoidTime is how long a job avoids a machine on which one of its tasks failed.
+	failedMachineAvoidTime = 10 * time.Minute
 	// maxFaultProbes bounds the tasks of an array at fault that are placed at the same time.
 	maxFaultProbes = 1
 
@@ -29,7 +31,7 @@
 // error for both. The history outlives the job, because errors count against a machine only if
 // their jobs are not at fault.
 type failureHistory struct {
-	machines      map[int32]bool // indexes of machines on which a task ended with an error
+	machines      map[int32]bool // indices of machines on which a task ended with an error
 	provenHealthy bool           // a task completed or ran for healthyAfterSeconds
 	round         int            // number of backoffs so far
 }
@@ -50,7 +52,7 @@
 	taskBackoff := j.Tasks[task].countFailure()
 	m.recordTaskError(j, mc, now)
 	if !h.atFault() {
-		j.avoidMachine(mc.index, now.Add(10*time.Minute))
+		j.avoidMachine(mc.index, now.Add(failedMachineAvoidTime))
 		return taskBackoff
 	}
 	// The machines are not at fault. Those that have the image already are best for
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -132,13 +132,18 @@
 // markGone records that the machine's deletion is confirmed.
 func (mc *Machine) markGone() { mc.Gone, mc.alive = true, false }
 
+const (
+	slownessWeight  = 0.4 // weight of a new ratio in the moving average of slowness
+	maxRunTimeRatio = 5   // larger ratios count as this one
+)
+
 // recordRunTimeRatio adds the ratio of a task's run time to its estimate to the moving average
 // in slowness.
 func (mc *Machine) recordRunTimeRatio(ratio float64) {
 	if mc.slowness == 0 {
 		mc.slowness = 1
 	}
-	mc.slowness = 0.6*mc.slowness + 0.4*min(ratio, 5)
+	mc.slowness = (1-slownessWeight)*mc.slowness + slownessWeight*min(ratio, maxRunTimeRatio)
 }
 
 // DelayAnswer records that the answer to the machine's newest heartbeat waits for a
--- a/cluster/plan_records.go
+++ b/cluster/plan_records.go
@@ -15,7 +15,7 @@
 type Plan struct {
 	*plan.Plan // nil if there is none
 
-	Number      int
+	Number      int    // number of this version of the plan
 	HeadVersion uint64 // version of the plan's head key in the store; 0 if there is no plan
 	Unreadable  bool   // a plan exists, but no version of it can be read
 }
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -42,11 +42,11 @@
 
 // recordAnswer records that a heartbeat is answered. The next heartbeat shows whether the worker
 // received the answer.
-func (h *reachability) recordAnswer(seq uint64) { h.answerPending, h.answeredSeq = true, seq }
+func (r *reachability) recordAnswer(seq uint64) { r.answerPending, r.answeredSeq = true, seq }
 
 // forgetSent records that an answer has a command to forget an exit. The next heartbeat lists
 // that exit only if the worker did not receive the answer.
-func (h *reachability) forgetSent(exit exitKey) { h.pendingForgets = append(h.pendingForgets, exit) }
+func (r *reachability) forgetSent(exit exitKey) { r.pendingForgets = append(r.pendingForgets, exit) }
 
 // heartbeatID identifies a heartbeat of one machine.
 type heartbeatID struct{ epoch, seq uint64 }
@@ -93,29 +93,29 @@
 }
 
 // takeExpectedEffects returns the effects that the next heartbeat must show, and clears them.
-func (h *reachability) takeExpectedEffects() expectedEffects {
-	e := expectedEffects{answered: h.answerPending, forgets: h.pendingForgets, probe: h.pendingProbe}
-	h.answerPending, h.pendingForgets, h.pendingProbe = false, nil, exitKey{}
+func (r *reachability) takeExpectedEffects() expectedEffects {
+	e := expectedEffects{answered: r.answerPending, forgets: r.pendingForgets, probe: r.pendingProbe}
+	r.answerPending, r.pendingForgets, r.pendingProbe = false, nil, exitKey{}
 	return e
 }
 
 // updateReachability determines from a new heartbeat whether the machine received the answer to
 // the previous one. It must run before the heartbeat is recorded in mc.
 func (m *Model) updateReachability(mc *Machine, heartbeat *wire.Heartbeat, now time.Time) {
-	h := &mc.reachability
-	expected := h.takeExpectedEffects()
+	r := &mc.reachability
+	expected := r.takeExpectedEffects()
 	if !mc.alive {
-		h.heartbeatsSince = now
-		if h.tokenEverShown && !mc.unreachable() {
-			h.unreachableSince = now // its lease expired, so that earlier proofs no longer count
+		r.heartbeatsSince = now
+		if r.tokenEverShown && !mc.unreachable() {
+			r.unreachableSince = now // its lease expired, so that earlier proofs no longer count
 		}
 	}
 	if heartbeat.Token < m.FencingToken {
 		m.applyMissingToken(mc, expected, now)
 		return
 	}
-	if !h.tokenEverShown {
-		h.tokenEverShown = true
+	if !r.tokenEverShown {
+		r.tokenEverShown = true
 		m.markReachable(mc, now)
 	}
 	if heartbeat.AgentEpoch != mc.AgentEpoch {
@@ -169,10 +169,10 @@
 // of the first answer nor a change of node is a sign of a lost answer any more. A missing fencing
 // token still is, because both answers carry the token.
 func (mc *Machine) recordRepeatedAnswer(node string) {
-	h := &mc.reachability
-	h.answeredTwice = heartbeatID{mc.AgentEpoch, mc.Seq}
-	if h.receivingNode != node {
-		h.receivingNode = ""
+	r := &mc.reachability
+	r.answeredTwice = heartbeatID{mc.AgentEpoch, mc.Seq}
+	if r.receivingNode != node {
+		r.receivingNode = ""
 	}
 }
 
@@ -180,11 +180,11 @@
 // stays with the node that answered it. If its next heartbeat arrives at another node, the answer
 // was lost and the machine is marked as unreachable.
 func (m *Model) RecordReceivingNode(mc *Machine, node string, now time.Time) {
-	h := &mc.reachability
-	if h.receivingNode != "" && h.receivingNode != node && mc.Seq == h.answeredSeq+1 {
+	r := &mc.reachability
+	if r.receivingNode != "" && r.receivingNode != node && mc.Seq == r.answeredSeq+1 {
 		m.markUnreachable(mc, signOtherNode, now)
 	}
-	h.receivingNode = node
+	r.receivingNode = node
 }
 
 // releaseReservedPlacements removes reserved placements that were never launched from an
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -39,6 +39,13 @@
 	mc.reportedExits[exitKey{status.Task, status.Attempt}] = &reportedExit{job: j.Index, chunk: chunk, generation: j.Chunks[chunk].generation}
 }
 
+const (
+	refusalBackoff      = time.Second     // of a task that its machine had no room for
+	refusalAvoidTime    = 5 * time.Second // for which the job avoids that machine
+	unknownTaskBackoff  = 3 * time.Second // of a task that its worker does not know
+	incompleteGangDelay = time.Second     // of a gang's task that ended because others did not start
+)
+
 // applyExit applies the exit of a placed attempt that a heartbeat lists. A task that did not
 // complete is placed again later.
 func (m *Model) applyExit(j *Job, task int32, mc *Machine, p *Placement, status *wire.TaskStatus, now time.Time) {
@@ -78,15 +85,15 @@
 		}
 		moveFailure = "error"
 	case wire.ExitNoRoom, wire.ExitBusy:
-		backoff = time.Second
-		j.avoidMachine(mc.index, now.Add(5*time.Second))
+		backoff = refusalBackoff
+		j.avoidMachine(mc.index, now.Add(refusalAvoidTime))
 		moveFailure = status.ExitReason
 	case wire.ExitUnknown:
-		backoff = 3 * time.Second
+		backoff = unknownTaskBackoff
 		moveFailure = status.ExitReason
 	case wire.ExitAlone:
 		j.markGangEnding()
-		backoff = time.Second
+		backoff = incompleteGangDelay
 	case wire.ExitPeers, wire.ExitStopped:
 		j.markGangEnding()
 		outcome = p.outcomeIfStopped()
--- a/cluster/warm_pool_demand.go
+++ b/cluster/warm_pool_demand.go
@@ -10,7 +10,7 @@
 
 // replicaDemand is the demand of the jobs that a warm pool serves.
 type replicaDemand struct {
-	open               int                    // replicas that are not done, placed or waiting
+	open               int                    // replicas that are not done, whether placed or waiting
 	priority           int                    // highest priority of the jobs; 0 is the highest
 	class              string                 // of the first job
 	replicasPerMachine int                    // least number that a machine of the pool has room for; 0 if unknown
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -63,13 +63,13 @@
 	}
 }
 
-// poolTerms are the machine types and zones that a pool may use, and the highest price, longest
-// boot time and slowest fetch rate of these types.
+// poolTerms are the machine types and zones that a pool may use, and the worst terms of these
+// types.
 type poolTerms struct {
 	types, zones []bool        // by index in Model.MachineTypes and in Model.Zones
-	price        float64       // per hour
-	boot         time.Duration // boot time
-	fetchGBPS    float64       // GB per second
+	price        float64       // highest, per hour
+	boot         time.Duration // longest boot time
+	fetchGBPS    float64       // lowest fetch rate, in GB per second
 }
 
 // poolTerms looks up a pool's types in the catalog. It returns false if none of them is listed.
