--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// isCurrent reports whether the model has the same version of the job's record as base, which is read from
-// the store.
+// isCurrent reports whether the model has the version of the job's record that base gives as the
+// current one.
 func (j *Job) isCurrent(base DigestBase) bool {
 	if j.admissionPage != nil {
 		return j.admissionPage.version == base.Version(j.admissionPage.key)
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -16,6 +16,8 @@
 	// minFaultBackoff and maxFaultBackoff bound the exponential backoff of a job at fault.
 	minFaultBackoff = 10 * time.Second
 	maxFaultBackoff = 2 * time.Minute
+	// maxFaultDoublings bounds the doublings of the backoff, so that it does not overflow.
+	maxFaultDoublings = 10
 	// failedMachineAvoidTime is how long a job avoids a machine on which one of its tasks failed.
 	failedMachineAvoidTime = 10 * time.Minute
 	// maxFaultProbes bounds the tasks of an array at fault that are placed at the same time.
@@ -60,7 +62,7 @@
 	j.avoidNoMachines()
 	if !now.Before(j.notBefore) {
 		// The errors of one round arrive together. Only the first one begins a new backoff.
-		j.backOffUntil(now.Add(min(minFaultBackoff<<min(h.round, 10), maxFaultBackoff)))
+		j.backOffUntil(now.Add(min(minFaultBackoff<<min(h.round, maxFaultDoublings), maxFaultBackoff)))
 		h.round++
 		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(h.machines), "lastReason", wire.ExitError,
 			"nextTryInS", j.notBefore.Sub(now).Seconds())
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -6,6 +6,11 @@
 	"github.com/umberdeal/umberdeal/config"
 )
 
+const (
+	leaseDriftFactor = 4                      // multiple of the clock drift by which a lease is extended
+	leaseMargin      = 300 * time.Millisecond // added to each lease
+)
+
 // leaseEnd returns the time at which a machine's lease expires. From then on no task can be
 // running on the machine, unless a heartbeat of it is answered before. The lease begins with the
 // last answer, but not before the election, because an earlier leader may have answered until
@@ -16,7 +21,7 @@
 		start = m.ElectedAt
 	}
 	leaseSeconds := m.settings.Cluster.Workers.LeaseS
-	return start.Add(config.Seconds(leaseSeconds*(1+4*m.clockDrift)) + 300*time.Millisecond)
+	return start.Add(config.Seconds(leaseSeconds*(1+leaseDriftFactor*m.clockDrift)) + leaseMargin)
 }
 
 // Tick applies the passage of time to leases, machines with interruption notices, batch windows
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -16,7 +16,7 @@
 	startDelaySeconds        = 5   // expected time from a task's placement to its start
 	serviceSecondsLeft       = 1e9 // services run until they are stopped
 	minSecondsLeft           = 5   // lower bound for a running task
-	overrunShare             = 5   // a task beyond its estimate runs for another 1/overrunShare of its run time
+	overrunDivisor           = 5   // a task beyond its estimate is expected to run for another 1/overrunDivisor of its run time
 	reachabilityProofSeconds = 1   // expected time until a machine proves that it receives answers
 	suspectedPenaltySeconds  = 300
 	slowMachineRatio         = 1.5 // slowness from which a machine gets a penalty
@@ -74,7 +74,7 @@
 	}
 	ran := now.Sub(p.runningSince).Seconds()
 	// A task that exceeds its estimate is likely to run for a while longer.
-	return max(minSecondsLeft, ran/overrunShare, remaining-ran)
+	return max(minSecondsLeft, ran/overrunDivisor, remaining-ran)
 }
 
 // machineView returns a machine in the form that a scheduling pass uses. It returns false for
--- a/cluster/placementpages.go
+++ b/cluster/placementpages.go
@@ -45,6 +45,15 @@
 	return slices.ContainsFunc(p.chunks, func(r chunkRef) bool { return r.get().HasNewPlacements() })
 }
 
+// Sizes of parts of a chunk's record, in bytes as the key-value service counts them.
+const (
+	chunkRecordBytes       = 80 // without the job id and the tasks
+	taskRecordBytes        = 22 // of one task, without the machine name
+	minMachineNameBytes    = 12 // least length that a machine name counts with
+	unreadMachineNameBytes = 18 // the same in preserved chunks
+	doneRangeBytes         = 8  // of each number in the done ranges of a preserved chunk
+)
+
 // unreadablePageSize is the assumed size of a page that can't be read. It is so large that no
 // chunk is put on the page.
 const unreadablePageSize = 1 << 30
@@ -127,13 +136,13 @@
 // service counts them.
 func (s *placementPages) chunkSize(j *Job, n int) int {
 	tasks := min(jobstore.ChunkSize, len(j.Tasks)-n*jobstore.ChunkSize)
-	return 80 + len(j.ID) + tasks*(22+max(s.longestMachineName, 12))
+	return chunkRecordBytes + len(j.ID) + tasks*(taskRecordBytes+max(s.longestMachineName, minMachineNameBytes))
 }
 
 // unreadChunkSize returns an approximate upper bound of the size of a preserved chunk's record,
 // in the same unit as chunkSize.
 func (s *placementPages) unreadChunkSize(c *jobstore.PlacementChunk) int {
-	return 80 + len(c.Job) + (22+max(s.longestMachineName, 18))*len(c.Placements) + 8*len(c.DoneRanges)
+	return chunkRecordBytes + len(c.Job) + (taskRecordBytes+max(s.longestMachineName, unreadMachineNameBytes))*len(c.Placements) + doneRangeBytes*len(c.DoneRanges)
 }
 
 // pending returns the number of pages that are to be written.
--- a/cluster/placementpagewrite.go
+++ b/cluster/placementpagewrite.go
@@ -10,6 +10,13 @@
 const (
 	// placementPageBytes is the estimated size of a page's write without its chunks.
 	placementPageBytes = 200
+	// estimatedChunkBytes is the estimated size of a chunk's record without job id, placements and
+	// done ranges.
+	estimatedChunkBytes = 60
+	// estimatedPlacementBytes is the estimated size of a placement without the machine name.
+	estimatedPlacementBytes = 20
+	// estimatedDoneRangeBytes is the estimated size of each number in the done ranges.
+	estimatedDoneRangeBytes = 5
 	// jobGuardBytes is the estimated size of the condition on a job's record.
 	jobGuardBytes = 60
 )
@@ -59,7 +66,7 @@
 		record := r.job.chunkRecord(r.chunk)
 		w.record.Chunks = append(w.record.Chunks, record)
 		w.chunks = append(w.chunks, chunkWrite{c, c.generation})
-		w.bytes += 60 + len(r.job.ID) + (20+s.longestMachineName)*len(record.Placements) + 5*len(record.DoneRanges)
+		w.bytes += estimatedChunkBytes + len(r.job.ID) + (estimatedPlacementBytes+s.longestMachineName)*len(record.Placements) + estimatedDoneRangeBytes*len(record.DoneRanges)
 		if c.HasNewPlacements() {
 			w.placesTasks = true
 			w.guardJob(b, r.job)
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -14,6 +14,10 @@
 	// unreachableRetention is how long an empty unreachable machine is kept in addition to the
 	// lease time. It equals silentRetention.
 	unreachableRetention = 40 * time.Second
+	// A machine's next heartbeat is expected within proofHeartbeats heartbeat intervals plus
+	// proofMarginSeconds.
+	proofHeartbeats    = 1.25
+	proofMarginSeconds = 1
 	// probeSearchLimit bounds the number of jobs searched for one that a probe can name.
 	probeSearchLimit = 1000
 )
@@ -200,9 +204,9 @@
 
 // reachabilityProbe returns a command whose effect proves that an unreachable machine receives
 // answers again. Like a wake-up, it launches a task number that no job has. The worker refuses
-// the task and lists it as exited. The result is false if no probe is needed, because the answer
-// forgets an exit, such as that of an earlier probe: the absence of that exit from the next
-// heartbeat proves the same. It is also false if there is no recent job to name.
+// the task and lists it as exited. The result is false if the answer forgets an exit, such as
+// that of an earlier probe. No probe is needed then, because the absence of that exit from the
+// next heartbeat proves the same. The result is also false if there is no recent job to name.
 func (m *Model) reachabilityProbe(mc *Machine) (wire.Command, bool) {
 	if len(mc.reachability.pendingForgets) > 0 {
 		return wire.Command{}, false
@@ -219,7 +223,7 @@
 // mayProveReachable reports whether a machine began to send heartbeats so recently that its next
 // heartbeat is expected to show whether it receives answers.
 func (m *Model) mayProveReachable(mc *Machine, now time.Time) bool {
-	within := config.Seconds(1.25*m.settings.Cluster.Workers.HeartbeatS + 1)
+	within := config.Seconds(proofHeartbeats*m.settings.Cluster.Workers.HeartbeatS + proofMarginSeconds)
 	return mc.alive && mc.acceptsTasks() && now.Sub(mc.reachability.heartbeatsSince) < within
 }
 
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -23,6 +23,8 @@
 const (
 	// maxScaleIn bounds the machines that one scale-in request deletes.
 	maxScaleIn = 50
+	// recentListing is how long a machine counts as listed after the cloud last listed it.
+	recentListing = time.Minute
 	// silentRetention is how long an empty silent machine is kept after its lease expired.
 	silentRetention = 40 * time.Second
 	// maxIdleWithoutJobs bounds how long an idle machine is kept while no job is open.
@@ -88,7 +90,7 @@
 	if len(mc.Tasks) > 0 || mc.orphaned != (placement.Resources{}) {
 		return scaleInNone
 	}
-	listed := !mc.cloudStateAt.IsZero() && now.Sub(mc.cloudStateAt) < time.Minute
+	listed := !mc.cloudStateAt.IsZero() && now.Sub(mc.cloudStateAt) < recentListing
 	sinceElection := now.Sub(m.ElectedAt)
 	switch {
 	case mc.cloudState == wire.MachineFailed && listed && !mc.alive:
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -40,7 +40,7 @@
 }
 
 const (
-	refusalBackoff      = time.Second     // of a task that its machine had no room for
+	refusalBackoff      = time.Second     // of a task that its machine had no room for, or of which it had another attempt
 	refusalAvoidTime    = 5 * time.Second // for which the job avoids that machine
 	unknownTaskBackoff  = 3 * time.Second // of a task that its worker does not know
 	incompleteGangDelay = time.Second     // of a gang's task that ended because others did not start
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -92,6 +92,9 @@
 	}
 }
 
+// saveMarginSeconds is the grace period in addition to the time that saving a checkpoint takes.
+const saveMarginSeconds = 1
+
 // StopTask orders a task to stop. A task that supports checkpoints gets a grace period to save
 // one. A gang is stopped as a whole, because its tasks save checkpoints together or not at all.
 // StopTask does nothing if the task is not placed.
@@ -102,7 +105,7 @@
 	}
 	grace := 0.0
 	if j.Spec.CheckpointS > 0 {
-		grace = j.Spec.SaveS + 1
+		grace = j.Spec.SaveS + saveMarginSeconds
 	}
 	m.log.Info("stopping task", "job", j.ID, "task", ref.Task, "why", reason, "machine", m.Machines[j.Tasks[ref.Task].Placement.Machine].Name)
 	if j.Gang() {
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -70,12 +70,19 @@
 // writeLimits are the limits of transactions and values in the key-value store.
 type writeLimits struct{ state *config.StateLimits }
 
+// Values that apply where the settings have none, and the margin below the limit of a value.
+const (
+	defaultTxnOps    = 12
+	defaultValueKiB  = 16
+	valueMarginBytes = 256
+)
+
 // maxGuards returns the most conditions that a transaction may have, in addition to those on the
 // leader key and the plan head.
 func (l writeLimits) maxGuards() int {
 	ops := l.state.TxnOps
 	if ops <= 0 {
-		ops = 12
+		ops = defaultTxnOps
 	}
 	return 4*ops - 2
 }
@@ -84,9 +91,9 @@
 func (l writeLimits) maxValueBytes() int {
 	kib := l.state.ValueKB
 	if kib <= 0 {
-		kib = 16
+		kib = defaultValueKiB
 	}
-	return int(kib*1024) - 256
+	return int(kib*1024) - valueMarginBytes
 }
 
 // PendingWrites returns the number of puts and deletes that are needed to write all changes. If
