--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -1,3 +1,6 @@
+// Applies admission pages, which are stored pages with the records of several accepted jobs, and
+// removes finished jobs from them.
+
 package cluster
 
 import (
--- a/cluster/attempt.go
+++ b/cluster/attempt.go
@@ -1,3 +1,6 @@
+// Holds the state of one attempt of a task on a machine, from its placement to its end, and the
+// orders to stop it.
+
 package cluster
 
 import "time"
--- a/cluster/boottime.go
+++ b/cluster/boottime.go
@@ -1,3 +1,6 @@
+// Estimates how long machines take to boot. From the estimates follow which machines are late and
+// which are deleted because they never came up.
+
 package cluster
 
 import (
--- a/cluster/chunk.go
+++ b/cluster/chunk.go
@@ -1,3 +1,5 @@
+// Tracks which changes of a job's placements are in the key-value store, by chunks of tasks.
+
 package cluster
 
 // Chunk is the placement record of up to jobstore.ChunkSize consecutive tasks of a job. It is
--- a/cluster/cloudlist.go
+++ b/cluster/cloudlist.go
@@ -1,3 +1,5 @@
+// Applies the cloud's list of machines to the model.
+
 package cluster
 
 import (
--- a/cluster/directcommands.go
+++ b/cluster/directcommands.go
@@ -1,3 +1,6 @@
+// Queues the tasks for which commands are sent to their workers directly, not only in answers to
+// heartbeats.
+
 package cluster
 
 import "slices"
--- a/cluster/failoverload.go
+++ b/cluster/failoverload.go
@@ -1,3 +1,5 @@
+// Loads the placement records of earlier leaders when a new leadership begins.
+
 package cluster
 
 import (
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -1,3 +1,5 @@
+// Counts the failures of tasks, and distinguishes faulty jobs from faulty machines.
+
 package cluster
 
 import (
--- a/cluster/heartbeat.go
+++ b/cluster/heartbeat.go
@@ -1,3 +1,5 @@
+// Applies heartbeats of workers to the model.
+
 package cluster
 
 import (
--- a/cluster/heartbeatanswer.go
+++ b/cluster/heartbeatanswer.go
@@ -1,3 +1,5 @@
+// Selects the commands that answer a heartbeat: stops, forgets, launches and probes.
+
 package cluster
 
 import (
--- a/cluster/heldstops.go
+++ b/cluster/heldstops.go
@@ -1,3 +1,6 @@
+// Holds stops that the operators' plan decided until a transaction confirms that this plan is still
+// in force.
+
 package cluster
 
 import (
--- a/cluster/imagecache.go
+++ b/cluster/imagecache.go
@@ -1,3 +1,5 @@
+// Estimates which images are in the caches of the machines.
+
 package cluster
 
 import "slices"
--- a/cluster/imagecatalog.go
+++ b/cluster/imagecatalog.go
@@ -1,3 +1,5 @@
+// Assigns indices to images and stores their sizes.
+
 package cluster
 
 // imageCatalog assigns an index to each image name and stores the image's size. Machine caches
--- a/cluster/job.go
+++ b/cluster/job.go
@@ -1,3 +1,5 @@
+// Holds the state of a job and of its tasks.
+
 package cluster
 
 import (
--- a/cluster/jobintake.go
+++ b/cluster/jobintake.go
@@ -1,3 +1,5 @@
+// Adds accepted jobs to the model, and cancels or finishes jobs whose active records are removed.
+
 package cluster
 
 import (
--- a/cluster/leaseexpiry.go
+++ b/cluster/leaseexpiry.go
@@ -1,3 +1,6 @@
+// Computes when the leases of machines expire, and handles machines that are silent, interrupted or
+// deleted.
+
 package cluster
 
 import (
--- a/cluster/machine.go
+++ b/cluster/machine.go
@@ -1,3 +1,5 @@
+// Holds the state of a machine.
+
 package cluster
 
 import (
--- a/cluster/machine_bookings.go
+++ b/cluster/machine_bookings.go
@@ -1,3 +1,5 @@
+// Tracks the tasks that are placed on a machine and the resources that they use.
+
 package cluster
 
 import (
--- a/cluster/machine_cloud.go
+++ b/cluster/machine_cloud.go
@@ -1,3 +1,5 @@
+// Tracks what the cloud reports about a machine.
+
 package cluster
 
 import "time"
--- a/cluster/machine_lease.go
+++ b/cluster/machine_lease.go
@@ -1,3 +1,5 @@
+// Tracks the lease of a machine's worker.
+
 package cluster
 
 import (
--- a/cluster/machine_view.go
+++ b/cluster/machine_view.go
@@ -1,3 +1,5 @@
+// Decides which machines are ready, and converts machines to the form that scheduling passes use.
+
 package cluster
 
 import (
--- a/cluster/machinetype.go
+++ b/cluster/machinetype.go
@@ -1,3 +1,5 @@
+// Applies the cloud's catalog of machine types.
+
 package cluster
 
 import (
--- a/cluster/names.go
+++ b/cluster/names.go
@@ -1,3 +1,5 @@
+// Finds jobs, tasks and machines by their names.
+
 package cluster
 
 import "github.com/umberdeal/umberdeal/wire"
--- a/cluster/offerrefusals.go
+++ b/cluster/offerrefusals.go
@@ -1,3 +1,5 @@
+// Tracks which offers of the cloud are excluded from scale-outs for a while.
+
 package cluster
 
 import "time"
--- a/cluster/placementpages.go
+++ b/cluster/placementpages.go
@@ -1,3 +1,6 @@
+// Distributes the placement records of jobs over pages, each of which is the value of one key of
+// the key-value store.
+
 package cluster
 
 import (
--- a/cluster/placementpagewrite.go
+++ b/cluster/placementpagewrite.go
@@ -1,3 +1,5 @@
+// Adds the writes of changed placement pages to batches.
+
 package cluster
 
 import (
--- a/cluster/plan_records.go
+++ b/cluster/plan_records.go
@@ -1,3 +1,6 @@
+// Applies versions of the operators' plan, and writes the records that parts of the plan keep for
+// the next leader.
+
 package cluster
 
 import (
--- a/cluster/quarantine.go
+++ b/cluster/quarantine.go
@@ -1,3 +1,5 @@
+// Quarantines jobs whose records can't be read.
+
 package cluster
 
 import (
--- a/cluster/reachability.go
+++ b/cluster/reachability.go
@@ -1,3 +1,5 @@
+// Detects machines whose heartbeats arrive but which don't receive the answers.
+
 package cluster
 
 import (
--- a/cluster/reconciliation.go
+++ b/cluster/reconciliation.go
@@ -1,3 +1,5 @@
+// Reconciles the tasks that a heartbeat lists with the tasks that the model has on the machine.
+
 package cluster
 
 import (
--- a/cluster/request.go
+++ b/cluster/request.go
@@ -1,3 +1,5 @@
+// Builds the request to package placement for the waiting tasks of a job.
+
 package cluster
 
 import (
--- a/cluster/scalein.go
+++ b/cluster/scalein.go
@@ -1,3 +1,5 @@
+// Selects the machines that are to be deleted.
+
 package cluster
 
 import (
--- a/cluster/scaleout.go
+++ b/cluster/scaleout.go
@@ -1,3 +1,6 @@
+// Lists the offers from which machines can be requested, and records the cloud's responses to these
+// requests.
+
 package cluster
 
 import (
--- a/cluster/snapshot.go
+++ b/cluster/snapshot.go
@@ -1,3 +1,6 @@
+// Computes statistics of the model for metrics and for operators, and defines the receiver of
+// measurements.
+
 package cluster
 
 import (
--- a/cluster/stallrecovery.go
+++ b/cluster/stallrecovery.go
@@ -1,3 +1,5 @@
+// Corrects the silence of machines for pauses of the leader's process.
+
 package cluster
 
 import (
--- a/cluster/stoppush.go
+++ b/cluster/stoppush.go
@@ -1,3 +1,5 @@
+// Selects the stops that are sent directly to workers, in addition to the answers to heartbeats.
+
 package cluster
 
 import (
--- a/cluster/taskexit.go
+++ b/cluster/taskexit.go
@@ -1,3 +1,6 @@
+// Handles the end of a task's attempt: its exit that a heartbeat lists, or proof that the task is
+// gone.
+
 package cluster
 
 import (
--- a/cluster/taskplacement.go
+++ b/cluster/taskplacement.go
@@ -1,3 +1,5 @@
+// Places tasks on machines, removes placements, and orders tasks to stop.
+
 package cluster
 
 import (
--- a/cluster/wakeup.go
+++ b/cluster/wakeup.go
@@ -1,3 +1,6 @@
+// Selects the workers to wake up because a launch is ready, so that they send a heartbeat whose
+// answer can carry it.
+
 package cluster
 
 import (
--- a/cluster/warm_pool_demand.go
+++ b/cluster/warm_pool_demand.go
@@ -1,3 +1,6 @@
+// Computes the demand for the replicas of each warm pool, and follows new versions of the pool's
+// model.
+
 package cluster
 
 import (
--- a/cluster/warm_pool_effects.go
+++ b/cluster/warm_pool_effects.go
@@ -1,3 +1,6 @@
+// Applies the effects of warm pools on other parts of the model: scale-in, scheduling passes,
+// counters and statistics.
+
 package cluster
 
 import (
--- a/cluster/warm_pool_members.go
+++ b/cluster/warm_pool_members.go
@@ -1,3 +1,5 @@
+// Updates the members of warm pools and observes their state.
+
 package cluster
 
 import (
--- a/cluster/warm_pool_prefetch.go
+++ b/cluster/warm_pool_prefetch.go
@@ -1,3 +1,5 @@
+// Prefetches model weights to the members of warm pools, by reserved jobs that do no work.
+
 package cluster
 
 import (
--- a/cluster/warm_pool_reconcile.go
+++ b/cluster/warm_pool_reconcile.go
@@ -1,3 +1,6 @@
+// Reconciles each warm pool with its target size: machines join, leave, fetch the weights or are
+// scaled out.
+
 package cluster
 
 import (
--- a/cluster/warm_pool_records.go
+++ b/cluster/warm_pool_records.go
@@ -1,3 +1,5 @@
+// Loads and writes the records of warm pools.
+
 package cluster
 
 import (
--- a/cluster/warm_pools.go
+++ b/cluster/warm_pools.go
@@ -1,3 +1,5 @@
+// Holds the warm pools of the plan and their members.
+
 package cluster
 
 import (
--- a/cluster/writebatch.go
+++ b/cluster/writebatch.go
@@ -1,3 +1,5 @@
+// Defines the transactions that the leader commits.
+
 package cluster
 
 import (
--- a/cluster/writebehind.go
+++ b/cluster/writebehind.go
@@ -1,3 +1,6 @@
+// Queues the changes of the model that are to be written to the key-value store, and collects them
+// in batches.
+
 package cluster
 
 import (
