--- a/cluster/admissionpages.go
+++ b/cluster/admissionpages.go
@@ -1,3 +1,6 @@
+// Applies admission pages, which are stored pages with the records of several accepted jobs, and
+// removes finished jobs from them.
+
 package cluster
 
 import (
@@ -184,10 +187,11 @@
 	}
 }
 
-// isCurrent reports whether the model has the same version of the job's record as the store.
-func (j *Job) isCurrent(ref DigestBase) bool {
+// isCurrent reports whether the model has the version of the job's record that base gives as the
+// current one.
+func (j *Job) isCurrent(base DigestBase) bool {
 	if j.admissionPage != nil {
-		return j.admissionPage.version == ref.Version(j.admissionPage.key)
+		return j.admissionPage.version == base.Version(j.admissionPage.key)
 	}
-	return j.version == ref.Version(jobstore.JobKey(j.ID))
+	return j.version == base.Version(jobstore.JobKey(j.ID))
 }
--- a/cluster/failurehistory.go
+++ b/cluster/failurehistory.go
@@ -1,3 +1,5 @@
+// Counts the failures of tasks, and distinguishes faulty jobs from faulty machines.
+
 package cluster
 
 import (
@@ -16,6 +18,10 @@
 	// minFaultBackoff and maxFaultBackoff bound the exponential backoff of a job at fault.
 	minFaultBackoff = 10 * time.Second
 	maxFaultBackoff = 2 * time.Minute
+	// maxFaultDoublings bounds the doublings of the backoff, so that it does not overflow.
+	maxFaultDoublings = 10
+	// failedMachineAvoidTime is how long a job avoids a machine on which one of its tasks failed.
+	failedMachineAvoidTime = 10 * time.Minute
 	// maxFaultProbes bounds the tasks of an array at fault that are placed at the same time.
 	maxFaultProbes = 1
 
@@ -29,7 +35,7 @@
 // error for both. The history outlives the job, because errors count against a machine only if
 // their jobs are not at fault.
 type failureHistory struct {
-	machines      map[int32]bool // indexes of machines on which a task ended with an error
+	machines      map[int32]bool // indices of machines on which a task ended with an error
 	provenHealthy bool           // a task completed or ran for healthyAfterSeconds
 	round         int            // number of backoffs so far
 }
@@ -50,7 +56,7 @@
 	taskBackoff := j.Tasks[task].countFailure()
 	m.recordTaskError(j, mc, now)
 	if !h.atFault() {
-		j.avoidMachine(mc.index, now.Add(10*time.Minute))
+		j.avoidMachine(mc.index, now.Add(failedMachineAvoidTime))
 		return taskBackoff
 	}
 	// The machines are not at fault. Those that have the image already are best for
@@ -58,7 +64,7 @@
 	j.avoidNoMachines()
 	if !now.Before(j.notBefore) {
 		// The errors of one round arrive together. Only the first one begins a new backoff.
-		j.backOffUntil(now.Add(min(minFaultBackoff<<min(h.round, 10), maxFaultBackoff)))
+		j.backOffUntil(now.Add(min(minFaultBackoff<<min(h.round, maxFaultDoublings), maxFaultBackoff)))
 		h.round++
 		m.log.Info("job fails everywhere", "id", j.ID, "machines", len(h.machines), "lastReason", wire.ExitError,
 			"nextTryInS", j.notBefore.Sub(now).Seconds())
