--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -1,5 +1,5 @@
-// Package docs_test holds the pages against the sources: Go names, log messages, metric
-// names, test names and paths that a page mentions must exist.
+// Package docs_test checks that the documentation matches the sources. Go names, log messages,
+// metric names, test names and paths that a page mentions must exist.
 package docs_test
 
 import (
@@ -13,7 +13,7 @@
 	"testing"
 )
 
-// readPage reads a page of the repository, by its path from the root.
+// readPage returns the text of a file, given its path from the repository root.
 func readPage(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, name))
@@ -25,7 +25,7 @@
 
 var codeSpan = regexp.MustCompile("`([^`\n]+)`")
 
-// codeSpans are what a page has in backticks, outside of code blocks.
+// codeSpans returns the texts in backticks on a page. It skips fenced code blocks.
 func codeSpans(page string) (spans []string) {
 	fenced := false
 	for line := range strings.Lines(page) {
@@ -45,11 +45,11 @@
 
 var (
 	qualified = regexp.MustCompile(`^[a-z][a-z0-9]*(/[a-z0-9]+)*(\.[A-Za-z_][A-Za-z0-9_]*){1,2}$`)
-	// A file, a setting or an address is no Go name.
+	// Files, settings and addresses look like Go names but are none.
 	otherName = regexp.MustCompile(`\.(go|md|toml|py|json|sh|txt|run)$|^(rebalance|renting|ledger|metrics|serving|launching|state|node|burst)\.[a-z_]+$|^(package\.|note/)`)
 )
 
-// goNames are the Go names among the code spans of a page.
+// goNames returns the Go names among the code spans of a page, without a trailing "()".
 func goNames(page string) (names []string) {
 	for _, span := range codeSpans(page) {
 		name := strings.TrimSuffix(span, "()")
@@ -60,7 +60,8 @@
 	return names
 }
 
-// namesAtLeast is how many Go names pages must have: with fewer, the test would hold nothing.
+// namesAtLeast is the minimum count of Go names by page. It fails a test that recognizes too few
+// names to check anything.
 var namesAtLeast = map[string]int{
 	"docs/architecture.md":       60,
 	"docs/fault-interactions.md": 20,
@@ -68,8 +69,8 @@
 	"docs/oncall.md":             5,
 }
 
-// currentPages are the pages that speak of the sources as they are. Results and incidents
-// speak of those that were.
+// currentPages returns the pages that describe the present sources. The pages of results and
+// incidents describe earlier sources and are left out.
 func currentPages(t *testing.T) (pages []string) {
 	t.Helper()
 	found, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
@@ -89,7 +90,7 @@
 	for _, page := range currentPages(t) {
 		names := goNames(readPage(t, page))
 		if len(names) < namesAtLeast[page] {
-			t.Errorf("%s: %d Go names, want %d at least", page, len(names), namesAtLeast[page])
+			t.Errorf("%s: %d Go names, want at least %d", page, len(names), namesAtLeast[page])
 		}
 		for _, name := range names {
 			if !s.names[name] {
@@ -114,7 +115,8 @@
 	}
 }
 
-// A name that is gone must be found out, or the test above holds nothing.
+// Guards against a recognizer that accepts every name: TestGoNamesInPagesExist would then pass
+// with names that do not exist.
 func TestGoNamesAreRecognized(t *testing.T) {
 	s := readSources(t)
 	for name, exists := range map[string]bool{
@@ -128,16 +130,16 @@
 			t.Errorf("%s: exists %v, want %v", name, s.names[name], exists)
 		}
 		if got := goNames("see `" + name + "`, `" + name + "()`"); len(got) != 2 {
-			t.Errorf("%s: recognized as %v", name, got)
+			t.Errorf("%s: goNames returned %v, want two names", name, got)
 		}
 	}
 	if got := goNames("`docs/design.md`, `rebalance.enabled`, `plan apply`, `w/p/N`"); len(got) != 0 {
-		t.Errorf("taken for Go names: %v", got)
+		t.Errorf("goNames returned %v, want none", got)
 	}
 }
 
-// layers are the packages of the table in docs/architecture.md, a row each; the last row
-// is for tests only.
+// layers returns the packages of each row of the layer table in docs/architecture.md, top layer
+// first. The last row lists the packages that only tests import.
 func layers(t *testing.T) (rows [][]string) {
 	t.Helper()
 	page := readPage(t, "docs/architecture.md")
@@ -180,18 +182,19 @@
 			continue
 		}
 		for imported := range s.imports[name] {
-			switch of, known := rowOf[imported]; {
+			switch importedRow, known := rowOf[imported]; {
 			case !known || row == testsOnly:
-			case of < row:
+			case importedRow < row:
 				t.Errorf("package %s imports %s of a higher layer", name, imported)
-			case of == testsOnly:
+			case importedRow == testsOnly:
 				t.Errorf("package %s imports %s, which is for tests only", name, imported)
 			}
 		}
 	}
 }
 
-// The layout in README.md lists each package that is not for tests only, or its parent.
+// The layout in README.md must list each package, or its parent, except internal packages and
+// those that only tests import.
 func TestReadmeListsPackages(t *testing.T) {
 	_, layout, found := strings.Cut(readPage(t, "README.md"), "\n## Layout\n")
 	if !found {
@@ -211,7 +214,8 @@
 
 var testName = regexp.MustCompile(`^(?:([a-z][a-z0-9/]*)\.)?(Test[A-Za-z0-9_]*)(…?)(/.*)?$`)
 
-// The rows of docs/fault-interactions.md name the tests that bring each interaction about.
+// Guards against rows of docs/fault-interactions.md that name tests which were renamed or removed.
+// A name that ends in "…" is the beginning of a test name.
 func TestFaultInteractionsNameTestsThatExist(t *testing.T) {
 	s := readSources(t)
 	count := 0
@@ -221,23 +225,24 @@
 			continue
 		}
 		count++
-		of, name, cut := parts[1], parts[2], parts[3] != ""
-		if cut {
+		dir, name, isPrefix := parts[1], parts[2], parts[3] != ""
+		if isPrefix {
 			if !slices.ContainsFunc(allTests(s), func(test string) bool { return strings.HasPrefix(test, name) }) {
 				t.Errorf("no test begins with %s", name)
 			}
 			continue
 		}
-		in := s.tests[name]
-		if len(in) == 0 || of != "" && !slices.Contains(in, of) {
+		packages := s.tests[name]
+		if len(packages) == 0 || dir != "" && !slices.Contains(packages, dir) {
 			t.Errorf("test %s does not exist", span)
 		}
 	}
 	if count < 60 {
-		t.Errorf("%d tests named, want 60 at least", count)
+		t.Errorf("%d tests named, want at least 60", count)
 	}
 }
 
+// allTests returns the names of all test functions of the module.
 func allTests(s *sources) (names []string) {
 	for name := range s.tests {
 		names = append(names, name)
@@ -245,7 +250,7 @@
 	return names
 }
 
-// tableCells are the code spans in the first cell of each row of the tables below a heading.
+// tableCells returns the code spans in the first cell of each table row of a page's section.
 func tableCells(t *testing.T, page, heading string) (cells []string) {
 	t.Helper()
 	_, section, found := strings.Cut(page, "\n## "+heading+"\n")
@@ -265,7 +270,7 @@
 	s := readSources(t)
 	messages := tableCells(t, readPage(t, "docs/oncall.md"), "Log messages")
 	if len(messages) < 20 {
-		t.Errorf("%d messages, want 20 at least", len(messages))
+		t.Errorf("%d messages, want at least 20", len(messages))
 	}
 	for _, message := range messages {
 		if !s.logged[message] {
@@ -274,8 +279,8 @@
 	}
 }
 
-// The table of renamed log lines gives what is logged now, and nothing that still is in the
-// column of what was.
+// In the table of renamed log lines, the product must log each new message and must no longer log
+// any old one.
 func TestRenamedLogLinesAreLogged(t *testing.T) {
 	s := readSources(t)
 	_, table, found := strings.Cut(readPage(t, "docs/operations.md"), "| old log line | new log line |\n")
@@ -285,29 +290,29 @@
 	rows := 0
 	for line := range strings.Lines(table) {
 		before, after, ok := strings.Cut(line, " | ")
-		was, is := codeSpans(before), codeSpans(after)
-		if !ok || len(was) == 0 || len(is) == 0 {
+		oldMessages, newMessages := codeSpans(before), codeSpans(after)
+		if !ok || len(oldMessages) == 0 || len(newMessages) == 0 {
 			continue
 		}
 		rows++
-		if s.logged[was[0]] {
-			t.Errorf("docs/operations.md: %q is logged still", was[0])
+		if s.logged[oldMessages[0]] {
+			t.Errorf("docs/operations.md: %q is still logged", oldMessages[0])
 		}
-		if !s.logged[is[0]] {
-			t.Errorf("docs/operations.md: nothing logs %q", is[0])
+		if !s.logged[newMessages[0]] {
+			t.Errorf("docs/operations.md: nothing logs %q", newMessages[0])
 		}
 	}
 	if rows < 20 {
-		t.Errorf("%d renamed log lines, want 20 at least", rows)
+		t.Errorf("%d renamed log lines, want at least 20", rows)
 	}
 }
 
-// The status page keeps log lines by their messages: a message that is renamed must be
-// renamed there.
+// The status page selects log lines by the messages in metrics.notableMessages. A log message that
+// is renamed only where it is logged would disappear from the page.
 func TestFaultsKeptForOperatorsAreLogged(t *testing.T) {
 	s := readSources(t)
 	if len(s.notable) < 10 {
-		t.Errorf("%d messages in metrics.notableMessages, want 10 at least", len(s.notable))
+		t.Errorf("%d messages in metrics.notableMessages, want at least 10", len(s.notable))
 	}
 	for _, message := range s.notable {
 		if !s.logged[message] {
@@ -320,14 +325,14 @@
 	s := readSources(t)
 	metrics := tableCells(t, readPage(t, "docs/oncall.md"), "Metrics")
 	if len(metrics) < 12 {
-		t.Errorf("%d metrics, want 12 at least", len(metrics))
+		t.Errorf("%d metrics, want at least 12", len(metrics))
 	}
 	for _, metric := range metrics {
 		name, ok := strings.CutPrefix(metric, "umberdeal_")
 		if !ok {
 			t.Errorf("docs/oncall.md: %s does not begin with umberdeal_", metric)
 		}
-		step := strings.TrimSuffix(name, "_seconds") // the histograms of a job's steps have their names composed
+		step := strings.TrimSuffix(name, "_seconds") // names of job step histograms are built from the step
 		if !s.literals[name] && !s.literals[metric] && !s.literals[step] {
 			t.Errorf("docs/oncall.md: there is no metric %s", metric)
 		}
@@ -336,7 +341,7 @@
 
 var pagePath = regexp.MustCompile(`\bdocs/[a-z/-]+\.(?:md|toml|json|py)\b`)
 
-// Pages that are renamed are followed everywhere: in other pages and in comments.
+// Guards against links to a page that was renamed, in other pages, comments and settings files.
 func TestPagesMentionedExist(t *testing.T) {
 	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -372,8 +377,8 @@
 	testedPackage = regexp.MustCompile(`\./([a-z][a-z/]*)`)
 )
 
-// A command that selects tests by a pattern passes when none matches: each part of a
-// pattern in the pages and in CI must match a test.
+// A command that selects tests by a pattern passes even if no test matches. Each alternative of a
+// pattern in the pages and in CI must therefore match a test.
 func TestPatternsInCommandsMatchTests(t *testing.T) {
 	s := readSources(t)
 	commands := 0
@@ -389,34 +394,35 @@
 		}
 	}
 	if commands < 10 {
-		t.Errorf("%d patterns, want 10 at least", commands)
+		t.Errorf("%d patterns, want at least 10", commands)
 	}
 }
 
-// checkPatterns checks the patterns of one command, and says how many it found.
+// checkPatterns checks the test patterns of one command and returns their number.
 func checkPatterns(t *testing.T, s *sources, page, command string) (found int) {
 	t.Helper()
-	of := ""
+	dir := ""
 	if m := testedPackage.FindStringSubmatch(command); m != nil {
-		of = m[1]
+		dir = m[1]
 	}
 	for _, m := range testPattern.FindAllStringSubmatch(command, -1) {
 		kind := map[string]string{"run": "Test", "fuzz": "Fuzz", "bench": "Benchmark"}[m[1]]
 		for part := range strings.SplitSeq(m[2], "|") {
 			found++
-			if !s.hasTest(of, kind, part) {
-				t.Errorf("%s: no %s of package %q matches %s", page, kind, of, part)
+			if !s.hasTest(dir, kind, part) {
+				t.Errorf("%s: no %s of package %q matches %s", page, kind, dir, part)
 			}
 		}
 	}
 	return found
 }
 
-// hasTest says whether a function of that kind, in that package if one is given, matches.
-func (s *sources) hasTest(of, kind, part string) bool {
+// hasTest reports whether the package in dir has a function whose name begins with kind and
+// contains part. An empty dir means any package.
+func (s *sources) hasTest(dir, kind, part string) bool {
 	for name := range s.names {
-		dir, function, _ := strings.Cut(name, ".")
-		if (of == "" || dir == of) && strings.HasPrefix(function, kind) && strings.Contains(function, part) {
+		declaredIn, function, _ := strings.Cut(name, ".")
+		if (dir == "" || declaredIn == dir) && strings.HasPrefix(function, kind) && strings.Contains(function, part) {
 			return true
 		}
 	}
--- a/docs/sources_test.go
+++ b/docs/sources_test.go
@@ -1,3 +1,5 @@
+// Reading of the module's Go sources, with which the tests compare the pages.
+
 package docs_test
 
 import (
@@ -12,25 +14,24 @@
 	"testing"
 )
 
-// This file reads the Go sources that the pages are held against.
-
 const (
-	root   = ".."
-	module = "github.com/umberdeal/umberdeal/"
+	root   = ".."                              // of the repository, from this package
+	module = "github.com/umberdeal/umberdeal/" // prefix of import paths
 )
 
-// sources is what the pages are held against, read from all Go files of the module.
+// sources holds the names and messages found in the Go files of the module.
 type sources struct {
 	packages map[string]bool            // directories that have Go files outside tests
-	imports  map[string]map[string]bool // by package, of this module, outside tests
+	imports  map[string]map[string]bool // imported packages of this module by importing package, outside tests
 	names    map[string]bool            // "package.Name" and "package.Type.Member", tests included
-	tests    map[string][]string        // test functions, with the packages that have them
+	tests    map[string][]string        // packages by test function
 	literals map[string]bool            // string literals outside tests
 	logged   map[string]bool            // messages of log calls outside tests
 	notable  []string                   // the messages that package metrics keeps for operators
 }
 
-// readSources parses every Go file of the module once.
+// readSources parses every Go file of the module, except those below docs, journal, target, testdata
+// and hidden folders.
 func readSources(t *testing.T) *sources {
 	t.Helper()
 	s := &sources{
@@ -67,14 +68,14 @@
 	return s
 }
 
-// sourceFile is one parsed file, and the directory of its package.
+// sourceFile is one parsed Go file.
 type sourceFile struct {
-	dir     string
+	dir     string // of its package, from the repository root
 	syntax  *ast.File
-	inTests bool
+	inTests bool // name ends in _test.go
 }
 
-// add takes one file in.
+// add records the imports, names, string literals and log messages of one file.
 func (s *sources) add(f sourceFile) {
 	dir, file := f.dir, f.syntax
 	if !f.inTests {
@@ -83,8 +84,8 @@
 			s.imports[dir] = map[string]bool{}
 		}
 		for _, spec := range file.Imports {
-			if of, ok := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module); ok {
-				s.imports[dir][of] = true
+			if imported, ok := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), module); ok {
+				s.imports[dir][imported] = true
 			}
 		}
 	}
@@ -114,7 +115,7 @@
 	})
 }
 
-// literal is the value of a string literal.
+// literal returns the value of a string literal; ok is false for any other expression.
 func literal(e ast.Expr) (text string, ok bool) {
 	l, ok := e.(*ast.BasicLit)
 	if !ok || l.Kind != token.STRING {
@@ -124,7 +125,7 @@
 	return text, err == nil
 }
 
-// addLogCall takes the message of a structured log call in.
+// addLogCall records the message if the call is a structured log call.
 func (s *sources) addLogCall(call *ast.CallExpr) {
 	method, ok := call.Fun.(*ast.SelectorExpr)
 	if !ok || len(call.Args) == 0 || !slices.Contains([]string{"Debug", "Info", "Warn", "Error"}, method.Sel.Name) {
@@ -135,6 +136,7 @@
 	}
 }
 
+// addFunc records a function or method, and the package of a test function.
 func (s *sources) addFunc(f sourceFile, d *ast.FuncDecl) {
 	if d.Recv == nil {
 		s.names[f.dir+"."+d.Name.Name] = true
@@ -148,6 +150,7 @@
 	}
 }
 
+// addSpec records a constant, variable or type, and the members of a struct or interface.
 func (s *sources) addSpec(dir string, spec ast.Spec) {
 	switch spec := spec.(type) {
 	case *ast.ValueSpec:
@@ -160,11 +163,11 @@
 	case *ast.TypeSpec:
 		s.names[dir+"."+spec.Name.Name] = true
 		var members *ast.FieldList
-		switch of := spec.Type.(type) {
+		switch typ := spec.Type.(type) {
 		case *ast.StructType:
-			members = of.Fields
+			members = typ.Fields
 		case *ast.InterfaceType:
-			members = of.Methods
+			members = typ.Methods
 		default:
 			return
 		}
@@ -176,7 +179,7 @@
 	}
 }
 
-// addTroubles takes the list of messages in that package metrics keeps.
+// addTroubles records the messages of metrics.notableMessages from its composite literal.
 func (s *sources) addTroubles(list ast.Expr) {
 	composite, ok := list.(*ast.CompositeLit)
 	if !ok {
@@ -189,7 +192,7 @@
 	}
 }
 
-// typeName is the name of a receiver's type.
+// typeName returns the name of a receiver's type, without pointer and type parameter.
 func typeName(receiver ast.Expr) string {
 	switch e := receiver.(type) {
 	case *ast.StarExpr:
