--- a/docs/names_test.go
+++ b/docs/names_test.go
@@ -60,9 +60,9 @@
 	return names
 }
 
-// namesAtLeast is the minimum count of Go names by page. It fails a test that recognizes too few
+// minGoNames is the minimum count of Go names by page. It fails a test that recognizes too few
 // names to check anything.
-var namesAtLeast = map[string]int{
+var minGoNames = map[string]int{
 	"docs/architecture.md":       60,
 	"docs/fault-interactions.md": 20,
 	"docs/glossary.md":           20,
@@ -89,8 +89,8 @@
 	s := readSources(t)
 	for _, page := range currentPages(t) {
 		names := goNames(readPage(t, page))
-		if len(names) < namesAtLeast[page] {
-			t.Errorf("%s: %d Go names, want at least %d", page, len(names), namesAtLeast[page])
+		if len(names) < minGoNames[page] {
+			t.Errorf("%s: %d Go names, want at least %d", page, len(names), minGoNames[page])
 		}
 		for _, name := range names {
 			if !s.names[name] {
--- a/docs/sources_test.go
+++ b/docs/sources_test.go
@@ -157,7 +157,7 @@
 		for i, name := range spec.Names {
 			s.names[dir+"."+name.Name] = true
 			if dir+"."+name.Name == "metrics.notableMessages" && i < len(spec.Values) {
-				s.addTroubles(spec.Values[i])
+				s.addNotableMessages(spec.Values[i])
 			}
 		}
 	case *ast.TypeSpec:
@@ -179,8 +179,8 @@
 	}
 }
 
-// addTroubles records the messages of metrics.notableMessages from its composite literal.
-func (s *sources) addTroubles(list ast.Expr) {
+// addNotableMessages records the messages of metrics.notableMessages from its composite literal.
+func (s *sources) addNotableMessages(list ast.Expr) {
 	composite, ok := list.(*ast.CompositeLit)
 	if !ok {
 		return
