--- a/config/tuning.go
+++ b/config/tuning.go
@@ -1,3 +1,5 @@
+// The operators' settings file.
+
 package config
 
 import (
--- a/metrics/overview.go
+++ b/metrics/overview.go
@@ -1,3 +1,5 @@
+// The overview of a node and of the cluster, as data.
+
 package metrics
 
 import (
--- a/metrics/recent_errors.go
+++ b/metrics/recent_errors.go
@@ -1,3 +1,5 @@
+// The recent errors of a node's log, kept for the overview.
+
 package metrics
 
 import (
--- a/metrics/transactions.go
+++ b/metrics/transactions.go
@@ -1,12 +1,14 @@
+// The metrics of transactions of the key-value store.
+
 package metrics
 
 import "github.com/prometheus/client_golang/prometheus"
 
 // Transaction holds the measurements of one compare-and-swap transaction of the key-value store.
 type Transaction struct {
-	Client          string // client of the node that sent the transaction: "users" or "node"
-	Result          string
-	Changes         int
+	Client          string  // client of the node that sent the transaction: "users" or "node"
+	Result          string  // name of a kvstore.Result
+	Changes         int     // number of changes
 	LimiterSeconds  float64 // delay by the client's rate limits
 	ResponseSeconds float64 // from sending the transaction to the response; 0 if it was not sent
 }
@@ -52,14 +54,15 @@
 }
 
 // ObserveQueuedWrite records the time in seconds that a submission or cancellation spent in its
-// bucket's queue.
+// bucket's queue. kind is a jobstore.WriteKind and result a jobstore.WriteResult.
 func (s *Set) ObserveQueuedWrite(kind, result string, seconds float64) {
 	if s != nil {
 		s.transactions.queueSeconds.WithLabelValues(kind, result).Observe(seconds)
 	}
 }
 
-// CountQueuedWriteRetry counts a rejected transaction whose writes stay in their bucket's queue.
+// CountQueuedWriteRetry counts a rejected transaction whose writes stay in their bucket's queue. kind
+// is a jobstore.WriteKind.
 func (s *Set) CountQueuedWriteRetry(kind string) {
 	if s != nil {
 		s.transactions.retries.WithLabelValues(kind).Inc()
--- a/peerrpc/peer.go
+++ b/peerrpc/peer.go
@@ -30,8 +30,8 @@
 // Peer sends single requests to another node over one connection, which it dials on
 // demand. It is safe for concurrent use.
 type Peer struct {
-	Name string
-	addr string
+	Name string // of the node
+	addr string // host:port of the node
 	dial call.DialFunc
 
 	dialing chan struct{} // semaphore: one caller dials at a time
@@ -57,13 +57,14 @@
 	return p.failedAt
 }
 
-// ForwardUserRequest sends a user's request to the node and returns its answer.
+// ForwardUserRequest sends a user's request to the node and returns its answer. It waits for at most
+// userTimeout. After an error it is unknown whether the node has handled the request.
 func (p *Peer) ForwardUserRequest(ctx context.Context, r Request) (Answer, error) {
 	return p.ask(ctx, userTimeout, "User", r)
 }
 
 // FetchRecoveredRecord asks the node for its copy of a record that can no longer be
-// decoded. See Handler.RecoverRecord for the answer.
+// decoded. It waits for at most recoveryTimeout. See Handler.RecoverRecord for the answer.
 func (p *Peer) FetchRecoveredRecord(ctx context.Context, r Request) (Answer, error) {
 	return p.ask(ctx, recoveryTimeout, "Recall", r)
 }
--- a/peerrpc/server.go
+++ b/peerrpc/server.go
@@ -34,11 +34,15 @@
 
 // Handler serves the requests of other nodes. Its methods are called concurrently.
 type Handler interface {
+	// HandleHeartbeat handles a worker's heartbeat and returns the answer for the worker.
 	HandleHeartbeat(ctx context.Context, r Request) Answer
+	// HandleUserRequest handles a user's request and returns the answer for the user.
 	HandleUserRequest(ctx context.Context, r Request) Answer
 	// RecoverRecord returns this node's copy of a record that can no longer be decoded. The
 	// answer has status 200 and a jobstore.RecoveryCopy, or 404 if there is no copy.
 	RecoverRecord(ctx context.Context, r Request) Answer
+	// Status returns this node's status. r holds the capacity and the unreadable record of the
+	// node that asks.
 	Status(r Request) Status
 	// Overview returns this node's overview for operators, as JSON.
 	Overview() []byte
--- a/peerrpc/stream.go
+++ b/peerrpc/stream.go
@@ -34,8 +34,8 @@
 // heartbeats. The connection carries only heartbeats, so users' requests, which a Peer
 // sends, never queue behind them. A HeartbeatStream is safe for concurrent use.
 type HeartbeatStream struct {
-	Name string
-	addr string
+	Name string // of the node
+	addr string // host:port of the node
 	dial call.DialFunc
 
 	dialing  chan struct{} // semaphore: one caller dials at a time
--- a/wire/kvstore.go
+++ b/wire/kvstore.go
@@ -26,8 +26,8 @@
 	Version uint64 `msgpack:"mouture"`
 }
 
-// Op is one change of a transaction. Put names a key to write Value to, bound to Lease unless that is 0.
-// Delete names a key to delete. Exactly one of Put and Delete is set.
+// Op is one change of a transaction. Either Put or Delete is set. Put names a key that gets Value and is
+// bound to Lease, or to no lease if Lease is 0. Delete names a key to delete.
 type Op struct {
 	Put    string `msgpack:"set,omitempty"`
 	Value  any    `msgpack:"v,omitempty"`
@@ -43,7 +43,7 @@
 }
 
 // TxnAnswer answers a transaction. Revision is the store's revision. Failed lists the keys whose
-// conditions did not hold.
+// conditions did not hold. Error is the reason why the store rejected an invalid transaction.
 type TxnAnswer struct {
 	Revision uint64   `msgpack:"registre"`
 	Failed   []string `msgpack:"failed"`
@@ -66,8 +66,8 @@
 	Log      []Event `msgpack:"log"`
 }
 
-// Event is one change of a key. Either Put or Delete names the key. Version is the revision of the
-// change.
+// Event is one change of a key. Either Put or Delete names the key. Value is the new value after Put.
+// Version is the revision of the change.
 type Event struct {
 	Put     string `msgpack:"set"`
 	Delete  string `msgpack:"remove"`
--- a/wire/users.go
+++ b/wire/users.go
@@ -25,35 +25,35 @@
 	JobCancelled = "aborted"
 )
 
-// Job is the submission of a job: Tasks equal tasks. Resources and sizes hold for each task. Fields
-// that end in S are seconds, DeadlineS is nil for a job that has no deadline.
+// Job is the submission of a job with Tasks equal tasks. Resources and sizes are those of each task.
+// Fields that end in S are in seconds.
 type Job struct {
 	ID          string   `msgpack:"nameId"`
 	Class       string   `msgpack:"filiere"`
 	Team        string   `msgpack:"atelier"`
-	Kind        string   `msgpack:"facon"`
-	Priority    string   `msgpack:"rang"`
+	Kind        string   `msgpack:"facon"` // one of the Kind constants
+	Priority    string   `msgpack:"rang"`  // one of the Priority constants
 	Tasks       int      `msgpack:"pieces"`
 	CPUs        float64  `msgpack:"cpus"`
 	GPUs        float64  `msgpack:"gpus"`
 	MemoryGB    float64  `msgpack:"memoryGb"`
 	Image       string   `msgpack:"gabarit"`
-	ImageGB     float64  `msgpack:"pullGb"`
-	Types       []string `msgpack:"gammes"`
-	Zone        string   `msgpack:"halle,omitempty"`
-	OneZone     bool     `msgpack:"oneZone"`
-	Spread      bool     `msgpack:"apart"`
-	Spot        bool     `msgpack:"pretes"`
-	EstimateS   float64  `msgpack:"dureeS"`
-	CheckpointS float64  `msgpack:"jalonS"`
-	SaveS       float64  `msgpack:"sauvegardeS"`
-	DeadlineS   *float64 `msgpack:"echeanceS"`
+	ImageGB     float64  `msgpack:"pullGb"`          // size of Image
+	Types       []string `msgpack:"gammes"`          // allowed machine types; empty: all
+	Zone        string   `msgpack:"halle,omitempty"` // the only allowed zone; empty: all zones
+	OneZone     bool     `msgpack:"oneZone"`         // all tasks must run in the same zone
+	Spread      bool     `msgpack:"apart"`           // at most half of the tasks, rounded up, may run in one zone
+	Spot        bool     `msgpack:"pretes"`          // tasks may run on spot machines
+	EstimateS   float64  `msgpack:"dureeS"`          // expected run time of a task; 0: unknown
+	CheckpointS float64  `msgpack:"jalonS"`          // interval between checkpoints; 0: the tasks save none
+	SaveS       float64  `msgpack:"sauvegardeS"`     // time to save a checkpoint after a stop command
+	DeadlineS   *float64 `msgpack:"echeanceS"`       // after the acceptance; nil: no deadline
 }
 
 // JobStatus is the state of a job with its numbers of completed and running tasks, in answers to users.
 type JobStatus struct {
 	ID      string `msgpack:"nameId"`
-	State   string `msgpack:"etat"`
+	State   string `msgpack:"etat"` // one of the Job state constants
 	Done    int    `msgpack:"done"`
 	Running int    `msgpack:"running"`
 }
--- a/wire/workers.go
+++ b/wire/workers.go
@@ -30,8 +30,8 @@
 	Type       string       `msgpack:"gamme"`
 	Zone       string       `msgpack:"halle"`
 	Spot       bool         `msgpack:"pretes"`
-	AgentEpoch uint64       `msgpack:"quart"`
-	Seq        uint64       `msgpack:"numero"`
+	AgentEpoch uint64       `msgpack:"quart"`    // of the worker process; a heartbeat of a higher epoch is newer
+	Seq        uint64       `msgpack:"numero"`   // ascending number within the epoch
 	Token      uint64       `msgpack:"sceau"`    // the highest fencing token that the worker has seen
 	NoticeS    *float64     `msgpack:"preavisS"` // after an interruption notice: seconds until the machine is gone
 	Tasks      []TaskStatus `msgpack:"pieces"`
@@ -60,7 +60,7 @@
 	Op      string   `msgpack:"geste"`
 	Task    string   `msgpack:"piece"`
 	Attempt uint64   `msgpack:"essai"`
-	GraceS  *float64 `msgpack:"repitS,omitempty"`
+	GraceS  *float64 `msgpack:"repitS,omitempty"` // OpStop: seconds to save progress; nil: 0
 }
 
 // HeartbeatAnswer is the body of the leader's answer to a heartbeat, with status 200. Token is the
