--- a/cmd/umberdeal/json.go
+++ b/cmd/umberdeal/json.go
@@ -12,13 +12,17 @@
 	"time"
 )
 
-// maxAnswerBytes bounds the size of an answer that is read. The rest is ignored.
-const maxAnswerBytes = 64 << 20
+const (
+	// maxAnswerBytes bounds the size of an answer that is read. The rest is ignored.
+	maxAnswerBytes = 64 << 20
+	// operatorRequestTimeout bounds a request to a node's address for operators.
+	operatorRequestTimeout = 15 * time.Second
+)
 
 // getJSON requests path from a node's address for operators and decodes the answer into out. It decodes
 // the answer for any status, and returns the status.
 func getJSON(addr, path string, out any) (status int, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), 15*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), operatorRequestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
--- a/cmd/umberdeal/main.go
+++ b/cmd/umberdeal/main.go
@@ -127,9 +127,12 @@
 	Node string `required:"" placeholder:"HOST:PORT" help:"A controller node's address."`
 }
 
+// jobRequestTimeout bounds a request of a job command.
+const jobRequestTimeout = 10 * time.Second
+
 // do sends a request to the node and prints the answer as JSON. A status other than 2xx is an error.
 func (f *nodeFlag) do(method, path string, in any) error {
-	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	ctx, cancel := context.WithTimeout(context.Background(), jobRequestTimeout)
 	defer cancel()
 	status, body, err := call.Do(ctx, call.NewClient(call.Dialer(), 1, 1), method, "http://"+f.Node+path, in, wire.MaxBody)
 	if err != nil {
--- a/cmd/umberdeal/pools.go
+++ b/cmd/umberdeal/pools.go
@@ -121,9 +121,14 @@
 	fmt.Fprintf(w, "  cost\tall machines %s\n", costText(total.Micros, total.Ms))
 }
 
+const (
+	microsPerPriceUnit = 1e6
+	msPerHour          = 3.6e6
+)
+
 // costText formats a cost in millionths of the price unit for machine time in milliseconds.
 func costText(micros, ms int64) string {
-	return fmt.Sprintf("%.2f for %.1f machine hours", float64(micros)/1e6, float64(ms)/3.6e6)
+	return fmt.Sprintf("%.2f for %.1f machine hours", float64(micros)/microsPerPriceUnit, float64(ms)/msPerHour)
 }
 
 // printPoolMachines prints one row for each machine of the pool.
--- a/snapshot/reader.go
+++ b/snapshot/reader.go
@@ -1,3 +1,5 @@
+// Reading of snapshot files.
+
 package snapshot
 
 import (
@@ -31,7 +33,7 @@
 const maxDecoderMemory = 16 << 20
 
 // NewReader reads the header of the snapshot in r and returns a Reader for its entries. The error wraps
-// ErrCorrupt if r is no intact snapshot.
+// ErrCorrupt if r does not begin with an intact header. A different format version is another error.
 func NewReader(r io.Reader) (*Reader, error) {
 	decoder, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoderMemory))
 	if err != nil {
@@ -39,12 +41,12 @@
 	}
 	s := &Reader{r: bufio.NewReader(r), decoder: decoder, sum: xxhash.New(), offset: int64(len(magic))}
 	got := make([]byte, len(magic))
-	version := len(magic) - 1
-	if _, err := io.ReadFull(s.r, got); err != nil || string(got[:version]) != string(magic[:version]) {
+	versionOffset := len(magic) - 1
+	if _, err := io.ReadFull(s.r, got); err != nil || string(got[:versionOffset]) != string(magic[:versionOffset]) {
 		return nil, fmt.Errorf("%w: not a snapshot file", ErrCorrupt)
 	}
-	if got[version] != magic[version] {
-		return nil, fmt.Errorf("snapshot: the file has format version %d, this program reads version %d", got[version], magic[version])
+	if got[versionOffset] != magic[versionOffset] {
+		return nil, fmt.Errorf("snapshot: the file has format version %d, this program reads version %d", got[versionOffset], magic[versionOffset])
 	}
 	return s, s.readBlock(kindHeader, &s.Header)
 }
--- a/snapshot/writer.go
+++ b/snapshot/writer.go
@@ -1,3 +1,5 @@
+// Writing of snapshot files.
+
 package snapshot
 
 import (
