--- a/yarn/application.go
+++ b/yarn/application.go
@@ -46,20 +46,20 @@
 	Queue            string           `msgpack:"q"` // path of the queue
 	Type             string           `msgpack:"type"`
 	Tags             []string         `msgpack:"tags,omitempty"`
-	Priority         int32            `msgpack:"p"`
+	Priority         int32            `msgpack:"p"`  // in YARN's API
 	Unmanaged        bool             `msgpack:"um"` // the master runs outside the cluster
 	State            applicationState `msgpack:"st"`
 	EndState         applicationState `msgpack:"end,omitempty"` // final state; empty until the application ends
-	FinalStatus      int32            `msgpack:"fin"`
+	FinalStatus      int32            `msgpack:"fin"`           // a pb.FinalApplicationStatusProto
 	Diagnostics      string           `msgpack:"diag,omitempty"`
-	Attempt          int32            `msgpack:"a"`
-	MaxAttempts      int32            `msgpack:"max"`
+	Attempt          int32            `msgpack:"a"`           // number of the current attempt, from 1
+	MaxAttempts      int32            `msgpack:"max"`         // see keepMasterRunning
 	Host             string           `msgpack:"h,omitempty"` // Host, RPCPort and TrackingURL come from the master's registration
 	RPCPort          int32            `msgpack:"port,omitempty"`
 	TrackingURL      string           `msgpack:"url,omitempty"`
-	StartedMs        int64            `msgpack:"ms"`
-	FinishedMs       int64            `msgpack:"fms,omitempty"`
-	NextJobSeq       int              `msgpack:"s"`
+	StartedMs        int64            `msgpack:"ms"`              // Unix milliseconds
+	FinishedMs       int64            `msgpack:"fms,omitempty"`   // Unix milliseconds; 0 until the application ends
+	NextJobSeq       int              `msgpack:"s"`               // number of the next job, from 0
 	MasterJob        string           `msgpack:"am,omitempty"`    // job of the current master; empty if not launched or unmanaged
 	MasterContextKey string           `msgpack:"ctx,omitempty"`   // key of the master's launch context
 	MasterRequest    containerRequest `msgpack:"amask,omitempty"` // resources of the master's container
--- a/yarn/application_store.go
+++ b/yarn/application_store.go
@@ -183,7 +183,7 @@
 		Tasks:     tasks,
 		CPUs:      float64(r.VCores),
 		GPUs:      float64(r.GPUs),
-		MemoryGB:  float64(r.MemoryMB) / 1024,
+		MemoryGB:  float64(r.MemoryMB) / mbPerGB,
 		Image:     f.settings.Image,
 		ImageGB:   f.settings.ImageGB,
 		Types:     label.Types,
--- a/yarn/client/application_master.go
+++ b/yarn/client/application_master.go
@@ -287,7 +287,8 @@
 }
 
 // Start starts containers, all with the same launch context. It returns the error texts of the
-// containers that could not be started, by container number.
+// containers that could not be started, by container number. The error is set only if the call as
+// a whole has failed.
 func (m *ApplicationMaster) Start(ctx context.Context, launch *pb.ContainerLaunchContextProto, containers ...*pb.ContainerProto) (map[int64]string, error) {
 	in := &pb.StartContainersRequestProto{}
 	for _, c := range containers {
@@ -304,7 +305,7 @@
 	return failed, nil
 }
 
-// Stop stops containers.
+// Stop asks the service to stop containers. It does not report failures of single containers.
 func (m *ApplicationMaster) Stop(ctx context.Context, ids ...*pb.ContainerIdProto) error {
 	return m.nodeManager.call(ctx, "stopContainers", &pb.StopContainersRequestProto{ContainerId: ids}, &pb.StopContainersResponseProto{})
 }
--- a/yarn/client/failover.go
+++ b/yarn/client/failover.go
@@ -20,7 +20,7 @@
 type Config struct {
 	Addrs   []string // addresses of the nodes
 	Dial    wire.DialFunc
-	User    string
+	User    string        // name that the client states; the service does not authenticate it
 	Timeout time.Duration // timeout of one attempt at one node; 0 or less means defaultTimeout
 }
 
--- a/yarn/container_protocol.go
+++ b/yarn/container_protocol.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// startContainers stores the launch contexts of containers and marks the containers in the records
-// of their jobs as to be launched. The leader launches them with its next answer to the heartbeat
-// of the worker.
+// startContainers stores the launch contexts of containers and marks the containers for launch in
+// the records of their jobs. The leader sends the launch with its next answer to a heartbeat of
+// the worker.
 func (f *Frontend) startContainers(ctx context.Context, c *wire.Caller, in *pb.StartContainersRequestProto) (*pb.StartContainersResponseProto, error) {
 	snap, err := f.callerApplication(ctx, c, nodeToken)
 	if err != nil {
--- a/yarn/frontend.go
+++ b/yarn/frontend.go
@@ -158,8 +158,15 @@
 // of a record. Clients retry the call.
 var errRecordChanged = wire.Errorf(wire.ClassRetriable, "the record has changed meanwhile, come again")
 
-// maxTransactionAttempts is the number of attempts that retry makes.
-const maxTransactionAttempts = 6
+const (
+	// maxTransactionAttempts is the number of attempts that retry makes.
+	maxTransactionAttempts = 6
+	// minRetryPauseMs is the shortest pause between two attempts.
+	minRetryPauseMs = 20
+	// retryJitterMs is the range of the random addition to the first pause. It doubles with each
+	// attempt.
+	retryJitterMs = 40
+)
 
 // retry calls attempt until its transaction neither conflicts with a concurrent change nor has an
 // unknown outcome. It pauses for a random time that grows with each attempt. After
@@ -171,7 +178,7 @@
 		if err = attempt(); !isConflictOrUnknownOutcome(err) {
 			return err
 		}
-		if !call.Pause(ctx, time.Duration(20+rand.IntN(40<<try))*time.Millisecond) {
+		if !call.Pause(ctx, time.Duration(minRetryPauseMs+rand.IntN(retryJitterMs<<try))*time.Millisecond) {
 			break
 		}
 	}
--- a/yarn/keyring_store.go
+++ b/yarn/keyring_store.go
@@ -39,10 +39,14 @@
 	repairedIDOffset = 1 << 20
 )
 
+// keyringReadAttempts is the number of times that readKeyring reads the record. It reads the record
+// again after it has created or repaired it.
+const keyringReadAttempts = 3
+
 // readKeyring reads the keyring and its version from the store. It creates the record if it is
 // missing and repairs it if it is unreadable.
 func (f *Frontend) readKeyring(ctx context.Context) (keyring, uint64, error) {
-	for range 3 {
+	for range keyringReadAttempts {
 		e, err := f.store.Get(ctx, keysKey)
 		if err != nil {
 			return keyring{}, 0, err
--- a/yarn/managed_master.go
+++ b/yarn/managed_master.go
@@ -56,8 +56,9 @@
 
 // launchMaster reserves the job of a managed application's master. The job is launched as soon as
 // it is placed. Before the reservation, launchMaster cancels all unfinished jobs of the
-// application. While MasterJob is empty, they belong to the previous attempt, also if the
-// controller that began the current attempt has crashed.
+// application. All of them belong to the previous attempt, because the current attempt has no jobs
+// as long as MasterJob is empty. This holds even if the controller that began the current attempt
+// has crashed.
 func (f *Frontend) launchMaster(ctx context.Context, id *pb.ApplicationIdProto) error {
 	return retry(ctx, func() error {
 		snap, err := f.readApplication(ctx, id)
--- a/yarn/request.go
+++ b/yarn/request.go
@@ -31,8 +31,12 @@
 	OnlyMachines        []string `msgpack:"-"` // if not empty, the only machines to use
 }
 
-// tagSeparator separates the fields of a tag.
-const tagSeparator = "|"
+const (
+	// tagSeparator separates the fields of a tag.
+	tagSeparator = "|"
+	// tagFields is the number of fields of a tag.
+	tagFields = 9
+)
 
 // tag returns the encoding of a request for the record of its job (jobstore.Reservation.Tag),
 // without OnlyMachines. Requests for the same kind of container have the same tag.
@@ -44,7 +48,7 @@
 // parseTag parses the result of tag. A tag with a wrong number of fields yields a zero request.
 func parseTag(tag string) (r containerRequest) {
 	fields := strings.Split(tag, tagSeparator)
-	if len(fields) != 9 {
+	if len(fields) != tagFields {
 		return r
 	}
 	_, _ = fmt.Sscan(fields[0], &r.Priority) // valid, since tag encoded it
@@ -138,9 +142,12 @@
 	return out
 }
 
+// mbPerGB converts between the units of memory in YARN's API (MB) and in native jobs (GB).
+const mbPerGB = 1024
+
 // capabilityOf converts a size from native units. Fractions of MB, cores and GPUs are cut off.
 func capabilityOf(cpus, gpus, memoryGB float64) capability {
-	return capability{memoryMB: int64(memoryGB * 1024), vcores: int32(cpus), gpus: int64(gpus)}
+	return capability{memoryMB: int64(memoryGB * mbPerGB), vcores: int32(cpus), gpus: int64(gpus)}
 }
 
 // maximumCapability returns the maximum of each resource over all machine types. No single machine
--- a/yarn/rest_cluster.go
+++ b/yarn/rest_cluster.go
@@ -67,9 +67,9 @@
 	metrics["allocatedVirtualCores"] = usedCPUs
 	metrics["totalVirtualCores"] = totalCPUs
 	metrics["availableVirtualCores"] = totalCPUs - usedCPUs
-	metrics["allocatedMB"] = usedGB * 1024
-	metrics["totalMB"] = totalGB * 1024
-	metrics["availableMB"] = (totalGB - usedGB) * 1024
+	metrics["allocatedMB"] = usedGB * mbPerGB
+	metrics["totalMB"] = totalGB * mbPerGB
+	metrics["availableMB"] = (totalGB - usedGB) * mbPerGB
 }
 
 func addApplicationMetrics(metrics jsonObject, apps []*pb.ApplicationReportProto) {
--- a/yarn/wire/errors.go
+++ b/yarn/wire/errors.go
@@ -39,6 +39,7 @@
 	Text  string
 }
 
+// Error returns the class and the text.
 func (e *Error) Error() string { return string(e.Class) + ": " + e.Text }
 
 // Errorf returns an *Error with a formatted text.
--- a/yarn/wire/sasl.go
+++ b/yarn/wire/sasl.go
@@ -34,9 +34,12 @@
 // ErrAuth is the error of a failed authentication.
 var ErrAuth = errors.New("yarn: not authenticated")
 
-// newNonce returns a random nonce. The server creates nonce with it, and the client cnonce.
+const nonceBytes = 24
+
+// newNonce returns nonceBytes random bytes in base64. The server uses it for its nonce, and the client
+// for its cnonce.
 func newNonce() (string, error) {
-	b := make([]byte, 24)
+	b := make([]byte, nonceBytes)
 	if _, err := rand.Read(b); err != nil {
 		return "", fmt.Errorf("yarn: %w", err)
 	}
--- a/yarn/wire/server.go
+++ b/yarn/wire/server.go
@@ -108,8 +108,8 @@
 const acceptRetryDelay = 50 * time.Millisecond
 
 // Serve accepts and serves connections until ctx ends. Then it closes the listener and all
-// connections, waits for them and returns nil. It returns an error if the listener is closed by
-// someone else.
+// connections, waits for them and returns nil. It returns an error if the listener is closed before
+// ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	s.setDefaults()
 	stop := context.AfterFunc(ctx, func() { l.Close() })
