--- a/config/config.go
+++ b/config/config.go
@@ -17,11 +17,11 @@
 // Settings is the content of the platform's file. Unknown fields are ignored because the platform
 // may be newer than this program.
 type Settings struct {
-	Node       string   `toml:"node_name"`
-	Zone       string   `toml:"location"`
-	Bind       string   `toml:"bind"`
-	PeerListen string   `toml:"mesh_addr"`
-	Peers      []Peer   `toml:"siblings"`
+	Node       string   `toml:"node_name"` // name of this node
+	Zone       string   `toml:"location"`  // zone of this node
+	Bind       string   `toml:"bind"`      // host:port at which this node serves users and workers
+	PeerListen string   `toml:"mesh_addr"` // host:port at which this node serves other nodes
+	Peers      []Peer   `toml:"siblings"`  // the other nodes of the deployment
 	Services   Services `toml:"services"`
 	Cluster    Cluster  `toml:"cluster"`
 }
@@ -30,7 +30,7 @@
 type Peer struct {
 	Name string `toml:"node_name"`
 	Zone string `toml:"location"`
-	Addr string `toml:"addr"`
+	Addr string `toml:"addr"` // host:port at which that node serves other nodes
 }
 
 // Services holds the addresses (host:port) of the cloud's API and of the key-value store (State).
@@ -42,7 +42,7 @@
 // Cluster describes the deployment: its size, zones, teams and objectives, and the timeouts and limits
 // that apply to it. SkewMs is the clock skew in milliseconds.
 type Cluster struct {
-	Size       int         `toml:"size"`
+	Size       int         `toml:"size"` // number of controller nodes
 	Zones      []string    `toml:"zones"`
 	SkewMs     float64     `toml:"skew_ms"`
 	Teams      []Team      `toml:"teams"`
