--- a/cluster/gpu_machines_test.go
+++ b/cluster/gpu_machines_test.go
@@ -8,9 +8,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Tasks without GPUs leave the GPU machines to tasks that wait for GPUs. Those of a class
-// without an objective once filled all other machines, so that everybody else's took the GPU
-// machines while thousands of tasks waited for GPUs.
+// Tasks without GPUs must leave the GPU machines to tasks that wait for GPUs. Otherwise tasks of a
+// class without an objective fill all other machines, and the remaining tasks without GPUs take the
+// GPU machines while thousands of tasks wait for GPUs.
 func TestTasksWithoutGPUsAvoidGPUMachinesThatOthersWaitFor(t *testing.T) {
 	m := newModel(5)
 	m.SetMachineTypes([]wire.MachineType{
@@ -24,28 +24,28 @@
 			CPUs: 4, GPUs: gpus, Image: "i", EstimateS: 100}}, 1, at(1))
 	}
 	put("wk-000001", 0, 8)
-	put("wk-000002", 1, 4) // two of them wait
+	put("wk-000002", 1, 4) // two of them have to wait
 	m.Schedule(at(2), 0)
 	for ref := range m.machineNamed("h-gpu").Tasks {
 		if m.Jobs[ref.Job].Need.GPU == 0 {
-			t.Error("a task without GPUs took the place of one that waits for them")
+			t.Error("a task without GPUs is placed on the machine with GPUs while another task waits for GPUs")
 		}
 	}
 	if n := len(m.machineNamed("h-plain").Tasks); n != 2 {
-		t.Errorf("%d tasks on the machine without GPUs", n)
+		t.Errorf("got %d tasks on the machine without GPUs, want 2", n)
 	}
 }
 
-// Tasks that need no GPU and have no objective on the wait avoid machines with GPUs while other
-// jobs wait for GPUs: they would occupy the CPUs beside the GPUs.
+// Tasks that need no GPU and have no objective on the wait must avoid machines with GPUs while other
+// jobs wait for GPUs. Otherwise they occupy the CPUs of these machines.
 func TestJobWithoutGPUsAvoidsGPUMachinesWhileGPUJobsWait(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		kind    config.ObjectiveKind // of the objective on the class without GPUs
-		gpus    float64
-		waiting string // priority of the work with GPUs
-		limit   float64
-		keeps   bool
+		name           string
+		kind           config.ObjectiveKind // of the objective on the class without GPUs
+		gpusNeeded     float64              // by the waiting job
+		gpuJobPriority string               // priority of the waiting job
+		gpuLimit       float64              // of the team
+		wantAvoided    bool
 	}{
 		{"others wait", "deadline", 1, wire.PriorityNormal, 0, true},
 		{"others of a higher priority wait", "deadline", 1, wire.PriorityHigh, 0, true},
@@ -56,7 +56,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newModel(5)
-			m.teams[0].Max.GPU = c.limit
+			m.teams[0].Max.GPU = c.gpuLimit
 			m.settings.Cluster.Objectives = []config.Objective{{Kind: c.kind, Class: "small", WithinS: 40, Share: 0.9}, {Kind: "finished", Class: "c", WithinS: 150, Share: 0.9}}
 			m.SetMachineTypes([]wire.MachineType{
 				{Name: "m", CPUs: 8, GPUs: 2, MemoryGB: 64, CacheGB: 50, FetchGBPS: 1, BootS: 30, ZonesNamed: []string{"a"}},
@@ -65,12 +65,12 @@
 			small.Job.Class, small.Job.DeadlineS = "small", &deadline
 			m.ApplyJobRecord(small.Job.ID, small, 1, at(0))
 			other := arrayJob("wk-000002", 1)
-			other.Job.GPUs, other.Job.Priority = c.gpus, c.waiting
+			other.Job.GPUs, other.Job.Priority = c.gpusNeeded, c.gpuJobPriority
 			m.ApplyJobRecord(other.Job.ID, other, 1, at(0))
 			jobs := m.openJobs()
-			for _, k := range m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), at(1)) {
-				if k.job.Spec.Class == "small" && k.req.Types[m.names.machineTypes["m"]] == c.keeps {
-					t.Errorf("may go to a machine with GPUs: %t", !c.keeps)
+			for _, entry := range m.buildQueue(jobs, m.jobsWithinGuarantee(jobs), at(1)) {
+				if entry.job.Spec.Class == "small" && entry.req.Types[m.names.machineTypes["m"]] == c.wantAvoided {
+					t.Errorf("small job may use machines with GPUs: got %t, want %t", c.wantAvoided, !c.wantAvoided)
 				}
 			}
 		})
--- a/cluster/queue.go
+++ b/cluster/queue.go
@@ -1,3 +1,6 @@
+// Builds the queue of a scheduling pass: the requests of all waiting jobs in the order in which
+// they are served.
+
 package cluster
 
 import (
@@ -7,48 +10,49 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// This file builds the queue of a scheduling pass: the requests of all waiting jobs, in the
-// order in which they are served.
-
 const (
-	maxRequestTasks = 64  // of one job in one pass
-	maxRequests     = 400 // in one pass, apart from those that truncateQueue keeps and those of faulty jobs
-	// noObjectiveDue is how long from now a job is due that has no objective left. It lies
-	// beyond the due times of nearly all jobs that have one.
-	noObjectiveDue = time.Hour
+	maxRequestTasks = 64 // tasks of one job that one pass requests
+	// maxRequests is the length to which truncateQueue cuts the queue of a pass. Requests that
+	// are due to start and requests of faulty jobs may exceed it.
+	maxRequests = 400
+	// noObjectiveDueIn is the time from now until a job without any remaining objective is due.
+	// Nearly all jobs with an objective are due earlier.
+	noObjectiveDueIn = time.Hour
 )
 
-// queued is a job in the queue of a scheduling pass, with what determines its position. It
-// lives for one pass; what outlasts the pass is kept in the job (triageVerdict, startState).
-type queued struct {
+// queueEntry is a job's request in the queue of a scheduling pass, with the properties that
+// determine its position. A job has several entries if its request was split. An entry exists
+// for one pass only. State that outlasts the pass is kept in the job (triageVerdict, startState).
+type queueEntry struct {
 	job             *Job
 	withinGuarantee bool
-	due             time.Time   // latest start for the objective that it is served for
-	laterDue        []time.Time // latest starts for its later objectives, earliest first
-	missed          bool        // it can meet none of its objectives
-	deferred        bool        // triage has removed it from an objective that it could meet
-	mustStart       bool        // the starvation bound lets it precede the objectives of its priority
-	runSeconds      float64     // expected, of the longest of its waiting tasks
-	totalWork       float64     // remainingWork
+	due             time.Time   // latest start that meets the objective it is served for
+	laterDue        []time.Time // latest starts that meet its later objectives, earliest first
+	missed          bool        // the job can meet none of its objectives
+	deferred        bool        // triage has given up an objective that the job could meet
+	mustStart       bool        // the starvation bound puts it ahead of the objectives of its priority
+	runSeconds      float64     // expected run time of the longest of its waiting tasks
+	totalWork       float64     // result of remainingWork, in seconds
 	req             placement.Request
 
 	windowRank
 }
 
-// nextObjective makes the job due for the next of its later objectives.
-func (k *queued) nextObjective(now time.Time) {
-	if len(k.laterDue) == 0 {
-		k.due = now.Add(noObjectiveDue)
+// nextObjective makes the job due for its next objective. Without one it is due after
+// noObjectiveDueIn.
+func (entry *queueEntry) nextObjective(now time.Time) {
+	if len(entry.laterDue) == 0 {
+		entry.due = now.Add(noObjectiveDueIn)
 		return
 	}
-	k.due, k.laterDue = k.laterDue[0], k.laterDue[1:]
+	entry.due, entry.laterDue = entry.laterDue[0], entry.laterDue[1:]
 }
 
-// openJobs lists the jobs that have unfinished tasks and may be scheduled, in the order in
-// which they were accepted.
+// openJobs returns the jobs that have unfinished tasks and may be scheduled, in the order of
+// their acceptance.
 func (m *Model) openJobs() []*Job {
-	// Over a leadership far more jobs come and go than are in the model at once, so the
-	// indexes of those that have left it are dropped here.
+	// Far more jobs pass through the model during a leadership than it holds at once, so the
+	// indexes of removed jobs are dropped here.
 	live := m.openIndexes[:0]
 	for _, idx := range m.openIndexes {
 		if m.Jobs[idx] != nil {
@@ -66,25 +70,25 @@
 	return jobs
 }
 
-// buildQueue returns the queue: the requests of the waiting jobs, in the order in which they
-// are served. Jobs that fail wherever they run are at its end. It updates the state of triage
-// and of the starvation bound, so that Explain, which calls it too, is for models that no
-// leader uses.
-func (m *Model) buildQueue(jobs []*Job, withinGuarantee map[int32]bool, now time.Time) []*queued {
+// buildQueue returns the requests of the waiting jobs in the order in which they are served.
+// Jobs that fail wherever they run come last. withinGuarantee holds the indexes of the jobs
+// within their team's guaranteed quota. buildQueue updates the state of triage and of the
+// starvation bound. Explain calls it too and is therefore only for models that no leader uses.
+func (m *Model) buildQueue(jobs []*Job, withinGuarantee map[int32]bool, now time.Time) []*queueEntry {
 	m.classes.countOpenTasks(jobs)
-	var queue, faulty []*queued
+	var queue, faulty []*queueEntry
 	for _, j := range jobs {
 		r, ok := m.buildRequest(j, now)
 		if !ok {
 			continue
 		}
 		if j.failures.atFault() {
-			faulty = append(faulty, newFaultyQueued(j, r, now))
+			faulty = append(faulty, newFaultyEntry(j, r, now))
 			continue
 		}
-		k := &queued{job: j, withinGuarantee: withinGuarantee[j.Index], req: r}
-		m.rankByObjectives(k, now)
-		queue = append(queue, k)
+		entry := &queueEntry{job: j, withinGuarantee: withinGuarantee[j.Index], req: r}
+		m.rankByObjectives(entry, now)
+		queue = append(queue, entry)
 	}
 	sort.SliceStable(queue, func(a, b int) bool { return queue[a].precedes(queue[b]) })
 	m.runTriage(queue, now)
@@ -96,46 +100,46 @@
 	return append(queue, faulty...)
 }
 
-// newFaultyQueued queues a job that fails wherever it runs. It gets free resources only:
-// nothing is reserved, preempted or rented for it, and no image is fetched for it before
-// those of healthy work.
-func newFaultyQueued(j *Job, r placement.Request, now time.Time) *queued {
-	k := &queued{job: j, missed: true, req: r}
-	k.req.FreeCapacityOnly = true
-	k.nextObjective(now)
-	return k
+// newFaultyEntry returns the queue entry of a job that fails wherever it runs. The job gets free
+// resources only: nothing is reserved, preempted or rented for it, and images of healthy jobs
+// are fetched before its own.
+func newFaultyEntry(j *Job, r placement.Request, now time.Time) *queueEntry {
+	entry := &queueEntry{job: j, missed: true, req: r}
+	entry.req.FreeCapacityOnly = true
+	entry.nextObjective(now)
+	return entry
 }
 
-// rankByObjectives determines by when a queued job must start, and whether resources are held
-// for it.
-func (m *Model) rankByObjectives(k *queued, now time.Time) {
-	j := k.job
+// rankByObjectives determines the time by which a queued job must start, and whether resources
+// are held for it.
+func (m *Model) rankByObjectives(entry *queueEntry, now time.Time) {
+	j := entry.job
 	estimate := m.expectedRunTime(j)
-	for _, t := range k.req.Tasks {
-		k.runSeconds = max(k.runSeconds, remainingOf(estimate, &j.Tasks[t]))
+	for _, t := range entry.req.Tasks {
+		entry.runSeconds = max(entry.runSeconds, remainingOf(estimate, &j.Tasks[t]))
 	}
-	deadlines := m.latestStarts(k, now)
-	k.laterDue, k.missed = deadlines.latest, deadlines.allMissed()
-	k.nextObjective(now)
-	m.applyWindowDeadline(k)
-	k.req.WithinGuarantee = k.withinGuarantee
-	k.req.Hold = deadlines.waitIsNext() && m.hasCompetitors(j) || m.outranksCompetitors(j)
+	deadlines := m.latestStarts(entry, now)
+	entry.laterDue, entry.missed = deadlines.latest, deadlines.allMissed()
+	entry.nextObjective(now)
+	m.applyWindowDeadline(entry)
+	entry.req.WithinGuarantee = entry.withinGuarantee
+	entry.req.Hold = deadlines.waitIsNext() && m.hasCompetitors(j) || m.outranksCompetitors(j)
 }
 
-// precedes reports whether k is served before o, before triage and the starvation bound have
-// changed the order.
-func (k *queued) precedes(o *queued) bool {
+// precedes reports whether the entry is served before another one. Triage and the starvation
+// bound change this order afterwards.
+func (entry *queueEntry) precedes(other *queueEntry) bool {
 	switch {
-	case k.withinGuarantee != o.withinGuarantee:
-		return k.withinGuarantee
-	case k.job.priority != o.job.priority:
-		return k.job.priority < o.job.priority
-	case k.req.Tier != o.req.Tier:
-		return k.req.Tier < o.req.Tier
-	case k.inWindow || o.inWindow:
-		return lessByWindow(k, o)
-	case k.missed != o.missed:
-		return o.missed
+	case entry.withinGuarantee != other.withinGuarantee:
+		return entry.withinGuarantee
+	case entry.job.priority != other.job.priority:
+		return entry.job.priority < other.job.priority
+	case entry.req.Tier != other.req.Tier:
+		return entry.req.Tier < other.req.Tier
+	case entry.inWindow || other.inWindow:
+		return lessByWindow(entry, other)
+	case entry.missed != other.missed:
+		return other.missed
 	}
-	return k.due.Before(o.due)
+	return entry.due.Before(other.due)
 }
--- a/cluster/starvation_queue.go
+++ b/cluster/starvation_queue.go
@@ -1,3 +1,6 @@
+// Moves jobs that must start now, by the starvation bound, forward in the queue of a scheduling
+// pass.
+
 package cluster
 
 import (
@@ -6,18 +9,15 @@
 	"time"
 )
 
-// This file moves jobs that must start now, by the starvation bound, forward in the
-// queue of a scheduling pass.
-
 // prioritizeMustStart moves the jobs that must start now to the front of their priority,
-// behind those that the completion floor protects. Of an array only the first task moves; the
-// others keep their position.
-func (m *Model) prioritizeMustStart(queue []*queued, now time.Time) []*queued {
+// behind those that the completion floor protects. Only the first task of an array moves. Its
+// other tasks keep their position.
+func (m *Model) prioritizeMustStart(queue []*queueEntry, now time.Time) []*queueEntry {
 	if m.StarvationBound <= 0 {
 		return queue
 	}
 	promoted := 0
-	var out []*queued
+	var out []*queueEntry
 	for lo := 0; lo < len(queue); {
 		hi := lo + 1
 		for hi < len(queue) && queue[hi].withinGuarantee == queue[lo].withinGuarantee && queue[hi].job.priority == queue[lo].job.priority {
@@ -28,32 +28,31 @@
 		out = split.appendTo(out)
 		lo = hi
 	}
-	return m.promoteLastCalls(out, now)
+	return m.escalateNearBound(out, now)
 }
 
-// mustStartSplit is the queue of one priority, split by what the starvation bound and the
-// completion floor demand.
+// mustStartSplit is the queue of one priority, split by the demands of the starvation bound and
+// the completion floor.
 type mustStartSplit struct {
-	mustFinish []*queued // protected by the completion floor
-	mustStart  []*queued // what of a job must start now
-	others     []*queued
+	mustFinish []*queueEntry // protected by the completion floor
+	mustStart  []*queueEntry // the tasks of each job that must start now
+	others     []*queueEntry
 }
 
-// splitMustStart splits the queue of one priority. At most the given number of jobs are taken
-// as such that must start.
-func splitMustStart(group []*queued, limit int) mustStartSplit {
+// splitMustStart splits the queue of one priority. At most limit jobs go into mustStart.
+func splitMustStart(group []*queueEntry, limit int) mustStartSplit {
 	var s mustStartSplit
-	for _, k := range group {
+	for _, entry := range group {
 		rest := &s.others
-		if k.job.start.mustFinish {
-			k.req.StartDue = true
+		if entry.job.start.mustFinish {
+			entry.req.StartDue = true
 			rest = &s.mustFinish
 		}
-		if !k.job.start.mustStart || k.job.placesToStart() == 0 || len(s.mustStart) >= limit {
-			*rest = append(*rest, k)
+		if !entry.job.start.mustStart || entry.job.placesToStart() == 0 || len(s.mustStart) >= limit {
+			*rest = append(*rest, entry)
 			continue
 		}
-		head, tail := k.splitFirstStart()
+		head, tail := entry.splitFirstStart()
 		s.mustStart = append(s.mustStart, head)
 		if tail != nil {
 			*rest = append(*rest, tail)
@@ -62,29 +61,30 @@
 	return s
 }
 
-// splitFirstStart splits off what must be placed for a job to start: all tasks of a gang, the
-// first task of an array. Resources are held for it. The tail is nil if nothing is left.
-func (k *queued) splitFirstStart() (head, tail *queued) {
-	first := *k
+// splitFirstStart splits off the tasks that must be placed for a job to start: all tasks of a
+// gang, or the first task of an array. Resources are held for them. The tail is nil if no task
+// is left, or if the other tasks wait for the next pass.
+func (entry *queueEntry) splitFirstStart() (head, tail *queueEntry) {
+	first := *entry
 	first.mustStart, first.req.StartDue = true, true
 	first.req.Hold, first.req.HoldSeconds = true, boundHoldSeconds
-	if k.job.Gang() {
+	if entry.job.Gang() {
 		return &first, nil
 	}
-	first.req.Tasks = k.req.Tasks[:1]
-	// The other tasks of a job with zone constraints wait for the next pass: two requests
-	// would be placed without regard to each other's zones.
-	if len(k.req.Tasks) == 1 || k.job.Spec.OneZone || k.job.Spec.Spread {
+	first.req.Tasks = entry.req.Tasks[:1]
+	// The other tasks of a job with zone constraints wait for the next pass, since placement
+	// would not coordinate the zones of two requests.
+	if len(entry.req.Tasks) == 1 || entry.job.Spec.OneZone || entry.job.Spec.Spread {
 		return &first, nil
 	}
-	others := *k
-	others.req.Tasks = k.req.Tasks[1:]
-	others.req.PlacedByZone = slices.Clone(k.req.PlacedByZone)
+	others := *entry
+	others.req.Tasks = entry.req.Tasks[1:]
+	others.req.PlacedByZone = slices.Clone(entry.req.PlacedByZone)
 	return &first, &others
 }
 
 // appendTo appends the queue of one priority in its new order.
-func (s *mustStartSplit) appendTo(queue []*queued) []*queued {
+func (s *mustStartSplit) appendTo(queue []*queueEntry) []*queueEntry {
 	sort.SliceStable(s.mustStart, func(a, b int) bool {
 		x, y := &s.mustStart[a].job.start, &s.mustStart[b].job.start
 		if x.infeasible != y.infeasible {
@@ -98,10 +98,10 @@
 	return append(append(append(queue, s.mustFinish...), s.mustStart...), s.others...)
 }
 
-// truncateQueue cuts the queue to the given length, from its end, but never drops requests
-// whose start is due: moved forward by the starvation bound, by the completion floor, or because
-// their tier's longest wait is over.
-func truncateQueue(queue []*queued, length int) []*queued {
+// truncateQueue cuts the queue from its end to the given length. It keeps all requests with
+// StartDue set, which the starvation bound, the completion floor or the longest wait of their tier
+// has moved forward, so the queue may stay longer.
+func truncateQueue(queue []*queueEntry, length int) []*queueEntry {
 	excess := len(queue) - length
 	if excess <= 0 {
 		return queue
@@ -115,32 +115,33 @@
 	return queue
 }
 
-// promoteLastCalls moves jobs that are about to miss the bound ahead of new starts of higher
-// priority, but behind all work within a quota. Nothing is preempted for them. Their number
-// is bounded to one place per lastCallMachines ready machines, or a single job, and includes
-// starts that are still protected.
-func (m *Model) promoteLastCalls(queue []*queued, now time.Time) []*queued {
-	beyondGuarantee := slices.IndexFunc(queue, func(k *queued) bool { return !k.withinGuarantee })
+// escalateNearBound moves jobs that are about to miss the bound ahead of new starts of higher
+// priority, but behind all work within a guaranteed quota. Nothing is preempted for them. They
+// may use one place per machinesPerEscalation ready machines, or run a single job. Starts that are
+// still protected count against that limit.
+func (m *Model) escalateNearBound(queue []*queueEntry, now time.Time) []*queueEntry {
+	beyondGuarantee := slices.IndexFunc(queue, func(entry *queueEntry) bool { return !entry.withinGuarantee })
 	if beyondGuarantee < 0 || queue[beyondGuarantee].job.priority == queue[len(queue)-1].job.priority {
 		return queue
 	}
 	highest := queue[beyondGuarantee].job.priority
-	places := m.lastCallPlaces(now)
-	var called, others []*queued
-	for _, k := range queue[beyondGuarantee:] {
-		tasks := len(k.req.Tasks)
-		if k.isLastCall(now) && k.job.priority > highest && places > 0 && (tasks <= places || len(called) == 0) {
+	places := m.escalationPlaces(now)
+	var escalated, others []*queueEntry
+	for _, entry := range queue[beyondGuarantee:] {
+		tasks := len(entry.req.Tasks)
+		if entry.needsEscalation(now) && entry.job.priority > highest && places > 0 && (tasks <= places || len(escalated) == 0) {
 			places -= tasks
-			called = append(called, k)
+			escalated = append(escalated, entry)
 		} else {
-			others = append(others, k)
+			others = append(others, entry)
 		}
 	}
-	return slices.Concat(queue[:beyondGuarantee], called, others)
+	return slices.Concat(queue[:beyondGuarantee], escalated, others)
 }
 
-// lastCallPlaces returns how many places last calls may take in this pass.
-func (m *Model) lastCallPlaces(now time.Time) int {
+// escalationPlaces returns how many places escalated jobs may take in this pass. The result may
+// be negative.
+func (m *Model) escalationPlaces(now time.Time) int {
 	ready, protected := 0, 0
 	for _, mc := range m.Machines {
 		if !m.Ready(mc, now) {
@@ -153,11 +154,11 @@
 			}
 		}
 	}
-	return max(1, ready/lastCallMachines) - protected
+	return max(1, ready/machinesPerEscalation) - protected
 }
 
-// isLastCall reports whether a request is about to miss the starvation bound.
-func (k *queued) isLastCall(now time.Time) bool {
-	start := &k.job.start
-	return k.mustStart && start.startBy.Sub(now) < lastCall+min(start.startDelay, boundHoldSeconds*time.Second)
+// needsEscalation reports whether a request is about to miss the starvation bound.
+func (entry *queueEntry) needsEscalation(now time.Time) bool {
+	start := &entry.job.start
+	return entry.mustStart && start.startBy.Sub(now) < escalationLead+min(start.startDelay, boundHoldSeconds*time.Second)
 }
