--- a/cluster/batch_window_test.go
+++ b/cluster/batch_window_test.go
@@ -40,6 +40,9 @@
 	return rec
 }
 
+// Within a priority, jobs of a batch window must precede all others, whichever were accepted first.
+// Among them, earlier deadlines must come first, and then longer jobs. Otherwise a batch window could
+// miss its deadline although there are enough machines.
 func TestQueueOrdersWindowJobsByDeadlineWithinPriority(t *testing.T) {
 	m := newModel(5)
 	applyPlan(t, m, 1, twoRegions, at(0))
@@ -236,8 +239,8 @@
 	}
 }
 
-// Each change that makes a forecast worth recording anew must be recorded as its cause: lost machines,
-// more jobs, a new plan, and another leader.
+// A reforecast must record the change that caused it: lost machines, more jobs, a new plan, or another
+// leader. Otherwise operators could not tell why a batch window came to be at risk.
 func TestReforecastsRecordTheirCause(t *testing.T) {
 	l := &leaderSequence{t: t, planRecords: map[string]wire.Raw{}, finalRecords: map[string]jobstore.JobRecord{}}
 	l.failover(5, at(0), twoRegions, windowJob("wk-000001", "tiles", 100, 10, 600))
@@ -255,7 +258,7 @@
 		t.Helper()
 		v := l.model.BatchWindows(at(400))[0]
 		if len(v.Windows) != 1 {
-			t.Fatalf("%+v", v)
+			t.Fatalf("brussels: got %+v, want one open batch window", v)
 		}
 		window := v.Windows[0]
 		last := window.Reforecasts[len(window.Reforecasts)-1]
@@ -273,13 +276,13 @@
 	}
 	sendHeartbeats(4, 100)
 	if c := l.model.BatchWindows(at(140))[0].Windows[0].Reforecasts; !strings.Contains(c[len(c)-1].Cause, "machines lost: 4 of 8") {
-		t.Errorf("%+v", c)
+		t.Errorf("reforecasts: got %+v, want the loss of 4 of 8 machines as the last cause", c)
 	}
 	more := windowJob("wk-000002", "tiles", 400, 200, 600)
 	l.model.ApplyJobRecord("wk-000002", more, 1, at(200))
 	sendHeartbeats(4, 200)
 	if f := l.model.BatchWindows(at(240))[0].Windows[0]; !strings.Contains(f.Reforecasts[len(f.Reforecasts)-1].Cause, "more came") || !f.Forecast.AtRisk || f.Forecast.Reason == "" {
-		t.Errorf("%+v", f)
+		t.Errorf("batch window: got %+v, want more jobs as the last cause, and a forecast at risk with a reason", f)
 	}
 	applyPlan(t, l.model, 2, strings.Replace(twoRegions, `thu = "08:00"`, `thu = "23:00"`, 1), at(250))
 	sendHeartbeats(4, 260)
@@ -322,7 +325,7 @@
 	}
 	v := l.model.BatchWindows(at(brusselsOpening + 600))
 	if v[1].Region != "tunis" || len(v[1].Windows)+len(v[1].Past) > 0 || v[1].NextOpeningMs != at(31*3600).UnixMilli() {
-		t.Errorf("%+v", v[1])
+		t.Errorf("region without jobs: got %+v, want tunis without batch windows and its next opening on the next day", v[1])
 	}
 }
 
--- a/cluster/bench_test.go
+++ b/cluster/bench_test.go
@@ -92,7 +92,7 @@
 func fullModel(machines, jobs int, name string) *Model {
 	m := overloadedModel(machines, jobs)
 	m.SetPlan(Plan{Plan: benchmarkPlans(m, machines)[name], Number: 1, HeadVersion: 1}, at(0))
-	for s := 1.0; s < 36; s++ { // until pools have joined machines
+	for s := 1.0; s < 36; s++ { // until machines have joined the pools
 		runPass(m, s)
 	}
 	return m
--- a/cluster/completion_floor_test.go
+++ b/cluster/completion_floor_test.go
@@ -9,8 +9,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Guards against a team whose jobs never complete. Under lasting overload triage always gives up its
-// large jobs, of which the completion floor must complete at least half.
+// Guards against a team whose jobs never complete. Under lasting overload triage would give up most
+// of the team's large jobs. The completion floor must complete at least half of them.
 func TestCompletionFloorCompletesHalfOfATeamsJobsUnderOverload(t *testing.T) {
 	scenario := func(bound time.Duration) (done, all int) {
 		s := newSimulatedCluster(t, 4, bound)
--- a/cluster/decisions_leader_test.go
+++ b/cluster/decisions_leader_test.go
@@ -1,4 +1,5 @@
-// Simulates the leader for decisions_test.go.
+// Drives the leader's model for decisions_test.go as a controller node does: takeovers, scheduling
+// passes, writes and direct commands.
 
 package cluster
 
@@ -55,7 +56,8 @@
 	d.watchEvents = d.watchEvents[:0]
 }
 
-// loadJobs loads the records of jobs and the placement pages.
+// loadJobs loads the records of jobs and the placement pages. each calls load for all keys with a
+// prefix, in order.
 func (d *driver) loadJobs(each func(prefix string, load func(key string, v storedValue)), now time.Time) {
 	var pages []AdmissionPage
 	each(jobstore.JobPrefix, func(key string, v storedValue) {
@@ -194,7 +196,8 @@
 	return d.commit(guards, ops) == nil
 }
 
-// startMoves commits the record of a rebalance cycle and starts its moves.
+// startMoves commits the record of a rebalance cycle and starts its moves. In a tenth of all cases
+// the moves are recorded and not started, as when the answer to the transaction is lost.
 func (d *driver) startMoves(group string, rec jobstore.RebalanceCycle) {
 	d.eventCounts["rebalancing move"] += len(rec.Moves)
 	if d.writeLeaderRecord(jobstore.RebalanceCyclePrefix+group, rec, d.model.RebalanceGuards()...) && !d.chance(10) {
@@ -203,7 +206,9 @@
 }
 
 // writeRecords commits batches until nothing is left to write, or a random limit of the step is
-// reached.
+// reached. Of 100 batches about 3 are refused, 4 conflict with the cancellation of one of their jobs,
+// and 3 are applied while the answer is lost. A batch that ends several jobs gets no fault, because its
+// repetition would depend on the iteration order of a map.
 func (d *driver) writeRecords() {
 	now := d.now()
 	for range 1 + d.rng.IntN(4) {
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -93,7 +93,7 @@
 	taskSeconds      map[string]float64 // run time of each task, by job
 	nextJob          int
 	scaleOutRecords  int
-	smallBatches     bool // a transaction has failed, and others may fail for the same reason
+	smallBatches     bool // limits batches to three changes after a failed or unanswered one; see writeRecords
 
 	workers         []*simWorker
 	byName          map[string]*simWorker
@@ -126,6 +126,8 @@
 	exitReason string  // if not "", the task exits for this reason instead of running
 }
 
+// newDriver returns a cluster of 14 machines with an elected leader. With odd seeds its store holds
+// the schema record of plans, which makes the leader hold stops until its plan is confirmed.
 func newDriver(t *testing.T, seed uint64) *driver {
 	t.Helper()
 	d := &driver{t: t, rng: rand.New(rand.NewPCG(seed, 7)), sum: xxhash.New(), eventCounts: map[string]int{}, store: map[string]storedValue{},
@@ -211,6 +213,7 @@
 	return failed
 }
 
+// write applies changes to the store as one revision, and queues them for the leader's watch.
 func (d *driver) write(ops ...wire.Op) {
 	d.revision++
 	for _, o := range ops {
--- a/cluster/model_test.go
+++ b/cluster/model_test.go
@@ -1,3 +1,6 @@
+// Tests how the model launches, loses, retries and moves tasks. The helpers at the top are shared by
+// the tests of the package.
+
 package cluster
 
 import (
@@ -10,10 +13,10 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// t0 is the election of the leader in tests.
+// t0 is the time at which the leader of most tests is elected.
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// at returns the time that many seconds after t0.
+// at returns t0 plus the given number of seconds.
 func at(seconds float64) time.Time { return t0.Add(config.Seconds(seconds)) }
 
 // newModel returns a model with zones a and b, team core and machine type m, which has room for four
@@ -103,14 +106,14 @@
 	if l, _, _ := countOps(answer(t, m, newHeartbeat(3, 5), at(3))); l != 1 {
 		t.Fatal("the task is not launched after the commit")
 	}
-	// The next heartbeat does not list the task, so that the answer with the launch was lost.
+	// The next heartbeat does not list the task. The answer with the launch was therefore lost.
 	if l, _, _ := countOps(answer(t, m, newHeartbeat(4, 5), at(4.5))); l != 1 {
 		t.Fatal("a lost launch is not repeated")
 	}
 }
 
-// After a failover, a heartbeat without the new leader's token does not list a task. An answer of
-// the earlier leader with the launch may still be on its way, so that the task must stay placed. A
+// After a failover, a heartbeat without the new leader's token does not list a task. The
+// earlier leader's answer with the launch may still be on its way, so the task must stay placed. A
 // heartbeat with the token proves that the task is gone.
 func TestHeartbeatWithoutLeadersTokenDoesNotProveTaskGone(t *testing.T) {
 	m := newModel(9)
