--- a/cluster/heartbeatretry_test.go
+++ b/cluster/heartbeatretry_test.go
@@ -49,15 +49,15 @@
 	if launches, _, forgets := countOps(m.AnswerHeartbeat(mc, next, at(4))); mc.unreachable() || launches != 2 || forgets != 1 {
 		t.Errorf("got unreachable %t, %d launches and %d forgets, want false, 2 and 1", mc.unreachable(), launches, forgets)
 	}
-	// The last heartbeat was answered once. Its launches are missing from the next one, so that the
-	// machine missed the answer.
+	// The last heartbeat was answered once. The next one lacks the launches of that answer, which
+	// proves that the machine missed it.
 	if answer(t, m, newHeartbeat(4, 5, exit), at(6)); !mc.unreachable() {
 		t.Error("the machine is reachable although it missed a launch")
 	}
 }
 
 // A heartbeat is answered twice, and the next one lacks the fencing token. Both answers carry the
-// token, so that the worker received neither, and the machine is unreachable.
+// token. The worker therefore received neither of them, and the machine must become unreachable.
 func TestMissingTokenAfterTwoAnswersMakesMachineUnreachable(t *testing.T) {
 	next := modelAfterFailover()
 	answer(t, next, newHeartbeat(3, 5), at(1))
--- a/cluster/placementpages_test.go
+++ b/cluster/placementpages_test.go
@@ -33,7 +33,7 @@
 
 // writeAll commits batches until there is nothing to write, and applies them to stored. It returns
 // the number of changes. It checks the limits of the key-value service: 12 changes, 48 conditions
-// and 64 KiB per transaction, and 16 KiB per value.
+// and 64 KiB per transaction, and 16 KiB per value. The values of a transaction may take 60 KiB.
 func writeAll(t *testing.T, m *Model, stored map[string]jobstore.PlacementPage) (changes int) {
 	t.Helper()
 	for rev := uint64(100); m.PendingWrites() > 0; rev++ {
@@ -140,8 +140,8 @@
 	}
 }
 
-// The placement records of finished jobs must be removed from their pages, and empty pages must be
-// deleted. Otherwise the pages would fill up.
+// The placement records of a finished job must be removed with the next change of their page, and
+// empty pages must be deleted. Otherwise the pages would fill up.
 func TestFinishedJobsLeavePlacementPages(t *testing.T) {
 	m, stored := modelWithPlacedJobs(t, 10, 4)
 	for _, j := range append([]*Job(nil), m.Jobs...) {
--- a/cluster/priority_tiers_test.go
+++ b/cluster/priority_tiers_test.go
@@ -90,7 +90,7 @@
 		}
 	}
 	if len(late) > 0 || stepsWithShare < 400 {
-		t.Errorf("jobs not started within the bound: got %v, want none; lessons had half their share in %d of 520 steps, want 400", late, stepsWithShare)
+		t.Errorf("jobs not started within the bound: got %v, want none; lessons had half their share in %d of 520 steps, want at least 400", late, stepsWithShare)
 	}
 }
 
--- a/cluster/reachability_test.go
+++ b/cluster/reachability_test.go
@@ -33,7 +33,7 @@
 	if !m.Ready(mc, at(8)) {
 		t.Error("the machine is not ready although it proved that it receives answers")
 	}
-	// The same exit is listed again, so that the machine missed the answer with the forget.
+	// The same exit is listed again. The machine therefore missed the answer with the forget.
 	answer(t, m, newHeartbeat(5, 5, probe), at(13))
 	if m.Ready(mc, at(13)) {
 		t.Error("the machine is ready although it missed the command to forget the probe")
@@ -117,8 +117,8 @@
 
 // The first heartbeat that a new leader receives from a machine may be a delayed copy. It lists a
 // gang's task as refused. The earlier leader may have launched the task again with the same attempt
-// number, so that it may be on the machine by now. The placement must stay until a heartbeat with
-// the token.
+// number, and the task may be on the machine by now. The placement must stay until a heartbeat with
+// the token arrives.
 func TestRefusedLaunchWithoutFencingTokenKeepsPlacement(t *testing.T) {
 	next := modelAfterFailover()
 	exit := wire.TaskStatus{Task: "wk-000001/0", Attempt: 1, State: wire.TaskExited, ExitReason: wire.ExitNoRoom}
--- a/cluster/runtimeestimate_test.go
+++ b/cluster/runtimeestimate_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Estimates must be corrected by the error of completed jobs. Without any, extreme estimates move
-// towards the mean.
+// Estimates must be corrected by the error of the estimates of completed jobs. As long as no job is
+// completed, extreme estimates must move towards the mean.
 func TestRunTimeEstimatesAreCorrectedByCompletedJobs(t *testing.T) {
 	var e runTimeEstimator
 	if got := e.expect(60); got != 60 {
--- a/cluster/startup_stragglers_test.go
+++ b/cluster/startup_stragglers_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// An array is complete when its slowest task is. If arrays start so late that an average task would
+// Guards against arrays that start too late. An array is complete when its slowest task is. If arrays start so late that an average task would
 // just be in time, most arrays with a dozen tasks are half a minute late.
 func TestSlowestTaskAndStartDelayAreLearned(t *testing.T) {
 	var s startupAndStragglerStats
--- a/cluster/starvation_test.go
+++ b/cluster/starvation_test.go
@@ -21,7 +21,7 @@
 		name                            string
 		machines, arrivalSeconds, tasks int
 		change                          func(j *wire.Job)
-		maxServed                       int  // tasks that may precede the objectives of others
+		maxServed                       int  // most tasks of the job that may be placed or done before the objectives of others
 		mayBeStopped                    bool // the job itself may be preempted
 	}{
 		{"a large array", 2, 8, 30, func(j *wire.Job) { d := 100.0; j.DeadlineS = &d }, 10, false},
--- a/cluster/stopcommands_test.go
+++ b/cluster/stopcommands_test.go
@@ -8,7 +8,7 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// An answer renews the lease of every task on the machine, so that it must carry all pending stops.
+// An answer renews the lease of every task on the machine, so it must carry all pending stops.
 // Stops were once left out of an answer because 300 forgets or other stops came before them. Tasks
 // of a cancelled job then kept running for another lease, and without end if no answer followed.
 func TestAnswerStopsAllTasksBeforeForgettingExits(t *testing.T) {
--- a/cluster/tier_scenario_test.go
+++ b/cluster/tier_scenario_test.go
@@ -39,6 +39,8 @@
 	until float64
 }
 
+// newFleetSimulation returns a simulation of a number of machines, which alternate between zones a
+// and b. policy may be nil.
 func newFleetSimulation(machines int, policy *priority.Policy) *fleetSimulation {
 	sim := &fleetSimulation{m: newModel(5), revision: 100, runSeconds: map[string]float64{}, startWaits: map[string]float64{}, acceptedAt: map[string]float64{}}
 	sim.m.setPriorityPolicy(policy)
@@ -48,6 +50,8 @@
 	return sim
 }
 
+// submit submits array job number n, changed by change, which may be nil. Each task runs for
+// runSeconds. It returns the job's id.
 func (sim *fleetSimulation) submit(n int, class string, tasks int, runSeconds float64, change func(*wire.Job)) string {
 	id := fmt.Sprintf("wk-%06d", n)
 	rec := arrayJob(id, tasks)
@@ -113,6 +117,8 @@
 	}
 }
 
+// sortCommands sorts commands by the names of their tasks. The model returns them in the iteration
+// order of a map.
 func sortCommands(cmds []wire.Command) {
 	slices.SortStableFunc(cmds, func(a, b wire.Command) int { return strings.Compare(a.Task, b.Task) })
 }
--- a/cluster/triage_simulation_test.go
+++ b/cluster/triage_simulation_test.go
@@ -8,8 +8,9 @@
 	"github.com/umberdeal/umberdeal/placement"
 )
 
-// A run that continues from a checkpoint must give the result of a full run, whichever jobs are
-// removed and inserted.
+// Triage simulates nearly the same list of jobs again and again. A run that continues from a
+// checkpoint must give the result of a full run, whichever jobs are removed and inserted. Otherwise
+// triage would give up other jobs than it has to.
 func TestSimulationFromACheckpointEqualsAFullSimulation(t *testing.T) {
 	m := overloadedModel(4, 60)
 	rnd := rand.New(rand.NewPCG(7, 7))
--- a/cluster/wakeup_test.go
+++ b/cluster/wakeup_test.go
@@ -6,8 +6,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// taskOnEachOfTwoMachines returns a model with a job of two tasks, placed on two machines. Only the
-// placement on the first machine is committed.
+// taskOnEachOfTwoMachines returns a model with a job of two tasks, placed on two machines with room
+// for one task each. Only the placement on the first machine is committed.
 func taskOnEachOfTwoMachines(t *testing.T) *Model {
 	t.Helper()
 	m := newModel(5)
--- a/cluster/warm_pools_test.go
+++ b/cluster/warm_pools_test.go
@@ -9,7 +9,7 @@
 	"github.com/umberdeal/umberdeal/warmpool"
 )
 
-// newPoolModel returns a model of crowded with three warm pools, which together want half of its
+// newPoolModel returns an overloadedModel with three warm pools, which together want half of its
 // machines.
 func newPoolModel(machines, jobs int) *Model {
 	m := overloadedModel(machines, jobs)
