--- a/cluster/batch_window_test.go
+++ b/cluster/batch_window_test.go
@@ -180,7 +180,7 @@
 		name                    string
 		endSecond               float64 // end of the last job
 		lossSecond              float64 // loss of the first leader
-		isCommitted             bool    // the first leader's last plan record
+		isCommitted             bool    // the first leader's last plan record is committed before the loss
 		wantResult              calendar.Result
 		wantLateMs              int64
 		wantCompleted, wantJobs int
--- a/cluster/decisions_test.go
+++ b/cluster/decisions_test.go
@@ -60,7 +60,7 @@
 		"plan record order", "batch window outcome", "held stop", "repeated heartbeat", "stale heartbeat", "lease expiry", "machine lost", "interruption", "worker misses answers", "start refused",
 		"reserved task", "gang", "admission page", "batch refused"} {
 		if eventCounts[event] == 0 {
-			t.Errorf("no event %q occurred", event)
+			t.Errorf("event %q: got none with any seed, want at least one, since the hashes do not cover it otherwise", event)
 		}
 	}
 }
--- a/cluster/failoverload_test.go
+++ b/cluster/failoverload_test.go
@@ -44,7 +44,7 @@
 			t.Error("writes are still pending after 20 batches")
 		}
 		if j := m.Job("wk-000001"); j != nil && (j.DoneTasks < 0 || j.DoneTasks > 4 || j.PlacedTasks < 0 || j.PlacedTasks > 4) {
-			t.Errorf("%d tasks done, %d placed, of a job with 4", j.DoneTasks, j.PlacedTasks)
+			t.Errorf("got %d tasks done and %d placed, want 0 to 4 of each for a job with 4 tasks", j.DoneTasks, j.PlacedTasks)
 		}
 	})
 }
--- a/cluster/failurehistory_test.go
+++ b/cluster/failurehistory_test.go
@@ -52,7 +52,7 @@
 	for now.Before(at(1200)) {
 		if j.requestableTasks(64, now) > 0 {
 			if tries > 2 && j.requestableTasks(64, now) > maxFaultProbes {
-				t.Fatalf("%d tasks of a job at fault are requested at a time", j.requestableTasks(64, now))
+				t.Fatalf("got %d tasks of a job at fault requested at a time, want at most maxFaultProbes", j.requestableTasks(64, now))
 			}
 			failTask(m, j.ID, int32(tries%50), fmt.Sprint("h", tries%7), now)
 			tries, lastTry = tries+1, now
@@ -60,7 +60,7 @@
 		now = now.Add(500 * time.Millisecond)
 	}
 	if tries > 20 || now.Sub(lastTry) > maxFaultBackoff+time.Second {
-		t.Errorf("%d tries in 20 minutes, the last one %v ago", tries, now.Sub(lastTry))
+		t.Errorf("got %d tries in 20 minutes, the last one %v ago, want at most 20 and the last one within maxFaultBackoff plus 1 s", tries, now.Sub(lastTry))
 	}
 	m.clearFault(j)
 	if j.requestableTasks(64, now) != 64 {
--- a/cluster/heartbeatretry_test.go
+++ b/cluster/heartbeatretry_test.go
@@ -23,7 +23,8 @@
 
 // Two copies of a heartbeat arrive. The answer to the first one carries the launches. The worker
 // accepts only the answer to the second one, which has no launches and only renews the lease. The
-// next heartbeat then lacks the launches. That must not make the machine unreachable.
+// next heartbeat then lacks the launches. This is no proof that the machine receives no answers, and
+// must not make it unreachable.
 func TestDuplicateOfNewestHeartbeatIsAnsweredWithoutNewCommands(t *testing.T) {
 	m := newModel(5)
 	m.ApplyJobRecord("wk-000001", arrayJob("wk-000001", 2), 1, at(0))
--- a/cluster/model_test.go
+++ b/cluster/model_test.go
@@ -132,7 +132,7 @@
 	}
 	m.Schedule(at(3), 0)
 	if task.Placement == nil || task.Placement.Attempt <= 3 {
-		t.Fatal("the next attempt number is not higher than the last one")
+		t.Fatal("the task is not placed again with an attempt number above 3")
 	}
 }
 
--- a/cluster/wakeup_test.go
+++ b/cluster/wakeup_test.go
@@ -91,7 +91,8 @@
 	}
 }
 
-// With wake-ups switched off, launched tasks must still leave the queue. It once grew without bound.
+// With wake-ups switched off, launched tasks must still leave the wake-up queue, which once grew
+// without bound.
 func TestLaunchedTasksLeaveWakeUpQueueWhenWakeUpsAreOff(t *testing.T) {
 	m := taskOnEachOfTwoMachines(t)
 	m.AnswerHeartbeat(m.ApplyHeartbeat(newHeartbeat(2, 5), at(1.5)), newHeartbeat(2, 5), at(1.5))
