--- a/cluster/wakeup_test.go
+++ b/cluster/wakeup_test.go
@@ -6,8 +6,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// taskOnEachOfTwoMachines returns a model with a job of two tasks, placed on two machines. Only the
-// placement on the first machine is committed.
+// taskOnEachOfTwoMachines returns a model with a job of two tasks, placed on two machines with room
+// for one task each. Only the placement on the first machine is committed.
 func taskOnEachOfTwoMachines(t *testing.T) *Model {
 	t.Helper()
 	m := newModel(5)
@@ -91,7 +91,8 @@
 	}
 }
 
-// With wake-ups switched off, launched tasks must still leave the queue. It once grew without bound.
+// With wake-ups switched off, launched tasks must still leave the wake-up queue, which once grew
+// without bound.
 func TestLaunchedTasksLeaveWakeUpQueueWhenWakeUpsAreOff(t *testing.T) {
 	m := taskOnEachOfTwoMachines(t)
 	m.AnswerHeartbeat(m.ApplyHeartbeat(newHeartbeat(2, 5), at(1.5)), newHeartbeat(2, 5), at(1.5))
