--- a/controller/batch_window_test.go
+++ b/controller/batch_window_test.go
@@ -23,10 +23,12 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// nightHours are the opening hours of a region. The batch window ends at 00:12 on Saturday.
+// nightHours are the opening hours of a region. The batch window ends at 00:12 on Saturday. Its
+// deadline is 00:10, since the margin is 120 s.
 const nightHours = `fri = "23:30", sat = "00:12", sun = "08:00"`
 
-// nightPlan has region here, to which jobs of class tiles belong, and region empty without jobs.
+// nightPlan has two regions. Jobs of class "tiles" belong to region "here". No job belongs to
+// region "empty".
 var nightPlan = plans.Region("here", nightHours, "00:00", 120, `class = "tiles"`) +
 	plans.Region("empty", nightHours, "00:00", 120, `class = "nobody's"`)
 
@@ -86,8 +88,8 @@
 }
 
 // runBatchWindow runs a batch window of 12 jobs with 24 tasks on four machines, beside 32 tasks of
-// day jobs of the same priority that were submitted before. injectFaults runs during the window. It
-// returns when the window's jobs were done, counted from midnight.
+// day jobs of the same priority that were submitted before. injectFaults runs during the window.
+// runBatchWindow returns the time from midnight until the window's jobs were done.
 func runBatchWindow(t *testing.T, injectFaults func(w *fake.Cluster)) (finish time.Duration) {
 	t.Helper()
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
@@ -119,7 +121,7 @@
 		}
 		o := awaitWindowOutcome(t, w)
 		if o.Result != calendar.ResultMet || o.Completed != 12 || o.Jobs != 12 {
-			t.Errorf("%+v", o)
+			t.Errorf("outcome %+v, want met with 12 of 12 jobs completed", o)
 		}
 		for i := range 4 {
 			mustReach(t, w, fmt.Sprintf("wk-%06d", 100+i), wire.JobDone, 10*time.Minute)
@@ -154,8 +156,8 @@
 }
 
 // The leader is paused across the opening, crashes before it, or nobody can write to the store. Two
-// leaders could record different outcomes then. The outcome must be decided once, by when the jobs
-// were complete and their completion was known.
+// leaders could record different outcomes then. The outcome must be decided only once. It depends
+// on when the jobs were complete and on when their completion was known.
 func TestWindowOutcomeIsDecidedOnceUnderFaults(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -233,7 +235,7 @@
 		mustSubmit(t, w, tileJob(1, 2, 60), tileJob(2, 1, 420))
 		sleepUntilClock("00:03:00")
 		if n := windowRecord(t, w, "here").Windows; len(n) != 1 || n[0].DeadlineMs%3600_000 != 600_000 || n[0].Forecast.AtRisk {
-			t.Fatalf("%+v", n)
+			t.Fatalf("windows are %+v, want one that is not at risk, with deadline 00:10", n)
 		}
 		applyPlan(t, w, 1, strings.ReplaceAll(nightPlan, "00:12", "00:09"))
 		killed := w.Leader()
@@ -241,7 +243,7 @@
 		sleepUntilClock("00:04:00")
 		n := windowRecord(t, w, "here").Windows
 		if len(n) != 1 || n[0].DeadlineMs%3600_000 != 420_000 || !n[0].Forecast.AtRisk {
-			t.Fatalf("%+v", n)
+			t.Fatalf("windows after the plan change are %+v, want one at risk, with deadline 00:07", n)
 		}
 		causes := ""
 		for _, r := range n[0].Reforecasts {
@@ -264,7 +266,7 @@
 			t.Error("the gauges don't show one open job and one window at risk")
 		}
 		if o := awaitWindowOutcome(t, w); o.Result != calendar.ResultLate || o.Completed != 2 || o.OpeningMs%3600_000 != 540_000 {
-			t.Errorf("%+v", o)
+			t.Errorf("outcome %+v, want late with 2 jobs completed and opening 00:09", o)
 		}
 	})
 }
@@ -300,7 +302,7 @@
 			t.Errorf("%d tasks of the day job were done before the window's jobs, want fewer than 12", w.FinishedTasks("wk-000100"))
 		}
 		if o := awaitWindowOutcome(t, w); o.Result != calendar.ResultMet || o.Completed != 6 {
-			t.Errorf("%+v", o)
+			t.Errorf("outcome %+v, want met with 6 jobs completed", o)
 		}
 	})
 }
@@ -347,7 +349,7 @@
 				}
 				if c.want == "" {
 					if rec := windowRecord(t, w, "here"); len(rec.Past) > 0 || len(rec.Windows) != 1 || rec.Windows[0].Date != "2000-04-25" || rec.Windows[0].Completed != 1 {
-						t.Errorf("%+v", rec)
+						t.Errorf("record %+v, want no outcome and one window, of 2000-04-25, with one job completed", rec)
 					}
 				} else if o := awaitWindowOutcome(t, w); o.Result != calendar.ResultMet || o.Completed != 1 || time.UnixMilli(o.OpeningMs).Format(time.RFC3339) != mustParseTime(t, c.want).Local().Format(time.RFC3339) {
 					t.Errorf("outcome %+v, opening at %v", o, time.UnixMilli(o.OpeningMs))
@@ -369,10 +371,9 @@
 	return at
 }
 
-// Day jobs of the same priority arrive all the time, and together with the window's jobs are
-// somewhat more than the machines can do. If the window's jobs get too little
-// priority, deadlines are missed. If they get too much, the day jobs starve. STORY_SEEDS sets the
-// number of seeds.
+// Day jobs of the same priority arrive all the time. Together with the window's jobs they need
+// somewhat more than the machines offer. If the window's jobs get too little priority, deadlines
+// are missed. If they get too much, the day jobs starve. STORY_SEEDS sets the number of seeds.
 func TestBatchDeadlinesAreMetBesideOtherJobs(t *testing.T) {
 	seeds := uint64(2)
 	if n, err := strconv.ParseUint(os.Getenv("STORY_SEEDS"), 10, 64); err == nil {
@@ -387,7 +388,7 @@
 			sum.finish += got.finish
 			sum.storeChanges += got.storeChanges
 		}
-		t.Logf("plan %v: %d of %d nights met, finished after %v on average; %d of %d day jobs begun within 240 s, the longest wait %v; %d changes (simulated)",
+		t.Logf("plan %v: %d of %d windows met, finished after %v on average; %d of %d day jobs begun within 240 s, the longest wait %v; %d changes in the store (simulated)",
 			text != "", sum.windowsMet, seeds, (sum.finish / time.Duration(seeds)).Round(time.Second), sum.begunInTime, sum.dayJobs, sum.longestWait.Round(time.Second), sum.storeChanges)
 		if text != "" && (sum.windowsMet < int(seeds) || 2*sum.begunInTime < sum.dayJobs) {
 			t.Errorf("with the plan, %d of %d windows met, want all; %d of %d day jobs begun in time, want half", sum.windowsMet, seeds, sum.begunInTime, sum.dayJobs)
@@ -481,8 +482,8 @@
 
 // runScaleOutAheadWindow runs a batch window with one job of that many tasks of a minute each. A
 // machine has room for eight of them and takes a minute to boot. One machine is there from the
-// start. It returns the outcome, how many machines were rented, and for how many seconds machines
-// were paid.
+// start. It returns the window's outcome, how many machines were rented, and the machine-seconds
+// that were paid for.
 func runScaleOutAheadWindow(t *testing.T, o fake.Options, tasks int, opens string, injectFaults func(w *fake.Cluster)) (out calendar.Outcome, rented, paid int) {
 	t.Helper()
 	big := fake.DefaultType
--- a/controller/bucket_owner_test.go
+++ b/controller/bucket_owner_test.go
@@ -105,15 +105,16 @@
 }
 
 // checkWritersAfterPause pauses a node for two seconds while jobs are submitted. From one second to
-// 2.5 s after the pause, before those three seconds are over, at least three quarters of the
-// transactions for each page must come from one node. It returns the number of pages with
-// transactions.
+// 2.5 s after the pause, at least three quarters of the transactions for each page must come from
+// one node. Other nodes would write to the paused node's pages in this period if they treated it as
+// failed for three seconds after its last missing answer. checkWritersAfterPause returns the number
+// of pages with transactions.
 func checkWritersAfterPause(t *testing.T, w *fake.Cluster, writers *pageWriters, paused int) int {
 	t.Helper()
 	const burst, interval = 40, 200 * time.Millisecond
-	// Other nodes than the owner may send one of this many transactions. While a head page is
-	// closed, every node may write to it, and some do at the moment when it is opened. A node that
-	// takes the owner for failed writes in each interval instead.
+	// At most one in this many transactions may come from other nodes than the one that sends most.
+	// While a head page is closed, every node may write to it, and some do at the moment when it is
+	// opened. A node that treats the owner as failed sends more, since it writes in every interval.
 	const oneInFromOthers = 4
 	began := time.Now()
 	pauseAt, resumeAt := began.Add(time.Second), began.Add(3*time.Second)
--- a/controller/cancellations_test.go
+++ b/controller/cancellations_test.go
@@ -61,7 +61,7 @@
 	if !bothOutcomesOccurred(ends)() {
 		t.Errorf("of the cancellations that raced with a completion, one side always won: %v", ends)
 	}
-	t.Log("ends:", ends)
+	t.Log("outcomes of the races:", ends)
 }
 
 // jobPageOf returns the key of the page of accepted jobs that has an entry for a job, or "" if no
@@ -168,7 +168,7 @@
 	if !bothOutcomesOccurred(ends)() {
 		t.Errorf("of the cancellations that raced with a completion, one side always won: %v", ends)
 	}
-	t.Log("ends:", ends)
+	t.Log("outcomes of the races:", ends)
 }
 
 // Jobs are cancelled just before a failover, while there is no leader, and while the next leader
--- a/controller/fault_interactions_test.go
+++ b/controller/fault_interactions_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// stopLeader either kills the leader or power-cycles it within 900 ms, at random. It returns the
-// index of the leader's node.
+// stopLeader either kills the leader or restarts it after less than 900 ms, at random. It returns
+// the index of the leader's node. If there is no leader, it does this to node 0.
 func stopLeader(w *fake.Cluster, rnd *rand.Rand) (dead int) {
 	dead = max(0, w.Leader())
 	if rnd.IntN(2) == 0 {
@@ -398,8 +398,9 @@
 	})
 }
 
-// Random scenarios prove nothing if their steps have no effect. CancelRunning, BlockHeartbeats,
-// Unanswered and DirectCommandsExecuted must have the effects that they report.
+// Random scenarios prove nothing if their steps have no effect. CancelRunning must cancel the jobs
+// that it returns. A machine with BlockHeartbeats must count in Unanswered, and must still execute
+// direct commands, which DirectCommandsExecuted counts.
 func TestConcurrentCancellationsAndASilentMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 4)
--- a/controller/gap_test.go
+++ b/controller/gap_test.go
@@ -62,7 +62,7 @@
 )
 
 // jobsForGap returns the jobs that are cancelled: an array, a gang whose tasks would save a
-// checkpoint, and with late set one whose launches may be in flight.
+// checkpoint, and with lastSubmitBefore set one whose launches may be in flight.
 func jobsForGap(g cancellationGap) []wire.Job {
 	jobs := []wire.Job{
 		job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = gapTasks, 2, 3600 }),
@@ -244,9 +244,9 @@
 		if answered == 0 {
 			t.Error("faults did not interact: no worker sent the old leader a heartbeat after the confirmations")
 		}
-		// The leader's lease was renewed at most a fifth of its length before the refusal, so the
-		// leader is sure of it for at least half of its length more, unless latency or a pause is
-		// injected.
+		// The leader renewed its lease at most a fifth of the lease's length before the refusal. It
+		// therefore relies on the lease for at least another half of that length, unless latency or
+		// a pause is injected.
 		halfLease := time.Duration(workers.LeaderLeaseS() / 2 * float64(time.Second))
 		if g.requestLatency+g.replyLatency+g.leaderReplyLatency+g.pauseLeaderFor == 0 && lastConfirmed.Sub(refused)+time.Duration(1.25*workers.HeartbeatS*float64(time.Second)) < halfLease && kept == 0 {
 			t.Error("faults did not interact: the old leader accepted no heartbeat after the confirmations")
@@ -361,8 +361,9 @@
 	}
 }
 
-// The interactions of TestGapCancelledTasksAreGoneInTime, with times drawn at random in steps of
-// 10 ms around its moments.
+// The faults of TestGapCancelledTasksAreGoneInTime at times drawn at random, in steps of 10 ms
+// around the times of that test. Cancelled tasks must be gone within the same bound, also at
+// moments for which that test has no case.
 func TestGapCancelledAtRandomMoments(t *testing.T) {
 	seeds := uint64(6)
 	if n, many := seedCount(); many {
@@ -437,8 +438,8 @@
 					outageBeyondCancel: config.Seconds(outageS - w.CancelS)}.run(t, 1)
 				t.Logf("%d of %d tasks that nobody cancelled were lost", lost, gapOthers)
 				// At worst the leader renewed its lease a fifth of the lease before the refusal,
-				// and answered the last heartbeat one longest heartbeat interval before it became
-				// unsure of its lease. After the outage a worker finds the new leader within 3 s.
+				// and answered the last heartbeat one longest heartbeat interval before it stopped
+				// relying on its lease. After the outage a worker finds the new leader within 3 s.
 				if survivableS := 0.8*w.LeaderLeaseS() + w.LeaseS - 1.25*w.HeartbeatS - 3; refusedBeforeS+outageS < survivableS && lost > 0 {
 					t.Errorf("%d tasks were lost in an outage that their leases outlast by %.1f s", lost, survivableS-refusedBeforeS-outageS)
 				}
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -1,8 +1,8 @@
 // Scenarios of direct commands that are delayed in flight. The sender gets no reply, and the
 // command is carried out seconds later if its fencing token and agent epoch still match. Each
 // scenario asserts which states of the worker the late commands found. The checker of fake.Cluster
-// verifies the rules of the protocol, and that no command is sent directly that does harm when it
-// is late.
+// verifies the rules of the protocol, and that commands that do harm when they are late are never
+// sent directly.
 
 package controller_test
 
@@ -17,7 +17,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// lateCommandRounds is the most rounds of a scenario until its faults have interacted.
+// lateCommandRounds is the maximum number of rounds of a scenario. A scenario ends earlier once its
+// faults have interacted.
 const lateCommandRounds = 20
 
 // limitedTeamsShortLease returns twoLimitedTeams with worker leases of 12 s.
@@ -50,8 +51,8 @@
 
 // Direct commands of a former leader arrive after those of the next one. Meanwhile both teams are
 // at their quotas, jobs are cancelled, one or two machines hang, and another can't open connections
-// to any controller. A worker that carried out a former leader's command could stop tasks of the
-// next leader.
+// to any controller. A worker must refuse a former leader's command once it has seen the next
+// leader's fencing token, since the command could stop tasks of the next leader.
 func TestLateCommandsArriveAfterTheNextLeaders(t *testing.T) {
 	runSeeded(t, 51, limitedTeamsShortLease(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -75,7 +76,7 @@
 		w.DelayDirectCommands(0, 0)
 		stats := w.DelayedCommands()
 		if stats.FormerLeader == 0 || stats.RefusedToken == 0 || stats.Overtaken == 0 || stats.AfterHang == 0 {
-			t.Errorf("late commands found too few states: %+v", stats)
+			t.Errorf("faults did not interact: late commands %+v, want some in each of FormerLeader, RefusedToken, Overtaken and AfterHang", stats)
 		}
 		healAndCheckStarvation(t, w)
 	})
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -157,9 +157,10 @@
 	})
 }
 
-// Duplicates of heartbeats that are being sent overtake them at a new leader and at the relays. The
-// heartbeat itself was then refused as old, and the worker went on to the next node, which cost it
-// a second of its lease. After several such refusals the lease expired.
+// Duplicates of heartbeats arrive before the heartbeats themselves, at a new leader and at the
+// relays. If a node refuses the heartbeat itself as old, the worker tries the next node, which
+// costs it a second of its lease. After several such refusals the lease expires. Heartbeats that
+// their duplicates overtake must be accepted.
 func TestDuplicatesOvertakeTheirHeartbeatsDuringFailover(t *testing.T) {
 	runSeeded(t, 17, fake.Options{Machines: 6, Capacity: 6, Teams: smallTeams}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -256,7 +257,7 @@
 			}
 		}
 		if serving < 0 || other < 0 {
-			t.Fatalf("node %d has answered the worker, and node %d has not", serving, other)
+			t.Fatalf("node %d serves the worker and node %d does not (-1: no such node), want one of each", serving, other)
 		}
 		name := w.Cloud.Machines()[0]
 		w.CaptureHeartbeat(name)
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -40,8 +40,8 @@
 	return sync.OnceValue(func() []uint64 { close(end); <-done; return seen })
 }
 
-// awaitLeader waits until a node that satisfies ok holds the leader key. It returns the node's
-// index, and fails the test after the time most.
+// awaitLeader waits until a node that satisfies ok holds the leader key, and returns the node's
+// index. It fails the test if there is no such node within the time most.
 func awaitLeader(t *testing.T, w *fake.Cluster, most time.Duration, ok func(i int) bool) int {
 	t.Helper()
 	if !scenario.Eventually(most, 20*time.Millisecond, func() bool { l := w.Leader(); return l >= 0 && ok(l) }) {
@@ -198,9 +198,9 @@
 	})
 }
 
-// runLeaderEndsAfterBoots kills the leader after machines have booted and got tasks. Machines boot
-// after minBoot to maxBoot. Replies to rentals arrive after minReply at the earliest. It must be
-// longer where machines boot later, since they get tasks later.
+// runLeaderEndsAfterBoots kills the leader after machines have booted and got tasks. A boot takes
+// between minBoot and maxBoot. Replies to rentals arrive after minReply at the earliest. minReply
+// must be longer where machines boot later, since they get their tasks later.
 func runLeaderEndsAfterBoots(t *testing.T, minBoot, maxBoot, minReply time.Duration) {
 	t.Helper()
 	runSeeded(t, 31, fake.Options{Machines: 0, Capacity: 60}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
