--- a/controller/fault_interactions_test.go
+++ b/controller/fault_interactions_test.go
@@ -173,7 +173,7 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 5, 5, 90 }))
 		mustSubmit(t, w, job(2, func(j *wire.Job) { gang(j); j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 3, 3, 90 }))
 		if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.Running() == 6 }) {
-			t.Fatalf("%d tasks run", w.Running())
+			t.Fatalf("%d tasks run, want 6", w.Running())
 		}
 		time.Sleep(randomDuration(rnd, time.Second, 10*time.Second))
 		before := w.FencingToken()
@@ -229,7 +229,7 @@
 		mustSubmit(t, w, j)
 		for done := 1; done < tasks; done++ {
 			if !scenario.Eventually(time.Minute, 100*time.Millisecond, func() bool { return w.Running() == 1 }) {
-				t.Fatalf("%d tasks run", w.Running())
+				t.Fatalf("%d tasks run, want 1", w.Running())
 			}
 			before := w.FencingToken()
 			// At some seeds the store is out when the completion is reported, so that it can't be
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -62,7 +62,7 @@
 			ids := append(submitSavingJobs(t, w, firstNumber, "core"), submitSavingJobs(t, w, firstNumber+10, "edge")...)
 			firstNumber += 100
 			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return teamsAtQuota(w) }) {
-				t.Fatalf("round %d: the teams use %g and %g CPUs", round, w.CPUsInUse("core"), w.CPUsInUse("edge"))
+				t.Fatalf("round %d: the teams use %g and %g CPUs, want their quotas", round, w.CPUsInUse("core"), w.CPUsInUse("edge"))
 			}
 			cancelAcrossLeaders(t, w, rnd, ids)
 			for _, id := range ids {
@@ -132,7 +132,7 @@
 		for round := 0; round < lateCommandRounds && stats.EndedSaving == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
 			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUsInUse("core") == teamMax }) {
-				t.Fatalf("the team uses %g CPUs", w.CPUsInUse("core"))
+				t.Fatalf("the team uses %g CPUs, want its quota", w.CPUsInUse("core"))
 			}
 			running := runningOf(w, ids)
 			machine := machinesRunningJob(w, wire.Job{ID: running[rnd.IntN(len(running))], Tasks: 2})[0]
@@ -173,7 +173,7 @@
 		for round := 0; round < lateCommandRounds && stats.RefusedEpoch == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
 			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUsInUse("core") == teamMax }) {
-				t.Fatalf("the team uses %g CPUs", w.CPUsInUse("core"))
+				t.Fatalf("the team uses %g CPUs, want its quota", w.CPUsInUse("core"))
 			}
 			running := runningOf(w, ids)
 			machine := machinesRunningJob(w, wire.Job{ID: running[0], Tasks: 2})[0]
--- a/controller/late_heartbeats_test.go
+++ b/controller/late_heartbeats_test.go
@@ -216,7 +216,7 @@
 		t.Helper()
 		mustSubmit(t, w, job(900, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 3, 2, 3600 }))
 		if !scenario.Eventually(40*time.Second, time.Second, func() bool { return w.Running() == 3 }) {
-			t.Fatalf("%d tasks run", w.Running())
+			t.Fatalf("%d tasks run, want 3", w.Running())
 		}
 		time.Sleep(randomMillis(rnd, 0, 3000))
 		load := w.TasksPerMachine()
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -171,7 +171,7 @@
 		time.Sleep(5 * time.Second)
 		mustSubmit(t, w, long(4, 1, 2, "a"))
 		if !scenario.Eventually(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 5 }) {
-			t.Fatalf("%d tasks run", w.Running())
+			t.Fatalf("%d tasks run, want 5", w.Running())
 		}
 		w.Cancel("wk-000003")
 		time.Sleep(5 * time.Second)
@@ -485,7 +485,7 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 4, 40 }),
 			job(2, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.EstimateS = 3, 3, 40 }))
 		if !scenario.Eventually(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 7 }) {
-			t.Fatalf("%d tasks run", w.Running())
+			t.Fatalf("%d tasks run, want 7", w.Running())
 		}
 		before := w.Store.Versions(election.LeaderKey)[election.LeaderKey]
 		downtime := lease + randomDuration(rnd, time.Second, 10*time.Second)
@@ -528,7 +528,7 @@
 			j.Tasks, j.CPUs, j.EstimateS, j.Priority, j.CheckpointS, j.SaveS = 12, 4, 40, wire.PriorityLow, 5, 1
 		}))
 		if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 8 }) {
-			t.Fatalf("%d tasks run", w.Running())
+			t.Fatalf("%d tasks run, want 8", w.Running())
 		}
 		w.Store.SetLatency(randomDuration(rnd, 300*time.Millisecond, 1200*time.Millisecond))
 		w.Store.DropReplies(0.1, 0.1, rnd.Uint64())
