--- a/controller/fault_interactions_test.go
+++ b/controller/fault_interactions_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// stopLeader either kills the leader or power-cycles it within 900 ms, at random. It returns the
-// index of the leader's node.
+// stopLeader either kills the leader or restarts it after less than 900 ms, at random. It returns
+// the index of the leader's node. If there is no leader, it does this to node 0.
 func stopLeader(w *fake.Cluster, rnd *rand.Rand) (dead int) {
 	dead = max(0, w.Leader())
 	if rnd.IntN(2) == 0 {
@@ -173,7 +173,7 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 5, 5, 90 }))
 		mustSubmit(t, w, job(2, func(j *wire.Job) { gang(j); j.OneZone, j.Tasks, j.CPUs, j.EstimateS = true, 3, 3, 90 }))
 		if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.Running() == 6 }) {
-			t.Fatalf("%d tasks run", w.Running())
+			t.Fatalf("%d tasks run, want 6", w.Running())
 		}
 		time.Sleep(randomDuration(rnd, time.Second, 10*time.Second))
 		before := w.FencingToken()
@@ -229,7 +229,7 @@
 		mustSubmit(t, w, j)
 		for done := 1; done < tasks; done++ {
 			if !scenario.Eventually(time.Minute, 100*time.Millisecond, func() bool { return w.Running() == 1 }) {
-				t.Fatalf("%d tasks run", w.Running())
+				t.Fatalf("%d tasks run, want 1", w.Running())
 			}
 			before := w.FencingToken()
 			// At some seeds the store is out when the completion is reported, so that it can't be
@@ -398,8 +398,9 @@
 	})
 }
 
-// Random scenarios prove nothing if their steps have no effect. CancelRunning, BlockHeartbeats,
-// Unanswered and DirectCommandsExecuted must have the effects that they report.
+// Random scenarios prove nothing if their steps have no effect. CancelRunning must cancel the jobs
+// that it returns. A machine with BlockHeartbeats must count in Unanswered, and must still execute
+// direct commands, which DirectCommandsExecuted counts.
 func TestConcurrentCancellationsAndASilentMachine(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		fillMachines(t, w, 4)
--- a/controller/late_commands_test.go
+++ b/controller/late_commands_test.go
@@ -1,8 +1,8 @@
 // Scenarios of direct commands that are delayed in flight. The sender gets no reply, and the
 // command is carried out seconds later if its fencing token and agent epoch still match. Each
 // scenario asserts which states of the worker the late commands found. The checker of fake.Cluster
-// verifies the rules of the protocol, and that no command is sent directly that does harm when it
-// is late.
+// verifies the rules of the protocol, and that commands that do harm when they are late are never
+// sent directly.
 
 package controller_test
 
@@ -17,7 +17,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// lateCommandRounds is the most rounds of a scenario until its faults have interacted.
+// lateCommandRounds is the maximum number of rounds of a scenario. A scenario ends earlier once its
+// faults have interacted.
 const lateCommandRounds = 20
 
 // limitedTeamsShortLease returns twoLimitedTeams with worker leases of 12 s.
@@ -50,8 +51,8 @@
 
 // Direct commands of a former leader arrive after those of the next one. Meanwhile both teams are
 // at their quotas, jobs are cancelled, one or two machines hang, and another can't open connections
-// to any controller. A worker that carried out a former leader's command could stop tasks of the
-// next leader.
+// to any controller. A worker must refuse a former leader's command once it has seen the next
+// leader's fencing token, since the command could stop tasks of the next leader.
 func TestLateCommandsArriveAfterTheNextLeaders(t *testing.T) {
 	runSeeded(t, 51, limitedTeamsShortLease(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		t.Helper()
@@ -61,7 +62,7 @@
 			ids := append(submitSavingJobs(t, w, firstNumber, "core"), submitSavingJobs(t, w, firstNumber+10, "edge")...)
 			firstNumber += 100
 			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return teamsAtQuota(w) }) {
-				t.Fatalf("round %d: the teams use %g and %g CPUs", round, w.CPUsInUse("core"), w.CPUsInUse("edge"))
+				t.Fatalf("round %d: the teams use %g and %g CPUs, want their quotas", round, w.CPUsInUse("core"), w.CPUsInUse("edge"))
 			}
 			cancelAcrossLeaders(t, w, rnd, ids)
 			for _, id := range ids {
@@ -75,7 +76,7 @@
 		w.DelayDirectCommands(0, 0)
 		stats := w.DelayedCommands()
 		if stats.FormerLeader == 0 || stats.RefusedToken == 0 || stats.Overtaken == 0 || stats.AfterHang == 0 {
-			t.Errorf("late commands found too few states: %+v", stats)
+			t.Errorf("faults did not interact: late commands %+v, want some in each of FormerLeader, RefusedToken, Overtaken and AfterHang", stats)
 		}
 		healAndCheckStarvation(t, w)
 	})
@@ -131,7 +132,7 @@
 		for round := 0; round < lateCommandRounds && stats.EndedSaving == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
 			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUsInUse("core") == teamMax }) {
-				t.Fatalf("the team uses %g CPUs", w.CPUsInUse("core"))
+				t.Fatalf("the team uses %g CPUs, want its quota", w.CPUsInUse("core"))
 			}
 			running := runningOf(w, ids)
 			machine := machinesRunningJob(w, wire.Job{ID: running[rnd.IntN(len(running))], Tasks: 2})[0]
@@ -172,7 +173,7 @@
 		for round := 0; round < lateCommandRounds && stats.RefusedEpoch == 0; round++ {
 			ids := submitSavingJobs(t, w, 100*(round+1), "core")
 			if !scenario.Eventually(40*time.Second, 200*time.Millisecond, func() bool { return w.CPUsInUse("core") == teamMax }) {
-				t.Fatalf("the team uses %g CPUs", w.CPUsInUse("core"))
+				t.Fatalf("the team uses %g CPUs, want its quota", w.CPUsInUse("core"))
 			}
 			running := runningOf(w, ids)
 			machine := machinesRunningJob(w, wire.Job{ID: running[0], Tasks: 2})[0]
--- a/controller/leader_change_test.go
+++ b/controller/leader_change_test.go
@@ -40,8 +40,8 @@
 	return sync.OnceValue(func() []uint64 { close(end); <-done; return seen })
 }
 
-// awaitLeader waits until a node that satisfies ok holds the leader key. It returns the node's
-// index, and fails the test after the time most.
+// awaitLeader waits until a node that satisfies ok holds the leader key, and returns the node's
+// index. It fails the test if there is no such node within the time most.
 func awaitLeader(t *testing.T, w *fake.Cluster, most time.Duration, ok func(i int) bool) int {
 	t.Helper()
 	if !scenario.Eventually(most, 20*time.Millisecond, func() bool { l := w.Leader(); return l >= 0 && ok(l) }) {
@@ -171,7 +171,7 @@
 		time.Sleep(5 * time.Second)
 		mustSubmit(t, w, long(4, 1, 2, "a"))
 		if !scenario.Eventually(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 5 }) {
-			t.Fatalf("%d tasks run", w.Running())
+			t.Fatalf("%d tasks run, want 5", w.Running())
 		}
 		w.Cancel("wk-000003")
 		time.Sleep(5 * time.Second)
@@ -198,9 +198,9 @@
 	})
 }
 
-// runLeaderEndsAfterBoots kills the leader after machines have booted and got tasks. Machines boot
-// after minBoot to maxBoot. Replies to rentals arrive after minReply at the earliest. It must be
-// longer where machines boot later, since they get tasks later.
+// runLeaderEndsAfterBoots kills the leader after machines have booted and got tasks. A boot takes
+// between minBoot and maxBoot. Replies to rentals arrive after minReply at the earliest. minReply
+// must be longer where machines boot later, since they get their tasks later.
 func runLeaderEndsAfterBoots(t *testing.T, minBoot, maxBoot, minReply time.Duration) {
 	t.Helper()
 	runSeeded(t, 31, fake.Options{Machines: 0, Capacity: 60}, func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
@@ -485,7 +485,7 @@
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 4, 4, 40 }),
 			job(2, func(j *wire.Job) { gang(j); j.Tasks, j.CPUs, j.EstimateS = 3, 3, 40 }))
 		if !scenario.Eventually(20*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 7 }) {
-			t.Fatalf("%d tasks run", w.Running())
+			t.Fatalf("%d tasks run, want 7", w.Running())
 		}
 		before := w.Store.Versions(election.LeaderKey)[election.LeaderKey]
 		downtime := lease + randomDuration(rnd, time.Second, 10*time.Second)
@@ -528,7 +528,7 @@
 			j.Tasks, j.CPUs, j.EstimateS, j.Priority, j.CheckpointS, j.SaveS = 12, 4, 40, wire.PriorityLow, 5, 1
 		}))
 		if !scenario.Eventually(30*time.Second, 100*time.Millisecond, func() bool { return w.Running() == 8 }) {
-			t.Fatalf("%d tasks run", w.Running())
+			t.Fatalf("%d tasks run, want 8", w.Running())
 		}
 		w.Store.SetLatency(randomDuration(rnd, 300*time.Millisecond, 1200*time.Millisecond))
 		w.Store.DropReplies(0.1, 0.1, rnd.Uint64())
