--- a/controller/scenarios_test.go
+++ b/controller/scenarios_test.go
@@ -1,3 +1,6 @@
+// Scenarios of one fault or feature each: kinds of jobs, cancellations, lost nodes and machines,
+// priorities, quotas and malformed submissions.
+
 package controller_test
 
 import (
@@ -23,6 +26,8 @@
 	applyPlan   = scenario.ApplyPlan
 )
 
+// An array, a gang in one zone and a spread service run without faults. The array and the gang must
+// be done. The service must run until it is cancelled, and its tasks must then stop.
 func TestArrayGangAndServiceRun(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, nil), job(2, func(j *wire.Job) { gang(j); j.Tasks = 3; j.OneZone = true }),
@@ -40,6 +45,9 @@
 	})
 }
 
+// All nodes are killed just after a job was cancelled. Nodes that start later could go on running
+// it. The job must stay cancelled, its tasks must be gone in time, and no records of finished jobs
+// may remain.
 func TestCancellationSurvivesCrashOfAllControllers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Kind = wire.KindService; j.EstimateS = 0 }), job(2, nil))
@@ -57,10 +65,11 @@
 	})
 }
 
+// The transaction that commits a placement hangs. It is carried out long after its leader was
+// killed, when the next leader may have placed the task elsewhere. The guard on the leader key must
+// refuse it.
 func TestLateTransactionOfADeadLeaderFails(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
-		// The transaction that commits the placement hangs, and is carried out long after its
-		// leader was killed. The guard on the leader key must refuse it.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.EstimateS = 60 }))
 		time.Sleep(3 * time.Second)
 		w.Store.DelayNextTransaction(40 * time.Second)
@@ -71,6 +80,8 @@
 	})
 }
 
+// A heartbeat from before a task was launched arrives after newer ones and does not list the task.
+// A leader that took it for the machine's current state would start the task again.
 func TestLateHeartbeatIsIgnored(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Nodes: 1}, func(t *testing.T, w *fake.Cluster) {
 		name := w.Cloud.Machines()[0]
@@ -90,6 +101,8 @@
 	})
 }
 
+// A machine hangs when its job is cancelled, and executes the stops after another job was
+// submitted. The late stops must not affect the other job, which must be done.
 func TestHungMachineExecutesLateStopsHarmlessly(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Kind = wire.KindService; j.EstimateS = 0; j.Tasks = 4; j.CPUs = 4 }))
@@ -105,6 +118,9 @@
 	})
 }
 
+// The cloud rents machines, but replies only after the requests have timed out. A repetition under
+// another name would rent more machines. A request must be repeated under the same name, and all
+// machines must be returned once the job is done.
 func TestUnansweredRentalIsNotRepeated(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 0, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
 		w.Cloud.SetDropReplies(true)
@@ -122,6 +138,10 @@
 	})
 }
 
+// For 18 s the leader is partitioned from the key-value store, from the workers or from everything,
+// the store refuses it alone, or the store is out for all nodes. If leadership changes meanwhile,
+// tasks could be lost or started twice. All jobs must be done, also one that is submitted
+// afterwards.
 func TestLeaderPartitionedFromTheKeyValueStore(t *testing.T) {
 	for _, c := range []struct {
 		name       string
@@ -156,6 +176,8 @@
 	}
 }
 
+// The key-value store refuses one node that does not lead. The node can't record a submission
+// itself, and must still get it accepted.
 func TestNodeRefusedByTheKeyValueStoreStillServesUsers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 2}, func(t *testing.T, w *fake.Cluster) {
 		refused := (w.Leader() + 1) % 3
@@ -167,6 +189,8 @@
 	})
 }
 
+// A machine that runs a task of a gang dies without notice. The gang and the other job must still
+// be done.
 func TestMachineLostWithoutInterruptionNotice(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks = 3; j.EstimateS = 40 }),
@@ -178,6 +202,8 @@
 	})
 }
 
+// A machine of a gang gets an interruption notice of 8 s. The gang must save a checkpoint before
+// the machine is gone, or it would begin anew.
 func TestInterruptionNoticeLetsAGangCheckpointTogether(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) {
@@ -196,6 +222,9 @@
 	})
 }
 
+// One machine is faulty, and one job fails on every machine. The other jobs must be done despite
+// the machine. The failing job must be restarted ever more rarely, since it would otherwise keep
+// the machines busy.
 func TestFaultyMachineIsAvoidedAndBrokenJobBacksOff(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 3, Capacity: 3}, func(t *testing.T, w *fake.Cluster) {
 		w.MakeMachineFaulty(w.Cloud.Machines()[0])
@@ -214,6 +243,8 @@
 	})
 }
 
+// Tasks of low priority take the only machine. A job of the same priority must wait. A job of
+// higher priority must preempt a task, which saves a checkpoint first.
 func TestPriorityPreemptsAndEqualsDoNot(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1}, func(t *testing.T, w *fake.Cluster) {
 		low := func(j *wire.Job) {
@@ -234,6 +265,9 @@
 	})
 }
 
+// Team core wants more than its limit of 12 CPUs, and uses more than the 8 that are guaranteed to
+// it. Team edge must get its guaranteed CPUs within a minute. A service that exceeds its team's
+// limit could never run, and must be answered 422.
 func TestTeamsKeepTheirLimitsAndGetTheirQuotas(t *testing.T) {
 	teams := []config.Team{{Name: "core", CPUs: 8, CPUsMax: 12}, {Name: "edge", CPUs: 8}}
 	runScenario(t, fake.Options{Machines: 2, Capacity: 2, Teams: teams}, func(t *testing.T, w *fake.Cluster) {
@@ -243,11 +277,13 @@
 		mustSubmit(t, w, job(2, func(j *wire.Job) { long(j); j.Team, j.EstimateS = "edge", 10 }))
 		mustReach(t, w, "wk-000002", wire.JobDone, time.Minute)
 		if w.PostSubmission(0, job(3, func(j *wire.Job) { j.Kind, j.Tasks, j.CPUs = wire.KindService, 4, 4 })) != 422 {
-			t.Error("a service that exceeds its team's quota was not answered 422")
+			t.Error("a service that exceeds its team's limit was not answered 422")
 		}
 	})
 }
 
+// Each node in turn is killed and started again 5 s later while tasks run. Another node must accept
+// submissions at once, and no task may start twice.
 func TestRollingRestart(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 8, 60 }))
@@ -272,6 +308,9 @@
 	})
 }
 
+// An array of the largest allowed size is run, and cancelled after its leader was killed. Work that
+// grows with the number of tasks could delay scheduling or the cancellation. At least 100 tasks
+// must be done in a minute, and the next leader must cancel the job.
 func TestHugeArrayIsAcceptedRunAndCancelled(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = wire.MaxTasks, 1, 5 }))
@@ -288,6 +327,9 @@
 	})
 }
 
+// A job that was accepted but can never run would wait forever. Malformed submissions must be
+// answered 400, and jobs that no team or machine could run 422. Fields that are not known are
+// ignored. A repeated id must be answered 200 whatever else the submission contains.
 func TestInfeasibleSubmissionsAreAnsweredAtOnce(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1}, func(t *testing.T, w *fake.Cluster) {
 		field := func(name string, v any) map[string]any {
@@ -323,6 +365,8 @@
 	})
 }
 
+// Machines are told to run the same task without a leader's decision. The scenarios rely on the
+// checker to report this as a violation.
 func TestCheckerDetectsViolations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := fake.New(fake.Options{Machines: 2, Capacity: 2})
--- a/controller/warm_pools_test.go
+++ b/controller/warm_pools_test.go
@@ -1,3 +1,6 @@
+// Scenarios of faults while warm pools are filled, used, lent and scaled in, and of the charges for
+// their machines.
+
 package controller_test
 
 import (
@@ -81,6 +84,9 @@
 	})
 }
 
+// A pool of four machines fetches its weights, two machines at a time. It must keep them without
+// jobs and across a change of leader. A burst must then start within 15 s, since a fetch would take
+// 40 s.
 func TestWarmPoolHoldsImagesAheadOfABurst(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
@@ -147,6 +153,9 @@
 	w.StartNode(i)
 }
 
+// The leader, or all nodes, are killed at one of the steps in which a pool is filled. The next
+// leader could rent machines twice or start too many fetches. The pool must be full with four
+// machines, and each be charged once.
 func TestLeaderDiesWhileAWarmPoolScalesOut(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -204,6 +213,9 @@
 	}
 }
 
+// A pool shrinks from four machines to one. The leader is killed when machines are marked as
+// leaving and not yet scaled in. The next leader must scale in three machines, keep one with the
+// weights, and charge for all of them.
 func TestLeaderDiesBetweenCordonAndScaleIn(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
@@ -229,6 +241,9 @@
 	})
 }
 
+// The cloud answers rentals late, some machines never boot, or rentals time out and are repeated.
+// The leader is restarted meanwhile. The pool must be filled, and no more than four machines may
+// remain.
 func TestCloudScalesOutLateNeverOrTwice(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -265,6 +280,9 @@
 	}
 }
 
+// As a burst begins, a machine of the pool dies, hangs, gets no replies or is interrupted, and the
+// leader is killed. The three replicas that have a warm machine must run at once. The fourth must
+// run later, and the pool must be filled again.
 func TestPoolMachineIsLostAsABurstBegins(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -312,6 +330,8 @@
 	}
 }
 
+// A machine fetches its image too slowly, and the leader is restarted meanwhile. The pool could
+// wait for that machine forever. It must use another one and return the slow one.
 func TestPoolMachineThatCannotFetchItsImageIsReplaced(t *testing.T) {
 	runScenario(t, poolCluster(2, 4), func(t *testing.T, w *fake.Cluster) {
 		slow := w.Cloud.Machines()[0]
@@ -331,11 +351,12 @@
 	})
 }
 
+// The plan names version v1 of the weights, and a job arrives that uses v2. The pool must switch to
+// v2 across a change of leader, with at most two machines fetching at a time.
 func TestImageOfAWarmPoolChanges(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
 		awaitPool(t, w, "full", 10*time.Minute, poolFull(4))
-		// The plan names v1; the jobs that arrive use v2.
 		mustSubmit(t, w, job(1, func(j *wire.Job) { *j = replicas(1, 1); j.Image = "llm:v2" }))
 		restartLeader(w)
 		awaitWarm(t, w, "llm:v2", 4, 8*time.Minute)
@@ -347,6 +368,9 @@
 	})
 }
 
+// Two pools have images of 60 GB each, and a machine's cache takes 100 GB. On a shared machine, the
+// fetch of one image would evict the other. Each pool must keep two machines of its own across a
+// change of leader.
 func TestTwoPoolsWhoseImagesDoNotFitTogether(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		second := strings.Replace(strings.Replace(poolPlan(2, 2, ""), `name = "llm"`, `name = "asr"`, 1), `model = "llm:v1"`, `model = "asr:v1"`, 1)
@@ -406,6 +430,9 @@
 	})
 }
 
+// Tasks of a borrowing team run on the pool's machines when a burst arrives and the leader is
+// killed. They must make room so fast that the replicas run within 35 s. The borrower must be
+// charged for the time in which it used the machines.
 func TestPoolIsLentOnlyToTasksThatStopInTime(t *testing.T) {
 	runScenario(t, poolCluster(0, 4), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
@@ -433,6 +460,9 @@
 	})
 }
 
+// The key-value store is out for a minute just after a burst was submitted. The time of the outage
+// could be left out of the charges. Afterwards the replicas must run, the pool must be full, and
+// the minute must be charged.
 func TestKeyValueStoreOutageDuringABurst(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
@@ -452,6 +482,7 @@
 	})
 }
 
+// Service replicas run while no plan is in force. No state of a pool may be recorded for them.
 func TestWithoutAPlanNothingIsRecorded(t *testing.T) {
 	runScenario(t, poolCluster(2, 4), func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, replicas(1, 2))
@@ -462,6 +493,9 @@
 	})
 }
 
+// Workers refuse the pool's prefetch jobs, so that it can't fetch weights itself. The pool must
+// take machines as warm on which replicas have fetched them, also after a change of leader and the
+// end of the replicas.
 func TestWorkersWithoutPrefetchAreWarmedByReplicas(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		w.RejectUnknownJobs()
@@ -483,6 +517,9 @@
 	})
 }
 
+// The recorded demand of a pool has a burst in one hour of the day. No machine may be rented half
+// an hour before. Four must be warm when the hour begins, although the leader is restarted shortly
+// before, and until it ends. Then they must be scaled in, and only about this hour be charged.
 func TestScheduledPoolIsReadyForItsHourAndScaledInAfterIt(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		hour := time.Now().Truncate(time.Hour).Add(time.Hour)
@@ -588,6 +625,9 @@
 	}
 }
 
+// All nodes are down while a plan with another payer is applied. The machines' use during that time
+// could be lost or charged to the wrong team. It must be charged to the first payer, and later use
+// to the second.
 func TestUsageWithoutALeaderIsChargedToItsTeam(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(4, 4, ""))
@@ -610,6 +650,9 @@
 	})
 }
 
+// All nodes are killed, and no version of the plan can be decoded when they are back. A leader
+// could take this for a plan without pools and scale in the machines. They must keep their weights
+// until a plan is applied again.
 func TestWarmPoolSurvivesALostPlan(t *testing.T) {
 	runScenario(t, poolCluster(0, 8), func(t *testing.T, w *fake.Cluster) {
 		applyPlan(t, w, 0, poolPlan(2, 2, ""))
