--- a/controller/machine_boot_test.go
+++ b/controller/machine_boot_test.go
@@ -9,8 +9,8 @@
 )
 
 // A machine may send its first heartbeat before the reply to its rental arrives, and long before
-// the cloud lists it. It could be taken for an unknown machine, and more machines rented. It must
-// be taken for the machine that was ordered.
+// the cloud lists it. If the leader took it for an unknown machine, it would rent more machines. It
+// must take it for the machine that was rented.
 func TestMachinesThatBootAtOnceAreTakenAsRented(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 0, Capacity: 6}, func(t *testing.T, w *fake.Cluster) {
 		t.Helper()
--- a/controller/operator_plan_test.go
+++ b/controller/operator_plan_test.go
@@ -27,9 +27,9 @@
 }
 
 // Leaders are killed, paused or partitioned from the store while a plan is applied, and a
-// transaction of one is carried out a minute late. Tasks could be placed under an outdated plan.
-// The store's checker verifies that every placement is guarded by the plan in force. Every job must
-// be done once.
+// transaction of one of them is carried out a minute late. Tasks could be placed under an outdated
+// plan. The store's checker verifies that every placement is guarded by the plan in force. Every
+// job must be done once.
 func TestPlansAreAppliedWhileLeadersFail(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 6, Metrics: true, Nodes: 5}, func(t *testing.T, w *fake.Cluster) {
 		next := 1
@@ -71,7 +71,8 @@
 }
 
 // All nodes are killed just after a plan is applied, and the newest record of the plan is
-// corrupted. The next leader must read a plan before it places tasks, and keep the version before.
+// corrupted. The next leader must read a plan before it places tasks, and keep the previous version
+// in force.
 func TestNewLeaderReadsThePlanBeforeItPlaces(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -135,7 +136,7 @@
 		applyPlan(t, w, 0, `note = "one"`)
 		var schema jobstore.SchemaRecord
 		if err := wire.Unmarshal(w.Store.Value(jobstore.SchemaKey), &schema); err != nil || schema.Version != jobstore.SchemaPlans {
-			t.Fatalf("schema record %+v, %v", schema, err)
+			t.Fatalf("schema record %+v (%v), want the version of plans", schema, err)
 		}
 	})
 }
--- a/controller/operators_test.go
+++ b/controller/operators_test.go
@@ -40,8 +40,8 @@
 	return o
 }
 
-// Every node must show the leader's current status. Without a leader it must show none. An outdated
-// status would mislead operators.
+// Every node must show the leader's current status. Without a leader a node must show no status,
+// since an outdated one would mislead operators.
 func TestStatusIsCurrent(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		mustSubmit(t, w, job(1, func(j *wire.Job) { j.Tasks, j.EstimateS = 6, 90 }), job(2, func(j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 20, 8, 90 }))
@@ -51,10 +51,10 @@
 			o := getOverview(t, w, i)
 			status := o.Cluster
 			if status == nil || status.Node != w.Nodes()[leader] || !status.LeaseValid || status.Machines["up"] < 4 || status.Tasks["running"] != w.Running() || status.Jobs != 2 {
-				t.Fatalf("node %d: %+v, %+v", i, o, status)
+				t.Fatalf("node %d does not show the leader's current status: %+v, %+v", i, o, status)
 			}
 			if o.Leader != w.Nodes()[leader] || !o.Ready || status.LeastLeaseLeftSeconds <= 0 {
-				t.Errorf("node %d: %+v", i, o)
+				t.Errorf("node %d is not ready, or shows another leader or no lease: %+v", i, o)
 			}
 		}
 		text := getOperatorPath(t, w, leader, controller.PathMetrics)
@@ -79,7 +79,7 @@
 		}
 		var b strings.Builder
 		if err := o.Print(&b); err != nil || !strings.Contains(b.String(), "no leader has answered") {
-			t.Errorf("printed as %s (%v)", b.String(), err)
+			t.Errorf("status is printed as %s (%v), want it to say that no leader has answered", b.String(), err)
 		}
 		w.Store.SetOutage(false)
 	})
--- a/controller/poll_answers_test.go
+++ b/controller/poll_answers_test.go
@@ -1,3 +1,6 @@
+// Scenarios in which clients poll the states of their jobs: under overload, after records were
+// corrupted, and while the schema version changes.
+
 package controller_test
 
 import (
--- a/controller/priorities_test.go
+++ b/controller/priorities_test.go
@@ -1,3 +1,6 @@
+// Scenarios of the plan's priority tiers while leaders fail and plans change, and of explanations
+// of why a job waits.
+
 package controller_test
 
 import (
@@ -52,13 +55,13 @@
 		w.KillAll()
 		got, _ := explainWaiting(t, w, "wk-000002")
 		if len(got.PendingReasons) == 0 || !strings.HasPrefix(got.PendingReasons[0], "its team's limit: 8 of 8 CPUs") {
-			t.Errorf("%+v", got)
+			t.Errorf("explanation %+v, want the team's limit as the first reason", got)
 		}
 		if got, _ = explainWaiting(t, w, "wk-000003"); got.AheadByReason["priority"] != 1 || !slices.ContainsFunc(got.Nearest, func(a cluster.JobAhead) bool { return a.ID == "wk-000005" }) {
-			t.Errorf("%+v", got)
+			t.Errorf("explanation %+v, want wk-000005 ahead by its priority", got)
 		}
 		if got, _ = explainWaiting(t, w, "wk-000001"); len(got.PendingReasons) != 0 || got.Placed != 2 {
-			t.Errorf("%+v", got)
+			t.Errorf("explanation %+v, want two placed tasks and no reason to wait", got)
 		}
 		if _, finalState := explainWaiting(t, w, "wk-000004"); finalState != wire.JobCancelled {
 			t.Errorf("the final state of a cancelled job is %q", finalState)
@@ -102,9 +105,10 @@
 	return ""
 }
 
-// A leader that has read one version of the plan fails while a newer version is applied. Tasks
-// could still be placed by the older tiers: by that leader, by a transaction of it that is carried
-// out a minute late, or by the next leader. None may be.
+// A leader that has read one version of the plan fails while a newer version is applied. That
+// leader, a transaction that it sent and that is carried out a minute late, or the next leader
+// could place tasks by the older tiers. The first task placed must be the one that the newer tiers
+// put first.
 func TestNothingIsPlacedUnderAnOlderPlan(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -291,7 +295,7 @@
 }
 
 // The newest version of the plan can't be decoded. A leader could then act as if there were no
-// plan. The version before must stay in force.
+// plan. The previous version must stay in force.
 func TestDamagedPlanLeavesThePreviousOneInForce(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 1, Capacity: 1, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -306,7 +310,7 @@
 		w.StartAll()
 		mustSubmit(t, w, wholeMachineJob(2, "craft", 20), wholeMachineJob(3, "clinic", 20))
 		if got, _ := explainWaiting(t, w, "wk-000002"); got.Tier != "craft" || got.AheadByReason["tier"] != 1 {
-			t.Errorf("%+v", got)
+			t.Errorf("explanation %+v, want tier craft and one job ahead by its tier", got)
 		}
 		if got := awaitFirstRunning(t, w, 2*time.Minute, "wk-000002", "wk-000003"); got != "wk-000003" {
 			t.Errorf("%s was placed first, want the clinic job", got)
@@ -349,8 +353,8 @@
 }
 
 // Jobs of the highest tier arrive all the time while leaders are killed in turn. The lower tiers
-// could starve. Each of their jobs must begin within the bound. That takes priority inversions,
-// which every leader must count.
+// could starve. Each of their jobs must begin within the bound, ahead of waiting jobs of the
+// highest tier. Leaders must count these starts as priority inversions.
 func TestEndlessUrgentJobsStarveNobodyDuringFailovers(t *testing.T) {
 	runScenario(t, fake.Options{Machines: 4, Capacity: 4, Metrics: true}, func(t *testing.T, w *fake.Cluster) {
 		time.Sleep(5 * time.Second)
@@ -390,7 +394,7 @@
 		for id, at := range submittedAt {
 			longestWait = max(longestWait, waits[id])
 			if d, ok := waits[id]; ok && d > maxWait || !ok && time.Since(at) > maxWait {
-				t.Errorf("%s: begun %t, after %v", id, ok, d)
+				t.Errorf("%s has begun: %t, after %v; want a start within the bound", id, ok, d)
 			}
 		}
 		t.Logf("%d of %d began, the last after %v", len(waits), len(submittedAt), longestWait)
@@ -400,7 +404,7 @@
 			counted += o
 		}
 		if len(waits) < 12 || counted < uint64(len(waits))/2 {
-			t.Errorf("%d jobs of lower tiers began, %d priority inversions are counted", len(waits), counted)
+			t.Errorf("%d jobs of lower tiers began, want at least 12; %d priority inversions are counted, want at least half as many", len(waits), counted)
 		}
 	})
 }
--- a/controller/quota_interactions_test.go
+++ b/controller/quota_interactions_test.go
@@ -221,8 +221,8 @@
 }
 
 // Heartbeat replies with launches are delayed for seconds, and the launched jobs are cancelled
-// meanwhile. The launches are executed although their jobs are cancelled. These tasks must count
-// against the team's quota and be gone within the deadline.
+// meanwhile. The machines then execute these launches although the jobs are cancelled. The tasks
+// must count against the team's quota and be gone within the deadline.
 func TestInteractionDelayedAnswersAndCancellations(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
@@ -308,8 +308,8 @@
 
 // A zone with workers and a controller is partitioned from everything else for longer than a
 // worker's lease. Its workers keep their tasks as long as a controller inside answers them under a
-// valid fencing token. Tasks that started in another zone before that would run twice. They must
-// start there after it, and once only.
+// valid fencing token. A task that starts in another zone before these leases have expired would
+// run twice. It must start there only afterwards, and once.
 func TestInteractionZonePartitionAndQuota(t *testing.T) {
 	runSeeded(t, 1234, twoLimitedTeams(), func(t *testing.T, w *fake.Cluster, rnd *rand.Rand) {
 		fillTeams(t, w)
--- a/controller/random_test.go
+++ b/controller/random_test.go
@@ -1,3 +1,5 @@
+// Scenarios of random jobs and random faults, and the generators of both.
+
 package controller_test
 
 import (
--- a/controller/repair_test.go
+++ b/controller/repair_test.go
@@ -1,3 +1,6 @@
+// Scenarios in which stored records are corrupted. Nodes must repair them from copies or quarantine
+// the jobs that depend on them.
+
 package controller_test
 
 import (
@@ -16,7 +19,8 @@
 )
 
 // damagedRecords lists the kinds of records in the key-value store that are corrupted, and what is
-// expected then.
+// expected then. In the names, "the form" is the schema record, "heads" are job pages that are
+// still open, "ends" are final records, and "notes" are the state of the parts of the plan.
 var damagedRecords = []struct {
 	name       string
 	matches    func(key string) bool
--- a/controller/schema_test.go
+++ b/controller/schema_test.go
@@ -1,3 +1,6 @@
+// Scenarios of changes of the schema version, of job pages under many submissions, and of records
+// that can't be decoded.
+
 package controller_test
 
 import (
--- a/controller/seeds_test.go
+++ b/controller/seeds_test.go
@@ -1,3 +1,5 @@
+// Helpers for scenarios that are repeated with several seeds.
+
 package controller_test
 
 import (
--- a/controller/wakeup_test.go
+++ b/controller/wakeup_test.go
@@ -168,8 +168,8 @@
 }
 
 // The leader is paused between accepting a job, committing its placement and sending the wake-up.
-// It resumes before or after its lease has expired. With the next leader's launches, tasks could
-// start twice.
+// It resumes before or after its lease has expired. It and the next leader could then both launch
+// the task. Each task must start once.
 func TestLeaderThatEndsBeforeItsWakeUpsStartsNothingTwice(t *testing.T) {
 	for _, pause := range []time.Duration{3 * time.Second, 25 * time.Second} {
 		t.Run(pause.String(), func(t *testing.T) {
--- a/controller/warm_pools_measure_test.go
+++ b/controller/warm_pools_measure_test.go
@@ -1,3 +1,6 @@
+// Measurements of warm pools and plans: the start times of bursts, the cost of pools, and the
+// writes that the records of a plan's parts take.
+
 package controller_test
 
 import (
@@ -137,9 +140,11 @@
 }
 
 // TestMeasureBursts prints the table of docs/results.md. A pool that is not warm in time would let
-// replicas wait for their image. POOLS_MEASURE lists cases as MACHINES:REPLICAS:GB, separated by
-// commas. Without it one small case is run. POOLS_MODES lists which of "none,fixed,hours" are run.
-// In each mode, 400 replicas on 1,300 machines take minutes of one core.
+// replicas wait for their image. In mode "hours" the p90 of the start times must be at most 10% and
+// 0.5 s above that without an image fetch, at no more than half the cost of machines kept all day.
+// POOLS_MEASURE lists cases as MACHINES:REPLICAS:GB, separated by commas. Without it one small case
+// is run. POOLS_MODES lists which of "none,fixed,hours" are run. In each mode, 400 replicas on
+// 1,300 machines take minutes of one core.
 func TestMeasureBursts(t *testing.T) {
 	cases := "20:8:80"
 	if s := os.Getenv("POOLS_MEASURE"); s != "" {
@@ -169,9 +174,10 @@
 			}
 			t.Logf("%4d machines, %3d replicas of %3g GB, %-5s: half %6.1f s, p90 %6.1f s, all %6.1f s; without a fetch p90 %.1f s; a day costs %.0f of %.0f",
 				f, n, imageGB, mode, ran[n/2].Seconds(), ran[n*9/10].Seconds(), ran[n-1].Seconds(), bare[n*9/10].Seconds(), dailyCost, float64(n)*24*hourlyMachineRate)
-			// Half a second of tolerance: a worker waits that long between two heartbeats.
+			// Half a second of tolerance, since a worker that has just sent a heartbeat waits that
+			// long before the next one.
 			if mode == "hours" && (ran[n*9/10] > bare[n*9/10]*11/10+500*time.Millisecond || dailyCost > float64(n)*12*hourlyMachineRate) {
-				t.Errorf("%+v: p90 %v, %v without a fetch; %.0f a day", b, ran[n*9/10], bare[n*9/10], dailyCost)
+				t.Errorf("%+v: p90 %v, %v without a fetch; costs %.0f a day", b, ran[n*9/10], bare[n*9/10], dailyCost)
 			}
 		}
 	}
--- a/controller/write_limit_test.go
+++ b/controller/write_limit_test.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// loadDuration is for how long jobs are submitted.
+	// loadDuration is how long jobs are submitted.
 	loadDuration = 20 * time.Second
 	// maxCancellationTime is the longest that a cancellation may take.
 	maxCancellationTime = 10 * time.Second
