--- a/controller/schema_test.go
+++ b/controller/schema_test.go
@@ -185,7 +185,7 @@
 			t.Errorf("%d of %d accepted", accepted.Load(), burst)
 		}
 		if changes > burst/2+400 {
-			t.Errorf("%d changes for %d jobs", changes, burst)
+			t.Errorf("%d changes for %d jobs, want at most one for two jobs and 400 more", changes, burst)
 		}
 		for n := 0; n < burst; n += 1 + burst/60 {
 			if got := w.PollState(w.AnyNodeAddr(), job(1000+n, nil).ID); got == "" {
--- a/controller/users_test.go
+++ b/controller/users_test.go
@@ -580,7 +580,7 @@
 		wg.Wait()
 		t.Logf("%d jobs, %d cancelled, slowest: accepted %v, cancelled %v, done %v; at most %d keys of unfinished jobs", n, cancelled, slowestAccept, slowestCancel, slowestEnd, most)
 		if slowestAccept > maxAccept || slowestCancel > maxCancel || slowestEnd > maxFinal {
-			t.Errorf("slowest: accepted %v, cancelled %v, done %v", slowestAccept, slowestCancel, slowestEnd)
+			t.Errorf("slower than a bound of this variant: accepted %v, cancelled %v, done %v", slowestAccept, slowestCancel, slowestEnd)
 		}
 		if most > maxKeys {
 			t.Errorf("%d keys of unfinished jobs at once, want at most %d", most, maxKeys)
