--- a/internal/fake/cache.go
+++ b/internal/fake/cache.go
@@ -1,3 +1,5 @@
+// The image caches of machines and the simulation of image fetches.
+
 package fake
 
 import (
--- a/internal/fake/cancellations.go
+++ b/internal/fake/cancellations.go
@@ -102,7 +102,7 @@
 type completionCancel struct {
 	share     float64 // of the jobs that complete
 	random    *rand.Rand
-	requested []string // ids of the jobs that were cancelled so
+	requested []string // ids of the jobs whose users sent a cancellation for this fault
 }
 
 // CancelOnCompletion makes the users of a share of the jobs send a cancellation at the moment when
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -1,3 +1,5 @@
+// The simulated cloud provider and the faults that scenarios inject into it.
+
 package fake
 
 import (
@@ -149,7 +151,7 @@
 	return out
 }
 
-// Remove kills and deletes a machine, like a deletion request. Counts that include it stay.
+// Remove kills and deletes a machine, like a deletion request. It changes none of the counts.
 func (c *Cloud) Remove(name string) {
 	m := c.machine(name)
 	m.kill()
--- a/internal/fake/cloud_test.go
+++ b/internal/fake/cloud_test.go
@@ -9,8 +9,9 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Goroutines that serve rentals count them while a scenario reads the counts. The race detector
-// reports counts that are read without the lock.
+// A repeated rental request must not rent machines again. The goroutines that serve rentals count
+// them while the test reads the counts, so that the race detector reports a count that is read
+// without the lock.
 func TestRentalsAreCountedWhileTheyArrive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := New(Options{Machines: 1, Capacity: 4, ExternalNodes: true})
--- a/internal/fake/cluster.go
+++ b/internal/fake/cluster.go
@@ -1,3 +1,5 @@
+// The simulated cluster: its state, its start and its end.
+
 package fake
 
 import (
@@ -56,9 +58,9 @@
 
 	// Observations.
 	answeredHeartbeats map[nodeAndMachine]time.Time // when the machine last sent a heartbeat that the node answered
-	acceptedAnswers    map[nodeAndMachine]time.Time // when the machine last sent one whose status 200 it accepted
+	acceptedAnswers    map[nodeAndMachine]time.Time // when the machine last sent a heartbeat whose answer with status 200 it accepted
 	started            int                          // task starts
-	externalStarts     map[string]int               // starts by task name, of other frontends' jobs, whose tasks run once
+	externalStarts     map[string]int               // starts of other frontends' tasks, by task name; each may start once
 	startedAfterCancel int                          // task starts after the user was told that the job is cancelled
 	expiredLeases      int                          // expired leases of workers that had tasks
 	peakFetching       int                          // highest number of machines that fetched images at the same time
--- a/internal/fake/delayed_transactions.go
+++ b/internal/fake/delayed_transactions.go
@@ -56,7 +56,7 @@
 	InTerm  int // overtaken within the same leadership while it lasts, so that the token doesn't fail them
 	Refused int // of InTerm: failed by another guard
 	Older   int // of InTerm: would have reverted a key to an older value
-	Stale   int // sent in a leadership that is over
+	Stale   int // sent in a leadership that is over, overtaken or not
 }
 
 // isNode reports whether a host's name is that of a controller.
@@ -132,9 +132,10 @@
 	s.countOvertaken(arrival, failed, reverted)
 }
 
-// revertedKey returns a key that a late transaction would revert, or "": a key that was changed
-// to another value after the transaction arrived at the given revision. It ignores keys put with a
-// lease, because they end with the lease.
+// revertedKey returns a key that a late transaction would revert, or "" if there is none. The
+// transaction arrived at the given revision. It would revert a key that was changed since then,
+// unless it puts the key's present value. Keys put with a lease are ignored, because they end with
+// the lease.
 func (s *KVStore) revertedKey(t *transaction, revision uint64) string {
 	for _, op := range t.Then {
 		key := op.key()
--- a/internal/fake/gangs.go
+++ b/internal/fake/gangs.go
@@ -1,3 +1,5 @@
+// Simulation of gang jobs, whose tasks run, save and exit together.
+
 package fake
 
 import (
@@ -93,8 +95,8 @@
 	return w.jobs[t.job.ID].done[t.index] || runs && g.progressBefore+now.Sub(g.runningSince).Seconds() >= t.job.EstimateS
 }
 
-// exitAfter ends a task that was told to stop. It ends a task with the given reason if it has waited
-// for others of its gang longer than the limit.
+// exitAfter ends a task that was told to stop. It ends any other task with the given reason if the
+// task has waited for others of its gang longer than the limit.
 func exitAfter(t *task, reason string, waited, limit time.Duration) {
 	switch {
 	case !t.stopsAt.IsZero():
--- a/internal/fake/heartbeat_copies.go
+++ b/internal/fake/heartbeat_copies.go
@@ -1,3 +1,6 @@
+// Faults that deliver copies of workers' heartbeats to the next leader, or ahead of the heartbeats
+// themselves, and counts of the outcomes.
+
 package fake
 
 import (
@@ -44,8 +47,8 @@
 }
 
 // DelayCopiesUntilFailover keeps copies of one in oneIn heartbeats, at most three per machine. It
-// delivers them to all controllers when a new leader key is committed, and repeats that four times
-// within some seconds. A value of 0 ends the copying, but kept copies still go to the next leaders.
+// delivers them to all controllers when a new leader key is committed, and four more times within
+// the next 2.35 seconds. A value of 0 ends the copying, but kept copies still go to the next leaders.
 func (w *Cluster) DelayCopiesUntilFailover(oneIn int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/fake/heartbeat_copies_test.go
+++ b/internal/fake/heartbeat_copies_test.go
@@ -8,8 +8,8 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
-// Goroutines deliver copies of heartbeats while a scenario kills and starts controllers. The race
-// detector reports fields of a controller that are read without the lock.
+// The goroutine that delivers copies of heartbeats reads fields of a controller while the test kills
+// and starts that controller. The race detector reports a field that is read without the lock.
 func TestCopiesAreDeliveredWhileNodesRestart(t *testing.T) {
 	synctest.Test(t, func(_ *testing.T) {
 		w := New(Options{Nodes: 3, Machines: 1, Capacity: 1})
--- a/internal/fake/heartbeats.go
+++ b/internal/fake/heartbeats.go
@@ -148,9 +148,9 @@
 	m.execute(a.Commands, time.Now())
 }
 
-// noteToken records the fencing token of an answer or a command. After a higher token a heartbeat
-// is due, so that a new leader soon learns that the worker has seen its token. That happens at most
-// once in half a lease.
+// noteToken records the fencing token of an answer or a command. A higher token makes a heartbeat
+// due, at most once in half a lease, so that a new leader soon learns that the worker has seen its
+// token.
 func (m *machine) noteToken(token uint64, now time.Time) {
 	if token > m.token {
 		m.token = token
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -1,3 +1,5 @@
+// The key-value store: its state, its limits, reads, listings and watches.
+
 package fake
 
 import (
--- a/internal/fake/liveness.go
+++ b/internal/fake/liveness.go
@@ -16,7 +16,7 @@
 	// forgottenTimeout is how long status queries of a job may fail without faults. After that
 	// the job counts as forgotten.
 	forgottenTimeout = 75 * time.Second
-	// settleTime is how long a cancellation must come after the last fault for the stricter
+	// settleTime is the time without faults that must precede a cancellation for the stricter
 	// limit launchGrace to apply.
 	settleTime = 20 * time.Second
 	// launchGrace is how long after a cancellation without faults a launch may arrive.
--- a/internal/fake/liveness_test.go
+++ b/internal/fake/liveness_test.go
@@ -1,3 +1,6 @@
+// Tests of the checker's rules for direct commands, cancellations and unanswered status queries, and
+// of the detection of active faults.
+
 package fake
 
 import (
@@ -34,8 +37,9 @@
 	}
 }
 
-// A direct command may arrive minutes late. A late launch could start a task twice, and a late
-// forget could remove an outcome that is not recorded.
+// The checker must report direct commands that are harmful if they arrive minutes late. A late
+// launch could start a task twice, and a late forget could remove an outcome that is not recorded.
+// Stops, and launches of tasks that the job doesn't have, are harmless.
 func TestDirectCommandThatHarmsWhenLateIsAViolation(t *testing.T) {
 	for _, c := range []struct {
 		command wire.Command
@@ -62,8 +66,8 @@
 	}
 }
 
-// A delayed command must not be executed if the worker has seen a newer leader or has begun a new
-// epoch, and it must not be executed early.
+// A delayed command must be executed once and not before its delay. It must not be executed if the
+// worker has seen a newer leader or has begun a new epoch.
 func TestDelayedCommandIsExecutedOnceIfTokenAndEpochMatch(t *testing.T) {
 	for _, c := range []struct {
 		token, epoch uint64
@@ -146,7 +150,8 @@
 	}
 }
 
-// A job whose status queries all fail for 75 s is forgotten, unless a fault explains it.
+// The checker must report a job as forgotten if all its status queries fail for 75 s without
+// faults. Failures during a fault don't count, and one answered query restarts the time.
 func TestUnansweredQuestionsWithoutFaultsAreAViolation(t *testing.T) {
 	for _, c := range []struct {
 		name   string
--- a/internal/fake/machine.go
+++ b/internal/fake/machine.go
@@ -1,3 +1,5 @@
+// Simulated machines with their workers and tasks.
+
 package fake
 
 import (
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -7,6 +7,8 @@
 // Cloud and the list of violations have locks of their own. A goroutine that needs several takes
 // them in this order: the cloud's, the cluster's, the key-value store's, and last the network's or
 // the list's.
+//
+// Identifiers call a controller a node.
 package fake
 
 import (
--- a/internal/fake/network_conn.go
+++ b/internal/fake/network_conn.go
@@ -1,3 +1,5 @@
+// Listeners and connections of the simulated network.
+
 package fake
 
 import (
--- a/internal/fake/options.go
+++ b/internal/fake/options.go
@@ -1,3 +1,5 @@
+// Options of a simulated cluster, and the settings of its controllers that follow from them.
+
 package fake
 
 import (
--- a/internal/fake/resources.go
+++ b/internal/fake/resources.go
@@ -1,3 +1,5 @@
+// Sums and comparisons of resources, for the checks of machines and quotas.
+
 package fake
 
 import (
--- a/internal/fake/violations.go
+++ b/internal/fake/violations.go
@@ -1,3 +1,5 @@
+// The list of violations of the protocol's rules that the checker has found.
+
 package fake
 
 import (
--- a/internal/golden/fill.go
+++ b/internal/golden/fill.go
@@ -1,3 +1,5 @@
+// Values with every field set, for the checks of encodings.
+
 package golden
 
 import (
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -20,8 +20,8 @@
 
 var update = flag.Bool("update", false, "write the recorded values anew")
 
-// File is a file of recorded values, each with a label. It serves one test and is not safe for
-// concurrent use.
+// File is a file of recorded values, each with a label. Under -update its checks record the given
+// values instead of comparing them. It serves one test and is not safe for concurrent use.
 type File struct {
 	tb       testing.TB
 	path     string
--- a/internal/golden/server.go
+++ b/internal/golden/server.go
@@ -1,3 +1,5 @@
+// An HTTP server with prepared answers, for the checks of requests that clients send.
+
 package golden
 
 import (
--- a/internal/scenario/plans.go
+++ b/internal/scenario/plans.go
@@ -1,3 +1,5 @@
+// Helpers for scenarios that apply operators' plans.
+
 package scenario
 
 import (
@@ -12,7 +14,8 @@
 )
 
 // TryPlan applies a plan as the operators' command does, on condition that the version in force
-// is base. It returns the number of the new version.
+// is base. It returns the number of the new version, and an error if the success is not confirmed in
+// time.
 func TryPlan(cluster *fake.Cluster, base int, text string, within time.Duration) (int, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Eventually polls ok at the interval every and reports true as soon as ok does. It reports false
-// if within has passed.
+// Eventually polls ok at the interval every, for the first time after one interval, and reports true
+// as soon as ok does. It reports false once within has passed.
 func Eventually(within, every time.Duration, ok func() bool) bool {
 	for end := time.Now().Add(within); time.Now().Before(end); {
 		if time.Sleep(every); ok() {
--- a/internal/scenario/subprocess.go
+++ b/internal/scenario/subprocess.go
@@ -1,3 +1,5 @@
+// Execution of each test in a process of its own under the race detector.
+
 package scenario
 
 import (
--- a/internal/scenario/subprocess_test.go
+++ b/internal/scenario/subprocess_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// The exit code and output of a package follow from those of its tests' processes. A shell
+// A failed test process must fail the package. A process that the race detector ended is run again,
+// at most three times in all, and fails the package if the detector ends the last one too. A shell
 // script stands in for the test binary.
 func TestSubprocessResultsAreThePackagesResult(t *testing.T) {
 	dir := t.TempDir()
