--- a/internal/cmd/yarntrial/main.go
+++ b/internal/cmd/yarntrial/main.go
@@ -79,7 +79,7 @@
 	l.durations = append(l.durations, d)
 }
 
-// String returns the count and the 50th, 99th and 100th percentile of the durations.
+// String returns the count, the 50th and 99th percentile and the maximum of the durations.
 func (l *latencies) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -282,7 +282,7 @@
 	}
 	stop()
 	masters.Wait()
-	time.Sleep(75 * time.Second) // twice the expiry of a master and a worker's lease
+	time.Sleep(75 * time.Second) // two expiries of a master plus one lease of a worker
 	return t.reportRemains(&failures)
 }
 
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -21,7 +21,7 @@
 	// Set before the cloud serves requests and constant from then on.
 	cluster    *Cluster
 	types      []wire.MachineType
-	listingLag time.Duration // age of the state that is listed
+	listingLag time.Duration // until the list shows a new machine, or the end of its boot
 
 	mu sync.Mutex // guards the fields below
 
@@ -298,8 +298,8 @@
 	c.mu.Lock()
 }
 
-// serveList answers with the machines after a name, as they were listingLag ago. The caller holds
-// the lock.
+// serveList answers with the machines after a name. A new machine, and the end of its boot, show
+// listingLag later. Failures and deletions show at once. The caller holds the lock.
 func (c *Cloud) serveList(w http.ResponseWriter, after string) {
 	var l wire.MachineList
 	now := time.Now()
--- a/internal/fake/kvstore.go
+++ b/internal/fake/kvstore.go
@@ -254,8 +254,9 @@
 }
 
 // serveWatch answers with the changes after a revision as soon as there are any, or when the
-// request's blocking time is over. During an outage, and for a refused controller, watches stay
-// open without an answer. The caller holds the lock, which is released while serveWatch waits.
+// request's blocking time is over. A watch that is open when an outage or the refusal of its
+// controller begins gets no answer until that ends. The caller holds the lock, which is released
+// while serveWatch waits.
 func (s *KVStore) serveWatch(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
--- a/internal/fake/kvstore_faults.go
+++ b/internal/fake/kvstore_faults.go
@@ -21,7 +21,7 @@
 	s.requestLimit = rate.NewLimiter(rate.Limit(rps), int(rps))
 }
 
-// LimitWrites makes the store refuse puts and deletes beyond a rate per second.
+// LimitWrites makes the store refuse transactions whose puts and deletes exceed a rate per second.
 func (s *KVStore) LimitWrites(rps float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // SilenceWatches leaves the watches of a controller without an answer until ResumeWatches, like a
-// hanging connection. Other requests are answered.
+// hanging connection. Other requests, and watches that don't block, are answered.
 func (s *KVStore) SilenceWatches(node string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// deliverAll ends every block in one direction.
+// deliverAll ends all faults of BlockOneWay, whatever the hosts.
 func (n *Network) deliverAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/fake/options.go
+++ b/internal/fake/options.go
@@ -25,7 +25,7 @@
 	YARN               string             // settings of the YARN frontend without its addresses; empty: no frontend
 	Sockets            int                // limit of each controller; 0 means a setting of 800 that is not enforced
 	HeartbeatIntervalS float64            // seconds between heartbeats; 0 means 1.5
-	LeaseS             float64            // seconds of a worker's lease; 0 means 12
+	LeaseS             float64            // seconds of a worker's lease; 0 means 12; cancel_s is 20 more
 	OlderSchema        []int              // indexes of controllers that use the previous schema version; see UpgradeSchema
 	StateRPS           float64            // key-value store: requests per second; 0 means a setting of 200 that is not enforced
 	StateWPS           float64            // key-value store: changes per second; 0 means a setting of 60 that is not enforced
@@ -65,7 +65,7 @@
 // Limits that are in the controllers' settings and that the fakes enforce.
 const (
 	transactionOps   = 12  // operations per transaction
-	cloudListingLagS = 5.0 // age of the state that the cloud lists, in seconds
+	cloudListingLagS = 5.0 // seconds until the cloud lists a new machine, or the end of its boot
 )
 
 // nodeSettings returns the settings of the i-th controller.
