--- a/internal/fake/delayed_transactions.go
+++ b/internal/fake/delayed_transactions.go
@@ -1,5 +1,5 @@
-// The fault in which the key-value store's answers are lost and its requests are executed late, and the
-// check that late transactions revert no key.
+// The fault in which answers of the key-value store are lost and its requests are executed late, and
+// the check that late transactions revert no key.
 
 package fake
 
--- a/internal/fake/heartbeat_copies.go
+++ b/internal/fake/heartbeat_copies.go
@@ -18,7 +18,7 @@
 const copiesPerMachine = 3
 
 // failoverCopies keeps copies of workers' heartbeats for the next leader. Such a copy is outdated,
-// and it is the first message about its machine that the new leader receives. The cluster's lock
+// and it can be the first message about its machine that the new leader receives. The cluster's lock
 // guards it.
 type failoverCopies struct {
 	oneIn         int                         // share of kept heartbeats: one in this number; 0: none
@@ -40,7 +40,7 @@
 // CopyStats counts delivered copies of heartbeats by their outcome. A copy that a leader answered
 // with status 200 was the newest heartbeat of its machine for that leader.
 type CopyStats struct {
-	First          int // answered with 200 by a leader newer than the copy, which had not answered the original
+	First          int // answered with 200 by a leader newer than the copy, before that leader answered the original
 	EarlierEpoch   int // of First: of an epoch that has ended since
 	EarlierAttempt int // of First: with an attempt that is no longer on the machine
 	Older          int // refused with 503 while the machine had sent newer heartbeats
