--- a/calendar/forecast_test.go
+++ b/calendar/forecast_test.go
@@ -10,6 +10,8 @@
 
 func afterT0(s float64) time.Time { return t0.Add(seconds(s)) }
 
+// Guards against forecasts that don't serve the earliest deadline first, and against wrong latest
+// starts. The values follow from four places, three of them free at once and one after 100 s.
 func TestLatestStartsFollowFromLaterWindows(t *testing.T) {
 	free := []float64{0, 0, 0, 100}
 	loads := []Load{
@@ -33,6 +35,7 @@
 	}
 }
 
+// Guards against a missed or false risk and against a wrong reason shown to operators.
 func TestForecastNamesReasonForRisk(t *testing.T) {
 	work := []Batch{{10, 100, 1, false}}
 	for _, tc := range []struct {
--- a/calendar/schedule_test.go
+++ b/calendar/schedule_test.go
@@ -47,6 +47,9 @@
 
 const hour = 3600
 
+// Guards against a wrong result of a batch window and against a result decided too early, twice or
+// never. The window is decided when its last job ends, but not before the deadline and not after the
+// opening.
 func TestCloseDueDecidesEachResult(t *testing.T) {
 	window := windowAtT0(t, newTestRegion(t, "", ""))
 	for _, tc := range []struct {
@@ -129,6 +132,8 @@
 	}
 }
 
+// Guards against a job that counts as completed, or is not counted, because the next leader finds no
+// final record of it. The window is incomplete and its counts are lower bounds.
 func TestJobWithoutFinalRecordMakesWindowIncomplete(t *testing.T) {
 	window := windowAtT0(t, newTestRegion(t, "", ""))
 	schedule := NewSchedule("brussels", Record{}, 5, 0)
@@ -162,6 +167,8 @@
 	}
 }
 
+// Guards against open windows that keep their old deadline, or lose their jobs' counts, when a change
+// of settings moves the opening. Without an opening the window is withdrawn.
 func TestRescheduleMovesOpenWindows(t *testing.T) {
 	r := newTestRegion(t, "", "")
 	window := windowAtT0(t, r)
@@ -198,6 +205,8 @@
 	}
 }
 
+// Guards against a record that grows with the number of jobs, reforecasts and past windows until the
+// key-value store refuses it.
 func TestRecordSizeIsBounded(t *testing.T) {
 	r := newTestRegion(t, "", "")
 	schedule := NewSchedule("brussels", Record{}, 5, 0)
--- a/calendar/shortage_test.go
+++ b/calendar/shortage_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// Guards against a shortage with too few or too many places, and against a latest order time after
+// which machines that boot for 100 s can't meet the deadline.
 func TestFindShortageMeetsDeadlines(t *testing.T) {
 	work := []Batch{{100, 60, 1, false}}
 	for _, tc := range []struct {
--- a/calendar/window_test.go
+++ b/calendar/window_test.go
@@ -60,6 +60,8 @@
 	return at
 }
 
+// Guards against wrong windows at weekends, holidays and exceptions, at changes of daylight saving
+// time, and at the first and last second of a window.
 func TestWindowAtOnSpecialDates(t *testing.T) {
 	c := newTestCalendar(t, offices)
 	for _, tc := range []struct{ region, at, date, from, promise string }{
@@ -119,6 +121,8 @@
 	}
 }
 
+// Guards against work assigned to a wrong region. If several regions match a job, the one with the
+// earliest deadline counts.
 func TestWindowForPicksEarliestDeadline(t *testing.T) {
 	c := newTestCalendar(t, offices)
 	for _, tc := range []struct{ class, team, zone, image, want string }{
@@ -135,6 +139,7 @@
 	}
 }
 
+// Guards against invalid settings that are accepted, and against errors that don't name the field.
 func TestCheckNamesEachInvalidField(t *testing.T) {
 	for _, tc := range []struct{ old, new, want string }{
 		{`"Europe/Brussels"`, `"Europe/Brusels"`, "calendar.regions[0].zone:"},
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -38,6 +38,8 @@
 sockets = 800
 `
 
+// Guards against invalid settings that are accepted, and against errors that don't name the field.
+// Unknown fields are accepted.
 func TestParseNamesInvalidField(t *testing.T) {
 	if _, err := Parse(good); err != nil {
 		t.Fatalf("good settings with an unknown field: %v", err)
@@ -60,6 +62,8 @@
 	}
 }
 
+// Guards against an invalid tuning file that is accepted, and against errors that don't name the
+// field. Unlike in the settings, an unknown field is an error.
 func TestParseTuningNamesInvalidField(t *testing.T) {
 	if _, err := ParseTuning("[rebalance]\nbudget = 2\n"); err != nil {
 		t.Fatal(err)
--- a/modelcheck/modelcheck_test.go
+++ b/modelcheck/modelcheck_test.go
@@ -18,6 +18,8 @@
 	return defaultDepth
 }
 
+// Guards against any sequence of at most exhaustiveDepth actions that violates an invariant. A search
+// that reaches fewer than minStates states has failed too, because its scenario allows too little.
 func TestInvariantsHoldInEveryScenario(t *testing.T) {
 	const (
 		maxStates = 50_000_000
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -14,6 +14,8 @@
 	return r
 }
 
+// Guards against a gang that is spread over two zones although it must be in one, and against starts
+// of only a part of a gang. A gang whose tasks can't all run would occupy machines without progress.
 func TestGangInOneZoneIsPlacedWholeOrNotAtAll(t *testing.T) {
 	r := request(3, Resources{CPU: 8})
 	r.Gang, r.OneZone = true, true
@@ -33,6 +35,8 @@
 	}
 }
 
+// Guards against more starts in a zone than MaxPerZone allows, and against starts beyond the maximum
+// of a team that has used a part of it already.
 func TestStartsKeepToMaxPerZoneAndTeamLimit(t *testing.T) {
 	r := request(5, Resources{CPU: 1})
 	r.MaxPerZone, r.Team = 3, 0
@@ -48,6 +52,9 @@
 	}
 }
 
+// Guards against preemption of the task that loses more work, and of work of the same priority. Work
+// over its team's guarantee may be preempted at the same priority, but only by a request within its
+// own team's guarantee.
 func TestPreemptionTakesLeastLossAndOnlyWhatItMay(t *testing.T) {
 	m := machine(0, Resources{})
 	m.Tasks = []Occupant{
@@ -72,6 +79,8 @@
 	}
 }
 
+// Guards against starvation of a large task: small tasks that fit at once would take a machine again
+// and again before it has room for the large one. A request with Hold keeps the machine free.
 func TestHeldMachineIsNotGivenToLaterSmallTask(t *testing.T) {
 	m := machine(0, Resources{CPU: 10, GPU: 1, Mem: 80})
 	m.Tasks = []Occupant{{Task: Task{9, 0}, Need: Resources{CPU: 6, GPU: 1, Mem: 48}, Priority: 2, RemainingSeconds: 20}}
--- a/placement/pools_test.go
+++ b/placement/pools_test.go
@@ -10,6 +10,8 @@
 	return m
 }
 
+// Guards against work on a pool's machine without access to the pool, and against borrowers whose
+// images would evict the pool's weights.
 func TestPoolMachineIsKeptFromOtherWork(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -38,6 +40,8 @@
 	}
 }
 
+// Guards against use of a pool by a request with last resort access while a machine outside the pool
+// has room.
 func TestLastResortAccessTakesOtherRoomFirst(t *testing.T) {
 	r := request(2, Resources{CPU: 16})
 	r.PoolAccess = []PoolAccess{LastResortAccess}
--- a/priority/policy_test.go
+++ b/priority/policy_test.go
@@ -180,6 +180,8 @@
 	})
 }
 
+// Guards against invalid settings that are accepted, and against a check that stops at the first error.
+// Valid settings must assign work to the first tier that matches it.
 func TestAllSettingsAreChecked(t *testing.T) {
 	s := &Settings{Tiers: []Tier{
 		{Name: "clinic", Classes: []string{"slicing"}, Share: 0.5},
--- a/rebalance/rebalance_test.go
+++ b/rebalance/rebalance_test.go
@@ -30,6 +30,8 @@
 	}
 }
 
+// Guards against moves between hosts that leave every host partly used. The least utilized host must
+// be drained, onto the fullest host with room.
 func TestLeastUtilizedHostDrainsOntoFullest(t *testing.T) {
 	g := group(host(0, smallTask(true)), host(1, smallTask(true), smallTask(true)), host(2, smallTask(true)), host(3, Task{Need: placement.Resources{CPU: 2, Mem: 8}, Movable: true}))
 	moves := Plan(g)
@@ -38,6 +40,8 @@
 	}
 }
 
+// Guards against restarts of tasks for no benefit. Tasks may move only while there are an unplaced
+// task, an imbalance above its threshold and moves left.
 func TestNoMoveWithoutUnplacedTaskImbalanceOrMovesLeft(t *testing.T) {
 	hosts := func() []Host { return []Host{host(0, smallTask(true)), host(1, smallTask(true)), host(2)} }
 	if len(Plan(group(hosts()...))) != 1 {
@@ -60,6 +64,8 @@
 	}
 }
 
+// Guards against moves from a host that has a task that can't move, and against moves that fill a
+// host above its capacity threshold.
 func TestHostIsDrainedAsAWholeOrNotAtAll(t *testing.T) {
 	if moves := Plan(group(host(0, smallTask(false)), host(1, smallTask(false)), host(2))); len(moves) > 0 {
 		t.Errorf("moved tasks that are not movable: %v", moves)
--- a/routing/fleet_test.go
+++ b/routing/fleet_test.go
@@ -86,6 +86,8 @@
 	})
 }
 
+// Guards against expired leases and repeated starts after a restart of all nodes, when the whole fleet
+// reconnects at once.
 func TestAllNodesRestartWhileTheFleetSendsHeartbeats(t *testing.T) {
 	runFleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		w.KillAll()
@@ -98,6 +100,8 @@
 	})
 }
 
+// Guards against expired leases and repeated starts when half of the fleet hangs for 14 s and then
+// reconnects at the same time.
 func TestHalfTheFleetReconnectsWithinASecond(t *testing.T) {
 	runFleet(t, fake.Options{Machines: fleetMachines}, func(t *testing.T, w *fake.Cluster) {
 		half := w.Cloud.Machines()[:fleetMachines/2]
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -64,6 +64,9 @@
 	}
 }
 
+// Guards against workers redirected in circles or to a node that can't serve them. A follower
+// redirects a worker only if the follower's connections are full, the leader is unreachable, or the
+// fleet is small and the follower has served the worker before.
 func TestRouteAtFollower(t *testing.T) {
 	p := plan(2600, "b", "c")
 	homes := map[string]string{}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -52,6 +52,7 @@
 	return r.All()
 }
 
+// Guards against entries that are lost or altered between a Writer and a Reader.
 func TestReaderReturnsWhatWriterWrote(t *testing.T) {
 	want, b := sample(t, 2000)
 	got, err := read(b)
@@ -89,6 +90,7 @@
 	}
 }
 
+// Guards against a panic, and against acceptance of arbitrary bytes as a snapshot.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte("umberdeal snapshot\x01p\xff\xff\xff\xff"))
 	f.Add([]byte("umberdeal snapshot\x02"))
@@ -105,7 +107,8 @@
 
 var errCut = errors.New("cut off")
 
-// limitedClient is a key-value store client whose transactions fail after the first left ones.
+// limitedClient is a key-value store client that executes only as many transactions as left says.
+// All later transactions fail with errCut.
 type limitedClient struct {
 	*kvstore.Client
 	left int
--- a/warmpool/pool_test.go
+++ b/warmpool/pool_test.go
@@ -17,6 +17,7 @@
 		Burst: Burst{Replicas: 8, WithinS: 10}, MaxHourlyCost: 1000, Payer: "speech", Borrowers: []string{"vision"}}
 }
 
+// Guards against invalid pools that are accepted, and against errors that don't name the field.
 func TestInvalidFieldsAreNamedWithTheirPath(t *testing.T) {
 	good := newTestPool()
 	if errs := Check([]Pool{good}, []string{"a", "b"}, []string{"speech", "vision"}); len(errs) > 0 {
@@ -93,6 +94,8 @@
 	}
 }
 
+// Guards against demand that is lost when a failover restores it from the store, and against a day's
+// record that grows beyond 12 KiB.
 func TestWeeklyScheduleRoundTrips(t *testing.T) {
 	w, restored := &WeeklyDemand{}, &WeeklyDemand{}
 	random := rand.New(rand.NewPCG(1, 2))
@@ -176,6 +179,8 @@
 	}
 }
 
+// Guards against a machine's cost charged to the wrong team. The borrower pays for its share while it
+// uses the machine, and the pool's payer pays for the rest.
 func TestBorrowerIsChargedForWhatItBooks(t *testing.T) {
 	s := &Shard{AtMs: 0}
 	s.Join(Member{Machine: "m", SinceMs: 1000, HourlyRate: 3_600_000_000})
@@ -201,6 +206,8 @@
 	return out
 }
 
+// Guards against new machines ordered while free ones can join, and against an uneven spread over the
+// zones. Booting machines count for their zone.
 func TestPoolScalesOutOverZonesFromItsMembers(t *testing.T) {
 	p := newTestPool()
 	free := fleet(6, func(i int, s *Observation) {
@@ -215,6 +222,8 @@
 	}
 }
 
+// Guards against the release of busy machines, or of warm ones before cold ones, and against a pool
+// that stays above its cost limit because all its machines are busy.
 func TestPoolScalesInIdleMachines(t *testing.T) {
 	p := newTestPool()
 	own := fleet(6, func(i int, s *Observation) { s.Busy, s.Warm = i < 2, i != 4 })
@@ -235,6 +244,8 @@
 	}
 }
 
+// Guards against fetches of the weights by all machines of a pool at once. Running fetches count
+// toward the limit.
 func TestImageFetchesAreStaggered(t *testing.T) {
 	p := newTestPool()
 	own := fleet(40, func(i int, s *Observation) { s.Fetching = i < 3 })
@@ -243,6 +254,8 @@
 	}
 }
 
+// Guards against work with more or less access to a pool than its image, team, priority and
+// checkpoints give it.
 func TestPoolAccess(t *testing.T) {
 	p := newTestPool()
 	replicas := Workload{Image: "llm-70b:v2", Team: "speech", Priority: 1, ModelPriority: 1}
--- a/wire/submission_test.go
+++ b/wire/submission_test.go
@@ -2,6 +2,8 @@
 
 import "testing"
 
+// Guards against a panic on an arbitrary request body, and against acceptance of a job with an invalid
+// id, number of tasks or number of CPUs.
 func FuzzDecodeJob(f *testing.F) {
 	good, err := Marshal(Job{ID: "wk-000412", Class: "c", Team: "t", Kind: KindGang, Priority: PriorityNormal, Tasks: 2, CPUs: 1, Image: "i"})
 	if err != nil {
