--- a/jobstore/fakestore_test.go
+++ b/jobstore/fakestore_test.go
@@ -36,7 +36,7 @@
 	capacityAt time.Time // when the write limiter grants changes again
 	conflicts  int       // transactions whose guards failed
 
-	refuse       func(ops []wire.Op) error // if not nil, returns the error of transactions that are not executed
+	refuse       func(ops []wire.Op) error // if not nil, returns the error with which a transaction is refused, or nil to execute it
 	beforeAnswer func(ops []wire.Op)       // called before a transaction's response is returned
 }
 
--- a/jobstore/plan_test.go
+++ b/jobstore/plan_test.go
@@ -19,12 +19,15 @@
 	"github.com/umberdeal/umberdeal/wire"
 )
 
+// applyPlan applies a text as the plan that follows version base.
 func applyPlan(s *fakeStore, base int, text string) (jobstore.PlanVersion, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	return jobstore.ApplyPlan(ctx, s, limits, jobstore.PlanChange{Base: base, Text: text, By: "somebody", At: time.Now()})
 }
 
+// loadPlan returns the plan in force. Texts that begin with "unknown" count as plans of a later program
+// version, which this version can't use.
 func loadPlan(t *testing.T, s *fakeStore) jobstore.ActivePlan {
 	t.Helper()
 	active, err := jobstore.LoadPlan(context.Background(), s, func(text string) error {
@@ -143,7 +146,7 @@
 				}
 				s.mu.Lock()
 				intact := maps.Clone(s.keys)
-				for k := range before { // if two drafts of a number were complete, neither would count
+				for k := range before { // two complete drafts of one number would both be ignored
 					if strings.HasPrefix(k, fmt.Sprintf("plan/t/%d-", base+1)) {
 						delete(s.keys, k)
 					}
--- a/kvstore/kvstore_test.go
+++ b/kvstore/kvstore_test.go
@@ -51,15 +51,18 @@
 	}
 }
 
+// pageOf returns a page's fields as text for the golden file.
 func pageOf(page wire.Listing, err error) (any, error) {
 	return fmt.Sprint(page.Items, page.More, page.Revision), err
 }
 
+// listOf returns the result of List as text for the golden file.
 func listOf(entries []wire.Entry, rev uint64, err error) (any, error) {
 	return fmt.Sprint(entries, rev), err
 }
 
-// Callers distinguish errors only by these values. Each response of the store must lead to the right ones.
+// Callers decide by the error whether to retry and whether a transaction may have been executed. Each
+// response of the store must lead to the right error.
 func TestRefusalsOfTheStoreAreReported(t *testing.T) {
 	ctx := t.Context()
 	get := func(c *Client) error { _, err := c.Get(ctx, "a"); return err }
--- a/modelcheck/digest_test.go
+++ b/modelcheck/digest_test.go
@@ -12,7 +12,7 @@
 	const (
 		depth     = 4
 		minMerged = 100
-		compared  = 5 // one of this many merged states is compared
+		compared  = 5 // every fifth merged state is compared
 	)
 	for _, scenario := range Scenarios() {
 		first := map[string][]Action{} // first path found to each digest
--- a/modelcheck/mutation_test.go
+++ b/modelcheck/mutation_test.go
@@ -28,6 +28,8 @@
 	return scenario
 }
 
+// mutationSearches holds the searches for mutations that have an effect without delayed transactions,
+// refusals by the store and changes of the plan.
 var mutationSearches = []mutationSearch{
 	{LaunchBeforeCommit, OneTask, []ActionKind{SchedulingPass, HeartbeatRoundTrip, ImageFetched, CompleteTask, Failover}, 8},
 	{ForgetBeforeCommit, OneTask, nil, 5},
--- a/peerrpc/stream_test.go
+++ b/peerrpc/stream_test.go
@@ -179,8 +179,8 @@
 	})
 }
 
-// Data written during a slow flush must not overwrite the data that is being sent. It did after
-// flushLoop had woken up without data to send.
+// Data written during a slow flush must not overwrite the data that is being sent. Formerly it
+// did if flushLoop had woken up without data to send.
 func TestBatchedWritesArriveInOrderOverSlowConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a, b := net.Pipe()
--- a/placement/failed_search_test.go
+++ b/placement/failed_search_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// A search is skipped if a search that would find all its machines has failed. A warm pool lends a
-// machine only if the image is present or fits beside the weights. When images were not compared, a
-// job whose image was on a pool's machine kept waiting because another job's image was not.
+// Guards against the skip of a search that would succeed. A search is skipped after a failed search
+// that would have found each of its machines. A warm pool lends a machine only if the image is present
+// or fits beside the weights, so images must be compared. Formerly they were not: a job whose image
+// was on a pool's machine kept waiting after the failed search of a job whose image was not there.
 func TestKnownFailuresAreOfSearchesThatFindAllMachines(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 77))
 	comparablePairs := 0
--- a/placement/placement_test.go
+++ b/placement/placement_test.go
@@ -2,10 +2,12 @@
 
 import "testing"
 
+// machine returns a ready machine with the given free resources, on which no task runs.
 func machine(zone int, free Resources) Machine {
 	return Machine{Zone: zone, Ready: true, Free: free, Capacity: Resources{16, 2, 128}, FetchRate: 1}
 }
 
+// request returns a request for n tasks that need the given resources each and may run in any zone.
 func request(n int, need Resources) Request {
 	r := Request{Need: need, Priority: 2, Team: -1, Zone: -1, PlacedByZone: make([]int, 2), Types: []bool{true}, ImageGB: 2}
 	for i := range n {
--- a/rebalance/rebalance_test.go
+++ b/rebalance/rebalance_test.go
@@ -9,6 +9,7 @@
 
 var hostCapacity = placement.Resources{CPU: 16, GPU: 2, Mem: 128}
 
+// host returns a host that runs the given tasks of one job.
 func host(job int, tasks ...Task) Host {
 	h := Host{Capacity: hostCapacity, Tasks: tasks}
 	for i := range tasks {
@@ -22,6 +23,8 @@
 	return Task{Need: placement.Resources{CPU: 6, GPU: 1, Mem: 48}, Movable: movable}
 }
 
+// group returns hosts that may make two moves, and an unplaced task that needs nearly all
+// CPUs of a host.
 func group(hosts ...Host) Group {
 	return Group{
 		Policies: []config.Policy{{Resource: "cpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1}, {Resource: "gpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1},
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -16,9 +16,9 @@
 
 func worker(i int) string { return fmt.Sprintf("host-%06d", i) }
 
-// A leader of 2,600 workers serves as many of them as a quarter of its sockets, and the relays share
-// the others. In a small fleet, or without relays, all workers send their heartbeats to the
-// leader.
+// A leader with 2,600 sockets and 2,600 workers serves about 650 of them directly, a quarter of its
+// sockets. The relays share the others. In a small fleet, or without relays, all workers send their
+// heartbeats to the leader.
 func TestLeaderKeepsItsShareAndRelaysDivideTheRest(t *testing.T) {
 	p := plan(2600, "c", "b")
 	got := map[string]int{}
--- a/wire/ids_test.go
+++ b/wire/ids_test.go
@@ -2,6 +2,7 @@
 
 import "testing"
 
+// Guards against malformed ids that are accepted, and against task names that can't be parsed back.
 func TestIDsAndTaskNames(t *testing.T) {
 	for id, want := range map[string]bool{"wk-000412": true, "wk-1234567": true, "wk-12": false, "wk-00041a": false, "000412": false, "": false} {
 		if ValidID(id) != want {
