--- a/jobstore/writer_test.go
+++ b/jobstore/writer_test.go
@@ -248,8 +248,8 @@
 }
 
 // The write limiter grants nothing for a second, as it does while the store refuses changes. A cancellation
-// waits for it, and meanwhile the leader ends another job of the page. An earlier version of the
-// writer composed the transaction before the wait, so the guard on the page's version was out of date. The logs showed
+// waits for it, and meanwhile the leader ends another job of the page. Formerly the writer composed the
+// transaction before the wait, so the guard on the page's version was out of date. The logs showed
 // `transaction ended` with result=conflict after a limiter_wait of up to 0.4 s, and again after the next
 // wait.
 func TestTransactionIsComposedAfterTheWaitForTheRateLimit(t *testing.T) {
