--- a/modelcheck/delays_test.go
+++ b/modelcheck/delays_test.go
@@ -24,7 +24,7 @@
 	for _, search := range delaySearches {
 		t.Run(search.mutation.String(), func(t *testing.T) {
 			if raceDetector && search.mutation == AcceptDuplicateAsTokenShown {
-				t.Skip("the largest search, which .ci/run executes without the race detector")
+				t.Skip("the largest: .ci/run goes through it without the race detector")
 			}
 			requireCounterexample(t, search.narrowed(), search.mutation, search.depth)
 		})
