--- a/rebalance/rebalance_test.go
+++ b/rebalance/rebalance_test.go
@@ -9,6 +9,7 @@
 
 var hostCapacity = placement.Resources{CPU: 16, GPU: 2, Mem: 128}
 
+// host returns a host that runs the given tasks of one job.
 func host(job int, tasks ...Task) Host {
 	h := Host{Capacity: hostCapacity, Tasks: tasks}
 	for i := range tasks {
@@ -22,6 +23,8 @@
 	return Task{Need: placement.Resources{CPU: 6, GPU: 1, Mem: 48}, Movable: movable}
 }
 
+// group returns hosts that may make two moves, and an unplaced task that needs nearly all
+// CPUs of a host.
 func group(hosts ...Host) Group {
 	return Group{
 		Policies: []config.Policy{{Resource: "cpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1}, {Resource: "gpus", Weight: 0.4, Threshold: 0.2, CapacityThreshold: 1},
@@ -30,6 +33,8 @@
 	}
 }
 
+// Guards against moves between hosts that leave every host partly used. The least utilized host must
+// be drained, onto the fullest host with room.
 func TestLeastUtilizedHostDrainsOntoFullest(t *testing.T) {
 	g := group(host(0, smallTask(true)), host(1, smallTask(true), smallTask(true)), host(2, smallTask(true)), host(3, Task{Need: placement.Resources{CPU: 2, Mem: 8}, Movable: true}))
 	moves := Plan(g)
@@ -38,6 +43,8 @@
 	}
 }
 
+// Guards against restarts of tasks for no benefit. Tasks may move only while there are an unplaced
+// task, an imbalance above its threshold and moves left.
 func TestNoMoveWithoutUnplacedTaskImbalanceOrMovesLeft(t *testing.T) {
 	hosts := func() []Host { return []Host{host(0, smallTask(true)), host(1, smallTask(true)), host(2)} }
 	if len(Plan(group(hosts()...))) != 1 {
@@ -60,6 +67,8 @@
 	}
 }
 
+// Guards against moves from a host that has a task that can't move, and against moves that fill a
+// host above its capacity threshold.
 func TestHostIsDrainedAsAWholeOrNotAtAll(t *testing.T) {
 	if moves := Plan(group(host(0, smallTask(false)), host(1, smallTask(false)), host(2))); len(moves) > 0 {
 		t.Errorf("moved tasks that are not movable: %v", moves)
